--- a/cmd/cinderctl/check.go
+++ b/cmd/cinderctl/check.go
@@ -22,8 +22,8 @@
 
 type checkCommand struct {
 	Files []string `arg:"" name:"file" help:"Files to check; what each one is can be seen from its fields."`
-	On    string   `help:"Configuration that changes are applied to; without it only their form is checked." placeholder:"FILE"`
-	Kind  string   `help:"Take all files for this kind." enum:"auto,configuration,change,settings" default:"auto"`
+	On    string   `name:"on" help:"Configuration that changes are applied to; without it only their form is checked." placeholder:"FILE"`
+	Kind  string   `name:"kind" help:"Take all files for this kind." enum:"auto,configuration,change,settings" default:"auto"`
 }
 
 // fileReport is what was found in a file.
--- a/cmd/cinderctl/main.go
+++ b/cmd/cinderctl/main.go
@@ -29,15 +29,15 @@
 // commandLine are the commands and the flags that all of them take.
 type commandLine struct {
 	JSON     bool          `name:"json" help:"Print JSON in place of text."`
-	Seed     []string      `help:"Operator's address of a control machine, host:port; several are tried in turn." placeholder:"ADDR"`
-	Settings string        `help:"Settings file that names the seeds, if --seed does not." env:"CINDERROAD_SETTINGS" placeholder:"FILE"`
-	Within   time.Duration `help:"How long a call is tried for." default:"15s"`
+	Seed     []string      `name:"seed" help:"Operator's address of a control machine, host:port; several are tried in turn." placeholder:"ADDR"`
+	Settings string        `name:"settings" help:"Settings file that names the seeds, if --seed does not." env:"CINDERROAD_SETTINGS" placeholder:"FILE"`
+	Within   time.Duration `name:"within" help:"How long a call is tried for." default:"15s"`
 
-	Check   checkCommand   `cmd:"" help:"Check configurations, changes of them, and settings files."`
-	Status  statusCommand  `cmd:"" help:"Print members, partitions, leaders, evacuations and versions."`
-	Config  configCommand  `cmd:"" help:"Read, replace or change the configuration."`
-	Drain   drainCommand   `cmd:"" help:"Empty a zone's runners, or take them back."`
-	Version versionCommand `cmd:"" help:"Print the version of this program."`
+	Check   checkCommand   `cmd:"" name:"check" help:"Check configurations, changes of them, and settings files."`
+	Status  statusCommand  `cmd:"" name:"status" help:"Print members, partitions, leaders, evacuations and versions."`
+	Config  configCommand  `cmd:"" name:"config" help:"Read, replace or change the configuration."`
+	Drain   drainCommand   `cmd:"" name:"drain" help:"Empty a zone's runners, or take them back."`
+	Version versionCommand `cmd:"" name:"version" help:"Print the version of this program."`
 }
 
 // session is what a command runs with.
--- a/cmd/cinderctl/orders.go
+++ b/cmd/cinderctl/orders.go
@@ -11,9 +11,9 @@
 )
 
 type configCommand struct {
-	Read    readCommand    `cmd:"" help:"Print the newest configuration."`
-	Replace replaceCommand `cmd:"" help:"Put a whole configuration in force."`
-	Change  changeCommand  `cmd:"" help:"Add, replace and remove single items."`
+	Read    readCommand    `cmd:"" name:"read" help:"Print the newest configuration."`
+	Replace replaceCommand `cmd:"" name:"replace" help:"Put a whole configuration in force."`
+	Change  changeCommand  `cmd:"" name:"change" help:"Add, replace and remove single items."`
 }
 
 type readCommand struct{}
@@ -45,9 +45,9 @@
 
 // sendFlags are those of orders that send a file.
 type sendFlags struct {
-	File    string  `arg:"" help:"File to send."`
-	BasedOn *uint64 `help:"Version that it builds on, 0 for the first; without it, the newest is asked for."`
-	NoCheck bool    `help:"Send it without a check of its own first."`
+	File    string  `arg:"" name:"file" help:"File to send."`
+	BasedOn *uint64 `name:"based-on" help:"Version that it builds on, 0 for the first; without it, the newest is asked for."`
+	NoCheck bool    `name:"no-check" help:"Send it without a check of its own first."`
 }
 
 type replaceCommand struct {
@@ -127,19 +127,19 @@
 }
 
 type drainCommand struct {
-	Begin  beginCommand  `cmd:"" help:"Have nothing more sent to the runners of a zone."`
-	Finish finishCommand `cmd:"" help:"Take the runners of a zone back."`
+	Begin  beginCommand  `cmd:"" name:"begin" help:"Have nothing more sent to the runners of a zone."`
+	Finish finishCommand `cmd:"" name:"finish" help:"Take the runners of a zone back."`
 }
 
 type beginCommand struct {
-	Zone string `arg:"" help:"Zone to empty."`
+	Zone string `arg:"" name:"zone" help:"Zone to empty."`
 }
 
 // Run begins the evacuation of a zone.
 func (c *beginCommand) Run(s *session) error { return s.drain(c.Zone, true) }
 
 type finishCommand struct {
-	Zone string `arg:"" help:"Zone to take back."`
+	Zone string `arg:"" name:"zone" help:"Zone to take back."`
 }
 
 // Run ends the evacuation of a zone.
--- a/cmd/cinderctl/status.go
+++ b/cmd/cinderctl/status.go
@@ -21,8 +21,8 @@
 )
 
 type statusCommand struct {
-	Members bool `help:"List all members, proxies and agents included."`
-	One     bool `help:"Ask one control machine only, not the others that it knows."`
+	Members bool `name:"members" help:"List all members, proxies and agents included."`
+	One     bool `name:"one" help:"Ask one control machine only, not the others that it knows."`
 }
 
 // statusReport is the system as its control machines see it.
--- a/cmd/cinderroad-emulator/day.go
+++ b/cmd/cinderroad-emulator/day.go
@@ -16,14 +16,14 @@
 
 // day serves a short day.
 type day struct {
-	Programs string        `help:"Folder of the system's programs; that of this program if there is none." type:"path"`
-	Folder   string        `help:"For settings, logs and disks; a temporary one if there is none." type:"path"`
-	Scenario string        `default:"screening" enum:"screening,parcels" help:"Deployment: ${enum}."`
-	Edges    int           `default:"3" help:"Machines that serve clients."`
-	Load     float64       `default:"0.5" help:"Multiple of every rate."`
-	Length   time.Duration `default:"20s" help:"Of the traffic."`
-	Seed     uint64        `default:"1" help:"Of the traffic."`
-	Trouble  []string      `default:"drain,config" help:"What happens, evenly over the day: none, ${troubles}."`
+	Programs string        `name:"programs" help:"Folder of the system's programs; that of this program if there is none." type:"path"`
+	Folder   string        `name:"folder" help:"For settings, logs and disks; a temporary one if there is none." type:"path"`
+	Scenario string        `name:"scenario" default:"screening" enum:"screening,parcels" help:"Deployment: ${enum}."`
+	Edges    int           `name:"edges" default:"3" help:"Machines that serve clients."`
+	Load     float64       `name:"load" default:"0.5" help:"Multiple of every rate."`
+	Length   time.Duration `name:"length" default:"20s" help:"Of the traffic."`
+	Seed     uint64        `name:"seed" default:"1" help:"Of the traffic."`
+	Trouble  []string      `name:"trouble" default:"drain,config" help:"What happens, evenly over the day: none, ${troubles}."`
 }
 
 // errDayFailed says that the day has failed, of which the report tells.
--- a/cmd/cinderroad-emulator/main.go
+++ b/cmd/cinderroad-emulator/main.go
@@ -5,8 +5,8 @@
 import "github.com/alecthomas/kong"
 
 type commands struct {
-	Day      day      `cmd:"" default:"withargs" help:"Serve a short day with the real programs on loopback."`
-	Policies policies `cmd:"" help:"Compare placement policies over modelled runners in virtual time."`
+	Day      day      `cmd:"" name:"day" default:"withargs" help:"Serve a short day with the real programs on loopback."`
+	Policies policies `cmd:"" name:"policies" help:"Compare placement policies over modelled runners in virtual time."`
 }
 
 func main() {
--- a/cmd/cinderroad-emulator/policies.go
+++ b/cmd/cinderroad-emulator/policies.go
@@ -12,16 +12,16 @@
 
 // policies compares placement policies.
 type policies struct {
-	Scenario string        `default:"screening" enum:"screening,parcels" help:"Deployment: ${enum}."`
-	Load     float64       `default:"1" help:"Multiple of every rate."`
-	Length   time.Duration `default:"34s" help:"Of the traffic."`
-	Seed     uint64        `default:"1" help:"Of the traffic and of the policies."`
-	Seeds    int           `default:"1" help:"Runs of each policy, with seeds that follow each other; means are told."`
-	Burst    string        `help:"Class whose rate is multiplied by 2.5 from 10 s on, for 10 s."`
-	Crash    int           `help:"Runners that crash at 12 s, for 4.5 s."`
-	Dark     bool          `help:"Runners that crash say nothing, instead of losing their connections."`
-	Only     []string      `help:"Names of policies; all if there are none."`
-	Jobs     int           `help:"Runs at once; half of the processors if there is none."`
+	Scenario string        `name:"scenario" default:"screening" enum:"screening,parcels" help:"Deployment: ${enum}."`
+	Load     float64       `name:"load" default:"1" help:"Multiple of every rate."`
+	Length   time.Duration `name:"length" default:"34s" help:"Of the traffic."`
+	Seed     uint64        `name:"seed" default:"1" help:"Of the traffic and of the policies."`
+	Seeds    int           `name:"seeds" default:"1" help:"Runs of each policy, with seeds that follow each other; means are told."`
+	Burst    string        `name:"burst" help:"Class whose rate is multiplied by 2.5 from 10 s on, for 10 s."`
+	Crash    int           `name:"crash" help:"Runners that crash at 12 s, for 4.5 s."`
+	Dark     bool          `name:"dark" help:"Runners that crash say nothing, instead of losing their connections."`
+	Only     []string      `name:"only" help:"Names of policies; all if there are none."`
+	Jobs     int           `name:"jobs" help:"Runs at once; half of the processors if there is none."`
 }
 
 const (
--- a/internal/protocol/gearman/server.go
+++ b/internal/protocol/gearman/server.go
@@ -15,11 +15,18 @@
 
 // Counts are the front's figures since the start. Every job created ends once, under one of the verdicts.
 type Counts struct {
-	Jobs, Background, Coalesced   uint64
-	Served, Refused, Failed, Gone uint64
-	BackgroundEnded               uint64
-	Returned                      uint64 // refusals after which a job in the background came back
-	BadPackets, StrayWork, Slow   uint64
+	Jobs            uint64 `json:"Jobs"`
+	Background      uint64 `json:"Background"`
+	Coalesced       uint64 `json:"Coalesced"`
+	Served          uint64 `json:"Served"`
+	Refused         uint64 `json:"Refused"`
+	Failed          uint64 `json:"Failed"`
+	Gone            uint64 `json:"Gone"`
+	BackgroundEnded uint64 `json:"BackgroundEnded"`
+	Returned        uint64 `json:"Returned"` // refusals after which a job in the background came back
+	BadPackets      uint64 `json:"BadPackets"`
+	StrayWork       uint64 `json:"StrayWork"`
+	Slow            uint64 `json:"Slow"`
 }
 
 // Server is the Gearman front: clients and workers come by the same port.
--- a/internal/requestlog/requestlog.go
+++ b/internal/requestlog/requestlog.go
@@ -136,8 +136,11 @@
 	Reason  string  `json:"reason"`
 	TookMs  float64 `json:"took_ms"`
 	Tries   []struct {
-		Node, Slot, Result string
-		Copy, Won          bool
+		Node   string `json:"node"`
+		Slot   string `json:"slot"`
+		Result string `json:"result"`
+		Copy   bool   `json:"copy"`
+		Won    bool   `json:"won"`
 	} `json:"tries"`
 }
 
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -112,12 +112,20 @@
 
 // Counts are the core's figures since the start.
 type Counts struct {
-	Reqs, Served, Refused, Failed, Gone uint64
-	Fetches, Repeats, Cancels, Probes   uint64
-	Results                             [brain.Moot + 1]uint64 // ends of fetches by result
-	Unusable                            uint64                 // failed since backends could do nothing with them
-	Overdue                             uint64                 // answered by the core because the decisions had not
-	OpenReqs, OpenFetches               int
+	Reqs        uint64                 `json:"Reqs"`
+	Served      uint64                 `json:"Served"`
+	Refused     uint64                 `json:"Refused"`
+	Failed      uint64                 `json:"Failed"`
+	Gone        uint64                 `json:"Gone"`
+	Fetches     uint64                 `json:"Fetches"`
+	Repeats     uint64                 `json:"Repeats"`
+	Cancels     uint64                 `json:"Cancels"`
+	Probes      uint64                 `json:"Probes"`
+	Results     [brain.Moot + 1]uint64 `json:"Results"`  // ends of fetches by result
+	Unusable    uint64                 `json:"Unusable"` // failed since backends could do nothing with them
+	Overdue     uint64                 `json:"Overdue"`  // answered by the core because the decisions had not
+	OpenReqs    int                    `json:"OpenReqs"`
+	OpenFetches int                    `json:"OpenFetches"`
 }
 
 // Core is the dispatcher between its fronts and its backends.
--- a/internal/startup/startup.go
+++ b/internal/startup/startup.go
@@ -50,9 +50,9 @@
 
 // commandLine are the flags of each program.
 type commandLine struct {
-	LogLevel    zapcore.Level    `help:"Least level of events that are logged: debug, info, warn or error." default:"${log_level}" aliases:"log"`
-	MetricsPort uint16           `help:"Port of the machine's address at which the process serves its own figures (GET /metrics); 0: none."`
-	Version     kong.VersionFlag `help:"Print the version and exit."`
+	LogLevel    zapcore.Level    `name:"log-level" help:"Least level of events that are logged: debug, info, warn or error." default:"${log_level}" aliases:"log"`
+	MetricsPort uint16           `name:"metrics-port" help:"Port of the machine's address at which the process serves its own figures (GET /metrics); 0: none."`
+	Version     kong.VersionFlag `name:"version" help:"Print the version and exit."`
 }
 
 func (p *Program) parser(flags *commandLine) *kong.Kong {
--- a/internal/telemetry/series.go
+++ b/internal/telemetry/series.go
@@ -23,8 +23,8 @@
 
 // Series is one figure as receivers know it.
 type Series struct {
-	Name string // parts of letters, digits, _ and -, between dots
-	Kind Kind
+	Name string `json:"Name"` // parts of letters, digits, _ and -, between dots
+	Kind Kind   `json:"Kind"`
 }
 
 // Doc describes a series, or many of one pattern: what stands in <> varies.
