--- /dev/null
+++ b/internal/compatibility/stored_test.go
@@ -0,0 +1,464 @@
+package compatibility_test
+
+import (
+	"bytes"
+	"database/sql"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	_ "github.com/mattn/go-sqlite3"
+
+	"cinderroad/brain"
+	"cinderroad/internal/compatibility"
+	"cinderroad/internal/consensus"
+	"cinderroad/internal/control/state"
+	"cinderroad/internal/feed"
+	"cinderroad/internal/fleet/ledger"
+	"cinderroad/internal/fleet/promises"
+	"cinderroad/internal/linelog"
+	"cinderroad/internal/requestlog"
+	"cinderroad/internal/routing"
+	"cinderroad/internal/spool"
+	"cinderroad/internal/storage"
+	"cinderroad/internal/telemetry"
+)
+
+// same fails unless values are equal.
+func same[T any](t *testing.T, what string, got, want T) {
+	t.Helper()
+	if d := cmp.Diff(want, got, addresses); d != "" {
+		t.Errorf("%s: %s", what, d)
+	}
+}
+
+// must is a value that came without an error.
+func must[T any](value T, err error) func(t *testing.T) T {
+	return func(t *testing.T) T {
+		t.Helper()
+		if err != nil {
+			t.Fatal(err)
+		}
+		return value
+	}
+}
+
+var (
+	voter    = consensus.Member{ID: 0x8000000000000001, Node: "core-1", Zone: "east-a", Address: "10.0.0.9:7660", Voter: true}
+	learner  = consensus.Member{ID: 2, Node: "core-2", Zone: "east-b", Address: "10.0.0.8:7660"}
+	outgoing = consensus.Member{ID: 3, Node: "core-3", Zone: "", Address: "10.0.0.7:7660", Outgoing: true}
+
+	group    = consensus.Membership{Members: []consensus.Member{voter, learner, outgoing}}
+	command  = consensus.Entry{Index: 300, Term: 5, Kind: consensus.EntryCommand, Data: []byte{1, 3, 0}}
+	change   = consensus.Entry{Index: 301, Term: 6, Kind: consensus.EntryMembership, Data: consensus.EncodeMembership(group)}
+	snapshot = consensus.Snapshot{Index: 299, Term: 4, Membership: group, Data: []byte("state")}
+	hard     = consensus.HardState{Term: 6, Vote: 0x8000000000000001, Commit: 300}
+)
+
+// TestReadsConsensusState: what replicas keep and what goes into messages.
+func TestReadsConsensusState(t *testing.T) {
+	t.Run("membership", func(t *testing.T) {
+		recorded := compatibility.Here.Check(t, "consensus/membership", consensus.EncodeMembership(group))
+		same(t, "membership", must(consensus.DecodeMembership(recorded))(t), group)
+	})
+	t.Run("hard state", func(t *testing.T) {
+		recorded := compatibility.Here.Check(t, "consensus/hard-state", consensus.EncodeHardState(hard))
+		same(t, "hard state", must(consensus.DecodeHardState(recorded))(t), hard)
+	})
+	for name, entry := range map[string]consensus.Entry{"command": command, "change": change, "empty": {Index: 1, Term: 1}} {
+		t.Run("entry "+name, func(t *testing.T) {
+			recorded := compatibility.Here.Check(t, "consensus/entry-"+name, consensus.EncodeEntry(entry))
+			same(t, "entry", must(consensus.DecodeEntry(recorded))(t), entry)
+		})
+	}
+	t.Run("snapshot", func(t *testing.T) {
+		recorded := compatibility.Here.Check(t, "consensus/snapshot", consensus.EncodeSnapshot(snapshot))
+		same(t, "snapshot", must(consensus.DecodeSnapshot(recorded))(t), snapshot)
+	})
+}
+
+// TestReadsConsensusMessages: one of each kind.
+func TestReadsConsensusMessages(t *testing.T) {
+	for name, m := range map[string]consensus.Message{
+		"pre-vote":         {Kind: consensus.PreVote, From: 1, To: 2, Term: 7, Index: 300, LogTerm: 6},
+		"pre-vote-reply":   {Kind: consensus.PreVoteReply, From: 2, To: 1, Term: 7, Reject: true},
+		"vote":             {Kind: consensus.Vote, From: 1, To: 2, Term: 7, Index: 300, LogTerm: 6, Force: true},
+		"vote-reply":       {Kind: consensus.VoteReply, From: 2, To: 1, Term: 7},
+		"append":           {Kind: consensus.Append, From: 1, To: 2, Term: 7, Index: 299, LogTerm: 4, Commit: 298, Round: 9, Entries: []consensus.Entry{command, change}},
+		"append-reply":     {Kind: consensus.AppendReply, From: 2, To: 1, Term: 7, Index: 299, Hint: 250, Round: 9, Reject: true},
+		"install-snapshot": {Kind: consensus.InstallSnapshot, From: 1, To: 0x8000000000000001, Term: 7, Snapshot: &snapshot},
+		"snapshot-reply":   {Kind: consensus.SnapshotReply, From: 2, To: 1, Term: 7, Index: 299},
+		"timeout-now":      {Kind: consensus.TimeoutNow, From: 1, To: 2, Term: 7},
+	} {
+		t.Run(name, func(t *testing.T) {
+			recorded := compatibility.Here.Check(t, "consensus/message-"+name, consensus.EncodeMessage(m))
+			same(t, name, must(consensus.DecodeMessage(recorded))(t), m)
+		})
+	}
+}
+
+// TestReadsStoredReplicas: a state folder, as its version left it.
+func TestReadsStoredReplicas(t *testing.T) {
+	fresh := filepath.Join(t.TempDir(), "fresh")
+	fill(t, fresh)
+	const file = "consensus.db" // in the state folder
+	written := must(os.ReadFile(filepath.Join(fresh, file)))(t)
+	recorded := compatibility.Here.Record(t, "storage/"+file, written)
+
+	old := t.TempDir()
+	if err := os.WriteFile(filepath.Join(old, file), recorded, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	same(t, "tables", tables(t, filepath.Join(fresh, file)), tables(t, filepath.Join(old, file)))
+
+	store := must(storage.Open(old))(t)
+	t.Cleanup(func() { store.Close() })
+	if id, has := store.Identity(); !has || id != 0x8000000000000001 || store.Succeeds() {
+		t.Errorf("replica %x, %v, of another %v", id, has, store.Succeeds())
+	}
+	for partition, want := range map[feed.Partition]consensus.Stored{
+		0: {Hard: hard, Snapshot: snapshot, Entries: []consensus.Entry{command, change}},
+		1: {Hard: consensus.HardState{Term: 1, Vote: 2, Commit: 1}, Snapshot: consensus.Snapshot{Membership: group},
+			Entries: []consensus.Entry{{Index: 1, Term: 1}}},
+	} {
+		got, found, err := store.Load(partition)
+		if err != nil || !found {
+			t.Fatalf("partition %d: found %v, %v", partition, found, err)
+		}
+		same(t, fmt.Sprint("partition ", partition), got, want)
+	}
+	if _, found, err := store.Load(2); found || err != nil {
+		t.Errorf("partition 2: found %v, %v", found, err)
+	}
+}
+
+// fill makes a state folder.
+func fill(t *testing.T, folder string) {
+	t.Helper()
+	store := must(storage.Open(folder))(t)
+	defer store.Close()
+	founding := storage.Write{Partition: 1, Snapshot: &consensus.Snapshot{Membership: group},
+		Hard:    &consensus.HardState{Term: 1, Vote: 2, Commit: 1},
+		Entries: []consensus.Entry{{Index: 1, Term: 1}}, Committed: 1}
+	if err := store.Establish(0x8000000000000001, founding); err != nil {
+		t.Fatal(err)
+	}
+	if err := store.Write(storage.Write{Partition: 0, Snapshot: &snapshot, Hard: &hard,
+		Entries: []consensus.Entry{command, change}, Committed: 300}); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// tables are the tables of a file and all that is in them, as text.
+func tables(t *testing.T, path string) []string {
+	t.Helper()
+	database := must(sql.Open("sqlite3", path))(t)
+	defer database.Close()
+	var lines []string
+	for _, query := range []string{
+		"SELECT sql FROM sqlite_master ORDER BY name", "PRAGMA user_version", "SELECT * FROM meta", "SELECT * FROM hard_state",
+		"SELECT * FROM entries", "SELECT * FROM snapshots",
+	} {
+		rows := must(database.Query(query))(t)
+		columns := must(rows.Columns())(t)
+		lines = append(lines, query+": "+strings.Join(columns, " "))
+		for rows.Next() {
+			values := make([]any, len(columns))
+			for i := range values {
+				values[i] = new(any)
+			}
+			if err := rows.Scan(values...); err != nil {
+				t.Fatal(err)
+			}
+			line := ""
+			for _, value := range values {
+				line += fmt.Sprintf(" %q", fmt.Sprint(*value.(*any)))
+			}
+			lines = append(lines, line)
+		}
+		if err := rows.Err(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return lines
+}
+
+func zero() time.Duration { return 0 }
+
+func nothing() {}
+
+// TestReadsCommands: the commands in the logs of control replicas, their results, and the snapshots that stand for them.
+func TestReadsCommands(t *testing.T) {
+	commit := state.CommitConfiguration{BasedOn: 0, Version: 7, Digest: state.Digest{1, 2, 15: 0xff},
+		Writes: []state.Write{{Key: "limits", Value: []byte(`{"max_body_bytes":1}`)}, {Key: "route/old", Deleted: true}}}
+	evacuate := state.SetEvacuation{Zone: "east-a", On: true, Seen: 0}
+	back := state.SetEvacuation{Zone: "east-a", Seen: 11}
+	runners := state.WriteRunners{Seen: 0, Writes: []state.Write{{Key: "runner/r-1", Value: []byte("one")}, {Key: "runner/r-2", Value: []byte{}}}}
+
+	configuration := state.NewConfiguration(zero, nothing)
+	for _, step := range []struct {
+		name  string
+		bytes []byte
+		index uint64
+		want  state.Result
+	}{
+		{"commit", commit.Encode(), 10, state.Result{Outcome: state.Accepted, Number: 7}},
+		{"commit", commit.Encode(), 10, state.Result{Outcome: state.AlreadyAccepted, Number: 7}},
+		{"evacuate", evacuate.Encode(), 11, state.Result{Outcome: state.Accepted, Number: 11}},
+		{"evacuate", evacuate.Encode(), 12, state.Result{Outcome: state.Conflict, Number: 11}},
+		{"unreadable", []byte{0}, 13, state.Result{Outcome: state.Unreadable}},
+	} {
+		recorded := compatibility.Here.Check(t, "control/command-"+step.name, step.bytes)
+		result := configuration.Apply(step.index, recorded)
+		same(t, step.name, must(state.DecodeResult(result))(t), step.want)
+		compatibility.Here.Check(t, fmt.Sprintf("control/result-%d-%d", step.want.Outcome, step.want.Number), result)
+	}
+	compatibility.Here.Check(t, "control/command-back", back.Encode())
+	forgotten := state.Result{Outcome: state.NotRemembered, Number: 1 << 40}
+	recorded := compatibility.Here.Check(t, "control/result-forgotten", forgotten.Encode())
+	same(t, "result", must(state.DecodeResult(recorded))(t), forgotten)
+
+	wantItems := []feed.Item{
+		{Key: "evacuation/east-a", Index: 11, Value: []byte{}},
+		{Key: "limits", Index: 10, Value: []byte(`{"max_body_bytes":1}`)},
+		{Key: "version", Index: 10, Value: []byte("7")},
+	}
+	recorded = compatibility.Here.Check(t, "control/snapshot-configuration", configuration.Snapshot())
+	restored := state.NewConfiguration(zero, nothing)
+	if err := restored.Restore(11, recorded); err != nil {
+		t.Fatal(err)
+	}
+	same(t, "base", restored.Base(), state.Base{Version: 7, Values: wantItems})
+	same(t, "evacuation", restored.Evacuation("east-a"), state.Evacuation{On: true, Seen: 11, Ordered: 11})
+	same(t, "taken", restored.Standing(0, commit.Digest), state.Standing{Verdict: state.Taken, Version: 7})
+	same(t, "snapshot again", restored.Snapshot(), recorded)
+	result := restored.Apply(14, compatibility.Here.Read(t, "control/command-back"))
+	same(t, "back", must(state.DecodeResult(result))(t), state.Result{Outcome: state.Accepted, Number: 14})
+	same(t, "zones", len(restored.EvacuatedZones()), 0)
+
+	partition := state.NewRunners(1, zero, nothing)
+	recorded = compatibility.Here.Check(t, "control/command-runners", runners.Encode())
+	same(t, "runners", must(state.DecodeResult(partition.Apply(20, recorded)))(t), state.Result{Outcome: state.Accepted, Number: 20})
+	recorded = compatibility.Here.Check(t, "control/snapshot-runners", partition.Snapshot())
+	partition = state.NewRunners(1, zero, nothing)
+	if err := partition.Restore(20, recorded); err != nil {
+		t.Fatal(err)
+	}
+	same(t, "changed", partition.Changed(), 20)
+	same(t, "batch", partition.Since(0, 0), feed.Batch{Partition: 1, Snapshot: true, To: 20, Items: []feed.Item{
+		{Key: "runner/r-1", Index: 20, Value: []byte("one")}, {Key: "runner/r-2", Index: 20, Value: []byte{}}}})
+}
+
+// TestReadsTables: an encoded table of the feed.
+func TestReadsTables(t *testing.T) {
+	table := feed.NewTable(2)
+	table.Put(0, 5, "runner/a", []byte("first"))
+	table.Put(time.Second, 6, "runner/b", []byte{})
+	table.Delete(2*time.Second, 9, "runner/a")
+	recorded := compatibility.Here.Check(t, "feed/table", table.Encode(3*time.Second))
+	read := must(feed.Decode(time.Minute, recorded))(t)
+	same(t, "position", read.Position(), feed.Position{Partition: 2, Index: 9})
+	same(t, "delta", read.Since(time.Minute, 5, 0), feed.Batch{Partition: 2, From: 5, To: 9, Items: []feed.Item{
+		{Key: "runner/b", Index: 6, Value: []byte{}, Age: 2 * time.Second}, {Key: "runner/a", Index: 9, Deleted: true, Age: time.Second}}})
+	same(t, "again", read.Encode(time.Minute), recorded)
+}
+
+// TestReadsPackedBatches: batches in compressed form. What the compressor makes of the bytes is its own affair.
+func TestReadsPackedBatches(t *testing.T) {
+	batch := feed.Batch{Partition: 1, Snapshot: true, To: 90}
+	for i := range 64 {
+		batch.Items = append(batch.Items, feed.Item{Key: fmt.Sprintf("runner/r-%02d", i), Index: uint64(i + 1),
+			Value: bytes.Repeat([]byte{byte(i)}, 40), Age: time.Duration(i) * time.Millisecond})
+	}
+	batch.Items[7] = feed.Item{Key: "runner/r-07", Index: 8, Deleted: true, Age: 5}
+	packed := batch.Pack()
+	recorded := compatibility.Here.Record(t, "feed/packed", packed.Packed)
+	for name, bytes := range map[string][]byte{"recorded": recorded, "now": packed.Packed} {
+		read := feed.Batch{Partition: 1, Snapshot: true, To: 90, Packed: bytes, PackedAge: time.Second}
+		if err := read.Unpack(); err != nil {
+			t.Fatal(name, err)
+		}
+		for i := range read.Items {
+			read.Items[i].Age -= time.Second
+		}
+		same(t, name, read, batch)
+	}
+}
+
+// TestReadsSpools: closed periods on disk.
+func TestReadsSpools(t *testing.T) {
+	fail := func(err error) { t.Error(err) }
+	table := &telemetry.Table{}
+	table.Append(telemetry.Series{Name: "classes.score.answers.in_time", Kind: telemetry.Counter},
+		telemetry.Series{Name: "reqs.open", Kind: telemetry.Gauge}, telemetry.Series{Name: "share", Kind: telemetry.Gauge})
+	body := []byte{3, 42, 0, 1, 0, 0, 0, 0x3f} // three values: 40, none, 0.5
+	held := []telemetry.Held{{Spot: "m.k.3", Slot: 1, Node: "node-1"}}
+	fresh := t.TempDir()
+	written, _, err := spool.Open(fresh, "n0", 1<<20, fail)
+	if err != nil {
+		t.Fatal(err)
+	}
+	written.Period(&telemetry.Period{Stamp: 1_700_000_000_000, Every: 10, Table: table, Body: body}, held, nothing)
+	written.Got(map[string]int64{"carbon": 1_700_000_000_000})
+	written.Close()
+	recorded := compatibility.Here.Check(t, "spool/n0.1", must(os.ReadFile(filepath.Join(fresh, "n0.1")))(t))
+
+	old := t.TempDir()
+	if err := os.WriteFile(filepath.Join(old, "n0.1"), recorded, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	again, found, err := spool.Open(old, "n0", 1<<20, fail)
+	if err != nil {
+		t.Fatal(err)
+	}
+	again.Close()
+	same(t, "torn and strange", []int{found.Torn, found.Strange}, []int{0, 0})
+	same(t, "held", found.Held, held)
+	same(t, "got", found.Got, map[string]int64{"carbon": 1_700_000_000_000})
+	same(t, "totals", found.Totals, map[string]float64{"classes.score.answers.in_time": 40})
+	if len(found.Periods) != 1 {
+		t.Fatalf("%d periods", len(found.Periods))
+	}
+	period := found.Periods[0]
+	same(t, "period", []float64{float64(period.Stamp), period.Every}, []float64{1_700_000_000_000, 10})
+	reader, values := period.Read(), map[telemetry.Series]float64{}
+	for series, value, ok := reader.Next(); ok; series, value, ok = reader.Next() {
+		values[series] = value
+	}
+	same(t, "values", values, map[telemetry.Series]float64{{Name: "classes.score.answers.in_time", Kind: telemetry.Counter}: 40,
+		{Name: "share", Kind: telemetry.Gauge}: 0.5})
+}
+
+// TestReadsRequestLogs: lines of the request log, by its reader and by the ledger's.
+func TestReadsRequestLogs(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "log")
+	log := must(requestlog.Open(requestlog.Options{Path: path, By: "n0", Life: "k3f", Classes: []string{"score"},
+		Slot: func(w brain.WorkerID) string { return fmt.Sprintf("m.k.0.%d", w) }}))(t)
+	log.Answered(&routing.Final{ID: "x", Front: "platform", Verdict: routing.Served, Arrived: 100, Answered: 100.25, Aim: 101,
+		Started: 100.1, Won: 1, Mark: 12, Tries: []routing.Try{
+			{Worker: 1, Node: "a", Sent: 100, Ended: 100.05, Result: brain.Full, Mark: 11},
+			{Worker: 2, Attempt: 1, Node: "b", Sent: 100.05, Started: 100.1, Ended: 100.25, Copy: true},
+			{Worker: 3, Attempt: 2, Node: "c", Sent: 100.2}}})
+	log.Answered(&routing.Final{ID: "y", Front: "gearman", Class: -1, Verdict: routing.Refused, Reason: routing.NoRoom, Arrived: 100,
+		Answered: 100, Wait: 0.5, Won: -1})
+	log.Close()
+	recorded := compatibility.Here.Check(t, "request-log", must(os.ReadFile(path))(t))
+
+	var lines []requestlog.Line
+	bad := func(n int, err error) { t.Error(n, err) }
+	if err := requestlog.Read(bytes.NewReader(recorded), func(l requestlog.Line) { lines = append(lines, l) }, bad); err != nil {
+		t.Fatal(err)
+	}
+	if len(lines) != 2 || len(lines[0].Tries) != 3 || len(lines[1].Tries) != 0 {
+		t.Fatalf("%+v", lines)
+	}
+	tries := lines[0].Tries
+	same(t, "nodes", []string{tries[0].Node, tries[1].Node, tries[2].Node}, []string{"a", "b", "c"})
+	same(t, "slots", []string{tries[0].Slot, tries[1].Slot, tries[2].Slot}, []string{"m.k.0.1", "m.k.0.2", "m.k.0.3"})
+	same(t, "results", []string{tries[0].Result, tries[1].Result, tries[2].Result}, []string{"full", "ok", "out"})
+	same(t, "copies", []bool{tries[0].Copy, tries[1].Copy, tries[2].Copy}, []bool{false, true, false})
+	same(t, "won", []bool{tries[0].Won, tries[1].Won, tries[2].Won}, []bool{false, true, false})
+	lines[0].Tries = nil
+	same(t, "lines", lines, []requestlog.Line{
+		{Time: 100.25, By: "n0", ID: "x", Class: "score", Front: "platform", Verdict: "in_time", TookMs: 250},
+		{Time: 100, By: "n0", ID: "y", Class: "unknown", Front: "gearman", Verdict: "refused", Reason: "no_room"}})
+
+	var sent []ledger.Send
+	if err := ledger.Read(bytes.NewReader(recorded), nil, func(s *ledger.Send) { sent = append(sent, *s) }, bad); err != nil {
+		t.Fatal(err)
+	}
+	same(t, "sent", sent, []ledger.Send{{By: "n0", Life: "k3f", ID: "x", Node: "a", At: 100, Mark: 11},
+		{By: "n0", Life: "k3f", ID: "x", Node: "b", At: 100.05}, {By: "n0", Life: "k3f", ID: "x", Node: "c", At: 100.2}})
+}
+
+// TestReadsLedgers: each kind of entry.
+func TestReadsLedgers(t *testing.T) {
+	entries := []ledger.Entry{
+		{What: ledger.Start, Program: "p1", Settings: "s1", Operator: "o1"},
+		{What: ledger.List, Source: "d", Descent: 1, Rev: 8, Cached: true, Workers: []ledger.Worker{{Name: "w", State: "ready", Start: 17, Rev: 7}}, More: 2},
+		{What: ledger.Told, From: "n1", Source: "d", Rev: 9, Workers: []ledger.Worker{{Name: "w", State: "gone"}}},
+		{What: ledger.Knows, From: "n1", Rev: 9},
+		{What: ledger.Behind, From: "n1", Rev: 10},
+		{What: ledger.Doubt, Workers: []ledger.Worker{{Name: "v", State: "draining"}}},
+		{What: ledger.Mute, Late: 3.5},
+		{What: ledger.Speaks},
+		{What: ledger.Clock, From: "n1", Theirs: 1.7e9 + 0.25},
+		{What: ledger.Order, Member: "n2", Out: true, From: "n1"},
+		{What: ledger.Lease, Out: true, Why: "no word"},
+		{What: ledger.Slept, Late: 1.25},
+		{What: ledger.Looked},
+		{What: ledger.Settings, Settings: "s2"},
+		{What: ledger.Excluded, Digest: "d2"},
+		{What: ledger.View, Digest: "v2", Members: 3},
+		{What: ledger.Still, Lost: 4},
+		{What: ledger.End},
+	}
+	path := filepath.Join(t.TempDir(), "ledger")
+	book := must(ledger.Open(linelog.Options{Path: path}, "n0", ledger.Life(1_700_000_000)))(t)
+	for i, e := range entries {
+		book.Add(1_700_000_000+float64(i)/4, e)
+	}
+	book.Close()
+	recorded := compatibility.Here.Check(t, "ledger", must(os.ReadFile(path))(t))
+	var got []ledger.Entry
+	if err := ledger.Read(bytes.NewReader(recorded), func(e *ledger.Entry) { got = append(got, *e) }, nil,
+		func(n int, err error) { t.Error(n, err) }); err != nil {
+		t.Fatal(err)
+	}
+	for i := range entries {
+		entries[i].Time, entries[i].By, entries[i].Life, entries[i].N = 1_700_000_000+float64(i)/4, "n0", "gqll7vatq8", uint64(i+1)
+	}
+	same(t, "entries", got, entries)
+}
+
+// TestReadsPromises: the commands that the copies agree on, and a snapshot of what they came to.
+func TestReadsPromises(t *testing.T) {
+	bounds := promises.Bounds{Bytes: 1 << 20, TenantBytes: 1 << 20, JobBytes: 1 << 16, ResultMS: 1 << 40}
+	held := promises.New(bounds)
+	steps := []struct {
+		name    string
+		command promises.Command
+	}{
+		{"take", promises.Command{Kind: promises.Take, At: 1000, By: "n0.k3f", Tenant: "t", Key: "k", Class: "score", Function: "f", Priority: -1, Effect: promises.Keyed, WindowMS: 5000, Data: []byte("job")}},
+		{"send", promises.Command{Kind: promises.Send, At: 1001, By: "n0.k3f", ID: 1, Worker: "w", Group: "g"}},
+		{"end", promises.Command{Kind: promises.End, At: 1002, By: "n0.k3f", ID: 1, Fence: 1, Data: []byte("result"), Failed: true}},
+		{"take-other", promises.Command{Kind: promises.Take, At: 1003, By: "n0.k3f", Tenant: "t", Class: "score", Function: "g", Effect: promises.Unsafe, Data: []byte{0}}},
+		{"send-other", promises.Command{Kind: promises.Send, At: 1004, By: "n0.k3f", ID: 4, Worker: "w"}},
+		{"give-up", promises.Command{Kind: promises.GiveUp, At: 1005, By: "n1.k3g", ID: 4, Fence: 1}},
+		{"exclude", promises.Command{Kind: promises.Exclude, At: 1006, By: "n1.k3g", Worker: "w"}},
+		{"include", promises.Command{Kind: promises.Include, At: 1007, By: "n1.k3g", Worker: "v"}},
+		{"pass", promises.Command{Kind: promises.Pass, At: 2000, By: "n1.k3g"}},
+		{"unrun", promises.Command{Kind: promises.End, At: 2001, By: "n0.k3f", ID: 9, Fence: 3, Unrun: true}},
+	}
+	for i, step := range steps {
+		recorded := compatibility.Here.Check(t, "promises/"+step.name, step.command.Encode())
+		step.command.Form = 1
+		same(t, step.name, must(promises.Decode(recorded))(t), step.command)
+		if _, err := held.Apply(uint64(i+1), recorded); err != nil {
+			t.Fatal(step.name, err)
+		}
+	}
+	recorded := compatibility.Here.Check(t, "promises/snapshot", held.Snapshot())
+	read := promises.New(bounds)
+	if err := read.Restore(recorded); err != nil {
+		t.Fatal(err)
+	}
+	same(t, "now", read.Now(), 2001)
+	same(t, "digest", read.Digest(), uint64(promisesDigest))
+	same(t, "excluded", []bool{read.Excluded("w"), read.Excluded("v")}, []bool{true, false})
+	same(t, "found", read.Find("t", "k").ID, 1)
+	same(t, "first", *read.Job(1), promises.Job{ID: 1, Tenant: "t", Key: "k", Class: "score", Function: "f", Priority: -1, Effect: promises.Keyed,
+		WindowMS: 5000, State: promises.Failed, Fence: 1, Holder: "n0.k3f", Worker: "w", Group: "g", FirstMS: 1001, EndMS: 1002,
+		Result: []byte("result"), TakenMS: 1000, Print: promisesPrint})
+	same(t, "other", read.Job(4).State, promises.Unknown)
+}
+
+// promisesDigest and promisesPrint are hashes of encodings: copies of two versions compare them.
+const (
+	promisesDigest = 15568843465248317590
+	promisesPrint  = 18411929237315926485
+)
