--- /dev/null
+++ b/internal/compatibility/configured_test.go
@@ -0,0 +1,151 @@
+package compatibility_test
+
+import (
+	"net/netip"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"cinderroad/brain"
+	"cinderroad/internal/environment"
+	"cinderroad/internal/operator"
+	"cinderroad/internal/protocol/gearman"
+	"cinderroad/internal/settings"
+)
+
+// TestReadsMachineSettings: the settings file that the platform gives each program of the system.
+func TestReadsMachineSettings(t *testing.T) {
+	const text = `{"node":"edge-1","role":"proxy","machine_class":"edge","serves_roles":["edge"],"ip":"10.1.0.12","zone":"east-a","region":"east",` +
+		`"zones":{"east-a":"east","west-a":"west"},"listen_on":{"front":"10.1.0.12:80","ready":"10.1.0.12:81","control":"10.1.0.12:82",` +
+		`"directory":"10.1.0.12:83"},"free_ports":[7660,7675],"seed_nodes":["10.1.0.15:8146"],"first_boot":true,"counts_as_loss":true,` +
+		`"limits":{"cpu_fraction":0.4,"ram_mb":284,"open_files":4100,"link_mbps":1000.0,"storage_mb":7},"state_dir":"/state",` +
+		`"survive":{"machine_losses":1,"zones":2,"region_losses":3},"timing":{"seed_lag_s":1,"reuse_after_s":2,"in_touch_ms":3,"ack_within_ms":4,` +
+		`"catch_up_ms":5,"drain_within_s":6,"grace_period_s":7,"lost_slack_ms":8,"config_within_ms":9,"go_back_ms":10,"stretch_s":11,` +
+		`"evacuate_s":12,"recovery_s":13,"pass_ms":14,"ttl_max_s":15,"retry_ratio":0.2,"retry_window_s":16,"retry_extra":17,"cold_excess":1.5,` +
+		`"cold_slack":18},"cloud_api":{"address":"10.200.0.4:8142","rate_per_s":42.0,"max_lag_ms":800}}`
+	const ms, s = time.Millisecond, time.Second
+	got := must(environment.Parse([]byte(text)))(t)
+	same(t, "settings", *got, environment.Settings{Node: "edge-1", Role: "proxy", MachineClass: "edge", ServesRoles: []string{"edge"},
+		IP: netip.MustParseAddr("10.1.0.12"), Zone: "east-a", Region: "east", Zones: map[string]string{"east-a": "east", "west-a": "west"},
+		ListenOn: environment.Listen{Front: netip.MustParseAddrPort("10.1.0.12:80"), Ready: netip.MustParseAddrPort("10.1.0.12:81"),
+			Control: netip.MustParseAddrPort("10.1.0.12:82"), Directory: netip.MustParseAddrPort("10.1.0.12:83")},
+		FreePorts: environment.PortRange{First: 7660, Last: 7675}, SeedNodes: []netip.AddrPort{netip.MustParseAddrPort("10.1.0.15:8146")},
+		FirstBoot: true, CountsAsLoss: true, StateDir: "/state",
+		Limits:  environment.Limits{CPUFraction: 0.4, RAMMB: 284, OpenFiles: 4100, LinkMbps: 1000, StorageMB: 7},
+		Survive: environment.Survive{MachineLosses: 1, Zones: 2, RegionLosses: 3},
+		Timing: environment.Timing{SeedLag: 1 * s, ReuseAfter: 2 * s, InTouch: 3 * ms, AckWithin: 4 * ms, CatchUp: 5 * ms, DrainWithin: 6 * s,
+			GracePeriod: 7 * s, LostSlack: 8 * ms, ConfigWithin: 9 * ms, GoBack: 10 * ms, Stretch: 11 * s, Evacuate: 12 * s, Recovery: 13 * s,
+			Pass: 14 * ms, TTLMax: 15 * s, RetryRatio: 0.2, RetryWindow: 16 * s, RetryExtra: 17, ColdExcess: 1.5, ColdSlack: 18},
+		CloudAPI: environment.CloudAPI{Address: netip.MustParseAddrPort("10.200.0.4:8142"), RatePerS: 42, MaxLag: 800 * ms}})
+	same(t, "variable", environment.Variable, "CINDERROAD_SETTINGS")
+	same(t, "ports", []uint16{got.Port(environment.ControlRPC), got.Port(environment.GossipPort), got.Port(environment.AgentFeedPort),
+		got.Port(environment.AgentRPC), got.Port(environment.ProxyPort)}, []uint16{7660, 7661, 7662, 7663, 7664})
+}
+
+// TestReadsDispatcherSettings: the settings that the dispatcher and the bench's decisions get.
+func TestReadsDispatcherSettings(t *testing.T) {
+	const text = `{"categories":[` +
+		`{"name":"a","objectiveS":0.1,"deadlineS":5,"repeat":"retryable","worth":2,"lateShare":0.25,"unknownKey":[1]},` +
+		`{"name":"b","objectiveS":0.6,"deadlineS":9,"repeat":"dedup","dedupScope":"cell","windowS":7,"worth":8,"aimStretch":3},` +
+		`{"name":"c","objectiveS":0.7,"deadlineS":10,"repeat":"fragile","dedupScope":"zone","worth":9}],` +
+		`"familyInfo":{"classKind":[-1,1],"classStretch":[2,2.5],"reportX0":"free slots","reportX1":"free memory","tellsStart":true},` +
+		`"failureDomains":["x","y"],"zone":1,"nInstances":3,"me":2,"membershipMode":"on_request","tickS":0.004,"overShareWorth":0.5,` +
+		`"guarantees":{"answerSlackS":0.016,"askWithinS":11,"coldS":23,"coldShare":0.14,"fallMultiple":4,"fallS":1.5},` +
+		`"limits":{"attemptsCap":6,"mayCancel":true,"mayProbe":true,"parallelTries":true,"retryAfter":true,"maxRetryAfterS":12},` +
+		`"report":{"fields":["outstanding","throughput","x0","x1","utilization","backlog"],"via":"pull"},"tenants":[{"name":"t","quotaPerS":13}]}`
+	got := must(settings.Parse([]byte(text)))(t)
+	same(t, "settings", got, brain.Settings{
+		Classes: []brain.Class{
+			{Name: "a", Objective: 0.1, Stretch: 2, Deadline: 5, Worth: 2, LateShare: 0.25, Effect: brain.Safe, Kind: -1},
+			{Name: "b", Objective: 0.6, Stretch: 3, Deadline: 9, Window: 7, Worth: 8, Effect: brain.Keyed, Scope: brain.ScopeCell, Kind: 1},
+			{Name: "c", Objective: 0.7, Deadline: 10, Worth: 9, Effect: brain.Unsafe, Scope: brain.ScopeZone, Kind: -1}},
+		Tenants: []brain.Tenant{{Name: "t", QuotaPerSec: 13}}, Zones: 2, Zone: 1, Instances: 3, Me: 2,
+		Report: []brain.Field{brain.FieldInFlight, brain.FieldOther, brain.FieldFreeSlots, brain.FieldFreeMemory, brain.FieldUtilization,
+			brain.FieldQueued},
+		ReportsByProbe: true, ListOnRequest: true, MayProbe: true, MayCancel: true, ParallelTries: true, MayRetryAfter: true, MaxAttempts: 6,
+		MaxRetryAfter: 12, TellsStart: true, Tick: 0.004, AnswerSlack: 0.016, AskWithin: 11, ColdTime: 23, ColdShare: 0.14, FallMultiple: 4,
+		FallTime: 1.5, OverShareWorth: 0.5})
+}
+
+// TestReadsOperatorsFiles: each key of the operator's file of a dispatcher.
+func TestReadsOperatorsFiles(t *testing.T) {
+	const text = `
+[[graphite]]
+address = "127.0.0.1:2003"
+form = "pickle"
+prefix = "p"
+confirm = "none"
+patience_s = 21.0
+[[collectd]]
+socket = "/run/collectd.sock"
+patience_s = 22.0
+[[collectd]]
+address = "127.0.0.1:25826"
+security = "none"
+[telemetry]
+every_s = 11.0
+memory_bytes = 1048577
+spool_dir = "/spool"
+spool_bytes = 67108865
+node_series = 257
+[request_log]
+path = "/log"
+max_bytes = 67108866
+keep = 5
+[fleet]
+name = "f"
+bind = "127.0.0.1:7946"
+advertise = "127.0.0.1:7947"
+seeds = ["127.0.0.1:7948"]
+period_s = 1.5
+forget_s = 3601.0
+discovery = "d"
+lease_s = 31.0
+ledger = "/ledger"
+whole = false
+`
+	got := must(operator.Parse("operator.toml", text))(t)
+	keep, series, whole := 5, 257, false
+	address := netip.MustParseAddrPort
+	same(t, "graphite", got.Graphite, []operator.Graphite{{Address: "127.0.0.1:2003", Form: "pickle", Prefix: "p", Confirm: "none",
+		Patience: 21, Addr: address("127.0.0.1:2003")}})
+	same(t, "collectd", got.Collectd, []operator.Collectd{{Socket: "/run/collectd.sock", Security: "none", Patience: 22}, {Address: "127.0.0.1:25826",
+		Security: "none", Patience: 20, Addr: address("127.0.0.1:25826")}})
+	same(t, "telemetry", got.Telemetry, operator.Telemetry{Every: 11, MemoryBytes: 1048577, SpoolDir: "/spool", SpoolBytes: 67108865,
+		NodeSeries: &series})
+	same(t, "request log", *got.RequestLog, operator.RequestLog{Path: "/log", MaxBytes: 67108866, Keep: &keep})
+	same(t, "fleet", *got.Fleet, operator.Fleet{Name: "f", Bind: "127.0.0.1:7946", Advertise: "127.0.0.1:7947", Seeds: []string{"127.0.0.1:7948"},
+		Period: 1.5, Forget: 3601, Discovery: "d", Lease: 31, Ledger: "/ledger", Whole: &whole, BindAddr: address("127.0.0.1:7946"),
+		AdvertiseAddr: address("127.0.0.1:7947"), SeedAddrs: []netip.AddrPort{address("127.0.0.1:7948")}})
+}
+
+// TestReadsGearmanFiles: each key of the file of the Gearman front.
+func TestReadsGearmanFiles(t *testing.T) {
+	const text = `
+listen = "127.0.0.1:4730"
+allow_shutdown = true
+max_jobs = 10001
+max_bytes = 33554433
+[[function]]
+name = "f"
+class = "score"
+deadline_s = 4.0
+background_deadline_s = 61.0
+[[worker]]
+network = "127.0.0.0/8"
+zone = "milano"
+kind = "five-core"
+cell = 1000
+`
+	path := filepath.Join(t.TempDir(), "gearman.toml")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	got := must(gearman.ReadConfig(path, gearman.Names{Classes: []string{"score"}, Zones: []string{"milano"}, Kinds: []string{"five-core"},
+		Deadlines: []float64{5}}))(t)
+	same(t, "front", []any{got.Listen, got.AllowShutdown, got.MaxJobs, got.MaxBytes}, []any{"127.0.0.1:4730", true, 10001, 33554433})
+	function, place := got.Functions[0], got.Workers[0]
+	same(t, "function", []any{function.Name, function.Class, function.Deadline, function.Background}, []any{"f", "score", 4.0, 61.0})
+	same(t, "place", []any{place.Network, place.Zone, place.Kind, place.Cell}, []any{"127.0.0.0/8", "milano", "five-core", 1000})
+}
--- /dev/null
+++ b/internal/control/api/compatibility_test.go
@@ -0,0 +1,59 @@
+package api
+
+import (
+	"bytes"
+	"encoding/hex"
+	"fmt"
+	"maps"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+
+	"cinderroad/internal/compatibility"
+)
+
+// TestAnswersAsBefore: a run of calls, with the status, the headers and the body of each answer.
+func TestAnswersAsBefore(t *testing.T) {
+	c := newCore()
+	a := c.api()
+	broken := strings.Replace(document(4, route("x", "gone")), `"rank":1`, `"rank":-1`, 1)
+	var transcript bytes.Buffer
+	for _, step := range []struct{ method, path, basedOn, body string }{
+		{http.MethodGet, "/-/Settings.Read", "", ""},
+		{http.MethodPost, "/-/Settings.Replace", "", document(3, route("x", "s"))},
+		{http.MethodPost, "/-/Settings.Replace", "0", document(3, route("x", "s"))},
+		{http.MethodPost, "/-/Settings.Replace", "3", broken},
+		{http.MethodPost, "/-/Settings.Replace", "1", document(4, route("x", "s"))},
+		{http.MethodPost, "/-/Settings.Change", "3", `{"version":9,"replace":{"routes":[` + route("y", "s") + `]},"remove":{"routes":["x"]}}`},
+		{http.MethodGet, "/-/Settings.Read", "", ""},
+		{http.MethodPost, "/-/DrainZone.Begin/a", "", ""},
+		{http.MethodPost, "/-/DrainZone.Finish/a", "", ""},
+		{http.MethodPost, "/-/DrainZone.Begin/q", "", ""},
+		{http.MethodGet, "/-/status", "", ""},
+	} {
+		answer := call(a, step.method, step.path, step.basedOn, step.body)
+		fmt.Fprintf(&transcript, "%s %s %s\n%d\n", step.method, step.path, step.basedOn, answer.Code)
+		for _, name := range slices.Sorted(maps.Keys(answer.Header())) {
+			fmt.Fprintf(&transcript, "%s: %s\n", name, answer.Header().Get(name))
+		}
+		fmt.Fprintf(&transcript, "%s\n\n", answer.Body)
+	}
+	c.away, c.cutOff = true, true
+	answer := call(a, http.MethodGet, "/-/Settings.Read", "", "")
+	fmt.Fprintf(&transcript, "without a majority\n%d\nRetry-After: %s\n%s\n", answer.Code, answer.Header().Get("Retry-After"), answer.Body)
+	compatibility.Elsewhere.Check(t, "answers.txt", transcript.Bytes())
+}
+
+// TestRequestsKeepTheirDigest: the control state remembers which requests were accepted by their digests.
+func TestRequestsKeepTheirDigest(t *testing.T) {
+	for want, r := range map[string]*request{
+		"cae3ee9f70e574e444e2430d55c18b24": {kind: replaceWhole, basedOn: 3, body: []byte("{}")},
+		"cd710bb77c70810281371e4ea6c1b247": {kind: changeItems, basedOn: 1 << 40, body: []byte(`{"version":9}`)},
+	} {
+		digest := r.digest()
+		if got := hex.EncodeToString(digest[:]); got != want {
+			t.Errorf("%s, want %s", got, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/program/compatibility_test.go
@@ -0,0 +1,88 @@
+package program
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+
+	"cinderroad/brain"
+	"cinderroad/internal/compatibility"
+	"cinderroad/internal/protocol/gearman"
+	"cinderroad/internal/protocol/platform"
+	"cinderroad/internal/routing"
+	"cinderroad/internal/telemetry"
+)
+
+// readsJSON holds a value to its recorded JSON, both ways.
+func readsJSON[T any](t *testing.T, name string, value T) {
+	t.Helper()
+	encoded, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var read T
+	if err := json.Unmarshal(compatibility.Elsewhere.Check(t, name, encoded), &read); err != nil {
+		t.Fatal(name, err)
+	}
+	if d := cmp.Diff(value, read, cmpopts.IgnoreUnexported(platform.List{})); d != "" {
+		t.Errorf("%s: %s", name, d)
+	}
+}
+
+var (
+	excluded = map[string]routing.Exclusion{"w-1": {At: 100, Since: 90, Back: 120}, "w-2": {At: 101}}
+	counted  = map[string]float64{"classes.score.answers.in_time": 40}
+	measured = telemetry.Spans{"classes.score.latency": {{1500, 3}, {2000, 1}}}
+)
+
+// TestReadsHandovers: the bodies of the frames by which a process takes another one's place, and the file of its socket.
+func TestReadsHandovers(t *testing.T) {
+	readsJSON(t, "hello.json", hello{Figures: true})
+	list := platform.List{Rev: 12, All: true, Targets: []platform.Target{{UID: "u", Endpoint: "10.0.0.1:80", Zone: "m", Kind: "k", Cell: 2,
+		State: "ready", Weight: 1.5, BootMs: 1700000000000}}}
+	readsJSON(t, "state.json", state{Discovery: "10.0.0.9:8500", List: list, Out: excluded, Evacuated: 12.5,
+		Learnt: brain.Learnt{Work: []float64{1}, Far: []float64{2}, Pace: 3, Run: 4, PerJob: 5, Period: 6, PlanAt: 7,
+			Kinds: map[int]brain.LearntKind{1: {Pace: 0.5, Size: 8}}, Workers: map[brain.WorkerID]*brain.LearntWorker{9: {Since: 1}}},
+		Gearman: true, GearmanFor: "127.0.0.1:4730", Figures: true})
+	readsJSON(t, "figures.json", figuresMessage{All: true, Counts: counted, Spans: measured,
+		Held: []telemetry.Held{{Spot: "m.k.3", Slot: 1, Node: "node-1"}}, Last: 1_700_000_000_000,
+		Series:  []telemetry.Series{{Name: "classes.score.answers.in_time", Kind: telemetry.Counter}, {Name: "reqs.open", Kind: telemetry.Gauge}},
+		Periods: []undeliveredPeriod{{Stamp: 1_699_999_990_000, Every: 10, Body: []byte{2, 42, 0}}}})
+	readsJSON(t, "figures-since.json", figuresMessage{Counts: counted, Spans: measured})
+	readsJSON(t, "order.json", order{What: "exclude", Member: "w-1", Exclusion: excluded["w-1"]})
+	readsJSON(t, "order-bare.json", order{What: "evacuate"})
+
+	c := &Config{tmp: "/run/d", Name: "milano/1", Listen: "10.0.0.1:80"}
+	files := []string{c.file(".upgrade"), c.file(".exclusions")}
+	if d := cmp.Diff([]string{"/run/d/milano_1-10_0_0_1_80.upgrade", "/run/d/milano_1-10_0_0_1_80.exclusions"}, files); d != "" {
+		t.Error(d)
+	}
+}
+
+// TestReadsExclusions: who is out by hand, as it is kept on disk.
+func TestReadsExclusions(t *testing.T) {
+	encoded, err := json.Marshal(kept{keptVersion, excluded})
+	if err != nil {
+		t.Fatal(err)
+	}
+	read, err := parseKept(compatibility.Elsewhere.Check(t, "exclusions.json", encoded))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if d := cmp.Diff(excluded, read.Out); d != "" {
+		t.Error(d)
+	}
+	if read.Version != 1 {
+		t.Errorf("version %d", read.Version)
+	}
+}
+
+// TestCountsKeepTheirNames: the counts in the events that end a program.
+func TestCountsKeepTheirNames(t *testing.T) {
+	readsJSON(t, "counts.json", routing.Counts{Reqs: 1, Served: 2, Refused: 3, Failed: 4, Gone: 5, Fetches: 6, Repeats: 7, Cancels: 8, Probes: 9,
+		Results: [8]uint64{10, 11, 12, 13, 14, 15, 16, 17}, Unusable: 18, Overdue: 19, OpenReqs: 20, OpenFetches: 21})
+	readsJSON(t, "counts-gearman.json", gearman.Counts{Jobs: 1, Background: 2, Coalesced: 3, Served: 4, Refused: 5, Failed: 6, Gone: 7,
+		BackgroundEnded: 8, Returned: 9, BadPackets: 10, StrayWork: 11, Slow: 12})
+}
--- /dev/null
+++ b/internal/proxy/compatibility_test.go
@@ -0,0 +1,38 @@
+package proxy
+
+import (
+	"regexp"
+	"strings"
+	"testing"
+
+	"cinderroad/internal/compatibility"
+	"cinderroad/internal/placement"
+)
+
+// TestReadsNotices: datagrams between proxies.
+func TestReadsNotices(t *testing.T) {
+	for name, notice := range map[string]placement.Notice{
+		"reads":   {Kind: placement.NoticeReads, Runner: 0xfedcba9876543210, Tokens: 4000},
+		"answers": {Kind: placement.NoticeAnswers, Runner: 9},
+	} {
+		recorded := compatibility.Elsewhere.Check(t, name, appendNotice(nil, notice))
+		if got, relayed, ok := readNotice(recorded); !ok || relayed || got != notice {
+			t.Errorf("%s: %+v, %v, %v", name, got, relayed, ok)
+		}
+		passedOn := append([]byte{recorded[0] | 0x80}, recorded[1:]...)
+		if got, relayed, ok := readNotice(passedOn); !ok || !relayed || got != notice {
+			t.Errorf("%s to pass on: %+v, %v, %v", name, got, relayed, ok)
+		}
+	}
+}
+
+// TestFiguresKeepTheirNames: those of the page with their types and labels, in their order.
+func TestFiguresKeepTheirNames(t *testing.T) {
+	page := newWorld(t, withMetrics).figures()
+	values := regexp.MustCompile(`(?m)^# HELP.*\n| [-+.0-9eInf]+$`)
+	names := values.ReplaceAllString(page, "")
+	if !strings.Contains(names, "cinderroad_proxy_ready gauge") {
+		t.Fatal(page)
+	}
+	compatibility.Elsewhere.Check(t, "figures.txt", []byte(names))
+}
--- /dev/null
+++ b/internal/proxy/uplink/compatibility_test.go
@@ -0,0 +1,52 @@
+package uplink
+
+import (
+	"net/netip"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+
+	"cinderroad/internal/configuration"
+	"cinderroad/internal/discovery"
+	"cinderroad/internal/feed"
+)
+
+// TestReadsItems: the items of the feed by their keys. Package compatibility records calls and values.
+func TestReadsItems(t *testing.T) {
+	if followCall.Name() != "Feed.Follow" || reportCall.Name() != "Proxy.Report" {
+		t.Errorf("the calls are named %s and %s", followCall.Name(), reportCall.Name())
+	}
+	ordinal := "\x00\x00\x00\x00\x00\x00\x00\x01"
+	runner := discovery.Runner{ID: "r-1", Service: "s", Address: netip.MustParseAddrPort("10.0.0.1:80"), Capacity: 3}
+	items := []feed.Item{
+		{Key: "evacuation/east-a", Index: 1, Value: []byte{}},
+		{Key: "limits", Index: 2, Value: []byte(`{"max_header_bytes":1,"max_body_bytes":2,"header_wait_ms":3,"idle_limit_ms":4}`)},
+		{Key: "route/r", Index: 3, Value: []byte(ordinal + `{"name":"r","host":"h","path_start":"/p/","type":"read_only","timeout_ms":1000,"target_ms":100,"rank":0,"service":"s","tries":2}`)},
+		{Key: "service/s", Index: 4, Value: []byte(ordinal + `{"name":"s","health_path":"/health","max_conns":4,"cold_for_s":0,"cold_rate_s":0}`)},
+		{Key: "version", Index: 5, Value: []byte("7")},
+	}
+	of := feed.PartitionOf("s", feed.RunnerPartitions)
+	if of != 2 {
+		t.Errorf("the service is in partition %d", of)
+	}
+	s := newState(feed.RunnerPartitions)
+	got := s.take(&feed.FollowReply{Proxies: 3, PeersDigest: 9, Peers: []feed.Peer{{Node: "edge-2"}}, Batches: []feed.Batch{
+		{Partition: 0, Snapshot: true, To: 5, Items: items},
+		{Partition: of, Snapshot: true, To: 1, Items: []feed.Item{{Key: "runner/r-1", Index: 1, Value: discovery.Encode(runner)}}},
+	}})
+	s.fill(&got)
+	want := Update{Version: 7, Complete: true, Proxies: 3, Peers: &[]feed.Peer{{Node: "edge-2"}},
+		Routes: []*configuration.Route{{Name: "r", Host: "h", PathStart: "/p/", Timeout: time.Second, Target: 100 * time.Millisecond, Tries: 2,
+			Shares: []configuration.Share{{Service: "s", Weight: 1}}}},
+		Services:  &[]*configuration.Service{{Name: "s", HealthPath: "/health", MaxConns: 4}},
+		Limits:    &configuration.Limits{MaxHeaderBytes: 1, MaxBodyBytes: 2, HeaderWait: 3 * time.Millisecond, IdleLimit: 4 * time.Millisecond},
+		Evacuated: &map[string]bool{"east-a": true}, Runners: &[]Runner{{Runner: runner}}}
+	if d := cmp.Diff(want, got, cmpopts.EquateComparable(netip.Addr{}, netip.AddrPort{})); d != "" {
+		t.Error(d)
+	}
+	if len(s.findings) > 0 {
+		t.Error(s.findings)
+	}
+}
--- /dev/null
+++ b/internal/replica/compatibility_test.go
@@ -0,0 +1,70 @@
+package replica
+
+import (
+	"bytes"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"cinderroad/internal/compatibility"
+	"cinderroad/internal/consensus"
+	"cinderroad/internal/feed"
+)
+
+// TestCallsKeepTheirNames: package compatibility records the calls themselves.
+func TestCallsKeepTheirNames(t *testing.T) {
+	got := []string{deliverCall.Name(), proposeCall.Name(), readIndexCall.Name(), joinCall.Name(), leaveCall.Name()}
+	want := []string{"Replica.Deliver", "Replica.Propose", "Replica.ReadIndex", "Replica.Join", "Replica.Leave"}
+	if d := cmp.Diff(want, got); d != "" {
+		t.Error(d)
+	}
+	outcomes := []Outcome{OutcomeUnknown, OutcomeDone, OutcomeNotTaken}
+	if d := cmp.Diff([]Outcome{0, 1, 2}, outcomes); d != "" {
+		t.Error(d)
+	}
+}
+
+// TestReadsBatches: the messages in a request, plain and packed. What the compressor makes of the bytes is its own affair.
+func TestReadsBatches(t *testing.T) {
+	type sent struct {
+		Partition feed.Partition
+		Message   consensus.Message
+	}
+	want := []sent{
+		{0, consensus.Message{Kind: consensus.Append, From: 1, To: 2, Term: 7, Commit: 5, Round: 3}},
+		{300, consensus.Message{Kind: consensus.Append, From: 1, To: 2, Term: 7, Entries: []consensus.Entry{
+			{Index: 6, Term: 7, Data: bytes.Repeat([]byte("data"), 50_000)}}}},
+	}
+	var batch []byte
+	for i := range want {
+		batch = appendMessage(batch, want[i].Partition, &want[i].Message)
+	}
+	read := func(name string, request *DeliverRequest) {
+		t.Helper()
+		rest, err := request.unpacked()
+		if err != nil {
+			t.Fatal(name, err)
+		}
+		var got []sent
+		for len(rest) > 0 {
+			var one sent
+			if one.Partition, one.Message, rest, err = readMessage(rest); err != nil {
+				t.Fatal(name, err)
+			}
+			got = append(got, one)
+		}
+		if d := cmp.Diff(want, got); d != "" {
+			t.Errorf("%s: %s", name, d)
+		}
+	}
+	packed := packedRequest(batch)
+	if len(packed.Packed) == 0 {
+		t.Fatal("the batch was not packed")
+	}
+	read("now", packed)
+	read("recorded", &DeliverRequest{Packed: compatibility.Elsewhere.Record(t, "packed", packed.Packed)})
+
+	plain := appendMessage(nil, want[0].Partition, &want[0].Message)
+	want = want[:1]
+	read("plain", &DeliverRequest{Messages: compatibility.Elsewhere.Check(t, "plain", plain)})
+}
