--- /dev/null
+++ b/cmd/cinderctl/compatibility_test.go
@@ -0,0 +1,52 @@
+package main
+
+import (
+	"strings"
+	"testing"
+
+	"cinderroad/internal/compatibility"
+)
+
+// TestJSONKeepsItsForm: what scripts read of each command.
+func TestJSONKeepsItsForm(t *testing.T) {
+	c := &control{seen: seenBy("core-1", true)}
+	address := c.serve(t)
+	seed := "--seed=" + address
+	document, bad, change := write(t, "c.json", validDocument), write(t, "bad.json", unknownService), write(t, "d.json", validChange)
+	for name, arguments := range map[string][]string{
+		"check": {"check", document, bad},
+		"on":    {"check", "--on", document, "--kind", "change", change},
+	} {
+		got := call(append([]string{"--json"}, arguments...)...)
+		text := got.output
+		for path, short := range map[string]string{document: "c.json", bad: "bad.json", change: "d.json"} {
+			text = strings.ReplaceAll(text, path, short)
+		}
+		compatibility.Elsewhere.Check(t, name+".json", []byte(text))
+	}
+	for _, step := range []struct {
+		name      string
+		arguments []string
+	}{
+		{"replace", []string{"config", "replace", "--based-on", "0", document}},
+		{"conflict", []string{"config", "change", "--no-check", "--based-on", "1", change}},
+		{"change", []string{"config", "change", change}},
+		{"read", []string{"config", "read"}},
+		{"begin", []string{"drain", "begin", "z"}},
+		{"finish", []string{"drain", "finish", "z"}},
+		{"status", []string{"status", "--one", "--members"}},
+	} {
+		got := call(append([]string{seed, "--within=20s", "--json"}, step.arguments...)...)
+		compatibility.Elsewhere.Check(t, step.name+".json", []byte(strings.ReplaceAll(got.output, address, "MACHINE")))
+	}
+}
+
+// TestCommandsKeepTheirNames: commands, arguments and flags as the help tells them.
+func TestCommandsKeepTheirNames(t *testing.T) {
+	t.Setenv("COLUMNS", "80") // the help is as wide as a terminal
+	for _, command := range []string{"", "check", "status", "config", "config read", "config replace", "config change", "drain", "drain begin",
+		"drain finish", "version"} {
+		got := call(append(strings.Fields(command), "--help")...)
+		compatibility.Elsewhere.Check(t, "help-"+strings.ReplaceAll(command, " ", "-")+".txt", []byte(got.output))
+	}
+}
--- /dev/null
+++ b/internal/agent/compatibility_test.go
@@ -0,0 +1,32 @@
+package agent
+
+import (
+	"regexp"
+	"strings"
+	"testing"
+
+	"cinderroad/internal/compatibility"
+	"cinderroad/internal/exposition"
+	"cinderroad/internal/feed"
+)
+
+// TestFiguresKeepTheirNames: those of the page with their types and labels, in their order.
+func TestFiguresKeepTheirNames(t *testing.T) {
+	t.Parallel()
+	if ReportCall.Name() != "Proxy.Report" {
+		t.Errorf("the call is named %s", ReportCall.Name())
+	}
+	w := newWorld(t)
+	replicas := w.newReplicas(1)
+	configure(replicas, 1, "1")
+	e := w.newEdge("edge-1")
+	e.report(feed.ProxyReport{Ready: true, Front: "10.0.0.1:80"})
+	var page exposition.Page
+	e.waitFor("the feed has come", func() bool {
+		page = exposition.Page{}
+		e.agent.expose(&page)
+		return strings.Contains(string(page.Text()), `cinderroad_agent_feed_age_seconds{partition="2"} `)
+	})
+	values := regexp.MustCompile(`(?m)^# HELP.*\n| [-+.0-9eInf]+$`)
+	compatibility.Elsewhere.Check(t, "figures.txt", values.ReplaceAll(page.Text(), nil))
+}
--- /dev/null
+++ b/internal/metrics/compatibility_test.go
@@ -0,0 +1,37 @@
+package metrics
+
+import (
+	"testing"
+
+	"cinderroad/internal/compatibility"
+	"cinderroad/internal/telemetry"
+)
+
+// TestWritesAsBefore: what receivers of figures are sent.
+func TestWritesAsBefore(t *testing.T) {
+	const stamp = 1_700_000_000_250
+	counter := telemetry.Series{Name: "classes.score.answers.in_time", Kind: telemetry.Counter}
+	gauge := telemetry.Series{Name: "reqs.open", Kind: telemetry.Gauge}
+	for name, security := range map[string]Security{"collectd-plain": None, "collectd-signed": Sign} {
+		p, err := newPacket("n0", security, "user", "password")
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !p.add(counter, stamp, 10, 40) || !p.add(gauge, stamp, 10, 0.5) {
+			t.Fatal("no room")
+		}
+		compatibility.Elsewhere.Check(t, name, p.seal())
+	}
+	table := &telemetry.Table{}
+	table.Append(counter, gauge)
+	period := &telemetry.Period{Stamp: stamp, Every: 10, Table: table, Body: []byte{2, 42, 1, 0, 0, 0, 0x3f}} // 40 and 0.5
+	for name, pickle := range map[string]bool{"graphite-lines": false, "graphite-pickle": true} {
+		g := NewGraphite(GraphiteOptions{Pickle: pickle})
+		g.prefix, g.period, g.reader = "cinderroad.n0.", period, period.Read()
+		b, points, _ := g.render(nil)
+		if points != 2 {
+			t.Errorf("%s: %d points", name, points)
+		}
+		compatibility.Elsewhere.Check(t, name, b)
+	}
+}
--- a/internal/program/compatibility_test.go
+++ b/internal/program/compatibility_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"encoding/json"
+	"os"
+	"path/filepath"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
@@ -86,3 +88,44 @@
 	readsJSON(t, "counts-gearman.json", gearman.Counts{Jobs: 1, Background: 2, Coalesced: 3, Served: 4, Refused: 5, Failed: 6, Gone: 7,
 		BackgroundEnded: 8, Returned: 9, BadPackets: 10, StrayWork: 11, Slow: 12})
 }
+
+// TestReadsConfigs: the file that a dispatcher is started with, and the environment that goes before it.
+func TestReadsConfigs(t *testing.T) {
+	const text = `{"name":"n0","listen":"10.0.0.1:80","discovery":"10.0.0.9:8500","console":"10.0.0.1:9000","seed":"ff",` +
+		`"known":{"rev":3,"all":true,"targets":[{"uid":"u","endpoint":"10.0.0.2:80","az":"x","model":"k","pod_group":1,"state":"ready"}]},` +
+		`"limits":{"cores":0.5,"memory_mb":64,"sockets":2048},` +
+		`"settings":{"categories":[{"name":"a","objectiveS":0.1,"deadlineS":5,"repeat":"retryable","worth":2}],` +
+		`"failureDomains":["x","y"],"kinds":["k"],"zone":1,"nInstances":3,"membershipMode":"pushed","tickS":0.004,` +
+		`"guarantees":{"answerSlackS":0.016,"askWithinS":10,"coldS":23,"coldShare":0.14,"fallMultiple":3,"fallS":1.5},` +
+		`"limits":{"attemptsCap":6,"connIdleS":7,"connectTimeoutS":0.25},"report":{"fields":["outstanding"],"via":"piggyback"}}}`
+	path := filepath.Join(t.TempDir(), "router.json")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		environment map[string]string
+		want        []any // name, addresses, and descriptor
+	}{
+		{nil, []any{"n0", "10.0.0.1:80", "10.0.0.9:8500", "10.0.0.1:9000", 0, ""}},
+		{map[string]string{"ROUTER_NAME": "n1", "ROUTER_LISTEN": "10.0.0.2:80", "ROUTER_DISCOVERY": "10.0.0.3:80", "ROUTER_CONSOLE": "10.0.0.4:80",
+			"ROUTER_FD": "5", "TMPDIR": "/run/d"}, []any{"n1", "10.0.0.2:80", "10.0.0.3:80", "10.0.0.4:80", 5, "/run/d"}},
+	} {
+		read, err := ReadConfig(path, func(name string) string { return c.environment[name] })
+		if err != nil {
+			t.Fatal(err)
+		}
+		got := []any{read.Name, read.listen.String(), read.discovery.String(), read.console.String(), read.inherited, read.tmp}
+		if d := cmp.Diff(c.want, got); d != "" {
+			t.Error(d)
+		}
+		numbers := []any{read.seed, read.Limits.Cores, read.Limits.MemoryMB, read.Limits.Sockets, read.Known.Rev, read.Known.Targets[0].UID,
+			read.names.Limits.ConnIdleS, read.names.Limits.ConnectTimeoutS}
+		if d := cmp.Diff([]any{uint64(255), 0.5, 64, 2048, int64(3), "u", 7.0, 0.25}, numbers); d != "" {
+			t.Error(d)
+		}
+		names := [][]string{read.classes(), read.names.FailureDomains, read.names.Kinds, read.names.Report.Fields}
+		if d := cmp.Diff([][]string{{"a"}, {"x", "y"}, {"k"}, {"outstanding"}}, names); d != "" {
+			t.Error(d)
+		}
+	}
+}
