--- a/internal/compatibility/sent_test.go
+++ b/internal/compatibility/sent_test.go
@@ -25,6 +25,7 @@
 	"cinderroad/internal/fleet"
 	"cinderroad/internal/fleet/copies"
 	"cinderroad/internal/fleet/lease"
+	"cinderroad/internal/fleet/ledger"
 	"cinderroad/internal/fleet/membership"
 	"cinderroad/internal/fleet/versions"
 	"cinderroad/internal/gossip"
@@ -221,6 +222,12 @@
 		Held:   []fleet.StatusHeld{{Worker: "w", State: "gone", Rev: 9, From: "n1"}},
 		Lease:  fleet.StatusLease{State: "held", Why: "word", AgeS: 0.5},
 		Orders: []versions.Order{{Member: "n2", Out: true, N: 1, By: "n0", At: 1.7e9}}})
+	sameJSON(t, "status/audit.json", ledger.Report{Clocks: []ledger.Offset{{By: "n0", Ahead: 0.5, Within: 0.25, Why: "w", Known: true}},
+		Versions: []ledger.Version{{Source: "d", Descent: 1, Rev: 2, First: "n0", At: 3, Taken: []ledger.Taken{{By: "n1", After: 4, Within: 5, Peer: true}},
+			Never: []string{"n2"}}},
+		Broken:     []ledger.Broken{{By: "n0", Rule: "r", Node: "w", Sends: 6, First: "x", At: 7, Latest: 8}},
+		Stragglers: []ledger.Straggler{{By: "n1", Cause: "c", Rev: 9, To: 10, From: 11, For: 12, Never: true, Sends: 13}},
+		Holes:      []string{"h"}, Untold: []string{"u"}, Sends: 14, Judged: 15})
 	sameJSON(t, "status/receipt.json", client.Receipt{Machine: "10.0.0.9:8080", Attempts: 2, Version: 7})
 	sameJSON(t, "status/problem.json", client.Problem{Code: "invalid", Message: "no", Findings: []client.Finding{{Place: "p", Problem: "q"}}})
 }
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -101,22 +101,33 @@
 	}
 }
 
-// TestReadsStoredReplicas: a state folder, as its version left it.
+// TestReadsStoredReplicas: state folders, as their version left them when it stopped and when it was killed.
 func TestReadsStoredReplicas(t *testing.T) {
 	fresh := filepath.Join(t.TempDir(), "fresh")
-	fill(t, fresh)
-	const file = "consensus.db" // in the state folder
-	written := must(os.ReadFile(filepath.Join(fresh, file)))(t)
-	recorded := compatibility.Here.Record(t, "storage/"+file, written)
-
-	old := t.TempDir()
-	if err := os.WriteFile(filepath.Join(old, file), recorded, 0o600); err != nil {
-		t.Fatal(err)
+	written := fill(t, fresh)
+	for _, c := range []struct {
+		name  string
+		files []string
+	}{{"stopped", []string{"consensus.db"}}, {"killed", []string{"consensus.db", "consensus.db-wal"}}} {
+		t.Run(c.name, func(t *testing.T) {
+			old := t.TempDir()
+			for _, file := range c.files {
+				recorded := compatibility.Here.Record(t, "storage/"+c.name+"/"+file, written[c.name+"/"+file])
+				if err := os.WriteFile(filepath.Join(old, file), recorded, 0o600); err != nil {
+					t.Fatal(err)
+				}
+			}
+			checkReplicas(t, old)
+			same(t, "tables", tables(t, filepath.Join(fresh, "consensus.db")), tables(t, filepath.Join(old, "consensus.db")))
+		})
 	}
-	same(t, "tables", tables(t, filepath.Join(fresh, file)), tables(t, filepath.Join(old, file)))
+}
 
-	store := must(storage.Open(old))(t)
-	t.Cleanup(func() { store.Close() })
+// checkReplicas reads what fill has written.
+func checkReplicas(t *testing.T, folder string) {
+	t.Helper()
+	store := must(storage.Open(folder))(t)
+	defer store.Close()
 	if id, has := store.Identity(); !has || id != 0x8000000000000001 || store.Succeeds() {
 		t.Errorf("replica %x, %v, of another %v", id, has, store.Succeeds())
 	}
@@ -136,11 +147,10 @@
 	}
 }
 
-// fill makes a state folder.
-func fill(t *testing.T, folder string) {
+// fill makes a state folder and returns its files: as they were while the store was open, and once it was closed.
+func fill(t *testing.T, folder string) map[string][]byte {
 	t.Helper()
 	store := must(storage.Open(folder))(t)
-	defer store.Close()
 	founding := storage.Write{Partition: 1, Snapshot: &consensus.Snapshot{Membership: group},
 		Hard:    &consensus.HardState{Term: 1, Vote: 2, Commit: 1},
 		Entries: []consensus.Entry{{Index: 1, Term: 1}}, Committed: 1}
@@ -151,6 +161,15 @@
 		Entries: []consensus.Entry{command, change}, Committed: 300}); err != nil {
 		t.Fatal(err)
 	}
+	files := map[string][]byte{}
+	for _, file := range []string{"consensus.db", "consensus.db-wal"} {
+		files["killed/"+file] = must(os.ReadFile(filepath.Join(folder, file)))(t)
+	}
+	if err := store.Close(); err != nil {
+		t.Fatal(err)
+	}
+	files["stopped/consensus.db"] = must(os.ReadFile(filepath.Join(folder, "consensus.db")))(t)
+	return files
 }
 
 // tables are the tables of a file and all that is in them, as text.
