--- a/cmd/cinderctl/check.go
+++ b/cmd/cinderctl/check.go
@@ -7,10 +7,10 @@
 
 	"github.com/cockroachdb/errors"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/environment"
-	"cinderroad/internal/findings"
-	"cinderroad/internal/jsonfield"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/jsonfield"
+	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/validation"
 )
 
 // Kinds of files.
--- a/cmd/cinderctl/main.go
+++ b/cmd/cinderctl/main.go
@@ -15,8 +15,8 @@
 	"github.com/alecthomas/kong"
 	"github.com/cockroachdb/errors"
 
-	"cinderroad/internal/control/client"
-	"cinderroad/internal/environment"
+	"cinderroad/internal/system/control/client"
+	"cinderroad/internal/system/settings"
 )
 
 // Exit statuses.
--- a/cmd/cinderctl/main_test.go
+++ b/cmd/cinderctl/main_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/control/api"
-	"cinderroad/internal/control/status"
+	"cinderroad/internal/system/control/api"
+	"cinderroad/internal/system/control/status"
 )
 
 const (
--- a/cmd/cinderctl/orders.go
+++ b/cmd/cinderctl/orders.go
@@ -7,7 +7,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"cinderroad/internal/control/client"
+	"cinderroad/internal/system/control/client"
 )
 
 type configCommand struct {
--- a/cmd/cinderctl/status.go
+++ b/cmd/cinderctl/status.go
@@ -10,8 +10,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"cinderroad/internal/control/client"
-	"cinderroad/internal/control/status"
+	"cinderroad/internal/system/control/client"
+	"cinderroad/internal/system/control/status"
 )
 
 // Bounds of how long one control machine is asked for its status, once another one has answered.
--- a/cmd/cinderroad-agent/main.go
+++ b/cmd/cinderroad-agent/main.go
@@ -7,9 +7,9 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"cinderroad/internal/agent"
-	"cinderroad/internal/environment"
-	"cinderroad/internal/startup"
+	"cinderroad/internal/system/agent"
+	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/startup"
 )
 
 func main() {
--- a/cmd/cinderroad-control/main.go
+++ b/cmd/cinderroad-control/main.go
@@ -8,9 +8,9 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"cinderroad/internal/control"
-	"cinderroad/internal/environment"
-	"cinderroad/internal/startup"
+	"cinderroad/internal/system/control"
+	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/startup"
 )
 
 func main() {
--- a/cmd/cinderroad/audit.go
+++ b/cmd/cinderroad-dispatcher/audit.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"cinderroad/internal/audit"
+	"cinderroad/internal/dispatcher/requestaudit"
 )
 
 func auditCommand() *cobra.Command {
--- a/cmd/cinderroad/figures.go
+++ b/cmd/cinderroad-dispatcher/figures.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"cinderroad/internal/program"
+	"cinderroad/internal/dispatcher/server"
 )
 
 func figuresCommand() *cobra.Command {
--- a/cmd/cinderroad/fleet.go
+++ b/cmd/cinderroad-dispatcher/fleet.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"cinderroad/internal/fleet"
+	"cinderroad/internal/dispatcher/cluster"
 )
 
 const (
--- a/cmd/cinderroad/fleet_audit.go
+++ b/cmd/cinderroad-dispatcher/fleet_audit.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"cinderroad/internal/fleet/ledger"
+	"cinderroad/internal/dispatcher/cluster/auditlog"
 )
 
 const (
--- a/cmd/cinderroad/fleet_test.go
+++ b/cmd/cinderroad-dispatcher/fleet_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"cinderroad/internal/fleet"
-	list "cinderroad/internal/fleet/versions"
+	"cinderroad/internal/dispatcher/cluster"
+	list "cinderroad/internal/dispatcher/cluster/versions"
 )
 
 // member stands in for the second address of a dispatcher.
--- a/cmd/cinderroad/main_test.go
+++ b/cmd/cinderroad-dispatcher/main_test.go
@@ -51,7 +51,7 @@
 		}
 		return path
 	}
-	example := "../../internal/program/example.json"
+	example := "../../internal/dispatcher/server/example.json"
 	out, err := call("check", "-config", example, "-operator", file("o.toml", "[graphite]\naddress = \"127.0.0.1:2003\"\n[request_log]\npath = \"r.log\"\n"))
 	for _, want := range []string{"dispatcher-1", "127.0.0.1:2003", filepath.Join(dir, "r.log"), "report, charge"} {
 		if err != nil || !strings.Contains(out, want) {
--- a/cmd/cinderroad/serve.go
+++ b/cmd/cinderroad-dispatcher/serve.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"cinderroad/internal/program"
+	"cinderroad/internal/dispatcher/server"
 )
 
 // linesPerSecond is how often one message is logged within a second.
--- a/cmd/cinderroad-emulator/day.go
+++ b/cmd/cinderroad-emulator/day.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"cinderroad/internal/emulator"
-	"cinderroad/internal/experiment"
+	"cinderroad/internal/system/emulator"
+	"cinderroad/internal/system/policysim"
 )
 
 // day serves a short day.
--- a/cmd/cinderroad-emulator/policies.go
+++ b/cmd/cinderroad-emulator/policies.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"cinderroad/internal/experiment"
+	"cinderroad/internal/system/policysim"
 )
 
 // policies compares placement policies.
--- a/cmd/cinderroad-proxy/main.go
+++ b/cmd/cinderroad-proxy/main.go
@@ -15,14 +15,14 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"cinderroad/internal/environment"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/placement"
-	"cinderroad/internal/proxy"
-	"cinderroad/internal/proxy/uplink"
-	"cinderroad/internal/retry"
-	"cinderroad/internal/startup"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/placement"
+	"cinderroad/internal/system/proxy"
+	"cinderroad/internal/system/proxy/agentclient"
+	"cinderroad/internal/system/retry"
+	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/startup"
 )
 
 const (
--- a/cmd/cinderroad-proxy/main_test.go
+++ b/cmd/cinderroad-proxy/main_test.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/startup"
+	"cinderroad/internal/system/startup"
 )
 
 // TestSignalDuringTheStart has the platform say that the settings have changed while the process still reads them: the
--- a/cmd/benchlink/main.go
+++ b/cmd/cinderroad-simserver/main.go
@@ -9,7 +9,7 @@
 	"io"
 	"os"
 
-	"cinderroad/internal/wire"
+	"cinderroad/internal/dispatcher/simwire"
 )
 
 func main() {
--- a/rpcplugin/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -15,8 +15,8 @@
 	"google.golang.org/grpc/serviceconfig"
 	"google.golang.org/grpc/status"
 
-	"cinderroad/brain"
-	"cinderroad/internal/routing"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/loadbalancer"
 )
 
 const balancerName = "cinderroad"
--- a/rpcplugin/figures.go
+++ b/grpcbalancer/figures.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"cinderroad/internal/telemetry"
+	"cinderroad/internal/dispatcher/telemetry"
 )
 
 // FigureOptions turn a Dispatcher's figures on.
--- a/rpcplugin/figures_test.go
+++ b/grpcbalancer/figures_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"cinderroad/brain"
+	"cinderroad/loadbalancer"
 )
 
 // The plug-in's figures are the daemon's, under the same names, for its own traffic; totals go on, latencies begin anew.
--- a/rpcplugin/rpcplugin.go
+++ b/grpcbalancer/rpcplugin.go
@@ -22,9 +22,9 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"cinderroad/brain"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/telemetry"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/dispatcher/telemetry"
+	"cinderroad/loadbalancer"
 )
 
 // Trailers that a server may set.
--- a/rpcplugin/rpcplugin_test.go
+++ b/grpcbalancer/rpcplugin_test.go
@@ -20,7 +20,7 @@
 	"google.golang.org/grpc/resolver/manual"
 	"google.golang.org/grpc/status"
 
-	"cinderroad/brain"
+	"cinderroad/loadbalancer"
 )
 
 const method = "/grpc.health.v1.Health/Check"
--- a/internal/console/console.go
+++ b/internal/dispatcher/admin/console.go
@@ -13,8 +13,8 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/protocol/platform"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/httpfront"
+	"cinderroad/internal/shared/eventloop"
 )
 
 const (
--- a/internal/protocol/door/door.go
+++ b/internal/dispatcher/admission/door.go
@@ -5,7 +5,7 @@
 import (
 	"net/netip"
 
-	"cinderroad/internal/transport"
+	"cinderroad/internal/shared/eventloop"
 )
 
 const (
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/dispatcher/cluster/auditlog/ledger.go
@@ -6,7 +6,7 @@
 	"encoding/json"
 	"strconv"
 
-	"cinderroad/internal/linelog"
+	"cinderroad/internal/dispatcher/linelog"
 )
 
 // What an entry tells.
--- a/internal/fleet/fleet.go
+++ b/internal/dispatcher/cluster/fleet.go
@@ -12,11 +12,11 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
-	"cinderroad/internal/fleet/divisor"
-	"cinderroad/internal/fleet/lease"
-	"cinderroad/internal/fleet/membership"
-	"cinderroad/internal/fleet/versions"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/cluster/quota"
+	"cinderroad/internal/dispatcher/cluster/versions"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/shared/lease"
+	"cinderroad/internal/shared/membership"
 )
 
 const (
--- a/internal/fleet/copies/care.go
+++ b/internal/dispatcher/cluster/jobreplica/care.go
@@ -5,7 +5,7 @@
 	"errors"
 	"slices"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 // closeBehind is by how many entries a new copy may be behind as it begins to count.
--- a/internal/fleet/copies/copies.go
+++ b/internal/dispatcher/cluster/jobreplica/copies.go
@@ -1,5 +1,5 @@
 // Package copies has several members hold the same state for the fleet: what a majority of them has agreed is there for
-// good. The agreement is internal/consensus; here are who the copies are, lives without a disk, proposals made at any copy,
+// good. The agreement is internal/system/consensus; here are who the copies are, lives without a disk, proposals made at any copy,
 // and bounds. Pure: no I/O, no clock, random numbers from a seed; the same input gives the same output.
 package copies
 
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 // Member is a life of a member that may hold a copy.
--- a/internal/fleet/copies/copies_test.go
+++ b/internal/dispatcher/cluster/jobreplica/copies_test.go
@@ -10,9 +10,9 @@
 	"strings"
 	"testing"
 
-	"cinderroad/internal/fleet/copies"
-	"cinderroad/internal/fleet/promises"
-	"cinderroad/internal/standin/mutate"
+	"cinderroad/internal/dispatcher/cluster/jobreplica"
+	"cinderroad/internal/dispatcher/cluster/jobstate"
+	"cinderroad/internal/testkit/mutate"
 )
 
 var (
@@ -389,7 +389,7 @@
 
 // Every problem has a code and a word for operators, and both stand on their page.
 func TestEveryProblemIsOnThePage(t *testing.T) {
-	page, err := os.ReadFile("../../../docs/promises.md")
+	page, err := os.ReadFile("../../../../docs/promises.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/copies/cost_test.go
+++ b/internal/dispatcher/cluster/jobreplica/cost_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"cinderroad/internal/fleet/copies"
-	"cinderroad/internal/fleet/promises"
+	"cinderroad/internal/dispatcher/cluster/jobreplica"
+	"cinderroad/internal/dispatcher/cluster/jobstate"
 )
 
 // BenchmarkAgree is what one promise costs all its copies together: taken by the leader, in datagrams, until each has applied it.
--- a/internal/fleet/copies/envelope.go
+++ b/internal/dispatcher/cluster/jobreplica/envelope.go
@@ -5,7 +5,7 @@
 	"errors"
 	"fmt"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 // kind says what a message between copies is, in its first byte.
--- a/internal/fleet/copies/envelope_test.go
+++ b/internal/dispatcher/cluster/jobreplica/envelope_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 var errUnreadable = errors.New("unreadable")
--- a/internal/fleet/copies/export_test.go
+++ b/internal/dispatcher/cluster/jobreplica/export_test.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 // Forge makes other valid datagrams of one that holds a whole message, their checksums right: what a copy that lies could
--- a/internal/fleet/copies/wire.go
+++ b/internal/dispatcher/cluster/jobreplica/wire.go
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cinderroad/internal/fleet/membership"
+	"cinderroad/internal/shared/membership"
 )
 
 // Format is the number of the datagrams' form; 1 carried another agreement's messages.
--- a/internal/fleet/copies/world_test.go
+++ b/internal/dispatcher/cluster/jobreplica/world_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cinderroad/internal/fleet/copies"
-	"cinderroad/internal/fleet/promises"
-	"cinderroad/internal/standin/agenda"
-	"cinderroad/internal/standin/mutate"
+	"cinderroad/internal/dispatcher/cluster/jobreplica"
+	"cinderroad/internal/dispatcher/cluster/jobstate"
+	"cinderroad/internal/testkit/eventqueue"
+	"cinderroad/internal/testkit/mutate"
 )
 
 // world is members that hold promises together, over virtual time: the real machines, everything else drawn from a seed. Parties hand in jobs at
--- a/internal/fleet/promises/command.go
+++ b/internal/dispatcher/cluster/jobstate/command.go
@@ -6,7 +6,7 @@
 	"errors"
 	"fmt"
 
-	"cinderroad/internal/fleet/membership"
+	"cinderroad/internal/shared/membership"
 )
 
 // Form is the number of the commands' form. A copy that meets a newer one cannot tell what the others make of it, and stops.
--- a/internal/fleet/promises/promises_test.go
+++ b/internal/dispatcher/cluster/jobstate/promises_test.go
@@ -177,7 +177,7 @@
 
 // Every problem has a code and a word for operators, and both stand on their page.
 func TestEveryProblemIsOnThePage(t *testing.T) {
-	page, err := os.ReadFile("../../../docs/promises.md")
+	page, err := os.ReadFile("../../../../docs/promises.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/promises/state.go
+++ b/internal/dispatcher/cluster/jobstate/state.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cinderroad/internal/fleet/membership"
+	"cinderroad/internal/shared/membership"
 )
 
 // JobState is how far a job is.
--- a/internal/fleet/divisor/crowd_test.go
+++ b/internal/dispatcher/cluster/quota/crowd_test.go
@@ -6,10 +6,10 @@
 	"slices"
 	"testing"
 
-	"cinderroad/brain"
-	"cinderroad/internal/fleet/divisor"
-	"cinderroad/internal/fleet/membership"
-	"cinderroad/internal/standin/virtual"
+	"cinderroad/internal/dispatcher/cluster/quota"
+	"cinderroad/internal/shared/membership"
+	"cinderroad/internal/testkit/virtualcluster"
+	"cinderroad/loadbalancer"
 )
 
 // settings are those of one class whose jobs fit a cold worker's share many times over.
--- a/internal/fleet/divisor/divisor.go
+++ b/internal/dispatcher/cluster/quota/divisor.go
@@ -22,7 +22,7 @@
 	"slices"
 	"strconv"
 
-	"cinderroad/internal/fleet/membership"
+	"cinderroad/internal/shared/membership"
 )
 
 const (
--- a/internal/fleet/status.go
+++ b/internal/dispatcher/cluster/status.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strings"
 
-	"cinderroad/internal/fleet/membership"
-	"cinderroad/internal/fleet/versions"
+	"cinderroad/internal/dispatcher/cluster/versions"
+	"cinderroad/internal/shared/membership"
 )
 
 func digest(d uint64) string { return fmt.Sprintf("%016x", d) }
--- a/internal/fleet/versions/fleet_test.go
+++ b/internal/dispatcher/cluster/versions/fleet_test.go
@@ -6,9 +6,9 @@
 	"slices"
 	"testing"
 
-	"cinderroad/internal/fleet/membership"
-	"cinderroad/internal/fleet/versions"
-	"cinderroad/internal/standin/virtual"
+	"cinderroad/internal/dispatcher/cluster/versions"
+	"cinderroad/internal/shared/membership"
+	"cinderroad/internal/testkit/virtualcluster"
 )
 
 var large = flag.Bool("fleet.large", false, "fleets of 300 and 1,000, too, and more seeds")
--- a/internal/fleet/versions/hard_test.go
+++ b/internal/dispatcher/cluster/versions/hard_test.go
@@ -7,10 +7,10 @@
 	"slices"
 	"testing"
 
-	"cinderroad/internal/fleet/lease"
-	"cinderroad/internal/fleet/membership"
-	"cinderroad/internal/fleet/versions"
-	"cinderroad/internal/standin/virtual"
+	"cinderroad/internal/dispatcher/cluster/versions"
+	"cinderroad/internal/shared/lease"
+	"cinderroad/internal/shared/membership"
+	"cinderroad/internal/testkit/virtualcluster"
 )
 
 // skewed is a Board whose clock is off: of a member whose machine's is.
--- a/internal/fleet/versions/lease_test.go
+++ b/internal/dispatcher/cluster/versions/lease_test.go
@@ -6,10 +6,10 @@
 	"slices"
 	"testing"
 
-	"cinderroad/internal/fleet/lease"
-	"cinderroad/internal/fleet/membership"
-	"cinderroad/internal/fleet/versions"
-	"cinderroad/internal/standin/virtual"
+	"cinderroad/internal/dispatcher/cluster/versions"
+	"cinderroad/internal/shared/lease"
+	"cinderroad/internal/shared/membership"
+	"cinderroad/internal/testkit/virtualcluster"
 )
 
 var (
--- a/internal/fleet/versions/ride.go
+++ b/internal/dispatcher/cluster/versions/ride.go
@@ -7,7 +7,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"cinderroad/internal/fleet/membership"
+	"cinderroad/internal/shared/membership"
 )
 
 // This file is what goes along with the membership's messages, and how it is read.
--- a/internal/fleet/versions/standing.go
+++ b/internal/dispatcher/cluster/versions/standing.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"cinderroad/internal/fleet/lease"
-	"cinderroad/internal/fleet/membership"
+	"cinderroad/internal/shared/lease"
+	"cinderroad/internal/shared/membership"
 )
 
 // Judge has the lease judged by what is known here and in the view, and says whether it is another than before.
--- a/internal/fleet/versions/versions.go
+++ b/internal/dispatcher/cluster/versions/versions.go
@@ -12,7 +12,7 @@
 	"maps"
 	"slices"
 
-	"cinderroad/internal/fleet/lease"
+	"cinderroad/internal/shared/lease"
 )
 
 // List is a version of the list. Versions of two sources, or of two lines of descent of one, do not compare.
--- a/internal/fleet/versions/word_test.go
+++ b/internal/dispatcher/cluster/versions/word_test.go
@@ -6,8 +6,8 @@
 	"math"
 	"testing"
 
-	"cinderroad/internal/fleet/lease"
-	"cinderroad/internal/fleet/membership"
+	"cinderroad/internal/shared/lease"
+	"cinderroad/internal/shared/membership"
 )
 
 // A word of discovery counts once, at its first coming: told in circles for ever it renews nothing.
--- a/internal/routing/actions.go
+++ b/internal/dispatcher/dispatch/actions.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 
-	"cinderroad/brain"
-	"cinderroad/internal/invariant"
+	"cinderroad/internal/shared/invariant"
+	"cinderroad/loadbalancer"
 )
 
 // actions carries out the Balancer's decisions.
--- a/internal/routing/exclude.go
+++ b/internal/dispatcher/dispatch/exclude.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"cinderroad/brain"
+	"cinderroad/loadbalancer"
 )
 
 // mostOut bounds how many members may be excluded at once.
--- a/internal/routing/observe.go
+++ b/internal/dispatcher/dispatch/observe.go
@@ -1,7 +1,7 @@
 package routing
 
 import (
-	"cinderroad/brain"
+	"cinderroad/loadbalancer"
 )
 
 // drainGrace is how long after a drain was told new work may still start, in seconds.
--- a/internal/routing/observe_test.go
+++ b/internal/dispatcher/dispatch/observe_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"cinderroad/brain"
+	"cinderroad/loadbalancer"
 )
 
 // notes is an observer that keeps all it hears.
--- a/internal/routing/routing.go
+++ b/internal/dispatcher/dispatch/routing.go
@@ -9,9 +9,9 @@
 	"hash/fnv"
 	"math"
 
-	"cinderroad/brain"
-	"cinderroad/internal/invariant"
-	"cinderroad/internal/slots"
+	"cinderroad/internal/shared/invariant"
+	"cinderroad/internal/shared/slotmap"
+	"cinderroad/loadbalancer"
 )
 
 // Stop withdraws a deadline.
--- a/internal/routing/routing_test.go
+++ b/internal/dispatcher/dispatch/routing_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"cinderroad/brain"
+	"cinderroad/loadbalancer"
 )
 
 // bench is a core with a scripted clock, one asker and scripted backends.
--- a/internal/routing/withhold.go
+++ b/internal/dispatcher/dispatch/withhold.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"cinderroad/brain"
+	"cinderroad/loadbalancer"
 )
 
 // Held says how a member is to be taken although its own list says more of it: others know a newer version.
--- a/internal/metrics/collectd.go
+++ b/internal/dispatcher/exporter/collectd.go
@@ -8,8 +8,8 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/telemetry"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/telemetry"
+	"cinderroad/internal/shared/eventloop"
 )
 
 // mostUnanswered is how many lines may wait for collectd's answers: it reads a line, dispatches it, answers, and only
--- a/internal/metrics/feed.go
+++ b/internal/dispatcher/exporter/feed.go
@@ -10,9 +10,9 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/spool"
-	"cinderroad/internal/telemetry"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/spool"
+	"cinderroad/internal/dispatcher/telemetry"
+	"cinderroad/internal/shared/eventloop"
 )
 
 const (
--- a/internal/metrics/graphite.go
+++ b/internal/dispatcher/exporter/graphite.go
@@ -10,8 +10,8 @@
 	ogorek "github.com/kisielk/og-rek"
 	"go.uber.org/zap"
 
-	"cinderroad/internal/telemetry"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/telemetry"
+	"cinderroad/internal/shared/eventloop"
 )
 
 const (
--- a/internal/metrics/metrics_test.go
+++ b/internal/dispatcher/exporter/metrics_test.go
@@ -11,11 +11,11 @@
 	"github.com/google/go-cmp/cmp"
 	"go.uber.org/zap"
 
-	"cinderroad/brain"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/standin"
-	"cinderroad/internal/telemetry"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/dispatcher/telemetry"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/testkit/receivers"
+	"cinderroad/loadbalancer"
 )
 
 // bench is a feed on a running loop whose periods end on cue.
--- a/internal/metrics/network.go
+++ b/internal/dispatcher/exporter/network.go
@@ -7,8 +7,8 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
-	"cinderroad/internal/telemetry"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/telemetry"
+	"cinderroad/internal/shared/eventloop"
 )
 
 // packetSize is how many bytes a packet has at most: what collectd's own network plug-in sends by default.
--- a/internal/metrics/packet.go
+++ b/internal/dispatcher/exporter/packet.go
@@ -12,7 +12,7 @@
 	"hash"
 	"math"
 
-	"cinderroad/internal/telemetry"
+	"cinderroad/internal/dispatcher/telemetry"
 )
 
 // The parts of collectd's binary protocol that are written here
--- a/internal/metrics/packet_test.go
+++ b/internal/dispatcher/exporter/packet_test.go
@@ -10,8 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"cinderroad/internal/standin"
-	"cinderroad/internal/telemetry"
+	"cinderroad/internal/dispatcher/telemetry"
+	"cinderroad/internal/testkit/receivers"
 )
 
 type password string
--- a/internal/protocol/gearman/admin.go
+++ b/internal/dispatcher/gearman/admin.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"cinderroad/internal/slots"
+	"cinderroad/internal/shared/slotmap"
 )
 
 // admin carries out a text command and returns what it prints.
--- a/internal/protocol/gearman/job.go
+++ b/internal/dispatcher/gearman/job.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	"cinderroad/internal/invariant"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/shared/invariant"
 )
 
 // job is what clients submitted, and what all who submitted the same unique id share.
--- a/internal/protocol/gearman/peer.go
+++ b/internal/dispatcher/gearman/peer.go
@@ -9,9 +9,9 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/protocol/door"
-	"cinderroad/internal/slots"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/admission"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/shared/slotmap"
 )
 
 // peer is a connection: a client session, a worker, an administrator, or all of them.
--- a/internal/protocol/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -6,11 +6,11 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/brain"
-	"cinderroad/internal/protocol/door"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/slots"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/admission"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/shared/slotmap"
+	"cinderroad/loadbalancer"
 )
 
 // Counts are the front's figures since the start. Every job created ends once, under one of the verdicts.
--- a/internal/protocol/gearman/worker.go
+++ b/internal/dispatcher/gearman/worker.go
@@ -8,9 +8,9 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/brain"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/loadbalancer"
 )
 
 // noSkill is a skill that no job needs. Every Gearman worker has it, so that none of them, whatever else it
--- a/internal/handover/handover.go
+++ b/internal/dispatcher/handover/handover.go
@@ -8,7 +8,7 @@
 	"errors"
 	"fmt"
 
-	"cinderroad/internal/transport"
+	"cinderroad/internal/shared/eventloop"
 )
 
 // Version is of the frames and their bodies. Another version's process is no heir and no predecessor.
--- a/internal/protocol/platform/backend.go
+++ b/internal/dispatcher/httpfront/backend.go
@@ -5,8 +5,8 @@
 	"math"
 	"net/netip"
 
-	"cinderroad/brain"
-	"cinderroad/internal/routing"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/loadbalancer"
 )
 
 func (b *backend) closeIdle() {
--- a/internal/protocol/platform/bodies.go
+++ b/internal/dispatcher/httpfront/bodies.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"cinderroad/brain"
+	"cinderroad/loadbalancer"
 )
 
 // News is a call-back of a runner.
--- a/internal/protocol/platform/director.go
+++ b/internal/dispatcher/httpfront/director.go
@@ -15,9 +15,9 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/brain"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/loadbalancer"
 )
 
 const (
--- a/internal/protocol/platform/director_test.go
+++ b/internal/dispatcher/httpfront/director_test.go
@@ -9,9 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 	"go.uber.org/zap"
 
-	"cinderroad/brain"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/loadbalancer"
 )
 
 // Guards against dispatchers that fail together asking together again, against one that asks a discovery without room
--- a/internal/protocol/platform/front.go
+++ b/internal/dispatcher/httpfront/front.go
@@ -8,12 +8,12 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/brain"
-	"cinderroad/internal/httpwire"
-	"cinderroad/internal/protocol/door"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/slots"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/admission"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/shared/httpwire"
+	"cinderroad/internal/shared/slotmap"
+	"cinderroad/loadbalancer"
 )
 
 const (
--- a/internal/protocol/platform/handover.go
+++ b/internal/dispatcher/httpfront/handover.go
@@ -1,8 +1,8 @@
 package platform
 
 import (
-	"cinderroad/internal/slots"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/shared/slotmap"
 )
 
 // State is what a client session has shown, for the process that takes it over.
--- a/internal/protocol/platform/http.go
+++ b/internal/dispatcher/httpfront/http.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"strings"
 
-	"cinderroad/internal/httpwire"
+	"cinderroad/internal/shared/httpwire"
 )
 
 // Bounds of a message.
--- a/internal/protocol/platform/link.go
+++ b/internal/dispatcher/httpfront/link.go
@@ -6,9 +6,9 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/brain"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/loadbalancer"
 )
 
 // link is a connection to a backend.
--- a/internal/protocol/platform/pool.go
+++ b/internal/dispatcher/httpfront/pool.go
@@ -5,9 +5,9 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/brain"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/loadbalancer"
 )
 
 // Call is a client's job in the platform's form.
--- a/internal/protocol/platform/session.go
+++ b/internal/dispatcher/httpfront/session.go
@@ -9,10 +9,10 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/protocol/door"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/slots"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/admission"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/shared/slotmap"
 )
 
 // session is a client session.
--- a/internal/operator/fleet.go
+++ b/internal/dispatcher/operatorconfig/fleet.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"net/netip"
 
-	"cinderroad/internal/fleet/lease"
+	"cinderroad/internal/shared/lease"
 )
 
 // Fleet is how the dispatcher is a member of its fleet.
--- a/internal/audit/audit.go
+++ b/internal/dispatcher/requestaudit/audit.go
@@ -13,8 +13,8 @@
 	"strings"
 	"text/tabwriter"
 
-	"cinderroad/internal/requestlog"
-	"cinderroad/internal/telemetry"
+	"cinderroad/internal/dispatcher/requestlog"
+	"cinderroad/internal/dispatcher/telemetry"
 )
 
 // Key names a total.
--- a/internal/requestlog/requestlog.go
+++ b/internal/dispatcher/requestlog/requestlog.go
@@ -9,10 +9,10 @@
 	"io"
 	"strconv"
 
-	"cinderroad/brain"
-	"cinderroad/internal/linelog"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/telemetry"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/dispatcher/linelog"
+	"cinderroad/internal/dispatcher/telemetry"
+	"cinderroad/loadbalancer"
 )
 
 // FlushEvery is how long a line may wait before it goes to the writer, in seconds.
--- a/internal/requestlog/requestlog_test.go
+++ b/internal/dispatcher/requestlog/requestlog_test.go
@@ -13,9 +13,9 @@
 	"golang.org/x/sys/unix"
 	"pgregory.net/rapid"
 
-	"cinderroad/brain"
-	"cinderroad/internal/linelog"
-	"cinderroad/internal/routing"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/dispatcher/linelog"
+	"cinderroad/loadbalancer"
 )
 
 func final(id string) *routing.Final {
--- a/internal/program/config.go
+++ b/internal/dispatcher/server/config.go
@@ -8,11 +8,11 @@
 	"os"
 	"strconv"
 
-	"cinderroad/brain"
-	"cinderroad/internal/operator"
-	"cinderroad/internal/protocol/gearman"
-	"cinderroad/internal/protocol/platform"
-	"cinderroad/internal/settings"
+	"cinderroad/internal/dispatcher/gearman"
+	"cinderroad/internal/dispatcher/httpfront"
+	"cinderroad/internal/dispatcher/operatorconfig"
+	"cinderroad/internal/dispatcher/settings"
+	"cinderroad/loadbalancer"
 )
 
 // Config is what a dispatcher is told at its start.
--- a/internal/program/describe.go
+++ b/internal/dispatcher/server/describe.go
@@ -9,7 +9,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"cinderroad/internal/telemetry"
+	"cinderroad/internal/dispatcher/telemetry"
 )
 
 // Example is a configuration that serves without a discovery: one data centre, two classes.
--- a/internal/program/figures.go
+++ b/internal/dispatcher/server/figures.go
@@ -4,11 +4,11 @@
 	"math"
 	"runtime/metrics"
 
-	"cinderroad/brain"
-	"cinderroad/internal/invariant"
-	"cinderroad/internal/protocol/gearman"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/telemetry"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/dispatcher/gearman"
+	"cinderroad/internal/dispatcher/telemetry"
+	"cinderroad/internal/shared/invariant"
+	"cinderroad/loadbalancer"
 )
 
 // adder adds figures to a set.
--- a/internal/program/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -9,12 +9,12 @@
 	"github.com/cespare/xxhash/v2"
 	"go.uber.org/zap"
 
-	"cinderroad/brain"
-	"cinderroad/internal/fleet"
-	"cinderroad/internal/fleet/divisor"
-	"cinderroad/internal/fleet/ledger"
-	"cinderroad/internal/fleet/membership"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/cluster"
+	"cinderroad/internal/dispatcher/cluster/auditlog"
+	"cinderroad/internal/dispatcher/cluster/quota"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/shared/membership"
+	"cinderroad/loadbalancer"
 )
 
 // factsEvery is how often what is told of this dispatcher is looked at, in seconds.
--- a/internal/program/fleet_audit_test.go
+++ b/internal/dispatcher/server/fleet_audit_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/fleet/ledger"
-	"cinderroad/internal/standin"
-	"cinderroad/internal/standin/rig"
+	"cinderroad/internal/dispatcher/cluster/auditlog"
+	"cinderroad/internal/testkit/processcluster"
+	"cinderroad/internal/testkit/receivers"
 )
 
 // runAudit runs the operators' command on files.
--- a/internal/program/fleet_console.go
+++ b/internal/dispatcher/server/fleet_console.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/console"
+	"cinderroad/internal/dispatcher/admin"
 )
 
 // showFleet answers GET /api/fleet.
--- a/internal/program/fleet_cost_test.go
+++ b/internal/dispatcher/server/fleet_cost_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/standin/rig"
+	"cinderroad/internal/testkit/processcluster"
 )
 
 var (
--- a/internal/program/fleet_figures.go
+++ b/internal/dispatcher/server/fleet_figures.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 
-	"cinderroad/internal/fleet"
-	"cinderroad/internal/telemetry"
+	"cinderroad/internal/dispatcher/cluster"
+	"cinderroad/internal/dispatcher/telemetry"
 )
 
 // addFleet adds the figures of the fleet; none are told while the section is off.
--- a/internal/program/fleet_reload.go
+++ b/internal/dispatcher/server/fleet_reload.go
@@ -1,10 +1,10 @@
 package program
 
 import (
-	"cinderroad/internal/fleet"
-	"cinderroad/internal/fleet/divisor"
-	"cinderroad/internal/fleet/ledger"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/cluster"
+	"cinderroad/internal/dispatcher/cluster/auditlog"
+	"cinderroad/internal/dispatcher/cluster/quota"
+	"cinderroad/internal/shared/eventloop"
 )
 
 // fleetChange is what a reload would change of the fleet.
--- a/internal/program/fleet_sleep.go
+++ b/internal/dispatcher/server/fleet_sleep.go
@@ -3,8 +3,8 @@
 import (
 	"go.uber.org/zap"
 
-	"cinderroad/internal/fleet/lease"
-	"cinderroad/internal/fleet/ledger"
+	"cinderroad/internal/dispatcher/cluster/auditlog"
+	"cinderroad/internal/shared/lease"
 )
 
 const (
--- a/internal/program/fleet_test.go
+++ b/internal/dispatcher/server/fleet_test.go
@@ -15,9 +15,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cinderroad/internal/fleet/membership"
-	"cinderroad/internal/standin"
-	"cinderroad/internal/standin/rig"
+	"cinderroad/internal/shared/membership"
+	"cinderroad/internal/testkit/processcluster"
+	"cinderroad/internal/testkit/receivers"
 )
 
 var fleetN = flag.Int("fleet.n", 5, "processes of a fleet test")
--- a/internal/program/fleet_versions.go
+++ b/internal/dispatcher/server/fleet_versions.go
@@ -5,11 +5,11 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/brain"
-	"cinderroad/internal/fleet/ledger"
-	"cinderroad/internal/fleet/versions"
-	"cinderroad/internal/protocol/platform"
-	"cinderroad/internal/routing"
+	"cinderroad/internal/dispatcher/cluster/auditlog"
+	"cinderroad/internal/dispatcher/cluster/versions"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/dispatcher/httpfront"
+	"cinderroad/loadbalancer"
 )
 
 // keepVersions has what discovery tells kept for the fleet, from the list held now on.
--- a/internal/program/fleet_versions_test.go
+++ b/internal/dispatcher/server/fleet_versions_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/standin"
-	"cinderroad/internal/standin/rig"
+	"cinderroad/internal/testkit/processcluster"
+	"cinderroad/internal/testkit/receivers"
 )
 
 // withholds says whether a member holds a worker back on peers' words.
--- a/internal/program/gearman_test.go
+++ b/internal/dispatcher/server/gearman_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	gm "cinderroad/internal/protocol/gearman"
+	gm "cinderroad/internal/dispatcher/gearman"
 )
 
 const gearmanFile = `listen = %q
--- a/internal/program/ledger.go
+++ b/internal/dispatcher/server/ledger.go
@@ -8,11 +8,11 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/fleet"
-	"cinderroad/internal/fleet/ledger"
-	"cinderroad/internal/fleet/versions"
-	"cinderroad/internal/linelog"
-	"cinderroad/internal/operator"
+	"cinderroad/internal/dispatcher/cluster"
+	"cinderroad/internal/dispatcher/cluster/auditlog"
+	"cinderroad/internal/dispatcher/cluster/versions"
+	"cinderroad/internal/dispatcher/linelog"
+	"cinderroad/internal/dispatcher/operatorconfig"
 )
 
 // ledgerFile is where the ledger stands and how large it may be; an empty path is none.
--- a/internal/program/metrics_test.go
+++ b/internal/dispatcher/server/metrics_test.go
@@ -5,7 +5,7 @@
 	"path/filepath"
 	"testing"
 
-	"cinderroad/internal/standin"
+	"cinderroad/internal/testkit/receivers"
 )
 
 // Both outputs in their forms, from the started program, by the short forms of the command line.
--- a/internal/program/operate.go
+++ b/internal/dispatcher/server/operate.go
@@ -13,8 +13,8 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/console"
-	"cinderroad/internal/routing"
+	"cinderroad/internal/dispatcher/admin"
+	"cinderroad/internal/dispatcher/dispatch"
 )
 
 // calls are what the staff can ask for at the second address.
--- a/internal/program/program.go
+++ b/internal/dispatcher/server/program.go
@@ -10,17 +10,17 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/console"
-	"cinderroad/internal/fleet"
-	"cinderroad/internal/fleet/ledger"
-	"cinderroad/internal/fleet/membership"
-	"cinderroad/internal/fleet/versions"
-	"cinderroad/internal/linelog"
-	"cinderroad/internal/protocol/door"
-	"cinderroad/internal/protocol/gearman"
-	"cinderroad/internal/protocol/platform"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/admin"
+	"cinderroad/internal/dispatcher/admission"
+	"cinderroad/internal/dispatcher/cluster"
+	"cinderroad/internal/dispatcher/cluster/auditlog"
+	"cinderroad/internal/dispatcher/cluster/versions"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/dispatcher/gearman"
+	"cinderroad/internal/dispatcher/httpfront"
+	"cinderroad/internal/dispatcher/linelog"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/shared/membership"
 )
 
 const (
--- a/internal/program/reload_test.go
+++ b/internal/dispatcher/server/reload_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	gm "cinderroad/internal/protocol/gearman"
+	gm "cinderroad/internal/dispatcher/gearman"
 )
 
 // Guards against a program that ends on SIGHUP, takes half of a bad file, goes on watching the address of its
--- a/internal/program/reporting.go
+++ b/internal/dispatcher/server/reporting.go
@@ -6,15 +6,15 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/brain"
-	"cinderroad/internal/handover"
-	"cinderroad/internal/metrics"
-	"cinderroad/internal/operator"
-	"cinderroad/internal/requestlog"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/spool"
-	"cinderroad/internal/telemetry"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/dispatcher/exporter"
+	"cinderroad/internal/dispatcher/handover"
+	"cinderroad/internal/dispatcher/operatorconfig"
+	"cinderroad/internal/dispatcher/requestlog"
+	"cinderroad/internal/dispatcher/spool"
+	"cinderroad/internal/dispatcher/telemetry"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/loadbalancer"
 )
 
 const (
--- a/internal/program/reporting_figures.go
+++ b/internal/dispatcher/server/reporting_figures.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 
-	"cinderroad/internal/metrics"
-	"cinderroad/internal/telemetry"
+	"cinderroad/internal/dispatcher/exporter"
+	"cinderroad/internal/dispatcher/telemetry"
 )
 
 // addReportingFigures adds the figures of the figures themselves.
--- a/internal/program/reporting_handover.go
+++ b/internal/dispatcher/server/reporting_handover.go
@@ -7,9 +7,9 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/handover"
-	"cinderroad/internal/spool"
-	"cinderroad/internal/telemetry"
+	"cinderroad/internal/dispatcher/handover"
+	"cinderroad/internal/dispatcher/spool"
+	"cinderroad/internal/dispatcher/telemetry"
 )
 
 // figuresMessage is what one process tells the next of what it has counted, as JSON.
--- a/internal/program/reporting_reload.go
+++ b/internal/dispatcher/server/reporting_reload.go
@@ -3,10 +3,10 @@
 import (
 	"fmt"
 
-	"cinderroad/internal/fleet/ledger"
-	"cinderroad/internal/metrics"
-	"cinderroad/internal/operator"
-	"cinderroad/internal/requestlog"
+	"cinderroad/internal/dispatcher/cluster/auditlog"
+	"cinderroad/internal/dispatcher/exporter"
+	"cinderroad/internal/dispatcher/operatorconfig"
+	"cinderroad/internal/dispatcher/requestlog"
 )
 
 // reportingChange is what a reload would change.
--- a/internal/program/reporting_test.go
+++ b/internal/dispatcher/server/reporting_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
-	gm "cinderroad/internal/protocol/gearman"
-	"cinderroad/internal/requestlog"
-	"cinderroad/internal/standin"
+	gm "cinderroad/internal/dispatcher/gearman"
+	"cinderroad/internal/dispatcher/requestlog"
+	"cinderroad/internal/testkit/receivers"
 )
 
 // staff is what operators have beside the dispatchers: a carbon, a collectd, and a folder for each dispatcher.
--- a/internal/program/rude_test.go
+++ b/internal/dispatcher/server/rude_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	gm "cinderroad/internal/protocol/gearman"
+	gm "cinderroad/internal/dispatcher/gearman"
 )
 
 // until reads what a connection brings to its end.
--- a/internal/program/upgrade.go
+++ b/internal/dispatcher/server/upgrade.go
@@ -9,11 +9,11 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
-	"cinderroad/brain"
-	"cinderroad/internal/handover"
-	"cinderroad/internal/protocol/platform"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/dispatcher/handover"
+	"cinderroad/internal/dispatcher/httpfront"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/loadbalancer"
 )
 
 const (
--- a/internal/program/upgrade_test.go
+++ b/internal/dispatcher/server/upgrade_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/handover"
-	gm "cinderroad/internal/protocol/gearman"
+	gm "cinderroad/internal/dispatcher/gearman"
+	"cinderroad/internal/dispatcher/handover"
 )
 
 // held is a listening socket that somebody else holds, as a platform does over an upgrade.
--- a/internal/program/world_test.go
+++ b/internal/dispatcher/server/world_test.go
@@ -21,8 +21,8 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/invariant"
-	"cinderroad/internal/standin"
+	"cinderroad/internal/shared/invariant"
+	"cinderroad/internal/testkit/receivers"
 )
 
 var program string
@@ -37,7 +37,7 @@
 	if invariant.Fatal {
 		args = append(args, "-tags", "debug")
 	}
-	if out, err := exec.Command("go", append(args, "cinderroad/cmd/cinderroad")...).CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", append(args, "cinderroad/cmd/cinderroad-dispatcher")...).CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 	code := m.Run()
--- a/internal/settings/settings.go
+++ b/internal/dispatcher/settings/settings.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"fmt"
 
-	"cinderroad/brain"
+	"cinderroad/loadbalancer"
 )
 
 // settingsDoc mirrors the keys of the settings JSON that the decisions use; others are ignored.
--- a/internal/settings/settings_test.go
+++ b/internal/dispatcher/settings/settings_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"cinderroad/brain"
+	"cinderroad/loadbalancer"
 )
 
 // Guards against a fleet size or place that makes no sense being taken, or refused without the name that it has in the
--- a/internal/wire/wire.go
+++ b/internal/dispatcher/simwire/wire.go
@@ -9,8 +9,8 @@
 	"io"
 	"math"
 
-	"cinderroad/brain"
-	"cinderroad/internal/settings"
+	"cinderroad/internal/dispatcher/settings"
+	"cinderroad/loadbalancer"
 )
 
 // Codes of events.
--- a/internal/wire/wire_test.go
+++ b/internal/dispatcher/simwire/wire_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"cinderroad/brain"
-	"cinderroad/internal/settings"
+	"cinderroad/internal/dispatcher/settings"
+	"cinderroad/loadbalancer"
 )
 
 const settingsText = `{"categories":[
--- a/internal/spool/spool.go
+++ b/internal/dispatcher/spool/spool.go
@@ -24,7 +24,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cinderroad/internal/telemetry"
+	"cinderroad/internal/dispatcher/telemetry"
 )
 
 const (
--- a/internal/spool/spool_test.go
+++ b/internal/dispatcher/spool/spool_test.go
@@ -12,9 +12,9 @@
 	"github.com/google/go-cmp/cmp"
 	"golang.org/x/sys/unix"
 
-	"cinderroad/brain"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/telemetry"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/dispatcher/telemetry"
+	"cinderroad/loadbalancer"
 )
 
 func fail(t *testing.T) func(error) { return func(err error) { t.Error(err) } }
--- a/internal/telemetry/classes.go
+++ b/internal/dispatcher/telemetry/classes.go
@@ -1,8 +1,8 @@
 package telemetry
 
 import (
-	"cinderroad/brain"
-	"cinderroad/internal/routing"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/loadbalancer"
 )
 
 // ResultNames are the ends of attempts as the figures name them.
--- a/internal/telemetry/nodes.go
+++ b/internal/dispatcher/telemetry/nodes.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"strings"
 
-	"cinderroad/brain"
-	"cinderroad/internal/routing"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/loadbalancer"
 )
 
 // The figures of a node, in the order of their numbers from its first one on.
--- a/internal/telemetry/set.go
+++ b/internal/dispatcher/telemetry/set.go
@@ -4,7 +4,7 @@
 	"maps"
 	"math"
 
-	"cinderroad/brain"
+	"cinderroad/loadbalancer"
 )
 
 // Options say what a Set tells of.
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/dispatcher/telemetry/telemetry_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"cinderroad/brain"
-	"cinderroad/internal/routing"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/loadbalancer"
 )
 
 func newSet(o Options) *Set {
--- a/internal/transport/listener.go
+++ b/internal/shared/eventloop/listener.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"cinderroad/internal/slots"
+	"cinderroad/internal/shared/slotmap"
 )
 
 // Listener accepts connections.
--- a/internal/transport/loop.go
+++ b/internal/shared/eventloop/loop.go
@@ -9,7 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"cinderroad/internal/slots"
+	"cinderroad/internal/shared/slotmap"
 )
 
 const (
--- a/internal/transport/rights.go
+++ b/internal/shared/eventloop/rights.go
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"cinderroad/internal/slots"
+	"cinderroad/internal/shared/slotmap"
 )
 
 // mostRights is how many descriptors one read takes; a sender puts one at the head of each write.
--- a/internal/fleet/membership/machine_test.go
+++ b/internal/shared/membership/machine_test.go
@@ -12,8 +12,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"pgregory.net/rapid"
 
-	"cinderroad/internal/fleet/membership"
-	"cinderroad/internal/standin/virtual"
+	"cinderroad/internal/shared/membership"
+	"cinderroad/internal/testkit/virtualcluster"
 )
 
 var (
--- a/internal/fleet/membership/measure_test.go
+++ b/internal/shared/membership/measure_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/standin/virtual"
+	"cinderroad/internal/testkit/virtualcluster"
 )
 
 var (
@@ -137,7 +137,7 @@
 	return v[len(v)/2], v[len(v)-1]
 }
 
-// TestMeasure writes the table of the design note: go test ./internal/fleet/membership -run TestMeasure -timeout 2h -fleet.measure FILE
+// TestMeasure writes the table of the design note: go test ./internal/shared/membership -run TestMeasure -timeout 2h -fleet.measure FILE
 func TestMeasure(t *testing.T) {
 	if *measure == "" {
 		t.Skip("by hand, with -fleet.measure")
--- a/internal/fleet/membership/record.go
+++ b/internal/shared/membership/record.go
@@ -15,7 +15,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cinderroad/internal/fleet/lease"
+	"cinderroad/internal/shared/lease"
 )
 
 // State is what a member is held to be.
--- a/internal/fleet/membership/virtual_test.go
+++ b/internal/shared/membership/virtual_test.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"testing"
 
-	"cinderroad/internal/fleet/membership"
-	"cinderroad/internal/standin/virtual"
+	"cinderroad/internal/shared/membership"
+	"cinderroad/internal/testkit/virtualcluster"
 )
 
 var seed = flag.Uint64("fleet.seed", 0, "play this seed alone")
--- a/internal/agent/agent.go
+++ b/internal/system/agent/agent.go
@@ -17,17 +17,17 @@
 	"github.com/cespare/xxhash/v2"
 	"go.uber.org/zap"
 
-	"cinderroad/internal/agent/source"
-	"cinderroad/internal/agent/survey"
-	"cinderroad/internal/control/following"
-	"cinderroad/internal/discovery"
-	"cinderroad/internal/environment"
-	"cinderroad/internal/exposition"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/gossip"
-	"cinderroad/internal/retry"
-	"cinderroad/internal/rpc"
-	"cinderroad/internal/shutdown"
+	"cinderroad/internal/system/agent/fallback"
+	"cinderroad/internal/system/agent/follower"
+	"cinderroad/internal/system/control/feedserver"
+	"cinderroad/internal/system/discovery"
+	"cinderroad/internal/system/exposition"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/gossip"
+	"cinderroad/internal/system/retry"
+	"cinderroad/internal/system/rpc"
+	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/shutdown"
 )
 
 const (
--- a/internal/agent/agent_test.go
+++ b/internal/system/agent/agent_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/discovery"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/gossip"
+	"cinderroad/internal/system/discovery"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/gossip"
 )
 
 var errKilled = errors.New("killed by the test")
--- a/internal/agent/crowd.go
+++ b/internal/system/agent/crowd.go
@@ -8,9 +8,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cinderroad/internal/control/following"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/gossip"
+	"cinderroad/internal/system/control/feedserver"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/gossip"
 )
 
 // crowd has the proxy told at once when the other proxies are not those that it knows: shares of common budgets hang on
--- a/internal/agent/survey/survey.go
+++ b/internal/system/agent/fallback/survey.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/feed"
 )
 
 // State is what the agent does about the platform's list.
--- a/internal/agent/survey/survey_test.go
+++ b/internal/system/agent/fallback/survey_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/feed"
 )
 
 // one is a cut from the first partition of runners.
--- a/internal/agent/follower.go
+++ b/internal/system/agent/follower.go
@@ -7,11 +7,11 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/agent/source"
-	"cinderroad/internal/control/following"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/retry"
-	"cinderroad/internal/rpc"
+	"cinderroad/internal/system/agent/follower"
+	"cinderroad/internal/system/control/feedserver"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/retry"
+	"cinderroad/internal/system/rpc"
 )
 
 const (
--- a/internal/agent/source/partitions_test.go
+++ b/internal/system/agent/follower/partitions_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/feed"
 )
 
 const (
--- a/internal/agent/source/source.go
+++ b/internal/system/agent/follower/source.go
@@ -14,7 +14,7 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/feed"
 )
 
 // State is how the follower stands to the replicas.
--- a/internal/agent/source/source_test.go
+++ b/internal/system/agent/follower/source_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/feed"
 )
 
 const second = time.Second
--- a/internal/agent/metrics.go
+++ b/internal/system/agent/metrics.go
@@ -3,9 +3,9 @@
 import (
 	"strconv"
 
-	"cinderroad/internal/agent/reports"
-	"cinderroad/internal/exposition"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/agent/proxystatus"
+	"cinderroad/internal/system/exposition"
+	"cinderroad/internal/system/feed"
 )
 
 // expose writes the agent's own figures.
--- a/internal/agent/metrics_test.go
+++ b/internal/system/agent/metrics_test.go
@@ -4,8 +4,8 @@
 	"strings"
 	"testing"
 
-	"cinderroad/internal/exposition"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/exposition"
+	"cinderroad/internal/system/feed"
 )
 
 func TestFigures(t *testing.T) {
--- a/internal/agent/overlay/drained.go
+++ b/internal/system/agent/overlay/drained.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"cinderroad/internal/discovery"
+	"cinderroad/internal/system/discovery"
 )
 
 const (
--- a/internal/agent/overlay/overlay.go
+++ b/internal/system/agent/overlay/overlay.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/discovery"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/discovery"
+	"cinderroad/internal/system/feed"
 )
 
 const (
--- a/internal/agent/overlay/overlay_test.go
+++ b/internal/system/agent/overlay/overlay_test.go
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	"cinderroad/internal/discovery"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/discovery"
+	"cinderroad/internal/system/feed"
 )
 
 const partitions = 2
--- a/internal/agent/overlay/tables.go
+++ b/internal/system/agent/overlay/tables.go
@@ -10,8 +10,8 @@
 import (
 	"time"
 
-	"cinderroad/internal/discovery"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/discovery"
+	"cinderroad/internal/system/feed"
 )
 
 // Bits is how many bits of a served number count the agent's own changes.
--- a/internal/agent/platform.go
+++ b/internal/system/agent/platform.go
@@ -8,9 +8,9 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/agent/survey"
-	"cinderroad/internal/discovery"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/agent/fallback"
+	"cinderroad/internal/system/discovery"
+	"cinderroad/internal/system/feed"
 )
 
 const listTimeout = 3 * time.Second // of a whole list
--- a/internal/agent/proxy.go
+++ b/internal/system/agent/proxy.go
@@ -7,10 +7,10 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/agent/reports"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/gossip"
-	"cinderroad/internal/rpc"
+	"cinderroad/internal/system/agent/proxystatus"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/gossip"
+	"cinderroad/internal/system/rpc"
 )
 
 // ReportCall is the call by which a proxy reports to the agent of its machine, over loopback.
--- a/internal/agent/reports/reports.go
+++ b/internal/system/agent/proxystatus/reports.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/feed"
 )
 
 // State is what is told of the proxy.
--- a/internal/agent/reports/reports_test.go
+++ b/internal/system/agent/proxystatus/reports_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/feed"
 )
 
 func ready() *feed.ProxyReport { return &feed.ProxyReport{Ready: true, Front: "10.0.0.1:80"} }
--- a/internal/agent/stats.go
+++ b/internal/system/agent/stats.go
@@ -1,6 +1,6 @@
 package agent
 
-import "cinderroad/internal/gossip"
+import "cinderroad/internal/system/gossip"
 
 // Gossip counts the datagrams of the agent's membership; all zero before it has joined.
 func (a *Agent) Gossip() gossip.Stats {
--- a/internal/agent/store.go
+++ b/internal/system/agent/store.go
@@ -4,10 +4,10 @@
 	"sync"
 	"time"
 
-	"cinderroad/internal/agent/overlay"
-	"cinderroad/internal/control/following"
-	"cinderroad/internal/discovery"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/agent/overlay"
+	"cinderroad/internal/system/control/feedserver"
+	"cinderroad/internal/system/discovery"
+	"cinderroad/internal/system/feed"
 )
 
 // store is what the agent knows, shared by its goroutines.
--- a/internal/agent/world_test.go
+++ b/internal/system/agent/world_test.go
@@ -15,13 +15,13 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/agent/source"
-	"cinderroad/internal/control/following"
-	"cinderroad/internal/discovery"
-	"cinderroad/internal/environment"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/gossip"
-	"cinderroad/internal/rpc"
+	"cinderroad/internal/system/agent/follower"
+	"cinderroad/internal/system/control/feedserver"
+	"cinderroad/internal/system/discovery"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/gossip"
+	"cinderroad/internal/system/rpc"
+	"cinderroad/internal/system/settings"
 )
 
 const longest = 60 * time.Second // that a state is waited for
--- a/internal/configuration/change.go
+++ b/internal/system/configuration/change.go
@@ -6,8 +6,8 @@
 
 	"github.com/go-faster/jx"
 
-	"cinderroad/internal/findings"
-	"cinderroad/internal/jsonfield"
+	"cinderroad/internal/system/jsonfield"
+	"cinderroad/internal/system/validation"
 )
 
 // Names of a change's fields.
--- a/internal/configuration/change_test.go
+++ b/internal/system/configuration/change_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"cinderroad/internal/findings"
+	"cinderroad/internal/system/validation"
 )
 
 func names(document *Document) string {
--- a/internal/configuration/document_test.go
+++ b/internal/system/configuration/document_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/findings"
+	"cinderroad/internal/system/validation"
 )
 
 const sample = `{"version":7,"routes":[
--- a/internal/configuration/items.go
+++ b/internal/system/configuration/items.go
@@ -9,9 +9,9 @@
 	"strconv"
 	"strings"
 
-	"cinderroad/internal/feed"
-	"cinderroad/internal/findings"
-	"cinderroad/internal/jsonfield"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/jsonfield"
+	"cinderroad/internal/system/validation"
 )
 
 // ordinalBytes is the length of the ordinal before the JSON of a stored route or service.
--- a/internal/configuration/items_test.go
+++ b/internal/system/configuration/items_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/feed"
 )
 
 // store is what writes make, as a partition's table would hold it.
--- a/internal/configuration/parse.go
+++ b/internal/system/configuration/parse.go
@@ -4,8 +4,8 @@
 	"runtime"
 	"unicode/utf8"
 
-	"cinderroad/internal/findings"
-	"cinderroad/internal/jsonfield"
+	"cinderroad/internal/system/jsonfield"
+	"cinderroad/internal/system/validation"
 )
 
 // Parse reads a whole document. All that keeps it from being read comes together, in a *findings.Error; whether it
--- a/internal/configuration/route.go
+++ b/internal/system/configuration/route.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"cinderroad/internal/jsonfield"
+	"cinderroad/internal/system/jsonfield"
 )
 
 // readRoute reads a route as the operator sends it.
--- a/internal/configuration/service.go
+++ b/internal/system/configuration/service.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"cinderroad/internal/jsonfield"
+	"cinderroad/internal/system/jsonfield"
 )
 
 // readService reads a service as the operator sends it.
--- a/internal/configuration/validate.go
+++ b/internal/system/configuration/validate.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"strings"
 
-	"cinderroad/internal/findings"
+	"cinderroad/internal/system/validation"
 )
 
 // Validate says whether the document may come into force over the version that is in force, 0 for none. All findings
--- a/internal/consensus/cluster_test.go
+++ b/internal/system/consensus/cluster_test.go
@@ -36,7 +36,7 @@
 		if w.failed == "" {
 			return
 		}
-		t.Errorf("%s\nreplay: go test ./internal/consensus -run TestCluster -seed %d -v", w.failed, seed)
+		t.Errorf("%s\nreplay: go test ./internal/system/consensus -run TestCluster -seed %d -v", w.failed, seed)
 	}()
 	w.start()
 	w.run(40 * time.Second)
--- a/internal/control/api/answer.go
+++ b/internal/system/control/api/answer.go
@@ -7,7 +7,7 @@
 
 	"github.com/go-faster/jx"
 
-	"cinderroad/internal/findings"
+	"cinderroad/internal/system/validation"
 )
 
 // retryAfter is what callers are asked to wait before they ask again.
--- a/internal/control/api/api.go
+++ b/internal/system/control/api/api.go
@@ -13,10 +13,10 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/control/state"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/replica"
-	"cinderroad/internal/retry"
+	"cinderroad/internal/system/control/state"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/replica"
+	"cinderroad/internal/system/retry"
 )
 
 // Paths of the calls.
--- a/internal/control/api/api_test.go
+++ b/internal/system/control/api/api_test.go
@@ -18,9 +18,9 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
-	"cinderroad/internal/control/state"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/replica"
+	"cinderroad/internal/system/control/state"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/replica"
 )
 
 // core is a core machine's replica of partition 0 that agrees with itself, and fails as it is told.
--- a/internal/control/api/commit.go
+++ b/internal/system/control/api/commit.go
@@ -8,10 +8,10 @@
 	"fmt"
 	"time"
 
-	"cinderroad/internal/control/state"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/findings"
-	"cinderroad/internal/replica"
+	"cinderroad/internal/system/control/state"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/replica"
+	"cinderroad/internal/system/validation"
 )
 
 // retryEvery is the pause between two attempts of an order whose outcome is not known.
--- a/internal/control/api/cost_test.go
+++ b/internal/system/control/api/cost_test.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"testing"
 
-	"cinderroad/internal/control/state"
+	"cinderroad/internal/system/control/state"
 )
 
 // largeRoutes are of a configuration of about a megabyte.
--- a/internal/control/api/document.go
+++ b/internal/system/control/api/document.go
@@ -4,9 +4,9 @@
 	"errors"
 	"sync"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/control/state"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/control/state"
+	"cinderroad/internal/system/feed"
 )
 
 // keptFrom is the size of an order that is worth being kept, in bytes.
--- a/internal/control/api/orders_clients_test.go
+++ b/internal/system/control/api/orders_clients_test.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
-	"cinderroad/internal/control/state"
-	"cinderroad/internal/findings"
+	"cinderroad/internal/system/control/state"
+	"cinderroad/internal/system/validation"
 )
 
 const (
--- a/internal/control/api/orders_exhaustive_test.go
+++ b/internal/system/control/api/orders_exhaustive_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/feed"
-	"cinderroad/internal/replica"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/replica"
 )
 
 var ordersRetries = flag.Int("orders.retries", 0, "how often each copy is tried again as every order of events is played")
--- a/internal/control/api/orders_referee_test.go
+++ b/internal/system/control/api/orders_referee_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"cinderroad/internal/control/state"
+	"cinderroad/internal/system/control/state"
 )
 
 const checkingMost = 30 * time.Second
--- a/internal/control/api/orders_test.go
+++ b/internal/system/control/api/orders_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/control/state"
+	"cinderroad/internal/system/control/state"
 )
 
 var (
@@ -51,7 +51,7 @@
 func playOrders(t *testing.T, w *orderWorld) {
 	w.play()
 	if w.failed != "" {
-		t.Errorf("%s\nreplay: go test ./internal/control/api -run TestOrders -orders.seed %d -v", w.failed, w.seed)
+		t.Errorf("%s\nreplay: go test ./internal/system/control/api -run TestOrders -orders.seed %d -v", w.failed, w.seed)
 	}
 }
 
--- a/internal/control/api/orders_world_test.go
+++ b/internal/system/control/api/orders_world_test.go
@@ -10,10 +10,10 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/control/state"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/replica"
-	"cinderroad/internal/standin/agenda"
+	"cinderroad/internal/system/control/state"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/replica"
+	"cinderroad/internal/testkit/eventqueue"
 )
 
 // orderWorld is a core's machines in virtual time: the committer of each with its state machine, over a model of the
--- a/internal/control/client/client_test.go
+++ b/internal/system/control/client/client_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/control/api"
+	"cinderroad/internal/system/control/api"
 )
 
 // answer is what a scripted machine answers a call with.
--- a/internal/control/client/orders.go
+++ b/internal/system/control/client/orders.go
@@ -8,8 +8,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"cinderroad/internal/control/api"
-	"cinderroad/internal/control/status"
+	"cinderroad/internal/system/control/api"
+	"cinderroad/internal/system/control/status"
 )
 
 // Problem is what an answer other than success says.
--- a/internal/control/following/followers.go
+++ b/internal/system/control/feedserver/followers.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/feed"
 )
 
 // Bounds of what is kept of followers.
--- a/internal/control/following/followers_test.go
+++ b/internal/system/control/feedserver/followers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/feed"
 )
 
 func TestRollForgetsFollowersThatDoNotCall(t *testing.T) {
--- a/internal/control/following/pacer_test.go
+++ b/internal/system/control/feedserver/pacer_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/feed"
 )
 
 func TestLargeAnswersHaveTheirTurns(t *testing.T) {
--- a/internal/control/following/server.go
+++ b/internal/system/control/feedserver/server.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"cinderroad/internal/feed"
-	"cinderroad/internal/rpc"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/rpc"
 )
 
 // Bounds of a call.
--- a/internal/control/following/server_test.go
+++ b/internal/system/control/feedserver/server_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/feed"
 )
 
 const longest = 30 * time.Second // that a state is waited for
--- a/internal/control/metrics.go
+++ b/internal/system/control/metrics.go
@@ -3,8 +3,8 @@
 import (
 	"strconv"
 
-	"cinderroad/internal/control/directory"
-	"cinderroad/internal/exposition"
+	"cinderroad/internal/system/control/directory"
+	"cinderroad/internal/system/exposition"
 )
 
 // expose writes the process's own figures.
--- a/internal/control/metrics_test.go
+++ b/internal/system/control/metrics_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"cinderroad/internal/exposition"
+	"cinderroad/internal/system/exposition"
 )
 
 func TestFigures(t *testing.T) {
--- a/internal/control/partitions_test.go
+++ b/internal/system/control/partitions_test.go
@@ -9,13 +9,13 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/control/api"
-	"cinderroad/internal/control/following"
-	"cinderroad/internal/environment"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/replica"
-	"cinderroad/internal/rpc"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/control/api"
+	"cinderroad/internal/system/control/feedserver"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/replica"
+	"cinderroad/internal/system/rpc"
+	"cinderroad/internal/system/settings"
 )
 
 // deliver is the call by which replicas pass messages of the agreement to each other.
--- a/internal/control/process_test.go
+++ b/internal/system/control/process_test.go
@@ -16,13 +16,13 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/control/api"
-	"cinderroad/internal/control/directory"
-	"cinderroad/internal/control/following"
-	"cinderroad/internal/environment"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/gossip"
-	"cinderroad/internal/rpc"
+	"cinderroad/internal/system/control/api"
+	"cinderroad/internal/system/control/directory"
+	"cinderroad/internal/system/control/feedserver"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/gossip"
+	"cinderroad/internal/system/rpc"
+	"cinderroad/internal/system/settings"
 )
 
 const (
--- a/internal/control/duty/diff.go
+++ b/internal/system/control/runnersync/diff.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/control/state"
-	"cinderroad/internal/discovery"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/control/state"
+	"cinderroad/internal/system/discovery"
+	"cinderroad/internal/system/feed"
 )
 
 // Bounds of what counts as a change of a time that runs down by itself.
--- a/internal/control/duty/duty.go
+++ b/internal/system/control/runnersync/duty.go
@@ -10,10 +10,10 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/control/state"
-	"cinderroad/internal/discovery"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/replica"
+	"cinderroad/internal/system/control/state"
+	"cinderroad/internal/system/discovery"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/replica"
 )
 
 // The duty's pace.
--- a/internal/control/duty/duty_test.go
+++ b/internal/system/control/runnersync/duty_test.go
@@ -12,10 +12,10 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
-	"cinderroad/internal/control/state"
-	"cinderroad/internal/discovery"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/replica"
+	"cinderroad/internal/system/control/state"
+	"cinderroad/internal/system/discovery"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/replica"
 )
 
 const partitions = 2
--- a/internal/control/state/configuration.go
+++ b/internal/system/control/state/configuration.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/feed"
 )
 
 // RememberedChanges is how many accepted changes are remembered. A request that is sent again is recognized among them;
--- a/internal/control/state/runners.go
+++ b/internal/system/control/state/runners.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"time"
 
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/feed"
 )
 
 // Runners is the state machine of a partition of runners.
--- a/internal/control/state/state_test.go
+++ b/internal/system/control/state/state_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/feed"
 )
 
 func still() time.Duration { return 0 }
--- a/internal/control/state/store.go
+++ b/internal/system/control/state/store.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/feed"
 )
 
 // store is a partition's table behind a lock, as both state machines have it.
--- a/internal/control/status.go
+++ b/internal/system/control/status.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"time"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/control/status"
-	"cinderroad/internal/gossip"
-	"cinderroad/internal/replica"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/control/status"
+	"cinderroad/internal/system/gossip"
+	"cinderroad/internal/system/replica"
 )
 
 // status describes the process for operators, as JSON.
--- a/internal/control/stop.go
+++ b/internal/system/control/stop.go
@@ -7,8 +7,8 @@
 	"go.uber.org/multierr"
 	"go.uber.org/zap"
 
-	"cinderroad/internal/gossip"
-	"cinderroad/internal/retry"
+	"cinderroad/internal/system/gossip"
+	"cinderroad/internal/system/retry"
 )
 
 const (
--- a/internal/control/stop_test.go
+++ b/internal/system/control/stop_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/control/api"
+	"cinderroad/internal/system/control/api"
 )
 
 func TestPlanStop(t *testing.T) {
--- a/internal/control/view.go
+++ b/internal/system/control/view.go
@@ -6,10 +6,10 @@
 	"net/netip"
 	"time"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/control/directory"
-	"cinderroad/internal/gossip"
-	"cinderroad/internal/retry"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/control/directory"
+	"cinderroad/internal/system/gossip"
+	"cinderroad/internal/system/retry"
 )
 
 // Bounds of HTTP connections.
--- a/internal/discovery/codec.go
+++ b/internal/system/discovery/codec.go
@@ -6,7 +6,7 @@
 	"net/netip"
 	"time"
 
-	"cinderroad/internal/codec"
+	"cinderroad/internal/system/codec"
 )
 
 // codecVersion is the first byte of an encoded runner.
--- a/internal/discovery/list.go
+++ b/internal/system/discovery/list.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"cinderroad/internal/findings"
-	"cinderroad/internal/jsonfield"
+	"cinderroad/internal/system/jsonfield"
+	"cinderroad/internal/system/validation"
 )
 
 // UnreadableListError says that a page of the list cannot be read at all.
--- a/internal/emulator/day.go
+++ b/internal/system/emulator/day.go
@@ -9,12 +9,12 @@
 	"sync"
 	"time"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/experiment"
-	"cinderroad/internal/standin/client"
-	"cinderroad/internal/standin/cloud"
-	"cinderroad/internal/standin/referee"
-	"cinderroad/internal/standin/runner"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/policysim"
+	"cinderroad/internal/testkit/checker"
+	"cinderroad/internal/testkit/client"
+	"cinderroad/internal/testkit/platform"
+	"cinderroad/internal/testkit/runner"
 )
 
 // Options describe a day.
--- a/internal/emulator/deployment.go
+++ b/internal/system/emulator/deployment.go
@@ -10,7 +10,7 @@
 	"net/netip"
 	"slices"
 
-	"cinderroad/internal/experiment"
+	"cinderroad/internal/system/policysim"
 )
 
 // program is one of the system's programs.
--- a/internal/emulator/emulator_test.go
+++ b/internal/system/emulator/emulator_test.go
@@ -19,10 +19,10 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/environment"
-	"cinderroad/internal/experiment"
-	"cinderroad/internal/standin/referee"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/policysim"
+	"cinderroad/internal/system/settings"
+	"cinderroad/internal/testkit/checker"
 )
 
 // long bounds what should take little time.
--- a/internal/emulator/operator.go
+++ b/internal/system/emulator/operator.go
@@ -9,8 +9,8 @@
 	"net/http"
 	"time"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/experiment"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/policysim"
 )
 
 // document is a whole configuration.
--- a/internal/emulator/report.go
+++ b/internal/system/emulator/report.go
@@ -6,10 +6,10 @@
 	"text/tabwriter"
 	"time"
 
-	"cinderroad/internal/standin/client"
-	"cinderroad/internal/standin/cloud"
-	"cinderroad/internal/standin/referee"
-	"cinderroad/internal/standin/runner"
+	"cinderroad/internal/testkit/checker"
+	"cinderroad/internal/testkit/client"
+	"cinderroad/internal/testkit/platform"
+	"cinderroad/internal/testkit/runner"
 )
 
 // Report is what became of a day.
--- a/internal/emulator/runners.go
+++ b/internal/system/emulator/runners.go
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
-	"cinderroad/internal/experiment"
-	"cinderroad/internal/standin/cloud"
-	"cinderroad/internal/standin/engine"
-	"cinderroad/internal/standin/referee"
-	"cinderroad/internal/standin/runner"
+	"cinderroad/internal/system/policysim"
+	"cinderroad/internal/testkit/checker"
+	"cinderroad/internal/testkit/engine"
+	"cinderroad/internal/testkit/platform"
+	"cinderroad/internal/testkit/runner"
 )
 
 const (
--- a/internal/emulator/runners_test.go
+++ b/internal/system/emulator/runners_test.go
@@ -5,11 +5,11 @@
 	"strings"
 	"testing"
 
-	"cinderroad/internal/experiment"
-	"cinderroad/internal/standin/answer"
-	"cinderroad/internal/standin/cloud"
-	"cinderroad/internal/standin/referee"
-	"cinderroad/internal/standin/runner"
+	"cinderroad/internal/system/policysim"
+	"cinderroad/internal/testkit/answer"
+	"cinderroad/internal/testkit/checker"
+	"cinderroad/internal/testkit/platform"
+	"cinderroad/internal/testkit/runner"
 )
 
 // newRunners starts the runners of a scenario, under a referee without any slack.
--- a/internal/emulator/settings.go
+++ b/internal/system/emulator/settings.go
@@ -7,7 +7,7 @@
 	"os"
 	"path/filepath"
 
-	"cinderroad/internal/standin/engine"
+	"cinderroad/internal/testkit/engine"
 )
 
 // settings is the settings file of a process.
--- a/internal/emulator/trouble.go
+++ b/internal/system/emulator/trouble.go
@@ -7,9 +7,9 @@
 	"syscall"
 	"time"
 
-	"cinderroad/internal/standin/client"
-	"cinderroad/internal/standin/referee"
-	"cinderroad/internal/standin/runner"
+	"cinderroad/internal/testkit/checker"
+	"cinderroad/internal/testkit/client"
+	"cinderroad/internal/testkit/runner"
 )
 
 // Trouble is something that happens during a day.
--- a/internal/feed/codec.go
+++ b/internal/system/feed/codec.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/codec"
+	"cinderroad/internal/system/codec"
 )
 
 // tableCodecVersion is the first byte of an encoded table.
--- a/internal/feed/digest.go
+++ b/internal/system/feed/digest.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cinderroad/internal/codec"
+	"cinderroad/internal/system/codec"
 )
 
 // KeyRange is the keys from First, included, up to End, not included; an empty End has no bound.
--- a/internal/feed/pack.go
+++ b/internal/system/feed/pack.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"cinderroad/internal/codec"
+	"cinderroad/internal/system/codec"
 )
 
 // Bounds of packed batches.
--- a/internal/gossip/gossip.go
+++ b/internal/system/gossip/gossip.go
@@ -14,8 +14,8 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/environment"
-	"cinderroad/internal/fleet/membership"
+	"cinderroad/internal/shared/membership"
+	"cinderroad/internal/system/settings"
 )
 
 const (
--- a/internal/gossip/gossip_test.go
+++ b/internal/system/gossip/gossip_test.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"cinderroad/internal/fleet/membership"
+	"cinderroad/internal/shared/membership"
 )
 
 const (
--- a/internal/gossip/hearing.go
+++ b/internal/system/gossip/hearing.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"cinderroad/internal/fleet/membership"
+	"cinderroad/internal/shared/membership"
 )
 
 // silentPeriods is for how many periods nobody answers until this process counts as cut off from all. It asks some member in
--- a/internal/gossip/hearing_test.go
+++ b/internal/system/gossip/hearing_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/environment"
-	"cinderroad/internal/fleet/membership"
+	"cinderroad/internal/shared/membership"
+	"cinderroad/internal/system/settings"
 )
 
 const (
--- a/internal/gossip/view.go
+++ b/internal/system/gossip/view.go
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cinderroad/internal/fleet/membership"
+	"cinderroad/internal/shared/membership"
 )
 
 // DefaultDeadFor is how long an edge that is held to be dead counts among the proxies that may be sending.
--- a/internal/hollow/forward_test.go
+++ b/internal/system/hollow/forward_test.go
@@ -25,7 +25,7 @@
 // TestForwarding has the real proxy forward for clients and runners in this process, and prints what it takes.
 func TestForwarding(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "cinderroad-proxy")
-	build := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", program, "../../cmd/cinderroad-proxy")
+	build := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", program, "../../../cmd/cinderroad-proxy")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
--- a/internal/hollow/hollow_test.go
+++ b/internal/system/hollow/hollow_test.go
@@ -17,9 +17,9 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"cinderroad/internal/control"
-	"cinderroad/internal/environment"
-	"cinderroad/internal/logfmt"
+	"cinderroad/internal/system/control"
+	"cinderroad/internal/system/logfmt"
+	"cinderroad/internal/system/settings"
 )
 
 var (
--- a/internal/hollow/settings.go
+++ b/internal/system/hollow/settings.go
@@ -14,7 +14,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"cinderroad/internal/environment"
+	"cinderroad/internal/system/settings"
 )
 
 // Ports of a machine, as offsets from the first free one.
--- a/internal/hollow/system.go
+++ b/internal/system/hollow/system.go
@@ -17,11 +17,11 @@
 	"github.com/cockroachdb/errors"
 	"go.uber.org/zap"
 
-	"cinderroad/internal/agent"
-	"cinderroad/internal/control/client"
-	"cinderroad/internal/control/status"
-	"cinderroad/internal/environment"
-	"cinderroad/internal/standin/cloud"
+	"cinderroad/internal/system/agent"
+	"cinderroad/internal/system/control/client"
+	"cinderroad/internal/system/control/status"
+	"cinderroad/internal/system/settings"
+	"cinderroad/internal/testkit/platform"
 )
 
 // System is a running system.
--- a/internal/jsonfield/jsonfield.go
+++ b/internal/system/jsonfield/jsonfield.go
@@ -15,7 +15,7 @@
 
 	"github.com/go-faster/jx"
 
-	"cinderroad/internal/findings"
+	"cinderroad/internal/system/validation"
 )
 
 // document is what all values of one document share.
--- a/internal/jsonfield/jsonfield_test.go
+++ b/internal/system/jsonfield/jsonfield_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/findings"
+	"cinderroad/internal/system/validation"
 )
 
 func read(t *testing.T, source string) (Value, *findings.List) {
--- a/internal/placement/aim_test.go
+++ b/internal/system/placement/aim_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/configuration"
+	"cinderroad/internal/system/configuration"
 )
 
 // The utilization of a service's runners goes by the aims of its own routes: a look-up service with an aim of 200 ms must
--- a/internal/placement/api.go
+++ b/internal/system/placement/api.go
@@ -8,7 +8,7 @@
 	"net/netip"
 	"time"
 
-	"cinderroad/internal/configuration"
+	"cinderroad/internal/system/configuration"
 )
 
 // Runner is a runner as the feed tells it. Times are of the caller's steady clock.
--- a/internal/placement/budget_test.go
+++ b/internal/system/placement/budget_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"cinderroad/internal/configuration"
+	"cinderroad/internal/system/configuration"
 )
 
 // fleet is several proxies with views that differ, in virtual time.
--- a/internal/placement/choose.go
+++ b/internal/system/placement/choose.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"cinderroad/internal/capacity"
+	"cinderroad/internal/shared/capacity"
 )
 
 // The ranks of runners for a request: the ordinary path first.
--- a/internal/placement/cold.go
+++ b/internal/system/placement/cold.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"cinderroad/internal/capacity"
+	"cinderroad/internal/shared/capacity"
 )
 
 // A cold runner may get ColdRate*ColdExcess+ColdSlack requests in any second from all proxies together. Each proxy has an
--- a/internal/placement/kept.go
+++ b/internal/system/placement/kept.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"cinderroad/internal/capacity"
+	"cinderroad/internal/shared/capacity"
 )
 
 // Shared parts of prompts are read once and kept by the runner that read them, as long as all parts before are kept, too.
--- a/internal/placement/kept_test.go
+++ b/internal/system/placement/kept_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/capacity"
+	"cinderroad/internal/shared/capacity"
 )
 
 // chainRequest asks with the shared parts of one of many chains.
--- a/internal/placement/learnt.go
+++ b/internal/system/placement/learnt.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/capacity"
+	"cinderroad/internal/shared/capacity"
 )
 
 // learntVersion is the first byte of the encoding: version, then the services' speeds, then the runners' ceilings.
--- a/internal/placement/load.go
+++ b/internal/system/placement/load.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"cinderroad/internal/capacity"
+	"cinderroad/internal/shared/capacity"
 )
 
 // booking is what an attempt takes of its runner.
--- a/internal/placement/outcome.go
+++ b/internal/system/placement/outcome.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"cinderroad/internal/capacity"
+	"cinderroad/internal/shared/capacity"
 )
 
 // Sent books an attempt: room, tokens and budgets. A runner that has left meanwhile books nothing but the budgets.
--- a/internal/placement/place_test.go
+++ b/internal/system/placement/place_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/configuration"
+	"cinderroad/internal/system/configuration"
 )
 
 const testStart = 100 * time.Second
--- a/internal/placement/random_test.go
+++ b/internal/system/placement/random_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"cinderroad/internal/configuration"
+	"cinderroad/internal/system/configuration"
 )
 
 // day draws what a Placer is told and asked, and checks each of its choices against what was told last.
--- a/internal/placement/state.go
+++ b/internal/system/placement/state.go
@@ -10,8 +10,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cinderroad/internal/capacity"
-	"cinderroad/internal/configuration"
+	"cinderroad/internal/shared/capacity"
+	"cinderroad/internal/system/configuration"
 )
 
 // runner is what this proxy knows of one runner. Loads are in slots; see load.go for what a request weighs.
--- a/internal/placement/urgency.go
+++ b/internal/system/placement/urgency.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"cinderroad/internal/capacity"
+	"cinderroad/internal/shared/capacity"
 )
 
 // urgency is how long the requests of each rank may take, so that under load less urgent ones are refused first: a long
--- a/internal/placement/urgency_test.go
+++ b/internal/system/placement/urgency_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/configuration"
+	"cinderroad/internal/system/configuration"
 )
 
 // urgencyRequest is one of a rank with so much time left.
--- a/internal/placement/world_test.go
+++ b/internal/system/placement/world_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/standin/agenda"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/testkit/eventqueue"
 )
 
 // world plays engines, proxies and clients over virtual time, so that what the proxies decide together can be measured.
--- a/internal/experiment/contestants.go
+++ b/internal/system/policysim/contestants.go
@@ -1,6 +1,6 @@
 package experiment
 
-import "cinderroad/internal/placement"
+import "cinderroad/internal/system/placement"
 
 // Placement is the system's own policy, placement.Placer.
 func Placement() Contestant {
--- a/internal/experiment/host.go
+++ b/internal/system/policysim/host.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"cinderroad/internal/placement"
-	"cinderroad/internal/standin/engine"
+	"cinderroad/internal/system/placement"
+	"cinderroad/internal/testkit/engine"
 )
 
 // host is an incarnation of a runner.
--- a/internal/experiment/policy.go
+++ b/internal/system/policysim/policy.go
@@ -6,8 +6,8 @@
 import (
 	"time"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/placement"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/placement"
 )
 
 // Policy decides for one proxy. It is what placement.Placer offers a proxy; times are since the start of the run.
--- a/internal/experiment/result.go
+++ b/internal/system/policysim/result.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/placement"
-	"cinderroad/internal/standin/engine"
+	"cinderroad/internal/system/placement"
+	"cinderroad/internal/testkit/engine"
 )
 
 // Outcome is what became of a call.
--- a/internal/experiment/rivals.go
+++ b/internal/system/policysim/rivals.go
@@ -8,8 +8,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/placement"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/placement"
 )
 
 // Rivals are simple policies that know no more than a proxy's own requests in flight and the prompts.
--- a/internal/experiment/scenario.go
+++ b/internal/system/policysim/scenario.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/standin/engine"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/testkit/engine"
 )
 
 // Scenario is a deployment, its traffic, and what happens to it.
--- a/internal/experiment/send.go
+++ b/internal/system/policysim/send.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"cinderroad/internal/placement"
-	"cinderroad/internal/standin/engine"
+	"cinderroad/internal/system/placement"
+	"cinderroad/internal/testkit/engine"
 )
 
 // send sends a try to the runner that the policy chooses, or refuses it.
--- a/internal/experiment/traffic.go
+++ b/internal/system/policysim/traffic.go
@@ -9,8 +9,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/placement"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/placement"
 )
 
 // Size is a distribution of sizes: log-normal around a mean, cut off at a largest value.
--- a/internal/experiment/visit.go
+++ b/internal/system/policysim/visit.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/placement"
-	"cinderroad/internal/standin/engine"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/placement"
+	"cinderroad/internal/testkit/engine"
 )
 
 // modelName is the model that all engines serve.
--- a/internal/experiment/world.go
+++ b/internal/system/policysim/world.go
@@ -5,10 +5,10 @@
 	"net/netip"
 	"time"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/placement"
-	"cinderroad/internal/standin/agenda"
-	"cinderroad/internal/standin/engine"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/placement"
+	"cinderroad/internal/testkit/engine"
+	"cinderroad/internal/testkit/eventqueue"
 )
 
 // The shared budgets of a run.
--- a/internal/proxy/uplink/update.go
+++ b/internal/system/proxy/agentclient/update.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/discovery"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/discovery"
+	"cinderroad/internal/system/feed"
 )
 
 // Update is what changed in the control state since the update before. Fields that are nil did not change.
--- a/internal/proxy/uplink/uplink.go
+++ b/internal/system/proxy/agentclient/uplink.go
@@ -8,8 +8,8 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/feed"
-	"cinderroad/internal/rpc"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/rpc"
 )
 
 const (
--- a/internal/proxy/uplink/uplink_test.go
+++ b/internal/system/proxy/agentclient/uplink_test.go
@@ -11,9 +11,9 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/discovery"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/rpc"
+	"cinderroad/internal/system/discovery"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/rpc"
 )
 
 const patience = 30 * time.Second
--- a/internal/proxy/answer.go
+++ b/internal/system/proxy/answer.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"cinderroad/internal/httpwire"
-	"cinderroad/internal/placement"
+	"cinderroad/internal/shared/httpwire"
+	"cinderroad/internal/system/placement"
 )
 
 // answer is what goes to the client of a runner's answer.
--- a/internal/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"cinderroad/internal/httpwire"
-	"cinderroad/internal/placement"
+	"cinderroad/internal/shared/httpwire"
+	"cinderroad/internal/system/placement"
 )
 
 // attempt is a send of a request to one runner.
--- a/internal/proxy/control.go
+++ b/internal/system/proxy/control.go
@@ -6,10 +6,10 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/feed"
-	"cinderroad/internal/placement"
-	"cinderroad/internal/proxy/uplink"
-	"cinderroad/internal/routetable"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/placement"
+	"cinderroad/internal/system/proxy/agentclient"
+	"cinderroad/internal/system/routetable"
 )
 
 const (
--- a/internal/proxy/control_test.go
+++ b/internal/system/proxy/control_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/discovery"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/proxy/uplink"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/discovery"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/proxy/agentclient"
 )
 
 // fakeAgent keeps what it is told. It belongs to the loop's goroutine.
--- a/internal/proxy/doubt.go
+++ b/internal/system/proxy/doubt.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"cinderroad/internal/placement"
+	"cinderroad/internal/system/placement"
 )
 
 // A machine that has lost its power or its links says nothing: connections to it stay open, and what is written to them
--- a/internal/proxy/doubt_test.go
+++ b/internal/system/proxy/doubt_test.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"cinderroad/internal/placement"
+	"cinderroad/internal/system/placement"
 )
 
 // hungRunner listens with hardly a backlog, so that it can be made to take no connections without refusing them, as a
--- a/internal/proxy/events.go
+++ b/internal/system/proxy/events.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"strings"
 
-	"cinderroad/internal/httpwire"
+	"cinderroad/internal/shared/httpwire"
 )
 
 // mostEvent bounds an event that is not whole yet, in bytes; a stream with a longer one cannot be continued elsewhere.
--- a/internal/proxy/link.go
+++ b/internal/system/proxy/link.go
@@ -8,10 +8,10 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/httpwire"
-	"cinderroad/internal/invariant"
-	"cinderroad/internal/placement"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/shared/httpwire"
+	"cinderroad/internal/shared/invariant"
+	"cinderroad/internal/system/placement"
 )
 
 const (
--- a/internal/proxy/metrics.go
+++ b/internal/system/proxy/metrics.go
@@ -1,6 +1,6 @@
 package proxy
 
-import "cinderroad/internal/exposition"
+import "cinderroad/internal/system/exposition"
 
 // expose writes the proxy's own figures. Names end in what they count: _total since the start of the process, _seconds.
 func (p *Proxy) expose(page *exposition.Page) {
--- a/internal/proxy/metrics_test.go
+++ b/internal/system/proxy/metrics_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"cinderroad/internal/exposition"
+	"cinderroad/internal/system/exposition"
 )
 
 // figures reads the proxy's page of figures.
--- a/internal/proxy/model_test.go
+++ b/internal/system/proxy/model_test.go
@@ -11,9 +11,9 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/placement"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/placement"
 )
 
 const (
--- a/internal/proxy/monitor.go
+++ b/internal/system/proxy/monitor.go
@@ -5,9 +5,9 @@
 	"net/netip"
 	"slices"
 
-	"cinderroad/internal/exposition"
-	"cinderroad/internal/httpwire"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/shared/httpwire"
+	"cinderroad/internal/system/exposition"
 )
 
 const (
--- a/internal/proxy/peers.go
+++ b/internal/system/proxy/peers.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 	"go.uber.org/zap"
 
-	"cinderroad/internal/feed"
-	"cinderroad/internal/placement"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/placement"
 )
 
 const (
--- a/internal/proxy/peers_test.go
+++ b/internal/system/proxy/peers_test.go
@@ -7,11 +7,11 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/feed"
-	"cinderroad/internal/placement"
-	"cinderroad/internal/proxy/uplink"
-	"cinderroad/internal/routetable"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/placement"
+	"cinderroad/internal/system/proxy/agentclient"
+	"cinderroad/internal/system/routetable"
 )
 
 func TestNoticesAreReadAsTheyWereWritten(t *testing.T) {
--- a/internal/proxy/placer.go
+++ b/internal/system/proxy/placer.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/placement"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/placement"
 )
 
 // Placer decides which runner takes a request. It has no clock: now is the proxy's steady clock, which begins at 0.
--- a/internal/proxy/pool.go
+++ b/internal/system/proxy/pool.go
@@ -4,8 +4,8 @@
 	"net/netip"
 	"time"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/placement"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/placement"
 )
 
 const (
--- a/internal/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -13,10 +13,10 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/exposition"
-	"cinderroad/internal/placement"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/exposition"
+	"cinderroad/internal/system/placement"
 )
 
 // Bounds that hold until the configuration names its own, and where it names none.
--- a/internal/proxy/request.go
+++ b/internal/system/proxy/request.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"cinderroad/internal/httpwire"
-	"cinderroad/internal/placement"
+	"cinderroad/internal/shared/httpwire"
+	"cinderroad/internal/system/placement"
 )
 
 // Fields that the system and its clients and runners speak by.
--- a/internal/proxy/rest.go
+++ b/internal/system/proxy/rest.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"cinderroad/internal/httpwire"
+	"cinderroad/internal/shared/httpwire"
 )
 
 const (
--- a/internal/proxy/rest_test.go
+++ b/internal/system/proxy/rest_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/httpwire"
+	"cinderroad/internal/shared/httpwire"
 )
 
 func TestRestBook(t *testing.T) {
--- a/internal/proxy/retry_test.go
+++ b/internal/system/proxy/retry_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/placement"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/placement"
 )
 
 const notRunAnswer = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
--- a/internal/proxy/session.go
+++ b/internal/system/proxy/session.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"time"
 
-	"cinderroad/internal/httpwire"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/shared/httpwire"
 )
 
 const (
--- a/internal/proxy/session_test.go
+++ b/internal/system/proxy/session_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/configuration"
+	"cinderroad/internal/system/configuration"
 )
 
 // What is answered without a runner.
--- a/internal/proxy/shares.go
+++ b/internal/system/proxy/shares.go
@@ -4,7 +4,7 @@
 	"math"
 	"math/rand/v2"
 
-	"cinderroad/internal/configuration"
+	"cinderroad/internal/system/configuration"
 )
 
 // shareStep is by how much the point moves that picks a part of a route's shares from one request to the next. The
--- a/internal/proxy/shares_test.go
+++ b/internal/system/proxy/shares_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"cinderroad/internal/configuration"
+	"cinderroad/internal/system/configuration"
 )
 
 func weighted(weights ...float64) *configuration.Route {
--- a/internal/proxy/stop.go
+++ b/internal/system/proxy/stop.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/placement"
+	"cinderroad/internal/system/placement"
 )
 
 const (
--- a/internal/proxy/stop_model_test.go
+++ b/internal/system/proxy/stop_model_test.go
@@ -10,9 +10,9 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/placement"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/placement"
 )
 
 // What the platform promises about a stop (LOST): a request that was passed on is answered whole. The only answers that
--- a/internal/proxy/stop_plan.go
+++ b/internal/system/proxy/stop_plan.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"cinderroad/internal/shutdown"
+	"cinderroad/internal/system/shutdown"
 )
 
 const (
--- a/internal/proxy/world_test.go
+++ b/internal/system/proxy/world_test.go
@@ -14,9 +14,9 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/placement"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/placement"
 )
 
 // patience bounds every wait of a test; none is meant to last.
--- a/internal/replica/calls.go
+++ b/internal/system/replica/calls.go
@@ -6,9 +6,9 @@
 	"errors"
 	"time"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/rpc"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/rpc"
 )
 
 // The calls between control replicas. Each is answered by the method of Host that stands after it.
--- a/internal/replica/calls_test.go
+++ b/internal/system/replica/calls_test.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"testing"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 // FuzzMessages reads batches: what is read makes the same batch again.
--- a/internal/replica/contact.go
+++ b/internal/system/replica/contact.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
 )
 
 // contactElections is for how many election times neither a leader nor a majority of the voters may be unheard until this
--- a/internal/replica/core_address_test.go
+++ b/internal/system/replica/core_address_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 const addressRuns = 25
--- a/internal/replica/core_calls_test.go
+++ b/internal/system/replica/core_calls_test.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/control/state"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/control/state"
+	"cinderroad/internal/system/feed"
 )
 
 // What a control process does for operators, with continuations in place of goroutines: Host.Propose and Host.Barrier with
--- a/internal/replica/core_check_test.go
+++ b/internal/system/replica/core_check_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/control/state"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/storage"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/control/state"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/storage"
 )
 
 // place is where an entry stands, and of which term it is.
--- a/internal/replica/core_faults_test.go
+++ b/internal/system/replica/core_faults_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 // nextFault does one thing to the core and has it end after a while.
--- a/internal/replica/core_follower_test.go
+++ b/internal/system/replica/core_follower_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/agent/source"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/agent/follower"
+	"cinderroad/internal/system/feed"
 )
 
 const (
--- a/internal/replica/core_fresh_test.go
+++ b/internal/system/replica/core_fresh_test.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 // freshSlack is by how much the state of a replica that says that it is up to date may be older than that. Its leader may
--- a/internal/replica/core_link_test.go
+++ b/internal/system/replica/core_link_test.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 // linkChunk is what a connection sends before the next one has its turn.
--- a/internal/replica/core_operator_test.go
+++ b/internal/system/replica/core_operator_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"cinderroad/internal/control/state"
+	"cinderroad/internal/system/control/state"
 )
 
 const (
--- a/internal/replica/core_process_test.go
+++ b/internal/system/replica/core_process_test.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/control/state"
-	"cinderroad/internal/storage"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/control/state"
+	"cinderroad/internal/system/storage"
 )
 
 // keptEntry is an entry as it is stored.
--- a/internal/replica/core_repair_test.go
+++ b/internal/system/replica/core_repair_test.go
@@ -204,7 +204,7 @@
 					}
 					w.run(down + c.countsWithin())
 					if !w.bearsAny(0) {
-						t.Fatalf("seed %d: round %d leaves no majority\nreplay: go test ./internal/replica -run '%s' -core.seed %d -v", seed,
+						t.Fatalf("seed %d: round %d leaves no majority\nreplay: go test ./internal/system/replica -run '%s' -core.seed %d -v", seed,
 							round, t.Name(), seed)
 					}
 				}
--- a/internal/replica/core_storm_test.go
+++ b/internal/system/replica/core_storm_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/control/state"
+	"cinderroad/internal/system/control/state"
 )
 
 const (
@@ -158,7 +158,7 @@
 		w.fail("a machine is not caught up %v after its start", w.now-s.bootedAt)
 	}
 	if w.failed != "" {
-		t.Errorf("%s\nreplay: go test ./internal/replica -run '%s' -core.seed %d", w.failed, t.Name(), w.seed)
+		t.Errorf("%s\nreplay: go test ./internal/system/replica -run '%s' -core.seed %d", w.failed, t.Name(), w.seed)
 	}
 }
 
--- a/internal/replica/core_test.go
+++ b/internal/system/replica/core_test.go
@@ -46,7 +46,7 @@
 	w.verbose = verbose
 	w.play()
 	if w.failed != "" {
-		t.Errorf("%s\nreplay: go test ./internal/replica -run TestControlCore -core.seed %d -v", w.failed, seed)
+		t.Errorf("%s\nreplay: go test ./internal/system/replica -run TestControlCore -core.seed %d -v", w.failed, seed)
 	}
 	if verbose {
 		t.Log(&w.counts)
--- a/internal/replica/core_world_test.go
+++ b/internal/system/replica/core_world_test.go
@@ -7,9 +7,9 @@
 	"net/netip"
 	"time"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/environment"
-	"cinderroad/internal/standin/agenda"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/settings"
+	"cinderroad/internal/testkit/eventqueue"
 )
 
 // testCatchUp is within what time of its start a machine of the simulated core counts.
--- a/internal/replica/disk.go
+++ b/internal/system/replica/disk.go
@@ -7,9 +7,9 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/storage"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/storage"
 )
 
 const (
--- a/internal/replica/disk_test.go
+++ b/internal/system/replica/disk_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/storage"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/storage"
 )
 
 // faults is a disk that stalls or refuses.
--- a/internal/replica/founding.go
+++ b/internal/system/replica/founding.go
@@ -6,8 +6,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/environment"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/settings"
 )
 
 // founderPrefix keeps the hashes of founders apart from those of anything else.
--- a/internal/replica/group.go
+++ b/internal/system/replica/group.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/storage"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/storage"
 )
 
 // Bounds on the log that is kept beside a snapshot. A snapshot is made once the log since the last one takes more than
--- a/internal/replica/group_test.go
+++ b/internal/system/replica/group_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
 )
 
 // scriptedGroup is a group of which a test plays the other members and the disk, which is written at once.
--- a/internal/replica/host.go
+++ b/internal/system/replica/host.go
@@ -11,9 +11,9 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/environment"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/settings"
 )
 
 // Times of the agreement. A lost leader is replaced within about two election times.
--- a/internal/replica/host_test.go
+++ b/internal/system/replica/host_test.go
@@ -17,10 +17,10 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/environment"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/rpc"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/rpc"
+	"cinderroad/internal/system/settings"
 )
 
 const (
--- a/internal/replica/joins.go
+++ b/internal/system/replica/joins.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 const (
--- a/internal/replica/leave.go
+++ b/internal/system/replica/leave.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 // departureLasts is how long the word that a process is about to end holds; it is repeated each leaveEvery until then.
--- a/internal/replica/load.go
+++ b/internal/system/replica/load.go
@@ -5,9 +5,9 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/storage"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/storage"
 )
 
 // load returns which replica this machine has and what it stored; a new one is established first.
--- a/internal/replica/manage.go
+++ b/internal/system/replica/manage.go
@@ -11,7 +11,7 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 const (
--- a/internal/replica/peers.go
+++ b/internal/system/replica/peers.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"time"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/rpc"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/rpc"
 )
 
 // peerOptions are for connections between replicas: a peer that is cut off is given up and dialled anew soon.
--- a/internal/replica/plan.go
+++ b/internal/system/replica/plan.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 // patience is how long a member may be silent.
--- a/internal/replica/plan_test.go
+++ b/internal/system/replica/plan_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 // testPatience is that of a test's situations.
--- a/internal/replica/propose.go
+++ b/internal/system/replica/propose.go
@@ -8,9 +8,9 @@
 	"net/netip"
 	"time"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/rpc"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/rpc"
 )
 
 const (
--- a/internal/replica/replica.go
+++ b/internal/system/replica/replica.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"time"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
 )
 
 // StateMachine is the state that agreed commands make. Its methods are called one at a time for a partition.
--- a/internal/replica/transfer.go
+++ b/internal/system/replica/transfer.go
@@ -3,9 +3,9 @@
 import (
 	"net/netip"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/rpc"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/rpc"
 )
 
 // bulkBytes is the size of entries, in one message, from which they do not hold up what follows them: a heartbeat behind
--- a/internal/replica/transfer_test.go
+++ b/internal/system/replica/transfer_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 // TestLanes: large entries have a connection of their own, what follows them keeps its place or overtakes without
--- a/internal/replica/voters.go
+++ b/internal/system/replica/voters.go
@@ -4,7 +4,7 @@
 	"math/bits"
 	"slices"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 // voterSet is a set of members, by their place in situation.members.
--- a/internal/routetable/routetable.go
+++ b/internal/system/routetable/routetable.go
@@ -5,7 +5,7 @@
 import (
 	"strings"
 
-	"cinderroad/internal/configuration"
+	"cinderroad/internal/system/configuration"
 )
 
 // Table holds routes. The zero value is not usable; see New. It is not safe for concurrent use.
--- a/internal/routetable/routetable_test.go
+++ b/internal/system/routetable/routetable_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"cinderroad/internal/configuration"
+	"cinderroad/internal/system/configuration"
 )
 
 func route(name, host, path string) *configuration.Route {
--- a/internal/rpc/server.go
+++ b/internal/system/rpc/server.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"cinderroad/internal/retry"
+	"cinderroad/internal/system/retry"
 )
 
 // Limits bound what a server takes. Fields that are 0 have the defaults.
--- a/internal/environment/parse.go
+++ b/internal/system/settings/parse.go
@@ -5,8 +5,8 @@
 	"os"
 	"time"
 
-	"cinderroad/internal/findings"
-	"cinderroad/internal/jsonfield"
+	"cinderroad/internal/system/jsonfield"
+	"cinderroad/internal/system/validation"
 )
 
 // Load reads the settings file that the environment names.
--- a/internal/environment/parse_test.go
+++ b/internal/system/settings/parse_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/findings"
+	"cinderroad/internal/system/validation"
 )
 
 const edgeSettings = `{
--- a/internal/startup/serve.go
+++ b/internal/system/startup/serve.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/environment"
+	"cinderroad/internal/system/settings"
 )
 
 // Process is a running program that can take settings which have changed.
--- a/internal/startup/serve_test.go
+++ b/internal/system/startup/serve_test.go
@@ -10,7 +10,7 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/environment"
+	"cinderroad/internal/system/settings"
 )
 
 const testPatience = 30 * time.Second
--- a/internal/startup/startup.go
+++ b/internal/system/startup/startup.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"cinderroad/internal/environment"
-	"cinderroad/internal/logfmt"
+	"cinderroad/internal/system/logfmt"
+	"cinderroad/internal/system/settings"
 )
 
 // processors is how many threads run Go code at once: each program's share of its machine is at most one core.
--- a/internal/storage/file.go
+++ b/internal/system/storage/file.go
@@ -9,8 +9,8 @@
 
 	"github.com/mattn/go-sqlite3"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
 )
 
 // keySpan is how many keys of the table of entries a partition has.
--- a/internal/storage/powerloss_test.go
+++ b/internal/system/storage/powerloss_test.go
@@ -11,7 +11,7 @@
 	"slices"
 	"testing"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 var (
@@ -282,7 +282,7 @@
 func TestPowerLoss(t *testing.T) {
 	play := func(t *testing.T, seed uint64) {
 		if failure := newLossWorld(t, seed).play(); failure != "" {
-			t.Errorf("%s\nreplay: go test ./internal/storage -run TestPowerLoss -loss.seed %d", failure, seed)
+			t.Errorf("%s\nreplay: go test ./internal/system/storage -run TestPowerLoss -loss.seed %d", failure, seed)
 		}
 	}
 	if *lossSeed != 0 {
--- a/internal/storage/storage.go
+++ b/internal/system/storage/storage.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"sync"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
 )
 
 // queueLength is how many writes may wait for the writer without holding their callers' sends up.
--- a/internal/storage/storage_test.go
+++ b/internal/system/storage/storage_test.go
@@ -14,8 +14,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"pgregory.net/rapid"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
 )
 
 func open(t testing.TB, folder string) *Store {
--- a/internal/standin/client/client.go
+++ b/internal/testkit/client/client.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"cinderroad/internal/standin/referee"
+	"cinderroad/internal/testkit/checker"
 )
 
 // Route is a kind of request.
--- a/internal/standin/client/client_test.go
+++ b/internal/testkit/client/client_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/standin/answer"
-	"cinderroad/internal/standin/engine"
-	"cinderroad/internal/standin/referee"
-	"cinderroad/internal/standin/runner"
+	"cinderroad/internal/testkit/answer"
+	"cinderroad/internal/testkit/checker"
+	"cinderroad/internal/testkit/engine"
+	"cinderroad/internal/testkit/runner"
 )
 
 // world is a directory that names one address, and clients.
--- a/internal/standin/client/conn.go
+++ b/internal/testkit/client/conn.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"cinderroad/internal/standin/referee"
+	"cinderroad/internal/testkit/checker"
 )
 
 // conn is a connection to a dispatcher.
--- a/internal/standin/client/stream.go
+++ b/internal/testkit/client/stream.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"cinderroad/internal/standin/answer"
-	"cinderroad/internal/standin/referee"
+	"cinderroad/internal/testkit/answer"
+	"cinderroad/internal/testkit/checker"
 )
 
 // errOrder says that a piece is missing, comes twice or is of another run.
--- a/internal/standin/client/try.go
+++ b/internal/testkit/client/try.go
@@ -12,8 +12,8 @@
 	"strconv"
 	"time"
 
-	"cinderroad/internal/standin/answer"
-	"cinderroad/internal/standin/referee"
+	"cinderroad/internal/testkit/answer"
+	"cinderroad/internal/testkit/checker"
 )
 
 // method is that of all requests.
--- a/internal/standin/rig/audit.go
+++ b/internal/testkit/processcluster/audit.go
@@ -5,8 +5,8 @@
 	"os"
 	"time"
 
-	"cinderroad/internal/fleet/ledger"
-	"cinderroad/internal/linelog"
+	"cinderroad/internal/dispatcher/cluster/auditlog"
+	"cinderroad/internal/dispatcher/linelog"
 )
 
 // Files are the ledgers and request logs of all members.
--- a/internal/standin/rig/member.go
+++ b/internal/testkit/processcluster/member.go
@@ -14,9 +14,9 @@
 	"syscall"
 	"time"
 
-	"cinderroad/internal/fleet"
-	"cinderroad/internal/fleet/membership"
-	"cinderroad/internal/standin"
+	"cinderroad/internal/dispatcher/cluster"
+	"cinderroad/internal/shared/membership"
+	"cinderroad/internal/testkit/receivers"
 )
 
 // Member is one dispatcher and the ways that lead to it.
--- a/internal/standin/rig/rig.go
+++ b/internal/testkit/processcluster/rig.go
@@ -20,7 +20,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/standin"
+	"cinderroad/internal/testkit/receivers"
 )
 
 // LeaseS is how long members hold a lease, in seconds: the shortest that may be.
--- a/internal/standin/runner/order.go
+++ b/internal/testkit/runner/order.go
@@ -9,8 +9,8 @@
 	"strings"
 	"sync"
 
-	"cinderroad/internal/standin/answer"
-	"cinderroad/internal/standin/engine"
+	"cinderroad/internal/testkit/answer"
+	"cinderroad/internal/testkit/engine"
 )
 
 // order is a request at work.
--- a/internal/standin/runner/runner.go
+++ b/internal/testkit/runner/runner.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
-	"cinderroad/internal/standin/engine"
-	"cinderroad/internal/standin/referee"
+	"cinderroad/internal/testkit/checker"
+	"cinderroad/internal/testkit/engine"
 )
 
 // Options describe a runner.
--- a/internal/standin/runner/runner_test.go
+++ b/internal/testkit/runner/runner_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/standin/answer"
-	"cinderroad/internal/standin/engine"
-	"cinderroad/internal/standin/referee"
+	"cinderroad/internal/testkit/answer"
+	"cinderroad/internal/testkit/checker"
+	"cinderroad/internal/testkit/engine"
 )
 
 // long bounds what should take milliseconds.
--- a/internal/standin/runner/serve.go
+++ b/internal/testkit/runner/serve.go
@@ -9,9 +9,9 @@
 	"strconv"
 	"time"
 
-	"cinderroad/internal/standin/answer"
-	"cinderroad/internal/standin/engine"
-	"cinderroad/internal/standin/referee"
+	"cinderroad/internal/testkit/answer"
+	"cinderroad/internal/testkit/checker"
+	"cinderroad/internal/testkit/engine"
 )
 
 // reportPath is where a runner tells its state.
--- a/internal/standin/virtual/virtual.go
+++ b/internal/testkit/virtualcluster/virtual.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"net/netip"
 
-	"cinderroad/internal/fleet/membership"
+	"cinderroad/internal/shared/membership"
 )
 
 // Options are a network's.
--- a/brain/attempts.go
+++ b/loadbalancer/attempts.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"math"
 
-	"cinderroad/internal/capacity"
+	"cinderroad/internal/shared/capacity"
 )
 
 // This file holds arrivals, attempts, second copies, and what is learnt from how attempts end.
--- a/brain/brain.go
+++ b/loadbalancer/brain.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"cinderroad/internal/capacity"
+	"cinderroad/internal/shared/capacity"
 )
 
 // The constants are ratios; every time and amount derives from the settings or from what is seen.
--- a/brain/brain_test.go
+++ b/loadbalancer/brain_test.go
@@ -1156,7 +1156,7 @@
 	if _, err := toml.DecodeFile("../deploy/balancer.toml", &deploy); err != nil {
 		t.Fatal(err)
 	}
-	if len(deploy.Policy) < 2 || deploy.Policy[0] != "brain/brain.go" {
+	if len(deploy.Policy) < 2 || deploy.Policy[0] != "loadbalancer/brain.go" {
 		t.Fatalf("policy files: %v", deploy.Policy)
 	}
 	sum := 0
@@ -1188,7 +1188,7 @@
 		if w := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); w > maxWidth {
 			t.Errorf("%s: line %d has %d characters", name, n, w)
 		}
-		if n == 1 && name == "brain/brain.go" && !strings.Contains(line, "api.go") {
+		if n == 1 && name == "loadbalancer/brain.go" && !strings.Contains(line, "api.go") {
 			t.Error("the head does not name api.go")
 		}
 	}
@@ -1206,7 +1206,7 @@
 		t.Fatal(err)
 	}
 	for _, name := range files {
-		if strings.HasSuffix(name, "_test.go") || slices.Contains(deploy.Policy, "brain/"+name) {
+		if strings.HasSuffix(name, "_test.go") || slices.Contains(deploy.Policy, "loadbalancer/"+name) {
 			continue
 		}
 		text, err := os.ReadFile(name)
--- a/brain/choice.go
+++ b/loadbalancer/choice.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"cinderroad/internal/capacity"
+	"cinderroad/internal/shared/capacity"
 )
 
 // This file holds the choice of the worker that a request is sent to.
--- a/brain/cold.go
+++ b/loadbalancer/cold.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"cinderroad/internal/capacity"
+	"cinderroad/internal/shared/capacity"
 )
 
 // This file holds what a worker that returned cold is trusted with, and how instances share it.
--- a/brain/example_test.go
+++ b/loadbalancer/example_test.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"cinderroad/brain"
+	"cinderroad/loadbalancer"
 )
 
 // printer carries out a decision by printing it; a dispatcher would use its network and its timers.
--- a/brain/list.go
+++ b/loadbalancer/list.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"cinderroad/internal/capacity"
+	"cinderroad/internal/shared/capacity"
 )
 
 // This file takes the list's news and the results of probes.
--- a/brain/plan.go
+++ b/loadbalancer/plan.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"math"
 
-	"cinderroad/internal/capacity"
+	"cinderroad/internal/shared/capacity"
 )
 
 // This file holds the capacity plan: spare room of each worker, and how long a job would wait there.
--- a/brain/state.go
+++ b/loadbalancer/state.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"cinderroad/internal/capacity"
+	"cinderroad/internal/shared/capacity"
 )
 
 // This file holds what the decisions remember and how it is kept; the decisions are in the files that deploy/balancer.toml names.
--- a/brain/world_test.go
+++ b/loadbalancer/world_test.go
@@ -4,7 +4,7 @@
 	"math"
 	"math/rand/v2"
 
-	"cinderroad/internal/standin/agenda"
+	"cinderroad/internal/testkit/eventqueue"
 )
 
 // world plays a small fleet over virtual time: clients, instances that share nothing, workers with cores and a queue. What a deployment's
