--- a/cmd/cinderctl/check.go
+++ b/cmd/cinderctl/check.go
@@ -9,7 +9,7 @@
 
 	"cinderroad/internal/system/configuration"
 	"cinderroad/internal/system/jsonfield"
-	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/processconfig"
 	"cinderroad/internal/system/validation"
 )
 
--- a/cmd/cinderctl/main.go
+++ b/cmd/cinderctl/main.go
@@ -16,7 +16,7 @@
 	"github.com/cockroachdb/errors"
 
 	"cinderroad/internal/system/control/client"
-	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/processconfig"
 )
 
 // Exit statuses.
--- a/cmd/cinderroad-agent/main.go
+++ b/cmd/cinderroad-agent/main.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap/zapcore"
 
 	"cinderroad/internal/system/agent"
-	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/processconfig"
 	"cinderroad/internal/system/startup"
 )
 
--- a/cmd/cinderroad-control/main.go
+++ b/cmd/cinderroad-control/main.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap/zapcore"
 
 	"cinderroad/internal/system/control"
-	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/processconfig"
 	"cinderroad/internal/system/startup"
 )
 
--- a/cmd/cinderroad-proxy/main.go
+++ b/cmd/cinderroad-proxy/main.go
@@ -18,10 +18,10 @@
 	"cinderroad/internal/shared/eventloop"
 	"cinderroad/internal/system/feed"
 	"cinderroad/internal/system/placement"
+	"cinderroad/internal/system/processconfig"
 	"cinderroad/internal/system/proxy"
 	"cinderroad/internal/system/proxy/agentclient"
 	"cinderroad/internal/system/retry"
-	"cinderroad/internal/system/settings"
 	"cinderroad/internal/system/startup"
 )
 
--- a/internal/system/agent/agent.go
+++ b/internal/system/agent/agent.go
@@ -18,15 +18,15 @@
 	"go.uber.org/zap"
 
 	"cinderroad/internal/system/agent/fallback"
-	"cinderroad/internal/system/agent/follower"
+	"cinderroad/internal/system/agent/upstream"
 	"cinderroad/internal/system/control/feedserver"
 	"cinderroad/internal/system/discovery"
 	"cinderroad/internal/system/exposition"
 	"cinderroad/internal/system/feed"
 	"cinderroad/internal/system/gossip"
+	"cinderroad/internal/system/processconfig"
 	"cinderroad/internal/system/retry"
 	"cinderroad/internal/system/rpc"
-	"cinderroad/internal/system/settings"
 	"cinderroad/internal/system/shutdown"
 )
 
--- a/internal/system/agent/follower.go
+++ b/internal/system/agent/follower.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/system/agent/follower"
+	"cinderroad/internal/system/agent/upstream"
 	"cinderroad/internal/system/control/feedserver"
 	"cinderroad/internal/system/feed"
 	"cinderroad/internal/system/retry"
--- a/internal/system/agent/world_test.go
+++ b/internal/system/agent/world_test.go
@@ -15,13 +15,13 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/system/agent/follower"
+	"cinderroad/internal/system/agent/upstream"
 	"cinderroad/internal/system/control/feedserver"
 	"cinderroad/internal/system/discovery"
 	"cinderroad/internal/system/feed"
 	"cinderroad/internal/system/gossip"
+	"cinderroad/internal/system/processconfig"
 	"cinderroad/internal/system/rpc"
-	"cinderroad/internal/system/settings"
 )
 
 const longest = 60 * time.Second // that a state is waited for
--- a/internal/system/control/partitions_test.go
+++ b/internal/system/control/partitions_test.go
@@ -13,9 +13,9 @@
 	"cinderroad/internal/system/control/api"
 	"cinderroad/internal/system/control/feedserver"
 	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/processconfig"
 	"cinderroad/internal/system/replica"
 	"cinderroad/internal/system/rpc"
-	"cinderroad/internal/system/settings"
 )
 
 // deliver is the call by which replicas pass messages of the agreement to each other.
--- a/internal/system/control/process.go
+++ b/internal/system/control/process.go
@@ -24,10 +24,10 @@
 	"cinderroad/internal/system/exposition"
 	"cinderroad/internal/system/feed"
 	"cinderroad/internal/system/gossip"
+	"cinderroad/internal/system/processconfig"
 	"cinderroad/internal/system/replica"
 	"cinderroad/internal/system/retry"
 	"cinderroad/internal/system/rpc"
-	"cinderroad/internal/system/settings"
 )
 
 // Times of a process.
--- a/internal/system/control/process_test.go
+++ b/internal/system/control/process_test.go
@@ -21,8 +21,8 @@
 	"cinderroad/internal/system/control/feedserver"
 	"cinderroad/internal/system/feed"
 	"cinderroad/internal/system/gossip"
+	"cinderroad/internal/system/processconfig"
 	"cinderroad/internal/system/rpc"
-	"cinderroad/internal/system/settings"
 )
 
 const (
--- a/internal/system/emulator/day.go
+++ b/internal/system/emulator/day.go
@@ -13,7 +13,7 @@
 	"cinderroad/internal/system/policysim"
 	"cinderroad/internal/testkit/checker"
 	"cinderroad/internal/testkit/client"
-	"cinderroad/internal/testkit/platform"
+	"cinderroad/internal/testkit/fakeplatform"
 	"cinderroad/internal/testkit/runner"
 )
 
--- a/internal/system/emulator/emulator_test.go
+++ b/internal/system/emulator/emulator_test.go
@@ -21,7 +21,7 @@
 
 	"cinderroad/internal/system/configuration"
 	"cinderroad/internal/system/policysim"
-	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/processconfig"
 	"cinderroad/internal/testkit/checker"
 )
 
--- a/internal/system/emulator/report.go
+++ b/internal/system/emulator/report.go
@@ -8,7 +8,7 @@
 
 	"cinderroad/internal/testkit/checker"
 	"cinderroad/internal/testkit/client"
-	"cinderroad/internal/testkit/platform"
+	"cinderroad/internal/testkit/fakeplatform"
 	"cinderroad/internal/testkit/runner"
 )
 
--- a/internal/system/emulator/runners.go
+++ b/internal/system/emulator/runners.go
@@ -11,7 +11,7 @@
 	"cinderroad/internal/system/policysim"
 	"cinderroad/internal/testkit/checker"
 	"cinderroad/internal/testkit/engine"
-	"cinderroad/internal/testkit/platform"
+	"cinderroad/internal/testkit/fakeplatform"
 	"cinderroad/internal/testkit/runner"
 )
 
--- a/internal/system/emulator/runners_test.go
+++ b/internal/system/emulator/runners_test.go
@@ -8,7 +8,7 @@
 	"cinderroad/internal/system/policysim"
 	"cinderroad/internal/testkit/answer"
 	"cinderroad/internal/testkit/checker"
-	"cinderroad/internal/testkit/platform"
+	"cinderroad/internal/testkit/fakeplatform"
 	"cinderroad/internal/testkit/runner"
 )
 
--- a/internal/system/gossip/gossip.go
+++ b/internal/system/gossip/gossip.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 
 	"cinderroad/internal/shared/membership"
-	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/processconfig"
 )
 
 const (
--- a/internal/system/gossip/hearing_test.go
+++ b/internal/system/gossip/hearing_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cinderroad/internal/shared/membership"
-	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/processconfig"
 )
 
 const (
--- a/internal/system/hollow/hollow_test.go
+++ b/internal/system/hollow/hollow_test.go
@@ -19,7 +19,7 @@
 
 	"cinderroad/internal/system/control"
 	"cinderroad/internal/system/logfmt"
-	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/processconfig"
 )
 
 var (
--- a/internal/system/hollow/settings.go
+++ b/internal/system/hollow/settings.go
@@ -14,7 +14,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/processconfig"
 )
 
 // Ports of a machine, as offsets from the first free one.
--- a/internal/system/hollow/system.go
+++ b/internal/system/hollow/system.go
@@ -20,8 +20,8 @@
 	"cinderroad/internal/system/agent"
 	"cinderroad/internal/system/control/client"
 	"cinderroad/internal/system/control/status"
-	"cinderroad/internal/system/settings"
-	"cinderroad/internal/testkit/platform"
+	"cinderroad/internal/system/processconfig"
+	"cinderroad/internal/testkit/fakeplatform"
 )
 
 // System is a running system.
--- a/internal/system/replica/core_follower_test.go
+++ b/internal/system/replica/core_follower_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"cinderroad/internal/system/agent/follower"
+	"cinderroad/internal/system/agent/upstream"
 	"cinderroad/internal/system/feed"
 )
 
--- a/internal/system/replica/core_world_test.go
+++ b/internal/system/replica/core_world_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cinderroad/internal/system/consensus"
-	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/processconfig"
 	"cinderroad/internal/testkit/eventqueue"
 )
 
--- a/internal/system/replica/founding.go
+++ b/internal/system/replica/founding.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"cinderroad/internal/system/consensus"
-	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/processconfig"
 )
 
 // founderPrefix keeps the hashes of founders apart from those of anything else.
--- a/internal/system/replica/host.go
+++ b/internal/system/replica/host.go
@@ -13,7 +13,7 @@
 
 	"cinderroad/internal/system/consensus"
 	"cinderroad/internal/system/feed"
-	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/processconfig"
 )
 
 // Times of the agreement. A lost leader is replaced within about two election times.
--- a/internal/system/replica/host_test.go
+++ b/internal/system/replica/host_test.go
@@ -19,8 +19,8 @@
 
 	"cinderroad/internal/system/consensus"
 	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/processconfig"
 	"cinderroad/internal/system/rpc"
-	"cinderroad/internal/system/settings"
 )
 
 const (
--- a/internal/system/startup/serve.go
+++ b/internal/system/startup/serve.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/processconfig"
 )
 
 // Process is a running program that can take settings which have changed.
--- a/internal/system/startup/serve_test.go
+++ b/internal/system/startup/serve_test.go
@@ -10,7 +10,7 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/processconfig"
 )
 
 const testPatience = 30 * time.Second
--- a/internal/system/startup/startup.go
+++ b/internal/system/startup/startup.go
@@ -16,7 +16,7 @@
 	"go.uber.org/zap/zapcore"
 
 	"cinderroad/internal/system/logfmt"
-	"cinderroad/internal/system/settings"
+	"cinderroad/internal/system/processconfig"
 )
 
 // processors is how many threads run Go code at once: each program's share of its machine is at most one core.
