--- a/cmd/cinderctl/check.go
+++ b/cmd/cinderctl/check.go
@@ -91,7 +91,7 @@
 		return c.Kind
 	}
 	kind := kindConfiguration
-	root, ok := jsonfield.Read(body, &findings.List{})
+	root, ok := jsonfield.Read(body, &validation.List{})
 	if !ok || !root.IsObject() {
 		return kind
 	}
@@ -110,7 +110,7 @@
 	report := &fileReport{File: file, Kind: kind, Findings: []findingReport{}}
 	switch kind {
 	case kindSettings:
-		_, err := environment.Parse(body)
+		_, err := processconfig.Parse(body)
 		report.take(err, body)
 	case kindChange:
 		report.takeChange(body, base)
@@ -144,9 +144,9 @@
 }
 
 func (r *fileReport) take(err error, body []byte) {
-	var list findings.List
+	var list validation.List
 	list.Include(err)
-	var found *findings.Error
+	var found *validation.Error
 	if !errors.As(list.Err(), &found) {
 		return
 	}
--- a/cmd/cinderctl/main.go
+++ b/cmd/cinderctl/main.go
@@ -104,7 +104,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "settings that name the seeds")
 		}
-		settings, err := environment.Parse(data)
+		settings, err := processconfig.Parse(data)
 		if err != nil {
 			return nil, errors.Wrapf(err, "settings in %s", s.flags.Settings)
 		}
--- a/cmd/cinderroad-agent/main.go
+++ b/cmd/cinderroad-agent/main.go
@@ -25,7 +25,7 @@
 }
 
 func run(program *startup.Program, log *zap.Logger) error {
-	return program.Serve(log, func(ctx context.Context, settings *environment.Settings, log *zap.Logger) (startup.Process, error) {
+	return program.Serve(log, func(ctx context.Context, settings *processconfig.Settings, log *zap.Logger) (startup.Process, error) {
 		return agent.New(ctx, agent.Options{Settings: settings, Version: program.Version, Log: log,
 			Metrics: program.MetricsAddress(settings.IP)})
 	})
--- a/cmd/cinderroad-dispatcher/audit.go
+++ b/cmd/cinderroad-dispatcher/audit.go
@@ -20,7 +20,7 @@
 equal. A log is as [request_log] of the operator's file writes it, its older files (FILE.1, FILE.2) named, too. What a receiver
 has got is a file of lines PATH VALUE TIME, as Graphite takes them, or PUTVAL lines. Ends with status 1 where the two differ.`,
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-			comparison := audit.New()
+			comparison := requestaudit.New()
 			if err := readFiles(logs, comparison.Log); err != nil {
 				return err
 			}
@@ -30,7 +30,7 @@
 			if err := comparison.Write(c.OutOrStdout()); err != nil {
 				return err
 			}
-			if n := audit.Difference(comparison.Rows()); n > 0 {
+			if n := requestaudit.Difference(comparison.Rows()); n > 0 {
 				return fmt.Errorf("audit: %d answers differ", n)
 			}
 			if comparison.BadCount > 0 {
--- a/cmd/cinderroad-dispatcher/figures.go
+++ b/cmd/cinderroad-dispatcher/figures.go
@@ -14,10 +14,10 @@
 	c := &cobra.Command{Use: "figures", Short: "List every series: name, kind, unit and meaning", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if page {
-				return program.WriteFigures(c.OutOrStdout())
+				return server.WriteFigures(c.OutOrStdout())
 			}
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
-			for _, d := range program.Docs() {
+			for _, d := range server.Docs() {
 				fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", d.Pattern, d.Kind, d.Unit, d.Help)
 			}
 			return t.Flush()
--- a/cmd/cinderroad-dispatcher/fleet.go
+++ b/cmd/cinderroad-dispatcher/fleet.go
@@ -67,7 +67,7 @@
 	return c
 }
 
-func (a *asked) print(to io.Writer, s *fleet.Status) error {
+func (a *asked) print(to io.Writer, s *cluster.Status) error {
 	if a.asJSON {
 		return json.NewEncoder(to).Encode(s)
 	}
@@ -104,9 +104,9 @@
 
 // byAge orders members by what they hold: sources together, within one the older version first; those that have told none come
 // first of all.
-func byAge(members []fleet.Member) []fleet.Member {
+func byAge(members []cluster.Member) []cluster.Member {
 	out := slices.Clone(members)
-	slices.SortStableFunc(out, func(x, y fleet.Member) int {
+	slices.SortStableFunc(out, func(x, y cluster.Member) int {
 		if x.List == nil || y.List == nil {
 			return cmp.Compare(min(1, len(listOf(x))), min(1, len(listOf(y))))
 		}
@@ -116,7 +116,7 @@
 }
 
 // listOf is a version of the list as shown: source, line of descent where there was more than one, version.
-func listOf(m fleet.Member) string {
+func listOf(m cluster.Member) string {
 	if m.List == nil {
 		return ""
 	}
@@ -126,7 +126,7 @@
 	return fmt.Sprintf("%s/%d", m.List.Source, m.List.Rev)
 }
 
-func printVersions(to io.Writer, s *fleet.Status) error {
+func printVersions(to io.Writer, s *cluster.Status) error {
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "NAME\tSTATE\tLIST\tBEHIND\tSINCE\tSETTINGS\tOPERATOR\tEXCLUDED\tPROGRAM")
 	for _, m := range byAge(s.Members) {
@@ -227,7 +227,7 @@
 }
 
 // difference names the members of which two hold different things.
-func difference(x, y *fleet.Status) string {
+func difference(x, y *cluster.Status) string {
 	held := map[string]string{}
 	for _, m := range x.Members {
 		held[m.Name] = fmt.Sprint(m.State, " ", m.Incarnation)
@@ -294,7 +294,7 @@
 				if err != nil {
 					return err
 				}
-				i := slices.IndexFunc(s.Members, func(m fleet.Member) bool { return m.Name == args[0] })
+				i := slices.IndexFunc(s.Members, func(m cluster.Member) bool { return m.Name == args[0] })
 				if i >= 0 && (s.Members[i].State == "shut-out") == out {
 					fmt.Fprintf(c.OutOrStdout(), "%s is %s\n", args[0], s.Members[i].State)
 					return nil
@@ -309,12 +309,12 @@
 }
 
 // status asks a dispatcher what it holds.
-func (a *asked) status(console string) (*fleet.Status, error) {
+func (a *asked) status(console string) (*cluster.Status, error) {
 	text, err := callConsole(console, "GET", "/api/fleet", "")
 	if err != nil {
 		return nil, err
 	}
-	s := &fleet.Status{}
+	s := &cluster.Status{}
 	if err := json.Unmarshal(text, s); err != nil {
 		return nil, fmt.Errorf("fleet: %s: %w", console, err)
 	}
--- a/cmd/cinderroad-dispatcher/fleet_audit.go
+++ b/cmd/cinderroad-dispatcher/fleet_audit.go
@@ -24,7 +24,7 @@
 var errBroken = errors.New("fleet: a rule was broken")
 
 func fleetAuditCommand() *cobra.Command {
-	rules, asJSON, plot := ledger.DefaultRules, false, ""
+	rules, asJSON, plot := auditlog.DefaultRules, false, ""
 	c := &cobra.Command{Use: "audit FILE…", Short: "Audit the ledgers and request logs of many dispatchers; status 1 if a rule was broken", Args: cobra.MinimumNArgs(1),
 		Long: `Audit the ledgers and request logs of many dispatchers, in any order, rotated ones among them.
 
@@ -63,14 +63,14 @@
 }
 
 // auditFiles audits files, and warns of what is left out.
-func auditFiles(rules ledger.Rules, files []string, warn io.Writer) (*ledger.Report, error) {
+func auditFiles(rules auditlog.Rules, files []string, warn io.Writer) (*auditlog.Report, error) {
 	file, bad := "", 0
 	sum := func() {
 		if bad > mostBad {
 			fmt.Fprintf(warn, "%s: %d lines left out in all\n", file, bad)
 		}
 	}
-	r, err := ledger.Files(rules, files, func(name string, line int, err error) {
+	r, err := auditlog.Files(rules, files, func(name string, line int, err error) {
 		if name != file {
 			sum()
 			file, bad = name, 0
@@ -83,7 +83,7 @@
 		}
 	})
 	sum()
-	if errors.Is(err, ledger.ErrNone) {
+	if errors.Is(err, auditlog.ErrNone) {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	return r, err
@@ -93,7 +93,7 @@
 	return time.UnixMicro(int64(at * 1e6)).UTC().Format("2006-01-02 15:04:05.000")
 }
 
-func printAudit(to io.Writer, r *ledger.Report) error {
+func printAudit(to io.Writer, r *auditlog.Report) error {
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	row := func(format string, args ...any) { fmt.Fprintf(t, format+"\n", args...) }
 	row("MEMBER\tCLOCK AHEAD\tWITHIN\t")
@@ -108,9 +108,9 @@
 	versions := r.Versions
 	if len(versions) > mostRows { // those that took longest, in their order
 		byLast := slices.Clone(versions)
-		slices.SortStableFunc(byLast, func(x, y ledger.Version) int { return slowest(y) - slowest(x) })
+		slices.SortStableFunc(byLast, func(x, y auditlog.Version) int { return slowest(y) - slowest(x) })
 		least := max(1, slowest(byLast[mostRows-1]))
-		versions = slices.DeleteFunc(slices.Clone(versions), func(v ledger.Version) bool { return slowest(v) < least })
+		versions = slices.DeleteFunc(slices.Clone(versions), func(v auditlog.Version) bool { return slowest(v) < least })
 		versions = versions[:min(len(versions), mostRows)]
 	}
 	for _, v := range versions {
@@ -159,7 +159,7 @@
 }
 
 // slowest is how long the last member took for a version, in milliseconds.
-func slowest(v ledger.Version) int {
+func slowest(v auditlog.Version) int {
 	if len(v.Never) > 0 {
 		return 1 << 30
 	}
@@ -169,7 +169,7 @@
 	return 0
 }
 
-func seconds(t ledger.Taken) string {
+func seconds(t auditlog.Taken) string {
 	text := fmt.Sprintf("%.3f s", t.After)
 	if t.Within >= 0.001 {
 		text += fmt.Sprintf(" ±%.3f", t.Within)
--- a/cmd/cinderroad-dispatcher/fleet_test.go
+++ b/cmd/cinderroad-dispatcher/fleet_test.go
@@ -13,12 +13,12 @@
 )
 
 // member stands in for the second address of a dispatcher.
-func member(t *testing.T, name, digest string, settled bool, members *[]fleet.Member) string {
+func member(t *testing.T, name, digest string, settled bool, members *[]cluster.Member) string {
 	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		switch r.Method + " " + r.URL.Path {
 		case "GET /api/fleet":
-			_ = json.NewEncoder(rw).Encode(fleet.Status{Fleet: "f", Me: name, Digest: digest, Settled: settled, Members: *members,
-				Place: fleet.StatusPlace{Instances: 3, Part: 1, Why: "full"}})
+			_ = json.NewEncoder(rw).Encode(cluster.Status{Fleet: "f", Me: name, Digest: digest, Settled: settled, Members: *members,
+				Place: cluster.StatusPlace{Instances: 3, Part: 1, Why: "full"}})
 		case "PUT /api/fleet/gone":
 			rw.WriteHeader(409)
 			fmt.Fprintln(rw, "membership: a is alive: only one that is dead can be declared gone")
@@ -29,7 +29,7 @@
 }
 
 // versions gives members versions of the list in turn; below 0 is none.
-func versions(members []fleet.Member, revs ...int64) []fleet.Member {
+func versions(members []cluster.Member, revs ...int64) []cluster.Member {
 	for i, rev := range revs {
 		if rev >= 0 {
 			members[i].List = &list.List{Source: "here", Rev: rev}
@@ -40,21 +40,21 @@
 
 // The fleet's commands: a table, JSON, and a check that names who disagrees, who does not answer and who cannot be asked.
 func TestFleetCommands(t *testing.T) {
-	var members, others []fleet.Member
+	var members, others []cluster.Member
 	one := member(t, "a", "1", true, &members)
 	same := member(t, "b", "1", true, &members)
 	differs := member(t, "c", "2", true, &others)
-	of := func(names ...string) (list []fleet.Member) {
+	of := func(names ...string) (list []cluster.Member) {
 		for _, n := range names {
 			console := map[string]string{"a": one, "b": same, "c": differs, "gone": "127.0.0.1:1", "mute": ""}[n]
-			list = append(list, fleet.Member{Name: n, State: "alive", Console: console, Address: "127.0.0.1:7946", Zone: "milano"})
+			list = append(list, cluster.Member{Name: n, State: "alive", Console: console, Address: "127.0.0.1:7946", Zone: "milano"})
 		}
 		return list
 	}
 	others = of("a", "c")
 	for _, tc := range []struct {
 		name    string
-		members []fleet.Member
+		members []cluster.Member
 		args    []string
 		says    []string
 		fails   string // empty: status 0
--- a/cmd/cinderroad-dispatcher/serve.go
+++ b/cmd/cinderroad-dispatcher/serve.go
@@ -19,7 +19,7 @@
 // serving is what serve and check are told.
 type serving struct {
 	config, gearman, log string
-	short                program.Short
+	short                server.Short
 }
 
 func newServing() *serving { return &serving{} }
@@ -37,8 +37,8 @@
 }
 
 // read reads all that the program is told.
-func (s *serving) read() (*program.Config, error) {
-	config, err := program.ReadConfig(s.config, os.Getenv)
+func (s *serving) read() (*server.Config, error) {
+	config, err := server.ReadConfig(s.config, os.Getenv)
 	if err == nil && s.gearman != "" {
 		err = config.ReadGearman(s.gearman)
 	}
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	return program.Run(config, logger(os.Stderr, level))
+	return server.Run(config, logger(os.Stderr, level))
 }
 
 func (s *serving) check(c *cobra.Command, _ []string) error {
--- a/cmd/cinderroad-emulator/day.go
+++ b/cmd/cinderroad-emulator/day.go
@@ -83,9 +83,9 @@
 	return strings.Join(names, ", ")
 }
 
-func scenarioNamed(name string) *experiment.Scenario {
+func scenarioNamed(name string) *policysim.Scenario {
 	if name == "parcels" {
-		return experiment.Parcels()
+		return policysim.Parcels()
 	}
-	return experiment.Screening()
+	return policysim.Screening()
 }
--- a/cmd/cinderroad-emulator/policies.go
+++ b/cmd/cinderroad-emulator/policies.go
@@ -40,7 +40,7 @@
 	}
 	p.Seeds = max(1, p.Seeds)
 	jobs := make(chan struct{}, p.jobs())
-	results := make([]*experiment.Result, len(contestants)*p.Seeds)
+	results := make([]*policysim.Result, len(contestants)*p.Seeds)
 	errs := make([]error, len(results))
 	var group sync.WaitGroup
 	for i := range results {
@@ -49,7 +49,7 @@
 		go func() {
 			defer group.Done()
 			defer func() { <-jobs }()
-			results[i], errs[i] = experiment.Run(p.scenario(), contestants[i/p.Seeds], p.Seed+uint64(i%p.Seeds))
+			results[i], errs[i] = policysim.Run(p.scenario(), contestants[i/p.Seeds], p.Seed+uint64(i%p.Seeds))
 		}()
 	}
 	group.Wait()
@@ -58,11 +58,11 @@
 			return err
 		}
 	}
-	means := make([]*experiment.Result, len(contestants))
+	means := make([]*policysim.Result, len(contestants))
 	for i := range means {
-		means[i] = experiment.Mean(results[i*p.Seeds : (i+1)*p.Seeds])
+		means[i] = policysim.Mean(results[i*p.Seeds : (i+1)*p.Seeds])
 	}
-	return experiment.Print(os.Stdout, means)
+	return policysim.Print(os.Stdout, means)
 }
 
 func (p *policies) jobs() int {
@@ -72,12 +72,12 @@
 	return max(1, runtime.NumCPU()/2)
 }
 
-func (p *policies) contestants() ([]experiment.Contestant, error) {
-	all := experiment.Contestants()
+func (p *policies) contestants() ([]policysim.Contestant, error) {
+	all := policysim.Contestants()
 	if len(p.Only) == 0 {
 		return all, nil
 	}
-	var chosen []experiment.Contestant
+	var chosen []policysim.Contestant
 	for _, name := range p.Only {
 		found := false
 		for _, c := range all {
@@ -92,14 +92,14 @@
 	return chosen, nil
 }
 
-func (p *policies) scenario() *experiment.Scenario {
+func (p *policies) scenario() *policysim.Scenario {
 	s := scenarioNamed(p.Scenario)
 	s.Length, s.Load = p.Length, p.Load
 	if p.Burst != "" {
-		s.Bursts = []experiment.Burst{{Class: p.Burst, Factor: burstFactor, From: burstFrom, For: burstFor}}
+		s.Bursts = []policysim.Burst{{Class: p.Burst, Factor: burstFactor, From: burstFrom, For: burstFor}}
 	}
 	for i := range p.Crash {
-		s.Crashes = append(s.Crashes, experiment.Crash{Service: "llm", Runner: i * 3, At: crashAt, For: crashFor,
+		s.Crashes = append(s.Crashes, policysim.Crash{Service: "llm", Runner: i * 3, At: crashAt, For: crashFor,
 			Dark: p.Dark})
 	}
 	return s
--- a/cmd/cinderroad-proxy/main.go
+++ b/cmd/cinderroad-proxy/main.go
@@ -34,7 +34,7 @@
 func main() {
 	program := startup.Program{
 		Name:           "cinderroad-proxy",
-		Description:    "Serves clients of an edge machine; the settings file is named by " + environment.Variable + ".",
+		Description:    "Serves clients of an edge machine; the settings file is named by " + processconfig.Variable + ".",
 		Version:        "cinderroad-proxy 1",
 		LogLevel:       zapcore.InfoLevel,
 		GarbagePercent: 40, // memory at its peak costs more than a collection of so small a heap
@@ -48,14 +48,14 @@
 func run(program *startup.Program, log *zap.Logger) error {
 	// Before anything else: by default the signal ends the process. The settings of a running proxy stay as at its start.
 	signal.Ignore(syscall.SIGHUP)
-	settings, err := environment.Load()
+	settings, err := processconfig.Load()
 	if err != nil {
 		return err
 	}
 	if !settings.ListenOn.Front.IsValid() {
 		return errNoFront
 	}
-	loop, err := transport.NewLoop(max(leastSockets, settings.Limits.OpenFiles-filesReserved))
+	loop, err := eventloop.NewLoop(max(leastSockets, settings.Limits.OpenFiles-filesReserved))
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 var errNoFront = errors.New("the settings name no listen_on.front; does the deploy file give this role " +
 	`serves = ["edge"]?`)
 
-func newProxy(loop *transport.Loop, log *zap.Logger, settings *environment.Settings,
+func newProxy(loop *eventloop.Loop, log *zap.Logger, settings *processconfig.Settings,
 	metrics netip.AddrPort) (*proxy.Proxy, error) {
 	seed := maphash.Bytes(maphash.MakeSeed(), []byte(settings.Node))
 	timing := &settings.Timing
@@ -92,7 +92,7 @@
 	}
 	return proxy.New(loop, log, placer, proxy.Options{Front: settings.ListenOn.Front, Ready: settings.ListenOn.Ready,
 		Metrics: metrics, Node: settings.Node, Zone: settings.Zone, LinkBytesPerS: settings.Limits.LinkBytesPerS(),
-		Peers:       netip.AddrPortFrom(settings.IP, settings.Port(environment.ProxyPort)),
+		Peers:       netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ProxyPort)),
 		MemoryBytes: settings.Limits.RAMMB << 20, GracePeriod: timing.GracePeriod, Seed: seed}), nil
 }
 
@@ -105,13 +105,13 @@
 }
 
 // follow links the proxy to the agent of its machine.
-func follow(ctx context.Context, loop *transport.Loop, log *zap.Logger, p *proxy.Proxy,
-	settings *environment.Settings) {
-	link := uplink.New(log, uplink.Options{
+func follow(ctx context.Context, loop *eventloop.Loop, log *zap.Logger, p *proxy.Proxy,
+	settings *processconfig.Settings) {
+	link := agentclient.New(log, agentclient.Options{
 		Agent:            settings.FeedAddress(),
 		Node:             settings.Node,
 		RunnerPartitions: feed.RunnerPartitions,
-		Deliver:          func(u uplink.Update) { loop.Post(func() { p.Take(u) }) },
+		Deliver:          func(u agentclient.Update) { loop.Post(func() { p.Take(u) }) },
 		Recall:           func(learnt []byte) { loop.Post(func() { p.Recall(learnt) }) },
 	})
 	p.Follow(link, settings.Zones)
@@ -119,7 +119,7 @@
 }
 
 // stopOnSignal has the proxy stop when it is told to.
-func stopOnSignal(loop *transport.Loop, p *proxy.Proxy) {
+func stopOnSignal(loop *eventloop.Loop, p *proxy.Proxy) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, startup.StopSignals()...)
 	go func() {
--- a/cmd/cinderroad-simserver/main.go
+++ b/cmd/cinderroad-simserver/main.go
@@ -21,7 +21,7 @@
 
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	reader, host, w := wire.NewReader(in), wire.NewHost(), bufio.NewWriterSize(out, 1<<16)
+	reader, host, w := simwire.NewReader(in), simwire.NewHost(), bufio.NewWriterSize(out, 1<<16)
 	for {
 		frame, err := reader.Next()
 		if errors.Is(err, io.EOF) {
--- a/grpcbalancer/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -1,4 +1,4 @@
-package rpcplugin
+package grpcbalancer
 
 import (
 	"context"
@@ -117,7 +117,7 @@
 	var gone []balancer.SubConn
 	d.locked(func() {
 		listed := map[string]bool{}
-		var members []routing.Member
+		var members []dispatch.Member
 		for _, a := range s.ResolverState.Addresses {
 			if listed[a.Addr] {
 				continue
@@ -125,21 +125,21 @@
 			listed[a.Addr] = true
 			w := d.workers[a.Addr]
 			if w == nil {
-				w = &worker{d: d, addr: a.Addr, fetches: map[routing.FetchID]*fetch{}, link: link{changed: make(chan struct{})}}
+				w = &worker{d: d, addr: a.Addr, fetches: map[dispatch.FetchID]*fetch{}, link: link{changed: make(chan struct{})}}
 				d.workers[a.Addr] = w
 			}
 			if w.link.sub == nil {
 				missing = append(missing, fresh{w, a})
 			}
 			at, _ := a.BalancerAttributes.Value(serverKey{}).(Server)
-			w.member = brain.Worker{ID: d.core.Number(a.Addr), Zone: at.Zone, Kind: at.Kind, Cell: at.Cell, State: brain.Ready, Weight: 1}
+			w.member = loadbalancer.Worker{ID: d.core.Number(a.Addr), Zone: at.Zone, Kind: at.Kind, Cell: at.Cell, State: loadbalancer.Ready, Weight: 1}
 			if at.Draining {
-				w.member.State = brain.Draining
+				w.member.State = loadbalancer.Draining
 			}
 			if !at.Started.IsZero() {
 				w.member.Since = float64(at.Started.UnixMicro()) / 1e6
 			}
-			members = append(members, routing.Member{Worker: w.member, Backend: w, Name: a.Addr})
+			members = append(members, dispatch.Member{Worker: w.member, Backend: w, Name: a.Addr})
 		}
 		for addr, w := range d.workers {
 			if !listed[addr] && w.link.sub != nil {
@@ -148,7 +148,7 @@
 				delete(d.workers, addr)
 			}
 		}
-		d.core.List(brain.ListFull, members)
+		d.core.List(loadbalancer.ListFull, members)
 	})
 	for _, m := range missing {
 		var sub balancer.SubConn
@@ -198,7 +198,7 @@
 		for _, w := range b.d.workers {
 			w.link.sub, w.link.ready = nil, false
 		}
-		b.d.core.List(brain.ListFull, nil)
+		b.d.core.List(loadbalancer.ListFull, nil)
 	})
 }
 
--- a/grpcbalancer/figures.go
+++ b/grpcbalancer/figures.go
@@ -1,4 +1,4 @@
-package rpcplugin
+package grpcbalancer
 
 import (
 	"strconv"
--- a/grpcbalancer/rpcplugin.go
+++ b/grpcbalancer/rpcplugin.go
@@ -2,7 +2,7 @@
 // rules, as the daemon. An interceptor owns the req: its class, its deadline, its one final answer. Where each
 // fetch goes is asked of package brain through the same core that the daemon uses, and the registered balancer's
 // picker carries that out. The library repeats nothing by itself.
-package rpcplugin
+package grpcbalancer
 
 import (
 	"context"
@@ -37,7 +37,7 @@
 
 // Options configure a Dispatcher.
 type Options struct {
-	Settings brain.Settings
+	Settings loadbalancer.Settings
 	Seed     uint64
 	// Class tells a method's place in Settings.Classes. A method that it does not know is never sent.
 	Class func(method string) (class int, known bool)
@@ -57,7 +57,7 @@
 	start   float64
 
 	mu      sync.Mutex // the core belongs to whoever holds it
-	core    *routing.Core
+	core    *dispatch.Core
 	workers map[string]*worker // by address
 	timers  map[*timer]bool
 	closed  bool
@@ -75,7 +75,7 @@
 	now := time.Now()
 	d := &Dispatcher{options: o, anchor: now, start: float64(now.UnixMicro()) / 1e6, workers: map[string]*worker{}, timers: map[*timer]bool{}}
 	var err error
-	if d.core, err = routing.New(o.Settings, o.Seed, d); err != nil {
+	if d.core, err = dispatch.New(o.Settings, o.Seed, d); err != nil {
 		return nil, fmt.Errorf("rpcplugin: %w", err)
 	}
 	if o.Figures != nil {
@@ -104,7 +104,7 @@
 }
 
 // Counts returns the core's figures so far.
-func (d *Dispatcher) Counts() (n routing.Counts) {
+func (d *Dispatcher) Counts() (n dispatch.Counts) {
 	d.locked(func() { n = d.core.Counts() })
 	return n
 }
@@ -115,7 +115,7 @@
 // Include calls a server back: it is cold, since it was restarted meanwhile.
 func (d *Dispatcher) Include(addr string) (known bool) { return d.change(d.core.Include, addr) }
 
-func (d *Dispatcher) change(what func(string) routing.Change, addr string) (known bool) {
+func (d *Dispatcher) change(what func(string) dispatch.Change, addr string) (known bool) {
 	d.locked(func() {
 		ch := what(addr)
 		if known = ch.Known && !ch.Full; known {
@@ -148,7 +148,7 @@
 }
 
 // At implements routing.Clock; the lock is held.
-func (d *Dispatcher) At(at float64, do func()) routing.Stop {
+func (d *Dispatcher) At(at float64, do func()) dispatch.Stop {
 	t := &timer{d: d}
 	if d.closed {
 		t.t = time.NewTimer(time.Hour)
@@ -177,14 +177,14 @@
 	cc        *grpc.ClientConn
 	invoke    grpc.UnaryInvoker
 	options   []grpc.CallOption
-	answer    chan routing.Answer
+	answer    chan dispatch.Answer
 	served    any   // the reply of the fetch that won, and
 	servedErr error // the status that its server gave it
 	failed    error // of the last fetch that failed
 }
 
 // Answer implements routing.Asker; the lock is held.
-func (c *call) Answer(a routing.Answer) { c.answer <- a }
+func (c *call) Answer(a dispatch.Answer) { c.answer <- a }
 
 // intercept owns a unary call from its start to its one answer.
 func (d *Dispatcher) intercept(ctx context.Context, method string, request, reply any, cc *grpc.ClientConn, invoke grpc.UnaryInvoker, options ...grpc.CallOption) error {
@@ -194,15 +194,15 @@
 	}
 	cc.Connect() // the list comes from the resolver, which an idle ClientConn does not ask
 	c := &call{ctx: ctx, method: method, request: request, reply: reflect.TypeOf(reply).Elem(), cc: cc, invoke: invoke,
-		options: options, answer: make(chan routing.Answer, 1)}
-	job := routing.Job{Class: class, Slots: 1, Deadline: d.Now() + d.options.Settings.Classes[class].Deadline, Load: c, ID: method,
+		options: options, answer: make(chan dispatch.Answer, 1)}
+	job := dispatch.Job{Class: class, Slots: 1, Deadline: d.Now() + d.options.Settings.Classes[class].Deadline, Load: c, ID: method,
 		Front: "grpc"}
 	if at, ok := ctx.Deadline(); ok {
 		job.Deadline = math.Min(job.Deadline, d.Now()+time.Until(at).Seconds())
 	}
-	var id routing.ReqID
+	var id dispatch.ReqID
 	d.locked(func() { id = d.core.Take(job, c) })
-	var a routing.Answer
+	var a dispatch.Answer
 	select {
 	case a = <-c.answer:
 	case <-ctx.Done():
@@ -217,7 +217,7 @@
 	served, servedErr, failed := c.served, c.servedErr, c.failed
 	d.mu.Unlock()
 	switch a.Verdict {
-	case routing.Served:
+	case dispatch.Served:
 		if servedErr != nil {
 			return servedErr
 		}
@@ -228,7 +228,7 @@
 			reflect.ValueOf(reply).Elem().Set(reflect.ValueOf(served).Elem())
 		}
 		return nil
-	case routing.Refused:
+	case dispatch.Refused:
 		s := status.New(codes.Unavailable, "refused: a retry is harmless")
 		if with, err := s.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(a.Wait * float64(time.Second)))}); err == nil {
 			s = with
@@ -245,14 +245,14 @@
 type worker struct {
 	d       *Dispatcher
 	addr    string
-	member  brain.Worker
+	member  loadbalancer.Worker
 	link    link
-	fetches map[routing.FetchID]*fetch
+	fetches map[dispatch.FetchID]*fetch
 }
 
 // fetch is one attempt. What the picker needs of it travels in its context.
 type fetch struct {
-	id     routing.FetchID
+	id     dispatch.FetchID
 	w      *worker
 	cancel context.CancelFunc
 	begun  bool // handed to the library
@@ -263,7 +263,7 @@
 type fetchKey struct{}
 
 // Begin implements routing.Backend; the lock is held.
-func (w *worker) Begin(f routing.Fetch) {
+func (w *worker) Begin(f dispatch.Fetch) {
 	c := f.Load.(*call)
 	ctx, cancel := context.WithTimeout(c.ctx, time.Duration((f.Deadline-w.d.Now())*float64(time.Second)))
 	t := &fetch{id: f.ID, w: w, cancel: cancel}
@@ -272,7 +272,7 @@
 }
 
 // Drop implements routing.Backend; the lock is held.
-func (w *worker) Drop(id routing.FetchID) bool {
+func (w *worker) Drop(id dispatch.FetchID) bool {
 	t := w.fetches[id]
 	if t == nil {
 		return true
@@ -286,10 +286,10 @@
 func (w *worker) Renew() {}
 
 // Probe implements routing.Backend: the state of the connection is all that costs the server nothing.
-func (w *worker) Probe(done func(brain.Result, []float32)) {
-	result := brain.OK
+func (w *worker) Probe(done func(loadbalancer.Result, []float32)) {
+	result := loadbalancer.OK
 	if w.link.sub == nil || !w.link.ready {
-		result = brain.ConnectFailed
+		result = loadbalancer.ConnectFailed
 	}
 	done(result, nil)
 }
@@ -301,11 +301,11 @@
 	w.d.mu.Lock()
 	result, clear := w.d.core.Clear(t.id)
 	if clear && !up {
-		result, clear = brain.ConnectFailed, false
+		result, clear = loadbalancer.ConnectFailed, false
 	}
 	if t.begun = clear; !clear {
 		delete(w.fetches, t.id)
-		w.d.core.Ended(t.id, routing.End{Result: result})
+		w.d.core.Ended(t.id, dispatch.End{Result: result})
 		w.d.mu.Unlock()
 		return
 	}
@@ -321,34 +321,34 @@
 		return // given up: its status is of our own making and must not reach the caller
 	}
 	delete(w.fetches, t.id)
-	e := routing.End{Result: outcome(err, trailer, t.unsent), Report: w.d.report(trailer)}
-	if e.Result == brain.OK && c.served == nil {
+	e := dispatch.End{Result: outcome(err, trailer, t.unsent), Report: w.d.report(trailer)}
+	if e.Result == loadbalancer.OK && c.served == nil {
 		c.served, c.servedErr = reply, err
-	} else if e.Result != brain.OK {
+	} else if e.Result != loadbalancer.OK {
 		c.failed = err
 	}
 	w.d.core.Ended(t.id, e)
 }
 
 // outcome maps a status. Whatever the service itself said to the caller is an answer, not a failure.
-func outcome(err error, trailer metadata.MD, unsent bool) brain.Result {
+func outcome(err error, trailer metadata.MD, unsent bool) loadbalancer.Result {
 	if unsent {
-		return brain.ConnectFailed
+		return loadbalancer.ConnectFailed
 	}
 	if v := trailer.Get(RejectedTrailer); err != nil && len(v) == 1 && v[0] == "1" {
-		return brain.Full
+		return loadbalancer.Full
 	}
 	switch status.Code(err) {
 	case codes.Unavailable:
-		return brain.Reset // the connection broke, or so the server says: it may have run
+		return loadbalancer.Reset // the connection broke, or so the server says: it may have run
 	case codes.DeadlineExceeded:
-		return brain.Timeout
+		return loadbalancer.Timeout
 	case codes.Canceled:
-		return brain.Cancelled
+		return loadbalancer.Cancelled
 	case codes.Unknown, codes.Internal, codes.DataLoss, codes.ResourceExhausted:
-		return brain.Error
+		return loadbalancer.Error
 	}
-	return brain.OK
+	return loadbalancer.OK
 }
 
 // report reads a load report into the settings' order.
--- a/internal/dispatcher/admin/console.go
+++ b/internal/dispatcher/admin/console.go
@@ -1,6 +1,6 @@
 // Package console is the second address, at which the staff who run the dispatcher speak to it: one HTTP call a
 // connection, yes is 2xx, no is 4xx or 5xx with a reason.
-package console
+package admin
 
 import (
 	"bytes"
@@ -38,15 +38,15 @@
 type Console struct {
 	Calls, Refused, GaveWay uint64
 
-	loop     *transport.Loop
+	loop     *eventloop.Loop
 	log      *zap.Logger
 	paths    map[string]Call
 	callers  []*caller // the oldest first
-	listener *transport.Listener
+	listener *eventloop.Listener
 }
 
 // Start opens the address.
-func Start(loop *transport.Loop, log *zap.Logger, addr netip.AddrPort, paths map[string]Call) (*Console, error) {
+func Start(loop *eventloop.Loop, log *zap.Logger, addr netip.AddrPort, paths map[string]Call) (*Console, error) {
 	c := &Console{loop: loop, log: log, paths: paths}
 	ln, err := loop.ListenApart(addr, mostCallers, c.give, c.accept)
 	if err != nil {
@@ -69,13 +69,13 @@
 // caller is one connection.
 type caller struct {
 	c        *Console
-	conn     *transport.Conn
+	conn     *eventloop.Conn
 	called   bool // its call is whole
 	answered bool
-	timeout  *transport.Deadline
+	timeout  *eventloop.Deadline
 }
 
-func (c *Console) accept(conn *transport.Conn) transport.Handler {
+func (c *Console) accept(conn *eventloop.Conn) eventloop.Handler {
 	k := &caller{c: c, conn: conn}
 	c.callers = append(c.callers, k)
 	k.timeout = c.loop.At(c.loop.Now()+patience, func() { k.reply(408, "no whole call came in time") })
@@ -103,28 +103,28 @@
 }
 
 // Opened implements transport.Handler.
-func (k *caller) Opened(*transport.Conn) {}
+func (k *caller) Opened(*eventloop.Conn) {}
 
 // Closed implements transport.Handler. A call that was whole is carried out all the same.
-func (k *caller) Closed(*transport.Conn, error) {
+func (k *caller) Closed(*eventloop.Conn, error) {
 	k.timeout.Stop()
 	k.answered = true
 	k.c.callers = slices.DeleteFunc(k.c.callers, func(o *caller) bool { return o == k })
 }
 
 // Data implements transport.Handler.
-func (k *caller) Data(conn *transport.Conn) {
+func (k *caller) Data(conn *eventloop.Conn) {
 	if k.called {
 		return
 	}
-	q, _, err := platform.ParseRequest(conn.Bytes())
-	var syntax *platform.SyntaxError
+	q, _, err := httpfront.ParseRequest(conn.Bytes())
+	var syntax *httpfront.SyntaxError
 	switch {
-	case errors.Is(err, platform.ErrMore) && len(conn.Bytes()) > mostBytes:
+	case errors.Is(err, httpfront.ErrMore) && len(conn.Bytes()) > mostBytes:
 		k.reply(413, "call too large")
 		return
-	case errors.Is(err, platform.ErrMore):
-		if platform.AwaitsContinue(conn.Bytes()) {
+	case errors.Is(err, httpfront.ErrMore):
+		if httpfront.AwaitsContinue(conn.Bytes()) {
 			conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
 		return
@@ -140,7 +140,7 @@
 	k.serve(&q)
 }
 
-func (k *caller) serve(q *platform.Request) {
+func (k *caller) serve(q *httpfront.Request) {
 	path, _, _ := strings.Cut(q.Target, "?")
 	call, known := k.c.paths[path]
 	switch {
@@ -191,6 +191,6 @@
 		k.c.Refused++
 		k.c.log.Warn("console: no", zap.Int("status", status), zap.String("reason", reason))
 	}
-	k.conn.Write(platform.AppendResponse(nil, status, "", []byte(reason+"\n"), true))
+	k.conn.Write(httpfront.AppendResponse(nil, status, "", []byte(reason+"\n"), true))
 	k.conn.CloseWhenSent()
 }
--- a/internal/dispatcher/admission/door.go
+++ b/internal/dispatcher/admission/door.go
@@ -1,6 +1,6 @@
 // Package door holds what both fronts ask of a peer before they know what it wants: how long it may take to say
 // so, how many connections it may hold, and how much memory all of them together.
-package door
+package admission
 
 import (
 	"net/netip"
@@ -26,7 +26,7 @@
 type Door struct {
 	Turned uint64 // connections that found no room
 
-	loop  *transport.Loop
+	loop  *eventloop.Loop
 	bytes int
 	open  int
 	jobs  int // bytes of the open jobs
@@ -34,7 +34,7 @@
 }
 
 // New makes the door of a program that may use so much memory; 0 is not told.
-func New(loop *transport.Loop, memoryMB int) *Door {
+func New(loop *eventloop.Loop, memoryMB int) *Door {
 	d := &Door{loop: loop, from: map[netip.Addr]int{}}
 	d.SetMemory(memoryMB)
 	return d
--- a/internal/dispatcher/cluster/auditlog/ledger.go
+++ b/internal/dispatcher/cluster/auditlog/ledger.go
@@ -1,6 +1,6 @@
 // Package ledger keeps what a dispatcher took up, when and from whom, beside its request log, and audits the ledgers and request
 // logs of many. An answer and a send carry a mark: the number of the last entry that was in force when they were decided.
-package ledger
+package auditlog
 
 import (
 	"encoding/json"
--- a/internal/dispatcher/cluster/auditlog/read.go
+++ b/internal/dispatcher/cluster/auditlog/read.go
@@ -1,4 +1,4 @@
-package ledger
+package auditlog
 
 import (
 	"bufio"
--- a/internal/dispatcher/cluster/fleet.go
+++ b/internal/dispatcher/cluster/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet joins the fleet's state machines to the loop: one UDP socket, one deadline, no goroutine of its own. What
 // they decide goes to the core by one call.
-package fleet
+package cluster
 
 import (
 	"errors"
@@ -35,7 +35,7 @@
 	Lease           float64 // seconds
 	Seed            uint64
 	Facts           membership.Facts
-	Rules           divisor.Rules
+	Rules           quota.Rules
 	Board           *versions.Board            // who holds which list; not nil
 	Leased          func(out bool, why string) // this dispatcher may take new work no more, or again
 	Settled         func(Settled)
@@ -55,15 +55,15 @@
 	BytesSent              uint64
 	Drops                  [drops]uint64
 
-	loop    *transport.Loop
+	loop    *eventloop.Loop
 	log     *zap.Logger
 	options Options
-	use     func(divisor.Place) // who decides by the place
+	use     func(quota.Place) // who decides by the place
 	machine *membership.Machine
-	divisor *divisor.Divisor
-	socket  *transport.Socket
-	timer   *transport.Deadline
-	place   divisor.Place
+	divisor *quota.Divisor
+	socket  *eventloop.Socket
+	timer   *eventloop.Deadline
+	place   quota.Place
 	placeAt float64
 	counted bool
 	waits   bool // for the address, or for the process that has the name to give it back
@@ -87,7 +87,7 @@
 
 // Bind opens the socket of a member ahead of its start, so that an address that cannot be had refuses a reload. The
 // address of a process that still runs is waited for: nil without an error.
-func Bind(loop *transport.Loop, addr netip.AddrPort) (*transport.Socket, error) {
+func Bind(loop *eventloop.Loop, addr netip.AddrPort) (*eventloop.Socket, error) {
 	socket, err := loop.ListenDatagrams(addr, func([]byte) {})
 	if errors.Is(err, unix.EADDRINUSE) {
 		return nil, nil
@@ -99,7 +99,7 @@
 }
 
 // Start begins; socket is of Bind, nil if the address was not to be had yet. use is called at once and with each change.
-func Start(loop *transport.Loop, log *zap.Logger, o Options, socket *transport.Socket, use func(divisor.Place)) *Fleet {
+func Start(loop *eventloop.Loop, log *zap.Logger, o Options, socket *eventloop.Socket, use func(quota.Place)) *Fleet {
 	f := &Fleet{loop: loop, log: log, options: o, use: use, socket: socket}
 	loop.SleptAfter = math.Max(sleptLeast, sleptShare*o.Period)
 	loop.Overslept = f.slept
@@ -113,7 +113,7 @@
 	f.machine = membership.New(membership.Options{Fleet: o.Fleet, Name: o.Name, Addr: o.Advertise, Seeds: o.Seeds, Period: o.Period,
 		Forget: o.Forget, Life: uint64(f.loop.Now() * 1e6), Seed: o.Seed, Facts: o.Facts, Rider: o.Board})
 	o.Board.Near = func(member string) bool { return f.machine.Zone(member) == o.Facts.Zone }
-	f.divisor = divisor.New(o.Rules)
+	f.divisor = quota.New(o.Rules)
 	o.Board.Lease.Period, o.Board.Lease.Term = o.Period, o.Lease
 	f.divide()
 	if f.socket == nil {
@@ -372,7 +372,7 @@
 		f.socket = nil
 	}
 	f.waits = true
-	f.place.Part, f.place.Why = divisor.Cautious, divisor.CutOff // the next one has the share
+	f.place.Part, f.place.Why = quota.Cautious, quota.CutOff // the next one has the share
 	f.use(f.place)
 }
 
@@ -402,7 +402,7 @@
 }
 
 // Release ends this member by word and gives its socket to whoever has the address next; nil where it had none.
-func (f *Fleet) Release() *transport.Socket {
+func (f *Fleet) Release() *eventloop.Socket {
 	f.Leave()
 	socket := f.socket
 	f.socket, f.closed = nil, true
@@ -428,4 +428,4 @@
 func (f *Fleet) LastSettling() float64 { return f.settled }
 
 // Place is among whom cold workers are shared.
-func (f *Fleet) Place() divisor.Place { return f.place }
+func (f *Fleet) Place() quota.Place { return f.place }
--- a/internal/dispatcher/cluster/jobreplica/copies.go
+++ b/internal/dispatcher/cluster/jobreplica/copies.go
@@ -1,7 +1,7 @@
 // Package copies has several members hold the same state for the fleet: what a majority of them has agreed is there for
 // good. The agreement is internal/system/consensus; here are who the copies are, lives without a disk, proposals made at any copy,
 // and bounds. Pure: no I/O, no clock, random numbers from a seed; the same input gives the same output.
-package copies
+package jobreplica
 
 import (
 	"errors"
--- a/internal/dispatcher/cluster/jobreplica/copies_test.go
+++ b/internal/dispatcher/cluster/jobreplica/copies_test.go
@@ -1,4 +1,4 @@
-package copies_test
+package jobreplica_test
 
 import (
 	"errors"
@@ -32,7 +32,7 @@
 	w.dispatch()
 	w.run1(w.now + 4)
 	for i := range 12 {
-		w.handIn(fmt.Sprint("k", i), promises.Effect(i%3))
+		w.handIn(fmt.Sprint("k", i), jobstate.Effect(i%3))
 		if i%3 == 2 {
 			w.fault(rng)
 			w.run1(w.now + 1 + 11*rng.Float64())
@@ -117,7 +117,7 @@
 		w.dispatch()
 		w.run1(w.now + 3)
 		for i := range 6 {
-			w.handIn(fmt.Sprint("k", i), promises.Effect(i%3))
+			w.handIn(fmt.Sprint("k", i), jobstate.Effect(i%3))
 		}
 		w.drop = 0.1
 		w.run1(w.now + 10)
@@ -136,40 +136,40 @@
 // Runs for mutations: what is told must hold whichever one message is spoilt.
 var scenarios = map[string]func(w *world){
 	"the leader is killed": func(w *world) {
-		w.handIn("a", promises.Unsafe)
-		w.handIn("b", promises.Keyed)
+		w.handIn("a", jobstate.Unsafe)
+		w.handIn("b", jobstate.Keyed)
 		w.run1(w.now + 0.7)
 		w.kill(w.leader())
 		w.run1(w.now + 3)
-		w.handIn("c", promises.Safe)
+		w.handIn("c", jobstate.Safe)
 		w.run1(w.now + 9)
 	},
 	"the leader sleeps while another sends": func(w *world) {
-		w.handIn("a", promises.Keyed)
+		w.handIn("a", jobstate.Keyed)
 		w.run1(w.now + 0.5)
 		p := w.leader()
 		p.paused = true
-		w.handIn("b", promises.Unsafe)
+		w.handIn("b", jobstate.Unsafe)
 		w.run1(w.now + 5)
 		w.resume(p)
-		w.handIn("c", promises.Safe)
+		w.handIn("c", jobstate.Safe)
 		w.run1(w.now + 3)
 	},
 	"a copy is replaced": func(w *world) {
-		w.handIn("a", promises.Unsafe)
+		w.handIn("a", jobstate.Unsafe)
 		p := w.follower()
 		w.cut = func(from, to int) bool { return from == p.i || to == p.i }
 		w.run1(w.now + 12)
 		w.cut = nil
-		w.handIn("b", promises.Keyed)
+		w.handIn("b", jobstate.Keyed)
 		w.run1(w.now + 3)
 	},
 	"the lead is handed over": func(w *world) {
-		w.handIn("a", promises.Keyed)
+		w.handIn("a", jobstate.Keyed)
 		p := w.leader()
 		p.copy.HandOver()
 		w.after(p)
-		w.handIn("b", promises.Unsafe)
+		w.handIn("b", jobstate.Unsafe)
 		w.run1(w.now + 2)
 	},
 }
@@ -199,7 +199,7 @@
 func TestAnyOneMessageMayBeSpoilt(t *testing.T) {
 	for name, scenario := range scenarios {
 		t.Run(name, func(t *testing.T) {
-			o := mutate.Options{Late: []float64{0.3, 1.5, 9}, Slice: 37, Jobs: 6, Others: []uint64{1, 2, 3, 4}, Forge: copies.Forge}
+			o := mutate.Options{Late: []float64{0.3, 1.5, 9}, Slice: 37, Jobs: 6, Others: []uint64{1, 2, 3, 4}, Forge: jobreplica.Forge}
 			if *mutateAll {
 				o.Slice = 1
 			}
@@ -262,7 +262,7 @@
 		key := fmt.Sprint("k", i)
 		for _, p := range w.places {
 			if p.copy != nil && !p.paused && p.copy.Holds() {
-				c := promises.Command{Kind: promises.Take, At: int64(w.now * 1000), Tenant: "t", Key: key, Class: "x"}
+				c := jobstate.Command{Kind: jobstate.Take, At: int64(w.now * 1000), Tenant: "t", Key: key, Class: "x"}
 				p.asked[key] = c
 				p.copy.Propose(w.now, c.Encode())
 				w.after(p)
@@ -315,8 +315,8 @@
 	w.cut = func(from, to int) bool { return true }
 	w.run1(w.now + 4)
 	for _, p := range w.places {
-		err := p.copy.Propose(w.now, (&promises.Command{Kind: promises.Pass}).Encode())
-		var none *copies.NoMajority
+		err := p.copy.Propose(w.now, (&jobstate.Command{Kind: jobstate.Pass}).Encode())
+		var none *jobreplica.NoMajority
 		if !errors.As(err, &none) || none.RetryMS <= 0 || none.Heard != 1 || none.Copies != 3 {
 			t.Errorf("%s: %v", p.member.Name, err)
 		}
@@ -344,7 +344,7 @@
 	w.run1(w.now + 3)
 	p := w.leader()
 	for i := range 200 {
-		c := promises.Command{Kind: promises.Take, At: int64(w.now * 1000), Tenant: "t", Key: fmt.Sprint(i), Class: "x", Data: make([]byte, 3000)}
+		c := jobstate.Command{Kind: jobstate.Take, At: int64(w.now * 1000), Tenant: "t", Key: fmt.Sprint(i), Class: "x", Data: make([]byte, 3000)}
 		if err := p.copy.Propose(w.now, c.Encode()); err != nil {
 			t.Fatal(err)
 		}
@@ -366,13 +366,13 @@
 }
 
 func TestCopiesStandOnMachinesOfTheirOwnAndZonesApart(t *testing.T) {
-	var members []copies.Member
+	var members []jobreplica.Member
 	for i := range 9 {
-		members = append(members, copies.Member{ID: uint64(i + 1), Name: fmt.Sprint("m", i), Machine: fmt.Sprint("host", i/2), Zone: fmt.Sprint(i / 4)})
+		members = append(members, jobreplica.Member{ID: uint64(i + 1), Name: fmt.Sprint("m", i), Machine: fmt.Sprint("host", i/2), Zone: fmt.Sprint(i / 4)})
 	}
-	chosen := copies.Choose(members, nil, 3)
+	chosen := jobreplica.Choose(members, nil, 3)
 	slices.Reverse(members)
-	if again := copies.Choose(members, nil, 3); !slices.Equal(chosen, again) {
+	if again := jobreplica.Choose(members, nil, 3); !slices.Equal(chosen, again) {
 		t.Errorf("%v, in another order %v", chosen, again)
 	}
 	zones, machines := map[string]bool{}, map[string]bool{}
@@ -382,7 +382,7 @@
 	if len(zones) != 3 || len(machines) != 3 {
 		t.Errorf("%v", chosen)
 	}
-	if got := copies.Choose(members, nil, 9); len(got) != 5 {
+	if got := jobreplica.Choose(members, nil, 9); len(got) != 5 {
 		t.Errorf("%d copies on 5 machines", len(got))
 	}
 }
@@ -394,7 +394,7 @@
 		t.Fatal(err)
 	}
 	none := errors.New("none")
-	for _, p := range []promises.Problem{&copies.NoMajority{}, &copies.NotACopy{}, &copies.Stopped{Cause: none}, &copies.TooFar{}, &copies.Replaced{}} {
+	for _, p := range []jobstate.Problem{&jobreplica.NoMajority{}, &jobreplica.NotACopy{}, &jobreplica.Stopped{Cause: none}, &jobreplica.TooFar{}, &jobreplica.Replaced{}} {
 		if p.Code() == "" || p.Do() == "" || !strings.Contains(string(page), "`"+p.Code()+"`") || !strings.Contains(string(page), p.Do()) {
 			t.Errorf("%T: %q is not on the page as it is", p, p.Code())
 		}
@@ -402,24 +402,24 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	p := copies.NewPager("test", 1, 1<<16)
-	for _, datagram := range p.Seal(copies.Outgoing{To: 2, Data: make([]byte, 3000)}) {
+	p := jobreplica.NewPager("test", 1, 1<<16)
+	for _, datagram := range p.Seal(jobreplica.Outgoing{To: 2, Data: make([]byte, 3000)}) {
 		f.Add(datagram)
 	}
 	f.Fuzz(func(t *testing.T, datagram []byte) {
-		message, err := copies.NewPager("test", 2, 1<<16).Open(datagram)
+		message, err := jobreplica.NewPager("test", 2, 1<<16).Open(datagram)
 		if err == nil && message != nil {
-			c := copies.New(0, copies.Options{Me: copies.Member{ID: 2}, Copies: 3, Silence: 1, Beat: 0.1, Replace: 8, Cut: 64, Most: 1 << 16,
-				Machine: &machine{promises.New(bounds), &world{}}})
+			c := jobreplica.New(0, jobreplica.Options{Me: jobreplica.Member{ID: 2}, Copies: 3, Silence: 1, Beat: 0.1, Replace: 8, Cut: 64, Most: 1 << 16,
+				Machine: &machine{jobstate.New(bounds), &world{}}})
 			c.Step(1, message)
 		}
 	})
 }
 
 func TestHalfMessagesAreBounded(t *testing.T) {
-	from, to := copies.NewPager("test", 1, 1<<16), copies.NewPager("test", 2, 1<<16)
+	from, to := jobreplica.NewPager("test", 1, 1<<16), jobreplica.NewPager("test", 2, 1<<16)
 	for range 1000 {
-		for i, datagram := range from.Seal(copies.Outgoing{To: 2, Data: make([]byte, 5000)}) {
+		for i, datagram := range from.Seal(jobreplica.Outgoing{To: 2, Data: make([]byte, 5000)}) {
 			if i > 0 { // the first page is always lost
 				if m, err := to.Open(datagram); m != nil || err != nil {
 					t.Fatal(m, err)
@@ -430,7 +430,7 @@
 	if held := to.Held(); held > 1<<16+5000 || len(to.Turn(0)) != 0 {
 		t.Errorf("%d bytes of half messages", held)
 	}
-	for i, datagram := range from.Seal(copies.Outgoing{To: 2, Data: make([]byte, 5000)}) {
+	for i, datagram := range from.Seal(jobreplica.Outgoing{To: 2, Data: make([]byte, 5000)}) {
 		m, err := to.Open(datagram)
 		if err != nil || (m != nil) != (i == 4) {
 			t.Errorf("page %d: %d bytes, %v", i, len(m), err)
--- a/internal/dispatcher/cluster/jobreplica/cost_test.go
+++ b/internal/dispatcher/cluster/jobreplica/cost_test.go
@@ -1,4 +1,4 @@
-package copies_test
+package jobreplica_test
 
 import (
 	"fmt"
@@ -12,15 +12,15 @@
 func BenchmarkAgree(b *testing.B) {
 	for _, many := range []int{3, 5} {
 		b.Run(fmt.Sprint(many), func(b *testing.B) {
-			var members []copies.Member
+			var members []jobreplica.Member
 			for i := range many {
-				members = append(members, copies.Member{ID: uint64(i + 1), Name: fmt.Sprint(i), Machine: fmt.Sprint(i)})
+				members = append(members, jobreplica.Member{ID: uint64(i + 1), Name: fmt.Sprint(i), Machine: fmt.Sprint(i)})
 			}
-			all, pagers, now := map[uint64]*copies.Copy{}, map[uint64]*copies.Pager{}, 0.0
+			all, pagers, now := map[uint64]*jobreplica.Copy{}, map[uint64]*jobreplica.Pager{}, 0.0
 			for _, m := range members {
-				state := &machine{promises.New(promises.Bounds{Bytes: 1 << 30, TenantBytes: 1 << 30, JobBytes: 1 << 20, ResultMS: 1000}), &world{}}
-				all[m.ID] = copies.New(now, copies.Options{Me: m, Seed: m.ID, Copies: many, Machine: state, Silence: 1, Beat: 0.1, Replace: 30, Cut: 1 << 20, Most: 1 << 16})
-				pagers[m.ID] = copies.NewPager("test", m.ID, 1<<20)
+				state := &machine{jobstate.New(jobstate.Bounds{Bytes: 1 << 30, TenantBytes: 1 << 30, JobBytes: 1 << 20, ResultMS: 1000}), &world{}}
+				all[m.ID] = jobreplica.New(now, jobreplica.Options{Me: m, Seed: m.ID, Copies: many, Machine: state, Silence: 1, Beat: 0.1, Replace: 30, Cut: 1 << 20, Most: 1 << 16})
+				pagers[m.ID] = jobreplica.NewPager("test", m.ID, 1<<20)
 				if err := all[m.ID].Found(members); err != nil {
 					b.Fatal(err)
 				}
@@ -45,7 +45,7 @@
 					}
 				}
 			}
-			var leader *copies.Copy
+			var leader *jobreplica.Copy
 			for leader == nil {
 				now += 0.05
 				for _, m := range members {
@@ -60,7 +60,7 @@
 			b.ReportAllocs()
 			n := 0
 			for ; b.Loop(); n++ {
-				c := promises.Command{Kind: promises.Take, At: 1000, Tenant: "t", Key: fmt.Sprint(n), Class: "c", Data: make([]byte, 200)}
+				c := jobstate.Command{Kind: jobstate.Take, At: 1000, Tenant: "t", Key: fmt.Sprint(n), Class: "c", Data: make([]byte, 200)}
 				if err := leader.Propose(now, c.Encode()); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/dispatcher/cluster/jobreplica/errors.go
+++ b/internal/dispatcher/cluster/jobreplica/errors.go
@@ -1,4 +1,4 @@
-package copies
+package jobreplica
 
 import "fmt"
 
--- a/internal/dispatcher/cluster/jobreplica/world_test.go
+++ b/internal/dispatcher/cluster/jobreplica/world_test.go
@@ -1,4 +1,4 @@
-package copies_test
+package jobreplica_test
 
 import (
 	"errors"
@@ -18,7 +18,7 @@
 // any member; members send what waits, under agreed fences, and workers keep their own books.
 type world struct {
 	now      float64
-	agenda   agenda.Agenda
+	agenda   eventqueue.Agenda
 	rng      *rand.Rand
 	places   []*place
 	sent     int
@@ -28,7 +28,7 @@
 	copies   int
 	life     uint64
 	acked    map[string]uint64 // by key: the number that the party was told
-	told     map[uint64]promises.JobState
+	told     map[uint64]jobstate.JobState
 	books    map[uint64][]work // what workers ran, by job
 	agreed   map[uint64]uint64 // digest of the state at each place of the log
 	held     map[uint64]string // who has a job at its workers, by job, until it ends or is given up
@@ -50,31 +50,31 @@
 // place is one member's: its process may stop, be killed and come back as another life.
 type place struct {
 	i      int
-	member copies.Member
-	copy   *copies.Copy
-	state  *promises.State
-	pager  *copies.Pager
+	member jobreplica.Member
+	copy   *jobreplica.Copy
+	state  *jobstate.State
+	pager  *jobreplica.Pager
 	paused bool
 	held   [][]byte
 	life   int // counts its processes
-	asked  map[string]promises.Command
+	asked  map[string]jobstate.Command
 }
 
 func (w *world) at(at float64, do func()) { w.agenda.At(at, do) }
 
-var bounds = promises.Bounds{Bytes: 1 << 20, TenantBytes: 1 << 20, JobBytes: 8 << 10, ResultMS: 600_000}
+var bounds = jobstate.Bounds{Bytes: 1 << 20, TenantBytes: 1 << 20, JobBytes: 8 << 10, ResultMS: 600_000}
 
 // newWorld is a fleet of n members of which the first so many found the state.
 func newWorld(seed uint64, n, many int) *world {
 	w := &world{now: 1000, rng: rand.New(rand.NewPCG(seed, 5)), tamper: mutate.Plain, copies: many, acked: map[string]uint64{},
-		told: map[uint64]promises.JobState{}, books: map[uint64][]work{}, agreed: map[uint64]uint64{}, held: map[uint64]string{}}
+		told: map[uint64]jobstate.JobState{}, books: map[uint64][]work{}, agreed: map[uint64]uint64{}, held: map[uint64]string{}}
 	for i := range n {
 		p := &place{i: i}
 		w.places = append(w.places, p)
 		w.begin(p)
 	}
 	view := w.view()
-	first := copies.Choose(view, nil, many)
+	first := jobreplica.Choose(view, nil, many)
 	for _, p := range w.places {
 		for _, m := range first {
 			if m.ID == p.member.ID {
@@ -93,7 +93,7 @@
 	}
 }
 
-func (w *world) view() (view []copies.Member) {
+func (w *world) view() (view []jobreplica.Member) {
 	for _, p := range w.places {
 		if p.copy != nil && !p.paused {
 			view = append(view, p.member)
@@ -105,14 +105,14 @@
 // begin is a new process of a place: nothing of the one before is left.
 func (w *world) begin(p *place) {
 	if w.life++; !w.sameLife || p.member.ID == 0 {
-		p.member = copies.Member{ID: w.life, Name: fmt.Sprintf("m%02d", p.i), Machine: fmt.Sprintf("host%02d", p.i), Zone: fmt.Sprint(p.i % 3)}
+		p.member = jobreplica.Member{ID: w.life, Name: fmt.Sprintf("m%02d", p.i), Machine: fmt.Sprintf("host%02d", p.i), Zone: fmt.Sprint(p.i % 3)}
 	}
 	p.life++
-	p.state = promises.New(bounds)
-	p.pager = copies.NewPager("test", p.member.ID, 1<<20)
-	p.asked = map[string]promises.Command{}
+	p.state = jobstate.New(bounds)
+	p.pager = jobreplica.NewPager("test", p.member.ID, 1<<20)
+	p.asked = map[string]jobstate.Command{}
 	p.held, p.paused = nil, false
-	p.copy = copies.New(w.now, copies.Options{Me: p.member, Seed: w.life, Copies: w.copies, Machine: &machine{p.state, w}, Silence: 1, Beat: 0.1, Replace: 8,
+	p.copy = jobreplica.New(w.now, jobreplica.Options{Me: p.member, Seed: w.life, Copies: w.copies, Machine: &machine{p.state, w}, Silence: 1, Beat: 0.1, Replace: 8,
 		Cut: 64, Most: 64 << 10})
 	life := p.life
 	var tick func()
@@ -124,7 +124,7 @@
 			p.copy.See(w.view())
 			p.copy.Tick(w.now)
 			w.after(p)
-			if replaced := new(copies.Replaced); errors.As(p.copy.Err(), &replaced) {
+			if replaced := new(jobreplica.Replaced); errors.As(p.copy.Err(), &replaced) {
 				w.kill(p) // what it knew is old: it goes on as another life
 				w.begin(p)
 				return
@@ -151,17 +151,17 @@
 
 // machine is the state as the copies use it, with the planted faults.
 type machine struct {
-	*promises.State
+	*jobstate.State
 	w *world
 }
 
 func (m *machine) Apply(index uint64, command []byte) (any, error) {
 	if m.w.noFence || m.w.noKey {
-		if c, err := promises.Decode(command); err == nil {
-			if job := m.Job(c.ID); c.Kind == promises.Send && m.w.noFence && job != nil {
+		if c, err := jobstate.Decode(command); err == nil {
+			if job := m.Job(c.ID); c.Kind == jobstate.Send && m.w.noFence && job != nil {
 				c.Fence = job.Fence
 			}
-			if c.Kind == promises.Take && m.w.noKey {
+			if c.Kind == jobstate.Take && m.w.noKey {
 				c.Key += fmt.Sprint(" ", index)
 			}
 			command = c.Encode()
@@ -233,17 +233,17 @@
 }
 
 // handIn has a party ask a member to take a job, again and again under one key until it is told a number.
-func (w *world) handIn(key string, effect promises.Effect) {
+func (w *world) handIn(key string, effect jobstate.Effect) {
 	w.jobs++
 	w.at(w.now, func() { w.ask(key, effect) })
 }
 
-func (w *world) ask(key string, effect promises.Effect) {
+func (w *world) ask(key string, effect jobstate.Effect) {
 	if w.acked[key] != 0 {
 		return
 	}
 	p := w.places[w.rng.IntN(len(w.places))]
-	c := promises.Command{Kind: promises.Take, At: int64(w.now * 1000), By: p.member.Name, Tenant: "t", Key: key, Class: fmt.Sprint(effect), Effect: effect,
+	c := jobstate.Command{Kind: jobstate.Take, At: int64(w.now * 1000), By: p.member.Name, Tenant: "t", Key: key, Class: fmt.Sprint(effect), Effect: effect,
 		WindowMS: 5000, Data: []byte(key)}
 	if p.copy != nil && !p.paused && p.copy.Holds() {
 		p.asked[key] = c
@@ -254,15 +254,15 @@
 }
 
 // applied is what a member does once a command is agreed.
-func (w *world) applied(p *place, a copies.Applied) {
-	c, err := promises.Decode(a.Command)
+func (w *world) applied(p *place, a jobreplica.Applied) {
+	c, err := jobstate.Decode(a.Command)
 	if err != nil {
 		w.fail("agreed on what nobody can read: %v", err)
 		return
 	}
-	result := a.Result.(promises.Result)
+	result := a.Result.(jobstate.Result)
 	switch c.Kind {
-	case promises.Take:
+	case jobstate.Take:
 		if _, mine := p.asked[c.Key]; mine && result.Err == nil { // the party is told
 			if was := w.acked[c.Key]; was != 0 && was != result.Job.ID {
 				w.fail("key %s is promised twice: %d and %d", c.Key, was, result.Job.ID)
@@ -270,11 +270,11 @@
 			w.acked[c.Key] = result.Job.ID
 			delete(p.asked, c.Key)
 		}
-	case promises.Send:
+	case jobstate.Send:
 		if c.By == w.holder(p) && result.Err == nil {
 			w.run(p, *result.Job, c)
 		}
-	case promises.End, promises.GiveUp:
+	case jobstate.End, jobstate.GiveUp:
 		if result.Err == nil {
 			delete(w.held, c.ID)
 		}
@@ -290,7 +290,7 @@
 func (w *world) holder(p *place) string { return fmt.Sprintf("%s/%d", p.member.Name, p.life) }
 
 // run is the first byte going out: a worker of the group runs the job, and tells its end a while later to who sent it.
-func (w *world) run(p *place, job promises.Job, c promises.Command) {
+func (w *world) run(p *place, job jobstate.Job, c jobstate.Command) {
 	w.check(job, work{c.Group, job.Fence, w.now})
 	if was, is := w.held[job.ID]; is {
 		w.fail("job %d is sent by %s while %s has it", job.ID, w.holder(p), was)
@@ -302,12 +302,12 @@
 }
 
 // check is P7 by the workers' own books.
-func (w *world) check(job promises.Job, next work) {
+func (w *world) check(job jobstate.Job, next work) {
 	for _, was := range w.books[job.ID] {
 		switch {
-		case job.Effect == promises.Unsafe:
+		case job.Effect == jobstate.Unsafe:
 			w.fail("job %d, unsafe, ran twice", job.ID)
-		case job.Effect == promises.Keyed && (was.group != next.group || next.at-was.at > 5.5):
+		case job.Effect == jobstate.Keyed && (was.group != next.group || next.at-was.at > 5.5):
 			w.fail("job %d, keyed, ran in group %s at %.1f and %s at %.1f", job.ID, was.group, was.at, next.group, next.at)
 		}
 	}
@@ -319,7 +319,7 @@
 		return
 	}
 	if !p.paused {
-		c := promises.Command{Kind: promises.End, At: int64(w.now * 1000), By: w.holder(p), ID: id, Fence: fence, Data: []byte("done")}
+		c := jobstate.Command{Kind: jobstate.End, At: int64(w.now * 1000), By: w.holder(p), ID: id, Fence: fence, Data: []byte("done")}
 		p.copy.Propose(w.now, c.Encode())
 		w.after(p)
 	}
@@ -335,7 +335,7 @@
 			}
 			if waiting := p.state.Waiting(); len(waiting) > 0 {
 				job := waiting[w.rng.IntN(len(waiting))]
-				c := promises.Command{Kind: promises.Send, At: int64(w.now * 1000), By: w.holder(p), ID: job.ID, Fence: job.Fence, Worker: "w",
+				c := jobstate.Command{Kind: jobstate.Send, At: int64(w.now * 1000), By: w.holder(p), ID: job.ID, Fence: job.Fence, Worker: "w",
 					Group: fmt.Sprint(w.rng.IntN(2))}
 				if job.Group != "" {
 					c.Group = job.Group
@@ -363,8 +363,8 @@
 	}
 	for id := range w.acked {
 		job := p.state.Find("t", id)
-		if job != nil && job.State == promises.Sent && !alive[job.Holder] {
-			c := promises.Command{Kind: promises.GiveUp, At: int64(w.now * 1000), By: w.holder(p), ID: job.ID, Fence: job.Fence}
+		if job != nil && job.State == jobstate.Sent && !alive[job.Holder] {
+			c := jobstate.Command{Kind: jobstate.GiveUp, At: int64(w.now * 1000), By: w.holder(p), ID: job.ID, Fence: job.Fence}
 			p.copy.Propose(w.now, c.Encode())
 		}
 	}
@@ -427,7 +427,7 @@
 			if was := w.told[id]; was != job.State {
 				return fmt.Errorf("job %d ended as %s and is held as %s", id, was, job.State)
 			}
-			if job.State == promises.Done && len(w.books[id]) == 0 {
+			if job.State == jobstate.Done && len(w.books[id]) == 0 {
 				return fmt.Errorf("job %d is done and no worker ran it", id)
 			}
 		}
--- a/internal/dispatcher/cluster/jobstate/command.go
+++ b/internal/dispatcher/cluster/jobstate/command.go
@@ -1,6 +1,6 @@
 // Package promises is what the copies hold for the fleet: the state that agreed commands make, the same at each copy bit for bit. It
 // knows no network, no clock and no log; time in it is the time that commands bring along.
-package promises
+package jobstate
 
 import (
 	"errors"
--- a/internal/dispatcher/cluster/jobstate/cost_test.go
+++ b/internal/dispatcher/cluster/jobstate/cost_test.go
@@ -1,4 +1,4 @@
-package promises
+package jobstate
 
 import (
 	"fmt"
--- a/internal/dispatcher/cluster/quota/crowd_test.go
+++ b/internal/dispatcher/cluster/quota/crowd_test.go
@@ -1,4 +1,4 @@
-package divisor_test
+package quota_test
 
 import (
 	"fmt"
@@ -13,9 +13,9 @@
 )
 
 // settings are those of one class whose jobs fit a cold worker's share many times over.
-func settings(told, me int) brain.Settings {
-	return brain.Settings{Classes: []brain.Class{{Name: "score", Objective: 0.5, Deadline: 5, Worth: 1, Effect: brain.Safe, Kind: -1}},
-		Zones: 1, Instances: told, Me: me, Report: []brain.Field{brain.FieldInFlight, brain.FieldUtilization, brain.FieldFreeSlots},
+func settings(told, me int) loadbalancer.Settings {
+	return loadbalancer.Settings{Classes: []loadbalancer.Class{{Name: "score", Objective: 0.5, Deadline: 5, Worth: 1, Effect: loadbalancer.Safe, Kind: -1}},
+		Zones: 1, Instances: told, Me: me, Report: []loadbalancer.Field{loadbalancer.FieldInFlight, loadbalancer.FieldUtilization, loadbalancer.FieldFreeSlots},
 		MaxAttempts: 4, MaxRetryAfter: 2, Tick: 0.004, AnswerSlack: 0.016, AskWithin: 10, ColdTime: 9, ColdShare: 0.34, FallMultiple: 3,
 		FallTime: 2, MayCancel: true, TellsStart: true, MayRetryAfter: true}
 }
@@ -24,13 +24,13 @@
 
 // dispatcher is a member's decisions: it gets more jobs than its share of the one worker, which is cold, bears.
 type dispatcher struct {
-	node    *virtual.Node
-	bal     *brain.Balancer
-	div     *divisor.Divisor
-	place   divisor.Place
-	net     *virtual.Net
+	node    *virtualcluster.Node
+	bal     *loadbalancer.Balancer
+	div     *quota.Divisor
+	place   quota.Place
+	net     *virtualcluster.Net
 	sum     *sum
-	next    brain.RequestID
+	next    loadbalancer.RequestID
 	out     []sent
 	off     bool
 	slept   bool
@@ -39,7 +39,7 @@
 }
 
 type sent struct {
-	id brain.RequestID
+	id loadbalancer.RequestID
 	at float64
 }
 
@@ -54,14 +54,14 @@
 
 // Log and the rest implement brain.Actions.
 func (d *dispatcher) Log(string)                        {}
-func (d *dispatcher) Refuse(brain.RequestID, float64)   {}
-func (d *dispatcher) Fail(brain.RequestID)              {}
-func (d *dispatcher) Cancel(brain.RequestID, int)       {}
-func (d *dispatcher) Probe(brain.WorkerID)              {}
+func (d *dispatcher) Refuse(loadbalancer.RequestID, float64)   {}
+func (d *dispatcher) Fail(loadbalancer.RequestID)              {}
+func (d *dispatcher) Cancel(loadbalancer.RequestID, int)       {}
+func (d *dispatcher) Probe(loadbalancer.WorkerID)              {}
 func (d *dispatcher) Watch(bool)                        {}
 func (d *dispatcher) Fetch()                            {}
 func (d *dispatcher) SetTimer(token uint32, at float64) {}
-func (d *dispatcher) Send(id brain.RequestID, _ brain.WorkerID, _ float64) {
+func (d *dispatcher) Send(id loadbalancer.RequestID, _ loadbalancer.WorkerID, _ float64) {
 	now := d.net.Now
 	d.out = append(d.out, sent{id, now})
 	d.sum.book(now)
@@ -83,8 +83,8 @@
 // fleet is a virtual fleet of dispatchers round one worker that is cold all the time.
 type fleet struct {
 	t      *testing.T
-	net    *virtual.Net
-	all    map[*virtual.Node]*dispatcher
+	net    *virtualcluster.Net
+	all    map[*virtualcluster.Node]*dispatcher
 	list   []*dispatcher
 	sum    sum
 	told   int
@@ -94,9 +94,9 @@
 }
 
 func newFleet(t *testing.T, seed uint64, n, told int, off bool) *fleet {
-	f := &fleet{t: t, net: virtual.New(virtual.Options{Seed: seed, Drop: 0.05, Delay: 0.002, Jitter: 0.02, Period: 0.5}, n), told: told, off: off,
-		all: map[*virtual.Node]*dispatcher{}, rng: rand.New(rand.NewPCG(seed, 3))}
-	f.net.Each = func(node *virtual.Node) {
+	f := &fleet{t: t, net: virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: 0.05, Delay: 0.002, Jitter: 0.02, Period: 0.5}, n), told: told, off: off,
+		all: map[*virtualcluster.Node]*dispatcher{}, rng: rand.New(rand.NewPCG(seed, 3))}
+	f.net.Each = func(node *virtualcluster.Node) {
 		if d := f.all[node]; d != nil {
 			d.divide()
 		}
@@ -111,14 +111,14 @@
 func (f *fleet) start(i int) {
 	node := f.net.Nodes[i]
 	d := &dispatcher{node: node, net: f.net, sum: &f.sum, off: f.off}
-	bal, err := brain.New(settings(f.told, i%f.told), uint64(i), d)
+	bal, err := loadbalancer.New(settings(f.told, i%f.told), uint64(i), d)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	d.bal = bal
-	d.div = divisor.New(divisor.Rules{Instances: f.told, Me: i % f.told, Period: f.net.Period, LastSends: 2, Whole: true})
+	d.div = quota.New(quota.Rules{Instances: f.told, Me: i % f.told, Period: f.net.Period, LastSends: 2, Whole: true})
 	bal.OnStart(f.net.Now)
-	bal.OnList(f.net.Now, brain.ListFull, []brain.Worker{{ID: 7, State: brain.Ready, Since: f.sum.since}})
+	bal.OnList(f.net.Now, loadbalancer.ListFull, []loadbalancer.Worker{{ID: 7, State: loadbalancer.Ready, Since: f.sum.since}})
 	for j, old := range f.list {
 		if old.node == node {
 			f.list = append(f.list[:j], f.list[j+1:]...)
@@ -143,7 +143,7 @@
 		d.wholeAt = d.net.Now
 	}
 	d.place = p
-	if err := d.bal.SetPlace(brain.Place{Instances: p.Instances, Me: p.Me, Part: p.Part, Keys: p.Keys}); err != nil {
+	if err := d.bal.SetPlace(loadbalancer.Place{Instances: p.Instances, Me: p.Me, Part: p.Part, Keys: p.Keys}); err != nil {
 		panic(err)
 	}
 }
@@ -155,7 +155,7 @@
 		f.sum.since, f.sum.sends = now, nil
 		for _, d := range f.list {
 			if d.node.Machine != nil {
-				d.bal.OnList(now, brain.ListDelta, []brain.Worker{{ID: 7, State: brain.Ready, Since: now}})
+				d.bal.OnList(now, loadbalancer.ListDelta, []loadbalancer.Worker{{ID: 7, State: loadbalancer.Ready, Since: now}})
 			}
 		}
 	}
@@ -173,13 +173,13 @@
 		for len(d.out) > 0 && now >= d.out[0].at+work {
 			x := d.out[0]
 			d.out = d.out[1:]
-			d.bal.OnNote(now, &brain.Note{Request: x.id, Started: true})
-			d.bal.OnOutcome(now, &brain.Outcome{Request: x.id, Worker: 7, Result: brain.OK, Report: []float32{1, 1, 0}, Closed: true})
+			d.bal.OnNote(now, &loadbalancer.Note{Request: x.id, Started: true})
+			d.bal.OnOutcome(now, &loadbalancer.Outcome{Request: x.id, Worker: 7, Result: loadbalancer.OK, Report: []float32{1, 1, 0}, Closed: true})
 		}
 		d.bal.OnTimer(now, 1<<32-1)
 		if f.rng.Float64() < 0.5 {
 			d.next++
-			d.bal.OnRequest(now, &brain.Request{ID: d.next, Work: work, Slots: 0.01, Deadline: now + 5})
+			d.bal.OnRequest(now, &loadbalancer.Request{ID: d.next, Work: work, Slots: 0.01, Deadline: now + 5})
 		}
 	}
 }
@@ -230,7 +230,7 @@
 			f.run(20)
 			f.check("joining")
 			side := 1 + f.rng.IntN(n-1)
-			in := func(node *virtual.Node) bool {
+			in := func(node *virtualcluster.Node) bool {
 				for _, o := range f.net.Nodes[:side] {
 					if o == node {
 						return true
@@ -238,7 +238,7 @@
 				}
 				return false
 			}
-			f.net.Cut = func(a, b *virtual.Node) bool { return in(a) != in(b) }
+			f.net.Cut = func(a, b *virtualcluster.Node) bool { return in(a) != in(b) }
 			f.run(90)
 			f.check(fmt.Sprintf("cut %d to %d", side, n-side))
 			f.net.Cut = nil
@@ -297,8 +297,8 @@
 
 // F1: one that has heard nobody decides by the settings alone.
 func TestAloneIsAsConfigured(t *testing.T) {
-	d := divisor.New(divisor.Rules{Instances: 7, Me: 3, Period: 1, LastSends: 2, Whole: true})
-	m := membership.New(membership.Options{Fleet: "f", Name: "a", Addr: virtual.New(virtual.Options{}, 1).Nodes[0].Addr, Period: 1, Life: 1})
+	d := quota.New(quota.Rules{Instances: 7, Me: 3, Period: 1, LastSends: 2, Whole: true})
+	m := membership.New(membership.Options{Fleet: "f", Name: "a", Addr: virtualcluster.New(virtualcluster.Options{}, 1).Nodes[0].Addr, Period: 1, Life: 1})
 	m.Start(0)
 	v := m.View()
 	if p := d.Place(0, &v); p.Instances != 7 || p.Me != 3 || p.Part != 1 || p.Keys != nil {
@@ -331,24 +331,24 @@
 		whole     bool
 		instances int
 		part      float64
-		why       divisor.Why
+		why       quota.Why
 	}{
-		{"all alive", seen(true, alive, alive, alive), 9, true, 3, 1, divisor.Full},
-		{"one left", seen(true, alive, alive, left), 9, true, 2, 1, divisor.Full},
-		{"one suspect", seen(true, alive, alive, suspect), 9, true, 3, 1, divisor.Full},
-		{"one dead within the lease", seen(true, alive, alive, dead), 9, true, 3, 1, divisor.Full},
-		{"half of two", seen(true, alive, dead), 2, true, 2, 1, divisor.Waiting},
-		{"a third", seen(true, alive, dead, dead), 3, true, 3, divisor.Cautious, divisor.CutOff},
-		{"not counted", seen(false, alive, alive, alive), 3, true, 3, divisor.Cautious, divisor.Uncounted},
-		{"not counted, and more are told of", seen(false, alive, alive), 8, true, 8, divisor.Cautious, divisor.Uncounted},
-		{"just begun, and fewer are known than told of", begun(seen(true, alive, alive), 9), 8, true, 8, divisor.Cautious, divisor.Uncounted},
-		{"begun a while ago, and fewer are known than told of", begun(seen(true, alive, alive), -16), 8, true, 2, 1, divisor.Full},
-		{"just begun, and those that are missing have left", begun(seen(true, alive, alive, left), 9), 3, true, 2, 1, divisor.Full},
-		{"just begun, and as many are known", begun(seen(true, alive, alive), 9), 2, true, 2, 1, divisor.Full},
-		{"not all are members", seen(true, alive, alive), 8, false, 8, 1, divisor.Partial},
-		{"not all are members, and more than told", seen(true, alive, alive, alive), 2, false, 3, 1, divisor.Full},
+		{"all alive", seen(true, alive, alive, alive), 9, true, 3, 1, quota.Full},
+		{"one left", seen(true, alive, alive, left), 9, true, 2, 1, quota.Full},
+		{"one suspect", seen(true, alive, alive, suspect), 9, true, 3, 1, quota.Full},
+		{"one dead within the lease", seen(true, alive, alive, dead), 9, true, 3, 1, quota.Full},
+		{"half of two", seen(true, alive, dead), 2, true, 2, 1, quota.Waiting},
+		{"a third", seen(true, alive, dead, dead), 3, true, 3, quota.Cautious, quota.CutOff},
+		{"not counted", seen(false, alive, alive, alive), 3, true, 3, quota.Cautious, quota.Uncounted},
+		{"not counted, and more are told of", seen(false, alive, alive), 8, true, 8, quota.Cautious, quota.Uncounted},
+		{"just begun, and fewer are known than told of", begun(seen(true, alive, alive), 9), 8, true, 8, quota.Cautious, quota.Uncounted},
+		{"begun a while ago, and fewer are known than told of", begun(seen(true, alive, alive), -16), 8, true, 2, 1, quota.Full},
+		{"just begun, and those that are missing have left", begun(seen(true, alive, alive, left), 9), 3, true, 2, 1, quota.Full},
+		{"just begun, and as many are known", begun(seen(true, alive, alive), 9), 2, true, 2, 1, quota.Full},
+		{"not all are members", seen(true, alive, alive), 8, false, 8, 1, quota.Partial},
+		{"not all are members, and more than told", seen(true, alive, alive, alive), 2, false, 3, 1, quota.Full},
 	} {
-		d := divisor.New(divisor.Rules{Instances: tc.told, Me: 1, Period: 1, LastSends: 2, Whole: tc.whole})
+		d := quota.New(quota.Rules{Instances: tc.told, Me: 1, Period: 1, LastSends: 2, Whole: tc.whole})
 		if tc.view.Began == 0 {
 			tc.view.Began = -100
 		}
@@ -357,7 +357,7 @@
 			t.Errorf("%s: %+v", tc.name, p)
 		}
 	}
-	d := divisor.New(divisor.Rules{Instances: 1, Period: 1, LastSends: 2, Whole: true})
+	d := quota.New(quota.Rules{Instances: 1, Period: 1, LastSends: 2, Whole: true})
 	v := seen(true, alive, alive, dead)
 	lease := d.Lease(3)
 	if p := d.Place(lease, v); p.Instances != 3 { // more than half are heard since now only
@@ -371,7 +371,7 @@
 		t.Errorf("one that is dead stays in the count for ever: %+v", p)
 	}
 	v.Members[1].State, v.Members[1].Since = dead, 10*lease // now it is heard by less than half: who left the count stays out, nobody else leaves it
-	if p := d.Place(10*lease, v); p.Instances != 2 || p.Part != divisor.Cautious {
+	if p := d.Place(10*lease, v); p.Instances != 2 || p.Part != quota.Cautious {
 		t.Errorf("cut off: %+v", p)
 	}
 	v.Members[2].State = alive
--- a/internal/dispatcher/cluster/quota/divisor.go
+++ b/internal/dispatcher/cluster/quota/divisor.go
@@ -16,7 +16,7 @@
 //     and, while it knows fewer than are configured, until all others would have found it.
 //
 // One that has heard nobody since its start decides by the configured numbers.
-package divisor
+package quota
 
 import (
 	"slices"
--- a/internal/dispatcher/cluster/status.go
+++ b/internal/dispatcher/cluster/status.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"fmt"
--- a/internal/dispatcher/cluster/versions/fleet_test.go
+++ b/internal/dispatcher/cluster/versions/fleet_test.go
@@ -16,10 +16,10 @@
 const src = "10.0.0.9:8500"
 
 // fleet is members of a virtual fleet that hold one list of some ready workers.
-func fleet(t *testing.T, seed uint64, n int, loss float64) (*virtual.Net, map[*virtual.Node]*versions.Board) {
-	net := virtual.New(virtual.Options{Seed: seed, Drop: loss, Delay: 0.002, Jitter: 0.01}, n)
-	boards := map[*virtual.Node]*versions.Board{}
-	net.Rider = func(node *virtual.Node) membership.Rider {
+func fleet(t *testing.T, seed uint64, n int, loss float64) (*virtualcluster.Net, map[*virtualcluster.Node]*versions.Board) {
+	net := virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: loss, Delay: 0.002, Jitter: 0.01}, n)
+	boards := map[*virtualcluster.Node]*versions.Board{}
+	net.Rider = func(node *virtualcluster.Node) membership.Rider {
 		b := versions.New(node.Name)
 		b.Own(net.Now, src, 5, false, []versions.Entry{{Worker: "x"}, {Worker: "y"}})
 		boards[node] = b
@@ -56,7 +56,7 @@
 					boards[first].Own(net.Now, src, 6, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
 					first.Machine.Urge(net.Now)
 					net.Flush(first)
-					known := func(nodes []*virtual.Node) bool {
+					known := func(nodes []*virtualcluster.Node) bool {
 						for _, node := range nodes {
 							if node != first && boards[node].Held()["x"].State != versions.Draining {
 								return false
--- a/internal/dispatcher/cluster/versions/hard_test.go
+++ b/internal/dispatcher/cluster/versions/hard_test.go
@@ -30,10 +30,10 @@
 func TestClocksThatAreOff(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		boards, skews := map[*virtual.Node]*versions.Board{}, map[string]float64{}
-		net := virtual.New(virtual.Options{Seed: seed, Drop: 0.05, Delay: 0.002, Jitter: 0.01}, 8)
+		boards, skews := map[*virtualcluster.Node]*versions.Board{}, map[string]float64{}
+		net := virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: 0.05, Delay: 0.002, Jitter: 0.01}, 8)
 		best := map[[2]string]float64{}
-		net.Rider = func(node *virtual.Node) membership.Rider {
+		net.Rider = func(node *virtualcluster.Node) membership.Rider {
 			b, by := versions.New(node.Name), 4*rng.Float64()-2
 			boards[node], skews[node.Name] = b, by
 			b.Own(net.Now+by, src, 5, false, nil)
@@ -97,7 +97,7 @@
 		boards[node].Own(net.Now, src, 7, false, drained)
 	}
 	net.Run(net.Now + 60) // news of it goes out by itself no more
-	before := map[*virtual.Node]uint64{}
+	before := map[*virtualcluster.Node]uint64{}
 	for node, b := range boards {
 		before[node] = b.Counts.Answered
 	}
@@ -105,7 +105,7 @@
 		net.Resume(node)
 	}
 	took, ok := net.Until(300, 0.1, func() bool {
-		return !slices.ContainsFunc(asleep, func(node *virtual.Node) bool { return len(boards[node].Held()) < drains })
+		return !slices.ContainsFunc(asleep, func(node *virtualcluster.Node) bool { return len(boards[node].Held()) < drains })
 	})
 	if !ok {
 		t.Fatal("not all were brought up after 300 periods")
@@ -140,11 +140,11 @@
 	net.Run(net.Now + 90)
 	net.Resume(straggler)
 	killed := 0
-	answered := map[*virtual.Node]uint64{}
+	answered := map[*virtualcluster.Node]uint64{}
 	for node, b := range boards {
 		answered[node] = b.Counts.Answered
 	}
-	net.Each = func(node *virtual.Node) { // an answer has gone out, and not all of it
+	net.Each = func(node *virtualcluster.Node) { // an answer has gone out, and not all of it
 		if node != straggler && node.Machine != nil && killed < 2 && boards[node].Counts.Answered > answered[node] {
 			killed++
 			net.At(net.Now, func() { net.Kill(node) })
--- a/internal/dispatcher/cluster/versions/lease_test.go
+++ b/internal/dispatcher/cluster/versions/lease_test.go
@@ -19,19 +19,19 @@
 
 // life plays discovery and the leases of a virtual fleet on, a second at a time.
 type life struct {
-	net    *virtual.Net
-	boards map[*virtual.Node]*versions.Board
-	mute   map[*virtual.Node]bool // its discovery says nothing
-	group  map[*virtual.Node]int  // those of another one hear nothing of it
+	net    *virtualcluster.Net
+	boards map[*virtualcluster.Node]*versions.Board
+	mute   map[*virtualcluster.Node]bool // its discovery says nothing
+	group  map[*virtualcluster.Node]int  // those of another one hear nothing of it
 	most   int
 	wrong  []string
-	well   map[*virtual.Node]float64 // since when it could not but have a fresh word
+	well   map[*virtualcluster.Node]float64 // since when it could not but have a fresh word
 }
 
 func newLife(t *testing.T, seed uint64, n int, loss float64) *life {
 	net, boards := fleet(t, seed, n, loss)
-	l := &life{net: net, boards: boards, mute: map[*virtual.Node]bool{}, group: map[*virtual.Node]int{}, well: map[*virtual.Node]float64{}}
-	net.Cut = func(from, to *virtual.Node) bool { return l.group[from] != l.group[to] }
+	l := &life{net: net, boards: boards, mute: map[*virtualcluster.Node]bool{}, group: map[*virtualcluster.Node]int{}, well: map[*virtualcluster.Node]float64{}}
+	net.Cut = func(from, to *virtualcluster.Node) bool { return l.group[from] != l.group[to] }
 	l.run(30)
 	return l
 }
@@ -70,7 +70,7 @@
 const healed = 30
 
 // informed says whether discovery's words have a way to a member, or to nobody among some others that it reaches.
-func (l *life) informed(node *virtual.Node) bool {
+func (l *life) informed(node *virtualcluster.Node) bool {
 	others := 0
 	for _, o := range l.net.Nodes {
 		if !o.Paused && l.group[o] == l.group[node] {
--- a/internal/dispatcher/dispatch/actions.go
+++ b/internal/dispatcher/dispatch/actions.go
@@ -1,4 +1,4 @@
-package routing
+package dispatch
 
 import (
 	"math"
@@ -11,7 +11,7 @@
 type actions struct{ core *Core }
 
 // Send implements brain.Actions.
-func (a actions) Send(id brain.RequestID, worker brain.WorkerID, timeout float64) {
+func (a actions) Send(id loadbalancer.RequestID, worker loadbalancer.WorkerID, timeout float64) {
 	c := a.core
 	r, m := c.byID[id], c.members[worker]
 	invariant.Check(r != nil && !r.answered && m != nil, "a send names an open req and a listed worker")
@@ -31,13 +31,13 @@
 	}
 	f.deadline = c.clock.At(f.ends, func() { c.do(func() { c.expire(f) }) })
 	if r.answered || m == nil || m.Backend == nil {
-		c.do(func() { c.stop(f, brain.Moot) })
+		c.do(func() { c.stop(f, loadbalancer.Moot) })
 		return
 	}
 	m.Backend.Begin(Fetch{ID: FetchID(f.h), Worker: worker, Deadline: f.ends, Load: r.job.Load})
 }
 
-func (c *Core) stop(f *fetch, result brain.Result) {
+func (c *Core) stop(f *fetch, result loadbalancer.Result) {
 	if !f.over {
 		c.end(f, End{Result: result})
 	}
@@ -46,16 +46,16 @@
 // expire produces the time-out: nothing else would, of a worker that has fallen silent.
 func (c *Core) expire(f *fetch) {
 	if !f.over {
-		result := brain.ConnectFailed // its first byte never went out
+		result := loadbalancer.ConnectFailed // its first byte never went out
 		if f.member.Backend.Drop(FetchID(f.h)) {
-			result = brain.Timeout
+			result = loadbalancer.Timeout
 		}
 		c.end(f, End{Result: result})
 	}
 }
 
 // Cancel implements brain.Actions.
-func (a actions) Cancel(id brain.RequestID, attempt int) {
+func (a actions) Cancel(id loadbalancer.RequestID, attempt int) {
 	c := a.core
 	r := c.byID[id]
 	if r == nil || attempt < 0 || attempt >= len(r.fetches) || r.fetches[attempt].over {
@@ -67,23 +67,23 @@
 		if f.over {
 			return // its end was on the way
 		}
-		result := brain.Moot
+		result := loadbalancer.Moot
 		if f.member.Backend.Drop(FetchID(f.h)) {
-			result = brain.Cancelled
+			result = loadbalancer.Cancelled
 		}
 		c.stop(f, result)
 	})
 }
 
 // Refuse implements brain.Actions.
-func (a actions) Refuse(id brain.RequestID, wait float64) {
+func (a actions) Refuse(id loadbalancer.RequestID, wait float64) {
 	a.core.final(id, Answer{Verdict: Refused, Wait: wait})
 }
 
 // Fail implements brain.Actions.
-func (a actions) Fail(id brain.RequestID) { a.core.final(id, Answer{Verdict: Failed}) }
+func (a actions) Fail(id loadbalancer.RequestID) { a.core.final(id, Answer{Verdict: Failed}) }
 
-func (c *Core) final(id brain.RequestID, answer Answer) {
+func (c *Core) final(id loadbalancer.RequestID, answer Answer) {
 	if r := c.byID[id]; r != nil && !r.answered {
 		c.answer(r, answer, c.why(r), -1)
 		c.do(func() { c.forget(r) })
@@ -91,14 +91,14 @@
 }
 
 // Probe implements brain.Actions.
-func (a actions) Probe(worker brain.WorkerID) {
+func (a actions) Probe(worker loadbalancer.WorkerID) {
 	c := a.core
 	m := c.members[worker]
 	if m == nil || m.Backend == nil {
 		return
 	}
 	c.counts.Probes++
-	m.Backend.Probe(func(result brain.Result, report []float32) {
+	m.Backend.Probe(func(result loadbalancer.Result, report []float32) {
 		c.do(func() {
 			if c.Observer != nil && len(report) > 0 {
 				c.Observer.Reported(worker, c.clock.Now(), report, true)
--- a/internal/dispatcher/dispatch/exclude.go
+++ b/internal/dispatcher/dispatch/exclude.go
@@ -1,4 +1,4 @@
-package routing
+package dispatch
 
 import (
 	"maps"
@@ -73,7 +73,7 @@
 	c.do(func() {
 		old := c.out
 		c.out = maps.Clone(out)
-		c.revise(changed(old, c.out), func(m *Member, _ brain.Worker) {
+		c.revise(changed(old, c.out), func(m *Member, _ loadbalancer.Worker) {
 			if out[m.Name].Back > 0 { // whatever it is now, it is not the process those connections led to
 				m.Backend.Renew()
 			}
@@ -98,8 +98,8 @@
 }
 
 // revise has the decisions see members as what lies over their lists' word says now; after hears of each what it was.
-func (c *Core) revise(names []string, after func(m *Member, was brain.Worker)) {
-	var workers []brain.Worker
+func (c *Core) revise(names []string, after func(m *Member, was loadbalancer.Worker)) {
+	var workers []loadbalancer.Worker
 	for _, name := range names {
 		id, known := c.byName[name]
 		m := c.members[id]
@@ -113,7 +113,7 @@
 		workers = append(workers, m.Worker)
 	}
 	if len(workers) > 0 {
-		c.bal.OnList(c.clock.Now(), brain.ListDelta, workers)
+		c.bal.OnList(c.clock.Now(), loadbalancer.ListDelta, workers)
 	}
 }
 
@@ -127,8 +127,8 @@
 	case !had:
 	case x.Back == 0:
 		m.Since = x.Since
-		if m.State == brain.Ready {
-			m.State = brain.Draining
+		if m.State == loadbalancer.Ready {
+			m.State = loadbalancer.Draining
 		}
 	case m.Since >= x.At || c.clock.Now() > x.Back+c.set.ColdTime+1:
 		delete(c.out, m.Name) // discovery has caught up, or it is warm
@@ -138,17 +138,17 @@
 }
 
 // Learnt is what the decisions have learnt, for the process that takes this one's place.
-func (c *Core) Learnt() brain.Learnt { return c.bal.Learnt() }
+func (c *Core) Learnt() loadbalancer.Learnt { return c.bal.Learnt() }
 
 // Recall takes what another process has learnt, before the first list; it says why it is of no use.
-func (c *Core) Recall(l brain.Learnt) (err error) {
+func (c *Core) Recall(l loadbalancer.Learnt) (err error) {
 	c.do(func() { err = c.bal.Recall(c.clock.Now(), l) })
 	return err
 }
 
 // SetPlace has the decisions know their place among the dispatchers that share the workers; one that makes no sense changes
 // nothing.
-func (c *Core) SetPlace(p brain.Place) (err error) {
+func (c *Core) SetPlace(p loadbalancer.Place) (err error) {
 	c.do(func() { err = c.bal.SetPlace(p) })
 	return err
 }
--- a/internal/dispatcher/dispatch/observe.go
+++ b/internal/dispatcher/dispatch/observe.go
@@ -1,4 +1,4 @@
-package routing
+package dispatch
 
 import (
 	"cinderroad/loadbalancer"
@@ -15,12 +15,12 @@
 	// Tried hears the end of each attempt.
 	Tried(t *Try)
 	// Listed hears the members of a list event as their front lists them.
-	Listed(kind brain.ListKind, members []Member)
+	Listed(kind loadbalancer.ListKind, members []Member)
 	// Reported hears a load report, in the order of the settings' fields; probed says that a probe brought it.
-	Reported(worker brain.WorkerID, at float64, report []float32, probed bool)
+	Reported(worker loadbalancer.WorkerID, at float64, report []float32, probed bool)
 	// Drained hears, drainGrace after a drain was told, how much of that time was left when the last job started: all
 	// of it if none has started since, below 0 if one started too late.
-	Drained(worker brain.WorkerID, margin float64)
+	Drained(worker loadbalancer.WorkerID, margin float64)
 }
 
 // Reason says why a req was not served.
@@ -76,7 +76,7 @@
 
 // Try is one attempt.
 type Try struct {
-	Worker  brain.WorkerID
+	Worker  loadbalancer.WorkerID
 	Node    string // the member's name
 	Class   int
 	Attempt int
@@ -84,7 +84,7 @@
 	Sent    float64
 	Started float64 // 0: not told
 	Ended   float64 // 0: still out
-	Result  brain.Result
+	Result  loadbalancer.Result
 	Mark    uint64 // the core's when it was sent
 }
 
@@ -162,8 +162,8 @@
 }
 
 // ends are the reasons that the end of an attempt gives.
-var ends = [brain.Moot + 1]Reason{brain.Error: BackendError, brain.Full: Full, brain.Timeout: Silent,
-	brain.ConnectFailed: Unreachable, brain.Reset: Broken, brain.Cancelled: Cancelled, brain.Moot: Withdrawn}
+var ends = [loadbalancer.Moot + 1]Reason{loadbalancer.Error: BackendError, loadbalancer.Full: Full, loadbalancer.Timeout: Silent,
+	loadbalancer.ConnectFailed: Unreachable, loadbalancer.Reset: Broken, loadbalancer.Cancelled: Cancelled, loadbalancer.Moot: Withdrawn}
 
 // drained notes that a member no longer wants new work; it was ready before.
 func (c *Core) drained(m *Member) {
@@ -183,6 +183,6 @@
 }
 
 // Standing is what the decisions hold of a worker.
-func (c *Core) Standing(worker brain.WorkerID) (brain.Standing, bool) {
+func (c *Core) Standing(worker loadbalancer.WorkerID) (loadbalancer.Standing, bool) {
 	return c.bal.Standing(c.clock.Now(), worker)
 }
--- a/internal/dispatcher/dispatch/observe_test.go
+++ b/internal/dispatcher/dispatch/observe_test.go
@@ -1,4 +1,4 @@
-package routing
+package dispatch
 
 import (
 	"math"
@@ -23,9 +23,9 @@
 	n.finals = append(n.finals, g)
 }
 func (n *notes) Tried(t *Try)                                      { n.tries = append(n.tries, *t) }
-func (n *notes) Listed(brain.ListKind, []Member)                   {}
-func (n *notes) Reported(brain.WorkerID, float64, []float32, bool) { n.reports++ }
-func (n *notes) Drained(_ brain.WorkerID, margin float64)          { n.margins = append(n.margins, margin) }
+func (n *notes) Listed(loadbalancer.ListKind, []Member)                   {}
+func (n *notes) Reported(loadbalancer.WorkerID, float64, []float32, bool) { n.reports++ }
+func (n *notes) Drained(_ loadbalancer.WorkerID, margin float64)          { n.margins = append(n.margins, margin) }
 
 func observed(t *testing.T) (*bench, *notes) {
 	b, n := start(t), &notes{}
@@ -38,19 +38,19 @@
 	for _, tc := range []struct {
 		name    string
 		class   int
-		ends    []brain.Result // of the attempts in turn; none is silence
+		ends    []loadbalancer.Result // of the attempts in turn; none is silence
 		nobody  bool           // is ready
 		verdict Verdict
 		reason  Reason
 		won     int
 	}{
-		{"served", 0, []brain.Result{brain.OK}, false, Served, NoReason, 0},
-		{"served by the second", 0, []brain.Result{brain.Full, brain.OK}, false, Served, NoReason, 1},
-		{"errors", 0, []brain.Result{brain.Error, brain.Error, brain.Error}, false, Refused, BackendError, -1},
-		{"broken and not repeatable", 2, []brain.Result{brain.Reset}, false, Failed, Broken, -1},
+		{"served", 0, []loadbalancer.Result{loadbalancer.OK}, false, Served, NoReason, 0},
+		{"served by the second", 0, []loadbalancer.Result{loadbalancer.Full, loadbalancer.OK}, false, Served, NoReason, 1},
+		{"errors", 0, []loadbalancer.Result{loadbalancer.Error, loadbalancer.Error, loadbalancer.Error}, false, Refused, BackendError, -1},
+		{"broken and not repeatable", 2, []loadbalancer.Result{loadbalancer.Reset}, false, Failed, Broken, -1},
 		{"silence", 2, nil, false, Failed, TooLate, -1},
-		{"turned away", 0, []brain.Result{brain.Full, brain.Full, brain.Full}, false, Refused, Full, -1},
-		{"nobody there", 0, []brain.Result{brain.ConnectFailed, brain.ConnectFailed, brain.ConnectFailed}, false, Refused, Unreachable, -1},
+		{"turned away", 0, []loadbalancer.Result{loadbalancer.Full, loadbalancer.Full, loadbalancer.Full}, false, Refused, Full, -1},
+		{"nobody there", 0, []loadbalancer.Result{loadbalancer.ConnectFailed, loadbalancer.ConnectFailed, loadbalancer.ConnectFailed}, false, Refused, Unreachable, -1},
 		{"nobody listed", 0, nil, true, Refused, TooLate, -1}, // held until its time is over
 		{"unknown class", 9, nil, false, Failed, UnknownClass, -1},
 	} {
@@ -76,7 +76,7 @@
 			if len(n.tries) != len(b.begun) || n.reports != len(tc.ends) || len(f.Tries) != len(b.begun) {
 				t.Errorf("%d attempts begun, %d ended in the books, %d in the final; %d reports", len(b.begun), len(n.tries), len(f.Tries), n.reports)
 			}
-			var results []brain.Result
+			var results []loadbalancer.Result
 			for _, a := range n.tries {
 				results = append(results, a.Result)
 			}
@@ -105,7 +105,7 @@
 	for _, wait := range []float64{0.05, 0.15} {
 		b.take(0, 1)
 		b.run(b.now + wait)
-		b.c.Ended(b.begun[len(b.begun)-1].ID, End{Result: brain.OK})
+		b.c.Ended(b.begun[len(b.begun)-1].ID, End{Result: loadbalancer.OK})
 	}
 	if len(n.finals) != 2 || n.finals[0].Late() || !n.finals[1].Late() {
 		t.Errorf("%+v", n.finals)
@@ -125,8 +125,8 @@
 		t.Fatal("not clear")
 	}
 	b.run(b.now + 0.1)
-	b.list(brain.Draining, brain.Draining)
-	b.list(brain.Draining, brain.Draining)
+	b.list(loadbalancer.Draining, loadbalancer.Draining)
+	b.list(loadbalancer.Draining, loadbalancer.Draining)
 	b.run(b.now + 0.1)
 	if len(n.margins) > 0 {
 		t.Error("told before the grace was over")
@@ -135,8 +135,8 @@
 	if d := cmp.Diff([]float64{drainGrace, drainGrace}, n.margins); d != "" {
 		t.Error(d)
 	}
-	b.list(brain.Ready, brain.Ready)
-	b.list(brain.Ready) // left the list altogether
+	b.list(loadbalancer.Ready, loadbalancer.Ready)
+	b.list(loadbalancer.Ready) // left the list altogether
 	b.c.members[2].started = b.now + 0.2
 	b.run(b.now + 0.4)
 	if len(n.margins) != 3 || math.Abs(n.margins[2]-0.1) > 1e-9 {
@@ -156,7 +156,7 @@
 	for _, q := range b.c.byID {
 		actions{b.c}.Send(q.id, 2, 0)
 	}
-	b.c.Ended(b.begun[1].ID, End{Result: brain.OK})
+	b.c.Ended(b.begun[1].ID, End{Result: loadbalancer.OK})
 	b.run(b.now + 2)
 	f := n.finals[1]
 	if f.Won != 1 || !f.Tries[1].Copy || f.Tries[0].Copy {
--- a/internal/dispatcher/dispatch/routing.go
+++ b/internal/dispatcher/dispatch/routing.go
@@ -3,7 +3,7 @@
 //
 // All of it belongs to one goroutine. Whatever a backend or a front does from within an action of the
 // Balancer is queued and handled after the event at hand, so the Balancer is never re-entered.
-package routing
+package dispatch
 
 import (
 	"hash/fnv"
@@ -49,8 +49,8 @@
 
 // ReqID names a req, FetchID a fetch; either misses once what it named is over.
 type (
-	ReqID   slots.Handle
-	FetchID slots.Handle
+	ReqID   slotmap.Handle
+	FetchID slotmap.Handle
 )
 
 // Job is what a front hands in.
@@ -67,14 +67,14 @@
 // Fetch is one attempt as a backend sees it.
 type Fetch struct {
 	ID       FetchID
-	Worker   brain.WorkerID
+	Worker   loadbalancer.WorkerID
 	Deadline float64 // when the core stops waiting
 	Load     any
 }
 
 // End is how a fetch ended.
 type End struct {
-	Result   brain.Result
+	Result   loadbalancer.Result
 	Unusable bool // the backend says that the job itself is bad
 	Worn     bool // a connection that had rested was found dead: no word on the backend
 	Body     []byte
@@ -91,16 +91,16 @@
 	// Renew drops connections that rest, and those at work once they are done: the worker was restarted.
 	Renew()
 	// Probe asks for health and load; done is called once.
-	Probe(done func(result brain.Result, report []float32))
+	Probe(done func(result loadbalancer.Result, report []float32))
 }
 
 // Member is a worker of the list and its backend.
 type Member struct {
-	brain.Worker
+	loadbalancer.Worker
 	Backend Backend
 	Name    string // as given to Number
 
-	told brain.Worker // as its front listed it; Worker is what the decisions see
+	told loadbalancer.Worker // as its front listed it; Worker is what the decisions see
 	book
 }
 
@@ -114,7 +114,7 @@
 type Counts struct {
 	Reqs, Served, Refused, Failed, Gone uint64
 	Fetches, Repeats, Cancels, Probes   uint64
-	Results                             [brain.Moot + 1]uint64 // ends of fetches by result
+	Results                             [loadbalancer.Moot + 1]uint64 // ends of fetches by result
 	Unusable                            uint64                 // failed since backends could do nothing with them
 	Overdue                             uint64                 // answered by the core because the decisions had not
 	OpenReqs, OpenFetches               int
@@ -128,17 +128,17 @@
 	Log      func(line string)
 
 	clock   Clock
-	bal     *brain.Balancer
-	reqs    slots.Table[*req]
-	fetches slots.Table[*fetch]
-	byID    map[brain.RequestID]*req
-	nextID  brain.RequestID
-	members map[brain.WorkerID]*Member
-	byName  map[string]brain.WorkerID
+	bal     *loadbalancer.Balancer
+	reqs    slotmap.Table[*req]
+	fetches slotmap.Table[*fetch]
+	byID    map[loadbalancer.RequestID]*req
+	nextID  loadbalancer.RequestID
+	members map[loadbalancer.WorkerID]*Member
+	byName  map[string]loadbalancer.WorkerID
 	out     map[string]Exclusion
 	held    map[string]Held // by what others know
 	paused  bool            // nobody gets anything new
-	set     brain.Settings
+	set     loadbalancer.Settings
 	ready   int   // members that are ready
 	last    Final // for the observer, made anew for each req
 	queue   []func()
@@ -147,8 +147,8 @@
 }
 
 type req struct {
-	h        slots.Handle
-	id       brain.RequestID
+	h        slotmap.Handle
+	id       loadbalancer.RequestID
 	job      Job
 	asker    Asker
 	fetches  []*fetch // by attempt
@@ -160,7 +160,7 @@
 }
 
 type fetch struct {
-	h        slots.Handle
+	h        slotmap.Handle
 	r        *req
 	attempt  int
 	member   *Member
@@ -171,18 +171,18 @@
 	sent, started, ended float64
 	copy                 bool   // another was out when it was sent
 	mark                 uint64 // of the core when it was sent
-	result               brain.Result
+	result               loadbalancer.Result
 }
 
 // overdueAfter is how long after a client's deadline the core itself answers, should the decisions not have.
 const overdueAfter = 0.005
 
 // New makes a core; Start begins its life.
-func New(set brain.Settings, seed uint64, clock Clock) (*Core, error) {
-	c := &Core{clock: clock, byID: map[brain.RequestID]*req{}, members: map[brain.WorkerID]*Member{},
-		byName: map[string]brain.WorkerID{}, out: map[string]Exclusion{}, set: set,
+func New(set loadbalancer.Settings, seed uint64, clock Clock) (*Core, error) {
+	c := &Core{clock: clock, byID: map[loadbalancer.RequestID]*req{}, members: map[loadbalancer.WorkerID]*Member{},
+		byName: map[string]loadbalancer.WorkerID{}, out: map[string]Exclusion{}, set: set,
 		Log: func(string) {}}
-	bal, err := brain.New(set, seed, actions{c})
+	bal, err := loadbalancer.New(set, seed, actions{c})
 	if err != nil {
 		return nil, err
 	}
@@ -229,7 +229,7 @@
 		if r.answered {
 			return
 		}
-		c.bal.OnRequest(c.clock.Now(), &brain.Request{ID: r.id, Class: job.Class, Skill: job.Skill, Slots: job.Slots,
+		c.bal.OnRequest(c.clock.Now(), &loadbalancer.Request{ID: r.id, Class: job.Class, Skill: job.Skill, Slots: job.Slots,
 			Memory: job.Memory, Work: job.Work, Deadline: job.Deadline})
 	})
 	return ReqID(r.h)
@@ -238,7 +238,7 @@
 // Gone tells that the client has left: nothing is owed any more.
 func (c *Core) Gone(id ReqID) {
 	c.do(func() {
-		r, ok := c.reqs.Get(slots.Handle(id))
+		r, ok := c.reqs.Get(slotmap.Handle(id))
 		if !ok || r.answered {
 			return
 		}
@@ -298,27 +298,27 @@
 
 // Clear says whether a fetch whose first byte has not gone out may still be sent: its req must be open, its
 // time not over, and its worker must still want new work. If not, result is what it ended as.
-func (c *Core) Clear(id FetchID) (result brain.Result, clear bool) {
-	f, ok := c.fetches.Get(slots.Handle(id))
+func (c *Core) Clear(id FetchID) (result loadbalancer.Result, clear bool) {
+	f, ok := c.fetches.Get(slotmap.Handle(id))
 	switch {
 	case !ok || f.over || f.r.answered || c.clock.Now() >= f.ends:
-		return brain.Moot, false
-	case f.member.State != brain.Ready:
-		return brain.ConnectFailed, false
+		return loadbalancer.Moot, false
+	case f.member.State != loadbalancer.Ready:
+		return loadbalancer.ConnectFailed, false
 	}
 	f.member.started = c.clock.Now()
-	return brain.OK, true
+	return loadbalancer.OK, true
 }
 
 // Number numbers the worker of a name. The number is drawn from the name alone, since dispatchers that share
 // nothing must agree on a worker's place in the turns of cold starts.
-func (c *Core) Number(name string) brain.WorkerID {
+func (c *Core) Number(name string) loadbalancer.WorkerID {
 	if id, ok := c.byName[name]; ok {
 		return id
 	}
 	h := fnv.New32a()
 	h.Write([]byte(name))
-	id := brain.WorkerID(h.Sum32())
+	id := loadbalancer.WorkerID(h.Sum32())
 	for c.members[id] != nil {
 		id++
 	}
@@ -328,18 +328,18 @@
 
 // Started tells that a fetch's job has begun.
 func (c *Core) Started(id FetchID) {
-	if f, ok := c.fetches.Get(slots.Handle(id)); ok && f.started == 0 {
+	if f, ok := c.fetches.Get(slotmap.Handle(id)); ok && f.started == 0 {
 		f.started = c.clock.Now()
 	}
-	c.note(id, brain.Note{Started: true})
+	c.note(id, loadbalancer.Note{Started: true})
 }
 
 // Progress tells the share of a fetch's job that is done.
-func (c *Core) Progress(id FetchID, share float64) { c.note(id, brain.Note{Share: share}) }
+func (c *Core) Progress(id FetchID, share float64) { c.note(id, loadbalancer.Note{Share: share}) }
 
-func (c *Core) note(id FetchID, n brain.Note) {
+func (c *Core) note(id FetchID, n loadbalancer.Note) {
 	c.do(func() {
-		if f, ok := c.fetches.Get(slots.Handle(id)); ok && !f.over {
+		if f, ok := c.fetches.Get(slotmap.Handle(id)); ok && !f.over {
 			n.Request, n.Attempt = f.r.id, f.attempt
 			c.bal.OnNote(c.clock.Now(), &n)
 		}
@@ -349,7 +349,7 @@
 // Ended tells how a fetch ended; only the first word on a fetch counts.
 func (c *Core) Ended(id FetchID, e End) {
 	c.do(func() {
-		if f, ok := c.fetches.Get(slots.Handle(id)); ok && !f.over {
+		if f, ok := c.fetches.Get(slotmap.Handle(id)); ok && !f.over {
 			c.end(f, e)
 		}
 	})
@@ -364,10 +364,10 @@
 	r := f.r
 	r.live--
 	switch {
-	case e.Result == brain.OK && !r.answered:
+	case e.Result == loadbalancer.OK && !r.answered:
 		c.answer(r, Answer{Verdict: Served, Body: e.Body}, NoReason, f.attempt)
 	case e.Unusable: // no blame for the backend; a second one that says so settles it, and the client is told
-		e.Result = brain.Cancelled
+		e.Result = loadbalancer.Cancelled
 		f.result = e.Result
 		if r.unusable++; r.unusable > 1 && !r.answered {
 			c.counts.Unusable++
@@ -382,29 +382,29 @@
 		}
 	}
 	c.counts.Results[e.Result]++
-	c.bal.OnOutcome(c.clock.Now(), &brain.Outcome{Request: r.id, Attempt: f.attempt, Worker: f.member.ID,
+	c.bal.OnOutcome(c.clock.Now(), &loadbalancer.Outcome{Request: r.id, Attempt: f.attempt, Worker: f.member.ID,
 		Result: e.Result, Closed: r.answered, Worn: e.Worn, Report: e.Report})
 	c.forget(r)
 }
 
 // List takes the director's news. What has left the list stays known: a fetch may still be out there.
-func (c *Core) List(kind brain.ListKind, members []Member) {
+func (c *Core) List(kind loadbalancer.ListKind, members []Member) {
 	c.do(func() {
-		if kind == brain.ListFull || kind == brain.ListCached {
-			named := make(map[brain.WorkerID]bool, len(members))
+		if kind == loadbalancer.ListFull || kind == loadbalancer.ListCached {
+			named := make(map[loadbalancer.WorkerID]bool, len(members))
 			for i := range members {
 				named[members[i].ID] = true
 			}
 			for id, m := range c.members {
-				m.told.State = brain.Gone
+				m.told.State = loadbalancer.Gone
 				if !named[id] {
 					was := m.State
-					m.State = brain.Gone
+					m.State = loadbalancer.Gone
 					c.became(m, was)
 				}
 			}
 		}
-		workers := make([]brain.Worker, 0, len(members))
+		workers := make([]loadbalancer.Worker, 0, len(members))
 		for i := range members {
 			m := c.members[members[i].ID]
 			if m == nil {
@@ -428,12 +428,12 @@
 }
 
 // became notes that the decisions see a member in another state than before.
-func (c *Core) became(m *Member, was brain.WorkerState) {
+func (c *Core) became(m *Member, was loadbalancer.WorkerState) {
 	switch {
 	case was == m.State:
-	case m.State == brain.Ready:
+	case m.State == loadbalancer.Ready:
 		c.ready++
-	case was == brain.Ready:
+	case was == loadbalancer.Ready:
 		c.ready--
 		c.drained(m)
 	}
@@ -447,7 +447,7 @@
 func (c *Core) prune() {
 	gone := 0
 	for _, m := range c.members {
-		if m.State == brain.Gone {
+		if m.State == loadbalancer.Gone {
 			gone++
 		}
 	}
@@ -455,7 +455,7 @@
 		return
 	}
 	for id, m := range c.members {
-		if m.State == brain.Gone {
+		if m.State == loadbalancer.Gone {
 			delete(c.members, id)
 			delete(c.byName, m.Name)
 		}
--- a/internal/dispatcher/dispatch/routing_test.go
+++ b/internal/dispatcher/dispatch/routing_test.go
@@ -1,4 +1,4 @@
-package routing
+package dispatch
 
 import (
 	"fmt"
@@ -44,7 +44,7 @@
 }
 func (b *bench) Drop(FetchID) bool                        { b.dropped++; return b.ran }
 func (b *bench) Renew()                                   { b.renewed++ }
-func (b *bench) Probe(done func(brain.Result, []float32)) { done(brain.OK, nil) }
+func (b *bench) Probe(done func(loadbalancer.Result, []float32)) { done(loadbalancer.OK, nil) }
 
 // run moves the clock a millisecond at a time.
 func (b *bench) run(until float64) {
@@ -67,27 +67,27 @@
 
 func start(t *testing.T) *bench {
 	b := &bench{t: t, now: 1000, ran: true}
-	class := func(e brain.Effect) brain.Class {
-		return brain.Class{Name: "c", Objective: 0.1, Deadline: 2, Window: 5, Worth: 1, Effect: e, Scope: brain.ScopeCell, Kind: -1}
+	class := func(e loadbalancer.Effect) loadbalancer.Class {
+		return loadbalancer.Class{Name: "c", Objective: 0.1, Deadline: 2, Window: 5, Worth: 1, Effect: e, Scope: loadbalancer.ScopeCell, Kind: -1}
 	}
 	var err error
-	b.c, err = New(brain.Settings{Classes: []brain.Class{class(brain.Safe), class(brain.Keyed), class(brain.Unsafe)}, Zones: 1,
+	b.c, err = New(loadbalancer.Settings{Classes: []loadbalancer.Class{class(loadbalancer.Safe), class(loadbalancer.Keyed), class(loadbalancer.Unsafe)}, Zones: 1,
 		Instances: 1, MaxAttempts: 3, Tick: 0.004, ColdShare: 0.3, FallMultiple: 3, FallTime: 2, AnswerSlack: 0.01, MayCancel: true,
 		TellsStart: true}, 1, b)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.c.Start()
-	b.list(brain.Ready, brain.Ready)
+	b.list(loadbalancer.Ready, loadbalancer.Ready)
 	return b
 }
 
-func (b *bench) list(states ...brain.WorkerState) {
+func (b *bench) list(states ...loadbalancer.WorkerState) {
 	var members []Member
 	for i, s := range states {
-		members = append(members, Member{Worker: brain.Worker{ID: brain.WorkerID(i + 1), Cell: i, State: s}, Backend: b})
+		members = append(members, Member{Worker: loadbalancer.Worker{ID: loadbalancer.WorkerID(i + 1), Cell: i, State: s}, Backend: b})
 	}
-	b.c.List(brain.ListFull, members)
+	b.c.List(loadbalancer.ListFull, members)
 }
 
 func (b *bench) take(class int, wait float64) ReqID {
@@ -99,16 +99,16 @@
 	for _, tc := range []struct {
 		name    string
 		class   int
-		ends    []brain.Result // of the fetches in turn; none is silence
+		ends    []loadbalancer.Result // of the fetches in turn; none is silence
 		want    []Verdict
 		fetches int
 	}{
-		{"served", 0, []brain.Result{brain.OK, brain.OK}, []Verdict{Served}, 1},
-		{"safe is repeated", 0, []brain.Result{brain.Error, brain.OK}, []Verdict{Served}, 2},
-		{"keyed stays in its cell", 1, []brain.Result{brain.Reset, brain.OK}, []Verdict{Served}, 2},
-		{"unsafe that may have run", 2, []brain.Result{brain.Reset}, []Verdict{Failed}, 1},
-		{"unsafe that never ran", 2, []brain.Result{brain.ConnectFailed, brain.OK}, []Verdict{Served}, 2},
-		{"attempts run out", 0, []brain.Result{brain.Error, brain.Error, brain.Error}, []Verdict{Refused}, 3},
+		{"served", 0, []loadbalancer.Result{loadbalancer.OK, loadbalancer.OK}, []Verdict{Served}, 1},
+		{"safe is repeated", 0, []loadbalancer.Result{loadbalancer.Error, loadbalancer.OK}, []Verdict{Served}, 2},
+		{"keyed stays in its cell", 1, []loadbalancer.Result{loadbalancer.Reset, loadbalancer.OK}, []Verdict{Served}, 2},
+		{"unsafe that may have run", 2, []loadbalancer.Result{loadbalancer.Reset}, []Verdict{Failed}, 1},
+		{"unsafe that never ran", 2, []loadbalancer.Result{loadbalancer.ConnectFailed, loadbalancer.OK}, []Verdict{Served}, 2},
+		{"attempts run out", 0, []loadbalancer.Result{loadbalancer.Error, loadbalancer.Error, loadbalancer.Error}, []Verdict{Refused}, 3},
 		{"silence, safe", 0, nil, []Verdict{Refused}, 1},
 		{"silence, unsafe", 2, nil, []Verdict{Failed}, 1},
 		{"unknown class", 9, nil, []Verdict{Failed}, 0},
@@ -122,7 +122,7 @@
 					if b.c.Counts().OpenFetches != open {
 						t.Error("an end was handled within the Send")
 					}
-					b.c.Ended(f.ID, End{Result: brain.OK}) // a second word on a fetch that is over
+					b.c.Ended(f.ID, End{Result: loadbalancer.OK}) // a second word on a fetch that is over
 				}
 			}
 			b.take(tc.class, 1)
@@ -147,13 +147,13 @@
 	for _, tc := range []struct {
 		name   string
 		happen func(b *bench, id ReqID)
-		want   brain.Result
+		want   loadbalancer.Result
 	}{
-		{"nothing", func(*bench, ReqID) {}, brain.OK},
-		{"drain", func(b *bench, _ ReqID) { b.list(brain.Draining, brain.Draining) }, brain.ConnectFailed},
-		{"left the list", func(b *bench, _ ReqID) { b.c.List(brain.ListFull, nil) }, brain.ConnectFailed},
-		{"client gone", func(b *bench, id ReqID) { b.c.Gone(id) }, brain.Moot},
-		{"deadline", func(b *bench, _ ReqID) { b.run(b.now + 2.1) }, brain.Moot},
+		{"nothing", func(*bench, ReqID) {}, loadbalancer.OK},
+		{"drain", func(b *bench, _ ReqID) { b.list(loadbalancer.Draining, loadbalancer.Draining) }, loadbalancer.ConnectFailed},
+		{"left the list", func(b *bench, _ ReqID) { b.c.List(loadbalancer.ListFull, nil) }, loadbalancer.ConnectFailed},
+		{"client gone", func(b *bench, id ReqID) { b.c.Gone(id) }, loadbalancer.Moot},
+		{"deadline", func(b *bench, _ ReqID) { b.run(b.now + 2.1) }, loadbalancer.Moot},
 	} {
 		b := start(t)
 		id := b.take(2, 2)
@@ -171,7 +171,7 @@
 	b.due = b.due[:0] // every timer of the decisions is lost
 	r, _ := b.c.reqs.Get(1 << 32)
 	b.c.do(func() { b.c.overdue(r) })
-	b.c.Ended(b.begun[0].ID, End{Result: brain.OK})
+	b.c.Ended(b.begun[0].ID, End{Result: loadbalancer.OK})
 	if len(b.answers) != 1 || b.answers[0].Verdict != Failed || b.c.Counts().Overdue != 1 {
 		t.Errorf("answers %+v, counts %+v", b.answers, b.c.Counts())
 	}
@@ -182,14 +182,14 @@
 	b := start(t)
 	for i := range 500 {
 		name := fmt.Sprint("s-", i)
-		b.c.List(brain.ListFull, []Member{{Worker: brain.Worker{ID: b.c.Number(name), State: brain.Ready}, Backend: b, Name: name}})
+		b.c.List(loadbalancer.ListFull, []Member{{Worker: loadbalancer.Worker{ID: b.c.Number(name), State: loadbalancer.Ready}, Backend: b, Name: name}})
 		b.take(0, 1)
 	}
 	if n, m := len(b.c.members), len(b.c.byName); n > 2*manyGone || m > 2*manyGone {
 		t.Errorf("%d members and %d names kept", n, m)
 	}
 	for _, f := range b.begun { // what was out there still ends
-		b.c.Ended(f.ID, End{Result: brain.OK})
+		b.c.Ended(f.ID, End{Result: loadbalancer.OK})
 	}
 	if len(b.answers) != 500 {
 		t.Errorf("%d answers", len(b.answers))
@@ -201,10 +201,10 @@
 func TestExclusion(t *testing.T) {
 	b := start(t)
 	id := b.c.Number("w")
-	list := func(kind brain.ListKind, state brain.WorkerState, since float64) {
-		b.c.List(kind, []Member{{Worker: brain.Worker{ID: id, State: state, Since: since}, Backend: b, Name: "w"}})
+	list := func(kind loadbalancer.ListKind, state loadbalancer.WorkerState, since float64) {
+		b.c.List(kind, []Member{{Worker: loadbalancer.Worker{ID: id, State: state, Since: since}, Backend: b, Name: "w"}})
 	}
-	seen := func(want brain.WorkerState, since float64) {
+	seen := func(want loadbalancer.WorkerState, since float64) {
 		t.Helper()
 		m := b.c.members[id]
 		if diff := cmp.Diff([]any{want, since}, []any{m.State, m.Since}); diff != "" {
@@ -217,7 +217,7 @@
 			t.Errorf("change %+v", ch)
 		}
 	}
-	list(brain.ListFull, brain.Ready, 100)
+	list(loadbalancer.ListFull, loadbalancer.Ready, 100)
 	change(b.c.Exclude("nobody"), false)
 	change(b.c.Include("nobody"), false)
 	change(b.c.Include("w"), true) // nothing to do
@@ -226,39 +226,39 @@
 		t.Fatal("a fetch is held up for nothing")
 	}
 	change(b.c.Exclude("w"), true)
-	if result, clear := b.c.Clear(b.begun[0].ID); clear || result != brain.ConnectFailed {
+	if result, clear := b.c.Clear(b.begun[0].ID); clear || result != loadbalancer.ConnectFailed {
 		t.Errorf("a fetch on its way to a member that is out: %v, %v", result, clear)
 	}
 	for _, since := range []float64{100, b.now + 1} { // the second is a restart
-		list(brain.ListDelta, brain.Ready, since)
-		seen(brain.Draining, 100)
+		list(loadbalancer.ListDelta, loadbalancer.Ready, since)
+		seen(loadbalancer.Draining, 100)
 	}
-	list(brain.ListDelta, brain.Gone, 0)
-	seen(brain.Gone, 100)
+	list(loadbalancer.ListDelta, loadbalancer.Gone, 0)
+	seen(loadbalancer.Gone, 100)
 	change(b.c.Exclude("w"), true)
-	list(brain.ListFull, brain.Ready, b.now+1)
-	seen(brain.Draining, 100)
+	list(loadbalancer.ListFull, loadbalancer.Ready, b.now+1)
+	seen(loadbalancer.Draining, 100)
 	other := start(t) // the next process
 	other.c.Apply(b.c.Exclusions())
 	other.c.Number("w")
-	other.c.List(brain.ListFull, []Member{{Worker: brain.Worker{ID: id, State: brain.Ready, Since: 100}, Backend: other, Name: "w"}})
-	if got := other.c.members[id].State; got != brain.Draining {
+	other.c.List(loadbalancer.ListFull, []Member{{Worker: loadbalancer.Worker{ID: id, State: loadbalancer.Ready, Since: 100}, Backend: other, Name: "w"}})
+	if got := other.c.members[id].State; got != loadbalancer.Draining {
 		t.Errorf("in the next process: %v", got)
 	}
 	b.now += 2
 	change(b.c.Include("w"), true)
-	seen(brain.Ready, b.now-1)
+	seen(loadbalancer.Ready, b.now-1)
 	if b.renewed != 1 {
 		t.Errorf("connections dropped %d times", b.renewed)
 	}
-	list(brain.ListDelta, brain.Ready, 100) // late news of before
-	seen(brain.Ready, 100)
+	list(loadbalancer.ListDelta, loadbalancer.Ready, 100) // late news of before
+	seen(loadbalancer.Ready, 100)
 	change(b.c.Exclude("w"), true)
 	change(b.c.Include("w"), true)
-	seen(brain.Ready, b.now) // nobody has told of its restart
-	list(brain.ListDelta, brain.Ready, 100)
-	seen(brain.Ready, b.now)
+	seen(loadbalancer.Ready, b.now) // nobody has told of its restart
+	list(loadbalancer.ListDelta, loadbalancer.Ready, 100)
+	seen(loadbalancer.Ready, b.now)
 	b.now++
-	list(brain.ListDelta, brain.Ready, b.now-0.5)
-	seen(brain.Ready, b.now-0.5)
+	list(loadbalancer.ListDelta, loadbalancer.Ready, b.now-0.5)
+	seen(loadbalancer.Ready, b.now-0.5)
 }
--- a/internal/dispatcher/dispatch/withhold.go
+++ b/internal/dispatcher/dispatch/withhold.go
@@ -1,4 +1,4 @@
-package routing
+package dispatch
 
 import (
 	"maps"
@@ -9,7 +9,7 @@
 
 // Held says how a member is to be taken although its own list says more of it: others know a newer version.
 type Held struct {
-	State brain.WorkerState // Ready where its start alone is news
+	State loadbalancer.WorkerState // Ready where its start alone is news
 	Since float64           // its start; 0 is not told
 }
 
@@ -19,7 +19,7 @@
 	c.do(func() {
 		old := c.held
 		c.held = maps.Clone(held)
-		c.revise(changed(old, held), func(m *Member, was brain.Worker) {
+		c.revise(changed(old, held), func(m *Member, was loadbalancer.Worker) {
 			if m.Since > was.Since {
 				m.Backend.Renew() // another process has its place
 			}
@@ -37,11 +37,11 @@
 		c.paused = on
 		var names []string
 		for _, name := range slices.Sorted(maps.Keys(c.byName)) {
-			if m := c.members[c.byName[name]]; m != nil && m.told.State == brain.Ready {
+			if m := c.members[c.byName[name]]; m != nil && m.told.State == loadbalancer.Ready {
 				names = append(names, name)
 			}
 		}
-		c.revise(names, func(*Member, brain.Worker) {})
+		c.revise(names, func(*Member, loadbalancer.Worker) {})
 	})
 }
 
@@ -50,15 +50,15 @@
 
 // withhold works what others know into what the decisions see of a member.
 func (c *Core) withhold(m *Member) {
-	if c.paused && m.State == brain.Ready {
-		m.State = brain.Draining
+	if c.paused && m.State == loadbalancer.Ready {
+		m.State = loadbalancer.Draining
 	}
 	h, had := c.held[m.Name]
 	if !had {
 		return
 	}
-	if h.State != brain.Ready && m.State == brain.Ready {
-		m.State = brain.Draining
+	if h.State != loadbalancer.Ready && m.State == loadbalancer.Ready {
+		m.State = loadbalancer.Draining
 	}
 	m.Since = max(m.Since, h.Since)
 }
--- a/internal/dispatcher/exporter/collectd.go
+++ b/internal/dispatcher/exporter/collectd.go
@@ -1,4 +1,4 @@
-package metrics
+package exporter
 
 import (
 	"bytes"
@@ -34,7 +34,7 @@
 	path     string
 	patience float64
 
-	conn     *transport.Conn
+	conn     *eventloop.Conn
 	up       bool
 	at       uint64
 	period   *telemetry.Period
@@ -44,7 +44,7 @@
 	answers  uint64
 	answered uint64 // as of moved
 	moved    float64
-	limit    *transport.Deadline
+	limit    *eventloop.Deadline
 	host     string
 }
 
@@ -113,7 +113,7 @@
 }
 
 // Opened implements transport.Handler.
-func (o *Collectd) Opened(*transport.Conn) {
+func (o *Collectd) Opened(*eventloop.Conn) {
 	o.up = true
 	o.pump()
 }
@@ -159,7 +159,7 @@
 
 // Data implements transport.Handler: `0 Success...` or `-1 why not`, a line each. A point that collectd will not have, it
 // will not have later either: it is counted and left.
-func (o *Collectd) Data(c *transport.Conn) {
+func (o *Collectd) Data(c *eventloop.Conn) {
 	for {
 		line, _, whole := bytes.Cut(c.Bytes(), []byte("\n"))
 		if !whole {
@@ -186,7 +186,7 @@
 }
 
 // Closed implements transport.Handler: what has no answer goes again, from the beginning of its period.
-func (o *Collectd) Closed(_ *transport.Conn, err error) {
+func (o *Collectd) Closed(_ *eventloop.Conn, err error) {
 	o.feed.log.Debug("metrics: collectd", zap.String("path", o.path), zap.Error(err))
 	idle := o.period == nil
 	o.drop()
--- a/internal/dispatcher/exporter/feed.go
+++ b/internal/dispatcher/exporter/feed.go
@@ -2,7 +2,7 @@
 // its unix socket or by its network protocol. A Feed closes a period at a time and holds it until every receiver has it;
 // see docs/design/telemetry.md for when that is. Nothing here holds the loop up: values are rendered some at a time, and
 // a receiver that stalls or is down costs room in a bounded ring.
-package metrics
+package exporter
 
 import (
 	"math"
@@ -35,7 +35,7 @@
 type Feed struct {
 	Periods uint64 // closed
 
-	loop    *transport.Loop
+	loop    *eventloop.Loop
 	log     *zap.Logger
 	set     *telemetry.Set
 	ring    *telemetry.Ring
@@ -46,7 +46,7 @@
 	outputs []Output
 	last    int64  // stamp of the last period
 	safe    uint64 // number of the last period that may be delivered
-	timer   *transport.Deadline
+	timer   *eventloop.Deadline
 	on      bool
 	frozen  bool // the period at hand has ended and is being encoded
 }
@@ -75,7 +75,7 @@
 }
 
 // NewFeed makes a feed that is not started yet.
-func NewFeed(loop *transport.Loop, log *zap.Logger, set *telemetry.Set, o Options) *Feed {
+func NewFeed(loop *eventloop.Loop, log *zap.Logger, set *telemetry.Set, o Options) *Feed {
 	if o.Wall == nil {
 		o.Wall = time.Now
 	}
@@ -278,7 +278,7 @@
 	place *telemetry.Place
 	state State
 	pause float64 // before the next try
-	timer *transport.Deadline
+	timer *eventloop.Deadline
 	waits bool // for it
 }
 
--- a/internal/dispatcher/exporter/graphite.go
+++ b/internal/dispatcher/exporter/graphite.go
@@ -1,4 +1,4 @@
-package metrics
+package exporter
 
 import (
 	"bytes"
@@ -41,7 +41,7 @@
 	batch   int // bytes of a connection, as this receiver can bear
 	prefix  string
 
-	conn     *transport.Conn
+	conn     *eventloop.Conn
 	up       bool
 	at       uint64            // number of the period that is being rendered, or of the next one
 	period   *telemetry.Period // that is being rendered
@@ -54,7 +54,7 @@
 	written  uint64 // progress as of moved
 	queue    int
 	moved    float64
-	limit    *transport.Deadline
+	limit    *eventloop.Deadline
 	silent   int // tries in turn that the receiver never closed
 }
 
@@ -135,7 +135,7 @@
 func (g *Graphite) idle() bool { return !g.options.Confirm && g.finished && !g.any }
 
 // Opened implements transport.Handler.
-func (g *Graphite) Opened(*transport.Conn) {
+func (g *Graphite) Opened(*eventloop.Conn) {
 	g.up = true
 	g.pump()
 }
@@ -246,10 +246,10 @@
 }
 
 // Data implements transport.Handler: Graphite says nothing.
-func (g *Graphite) Data(c *transport.Conn) { c.Consume(len(c.Bytes())) }
+func (g *Graphite) Data(c *eventloop.Conn) { c.Consume(len(c.Bytes())) }
 
 // Closed implements transport.Handler.
-func (g *Graphite) Closed(c *transport.Conn, err error) {
+func (g *Graphite) Closed(c *eventloop.Conn, err error) {
 	if g.options.Confirm && g.finished && g.any && c.ReadWhole() {
 		g.got()
 		g.drop()
--- a/internal/dispatcher/exporter/metrics_test.go
+++ b/internal/dispatcher/exporter/metrics_test.go
@@ -1,4 +1,4 @@
-package metrics
+package exporter
 
 import (
 	"fmt"
@@ -21,7 +21,7 @@
 // bench is a feed on a running loop whose periods end on cue.
 type bench struct {
 	t    testing.TB
-	loop *transport.Loop
+	loop *eventloop.Loop
 	feed *Feed
 	set  *telemetry.Set
 	wall time.Time
@@ -29,7 +29,7 @@
 }
 
 func start(t testing.TB, bytes int, outputs ...Output) *bench {
-	loop, err := transport.NewLoop(100)
+	loop, err := eventloop.NewLoop(100)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 func (b *bench) periods(n int) {
 	for range n {
 		b.do(func() {
-			b.set.Answered(&routing.Final{Verdict: routing.Served, Won: -1})
+			b.set.Answered(&dispatch.Final{Verdict: dispatch.Served, Won: -1})
 			b.wall = b.wall.Add(10 * time.Second)
 			b.feed.CloseNow()
 		})
@@ -80,7 +80,7 @@
 const served = "cinderroad.n_0.classes.score.answers.in_time"
 
 // has waits until a receiver has every period of n, once each by its stamp, with the right total in each.
-func (b *bench) has(s *standin.Store, series string, n int) {
+func (b *bench) has(s *receivers.Store, series string, n int) {
 	b.t.Helper()
 	b.eventually(fmt.Sprintf("%d periods of %s", n, series), func() bool { return len(s.Stamps(series)) >= n })
 	var want []float64
@@ -101,8 +101,8 @@
 	}
 }
 
-func carbon(t testing.TB, pickle bool) (*standin.Carbon, GraphiteOptions) {
-	c, err := standin.NewCarbon("127.0.0.1:0", pickle)
+func carbon(t testing.TB, pickle bool) (*receivers.Carbon, GraphiteOptions) {
+	c, err := receivers.NewCarbon("127.0.0.1:0", pickle)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,9 +113,9 @@
 // Whatever a Graphite receiver does meanwhile, in the end it has every period, whole, in both forms.
 func TestGraphiteGetsEveryPeriod(t *testing.T) {
 	for _, pickle := range []bool{false, true} {
-		for name, trouble := range map[string]func(b *bench, c *standin.Carbon, n func(int)){
-			"none": func(_ *bench, _ *standin.Carbon, n func(int)) { n(12) },
-			"away": func(b *bench, c *standin.Carbon, n func(int)) {
+		for name, trouble := range map[string]func(b *bench, c *receivers.Carbon, n func(int)){
+			"none": func(_ *bench, _ *receivers.Carbon, n func(int)) { n(12) },
+			"away": func(b *bench, c *receivers.Carbon, n func(int)) {
 				n(3)
 				b.eventually("the word that it has them", func() bool { return b.held() == 0 })
 				c.Away()
@@ -125,7 +125,7 @@
 				}
 				n(2)
 			},
-			"stalled": func(b *bench, c *standin.Carbon, n func(int)) { // its kernel takes what it never reads
+			"stalled": func(b *bench, c *receivers.Carbon, n func(int)) { // its kernel takes what it never reads
 				n(1)
 				c.Stall(true)
 				n(20)
@@ -133,7 +133,7 @@
 				c.Stall(false)
 				n(1)
 			},
-			"dies with bytes unread": func(b *bench, c *standin.Carbon, n func(int)) {
+			"dies with bytes unread": func(b *bench, c *receivers.Carbon, n func(int)) {
 				c.Stall(true)
 				n(5)
 				b.eventually("bytes in its kernel", func() bool { return b.state(0).Points > 0 && c.Accepted() > 0 })
@@ -143,7 +143,7 @@
 					b.t.Fatal(err)
 				}
 			},
-			"cut in the midst of a line, again and again": func(b *bench, c *standin.Carbon, n func(int)) {
+			"cut in the midst of a line, again and again": func(b *bench, c *receivers.Carbon, n func(int)) {
 				for i := range 4 {
 					c.Cut(1 + 333*i*i)
 					n(2)
@@ -151,7 +151,7 @@
 					b.eventually("all of it", func() bool { return b.held() == 0 })
 				}
 			},
-			"slow": func(_ *bench, c *standin.Carbon, n func(int)) { c.Slow(2000); n(3); c.Slow(20000); n(3) },
+			"slow": func(_ *bench, c *receivers.Carbon, n func(int)) { c.Slow(2000); n(3); c.Slow(20000); n(3) },
 		} {
 			t.Run(fmt.Sprintf("%s, pickle %v", name, pickle), func(t *testing.T) {
 				t.Parallel()
@@ -207,10 +207,10 @@
 	b := start(t, 1<<20, NewGraphite(o))
 	b.do(func() { fleet(b.set, 5000) })
 	b.do(func() {
-		b.set.Answered(&routing.Final{Verdict: routing.Served, Won: -1})
+		b.set.Answered(&dispatch.Final{Verdict: dispatch.Served, Won: -1})
 		b.feed.freeze()
 		b.feed.encode() // some of it
-		b.set.Answered(&routing.Final{Verdict: routing.Served, Won: -1})
+		b.set.Answered(&dispatch.Final{Verdict: dispatch.Served, Won: -1})
 		b.wall = b.wall.Add(10 * time.Second)
 		b.feed.CloseNow()
 	})
@@ -307,9 +307,9 @@
 
 // collectd's answers say what it has got: away, silent, cut and slow ones have all of it in the end.
 func TestCollectdGetsEveryPeriod(t *testing.T) {
-	for name, trouble := range map[string]func(b *bench, c *standin.Collectd, n func(int)){
-		"none": func(_ *bench, _ *standin.Collectd, n func(int)) { n(12) },
-		"away": func(b *bench, c *standin.Collectd, n func(int)) {
+	for name, trouble := range map[string]func(b *bench, c *receivers.Collectd, n func(int)){
+		"none": func(_ *bench, _ *receivers.Collectd, n func(int)) { n(12) },
+		"away": func(b *bench, c *receivers.Collectd, n func(int)) {
 			n(2)
 			b.has(&c.Store, servedThere, 2)
 			c.Away()
@@ -319,13 +319,13 @@
 			}
 			n(2)
 		},
-		"silent": func(b *bench, c *standin.Collectd, n func(int)) {
+		"silent": func(b *bench, c *receivers.Collectd, n func(int)) {
 			c.Stall(true)
 			n(10)
 			b.eventually("a try given up", func() bool { return b.state(0).Breaks > 1 })
 			c.Stall(false)
 		},
-		"cut": func(b *bench, c *standin.Collectd, n func(int)) {
+		"cut": func(b *bench, c *receivers.Collectd, n func(int)) {
 			for i := range 4 {
 				c.Away()
 				c.Cut(1 + 333*i*i)
@@ -338,11 +338,11 @@
 				b.eventually("all of it", func() bool { return b.held() == 0 })
 			}
 		},
-		"slow": func(_ *bench, c *standin.Collectd, n func(int)) { c.Slow(3000); n(4) },
+		"slow": func(_ *bench, c *receivers.Collectd, n func(int)) { c.Slow(3000); n(4) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, err := standin.NewCollectd(filepath.Join(t.TempDir(), "c.sock"))
+			c, err := receivers.NewCollectd(filepath.Join(t.TempDir(), "c.sock"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -360,7 +360,7 @@
 func TestCollectdNetwork(t *testing.T) {
 	for name, security := range map[string]Security{"none": None, "sign": Sign, "encrypt": Encrypt} {
 		t.Run(name, func(t *testing.T) {
-			n, err := standin.NewNetwork("127.0.0.1:0", name, map[string]string{"cinder": "geheim"})
+			n, err := receivers.NewNetwork("127.0.0.1:0", name, map[string]string{"cinder": "geheim"})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -410,13 +410,13 @@
 
 // fleet has a set tell of so many nodes.
 func fleet(set *telemetry.Set, n int) {
-	var members []routing.Member
+	var members []dispatch.Member
 	for i := range n {
-		members = append(members, routing.Member{Name: fmt.Sprint("node-", i), Worker: brain.Worker{ID: brain.WorkerID(i + 1), State: brain.Ready}})
+		members = append(members, dispatch.Member{Name: fmt.Sprint("node-", i), Worker: loadbalancer.Worker{ID: loadbalancer.WorkerID(i + 1), State: loadbalancer.Ready}})
 	}
-	set.Listed(brain.ListFull, members)
+	set.Listed(loadbalancer.ListFull, members)
 	for i := range n {
-		set.Reported(brain.WorkerID(i+1), 1, []float32{0.5}, false)
+		set.Reported(loadbalancer.WorkerID(i+1), 1, []float32{0.5}, false)
 	}
 }
 
@@ -426,17 +426,17 @@
 		for _, nodes := range []int{10, 5000} {
 			b.Run(fmt.Sprintf("%s/%d", form, nodes), func(b *testing.B) {
 				var out Output
-				var store *standin.Store
+				var store *receivers.Store
 				switch form {
 				case "network":
-					n, err := standin.NewNetwork("127.0.0.1:0", "encrypt", map[string]string{"u": "p"})
+					n, err := receivers.NewNetwork("127.0.0.1:0", "encrypt", map[string]string{"u": "p"})
 					if err != nil {
 						b.Fatal(err)
 					}
 					defer n.Away()
 					out, store = NewNetwork(NetworkOptions{Address: netip.MustParseAddrPort(n.Addr()), Security: Encrypt, Username: "u", Password: "p"}), &n.Store
 				case "socket":
-					c, err := standin.NewCollectd(filepath.Join(b.TempDir(), "c"))
+					c, err := receivers.NewCollectd(filepath.Join(b.TempDir(), "c"))
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -472,8 +472,8 @@
 // BenchmarkSlices is the work of each kind of turn at 5,000 nodes: no turn does more than one of them.
 func BenchmarkSlices(b *testing.B) {
 	set := telemetry.New(telemetry.Options{Classes: []string{"score"}, Zones: []string{"milano"}, Kinds: []string{"k"}, Nodes: 5000,
-		Now: func() float64 { return 2 }, Standing: func(brain.WorkerID) (brain.Standing, bool) {
-			return brain.Standing{Room: 1.25, Ceiling: 4.4, Pace: 1.01}, true
+		Now: func() float64 { return 2 }, Standing: func(loadbalancer.WorkerID) (loadbalancer.Standing, bool) {
+			return loadbalancer.Standing{Room: 1.25, Ceiling: 4.4, Pace: 1.01}, true
 		}})
 	fleet(set, 5000)
 	p := set.Close(1_700_000_000_000, 10)
--- a/internal/dispatcher/exporter/network.go
+++ b/internal/dispatcher/exporter/network.go
@@ -1,4 +1,4 @@
-package metrics
+package exporter
 
 import (
 	"errors"
@@ -40,7 +40,7 @@
 type Network struct {
 	sender
 	options NetworkOptions
-	socket  *transport.Datagrams
+	socket  *eventloop.Datagrams
 	packet  *packet
 	at      uint64
 	period  *telemetry.Period
--- a/internal/dispatcher/exporter/packet.go
+++ b/internal/dispatcher/exporter/packet.go
@@ -1,4 +1,4 @@
-package metrics
+package exporter
 
 import (
 	"crypto/aes"
--- a/internal/dispatcher/gearman/admin.go
+++ b/internal/dispatcher/gearman/admin.go
@@ -82,7 +82,7 @@
 // statusText lists for each function the jobs held, the jobs running and the workers able.
 func (s *Server) statusText() string {
 	able := map[string]int{}
-	s.peers.Each(func(_ slots.Handle, p *peer) {
+	s.peers.Each(func(_ slotmap.Handle, p *peer) {
 		if p.worker != nil {
 			for name := range p.worker.can {
 				able[name]++
@@ -99,7 +99,7 @@
 
 func (s *Server) workersText() string {
 	var b strings.Builder
-	s.peers.Each(func(h slots.Handle, p *peer) {
+	s.peers.Each(func(h slotmap.Handle, p *peer) {
 		var names []string
 		if p.worker != nil {
 			for name := range p.worker.can {
--- a/internal/dispatcher/gearman/job.go
+++ b/internal/dispatcher/gearman/job.go
@@ -17,7 +17,7 @@
 	background     bool
 	priority       int // 0 is high
 	waiters        []*peer
-	req            routing.ReqID
+	req            dispatch.ReqID
 	queued         bool // the core has it
 	running        int
 	num, den       string
@@ -25,7 +25,7 @@
 	over           bool
 	returned       bool                // its last refusal was not told to anybody: it comes back
 	output         []packet            // of the fetch that won
-	start          *transport.Deadline // of a job for later, or of one that comes back after a refusal
+	start          *eventloop.Deadline // of a job for later, or of one that comes back after a refusal
 	ends           float64             // when the job is given up
 }
 
@@ -51,7 +51,7 @@
 		}
 	}
 	j.queued = true
-	j.req = j.s.core.Take(routing.Job{Class: j.f.class, Skill: j.f.skill, Slots: 1,
+	j.req = j.s.core.Take(dispatch.Job{Class: j.f.class, Skill: j.f.skill, Slots: 1,
 		Deadline: min(j.ends, now+j.f.deadline), Load: j, ID: j.handle, Front: "gearman"}, j)
 }
 
@@ -86,19 +86,19 @@
 
 // Answer implements routing.Asker: the job's one end goes to all who wait for it. Gearman knows no refusal:
 // it is a failure with a warning before it that says when to come back.
-func (j *job) Answer(a routing.Answer) {
+func (j *job) Answer(a dispatch.Answer) {
 	if j.over {
 		return
 	}
-	if j.returned = a.Verdict == routing.Refused && j.returns(a.Wait); j.returned {
+	if j.returned = a.Verdict == dispatch.Refused && j.returns(a.Wait); j.returned {
 		return
 	}
 	var last packet
 	switch a.Verdict {
-	case routing.Served:
+	case dispatch.Served:
 		j.s.Counts.Served++
 		last = packet{WorkComplete, string(a.Body)}
-	case routing.Refused:
+	case dispatch.Refused:
 		j.s.Counts.Refused++
 		j.output = []packet{{WorkWarning, fmt.Sprintf("refused retry-after=%.3f", a.Wait)}}
 		last.kind = WorkFail
--- a/internal/dispatcher/gearman/peer.go
+++ b/internal/dispatcher/gearman/peer.go
@@ -17,8 +17,8 @@
 // peer is a connection: a client session, a worker, an administrator, or all of them.
 type peer struct {
 	s          *Server
-	h          slots.Handle
-	conn       *transport.Conn
+	h          slotmap.Handle
+	conn       *eventloop.Conn
 	connected  float64
 	idleSince  uint64 // its place in the order in which clients came to rest
 	waits      int    // jobs whose end it waits for
@@ -28,7 +28,7 @@
 	from       netip.Addr
 	whole      bool // has sent a whole message
 	began      bool // the next one has begun
-	timeout    *transport.Deadline
+	timeout    *eventloop.Deadline
 }
 
 // expect bounds how long the next message may take: a peer that never says what it wants, or says it byte by
@@ -49,10 +49,10 @@
 }
 
 // Opened implements transport.Handler.
-func (p *peer) Opened(*transport.Conn) {}
+func (p *peer) Opened(*eventloop.Conn) {}
 
 // Closed implements transport.Handler.
-func (p *peer) Closed(*transport.Conn, error) { p.leave() }
+func (p *peer) Closed(*eventloop.Conn, error) { p.leave() }
 
 func (p *peer) end() {
 	p.leave()
@@ -97,7 +97,7 @@
 }
 
 // Data implements transport.Handler.
-func (p *peer) Data(c *transport.Conn) {
+func (p *peer) Data(c *eventloop.Conn) {
 	for len(c.Bytes()) > 0 {
 		if _, open := p.s.peers.Get(p.h); !open {
 			return
@@ -127,7 +127,7 @@
 				p.turn(errQueue, "no memory to wait for the rest")
 			case p.whole && !p.began:
 				p.began = true
-				p.expect(door.WholeTime)
+				p.expect(admission.WholeTime)
 			}
 			return
 		}
--- a/internal/dispatcher/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -27,14 +27,14 @@
 	Counts   Counts
 	Shutdown func() // stops the program, where an administrator may
 
-	loop      *transport.Loop
+	loop      *eventloop.Loop
 	log       *zap.Logger
-	core      *routing.Core
-	door      *door.Door
+	core      *dispatch.Core
+	door      *admission.Door
 	config    *Config
-	report    []brain.Field
+	report    []loadbalancer.Field
 	functions map[string]*function
-	peers     slots.Table[*peer]
+	peers     slotmap.Table[*peer]
 	jobs      map[string]*job // by handle
 	unique    map[uniqueKey]*job
 	serial    uint64
@@ -44,8 +44,8 @@
 	leaving   bool // evacuated: clients are sent away, until they are taken again
 	shut      bool // no new job is taken
 	rests     uint64
-	listener  *transport.Listener
-	retiring  *transport.Deadline
+	listener  *eventloop.Listener
+	retiring  *eventloop.Deadline
 }
 
 const retireEvery = 0.05 // seconds between two looks at who can be sent to the next process
@@ -68,7 +68,7 @@
 }
 
 // New makes the front; Start opens its port.
-func New(loop *transport.Loop, log *zap.Logger, core *routing.Core, door *door.Door, config *Config, name string, report []brain.Field) *Server {
+func New(loop *eventloop.Loop, log *zap.Logger, core *dispatch.Core, door *admission.Door, config *Config, name string, report []loadbalancer.Field) *Server {
 	s := &Server{loop: loop, log: log, core: core, door: door, config: config, report: report, functions: map[string]*function{},
 		jobs: map[string]*job{}, unique: map[uniqueKey]*job{}, prefix: "H:" + name + ":"}
 	for i, f := range config.Functions {
@@ -100,7 +100,7 @@
 }
 
 func (s *Server) retire() {
-	s.peers.Each(func(_ slots.Handle, p *peer) {
+	s.peers.Each(func(_ slotmap.Handle, p *peer) {
 		if p.waits == 0 && len(p.conn.Bytes()) == 0 && p.conn.Unsent() == 0 && (p.worker == nil || len(s.jobs) == 0 && len(p.worker.running) == 0) {
 			p.end()
 		}
@@ -109,7 +109,7 @@
 }
 
 // Listener is the open port.
-func (s *Server) Listener() *transport.Listener { return s.listener }
+func (s *Server) Listener() *eventloop.Listener { return s.listener }
 
 // Drain takes no new jobs. Those the core has are served to their end; those that wait to enter it end here.
 func (s *Server) Drain() {
@@ -117,7 +117,7 @@
 	for _, j := range s.jobs {
 		if !j.queued {
 			j.start.Stop()
-			j.Answer(routing.Answer{Verdict: routing.Failed})
+			j.Answer(dispatch.Answer{Verdict: dispatch.Failed})
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	if s.leaving = on; !on {
 		return
 	}
-	s.peers.Each(func(_ slots.Handle, p *peer) {
+	s.peers.Each(func(_ slotmap.Handle, p *peer) {
 		if p.worker == nil && p.waits == 0 && len(p.conn.Bytes()) == 0 && p.conn.Unsent() == 0 && p.conn.Alive() {
 			p.end()
 		}
@@ -141,7 +141,7 @@
 // Quiet says whether every job has had its end and every answer has gone out.
 func (s *Server) Quiet() bool {
 	quiet := len(s.jobs) == 0
-	s.peers.Each(func(_ slots.Handle, p *peer) { quiet = quiet && (p.worker != nil || p.conn.Unsent() == 0) })
+	s.peers.Each(func(_ slotmap.Handle, p *peer) { quiet = quiet && (p.worker != nil || p.conn.Unsent() == 0) })
 	return quiet
 }
 
@@ -152,7 +152,7 @@
 // has been idle longest.
 func (s *Server) shed(may func(*peer) bool) bool {
 	var best *peer
-	s.peers.Each(func(_ slots.Handle, p *peer) {
+	s.peers.Each(func(_ slotmap.Handle, p *peer) {
 		switch {
 		case p.worker != nil || p.waits > 0 || !may(p) || best != nil && (p.whole && !best.whole ||
 			p.whole == best.whole && p.idleSince > best.idleSince):
@@ -184,11 +184,11 @@
 // Counted returns the figures so far.
 func (s *Server) Counted() Counts { return s.Counts }
 
-func (s *Server) accept(c *transport.Conn) transport.Handler {
+func (s *Server) accept(c *eventloop.Conn) eventloop.Handler {
 	s.rests++
 	p := &peer{s: s, conn: c, connected: s.loop.Now(), idleSince: s.rests, clientID: "-", from: c.Peer().Addr().Unmap()}
 	p.h = s.peers.Put(p)
-	p.expect(door.FreshTime)
+	p.expect(admission.FreshTime)
 	if !s.door.Enter(p.from, func(may func(netip.Addr) bool) bool {
 		return s.shed(func(o *peer) bool { return o != p && may(o.from) })
 	}) {
--- a/internal/dispatcher/gearman/worker.go
+++ b/internal/dispatcher/gearman/worker.go
@@ -21,7 +21,7 @@
 type worker struct {
 	p       *peer
 	name    string
-	member  brain.Worker
+	member  loadbalancer.Worker
 	can     map[string]float64 // its functions and how long a job may run, 0 for as long as the job has
 	asleep  bool
 	waiting []*fetch // sent by the decisions, not assigned yet
@@ -30,10 +30,10 @@
 
 // fetch is one attempt at a job.
 type fetch struct {
-	id      routing.FetchID
+	id      dispatch.FetchID
 	job     *job
 	w       *worker
-	limit   *transport.Deadline
+	limit   *eventloop.Deadline
 	output  []packet
 	size    int
 	mark    uint64 // bytes written on the connection once the assignment has gone out whole
@@ -56,7 +56,7 @@
 		p.worker = &worker{p: p, can: map[string]float64{}, running: map[string]*fetch{},
 			// The number is the slot's, so that workers that come and go leave no trail behind.
 			name: fmt.Sprintf("gearman/%d", uint32(p.h)),
-			member: brain.Worker{Zone: place.zone,
+			member: loadbalancer.Worker{Zone: place.zone,
 				Kind: place.kind, Cell: place.Cell, Weight: 1, Since: p.connected}}
 	}
 	p.worker.member.ID = p.s.core.Number(p.worker.name)
@@ -68,13 +68,13 @@
 
 // list tells the core what the worker can do now. One that can do nothing drains.
 func (w *worker) list() {
-	w.member.State, w.member.Skills = brain.Draining, []uint32{noSkill}
+	w.member.State, w.member.Skills = loadbalancer.Draining, []uint32{noSkill}
 	for name := range w.can {
-		w.member.State = brain.Ready
+		w.member.State = loadbalancer.Ready
 		w.member.Skills = append(w.member.Skills, w.p.s.functions[name].skill)
 	}
 	slices.Sort(w.member.Skills)
-	w.p.s.core.List(brain.ListDelta, []routing.Member{{Worker: w.member, Backend: w, Name: w.name}})
+	w.p.s.core.List(loadbalancer.ListDelta, []dispatch.Member{{Worker: w.member, Backend: w, Name: w.name}})
 }
 
 // lose takes abilities away, the named one or all: that is a drain. What waits for a grab never ran and goes
@@ -103,14 +103,14 @@
 		return !can
 	})
 	for _, t := range back {
-		w.p.s.core.Ended(t.id, routing.End{Result: brain.ConnectFailed})
+		w.p.s.core.Ended(t.id, dispatch.End{Result: loadbalancer.ConnectFailed})
 	}
 }
 
 // leave ends what the worker had: what it was assigned may have run, whatever it told before.
 func (w *worker) leave() {
-	w.member.State = brain.Gone
-	w.p.s.core.List(brain.ListDelta, []routing.Member{{Worker: w.member, Backend: w, Name: w.name}})
+	w.member.State = loadbalancer.Gone
+	w.p.s.core.List(loadbalancer.ListDelta, []dispatch.Member{{Worker: w.member, Backend: w, Name: w.name}})
 	clear(w.can)
 	w.sweep()
 	handles := make([]string, 0, len(w.running))
@@ -119,19 +119,19 @@
 	}
 	slices.Sort(handles)
 	for _, handle := range handles {
-		result := brain.Reset
+		result := loadbalancer.Reset
 		if w.p.conn.Written() < w.running[handle].mark { // never went out whole: no worker can have begun it
-			result = brain.ConnectFailed
+			result = loadbalancer.ConnectFailed
 		}
-		w.running[handle].end(routing.End{Result: result})
+		w.running[handle].end(dispatch.End{Result: result})
 	}
 }
 
 // Begin implements routing.Backend: the job waits until the worker grabs it.
-func (w *worker) Begin(f routing.Fetch) {
+func (w *worker) Begin(f dispatch.Fetch) {
 	j, ok := f.Load.(*job)
 	if _, can := w.can[jobName(j)]; !ok || !can {
-		w.p.s.core.Ended(f.ID, routing.End{Result: brain.ConnectFailed})
+		w.p.s.core.Ended(f.ID, dispatch.End{Result: loadbalancer.ConnectFailed})
 		return
 	}
 	t := &fetch{id: f.ID, job: j, w: w}
@@ -156,7 +156,7 @@
 }
 
 // Drop implements routing.Backend. Gearman has no word to call a running job off: its result is dropped.
-func (w *worker) Drop(id routing.FetchID) bool {
+func (w *worker) Drop(id dispatch.FetchID) bool {
 	for i, t := range w.waiting {
 		if t.id == id {
 			w.waiting = slices.Delete(w.waiting, i, i+1)
@@ -175,15 +175,15 @@
 func (w *worker) Renew() {}
 
 // Probe implements routing.Backend: a connection that is open is all there is to know.
-func (w *worker) Probe(done func(brain.Result, []float32)) { done(brain.OK, w.load()) }
+func (w *worker) Probe(done func(loadbalancer.Result, []float32)) { done(loadbalancer.OK, w.load()) }
 
 // load is the worker's load report: it tells none itself, but does one job at a time and has just ended one.
 func (w *worker) load() []float32 {
 	values := make([]float32, len(w.p.s.report))
 	for i, field := range w.p.s.report {
 		switch field {
-		case brain.FieldInFlight, brain.FieldUtilization:
-		case brain.FieldFreeSlots:
+		case loadbalancer.FieldInFlight, loadbalancer.FieldUtilization:
+		case loadbalancer.FieldFreeSlots:
 			values[i] = 1
 		default:
 			values[i] = -1
@@ -245,10 +245,10 @@
 		j := t.job
 		result, clear := s.core.Clear(t.id)
 		if clear && w.running[j.handle] != nil { // still at an attempt that was given up: two could not be told apart
-			result, clear = brain.ConnectFailed, false
+			result, clear = loadbalancer.ConnectFailed, false
 		}
 		if !clear {
-			s.core.Ended(t.id, routing.End{Result: result})
+			s.core.Ended(t.id, dispatch.End{Result: result})
 			continue
 		}
 		w.running[j.handle] = t
@@ -266,7 +266,7 @@
 		}
 		t.mark = w.p.conn.Written() + uint64(w.p.conn.Unsent())
 		if limit := w.can[j.f.Name]; limit > 0 {
-			t.limit = s.loop.At(s.loop.Now()+limit, func() { t.end(routing.End{Result: brain.Timeout}) })
+			t.limit = s.loop.At(s.loop.Now()+limit, func() { t.end(dispatch.End{Result: loadbalancer.Timeout}) })
 		}
 		s.core.Started(t.id)
 		return true
@@ -292,7 +292,7 @@
 		}
 	case WorkData, WorkWarning:
 		if t.size += len(q.Args[1]); t.size > maxData {
-			t.end(routing.End{Result: brain.Error, Report: t.w.load()})
+			t.end(dispatch.End{Result: loadbalancer.Error, Report: t.w.load()})
 			return
 		}
 		t.output = append(t.output, packet{q.Kind, q.Args[1]})
@@ -300,19 +300,19 @@
 		if !j.over && !t.stopped {
 			j.output = t.output
 		}
-		t.end(routing.End{Result: brain.OK, Body: []byte(q.Args[1]), Report: t.w.load()})
+		t.end(dispatch.End{Result: loadbalancer.OK, Body: []byte(q.Args[1]), Report: t.w.load()})
 	case WorkException:
 		if !j.over && !t.stopped {
 			j.exception = q.Args[1]
 		}
-		t.end(routing.End{Result: brain.Error, Report: t.w.load()})
+		t.end(dispatch.End{Result: loadbalancer.Error, Report: t.w.load()})
 	case WorkFail:
-		t.end(routing.End{Result: brain.Error, Report: t.w.load()})
+		t.end(dispatch.End{Result: loadbalancer.Error, Report: t.w.load()})
 	}
 }
 
 // end takes the fetch off the worker and tells the core how it ended.
-func (t *fetch) end(e routing.End) {
+func (t *fetch) end(e dispatch.End) {
 	if t.w.running[t.job.handle] != t {
 		return
 	}
--- a/internal/dispatcher/handover/handover.go
+++ b/internal/dispatcher/handover/handover.go
@@ -85,7 +85,7 @@
 
 // Link is the connection to the other process.
 type Link struct {
-	conn  *transport.Conn
+	conn  *eventloop.Conn
 	owner Owner
 	asks  map[uint64]func(yes bool)
 	last  uint64
@@ -93,14 +93,14 @@
 }
 
 // Connect looks for the process that serves at path; Down tells if there is none.
-func Connect(loop *transport.Loop, path string, owner Owner) *Link {
+func Connect(loop *eventloop.Loop, path string, owner Owner) *Link {
 	l := &Link{owner: owner, asks: map[uint64]func(bool){}}
 	l.conn = loop.ConnectNear(path, l)
 	return l
 }
 
 // Accept owns a connection from a newer process.
-func Accept(conn *transport.Conn, owner Owner) *Link {
+func Accept(conn *eventloop.Conn, owner Owner) *Link {
 	conn.Passes()
 	return &Link{conn: conn, owner: owner, asks: map[uint64]func(bool){}}
 }
@@ -175,16 +175,16 @@
 }
 
 // Opened implements transport.Handler.
-func (l *Link) Opened(*transport.Conn) { l.owner.Up(l) }
+func (l *Link) Opened(*eventloop.Conn) { l.owner.Up(l) }
 
 // Closed implements transport.Handler.
-func (l *Link) Closed(_ *transport.Conn, err error) {
+func (l *Link) Closed(_ *eventloop.Conn, err error) {
 	l.end()
 	l.owner.Down(l, err)
 }
 
 // Data implements transport.Handler.
-func (l *Link) Data(c *transport.Conn) {
+func (l *Link) Data(c *eventloop.Conn) {
 	for !l.down {
 		kind, body, n, err := Parse(c.Bytes())
 		if errors.Is(err, errMore) {
--- a/internal/dispatcher/httpfront/backend.go
+++ b/internal/dispatcher/httpfront/backend.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"errors"
@@ -31,7 +31,7 @@
 }
 
 // Begin implements routing.Backend.
-func (b *backend) Begin(f routing.Fetch) {
+func (b *backend) Begin(f dispatch.Fetch) {
 	p := b.pool
 	call, ok := f.Load.(*Call)
 	a := &attempt{id: f.ID, call: call, ends: f.Deadline}
@@ -40,7 +40,7 @@
 	}
 	if !ok || p.live[a.key] != nil {
 		// A second fetch of a req on one backend could not be told from the first by its call-backs.
-		p.core.Ended(f.ID, routing.End{Result: brain.Moot})
+		p.core.Ended(f.ID, dispatch.End{Result: loadbalancer.Moot})
 		return
 	}
 	p.live[a.key], p.byFetch[a.id] = a, a
@@ -49,7 +49,7 @@
 
 // Drop implements routing.Backend: what is not written is not sent, what waits for its 202 loses its
 // connection, what was taken is called off by a request of its own.
-func (b *backend) Drop(id routing.FetchID) bool {
+func (b *backend) Drop(id dispatch.FetchID) bool {
 	a := b.pool.byFetch[id]
 	if a == nil {
 		return true
@@ -73,13 +73,13 @@
 }
 
 // Probe implements routing.Backend.
-func (b *backend) Probe(done func(brain.Result, []float32)) { b.carry(&exchange{probe: done}) }
+func (b *backend) Probe(done func(loadbalancer.Result, []float32)) { b.carry(&exchange{probe: done}) }
 
 // exchange is one request to a backend and its answer.
 type exchange struct {
 	attempt *attempt
 	deletes string
-	probe   func(brain.Result, []float32)
+	probe   func(loadbalancer.Result, []float32)
 }
 
 // carry sends an exchange over an idle connection or a new one.
--- a/internal/dispatcher/httpfront/bodies.go
+++ b/internal/dispatcher/httpfront/bodies.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"encoding/json"
@@ -177,7 +177,7 @@
 // wants orders the states by how much new work a backend in them is sent.
 var wants = map[string]int{"gone": 0, "draining": 1, "ready": 2}
 
-var states = map[string]brain.WorkerState{"ready": brain.Ready, "draining": brain.Draining}
+var states = map[string]loadbalancer.WorkerState{"ready": loadbalancer.Ready, "draining": loadbalancer.Draining}
 
 // parseInfo reads the name=value list of a request's further figures.
 func parseInfo(text string) map[string]float64 {
--- a/internal/dispatcher/httpfront/director.go
+++ b/internal/dispatcher/httpfront/director.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"bytes"
@@ -77,10 +77,10 @@
 	Heard      func()                                                              // discovery has said something, if only that nothing has changed; nil: nobody asks
 	Spoke      func()                                                              // discovery has spoken for the first time since the start
 
-	loop  *transport.Loop
+	loop  *eventloop.Loop
 	log   *zap.Logger
 	addr  netip.AddrPort // where discovery is by the latest configuration
-	core  *routing.Core
+	core  *dispatch.Core
 	pool  *Pool
 	zones []string
 	kinds []string
@@ -88,7 +88,7 @@
 	known map[string]Target // what discovery lists, by uid
 	on    *watch            // the one that has told the list held now; nil before there was one, or between two tries
 	next  *watch            // one at a new address, which has not spoken yet
-	retry *transport.Deadline
+	retry *eventloop.Deadline
 	fails int // in a row
 	rng   *rand.Rand
 	last  float64 // when discovery last said anything; 0 is not yet
@@ -101,7 +101,7 @@
 func (d *Director) Last() float64 { return d.last }
 
 // NewDirector makes a director; Start begins the watch.
-func NewDirector(loop *transport.Loop, log *zap.Logger, addr netip.AddrPort, core *routing.Core, pool *Pool, zones, kinds []string, seed uint64) *Director {
+func NewDirector(loop *eventloop.Loop, log *zap.Logger, addr netip.AddrPort, core *dispatch.Core, pool *Pool, zones, kinds []string, seed uint64) *Director {
 	return &Director{loop: loop, log: log, addr: addr, core: core, pool: pool, zones: zones, kinds: kinds,
 		known: map[string]Target{}, rng: rand.New(rand.NewPCG(seed, uint64(os.Getpid())))}
 }
@@ -122,7 +122,7 @@
 
 // StartFrom is Start with a list that another process was told by addr.
 func (d *Director) StartFrom(addr netip.AddrPort, known List) {
-	d.apply(addr, known, brain.ListCached)
+	d.apply(addr, known, loadbalancer.ListCached)
 	if addr == d.addr { // at once: the upgrade waits for it
 		d.on = d.open(false)
 	} else { // its version means nothing here
@@ -164,12 +164,12 @@
 type watch struct {
 	d       *Director
 	addr    netip.AddrPort
-	conn    *transport.Conn
+	conn    *eventloop.Conn
 	whole   bool // asks for the whole list first: versions of another address mean nothing here
 	head    bool // the head of the stream's answer has come
 	line    []byte
 	rev     int64 // the last that it told
-	silence *transport.Deadline
+	silence *eventloop.Deadline
 }
 
 func (d *Director) open(whole bool) *watch {
@@ -230,7 +230,7 @@
 }
 
 // Opened implements transport.Handler.
-func (w *watch) Opened(c *transport.Conn) { w.ask() }
+func (w *watch) Opened(c *eventloop.Conn) { w.ask() }
 
 func (w *watch) ask() {
 	query := fmt.Sprintf("?stream=1&index=%d", w.d.rev)
@@ -241,7 +241,7 @@
 }
 
 // Closed implements transport.Handler.
-func (w *watch) Closed(c *transport.Conn, err error) {
+func (w *watch) Closed(c *eventloop.Conn, err error) {
 	if w.whole && len(c.Bytes()) > 0 && w.list(true) == nil {
 		return
 	}
@@ -249,7 +249,7 @@
 }
 
 // Data implements transport.Handler.
-func (w *watch) Data(*transport.Conn) {
+func (w *watch) Data(*eventloop.Conn) {
 	w.heard()
 	w.d.last = w.d.loop.Now()
 	if w.d.Heard != nil {
@@ -293,7 +293,7 @@
 	w.whole = false
 	d.log.Info("director: moved", zap.Stringer("discovery", w.addr), zap.Int64("rev", list.Rev))
 	d.drop(bad)
-	d.apply(w.addr, list, brain.ListFull)
+	d.apply(w.addr, list, loadbalancer.ListFull)
 	d.spoke()
 	if r.Close || ended {
 		w.close()
@@ -366,9 +366,9 @@
 	}
 	d.drop(bad)
 	w.rev, d.fails = list.Rev, 0
-	kind := brain.ListDelta
+	kind := loadbalancer.ListDelta
 	if list.All {
-		kind = brain.ListFull
+		kind = loadbalancer.ListFull
 	}
 	d.apply(w.addr, list, kind)
 	d.spoke()
@@ -387,10 +387,10 @@
 
 // apply hands a version of the list over, which addr has told. Whoever asks for versions hears of it last: what it withheld on
 // others' word stays so until what this version says is in force.
-func (d *Director) apply(addr netip.AddrPort, list List, kind brain.ListKind) {
+func (d *Director) apply(addr netip.AddrPort, list List, kind loadbalancer.ListKind) {
 	d.rev = list.Rev
-	cached := kind == brain.ListCached
-	if kind == brain.ListFull {
+	cached := kind == loadbalancer.ListCached
+	if kind == loadbalancer.ListFull {
 		// Whole as far as discovery goes: workers that another front lists stay, so what is missing is named.
 		missing := maps.Clone(d.known)
 		for _, t := range list.Targets {
@@ -402,19 +402,19 @@
 		for _, uid := range slices.Sorted(maps.Keys(missing)) {
 			list.Targets = append(list.Targets, Target{UID: uid, State: "gone"})
 		}
-		kind = brain.ListDelta
+		kind = loadbalancer.ListDelta
 	}
-	members, listed := make([]routing.Member, 0, len(list.Targets)), map[brain.WorkerID]bool{}
+	members, listed := make([]dispatch.Member, 0, len(list.Targets)), map[loadbalancer.WorkerID]bool{}
 	for _, t := range list.Targets {
 		if was, ok := d.known[t.UID]; ok && t.State == "gone" {
 			// It leaves as what it was, whatever its last entry lacks: what may have run there is bound to its cell.
 			t, t.State = was, "gone"
 		}
-		w := brain.Worker{ID: d.core.Number(t.UID), Zone: place(d.zones, t.Zone), Kind: place(d.kinds, t.Kind),
+		w := loadbalancer.Worker{ID: d.core.Number(t.UID), Zone: place(d.zones, t.Zone), Kind: place(d.kinds, t.Kind),
 			Cell: t.Cell, State: states[t.State], Weight: t.Weight, Since: t.BootMs / 1000}
 		addr, _ := netip.ParseAddrPort(t.Endpoint)
-		members = append(members, routing.Member{Worker: w, Backend: d.pool.backend(w.ID, t.UID, addr), Name: t.UID})
-		if listed[w.ID] = w.State != brain.Gone; listed[w.ID] {
+		members = append(members, dispatch.Member{Worker: w, Backend: d.pool.backend(w.ID, t.UID, addr), Name: t.UID})
+		if listed[w.ID] = w.State != loadbalancer.Gone; listed[w.ID] {
 			d.known[t.UID] = t
 		} else {
 			delete(d.known, t.UID)
--- a/internal/dispatcher/httpfront/director_test.go
+++ b/internal/dispatcher/httpfront/director_test.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"errors"
@@ -59,9 +59,9 @@
 	}
 }
 
-type clock struct{ *transport.Loop }
+type clock struct{ *eventloop.Loop }
 
-func (c clock) At(at float64, do func()) routing.Stop { return c.Loop.At(at, do) }
+func (c clock) At(at float64, do func()) dispatch.Stop { return c.Loop.At(at, do) }
 
 // Guards against a dispatcher that bides its time at the start: what discovery has to tell binds from there on, and a
 // list of an earlier life may name backends that have drained since.
@@ -78,11 +78,11 @@
 		{"in an upgrade", func(d *Director) { d.StartFrom(addr, known) }, 1},
 		{"moved meanwhile", func(d *Director) { d.Start(known); d.Move(netip.MustParseAddrPort("127.0.0.1:2")) }, 2},
 	} {
-		loop, err := transport.NewLoop(9)
+		loop, err := eventloop.NewLoop(9)
 		if err != nil {
 			t.Fatal(err)
 		}
-		core, err := routing.New(brain.Settings{Classes: []brain.Class{{Objective: 1, Deadline: 1}}, Zones: 1, Instances: 1,
+		core, err := dispatch.New(loadbalancer.Settings{Classes: []loadbalancer.Class{{Objective: 1, Deadline: 1}}, Zones: 1, Instances: 1,
 			MaxAttempts: 1, Tick: 1, ColdShare: 1, FallMultiple: 1, FallTime: 1}, 1, clock{loop})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/dispatcher/httpfront/front.go
+++ b/internal/dispatcher/httpfront/front.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"cmp"
@@ -44,24 +44,24 @@
 	// Elsewhere asks the dispatcher's other process about a call-back that is not known here; false when there is none.
 	Elsewhere func(body []byte, done func()) bool
 
-	loop      *transport.Loop
+	loop      *eventloop.Loop
 	log       *zap.Logger
-	core      *routing.Core
+	core      *dispatch.Core
 	pool      *Pool
-	door      *door.Door
+	door      *admission.Door
 	classes   map[string]class
-	sessions  slots.Table[*session]
+	sessions  slotmap.Table[*session]
 	calls     map[string]bool // ids of calls that are open
 	asking    int             // sessions that have carried a client's request
 	closing   bool
 	leaving   float64 // when an evacuation began; 0 is none
 	emptying  bool    // and its sessions are closed
 	shut      bool    // no new job is taken
-	sweeping  *transport.Deadline
+	sweeping  *eventloop.Deadline
 	rests     uint64
 	lastNews  float64            // when bytes last came from any session
 	noted     map[string]float64 // when a kind of bad input was last logged
-	successor func(State, *transport.Conn) bool
+	successor func(State, *eventloop.Conn) bool
 	comeBack  string // of a refusal that the decisions had no part in
 
 	comeBackIn float64 // the same, in seconds
@@ -74,7 +74,7 @@
 }
 
 // NewFront makes the front.
-func NewFront(loop *transport.Loop, log *zap.Logger, core *routing.Core, pool *Pool, door *door.Door, set *brain.Settings) *Front {
+func NewFront(loop *eventloop.Loop, log *zap.Logger, core *dispatch.Core, pool *Pool, door *admission.Door, set *loadbalancer.Settings) *Front {
 	f := &Front{loop: loop, log: log, core: core, pool: pool, door: door, classes: map[string]class{}, calls: map[string]bool{},
 		noted: map[string]float64{}}
 	for i, c := range set.Classes {
@@ -87,7 +87,7 @@
 }
 
 // Accept owns a new connection. One for which there is no room takes the place of a session that has shown less.
-func (f *Front) Accept(c *transport.Conn) transport.Handler {
+func (f *Front) Accept(c *eventloop.Conn) eventloop.Handler {
 	f.Sessions++
 	s := &session{f: f, conn: c, from: c.Peer().Addr().Unmap(), entered: f.loop.Now()}
 	s.backend = f.pool.at(s.from)
@@ -111,7 +111,7 @@
 func (f *Front) shed(may func(*session) bool) bool {
 	var best *session
 	rank := 0
-	f.sessions.Each(func(_ slots.Handle, s *session) {
+	f.sessions.Each(func(_ slotmap.Handle, s *session) {
 		r := s.rank()
 		if r == 0 || !may(s) || best != nil && (r < rank || r == rank && s.since > best.since) {
 			return
@@ -137,7 +137,7 @@
 // call-backs stay: what is out can end by them alone.
 func (f *Front) Drain() {
 	f.closing = true
-	f.sessions.Each(func(_ slots.Handle, s *session) {
+	f.sessions.Each(func(_ slotmap.Handle, s *session) {
 		if s.idle() && s.asked && s.conn.Alive() { // else a request has come that was not read yet
 			s.end()
 		}
@@ -168,7 +168,7 @@
 func (f *Front) sweep() {
 	f.emptying = true
 	now := f.loop.Now()
-	f.sessions.Each(func(_ slots.Handle, s *session) {
+	f.sessions.Each(func(_ slotmap.Handle, s *session) {
 		switch {
 		case !s.idle() || s.told || !s.whole && (s.backend || now < s.entered+freshGrace):
 		case s.conn.Alive(): // else a request has come that was not read yet
@@ -182,7 +182,7 @@
 // a request that is just arriving counts as taken.
 func (f *Front) Quiet() bool {
 	quiet := f.loop.Now() >= f.lastNews+quietTime
-	f.sessions.Each(func(_ slots.Handle, s *session) { quiet = quiet && (s.idle() || !s.asked && s.call == "" && !s.waits) })
+	f.sessions.Each(func(_ slotmap.Handle, s *session) { quiet = quiet && (s.idle() || !s.asked && s.call == "" && !s.waits) })
 	return quiet
 }
 
--- a/internal/dispatcher/httpfront/handover.go
+++ b/internal/dispatcher/httpfront/handover.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"cinderroad/internal/shared/eventloop"
@@ -15,7 +15,7 @@
 
 // HandOver has the successor take each session as it comes to rest, with what has come and was not read; a session that it
 // does not take stays for now. Without a successor (nil) they stay for good.
-func (f *Front) HandOver(successor func(State, *transport.Conn) bool) {
+func (f *Front) HandOver(successor func(State, *eventloop.Conn) bool) {
 	if f.successor = successor; successor != nil {
 		f.OfferSessions()
 	}
@@ -23,7 +23,7 @@
 
 // OfferSessions offers the sessions that rest to the successor.
 func (f *Front) OfferSessions() {
-	f.sessions.Each(func(_ slots.Handle, s *session) { s.offer() })
+	f.sessions.Each(func(_ slotmap.Handle, s *session) { s.offer() })
 }
 
 // Left is how many sessions are still here.
@@ -42,7 +42,7 @@
 }
 
 // Adopt owns a session of the process before this one.
-func (f *Front) Adopt(state State, c *transport.Conn) transport.Handler {
+func (f *Front) Adopt(state State, c *eventloop.Conn) eventloop.Handler {
 	s := &session{f: f, conn: c, from: c.Peer().Addr().Unmap(), entered: state.Entered, asked: state.Asked,
 		whole: state.Whole, told: state.Told}
 	s.backend = f.pool.at(s.from)
--- a/internal/dispatcher/httpfront/http.go
+++ b/internal/dispatcher/httpfront/http.go
@@ -1,6 +1,6 @@
 // Package platform speaks the platform's protocol: clients and call-backs, runners, and discovery, all as
 // HTTP/1.1. The parsers are pure functions over bytes.
-package platform
+package httpfront
 
 import (
 	"bytes"
--- a/internal/dispatcher/httpfront/link.go
+++ b/internal/dispatcher/httpfront/link.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"errors"
@@ -15,7 +15,7 @@
 type link struct {
 	b       *backend
 	life    uint64
-	conn    *transport.Conn
+	conn    *eventloop.Conn
 	job     *exchange // what it carries; nil when idle or when nobody waits for the answer any more
 	busy    bool
 	up      bool
@@ -23,7 +23,7 @@
 	since   float64
 	rested  float64 // how long it had rested before the present request; 0 is a new connection
 	worn    bool    // was found dead after a rest
-	timeout *transport.Deadline
+	timeout *eventloop.Deadline
 }
 
 // start writes the request of an exchange.
@@ -35,7 +35,7 @@
 	case a != nil:
 		a.link = l
 		if result, clear := p.core.Clear(a.id); !clear { // drained or overdue while the connection came up: no byte of it goes out
-			p.end(a, routing.End{Result: result})
+			p.end(a, dispatch.End{Result: result})
 			l.rest()
 			return
 		}
@@ -103,7 +103,7 @@
 }
 
 // Opened implements transport.Handler.
-func (l *link) Opened(*transport.Conn) {
+func (l *link) Opened(*eventloop.Conn) {
 	l.timeout.Stop()
 	l.up = true
 	if l.job == nil {
@@ -114,7 +114,7 @@
 }
 
 // Data implements transport.Handler.
-func (l *link) Data(c *transport.Conn) {
+func (l *link) Data(c *eventloop.Conn) {
 	if !l.busy {
 		l.end() // an answer that nobody asked for
 		return
@@ -150,9 +150,9 @@
 	switch {
 	case x == nil: // given up, or ended by a call-back that came before the answer
 	case x.probe != nil:
-		result, load := brain.OK, Load(nil)
+		result, load := loadbalancer.OK, Load(nil)
 		if r.Status != 200 {
-			result = brain.Error
+			result = loadbalancer.Error
 		} else if load = ParseLoad(string(r.Body)); load == nil {
 			load = ParseLoad(r.Header.Get("X-Load-Report"))
 		}
@@ -164,7 +164,7 @@
 }
 
 // Closed implements transport.Handler.
-func (l *link) Closed(c *transport.Conn, err error) {
+func (l *link) Closed(c *eventloop.Conn, err error) {
 	l.timeout.Stop()
 	l.unlist()
 	if l.busy && l.up && len(c.Bytes()) > 0 && l.answer(true) {
@@ -195,23 +195,23 @@
 	switch {
 	case x == nil:
 	case x.probe != nil:
-		result := brain.Timeout
-		if errors.Is(err, transport.ErrNoRoom) {
-			result = brain.Moot
+		result := loadbalancer.Timeout
+		if errors.Is(err, eventloop.ErrNoRoom) {
+			result = loadbalancer.Moot
 		} else if !l.up {
-			result = brain.ConnectFailed
+			result = loadbalancer.ConnectFailed
 		}
 		x.probe(result, nil)
 	case x.attempt != nil:
 		a := x.attempt
-		result := brain.ConnectFailed
+		result := loadbalancer.ConnectFailed
 		if a.written() {
-			result = brain.Reset
-		} else if errors.Is(err, transport.ErrNoRoom) {
-			result = brain.Moot // the want is here: it says nothing of the backend
+			result = loadbalancer.Reset
+		} else if errors.Is(err, eventloop.ErrNoRoom) {
+			result = loadbalancer.Moot // the want is here: it says nothing of the backend
 		}
 		a.link = nil
 		l.b.pool.log.Debug("fetch: connection lost", zap.String("backend", l.b.uid), zap.Error(err))
-		l.b.pool.end(a, routing.End{Result: result, Worn: l.worn})
+		l.b.pool.end(a, dispatch.End{Result: result, Worn: l.worn})
 	}
 }
--- a/internal/dispatcher/httpfront/pool.go
+++ b/internal/dispatcher/httpfront/pool.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"net/netip"
@@ -28,13 +28,13 @@
 type Pool struct {
 	StrayNews, Dialed, Worn uint64
 
-	loop     *transport.Loop
+	loop     *eventloop.Loop
 	log      *zap.Logger
-	core     *routing.Core
+	core     *dispatch.Core
 	limits   Limits
-	backends map[brain.WorkerID]*backend
+	backends map[loadbalancer.WorkerID]*backend
 	live     map[newsKey]*attempt // by what a call-back names
-	byFetch  map[routing.FetchID]*attempt
+	byFetch  map[dispatch.FetchID]*attempt
 	dropping bool // no idle connections are kept any more
 }
 
@@ -42,16 +42,16 @@
 type newsKey struct{ id, from string }
 
 // NewPool makes an empty pool; Core must be set before the first list.
-func NewPool(loop *transport.Loop, log *zap.Logger, limits Limits) *Pool {
+func NewPool(loop *eventloop.Loop, log *zap.Logger, limits Limits) *Pool {
 	return &Pool{loop: loop, log: log, limits: limits,
-		backends: map[brain.WorkerID]*backend{}, live: map[newsKey]*attempt{}, byFetch: map[routing.FetchID]*attempt{}}
+		backends: map[loadbalancer.WorkerID]*backend{}, live: map[newsKey]*attempt{}, byFetch: map[dispatch.FetchID]*attempt{}}
 }
 
 // Serve names the core that the pool reports to.
-func (p *Pool) Serve(core *routing.Core) { p.core = core }
+func (p *Pool) Serve(core *dispatch.Core) { p.core = core }
 
 // backend finds a backend or makes it; one that has moved loses its idle connections.
-func (p *Pool) backend(id brain.WorkerID, uid string, addr netip.AddrPort) *backend {
+func (p *Pool) backend(id loadbalancer.WorkerID, uid string, addr netip.AddrPort) *backend {
 	b := p.backends[id]
 	if b == nil {
 		b = &backend{pool: p, uid: uid}
@@ -66,7 +66,7 @@
 }
 
 // keep lets go of backends that are listed as gone. What is out there keeps its own hold of its backend.
-func (p *Pool) keep(listed map[brain.WorkerID]bool) {
+func (p *Pool) keep(listed map[loadbalancer.WorkerID]bool) {
 	for id, stays := range listed {
 		if b := p.backends[id]; b != nil && !stays {
 			b.closeIdle()
@@ -101,7 +101,7 @@
 
 // attempt is a fetch on its way.
 type attempt struct {
-	id   routing.FetchID
+	id   dispatch.FetchID
 	key  newsKey
 	call *Call
 	ends float64
@@ -110,7 +110,7 @@
 }
 
 // end ends the attempt here and tells the core.
-func (p *Pool) end(a *attempt, e routing.End) {
+func (p *Pool) end(a *attempt, e dispatch.End) {
 	p.forget(a)
 	p.core.Ended(a.id, e)
 }
@@ -132,10 +132,10 @@
 	if r.Status == 202 {
 		return // call-backs tell the rest
 	}
-	e := routing.End{Result: brain.Error, Report: ParseLoad(r.Header.Get("X-Load-Report")).Values(p.limits.Fields)}
+	e := dispatch.End{Result: loadbalancer.Error, Report: ParseLoad(r.Header.Get("X-Load-Report")).Values(p.limits.Fields)}
 	switch {
 	case (r.Status == 503 || r.Status == 504) && r.Header.Get("X-Rejected") == "1":
-		e.Result = brain.Full
+		e.Result = loadbalancer.Full
 	case r.Status >= 400 && r.Status < 500 && r.Status != 408 && r.Status != 429:
 		e.Unusable = true // it is the request that is bad: another backend would say so too
 	}
@@ -153,7 +153,7 @@
 		p.StrayNews++
 		return
 	}
-	e := routing.End{Report: n.Load.Values(p.limits.Fields)}
+	e := dispatch.End{Report: n.Load.Values(p.limits.Fields)}
 	switch n.State {
 	case "started":
 		p.core.Started(a.id)
@@ -162,13 +162,13 @@
 		p.core.Progress(a.id, n.Share)
 		return
 	case "done":
-		e.Result, e.Body = brain.OK, []byte(n.Result)
+		e.Result, e.Body = loadbalancer.OK, []byte(n.Result)
 	case "returned":
-		e.Result = brain.Full
+		e.Result = loadbalancer.Full
 	case "lost":
-		e.Result = brain.Reset
+		e.Result = loadbalancer.Reset
 	default: // failed, and any word not known: it may have run
-		e.Result = brain.Error
+		e.Result = loadbalancer.Error
 	}
 	p.end(a, e)
 }
--- a/internal/dispatcher/httpfront/session.go
+++ b/internal/dispatcher/httpfront/session.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"errors"
@@ -18,9 +18,9 @@
 // session is a client session.
 type session struct {
 	f       *Front
-	h       slots.Handle
-	conn    *transport.Conn
-	req     routing.ReqID
+	h       slotmap.Handle
+	conn    *eventloop.Conn
+	req     dispatch.ReqID
 	call    string // id of the open req, if any
 	held    int    // bytes of the open req
 	last    bool   // closes after the answer
@@ -33,7 +33,7 @@
 	backend bool // comes from where a listed backend stands
 	entered float64
 	began   float64 // when the first bytes came of the request that is not whole yet; 0 is none
-	timeout *transport.Deadline
+	timeout *eventloop.Deadline
 }
 
 func (s *session) idle() bool {
@@ -82,7 +82,7 @@
 		}
 		return
 	}
-	s.expect(s.entered+door.FreshTime, func() {
+	s.expect(s.entered+admission.FreshTime, func() {
 		s.f.Slow++
 		s.turn("no request came in time")
 	})
@@ -126,10 +126,10 @@
 }
 
 // Opened implements transport.Handler.
-func (s *session) Opened(*transport.Conn) {}
+func (s *session) Opened(*eventloop.Conn) {}
 
 // Closed implements transport.Handler: the client has gone away.
-func (s *session) Closed(*transport.Conn, error) {
+func (s *session) Closed(*eventloop.Conn, error) {
 	open := s.call != ""
 	s.leave()
 	if open {
@@ -138,7 +138,7 @@
 }
 
 // Data implements transport.Handler.
-func (s *session) Data(c *transport.Conn) {
+func (s *session) Data(c *eventloop.Conn) {
 	s.f.lastNews = s.f.loop.Now()
 	if s.call == "" && !s.waits && s.offer() { // the successor reads it
 		return
@@ -197,9 +197,9 @@
 		return
 	}
 	s.began = s.f.loop.Now()
-	ends := s.began + door.WholeTime
+	ends := s.began + admission.WholeTime
 	if !s.whole {
-		ends = min(ends, s.entered+door.FreshTime)
+		ends = min(ends, s.entered+admission.FreshTime)
 	}
 	s.expect(ends, func() {
 		s.f.Slow++
@@ -314,13 +314,13 @@
 		return
 	case s.f.leaving > 0 && s.f.loop.Now() >= s.f.leaving+lastTake:
 		s.last = true
-		s.refuse(&call, class, routing.Evacuated, "evacuated\n")
+		s.refuse(&call, class, dispatch.Evacuated, "evacuated\n")
 		return
 	case s.f.shut:
-		s.refuse(&call, class, routing.OutOfLease, "out of lease\n")
+		s.refuse(&call, class, dispatch.OutOfLease, "out of lease\n")
 		return
 	case !s.f.door.Hold(len(call.Body)):
-		s.refuse(&call, class, routing.NoMemory, "")
+		s.refuse(&call, class, dispatch.NoMemory, "")
 		return
 	}
 	hint, _ := strconv.ParseFloat(q.Header.Get("X-Call-Cost"), 64)
@@ -329,14 +329,14 @@
 	}
 	s.call, s.held = call.ID, len(call.Body)
 	s.f.calls[call.ID] = true
-	s.req = s.f.core.Take(routing.Job{Class: class.place, Slots: pick("coresNeeded", "slots"), Memory: pick("memory"), Work: hint,
+	s.req = s.f.core.Take(dispatch.Job{Class: class.place, Slots: pick("coresNeeded", "slots"), Memory: pick("memory"), Work: hint,
 		Deadline: s.f.loop.Now() + min(budget, class.deadline) - budgetMargin, Load: &call, ID: call.ID, Front: frontName},
 		&asker{s: s, call: call.ID})
 }
 
 // refuse turns a call away without the core, which notes it all the same.
-func (s *session) refuse(call *Call, class class, reason routing.Reason, body string) {
-	s.f.core.Turn(routing.Job{ID: call.ID, Front: frontName, Class: class.place}, routing.Refused, reason, s.f.comeBackIn)
+func (s *session) refuse(call *Call, class class, reason dispatch.Reason, body string) {
+	s.f.core.Turn(dispatch.Job{ID: call.ID, Front: frontName, Class: class.place}, dispatch.Refused, reason, s.f.comeBackIn)
 	s.reply(503, s.f.comeBack, []byte(body))
 }
 
@@ -349,7 +349,7 @@
 }
 
 // Answer implements routing.Asker.
-func (a *asker) Answer(answer routing.Answer) {
+func (a *asker) Answer(answer dispatch.Answer) {
 	s := a.s
 	if _, open := s.f.sessions.Get(s.h); !open || s.call != a.call {
 		return
@@ -357,9 +357,9 @@
 	s.free()
 	h := s.h
 	switch answer.Verdict {
-	case routing.Served:
+	case dispatch.Served:
 		s.reply(200, "", answer.Body)
-	case routing.Refused:
+	case dispatch.Refused:
 		extra := ""
 		if answer.Wait > 0 {
 			extra = retryAfter(answer.Wait)
--- a/internal/dispatcher/httpfront/wear.go
+++ b/internal/dispatcher/httpfront/wear.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import "math"
 
--- a/internal/dispatcher/operatorconfig/fleet.go
+++ b/internal/dispatcher/operatorconfig/fleet.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"errors"
--- a/internal/dispatcher/operatorconfig/operator.go
+++ b/internal/dispatcher/operatorconfig/operator.go
@@ -1,7 +1,7 @@
 // Package operator reads the operator's file, deploy/operator.toml: what is set by whoever runs a dispatcher, beside the
 // deployment's own configuration. Every key that is not known is an error, and every error names the file, the line where
 // there is one, and the key.
-package operator
+package operatorconfig
 
 import (
 	"errors"
--- a/internal/dispatcher/requestaudit/audit.go
+++ b/internal/dispatcher/requestaudit/audit.go
@@ -1,6 +1,6 @@
 // Package audit compares what a dispatcher's request log says with what a receiver of its figures has got: for each
 // dispatcher, class and verdict, the lines of the log against the growth of the total. They must be equal.
-package audit
+package requestaudit
 
 import (
 	"bufio"
--- a/internal/dispatcher/requestlog/requestlog.go
+++ b/internal/dispatcher/requestlog/requestlog.go
@@ -26,7 +26,7 @@
 	By       string
 	Life     string   // of the process, before the numbers of marks
 	Classes  []string // names by the settings' numbers
-	Slot     func(worker brain.WorkerID) string
+	Slot     func(worker loadbalancer.WorkerID) string
 	// Report hears, on a goroutine of its own, what went wrong.
 	Report func(error)
 }
@@ -57,7 +57,7 @@
 }
 
 // Answered adds a line.
-func (l *Log) Answered(f *routing.Final) {
+func (l *Log) Answered(f *dispatch.Final) {
 	b := l.Begin()
 	class := len(l.classes) - 1
 	if f.Class >= 0 && f.Class < class {
@@ -69,7 +69,7 @@
 	b = append(append(b, `,"front":"`...), f.Front...)
 	b = append(append(b, `","verdict":"`...), telemetry.VerdictOf(f).String()...)
 	b = append(b, '"')
-	if f.Reason != routing.NoReason {
+	if f.Reason != dispatch.NoReason {
 		b = append(append(append(b, `,"reason":"`...), f.Reason.String()...), '"')
 	}
 	b = linelog.AppendFixed(append(b, `,"took_ms":`...), (f.Answered-f.Arrived)*1000, 3)
@@ -95,7 +95,7 @@
 	l.End(append(b, '}', '\n'))
 }
 
-func (l *Log) try(b []byte, f *routing.Final, t *routing.Try) []byte {
+func (l *Log) try(b []byte, f *dispatch.Final, t *dispatch.Try) []byte {
 	b = linelog.AppendString(append(b, `{"node":`...), t.Node)
 	if l.options.Slot != nil {
 		if slot := l.options.Slot(t.Worker); slot != "" {
--- a/internal/dispatcher/server/config.go
+++ b/internal/dispatcher/server/config.go
@@ -1,5 +1,5 @@
 // Package program wires the dispatcher: configuration, log, signals, metrics, the core and its fronts.
-package program
+package server
 
 import (
 	"encoding/json"
@@ -22,7 +22,7 @@
 	Discovery string        `json:"discovery"` // empty: no director
 	Console   string        `json:"console"`   // the second address, for the staff who run it; empty: none
 	Seed      string        `json:"seed"`
-	Known     platform.List `json:"known"`
+	Known     httpfront.List `json:"known"`
 	Limits    struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int     `json:"memory_mb"`
@@ -30,7 +30,7 @@
 	} `json:"limits"`
 	Settings json.RawMessage `json:"settings"`
 
-	Operator *operator.File `json:"-"` // never nil
+	Operator *operatorconfig.File `json:"-"` // never nil
 	short    Short
 
 	path, gearmanPath string // where it was read from
@@ -39,7 +39,7 @@
 	console           netip.AddrPort
 	inherited         int // descriptor of the clients' socket, where somebody else holds it; 0: we bind it
 	seed              uint64
-	brain             brain.Settings
+	brain             loadbalancer.Settings
 	names             names
 	gearman           *gearman.Config // nil: no Gearman front
 }
@@ -81,9 +81,9 @@
 
 // ReadOperator reads the operator's file and adds the short forms.
 func (c *Config) ReadOperator(s Short) (err error) {
-	f := operator.Default()
+	f := operatorconfig.Default()
 	if s.Operator != "" {
-		if f, err = operator.Read(s.Operator); err != nil {
+		if f, err = operatorconfig.Read(s.Operator); err != nil {
 			return err
 		}
 	}
@@ -92,11 +92,11 @@
 		if err != nil {
 			return fmt.Errorf("graphite: %w", err)
 		}
-		f.Graphite = append(f.Graphite, operator.Graphite{Address: s.Graphite, Addr: addr, Form: "plaintext", Prefix: "cinderroad",
-			Confirm: "close", Patience: operator.DefaultPatience})
+		f.Graphite = append(f.Graphite, operatorconfig.Graphite{Address: s.Graphite, Addr: addr, Form: "plaintext", Prefix: "cinderroad",
+			Confirm: "close", Patience: operatorconfig.DefaultPatience})
 	}
 	if s.Collectd != "" {
-		f.Collectd = append(f.Collectd, operator.Collectd{Socket: s.Collectd, Security: "none", Patience: operator.DefaultPatience})
+		f.Collectd = append(f.Collectd, operatorconfig.Collectd{Socket: s.Collectd, Security: "none", Patience: operatorconfig.DefaultPatience})
 	}
 	if s.Every > 0 {
 		f.Telemetry.Every = s.Every
@@ -122,7 +122,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c := Config{path: path, tmp: env("TMPDIR"), Operator: operator.Default()}
+	c := Config{path: path, tmp: env("TMPDIR"), Operator: operatorconfig.Default()}
 	if err := json.Unmarshal(text, &c); err != nil {
 		return nil, at(path, text, err)
 	}
@@ -160,7 +160,7 @@
 	if c.brain, err = settings.Parse(c.Settings); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	if _, err := brain.New(c.brain, c.seed, nil); err != nil { // checks them
+	if _, err := loadbalancer.New(c.brain, c.seed, nil); err != nil { // checks them
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	if err := json.Unmarshal(c.Settings, &c.names); err != nil {
--- a/internal/dispatcher/server/figures.go
+++ b/internal/dispatcher/server/figures.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"math"
@@ -25,25 +25,25 @@
 // addFigures adds what the parts of the program count themselves. Nothing is asked of p before the end of a period.
 func addFigures(p *Program, set *telemetry.Set) {
 	a := adder{set}
-	core := func(get func(*routing.Counts) uint64) func() uint64 {
+	core := func(get func(*dispatch.Counts) uint64) func() uint64 {
 		return func() uint64 { n := p.core.Counts(); return get(&n) }
 	}
-	a.counter("reqs.taken", "jobs", "Jobs that the core took.", core(func(n *routing.Counts) uint64 { return n.Reqs }))
-	a.counter("reqs.served", "jobs", "Jobs served.", core(func(n *routing.Counts) uint64 { return n.Served }))
-	a.counter("reqs.refused", "jobs", "Jobs refused: they did not run.", core(func(n *routing.Counts) uint64 { return n.Refused }))
-	a.counter("reqs.failed", "jobs", "Jobs failed.", core(func(n *routing.Counts) uint64 { return n.Failed }))
-	a.counter("reqs.client_gone", "jobs", "Jobs whose client left before an answer.", core(func(n *routing.Counts) uint64 { return n.Gone }))
-	a.counter("reqs.overdue", "jobs", "Jobs that the decisions had forgotten and the core failed: must stay 0.", core(func(n *routing.Counts) uint64 { return n.Overdue }))
-	a.counter("reqs.unusable", "jobs", "Jobs failed since two backends could do nothing with them.", core(func(n *routing.Counts) uint64 { return n.Unusable }))
+	a.counter("reqs.taken", "jobs", "Jobs that the core took.", core(func(n *dispatch.Counts) uint64 { return n.Reqs }))
+	a.counter("reqs.served", "jobs", "Jobs served.", core(func(n *dispatch.Counts) uint64 { return n.Served }))
+	a.counter("reqs.refused", "jobs", "Jobs refused: they did not run.", core(func(n *dispatch.Counts) uint64 { return n.Refused }))
+	a.counter("reqs.failed", "jobs", "Jobs failed.", core(func(n *dispatch.Counts) uint64 { return n.Failed }))
+	a.counter("reqs.client_gone", "jobs", "Jobs whose client left before an answer.", core(func(n *dispatch.Counts) uint64 { return n.Gone }))
+	a.counter("reqs.overdue", "jobs", "Jobs that the decisions had forgotten and the core failed: must stay 0.", core(func(n *dispatch.Counts) uint64 { return n.Overdue }))
+	a.counter("reqs.unusable", "jobs", "Jobs failed since two backends could do nothing with them.", core(func(n *dispatch.Counts) uint64 { return n.Unusable }))
 	a.gauge("reqs.open", "jobs", "Jobs without an answer yet.", func() float64 { return float64(p.core.Counts().OpenReqs) })
-	a.counter("fetches.sent", "attempts", "Attempts begun.", core(func(n *routing.Counts) uint64 { return n.Fetches }))
-	a.counter("fetches.repeats", "attempts", "Those that were not a job's first.", core(func(n *routing.Counts) uint64 { return n.Repeats }))
-	a.counter("fetches.cancels", "attempts", "Attempts called off.", core(func(n *routing.Counts) uint64 { return n.Cancels }))
+	a.counter("fetches.sent", "attempts", "Attempts begun.", core(func(n *dispatch.Counts) uint64 { return n.Fetches }))
+	a.counter("fetches.repeats", "attempts", "Those that were not a job's first.", core(func(n *dispatch.Counts) uint64 { return n.Repeats }))
+	a.counter("fetches.cancels", "attempts", "Attempts called off.", core(func(n *dispatch.Counts) uint64 { return n.Cancels }))
 	a.gauge("fetches.open", "attempts", "Attempts that are out.", func() float64 { return float64(p.core.Counts().OpenFetches) })
 	for result, name := range telemetry.ResultNames {
-		a.counter("fetches.end_"+name, "attempts", "Attempts that ended as "+name+".", core(func(n *routing.Counts) uint64 { return n.Results[result] }))
+		a.counter("fetches.end_"+name, "attempts", "Attempts that ended as "+name+".", core(func(n *dispatch.Counts) uint64 { return n.Results[result] }))
 	}
-	a.counter("fetches.probes", "probes", "Nodes asked for health and load.", core(func(n *routing.Counts) uint64 { return n.Probes }))
+	a.counter("fetches.probes", "probes", "Nodes asked for health and load.", core(func(n *dispatch.Counts) uint64 { return n.Probes }))
 	a.counter("backends.connections_opened", "connections", "Connections opened to backends.", func() uint64 { return p.pool.Dialed })
 	a.counter("backends.worn_connections", "connections", "Connections that had rested and were found dead.", func() uint64 { return p.pool.Worn })
 	a.counter("backends.stray_news", "call-backs", "Call-backs that matched nothing that is out.", func() uint64 { return p.pool.StrayNews })
@@ -140,7 +140,7 @@
 
 // Docs are all series that there can be.
 func Docs() []telemetry.Doc {
-	set := telemetry.New(telemetry.Options{Settings: brain.Settings{}, Nodes: 1})
+	set := telemetry.New(telemetry.Options{Settings: loadbalancer.Settings{}, Nodes: 1})
 	addFigures(nil, set)
 	addReportingFigures(nil, set)
 	return set.Docs()
--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"encoding/json"
@@ -36,7 +36,7 @@
 })
 
 // fleetOptions are what the files say of the fleet; nil is none.
-func (c *Config) fleetOptions() (*fleet.Options, error) {
+func (c *Config) fleetOptions() (*cluster.Options, error) {
 	f := c.Operator.Fleet
 	if f == nil {
 		return nil, nil
@@ -48,10 +48,10 @@
 	if z := c.brain.Zone; z < len(c.names.FailureDomains) {
 		zone = c.names.FailureDomains[z]
 	}
-	return &fleet.Options{Fleet: f.Name, Name: c.Name, Bind: f.BindAddr, Advertise: f.AdvertiseAddr, Seeds: f.SeedAddrs,
+	return &cluster.Options{Fleet: f.Name, Name: c.Name, Bind: f.BindAddr, Advertise: f.AdvertiseAddr, Seeds: f.SeedAddrs,
 		Period: f.Period, Forget: f.Forget, Lease: f.Lease, Seed: c.seed, Facts: membership.Facts{Zone: zone[:min(len(zone), 48)], Version: version(), Console: c.Console,
 			Settings: hash(common(c.Settings)), Operator: hash([]byte(c.Operator.Common()))},
-		Rules: divisor.Rules{Instances: c.brain.Instances, Me: c.brain.Me, Period: f.Period, LastSends: c.brain.FallTime, Whole: *f.Whole}}, nil
+		Rules: quota.Rules{Instances: c.brain.Instances, Me: c.brain.Me, Period: f.Period, LastSends: c.brain.FallTime, Whole: *f.Whole}}, nil
 }
 
 // startFleet has this dispatcher be a member, where the operator's file says so.
@@ -60,7 +60,7 @@
 	if err != nil || o == nil {
 		return err
 	}
-	socket, err := fleet.Bind(p.loop, o.Bind)
+	socket, err := cluster.Bind(p.loop, o.Bind)
 	if err != nil {
 		return err
 	}
@@ -72,13 +72,13 @@
 	return nil
 }
 
-func (p *Program) joinFleet(o *fleet.Options, socket *transport.Socket, book *ledger.Book) {
+func (p *Program) joinFleet(o *cluster.Options, socket *eventloop.Socket, book *auditlog.Book) {
 	p.keepVersions()
 	o.Board, o.Slept, o.Leased, o.Settled = p.board, p.slept, p.leased, p.settled
 	o.Facts.Serving, o.Facts.OperatorAt = p.standing(), uint32(p.loop.Now())
 	p.facts = o.Facts
 	p.keepLedger(book, p.config.Operator)
-	p.fleet = fleet.Start(p.loop, p.log, *o, socket, p.setPlace)
+	p.fleet = cluster.Start(p.loop, p.log, *o, socket, p.setPlace)
 	if !p.factsOn {
 		p.factsOn = true
 		p.tellFacts()
@@ -104,8 +104,8 @@
 func hash(text []byte) string { return fmt.Sprintf("%08x", uint32(xxhash.Sum64(text))) }
 
 // setPlace has all who count the dispatchers know their number.
-func (p *Program) setPlace(place divisor.Place) {
-	if err := p.core.SetPlace(brain.Place{Instances: place.Instances, Me: place.Me, Part: place.Part, Keys: place.Keys}); err != nil {
+func (p *Program) setPlace(place quota.Place) {
+	if err := p.core.SetPlace(loadbalancer.Place{Instances: place.Instances, Me: place.Me, Part: place.Part, Keys: place.Keys}); err != nil {
 		p.log.Error("program: place not taken", zap.Error(err))
 		return
 	}
@@ -137,7 +137,7 @@
 	p.facts.Serving = p.standing()
 	if out := p.excluded(); out != p.facts.Excluded {
 		p.facts.Excluded, p.facts.ExcludedAt = out, uint32(p.loop.Now())
-		p.record(ledger.Entry{What: ledger.Excluded, Digest: out, Members: len(p.core.Exclusions())})
+		p.record(auditlog.Entry{What: auditlog.Excluded, Digest: out, Members: len(p.core.Exclusions())})
 	}
 	p.fleet.SetFacts(p.facts)
 	p.tendLedger()
--- a/internal/dispatcher/server/fleet_audit_test.go
+++ b/internal/dispatcher/server/fleet_audit_test.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"encoding/json"
@@ -17,7 +17,7 @@
 )
 
 // runAudit runs the operators' command on files.
-func runAudit(t *testing.T, files ...string) (report *ledger.Report, status int) {
+func runAudit(t *testing.T, files ...string) (report *auditlog.Report, status int) {
 	t.Helper()
 	cmd := exec.Command(program, append([]string{"fleet", "audit", "--json"}, files...)...)
 	var stderr strings.Builder
@@ -26,7 +26,7 @@
 	if err != nil && cmd.ProcessState == nil {
 		t.Fatal(err)
 	}
-	report = &ledger.Report{}
+	report = &auditlog.Report{}
 	if err := json.Unmarshal(out, report); err != nil {
 		t.Fatalf("%v: %s%s", err, out, stderr.String())
 	}
@@ -64,11 +64,11 @@
 // The files of a run: nothing is wrong with them, also where one member's clock was two seconds behind and another's two ahead; a send
 // against what its sender knew, and entries that are taken out, are named, and nothing else.
 func TestFleetAudit(t *testing.T) {
-	r := fleetOf(t, rig.Options{Jobs: 40})
+	r := fleetOf(t, processcluster.Options{Jobs: 40})
 	n := len(r.Members)
 	r.Settled(n)
 	slow, drains := r.Members[1], r.Runners[2]
-	slow.ListWay().Set(standin.Link{Silent: true}) // its peers tell it
+	slow.ListWay().Set(receivers.Link{Silent: true}) // its peers tell it
 	for _, state := range []string{"draining", "ready", "draining"} {
 		drains.Set(state)
 		r.Discovery.Tell()
@@ -76,7 +76,7 @@
 		time.Sleep(time.Second)
 	}
 	r.Eventually("all have heard each other's clocks", func() bool {
-		return !slices.ContainsFunc(r.Audit().Clocks, func(o ledger.Offset) bool { return !o.Known })
+		return !slices.ContainsFunc(r.Audit().Clocks, func(o auditlog.Offset) bool { return !o.Known })
 	})
 	r.Check()
 	files := r.Files()
--- a/internal/dispatcher/server/fleet_console.go
+++ b/internal/dispatcher/server/fleet_console.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 )
 
 // showFleet answers GET /api/fleet.
-func (p *Program) showFleet(reply console.Reply) {
+func (p *Program) showFleet(reply admin.Reply) {
 	if p.fleet == nil {
 		reply(404, "no [fleet] in the operator's file")
 		return
@@ -23,7 +23,7 @@
 }
 
 // goneFromFleet has a member that is dead count as one that has left.
-func (p *Program) goneFromFleet(member string, reply console.Reply) {
+func (p *Program) goneFromFleet(member string, reply admin.Reply) {
 	if p.fleet == nil {
 		reply(404, "no [fleet] in the operator's file")
 		return
@@ -37,8 +37,8 @@
 }
 
 // orderFleet shuts a member out, or brings it back, wherever it is.
-func (p *Program) orderFleet(out bool) func(member string, reply console.Reply) {
-	return func(member string, reply console.Reply) {
+func (p *Program) orderFleet(out bool) func(member string, reply admin.Reply) {
+	return func(member string, reply admin.Reply) {
 		if p.fleet == nil {
 			reply(404, "no [fleet] in the operator's file")
 			return
--- a/internal/dispatcher/server/fleet_cost_test.go
+++ b/internal/dispatcher/server/fleet_cost_test.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"flag"
@@ -23,7 +23,7 @@
 	costs := map[string][]float64{}
 	turn := func(name, path string, members int, off bool) {
 		t.Run(name, func(t *testing.T) {
-			r := rig.Start(t, rig.Options{Program: path, Members: members, Runners: 4, Jobs: 400, WorkS: 0.002, SlotsOf: 16, Off: off, Period: 1})
+			r := processcluster.Start(t, processcluster.Options{Program: path, Members: members, Runners: 4, Jobs: 400, WorkS: 0.002, SlotsOf: 16, Off: off, Period: 1})
 			m := r.Members[0]
 			for _, o := range r.Members[1:] { // they are there, and idle
 				o.Rest()
--- a/internal/dispatcher/server/fleet_lease_test.go
+++ b/internal/dispatcher/server/fleet_lease_test.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"os/exec"
@@ -11,13 +11,13 @@
 )
 
 // fleetCommand runs an operators' command at a member.
-func fleetCommand(m *rig.Member, args ...string) (string, error) {
+func fleetCommand(m *processcluster.Member, args ...string) (string, error) {
 	out, err := exec.Command(program, append([]string{"fleet", "--console", m.Console}, args...)...).CombinedOutput()
 	return string(out), err
 }
 
 // shutOut counts the members that take no new work.
-func shutOut(r *rig.Rig) (n int) {
+func shutOut(r *processcluster.Rig) (n int) {
 	for _, m := range r.Running() {
 		if health(m) == 503 {
 			n++
@@ -29,12 +29,12 @@
 // A member is shut out by hand through one that has no way to it, ends with every answer given, refuses with a wait, is seen so by
 // all, and is brought back; no more than a third can be; one that starts anew is still out.
 func TestFleetShutOutByHand(t *testing.T) {
-	r := fleetOf(t, rig.Options{Jobs: 40})
+	r := fleetOf(t, processcluster.Options{Jobs: 40})
 	n := len(r.Members)
 	r.Settled(n)
 	caller, one, other := r.Members[0], r.Members[n-1], r.Members[1]
-	r.Link(caller, one, standin.Link{Silent: true})
-	r.Link(one, caller, standin.Link{Silent: true})
+	r.Link(caller, one, receivers.Link{Silent: true})
+	r.Link(one, caller, receivers.Link{Silent: true})
 	if out, err := fleetCommand(caller, "shut-out", one.Name); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
@@ -78,7 +78,7 @@
 }
 
 // took is how many jobs a member has sent to any runner.
-func took(r *rig.Rig, m *rig.Member) (n int) {
+func took(r *processcluster.Rig, m *processcluster.Member) (n int) {
 	for _, u := range r.Runners {
 		n += u.Took(m)
 	}
@@ -95,11 +95,11 @@
 }
 
 func cutOffIsShutOut(t *testing.T, n, which int) {
-	r := fleetOf(t, rig.Options{Members: n, Jobs: 40})
+	r := fleetOf(t, processcluster.Options{Members: n, Jobs: 40})
 	r.Settled(n)
 	cut, drains := r.Members[which], r.Runners[2]
-	cut.ListWay().Set(standin.Link{Silent: true})
-	time.Sleep(rig.LeaseS*time.Second + 4*time.Second) // longer than a lease: the peers' words renew it
+	cut.ListWay().Set(receivers.Link{Silent: true})
+	time.Sleep(processcluster.LeaseS*time.Second + 4*time.Second) // longer than a lease: the peers' words renew it
 	if out := shutOut(r); out > 0 {
 		t.Errorf("%d are out while their peers have discovery's word", out)
 	}
@@ -121,7 +121,7 @@
 	t.Logf("out %.1f s after the cut, in again %.1f s after it was healed", took.Seconds(), back.Seconds())
 	r.Eventually("it is brought up", func() bool { return withholds(cut, drains.Name) })
 	after := drains.Took(cut)
-	cut.ListWay().Set(standin.Link{})
+	cut.ListWay().Set(receivers.Link{})
 	time.Sleep(time.Second)
 	if sent := drains.Took(cut) - after; sent > 1 {
 		t.Errorf("%d jobs were sent to the worker that drains", sent)
@@ -132,17 +132,17 @@
 
 // Discovery is lost by four of five, then by all: nobody is shut out, and each serves on by the last list.
 func TestFleetDiscoveryLostByMost(t *testing.T) {
-	r := fleetOf(t, rig.Options{Jobs: 20})
+	r := fleetOf(t, processcluster.Options{Jobs: 20})
 	n := len(r.Members)
 	r.Settled(n)
 	served := func() {
 		t.Helper()
-		for end := time.Now().Add(rig.LeaseS*time.Second + 4*time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
+		for end := time.Now().Add(processcluster.LeaseS*time.Second + 4*time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 			if out := shutOut(r); out > 0 {
 				t.Fatalf("%d are out", out)
 			}
 		}
-		at := map[*rig.Member]int{}
+		at := map[*processcluster.Member]int{}
 		for _, m := range r.Members {
 			at[m] = took(r, m)
 		}
@@ -156,13 +156,13 @@
 		})
 	}
 	for _, m := range r.Members[1:] {
-		m.ListWay().Set(standin.Link{Silent: true})
+		m.ListWay().Set(receivers.Link{Silent: true})
 	}
 	served()
-	r.Members[0].ListWay().Set(standin.Link{Resets: true})
+	r.Members[0].ListWay().Set(receivers.Link{Resets: true})
 	served()
 	for _, m := range r.Members {
-		m.ListWay().Set(standin.Link{})
+		m.ListWay().Set(receivers.Link{})
 	}
 	r.Check()
 }
@@ -171,19 +171,19 @@
 // discovery goes on telling an old list, for as long as it does.
 func TestFleetBroughtUpByOne(t *testing.T) {
 	t.Parallel()
-	for name, fault := range map[string]func(r *rig.Rig, m *rig.Member){
-		"one peer": func(r *rig.Rig, m *rig.Member) {
-			m.ListWay().Set(standin.Link{Silent: true})
+	for name, fault := range map[string]func(r *processcluster.Rig, m *processcluster.Member){
+		"one peer": func(r *processcluster.Rig, m *processcluster.Member) {
+			m.ListWay().Set(receivers.Link{Silent: true})
 			r.Island(m)
-			for _, way := range [][2]*rig.Member{{m, r.Members[1]}, {r.Members[1], m}} {
-				r.Link(way[0], way[1], standin.Link{Delay: 20 * time.Millisecond})
+			for _, way := range [][2]*processcluster.Member{{m, r.Members[1]}, {r.Members[1], m}} {
+				r.Link(way[0], way[1], receivers.Link{Delay: 20 * time.Millisecond})
 			}
 		},
-		"old list": func(r *rig.Rig, m *rig.Member) { r.Discovery.Freeze(m, true) },
-		"slow":     func(r *rig.Rig, m *rig.Member) { m.ListWay().Set(standin.Link{Delay: 4 * time.Second}) },
+		"old list": func(r *processcluster.Rig, m *processcluster.Member) { r.Discovery.Freeze(m, true) },
+		"slow":     func(r *processcluster.Rig, m *processcluster.Member) { m.ListWay().Set(receivers.Link{Delay: 4 * time.Second}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := fleetOf(t, rig.Options{Jobs: 60})
+			r := fleetOf(t, processcluster.Options{Jobs: 60})
 			r.Settled(len(r.Members))
 			m, drains := r.Members[0], r.Runners[2]
 			at := drains.Took(m)
@@ -206,7 +206,7 @@
 				t.Error("one that is brought up is out")
 			}
 			r.Discovery.Freeze(m, false)
-			m.ListWay().Set(standin.Link{})
+			m.ListWay().Set(receivers.Link{})
 			r.Heal()
 			r.Check()
 		})
@@ -216,7 +216,7 @@
 // The next process of an upgrade is stopped in the midst of it, while a worker drains: awake, it sends nothing there, and the upgrade
 // comes to its end.
 func TestFleetStoppedDuringAnUpgrade(t *testing.T) {
-	r := fleetOf(t, rig.Options{Members: 3, Inherit: true, Jobs: 40})
+	r := fleetOf(t, processcluster.Options{Members: 3, Inherit: true, Jobs: 40})
 	n := len(r.Members)
 	r.Settled(n)
 	m, drains := r.Members[0], r.Runners[2]
@@ -246,10 +246,10 @@
 
 // Files that differ on purpose while a change rolls through the fleet: each member tells its own, all agree, nobody is out.
 func TestFleetFilesThatDiffer(t *testing.T) {
-	r := fleetOf(t, rig.Options{Members: 3})
+	r := fleetOf(t, processcluster.Options{Members: 3})
 	n := len(r.Members)
 	r.Settled(n)
-	marks := func(m *rig.Member, what string) map[string]bool {
+	marks := func(m *processcluster.Member, what string) map[string]bool {
 		all := map[string]bool{}
 		if s := m.Status(); s != nil {
 			for _, o := range s.Members {
@@ -279,7 +279,7 @@
 		}
 	}
 	reloaded := r.Members[1]
-	mark := func(at *rig.Member) string {
+	mark := func(at *processcluster.Member) string {
 		if s := at.Status(); s != nil {
 			for _, o := range s.Members {
 				if o.Name == reloaded.Name {
--- a/internal/dispatcher/server/fleet_reload.go
+++ b/internal/dispatcher/server/fleet_reload.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"cinderroad/internal/dispatcher/cluster"
@@ -9,9 +9,9 @@
 
 // fleetChange is what a reload would change of the fleet.
 type fleetChange struct {
-	options *fleet.Options
-	socket  *transport.Socket // a new address'
-	book    *ledger.Book      // a new ledger
+	options *cluster.Options
+	socket  *eventloop.Socket // a new address'
+	book    *auditlog.Book      // a new ledger
 }
 
 // prepareFleet checks what a reload says of the fleet and opens an address that is new; nothing changes before takeFleet.
@@ -27,7 +27,7 @@
 		return nil, err
 	}
 	if p.fleet == nil || !p.fleet.SameBind(o) {
-		if r.socket, err = fleet.Bind(p.loop, o.Bind); err != nil {
+		if r.socket, err = cluster.Bind(p.loop, o.Bind); err != nil {
 			r.drop()
 			return nil, err
 		}
@@ -56,7 +56,7 @@
 		p.leaveFleet()
 		p.closeLedger(true)
 		p.dropVersions()
-		p.setPlace(divisor.Place{Instances: p.config.brain.Instances, Me: p.config.brain.Me, Part: 1})
+		p.setPlace(quota.Place{Instances: p.config.brain.Instances, Me: p.config.brain.Me, Part: 1})
 		p.log.Info("program: fleet switched off; places are as configured")
 	case p.fleet == nil:
 		p.joinFleet(o, r.socket, r.book)
@@ -70,7 +70,7 @@
 		p.facts = o.Facts
 		p.keepLedger(r.book, p.config.Operator)
 		if other {
-			p.record(ledger.Entry{What: ledger.Settings, Settings: o.Facts.Settings, Operator: o.Facts.Operator})
+			p.record(auditlog.Entry{What: auditlog.Settings, Settings: o.Facts.Settings, Operator: o.Facts.Operator})
 		}
 	default:
 		socket := p.fleet.Release()
--- a/internal/dispatcher/server/fleet_sleep.go
+++ b/internal/dispatcher/server/fleet_sleep.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"go.uber.org/zap"
@@ -18,7 +18,7 @@
 		return
 	}
 	p.woke = p.loop.Now()
-	p.record(ledger.Entry{What: ledger.Slept, Late: late})
+	p.record(auditlog.Entry{What: auditlog.Slept, Late: late})
 	p.board.Forget(p.woke)
 	p.pause()
 	p.waking.Stop()
@@ -51,7 +51,7 @@
 // leased has new jobs refused while this dispatcher is out of its lease.
 func (p *Program) leased(out bool, why string) {
 	p.log.Warn("program: lease", zap.Bool("out", out), zap.String("why", why))
-	p.record(ledger.Entry{What: ledger.Lease, Out: out, Why: why})
+	p.record(auditlog.Entry{What: auditlog.Lease, Out: out, Why: why})
 	p.pause()
 }
 
@@ -68,7 +68,7 @@
 		p.waking.Stop()
 		p.log.Info("program: looked again after a sleep", zap.Float64("after_s", p.loop.Now()-p.woke))
 		p.woke, p.wakeTimedOut = 0, false
-		p.record(ledger.Entry{What: ledger.Looked})
+		p.record(auditlog.Entry{What: auditlog.Looked})
 		p.pause()
 	}
 }
