--- a/internal/dispatcher/server/fleet_test.go
+++ b/internal/dispatcher/server/fleet_test.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"encoding/binary"
@@ -22,7 +22,7 @@
 
 var fleetN = flag.Int("fleet.n", 5, "processes of a fleet test")
 
-func fleetOf(t *testing.T, o rig.Options) *rig.Rig {
+func fleetOf(t *testing.T, o processcluster.Options) *processcluster.Rig {
 	t.Parallel()
 	o.Program = program
 	if o.Members == 0 {
@@ -31,14 +31,14 @@
 	if o.Runners == 0 {
 		o.Runners = 4
 	}
-	return rig.Start(t, o)
+	return processcluster.Start(t, o)
 }
 
 var foundDead = regexp.MustCompile(`"member": "([^"]+)", "is": "dead"`)
 
 // wronglyDead names who held whom for dead though its process ran. One that got no processor for so long that it says so itself
 // was rightly found.
-func wronglyDead(r *rig.Rig) (all []string) {
+func wronglyDead(r *processcluster.Rig) (all []string) {
 	stalled := map[string]bool{}
 	for _, m := range r.Members {
 		stalled[m.Name] = stalled[m.Name] || strings.Contains(m.Text(), "this process has stood still")
@@ -54,7 +54,7 @@
 }
 
 // holdAll says whether all members that run hold one in a state.
-func holdAll(r *rig.Rig, name, state string) func() bool {
+func holdAll(r *processcluster.Rig, name, state string) func() bool {
 	return func() bool {
 		for _, m := range r.Running() {
 			if m.Name != name && m.Holds(name) != state {
@@ -67,7 +67,7 @@
 
 // A fleet that starts together, loses one that is killed, takes it back, and is told by one that ends.
 func TestFleetJoinKillLeave(t *testing.T) {
-	r := fleetOf(t, rig.Options{})
+	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
 	r.Settled(n)
 	if out, err := checkFleet(r.Members[0]); err != nil || strings.Count(out, "agrees") != n {
@@ -97,20 +97,20 @@
 }
 
 // checkFleet runs the operators' command.
-func checkFleet(m *rig.Member) (string, error) {
+func checkFleet(m *processcluster.Member) (string, error) {
 	out, err := exec.Command(program, "fleet", "check", "--console", m.Console, "--patience", "10s").CombinedOutput()
 	return string(out), err
 }
 
 // A process that is stopped is found; continued, it comes back as itself, and has given nobody up.
 func TestFleetStopAndContinue(t *testing.T) {
-	r := fleetOf(t, rig.Options{})
+	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
 	r.Settled(n)
 	m := r.Members[3]
 	life := lifeOf(m, m.Name)
 	m.Pause()
-	others := []*rig.Member{r.Members[0], r.Members[1], r.Members[2]}
+	others := []*processcluster.Member{r.Members[0], r.Members[1], r.Members[2]}
 	r.Eventually("found dead", func() bool {
 		for _, o := range others {
 			if o.Holds(m.Name) != "dead" {
@@ -142,7 +142,7 @@
 	r.Check()
 }
 
-func lifeOf(m *rig.Member, name string) uint64 {
+func lifeOf(m *processcluster.Member, name string) uint64 {
 	if s := m.Status(); s != nil {
 		for _, o := range s.Members {
 			if o.Name == name {
@@ -155,19 +155,19 @@
 
 // One way is cut between two: neither is lost. An island finds the others dead, and all are one fleet again when it heals.
 func TestFleetOneWayCutAndIsland(t *testing.T) {
-	r := fleetOf(t, rig.Options{})
+	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
 	r.Settled(n)
 	a, b := r.Members[0], r.Members[1]
-	r.Link(a, b, standin.Link{Silent: true})
-	r.Link(b, a, standin.Link{Delay: 20 * time.Millisecond})
+	r.Link(a, b, receivers.Link{Silent: true})
+	r.Link(b, a, receivers.Link{Delay: 20 * time.Millisecond})
 	time.Sleep(10 * time.Second) // 50 periods: what must never happen would have
 	for _, wrong := range wronglyDead(r) {
 		t.Errorf("%s, whom others heard", wrong)
 	}
 	r.Heal()
 	r.Settled(n)
-	island := []*rig.Member{a, b}
+	island := []*processcluster.Member{a, b}
 	r.Island(island...)
 	r.Eventually("two fleets", func() bool {
 		return r.Agree(island, 2) && r.Agree(r.Members[2:], n-2)
@@ -196,10 +196,10 @@
 // A fifth of the datagrams lost, the rest late, repeated and out of order: nobody that answers is given up for good, and the
 // view is one once it is over.
 func TestFleetLossAndDelay(t *testing.T) {
-	r := fleetOf(t, rig.Options{})
+	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
 	r.Settled(n)
-	r.Everywhere(standin.Link{Drop: 0.2, Delay: 5 * time.Millisecond, Jitter: 20 * time.Millisecond, Repeat: 0.05, Reorder: 0.05})
+	r.Everywhere(receivers.Link{Drop: 0.2, Delay: 5 * time.Millisecond, Jitter: 20 * time.Millisecond, Repeat: 0.05, Reorder: 0.05})
 	time.Sleep(15 * time.Second)
 	refuted := 0
 	for _, m := range r.Members {
@@ -223,7 +223,7 @@
 
 // All are restarted in turn, as a release does.
 func TestFleetRollingRestart(t *testing.T) {
-	r := fleetOf(t, rig.Options{})
+	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
 	r.Settled(n)
 	for i, m := range r.Members {
@@ -243,7 +243,7 @@
 
 // One that is evacuated leaves once nothing of it is out any more, and is back when it is called.
 func TestFleetEvacuation(t *testing.T) {
-	r := fleetOf(t, rig.Options{Members: 3})
+	r := fleetOf(t, processcluster.Options{Members: 3})
 	r.Settled(3)
 	m := r.Members[2]
 	m.Rest()
@@ -261,7 +261,7 @@
 
 // An upgrade: two processes under one name and one address. The newer one is the member from then on.
 func TestFleetUpgrade(t *testing.T) {
-	r := fleetOf(t, rig.Options{Members: 3, Inherit: true})
+	r := fleetOf(t, processcluster.Options{Members: 3, Inherit: true})
 	r.Settled(3)
 	m := r.Members[1]
 	life := lifeOf(m, m.Name)
@@ -280,7 +280,7 @@
 
 // Two processes that share a name by mistake: the one that began later stays, the other says so and serves on by itself.
 func TestFleetTwoUnderOneName(t *testing.T) {
-	r := fleetOf(t, rig.Options{Members: 3})
+	r := fleetOf(t, processcluster.Options{Members: 3})
 	r.Settled(3)
 	first := r.Members[2]
 	twin := r.Add()
@@ -292,7 +292,7 @@
 		return strings.Contains(first.Text(), "another process has this name")
 	})
 	r.Eventually("the later one is the member", func() bool {
-		return r.Agree([]*rig.Member{r.Members[0], r.Members[1], twin}, 3) && lifeOf(r.Members[0], twin.Name) == lifeOf(twin, twin.Name)
+		return r.Agree([]*processcluster.Member{r.Members[0], r.Members[1], twin}, 3) && lifeOf(r.Members[0], twin.Name) == lifeOf(twin, twin.Name)
 	})
 	r.Check()
 }
@@ -303,7 +303,7 @@
 	t.Parallel()
 	for _, off := range []bool{true, false} {
 		t.Run(fmt.Sprint("off=", off), func(t *testing.T) {
-			r := fleetOf(t, rig.Options{Members: 8, Runners: 1, Jobs: 60, WorkS: 0.02, SlotsOf: 2, Off: off})
+			r := fleetOf(t, processcluster.Options{Members: 8, Runners: 1, Jobs: 60, WorkS: 0.02, SlotsOf: 2, Off: off})
 			cold := r.Runners[0]
 			time.Sleep(2 * time.Second) // while it is warm they learn what a job is
 			span := func(what string) {
@@ -344,7 +344,7 @@
 
 // A reload switches the fleet off, on, to another address, to other seeds, and to another name; a bad one changes nothing.
 func TestFleetReload(t *testing.T) {
-	r := fleetOf(t, rig.Options{Members: 3})
+	r := fleetOf(t, processcluster.Options{Members: 3})
 	r.Settled(3)
 	m := r.Members[2]
 	with := m.Operator()
@@ -390,7 +390,7 @@
 // Datagrams that make no sense, of another fleet, of a newer format, too long, and played again are dropped and counted, and
 // change nothing.
 func TestFleetNonsense(t *testing.T) {
-	r := fleetOf(t, rig.Options{Members: 3})
+	r := fleetOf(t, processcluster.Options{Members: 3})
 	r.Settled(3)
 	m := r.Members[0]
 	conn, err := net.Dial("udp", m.Bind)
@@ -440,7 +440,7 @@
 // A member that lies: that others have left, died, stand elsewhere, or have begun later. No process ends, jobs are served,
 // and the view is the true one once it has gone.
 func TestFleetLies(t *testing.T) {
-	r := fleetOf(t, rig.Options{})
+	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
 	r.Settled(n)
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
--- a/internal/dispatcher/server/fleet_versions.go
+++ b/internal/dispatcher/server/fleet_versions.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"net/netip"
@@ -23,14 +23,14 @@
 	b.Changed = p.withhold
 	b.Note = p.noted
 	b.Ordering = func(o versions.Order) {
-		p.record(ledger.Entry{What: ledger.Order, From: o.By, Member: o.Member, Out: o.Out})
+		p.record(auditlog.Entry{What: auditlog.Order, From: o.By, Member: o.Member, Out: o.Out})
 		p.loop.Later(func() {
 			if p.fleet != nil {
 				p.fleet.Judge()
 			}
 		})
 	}
-	tell := func(addr netip.AddrPort, rev int64, cached bool, changed []platform.Target) {
+	tell := func(addr netip.AddrPort, rev int64, cached bool, changed []httpfront.Target) {
 		entries := make([]versions.Entry, 0, len(changed))
 		for _, t := range changed {
 			entries = append(entries, versions.Entry{Worker: t.UID, State: states[t.State], Start: int64(max(t.BootMs, 0))})
@@ -72,13 +72,13 @@
 
 // withhold has the core take workers for what peers know of them.
 func (p *Program) withhold() {
-	held := map[string]routing.Held{}
+	held := map[string]dispatch.Held{}
 	for worker, h := range p.board.Held() {
-		state := brain.Ready
+		state := loadbalancer.Ready
 		if h.State != versions.Ready {
-			state = brain.Draining
+			state = loadbalancer.Draining
 		}
-		held[worker] = routing.Held{State: state, Since: float64(h.Start) / 1000}
+		held[worker] = dispatch.Held{State: state, Since: float64(h.Start) / 1000}
 		p.log.Info("versions: withheld on a peer's word", zap.String("worker", worker), zap.Stringer("state", h.State), zap.Int64("rev", h.Rev), zap.String("from", h.From))
 	}
 	if len(held) == 0 {
--- a/internal/dispatcher/server/fleet_versions_test.go
+++ b/internal/dispatcher/server/fleet_versions_test.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"net/http"
@@ -11,7 +11,7 @@
 )
 
 // withholds says whether a member holds a worker back on peers' words.
-func withholds(m *rig.Member, worker string) bool {
+func withholds(m *processcluster.Member, worker string) bool {
 	s := m.Status()
 	if s == nil {
 		return false
@@ -28,9 +28,9 @@
 // own director is back the two agree.
 func TestFleetDrainReachesOneThatLostDiscovery(t *testing.T) {
 	t.Parallel()
-	for name, fault := range map[string]standin.Link{"silent": {Silent: true}, "reset": {Resets: true}} {
+	for name, fault := range map[string]receivers.Link{"silent": {Silent: true}, "reset": {Resets: true}} {
 		t.Run(name, func(t *testing.T) {
-			r := fleetOf(t, rig.Options{Jobs: 60})
+			r := fleetOf(t, processcluster.Options{Jobs: 60})
 			n := len(r.Members)
 			r.Settled(n)
 			cut, drains := r.Members[n-1], r.Runners[2]
@@ -54,7 +54,7 @@
 			drains.Set("draining")
 			r.Discovery.Tell()
 			r.Eventually("it is withheld again", func() bool { return withholds(cut, drains.Name) })
-			cut.ListWay().Set(standin.Link{})
+			cut.ListWay().Set(receivers.Link{})
 			r.Eventually("its own director has told it", func() bool {
 				s := cut.Status()
 				return s != nil && len(s.Held) == 0 && strings.Contains(cut.Text(), "nothing is withheld any more")
@@ -75,14 +75,14 @@
 	t.Parallel()
 	for _, span := range []time.Duration{3 * time.Second, 8 * time.Second, 20 * time.Second} {
 		t.Run(span.String(), func(t *testing.T) {
-			r := fleetOf(t, rig.Options{Jobs: 60})
+			r := fleetOf(t, processcluster.Options{Jobs: 60})
 			n := len(r.Members)
 			r.Settled(n)
 			sleeper, drains := r.Members[0], r.Runners[2] // of its zone
 			at := drains.Took(sleeper)
 			r.Eventually("it gets jobs", func() bool { return drains.Took(sleeper) > at+5 })
 			sleeper.Pause()
-			sleeper.ListWay().Set(standin.Link{Silent: true})
+			sleeper.ListWay().Set(receivers.Link{Silent: true})
 			r.Island(sleeper) // nothing of it waits in a buffer when it wakes
 			drains.Set("draining")
 			r.Discovery.Tell()
@@ -95,7 +95,7 @@
 				t.Error("it knows nothing new, and its health is well")
 			}
 			r.Heal()
-			sleeper.Relay.Set("", standin.Link{Delay: 100 * time.Millisecond})
+			sleeper.Relay.Set("", receivers.Link{Delay: 100 * time.Millisecond})
 			r.Eventually("it has looked again", func() bool { return strings.Count(sleeper.Text(), lookedAgain) > woke })
 			r.Eventually("it is withheld", func() bool { return withholds(sleeper, drains.Name) })
 			r.Eventually("it serves again", func() bool { return health(sleeper) == 200 })
@@ -104,7 +104,7 @@
 				t.Errorf("after %v: %d jobs were sent by the old list", span, sent)
 			}
 			r.Heal()
-			sleeper.ListWay().Set(standin.Link{})
+			sleeper.ListWay().Set(receivers.Link{})
 			drains.Set("ready")
 			r.Discovery.Tell()
 			r.Settled(n)
@@ -116,7 +116,7 @@
 const lookedAgain = "looked again after a sleep"
 
 // health is what a member answers to the check of health; 0 is nothing.
-func health(m *rig.Member) int {
+func health(m *processcluster.Member) int {
 	a, err := http.Get("http://" + m.Listen + "/_health")
 	if err != nil {
 		return 0
--- a/internal/dispatcher/server/ledger.go
+++ b/internal/dispatcher/server/ledger.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"fmt"
@@ -16,11 +16,11 @@
 )
 
 // ledgerFile is where the ledger stands and how large it may be; an empty path is none.
-func ledgerFile(f *operator.File) linelog.Options {
+func ledgerFile(f *operatorconfig.File) linelog.Options {
 	if f.Fleet == nil || f.Fleet.Ledger == "" {
 		return linelog.Options{}
 	}
-	o := linelog.Options{Path: f.Fleet.Ledger, MaxBytes: operator.DefaultLogBytes, Keep: operator.DefaultLogKeep}
+	o := linelog.Options{Path: f.Fleet.Ledger, MaxBytes: operatorconfig.DefaultLogBytes, Keep: operatorconfig.DefaultLogKeep}
 	if l := f.RequestLog; l != nil {
 		o.MaxBytes, o.Keep = l.MaxBytes, *l.Keep
 	}
@@ -32,13 +32,13 @@
 }
 
 // openLedger opens the ledger that an operator's file names, where it is another than the one at hand; nil: it is that one, or none.
-func (p *Program) openLedger(f *operator.File) (*ledger.Book, error) {
+func (p *Program) openLedger(f *operatorconfig.File) (*auditlog.Book, error) {
 	o := ledgerFile(f)
 	if o.Path == "" || p.ledger != nil && sameFile(o, p.ledgerAt) {
 		return nil, nil
 	}
 	o.Report = func(err error) { p.log.Warn("fleet: ledger", zap.Error(err)) }
-	b, err := ledger.Open(o, p.config.Name, ledger.Life(p.started))
+	b, err := auditlog.Open(o, p.config.Name, auditlog.Life(p.started))
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: fleet.ledger: %w", err)
 	}
@@ -47,7 +47,7 @@
 
 // keepLedger puts a ledger in force in place of the one before. It goes on with the old one's numbers, and begins with all that is
 // held.
-func (p *Program) keepLedger(b *ledger.Book, f *operator.File) {
+func (p *Program) keepLedger(b *auditlog.Book, f *operatorconfig.File) {
 	o := ledgerFile(f)
 	if b == nil && p.ledger != nil && sameFile(o, p.ledgerAt) {
 		return
@@ -58,7 +58,7 @@
 	}
 	p.ledger = b
 	b.After(p.marked)
-	p.record(ledger.Entry{What: ledger.Start, Program: version(), Settings: p.facts.Settings, Operator: p.facts.Operator})
+	p.record(auditlog.Entry{What: auditlog.Start, Program: version(), Settings: p.facts.Settings, Operator: p.facts.Operator})
 	if list, has := p.board.List(); has {
 		p.record(listEntry(&versions.Note{Kind: versions.ListTaken, List: list, Cached: true, Facts: p.board.Unready()}))
 	}
@@ -69,7 +69,7 @@
 	if p.ledger == nil {
 		return
 	}
-	p.record(ledger.Entry{What: ledger.End})
+	p.record(auditlog.Entry{What: auditlog.End})
 	b := p.ledger
 	p.ledger, p.core.Mark = nil, 0
 	if goesOn {
@@ -80,7 +80,7 @@
 }
 
 // record writes an entry: what is decided from now on carries its number.
-func (p *Program) record(e ledger.Entry) {
+func (p *Program) record(e auditlog.Entry) {
 	if p.ledger != nil {
 		e.Lost = p.ledger.Lost() + p.reporting.lost()
 		p.marked = p.ledger.Add(p.loop.Now(), e)
@@ -102,7 +102,7 @@
 		return
 	}
 	if p.ledger.Still(p.loop.Now()) {
-		p.record(ledger.Entry{What: ledger.Still})
+		p.record(auditlog.Entry{What: auditlog.Still})
 	}
 	p.ledger.Flush()
 }
@@ -116,18 +116,18 @@
 	return hash([]byte(strings.Join(slices.Sorted(maps.Keys(out)), "\x00")))
 }
 
-var noteKinds = map[versions.NoteKind]string{versions.ListTaken: ledger.List, versions.FactsTold: ledger.Told, versions.AllKnown: ledger.Knows,
-	versions.NewerKnown: ledger.Behind, versions.FactDoubted: ledger.Doubt, versions.FellSilent: ledger.Mute, versions.SpeaksAgain: ledger.Speaks,
-	versions.ClockHeard: ledger.Clock}
+var noteKinds = map[versions.NoteKind]string{versions.ListTaken: auditlog.List, versions.FactsTold: auditlog.Told, versions.AllKnown: auditlog.Knows,
+	versions.NewerKnown: auditlog.Behind, versions.FactDoubted: auditlog.Doubt, versions.FellSilent: auditlog.Mute, versions.SpeaksAgain: auditlog.Speaks,
+	versions.ClockHeard: auditlog.Clock}
 
 // noted keeps what the board took up.
 func (p *Program) noted(_ float64, n *versions.Note) { p.record(listEntry(n)) }
 
-func listEntry(n *versions.Note) ledger.Entry {
-	e := ledger.Entry{What: noteKinds[n.Kind], From: n.From, Source: n.List.Source, Descent: n.List.Descent, Rev: n.List.Rev, Cached: n.Cached,
+func listEntry(n *versions.Note) auditlog.Entry {
+	e := auditlog.Entry{What: noteKinds[n.Kind], From: n.From, Source: n.List.Source, Descent: n.List.Descent, Rev: n.List.Rev, Cached: n.Cached,
 		Late: n.Late, Theirs: n.Theirs}
 	for _, f := range n.Facts {
-		w := ledger.Worker{Name: f.Worker, State: f.State.String(), Start: f.Start}
+		w := auditlog.Worker{Name: f.Worker, State: f.State.String(), Start: f.Start}
 		if f.Rev != n.List.Rev {
 			w.Rev = f.Rev
 		}
@@ -137,6 +137,6 @@
 }
 
 // settled keeps that the fleet's view has settled.
-func (p *Program) settled(v fleet.Settled) {
-	p.record(ledger.Entry{What: ledger.View, Digest: v.Digest, Members: v.Alive, Late: v.After})
+func (p *Program) settled(v cluster.Settled) {
+	p.record(auditlog.Entry{What: auditlog.View, Digest: v.Digest, Members: v.Alive, Late: v.After})
 }
--- a/internal/dispatcher/server/metrics_test.go
+++ b/internal/dispatcher/server/metrics_test.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"net/http"
@@ -10,12 +10,12 @@
 
 // Both outputs in their forms, from the started program, by the short forms of the command line.
 func TestMetrics(t *testing.T) {
-	graphite, err := standin.NewCarbon("127.0.0.1:0", false)
+	graphite, err := receivers.NewCarbon("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "collectd.sock")
-	collectd, err := standin.NewCollectd(path)
+	collectd, err := receivers.NewCollectd(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +26,7 @@
 		t.Fatal(status)
 	}
 	for _, tc := range []struct {
-		of     *standin.Store
+		of     *receivers.Store
 		series string
 	}{
 		{&graphite.Store, "cinderroad.n0.reqs.served"},
@@ -37,7 +37,7 @@
 	} {
 		w.eventually(tc.series, func() bool { v, ok := tc.of.Last(tc.series); return ok && v == 1 })
 	}
-	for _, s := range []*standin.Store{&graphite.Store, &collectd.Store} {
+	for _, s := range []*receivers.Store{&graphite.Store, &collectd.Store} {
 		if bad := s.Bad(); len(bad) > 0 {
 			t.Error(bad)
 		}
--- a/internal/dispatcher/server/operate.go
+++ b/internal/dispatcher/server/operate.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"cmp"
@@ -18,23 +18,23 @@
 )
 
 // calls are what the staff can ask for at the second address.
-func (p *Program) calls() map[string]console.Call {
-	return map[string]console.Call{
-		"/api/ready":            {Method: "GET", Do: func(_ string, reply console.Reply) { p.ready(reply) }},
-		"/api/fleet":            {Method: "GET", Do: func(_ string, reply console.Reply) { p.showFleet(reply) }},
+func (p *Program) calls() map[string]admin.Call {
+	return map[string]admin.Call{
+		"/api/ready":            {Method: "GET", Do: func(_ string, reply admin.Reply) { p.ready(reply) }},
+		"/api/fleet":            {Method: "GET", Do: func(_ string, reply admin.Reply) { p.showFleet(reply) }},
 		"/api/fleet/gone":       {Method: "PUT", Member: true, Do: p.goneFromFleet},
 		"/api/fleet/shut-out":   {Method: "PUT", Member: true, Do: p.orderFleet(true)},
 		"/api/fleet/bring-back": {Method: "PUT", Member: true, Do: p.orderFleet(false)},
 		"/api/exclude":          {Method: "PUT", Member: true, Do: p.exclude},
 		"/api/include":          {Method: "PUT", Member: true, Do: p.include},
-		"/api/evacuate":         {Method: "PUT", Do: func(_ string, reply console.Reply) { p.order(order{What: "evacuate"}, reply) }},
-		"/api/rejoin":           {Method: "PUT", Do: func(_ string, reply console.Reply) { p.order(order{What: "rejoin"}, reply) }},
+		"/api/evacuate":         {Method: "PUT", Do: func(_ string, reply admin.Reply) { p.order(order{What: "evacuate"}, reply) }},
+		"/api/rejoin":           {Method: "PUT", Do: func(_ string, reply admin.Reply) { p.order(order{What: "rejoin"}, reply) }},
 	}
 }
 
 // ready says whether this process takes clients, as far as it is up to the process: one that was evacuated by hand
 // could.
-func (p *Program) ready(reply console.Reply) {
+func (p *Program) ready(reply admin.Reply) {
 	switch {
 	case !p.serving:
 		reply(503, "starting")
@@ -61,19 +61,19 @@
 type order struct {
 	What      string            `json:"what"` // evacuate, rejoin, exclude or include
 	Member    string            `json:"member,omitempty"`
-	Exclusion routing.Exclusion `json:"exclusion"`
+	Exclusion dispatch.Exclusion `json:"exclusion"`
 }
 
-func (p *Program) exclude(member string, reply console.Reply) {
+func (p *Program) exclude(member string, reply admin.Reply) {
 	p.change("exclude", member, p.core.Exclude(member), reply)
 }
 
-func (p *Program) include(member string, reply console.Reply) {
+func (p *Program) include(member string, reply admin.Reply) {
 	p.change("include", member, p.core.Include(member), reply)
 }
 
 // change carries out a change of who is out.
-func (p *Program) change(what, member string, ch routing.Change, reply console.Reply) {
+func (p *Program) change(what, member string, ch dispatch.Change, reply admin.Reply) {
 	switch {
 	case !ch.Known && p.serving:
 		reply(404, "nobody has member "+member)
@@ -85,7 +85,7 @@
 }
 
 // order carries an order out, here and in the other process, and says yes once both have.
-func (p *Program) order(o order, reply console.Reply) {
+func (p *Program) order(o order, reply admin.Reply) {
 	if !p.serving { // what the process before has been told is on its way
 		reply(503, "starting")
 		return
@@ -107,7 +107,7 @@
 		return nil
 	}
 	out := p.core.Exclusions()
-	if o.Exclusion != (routing.Exclusion{}) { // else it was not out, and need not be called back
+	if o.Exclusion != (dispatch.Exclusion{}) { // else it was not out, and need not be called back
 		out[o.Member] = o.Exclusion
 	}
 	if err := p.keep(out); err != nil {
@@ -120,7 +120,7 @@
 // kept is the form in which exclusions are kept.
 type kept struct {
 	Version int                          `json:"version"`
-	Out     map[string]routing.Exclusion `json:"out"`
+	Out     map[string]dispatch.Exclusion `json:"out"`
 }
 
 const (
@@ -145,7 +145,7 @@
 }
 
 // keep writes the exclusions to disk, all or nothing.
-func (p *Program) keep(out map[string]routing.Exclusion) error {
+func (p *Program) keep(out map[string]dispatch.Exclusion) error {
 	path := p.config.file(".exclusions")
 	if path == "" {
 		return nil // nowhere to keep them: they last as long as the process
--- a/internal/dispatcher/server/program.go
+++ b/internal/dispatcher/server/program.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"fmt"
@@ -30,32 +30,32 @@
 )
 
 // clock lets the core hang its deadlines in the loop's structure.
-type clock struct{ loop *transport.Loop }
+type clock struct{ loop *eventloop.Loop }
 
 func (c clock) Now() float64                          { return c.loop.Now() }
-func (c clock) At(at float64, do func()) routing.Stop { return c.loop.At(at, do) }
+func (c clock) At(at float64, do func()) dispatch.Stop { return c.loop.At(at, do) }
 
 // Program is one dispatcher.
 type Program struct {
 	config             *Config
 	log                *zap.Logger
-	loop               *transport.Loop
-	core               *routing.Core
-	pool               *platform.Pool
-	front              *platform.Front
-	director           *platform.Director
-	listener           *transport.Listener
+	loop               *eventloop.Loop
+	core               *dispatch.Core
+	pool               *httpfront.Pool
+	front              *httpfront.Front
+	director           *httpfront.Director
+	listener           *eventloop.Listener
 	gearman            *gearman.Server
-	door               *door.Door
-	console            *console.Console
+	door               *admission.Door
+	console            *admin.Console
 	upgrade            *upgrade
-	fleet              *fleet.Fleet     // nil: no member of one
+	fleet              *cluster.Fleet     // nil: no member of one
 	facts              membership.Facts // what the fleet is told of this dispatcher
 	woke               float64          // after a sleep, until it has looked again; 0: it has
-	waking             *transport.Deadline
+	waking             *eventloop.Deadline
 	wakeTimedOut       bool            // nobody has spoken for so long after a sleep that new jobs are refused
 	board              *versions.Board // nil while fleet is
-	ledger             *ledger.Book    // nil: none is kept
+	ledger             *auditlog.Book    // nil: none is kept
 	marked             uint64          // the last entry's number in this life
 	ledgerAt           linelog.Options // where it stands
 	reporting          *reporting      // nil: no figures leave, and no request log is kept
@@ -120,26 +120,26 @@
 }
 
 func build(config *Config, log *zap.Logger) (*Program, error) {
-	loop, err := transport.NewLoop(config.Limits.Sockets - reserve)
+	loop, err := eventloop.NewLoop(config.Limits.Sockets - reserve)
 	if err != nil {
 		return nil, err
 	}
 	p := &Program{config: config, log: log, loop: loop, started: loop.Now()}
-	if p.core, err = routing.New(config.brain, config.seed, clock{loop}); err != nil {
+	if p.core, err = dispatch.New(config.brain, config.seed, clock{loop}); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	p.core.Log = func(line string) { log.Info("brain: " + line) }
 	n := &config.names
-	p.pool = platform.NewPool(loop, log, platform.Limits{ConnectTimeout: n.Limits.ConnectTimeoutS,
+	p.pool = httpfront.NewPool(loop, log, httpfront.Limits{ConnectTimeout: n.Limits.ConnectTimeoutS,
 		ConnIdle: n.Limits.ConnIdleS, ProbeTimeout: 2 * n.Limits.ConnectTimeoutS, Fields: n.Report.Fields})
 	p.pool.Serve(p.core)
-	p.door = door.New(loop, config.Limits.MemoryMB)
-	p.front = platform.NewFront(loop, log, p.core, p.pool, p.door, &config.brain)
+	p.door = admission.New(loop, config.Limits.MemoryMB)
+	p.front = httpfront.NewFront(loop, log, p.core, p.pool, p.door, &config.brain)
 	// A descriptor is freed where it costs least: an idle client session first, then an idle backend connection.
 	loop.Shed = func() bool {
 		return p.front.ShedIdle() || p.pool.ShedIdle() || p.gearman != nil && p.gearman.ShedIdle()
 	}
-	p.director = platform.NewDirector(loop, log, config.discovery, p.core, p.pool, n.FailureDomains, n.Kinds, config.seed)
+	p.director = httpfront.NewDirector(loop, log, config.discovery, p.core, p.pool, n.FailureDomains, n.Kinds, config.seed)
 	p.director.Fleet = config.brain.Instances
 	p.core.Director = p.director
 	if p.reporting, err = newReporting(p); err != nil {
@@ -151,7 +151,7 @@
 		p.gearman.Shutdown = func() { p.stop("gearman shutdown") }
 	}
 	if config.console.IsValid() {
-		if p.console, err = console.Start(loop, log, config.console, p.calls()); err != nil {
+		if p.console, err = admin.Start(loop, log, config.console, p.calls()); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/dispatcher/server/reload.go
+++ b/internal/dispatcher/server/reload.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"bytes"
--- a/internal/dispatcher/server/reporting.go
+++ b/internal/dispatcher/server/reporting.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"path/filepath"
@@ -29,16 +29,16 @@
 type reporting struct {
 	p     *Program
 	set   *telemetry.Set
-	feed  *metrics.Feed
+	feed  *exporter.Feed
 	log   *requestlog.Log
 	spool *spool.Spool
-	file  *operator.File
+	file  *operatorconfig.File
 
-	outputs      map[string]metrics.Output // by what the file says of them
+	outputs      map[string]exporter.Output // by what the file says of them
 	awaitsTotals bool                      // the process before this one owes its totals
 	successor    *handover.Link            // the next process: it gets the totals, and what is counted since
 	totalsSent   bool                      // the successor has the totals
-	deltaTimer   *transport.Deadline       // until what was counted since is sent to the successor again
+	deltaTimer   *eventloop.Deadline       // until what was counted since is sent to the successor again
 	deliverUntil float64                   // when the last period must be delivered; 0: it is not closed yet
 }
 
@@ -48,11 +48,11 @@
 	if len(f.Graphite)+len(f.Collectd) == 0 && f.Telemetry.SpoolDir == "" && f.RequestLog == nil {
 		return nil, nil
 	}
-	r := &reporting{p: p, file: f, outputs: map[string]metrics.Output{}}
+	r := &reporting{p: p, file: f, outputs: map[string]exporter.Output{}}
 	r.set = telemetry.New(telemetry.Options{Settings: p.config.brain, Classes: p.config.classes(), Zones: p.config.names.FailureDomains,
 		Kinds: p.config.names.Kinds, Nodes: *f.Telemetry.NodeSeries, Standing: p.core.Standing, Now: p.loop.Now,
 		Log: func(line string) { p.log.Info("telemetry: " + line) }})
-	r.feed = metrics.NewFeed(p.loop, p.log, r.set, metrics.Options{Host: p.config.Name, Every: f.Telemetry.Every, Bytes: f.Telemetry.MemoryBytes})
+	r.feed = exporter.NewFeed(p.loop, p.log, r.set, exporter.Options{Host: p.config.Name, Every: f.Telemetry.Every, Bytes: f.Telemetry.MemoryBytes})
 	next, err := r.prepare(f)
 	if err != nil {
 		return nil, err
@@ -71,7 +71,7 @@
 }
 
 // Answered implements routing.Observer, and so do the next ones.
-func (r *reporting) Answered(f *routing.Final) {
+func (r *reporting) Answered(f *dispatch.Final) {
 	r.set.Answered(f)
 	if r.log != nil {
 		r.log.Answered(f)
@@ -79,20 +79,20 @@
 }
 
 // Tried implements routing.Observer.
-func (r *reporting) Tried(t *routing.Try) { r.set.Tried(t) }
+func (r *reporting) Tried(t *dispatch.Try) { r.set.Tried(t) }
 
 // Listed implements routing.Observer.
-func (r *reporting) Listed(kind brain.ListKind, members []routing.Member) {
+func (r *reporting) Listed(kind loadbalancer.ListKind, members []dispatch.Member) {
 	r.set.Listed(kind, members)
 }
 
 // Reported implements routing.Observer.
-func (r *reporting) Reported(worker brain.WorkerID, at float64, report []float32, probed bool) {
+func (r *reporting) Reported(worker loadbalancer.WorkerID, at float64, report []float32, probed bool) {
 	r.set.Reported(worker, at, report, probed)
 }
 
 // Drained implements routing.Observer.
-func (r *reporting) Drained(worker brain.WorkerID, margin float64) { r.set.Drained(worker, margin) }
+func (r *reporting) Drained(worker loadbalancer.WorkerID, margin float64) { r.set.Drained(worker, margin) }
 
 func (r *reporting) flushLog() {
 	r.p.loop.At(r.p.loop.Now()+requestlog.FlushEvery, func() {
--- a/internal/dispatcher/server/reporting_figures.go
+++ b/internal/dispatcher/server/reporting_figures.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"math"
@@ -21,11 +21,11 @@
 		of := map[string]string{"graphite": "Graphite receivers", "collectd": "collectds"}[kind]
 		for _, f := range []struct {
 			name, unit, help string
-			get              func(metrics.State) uint64
-		}{{"periods", "periods", "Periods that " + of + " have got.", func(s metrics.State) uint64 { return s.Periods }},
-			{"points", "points", "Points sent to " + of + ", some again after a break.", func(s metrics.State) uint64 { return s.Points }},
-			{"breaks", "tries", "Tries to deliver to " + of + " that came to nothing.", func(s metrics.State) uint64 { return s.Breaks }},
-			{"refused", "points", "Points that " + of + " would not have.", func(s metrics.State) uint64 { return s.Refused }}} {
+			get              func(exporter.State) uint64
+		}{{"periods", "periods", "Periods that " + of + " have got.", func(s exporter.State) uint64 { return s.Periods }},
+			{"points", "points", "Points sent to " + of + ", some again after a break.", func(s exporter.State) uint64 { return s.Points }},
+			{"breaks", "tries", "Tries to deliver to " + of + " that came to nothing.", func(s exporter.State) uint64 { return s.Breaks }},
+			{"refused", "points", "Points that " + of + " would not have.", func(s exporter.State) uint64 { return s.Refused }}} {
 			a.counter("telemetry."+kind+"."+f.name, f.unit, f.help, func() uint64 { return f.get(p.reporting.feed.Total(kind)) })
 		}
 	}
--- a/internal/dispatcher/server/reporting_reload.go
+++ b/internal/dispatcher/server/reporting_reload.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"fmt"
@@ -11,24 +11,24 @@
 
 // reportingChange is what a reload would change.
 type reportingChange struct {
-	file    *operator.File
-	outputs map[string]metrics.Output
+	file    *operatorconfig.File
+	outputs map[string]exporter.Output
 	log     *requestlog.Log // nil: as before, or none
 }
 
 // prepare opens what an operator's file names and is not open yet; nothing changes before take.
-func (r *reporting) prepare(f *operator.File) (*reportingChange, error) {
+func (r *reporting) prepare(f *operatorconfig.File) (*reportingChange, error) {
 	if r == nil {
 		return &reportingChange{file: f}, nil
 	}
-	change := &reportingChange{file: f, outputs: map[string]metrics.Output{}}
+	change := &reportingChange{file: f, outputs: map[string]exporter.Output{}}
 	for key, make := range outputsOf(f) {
 		if change.outputs[key] = r.outputs[key]; change.outputs[key] == nil {
 			change.outputs[key] = make()
 		}
 	}
 	if l := f.RequestLog; l != nil && (r.log == nil || !sameLog(l, r.file.RequestLog)) {
-		log, err := requestlog.Open(requestlog.Options{Path: l.Path, MaxBytes: l.MaxBytes, Keep: *l.Keep, By: r.p.config.Name, Life: ledger.Life(r.p.started),
+		log, err := requestlog.Open(requestlog.Options{Path: l.Path, MaxBytes: l.MaxBytes, Keep: *l.Keep, By: r.p.config.Name, Life: auditlog.Life(r.p.started),
 			Classes: r.p.config.classes(), Slot: r.set.Slot, Report: r.report("request log")})
 		if err != nil {
 			return nil, fmt.Errorf("operator's file: request_log.path: %w", err)
@@ -38,26 +38,26 @@
 	return change, nil
 }
 
-func sameLog(x, y *operator.RequestLog) bool {
+func sameLog(x, y *operatorconfig.RequestLog) bool {
 	return x != nil && y != nil && x.Path == y.Path && x.MaxBytes == y.MaxBytes && *x.Keep == *y.Keep
 }
 
 // outputsOf are the outputs that a file names, by all that is said of each.
-func outputsOf(f *operator.File) map[string]func() metrics.Output {
-	all := map[string]func() metrics.Output{}
+func outputsOf(f *operatorconfig.File) map[string]func() exporter.Output {
+	all := map[string]func() exporter.Output{}
 	for _, g := range f.Graphite {
-		all[fmt.Sprintf("graphite %+v", g)] = func() metrics.Output {
-			return metrics.NewGraphite(metrics.GraphiteOptions{Address: g.Addr, Prefix: g.Prefix, Pickle: g.Form == "pickle",
+		all[fmt.Sprintf("graphite %+v", g)] = func() exporter.Output {
+			return exporter.NewGraphite(exporter.GraphiteOptions{Address: g.Addr, Prefix: g.Prefix, Pickle: g.Form == "pickle",
 				Confirm: g.Confirm == "close", Patience: g.Patience})
 		}
 	}
 	for _, c := range f.Collectd {
-		all[fmt.Sprintf("collectd %+v", c)] = func() metrics.Output {
+		all[fmt.Sprintf("collectd %+v", c)] = func() exporter.Output {
 			if c.Socket != "" {
-				return metrics.NewCollectd(c.Socket, c.Patience)
+				return exporter.NewCollectd(c.Socket, c.Patience)
 			}
-			security := map[string]metrics.Security{"none": metrics.None, "sign": metrics.Sign, "encrypt": metrics.Encrypt}[c.Security]
-			return metrics.NewNetwork(metrics.NetworkOptions{Address: c.Addr, Security: security, Username: c.Username, Password: c.Password})
+			security := map[string]exporter.Security{"none": exporter.None, "sign": exporter.Sign, "encrypt": exporter.Encrypt}[c.Security]
+			return exporter.NewNetwork(exporter.NetworkOptions{Address: c.Addr, Security: security, Username: c.Username, Password: c.Password})
 		}
 	}
 	return all
--- a/internal/dispatcher/server/reporting_test.go
+++ b/internal/dispatcher/server/reporting_test.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"bytes"
@@ -25,19 +25,19 @@
 // staff is what operators have beside the dispatchers: a carbon, a collectd, and a folder for each dispatcher.
 type staff struct {
 	t        *testing.T
-	carbon   *standin.Carbon
+	carbon   *receivers.Carbon
 	pickle   bool // its form
-	collectd *standin.Collectd
+	collectd *receivers.Collectd
 	dir      string
 }
 
 func newStaff(t *testing.T, pickle bool) *staff {
 	s := &staff{t: t, dir: t.TempDir(), pickle: pickle}
 	var err error
-	if s.carbon, err = standin.NewCarbon("127.0.0.1:0", pickle); err != nil {
+	if s.carbon, err = receivers.NewCarbon("127.0.0.1:0", pickle); err != nil {
 		t.Fatal(err)
 	}
-	if s.collectd, err = standin.NewCollectd(filepath.Join(s.dir, "collectd.sock")); err != nil {
+	if s.collectd, err = receivers.NewCollectd(filepath.Join(s.dir, "collectd.sock")); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { s.carbon.Away(); s.collectd.Away() })
@@ -68,14 +68,14 @@
 }
 
 // answers are the totals of a receiver over dispatchers, classes and verdicts.
-func answers(store *standin.Store) float64 {
+func answers(store *receivers.Store) float64 {
 	return store.Sum(func(series string) bool {
 		return strings.Contains(series, ".answers.") || strings.Contains(series, "_answers_")
 	})
 }
 
 // audit runs the command over logs and what a receiver has got.
-func (s *staff) audit(store *standin.Store, logs ...string) (out string, err error) {
+func (s *staff) audit(store *receivers.Store, logs ...string) (out string, err error) {
 	received := filepath.Join(s.dir, "received")
 	if err := store.WriteLines(received); err != nil {
 		s.t.Fatal(err)
@@ -307,7 +307,7 @@
 		}
 	})
 	g.eventually("all lines", func() bool { return len(s.lines("n0"))+len(s.lines("n1"))+len(s.lines("n2")) >= int(total) })
-	for name, store := range map[string]*standin.Store{"carbon": &s.carbon.Store, "collectd": &s.collectd.Store} {
+	for name, store := range map[string]*receivers.Store{"carbon": &s.carbon.Store, "collectd": &s.collectd.Store} {
 		g.eventually(fmt.Sprintf("%d answers at %s", total, name), func() bool { return answers(store) >= float64(total) })
 		out, err := s.audit(store, s.log("n0"), s.log("n1"), s.log("n2"))
 		if err != nil || answers(store) != float64(total) {
@@ -460,7 +460,7 @@
 	}
 	s.carbon.Away()
 	c.ask(20, 2, &tally)
-	fresh, err := standin.NewCarbon("127.0.0.1:0", true)
+	fresh, err := receivers.NewCarbon("127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dispatcher/server/upgrade.go
+++ b/internal/dispatcher/server/upgrade.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"bytes"
@@ -26,10 +26,10 @@
 // state is what a process tells the one that takes its place.
 type state struct {
 	Discovery  string                       `json:"discovery"`
-	List       platform.List                `json:"list"`
-	Out        map[string]routing.Exclusion `json:"out"`
+	List       httpfront.List                `json:"list"`
+	Out        map[string]dispatch.Exclusion `json:"out"`
 	Evacuated  float64                      `json:"evacuated"` // since when; 0 is not
-	Learnt     brain.Learnt                 `json:"learnt"`
+	Learnt     loadbalancer.Learnt                 `json:"learnt"`
 	Gearman    bool                         `json:"gearman"` // its listening socket comes along
 	GearmanFor string                       `json:"gearman_listen"`
 	Figures    bool                         `json:"figures,omitempty"` // its totals follow once the newer one has taken the clients
@@ -46,7 +46,7 @@
 
 	p        *Program
 	path     string
-	door     *transport.Listener // where the next process comes
+	door     *eventloop.Listener // where the next process comes
 	prev     *handover.Link      // the process before this one, while it lives
 	next     *handover.Link      // the one that takes this one's place
 	heard    bool                // prev has told its state
@@ -54,7 +54,7 @@
 	moves    int                 // sessions on their way to next
 	gearman  int                 // listening socket that came along; 0 is none
 	figures  bool                // next takes totals
-	deadline *transport.Deadline
+	deadline *eventloop.Deadline
 }
 
 func newUpgrade(p *Program) *upgrade {
@@ -160,7 +160,7 @@
 	u.door = door
 }
 
-func (u *upgrade) accept(c *transport.Conn) transport.Handler {
+func (u *upgrade) accept(c *eventloop.Conn) eventloop.Handler {
 	l := handover.Accept(c, u)
 	if u.took { // it has looked before the next one stood at the path
 		l.Close()
@@ -240,7 +240,7 @@
 }
 
 // move sends a session that rests to the next process.
-func (u *upgrade) move(s platform.State, c *transport.Conn) bool {
+func (u *upgrade) move(s httpfront.State, c *eventloop.Conn) bool {
 	if u.next == nil || u.moves >= mostMoves {
 		return false
 	}
@@ -255,7 +255,7 @@
 
 // adopt takes a session over.
 func (u *upgrade) adopt(body []byte) error {
-	var s platform.State
+	var s httpfront.State
 	in, fd, err := u.prev.Passed(body, &s)
 	if err != nil {
 		if fd >= 0 {
@@ -264,7 +264,7 @@
 		return err
 	}
 	u.Adopted++
-	if err := u.p.loop.Adopt(fd, bytes.Clone(in), func(c *transport.Conn) transport.Handler {
+	if err := u.p.loop.Adopt(fd, bytes.Clone(in), func(c *eventloop.Conn) eventloop.Handler {
 		return u.p.front.Adopt(s, c)
 	}); err != nil {
 		u.p.log.Warn("program: a session could not be taken over", zap.Error(err))
--- a/internal/dispatcher/server/world_test.go
+++ b/internal/dispatcher/server/world_test.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"bufio"
@@ -230,7 +230,7 @@
 
 // freeAddr finds an address for the program.
 func freeAddr(t *testing.T) string {
-	addr, err := standin.FreePort()
+	addr, err := receivers.FreePort()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dispatcher/settings/settings.go
+++ b/internal/dispatcher/settings/settings.go
@@ -62,18 +62,18 @@
 }
 
 var (
-	effects = map[string]brain.Effect{"retryable": brain.Safe, "dedup": brain.Keyed, "fragile": brain.Unsafe}
-	scopes  = map[string]brain.Scope{"": brain.ScopeAll, "all": brain.ScopeAll, "zone": brain.ScopeZone,
-		"cell": brain.ScopeCell}
+	effects = map[string]loadbalancer.Effect{"retryable": loadbalancer.Safe, "dedup": loadbalancer.Keyed, "fragile": loadbalancer.Unsafe}
+	scopes  = map[string]loadbalancer.Scope{"": loadbalancer.ScopeAll, "all": loadbalancer.ScopeAll, "zone": loadbalancer.ScopeZone,
+		"cell": loadbalancer.ScopeCell}
 )
 
 // Parse turns the settings JSON of a start into the decisions' settings.
-func Parse(text []byte) (brain.Settings, error) {
+func Parse(text []byte) (loadbalancer.Settings, error) {
 	var d settingsDoc
 	if err := json.Unmarshal(text, &d); err != nil {
-		return brain.Settings{}, fmt.Errorf("settings: %w", err)
+		return loadbalancer.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	s := brain.Settings{
+	s := loadbalancer.Settings{
 		Zones: len(d.FailureDomains), Zone: d.Zone, Instances: d.NInstances, Me: d.Me,
 		MayProbe: d.Limits.MayProbe, MayCancel: d.Limits.MayCancel, ParallelTries: d.Limits.ParallelTries,
 		MayRetryAfter: d.Limits.RetryAfter, MaxAttempts: d.Limits.AttemptsCap,
@@ -97,7 +97,7 @@
 		if !known {
 			return s, fmt.Errorf("settings: bad categories[%d].dedupScope: %q", i, c.DedupScope)
 		}
-		class := brain.Class{Name: c.Name, Objective: c.ObjectiveS, Deadline: c.DeadlineS, Window: c.WindowS,
+		class := loadbalancer.Class{Name: c.Name, Objective: c.ObjectiveS, Deadline: c.DeadlineS, Window: c.WindowS,
 			Worth: c.Worth, LateShare: c.LateShare, Effect: effect, Scope: scope, Kind: -1}
 		if i < len(d.FamilyInfo.ClassKind) {
 			class.Kind = d.FamilyInfo.ClassKind[i]
@@ -110,7 +110,7 @@
 		s.Classes = append(s.Classes, class)
 	}
 	for _, t := range d.Tenants {
-		s.Tenants = append(s.Tenants, brain.Tenant{Name: t.Name, QuotaPerSec: t.QuotaPerS})
+		s.Tenants = append(s.Tenants, loadbalancer.Tenant{Name: t.Name, QuotaPerSec: t.QuotaPerS})
 	}
 	var known bool
 	if s.ListOnRequest, known = map[string]bool{"pushed": false, "on_request": true}[d.MembershipMode]; !known {
@@ -130,7 +130,7 @@
 }
 
 // field resolves a report column; the x columns mean what the family says they mean.
-func (d *settingsDoc) field(name string) brain.Field {
+func (d *settingsDoc) field(name string) loadbalancer.Field {
 	switch name {
 	case "x0":
 		name = d.FamilyInfo.ReportX0
@@ -139,15 +139,15 @@
 	}
 	switch name {
 	case "outstanding":
-		return brain.FieldInFlight
+		return loadbalancer.FieldInFlight
 	case "backlog":
-		return brain.FieldQueued
+		return loadbalancer.FieldQueued
 	case "utilization":
-		return brain.FieldUtilization
+		return loadbalancer.FieldUtilization
 	case "free slots":
-		return brain.FieldFreeSlots
+		return loadbalancer.FieldFreeSlots
 	case "free memory":
-		return brain.FieldFreeMemory
+		return loadbalancer.FieldFreeMemory
 	}
-	return brain.FieldOther
+	return loadbalancer.FieldOther
 }
--- a/internal/dispatcher/settings/settings_test.go
+++ b/internal/dispatcher/settings/settings_test.go
@@ -26,7 +26,7 @@
 	} {
 		s, err := Parse([]byte("{" + text + "," + rest + "}"))
 		if err == nil {
-			_, err = brain.New(s, 1, nil)
+			_, err = loadbalancer.New(s, 1, nil)
 		}
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%s: %v, want %q", text, err, want)
--- a/internal/dispatcher/simwire/wire.go
+++ b/internal/dispatcher/simwire/wire.go
@@ -1,5 +1,5 @@
 // Package wire turns the simulator's frames into brain's events and brain's actions into frames.
-package wire
+package simwire
 
 import (
 	"bufio"
@@ -120,14 +120,14 @@
 	records   uint32
 	speaking  int64 // the instance named by the last `for` record, -1 for none
 	report    []float32
-	list      []brain.Worker
+	list      []loadbalancer.Worker
 }
 
 // instance is one Balancer and the number it answers under; it implements brain.Actions.
 type instance struct {
 	host *Host
 	who  uint32
-	bal  *brain.Balancer
+	bal  *loadbalancer.Balancer
 }
 
 // NewHost returns a Host without instances.
@@ -226,7 +226,7 @@
 	case evHalt:
 		delete(h.instances, who)
 	case evList:
-		kind := brain.ListKind(min(c.u8(), uint8(brain.ListFailed)))
+		kind := loadbalancer.ListKind(min(c.u8(), uint8(loadbalancer.ListFailed)))
 		c.u64()
 		n := int(c.u32())
 		if n < 0 || n > (len(c.b)-c.at)/listEntrySize {
@@ -246,10 +246,10 @@
 		id, try := c.u32(), c.u8()
 		c.take(12)
 		if ready && !c.bad {
-			in.guard(func() { in.bal.OnFirst(now, brain.RequestID(id), int(try)) })
+			in.guard(func() { in.bal.OnFirst(now, loadbalancer.RequestID(id), int(try)) })
 		}
 	case evNote:
-		n := brain.Note{Request: brain.RequestID(c.u32()), Attempt: int(c.u8())}
+		n := loadbalancer.Note{Request: loadbalancer.RequestID(c.u32()), Attempt: int(c.u8())}
 		c.u32()
 		n.Started = c.u8() == 1
 		n.Share = float64(c.f32())
@@ -257,7 +257,7 @@
 			in.guard(func() { in.bal.OnNote(now, &n) })
 		}
 	case evOutcome:
-		o := brain.Outcome{Request: brain.RequestID(c.u32()), Attempt: int(c.u8()), Worker: brain.WorkerID(c.u32())}
+		o := loadbalancer.Outcome{Request: loadbalancer.RequestID(c.u32()), Attempt: int(c.u8()), Worker: loadbalancer.WorkerID(c.u32())}
 		o.Result = result(c.u16())
 		c.f64()
 		o.Closed = c.u8() != 0
@@ -267,7 +267,7 @@
 			in.guard(func() { in.bal.OnOutcome(now, &o) })
 		}
 	case evProbed:
-		w, res := brain.WorkerID(c.u32()), result(c.u16())
+		w, res := loadbalancer.WorkerID(c.u32()), result(c.u16())
 		c.f64()
 		report := h.readReport(c)
 		if ready && !c.bad {
@@ -276,7 +276,7 @@
 	case evGone:
 		id := c.u32()
 		if ready && !c.bad {
-			in.guard(func() { in.bal.OnGone(now, brain.RequestID(id)) })
+			in.guard(func() { in.bal.OnGone(now, loadbalancer.RequestID(id)) })
 		}
 	case evTimer:
 		token := c.u32()
@@ -301,7 +301,7 @@
 		return
 	}
 	in.guard(func() {
-		bal, err := brain.New(set, seed, in)
+		bal, err := loadbalancer.New(set, seed, in)
 		if err != nil {
 			in.text(actFault, err.Error())
 			return
@@ -322,8 +322,8 @@
 	f()
 }
 
-func readRequest(c *cursor) brain.Request {
-	r := brain.Request{ID: brain.RequestID(c.u32()), Memory: float64(c.f32()), Slots: float64(c.f32()), Work: c.f64()}
+func readRequest(c *cursor) loadbalancer.Request {
+	r := loadbalancer.Request{ID: loadbalancer.RequestID(c.u32()), Memory: float64(c.f32()), Slots: float64(c.f32()), Work: c.f64()}
 	r.Tenant = int(c.u32())
 	if opts := c.u16(); opts&1 == 0 {
 		r.Work = 0
@@ -337,8 +337,8 @@
 func (h *Host) readList(c *cursor, n int) {
 	h.list = h.list[:0]
 	for i := 0; i < n; i++ {
-		w := brain.Worker{ID: brain.WorkerID(c.u32()), Zone: int(c.u8()), Kind: int(c.u16()), Cell: int(c.u16())}
-		w.State = brain.WorkerState(c.u8())
+		w := loadbalancer.Worker{ID: loadbalancer.WorkerID(c.u32()), Zone: int(c.u8()), Kind: int(c.u16()), Cell: int(c.u16())}
+		w.State = loadbalancer.WorkerState(c.u8())
 		w.Weight, w.Since = float64(c.f32()), c.f64()
 		h.list = append(h.list, w)
 	}
@@ -353,24 +353,24 @@
 	return h.report
 }
 
-func result(code uint16) brain.Result {
+func result(code uint16) loadbalancer.Result {
 	switch code {
 	case 0:
-		return brain.OK
+		return loadbalancer.OK
 	case 11:
-		return brain.Full
+		return loadbalancer.Full
 	case 110:
-		return brain.Timeout
+		return loadbalancer.Timeout
 	case 111:
-		return brain.ConnectFailed
+		return loadbalancer.ConnectFailed
 	case 104:
-		return brain.Reset
+		return loadbalancer.Reset
 	case 125:
-		return brain.Cancelled
+		return loadbalancer.Cancelled
 	case 114:
-		return brain.Moot
+		return loadbalancer.Moot
 	}
-	return brain.Error // 5, and a code not known: the job may have run
+	return loadbalancer.Error // 5, and a code not known: the job may have run
 }
 
 // begin opens an action record, naming the instance first when it was not the last to speak.
@@ -402,7 +402,7 @@
 }
 
 // Send implements brain.Actions.
-func (in *instance) Send(id brain.RequestID, w brain.WorkerID, timeout float64) {
+func (in *instance) Send(id loadbalancer.RequestID, w loadbalancer.WorkerID, timeout float64) {
 	in.begin(actSend)
 	in.u32(uint32(id))
 	in.u32(uint32(w))
@@ -410,24 +410,24 @@
 }
 
 // Refuse implements brain.Actions.
-func (in *instance) Refuse(id brain.RequestID, wait float64) {
+func (in *instance) Refuse(id loadbalancer.RequestID, wait float64) {
 	in.begin(actRefuse)
 	in.u32(uint32(id))
 	in.f64(wait)
 }
 
 // Fail implements brain.Actions.
-func (in *instance) Fail(id brain.RequestID) { in.begin(actFail); in.u32(uint32(id)) }
+func (in *instance) Fail(id loadbalancer.RequestID) { in.begin(actFail); in.u32(uint32(id)) }
 
 // Cancel implements brain.Actions.
-func (in *instance) Cancel(id brain.RequestID, attempt int) {
+func (in *instance) Cancel(id loadbalancer.RequestID, attempt int) {
 	in.begin(actCancel)
 	in.u32(uint32(id))
 	in.u8(uint8(attempt))
 }
 
 // Probe implements brain.Actions.
-func (in *instance) Probe(w brain.WorkerID) { in.begin(actProbe); in.u32(uint32(w)) }
+func (in *instance) Probe(w loadbalancer.WorkerID) { in.begin(actProbe); in.u32(uint32(w)) }
 
 // SetTimer implements brain.Actions.
 func (in *instance) SetTimer(token uint32, at float64) {
--- a/internal/dispatcher/simwire/wire_test.go
+++ b/internal/dispatcher/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -105,13 +105,13 @@
 		t.Fatal(err)
 	}
 	a, b := s.Classes[0], s.Classes[1]
-	if a.Effect != brain.Safe || a.Stretch != 2 || a.Kind != -1 || a.Objective != 0.1 {
+	if a.Effect != loadbalancer.Safe || a.Stretch != 2 || a.Kind != -1 || a.Objective != 0.1 {
 		t.Errorf("first class: %+v", a)
 	}
-	if b.Effect != brain.Keyed || b.Scope != brain.ScopeCell || b.Stretch != 3 || b.Kind != 1 || b.Window != 7 {
+	if b.Effect != loadbalancer.Keyed || b.Scope != loadbalancer.ScopeCell || b.Stretch != 3 || b.Kind != 1 || b.Window != 7 {
 		t.Errorf("second class: %+v", b)
 	}
-	want := []brain.Field{brain.FieldInFlight, brain.FieldOther, brain.FieldFreeSlots}
+	want := []loadbalancer.Field{loadbalancer.FieldInFlight, loadbalancer.FieldOther, loadbalancer.FieldFreeSlots}
 	for i, f := range want {
 		if s.Report[i] != f {
 			t.Errorf("report field %d: %v", i, s.Report[i])
--- a/internal/dispatcher/telemetry/classes.go
+++ b/internal/dispatcher/telemetry/classes.go
@@ -6,8 +6,8 @@
 )
 
 // ResultNames are the ends of attempts as the figures name them.
-var ResultNames = [brain.Moot + 1]string{brain.OK: "ok", brain.Error: "error", brain.Full: "full", brain.Timeout: "timeout",
-	brain.ConnectFailed: "connect_failed", brain.Reset: "reset", brain.Cancelled: "cancelled", brain.Moot: "moot"}
+var ResultNames = [loadbalancer.Moot + 1]string{loadbalancer.OK: "ok", loadbalancer.Error: "error", loadbalancer.Full: "full", loadbalancer.Timeout: "timeout",
+	loadbalancer.ConnectFailed: "connect_failed", loadbalancer.Reset: "reset", loadbalancer.Cancelled: "cancelled", loadbalancer.Moot: "moot"}
 
 // Verdict is the end of a job as the figures and the request log tell it.
 type Verdict uint8
@@ -44,18 +44,18 @@
 }
 
 // VerdictOf is the verdict of a final answer.
-func VerdictOf(f *routing.Final) Verdict {
+func VerdictOf(f *dispatch.Final) Verdict {
 	switch f.Verdict {
-	case routing.Served:
+	case dispatch.Served:
 		if f.Late() {
 			return Late
 		}
 		return InTime
-	case routing.Refused:
+	case dispatch.Refused:
 		return Refused
-	case routing.Left:
+	case dispatch.Left:
 		return Gone
-	case routing.Returned:
+	case dispatch.Returned:
 		return Returned
 	}
 	return Failed
@@ -96,10 +96,10 @@
 		for v := range Verdicts {
 			first(&c.answers, add("answers."+v.String(), Doc{Unit: "jobs", Help: verdictHelp[v]}), int(v))
 		}
-		for r := range routing.Reasons {
+		for r := range dispatch.Reasons {
 			first(&c.refused, add("refused."+reasonName(r), Doc{Unit: "jobs", Help: "Jobs refused or returned because: " + reasonHelp[r] + "."}), int(r))
 		}
-		for r := range routing.Reasons {
+		for r := range dispatch.Reasons {
 			first(&c.failed, add("failed."+reasonName(r), Doc{Unit: "jobs", Help: "Jobs failed because: " + reasonHelp[r] + "."}), int(r))
 		}
 		for i, d := range []Doc{{Pattern: "first", Help: "First attempts that have ended."},
@@ -128,14 +128,14 @@
 }
 
 // reasonName names a reason in a series; one that was not worked out is "other".
-func reasonName(r routing.Reason) string {
-	if r == routing.NoReason {
+func reasonName(r dispatch.Reason) string {
+	if r == dispatch.NoReason {
 		return "other"
 	}
 	return r.String()
 }
 
-var reasonHelp = [routing.Reasons]string{"no reason was worked out", "the list holds nobody who is ready",
+var reasonHelp = [dispatch.Reasons]string{"no reason was worked out", "the list holds nobody who is ready",
 	"everybody is too full for it to start in time", "the last attempt was turned away", "the last attempt found nobody",
 	"the last attempt was called off before its first byte", "its time was over", "the last attempt failed at the backend",
 	"the last attempt's connection broke", "the last attempt was never answered", "the last attempt was cancelled",
@@ -150,7 +150,7 @@
 }
 
 // Answered implements routing.Observer.
-func (s *Set) Answered(f *routing.Final) {
+func (s *Set) Answered(f *dispatch.Final) {
 	c, v := s.class(f.Class), VerdictOf(f)
 	s.values[c.answers+int(v)]++
 	switch v {
@@ -170,7 +170,7 @@
 }
 
 // Tried implements routing.Observer.
-func (s *Set) Tried(t *routing.Try) {
+func (s *Set) Tried(t *dispatch.Try) {
 	c := s.class(t.Class)
 	switch {
 	case t.Attempt == 0:
@@ -196,7 +196,7 @@
 }
 
 // Drained implements routing.Observer.
-func (s *Set) Drained(_ brain.WorkerID, margin float64) {
+func (s *Set) Drained(_ loadbalancer.WorkerID, margin float64) {
 	s.values[s.drains.told]++
 	if margin >= 0 {
 		s.values[s.drains.honoured]++
--- a/internal/dispatcher/telemetry/nodes.go
+++ b/internal/dispatcher/telemetry/nodes.go
@@ -59,7 +59,7 @@
 	handout      *handout
 	slots        map[placement]*slot
 	order        []*slot // by the numbers of their series
-	byWorker     map[brain.WorkerID]*slot
+	byWorker     map[loadbalancer.WorkerID]*slot
 	fields       struct{ inFlight, util int } // places in a report; -1 is not there
 	unplaced     int                          // number of the series of attempts at nodes without a slot
 	without      int
@@ -71,8 +71,8 @@
 	name   string // as series have it
 	first  int    // number of its first series
 	node   string
-	worker brain.WorkerID
-	state  brain.WorkerState
+	worker loadbalancer.WorkerID
+	state  loadbalancer.WorkerState
 
 	reportAt, probedAt     float64 // 0: none since it is held
 	inFlight, util, probed float64
@@ -81,13 +81,13 @@
 func (s *Set) addNodes() {
 	n := &s.nodes
 	n.zones, n.kinds = CleanAll(s.options.Zones), CleanAll(s.options.Kinds)
-	n.handout, n.slots, n.byWorker = newHandout(), map[placement]*slot{}, map[brain.WorkerID]*slot{}
+	n.handout, n.slots, n.byWorker = newHandout(), map[placement]*slot{}, map[loadbalancer.WorkerID]*slot{}
 	n.fields.inFlight, n.fields.util = -1, -1
 	for i, f := range s.options.Settings.Report {
 		switch f {
-		case brain.FieldInFlight:
+		case loadbalancer.FieldInFlight:
 			n.fields.inFlight = i
-		case brain.FieldUtilization:
+		case loadbalancer.FieldUtilization:
 			n.fields.util = i
 		}
 	}
@@ -120,12 +120,12 @@
 }
 
 // Listed implements routing.Observer. Those who leave free their slots before those who come take some.
-func (s *Set) Listed(kind brain.ListKind, members []routing.Member) {
+func (s *Set) Listed(kind loadbalancer.ListKind, members []dispatch.Member) {
 	n := &s.nodes
 	if s.options.Nodes == 0 {
 		return
 	}
-	if kind == brain.ListFull || kind == brain.ListCached {
+	if kind == loadbalancer.ListFull || kind == loadbalancer.ListCached {
 		named := map[string]bool{}
 		for i := range members {
 			named[members[i].Name] = true
@@ -140,17 +140,17 @@
 	for i := range members {
 		m := &members[i]
 		at := spot{m.Zone, m.Kind, m.Cell}
-		if p, in := n.handout.at[m.Name]; in && (m.State == brain.Gone || p.spot != at) {
+		if p, in := n.handout.at[m.Name]; in && (m.State == loadbalancer.Gone || p.spot != at) {
 			n.leave(m.Name)
 		}
-		if m.State != brain.Gone {
+		if m.State != loadbalancer.Gone {
 			entering[m.Name] = at
 		}
 	}
 	room := s.options.Nodes - len(n.handout.at)
 	for i := range members { // in the list's order, so that each dispatcher leaves out the same
 		m := &members[i]
-		if _, in := n.handout.at[m.Name]; !in && m.State != brain.Gone {
+		if _, in := n.handout.at[m.Name]; !in && m.State != loadbalancer.Gone {
 			if room--; room < 0 {
 				delete(entering, m.Name)
 			}
@@ -159,7 +159,7 @@
 	s.values[n.without] = float64(max(0, -room))
 	n.handout.enter(entering)
 	for i := range members {
-		if m := &members[i]; m.State != brain.Gone {
+		if m := &members[i]; m.State != loadbalancer.Gone {
 			if p, in := n.handout.at[m.Name]; in {
 				s.hold(p, m)
 			}
@@ -170,13 +170,13 @@
 // leave has a node let go of its slot. What is still out at it is counted there until somebody else has it.
 func (n *nodes) leave(node string) {
 	if sl := n.slots[n.handout.at[node]]; sl != nil && sl.node == node {
-		sl.state = brain.Gone
+		sl.state = loadbalancer.Gone
 	}
 	n.handout.leave(node)
 }
 
 // hold puts a node into its slot.
-func (s *Set) hold(p placement, m *routing.Member) {
+func (s *Set) hold(p placement, m *dispatch.Member) {
 	n := &s.nodes
 	sl := n.slots[p]
 	if sl == nil {
@@ -205,7 +205,7 @@
 	sl.state = m.State
 }
 
-func (n *nodes) tried(s *Set, t *routing.Try) {
+func (n *nodes) tried(s *Set, t *dispatch.Try) {
 	if s.options.Nodes == 0 {
 		return
 	}
@@ -215,13 +215,13 @@
 		return
 	}
 	s.values[sl.first+nodeEnded]++
-	if t.Result == brain.OK {
+	if t.Result == loadbalancer.OK {
 		s.values[sl.first+nodeOK]++
 	}
 }
 
 // Slot is the slot that a worker's node holds, as series have it; empty for none.
-func (s *Set) Slot(worker brain.WorkerID) string {
+func (s *Set) Slot(worker loadbalancer.WorkerID) string {
 	if sl := s.nodes.byWorker[worker]; sl != nil {
 		return sl.name
 	}
@@ -229,7 +229,7 @@
 }
 
 // Reported implements routing.Observer.
-func (s *Set) Reported(worker brain.WorkerID, at float64, report []float32, probed bool) {
+func (s *Set) Reported(worker loadbalancer.WorkerID, at float64, report []float32, probed bool) {
 	n := &s.nodes
 	sl := n.byWorker[worker]
 	if sl == nil {
@@ -268,7 +268,7 @@
 		for i := nodeState; i < nodeFigures; i++ {
 			v[i] = absent
 		}
-		if sl.state == brain.Gone {
+		if sl.state == loadbalancer.Gone {
 			continue
 		}
 		v[nodeState] = float64(sl.state)
@@ -297,7 +297,7 @@
 func (s *Set) Held() (held []Held) {
 	n := &s.nodes
 	for _, sl := range n.order {
-		if p := n.handout.at[sl.node]; sl.state != brain.Gone && n.slots[p] == sl {
+		if p := n.handout.at[sl.node]; sl.state != loadbalancer.Gone && n.slots[p] == sl {
 			held = append(held, Held{n.spotName(p.spot), p.slot, sl.node})
 		}
 	}
--- a/internal/dispatcher/telemetry/set.go
+++ b/internal/dispatcher/telemetry/set.go
@@ -9,13 +9,13 @@
 
 // Options say what a Set tells of.
 type Options struct {
-	Settings brain.Settings
+	Settings loadbalancer.Settings
 	Classes  []string // names by the settings' numbers, as are the next two
 	Zones    []string
 	Kinds    []string
 	Nodes    int // nodes that have series of their own at one time, at most; 0 is none
 	// Standing tells what the decisions hold of a worker, for the series of its node; nil is nothing.
-	Standing func(worker brain.WorkerID) (brain.Standing, bool)
+	Standing func(worker loadbalancer.WorkerID) (loadbalancer.Standing, bool)
 	Now      func() float64 // the core's clock, for the age of reports; nil leaves ages out
 	Log      func(line string)
 }
--- a/internal/dispatcher/telemetry/telemetry_test.go
+++ b/internal/dispatcher/telemetry/telemetry_test.go
@@ -16,7 +16,7 @@
 func newSet(o Options) *Set {
 	o.Classes = []string{"score", "charge"}
 	o.Zones, o.Kinds = []string{"milano", "torino"}, []string{"two-core"}
-	o.Settings.Report = []brain.Field{brain.FieldUtilization, brain.FieldInFlight}
+	o.Settings.Report = []loadbalancer.Field{loadbalancer.FieldUtilization, loadbalancer.FieldInFlight}
 	return New(o)
 }
 
@@ -143,12 +143,12 @@
 	}
 }
 
-func member(name string, id brain.WorkerID, zone int, state brain.WorkerState) routing.Member {
-	return routing.Member{Name: name, Worker: brain.Worker{ID: id, Zone: zone, State: state}}
+func member(name string, id loadbalancer.WorkerID, zone int, state loadbalancer.WorkerState) dispatch.Member {
+	return dispatch.Member{Name: name, Worker: loadbalancer.Worker{ID: id, Zone: zone, State: state}}
 }
 
-func try(node string, id brain.WorkerID, result brain.Result) *routing.Try {
-	return &routing.Try{Worker: id, Node: node, Result: result}
+func try(node string, id loadbalancer.WorkerID, result loadbalancer.Result) *dispatch.Try {
+	return &dispatch.Try{Worker: id, Node: node, Result: result}
 }
 
 func (s *Set) total(name string) float64 { return s.Totals()[name] }
@@ -157,20 +157,20 @@
 // there is not one series more.
 func TestARenamedListGrowsNothing(t *testing.T) {
 	s := newSet(Options{Nodes: 100})
-	list := func(kind brain.ListKind, names ...string) {
-		var members []routing.Member
+	list := func(kind loadbalancer.ListKind, names ...string) {
+		var members []dispatch.Member
 		for i, name := range names {
-			members = append(members, member(name, brain.WorkerID(100*len(name)+i+int(name[0])), 0, brain.Ready))
+			members = append(members, member(name, loadbalancer.WorkerID(100*len(name)+i+int(name[0])), 0, loadbalancer.Ready))
 		}
 		s.Listed(kind, members)
 		for _, m := range members {
-			s.Tried(try(m.Name, m.ID, brain.OK))
+			s.Tried(try(m.Name, m.ID, loadbalancer.OK))
 		}
 	}
-	list(brain.ListFull, "a", "b", "c", "d")
+	list(loadbalancer.ListFull, "a", "b", "c", "d")
 	series := s.Table().Len()
-	list(brain.ListFull, "a", "b", "xx", "yy")
-	list(brain.ListFull, "a", "b", "zzz", "xx")
+	list(loadbalancer.ListFull, "a", "b", "xx", "yy")
+	list(loadbalancer.ListFull, "a", "b", "zzz", "xx")
 	if got := s.Table().Len(); got != series {
 		t.Errorf("%d series became %d", series, got)
 	}
@@ -184,7 +184,7 @@
 	if sum != 12 {
 		t.Error(sum)
 	}
-	s.Tried(try("c", 99, brain.OK)) // comes late, of a node whose slot another has
+	s.Tried(try("c", 99, loadbalancer.OK)) // comes late, of a node whose slot another has
 	if got := s.total("nodes_unplaced.ended"); got != 1 {
 		t.Errorf("%v attempts without a slot", got)
 	}
@@ -193,8 +193,8 @@
 // More nodes than may have series: the rest has none and is counted, and the totals of classes are whole.
 func TestTooManyNodes(t *testing.T) {
 	s := newSet(Options{Nodes: 2})
-	s.Listed(brain.ListDelta, []routing.Member{member("a", 1, 0, brain.Ready), member("b", 2, 0, brain.Ready), member("c", 3, 0, brain.Ready)})
-	s.Tried(try("c", 3, brain.OK))
+	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready), member("b", 2, 0, loadbalancer.Ready), member("c", 3, 0, loadbalancer.Ready)})
+	s.Tried(try("c", 3, loadbalancer.OK))
 	s.Close(1, 1)
 	if got := s.values[s.nodes.without]; got != 1 {
 		t.Errorf("%v nodes without series", got)
@@ -208,7 +208,7 @@
 func TestMergedLatencies(t *testing.T) {
 	whole, older, newer := newSet(Options{}), newSet(Options{}), newSet(Options{})
 	for i := range 1000 {
-		f := &routing.Final{Class: 0, Verdict: routing.Served, Aim: 10, Answered: float64(i) / 1000, Won: -1}
+		f := &dispatch.Final{Class: 0, Verdict: dispatch.Served, Aim: 10, Answered: float64(i) / 1000, Won: -1}
 		whole.Answered(f)
 		if i%3 == 0 {
 			older.Answered(f)
@@ -246,9 +246,9 @@
 // Recording on the loop must not feed the collector.
 func TestRecordingAllocatesNothing(t *testing.T) {
 	s := newSet(Options{Nodes: 10})
-	s.Listed(brain.ListDelta, []routing.Member{member("a", 1, 0, brain.Ready)})
-	f := &routing.Final{Verdict: routing.Served, Answered: 0.2, Started: 0.1, Tries: make([]routing.Try, 1)}
-	tr, report := try("a", 1, brain.OK), []float32{0.5, 3}
+	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
+	f := &dispatch.Final{Verdict: dispatch.Served, Answered: 0.2, Started: 0.1, Tries: make([]dispatch.Try, 1)}
+	tr, report := try("a", 1, loadbalancer.OK), []float32{0.5, 3}
 	if n := testing.AllocsPerRun(1000, func() { s.Answered(f); s.Tried(tr); s.Reported(1, 1, report, false) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
@@ -327,13 +327,13 @@
 		c.begin()
 		t.Repeat(map[string]func(*rapid.T){
 			"answer": func(t *rapid.T) {
-				v := rapid.SampledFrom([]routing.Verdict{routing.Served, routing.Refused, routing.Failed, routing.Left, routing.Returned}).Draw(t, "verdict")
-				c.set.Answered(&routing.Final{Verdict: v, Answered: 1, Aim: rapid.Float64Range(0, 2).Draw(t, "aim"), Won: -1})
+				v := rapid.SampledFrom([]dispatch.Verdict{dispatch.Served, dispatch.Refused, dispatch.Failed, dispatch.Left, dispatch.Returned}).Draw(t, "verdict")
+				c.set.Answered(&dispatch.Final{Verdict: v, Answered: 1, Aim: rapid.Float64Range(0, 2).Draw(t, "aim"), Won: -1})
 				c.open++
 			},
 			"rename": func(t *rapid.T) {
 				c.names++
-				c.set.Listed(brain.ListFull, []routing.Member{member("stays", 1, 0, brain.Ready), member(fmt.Sprint("n", c.names), brain.WorkerID(c.names+1), 0, brain.Ready)})
+				c.set.Listed(loadbalancer.ListFull, []dispatch.Member{member("stays", 1, 0, loadbalancer.Ready), member(fmt.Sprint("n", c.names), loadbalancer.WorkerID(c.names+1), 0, loadbalancer.Ready)})
 			},
 			"away": func(t *rapid.T) { i := rapid.IntRange(0, 1).Draw(t, "receiver"); c.up[i] = !c.up[i] },
 			"deliver": func(t *rapid.T) {
@@ -420,12 +420,12 @@
 // What a restart is told of slots gives nodes theirs back, whatever the order of the uids; nonsense is passed over.
 func TestSlotsOutliveTheProcess(t *testing.T) {
 	s := newSet(Options{Nodes: 10})
-	s.Listed(brain.ListDelta, []routing.Member{member("z", 1, 0, brain.Ready)})
-	s.Listed(brain.ListDelta, []routing.Member{member("a", 2, 0, brain.Ready), member("b", 3, 1, brain.Draining)})
+	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("z", 1, 0, loadbalancer.Ready)})
+	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("a", 2, 0, loadbalancer.Ready), member("b", 3, 1, loadbalancer.Draining)})
 	held := s.Held()
 	n := newSet(Options{Nodes: 10})
 	n.Remember(append(held, Held{"nowhere.x.1", 3, "q"}, Held{"milano.two-core.0", -1, "a"}, Held{"milano.two-core.x", 1 << 40, "a"}))
-	n.Listed(brain.ListFull, []routing.Member{member("b", 3, 1, brain.Ready), member("a", 2, 0, brain.Ready), member("z", 1, 0, brain.Ready)})
+	n.Listed(loadbalancer.ListFull, []dispatch.Member{member("b", 3, 1, loadbalancer.Ready), member("a", 2, 0, loadbalancer.Ready), member("z", 1, 0, loadbalancer.Ready)})
 	if d := cmp.Diff(held, n.Held(), cmp.Transformer("sorted", func(h []Held) []Held {
 		slices.SortFunc(h, func(x, y Held) int { return len(x.Node) - len(y.Node) + int(x.Node[0]) - int(y.Node[0]) })
 		return h
@@ -437,10 +437,10 @@
 // Whoever counts beside us at the end of a period sees what nodes have, and none where nobody is.
 func TestNodeGauges(t *testing.T) {
 	now := 100.0
-	s := newSet(Options{Nodes: 10, Now: func() float64 { return now }, Standing: func(id brain.WorkerID) (brain.Standing, bool) {
-		return brain.Standing{Room: -1.5, Ceiling: 4, Shunned: true}, id == 1
+	s := newSet(Options{Nodes: 10, Now: func() float64 { return now }, Standing: func(id loadbalancer.WorkerID) (loadbalancer.Standing, bool) {
+		return loadbalancer.Standing{Room: -1.5, Ceiling: 4, Shunned: true}, id == 1
 	}})
-	s.Listed(brain.ListDelta, []routing.Member{member("a", 1, 0, brain.Ready)})
+	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
 	s.Reported(1, 98, []float32{0.5, 3}, false)
 	s.Reported(1, 99, []float32{0.5, 7}, true)
 	got := readAll(t, s.Close(1, 1))
@@ -450,7 +450,7 @@
 			t.Errorf("%s is %v, want %v", name, v, want)
 		}
 	}
-	s.Listed(brain.ListDelta, []routing.Member{member("a", 1, 0, brain.Gone)})
+	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Gone)})
 	if v, there := readAll(t, s.Close(2, 1))["nodes.milano.two-core.0.0.state"]; there {
 		t.Errorf("a slot that nobody holds has state %v", v)
 	}
@@ -460,14 +460,14 @@
 func BenchmarkClose(b *testing.B) {
 	for _, n := range []int{10, 1000, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := newSet(Options{Nodes: n, Now: func() float64 { return 1 }, Standing: func(brain.WorkerID) (brain.Standing, bool) {
-				return brain.Standing{Room: 1.25, Ceiling: 4.4, Pace: 1.01}, true
+			s := newSet(Options{Nodes: n, Now: func() float64 { return 1 }, Standing: func(loadbalancer.WorkerID) (loadbalancer.Standing, bool) {
+				return loadbalancer.Standing{Room: 1.25, Ceiling: 4.4, Pace: 1.01}, true
 			}})
-			var members []routing.Member
+			var members []dispatch.Member
 			for i := range n {
-				members = append(members, member(fmt.Sprint("node-", i), brain.WorkerID(i), i%2, brain.Ready))
+				members = append(members, member(fmt.Sprint("node-", i), loadbalancer.WorkerID(i), i%2, loadbalancer.Ready))
 			}
-			s.Listed(brain.ListFull, members)
+			s.Listed(loadbalancer.ListFull, members)
 			size := 0
 			for b.Loop() {
 				size = len(s.Close(1, 1).Body)
@@ -480,9 +480,9 @@
 // BenchmarkAnswered is what recording costs a job: its attempt, its report, its answer.
 func BenchmarkAnswered(b *testing.B) {
 	s := newSet(Options{Nodes: 10})
-	s.Listed(brain.ListDelta, []routing.Member{member("a", 1, 0, brain.Ready)})
-	f := &routing.Final{Verdict: routing.Served, Answered: 0.2, Started: 0.1, Tries: make([]routing.Try, 1)}
-	tr, report := try("a", 1, brain.OK), []float32{0.5, 3}
+	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
+	f := &dispatch.Final{Verdict: dispatch.Served, Answered: 0.2, Started: 0.1, Tries: make([]dispatch.Try, 1)}
+	tr, report := try("a", 1, loadbalancer.OK), []float32{0.5, 3}
 	for b.Loop() {
 		s.Tried(tr)
 		s.Reported(1, 1, report, false)
--- a/internal/shared/eventloop/conn.go
+++ b/internal/shared/eventloop/conn.go
@@ -1,4 +1,4 @@
-package transport
+package eventloop
 
 import (
 	"errors"
@@ -15,7 +15,7 @@
 // Conn is one connection.
 type Conn struct {
 	loop       *Loop
-	h          slots.Handle
+	h          slotmap.Handle
 	fd         int
 	handler    Handler
 	in, out    []byte
--- a/internal/shared/eventloop/listener.go
+++ b/internal/shared/eventloop/listener.go
@@ -1,4 +1,4 @@
-package transport
+package eventloop
 
 import (
 	"errors"
@@ -13,7 +13,7 @@
 // Listener accepts connections.
 type Listener struct {
 	loop   *Loop
-	h      slots.Handle
+	h      slotmap.Handle
 	fd     int
 	take   func(c *Conn) Handler
 	paused bool
--- a/internal/shared/eventloop/loop.go
+++ b/internal/shared/eventloop/loop.go
@@ -1,6 +1,6 @@
 // Package transport is the one epoll loop of the process: sockets, their slots, and every deadline. All of
 // it belongs to the goroutine that calls Run; Post alone may be called from another.
-package transport
+package eventloop
 
 import (
 	"net/netip"
@@ -50,8 +50,8 @@
 
 	system     System
 	limit      int // sockets that may be open at once
-	conns      slots.Table[*Conn]
-	listeners  slots.Table[*Listener]
+	conns      slotmap.Table[*Conn]
+	listeners  slotmap.Table[*Listener]
 	sockets    map[uint32]*Socket // of datagrams
 	lastSocket uint32
 	urgent     []*Conn
@@ -179,10 +179,10 @@
 }
 
 // socketHandle names a socket of datagrams in events: slots have a generation in the upper half, which is never 0.
-func socketHandle(id uint32) slots.Handle { return slots.Handle(id) }
+func socketHandle(id uint32) slotmap.Handle { return slotmap.Handle(id) }
 
-func handleOf(e *unix.EpollEvent) slots.Handle {
-	return slots.Handle(uint64(uint32(e.Pad))<<32 | uint64(uint32(e.Fd)))
+func handleOf(e *unix.EpollEvent) slotmap.Handle {
+	return slotmap.Handle(uint64(uint32(e.Pad))<<32 | uint64(uint32(e.Fd)))
 }
 
 // isApart says whether an event is of a listener that stands apart, or of one of its connections.
@@ -226,13 +226,13 @@
 	}
 }
 
-func (l *Loop) control(op, fd int, h slots.Handle, events uint32) error {
+func (l *Loop) control(op, fd int, h slotmap.Handle, events uint32) error {
 	return l.system.Watch(op, fd, unix.EpollEvent{Events: events, Fd: int32(uint32(h)), Pad: int32(uint32(h >> 32))})
 }
 
 func (l *Loop) closeAll() {
-	l.conns.Each(func(_ slots.Handle, c *Conn) { c.Close() })
-	l.listeners.Each(func(_ slots.Handle, ln *Listener) { ln.Close() })
+	l.conns.Each(func(_ slotmap.Handle, c *Conn) { c.Close() })
+	l.listeners.Each(func(_ slotmap.Handle, ln *Listener) { ln.Close() })
 	for _, s := range l.sockets {
 		s.Close()
 	}
--- a/internal/shared/eventloop/rights.go
+++ b/internal/shared/eventloop/rights.go
@@ -1,4 +1,4 @@
-package transport
+package eventloop
 
 import (
 	"errors"
@@ -229,7 +229,7 @@
 		return nil
 	})
 	if err != nil {
-		c = &Conn{loop: l, fd: -1, handler: h, connecting: true, h: slots.Handle(0)}
+		c = &Conn{loop: l, fd: -1, handler: h, connecting: true, h: slotmap.Handle(0)}
 		c.breakLater(err)
 	}
 	c.Passes()
--- a/internal/shared/eventloop/system.go
+++ b/internal/shared/eventloop/system.go
@@ -1,4 +1,4 @@
-package transport
+package eventloop
 
 import (
 	"errors"
--- a/internal/shared/membership/machine_test.go
+++ b/internal/shared/membership/machine_test.go
@@ -93,7 +93,7 @@
 func TestSameInputSameOutput(t *testing.T) {
 	play := func() (out [][]byte) {
 		net := lossy(9, 12)
-		net.Each = func(n *virtual.Node) {
+		net.Each = func(n *virtualcluster.Node) {
 			b := []byte(fmt.Sprintf("%v %s %x", net.Now, n.Name, n.Machine.Digest()))
 			out = append(out, b)
 		}
--- a/internal/shared/membership/measure_test.go
+++ b/internal/shared/membership/measure_test.go
@@ -36,7 +36,7 @@
 
 // play plays a fleet of n: all start within a period, run for a while, one in ten is killed.
 func play(seed uint64, n int, loss float64, plain bool) (r trial) {
-	net := virtual.New(virtual.Options{Seed: seed, Drop: loss, Delay: 0.002, Jitter: 0.01, Plain: plain, Bytes: 7}, n)
+	net := virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: loss, Delay: 0.002, Jitter: 0.01, Plain: plain, Bytes: 7}, n)
 	until := func(alive, dead int, limit float64) float64 {
 		took, ok := net.Until(limit, 0.5, func() bool {
 			for _, node := range net.Nodes {
@@ -88,7 +88,7 @@
 
 // memory is what a member's machine takes for each other one it knows, in bytes.
 func memory(n int) float64 {
-	net := virtual.New(virtual.Options{Seed: 1}, n)
+	net := virtualcluster.New(virtualcluster.Options{Seed: 1}, n)
 	net.StartAll(1)
 	net.Run(net.Now + 60)
 	var before, after runtime.MemStats
--- a/internal/shared/membership/virtual_test.go
+++ b/internal/shared/membership/virtual_test.go
@@ -24,7 +24,7 @@
 }
 
 // settled waits for one view that has so many living members.
-func settled(t *testing.T, net *virtual.Net, alive int, periods float64) float64 {
+func settled(t *testing.T, net *virtualcluster.Net, alive int, periods float64) float64 {
 	t.Helper()
 	took, ok := net.Until(periods*net.Period, net.Period/2, func() bool {
 		one, n := net.Agreed()
@@ -42,7 +42,7 @@
 	return took / net.Period
 }
 
-func deaths(net *virtual.Net, name string) (n int) {
+func deaths(net *virtualcluster.Net, name string) (n int) {
 	for _, node := range net.Nodes {
 		for _, c := range node.Changes {
 			if c.To == membership.Dead && (name == "" || c.Name == name) {
@@ -53,12 +53,12 @@
 	return n
 }
 
-func lossy(seed uint64, n int) *virtual.Net {
-	return virtual.New(virtual.Options{Seed: seed, Drop: 0.05, Delay: 0.002, Jitter: 0.01, Repeat: 0.01}, n)
+func lossy(seed uint64, n int) *virtualcluster.Net {
+	return virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: 0.05, Delay: 0.002, Jitter: 0.01, Repeat: 0.01}, n)
 }
 
 // begun is a fleet of so many that holds one view.
-func begun(t *testing.T, seed uint64, n int) *virtual.Net {
+func begun(t *testing.T, seed uint64, n int) *virtualcluster.Net {
 	t.Helper()
 	net := lossy(seed, n)
 	net.StartAll(1)
@@ -154,7 +154,7 @@
 	seeds(t, 5, func(t *testing.T, seed uint64) {
 		net := begun(t, seed, 6)
 		a, b := net.Nodes[1], net.Nodes[2]
-		net.Cut = func(from, to *virtual.Node) bool { return from == a && to == b }
+		net.Cut = func(from, to *virtualcluster.Node) bool { return from == a && to == b }
 		net.Run(net.Now + 300)
 		if d := deaths(net, ""); d > 0 {
 			t.Errorf("%d times one was given up that others heard", d)
@@ -167,11 +167,11 @@
 // A half-open triangle: of three, A and B do not hear each other at all, C hears both.
 func TestHalfOpenTriangle(t *testing.T) {
 	seeds(t, 5, func(t *testing.T, seed uint64) {
-		net := virtual.New(virtual.Options{Seed: seed, Delay: 0.002, Jitter: 0.01}, 3)
+		net := virtualcluster.New(virtualcluster.Options{Seed: seed, Delay: 0.002, Jitter: 0.01}, 3)
 		net.StartAll(1)
 		settled(t, net, 3, 40)
 		a, b := net.Nodes[0], net.Nodes[1]
-		net.Cut = func(from, to *virtual.Node) bool { return from == a && to == b || from == b && to == a }
+		net.Cut = func(from, to *virtualcluster.Node) bool { return from == a && to == b || from == b && to == a }
 		net.Run(net.Now + 120)
 		if d := deaths(net, ""); d > 0 {
 			t.Errorf("%d times one was given up that another heard", d)
@@ -196,7 +196,7 @@
 			}
 		}
 		bridged := 0
-		island := func(n *virtual.Node) int {
+		island := func(n *virtualcluster.Node) int {
 			for i, o := range net.Nodes {
 				if o == n {
 					return max(i%3, bridged)
@@ -204,7 +204,7 @@
 			}
 			return -1
 		}
-		net.Cut = func(from, to *virtual.Node) bool { return island(from) != island(to) }
+		net.Cut = func(from, to *virtualcluster.Node) bool { return island(from) != island(to) }
 		net.Run(net.Now + 1800)
 		for _, n := range net.Nodes {
 			if a, _, _ := n.Machine.Census(); a != 5 {
@@ -221,10 +221,10 @@
 // A flapping link, and 30% loss: nobody that answers is lost for good, and the view settles after it.
 func TestFlappingAndLoss(t *testing.T) {
 	seeds(t, 3, func(t *testing.T, seed uint64) {
-		net := virtual.New(virtual.Options{Seed: seed, Drop: 0.3, Delay: 0.002, Jitter: 0.05}, 12)
+		net := virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: 0.3, Delay: 0.002, Jitter: 0.05}, 12)
 		net.StartAll(1)
 		settled(t, net, 12, 120)
-		net.Cut = func(from, to *virtual.Node) bool {
+		net.Cut = func(from, to *virtualcluster.Node) bool {
 			return int(net.Now/3)%2 == 0 && (from == net.Nodes[2]) != (to == net.Nodes[2])
 		}
 		net.Run(net.Now + 120)
@@ -347,10 +347,10 @@
 		rng := rand.New(rand.NewPCG(seed, 99))
 		n := 3 + rng.IntN(22)
 		net := lossy(seed, n)
-		cuts := map[[2]*virtual.Node]bool{}
-		var island map[*virtual.Node]bool
-		net.Cut = func(a, b *virtual.Node) bool { return cuts[[2]*virtual.Node{a, b}] || island[a] != island[b] }
-		net.Each = func(node *virtual.Node) {
+		cuts := map[[2]*virtualcluster.Node]bool{}
+		var island map[*virtualcluster.Node]bool
+		net.Cut = func(a, b *virtualcluster.Node) bool { return cuts[[2]*virtualcluster.Node{a, b}] || island[a] != island[b] }
+		net.Each = func(node *virtualcluster.Node) {
 			if wrong := node.Machine.Sound(); wrong != "" {
 				t.Fatalf("at %.2f %s: %s", net.Now, node.Name, wrong)
 			}
@@ -374,10 +374,10 @@
 					net.Resume(a)
 				}
 			case 7:
-				cuts[[2]*virtual.Node{a, b}] = !cuts[[2]*virtual.Node{a, b}]
+				cuts[[2]*virtualcluster.Node{a, b}] = !cuts[[2]*virtualcluster.Node{a, b}]
 			case 8:
 				if island = nil; rng.IntN(2) == 0 {
-					island = map[*virtual.Node]bool{a: true, b: true}
+					island = map[*virtualcluster.Node]bool{a: true, b: true}
 				}
 			case 9:
 				net.Drop = rng.Float64() * 0.4
@@ -405,7 +405,7 @@
 // to those who know: 4.5 KB a member and period for 45 periods at 300 members, for 140 at 1,000.
 func TestQuietIsQuiet(t *testing.T) {
 	for _, n := range []int{10, 100, 300} {
-		net := virtual.New(virtual.Options{Seed: 3, Delay: 0.002, Jitter: 0.01, Bytes: 1}, n)
+		net := virtualcluster.New(virtualcluster.Options{Seed: 3, Delay: 0.002, Jitter: 0.01, Bytes: 1}, n)
 		net.StartAll(1)
 		if _, ok := net.Until(100, 0.5, func() bool { one, alive := net.Agreed(); return one && alive == n }); !ok {
 			t.Fatal("no fleet")
--- a/internal/shared/slotmap/slots.go
+++ b/internal/shared/slotmap/slots.go
@@ -1,6 +1,6 @@
 // Package slots keeps things in numbered slots. A handle holds the slot's number and its generation, so an
 // event meant for something that has left its slot misses whatever sits there now.
-package slots
+package slotmap
 
 // Handle names one stay of a thing in a slot; 0 names nothing.
 type Handle uint64
--- a/internal/shared/slotmap/slots_test.go
+++ b/internal/shared/slotmap/slots_test.go
@@ -1,4 +1,4 @@
-package slots
+package slotmap
 
 import "testing"
 
--- a/internal/system/agent/agent.go
+++ b/internal/system/agent/agent.go
@@ -44,18 +44,18 @@
 
 // Options are an agent's.
 type Options struct {
-	Settings *environment.Settings
+	Settings *processconfig.Settings
 	Version  string // of the program
 	Log      *zap.Logger
 	Metrics  netip.AddrPort // where the agent serves its own figures; the zero value: nowhere
 
 	loopback netip.Addr     // address at which the proxy is served; the zero value: as the settings have it
-	source   source.Options // of the choice of replicas
+	source   upstream.Options // of the choice of replicas
 }
 
 // Agent is a running agent.
 type Agent struct {
-	settings *environment.Settings
+	settings *processconfig.Settings
 	version  string
 	log      *zap.Logger
 	epoch    time.Time
@@ -98,7 +98,7 @@
 		log:        a.log,
 		now:        a.now,
 		store:      a.store,
-		machine:    source.New(options.source, a.now()),
+		machine:    upstream.New(options.source, a.now()),
 		candidates: a.candidates,
 		isPeer:     a.isPeer,
 		stepped:    a.stepped,
@@ -116,7 +116,7 @@
 		return fmt.Errorf("agent: cannot listen for the proxy, check that no other agent runs: %w", err)
 	}
 	a.local = &countingListener{Listener: local, changed: a.proxyConnections}
-	machine := netip.AddrPortFrom(a.settings.IP, a.settings.Port(environment.AgentRPC))
+	machine := netip.AddrPortFrom(a.settings.IP, a.settings.Port(processconfig.AgentRPC))
 	a.peers, err = retry.Listen(ctx, machine)
 	if err != nil {
 		local.Close()
@@ -129,7 +129,7 @@
 func (a *Agent) now() time.Duration { return time.Since(a.epoch) }
 
 // Reload takes settings that have changed: the seeds; all else needs a new process.
-func (a *Agent) Reload(settings *environment.Settings) {
+func (a *Agent) Reload(settings *processconfig.Settings) {
 	seeds := gossip.SeedAddresses(settings)
 	a.seeds.Store(&seeds)
 	if member := a.member.Load(); member != nil {
@@ -163,7 +163,7 @@
 func (a *Agent) serve(ctx context.Context) {
 	local := rpc.NewRegistry()
 	toProxy := a.server(a.store.servedSources(), a.store.served, 0)
-	following.Call.Handle(local, func(ctx context.Context, request *feed.FollowRequest) (*feed.FollowReply, error) {
+	feedserver.Call.Handle(local, func(ctx context.Context, request *feed.FollowRequest) (*feed.FollowReply, error) {
 		a.store.asked(request.Positions)
 		return a.crowd.follow(ctx, request, toProxy.Follow)
 	})
@@ -172,12 +172,12 @@
 
 	peers := rpc.NewRegistry()
 	pace := peersShare * a.settings.Limits.LinkBytesPerS()
-	following.Call.Handle(peers, a.server(a.store.baseSources(), a.store.base, pace).Follow)
+	feedserver.Call.Handle(peers, a.server(a.store.baseSources(), a.store.base, pace).Follow)
 	a.listen(ctx, a.peers, peers, rpc.Limits{Connections: peerConnections, RequestBytes: requestBytes})
 }
 
-func (a *Agent) server(sources []following.Source, notifier *following.Notifier, pace float64) *following.Server {
-	return following.New(following.Options{
+func (a *Agent) server(sources []feedserver.Source, notifier *feedserver.Notifier, pace float64) *feedserver.Server {
+	return feedserver.New(feedserver.Options{
 		Sources:       sources,
 		Notifier:      notifier,
 		Now:           a.now,
@@ -269,8 +269,8 @@
 	return nil
 }
 
-func (a *Agent) pace() survey.Pace {
-	return survey.Pace{Agents: a.proxies(), RatePerS: a.settings.CloudAPI.RatePerS}
+func (a *Agent) pace() fallback.Pace {
+	return fallback.Pace{Agents: a.proxies(), RatePerS: a.settings.CloudAPI.RatePerS}
 }
 
 // candidates are where the feed may be followed from: control replicas, and other agents for one that has nothing.
@@ -289,12 +289,12 @@
 
 // isPeer says whether an address is another agent's.
 func (a *Agent) isPeer(address netip.AddrPort) bool {
-	return address.Port() == a.settings.Port(environment.AgentRPC)
+	return address.Port() == a.settings.Port(processconfig.AgentRPC)
 }
 
 // seedReplicas are the control replicas of the settings, from one on that differs between nodes.
 func (a *Agent) seedReplicas() []netip.AddrPort {
-	port := a.settings.Port(environment.ControlRPC)
+	port := a.settings.Port(processconfig.ControlRPC)
 	seeds := *a.seeds.Load()
 	addresses := make([]netip.AddrPort, len(seeds))
 	first := int(xxhash.Sum64String(a.settings.Node) % uint64(max(1, len(seeds))))
--- a/internal/system/agent/crowd.go
+++ b/internal/system/agent/crowd.go
@@ -18,12 +18,12 @@
 type crowd struct {
 	peers   func() []feed.Peer // in a fixed order; none: not known
 	told    atomic.Uint64      // digest of those that the proxy knows
-	changed *following.Notifier
+	changed *feedserver.Notifier
 }
 
 func newCrowd(now func() time.Duration, peers func() []feed.Peer) *crowd {
 	after := func(wait time.Duration, wake func()) { time.AfterFunc(wait, wake) }
-	return &crowd{peers: peers, changed: following.NewNotifier(now, after)}
+	return &crowd{peers: peers, changed: feedserver.NewNotifier(now, after)}
 }
 
 // look ends the open calls if the proxy knows others.
--- a/internal/system/agent/fallback/survey.go
+++ b/internal/system/agent/fallback/survey.go
@@ -1,7 +1,7 @@
 // Package survey decides when an agent that is cut off from the control replicas asks the platform for its list itself,
 // at a pace that keeps all agents together within the platform's rate, and how long what it was told is used. Partitions
 // count each by itself: the list is used for those from which the agent is cut off. It is pure.
-package survey
+package fallback
 
 import (
 	"math"
--- a/internal/system/agent/fallback/survey_test.go
+++ b/internal/system/agent/fallback/survey_test.go
@@ -1,4 +1,4 @@
-package survey
+package fallback
 
 import (
 	"math/rand/v2"
--- a/internal/system/agent/follower.go
+++ b/internal/system/agent/follower.go
@@ -26,13 +26,13 @@
 	log        *zap.Logger
 	now        func() time.Duration
 	store      *store
-	machine    *source.Machine
+	machine    *upstream.Machine
 	candidates func() []netip.AddrPort
 	isPeer     func(netip.AddrPort) bool      // another agent stands there, which is asked but not followed
 	stepped    func(cutOff feed.PartitionSet) // called after each question
 
 	client  *rpc.Client // of the replica that was asked last
-	state   source.State
+	state   upstream.State
 	current feed.PartitionSet // with which the followed replica was up to date
 }
 
@@ -52,11 +52,11 @@
 	}
 }
 
-func (f *follower) ask(ctx context.Context, question source.Question) {
+func (f *follower) ask(ctx context.Context, question upstream.Question) {
 	patience := rpc.Patience{First: question.Timeout, Between: answerSilence, Most: mostAnswerTime}
 	request := &feed.FollowRequest{Node: f.node, Positions: f.store.positions(), Wait: question.Wait, Packed: true,
 		Current: question.Current}
-	reply, err := following.Call.InvokeWhileReceiving(ctx, f.connect(question), patience, request)
+	reply, err := feedserver.Call.InvokeWhileReceiving(ctx, f.connect(question), patience, request)
 	if err == nil {
 		err = unpack(reply)
 	}
@@ -66,7 +66,7 @@
 		f.machine.Failed(f.now(), question.Address)
 		return
 	}
-	answer := source.Answer{Ages: reply.Ages, Lagging: f.store.take(reply), Busy: reply.Busy,
+	answer := upstream.Answer{Ages: reply.Ages, Lagging: f.store.take(reply), Busy: reply.Busy,
 		NotToUse: f.isPeer(question.Address)}
 	f.machine.Answered(f.now(), question.Address, answer)
 }
@@ -82,7 +82,7 @@
 }
 
 // connect returns the client of a replica; that of another one is closed.
-func (f *follower) connect(question source.Question) *rpc.Client {
+func (f *follower) connect(question upstream.Question) *rpc.Client {
 	if f.client != nil && f.client.Address() == question.Address {
 		return f.client
 	}
@@ -113,7 +113,7 @@
 		f.log.Info("feed followed", zap.Stringer("from", address), zap.Stringer("partitions", f.current))
 		return
 	}
-	if f.state == source.CutOff {
+	if f.state == upstream.CutOff {
 		f.log.Warn("no control replica is up to date; all that is known is served on")
 		return
 	}
--- a/internal/system/agent/metrics.go
+++ b/internal/system/agent/metrics.go
@@ -17,7 +17,7 @@
 
 	page.Family(exposition.Gauge, "cinderroad_agent_proxy_state", "What the members are told of the proxy; one of the states is 1.")
 	told := a.proxy.state()
-	for _, state := range reports.States {
+	for _, state := range proxystatus.States {
 		page.Sample(exposition.Flag(state == told), exposition.Label{Name: "state", Value: state.String()})
 	}
 	partition := func(i int) exposition.Label { return exposition.Label{Name: "partition", Value: strconv.Itoa(i)} }
--- a/internal/system/agent/platform.go
+++ b/internal/system/agent/platform.go
@@ -28,17 +28,17 @@
 	now     func() time.Duration
 	lister  lister
 	store   *store
-	pace    func() survey.Pace
+	pace    func() fallback.Pace
 	changed chan struct{} // holds one token: the state changed
 
 	mutex   sync.Mutex
-	machine *survey.Machine
+	machine *fallback.Machine
 }
 
-func newPlatform(log *zap.Logger, now func() time.Duration, lister lister, store *store, pace func() survey.Pace,
+func newPlatform(log *zap.Logger, now func() time.Duration, lister lister, store *store, pace func() fallback.Pace,
 	random func() float64) *platform {
 	return &platform{log: log, now: now, lister: lister, store: store, pace: pace,
-		changed: make(chan struct{}, 1), machine: survey.New(random)}
+		changed: make(chan struct{}, 1), machine: fallback.New(random)}
 }
 
 // update takes the partitions of runners from which the agent is cut off.
--- a/internal/system/agent/proxy.go
+++ b/internal/system/agent/proxy.go
@@ -29,9 +29,9 @@
 	first chan struct{} // closed with the first report
 
 	mutex     sync.Mutex
-	machine   reports.Machine
+	machine   proxystatus.Machine
 	announcer announcer // nil until the agent is a member
-	told      reports.State
+	told      proxystatus.State
 	timer     *time.Timer
 	gone      chan struct{} // closed when the last connection of the proxy ended
 	connected bool
@@ -106,7 +106,7 @@
 }
 
 // state is what the members are told of the proxy.
-func (p *proxy) state() reports.State {
+func (p *proxy) state() proxystatus.State {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.told
@@ -133,11 +133,11 @@
 	p.announcer.SetServing(servingOf(state))
 }
 
-func servingOf(state reports.State) gossip.Serving {
+func servingOf(state proxystatus.State) gossip.Serving {
 	switch state {
-	case reports.Serving:
+	case proxystatus.Serving:
 		return gossip.ServingNow
-	case reports.Stopping, reports.Ended:
+	case proxystatus.Stopping, proxystatus.Ended:
 		return gossip.Stopping
 	}
 	return gossip.Starting
--- a/internal/system/agent/proxystatus/reports.go
+++ b/internal/system/agent/proxystatus/reports.go
@@ -1,6 +1,6 @@
 // Package reports decides what the other machines are told of the proxy beside an agent, by the proxy's reports. It is
 // pure.
-package reports
+package proxystatus
 
 import (
 	"time"
--- a/internal/system/agent/proxystatus/reports_test.go
+++ b/internal/system/agent/proxystatus/reports_test.go
@@ -1,4 +1,4 @@
-package reports
+package proxystatus
 
 import (
 	"testing"
--- a/internal/system/agent/store.go
+++ b/internal/system/agent/store.go
@@ -13,7 +13,7 @@
 // store is what the agent knows, shared by its goroutines.
 type store struct {
 	now          func() time.Duration
-	base, served *following.Notifier
+	base, served *feedserver.Notifier
 	mutex        sync.Mutex
 	tables       *overlay.Tables
 	upToDate     []upToDate      // by partition
@@ -40,8 +40,8 @@
 	after := func(wait time.Duration, wake func()) { time.AfterFunc(wait, wake) }
 	return &store{
 		now:    now,
-		base:   following.NewNotifier(now, after),
-		served: following.NewNotifier(now, after),
+		base:   feedserver.NewNotifier(now, after),
+		served: feedserver.NewNotifier(now, after),
 		tables: overlay.New(partitions),
 
 		upToDate: make([]upToDate, 1+partitions),
@@ -156,17 +156,17 @@
 }
 
 // baseSources are the partitions as the control replicas have them.
-func (s *store) baseSources() []following.Source {
+func (s *store) baseSources() []feedserver.Source {
 	return s.sources(s.tables.Base)
 }
 
 // servedSources are the partitions as the proxy is to have them.
-func (s *store) servedSources() []following.Source {
+func (s *store) servedSources() []feedserver.Source {
 	return s.sources(s.tables.Served)
 }
 
-func (s *store) sources(table func(feed.Partition) *feed.Table) []following.Source {
-	sources := make([]following.Source, s.tables.Partitions())
+func (s *store) sources(table func(feed.Partition) *feed.Table) []feedserver.Source {
+	sources := make([]feedserver.Source, s.tables.Partitions())
 	for i := range sources {
 		partition := feed.Partition(i)
 		sources[i] = &partitionSource{store: s, table: func() *feed.Table { return table(partition) }}
--- a/internal/system/agent/upstream/source.go
+++ b/internal/system/agent/upstream/source.go
@@ -7,7 +7,7 @@
 //
 // Partitions count each by itself. Where no replica is up to date with all of them, the one that is with most is followed
 // after all have been asked, and the others are asked again after a while.
-package source
+package upstream
 
 import (
 	"net/netip"
--- a/internal/system/agent/upstream/source_test.go
+++ b/internal/system/agent/upstream/source_test.go
@@ -1,4 +1,4 @@
-package source
+package upstream
 
 import (
 	"fmt"
--- a/internal/system/agent/world_test.go
+++ b/internal/system/agent/world_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.first = listener.Addr().(*net.TCPAddr).AddrPort().Port() - environment.AgentRPC
+	w.first = listener.Addr().(*net.TCPAddr).AddrPort().Port() - processconfig.AgentRPC
 	listener.Close()
 	w.platform = newPlatformStub(t)
 	return w
@@ -56,16 +56,16 @@
 	return netip.AddrFrom4(address)
 }
 
-func (w *world) settings(node string) *environment.Settings {
-	return &environment.Settings{
+func (w *world) settings(node string) *processconfig.Settings {
+	return &processconfig.Settings{
 		Node:      node,
 		IP:        w.address(),
 		Zone:      "a1",
 		Zones:     map[string]string{"a1": "a"},
-		FreePorts: environment.PortRange{First: w.first, Last: w.first + 15},
+		FreePorts: processconfig.PortRange{First: w.first, Last: w.first + 15},
 		SeedNodes: w.seeds,
-		Timing:    environment.Timing{GracePeriod: 8 * time.Second},
-		CloudAPI:  environment.CloudAPI{Address: w.platform.address, RatePerS: 1000},
+		Timing:    processconfig.Timing{GracePeriod: 8 * time.Second},
+		CloudAPI:  processconfig.CloudAPI{Address: w.platform.address, RatePerS: 1000},
 	}
 }
 
@@ -81,9 +81,9 @@
 // replica is a control machine: a seed, a member, and a server of the feed.
 type replica struct {
 	w        *world
-	settings *environment.Settings
+	settings *processconfig.Settings
 	member   *gossip.Gossip
-	notifier *following.Notifier
+	notifier *feedserver.Notifier
 	stop     context.CancelFunc
 	done     chan struct{}
 
@@ -130,18 +130,18 @@
 // serve begins to answer followers.
 func (r *replica) serve() {
 	r.w.t.Helper()
-	address := netip.AddrPortFrom(r.settings.IP, r.settings.Port(environment.ControlRPC))
+	address := netip.AddrPortFrom(r.settings.IP, r.settings.Port(processconfig.ControlRPC))
 	listener, err := net.Listen("tcp4", address.String())
 	if err != nil {
 		r.w.t.Fatal(err)
 	}
-	r.notifier = following.NewNotifier(r.now, func(d time.Duration, f func()) { time.AfterFunc(d, f) })
-	var sources []following.Source
+	r.notifier = feedserver.NewNotifier(r.now, func(d time.Duration, f func()) { time.AfterFunc(d, f) })
+	var sources []feedserver.Source
 	for i := range r.tables {
 		sources = append(sources, &replicaSource{r, i})
 	}
 	registry := rpc.NewRegistry()
-	following.Call.Handle(registry, following.New(following.Options{
+	feedserver.Call.Handle(registry, feedserver.New(feedserver.Options{
 		Sources: sources, Notifier: r.notifier, Now: r.now, Age: r.age, Proxies: func() int { return 0 },
 	}).Follow)
 	ctx, stop := context.WithCancel(context.Background())
@@ -222,7 +222,7 @@
 // edge is an edge machine: its agent and its proxy's side of the calls.
 type edge struct {
 	w        *world
-	settings *environment.Settings
+	settings *processconfig.Settings
 	loopback netip.Addr
 	agent    *Agent
 	stop     context.CancelFunc
@@ -247,7 +247,7 @@
 	e.w.t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	options := Options{Settings: e.settings, Version: "v1", Log: zap.NewNop(), loopback: e.loopback}
-	options.source = source.Options{Wait: 50 * time.Millisecond, CutOffAfter: 300 * time.Millisecond}
+	options.source = upstream.Options{Wait: 50 * time.Millisecond, CutOffAfter: 300 * time.Millisecond}
 	started, err := New(ctx, options)
 	if err != nil {
 		e.w.t.Fatal(err)
@@ -269,7 +269,7 @@
 }
 
 func (e *edge) startProxy() {
-	address := netip.AddrPortFrom(e.loopback, e.settings.Port(environment.AgentFeedPort))
+	address := netip.AddrPortFrom(e.loopback, e.settings.Port(processconfig.AgentFeedPort))
 	e.client = rpc.NewClient(address, rpc.Options{})
 	e.w.t.Cleanup(e.client.Close)
 }
@@ -295,7 +295,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), longest)
 	defer cancel()
-	reply, err := following.Call.Poll(ctx, e.client, wait, request)
+	reply, err := feedserver.Call.Poll(ctx, e.client, wait, request)
 	if err != nil {
 		e.w.t.Fatal(err)
 	}
--- a/internal/system/configuration/change.go
+++ b/internal/system/configuration/change.go
@@ -44,7 +44,7 @@
 // sense is for Validate of the document that it makes to say. The change keeps parts of body, which must not be
 // altered.
 func ParseChange(body []byte) (*Change, error) {
-	var list findings.List
+	var list validation.List
 	change := parseChange(body, &list)
 	if err := list.Err(); err != nil {
 		return nil, err
@@ -59,7 +59,7 @@
 	if current == nil {
 		current = &Document{}
 	}
-	var list findings.List
+	var list validation.List
 	var changed *Document
 	if change := parseChange(body, &list); change != nil {
 		changed = current.apply(change)
@@ -71,7 +71,7 @@
 	return changed, nil
 }
 
-func parseChange(body []byte, list *findings.List) *Change {
+func parseChange(body []byte, list *validation.List) *Change {
 	root, ok := readWhole(body, list)
 	if !ok {
 		return nil
@@ -146,7 +146,7 @@
 }
 
 // checkChanged finds names that a change uses twice.
-func checkChanged[M any](entries []entry[M], removed []string, field string, list *findings.List) {
+func checkChanged[M any](entries []entry[M], removed []string, field string, list *validation.List) {
 	names := make(map[string]bool, len(entries))
 	for i, item := range entries {
 		if names[item.name] {
@@ -235,7 +235,7 @@
 
 // namedItems are the items of a list if it is one of objects with names, each with another one.
 func namedItems(raw []byte) ([]namedItem, bool) {
-	var list findings.List
+	var list validation.List
 	value, ok := jsonfield.Read(raw, &list)
 	if !ok || !value.IsArray() {
 		return nil, false
--- a/internal/system/configuration/change_test.go
+++ b/internal/system/configuration/change_test.go
@@ -77,7 +77,7 @@
 		"replaced version":       {`{"version":9,"replace":{"version":10}}`, "replace.version"},
 	} {
 		_, err := CheckChange([]byte(invalid.body), base)
-		var found *findings.Error
+		var found *validation.Error
 		if !errors.As(err, &found) {
 			t.Errorf("%s: got %v, want findings", name, err)
 			continue
--- a/internal/system/configuration/document_test.go
+++ b/internal/system/configuration/document_test.go
@@ -159,7 +159,7 @@
 		"negative limit":     {swap(`"header_wait_ms":3000`, `"header_wait_ms":-1`), "limits.header_wait_ms"},
 	} {
 		_, err := Check([]byte(invalid.body), 6)
-		var found *findings.Error
+		var found *validation.Error
 		if !errors.As(err, &found) {
 			t.Errorf("%s: got %v, want findings", name, err)
 			continue
--- a/internal/system/configuration/items.go
+++ b/internal/system/configuration/items.go
@@ -282,7 +282,7 @@
 
 func decodeStored[M any](value []byte, read func(jsonfield.Value) *M) (*M, error) {
 	if len(value) < ordinalBytes {
-		var list findings.List
+		var list validation.List
 		list.Add("", "is too short to hold its ordinal")
 		return nil, list.Err()
 	}
@@ -290,7 +290,7 @@
 }
 
 func decode[M any](raw []byte, read func(jsonfield.Value) *M) (*M, error) {
-	var list findings.List
+	var list validation.List
 	value, ok := jsonfield.Read(raw, &list)
 	if !ok {
 		return nil, list.Err()
--- a/internal/system/configuration/parse.go
+++ b/internal/system/configuration/parse.go
@@ -11,7 +11,7 @@
 // Parse reads a whole document. All that keeps it from being read comes together, in a *findings.Error; whether it
 // makes sense is for Validate to say. The document keeps parts of body, which must not be altered.
 func Parse(body []byte) (*Document, error) {
-	var list findings.List
+	var list validation.List
 	document := parse(body, &list)
 	if err := list.Err(); err != nil {
 		return nil, err
@@ -22,7 +22,7 @@
 // Check reads a whole document and validates it against the version that is in force, 0 for none. All findings come
 // together, in a *findings.Error. The document keeps parts of body, which must not be altered.
 func Check(body []byte, current uint64) (*Document, error) {
-	var list findings.List
+	var list validation.List
 	document := parse(body, &list)
 	if document != nil {
 		document.validate(current, &list)
@@ -34,7 +34,7 @@
 }
 
 // parse returns what could be read of a document, nil if it is not an object at all.
-func parse(body []byte, list *findings.List) *Document {
+func parse(body []byte, list *validation.List) *Document {
 	root, ok := readWhole(body, list)
 	if !ok {
 		return nil
@@ -48,7 +48,7 @@
 }
 
 // readWhole reads a body that must be JSON in UTF-8.
-func readWhole(body []byte, list *findings.List) (jsonfield.Value, bool) {
+func readWhole(body []byte, list *validation.List) (jsonfield.Value, bool) {
 	if !utf8.Valid(body) {
 		list.Add("", "is not valid UTF-8")
 		return jsonfield.Value{}, false
--- a/internal/system/configuration/validate.go
+++ b/internal/system/configuration/validate.go
@@ -10,12 +10,12 @@
 // Validate says whether the document may come into force over the version that is in force, 0 for none. All findings
 // come together, in a *findings.Error, each with its place.
 func (d *Document) Validate(current uint64) error {
-	var list findings.List
+	var list validation.List
 	d.validate(current, &list)
 	return list.Err()
 }
 
-func (d *Document) validate(current uint64, list *findings.List) {
+func (d *Document) validate(current uint64, list *validation.List) {
 	if d.version <= current {
 		list.Add(fieldVersion, "must be above "+strconv.FormatUint(current, 10)+", the version in force")
 	}
@@ -30,7 +30,7 @@
 }
 
 // checkNames returns the names of a list's items; each must be there and stand for one item.
-func checkNames[M any](entries []entry[M], field string, list *findings.List) map[string]bool {
+func checkNames[M any](entries []entry[M], field string, list *validation.List) map[string]bool {
 	names := make(map[string]bool, len(entries))
 	for i, item := range entries {
 		place := field + "[" + strconv.Itoa(i) + "].name"
@@ -52,7 +52,7 @@
 	place    string
 	route    *Route
 	services map[string]bool
-	list     *findings.List
+	list     *validation.List
 }
 
 func (c *routeChecker) add(field, problem string) {
--- a/internal/system/control/api/answer.go
+++ b/internal/system/control/api/answer.go
@@ -28,13 +28,13 @@
 	status   int
 	code     string
 	message  string
-	findings []findings.Finding
+	findings []validation.Finding
 }
 
 // Error returns the message.
 func (r *refusal) Error() string { return "api: " + r.message }
 
-func invalid(message string, list ...findings.Finding) *refusal {
+func invalid(message string, list ...validation.Finding) *refusal {
 	return &refusal{status: http.StatusBadRequest, code: codeInvalid, message: message, findings: list}
 }
 
--- a/internal/system/control/api/commit.go
+++ b/internal/system/control/api/commit.go
@@ -142,7 +142,7 @@
 	if errors.As(err, &refused) {
 		return refused
 	}
-	var found *findings.Error
+	var found *validation.Error
 	if errors.As(err, &found) {
 		return invalid("the configuration is invalid; nothing was changed", found.Findings...)
 	}
--- a/internal/system/control/api/orders_world_test.go
+++ b/internal/system/control/api/orders_world_test.go
@@ -22,7 +22,7 @@
 	seed    uint64
 	random  *rand.Rand
 	now     time.Duration
-	agenda  agenda.Agenda
+	agenda  eventqueue.Agenda
 	verbose bool
 	failed  string
 	faults  bool // they go on
--- a/internal/system/control/feedserver/pacer_test.go
+++ b/internal/system/control/feedserver/pacer_test.go
@@ -1,4 +1,4 @@
-package following
+package feedserver
 
 import (
 	"context"
--- a/internal/system/control/feedserver/server.go
+++ b/internal/system/control/feedserver/server.go
@@ -1,6 +1,6 @@
 // Package following serves the feed: followers hold a call open and are answered with what changed since the positions
 // that they name.
-package following
+package feedserver
 
 import (
 	"context"
--- a/internal/system/control/partitions_test.go
+++ b/internal/system/control/partitions_test.go
@@ -49,13 +49,13 @@
 			s := newSystem(t, 1)
 			s.insist(api.PathReplace, "0", document(1, 1000))
 			settings := s.settings[0]
-			address := netip.AddrPortFrom(settings.IP, settings.Port(environment.ControlRPC))
+			address := netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ControlRPC))
 			client := rpc.NewClient(address, rpc.Options{})
 			defer client.Close()
 			u := usurper{partition: lost}
 			s.wait("the lost partition is stale, the others are not", func() bool {
 				u.claim(t, s, client)
-				reply, err := following.Call.Invoke(context.Background(), client, &feed.FollowRequest{Node: "test"})
+				reply, err := feedserver.Call.Invoke(context.Background(), client, &feed.FollowRequest{Node: "test"})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/system/control/process.go
+++ b/internal/system/control/process.go
@@ -48,7 +48,7 @@
 
 // Options are a process's.
 type Options struct {
-	Settings *environment.Settings
+	Settings *processconfig.Settings
 	Version  string // of the program
 	Log      *zap.Logger
 	Metrics  netip.AddrPort // where the process serves its own figures; the zero value: nowhere
@@ -58,7 +58,7 @@
 type Process struct {
 	log      *zap.Logger
 	version  string // of the program
-	settings atomic.Pointer[environment.Settings]
+	settings atomic.Pointer[processconfig.Settings]
 	started  time.Time
 	stopping atomic.Bool
 
@@ -66,8 +66,8 @@
 	runners       []*state.Runners
 	host          *replica.Host
 	gossip        *gossip.Gossip
-	feed          *following.Server
-	duty          *duty.Duty
+	feed          *feedserver.Server
+	duty          *runnersync.Duty
 
 	servers  []*http.Server
 	failures chan error
@@ -81,7 +81,7 @@
 	p := &Process{log: options.Log, version: options.Version, started: time.Now(), failures: make(chan error, 8)}
 	p.settings.Store(options.Settings)
 	p.context, p.cancel = context.WithCancel(context.Background())
-	notifier := following.NewNotifier(p.now, func(d time.Duration, f func()) { time.AfterFunc(d, f) })
+	notifier := feedserver.NewNotifier(p.now, func(d time.Duration, f func()) { time.AfterFunc(d, f) })
 	p.makeStates(notifier)
 	p.makeHost(options)
 	p.makeFeed(notifier)
@@ -100,7 +100,7 @@
 // now is the steady time since the start.
 func (p *Process) now() time.Duration { return time.Since(p.started) }
 
-func (p *Process) makeStates(notifier *following.Notifier) {
+func (p *Process) makeStates(notifier *feedserver.Notifier) {
 	p.configuration = state.NewConfiguration(p.now, notifier.Changed)
 	for i := range feed.RunnerPartitions {
 		p.runners = append(p.runners, state.NewRunners(feed.Partition(i+1), p.now, notifier.Changed))
@@ -115,12 +115,12 @@
 	p.host = replica.New(replica.Options{Settings: options.Settings, States: states, Log: options.Log, Failed: p.fail})
 }
 
-func (p *Process) makeFeed(notifier *following.Notifier) {
-	sources := []following.Source{p.configuration}
+func (p *Process) makeFeed(notifier *feedserver.Notifier) {
+	sources := []feedserver.Source{p.configuration}
 	for _, runners := range p.runners {
 		sources = append(sources, runners)
 	}
-	p.feed = following.New(following.Options{
+	p.feed = feedserver.New(feedserver.Options{
 		Sources:  sources,
 		Notifier: notifier,
 		Now:      p.now,
@@ -143,18 +143,18 @@
 
 func (p *Process) makeDuty() {
 	settings := p.settings.Load()
-	var partitions []duty.Partition
+	var partitions []runnersync.Partition
 	for _, runners := range p.runners {
 		partitions = append(partitions, runners)
 	}
 	client := discovery.NewClient(discovery.ClientOptions{
 		Address: settings.CloudAPI.Address,
-		Permit:  func() error { return duty.Permit(p.host, len(partitions)) },
+		Permit:  func() error { return runnersync.Permit(p.host, len(partitions)) },
 		Dropped: func(err *discovery.DroppedEntriesError) {
 			p.log.Warn("entries of the list of runners make no sense", zap.Error(err))
 		},
 	})
-	p.duty = duty.New(duty.Options{Lister: client, Replicas: p.host, Partitions: partitions,
+	p.duty = runnersync.New(runnersync.Options{Lister: client, Replicas: p.host, Partitions: partitions,
 		RatePerS: settings.CloudAPI.RatePerS, DrainWithin: settings.Timing.DrainWithin, Now: p.now, Log: p.log})
 }
 
@@ -195,15 +195,15 @@
 	return member, nil
 }
 
-func (p *Process) serveRPC(ctx context.Context, settings *environment.Settings) error {
-	address := netip.AddrPortFrom(settings.IP, settings.Port(environment.ControlRPC))
+func (p *Process) serveRPC(ctx context.Context, settings *processconfig.Settings) error {
+	address := netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ControlRPC))
 	listener, err := listen(ctx, address)
 	if err != nil {
 		return err
 	}
 	registry := rpc.NewRegistry()
 	p.host.Register(registry)
-	following.Call.Handle(registry, p.feed.Follow)
+	feedserver.Call.Handle(registry, p.feed.Follow)
 	limits := rpc.Limits{Connections: rpcConnections, Calls: rpcCalls}
 	p.running.Go(func() {
 		if err := rpc.Serve(p.context, listener, registry, limits); err != nil {
@@ -223,7 +223,7 @@
 	if _, known := p.settings.Load().Zones[zone]; known {
 		return true
 	}
-	settings, err := environment.Load()
+	settings, err := processconfig.Load()
 	if err != nil {
 		p.log.Warn("changed settings can't be read, the earlier ones stay", zap.Error(err))
 		return false
@@ -234,7 +234,7 @@
 }
 
 // Reload takes settings that have changed. What needs a new process stays as it is.
-func (p *Process) Reload(settings *environment.Settings) {
+func (p *Process) Reload(settings *processconfig.Settings) {
 	p.settings.Store(settings)
 	p.gossip.Seek(gossip.SeedAddresses(settings))
 }
--- a/internal/system/control/process_test.go
+++ b/internal/system/control/process_test.go
@@ -35,7 +35,7 @@
 type system struct {
 	t         *testing.T
 	platform  *platform
-	settings  []*environment.Settings
+	settings  []*processconfig.Settings
 	processes []*Process
 	stops     []context.CancelFunc
 	ended     []chan error
@@ -72,13 +72,13 @@
 	names := []string{"a", "b", "c"}
 	for i := range machines {
 		ip := address(i)
-		settings := &environment.Settings{
+		settings := &processconfig.Settings{
 			Node: fmt.Sprint("core-", i+1), IP: ip, Zone: names[i%3], Region: zones[names[i%3]], Zones: zones,
-			FreePorts: environment.PortRange{First: first, Last: first + portSpan - 1},
+			FreePorts: processconfig.PortRange{First: first, Last: first + portSpan - 1},
 			FirstBoot: true, CountsAsLoss: true, StateDir: t.TempDir(),
-			Survive:  environment.Survive{MachineLosses: 1, Zones: 1},
-			Timing:   environment.Timing{GracePeriod: 2 * time.Second, TTLMax: time.Second},
-			CloudAPI: environment.CloudAPI{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), RatePerS: 100},
+			Survive:  processconfig.Survive{MachineLosses: 1, Zones: 1},
+			Timing:   processconfig.Timing{GracePeriod: 2 * time.Second, TTLMax: time.Second},
+			CloudAPI: processconfig.CloudAPI{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), RatePerS: 100},
 		}
 		settings.ListenOn.Control = netip.AddrPortFrom(ip, first+2)
 		settings.ListenOn.Directory = netip.AddrPortFrom(ip, first+3)
@@ -231,10 +231,10 @@
 // follow asks a machine's feed for all that it has.
 func (s *system) follow(machine int) map[string]feed.Item {
 	settings := s.settings[machine]
-	client := rpc.NewClient(netip.AddrPortFrom(settings.IP, settings.Port(environment.ControlRPC)), rpc.Options{})
+	client := rpc.NewClient(netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ControlRPC)), rpc.Options{})
 	defer client.Close()
 	items := map[string]feed.Item{}
-	reply, err := following.Call.Invoke(context.Background(), client, &feed.FollowRequest{Node: "test"})
+	reply, err := feedserver.Call.Invoke(context.Background(), client, &feed.FollowRequest{Node: "test"})
 	if err != nil {
 		return items
 	}
--- a/internal/system/control/runnersync/diff.go
+++ b/internal/system/control/runnersync/diff.go
@@ -1,7 +1,7 @@
 // Package duty keeps the runners' partitions equal to the platform's list. One machine of the system does so: the one
 // that leads partition 0, and only while a majority grants it that. While partition 0 has no leader, each partition of
 // runners is kept by the machine that leads it.
-package duty
+package runnersync
 
 import (
 	"bytes"
--- a/internal/system/control/runnersync/status.go
+++ b/internal/system/control/runnersync/status.go
@@ -1,4 +1,4 @@
-package duty
+package runnersync
 
 import (
 	"sync/atomic"
--- a/internal/system/discovery/list.go
+++ b/internal/system/discovery/list.go
@@ -52,7 +52,7 @@
 }
 
 type listDecoder struct {
-	list       findings.List
+	list       validation.List
 	page       []Runner
 	next       string
 	dropped    int
--- a/internal/system/emulator/day.go
+++ b/internal/system/emulator/day.go
@@ -19,7 +19,7 @@
 
 // Options describe a day.
 type Options struct {
-	Scenario *experiment.Scenario
+	Scenario *policysim.Scenario
 	Edges    int       // machines that serve clients
 	Programs string    // folder of the system's programs
 	Folder   string    // for settings, logs and disks; empty: a temporary one that goes after a day without a breach
@@ -44,8 +44,8 @@
 type day struct {
 	options   Options
 	deploy    *deployment
-	cloud     *cloud.Cloud
-	referee   *referee.Referee
+	cloud     *fakeplatform.Cloud
+	referee   *checker.Referee
 	runners   *runners
 	processes []*process
 	operator  *operator
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	d := &day{options: o}
-	d.referee = referee.New(referee.Bounds{Drain: millis(defaultTiming.DrainWithinMS),
+	d.referee = checker.New(checker.Bounds{Drain: millis(defaultTiming.DrainWithinMS),
 		Evacuate:   millis(defaultTiming.EvacuateMS),
 		RetryRatio: defaultTiming.RetryRatio, RetryWindow: time.Duration(defaultTiming.RetryWindowS) * time.Second,
 		RetryExtra: defaultTiming.RetryExtra}, nil)
@@ -111,7 +111,7 @@
 	if d.deploy, err = plan(d.options.Scenario, d.options.Edges, d.options.Folder); err != nil {
 		return err
 	}
-	d.cloud, err = cloud.Start(cloud.Options{Address: cloudIP, Lag: millis(cloudLagMS), Page: cloudPage,
+	d.cloud, err = fakeplatform.Start(fakeplatform.Options{Address: cloudIP, Lag: millis(cloudLagMS), Page: cloudPage,
 		RatePerS: cloudRatePerS})
 	if err != nil {
 		return err
@@ -215,11 +215,11 @@
 	close(ended)
 }
 
-func clientRoute(c *experiment.Class) *client.Route {
+func clientRoute(c *policysim.Class) *client.Route {
 	r := &client.Route{Name: c.Name, Host: host, Path: pathStart(c) + "1", Stream: c.Type == configuration.Streaming,
 		Resumable: c.Resume,
 		ReadOnly:  c.Type == configuration.ReadOnly, Target: c.Target, Gap: c.Gap, Deadline: c.Deadline, Retries: c.Retries}
-	r.Referee = &referee.Route{Name: c.Name, Services: []string{c.Service}, Homes: c.Homes, Idempotent: r.ReadOnly ||
+	r.Referee = &checker.Route{Name: c.Name, Services: []string{c.Service}, Homes: c.Homes, Idempotent: r.ReadOnly ||
 		r.Stream && r.Resumable}
 	return r
 }
@@ -227,7 +227,7 @@
 // calls are the day's traffic.
 func (d *day) calls() (calls []*client.Call) {
 	const bytesPerToken = 2
-	for _, drawn := range experiment.Draw(d.options.Scenario, d.options.Seed) {
+	for _, drawn := range policysim.Draw(d.options.Scenario, d.options.Seed) {
 		one := &client.Call{At: drawn.At, Route: d.routes[drawn.Class.Name], Zone: drawn.Zone, TokensIn: drawn.PromptTokens(),
 			TokensOut: drawn.Out, Bytes: bytesPerToken * drawn.PromptTokens()}
 		if len(drawn.Parts) > 0 {
@@ -284,9 +284,9 @@
 	got, err := d.operator.read(ctx)
 	switch {
 	case err != nil:
-		d.referee.Break(referee.Configed, "the configuration could not be read back: %v", err)
+		d.referee.Break(checker.Configed, "the configuration could not be read back: %v", err)
 	case got.Version != d.document.Version || len(got.Routes) != len(d.document.Routes):
-		d.referee.Break(referee.Configed, "version %d with %d routes was read back, %d with %d was acknowledged",
+		d.referee.Break(checker.Configed, "version %d with %d routes was read back, %d with %d was acknowledged",
 			got.Version, len(got.Routes), d.document.Version, len(d.document.Routes))
 	}
 }
--- a/internal/system/emulator/deployment.go
+++ b/internal/system/emulator/deployment.go
@@ -57,7 +57,7 @@
 const coreMachines = 3
 
 // plan lays out machines: a core over the zones in turn, and edges.
-func plan(s *experiment.Scenario, edges int, folder string) (*deployment, error) {
+func plan(s *policysim.Scenario, edges int, folder string) (*deployment, error) {
 	d := &deployment{folder: folder, zones: make(map[string]string)}
 	for _, zone := range s.Zones {
 		d.zones[zone.Name] = zone.Region
--- a/internal/system/emulator/emulator_test.go
+++ b/internal/system/emulator/emulator_test.go
@@ -42,7 +42,7 @@
 
 func planned(t *testing.T, edges int) *deployment {
 	t.Helper()
-	d, err := plan(experiment.Screening(), edges, t.TempDir())
+	d, err := plan(policysim.Screening(), edges, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s, err := environment.Parse(text)
+			s, err := processconfig.Parse(text)
 			if err != nil {
 				t.Fatalf("%s on %s: %v", p, m.name, err)
 			}
@@ -97,7 +97,7 @@
 }
 
 func TestTheSystemReadsTheConfiguration(t *testing.T) {
-	for _, scenario := range []*experiment.Scenario{experiment.Screening(), experiment.Parcels()} {
+	for _, scenario := range []*policysim.Scenario{policysim.Screening(), policysim.Parcels()} {
 		body, err := json.Marshal(documentOf(scenario, firstVersion))
 		if err != nil {
 			t.Fatal(err)
@@ -155,7 +155,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s, err := environment.Parse(text); err != nil || s.FirstBoot {
+	if s, err := processconfig.Parse(text); err != nil || s.FirstBoot {
 		t.Errorf("the settings of a second start: %v, first boot %v", err, s.FirstBoot)
 	}
 	p.stop(long)
@@ -219,7 +219,7 @@
 }
 
 func TestABreachFailsADay(t *testing.T) {
-	r := &Report{Breaches: []referee.Breach{{Rule: referee.Twice, What: "try 1 ran 2 times"}}}
+	r := &Report{Breaches: []checker.Breach{{Rule: checker.Twice, What: "try 1 ran 2 times"}}}
 	if !r.Failed() || (&Report{}).Failed() {
 		t.Error("a day fails by a breach, and only then")
 	}
@@ -259,7 +259,7 @@
 	if testing.Short() {
 		t.Skip("the real programs take some seconds")
 	}
-	scenario := experiment.Screening()
+	scenario := policysim.Screening()
 	scenario.Length, scenario.Load = 6*time.Second, 0.3
 	report, err := Run(context.Background(), Options{Scenario: scenario, Edges: 3, Programs: buildPrograms(t),
 		Folder:   t.TempDir(),
--- a/internal/system/emulator/operator.go
+++ b/internal/system/emulator/operator.go
@@ -50,7 +50,7 @@
 // host is that of all routes.
 const host = "screening.example"
 
-func pathStart(c *experiment.Class) string { return "/" + c.Name + "/" }
+func pathStart(c *policysim.Class) string { return "/" + c.Name + "/" }
 
 // typeName is a route's type on the wire.
 func typeName(t configuration.RouteType) string {
@@ -63,7 +63,7 @@
 	return "streaming"
 }
 
-func routeOf(c *experiment.Class) routeDocument {
+func routeOf(c *policysim.Class) routeDocument {
 	r := routeDocument{Name: "r-" + c.Name, Host: host, PathStart: pathStart(c), Type: typeName(c.Type),
 		TimeoutMS: c.Deadline.Milliseconds(),
 		TargetMS:  c.Target.Milliseconds(), Rank: c.Rank, Service: c.Service, Tries: c.Tries, HomeRegions: []string{}}
@@ -74,7 +74,7 @@
 	return r
 }
 
-func serviceOf(s *experiment.Service) map[string]any {
+func serviceOf(s *policysim.Service) map[string]any {
 	service := map[string]any{"name": s.Name, "health_path": healthPath, "max_conns": s.MaxConns, "protocol": "h1",
 		"use_tls":    false,
 		"cold_for_s": s.ColdFor.Seconds(), "cold_rate_s": s.ColdRate}
@@ -85,7 +85,7 @@
 	return service
 }
 
-func documentOf(s *experiment.Scenario, version int) document {
+func documentOf(s *policysim.Scenario, version int) document {
 	d := document{Version: version, Limits: map[string]int{"max_header_bytes": 16384, "max_body_bytes": 4 << 20,
 		"header_wait_ms": 3000,
 		"idle_limit_ms":  15000}}
--- a/internal/system/emulator/report.go
+++ b/internal/system/emulator/report.go
@@ -16,10 +16,10 @@
 type Report struct {
 	Clients   client.Tally
 	Runners   []runner.Stats
-	Cloud     cloud.Stats
+	Cloud     fakeplatform.Stats
 	Repeats   int // requests that a runner was sent although another had been
 	Processes []ProcessReport
-	Breaches  []referee.Breach
+	Breaches  []checker.Breach
 	Folder    string // of logs, if it is kept
 }
 
@@ -53,11 +53,11 @@
 		denied += route.Denied
 	}
 	if denied > deniedMost+r.Clients.Calls/deniedShare {
-		d.referee.Break(referee.Denied, "%d of %d calls were answered with a 3xx or 4xx", denied, r.Clients.Calls)
+		d.referee.Break(checker.Denied, "%d of %d calls were answered with a 3xx or 4xx", denied, r.Clients.Calls)
 	}
 	for _, s := range r.Runners {
 		if s.ColdBroken > 0 {
-			d.referee.Break(referee.Failback, "a cold runner was sent %d requests in a second", s.ColdWorst)
+			d.referee.Break(checker.Failback, "a cold runner was sent %d requests in a second", s.ColdWorst)
 		}
 	}
 	for _, p := range d.processes {
--- a/internal/system/emulator/runners.go
+++ b/internal/system/emulator/runners.go
@@ -28,16 +28,16 @@
 
 // runners are the runners of all services, and the list that names them.
 type runners struct {
-	scenario *experiment.Scenario
-	cloud    *cloud.Cloud
-	referee  *referee.Referee
+	scenario *policysim.Scenario
+	cloud    *fakeplatform.Cloud
+	referee  *checker.Referee
 	zones    map[string]string
 
 	mutex   sync.Mutex
 	started int
 	up      []*runner.Runner
-	entries map[string]cloud.Entry
-	service map[string]*experiment.Service // of a runner
+	entries map[string]fakeplatform.Entry
+	service map[string]*policysim.Service // of a runner
 	gone    []runner.Stats
 	closed  bool
 }
@@ -46,10 +46,10 @@
 var errClosed = errors.New("the runners have been closed")
 
 // startRunners starts the runners of all services.
-func startRunners(s *experiment.Scenario, zones map[string]string, c *cloud.Cloud,
-	r *referee.Referee) (*runners, error) {
-	rs := &runners{scenario: s, cloud: c, referee: r, zones: zones, entries: make(map[string]cloud.Entry),
-		service: make(map[string]*experiment.Service)}
+func startRunners(s *policysim.Scenario, zones map[string]string, c *fakeplatform.Cloud,
+	r *checker.Referee) (*runners, error) {
+	rs := &runners{scenario: s, cloud: c, referee: r, zones: zones, entries: make(map[string]fakeplatform.Entry),
+		service: make(map[string]*policysim.Service)}
 	for i := range s.Services {
 		for _, zone := range s.Zones {
 			for range s.Services[i].Runners[zone.Name] {
@@ -63,7 +63,7 @@
 }
 
 // start starts a runner that is cold for a while.
-func (rs *runners) start(s *experiment.Service, zone string, cold time.Duration) (*runner.Runner, error) {
+func (rs *runners) start(s *policysim.Service, zone string, cold time.Duration) (*runner.Runner, error) {
 	rs.mutex.Lock()
 	defer rs.mutex.Unlock()
 	if rs.closed {
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	entry := cloud.Entry{ID: o.ID, Service: s.Name, Address: r.Address(), Zone: zone, Capacity: s.Slots}
+	entry := fakeplatform.Entry{ID: o.ID, Service: s.Name, Address: r.Address(), Zone: zone, Capacity: s.Slots}
 	if s.Engine != nil {
 		entry.Capacity, entry.Model = s.Engine.Slots, modelName
 	}
@@ -93,9 +93,9 @@
 }
 
 // options describe the next runner; runners are at addresses of their own, beside those of machines.
-func (rs *runners) options(s *experiment.Service, zone string) (o runner.Options, err error) {
+func (rs *runners) options(s *policysim.Service, zone string) (o runner.Options, err error) {
 	o = runner.Options{
-		Runner:  referee.Runner{ID: fmt.Sprintf("i-%04x", rs.started), Service: s.Name, Zone: zone, Region: rs.zones[zone]},
+		Runner:  checker.Runner{ID: fmt.Sprintf("i-%04x", rs.started), Service: s.Name, Zone: zone, Region: rs.zones[zone]},
 		Address: fmt.Sprintf("127.1.%d.%d:0", rs.started/250, 1+rs.started%250), HealthPath: healthPath, MaxConns: s.MaxConns,
 		IdleFor: runnerIdle, CloseShare: closeShare, ReportLag: reportLag, Cold: defaultTiming.cold(s.ColdRate),
 		Referee: rs.referee,
--- a/internal/system/emulator/runners_test.go
+++ b/internal/system/emulator/runners_test.go
@@ -15,14 +15,14 @@
 // newRunners starts the runners of a scenario, under a referee without any slack.
 func newRunners(t *testing.T) *runners {
 	t.Helper()
-	list, err := cloud.Start(cloud.Options{Address: "127.0.0.1:0"})
+	list, err := fakeplatform.Start(fakeplatform.Options{Address: "127.0.0.1:0"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(list.Close)
-	rs, err := startRunners(experiment.Screening(), map[string]string{"west-a": "west", "west-b": "west",
+	rs, err := startRunners(policysim.Screening(), map[string]string{"west-a": "west", "west-b": "west",
 		"east-a": "east"}, list,
-		referee.New(referee.Bounds{}, nil))
+		checker.New(checker.Bounds{}, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 }
 
 // ask sends a request with an id straight to a runner.
-func (rs *runners) ask(t *testing.T, r *runner.Runner, id string, route *referee.Route) int {
+func (rs *runners) ask(t *testing.T, r *runner.Runner, id string, route *checker.Route) int {
 	t.Helper()
 	q, err := http.NewRequest(http.MethodPost, "http://"+r.Address().String()+"/lookup/1", strings.NewReader("x"))
 	if err != nil {
@@ -40,8 +40,8 @@
 	q.Host = host
 	q.Header.Set(answer.TryID, id)
 	if route != nil {
-		rs.referee.Asked(referee.Try{ID: id, Method: http.MethodPost, Host: host, URI: "/lookup/1",
-			Body: referee.Hash([]byte("x")), Route: route})
+		rs.referee.Asked(checker.Try{ID: id, Method: http.MethodPost, Host: host, URI: "/lookup/1",
+			Body: checker.Hash([]byte("x")), Route: route})
 	}
 	resp, err := http.DefaultClient.Do(q)
 	if err != nil {
@@ -52,25 +52,25 @@
 }
 
 func TestRunnersReportToTheReferee(t *testing.T) {
-	lookups := &referee.Route{Name: "lookup", Services: []string{"api"}, Homes: []string{"west"}}
+	lookups := &checker.Route{Name: "lookup", Services: []string{"api"}, Homes: []string{"west"}}
 	for _, test := range []struct {
 		name string
 		do   func(t *testing.T, rs *runners, r *runner.Runner)
-		want referee.Rule
+		want checker.Rule
 	}{
 		{"a proper request", func(t *testing.T, rs *runners, r *runner.Runner) { rs.ask(t, r, "1", lookups) }, ""},
 		{"one that nobody sent", func(t *testing.T, rs *runners, r *runner.Runner) { rs.ask(t, r, "1", nil) },
-			referee.Unasked},
+			checker.Unasked},
 		{"one that runs twice", func(t *testing.T, rs *runners, r *runner.Runner) {
 			rs.ask(t, r, "1", lookups)
 			rs.arriveAgain(t, r, "1")
-		}, referee.Twice},
+		}, checker.Twice},
 		{"another service", func(t *testing.T, rs *runners, r *runner.Runner) { rs.ask(t, rs.pick("llm"), "1", lookups) },
-			referee.Routed},
+			checker.Routed},
 		{"a runner that drains", func(t *testing.T, rs *runners, r *runner.Runner) {
 			rs.drain(r, 0)
 			rs.ask(t, r, "1", lookups)
-		}, referee.Drain},
+		}, checker.Drain},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			rs := newRunners(t)
--- a/internal/system/emulator/trouble.go
+++ b/internal/system/emulator/trouble.go
@@ -175,7 +175,7 @@
 		Seed:    d.options.Seed + uint64(m.ip.As4()[2])<<8 + uint64(m.ip.As4()[3])})
 	load.Call(ctx, load.Client(m.zone, 0), &client.Call{Route: route, Zone: m.zone, Bytes: 100})
 	if tally := load.Tally(); tally.Routes[0].Denied > 0 {
-		d.referee.Break(referee.Configed, "%s does not know a route that was acknowledged %d ms before", m.name,
+		d.referee.Break(checker.Configed, "%s does not know a route that was acknowledged %d ms before", m.name,
 			defaultTiming.ConfigWithinMS)
 	}
 }
--- a/internal/system/gossip/gossip.go
+++ b/internal/system/gossip/gossip.go
@@ -75,8 +75,8 @@
 }
 
 // FromSettings returns the options of a process on a machine.
-func FromSettings(settings *environment.Settings, role Role) Options {
-	port := settings.Port(environment.GossipPort)
+func FromSettings(settings *processconfig.Settings, role Role) Options {
+	port := settings.Port(processconfig.GossipPort)
 	return Options{
 		Node:        settings.Node,
 		Role:        role,
@@ -84,14 +84,14 @@
 		Zones:       settings.Zones,
 		Listen:      netip.AddrPortFrom(settings.IP, port),
 		Seeds:       SeedAddresses(settings),
-		ControlPort: settings.Port(environment.ControlRPC),
-		AgentPort:   settings.Port(environment.AgentRPC),
+		ControlPort: settings.Port(processconfig.ControlRPC),
+		AgentPort:   settings.Port(processconfig.AgentRPC),
 	}
 }
 
 // SeedAddresses returns the gossip addresses of the settings' seeds.
-func SeedAddresses(settings *environment.Settings) []netip.AddrPort {
-	port := settings.Port(environment.GossipPort)
+func SeedAddresses(settings *processconfig.Settings) []netip.AddrPort {
+	port := settings.Port(processconfig.GossipPort)
 	addresses := make([]netip.AddrPort, 0, len(settings.SeedNodes))
 	for _, seed := range settings.SeedNodes {
 		addresses = append(addresses, netip.AddrPortFrom(seed.Addr(), port))
--- a/internal/system/gossip/hearing_test.go
+++ b/internal/system/gossip/hearing_test.go
@@ -87,7 +87,7 @@
 	random := rand.New(rand.NewPCG(seed, 7))
 	v := &virtual{random: random, byAddr: map[netip.AddrPort]*node{}, delay: 0.001 + 0.09*random.Float64()}
 	edges := 4 + random.IntN(24)
-	first := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), uint16(environment.GossipPort))
+	first := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), uint16(processconfig.GossipPort))
 	for i := range 2 + edges {
 		role := Edge
 		if i < 2 {
--- a/internal/system/hollow/hollow_test.go
+++ b/internal/system/hollow/hollow_test.go
@@ -51,7 +51,7 @@
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(garbagePercent)
 	log := logfmt.New(os.Stderr, zapcore.InfoLevel)
-	settings, err := environment.Load()
+	settings, err := processconfig.Load()
 	if err != nil {
 		log.Error("ended", zap.Error(err))
 		return 1
--- a/internal/system/hollow/settings.go
+++ b/internal/system/hollow/settings.go
@@ -138,13 +138,13 @@
 }
 
 // edgeSettings are those of an edge machine.
-func (w *world) edgeSettings(i int) (*environment.Settings, error) {
+func (w *world) edgeSettings(i int) (*processconfig.Settings, error) {
 	file := w.settingsOf(fmt.Sprintf("edge-%03d", i+1), "edge", edgeAddress(i), w.zone(i))
 	body, err := json.Marshal(file)
 	if err != nil {
 		return nil, errors.Wrap(err, "settings")
 	}
-	settings, err := environment.Parse(body)
+	settings, err := processconfig.Parse(body)
 	return settings, errors.Wrap(err, "settings of an edge machine")
 }
 
--- a/internal/system/hollow/system.go
+++ b/internal/system/hollow/system.go
@@ -27,7 +27,7 @@
 // System is a running system.
 type System struct {
 	world    world
-	platform *cloud.Cloud
+	platform *fakeplatform.Cloud
 	controls []*exec.Cmd
 	logs     []*os.File
 	agents   []*agent.Agent
@@ -59,7 +59,7 @@
 	if s.world.first, err = freePorts(); err != nil {
 		return err
 	}
-	s.platform, err = cloud.Start(cloud.Options{Address: "127.0.0.1:0"})
+	s.platform, err = fakeplatform.Start(fakeplatform.Options{Address: "127.0.0.1:0"})
 	if err != nil {
 		return errors.Wrap(err, "platform")
 	}
@@ -87,7 +87,7 @@
 // listBytes is how long the platform's list is, with the headers of a call.
 func listBytes(platform netip.AddrPort) (int, error) {
 	const headers = 400
-	response, err := http.Get("http://" + platform.String() + cloud.Path)
+	response, err := http.Get("http://" + platform.String() + fakeplatform.Path)
 	if err != nil {
 		return 0, errors.Wrap(err, "platform's list")
 	}
@@ -95,9 +95,9 @@
 	return int(n) + headers, errors.Wrap(errors.CombineErrors(err, response.Body.Close()), "platform's list")
 }
 
-func (s *System) runner(i int, draining bool) cloud.Entry {
+func (s *System) runner(i int, draining bool) fakeplatform.Entry {
 	const services, capacity = 20, 64
-	return cloud.Entry{
+	return fakeplatform.Entry{
 		ID: fmt.Sprintf("i-%08x", i), Service: service(i % services),
 		Address: s.runnerServer.address, // of all: only their ids differ
 		Zone:    s.world.zone(i), Capacity: capacity, Draining: draining, Model: "m",
@@ -117,7 +117,7 @@
 	}
 	s.logs = append(s.logs, log)
 	command := exec.Command(s.world.options.Control[0], s.world.options.Control[1:]...)
-	command.Env = append(os.Environ(), environment.Variable+"="+settings)
+	command.Env = append(os.Environ(), processconfig.Variable+"="+settings)
 	command.Stdout, command.Stderr = log, log
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
--- a/internal/system/jsonfield/jsonfield.go
+++ b/internal/system/jsonfield/jsonfield.go
@@ -21,7 +21,7 @@
 // document is what all values of one document share.
 type document struct {
 	source []byte
-	list   *findings.List
+	list   *validation.List
 }
 
 // Value is a JSON value of a document. Its methods that read it return false, and note a finding, if it is not of the
@@ -38,7 +38,7 @@
 
 // Read checks the syntax of a whole document and returns its value. Anything but one JSON value with white space
 // around it is a finding.
-func Read(source []byte, list *findings.List) (Value, bool) {
+func Read(source []byte, list *validation.List) (Value, bool) {
 	decoder := jx.DecodeBytes(source)
 	raw, err := decoder.Raw()
 	if err != nil {
@@ -57,7 +57,7 @@
 
 // ReadAt reads a value that is known to be valid JSON and stands at the given place of a document that is not at hand.
 // Offsets of findings count from the value's first byte.
-func ReadAt(place string, raw []byte, list *findings.List) Value {
+func ReadAt(place string, raw []byte, list *validation.List) Value {
 	return Value{document: &document{source: raw, list: list}, name: place, index: noIndex, raw: raw}
 }
 
--- a/internal/system/jsonfield/jsonfield_test.go
+++ b/internal/system/jsonfield/jsonfield_test.go
@@ -12,9 +12,9 @@
 	"cinderroad/internal/system/validation"
 )
 
-func read(t *testing.T, source string) (Value, *findings.List) {
+func read(t *testing.T, source string) (Value, *validation.List) {
 	t.Helper()
-	list := &findings.List{}
+	list := &validation.List{}
 	value, ok := Read([]byte(source), list)
 	if !ok {
 		t.Fatalf("%q: %v", source, list.Err())
@@ -47,7 +47,7 @@
 
 func TestReadRefusesWhatIsNotOneValue(t *testing.T) {
 	for _, source := range []string{"", " ", "{", "[1,]", "{} {}", "nul", "01", "\"\x01\"", `{"a":1,}`, `{"a"}`, "1.", "-", "+1"} {
-		var list findings.List
+		var list validation.List
 		if _, ok := Read([]byte(source), &list); ok || list.Len() != 1 {
 			t.Errorf("%q: %v", source, list.Err())
 		}
@@ -110,7 +110,7 @@
 		}
 		value, list = read(t, "{"+fields+`,"f0":1}`)
 		value.StrictObject(func(string, Value) {})
-		var found *findings.Error
+		var found *validation.Error
 		if !errors.As(list.Err(), &found) || found.Findings[0].Place != "f0" {
 			t.Errorf("%d fields: got %v", count, list.Err())
 		}
@@ -121,7 +121,7 @@
 	f.Add([]byte(`{"a":[1,-2.5e3,"x\u00e9\n",true,null],"a":{}}`))
 	f.Add([]byte(" [ ] "))
 	f.Fuzz(func(t *testing.T, source []byte) {
-		var list findings.List
+		var list validation.List
 		value, ok := Read(source, &list)
 		if ok != json.Valid(source) {
 			t.Fatalf("%q: got %v, the standard library says otherwise: %v", source, ok, list.Err())
--- a/internal/system/placement/world_test.go
+++ b/internal/system/placement/world_test.go
@@ -17,7 +17,7 @@
 type world struct {
 	t       testing.TB
 	now     time.Duration
-	agenda  agenda.Agenda
+	agenda  eventqueue.Agenda
 	rng     *rand.Rand
 	service configuration.Service
 	kinds   []*requestKind
--- a/internal/system/policysim/contestants.go
+++ b/internal/system/policysim/contestants.go
@@ -1,4 +1,4 @@
-package experiment
+package policysim
 
 import "cinderroad/internal/system/placement"
 
--- a/internal/system/policysim/policy.go
+++ b/internal/system/policysim/policy.go
@@ -1,7 +1,7 @@
 // Package experiment compares placement policies: several proxies, each with a policy of its own, send drawn traffic
 // to the same modelled runners in virtual time. Every policy sees the same traffic for the same seed, so that
 // differences are the policies' own.
-package experiment
+package policysim
 
 import (
 	"time"
--- a/internal/system/policysim/world.go
+++ b/internal/system/policysim/world.go
@@ -1,4 +1,4 @@
-package experiment
+package policysim
 
 import (
 	"fmt"
@@ -25,7 +25,7 @@
 // world is a run.
 type world struct {
 	scenario *Scenario
-	agenda   agenda.Agenda
+	agenda   eventqueue.Agenda
 	now      time.Duration
 	routes   map[string]*configuration.Route // by class
 	services []*configuration.Service
--- a/internal/system/processconfig/address_test.go
+++ b/internal/system/processconfig/address_test.go
@@ -1,4 +1,4 @@
-package environment
+package processconfig
 
 import (
 	"net/netip"
--- a/internal/system/processconfig/environment.go
+++ b/internal/system/processconfig/environment.go
@@ -1,6 +1,6 @@
 // Package environment reads the settings that the platform hands to each process of the system: who it is, where it
 // listens, what it may use, and the bounds that hold for it. The file is JSON; fields that are not known are ignored.
-package environment
+package processconfig
 
 import (
 	"net/netip"
--- a/internal/system/processconfig/parse.go
+++ b/internal/system/processconfig/parse.go
@@ -1,4 +1,4 @@
-package environment
+package processconfig
 
 import (
 	"fmt"
@@ -36,7 +36,7 @@
 
 // Parse reads settings. All that is wrong with them comes together, in a *findings.Error.
 func Parse(data []byte) (*Settings, error) {
-	var list findings.List
+	var list validation.List
 	settings := &Settings{Timing: defaultTiming(), Zones: map[string]string{}}
 	root, ok := jsonfield.Read(data, &list)
 	if ok {
@@ -62,7 +62,7 @@
 	}
 }
 
-func (s *Settings) require(list *findings.List) {
+func (s *Settings) require(list *validation.List) {
 	if s.Node == "" {
 		list.Add("node", "is missing or empty")
 	}
--- a/internal/system/processconfig/parse_test.go
+++ b/internal/system/processconfig/parse_test.go
@@ -1,4 +1,4 @@
-package environment
+package processconfig
 
 import (
 	"errors"
@@ -67,7 +67,7 @@
 func TestParseReportsAllFindingsWithPlaceAndOffset(t *testing.T) {
 	const broken = `{"node":"n","ip":7,"free_ports":[1,70000],"seed_nodes":["10.0.0.1:1","x"],"timing":{"pass_ms":-1}}`
 	_, err := Parse([]byte(broken))
-	var found *findings.Error
+	var found *validation.Error
 	if !errors.As(err, &found) {
 		t.Fatalf("got %v, want findings", err)
 	}
--- a/internal/system/proxy/agentclient/update.go
+++ b/internal/system/proxy/agentclient/update.go
@@ -1,6 +1,6 @@
 // Package uplink is the proxy's link to the agent of its machine: it follows the feed of the control state and reports
 // what the proxy is and has learnt. It decodes what comes, so that the data plane is handed typed changes only.
-package uplink
+package agentclient
 
 import (
 	"strings"
--- a/internal/system/proxy/agentclient/uplink_test.go
+++ b/internal/system/proxy/agentclient/uplink_test.go
@@ -1,4 +1,4 @@
-package uplink
+package agentclient
 
 import (
 	"context"
--- a/internal/system/proxy/control.go
+++ b/internal/system/proxy/control.go
@@ -41,7 +41,7 @@
 }
 
 // Take puts what changed in the control state in force. It belongs to the loop's goroutine.
-func (p *Proxy) Take(u uplink.Update) {
+func (p *Proxy) Take(u agentclient.Update) {
 	for _, name := range u.Removed {
 		p.control.table.Remove(name)
 		p.shares.forget(name)
@@ -90,7 +90,7 @@
 }
 
 // takeRunners replaces the set of runners.
-func (p *Proxy) takeRunners(listed []uplink.Runner) {
+func (p *Proxy) takeRunners(listed []agentclient.Runner) {
 	now := p.now()
 	runners := make([]placement.Runner, 0, len(listed))
 	for i := range listed {
@@ -99,7 +99,7 @@
 	p.setRunners(runners)
 }
 
-func (p *Proxy) runnerOf(now time.Duration, r *uplink.Runner) placement.Runner {
+func (p *Proxy) runnerOf(now time.Duration, r *agentclient.Runner) placement.Runner {
 	known := placement.Runner{ID: r.ID, Service: r.Service, Address: r.Address, Zone: r.Zone,
 		Region:   p.control.zones[r.Zone],
 		Capacity: r.Capacity, Draining: r.Draining}
--- a/internal/system/proxy/control_test.go
+++ b/internal/system/proxy/control_test.go
@@ -34,14 +34,14 @@
 	c.answered(503, "")
 	one, two := route("one", configuration.Writes), route("two", configuration.Writes)
 	address := netip.MustParseAddrPort(r.listener.Addr().String())
-	runners := []uplink.Runner{{Runner: discovery.Runner{ID: "a", Service: "s", Address: address, Zone: "z",
+	runners := []agentclient.Runner{{Runner: discovery.Runner{ID: "a", Service: "s", Address: address, Zone: "z",
 		ColdLeft: time.Second},
 		ColdUntil: time.Now().Add(time.Hour)}}
 	w.do(func() {
 		if w.proxy.Ready() || a.last().Ready {
 			t.Error("ready without a configuration")
 		}
-		w.proxy.Take(uplink.Update{Version: 3, Routes: []*configuration.Route{one, two},
+		w.proxy.Take(agentclient.Update{Version: 3, Routes: []*configuration.Route{one, two},
 			Services: &[]*configuration.Service{{Name: "s", MaxConns: 8}},
 			Runners:  &runners, Proxies: 2, Complete: true})
 		if !w.proxy.Ready() || !a.last().Ready || a.last().Stopping {
@@ -57,12 +57,12 @@
 	up.request()
 	up.send(served("t2", "ok"))
 	c.answered(200, "ok")
-	w.do(func() { w.proxy.Take(uplink.Update{Version: 4, Removed: []string{"one"}}) })
+	w.do(func() { w.proxy.Take(agentclient.Update{Version: 4, Removed: []string{"one"}}) })
 	c.send(ask("/one/x", "t3", "", ""))
 	c.answered(404, "")
-	none := []uplink.Runner{}
+	none := []agentclient.Runner{}
 	w.do(func() {
-		w.proxy.Take(uplink.Update{Version: 4, Runners: &none})
+		w.proxy.Take(agentclient.Update{Version: 4, Runners: &none})
 		w.proxy.Recall([]byte("learnt before"))
 		if string(w.placer.recalled) != "learnt before" {
 			t.Errorf("recalled %q", w.placer.recalled)
--- a/internal/system/proxy/exchange.go
+++ b/internal/system/proxy/exchange.go
@@ -47,7 +47,7 @@
 	answer    answer
 	events    eventReader // of a stream that may be continued at another runner
 	stalled   bool        // the client does not take what it is sent
-	expiry    *transport.Deadline
+	expiry    *eventloop.Deadline
 }
 
 // newExchange makes the exchange of a request whose head has come.
--- a/internal/system/proxy/link.go
+++ b/internal/system/proxy/link.go
@@ -49,7 +49,7 @@
 // link is a connection to a runner. It carries one request at a time.
 type link struct {
 	runner   *runner
-	conn     *transport.Conn
+	conn     *eventloop.Conn
 	state    linkState
 	attempt  *attempt // nil when idle, or when nobody wants the rest of the answer
 	method   string
@@ -64,11 +64,11 @@
 	told     time.Duration // rest that the runner named
 	since    time.Duration // when it came to rest
 	dialed   time.Duration
-	timeout  *transport.Deadline
+	timeout  *eventloop.Deadline
 	asks     bool          // was opened to find out whether the runner's machine is there
 	heard    bool          // bytes have come since the last look
 	patience time.Duration // until the next one
-	watchdog *transport.Deadline
+	watchdog *eventloop.Deadline
 }
 
 // linkFollows says which states a connection may go to from each one.
@@ -99,7 +99,7 @@
 }
 
 // Opened implements transport.Handler.
-func (l *link) Opened(c *transport.Conn) {
+func (l *link) Opened(c *eventloop.Conn) {
 	p := l.runner.pool.proxy
 	l.timeout.Stop()
 	l.runner.connected(p.now() - l.dialed)
@@ -154,7 +154,7 @@
 }
 
 // Data implements transport.Handler.
-func (l *link) Data(c *transport.Conn) {
+func (l *link) Data(c *eventloop.Conn) {
 	l.heard, l.answered = true, true
 	l.runner.heard = l.runner.pool.proxy.now()
 	for l.state != closed {
@@ -165,7 +165,7 @@
 }
 
 // step takes the next piece of what has come; false when it needs more.
-func (l *link) step(c *transport.Conn) bool {
+func (l *link) step(c *eventloop.Conn) bool {
 	switch l.state {
 	case waiting:
 		return l.readHead(c)
@@ -177,7 +177,7 @@
 }
 
 // readHead takes the head of an answer.
-func (l *link) readHead(c *transport.Conn) bool {
+func (l *link) readHead(c *eventloop.Conn) bool {
 	if len(c.Bytes()) == 0 {
 		return false
 	}
@@ -232,7 +232,7 @@
 }
 
 // readBody takes a part of the body.
-func (l *link) readBody(c *transport.Conn) bool {
+func (l *link) readBody(c *eventloop.Conn) bool {
 	data, n, done, err := l.reader.Next(c.Bytes())
 	if err != nil {
 		l.spoil(err)
@@ -254,7 +254,7 @@
 }
 
 // answerEnded lets the connection rest, or closes it, and ends the attempt.
-func (l *link) answerEnded(c *transport.Conn) {
+func (l *link) answerEnded(c *eventloop.Conn) {
 	a := l.attempt
 	l.attempt = nil
 	if a != nil {
@@ -316,7 +316,7 @@
 }
 
 // Closed implements transport.Handler.
-func (l *link) Closed(_ *transport.Conn, err error) {
+func (l *link) Closed(_ *eventloop.Conn, err error) {
 	if l.state == resting && errors.Is(err, io.EOF) {
 		l.endedIdle()
 	}
@@ -353,7 +353,7 @@
 	}
 	l.attempt = nil
 	l.close()
-	l.answerAsked(errors.Is(err, transport.ErrNoRoom)) // the want is here: it says nothing of the runner
+	l.answerAsked(errors.Is(err, eventloop.ErrNoRoom)) // the want is here: it says nothing of the runner
 	if a != nil {
 		a.link = nil
 		a.failedWith(mayHaveRun)
--- a/internal/system/proxy/model_test.go
+++ b/internal/system/proxy/model_test.go
@@ -35,7 +35,7 @@
 	network *simulatedNetwork
 	random  *rand.Rand
 	referee *referee
-	loop    *transport.Loop
+	loop    *eventloop.Loop
 	proxy   *Proxy
 	runners []*modelRunner
 	clients int           // that still ask
@@ -91,7 +91,7 @@
 	random := rand.New(rand.NewPCG(seed, 5))
 	m := &model{network: newSimulatedNetwork(random), random: random, clients: modelClients}
 	m.referee = newReferee(m.network)
-	m.loop = transport.NewLoopOver(m.network, 1000)
+	m.loop = eventloop.NewLoopOver(m.network, 1000)
 	m.loop.LendReads = true
 	placer := &fakePlacer{spread: true}
 	m.proxy = New(m.loop, zap.NewNop(), placer, Options{Front: modelFront, GracePeriod: 8 * time.Second, Seed: seed})
--- a/internal/system/proxy/monitor.go
+++ b/internal/system/proxy/monitor.go
@@ -30,15 +30,15 @@
 	proxy    *Proxy
 	path     string
 	answer   func() monitorAnswer
-	listener *transport.Listener
+	listener *eventloop.Listener
 	sessions []*monitorSession // the oldest first
 }
 
 // monitorSession is a connection to an endpoint.
 type monitorSession struct {
 	endpoint *monitorEndpoint
-	conn     *transport.Conn
-	timeout  *transport.Deadline
+	conn     *eventloop.Conn
+	timeout  *eventloop.Deadline
 }
 
 // listenMonitor serves an endpoint; the zero address is not served.
@@ -69,7 +69,7 @@
 	return monitorAnswer{status: 200, contentType: exposition.ContentType, body: page.Text()}
 }
 
-func (e *monitorEndpoint) accept(c *transport.Conn) transport.Handler {
+func (e *monitorEndpoint) accept(c *eventloop.Conn) eventloop.Handler {
 	s := &monitorSession{endpoint: e, conn: c}
 	e.sessions = append(e.sessions, s)
 	s.expect()
@@ -103,13 +103,13 @@
 }
 
 // Opened implements transport.Handler.
-func (s *monitorSession) Opened(*transport.Conn) {}
+func (s *monitorSession) Opened(*eventloop.Conn) {}
 
 // Closed implements transport.Handler.
-func (s *monitorSession) Closed(*transport.Conn, error) { s.leave() }
+func (s *monitorSession) Closed(*eventloop.Conn, error) { s.leave() }
 
 // Data implements transport.Handler.
-func (s *monitorSession) Data(c *transport.Conn) {
+func (s *monitorSession) Data(c *eventloop.Conn) {
 	for len(c.Bytes()) > 0 {
 		q, n, err := httpwire.ParseRequestHead(c.Bytes(), monitorHead)
 		if errors.Is(err, httpwire.ErrMore) {
--- a/internal/system/proxy/peers.go
+++ b/internal/system/proxy/peers.go
@@ -28,7 +28,7 @@
 type peers struct {
 	proxy    *Proxy
 	random   *rand.Rand
-	socket   *transport.Socket
+	socket   *eventloop.Socket
 	named    bool                        // the agent has told who the others are
 	own      []netip.AddrPort            // in the own zone
 	zones    map[string][]netip.AddrPort // in the others
--- a/internal/system/proxy/peers_test.go
+++ b/internal/system/proxy/peers_test.go
@@ -62,7 +62,7 @@
 // hearingProxy is a proxy on a loopback address of its own that hears notices at a free port.
 func hearingProxy(t *testing.T, link float64) (*Proxy, *hearingPlacer) {
 	t.Helper()
-	loop, err := transport.NewLoop(64)
+	loop, err := eventloop.NewLoop(64)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,8 +148,8 @@
 	p, placer := hearingProxy(t, 0)
 	p.control.table = routetable.New()
 	peers := []feed.Peer{{Node: "one", Zone: "a"}, {Node: "two", Zone: "a"}}
-	p.Take(uplink.Update{Proxies: 4, Peers: &peers})
-	p.Take(uplink.Update{Proxies: 3})
+	p.Take(agentclient.Update{Proxies: 4, Peers: &peers})
+	p.Take(agentclient.Update{Proxies: 3})
 	if placer.numbers != 0 {
 		t.Errorf("the placer was told %d times of a number alone", placer.numbers)
 	}
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -64,7 +64,7 @@
 type Proxy struct {
 	Figures Figures
 
-	loop    *transport.Loop
+	loop    *eventloop.Loop
 	log     *zap.Logger
 	placer  Placer
 	options Options
@@ -78,7 +78,7 @@
 	pool      *pool
 	peers     *peers
 
-	front        *transport.Listener
+	front        *eventloop.Listener
 	ready        *monitorEndpoint
 	figures      *monitorEndpoint
 	sessions     sessionList
@@ -86,13 +86,13 @@
 	buffered     int // bytes of bodies held
 	pending      pendingWrite
 	stopping     stopping
-	tick         *transport.Deadline
+	tick         *eventloop.Deadline
 	scratch      []byte
 	eventScratch []byte
 }
 
 // New makes a proxy; it serves nothing until Listen.
-func New(loop *transport.Loop, log *zap.Logger, placer Placer, options Options) *Proxy {
+func New(loop *eventloop.Loop, log *zap.Logger, placer Placer, options Options) *Proxy {
 	p := &Proxy{loop: loop, log: log, placer: placer, options: options, began: loop.Now()}
 	p.shares = newShareDraws(rand.New(rand.NewPCG(options.Seed, options.Seed^0x9e3779b97f4a7c15)))
 	p.pool = newPool(p)
@@ -142,7 +142,7 @@
 }
 
 // at runs do at a time of the proxy's clock.
-func (p *Proxy) at(when time.Duration, do func()) *transport.Deadline {
+func (p *Proxy) at(when time.Duration, do func()) *eventloop.Deadline {
 	return p.loop.At(p.began+when.Seconds(), do)
 }
 
--- a/internal/system/proxy/session.go
+++ b/internal/system/proxy/session.go
@@ -20,7 +20,7 @@
 // session is a connection of a client. It carries one exchange at a time; requests that a client sends ahead wait.
 type session struct {
 	proxy    *Proxy
-	conn     *transport.Conn
+	conn     *eventloop.Conn
 	exchange *exchange // nil between requests
 	last     bool      // closes after the answer at hand
 	began    bool      // bytes of the next request have come
@@ -29,13 +29,13 @@
 	coming   bool          // bytes of a request have come whose head was not read
 	comingAt time.Duration // when the first of them came: the client's time runs at least from then
 	heardAt  time.Duration // when bytes last came
-	timeout  *transport.Deadline
+	timeout  *eventloop.Deadline
 
 	previous, next *session // in the list of sessions, of which the one that rests longest is first
 }
 
 // accept owns a new connection.
-func (p *Proxy) accept(c *transport.Conn) transport.Handler {
+func (p *Proxy) accept(c *eventloop.Conn) eventloop.Handler {
 	s := &session{proxy: p, conn: c, entered: p.now()}
 	p.sessions.add(s)
 	s.rest()
@@ -43,10 +43,10 @@
 }
 
 // Opened implements transport.Handler.
-func (s *session) Opened(*transport.Conn) {}
+func (s *session) Opened(*eventloop.Conn) {}
 
 // Data implements transport.Handler.
-func (s *session) Data(c *transport.Conn) {
+func (s *session) Data(c *eventloop.Conn) {
 	s.heardAt = s.proxy.now()
 	if s.exchange == nil || s.exchange.state != receiving {
 		s.noteComing()
@@ -68,14 +68,14 @@
 }
 
 // Drained implements transport.Drainer: the client has taken all.
-func (s *session) Drained(*transport.Conn) {
+func (s *session) Drained(*eventloop.Conn) {
 	if s.exchange != nil {
 		s.exchange.stall(false)
 	}
 }
 
 // Closed implements transport.Handler: the client has gone.
-func (s *session) Closed(*transport.Conn, error) {
+func (s *session) Closed(*eventloop.Conn, error) {
 	x := s.exchange
 	s.leave()
 	if x != nil {
--- a/internal/system/proxy/world_test.go
+++ b/internal/system/proxy/world_test.go
@@ -25,7 +25,7 @@
 // world is a proxy on loopback with scripted runners; tests play its clients and runners over blocking sockets.
 type world struct {
 	t      *testing.T
-	loop   *transport.Loop
+	loop   *eventloop.Loop
 	proxy  *Proxy
 	placer *fakePlacer
 	routes *fakeRoutes
@@ -54,7 +54,7 @@
 
 func newWorld(t *testing.T, change ...func(*Options)) *world {
 	t.Helper()
-	loop, err := transport.NewLoop(1000)
+	loop, err := eventloop.NewLoop(1000)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/replica/core_follower_test.go
+++ b/internal/system/replica/core_follower_test.go
@@ -22,14 +22,14 @@
 // coreFollower is an agent that chooses the machine it follows as agents do. Its own links are always there.
 type coreFollower struct {
 	world   *coreWorld
-	machine *source.Machine
+	machine *upstream.Machine
 	table   *feed.Table
 	asked   uint64                   // calls made
 	arrived map[uint64]time.Duration // by index: when it was held
 }
 
 func (w *coreWorld) addFollower() *coreFollower {
-	f := &coreFollower{world: w, machine: source.New(source.Options{}, w.now),
+	f := &coreFollower{world: w, machine: upstream.New(upstream.Options{}, w.now),
 		table: feed.NewTable(feed.ConfigurationPartition), arrived: map[uint64]time.Duration{}}
 	w.after(0, f.next)
 	return f
@@ -52,7 +52,7 @@
 }
 
 // ask makes a call. It fails where no answer comes in time.
-func (f *coreFollower) ask(question source.Question) {
+func (f *coreFollower) ask(question upstream.Question) {
 	w := f.world
 	f.asked++
 	call, slot := f.asked, w.byPort[question.Address]
@@ -75,7 +75,7 @@
 }
 
 // serve is what following.Server does with a call.
-func (f *coreFollower) serve(p *coreProcess, question source.Question, call uint64) {
+func (f *coreFollower) serve(p *coreProcess, question upstream.Question, call uint64) {
 	position := f.table.Index()
 	answer := func() {
 		batch := p.state.Since(position, 0)
@@ -114,7 +114,7 @@
 			f.arrived[link.index] = w.now
 		}
 	}
-	f.machine.Answered(w.now, from, source.Answer{Ages: []time.Duration{age}, Lagging: lagging})
+	f.machine.Answered(w.now, from, upstream.Answer{Ages: []time.Duration{age}, Lagging: lagging})
 	f.next()
 }
 
--- a/internal/system/replica/core_world_test.go
+++ b/internal/system/replica/core_world_test.go
@@ -20,7 +20,7 @@
 	seed    uint64
 	random  *rand.Rand
 	now     time.Duration
-	agenda  agenda.Agenda
+	agenda  eventqueue.Agenda
 	verbose bool
 	failed  string
 	faults  bool // they go on
@@ -78,7 +78,7 @@
 // coreSlot is a machine: its disk and its process outlive each other.
 type coreSlot struct {
 	number   int
-	settings environment.Settings
+	settings processconfig.Settings
 	disk     *coreDisk
 	process  *coreProcess
 	offset   time.Duration // of its clock
@@ -191,10 +191,10 @@
 func (w *coreWorld) addSlot(first bool) *coreSlot {
 	n := len(w.slots)
 	s := &coreSlot{number: n, disk: &coreDisk{}, offset: w.between(0, time.Hour), rate: 0.98 + 0.04*w.random.Float64()}
-	s.settings = environment.Settings{Node: fmt.Sprintf("core-%d", n), IP: netip.AddrFrom4([4]byte{10, 0, 0, byte(n + 1)}),
-		Zone: fmt.Sprintf("zone-%d", n%3), FreePorts: environment.PortRange{First: 9000, Last: 9015}, SeedNodes: w.seeds,
-		FirstBoot: first, Survive: environment.Survive{MachineLosses: max(w.losses, 1), Zones: 1},
-		Timing: environment.Timing{CatchUp: testCatchUp}}
+	s.settings = processconfig.Settings{Node: fmt.Sprintf("core-%d", n), IP: netip.AddrFrom4([4]byte{10, 0, 0, byte(n + 1)}),
+		Zone: fmt.Sprintf("zone-%d", n%3), FreePorts: processconfig.PortRange{First: 9000, Last: 9015}, SeedNodes: w.seeds,
+		FirstBoot: first, Survive: processconfig.Survive{MachineLosses: max(w.losses, 1), Zones: 1},
+		Timing: processconfig.Timing{CatchUp: testCatchUp}}
 	w.slots = append(w.slots, s)
 	w.byPort[s.address()] = s
 	return s
--- a/internal/system/replica/founding.go
+++ b/internal/system/replica/founding.go
@@ -21,14 +21,14 @@
 }
 
 // controlAddress is where the control replica of a machine listens.
-func controlAddress(s *environment.Settings, machine netip.Addr) netip.AddrPort {
-	return netip.AddrPortFrom(machine, s.Port(environment.ControlRPC))
+func controlAddress(s *processconfig.Settings, machine netip.Addr) netip.AddrPort {
+	return netip.AddrPortFrom(machine, s.Port(processconfig.ControlRPC))
 }
 
 // founding is the membership that a system begins with: the machines of the seed list, which is the same at all of them
 // on the first boot. It tells false where this machine does not found. Names and zones are not known of the others yet;
 // each member tells them once it runs.
-func founding(s *environment.Settings) (consensus.Membership, bool) {
+func founding(s *processconfig.Settings) (consensus.Membership, bool) {
 	if !s.FirstBoot {
 		return consensus.Membership{}, false
 	}
--- a/internal/system/replica/host.go
+++ b/internal/system/replica/host.go
@@ -33,7 +33,7 @@
 
 // Options are a host's.
 type Options struct {
-	Settings *environment.Settings
+	Settings *processconfig.Settings
 	// States are the state machines of the partitions, from 0 on.
 	States []StateMachine
 	Log    *zap.Logger
--- a/internal/system/replica/host_test.go
+++ b/internal/system/replica/host_test.go
@@ -72,7 +72,7 @@
 // machine is a control machine of a test.
 type machine struct {
 	t        *testing.T
-	settings environment.Settings
+	settings processconfig.Settings
 	host     *Host
 	states   []*listState
 	end      context.CancelFunc
@@ -115,10 +115,10 @@
 
 // add makes a machine that is not started.
 func (c *cluster) add(i int, firstBoot bool) *machine {
-	m := &machine{t: c.t, settings: environment.Settings{Node: fmt.Sprintf("core-%d", i), IP: loopback(i),
-		Zone: fmt.Sprintf("zone-%d", i%3), FreePorts: environment.PortRange{First: c.port, Last: c.port + 15},
+	m := &machine{t: c.t, settings: processconfig.Settings{Node: fmt.Sprintf("core-%d", i), IP: loopback(i),
+		Zone: fmt.Sprintf("zone-%d", i%3), FreePorts: processconfig.PortRange{First: c.port, Last: c.port + 15},
 		SeedNodes: c.seeds, FirstBoot: firstBoot, StateDir: filepath.Join(c.t.TempDir(), "state"),
-		Survive: environment.Survive{MachineLosses: 1, Zones: 1}}}
+		Survive: processconfig.Survive{MachineLosses: 1, Zones: 1}}}
 	c.machines = append(c.machines, m)
 	return m
 }
@@ -469,7 +469,7 @@
 // answer until it has asked where that one is.
 func TestUnknownLeader(t *testing.T) {
 	const self, founder, joined = 1, 2, 9
-	settings := environment.Settings{IP: netip.MustParseAddr("10.0.0.1"), FreePorts: environment.PortRange{First: 9000, Last: 9015}}
+	settings := processconfig.Settings{IP: netip.MustParseAddr("10.0.0.1"), FreePorts: processconfig.PortRange{First: 9000, Last: 9015}}
 	host := New(Options{Settings: &settings, States: []StateMachine{&listState{}}})
 	host.self.ID = self
 	member := host.self
--- a/internal/system/startup/serve.go
+++ b/internal/system/startup/serve.go
@@ -12,11 +12,11 @@
 // Process is a running program that can take settings which have changed.
 type Process interface {
 	Run(ctx context.Context) error // until the context ends and the process has ended in order
-	Reload(settings *environment.Settings)
+	Reload(settings *processconfig.Settings)
 }
 
 // Start makes a process of the settings. The context ends only the start.
-type Start func(ctx context.Context, settings *environment.Settings, log *zap.Logger) (Process, error)
+type Start func(ctx context.Context, settings *processconfig.Settings, log *zap.Logger) (Process, error)
 
 // Serve reads the settings, starts a process and runs it until the program is asked to stop. On SIGHUP it reads the
 // settings again and hands them to the process; the earlier ones stay where they can't be read.
@@ -39,7 +39,7 @@
 // reload reads the settings again whenever they are said to have changed.
 func reload(log *zap.Logger, process Process, changes <-chan os.Signal) {
 	for range changes {
-		settings, err := environment.Load()
+		settings, err := processconfig.Load()
 		if err != nil {
 			log.Warn("changed settings can't be read, the earlier ones stay", zap.Error(err))
 			continue
--- a/internal/system/startup/serve_test.go
+++ b/internal/system/startup/serve_test.go
@@ -16,14 +16,14 @@
 const testPatience = 30 * time.Second
 
 // testProcess tells of what it is asked for.
-type testProcess struct{ reloaded chan *environment.Settings }
+type testProcess struct{ reloaded chan *processconfig.Settings }
 
 func (p *testProcess) Run(ctx context.Context) error {
 	<-ctx.Done()
 	return nil
 }
 
-func (p *testProcess) Reload(settings *environment.Settings) { p.reloaded <- settings }
+func (p *testProcess) Reload(settings *processconfig.Settings) { p.reloaded <- settings }
 
 func writeSettings(t *testing.T, path, node string) {
 	t.Helper()
@@ -44,12 +44,12 @@
 func TestServe(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.json")
 	writeSettings(t, path, "first")
-	t.Setenv(environment.Variable, path)
-	process := &testProcess{reloaded: make(chan *environment.Settings)}
+	t.Setenv(processconfig.Variable, path)
+	process := &testProcess{reloaded: make(chan *processconfig.Settings)}
 	started, ended := make(chan string, 1), make(chan error, 1)
 	go func() {
 		ended <- exampleProgram().Serve(zap.NewNop(),
-			func(_ context.Context, settings *environment.Settings, _ *zap.Logger) (Process, error) {
+			func(_ context.Context, settings *processconfig.Settings, _ *zap.Logger) (Process, error) {
 				started <- settings.Node
 				return process, nil
 			})
@@ -79,9 +79,9 @@
 }
 
 func TestServeWithoutSettings(t *testing.T) {
-	t.Setenv(environment.Variable, filepath.Join(t.TempDir(), "missing.json"))
+	t.Setenv(processconfig.Variable, filepath.Join(t.TempDir(), "missing.json"))
 	err := exampleProgram().Serve(zap.NewNop(),
-		func(context.Context, *environment.Settings, *zap.Logger) (Process, error) {
+		func(context.Context, *processconfig.Settings, *zap.Logger) (Process, error) {
 			t.Error("started without settings")
 			return nil, nil
 		})
--- a/internal/system/startup/startup.go
+++ b/internal/system/startup/startup.go
@@ -70,8 +70,8 @@
 
 // LoadSettings reads the settings file of a program that says that it starts, and returns the settings with a logger
 // that adds the machine's name to each event.
-func (p *Program) LoadSettings(log *zap.Logger) (*environment.Settings, *zap.Logger, error) {
-	settings, err := environment.Load()
+func (p *Program) LoadSettings(log *zap.Logger) (*processconfig.Settings, *zap.Logger, error) {
+	settings, err := processconfig.Load()
 	if err != nil {
 		return nil, nil, fmt.Errorf("read the settings: %w", err)
 	}
--- a/internal/system/validation/findings.go
+++ b/internal/system/validation/findings.go
@@ -1,6 +1,6 @@
 // Package findings collects what is wrong with a document, each finding with its place, so that all of them can be
 // reported together.
-package findings
+package validation
 
 import (
 	"errors"
--- a/internal/system/validation/findings_test.go
+++ b/internal/system/validation/findings_test.go
@@ -1,4 +1,4 @@
-package findings
+package validation
 
 import (
 	"errors"
--- a/internal/testkit/checker/referee.go
+++ b/internal/testkit/checker/referee.go
@@ -1,6 +1,6 @@
 // Package referee holds what clients asked for against what runners were sent and what came back, and notes each rule
 // of the protocol that was broken. Stand-ins for clients, runners and the platform report to one referee.
-package referee
+package checker
 
 import (
 	"fmt"
--- a/internal/testkit/checker/referee_test.go
+++ b/internal/testkit/checker/referee_test.go
@@ -1,4 +1,4 @@
-package referee
+package checker
 
 import (
 	"testing"
--- a/internal/testkit/client/client.go
+++ b/internal/testkit/client/client.go
@@ -25,7 +25,7 @@
 	Gap       time.Duration // longest pause between events that is in time; 0: any
 	Deadline  time.Duration
 	Retries   int
-	Referee   *referee.Route
+	Referee   *checker.Route
 }
 
 // Call is one request that a client wants answered.
@@ -47,7 +47,7 @@
 	Front       string        // address of the dispatcher that all calls go to; empty: the directory tells
 	Clients     int           // in each zone; 0: 10
 	TTLMax      time.Duration // longest that an answer of the directory counts
-	Referee     *referee.Referee
+	Referee     *checker.Referee
 	Seed        uint64
 }
 
@@ -149,7 +149,7 @@
 }
 
 // breach notes a broken rule.
-func (l *Load) breach(rule referee.Rule, format string, args ...any) {
+func (l *Load) breach(rule checker.Rule, format string, args ...any) {
 	if l.options.Referee != nil {
 		l.options.Referee.Break(rule, format, args...)
 	}
--- a/internal/testkit/client/client_test.go
+++ b/internal/testkit/client/client_test.go
@@ -23,13 +23,13 @@
 // world is a directory that names one address, and clients.
 type world struct {
 	load    *Load
-	referee *referee.Referee
+	referee *checker.Referee
 	lookups atomic.Int32
 }
 
 func newWorld(t *testing.T, front string) *world {
 	t.Helper()
-	w := &world{referee: referee.New(referee.Bounds{}, nil)}
+	w := &world{referee: checker.New(checker.Bounds{}, nil)}
 	directory := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, q *http.Request) {
 		w.lookups.Add(1)
 		if q.URL.Query().Get("zone") != "a" || q.URL.Query().Get("region") != "r" ||
@@ -48,13 +48,13 @@
 func streams() *Route {
 	return &Route{Name: "streams", Host: "h.example", Path: "/s/1", Stream: true, Target: 10 * time.Second,
 		Deadline: 20 * time.Second,
-		Referee:  &referee.Route{Name: "streams", Services: []string{"llm"}}}
+		Referee:  &checker.Route{Name: "streams", Services: []string{"llm"}}}
 }
 
 func bodies() *Route {
 	return &Route{Name: "bodies", Host: "h.example", Path: "/b/1", ReadOnly: true, Target: 10 * time.Second,
 		Deadline: 20 * time.Second,
-		Referee:  &referee.Route{Name: "bodies", Services: []string{"llm", "api"}, Idempotent: true}}
+		Referee:  &checker.Route{Name: "bodies", Services: []string{"llm", "api"}, Idempotent: true}}
 }
 
 func callOf(route *Route) *Call {
@@ -71,7 +71,7 @@
 
 func startRunner(t *testing.T, w *world, service string) *runner.Runner {
 	t.Helper()
-	o := runner.Options{Runner: referee.Runner{ID: "i-1", Service: service}, Address: "127.0.0.1:0", BodyBytes: 100,
+	o := runner.Options{Runner: checker.Runner{ID: "i-1", Service: service}, Address: "127.0.0.1:0", BodyBytes: 100,
 		Referee: w.referee}
 	o.Machine, _ = engine.NewWorkers(2, 2)
 	if service == "llm" {
@@ -123,7 +123,7 @@
 	c.Close()
 }
 
-func (w *world) rules() (rules []referee.Rule) {
+func (w *world) rules() (rules []checker.Rule) {
 	for _, b := range w.referee.Close() {
 		rules = append(rules, b.Rule)
 	}
@@ -177,7 +177,7 @@
 		for range 20 { // extra bytes come a moment after the answer
 			w.call(bodies())
 		}
-		if rules := w.rules(); len(rules) == 0 || rules[0] != referee.Mixed {
+		if rules := w.rules(); len(rules) == 0 || rules[0] != checker.Mixed {
 			t.Errorf("%s: %v", name, rules)
 		}
 	}
@@ -223,16 +223,16 @@
 		name    string
 		route   *Route
 		handler http.HandlerFunc
-		want    referee.Rule
+		want    checker.Rule
 	}{
-		{"no seal", bodies(), func(w http.ResponseWriter, q *http.Request) {}, referee.Mixed},
-		{"another's answer", bodies(), other, referee.Mixed},
-		{"a changed body", bodies(), changed, referee.Mixed},
+		{"no seal", bodies(), func(w http.ResponseWriter, q *http.Request) {}, checker.Mixed},
+		{"another's answer", bodies(), other, checker.Mixed},
+		{"a changed body", bodies(), changed, checker.Mixed},
 		{"a whole stream", streams(), pieces(2, 1, 2), ""},
-		{"a missing piece", streams(), pieces(3, 1, 3), referee.Order},
-		{"a piece twice", streams(), pieces(2, 1, 1, 2), referee.Order},
-		{"an end before the last piece", streams(), pieces(3, 1, 2), referee.Order},
-		{"two runs in one", streams(), twoRuns, referee.Order},
+		{"a missing piece", streams(), pieces(3, 1, 3), checker.Order},
+		{"a piece twice", streams(), pieces(2, 1, 1, 2), checker.Order},
+		{"an end before the last piece", streams(), pieces(3, 1, 2), checker.Order},
+		{"two runs in one", streams(), twoRuns, checker.Order},
 	} {
 		w := edge(t, test.handler)
 		got := w.call(test.route)
--- a/internal/testkit/client/stream.go
+++ b/internal/testkit/client/stream.go
@@ -19,22 +19,22 @@
 // readStream reads events until the stream ends.
 func (c *call) readStream(conn *conn, head *http.Response, seal answer.Seal, id string) verdict {
 	if !seal.Stream || seal.Try != id {
-		c.client.load.breach(referee.Mixed, "the seal of try %s came for try %s", seal.Try, id)
+		c.client.load.breach(checker.Mixed, "the seal of try %s came for try %s", seal.Try, id)
 	}
 	if c.of != 0 && seal.Size != c.of {
-		c.client.load.breach(referee.Order, "try %s goes on with %d pieces where there were %d", id, seal.Size, c.of)
+		c.client.load.breach(checker.Order, "try %s goes on with %d pieces where there were %d", id, seal.Size, c.of)
 	}
 	c.of = seal.Size
 	c.run = ""
 	err := c.readEvents(conn, bufio.NewReader(head.Body), id)
 	switch {
 	case errors.Is(err, errOrder):
-		c.client.load.breach(referee.Order, "%v", err)
+		c.client.load.breach(checker.Order, "%v", err)
 		return failed
 	case err != nil:
 		return c.broken(conn, err)
 	case c.events < c.of:
-		c.client.load.breach(referee.Order, "the stream of try %s ended as complete after piece %d of %d", id, c.events, c.of)
+		c.client.load.breach(checker.Order, "the stream of try %s ended as complete after piece %d of %d", id, c.events, c.of)
 		return failed
 	}
 	return served
--- a/internal/testkit/client/try.go
+++ b/internal/testkit/client/try.go
@@ -32,7 +32,7 @@
 	id := c.client.load.newTry()
 	body := c.body(id)
 	if r := c.client.load.options.Referee; r != nil {
-		r.Asked(referee.Try{ID: id, Method: method, Host: c.Route.Host, URI: c.Route.Path, Body: referee.Hash(body),
+		r.Asked(checker.Try{ID: id, Method: method, Host: c.Route.Host, URI: c.Route.Path, Body: checker.Hash(body),
 			Route: c.Route.Referee})
 	}
 	conn.SetDeadline(c.patience())
@@ -63,7 +63,7 @@
 	if ended || errors.As(err, &network) {
 		return
 	}
-	c.client.load.breach(referee.Mixed, "bytes that are not an answer came for try %s: %v", id, err)
+	c.client.load.breach(checker.Mixed, "bytes that are not an answer came for try %s: %v", id, err)
 }
 
 // broken is the verdict on a try whose connection broke.
@@ -109,7 +109,7 @@
 // read reads an answer from its head on.
 func (c *call) read(conn *conn, head *http.Response, id string) verdict {
 	if got := head.Header.Get(answer.TryID); got != "" && got != id {
-		c.client.load.breach(referee.Mixed, "an answer to try %s came for try %s", got, id)
+		c.client.load.breach(checker.Mixed, "an answer to try %s came for try %s", got, id)
 	}
 	if head.StatusCode >= http.StatusOK && head.StatusCode < http.StatusMultipleChoices {
 		return c.readSuccess(conn, head, id)
@@ -144,7 +144,7 @@
 func (c *call) readSuccess(conn *conn, head *http.Response, id string) verdict {
 	seal, err := answer.ParseSeal(head.Header.Get(answer.SealHeader))
 	if err != nil {
-		c.client.load.breach(referee.Mixed, "a success came for try %s: %v", id, err)
+		c.client.load.breach(checker.Mixed, "a success came for try %s: %v", id, err)
 		io.Copy(io.Discard, head.Body)
 		return failed
 	}
@@ -156,7 +156,7 @@
 		return c.broken(conn, err)
 	}
 	if err := seal.CheckBody(id, body); err != nil {
-		c.client.load.breach(referee.Mixed, "%v", err)
+		c.client.load.breach(checker.Mixed, "%v", err)
 		return failed
 	}
 	c.first = time.Since(c.began)
--- a/internal/testkit/eventqueue/agenda.go
+++ b/internal/testkit/eventqueue/agenda.go
@@ -1,5 +1,5 @@
 // Package agenda is what is to happen in a run over virtual time, in order: by time, and by when it was said where times are the same.
-package agenda
+package eventqueue
 
 import "container/heap"
 
--- a/internal/testkit/fakeplatform/cloud.go
+++ b/internal/testkit/fakeplatform/cloud.go
@@ -1,6 +1,6 @@
 // Package cloud stands in for the platform's list of runners: GET /servers on loopback, in pages, some time behind, and
 // with a bound on calls a second.
-package cloud
+package fakeplatform
 
 import (
 	"cmp"
--- a/internal/testkit/fakeplatform/cloud_test.go
+++ b/internal/testkit/fakeplatform/cloud_test.go
@@ -1,4 +1,4 @@
-package cloud
+package fakeplatform
 
 import (
 	"encoding/json"
--- a/internal/testkit/processcluster/audit.go
+++ b/internal/testkit/processcluster/audit.go
@@ -1,4 +1,4 @@
-package rig
+package processcluster
 
 import (
 	"errors"
@@ -22,16 +22,16 @@
 }
 
 // Audit reads what the members have written so far.
-func (r *Rig) Audit() *ledger.Report {
+func (r *Rig) Audit() *auditlog.Report {
 	time.Sleep(time.Duration(2 * linelog.FlushEvery * float64(time.Second)))
-	report, err := ledger.Files(ledger.DefaultRules, r.Files(), func(file string, line int, err error) {
+	report, err := auditlog.Files(auditlog.DefaultRules, r.Files(), func(file string, line int, err error) {
 		if line == 0 {
 			r.must(err)
 		}
 		r.Log(file + ": " + err.Error())
 	})
-	if errors.Is(err, ledger.ErrNone) {
-		return &ledger.Report{}
+	if errors.Is(err, auditlog.ErrNone) {
+		return &auditlog.Report{}
 	}
 	r.must(err)
 	return report
--- a/internal/testkit/processcluster/discovery.go
+++ b/internal/testkit/processcluster/discovery.go
@@ -1,4 +1,4 @@
-package rig
+package processcluster
 
 import (
 	"encoding/json"
--- a/internal/testkit/processcluster/member.go
+++ b/internal/testkit/processcluster/member.go
@@ -1,4 +1,4 @@
-package rig
+package processcluster
 
 import (
 	"encoding/json"
@@ -26,7 +26,7 @@
 	Listen  string
 	Console string
 	Bind    string
-	Relay   *standin.Datagrams // others' way to it
+	Relay   *receivers.Datagrams // others' way to it
 	Fleet   string             // name of its fleet
 
 	rig     *Rig
@@ -36,8 +36,8 @@
 	logPath string
 	out     atomic.Bool // clients do not come
 	deaths  atomic.Int64
-	runners []*standin.Stream // its ways to the runners
-	list    *standin.Stream   // its way to discovery
+	runners []*receivers.Stream // its ways to the runners
+	list    *receivers.Stream   // its way to discovery
 	client  *http.Client
 	socket  *os.File  // of the clients, where it is inherited
 	before  *exec.Cmd // the process whose place this one's takes
@@ -59,10 +59,10 @@
 		r.must(err)
 		l.Close()
 	}
-	m.Relay, err = standin.NewDatagrams(m.Name, netip.MustParseAddrPort(m.Bind), r.Seed+uint64(i), r.Log)
+	m.Relay, err = receivers.NewDatagrams(m.Name, netip.MustParseAddrPort(m.Bind), r.Seed+uint64(i), r.Log)
 	r.must(err)
 	m.Relay.From = r.sender
-	m.list, err = standin.NewStream(m.Name+" -> discovery", "127.0.0.1:0", r.Discovery.listen(m), r.Log)
+	m.list, err = receivers.NewStream(m.Name+" -> discovery", "127.0.0.1:0", r.Discovery.listen(m), r.Log)
 	r.must(err)
 	for _, u := range r.Runners {
 		m.reach(u)
@@ -72,7 +72,7 @@
 }
 
 func (m *Member) reach(u *Runner) {
-	s, err := standin.NewStream(m.Name+" -> "+u.Name, "127.0.0.2:0", u.listen(m), m.rig.Log)
+	s, err := receivers.NewStream(m.Name+" -> "+u.Name, "127.0.0.2:0", u.listen(m), m.rig.Log)
 	m.rig.must(err)
 	m.runners = append(m.runners, s)
 }
@@ -112,7 +112,7 @@
 	m.Bind = m.rig.freePort()
 	m.Relay.Close()
 	var err error
-	m.Relay, err = standin.NewDatagrams(m.Name, netip.MustParseAddrPort(m.Bind), m.rig.Seed, m.rig.Log)
+	m.Relay, err = receivers.NewDatagrams(m.Name, netip.MustParseAddrPort(m.Bind), m.rig.Seed, m.rig.Log)
 	m.rig.must(err)
 	m.Relay.From = m.rig.sender
 	return m.Operator()
@@ -327,9 +327,9 @@
 }
 
 // Status is what the member holds of the fleet; nil if it does not answer.
-func (m *Member) Status() *fleet.Status {
+func (m *Member) Status() *cluster.Status {
 	code, text := m.Call("GET", "/api/fleet", "")
-	s := &fleet.Status{}
+	s := &cluster.Status{}
 	if code != 200 || json.Unmarshal([]byte(text), s) != nil {
 		return nil
 	}
@@ -349,7 +349,7 @@
 }
 
 // RunnerWay is a member's way to a runner, ListWay its way to discovery.
-func (m *Member) RunnerWay(i int) *standin.Stream { return m.runners[i] }
+func (m *Member) RunnerWay(i int) *receivers.Stream { return m.runners[i] }
 
 // ListWay is the member's way to discovery.
-func (m *Member) ListWay() *standin.Stream { return m.list }
+func (m *Member) ListWay() *receivers.Stream { return m.list }
--- a/internal/testkit/processcluster/rig.go
+++ b/internal/testkit/processcluster/rig.go
@@ -9,7 +9,7 @@
 //	f.Check()
 //
 // What a test waits for is given long; how long it took is logged, never judged. Where a test fails all logs are kept.
-package rig
+package processcluster
 
 import (
 	"fmt"
@@ -167,7 +167,7 @@
 
 // freePort is a port for TCP and UDP.
 func (r *Rig) freePort() string {
-	addr, err := standin.FreePort()
+	addr, err := receivers.FreePort()
 	r.must(err)
 	return addr
 }
@@ -230,7 +230,7 @@
 }
 
 // Link sets the way of datagrams from one member to another.
-func (r *Rig) Link(from, to *Member, l standin.Link) { to.Relay.Set(from.Name, l) }
+func (r *Rig) Link(from, to *Member, l receivers.Link) { to.Relay.Set(from.Name, l) }
 
 // Island cuts members off from all others, both ways.
 func (r *Rig) Island(members ...*Member) {
@@ -241,14 +241,14 @@
 	for _, a := range r.Members {
 		for _, b := range r.Members {
 			if in[a] != in[b] {
-				r.Link(a, b, standin.Link{Silent: true})
+				r.Link(a, b, receivers.Link{Silent: true})
 			}
 		}
 	}
 }
 
 // Everywhere sets all ways of datagrams.
-func (r *Rig) Everywhere(l standin.Link) {
+func (r *Rig) Everywhere(l receivers.Link) {
 	for _, m := range r.Members {
 		m.Relay.Clear()
 		m.Relay.Set("", l)
--- a/internal/testkit/receivers/carbon.go
+++ b/internal/testkit/receivers/carbon.go
@@ -1,4 +1,4 @@
-package standin
+package receivers
 
 import (
 	"bufio"
--- a/internal/testkit/receivers/store.go
+++ b/internal/testkit/receivers/store.go
@@ -1,7 +1,7 @@
 // Package standin imitates the systems that a dispatcher delivers figures to, for tests: a carbon and a collectd, written from
 // their public descriptions, on loopback alone. Each misbehaves on cue and keeps all that it got. They read with code of
 // their own where the sender uses a library, so that no mistake agrees with itself.
-package standin
+package receivers
 
 import (
 	"bufio"
--- a/internal/testkit/runner/runner.go
+++ b/internal/testkit/runner/runner.go
@@ -21,7 +21,7 @@
 
 // Options describe a runner.
 type Options struct {
-	referee.Runner
+	checker.Runner
 	Address    string         // to listen on
 	Machine    engine.Machine // that does the work
 	Stride     int            // tokens in an event; 0: the service has no streams
@@ -34,7 +34,7 @@
 	Cold       engine.Cold
 	Work       func(random *rand.Rand) time.Duration // of a plain request; nil: none
 	BodyBytes  int                                   // of a plain answer
-	Referee    *referee.Referee                      // nil: none
+	Referee    *checker.Referee                      // nil: none
 	Seed       uint64
 }
 
--- a/internal/testkit/runner/runner_test.go
+++ b/internal/testkit/runner/runner_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := Options{Runner: referee.Runner{ID: "i-1", Service: "llm", Zone: "a", Region: "r"}, Address: "127.0.0.1:0",
+	o := Options{Runner: checker.Runner{ID: "i-1", Service: "llm", Zone: "a", Region: "r"}, Address: "127.0.0.1:0",
 		Machine: machine, Stride: 2, Models: []Model{{Name: "m", Version: 3}}, HealthPath: "/health"}
 	if alter != nil {
 		alter(&o)
--- a/internal/testkit/runner/serve.go
+++ b/internal/testkit/runner/serve.go
@@ -158,8 +158,8 @@
 		return
 	}
 	if r.options.Referee != nil {
-		r.options.Referee.Arrived(referee.Arrival{Runner: &r.options.Runner, ID: try, Method: q.Method, Host: q.Host,
-			URI: q.RequestURI, Body: referee.Hash(body)})
+		r.options.Referee.Arrived(checker.Arrival{Runner: &r.options.Runner, ID: try, Method: q.Method, Host: q.Host,
+			URI: q.RequestURI, Body: checker.Hash(body)})
 	}
 	o, ok := r.submit(q, try)
 	if !ok {
--- a/internal/testkit/virtualcluster/virtual.go
+++ b/internal/testkit/virtualcluster/virtual.go
@@ -1,6 +1,6 @@
 // Package virtual runs fleets of members over a network of its own, in virtual time: the state machines are the real ones,
 // everything else is drawn from a seed, so that a run that fails can be played again to the letter.
-package virtual
+package virtualcluster
 
 import (
 	"container/heap"
--- a/loadbalancer/api.go
+++ b/loadbalancer/api.go
@@ -7,7 +7,7 @@
 // each event from a single goroutine, with a clock that never goes back, and carries out the Actions the
 // Balancer calls meanwhile. It delivers exactly one Outcome for each Send and each timer that was set.
 // After a kill it drops the Balancer and makes a new one; nothing is kept between lives.
-package brain
+package loadbalancer
 
 import (
 	"fmt"
--- a/loadbalancer/brain.go
+++ b/loadbalancer/brain.go
@@ -1,4 +1,4 @@
-package brain // The interface of this module is api.go; what it remembers is kept in state.go.
+package loadbalancer // The interface of this module is api.go; what it remembers is kept in state.go.
 
 import (
 	"math"
--- a/loadbalancer/events.go
+++ b/loadbalancer/events.go
@@ -1,4 +1,4 @@
-package brain
+package loadbalancer
 
 // This file holds the events that tell of attempts and of clients; what they lead to is decided elsewhere.
 
--- a/loadbalancer/example_test.go
+++ b/loadbalancer/example_test.go
@@ -1,4 +1,4 @@
-package brain_test
+package loadbalancer_test
 
 import (
 	"fmt"
@@ -9,21 +9,21 @@
 // printer carries out a decision by printing it; a dispatcher would use its network and its timers.
 type printer struct{}
 
-func (printer) Send(id brain.RequestID, w brain.WorkerID, timeout float64) {
+func (printer) Send(id loadbalancer.RequestID, w loadbalancer.WorkerID, timeout float64) {
 	fmt.Printf("send request %d to worker %d\n", id, w)
 }
-func (printer) Refuse(id brain.RequestID, wait float64) { fmt.Printf("refuse request %d\n", id) }
-func (printer) Fail(id brain.RequestID)                 { fmt.Printf("fail request %d\n", id) }
-func (printer) Cancel(id brain.RequestID, attempt int)  {}
-func (printer) Probe(w brain.WorkerID)                  {}
+func (printer) Refuse(id loadbalancer.RequestID, wait float64) { fmt.Printf("refuse request %d\n", id) }
+func (printer) Fail(id loadbalancer.RequestID)                 { fmt.Printf("fail request %d\n", id) }
+func (printer) Cancel(id loadbalancer.RequestID, attempt int)  {}
+func (printer) Probe(w loadbalancer.WorkerID)                  {}
 func (printer) SetTimer(token uint32, at float64)       {}
 func (printer) Watch(on bool)                           {}
 func (printer) Fetch()                                  {}
 func (printer) Log(line string)                         { fmt.Println(line) }
 
 func Example() {
-	b, err := brain.New(brain.Settings{
-		Classes: []brain.Class{{Name: "lookup", Objective: 0.1, Deadline: 5, Effect: brain.Safe, Kind: -1}},
+	b, err := loadbalancer.New(loadbalancer.Settings{
+		Classes: []loadbalancer.Class{{Name: "lookup", Objective: 0.1, Deadline: 5, Effect: loadbalancer.Safe, Kind: -1}},
 		Zones:   1, Instances: 1, MaxAttempts: 3, Tick: 0.005, ColdTime: 20, ColdShare: 0.2, FallMultiple: 3,
 		FallTime: 1.5, AnswerSlack: 0.02,
 	}, 1, printer{})
@@ -32,10 +32,10 @@
 		return
 	}
 	b.OnStart(100)
-	b.OnList(100, brain.ListFull, []brain.Worker{{ID: 7, State: brain.Ready}, {ID: 8, State: brain.Draining}})
-	b.OnRequest(100.5, &brain.Request{ID: 1, Slots: 1, Deadline: 105.5})
-	b.OnOutcome(100.6, &brain.Outcome{Request: 1, Worker: 7, Result: brain.Full})
-	b.OnOutcome(100.7, &brain.Outcome{Request: 1, Attempt: 1, Worker: 7, Result: brain.OK, Closed: true})
+	b.OnList(100, loadbalancer.ListFull, []loadbalancer.Worker{{ID: 7, State: loadbalancer.Ready}, {ID: 8, State: loadbalancer.Draining}})
+	b.OnRequest(100.5, &loadbalancer.Request{ID: 1, Slots: 1, Deadline: 105.5})
+	b.OnOutcome(100.6, &loadbalancer.Outcome{Request: 1, Worker: 7, Result: loadbalancer.Full})
+	b.OnOutcome(100.7, &loadbalancer.Outcome{Request: 1, Attempt: 1, Worker: 7, Result: loadbalancer.OK, Closed: true})
 	// Output:
 	// send request 1 to worker 7
 	// worker 7 set aside: it takes nothing (1.2 s)
--- a/loadbalancer/refusal.go
+++ b/loadbalancer/refusal.go
@@ -1,4 +1,4 @@
-package brain
+package loadbalancer
 
 import (
 	"math"
--- a/loadbalancer/repeats.go
+++ b/loadbalancer/repeats.go
@@ -1,4 +1,4 @@
-package brain
+package loadbalancer
 
 // This file holds the rules that bind each send: repeat safety, drains and cold budgets; every send passes
 // send.
--- a/loadbalancer/world_test.go
+++ b/loadbalancer/world_test.go
@@ -1,4 +1,4 @@
-package brain
+package loadbalancer
 
 import (
 	"math"
@@ -12,7 +12,7 @@
 type world struct {
 	plan    worldPlan
 	now     float64
-	agenda  agenda.Agenda
+	agenda  eventqueue.Agenda
 	rng     *rand.Rand
 	workers []*machine
 	nodes   []*node
