--- a/internal/dispatcher/cluster/quota/crowd_test.go
+++ b/internal/dispatcher/cluster/quota/crowd_test.go
@@ -53,14 +53,14 @@
 }
 
 // Log and the rest implement brain.Actions.
-func (d *dispatcher) Log(string)                        {}
-func (d *dispatcher) Refuse(loadbalancer.RequestID, float64)   {}
-func (d *dispatcher) Fail(loadbalancer.RequestID)              {}
-func (d *dispatcher) Cancel(loadbalancer.RequestID, int)       {}
-func (d *dispatcher) Probe(loadbalancer.WorkerID)              {}
-func (d *dispatcher) Watch(bool)                        {}
-func (d *dispatcher) Fetch()                            {}
-func (d *dispatcher) SetTimer(token uint32, at float64) {}
+func (d *dispatcher) Log(string)                             {}
+func (d *dispatcher) Refuse(loadbalancer.RequestID, float64) {}
+func (d *dispatcher) Fail(loadbalancer.RequestID)            {}
+func (d *dispatcher) Cancel(loadbalancer.RequestID, int)     {}
+func (d *dispatcher) Probe(loadbalancer.WorkerID)            {}
+func (d *dispatcher) Watch(bool)                             {}
+func (d *dispatcher) Fetch()                                 {}
+func (d *dispatcher) SetTimer(token uint32, at float64)      {}
 func (d *dispatcher) Send(id loadbalancer.RequestID, _ loadbalancer.WorkerID, _ float64) {
 	now := d.net.Now
 	d.out = append(d.out, sent{id, now})
--- a/internal/dispatcher/dispatch/observe_test.go
+++ b/internal/dispatcher/dispatch/observe_test.go
@@ -22,10 +22,12 @@
 	g.Tries = append([]Try(nil), f.Tries...)
 	n.finals = append(n.finals, g)
 }
-func (n *notes) Tried(t *Try)                                      { n.tries = append(n.tries, *t) }
+func (n *notes) Tried(t *Try)                                             { n.tries = append(n.tries, *t) }
 func (n *notes) Listed(loadbalancer.ListKind, []Member)                   {}
 func (n *notes) Reported(loadbalancer.WorkerID, float64, []float32, bool) { n.reports++ }
-func (n *notes) Drained(_ loadbalancer.WorkerID, margin float64)          { n.margins = append(n.margins, margin) }
+func (n *notes) Drained(_ loadbalancer.WorkerID, margin float64) {
+	n.margins = append(n.margins, margin)
+}
 
 func observed(t *testing.T) (*bench, *notes) {
 	b, n := start(t), &notes{}
@@ -39,7 +41,7 @@
 		name    string
 		class   int
 		ends    []loadbalancer.Result // of the attempts in turn; none is silence
-		nobody  bool           // is ready
+		nobody  bool                  // is ready
 		verdict Verdict
 		reason  Reason
 		won     int
--- a/internal/dispatcher/dispatch/routing.go
+++ b/internal/dispatcher/dispatch/routing.go
@@ -115,8 +115,8 @@
 	Reqs, Served, Refused, Failed, Gone uint64
 	Fetches, Repeats, Cancels, Probes   uint64
 	Results                             [loadbalancer.Moot + 1]uint64 // ends of fetches by result
-	Unusable                            uint64                 // failed since backends could do nothing with them
-	Overdue                             uint64                 // answered by the core because the decisions had not
+	Unusable                            uint64                        // failed since backends could do nothing with them
+	Overdue                             uint64                        // answered by the core because the decisions had not
 	OpenReqs, OpenFetches               int
 }
 
--- a/internal/dispatcher/dispatch/routing_test.go
+++ b/internal/dispatcher/dispatch/routing_test.go
@@ -42,8 +42,8 @@
 		b.instant(f)
 	}
 }
-func (b *bench) Drop(FetchID) bool                        { b.dropped++; return b.ran }
-func (b *bench) Renew()                                   { b.renewed++ }
+func (b *bench) Drop(FetchID) bool                               { b.dropped++; return b.ran }
+func (b *bench) Renew()                                          { b.renewed++ }
 func (b *bench) Probe(done func(loadbalancer.Result, []float32)) { done(loadbalancer.OK, nil) }
 
 // run moves the clock a millisecond at a time.
--- a/internal/dispatcher/dispatch/withhold.go
+++ b/internal/dispatcher/dispatch/withhold.go
@@ -10,7 +10,7 @@
 // Held says how a member is to be taken although its own list says more of it: others know a newer version.
 type Held struct {
 	State loadbalancer.WorkerState // Ready where its start alone is news
-	Since float64           // its start; 0 is not told
+	Since float64                  // its start; 0 is not told
 }
 
 // Withhold puts in force what others know of members, in place of what was: the decisions see it before anything else is sent.
--- a/internal/dispatcher/httpfront/front.go
+++ b/internal/dispatcher/httpfront/front.go
@@ -182,7 +182,9 @@
 // a request that is just arriving counts as taken.
 func (f *Front) Quiet() bool {
 	quiet := f.loop.Now() >= f.lastNews+quietTime
-	f.sessions.Each(func(_ slotmap.Handle, s *session) { quiet = quiet && (s.idle() || !s.asked && s.call == "" && !s.waits) })
+	f.sessions.Each(func(_ slotmap.Handle, s *session) {
+		quiet = quiet && (s.idle() || !s.asked && s.call == "" && !s.waits)
+	})
 	return quiet
 }
 
--- a/internal/dispatcher/server/config.go
+++ b/internal/dispatcher/server/config.go
@@ -17,11 +17,11 @@
 
 // Config is what a dispatcher is told at its start.
 type Config struct {
-	Name      string        `json:"name"`
-	Listen    string        `json:"listen"`    // empty: no platform front
-	Discovery string        `json:"discovery"` // empty: no director
-	Console   string        `json:"console"`   // the second address, for the staff who run it; empty: none
-	Seed      string        `json:"seed"`
+	Name      string         `json:"name"`
+	Listen    string         `json:"listen"`    // empty: no platform front
+	Discovery string         `json:"discovery"` // empty: no director
+	Console   string         `json:"console"`   // the second address, for the staff who run it; empty: none
+	Seed      string         `json:"seed"`
 	Known     httpfront.List `json:"known"`
 	Limits    struct {
 		Cores    float64 `json:"cores"`
--- a/internal/dispatcher/server/fleet_lease_test.go
+++ b/internal/dispatcher/server/fleet_lease_test.go
@@ -180,7 +180,9 @@
 			}
 		},
 		"old list": func(r *processcluster.Rig, m *processcluster.Member) { r.Discovery.Freeze(m, true) },
-		"slow":     func(r *processcluster.Rig, m *processcluster.Member) { m.ListWay().Set(receivers.Link{Delay: 4 * time.Second}) },
+		"slow": func(r *processcluster.Rig, m *processcluster.Member) {
+			m.ListWay().Set(receivers.Link{Delay: 4 * time.Second})
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := fleetOf(t, processcluster.Options{Jobs: 60})
--- a/internal/dispatcher/server/fleet_reload.go
+++ b/internal/dispatcher/server/fleet_reload.go
@@ -11,7 +11,7 @@
 type fleetChange struct {
 	options *cluster.Options
 	socket  *eventloop.Socket // a new address'
-	book    *auditlog.Book      // a new ledger
+	book    *auditlog.Book    // a new ledger
 }
 
 // prepareFleet checks what a reload says of the fleet and opens an address that is new; nothing changes before takeFleet.
--- a/internal/dispatcher/server/operate.go
+++ b/internal/dispatcher/server/operate.go
@@ -59,8 +59,8 @@
 
 // order is what the staff ask for, as it also goes to the dispatcher's other process.
 type order struct {
-	What      string            `json:"what"` // evacuate, rejoin, exclude or include
-	Member    string            `json:"member,omitempty"`
+	What      string             `json:"what"` // evacuate, rejoin, exclude or include
+	Member    string             `json:"member,omitempty"`
 	Exclusion dispatch.Exclusion `json:"exclusion"`
 }
 
@@ -119,7 +119,7 @@
 
 // kept is the form in which exclusions are kept.
 type kept struct {
-	Version int                          `json:"version"`
+	Version int                           `json:"version"`
 	Out     map[string]dispatch.Exclusion `json:"out"`
 }
 
--- a/internal/dispatcher/server/program.go
+++ b/internal/dispatcher/server/program.go
@@ -32,7 +32,7 @@
 // clock lets the core hang its deadlines in the loop's structure.
 type clock struct{ loop *eventloop.Loop }
 
-func (c clock) Now() float64                          { return c.loop.Now() }
+func (c clock) Now() float64                           { return c.loop.Now() }
 func (c clock) At(at float64, do func()) dispatch.Stop { return c.loop.At(at, do) }
 
 // Program is one dispatcher.
@@ -49,13 +49,13 @@
 	door               *admission.Door
 	console            *admin.Console
 	upgrade            *upgrade
-	fleet              *cluster.Fleet     // nil: no member of one
+	fleet              *cluster.Fleet   // nil: no member of one
 	facts              membership.Facts // what the fleet is told of this dispatcher
 	woke               float64          // after a sleep, until it has looked again; 0: it has
 	waking             *eventloop.Deadline
 	wakeTimedOut       bool            // nobody has spoken for so long after a sleep that new jobs are refused
 	board              *versions.Board // nil while fleet is
-	ledger             *auditlog.Book    // nil: none is kept
+	ledger             *auditlog.Book  // nil: none is kept
 	marked             uint64          // the last entry's number in this life
 	ledgerAt           linelog.Options // where it stands
 	reporting          *reporting      // nil: no figures leave, and no request log is kept
--- a/internal/dispatcher/server/reporting.go
+++ b/internal/dispatcher/server/reporting.go
@@ -35,11 +35,11 @@
 	file  *operatorconfig.File
 
 	outputs      map[string]exporter.Output // by what the file says of them
-	awaitsTotals bool                      // the process before this one owes its totals
-	successor    *handover.Link            // the next process: it gets the totals, and what is counted since
-	totalsSent   bool                      // the successor has the totals
-	deltaTimer   *eventloop.Deadline       // until what was counted since is sent to the successor again
-	deliverUntil float64                   // when the last period must be delivered; 0: it is not closed yet
+	awaitsTotals bool                       // the process before this one owes its totals
+	successor    *handover.Link             // the next process: it gets the totals, and what is counted since
+	totalsSent   bool                       // the successor has the totals
+	deltaTimer   *eventloop.Deadline        // until what was counted since is sent to the successor again
+	deliverUntil float64                    // when the last period must be delivered; 0: it is not closed yet
 }
 
 // newReporting opens the outputs and the request log; nil where the operator wants none.
@@ -92,7 +92,9 @@
 }
 
 // Drained implements routing.Observer.
-func (r *reporting) Drained(worker loadbalancer.WorkerID, margin float64) { r.set.Drained(worker, margin) }
+func (r *reporting) Drained(worker loadbalancer.WorkerID, margin float64) {
+	r.set.Drained(worker, margin)
+}
 
 func (r *reporting) flushLog() {
 	r.p.loop.At(r.p.loop.Now()+requestlog.FlushEvery, func() {
--- a/internal/dispatcher/server/upgrade.go
+++ b/internal/dispatcher/server/upgrade.go
@@ -25,14 +25,14 @@
 
 // state is what a process tells the one that takes its place.
 type state struct {
-	Discovery  string                       `json:"discovery"`
+	Discovery  string                        `json:"discovery"`
 	List       httpfront.List                `json:"list"`
 	Out        map[string]dispatch.Exclusion `json:"out"`
-	Evacuated  float64                      `json:"evacuated"` // since when; 0 is not
-	Learnt     loadbalancer.Learnt                 `json:"learnt"`
-	Gearman    bool                         `json:"gearman"` // its listening socket comes along
-	GearmanFor string                       `json:"gearman_listen"`
-	Figures    bool                         `json:"figures,omitempty"` // its totals follow once the newer one has taken the clients
+	Evacuated  float64                       `json:"evacuated"` // since when; 0 is not
+	Learnt     loadbalancer.Learnt           `json:"learnt"`
+	Gearman    bool                          `json:"gearman"` // its listening socket comes along
+	GearmanFor string                        `json:"gearman_listen"`
+	Figures    bool                          `json:"figures,omitempty"` // its totals follow once the newer one has taken the clients
 }
 
 // hello is what a newer process says of itself.
--- a/internal/shared/membership/virtual_test.go
+++ b/internal/shared/membership/virtual_test.go
@@ -349,7 +349,9 @@
 		net := lossy(seed, n)
 		cuts := map[[2]*virtualcluster.Node]bool{}
 		var island map[*virtualcluster.Node]bool
-		net.Cut = func(a, b *virtualcluster.Node) bool { return cuts[[2]*virtualcluster.Node{a, b}] || island[a] != island[b] }
+		net.Cut = func(a, b *virtualcluster.Node) bool {
+			return cuts[[2]*virtualcluster.Node{a, b}] || island[a] != island[b]
+		}
 		net.Each = func(node *virtualcluster.Node) {
 			if wrong := node.Machine.Sound(); wrong != "" {
 				t.Fatalf("at %.2f %s: %s", net.Now, node.Name, wrong)
--- a/internal/system/agent/agent.go
+++ b/internal/system/agent/agent.go
@@ -49,7 +49,7 @@
 	Log      *zap.Logger
 	Metrics  netip.AddrPort // where the agent serves its own figures; the zero value: nowhere
 
-	loopback netip.Addr     // address at which the proxy is served; the zero value: as the settings have it
+	loopback netip.Addr       // address at which the proxy is served; the zero value: as the settings have it
 	source   upstream.Options // of the choice of replicas
 }
 
--- a/internal/testkit/processcluster/member.go
+++ b/internal/testkit/processcluster/member.go
@@ -27,7 +27,7 @@
 	Console string
 	Bind    string
 	Relay   *receivers.Datagrams // others' way to it
-	Fleet   string             // name of its fleet
+	Fleet   string               // name of its fleet
 
 	rig     *Rig
 	cmd     *exec.Cmd
--- a/loadbalancer/example_test.go
+++ b/loadbalancer/example_test.go
@@ -16,10 +16,10 @@
 func (printer) Fail(id loadbalancer.RequestID)                 { fmt.Printf("fail request %d\n", id) }
 func (printer) Cancel(id loadbalancer.RequestID, attempt int)  {}
 func (printer) Probe(w loadbalancer.WorkerID)                  {}
-func (printer) SetTimer(token uint32, at float64)       {}
-func (printer) Watch(on bool)                           {}
-func (printer) Fetch()                                  {}
-func (printer) Log(line string)                         { fmt.Println(line) }
+func (printer) SetTimer(token uint32, at float64)              {}
+func (printer) Watch(on bool)                                  {}
+func (printer) Fetch()                                         {}
+func (printer) Log(line string)                                { fmt.Println(line) }
 
 func Example() {
 	b, err := loadbalancer.New(loadbalancer.Settings{
