--- a/internal/system/codec/codec.go
+++ b/internal/system/codec/codec.go
@@ -34,15 +34,15 @@
 	r.rest = nil
 }
 
-// End says that all fields have been read: bytes that are left are malformed.
-func (r *Reader) End(field string) {
+// ExpectEnd says that all fields have been read: bytes that are left are malformed.
+func (r *Reader) ExpectEnd(field string) {
 	if len(r.rest) > 0 {
 		r.Fail(field)
 	}
 }
 
-// Octet reads one byte.
-func (r *Reader) Octet(field string) byte {
+// Byte reads one byte.
+func (r *Reader) Byte(field string) byte {
 	taken := r.take(field, 1)
 	if len(taken) == 0 {
 		return 0
@@ -50,8 +50,8 @@
 	return taken[0]
 }
 
-// Unsigned reads an unsigned varint.
-func (r *Reader) Unsigned(field string) uint64 {
+// Uvarint reads an unsigned varint.
+func (r *Reader) Uvarint(field string) uint64 {
 	value, size := binary.Uvarint(r.rest)
 	if size <= 0 {
 		r.Fail(field)
@@ -61,8 +61,8 @@
 	return value
 }
 
-// Signed reads a signed varint.
-func (r *Reader) Signed(field string) int64 {
+// Varint reads a signed varint.
+func (r *Reader) Varint(field string) int64 {
 	value, size := binary.Varint(r.rest)
 	if size <= 0 {
 		r.Fail(field)
@@ -75,7 +75,7 @@
 // Count reads how many parts follow, of which each takes a byte at least; a larger number is malformed. What it returns
 // is therefore at most the number of bytes that are left.
 func (r *Reader) Count(field string) int {
-	value := r.Unsigned(field)
+	value := r.Uvarint(field)
 	if value > uint64(len(r.rest)) {
 		r.Fail(field)
 		return 0
@@ -86,8 +86,8 @@
 // Bytes reads a field that AppendBytes wrote. It shares memory with what the reader reads.
 func (r *Reader) Bytes(field string) []byte { return r.take(field, r.Count(field)) }
 
-// Text reads a field that AppendBytes wrote.
-func (r *Reader) Text(field string) string { return string(r.Bytes(field)) }
+// String reads a field that AppendBytes wrote.
+func (r *Reader) String(field string) string { return string(r.Bytes(field)) }
 
 func (r *Reader) take(field string, count int) []byte {
 	if r.failed || count > len(r.rest) {
--- a/internal/system/codec/codec_test.go
+++ b/internal/system/codec/codec_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestFieldsComeBack(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		octet := rapid.Byte().Draw(t, "octet")
 		unsigned := rapid.Uint64().Draw(t, "unsigned")
@@ -21,34 +21,34 @@
 		data = AppendBytes(data, text)
 		data = AppendBytes(data, content)
 		reader := NewReader(data)
-		if reader.Octet("octet") != octet || reader.Unsigned("unsigned") != unsigned || reader.Signed("signed") != signed ||
-			reader.Text("text") != text || !bytes.Equal(reader.Bytes("content"), content) {
+		if reader.Byte("octet") != octet || reader.Uvarint("unsigned") != unsigned || reader.Varint("signed") != signed ||
+			reader.String("text") != text || !bytes.Equal(reader.Bytes("content"), content) {
 			t.Fatal("a field came back as another")
 		}
-		reader.End("end")
+		reader.ExpectEnd("end")
 		if field, failed := reader.Malformed(); failed {
 			t.Fatalf("malformed at %q", field)
 		}
 	})
 }
 
-func TestFirstMalformedFieldIsTold(t *testing.T) {
+func TestFirstMalformedFieldIsReported(t *testing.T) {
 	overlong := bytes.Repeat([]byte{0xff}, binary.MaxVarintLen64+1)
 	cases := map[string]struct {
 		data []byte
 		read func(*Reader)
 	}{
-		"octet that is missing":      {nil, func(r *Reader) { r.Octet("field") }},
-		"unsigned cut short":         {[]byte{0x80}, func(r *Reader) { r.Unsigned("field") }},
-		"unsigned beyond 64 bits":    {overlong, func(r *Reader) { r.Unsigned("field") }},
-		"signed that is missing":     {nil, func(r *Reader) { r.Signed("field") }},
-		"signed beyond 64 bits":      {overlong, func(r *Reader) { r.Signed("field") }},
+		"octet that is missing":      {nil, func(r *Reader) { r.Byte("field") }},
+		"unsigned cut short":         {[]byte{0x80}, func(r *Reader) { r.Uvarint("field") }},
+		"unsigned beyond 64 bits":    {overlong, func(r *Reader) { r.Uvarint("field") }},
+		"signed that is missing":     {nil, func(r *Reader) { r.Varint("field") }},
+		"signed beyond 64 bits":      {overlong, func(r *Reader) { r.Varint("field") }},
 		"more parts than bytes":      {[]byte{3, 0, 0}, func(r *Reader) { r.Count("field") }},
 		"bytes cut short":            {[]byte{3, 0, 0}, func(r *Reader) { r.Bytes("field") }},
-		"text whose length is cut":   {[]byte{0x80}, func(r *Reader) { r.Text("field") }},
-		"bytes left at the end":      {[]byte{0}, func(r *Reader) { r.End("field") }},
-		"field that makes no sense":  {[]byte{7}, func(r *Reader) { r.Octet("good"); r.Fail("field") }},
-		"later fields after the one": {[]byte{0x80}, func(r *Reader) { r.Unsigned("field"); r.Octet("later"); r.Fail("later") }},
+		"text whose length is cut":   {[]byte{0x80}, func(r *Reader) { r.String("field") }},
+		"bytes left at the end":      {[]byte{0}, func(r *Reader) { r.ExpectEnd("field") }},
+		"field that makes no sense":  {[]byte{7}, func(r *Reader) { r.Byte("good"); r.Fail("field") }},
+		"later fields after the one": {[]byte{0x80}, func(r *Reader) { r.Uvarint("field"); r.Byte("later"); r.Fail("later") }},
 	}
 	for name, c := range cases {
 		reader := NewReader(c.data)
@@ -59,11 +59,11 @@
 	}
 }
 
-func TestAllIsZeroAfterAMalformedField(t *testing.T) {
+func TestZeroValuesAfterFailure(t *testing.T) {
 	reader := NewReader([]byte{1, 2, 3, 4, 5})
 	reader.Fail("field")
-	if reader.Octet("a") != 0 || reader.Unsigned("b") != 0 || reader.Signed("c") != 0 || reader.Count("d") != 0 ||
-		reader.Text("e") != "" || reader.Bytes("f") != nil {
+	if reader.Byte("a") != 0 || reader.Uvarint("b") != 0 || reader.Varint("c") != 0 || reader.Count("d") != 0 ||
+		reader.String("e") != "" || reader.Bytes("f") != nil {
 		t.Error("a field was read after a malformed one")
 	}
 }
@@ -92,7 +92,7 @@
 			}
 		}
 		left := len(reader.rest)
-		reader.End("end")
+		reader.ExpectEnd("end")
 		if _, failed := reader.Malformed(); left > 0 && !failed {
 			t.Fatalf("%d bytes were left over", left)
 		}
@@ -103,18 +103,18 @@
 func readField(reader *Reader, kind byte) (returned int, zero bool) {
 	switch kind % 6 {
 	case 0:
-		return 1, reader.Octet("octet") == 0
+		return 1, reader.Byte("octet") == 0
 	case 1:
-		return 1, reader.Unsigned("unsigned") == 0
+		return 1, reader.Uvarint("unsigned") == 0
 	case 2:
-		return 1, reader.Signed("signed") == 0
+		return 1, reader.Varint("signed") == 0
 	case 3:
 		return 1, reader.Count("count") == 0
 	case 4:
 		content := reader.Bytes("bytes")
 		return len(content), len(content) == 0
 	default:
-		text := reader.Text("text")
+		text := reader.String("text")
 		return len(text), text == ""
 	}
 }
--- a/internal/system/discovery/codec.go
+++ b/internal/system/discovery/codec.go
@@ -58,20 +58,20 @@
 // Decode reads what Encode wrote. The error is a *MalformedRunnerError.
 func Decode(data []byte) (Runner, error) {
 	reader := codec.NewReader(data)
-	if reader.Octet("version") != codecVersion {
+	if reader.Byte("version") != codecVersion {
 		return Runner{}, &MalformedRunnerError{Field: "version"}
 	}
-	runner := Runner{Draining: reader.Octet("flags")&flagDraining != 0}
-	runner.ID = reader.Text("id")
-	runner.Service = reader.Text("service")
+	runner := Runner{Draining: reader.Byte("flags")&flagDraining != 0}
+	runner.ID = reader.String("id")
+	runner.Service = reader.String("service")
 	runner.Address = readAddress(&reader, "address")
-	runner.Zone = reader.Text("zone")
-	runner.Capacity = int(reader.Signed("capacity"))
-	runner.ColdLeft = time.Duration(reader.Signed("time left cold"))
-	runner.TimeLeft = time.Duration(reader.Signed("time left"))
-	runner.Phase = reader.Text("phase")
+	runner.Zone = reader.String("zone")
+	runner.Capacity = int(reader.Varint("capacity"))
+	runner.ColdLeft = time.Duration(reader.Varint("time left cold"))
+	runner.TimeLeft = time.Duration(reader.Varint("time left"))
+	runner.Phase = reader.String("phase")
 	runner.Models = readModels(&reader, "models")
-	reader.End("end")
+	reader.ExpectEnd("end")
 	if field, failed := reader.Malformed(); failed {
 		return Runner{}, &MalformedRunnerError{Field: field}
 	}
@@ -94,7 +94,7 @@
 	}
 	models := make([]Model, 0, min(count, 64))
 	for range count {
-		model := Model{Name: reader.Text(field), Version: int(reader.Signed(field))}
+		model := Model{Name: reader.String(field), Version: int(reader.Varint(field))}
 		if _, failed := reader.Malformed(); failed {
 			return nil
 		}
--- a/internal/system/feed/codec.go
+++ b/internal/system/feed/codec.go
@@ -71,18 +71,18 @@
 // *MalformedTableError.
 func Decode(now time.Duration, data []byte) (*Table, error) {
 	reader := codec.NewReader(data)
-	if reader.Octet("version") != tableCodecVersion {
+	if reader.Byte("version") != tableCodecVersion {
 		return nil, &MalformedTableError{Field: "version"}
 	}
-	partition := reader.Unsigned("partition")
+	partition := reader.Uvarint("partition")
 	table := NewTable(Partition(partition))
-	table.index = reader.Unsigned("index")
-	table.horizon = reader.Unsigned("horizon")
+	table.index = reader.Uvarint("index")
+	table.horizon = reader.Uvarint("horizon")
 	if partition > uint64(^Partition(0)) || table.horizon > table.index {
 		reader.Fail("head")
 	}
 	table.readRecords(&reader, now)
-	reader.End("end")
+	reader.ExpectEnd("end")
 	if field, failed := reader.Malformed(); failed {
 		return nil, &MalformedTableError{Field: field}
 	}
@@ -107,13 +107,13 @@
 }
 
 func readRecord(reader *codec.Reader, now time.Duration) record {
-	read := record{key: reader.Text("key"), index: reader.Unsigned("item's index")}
-	age := reader.Unsigned("age")
+	read := record{key: reader.String("key"), index: reader.Uvarint("item's index")}
+	age := reader.Uvarint("age")
 	if age > greatestAge {
 		reader.Fail("age")
 	}
 	read.changed = now - time.Duration(age)
-	switch reader.Octet("kind of item") {
+	switch reader.Byte("kind of item") {
 	case kindValue:
 		read.value = bytes.Clone(reader.Bytes("value"))
 	case kindDeleted:
