--- a/internal/system/agent/agent.go
+++ b/internal/system/agent/agent.go
@@ -163,7 +163,7 @@
 func (a *Agent) serve(ctx context.Context) {
 	local := rpc.NewRegistry()
 	toProxy := a.server(a.store.servedSources(), a.store.served, 0)
-	feedserver.Call.Handle(local, func(ctx context.Context, request *feed.FollowRequest) (*feed.FollowReply, error) {
+	feedserver.FollowMethod.Handle(local, func(ctx context.Context, request *feed.FollowRequest) (*feed.FollowReply, error) {
 		a.store.asked(request.Positions)
 		return a.crowd.follow(ctx, request, toProxy.Follow)
 	})
@@ -172,18 +172,18 @@
 
 	peers := rpc.NewRegistry()
 	pace := peersShare * a.settings.Limits.LinkBytesPerS()
-	feedserver.Call.Handle(peers, a.server(a.store.baseSources(), a.store.base, pace).Follow)
+	feedserver.FollowMethod.Handle(peers, a.server(a.store.baseSources(), a.store.base, pace).Follow)
 	a.listen(ctx, a.peers, peers, rpc.Limits{Connections: peerConnections, RequestBytes: requestBytes})
 }
 
 func (a *Agent) server(sources []feedserver.Source, notifier *feedserver.Notifier, pace float64) *feedserver.Server {
 	return feedserver.New(feedserver.Options{
-		Sources:       sources,
-		Notifier:      notifier,
-		Now:           a.now,
-		Age:           a.store.age,
-		Proxies:       a.proxies,
-		BulkBytesPerS: pace,
+		Sources:            sources,
+		Notifier:           notifier,
+		Now:                a.now,
+		Age:                a.store.age,
+		ProxyCount:         a.proxies,
+		BulkBytesPerSecond: pace,
 	})
 }
 
--- a/internal/system/agent/crowd.go
+++ b/internal/system/agent/crowd.go
@@ -29,7 +29,7 @@
 // look ends the open calls if the proxy knows others.
 func (c *crowd) look() {
 	if c.other() {
-		c.changed.Changed()
+		c.changed.Notify()
 	}
 }
 
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	c.told.Store(request.Peers)
-	wake := c.changed.Wait()
+	wake := c.changed.Wakeup()
 	if c.other() {
 		cancel()
 	}
--- a/internal/system/agent/follower.go
+++ b/internal/system/agent/follower.go
@@ -56,7 +56,7 @@
 	patience := rpc.Patience{First: question.Timeout, Between: answerSilence, Most: mostAnswerTime}
 	request := &feed.FollowRequest{Node: f.node, Positions: f.store.positions(), Wait: question.Wait, Packed: true,
 		Current: question.Current}
-	reply, err := feedserver.Call.InvokeWhileReceiving(ctx, f.connect(question), patience, request)
+	reply, err := feedserver.FollowMethod.InvokeWhileReceiving(ctx, f.connect(question), patience, request)
 	if err == nil {
 		err = unpack(reply)
 	}
--- a/internal/system/agent/store.go
+++ b/internal/system/agent/store.go
@@ -81,8 +81,8 @@
 	}
 	s.mutex.Unlock()
 	if changed {
-		s.base.Changed()
-		s.served.Changed()
+		s.base.Notify()
+		s.served.Notify()
 	}
 	return lagging
 }
@@ -95,7 +95,7 @@
 	s.meet(now)
 	s.mutex.Unlock()
 	if changed {
-		s.served.Changed()
+		s.served.Notify()
 	}
 }
 
@@ -105,7 +105,7 @@
 	changed := s.tables.Drop(s.now(), partitions)
 	s.mutex.Unlock()
 	if changed {
-		s.served.Changed()
+		s.served.Notify()
 	}
 }
 
--- a/internal/system/agent/world_test.go
+++ b/internal/system/agent/world_test.go
@@ -141,8 +141,8 @@
 		sources = append(sources, &replicaSource{r, i})
 	}
 	registry := rpc.NewRegistry()
-	feedserver.Call.Handle(registry, feedserver.New(feedserver.Options{
-		Sources: sources, Notifier: r.notifier, Now: r.now, Age: r.age, Proxies: func() int { return 0 },
+	feedserver.FollowMethod.Handle(registry, feedserver.New(feedserver.Options{
+		Sources: sources, Notifier: r.notifier, Now: r.now, Age: r.age, ProxyCount: func() int { return 0 },
 	}).Follow)
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop, r.done = stop, make(chan struct{})
@@ -199,7 +199,7 @@
 	r.mutex.Lock()
 	r.tables[partition].Put(r.now(), index, key, value)
 	r.mutex.Unlock()
-	r.notifier.Changed()
+	r.notifier.Notify()
 }
 
 // configure has all replicas hold a version of the configuration.
@@ -295,7 +295,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), longest)
 	defer cancel()
-	reply, err := feedserver.Call.Poll(ctx, e.client, wait, request)
+	reply, err := feedserver.FollowMethod.Poll(ctx, e.client, wait, request)
 	if err != nil {
 		e.w.t.Fatal(err)
 	}
--- a/internal/system/control/feedserver/followers.go
+++ b/internal/system/control/feedserver/followers.go
@@ -11,15 +11,15 @@
 
 // Bounds of what is kept of followers.
 const (
-	forgetFollowerAfter = LongestWait + 2*time.Second // without a call: it follows another machine, or none
-	mostFollowersKept   = 2 * MostFollowers
+	forgetFollowerAfter = MaxWait + 2*time.Second // without a call: it follows another machine, or none
+	mostFollowersKept   = 2 * MaxFollowers
 )
 
 // Follower is what is known of a member that follows this machine.
 type Follower struct {
-	Node          string
-	Configuration uint64        // index up to which it holds the partition of the configuration
-	Asked         time.Duration // since its last call
+	Node               string
+	ConfigurationIndex uint64        // index up to which it holds the partition of the configuration
+	SinceLastCall      time.Duration // since its last call
 }
 
 // roll keeps the latest call of each follower, for operators.
@@ -75,7 +75,7 @@
 	r.forget(now)
 	out := make([]Follower, 0, len(r.calls))
 	for node, call := range r.calls {
-		out = append(out, Follower{Node: node, Configuration: call.configuration, Asked: now - call.at})
+		out = append(out, Follower{Node: node, ConfigurationIndex: call.configuration, SinceLastCall: now - call.at})
 	}
 	slices.SortFunc(out, func(a, b Follower) int { return cmp.Compare(a.Node, b.Node) })
 	return out
--- a/internal/system/control/feedserver/followers_test.go
+++ b/internal/system/control/feedserver/followers_test.go
@@ -15,7 +15,7 @@
 	now = forgetFollowerAfter / 2
 	s.roll.note(&feed.FollowRequest{Node: "a"}, now)
 	s.roll.note(&feed.FollowRequest{}, now)
-	want := []Follower{{Node: "a"}, {Node: "b", Configuration: 4, Asked: now}}
+	want := []Follower{{Node: "a"}, {Node: "b", ConfigurationIndex: 4, SinceLastCall: now}}
 	if got := s.Followers(); len(got) != 2 || got[0] != want[0] || got[1] != want[1] {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
--- a/internal/system/control/feedserver/notifier.go
+++ b/internal/system/control/feedserver/notifier.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// CoalesceFor is the shortest time between two wake-ups of all followers: what changes within it travels together.
-const CoalesceFor = 10 * time.Millisecond
+// CoalesceInterval is the shortest time between two wake-ups of all followers: what changes within it travels together.
+const CoalesceInterval = 10 * time.Millisecond
 
-// Notifier wakes followers after changes. The first change wakes at once, further ones within CoalesceFor wake together
+// Notifier wakes followers after changes. The first change wakes at once, further ones within CoalesceInterval wake together
 // at its end.
 type Notifier struct {
 	now   func() time.Duration // steady
@@ -26,27 +26,27 @@
 	return &Notifier{now: now, after: after, wake: make(chan struct{})}
 }
 
-// Wait returns a channel that is closed at the next wake-up. Take it before looking at the state.
-func (n *Notifier) Wait() <-chan struct{} {
+// Wakeup returns a channel that is closed at the next wake-up. Take it before looking at the state.
+func (n *Notifier) Wakeup() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.wake
 }
 
-// Changed says that there is something new. It never blocks.
-func (n *Notifier) Changed() {
+// Notify says that there is something new. It never blocks.
+func (n *Notifier) Notify() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.armed {
 		return
 	}
 	since := n.now() - n.wokenAt
-	if !n.woken || since >= CoalesceFor {
+	if !n.woken || since >= CoalesceInterval {
 		n.broadcast()
 		return
 	}
 	n.armed = true
-	n.after(CoalesceFor-since, n.fire)
+	n.after(CoalesceInterval-since, n.fire)
 }
 
 func (n *Notifier) fire() {
--- a/internal/system/control/feedserver/server.go
+++ b/internal/system/control/feedserver/server.go
@@ -15,9 +15,9 @@
 
 // Bounds of a call.
 const (
-	LongestWait   = 10 * time.Second // that a call is held open
-	MostReplyData = 256 << 10        // bytes of items after which further partitions wait for the next call
-	MostFollowers = 2000             // calls held open at once
+	MaxWait       = 10 * time.Second // that a call is held open
+	MaxReplyBytes = 256 << 10        // bytes of items after which further partitions wait for the next call
+	MaxFollowers  = 2000             // calls held open at once
 
 	staleMargin = 10 * time.Millisecond // beyond the end of a partition's freshness, for it to be over
 )
@@ -36,16 +36,16 @@
 
 // Options are a server's.
 type Options struct {
-	Sources  []Source // by partition
-	Notifier *Notifier
-	Now      func() time.Duration // steady
-	Proxies  func() int           // that may be serving; 0: not known
+	Sources    []Source // by partition
+	Notifier   *Notifier
+	Now        func() time.Duration // steady
+	ProxyCount func() int           // that may be serving; 0: not known
 
 	// Age is how long ago a partition was last known to be up to date; feed.Never: it never was.
 	Age func(feed.Partition) time.Duration
 
-	// BulkBytesPerS is the pace of large answers, all followers together; 0: no bound.
-	BulkBytesPerS float64
+	// BulkBytesPerSecond is the pace of large answers, all followers together; 0: no bound.
+	BulkBytesPerSecond float64
 }
 
 // Server answers followers.
@@ -62,10 +62,10 @@
 // New returns a server.
 func New(options Options) *Server {
 	s := &Server{options: options, caches: make([]cache, len(options.Sources)), stop: make(chan struct{})}
-	s.pacer.bytesPerS = options.BulkBytesPerS
+	s.pacer.bytesPerS = options.BulkBytesPerSecond
 	for i, source := range options.Sources {
 		s.caches[i].source = source
-		s.caches[i].maxBytes = MostReplyData
+		s.caches[i].maxBytes = MaxReplyBytes
 	}
 	s.caches[feed.ConfigurationPartition].maxBytes = 0
 	return s
@@ -74,13 +74,13 @@
 // Stop answers all open calls at once, and later ones without a wait.
 func (s *Server) Stop() { s.stopOnce.Do(func() { close(s.stop) }) }
 
-// Call is the call that followers make.
-var Call = rpc.Declare[feed.FollowRequest, feed.FollowReply]("Feed.Follow")
+// FollowMethod is the call that followers make.
+var FollowMethod = rpc.Declare[feed.FollowRequest, feed.FollowReply]("Feed.Follow")
 
 // Follow answers as soon as anything changed since the request's positions, and after its wait at the latest, or once a
 // partition is stale that the follower takes for up to date. A large answer waits for its turn; if that is far off, the answer says when to ask again.
 func (s *Server) Follow(ctx context.Context, request *feed.FollowRequest) (*feed.FollowReply, error) {
-	if s.followers.Add(1) > MostFollowers {
+	if s.followers.Add(1) > MaxFollowers {
 		s.followers.Add(-1)
 		return nil, ErrTooManyFollowers
 	}
@@ -89,14 +89,14 @@
 	sought := wanted{positions: s.positions(request), packed: request.Packed}
 	batches := s.collect(sought)
 	if len(batches) == 0 && request.Wait > 0 {
-		batches = s.await(ctx, sought, min(request.Wait, LongestWait, s.untilStale(request.Current)))
+		batches = s.await(ctx, sought, min(request.Wait, MaxWait, s.untilStale(request.Current)))
 	}
 	wait, admitted := s.pacer.admit(s.options.Now(), size(batches))
 	if !admitted {
-		return &feed.FollowReply{Busy: wait, Ages: s.ages(), Proxies: s.options.Proxies()}, nil
+		return &feed.FollowReply{Busy: wait, Ages: s.ages(), Proxies: s.options.ProxyCount()}, nil
 	}
 	s.pause(ctx, wait)
-	return &feed.FollowReply{Batches: batches, Ages: s.ages(), Proxies: s.options.Proxies()}, nil
+	return &feed.FollowReply{Batches: batches, Ages: s.ages(), Proxies: s.options.ProxyCount()}, nil
 }
 
 // ages are those of the partitions, each by itself.
@@ -111,7 +111,7 @@
 // untilStale is how long it takes until the first of the partitions, with which a follower takes this machine for up to
 // date, is stale, if nothing is heard of it any more.
 func (s *Server) untilStale(current feed.PartitionSet) time.Duration {
-	until := LongestWait
+	until := MaxWait
 	for partition, age := range s.ages() {
 		if current.Has(feed.Partition(partition)) {
 			until = min(until, max(0, feed.StaleAfter-age)+staleMargin)
@@ -139,7 +139,7 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		wake := s.options.Notifier.Wait()
+		wake := s.options.Notifier.Wakeup()
 		if batches := s.collect(sought); len(batches) > 0 {
 			return batches
 		}
@@ -178,7 +178,7 @@
 	var batches []feed.Batch
 	total := 0
 	for partition, index := range sought.positions {
-		if total >= MostReplyData {
+		if total >= MaxReplyBytes {
 			break
 		}
 		batch := s.caches[partition].since(index, s.options.Now(), sought.packed)
--- a/internal/system/control/feedserver/server_test.go
+++ b/internal/system/control/feedserver/server_test.go
@@ -102,11 +102,11 @@
 	}
 	w.notify = NewNotifier(w.clock.now, w.clock.after)
 	w.server = New(Options{
-		Sources:  sources,
-		Notifier: w.notify,
-		Now:      w.clock.now,
-		Age:      func(partition feed.Partition) time.Duration { return w.ages[partition] },
-		Proxies:  func() int { return 3 },
+		Sources:    sources,
+		Notifier:   w.notify,
+		Now:        w.clock.now,
+		Age:        func(partition feed.Partition) time.Duration { return w.ages[partition] },
+		ProxyCount: func() int { return 3 },
 	})
 	return w
 }
@@ -171,7 +171,7 @@
 	}
 	w.waitForFollowers(t, followers)
 	w.sources[0].put(2, "b", 1)
-	w.notify.Changed()
+	w.notify.Notify()
 	for range followers {
 		reply := receive(t, replies)
 		if len(reply.Batches) != 1 || reply.Batches[0].To != 2 {
@@ -241,7 +241,7 @@
 		{[]time.Duration{0, time.Second, 0}, all, feed.StaleAfter - time.Second + staleMargin},
 		{[]time.Duration{0, feed.Never, 0}, all, staleMargin},
 		{[]time.Duration{0, feed.Never, time.Hour}, feed.SetOf(0), feed.StaleAfter + staleMargin},
-		{[]time.Duration{0, feed.Never, 0}, 0, LongestWait},
+		{[]time.Duration{0, feed.Never, 0}, 0, MaxWait},
 	} {
 		w.ages = c.ages
 		if got := w.server.untilStale(c.current); got != c.want {
@@ -250,23 +250,23 @@
 	}
 	w.ages = []time.Duration{0, feed.Never, 0}
 	begun := time.Now()
-	request := requestOf(LongestWait, nil)
+	request := requestOf(MaxWait, nil)
 	request.Current = all
 	if _, err := w.server.Follow(context.Background(), request); err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(begun); took > LongestWait/2 {
+	if took := time.Since(begun); took > MaxWait/2 {
 		t.Errorf("the call was held open for %v", took)
 	}
 }
 
 func TestTooManyFollowers(t *testing.T) {
 	w := newWorld()
-	w.server.followers.Store(MostFollowers)
+	w.server.followers.Store(MaxFollowers)
 	if _, err := w.server.Follow(context.Background(), requestOf(0, nil)); err != ErrTooManyFollowers {
 		t.Errorf("%v", err)
 	}
-	if n := w.server.followers.Load(); n != MostFollowers {
+	if n := w.server.followers.Load(); n != MaxFollowers {
 		t.Errorf("%d calls are counted", n)
 	}
 }
@@ -298,7 +298,7 @@
 			}
 			positions[batch.Partition] = batch.To
 		}
-		if got > 2*MostReplyData {
+		if got > 2*MaxReplyBytes {
 			t.Fatalf("round %d: %d bytes of runners", round, got)
 		}
 	}
@@ -316,29 +316,29 @@
 			return false
 		}
 	}
-	wake := n.Wait()
-	n.Changed()
+	wake := n.Wakeup()
+	n.Notify()
 	if !woken(wake) {
 		t.Error("the first change does not wake at once")
 	}
-	wake = n.Wait()
+	wake = n.Wakeup()
 	for range 9 {
-		c.pass(CoalesceFor / 10)
-		n.Changed()
+		c.pass(CoalesceInterval / 10)
+		n.Notify()
 	}
 	if woken(wake) {
 		t.Error("a storm wakes too often")
 	}
-	c.pass(CoalesceFor / 10)
+	c.pass(CoalesceInterval / 10)
 	if !woken(wake) {
 		t.Error("changes within a storm do not wake at its end")
 	}
-	wake = n.Wait()
-	c.pass(CoalesceFor)
+	wake = n.Wakeup()
+	c.pass(CoalesceInterval)
 	if woken(wake) {
 		t.Error("woken without a change")
 	}
-	n.Changed()
+	n.Notify()
 	if !woken(wake) {
 		t.Error("a change after a storm does not wake at once")
 	}
--- a/internal/system/control/partitions_test.go
+++ b/internal/system/control/partitions_test.go
@@ -55,7 +55,7 @@
 			u := usurper{partition: lost}
 			s.wait("the lost partition is stale, the others are not", func() bool {
 				u.claim(t, s, client)
-				reply, err := feedserver.Call.Invoke(context.Background(), client, &feed.FollowRequest{Node: "test"})
+				reply, err := feedserver.FollowMethod.Invoke(context.Background(), client, &feed.FollowRequest{Node: "test"})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/system/control/process.go
+++ b/internal/system/control/process.go
@@ -101,9 +101,9 @@
 func (p *Process) now() time.Duration { return time.Since(p.started) }
 
 func (p *Process) makeStates(notifier *feedserver.Notifier) {
-	p.configuration = state.NewConfiguration(p.now, notifier.Changed)
+	p.configuration = state.NewConfiguration(p.now, notifier.Notify)
 	for i := range feed.RunnerPartitions {
-		p.runners = append(p.runners, state.NewRunners(feed.Partition(i+1), p.now, notifier.Changed))
+		p.runners = append(p.runners, state.NewRunners(feed.Partition(i+1), p.now, notifier.Notify))
 	}
 }
 
@@ -121,13 +121,13 @@
 		sources = append(sources, runners)
 	}
 	p.feed = feedserver.New(feedserver.Options{
-		Sources:  sources,
-		Notifier: notifier,
-		Now:      p.now,
-		Age:      p.age,
-		Proxies:  func() int { return p.gossip.Proxies() },
+		Sources:    sources,
+		Notifier:   notifier,
+		Now:        p.now,
+		Age:        p.age,
+		ProxyCount: func() int { return p.gossip.Proxies() },
 
-		BulkBytesPerS: feedShare * p.settings.Load().Limits.LinkBytesPerS(),
+		BulkBytesPerSecond: feedShare * p.settings.Load().Limits.LinkBytesPerS(),
 	})
 }
 
@@ -203,7 +203,7 @@
 	}
 	registry := rpc.NewRegistry()
 	p.host.Register(registry)
-	feedserver.Call.Handle(registry, p.feed.Follow)
+	feedserver.FollowMethod.Handle(registry, p.feed.Follow)
 	limits := rpc.Limits{Connections: rpcConnections, Calls: rpcCalls}
 	p.running.Go(func() {
 		if err := rpc.Serve(p.context, listener, registry, limits); err != nil {
--- a/internal/system/control/process_test.go
+++ b/internal/system/control/process_test.go
@@ -234,7 +234,7 @@
 	client := rpc.NewClient(netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ControlRPC)), rpc.Options{})
 	defer client.Close()
 	items := map[string]feed.Item{}
-	reply, err := feedserver.Call.Invoke(context.Background(), client, &feed.FollowRequest{Node: "test"})
+	reply, err := feedserver.FollowMethod.Invoke(context.Background(), client, &feed.FollowRequest{Node: "test"})
 	if err != nil {
 		return items
 	}
--- a/internal/system/control/status.go
+++ b/internal/system/control/status.go
@@ -61,9 +61,9 @@
 	for _, follower := range followers {
 		out = append(out, status.Follower{
 			Node:          follower.Node,
-			Configuration: follower.Configuration,
-			Behind:        follower.Configuration < index,
-			AskedMS:       follower.Asked.Milliseconds(),
+			Configuration: follower.ConfigurationIndex,
+			Behind:        follower.ConfigurationIndex < index,
+			AskedMS:       follower.SinceLastCall.Milliseconds(),
 		})
 	}
 	return out
