--- a/cmd/cinderctl/check.go
+++ b/cmd/cinderctl/check.go
@@ -91,11 +91,11 @@
 		return c.Kind
 	}
 	kind := kindConfiguration
-	root, ok := jsonfield.Read(body, &validation.List{})
+	root, ok := jsonfield.Parse(body, &validation.Problems{})
 	if !ok || !root.IsObject() {
 		return kind
 	}
-	root.Object(func(name string, _ jsonfield.Value) {
+	root.ReadObject(func(name string, _ jsonfield.Value) {
 		switch name {
 		case "node", "free_ports", "listen_on":
 			kind = kindSettings
@@ -115,7 +115,7 @@
 	case kindChange:
 		report.takeChange(body, base)
 	default:
-		document, err := configuration.Check(body, 0)
+		document, err := configuration.ParseAndValidate(body, 0)
 		report.takeDocument(document)
 		report.take(err, body)
 	}
@@ -131,7 +131,7 @@
 		r.take(err, body)
 		return
 	}
-	document, err := configuration.CheckChange(body, base)
+	document, err := configuration.ApplyAndValidate(body, base)
 	r.takeDocument(document)
 	r.take(err, body)
 }
@@ -144,17 +144,17 @@
 }
 
 func (r *fileReport) take(err error, body []byte) {
-	var list validation.List
-	list.Include(err)
+	var list validation.Problems
+	list.AddError(err)
 	var found *validation.Error
 	if !errors.As(list.Err(), &found) {
 		return
 	}
 	r.Omitted = found.Omitted
-	for _, finding := range found.Findings {
+	for _, finding := range found.Problems {
 		line, column := lineOf(body, finding.Offset)
-		r.Findings = append(r.Findings, findingReport{Place: finding.Place, Line: line, Column: column,
-			Problem: finding.Problem})
+		r.Findings = append(r.Findings, findingReport{Place: finding.Path, Line: line, Column: column,
+			Problem: finding.Message})
 	}
 }
 
--- a/cmd/cinderroad-agent/main.go
+++ b/cmd/cinderroad-agent/main.go
@@ -14,18 +14,18 @@
 
 func main() {
 	program := startup.Program{
-		Name:           "cinderroad-agent",
-		Description:    "Links the proxy of an edge machine to the control replicas.",
-		Version:        startup.BuildVersion(),
-		LogLevel:       zapcore.InfoLevel,
-		GarbagePercent: 20, // little is allocated in a second, and memory is dear
+		Name:        "cinderroad-agent",
+		Description: "Links the proxy of an edge machine to the control replicas.",
+		Version:     startup.BuildVersion(),
+		LogLevel:    zapcore.InfoLevel,
+		GCPercent:   20, // little is allocated in a second, and memory is dear
 	}
-	log := program.Start()
+	log := program.Init()
 	startup.Exit(log, run(&program, log))
 }
 
 func run(program *startup.Program, log *zap.Logger) error {
-	return program.Serve(log, func(ctx context.Context, settings *processconfig.Settings, log *zap.Logger) (startup.Process, error) {
+	return program.Run(log, func(ctx context.Context, settings *processconfig.Settings, log *zap.Logger) (startup.Process, error) {
 		return agent.New(ctx, agent.Options{Settings: settings, Version: program.Version, Log: log,
 			Metrics: program.MetricsAddress(settings.IP)})
 	})
--- a/cmd/cinderroad-control/main.go
+++ b/cmd/cinderroad-control/main.go
@@ -15,18 +15,18 @@
 
 func main() {
 	program := startup.Program{
-		Name:           "cinderroad-control",
-		Description:    "Control replica of a core machine: operator's API, directory and feed.",
-		Version:        startup.BuildVersion(),
-		LogLevel:       zapcore.InfoLevel,
-		GarbagePercent: 25, // little is allocated in a second, and memory is dear
+		Name:        "cinderroad-control",
+		Description: "Control replica of a core machine: operator's API, directory and feed.",
+		Version:     startup.BuildVersion(),
+		LogLevel:    zapcore.InfoLevel,
+		GCPercent:   25, // little is allocated in a second, and memory is dear
 	}
-	log := program.Start()
+	log := program.Init()
 	startup.Exit(log, run(&program, log))
 }
 
 func run(program *startup.Program, log *zap.Logger) error {
-	return program.Serve(log, func(ctx context.Context, settings *processconfig.Settings, log *zap.Logger) (startup.Process, error) {
+	return program.Run(log, func(ctx context.Context, settings *processconfig.Settings, log *zap.Logger) (startup.Process, error) {
 		return control.Start(ctx, control.Options{Settings: settings, Version: program.Version, Log: log,
 			Metrics: program.MetricsAddress(settings.IP)})
 	})
--- a/cmd/cinderroad-proxy/main.go
+++ b/cmd/cinderroad-proxy/main.go
@@ -33,13 +33,13 @@
 
 func main() {
 	program := startup.Program{
-		Name:           "cinderroad-proxy",
-		Description:    "Serves clients of an edge machine; the settings file is named by " + processconfig.Variable + ".",
-		Version:        "cinderroad-proxy 1",
-		LogLevel:       zapcore.InfoLevel,
-		GarbagePercent: 40, // memory at its peak costs more than a collection of so small a heap
+		Name:        "cinderroad-proxy",
+		Description: "Serves clients of an edge machine; the settings file is named by " + processconfig.PathVariable + ".",
+		Version:     "cinderroad-proxy 1",
+		LogLevel:    zapcore.InfoLevel,
+		GCPercent:   40, // memory at its peak costs more than a collection of so small a heap
 	}
-	if err := run(&program, program.Start()); err != nil {
+	if err := run(&program, program.Init()); err != nil {
 		fmt.Fprintln(os.Stderr, "cinderroad-proxy:", err)
 		os.Exit(1)
 	}
@@ -86,12 +86,12 @@
 	timing := &settings.Timing
 	placer, err := placement.New(placement.Options{Zone: settings.Zone, Region: settings.Region, Zones: settings.Zones,
 		RetryRatio: timing.RetryRatio, RetryWindow: timing.RetryWindow, RetryExtra: timing.RetryExtra,
-		ColdExcess: timing.ColdExcess, ColdSlack: timing.ColdSlack}, seed)
+		ColdExcess: timing.SlowStartRateFactor, ColdSlack: timing.SlowStartRateAllowance}, seed)
 	if err != nil {
 		return nil, err
 	}
 	return proxy.New(loop, log, placer, proxy.Options{Front: settings.ListenOn.Front, Ready: settings.ListenOn.Ready,
-		Metrics: metrics, Node: settings.Node, Zone: settings.Zone, LinkBytesPerS: settings.Limits.LinkBytesPerS(),
+		Metrics: metrics, Node: settings.Node, Zone: settings.Zone, LinkBytesPerS: settings.Limits.LinkBytesPerSecond(),
 		Peers:       netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ProxyPort)),
 		MemoryBytes: settings.Limits.RAMMB << 20, GracePeriod: timing.GracePeriod, Seed: seed}), nil
 }
@@ -108,9 +108,9 @@
 func follow(ctx context.Context, loop *eventloop.Loop, log *zap.Logger, p *proxy.Proxy,
 	settings *processconfig.Settings) {
 	link := agentclient.New(log, agentclient.Options{
-		Agent:            settings.FeedAddress(),
+		Agent:            settings.AgentFeedAddress(),
 		Node:             settings.Node,
-		RunnerPartitions: feed.RunnerPartitions,
+		RunnerPartitions: feed.RunnerPartitionCount,
 		Deliver:          func(u agentclient.Update) { loop.Post(func() { p.Take(u) }) },
 		Recall:           func(learnt []byte) { loop.Post(func() { p.Recall(learnt) }) },
 	})
--- a/internal/system/agent/agent.go
+++ b/internal/system/agent/agent.go
@@ -87,10 +87,10 @@
 		failures: make(chan error, 4),
 	}
 	a.Reload(options.Settings)
-	a.store = newStore(a.now, feed.RunnerPartitions)
+	a.store = newStore(a.now, feed.RunnerPartitionCount)
 	a.crowd = newCrowd(a.now, a.others)
 	a.proxy = newProxy(a.log, a.now)
-	options.source.Partitions = 1 + feed.RunnerPartitions
+	options.source.Partitions = 1 + feed.RunnerPartitionCount
 	client := discovery.NewClient(discovery.ClientOptions{Address: a.settings.CloudAPI.Address})
 	a.platform = newPlatform(a.log, a.now, client, a.store, a.pace, rand.Float64)
 	a.follower = &follower{
@@ -107,7 +107,7 @@
 }
 
 func (a *Agent) open(ctx context.Context, loopback netip.Addr) error {
-	feed := a.settings.FeedAddress()
+	feed := a.settings.AgentFeedAddress()
 	if loopback.IsValid() {
 		feed = netip.AddrPortFrom(loopback, feed.Port())
 	}
@@ -116,7 +116,7 @@
 		return fmt.Errorf("agent: cannot listen for the proxy, check that no other agent runs: %w", err)
 	}
 	a.local = &countingListener{Listener: local, changed: a.proxyConnections}
-	machine := netip.AddrPortFrom(a.settings.IP, a.settings.Port(processconfig.AgentRPC))
+	machine := netip.AddrPortFrom(a.settings.IP, a.settings.Port(processconfig.AgentRPCPort))
 	a.peers, err = retry.Listen(ctx, machine)
 	if err != nil {
 		local.Close()
@@ -171,7 +171,7 @@
 	a.listen(ctx, a.local, local, rpc.Limits{Connections: proxyConnections, RequestBytes: requestBytes})
 
 	peers := rpc.NewRegistry()
-	pace := peersShare * a.settings.Limits.LinkBytesPerS()
+	pace := peersShare * a.settings.Limits.LinkBytesPerSecond()
 	feedserver.FollowMethod.Handle(peers, a.server(a.store.baseSources(), a.store.base, pace).Follow)
 	a.listen(ctx, a.peers, peers, rpc.Limits{Connections: peerConnections, RequestBytes: requestBytes})
 }
@@ -270,7 +270,7 @@
 }
 
 func (a *Agent) pace() fallback.Pace {
-	return fallback.Pace{Agents: a.proxies(), RatePerS: a.settings.CloudAPI.RatePerS}
+	return fallback.Pace{Agents: a.proxies(), RatePerS: a.settings.CloudAPI.CallsPerSecond}
 }
 
 // candidates are where the feed may be followed from: control replicas, and other agents for one that has nothing.
@@ -289,12 +289,12 @@
 
 // isPeer says whether an address is another agent's.
 func (a *Agent) isPeer(address netip.AddrPort) bool {
-	return address.Port() == a.settings.Port(processconfig.AgentRPC)
+	return address.Port() == a.settings.Port(processconfig.AgentRPCPort)
 }
 
 // seedReplicas are the control replicas of the settings, from one on that differs between nodes.
 func (a *Agent) seedReplicas() []netip.AddrPort {
-	port := a.settings.Port(processconfig.ControlRPC)
+	port := a.settings.Port(processconfig.ControlRPCPort)
 	seeds := *a.seeds.Load()
 	addresses := make([]netip.AddrPort, len(seeds))
 	first := int(xxhash.Sum64String(a.settings.Node) % uint64(max(1, len(seeds))))
@@ -311,7 +311,7 @@
 	if !a.settings.CloudAPI.Address.IsValid() || a.store.empty() {
 		cutOff = 0
 	}
-	a.platform.update(cutOff.Without(feed.SetOf(feed.ConfigurationPartition)))
+	a.platform.update(cutOff.Without(feed.NewPartitionSet(feed.ConfigurationPartition)))
 }
 
 // stoppingFor is the time since the signal to stop; 0 where none came.
--- a/internal/system/agent/agent_test.go
+++ b/internal/system/agent/agent_test.go
@@ -133,7 +133,7 @@
 func serviceOf(partition feed.Partition) string {
 	for i := 0; ; i++ {
 		service := fmt.Sprint("service-", i)
-		if feed.PartitionOf(service, feed.RunnerPartitions) == partition {
+		if feed.PartitionOf(service, feed.RunnerPartitionCount) == partition {
 			return service
 		}
 	}
--- a/internal/system/agent/fallback/survey.go
+++ b/internal/system/agent/fallback/survey.go
@@ -120,9 +120,9 @@
 		}
 	}
 	switch {
-	case !cutOff.Empty() && m.state == Idle:
+	case !cutOff.IsEmpty() && m.state == Idle:
 		m.begin(now, pace)
-	case !cutOff.Empty():
+	case !cutOff.IsEmpty():
 		m.state = Asking // on, after a cut that ended for a moment
 	case len(m.dropAt) > 0:
 		m.state = Holding
--- a/internal/system/agent/fallback/survey_test.go
+++ b/internal/system/agent/fallback/survey_test.go
@@ -9,7 +9,7 @@
 )
 
 // one is a cut from the first partition of runners.
-var one = feed.SetOf(1)
+var one = feed.NewPartitionSet(1)
 
 func half() float64 { return 0.5 }
 
@@ -34,7 +34,7 @@
 func TestHoldsTheListUntilTheFeedHasCaughtUp(t *testing.T) {
 	m := New(half)
 	m.Update(0, one, Pace{})
-	if !m.Update(time.Second, 0, Pace{}).Empty() || m.State() != Holding {
+	if !m.Update(time.Second, 0, Pace{}).IsEmpty() || m.State() != Holding {
 		t.Fatal("the list is dropped at once")
 	}
 	if _, asking := m.Next(time.Second); asking {
@@ -45,13 +45,13 @@
 		t.Error("it does not ask in a second cut")
 	}
 	m.Update(3*time.Second, 0, Pace{})
-	if !m.Update(3*time.Second+HoldFor-1, 0, Pace{}).Empty() {
+	if !m.Update(3*time.Second+HoldFor-1, 0, Pace{}).IsEmpty() {
 		t.Error("the list is dropped early")
 	}
 	if m.Update(3*time.Second+HoldFor, 0, Pace{}) != one || m.State() != Idle {
 		t.Error("the list is not dropped")
 	}
-	if !m.Update(10*time.Second, 0, Pace{}).Empty() {
+	if !m.Update(10*time.Second, 0, Pace{}).IsEmpty() {
 		t.Error("the list is dropped twice")
 	}
 }
@@ -59,7 +59,7 @@
 // TestPartitionsCountEachByItself has one partition come back while another stays cut off.
 func TestPartitionsCountEachByItself(t *testing.T) {
 	m := New(half)
-	both, two := feed.SetOf(1, 2), feed.SetOf(2)
+	both, two := feed.NewPartitionSet(1, 2), feed.NewPartitionSet(2)
 	m.Update(0, both, Pace{})
 	if m.CutOff() != both || m.State() != Asking {
 		t.Fatalf("%v, for the partitions %v", m.State(), m.CutOff())
@@ -68,7 +68,7 @@
 	if m.CutOff() != two || m.State() != Asking {
 		t.Fatalf("%v, for the partitions %v", m.State(), m.CutOff())
 	}
-	if drop := m.Update(time.Second+HoldFor-1, two, Pace{}); !drop.Empty() {
+	if drop := m.Update(time.Second+HoldFor-1, two, Pace{}); !drop.IsEmpty() {
 		t.Errorf("the list is dropped early for %v", drop)
 	}
 	if drop := m.Update(time.Second+HoldFor, two, Pace{}); drop != one || m.State() != Asking {
--- a/internal/system/agent/metrics_test.go
+++ b/internal/system/agent/metrics_test.go
@@ -19,7 +19,7 @@
 	text := func() string {
 		var page exposition.Page
 		e.agent.expose(&page)
-		return string(page.Text())
+		return string(page.Bytes())
 	}
 	e.waitFor("the figures tell of the feed and the proxy", func() bool {
 		page := text()
--- a/internal/system/agent/overlay/overlay.go
+++ b/internal/system/agent/overlay/overlay.go
@@ -55,11 +55,11 @@
 	for i := range runners {
 		runner := &runners[i]
 		partition := feed.PartitionOf(runner.Service, len(t.served)-1)
-		listed[partition][feed.KeyRunner+runner.ID] = runner
+		listed[partition][feed.KeyPrefixRunner+runner.ID] = runner
 	}
 	changed := false
 	for partition := feed.Partition(1); int(partition) < len(t.served); partition++ {
-		if partitions.Has(partition) && t.listPartition(now, partition, listed[partition]) {
+		if partitions.Contains(partition) && t.listPartition(now, partition, listed[partition]) {
 			changed = true
 		}
 	}
@@ -75,7 +75,7 @@
 	index := table.Index() + 1
 	var put []feed.Item
 	var gone []string
-	for item := range table.Items(now, feed.KeyRunner) {
+	for item := range table.Items(now, feed.KeyPrefixRunner) {
 		if listed[item.Key] == nil && overlay.missing(item.Key) {
 			gone = append(gone, item.Key)
 		}
@@ -86,7 +86,7 @@
 		if item, known := table.Item(now, key); known && !differs(item, runner) {
 			continue
 		}
-		put = append(put, feed.Item{Key: key, Value: discovery.Encode(*runner)})
+		put = append(put, feed.Item{Key: key, Value: discovery.EncodeRunner(*runner)})
 	}
 	slices.SortFunc(put, func(a, b feed.Item) int { return compare(a.Key, b.Key) })
 	for _, item := range put {
@@ -120,7 +120,7 @@
 	if !sameButTimes(&held, listed) {
 		return true
 	}
-	return deviates(held.ColdLeft-item.Age, listed.ColdLeft) || deviates(held.TimeLeft-item.Age, listed.TimeLeft)
+	return deviates(held.SlowStartRemaining-item.Age, listed.SlowStartRemaining) || deviates(held.TimeToTermination-item.Age, listed.TimeToTermination)
 }
 
 func sameButTimes(a, b *discovery.Runner) bool {
@@ -138,7 +138,7 @@
 func (t *Tables) Drop(now time.Duration, partitions feed.PartitionSet) bool {
 	changed := false
 	for partition := feed.Partition(1); int(partition) < len(t.served); partition++ {
-		if partitions.Has(partition) && t.dropPartition(now, partition) {
+		if partitions.Contains(partition) && t.dropPartition(now, partition) {
 			changed = true
 		}
 	}
--- a/internal/system/agent/overlay/overlay_test.go
+++ b/internal/system/agent/overlay/overlay_test.go
@@ -57,13 +57,13 @@
 func (w *world) put(runners ...discovery.Runner) {
 	w.index++
 	for _, r := range runners {
-		w.control[partitionOf(r)].Put(w.now, w.index, feed.KeyRunner+r.ID, discovery.Encode(r))
+		w.control[partitionOf(r)].Put(w.now, w.index, feed.KeyPrefixRunner+r.ID, discovery.EncodeRunner(r))
 	}
 }
 
 func (w *world) remove(id string) {
 	w.index++
-	w.control[partitionOf(runner(id))].Delete(w.now, w.index, feed.KeyRunner+id)
+	w.control[partitionOf(runner(id))].Delete(w.now, w.index, feed.KeyPrefixRunner+id)
 }
 
 func (w *world) configure(version string) {
@@ -74,7 +74,7 @@
 // follow has the agent take what the control replicas have.
 func (w *world) follow() {
 	for i, position := range w.agent.Positions() {
-		w.agent.Apply(w.now, w.control[i].Since(w.now, position.Index, 0))
+		w.agent.Apply(w.now, w.control[i].BatchSince(w.now, position.Index, 0))
 	}
 }
 
@@ -84,21 +84,21 @@
 	for i, table := range w.proxy {
 		w.agent.Meet(w.now, table.Position())
 		served := w.agent.Served(feed.Partition(i))
-		if served.LastChange() <= table.Index() {
+		if served.LastChangeIndex() <= table.Index() {
 			continue
 		}
-		table.Apply(w.now, served.Since(w.now, table.Index(), 0))
+		table.Apply(w.now, served.BatchSince(w.now, table.Index(), 0))
 	}
 }
 
 // has is what the proxy holds of a runner.
 func (w *world) has(id string) (discovery.Runner, bool) {
 	w.t.Helper()
-	value, known := w.proxy[partitionOf(runner(id))].Get(feed.KeyRunner + id)
+	value, known := w.proxy[partitionOf(runner(id))].Get(feed.KeyPrefixRunner + id)
 	if !known {
 		return discovery.Runner{}, false
 	}
-	decoded, err := discovery.Decode(value)
+	decoded, err := discovery.DecodeRunner(value)
 	if err != nil {
 		w.t.Fatalf("the proxy holds no runner of %s: %v", id, err)
 	}
@@ -139,7 +139,7 @@
 	w.now += 3 * time.Second
 	w.follow()
 	w.now += 2 * time.Second
-	item, _ := w.agent.Served(partitionOf(runner("one"))).Item(w.now, feed.KeyRunner+"one")
+	item, _ := w.agent.Served(partitionOf(runner("one"))).Item(w.now, feed.KeyPrefixRunner+"one")
 	if item.Age != 5*time.Second {
 		t.Errorf("the runner is as old as %v, want 5s", item.Age)
 	}
@@ -206,8 +206,8 @@
 	w.follow()
 	drains := func(r discovery.Runner) bool {
 		w.serve()
-		value, known := w.proxy[partitionOf(r)].Get(feed.KeyRunner + r.ID)
-		held, err := discovery.Decode(value)
+		value, known := w.proxy[partitionOf(r)].Get(feed.KeyPrefixRunner + r.ID)
+		held, err := discovery.DecodeRunner(value)
 		if !known || err != nil {
 			t.Fatalf("%s is held: %t, %v", r.ID, known, err)
 		}
@@ -215,20 +215,20 @@
 	}
 	list := []discovery.Runner{here, there}
 	list[0].Draining, list[1].Draining = true, true
-	w.agent.List(w.now, list, feed.SetOf(1))
+	w.agent.List(w.now, list, feed.NewPartitionSet(1))
 	if !drains(here) || drains(there) {
 		t.Errorf("cut off from 1: in 1 it drains: %t, in 2: %t", drains(here), drains(there))
 	}
-	w.agent.List(w.now, list[1:], feed.SetOf(1))
-	w.agent.List(w.now, list[1:], feed.SetOf(1))
+	w.agent.List(w.now, list[1:], feed.NewPartitionSet(1))
+	w.agent.List(w.now, list[1:], feed.NewPartitionSet(1))
 	w.serve()
-	if _, known := w.proxy[1].Get(feed.KeyRunner + here.ID); known {
+	if _, known := w.proxy[1].Get(feed.KeyPrefixRunner + here.ID); known {
 		t.Error("a runner that is gone is served")
 	}
-	if w.agent.Drop(w.now, feed.SetOf(2)) {
+	if w.agent.Drop(w.now, feed.NewPartitionSet(2)) {
 		t.Error("dropping the list for another partition changes something")
 	}
-	w.agent.Drop(w.now, feed.SetOf(1))
+	w.agent.Drop(w.now, feed.NewPartitionSet(1))
 	if !drains(here) {
 		t.Error("a runner that drained serves again")
 	}
@@ -276,7 +276,7 @@
 	w := newWorld(t)
 	cold := func(left time.Duration) discovery.Runner {
 		r := runner("one")
-		r.ColdLeft = left
+		r.SlowStartRemaining = left
 		return r
 	}
 	w.put(cold(3 * time.Second))
@@ -358,7 +358,7 @@
 		}
 		remove := func(r discovery.Runner) {
 			w.index++
-			w.control[partitionOf(r)].Delete(w.now, w.index, feed.KeyRunner+r.ID)
+			w.control[partitionOf(r)].Delete(w.now, w.index, feed.KeyPrefixRunner+r.ID)
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			w.now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
@@ -396,8 +396,8 @@
 				w.compare(feed.Partition(i))
 			}
 			for i := range w.proxy {
-				for _, value := range w.agent.Served(feed.Partition(i)).Values(feed.KeyRunner) {
-					r, err := discovery.Decode(value)
+				for _, value := range w.agent.Served(feed.Partition(i)).Values(feed.KeyPrefixRunner) {
+					r, err := discovery.DecodeRunner(value)
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -415,8 +415,8 @@
 	table := w.proxy[partition]
 	w.agent.Meet(w.now, table.Position())
 	served := w.agent.Served(partition)
-	if served.LastChange() > table.Index() {
-		table.Apply(w.now, served.Since(w.now, table.Index(), 0))
+	if served.LastChangeIndex() > table.Index() {
+		table.Apply(w.now, served.BatchSince(w.now, table.Index(), 0))
 	}
 }
 
@@ -447,11 +447,11 @@
 // drainsOn says whether the proxy holds a runner as draining that an earlier life of the agent knew to be draining, and
 // this one does not.
 func drainsOn(held, served []byte) bool {
-	a, errA := discovery.Decode(held)
-	b, errB := discovery.Decode(served)
+	a, errA := discovery.DecodeRunner(held)
+	b, errB := discovery.DecodeRunner(served)
 	if errA != nil || errB != nil || !a.Draining {
 		return false
 	}
 	b.Draining = true
-	return string(discovery.Encode(b)) == string(held)
+	return string(discovery.EncodeRunner(b)) == string(held)
 }
--- a/internal/system/agent/overlay/tables.go
+++ b/internal/system/agent/overlay/tables.go
@@ -122,7 +122,7 @@
 		return item
 	}
 	if t.drained.keep(now, &runner) {
-		item.Value = discovery.Encode(runner)
+		item.Value = discovery.EncodeRunner(runner)
 	}
 	return item
 }
@@ -147,9 +147,9 @@
 
 // decode reads an item of a runner.
 func decode(item feed.Item) (discovery.Runner, bool) {
-	if len(item.Key) < len(feed.KeyRunner) || item.Key[:len(feed.KeyRunner)] != feed.KeyRunner {
+	if len(item.Key) < len(feed.KeyPrefixRunner) || item.Key[:len(feed.KeyPrefixRunner)] != feed.KeyPrefixRunner {
 		return discovery.Runner{}, false
 	}
-	runner, err := discovery.Decode(item.Value)
+	runner, err := discovery.DecodeRunner(item.Value)
 	return runner, err == nil
 }
--- a/internal/system/agent/platform.go
+++ b/internal/system/agent/platform.go
@@ -18,7 +18,7 @@
 // lister asks the platform for its list.
 type lister interface {
 	List(ctx context.Context) ([]discovery.Runner, error)
-	Calls() uint64 // to the platform so far
+	CallCount() uint64 // to the platform so far
 	Close()
 }
 
@@ -48,7 +48,7 @@
 	drop := p.machine.Update(p.now(), cutOff, p.pace())
 	is := p.machine.State()
 	p.mutex.Unlock()
-	if !drop.Empty() {
+	if !drop.IsEmpty() {
 		p.store.drop(drop)
 	}
 	if is == was {
@@ -97,9 +97,9 @@
 func (p *platform) ask(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	before := p.lister.Calls()
+	before := p.lister.CallCount()
 	runners, err := p.lister.List(ctx)
-	calls := int(p.lister.Calls() - before)
+	calls := int(p.lister.CallCount() - before)
 	if err != nil {
 		p.failed(err)
 		return
--- a/internal/system/agent/store.go
+++ b/internal/system/agent/store.go
@@ -28,7 +28,7 @@
 
 // take takes the age of a word that came now.
 func (u *upToDate) take(now, age time.Duration) {
-	if age == feed.Never {
+	if age == feed.AgeNever {
 		return
 	}
 	if at := now - age; !u.ever || at > u.at {
@@ -130,7 +130,7 @@
 	defer s.mutex.Unlock()
 	last := s.upToDate[partition]
 	if !last.ever {
-		return feed.Never
+		return feed.AgeNever
 	}
 	return max(0, s.now()-last.at)
 }
@@ -145,14 +145,14 @@
 func (s *partitionSource) Index() uint64 {
 	s.store.mutex.Lock()
 	defer s.store.mutex.Unlock()
-	return s.table().LastChange()
+	return s.table().LastChangeIndex()
 }
 
 // Since returns what changed after the index.
 func (s *partitionSource) Since(index uint64, maxBytes int) feed.Batch {
 	s.store.mutex.Lock()
 	defer s.store.mutex.Unlock()
-	return s.table().Since(s.store.now(), index, maxBytes)
+	return s.table().BatchSince(s.store.now(), index, maxBytes)
 }
 
 // baseSources are the partitions as the control replicas have them.
--- a/internal/system/agent/upstream/partitions_test.go
+++ b/internal/system/agent/upstream/partitions_test.go
@@ -24,7 +24,7 @@
 func agesOf(current feed.PartitionSet) []time.Duration {
 	ages := make([]time.Duration, modelPartitions)
 	for partition := range ages {
-		if !current.Has(feed.Partition(partition)) {
+		if !current.Contains(feed.Partition(partition)) {
 			ages[partition] = time.Hour
 		}
 	}
@@ -37,7 +37,7 @@
 // TestLostPartitionDoesNotEndTheOthers has a partition be without a leader at every replica.
 func TestLostPartitionDoesNotEndTheOthers(t *testing.T) {
 	for lost := range feed.Partition(modelPartitions) {
-		rest := all.Without(feed.SetOf(lost))
+		rest := all.Without(feed.NewPartitionSet(lost))
 		m := newPartitioned()
 		m.Offer(addresses(1, 2, 3))
 		m.Next(0)
@@ -54,10 +54,10 @@
 			t.Errorf("without %d it is up to date with %v", lost, m.Current())
 		}
 		m.Answered(2*second, address(1), Answer{Ages: agesOf(rest)})
-		if got := m.CutOff(2*second + 499*time.Millisecond); !got.Empty() {
+		if got := m.CutOff(2*second + 499*time.Millisecond); !got.IsEmpty() {
 			t.Errorf("without %d it is cut off from %v early", lost, got)
 		}
-		if got := m.CutOff(2*second + 500*time.Millisecond); got != feed.SetOf(lost) {
+		if got := m.CutOff(2*second + 500*time.Millisecond); got != feed.NewPartitionSet(lost) {
 			t.Errorf("without %d it is cut off from %v", lost, got)
 		}
 		expectState(t, m, Following)
@@ -70,11 +70,11 @@
 		current []feed.PartitionSet // of replicas 1 and on
 		want    int
 	}{
-		{[]feed.PartitionSet{feed.SetOf(1, 2), feed.SetOf(0), 0}, 2}, // the configuration counts most
-		{[]feed.PartitionSet{feed.SetOf(0), feed.SetOf(0, 2), 0}, 2},
-		{[]feed.PartitionSet{0, feed.SetOf(2), feed.SetOf(1, 2)}, 3},
-		{[]feed.PartitionSet{feed.SetOf(0, 1), feed.SetOf(0, 2), 0}, 1}, // the first of equals
-		{[]feed.PartitionSet{feed.SetOf(0, 1), feed.SetOf(0, 2), all}, 3},
+		{[]feed.PartitionSet{feed.NewPartitionSet(1, 2), feed.NewPartitionSet(0), 0}, 2}, // the configuration counts most
+		{[]feed.PartitionSet{feed.NewPartitionSet(0), feed.NewPartitionSet(0, 2), 0}, 2},
+		{[]feed.PartitionSet{0, feed.NewPartitionSet(2), feed.NewPartitionSet(1, 2)}, 3},
+		{[]feed.PartitionSet{feed.NewPartitionSet(0, 1), feed.NewPartitionSet(0, 2), 0}, 1}, // the first of equals
+		{[]feed.PartitionSet{feed.NewPartitionSet(0, 1), feed.NewPartitionSet(0, 2), all}, 3},
 	}
 	for _, c := range cases {
 		m := newPartitioned()
@@ -102,7 +102,7 @@
 func TestOthersAreAskedAgainWhilePartitionsAreMissing(t *testing.T) {
 	m := newPartitioned()
 	m.Offer(addresses(1, 2, 3))
-	partly := Answer{Ages: agesOf(feed.SetOf(0, 1))}
+	partly := Answer{Ages: agesOf(feed.NewPartitionSet(0, 1))}
 	expectQuestion(t, m, 0, 1, 0)
 	m.Answered(0, address(1), partly)
 	expectQuestion(t, m, 0, 2, 0)
@@ -127,7 +127,7 @@
 func TestSearchForMoreThatFindsNobodyGoesOn(t *testing.T) {
 	m := newPartitioned()
 	m.Offer(addresses(1, 2))
-	partly := Answer{Ages: agesOf(feed.SetOf(0, 1))}
+	partly := Answer{Ages: agesOf(feed.NewPartitionSet(0, 1))}
 	m.Next(0)
 	m.Answered(0, address(1), partly)
 	m.Next(0)
@@ -194,7 +194,7 @@
 					best = max(best, weight(current[i+1]))
 				}
 			}
-			if got := weight(m.Current()); got < best && !m.Current().Has(feed.ConfigurationPartition) {
+			if got := weight(m.Current()); got < best && !m.Current().Contains(feed.ConfigurationPartition) {
 				t.Fatalf("step %d: %v is followed for %v, weight %d, where one of %d is there", step, m.Current(),
 					now-changed, got, best)
 			}
@@ -298,9 +298,9 @@
 		most time.Duration // at the 99th percentile; 0: no bound
 	}{
 		{"none is lost", 0, 400 * time.Millisecond},
-		{"a partition of runners is lost", feed.SetOf(2), 400 * time.Millisecond},
-		{"all of the runners are lost", feed.SetOf(1, 2), 400 * time.Millisecond},
-		{"the configuration is lost", feed.SetOf(0), 600 * time.Millisecond},
+		{"a partition of runners is lost", feed.NewPartitionSet(2), 400 * time.Millisecond},
+		{"all of the runners are lost", feed.NewPartitionSet(1, 2), 400 * time.Millisecond},
+		{"the configuration is lost", feed.NewPartitionSet(0), 600 * time.Millisecond},
 		{"all are lost", all, 0},
 	} {
 		var delays []time.Duration
--- a/internal/system/agent/upstream/source.go
+++ b/internal/system/agent/upstream/source.go
@@ -269,7 +269,7 @@
 	if r.failures == 0 {
 		return 0
 	}
-	if m.had.Has(feed.ConfigurationPartition) {
+	if m.had.Contains(feed.ConfigurationPartition) {
 		return r.failedAt + m.options.Reconsider<<min(r.failures, 8)
 	}
 	return r.failedAt + m.options.Reconsider
@@ -288,7 +288,7 @@
 func (m *Machine) best() *replica {
 	var best *replica
 	for _, candidate := range m.replicas {
-		if candidate.search != m.search || candidate.current.Empty() {
+		if candidate.search != m.search || candidate.current.IsEmpty() {
 			continue
 		}
 		if best == nil || weight(candidate.current) > weight(best.current) {
@@ -304,7 +304,7 @@
 // weight is what being up to date with the partitions is worth.
 func weight(current feed.PartitionSet) int {
 	weight := current.Len()
-	if current.Has(feed.ConfigurationPartition) {
+	if current.Contains(feed.ConfigurationPartition) {
 		weight += configurationWeight
 	}
 	return weight
@@ -321,7 +321,7 @@
 	for partition := range known.current.All() {
 		m.goodAt[partition] = now
 	}
-	if known.current.Empty() {
+	if known.current.IsEmpty() {
 		m.inVain(now)
 		m.failed(now, known)
 		known.busy(now, min(answer.Busy, m.options.MostPause))
@@ -356,7 +356,7 @@
 func (m *Machine) follows(now time.Duration, before feed.PartitionSet) {
 	followed := m.followed
 	switch {
-	case !followed.current.Includes(before):
+	case !followed.current.ContainsAll(before):
 		m.lose()
 		m.questions++
 		followed.search, followed.asked = m.search, m.questions // this answer counts in the search
--- a/internal/system/agent/upstream/source_test.go
+++ b/internal/system/agent/upstream/source_test.go
@@ -176,7 +176,7 @@
 	m := New(Options{}, 0)
 	m.Offer(addresses(1, 2))
 	m.Next(0)
-	m.Answered(0, address(1), Answer{Ages: ages(0), Lagging: feed.SetOf(0)})
+	m.Answered(0, address(1), Answer{Ages: ages(0), Lagging: feed.NewPartitionSet(0)})
 	expectState(t, m, Searching)
 	expectQuestion(t, m, 0, 2, 0)
 }
--- a/internal/system/agent/world_test.go
+++ b/internal/system/agent/world_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.first = listener.Addr().(*net.TCPAddr).AddrPort().Port() - processconfig.AgentRPC
+	w.first = listener.Addr().(*net.TCPAddr).AddrPort().Port() - processconfig.AgentRPCPort
 	listener.Close()
 	w.platform = newPlatformStub(t)
 	return w
@@ -65,7 +65,7 @@
 		FreePorts: processconfig.PortRange{First: w.first, Last: w.first + 15},
 		SeedNodes: w.seeds,
 		Timing:    processconfig.Timing{GracePeriod: 8 * time.Second},
-		CloudAPI:  processconfig.CloudAPI{Address: w.platform.address, RatePerS: 1000},
+		CloudAPI:  processconfig.CloudAPI{Address: w.platform.address, CallsPerSecond: 1000},
 	}
 }
 
@@ -89,7 +89,7 @@
 
 	mutex  sync.Mutex
 	tables []*feed.Table
-	ages   [1 + feed.RunnerPartitions]time.Duration
+	ages   [1 + feed.RunnerPartitionCount]time.Duration
 	began  time.Time
 }
 
@@ -99,7 +99,7 @@
 	var replicas []*replica
 	for i := range n {
 		r := &replica{w: w, settings: w.settings(fmt.Sprint("core-", i+1)), began: time.Now()}
-		for partition := range feed.Partition(1 + feed.RunnerPartitions) {
+		for partition := range feed.Partition(1 + feed.RunnerPartitionCount) {
 			r.tables = append(r.tables, feed.NewTable(partition))
 		}
 		w.seeds = append(w.seeds, netip.AddrPortFrom(r.settings.IP, 1))
@@ -130,7 +130,7 @@
 // serve begins to answer followers.
 func (r *replica) serve() {
 	r.w.t.Helper()
-	address := netip.AddrPortFrom(r.settings.IP, r.settings.Port(processconfig.ControlRPC))
+	address := netip.AddrPortFrom(r.settings.IP, r.settings.Port(processconfig.ControlRPCPort))
 	listener, err := net.Listen("tcp4", address.String())
 	if err != nil {
 		r.w.t.Fatal(err)
@@ -167,7 +167,7 @@
 
 // setAge has the replica be up to date with all partitions since so long.
 func (r *replica) setAge(age time.Duration) {
-	for partition := range feed.Partition(1 + feed.RunnerPartitions) {
+	for partition := range feed.Partition(1 + feed.RunnerPartitionCount) {
 		r.setPartitionAge(partition, age)
 	}
 }
@@ -186,13 +186,13 @@
 func (s *replicaSource) Index() uint64 {
 	s.replica.mutex.Lock()
 	defer s.replica.mutex.Unlock()
-	return s.replica.tables[s.partition].LastChange()
+	return s.replica.tables[s.partition].LastChangeIndex()
 }
 
 func (s *replicaSource) Since(index uint64, maxBytes int) feed.Batch {
 	s.replica.mutex.Lock()
 	defer s.replica.mutex.Unlock()
-	return s.replica.tables[s.partition].Since(s.replica.now(), index, maxBytes)
+	return s.replica.tables[s.partition].BatchSince(s.replica.now(), index, maxBytes)
 }
 
 func (r *replica) put(partition feed.Partition, index uint64, key string, value []byte) {
@@ -211,7 +211,7 @@
 
 func list(replicas []*replica, index uint64, runner discovery.Runner) {
 	for _, r := range replicas {
-		r.put(feed.PartitionOf(runner.Service, feed.RunnerPartitions), index, feed.KeyRunner+runner.ID, discovery.Encode(runner))
+		r.put(feed.PartitionOf(runner.Service, feed.RunnerPartitionCount), index, feed.KeyPrefixRunner+runner.ID, discovery.EncodeRunner(runner))
 	}
 }
 
@@ -235,7 +235,7 @@
 func (w *world) newEdge(node string) *edge {
 	w.t.Helper()
 	e := &edge{w: w, settings: w.settings(node), loopback: w.address()}
-	for partition := range feed.Partition(1 + feed.RunnerPartitions) {
+	for partition := range feed.Partition(1 + feed.RunnerPartitionCount) {
 		e.tables = append(e.tables, feed.NewTable(partition))
 	}
 	e.startAgent()
@@ -322,8 +322,8 @@
 
 func (e *edge) runner(id string) (discovery.Runner, bool) {
 	for _, table := range e.tables {
-		if value, known := table.Get(feed.KeyRunner + id); known {
-			decoded, err := discovery.Decode(value)
+		if value, known := table.Get(feed.KeyPrefixRunner + id); known {
+			decoded, err := discovery.DecodeRunner(value)
 			return decoded, err == nil
 		}
 	}
--- a/internal/system/configuration/change.go
+++ b/internal/system/configuration/change.go
@@ -44,7 +44,7 @@
 // sense is for Validate of the document that it makes to say. The change keeps parts of body, which must not be
 // altered.
 func ParseChange(body []byte) (*Change, error) {
-	var list validation.List
+	var list validation.Problems
 	change := parseChange(body, &list)
 	if err := list.Err(); err != nil {
 		return nil, err
@@ -52,14 +52,14 @@
 	return change, nil
 }
 
-// CheckChange reads a change, applies it to the document in force, nil for none, and validates what it makes. All
+// ApplyAndValidate reads a change, applies it to the document in force, nil for none, and validates what it makes. All
 // findings come together, in a *findings.Error; their places are those of the document that it makes, or of the
 // change.
-func CheckChange(body []byte, current *Document) (*Document, error) {
+func ApplyAndValidate(body []byte, current *Document) (*Document, error) {
 	if current == nil {
 		current = &Document{}
 	}
-	var list validation.List
+	var list validation.Problems
 	var changed *Document
 	if change := parseChange(body, &list); change != nil {
 		changed = current.apply(change)
@@ -71,17 +71,17 @@
 	return changed, nil
 }
 
-func parseChange(body []byte, list *validation.List) *Change {
+func parseChange(body []byte, list *validation.Problems) *Change {
 	root, ok := readWhole(body, list)
 	if !ok {
 		return nil
 	}
 	reader := changeReader{change: &Change{}}
-	if !root.StrictObject(reader.readField) {
+	if !root.ReadStrictObject(reader.readField) {
 		return nil
 	}
 	if !reader.sawVersion {
-		root.Fail("has no " + fieldVersion)
+		root.AddProblem("has no " + fieldVersion)
 	}
 	change := reader.change
 	checkChanged(change.routes, change.removedRoutes, fieldRoutes, list)
@@ -101,11 +101,11 @@
 		r.sawVersion = true
 	case fieldReplace:
 		if !value.IsNull() {
-			value.StrictObject(r.change.readReplaced)
+			value.ReadStrictObject(r.change.readReplaced)
 		}
 	case fieldRemove:
 		if !value.IsNull() {
-			value.StrictObject(r.change.readRemoved)
+			value.ReadStrictObject(r.change.readRemoved)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 	}
 	switch name {
 	case fieldVersion:
-		value.Fail("cannot be replaced; the change's own version counts")
+		value.AddProblem("cannot be replaced; the change's own version counts")
 	case fieldRoutes:
 		c.routes = readEntries(value, readRoute, routeName)
 	case fieldServices:
@@ -139,14 +139,14 @@
 	case fieldServices:
 		c.removedServices = names
 	case fieldVersion, fieldLimits:
-		value.Fail("is not a list of items that could be removed")
+		value.AddProblem("is not a list of items that could be removed")
 	default:
 		c.removedExtras = append(c.removedExtras, removal{field: name, names: names})
 	}
 }
 
 // checkChanged finds names that a change uses twice.
-func checkChanged[M any](entries []entry[M], removed []string, field string, list *validation.List) {
+func checkChanged[M any](entries []entry[M], removed []string, field string, list *validation.Problems) {
 	names := make(map[string]bool, len(entries))
 	for i, item := range entries {
 		if names[item.name] {
@@ -235,14 +235,14 @@
 
 // namedItems are the items of a list if it is one of objects with names, each with another one.
 func namedItems(raw []byte) ([]namedItem, bool) {
-	var list validation.List
-	value, ok := jsonfield.Read(raw, &list)
+	var list validation.Problems
+	value, ok := jsonfield.Parse(raw, &list)
 	if !ok || !value.IsArray() {
 		return nil, false
 	}
 	var items []namedItem
 	names := map[string]bool{}
-	whole := value.Array(func(_ int, element jsonfield.Value) {
+	whole := value.ReadArray(func(_ int, element jsonfield.Value) {
 		name := nameOf(element)
 		ok = ok && name != "" && !names[name]
 		names[name] = true
@@ -256,7 +256,7 @@
 	if !value.IsObject() {
 		return name
 	}
-	value.Object(func(field string, value jsonfield.Value) {
+	value.ReadObject(func(field string, value jsonfield.Value) {
 		if field == "name" {
 			name, _ = value.Text()
 		}
--- a/internal/system/configuration/change_test.go
+++ b/internal/system/configuration/change_test.go
@@ -27,7 +27,7 @@
 		strings.Replace(newRoute, `"r-3","host":"a.example","path_start":"/three/"`, `"r-1","host":"b.example","path_start":"/x/"`, 1) +
 		`],"limits":{"max_body_bytes":5},"colour":"red","tenants":[{"name":"t-3"},{"name":"t-1","homes":[]}]},
 		"remove":{"routes":["r-2","r-none"],"services":["engine"],"tenants":["t-2"]},"comment":"x"}`
-	changed, err := CheckChange([]byte(body), base)
+	changed, err := ApplyAndValidate([]byte(body), base)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 
 func TestChangeOfNothingIsTheFirstDocument(t *testing.T) {
 	body := `{"version":1,"replace":{"routes":[` + newRoute + `],"services":[{"name":"plain"}]}}`
-	document, err := CheckChange([]byte(body), nil)
+	document, err := ApplyAndValidate([]byte(body), nil)
 	if err != nil || names(document) != "r-3 plain" {
 		t.Fatalf("got %v, %v", document, err)
 	}
@@ -76,15 +76,15 @@
 		"removal of limits":      {`{"version":9,"remove":{"limits":[]}}`, "remove.limits"},
 		"replaced version":       {`{"version":9,"replace":{"version":10}}`, "replace.version"},
 	} {
-		_, err := CheckChange([]byte(invalid.body), base)
+		_, err := ApplyAndValidate([]byte(invalid.body), base)
 		var found *validation.Error
 		if !errors.As(err, &found) {
 			t.Errorf("%s: got %v, want findings", name, err)
 			continue
 		}
 		known := false
-		for _, finding := range found.Findings {
-			known = known || finding.Place == invalid.place
+		for _, finding := range found.Problems {
+			known = known || finding.Path == invalid.place
 		}
 		if !known {
 			t.Errorf("%s: no finding at %q in %v", name, invalid.place, err)
@@ -95,7 +95,7 @@
 func TestServiceMayGoWithTheRoutesThatNameIt(t *testing.T) {
 	base := mustCheck(t, sample, 0)
 	body := `{"version":8,"remove":{"services":["engine"],"routes":["r-1"]}}`
-	if _, err := CheckChange([]byte(body), base); err != nil {
+	if _, err := ApplyAndValidate([]byte(body), base); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/system/configuration/configuration.go
+++ b/internal/system/configuration/configuration.go
@@ -11,29 +11,29 @@
 // The types of route.
 const (
 	ReadOnly  RouteType = iota // may run more than once
-	Writes                     // runs at most once a try
+	ReadWrite                  // runs at most once a try
 	Streaming                  // answers with events; to be treated as Writes unless it is resumable
 )
 
 // Route sends the requests of a host and path prefix to services.
 type Route struct {
-	Name        string
-	Host        string
-	PathStart   string // begins and ends with a slash
-	Type        RouteType
-	Timeout     time.Duration // longest that a request is held
-	Target      time.Duration // an answer within it earns its full worth; for streams, the first event
-	GapAim      time.Duration // longest pause between events that is still in time; 0: not told
-	Rank        int           // 0 is the most urgent
-	Shares      []Share       // at least one; of a route that names a single service, that one with weight 1
-	Tries       int           // runners that one request may be sent to
-	PinCache    bool          // prompts whose kept parts matter
-	Resumable   bool
-	HomeRegions []string // empty: anywhere
+	Name           string
+	Host           string
+	PathPrefix     string // begins and ends with a slash
+	Type           RouteType
+	Timeout        time.Duration // longest that a request is held
+	LatencyTarget  time.Duration // an answer within it earns its full worth; for streams, the first event
+	EventGapTarget time.Duration // longest pause between events that is still in time; 0: not told
+	Rank           int           // 0 is the most urgent
+	Shares         []Share       // at least one; of a route that names a single service, that one with weight 1
+	MaxAttempts    int           // runners that one request may be sent to
+	PrefixAffinity bool          // prompts whose kept parts matter
+	Resumable      bool
+	HomeRegions    []string // empty: anywhere
 }
 
-// Idempotent says whether a request of the route may run more than once.
-func (r *Route) Idempotent() bool {
+// IsIdempotent says whether a request of the route may run more than once.
+func (r *Route) IsIdempotent() bool {
 	return r.Type == ReadOnly || r.Type == Streaming && r.Resumable
 }
 
@@ -45,26 +45,26 @@
 
 // Service is a group of runners.
 type Service struct {
-	Name       string
-	HealthPath string
-	MaxConns   int           // connections that a runner takes from all callers together
-	ColdFor    time.Duration // after a start
-	ColdRate   float64       // requests a second that a cold runner bears; 0: no bound
-	Backend    *Backend      // nil: not an engine
+	Name              string
+	HealthPath        string
+	MaxConnections    int           // connections that a runner takes from all callers together
+	SlowStartDuration time.Duration // after a start
+	SlowStartRate     float64       // requests a second that a cold runner bears; 0: no bound
+	Backend           *Backend      // nil: not an engine
 }
 
 // Backend describes the engine of a service's runners.
 type Backend struct {
-	Capacity        int     // requests at once
-	CacheTokens     int     // tokens shared by running requests and kept parts
-	TokenCacheBytes float64 // of one token
-	LinkMbps        float64
-	Stride          int // tokens in an event
-	Models          []string
+	Capacity           int     // requests at once
+	CacheTokens        int     // tokens shared by running requests and kept parts
+	CacheBytesPerToken float64 // of one token
+	LinkMbps           float64
+	TokensPerEvent     int // tokens in an event
+	Models             []string
 }
 
 // Limits bound what a client may send.
 type Limits struct {
 	MaxHeaderBytes, MaxBodyBytes int
-	HeaderWait, IdleLimit        time.Duration
+	HeaderTimeout, IdleTimeout   time.Duration
 }
--- a/internal/system/configuration/document_test.go
+++ b/internal/system/configuration/document_test.go
@@ -27,7 +27,7 @@
 
 func mustCheck(t *testing.T, body string, current uint64) *Document {
 	t.Helper()
-	document, err := Check([]byte(body), current)
+	document, err := ParseAndValidate([]byte(body), current)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,13 +38,13 @@
 	document := mustCheck(t, sample, 6)
 	wantRoutes := []*Route{
 		{
-			Name: "r-1", Host: "a.example", PathStart: "/one/", Type: Streaming, Timeout: 5 * time.Second,
-			Target: 800 * time.Millisecond, GapAim: 400 * time.Millisecond, Rank: 1, Tries: 1, PinCache: true,
+			Name: "r-1", Host: "a.example", PathPrefix: "/one/", Type: Streaming, Timeout: 5 * time.Second,
+			LatencyTarget: 800 * time.Millisecond, EventGapTarget: 400 * time.Millisecond, Rank: 1, MaxAttempts: 1, PrefixAffinity: true,
 			Shares: []Share{{Service: "engine", Weight: 90}, {Service: "plain", Weight: 10}}, HomeRegions: []string{"north"},
 		},
 		{
-			Name: "r-2", Host: "a.example", PathStart: "/two/", Type: ReadOnly, Timeout: 3 * time.Second,
-			Target: 600500 * time.Microsecond, Tries: 2, Resumable: true, Shares: []Share{{Service: "plain", Weight: 1}},
+			Name: "r-2", Host: "a.example", PathPrefix: "/two/", Type: ReadOnly, Timeout: 3 * time.Second,
+			LatencyTarget: 600500 * time.Microsecond, MaxAttempts: 2, Resumable: true, Shares: []Share{{Service: "plain", Weight: 1}},
 		},
 	}
 	if got := document.Routes(); !reflect.DeepEqual(got, wantRoutes) {
@@ -52,19 +52,19 @@
 	}
 	wantServices := []*Service{
 		{
-			Name: "engine", HealthPath: "/health", MaxConns: 360, ColdFor: 3 * time.Second, ColdRate: 9.2,
+			Name: "engine", HealthPath: "/health", MaxConnections: 360, SlowStartDuration: 3 * time.Second, SlowStartRate: 9.2,
 			Backend: &Backend{
-				Capacity: 64, CacheTokens: 230413, TokenCacheBytes: 327680, LinkMbps: 550000, Stride: 4,
+				Capacity: 64, CacheTokens: 230413, CacheBytesPerToken: 327680, LinkMbps: 550000, TokensPerEvent: 4,
 				Models: []string{"m"},
 			},
 		},
-		{Name: "plain", HealthPath: "/health", MaxConns: 100},
+		{Name: "plain", HealthPath: "/health", MaxConnections: 100},
 	}
 	if got := document.Services(); !reflect.DeepEqual(got, wantServices) {
 		t.Errorf("services %+v %+v", got[0], got[1])
 	}
 	wantLimits := Limits{
-		MaxHeaderBytes: 16384, MaxBodyBytes: 4194304, HeaderWait: 3 * time.Second, IdleLimit: 15 * time.Second,
+		MaxHeaderBytes: 16384, MaxBodyBytes: 4194304, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second,
 	}
 	if got, known := document.Limits(); !known || got != wantLimits {
 		t.Errorf("limits %+v", got)
@@ -158,15 +158,15 @@
 		"limits of text":     {swap(`"max_body_bytes":4194304`, `"max_body_bytes":"x"`), "limits.max_body_bytes"},
 		"negative limit":     {swap(`"header_wait_ms":3000`, `"header_wait_ms":-1`), "limits.header_wait_ms"},
 	} {
-		_, err := Check([]byte(invalid.body), 6)
+		_, err := ParseAndValidate([]byte(invalid.body), 6)
 		var found *validation.Error
 		if !errors.As(err, &found) {
 			t.Errorf("%s: got %v, want findings", name, err)
 			continue
 		}
 		places := map[string]bool{}
-		for _, finding := range found.Findings {
-			places[finding.Place] = true
+		for _, finding := range found.Problems {
+			places[finding.Path] = true
 		}
 		if !places[invalid.place] {
 			t.Errorf("%s: no finding at %q in %v", name, invalid.place, err)
@@ -178,7 +178,7 @@
 	body := strings.NewReplacer(
 		`"timeout_ms":5000`, `"timeout_ms":0`, `"/two/"`, `"two"`, `"max_conns":100`, `"max_conns":"x"`,
 	).Replace(sample)
-	_, err := Check([]byte(body), 7)
+	_, err := ParseAndValidate([]byte(body), 7)
 	for _, place := range []string{"version", "routes[0].timeout_ms", "routes[1].path_start", "services[1].max_conns"} {
 		if err == nil || !strings.Contains(err.Error(), place) {
 			t.Errorf("no finding at %s in %v", place, err)
@@ -198,7 +198,7 @@
 		"escapes":            {`"name":"r-1"`, `"name":"r-\u0031\u00e9"`},
 	} {
 		body := strings.Replace(sample, replacement[0], replacement[1], 1)
-		if _, err := Check([]byte(body), 6); err != nil {
+		if _, err := ParseAndValidate([]byte(body), 6); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -210,11 +210,11 @@
 		want  bool
 	}{
 		{Route{Type: ReadOnly}, true},
-		{Route{Type: Writes, Resumable: true}, false},
+		{Route{Type: ReadWrite, Resumable: true}, false},
 		{Route{Type: Streaming}, false},
 		{Route{Type: Streaming, Resumable: true}, true},
 	} {
-		if check.route.Idempotent() != check.want {
+		if check.route.IsIdempotent() != check.want {
 			t.Errorf("%+v: got %v", check.route, !check.want)
 		}
 	}
@@ -225,7 +225,7 @@
 		"A.Example": "a.example", "a.example:80": "a.example", "a.example.": "a.example", "a.example.:80": "a.example",
 		"[::1]:80": "::1", "[::1]": "::1", "": "",
 	} {
-		if got := NormalHost(host); got != want {
+		if got := NormalizeHost(host); got != want {
 			t.Errorf("%q became %q, want %q", host, got, want)
 		}
 	}
--- a/internal/system/configuration/items.go
+++ b/internal/system/configuration/items.go
@@ -24,30 +24,30 @@
 	Deleted bool
 }
 
-// MissingDocumentError says that there is no configuration among the items.
-type MissingDocumentError struct{}
+// NoDocumentError says that there is no configuration among the items.
+type NoDocumentError struct{}
 
 // Error says what happened.
-func (e *MissingDocumentError) Error() string {
+func (e *NoDocumentError) Error() string {
 	return "configuration: no configuration has been taken yet"
 }
 
 // MalformedItemError says that a stored item cannot be read.
 type MalformedItemError struct {
-	Key      string // empty: not known
-	Findings error
+	Key   string // empty: not known
+	Cause error
 }
 
 // Error says what happened.
 func (e *MalformedItemError) Error() string {
-	return fmt.Sprintf("configuration: stored item %q cannot be read: %v", e.Key, e.Findings)
+	return fmt.Sprintf("configuration: stored item %q cannot be read: %v", e.Key, e.Cause)
 }
 
 // Unwrap is the error with the findings.
-func (e *MalformedItemError) Unwrap() error { return e.Findings }
+func (e *MalformedItemError) Unwrap() error { return e.Cause }
 
-// Items are the writes that store the whole document.
-func (d *Document) Items() []Write { return Diff(nil, d) }
+// Writes are the writes that store the whole document.
+func (d *Document) Writes() []Write { return Diff(nil, d) }
 
 // Diff are the writes that bring the items of a stored document, nil for none, to those of the next one. Items that
 // stay as they are, in the same order among themselves, are not written.
@@ -55,7 +55,7 @@
 	if old == nil {
 		old = &Document{}
 	}
-	next = next.Rebase(old)
+	next = next.AlignOrdinals(old)
 	var writes []Write
 	if old.version != next.version {
 		version := strconv.AppendUint(nil, next.version, 10)
@@ -63,8 +63,8 @@
 	}
 	writes = append(writes, diffLimits(old, next)...)
 	writes = append(writes, diffExtras(old.extras, next.extras)...)
-	writes = append(writes, diffEntries(feed.KeyService, old.services, next.services)...)
-	return append(writes, diffEntries(feed.KeyRoute, old.routes, next.routes)...)
+	writes = append(writes, diffEntries(feed.KeyPrefixService, old.services, next.services)...)
+	return append(writes, diffEntries(feed.KeyPrefixRoute, old.routes, next.routes)...)
 }
 
 func diffLimits(old, next *Document) []Write {
@@ -88,13 +88,13 @@
 	for _, field := range next {
 		raw, known := held[field.name]
 		if !known || !bytes.Equal(raw, field.raw) {
-			writes = append(writes, Write{Key: feed.KeyExtra + field.name, Value: bytes.Clone(field.raw)})
+			writes = append(writes, Write{Key: feed.KeyPrefixExtra + field.name, Value: bytes.Clone(field.raw)})
 		}
 		delete(held, field.name)
 	}
 	for _, field := range old {
 		if _, gone := held[field.name]; gone {
-			writes = append(writes, Write{Key: feed.KeyExtra + field.name, Deleted: true})
+			writes = append(writes, Write{Key: feed.KeyPrefixExtra + field.name, Deleted: true})
 		}
 	}
 	return writes
@@ -127,10 +127,10 @@
 	return append(value, e.raw...)
 }
 
-// Rebase is the same document with its items numbered as those of a stored document, nil for none, as far as their
+// AlignOrdinals is the same document with its items numbered as those of a stored document, nil for none, as far as their
 // order allows it. Diff does so by itself; whoever goes on to use a document after storing its difference rebases it
 // first.
-func (d *Document) Rebase(old *Document) *Document {
+func (d *Document) AlignOrdinals(old *Document) *Document {
 	if old == nil {
 		old = &Document{}
 	}
@@ -155,14 +155,14 @@
 }
 
 // FromItems is the document that stored items make; keys that are not of a document are passed over. The error is a
-// *MissingDocumentError or a *MalformedItemError. The document keeps parts of the values, which must not be altered.
+// *NoDocumentError or a *MalformedItemError. The document keeps parts of the values, which must not be altered.
 func FromItems(items iter.Seq2[string, []byte]) (*Document, error) {
-	return FromChangedItems(nil, items)
+	return FromItemsReusing(nil, items)
 }
 
-// FromChangedItems is FromItems for items of which most are those of another document, nil for none: these are not read
+// FromItemsReusing is FromItems for items of which most are those of another document, nil for none: these are not read
 // anew.
-func FromChangedItems(other *Document, items iter.Seq2[string, []byte]) (*Document, error) {
+func FromItemsReusing(other *Document, items iter.Seq2[string, []byte]) (*Document, error) {
 	if other == nil {
 		other = &Document{}
 	}
@@ -178,20 +178,20 @@
 		case key == feed.KeyLimits:
 			document.limits, err = DecodeLimits(value)
 			document.limitsRaw = value
-		case strings.HasPrefix(key, feed.KeyExtra):
-			document.extras = append(document.extras, extra{name: key[len(feed.KeyExtra):], raw: value})
-		case strings.HasPrefix(key, feed.KeyRoute):
-			document.routes, err = appendEntry(document.routes, routes[key[len(feed.KeyRoute):]], value, readRoute, routeName)
-		case strings.HasPrefix(key, feed.KeyService):
-			document.services, err = appendEntry(document.services, services[key[len(feed.KeyService):]], value, readService,
+		case strings.HasPrefix(key, feed.KeyPrefixExtra):
+			document.extras = append(document.extras, extra{name: key[len(feed.KeyPrefixExtra):], raw: value})
+		case strings.HasPrefix(key, feed.KeyPrefixRoute):
+			document.routes, err = appendEntry(document.routes, routes[key[len(feed.KeyPrefixRoute):]], value, readRoute, routeName)
+		case strings.HasPrefix(key, feed.KeyPrefixService):
+			document.services, err = appendEntry(document.services, services[key[len(feed.KeyPrefixService):]], value, readService,
 				serviceName)
 		}
 		if err != nil {
-			return nil, &MalformedItemError{Key: key, Findings: err}
+			return nil, &MalformedItemError{Key: key, Cause: err}
 		}
 	}
 	if !stored {
-		return nil, &MissingDocumentError{}
+		return nil, &NoDocumentError{}
 	}
 	slices.SortFunc(document.routes, byOrdinal)
 	slices.SortFunc(document.services, byOrdinal)
@@ -248,7 +248,7 @@
 func DecodeVersion(value []byte) (uint64, error) {
 	version, err := decodeVersion(value)
 	if err != nil {
-		return 0, &MalformedItemError{Key: feed.KeyVersion, Findings: err}
+		return 0, &MalformedItemError{Key: feed.KeyVersion, Cause: err}
 	}
 	return version, nil
 }
@@ -257,7 +257,7 @@
 func DecodeRoute(value []byte) (*Route, error) {
 	route, err := decodeStored(value, readRoute)
 	if err != nil {
-		return nil, &MalformedItemError{Findings: err}
+		return nil, &MalformedItemError{Cause: err}
 	}
 	return route, nil
 }
@@ -266,7 +266,7 @@
 func DecodeService(value []byte) (*Service, error) {
 	service, err := decodeStored(value, readService)
 	if err != nil {
-		return nil, &MalformedItemError{Findings: err}
+		return nil, &MalformedItemError{Cause: err}
 	}
 	return service, nil
 }
@@ -275,14 +275,14 @@
 func DecodeLimits(value []byte) (*Limits, error) {
 	limits, err := decode(value, readLimits)
 	if err != nil {
-		return nil, &MalformedItemError{Key: feed.KeyLimits, Findings: err}
+		return nil, &MalformedItemError{Key: feed.KeyLimits, Cause: err}
 	}
 	return limits, nil
 }
 
 func decodeStored[M any](value []byte, read func(jsonfield.Value) *M) (*M, error) {
 	if len(value) < ordinalBytes {
-		var list validation.List
+		var list validation.Problems
 		list.Add("", "is too short to hold its ordinal")
 		return nil, list.Err()
 	}
@@ -290,8 +290,8 @@
 }
 
 func decode[M any](raw []byte, read func(jsonfield.Value) *M) (*M, error) {
-	var list validation.List
-	value, ok := jsonfield.Read(raw, &list)
+	var list validation.Problems
+	value, ok := jsonfield.Parse(raw, &list)
 	if !ok {
 		return nil, list.Err()
 	}
--- a/internal/system/configuration/items_test.go
+++ b/internal/system/configuration/items_test.go
@@ -58,7 +58,7 @@
 		var keptEncoded []byte
 		for version := uint64(1); version <= 5; version++ {
 			body := drawDocument(t, version)
-			next, err := Check(body, version-1)
+			next, err := ParseAndValidate(body, version-1)
 			if err != nil {
 				t.Fatalf("%s: %v", body, err)
 			}
@@ -74,7 +74,7 @@
 			if rest := Diff(again, next); len(rest) > 0 {
 				t.Fatalf("still different: %v", rest)
 			}
-			shared, err := FromChangedItems(kept, stored.all())
+			shared, err := FromItemsReusing(kept, stored.all())
 			if err != nil || !bytes.Equal(shared.Encode(), again.Encode()) || len(Diff(shared, again)) > 0 {
 				t.Fatalf("read beside the last one it is %s, %v", shared.Encode(), err)
 			}
@@ -82,11 +82,11 @@
 				t.Fatalf("the last document was altered to %s", kept.Encode())
 			}
 			kept, keptEncoded = shared, shared.Encode()
-			if rest := Diff(again, next.Rebase(current)); current != nil && len(rest) > 0 {
+			if rest := Diff(again, next.AlignOrdinals(current)); current != nil && len(rest) > 0 {
 				t.Fatalf("the rebased document is still different: %v", rest)
 			}
 			fresh := store{}
-			fresh.write(next.Items())
+			fresh.write(next.Writes())
 			if len(fresh) != len(stored) {
 				t.Fatalf("%d items are stored, want %d", len(stored), len(fresh))
 			}
@@ -154,13 +154,13 @@
 
 func TestDecodeReadsStoredItems(t *testing.T) {
 	stored := store{}
-	stored.write(mustCheck(t, sample, 0).Items())
-	route, err := DecodeRoute(stored[feed.KeyRoute+"r-1"])
-	if err != nil || route.PathStart != "/one/" || len(route.Shares) != 2 {
+	stored.write(mustCheck(t, sample, 0).Writes())
+	route, err := DecodeRoute(stored[feed.KeyPrefixRoute+"r-1"])
+	if err != nil || route.PathPrefix != "/one/" || len(route.Shares) != 2 {
 		t.Errorf("got %+v, %v", route, err)
 	}
-	service, err := DecodeService(stored[feed.KeyService+"engine"])
-	if err != nil || service.MaxConns != 360 {
+	service, err := DecodeService(stored[feed.KeyPrefixService+"engine"])
+	if err != nil || service.MaxConnections != 360 {
 		t.Errorf("got %+v, %v", service, err)
 	}
 	limits, err := DecodeLimits(stored[feed.KeyLimits])
@@ -170,8 +170,8 @@
 	if version, err := DecodeVersion(stored[feed.KeyVersion]); err != nil || version != 7 {
 		t.Errorf("got %d, %v", version, err)
 	}
-	if string(stored[feed.KeyExtra+"colour"]) != `"blue"` {
-		t.Errorf("got %s", stored[feed.KeyExtra+"colour"])
+	if string(stored[feed.KeyPrefixExtra+"colour"]) != `"blue"` {
+		t.Errorf("got %s", stored[feed.KeyPrefixExtra+"colour"])
 	}
 }
 
@@ -189,8 +189,8 @@
 	if _, err := FromItems(damaged.all()); !errors.As(err, &malformed) {
 		t.Errorf("got %v", err)
 	}
-	var missing *MissingDocumentError
-	evacuated := store{feed.KeyEvacuation + "north-a": nil}
+	var missing *NoDocumentError
+	evacuated := store{feed.KeyPrefixEvacuation + "north-a": nil}
 	if _, err := FromItems(evacuated.all()); !errors.As(err, &missing) {
 		t.Errorf("got %v", err)
 	}
@@ -200,17 +200,17 @@
 	f.Add([]byte(sample))
 	f.Add([]byte(`{"version":1,"routes":[],"services":[]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		document, err := Check(body, 0)
+		document, err := ParseAndValidate(body, 0)
 		if err != nil {
 			return
 		}
 		encoded := document.Encode()
-		again, err := Check(encoded, 0)
+		again, err := ParseAndValidate(encoded, 0)
 		if err != nil || !bytes.Equal(again.Encode(), encoded) {
 			t.Fatalf("%s was encoded as %s: %v", body, encoded, err)
 		}
 		stored := store{}
-		stored.write(document.Items())
+		stored.write(document.Writes())
 		read, err := FromItems(stored.all())
 		if err != nil || !bytes.Equal(read.Encode(), encoded) {
 			t.Fatalf("%s was stored and came back as %v: %v", encoded, read, err)
@@ -222,11 +222,11 @@
 	f.Add([]byte(`{"version":9,"replace":{"routes":[` + newRoute + `]},"remove":{"routes":["r-2"],"tenants":["t-1"]}}`))
 	f.Add([]byte(`{"version":9,"replace":{"colour":1,"tenants":[{"name":"t-1"}],"limits":{}}}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		base, err := Check([]byte(sample), 0)
+		base, err := ParseAndValidate([]byte(sample), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		changed, err := CheckChange(body, base)
+		changed, err := ApplyAndValidate(body, base)
 		if err != nil {
 			return
 		}
@@ -234,13 +234,13 @@
 			t.Fatalf("an invalid document was made: %v", err)
 		}
 		stored := store{}
-		stored.write(base.Items())
+		stored.write(base.Writes())
 		stored.write(Diff(base, changed))
 		read, err := FromItems(stored.all())
 		if err != nil || !bytes.Equal(read.Encode(), changed.Encode()) {
 			t.Fatalf("%s came back as %v: %v", changed.Encode(), read, err)
 		}
-		if whole, err := Check(changed.Encode(), base.Version()); err != nil || !bytes.Equal(whole.Encode(), changed.Encode()) {
+		if whole, err := ParseAndValidate(changed.Encode(), base.Version()); err != nil || !bytes.Equal(whole.Encode(), changed.Encode()) {
 			t.Fatalf("%s is not a document: %v", changed.Encode(), err)
 		}
 	})
@@ -263,7 +263,7 @@
 			b.ReportAllocs()
 			b.SetBytes(int64(len(body)))
 			for b.Loop() {
-				if _, err := Check(body, 0); err != nil {
+				if _, err := ParseAndValidate(body, 0); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -273,11 +273,11 @@
 
 func BenchmarkDiffOfOneTimeout(b *testing.B) {
 	body := largeDocument()
-	old, err := Check(body, 0)
+	old, err := ParseAndValidate(body, 0)
 	if err != nil {
 		b.Fatal(err)
 	}
-	next, err := Check([]byte(strings.Replace(string(body), ":1,\"service", ":2,\"service", 1)), 0)
+	next, err := ParseAndValidate([]byte(strings.Replace(string(body), ":1,\"service", ":2,\"service", 1)), 0)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/system/configuration/parse.go
+++ b/internal/system/configuration/parse.go
@@ -11,7 +11,7 @@
 // Parse reads a whole document. All that keeps it from being read comes together, in a *findings.Error; whether it
 // makes sense is for Validate to say. The document keeps parts of body, which must not be altered.
 func Parse(body []byte) (*Document, error) {
-	var list validation.List
+	var list validation.Problems
 	document := parse(body, &list)
 	if err := list.Err(); err != nil {
 		return nil, err
@@ -19,10 +19,10 @@
 	return document, nil
 }
 
-// Check reads a whole document and validates it against the version that is in force, 0 for none. All findings come
+// ParseAndValidate reads a whole document and validates it against the version that is in force, 0 for none. All findings come
 // together, in a *findings.Error. The document keeps parts of body, which must not be altered.
-func Check(body []byte, current uint64) (*Document, error) {
-	var list validation.List
+func ParseAndValidate(body []byte, current uint64) (*Document, error) {
+	var list validation.Problems
 	document := parse(body, &list)
 	if document != nil {
 		document.validate(current, &list)
@@ -34,13 +34,13 @@
 }
 
 // parse returns what could be read of a document, nil if it is not an object at all.
-func parse(body []byte, list *validation.List) *Document {
+func parse(body []byte, list *validation.Problems) *Document {
 	root, ok := readWhole(body, list)
 	if !ok {
 		return nil
 	}
 	reader := documentReader{document: &Document{}}
-	if !root.StrictObject(reader.readField) {
+	if !root.ReadStrictObject(reader.readField) {
 		return nil
 	}
 	reader.require(root)
@@ -48,12 +48,12 @@
 }
 
 // readWhole reads a body that must be JSON in UTF-8.
-func readWhole(body []byte, list *validation.List) (jsonfield.Value, bool) {
+func readWhole(body []byte, list *validation.Problems) (jsonfield.Value, bool) {
 	if !utf8.Valid(body) {
 		list.Add("", "is not valid UTF-8")
 		return jsonfield.Value{}, false
 	}
-	return jsonfield.Read(body, list)
+	return jsonfield.Parse(body, list)
 }
 
 type documentReader struct {
@@ -82,20 +82,20 @@
 
 func (r *documentReader) require(root jsonfield.Value) {
 	if !r.sawVersion {
-		root.Fail("has no " + fieldVersion)
+		root.AddProblem("has no " + fieldVersion)
 	}
 	if !r.sawRoutes {
-		root.Fail("has no " + fieldRoutes)
+		root.AddProblem("has no " + fieldRoutes)
 	}
 	if !r.sawService {
-		root.Fail("has no " + fieldServices)
+		root.AddProblem("has no " + fieldServices)
 	}
 }
 
 // readEntries reads a list of items.
 func readEntries[M any](list jsonfield.Value, read func(jsonfield.Value) *M, name func(*M) string) []entry[M] {
 	var entries []entry[M]
-	list.Array(func(index int, value jsonfield.Value) {
+	list.ReadArray(func(index int, value jsonfield.Value) {
 		model := read(value)
 		item := entry[M]{name: name(model), ordinal: spacedOrdinal(index), raw: value.Raw(), model: model}
 		entries = append(entries, item)
--- a/internal/system/configuration/route.go
+++ b/internal/system/configuration/route.go
@@ -8,8 +8,8 @@
 
 // readRoute reads a route as the operator sends it.
 func readRoute(value jsonfield.Value) *Route {
-	reader := routeReader{route: &Route{Type: Writes, Tries: 1}}
-	if value.StrictObject(reader.readField) {
+	reader := routeReader{route: &Route{Type: ReadWrite, MaxAttempts: 1}}
+	if value.ReadStrictObject(reader.readField) {
 		reader.finish(value)
 	}
 	return reader.route
@@ -32,7 +32,7 @@
 	case "host":
 		r.route.Host, _ = value.Text()
 	case "path_start":
-		r.route.PathStart, _ = value.Text()
+		r.route.PathPrefix, _ = value.Text()
 	case "type":
 		r.readType(value)
 	case "rank":
@@ -40,12 +40,12 @@
 	case "service":
 		r.service, _ = value.Text()
 	case "shares":
-		value.Array(r.readShare)
+		value.ReadArray(r.readShare)
 	case "tries":
 		tries, _ := value.Int()
-		r.route.Tries = max(tries, 1)
+		r.route.MaxAttempts = max(tries, 1)
 	case "pin_cache":
-		r.route.PinCache, _ = value.Bool()
+		r.route.PrefixAffinity, _ = value.Bool()
 	case "resumable":
 		r.route.Resumable, _ = value.Bool()
 	case "home_regions":
@@ -56,7 +56,7 @@
 }
 
 func (r *routeReader) readTime(name string, value jsonfield.Value) {
-	base, unit := jsonfield.SplitUnit(name)
+	base, unit := jsonfield.SplitDurationUnit(name)
 	if unit == 0 {
 		return
 	}
@@ -64,15 +64,15 @@
 	case "timeout":
 		r.route.Timeout = positive(value, unit)
 	case "target":
-		r.route.Target, _ = value.Span(unit)
+		r.route.LatencyTarget, _ = value.Duration(unit)
 	case "gap_aim":
-		r.route.GapAim, _ = value.Span(unit)
+		r.route.EventGapTarget, _ = value.Duration(unit)
 	}
 }
 
 // positive reads a time; one that is above 0 but too short to be told from it counts as the shortest.
 func positive(value jsonfield.Value, unit time.Duration) time.Duration {
-	length, ok := value.Span(unit)
+	length, ok := value.Duration(unit)
 	if number, isNumber := value.Float(); ok && isNumber && number > 0 {
 		return max(length, 1)
 	}
@@ -89,18 +89,18 @@
 	case "read_only":
 		r.route.Type = ReadOnly
 	case "writes":
-		r.route.Type = Writes
+		r.route.Type = ReadWrite
 	case "streaming":
 		r.route.Type = Streaming
 	default:
-		value.Fail("must be read_only, writes or streaming")
+		value.AddProblem("must be read_only, writes or streaming")
 	}
 }
 
 func (r *routeReader) readShare(_ int, value jsonfield.Value) {
 	r.sawShare = true
 	share := Share{}
-	value.StrictObject(func(name string, value jsonfield.Value) {
+	value.ReadStrictObject(func(name string, value jsonfield.Value) {
 		switch name {
 		case "service":
 			share.Service, _ = value.Text()
@@ -113,15 +113,15 @@
 
 func (r *routeReader) finish(value jsonfield.Value) {
 	if !r.sawType {
-		value.Fail("has no type")
+		value.AddProblem("has no type")
 	}
 	if r.service != "" && r.sawShare {
-		value.Fail("has both a service and shares; name one or the other")
+		value.AddProblem("has both a service and shares; name one or the other")
 	}
 	if r.service != "" && !r.sawShare {
 		r.route.Shares = []Share{{Service: r.service, Weight: 1}}
 	}
-	if r.route.Target == 0 {
-		r.route.Target = r.route.Timeout
+	if r.route.LatencyTarget == 0 {
+		r.route.LatencyTarget = r.route.Timeout
 	}
 }
--- a/internal/system/configuration/service.go
+++ b/internal/system/configuration/service.go
@@ -9,7 +9,7 @@
 // readService reads a service as the operator sends it.
 func readService(value jsonfield.Value) *Service {
 	service := &Service{}
-	value.StrictObject(service.readField)
+	value.ReadStrictObject(service.readField)
 	return service
 }
 
@@ -23,16 +23,16 @@
 	case "health_path":
 		s.HealthPath, _ = value.Text()
 	case "max_conns":
-		s.MaxConns, _ = value.Int()
+		s.MaxConnections, _ = value.Int()
 	case "cold_rate_s":
-		s.ColdRate, _ = value.Amount()
+		s.SlowStartRate, _ = value.NonNegativeFloat()
 	case "cold_for_s":
-		s.ColdFor, _ = value.Span(time.Second)
+		s.SlowStartDuration, _ = value.Duration(time.Second)
 	case "cold_for_ms":
-		s.ColdFor, _ = value.Span(time.Millisecond)
+		s.SlowStartDuration, _ = value.Duration(time.Millisecond)
 	case "backend":
 		s.Backend = &Backend{}
-		value.StrictObject(s.Backend.readField)
+		value.ReadStrictObject(s.Backend.readField)
 	}
 }
 
@@ -46,18 +46,18 @@
 	case "cache_tokens":
 		b.CacheTokens, _ = value.Int()
 	case "token_cache_bytes":
-		b.TokenCacheBytes, _ = value.Amount()
+		b.CacheBytesPerToken, _ = value.NonNegativeFloat()
 	case "link_mbps":
-		b.LinkMbps, _ = value.Amount()
+		b.LinkMbps, _ = value.NonNegativeFloat()
 	case "stride":
-		b.Stride, _ = value.Int()
+		b.TokensPerEvent, _ = value.Int()
 	case "models":
-		value.Array(b.readModel)
+		value.ReadArray(b.readModel)
 	}
 }
 
 func (b *Backend) readModel(_ int, value jsonfield.Value) {
-	value.StrictObject(func(name string, value jsonfield.Value) {
+	value.ReadStrictObject(func(name string, value jsonfield.Value) {
 		if name != "name" {
 			return
 		}
@@ -70,7 +70,7 @@
 // readLimits reads the limits as the operator sends them.
 func readLimits(value jsonfield.Value) *Limits {
 	limits := &Limits{}
-	value.StrictObject(limits.readField)
+	value.ReadStrictObject(limits.readField)
 	return limits
 }
 
@@ -78,23 +78,23 @@
 	if value.IsNull() {
 		return
 	}
-	base, unit := jsonfield.SplitUnit(name)
+	base, unit := jsonfield.SplitDurationUnit(name)
 	switch {
 	case name == "max_header_bytes":
 		l.MaxHeaderBytes = size(value)
 	case name == "max_body_bytes":
 		l.MaxBodyBytes = size(value)
 	case base == "header_wait" && unit > 0:
-		l.HeaderWait, _ = value.Span(unit)
+		l.HeaderTimeout, _ = value.Duration(unit)
 	case base == "idle_limit" && unit > 0:
-		l.IdleLimit, _ = value.Span(unit)
+		l.IdleTimeout, _ = value.Duration(unit)
 	}
 }
 
 func size(value jsonfield.Value) int {
 	bytes, ok := value.Int()
 	if ok && bytes < 0 {
-		value.Fail("must not be negative")
+		value.AddProblem("must not be negative")
 		return 0
 	}
 	return bytes
--- a/internal/system/configuration/validate.go
+++ b/internal/system/configuration/validate.go
@@ -10,12 +10,12 @@
 // Validate says whether the document may come into force over the version that is in force, 0 for none. All findings
 // come together, in a *findings.Error, each with its place.
 func (d *Document) Validate(current uint64) error {
-	var list validation.List
+	var list validation.Problems
 	d.validate(current, &list)
 	return list.Err()
 }
 
-func (d *Document) validate(current uint64, list *validation.List) {
+func (d *Document) validate(current uint64, list *validation.Problems) {
 	if d.version <= current {
 		list.Add(fieldVersion, "must be above "+strconv.FormatUint(current, 10)+", the version in force")
 	}
@@ -30,7 +30,7 @@
 }
 
 // checkNames returns the names of a list's items; each must be there and stand for one item.
-func checkNames[M any](entries []entry[M], field string, list *validation.List) map[string]bool {
+func checkNames[M any](entries []entry[M], field string, list *validation.Problems) map[string]bool {
 	names := make(map[string]bool, len(entries))
 	for i, item := range entries {
 		place := field + "[" + strconv.Itoa(i) + "].name"
@@ -52,7 +52,7 @@
 	place    string
 	route    *Route
 	services map[string]bool
-	list     *validation.List
+	list     *validation.Problems
 }
 
 func (c *routeChecker) add(field, problem string) {
@@ -75,10 +75,10 @@
 	if c.route.Host == "" {
 		c.add("host", "is missing or empty")
 	}
-	if !strings.HasPrefix(c.route.PathStart, "/") || !strings.HasSuffix(c.route.PathStart, "/") {
+	if !strings.HasPrefix(c.route.PathPrefix, "/") || !strings.HasSuffix(c.route.PathPrefix, "/") {
 		c.add("path_start", "must begin and end with a slash")
 	}
-	own := prefix{host: NormalHost(c.route.Host), path: c.route.PathStart}
+	own := prefix{host: NormalizeHost(c.route.Host), path: c.route.PathPrefix}
 	if other, taken := prefixes[own]; taken {
 		c.add("path_start", "is together with its host that of route "+strconv.Quote(other)+", too")
 		return
@@ -109,8 +109,8 @@
 // maxWeights bounds the sum of a route's weights, which must be finite.
 const maxWeights = 1e300
 
-// NormalHost is the form in which hosts are compared: lower case, without port and final dot.
-func NormalHost(host string) string {
+// NormalizeHost is the form in which hosts are compared: lower case, without port and final dot.
+func NormalizeHost(host string) string {
 	if address, rest, bracketed := strings.Cut(host, "]"); bracketed && strings.HasPrefix(host, "[") {
 		if rest == "" || rest[0] == ':' {
 			return strings.ToLower(address[1:])
--- a/internal/system/control/api/answer.go
+++ b/internal/system/control/api/answer.go
@@ -28,13 +28,13 @@
 	status   int
 	code     string
 	message  string
-	findings []validation.Finding
+	findings []validation.Problem
 }
 
 // Error returns the message.
 func (r *refusal) Error() string { return "api: " + r.message }
 
-func invalid(message string, list ...validation.Finding) *refusal {
+func invalid(message string, list ...validation.Problem) *refusal {
 	return &refusal{status: http.StatusBadRequest, code: codeInvalid, message: message, findings: list}
 }
 
@@ -73,9 +73,9 @@
 	for _, finding := range r.findings {
 		e.ObjStart()
 		e.FieldStart("place")
-		e.Str(finding.Place)
+		e.Str(finding.Path)
 		e.FieldStart("problem")
-		e.Str(finding.Problem)
+		e.Str(finding.Message)
 		e.ObjEnd()
 	}
 	e.ArrEnd()
--- a/internal/system/control/api/commit.go
+++ b/internal/system/control/api/commit.go
@@ -144,7 +144,7 @@
 	}
 	var found *validation.Error
 	if errors.As(err, &found) {
-		return invalid("the configuration is invalid; nothing was changed", found.Findings...)
+		return invalid("the configuration is invalid; nothing was changed", found.Problems...)
 	}
 	return invalid("the configuration can't be read: " + err.Error())
 }
--- a/internal/system/control/api/document.go
+++ b/internal/system/control/api/document.go
@@ -60,8 +60,8 @@
 	if d.current != nil && d.current.Version() == base.Version {
 		return d.current, nil
 	}
-	document, err := configuration.FromChangedItems(d.current, base.Values.All(""))
-	var missing *configuration.MissingDocumentError
+	document, err := configuration.FromItemsReusing(d.current, base.Values.All(""))
+	var missing *configuration.NoDocumentError
 	if errors.As(err, &missing) {
 		return nil, nil
 	}
@@ -74,9 +74,9 @@
 
 func check(request *request, current *configuration.Document, version uint64) (*configuration.Document, error) {
 	if request.kind == replaceWhole {
-		return configuration.Check(request.body, version)
+		return configuration.ParseAndValidate(request.body, version)
 	}
-	return configuration.CheckChange(request.body, current)
+	return configuration.ApplyAndValidate(request.body, current)
 }
 
 // writes are those of a commit, to which the version belongs by itself.
--- a/internal/system/control/api/orders_clients_test.go
+++ b/internal/system/control/api/orders_clients_test.go
@@ -54,7 +54,7 @@
 
 // prepareModel reads what modelOrder.request wrote.
 func prepareModel(request *request, base *state.Base) (change, error) {
-	var invalid validation.List
+	var invalid validation.Problems
 	version, text, _ := bytes.Cut(request.body, []byte(" "))
 	number, err := strconv.ParseUint(string(version), 10, 64)
 	if err != nil || number <= base.Version || bytes.HasSuffix(text, []byte(" invalid")) {
--- a/internal/system/control/feedserver/server.go
+++ b/internal/system/control/feedserver/server.go
@@ -113,7 +113,7 @@
 func (s *Server) untilStale(current feed.PartitionSet) time.Duration {
 	until := MaxWait
 	for partition, age := range s.ages() {
-		if current.Has(feed.Partition(partition)) {
+		if current.Contains(feed.Partition(partition)) {
 			until = min(until, max(0, feed.StaleAfter-age)+staleMargin)
 		}
 	}
--- a/internal/system/control/feedserver/server_test.go
+++ b/internal/system/control/feedserver/server_test.go
@@ -68,14 +68,14 @@
 func (s *source) Index() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.table.LastChange()
+	return s.table.LastChangeIndex()
 }
 
 func (s *source) Since(index uint64, maxBytes int) feed.Batch {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.looks++
-	return s.table.Since(s.clock.now(), index, maxBytes)
+	return s.table.BatchSince(s.clock.now(), index, maxBytes)
 }
 
 func (s *source) put(index uint64, key string, size int) {
@@ -93,7 +93,7 @@
 }
 
 func newWorld() *world {
-	w := &world{clock: &clock{time: time.Hour}, ages: []time.Duration{7 * time.Millisecond, feed.Never, 0}}
+	w := &world{clock: &clock{time: time.Hour}, ages: []time.Duration{7 * time.Millisecond, feed.AgeNever, 0}}
 	var sources []Source
 	for partition := range feed.Partition(3) {
 		s := &source{clock: w.clock, table: feed.NewTable(partition)}
@@ -239,16 +239,16 @@
 	}{
 		{[]time.Duration{0, 0, 0}, all, feed.StaleAfter + staleMargin},
 		{[]time.Duration{0, time.Second, 0}, all, feed.StaleAfter - time.Second + staleMargin},
-		{[]time.Duration{0, feed.Never, 0}, all, staleMargin},
-		{[]time.Duration{0, feed.Never, time.Hour}, feed.SetOf(0), feed.StaleAfter + staleMargin},
-		{[]time.Duration{0, feed.Never, 0}, 0, MaxWait},
+		{[]time.Duration{0, feed.AgeNever, 0}, all, staleMargin},
+		{[]time.Duration{0, feed.AgeNever, time.Hour}, feed.NewPartitionSet(0), feed.StaleAfter + staleMargin},
+		{[]time.Duration{0, feed.AgeNever, 0}, 0, MaxWait},
 	} {
 		w.ages = c.ages
 		if got := w.server.untilStale(c.current); got != c.want {
 			t.Errorf("ages %v, of which %v count: it ends after %v, want %v", c.ages, c.current, got, c.want)
 		}
 	}
-	w.ages = []time.Duration{0, feed.Never, 0}
+	w.ages = []time.Duration{0, feed.AgeNever, 0}
 	begun := time.Now()
 	request := requestOf(MaxWait, nil)
 	request.Current = all
--- a/internal/system/control/metrics.go
+++ b/internal/system/control/metrics.go
@@ -15,15 +15,15 @@
 }
 
 func (p *Process) exposeState(page *exposition.Page) {
-	gauge := func(name, help string, value float64) { page.Single(exposition.Gauge, name, help, value) }
+	gauge := func(name, help string, value float64) { page.Metric(exposition.Gauge, name, help, value) }
 	gauge("cinderroad_control_configuration_version", "Version of the configuration held here; 0: none.",
 		float64(p.configuration.Version()))
-	gauge("cinderroad_control_stopping", "Whether the process was told to stop.", exposition.Flag(p.stopping.Load()))
+	gauge("cinderroad_control_stopping", "Whether the process was told to stop.", exposition.BoolValue(p.stopping.Load()))
 	gauge("cinderroad_control_followers", "Members that follow this machine's feed.", float64(len(p.feed.Followers())))
 	duty := p.duty.Status()
 	gauge("cinderroad_control_discovery_holder", "Whether this machine reads the platform's list of runners.",
-		exposition.Flag(duty.Holder))
-	page.Single(exposition.Counter, "cinderroad_control_discovery_calls_total", "Calls to the platform.", float64(duty.Calls))
+		exposition.BoolValue(duty.Holder))
+	page.Metric(exposition.Counter, "cinderroad_control_discovery_calls_total", "Calls to the platform.", float64(duty.Calls))
 }
 
 // exposePartitions writes what tells of each replica of the control state.
@@ -35,7 +35,7 @@
 	page.Family(exposition.Gauge, "cinderroad_control_leads", "Whether this machine leads the partition, with a lease.")
 	for i := range partitions {
 		_, leads := p.host.Leads(partitions[i].Partition)
-		page.Sample(exposition.Flag(leads), label(i))
+		page.Sample(exposition.BoolValue(leads), label(i))
 	}
 	page.Family(exposition.Gauge, "cinderroad_control_fresh_seconds", "Time since a leader that a majority follows was heard.")
 	for i := range partitions {
--- a/internal/system/control/metrics_test.go
+++ b/internal/system/control/metrics_test.go
@@ -13,7 +13,7 @@
 	s.wait("the figures tell of the state and its partitions", func() bool {
 		var page exposition.Page
 		s.processes[0].expose(&page)
-		text := string(page.Text())
+		text := string(page.Bytes())
 		for _, want := range []string{
 			"cinderroad_control_configuration_version 7\n",
 			"cinderroad_control_stopping 0\n",
--- a/internal/system/control/partitions_test.go
+++ b/internal/system/control/partitions_test.go
@@ -44,12 +44,12 @@
 // TestPartitionWithoutALeaderIsStaleByItself has one partition of a machine lose its leader: its feed says so of that one
 // alone, and goes on with the others.
 func TestPartitionWithoutALeaderIsStaleByItself(t *testing.T) {
-	for lost := range feed.Partition(1 + feed.RunnerPartitions) {
+	for lost := range feed.Partition(1 + feed.RunnerPartitionCount) {
 		t.Run(fmt.Sprint("partition ", lost), func(t *testing.T) {
 			s := newSystem(t, 1)
 			s.insist(api.PathReplace, "0", document(1, 1000))
 			settings := s.settings[0]
-			address := netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ControlRPC))
+			address := netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ControlRPCPort))
 			client := rpc.NewClient(address, rpc.Options{})
 			defer client.Close()
 			u := usurper{partition: lost}
@@ -59,7 +59,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				for partition := range feed.Partition(1 + feed.RunnerPartitions) {
+				for partition := range feed.Partition(1 + feed.RunnerPartitionCount) {
 					if stale := reply.Age(partition) > 3*time.Second; stale != (partition == lost) {
 						return false
 					}
--- a/internal/system/control/process.go
+++ b/internal/system/control/process.go
@@ -102,7 +102,7 @@
 
 func (p *Process) makeStates(notifier *feedserver.Notifier) {
 	p.configuration = state.NewConfiguration(p.now, notifier.Notify)
-	for i := range feed.RunnerPartitions {
+	for i := range feed.RunnerPartitionCount {
 		p.runners = append(p.runners, state.NewRunners(feed.Partition(i+1), p.now, notifier.Notify))
 	}
 }
@@ -127,7 +127,7 @@
 		Age:        p.age,
 		ProxyCount: func() int { return p.gossip.Proxies() },
 
-		BulkBytesPerSecond: feedShare * p.settings.Load().Limits.LinkBytesPerS(),
+		BulkBytesPerSecond: feedShare * p.settings.Load().Limits.LinkBytesPerSecond(),
 	})
 }
 
@@ -148,14 +148,14 @@
 		partitions = append(partitions, runners)
 	}
 	client := discovery.NewClient(discovery.ClientOptions{
-		Address: settings.CloudAPI.Address,
-		Permit:  func() error { return runnersync.Permit(p.host, len(partitions)) },
-		Dropped: func(err *discovery.DroppedEntriesError) {
+		Address:   settings.CloudAPI.Address,
+		AllowCall: func() error { return runnersync.Permit(p.host, len(partitions)) },
+		OnSkippedEntries: func(err *discovery.SkippedEntriesError) {
 			p.log.Warn("entries of the list of runners make no sense", zap.Error(err))
 		},
 	})
 	p.duty = runnersync.New(runnersync.Options{Lister: client, Replicas: p.host, Partitions: partitions,
-		RatePerS: settings.CloudAPI.RatePerS, DrainWithin: settings.Timing.DrainWithin, Now: p.now, Log: p.log})
+		RatePerS: settings.CloudAPI.CallsPerSecond, DrainWithin: settings.Timing.DrainWithin, Now: p.now, Log: p.log})
 }
 
 // open opens the addresses that the settings name and serves them.
@@ -196,7 +196,7 @@
 }
 
 func (p *Process) serveRPC(ctx context.Context, settings *processconfig.Settings) error {
-	address := netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ControlRPC))
+	address := netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ControlRPCPort))
 	listener, err := listen(ctx, address)
 	if err != nil {
 		return err
--- a/internal/system/control/process_test.go
+++ b/internal/system/control/process_test.go
@@ -76,9 +76,9 @@
 			Node: fmt.Sprint("core-", i+1), IP: ip, Zone: names[i%3], Region: zones[names[i%3]], Zones: zones,
 			FreePorts: processconfig.PortRange{First: first, Last: first + portSpan - 1},
 			FirstBoot: true, CountsAsLoss: true, StateDir: t.TempDir(),
-			Survive:  processconfig.Survive{MachineLosses: 1, Zones: 1},
-			Timing:   processconfig.Timing{GracePeriod: 2 * time.Second, TTLMax: time.Second},
-			CloudAPI: processconfig.CloudAPI{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), RatePerS: 100},
+			SurvivableLosses: processconfig.SurvivableLosses{Machines: 1, Zones: 1},
+			Timing:           processconfig.Timing{GracePeriod: 2 * time.Second, TTLMax: time.Second},
+			CloudAPI:         processconfig.CloudAPI{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), CallsPerSecond: 100},
 		}
 		settings.ListenOn.Control = netip.AddrPortFrom(ip, first+2)
 		settings.ListenOn.Directory = netip.AddrPortFrom(ip, first+3)
@@ -231,7 +231,7 @@
 // follow asks a machine's feed for all that it has.
 func (s *system) follow(machine int) map[string]feed.Item {
 	settings := s.settings[machine]
-	client := rpc.NewClient(netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ControlRPC)), rpc.Options{})
+	client := rpc.NewClient(netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ControlRPCPort)), rpc.Options{})
 	defer client.Close()
 	items := map[string]feed.Item{}
 	reply, err := feedserver.FollowMethod.Invoke(context.Background(), client, &feed.FollowRequest{Node: "test"})
@@ -260,9 +260,9 @@
 	for machine := range 3 {
 		s.wait(fmt.Sprintf("machine %d feeds runners and configuration", machine), func() bool {
 			items := s.follow(machine)
-			_, one := items[feed.KeyRunner+"i-1"]
-			_, two := items[feed.KeyRunner+"i-2"]
-			_, evacuated := items[feed.KeyEvacuation+"a"]
+			_, one := items[feed.KeyPrefixRunner+"i-1"]
+			_, two := items[feed.KeyPrefixRunner+"i-2"]
+			_, evacuated := items[feed.KeyPrefixEvacuation+"a"]
 			return one && two && evacuated && string(items[feed.KeyVersion].Value) == "3"
 		})
 	}
@@ -272,7 +272,7 @@
 	s.platform.set(runner("i-2", "draining"))
 	s.wait("the others go on", func() bool {
 		items := s.follow(1)
-		_, gone := items[feed.KeyRunner+"i-1"]
+		_, gone := items[feed.KeyPrefixRunner+"i-1"]
 		return !gone && s.versionAt(1) == 5 && s.versionAt(2) == 5
 	})
 	s.start(0)
--- a/internal/system/control/runnersync/diff.go
+++ b/internal/system/control/runnersync/diff.go
@@ -26,7 +26,9 @@
 	at     time.Duration // steady time of the item's change
 }
 
-func (h *held) encodedAs(value []byte) bool { return bytes.Equal(discovery.Encode(h.runner), value) }
+func (h *held) encodedAs(value []byte) bool {
+	return bytes.Equal(discovery.EncodeRunner(h.runner), value)
+}
 
 // expected is what is left of a time that ran down since the item was written.
 func (h *held) expected(left, now time.Duration) time.Duration { return max(0, left-(now-h.at)) }
@@ -36,24 +38,24 @@
 	if !sameButTimes(&h.runner, listed) {
 		return true
 	}
-	if deviates(h.expected(h.runner.ColdLeft, now), listed.ColdLeft) {
+	if deviates(h.expected(h.runner.SlowStartRemaining, now), listed.SlowStartRemaining) {
 		return true
 	}
 	if h.noticeDiffers(listed, now) {
 		return true
 	}
-	return listed.ColdLeft == 0 && h.runner.ColdLeft > 0 && now-h.at > h.runner.ColdLeft+settledAfter
+	return listed.SlowStartRemaining == 0 && h.runner.SlowStartRemaining > 0 && now-h.at > h.runner.SlowStartRemaining+settledAfter
 }
 
 // noticeDiffers says whether the time left of a runner that is taken away at short notice is to be written.
 func (h *held) noticeDiffers(listed *discovery.Runner, now time.Duration) bool {
-	if listed.TimeLeft == 0 {
+	if listed.TimeToTermination == 0 {
 		return false
 	}
-	if h.runner.TimeLeft == 0 || now-h.at >= noticeAnew {
+	if h.runner.TimeToTermination == 0 || now-h.at >= noticeAnew {
 		return true
 	}
-	return deviates(h.expected(h.runner.TimeLeft, now), listed.TimeLeft)
+	return deviates(h.expected(h.runner.TimeToTermination, now), listed.TimeToTermination)
 }
 
 func deviates(a, b time.Duration) bool {
@@ -91,7 +93,7 @@
 		delete(v.runners, item.Key)
 		return
 	}
-	runner, err := discovery.Decode(item.Value)
+	runner, err := discovery.DecodeRunner(item.Value)
 	if err != nil {
 		delete(v.runners, item.Key) // the list has it written anew
 		return
@@ -108,11 +110,11 @@
 		if known && !h.differs(runner, now) {
 			continue
 		}
-		value := discovery.Encode(*runner)
+		value := discovery.EncodeRunner(*runner)
 		if known && h.encodedAs(value) {
 			anew := *runner
-			anew.ColdLeft++ // an equal value would keep its index and age
-			value = discovery.Encode(anew)
+			anew.SlowStartRemaining++ // an equal value would keep its index and age
+			value = discovery.EncodeRunner(anew)
 		}
 		out = append(out, state.Write{Key: key, Value: value})
 	}
--- a/internal/system/control/runnersync/duty.go
+++ b/internal/system/control/runnersync/duty.go
@@ -35,7 +35,7 @@
 // Lister asks the platform for its list.
 type Lister interface {
 	List(ctx context.Context) ([]discovery.Runner, error) // all pages
-	Calls() uint64                                        // to the platform so far
+	CallCount() uint64                                    // to the platform so far
 }
 
 // Partition is the local state of a runners' partition.
@@ -105,7 +105,7 @@
 // partition waits for another one's leader. Two machines may then keep one for a moment, which the conditions of
 // state.WriteRunners bear.
 func Held(replicas replica.Replicas, runnerPartitions int) feed.PartitionSet {
-	all := feed.FirstPartitions(1 + runnerPartitions).Without(feed.SetOf(feed.ConfigurationPartition))
+	all := feed.FirstPartitions(1 + runnerPartitions).Without(feed.NewPartitionSet(feed.ConfigurationPartition))
 	if surelyLeads(replicas, feed.ConfigurationPartition) {
 		return all
 	}
@@ -128,7 +128,7 @@
 
 // Permit says whether a call to the platform may begin now: nil or ErrLostLease.
 func Permit(replicas replica.Replicas, runnerPartitions int) error {
-	if Held(replicas, runnerPartitions).Empty() {
+	if Held(replicas, runnerPartitions).IsEmpty() {
 		return ErrLostLease
 	}
 	return nil
@@ -140,7 +140,7 @@
 // Step polls once if this machine has the duty, and returns how long to wait until the next step.
 func (d *Duty) Step(ctx context.Context) time.Duration {
 	held := d.holds()
-	if held.Empty() {
+	if held.IsEmpty() {
 		d.lapse()
 		return lookEvery
 	}
@@ -158,11 +158,11 @@
 func (d *Duty) list(ctx context.Context) ([]discovery.Runner, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	before := d.options.Lister.Calls()
+	before := d.options.Lister.CallCount()
 	list, err := d.options.Lister.List(ctx)
-	d.progress.calls.Store(d.options.Lister.Calls())
+	d.progress.calls.Store(d.options.Lister.CallCount())
 	if err == nil {
-		d.pages = max(1, int(d.options.Lister.Calls()-before))
+		d.pages = max(1, int(d.options.Lister.CallCount()-before))
 	}
 	return list, err
 }
@@ -172,7 +172,7 @@
 	if held == d.held {
 		return
 	}
-	if d.held.Empty() {
+	if d.held.IsEmpty() {
 		d.progress.begin()
 	}
 	d.held, d.spacing = held, pollEvery
@@ -184,7 +184,7 @@
 }
 
 func (d *Duty) lapse() {
-	if d.held.Empty() {
+	if d.held.IsEmpty() {
 		return
 	}
 	d.held = 0
@@ -263,7 +263,7 @@
 	}
 	for i := range list {
 		partition := int(feed.PartitionOf(list[i].Service, len(out))) - 1
-		out[partition][feed.KeyRunner+list[i].ID] = &list[i]
+		out[partition][feed.KeyPrefixRunner+list[i].ID] = &list[i]
 	}
 	return out
 }
@@ -337,7 +337,7 @@
 		return true, nil
 	}
 	d.changing.Store(true)
-	if !d.holds().Has(feed.Partition(i + 1)) {
+	if !d.holds().Contains(feed.Partition(i + 1)) {
 		return false, ErrLostLease
 	}
 	command := state.WriteRunners{Seen: seen, Writes: writes}
--- a/internal/system/control/runnersync/duty_test.go
+++ b/internal/system/control/runnersync/duty_test.go
@@ -60,7 +60,7 @@
 	return append([]discovery.Runner(nil), w.list...), w.listError
 }
 
-func (w *world) Calls() uint64 { return w.calls }
+func (w *world) CallCount() uint64 { return w.calls }
 
 func (w *world) Propose(_ context.Context, partition feed.Partition, command []byte) ([]byte, error) {
 	w.mutex.Lock()
@@ -99,7 +99,7 @@
 	if partition == feed.ConfigurationPartition {
 		return w.lease, w.leads
 	}
-	return w.lease, w.leadsToo.Has(partition)
+	return w.lease, w.leadsToo.Contains(partition)
 }
 
 func (w *world) Fresh(feed.Partition) time.Duration { return w.unheard }
@@ -121,7 +121,7 @@
 	out := map[string]discovery.Runner{}
 	for i, s := range w.states {
 		for _, item := range s.Since(0, 0).Items {
-			runner, err := discovery.Decode(item.Value)
+			runner, err := discovery.DecodeRunner(item.Value)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -193,10 +193,10 @@
 	runner := &w.list[0]
 	pass := func(d time.Duration) {
 		w.now += d
-		runner.ColdLeft = max(0, runner.ColdLeft-d)
-		runner.TimeLeft = max(0, runner.TimeLeft-d)
+		runner.SlowStartRemaining = max(0, runner.SlowStartRemaining-d)
+		runner.TimeToTermination = max(0, runner.TimeToTermination-d)
 	}
-	runner.ColdLeft = 3 * time.Second
+	runner.SlowStartRemaining = 3 * time.Second
 	w.step()
 	for range 6 {
 		pass(450 * time.Millisecond)
@@ -212,36 +212,36 @@
 	}
 	pass(2 * time.Second)
 	w.step()
-	if w.proposals != 2 || w.held(t)["i-1"].ColdLeft != 0 {
-		t.Errorf("%d proposals, %v left cold: the end is not settled", w.proposals, w.held(t)["i-1"].ColdLeft)
+	if w.proposals != 2 || w.held(t)["i-1"].SlowStartRemaining != 0 {
+		t.Errorf("%d proposals, %v left cold: the end is not settled", w.proposals, w.held(t)["i-1"].SlowStartRemaining)
 	}
-	runner.ColdLeft = 3 * time.Second
+	runner.SlowStartRemaining = 3 * time.Second
 	w.step()
 	if w.proposals != 3 {
 		t.Error("cold again is not written")
 	}
 	pass(time.Second)
-	runner.ColdLeft = 3 * time.Second // again, by the same value as the one that stands
+	runner.SlowStartRemaining = 3 * time.Second // again, by the same value as the one that stands
 	w.step()
 	item := w.states[feed.PartitionOf(runner.Service, partitions)-1].Since(0, 0).Items[0]
 	if w.proposals != 4 || item.Age != 0 {
 		t.Errorf("cold again by an equal time: %d proposals, age %v", w.proposals, item.Age)
 	}
-	runner.Draining, runner.TimeLeft = true, 10*time.Second
+	runner.Draining, runner.TimeToTermination = true, 10*time.Second
 	w.step()
 	pass(noticeAnew / 2)
 	w.step()
 	if w.proposals != 5 {
 		t.Errorf("%d proposals while a notice runs down", w.proposals)
 	}
-	runner.TimeLeft -= time.Second
+	runner.TimeToTermination -= time.Second
 	w.step()
-	if w.proposals != 6 || w.held(t)["i-1"].TimeLeft != runner.TimeLeft {
+	if w.proposals != 6 || w.held(t)["i-1"].TimeToTermination != runner.TimeToTermination {
 		t.Error("a shorter notice is not written")
 	}
 	pass(noticeAnew)
 	w.step()
-	if w.proposals != 7 || w.held(t)["i-1"].TimeLeft != runner.TimeLeft {
+	if w.proposals != 7 || w.held(t)["i-1"].TimeToTermination != runner.TimeToTermination {
 		t.Error("a notice is not written again after a while")
 	}
 }
@@ -287,7 +287,7 @@
 	w.before = func(partition feed.Partition) {
 		other := runnerOf(1)
 		other.Draining = true
-		writes := []state.Write{{Key: feed.KeyRunner + other.ID, Value: discovery.Encode(other)}}
+		writes := []state.Write{{Key: feed.KeyPrefixRunner + other.ID, Value: discovery.EncodeRunner(other)}}
 		command := state.WriteRunners{Seen: w.states[partition-1].Changed(), Writes: writes}
 		w.apply(partition, command.Encode())
 	}
@@ -337,7 +337,7 @@
 		w.list = append(w.list, runnerOf(i))
 	}
 	w.step()
-	w.leads, w.leadsToo, w.unheard = false, feed.SetOf(2), takeOverAfter-1
+	w.leads, w.leadsToo, w.unheard = false, feed.NewPartitionSet(2), takeOverAfter-1
 	for i := range w.list {
 		w.list[i].Draining = true
 	}
@@ -514,7 +514,7 @@
 			}
 		}
 		for i := range w.list {
-			if !held[feed.KeyRunner+w.list[i].ID] {
+			if !held[feed.KeyPrefixRunner+w.list[i].ID] {
 				t.Fatalf("runner %s is not held", w.list[i].ID)
 			}
 		}
--- a/internal/system/control/state/configuration.go
+++ b/internal/system/control/state/configuration.go
@@ -167,7 +167,7 @@
 	}
 	c.evacuationsChanged = index
 	c.zoneOrders[command.Zone] = index
-	key := feed.KeyEvacuation + command.Zone
+	key := feed.KeyPrefixEvacuation + command.Zone
 	if c.holds(key) == command.On {
 		return Result{Outcome: AlreadyAccepted, Number: index}
 	}
@@ -208,7 +208,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return Evacuation{
-		On:      c.holds(feed.KeyEvacuation + zone),
+		On:      c.holds(feed.KeyPrefixEvacuation + zone),
 		Seen:    c.evacuationsChanged,
 		Ordered: max(c.zoneOrders[zone], c.ordersFloor),
 	}
@@ -219,8 +219,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var zones []string
-	for _, item := range c.values(feed.KeyEvacuation) {
-		zones = append(zones, strings.TrimPrefix(item.Key, feed.KeyEvacuation))
+	for _, item := range c.values(feed.KeyPrefixEvacuation) {
+		zones = append(zones, strings.TrimPrefix(item.Key, feed.KeyPrefixEvacuation))
 	}
 	return zones
 }
--- a/internal/system/control/state/store.go
+++ b/internal/system/control/state/store.go
@@ -54,7 +54,7 @@
 func (s *store) Index() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.table.LastChange()
+	return s.table.LastChangeIndex()
 }
 
 // Len is how many items the partition has.
@@ -69,7 +69,7 @@
 func (s *store) Since(index uint64, maxBytes int) feed.Batch {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.table.Since(s.now(), index, maxBytes)
+	return s.table.BatchSince(s.now(), index, maxBytes)
 }
 
 // appendTo appends the table. The lock is held.
--- a/internal/system/discovery/answer.go
+++ b/internal/system/discovery/answer.go
@@ -16,12 +16,12 @@
 	maxHeaders = 100
 )
 
-// MalformedAnswerError says that the platform's bytes are not an HTTP/1.1 answer that the client understands.
-type MalformedAnswerError struct{ Problem string }
+// MalformedResponseError says that the platform's bytes are not an HTTP/1.1 answer that the client understands.
+type MalformedResponseError struct{ Reason string }
 
 // Error says what happened.
-func (e *MalformedAnswerError) Error() string {
-	return fmt.Sprintf("discovery: the platform's answer cannot be read: %s", e.Problem)
+func (e *MalformedResponseError) Error() string {
+	return fmt.Sprintf("discovery: the platform's answer cannot be read: %s", e.Reason)
 }
 
 // answer is an HTTP/1.1 answer.
@@ -68,13 +68,13 @@
 			return answer{}, err
 		}
 	}
-	return answer{}, &MalformedAnswerError{Problem: "it has too many headers"}
+	return answer{}, &MalformedResponseError{Reason: "it has too many headers"}
 }
 
 func readLine(reader *bufio.Reader) (string, error) {
 	line, err := reader.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
-		return "", &MalformedAnswerError{Problem: "a line of it is too long"}
+		return "", &MalformedResponseError{Reason: "a line of it is too long"}
 	}
 	if err == io.EOF {
 		return "", io.ErrUnexpectedEOF
@@ -90,7 +90,7 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if !strings.HasPrefix(version, "HTTP/1.") || err != nil || status < 100 || status > 999 {
-		return &MalformedAnswerError{Problem: "it does not begin with a status line"}
+		return &MalformedResponseError{Reason: "it does not begin with a status line"}
 	}
 	a.status = status
 	a.closes = version != "HTTP/1.1"
@@ -100,19 +100,19 @@
 func (a *answer) readHeader(line string) error {
 	name, value, found := strings.Cut(line, ":")
 	if !found {
-		return &MalformedAnswerError{Problem: "a header has no colon"}
+		return &MalformedResponseError{Reason: "a header has no colon"}
 	}
 	value = strings.TrimSpace(value)
 	switch strings.ToLower(name) {
 	case "content-length":
 		length, err := strconv.ParseUint(value, 10, 31)
 		if err != nil {
-			return &MalformedAnswerError{Problem: "its length is not a number"}
+			return &MalformedResponseError{Reason: "its length is not a number"}
 		}
 		a.length = int(length)
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") {
-			return &MalformedAnswerError{Problem: "its transfer encoding is not known"}
+			return &MalformedResponseError{Reason: "its transfer encoding is not known"}
 		}
 		a.chunked = true
 	case "connection":
@@ -163,7 +163,7 @@
 		text, _, _ := strings.Cut(line, ";")
 		size, err := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
 		if err != nil {
-			return nil, &MalformedAnswerError{Problem: "the size of a chunk is not a number"}
+			return nil, &MalformedResponseError{Reason: "the size of a chunk is not a number"}
 		}
 		if size == 0 {
 			return body, skipTrailer(reader)
@@ -172,7 +172,7 @@
 			return nil, err
 		}
 		if line, err := readLine(reader); err != nil || line != "" {
-			return nil, &MalformedAnswerError{Problem: "a chunk does not end where it should"}
+			return nil, &MalformedResponseError{Reason: "a chunk does not end where it should"}
 		}
 	}
 }
@@ -184,7 +184,7 @@
 			return err
 		}
 	}
-	return &MalformedAnswerError{Problem: "its trailer is too long"}
+	return &MalformedResponseError{Reason: "its trailer is too long"}
 }
 
-func tooLong() error { return &MalformedAnswerError{Problem: "its body is too long"} }
+func tooLong() error { return &MalformedResponseError{Reason: "its body is too long"} }
--- a/internal/system/discovery/client.go
+++ b/internal/system/discovery/client.go
@@ -41,11 +41,11 @@
 	return fmt.Sprintf("discovery: the platform answered %d instead of its list", e.Status)
 }
 
-// EndlessListError says that the pages of the list do not come to an end.
-type EndlessListError struct{ Token string }
+// EndlessPaginationError says that the pages of the list do not come to an end.
+type EndlessPaginationError struct{ Token string }
 
 // Error says what happened.
-func (e *EndlessListError) Error() string {
+func (e *EndlessPaginationError) Error() string {
 	return fmt.Sprintf("discovery: the pages of the platform's list do not end; token %q came again or too many came",
 		e.Token)
 }
@@ -54,12 +54,12 @@
 type ClientOptions struct {
 	Address netip.AddrPort
 	Timeout time.Duration // of one call, connecting included; 0: one second
-	// Permit is asked right before each call to the platform and refuses it by an error, which List returns; nil: all
+	// AllowCall is asked right before each call to the platform and refuses it by an error, which List returns; nil: all
 	// calls are made.
-	Permit func() error
-	// Dropped is told of entries that made no sense and were left out of a list; nil: nobody is. It is called while List
+	AllowCall func() error
+	// OnSkippedEntries is told of entries that made no sense and were left out of a list; nil: nobody is. It is called while List
 	// runs.
-	Dropped func(*DroppedEntriesError)
+	OnSkippedEntries func(*SkippedEntriesError)
 }
 
 // Client asks the platform for its list, over one connection that it keeps. It is safe for concurrent use; calls wait
@@ -105,16 +105,16 @@
 			return unique(runners), nil
 		}
 		if seen[next] {
-			return nil, &EndlessListError{Token: next}
+			return nil, &EndlessPaginationError{Token: next}
 		}
 		seen[next] = true
 		token = next
 	}
-	return nil, &EndlessListError{Token: token}
+	return nil, &EndlessPaginationError{Token: token}
 }
 
-// Calls is how many calls were sent to the platform so far.
-func (c *Client) Calls() uint64 {
+// CallCount is how many calls were sent to the platform so far.
+func (c *Client) CallCount() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.calls
@@ -128,12 +128,12 @@
 }
 
 func (c *Client) tolerate(err error) error {
-	var dropped *DroppedEntriesError
+	var dropped *SkippedEntriesError
 	if !errors.As(err, &dropped) {
 		return err
 	}
-	if c.options.Dropped != nil {
-		c.options.Dropped(dropped)
+	if c.options.OnSkippedEntries != nil {
+		c.options.OnSkippedEntries(dropped)
 	}
 	return nil
 }
@@ -196,8 +196,8 @@
 	if err := c.connect(ctx, deadline); err != nil {
 		return answer{}, false, err
 	}
-	if c.options.Permit != nil {
-		if err := c.options.Permit(); err != nil {
+	if c.options.AllowCall != nil {
+		if err := c.options.AllowCall(); err != nil {
 			return answer{}, true, err
 		}
 	}
--- a/internal/system/discovery/client_test.go
+++ b/internal/system/discovery/client_test.go
@@ -60,8 +60,8 @@
 			t.Fatalf("got %+v, %v", runners, err)
 		}
 	}
-	if connections.Load() != 1 || client.Calls() != 6 {
-		t.Fatalf("%d connections and %d calls", connections.Load(), client.Calls())
+	if connections.Load() != 1 || client.CallCount() != 6 {
+		t.Fatalf("%d connections and %d calls", connections.Load(), client.CallCount())
 	}
 }
 
@@ -71,15 +71,15 @@
 	}))
 	refused := errors.New("refused")
 	asked := 0
-	client.options.Permit = func() error {
+	client.options.AllowCall = func() error {
 		asked++
 		if asked > 1 {
 			return refused
 		}
 		return nil
 	}
-	if _, err := client.List(context.Background()); !errors.Is(err, refused) || client.Calls() != 1 || asked != 2 {
-		t.Fatalf("%v after %d calls, asked %d times", err, client.Calls(), asked)
+	if _, err := client.List(context.Background()); !errors.Is(err, refused) || client.CallCount() != 1 || asked != 2 {
+		t.Fatalf("%v after %d calls, asked %d times", err, client.CallCount(), asked)
 	}
 }
 
@@ -108,7 +108,7 @@
 	client, _ := clientOf(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, `{"instances":[],"next_token":"again"}`)
 	}))
-	var endless *EndlessListError
+	var endless *EndlessPaginationError
 	if _, err := client.List(context.Background()); !errors.As(err, &endless) {
 		t.Fatalf("got %v", err)
 	}
@@ -119,7 +119,7 @@
 		fmt.Fprintf(w, `{"instances":[{},%s]}`, instance("a"))
 	}))
 	told := 0
-	client.options.Dropped = func(dropped *DroppedEntriesError) { told += dropped.Dropped }
+	client.options.OnSkippedEntries = func(dropped *SkippedEntriesError) { told += dropped.Skipped }
 	runners, err := client.List(context.Background())
 	if err != nil || len(runners) != 1 || told != 1 {
 		t.Fatalf("got %+v, %v, told of %d", runners, err, told)
--- a/internal/system/discovery/codec.go
+++ b/internal/system/discovery/codec.go
@@ -23,8 +23,8 @@
 	return fmt.Sprintf("discovery: an encoded runner is malformed at its %s; do both sides run the same version?", e.Field)
 }
 
-// Encode is the compact form of a runner in the feed. Equal runners have equal encodings.
-func Encode(runner Runner) []byte {
+// EncodeRunner is the compact form of a runner in the feed. Equal runners have equal encodings.
+func EncodeRunner(runner Runner) []byte {
 	data := make([]byte, 0, 96)
 	data = append(data, codecVersion, flags(runner))
 	data = codec.AppendBytes(data, runner.ID)
@@ -32,8 +32,8 @@
 	data = appendAddress(data, runner.Address)
 	data = codec.AppendBytes(data, runner.Zone)
 	data = binary.AppendVarint(data, int64(runner.Capacity))
-	data = binary.AppendVarint(data, int64(runner.ColdLeft))
-	data = binary.AppendVarint(data, int64(runner.TimeLeft))
+	data = binary.AppendVarint(data, int64(runner.SlowStartRemaining))
+	data = binary.AppendVarint(data, int64(runner.TimeToTermination))
 	data = codec.AppendBytes(data, runner.Phase)
 	data = binary.AppendUvarint(data, uint64(len(runner.Models)))
 	for _, model := range runner.Models {
@@ -55,8 +55,8 @@
 	return codec.AppendBytes(data, octets)
 }
 
-// Decode reads what Encode wrote. The error is a *MalformedRunnerError.
-func Decode(data []byte) (Runner, error) {
+// DecodeRunner reads what Encode wrote. The error is a *MalformedRunnerError.
+func DecodeRunner(data []byte) (Runner, error) {
 	reader := codec.NewReader(data)
 	if reader.Byte("version") != codecVersion {
 		return Runner{}, &MalformedRunnerError{Field: "version"}
@@ -67,8 +67,8 @@
 	runner.Address = readAddress(&reader, "address")
 	runner.Zone = reader.String("zone")
 	runner.Capacity = int(reader.Varint("capacity"))
-	runner.ColdLeft = time.Duration(reader.Varint("time left cold"))
-	runner.TimeLeft = time.Duration(reader.Varint("time left"))
+	runner.SlowStartRemaining = time.Duration(reader.Varint("time left cold"))
+	runner.TimeToTermination = time.Duration(reader.Varint("time left"))
 	runner.Phase = reader.String("phase")
 	runner.Models = readModels(&reader, "models")
 	reader.ExpectEnd("end")
--- a/internal/system/discovery/discovery.go
+++ b/internal/system/discovery/discovery.go
@@ -8,16 +8,16 @@
 
 // Runner is an incarnation of a server of a service, as the platform lists it.
 type Runner struct {
-	ID       string
-	Service  string
-	Address  netip.AddrPort
-	Zone     string
-	Capacity int
-	Draining bool
-	ColdLeft time.Duration // how much longer it stays cold, when it was listed
-	TimeLeft time.Duration // of one that is taken away at short notice, when it was listed; 0: not told
-	Phase    string
-	Models   []Model
+	ID                 string
+	Service            string
+	Address            netip.AddrPort
+	Zone               string
+	Capacity           int
+	Draining           bool
+	SlowStartRemaining time.Duration // how much longer it stays cold, when it was listed
+	TimeToTermination  time.Duration // of one that is taken away at short notice, when it was listed; 0: not told
+	Phase              string
+	Models             []Model
 }
 
 // Model is a model that a runner serves.
--- a/internal/system/discovery/discovery_test.go
+++ b/internal/system/discovery/discovery_test.go
@@ -24,11 +24,11 @@
 	want := []Runner{
 		{
 			ID: "i-1", Service: "engine", Address: netip.MustParseAddrPort("10.128.0.9:8080"), Zone: "north-a",
-			Capacity: 64, ColdLeft: 1500500 * time.Microsecond, Phase: "both", Models: []Model{{Name: "m", Version: 3}},
+			Capacity: 64, SlowStartRemaining: 1500500 * time.Microsecond, Phase: "both", Models: []Model{{Name: "m", Version: 3}},
 		},
 		{
 			ID: "i-2", Service: "engine", Address: netip.MustParseAddrPort("10.128.0.10:8080"), Zone: "north-a",
-			Capacity: 64, Draining: true, TimeLeft: 2500 * time.Millisecond,
+			Capacity: 64, Draining: true, TimeToTermination: 2500 * time.Millisecond,
 		},
 	}
 	if !reflect.DeepEqual(runners, want) || next != "p-50" {
@@ -41,8 +41,8 @@
 	 {"id":"c","service":"s","address":"10.0.0.1:80","state":"serving","capacity":"many"},
 	 {"id":"d","service":"s","address":"10.0.0.1:80","state":"serving"}],"next_token":null}`
 	runners, next, err := DecodeList([]byte(body))
-	var dropped *DroppedEntriesError
-	if !errors.As(err, &dropped) || dropped.Dropped != 4 {
+	var dropped *SkippedEntriesError
+	if !errors.As(err, &dropped) || dropped.Skipped != 4 {
 		t.Fatalf("got %v, want four entries left out", err)
 	}
 	if len(runners) != 1 || runners[0].ID != "d" || next != "" {
@@ -62,14 +62,14 @@
 	const body = `{"instances":[
 	 {"id":"a","service":"s","address":"10.0.0.1:80","state":"serving","time_left_ms":0}]}`
 	runners, _, err := DecodeList([]byte(body))
-	if err != nil || !runners[0].Draining || runners[0].TimeLeft <= 0 {
+	if err != nil || !runners[0].Draining || runners[0].TimeToTermination <= 0 {
 		t.Fatalf("got %+v, %v", runners, err)
 	}
 }
 
 func TestDecodeListRefusesWhatIsNoList(t *testing.T) {
 	for _, body := range []string{"", "[]", "{}", `{"instances":3}`, `{"instances":[]`, `{"instances":[],"next_token":1}`} {
-		var unreadable *UnreadableListError
+		var unreadable *MalformedListError
 		if runners, _, err := DecodeList([]byte(body)); !errors.As(err, &unreadable) || runners != nil {
 			t.Errorf("%q: got %v, %v", body, runners, err)
 		}
@@ -78,14 +78,14 @@
 
 func drawRunner(t *rapid.T) Runner {
 	runner := Runner{
-		ID:       rapid.String().Draw(t, "id"),
-		Service:  rapid.String().Draw(t, "service"),
-		Zone:     rapid.String().Draw(t, "zone"),
-		Capacity: rapid.Int().Draw(t, "capacity"),
-		Draining: rapid.Bool().Draw(t, "draining"),
-		ColdLeft: time.Duration(rapid.Int64().Draw(t, "cold")),
-		TimeLeft: time.Duration(rapid.Int64().Draw(t, "left")),
-		Phase:    rapid.String().Draw(t, "phase"),
+		ID:                 rapid.String().Draw(t, "id"),
+		Service:            rapid.String().Draw(t, "service"),
+		Zone:               rapid.String().Draw(t, "zone"),
+		Capacity:           rapid.Int().Draw(t, "capacity"),
+		Draining:           rapid.Bool().Draw(t, "draining"),
+		SlowStartRemaining: time.Duration(rapid.Int64().Draw(t, "cold")),
+		TimeToTermination:  time.Duration(rapid.Int64().Draw(t, "left")),
+		Phase:              rapid.String().Draw(t, "phase"),
 	}
 	octets := rapid.SampledFrom([]int{0, 4, 16}).Draw(t, "octets")
 	if address, ok := netip.AddrFromSlice(rapid.SliceOfN(rapid.Byte(), octets, octets).Draw(t, "address")); ok {
@@ -101,33 +101,33 @@
 func TestDecodeReadsWhatEncodeWrote(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawRunner(t)
-		data := Encode(want)
-		got, err := Decode(data)
+		data := EncodeRunner(want)
+		got, err := DecodeRunner(data)
 		if err != nil || !reflect.DeepEqual(got, want) {
 			t.Fatalf("got %+v, %v, want %+v", got, err, want)
 		}
 		cut := rapid.IntRange(0, len(data)-1).Draw(t, "cut")
-		if _, err := Decode(data[:cut]); err == nil {
+		if _, err := DecodeRunner(data[:cut]); err == nil {
 			t.Fatalf("%d bytes of %d were accepted", cut, len(data))
 		}
-		if _, err := Decode(append(data, 0)); err == nil {
+		if _, err := DecodeRunner(append(data, 0)); err == nil {
 			t.Fatal("a byte too many was accepted")
 		}
 	})
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(Runner{}))
-	f.Add(Encode(Runner{
+	f.Add(EncodeRunner(Runner{}))
+	f.Add(EncodeRunner(Runner{
 		ID: "i-1", Service: "s", Address: netip.MustParseAddrPort("10.0.0.1:80"), Capacity: 3,
 		Models: []Model{{Name: "m", Version: 1}},
 	}))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		runner, err := Decode(data)
+		runner, err := DecodeRunner(data)
 		if err != nil {
 			return
 		}
-		again, err := Decode(Encode(runner))
+		again, err := DecodeRunner(EncodeRunner(runner))
 		if err != nil || !reflect.DeepEqual(again, runner) {
 			t.Fatalf("%+v came back as %+v, %v", runner, again, err)
 		}
@@ -139,12 +139,12 @@
 	f.Add([]byte(`{"instances":[]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		runners, _, err := DecodeList(body)
-		var unreadable *UnreadableListError
+		var unreadable *MalformedListError
 		if errors.As(err, &unreadable) && runners != nil {
 			t.Fatal("a page that cannot be read has runners")
 		}
 		for _, runner := range runners {
-			if runner.ID == "" || runner.Service == "" || !runner.Address.IsValid() || runner.ColdLeft < 0 {
+			if runner.ID == "" || runner.Service == "" || !runner.Address.IsValid() || runner.SlowStartRemaining < 0 {
 				t.Fatalf("%+v makes no sense", runner)
 			}
 		}
@@ -155,15 +155,15 @@
 	runner := benchmarkRunner()
 	b.ReportAllocs()
 	for b.Loop() {
-		_ = Encode(runner)
+		_ = EncodeRunner(runner)
 	}
 }
 
 func BenchmarkDecode(b *testing.B) {
-	data := Encode(benchmarkRunner())
+	data := EncodeRunner(benchmarkRunner())
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := Decode(data); err != nil {
+		if _, err := DecodeRunner(data); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -173,7 +173,7 @@
 func benchmarkRunner() Runner {
 	return Runner{
 		ID: "i-00e3a1", Service: "engine-large", Address: netip.MustParseAddrPort("10.128.0.9:8080"), Zone: "north-a",
-		Capacity: 64, ColdLeft: 1500 * time.Millisecond, Phase: "both",
+		Capacity: 64, SlowStartRemaining: 1500 * time.Millisecond, Phase: "both",
 		Models: []Model{{Name: "model-70b", Version: 3}, {Name: "model-8b", Version: 12}},
 	}
 }
--- a/internal/system/discovery/list.go
+++ b/internal/system/discovery/list.go
@@ -8,51 +8,51 @@
 	"cinderroad/internal/system/validation"
 )
 
-// UnreadableListError says that a page of the list cannot be read at all.
-type UnreadableListError struct{ Findings error }
+// MalformedListError says that a page of the list cannot be read at all.
+type MalformedListError struct{ Problems error }
 
 // Error says what happened.
-func (e *UnreadableListError) Error() string {
-	return fmt.Sprintf("discovery: the platform's list cannot be read: %v", e.Findings)
+func (e *MalformedListError) Error() string {
+	return fmt.Sprintf("discovery: the platform's list cannot be read: %v", e.Problems)
 }
 
 // Unwrap is the error with the findings.
-func (e *UnreadableListError) Unwrap() error { return e.Findings }
+func (e *MalformedListError) Unwrap() error { return e.Problems }
 
-// DroppedEntriesError stands beside a page of which some entries made no sense and were left out.
-type DroppedEntriesError struct {
-	Dropped  int
-	Findings error
+// SkippedEntriesError stands beside a page of which some entries made no sense and were left out.
+type SkippedEntriesError struct {
+	Skipped  int
+	Problems error
 }
 
 // Error says what happened.
-func (e *DroppedEntriesError) Error() string {
-	return fmt.Sprintf("discovery: %d entries of the platform's list were left out: %v", e.Dropped, e.Findings)
+func (e *SkippedEntriesError) Error() string {
+	return fmt.Sprintf("discovery: %d entries of the platform's list were left out: %v", e.Skipped, e.Problems)
 }
 
 // Unwrap is the error with the findings.
-func (e *DroppedEntriesError) Unwrap() error { return e.Findings }
+func (e *SkippedEntriesError) Unwrap() error { return e.Problems }
 
 // DecodeList reads a page of the platform's list. next is the token of the page that follows, empty on the last one.
-// An entry that makes no sense is left out and reported in a *DroppedEntriesError beside the rest of the page; any
-// other error is an *UnreadableListError, and there is no page then.
+// An entry that makes no sense is left out and reported in a *SkippedEntriesError beside the rest of the page; any
+// other error is an *MalformedListError, and there is no page then.
 func DecodeList(body []byte) (page []Runner, next string, err error) {
 	var decoder listDecoder
-	root, ok := jsonfield.Read(body, &decoder.list)
-	if !ok || !root.Object(decoder.readField) || !decoder.sawEntries || decoder.failed {
+	root, ok := jsonfield.Parse(body, &decoder.list)
+	if !ok || !root.ReadObject(decoder.readField) || !decoder.sawEntries || decoder.failed {
 		if !decoder.sawEntries {
 			decoder.list.Add("instances", "is missing")
 		}
-		return nil, "", &UnreadableListError{Findings: decoder.list.Err()}
+		return nil, "", &MalformedListError{Problems: decoder.list.Err()}
 	}
 	if decoder.dropped > 0 {
-		err = &DroppedEntriesError{Dropped: decoder.dropped, Findings: decoder.list.Err()}
+		err = &SkippedEntriesError{Skipped: decoder.dropped, Problems: decoder.list.Err()}
 	}
 	return decoder.page, decoder.next, err
 }
 
 type listDecoder struct {
-	list       validation.List
+	list       validation.Problems
 	page       []Runner
 	next       string
 	dropped    int
@@ -63,7 +63,7 @@
 func (d *listDecoder) readField(name string, value jsonfield.Value) {
 	switch name {
 	case "instances":
-		d.sawEntries = value.Array(d.readEntry)
+		d.sawEntries = value.ReadArray(d.readEntry)
 	case "next_token":
 		if value.IsNull() {
 			return
@@ -77,7 +77,7 @@
 func (d *listDecoder) readEntry(_ int, value jsonfield.Value) {
 	before := d.list.Len()
 	runner := entry{}
-	if value.Object(runner.readField) {
+	if value.ReadObject(runner.readField) {
 		runner.require(value)
 	}
 	if d.list.Len() > before {
@@ -102,7 +102,7 @@
 	case "service":
 		e.Service, _ = value.Text()
 	case "address":
-		e.Address, _ = value.AddressPort()
+		e.Address, _ = value.AddrPort()
 	case "zone":
 		e.Zone, _ = value.Text()
 	case "capacity":
@@ -110,20 +110,20 @@
 	case "state":
 		e.state, _ = value.Text()
 	case "cold_left_ms":
-		e.ColdLeft = milliseconds(value)
+		e.SlowStartRemaining = milliseconds(value)
 	case "time_left_ms":
-		e.TimeLeft = max(milliseconds(value), shortest) // 0 would be one that is not told
+		e.TimeToTermination = max(milliseconds(value), shortest) // 0 would be one that is not told
 		e.Draining = true
 	case "phase":
 		e.Phase, _ = value.Text()
 	case "models":
-		value.Array(e.readModel)
+		value.ReadArray(e.readModel)
 	}
 }
 
 func (e *entry) readModel(_ int, value jsonfield.Value) {
 	var model Model
-	value.Object(func(name string, value jsonfield.Value) {
+	value.ReadObject(func(name string, value jsonfield.Value) {
 		switch name {
 		case "name":
 			model.Name, _ = value.Text()
@@ -139,16 +139,16 @@
 func (e *entry) require(value jsonfield.Value) {
 	e.Draining = e.Draining || e.state != "serving"
 	if e.ID == "" {
-		value.Fail("has no id")
+		value.AddProblem("has no id")
 	}
 	if e.Service == "" {
-		value.Fail("has no service")
+		value.AddProblem("has no service")
 	}
 	if !e.Address.IsValid() || e.Address.Port() == 0 {
-		value.Fail("has no address")
+		value.AddProblem("has no address")
 	}
 	if e.Capacity < 0 {
-		value.Fail("has a negative capacity")
+		value.AddProblem("has a negative capacity")
 	}
 }
 
@@ -164,7 +164,7 @@
 	}
 	length := number * float64(time.Millisecond)
 	if length > longest {
-		value.Fail("is too long")
+		value.AddProblem("is too long")
 		return 0
 	}
 	return max(time.Duration(length), 0)
--- a/internal/system/emulator/emulator_test.go
+++ b/internal/system/emulator/emulator_test.go
@@ -102,7 +102,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d, err := configuration.Check(body, 0)
+		d, err := configuration.ParseAndValidate(body, 0)
 		if err != nil {
 			t.Fatalf("%s: %v", scenario.Name, err)
 		}
@@ -116,7 +116,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := configuration.CheckChange(body, d); err != nil {
+		if _, err := configuration.ApplyAndValidate(body, d); err != nil {
 			t.Errorf("%s: change: %v", scenario.Name, err)
 		}
 	}
--- a/internal/system/emulator/operator.go
+++ b/internal/system/emulator/operator.go
@@ -57,7 +57,7 @@
 	switch t {
 	case configuration.ReadOnly:
 		return "read_only"
-	case configuration.Writes:
+	case configuration.ReadWrite:
 		return "writes"
 	}
 	return "streaming"
--- a/internal/system/exposition/exposition.go
+++ b/internal/system/exposition/exposition.go
@@ -57,17 +57,17 @@
 	p.text = append(p.text, '\n')
 }
 
-// Single adds a family with one sample.
-func (p *Page) Single(kind Kind, name, help string, value float64) {
+// Metric adds a family with one sample.
+func (p *Page) Metric(kind Kind, name, help string, value float64) {
 	p.Family(kind, name, help)
 	p.Sample(value)
 }
 
-// Text is the page so far.
-func (p *Page) Text() []byte { return p.text }
+// Bytes is the page so far.
+func (p *Page) Bytes() []byte { return p.text }
 
-// Flag is the value of a figure that says yes or no.
-func Flag(on bool) float64 {
+// BoolValue is the value of a figure that says yes or no.
+func BoolValue(on bool) float64 {
 	if on {
 		return 1
 	}
--- a/internal/system/exposition/exposition_test.go
+++ b/internal/system/exposition/exposition_test.go
@@ -8,14 +8,14 @@
 
 func TestPage(t *testing.T) {
 	var page Page
-	page.Single(Gauge, "up", "Whether it runs.", Flag(true))
+	page.Metric(Gauge, "up", "Whether it runs.", BoolValue(true))
 	page.Family(Counter, "calls_total", "Calls, by\npeer.")
 	page.Sample(3, Label{"peer", "a"}, Label{"kind", `say "x\y"` + "\n"})
 	page.Sample(0.25)
 	want := "# HELP up Whether it runs.\n# TYPE up gauge\nup 1\n" +
 		"# HELP calls_total Calls, by\\npeer.\n# TYPE calls_total counter\n" +
 		`calls_total{peer="a",kind="say \"x\\y\"\n"} 3` + "\ncalls_total 0.25\n"
-	if got := string(page.Text()); got != want {
+	if got := string(page.Bytes()); got != want {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
 }
@@ -24,7 +24,7 @@
 	calls := 0
 	handler := Handler(func(p *Page) {
 		calls++
-		p.Single(Counter, "pages_total", "Pages.", float64(calls))
+		p.Metric(Counter, "pages_total", "Pages.", float64(calls))
 	})
 	get := func(method, path string) *httptest.ResponseRecorder {
 		answer := httptest.NewRecorder()
--- a/internal/system/exposition/serve_test.go
+++ b/internal/system/exposition/serve_test.go
@@ -27,7 +27,7 @@
 func TestServe(t *testing.T) {
 	address := freeAddress(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	Serve(ctx, zap.NewNop(), address, func(p *Page) { p.Single(Gauge, "up", "Whether it runs.", 1) })
+	Serve(ctx, zap.NewNop(), address, func(p *Page) { p.Metric(Gauge, "up", "Whether it runs.", 1) })
 	answer, err := http.Get("http://" + address.String() + Path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/system/feed/codec.go
+++ b/internal/system/feed/codec.go
@@ -67,9 +67,9 @@
 	return codec.AppendBytes(append(data, kindValue), r.value)
 }
 
-// Decode reads what Encode wrote; its ages count from now. The table shares no bytes with data. The error is a
+// DecodeTable reads what Encode wrote; its ages count from now. The table shares no bytes with data. The error is a
 // *MalformedTableError.
-func Decode(now time.Duration, data []byte) (*Table, error) {
+func DecodeTable(now time.Duration, data []byte) (*Table, error) {
 	reader := codec.NewReader(data)
 	if reader.Byte("version") != tableCodecVersion {
 		return nil, &MalformedTableError{Field: "version"}
--- a/internal/system/feed/digest.go
+++ b/internal/system/feed/digest.go
@@ -11,28 +11,28 @@
 )
 
 // KeyRange is the keys from First, included, up to End, not included; an empty End has no bound.
-type KeyRange struct{ First, End string }
+type KeyRange struct{ Start, End string }
 
 // Contains says whether a key lies in the range.
-func (r KeyRange) Contains(key string) bool { return key >= r.First && (r.End == "" || key < r.End) }
+func (r KeyRange) Contains(key string) bool { return key >= r.Start && (r.End == "" || key < r.End) }
 
 // RangeDigest stands for the items of a range: their keys, indexes and values.
 type RangeDigest struct {
-	Range KeyRange
-	Items int
-	Sum   uint64
+	Range     KeyRange
+	ItemCount int
+	Hash      uint64
 }
 
-// Digests stand for all items of a partition at an index. The ranges adjoin and cover all keys.
-type Digests struct {
+// TableDigest stand for all items of a partition at an index. The ranges adjoin and cover all keys.
+type TableDigest struct {
 	Partition Partition
 	Index     uint64
 	Ranges    []RangeDigest
 }
 
-// Digests are the table's digests over the given number of ranges, at least one, with about as many items each.
-func (t *Table) Digests(ranges int) Digests {
-	digests := Digests{Partition: t.partition, Index: t.index}
+// Digest are the table's digests over the given number of ranges, at least one, with about as many items each.
+func (t *Table) Digest(ranges int) TableDigest {
+	digests := TableDigest{Partition: t.partition, Index: t.index}
 	keys := t.keysFrom("")
 	ranges = max(min(ranges, len(keys)), 1)
 	first := ""
@@ -41,15 +41,15 @@
 		if i+1 < ranges {
 			end = keys[(i+1)*len(keys)/ranges]
 		}
-		digests.Ranges = append(digests.Ranges, t.digest(KeyRange{First: first, End: end}))
+		digests.Ranges = append(digests.Ranges, t.digest(KeyRange{Start: first, End: end}))
 		first = end
 	}
 	return digests
 }
 
-// Differs are the ranges in which this table does not hold what the digests stand for. Tables at different indexes are
+// DifferingRanges are the ranges in which this table does not hold what the digests stand for. Tables at different indexes are
 // not compared: there are none then, and comparable is false.
-func (t *Table) Differs(digests Digests) (different []KeyRange, comparable bool) {
+func (t *Table) DifferingRanges(digests TableDigest) (different []KeyRange, comparable bool) {
 	if digests.Partition != t.partition || digests.Index != t.index {
 		return nil, false
 	}
@@ -61,10 +61,10 @@
 	return different, true
 }
 
-// Range is the items of a range, in the order of their keys.
-func (t *Table) Range(now time.Duration, keys KeyRange) []Item {
+// ItemsInRange is the items of a range, in the order of their keys.
+func (t *Table) ItemsInRange(now time.Duration, keys KeyRange) []Item {
 	var items []Item
-	for _, key := range t.keysFrom(keys.First) {
+	for _, key := range t.keysFrom(keys.Start) {
 		if !keys.Contains(key) {
 			break
 		}
@@ -73,9 +73,9 @@
 	return items
 }
 
-// Repair replaces a range by the items that a table at the same index holds of it, and returns what differed, as Apply
+// RepairRange replaces a range by the items that a table at the same index holds of it, and returns what differed, as Apply
 // does. It does nothing if the index is not the table's. Followers of this table get a snapshot if anything differed.
-func (t *Table) Repair(now time.Duration, keys KeyRange, index uint64, items []Item) []Item {
+func (t *Table) RepairRange(now time.Duration, keys KeyRange, index uint64, items []Item) []Item {
 	if index != t.index {
 		return nil
 	}
@@ -115,7 +115,7 @@
 	digest := RangeDigest{Range: keys}
 	sum := xxhash.New()
 	var scratch []byte
-	for _, key := range t.keysFrom(keys.First) {
+	for _, key := range t.keysFrom(keys.Start) {
 		if !keys.Contains(key) {
 			break
 		}
@@ -125,8 +125,8 @@
 		scratch = binary.AppendUvarint(scratch, uint64(len(held.value)))
 		_, _ = sum.Write(scratch)
 		_, _ = sum.Write(held.value)
-		digest.Items++
+		digest.ItemCount++
 	}
-	digest.Sum = sum.Sum64()
+	digest.Hash = sum.Sum64()
 	return digest
 }
--- a/internal/system/feed/feed.go
+++ b/internal/system/feed/feed.go
@@ -16,17 +16,17 @@
 // of their service's name (see PartitionOf).
 const ConfigurationPartition Partition = 0
 
-// Keys of items. In the configuration partition: KeyVersion (decimal), KeyLimits (JSON), KeyRoute+name, KeyService+name
-// (8 bytes big-endian ordinal, then the JSON as the operator sent it), KeyExtra+field (JSON), KeyEvacuation+zone (empty
-// value). In the other partitions: KeyRunner+id (discovery.Encode). Values are not to be changed once stored.
+// Keys of items. In the configuration partition: KeyVersion (decimal), KeyLimits (JSON), KeyPrefixRoute+name, KeyPrefixService+name
+// (8 bytes big-endian ordinal, then the JSON as the operator sent it), KeyPrefixExtra+field (JSON), KeyPrefixEvacuation+zone (empty
+// value). In the other partitions: KeyPrefixRunner+id (discovery.Encode). Values are not to be changed once stored.
 const (
-	KeyVersion    = "version"
-	KeyLimits     = "limits"
-	KeyRoute      = "route/"
-	KeyService    = "service/"
-	KeyExtra      = "extra/"
-	KeyEvacuation = "evacuation/"
-	KeyRunner     = "runner/"
+	KeyVersion          = "version"
+	KeyLimits           = "limits"
+	KeyPrefixRoute      = "route/"
+	KeyPrefixService    = "service/"
+	KeyPrefixExtra      = "extra/"
+	KeyPrefixEvacuation = "evacuation/"
+	KeyPrefixRunner     = "runner/"
 )
 
 // Item is a key's state.
@@ -75,8 +75,8 @@
 	Zone    string     // empty: not known yet
 }
 
-// Never is the age of what never was.
-const Never = time.Duration(math.MaxInt64)
+// AgeNever is the age of what never was.
+const AgeNever = time.Duration(math.MaxInt64)
 
 // StaleAfter is the age from which a sender's word on a partition is too old to be followed: about two election times, in
 // which a leader that is lost is replaced.
@@ -100,7 +100,7 @@
 // Age is how long ago the sender was up to date with a partition, Never at most.
 func (r *FollowReply) Age(partition Partition) time.Duration {
 	if int(partition) >= len(r.Ages) {
-		return Never
+		return AgeNever
 	}
 	return max(0, r.Ages[partition])
 }
--- a/internal/system/feed/follow.go
+++ b/internal/system/feed/follow.go
@@ -10,11 +10,11 @@
 // itemOverhead is what an item costs on the way beside its key and value, in bytes, roughly.
 const itemOverhead = 16
 
-// Since is what brings a follower from index to the table's index: the items that changed since, deletions among them,
+// BatchSince is what brings a follower from index to the table's index: the items that changed since, deletions among them,
 // or a snapshot if deletions since were forgotten or the follower holds nothing. A delta of more than maxBytes (0: no
 // bound) ends earlier, but never between two changes of one index; its To then says how far it goes. A follower that
 // is ahead gets an empty batch, which it ignores: this table lags, and the follower keeps what it has.
-func (t *Table) Since(now time.Duration, index uint64, maxBytes int) Batch {
+func (t *Table) BatchSince(now time.Duration, index uint64, maxBytes int) Batch {
 	if index >= t.index {
 		return Batch{Partition: t.partition, From: index, To: t.index}
 	}
--- a/internal/system/feed/pack.go
+++ b/internal/system/feed/pack.go
@@ -17,10 +17,10 @@
 
 // Bounds of packed batches.
 const (
-	// PackFrom is the size of a batch, in bytes of keys and values, from which it is worth being packed.
-	PackFrom = 2 << 10
-	// MaxUnpacked is how many bytes a packed batch may hold, unpacked.
-	MaxUnpacked = 32 << 20
+	// PackThresholdBytes is the size of a batch, in bytes of keys and values, from which it is worth being packed.
+	PackThresholdBytes = 2 << 10
+	// MaxUnpackedBytes is how many bytes a packed batch may hold, unpacked.
+	MaxUnpackedBytes = 32 << 20
 	// mostInflated is what a byte of a deflated stream may stand for, at most.
 	mostInflated = 1032
 	// packLevel is fast, since followers wait, and its writer is a third smaller than that of the fastest level.
@@ -29,18 +29,18 @@
 	leastItem = 4
 )
 
-// PackedError says that a packed batch can't be read.
-type PackedError struct{ Cause error }
+// UnpackError says that a packed batch can't be read.
+type UnpackError struct{ Cause error }
 
 // Error says what happened and what to do.
-func (e *PackedError) Error() string {
+func (e *UnpackError) Error() string {
 	return fmt.Sprintf("feed: a packed batch can't be read: %v; check that all machines run one version", e.Cause)
 }
 
 // Unwrap is the cause.
-func (e *PackedError) Unwrap() error { return e.Cause }
+func (e *UnpackError) Unwrap() error { return e.Cause }
 
-// Causes of a PackedError.
+// Causes of a UnpackError.
 var (
 	errPackedSize  = errors.New("its size is impossible")
 	errPackedItems = errors.New("its items are malformed")
@@ -69,7 +69,7 @@
 // deflated: the number of items, and for each the length of its key, the key, its index, its age in nanoseconds, 0 for a
 // deleted item or 1 and the length of its value, and the value.
 func (b Batch) Pack() Batch {
-	if b.Size() < PackFrom {
+	if b.Size() < PackThresholdBytes {
 		return b
 	}
 	var deflated bytes.Buffer
@@ -119,20 +119,20 @@
 	return size
 }
 
-// Unpack puts the items of a packed batch back; a batch that is not packed stays as it is. The error is a *PackedError.
+// Unpack puts the items of a packed batch back; a batch that is not packed stays as it is. The error is a *UnpackError.
 func (b *Batch) Unpack() error {
 	if len(b.Packed) == 0 {
 		return nil
 	}
 	size, read := binary.Uvarint(b.Packed)
-	if read <= 0 || size > MaxUnpacked || size > mostInflated*uint64(len(b.Packed)) {
-		return &PackedError{errPackedSize}
+	if read <= 0 || size > MaxUnpackedBytes || size > mostInflated*uint64(len(b.Packed)) {
+		return &UnpackError{errPackedSize}
 	}
 	inflated := flate.NewReader(bytes.NewReader(b.Packed[read:]))
-	reader := packedReader{source: bufio.NewReaderSize(inflated, PackFrom), left: int64(size)}
+	reader := packedReader{source: bufio.NewReaderSize(inflated, PackThresholdBytes), left: int64(size)}
 	items := reader.items(b.PackedAge)
 	if reader.err != nil {
-		return &PackedError{reader.err}
+		return &UnpackError{reader.err}
 	}
 	b.Items, b.Packed, b.PackedAge = items, nil, 0
 	return nil
--- a/internal/system/feed/pack_test.go
+++ b/internal/system/feed/pack_test.go
@@ -20,7 +20,7 @@
 		value := fmt.Appendf(nil, `{"name":"route-%d","host":"shop%d.example","path_start":"/basket%d/list/","type":"read_only",`+
 			`"timeout_ms":%d,"target_ms":800,"rank":1,"service":"basket-api","tries":2,"sticky":false,"allowed_regions":["a","b"]}`,
 			i, i%7, i*i%977, 1000+i%10*500)
-		batch.Items = append(batch.Items, Item{Key: fmt.Sprint(KeyRoute, "route-", i), Index: uint64(i + 1), Value: value,
+		batch.Items = append(batch.Items, Item{Key: fmt.Sprint(KeyPrefixRoute, "route-", i), Index: uint64(i + 1), Value: value,
 			Age: time.Duration(i) * time.Second})
 	}
 	return batch
@@ -98,7 +98,7 @@
 	good := routes(100).Pack().Packed
 	cases := map[string][]byte{
 		"no size":                   {0xff},
-		"size beyond the bound":     deflated(MaxUnpacked+1, make([]byte, MaxUnpacked+1)),
+		"size beyond the bound":     deflated(MaxUnpackedBytes+1, make([]byte, MaxUnpackedBytes+1)),
 		"size beyond what it holds": deflated(1<<20, []byte{0}),
 		"not deflated":              append([]byte{20}, bytes.Repeat([]byte{7}, 100)...),
 		"cut short":                 good[:len(good)/2],
@@ -112,7 +112,7 @@
 	}
 	for name, data := range cases {
 		batch := Batch{Packed: data}
-		var malformed *PackedError
+		var malformed *UnpackError
 		if err := batch.Unpack(); !errors.As(err, &malformed) {
 			t.Errorf("%s: error %v, items %d", name, err, len(batch.Items))
 		}
@@ -134,7 +134,7 @@
 		for i := range batch.Items {
 			total += len(batch.Items[i].Key) + len(batch.Items[i].Value)
 		}
-		if total > MaxUnpacked || total > mostInflated*len(data) {
+		if total > MaxUnpackedBytes || total > mostInflated*len(data) {
 			t.Fatalf("%d bytes became %d", len(data), total)
 		}
 		again := batch.Pack()
--- a/internal/system/feed/partition.go
+++ b/internal/system/feed/partition.go
@@ -2,9 +2,9 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// RunnerPartitions is how many partitions hold runners. It is a constant of the system: another count would be another
+// RunnerPartitionCount is how many partitions hold runners. It is a constant of the system: another count would be another
 // place for the runners of each service.
-const RunnerPartitions = 2
+const RunnerPartitionCount = 2
 
 // PartitionOf is the partition that holds the runners of a service, out of the given number of runner partitions,
 // which are numbered from 1. All machines of a system must count the same.
--- a/internal/system/feed/set.go
+++ b/internal/system/feed/set.go
@@ -11,13 +11,13 @@
 const mostPartitions = 64
 
 // The partitions of a system fit into a set.
-const _ = uint(mostPartitions - 1 - RunnerPartitions)
+const _ = uint(mostPartitions - 1 - RunnerPartitionCount)
 
 // PartitionSet is a set of partitions below 64.
 type PartitionSet uint64
 
-// SetOf returns the set of the partitions given.
-func SetOf(partitions ...Partition) PartitionSet {
+// NewPartitionSet returns the set of the partitions given.
+func NewPartitionSet(partitions ...Partition) PartitionSet {
 	var set PartitionSet
 	for _, partition := range partitions {
 		set = set.With(partition)
@@ -39,16 +39,16 @@
 // Without returns the set without the partitions of another.
 func (s PartitionSet) Without(other PartitionSet) PartitionSet { return s &^ other }
 
-// Has says whether a partition is in the set.
-func (s PartitionSet) Has(partition Partition) bool {
+// Contains says whether a partition is in the set.
+func (s PartitionSet) Contains(partition Partition) bool {
 	return partition < mostPartitions && s&(1<<partition) != 0
 }
 
-// Includes says whether all partitions of another set are in this one.
-func (s PartitionSet) Includes(other PartitionSet) bool { return s&other == other }
+// ContainsAll says whether all partitions of another set are in this one.
+func (s PartitionSet) ContainsAll(other PartitionSet) bool { return s&other == other }
 
-// Empty says whether the set has no partitions.
-func (s PartitionSet) Empty() bool { return s == 0 }
+// IsEmpty says whether the set has no partitions.
+func (s PartitionSet) IsEmpty() bool { return s == 0 }
 
 // Len is the number of partitions in the set.
 func (s PartitionSet) Len() int { return bits.OnesCount64(uint64(s)) }
--- a/internal/system/feed/table.go
+++ b/internal/system/feed/table.go
@@ -55,8 +55,8 @@
 // Position is how far the table holds its partition.
 func (t *Table) Position() Position { return Position{Partition: t.partition, Index: t.index} }
 
-// LastChange is the number of the last change of an item. A follower at or beyond it has nothing to be sent.
-func (t *Table) LastChange() uint64 {
+// LastChangeIndex is the number of the last change of an item. A follower at or beyond it has nothing to be sent.
+func (t *Table) LastChangeIndex() uint64 {
 	if len(t.changes) == 0 {
 		return t.horizon
 	}
--- a/internal/system/feed/table_test.go
+++ b/internal/system/feed/table_test.go
@@ -75,11 +75,11 @@
 			case 0, 1:
 				command(t, 0, replica, oracle)
 			case 2:
-				batch := replica.Since(0, agent.Index(), maxBytes)
+				batch := replica.BatchSince(0, agent.Index(), maxBytes)
 				stale = append(stale, batch)
 				agent.Apply(0, batch)
 			case 3:
-				apply(t, proxy, view, agent.Since(0, proxy.Index(), maxBytes))
+				apply(t, proxy, view, agent.BatchSince(0, proxy.Index(), maxBytes))
 			case 4:
 				if len(stale) > 0 {
 					apply(t, proxy, view, rapid.SampledFrom(stale).Draw(t, "stale"))
@@ -90,13 +90,13 @@
 			catchUp(agent, replica)
 		}
 		for proxy.Index() < replica.Index() {
-			apply(t, proxy, view, agents[0].Since(0, proxy.Index(), 1))
+			apply(t, proxy, view, agents[0].BatchSince(0, proxy.Index(), 1))
 		}
 		for _, table := range append(agents, proxy) {
 			if !maps.Equal(holds(table), oracle) {
 				t.Fatalf("holds %v at %d, want %v", holds(table), table.Index(), oracle)
 			}
-			if different, comparable := table.Differs(replica.Digests(3)); !comparable || len(different) > 0 {
+			if different, comparable := table.DifferingRanges(replica.Digest(3)); !comparable || len(different) > 0 {
 				t.Fatalf("digests differ in %v (%v)", different, comparable)
 			}
 		}
@@ -105,7 +105,7 @@
 
 func catchUp(follower, source *Table) {
 	for follower.Index() < source.Index() {
-		follower.Apply(0, source.Since(0, follower.Index(), 1))
+		follower.Apply(0, source.BatchSince(0, follower.Index(), 1))
 	}
 }
 
@@ -134,15 +134,15 @@
 	table.Put(0, 3, "a", []byte("2"))
 	table.Put(0, 3, "c", []byte("2"))
 	table.Delete(0, 4, "b")
-	whole := table.Since(0, 1, 0)
+	whole := table.BatchSince(0, 1, 0)
 	if whole.Snapshot || whole.To != 4 || len(whole.Items) != 3 {
 		t.Fatalf("got %+v", whole)
 	}
-	cut := table.Since(0, 1, 1)
+	cut := table.BatchSince(0, 1, 1)
 	if cut.To != 3 || len(cut.Items) != 2 || cut.Items[0].Key != "a" || cut.Items[1].Key != "c" {
 		t.Fatalf("got %+v", cut)
 	}
-	rest := table.Since(0, cut.To, 1)
+	rest := table.BatchSince(0, cut.To, 1)
 	if rest.To != 4 || len(rest.Items) != 1 || !rest.Items[0].Deleted {
 		t.Fatalf("got %+v", rest)
 	}
@@ -153,7 +153,7 @@
 	table.Put(0, 5, "a", []byte("1"))
 	ahead := NewTable(1)
 	ahead.Put(0, 9, "a", []byte("2"))
-	batch := table.Since(0, ahead.Index(), 0)
+	batch := table.BatchSince(0, ahead.Index(), 0)
 	if batch.Snapshot || len(batch.Items) > 0 || batch.To != 5 {
 		t.Fatalf("got %+v", batch)
 	}
@@ -171,18 +171,18 @@
 		table.Put(0, uint64(i+1), fmt.Sprint(i), []byte("x"))
 	}
 	follower := NewTable(1)
-	follower.Apply(0, table.Since(0, 0, 0))
+	follower.Apply(0, table.BatchSince(0, 0, 0))
 	recent := NewTable(1)
 	for i := range items {
 		if i == items-10 {
-			recent.Apply(0, table.Since(0, 0, 0))
+			recent.Apply(0, table.BatchSince(0, 0, 0))
 		}
 		table.Delete(0, uint64(items+i+1), fmt.Sprint(i))
 	}
-	if batch := table.Since(0, recent.Index(), 0); batch.Snapshot || len(batch.Items) != 10 {
+	if batch := table.BatchSince(0, recent.Index(), 0); batch.Snapshot || len(batch.Items) != 10 {
 		t.Fatalf("a follower that is little behind got %d items, snapshot %v", len(batch.Items), batch.Snapshot)
 	}
-	batch := table.Since(0, follower.Index(), 0)
+	batch := table.BatchSince(0, follower.Index(), 0)
 	if !batch.Snapshot {
 		t.Fatal("no snapshot for a follower that is behind the horizon")
 	}
@@ -198,9 +198,9 @@
 	replica := NewTable(1)
 	replica.Put(10*time.Second, 1, "a", []byte("x"))
 	agent := NewTable(1)
-	agent.Apply(100*time.Second, replica.Since(12*time.Second, 0, 0))
+	agent.Apply(100*time.Second, replica.BatchSince(12*time.Second, 0, 0))
 	proxy := NewTable(1)
-	proxy.Apply(7*time.Second, agent.Since(103*time.Second, 0, 0))
+	proxy.Apply(7*time.Second, agent.BatchSince(103*time.Second, 0, 0))
 	item, found := proxy.Item(8*time.Second, "a")
 	if !found || item.Age != 6*time.Second {
 		t.Fatalf("got %+v, want an age of 6 s", item)
@@ -210,8 +210,8 @@
 func TestPutOfWhatStandsChangesNothing(t *testing.T) {
 	table := NewTable(1)
 	table.Put(0, 1, "a", []byte("x"))
-	if table.Put(0, 2, "a", []byte("x")) || table.LastChange() != 1 || table.Index() != 2 {
-		t.Fatalf("last change %d, index %d", table.LastChange(), table.Index())
+	if table.Put(0, 2, "a", []byte("x")) || table.LastChangeIndex() != 1 || table.Index() != 2 {
+		t.Fatalf("last change %d, index %d", table.LastChangeIndex(), table.Index())
 	}
 	if table.Put(0, 1, "a", []byte("y")) || table.Delete(0, 1, "a") {
 		t.Fatal("an older change was taken")
@@ -229,19 +229,19 @@
 		for range rapid.IntRange(0, 3).Draw(t, "damages") {
 			damage(t, wrong)
 		}
-		different, comparable := wrong.Differs(right.Digests(rapid.IntRange(0, 5).Draw(t, "ranges")))
+		different, comparable := wrong.DifferingRanges(right.Digest(rapid.IntRange(0, 5).Draw(t, "ranges")))
 		if !comparable {
 			t.Fatal("tables at the same index are not compared")
 		}
 		for _, keys := range different {
-			if len(wrong.Repair(0, keys, right.Index(), right.Range(0, keys))) == 0 {
+			if len(wrong.RepairRange(0, keys, right.Index(), right.ItemsInRange(0, keys))) == 0 {
 				t.Fatalf("nothing was repaired in %v", keys)
 			}
 		}
 		if !maps.Equal(holds(wrong), oracle) {
 			t.Fatalf("holds %v, want %v", holds(wrong), oracle)
 		}
-		if different, _ := wrong.Differs(right.Digests(4)); len(different) > 0 {
+		if different, _ := wrong.DifferingRanges(right.Digest(4)); len(different) > 0 {
 			t.Fatalf("still differs in %v", different)
 		}
 	})
@@ -263,7 +263,7 @@
 			command(t, time.Second, table, oracle)
 		}
 		data := table.Encode(3 * time.Second)
-		read, err := Decode(50*time.Second, data)
+		read, err := DecodeTable(50*time.Second, data)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -271,14 +271,14 @@
 			t.Fatalf("%x came back as %x", data, again)
 		}
 		position := uint64(rapid.IntRange(0, int(table.Index())+1).Draw(t, "position"))
-		got, want := read.Since(50*time.Second, position, 0), table.Since(3*time.Second, position, 0)
+		got, want := read.BatchSince(50*time.Second, position, 0), table.BatchSince(3*time.Second, position, 0)
 		slices.SortFunc(got.Items, byKey)
 		slices.SortFunc(want.Items, byKey)
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Fatalf("serves %v, want %v", got, want)
 		}
 		cut := rapid.IntRange(0, len(data)-1).Draw(t, "cut")
-		if _, err := Decode(0, data[:cut]); err == nil {
+		if _, err := DecodeTable(0, data[:cut]); err == nil {
 			t.Fatalf("%d bytes of %d were accepted", cut, len(data))
 		}
 	})
@@ -308,11 +308,11 @@
 	table.Delete(0, 5, "b")
 	f.Add(table.Encode(time.Second))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		table, err := Decode(0, data)
+		table, err := DecodeTable(0, data)
 		if err != nil {
 			return
 		}
-		again, err := Decode(0, table.Encode(0))
+		again, err := DecodeTable(0, table.Encode(0))
 		if err != nil || !maps.Equal(holds(again), holds(table)) || again.Index() != table.Index() {
 			t.Fatalf("%v came back as %v, %v", holds(table), holds(again), err)
 		}
@@ -324,7 +324,7 @@
 	})
 }
 
-func catchUpOnce(follower, source *Table) { follower.Apply(0, source.Since(0, 0, 0)) }
+func catchUpOnce(follower, source *Table) { follower.Apply(0, source.BatchSince(0, 0, 0)) }
 
 // benchmarkTable holds as much as a large configuration does, a few deletions among it.
 func benchmarkTable() *Table {
@@ -350,7 +350,7 @@
 	data := benchmarkTable().Encode(time.Second)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := Decode(0, data); err != nil {
+		if _, err := DecodeTable(0, data); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -360,6 +360,6 @@
 	table := benchmarkTable()
 	b.ReportAllocs()
 	for b.Loop() {
-		_ = table.Digests(16)
+		_ = table.Digest(16)
 	}
 }
--- a/internal/system/gossip/gossip.go
+++ b/internal/system/gossip/gossip.go
@@ -84,8 +84,8 @@
 		Zones:       settings.Zones,
 		Listen:      netip.AddrPortFrom(settings.IP, port),
 		Seeds:       SeedAddresses(settings),
-		ControlPort: settings.Port(processconfig.ControlRPC),
-		AgentPort:   settings.Port(processconfig.AgentRPC),
+		ControlPort: settings.Port(processconfig.ControlRPCPort),
+		AgentPort:   settings.Port(processconfig.AgentRPCPort),
 	}
 }
 
--- a/internal/system/jsonfield/jsonfield.go
+++ b/internal/system/jsonfield/jsonfield.go
@@ -21,7 +21,7 @@
 // document is what all values of one document share.
 type document struct {
 	source []byte
-	list   *validation.List
+	list   *validation.Problems
 }
 
 // Value is a JSON value of a document. Its methods that read it return false, and note a finding, if it is not of the
@@ -36,9 +36,9 @@
 
 const noIndex = -1
 
-// Read checks the syntax of a whole document and returns its value. Anything but one JSON value with white space
+// Parse checks the syntax of a whole document and returns its value. Anything but one JSON value with white space
 // around it is a finding.
-func Read(source []byte, list *validation.List) (Value, bool) {
+func Parse(source []byte, list *validation.Problems) (Value, bool) {
 	decoder := jx.DecodeBytes(source)
 	raw, err := decoder.Raw()
 	if err != nil {
@@ -55,9 +55,9 @@
 	return root, true
 }
 
-// ReadAt reads a value that is known to be valid JSON and stands at the given place of a document that is not at hand.
+// ValueAt reads a value that is known to be valid JSON and stands at the given place of a document that is not at hand.
 // Offsets of findings count from the value's first byte.
-func ReadAt(place string, raw []byte, list *validation.List) Value {
+func ValueAt(place string, raw []byte, list *validation.Problems) Value {
 	return Value{document: &document{source: raw, list: list}, name: place, index: noIndex, raw: raw}
 }
 
@@ -77,12 +77,12 @@
 	return cap(v.document.source) - cap(v.raw)
 }
 
-// Place names the value within its document, such as routes[3].timeout_ms.
-func (v Value) Place() string {
+// Path names the value within its document, such as routes[3].timeout_ms.
+func (v Value) Path() string {
 	if v.parent == nil {
 		return v.name
 	}
-	place := v.parent.Place()
+	place := v.parent.Path()
 	if v.index != noIndex {
 		return place + "[" + strconv.Itoa(v.index) + "]"
 	}
@@ -92,9 +92,9 @@
 	return place + "." + v.name
 }
 
-// Fail notes a finding about the value.
-func (v Value) Fail(problem string) {
-	v.document.list.AddAt(v.Place(), v.Offset(), problem)
+// AddProblem notes a finding about the value.
+func (v Value) AddProblem(problem string) {
+	v.document.list.AddAt(v.Path(), v.Offset(), problem)
 }
 
 // IsNull says whether the value is null.
@@ -108,10 +108,10 @@
 
 func (v Value) kind() jx.Type { return jx.Raw(v.raw).Type() }
 
-// Object calls field for each field of an object, in order.
-func (v Value) Object(field func(name string, value Value)) bool {
+// ReadObject calls field for each field of an object, in order.
+func (v Value) ReadObject(field func(name string, value Value)) bool {
 	if !v.IsObject() {
-		v.Fail("must be an object")
+		v.AddProblem("must be an object")
 		return false
 	}
 	err := jx.DecodeBytes(v.raw).Obj(func(decoder *jx.Decoder, name string) error {
@@ -125,17 +125,17 @@
 	return v.finish(err)
 }
 
-// StrictObject is Object for what is to be kept: a field that is there twice with different values is a finding, and
+// ReadStrictObject is Object for what is to be kept: a field that is there twice with different values is a finding, and
 // one that is there twice with the same value is told once.
-func (v Value) StrictObject(field func(name string, value Value)) bool {
+func (v Value) ReadStrictObject(field func(name string, value Value)) bool {
 	var seen fieldSet
-	return v.Object(func(name string, value Value) {
+	return v.ReadObject(func(name string, value Value) {
 		raw, known := seen.add(name, value.raw)
 		switch {
 		case !known:
 			field(name, value)
 		case !bytes.Equal(raw, value.raw):
-			value.Fail("is there twice with different values")
+			value.AddProblem("is there twice with different values")
 		}
 	})
 }
@@ -179,10 +179,10 @@
 	return nil, false
 }
 
-// Array calls element for each element of an array, in order.
-func (v Value) Array(element func(index int, value Value)) bool {
+// ReadArray calls element for each element of an array, in order.
+func (v Value) ReadArray(element func(index int, value Value)) bool {
 	if !v.IsArray() {
-		v.Fail("must be a list")
+		v.AddProblem("must be a list")
 		return false
 	}
 	index := 0
@@ -200,7 +200,7 @@
 
 func (v Value) finish(err error) bool {
 	if err != nil {
-		v.Fail("cannot be read: " + syntaxProblem(err))
+		v.AddProblem("cannot be read: " + syntaxProblem(err))
 		return false
 	}
 	return true
@@ -209,7 +209,7 @@
 // Text is a string.
 func (v Value) Text() (string, bool) {
 	if v.kind() != jx.String {
-		v.Fail("must be a string")
+		v.AddProblem("must be a string")
 		return "", false
 	}
 	text, err := jx.DecodeBytes(v.raw).Str()
@@ -220,7 +220,7 @@
 func (v Value) Texts() ([]string, bool) {
 	var texts []string
 	whole := true
-	read := v.Array(func(_ int, element Value) {
+	read := v.ReadArray(func(_ int, element Value) {
 		text, ok := element.Text()
 		whole = whole && ok
 		texts = append(texts, text)
@@ -231,7 +231,7 @@
 // Bool is true or false.
 func (v Value) Bool() (bool, bool) {
 	if v.kind() != jx.Bool {
-		v.Fail("must be true or false")
+		v.AddProblem("must be true or false")
 		return false, false
 	}
 	value, err := jx.DecodeBytes(v.raw).Bool()
@@ -241,44 +241,44 @@
 // Float is a number of any notation that a float64 can hold.
 func (v Value) Float() (float64, bool) {
 	if v.kind() != jx.Number {
-		v.Fail("must be a number")
+		v.AddProblem("must be a number")
 		return 0, false
 	}
 	value, err := strconv.ParseFloat(string(v.raw), 64)
 	if err != nil {
-		v.Fail("must be a number within the range of a 64-bit float")
+		v.AddProblem("must be a number within the range of a 64-bit float")
 		return 0, false
 	}
 	return value, true
 }
 
-// Amount is a number that is not negative.
-func (v Value) Amount() (float64, bool) {
+// NonNegativeFloat is a number that is not negative.
+func (v Value) NonNegativeFloat() (float64, bool) {
 	number, ok := v.Float()
 	if ok && number < 0 {
-		v.Fail("must not be negative")
+		v.AddProblem("must not be negative")
 		return 0, false
 	}
 	return number, ok
 }
 
-// Span is a time that is told as a number of the given unit and is not negative.
-func (v Value) Span(unit time.Duration) (time.Duration, bool) {
+// Duration is a time that is told as a number of the given unit and is not negative.
+func (v Value) Duration(unit time.Duration) (time.Duration, bool) {
 	const longest = 1 << 62
-	number, ok := v.Amount()
+	number, ok := v.NonNegativeFloat()
 	if !ok {
 		return 0, false
 	}
 	length := number * float64(unit)
 	if length > longest {
-		v.Fail("is too long a time")
+		v.AddProblem("is too long a time")
 		return 0, false
 	}
 	return time.Duration(length), true
 }
 
-// SplitUnit cuts the unit off the name of a time, such as wait_ms or wait_s; the unit of a name without one is 0.
-func SplitUnit(name string) (base string, unit time.Duration) {
+// SplitDurationUnit cuts the unit off the name of a time, such as wait_ms or wait_s; the unit of a name without one is 0.
+func SplitDurationUnit(name string) (base string, unit time.Duration) {
 	if base, found := strings.CutSuffix(name, "_ms"); found {
 		return base, time.Millisecond
 	}
@@ -299,7 +299,7 @@
 	}
 	const beyond = 1 << 63
 	if value != math.Trunc(value) || value >= beyond || value < -beyond {
-		v.Fail("must be a whole number")
+		v.AddProblem("must be a whole number")
 		return 0, false
 	}
 	return int(value), true
@@ -316,35 +316,35 @@
 	}
 	const beyond = 1 << 64
 	if value != math.Trunc(value) || value >= beyond || value < 0 {
-		v.Fail("must be a whole number that is not negative")
+		v.AddProblem("must be a whole number that is not negative")
 		return 0, false
 	}
 	return uint64(value), true
 }
 
-// Address is a string of an IP address.
-func (v Value) Address() (netip.Addr, bool) {
+// Addr is a string of an IP address.
+func (v Value) Addr() (netip.Addr, bool) {
 	text, ok := v.Text()
 	if !ok {
 		return netip.Addr{}, false
 	}
 	address, err := netip.ParseAddr(text)
 	if err != nil {
-		v.Fail("must be an IP address")
+		v.AddProblem("must be an IP address")
 		return netip.Addr{}, false
 	}
 	return address, true
 }
 
-// AddressPort is a string of an IP address and port.
-func (v Value) AddressPort() (netip.AddrPort, bool) {
+// AddrPort is a string of an IP address and port.
+func (v Value) AddrPort() (netip.AddrPort, bool) {
 	text, ok := v.Text()
 	if !ok {
 		return netip.AddrPort{}, false
 	}
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		v.Fail("must be IP:PORT")
+		v.AddProblem("must be IP:PORT")
 		return netip.AddrPort{}, false
 	}
 	return address, true
--- a/internal/system/jsonfield/jsonfield_test.go
+++ b/internal/system/jsonfield/jsonfield_test.go
@@ -12,10 +12,10 @@
 	"cinderroad/internal/system/validation"
 )
 
-func read(t *testing.T, source string) (Value, *validation.List) {
+func read(t *testing.T, source string) (Value, *validation.Problems) {
 	t.Helper()
-	list := &validation.List{}
-	value, ok := Read([]byte(source), list)
+	list := &validation.Problems{}
+	value, ok := Parse([]byte(source), list)
 	if !ok {
 		t.Fatalf("%q: %v", source, list.Err())
 	}
@@ -28,15 +28,15 @@
 	var places []string
 	var walk func(value Value)
 	walk = func(value Value) {
-		places = append(places, value.Place())
+		places = append(places, value.Path())
 		if !strings.HasPrefix(source[value.Offset():], string(value.Raw())) {
 			t.Errorf("%s does not stand at %d", value.Raw(), value.Offset())
 		}
 		switch {
 		case value.IsObject():
-			value.Object(func(_ string, value Value) { walk(value) })
+			value.ReadObject(func(_ string, value Value) { walk(value) })
 		case value.IsArray():
-			value.Array(func(_ int, value Value) { walk(value) })
+			value.ReadArray(func(_ int, value Value) { walk(value) })
 		}
 	}
 	walk(root)
@@ -47,8 +47,8 @@
 
 func TestReadRefusesWhatIsNotOneValue(t *testing.T) {
 	for _, source := range []string{"", " ", "{", "[1,]", "{} {}", "nul", "01", "\"\x01\"", `{"a":1,}`, `{"a"}`, "1.", "-", "+1"} {
-		var list validation.List
-		if _, ok := Read([]byte(source), &list); ok || list.Len() != 1 {
+		var list validation.Problems
+		if _, ok := Parse([]byte(source), &list); ok || list.Len() != 1 {
 			t.Errorf("%q: %v", source, list.Err())
 		}
 	}
@@ -59,7 +59,7 @@
 		value, list := read(t, source)
 		integer, _ := value.Int()
 		unsigned, _ := value.Uint64()
-		length, _ := value.Span(time.Second)
+		length, _ := value.Duration(time.Second)
 		if integer != 3 || unsigned != 3 || length != 3*time.Second || list.Err() != nil {
 			t.Errorf("%s: %d, %d, %v, %v", source, integer, unsigned, length, list.Err())
 		}
@@ -78,15 +78,15 @@
 		"-1":                   func(v Value) bool { _, ok := v.Uint64(); return ok },
 		"18446744073709551616": func(v Value) bool { _, ok := v.Uint64(); return ok },
 		"1e999":                func(v Value) bool { _, ok := v.Float(); return ok },
-		"-0.5":                 func(v Value) bool { _, ok := v.Amount(); return ok },
-		"1e300":                func(v Value) bool { _, ok := v.Span(time.Second); return ok },
+		"-0.5":                 func(v Value) bool { _, ok := v.NonNegativeFloat(); return ok },
+		"1e300":                func(v Value) bool { _, ok := v.Duration(time.Second); return ok },
 		"1":                    func(v Value) bool { _, ok := v.Text(); return ok },
 		"0":                    func(v Value) bool { _, ok := v.Bool(); return ok },
 		`["a",1]`:              func(v Value) bool { _, ok := v.Texts(); return ok },
-		"{}":                   func(v Value) bool { return v.Array(nil) },
-		"[]":                   func(v Value) bool { return v.Object(nil) },
-		`"10.0.0"`:             func(v Value) bool { _, ok := v.Address(); return ok },
-		`"10.0.0.1"`:           func(v Value) bool { _, ok := v.AddressPort(); return ok },
+		"{}":                   func(v Value) bool { return v.ReadArray(nil) },
+		"[]":                   func(v Value) bool { return v.ReadObject(nil) },
+		`"10.0.0"`:             func(v Value) bool { _, ok := v.Addr(); return ok },
+		`"10.0.0.1"`:           func(v Value) bool { _, ok := v.AddrPort(); return ok },
 	} {
 		value, list := read(t, name)
 		if check(value) || list.Len() != 1 {
@@ -104,14 +104,14 @@
 		fields := strings.TrimSuffix(source.String(), ",")
 		value, list := read(t, "{"+fields+","+fields+"}")
 		told := 0
-		value.StrictObject(func(string, Value) { told++ })
+		value.ReadStrictObject(func(string, Value) { told++ })
 		if told != count || list.Err() != nil {
 			t.Errorf("%d fields: %d told, %v", count, told, list.Err())
 		}
 		value, list = read(t, "{"+fields+`,"f0":1}`)
-		value.StrictObject(func(string, Value) {})
+		value.ReadStrictObject(func(string, Value) {})
 		var found *validation.Error
-		if !errors.As(list.Err(), &found) || found.Findings[0].Place != "f0" {
+		if !errors.As(list.Err(), &found) || found.Problems[0].Path != "f0" {
 			t.Errorf("%d fields: got %v", count, list.Err())
 		}
 	}
@@ -121,8 +121,8 @@
 	f.Add([]byte(`{"a":[1,-2.5e3,"x\u00e9\n",true,null],"a":{}}`))
 	f.Add([]byte(" [ ] "))
 	f.Fuzz(func(t *testing.T, source []byte) {
-		var list validation.List
-		value, ok := Read(source, &list)
+		var list validation.Problems
+		value, ok := Parse(source, &list)
 		if ok != json.Valid(source) {
 			t.Fatalf("%q: got %v, the standard library says otherwise: %v", source, ok, list.Err())
 		}
--- a/internal/system/placement/aim_test.go
+++ b/internal/system/placement/aim_test.go
@@ -12,8 +12,8 @@
 func TestTheAimOfOneServiceDoesNotFillTheRunnersOfAnother(t *testing.T) {
 	utilization := func(others ...*configuration.Route) float64 {
 		p := testPlacer(t, append(testRunners("llm", 3), testRunners("api", 3)...))
-		long := &configuration.Route{Name: "long", Type: configuration.Streaming, Target: 800 * time.Millisecond,
-			Timeout: 5 * time.Second, Tries: 1}
+		long := &configuration.Route{Name: "long", Type: configuration.Streaming, LatencyTarget: 800 * time.Millisecond,
+			Timeout: 5 * time.Second, MaxAttempts: 1}
 		ask := func(service string, route *configuration.Route) {
 			r := testRequest(testStart, service, route)
 			if c, refusal := p.Place(testStart, r); refusal == nil {
--- a/internal/system/placement/budget_test.go
+++ b/internal/system/placement/budget_test.go
@@ -147,7 +147,7 @@
 			runners[i].ColdUntil = testStart + time.Hour
 		}
 		f := newFleet(t, runners)
-		f.services[0].ColdRate = rapid.SampledFrom([]float64{0, 2, 9, 40}).Draw(t, "rate")
+		f.services[0].SlowStartRate = rapid.SampledFrom([]float64{0, 2, 9, 40}).Draw(t, "rate")
 		for _, p := range f.proxies {
 			p.placer.SetServices(f.now, f.services)
 		}
@@ -174,7 +174,7 @@
 				}
 			}
 		}
-		bound := int(f.services[0].ColdRate*1.5 + 5)
+		bound := int(f.services[0].SlowStartRate*1.5 + 5)
 		for id, moments := range f.colds {
 			if n, from := most(moments, time.Second); n > bound {
 				t.Fatalf("%s got %d in the second from %v, at most %d; %d proxies", id, n, from, bound, len(f.proxies))
@@ -249,7 +249,7 @@
 // repeatedly has a proxy send a request, and again as often as it may.
 func (f *fleet) repeatedly(p *fleetProxy, eager int) {
 	route := testRoute()
-	route.Tries = 1 + eager
+	route.MaxAttempts = 1 + eager
 	r := testRequest(f.now, "api", route)
 	for try := range 1 + eager {
 		if try > 0 && !p.placer.MayRetry(f.now, r) {
--- a/internal/system/placement/choose.go
+++ b/internal/system/placement/choose.go
@@ -171,10 +171,10 @@
 
 // connections is this proxy's share of the connections that a runner takes.
 func (p *Placer) connections(w *runner) int {
-	if w.service.MaxConns <= 0 {
+	if w.service.MaxConnections <= 0 {
 		return math.MaxInt
 	}
-	return max(1, int(connsShare*float64(w.service.MaxConns)/(1+p.others())))
+	return max(1, int(connsShare*float64(w.service.MaxConnections)/(1+p.others())))
 }
 
 // expectedEnd is how long a request is likely to take at most.
--- a/internal/system/placement/cold.go
+++ b/internal/system/placement/cold.go
@@ -14,7 +14,7 @@
 
 // isCold says whether a runner is cold, or may be: the list lags behind, and one that was silent may come back cold.
 func (w *runner) isCold(now time.Duration) bool {
-	return now < w.ColdUntil || w.service.ColdFor > 0 && (w.suspect || now < w.guarded)
+	return now < w.ColdUntil || w.service.SlowStartDuration > 0 && (w.suspect || now < w.guarded)
 }
 
 // coldRoom says whether this proxy may send to a cold runner now.
@@ -27,9 +27,9 @@
 	if p.proxies == 0 || now < p.joined {
 		return 0 // the others may not count this one yet, and its last life may have sent just now
 	}
-	bound := coldShare * (w.service.ColdRate*p.options.ColdExcess + p.options.ColdSlack)
+	bound := coldShare * (w.service.SlowStartRate*p.options.ColdExcess + p.options.ColdSlack)
 	n := float64(p.proxies)
-	share := math.Floor(math.Min(bound/(n+1), math.Max(w.service.ColdRate/n, 1)))
+	share := math.Floor(math.Min(bound/(n+1), math.Max(w.service.SlowStartRate/n, 1)))
 	if share < 1 && p.isHolder(w, int(bound)) {
 		share = 1
 	}
--- a/internal/system/placement/kept_test.go
+++ b/internal/system/placement/kept_test.go
@@ -11,7 +11,7 @@
 // chainRequest asks with the shared parts of one of many chains.
 func chainRequest(now time.Duration, chain uint64, own uint64) *Request {
 	route := testRoute()
-	route.PinCache = true
+	route.PrefixAffinity = true
 	r := testRequest(now, "llm", route)
 	r.Parts = []Part{{100 + chain%4, 2500}, {1000 + chain, 3800}, {own, 2900}}
 	r.TokensIn = 9200
@@ -141,7 +141,7 @@
 func TestASessionKeepsToItsRunner(t *testing.T) {
 	p := testPlacer(t, testRunners("llm", 12))
 	route := testRoute()
-	route.PinCache = true
+	route.PrefixAffinity = true
 	for session := range uint64(20) {
 		want := ""
 		for range 4 {
--- a/internal/system/placement/load.go
+++ b/internal/system/placement/load.go
@@ -107,7 +107,7 @@
 	if in := float64(r.TokensIn); in > d.own+d.shared {
 		d.own = in - d.shared
 	}
-	if r.Route != nil && r.Route.PinCache {
+	if r.Route != nil && r.Route.PrefixAffinity {
 		d.chain, d.last = chainOf(r.Parts), lastShared(r.Parts)
 	}
 	if r.Route != nil {
@@ -118,10 +118,10 @@
 
 // aim notes the aim of a request's route.
 func (s *service) aim(r *Request) {
-	if r.Route == nil || r.Route.Target <= 0 {
+	if r.Route == nil || r.Route.LatencyTarget <= 0 {
 		return
 	}
-	target := r.Route.Target.Seconds()
+	target := r.Route.LatencyTarget.Seconds()
 	if target < s.target {
 		s.target = target
 	}
@@ -240,11 +240,11 @@
 	if !w.isCold(now) {
 		return 1
 	}
-	since := w.service.ColdFor - max(w.ColdUntil-now, 0)
-	if now >= w.ColdUntil || w.service.ColdFor <= 0 {
+	since := w.service.SlowStartDuration - max(w.ColdUntil-now, 0)
+	if now >= w.ColdUntil || w.service.SlowStartDuration <= 0 {
 		since = 0 // it may be cold, nobody knows since when
 	}
-	return capacity.Warmth(coldLoad, since.Seconds(), max(w.service.ColdFor, time.Second).Seconds())
+	return capacity.Warmth(coldLoad, since.Seconds(), max(w.service.SlowStartDuration, time.Second).Seconds())
 }
 
 // expected is how long a first answer of a runner without a backlog takes, in seconds.
--- a/internal/system/placement/outcome.go
+++ b/internal/system/placement/outcome.go
@@ -134,7 +134,7 @@
 	if s.isEngine() && a.prefill > s.unit()/16 && took > *far {
 		s.learnSpeed(a.prefill / (took - *far))
 	}
-	if a.Request.Route != nil && took > lateShare*a.Request.Route.Target.Seconds() {
+	if a.Request.Route != nil && took > lateShare*a.Request.Route.LatencyTarget.Seconds() {
 		w.ceilings.Strike(a.load, w.size) // a late start is the early warning of a late end
 	}
 }
@@ -205,7 +205,7 @@
 	capacity.Mean(&stats.took, took, learnSlow)
 	capacity.Mean(&w.service.took, took, learnSlow)
 	if s := w.service; s.isEngine() && r.TokensOut > 0 && progress.Events > 0 {
-		out := float64(progress.Events*max(s.Backend.Stride, 1)) / float64(r.TokensOut)
+		out := float64(progress.Events*max(s.Backend.TokensPerEvent, 1)) / float64(r.TokensOut)
 		capacity.Mean(&stats.outShare, math.Min(out, 1), learnSlow)
 	}
 	if inTime(r, progress) {
@@ -218,10 +218,10 @@
 // inTime says whether an answer earns its full worth.
 func inTime(r *Request, progress Progress) bool {
 	first := progress.FirstAfter
-	if first <= 0 || r.Route.GapAim == 0 {
+	if first <= 0 || r.Route.EventGapTarget == 0 {
 		first = progress.Took
 	}
-	return first <= r.Route.Target && (r.Route.GapAim == 0 || progress.LongestGap <= r.Route.GapAim)
+	return first <= r.Route.LatencyTarget && (r.Route.EventGapTarget == 0 || progress.LongestGap <= r.Route.EventGapTarget)
 }
 
 // blame counts a failure, 1, or a success, 0, and sets a runner aside whose attempts fail more than those of its peers.
--- a/internal/system/placement/place_test.go
+++ b/internal/system/placement/place_test.go
@@ -12,16 +12,16 @@
 
 // testRoute is a read-only route that may be tried thrice.
 func testRoute() *configuration.Route {
-	return &configuration.Route{Name: "r", Type: configuration.ReadOnly, Target: 200 * time.Millisecond, Timeout: time.Second,
-		Tries: 3}
+	return &configuration.Route{Name: "r", Type: configuration.ReadOnly, LatencyTarget: 200 * time.Millisecond, Timeout: time.Second,
+		MaxAttempts: 3}
 }
 
 // testServices are an engine and a service of few slots.
 func testServices() []*configuration.Service {
 	return []*configuration.Service{
-		{Name: "api", MaxConns: 100, ColdFor: 3 * time.Second, ColdRate: 9},
-		{Name: "llm", MaxConns: 360, ColdFor: 3 * time.Second, ColdRate: 9,
-			Backend: &configuration.Backend{Capacity: 64, CacheTokens: 200000, Stride: 4}},
+		{Name: "api", MaxConnections: 100, SlowStartDuration: 3 * time.Second, SlowStartRate: 9},
+		{Name: "llm", MaxConnections: 360, SlowStartDuration: 3 * time.Second, SlowStartRate: 9,
+			Backend: &configuration.Backend{Capacity: 64, CacheTokens: 200000, TokensPerEvent: 4}},
 	}
 }
 
@@ -377,7 +377,7 @@
 // Where most are suspect, those left are not drowned: whoever is full shares with those.
 func TestThoseLeftAreNotDrowned(t *testing.T) {
 	p := testPlacer(t, testRunners("api", 6))
-	p.services["api"].ColdFor = 0
+	p.services["api"].SlowStartDuration = 0
 	now := testStart
 	for i := range 5 {
 		a := p.Sent(now, testRequest(now, "api", testRoute()), Choice{Runner: fmt.Sprintf("api-%d", i)})
@@ -520,8 +520,8 @@
 		want   bool
 	}{
 		{"idempotent", func(r *Request) { r.MayHaveRun = true }, true},
-		{"writes, surely not run", func(r *Request) { r.Route.Type = configuration.Writes }, true},
-		{"writes, may have run", func(r *Request) { r.Route.Type, r.MayHaveRun = configuration.Writes, true }, false},
+		{"writes, surely not run", func(r *Request) { r.Route.Type = configuration.ReadWrite }, true},
+		{"writes, may have run", func(r *Request) { r.Route.Type, r.MayHaveRun = configuration.ReadWrite, true }, false},
 		{"a stream", func(r *Request) { r.Route.Type, r.MayHaveRun = configuration.Streaming, true }, false},
 		{"a stream that may be resumed", func(r *Request) {
 			r.Route.Type, r.Route.Resumable, r.MayHaveRun = configuration.Streaming, true, true
@@ -544,7 +544,7 @@
 	for _, service := range []string{"api", "llm"} {
 		p := testPlacer(t, testRunners(service, 12))
 		route := testRoute()
-		route.PinCache = true
+		route.PrefixAffinity = true
 		r := testRequest(testStart, service, route)
 		p.Place(testStart, r)
 		if n := testing.AllocsPerRun(1000, func() { p.Place(testStart, r) }); n > 0 {
@@ -559,7 +559,7 @@
 			b.Run(fmt.Sprint(service, "/", runners), func(b *testing.B) {
 				p := testPlacer(b, testRunners(service, runners))
 				route := testRoute()
-				route.PinCache = true
+				route.PrefixAffinity = true
 				r := testRequest(testStart, service, route)
 				b.ReportAllocs()
 				for b.Loop() {
--- a/internal/system/placement/random_test.go
+++ b/internal/system/placement/random_test.go
@@ -105,8 +105,8 @@
 
 func (d *day) request(t *rapid.T) {
 	route := testRoute()
-	route.PinCache = rapid.Bool().Draw(t, "pin")
-	types := []configuration.RouteType{configuration.ReadOnly, configuration.Writes, configuration.Streaming}
+	route.PrefixAffinity = rapid.Bool().Draw(t, "pin")
+	types := []configuration.RouteType{configuration.ReadOnly, configuration.ReadWrite, configuration.Streaming}
 	route.Type = rapid.SampledFrom(types).Draw(t, "type")
 	if rapid.IntRange(0, 3).Draw(t, "home") == 0 {
 		route.HomeRegions = []string{rapid.SampledFrom([]string{"west", "east"}).Draw(t, "region")}
@@ -118,7 +118,7 @@
 		r.Parts = []Part{{1, third}, {rapid.Uint64Range(1, 9).Draw(t, "part"), third}, {uint64(d.next), third}}
 	}
 	for try := 0; try == 0 || d.p.MayRetry(d.now, r); try++ {
-		if try >= route.Tries {
+		if try >= route.MaxAttempts {
 			t.Fatal("more tries than the route allows")
 		}
 		a := d.place(t, r)
@@ -133,7 +133,7 @@
 		outcome := rapid.SampledFrom([]Outcome{NotRun, WrongRunner, Failed, Broken, Silent, Unreached}).Draw(t, "outcome")
 		d.p.Ended(d.now, a, outcome, Progress{})
 		r.MayHaveRun = r.MayHaveRun || outcome != NotRun && outcome != WrongRunner && outcome != Unreached
-		if r.MayHaveRun && !route.Idempotent() && d.p.MayRetry(d.now, r) {
+		if r.MayHaveRun && !route.IsIdempotent() && d.p.MayRetry(d.now, r) {
 			t.Fatal("a repeat of what may have run")
 		}
 	}
--- a/internal/system/placement/retry.go
+++ b/internal/system/placement/retry.go
@@ -74,10 +74,10 @@
 // and by the budget that all proxies share.
 func (p *Placer) MayRetry(now time.Duration, r *Request) bool {
 	s := p.services[r.Service]
-	if s == nil || r.Route == nil || now >= r.Deadline || len(r.Tried) >= max(r.Route.Tries, 1) {
+	if s == nil || r.Route == nil || now >= r.Deadline || len(r.Tried) >= max(r.Route.MaxAttempts, 1) {
 		return false
 	}
-	if r.MayHaveRun && !r.Route.Idempotent() {
+	if r.MayHaveRun && !r.Route.IsIdempotent() {
 		return false
 	}
 	return !r.repeats() || s.budget.allows(now, p.retryRules())
--- a/internal/system/placement/state.go
+++ b/internal/system/placement/state.go
@@ -375,10 +375,10 @@
 		if len(p.routes) >= mostRoutes {
 			clear(p.routes)
 		}
-		s = &routeStats{took: r.Target.Seconds(), spread: r.Target.Seconds() / 2, outShare: 0.5}
+		s = &routeStats{took: r.LatencyTarget.Seconds(), spread: r.LatencyTarget.Seconds() / 2, outShare: 0.5}
 		p.routes[r.Name] = s
-		if r.Target > 0 {
-			p.target = math.Min(p.target, r.Target.Seconds())
+		if r.LatencyTarget > 0 {
+			p.target = math.Min(p.target, r.LatencyTarget.Seconds())
 		}
 		p.longest = math.Max(p.longest, r.Timeout.Seconds())
 	}
--- a/internal/system/placement/world_test.go
+++ b/internal/system/placement/world_test.go
@@ -85,8 +85,8 @@
 func newWorld(t testing.TB, seed uint64, load float64) *world {
 	w := &world{t: t, now: time.Second, rng: rand.New(rand.NewPCG(seed, 5)), engines: map[string]*engine{},
 		known: map[uint64]bool{},
-		service: configuration.Service{Name: "llm", MaxConns: 360, ColdFor: 3 * time.Second, ColdRate: 9.2,
-			Backend: &configuration.Backend{Capacity: 64, CacheTokens: 230413, Stride: 4}}}
+		service: configuration.Service{Name: "llm", MaxConnections: 360, SlowStartDuration: 3 * time.Second, SlowStartRate: 9.2,
+			Backend: &configuration.Backend{Capacity: 64, CacheTokens: 230413, TokensPerEvent: 4}}}
 	zones := []string{"m", "m", "m", "p", "p", "p", "p", "t", "t", "t"}
 	for i, zone := range zones {
 		id := fmt.Sprintf("i-%d-%d", seed, i)
@@ -135,8 +135,8 @@
 	own, spread, out float64) *requestKind {
 	k := &requestKind{rate: rate, own: own, spread: spread, out: out}
 	k.route = configuration.Route{Name: name,
-		Target: time.Duration(target) * time.Millisecond, Timeout: 5 * time.Second, Rank: rank, Type: configuration.Streaming,
-		GapAim: 400 * time.Millisecond, PinCache: true, Tries: 2}
+		LatencyTarget: time.Duration(target) * time.Millisecond, Timeout: 5 * time.Second, Rank: rank, Type: configuration.Streaming,
+		EventGapTarget: 400 * time.Millisecond, PrefixAffinity: true, MaxAttempts: 2}
 	var firsts []Part
 	for range things[0] {
 		firsts = append(firsts, Part{w.rng.Uint64(), w.size(tokens[0], 0.4)})
@@ -279,7 +279,7 @@
 	took := j.w.now - j.sent
 	j.p.placer.FirstEvent(j.w.now, j.a)
 	j.k.firsts = append(j.k.firsts, took)
-	if took <= j.k.route.Target {
+	if took <= j.k.route.LatencyTarget {
 		j.k.inTime++
 	}
 }
--- a/internal/system/policysim/rivals.go
+++ b/internal/system/policysim/rivals.go
@@ -100,7 +100,7 @@
 }
 
 func (s *simple) MayRetry(now time.Duration, r *placement.Request) bool {
-	return len(r.Tried) < r.Route.Tries && now < r.Deadline && (!r.MayHaveRun || r.Route.Idempotent())
+	return len(r.Tried) < r.Route.MaxAttempts && now < r.Deadline && (!r.MayHaveRun || r.Route.IsIdempotent())
 }
 
 func (s *simple) Tick(now time.Duration) time.Duration { return now + time.Second }
--- a/internal/system/policysim/visit.go
+++ b/internal/system/policysim/visit.go
@@ -158,7 +158,7 @@
 	if v.finished {
 		return
 	}
-	if !w.routes[v.call.Class.Name].Idempotent() || !w.retry(v, 0) {
+	if !w.routes[v.call.Class.Name].IsIdempotent() || !w.retry(v, 0) {
 		w.finish(v, Failed)
 	}
 }
--- a/internal/system/policysim/world.go
+++ b/internal/system/policysim/world.go
@@ -116,19 +116,19 @@
 	w.routes = make(map[string]*configuration.Route)
 	for i := range w.scenario.Classes {
 		c := &w.scenario.Classes[i]
-		w.routes[c.Name] = &configuration.Route{Name: c.Name, Host: "screening.example", PathStart: "/" + c.Name + "/",
+		w.routes[c.Name] = &configuration.Route{Name: c.Name, Host: "screening.example", PathPrefix: "/" + c.Name + "/",
 			Type:    c.Type,
-			Timeout: c.Deadline, Target: c.Target, GapAim: c.Gap, Rank: c.Rank, Tries: c.Tries, Resumable: c.Resume,
-			Shares: []configuration.Share{{Service: c.Service, Weight: 1}}, PinCache: c.Type == configuration.Streaming,
+			Timeout: c.Deadline, LatencyTarget: c.Target, EventGapTarget: c.Gap, Rank: c.Rank, MaxAttempts: c.Tries, Resumable: c.Resume,
+			Shares: []configuration.Share{{Service: c.Service, Weight: 1}}, PrefixAffinity: c.Type == configuration.Streaming,
 			HomeRegions: c.Homes}
 	}
 	for i := range w.scenario.Services {
 		s := &w.scenario.Services[i]
-		service := &configuration.Service{Name: s.Name, HealthPath: "/health", MaxConns: s.MaxConns, ColdFor: s.ColdFor,
-			ColdRate: s.ColdRate}
+		service := &configuration.Service{Name: s.Name, HealthPath: "/health", MaxConnections: s.MaxConns, SlowStartDuration: s.ColdFor,
+			SlowStartRate: s.ColdRate}
 		if s.Engine != nil {
 			service.Backend = &configuration.Backend{Capacity: s.Engine.Slots, CacheTokens: s.Engine.MemoryTokens,
-				TokenCacheBytes: 327680, LinkMbps: 370000, Stride: s.Engine.StrideTokens, Models: []string{modelName}}
+				CacheBytesPerToken: 327680, LinkMbps: 370000, TokensPerEvent: s.Engine.StrideTokens, Models: []string{modelName}}
 		}
 		w.services = append(w.services, service)
 	}
--- a/internal/system/processconfig/environment.go
+++ b/internal/system/processconfig/environment.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Variable is the environment variable that holds the path of the settings file.
-const Variable = "CINDERROAD_SETTINGS"
+// PathVariable is the environment variable that holds the path of the settings file.
+const PathVariable = "CINDERROAD_SETTINGS"
 
 // Settings describe one process and its machine.
 type Settings struct {
-	Node         string            // name of the machine, unique in the system
-	Role         string            // name of the role in the deploy file
-	MachineClass string            // "edge" or "core"
-	ServesRoles  []string          // "edge", "control_plane", "directory"
-	IP           netip.Addr        // address of the machine
-	Zone, Region string            // where the machine stands
-	Zones        map[string]string // region of each zone
-	ListenOn     Listen
-	FreePorts    PortRange
-	SeedNodes    []netip.AddrPort // control addresses of up to three machines; hints only
-	FirstBoot    bool             // true only at the very first start of the whole system
-	CountsAsLoss bool             // the machine is one of those whose loss Survive counts
-	Limits       Limits
-	StateDir     string // folder that outlives the process; empty: there is no disk
-	Survive      Survive
-	Timing       Timing
-	CloudAPI     CloudAPI
+	Node             string            // name of the machine, unique in the system
+	Role             string            // name of the role in the deploy file
+	MachineClass     string            // "edge" or "core"
+	ServesRoles      []string          // "edge", "control_plane", "directory"
+	IP               netip.Addr        // address of the machine
+	Zone, Region     string            // where the machine stands
+	Zones            map[string]string // region of each zone
+	ListenOn         Listen
+	FreePorts        PortRange
+	SeedNodes        []netip.AddrPort // control addresses of up to three machines; hints only
+	FirstBoot        bool             // true only at the very first start of the whole system
+	CountsAsLoss     bool             // the machine is one of those whose loss Survive counts
+	Limits           Limits
+	StateDir         string // folder that outlives the process; empty: there is no disk
+	SurvivableLosses SurvivableLosses
+	Timing           Timing
+	CloudAPI         CloudAPI
 }
 
 // Listen holds the addresses that the process serves; one that it does not serve is the zero value.
@@ -41,19 +41,19 @@
 
 // Ports within FreePorts, as offsets from its first one.
 const (
-	ControlRPC    = 0 // TCP on the machine's address: control replicas, to one another and to agents
-	GossipPort    = 1 // UDP on the machine's address: membership
-	AgentFeedPort = 2 // TCP on loopback: agent to proxy
-	AgentRPC      = 3 // TCP on the machine's address: agents to one another
-	ProxyPort     = 4 // UDP on the machine's address: proxies to one another
+	ControlRPCPort = 0 // TCP on the machine's address: control replicas, to one another and to agents
+	GossipPort     = 1 // UDP on the machine's address: membership
+	AgentFeedPort  = 2 // TCP on loopback: agent to proxy
+	AgentRPCPort   = 3 // TCP on the machine's address: agents to one another
+	ProxyPort      = 4 // UDP on the machine's address: proxies to one another
 )
 
 // Port is the port with the given offset from the first free one.
 func (s *Settings) Port(offset uint16) uint16 { return s.FreePorts.First + offset }
 
-// FeedAddress is where the agent serves the proxy of its machine: 127.0.0.1, or the machine's own address if that is a
+// AgentFeedAddress is where the agent serves the proxy of its machine: 127.0.0.1, or the machine's own address if that is a
 // loopback address itself, since several machines on one host would share 127.0.0.1.
-func (s *Settings) FeedAddress() netip.AddrPort {
+func (s *Settings) AgentFeedAddress() netip.AddrPort {
 	address := netip.AddrFrom4([4]byte{127, 0, 0, 1})
 	if s.IP.IsLoopback() {
 		address = s.IP
@@ -70,11 +70,11 @@
 	StorageMB   int
 }
 
-// LinkBytesPerS is what the machine's link carries in a direction; 0: no bound is known.
-func (l *Limits) LinkBytesPerS() float64 { return l.LinkMbps * 1e6 / 8 }
+// LinkBytesPerSecond is what the machine's link carries in a direction; 0: no bound is known.
+func (l *Limits) LinkBytesPerSecond() float64 { return l.LinkMbps * 1e6 / 8 }
 
-// Survive says what may be lost at once while every guarantee still holds.
-type Survive struct{ MachineLosses, Zones, RegionLosses int }
+// SurvivableLosses says what may be lost at once while every guarantee still holds.
+type SurvivableLosses struct{ Machines, Zones, Regions int }
 
 // Timing holds the bounds of the deployment; a field that the file lacks has the default given by Parse.
 type Timing struct {
@@ -83,13 +83,13 @@
 	RetryRatio                                                                            float64       // retries for each request
 	RetryWindow                                                                           time.Duration // in which they are counted
 	RetryExtra                                                                            float64       // retries beyond the ratio, over all proxies
-	ColdExcess                                                                            float64       // multiple of a service's cold rate that a runner bears
-	ColdSlack                                                                             float64       // requests a second beyond that
+	SlowStartRateFactor                                                                   float64       // multiple of a service's cold rate that a runner bears
+	SlowStartRateAllowance                                                                float64       // requests a second beyond that
 }
 
 // CloudAPI is the platform's list of runners.
 type CloudAPI struct {
-	Address  netip.AddrPort
-	RatePerS float64       // calls a second, over the whole system
-	MaxLag   time.Duration // how old the list may be
+	Address        netip.AddrPort
+	CallsPerSecond float64       // calls a second, over the whole system
+	MaxLag         time.Duration // how old the list may be
 }
--- a/internal/system/processconfig/parse.go
+++ b/internal/system/processconfig/parse.go
@@ -11,13 +11,13 @@
 
 // Load reads the settings file that the environment names.
 func Load() (*Settings, error) {
-	path := os.Getenv(Variable)
+	path := os.Getenv(PathVariable)
 	if path == "" {
 		return nil, &MissingPathError{}
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("environment: read the settings that %s names: %w", Variable, err)
+		return nil, fmt.Errorf("environment: read the settings that %s names: %w", PathVariable, err)
 	}
 	settings, err := Parse(data)
 	if err != nil {
@@ -31,16 +31,16 @@
 
 // Error says what to do.
 func (e *MissingPathError) Error() string {
-	return "environment: set " + Variable + " to the path of the settings file"
+	return "environment: set " + PathVariable + " to the path of the settings file"
 }
 
 // Parse reads settings. All that is wrong with them comes together, in a *findings.Error.
 func Parse(data []byte) (*Settings, error) {
-	var list validation.List
+	var list validation.Problems
 	settings := &Settings{Timing: defaultTiming(), Zones: map[string]string{}}
-	root, ok := jsonfield.Read(data, &list)
+	root, ok := jsonfield.Parse(data, &list)
 	if ok {
-		root.Object(settings.readField)
+		root.ReadObject(settings.readField)
 		settings.require(&list)
 	}
 	if err := list.Err(); err != nil {
@@ -58,11 +58,11 @@
 		GracePeriod: 8 * time.Second, LostSlack: 200 * time.Millisecond,
 		ConfigWithin: 2500 * time.Millisecond, GoBack: 250 * time.Millisecond, Stretch: 6 * time.Second,
 		Evacuate: 5 * time.Second, Recovery: 12 * time.Second, Pass: 250 * time.Millisecond, TTLMax: 5 * time.Second,
-		RetryRatio: 0.1, RetryWindow: 10 * time.Second, RetryExtra: 0, ColdExcess: 1, ColdSlack: 0,
+		RetryRatio: 0.1, RetryWindow: 10 * time.Second, RetryExtra: 0, SlowStartRateFactor: 1, SlowStartRateAllowance: 0,
 	}
 }
 
-func (s *Settings) require(list *validation.List) {
+func (s *Settings) require(list *validation.Problems) {
 	if s.Node == "" {
 		list.Add("node", "is missing or empty")
 	}
@@ -88,33 +88,33 @@
 	case "serves_roles":
 		s.ServesRoles, _ = value.Texts()
 	case "ip":
-		s.IP, _ = value.Address()
+		s.IP, _ = value.Addr()
 	case "zone":
 		s.Zone, _ = value.Text()
 	case "region":
 		s.Region, _ = value.Text()
 	case "zones":
-		value.Object(s.readZone)
+		value.ReadObject(s.readZone)
 	case "listen_on":
-		value.Object(s.ListenOn.readField)
+		value.ReadObject(s.ListenOn.readField)
 	case "free_ports":
-		value.Array(s.FreePorts.readEnd)
+		value.ReadArray(s.FreePorts.readEnd)
 	case "seed_nodes":
-		value.Array(s.readSeed)
+		value.ReadArray(s.readSeed)
 	case "first_boot":
 		s.FirstBoot, _ = value.Bool()
 	case "counts_as_loss":
 		s.CountsAsLoss, _ = value.Bool()
 	case "limits":
-		value.Object(s.Limits.readField)
+		value.ReadObject(s.Limits.readField)
 	case "state_dir":
 		s.StateDir, _ = value.Text()
 	case "survive":
-		value.Object(s.Survive.readField)
+		value.ReadObject(s.SurvivableLosses.readField)
 	case "timing":
-		value.Object(s.Timing.readField)
+		value.ReadObject(s.Timing.readField)
 	case "cloud_api":
-		value.Object(s.CloudAPI.readField)
+		value.ReadObject(s.CloudAPI.readField)
 	}
 }
 
@@ -125,7 +125,7 @@
 }
 
 func (s *Settings) readSeed(_ int, value jsonfield.Value) {
-	if address, ok := value.AddressPort(); ok {
+	if address, ok := value.AddrPort(); ok {
 		s.SeedNodes = append(s.SeedNodes, address)
 	}
 }
@@ -136,13 +136,13 @@
 	}
 	switch name {
 	case "front":
-		l.Front, _ = value.AddressPort()
+		l.Front, _ = value.AddrPort()
 	case "ready":
-		l.Ready, _ = value.AddressPort()
+		l.Ready, _ = value.AddrPort()
 	case "control":
-		l.Control, _ = value.AddressPort()
+		l.Control, _ = value.AddrPort()
 	case "directory":
-		l.Directory, _ = value.AddressPort()
+		l.Directory, _ = value.AddrPort()
 	}
 }
 
@@ -152,7 +152,7 @@
 		return
 	}
 	if port < 1 || port > 65535 {
-		value.Fail("must be a port, 1 to 65535")
+		value.AddProblem("must be a port, 1 to 65535")
 		return
 	}
 	switch index {
@@ -178,14 +178,14 @@
 	}
 }
 
-func (s *Survive) readField(name string, value jsonfield.Value) {
+func (s *SurvivableLosses) readField(name string, value jsonfield.Value) {
 	switch name {
 	case "machine_losses":
-		s.MachineLosses = int(amount(value))
+		s.Machines = int(amount(value))
 	case "zones":
 		s.Zones = int(amount(value))
 	case "region_losses":
-		s.RegionLosses = int(amount(value))
+		s.Regions = int(amount(value))
 	}
 }
 
@@ -197,9 +197,9 @@
 		*figure = amount(value)
 		return
 	}
-	base, unit := jsonfield.SplitUnit(name)
+	base, unit := jsonfield.SplitDurationUnit(name)
 	if bound := t.bound(base); bound != nil && unit > 0 {
-		*bound, _ = value.Span(unit)
+		*bound, _ = value.Duration(unit)
 	}
 }
 
@@ -210,9 +210,9 @@
 	case "retry_extra":
 		return &t.RetryExtra
 	case "cold_excess":
-		return &t.ColdExcess
+		return &t.SlowStartRateFactor
 	case "cold_slack":
-		return &t.ColdSlack
+		return &t.SlowStartRateAllowance
 	}
 	return nil
 }
@@ -232,14 +232,14 @@
 	if value.IsNull() {
 		return
 	}
-	base, unit := jsonfield.SplitUnit(name)
+	base, unit := jsonfield.SplitDurationUnit(name)
 	switch {
 	case name == "address":
-		c.Address, _ = value.AddressPort()
+		c.Address, _ = value.AddrPort()
 	case name == "rate_per_s":
-		c.RatePerS = amount(value)
+		c.CallsPerSecond = amount(value)
 	case base == "max_lag" && unit > 0:
-		c.MaxLag, _ = value.Span(unit)
+		c.MaxLag, _ = value.Duration(unit)
 	}
 }
 
@@ -248,6 +248,6 @@
 	if value.IsNull() {
 		return 0
 	}
-	number, _ := value.Amount()
+	number, _ := value.NonNegativeFloat()
 	return number
 }
--- a/internal/system/processconfig/parse_test.go
+++ b/internal/system/processconfig/parse_test.go
@@ -49,13 +49,13 @@
 		"first boot":    settings.FirstBoot && !settings.CountsAsLoss,
 		"limits":        settings.Limits == Limits{CPUFraction: 0.4, RAMMB: 284, OpenFiles: 4100, LinkMbps: 1000},
 		"state dir":     settings.StateDir == "",
-		"survive":       settings.Survive == Survive{MachineLosses: 1, Zones: 1},
+		"survive":       settings.SurvivableLosses == SurvivableLosses{Machines: 1, Zones: 1},
 		"seconds":       settings.Timing.SeedLag == 3500*time.Millisecond,
 		"milliseconds":  settings.Timing.InTouch == 4100*time.Millisecond,
 		"window":        settings.Timing.RetryWindow == 11*time.Second,
 		"figures":       settings.Timing.RetryRatio == 0.2 && settings.Timing.RetryExtra == 54,
 		"default":       settings.Timing.ConfigWithin == defaultTiming().ConfigWithin,
-		"cloud":         settings.CloudAPI.RatePerS == 42 && settings.CloudAPI.MaxLag == 800*time.Millisecond,
+		"cloud":         settings.CloudAPI.CallsPerSecond == 42 && settings.CloudAPI.MaxLag == 800*time.Millisecond,
 	}
 	for what, right := range checks {
 		if !right {
@@ -72,8 +72,8 @@
 		t.Fatalf("got %v, want findings", err)
 	}
 	places := map[string]int{}
-	for _, finding := range found.Findings {
-		places[finding.Place] = finding.Offset
+	for _, finding := range found.Problems {
+		places[finding.Path] = finding.Offset
 	}
 	for place, text := range map[string]string{
 		"free_ports[1]": "70000", "seed_nodes[1]": `"x"`, "timing.pass_ms": "-1",
@@ -100,11 +100,11 @@
 	if err := os.WriteFile(path, []byte(edgeSettings), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	t.Setenv(Variable, path)
+	t.Setenv(PathVariable, path)
 	if settings, err := Load(); err != nil || settings.Node != "edge-north-a-1" {
 		t.Fatalf("got %v, %v", settings, err)
 	}
-	t.Setenv(Variable, "")
+	t.Setenv(PathVariable, "")
 	var missing *MissingPathError
 	if _, err := Load(); !errors.As(err, &missing) {
 		t.Fatalf("got %v, want a MissingPathError", err)
--- a/internal/system/proxy/agentclient/update.go
+++ b/internal/system/proxy/agentclient/update.go
@@ -113,13 +113,13 @@
 		err = s.changeVersion(item)
 	case key == feed.KeyLimits:
 		update.Limits, err = limitsOf(item)
-	case strings.HasPrefix(key, feed.KeyRoute):
+	case strings.HasPrefix(key, feed.KeyPrefixRoute):
 		err = changeRoute(update, item)
-	case strings.HasPrefix(key, feed.KeyService):
+	case strings.HasPrefix(key, feed.KeyPrefixService):
 		err = s.changeService(update, item)
-	case strings.HasPrefix(key, feed.KeyEvacuation):
+	case strings.HasPrefix(key, feed.KeyPrefixEvacuation):
 		s.changeEvacuation(update, item)
-	case strings.HasPrefix(key, feed.KeyRunner):
+	case strings.HasPrefix(key, feed.KeyPrefixRunner):
 		err = s.changeRunner(update, item)
 	}
 	if err != nil {
@@ -146,7 +146,7 @@
 }
 
 func changeRoute(update *Update, item *feed.Item) error {
-	name := item.Key[len(feed.KeyRoute):]
+	name := item.Key[len(feed.KeyPrefixRoute):]
 	if item.Deleted {
 		update.Removed = append(update.Removed, name)
 		return nil
@@ -160,7 +160,7 @@
 }
 
 func (s *state) changeService(update *Update, item *feed.Item) error {
-	name := item.Key[len(feed.KeyService):]
+	name := item.Key[len(feed.KeyPrefixService):]
 	if item.Deleted {
 		delete(s.services, name)
 	} else {
@@ -175,7 +175,7 @@
 }
 
 func (s *state) changeEvacuation(update *Update, item *feed.Item) {
-	zone := item.Key[len(feed.KeyEvacuation):]
+	zone := item.Key[len(feed.KeyPrefixEvacuation):]
 	if item.Deleted {
 		delete(s.evacuated, zone)
 	} else {
@@ -185,11 +185,11 @@
 }
 
 func (s *state) changeRunner(update *Update, item *feed.Item) error {
-	id := item.Key[len(feed.KeyRunner):]
+	id := item.Key[len(feed.KeyPrefixRunner):]
 	if item.Deleted {
 		delete(s.runners, id)
 	} else {
-		decoded, err := discovery.Decode(item.Value)
+		decoded, err := discovery.DecodeRunner(item.Value)
 		if err != nil {
 			return err
 		}
@@ -202,11 +202,11 @@
 // runnerOf turns the spans of a runner that was listed at a time into times.
 func runnerOf(decoded discovery.Runner, listed time.Time) Runner {
 	r := Runner{Runner: decoded}
-	if decoded.ColdLeft > 0 {
-		r.ColdUntil = listed.Add(decoded.ColdLeft)
+	if decoded.SlowStartRemaining > 0 {
+		r.ColdUntil = listed.Add(decoded.SlowStartRemaining)
 	}
-	if decoded.TimeLeft > 0 {
-		r.GoneAt = listed.Add(decoded.TimeLeft)
+	if decoded.TimeToTermination > 0 {
+		r.GoneAt = listed.Add(decoded.TimeToTermination)
 	}
 	return r
 }
--- a/internal/system/proxy/agentclient/uplink_test.go
+++ b/internal/system/proxy/agentclient/uplink_test.go
@@ -94,12 +94,12 @@
 }
 
 func routeItem(name, service string, index uint64) feed.Item {
-	return feed.Item{Key: feed.KeyRoute + name, Index: index, Value: stored(1, `{"name":"`+name+
+	return feed.Item{Key: feed.KeyPrefixRoute + name, Index: index, Value: stored(1, `{"name":"`+name+
 		`","host":"h","path_start":"/`+name+`/","type":"read_only","timeout_ms":5000,"target_ms":800,"rank":1,"service":"`+service+`","tries":2}`)}
 }
 
 func serviceItem(name string, index uint64) feed.Item {
-	return feed.Item{Key: feed.KeyService + name, Index: index, Value: stored(1,
+	return feed.Item{Key: feed.KeyPrefixService + name, Index: index, Value: stored(1,
 		`{"name":"`+name+`","health_path":"/health","max_conns":10}`)}
 }
 
@@ -125,13 +125,13 @@
 		t.Errorf("first asked with %+v", q)
 	}
 	runner := discovery.Runner{ID: "i", Service: "s", Address: netip.MustParseAddrPort("10.0.0.1:80"), Zone: "z",
-		Capacity: 4, ColdLeft: 5 * time.Second}
+		Capacity: 4, SlowStartRemaining: 5 * time.Second}
 	a.replies <- &feed.FollowReply{Proxies: 3, Peers: []feed.Peer{{Node: "p", Zone: "z"}}, PeersDigest: 5, Batches: []feed.Batch{
 		{Partition: 0, Snapshot: true, To: 10, Items: []feed.Item{version("7", 9), routeItem("a", "s", 5), routeItem("b",
 			"s", 9), serviceItem(inSecond, 4),
-			{Key: feed.KeyEvacuation + "z9", Index: 3}, {Key: feed.KeyRoute + "bad", Index: 6, Value: stored(1, `{"name":1}`)}}},
-		{Partition: 1, Snapshot: true, To: 4, Items: []feed.Item{{Key: feed.KeyRunner + "i", Index: 4,
-			Value: discovery.Encode(runner), Age: time.Second}}},
+			{Key: feed.KeyPrefixEvacuation + "z9", Index: 3}, {Key: feed.KeyPrefixRoute + "bad", Index: 6, Value: stored(1, `{"name":1}`)}}},
+		{Partition: 1, Snapshot: true, To: 4, Items: []feed.Item{{Key: feed.KeyPrefixRunner + "i", Index: 4,
+			Value: discovery.EncodeRunner(runner), Age: time.Second}}},
 	}}
 	u := receive(t, updates)
 	if u.Version != 7 || len(u.Routes) != 2 || len(*u.Services) != 1 || !(*u.Evacuated)["z9"] || u.Complete ||
@@ -146,7 +146,7 @@
 		t.Errorf("then asked with %+v", q)
 	}
 	a.replies <- &feed.FollowReply{Batches: []feed.Batch{
-		{Partition: 0, From: 10, To: 12, Items: []feed.Item{version("8", 12), {Key: feed.KeyRoute + "a", Index: 11,
+		{Partition: 0, From: 10, To: 12, Items: []feed.Item{version("8", 12), {Key: feed.KeyPrefixRoute + "a", Index: 11,
 			Deleted: true}}},
 		{Partition: 2, Snapshot: true, To: 1},
 	}}
