--- a/internal/system/proxy/control_test.go
+++ b/internal/system/proxy/control_test.go
@@ -32,17 +32,17 @@
 	c := w.client()
 	c.send(ask("/one/x", "t1", "", ""))
 	c.answered(503, "")
-	one, two := route("one", configuration.Writes), route("two", configuration.Writes)
+	one, two := route("one", configuration.ReadWrite), route("two", configuration.ReadWrite)
 	address := netip.MustParseAddrPort(r.listener.Addr().String())
 	runners := []agentclient.Runner{{Runner: discovery.Runner{ID: "a", Service: "s", Address: address, Zone: "z",
-		ColdLeft: time.Second},
+		SlowStartRemaining: time.Second},
 		ColdUntil: time.Now().Add(time.Hour)}}
 	w.do(func() {
 		if w.proxy.Ready() || a.last().Ready {
 			t.Error("ready without a configuration")
 		}
 		w.proxy.Take(agentclient.Update{Version: 3, Routes: []*configuration.Route{one, two},
-			Services: &[]*configuration.Service{{Name: "s", MaxConns: 8}},
+			Services: &[]*configuration.Service{{Name: "s", MaxConnections: 8}},
 			Runners:  &runners, Proxies: 2, Complete: true})
 		if !w.proxy.Ready() || !a.last().Ready || a.last().Stopping {
 			t.Error("not ready with all that is needed")
--- a/internal/system/proxy/doubt.go
+++ b/internal/system/proxy/doubt.go
@@ -31,7 +31,7 @@
 	if a == nil || l.state != waiting && l.state != reading {
 		return
 	}
-	mayMove := a.exchange.request.Route.Idempotent()
+	mayMove := a.exchange.request.Route.IsIdempotent()
 	next := a.silence()
 	switch {
 	case l.heard || a.exchange.stalled:
@@ -53,9 +53,9 @@
 func (a *attempt) silence() time.Duration {
 	r := a.exchange.request.Route
 	if a.progress.Events > 0 {
-		return max(2*r.GapAim, leastSilence)
+		return max(2*r.EventGapTarget, leastSilence)
 	}
-	return max(r.Target, leastSilence)
+	return max(r.LatencyTarget, leastSilence)
 }
 
 // moveOn sends a request that may run twice to another runner, if that may be and one can take it; else it stays.
@@ -99,7 +99,7 @@
 	}
 	r.doubt()
 	for _, l := range append([]*link(nil), r.links...) {
-		if a := l.attempt; a != nil && l.state != dialing && a.exchange.request.Route.Idempotent() {
+		if a := l.attempt; a != nil && l.state != dialing && a.exchange.request.Route.IsIdempotent() {
 			a.moveOn()
 		}
 	}
--- a/internal/system/proxy/doubt_test.go
+++ b/internal/system/proxy/doubt_test.go
@@ -102,7 +102,7 @@
 func TestSilentRunner(t *testing.T) {
 	w := newWorld(t)
 	r := w.runners("a", "b")
-	w.do(func() { w.routes.routes[0].Target = time.Millisecond })
+	w.do(func() { w.routes.routes[0].LatencyTarget = time.Millisecond })
 	c := w.client()
 	c.send(ask("/reads/x", "t1", "", ""))
 	up := r[0].accept()
--- a/internal/system/proxy/exchange.go
+++ b/internal/system/proxy/exchange.go
@@ -209,14 +209,14 @@
 // mayRetry says whether the request may be sent to another runner. What must hold is checked here too: the placer
 // knows of budgets, this knows of promises.
 func (x *exchange) mayRetry() bool {
-	if x.request.MayHaveRun && !x.request.Route.Idempotent() {
+	if x.request.MayHaveRun && !x.request.Route.IsIdempotent() {
 		return false
 	}
 	if x.answer.begun && !x.continues() {
 		return false
 	}
 	now := x.proxy.now()
-	if len(x.request.Tried)-x.unreached >= max(1, x.request.Route.Tries) || now >= x.request.Deadline {
+	if len(x.request.Tried)-x.unreached >= max(1, x.request.Route.MaxAttempts) || now >= x.request.Deadline {
 		return false
 	}
 	return x.proxy.placer.MayRetry(now, &x.request)
@@ -303,7 +303,7 @@
 // lateOutcome is what the deadline says of the runner: little, unless it had the time that an answer should take.
 func (x *exchange) lateOutcome() placement.Outcome {
 	a := x.attempt
-	if a != nil && a.sentWhole() && x.proxy.now()-a.sentAt >= x.request.Route.Target {
+	if a != nil && a.sentWhole() && x.proxy.now()-a.sentAt >= x.request.Route.LatencyTarget {
 		return placement.Silent
 	}
 	return placement.Abandoned
--- a/internal/system/proxy/metrics.go
+++ b/internal/system/proxy/metrics.go
@@ -6,9 +6,9 @@
 func (p *Proxy) expose(page *exposition.Page) {
 	f := &p.Figures
 	counter := func(name, help string, value uint64) {
-		page.Single(exposition.Counter, name, help, float64(value))
+		page.Metric(exposition.Counter, name, help, float64(value))
 	}
-	gauge := func(name, help string, value float64) { page.Single(exposition.Gauge, name, help, value) }
+	gauge := func(name, help string, value float64) { page.Metric(exposition.Gauge, name, help, value) }
 
 	counter("cinderroad_proxy_requests_total", "Requests whose head was read.", f.Requests)
 	page.Family(exposition.Counter, "cinderroad_proxy_answers_total", "Requests by how they ended.")
@@ -29,7 +29,7 @@
 	gauge("cinderroad_proxy_exchanges", "Requests that have no whole answer yet.", float64(p.exchanges))
 	gauge("cinderroad_proxy_client_connections", "Open connections of clients.", float64(p.sessions.open))
 	gauge("cinderroad_proxy_buffered_bytes", "Bytes of requests held.", float64(p.buffered))
-	gauge("cinderroad_proxy_ready", "Whether clients should be sent here.", exposition.Flag(p.Ready()))
+	gauge("cinderroad_proxy_ready", "Whether clients should be sent here.", exposition.BoolValue(p.Ready()))
 	gauge("cinderroad_proxy_configuration_version", "Version of the configuration in force; 0: none.", float64(p.control.version))
 	gauge("cinderroad_proxy_proxies", "Proxies that may be sending, as the agent tells.", float64(p.control.proxies))
 
--- a/internal/system/proxy/model_test.go
+++ b/internal/system/proxy/model_test.go
@@ -97,13 +97,13 @@
 	m.proxy = New(m.loop, zap.NewNop(), placer, Options{Front: modelFront, GracePeriod: 8 * time.Second, Seed: seed})
 	resumable := route("resumable", configuration.Streaming)
 	resumable.Resumable = true
-	routes := []*configuration.Route{route("reads", configuration.ReadOnly), route("writes", configuration.Writes),
+	routes := []*configuration.Route{route("reads", configuration.ReadOnly), route("writes", configuration.ReadWrite),
 		route("stream", configuration.Streaming), resumable}
 	for _, r := range routes {
-		r.Timeout, r.Target, r.Tries = modelTimeout, 300*time.Millisecond, modelTries
+		r.Timeout, r.LatencyTarget, r.MaxAttempts = modelTimeout, 300*time.Millisecond, modelTries
 	}
 	m.proxy.SetRoutes(&fakeRoutes{routes})
-	m.proxy.SetServices([]*configuration.Service{{Name: "s", MaxConns: 100}})
+	m.proxy.SetServices([]*configuration.Service{{Name: "s", MaxConnections: 100}})
 	var known []placement.Runner
 	for i := range modelRunners {
 		r := newModelRunner(m, i)
--- a/internal/system/proxy/monitor.go
+++ b/internal/system/proxy/monitor.go
@@ -66,7 +66,7 @@
 func (p *Proxy) metrics() monitorAnswer {
 	var page exposition.Page
 	p.expose(&page)
-	return monitorAnswer{status: 200, contentType: exposition.ContentType, body: page.Text()}
+	return monitorAnswer{status: 200, contentType: exposition.ContentType, body: page.Bytes()}
 }
 
 func (e *monitorEndpoint) accept(c *eventloop.Conn) eventloop.Handler {
--- a/internal/system/proxy/pool.go
+++ b/internal/system/proxy/pool.go
@@ -106,8 +106,8 @@
 // mostConns is this proxy's part of the connections that a runner takes.
 func (p *pool) mostConns(r *runner) int {
 	most := defaultConns
-	if s := p.services[r.service]; s != nil && s.MaxConns > 0 {
-		most = s.MaxConns
+	if s := p.services[r.service]; s != nil && s.MaxConnections > 0 {
+		most = s.MaxConnections
 	}
 	return max(leastConns, most/p.proxies)
 }
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -164,11 +164,11 @@
 	if l.MaxBodyBytes <= 0 {
 		l.MaxBodyBytes = defaultBodyBytes
 	}
-	if l.HeaderWait <= 0 {
-		l.HeaderWait = defaultHeaderWait
+	if l.HeaderTimeout <= 0 {
+		l.HeaderTimeout = defaultHeaderWait
 	}
-	if l.IdleLimit <= 0 {
-		l.IdleLimit = defaultIdleLimit
+	if l.IdleTimeout <= 0 {
+		l.IdleTimeout = defaultIdleLimit
 	}
 	p.limits = l
 }
--- a/internal/system/proxy/session.go
+++ b/internal/system/proxy/session.go
@@ -111,7 +111,7 @@
 func (s *session) rest() {
 	s.began = false
 	s.proxy.sessions.touch(s)
-	s.expect(s.proxy.limits.IdleLimit, s.endIdle)
+	s.expect(s.proxy.limits.IdleTimeout, s.endIdle)
 }
 
 // endIdle closes a session that rests, unless a request has come that was not read yet. One whose client has not taken
@@ -181,7 +181,7 @@
 	}
 	if !s.began {
 		s.began = true
-		s.expect(s.proxy.limits.HeaderWait, func() { s.rejectWith(408, "request not whole in time") })
+		s.expect(s.proxy.limits.HeaderTimeout, func() { s.rejectWith(408, "request not whole in time") })
 	}
 }
 
@@ -214,7 +214,7 @@
 	case n > 0 && len(s.conn.Bytes()) > 0:
 		return true
 	}
-	s.expect(s.proxy.limits.IdleLimit, func() {
+	s.expect(s.proxy.limits.IdleTimeout, func() {
 		x.finish()
 		s.rejectWith(408, "request not whole in time")
 	})
@@ -303,7 +303,7 @@
 	if s.last {
 		return httpwire.AppendField(b, "Connection", "close")
 	}
-	if rest := (s.proxy.limits.IdleLimit - keepAliveLead) / time.Second; rest > 0 {
+	if rest := (s.proxy.limits.IdleTimeout - keepAliveLead) / time.Second; rest > 0 {
 		b = append(b, "Keep-Alive: timeout="...)
 		b = strconv.AppendInt(b, int64(rest), 10)
 		b = append(b, "\r\n"...)
--- a/internal/system/proxy/session_test.go
+++ b/internal/system/proxy/session_test.go
@@ -185,7 +185,7 @@
 	})
 	t.Run("a head that does not come", func(t *testing.T) {
 		w := newWorld(t)
-		w.do(func() { w.proxy.SetLimits(configuration.Limits{HeaderWait: 20 * time.Millisecond}) })
+		w.do(func() { w.proxy.SetLimits(configuration.Limits{HeaderTimeout: 20 * time.Millisecond}) })
 		c := w.client()
 		c.send("POST /writes/x HT")
 		c.answered(408, "")
@@ -193,7 +193,7 @@
 	})
 	t.Run("an idle client", func(t *testing.T) {
 		w := newWorld(t)
-		w.do(func() { w.proxy.SetLimits(configuration.Limits{IdleLimit: 20 * time.Millisecond}) })
+		w.do(func() { w.proxy.SetLimits(configuration.Limits{IdleTimeout: 20 * time.Millisecond}) })
 		c := w.client()
 		if rest := c.gone(); rest != "" {
 			t.Errorf("an idle client got %q", rest)
--- a/internal/system/proxy/stop_model_test.go
+++ b/internal/system/proxy/stop_model_test.go
@@ -99,7 +99,7 @@
 	stream := route("stream", configuration.Streaming)
 	stream.Timeout = stopRouteTime
 	r.proxy.SetRoutes(&fakeRoutes{[]*configuration.Route{stream}})
-	r.proxy.SetServices([]*configuration.Service{{Name: "s", MaxConns: 1000}})
+	r.proxy.SetServices([]*configuration.Service{{Name: "s", MaxConnections: 1000}})
 	address := netip.MustParseAddrPort("10.0.1.1:80")
 	r.network.peers[address] = &simulatedPeer{latency: stopLatency, accept: r.acceptAtRunner}
 	known := []placement.Runner{{ID: "r", Service: "s", Address: address}}
--- a/internal/system/proxy/stop_plan.go
+++ b/internal/system/proxy/stop_plan.go
@@ -30,14 +30,14 @@
 // planStop divides the grace period, from the signal to stop until the process is killed.
 func planStop(grace time.Duration) stopPlan {
 	if grace <= 0 {
-		grace = shutdown.DefaultGrace
+		grace = shutdown.DefaultGracePeriod
 	}
 	times := shutdown.Plan(grace)
 	shut := min(time.Duration(float64(grace)*takeShare), cutSentBy-sentLead)
 	return stopPlan{
 		sweep: min(idleSweepAfter, grace/idleSweepShare, shut),
 		shut:  shut,
-		last:  times.LastAnswers,
+		last:  times.LastResponses,
 		end:   times.ProxyEnd,
 	}
 }
--- a/internal/system/proxy/world_test.go
+++ b/internal/system/proxy/world_test.go
@@ -39,7 +39,7 @@
 func (f *fakeRoutes) Lookup(host, path string) *configuration.Route {
 	host, _, _ = strings.Cut(host, ":")
 	for _, r := range f.routes {
-		if host == r.Host && strings.HasPrefix(path, r.PathStart) {
+		if host == r.Host && strings.HasPrefix(path, r.PathPrefix) {
 			return r
 		}
 	}
@@ -47,9 +47,9 @@
 }
 
 func route(name string, kind configuration.RouteType) *configuration.Route {
-	return &configuration.Route{Name: name, Host: "h.example", PathStart: "/" + name + "/", Type: kind,
-		Timeout: 20 * time.Second,
-		Target:  time.Second, Tries: 3, Shares: []configuration.Share{{Service: "s", Weight: 1}}}
+	return &configuration.Route{Name: name, Host: "h.example", PathPrefix: "/" + name + "/", Type: kind,
+		Timeout:       20 * time.Second,
+		LatencyTarget: time.Second, MaxAttempts: 3, Shares: []configuration.Share{{Service: "s", Weight: 1}}}
 }
 
 func newWorld(t *testing.T, change ...func(*Options)) *world {
@@ -69,11 +69,11 @@
 	w := &world{t: t, loop: loop, placer: &fakePlacer{ended: make(chan string, 100), sent: make(chan string, 100)},
 		done: make(chan struct{})}
 	w.routes = &fakeRoutes{[]*configuration.Route{route("reads", configuration.ReadOnly), route("writes",
-		configuration.Writes),
+		configuration.ReadWrite),
 		route("stream", configuration.Streaming), resumable}}
 	w.proxy = New(loop, zap.NewNop(), w.placer, options)
 	w.proxy.SetRoutes(w.routes)
-	w.proxy.SetServices([]*configuration.Service{{Name: "s", MaxConns: 100}})
+	w.proxy.SetServices([]*configuration.Service{{Name: "s", MaxConnections: 100}})
 	if err := w.proxy.Listen(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/replica/core_follower_test.go
+++ b/internal/system/replica/core_follower_test.go
@@ -83,7 +83,7 @@
 		f.world.after(followerDelay, func() { f.take(question.Address, call, batch, age) })
 	}
 	wait := question.Wait
-	if question.Current.Has(feed.ConfigurationPartition) {
+	if question.Current.Contains(feed.ConfigurationPartition) {
 		age := since(p.group.machine.Status().CurrentAt, p.clock())
 		wait = min(wait, max(0, feed.StaleAfter-age)+10*time.Millisecond)
 	}
@@ -106,7 +106,7 @@
 	before := f.table.Index()
 	var lagging feed.PartitionSet
 	if batch.To < before {
-		lagging = feed.SetOf(feed.ConfigurationPartition)
+		lagging = feed.NewPartitionSet(feed.ConfigurationPartition)
 	}
 	f.table.Apply(w.now, batch)
 	for _, link := range w.truth.chain {
--- a/internal/system/replica/core_world_test.go
+++ b/internal/system/replica/core_world_test.go
@@ -193,7 +193,7 @@
 	s := &coreSlot{number: n, disk: &coreDisk{}, offset: w.between(0, time.Hour), rate: 0.98 + 0.04*w.random.Float64()}
 	s.settings = processconfig.Settings{Node: fmt.Sprintf("core-%d", n), IP: netip.AddrFrom4([4]byte{10, 0, 0, byte(n + 1)}),
 		Zone: fmt.Sprintf("zone-%d", n%3), FreePorts: processconfig.PortRange{First: 9000, Last: 9015}, SeedNodes: w.seeds,
-		FirstBoot: first, Survive: processconfig.Survive{MachineLosses: max(w.losses, 1), Zones: 1},
+		FirstBoot: first, SurvivableLosses: processconfig.SurvivableLosses{Machines: max(w.losses, 1), Zones: 1},
 		Timing: processconfig.Timing{CatchUp: testCatchUp}}
 	w.slots = append(w.slots, s)
 	w.byPort[s.address()] = s
--- a/internal/system/replica/founding.go
+++ b/internal/system/replica/founding.go
@@ -22,7 +22,7 @@
 
 // controlAddress is where the control replica of a machine listens.
 func controlAddress(s *processconfig.Settings, machine netip.Addr) netip.AddrPort {
-	return netip.AddrPortFrom(machine, s.Port(processconfig.ControlRPC))
+	return netip.AddrPortFrom(machine, s.Port(processconfig.ControlRPCPort))
 }
 
 // founding is the membership that a system begins with: the machines of the seed list, which is the same at all of them
--- a/internal/system/replica/host_test.go
+++ b/internal/system/replica/host_test.go
@@ -118,7 +118,7 @@
 	m := &machine{t: c.t, settings: processconfig.Settings{Node: fmt.Sprintf("core-%d", i), IP: loopback(i),
 		Zone: fmt.Sprintf("zone-%d", i%3), FreePorts: processconfig.PortRange{First: c.port, Last: c.port + 15},
 		SeedNodes: c.seeds, FirstBoot: firstBoot, StateDir: filepath.Join(c.t.TempDir(), "state"),
-		Survive: processconfig.Survive{MachineLosses: 1, Zones: 1}}}
+		SurvivableLosses: processconfig.SurvivableLosses{Machines: 1, Zones: 1}}}
 	c.machines = append(c.machines, m)
 	return m
 }
--- a/internal/system/replica/manage.go
+++ b/internal/system/replica/manage.go
@@ -137,7 +137,7 @@
 func (h *Host) situation(now time.Duration, g *group, status *consensus.Status) *situation {
 	settings := h.options.Settings
 	s := &situation{self: h.self.ID, ledFor: now - g.ledSince, patience: patienceOf(settings.Timing.CatchUp, h.options.Election),
-		joining: h.joins.members(now), regions: settings.Zones, aim: max(leastVoters, 2*settings.Survive.MachineLosses+1), byRegion: settings.Survive.RegionLosses > 0}
+		joining: h.joins.members(now), regions: settings.Zones, aim: max(leastVoters, 2*settings.SurvivableLosses.Machines+1), byRegion: settings.SurvivableLosses.Regions > 0}
 	for _, member := range status.Membership.Members {
 		m := standing{Member: member, caughtUp: status.Match[member.ID]+closeBehind >= status.Commit}
 		m.caughtUp = m.caughtUp && now >= g.behind[member.ID]
--- a/internal/system/routetable/routetable.go
+++ b/internal/system/routetable/routetable.go
@@ -34,7 +34,7 @@
 // Lookup is the route of the host whose prefix begins the path and is the longest, nil if there is none. A port in the
 // host and a query in the path do not count. It allocates nothing for hosts in lower case.
 func (t *Table) Lookup(hostName, path string) *configuration.Route {
-	found := t.hosts[configuration.NormalHost(hostName)]
+	found := t.hosts[configuration.NormalizeHost(hostName)]
 	if found == nil {
 		return nil
 	}
@@ -61,14 +61,14 @@
 		t.unlink(before)
 	}
 	t.routes[route.Name] = route
-	name := configuration.NormalHost(route.Host)
+	name := configuration.NormalizeHost(route.Host)
 	holder := t.hosts[name]
 	if holder == nil {
 		holder = &host{routes: map[string]*configuration.Route{}}
 		t.hosts[name] = holder
 	}
-	holder.routes[route.PathStart] = route
-	holder.longest = max(holder.longest, len(route.PathStart))
+	holder.routes[route.PathPrefix] = route
+	holder.longest = max(holder.longest, len(route.PathPrefix))
 }
 
 // Remove removes the route of a name, if there is one.
@@ -83,17 +83,17 @@
 
 // unlink takes a route out of its host, unless another one stands in its place by now.
 func (t *Table) unlink(route *configuration.Route) {
-	name := configuration.NormalHost(route.Host)
+	name := configuration.NormalizeHost(route.Host)
 	holder := t.hosts[name]
-	if holder == nil || holder.routes[route.PathStart] != route {
+	if holder == nil || holder.routes[route.PathPrefix] != route {
 		return
 	}
-	delete(holder.routes, route.PathStart)
+	delete(holder.routes, route.PathPrefix)
 	if len(holder.routes) == 0 {
 		delete(t.hosts, name)
 		return
 	}
-	if len(route.PathStart) == holder.longest {
+	if len(route.PathPrefix) == holder.longest {
 		holder.measure()
 	}
 }
--- a/internal/system/routetable/routetable_test.go
+++ b/internal/system/routetable/routetable_test.go
@@ -11,7 +11,7 @@
 )
 
 func route(name, host, path string) *configuration.Route {
-	return &configuration.Route{Name: name, Host: host, PathStart: path}
+	return &configuration.Route{Name: name, Host: host, PathPrefix: path}
 }
 
 func TestLookupFindsTheLongestPrefixOfTheHost(t *testing.T) {
@@ -108,7 +108,7 @@
 // free says whether no other route has the prefix.
 func free(routes map[string]*configuration.Route, next *configuration.Route) bool {
 	for name, held := range routes {
-		if name != next.Name && held.Host == next.Host && held.PathStart == next.PathStart {
+		if name != next.Name && held.Host == next.Host && held.PathPrefix == next.PathPrefix {
 			return false
 		}
 	}
@@ -119,10 +119,10 @@
 	path, _, _ = strings.Cut(path, "?")
 	var best *configuration.Route
 	for _, held := range routes {
-		if !strings.EqualFold(held.Host, host) || !strings.HasPrefix(path, held.PathStart) {
+		if !strings.EqualFold(held.Host, host) || !strings.HasPrefix(path, held.PathPrefix) {
 			continue
 		}
-		if best == nil || len(held.PathStart) > len(best.PathStart) {
+		if best == nil || len(held.PathPrefix) > len(best.PathPrefix) {
 			best = held
 		}
 	}
--- a/internal/system/shutdown/shutdown.go
+++ b/internal/system/shutdown/shutdown.go
@@ -4,26 +4,26 @@
 
 import "time"
 
-// DefaultGrace is the grace period that counts where the settings name none.
-const DefaultGrace = 8 * time.Second
+// DefaultGracePeriod is the grace period that counts where the settings name none.
+const DefaultGracePeriod = 8 * time.Second
 
 const (
 	mostMargin  = 500 * time.Millisecond // of the grace period that is left when the proxy's answers end
 	marginShare = 12                     // the margin is one part in so many of the grace period, at most
 )
 
-// Times are counted from the signal to stop.
-type Times struct {
-	LastAnswers time.Duration // the proxy answers what has no answer yet
-	ProxyEnd    time.Duration // the proxy ends, whatever it has left
-	AgentEnd    time.Duration // the agent ends, whether the proxy has or not
+// Schedule are counted from the signal to stop.
+type Schedule struct {
+	LastResponses time.Duration // the proxy answers what has no answer yet
+	ProxyEnd      time.Duration // the proxy ends, whatever it has left
+	AgentEnd      time.Duration // the agent ends, whether the proxy has or not
 }
 
 // Plan divides a grace period, from the signal to stop until the platform kills the processes.
-func Plan(grace time.Duration) Times {
+func Plan(grace time.Duration) Schedule {
 	if grace <= 0 {
-		grace = DefaultGrace
+		grace = DefaultGracePeriod
 	}
 	margin := min(mostMargin, grace/marginShare)
-	return Times{LastAnswers: grace - margin, ProxyEnd: grace - margin*3/4, AgentEnd: grace - margin/2}
+	return Schedule{LastResponses: grace - margin, ProxyEnd: grace - margin*3/4, AgentEnd: grace - margin/2}
 }
--- a/internal/system/startup/serve.go
+++ b/internal/system/startup/serve.go
@@ -15,18 +15,18 @@
 	Reload(settings *processconfig.Settings)
 }
 
-// Start makes a process of the settings. The context ends only the start.
-type Start func(ctx context.Context, settings *processconfig.Settings, log *zap.Logger) (Process, error)
+// StartFunc makes a process of the settings. The context ends only the start.
+type StartFunc func(ctx context.Context, settings *processconfig.Settings, log *zap.Logger) (Process, error)
 
-// Serve reads the settings, starts a process and runs it until the program is asked to stop. On SIGHUP it reads the
+// Run reads the settings, starts a process and runs it until the program is asked to stop. On SIGHUP it reads the
 // settings again and hands them to the process; the earlier ones stay where they can't be read.
-func (p *Program) Serve(log *zap.Logger, start Start) error {
-	changes := SettingsChanges() // before anything else: the signal would end the process
+func (p *Program) Run(log *zap.Logger, start StartFunc) error {
+	changes := NotifyReload() // before anything else: the signal would end the process
 	settings, log, err := p.LoadSettings(log)
 	if err != nil {
 		return err
 	}
-	ctx, stop := UntilStopped()
+	ctx, stop := StopContext()
 	defer stop()
 	process, err := start(ctx, settings, log)
 	if err != nil {
--- a/internal/system/startup/serve_test.go
+++ b/internal/system/startup/serve_test.go
@@ -44,11 +44,11 @@
 func TestServe(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.json")
 	writeSettings(t, path, "first")
-	t.Setenv(processconfig.Variable, path)
+	t.Setenv(processconfig.PathVariable, path)
 	process := &testProcess{reloaded: make(chan *processconfig.Settings)}
 	started, ended := make(chan string, 1), make(chan error, 1)
 	go func() {
-		ended <- exampleProgram().Serve(zap.NewNop(),
+		ended <- exampleProgram().Run(zap.NewNop(),
 			func(_ context.Context, settings *processconfig.Settings, _ *zap.Logger) (Process, error) {
 				started <- settings.Node
 				return process, nil
@@ -79,8 +79,8 @@
 }
 
 func TestServeWithoutSettings(t *testing.T) {
-	t.Setenv(processconfig.Variable, filepath.Join(t.TempDir(), "missing.json"))
-	err := exampleProgram().Serve(zap.NewNop(),
+	t.Setenv(processconfig.PathVariable, filepath.Join(t.TempDir(), "missing.json"))
+	err := exampleProgram().Run(zap.NewNop(),
 		func(context.Context, *processconfig.Settings, *zap.Logger) (Process, error) {
 			t.Error("started without settings")
 			return nil, nil
--- a/internal/system/startup/signals.go
+++ b/internal/system/startup/signals.go
@@ -10,14 +10,14 @@
 // StopSignals are the signals that ask a program to stop in an orderly way.
 func StopSignals() []os.Signal { return []os.Signal{syscall.SIGTERM, syscall.SIGINT} }
 
-// UntilStopped is a context that ends when the program is asked to stop. The function it comes with frees it.
-func UntilStopped() (context.Context, context.CancelFunc) {
+// StopContext is a context that ends when the program is asked to stop. The function it comes with frees it.
+func StopContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), StopSignals()...)
 }
 
-// SettingsChanges tells of each SIGHUP, by which the platform says that the settings file has changed; of several before
+// NotifyReload tells of each SIGHUP, by which the platform says that the settings file has changed; of several before
 // the first is taken it keeps one. Until it is called the signal ends the process.
-func SettingsChanges() <-chan os.Signal {
+func NotifyReload() <-chan os.Signal {
 	changes := make(chan os.Signal, 1)
 	signal.Notify(changes, syscall.SIGHUP)
 	return changes
--- a/internal/system/startup/startup.go
+++ b/internal/system/startup/startup.go
@@ -28,18 +28,18 @@
 	Description string
 	Version     string
 	LogLevel    zapcore.Level // least level of events that are logged unless the command line names another
-	// GarbagePercent is by how much of what is live the heap may grow before a collection: low values keep the peak of
+	// GCPercent is by how much of what is live the heap may grow before a collection: low values keep the peak of
 	// memory low where little is allocated in a second.
-	GarbagePercent int
+	GCPercent int
 	// MetricsPort is the port at which the program serves its own figures, as the command line names it; 0: none.
 	MetricsPort uint16
 }
 
-// Start sets the runtime up, reads the command line and returns the program's logger, which writes to standard error.
+// Init sets the runtime up, reads the command line and returns the program's logger, which writes to standard error.
 // It ends the process on a malformed command line, and after the help or the version was asked for.
-func (p *Program) Start() *zap.Logger {
+func (p *Program) Init() *zap.Logger {
 	runtime.GOMAXPROCS(processors)
-	debug.SetGCPercent(p.GarbagePercent)
+	debug.SetGCPercent(p.GCPercent)
 	var flags commandLine
 	parser := p.parser(&flags)
 	_, err := parser.Parse(os.Args[1:])
--- a/internal/system/startup/startup_test.go
+++ b/internal/system/startup/startup_test.go
@@ -9,7 +9,7 @@
 
 func exampleProgram() *Program {
 	return &Program{Name: "cinderroad-example", Description: "An example.", Version: "example 7",
-		LogLevel: zapcore.WarnLevel, GarbagePercent: 100}
+		LogLevel: zapcore.WarnLevel, GCPercent: 100}
 }
 
 func TestLogLevelOfTheCommandLine(t *testing.T) {
