--- a/internal/system/codec/codec.go
+++ b/internal/system/codec/codec.go
@@ -1,10 +1,25 @@
-// Package codec writes and reads the fields of compact encodings: varints, and bytes that follow their length.
+// Package codec appends and reads the fields of compact binary encodings: varints, and bytes behind their length.
 //
-// The functions that write append to a slice, as those of encoding/binary do. A Reader takes the fields off one after
-// the other and remembers the first malformed one, so that a caller checks once, at the end.
+// The functions that write append to a slice, as those of encoding/binary do. A Reader reads the fields in the order in
+// which they were written and remembers the first malformed one, so that a caller checks once, after the last field:
+//
+//	reader := codec.NewReader(data)
+//	name := reader.String("name")
+//	size := reader.Uvarint("size")
+//	reader.ExpectEnd("end")
+//	if field, failed := reader.Malformed(); failed { ... }
+//
+// The package knows neither versions nor types: each encoding begins with a version of its own, which its reader checks
+// with Byte. Field names go into error messages only, never into the encoding.
 package codec
 
-import "encoding/binary"
+import (
+	"encoding/binary"
+	"math"
+)
+
+// float32Size is the size of an encoded float32 in bytes.
+const float32Size = 4
 
 // AppendBytes appends the length of a field as an unsigned varint, and the field.
 func AppendBytes[T string | []byte](data []byte, field T) []byte {
@@ -12,21 +27,49 @@
 	return append(data, field...)
 }
 
-// Reader reads the fields of an encoding in their order. After the first malformed one all are zero. Each method takes
-// the name by which Malformed tells its field.
+// AppendBool appends one byte: 1 for true, 0 for false.
+func AppendBool(data []byte, value bool) []byte {
+	if value {
+		return append(data, 1)
+	}
+	return append(data, 0)
+}
+
+// AppendFloat32 appends the four bytes of an IEEE 754 number, the lowest first.
+func AppendFloat32(data []byte, value float32) []byte {
+	return binary.LittleEndian.AppendUint32(data, math.Float32bits(value))
+}
+
+// Reader reads the fields of an encoding in order. Each method takes the name under which Malformed reports its field.
+// After the first malformed field every method returns the zero value. A Reader is not safe for concurrent use.
 type Reader struct {
-	rest      []byte
-	malformed string
+	rest      []byte // not read yet; nil after a malformed field
+	size      int    // of the whole encoding in bytes
+	start     int    // offset of the field read last
+	canonical bool   // varints must have their shortest form
+	malformed string // name of the first malformed field
 	failed    bool
 }
 
-// NewReader reads data, which must not change while the reader or what Bytes returned is in use.
-func NewReader(data []byte) Reader { return Reader{rest: data} }
+// NewReader returns a reader of data, which must not change while the reader or what Bytes returned is in use. It
+// accepts varints that are longer than they need be.
+func NewReader(data []byte) Reader { return Reader{rest: data, size: len(data)} }
 
-// Malformed is the name of the first field that was malformed, and whether there is one.
+// NewCanonicalReader is like NewReader, but a varint that is longer than it need be is malformed: an encoding whose
+// other fields have one form each then decodes from one sequence of bytes only.
+func NewCanonicalReader(data []byte) Reader {
+	return Reader{rest: data, size: len(data), canonical: true}
+}
+
+// Malformed returns the name of the first malformed field, and whether there is one.
 func (r *Reader) Malformed() (field string, failed bool) { return r.malformed, r.failed }
 
-// Fail says that a field was read but makes no sense. It does nothing after an earlier malformed field.
+// Offset returns where the field read last begins, in bytes from the start of the encoding. After a malformed field it
+// stays at that one.
+func (r *Reader) Offset() int { return r.start }
+
+// Fail marks the field read last as malformed, for a caller to whom its value makes no sense. It does nothing after an
+// earlier malformed field.
 func (r *Reader) Fail(field string) {
 	if !r.failed {
 		r.malformed, r.failed = field, true
@@ -34,15 +77,24 @@
 	r.rest = nil
 }
 
-// ExpectEnd says that all fields have been read: bytes that are left are malformed.
+// ExpectEnd marks the encoding as malformed if bytes follow the field read last.
 func (r *Reader) ExpectEnd(field string) {
 	if len(r.rest) > 0 {
+		r.begin()
 		r.Fail(field)
 	}
 }
 
+// begin notes where the next field begins.
+func (r *Reader) begin() {
+	if !r.failed {
+		r.start = r.size - len(r.rest)
+	}
+}
+
 // Byte reads one byte.
 func (r *Reader) Byte(field string) byte {
+	r.begin()
 	taken := r.take(field, 1)
 	if len(taken) == 0 {
 		return 0
@@ -50,45 +102,76 @@
 	return taken[0]
 }
 
+// Bool reads a byte that AppendBool wrote; any other is malformed.
+func (r *Reader) Bool(field string) bool {
+	value := r.Byte(field)
+	if value > 1 {
+		r.Fail(field)
+	}
+	return value == 1
+}
+
 // Uvarint reads an unsigned varint.
 func (r *Reader) Uvarint(field string) uint64 {
+	r.begin()
 	value, size := binary.Uvarint(r.rest)
-	if size <= 0 {
-		r.Fail(field)
+	if !r.takeVarint(field, size) {
 		return 0
 	}
-	r.rest = r.rest[size:]
 	return value
 }
 
 // Varint reads a signed varint.
 func (r *Reader) Varint(field string) int64 {
+	r.begin()
 	value, size := binary.Varint(r.rest)
-	if size <= 0 {
-		r.Fail(field)
+	if !r.takeVarint(field, size) {
 		return 0
 	}
-	r.rest = r.rest[size:]
 	return value
 }
 
-// Count reads how many parts follow, of which each takes a byte at least; a larger number is malformed. What it returns
-// is therefore at most the number of bytes that are left.
-func (r *Reader) Count(field string) int {
+// takeVarint consumes a varint of a size, which is 0 or less if the varint is cut short or does not fit 64 bits.
+func (r *Reader) takeVarint(field string, size int) bool {
+	if size <= 0 || r.canonical && size > 1 && r.rest[size-1] == 0 {
+		r.Fail(field)
+		return false
+	}
+	r.rest = r.rest[size:]
+	return true
+}
+
+// Float32 reads a number that AppendFloat32 wrote. It may be infinite or not a number.
+func (r *Reader) Float32(field string) float32 {
+	r.begin()
+	taken := r.take(field, float32Size)
+	if len(taken) == 0 {
+		return 0
+	}
+	return math.Float32frombits(binary.LittleEndian.Uint32(taken))
+}
+
+// Count reads how many elements follow, each of at least one byte; a larger number is malformed. The result is at most
+// the number of bytes that are left, so that memory for it may be allocated.
+func (r *Reader) Count(field string) int { return r.CountOf(field, 1) }
+
+// CountOf is like Count for elements of at least minSize bytes each, minSize above 0.
+func (r *Reader) CountOf(field string, minSize int) int {
 	value := r.Uvarint(field)
-	if value > uint64(len(r.rest)) {
+	if value > uint64(len(r.rest)/minSize) {
 		r.Fail(field)
 		return 0
 	}
 	return int(value)
 }
 
-// Bytes reads a field that AppendBytes wrote. It shares memory with what the reader reads.
+// Bytes reads a field that AppendBytes wrote. The result shares memory with the encoding, but its capacity ends with it.
 func (r *Reader) Bytes(field string) []byte { return r.take(field, r.Count(field)) }
 
-// String reads a field that AppendBytes wrote.
+// String reads a field that AppendBytes wrote into memory of its own.
 func (r *Reader) String(field string) string { return string(r.Bytes(field)) }
 
+// take consumes a number of bytes.
 func (r *Reader) take(field string, count int) []byte {
 	if r.failed || count > len(r.rest) {
 		r.Fail(field)
