--- a/cmd/cinderroad-proxy/main.go
+++ b/cmd/cinderroad-proxy/main.go
@@ -59,9 +59,9 @@
 	if err != nil {
 		return err
 	}
-	loop.LendReads = true
-	loop.SleptAfter = sleptAfter
-	loop.Overslept = func(late float64) { log.Info("the process was held up", zap.Float64("seconds", late)) }
+	loop.ZeroCopyReads = true
+	loop.LateWakeupSeconds = sleptAfter
+	loop.OnLateWakeup = func(late float64) { log.Info("the process was held up", zap.Float64("seconds", late)) }
 	p, err := newProxy(loop, log, settings, program.MetricsAddress(settings.IP))
 	if err != nil {
 		return err
--- a/internal/dispatcher/admin/console.go
+++ b/internal/dispatcher/admin/console.go
@@ -48,7 +48,7 @@
 // Start opens the address.
 func Start(loop *eventloop.Loop, log *zap.Logger, addr netip.AddrPort, paths map[string]Call) (*Console, error) {
 	c := &Console{loop: loop, log: log, paths: paths}
-	ln, err := loop.ListenApart(addr, mostCallers, c.give, c.accept)
+	ln, err := loop.ListenReserved(addr, mostCallers, c.give, c.accept)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
@@ -72,7 +72,7 @@
 	conn     *eventloop.Conn
 	called   bool // its call is whole
 	answered bool
-	timeout  *eventloop.Deadline
+	timeout  *eventloop.Timer
 }
 
 func (c *Console) accept(conn *eventloop.Conn) eventloop.Handler {
@@ -192,5 +192,5 @@
 		k.c.log.Warn("console: no", zap.Int("status", status), zap.String("reason", reason))
 	}
 	k.conn.Write(httpfront.AppendResponse(nil, status, "", []byte(reason+"\n"), true))
-	k.conn.CloseWhenSent()
+	k.conn.CloseAfterFlush()
 }
--- a/internal/dispatcher/admission/door.go
+++ b/internal/dispatcher/admission/door.go
@@ -53,7 +53,7 @@
 // place; if none does, the connection is turned away. Leave must be called either way.
 func (d *Door) Enter(from netip.Addr, gives func(may func(from netip.Addr) bool) bool) (room bool) {
 	d.Book(from)
-	limit := float64(d.loop.Limit())
+	limit := float64(d.loop.SocketLimit())
 	greedy := float64(d.from[from]) > limit*sourceShare
 	if !greedy && float64(d.open) <= limit-min(limit*backShare, backMost) || gives(func(o netip.Addr) bool { return !greedy || o == from }) {
 		return true
@@ -70,7 +70,7 @@
 
 // Resting is how many sessions may be open for some of them to rest between requests. Clients that ask once and
 // stay would else come to the end of what they may hold, and have none for the next request.
-func (d *Door) Resting() int { return int(float64(d.loop.Limit()) * restShare) }
+func (d *Door) Resting() int { return int(float64(d.loop.SocketLimit()) * restShare) }
 
 // Leave ends what Enter booked.
 func (d *Door) Leave(from netip.Addr) {
@@ -81,7 +81,7 @@
 }
 
 // Crowded says whether messages that are not whole hold too much memory.
-func (d *Door) Crowded() bool { return d.loop.Held() > d.bytes }
+func (d *Door) Crowded() bool { return d.loop.BufferedBytes() > d.bytes }
 
 // Hold books a job's bytes, unless the open jobs hold too much memory already.
 func (d *Door) Hold(bytes int) bool {
--- a/internal/dispatcher/cluster/fleet.go
+++ b/internal/dispatcher/cluster/fleet.go
@@ -61,8 +61,8 @@
 	use     func(quota.Place) // who decides by the place
 	machine *membership.Machine
 	divisor *quota.Divisor
-	socket  *eventloop.Socket
-	timer   *eventloop.Deadline
+	socket  *eventloop.UDPSocket
+	timer   *eventloop.Timer
 	place   quota.Place
 	placeAt float64
 	counted bool
@@ -87,8 +87,8 @@
 
 // Bind opens the socket of a member ahead of its start, so that an address that cannot be had refuses a reload. The
 // address of a process that still runs is waited for: nil without an error.
-func Bind(loop *eventloop.Loop, addr netip.AddrPort) (*eventloop.Socket, error) {
-	socket, err := loop.ListenDatagrams(addr, func([]byte) {})
+func Bind(loop *eventloop.Loop, addr netip.AddrPort) (*eventloop.UDPSocket, error) {
+	socket, err := loop.ListenUDP(addr, func([]byte) {})
 	if errors.Is(err, unix.EADDRINUSE) {
 		return nil, nil
 	}
@@ -99,10 +99,10 @@
 }
 
 // Start begins; socket is of Bind, nil if the address was not to be had yet. use is called at once and with each change.
-func Start(loop *eventloop.Loop, log *zap.Logger, o Options, socket *eventloop.Socket, use func(quota.Place)) *Fleet {
+func Start(loop *eventloop.Loop, log *zap.Logger, o Options, socket *eventloop.UDPSocket, use func(quota.Place)) *Fleet {
 	f := &Fleet{loop: loop, log: log, options: o, use: use, socket: socket}
-	loop.SleptAfter = math.Max(sleptLeast, sleptShare*o.Period)
-	loop.Overslept = f.slept
+	loop.LateWakeupSeconds = math.Max(sleptLeast, sleptShare*o.Period)
+	loop.OnLateWakeup = f.slept
 	f.begin()
 	return f
 }
@@ -142,7 +142,7 @@
 }
 
 func (f *Fleet) open() {
-	f.socket.Take(f.receive)
+	f.socket.SetHandler(f.receive)
 	f.log.Info("fleet: member", zap.String("fleet", f.options.Fleet), zap.String("name", f.options.Name),
 		zap.Stringer("bind", f.options.Bind), zap.Stringer("advertise", f.options.Advertise), zap.Uint64("life", f.machine.Life))
 	f.machine.Start(f.loop.Now())
@@ -402,12 +402,12 @@
 }
 
 // Release ends this member by word and gives its socket to whoever has the address next; nil where it had none.
-func (f *Fleet) Release() *eventloop.Socket {
+func (f *Fleet) Release() *eventloop.UDPSocket {
 	f.Leave()
 	socket := f.socket
 	f.socket, f.closed = nil, true
 	f.timer.Stop()
-	f.loop.Overslept = nil
+	f.loop.OnLateWakeup = nil
 	return socket
 }
 
--- a/internal/dispatcher/dispatch/actions.go
+++ b/internal/dispatcher/dispatch/actions.go
@@ -24,7 +24,7 @@
 	}
 	r.fetches = append(r.fetches, f)
 	r.live++
-	f.h = c.fetches.Put(f)
+	f.h = c.fetches.Insert(f)
 	c.counts.Fetches++
 	if f.attempt > 0 {
 		c.counts.Repeats++
--- a/internal/dispatcher/dispatch/routing.go
+++ b/internal/dispatcher/dispatch/routing.go
@@ -129,8 +129,8 @@
 
 	clock   Clock
 	bal     *loadbalancer.Balancer
-	reqs    slotmap.Table[*req]
-	fetches slotmap.Table[*fetch]
+	reqs    slotmap.Map[*req]
+	fetches slotmap.Map[*fetch]
 	byID    map[loadbalancer.RequestID]*req
 	nextID  loadbalancer.RequestID
 	members map[loadbalancer.WorkerID]*Member
@@ -218,7 +218,7 @@
 // Take accepts a job; its one answer goes to asker, perhaps before Take returns.
 func (c *Core) Take(job Job, asker Asker) ReqID {
 	r := &req{job: job, asker: asker, arrived: c.clock.Now()}
-	r.h = c.reqs.Put(r)
+	r.h = c.reqs.Insert(r)
 	for r.id = c.nextID + 1; r.id == 0 || r.id == math.MaxUint32 || c.byID[r.id] != nil; r.id++ {
 	} // the last number is the sweep's timer
 	c.nextID = r.id
@@ -291,7 +291,7 @@
 
 // forget lets go of a req that has its answer and no fetch out.
 func (c *Core) forget(r *req) {
-	if r.answered && r.live == 0 && c.reqs.Drop(r.h) {
+	if r.answered && r.live == 0 && c.reqs.Remove(r.h) {
 		delete(c.byID, r.id)
 	}
 }
@@ -360,7 +360,7 @@
 	invariant.Check(!f.over, "a fetch ends once")
 	f.over, f.ended, f.result = true, c.clock.Now(), e.Result
 	f.deadline.Stop()
-	c.fetches.Drop(f.h)
+	c.fetches.Remove(f.h)
 	r := f.r
 	r.live--
 	switch {
--- a/internal/dispatcher/exporter/collectd.go
+++ b/internal/dispatcher/exporter/collectd.go
@@ -44,7 +44,7 @@
 	answers  uint64
 	answered uint64 // as of moved
 	moved    float64
-	limit    *eventloop.Deadline
+	limit    *eventloop.Timer
 	host     string
 }
 
@@ -154,7 +154,7 @@
 	o.period, o.written, o.pause = nil, false, 0
 	o.state.Periods++
 	o.feed.took(o, n, stamp)
-	o.feed.loop.Later(o.wake)
+	o.feed.loop.Defer(o.wake)
 }
 
 // Data implements transport.Handler: `0 Success...` or `-1 why not`, a line each. A point that collectd will not have, it
--- a/internal/dispatcher/exporter/feed.go
+++ b/internal/dispatcher/exporter/feed.go
@@ -46,7 +46,7 @@
 	outputs []Output
 	last    int64  // stamp of the last period
 	safe    uint64 // number of the last period that may be delivered
-	timer   *eventloop.Deadline
+	timer   *eventloop.Timer
 	on      bool
 	frozen  bool // the period at hand has ended and is being encoded
 }
@@ -278,7 +278,7 @@
 	place *telemetry.Place
 	state State
 	pause float64 // before the next try
-	timer *eventloop.Deadline
+	timer *eventloop.Timer
 	waits bool // for it
 }
 
--- a/internal/dispatcher/exporter/graphite.go
+++ b/internal/dispatcher/exporter/graphite.go
@@ -54,7 +54,7 @@
 	written  uint64 // progress as of moved
 	queue    int
 	moved    float64
-	limit    *eventloop.Deadline
+	limit    *eventloop.Timer
 	silent   int // tries in turn that the receiver never closed
 }
 
@@ -217,7 +217,7 @@
 func (g *Graphite) finish() {
 	g.finished = true
 	if g.options.Confirm {
-		g.conn.Finish()
+		g.conn.CloseWrite()
 		return
 	}
 	g.settle()
@@ -250,7 +250,7 @@
 
 // Closed implements transport.Handler.
 func (g *Graphite) Closed(c *eventloop.Conn, err error) {
-	if g.options.Confirm && g.finished && g.any && c.ReadWhole() {
+	if g.options.Confirm && g.finished && g.any && c.PeerReadAll() {
 		g.got()
 		g.drop()
 		if p, _ := g.feed.from(g.place.After()); p != nil {
--- a/internal/dispatcher/exporter/metrics_test.go
+++ b/internal/dispatcher/exporter/metrics_test.go
@@ -452,12 +452,12 @@
 				var longest, sum float64
 				n := 0
 				for b.Loop() {
-					w.do(func() { w.loop.Turns() })
+					w.do(func() { w.loop.TakeIterationStats() })
 					var closed uint64
 					w.do(func() { closed = w.feed.Periods; w.feed.End() })
 					w.eventually("delivered", func() bool { return w.ended(closed) })
 					w.do(func() {
-						l := w.loop.Turns().Longest
+						l := w.loop.TakeIterationStats().Longest
 						longest, sum, n = max(longest, l), sum+l, n+1
 					})
 					store.Forget()
--- a/internal/dispatcher/exporter/network.go
+++ b/internal/dispatcher/exporter/network.go
@@ -40,7 +40,7 @@
 type Network struct {
 	sender
 	options NetworkOptions
-	socket  *eventloop.Datagrams
+	socket  *eventloop.UDPSender
 	packet  *packet
 	at      uint64
 	period  *telemetry.Period
@@ -84,7 +84,7 @@
 	}
 	var err error
 	if o.socket == nil {
-		if o.socket, err = o.feed.loop.Datagrams(o.options.Address); err != nil {
+		if o.socket, err = o.feed.loop.ConnectUDP(o.options.Address); err != nil {
 			o.broke(err)
 			return
 		}
@@ -173,7 +173,7 @@
 	if o.period == nil {
 		return
 	}
-	if err := o.socket.Refused(); err != nil {
+	if err := o.socket.PendingError(); err != nil {
 		o.broke(err)
 		return
 	}
--- a/internal/dispatcher/gearman/admin.go
+++ b/internal/dispatcher/gearman/admin.go
@@ -66,7 +66,7 @@
 		if !s.config.AllowShutdown || s.Shutdown == nil {
 			return "ERR NOT_ALLOWED allow_shutdown+is+off\r\n"
 		}
-		s.loop.Later(s.Shutdown)
+		s.loop.Defer(s.Shutdown)
 		return "OK\r\n"
 	}
 	return "ERR UNKNOWN_COMMAND Unknown+server+command\r\n"
--- a/internal/dispatcher/gearman/job.go
+++ b/internal/dispatcher/gearman/job.go
@@ -23,10 +23,10 @@
 	num, den       string
 	exception      string
 	over           bool
-	returned       bool                // its last refusal was not told to anybody: it comes back
-	output         []packet            // of the fetch that won
-	start          *eventloop.Deadline // of a job for later, or of one that comes back after a refusal
-	ends           float64             // when the job is given up
+	returned       bool             // its last refusal was not told to anybody: it comes back
+	output         []packet         // of the fetch that won
+	start          *eventloop.Timer // of a job for later, or of one that comes back after a refusal
+	ends           float64          // when the job is given up
 }
 
 // status is the last four arguments of a status answer.
--- a/internal/dispatcher/gearman/peer.go
+++ b/internal/dispatcher/gearman/peer.go
@@ -28,7 +28,7 @@
 	from       netip.Addr
 	whole      bool // has sent a whole message
 	began      bool // the next one has begun
-	timeout    *eventloop.Deadline
+	timeout    *eventloop.Timer
 }
 
 // expect bounds how long the next message may take: a peer that never says what it wants, or says it byte by
@@ -45,7 +45,7 @@
 func (p *peer) turn(code, reason string) {
 	p.send(Error, code, reason)
 	p.leave()
-	p.conn.CloseWhenSent()
+	p.conn.CloseAfterFlush()
 }
 
 // Opened implements transport.Handler.
@@ -62,7 +62,7 @@
 // leave lets go of what the peer had: its worker drains, and jobs in the foreground that nobody waits for
 // any more are given up. A job in the background has no caller to lose.
 func (p *peer) leave() {
-	if !p.s.peers.Drop(p.h) {
+	if !p.s.peers.Remove(p.h) {
 		return
 	}
 	p.timeout.Stop()
@@ -92,7 +92,7 @@
 func (p *peer) send(kind Kind, args ...string) {
 	p.conn.Write(Append(nil, kind, args...))
 	if p.conn.Unsent() > maxUnsent {
-		p.s.loop.Later(p.end)
+		p.s.loop.Defer(p.end)
 	}
 }
 
--- a/internal/dispatcher/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -34,7 +34,7 @@
 	config    *Config
 	report    []loadbalancer.Field
 	functions map[string]*function
-	peers     slotmap.Table[*peer]
+	peers     slotmap.Map[*peer]
 	jobs      map[string]*job // by handle
 	unique    map[uniqueKey]*job
 	serial    uint64
@@ -45,7 +45,7 @@
 	shut      bool // no new job is taken
 	rests     uint64
 	listener  *eventloop.Listener
-	retiring  *eventloop.Deadline
+	retiring  *eventloop.Timer
 }
 
 const retireEvery = 0.05 // seconds between two looks at who can be sent to the next process
@@ -80,7 +80,7 @@
 // Start opens the port, or goes on with the socket of the process before this one; 0 is none.
 func (s *Server) Start(inherited int) (err error) {
 	if inherited > 0 {
-		s.listener, err = s.loop.Inherit(inherited, s.accept)
+		s.listener, err = s.loop.InheritListener(inherited, s.accept)
 	} else {
 		s.listener, err = s.loop.Listen(s.config.listen, s.accept)
 	}
@@ -90,7 +90,7 @@
 // Retire leaves the port to the next process, or takes it back. Its own jobs are served first, by the workers that are
 // here; then clients and workers are sent to the next one, as they would be by a restart.
 func (s *Server) Retire(on bool) {
-	s.listener.Suspend(on)
+	s.listener.SetSuspended(on)
 	s.retiring.Stop()
 	if s.stopping = on; !on {
 		return
@@ -187,7 +187,7 @@
 func (s *Server) accept(c *eventloop.Conn) eventloop.Handler {
 	s.rests++
 	p := &peer{s: s, conn: c, connected: s.loop.Now(), idleSince: s.rests, clientID: "-", from: c.Peer().Addr().Unmap()}
-	p.h = s.peers.Put(p)
+	p.h = s.peers.Insert(p)
 	p.expect(admission.FreshTime)
 	if !s.door.Enter(p.from, func(may func(netip.Addr) bool) bool {
 		return s.shed(func(o *peer) bool { return o != p && may(o.from) })
--- a/internal/dispatcher/gearman/worker.go
+++ b/internal/dispatcher/gearman/worker.go
@@ -33,7 +33,7 @@
 	id      dispatch.FetchID
 	job     *job
 	w       *worker
-	limit   *eventloop.Deadline
+	limit   *eventloop.Timer
 	output  []packet
 	size    int
 	mark    uint64 // bytes written on the connection once the assignment has gone out whole
--- a/internal/dispatcher/handover/handover.go
+++ b/internal/dispatcher/handover/handover.go
@@ -95,13 +95,13 @@
 // Connect looks for the process that serves at path; Down tells if there is none.
 func Connect(loop *eventloop.Loop, path string, owner Owner) *Link {
 	l := &Link{owner: owner, asks: map[uint64]func(bool){}}
-	l.conn = loop.ConnectNear(path, l)
+	l.conn = loop.ConnectUnixWithDescriptors(path, l)
 	return l
 }
 
 // Accept owns a connection from a newer process.
 func Accept(conn *eventloop.Conn, owner Owner) *Link {
-	conn.Passes()
+	conn.EnableDescriptorPassing()
 	return &Link{conn: conn, owner: owner, asks: map[uint64]func(bool){}}
 }
 
@@ -122,13 +122,13 @@
 		return fmt.Errorf("handover: %w", err)
 	}
 	body := binary.BigEndian.AppendUint32(nil, uint32(len(text)))
-	l.conn.Pass(Append(nil, kind, append(append(body, text...), bytes...)), fd)
+	l.conn.WriteWithDescriptor(Append(nil, kind, append(append(body, text...), bytes...)), fd)
 	return nil
 }
 
 // Passed reads what Pass has sent.
 func (l *Link) Passed(body []byte, head any) (bytes []byte, fd int, err error) {
-	fd, ok := l.conn.Taken()
+	fd, ok := l.conn.NextDescriptor()
 	if !ok {
 		return nil, -1, errors.New("handover: no descriptor came")
 	}
@@ -143,7 +143,7 @@
 }
 
 // Descriptor is the next one that came along.
-func (l *Link) Descriptor() (fd int, ok bool) { return l.conn.Taken() }
+func (l *Link) Descriptor() (fd int, ok bool) { return l.conn.NextDescriptor() }
 
 // Ask sends a question; done gets the answer, or a no when the link ends before it has come. False when too many wait.
 func (l *Link) Ask(kind Kind, body []byte, done func(yes bool)) bool {
--- a/internal/dispatcher/httpfront/director.go
+++ b/internal/dispatcher/httpfront/director.go
@@ -88,7 +88,7 @@
 	known map[string]Target // what discovery lists, by uid
 	on    *watch            // the one that has told the list held now; nil before there was one, or between two tries
 	next  *watch            // one at a new address, which has not spoken yet
-	retry *eventloop.Deadline
+	retry *eventloop.Timer
 	fails int // in a row
 	rng   *rand.Rand
 	last  float64 // when discovery last said anything; 0 is not yet
@@ -169,14 +169,14 @@
 	head    bool // the head of the stream's answer has come
 	line    []byte
 	rev     int64 // the last that it told
-	silence *eventloop.Deadline
+	silence *eventloop.Timer
 }
 
 func (d *Director) open(whole bool) *watch {
 	d.Watches++
 	w := &watch{d: d, addr: d.addr, whole: whole}
 	w.conn = d.loop.Connect(d.addr, w)
-	w.conn.Urgent()
+	w.conn.ReadFirst()
 	w.heard()
 	return w
 }
--- a/internal/dispatcher/httpfront/front.go
+++ b/internal/dispatcher/httpfront/front.go
@@ -50,14 +50,14 @@
 	pool      *Pool
 	door      *admission.Door
 	classes   map[string]class
-	sessions  slotmap.Table[*session]
+	sessions  slotmap.Map[*session]
 	calls     map[string]bool // ids of calls that are open
 	asking    int             // sessions that have carried a client's request
 	closing   bool
 	leaving   float64 // when an evacuation began; 0 is none
 	emptying  bool    // and its sessions are closed
 	shut      bool    // no new job is taken
-	sweeping  *eventloop.Deadline
+	sweeping  *eventloop.Timer
 	rests     uint64
 	lastNews  float64            // when bytes last came from any session
 	noted     map[string]float64 // when a kind of bad input was last logged
@@ -91,7 +91,7 @@
 	f.Sessions++
 	s := &session{f: f, conn: c, from: c.Peer().Addr().Unmap(), entered: f.loop.Now()}
 	s.backend = f.pool.at(s.from)
-	s.h = f.sessions.Put(s)
+	s.h = f.sessions.Insert(s)
 	s.rest()
 	if !f.door.Enter(s.from, func(may func(netip.Addr) bool) bool {
 		return f.shed(func(o *session) bool { return o != s && may(o.from) })
@@ -210,10 +210,10 @@
 // call reads a client's request; reason says why it is none that can be sent on. What goes on to a backend
 // holds visible ASCII alone, and the id nothing that ends a path.
 func (f *Front) call(q *Request) (c Call, budget float64, reason string) {
-	class, ok1 := q.Header.Once("X-Call-Class")
-	id, ok2 := q.Header.Once("X-Call-Id")
-	ms, ok3 := q.Header.Once("X-Budget-Ms")
-	key, ok4 := q.Header.Once("Idempotency-Key")
+	class, ok1 := q.Header.GetUnique("X-Call-Class")
+	id, ok2 := q.Header.GetUnique("X-Call-Id")
+	ms, ok3 := q.Header.GetUnique("X-Budget-Ms")
+	key, ok4 := q.Header.GetUnique("Idempotency-Key")
 	path, _, _ := strings.Cut(strings.TrimPrefix(q.Target, "/"), "?")
 	first, _, _ := strings.Cut(path, "/")
 	c = Call{ID: id, Class: cmp.Or(class, first), Method: q.Method, Target: q.Target, IdempotencyKey: key, Body: q.Body}
@@ -222,11 +222,11 @@
 	switch {
 	case !ok1 || !ok2 || !ok3 || !ok4:
 		reason = "a field is there twice"
-	case id == "" || len(id) > mostID || !httpwire.Visible(id) || strings.ContainsAny(id, `/?#%"\`):
+	case id == "" || len(id) > mostID || !httpwire.IsVisibleASCII(id) || strings.ContainsAny(id, `/?#%"\`):
 		reason = "X-Call-Id missing or bad"
 	case err != nil:
 		reason = "X-Budget-Ms missing or bad"
-	case !httpwire.Visible(key):
+	case !httpwire.IsVisibleASCII(key):
 		reason = "Idempotency-Key bad"
 	case c.Class != first:
 		reason = "X-Call-Class is not the path's"
--- a/internal/dispatcher/httpfront/handover.go
+++ b/internal/dispatcher/httpfront/handover.go
@@ -46,7 +46,7 @@
 	s := &session{f: f, conn: c, from: c.Peer().Addr().Unmap(), entered: state.Entered, asked: state.Asked,
 		whole: state.Whole, told: state.Told}
 	s.backend = f.pool.at(s.from)
-	s.h = f.sessions.Put(s)
+	s.h = f.sessions.Insert(s)
 	f.door.Book(s.from)
 	if s.asked {
 		f.asking++
--- a/internal/dispatcher/httpfront/http.go
+++ b/internal/dispatcher/httpfront/http.go
@@ -18,7 +18,7 @@
 )
 
 // ErrMore says that the message is not whole yet.
-var ErrMore = httpwire.ErrMore
+var ErrMore = httpwire.ErrIncomplete
 
 // SyntaxError is a message that breaks HTTP or the bounds; Status is what a server answers to it.
 type SyntaxError = httpwire.SyntaxError
@@ -44,12 +44,12 @@
 
 // ParseRequest reads one request from the start of b and tells how many bytes it took; ErrMore asks for more.
 func ParseRequest(b []byte) (q Request, n int, err error) {
-	if n, err = httpwire.SkipBlank(b); err != nil {
+	if n, err = httpwire.SkipBlankLines(b); err != nil {
 		return q, 0, err
 	}
 	line, header, head, err := parseHead(b[n:])
-	if errors.Is(err, ErrMore) && !httpwire.StartsMessage(b[n:]) {
-		return q, 0, httpwire.Bad(400, "request line") // no more bytes can mend it
+	if errors.Is(err, ErrMore) && !httpwire.IsMessagePrefix(b[n:]) {
+		return q, 0, httpwire.NewSyntaxError(400, "request line") // no more bytes can mend it
 	}
 	if err != nil {
 		return q, 0, err
@@ -59,7 +59,7 @@
 	if err != nil {
 		return q, 0, err
 	}
-	q = Request{Method: method, Target: target, Header: header, Close: header.Closes(version)}
+	q = Request{Method: method, Target: target, Header: header, Close: header.ClosesConnection(version)}
 	body, m, err := parseBody(b[n:], header, MaxBody)
 	if err != nil {
 		return q, 0, err
@@ -89,7 +89,7 @@
 		if status >= 100 && status < 200 {
 			continue // an interim answer; the real one follows
 		}
-		p = Response{Status: status, Header: header, Close: header.Closes(version)}
+		p = Response{Status: status, Header: header, Close: header.ClosesConnection(version)}
 		break
 	}
 	if p.Status == 204 || p.Status == 304 {
@@ -98,7 +98,7 @@
 	if !p.Header.Has("Content-Length") && !p.Header.Has("Transfer-Encoding") {
 		p.Close = true
 		if len(b)-n > limit {
-			return p, 0, httpwire.Bad(502, "body too large")
+			return p, 0, httpwire.NewSyntaxError(502, "body too large")
 		}
 		if !ended {
 			return p, 0, ErrMore
@@ -131,10 +131,10 @@
 	lengths, codings := h.Count("Content-Length"), h.Count("Transfer-Encoding")
 	switch {
 	case lengths+codings > 1:
-		return nil, 0, httpwire.Bad(400, "two lengths")
+		return nil, 0, httpwire.NewSyntaxError(400, "two lengths")
 	case codings == 1:
 		if !strings.EqualFold(h.Get("Transfer-Encoding"), "chunked") {
-			return nil, 0, httpwire.Bad(400, "transfer coding")
+			return nil, 0, httpwire.NewSyntaxError(400, "transfer coding")
 		}
 		return parseChunks(b, limit)
 	case lengths == 0:
@@ -145,7 +145,7 @@
 		return nil, 0, err
 	}
 	if size > int64(limit) {
-		return nil, 0, httpwire.Bad(413, "body too large")
+		return nil, 0, httpwire.NewSyntaxError(413, "body too large")
 	}
 	if int64(len(b)) < size {
 		return nil, 0, ErrMore
@@ -158,7 +158,7 @@
 	for {
 		chunk, m, last, err := NextChunk(b[n:], limit)
 		if errors.Is(err, ErrMore) && len(b) > 2*limit+MaxHead {
-			return nil, 0, httpwire.Bad(413, "body too large")
+			return nil, 0, httpwire.NewSyntaxError(413, "body too large")
 		}
 		if err != nil {
 			return nil, 0, err
@@ -168,14 +168,14 @@
 			return body, n, nil
 		}
 		if body = append(body, chunk...); len(body) > limit {
-			return nil, 0, httpwire.Bad(413, "body too large")
+			return nil, 0, httpwire.NewSyntaxError(413, "body too large")
 		}
 	}
 }
 
 // NextChunk reads one chunk of a chunked body, of at most limit bytes; last marks the end of the body, its trailer included.
 func NextChunk(b []byte, limit int) (chunk []byte, n int, last bool, err error) {
-	return httpwire.NextChunk(b, limit)
+	return httpwire.ParseChunk(b, limit)
 }
 
 // MaxList bounds the director's answers, which may hold the whole list.
@@ -183,7 +183,7 @@
 
 // AppendResponse writes a response; extra fields are whole lines.
 func AppendResponse(b []byte, status int, extra string, body []byte, close bool) []byte {
-	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\n%s", status, httpwire.Reason(status), extra)
+	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\n%s", status, httpwire.ReasonPhrase(status), extra)
 	if status != 204 {
 		b = fmt.Appendf(b, "Content-Length: %d\r\n", len(body))
 	}
--- a/internal/dispatcher/httpfront/link.go
+++ b/internal/dispatcher/httpfront/link.go
@@ -23,7 +23,7 @@
 	since   float64
 	rested  float64 // how long it had rested before the present request; 0 is a new connection
 	worn    bool    // was found dead after a rest
-	timeout *eventloop.Deadline
+	timeout *eventloop.Timer
 }
 
 // start writes the request of an exchange.
@@ -196,7 +196,7 @@
 	case x == nil:
 	case x.probe != nil:
 		result := loadbalancer.Timeout
-		if errors.Is(err, eventloop.ErrNoRoom) {
+		if errors.Is(err, eventloop.ErrNoDescriptor) {
 			result = loadbalancer.Moot
 		} else if !l.up {
 			result = loadbalancer.ConnectFailed
@@ -207,7 +207,7 @@
 		result := loadbalancer.ConnectFailed
 		if a.written() {
 			result = loadbalancer.Reset
-		} else if errors.Is(err, eventloop.ErrNoRoom) {
+		} else if errors.Is(err, eventloop.ErrNoDescriptor) {
 			result = loadbalancer.Moot // the want is here: it says nothing of the backend
 		}
 		a.link = nil
--- a/internal/dispatcher/httpfront/session.go
+++ b/internal/dispatcher/httpfront/session.go
@@ -33,7 +33,7 @@
 	backend bool // comes from where a listed backend stands
 	entered float64
 	began   float64 // when the first bytes came of the request that is not whole yet; 0 is none
-	timeout *eventloop.Deadline
+	timeout *eventloop.Timer
 }
 
 func (s *session) idle() bool {
@@ -69,7 +69,7 @@
 	s.f.rests++
 	s.since = s.f.rests
 	if h := s.h; s.f.successor != nil {
-		s.f.loop.Later(func() {
+		s.f.loop.Defer(func() {
 			if _, open := s.f.sessions.Get(h); open {
 				s.offer()
 			}
@@ -107,7 +107,7 @@
 
 func (s *session) leave() {
 	s.timeout.Stop()
-	if s.f.sessions.Drop(s.h) {
+	if s.f.sessions.Remove(s.h) {
 		s.f.door.Leave(s.from)
 		if s.asked {
 			s.f.asking--
@@ -145,7 +145,7 @@
 	}
 	if s.call != "" || s.waits { // the next request, sent early, waits for its turn
 		if len(c.Bytes()) > mostAhead {
-			c.Pause(true)
+			c.SetPaused(true)
 		}
 		return
 	}
@@ -155,7 +155,7 @@
 // read takes requests until one is open or no whole one is left.
 func (s *session) read() {
 	for s.call == "" && !s.waits {
-		s.conn.Pause(false)
+		s.conn.SetPaused(false)
 		if len(s.conn.Bytes()) == 0 {
 			return
 		}
@@ -223,7 +223,7 @@
 	s.conn.Write(AppendResponse(nil, status, extra, body, last))
 	if last {
 		s.leave()
-		s.conn.CloseWhenSent()
+		s.conn.CloseAfterFlush()
 		return
 	}
 	s.rest()
@@ -376,7 +376,7 @@
 // next has a request that was sent early have its turn.
 func (s *session) next() {
 	h := s.h
-	s.f.loop.Later(func() {
+	s.f.loop.Defer(func() {
 		if _, open := s.f.sessions.Get(h); open && s.call == "" && !s.waits {
 			s.read()
 		}
--- a/internal/dispatcher/server/figures.go
+++ b/internal/dispatcher/server/figures.go
@@ -71,10 +71,10 @@
 		}
 		return p.loop.Now() - p.director.Last()
 	})
-	a.gauge("sockets.open", "sockets", "Sockets open.", func() float64 { return float64(p.loop.Open()) })
-	a.gauge("sockets.limit", "sockets", "Sockets that may be open.", func() float64 { return float64(p.loop.Limit()) })
+	a.gauge("sockets.open", "sockets", "Sockets open.", func() float64 { return float64(p.loop.OpenSockets()) })
+	a.gauge("sockets.limit", "sockets", "Sockets that may be open.", func() float64 { return float64(p.loop.SocketLimit()) })
 	a.counter("loop.turns", "turns", "Turns of the loop.", func() uint64 {
-		t := p.loop.Turns()
+		t := p.loop.TakeIterationStats()
 		p.longest = max(p.longest, t.Longest)
 		return t.Count
 	})
@@ -88,7 +88,7 @@
 		metrics.Read(memory)
 		return float64(memory[0].Value.Uint64() - memory[1].Value.Uint64())
 	})
-	a.counter("invariants.broken", "", "Things found that must never be: must stay 0.", invariant.Broken)
+	a.counter("invariants.broken", "", "Things found that must never be: must stay 0.", invariant.Violations)
 	addConsole(a, p)
 	addFleet(a, p)
 	addGearman(a, p)
--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -72,7 +72,7 @@
 	return nil
 }
 
-func (p *Program) joinFleet(o *cluster.Options, socket *eventloop.Socket, book *auditlog.Book) {
+func (p *Program) joinFleet(o *cluster.Options, socket *eventloop.UDPSocket, book *auditlog.Book) {
 	p.keepVersions()
 	o.Board, o.Slept, o.Leased, o.Settled = p.board, p.slept, p.leased, p.settled
 	o.Facts.Serving, o.Facts.OperatorAt = p.standing(), uint32(p.loop.Now())
--- a/internal/dispatcher/server/fleet_reload.go
+++ b/internal/dispatcher/server/fleet_reload.go
@@ -10,8 +10,8 @@
 // fleetChange is what a reload would change of the fleet.
 type fleetChange struct {
 	options *cluster.Options
-	socket  *eventloop.Socket // a new address'
-	book    *auditlog.Book    // a new ledger
+	socket  *eventloop.UDPSocket // a new address'
+	book    *auditlog.Book       // a new ledger
 }
 
 // prepareFleet checks what a reload says of the fleet and opens an address that is new; nothing changes before takeFleet.
--- a/internal/dispatcher/server/fleet_sleep.go
+++ b/internal/dispatcher/server/fleet_sleep.go
@@ -58,7 +58,7 @@
 // looked tells that the director or a peer has spoken. What it says is in force before anything is sent.
 func (p *Program) looked() {
 	if p.woke > 0 && p.loop.Now() >= p.woke+wakeLeast {
-		p.loop.Later(p.wake)
+		p.loop.Defer(p.wake)
 	}
 }
 
--- a/internal/dispatcher/server/fleet_versions.go
+++ b/internal/dispatcher/server/fleet_versions.go
@@ -24,7 +24,7 @@
 	b.Note = p.noted
 	b.Ordering = func(o versions.Order) {
 		p.record(auditlog.Entry{What: auditlog.Order, From: o.By, Member: o.Member, Out: o.Out})
-		p.loop.Later(func() {
+		p.loop.Defer(func() {
 			if p.fleet != nil {
 				p.fleet.Judge()
 			}
--- a/internal/dispatcher/server/program.go
+++ b/internal/dispatcher/server/program.go
@@ -52,7 +52,7 @@
 	fleet              *cluster.Fleet   // nil: no member of one
 	facts              membership.Facts // what the fleet is told of this dispatcher
 	woke               float64          // after a sleep, until it has looked again; 0: it has
-	waking             *eventloop.Deadline
+	waking             *eventloop.Timer
 	wakeTimedOut       bool            // nobody has spoken for so long after a sleep that new jobs are refused
 	board              *versions.Board // nil while fleet is
 	ledger             *auditlog.Book  // nil: none is kept
@@ -112,7 +112,7 @@
 	if p.upgrade.two() {
 		limits.Sockets, limits.MemoryMB, kept = limits.Sockets/2, limits.MemoryMB/2, reserve/2
 	}
-	p.loop.SetLimit(limits.Sockets - kept)
+	p.loop.SetSocketLimit(limits.Sockets - kept)
 	p.door.SetMemory(limits.MemoryMB)
 	if limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * 6 / 10)
@@ -136,7 +136,7 @@
 	p.door = admission.New(loop, config.Limits.MemoryMB)
 	p.front = httpfront.NewFront(loop, log, p.core, p.pool, p.door, &config.brain)
 	// A descriptor is freed where it costs least: an idle client session first, then an idle backend connection.
-	loop.Shed = func() bool {
+	loop.FreeDescriptor = func() bool {
 		return p.front.ShedIdle() || p.pool.ShedIdle() || p.gearman != nil && p.gearman.ShedIdle()
 	}
 	p.director = httpfront.NewDirector(loop, log, config.discovery, p.core, p.pool, n.FailureDomains, n.Kinds, config.seed)
@@ -180,7 +180,7 @@
 func (p *Program) serve(gearmanFD int) (err error) {
 	switch {
 	case p.config.inherited > 0:
-		p.listener, err = p.loop.Inherit(p.config.inherited, p.front.Accept)
+		p.listener, err = p.loop.InheritListener(p.config.inherited, p.front.Accept)
 	case p.config.listen.IsValid():
 		p.listener, err = p.loop.Listen(p.config.listen, p.front.Accept)
 	}
--- a/internal/dispatcher/server/reporting.go
+++ b/internal/dispatcher/server/reporting.go
@@ -38,7 +38,7 @@
 	awaitsTotals bool                       // the process before this one owes its totals
 	successor    *handover.Link             // the next process: it gets the totals, and what is counted since
 	totalsSent   bool                       // the successor has the totals
-	deltaTimer   *eventloop.Deadline        // until what was counted since is sent to the successor again
+	deltaTimer   *eventloop.Timer           // until what was counted since is sent to the successor again
 	deliverUntil float64                    // when the last period must be delivered; 0: it is not closed yet
 }
 
--- a/internal/dispatcher/server/upgrade.go
+++ b/internal/dispatcher/server/upgrade.go
@@ -54,7 +54,7 @@
 	moves    int                 // sessions on their way to next
 	gearman  int                 // listening socket that came along; 0 is none
 	figures  bool                // next takes totals
-	deadline *eventloop.Deadline
+	deadline *eventloop.Timer
 }
 
 func newUpgrade(p *Program) *upgrade {
@@ -125,7 +125,7 @@
 		u.p.log.Warn("program: the next process has gone, taking back", zap.Error(err))
 		u.took, u.moves = false, 0
 		u.p.front.HandOver(nil)
-		u.p.listener.Suspend(false)
+		u.p.listener.SetSuspended(false)
 		u.p.reporting.resume()
 		u.p.resumeFleet()
 		if u.p.gearman != nil {
@@ -228,7 +228,7 @@
 		u.door.Close()
 		u.door = nil
 	}
-	p.listener.Suspend(true)
+	p.listener.SetSuspended(true)
 	p.yieldFleet()
 	if p.gearman != nil {
 		p.gearman.Retire(true)
@@ -244,7 +244,7 @@
 	if u.next == nil || u.moves >= mostMoves {
 		return false
 	}
-	fd, in := c.Release()
+	fd, in := c.Detach()
 	u.moves++
 	u.Passed++
 	if err := u.next.Pass(handover.Session, s, in, fd); err != nil {
--- a/internal/dispatcher/server/world_test.go
+++ b/internal/dispatcher/server/world_test.go
@@ -34,7 +34,7 @@
 	}
 	program = filepath.Join(dir, "cinderroad")
 	args := []string{"build", "-o", program}
-	if invariant.Fatal {
+	if invariant.PanicOnViolation {
 		args = append(args, "-tags", "debug")
 	}
 	if out, err := exec.Command("go", append(args, "cinderroad/cmd/cinderroad-dispatcher")...).CombinedOutput(); err != nil {
--- a/internal/shared/eventloop/conn.go
+++ b/internal/shared/eventloop/conn.go
@@ -32,7 +32,7 @@
 	finished   bool // has
 	whole      bool // and the peer has read all of it
 	discarded  int  // bytes thrown away meanwhile
-	limit      *Deadline
+	limit      *Timer
 	broken     bool      // has failed; Closed is on its way
 	readsLast  bool      // what came before a failed write is read
 	hungUp     bool      // the peer has closed its side or reset the connection
@@ -40,8 +40,8 @@
 	rights     *rights   // of one that descriptors pass along
 }
 
-// ErrNoRoom says that no descriptor was to be had.
-var ErrNoRoom = errors.New("transport: no descriptor to spare")
+// ErrNoDescriptor says that no descriptor was to be had.
+var ErrNoDescriptor = errors.New("transport: no descriptor to spare")
 
 // Connect opens a connection to addr. What goes wrong at once is told like all else: by Closed, later.
 func (l *Loop) Connect(addr netip.AddrPort, h Handler) *Conn {
@@ -56,7 +56,7 @@
 func (l *Loop) connect(begin func() (fd int, err error), h Handler) *Conn {
 	c := &Conn{loop: l, fd: -1, handler: h, connecting: true}
 	if !l.room() {
-		c.breakLater(ErrNoRoom)
+		c.breakLater(ErrNoDescriptor)
 		return c
 	}
 	fd, err := begin()
@@ -64,7 +64,7 @@
 		fd, err = begin()
 	}
 	if noDescriptor(err) {
-		err = fmt.Errorf("transport: socket: %w", ErrNoRoom)
+		err = fmt.Errorf("transport: socket: %w", ErrNoDescriptor)
 	}
 	if err != nil {
 		c.breakLater(err)
@@ -82,7 +82,7 @@
 
 func (c *Conn) register(events uint32) error {
 	_ = unix.SetsockoptInt(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	c.h = c.loop.conns.Put(c)
+	c.h = c.loop.conns.Insert(c)
 	if err := c.loop.control(unix.EPOLL_CTL_ADD, c.fd, c.h, events); err != nil {
 		c.Close()
 		return err
@@ -96,8 +96,8 @@
 // Peer is the address of the other side.
 func (c *Conn) Peer() netip.AddrPort { return address(unix.Getpeername(c.fd)) }
 
-// Urgent has the connection read first in every turn.
-func (c *Conn) Urgent() {
+// ReadFirst has the connection read first in every turn.
+func (c *Conn) ReadFirst() {
 	c.urgent = true
 	c.loop.urgent = append(c.loop.urgent, c)
 }
@@ -194,18 +194,18 @@
 	_ = c.loop.control(unix.EPOLL_CTL_MOD, c.fd, c.h, events)
 }
 
-// Pause leaves what comes to the system's buffers, so that a peer which sends ahead is held back; Resume reads
+// SetPaused leaves what comes to the system's buffers, so that a peer which sends ahead is held back; Resume reads
 // on. The peer's close is told all the same.
-func (c *Conn) Pause(on bool) {
+func (c *Conn) SetPaused(on bool) {
 	if c.paused != on && c.fd >= 0 && !c.connecting && !c.broken {
 		c.paused = on
 		c.wait()
 	}
 }
 
-// CloseWhenSent closes once all that was given to Write has gone out and the peer has closed its side, or has
+// CloseAfterFlush closes once all that was given to Write has gone out and the peer has closed its side, or has
 // had the time for it; nothing more is told. What the peer still sends is thrown away.
-func (c *Conn) CloseWhenSent() {
+func (c *Conn) CloseAfterFlush() {
 	if c.fd < 0 || c.broken || c.closing {
 		return
 	}
@@ -221,8 +221,8 @@
 // linger says that nothing more comes from here and waits for the peer to have read it.
 func (c *Conn) linger() {
 	c.lingers = true
-	c.Pause(false)
-	if err := c.loop.system.Finish(c.fd); err != nil {
+	c.SetPaused(false)
+	if err := c.loop.system.ShutdownWrite(c.fd); err != nil {
 		c.Close()
 		return
 	}
@@ -262,7 +262,7 @@
 		c.lingers = false
 		c.loop.lingering = slices.DeleteFunc(c.loop.lingering, func(o *Conn) bool { return o == c })
 	}
-	c.loop.conns.Drop(c.h)
+	c.loop.conns.Remove(c.h)
 	if c.home != nil {
 		c.home.open--
 		c.loop.apart--
@@ -282,15 +282,15 @@
 		return
 	}
 	c.broken = true
-	c.loop.Later(func() {
+	c.loop.Defer(func() {
 		c.readLast()
 		c.fail(err)
 	})
 }
 
-// ReadLast has what the peer sent before it reset the connection shown to the owner also when a write meets the reset:
+// ReadBeforeReset has what the peer sent before it reset the connection shown to the owner also when a write meets the reset:
 // without it those bytes are lost, and with them an answer that came while its request was still being written.
-func (c *Conn) ReadLast() { c.readsLast = true }
+func (c *Conn) ReadBeforeReset() { c.readsLast = true }
 
 // HungUp says whether the peer is known to have closed its side or to have reset the connection, though what it sent
 // before may not have been read.
@@ -308,7 +308,7 @@
 		return
 	}
 	if c.connecting {
-		if err := c.loop.system.Failure(c.fd); err != nil {
+		if err := c.loop.system.SocketError(c.fd); err != nil {
 			c.fail(fmt.Errorf("transport: connect: %w", err))
 			return
 		}
@@ -372,7 +372,7 @@
 // take shows the owner the n bytes that were read.
 func (c *Conn) take(n int) {
 	c.loop.held += n
-	lent := c.loop.LendReads && len(c.in) == 0
+	lent := c.loop.ZeroCopyReads && len(c.in) == 0
 	if lent {
 		c.in = c.loop.scratch[:n:n]
 	} else {
--- a/internal/shared/eventloop/datagram.go
+++ b/internal/shared/eventloop/datagram.go
@@ -7,12 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Datagrams sends datagrams to one address (UDP). Nothing is read; what the system hears of a refusal is told by Send or
+// UDPSender sends datagrams to one address (UDP). Nothing is read; what the system hears of a refusal is told by Send or
 // Refused.
-type Datagrams struct{ fd int }
+type UDPSender struct{ fd int }
 
-// Datagrams opens a socket for datagrams to addr. It counts as none of the loop's sockets.
-func (l *Loop) Datagrams(addr netip.AddrPort) (*Datagrams, error) {
+// ConnectUDP opens a socket for datagrams to addr. It counts as none of the loop's sockets.
+func (l *Loop) ConnectUDP(addr netip.AddrPort) (*UDPSender, error) {
 	family, sa := sockaddr(addr)
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -22,19 +22,19 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("transport: connect %s: %w", addr, err)
 	}
-	return &Datagrams{fd}, nil
+	return &UDPSender{fd}, nil
 }
 
 // Send sends one datagram; an error may be of an earlier one.
-func (d *Datagrams) Send(b []byte) error {
+func (d *UDPSender) Send(b []byte) error {
 	if _, err := unix.Write(d.fd, b); err != nil {
 		return fmt.Errorf("transport: send: %w", err)
 	}
 	return nil
 }
 
-// Refused is what the system has heard of datagrams sent before; nil is nothing.
-func (d *Datagrams) Refused() error {
+// PendingError is what the system has heard of datagrams sent before; nil is nothing.
+func (d *UDPSender) PendingError() error {
 	code, err := unix.GetsockoptInt(d.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil {
 		return fmt.Errorf("transport: %w", err)
@@ -46,4 +46,4 @@
 }
 
 // Close closes the socket.
-func (d *Datagrams) Close() { unix.Close(d.fd) }
+func (d *UDPSender) Close() { unix.Close(d.fd) }
--- a/internal/shared/eventloop/finish.go
+++ b/internal/shared/eventloop/finish.go
@@ -2,9 +2,9 @@
 
 import "golang.org/x/sys/unix"
 
-// Finish says that nothing more will be written: once all that was given to Write has gone out, this side of the
+// CloseWrite says that nothing more will be written: once all that was given to Write has gone out, this side of the
 // connection is closed. The owner goes on hearing what the peer sends, and Closed when the peer closes, too.
-func (c *Conn) Finish() {
+func (c *Conn) CloseWrite() {
 	if c.fd < 0 || c.broken || c.closing || c.finishing {
 		return
 	}
@@ -15,13 +15,13 @@
 }
 
 func (c *Conn) finish() {
-	c.finished = c.loop.system.Finish(c.fd) == nil
+	c.finished = c.loop.system.ShutdownWrite(c.fd) == nil
 }
 
-// ReadWhole says, within and after Closed, whether the peer has read all that was written: it closed in order, after this
+// PeerReadAll says, within and after Closed, whether the peer has read all that was written: it closed in order, after this
 // side had said by Finish that no more would come. A peer that dies with bytes unread, or closes before them, resets
 // the connection or leaves it in another state (RFC 9293, 3.6). Of TCP connections alone.
-func (c *Conn) ReadWhole() bool { return c.whole }
+func (c *Conn) PeerReadAll() bool { return c.whole }
 
 // ended looks, when the peer has closed, at what that says of the bytes written.
 func (c *Conn) ended() {
@@ -36,14 +36,14 @@
 	c.whole = err == nil && (info.State == unix.BPF_TCP_CLOSE || info.State == unix.BPF_TCP_TIME_WAIT)
 }
 
-// Turns are how long the loop's turns took: all that is done between two waits holds everybody up.
-type Turns struct {
+// IterationStats are how long the loop's turns took: all that is done between two waits holds everybody up.
+type IterationStats struct {
 	Count   uint64
 	Longest float64 // seconds, since it was last asked for
 }
 
-// Turns returns the turns so far; the longest begins anew.
-func (l *Loop) Turns() Turns {
+// TakeIterationStats returns the turns so far; the longest begins anew.
+func (l *Loop) TakeIterationStats() IterationStats {
 	t := l.turns
 	l.turns.Longest = 0
 	return t
--- a/internal/shared/eventloop/hold.go
+++ b/internal/shared/eventloop/hold.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Stall leaves what comes to the system's buffers, as Pause does, and keeps it also when the peer closes or resets
+// SetStalled leaves what comes to the system's buffers, as Pause does, and keeps it also when the peer closes or resets
 // meanwhile: the end is told once all has been read.
-func (c *Conn) Stall(on bool) {
+func (c *Conn) SetStalled(on bool) {
 	if c.stalled == on || c.fd < 0 || c.connecting || c.broken {
 		return
 	}
@@ -32,14 +32,14 @@
 // Reset closes at once and tells the peer by a reset: what was written must not look like the whole of it.
 func (c *Conn) Reset() {
 	if c.fd >= 0 {
-		c.loop.system.Reset(c.fd)
+		c.loop.system.SetResetOnClose(c.fd)
 	}
 	c.Close()
 }
 
-// Probe has the system find out about a peer that is gone without a word: unsent is how long bytes may stay without an
+// SetKeepAlive has the system find out about a peer that is gone without a word: unsent is how long bytes may stay without an
 // acknowledgement, silent how long the peer may be silent before it is asked, in whole seconds, up to three times.
-func (c *Conn) Probe(unsent, silent time.Duration) {
+func (c *Conn) SetKeepAlive(unsent, silent time.Duration) {
 	if c.fd < 0 {
 		return
 	}
--- a/internal/shared/eventloop/hold_test.go
+++ b/internal/shared/eventloop/hold_test.go
@@ -16,7 +16,7 @@
 
 	listener, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) Handler {
 		c.Write([]byte("pong"))
-		l.Later(c.Close)
+		l.Defer(c.Close)
 		return side{&heard, "server", nil}
 	})
 	if err != nil {
@@ -25,10 +25,10 @@
 	l.Connect(listener.Addr(), side{&heard, "client", func(what string, c *Conn) {
 		switch what {
 		case "opened":
-			c.Stall(true)
+			c.SetStalled(true)
 			l.At(l.Now()+0.05, func() {
 				heard = append(heard, "read on")
-				c.Stall(false)
+				c.SetStalled(false)
 			})
 		case "closed":
 			l.Stop()
@@ -53,7 +53,7 @@
 // A writer that had to wait hears when the peer has taken all; what was read is lent only until it is consumed.
 func TestDrained(t *testing.T) {
 	l := newLoop(t, 100)
-	l.LendReads = true
+	l.ZeroCopyReads = true
 	const size = 16 << 20
 	var heard []string
 	d := &drainer{side: side{&heard, "server", nil}}
@@ -111,7 +111,7 @@
 	}
 	listener, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) Handler {
 		server = c
-		l.Later(both)
+		l.Defer(both)
 		return side{&heard, "server", nil}
 	})
 	if err != nil {
@@ -120,9 +120,9 @@
 	client = l.Connect(listener.Addr(), side{&heard, "client", func(what string, c *Conn) {
 		switch what {
 		case "opened":
-			c.ReadLast()
-			c.Stall(true)
-			l.Later(both)
+			c.ReadBeforeReset()
+			c.SetStalled(true)
+			l.Defer(both)
 		case "closed":
 			l.Stop()
 		}
--- a/internal/shared/eventloop/listener.go
+++ b/internal/shared/eventloop/listener.go
@@ -37,7 +37,7 @@
 
 func (l *Loop) listen(fd int, take func(c *Conn) Handler) (*Listener, error) {
 	ln := &Listener{loop: l, fd: fd, take: take}
-	ln.h = l.listeners.Put(ln)
+	ln.h = l.listeners.Insert(ln)
 	if err := l.control(unix.EPOLL_CTL_ADD, fd, ln.h|1<<63, unix.EPOLLIN); err != nil {
 		ln.Close()
 		return nil, err
@@ -45,9 +45,9 @@
 	return ln, nil
 }
 
-// ListenApart accepts connections at addr whatever others hold: at most so many are open, give closes one of them
+// ListenReserved accepts connections at addr whatever others hold: at most so many are open, give closes one of them
 // that can be spared, and what happens on them is handled first in each turn.
-func (l *Loop) ListenApart(addr netip.AddrPort, most int, give func() bool, take func(c *Conn) Handler) (*Listener, error) {
+func (l *Loop) ListenReserved(addr netip.AddrPort, most int, give func() bool, take func(c *Conn) Handler) (*Listener, error) {
 	ln, err := l.Listen(addr, take)
 	if err != nil {
 		return nil, err
@@ -57,8 +57,8 @@
 	return ln, nil
 }
 
-// Inherit accepts connections on a socket that was handed to this process and that others listen on, too.
-func (l *Loop) Inherit(fd int, take func(c *Conn) Handler) (*Listener, error) {
+// InheritListener accepts connections on a socket that was handed to this process and that others listen on, too.
+func (l *Loop) InheritListener(fd int, take func(c *Conn) Handler) (*Listener, error) {
 	if on, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil {
 		return nil, fmt.Errorf("transport: descriptor %d: %w", fd, err)
 	} else if on == 0 {
@@ -93,7 +93,7 @@
 
 // Close stops accepting.
 func (ln *Listener) Close() {
-	if ln.loop.listeners.Drop(ln.h) {
+	if ln.loop.listeners.Remove(ln.h) {
 		if ln.most > 0 {
 			ln.loop.apart--
 		}
@@ -103,8 +103,8 @@
 	}
 }
 
-// Suspend leaves the callers to others who listen on the same socket, until Resume.
-func (ln *Listener) Suspend(on bool) {
+// SetSuspended leaves the callers to others who listen on the same socket, until Resume.
+func (ln *Listener) SetSuspended(on bool) {
 	if _, open := ln.loop.listeners.Get(ln.h); !open || ln.suspended == on {
 		return
 	}
--- a/internal/shared/eventloop/loop.go
+++ b/internal/shared/eventloop/loop.go
@@ -36,23 +36,23 @@
 
 // Loop owns the sockets and the deadlines.
 type Loop struct {
-	Deadlines
-	Shed func() bool // frees a descriptor that can be spared; false when there is none
+	Timers
+	FreeDescriptor func() bool // frees a descriptor that can be spared; false when there is none
 
-	// LendReads has what comes shown to owners where it was read, without a copy, as long as they consume it within Data:
+	// ZeroCopyReads has what comes shown to owners where it was read, without a copy, as long as they consume it within Data:
 	// nothing of Bytes may be kept beyond that.
-	LendReads bool
+	ZeroCopyReads bool
 
-	// Overslept is told when a turn comes so many seconds later than it was due, before anything else is done in it: the
-	// process was stopped, or got no processor. SleptAfter is how late that is.
-	Overslept  func(late float64)
-	SleptAfter float64
+	// OnLateWakeup is told when a turn comes so many seconds later than it was due, before anything else is done in it: the
+	// process was stopped, or got no processor. LateWakeupSeconds is how late that is.
+	OnLateWakeup      func(late float64)
+	LateWakeupSeconds float64
 
 	system     System
 	limit      int // sockets that may be open at once
-	conns      slotmap.Table[*Conn]
-	listeners  slotmap.Table[*Listener]
-	sockets    map[uint32]*Socket // of datagrams
+	conns      slotmap.Map[*Conn]
+	listeners  slotmap.Map[*Listener]
+	sockets    map[uint32]*UDPSocket // of datagrams
 	lastSocket uint32
 	urgent     []*Conn
 	lingering  []*Conn // the oldest first
@@ -63,7 +63,7 @@
 	scratch    []byte
 	later      []func()
 	stopped    bool
-	turns      Turns
+	turns      IterationStats
 
 	mu     sync.Mutex
 	posted []func()
@@ -75,12 +75,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return NewLoopOver(kernel, limit), nil
+	return NewLoopWithSystem(kernel, limit), nil
 }
 
-// NewLoopOver makes a loop over a system other than the kernel, which tests simulate.
-func NewLoopOver(system System, limit int) *Loop {
-	l := &Loop{system: system, limit: limit, scratch: make([]byte, readSize), sockets: map[uint32]*Socket{}}
+// NewLoopWithSystem makes a loop over a system other than the kernel, which tests simulate.
+func NewLoopWithSystem(system System, limit int) *Loop {
+	l := &Loop{system: system, limit: limit, scratch: make([]byte, readSize), sockets: map[uint32]*UDPSocket{}}
 	// Unix time at the start, then the monotonic clock: boot_ms compares, and time never goes back.
 	l.anchor = system.Now()
 	l.start = float64(l.anchor.UnixMicro()) / 1e6
@@ -93,17 +93,17 @@
 
 func (l *Loop) tick() { l.now = l.start + l.system.Now().Sub(l.anchor).Seconds() }
 
-// Open is the number of sockets open, without those of listeners that stand apart.
-func (l *Loop) Open() int { return l.conns.Len() + l.listeners.Len() - l.apart }
+// OpenSockets is the number of sockets open, without those of listeners that stand apart.
+func (l *Loop) OpenSockets() int { return l.conns.Len() + l.listeners.Len() - l.apart }
 
-// SetLimit changes how many sockets may be open; what is open beyond it stays.
-func (l *Loop) SetLimit(limit int) { l.limit = limit }
+// SetSocketLimit changes how many sockets may be open; what is open beyond it stays.
+func (l *Loop) SetSocketLimit(limit int) { l.limit = limit }
 
-// Limit is how many sockets may be open.
-func (l *Loop) Limit() int { return l.limit }
+// SocketLimit is how many sockets may be open.
+func (l *Loop) SocketLimit() int { return l.limit }
 
-// Held is how many bytes have come and were not consumed, over all connections.
-func (l *Loop) Held() int { return l.held }
+// BufferedBytes is how many bytes have come and were not consumed, over all connections.
+func (l *Loop) BufferedBytes() int { return l.held }
 
 // Post runs do on the loop's goroutine; it may be called from any other.
 func (l *Loop) Post(do func()) {
@@ -113,8 +113,8 @@
 	l.system.Wake()
 }
 
-// Later runs do after the event at hand, so that it re-enters nobody.
-func (l *Loop) Later(do func()) { l.later = append(l.later, do) }
+// Defer runs do after the event at hand, so that it re-enters nobody.
+func (l *Loop) Defer(do func()) { l.later = append(l.later, do) }
 
 // Stop ends Run after the turn at hand.
 func (l *Loop) Stop() { l.stopped = true }
@@ -139,8 +139,8 @@
 		l.tick()
 		began = l.now
 		// the turn before counts, too: a process may be stopped at any place
-		if late := l.now - before - float64(wait)/1000; wait >= 0 && l.Overslept != nil && late > l.SleptAfter {
-			l.Overslept(late)
+		if late := l.now - before - float64(wait)/1000; wait >= 0 && l.OnLateWakeup != nil && late > l.LateWakeupSeconds {
+			l.OnLateWakeup(late)
 		}
 		for _, c := range l.urgent { // whatever the director has written counts as told: read it before anything can send
 			if !c.connecting {
@@ -199,7 +199,7 @@
 func (l *Loop) event(e unix.EpollEvent) {
 	h := handleOf(&e)
 	if h == wakeHandle {
-		l.system.Woken()
+		l.system.ClearWake()
 		l.mu.Lock()
 		posted := l.posted
 		l.posted = nil
@@ -236,18 +236,18 @@
 	for _, s := range l.sockets {
 		s.Close()
 	}
-	l.system.End()
+	l.system.Release()
 }
 
 // room frees a descriptor when all are taken: first that of a peer which has had its last answer.
-func (l *Loop) room() bool { return l.Open() < l.limit || l.spare() }
+func (l *Loop) room() bool { return l.OpenSockets() < l.limit || l.spare() }
 
 func (l *Loop) spare() bool {
 	if len(l.lingering) > 0 {
 		l.lingering[0].Close()
 		return true
 	}
-	return l.Shed != nil && l.Shed()
+	return l.FreeDescriptor != nil && l.FreeDescriptor()
 }
 
 // sockaddr turns an address into the system's form.
--- a/internal/shared/eventloop/loop_test.go
+++ b/internal/shared/eventloop/loop_test.go
@@ -82,8 +82,8 @@
 		t.Fatal(err)
 	}
 	want := []string{"client opened", "server data ping", "client data pong", "client closed", "absent closed"}
-	if diff := cmp.Diff(want, heard); diff != "" || client.Alive() || l.Open() != 0 {
-		t.Errorf("%d open (-want +got):\n%s", l.Open(), diff)
+	if diff := cmp.Diff(want, heard); diff != "" || client.Alive() || l.OpenSockets() != 0 {
+		t.Errorf("%d open (-want +got):\n%s", l.OpenSockets(), diff)
 	}
 }
 
@@ -115,7 +115,7 @@
 // Guards against deadlines out of order, one stopped in time that runs all the same, and one that is past
 // already when it is set keeping the loop from its sockets.
 func TestDeadlines(t *testing.T) {
-	var d Deadlines
+	var d Timers
 	var got []string
 	note := func(name string) func() { return func() { got = append(got, name) } }
 	d.At(3, note("c"))
@@ -125,7 +125,7 @@
 	d.At(2, func() { got = append(got, "again"); d.At(0, note("next turn")) })
 	stopped.Stop()
 	stopped.Stop()
-	(*Deadline)(nil).Stop()
+	(*Timer)(nil).Stop()
 	d.run(2)
 	got = append(got, "|")
 	d.run(2)
@@ -165,7 +165,7 @@
 	h := &teller{loop: loop}
 	var conn *Conn
 	if err := loop.Adopt(pair[0], nil, func(c *Conn) Handler {
-		c.Passes()
+		c.EnableDescriptorPassing()
 		conn = c
 		return h
 	}); err != nil {
@@ -184,7 +184,7 @@
 		said += n
 	}
 	unix.Close(pair[1])
-	loop.Later(func() { conn.Write([]byte("too late")) })
+	loop.Defer(func() { conn.Write([]byte("too late")) })
 	if err := loop.Run(); err != nil {
 		t.Fatal(err)
 	}
@@ -213,7 +213,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := loop.Inherit(fd, func(*Conn) Handler { return nil })
+	ln, err := loop.InheritListener(fd, func(*Conn) Handler { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/shared/eventloop/rights.go
+++ b/internal/shared/eventloop/rights.go
@@ -36,11 +36,11 @@
 	r.come, r.out = nil, nil
 }
 
-// Passes has descriptors pass along the connection.
-func (c *Conn) Passes() { c.rights = &rights{} }
+// EnableDescriptorPassing has descriptors pass along the connection.
+func (c *Conn) EnableDescriptorPassing() { c.rights = &rights{} }
 
-// Pass writes b and passes fd with its first byte; fd is closed here once it has gone out, or cannot.
-func (c *Conn) Pass(b []byte, fd int) {
+// WriteWithDescriptor writes b and passes fd with its first byte; fd is closed here once it has gone out, or cannot.
+func (c *Conn) WriteWithDescriptor(b []byte, fd int) {
 	if c.fd < 0 || c.broken || c.closing || c.rights == nil || len(b) == 0 {
 		unix.Close(fd)
 		return
@@ -49,8 +49,8 @@
 	c.Write(b)
 }
 
-// Taken is the next descriptor that has come; false when there is none.
-func (c *Conn) Taken() (fd int, ok bool) {
+// NextDescriptor is the next descriptor that has come; false when there is none.
+func (c *Conn) NextDescriptor() (fd int, ok bool) {
 	if c.rights == nil || len(c.rights.come) == 0 {
 		return -1, false
 	}
@@ -118,7 +118,7 @@
 }
 
 // readLast reads what the peer wrote before it went: a write that found it gone says nothing of that. Only for owners that
-// asked for it by ReadLast, or whose connection passes descriptors.
+// asked for it by ReadBeforeReset, or whose connection passes descriptors.
 func (c *Conn) readLast() {
 	if !c.readsLast && c.rights == nil {
 		return
@@ -137,9 +137,9 @@
 	}
 }
 
-// Release lets go of the connection without ending it: its descriptor, and what has come and was not consumed. The
+// Detach lets go of the connection without ending it: its descriptor, and what has come and was not consumed. The
 // owner hears nothing more.
-func (c *Conn) Release() (fd int, in []byte) {
+func (c *Conn) Detach() (fd int, in []byte) {
 	fd, in = c.fd, c.in
 	if fd < 0 {
 		return -1, nil
@@ -164,7 +164,7 @@
 		return err
 	}
 	if c.handler = take(c); len(in) > 0 {
-		l.Later(func() {
+		l.Defer(func() {
 			if c.handler != nil && !c.broken {
 				c.handler.Data(c)
 			}
@@ -184,7 +184,7 @@
 }
 
 // ListenUnix accepts connections at a unix socket that takes the place of whatever stands at path. It stands apart
-// from the clients' as those of ListenApart do.
+// from the clients' as those of ListenReserved do.
 func (l *Loop) ListenUnix(path string, most int, give func() bool, take func(c *Conn) Handler) (*Listener, error) {
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -222,8 +222,8 @@
 	return ln, nil
 }
 
-// ConnectNear opens a connection to a unix socket along which descriptors pass, however long its path is.
-func (l *Loop) ConnectNear(path string, h Handler) (c *Conn) {
+// ConnectUnixWithDescriptors opens a connection to a unix socket along which descriptors pass, however long its path is.
+func (l *Loop) ConnectUnixWithDescriptors(path string, h Handler) (c *Conn) {
 	err := shortly(path, func(short string) error {
 		c = l.connect(func() (int, error) { return connectSocket(unix.AF_UNIX, &unix.SockaddrUnix{Name: short}) }, h)
 		return nil
@@ -232,6 +232,6 @@
 		c = &Conn{loop: l, fd: -1, handler: h, connecting: true, h: slotmap.Handle(0)}
 		c.breakLater(err)
 	}
-	c.Passes()
+	c.EnableDescriptorPassing()
 	return c
 }
--- a/internal/shared/eventloop/socket.go
+++ b/internal/shared/eventloop/socket.go
@@ -13,17 +13,17 @@
 	datagramRounds = 64   // read in a turn: the jobs must not wait for more
 )
 
-// Socket is a bound UDP socket: datagrams come from anybody and go to anybody. It counts as none of the loop's sockets.
-type Socket struct {
+// UDPSocket is a bound UDP socket: datagrams come from anybody and go to anybody. It counts as none of the loop's sockets.
+type UDPSocket struct {
 	loop *Loop
 	id   uint32
 	fd   int
 	take func(b []byte)
 }
 
-// ListenDatagrams binds a UDP socket; take gets each datagram and keeps nothing of b. What several sockets of one process
+// ListenUDP binds a UDP socket; take gets each datagram and keeps nothing of b. What several sockets of one process
 // would share, the address, is refused to the second: errors wrap the system's.
-func (l *Loop) ListenDatagrams(addr netip.AddrPort, take func(b []byte)) (*Socket, error) {
+func (l *Loop) ListenUDP(addr netip.AddrPort, take func(b []byte)) (*UDPSocket, error) {
 	family, sa := sockaddr(addr)
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -34,7 +34,7 @@
 		return nil, fmt.Errorf("transport: bind %s: %w", addr, err)
 	}
 	l.lastSocket++ // handles of slots are above these numbers
-	s := &Socket{loop: l, id: l.lastSocket, fd: fd, take: take}
+	s := &UDPSocket{loop: l, id: l.lastSocket, fd: fd, take: take}
 	if err := l.control(unix.EPOLL_CTL_ADD, fd, socketHandle(s.id), unix.EPOLLIN); err != nil {
 		unix.Close(fd)
 		return nil, err
@@ -44,13 +44,13 @@
 }
 
 // Addr is the address the socket has.
-func (s *Socket) Addr() netip.AddrPort { return address(unix.Getsockname(s.fd)) }
+func (s *UDPSocket) Addr() netip.AddrPort { return address(unix.Getsockname(s.fd)) }
 
-// Take changes who gets the datagrams.
-func (s *Socket) Take(take func(b []byte)) { s.take = take }
+// SetHandler changes who gets the datagrams.
+func (s *UDPSocket) SetHandler(take func(b []byte)) { s.take = take }
 
 // SendTo sends one datagram. With no room for it in the system it is dropped, and the error says so.
-func (s *Socket) SendTo(addr netip.AddrPort, b []byte) error {
+func (s *UDPSocket) SendTo(addr netip.AddrPort, b []byte) error {
 	_, sa := sockaddr(addr)
 	if err := unix.Sendto(s.fd, b, unix.MSG_DONTWAIT, sa); err != nil {
 		return fmt.Errorf("transport: send: %w", err)
@@ -59,14 +59,14 @@
 }
 
 // Close closes the socket; closing it again does nothing.
-func (s *Socket) Close() {
+func (s *UDPSocket) Close() {
 	if s.loop.sockets[s.id] == s {
 		delete(s.loop.sockets, s.id)
 		unix.Close(s.fd)
 	}
 }
 
-func (s *Socket) readable() {
+func (s *UDPSocket) readable() {
 	var b [datagramSize]byte
 	for range datagramRounds {
 		if s.loop.sockets[s.id] != s {
--- a/internal/shared/eventloop/socket_test.go
+++ b/internal/shared/eventloop/socket_test.go
@@ -15,8 +15,8 @@
 	l := newLoop(t, 10)
 	any := netip.MustParseAddrPort("127.0.0.1:0")
 	var got []int
-	var a, b *Socket
-	a, err := l.ListenDatagrams(any, func(d []byte) {
+	var a, b *UDPSocket
+	a, err := l.ListenUDP(any, func(d []byte) {
 		if got = append(got, len(d)); len(got) == 3 {
 			a.Close()
 			a.Close()
@@ -26,13 +26,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b, err = l.ListenDatagrams(any, func([]byte) { t.Error("nobody sent it") }); err != nil {
+	if b, err = l.ListenUDP(any, func([]byte) { t.Error("nobody sent it") }); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := l.ListenDatagrams(a.Addr(), func([]byte) {}); !errors.Is(err, unix.EADDRINUSE) {
+	if _, err := l.ListenUDP(a.Addr(), func([]byte) {}); !errors.Is(err, unix.EADDRINUSE) {
 		t.Errorf("an address that is taken: %v", err)
 	}
-	l.Later(func() {
+	l.Defer(func() {
 		for _, n := range []int{0, 100, 5000, 7} { // the last one comes when nobody is there
 			if err := b.SendTo(a.Addr(), make([]byte, n)); err != nil {
 				t.Error(err)
@@ -45,17 +45,17 @@
 	if len(got) != 3 || got[0] != 0 || got[1] != 100 || got[2] != datagramSize {
 		t.Errorf("took datagrams of %v bytes", got)
 	}
-	if l.Open() != 0 {
-		t.Errorf("%d sockets count as clients'", l.Open())
+	if l.OpenSockets() != 0 {
+		t.Errorf("%d sockets count as clients'", l.OpenSockets())
 	}
 }
 
 // A turn that comes late is told of before anything else in it: before posted work, before what has come, before deadlines.
 func TestOverslept(t *testing.T) {
 	l := newLoop(t, 10)
-	l.SleptAfter = 0.2
+	l.LateWakeupSeconds = 0.2
 	var order []string
-	l.Overslept = func(late float64) {
+	l.OnLateWakeup = func(late float64) {
 		if late < 0.2 || late > 25 {
 			t.Errorf("%v s late", late)
 		}
--- a/internal/shared/eventloop/system.go
+++ b/internal/shared/eventloop/system.go
@@ -18,11 +18,11 @@
 	Wait(events []unix.EpollEvent, timeout int) (int, error)
 	// Wake ends a Wait from another goroutine; Woken takes its event.
 	Wake()
-	Woken()
+	ClearWake()
 	// Watch changes the events that are waited for, by an operation of epoll_ctl.
 	Watch(operation, fd int, event unix.EpollEvent) error
-	// End lets go of what Wait holds.
-	End()
+	// Release lets go of what Wait holds.
+	Release()
 
 	Listen(addr netip.AddrPort) (fd int, err error)
 	Accept(fd int) (int, error)
@@ -36,12 +36,12 @@
 	// Discard reads bytes into b, which is not kept, and says how many there were, if more than b holds.
 	Discard(fd int, b []byte) (int, error)
 	Write(fd int, b []byte) (int, error)
-	// Finish closes the direction of writing.
-	Finish(fd int) error
-	// Reset has Close drop what was written and reset the connection.
-	Reset(fd int)
-	// Failure takes the error that a socket holds.
-	Failure(fd int) error
+	// ShutdownWrite closes the direction of writing.
+	ShutdownWrite(fd int) error
+	// SetResetOnClose has Close drop what was written and reset the connection.
+	SetResetOnClose(fd int)
+	// SocketError takes the error that a socket holds.
+	SocketError(fd int) error
 	// Unacknowledged is how many bytes written the peer's system has not confirmed.
 	Unacknowledged(fd int) (int, error)
 	Close(fd int)
@@ -65,7 +65,7 @@
 	}
 	k := &kernel{epoll: epoll, wake: wake}
 	if err := k.Watch(unix.EPOLL_CTL_ADD, wake, unix.EpollEvent{Events: unix.EPOLLIN, Fd: wakeHandle}); err != nil {
-		k.End()
+		k.Release()
 		return nil, err
 	}
 	return k, nil
@@ -86,7 +86,7 @@
 	_, _ = unix.Write(k.wake, one[:])
 }
 
-func (k *kernel) Woken() {
+func (k *kernel) ClearWake() {
 	var count [8]byte
 	_, _ = unix.Read(k.wake, count[:])
 }
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func (k *kernel) End() {
+func (k *kernel) Release() {
 	unix.Close(k.wake)
 	unix.Close(k.epoll)
 }
@@ -162,13 +162,13 @@
 
 func (k *kernel) Write(fd int, b []byte) (int, error) { return unix.Write(fd, b) }
 
-func (k *kernel) Finish(fd int) error { return unix.Shutdown(fd, unix.SHUT_WR) }
+func (k *kernel) ShutdownWrite(fd int) error { return unix.Shutdown(fd, unix.SHUT_WR) }
 
-func (k *kernel) Reset(fd int) {
+func (k *kernel) SetResetOnClose(fd int) {
 	_ = unix.SetsockoptLinger(fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 }
 
-func (k *kernel) Failure(fd int) error {
+func (k *kernel) SocketError(fd int) error {
 	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
 		err = unix.Errno(code)
--- a/internal/shared/httpwire/body.go
+++ b/internal/shared/httpwire/body.go
@@ -36,7 +36,7 @@
 		return f, err
 	}
 	if f.Kind == Chunked && version != "HTTP/1.1" {
-		return f, Bad(400, "transfer coding")
+		return f, NewSyntaxError(400, "transfer coding")
 	}
 	return f, nil
 }
@@ -61,10 +61,10 @@
 	lengths, codings := h.Count("Content-Length"), h.Count("Transfer-Encoding")
 	switch {
 	case lengths+codings > 1:
-		return Framing{}, Bad(400, "two lengths")
+		return Framing{}, NewSyntaxError(400, "two lengths")
 	case codings == 1:
 		if !strings.EqualFold(h.Get("Transfer-Encoding"), "chunked") {
-			return Framing{}, Bad(400, "transfer coding")
+			return Framing{}, NewSyntaxError(400, "transfer coding")
 		}
 		return Framing{Kind: Chunked}, nil
 	case lengths == 0:
@@ -77,11 +77,11 @@
 // ParseLength reads the value of Content-Length. One that is digits but larger than any body is a body too large.
 func ParseLength(value string) (int64, error) {
 	if value == "" || strings.Trim(value, "0123456789") != "" {
-		return 0, Bad(400, "content length")
+		return 0, NewSyntaxError(400, "content length")
 	}
 	size, err := strconv.ParseInt(value, 10, 63)
 	if err != nil {
-		return 0, Bad(413, "body too large")
+		return 0, NewSyntaxError(413, "body too large")
 	}
 	return size, nil
 }
@@ -104,8 +104,8 @@
 	trailer int   // bytes of it so far
 }
 
-// Start makes the reader ready for a body.
-func (r *BodyReader) Start(f Framing) { *r = BodyReader{kind: f.Kind, left: f.Length} }
+// Reset makes the reader ready for a body.
+func (r *BodyReader) Reset(f Framing) { *r = BodyReader{kind: f.Kind, left: f.Length} }
 
 // Next takes the next bytes of the body from the start of b: data is a part of it, a slice of b; n says how many bytes
 // of b it took, those of the framing included. done says that the body is whole. With no data, no error and not done it
@@ -146,7 +146,7 @@
 				return nil, n, false, nil
 			}
 			if b[n] != '\r' || b[n+1] != '\n' {
-				return nil, n, false, Bad(400, "chunk end")
+				return nil, n, false, NewSyntaxError(400, "chunk end")
 			}
 			n += 2
 			r.part = chunkLine
@@ -173,7 +173,7 @@
 		end := bytes.Index(b[n:], []byte("\r\n"))
 		if end < 0 {
 			if r.trailer+len(b)-n > mostTrailer {
-				return n, false, Bad(431, "trailer too large")
+				return n, false, NewSyntaxError(431, "trailer too large")
 			}
 			return n, false, nil
 		}
@@ -181,11 +181,11 @@
 			return n + 2, true, nil
 		}
 		if _, _, ok := parseField(string(b[n : n+end])); !ok {
-			return n, false, Bad(400, "trailer field")
+			return n, false, NewSyntaxError(400, "trailer field")
 		}
 		n += end + 2
 		if r.trailer += end + 2; r.trailer > mostTrailer {
-			return n, false, Bad(431, "trailer too large")
+			return n, false, NewSyntaxError(431, "trailer too large")
 		}
 	}
 }
@@ -195,46 +195,46 @@
 	end := bytes.Index(b, []byte("\r\n"))
 	if end < 0 {
 		if len(b) > mostChunkLine {
-			return 0, 0, Bad(400, "chunk line")
+			return 0, 0, NewSyntaxError(400, "chunk line")
 		}
 		return 0, 0, nil
 	}
 	if bytes.ContainsAny(b[:end], "\r\n\x00") {
-		return 0, 0, Bad(400, "chunk line")
+		return 0, 0, NewSyntaxError(400, "chunk line")
 	}
 	digits, _, _ := strings.Cut(string(b[:end]), ";")
 	length, err := strconv.ParseUint(strings.Trim(digits, " \t"), 16, 31)
 	if err != nil || length >= maxChunk {
-		return 0, 0, Bad(400, "chunk size")
+		return 0, 0, NewSyntaxError(400, "chunk size")
 	}
 	return int64(length), end + 2, nil
 }
 
-// NextChunk reads one whole chunk of a chunked body, of at most limit bytes; last marks the end of the body, its
+// ParseChunk reads one whole chunk of a chunked body, of at most limit bytes; last marks the end of the body, its
 // trailer included.
-func NextChunk(b []byte, limit int) (chunk []byte, n int, last bool, err error) {
+func ParseChunk(b []byte, limit int) (chunk []byte, n int, last bool, err error) {
 	size, n, err := parseChunkLine(b)
 	switch {
 	case err != nil:
 		return nil, 0, false, err
 	case n == 0:
-		return nil, 0, false, ErrMore
+		return nil, 0, false, ErrIncomplete
 	case size > int64(limit):
-		return nil, 0, false, Bad(413, "chunk too large")
+		return nil, 0, false, NewSyntaxError(413, "chunk too large")
 	case size == 0:
 		var r BodyReader
 		m, done, err := r.skipTrailer(b[n:])
 		if err == nil && !done {
-			err = ErrMore
+			err = ErrIncomplete
 		}
 		if err != nil {
 			return nil, 0, false, err
 		}
 		return nil, n + m, true, nil
 	case len(b) < n+int(size)+2:
-		return nil, 0, false, ErrMore
+		return nil, 0, false, ErrIncomplete
 	case b[n+int(size)] != '\r' || b[n+int(size)+1] != '\n':
-		return nil, 0, false, Bad(400, "chunk end")
+		return nil, 0, false, NewSyntaxError(400, "chunk end")
 	}
 	return b[n : n+int(size)], n + int(size) + 2, false, nil
 }
--- a/internal/shared/httpwire/head.go
+++ b/internal/shared/httpwire/head.go
@@ -1,5 +1,5 @@
 // Package httpwire reads and writes HTTP/1.1 messages (RFC 9112) over bytes that the caller holds. It does no I/O: a
-// parser that needs more bytes says so with ErrMore. Whatever two readers could frame differently is an error, so that
+// parser that needs more bytes says so with ErrIncomplete. Whatever two readers could frame differently is an error, so that
 // no request can hide inside another one.
 package httpwire
 
@@ -15,8 +15,8 @@
 	fields    = 16 // of a usual message
 )
 
-// ErrMore says that the message is not whole yet.
-var ErrMore = errors.New("httpwire: message not whole")
+// ErrIncomplete says that the message is not whole yet.
+var ErrIncomplete = errors.New("httpwire: message not whole")
 
 // SyntaxError is a message that breaks HTTP or the bounds; Status is what a server answers to it.
 type SyntaxError struct {
@@ -26,8 +26,10 @@
 
 func (e *SyntaxError) Error() string { return "httpwire: " + e.Reason }
 
-// Bad makes a SyntaxError.
-func Bad(status int, reason string) error { return &SyntaxError{Status: status, Reason: reason} }
+// NewSyntaxError makes a SyntaxError.
+func NewSyntaxError(status int, reason string) error {
+	return &SyntaxError{Status: status, Reason: reason}
+}
 
 // Header is the fields of a message in their order.
 type Header []struct{ Name, Value string }
@@ -55,11 +57,13 @@
 	return n
 }
 
-// Once is the value of a field; ok is false when it is there twice, which two readers might take differently.
-func (h Header) Once(name string) (value string, ok bool) { return h.Get(name), h.Count(name) <= 1 }
+// GetUnique is the value of a field; ok is false when it is there twice, which two readers might take differently.
+func (h Header) GetUnique(name string) (value string, ok bool) {
+	return h.Get(name), h.Count(name) <= 1
+}
 
-// Lists says whether one of the comma-separated elements of the fields of a name is the given one, in any case.
-func (h Header) Lists(name, element string) bool {
+// HasElement says whether one of the comma-separated elements of the fields of a name is the given one, in any case.
+func (h Header) HasElement(name, element string) bool {
 	for i := range h {
 		if !strings.EqualFold(h[i].Name, name) {
 			continue
@@ -73,23 +77,23 @@
 	return false
 }
 
-// Closes says whether the connection ends after the message.
-func (h Header) Closes(version string) bool {
-	return h.Lists("Connection", "close") || version == "HTTP/1.0" && !h.Lists("Connection", "keep-alive")
+// ClosesConnection says whether the connection ends after the message.
+func (h Header) ClosesConnection(version string) bool {
+	return h.HasElement("Connection", "close") || version == "HTTP/1.0" && !h.HasElement("Connection", "keep-alive")
 }
 
 // ParseHead reads a start line and the fields after it, of at most limit bytes together.
 func ParseHead(b []byte, limit int) (line string, header Header, n int, err error) {
 	end := bytes.Index(b, []byte("\r\n\r\n"))
 	if end < 0 && len(b) < limit {
-		return "", nil, 0, ErrMore
+		return "", nil, 0, ErrIncomplete
 	}
 	if end < 0 || end+4 > limit {
-		return "", nil, 0, Bad(431, "header too large")
+		return "", nil, 0, NewSyntaxError(431, "header too large")
 	}
 	line, rest, _ := strings.Cut(string(b[:end]), "\r\n")
 	if strings.ContainsAny(line, "\r\n\x00") {
-		return "", nil, 0, Bad(400, "start line")
+		return "", nil, 0, NewSyntaxError(400, "start line")
 	}
 	if rest != "" {
 		header = make(Header, 0, fields)
@@ -99,7 +103,7 @@
 		field, rest, _ = strings.Cut(rest, "\r\n")
 		name, value, ok := parseField(field)
 		if !ok {
-			return "", nil, 0, Bad(400, "header field")
+			return "", nil, 0, NewSyntaxError(400, "header field")
 		}
 		header = append(header, struct{ Name, Value string }{name, value})
 	}
@@ -109,7 +113,7 @@
 // parseField reads one line of a header or a trailer.
 func parseField(line string) (name, value string, ok bool) {
 	name, value, ok = strings.Cut(line, ":")
-	if !ok || !Token(name) || strings.ContainsFunc(value, control) {
+	if !ok || !IsToken(name) || strings.ContainsFunc(value, control) {
 		return "", "", false
 	}
 	return name, strings.Trim(value, " \t"), true
@@ -118,8 +122,8 @@
 // control says whether c is a control byte other than the tab: none belongs into a field's value.
 func control(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
 
-// Token says whether s is an HTTP token.
-func Token(s string) bool {
+// IsToken says whether s is an HTTP token.
+func IsToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c <= ' ' || c >= 0x7f || strings.IndexByte(`()<>@,;:\"/[]?={}`, c) >= 0 {
 			return false
@@ -128,9 +132,9 @@
 	return s != ""
 }
 
-// Visible says whether s holds visible ASCII alone. What else a target or an id holds might be read in another
+// IsVisibleASCII says whether s holds visible ASCII alone. What else a target or an id holds might be read in another
 // way by the next machine, or end its line there.
-func Visible(s string) bool {
+func IsVisibleASCII(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if s[i] <= ' ' || s[i] >= 0x7f {
 			return false
@@ -139,8 +143,8 @@
 	return true
 }
 
-// StartsMessage says whether b, the part of a head that has come, may still become a message.
-func StartsMessage(b []byte) bool {
+// IsMessagePrefix says whether b, the part of a head that has come, may still become a message.
+func IsMessagePrefix(b []byte) bool {
 	line, _, _ := bytes.Cut(b, []byte("\r"))
 	for _, c := range line {
 		if c < ' ' || c >= 0x7f {
@@ -156,14 +160,14 @@
 	Header                  Header
 	Body                    Framing
 	Close                   bool // the client wants the connection to end after the answer
-	AwaitsContinue          bool // the client sends the body after a 100
+	ExpectsContinue         bool // the client sends the body after a 100
 }
 
-// SkipBlank counts the bytes of empty lines before a request, which are ignored.
-func SkipBlank(b []byte) (n int, err error) {
+// SkipBlankLines counts the bytes of empty lines before a request, which are ignored.
+func SkipBlankLines(b []byte) (n int, err error) {
 	for bytes.HasPrefix(b[n:], []byte("\r\n")) {
 		if n += 2; n > mostBlank {
-			return 0, Bad(400, "no request")
+			return 0, NewSyntaxError(400, "no request")
 		}
 	}
 	return n, nil
@@ -171,13 +175,13 @@
 
 // ParseRequestHead reads the head of a request, of at most limit bytes, and tells how many bytes it took.
 func ParseRequestHead(b []byte, limit int) (q RequestHead, n int, err error) {
-	blank, err := SkipBlank(b)
+	blank, err := SkipBlankLines(b)
 	if err != nil {
 		return q, 0, err
 	}
 	line, header, n, err := ParseHead(b[blank:], limit)
-	if errors.Is(err, ErrMore) && !StartsMessage(b[blank:]) {
-		return q, 0, Bad(400, "request line") // no more bytes can mend it
+	if errors.Is(err, ErrIncomplete) && !IsMessagePrefix(b[blank:]) {
+		return q, 0, NewSyntaxError(400, "request line") // no more bytes can mend it
 	}
 	if err != nil {
 		return q, 0, err
@@ -186,8 +190,8 @@
 		return q, 0, err
 	}
 	q.Header = header
-	q.Close = header.Closes(q.Version)
-	q.AwaitsContinue = q.Version == "HTTP/1.1" && strings.EqualFold(header.Get("Expect"), "100-continue")
+	q.Close = header.ClosesConnection(q.Version)
+	q.ExpectsContinue = q.Version == "HTTP/1.1" && strings.EqualFold(header.Get("Expect"), "100-continue")
 	if q.Body, err = requestFraming(header, q.Version); err != nil {
 		return q, 0, err
 	}
@@ -198,12 +202,12 @@
 func ParseRequestLine(line string) (method, target, version string, err error) {
 	method, rest, _ := strings.Cut(line, " ")
 	target, version, _ = strings.Cut(rest, " ")
-	if !Token(method) || !strings.HasPrefix(target, "/") || !Visible(target) || version == "" ||
+	if !IsToken(method) || !strings.HasPrefix(target, "/") || !IsVisibleASCII(target) || version == "" ||
 		strings.Contains(version, " ") {
-		return "", "", "", Bad(400, "request line")
+		return "", "", "", NewSyntaxError(400, "request line")
 	}
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return "", "", "", Bad(505, "HTTP version")
+		return "", "", "", NewSyntaxError(505, "HTTP version")
 	}
 	return method, target, version, nil
 }
@@ -222,8 +226,8 @@
 func ParseResponseHead(b []byte, method string, limit int) (p ResponseHead, n int, err error) {
 	for {
 		line, header, m, err := ParseHead(b[n:], limit)
-		if errors.Is(err, ErrMore) && !startsResponse(b[n:]) {
-			return p, 0, Bad(502, "status line")
+		if errors.Is(err, ErrIncomplete) && !startsResponse(b[n:]) {
+			return p, 0, NewSyntaxError(502, "status line")
 		}
 		if err != nil {
 			return p, 0, err
@@ -234,12 +238,12 @@
 			return p, 0, err
 		}
 		if status == 101 {
-			return p, 0, Bad(502, "change of protocol")
+			return p, 0, NewSyntaxError(502, "change of protocol")
 		}
 		if status < 200 {
 			continue
 		}
-		p = ResponseHead{Status: status, Reason: reason, Header: header, Close: header.Closes(version)}
+		p = ResponseHead{Status: status, Reason: reason, Header: header, Close: header.ClosesConnection(version)}
 		if p.Body, err = responseFraming(&p, method); err != nil {
 			return ResponseHead{}, 0, err
 		}
@@ -252,7 +256,7 @@
 func startsResponse(b []byte) bool {
 	const protocol = "HTTP/1."
 	n := min(len(b), len(protocol))
-	return string(b[:n]) == protocol[:n] && StartsMessage(b)
+	return string(b[:n]) == protocol[:n] && IsMessagePrefix(b)
 }
 
 // ParseStatusLine reads the first line of a response.
@@ -261,7 +265,7 @@
 	code, reason, _ := strings.Cut(rest, " ")
 	status, err = strconv.Atoi(code)
 	if err != nil || len(code) != 3 || status < 100 || version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return "", 0, "", Bad(502, "status line")
+		return "", 0, "", NewSyntaxError(502, "status line")
 	}
 	return version, status, reason, nil
 }
--- a/internal/shared/httpwire/httpwire_test.go
+++ b/internal/shared/httpwire/httpwire_test.go
@@ -16,7 +16,7 @@
 	switch {
 	case err == nil:
 		return 0
-	case errors.Is(err, ErrMore):
+	case errors.Is(err, ErrIncomplete):
 		return -1
 	case !errors.As(err, &syntax):
 		t.Fatalf("error of another kind: %v", err)
@@ -125,7 +125,7 @@
 // readAll reads a body that comes in pieces of the given size.
 func readAll(f Framing, in string, size int) (body string, taken int, done bool, err error) {
 	var r BodyReader
-	r.Start(f)
+	r.Reset(f)
 	var held []byte
 	rest := in
 	for {
@@ -198,7 +198,7 @@
 		"X-Three":    false,
 		"connection": false, "KEEP-ALIVE": false, "transfer-encoding": false, "Content-Length": false, "TE": false,
 		"Upgrade": false} {
-		if got := h.EndToEnd(name); got != want {
+		if got := h.IsEndToEnd(name); got != want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
--- a/internal/shared/httpwire/write.go
+++ b/internal/shared/httpwire/write.go
@@ -11,8 +11,8 @@
 	431: "Request Header Fields Too Large", 500: "Internal Server Error", 502: "Bad Gateway",
 	503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
 
-// Reason is the reason phrase of a status; empty for one that the programs never answer with.
-func Reason(status int) string { return reasons[status] }
+// ReasonPhrase is the reason phrase of a status; empty for one that the programs never answer with.
+func ReasonPhrase(status int) string { return reasons[status] }
 
 // AppendStatusLine writes the first line of a response.
 func AppendStatusLine(b []byte, status int, reason string) []byte {
@@ -31,8 +31,8 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendNumber writes one field with a number.
-func AppendNumber(b []byte, name string, value int64) []byte {
+// AppendIntField writes one field with a number.
+func AppendIntField(b []byte, name string, value int64) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
 	b = strconv.AppendInt(b, value, 10)
@@ -58,12 +58,12 @@
 var hopByHop = [...]string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"TE", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
-// EndToEnd says whether a field of the header goes on to the next machine.
-func (h Header) EndToEnd(name string) bool {
+// IsEndToEnd says whether a field of the header goes on to the next machine.
+func (h Header) IsEndToEnd(name string) bool {
 	for _, hop := range hopByHop {
 		if len(hop) == len(name) && strings.EqualFold(hop, name) {
 			return false
 		}
 	}
-	return !h.Lists("Connection", name)
+	return !h.HasElement("Connection", name)
 }
--- a/internal/shared/invariant/debug.go
+++ b/internal/shared/invariant/debug.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// Fatal says that a breach panics.
-const Fatal = true
+// PanicOnViolation says that a breach panics.
+const PanicOnViolation = true
--- a/internal/shared/invariant/invariant.go
+++ b/internal/shared/invariant/invariant.go
@@ -11,10 +11,10 @@
 		return
 	}
 	broken.Add(1)
-	if Fatal {
+	if PanicOnViolation {
 		panic("invariant: " + what)
 	}
 }
 
-// Broken is the number of breaches so far.
-func Broken() uint64 { return broken.Load() }
+// Violations is the number of breaches so far.
+func Violations() uint64 { return broken.Load() }
--- a/internal/shared/invariant/release.go
+++ b/internal/shared/invariant/release.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// Fatal says that a breach panics.
-const Fatal = false
+// PanicOnViolation says that a breach panics.
+const PanicOnViolation = false
--- a/internal/shared/slotmap/slots.go
+++ b/internal/shared/slotmap/slots.go
@@ -5,8 +5,8 @@
 // Handle names one stay of a thing in a slot; 0 names nothing.
 type Handle uint64
 
-// Table is a set of numbered slots.
-type Table[T any] struct {
+// Map is a set of numbered slots.
+type Map[T any] struct {
 	slots []slot[T]
 	free  []uint32
 	n     int
@@ -17,8 +17,8 @@
 	value T
 }
 
-// Put takes a free slot.
-func (t *Table[T]) Put(v T) Handle {
+// Insert takes a free slot.
+func (t *Map[T]) Insert(v T) Handle {
 	var at uint32
 	if n := len(t.free); n > 0 {
 		at, t.free = t.free[n-1], t.free[:n-1]
@@ -32,7 +32,7 @@
 	return Handle(uint64(s.gen)<<32 | uint64(at))
 }
 
-func (t *Table[T]) slot(h Handle) *slot[T] {
+func (t *Map[T]) slot(h Handle) *slot[T] {
 	at, gen := uint32(h), uint32(h>>32)
 	if int(at) >= len(t.slots) || t.slots[at].gen != gen || gen&1 == 0 {
 		return nil
@@ -41,15 +41,15 @@
 }
 
 // Get returns what the handle names, unless it has left.
-func (t *Table[T]) Get(h Handle) (v T, ok bool) {
+func (t *Map[T]) Get(h Handle) (v T, ok bool) {
 	if s := t.slot(h); s != nil {
 		return s.value, true
 	}
 	return v, false
 }
 
-// Drop frees the slot; a handle that has left already is ignored.
-func (t *Table[T]) Drop(h Handle) bool {
+// Remove frees the slot; a handle that has left already is ignored.
+func (t *Map[T]) Remove(h Handle) bool {
 	s := t.slot(h)
 	if s == nil {
 		return false
@@ -62,10 +62,10 @@
 }
 
 // Len is the number of slots taken.
-func (t *Table[T]) Len() int { return t.n }
+func (t *Map[T]) Len() int { return t.n }
 
 // Each calls f for every slot taken; f may drop the one it is given.
-func (t *Table[T]) Each(f func(Handle, T)) {
+func (t *Map[T]) Each(f func(Handle, T)) {
 	for i := range t.slots {
 		if s := &t.slots[i]; s.gen&1 == 1 {
 			f(Handle(uint64(s.gen)<<32|uint64(i)), s.value)
--- a/internal/shared/slotmap/slots_test.go
+++ b/internal/shared/slotmap/slots_test.go
@@ -4,12 +4,12 @@
 
 // Guards against an event for a connection that is gone reaching the one that took its slot.
 func TestAStaleHandleMisses(t *testing.T) {
-	var table Table[string]
-	a := table.Put("a")
-	if !table.Drop(a) || table.Drop(a) {
+	var table Map[string]
+	a := table.Insert("a")
+	if !table.Remove(a) || table.Remove(a) {
 		t.Fatal("a slot is dropped once")
 	}
-	b := table.Put("b")
+	b := table.Insert("b")
 	if uint32(a) != uint32(b) {
 		t.Fatal("the slot was not used again")
 	}
--- a/internal/system/proxy/answer.go
+++ b/internal/system/proxy/answer.go
@@ -49,13 +49,13 @@
 	s.last = s.last || x.answer.framing == httpwire.UntilClose || x.proxy.stopping.on
 	b := httpwire.AppendStatusLine(x.proxy.scratch[:0], h.Status, h.Reason)
 	for i := range h.Header {
-		if f := &h.Header[i]; h.Header.EndToEnd(f.Name) {
+		if f := &h.Header[i]; h.Header.IsEndToEnd(f.Name) {
 			b = httpwire.AppendField(b, f.Name, f.Value)
 		}
 	}
 	switch x.answer.framing {
 	case httpwire.ByLength:
-		b = httpwire.AppendNumber(b, "Content-Length", h.Body.Length)
+		b = httpwire.AppendIntField(b, "Content-Length", h.Body.Length)
 	case httpwire.Chunked:
 		b = httpwire.AppendField(b, "Transfer-Encoding", "chunked")
 	case httpwire.NoBody:
@@ -151,7 +151,7 @@
 func (x *exchange) stall(on bool) {
 	x.stalled = on
 	if a := x.attempt; a != nil && a.link != nil {
-		a.link.conn.Stall(on)
+		a.link.conn.SetStalled(on)
 	}
 }
 
--- a/internal/system/proxy/events.go
+++ b/internal/system/proxy/events.go
@@ -81,7 +81,7 @@
 	if r.again && r.lastID != "" && !rises(r.lastID, id) {
 		return false
 	}
-	r.lastID, r.loose = id, !httpwire.Visible(id)
+	r.lastID, r.loose = id, !httpwire.IsVisibleASCII(id)
 	return true
 }
 
--- a/internal/system/proxy/exchange.go
+++ b/internal/system/proxy/exchange.go
@@ -47,13 +47,13 @@
 	answer    answer
 	events    eventReader // of a stream that may be continued at another runner
 	stalled   bool        // the client does not take what it is sent
-	expiry    *eventloop.Deadline
+	expiry    *eventloop.Timer
 }
 
 // newExchange makes the exchange of a request whose head has come.
 func newExchange(s *session, head httpwire.RequestHead) *exchange {
 	x := &exchange{proxy: s.proxy, session: s, head: head}
-	x.reader.Start(head.Body)
+	x.reader.Reset(head.Body)
 	x.proxy.exchanges++
 	x.proxy.Figures.Requests++
 	return x
@@ -62,12 +62,12 @@
 // admit looks at the head: a request that cannot be served is answered at once.
 func (x *exchange) admit() {
 	header := x.head.Header
-	tryID, once := header.Once(fieldTryID)
-	host, oneHost := header.Once("Host")
+	tryID, once := header.GetUnique(fieldTryID)
+	host, oneHost := header.GetUnique("Host")
 	x.tryID = tryID
 	x.request.Arrived = x.session.comingAt
 	switch {
-	case !once || tryID == "" || len(tryID) > mostTryID || !httpwire.Visible(tryID):
+	case !once || tryID == "" || len(tryID) > mostTryID || !httpwire.IsVisibleASCII(tryID):
 		x.decline(ownAnswer{status: 400, body: "X-Try-Id missing or bad"})
 		return
 	case !oneHost || host == "" || strings.ContainsAny(host, " \t/,"):
--- a/internal/system/proxy/link.go
+++ b/internal/system/proxy/link.go
@@ -64,11 +64,11 @@
 	told     time.Duration // rest that the runner named
 	since    time.Duration // when it came to rest
 	dialed   time.Duration
-	timeout  *eventloop.Deadline
+	timeout  *eventloop.Timer
 	asks     bool          // was opened to find out whether the runner's machine is there
 	heard    bool          // bytes have come since the last look
 	patience time.Duration // until the next one
-	watchdog *eventloop.Deadline
+	watchdog *eventloop.Timer
 }
 
 // linkFollows says which states a connection may go to from each one.
@@ -103,8 +103,8 @@
 	p := l.runner.pool.proxy
 	l.timeout.Stop()
 	l.runner.connected(p.now() - l.dialed)
-	c.Probe(userTimeout, silentProbe)
-	c.ReadLast()
+	c.SetKeepAlive(userTimeout, silentProbe)
+	c.ReadBeforeReset()
 	l.answerAsked(true)
 	a := l.attempt
 	if a == nil {
@@ -148,7 +148,7 @@
 	}
 	x.proxy.scratch = head
 	if x.stalled {
-		l.conn.Stall(true)
+		l.conn.SetStalled(true)
 	}
 	l.watch(takenWithin)
 }
@@ -182,7 +182,7 @@
 		return false
 	}
 	h, n, err := httpwire.ParseResponseHead(c.Bytes(), l.method, mostAnswerHead)
-	if errors.Is(err, httpwire.ErrMore) {
+	if errors.Is(err, httpwire.ErrIncomplete) {
 		return false
 	}
 	if err != nil {
@@ -190,7 +190,7 @@
 		return false
 	}
 	c.Consume(n)
-	l.reader.Start(h.Body)
+	l.reader.Reset(h.Body)
 	l.kind = h.Body.Kind
 	l.ends = l.ends || h.Close || !l.sentWhole()
 	l.told = toldRest(h.Header)
@@ -217,7 +217,7 @@
 // isOurs says whether an answer is one to the request at hand, which its id shows. One that only says that nothing ran
 // may lack the id on a connection that carried no request before: there it can belong to no other.
 func (l *link) isOurs(h *httpwire.ResponseHead) bool {
-	id, once := h.Header.Once(fieldTryID)
+	id, once := h.Header.GetUnique(fieldTryID)
 	if id != "" {
 		return once && id == l.tryID
 	}
@@ -227,7 +227,7 @@
 // isPrevious says whether an answer is an extra one to the request before on this connection, which may be read away:
 // the answer to the request at hand follows.
 func (l *link) isPrevious(h *httpwire.ResponseHead) bool {
-	id, once := h.Header.Once(fieldTryID)
+	id, once := h.Header.GetUnique(fieldTryID)
 	return once && !l.skipped && id != "" && id == l.previous && h.Body.Kind != httpwire.UntilClose
 }
 
@@ -283,7 +283,7 @@
 		return
 	}
 	p := l.runner.pool.proxy
-	l.conn.Stall(false)
+	l.conn.SetStalled(false)
 	l.timeout.Stop()
 	l.timeout = p.at(p.now()+readAwayTime, func() { l.fail(errReadAway) })
 }
@@ -295,7 +295,7 @@
 		l.close()
 		return
 	}
-	l.conn.Stall(false)
+	l.conn.SetStalled(false)
 	l.transition(resting)
 	l.goal = 0
 	l.since = p.now()
@@ -353,7 +353,7 @@
 	}
 	l.attempt = nil
 	l.close()
-	l.answerAsked(errors.Is(err, eventloop.ErrNoRoom)) // the want is here: it says nothing of the runner
+	l.answerAsked(errors.Is(err, eventloop.ErrNoDescriptor)) // the want is here: it says nothing of the runner
 	if a != nil {
 		a.link = nil
 		a.failedWith(mayHaveRun)
--- a/internal/system/proxy/model_test.go
+++ b/internal/system/proxy/model_test.go
@@ -91,8 +91,8 @@
 	random := rand.New(rand.NewPCG(seed, 5))
 	m := &model{network: newSimulatedNetwork(random), random: random, clients: modelClients}
 	m.referee = newReferee(m.network)
-	m.loop = eventloop.NewLoopOver(m.network, 1000)
-	m.loop.LendReads = true
+	m.loop = eventloop.NewLoopWithSystem(m.network, 1000)
+	m.loop.ZeroCopyReads = true
 	placer := &fakePlacer{spread: true}
 	m.proxy = New(m.loop, zap.NewNop(), placer, Options{Front: modelFront, GracePeriod: 8 * time.Second, Seed: seed})
 	resumable := route("resumable", configuration.Streaming)
--- a/internal/system/proxy/monitor.go
+++ b/internal/system/proxy/monitor.go
@@ -38,7 +38,7 @@
 type monitorSession struct {
 	endpoint *monitorEndpoint
 	conn     *eventloop.Conn
-	timeout  *eventloop.Deadline
+	timeout  *eventloop.Timer
 }
 
 // listenMonitor serves an endpoint; the zero address is not served.
@@ -48,7 +48,7 @@
 	}
 	e := &monitorEndpoint{proxy: p, path: path, answer: answer}
 	var err error
-	if e.listener, err = p.loop.ListenApart(address, mostMonitorClients, e.shed, e.accept); err != nil {
+	if e.listener, err = p.loop.ListenReserved(address, mostMonitorClients, e.shed, e.accept); err != nil {
 		return nil, err
 	}
 	return e, nil
@@ -112,7 +112,7 @@
 func (s *monitorSession) Data(c *eventloop.Conn) {
 	for len(c.Bytes()) > 0 {
 		q, n, err := httpwire.ParseRequestHead(c.Bytes(), monitorHead)
-		if errors.Is(err, httpwire.ErrMore) {
+		if errors.Is(err, httpwire.ErrIncomplete) {
 			return
 		}
 		last := err != nil || q.Close || q.Body.Kind != httpwire.NoBody
@@ -121,7 +121,7 @@
 		c.Write(text)
 		if last {
 			s.leave()
-			c.CloseWhenSent()
+			c.CloseAfterFlush()
 			return
 		}
 		s.expect()
@@ -143,11 +143,11 @@
 
 // appendMonitorAnswer writes an answer; last says that the connection ends with it.
 func appendMonitorAnswer(b []byte, a monitorAnswer, last, noBody bool) []byte {
-	b = httpwire.AppendStatusLine(b, a.status, httpwire.Reason(a.status))
+	b = httpwire.AppendStatusLine(b, a.status, httpwire.ReasonPhrase(a.status))
 	if a.contentType != "" {
 		b = httpwire.AppendField(b, "Content-Type", a.contentType)
 	}
-	b = httpwire.AppendNumber(b, "Content-Length", int64(len(a.body)))
+	b = httpwire.AppendIntField(b, "Content-Length", int64(len(a.body)))
 	if last {
 		b = httpwire.AppendField(b, "Connection", "close")
 	}
--- a/internal/system/proxy/peers.go
+++ b/internal/system/proxy/peers.go
@@ -28,7 +28,7 @@
 type peers struct {
 	proxy    *Proxy
 	random   *rand.Rand
-	socket   *eventloop.Socket
+	socket   *eventloop.UDPSocket
 	named    bool                        // the agent has told who the others are
 	own      []netip.AddrPort            // in the own zone
 	zones    map[string][]netip.AddrPort // in the others
@@ -48,7 +48,7 @@
 	if !address.IsValid() || s.socket != nil {
 		return
 	}
-	socket, err := s.proxy.loop.ListenDatagrams(address, s.take)
+	socket, err := s.proxy.loop.ListenUDP(address, s.take)
 	if err != nil {
 		s.proxy.log.Warn("other proxies are not heard, check that no other process holds the port", zap.Error(err))
 		return
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -86,7 +86,7 @@
 	buffered     int // bytes of bodies held
 	pending      pendingWrite
 	stopping     stopping
-	tick         *eventloop.Deadline
+	tick         *eventloop.Timer
 	scratch      []byte
 	eventScratch []byte
 }
@@ -100,7 +100,7 @@
 	p.pending.flush = p.flushPending
 	p.stopping.plan = planStop(options.GracePeriod)
 	p.SetLimits(configuration.Limits{})
-	loop.Shed = p.shed
+	loop.FreeDescriptor = p.shed
 	return p
 }
 
@@ -142,7 +142,7 @@
 }
 
 // at runs do at a time of the proxy's clock.
-func (p *Proxy) at(when time.Duration, do func()) *eventloop.Deadline {
+func (p *Proxy) at(when time.Duration, do func()) *eventloop.Timer {
 	return p.loop.At(p.began+when.Seconds(), do)
 }
 
@@ -214,7 +214,7 @@
 }
 
 // crowded says whether there is no memory to take in more of a request.
-func (p *Proxy) crowded() bool { return p.buffered+p.loop.Held() > p.mostBuffered() }
+func (p *Proxy) crowded() bool { return p.buffered+p.loop.BufferedBytes() > p.mostBuffered() }
 
 // pendingWrite gathers what one session is to be sent within an event, so that it goes out in one call of the system.
 type pendingWrite struct {
--- a/internal/system/proxy/request.go
+++ b/internal/system/proxy/request.go
@@ -102,13 +102,13 @@
 		b = httpwire.AppendField(b, fieldLastEvent, x.events.lastID)
 	}
 	left := (x.request.Deadline - x.proxy.now()) / time.Millisecond
-	b = httpwire.AppendNumber(b, fieldTimeLeft, max(1, int64(left)))
+	b = httpwire.AppendIntField(b, fieldTimeLeft, max(1, int64(left)))
 	b = httpwire.AppendField(b, fieldWanted, c.Runner)
 	if c.Priority >= 0 {
-		b = httpwire.AppendNumber(b, fieldPriority, int64(c.Priority))
+		b = httpwire.AppendIntField(b, fieldPriority, int64(c.Priority))
 	}
 	if x.head.Body.Kind != httpwire.NoBody {
-		b = httpwire.AppendNumber(b, "Content-Length", int64(len(x.body)))
+		b = httpwire.AppendIntField(b, "Content-Length", int64(len(x.body)))
 	}
 	return append(b, "\r\n"...)
 }
@@ -125,5 +125,5 @@
 	case strings.EqualFold(name, fieldLastEvent):
 		return !resumed || x.events.lastID == ""
 	}
-	return x.head.Header.EndToEnd(name)
+	return x.head.Header.IsEndToEnd(name)
 }
--- a/internal/system/proxy/session.go
+++ b/internal/system/proxy/session.go
@@ -29,7 +29,7 @@
 	coming   bool          // bytes of a request have come whose head was not read
 	comingAt time.Duration // when the first of them came: the client's time runs at least from then
 	heardAt  time.Duration // when bytes last came
-	timeout  *eventloop.Deadline
+	timeout  *eventloop.Timer
 
 	previous, next *session // in the list of sessions, of which the one that rests longest is first
 }
@@ -53,7 +53,7 @@
 	}
 	if s.exchange != nil && s.exchange.state != receiving {
 		if len(c.Bytes()) > mostAhead {
-			c.Pause(true)
+			c.SetPaused(true)
 		}
 		return
 	}
@@ -149,12 +149,12 @@
 
 // readHead takes the head of a request; false when it waits, or the session has ended.
 func (s *session) readHead() bool {
-	s.conn.Pause(false)
+	s.conn.SetPaused(false)
 	if len(s.conn.Bytes()) == 0 {
 		return false
 	}
 	head, n, err := httpwire.ParseRequestHead(s.conn.Bytes(), s.proxy.limits.MaxHeaderBytes)
-	if errors.Is(err, httpwire.ErrMore) {
+	if errors.Is(err, httpwire.ErrIncomplete) {
 		s.awaitHead()
 		return false
 	}
@@ -238,7 +238,7 @@
 
 // awaitsBody invites the client to send the body, if it waits for that.
 func (s *session) awaitsBody(x *exchange) {
-	if x.head.AwaitsContinue && len(s.conn.Bytes()) == 0 {
+	if x.head.ExpectsContinue && len(s.conn.Bytes()) == 0 {
 		s.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 }
@@ -275,7 +275,7 @@
 func (s *session) reply(a ownAnswer) {
 	s.exchange = nil
 	s.last = s.last || s.proxy.stopping.on
-	b := httpwire.AppendStatusLine(s.proxy.scratch[:0], a.status, httpwire.Reason(a.status))
+	b := httpwire.AppendStatusLine(s.proxy.scratch[:0], a.status, httpwire.ReasonPhrase(a.status))
 	if a.tryID != "" {
 		b = httpwire.AppendField(b, "X-Try-Id", a.tryID)
 	}
@@ -287,7 +287,7 @@
 		body = a.body + "\n"
 		b = httpwire.AppendField(b, "Content-Type", "text/plain")
 	}
-	b = httpwire.AppendNumber(b, "Content-Length", int64(len(body)))
+	b = httpwire.AppendIntField(b, "Content-Length", int64(len(body)))
 	b = s.appendConnection(b)
 	b = append(b, "\r\n"...)
 	if !a.noBody {
@@ -317,7 +317,7 @@
 	if pending.session != s {
 		s.proxy.flushPending()
 		pending.session = s
-		s.proxy.loop.Later(pending.flush)
+		s.proxy.loop.Defer(pending.flush)
 	}
 	if pending.bytes = append(pending.bytes, b...); len(pending.bytes) > pendingFlush {
 		s.proxy.flushPending()
@@ -337,15 +337,15 @@
 	if s.last {
 		s.proxy.flushPending()
 		s.leave()
-		s.conn.CloseWhenSent()
+		s.conn.CloseAfterFlush()
 		return
 	}
 	s.rest()
 	if len(s.conn.Bytes()) > 0 || !s.conn.Open() {
-		s.proxy.loop.Later(s.readOn)
+		s.proxy.loop.Defer(s.readOn)
 		return
 	}
-	s.conn.Pause(false)
+	s.conn.SetPaused(false)
 }
 
 // readOn takes a request that was sent ahead.
@@ -360,7 +360,7 @@
 	s.proxy.flushPending()
 	s.leave()
 	if framed {
-		s.conn.CloseWhenSent()
+		s.conn.CloseAfterFlush()
 		return
 	}
 	s.conn.Reset()
--- a/internal/system/proxy/simnet_test.go
+++ b/internal/system/proxy/simnet_test.go
@@ -198,11 +198,11 @@
 // Wake implements transport.System; nobody posts.
 func (n *simulatedNetwork) Wake() {}
 
-// Woken implements transport.System.
-func (n *simulatedNetwork) Woken() {}
+// ClearWake implements transport.System.
+func (n *simulatedNetwork) ClearWake() {}
 
-// End implements transport.System.
-func (n *simulatedNetwork) End() {}
+// Release implements transport.System.
+func (n *simulatedNetwork) Release() {}
 
 // Watch implements transport.System.
 func (n *simulatedNetwork) Watch(operation, fd int, event unix.EpollEvent) error {
@@ -334,18 +334,18 @@
 	return count, nil
 }
 
-// Finish implements transport.System.
-func (n *simulatedNetwork) Finish(fd int) error {
+// ShutdownWrite implements transport.System.
+func (n *simulatedNetwork) ShutdownWrite(fd int) error {
 	s := n.sockets[fd]
 	s.end.passAway(func() { s.end.tellEnded(false) })
 	return nil
 }
 
-// Reset implements transport.System.
-func (n *simulatedNetwork) Reset(fd int) { n.sockets[fd].abortive = true }
+// SetResetOnClose implements transport.System.
+func (n *simulatedNetwork) SetResetOnClose(fd int) { n.sockets[fd].abortive = true }
 
-// Failure implements transport.System.
-func (n *simulatedNetwork) Failure(fd int) error {
+// SocketError implements transport.System.
+func (n *simulatedNetwork) SocketError(fd int) error {
 	err := n.sockets[fd].failure
 	n.sockets[fd].failure = nil
 	return err
--- a/internal/system/proxy/stop.go
+++ b/internal/system/proxy/stop.go
@@ -134,7 +134,7 @@
 // endWhenDone ends the process once nobody waits for anything.
 func (p *Proxy) endWhenDone() {
 	if p.stopping.shut && p.exchanges == 0 && p.sessions.open == 0 {
-		p.loop.Later(p.endNow)
+		p.loop.Defer(p.endNow)
 	}
 }
 
--- a/internal/system/proxy/stop_model_test.go
+++ b/internal/system/proxy/stop_model_test.go
@@ -92,8 +92,8 @@
 func newStopRun(seed uint64, grace time.Duration) *stopRun {
 	random := rand.New(rand.NewPCG(seed, uint64(grace)))
 	r := &stopRun{random: random, network: newSimulatedNetwork(random), grace: grace, passed: map[string]bool{}}
-	loop := eventloop.NewLoopOver(r.network, 1000)
-	loop.LendReads = true
+	loop := eventloop.NewLoopWithSystem(r.network, 1000)
+	loop.ZeroCopyReads = true
 	placer := &fakePlacer{spread: true}
 	r.proxy = New(loop, zap.NewNop(), placer, Options{Front: modelFront, GracePeriod: grace, Seed: seed})
 	stream := route("stream", configuration.Streaming)
--- a/internal/system/proxy/world_test.go
+++ b/internal/system/proxy/world_test.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop.LendReads = true
+	loop.ZeroCopyReads = true
 	loopback := netip.MustParseAddrPort("127.0.0.1:0")
 	options := Options{Front: loopback, Ready: loopback, GracePeriod: 8 * time.Second, Seed: 1}
 	for _, c := range change {
