--- a/cmd/cinderroad-dispatcher/main.go
+++ b/cmd/cinderroad-dispatcher/main.go
@@ -1,5 +1,5 @@
-// Command cinderroad is one dispatcher: it takes jobs from clients, sends each to a backend that the decisions
-// of package brain choose, and gives every job one final answer. Beside that it checks configurations, lists its figures
+// Command cinderroad-dispatcher is one dispatcher: it takes jobs from clients, sends each to a backend that the decisions
+// of package loadbalancer choose, and gives every job one final answer. Beside that it checks configurations, lists its figures
 // and audits them.
 package main
 
@@ -17,7 +17,7 @@
 	root := command()
 	root.SetArgs(longForms(root, os.Args[1:]))
 	if err := root.Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "cinderroad:", err)
+		fmt.Fprintln(os.Stderr, "cinderroad-dispatcher:", err)
 		os.Exit(1)
 	}
 }
@@ -25,7 +25,7 @@
 // command is the command line: a bare call serves.
 func command() *cobra.Command {
 	s := newServing()
-	root := &cobra.Command{Use: "cinderroad", Short: "A dispatcher: every job gets one final answer", Args: cobra.NoArgs,
+	root := &cobra.Command{Use: "cinderroad-dispatcher", Short: "A dispatcher: every job gets one final answer", Args: cobra.NoArgs,
 		SilenceErrors: true, SilenceUsage: true, RunE: s.run}
 	serve := &cobra.Command{Use: "serve", Short: "Serve until told to stop; what a bare call does, too", Args: cobra.NoArgs, RunE: s.run}
 	check := &cobra.Command{Use: "check", Short: "Read configuration and operator's file, and print what is in force", Args: cobra.NoArgs, RunE: s.check}
@@ -57,9 +57,9 @@
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return "cinderroad, of an unknown build"
+		return "cinderroad-dispatcher, of an unknown build"
 	}
-	text := "cinderroad " + info.Main.Version
+	text := "cinderroad-dispatcher " + info.Main.Version
 	for _, s := range info.Settings {
 		switch s.Key {
 		case "vcs.revision", "vcs.time", "GOARCH":
