--- a/internal/system/control/api/api_test.go
+++ b/internal/system/control/api/api_test.go
@@ -107,10 +107,10 @@
 	c.apply(command.Encode())
 }
 
-func (c *core) Leads(feed.Partition) (time.Duration, bool) { return time.Second, true }
-func (c *core) Fresh(feed.Partition) time.Duration         { return 0 }
-func (c *core) InContact(feed.Partition) bool              { return !c.cutOff }
-func (c *core) Status() []replica.PartitionStatus          { return nil }
+func (c *core) LeaderLease(feed.Partition) (time.Duration, bool) { return time.Second, true }
+func (c *core) Staleness(feed.Partition) time.Duration           { return 0 }
+func (c *core) InContact(feed.Partition) bool                    { return !c.cutOff }
+func (c *core) Status() []replica.PartitionStatus                { return nil }
 
 func (c *core) api() *API {
 	return New(Options{
--- a/internal/system/control/metrics.go
+++ b/internal/system/control/metrics.go
@@ -34,12 +34,12 @@
 	}
 	page.Family(exposition.Gauge, "cinderroad_control_leads", "Whether this machine leads the partition, with a lease.")
 	for i := range partitions {
-		_, leads := p.host.Leads(partitions[i].Partition)
+		_, leads := p.host.LeaderLease(partitions[i].Partition)
 		page.Sample(exposition.BoolValue(leads), label(i))
 	}
 	page.Family(exposition.Gauge, "cinderroad_control_fresh_seconds", "Time since a leader that a majority follows was heard.")
 	for i := range partitions {
-		page.Sample(p.host.Fresh(partitions[i].Partition).Seconds(), label(i))
+		page.Sample(p.host.Staleness(partitions[i].Partition).Seconds(), label(i))
 	}
 	page.Family(exposition.Gauge, "cinderroad_control_term", "Term of the partition's group, as held here.")
 	for i := range partitions {
--- a/internal/system/control/process.go
+++ b/internal/system/control/process.go
@@ -112,7 +112,7 @@
 	for _, runners := range p.runners {
 		states = append(states, runners)
 	}
-	p.host = replica.New(replica.Options{Settings: options.Settings, States: states, Log: options.Log, Failed: p.fail})
+	p.host = replica.New(replica.Options{Settings: options.Settings, StateMachines: states, Log: options.Log, OnFailure: p.fail})
 }
 
 func (p *Process) makeFeed(notifier *feedserver.Notifier) {
@@ -134,7 +134,7 @@
 // age is how long ago this machine's replica of a partition was last known to be up to date. No partition's age depends
 // on another's: one without a leader is told as stale, and the others are followed on.
 func (p *Process) age(partition feed.Partition) time.Duration {
-	age := p.host.Fresh(partition)
+	age := p.host.Staleness(partition)
 	if p.stopping.Load() {
 		age = max(age, staleWhenStopping)
 	}
--- a/internal/system/control/runnersync/duty.go
+++ b/internal/system/control/runnersync/duty.go
@@ -110,7 +110,7 @@
 		return all
 	}
 	var held feed.PartitionSet
-	if replicas.Fresh(feed.ConfigurationPartition) < takeOverAfter {
+	if replicas.Staleness(feed.ConfigurationPartition) < takeOverAfter {
 		return held
 	}
 	for partition := range all.All() {
@@ -122,7 +122,7 @@
 }
 
 func surelyLeads(replicas replica.Replicas, partition feed.Partition) bool {
-	left, leads := replicas.Leads(partition)
+	left, leads := replicas.LeaderLease(partition)
 	return leads && left > leaseMargin
 }
 
--- a/internal/system/control/runnersync/duty_test.go
+++ b/internal/system/control/runnersync/duty_test.go
@@ -95,16 +95,16 @@
 	return nil
 }
 
-func (w *world) Leads(partition feed.Partition) (time.Duration, bool) {
+func (w *world) LeaderLease(partition feed.Partition) (time.Duration, bool) {
 	if partition == feed.ConfigurationPartition {
 		return w.lease, w.leads
 	}
 	return w.lease, w.leadsToo.Contains(partition)
 }
 
-func (w *world) Fresh(feed.Partition) time.Duration { return w.unheard }
-func (w *world) InContact(feed.Partition) bool      { return true }
-func (w *world) Status() []replica.PartitionStatus  { return nil }
+func (w *world) Staleness(feed.Partition) time.Duration { return w.unheard }
+func (w *world) InContact(feed.Partition) bool          { return true }
+func (w *world) Status() []replica.PartitionStatus      { return nil }
 
 func (w *world) step() time.Duration { return w.duty.Step(context.Background()) }
 
@@ -543,11 +543,11 @@
 	behind []discovery.Runner
 }
 
-func (o *other) Leads(partition feed.Partition) (time.Duration, bool) {
+func (o *other) LeaderLease(partition feed.Partition) (time.Duration, bool) {
 	return o.lease, partition == feed.Partition(partitions)
 }
 
-func (o *other) Fresh(feed.Partition) time.Duration { return takeOverAfter }
+func (o *other) Staleness(feed.Partition) time.Duration { return takeOverAfter }
 
 func (o *other) List(context.Context) ([]discovery.Runner, error) {
 	return append([]discovery.Runner(nil), o.behind...), nil
--- a/internal/system/control/status.go
+++ b/internal/system/control/status.go
@@ -81,10 +81,10 @@
 		Applied:   group.Applied,
 		Last:      group.LastIndex,
 		Items:     p.items(int(partition.Partition)),
-		FreshMS:   p.host.Fresh(partition.Partition).Milliseconds(),
+		FreshMS:   p.host.Staleness(partition.Partition).Milliseconds(),
 		Replicas:  make([]status.Replica, 0, len(group.Membership.Members)),
 	}
-	if lease, leads := p.host.Leads(partition.Partition); leads {
+	if lease, leads := p.host.LeaderLease(partition.Partition); leads {
 		out.LeaseMS = lease.Milliseconds()
 	}
 	for _, member := range group.Membership.Members {
--- a/internal/system/control/view.go
+++ b/internal/system/control/view.go
@@ -66,7 +66,7 @@
 // watch passes addresses from membership to the replicas.
 func (p *Process) watch(ctx context.Context) {
 	for retry.Pause(ctx, hintEvery) {
-		p.host.Hint(p.gossip.ControlAddresses()...)
+		p.host.AddPeerAddresses(p.gossip.ControlAddresses()...)
 	}
 }
 
--- a/internal/system/replica/calls.go
+++ b/internal/system/replica/calls.go
@@ -62,16 +62,16 @@
 	return &DeliverReply{}, nil
 }
 
-// MessagesError says that a batch of messages cannot be read.
-type MessagesError struct{ Cause error }
+// MalformedMessagesError says that a batch of messages cannot be read.
+type MalformedMessagesError struct{ Cause error }
 
 // Error says what happened and what to do.
-func (e *MessagesError) Error() string {
+func (e *MalformedMessagesError) Error() string {
 	return "replica: messages cannot be read: " + e.Cause.Error() + "; check that all control machines run one version"
 }
 
 // Unwrap is the cause.
-func (e *MessagesError) Unwrap() error { return e.Cause }
+func (e *MalformedMessagesError) Unwrap() error { return e.Cause }
 
 var errCutShort = errors.New("they are cut short")
 
@@ -87,16 +87,16 @@
 func readMessage(b []byte) (feed.Partition, consensus.Message, []byte, error) {
 	partition, n := binary.Uvarint(b)
 	if n <= 0 || partition > uint64(^feed.Partition(0)) {
-		return 0, consensus.Message{}, nil, &MessagesError{errCutShort}
+		return 0, consensus.Message{}, nil, &MalformedMessagesError{errCutShort}
 	}
 	b = b[n:]
 	length, n := binary.Uvarint(b)
 	if n <= 0 || length > uint64(len(b)-n) {
-		return 0, consensus.Message{}, nil, &MessagesError{errCutShort}
+		return 0, consensus.Message{}, nil, &MalformedMessagesError{errCutShort}
 	}
 	message, err := consensus.DecodeMessage(b[n : n+int(length)])
 	if err != nil {
-		return 0, consensus.Message{}, nil, &MessagesError{err}
+		return 0, consensus.Message{}, nil, &MalformedMessagesError{err}
 	}
 	return feed.Partition(partition), message, b[n+int(length):], nil
 }
@@ -111,7 +111,7 @@
 // ProposeReply says what became of a command.
 type ProposeReply struct {
 	Outcome Outcome
-	Result  []byte // of OutcomeDone: what Apply returned
+	Result  []byte // of OutcomeCommitted: what Apply returned
 }
 
 // Outcome is what became of a command or a read.
@@ -119,9 +119,9 @@
 
 // The outcomes.
 const (
-	OutcomeUnknown  Outcome = iota // it may be agreed on, now or later
-	OutcomeDone                    // it was agreed on and applied
-	OutcomeNotTaken                // it was not proposed, or surely never will be agreed on
+	OutcomeUnknown   Outcome = iota // it may be agreed on, now or later
+	OutcomeCommitted                // it was agreed on and applied
+	OutcomeDropped                  // it was not proposed, or surely never will be agreed on
 )
 
 // answerPropose proposes to this machine's replica only; the caller looks for another leader itself.
@@ -138,7 +138,7 @@
 	Wait      time.Duration
 }
 
-// ReadIndexReply holds the index where the outcome is OutcomeDone.
+// ReadIndexReply holds the index where the outcome is OutcomeCommitted.
 type ReadIndexReply struct {
 	Outcome Outcome
 	Index   uint64
@@ -150,9 +150,9 @@
 	defer cancel()
 	index, confirmed := h.readIndexHere(ctx, request.Partition)
 	if !confirmed {
-		return &ReadIndexReply{Outcome: OutcomeNotTaken}, nil
+		return &ReadIndexReply{Outcome: OutcomeDropped}, nil
 	}
-	return &ReadIndexReply{Outcome: OutcomeDone, Index: index}, nil
+	return &ReadIndexReply{Outcome: OutcomeCommitted, Index: index}, nil
 }
 
 // JoinRequest asks to be a member of each partition's group, under the particulars given. It is repeated until that is
--- a/internal/system/replica/contact.go
+++ b/internal/system/replica/contact.go
@@ -61,7 +61,7 @@
 }
 
 func (h *Host) inContact(g *group, now time.Duration) bool {
-	since := now - contactElections*h.options.Election
+	since := now - contactElections*h.options.ElectionTimeout
 	status := g.machine.Status()
 	if g.contacts.began >= since || status.LeaderHeard >= since && status.LeaderHeard > 0 {
 		return true
--- a/internal/system/replica/core_calls_test.go
+++ b/internal/system/replica/core_calls_test.go
@@ -178,7 +178,7 @@
 func (p *coreProcess) propose(command []byte, deadline time.Duration, done func(result []byte, known bool)) {
 	settled := func(reply ProposeReply) {
 		switch reply.Outcome {
-		case OutcomeDone:
+		case OutcomeCommitted:
 			done(reply.Result, true)
 		case OutcomeUnknown:
 			done(nil, false)
@@ -193,7 +193,7 @@
 	case leader != nil:
 		p.proposeAt(leader, command, deadline, settled)
 	default:
-		settled(ProposeReply{Outcome: OutcomeNotTaken})
+		settled(ProposeReply{Outcome: OutcomeDropped})
 	}
 }
 
@@ -222,12 +222,12 @@
 // proposeHere is Host.proposeHere.
 func (p *coreProcess) proposeHere(command []byte, deadline time.Duration, done func(ProposeReply)) {
 	if p.host.disk.down || len(p.jobs) > mostWaitingJobs {
-		done(ProposeReply{Outcome: OutcomeNotTaken})
+		done(ProposeReply{Outcome: OutcomeDropped})
 		return
 	}
 	proposed := p.group.propose(p.clock(), command)
 	if proposed == nil {
-		done(ProposeReply{Outcome: OutcomeNotTaken})
+		done(ProposeReply{Outcome: OutcomeDropped})
 		return
 	}
 	p.await(deadline, func() bool {
@@ -248,7 +248,7 @@
 func (p *coreProcess) proposeAt(leader *coreSlot, command []byte, deadline time.Duration, done func(ProposeReply)) {
 	wait := min(deadline-p.clock(), proposeWait)
 	if wait < leastProposal || leader.process == nil {
-		done(ProposeReply{Outcome: OutcomeNotTaken})
+		done(ProposeReply{Outcome: OutcomeDropped})
 		return
 	}
 	call(p, leader, wait, func(asked *coreProcess, answer func(ProposeReply)) {
@@ -348,13 +348,13 @@
 	}
 	call(p, leader, wait, func(asked *coreProcess, answer func(ReadIndexReply)) {
 		asked.readIndexHere(asked.clock()+wait-handlerMargin, func(index uint64, confirmed bool) {
-			reply := ReadIndexReply{Outcome: OutcomeNotTaken}
+			reply := ReadIndexReply{Outcome: OutcomeDropped}
 			if confirmed {
-				reply = ReadIndexReply{Outcome: OutcomeDone, Index: index}
+				reply = ReadIndexReply{Outcome: OutcomeCommitted, Index: index}
 			}
 			answer(reply)
 		})
-	}, func(reply ReadIndexReply, came bool) { done(reply.Index, came && reply.Outcome == OutcomeDone) })
+	}, func(reply ReadIndexReply, came bool) { done(reply.Index, came && reply.Outcome == OutcomeCommitted) })
 }
 
 // coreAgent follows partition 0 at one replica after the other, as agents do.
--- a/internal/system/replica/core_process_test.go
+++ b/internal/system/replica/core_process_test.go
@@ -103,7 +103,7 @@
 		p.link = &coreLink{world: w}
 	}
 	p.state = state.NewConfiguration(p.clock, func() {})
-	p.host = New(Options{Settings: &s.settings, States: []StateMachine{&coreState{Configuration: p.state, process: p}}})
+	p.host = New(Options{Settings: &s.settings, StateMachines: []StateMachine{&coreState{Configuration: p.state, process: p}}})
 	p.group = p.host.groups[0]
 	w.establish(s)
 	stored := s.disk.load()
--- a/internal/system/replica/disk.go
+++ b/internal/system/replica/disk.go
@@ -107,17 +107,17 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.failure == nil && d.began > 0 && now-d.began > stalledAfter {
-		return &StalledError{Since: now - d.began}
+		return &DiskStalledError{Elapsed: now - d.began}
 	}
 	return d.failure
 }
 
-// StalledError says that the disk has not finished a write for a while.
-type StalledError struct{ Since time.Duration }
+// DiskStalledError says that the disk has not finished a write for a while.
+type DiskStalledError struct{ Elapsed time.Duration }
 
 // Error says what happened and what to do.
-func (e *StalledError) Error() string {
-	return "replica: the disk has not finished a write for " + e.Since.Round(time.Millisecond).String() +
+func (e *DiskStalledError) Error() string {
+	return "replica: the disk has not finished a write for " + e.Elapsed.Round(time.Millisecond).String() +
 		"; leadership is given up until it does; check the disk of the state folder"
 }
 
@@ -145,7 +145,7 @@
 // watchDisk gives leadership up while the disk is in trouble.
 func (h *Host) watchDisk(now time.Duration) {
 	wasDown := h.disk.down
-	trouble, stepDown := h.disk.watch(now, 2*h.options.Election)
+	trouble, stepDown := h.disk.watch(now, 2*h.options.ElectionTimeout)
 	if wasDown && trouble == nil {
 		h.log.Info("disk works again")
 	}
--- a/internal/system/replica/disk_test.go
+++ b/internal/system/replica/disk_test.go
@@ -96,7 +96,7 @@
 		}
 	}
 	stalled.wait("it says that it lags", func() error {
-		if fresh := stalled.host.Fresh(0); fresh < time.Second {
+		if fresh := stalled.host.Staleness(0); fresh < time.Second {
 			return fmt.Errorf("it is %v behind", fresh)
 		}
 		return nil
@@ -139,7 +139,7 @@
 		if err := full.host.Barrier(ctx, 0); err != nil {
 			return err
 		}
-		if _, leads := full.host.Leads(0); !leads {
+		if _, leads := full.host.LeaderLease(0); !leads {
 			return errors.New("it does not")
 		}
 		return nil
--- a/internal/system/replica/group.go
+++ b/internal/system/replica/group.go
@@ -248,9 +248,9 @@
 	g.logBytes += len(e.Data) + entryOverhead
 	g.answer(e.Index, func(p *proposal) ProposeReply {
 		if p.term == e.Term {
-			return ProposeReply{Outcome: OutcomeDone, Result: result}
+			return ProposeReply{Outcome: OutcomeCommitted, Result: result}
 		}
-		return ProposeReply{Outcome: OutcomeNotTaken}
+		return ProposeReply{Outcome: OutcomeDropped}
 	})
 }
 
--- a/internal/system/replica/group_test.go
+++ b/internal/system/replica/group_test.go
@@ -132,7 +132,7 @@
 	s.step(consensus.Message{Kind: consensus.AppendReply, From: 2, Term: s.last[consensus.Vote].Term,
 		Index: waiting[0].index})
 	for i, p := range waiting {
-		if outcome, told := outcomeOf(p); told != (i != 1) || told && outcome != OutcomeDone {
+		if outcome, told := outcomeOf(p); told != (i != 1) || told && outcome != OutcomeCommitted {
 			t.Errorf("proposal %d: outcome %d, told %v", i, outcome, told)
 		}
 	}
@@ -149,7 +149,7 @@
 	term := s.last[consensus.Vote].Term + 1
 	s.step(consensus.Message{Kind: consensus.Append, From: 3, Term: term, Round: 1, Commit: lost.index,
 		Entries: []consensus.Entry{{Index: 1, Term: term}, {Index: 2, Term: term, Data: []byte("another")}}})
-	if outcome, told := outcomeOf(lost); !told || outcome != OutcomeNotTaken {
+	if outcome, told := outcomeOf(lost); !told || outcome != OutcomeDropped {
 		t.Errorf("outcome %d, told %v; want it not to be taken", outcome, told)
 	}
 }
@@ -165,7 +165,7 @@
 	s.step(consensus.Message{Kind: consensus.AppendReply, From: 2, Term: p.term, Index: p.index})
 	select {
 	case reply := <-p.done:
-		if reply.Outcome != OutcomeDone || string(reply.Result) != "1:a command" {
+		if reply.Outcome != OutcomeCommitted || string(reply.Result) != "1:a command" {
 			t.Errorf("outcome %d, %q", reply.Outcome, reply.Result)
 		}
 	default:
--- a/internal/system/replica/host.go
+++ b/internal/system/replica/host.go
@@ -34,17 +34,17 @@
 // Options are a host's.
 type Options struct {
 	Settings *processconfig.Settings
-	// States are the state machines of the partitions, from 0 on.
-	States []StateMachine
-	Log    *zap.Logger
-	// Applied is told, one call at a time for a partition, up to which index a state machine now holds the log. It must
+	// StateMachines are the state machines of the partitions, from 0 on.
+	StateMachines []StateMachine
+	Log           *zap.Logger
+	// OnApplied is told, one call at a time for a partition, up to which index a state machine now holds the log. It must
 	// neither block nor call the host.
-	Applied func(partition feed.Partition, index uint64)
-	// Failed is told, once, that this replica cannot go on in this process, as when its file was found corrupt while it
+	OnApplied func(partition feed.Partition, index uint64)
+	// OnFailure is told, once, that this replica cannot go on in this process, as when its file was found corrupt while it
 	// ran: the process should end, and starts as a replica without a disk.
-	Failed func(error)
-	// Heartbeat and Election are the times of the agreement; 0: the defaults.
-	Heartbeat, Election time.Duration
+	OnFailure func(error)
+	// HeartbeatInterval and Election are the times of the agreement; 0: the defaults.
+	HeartbeatInterval, ElectionTimeout time.Duration
 }
 
 // Host runs this machine's replicas of all partitions. It implements Replicas.
@@ -81,11 +81,11 @@
 
 // New returns a host that does nothing before Start. Its handlers may be registered at once.
 func New(options Options) *Host {
-	if options.Heartbeat == 0 {
-		options.Heartbeat = defaultHeartbeat
+	if options.HeartbeatInterval == 0 {
+		options.HeartbeatInterval = defaultHeartbeat
 	}
-	if options.Election == 0 {
-		options.Election = defaultElection
+	if options.ElectionTimeout == 0 {
+		options.ElectionTimeout = defaultElection
 	}
 	h := &Host{options: options, log: options.Log, started: time.Now(), wake: make(chan struct{}, 1),
 		openStore: openStorage}
@@ -95,7 +95,7 @@
 	settings := options.Settings
 	h.address = controlAddress(settings, settings.IP)
 	h.self = consensus.Member{Node: settings.Node, Zone: settings.Zone, Address: h.address.String()}
-	for i, state := range options.States {
+	for i, state := range options.StateMachines {
 		h.groups = append(h.groups, newGroup(feed.Partition(i), state))
 	}
 	for _, seed := range settings.SeedNodes {
@@ -185,7 +185,7 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for i, g := range h.groups {
-		options := machineOptions(id, randomNumber(), h.options.Heartbeat, h.options.Election)
+		options := machineOptions(id, randomNumber(), h.options.HeartbeatInterval, h.options.ElectionTimeout)
 		if err := g.start(h.now(), options, stored[i]); err != nil {
 			h.fail(fmt.Errorf("replica: stored state of partition %d: %w", g.partition, err))
 			return false
@@ -196,8 +196,8 @@
 	h.log.Info("replica started", zap.String("replica", idText(id)))
 	h.settle()
 	for _, g := range h.groups {
-		if g.applied > 0 && h.options.Applied != nil {
-			h.options.Applied(g.partition, g.applied)
+		if g.applied > 0 && h.options.OnApplied != nil {
+			h.options.OnApplied(g.partition, g.applied)
 		}
 	}
 	return true
@@ -305,8 +305,8 @@
 	if err := g.settle(h); err != nil {
 		h.fail(fmt.Errorf("replica: snapshot of partition %d: %w", g.partition, err))
 	}
-	if g.applied != applied && h.options.Applied != nil {
-		h.options.Applied(g.partition, g.applied)
+	if g.applied != applied && h.options.OnApplied != nil {
+		h.options.OnApplied(g.partition, g.applied)
 	}
 	if g.leads != led {
 		g.ledSince = h.now()
@@ -358,7 +358,7 @@
 	}
 	h.failed = true
 	h.log.Error("replica failed", zap.Error(err))
-	if h.options.Failed != nil {
-		go h.options.Failed(err)
+	if h.options.OnFailure != nil {
+		go h.options.OnFailure(err)
 	}
 }
--- a/internal/system/replica/host_test.go
+++ b/internal/system/replica/host_test.go
@@ -133,8 +133,8 @@
 		states = append(states, state)
 	}
 	log := zaptest.NewLogger(m.t, zaptest.Level(zap.InfoLevel)).Named(m.settings.Node)
-	m.host = New(Options{Settings: &m.settings, States: states, Log: log, Heartbeat: 40 * time.Millisecond,
-		Election: 250 * time.Millisecond})
+	m.host = New(Options{Settings: &m.settings, StateMachines: states, Log: log, HeartbeatInterval: 40 * time.Millisecond,
+		ElectionTimeout: 250 * time.Millisecond})
 	if m.faults != nil {
 		m.host.openStore = m.faults.open
 	}
@@ -300,7 +300,7 @@
 	var leader *machine
 	waitFor(c.t, "a leader", func() error {
 		for _, m := range c.running() {
-			if _, leads := m.host.Leads(partition); leads {
+			if _, leads := m.host.LeaderLease(partition); leads {
 				leader = m
 				return nil
 			}
@@ -331,7 +331,7 @@
 				m.holds(p, fmt.Sprintf("%d-%d", i, p))
 			}
 		}
-		if fresh := m.host.Fresh(0); fresh > longBound {
+		if fresh := m.host.Staleness(0); fresh > longBound {
 			t.Errorf("%s is %v behind", m.settings.Node, fresh)
 		}
 	}
@@ -445,7 +445,7 @@
 	added := c.add(3, false)
 	added.settings.SeedNodes = gone
 	added.start()
-	added.host.Hint(c.machines[1].host.address)
+	added.host.AddPeerAddresses(c.machines[1].host.address)
 	added.holds(0, "a")
 	c.settled(3)
 }
@@ -470,7 +470,7 @@
 func TestUnknownLeader(t *testing.T) {
 	const self, founder, joined = 1, 2, 9
 	settings := processconfig.Settings{IP: netip.MustParseAddr("10.0.0.1"), FreePorts: processconfig.PortRange{First: 9000, Last: 9015}}
-	host := New(Options{Settings: &settings, States: []StateMachine{&listState{}}})
+	host := New(Options{Settings: &settings, StateMachines: []StateMachine{&listState{}}})
 	host.self.ID = self
 	member := host.self
 	member.Voter = true
--- a/internal/system/replica/manage.go
+++ b/internal/system/replica/manage.go
@@ -24,8 +24,8 @@
 	closeBehind = 16                     // entries by which a learner may be behind as it becomes a voter
 )
 
-// Hint adds addresses at which control replicas may be found, as membership gossip tells them.
-func (h *Host) Hint(addresses ...netip.AddrPort) {
+// AddPeerAddresses adds addresses at which control replicas may be found, as membership gossip tells them.
+func (h *Host) AddPeerAddresses(addresses ...netip.AddrPort) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for _, address := range addresses {
@@ -136,7 +136,7 @@
 
 func (h *Host) situation(now time.Duration, g *group, status *consensus.Status) *situation {
 	settings := h.options.Settings
-	s := &situation{self: h.self.ID, ledFor: now - g.ledSince, patience: patienceOf(settings.Timing.CatchUp, h.options.Election),
+	s := &situation{self: h.self.ID, ledFor: now - g.ledSince, patience: patienceOf(settings.Timing.CatchUp, h.options.ElectionTimeout),
 		joining: h.joins.members(now), regions: settings.Zones, aim: max(leastVoters, 2*settings.SurvivableLosses.Machines+1), byRegion: settings.SurvivableLosses.Regions > 0}
 	for _, member := range status.Membership.Members {
 		m := standing{Member: member, caughtUp: status.Match[member.ID]+closeBehind >= status.Commit}
--- a/internal/system/replica/pack.go
+++ b/internal/system/replica/pack.go
@@ -59,13 +59,13 @@
 	}
 	size, read := binary.Uvarint(r.Packed)
 	if read <= 0 || size > mostUnpacked || size > mostInflated*uint64(len(r.Packed)) {
-		return nil, &MessagesError{errPackedSize}
+		return nil, &MalformedMessagesError{errPackedSize}
 	}
 	messages := make([]byte, size)
 	inflated := flate.NewReader(bytes.NewReader(r.Packed[read:]))
 	for part := range slices.Chunk(messages, bulkBytes) {
 		if _, err := io.ReadFull(inflated, part); err != nil {
-			return nil, &MessagesError{err}
+			return nil, &MalformedMessagesError{err}
 		}
 		runtime.Gosched()
 	}
--- a/internal/system/replica/propose.go
+++ b/internal/system/replica/propose.go
@@ -38,11 +38,11 @@
 // Unwrap is the cause.
 func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// NoPartitionError says that there is no such partition.
-type NoPartitionError struct{ Partition feed.Partition }
+// UnknownPartitionError says that there is no such partition.
+type UnknownPartitionError struct{ Partition feed.Partition }
 
 // Error says what happened.
-func (e *NoPartitionError) Error() string {
+func (e *UnknownPartitionError) Error() string {
 	return fmt.Sprintf("replica: there is no partition %d", e.Partition)
 }
 
@@ -50,11 +50,11 @@
 func (h *Host) Propose(ctx context.Context, partition feed.Partition, command []byte) ([]byte, error) {
 	g := h.group(partition)
 	if g == nil {
-		return nil, &NoPartitionError{partition}
+		return nil, &UnknownPartitionError{partition}
 	}
 	for {
 		leader, here, changed := h.whoLeads(g)
-		reply := ProposeReply{Outcome: OutcomeNotTaken}
+		reply := ProposeReply{Outcome: OutcomeDropped}
 		var err error
 		switch {
 		case here:
@@ -66,7 +66,7 @@
 			cancel()
 		}
 		switch reply.Outcome {
-		case OutcomeDone:
+		case OutcomeCommitted:
 			return reply.Result, nil
 		case OutcomeUnknown:
 			return nil, &UnknownOutcomeError{partition, err}
@@ -128,7 +128,7 @@
 	g := h.group(partition)
 	p := h.enter(ctx, g, command)
 	if p == nil {
-		return OutcomeNotTaken, nil
+		return OutcomeDropped, nil
 	}
 	select {
 	case reply := <-p.done:
@@ -160,7 +160,7 @@
 	command []byte) (ProposeReply, error) {
 	wait := remaining(ctx, proposeWait)
 	if wait < leastProposal {
-		return ProposeReply{Outcome: OutcomeNotTaken}, nil
+		return ProposeReply{Outcome: OutcomeDropped}, nil
 	}
 	if len(command) >= bulkBytes { // what this machine answers its leader does not wait behind it
 		leader = rpc.NewClient(leader.Address(), peerOptions)
@@ -173,7 +173,7 @@
 	}
 	var unreachable *rpc.UnreachableError
 	if errors.As(err, &unreachable) {
-		return ProposeReply{Outcome: OutcomeNotTaken}, err
+		return ProposeReply{Outcome: OutcomeDropped}, err
 	}
 	return ProposeReply{Outcome: OutcomeUnknown}, err
 }
@@ -191,7 +191,7 @@
 func (h *Host) Barrier(ctx context.Context, partition feed.Partition) error {
 	g := h.group(partition)
 	if g == nil {
-		return &NoPartitionError{partition}
+		return &UnknownPartitionError{partition}
 	}
 	for {
 		leader, here, changed := h.whoLeads(g)
@@ -246,7 +246,7 @@
 	if err != nil {
 		return 0, false
 	}
-	return reply.Index, reply.Outcome == OutcomeDone
+	return reply.Index, reply.Outcome == OutcomeCommitted
 }
 
 // awaitApplied returns once the state machine holds the log up to an index.
@@ -270,8 +270,8 @@
 	return &UnavailableError{g.partition}
 }
 
-// Leads says whether this machine surely leads the partition, and for how long; see Replicas.
-func (h *Host) Leads(partition feed.Partition) (time.Duration, bool) {
+// LeaderLease says whether this machine surely leads the partition, and for how long; see Replicas.
+func (h *Host) LeaderLease(partition feed.Partition) (time.Duration, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	g := h.group(partition)
@@ -282,8 +282,8 @@
 	return max(left, 0), left > 0
 }
 
-// Fresh is how long ago this replica last held all that its leader had committed; see Replicas.
-func (h *Host) Fresh(partition feed.Partition) time.Duration {
+// Staleness is how long ago this replica last held all that its leader had committed; see Replicas.
+func (h *Host) Staleness(partition feed.Partition) time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	g := h.group(partition)
--- a/internal/system/replica/replica.go
+++ b/internal/system/replica/replica.go
@@ -26,10 +26,10 @@
 	Propose(ctx context.Context, partition feed.Partition, command []byte) ([]byte, error)
 	// Barrier returns once the local state machine holds all that was acknowledged before the call.
 	Barrier(ctx context.Context, partition feed.Partition) error
-	// Leads says whether this machine surely leads the partition for the time returned, confirmed by a majority.
-	Leads(partition feed.Partition) (time.Duration, bool)
-	// Fresh is how long ago this replica last held all that a leader which a majority follows had committed.
-	Fresh(partition feed.Partition) time.Duration
+	// LeaderLease says whether this machine surely leads the partition for the time returned, confirmed by a majority.
+	LeaderLease(partition feed.Partition) (time.Duration, bool)
+	// Staleness is how long ago this replica last held all that a leader which a majority follows had committed.
+	Staleness(partition feed.Partition) time.Duration
 	// InContact says whether this machine has lately heard a leader of the partition or a majority of its voters. Where it
 	// has not, it is cut off, or too many machines are down, and nothing can be agreed on or confirmed soon.
 	InContact(partition feed.Partition) bool
