--- a/internal/dispatcher/cluster/jobreplica/care.go
+++ b/internal/dispatcher/cluster/jobreplica/care.go
@@ -84,7 +84,7 @@
 
 // silent is for how long a copy has not answered this leader, seconds.
 func (c *Copy) silent(s *consensus.Status, id uint64) float64 {
-	answered, is := s.Answered[consensus.ReplicaID(id)]
+	answered, is := s.LastContact[consensus.ReplicaID(id)]
 	if !is {
 		return 0 // this one itself
 	}
--- a/internal/dispatcher/cluster/jobreplica/copies.go
+++ b/internal/dispatcher/cluster/jobreplica/copies.go
@@ -68,15 +68,15 @@
 )
 
 // consensus are the options of the agreement.
-func (o *Options) consensus() consensus.Options {
-	return consensus.Options{
-		ID:             consensus.ReplicaID(o.Me.ID),
-		Heartbeat:      duration(o.Beat),
-		Election:       duration(max(o.Silence, leastBeats*o.Beat)),
-		Seed:           o.Seed,
-		MaxAppendBytes: appendBytes,
-		MaxInflight:    inflight,
-		SnapshotAfter:  uint64(o.Cut),
+func (o *Options) consensus() consensus.Config {
+	return consensus.Config{
+		ID:                 consensus.ReplicaID(o.Me.ID),
+		HeartbeatInterval:  duration(o.Beat),
+		ElectionTimeout:    duration(max(o.Silence, leastBeats*o.Beat)),
+		Seed:               o.Seed,
+		MaxAppendBytes:     appendBytes,
+		MaxInflightAppends: inflight,
+		SnapshotThreshold:  uint64(o.Cut),
 	}
 }
 
@@ -99,7 +99,7 @@
 // Copy is this member's part in holding the state.
 type Copy struct {
 	o       Options
-	machine *consensus.Machine // nil: this member holds no copy
+	machine *consensus.Node    // nil: this member holds no copy
 	view    []Member           // who may become one
 	heard   map[uint64]float64 // when members last sent something
 	now     float64
@@ -134,8 +134,8 @@
 		return &NotACopy{}
 	}
 	founding := consensus.Snapshot{Index: foundingIndex, Term: foundingTerm, Membership: founders}
-	stored := consensus.Stored{Hard: consensus.HardState{Term: foundingTerm, Commit: foundingIndex}, Snapshot: founding}
-	if err := stored.Check(); err != nil {
+	stored := consensus.PersistentState{HardState: consensus.HardState{Term: foundingTerm, Commit: foundingIndex}, Snapshot: founding}
+	if err := stored.Validate(); err != nil {
 		return err
 	}
 	c.start(stored)
@@ -143,9 +143,9 @@
 }
 
 // start makes the machine of the agreement.
-func (c *Copy) start(stored consensus.Stored) {
+func (c *Copy) start(stored consensus.PersistentState) {
 	c.machine = consensus.New(duration(c.now), c.o.consensus(), stored)
-	c.hard, c.applied = stored.Hard, stored.Snapshot.Index
+	c.hard, c.applied = stored.HardState, stored.Snapshot.Index
 	c.led = c.now
 }
 
@@ -169,7 +169,7 @@
 
 // tick does what is due.
 func (c *Copy) tick() {
-	if at := duration(c.now); c.machine.Next() <= at {
+	if at := duration(c.now); c.machine.NextTick() <= at {
 		c.machine.Tick(at)
 	}
 }
@@ -205,12 +205,12 @@
 	if m.Term > c.hard.Term+mostTerms {
 		return errors.New("copies: a term that no election has led to")
 	}
-	ofLeader := m.Kind == consensus.Append || m.Kind == consensus.InstallSnapshot
+	ofLeader := m.Kind == consensus.MessageAppend || m.Kind == consensus.MessageInstallSnapshot
 	if c.machine == nil {
 		if !ofLeader { // only a leader that has this life among its copies speaks first
 			return &NotACopy{}
 		}
-		c.start(consensus.Stored{})
+		c.start(consensus.PersistentState{})
 	}
 	from := uint64(m.From)
 	c.heard[from] = c.now
@@ -218,7 +218,7 @@
 	if ofLeader && c.Leader() == from {
 		c.led = c.now
 	}
-	if (m.Kind == consensus.PreVote || m.Kind == consensus.Vote) && !c.holds(from) {
+	if (m.Kind == consensus.MessagePreVote || m.Kind == consensus.MessageVote) && !c.holds(from) {
 		c.send(&envelope{kind: kindGone, to: from, index: c.applied})
 	}
 	c.ready()
@@ -324,26 +324,26 @@
 	if r.HardState != nil {
 		c.hard = *r.HardState
 	}
-	c.sendAll(r.Early)
-	c.machine.Persisted(*r)
+	c.sendAll(r.EarlyMessages)
+	c.machine.MarkPersisted(*r)
 	c.sendAll(r.Messages)
 	if r.Snapshot != nil && !c.restore(r.Snapshot) {
 		return
 	}
-	for i := range r.Committed {
-		if !c.apply(&r.Committed[i]) {
+	for i := range r.CommittedEntries {
+		if !c.apply(&r.CommittedEntries[i]) {
 			return
 		}
 	}
-	if r.Compact > 0 {
-		c.machine.Compacted(r.Compact, nil, 0) // whoever needs a snapshot gets the present one
+	if r.CompactIndex > 0 {
+		c.machine.Compact(r.CompactIndex, nil, 0) // whoever needs a snapshot gets the present one
 	}
 }
 
 func (c *Copy) sendAll(messages []consensus.Message) {
 	for i := range messages {
 		m := messages[i]
-		if m.Kind == consensus.InstallSnapshot {
+		if m.Kind == consensus.MessageInstallSnapshot {
 			c.fillSnapshot(&m)
 		}
 		c.send(&envelope{kind: kindAgreement, to: uint64(m.To), message: m})
@@ -353,7 +353,7 @@
 // fillSnapshot puts the state as it is into the message of a snapshot: the machine of the agreement keeps none.
 func (c *Copy) fillSnapshot(m *consensus.Message) {
 	data := c.o.Machine.Snapshot()
-	snapshot, newer := c.machine.Snapshot(c.applied, data)
+	snapshot, newer := c.machine.CreateSnapshot(c.applied, data)
 	if !newer {
 		snapshot = *m.Snapshot // the state has not moved on since
 		snapshot.Data = data
--- a/internal/dispatcher/cluster/jobreplica/envelope_test.go
+++ b/internal/dispatcher/cluster/jobreplica/envelope_test.go
@@ -65,10 +65,10 @@
 func elect(t *testing.T, c *Copy) {
 	t.Helper()
 	c.Tick(4)
-	asked := sent(t, c, consensus.PreVote)
-	tell(t, c, 4, consensus.Message{Kind: consensus.PreVoteReply, From: 2, Term: asked[0].Term})
-	asked = sent(t, c, consensus.Vote)
-	tell(t, c, 4, consensus.Message{Kind: consensus.VoteReply, From: 2, Term: asked[0].Term})
+	asked := sent(t, c, consensus.MessagePreVote)
+	tell(t, c, 4, consensus.Message{Kind: consensus.MessagePreVoteReply, From: 2, Term: asked[0].Term})
+	asked = sent(t, c, consensus.MessageVote)
+	tell(t, c, 4, consensus.Message{Kind: consensus.MessageVoteReply, From: 2, Term: asked[0].Term})
 	if !c.Leads() {
 		t.Fatal("it does not lead")
 	}
@@ -76,7 +76,7 @@
 
 func TestMessagesComeBack(t *testing.T) {
 	for _, e := range []envelope{
-		{kind: kindAgreement, from: 1, to: 2, message: consensus.Message{Kind: consensus.Vote, From: 1, To: 2, Term: 3}},
+		{kind: kindAgreement, from: 1, to: 2, message: consensus.Message{Kind: consensus.MessageVote, From: 1, To: 2, Term: 3}},
 		{kind: kindPropose, from: 1, to: 2, command: []byte("x")},
 		{kind: kindPropose, from: 1, to: 2, command: []byte{}},
 		{kind: kindGone, from: 1, to: 2, index: 9},
@@ -98,7 +98,7 @@
 func FuzzMessage(f *testing.F) {
 	f.Add((&envelope{kind: kindPropose, from: 1, to: 2, command: []byte("x")}).encode())
 	f.Add((&envelope{kind: kindGone, from: 1, to: 2, index: 9}).encode())
-	f.Add((&envelope{message: consensus.Message{Kind: consensus.Append, From: 2, To: 1, Term: 3, Round: 1}}).encode())
+	f.Add((&envelope{message: consensus.Message{Kind: consensus.MessageAppend, From: 2, To: 1, Term: 3, Round: 1}}).encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		e, err := open(data)
 		if err == nil && !bytes.Equal(e.encode(), data) {
@@ -132,7 +132,7 @@
 	if taken != mostUncommitted {
 		t.Errorf("%d bytes wait, %d at most", taken, mostUncommitted)
 	}
-	tell(t, c, 4.1, consensus.Message{Kind: consensus.AppendReply, From: 2, Term: c.Term(), Index: 2 + uint64(taken/len(command)),
+	tell(t, c, 4.1, consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: c.Term(), Index: 2 + uint64(taken/len(command)),
 		Round: 1})
 	if err := c.Propose(4.1, command); err != nil {
 		t.Errorf("after a majority had them: %v", err)
@@ -185,12 +185,12 @@
 	var steps [][2]int
 	for now := 4.0; now < 40; now += 0.1 {
 		c.Tick(now)
-		for _, m := range sent(t, c, consensus.Append) { // copies 2 and 4 hold all that they are sent
+		for _, m := range sent(t, c, consensus.MessageAppend) { // copies 2 and 4 hold all that they are sent
 			match = max(match, m.Index+uint64(len(m.Entries)))
 			round = max(round, m.Round)
 		}
 		for _, from := range []consensus.ReplicaID{2, 4} {
-			tell(t, c, now, consensus.Message{Kind: consensus.AppendReply, From: from, Term: c.Term(), Index: match, Round: round})
+			tell(t, c, now, consensus.Message{Kind: consensus.MessageAppendReply, From: from, Term: c.Term(), Index: match, Round: round})
 		}
 		counted, coming := c.Copies()
 		if step := [2]int{len(counted), len(coming)}; len(steps) == 0 || steps[len(steps)-1] != step {
--- a/internal/system/consensus/abuse_test.go
+++ b/internal/system/consensus/abuse_test.go
@@ -10,7 +10,7 @@
 
 // abused is a machine that is told whatever comes to mind, and the disk that belongs to it.
 type abused struct {
-	m       *Machine
+	m       *Node
 	now     time.Duration
 	disk    disk
 	pending []Ready
@@ -26,10 +26,10 @@
 func (a *abused) boot(t *rapid.T) {
 	stored := a.disk.stored
 	stored.Entries = slices.Clone(stored.Entries)
-	a.m = New(a.now, Options{ID: 1, Heartbeat: testHeartbeat, Election: testElection, Seed: rapid.Uint64().Draw(t, "seed"),
-		MaxAppendBytes: 8, MaxInflight: 2, SnapshotAfter: 4}, stored)
+	a.m = New(a.now, Config{ID: 1, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: rapid.Uint64().Draw(t, "seed"),
+		MaxAppendBytes: 8, MaxInflightAppends: 2, SnapshotThreshold: 4}, stored)
 	if a.m.mute {
-		t.Fatalf("what was stored makes no sense: %v", stored.Check())
+		t.Fatalf("what was stored makes no sense: %v", stored.Validate())
 	}
 	a.pending = nil
 	a.commit, a.applied = 0, stored.Snapshot.Index
@@ -37,9 +37,9 @@
 
 // message is one that may make sense: its numbers are near those of the machine.
 func (a *abused) message(t *rapid.T) Message {
-	msg := Message{Kind: MessageKind(rapid.IntRange(0, int(TimeoutNow)+1).Draw(t, "kind")),
+	msg := Message{Kind: MessageKind(rapid.IntRange(0, int(MessageTimeoutNow)+1).Draw(t, "kind")),
 		From: ReplicaID(rapid.IntRange(0, 4).Draw(t, "from")), To: 1, Term: a.m.term + smallNumber(t, "term") - 2,
-		Commit: smallNumber(t, "commit"), Hint: smallNumber(t, "hint"), Round: smallNumber(t, "round"),
+		Commit: smallNumber(t, "commit"), RejectHint: smallNumber(t, "hint"), Round: smallNumber(t, "round"),
 		Reject: rapid.Bool().Draw(t, "reject"), Force: rapid.Bool().Draw(t, "force")}
 	msg.Index = a.m.log.last() + smallNumber(t, "index") - 4
 	msg.LogTerm = smallNumber(t, "log term")
@@ -87,19 +87,19 @@
 	r := a.pending[0]
 	a.pending = a.pending[1:]
 	a.disk.write(r)
-	a.m.Persisted(r)
+	a.m.MarkPersisted(r)
 	if r.Snapshot != nil {
 		a.applied = r.Snapshot.Index
 	}
-	for _, entry := range r.Committed {
+	for _, entry := range r.CommittedEntries {
 		if entry.Index != a.applied+1 {
 			t.Fatalf("%d is applied after %d", entry.Index, a.applied)
 		}
 		a.applied = entry.Index
 	}
-	if s, is := a.m.Snapshot(r.Compact, nil); is {
+	if s, is := a.m.CreateSnapshot(r.CompactIndex, nil); is {
 		a.disk.compact(s)
-		a.m.Compacted(r.Compact, nil, 0)
+		a.m.Compact(r.CompactIndex, nil, 0)
 	}
 }
 
@@ -125,7 +125,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a := &abused{disk: disk{stored: founded(1, 2, 3)}}
 		if rapid.Bool().Draw(t, "fresh") {
-			a.disk.stored = Stored{}
+			a.disk.stored = PersistentState{}
 		}
 		a.boot(t)
 		t.Repeat(map[string]func(*rapid.T){
@@ -134,26 +134,26 @@
 				a.m.Step(a.now, a.message(t))
 			},
 			"tick": func(t *rapid.T) {
-				if due := a.m.Next(); due != Never {
+				if due := a.m.NextTick(); due != Never {
 					a.now = max(a.now, due)
 				}
 				a.m.Tick(a.now)
 			},
 			"grant": func(t *rapid.T) {
 				for id := ReplicaID(2); id <= 4; id++ {
-					a.m.Step(a.now, Message{Kind: PreVoteReply, From: id, To: 1, Term: a.m.term + 1})
-					a.m.Step(a.now, Message{Kind: VoteReply, From: id, To: 1, Term: a.m.term})
+					a.m.Step(a.now, Message{Kind: MessagePreVoteReply, From: id, To: 1, Term: a.m.term + 1})
+					a.m.Step(a.now, Message{Kind: MessageVoteReply, From: id, To: 1, Term: a.m.term})
 				}
 			},
 			"acknowledge": func(t *rapid.T) {
 				index := rapid.Uint64Range(a.m.log.offset, a.m.log.last()).Draw(t, "index")
-				a.m.Step(a.now, Message{Kind: AppendReply, From: ReplicaID(rapid.IntRange(2, 4).Draw(t, "from")), To: 1,
+				a.m.Step(a.now, Message{Kind: MessageAppendReply, From: ReplicaID(rapid.IntRange(2, 4).Draw(t, "from")), To: 1,
 					Term: a.m.term, Index: index, Round: a.m.leading.round})
 			},
 			"propose": func(t *rapid.T) { a.m.Propose(a.now, drawData(t, "data")) },
 			"read": func(t *rapid.T) {
 				a.token++
-				a.m.Read(a.now, a.token)
+				a.m.ReadIndex(a.now, a.token)
 			},
 			"membership": func(t *rapid.T) { a.m.ChangeMembership(a.now, a.membership(t)) },
 			"transfer": func(t *rapid.T) {
--- a/internal/system/consensus/accessors.go
+++ b/internal/system/consensus/accessors.go
@@ -3,19 +3,19 @@
 import "bytes"
 
 // Role is what the replica is at present. Unlike Status it takes no memory.
-func (m *Machine) Role() Role { return m.role }
+func (m *Node) Role() Role { return m.role }
 
-// Commit is up to where the replica knows the log to be agreed on.
-func (m *Machine) Commit() uint64 { return m.log.commit }
+// CommitIndex is up to where the replica knows the log to be agreed on.
+func (m *Node) CommitIndex() uint64 { return m.log.commit }
 
 // Transferring tells whether the replica leads and is handing leadership over.
-func (m *Machine) Transferring() bool { return m.role == Leader && m.leading.transferee != 0 }
+func (m *Node) Transferring() bool { return m.role == Leader && m.leading.transferee != 0 }
 
 // Membership is the newest one, which may not be committed yet; it is not to be changed.
-func (m *Machine) Membership() Membership { return m.membership() }
+func (m *Node) Membership() Membership { return m.membership() }
 
-// Uncommitted finds a command among the entries that are not known to be agreed on.
-func (m *Machine) Uncommitted(data []byte) (index, term uint64, found bool) {
+// FindUncommitted finds a command among the entries that are not known to be agreed on.
+func (m *Node) FindUncommitted(data []byte) (index, term uint64, found bool) {
 	for i := m.log.commit - m.log.offset; i < uint64(len(m.log.entries)); i++ {
 		entry := &m.log.entries[i]
 		if entry.Kind == EntryCommand && bytes.Equal(entry.Data, data) {
--- a/internal/system/consensus/bench_test.go
+++ b/internal/system/consensus/bench_test.go
@@ -7,17 +7,17 @@
 
 // trio is three replicas that reach each other at once and whose disks take no time.
 type trio struct {
-	machines [4]*Machine
+	machines [4]*Node
 	now      time.Duration
-	leader   *Machine
+	leader   *Node
 	messages int
 }
 
 func newTrio(b *testing.B) *trio {
 	x := &trio{}
 	for id := ReplicaID(1); id <= 3; id++ {
-		x.machines[id] = New(0, Options{ID: id, Heartbeat: testHeartbeat, Election: testElection, Seed: 1,
-			MaxAppendBytes: 1 << 16, MaxInflight: 16, SnapshotAfter: 4096}, founded(1, 2, 3))
+		x.machines[id] = New(0, Config{ID: id, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: 1,
+			MaxAppendBytes: 1 << 16, MaxInflightAppends: 16, SnapshotThreshold: 4096}, founded(1, 2, 3))
 	}
 	for x.leader == nil {
 		x.idle(10 * time.Millisecond)
@@ -32,7 +32,7 @@
 func (x *trio) idle(d time.Duration) {
 	x.now += d
 	for _, m := range x.machines[1:] {
-		if m.Next() <= x.now {
+		if m.NextTick() <= x.now {
 			m.Tick(x.now)
 		}
 		if m.Status().Role == Leader {
@@ -51,11 +51,11 @@
 				continue
 			}
 			busy = true
-			m.Persisted(r)
-			x.carry(r.Early)
+			m.MarkPersisted(r)
+			x.carry(r.EarlyMessages)
 			x.carry(r.Messages)
-			if r.Compact > 0 {
-				m.Compacted(r.Compact, nil, 0)
+			if r.CompactIndex > 0 {
+				m.Compact(r.CompactIndex, nil, 0)
 			}
 		}
 	}
@@ -83,7 +83,7 @@
 func BenchmarkRead(b *testing.B) {
 	x := newTrio(b)
 	for b.Loop() {
-		x.leader.Read(x.now, 1)
+		x.leader.ReadIndex(x.now, 1)
 		x.settle()
 	}
 	b.ReportMetric(float64(x.messages)/float64(b.N), "messages/op")
@@ -101,7 +101,7 @@
 }
 
 func BenchmarkEncode(b *testing.B) {
-	msg := Message{Kind: Append, From: 1, To: 2, Term: 3, Index: 4000, LogTerm: 2, Commit: 4000, Round: 1 << 40,
+	msg := Message{Kind: MessageAppend, From: 1, To: 2, Term: 3, Index: 4000, LogTerm: 2, Commit: 4000, Round: 1 << 40,
 		Entries: entries(4001, 3, 3)}
 	var space []byte
 	b.ReportAllocs()
--- a/internal/system/consensus/check.go
+++ b/internal/system/consensus/check.go
@@ -5,27 +5,27 @@
 // mostNumber bounds terms and indexes, so that adding to them never wraps around.
 const mostNumber = 1 << 62
 
-// MessageError says why a message, or a stored log, makes no sense.
-type MessageError struct{ Reason string }
+// InvalidMessageError says why a message, or a stored log, makes no sense.
+type InvalidMessageError struct{ Reason string }
 
 // Error says what happened.
-func (e *MessageError) Error() string { return "consensus: " + e.Reason }
+func (e *InvalidMessageError) Error() string { return "consensus: " + e.Reason }
 
 // check tells what does not make sense in a message by itself.
 func (m *Message) check() error {
-	if m.Kind > TimeoutNow {
-		return &MessageError{Reason: fmt.Sprintf("message of unknown kind %d", m.Kind)}
+	if m.Kind > MessageTimeoutNow {
+		return &InvalidMessageError{Reason: fmt.Sprintf("message of unknown kind %d", m.Kind)}
 	}
 	if m.Term == 0 {
-		return &MessageError{Reason: "message without a term"}
+		return &InvalidMessageError{Reason: "message without a term"}
 	}
 	if max(m.Term, m.Index, m.LogTerm) > mostNumber {
-		return &MessageError{Reason: "message with a term or an index that can't be"}
+		return &InvalidMessageError{Reason: "message with a term or an index that can't be"}
 	}
-	if m.Kind == Append {
+	if m.Kind == MessageAppend {
 		return m.checkEntries()
 	}
-	if m.Kind == InstallSnapshot {
+	if m.Kind == MessageInstallSnapshot {
 		return m.checkSnapshot()
 	}
 	return nil
@@ -34,13 +34,13 @@
 // checkEntries tells what does not make sense in entries that follow Index and LogTerm.
 func (m *Message) checkEntries() error {
 	if (m.Index == 0) != (m.LogTerm == 0) {
-		return &MessageError{Reason: "place of entries makes no sense"}
+		return &InvalidMessageError{Reason: "place of entries makes no sense"}
 	}
 	index, term := m.Index, m.LogTerm
 	for _, entry := range m.Entries {
 		index++
 		if entry.Index != index || entry.Term < term || entry.Term == 0 || entry.Kind > EntryMembership {
-			return &MessageError{Reason: fmt.Sprintf("entry %d makes no sense after entry %d", entry.Index, index-1)}
+			return &InvalidMessageError{Reason: fmt.Sprintf("entry %d makes no sense after entry %d", entry.Index, index-1)}
 		}
 		term = entry.Term
 		if entry.Kind != EntryMembership {
@@ -55,7 +55,7 @@
 		}
 	}
 	if term > m.Term {
-		return &MessageError{Reason: "entries are of a later term than their sender"}
+		return &InvalidMessageError{Reason: "entries are of a later term than their sender"}
 	}
 	return nil
 }
@@ -63,7 +63,7 @@
 func (m *Message) checkSnapshot() error {
 	s := m.Snapshot
 	if s == nil || s.Index == 0 || s.Term == 0 || s.Term > m.Term || s.Index > mostNumber {
-		return &MessageError{Reason: "snapshot makes no sense"}
+		return &InvalidMessageError{Reason: "snapshot makes no sense"}
 	}
 	return s.Membership.check()
 }
--- a/internal/system/consensus/cluster_check_test.go
+++ b/internal/system/consensus/cluster_check_test.go
@@ -195,7 +195,7 @@
 
 // checkLease sees that nobody leads a later term while a lease lasts.
 func (w *world) checkLease(p *process) {
-	until := p.machine.Lease()
+	until := p.machine.LeaseExpiry()
 	if until <= p.clock() {
 		return
 	}
@@ -203,7 +203,7 @@
 		if other == p || other.machine.role != Leader {
 			continue
 		}
-		if other.machine.term > p.machine.term || other.machine.Lease() > other.clock() {
+		if other.machine.term > p.machine.term || other.machine.LeaseExpiry() > other.clock() {
 			w.fail("replica %d leads term %d while %d, of term %d, has a lease for %v", other.id, other.machine.term, p.id,
 				p.machine.term, until-p.clock())
 		}
@@ -224,7 +224,7 @@
 			w.fail("replica %d: entry %v after term %d differs from another log's", p.id, entry, before)
 		}
 	}
-	if r.MustSync != (r.Snapshot != nil || len(r.Entries) > 0 || r.HardState != nil && r.number > 0) {
+	if r.MustSync != (r.Snapshot != nil || len(r.Entries) > 0 || r.HardState != nil && r.sequence > 0) {
 		w.fail("replica %d: MustSync is %v of %+v", p.id, r.MustSync, r)
 	}
 }
@@ -242,11 +242,11 @@
 func (w *world) checkSent(p *process, msg Message) {
 	member := p.machine.membership().has(p.id)
 	switch msg.Kind {
-	case PreVote, Vote:
+	case MessagePreVote, MessageVote:
 		if !w.votedOf(p) {
 			w.fail("replica %d stands for election and is no voter", p.id)
 		}
-	case PreVoteReply, VoteReply:
+	case MessagePreVoteReply, MessageVoteReply:
 		if !member && !msg.Reject && !p.heard {
 			w.fail("replica %d votes and is no member", p.id)
 		}
--- a/internal/system/consensus/cluster_faults_test.go
+++ b/internal/system/consensus/cluster_faults_test.go
@@ -205,7 +205,7 @@
 		if p.machine.log.last()-p.machine.log.commit > 50 || !w.faults && w.behind() {
 			return
 		}
-		p.do(func(m *Machine) {
+		p.do(func(m *Node) {
 			for range 1 + w.random.IntN(3) {
 				w.token++
 				data := binary.BigEndian.AppendUint64(nil, w.token)
@@ -223,9 +223,9 @@
 		if p.machine.role == Leader || w.chance(0.05) {
 			w.token++
 			token := w.token
-			p.do(func(m *Machine) {
+			p.do(func(m *Node) {
 				w.truth.asked[token] = len(w.truth.committed)
-				m.Read(p.clock(), token)
+				m.ReadIndex(p.clock(), token)
 			})
 		}
 	}
@@ -242,7 +242,7 @@
 func (w *world) operate() {
 	w.after(w.between(50*time.Millisecond, 300*time.Millisecond), w.operate)
 	w.onLeader(func(p *process) {
-		p.do(func(m *Machine) {
+		p.do(func(m *Node) {
 			to, is := w.wanted(m.membership())
 			if w.faults && w.chance(w.profile.Mischief) {
 				to, is = w.strange(p)
@@ -255,7 +255,7 @@
 				w.truth.proposed = to
 			}
 			w.logf("%d changes the membership to %v: %v", p.id, to, err)
-			if errors.As(err, new(*MembershipError)) {
+			if errors.As(err, new(*InvalidMembershipError)) {
 				w.fail("change of membership from %v to %v: %v", m.membership(), to, err)
 			}
 		})
--- a/internal/system/consensus/cluster_process_test.go
+++ b/internal/system/consensus/cluster_process_test.go
@@ -8,7 +8,7 @@
 
 // disk is what is synced on a slot's disk.
 type disk struct {
-	stored       Stored
+	stored       PersistentState
 	stalledUntil time.Duration
 }
 
@@ -20,7 +20,7 @@
 	}
 	d.writeEntries(r.Entries)
 	if r.HardState != nil {
-		d.stored.Hard = *r.HardState
+		d.stored.HardState = *r.HardState
 	}
 }
 
@@ -43,7 +43,7 @@
 	world   *world
 	slot    *slot
 	id      ReplicaID
-	machine *Machine
+	machine *Node
 	alive   bool
 	heard   bool // a leader, or it knew its membership from the start
 
@@ -51,7 +51,7 @@
 	writing bool
 	waitsAt time.Duration // since when the head of the queue is being written
 	frozen  bool
-	backlog []func(m *Machine)
+	backlog []func(m *Node)
 	tickAt  time.Duration
 
 	applied uint64
@@ -68,18 +68,18 @@
 	p := &process{world: w, slot: s, id: s.id, alive: true}
 	s.process = p
 	p.heard = len(stored.Snapshot.Membership.Members) > 0 || len(stored.Entries) > 0
-	o := Options{ID: s.id, Heartbeat: 150 * time.Millisecond, Election: 700 * time.Millisecond,
-		Seed: w.random.Uint64(), MaxAppendBytes: w.profile.AppendBytes, MaxInflight: w.profile.Inflight, SnapshotAfter: 30}
+	o := Config{ID: s.id, HeartbeatInterval: 150 * time.Millisecond, ElectionTimeout: 700 * time.Millisecond,
+		Seed: w.random.Uint64(), MaxAppendBytes: w.profile.AppendBytes, MaxInflightAppends: w.profile.Inflight, SnapshotThreshold: 30}
 	p.applied = stored.Snapshot.Index
 	p.state = decodeState(stored.Snapshot.Data)
 	p.machine = New(p.clock(), o, stored)
 	if p.machine.mute {
-		w.fail("replica %d finds what was stored senseless: %v", s.id, stored.Check())
+		w.fail("replica %d finds what was stored senseless: %v", s.id, stored.Validate())
 		return
 	}
 	w.truth.noteSynced(s.id, Ready{Entries: stored.Entries})
-	w.logf("%d boots: %+v, snapshot %d, log to %d", s.id, stored.Hard, stored.Snapshot.Index, p.machine.log.last())
-	p.do(func(m *Machine) {})
+	w.logf("%d boots: %+v, snapshot %d, log to %d", s.id, stored.HardState, stored.Snapshot.Index, p.machine.log.last())
+	p.do(func(m *Node) {})
 }
 
 func (p *process) clock() time.Duration {
@@ -87,7 +87,7 @@
 }
 
 // do runs something of the process, later if it is frozen.
-func (p *process) do(what func(m *Machine)) {
+func (p *process) do(what func(m *Node)) {
 	if !p.alive {
 		return
 	}
@@ -105,7 +105,7 @@
 	if !p.alive {
 		return
 	}
-	due := p.machine.Next()
+	due := p.machine.NextTick()
 	if due == Never {
 		return
 	}
@@ -119,7 +119,7 @@
 		if p.tickAt != when {
 			return
 		}
-		p.do(func(m *Machine) {
+		p.do(func(m *Node) {
 			p.watchDisk()
 			m.Tick(p.clock())
 		})
@@ -140,7 +140,7 @@
 			return
 		}
 		p.world.checkReady(p, r)
-		for _, msg := range r.Early {
+		for _, msg := range r.EarlyMessages {
 			p.world.send(p, msg)
 		}
 		p.queue = append(p.queue, r)
@@ -155,14 +155,14 @@
 		if !r.MustSync {
 			p.queue = p.queue[1:]
 			if r.HardState != nil && p.world.chance(0.5) {
-				p.slot.disk.stored.Hard = *r.HardState
+				p.slot.disk.stored.HardState = *r.HardState
 			}
 			p.finish(r)
 			continue
 		}
 		p.writing = true
 		p.waitsAt = p.world.now
-		p.world.after(p.syncTime(), func() { p.do(func(*Machine) { p.synced() }) })
+		p.world.after(p.syncTime(), func() { p.do(func(*Node) { p.synced() }) })
 	}
 }
 
@@ -173,7 +173,7 @@
 
 func (p *process) synced() {
 	if left := p.slot.disk.stalledUntil - p.world.now; left > 0 && p.world.faults {
-		p.world.after(left, func() { p.do(func(*Machine) { p.synced() }) })
+		p.world.after(left, func() { p.do(func(*Node) { p.synced() }) })
 		return
 	}
 	r := p.queue[0]
@@ -181,7 +181,7 @@
 	p.writing = false
 	p.slot.disk.write(r)
 	p.world.truth.noteSynced(p.id, r)
-	p.machine.Persisted(r)
+	p.machine.MarkPersisted(r)
 	p.finish(r)
 	p.pump()
 }
@@ -195,7 +195,7 @@
 		p.applied, p.state = r.Snapshot.Index, decodeState(r.Snapshot.Data)
 		p.world.checkState(p)
 	}
-	for _, entry := range r.Committed {
+	for _, entry := range r.CommittedEntries {
 		if entry.Index != p.applied+1 {
 			p.world.fail("replica %d applies %d after %d", p.id, entry.Index, p.applied)
 		}
@@ -203,11 +203,11 @@
 		p.state = nextState(p.state, entry)
 		p.world.checkState(p)
 	}
-	for _, read := range r.Reads {
+	for _, read := range r.ReadStates {
 		p.world.checkRead(p, read)
 	}
-	if r.Compact != 0 {
-		p.compact(r.Compact)
+	if r.CompactIndex != 0 {
+		p.compact(r.CompactIndex)
 	}
 }
 
@@ -216,11 +216,11 @@
 		p.world.fail("replica %d is to compact %d, but is at %d", p.id, index, p.applied)
 		return
 	}
-	snapshot, is := p.machine.Snapshot(index, binary.BigEndian.AppendUint64(nil, p.state))
+	snapshot, is := p.machine.CreateSnapshot(index, binary.BigEndian.AppendUint64(nil, p.state))
 	if !is {
 		return // a snapshot of the leader came meanwhile
 	}
-	p.world.after(p.syncTime(), func() { p.do(func(m *Machine) { p.compacted(snapshot) }) })
+	p.world.after(p.syncTime(), func() { p.do(func(m *Node) { p.compacted(snapshot) }) })
 }
 
 func (p *process) compacted(snapshot Snapshot) {
@@ -232,7 +232,7 @@
 	if p.world.profile.Bare {
 		data = nil
 	}
-	p.machine.Compacted(snapshot.Index, data, 0)
+	p.machine.Compact(snapshot.Index, data, 0)
 }
 
 // kill ends the process. Of the writes under way some are on disk, and the last of them may be torn.
@@ -262,7 +262,7 @@
 		}
 	case 2:
 		if r.HardState != nil {
-			d.stored.Hard = *r.HardState
+			d.stored.HardState = *r.HardState
 		}
 	case 3:
 		if r.Snapshot != nil {
@@ -285,11 +285,11 @@
 	backlog := p.backlog
 	p.backlog = nil
 	if p.world.chance(0.5) { // the timer fires first
-		p.do(func(m *Machine) { m.Tick(p.clock()) })
+		p.do(func(m *Node) { m.Tick(p.clock()) })
 	}
 	for _, what := range backlog {
 		p.do(what)
 		p.world.check()
 	}
-	p.do(func(m *Machine) { m.Tick(p.clock()) })
+	p.do(func(m *Node) { m.Tick(p.clock()) })
 }
--- a/internal/system/consensus/cluster_test.go
+++ b/internal/system/consensus/cluster_test.go
@@ -46,7 +46,7 @@
 	if verbose {
 		for _, p := range w.processes() {
 			m := p.machine
-			t.Logf("%d: %+v due %v now %v queue %d frozen %v offset %d", p.id, m.Status(), m.Next(), p.clock(), len(p.queue),
+			t.Logf("%d: %+v due %v now %v queue %d frozen %v offset %d", p.id, m.Status(), m.NextTick(), p.clock(), len(p.queue),
 				p.frozen, m.log.offset)
 		}
 		t.Logf("%d steps, %d committed, %d terms, %d reads, %+v", w.steps, len(w.truth.committed), len(w.truth.leaders),
--- a/internal/system/consensus/cluster_world_test.go
+++ b/internal/system/consensus/cluster_world_test.go
@@ -203,7 +203,7 @@
 	if w.chance(w.profile.Dup) && w.faults {
 		copies = 2
 	}
-	if w.profile.Bare && msg.Kind == InstallSnapshot {
+	if w.profile.Bare && msg.Kind == MessageInstallSnapshot {
 		stored := from.slot.disk.stored.Snapshot
 		msg.Snapshot = &stored
 	}
@@ -244,9 +244,9 @@
 		return
 	}
 	p := to.process
-	p.do(func(m *Machine) {
+	p.do(func(m *Node) {
 		w.logf("%d <- %v", p.id, msgText(msg))
-		p.heard = p.heard || msg.Kind == Append || msg.Kind == InstallSnapshot
+		p.heard = p.heard || msg.Kind == MessageAppend || msg.Kind == MessageInstallSnapshot
 		m.Step(p.clock(), msg)
 	})
 }
@@ -273,5 +273,5 @@
 
 func msgText(m Message) string {
 	return fmt.Sprintf("%d kind %d term %d index %d/%d commit %d entries %d reject %v hint %d round %d", m.From, m.Kind,
-		m.Term, m.Index, m.LogTerm, m.Commit, len(m.Entries), m.Reject, m.Hint, m.Round)
+		m.Term, m.Index, m.LogTerm, m.Commit, len(m.Entries), m.Reject, m.RejectHint, m.Round)
 }
--- a/internal/system/consensus/election.go
+++ b/internal/system/consensus/election.go
@@ -19,7 +19,7 @@
 }
 
 // between draws a time from a range.
-func (m *Machine) between(least, most time.Duration) time.Duration {
+func (m *Node) between(least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
 	}
@@ -28,12 +28,12 @@
 
 // resetElection puts the next election off by a whole election time or more. Replicas that begin at about the same time
 // are told apart by rank, see yieldTo, so that the times need not be far apart.
-func (m *Machine) resetElection() {
-	m.electionDue = m.now + m.between(m.options.Election, m.options.Election*3/2)
+func (m *Node) resetElection() {
+	m.electionDue = m.now + m.between(m.options.ElectionTimeout, m.options.ElectionTimeout*3/2)
 }
 
 // retryElection sets when an election that has just begun is given up: the first few soon.
-func (m *Machine) retryElection(least, most time.Duration) {
+func (m *Node) retryElection(least, most time.Duration) {
 	m.attempts++
 	if m.attempts > quickAttempts {
 		m.resetElection()
@@ -43,7 +43,7 @@
 }
 
 // campaignDue is when this replica stands for election.
-func (m *Machine) campaignDue() time.Duration {
+func (m *Node) campaignDue() time.Duration {
 	if !m.mayLead() {
 		return Never
 	}
@@ -51,7 +51,7 @@
 }
 
 // becomeFollower ends whatever role this replica has.
-func (m *Machine) becomeFollower(term uint64, leader ReplicaID) {
+func (m *Node) becomeFollower(term uint64, leader ReplicaID) {
 	m.currentAt = m.current()
 	if term > m.term {
 		m.term, m.vote = term, 0
@@ -65,23 +65,23 @@
 }
 
 // campaign asks whether others would vote for this replica, which disturbs nobody who follows a leader.
-func (m *Machine) campaign() {
+func (m *Node) campaign() {
 	if m.role != PreCandidate {
 		m.askedAt = m.now
 	}
 	m.role = PreCandidate
 	m.leader = 0
 	m.granted = []ReplicaID{m.options.ID}
-	m.retryElection(m.options.Election/4, m.options.Election/2)
+	m.retryElection(m.options.ElectionTimeout/4, m.options.ElectionTimeout/2)
 	if m.elected() {
 		m.stand(false)
 		return
 	}
-	m.askVotes(Message{Kind: PreVote, Term: m.term + 1})
+	m.askVotes(Message{Kind: MessagePreVote, Term: m.term + 1})
 }
 
 // stand is the election proper. Votes are waited for twice as long as the pre-votes took.
-func (m *Machine) stand(force bool) {
+func (m *Node) stand(force bool) {
 	if m.role == PreCandidate {
 		m.voteTook = m.now - m.askedAt
 	}
@@ -93,12 +93,12 @@
 	m.term++
 	m.vote = m.options.ID
 	m.granted = nil // its own vote counts once it is on disk
-	least := max(m.options.Election/2, 2*m.voteTook)
-	m.retryElection(least, least+m.options.Election/2)
-	m.askVotes(Message{Kind: Vote, Term: m.term, Force: force})
+	least := max(m.options.ElectionTimeout/2, 2*m.voteTook)
+	m.retryElection(least, least+m.options.ElectionTimeout/2)
+	m.askVotes(Message{Kind: MessageVote, Term: m.term, Force: force})
 }
 
-func (m *Machine) askVotes(msg Message) {
+func (m *Node) askVotes(msg Message) {
 	msg.Index, msg.LogTerm = m.log.last(), m.log.lastTerm()
 	for _, member := range m.membership().Members {
 		if member.HasVote() && member.ID != m.options.ID {
@@ -109,31 +109,31 @@
 }
 
 // elected tells whether a majority of the voters has granted.
-func (m *Machine) elected() bool {
-	return m.membership().Quorum(func(id ReplicaID) bool { return slices.Contains(m.granted, id) })
+func (m *Node) elected() bool {
+	return m.membership().HasQuorum(func(id ReplicaID) bool { return slices.Contains(m.granted, id) })
 }
 
 // mayLead tells whether this replica is a voter, or would be if a membership that is not known to be committed came to
 // nothing: it may be the only one that holds that membership, and then nobody else can be elected. It leads until the
 // membership is committed.
-func (m *Machine) mayLead() bool {
+func (m *Node) mayLead() bool {
 	return m.log.anyMembership(func(s Membership) bool { return s.hasVote(m.options.ID) })
 }
 
 // mayVote tells whether this replica takes part in elections. A learner votes if it is asked: whoever asks it has made
 // it a voter, and the entry that says so may not have come here yet.
-func (m *Machine) mayVote() bool {
+func (m *Node) mayVote() bool {
 	return m.log.anyMembership(func(s Membership) bool { return s.has(m.options.ID) })
 }
 
 // holdsToLeader tells whether there may be a leader whose lease rests on this replica.
-func (m *Machine) holdsToLeader() bool { return m.role == Leader || m.now < m.refuseUntil }
+func (m *Node) holdsToLeader() bool { return m.role == Leader || m.now < m.refuseUntil }
 
-func (m *Machine) handlePreVote(msg Message) {
+func (m *Node) handlePreVote(msg Message) {
 	if !m.mayVote() {
 		return
 	}
-	reply := Message{Kind: PreVoteReply, To: msg.From, Term: msg.Term}
+	reply := Message{Kind: MessagePreVoteReply, To: msg.From, Term: msg.Term}
 	if msg.Term <= m.term || m.holdsToLeader() || !m.log.upToDate(msg.Index, msg.LogTerm) {
 		reply.Term, reply.Reject = m.term, true
 	}
@@ -148,7 +148,7 @@
 // yieldTo puts an election of this replica's own off for a pre-candidate that it would vote for, so that the two do not
 // split the votes. Of two pre-candidates with equal logs the one with the lower id yields. A replica yields once to one
 // in a term, so that one that is not elected holds up nobody for long.
-func (m *Machine) yieldTo(msg Message) {
+func (m *Node) yieldTo(msg Message) {
 	ahead := m.role == PreCandidate && m.log.matchesEnd(msg.Index, msg.LogTerm) && m.options.ID > msg.From
 	yielded := yield{to: msg.From, term: msg.Term}
 	if ahead || m.yielded == yielded {
@@ -159,10 +159,10 @@
 		m.role = Follower
 		m.granted = nil
 	}
-	m.electionDue = max(m.electionDue, m.now+m.between(m.options.Election*3/4, m.options.Election*5/4))
+	m.electionDue = max(m.electionDue, m.now+m.between(m.options.ElectionTimeout*3/4, m.options.ElectionTimeout*5/4))
 }
 
-func (m *Machine) handlePreVoteReply(msg Message) {
+func (m *Node) handlePreVoteReply(msg Message) {
 	if m.role != PreCandidate || msg.Reject || msg.Term != m.term+1 {
 		return
 	}
@@ -172,7 +172,7 @@
 	}
 }
 
-func (m *Machine) handleVote(msg Message) {
+func (m *Node) handleVote(msg Message) {
 	if !m.mayVote() || msg.Term < m.term {
 		return
 	}
@@ -183,7 +183,7 @@
 		m.becomeFollower(msg.Term, 0)
 	}
 	free := m.vote == msg.From || m.vote == 0 && m.leader == 0
-	reply := Message{Kind: VoteReply, To: msg.From, Reject: true}
+	reply := Message{Kind: MessageVoteReply, To: msg.From, Reject: true}
 	if free && m.log.upToDate(msg.Index, msg.LogTerm) {
 		reply.Reject = false
 		m.vote = msg.From
@@ -192,7 +192,7 @@
 	m.send(reply)
 }
 
-func (m *Machine) handleVoteReply(msg Message) {
+func (m *Node) handleVoteReply(msg Message) {
 	if m.role != Candidate || msg.Reject || msg.Term != m.term {
 		return
 	}
@@ -200,27 +200,27 @@
 }
 
 // countVote notes a vote for this candidate.
-func (m *Machine) countVote(from ReplicaID) {
+func (m *Node) countVote(from ReplicaID) {
 	m.grant(from)
 	if m.elected() {
 		m.becomeLeader()
 	}
 }
 
-func (m *Machine) grant(from ReplicaID) {
+func (m *Node) grant(from ReplicaID) {
 	if !slices.Contains(m.granted, from) {
 		m.granted = append(m.granted, from)
 	}
 }
 
 // heardLeader notes a message of the leader of this term.
-func (m *Machine) heardLeader(from ReplicaID) {
+func (m *Node) heardLeader(from ReplicaID) {
 	if m.role != Follower || m.leader != from {
 		m.becomeFollower(m.term, from)
 	}
 	m.attempts = 0
 	m.heardAt = m.now
 	m.heardFrom = from
-	m.refuseUntil = m.now + m.options.Election
+	m.refuseUntil = m.now + m.options.ElectionTimeout
 	m.resetElection()
 }
--- a/internal/system/consensus/encoding.go
+++ b/internal/system/consensus/encoding.go
@@ -32,14 +32,14 @@
 
 // DecodeError says that bytes are not what the package encodes. They come from another version or were spoilt.
 type DecodeError struct {
-	What   string // was expected
+	Field  string // was expected
 	Offset int    // in bytes
 }
 
 // Error says what happened.
 func (e *DecodeError) Error() string {
 	return fmt.Sprintf("consensus: no %s at byte %d; check that all replicas run versions that understand each other",
-		e.What, e.Offset)
+		e.Field, e.Offset)
 }
 
 // EncodeMembership returns the bytes of a membership, as in an entry's Data.
@@ -171,7 +171,7 @@
 
 // numbers are the fields that are encoded as numbers, in their order.
 func (m *Message) numbers() [8]*uint64 {
-	return [...]*uint64{(*uint64)(&m.From), (*uint64)(&m.To), &m.Term, &m.Index, &m.LogTerm, &m.Commit, &m.Hint, &m.Round}
+	return [...]*uint64{(*uint64)(&m.From), (*uint64)(&m.To), &m.Term, &m.Index, &m.LogTerm, &m.Commit, &m.RejectHint, &m.Round}
 }
 
 func appendBytes[T string | []byte](b []byte, data T) []byte {
@@ -188,7 +188,7 @@
 
 func (d *decoder) fail(what string) {
 	if d.err == nil {
-		d.err = &DecodeError{What: what, Offset: d.at}
+		d.err = &DecodeError{Field: what, Offset: d.at}
 	}
 	d.at = len(d.b)
 }
@@ -275,7 +275,7 @@
 
 func (d *decoder) message() (m Message) {
 	d.version()
-	m.Kind = MessageKind(d.byte("kind of message", byte(TimeoutNow)))
+	m.Kind = MessageKind(d.byte("kind of message", byte(MessageTimeoutNow)))
 	flags := d.byte("flags", knownFlags)
 	m.Reject = flags&flagReject != 0
 	m.Force = flags&flagForce != 0
--- a/internal/system/consensus/encoding_test.go
+++ b/internal/system/consensus/encoding_test.go
@@ -43,10 +43,10 @@
 }
 
 func drawMessage(t *rapid.T) Message {
-	m := Message{Kind: MessageKind(rapid.IntRange(0, int(TimeoutNow)).Draw(t, "kind")),
+	m := Message{Kind: MessageKind(rapid.IntRange(0, int(MessageTimeoutNow)).Draw(t, "kind")),
 		From: ReplicaID(drawNumber(t, "from")), To: ReplicaID(drawNumber(t, "to")), Term: drawNumber(t, "term"),
 		Index: drawNumber(t, "index"), LogTerm: drawNumber(t, "log term"), Commit: drawNumber(t, "commit"),
-		Hint: drawNumber(t, "hint"), Round: drawNumber(t, "round"), Reject: rapid.Bool().Draw(t, "reject"),
+		RejectHint: drawNumber(t, "hint"), Round: drawNumber(t, "round"), Reject: rapid.Bool().Draw(t, "reject"),
 		Force: rapid.Bool().Draw(t, "force")}
 	for range rapid.IntRange(0, 5).Draw(t, "entries") {
 		m.Entries = append(m.Entries, drawEntry(t))
@@ -123,9 +123,9 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(EncodeMessage(Message{Kind: Append, From: 1, To: 2, Term: 3, Index: 4, LogTerm: 2, Commit: 4, Round: 1 << 40,
+	f.Add(EncodeMessage(Message{Kind: MessageAppend, From: 1, To: 2, Term: 3, Index: 4, LogTerm: 2, Commit: 4, Round: 1 << 40,
 		Entries: append(entries(5, 3), membershipEntry(6, 3, voters(1, 2)))}))
-	f.Add(EncodeMessage(Message{Kind: InstallSnapshot, Reject: true, Force: true,
+	f.Add(EncodeMessage(Message{Kind: MessageInstallSnapshot, Reject: true, Force: true,
 		Snapshot: &Snapshot{Index: 1, Term: 1, Membership: voters(1, 2), Data: []byte("x")}}))
 	f.Add(EncodeMembership(with(voters(1), Member{ID: 9, Node: "n", Zone: "z", Address: "a:1"})))
 	f.Add(EncodeHardState(HardState{Term: 5, Vote: 6, Commit: 7}))
--- a/internal/system/consensus/log.go
+++ b/internal/system/consensus/log.go
@@ -33,11 +33,11 @@
 	membership Membership
 }
 
-func newLog(s Stored) replicaLog {
+func newLog(s PersistentState) replicaLog {
 	l := replicaLog{snapshot: s.Snapshot, offset: s.Snapshot.Index, offsetTerm: s.Snapshot.Term}
 	l.memberships = []membershipAt{{l.offset, s.Snapshot.Membership}}
 	l.append(s.Entries)
-	l.commit = max(l.offset, min(s.Hard.Commit, l.last()))
+	l.commit = max(l.offset, min(s.HardState.Commit, l.last()))
 	l.applied = l.offset
 	l.handed = l.last()
 	l.durable = l.last()
--- a/internal/system/consensus/machine.go
+++ b/internal/system/consensus/machine.go
@@ -20,10 +20,10 @@
 // leaseMarginPart is the part of an election time by which a lease ends early, for clocks that differ in rate.
 const leaseMarginPart = 10
 
-// Machine is one replica. It is not safe for concurrent use. Times are of a steady clock and never go back; the clocks
+// Node is one replica. It is not safe for concurrent use. Times are of a steady clock and never go back; the clocks
 // of two replicas need not agree, but must run at the same rate within a tenth.
-type Machine struct {
-	options Options
+type Node struct {
+	options Config
 	random  *rand.Rand
 	now     time.Duration
 	mute    bool // what was stored made no sense
@@ -61,29 +61,29 @@
 // New returns a replica that goes on from what was stored; the state machine is at s.Snapshot.Index. What was stored has
 // to be synced: what a process left unsynced when it was killed could still be lost after it was read. The replica is
 // silent for good if s.Check does not hold.
-func New(now time.Duration, o Options, s Stored) *Machine {
+func New(now time.Duration, o Config, s PersistentState) *Node {
 	s = s.tidied()
-	m := &Machine{options: o, now: now, random: rand.New(rand.NewPCG(o.Seed, uint64(o.ID)))}
-	if s.Check() != nil {
+	m := &Node{options: o, now: now, random: rand.New(rand.NewPCG(o.Seed, uint64(o.ID)))}
+	if s.Validate() != nil {
 		m.mute = true
-		s = Stored{}
+		s = PersistentState{}
 	}
 	m.log = newLog(s)
-	m.term, m.vote = s.Hard.Term, s.Hard.Vote
+	m.term, m.vote = s.HardState.Term, s.HardState.Vote
 	if lastTerm := m.log.lastTerm(); lastTerm > m.term {
 		m.term, m.vote = lastTerm, 0
 	}
-	m.persistedTerm = s.Hard.Term
-	m.handedHard = s.Hard
+	m.persistedTerm = s.HardState.Term
+	m.handedHard = s.HardState
 	if m.term > 0 {
-		m.refuseUntil = now + o.Election // it may have confirmed a leader just before it ended
+		m.refuseUntil = now + o.ElectionTimeout // it may have confirmed a leader just before it ended
 	}
 	m.resetElection()
 	return m
 }
 
-// Check tells what does not make sense in what was stored.
-func (s Stored) Check() error {
+// Validate tells what does not make sense in what was stored.
+func (s PersistentState) Validate() error {
 	if s.Snapshot.Index > 0 || len(s.Snapshot.Membership.Members) > 0 {
 		if err := s.Snapshot.Membership.check(); err != nil {
 			return err
@@ -94,7 +94,7 @@
 }
 
 // tidied leaves out entries that the snapshot holds, or that stem from a log that it replaced.
-func (s Stored) tidied() Stored {
+func (s PersistentState) tidied() PersistentState {
 	for len(s.Entries) > 0 && s.Entries[0].Index <= s.Snapshot.Index {
 		if s.Entries[0].Index == s.Snapshot.Index && s.Entries[0].Term != s.Snapshot.Term {
 			s.Entries = nil
@@ -110,16 +110,16 @@
 
 // advance moves the time on. After a long gap the process may have stood still, and what comes first may have waited for
 // it: that says nothing of how things are now.
-func (m *Machine) advance(now time.Duration) {
-	if now-m.now > sleptElections*m.options.Election {
-		m.doubtUntil = now + doubtHeartbeats*m.options.Heartbeat
+func (m *Node) advance(now time.Duration) {
+	if now-m.now > sleptElections*m.options.ElectionTimeout {
+		m.doubtUntil = now + doubtHeartbeats*m.options.HeartbeatInterval
 	}
 	m.now = max(m.now, now)
 }
 
 // current is when this replica last held all that a leader which a majority follows had committed. A leader knows how far
 // that is once it has committed an entry of its term.
-func (m *Machine) current() time.Duration {
+func (m *Node) current() time.Duration {
 	if m.role == Leader && m.committedInTerm() {
 		return max(m.currentAt, time.Duration(m.leading.confirmed))
 	}
@@ -127,7 +127,7 @@
 }
 
 // Tick does what is due.
-func (m *Machine) Tick(now time.Duration) {
+func (m *Node) Tick(now time.Duration) {
 	m.advance(now)
 	if m.mute {
 		return
@@ -141,8 +141,8 @@
 	}
 }
 
-// Next is when Tick is due, or Never. It may change with each call of another method.
-func (m *Machine) Next() time.Duration {
+// NextTick is when Tick is due, or Never. It may change with each call of another method.
+func (m *Node) NextTick() time.Duration {
 	if m.mute {
 		return Never
 	}
@@ -153,50 +153,50 @@
 }
 
 // Step takes a message. Messages that make no sense are left out.
-func (m *Machine) Step(now time.Duration, msg Message) {
+func (m *Node) Step(now time.Duration, msg Message) {
 	m.advance(now)
 	if m.mute || msg.To != m.options.ID || msg.From == m.options.ID || msg.From == 0 || msg.check() != nil {
 		return
 	}
 	switch msg.Kind {
-	case PreVote:
+	case MessagePreVote:
 		m.handlePreVote(msg)
-	case Vote:
+	case MessageVote:
 		m.handleVote(msg)
-	case Append, InstallSnapshot:
+	case MessageAppend, MessageInstallSnapshot:
 		m.handleLeader(msg)
-	case TimeoutNow:
+	case MessageTimeoutNow:
 		m.handleTimeoutNow(msg)
-	case PreVoteReply, VoteReply, AppendReply, SnapshotReply:
+	case MessagePreVoteReply, MessageVoteReply, MessageAppendReply, MessageInstallSnapshotReply:
 		m.handleReply(msg)
 	}
 }
 
 // handleReply takes an answer of a member to what this replica sent.
-func (m *Machine) handleReply(msg Message) {
+func (m *Node) handleReply(msg Message) {
 	if !m.membership().has(msg.From) {
 		return
 	}
-	future := msg.Kind == PreVoteReply && !msg.Reject // for a term that nobody is in yet
+	future := msg.Kind == MessagePreVoteReply && !msg.Reject // for a term that nobody is in yet
 	if msg.Term > m.term && !future {
 		m.becomeFollower(msg.Term, 0)
 		return
 	}
 	switch msg.Kind {
-	case PreVoteReply:
+	case MessagePreVoteReply:
 		m.handlePreVoteReply(msg)
-	case VoteReply:
+	case MessageVoteReply:
 		m.handleVoteReply(msg)
-	case AppendReply:
+	case MessageAppendReply:
 		m.handleAppendReply(msg)
-	case SnapshotReply:
+	case MessageInstallSnapshotReply:
 		m.handleSnapshotReply(msg)
 	}
 }
 
 // Propose appends a command to a leader's log. It is agreed on once it comes back in Ready.Committed at this index with
 // this term; another entry there means that it was lost.
-func (m *Machine) Propose(now time.Duration, data []byte) (index, term uint64, err error) {
+func (m *Node) Propose(now time.Duration, data []byte) (index, term uint64, err error) {
 	m.advance(now)
 	if m.role != Leader || m.leading.transferee != 0 {
 		return 0, 0, m.notLeader()
@@ -205,7 +205,7 @@
 	return index, m.term, nil
 }
 
-func (m *Machine) notLeader() *NotLeaderError {
+func (m *Node) notLeader() *NotLeaderError {
 	if m.role == Leader {
 		return &NotLeaderError{} // about to hand over
 	}
@@ -213,31 +213,31 @@
 }
 
 // Status describes the replica as it stands.
-func (m *Machine) Status() Status {
+func (m *Node) Status() Status {
 	s := Status{ID: m.options.ID, Role: m.role, Term: m.term, Leader: m.leader, Commit: m.log.commit,
 		Applied: m.log.applied, LastIndex: m.log.last(), Membership: m.membership(),
-		MembershipIndex: m.log.membership().index, LeaderHeard: m.heardAt,
-		CurrentAt: m.current()}
+		MembershipIndex: m.log.membership().index, LastLeaderContact: m.heardAt,
+		CaughtUpAt: m.current()}
 	if m.role != Leader {
 		return s
 	}
-	s.LeaseUntil = m.Lease()
+	s.LeaseExpiry = m.LeaseExpiry()
 	s.Transferring = m.leading.transferee != 0
-	s.LeaderHeard = time.Duration(m.leading.confirmed)
+	s.LastLeaderContact = time.Duration(m.leading.confirmed)
 	s.Match = map[ReplicaID]uint64{m.options.ID: m.log.durable}
-	s.Answered = map[ReplicaID]time.Duration{}
+	s.LastContact = map[ReplicaID]time.Duration{}
 	for _, p := range m.leading.peers {
 		s.Match[p.id] = p.match
-		s.Answered[p.id] = p.answeredAt
+		s.LastContact[p.id] = p.answeredAt
 	}
 	return s
 }
 
 // Leader is who leads as far as this replica knows, 0: not known.
-func (m *Machine) Leader() ReplicaID { return m.leader }
+func (m *Node) Leader() ReplicaID { return m.leader }
 
 // send queues a message that rests on what is yet to be written.
-func (m *Machine) send(msg Message) {
+func (m *Node) send(msg Message) {
 	msg.From = m.options.ID
 	if msg.Term == 0 {
 		msg.Term = m.term
@@ -246,7 +246,7 @@
 }
 
 // sendEarly queues a message of a leader, which does not rest on what is yet to be written: a leader's term is on disk.
-func (m *Machine) sendEarly(msg Message) {
+func (m *Node) sendEarly(msg Message) {
 	msg.From, msg.Term = m.options.ID, m.term
 	m.early = append(m.early, msg)
 }
--- a/internal/system/consensus/membership.go
+++ b/internal/system/consensus/membership.go
@@ -40,9 +40,9 @@
 func incoming(member *Member) bool { return member.Voter }
 func outgoing(member *Member) bool { return member.Outgoing }
 
-// Quorum tells whether the members that something is true of are a majority of the voters: of a joint membership, a
+// HasQuorum tells whether the members that something is true of are a majority of the voters: of a joint membership, a
 // majority of each of its two voter sets.
-func (s Membership) Quorum(is func(ReplicaID) bool) bool {
+func (s Membership) HasQuorum(is func(ReplicaID) bool) bool {
 	return s.majorityOf(incoming, is) && (!s.Joint() || s.majorityOf(outgoing, is))
 }
 
@@ -83,17 +83,17 @@
 	voters := 0
 	for i, member := range s.Members {
 		if member.ID == 0 {
-			return &MembershipError{Reason: "a member has no id"}
+			return &InvalidMembershipError{Reason: "a member has no id"}
 		}
 		if slices.ContainsFunc(s.Members[:i], func(other Member) bool { return other.ID == member.ID }) {
-			return &MembershipError{Reason: "a member stands there twice"}
+			return &InvalidMembershipError{Reason: "a member stands there twice"}
 		}
 		if member.Voter {
 			voters++
 		}
 	}
 	if voters == 0 {
-		return &MembershipError{Reason: "there is no voter"}
+		return &InvalidMembershipError{Reason: "there is no voter"}
 	}
 	return nil
 }
@@ -115,7 +115,7 @@
 }
 
 // membership is the newest one in the log.
-func (m *Machine) membership() Membership { return m.log.membership().membership }
+func (m *Node) membership() Membership { return m.log.membership().membership }
 
 // ChangeMembership appends a membership that differs from the present one in one member (a learner that becomes a voter
 // once it has caught up, a voter that becomes a learner or leaves), in anything but who votes (learners that join or
@@ -123,25 +123,25 @@
 // third goes through a
 // joint membership, which the leader leaves by itself once it is committed; members that lose their vote stay as
 // learners. The next change is possible once all of that is committed, see Status.MembershipIndex and Membership.Joint.
-// The error is a *NotLeaderError, *BusyMembershipError, *BehindError or *MembershipError.
-func (m *Machine) ChangeMembership(now time.Duration, to Membership) error {
+// The error is a *NotLeaderError, *PendingMembershipChangeError, *LearnerBehindError or *InvalidMembershipError.
+func (m *Node) ChangeMembership(now time.Duration, to Membership) error {
 	m.advance(now)
 	if m.role != Leader {
 		return m.notLeader()
 	}
 	present := m.membership()
 	if m.leading.transferee != 0 || !m.committedInTerm() || m.log.membership().index > m.log.commit || present.Joint() {
-		return &BusyMembershipError{}
+		return &PendingMembershipChangeError{}
 	}
 	if err := to.check(); err != nil {
 		return err
 	}
 	if to.Joint() {
-		return &MembershipError{Reason: "a member is outgoing, which the agreement itself decides"}
+		return &InvalidMembershipError{Reason: "a member is outgoing, which the agreement itself decides"}
 	}
 	changed := differing(present, to)
 	if len(changed) == 0 || len(changed) > 1 && !sameButVotes(present, to) && !sameVoters(present, to) {
-		return &MembershipError{Reason: "it has to differ from the present one in one member, in who votes alone, or in " +
+		return &InvalidMembershipError{Reason: "it has to differ from the present one in one member, in who votes alone, or in " +
 			"anything but who votes"}
 	}
 	for _, id := range changed {
@@ -180,23 +180,23 @@
 }
 
 // checkVoter tells why a member may not become a voter yet.
-func (m *Machine) checkVoter(id ReplicaID, to Membership) error {
+func (m *Node) checkVoter(id ReplicaID, to Membership) error {
 	if !to.votes(id) || m.membership().votes(id) {
 		return nil
 	}
 	p := m.peer(id)
 	if p == nil {
-		return &MembershipError{Reason: "a new member has to join as a learner first"}
+		return &InvalidMembershipError{Reason: "a new member has to join as a learner first"}
 	}
 	// It also has to know that it is a member: else it would not vote.
-	if p.match < m.log.membership().index || !p.keepsUp(m.now, m.options.Election) {
-		return &BehindError{ID: id, Match: p.match, Want: p.goal}
+	if p.match < m.log.membership().index || !p.keepsUp(m.now, m.options.ElectionTimeout) {
+		return &LearnerBehindError{ID: id, Match: p.match, Target: p.goal}
 	}
 	return nil
 }
 
 // adoptMembership brings the peers in line with the newest membership.
-func (m *Machine) adoptMembership() {
+func (m *Node) adoptMembership() {
 	l := &m.leading
 	membership := m.membership()
 	var peers []*peer
@@ -221,7 +221,7 @@
 
 // membershipCommitted leaves a committed joint membership, and lets members go that a committed membership no longer
 // has, this leader included.
-func (m *Machine) membershipCommitted() {
+func (m *Node) membershipCommitted() {
 	l := &m.leading
 	if m.log.membership().index > m.log.commit {
 		return
@@ -238,18 +238,18 @@
 		return
 	}
 	if p := m.peer(m.heir()); p != nil && p.match == m.log.last() {
-		m.sendEarly(Message{Kind: TimeoutNow, To: p.id})
+		m.sendEarly(Message{Kind: MessageTimeoutNow, To: p.id})
 	}
 	m.becomeFollower(m.term, 0)
 }
 
 // bidFarewell tells a former member, once, that it was removed, so that it does not go on standing for election. This
 // must not happen earlier: before the removal is committed its vote may be needed, which it would no longer give.
-func (m *Machine) bidFarewell(p *peer) {
+func (m *Node) bidFarewell(p *peer) {
 	term, known := m.log.term(p.next - 1)
 	if !known {
 		return
 	}
-	m.sendEarly(Message{Kind: Append, To: p.id, Index: p.next - 1, LogTerm: term, Commit: m.log.commit,
+	m.sendEarly(Message{Kind: MessageAppend, To: p.id, Index: p.next - 1, LogTerm: term, Commit: m.log.commit,
 		Entries: m.log.slice(p.next, m.options.MaxAppendBytes)})
 }
--- a/internal/system/consensus/reads.go
+++ b/internal/system/consensus/reads.go
@@ -9,9 +9,9 @@
 	round uint64 // any from here on will do
 }
 
-// Read asks for an index from which on the state machine shows all that was agreed on before the call. Ready.Reads
+// ReadIndex asks for an index from which on the state machine shows all that was agreed on before the call. Ready.Reads
 // brings it under the token, or an error if this replica does not lead.
-func (m *Machine) Read(now time.Duration, token uint64) {
+func (m *Node) ReadIndex(now time.Duration, token uint64) {
 	m.advance(now)
 	if m.mute || m.role != Leader {
 		m.readStates = append(m.readStates, ReadState{Token: token, Err: m.notLeader()})
@@ -26,14 +26,14 @@
 }
 
 // committedInTerm tells whether a leader knows how far the log is committed.
-func (m *Machine) committedInTerm() bool {
+func (m *Node) committedInTerm() bool {
 	term, known := m.log.term(m.log.commit)
 	return known && term == m.term
 }
 
 // flushRounds begins a round where a read needs one. The number of a round is the time at which it began, in
 // nanoseconds, or the next one after the last round's.
-func (m *Machine) flushRounds() {
+func (m *Node) flushRounds() {
 	l := &m.leading
 	l.round = max(l.round, uint64(max(m.now, 0)))
 	if len(l.reads) == 0 || l.reads[len(l.reads)-1].round <= l.asked {
@@ -47,7 +47,7 @@
 }
 
 // confirmRounds finds the last round that a majority has answered.
-func (m *Machine) confirmRounds() {
+func (m *Node) confirmRounds() {
 	l := &m.leading
 	confirmed := m.majority(func(id ReplicaID) uint64 {
 		if id == m.options.ID {
@@ -63,7 +63,7 @@
 }
 
 // answerReads answers the reads that were confirmed, in their order.
-func (m *Machine) answerReads() {
+func (m *Node) answerReads() {
 	l := &m.leading
 	if len(l.reads) == 0 || !m.committedInTerm() {
 		return
@@ -81,19 +81,19 @@
 }
 
 // dropReads answers the pending reads with an error.
-func (m *Machine) dropReads() {
+func (m *Node) dropReads() {
 	for _, read := range m.leading.reads {
 		m.readStates = append(m.readStates, ReadState{Token: read.token, Err: &NotLeaderError{Leader: m.leader}})
 	}
 	m.leading.reads = nil
 }
 
-// Lease is until when no other replica can be leader, 0 if that is not sure; see Status.LeaseUntil. Each follower that
+// LeaseExpiry is until when no other replica can be leader, 0 if that is not sure; see Status.LeaseExpiry. Each follower that
 // answered a round holds to this leader for an election time after it got that round's message.
-func (m *Machine) Lease() time.Duration {
+func (m *Node) LeaseExpiry() time.Duration {
 	l := &m.leading
 	if m.role != Leader || l.handedOver || l.confirmed == 0 {
 		return 0
 	}
-	return time.Duration(l.confirmed) + m.options.Election - m.options.Election/leaseMarginPart
+	return time.Duration(l.confirmed) + m.options.ElectionTimeout - m.options.ElectionTimeout/leaseMarginPart
 }
--- a/internal/system/consensus/replication.go
+++ b/internal/system/consensus/replication.go
@@ -29,7 +29,7 @@
 
 const (
 	probing      peerState = iota // one append at a time, until it is known where the logs agree
-	replicating                   // appends follow each other without waiting, up to Options.MaxInflight
+	replicating                   // appends follow each other without waiting, up to Options.MaxInflightAppends
 	snapshotting                  // a snapshot is on its way
 )
 
@@ -95,7 +95,7 @@
 // keepsUp tells whether a member is behind the end of the log by less than a span of time.
 func (p *peer) keepsUp(now, span time.Duration) bool { return p.lag < span && now-p.goalAt < span }
 
-func (m *Machine) peer(id ReplicaID) *peer {
+func (m *Node) peer(id ReplicaID) *peer {
 	for _, p := range m.leading.peers {
 		if p.id == id {
 			return p
@@ -106,7 +106,7 @@
 
 // majority is the largest value that more than half of the voters reach: of a joint membership, more than half of each
 // of its voter sets.
-func (m *Machine) majority(value func(ReplicaID) uint64) uint64 {
+func (m *Node) majority(value func(ReplicaID) uint64) uint64 {
 	membership := m.membership()
 	reached := membership.majorityValue(incoming, value)
 	if membership.Joint() {
@@ -132,13 +132,13 @@
 }
 
 // becomeLeader begins a leadership with an entry of the new term, which commits all that stands before it.
-func (m *Machine) becomeLeader() {
+func (m *Node) becomeLeader() {
 	granted := m.granted
 	m.role = Leader
 	m.leader = m.options.ID
 	m.attempts = 0
 	m.granted = nil
-	m.leading = leadership{heartbeatDue: m.now + m.options.Heartbeat}
+	m.leading = leadership{heartbeatDue: m.now + m.options.HeartbeatInterval}
 	m.adoptMembership()
 	m.noteSilentPredecessor(granted)
 	m.appendOwn(EntryCommand, nil)
@@ -146,14 +146,14 @@
 
 // noteSilentPredecessor dates the last word of the leader before, which this replica knows as its follower, unless that
 // one has just voted. All other members are taken for present until they are silent.
-func (m *Machine) noteSilentPredecessor(granted []ReplicaID) {
+func (m *Node) noteSilentPredecessor(granted []ReplicaID) {
 	if p := m.peer(m.heardFrom); p != nil && m.heardAt > 0 && !slices.Contains(granted, p.id) {
 		p.answeredAt = m.heardAt
 	}
 }
 
 // appendOwn appends an entry of a leader.
-func (m *Machine) appendOwn(kind EntryKind, data []byte) uint64 {
+func (m *Node) appendOwn(kind EntryKind, data []byte) uint64 {
 	entry := Entry{Index: m.log.last() + 1, Term: m.term, Kind: kind, Data: data}
 	m.log.append([]Entry{entry})
 	if kind == EntryMembership {
@@ -162,7 +162,7 @@
 	return entry.Index
 }
 
-func (m *Machine) tickLeader() {
+func (m *Node) tickLeader() {
 	if m.now >= m.quorumEnds() {
 		m.becomeFollower(m.term, 0)
 		return
@@ -174,13 +174,13 @@
 	if m.now < m.leading.heartbeatDue {
 		return
 	}
-	m.leading.heartbeatDue = m.now + m.options.Heartbeat
+	m.leading.heartbeatDue = m.now + m.options.HeartbeatInterval
 	for _, p := range m.leading.peers {
-		p.beat = p.beat || m.now-p.sentAt > m.options.Heartbeat/2
+		p.beat = p.beat || m.now-p.sentAt > m.options.HeartbeatInterval/2
 	}
 }
 
-func (m *Machine) leaderDue() time.Duration {
+func (m *Node) leaderDue() time.Duration {
 	due := min(m.leading.heartbeatDue, m.quorumEnds())
 	if m.leading.transferee != 0 {
 		due = min(due, m.leading.transferEnds)
@@ -189,7 +189,7 @@
 }
 
 // quorumEnds is when this leader gives up unless a majority answers before.
-func (m *Machine) quorumEnds() time.Duration {
+func (m *Node) quorumEnds() time.Duration {
 	answered := m.majority(func(id ReplicaID) uint64 {
 		if id == m.options.ID {
 			return uint64(max(m.now, 0))
@@ -199,11 +199,11 @@
 		}
 		return 0
 	})
-	return time.Duration(answered) + m.options.Election
+	return time.Duration(answered) + m.options.ElectionTimeout
 }
 
 // flush makes a leader's messages out of what has come together since the last time.
-func (m *Machine) flush() {
+func (m *Node) flush() {
 	if m.role != Leader {
 		return
 	}
@@ -217,7 +217,7 @@
 	m.confirmRounds() // a group of one confirms itself
 }
 
-func (m *Machine) flushPeer(p *peer) {
+func (m *Node) flushPeer(p *peer) {
 	for m.wantsEntries(p) {
 		m.sendEntries(p)
 	}
@@ -233,24 +233,24 @@
 }
 
 // snapshotLost tells whether a member that is there has not answered a snapshot for long.
-func (m *Machine) snapshotLost(p *peer) bool {
-	return p.state == snapshotting && m.now-p.snapshotAt >= snapshotElections*m.options.Election &&
-		m.now-p.answeredAt < m.options.Election
+func (m *Node) snapshotLost(p *peer) bool {
+	return p.state == snapshotting && m.now-p.snapshotAt >= snapshotElections*m.options.ElectionTimeout &&
+		m.now-p.answeredAt < m.options.ElectionTimeout
 }
 
-func (m *Machine) wantsEntries(p *peer) bool {
+func (m *Node) wantsEntries(p *peer) bool {
 	switch p.state {
 	case probing:
 		return !p.waiting
 	case replicating:
-		return p.next <= m.log.last() && len(p.inflight) < max(m.options.MaxInflight, 1)
+		return p.next <= m.log.last() && len(p.inflight) < max(m.options.MaxInflightAppends, 1)
 	default:
 		return false
 	}
 }
 
 // sendEntries sends the next entries to a member, or a snapshot where the log no longer holds them.
-func (m *Machine) sendEntries(p *peer) {
+func (m *Node) sendEntries(p *peer) {
 	if _, known := m.log.term(p.next - 1); !known {
 		m.sendSnapshot(p)
 		return
@@ -267,7 +267,7 @@
 }
 
 // sendHeartbeat sends an append without entries, which also finds out whether earlier ones were lost.
-func (m *Machine) sendHeartbeat(p *peer) {
+func (m *Node) sendHeartbeat(p *peer) {
 	p.beat = false
 	index := p.next - 1
 	if p.state == snapshotting {
@@ -282,16 +282,16 @@
 
 // forgetSent begins anew, once it answers, with a member that fell behind the start of the log while appends to it were
 // under way.
-func (m *Machine) forgetSent(p *peer) {
+func (m *Node) forgetSent(p *peer) {
 	if p.state != snapshotting {
 		p.becomeProbing(p.match + 1)
 		p.waiting = true
 	}
 }
 
-func (m *Machine) sendAppend(p *peer, index uint64, entries []Entry, round uint64) {
+func (m *Node) sendAppend(p *peer, index uint64, entries []Entry, round uint64) {
 	term, _ := m.log.term(index) // 0 at the start
-	m.sendEarly(Message{Kind: Append, To: p.id, Index: index, LogTerm: term, Commit: m.log.commit, Entries: entries,
+	m.sendEarly(Message{Kind: MessageAppend, To: p.id, Index: index, LogTerm: term, Commit: m.log.commit, Entries: entries,
 		Round: round})
 	p.told = max(p.told, min(m.log.commit, index+uint64(len(entries))))
 	if round > 0 {
@@ -299,18 +299,18 @@
 	}
 }
 
-func (m *Machine) sendSnapshot(p *peer) {
+func (m *Node) sendSnapshot(p *peer) {
 	snapshot := m.log.snapshot
 	p.becomeSnapshotting(m.now)
-	m.sendEarly(Message{Kind: InstallSnapshot, To: p.id, Snapshot: &snapshot, Commit: m.log.commit,
+	m.sendEarly(Message{Kind: MessageInstallSnapshot, To: p.id, Snapshot: &snapshot, Commit: m.log.commit,
 		Round: m.leading.round})
 }
 
 // handleLeader takes a message that only a leader sends.
-func (m *Machine) handleLeader(msg Message) {
+func (m *Node) handleLeader(msg Message) {
 	if msg.Term < m.term {
 		// Its sender learns of the newer term and gives up.
-		m.send(Message{Kind: AppendReply, To: msg.From, Reject: true})
+		m.send(Message{Kind: MessageAppendReply, To: msg.From, Reject: true})
 		return
 	}
 	if msg.Term > m.term {
@@ -320,7 +320,7 @@
 		return // there is one leader a term
 	}
 	m.heardLeader(msg.From)
-	if msg.Kind == Append {
+	if msg.Kind == MessageAppend {
 		m.handleAppend(msg)
 	} else {
 		m.handleSnapshot(msg)
@@ -332,7 +332,7 @@
 }
 
 // handleAppend takes a leader's entries if they follow an entry that both have.
-func (m *Machine) handleAppend(msg Message) {
+func (m *Node) handleAppend(msg Message) {
 	index, entries := msg.Index, msg.Entries
 	if index < m.log.commit {
 		// What is committed is the same everywhere.
@@ -356,22 +356,22 @@
 	m.replyAppend(msg, last)
 }
 
-func (m *Machine) replyAppend(msg Message, index uint64) {
+func (m *Node) replyAppend(msg Message, index uint64) {
 	if msg.Round == 0 && len(msg.Entries) == 0 {
 		return
 	}
-	m.send(Message{Kind: AppendReply, To: msg.From, Index: index, Round: msg.Round})
+	m.send(Message{Kind: MessageAppendReply, To: msg.From, Index: index, Round: msg.Round})
 }
 
 // rejectAppend tells the leader where the logs may agree, passing over whole terms.
-func (m *Machine) rejectAppend(msg Message) {
+func (m *Node) rejectAppend(msg Message) {
 	hint, term := m.log.conflict(msg.Index, msg.LogTerm)
-	m.send(Message{Kind: AppendReply, To: msg.From, Index: msg.Index, LogTerm: term, Reject: true, Hint: hint,
+	m.send(Message{Kind: MessageAppendReply, To: msg.From, Index: msg.Index, LogTerm: term, Reject: true, RejectHint: hint,
 		Round: msg.Round})
 }
 
 // handleSnapshot replaces log and state unless the log holds all of the snapshot already.
-func (m *Machine) handleSnapshot(msg Message) {
+func (m *Node) handleSnapshot(msg Message) {
 	s := *msg.Snapshot
 	switch {
 	case s.Index <= m.log.commit:
@@ -380,11 +380,11 @@
 	default:
 		m.log.restore(s)
 	}
-	m.send(Message{Kind: SnapshotReply, To: msg.From, Index: m.log.commit, Round: msg.Round})
+	m.send(Message{Kind: MessageInstallSnapshotReply, To: msg.From, Index: m.log.commit, Round: msg.Round})
 }
 
 // answer notes that a member has answered in this leader's term.
-func (m *Machine) answer(msg Message) *peer {
+func (m *Node) answer(msg Message) *peer {
 	p := m.peer(msg.From)
 	if m.role != Leader || msg.Term != m.term || p == nil {
 		return nil
@@ -395,7 +395,7 @@
 	return p
 }
 
-func (m *Machine) handleAppendReply(msg Message) {
+func (m *Node) handleAppendReply(msg Message) {
 	p := m.answer(msg)
 	if p == nil || msg.Index > m.log.last() {
 		return
@@ -407,7 +407,7 @@
 	m.matched(p, msg.Index)
 }
 
-func (m *Machine) handleSnapshotReply(msg Message) {
+func (m *Node) handleSnapshotReply(msg Message) {
 	p := m.answer(msg)
 	if p == nil || msg.Reject || msg.Index > m.log.last() {
 		return
@@ -416,7 +416,7 @@
 }
 
 // matched notes up to where a member holds the log.
-func (m *Machine) matched(p *peer, index uint64) {
+func (m *Node) matched(p *peer, index uint64) {
 	updated := index > p.match
 	p.match = max(p.match, index)
 	p.answered(index)
@@ -438,19 +438,19 @@
 }
 
 // handleReject goes back to where a member's log may agree with this one.
-func (m *Machine) handleReject(p *peer, msg Message) {
+func (m *Node) handleReject(p *peer, msg Message) {
 	if p.state == snapshotting || msg.Index <= p.match || p.state == probing && msg.Index != p.next-1 {
 		return // of old
 	}
-	hint, _ := m.log.conflict(msg.Hint, msg.LogTerm)
-	if msg.Hint < m.log.offset {
-		hint = msg.Hint
+	hint, _ := m.log.conflict(msg.RejectHint, msg.LogTerm)
+	if msg.RejectHint < m.log.offset {
+		hint = msg.RejectHint
 	}
 	p.becomeProbing(max(p.match, min(msg.Index-1, hint)) + 1)
 }
 
 // advanceCommit finds the last entry that a majority holds. Only one of this term commits, and with it all before it.
-func (m *Machine) advanceCommit() {
+func (m *Node) advanceCommit() {
 	index := m.majority(func(id ReplicaID) uint64 {
 		if id == m.options.ID {
 			return m.log.durable
--- a/internal/system/consensus/script_membership_test.go
+++ b/internal/system/consensus/script_membership_test.go
@@ -21,7 +21,7 @@
 	for len(msgs) > 0 {
 		msg := msgs[0]
 		msgs = msgs[1:]
-		skip := msg.Kind != Append || msg.Round == 0
+		skip := msg.Kind != MessageAppend || msg.Round == 0
 		for _, id := range but {
 			skip = skip || msg.To == id
 		}
@@ -55,7 +55,7 @@
 		{"twice", with(voters(1, 2, 3), learner, learner)},
 		{"no id", with(voters(1, 2, 3), Member{})},
 	} {
-		if err := x.m.ChangeMembership(x.now, c.to); !errors.As(err, new(*MembershipError)) {
+		if err := x.m.ChangeMembership(x.now, c.to); !errors.As(err, new(*InvalidMembershipError)) {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
@@ -68,10 +68,10 @@
 func TestNewLeaderFirstCommitsAnEntryOfItsTerm(t *testing.T) {
 	x := newScript(t, founded(1, 2, 3))
 	sent := x.lead()
-	if err := x.m.ChangeMembership(x.now, voters(1, 2)); !errors.As(err, new(*BusyMembershipError)) {
+	if err := x.m.ChangeMembership(x.now, voters(1, 2)); !errors.As(err, new(*PendingMembershipChangeError)) {
 		t.Errorf("before: %v", err)
 	}
-	x.step(ack(x.only(Append, 2, sent)))
+	x.step(ack(x.only(MessageAppend, 2, sent)))
 	if err := x.m.ChangeMembership(x.now, voters(1, 2)); err != nil {
 		t.Errorf("after: %v", err)
 	}
@@ -88,21 +88,21 @@
 	joined := with(voters(1, 2, 3), Member{ID: 4, Address: "a"})
 	sent := x.change(joined)
 	x.want("holds at once", x.m.membership(), joined)
-	probe := x.only(Append, 4, sent)
+	probe := x.only(MessageAppend, 4, sent)
 	promoted := with(voters(1, 2, 3), Member{ID: 4, Address: "a", Voter: true})
-	if err := x.m.ChangeMembership(x.now, promoted); !errors.As(err, new(*BusyMembershipError)) {
+	if err := x.m.ChangeMembership(x.now, promoted); !errors.As(err, new(*PendingMembershipChangeError)) {
 		t.Errorf("while the first is not committed: %v", err)
 	}
 	x.catchUp(sent, 4)
-	if err := x.m.ChangeMembership(x.now, promoted); !errors.As(err, new(*BehindError)) {
+	if err := x.m.ChangeMembership(x.now, promoted); !errors.As(err, new(*LearnerBehindError)) {
 		t.Errorf("before it has caught up: %v", err)
 	}
-	answers := x.step(Message{Kind: AppendReply, From: 4, Term: 1, Index: probe.Index, Reject: true, Round: probe.Round})
+	answers := x.step(Message{Kind: MessageAppendReply, From: 4, Term: 1, Index: probe.Index, Reject: true, Round: probe.Round})
 	for began := x.now; x.now < began+testElection; { // it takes long, so that it may fall behind again
 		x.catchUp(x.wait(), 4)
 	}
 	x.catchUp(answers)
-	if err := x.m.ChangeMembership(x.now, promoted); !errors.As(err, new(*BehindError)) {
+	if err := x.m.ChangeMembership(x.now, promoted); !errors.As(err, new(*LearnerBehindError)) {
 		t.Errorf("before it keeps up: %v", err)
 	}
 	x.catchUp(x.wait())
@@ -112,30 +112,30 @@
 }
 
 func TestLearnersDoNotCount(t *testing.T) {
-	stored := Stored{Snapshot: Snapshot{Membership: with(voters(1, 2), Member{ID: 3}, Member{ID: 4})}}
+	stored := PersistentState{Snapshot: Snapshot{Membership: with(voters(1, 2), Member{ID: 3}, Member{ID: 4})}}
 	x := newScript(t, stored)
 	asked := x.wait()
 	x.want("asked", len(asked), 1)
-	x.step(Message{Kind: PreVoteReply, From: 3, Term: 1})
+	x.step(Message{Kind: MessagePreVoteReply, From: 3, Term: 1})
 	x.want("term", x.m.term, 0)
-	x.step(Message{Kind: PreVoteReply, From: 2, Term: 1})
-	sent := x.step(Message{Kind: VoteReply, From: 2, Term: 1})
-	x.step(ack(x.only(Append, 3, sent)))
-	x.step(ack(x.only(Append, 4, sent)))
+	x.step(Message{Kind: MessagePreVoteReply, From: 2, Term: 1})
+	sent := x.step(Message{Kind: MessageVoteReply, From: 2, Term: 1})
+	x.step(ack(x.only(MessageAppend, 3, sent)))
+	x.step(ack(x.only(MessageAppend, 4, sent)))
 	x.want("commit", x.m.log.commit, 0)
-	x.step(ack(x.only(Append, 2, sent)))
+	x.step(ack(x.only(MessageAppend, 2, sent)))
 	x.want("commit", x.m.log.commit, 1)
 }
 
 func TestRemovedLeaderLeadsUntilThatIsCommitted(t *testing.T) {
 	x := leading(t)
 	sent := x.change(voters(2, 3))
-	x.step(ack(x.only(Append, 2, sent)))
+	x.step(ack(x.only(MessageAppend, 2, sent)))
 	x.want("role while one of two has it", x.m.role, Leader)
-	told := x.step(ack(x.only(Append, 3, sent)))
+	told := x.step(ack(x.only(MessageAppend, 3, sent)))
 	x.want("role after", x.m.role, Follower)
-	x.want("told to take over", told[len(told)-1].Kind, TimeoutNow)
-	x.want("due", x.m.Next(), Never)
+	x.want("told to take over", told[len(told)-1].Kind, MessageTimeoutNow)
+	x.want("due", x.m.NextTick(), Never)
 }
 
 func TestRemovedMemberIsToldOnceThatIsCommitted(t *testing.T) {
@@ -146,85 +146,85 @@
 			t.Errorf("told before: %+v", msg)
 		}
 	}
-	told := x.only(Append, 3, x.step(ack(x.only(Append, 2, sent))))
+	told := x.only(MessageAppend, 3, x.step(ack(x.only(MessageAppend, 2, sent))))
 	x.want("commit", told.Commit, 2)
 	x.want("entries", len(told.Entries), 1)
 }
 
 func TestLeaderWhoseRemovalIsNotCommittedMayLeadAgain(t *testing.T) {
 	stored := founded(1, 2)
-	stored.Hard = HardState{Term: 1, Commit: 1}
+	stored.HardState = HardState{Term: 1, Commit: 1}
 	stored.Entries = append(entries(1, 1), membershipEntry(2, 1, voters(2)))
 	x := newScript(t, stored)
 	asked := x.wait()
-	x.want("asked", x.only(PreVote, 2, asked).Index, 2)
-	x.step(Message{Kind: PreVoteReply, From: 2, Term: 2})
-	sent := x.step(Message{Kind: VoteReply, From: 2, Term: 2})
+	x.want("asked", x.only(MessagePreVote, 2, asked).Index, 2)
+	x.step(Message{Kind: MessagePreVoteReply, From: 2, Term: 2})
+	sent := x.step(Message{Kind: MessageVoteReply, From: 2, Term: 2})
 	x.want("role", x.m.role, Leader)
-	x.step(ack(x.only(Append, 2, sent)))
+	x.step(ack(x.only(MessageAppend, 2, sent)))
 	x.want("role once the removal is committed", x.m.role, Follower)
-	x.want("due", x.m.Next(), Never)
+	x.want("due", x.m.NextTick(), Never)
 }
 
 func TestMembershipThatIsOverwrittenNoLongerHolds(t *testing.T) {
 	stored := founded(1, 2, 3)
-	stored.Hard = HardState{Term: 1}
+	stored.HardState = HardState{Term: 1}
 	stored.Entries = append(entries(1, 1), membershipEntry(2, 1, voters(1, 2)))
 	x := newScript(t, stored)
 	x.want("before", x.m.membership(), voters(1, 2))
-	x.step(Message{Kind: Append, From: 3, Term: 2, Index: 1, LogTerm: 1, Entries: entries(2, 2), Round: 1})
+	x.step(Message{Kind: MessageAppend, From: 3, Term: 2, Index: 1, LogTerm: 1, Entries: entries(2, 2), Round: 1})
 	x.want("after", x.m.membership(), voters(1, 2, 3))
 }
 
 func TestFreshReplicaIsSilentUntilItIsTakenIn(t *testing.T) {
-	x := newScript(t, Stored{})
-	x.want("due", x.m.Next(), Never)
-	for _, msg := range []Message{{Kind: PreVote, Term: 5}, {Kind: Vote, Term: 5}, {Kind: Vote, Term: 5, Force: true},
-		{Kind: TimeoutNow, Term: 5}, {Kind: VoteReply, Term: 5}, {Kind: AppendReply, Term: 5}} {
+	x := newScript(t, PersistentState{})
+	x.want("due", x.m.NextTick(), Never)
+	for _, msg := range []Message{{Kind: MessagePreVote, Term: 5}, {Kind: MessageVote, Term: 5}, {Kind: MessageVote, Term: 5, Force: true},
+		{Kind: MessageTimeoutNow, Term: 5}, {Kind: MessageVoteReply, Term: 5}, {Kind: MessageAppendReply, Term: 5}} {
 		msg.From = 2
 		x.want("answers", len(x.step(msg)), 0)
 	}
 	x.want("term", x.m.term, 0)
-	taken := Message{Kind: Append, From: 2, Term: 1, Round: 1,
+	taken := Message{Kind: MessageAppend, From: 2, Term: 1, Round: 1,
 		Entries: append(entries(1, 1), membershipEntry(2, 1, with(voters(2), Member{ID: 1})))}
-	x.only(AppendReply, 2, x.step(taken))
-	x.want("due as a learner", x.m.Next(), Never)
+	x.only(MessageAppendReply, 2, x.step(taken))
+	x.want("due as a learner", x.m.NextTick(), Never)
 	x.now += 2 * testElection
-	vote := Message{Kind: Vote, From: 3, Term: 2, Index: 9, LogTerm: 1}
-	x.want("vote as a learner whom the candidate counts", x.only(VoteReply, 3, x.step(vote)).Reject, false)
-	x.step(Message{Kind: Append, From: 3, Term: 2, Index: 2, LogTerm: 1, Round: 1,
+	vote := Message{Kind: MessageVote, From: 3, Term: 2, Index: 9, LogTerm: 1}
+	x.want("vote as a learner whom the candidate counts", x.only(MessageVoteReply, 3, x.step(vote)).Reject, false)
+	x.step(Message{Kind: MessageAppend, From: 3, Term: 2, Index: 2, LogTerm: 1, Round: 1,
 		Entries: []Entry{membershipEntry(3, 2, voters(1, 2))}})
-	x.want("due as a voter", x.m.Next() < Never, true)
+	x.want("due as a voter", x.m.NextTick() < Never, true)
 }
 
 func TestSnapshotIsInstalled(t *testing.T) {
 	snapshot := &Snapshot{Index: 9, Term: 2, Membership: voters(1, 2, 3), Data: []byte("state")}
-	install := Message{Kind: InstallSnapshot, From: 2, Term: 3, Round: 4, Snapshot: snapshot}
+	install := Message{Kind: MessageInstallSnapshot, From: 2, Term: 3, Round: 4, Snapshot: snapshot}
 	t.Run("on a log without it", func(t *testing.T) {
 		stored := founded(1, 2)
 		stored.Entries = entries(1, 1, 1)
 		x := newScript(t, stored)
-		reply := x.only(SnapshotReply, 2, x.step(install))
+		reply := x.only(MessageInstallSnapshotReply, 2, x.step(install))
 		x.want("reply", []uint64{reply.Index, reply.Round}, []uint64{9, 4})
 		x.want("restored", x.restored.Index, 9)
 		x.want("membership", x.m.membership(), voters(1, 2, 3))
-		x.step(Message{Kind: Append, From: 2, Term: 3, Index: 9, LogTerm: 2, Entries: entries(10, 3), Commit: 10, Round: 5})
+		x.step(Message{Kind: MessageAppend, From: 2, Term: 3, Index: 9, LogTerm: 2, Entries: entries(10, 3), Commit: 10, Round: 5})
 		x.want("applied", x.committed, entries(10, 3))
 	})
 	t.Run("on a log with it", func(t *testing.T) {
 		stored := founded(1, 2)
-		stored.Hard = HardState{Term: 2}
+		stored.HardState = HardState{Term: 2}
 		stored.Entries = entries(1, 1, 1, 1, 1, 1, 1, 1, 1, 2, 2)
 		x := newScript(t, stored)
-		x.want("reply", x.only(SnapshotReply, 2, x.step(install)).Index, 9)
+		x.want("reply", x.only(MessageInstallSnapshotReply, 2, x.step(install)).Index, 9)
 		x.want("restored", x.restored, (*Snapshot)(nil))
 		x.want("commit", x.m.log.commit, 9)
 		x.want("last", x.m.log.last(), 10)
 	})
 	t.Run("of old", func(t *testing.T) {
-		stored := Stored{Hard: HardState{Term: 2}, Snapshot: Snapshot{Index: 20, Term: 2, Membership: voters(1, 2)}}
+		stored := PersistentState{HardState: HardState{Term: 2}, Snapshot: Snapshot{Index: 20, Term: 2, Membership: voters(1, 2)}}
 		x := newScript(t, stored)
-		x.want("reply", x.only(SnapshotReply, 2, x.step(install)).Index, 20)
+		x.want("reply", x.only(MessageInstallSnapshotReply, 2, x.step(install)).Index, 20)
 		x.want("restored", x.restored, (*Snapshot)(nil))
 	})
 }
@@ -238,16 +238,16 @@
 		x.catchUp(x.work(), 3)
 	}
 	x.want("wanted at", x.compact, 8)
-	snapshot, is := x.m.Snapshot(8, []byte("state"))
+	snapshot, is := x.m.CreateSnapshot(8, []byte("state"))
 	x.want("snapshot", []any{is, snapshot.Index, snapshot.Term, snapshot.Membership}, []any{true, 8, 1, voters(1, 2, 3)})
-	x.m.Compacted(8, []byte("state"), 0)
+	x.m.Compact(8, []byte("state"), 0)
 	x.want("offset", x.m.log.offset, 6)
 	// Member 3 holds no more than the first entry, and gets the snapshot.
-	sent := x.step(Message{Kind: AppendReply, From: 3, Term: 1, Index: 7, Reject: true, Hint: 1, LogTerm: 1})
-	install := x.only(InstallSnapshot, 3, sent)
+	sent := x.step(Message{Kind: MessageAppendReply, From: 3, Term: 1, Index: 7, Reject: true, RejectHint: 1, LogTerm: 1})
+	install := x.only(MessageInstallSnapshot, 3, sent)
 	x.want("snapshot", []any{install.Snapshot.Index, string(install.Snapshot.Data)}, []any{8, "state"})
 	x.want("nothing more meanwhile", len(x.work()), 0)
-	next := x.step(Message{Kind: SnapshotReply, From: 3, Term: 1, Index: 8, Round: install.Round})
+	next := x.step(Message{Kind: MessageInstallSnapshotReply, From: 3, Term: 1, Index: 8, Round: install.Round})
 	for _, msg := range next {
 		x.want("goes on at", msg.Index, 8)
 	}
@@ -261,29 +261,29 @@
 		}
 		x.catchUp(x.work(), 3)
 		if i%8 == 7 {
-			x.m.Compacted(x.m.log.applied, nil, 0)
+			x.m.Compact(x.m.log.applied, nil, 0)
 		}
 	}
 	// Its appends were lost; it answers the next heartbeat, which stands where all logs agree.
-	beat := x.only(Append, 3, x.wait())
+	beat := x.only(MessageAppend, 3, x.wait())
 	x.want("heartbeat", beat.Index, 0)
-	x.only(InstallSnapshot, 3, x.step(Message{Kind: AppendReply, From: 3, Term: 1, Index: 1, Round: beat.Round}))
+	x.only(MessageInstallSnapshot, 3, x.step(Message{Kind: MessageAppendReply, From: 3, Term: 1, Index: 1, Round: beat.Round}))
 }
 
 func TestStoredThatMakesNoSense(t *testing.T) {
-	for name, stored := range map[string]Stored{
+	for name, stored := range map[string]PersistentState{
 		"terms that fall": {Snapshot: founded(1).Snapshot, Entries: entries(1, 2, 1)},
 		"gap":             {Snapshot: founded(1).Snapshot, Entries: append(entries(1, 1), entries(3, 1)...)},
 		"membership": {Snapshot: founded(1).Snapshot, Entries: []Entry{{Index: 1, Term: 1, Kind: EntryMembership,
 			Data: []byte("?")}}},
 		"founders": founded(1, 1),
 	} {
-		if stored.Check() == nil {
+		if stored.Validate() == nil {
 			t.Errorf("%s: passes", name)
 		}
 		x := newScript(t, stored)
-		x.want(name+": due", x.m.Next(), Never)
-		x.want(name+": answers", len(x.step(Message{Kind: Vote, From: 2, Term: 9, Index: 99, LogTerm: 8})), 0)
+		x.want(name+": due", x.m.NextTick(), Never)
+		x.want(name+": answers", len(x.step(Message{Kind: MessageVote, From: 2, Term: 9, Index: 99, LogTerm: 8})), 0)
 		x.want(name+": to be done", x.m.Ready().Empty(), true)
 	}
 }
@@ -300,21 +300,21 @@
 		{entries(4, 2, 2), 5},
 		{entries(5, 2), 3}, // a gap
 	} {
-		x := newScript(t, Stored{Hard: HardState{Term: 2, Commit: 3}, Snapshot: snapshot, Entries: c.log})
+		x := newScript(t, PersistentState{HardState: HardState{Term: 2, Commit: 3}, Snapshot: snapshot, Entries: c.log})
 		x.want("last", x.m.log.last(), c.last)
 	}
 }
 
 // TestNoSnapshotIsMadeBeforeTheMembersAreKnown has a replica that joined later be sent the log from its start.
 func TestNoSnapshotIsMadeBeforeTheMembersAreKnown(t *testing.T) {
-	x := newScript(t, Stored{})
+	x := newScript(t, PersistentState{})
 	log := append(entries(1, 1, 1), membershipEntry(3, 1, with(voters(2, 3), Member{ID: 1})))
-	x.step(Message{Kind: Append, From: 2, Term: 1, Entries: log, Commit: 2, Round: 1})
-	if snapshot, is := x.m.Snapshot(2, nil); is {
+	x.step(Message{Kind: MessageAppend, From: 2, Term: 1, Entries: log, Commit: 2, Round: 1})
+	if snapshot, is := x.m.CreateSnapshot(2, nil); is {
 		t.Errorf("a snapshot of a group without members: %+v", snapshot)
 	}
-	x.step(Message{Kind: Append, From: 2, Term: 1, Index: 3, LogTerm: 1, Commit: 3, Round: 2})
-	snapshot, is := x.m.Snapshot(3, nil)
+	x.step(Message{Kind: MessageAppend, From: 2, Term: 1, Index: 3, LogTerm: 1, Commit: 3, Round: 2})
+	snapshot, is := x.m.CreateSnapshot(3, nil)
 	if !is || len(snapshot.Membership.Members) != 3 {
 		t.Errorf("made: %t, %+v", is, snapshot)
 	}
@@ -328,36 +328,36 @@
 
 // TestJointElectionNeedsBothSets: neither voter set of a joint membership elects a leader by itself.
 func TestJointElectionNeedsBothSets(t *testing.T) {
-	x := newScript(t, Stored{Snapshot: Snapshot{Membership: betweenTwoSets()}})
+	x := newScript(t, PersistentState{Snapshot: Snapshot{Membership: betweenTwoSets()}})
 	x.want("asked", len(x.wait()), 4)
 	for _, id := range []ReplicaID{4, 5} {
-		x.step(Message{Kind: PreVoteReply, From: id, Term: 1})
+		x.step(Message{Kind: MessagePreVoteReply, From: id, Term: 1})
 	}
 	x.want("term with the incoming set alone", x.m.term, 0)
-	x.step(Message{Kind: PreVoteReply, From: 2, Term: 1})
+	x.step(Message{Kind: MessagePreVoteReply, From: 2, Term: 1})
 	x.want("term with both", x.m.term, 1)
 	for _, id := range []ReplicaID{2, 3} {
-		x.step(Message{Kind: VoteReply, From: id, Term: 1})
+		x.step(Message{Kind: MessageVoteReply, From: id, Term: 1})
 	}
 	x.want("role with the outgoing set alone", x.m.role, Candidate)
-	x.step(Message{Kind: VoteReply, From: 5, Term: 1})
+	x.step(Message{Kind: MessageVoteReply, From: 5, Term: 1})
 	x.want("role with both", x.m.role, Leader)
 }
 
 // TestJointCommitNeedsBothSetsAndIsLeft: an entry of a joint membership is committed once both sets hold it, and then the
 // leader leaves the joint membership by itself.
 func TestJointCommitNeedsBothSetsAndIsLeft(t *testing.T) {
-	x := newScript(t, Stored{Snapshot: Snapshot{Membership: betweenTwoSets()}})
+	x := newScript(t, PersistentState{Snapshot: Snapshot{Membership: betweenTwoSets()}})
 	x.wait()
 	for _, id := range []ReplicaID{2, 4} {
-		x.step(Message{Kind: PreVoteReply, From: id, Term: 1})
+		x.step(Message{Kind: MessagePreVoteReply, From: id, Term: 1})
 	}
-	x.step(Message{Kind: VoteReply, From: 2, Term: 1})
-	sent := x.step(Message{Kind: VoteReply, From: 4, Term: 1})
-	x.step(ack(x.only(Append, 4, sent)))
-	x.step(ack(x.only(Append, 5, sent)))
+	x.step(Message{Kind: MessageVoteReply, From: 2, Term: 1})
+	sent := x.step(Message{Kind: MessageVoteReply, From: 4, Term: 1})
+	x.step(ack(x.only(MessageAppend, 4, sent)))
+	x.step(ack(x.only(MessageAppend, 5, sent)))
 	x.want("commit with the incoming set alone", x.m.log.commit, 0)
-	x.step(ack(x.only(Append, 3, sent)))
+	x.step(ack(x.only(MessageAppend, 3, sent)))
 	x.want("commit with both", x.m.log.commit, 1)
 	x.want("joint after", x.m.membership().Joint(), false)
 	x.want("voter before", x.m.membership().votes(2), false)
@@ -372,13 +372,13 @@
 	to := with(voters(1, 2), Member{ID: 3}, Member{ID: 4, Voter: true})
 	sent := x.change(to)
 	x.want("joint", x.m.membership().Joint(), true)
-	if err := x.m.ChangeMembership(x.now, voters(1, 2)); !errors.As(err, new(*BusyMembershipError)) {
+	if err := x.m.ChangeMembership(x.now, voters(1, 2)); !errors.As(err, new(*PendingMembershipChangeError)) {
 		t.Errorf("while it is joint: %v", err)
 	}
 	x.catchUp(sent)
 	x.want("after", x.m.membership(), to)
 	x.want("committed", x.m.log.commit, x.m.log.last())
-	if err := x.m.ChangeMembership(x.now, betweenTwoSets()); !errors.As(err, new(*MembershipError)) {
+	if err := x.m.ChangeMembership(x.now, betweenTwoSets()); !errors.As(err, new(*InvalidMembershipError)) {
 		t.Errorf("a joint membership asked for: %v", err)
 	}
 }
@@ -386,7 +386,7 @@
 // TestPreCandidatesYieldByRank: of two replicas that ask for pre-votes with equal logs the one with the lower id puts its
 // election off, once a term.
 func TestPreCandidatesYieldByRank(t *testing.T) {
-	ask := func(from ReplicaID) Message { return Message{Kind: PreVote, From: from, Term: 1} }
+	ask := func(from ReplicaID) Message { return Message{Kind: MessagePreVote, From: from, Term: 1} }
 	ahead := newScript(t, founded(1, 2, 3))
 	ahead.wait()
 	ahead.step(ask(2))
@@ -402,12 +402,12 @@
 // TestNewLeaderKnowsThatItsPredecessorIsSilent: a leader counts the silence of the one before from its last word.
 func TestNewLeaderKnowsThatItsPredecessorIsSilent(t *testing.T) {
 	x := newScript(t, founded(1, 2, 3))
-	x.step(Message{Kind: Append, From: 3, Term: 1, Round: 1})
+	x.step(Message{Kind: MessageAppend, From: 3, Term: 1, Round: 1})
 	heard := x.now
 	x.wait()
-	x.step(Message{Kind: PreVoteReply, From: 2, Term: 2})
-	x.step(Message{Kind: VoteReply, From: 2, Term: 2})
+	x.step(Message{Kind: MessagePreVoteReply, From: 2, Term: 2})
+	x.step(Message{Kind: MessageVoteReply, From: 2, Term: 2})
 	x.want("role", x.m.role, Leader)
-	x.want("last word of the leader before", x.m.Status().Answered[3], heard)
-	x.want("last word of the voter", x.m.Status().Answered[2], x.now)
+	x.want("last word of the leader before", x.m.Status().LastContact[3], heard)
+	x.want("last word of the voter", x.m.Status().LastContact[2], x.now)
 }
--- a/internal/system/consensus/script_test.go
+++ b/internal/system/consensus/script_test.go
@@ -16,7 +16,7 @@
 // script drives one machine by hand and keeps what it puts out.
 type script struct {
 	t    *testing.T
-	m    *Machine
+	m    *Node
 	now  time.Duration
 	sent []Message
 	log  []Entry
@@ -52,15 +52,17 @@
 }
 
 // newScript starts replica 1 from what was stored, long enough ago that no lease may rest on it.
-func newScript(t *testing.T, s Stored) *script {
-	x := &script{t: t, hard: s.Hard, log: s.Entries}
-	x.m = New(0, Options{ID: 1, Heartbeat: testHeartbeat, Election: testElection, Seed: 1, MaxAppendBytes: 64,
-		MaxInflight: 2, SnapshotAfter: 8}, s)
+func newScript(t *testing.T, s PersistentState) *script {
+	x := &script{t: t, hard: s.HardState, log: s.Entries}
+	x.m = New(0, Config{ID: 1, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: 1, MaxAppendBytes: 64,
+		MaxInflightAppends: 2, SnapshotThreshold: 8}, s)
 	x.now = testElection
 	return x
 }
 
-func founded(ids ...ReplicaID) Stored { return Stored{Snapshot: Snapshot{Membership: voters(ids...)}} }
+func founded(ids ...ReplicaID) PersistentState {
+	return PersistentState{Snapshot: Snapshot{Membership: voters(ids...)}}
+}
 
 // work does what the machine wants done, its writes included unless held.
 func (x *script) work() []Message {
@@ -68,13 +70,13 @@
 	x.sent = nil
 	for r := x.m.Ready(); !r.Empty(); r = x.m.Ready() {
 		x.take(r)
-		x.m.Persisted(r)
+		x.m.MarkPersisted(r)
 	}
 	return x.sent
 }
 
 func (x *script) take(r Ready) {
-	x.sent = append(x.sent, r.Early...)
+	x.sent = append(x.sent, r.EarlyMessages...)
 	x.sent = append(x.sent, r.Messages...)
 	if r.Snapshot != nil {
 		x.restored = r.Snapshot
@@ -87,9 +89,9 @@
 	if r.HardState != nil {
 		x.hard = *r.HardState
 	}
-	x.committed = append(x.committed, r.Committed...)
-	x.reads = append(x.reads, r.Reads...)
-	x.compact = max(x.compact, r.Compact)
+	x.committed = append(x.committed, r.CommittedEntries...)
+	x.reads = append(x.reads, r.ReadStates...)
+	x.compact = max(x.compact, r.CompactIndex)
 }
 
 func (x *script) step(msg Message) []Message {
@@ -102,10 +104,10 @@
 // wait lets time pass up to the machine's next due time.
 func (x *script) wait() []Message {
 	x.t.Helper()
-	if x.m.Next() == Never {
+	if x.m.NextTick() == Never {
 		x.t.Fatal("nothing is due")
 	}
-	x.now = max(x.now, x.m.Next())
+	x.now = max(x.now, x.m.NextTick())
 	x.m.Tick(x.now)
 	return x.work()
 }
@@ -114,9 +116,9 @@
 func (x *script) lead() []Message {
 	x.t.Helper()
 	x.wait()
-	x.grantAll(PreVoteReply, x.m.term+1)
+	x.grantAll(MessagePreVoteReply, x.m.term+1)
 	term := x.m.term
-	x.grantAll(VoteReply, term)
+	x.grantAll(MessageVoteReply, term)
 	if x.m.role != Leader {
 		x.t.Fatalf("not elected: %+v", x.m.Status())
 	}
@@ -135,7 +137,7 @@
 
 // ack answers an append as a replica that took all of it.
 func ack(msg Message) Message {
-	return Message{Kind: AppendReply, From: msg.To, Term: msg.Term, Index: msg.Index + uint64(len(msg.Entries)),
+	return Message{Kind: MessageAppendReply, From: msg.To, Term: msg.Term, Index: msg.Index + uint64(len(msg.Entries)),
 		Round: msg.Round}
 }
 
@@ -169,7 +171,7 @@
 
 func TestPreVoteAndVoteAreGrantedToWhoHasTheNewerLog(t *testing.T) {
 	stored := founded(1, 2, 3)
-	stored.Hard = HardState{Term: 3}
+	stored.HardState = HardState{Term: 3}
 	stored.Entries = entries(1, 1, 3)
 	for _, c := range []struct {
 		name        string
@@ -187,12 +189,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := newScript(t, stored)
-			got := x.step(Message{Kind: PreVote, From: 2, Term: c.term, Index: c.index, LogTerm: c.last})
-			reply := x.only(PreVoteReply, 2, got)
+			got := x.step(Message{Kind: MessagePreVote, From: 2, Term: c.term, Index: c.index, LogTerm: c.last})
+			reply := x.only(MessagePreVoteReply, 2, got)
 			x.want("pre-vote", !reply.Reject, c.pre)
 			x.want("term after the pre-vote", x.m.term, 3)
 			x = newScript(t, stored)
-			got = x.step(Message{Kind: Vote, From: 2, Term: c.term, Index: c.index, LogTerm: c.last})
+			got = x.step(Message{Kind: MessageVote, From: 2, Term: c.term, Index: c.index, LogTerm: c.last})
 			granted := len(got) == 1 && !got[0].Reject
 			x.want("vote", granted, c.vote)
 			x.want("vote on disk", x.hard.Vote == 2, c.vote)
@@ -202,11 +204,11 @@
 
 func TestOneVoteATerm(t *testing.T) {
 	x := newScript(t, founded(1, 2, 3))
-	x.want("first", x.only(VoteReply, 2, x.step(Message{Kind: Vote, From: 2, Term: 1})).Reject, false)
-	x.want("another", x.only(VoteReply, 3, x.step(Message{Kind: Vote, From: 3, Term: 1})).Reject, true)
-	x.want("the same again", x.only(VoteReply, 2, x.step(Message{Kind: Vote, From: 2, Term: 1})).Reject, false)
-	x = newScript(t, Stored{Hard: x.hard, Snapshot: founded(1, 2, 3).Snapshot})
-	x.want("another after a restart", x.only(VoteReply, 3, x.step(Message{Kind: Vote, From: 3, Term: 1})).Reject, true)
+	x.want("first", x.only(MessageVoteReply, 2, x.step(Message{Kind: MessageVote, From: 2, Term: 1})).Reject, false)
+	x.want("another", x.only(MessageVoteReply, 3, x.step(Message{Kind: MessageVote, From: 3, Term: 1})).Reject, true)
+	x.want("the same again", x.only(MessageVoteReply, 2, x.step(Message{Kind: MessageVote, From: 2, Term: 1})).Reject, false)
+	x = newScript(t, PersistentState{HardState: x.hard, Snapshot: founded(1, 2, 3).Snapshot})
+	x.want("another after a restart", x.only(MessageVoteReply, 3, x.step(Message{Kind: MessageVote, From: 3, Term: 1})).Reject, true)
 }
 
 func TestElection(t *testing.T) {
@@ -225,12 +227,12 @@
 			x.want("asked", len(asked), c.voters-1)
 			x.want("term before the pre-vote is won", x.m.term, map[bool]int{true: 1, false: 0}[c.voters == 1])
 			for _, id := range ids[1:] {
-				x.step(Message{Kind: PreVoteReply, From: id, Term: 1})
+				x.step(Message{Kind: MessagePreVoteReply, From: id, Term: 1})
 			}
 			x.want("term", x.m.term, 1)
 			for _, id := range ids[1 : 1+c.grants] {
-				x.step(Message{Kind: VoteReply, From: id, Term: 1})
-				x.step(Message{Kind: VoteReply, From: id, Term: 1}) // counts once
+				x.step(Message{Kind: MessageVoteReply, From: id, Term: 1})
+				x.step(Message{Kind: MessageVoteReply, From: id, Term: 1}) // counts once
 			}
 			x.want("elected", x.m.role == Leader, c.elected)
 		})
@@ -239,44 +241,44 @@
 
 func TestOwnVoteCountsOnceItIsOnDisk(t *testing.T) {
 	x := newScript(t, founded(1))
-	x.now = x.m.Next()
+	x.now = x.m.NextTick()
 	x.m.Tick(x.now)
 	r := x.m.Ready()
 	x.want("role before", x.m.role, Candidate)
 	x.want("must sync", r.MustSync, true)
-	x.m.Persisted(r)
+	x.m.MarkPersisted(r)
 	x.want("role after", x.m.role, Leader)
 }
 
 func TestFollowerHoldsToItsLeader(t *testing.T) {
 	x := newScript(t, founded(1, 2, 3))
-	x.step(Message{Kind: Append, From: 2, Term: 1, Round: 5})
+	x.step(Message{Kind: MessageAppend, From: 2, Term: 1, Round: 5})
 	x.now += testElection - 1
-	pre := Message{Kind: PreVote, From: 3, Term: 2, Index: 9, LogTerm: 1}
-	x.want("pre-vote within the lease", x.only(PreVoteReply, 3, x.step(pre)).Reject, true)
-	vote := Message{Kind: Vote, From: 3, Term: 2, Index: 9, LogTerm: 1}
+	pre := Message{Kind: MessagePreVote, From: 3, Term: 2, Index: 9, LogTerm: 1}
+	x.want("pre-vote within the lease", x.only(MessagePreVoteReply, 3, x.step(pre)).Reject, true)
+	vote := Message{Kind: MessageVote, From: 3, Term: 2, Index: 9, LogTerm: 1}
 	x.want("vote within the lease", len(x.step(vote)), 0)
 	x.want("term", x.m.term, 1)
 	x.now++
-	x.want("pre-vote after it", x.only(PreVoteReply, 3, x.step(pre)).Reject, false)
-	x.want("vote after it", x.only(VoteReply, 3, x.step(vote)).Reject, false)
+	x.want("pre-vote after it", x.only(MessagePreVoteReply, 3, x.step(pre)).Reject, false)
+	x.want("vote after it", x.only(MessageVoteReply, 3, x.step(vote)).Reject, false)
 }
 
 func TestFollowerVotesAtOnceInAnElectionThatItsLeaderAskedFor(t *testing.T) {
 	x := newScript(t, founded(1, 2, 3))
-	x.step(Message{Kind: Append, From: 2, Term: 1, Round: 5})
-	vote := Message{Kind: Vote, From: 3, Term: 2, Index: 9, LogTerm: 1, Force: true}
-	x.want("vote", x.only(VoteReply, 3, x.step(vote)).Reject, false)
+	x.step(Message{Kind: MessageAppend, From: 2, Term: 1, Round: 5})
+	vote := Message{Kind: MessageVote, From: 3, Term: 2, Index: 9, LogTerm: 1, Force: true}
+	x.want("vote", x.only(MessageVoteReply, 3, x.step(vote)).Reject, false)
 }
 
 func TestReplicaHoldsToALeaderOfBeforeItsRestart(t *testing.T) {
 	stored := founded(1, 2, 3)
-	stored.Hard = HardState{Term: 1}
+	stored.HardState = HardState{Term: 1}
 	x := newScript(t, stored)
 	x.now = testElection - 1
-	x.want("reply", len(x.step(Message{Kind: Vote, From: 3, Term: 2})), 0)
+	x.want("reply", len(x.step(Message{Kind: MessageVote, From: 3, Term: 2})), 0)
 	x.now++
-	x.want("reply", len(x.step(Message{Kind: Vote, From: 3, Term: 2})), 1)
+	x.want("reply", len(x.step(Message{Kind: MessageVote, From: 3, Term: 2})), 1)
 }
 
 func TestAppend(t *testing.T) {
@@ -306,16 +308,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			stored := founded(1, 2, 3)
-			stored.Hard = HardState{Term: 4, Commit: c.commit}
+			stored.HardState = HardState{Term: 4, Commit: c.commit}
 			stored.Entries = entries(1, c.log...)
 			x := newScript(t, stored)
-			got := x.step(Message{Kind: Append, From: 2, Term: 4, Index: c.index, LogTerm: c.logTerm, Entries: c.entries,
+			got := x.step(Message{Kind: MessageAppend, From: 2, Term: 4, Index: c.index, LogTerm: c.logTerm, Entries: c.entries,
 				Commit: c.leaderCommit, Round: 77})
-			reply := x.only(AppendReply, 2, got)
+			reply := x.only(MessageAppendReply, 2, got)
 			x.want("rejected", reply.Reject, c.reject)
 			x.want("round", reply.Round, 77)
 			if c.reject {
-				x.want("hint", reply.Hint, c.reply)
+				x.want("hint", reply.RejectHint, c.reply)
 			} else {
 				x.want("index", reply.Index, c.reply)
 			}
@@ -327,9 +329,9 @@
 
 func TestSenderOfAnOldTermLearnsTheNewOne(t *testing.T) {
 	stored := founded(1, 2, 3)
-	stored.Hard = HardState{Term: 4}
+	stored.HardState = HardState{Term: 4}
 	x := newScript(t, stored)
-	reply := x.only(AppendReply, 2, x.step(Message{Kind: Append, From: 2, Term: 3, Round: 1}))
+	reply := x.only(MessageAppendReply, 2, x.step(Message{Kind: MessageAppend, From: 2, Term: 3, Round: 1}))
 	x.want("term", reply.Term, 4)
 	x.want("rejected", reply.Reject, true)
 	x.want("leader", x.m.leader, 0)
@@ -338,14 +340,14 @@
 func TestLeaderStepsDownForANewerTerm(t *testing.T) {
 	x := newScript(t, founded(1, 2, 3))
 	x.lead()
-	x.step(Message{Kind: AppendReply, From: 3, Term: 7, Reject: true})
+	x.step(Message{Kind: MessageAppendReply, From: 3, Term: 7, Reject: true})
 	x.want("role", x.m.role, Follower)
 	x.want("term on disk", x.hard.Term, 7)
 }
 
 func TestLeadersOwnEntriesCountOnceTheyAreOnDisk(t *testing.T) {
 	x := newScript(t, founded(1, 2, 3))
-	first := x.only(Append, 2, x.lead())
+	first := x.only(MessageAppend, 2, x.lead())
 	x.step(ack(first))
 	x.want("commit of the first entry", x.m.log.commit, 1)
 	if _, _, err := x.m.Propose(x.now, []byte("a")); err != nil {
@@ -353,19 +355,19 @@
 	}
 	r := x.m.Ready()
 	x.take(r)
-	x.want("appends sent before the sync", len(r.Early) > 0 && r.Early[0].Entries[0].Index == 2, true)
-	msg := ack(x.only(Append, 2, r.Early))
+	x.want("appends sent before the sync", len(r.EarlyMessages) > 0 && r.EarlyMessages[0].Entries[0].Index == 2, true)
+	msg := ack(x.only(MessageAppend, 2, r.EarlyMessages))
 	msg.To = 1
 	x.m.Step(x.now, msg)
 	x.want("commit before the sync", x.m.log.commit, 1)
-	x.m.Persisted(r)
+	x.m.MarkPersisted(r)
 	x.want("commit after the sync", x.m.log.commit, 2)
 }
 
 func TestOverwrittenEntriesAreNoLongerOnDisk(t *testing.T) {
 	for _, late := range []bool{false, true} { // the sync ends after the entries were overwritten
 		x := newScript(t, founded(1, 2, 3))
-		x.step(ack(x.only(Append, 2, x.lead())))
+		x.step(ack(x.only(MessageAppend, 2, x.lead())))
 		for range 5 {
 			if _, _, err := x.m.Propose(x.now, nil); err != nil {
 				t.Fatal(err)
@@ -373,42 +375,42 @@
 		}
 		r := x.m.Ready()
 		if !late {
-			x.m.Persisted(r)
+			x.m.MarkPersisted(r)
 		}
-		overwrite := Message{Kind: Append, From: 3, To: 1, Term: 2, Index: 1, LogTerm: 1, Entries: entries(2, 2), Round: 1}
+		overwrite := Message{Kind: MessageAppend, From: 3, To: 1, Term: 2, Index: 1, LogTerm: 1, Entries: entries(2, 2), Round: 1}
 		x.m.Step(x.now, overwrite)
 		second := x.m.Ready()
 		if late {
-			x.m.Persisted(r)
+			x.m.MarkPersisted(r)
 			x.want("durable before the second sync", x.m.log.durable, 1)
 		}
-		x.m.Persisted(second)
+		x.m.MarkPersisted(second)
 		x.want("durable", x.m.log.durable, 2)
 	}
 }
 
 func TestEntriesOfOlderTermsCommitWithOneOfThePresent(t *testing.T) {
 	stored := founded(1, 2, 3)
-	stored.Hard = HardState{Term: 2}
+	stored.HardState = HardState{Term: 2}
 	stored.Entries = entries(1, 1, 2)
 	x := newScript(t, stored)
 	x.lead()
-	x.step(Message{Kind: AppendReply, From: 2, Term: 3, Index: 2})
+	x.step(Message{Kind: MessageAppendReply, From: 2, Term: 3, Index: 2})
 	x.want("commit", x.m.log.commit, 0)
-	x.step(Message{Kind: AppendReply, From: 2, Term: 3, Index: 3})
+	x.step(Message{Kind: MessageAppendReply, From: 2, Term: 3, Index: 3})
 	x.want("commit", x.m.log.commit, 3)
 }
 
 func TestLeaderFindsWhereLogsAgreeByTerms(t *testing.T) {
 	stored := founded(1, 2, 3)
-	stored.Hard = HardState{Term: 6}
+	stored.HardState = HardState{Term: 6}
 	stored.Entries = entries(1, 1, 1, 1, 5, 5, 5, 6, 6, 6)
 	x := newScript(t, stored)
-	probe := x.only(Append, 2, x.lead())
+	probe := x.only(MessageAppend, 2, x.lead())
 	x.want("first probe", probe.Index, 9)
 	// The member's log has terms 1 1 1 4 4 4 4: what it says skips them all.
-	next := x.step(Message{Kind: AppendReply, From: 2, Term: 7, Index: 9, Reject: true, Hint: 7, LogTerm: 4})
-	second := x.only(Append, 2, next)
+	next := x.step(Message{Kind: MessageAppendReply, From: 2, Term: 7, Index: 9, Reject: true, RejectHint: 7, LogTerm: 4})
+	second := x.only(MessageAppend, 2, next)
 	x.want("second probe", second.Index, 3)
 	x.want("entries", terms(second.Entries), []uint64{5, 5, 5, 6, 6, 6, 7})
 	x.step(ack(second))
@@ -417,7 +419,7 @@
 
 func TestAppendsInFlightAreBounded(t *testing.T) {
 	x := newScript(t, founded(1, 2))
-	x.step(ack(x.only(Append, 2, x.lead())))
+	x.step(ack(x.only(MessageAppend, 2, x.lead())))
 	for range 5 {
 		if _, _, err := x.m.Propose(x.now, make([]byte, 40)); err != nil { // one to a message
 			t.Fatal(err)
@@ -427,10 +429,10 @@
 	x.want("sent", len(sent), 2)
 	x.want("sent after an answer", len(withEntries(x.step(ack(sent[0])))), 1)
 	// The others are lost, which the next heartbeat brings to light.
-	beat := x.only(Append, 2, x.wait())
+	beat := x.only(MessageAppend, 2, x.wait())
 	x.want("heartbeat", []uint64{beat.Index, uint64(len(beat.Entries))}, []uint64{4, 0})
-	again := x.step(Message{Kind: AppendReply, From: 2, Term: 1, Index: 4, Reject: true, Hint: 2, LogTerm: 1})
-	x.want("sent again", x.only(Append, 2, again).Index, 2)
+	again := x.step(Message{Kind: MessageAppendReply, From: 2, Term: 1, Index: 4, Reject: true, RejectHint: 2, LogTerm: 1})
+	x.want("sent again", x.only(MessageAppend, 2, again).Index, 2)
 }
 
 func withEntries(msgs []Message) (some []Message) {
@@ -471,24 +473,24 @@
 
 func TestReads(t *testing.T) {
 	x := newScript(t, founded(1, 2, 3))
-	first := x.only(Append, 2, x.lead())
-	x.m.Read(x.now, 1)
+	first := x.only(MessageAppend, 2, x.lead())
+	x.m.ReadIndex(x.now, 1)
 	sent := x.work()
-	round := x.only(Append, 2, sent)
-	x.step(Message{Kind: AppendReply, From: 2, Term: 1, Index: 0, Round: round.Round})
+	round := x.only(MessageAppend, 2, sent)
+	x.step(Message{Kind: MessageAppendReply, From: 2, Term: 1, Index: 0, Round: round.Round})
 	x.want("reads before an entry of the term is committed", len(x.reads), 0)
 	x.step(ack(first))
 	x.want("reads", x.reads, []ReadState{{Token: 1, Index: 1}})
-	x.m.Read(x.now, 2)
+	x.m.ReadIndex(x.now, 2)
 	x.work()
 	x.step(ack(first))
 	x.want("a round from before the read does not do", len(x.reads), 1)
-	x.step(Message{Kind: AppendReply, From: 3, Term: 5, Reject: true})
+	x.step(Message{Kind: MessageAppendReply, From: 3, Term: 5, Reject: true})
 	x.want("reads", len(x.reads), 2)
 	if !errors.As(x.reads[1].Err, new(*NotLeaderError)) {
 		t.Errorf("read of a leader that stepped down: %+v", x.reads[1])
 	}
-	x.m.Read(x.now, 3)
+	x.m.ReadIndex(x.now, 3)
 	x.work()
 	if len(x.reads) != 3 || !errors.As(x.reads[2].Err, new(*NotLeaderError)) {
 		t.Errorf("read of a follower: %+v", x.reads)
@@ -498,42 +500,42 @@
 func TestLeaseRunsFromTheBeginOfAConfirmedRound(t *testing.T) {
 	x := newScript(t, founded(1, 2, 3))
 	sent := x.lead()
-	x.want("lease before an answer", x.m.Status().LeaseUntil, time.Duration(0))
+	x.want("lease before an answer", x.m.Status().LeaseExpiry, time.Duration(0))
 	began := x.now
 	x.now += 100 * time.Millisecond
-	x.step(ack(x.only(Append, 3, sent)))
-	x.want("lease", x.m.Status().LeaseUntil, began+testElection-testElection/10)
+	x.step(ack(x.only(MessageAppend, 3, sent)))
+	x.want("lease", x.m.Status().LeaseExpiry, began+testElection-testElection/10)
 }
 
 func TestTransfer(t *testing.T) {
 	x := newScript(t, founded(1, 2, 3))
 	sent := x.lead()
-	x.step(ack(x.only(Append, 3, sent)))
+	x.step(ack(x.only(MessageAppend, 3, sent)))
 	x.m.TransferLeadership(x.now, 2)
 	x.want("told before it has caught up", len(x.work()), 0)
 	if _, _, err := x.m.Propose(x.now, nil); err == nil {
 		t.Error("a proposal was taken during the transfer")
 	}
-	x.want("lease before", x.m.Status().LeaseUntil > x.now, true)
-	told := x.only(TimeoutNow, 2, x.step(ack(x.only(Append, 2, sent))))
+	x.want("lease before", x.m.Status().LeaseExpiry > x.now, true)
+	told := x.only(MessageTimeoutNow, 2, x.step(ack(x.only(MessageAppend, 2, sent))))
 	x.want("term", told.Term, 1)
-	x.want("lease after", x.m.Status().LeaseUntil, time.Duration(0))
+	x.want("lease after", x.m.Status().LeaseExpiry, time.Duration(0))
 	x.now += testElection / 2
-	x.step(ack(x.only(Append, 3, sent)))
+	x.step(ack(x.only(MessageAppend, 3, sent)))
 	x.now = x.m.leading.transferEnds
 	x.m.Tick(x.now)
-	vote := x.only(Vote, 2, x.work())
+	vote := x.only(MessageVote, 2, x.work())
 	x.want("election of its own when the other does not take over", vote.Force, true)
 }
 
 func TestTimeoutNow(t *testing.T) {
 	x := newScript(t, founded(1, 2, 3))
-	x.want("of a stranger", len(x.step(Message{Kind: TimeoutNow, From: 2, Term: 1})), 0)
-	x.step(Message{Kind: Append, From: 2, Term: 1, Round: 1})
-	x.want("of an old term", len(x.step(Message{Kind: TimeoutNow, From: 2, Term: 0})), 0)
-	sent := x.step(Message{Kind: TimeoutNow, From: 2, Term: 1})
-	x.want("vote", x.only(Vote, 3, sent).Force, true)
-	x.want("term", x.only(Vote, 2, sent).Term, 2)
+	x.want("of a stranger", len(x.step(Message{Kind: MessageTimeoutNow, From: 2, Term: 1})), 0)
+	x.step(Message{Kind: MessageAppend, From: 2, Term: 1, Round: 1})
+	x.want("of an old term", len(x.step(Message{Kind: MessageTimeoutNow, From: 2, Term: 0})), 0)
+	sent := x.step(Message{Kind: MessageTimeoutNow, From: 2, Term: 1})
+	x.want("vote", x.only(MessageVote, 3, sent).Force, true)
+	x.want("term", x.only(MessageVote, 2, sent).Term, 2)
 }
 
 func TestStepDown(t *testing.T) {
@@ -543,9 +545,9 @@
 	}
 	x.m.StepDown(x.now)
 	sent := x.work()
-	x.want("told", sent[0].Kind, TimeoutNow)
+	x.want("told", sent[0].Kind, MessageTimeoutNow)
 	x.now = x.m.leading.transferEnds
 	x.m.Tick(x.now)
 	x.want("role once nobody took over", x.m.role, Follower)
-	x.want("stands for election again", x.m.Next() >= x.now+(stepDownElections-1)*testElection, true)
+	x.want("stands for election again", x.m.NextTick() >= x.now+(stepDownElections-1)*testElection, true)
 }
--- a/internal/system/consensus/transfer.go
+++ b/internal/system/consensus/transfer.go
@@ -4,7 +4,7 @@
 
 // TransferLeadership has a leader hand over to a voter, 0: to the one that is best caught up. It takes no proposals
 // until the other leads or an election time has passed. Its lease ends for good once the other was told to take over.
-func (m *Machine) TransferLeadership(now time.Duration, to ReplicaID) {
+func (m *Node) TransferLeadership(now time.Duration, to ReplicaID) {
 	m.advance(now)
 	if m.role != Leader || m.leading.transferee != 0 {
 		return
@@ -16,14 +16,14 @@
 		return
 	}
 	m.leading.transferee = to
-	m.leading.transferEnds = m.now + m.options.Election
+	m.leading.transferEnds = m.now + m.options.ElectionTimeout
 }
 
 // StepDown has this replica not lead for some election times, because its disk fails or its process stops. A leader
 // hands over to another voter if one answers, and else just ceases to lead.
-func (m *Machine) StepDown(now time.Duration) {
+func (m *Node) StepDown(now time.Duration) {
 	m.advance(now)
-	m.noLeaderUntil = m.now + stepDownElections*m.options.Election
+	m.noLeaderUntil = m.now + stepDownElections*m.options.ElectionTimeout
 	if m.role == PreCandidate || m.role == Candidate {
 		m.becomeFollower(m.term, 0)
 		return
@@ -38,10 +38,10 @@
 }
 
 // heir is the voter that holds most of the log among those that have answered of late.
-func (m *Machine) heir() ReplicaID {
+func (m *Node) heir() ReplicaID {
 	var best *peer
 	for _, p := range m.leading.peers {
-		if !m.membership().votes(p.id) || m.now-p.answeredAt >= m.options.Election {
+		if !m.membership().votes(p.id) || m.now-p.answeredAt >= m.options.ElectionTimeout {
 			continue
 		}
 		if best == nil || p.match > best.match || p.match == best.match && p.answeredAt > best.answeredAt {
@@ -55,17 +55,17 @@
 }
 
 // flushTransfer tells the transferee to take over once it holds the whole log.
-func (m *Machine) flushTransfer() {
+func (m *Node) flushTransfer() {
 	p := m.peer(m.leading.transferee)
 	if p == nil || m.leading.handedOver || p.match < m.log.last() {
 		return
 	}
 	m.leading.handedOver = true
-	m.sendEarly(Message{Kind: TimeoutNow, To: p.id})
+	m.sendEarly(Message{Kind: MessageTimeoutNow, To: p.id})
 }
 
 // endTransfer is called when the transferee has not taken over in time.
-func (m *Machine) endTransfer() {
+func (m *Node) endTransfer() {
 	if m.now < m.noLeaderUntil {
 		m.becomeFollower(m.term, 0)
 		return
@@ -78,7 +78,7 @@
 }
 
 // handleTimeoutNow stands for election at once.
-func (m *Machine) handleTimeoutNow(msg Message) {
+func (m *Node) handleTimeoutNow(msg Message) {
 	if msg.Term != m.term || m.role == Leader || m.leader != msg.From {
 		return
 	}
--- a/internal/system/consensus/types.go
+++ b/internal/system/consensus/types.go
@@ -61,23 +61,23 @@
 	Data        []byte
 }
 
-// Stored is what a replica finds on its disk when it starts.
-type Stored struct {
-	Hard     HardState
-	Snapshot Snapshot // Index 0: none, Membership is then the founding one
-	Entries  []Entry  // contiguous, the first one after the snapshot
+// PersistentState is what a replica finds on its disk when it starts.
+type PersistentState struct {
+	HardState HardState
+	Snapshot  Snapshot // Index 0: none, Membership is then the founding one
+	Entries   []Entry  // contiguous, the first one after the snapshot
 }
 
-// Options are a replica's. Times are steady.
-type Options struct {
-	ID        ReplicaID
-	Heartbeat time.Duration // between two messages of an idle leader
-	Election  time.Duration // without a leader after which a replica stands for election, at least; up to twice as long
-	Seed      uint64
-	// MaxAppendBytes bounds the data of entries in one message; MaxInflight the unanswered appends to one replica.
-	MaxAppendBytes, MaxInflight int
-	// SnapshotAfter is how many applied entries are kept before the driver is asked to compact (see Ready.Compact).
-	SnapshotAfter uint64
+// Config are a replica's. Times are steady.
+type Config struct {
+	ID                ReplicaID
+	HeartbeatInterval time.Duration // between two messages of an idle leader
+	ElectionTimeout   time.Duration // without a leader after which a replica stands for election, at least; up to twice as long
+	Seed              uint64
+	// MaxAppendBytes bounds the data of entries in one message; MaxInflightAppends the unanswered appends to one replica.
+	MaxAppendBytes, MaxInflightAppends int
+	// SnapshotThreshold is how many applied entries are kept before the driver is asked to compact (see Ready.Compact).
+	SnapshotThreshold uint64
 }
 
 // MessageKind says what a message is for.
@@ -85,29 +85,29 @@
 
 // The kinds of message.
 const (
-	PreVote MessageKind = iota
-	PreVoteReply
-	Vote
-	VoteReply
-	Append // entries, or a heartbeat without any
-	AppendReply
-	InstallSnapshot
-	SnapshotReply
-	TimeoutNow // asks its receiver to stand for election at once
+	MessagePreVote MessageKind = iota
+	MessagePreVoteReply
+	MessageVote
+	MessageVoteReply
+	MessageAppend // entries, or a heartbeat without any
+	MessageAppendReply
+	MessageInstallSnapshot
+	MessageInstallSnapshotReply
+	MessageTimeoutNow // asks its receiver to stand for election at once
 )
 
 // Message goes from one replica to another of the same group.
 type Message struct {
-	Kind     MessageKind
-	From, To ReplicaID
-	Term     uint64
-	Index    uint64 // last log index of a candidate; index before Entries; last matching index of a reply
-	LogTerm  uint64 // term of the entry at Index
-	Commit   uint64
-	Entries  []Entry
-	Snapshot *Snapshot
-	Reject   bool
-	Hint     uint64 // of a rejected append: where to try next
+	Kind       MessageKind
+	From, To   ReplicaID
+	Term       uint64
+	Index      uint64 // last log index of a candidate; index before Entries; last matching index of a reply
+	LogTerm    uint64 // term of the entry at Index
+	Commit     uint64
+	Entries    []Entry
+	Snapshot   *Snapshot
+	Reject     bool
+	RejectHint uint64 // of a rejected append: where to try next
 	// Round of an append is a number that its reply repeats, which confirms leadership for reads and leases. An append
 	// without entries and with Round 0 only tells of a commit and is not answered unless it is rejected.
 	Round uint64
@@ -134,23 +134,23 @@
 // A write that failed is to be tried again, or the machine made anew from what is stored; it can't be left out.
 // Nothing in a Ready may be changed.
 type Ready struct {
-	HardState *HardState
-	Snapshot  *Snapshot // received from the leader: replaces log and state
-	Entries   []Entry
-	Early     []Message // may be sent before the writes are synced
-	Messages  []Message
-	Committed []Entry
-	Reads     []ReadState
-	Compact   uint64 // above 0: make a snapshot at this applied index, store it (see Machine.Snapshot), call Compacted
-	MustSync  bool   // false: HardState, if any, differs in Commit alone and may wait for the next write
-
-	number uint64 // counts the ones with writes, 0: none
+	HardState        *HardState
+	Snapshot         *Snapshot // received from the leader: replaces log and state
+	Entries          []Entry
+	EarlyMessages    []Message // may be sent before the writes are synced
+	Messages         []Message
+	CommittedEntries []Entry
+	ReadStates       []ReadState
+	CompactIndex     uint64 // above 0: make a snapshot at this applied index, store it (see Machine.Snapshot), call Compacted
+	MustSync         bool   // false: HardState, if any, differs in Commit alone and may wait for the next write
+
+	sequence uint64 // counts the ones with writes, 0: none
 }
 
 // Empty tells whether nothing is to be done.
 func (r Ready) Empty() bool {
-	return r.HardState == nil && r.Snapshot == nil && len(r.Entries) == 0 && len(r.Early) == 0 && len(r.Messages) == 0 &&
-		len(r.Committed) == 0 && len(r.Reads) == 0 && r.Compact == 0
+	return r.HardState == nil && r.Snapshot == nil && len(r.Entries) == 0 && len(r.EarlyMessages) == 0 && len(r.Messages) == 0 &&
+		len(r.CommittedEntries) == 0 && len(r.ReadStates) == 0 && r.CompactIndex == 0
 }
 
 // ReadState says that the state machine may be read for Token once Index is applied.
@@ -178,39 +178,43 @@
 	Membership Membership // the newest, which may not be committed yet
 	// MembershipIndex is the entry that brought Membership, or the snapshot; it is committed if it is not above Commit.
 	MembershipIndex uint64
-	// LeaseUntil of a leader: while the time is below it and this status is the newest, no other replica can be leader.
-	LeaseUntil   time.Duration
+	// LeaseExpiry of a leader: while the time is below it and this status is the newest, no other replica can be leader.
+	LeaseExpiry  time.Duration
 	Transferring bool // a leader that hands leadership over takes no proposals
-	// LeaderHeard is when this replica last heard the leader; a leader's is when its last confirmed round began.
-	LeaderHeard time.Duration
-	// CurrentAt is when this replica last held all that the leader had committed, as far as the leader said, once that had
-	// committed an entry of its term; a leader's is LeaderHeard from then on. A replica that catches up hears its leader and
+	// LastLeaderContact is when this replica last heard the leader; a leader's is when its last confirmed round began.
+	LastLeaderContact time.Duration
+	// CaughtUpAt is when this replica last held all that the leader had committed, as far as the leader said, once that had
+	// committed an entry of its term; a leader's is LastLeaderContact from then on. A replica that catches up hears its leader and
 	// is not current, nor is one that has just stood still before it has heard anew.
-	CurrentAt time.Duration
-	Match     map[ReplicaID]uint64        // of a leader: up to where each member surely holds the log
-	Answered  map[ReplicaID]time.Duration // of a leader: when each other member last answered
+	CaughtUpAt  time.Duration
+	Match       map[ReplicaID]uint64        // of a leader: up to where each member surely holds the log
+	LastContact map[ReplicaID]time.Duration // of a leader: when each other member last answered
 }
 
-// MembershipError says that a change of membership is not allowed.
-type MembershipError struct{ Reason string }
+// InvalidMembershipError says that a change of membership is not allowed.
+type InvalidMembershipError struct{ Reason string }
 
 // Error says what happened.
-func (e *MembershipError) Error() string { return "consensus: membership not changed: " + e.Reason }
+func (e *InvalidMembershipError) Error() string {
+	return "consensus: membership not changed: " + e.Reason
+}
 
-// BehindError says that a learner can't be made a voter yet: wait until its log has caught up.
-type BehindError struct {
-	ID          ReplicaID
-	Match, Want uint64 // index that it surely holds, and one that it has to reach in time
+// LearnerBehindError says that a learner can't be made a voter yet: wait until its log has caught up.
+type LearnerBehindError struct {
+	ID            ReplicaID
+	Match, Target uint64 // index that it surely holds, and one that it has to reach in time
 }
 
 // Error says what happened.
-func (e *BehindError) Error() string {
+func (e *LearnerBehindError) Error() string {
 	return fmt.Sprintf("consensus: replica %d holds the log up to %d and still has to catch up to %d; wait", e.ID, e.Match,
-		e.Want)
+		e.Target)
 }
 
-// BusyMembershipError says that a change of membership is under way.
-type BusyMembershipError struct{}
+// PendingMembershipChangeError says that a change of membership is under way.
+type PendingMembershipChangeError struct{}
 
 // Error says what happened.
-func (e *BusyMembershipError) Error() string { return "consensus: a change of membership is under way" }
+func (e *PendingMembershipChangeError) Error() string {
+	return "consensus: a change of membership is under way"
+}
--- a/internal/system/control/partitions_test.go
+++ b/internal/system/control/partitions_test.go
@@ -31,7 +31,7 @@
 func (u *usurper) claim(t *testing.T, s *system, client *rpc.Client) {
 	t.Helper()
 	u.term += 1000
-	message := consensus.EncodeMessage(consensus.Message{Kind: consensus.Append, From: 1, Term: u.term, Commit: math.MaxUint32,
+	message := consensus.EncodeMessage(consensus.Message{Kind: consensus.MessageAppend, From: 1, Term: u.term, Commit: math.MaxUint32,
 		To: s.processes[0].host.Status()[u.partition].Status.ID, Round: 1})
 	batch := binary.AppendUvarint(nil, uint64(u.partition))
 	batch = binary.AppendUvarint(batch, uint64(len(message)))
--- a/internal/system/replica/bounds_test.go
+++ b/internal/system/replica/bounds_test.go
@@ -74,7 +74,7 @@
 		s.t.Fatal(err)
 	}
 	for s.group.machine.Role() != consensus.Leader {
-		s.now = max(s.now, s.group.machine.Next())
+		s.now = max(s.now, s.group.machine.NextTick())
 		s.group.machine.Tick(s.now)
 		s.settle()
 	}
--- a/internal/system/replica/contact.go
+++ b/internal/system/replica/contact.go
@@ -43,7 +43,7 @@
 	if len(membership.Members) == 0 {
 		return true
 	}
-	return membership.Quorum(func(id consensus.ReplicaID) bool {
+	return membership.HasQuorum(func(id consensus.ReplicaID) bool {
 		at, known := c.heard[id]
 		return id == self || known && at >= since
 	})
@@ -63,7 +63,7 @@
 func (h *Host) inContact(g *group, now time.Duration) bool {
 	since := now - contactElections*h.options.ElectionTimeout
 	status := g.machine.Status()
-	if g.contacts.began >= since || status.LeaderHeard >= since && status.LeaderHeard > 0 {
+	if g.contacts.began >= since || status.LastLeaderContact >= since && status.LastLeaderContact > 0 {
 		return true
 	}
 	return g.contacts.majority(status.ID, &status.Membership, since)
--- a/internal/system/replica/core_check_test.go
+++ b/internal/system/replica/core_check_test.go
@@ -79,7 +79,7 @@
 }
 
 // noteBoot sees that what a process finds on its disk leads to what was agreed.
-func (t *coreTruth) noteBoot(w *coreWorld, p *coreProcess, stored *consensus.Stored) {
+func (t *coreTruth) noteBoot(w *coreWorld, p *coreProcess, stored *consensus.PersistentState) {
 	if version := t.versionAt(stored.Snapshot.Index); p.state.Version() != version {
 		w.fail("machine %d begins at version %d, where %d was agreed", p.slot.number, p.state.Version(), version)
 	}
@@ -166,7 +166,7 @@
 
 // checkMajority sees that what is applied first was synced by a majority of the voters.
 func (w *coreWorld) checkMajority(p *coreProcess) {
-	at, is := p.group.machine.Snapshot(p.applied, nil)
+	at, is := p.group.machine.CreateSnapshot(p.applied, nil)
 	if !is {
 		w.fail("machine %d has applied %d first, and knows no term of it", p.slot.number, p.applied)
 		return
@@ -228,11 +228,11 @@
 func (w *coreWorld) checkSent(p *coreProcess, message *consensus.Message) {
 	id := p.slot.id()
 	switch message.Kind {
-	case consensus.PreVote, consensus.Vote:
+	case consensus.MessagePreVote, consensus.MessageVote:
 		if !w.truth.voters[id] {
 			w.fail("machine %d stands for election and never was a voter", p.slot.number)
 		}
-	case consensus.PreVoteReply, consensus.VoteReply:
+	case consensus.MessagePreVoteReply, consensus.MessageVoteReply:
 		if !message.Reject && !w.truth.members[id] {
 			w.fail("machine %d votes and never was a member", p.slot.number)
 		}
--- a/internal/system/replica/core_faults_test.go
+++ b/internal/system/replica/core_faults_test.go
@@ -173,7 +173,7 @@
 // memberships are those that machines go by, or would after a restart.
 func (w *coreWorld) memberships() (views []consensus.Membership) {
 	for _, s := range w.inUse() {
-		if stored := s.disk.load(); stored.Check() == nil {
+		if stored := s.disk.load(); stored.Validate() == nil {
 			views = append(views, newestMembership(&stored))
 		}
 		if s.process != nil {
@@ -197,7 +197,7 @@
 	})
 }
 
-func newestMembership(stored *consensus.Stored) consensus.Membership {
+func newestMembership(stored *consensus.PersistentState) consensus.Membership {
 	newest := stored.Snapshot.Membership
 	for _, e := range stored.Entries {
 		if e.Kind == consensus.EntryMembership {
--- a/internal/system/replica/core_fresh_test.go
+++ b/internal/system/replica/core_fresh_test.go
@@ -15,12 +15,12 @@
 // that state is current that is older than the last contact with a majority, but for freshSlack.
 func (w *coreWorld) checkFresh(p *coreProcess) {
 	status := p.group.machine.Status()
-	age := since(status.CurrentAt, p.clock())
+	age := since(status.CaughtUpAt, p.clock())
 	if age > coreTrouble+coreHealing {
 		return
 	}
 	slack := freshSlack + 4*w.profile.Delay + w.longestWait
-	if status.Role == consensus.Leader && status.CurrentAt == status.LeaderHeard {
+	if status.Role == consensus.Leader && status.CaughtUpAt == status.LastLeaderContact {
 		slack = 0 // a round that a majority answered
 	}
 	then := w.now - time.Duration(float64(age)/p.slot.rate) - slack
--- a/internal/system/replica/core_process_test.go
+++ b/internal/system/replica/core_process_test.go
@@ -52,15 +52,15 @@
 }
 
 // load is what a process finds.
-func (d *coreDisk) load() consensus.Stored {
-	stored := consensus.Stored{Hard: d.hard, Snapshot: d.snapshot}
+func (d *coreDisk) load() consensus.PersistentState {
+	stored := consensus.PersistentState{HardState: d.hard, Snapshot: d.snapshot}
 	last := d.snapshot.Index
 	for _, k := range d.entries {
 		stored.Entries = append(stored.Entries, k.entry)
-		stored.Hard.Commit = max(stored.Hard.Commit, k.committed)
+		stored.HardState.Commit = max(stored.HardState.Commit, k.committed)
 		last = k.entry.Index
 	}
-	stored.Hard.Commit = min(max(stored.Hard.Commit, d.snapshot.Index), last)
+	stored.HardState.Commit = min(max(stored.HardState.Commit, d.snapshot.Index), last)
 	return stored
 }
 
@@ -122,7 +122,7 @@
 			other.process.host.hint(s.address())
 		}
 	}
-	w.logf("%d boots as %s: %+v, snapshot %d, log to %d", s.number, idText(s.disk.id), stored.Hard, stored.Snapshot.Index,
+	w.logf("%d boots as %s: %+v, snapshot %d, log to %d", s.number, idText(s.disk.id), stored.HardState, stored.Snapshot.Index,
 		p.group.machine.Status().LastIndex)
 	p.do(func() {})
 }
@@ -227,7 +227,7 @@
 	if _, stepDown := p.host.disk.watch(now, 2*defaultElection); stepDown && !p.world.plant.stubborn {
 		p.group.machine.StepDown(now)
 	}
-	if p.group.machine.Next() <= now {
+	if p.group.machine.NextTick() <= now {
 		p.group.machine.Tick(now)
 	}
 	if now >= p.host.manageDue {
@@ -321,7 +321,7 @@
 			continue
 		}
 		p.world.checkSent(p, &message)
-		if message.Kind == consensus.InstallSnapshot {
+		if message.Kind == consensus.MessageInstallSnapshot {
 			p.sendSnapshot(to, message)
 			continue
 		}
--- a/internal/system/replica/core_storm_test.go
+++ b/internal/system/replica/core_storm_test.go
@@ -104,7 +104,7 @@
 		return
 	}
 	q := s.watched.process
-	fresh := since(q.group.machine.Status().CurrentAt, q.clock()) < time.Second
+	fresh := since(q.group.machine.Status().CaughtUpAt, q.clock()) < time.Second
 	if fresh && q.group.applied+closeBehind >= w.truth.applied {
 		s.current = w.now - s.bootedAt
 		s.sent = w.sentBytes - s.sent
--- a/internal/system/replica/disk.go
+++ b/internal/system/replica/disk.go
@@ -57,7 +57,7 @@
 	Identity() (consensus.ReplicaID, bool)
 	Succeeds() bool
 	Establish(replica consensus.ReplicaID, writes ...storage.Write) error
-	Load(partition feed.Partition) (consensus.Stored, bool, error)
+	Load(partition feed.Partition) (consensus.PersistentState, bool, error)
 	Write(writes ...storage.Write) error
 	Discard() error
 	Close() error
--- a/internal/system/replica/group.go
+++ b/internal/system/replica/group.go
@@ -23,7 +23,7 @@
 // group is this machine's replica of a partition. The host's mutex guards it.
 type group struct {
 	partition feed.Partition
-	machine   *consensus.Machine // nil before the store is open
+	machine   *consensus.Node // nil before the store is open
 	state     StateMachine
 
 	applied      uint64
@@ -72,8 +72,8 @@
 }
 
 // start makes the machine out of what is stored.
-func (g *group) start(now time.Duration, options consensus.Options, stored consensus.Stored) error {
-	if err := stored.Check(); err != nil {
+func (g *group) start(now time.Duration, options consensus.Config, stored consensus.PersistentState) error {
+	if err := stored.Validate(); err != nil {
 		return err
 	}
 	if s := &stored.Snapshot; s.Index > 0 {
@@ -82,7 +82,7 @@
 		}
 		g.applied, g.snapshot = s.Index, len(s.Data)
 	}
-	g.knownCommit, g.written = stored.Hard.Commit, stored.Hard
+	g.knownCommit, g.written = stored.HardState.Commit, stored.HardState
 	stored.Snapshot.Data = nil // the state machine holds it
 	g.machine = consensus.New(now, options, stored)
 	g.contacts = contacts{began: now}
@@ -93,12 +93,12 @@
 func (g *group) settle(out outlet) error {
 	var failure error
 	for r := g.machine.Ready(); !r.Empty(); r = g.machine.Ready() {
-		out.send(g, r.Early)
+		out.send(g, r.EarlyMessages)
 		if err := g.apply(&r); err != nil {
 			failure = err
 		}
 		g.store(&r, out)
-		g.answerReads(r.Reads)
+		g.answerReads(r.ReadStates)
 	}
 	if snapshot := g.compaction(); snapshot != nil {
 		write := storage.Write{Partition: g.partition, Compacted: snapshot}
@@ -140,7 +140,7 @@
 		g.compacted(j.snapshot)
 		return
 	}
-	g.machine.Persisted(j.ready)
+	g.machine.MarkPersisted(j.ready)
 	out.send(g, j.ready.Messages)
 }
 
@@ -169,7 +169,7 @@
 	if len(command) < bulkBytes || g.machine.Role() != consensus.Leader || g.machine.Transferring() {
 		return false
 	}
-	p.index, p.term, found = g.machine.Uncommitted(command)
+	p.index, p.term, found = g.machine.FindUncommitted(command)
 	return found
 }
 
@@ -203,7 +203,7 @@
 	g.lastToken++
 	answer := make(chan consensus.ReadState, 1)
 	g.reads[g.lastToken] = answer
-	g.machine.Read(now, g.lastToken)
+	g.machine.ReadIndex(now, g.lastToken)
 	return g.lastToken, answer
 }
 
@@ -216,8 +216,8 @@
 			return err
 		}
 	}
-	for i := range r.Committed {
-		g.applyEntry(&r.Committed[i])
+	for i := range r.CommittedEntries {
+		g.applyEntry(&r.CommittedEntries[i])
 	}
 	if r.HardState != nil {
 		g.knownCommit = r.HardState.Commit
@@ -298,10 +298,10 @@
 	if g.compacting || g.logBytes < max(leastLog, g.snapshot) {
 		return nil
 	}
-	if _, may := g.machine.Snapshot(g.applied, nil); !may {
+	if _, may := g.machine.CreateSnapshot(g.applied, nil); !may {
 		return nil // without the state's encoding, which may be large
 	}
-	snapshot, is := g.machine.Snapshot(g.applied, g.state.Snapshot())
+	snapshot, is := g.machine.CreateSnapshot(g.applied, g.state.Snapshot())
 	if !is {
 		return nil
 	}
@@ -313,13 +313,13 @@
 func (g *group) compacted(snapshot *consensus.Snapshot) {
 	g.compacting = false
 	g.snapshot = len(snapshot.Data)
-	g.machine.Compacted(snapshot.Index, nil, max(tailBytes, len(snapshot.Data)))
+	g.machine.Compact(snapshot.Index, nil, max(tailBytes, len(snapshot.Data)))
 }
 
 // currentSnapshot fills the message of a snapshot with the state as it is: the machine keeps none, to save memory.
 func (g *group) currentSnapshot(message *consensus.Message) {
 	data := g.state.Snapshot()
-	snapshot, is := g.machine.Snapshot(g.applied, data)
+	snapshot, is := g.machine.CreateSnapshot(g.applied, data)
 	if !is {
 		snapshot = *message.Snapshot // the state machine has not moved on since
 		snapshot.Data = data
--- a/internal/system/replica/group_test.go
+++ b/internal/system/replica/group_test.go
@@ -21,7 +21,7 @@
 func newScriptedGroup(t *testing.T) *scriptedGroup {
 	s := &scriptedGroup{t: t, g: newGroup(feed.ConfigurationPartition, &listState{}), now: time.Second,
 		last: map[consensus.MessageKind]consensus.Message{}}
-	var stored consensus.Stored
+	var stored consensus.PersistentState
 	for id := consensus.ReplicaID(1); id <= 3; id++ {
 		stored.Snapshot.Membership.Members = append(stored.Snapshot.Membership.Members, consensus.Member{ID: id, Voter: true})
 	}
@@ -66,11 +66,11 @@
 // elect has the group win an election by the vote of replica 2.
 func (s *scriptedGroup) elect() {
 	s.t.Helper()
-	s.now = s.g.machine.Next()
+	s.now = s.g.machine.NextTick()
 	s.g.machine.Tick(s.now)
 	s.settle()
-	s.step(consensus.Message{Kind: consensus.PreVoteReply, From: 2, Term: s.last[consensus.PreVote].Term})
-	s.step(consensus.Message{Kind: consensus.VoteReply, From: 2, Term: s.last[consensus.Vote].Term})
+	s.step(consensus.Message{Kind: consensus.MessagePreVoteReply, From: 2, Term: s.last[consensus.MessagePreVote].Term})
+	s.step(consensus.Message{Kind: consensus.MessageVoteReply, From: 2, Term: s.last[consensus.MessageVote].Term})
 	if s.g.machine.Role() != consensus.Leader {
 		s.t.Fatal("the election was lost")
 	}
@@ -103,8 +103,8 @@
 	s.elect()
 	s.propose("keeps its place")
 	first := s.propose("is displaced")
-	before := s.last[consensus.Vote].Term
-	s.step(consensus.Message{Kind: consensus.Append, From: 3, Term: before + 1, Round: 1,
+	before := s.last[consensus.MessageVote].Term
+	s.step(consensus.Message{Kind: consensus.MessageAppend, From: 3, Term: before + 1, Round: 1,
 		Entries: []consensus.Entry{{Index: 1, Term: before + 1}}})
 	if _, told := outcomeOf(first); told {
 		t.Fatal("an outcome was told before one was known")
@@ -129,7 +129,7 @@
 		t.Fatalf("the log goes to %d, and the command stands at %d", last, waiting[0].index)
 	}
 	s.g.abandon(waiting[1])
-	s.step(consensus.Message{Kind: consensus.AppendReply, From: 2, Term: s.last[consensus.Vote].Term,
+	s.step(consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: s.last[consensus.MessageVote].Term,
 		Index: waiting[0].index})
 	for i, p := range waiting {
 		if outcome, told := outcomeOf(p); told != (i != 1) || told && outcome != OutcomeCommitted {
@@ -146,8 +146,8 @@
 	s := newScriptedGroup(t)
 	s.elect()
 	lost := s.propose("is lost")
-	term := s.last[consensus.Vote].Term + 1
-	s.step(consensus.Message{Kind: consensus.Append, From: 3, Term: term, Round: 1, Commit: lost.index,
+	term := s.last[consensus.MessageVote].Term + 1
+	s.step(consensus.Message{Kind: consensus.MessageAppend, From: 3, Term: term, Round: 1, Commit: lost.index,
 		Entries: []consensus.Entry{{Index: 1, Term: term}, {Index: 2, Term: term, Data: []byte("another")}}})
 	if outcome, told := outcomeOf(lost); !told || outcome != OutcomeDropped {
 		t.Errorf("outcome %d, told %v; want it not to be taken", outcome, told)
@@ -162,7 +162,7 @@
 	if _, told := outcomeOf(p); told {
 		t.Fatal("an outcome was told before a majority had it")
 	}
-	s.step(consensus.Message{Kind: consensus.AppendReply, From: 2, Term: p.term, Index: p.index})
+	s.step(consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: p.term, Index: p.index})
 	select {
 	case reply := <-p.done:
 		if reply.Outcome != OutcomeCommitted || string(reply.Result) != "1:a command" {
@@ -176,7 +176,7 @@
 // TestHungDiskBoundsWhatWaits: while a write does not end, heartbeats go on to be taken, and only so many answers wait.
 func TestHungDiskBoundsWhatWaits(t *testing.T) {
 	s := newScriptedGroup(t)
-	beat := consensus.Message{Kind: consensus.Append, From: 2, To: 1, Term: 1, Round: 1,
+	beat := consensus.Message{Kind: consensus.MessageAppend, From: 2, To: 1, Term: 1, Round: 1,
 		Entries: []consensus.Entry{{Index: 1, Term: 1}}}
 	for beat.Round < 4*mostWaitingJobs {
 		s.now += defaultHeartbeat
@@ -197,7 +197,7 @@
 		s.g.carriedOut(&jobs[i], s)
 	}
 	s.step(beat)
-	if reply := s.last[consensus.AppendReply]; reply.Index != 1 || reply.Round != beat.Round {
+	if reply := s.last[consensus.MessageAppendReply]; reply.Index != 1 || reply.Round != beat.Round {
 		t.Errorf("once the write has ended the answer is %+v", reply)
 	}
 }
--- a/internal/system/replica/host.go
+++ b/internal/system/replica/host.go
@@ -181,7 +181,7 @@
 func (h *Host) now() time.Duration { return time.Since(h.started) }
 
 // begin makes the machines of what is stored; false: the state machines do not take it.
-func (h *Host) begin(id consensus.ReplicaID, stored []consensus.Stored) bool {
+func (h *Host) begin(id consensus.ReplicaID, stored []consensus.PersistentState) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for i, g := range h.groups {
@@ -204,9 +204,9 @@
 }
 
 // machineOptions are those of a replica of any partition.
-func machineOptions(id consensus.ReplicaID, seed uint64, heartbeat, election time.Duration) consensus.Options {
-	return consensus.Options{ID: id, Heartbeat: heartbeat, Election: election, Seed: seed, MaxAppendBytes: appendBytes,
-		MaxInflight: inflight, SnapshotAfter: 4 * tailEntries}
+func machineOptions(id consensus.ReplicaID, seed uint64, heartbeat, election time.Duration) consensus.Config {
+	return consensus.Config{ID: id, HeartbeatInterval: heartbeat, ElectionTimeout: election, Seed: seed, MaxAppendBytes: appendBytes,
+		MaxInflightAppends: inflight, SnapshotThreshold: 4 * tailEntries}
 }
 
 func randomNumber() uint64 {
@@ -239,7 +239,7 @@
 	now := h.now()
 	h.watchDisk(now)
 	for _, g := range h.groups {
-		if g.machine != nil && g.machine.Next() <= now {
+		if g.machine != nil && g.machine.NextTick() <= now {
 			g.machine.Tick(now)
 		}
 	}
@@ -257,7 +257,7 @@
 	due := h.manageDue
 	for _, g := range h.groups {
 		if g.machine != nil {
-			due = min(due, g.machine.Next())
+			due = min(due, g.machine.NextTick())
 		}
 	}
 	return (due + grid - 1) / grid * grid
@@ -323,7 +323,7 @@
 		if !known {
 			continue
 		}
-		if message.Kind == consensus.InstallSnapshot {
+		if message.Kind == consensus.MessageInstallSnapshot {
 			h.peers.sendSnapshot(address, g, message)
 			continue
 		}
--- a/internal/system/replica/host_test.go
+++ b/internal/system/replica/host_test.go
@@ -474,7 +474,7 @@
 	host.self.ID = self
 	member := host.self
 	member.Voter = true
-	stored := consensus.Stored{Snapshot: consensus.Snapshot{Membership: consensus.Membership{Members: []consensus.Member{
+	stored := consensus.PersistentState{Snapshot: consensus.Snapshot{Membership: consensus.Membership{Members: []consensus.Member{
 		member, {ID: founder, Address: "10.0.0.2:9000", Voter: true}}}}}
 	g := host.groups[0]
 	if err := g.start(time.Second, machineOptions(self, 1, defaultHeartbeat, defaultElection), stored); err != nil {
@@ -484,7 +484,7 @@
 		id    consensus.ReplicaID
 		wants bool
 	}{{founder, false}, {joined, true}} {
-		g.machine.Step(time.Second, consensus.Message{Kind: consensus.Append, From: leader.id, To: self, Term: uint64(leader.id)})
+		g.machine.Step(time.Second, consensus.Message{Kind: consensus.MessageAppend, From: leader.id, To: self, Term: uint64(leader.id)})
 		if wants := host.wantsIn(time.Second); wants != leader.wants {
 			t.Errorf("led by %d: it asks to be taken in: %v, want %v", leader.id, wants, leader.wants)
 		}
--- a/internal/system/replica/load.go
+++ b/internal/system/replica/load.go
@@ -11,7 +11,7 @@
 )
 
 // load returns which replica this machine has and what it stored; a new one is established first.
-func (h *Host) load() (consensus.ReplicaID, []consensus.Stored, error) {
+func (h *Host) load() (consensus.ReplicaID, []consensus.PersistentState, error) {
 	if h.disk.folder == "" {
 		id, stored := h.newReplica()
 		return id, stored, nil
@@ -47,8 +47,8 @@
 }
 
 // newReplica is a founder where this machine founds the system, and else one without a past under a random number.
-func (h *Host) newReplica() (consensus.ReplicaID, []consensus.Stored) {
-	stored := make([]consensus.Stored, len(h.groups))
+func (h *Host) newReplica() (consensus.ReplicaID, []consensus.PersistentState) {
+	stored := make([]consensus.PersistentState, len(h.groups))
 	founders, founds := founding(h.options.Settings)
 	if !founds || h.corrupted {
 		return consensus.ReplicaID(max(randomNumber(), 1)), stored
@@ -60,7 +60,7 @@
 }
 
 // establish makes the empty store a new replica's.
-func (h *Host) establish() (consensus.ReplicaID, []consensus.Stored, error) {
+func (h *Host) establish() (consensus.ReplicaID, []consensus.PersistentState, error) {
 	id, stored := h.newReplica()
 	var writes []storage.Write
 	for i := range stored {
@@ -76,13 +76,13 @@
 
 // loadPartitions reads what the replica stored. A partition that makes no sense makes the store as good as lost: it is
 // moved aside, and the next try finds an empty one.
-func (h *Host) loadPartitions() ([]consensus.Stored, error) {
-	stored := make([]consensus.Stored, len(h.groups))
+func (h *Host) loadPartitions() ([]consensus.PersistentState, error) {
+	stored := make([]consensus.PersistentState, len(h.groups))
 	for i := range stored {
 		var err error
 		stored[i], _, err = h.disk.store.Load(feed.Partition(i))
 		if err == nil {
-			err = stored[i].Check()
+			err = stored[i].Validate()
 		}
 		if err != nil {
 			return nil, h.discardCorrupt(err)
--- a/internal/system/replica/manage.go
+++ b/internal/system/replica/manage.go
@@ -124,7 +124,7 @@
 
 // noteBehind keeps a learner that may not vote yet from being chosen again for a while, so that others are.
 func (g *group) noteBehind(now time.Duration, err error) {
-	var behind *consensus.BehindError
+	var behind *consensus.LearnerBehindError
 	if !errors.As(err, &behind) {
 		return
 	}
@@ -143,7 +143,7 @@
 		m.caughtUp = m.caughtUp && now >= g.behind[member.ID]
 		m.leaving = h.departures.leaving(member.ID, now)
 		m.left = h.departures.left(member.ID, g.contacts.heard[member.ID])
-		if answered, is := status.Answered[member.ID]; is {
+		if answered, is := status.LastContact[member.ID]; is {
 			m.silent = now - answered
 		}
 		s.members = append(s.members, m)
@@ -172,7 +172,7 @@
 // tells its address.
 func (h *Host) wantsIn(now time.Duration) bool {
 	for _, g := range h.groups {
-		if !h.takenIn(g) || since(g.machine.Status().LeaderHeard, now) > lonelyFor || !h.reachesLeader(g) {
+		if !h.takenIn(g) || since(g.machine.Status().LastLeaderContact, now) > lonelyFor || !h.reachesLeader(g) {
 			return true
 		}
 	}
--- a/internal/system/replica/propose.go
+++ b/internal/system/replica/propose.go
@@ -278,7 +278,7 @@
 	if g == nil || g.machine == nil || g.machine.Role() != consensus.Leader {
 		return 0, false
 	}
-	left := g.machine.Lease() - h.now()
+	left := g.machine.LeaseExpiry() - h.now()
 	return max(left, 0), left > 0
 }
 
@@ -293,7 +293,7 @@
 	if g.machine == nil {
 		return neverHeard
 	}
-	return since(g.machine.Status().CurrentAt, h.now())
+	return since(g.machine.Status().CaughtUpAt, h.now())
 }
 
 // since is how long ago something was; at 0 it never was.
--- a/internal/system/replica/transfer.go
+++ b/internal/system/replica/transfer.go
@@ -31,7 +31,7 @@
 // follow those that are under way, and the same ones are not sent again. A heartbeat overtakes them, and asks about no
 // entry: the follower would refuse what it has not got yet.
 func (t *transfer) laneOf(message *consensus.Message) (lane, *consensus.Message) {
-	if message.Kind != consensus.Append {
+	if message.Kind != consensus.MessageAppend {
 		return ordinaryLane, message
 	}
 	if t == nil {
--- a/internal/system/storage/file.go
+++ b/internal/system/storage/file.go
@@ -224,7 +224,7 @@
 }
 
 // load reads what stands of a partition.
-func (f *file) load(partition feed.Partition) (stored consensus.Stored, found bool, err error) {
+func (f *file) load(partition feed.Partition) (stored consensus.PersistentState, found bool, err error) {
 	if err = f.loadHard(partition, &stored, &found); err != nil {
 		return stored, found, err
 	}
@@ -235,16 +235,16 @@
 	return stored, found, err
 }
 
-func (f *file) loadHard(partition feed.Partition, stored *consensus.Stored, found *bool) error {
+func (f *file) loadHard(partition feed.Partition, stored *consensus.PersistentState, found *bool) error {
 	return f.query(selectHard, func(row []driver.Value) error {
 		*found = true
-		stored.Hard = consensus.HardState{Term: uint64(row[0].(int64)), Vote: consensus.ReplicaID(row[1].(int64)),
+		stored.HardState = consensus.HardState{Term: uint64(row[0].(int64)), Vote: consensus.ReplicaID(row[1].(int64)),
 			Commit: uint64(row[2].(int64))}
 		return nil
 	}, int64(partition))
 }
 
-func (f *file) loadSnapshot(partition feed.Partition, stored *consensus.Stored, found *bool) error {
+func (f *file) loadSnapshot(partition feed.Partition, stored *consensus.PersistentState, found *bool) error {
 	return f.query(selectSnapshot, func(row []driver.Value) error {
 		*found = true
 		membership, err := consensus.DecodeMembership(blob(row[2]))
@@ -257,7 +257,7 @@
 	}, int64(partition))
 }
 
-func (f *file) loadEntries(partition feed.Partition, stored *consensus.Stored, found *bool) error {
+func (f *file) loadEntries(partition feed.Partition, stored *consensus.PersistentState, found *bool) error {
 	next := stored.Snapshot.Index + 1
 	err := f.query(selectEntries, func(row []driver.Value) error {
 		*found = true
@@ -269,10 +269,10 @@
 		next++
 		stored.Entries = append(stored.Entries, consensus.Entry{Index: index, Term: uint64(row[1].(int64)),
 			Kind: consensus.EntryKind(row[2].(int64)), Data: blob(row[4])})
-		stored.Hard.Commit = max(stored.Hard.Commit, uint64(row[3].(int64)))
+		stored.HardState.Commit = max(stored.HardState.Commit, uint64(row[3].(int64)))
 		return nil
 	}, key(partition, 0), key(partition+1, 0))
-	stored.Hard.Commit = min(max(stored.Hard.Commit, stored.Snapshot.Index), next-1)
+	stored.HardState.Commit = min(max(stored.HardState.Commit, stored.Snapshot.Index), next-1)
 	return err
 }
 
--- a/internal/system/storage/powerloss_test.go
+++ b/internal/system/storage/powerloss_test.go
@@ -69,7 +69,7 @@
 	random  *rand.Rand
 	folder  string
 	store   *Store
-	model   consensus.Stored
+	model   consensus.PersistentState
 	durable diskImage // what a loss of power leaves if nothing happens meanwhile
 	noSync  bool      // a planted fault: what an earlier process left is not synced
 	failed  string
@@ -146,13 +146,13 @@
 }
 
 // change draws a write and what the store holds after it.
-func (w *lossWorld) change() (Write, consensus.Stored) {
+func (w *lossWorld) change() (Write, consensus.PersistentState) {
 	next := w.model
 	last := next.Snapshot.Index + uint64(len(next.Entries))
 	write := Write{Partition: 1}
 	if w.random.IntN(3) == 0 {
-		hard := consensus.HardState{Term: next.Hard.Term + 1, Vote: consensus.ReplicaID(w.random.Uint64())}
-		write.Hard, next.Hard = &hard, hard
+		hard := consensus.HardState{Term: next.HardState.Term + 1, Vote: consensus.ReplicaID(w.random.Uint64())}
+		write.Hard, next.HardState = &hard, hard
 	}
 	switch {
 	case w.random.IntN(6) == 0 && len(next.Entries) > 1:
@@ -162,17 +162,17 @@
 			Data: w.data(w.random.IntN(2) == 0)}
 		next.Snapshot, next.Entries = *write.Compacted, next.Entries[cut:]
 	case w.random.IntN(10) == 0:
-		write.Snapshot = &consensus.Snapshot{Index: last + 5, Term: next.Hard.Term + 1, Membership: membership(1, 2),
+		write.Snapshot = &consensus.Snapshot{Index: last + 5, Term: next.HardState.Term + 1, Membership: membership(1, 2),
 			Data: w.data(w.random.IntN(2) == 0)}
 		next.Snapshot, next.Entries = *write.Snapshot, nil
 	default:
 		keep := len(next.Entries) - min(w.random.IntN(3), len(next.Entries))
 		from := next.Snapshot.Index + uint64(keep) + 1
-		write.Entries = entries(next.Hard.Term+1, from, from+w.random.Uint64N(4))
+		write.Entries = entries(next.HardState.Term+1, from, from+w.random.Uint64N(4))
 		write.Entries[0].Data = w.data(w.random.IntN(4) == 0)
 		next.Entries = append(slices.Clone(next.Entries[:keep]), write.Entries...)
 	}
-	next.Hard.Commit = next.Snapshot.Index
+	next.HardState.Commit = next.Snapshot.Index
 	return write, next
 }
 
@@ -189,14 +189,14 @@
 }
 
 // holds tells whether the store holds something, under its identity.
-func (w *lossWorld) holds(want consensus.Stored) bool {
+func (w *lossWorld) holds(want consensus.PersistentState) bool {
 	w.t.Helper()
 	if id, existed := w.store.Identity(); !existed || id != lossReplica {
 		w.t.Fatalf("the store is replica %d's, %v", id, existed)
 	}
 	got := load(w.t, w.store, 1)
 	sameSnapshot := got.Snapshot.Index == want.Snapshot.Index && bytes.Equal(got.Snapshot.Data, want.Snapshot.Data)
-	return got.Hard == want.Hard && sameSnapshot && slices.EqualFunc(got.Entries, want.Entries, sameEntry)
+	return got.HardState == want.HardState && sameSnapshot && slices.EqualFunc(got.Entries, want.Entries, sameEntry)
 }
 
 func sameEntry(a, b consensus.Entry) bool {
@@ -229,7 +229,7 @@
 
 // resume starts the store with what a process finds, and what of it is on the disk. It holds what was there before the
 // write that was under way or what is there after it, and what it is found to hold is not lost any more.
-func (w *lossWorld) resume(visible, durable diskImage, next consensus.Stored, written bool) {
+func (w *lossWorld) resume(visible, durable diskImage, next consensus.PersistentState, written bool) {
 	w.t.Helper()
 	w.store.Close()
 	w.durable = durable
@@ -318,11 +318,11 @@
 	if err := s.Establish(lossReplica); err != nil {
 		t.Fatal(err)
 	}
-	voted := consensus.Stored{Hard: consensus.HardState{Term: 4, Vote: 9}}
+	voted := consensus.PersistentState{HardState: consensus.HardState{Term: 4, Vote: 9}}
 	for range 2 { // the identity is in the file, the vote in the log alone
 		write(t, s, Write{Partition: 2, Entries: []consensus.Entry{{Index: 1, Term: 1, Data: make([]byte, 2<<20)}}})
 	}
-	write(t, s, Write{Partition: 1, Hard: &voted.Hard})
+	write(t, s, Write{Partition: 1, Hard: &voted.HardState})
 	killed := readImage(t, folder)
 	aside := killed.folder(t)
 	synced := []diskImage{killed}
--- a/internal/system/storage/storage.go
+++ b/internal/system/storage/storage.go
@@ -128,7 +128,7 @@
 }
 
 // Load returns what a partition's replica left; false: nothing.
-func (s *Store) Load(partition feed.Partition) (stored consensus.Stored, found bool, err error) {
+func (s *Store) Load(partition feed.Partition) (stored consensus.PersistentState, found bool, err error) {
 	err = s.do("load a partition", func(f *file) (err error) {
 		stored, found, err = f.load(partition)
 		return err
--- a/internal/system/storage/storage_test.go
+++ b/internal/system/storage/storage_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func load(t testing.TB, s *Store, partition feed.Partition) consensus.Stored {
+func load(t testing.TB, s *Store, partition feed.Partition) consensus.PersistentState {
 	t.Helper()
 	stored, _, err := s.Load(partition)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return stored
 }
 
-func expect(t testing.TB, got, want consensus.Stored) {
+func expect(t testing.TB, got, want consensus.PersistentState) {
 	t.Helper()
 	if diff := cmp.Diff(want, got, cmpopts.EquateEmpty()); diff != "" {
 		t.Errorf("stored state differs (-want +got):\n%s", diff)
@@ -84,7 +84,7 @@
 	if id, existed := s.Identity(); id != replica || !existed {
 		t.Fatal(id, existed)
 	}
-	expect(t, load(t, s, 2), consensus.Stored{Snapshot: founding})
+	expect(t, load(t, s, 2), consensus.PersistentState{Snapshot: founding})
 }
 
 func TestReopen(t *testing.T) {
@@ -96,8 +96,8 @@
 	s.Close()
 	s = open(t, folder)
 	hard.Commit = 2
-	expect(t, load(t, s, 1), consensus.Stored{Hard: hard, Entries: entries(3, 1, 4)})
-	expect(t, load(t, s, 2), consensus.Stored{Entries: entries(1, 1, 1)})
+	expect(t, load(t, s, 1), consensus.PersistentState{HardState: hard, Entries: entries(3, 1, 4)})
+	expect(t, load(t, s, 2), consensus.PersistentState{Entries: entries(1, 1, 1)})
 }
 
 // TestKilled copies the files as they stand while the store is open, as a kill leaves them.
@@ -122,7 +122,7 @@
 				t.Fatal(err)
 			}
 		}
-		expect(t, load(t, open(t, copied), 1), consensus.Stored{Entries: entries(1, 1, i)})
+		expect(t, load(t, open(t, copied), 1), consensus.PersistentState{Entries: entries(1, 1, i)})
 	}
 }
 
@@ -157,7 +157,7 @@
 		if err := os.WriteFile(filepath.Join(copied, fileName+"-wal"), torn, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		expect(t, load(t, open(t, copied), 1), consensus.Stored{Entries: entries(1, 1, 3)})
+		expect(t, load(t, open(t, copied), 1), consensus.PersistentState{Entries: entries(1, 1, 3)})
 	}
 }
 
@@ -166,9 +166,9 @@
 	write(t, s, Write{Partition: 1, Entries: entries(1, 1, 9)}, Write{Partition: 2, Entries: entries(1, 1, 2)},
 		Write{Partition: 0, Entries: entries(1, 1, 2)})
 	write(t, s, Write{Partition: 1, Entries: entries(2, 5, 6)})
-	expect(t, load(t, s, 1), consensus.Stored{Entries: append(entries(1, 1, 4), entries(2, 5, 6)...)})
-	expect(t, load(t, s, 0), consensus.Stored{Entries: entries(1, 1, 2)})
-	expect(t, load(t, s, 2), consensus.Stored{Entries: entries(1, 1, 2)})
+	expect(t, load(t, s, 1), consensus.PersistentState{Entries: append(entries(1, 1, 4), entries(2, 5, 6)...)})
+	expect(t, load(t, s, 0), consensus.PersistentState{Entries: entries(1, 1, 2)})
+	expect(t, load(t, s, 2), consensus.PersistentState{Entries: entries(1, 1, 2)})
 }
 
 func TestCompactAndInstall(t *testing.T) {
@@ -179,11 +179,11 @@
 		t.Fatal(err)
 	}
 	hard := consensus.HardState{Commit: 6}
-	expect(t, load(t, s, 1), consensus.Stored{Hard: hard, Snapshot: snapshot, Entries: entries(1, 7, 9)})
+	expect(t, load(t, s, 1), consensus.PersistentState{HardState: hard, Snapshot: snapshot, Entries: entries(1, 7, 9)})
 	installed := consensus.Snapshot{Index: 20, Term: 2, Membership: membership(1, 2), Data: []byte("twenty")}
 	write(t, s, Write{Partition: 1, Snapshot: &installed, Entries: entries(2, 21, 22)})
 	hard.Commit = 20
-	expect(t, load(t, s, 1), consensus.Stored{Hard: hard, Snapshot: installed, Entries: entries(2, 21, 22)})
+	expect(t, load(t, s, 1), consensus.PersistentState{HardState: hard, Snapshot: installed, Entries: entries(2, 21, 22)})
 }
 
 // TestGroupCommit has many write at once: the writer carries out all that wait in one transaction.
@@ -210,7 +210,7 @@
 	close(hold)
 	all.Wait()
 	for p := range feed.Partition(writers) {
-		expect(t, load(t, s, p), consensus.Stored{Entries: entries(1, 1, 1)})
+		expect(t, load(t, s, p), consensus.PersistentState{Entries: entries(1, 1, 1)})
 	}
 }
 
@@ -228,7 +228,7 @@
 		if !errors.Is(err, broken) {
 			t.Fatal(err)
 		}
-		expect(t, load(t, s, 1), consensus.Stored{Entries: entries(1, 1, 2)})
+		expect(t, load(t, s, 1), consensus.PersistentState{Entries: entries(1, 1, 2)})
 	}
 }
 
@@ -251,7 +251,7 @@
 	if !errors.As(err, &disk) || !disk.Full {
 		t.Fatal(err)
 	}
-	expect(t, load(t, s, 1), consensus.Stored{Entries: entries(1, 1, 2)})
+	expect(t, load(t, s, 1), consensus.PersistentState{Entries: entries(1, 1, 2)})
 	bound(1 << 20)
 	write(t, s, Write{Partition: 1, Entries: []consensus.Entry{large}})
 }
@@ -316,7 +316,7 @@
 		}
 		s := open(t, folder)
 		defer func() { s.Close() }()
-		model := make([]consensus.Stored, 3)
+		model := make([]consensus.PersistentState, 3)
 		for range rapid.IntRange(1, 20).Draw(rt, "steps") {
 			p := rapid.IntRange(0, 2).Draw(rt, "partition")
 			w := drawWrite(rt, &model[p])
@@ -334,9 +334,9 @@
 }
 
 // drawWrite draws a write that a replica might make and carries it out on the model.
-func drawWrite(t *rapid.T, model *consensus.Stored) (w Write) {
+func drawWrite(t *rapid.T, model *consensus.PersistentState) (w Write) {
 	last := model.Snapshot.Index + uint64(len(model.Entries))
-	term := model.Hard.Term + rapid.Uint64Range(0, 2).Draw(t, "term")
+	term := model.HardState.Term + rapid.Uint64Range(0, 2).Draw(t, "term")
 	w.Hard = &consensus.HardState{Term: term, Vote: consensus.ReplicaID(rapid.Uint64().Draw(t, "vote"))}
 	switch rapid.IntRange(0, 3).Draw(t, "kind") {
 	case 0:
@@ -356,9 +356,9 @@
 		keep := from - model.Snapshot.Index - 1
 		model.Entries = append(slices.Clone(model.Entries[:keep]), w.Entries...)
 	}
-	model.Hard = *w.Hard
-	model.Hard.Commit = model.Snapshot.Index
-	w.Hard.Commit = model.Hard.Commit
+	model.HardState = *w.Hard
+	model.HardState.Commit = model.Snapshot.Index
+	w.Hard.Commit = model.HardState.Commit
 	return w
 }
 
