--- a/internal/system/agent/agent.go
+++ b/internal/system/agent/agent.go
@@ -31,15 +31,15 @@
 )
 
 const (
-	joinAfter     = time.Second             // without a report of the proxy: a proxy that serves is to be told of at once
-	joinAgain     = 200 * time.Millisecond  // between two tries for the gossip address
-	peersAsked    = 3                       // other agents that one which has nothing asks
-	servesAtLeast = 1500 * time.Millisecond // after SIGTERM: the members are to hear that the proxy stops
-
-	proxyConnections = 16
-	peerConnections  = 64
-	peersShare       = 0.25    // of the machine's link, for what other agents are sent; requests have the rest
-	requestBytes     = 8 << 20 // of a report, with what the proxy has learnt
+	joinTimeout       = time.Second             // without a report of the proxy: a proxy that serves is to be told of at once
+	joinRetryInterval = 200 * time.Millisecond  // between two tries for the gossip address
+	maxPeerCandidates = 3                       // other agents that one which has nothing asks
+	minStopTime       = 1500 * time.Millisecond // after SIGTERM: the members are to hear that the proxy stops
+
+	maxProxyConnections = 16
+	maxPeerConnections  = 64
+	peerLinkShare       = 0.25    // of the machine's link, for what other agents are sent; requests have the rest
+	maxRequestBytes     = 8 << 20 // of a report, with what the proxy has learnt
 )
 
 // Options are an agent's.
@@ -50,30 +50,30 @@
 	Metrics  netip.AddrPort // where the agent serves its own figures; the zero value: nowhere
 
 	loopback netip.Addr       // address at which the proxy is served; the zero value: as the settings have it
-	source   upstream.Options // of the choice of replicas
+	upstream upstream.Options // of the choice of replicas
 }
 
 // Agent is a running agent.
 type Agent struct {
-	settings *processconfig.Settings
-	version  string
-	log      *zap.Logger
-	epoch    time.Time
-	metrics  netip.AddrPort
-	stopped  atomic.Int64 // when the signal to stop came, by now; 0: it did not
-
-	store    *store
-	crowd    *crowd
-	proxy    *proxy
-	platform *platform
-	follower *follower
-	member   atomic.Pointer[gossip.Gossip]
-	seeds    atomic.Pointer[[]netip.AddrPort] // gossip addresses
-
-	local    *countingListener // for the proxy
-	peers    net.Listener      // for other agents
-	failures chan error
-	work     sync.WaitGroup
+	settings      *processconfig.Settings
+	version       string
+	log           *zap.Logger
+	epoch         time.Time
+	metrics       netip.AddrPort
+	stoppingSince atomic.Int64 // when the signal to stop came, by now; 0: it did not
+
+	store          *store
+	peerNotifier   *peerNotifier
+	proxyMonitor   *proxyMonitor
+	platformPoller *platformPoller
+	follower       *follower
+	member         atomic.Pointer[gossip.Gossip]
+	seeds          atomic.Pointer[[]netip.AddrPort] // gossip addresses
+
+	proxyListener *countingListener // for the proxy
+	peerListener  net.Listener      // for other agents
+	failures      chan error
+	goroutines    sync.WaitGroup
 }
 
 // New opens the agent's listeners.
@@ -88,20 +88,20 @@
 	}
 	a.Reload(options.Settings)
 	a.store = newStore(a.now, feed.RunnerPartitionCount)
-	a.crowd = newCrowd(a.now, a.others)
-	a.proxy = newProxy(a.log, a.now)
-	options.source.Partitions = 1 + feed.RunnerPartitionCount
+	a.peerNotifier = newPeerNotifier(a.now, a.otherProxies)
+	a.proxyMonitor = newProxyMonitor(a.log, a.now)
+	options.upstream.Partitions = 1 + feed.RunnerPartitionCount
 	client := discovery.NewClient(discovery.ClientOptions{Address: a.settings.CloudAPI.Address})
-	a.platform = newPlatform(a.log, a.now, client, a.store, a.pace, rand.Float64)
+	a.platformPoller = newPlatformPoller(a.log, a.now, client, a.store, a.pollPace, rand.Float64)
 	a.follower = &follower{
 		node:       a.settings.Node,
 		log:        a.log,
 		now:        a.now,
 		store:      a.store,
-		machine:    upstream.New(options.source, a.now()),
+		selector:   upstream.New(options.upstream, a.now()),
 		candidates: a.candidates,
 		isPeer:     a.isPeer,
-		stepped:    a.stepped,
+		onStep:     a.updateCutOff,
 	}
 	return a, a.open(ctx, options.loopback)
 }
@@ -115,9 +115,9 @@
 	if err != nil {
 		return fmt.Errorf("agent: cannot listen for the proxy, check that no other agent runs: %w", err)
 	}
-	a.local = &countingListener{Listener: local, changed: a.proxyConnections}
+	a.proxyListener = &countingListener{Listener: local, changed: a.updateProxyConnections}
 	machine := netip.AddrPortFrom(a.settings.IP, a.settings.Port(processconfig.AgentRPCPort))
-	a.peers, err = retry.Listen(ctx, machine)
+	a.peerListener, err = retry.Listen(ctx, machine)
 	if err != nil {
 		local.Close()
 		return fmt.Errorf("agent: cannot listen for other agents, check that no other agent runs: %w", err)
@@ -140,13 +140,13 @@
 // Run serves until the context ends, and then until the proxy has ended, or the grace period nearly has.
 func (a *Agent) Run(ctx context.Context) error {
 	running, end := context.WithCancel(context.Background())
-	defer a.work.Wait()
+	defer a.goroutines.Wait()
 	defer end()
 	a.serve(running)
 	exposition.Serve(running, a.log, a.metrics, a.expose)
-	a.work.Go(func() { a.follower.run(running) })
-	a.work.Go(func() { a.platform.run(running) })
-	a.work.Go(func() { a.join(running) })
+	a.goroutines.Go(func() { a.follower.run(running) })
+	a.goroutines.Go(func() { a.platformPoller.run(running) })
+	a.goroutines.Go(func() { a.join(running) })
 	select {
 	case <-ctx.Done():
 	case err := <-a.failures:
@@ -162,21 +162,21 @@
 // serve answers the proxy and other agents.
 func (a *Agent) serve(ctx context.Context) {
 	local := rpc.NewRegistry()
-	toProxy := a.server(a.store.servedSources(), a.store.served, 0)
+	toProxy := a.newFeedServer(a.store.servedSources(), a.store.servedNotifier, 0)
 	feedserver.FollowMethod.Handle(local, func(ctx context.Context, request *feed.FollowRequest) (*feed.FollowReply, error) {
-		a.store.asked(request.Positions)
-		return a.crowd.follow(ctx, request, toProxy.Follow)
+		a.store.setProxyPositions(request.Positions)
+		return a.peerNotifier.handleFollow(ctx, request, toProxy.Follow)
 	})
-	ReportCall.Handle(local, a.proxy.report)
-	a.listen(ctx, a.local, local, rpc.Limits{Connections: proxyConnections, RequestBytes: requestBytes})
+	ReportCall.Handle(local, a.proxyMonitor.handleReport)
+	a.serveRegistry(ctx, a.proxyListener, local, rpc.Limits{Connections: maxProxyConnections, RequestBytes: maxRequestBytes})
 
 	peers := rpc.NewRegistry()
-	pace := peersShare * a.settings.Limits.LinkBytesPerSecond()
-	feedserver.FollowMethod.Handle(peers, a.server(a.store.baseSources(), a.store.base, pace).Follow)
-	a.listen(ctx, a.peers, peers, rpc.Limits{Connections: peerConnections, RequestBytes: requestBytes})
+	pace := peerLinkShare * a.settings.Limits.LinkBytesPerSecond()
+	feedserver.FollowMethod.Handle(peers, a.newFeedServer(a.store.baseSources(), a.store.baseNotifier, pace).Follow)
+	a.serveRegistry(ctx, a.peerListener, peers, rpc.Limits{Connections: maxPeerConnections, RequestBytes: maxRequestBytes})
 }
 
-func (a *Agent) server(sources []feedserver.Source, notifier *feedserver.Notifier, pace float64) *feedserver.Server {
+func (a *Agent) newFeedServer(sources []feedserver.Source, notifier *feedserver.Notifier, pace float64) *feedserver.Server {
 	return feedserver.New(feedserver.Options{
 		Sources:            sources,
 		Notifier:           notifier,
@@ -187,8 +187,8 @@
 	})
 }
 
-func (a *Agent) listen(ctx context.Context, listener net.Listener, registry *rpc.Registry, limits rpc.Limits) {
-	a.work.Go(func() {
+func (a *Agent) serveRegistry(ctx context.Context, listener net.Listener, registry *rpc.Registry, limits rpc.Limits) {
+	a.goroutines.Go(func() {
 		if err := rpc.Serve(ctx, listener, registry, limits); err != nil {
 			a.fail(fmt.Errorf("agent: %w", err))
 		}
@@ -205,10 +205,10 @@
 // join becomes a member once the proxy has reported, or after a while: an agent that was started again says at once what
 // is so of the proxy, and clients stay.
 func (a *Agent) join(ctx context.Context) {
-	timer := time.NewTimer(joinAfter)
+	timer := time.NewTimer(joinTimeout)
 	defer timer.Stop()
 	select {
-	case <-a.proxy.first:
+	case <-a.proxyMonitor.firstReport:
 	case <-timer.C:
 	case <-ctx.Done():
 		return
@@ -222,8 +222,8 @@
 		return
 	}
 	a.member.Store(member)
-	a.crowd.look()
-	a.proxy.join(member)
+	a.peerNotifier.wakeIfChanged()
+	a.proxyMonitor.startAnnouncing(member)
 	member.Seek(*a.seeds.Load())
 }
 
@@ -233,7 +233,7 @@
 	options.Version = a.version
 	options.Log = a.log
 	options.Seeds = *a.seeds.Load()
-	options.OnChange = a.crowd.look
+	options.OnChange = a.peerNotifier.wakeIfChanged
 	end := time.Now().Add(retry.HeldFor)
 	for {
 		member, err := gossip.Start(options)
@@ -247,11 +247,11 @@
 		if !errors.As(err, &taken) || time.Now().After(end) {
 			return nil, err
 		}
-		retry.Pause(ctx, joinAgain)
+		retry.Pause(ctx, joinRetryInterval)
 	}
 }
 
-func (a *Agent) proxyConnections(int) { a.proxy.connections(a.local.count()) }
+func (a *Agent) updateProxyConnections(int) { a.proxyMonitor.setConnections(a.proxyListener.count()) }
 
 // proxies is how many proxies may be sending; 0: not known.
 func (a *Agent) proxies() int {
@@ -261,15 +261,15 @@
 	return 0
 }
 
-// others are the other proxies that may be sending; nil: not known.
-func (a *Agent) others() []feed.Peer {
+// otherProxies are the other proxies that may be sending; nil: not known.
+func (a *Agent) otherProxies() []feed.Peer {
 	if member := a.member.Load(); member != nil {
-		return peersOf(member.Peers())
+		return peersFromMembers(member.Peers())
 	}
 	return nil
 }
 
-func (a *Agent) pace() fallback.Pace {
+func (a *Agent) pollPace() fallback.Pace {
 	return fallback.Pace{Agents: a.proxies(), RatePerS: a.settings.CloudAPI.CallsPerSecond}
 }
 
@@ -284,7 +284,7 @@
 		return addresses
 	}
 	peers := member.AgentAddresses()
-	return append(addresses, peers[:min(len(peers), peersAsked)]...)
+	return append(addresses, peers[:min(len(peers), maxPeerCandidates)]...)
 }
 
 // isPeer says whether an address is another agent's.
@@ -305,18 +305,18 @@
 	return addresses
 }
 
-// stepped takes the partitions from which the follower is cut off. An agent that has nothing has no use for the platform's
+// updateCutOff takes the partitions from which the follower is cut off. An agent that has nothing has no use for the platform's
 // list, and for the configuration the platform can't be asked.
-func (a *Agent) stepped(cutOff feed.PartitionSet) {
+func (a *Agent) updateCutOff(cutOff feed.PartitionSet) {
 	if !a.settings.CloudAPI.Address.IsValid() || a.store.empty() {
 		cutOff = 0
 	}
-	a.platform.update(cutOff.Without(feed.NewPartitionSet(feed.ConfigurationPartition)))
+	a.platformPoller.update(cutOff.Without(feed.NewPartitionSet(feed.ConfigurationPartition)))
 }
 
 // stoppingFor is the time since the signal to stop; 0 where none came.
 func (a *Agent) stoppingFor() time.Duration {
-	at := time.Duration(a.stopped.Load())
+	at := time.Duration(a.stoppingSince.Load())
 	if at == 0 {
 		return 0
 	}
@@ -326,16 +326,16 @@
 // stop tells the members that the proxy stops, feeds it until it has ended, and leaves.
 func (a *Agent) stop() {
 	a.log.Info("stopping")
-	a.stopped.Store(int64(a.now()))
-	a.proxy.end()
+	a.stoppingSince.Store(int64(a.now()))
+	a.proxyMonitor.markStopping()
 	most := shutdown.Plan(a.settings.Timing.GracePeriod).AgentEnd
 	limit := time.NewTimer(most)
 	defer limit.Stop()
-	least := time.NewTimer(min(servesAtLeast, most))
+	least := time.NewTimer(min(minStopTime, most))
 	defer least.Stop()
 	<-least.C
 	select {
-	case <-a.proxy.left():
+	case <-a.proxyMonitor.disconnection():
 	case <-limit.C:
 	}
 	a.leave()
--- a/internal/system/agent/crowd.go
+++ b/internal/system/agent/crowd.go
@@ -13,39 +13,39 @@
 	"cinderroad/internal/system/gossip"
 )
 
-// crowd has the proxy told at once when the other proxies are not those that it knows: shares of common budgets hang on
+// peerNotifier has the proxy told at once when the other proxies are not those that it knows: shares of common budgets hang on
 // them, and they tell each other of what they send.
-type crowd struct {
-	peers   func() []feed.Peer // in a fixed order; none: not known
-	told    atomic.Uint64      // digest of those that the proxy knows
-	changed *feedserver.Notifier
+type peerNotifier struct {
+	peers      func() []feed.Peer // in a fixed order; none: not known
+	sentDigest atomic.Uint64      // digest of those that the proxy knows
+	notifier   *feedserver.Notifier
 }
 
-func newCrowd(now func() time.Duration, peers func() []feed.Peer) *crowd {
+func newPeerNotifier(now func() time.Duration, peers func() []feed.Peer) *peerNotifier {
 	after := func(wait time.Duration, wake func()) { time.AfterFunc(wait, wake) }
-	return &crowd{peers: peers, changed: feedserver.NewNotifier(now, after)}
+	return &peerNotifier{peers: peers, notifier: feedserver.NewNotifier(now, after)}
 }
 
-// look ends the open calls if the proxy knows others.
-func (c *crowd) look() {
-	if c.other() {
-		c.changed.Notify()
+// wakeIfChanged ends the open calls if the proxy knows others.
+func (n *peerNotifier) wakeIfChanged() {
+	if n.outdated() {
+		n.notifier.Notify()
 	}
 }
 
-func (c *crowd) other() bool {
-	digest := digestOf(c.peers())
-	return digest != 0 && digest != c.told.Load()
+func (n *peerNotifier) outdated() bool {
+	digest := peersDigest(n.peers())
+	return digest != 0 && digest != n.sentDigest.Load()
 }
 
-// follow answers a follower; the call is not held open where the other proxies have changed.
-func (c *crowd) follow(ctx context.Context, request *feed.FollowRequest,
-	answer func(context.Context, *feed.FollowRequest) (*feed.FollowReply, error)) (*feed.FollowReply, error) {
+// handleFollow answers a follower; the call is not held open where the other proxies have changed.
+func (n *peerNotifier) handleFollow(ctx context.Context, request *feed.FollowRequest,
+	next func(context.Context, *feed.FollowRequest) (*feed.FollowReply, error)) (*feed.FollowReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	c.told.Store(request.Peers)
-	wake := c.changed.Wakeup()
-	if c.other() {
+	n.sentDigest.Store(request.Peers)
+	wake := n.notifier.Wakeup()
+	if n.outdated() {
 		cancel()
 	}
 	go func() {
@@ -55,19 +55,19 @@
 		case <-ctx.Done():
 		}
 	}()
-	reply, err := answer(ctx, request)
+	reply, err := next(ctx, request)
 	if err != nil {
 		return nil, err
 	}
-	peers := c.peers()
-	if digest := digestOf(peers); digest != 0 && digest != request.Peers {
+	peers := n.peers()
+	if digest := peersDigest(peers); digest != 0 && digest != request.Peers {
 		reply.Peers, reply.PeersDigest = peers, digest
 	}
 	return reply, nil
 }
 
-// digestOf tells lists of peers apart; 0: there is no list. That of a proxy without peers is not 0.
-func digestOf(peers []feed.Peer) uint64 {
+// peersDigest tells lists of peers apart; 0: there is no list. That of a proxy without peers is not 0.
+func peersDigest(peers []feed.Peer) uint64 {
 	if peers == nil {
 		return 0
 	}
@@ -78,8 +78,8 @@
 	return max(xxhash.Sum64String(text.String()), 1)
 }
 
-// peersOf are what a proxy is told of members.
-func peersOf(members []gossip.Member) []feed.Peer {
+// peersFromMembers are what a proxy is told of members.
+func peersFromMembers(members []gossip.Member) []feed.Peer {
 	if members == nil {
 		return nil
 	}
--- a/internal/system/agent/fallback/survey_test.go
+++ b/internal/system/agent/fallback/survey_test.go
@@ -8,8 +8,8 @@
 	"cinderroad/internal/system/feed"
 )
 
-// one is a cut from the first partition of runners.
-var one = feed.NewPartitionSet(1)
+// firstPartition is a cut from the first partition of runners.
+var firstPartition = feed.NewPartitionSet(1)
 
 func half() float64 { return 0.5 }
 
@@ -20,35 +20,35 @@
 	if _, asking := m.Next(0); asking || m.State() != Idle {
 		t.Fatal("it asks although the feed is up to date")
 	}
-	m.Update(time.Second, one, pace)
+	m.Update(time.Second, firstPartition, pace)
 	wait, asking := m.Next(time.Second)
 	if !asking || wait != 500*time.Millisecond {
 		t.Fatalf("it asks: %v, after %v, want after 500ms", asking, wait)
 	}
-	m.Listed(2*time.Second, 1, pace)
+	m.HandleList(2*time.Second, 1, pace)
 	if wait, _ := m.Next(2 * time.Second); wait != time.Second {
 		t.Errorf("it asks again after %v, want 1s", wait)
 	}
 }
 
-func TestHoldsTheListUntilTheFeedHasCaughtUp(t *testing.T) {
+func TestListIsHeldAfterFeedRecovers(t *testing.T) {
 	m := New(half)
-	m.Update(0, one, Pace{})
+	m.Update(0, firstPartition, Pace{})
 	if !m.Update(time.Second, 0, Pace{}).IsEmpty() || m.State() != Holding {
 		t.Fatal("the list is dropped at once")
 	}
 	if _, asking := m.Next(time.Second); asking {
 		t.Error("it asks although the feed is up to date")
 	}
-	m.Update(2*time.Second, one, Pace{})
+	m.Update(2*time.Second, firstPartition, Pace{})
 	if m.State() != Asking {
 		t.Error("it does not ask in a second cut")
 	}
 	m.Update(3*time.Second, 0, Pace{})
-	if !m.Update(3*time.Second+HoldFor-1, 0, Pace{}).IsEmpty() {
+	if !m.Update(3*time.Second+HoldTime-1, 0, Pace{}).IsEmpty() {
 		t.Error("the list is dropped early")
 	}
-	if m.Update(3*time.Second+HoldFor, 0, Pace{}) != one || m.State() != Idle {
+	if m.Update(3*time.Second+HoldTime, 0, Pace{}) != firstPartition || m.State() != Idle {
 		t.Error("the list is not dropped")
 	}
 	if !m.Update(10*time.Second, 0, Pace{}).IsEmpty() {
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestPartitionsCountEachByItself has one partition come back while another stays cut off.
-func TestPartitionsCountEachByItself(t *testing.T) {
+// TestPartitionsAreIndependent has one partition come back while another stays cut off.
+func TestPartitionsAreIndependent(t *testing.T) {
 	m := New(half)
 	both, two := feed.NewPartitionSet(1, 2), feed.NewPartitionSet(2)
 	m.Update(0, both, Pace{})
@@ -68,42 +68,42 @@
 	if m.CutOff() != two || m.State() != Asking {
 		t.Fatalf("%v, for the partitions %v", m.State(), m.CutOff())
 	}
-	if drop := m.Update(time.Second+HoldFor-1, two, Pace{}); !drop.IsEmpty() {
+	if drop := m.Update(time.Second+HoldTime-1, two, Pace{}); !drop.IsEmpty() {
 		t.Errorf("the list is dropped early for %v", drop)
 	}
-	if drop := m.Update(time.Second+HoldFor, two, Pace{}); drop != one || m.State() != Asking {
+	if drop := m.Update(time.Second+HoldTime, two, Pace{}); drop != firstPartition || m.State() != Asking {
 		t.Errorf("the list is dropped for %v, %v", drop, m.State())
 	}
 	m.Update(5*time.Second, 0, Pace{})
-	if drop := m.Update(5*time.Second+HoldFor, 0, Pace{}); drop != two || m.State() != Idle {
+	if drop := m.Update(5*time.Second+HoldTime, 0, Pace{}); drop != two || m.State() != Idle {
 		t.Errorf("the list is dropped for %v, %v", drop, m.State())
 	}
 }
 
-func TestRefusalsSlowItDown(t *testing.T) {
+func TestFailuresBackOff(t *testing.T) {
 	m := New(half)
 	pace := Pace{Agents: 1, RatePerS: 100}
-	m.Update(0, one, pace)
+	m.Update(0, firstPartition, pace)
 	now := time.Duration(0)
 	for _, want := range []time.Duration{1, 2, 4, 8, 15, 15} {
-		m.Failed(now, 0, pace)
+		m.HandleFailure(now, 0, pace)
 		wait, _ := m.Next(now)
 		if wait != want*time.Second {
 			t.Fatalf("it asks again after %v, want %v", wait, want*time.Second)
 		}
 	}
-	m.Failed(now, 20*time.Second, pace)
+	m.HandleFailure(now, 20*time.Second, pace)
 	if wait, _ := m.Next(now); wait != 20*time.Second {
 		t.Errorf("it asks again after %v, want the 20s that the platform asked for", wait)
 	}
-	m.Listed(now, 1, pace)
+	m.HandleList(now, 1, pace)
 	if wait, _ := m.Next(now); wait != time.Second {
 		t.Errorf("it asks again after %v, want 1s", wait)
 	}
 }
 
-// TestAllTogetherStayWithinTheRate has many agents ask, of a list of several pages, and counts in sliding seconds.
-func TestAllTogetherStayWithinTheRate(t *testing.T) {
+// TestAllAgentsStayWithinRate has many agents ask, of a list of several pages, and counts in sliding seconds.
+func TestAllAgentsStayWithinRate(t *testing.T) {
 	for _, c := range []struct {
 		agents, known, pages int
 		rate                 float64
@@ -112,20 +112,20 @@
 	} {
 		rng := rand.New(rand.NewPCG(1, uint64(c.agents)))
 		pace := Pace{Agents: c.known, RatePerS: c.rate}
-		machines := make([]*Machine, c.agents)
-		for i := range machines {
-			machines[i] = New(rng.Float64)
-			machines[i].pages = c.pages
-			machines[i].Update(0, one, pace)
+		pollers := make([]*Poller, c.agents)
+		for i := range pollers {
+			pollers[i] = New(rng.Float64)
+			pollers[i].pages = c.pages
+			pollers[i].Update(0, firstPartition, pace)
 		}
 		const step = 10 * time.Millisecond
 		calls := make([]int, 12000)
 		for i := range calls {
 			now := time.Duration(i) * step
-			for _, m := range machines {
+			for _, m := range pollers {
 				if wait, asking := m.Next(now); asking && wait == 0 {
 					calls[i] += c.pages
-					m.Listed(now, c.pages, pace)
+					m.HandleList(now, c.pages, pace)
 				}
 			}
 		}
--- a/internal/system/agent/follower.go
+++ b/internal/system/agent/follower.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	mostReplyBytes = 32 << 20               // of a control replica's answer
-	answerSilence  = 700 * time.Millisecond // in the middle of an answer
-	mostAnswerTime = 15 * time.Second
+	maxReplyBytes    = 32 << 20               // of a control replica's answer
+	replyReadTimeout = 700 * time.Millisecond // in the middle of an answer
+	maxReplyTime     = 15 * time.Second
 )
 
 // follower keeps the store up to date from one replica at a time.
@@ -26,10 +26,10 @@
 	log        *zap.Logger
 	now        func() time.Duration
 	store      *store
-	machine    *upstream.Machine
+	selector   *upstream.Selector
 	candidates func() []netip.AddrPort
 	isPeer     func(netip.AddrPort) bool      // another agent stands there, which is asked but not followed
-	stepped    func(cutOff feed.PartitionSet) // called after each question
+	onStep     func(cutOff feed.PartitionSet) // called after each question
 
 	client  *rpc.Client // of the replica that was asked last
 	state   upstream.State
@@ -40,39 +40,39 @@
 func (f *follower) run(ctx context.Context) {
 	defer f.disconnect()
 	for ctx.Err() == nil {
-		f.machine.Offer(f.candidates())
-		question, wait := f.machine.Next(f.now())
+		f.selector.SetCandidates(f.candidates())
+		request, wait := f.selector.Next(f.now())
 		if wait > 0 {
-			f.tell()
+			f.reportState()
 			retry.Pause(ctx, wait)
 			continue
 		}
-		f.ask(ctx, question)
-		f.tell()
+		f.poll(ctx, request)
+		f.reportState()
 	}
 }
 
-func (f *follower) ask(ctx context.Context, question upstream.Question) {
-	patience := rpc.Patience{First: question.Timeout, Between: answerSilence, Most: mostAnswerTime}
-	request := &feed.FollowRequest{Node: f.node, Positions: f.store.positions(), Wait: question.Wait, Packed: true,
-		Current: question.Current}
-	reply, err := feedserver.FollowMethod.InvokeWhileReceiving(ctx, f.connect(question), patience, request)
+func (f *follower) poll(ctx context.Context, request upstream.Request) {
+	patience := rpc.Patience{First: request.Timeout, Between: replyReadTimeout, Most: maxReplyTime}
+	followRequest := &feed.FollowRequest{Node: f.node, Positions: f.store.positions(), Wait: request.Wait, Packed: true,
+		Current: request.Current}
+	reply, err := feedserver.FollowMethod.InvokeWhileReceiving(ctx, f.connect(request), patience, followRequest)
 	if err == nil {
-		err = unpack(reply)
+		err = unpackBatches(reply)
 	}
 	if err != nil {
-		f.log.Debug("control replica gave no answer", zap.Stringer("address", question.Address), zap.Error(err))
+		f.log.Debug("control replica gave no answer", zap.Stringer("address", request.Address), zap.Error(err))
 		f.disconnect()
-		f.machine.Failed(f.now(), question.Address)
+		f.selector.HandleFailure(f.now(), request.Address)
 		return
 	}
-	answer := upstream.Answer{Ages: reply.Ages, Lagging: f.store.take(reply), Busy: reply.Busy,
-		NotToUse: f.isPeer(question.Address)}
-	f.machine.Answered(f.now(), question.Address, answer)
+	outcome := upstream.Reply{Ages: reply.Ages, Lagging: f.store.applyReply(reply), RetryAfter: reply.Busy,
+		Unusable: f.isPeer(request.Address)}
+	f.selector.HandleReply(f.now(), request.Address, outcome)
 }
 
-// unpack puts the items of all batches back.
-func unpack(reply *feed.FollowReply) error {
+// unpackBatches puts the items of all batches back.
+func unpackBatches(reply *feed.FollowReply) error {
 	for i := range reply.Batches {
 		if err := reply.Batches[i].Unpack(); err != nil {
 			return err
@@ -82,12 +82,12 @@
 }
 
 // connect returns the client of a replica; that of another one is closed.
-func (f *follower) connect(question upstream.Question) *rpc.Client {
-	if f.client != nil && f.client.Address() == question.Address {
+func (f *follower) connect(request upstream.Request) *rpc.Client {
+	if f.client != nil && f.client.Address() == request.Address {
 		return f.client
 	}
 	f.disconnect()
-	f.client = rpc.NewClient(question.Address, rpc.Options{Dial: question.Dial, MessageBytes: mostReplyBytes})
+	f.client = rpc.NewClient(request.Address, rpc.Options{Dial: request.DialTimeout, MessageBytes: maxReplyBytes})
 	return f.client
 }
 
@@ -98,18 +98,18 @@
 	}
 }
 
-// tell logs a change of the state, and passes on from which partitions the agent is cut off.
-func (f *follower) tell() {
-	state, current := f.machine.State(), f.machine.Current()
+// reportState logs a change of the state, and passes on from which partitions the agent is cut off.
+func (f *follower) reportState() {
+	state, current := f.selector.State(), f.selector.Current()
 	if state != f.state || current != f.current {
 		f.state, f.current = state, current
 		f.logState()
 	}
-	f.stepped(f.machine.CutOff(f.now()))
+	f.onStep(f.selector.CutOff(f.now()))
 }
 
 func (f *follower) logState() {
-	if address, follows := f.machine.Followed(); follows {
+	if address, follows := f.selector.Followed(); follows {
 		f.log.Info("feed followed", zap.Stringer("from", address), zap.Stringer("partitions", f.current))
 		return
 	}
--- a/internal/system/agent/listener.go
+++ b/internal/system/agent/listener.go
@@ -21,7 +21,7 @@
 		return nil, err
 	}
 	l.add(1)
-	return &countedConn{Conn: conn, listener: l}, nil
+	return &countingConn{Conn: conn, listener: l}, nil
 }
 
 func (l *countingListener) add(change int) {
@@ -39,15 +39,15 @@
 	return l.open
 }
 
-// countedConn takes itself off its listener's count when it is closed.
-type countedConn struct {
+// countingConn takes itself off its listener's count when it is closed.
+type countingConn struct {
 	net.Conn
 	listener *countingListener
 	once     sync.Once
 }
 
 // Close closes the connection.
-func (c *countedConn) Close() error {
+func (c *countingConn) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(func() { c.listener.add(-1) })
 	return err
--- a/internal/system/agent/metrics.go
+++ b/internal/system/agent/metrics.go
@@ -16,9 +16,9 @@
 	gauge("cinderroad_agent_control_machines", "Control machines that the members know.", float64(len(a.candidates())))
 
 	page.Family(exposition.Gauge, "cinderroad_agent_proxy_state", "What the members are told of the proxy; one of the states is 1.")
-	told := a.proxy.state()
+	published := a.proxyMonitor.state()
 	for _, state := range proxystatus.States {
-		page.Sample(exposition.BoolValue(state == told), exposition.Label{Name: "state", Value: state.String()})
+		page.Sample(exposition.BoolValue(state == published), exposition.Label{Name: "state", Value: state.String()})
 	}
 	partition := func(i int) exposition.Label { return exposition.Label{Name: "partition", Value: strconv.Itoa(i)} }
 	page.Family(exposition.Gauge, "cinderroad_agent_feed_age_seconds", "Time since the control replicas' word was up to date.")
--- a/internal/system/agent/metrics_test.go
+++ b/internal/system/agent/metrics_test.go
@@ -8,20 +8,20 @@
 	"cinderroad/internal/system/feed"
 )
 
-func TestFigures(t *testing.T) {
+func TestMetrics(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newTestCluster(t)
 	replicas := w.newReplicas(1)
 	configure(replicas, 1, "1")
-	e := w.newEdge("edge-1")
-	e.report(feed.ProxyReport{Ready: true, Front: "10.0.0.1:80"})
-	e.waitFor("the proxy has version 1", func() bool { return e.version() == "1" })
+	edge := w.newEdge("edge-1")
+	edge.report(feed.ProxyReport{Ready: true, Front: "10.0.0.1:80"})
+	edge.waitFor("the proxy has version 1", func() bool { return edge.version() == "1" })
 	text := func() string {
 		var page exposition.Page
-		e.agent.expose(&page)
+		edge.agent.expose(&page)
 		return string(page.Bytes())
 	}
-	e.waitFor("the figures tell of the feed and the proxy", func() bool {
+	edge.waitFor("the figures tell of the feed and the proxy", func() bool {
 		page := text()
 		return strings.Contains(page, "cinderroad_agent_stopping_seconds 0\n") &&
 			strings.Contains(page, "cinderroad_agent_proxy_state{state=\"serving\"} 1\n") &&
--- a/internal/system/agent/overlay/drained.go
+++ b/internal/system/agent/overlay/drained.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// rememberDrained is how long a runner that was draining is remembered after it was last named.
-	rememberDrained = 2 * time.Minute
-	pruneFrom       = 256 // entries, below which nothing is dropped
+	// drainedTTL is how long a runner that was draining is remembered after it was last named.
+	drainedTTL   = 2 * time.Minute
+	minPruneSize = 256 // entries, below which nothing is dropped
 )
 
-// drained are the runners that were seen draining: none of them ever takes new work again. Names are not used twice.
-type drained struct {
-	named  map[string]time.Duration // by id; when it was last named
-	pruned int                      // entries that the last pruning left
+// drainedRunners are the runners that were seen draining: none of them ever takes new work again. Names are not used twice.
+type drainedRunners struct {
+	lastSeen       map[string]time.Duration // by id; when it was last named
+	sizeAfterPrune int                      // entries that the last pruning left
 }
 
-func newDrained() drained { return drained{named: map[string]time.Duration{}} }
+func newDrainedRunners() drainedRunners { return drainedRunners{lastSeen: map[string]time.Duration{}} }
 
-// keep notes a runner that drains, and has one that was seen draining drain on. It says whether it altered the runner.
-func (d *drained) keep(now time.Duration, runner *discovery.Runner) bool {
-	_, known := d.named[runner.ID]
+// apply notes a runner that drains, and has one that was seen draining drain on. It says whether it altered the runner.
+func (d *drainedRunners) apply(now time.Duration, runner *discovery.Runner) bool {
+	_, known := d.lastSeen[runner.ID]
 	if !known && !runner.Draining {
 		return false
 	}
-	d.named[runner.ID] = now
+	d.lastSeen[runner.ID] = now
 	d.prune(now)
 	altered := !runner.Draining
 	runner.Draining = true
@@ -34,14 +34,14 @@
 }
 
 // prune drops what has not been named for long, whenever the entries have doubled.
-func (d *drained) prune(now time.Duration) {
-	if len(d.named) < max(pruneFrom, 2*d.pruned) {
+func (d *drainedRunners) prune(now time.Duration) {
+	if len(d.lastSeen) < max(minPruneSize, 2*d.sizeAfterPrune) {
 		return
 	}
-	for id, at := range d.named {
-		if now-at > rememberDrained {
-			delete(d.named, id)
+	for id, at := range d.lastSeen {
+		if now-at > drainedTTL {
+			delete(d.lastSeen, id)
 		}
 	}
-	d.pruned = len(d.named)
+	d.sizeAfterPrune = len(d.lastSeen)
 }
--- a/internal/system/agent/overlay/tables.go
+++ b/internal/system/agent/overlay/tables.go
@@ -14,22 +14,22 @@
 	"cinderroad/internal/system/feed"
 )
 
-// Bits is how many bits of a served number count the agent's own changes.
-const Bits = 24
+// LocalIndexBits is how many bits of a served number count the agent's own changes.
+const LocalIndexBits = 24
 
-// served is the served number of a control replicas' change.
-func served(index uint64) uint64 { return index << Bits }
+// servedIndex is the served number of a control replicas' change.
+func servedIndex(index uint64) uint64 { return index << LocalIndexBits }
 
 // Tables are an agent's partitions. They are not safe for concurrent use. Times are of the caller's steady clock.
 type Tables struct {
-	base, served []*feed.Table // by partition
-	drained      drained
-	overlays     []overlay // by partition
+	base, served   []*feed.Table // by partition
+	drainedRunners drainedRunners
+	overlays       []overlay // by partition
 }
 
 // New returns empty tables: that of the configuration and so many of runners.
 func New(runnerPartitions int) *Tables {
-	t := &Tables{drained: newDrained()}
+	t := &Tables{drainedRunners: newDrainedRunners()}
 	for partition := range feed.Partition(1 + runnerPartitions) {
 		t.base = append(t.base, feed.NewTable(partition))
 		t.served = append(t.served, feed.NewTable(partition))
@@ -71,7 +71,7 @@
 	}
 	items := base.Apply(now, batch)
 	if batch.Snapshot {
-		t.serveAll(now, batch.Partition)
+		t.serveSnapshot(now, batch.Partition)
 	} else {
 		t.serveChanges(now, batch.Partition, items)
 	}
@@ -83,59 +83,59 @@
 	overlay := &t.overlays[partition]
 	items := make([]feed.Item, 0, len(changed))
 	for _, item := range changed {
-		items = append(items, t.effective(now, item))
-		overlay.forget(item.Key)
+		items = append(items, t.servedItem(now, item))
+		overlay.remove(item.Key)
 	}
 	table := t.served[partition]
-	to := served(t.base[partition].Index())
+	to := servedIndex(t.base[partition].Index())
 	if len(overlay.altered) > 0 {
 		to++
 	}
 	table.Apply(now, feed.Batch{Partition: partition, From: table.Index(), To: to, Items: items})
 }
 
-// serveAll takes over a whole partition: what the platform said of it is dropped.
-func (t *Tables) serveAll(now time.Duration, partition feed.Partition) {
+// serveSnapshot takes over a whole partition: what the platform said of it is dropped.
+func (t *Tables) serveSnapshot(now time.Duration, partition feed.Partition) {
 	base, table := t.base[partition], t.served[partition]
 	if base.Index() == 0 {
 		return
 	}
 	items := make([]feed.Item, 0, base.Len())
 	for item := range base.Items(now, "") {
-		items = append(items, t.effective(now, item))
+		items = append(items, t.servedItem(now, item))
 	}
 	for item := range table.Items(now, "") {
-		t.overlays[partition].forget(item.Key)
+		t.overlays[partition].remove(item.Key)
 	}
-	to := max(served(base.Index()), table.Index()+1)
+	to := max(servedIndex(base.Index()), table.Index()+1)
 	table.Apply(now, feed.Batch{Partition: partition, Snapshot: true, To: to, Items: items})
 }
 
-// effective is an item of the control replicas as it is served: numbered anew, and draining if the runner ever was.
-func (t *Tables) effective(now time.Duration, item feed.Item) feed.Item {
-	item.Index = served(item.Index)
+// servedItem is an item of the control replicas as it is served: numbered anew, and draining if the runner ever was.
+func (t *Tables) servedItem(now time.Duration, item feed.Item) feed.Item {
+	item.Index = servedIndex(item.Index)
 	if item.Deleted {
 		return item
 	}
-	runner, isRunner := decode(item)
+	runner, isRunner := decodeRunner(item)
 	if !isRunner {
 		return item
 	}
-	if t.drained.keep(now, &runner) {
+	if t.drainedRunners.apply(now, &runner) {
 		item.Value = discovery.EncodeRunner(runner)
 	}
 	return item
 }
 
-// Meet has a follower that is ahead of a served partition, because it was served by this agent's earlier life, be served
+// Reconcile has a follower that is ahead of a served partition, because it was served by this agent's earlier life, be served
 // again: from a number beyond its own, with a snapshot. One that knows of later changes of the control replicas than this
 // agent is not, until the agent has caught up. It says whether anything is to be served now.
-func (t *Tables) Meet(now time.Duration, position feed.Position) bool {
+func (t *Tables) Reconcile(now time.Duration, position feed.Position) bool {
 	if int(position.Partition) >= len(t.base) {
 		return false
 	}
 	table := t.served[position.Partition]
-	if position.Index <= table.Index() || position.Index>>Bits != table.Index()>>Bits {
+	if position.Index <= table.Index() || position.Index>>LocalIndexBits != table.Index()>>LocalIndexBits {
 		return false
 	}
 	renewed := feed.NewTable(position.Partition)
@@ -145,8 +145,8 @@
 	return true
 }
 
-// decode reads an item of a runner.
-func decode(item feed.Item) (discovery.Runner, bool) {
+// decodeRunner reads an item of a runner.
+func decodeRunner(item feed.Item) (discovery.Runner, bool) {
 	if len(item.Key) < len(feed.KeyPrefixRunner) || item.Key[:len(feed.KeyPrefixRunner)] != feed.KeyPrefixRunner {
 		return discovery.Runner{}, false
 	}
--- a/internal/system/agent/platform.go
+++ b/internal/system/agent/platform.go
@@ -22,8 +22,8 @@
 	Close()
 }
 
-// platform asks the platform for its list while the agent is cut off from the control replicas' runners.
-type platform struct {
+// platformPoller asks the platform for its list while the agent is cut off from the control replicas' runners.
+type platformPoller struct {
 	log     *zap.Logger
 	now     func() time.Duration
 	lister  lister
@@ -31,30 +31,30 @@
 	pace    func() fallback.Pace
 	changed chan struct{} // holds one token: the state changed
 
-	mutex   sync.Mutex
-	machine *fallback.Machine
+	mutex  sync.Mutex
+	poller *fallback.Poller
 }
 
-func newPlatform(log *zap.Logger, now func() time.Duration, lister lister, store *store, pace func() fallback.Pace,
-	random func() float64) *platform {
-	return &platform{log: log, now: now, lister: lister, store: store, pace: pace,
-		changed: make(chan struct{}, 1), machine: fallback.New(random)}
+func newPlatformPoller(log *zap.Logger, now func() time.Duration, lister lister, store *store, pace func() fallback.Pace,
+	random func() float64) *platformPoller {
+	return &platformPoller{log: log, now: now, lister: lister, store: store, pace: pace,
+		changed: make(chan struct{}, 1), poller: fallback.New(random)}
 }
 
 // update takes the partitions of runners from which the agent is cut off.
-func (p *platform) update(cutOff feed.PartitionSet) {
+func (p *platformPoller) update(cutOff feed.PartitionSet) {
 	p.mutex.Lock()
-	was := p.machine.State()
-	drop := p.machine.Update(p.now(), cutOff, p.pace())
-	is := p.machine.State()
+	before := p.poller.State()
+	drop := p.poller.Update(p.now(), cutOff, p.pace())
+	after := p.poller.State()
 	p.mutex.Unlock()
 	if !drop.IsEmpty() {
-		p.store.drop(drop)
+		p.store.dropList(drop)
 	}
-	if is == was {
+	if after == before {
 		return
 	}
-	p.log.Info("platform's list", zap.Stringer("is", is), zap.Stringer("partitions", cutOff))
+	p.log.Info("platform's list", zap.Stringer("is", after), zap.Stringer("partitions", cutOff))
 	select {
 	case p.changed <- struct{}{}:
 	default:
@@ -62,31 +62,31 @@
 }
 
 // run asks whenever it is due, until the context ends.
-func (p *platform) run(ctx context.Context) {
+func (p *platformPoller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait, asking := p.next()
 		switch {
 		case !asking:
 			p.lister.Close()
-			p.await(ctx, nil)
+			p.wait(ctx, nil)
 		case wait > 0:
 			timer := time.NewTimer(wait)
-			p.await(ctx, timer.C)
+			p.wait(ctx, timer.C)
 			timer.Stop()
 		default:
-			p.ask(ctx)
+			p.fetchList(ctx)
 		}
 	}
 }
 
-func (p *platform) next() (wait time.Duration, asking bool) {
+func (p *platformPoller) next() (wait time.Duration, asking bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.machine.Next(p.now())
+	return p.poller.Next(p.now())
 }
 
-// await returns when the state changed, the timer fired, or the context ended.
-func (p *platform) await(ctx context.Context, timer <-chan time.Time) {
+// wait returns when the state changed, the timer fired, or the context ended.
+func (p *platformPoller) wait(ctx context.Context, timer <-chan time.Time) {
 	select {
 	case <-p.changed:
 	case <-timer:
@@ -94,24 +94,24 @@
 	}
 }
 
-func (p *platform) ask(ctx context.Context) {
+func (p *platformPoller) fetchList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	before := p.lister.CallCount()
 	runners, err := p.lister.List(ctx)
 	calls := int(p.lister.CallCount() - before)
 	if err != nil {
-		p.failed(err)
+		p.handleFailure(err)
 		return
 	}
 	p.mutex.Lock()
-	p.machine.Listed(p.now(), calls, p.pace())
-	cutOff := p.machine.CutOff()
+	p.poller.HandleList(p.now(), calls, p.pace())
+	cutOff := p.poller.CutOff()
 	p.mutex.Unlock()
-	p.store.list(runners, cutOff)
+	p.store.applyList(runners, cutOff)
 }
 
-func (p *platform) failed(err error) {
+func (p *platformPoller) handleFailure(err error) {
 	var limited *discovery.RateLimitedError
 	var retryAfter time.Duration
 	if errors.As(err, &limited) {
@@ -120,5 +120,5 @@
 	p.log.Debug("platform's list not answered", zap.Error(err))
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.machine.Failed(p.now(), retryAfter, p.pace())
+	p.poller.HandleFailure(p.now(), retryAfter, p.pace())
 }
--- a/internal/system/agent/proxy.go
+++ b/internal/system/agent/proxy.go
@@ -22,50 +22,50 @@
 	SetServing(serving gossip.Serving)
 }
 
-// proxy is what the agent holds of the proxy, and passes on to the membership.
-type proxy struct {
-	log   *zap.Logger
-	now   func() time.Duration
-	first chan struct{} // closed with the first report
-
-	mutex     sync.Mutex
-	machine   proxystatus.Machine
-	announcer announcer // nil until the agent is a member
-	told      proxystatus.State
-	timer     *time.Timer
-	gone      chan struct{} // closed when the last connection of the proxy ended
-	connected bool
+// proxyMonitor is what the agent holds of the proxy, and passes on to the membership.
+type proxyMonitor struct {
+	log         *zap.Logger
+	now         func() time.Duration
+	firstReport chan struct{} // closed with the first report
+
+	mutex        sync.Mutex
+	tracker      proxystatus.Tracker
+	announcer    announcer // nil until the agent is a member
+	published    proxystatus.State
+	timer        *time.Timer
+	disconnected chan struct{} // closed when the last connection of the proxy ended
+	connected    bool
 }
 
-func newProxy(log *zap.Logger, now func() time.Duration) *proxy {
-	p := &proxy{log: log, now: now, first: make(chan struct{}), gone: make(chan struct{})}
-	close(p.gone)
+func newProxyMonitor(log *zap.Logger, now func() time.Duration) *proxyMonitor {
+	p := &proxyMonitor{log: log, now: now, firstReport: make(chan struct{}), disconnected: make(chan struct{})}
+	close(p.disconnected)
 	p.timer = time.AfterFunc(time.Hour, p.tick)
 	p.timer.Stop()
 	return p
 }
 
-// report answers Proxy.Report.
-func (p *proxy) report(_ context.Context, report *feed.ProxyReport) (*feed.ProxyReportReply, error) {
+// handleReport answers Proxy.Report.
+func (p *proxyMonitor) handleReport(_ context.Context, report *feed.ProxyReport) (*feed.ProxyReportReply, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if !p.machine.Reported() {
-		defer close(p.first)
+	if !p.tracker.Reported() {
+		defer close(p.firstReport)
 	}
-	reply := p.machine.Report(p.now(), report)
+	reply := p.tracker.HandleReport(p.now(), report)
 	p.publish()
 	return &reply, nil
 }
 
-func (p *proxy) tick() {
+func (p *proxyMonitor) tick() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.machine.Tick(p.now())
+	p.tracker.Tick(p.now())
 	p.publish()
 }
 
-// connections takes how many connections the proxy has.
-func (p *proxy) connections(open int) {
+// setConnections takes how many connections the proxy has.
+func (p *proxyMonitor) setConnections(open int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	connected := open > 0
@@ -74,52 +74,52 @@
 	}
 	p.connected = connected
 	if connected {
-		p.gone = make(chan struct{})
+		p.disconnected = make(chan struct{})
 		return
 	}
-	close(p.gone)
-	p.machine.Gone()
+	close(p.disconnected)
+	p.tracker.HandleDisconnect()
 	p.publish()
 }
 
-// left is closed once the proxy has no connection.
-func (p *proxy) left() <-chan struct{} {
+// disconnection is closed once the proxy has no connection.
+func (p *proxyMonitor) disconnection() <-chan struct{} {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.gone
+	return p.disconnected
 }
 
-// join has the announcer told from now on.
-func (p *proxy) join(announcer announcer) {
+// startAnnouncing has the announcer told from now on.
+func (p *proxyMonitor) startAnnouncing(announcer announcer) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.announcer = announcer
 	p.publish()
 }
 
-// end takes it that this machine's processes stop.
-func (p *proxy) end() {
+// markStopping takes it that this machine's processes stop.
+func (p *proxyMonitor) markStopping() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.machine.End()
+	p.tracker.MarkEnded()
 	p.publish()
 }
 
 // state is what the members are told of the proxy.
-func (p *proxy) state() proxystatus.State {
+func (p *proxyMonitor) state() proxystatus.State {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.told
+	return p.published
 }
 
 // publish tells the members how the proxy is, and has the timer look again when a report is overdue.
-func (p *proxy) publish() {
-	state := p.machine.State()
-	if state != p.told {
-		p.told = state
+func (p *proxyMonitor) publish() {
+	state := p.tracker.State()
+	if state != p.published {
+		p.published = state
 		p.log.Info("proxy", zap.Stringer("is", state))
 	}
-	if wait, due := p.machine.Next(p.now()); due {
+	if wait, due := p.tracker.NextTick(p.now()); due {
 		p.timer.Reset(wait)
 	} else {
 		p.timer.Stop()
@@ -127,13 +127,13 @@
 	if p.announcer == nil {
 		return
 	}
-	if front := p.machine.Front(); front != "" {
+	if front := p.tracker.Front(); front != "" {
 		p.announcer.SetFront(front)
 	}
-	p.announcer.SetServing(servingOf(state))
+	p.announcer.SetServing(gossipServing(state))
 }
 
-func servingOf(state proxystatus.State) gossip.Serving {
+func gossipServing(state proxystatus.State) gossip.Serving {
 	switch state {
 	case proxystatus.Serving:
 		return gossip.ServingNow
--- a/internal/system/agent/proxystatus/reports.go
+++ b/internal/system/agent/proxystatus/reports.go
@@ -37,89 +37,89 @@
 	return "unknown"
 }
 
-// ReadyFor is how long a report that the proxy is ready counts.
-const ReadyFor = 2500 * time.Millisecond
+// ReadyTimeout is how long a report that the proxy is ready counts.
+const ReadyTimeout = 2500 * time.Millisecond
 
-// Machine is what the agent holds of its proxy. Times are of any steady clock.
-type Machine struct {
+// Tracker is what the agent holds of its proxy. Times are of any steady clock.
+type Tracker struct {
 	state    State
 	front    string
-	learnt   []byte
+	snapshot []byte
 	readyAt  time.Duration // of the last report that the proxy is ready
 	reported bool
 }
 
 // State is the current state.
-func (m *Machine) State() State { return m.state }
+func (t *Tracker) State() State { return t.state }
 
 // Front is the address that the proxy said clients use; empty: it has not.
-func (m *Machine) Front() string { return m.front }
+func (t *Tracker) Front() string { return t.front }
 
 // Reported says whether any report came.
-func (m *Machine) Reported() bool { return m.reported }
+func (t *Tracker) Reported() bool { return t.reported }
 
-// Report takes a report and returns what the proxy is told: what its earlier life learnt, where it is not ready and sends
+// HandleReport takes a report and returns what the proxy is told: what its earlier life learnt, where it is not ready and sends
 // nothing of that kind.
-func (m *Machine) Report(now time.Duration, report *feed.ProxyReport) feed.ProxyReportReply {
-	m.reported = true
+func (t *Tracker) HandleReport(now time.Duration, report *feed.ProxyReport) feed.ProxyReportReply {
+	t.reported = true
 	if report.Front != "" {
-		m.front = report.Front
+		t.front = report.Front
 	}
-	m.take(now, report)
+	t.updateState(now, report)
 	if len(report.Learnt) > 0 {
-		m.learnt = report.Learnt
+		t.snapshot = report.Learnt
 	}
 	if report.Ready || len(report.Learnt) > 0 {
 		return feed.ProxyReportReply{}
 	}
-	return feed.ProxyReportReply{Learnt: m.learnt}
+	return feed.ProxyReportReply{Learnt: t.snapshot}
 }
 
-func (m *Machine) take(now time.Duration, report *feed.ProxyReport) {
+func (t *Tracker) updateState(now time.Duration, report *feed.ProxyReport) {
 	switch {
-	case m.state == Ended:
+	case t.state == Ended:
 	case report.Stopping:
-		m.stop()
+		t.stop()
 	case report.Ready:
-		m.serve(now)
+		t.serve(now)
 	default:
-		m.start()
+		t.start()
 	}
 }
 
 // serve takes it that the proxy is ready.
-func (m *Machine) serve(now time.Duration) {
-	m.state = Serving
-	m.readyAt = now
+func (t *Tracker) serve(now time.Duration) {
+	t.state = Serving
+	t.readyAt = now
 }
 
 // start takes it that the proxy is not ready, or not there.
-func (m *Machine) start() { m.state = Starting }
+func (t *Tracker) start() { t.state = Starting }
 
 // stop takes it that the proxy stops.
-func (m *Machine) stop() { m.state = Stopping }
+func (t *Tracker) stop() { t.state = Stopping }
 
-// End takes it that all of this machine's processes stop.
-func (m *Machine) End() { m.state = Ended }
+// MarkEnded takes it that all of this machine's processes stop.
+func (t *Tracker) MarkEnded() { t.state = Ended }
 
-// Gone takes it that the proxy's process has ended.
-func (m *Machine) Gone() {
-	if m.state == Serving || m.state == Stopping {
-		m.start()
+// HandleDisconnect takes it that the proxy's process has ended.
+func (t *Tracker) HandleDisconnect() {
+	if t.state == Serving || t.state == Stopping {
+		t.start()
 	}
 }
 
-// Next is how long until Tick is due; due is false where it need not be called.
-func (m *Machine) Next(now time.Duration) (wait time.Duration, due bool) {
-	if m.state != Serving {
+// NextTick is how long until Tick is due; due is false where it need not be called.
+func (t *Tracker) NextTick(now time.Duration) (wait time.Duration, due bool) {
+	if t.state != Serving {
 		return 0, false
 	}
-	return max(0, m.readyAt+ReadyFor-now), true
+	return max(0, t.readyAt+ReadyTimeout-now), true
 }
 
 // Tick takes it that a proxy that said nothing for long is not ready.
-func (m *Machine) Tick(now time.Duration) {
-	if m.state == Serving && now >= m.readyAt+ReadyFor {
-		m.start()
+func (t *Tracker) Tick(now time.Duration) {
+	if t.state == Serving && now >= t.readyAt+ReadyTimeout {
+		t.start()
 	}
 }
--- a/internal/system/agent/store.go
+++ b/internal/system/agent/store.go
@@ -12,39 +12,39 @@
 
 // store is what the agent knows, shared by its goroutines.
 type store struct {
-	now          func() time.Duration
-	base, served *feedserver.Notifier
-	mutex        sync.Mutex
-	tables       *overlay.Tables
-	upToDate     []upToDate      // by partition
-	proxy        []feed.Position // how far the proxy said that it holds the served partitions
+	now                          func() time.Duration
+	baseNotifier, servedNotifier *feedserver.Notifier
+	mutex                        sync.Mutex
+	tables                       *overlay.Tables
+	lastUpToDate                 []lastUpToDate  // by partition
+	proxyPositions               []feed.Position // how far the proxy said that it holds the served partitions
 }
 
-// upToDate is when the control replicas' word on a partition was up to date last.
-type upToDate struct {
-	ever bool
-	at   time.Duration // by store.now
+// lastUpToDate is when the control replicas' word on a partition was up to date last.
+type lastUpToDate struct {
+	known bool
+	at    time.Duration // by store.now
 }
 
-// take takes the age of a word that came now.
-func (u *upToDate) take(now, age time.Duration) {
+// update takes the age of a word that came now.
+func (u *lastUpToDate) update(now, age time.Duration) {
 	if age == feed.AgeNever {
 		return
 	}
-	if at := now - age; !u.ever || at > u.at {
-		u.ever, u.at = true, at
+	if at := now - age; !u.known || at > u.at {
+		u.known, u.at = true, at
 	}
 }
 
 func newStore(now func() time.Duration, partitions int) *store {
 	after := func(wait time.Duration, wake func()) { time.AfterFunc(wait, wake) }
 	return &store{
-		now:    now,
-		base:   feedserver.NewNotifier(now, after),
-		served: feedserver.NewNotifier(now, after),
-		tables: overlay.New(partitions),
+		now:            now,
+		baseNotifier:   feedserver.NewNotifier(now, after),
+		servedNotifier: feedserver.NewNotifier(now, after),
+		tables:         overlay.New(partitions),
 
-		upToDate: make([]upToDate, 1+partitions),
+		lastUpToDate: make([]lastUpToDate, 1+partitions),
 	}
 }
 
@@ -62,9 +62,9 @@
 	return s.tables.Empty()
 }
 
-// take applies a reply of a control replica, or of another agent. It returns the partitions in which the reply lags behind
+// applyReply applies a reply of a control replica, or of another agent. It returns the partitions in which the reply lags behind
 // what is held.
-func (s *store) take(reply *feed.FollowReply) (lagging feed.PartitionSet) {
+func (s *store) applyReply(reply *feed.FollowReply) (lagging feed.PartitionSet) {
 	changed := false
 	s.mutex.Lock()
 	now := s.now()
@@ -75,52 +75,52 @@
 			lagging = lagging.With(batch.Partition)
 		}
 	}
-	s.meet(now)
-	for partition := range s.upToDate {
-		s.upToDate[partition].take(now, reply.Age(feed.Partition(partition)))
+	s.reconcileProxy(now)
+	for partition := range s.lastUpToDate {
+		s.lastUpToDate[partition].update(now, reply.Age(feed.Partition(partition)))
 	}
 	s.mutex.Unlock()
 	if changed {
-		s.base.Notify()
-		s.served.Notify()
+		s.baseNotifier.Notify()
+		s.servedNotifier.Notify()
 	}
 	return lagging
 }
 
-// list lays the platform's list over the runners of the partitions named.
-func (s *store) list(runners []discovery.Runner, partitions feed.PartitionSet) {
+// applyList lays the platform's list over the runners of the partitions named.
+func (s *store) applyList(runners []discovery.Runner, partitions feed.PartitionSet) {
 	s.mutex.Lock()
 	now := s.now()
-	changed := s.tables.List(now, runners, partitions)
-	s.meet(now)
+	changed := s.tables.ApplyList(now, runners, partitions)
+	s.reconcileProxy(now)
 	s.mutex.Unlock()
 	if changed {
-		s.served.Notify()
+		s.servedNotifier.Notify()
 	}
 }
 
-// drop takes the platform's list away again from the partitions named.
-func (s *store) drop(partitions feed.PartitionSet) {
+// dropList takes the platform's list away again from the partitions named.
+func (s *store) dropList(partitions feed.PartitionSet) {
 	s.mutex.Lock()
-	changed := s.tables.Drop(s.now(), partitions)
+	changed := s.tables.DropList(s.now(), partitions)
 	s.mutex.Unlock()
 	if changed {
-		s.served.Notify()
+		s.servedNotifier.Notify()
 	}
 }
 
-// asked takes how far the proxy holds the served partitions.
-func (s *store) asked(positions []feed.Position) {
+// setProxyPositions takes how far the proxy holds the served partitions.
+func (s *store) setProxyPositions(positions []feed.Position) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.proxy = positions
-	s.meet(s.now())
+	s.proxyPositions = positions
+	s.reconcileProxy(s.now())
 }
 
-// meet has the proxy served although an earlier life of this agent was ahead.
-func (s *store) meet(now time.Duration) {
-	for _, position := range s.proxy {
-		s.tables.Meet(now, position)
+// reconcileProxy has the proxy served although an earlier life of this agent was ahead.
+func (s *store) reconcileProxy(now time.Duration) {
+	for _, position := range s.proxyPositions {
+		s.tables.Reconcile(now, position)
 	}
 }
 
@@ -128,8 +128,8 @@
 func (s *store) age(partition feed.Partition) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	last := s.upToDate[partition]
-	if !last.ever {
+	last := s.lastUpToDate[partition]
+	if !last.known {
 		return feed.AgeNever
 	}
 	return max(0, s.now()-last.at)
--- a/internal/system/agent/upstream/partitions_test.go
+++ b/internal/system/agent/upstream/partitions_test.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	modelPartitions = 3
-	modelSeeds      = 300
+	testPartitions = 3
+	testSeeds      = 300
 )
 
-// all are the partitions of the models.
-var all = feed.FirstPartitions(modelPartitions)
+// allPartitions are the partitions of the models.
+var allPartitions = feed.FirstPartitions(testPartitions)
 
 // agesOf are the ages that a replica tells which is up to date with some partitions.
 func agesOf(current feed.PartitionSet) []time.Duration {
-	ages := make([]time.Duration, modelPartitions)
+	ages := make([]time.Duration, testPartitions)
 	for partition := range ages {
 		if !current.Contains(feed.Partition(partition)) {
 			ages[partition] = time.Hour
@@ -31,29 +31,29 @@
 	return ages
 }
 
-// newPartitioned returns a machine that follows all partitions of the models.
-func newPartitioned() *Machine { return New(Options{Partitions: modelPartitions}, 0) }
+// newTestSelector returns a machine that follows all partitions of the models.
+func newTestSelector() *Selector { return New(Options{Partitions: testPartitions}, 0) }
 
-// TestLostPartitionDoesNotEndTheOthers has a partition be without a leader at every replica.
-func TestLostPartitionDoesNotEndTheOthers(t *testing.T) {
-	for lost := range feed.Partition(modelPartitions) {
-		rest := all.Without(feed.NewPartitionSet(lost))
-		m := newPartitioned()
-		m.Offer(addresses(1, 2, 3))
+// TestPartitionWithoutLeaderLeavesOthersFollowed has a partition be without a leader at every replica.
+func TestPartitionWithoutLeaderLeavesOthersFollowed(t *testing.T) {
+	for lost := range feed.Partition(testPartitions) {
+		rest := allPartitions.Without(feed.NewPartitionSet(lost))
+		m := newTestSelector()
+		m.SetCandidates(addresses(1, 2, 3))
 		m.Next(0)
-		m.Answered(0, address(1), Answer{Ages: agesOf(all)})
-		expectQuestion(t, m, 0, 1, second)
-		m.Answered(second, address(1), Answer{Ages: agesOf(rest)})
+		m.HandleReply(0, address(1), Reply{Ages: agesOf(allPartitions)})
+		expectRequest(t, m, 0, 1, second)
+		m.HandleReply(second, address(1), Reply{Ages: agesOf(rest)})
 		for n := 2; n <= 3; n++ {
-			expectQuestion(t, m, second, n, 0)
-			m.Answered(second, address(n), Answer{Ages: agesOf(rest)})
+			expectRequest(t, m, second, n, 0)
+			m.HandleReply(second, address(n), Reply{Ages: agesOf(rest)})
 		}
-		expectQuestion(t, m, second, 1, second)
+		expectRequest(t, m, second, 1, second)
 		expectState(t, m, Following)
 		if m.Current() != rest {
 			t.Errorf("without %d it is up to date with %v", lost, m.Current())
 		}
-		m.Answered(2*second, address(1), Answer{Ages: agesOf(rest)})
+		m.HandleReply(2*second, address(1), Reply{Ages: agesOf(rest)})
 		if got := m.CutOff(2*second + 499*time.Millisecond); !got.IsEmpty() {
 			t.Errorf("without %d it is cut off from %v early", lost, got)
 		}
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestWhoHasMorePartitionsIsFollowed has replicas be up to date with different partitions.
-func TestWhoHasMorePartitionsIsFollowed(t *testing.T) {
+// TestFollowsCandidateWithMostPartitions has replicas be up to date with different partitions.
+func TestFollowsCandidateWithMostPartitions(t *testing.T) {
 	cases := []struct {
 		current []feed.PartitionSet // of replicas 1 and on
 		want    int
@@ -74,11 +74,11 @@
 		{[]feed.PartitionSet{feed.NewPartitionSet(0), feed.NewPartitionSet(0, 2), 0}, 2},
 		{[]feed.PartitionSet{0, feed.NewPartitionSet(2), feed.NewPartitionSet(1, 2)}, 3},
 		{[]feed.PartitionSet{feed.NewPartitionSet(0, 1), feed.NewPartitionSet(0, 2), 0}, 1}, // the first of equals
-		{[]feed.PartitionSet{feed.NewPartitionSet(0, 1), feed.NewPartitionSet(0, 2), all}, 3},
+		{[]feed.PartitionSet{feed.NewPartitionSet(0, 1), feed.NewPartitionSet(0, 2), allPartitions}, 3},
 	}
 	for _, c := range cases {
-		m := newPartitioned()
-		m.Offer(addresses(1, 2, 3))
+		m := newTestSelector()
+		m.SetCandidates(addresses(1, 2, 3))
 		now := time.Duration(0)
 		for step := 0; m.State() != Following; step++ {
 			question, pause := m.Next(now)
@@ -88,7 +88,7 @@
 			}
 			if pause == 0 {
 				n := int(question.Address.Addr().As4()[3])
-				m.Answered(now, question.Address, Answer{Ages: agesOf(c.current[n-1])})
+				m.HandleReply(now, question.Address, Reply{Ages: agesOf(c.current[n-1])})
 			}
 		}
 		if followed, _ := m.Followed(); followed != address(c.want) {
@@ -97,45 +97,45 @@
 	}
 }
 
-// TestOthersAreAskedAgainWhilePartitionsAreMissing has a replica become up to date with more than the followed one, beside
+// TestRetriesCandidatesWhilePartitionsAreMissing has a replica become up to date with more than the followed one, beside
 // one that does not answer: it is asked once, and then not before long.
-func TestOthersAreAskedAgainWhilePartitionsAreMissing(t *testing.T) {
-	m := newPartitioned()
-	m.Offer(addresses(1, 2, 3))
-	partly := Answer{Ages: agesOf(feed.NewPartitionSet(0, 1))}
-	expectQuestion(t, m, 0, 1, 0)
-	m.Answered(0, address(1), partly)
-	expectQuestion(t, m, 0, 2, 0)
-	m.Failed(0, address(2))
-	expectQuestion(t, m, 0, 3, 0)
-	m.Answered(0, address(3), partly)
-	expectQuestion(t, m, 0, 1, second)
-	m.Answered(second, address(1), partly)
-	expectQuestion(t, m, second, 1, second)
-	m.Answered(2*second, address(1), partly)
-	expectQuestion(t, m, 2*second, 1, 0) // they are asked again
-	m.Answered(2*second, address(1), partly)
-	expectQuestion(t, m, 2*second, 3, 0) // not 2, which did not answer
-	m.Answered(2*second, address(3), Answer{Ages: agesOf(all)})
-	expectQuestion(t, m, 2*second, 3, second)
-	if m.Current() != all {
+func TestRetriesCandidatesWhilePartitionsAreMissing(t *testing.T) {
+	m := newTestSelector()
+	m.SetCandidates(addresses(1, 2, 3))
+	partly := Reply{Ages: agesOf(feed.NewPartitionSet(0, 1))}
+	expectRequest(t, m, 0, 1, 0)
+	m.HandleReply(0, address(1), partly)
+	expectRequest(t, m, 0, 2, 0)
+	m.HandleFailure(0, address(2))
+	expectRequest(t, m, 0, 3, 0)
+	m.HandleReply(0, address(3), partly)
+	expectRequest(t, m, 0, 1, second)
+	m.HandleReply(second, address(1), partly)
+	expectRequest(t, m, second, 1, second)
+	m.HandleReply(2*second, address(1), partly)
+	expectRequest(t, m, 2*second, 1, 0) // they are asked again
+	m.HandleReply(2*second, address(1), partly)
+	expectRequest(t, m, 2*second, 3, 0) // not 2, which did not answer
+	m.HandleReply(2*second, address(3), Reply{Ages: agesOf(allPartitions)})
+	expectRequest(t, m, 2*second, 3, second)
+	if m.Current() != allPartitions {
 		t.Errorf("it is up to date with %v", m.Current())
 	}
 }
 
-// TestSearchForMoreThatFindsNobodyGoesOn has the followed replica be lost while others are asked again.
-func TestSearchForMoreThatFindsNobodyGoesOn(t *testing.T) {
-	m := newPartitioned()
-	m.Offer(addresses(1, 2))
-	partly := Answer{Ages: agesOf(feed.NewPartitionSet(0, 1))}
+// TestSearchContinuesAfterLosingPartialReplica has the followed replica be lost while others are asked again.
+func TestSearchContinuesAfterLosingPartialReplica(t *testing.T) {
+	m := newTestSelector()
+	m.SetCandidates(addresses(1, 2))
+	partly := Reply{Ages: agesOf(feed.NewPartitionSet(0, 1))}
 	m.Next(0)
-	m.Answered(0, address(1), partly)
+	m.HandleReply(0, address(1), partly)
 	m.Next(0)
-	m.Failed(0, address(2))
-	expectQuestion(t, m, 0, 1, second)
-	m.Answered(2*second, address(1), partly)
-	expectQuestion(t, m, 2*second, 1, 0)
-	m.Failed(2*second, address(1))
+	m.HandleFailure(0, address(2))
+	expectRequest(t, m, 0, 1, second)
+	m.HandleReply(2*second, address(1), partly)
+	expectRequest(t, m, 2*second, 1, 0)
+	m.HandleFailure(2*second, address(1))
 	now := 2 * second
 	question, pause := m.Next(now)
 	for ; pause > 0; question, pause = m.Next(now) {
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestEachPartitionIsFound plays drawn replicas that are silent, or up to date with drawn partitions, and change over time:
+// TestBestCandidateIsFound plays drawn replicas that are silent, or up to date with drawn partitions, and change over time:
 // whoever is up to date with the configuration is found before long, and where none is, whoever is with most partitions.
-func TestEachPartitionIsFound(t *testing.T) {
+func TestBestCandidateIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 7).Draw(t, "replicas")
 		silent := make([]bool, n+1)
@@ -157,17 +157,17 @@
 		for i := range n {
 			order = append(order, i+1)
 		}
-		m := newPartitioned()
+		m := newTestSelector()
 		now, changed := time.Duration(0), time.Duration(0)
 		for step := range 400 {
 			if step == 0 || rapid.IntRange(0, 60).Draw(t, "changes") == 0 {
 				for i := range order {
 					silent[i+1] = rapid.IntRange(0, 3).Draw(t, "silent") == 0
-					current[i+1] = feed.PartitionSet(rapid.IntRange(0, int(all)).Draw(t, fmt.Sprint("partitions of ", i+1)))
+					current[i+1] = feed.PartitionSet(rapid.IntRange(0, int(allPartitions)).Draw(t, fmt.Sprint("partitions of ", i+1)))
 				}
 				changed = now
 			}
-			m.Offer(addresses(order...))
+			m.SetCandidates(addresses(order...))
 			question, pause := m.Next(now)
 			if pause > second {
 				t.Fatalf("step %d: it pauses for %v", step, pause)
@@ -179,10 +179,10 @@
 			from := int(question.Address.Addr().As4()[3])
 			if silent[from] {
 				now += question.Timeout
-				m.Failed(now, question.Address)
+				m.HandleFailure(now, question.Address)
 			} else {
 				now += question.Wait + 5*time.Millisecond
-				m.Answered(now, question.Address, Answer{Ages: agesOf(current[from])})
+				m.HandleReply(now, question.Address, Reply{Ages: agesOf(current[from])})
 			}
 			longest := 25*time.Second + time.Duration(n)*1700*time.Millisecond
 			if now-changed < longest || m.State() != Following {
@@ -202,96 +202,96 @@
 	})
 }
 
-// deliveries are replicas that a follower asks in virtual time: each answers after half of a round trip, and a long poll as
+// simulation are replicas that a follower asks in virtual time: each answers after half of a round trip, and a long poll as
 // soon as there is a change. From lostAt on a partition has no leader.
-type deliveries struct {
-	random    *rand.Rand
-	machine   *Machine
-	roundTrip time.Duration
-	replicas  int
-	silent    int // replica that never answers; 0: none
-	lost      feed.PartitionSet
-	lostAt    time.Duration
-	changes   []time.Duration // when each was agreed on, in the order of time
-	taken     int             // changes that the follower has
-	delays    []time.Duration // of the changes after lostAt
-	gap       time.Duration   // the longest time without a partition's word that is not lost
+type simulation struct {
+	random     *rand.Rand
+	selector   *Selector
+	roundTrip  time.Duration
+	replicas   int
+	silent     int // replica that never answers; 0: none
+	lost       feed.PartitionSet
+	lostAt     time.Duration
+	changes    []time.Duration // when each was agreed on, in the order of time
+	received   int             // changes that the follower has
+	delays     []time.Duration // of the changes after lostAt
+	longestGap time.Duration   // the longest time without a partition's word that is not lost
 }
 
-func newDeliveries(seed uint64, lost feed.PartitionSet) *deliveries {
+func newSimulation(seed uint64, lost feed.PartitionSet) *simulation {
 	random := rand.New(rand.NewPCG(seed, 43))
-	d := &deliveries{random: random, machine: newPartitioned(), replicas: 3 + 2*random.IntN(3), lost: lost,
+	simulation := &simulation{random: random, selector: newTestSelector(), replicas: 3 + 2*random.IntN(3), lost: lost,
 		lostAt: 10 * second, roundTrip: time.Duration(1+random.IntN(180)) * time.Millisecond}
 	if random.IntN(2) == 0 {
-		d.silent = 1 + random.IntN(d.replicas)
+		simulation.silent = 1 + random.IntN(simulation.replicas)
 	}
 	var order []int
-	for i := range d.replicas {
+	for i := range simulation.replicas {
 		order = append(order, i+1)
 	}
-	d.machine.Offer(addresses(order...))
+	simulation.selector.SetCandidates(addresses(order...))
 	for at := second; at < 60*second; at += time.Duration(1+random.IntN(2000)) * time.Millisecond {
-		d.changes = append(d.changes, at)
+		simulation.changes = append(simulation.changes, at)
 	}
-	return d
+	return simulation
 }
 
 // run plays until all changes have been taken, or far beyond.
-func (d *deliveries) run() {
+func (s *simulation) run() {
 	now := time.Duration(0)
-	for d.taken < len(d.changes) && now < 90*second {
-		question, pause := d.machine.Next(now)
+	for s.received < len(s.changes) && now < 90*second {
+		question, pause := s.selector.Next(now)
 		now += pause
 		if pause > 0 {
 			continue
 		}
-		if question.Address == address(d.silent) {
-			now += min(question.Timeout, question.Dial)
-			d.machine.Failed(now, question.Address)
+		if question.Address == address(s.silent) {
+			now += min(question.Timeout, question.DialTimeout)
+			s.selector.HandleFailure(now, question.Address)
 			continue
 		}
-		arrives := now + d.roundTrip/2
+		arrives := now + s.roundTrip/2
 		answered := arrives
-		if next := d.changes[d.taken]; next > arrives {
+		if next := s.changes[s.received]; next > arrives {
 			answered = min(next, arrives+question.Wait)
 		}
-		now = answered + d.roundTrip/2
-		d.take(answered, now)
-		d.gap = max(d.gap, now-d.oldest(now))
-		d.machine.Answered(now, question.Address, Answer{Ages: agesOf(d.current(answered))})
+		now = answered + s.roundTrip/2
+		s.receive(answered, now)
+		s.longestGap = max(s.longestGap, now-s.oldest(now))
+		s.selector.HandleReply(now, question.Address, Reply{Ages: agesOf(s.current(answered))})
 	}
 }
 
 // oldest is when a partition that is not lost was last known to be up to date.
-func (d *deliveries) oldest(now time.Duration) time.Duration {
+func (s *simulation) oldest(now time.Duration) time.Duration {
 	oldest := now
-	for partition := range all.Without(d.lost).All() {
-		oldest = min(oldest, d.machine.goodAt[partition])
+	for partition := range allPartitions.Without(s.lost).All() {
+		oldest = min(oldest, s.selector.upToDateAt[partition])
 	}
 	return oldest
 }
 
 // current is what all replicas are up to date with.
-func (d *deliveries) current(at time.Duration) feed.PartitionSet {
-	if at < d.lostAt+1500*time.Millisecond {
-		return all
+func (s *simulation) current(at time.Duration) feed.PartitionSet {
+	if at < s.lostAt+1500*time.Millisecond {
+		return allPartitions
 	}
-	return all.Without(d.lost)
+	return allPartitions.Without(s.lost)
 }
 
-// take takes the changes that were there when the replica answered.
-func (d *deliveries) take(answered, now time.Duration) {
-	for d.taken < len(d.changes) && d.changes[d.taken] <= answered {
-		if at := d.changes[d.taken]; at > d.lostAt {
-			d.delays = append(d.delays, now-at)
+// receive takes the changes that were there when the replica answered.
+func (s *simulation) receive(answered, now time.Duration) {
+	for s.received < len(s.changes) && s.changes[s.received] <= answered {
+		if at := s.changes[s.received]; at > s.lostAt {
+			s.delays = append(s.delays, now-at)
 		}
-		d.taken++
+		s.received++
 	}
 }
 
-// TestChangesArriveBesideALostPartition measures how long a change of a partition with a leader takes to its followers
+// TestChangeLatencyWithPartitionWithoutLeader measures how long a change of a partition with a leader takes to its followers
 // while others have none: as long as ever, but for the moments in which other replicas are asked.
-func TestChangesArriveBesideALostPartition(t *testing.T) {
+func TestChangeLatencyWithPartitionWithoutLeader(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		lost feed.PartitionSet
@@ -301,18 +301,18 @@
 		{"a partition of runners is lost", feed.NewPartitionSet(2), 400 * time.Millisecond},
 		{"all of the runners are lost", feed.NewPartitionSet(1, 2), 400 * time.Millisecond},
 		{"the configuration is lost", feed.NewPartitionSet(0), 600 * time.Millisecond},
-		{"all are lost", all, 0},
+		{"all are lost", allPartitions, 0},
 	} {
 		var delays []time.Duration
 		var gap time.Duration
-		for seed := uint64(1); seed <= modelSeeds; seed++ {
-			d := newDeliveries(seed, c.lost)
+		for seed := uint64(1); seed <= testSeeds; seed++ {
+			d := newSimulation(seed, c.lost)
 			d.run()
-			if d.taken < len(d.changes) {
-				t.Fatalf("%s, seed %d: %d of %d changes arrived", c.name, seed, d.taken, len(d.changes))
+			if d.received < len(d.changes) {
+				t.Fatalf("%s, seed %d: %d of %d changes arrived", c.name, seed, d.received, len(d.changes))
 			}
 			delays = append(delays, d.delays...)
-			gap = max(gap, d.gap)
+			gap = max(gap, d.longestGap)
 			if worst := slices.Max(d.delays); c.most > 0 && worst > 3*d.roundTrip+700*time.Millisecond {
 				t.Errorf("%s, seed %d: a change took %v, at a round trip of %v", c.name, seed, worst, d.roundTrip)
 			}
@@ -327,16 +327,16 @@
 	}
 }
 
-// TestCutOffReplicaIsLeft has the followed replica lose the others, and not its followers: it ends calls once it is stale.
+// TestIsolatedReplicaIsReplaced has the followed replica lose the others, and not its followers: it ends calls once it is stale.
 // Another one is followed within feed.StaleAfter and three round trips of the cut.
-func TestCutOffReplicaIsLeft(t *testing.T) {
+func TestIsolatedReplicaIsReplaced(t *testing.T) {
 	var worst time.Duration
-	for seed := uint64(1); seed <= modelSeeds; seed++ {
+	for seed := uint64(1); seed <= testSeeds; seed++ {
 		random := rand.New(rand.NewPCG(seed, 47))
 		roundTrip := time.Duration(1+random.IntN(180)) * time.Millisecond
 		cutAt := 5*second + time.Duration(random.IntN(3000))*time.Millisecond
-		m := newPartitioned()
-		m.Offer(addresses(1, 2, 3))
+		m := newTestSelector()
+		m.SetCandidates(addresses(1, 2, 3))
 		now, left := time.Duration(0), time.Duration(0)
 		for left == 0 && now < 60*second {
 			question, pause := m.Next(now)
@@ -352,7 +352,7 @@
 				age = max(0, answered-cutAt)
 			}
 			now = answered + roundTrip/2
-			m.Answered(now, question.Address, Answer{Ages: ages(age, age, age)})
+			m.HandleReply(now, question.Address, Reply{Ages: ages(age, age, age)})
 			if followed, follows := m.Followed(); follows && followed != address(1) {
 				left = now - cutAt
 			}
--- a/internal/system/replica/core_follower_test.go
+++ b/internal/system/replica/core_follower_test.go
@@ -21,15 +21,15 @@
 
 // coreFollower is an agent that chooses the machine it follows as agents do. Its own links are always there.
 type coreFollower struct {
-	world   *coreWorld
-	machine *upstream.Machine
-	table   *feed.Table
-	asked   uint64                   // calls made
-	arrived map[uint64]time.Duration // by index: when it was held
+	world    *coreWorld
+	selector *upstream.Selector
+	table    *feed.Table
+	asked    uint64                   // calls made
+	arrived  map[uint64]time.Duration // by index: when it was held
 }
 
 func (w *coreWorld) addFollower() *coreFollower {
-	f := &coreFollower{world: w, machine: upstream.New(upstream.Options{}, w.now),
+	f := &coreFollower{world: w, selector: upstream.New(upstream.Options{}, w.now),
 		table: feed.NewTable(feed.ConfigurationPartition), arrived: map[uint64]time.Duration{}}
 	w.after(0, f.next)
 	return f
@@ -42,8 +42,8 @@
 	for _, s := range w.inUse() {
 		candidates = append(candidates, s.address())
 	}
-	f.machine.Offer(candidates)
-	question, pause := f.machine.Next(w.now)
+	f.selector.SetCandidates(candidates)
+	question, pause := f.selector.Next(w.now)
 	if pause > 0 {
 		w.after(pause, f.next)
 		return
@@ -52,18 +52,18 @@
 }
 
 // ask makes a call. It fails where no answer comes in time.
-func (f *coreFollower) ask(question upstream.Question) {
+func (f *coreFollower) ask(question upstream.Request) {
 	w := f.world
 	f.asked++
 	call, slot := f.asked, w.byPort[question.Address]
 	patience := question.Timeout
 	if slot.process == nil {
-		patience = question.Dial
+		patience = question.DialTimeout
 	}
 	w.after(patience, func() {
 		if f.asked == call {
 			f.asked++
-			f.machine.Failed(w.now, question.Address)
+			f.selector.HandleFailure(w.now, question.Address)
 			f.next()
 		}
 	})
@@ -75,7 +75,7 @@
 }
 
 // serve is what following.Server does with a call.
-func (f *coreFollower) serve(p *coreProcess, question upstream.Question, call uint64) {
+func (f *coreFollower) serve(p *coreProcess, question upstream.Request, call uint64) {
 	position := f.table.Index()
 	answer := func() {
 		batch := p.state.Since(position, 0)
@@ -114,7 +114,7 @@
 			f.arrived[link.index] = w.now
 		}
 	}
-	f.machine.Answered(w.now, from, upstream.Answer{Ages: []time.Duration{age}, Lagging: lagging})
+	f.selector.HandleReply(w.now, from, upstream.Reply{Ages: []time.Duration{age}, Lagging: lagging})
 	f.next()
 }
 
@@ -142,7 +142,7 @@
 	w.slots[0], w.slots[followed.number] = w.slots[followed.number], w.slots[0] // the nearest to the agent
 	f := w.addFollower()
 	w.run(5 * time.Second)
-	if address, follows := f.machine.Followed(); !follows || address != followed.address() {
+	if address, follows := f.selector.Followed(); !follows || address != followed.address() {
 		t.Fatalf("seed %d: %v is followed, want %v", seed, address, followed.address())
 	}
 	for _, o := range w.operators {
