--- a/grpcbalancer/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -137,7 +137,7 @@
 				w.member.State = loadbalancer.Draining
 			}
 			if !at.Started.IsZero() {
-				w.member.Since = float64(at.Started.UnixMicro()) / 1e6
+				w.member.StartedAt = float64(at.Started.UnixMicro()) / 1e6
 			}
 			members = append(members, dispatch.Member{Worker: w.member, Backend: w, Name: a.Addr})
 		}
--- a/grpcbalancer/figures_test.go
+++ b/grpcbalancer/figures_test.go
@@ -13,7 +13,7 @@
 
 // The plug-in's figures are the daemon's, under the same names, for its own traffic; totals go on, latencies begin anew.
 func TestFigures(t *testing.T) {
-	r := newRig(t, loadbalancer.Safe, 2)
+	r := newRig(t, loadbalancer.RetrySafe, 2)
 	r.script = func(n int, _ *server, _ context.Context) error {
 		if n == 1 {
 			return status.Error(codes.Internal, "once")
--- a/grpcbalancer/rpcplugin.go
+++ b/grpcbalancer/rpcplugin.go
@@ -336,7 +336,7 @@
 		return loadbalancer.ConnectFailed
 	}
 	if v := trailer.Get(RejectedTrailer); err != nil && len(v) == 1 && v[0] == "1" {
-		return loadbalancer.Full
+		return loadbalancer.Rejected
 	}
 	switch status.Code(err) {
 	case codes.Unavailable:
--- a/grpcbalancer/rpcplugin_test.go
+++ b/grpcbalancer/rpcplugin_test.go
@@ -59,13 +59,13 @@
 	return &grpc_health_v1.HealthCheckResponse{Status: grpc_health_v1.HealthCheckResponse_SERVING}, nil
 }
 
-func newRig(t *testing.T, effect loadbalancer.Effect, servers int) *rig {
+func newRig(t *testing.T, effect loadbalancer.RetrySafety, servers int) *rig {
 	r := &rig{t: t, list: manual.NewBuilderWithScheme("test")}
 	var err error
 	r.d, err = New(Options{Settings: loadbalancer.Settings{
-		Classes: []loadbalancer.Class{{Name: "check", Objective: 0.1, Deadline: 5, Window: 5, Worth: 1, Effect: effect, Scope: loadbalancer.ScopeCell, Kind: -1}},
-		Zones:   1, Instances: 1, MaxAttempts: 4, Tick: 0.004, ColdTime: 9, ColdShare: 0.34, FallMultiple: 3, FallTime: 2,
-		AnswerSlack: 0.016, MayCancel: true, MayRetryAfter: true, MaxRetryAfter: 2, ParallelTries: true,
+		Classes: []loadbalancer.Class{{Name: "check", Objective: 0.1, Deadline: 5, DedupWindow: 5, Value: 1, RetrySafety: effect, DedupScope: loadbalancer.DedupCell, Kind: -1}},
+		Zones:   1, Instances: 1, MaxAttempts: 4, Tick: 0.004, SlowStartDuration: 9, SlowStartInitialShare: 0.34, OverloadMultiple: 3, OverloadWindow: 2,
+		AnswerSlack: 0.016, MayCancel: true, MayRetryAfter: true, MaxRetryAfter: 2, ParallelAttempts: true,
 	}, Class: func(m string) (int, bool) { return 0, m == method }, Figures: &FigureOptions{Zones: []string{"here"}, Nodes: 10}})
 	if err != nil {
 		t.Fatal(err)
@@ -133,18 +133,18 @@
 	}
 	for _, tc := range []struct {
 		name   string
-		effect loadbalancer.Effect
+		effect loadbalancer.RetrySafety
 		script func(int, *server, context.Context) error
 		want   codes.Code
 		calls  int
 	}{
-		{"served", loadbalancer.Unsafe, nil, codes.OK, 1},
-		{"unavailable, safe", loadbalancer.Safe, broken(codes.Unavailable), codes.OK, 2},
-		{"unavailable, keyed", loadbalancer.Keyed, broken(codes.Unavailable), codes.OK, 2},
-		{"unavailable, unsafe", loadbalancer.Unsafe, broken(codes.Unavailable), codes.Unavailable, 1},
-		{"internal, unsafe", loadbalancer.Unsafe, broken(codes.Internal), codes.Internal, 1},
-		{"rejected, unsafe", loadbalancer.Unsafe, rejected, codes.OK, 2},
-		{"the service's own word", loadbalancer.Safe, broken(codes.NotFound), codes.NotFound, 1},
+		{"served", loadbalancer.RetryUnsafe, nil, codes.OK, 1},
+		{"unavailable, safe", loadbalancer.RetrySafe, broken(codes.Unavailable), codes.OK, 2},
+		{"unavailable, keyed", loadbalancer.RetryDeduplicated, broken(codes.Unavailable), codes.OK, 2},
+		{"unavailable, unsafe", loadbalancer.RetryUnsafe, broken(codes.Unavailable), codes.Unavailable, 1},
+		{"internal, unsafe", loadbalancer.RetryUnsafe, broken(codes.Internal), codes.Internal, 1},
+		{"rejected, unsafe", loadbalancer.RetryUnsafe, rejected, codes.OK, 2},
+		{"the service's own word", loadbalancer.RetrySafe, broken(codes.NotFound), codes.NotFound, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, tc.effect, 3)
@@ -153,7 +153,7 @@
 			if status.Code(err) != tc.want || len(r.calls) != tc.calls {
 				t.Errorf("%v after calls %v, want %v after %d", err, r.calls, tc.want, tc.calls)
 			}
-			if tc.effect == loadbalancer.Keyed && r.calls[0] != r.calls[1] {
+			if tc.effect == loadbalancer.RetryDeduplicated && r.calls[0] != r.calls[1] {
 				t.Errorf("a keyed repeat left its cell: %v", r.calls)
 			}
 			if n := r.d.Counts(); n.Reqs != 1 || n.Served+n.Refused+n.Failed != 1 || int(n.Fetches) != tc.calls {
@@ -165,7 +165,7 @@
 
 // Guards against calls to a server that drains or has left the list, and against a refusal without a wait.
 func TestDrainAndRefusal(t *testing.T) {
-	r := newRig(t, loadbalancer.Safe, 2)
+	r := newRig(t, loadbalancer.RetrySafe, 2)
 	if err := r.check(5 * time.Second); err != nil {
 		t.Fatal(err)
 	}
@@ -196,7 +196,7 @@
 
 // Guards against a server that is down: the call never ran there, so even an unsafe one goes elsewhere.
 func TestAServerThatIsDown(t *testing.T) {
-	r := newRig(t, loadbalancer.Unsafe, 2)
+	r := newRig(t, loadbalancer.RetryUnsafe, 2)
 	r.servers[0].stop()
 	for range 4 {
 		if err := r.check(5 * time.Second); err != nil {
@@ -212,7 +212,7 @@
 
 // Guards against methods nobody has classed being sent, and against silence outliving the caller's deadline.
 func TestUnknownMethodAndSilence(t *testing.T) {
-	r := newRig(t, loadbalancer.Unsafe, 1)
+	r := newRig(t, loadbalancer.RetryUnsafe, 1)
 	r.script = func(_ int, _ *server, ctx context.Context) error { <-ctx.Done(); return ctx.Err() }
 	if err := r.check(300 * time.Millisecond); status.Code(err) != codes.DeadlineExceeded {
 		t.Errorf("silence: %v", err)
@@ -239,7 +239,7 @@
 
 // Guards against a server that is used although it was taken out, whatever the resolver says, or stays out for good.
 func TestExclusion(t *testing.T) {
-	r := newRig(t, loadbalancer.Safe, 2)
+	r := newRig(t, loadbalancer.RetrySafe, 2)
 	if err := r.check(20 * time.Second); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dispatcher/cluster/quota/crowd_test.go
+++ b/internal/dispatcher/cluster/quota/crowd_test.go
@@ -14,10 +14,10 @@
 
 // settings are those of one class whose jobs fit a cold worker's share many times over.
 func settings(told, me int) loadbalancer.Settings {
-	return loadbalancer.Settings{Classes: []loadbalancer.Class{{Name: "score", Objective: 0.5, Deadline: 5, Worth: 1, Effect: loadbalancer.Safe, Kind: -1}},
-		Zones: 1, Instances: told, Me: me, Report: []loadbalancer.Field{loadbalancer.FieldInFlight, loadbalancer.FieldUtilization, loadbalancer.FieldFreeSlots},
-		MaxAttempts: 4, MaxRetryAfter: 2, Tick: 0.004, AnswerSlack: 0.016, AskWithin: 10, ColdTime: 9, ColdShare: 0.34, FallMultiple: 3,
-		FallTime: 2, MayCancel: true, TellsStart: true, MayRetryAfter: true}
+	return loadbalancer.Settings{Classes: []loadbalancer.Class{{Name: "score", Objective: 0.5, Deadline: 5, Value: 1, RetrySafety: loadbalancer.RetrySafe, Kind: -1}},
+		Zones: 1, Instances: told, Instance: me, ReportFields: []loadbalancer.ReportField{loadbalancer.FieldInFlight, loadbalancer.FieldUtilization, loadbalancer.FieldFreeSlots},
+		MaxAttempts: 4, MaxRetryAfter: 2, Tick: 0.004, AnswerSlack: 0.016, ListRefreshInterval: 10, SlowStartDuration: 9, SlowStartInitialShare: 0.34, OverloadMultiple: 3,
+		OverloadWindow: 2, MayCancel: true, ReportsStart: true, MayRetryAfter: true}
 }
 
 const work = 0.01 // seconds of a job
@@ -54,7 +54,7 @@
 
 // Log and the rest implement brain.Actions.
 func (d *dispatcher) Log(string)                             {}
-func (d *dispatcher) Refuse(loadbalancer.RequestID, float64) {}
+func (d *dispatcher) Reject(loadbalancer.RequestID, float64) {}
 func (d *dispatcher) Fail(loadbalancer.RequestID)            {}
 func (d *dispatcher) Cancel(loadbalancer.RequestID, int)     {}
 func (d *dispatcher) Probe(loadbalancer.WorkerID)            {}
@@ -117,8 +117,8 @@
 	}
 	d.bal = bal
 	d.div = quota.New(quota.Rules{Instances: f.told, Me: i % f.told, Period: f.net.Period, LastSends: 2, Whole: true})
-	bal.OnStart(f.net.Now)
-	bal.OnList(f.net.Now, loadbalancer.ListFull, []loadbalancer.Worker{{ID: 7, State: loadbalancer.Ready, Since: f.sum.since}})
+	bal.Start(f.net.Now)
+	bal.UpdateWorkers(f.net.Now, loadbalancer.ListFull, []loadbalancer.Worker{{ID: 7, State: loadbalancer.Ready, StartedAt: f.sum.since}})
 	for j, old := range f.list {
 		if old.node == node {
 			f.list = append(f.list[:j], f.list[j+1:]...)
@@ -143,7 +143,7 @@
 		d.wholeAt = d.net.Now
 	}
 	d.place = p
-	if err := d.bal.SetPlace(loadbalancer.Place{Instances: p.Instances, Me: p.Me, Part: p.Part, Keys: p.Keys}); err != nil {
+	if err := d.bal.SetInstanceShare(loadbalancer.InstanceShare{Instances: p.Instances, Instance: p.Me, BudgetShare: p.Part, InstanceKeys: p.Keys}); err != nil {
 		panic(err)
 	}
 }
@@ -155,7 +155,7 @@
 		f.sum.since, f.sum.sends = now, nil
 		for _, d := range f.list {
 			if d.node.Machine != nil {
-				d.bal.OnList(now, loadbalancer.ListDelta, []loadbalancer.Worker{{ID: 7, State: loadbalancer.Ready, Since: now}})
+				d.bal.UpdateWorkers(now, loadbalancer.ListDelta, []loadbalancer.Worker{{ID: 7, State: loadbalancer.Ready, StartedAt: now}})
 			}
 		}
 	}
@@ -173,13 +173,13 @@
 		for len(d.out) > 0 && now >= d.out[0].at+work {
 			x := d.out[0]
 			d.out = d.out[1:]
-			d.bal.OnNote(now, &loadbalancer.Note{Request: x.id, Started: true})
-			d.bal.OnOutcome(now, &loadbalancer.Outcome{Request: x.id, Worker: 7, Result: loadbalancer.OK, Report: []float32{1, 1, 0}, Closed: true})
+			d.bal.HandleProgress(now, &loadbalancer.ProgressUpdate{Request: x.id, Started: true})
+			d.bal.HandleOutcome(now, &loadbalancer.Outcome{Request: x.id, Worker: 7, Result: loadbalancer.OK, Report: []float32{1, 1, 0}, ClientAnswered: true})
 		}
-		d.bal.OnTimer(now, 1<<32-1)
+		d.bal.HandleTimer(now, 1<<32-1)
 		if f.rng.Float64() < 0.5 {
 			d.next++
-			d.bal.OnRequest(now, &loadbalancer.Request{ID: d.next, Work: work, Slots: 0.01, Deadline: now + 5})
+			d.bal.HandleRequest(now, &loadbalancer.Request{ID: d.next, Work: work, Slots: 0.01, Deadline: now + 5})
 		}
 	}
 }
--- a/internal/dispatcher/dispatch/actions.go
+++ b/internal/dispatcher/dispatch/actions.go
@@ -31,7 +31,7 @@
 	}
 	f.deadline = c.clock.At(f.ends, func() { c.do(func() { c.expire(f) }) })
 	if r.answered || m == nil || m.Backend == nil {
-		c.do(func() { c.stop(f, loadbalancer.Moot) })
+		c.do(func() { c.stop(f, loadbalancer.Withdrawn) })
 		return
 	}
 	m.Backend.Begin(Fetch{ID: FetchID(f.h), Worker: worker, Deadline: f.ends, Load: r.job.Load})
@@ -67,7 +67,7 @@
 		if f.over {
 			return // its end was on the way
 		}
-		result := loadbalancer.Moot
+		result := loadbalancer.Withdrawn
 		if f.member.Backend.Drop(FetchID(f.h)) {
 			result = loadbalancer.Cancelled
 		}
@@ -75,8 +75,8 @@
 	})
 }
 
-// Refuse implements brain.Actions.
-func (a actions) Refuse(id loadbalancer.RequestID, wait float64) {
+// Reject implements brain.Actions.
+func (a actions) Reject(id loadbalancer.RequestID, wait float64) {
 	a.core.final(id, Answer{Verdict: Refused, Wait: wait})
 }
 
@@ -103,7 +103,7 @@
 			if c.Observer != nil && len(report) > 0 {
 				c.Observer.Reported(worker, c.clock.Now(), report, true)
 			}
-			c.bal.OnProbed(c.clock.Now(), worker, result, report)
+			c.bal.HandleProbeResult(c.clock.Now(), worker, result, report)
 		})
 	})
 }
@@ -111,7 +111,7 @@
 // SetTimer implements brain.Actions.
 func (a actions) SetTimer(token uint32, at float64) {
 	c := a.core
-	c.clock.At(at, func() { c.do(func() { c.bal.OnTimer(c.clock.Now(), token) }) })
+	c.clock.At(at, func() { c.do(func() { c.bal.HandleTimer(c.clock.Now(), token) }) })
 }
 
 // Watch implements brain.Actions.
--- a/internal/dispatcher/dispatch/exclude.go
+++ b/internal/dispatcher/dispatch/exclude.go
@@ -49,7 +49,7 @@
 	default:
 		x := Exclusion{At: c.clock.Now()}
 		if m := c.members[id]; known && m != nil {
-			x.Since = m.Since
+			x.Since = m.StartedAt
 		}
 		ch.Out[name] = x
 	}
@@ -113,7 +113,7 @@
 		workers = append(workers, m.Worker)
 	}
 	if len(workers) > 0 {
-		c.bal.OnList(c.clock.Now(), loadbalancer.ListDelta, workers)
+		c.bal.UpdateWorkers(c.clock.Now(), loadbalancer.ListDelta, workers)
 	}
 }
 
@@ -126,29 +126,29 @@
 	switch {
 	case !had:
 	case x.Back == 0:
-		m.Since = x.Since
+		m.StartedAt = x.Since
 		if m.State == loadbalancer.Ready {
 			m.State = loadbalancer.Draining
 		}
-	case m.Since >= x.At || c.clock.Now() > x.Back+c.set.ColdTime+1:
+	case m.StartedAt >= x.At || c.clock.Now() > x.Back+c.set.SlowStartDuration+1:
 		delete(c.out, m.Name) // discovery has caught up, or it is warm
 	default:
-		m.Since = x.Back
+		m.StartedAt = x.Back
 	}
 }
 
 // Learnt is what the decisions have learnt, for the process that takes this one's place.
-func (c *Core) Learnt() loadbalancer.Learnt { return c.bal.Learnt() }
+func (c *Core) Learnt() loadbalancer.Snapshot { return c.bal.Snapshot() }
 
 // Recall takes what another process has learnt, before the first list; it says why it is of no use.
-func (c *Core) Recall(l loadbalancer.Learnt) (err error) {
-	c.do(func() { err = c.bal.Recall(c.clock.Now(), l) })
+func (c *Core) Recall(l loadbalancer.Snapshot) (err error) {
+	c.do(func() { err = c.bal.Restore(c.clock.Now(), l) })
 	return err
 }
 
 // SetPlace has the decisions know their place among the dispatchers that share the workers; one that makes no sense changes
 // nothing.
-func (c *Core) SetPlace(p loadbalancer.Place) (err error) {
-	c.do(func() { err = c.bal.SetPlace(p) })
+func (c *Core) SetPlace(p loadbalancer.InstanceShare) (err error) {
+	c.do(func() { err = c.bal.SetInstanceShare(p) })
 	return err
 }
--- a/internal/dispatcher/dispatch/observe.go
+++ b/internal/dispatcher/dispatch/observe.go
@@ -162,8 +162,8 @@
 }
 
 // ends are the reasons that the end of an attempt gives.
-var ends = [loadbalancer.Moot + 1]Reason{loadbalancer.Error: BackendError, loadbalancer.Full: Full, loadbalancer.Timeout: Silent,
-	loadbalancer.ConnectFailed: Unreachable, loadbalancer.Reset: Broken, loadbalancer.Cancelled: Cancelled, loadbalancer.Moot: Withdrawn}
+var ends = [loadbalancer.Withdrawn + 1]Reason{loadbalancer.Error: BackendError, loadbalancer.Rejected: Full, loadbalancer.Timeout: Silent,
+	loadbalancer.ConnectFailed: Unreachable, loadbalancer.Reset: Broken, loadbalancer.Cancelled: Cancelled, loadbalancer.Withdrawn: Withdrawn}
 
 // drained notes that a member no longer wants new work; it was ready before.
 func (c *Core) drained(m *Member) {
@@ -183,6 +183,6 @@
 }
 
 // Standing is what the decisions hold of a worker.
-func (c *Core) Standing(worker loadbalancer.WorkerID) (loadbalancer.Standing, bool) {
-	return c.bal.Standing(c.clock.Now(), worker)
+func (c *Core) Standing(worker loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
+	return c.bal.WorkerStatus(c.clock.Now(), worker)
 }
--- a/internal/dispatcher/dispatch/observe_test.go
+++ b/internal/dispatcher/dispatch/observe_test.go
@@ -47,11 +47,11 @@
 		won     int
 	}{
 		{"served", 0, []loadbalancer.Result{loadbalancer.OK}, false, Served, NoReason, 0},
-		{"served by the second", 0, []loadbalancer.Result{loadbalancer.Full, loadbalancer.OK}, false, Served, NoReason, 1},
+		{"served by the second", 0, []loadbalancer.Result{loadbalancer.Rejected, loadbalancer.OK}, false, Served, NoReason, 1},
 		{"errors", 0, []loadbalancer.Result{loadbalancer.Error, loadbalancer.Error, loadbalancer.Error}, false, Refused, BackendError, -1},
 		{"broken and not repeatable", 2, []loadbalancer.Result{loadbalancer.Reset}, false, Failed, Broken, -1},
 		{"silence", 2, nil, false, Failed, TooLate, -1},
-		{"turned away", 0, []loadbalancer.Result{loadbalancer.Full, loadbalancer.Full, loadbalancer.Full}, false, Refused, Full, -1},
+		{"turned away", 0, []loadbalancer.Result{loadbalancer.Rejected, loadbalancer.Rejected, loadbalancer.Rejected}, false, Refused, Full, -1},
 		{"nobody there", 0, []loadbalancer.Result{loadbalancer.ConnectFailed, loadbalancer.ConnectFailed, loadbalancer.ConnectFailed}, false, Refused, Unreachable, -1},
 		{"nobody listed", 0, nil, true, Refused, TooLate, -1}, // held until its time is over
 		{"unknown class", 9, nil, false, Failed, UnknownClass, -1},
--- a/internal/dispatcher/dispatch/routing.go
+++ b/internal/dispatcher/dispatch/routing.go
@@ -114,9 +114,9 @@
 type Counts struct {
 	Reqs, Served, Refused, Failed, Gone uint64
 	Fetches, Repeats, Cancels, Probes   uint64
-	Results                             [loadbalancer.Moot + 1]uint64 // ends of fetches by result
-	Unusable                            uint64                        // failed since backends could do nothing with them
-	Overdue                             uint64                        // answered by the core because the decisions had not
+	Results                             [loadbalancer.Withdrawn + 1]uint64 // ends of fetches by result
+	Unusable                            uint64                             // failed since backends could do nothing with them
+	Overdue                             uint64                             // answered by the core because the decisions had not
 	OpenReqs, OpenFetches               int
 }
 
@@ -191,7 +191,7 @@
 }
 
 // Start begins the decisions' life.
-func (c *Core) Start() { c.do(func() { c.bal.OnStart(c.clock.Now()) }) }
+func (c *Core) Start() { c.do(func() { c.bal.Start(c.clock.Now()) }) }
 
 // Counts returns the figures so far.
 func (c *Core) Counts() Counts {
@@ -229,7 +229,7 @@
 		if r.answered {
 			return
 		}
-		c.bal.OnRequest(c.clock.Now(), &loadbalancer.Request{ID: r.id, Class: job.Class, Skill: job.Skill, Slots: job.Slots,
+		c.bal.HandleRequest(c.clock.Now(), &loadbalancer.Request{ID: r.id, Class: job.Class, Skill: job.Skill, Slots: job.Slots,
 			Memory: job.Memory, Work: job.Work, Deadline: job.Deadline})
 	})
 	return ReqID(r.h)
@@ -245,7 +245,7 @@
 		c.counts.Gone++
 		c.settle(r)
 		c.observe(r, Left, NoReason, 0, -1)
-		c.bal.OnGone(c.clock.Now(), r.id)
+		c.bal.HandleDisconnect(c.clock.Now(), r.id)
 		c.forget(r)
 	})
 }
@@ -257,7 +257,7 @@
 	}
 	c.counts.Overdue++
 	c.answer(r, Answer{Verdict: Failed}, Overdue, -1)
-	c.bal.OnGone(c.clock.Now(), r.id)
+	c.bal.HandleDisconnect(c.clock.Now(), r.id)
 	c.forget(r)
 }
 
@@ -302,7 +302,7 @@
 	f, ok := c.fetches.Get(slotmap.Handle(id))
 	switch {
 	case !ok || f.over || f.r.answered || c.clock.Now() >= f.ends:
-		return loadbalancer.Moot, false
+		return loadbalancer.Withdrawn, false
 	case f.member.State != loadbalancer.Ready:
 		return loadbalancer.ConnectFailed, false
 	}
@@ -331,17 +331,19 @@
 	if f, ok := c.fetches.Get(slotmap.Handle(id)); ok && f.started == 0 {
 		f.started = c.clock.Now()
 	}
-	c.note(id, loadbalancer.Note{Started: true})
+	c.note(id, loadbalancer.ProgressUpdate{Started: true})
 }
 
 // Progress tells the share of a fetch's job that is done.
-func (c *Core) Progress(id FetchID, share float64) { c.note(id, loadbalancer.Note{Share: share}) }
+func (c *Core) Progress(id FetchID, share float64) {
+	c.note(id, loadbalancer.ProgressUpdate{Fraction: share})
+}
 
-func (c *Core) note(id FetchID, n loadbalancer.Note) {
+func (c *Core) note(id FetchID, n loadbalancer.ProgressUpdate) {
 	c.do(func() {
 		if f, ok := c.fetches.Get(slotmap.Handle(id)); ok && !f.over {
 			n.Request, n.Attempt = f.r.id, f.attempt
-			c.bal.OnNote(c.clock.Now(), &n)
+			c.bal.HandleProgress(c.clock.Now(), &n)
 		}
 	})
 }
@@ -382,8 +384,8 @@
 		}
 	}
 	c.counts.Results[e.Result]++
-	c.bal.OnOutcome(c.clock.Now(), &loadbalancer.Outcome{Request: r.id, Attempt: f.attempt, Worker: f.member.ID,
-		Result: e.Result, Closed: r.answered, Worn: e.Worn, Report: e.Report})
+	c.bal.HandleOutcome(c.clock.Now(), &loadbalancer.Outcome{Request: r.id, Attempt: f.attempt, Worker: f.member.ID,
+		Result: e.Result, ClientAnswered: r.answered, StaleConnection: e.Worn, Report: e.Report})
 	c.forget(r)
 }
 
@@ -396,10 +398,10 @@
 				named[members[i].ID] = true
 			}
 			for id, m := range c.members {
-				m.told.State = loadbalancer.Gone
+				m.told.State = loadbalancer.Departed
 				if !named[id] {
 					was := m.State
-					m.State = loadbalancer.Gone
+					m.State = loadbalancer.Departed
 					c.became(m, was)
 				}
 			}
@@ -422,7 +424,7 @@
 		if c.Observer != nil {
 			c.Observer.Listed(kind, members)
 		}
-		c.bal.OnList(c.clock.Now(), kind, workers)
+		c.bal.UpdateWorkers(c.clock.Now(), kind, workers)
 		c.prune()
 	})
 }
@@ -447,7 +449,7 @@
 func (c *Core) prune() {
 	gone := 0
 	for _, m := range c.members {
-		if m.State == loadbalancer.Gone {
+		if m.State == loadbalancer.Departed {
 			gone++
 		}
 	}
@@ -455,7 +457,7 @@
 		return
 	}
 	for id, m := range c.members {
-		if m.State == loadbalancer.Gone {
+		if m.State == loadbalancer.Departed {
 			delete(c.members, id)
 			delete(c.byName, m.Name)
 		}
--- a/internal/dispatcher/dispatch/routing_test.go
+++ b/internal/dispatcher/dispatch/routing_test.go
@@ -67,13 +67,13 @@
 
 func start(t *testing.T) *bench {
 	b := &bench{t: t, now: 1000, ran: true}
-	class := func(e loadbalancer.Effect) loadbalancer.Class {
-		return loadbalancer.Class{Name: "c", Objective: 0.1, Deadline: 2, Window: 5, Worth: 1, Effect: e, Scope: loadbalancer.ScopeCell, Kind: -1}
+	class := func(e loadbalancer.RetrySafety) loadbalancer.Class {
+		return loadbalancer.Class{Name: "c", Objective: 0.1, Deadline: 2, DedupWindow: 5, Value: 1, RetrySafety: e, DedupScope: loadbalancer.DedupCell, Kind: -1}
 	}
 	var err error
-	b.c, err = New(loadbalancer.Settings{Classes: []loadbalancer.Class{class(loadbalancer.Safe), class(loadbalancer.Keyed), class(loadbalancer.Unsafe)}, Zones: 1,
-		Instances: 1, MaxAttempts: 3, Tick: 0.004, ColdShare: 0.3, FallMultiple: 3, FallTime: 2, AnswerSlack: 0.01, MayCancel: true,
-		TellsStart: true}, 1, b)
+	b.c, err = New(loadbalancer.Settings{Classes: []loadbalancer.Class{class(loadbalancer.RetrySafe), class(loadbalancer.RetryDeduplicated), class(loadbalancer.RetryUnsafe)}, Zones: 1,
+		Instances: 1, MaxAttempts: 3, Tick: 0.004, SlowStartInitialShare: 0.3, OverloadMultiple: 3, OverloadWindow: 2, AnswerSlack: 0.01, MayCancel: true,
+		ReportsStart: true}, 1, b)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,8 +152,8 @@
 		{"nothing", func(*bench, ReqID) {}, loadbalancer.OK},
 		{"drain", func(b *bench, _ ReqID) { b.list(loadbalancer.Draining, loadbalancer.Draining) }, loadbalancer.ConnectFailed},
 		{"left the list", func(b *bench, _ ReqID) { b.c.List(loadbalancer.ListFull, nil) }, loadbalancer.ConnectFailed},
-		{"client gone", func(b *bench, id ReqID) { b.c.Gone(id) }, loadbalancer.Moot},
-		{"deadline", func(b *bench, _ ReqID) { b.run(b.now + 2.1) }, loadbalancer.Moot},
+		{"client gone", func(b *bench, id ReqID) { b.c.Gone(id) }, loadbalancer.Withdrawn},
+		{"deadline", func(b *bench, _ ReqID) { b.run(b.now + 2.1) }, loadbalancer.Withdrawn},
 	} {
 		b := start(t)
 		id := b.take(2, 2)
@@ -202,12 +202,12 @@
 	b := start(t)
 	id := b.c.Number("w")
 	list := func(kind loadbalancer.ListKind, state loadbalancer.WorkerState, since float64) {
-		b.c.List(kind, []Member{{Worker: loadbalancer.Worker{ID: id, State: state, Since: since}, Backend: b, Name: "w"}})
+		b.c.List(kind, []Member{{Worker: loadbalancer.Worker{ID: id, State: state, StartedAt: since}, Backend: b, Name: "w"}})
 	}
 	seen := func(want loadbalancer.WorkerState, since float64) {
 		t.Helper()
 		m := b.c.members[id]
-		if diff := cmp.Diff([]any{want, since}, []any{m.State, m.Since}); diff != "" {
+		if diff := cmp.Diff([]any{want, since}, []any{m.State, m.StartedAt}); diff != "" {
 			t.Errorf("the decisions see (-want +got):\n%s", diff)
 		}
 	}
@@ -233,15 +233,15 @@
 		list(loadbalancer.ListDelta, loadbalancer.Ready, since)
 		seen(loadbalancer.Draining, 100)
 	}
-	list(loadbalancer.ListDelta, loadbalancer.Gone, 0)
-	seen(loadbalancer.Gone, 100)
+	list(loadbalancer.ListDelta, loadbalancer.Departed, 0)
+	seen(loadbalancer.Departed, 100)
 	change(b.c.Exclude("w"), true)
 	list(loadbalancer.ListFull, loadbalancer.Ready, b.now+1)
 	seen(loadbalancer.Draining, 100)
 	other := start(t) // the next process
 	other.c.Apply(b.c.Exclusions())
 	other.c.Number("w")
-	other.c.List(loadbalancer.ListFull, []Member{{Worker: loadbalancer.Worker{ID: id, State: loadbalancer.Ready, Since: 100}, Backend: other, Name: "w"}})
+	other.c.List(loadbalancer.ListFull, []Member{{Worker: loadbalancer.Worker{ID: id, State: loadbalancer.Ready, StartedAt: 100}, Backend: other, Name: "w"}})
 	if got := other.c.members[id].State; got != loadbalancer.Draining {
 		t.Errorf("in the next process: %v", got)
 	}
--- a/internal/dispatcher/dispatch/withhold.go
+++ b/internal/dispatcher/dispatch/withhold.go
@@ -20,7 +20,7 @@
 		old := c.held
 		c.held = maps.Clone(held)
 		c.revise(changed(old, held), func(m *Member, was loadbalancer.Worker) {
-			if m.Since > was.Since {
+			if m.StartedAt > was.StartedAt {
 				m.Backend.Renew() // another process has its place
 			}
 		})
@@ -60,5 +60,5 @@
 	if h.State != loadbalancer.Ready && m.State == loadbalancer.Ready {
 		m.State = loadbalancer.Draining
 	}
-	m.Since = max(m.Since, h.Since)
+	m.StartedAt = max(m.StartedAt, h.Since)
 }
--- a/internal/dispatcher/exporter/metrics_test.go
+++ b/internal/dispatcher/exporter/metrics_test.go
@@ -472,8 +472,8 @@
 // BenchmarkSlices is the work of each kind of turn at 5,000 nodes: no turn does more than one of them.
 func BenchmarkSlices(b *testing.B) {
 	set := telemetry.New(telemetry.Options{Classes: []string{"score"}, Zones: []string{"milano"}, Kinds: []string{"k"}, Nodes: 5000,
-		Now: func() float64 { return 2 }, Standing: func(loadbalancer.WorkerID) (loadbalancer.Standing, bool) {
-			return loadbalancer.Standing{Room: 1.25, Ceiling: 4.4, Pace: 1.01}, true
+		Now: func() float64 { return 2 }, Standing: func(loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
+			return loadbalancer.WorkerStatus{SpareCapacity: 1.25, LoadLimit: 4.4, Pace: 1.01}, true
 		}})
 	fleet(set, 5000)
 	p := set.Close(1_700_000_000_000, 10)
--- a/internal/dispatcher/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -32,7 +32,7 @@
 	core      *dispatch.Core
 	door      *admission.Door
 	config    *Config
-	report    []loadbalancer.Field
+	report    []loadbalancer.ReportField
 	functions map[string]*function
 	peers     slotmap.Map[*peer]
 	jobs      map[string]*job // by handle
@@ -68,7 +68,7 @@
 }
 
 // New makes the front; Start opens its port.
-func New(loop *eventloop.Loop, log *zap.Logger, core *dispatch.Core, door *admission.Door, config *Config, name string, report []loadbalancer.Field) *Server {
+func New(loop *eventloop.Loop, log *zap.Logger, core *dispatch.Core, door *admission.Door, config *Config, name string, report []loadbalancer.ReportField) *Server {
 	s := &Server{loop: loop, log: log, core: core, door: door, config: config, report: report, functions: map[string]*function{},
 		jobs: map[string]*job{}, unique: map[uniqueKey]*job{}, prefix: "H:" + name + ":"}
 	for i, f := range config.Functions {
--- a/internal/dispatcher/gearman/worker.go
+++ b/internal/dispatcher/gearman/worker.go
@@ -57,7 +57,7 @@
 			// The number is the slot's, so that workers that come and go leave no trail behind.
 			name: fmt.Sprintf("gearman/%d", uint32(p.h)),
 			member: loadbalancer.Worker{Zone: place.zone,
-				Kind: place.kind, Cell: place.Cell, Weight: 1, Since: p.connected}}
+				Kind: place.kind, Cell: place.Cell, Weight: 1, StartedAt: p.connected}}
 	}
 	p.worker.member.ID = p.s.core.Number(p.worker.name)
 	if was, had := p.worker.can[name]; !had || was != limit {
@@ -109,7 +109,7 @@
 
 // leave ends what the worker had: what it was assigned may have run, whatever it told before.
 func (w *worker) leave() {
-	w.member.State = loadbalancer.Gone
+	w.member.State = loadbalancer.Departed
 	w.p.s.core.List(loadbalancer.ListDelta, []dispatch.Member{{Worker: w.member, Backend: w, Name: w.name}})
 	clear(w.can)
 	w.sweep()
--- a/internal/dispatcher/httpfront/backend.go
+++ b/internal/dispatcher/httpfront/backend.go
@@ -40,7 +40,7 @@
 	}
 	if !ok || p.live[a.key] != nil {
 		// A second fetch of a req on one backend could not be told from the first by its call-backs.
-		p.core.Ended(f.ID, dispatch.End{Result: loadbalancer.Moot})
+		p.core.Ended(f.ID, dispatch.End{Result: loadbalancer.Withdrawn})
 		return
 	}
 	p.live[a.key], p.byFetch[a.id] = a, a
--- a/internal/dispatcher/httpfront/director.go
+++ b/internal/dispatcher/httpfront/director.go
@@ -411,10 +411,10 @@
 			t, t.State = was, "gone"
 		}
 		w := loadbalancer.Worker{ID: d.core.Number(t.UID), Zone: place(d.zones, t.Zone), Kind: place(d.kinds, t.Kind),
-			Cell: t.Cell, State: states[t.State], Weight: t.Weight, Since: t.BootMs / 1000}
+			Cell: t.Cell, State: states[t.State], Weight: t.Weight, StartedAt: t.BootMs / 1000}
 		addr, _ := netip.ParseAddrPort(t.Endpoint)
 		members = append(members, dispatch.Member{Worker: w, Backend: d.pool.backend(w.ID, t.UID, addr), Name: t.UID})
-		if listed[w.ID] = w.State != loadbalancer.Gone; listed[w.ID] {
+		if listed[w.ID] = w.State != loadbalancer.Departed; listed[w.ID] {
 			d.known[t.UID] = t
 		} else {
 			delete(d.known, t.UID)
--- a/internal/dispatcher/httpfront/director_test.go
+++ b/internal/dispatcher/httpfront/director_test.go
@@ -83,7 +83,7 @@
 			t.Fatal(err)
 		}
 		core, err := dispatch.New(loadbalancer.Settings{Classes: []loadbalancer.Class{{Objective: 1, Deadline: 1}}, Zones: 1, Instances: 1,
-			MaxAttempts: 1, Tick: 1, ColdShare: 1, FallMultiple: 1, FallTime: 1}, 1, clock{loop})
+			MaxAttempts: 1, Tick: 1, SlowStartInitialShare: 1, OverloadMultiple: 1, OverloadWindow: 1}, 1, clock{loop})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/dispatcher/httpfront/link.go
+++ b/internal/dispatcher/httpfront/link.go
@@ -197,7 +197,7 @@
 	case x.probe != nil:
 		result := loadbalancer.Timeout
 		if errors.Is(err, eventloop.ErrNoDescriptor) {
-			result = loadbalancer.Moot
+			result = loadbalancer.Withdrawn
 		} else if !l.up {
 			result = loadbalancer.ConnectFailed
 		}
@@ -208,7 +208,7 @@
 		if a.written() {
 			result = loadbalancer.Reset
 		} else if errors.Is(err, eventloop.ErrNoDescriptor) {
-			result = loadbalancer.Moot // the want is here: it says nothing of the backend
+			result = loadbalancer.Withdrawn // the want is here: it says nothing of the backend
 		}
 		a.link = nil
 		l.b.pool.log.Debug("fetch: connection lost", zap.String("backend", l.b.uid), zap.Error(err))
--- a/internal/dispatcher/httpfront/pool.go
+++ b/internal/dispatcher/httpfront/pool.go
@@ -135,7 +135,7 @@
 	e := dispatch.End{Result: loadbalancer.Error, Report: ParseLoad(r.Header.Get("X-Load-Report")).Values(p.limits.Fields)}
 	switch {
 	case (r.Status == 503 || r.Status == 504) && r.Header.Get("X-Rejected") == "1":
-		e.Result = loadbalancer.Full
+		e.Result = loadbalancer.Rejected
 	case r.Status >= 400 && r.Status < 500 && r.Status != 408 && r.Status != 429:
 		e.Unusable = true // it is the request that is bad: another backend would say so too
 	}
@@ -164,7 +164,7 @@
 	case "done":
 		e.Result, e.Body = loadbalancer.OK, []byte(n.Result)
 	case "returned":
-		e.Result = loadbalancer.Full
+		e.Result = loadbalancer.Rejected
 	case "lost":
 		e.Result = loadbalancer.Reset
 	default: // failed, and any word not known: it may have run
--- a/internal/dispatcher/requestlog/requestlog_test.go
+++ b/internal/dispatcher/requestlog/requestlog_test.go
@@ -20,7 +20,7 @@
 
 func final(id string) *dispatch.Final {
 	return &dispatch.Final{ID: id, Front: "platform", Class: 0, Verdict: dispatch.Served, Arrived: 100, Answered: 100.25, Aim: 101, Started: 100.1, Won: 1,
-		Tries: []dispatch.Try{{Node: "a", Sent: 100, Ended: 100.05, Result: loadbalancer.Full}, {Attempt: 1, Node: "b", Sent: 100.05, Started: 100.1, Ended: 100.25, Copy: true}, {Attempt: 2, Node: "c", Sent: 100.2}}}
+		Tries: []dispatch.Try{{Node: "a", Sent: 100, Ended: 100.05, Result: loadbalancer.Rejected}, {Attempt: 1, Node: "b", Sent: 100.05, Started: 100.1, Ended: 100.25, Copy: true}, {Attempt: 2, Node: "c", Sent: 100.2}}}
 }
 
 func open(t *testing.T, o Options) *Log {
--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -51,7 +51,7 @@
 	return &cluster.Options{Fleet: f.Name, Name: c.Name, Bind: f.BindAddr, Advertise: f.AdvertiseAddr, Seeds: f.SeedAddrs,
 		Period: f.Period, Forget: f.Forget, Lease: f.Lease, Seed: c.seed, Facts: membership.Facts{Zone: zone[:min(len(zone), 48)], Version: version(), Console: c.Console,
 			Settings: hash(common(c.Settings)), Operator: hash([]byte(c.Operator.Common()))},
-		Rules: quota.Rules{Instances: c.brain.Instances, Me: c.brain.Me, Period: f.Period, LastSends: c.brain.FallTime, Whole: *f.Whole}}, nil
+		Rules: quota.Rules{Instances: c.brain.Instances, Me: c.brain.Instance, Period: f.Period, LastSends: c.brain.OverloadWindow, Whole: *f.Whole}}, nil
 }
 
 // startFleet has this dispatcher be a member, where the operator's file says so.
@@ -105,7 +105,7 @@
 
 // setPlace has all who count the dispatchers know their number.
 func (p *Program) setPlace(place quota.Place) {
-	if err := p.core.SetPlace(loadbalancer.Place{Instances: place.Instances, Me: place.Me, Part: place.Part, Keys: place.Keys}); err != nil {
+	if err := p.core.SetPlace(loadbalancer.InstanceShare{Instances: place.Instances, Instance: place.Me, BudgetShare: place.Part, InstanceKeys: place.Keys}); err != nil {
 		p.log.Error("program: place not taken", zap.Error(err))
 		return
 	}
--- a/internal/dispatcher/server/fleet_reload.go
+++ b/internal/dispatcher/server/fleet_reload.go
@@ -56,7 +56,7 @@
 		p.leaveFleet()
 		p.closeLedger(true)
 		p.dropVersions()
-		p.setPlace(quota.Place{Instances: p.config.brain.Instances, Me: p.config.brain.Me, Part: 1})
+		p.setPlace(quota.Place{Instances: p.config.brain.Instances, Me: p.config.brain.Instance, Part: 1})
 		p.log.Info("program: fleet switched off; places are as configured")
 	case p.fleet == nil:
 		p.joinFleet(o, r.socket, r.book)
--- a/internal/dispatcher/server/program.go
+++ b/internal/dispatcher/server/program.go
@@ -147,7 +147,7 @@
 	}
 	p.core.Start()
 	if config.gearman != nil {
-		p.gearman = gearman.New(loop, log, p.core, p.door, config.gearman, config.Name, config.brain.Report)
+		p.gearman = gearman.New(loop, log, p.core, p.door, config.gearman, config.Name, config.brain.ReportFields)
 		p.gearman.Shutdown = func() { p.stop("gearman shutdown") }
 	}
 	if config.console.IsValid() {
--- a/internal/dispatcher/server/upgrade.go
+++ b/internal/dispatcher/server/upgrade.go
@@ -29,7 +29,7 @@
 	List       httpfront.List                `json:"list"`
 	Out        map[string]dispatch.Exclusion `json:"out"`
 	Evacuated  float64                       `json:"evacuated"` // since when; 0 is not
-	Learnt     loadbalancer.Learnt           `json:"learnt"`
+	Learnt     loadbalancer.Snapshot         `json:"learnt"`
 	Gearman    bool                          `json:"gearman"` // its listening socket comes along
 	GearmanFor string                        `json:"gearman_listen"`
 	Figures    bool                          `json:"figures,omitempty"` // its totals follow once the newer one has taken the clients
--- a/internal/dispatcher/settings/settings.go
+++ b/internal/dispatcher/settings/settings.go
@@ -62,9 +62,9 @@
 }
 
 var (
-	effects = map[string]loadbalancer.Effect{"retryable": loadbalancer.Safe, "dedup": loadbalancer.Keyed, "fragile": loadbalancer.Unsafe}
-	scopes  = map[string]loadbalancer.Scope{"": loadbalancer.ScopeAll, "all": loadbalancer.ScopeAll, "zone": loadbalancer.ScopeZone,
-		"cell": loadbalancer.ScopeCell}
+	effects = map[string]loadbalancer.RetrySafety{"retryable": loadbalancer.RetrySafe, "dedup": loadbalancer.RetryDeduplicated, "fragile": loadbalancer.RetryUnsafe}
+	scopes  = map[string]loadbalancer.DedupScope{"": loadbalancer.DedupAll, "all": loadbalancer.DedupAll, "zone": loadbalancer.DedupZone,
+		"cell": loadbalancer.DedupCell}
 )
 
 // Parse turns the settings JSON of a start into the decisions' settings.
@@ -74,13 +74,13 @@
 		return loadbalancer.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := loadbalancer.Settings{
-		Zones: len(d.FailureDomains), Zone: d.Zone, Instances: d.NInstances, Me: d.Me,
-		MayProbe: d.Limits.MayProbe, MayCancel: d.Limits.MayCancel, ParallelTries: d.Limits.ParallelTries,
+		Zones: len(d.FailureDomains), Zone: d.Zone, Instances: d.NInstances, Instance: d.Me,
+		MayProbe: d.Limits.MayProbe, MayCancel: d.Limits.MayCancel, ParallelAttempts: d.Limits.ParallelTries,
 		MayRetryAfter: d.Limits.RetryAfter, MaxAttempts: d.Limits.AttemptsCap,
-		MaxRetryAfter: d.Limits.MaxRetryAfterS, TellsStart: d.FamilyInfo.TellsStart, Tick: d.TickS,
-		AnswerSlack: d.Guarantees.AnswerSlackS, AskWithin: d.Guarantees.AskWithinS,
-		ColdTime: d.Guarantees.ColdS, ColdShare: d.Guarantees.ColdShare,
-		FallMultiple: d.Guarantees.FallMultiple, FallTime: d.Guarantees.FallS, OverShareWorth: d.OverShareWorth,
+		MaxRetryAfter: d.Limits.MaxRetryAfterS, ReportsStart: d.FamilyInfo.TellsStart, Tick: d.TickS,
+		AnswerSlack: d.Guarantees.AnswerSlackS, ListRefreshInterval: d.Guarantees.AskWithinS,
+		SlowStartDuration: d.Guarantees.ColdS, SlowStartInitialShare: d.Guarantees.ColdShare,
+		OverloadMultiple: d.Guarantees.FallMultiple, OverloadWindow: d.Guarantees.FallS, OverQuotaValue: d.OverShareWorth,
 	}
 	if d.NInstances < 1 {
 		return s, fmt.Errorf("settings: bad nInstances: %d; it is how many dispatchers share the workers, 1 at least", d.NInstances)
@@ -97,8 +97,8 @@
 		if !known {
 			return s, fmt.Errorf("settings: bad categories[%d].dedupScope: %q", i, c.DedupScope)
 		}
-		class := loadbalancer.Class{Name: c.Name, Objective: c.ObjectiveS, Deadline: c.DeadlineS, Window: c.WindowS,
-			Worth: c.Worth, LateShare: c.LateShare, Effect: effect, Scope: scope, Kind: -1}
+		class := loadbalancer.Class{Name: c.Name, Objective: c.ObjectiveS, Deadline: c.DeadlineS, DedupWindow: c.WindowS,
+			Value: c.Worth, LateValueShare: c.LateShare, RetrySafety: effect, DedupScope: scope, Kind: -1}
 		if i < len(d.FamilyInfo.ClassKind) {
 			class.Kind = d.FamilyInfo.ClassKind[i]
 		}
@@ -120,7 +120,7 @@
 	case "piggyback", "pull":
 		s.ReportsByProbe = d.Report.Via == "pull"
 		for _, name := range d.Report.Fields {
-			s.Report = append(s.Report, d.field(name))
+			s.ReportFields = append(s.ReportFields, d.field(name))
 		}
 	case "silent", "":
 	default:
@@ -130,7 +130,7 @@
 }
 
 // field resolves a report column; the x columns mean what the family says they mean.
-func (d *settingsDoc) field(name string) loadbalancer.Field {
+func (d *settingsDoc) field(name string) loadbalancer.ReportField {
 	switch name {
 	case "x0":
 		name = d.FamilyInfo.ReportX0
@@ -149,5 +149,5 @@
 	case "free memory":
 		return loadbalancer.FieldFreeMemory
 	}
-	return loadbalancer.FieldOther
+	return loadbalancer.FieldIgnored
 }
--- a/internal/dispatcher/simwire/wire.go
+++ b/internal/dispatcher/simwire/wire.go
@@ -235,53 +235,53 @@
 		}
 		h.readList(c, n)
 		if ready {
-			in.guard(func() { in.bal.OnList(now, kind, h.list) })
+			in.guard(func() { in.bal.UpdateWorkers(now, kind, h.list) })
 		}
 	case evRequest:
 		r := readRequest(c)
 		if ready && !c.bad {
-			in.guard(func() { in.bal.OnRequest(now, &r) })
+			in.guard(func() { in.bal.HandleRequest(now, &r) })
 		}
 	case evFirst:
 		id, try := c.u32(), c.u8()
 		c.take(12)
 		if ready && !c.bad {
-			in.guard(func() { in.bal.OnFirst(now, loadbalancer.RequestID(id), int(try)) })
+			in.guard(func() { in.bal.HandleFirstByte(now, loadbalancer.RequestID(id), int(try)) })
 		}
 	case evNote:
-		n := loadbalancer.Note{Request: loadbalancer.RequestID(c.u32()), Attempt: int(c.u8())}
+		n := loadbalancer.ProgressUpdate{Request: loadbalancer.RequestID(c.u32()), Attempt: int(c.u8())}
 		c.u32()
 		n.Started = c.u8() == 1
-		n.Share = float64(c.f32())
+		n.Fraction = float64(c.f32())
 		if ready && !c.bad {
-			in.guard(func() { in.bal.OnNote(now, &n) })
+			in.guard(func() { in.bal.HandleProgress(now, &n) })
 		}
 	case evOutcome:
 		o := loadbalancer.Outcome{Request: loadbalancer.RequestID(c.u32()), Attempt: int(c.u8()), Worker: loadbalancer.WorkerID(c.u32())}
 		o.Result = result(c.u16())
 		c.f64()
-		o.Closed = c.u8() != 0
+		o.ClientAnswered = c.u8() != 0
 		c.u8()
 		o.Report = h.readReport(c)
 		if ready && !c.bad {
-			in.guard(func() { in.bal.OnOutcome(now, &o) })
+			in.guard(func() { in.bal.HandleOutcome(now, &o) })
 		}
 	case evProbed:
 		w, res := loadbalancer.WorkerID(c.u32()), result(c.u16())
 		c.f64()
 		report := h.readReport(c)
 		if ready && !c.bad {
-			in.guard(func() { in.bal.OnProbed(now, w, res, report) })
+			in.guard(func() { in.bal.HandleProbeResult(now, w, res, report) })
 		}
 	case evGone:
 		id := c.u32()
 		if ready && !c.bad {
-			in.guard(func() { in.bal.OnGone(now, loadbalancer.RequestID(id)) })
+			in.guard(func() { in.bal.HandleDisconnect(now, loadbalancer.RequestID(id)) })
 		}
 	case evTimer:
 		token := c.u32()
 		if ready && !c.bad {
-			in.guard(func() { in.bal.OnTimer(now, token) })
+			in.guard(func() { in.bal.HandleTimer(now, token) })
 		}
 	case evPeer:
 		c.u16()
@@ -307,7 +307,7 @@
 			return
 		}
 		in.bal = bal
-		bal.OnStart(now)
+		bal.Start(now)
 	})
 }
 
@@ -339,7 +339,7 @@
 	for i := 0; i < n; i++ {
 		w := loadbalancer.Worker{ID: loadbalancer.WorkerID(c.u32()), Zone: int(c.u8()), Kind: int(c.u16()), Cell: int(c.u16())}
 		w.State = loadbalancer.WorkerState(c.u8())
-		w.Weight, w.Since = float64(c.f32()), c.f64()
+		w.Weight, w.StartedAt = float64(c.f32()), c.f64()
 		h.list = append(h.list, w)
 	}
 }
@@ -358,7 +358,7 @@
 	case 0:
 		return loadbalancer.OK
 	case 11:
-		return loadbalancer.Full
+		return loadbalancer.Rejected
 	case 110:
 		return loadbalancer.Timeout
 	case 111:
@@ -368,7 +368,7 @@
 	case 125:
 		return loadbalancer.Cancelled
 	case 114:
-		return loadbalancer.Moot
+		return loadbalancer.Withdrawn
 	}
 	return loadbalancer.Error // 5, and a code not known: the job may have run
 }
@@ -409,8 +409,8 @@
 	in.f64(timeout)
 }
 
-// Refuse implements brain.Actions.
-func (in *instance) Refuse(id loadbalancer.RequestID, wait float64) {
+// Reject implements brain.Actions.
+func (in *instance) Reject(id loadbalancer.RequestID, wait float64) {
 	in.begin(actRefuse)
 	in.u32(uint32(id))
 	in.f64(wait)
--- a/internal/dispatcher/simwire/wire_test.go
+++ b/internal/dispatcher/simwire/wire_test.go
@@ -105,19 +105,19 @@
 		t.Fatal(err)
 	}
 	a, b := s.Classes[0], s.Classes[1]
-	if a.Effect != loadbalancer.Safe || a.Stretch != 2 || a.Kind != -1 || a.Objective != 0.1 {
+	if a.RetrySafety != loadbalancer.RetrySafe || a.Stretch != 2 || a.Kind != -1 || a.Objective != 0.1 {
 		t.Errorf("first class: %+v", a)
 	}
-	if b.Effect != loadbalancer.Keyed || b.Scope != loadbalancer.ScopeCell || b.Stretch != 3 || b.Kind != 1 || b.Window != 7 {
+	if b.RetrySafety != loadbalancer.RetryDeduplicated || b.DedupScope != loadbalancer.DedupCell || b.Stretch != 3 || b.Kind != 1 || b.DedupWindow != 7 {
 		t.Errorf("second class: %+v", b)
 	}
-	want := []loadbalancer.Field{loadbalancer.FieldInFlight, loadbalancer.FieldOther, loadbalancer.FieldFreeSlots}
+	want := []loadbalancer.ReportField{loadbalancer.FieldInFlight, loadbalancer.FieldIgnored, loadbalancer.FieldFreeSlots}
 	for i, f := range want {
-		if s.Report[i] != f {
-			t.Errorf("report field %d: %v", i, s.Report[i])
+		if s.ReportFields[i] != f {
+			t.Errorf("report field %d: %v", i, s.ReportFields[i])
 		}
 	}
-	if !s.ListOnRequest || s.ReportsByProbe || s.Zone != 1 || s.Instances != 3 || !s.TellsStart {
+	if !s.ListOnRequest || s.ReportsByProbe || s.Zone != 1 || s.Instances != 3 || !s.ReportsStart {
 		t.Errorf("settings: %+v", s)
 	}
 }
--- a/internal/dispatcher/telemetry/classes.go
+++ b/internal/dispatcher/telemetry/classes.go
@@ -6,8 +6,8 @@
 )
 
 // ResultNames are the ends of attempts as the figures name them.
-var ResultNames = [loadbalancer.Moot + 1]string{loadbalancer.OK: "ok", loadbalancer.Error: "error", loadbalancer.Full: "full", loadbalancer.Timeout: "timeout",
-	loadbalancer.ConnectFailed: "connect_failed", loadbalancer.Reset: "reset", loadbalancer.Cancelled: "cancelled", loadbalancer.Moot: "moot"}
+var ResultNames = [loadbalancer.Withdrawn + 1]string{loadbalancer.OK: "ok", loadbalancer.Error: "error", loadbalancer.Rejected: "full", loadbalancer.Timeout: "timeout",
+	loadbalancer.ConnectFailed: "connect_failed", loadbalancer.Reset: "reset", loadbalancer.Cancelled: "cancelled", loadbalancer.Withdrawn: "moot"}
 
 // Verdict is the end of a job as the figures and the request log tell it.
 type Verdict uint8
--- a/internal/dispatcher/telemetry/nodes.go
+++ b/internal/dispatcher/telemetry/nodes.go
@@ -83,7 +83,7 @@
 	n.zones, n.kinds = CleanAll(s.options.Zones), CleanAll(s.options.Kinds)
 	n.handout, n.slots, n.byWorker = newHandout(), map[placement]*slot{}, map[loadbalancer.WorkerID]*slot{}
 	n.fields.inFlight, n.fields.util = -1, -1
-	for i, f := range s.options.Settings.Report {
+	for i, f := range s.options.Settings.ReportFields {
 		switch f {
 		case loadbalancer.FieldInFlight:
 			n.fields.inFlight = i
@@ -140,17 +140,17 @@
 	for i := range members {
 		m := &members[i]
 		at := spot{m.Zone, m.Kind, m.Cell}
-		if p, in := n.handout.at[m.Name]; in && (m.State == loadbalancer.Gone || p.spot != at) {
+		if p, in := n.handout.at[m.Name]; in && (m.State == loadbalancer.Departed || p.spot != at) {
 			n.leave(m.Name)
 		}
-		if m.State != loadbalancer.Gone {
+		if m.State != loadbalancer.Departed {
 			entering[m.Name] = at
 		}
 	}
 	room := s.options.Nodes - len(n.handout.at)
 	for i := range members { // in the list's order, so that each dispatcher leaves out the same
 		m := &members[i]
-		if _, in := n.handout.at[m.Name]; !in && m.State != loadbalancer.Gone {
+		if _, in := n.handout.at[m.Name]; !in && m.State != loadbalancer.Departed {
 			if room--; room < 0 {
 				delete(entering, m.Name)
 			}
@@ -159,7 +159,7 @@
 	s.values[n.without] = float64(max(0, -room))
 	n.handout.enter(entering)
 	for i := range members {
-		if m := &members[i]; m.State != loadbalancer.Gone {
+		if m := &members[i]; m.State != loadbalancer.Departed {
 			if p, in := n.handout.at[m.Name]; in {
 				s.hold(p, m)
 			}
@@ -170,7 +170,7 @@
 // leave has a node let go of its slot. What is still out at it is counted there until somebody else has it.
 func (n *nodes) leave(node string) {
 	if sl := n.slots[n.handout.at[node]]; sl != nil && sl.node == node {
-		sl.state = loadbalancer.Gone
+		sl.state = loadbalancer.Departed
 	}
 	n.handout.leave(node)
 }
@@ -268,7 +268,7 @@
 		for i := nodeState; i < nodeFigures; i++ {
 			v[i] = absent
 		}
-		if sl.state == loadbalancer.Gone {
+		if sl.state == loadbalancer.Departed {
 			continue
 		}
 		v[nodeState] = float64(sl.state)
@@ -285,9 +285,9 @@
 		if !ok {
 			continue
 		}
-		v[nodeOwn], v[nodeCeiling], v[nodeUtilCeil], v[nodeRoom] = st.Own, st.Ceiling, st.UtilCeil, st.Room
-		v[nodePace], v[nodeErrors], v[nodeWarmth], v[nodeColdSent] = st.Pace, st.Errors, st.Warmth, st.ColdSent
-		if v[nodeShunned] = 0; st.Shunned {
+		v[nodeOwn], v[nodeCeiling], v[nodeUtilCeil], v[nodeRoom] = st.OwnSlots, st.LoadLimit, st.UtilizationLimit, st.SpareCapacity
+		v[nodePace], v[nodeErrors], v[nodeWarmth], v[nodeColdSent] = st.Pace, st.ErrorRate, st.Warmth, st.SlowStartWork
+		if v[nodeShunned] = 0; st.Ejected {
 			v[nodeShunned] = 1
 		}
 	}
@@ -297,7 +297,7 @@
 func (s *Set) Held() (held []Held) {
 	n := &s.nodes
 	for _, sl := range n.order {
-		if p := n.handout.at[sl.node]; sl.state != loadbalancer.Gone && n.slots[p] == sl {
+		if p := n.handout.at[sl.node]; sl.state != loadbalancer.Departed && n.slots[p] == sl {
 			held = append(held, Held{n.spotName(p.spot), p.slot, sl.node})
 		}
 	}
--- a/internal/dispatcher/telemetry/set.go
+++ b/internal/dispatcher/telemetry/set.go
@@ -15,7 +15,7 @@
 	Kinds    []string
 	Nodes    int // nodes that have series of their own at one time, at most; 0 is none
 	// Standing tells what the decisions hold of a worker, for the series of its node; nil is nothing.
-	Standing func(worker loadbalancer.WorkerID) (loadbalancer.Standing, bool)
+	Standing func(worker loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool)
 	Now      func() float64 // the core's clock, for the age of reports; nil leaves ages out
 	Log      func(line string)
 }
--- a/internal/dispatcher/telemetry/telemetry_test.go
+++ b/internal/dispatcher/telemetry/telemetry_test.go
@@ -16,7 +16,7 @@
 func newSet(o Options) *Set {
 	o.Classes = []string{"score", "charge"}
 	o.Zones, o.Kinds = []string{"milano", "torino"}, []string{"two-core"}
-	o.Settings.Report = []loadbalancer.Field{loadbalancer.FieldUtilization, loadbalancer.FieldInFlight}
+	o.Settings.ReportFields = []loadbalancer.ReportField{loadbalancer.FieldUtilization, loadbalancer.FieldInFlight}
 	return New(o)
 }
 
@@ -437,8 +437,8 @@
 // Whoever counts beside us at the end of a period sees what nodes have, and none where nobody is.
 func TestNodeGauges(t *testing.T) {
 	now := 100.0
-	s := newSet(Options{Nodes: 10, Now: func() float64 { return now }, Standing: func(id loadbalancer.WorkerID) (loadbalancer.Standing, bool) {
-		return loadbalancer.Standing{Room: -1.5, Ceiling: 4, Shunned: true}, id == 1
+	s := newSet(Options{Nodes: 10, Now: func() float64 { return now }, Standing: func(id loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
+		return loadbalancer.WorkerStatus{SpareCapacity: -1.5, LoadLimit: 4, Ejected: true}, id == 1
 	}})
 	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
 	s.Reported(1, 98, []float32{0.5, 3}, false)
@@ -450,7 +450,7 @@
 			t.Errorf("%s is %v, want %v", name, v, want)
 		}
 	}
-	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Gone)})
+	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Departed)})
 	if v, there := readAll(t, s.Close(2, 1))["nodes.milano.two-core.0.0.state"]; there {
 		t.Errorf("a slot that nobody holds has state %v", v)
 	}
@@ -460,8 +460,8 @@
 func BenchmarkClose(b *testing.B) {
 	for _, n := range []int{10, 1000, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := newSet(Options{Nodes: n, Now: func() float64 { return 1 }, Standing: func(loadbalancer.WorkerID) (loadbalancer.Standing, bool) {
-				return loadbalancer.Standing{Room: 1.25, Ceiling: 4.4, Pace: 1.01}, true
+			s := newSet(Options{Nodes: n, Now: func() float64 { return 1 }, Standing: func(loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
+				return loadbalancer.WorkerStatus{SpareCapacity: 1.25, LoadLimit: 4.4, Pace: 1.01}, true
 			}})
 			var members []dispatch.Member
 			for i := range n {
--- a/internal/shared/capacity/capacity_test.go
+++ b/internal/shared/capacity/capacity_test.go
@@ -19,15 +19,15 @@
 		{"a clean finish between", []float64{11, -3, 11}, 11, 1.1},
 		{"many", []float64{11, 11, 11, 11, 11, 11, 11, 11, 11, 11, 11, 11, 11, 11, 11, 11}, size * 0.5, 0.85},
 	} {
-		got := Seed(size)
+		got := InitialLimits(size)
 		for _, load := range c.loads {
 			if load < 0 {
-				got.Clean(-load, size)
+				got.RecordSuccess(-load, size)
 			} else {
-				got.Strike(load, size)
+				got.RecordOverload(load, size)
 			}
 		}
-		if got.Load < c.load-1e-9 || got.Load > c.load+1e-9 || got.Util < c.util-1e-9 || got.Util > c.util+1e-9 {
+		if got.Load < c.load-1e-9 || got.Load > c.load+1e-9 || got.Utilization < c.util-1e-9 || got.Utilization > c.util+1e-9 {
 			t.Errorf("%s: %+v, not %v and %v", c.name, got, c.load, c.util)
 		}
 	}
@@ -38,31 +38,31 @@
 func TestCeilingsStayWithinTheirBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.Float64Range(1, 100).Draw(t, "size")
-		c := Seed(size)
+		c := InitialLimits(size)
 		t.Repeat(map[string]func(*rapid.T){
 			"strike": func(t *rapid.T) {
 				was := c
-				c.Strike(rapid.Float64Range(0, 2*size).Draw(t, "load"), size)
-				if c.Load > was.Load || c.Util > was.Util || c.Load < was.Load*cutStep-1e-9 && c.Load > floorShare*size+1e-9 {
+				c.RecordOverload(rapid.Float64Range(0, 2*size).Draw(t, "load"), size)
+				if c.Load > was.Load || c.Utilization > was.Utilization || c.Load < was.Load*cutStep-1e-9 && c.Load > floorShare*size+1e-9 {
 					t.Fatalf("%+v, was %+v", c, was)
 				}
 			},
 			"clean": func(t *rapid.T) {
 				was := c
-				c.Clean(rapid.Float64Range(0, 2*size).Draw(t, "load"), size)
-				if c.Load < was.Load || c.Util < was.Util {
+				c.RecordSuccess(rapid.Float64Range(0, 2*size).Draw(t, "load"), size)
+				if c.Load < was.Load || c.Utilization < was.Utilization {
 					t.Fatalf("%+v, was %+v", c, was)
 				}
 			},
 			"time": func(t *rapid.T) {
 				was := c
 				c.Recover(size, rapid.Float64Range(0, 1).Draw(t, "share"))
-				if c.Load < was.Load || c.Util < was.Util {
+				if c.Load < was.Load || c.Utilization < was.Utilization {
 					t.Fatalf("%+v, was %+v", c, was)
 				}
 			},
 			"": func(t *rapid.T) {
-				if c.Load < floorShare*size-1e-9 || c.Load > GrowMargin*size+1e-9 || c.Util < utilFloor-1e-9 || c.Util > SeedMargin+1e-9 {
+				if c.Load < floorShare*size-1e-9 || c.Load > GrowthMargin*size+1e-9 || c.Utilization < utilFloor-1e-9 || c.Utilization > InitialMargin+1e-9 {
 					t.Fatalf("%+v for a size of %v", c, size)
 				}
 			},
@@ -71,12 +71,12 @@
 }
 
 func TestCleanFinishesWeighLessThanFailures(t *testing.T) {
-	c := Seed(10)
+	c := InitialLimits(10)
 	for range 20 {
-		c.Strike(c.Load, 10)
-		c.Clean(c.Load, 10)
-		c.Strike(c.Load, 10)
-		c.Strike(c.Load, 10)
+		c.RecordOverload(c.Load, 10)
+		c.RecordSuccess(c.Load, 10)
+		c.RecordOverload(c.Load, 10)
+		c.RecordOverload(c.Load, 10)
 	}
 	if c.Load > 0.6*10 {
 		t.Errorf("ceiling %v where one finish in four is clean", c.Load)
@@ -86,35 +86,35 @@
 func TestChoiceOrders(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		offers []Offer
+		offers []Candidate
 		want   int
 	}{
-		{"rank before all", []Offer{{1, 0, 9}, {0, 5, -9}}, 1},
-		{"then distance", []Offer{{1, 2, 9}, {1, 1, 0}}, 1},
-		{"then room", []Offer{{0, 0, 1}, {0, 0, 2}, {0, 0, 1.5}}, 1},
-		{"least over its ceiling", []Offer{{2, 0, -7}, {2, 0, -3}}, 1},
+		{"rank before all", []Candidate{{1, 0, 9}, {0, 5, -9}}, 1},
+		{"then distance", []Candidate{{1, 2, 9}, {1, 1, 0}}, 1},
+		{"then room", []Candidate{{0, 0, 1}, {0, 0, 2}, {0, 0, 1.5}}, 1},
+		{"least over its ceiling", []Candidate{{2, 0, -7}, {2, 0, -3}}, 1},
 	} {
-		var choice Choice[int]
-		random := Source(1)
+		var choice Selection[int]
+		random := Random(1)
 		for i, o := range c.offers {
 			choice.Add(i, o, &random)
 		}
-		if choice.Best != c.want || choice.Offer != c.offers[c.want] || random != 1 {
+		if choice.Best != c.want || choice.Candidate != c.offers[c.want] || random != 1 {
 			t.Errorf("%s: %+v", c.name, choice)
 		}
 	}
-	if empty := (Choice[int]{}); empty.Found {
+	if empty := (Selection[int]{}); empty.Found {
 		t.Error("nothing was offered, and something found")
 	}
 }
 
 func TestTiesShareEvenly(t *testing.T) {
-	random := Source(3)
+	random := Random(3)
 	var seen [4]int
 	for range 8000 {
-		var choice Choice[int]
+		var choice Selection[int]
 		for i := range seen {
-			choice.Add(i, Offer{Room: 1}, &random)
+			choice.Add(i, Candidate{SpareCapacity: 1}, &random)
 		}
 		seen[choice.Best]++
 	}
@@ -126,13 +126,13 @@
 }
 
 func TestWhatHitsAllBlamesNobody(t *testing.T) {
-	var alone, together Standing
+	var alone, together Ejection
 	convicted := 0
 	for range 10 {
-		if alone.Blame(1, 0.05) {
+		if alone.RecordOutcome(1, 0.05) {
 			convicted++
 		}
-		if together.Blame(1, together.Errors) {
+		if together.RecordOutcome(1, together.ErrorRate) {
 			t.Fatal("set aside though its peers fail as often")
 		}
 	}
@@ -142,18 +142,18 @@
 }
 
 func TestSetAsideLongerEachTime(t *testing.T) {
-	var s Standing
+	var s Ejection
 	spans := []float64{}
 	now := 0.0
 	for range 6 {
-		if !s.SetAside(now, 1, 10) {
+		if !s.Eject(now, 1, 10) {
 			t.Fatal("not set aside")
 		}
-		if s.SetAside(now, 1, 10) {
+		if s.Eject(now, 1, 10) {
 			t.Fatal("set aside twice")
 		}
-		spans = append(spans, s.ShunFor)
-		now = s.ShunUntil
+		spans = append(spans, s.LastDuration)
+		now = s.EjectedUntil
 	}
 	for i, want := range []float64{1, 2, 4, 8, 10, 10} {
 		if spans[i] != want {
@@ -161,9 +161,9 @@
 		}
 	}
 	for range 30 {
-		s.Blame(0, 0)
+		s.RecordOutcome(0, 0)
 	}
-	if s.ShunFor != 0 {
+	if s.LastDuration != 0 {
 		t.Error("clean finishes have not forgiven")
 	}
 }
--- a/internal/shared/capacity/room.go
+++ b/internal/shared/capacity/room.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Spare is the room of the plan: the load ceiling, as far as the worker is warm, less its load.
-func Spare(ceiling, warmth, load float64) float64 { return ceiling*warmth - load }
+// SpareCapacity is the room of the plan: the load ceiling, as far as the worker is warm, less its load.
+func SpareCapacity(ceiling, warmth, load float64) float64 { return ceiling*warmth - load }
 
 // Warmth is the share of its capacity that a worker is sure to have so long after a start that it returned
 // from cold: at first the least share, and all of it after span.
--- a/internal/system/placement/aim_test.go
+++ b/internal/system/placement/aim_test.go
@@ -17,7 +17,7 @@
 		ask := func(service string, route *configuration.Route) {
 			r := testRequest(testStart, service, route)
 			if c, refusal := p.Place(testStart, r); refusal == nil {
-				p.Ended(testStart, p.Sent(testStart, r, c), Served, Progress{})
+				p.EndAttempt(testStart, p.StartAttempt(testStart, r, c), Succeeded, Progress{})
 			}
 		}
 		ask("llm", long)
--- a/internal/system/placement/budget_test.go
+++ b/internal/system/placement/budget_test.go
@@ -63,7 +63,7 @@
 // tell tells a proxy of all there are.
 func (f *fleet) tell(p *fleetProxy) {
 	if !f.keys {
-		p.placer.SetProxies(f.now, len(f.proxies))
+		p.placer.SetProxyCount(f.now, len(f.proxies))
 		return
 	}
 	var keys []uint64
@@ -96,7 +96,7 @@
 	if f.keys {
 		p.placer.SetPeers(f.now, p.key, keys)
 	} else {
-		p.placer.SetProxies(f.now, n)
+		p.placer.SetProxyCount(f.now, n)
 	}
 }
 
@@ -109,17 +109,17 @@
 	if refusal != nil {
 		return c, nil
 	}
-	if len(r.Tried) > 0 {
+	if len(r.TriedRunners) > 0 {
 		f.repeats = append(f.repeats, f.now)
 	} else {
 		f.firsts = append(f.firsts, f.now)
 	}
 	for i := range f.runners {
-		if w := &f.runners[i]; w.ID == c.Runner && f.now < w.ColdUntil {
+		if w := &f.runners[i]; w.ID == c.Runner && f.now < w.SlowStartUntil {
 			f.colds[w.ID] = append(f.colds[w.ID], f.now)
 		}
 	}
-	a := p.placer.Sent(f.now, r, c)
+	a := p.placer.StartAttempt(f.now, r, c)
 	return c, a
 }
 
@@ -144,7 +144,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		runners := testRunners("api", 3)
 		for i := range runners {
-			runners[i].ColdUntil = testStart + time.Hour
+			runners[i].SlowStartUntil = testStart + time.Hour
 		}
 		f := newFleet(t, runners)
 		f.services[0].SlowStartRate = rapid.SampledFrom([]float64{0, 2, 9, 40}).Draw(t, "rate")
@@ -187,7 +187,7 @@
 func TestColdRunnersAreUsed(t *testing.T) {
 	for _, n := range []int{1, 7, 18, 60} {
 		runners := testRunners("api", 1)
-		runners[0].ColdUntil = testStart + time.Hour
+		runners[0].SlowStartUntil = testStart + time.Hour
 		keys := make([]uint64, n)
 		for i := range keys {
 			keys[i] = uint64(i+1) * 0x9e3779b97f4a7c15
@@ -204,7 +204,7 @@
 				c, refusal := p.Place(now, r)
 				if refusal == nil {
 					sent++
-					p.Ended(now, p.Sent(now, r, c), Served, Progress{Took: time.Millisecond})
+					p.EndAttempt(now, p.StartAttempt(now, r, c), Succeeded, Progress{Duration: time.Millisecond})
 				}
 			}
 		}
@@ -242,7 +242,7 @@
 				f.repeatedly(p, eager)
 			}
 		}
-		f.checkBudget(options.RetryRatio, options.RetryExtra, options.RetryWindow)
+		f.checkBudget(options.RetryRatio, options.RetryAllowance, options.RetryWindow)
 	})
 }
 
@@ -259,8 +259,8 @@
 		if a == nil {
 			return
 		}
-		p.placer.Ended(f.now, a, Broken, Progress{})
-		r.Tried, r.MayHaveRun = append(r.Tried, c.Runner), true
+		p.placer.EndAttempt(f.now, a, Interrupted, Progress{})
+		r.TriedRunners, r.MayHaveRun = append(r.TriedRunners, c.Runner), true
 	}
 }
 
@@ -299,9 +299,9 @@
 		if refusal != nil {
 			t.Fatal(refusal)
 		}
-		p.Ended(now, p.Sent(now, r, c), Served, Progress{Took: time.Millisecond})
-		if r.Tried = []string{c.Runner}; i%10 == 0 && p.MayRetry(now, r) {
-			p.Ended(now, p.Sent(now, r, c), Served, Progress{Took: time.Millisecond})
+		p.EndAttempt(now, p.StartAttempt(now, r, c), Succeeded, Progress{Duration: time.Millisecond})
+		if r.TriedRunners = []string{c.Runner}; i%10 == 0 && p.MayRetry(now, r) {
+			p.EndAttempt(now, p.StartAttempt(now, r, c), Succeeded, Progress{Duration: time.Millisecond})
 			allowed++
 		}
 	}
@@ -321,9 +321,9 @@
 				t.Fatalf("request %d: no second attempt", i)
 			}
 			c := Choice{Runner: fmt.Sprintf("api-%d", try)}
-			a := p.Sent(now, r, c)
-			r.Tried = append(r.Tried, c.Runner)
-			p.Ended(now, a, []Outcome{Unreached, Served}[try], Progress{Took: time.Millisecond})
+			a := p.StartAttempt(now, r, c)
+			r.TriedRunners = append(r.TriedRunners, c.Runner)
+			p.EndAttempt(now, a, []Outcome{ConnectFailed, Succeeded}[try], Progress{Duration: time.Millisecond})
 		}
 	}
 }
--- a/internal/system/placement/choose.go
+++ b/internal/system/placement/choose.go
@@ -19,14 +19,14 @@
 )
 
 // Place says which runner takes a request, or refuses it. A choice is booked only by Sent.
-func (p *Placer) Place(now time.Duration, r *Request) (Choice, *Refusal) {
+func (p *Placer) Place(now time.Duration, r *Request) (Choice, *Rejection) {
 	p.begin(now)
 	s := p.services[r.Service]
 	if s == nil || len(s.runners) == 0 {
-		return Choice{}, &Refusal{RetryAfter: p.backoff(now, r, 0), Reason: "no runner of the service is known"}
+		return Choice{}, &Rejection{RetryAfter: p.backoff(now, r, 0), Reason: "no runner of the service is known"}
 	}
 	if r.repeats() && !s.budget.allows(now, p.retryRules()) {
-		return Choice{}, &Refusal{RetryAfter: p.backoff(now, r, 0), Reason: "the retry budget is spent"}
+		return Choice{}, &Rejection{RetryAfter: p.backoff(now, r, 0), Reason: "the retry budget is spent"}
 	}
 	s.aim(r)
 	p.freshen(now, s)
@@ -34,11 +34,11 @@
 	d := p.demandOf(s, r)
 	best, rank := p.pick(now, s, r, &d)
 	if best == nil {
-		return Choice{}, &Refusal{RetryAfter: p.backoff(now, r, 0), Reason: "no runner may take the request"}
+		return Choice{}, &Rejection{RetryAfter: p.backoff(now, r, 0), Reason: "no runner may take the request"}
 	}
 	if wait := p.waitAt(s, best); (rank >= rankNoRoom || s.urgency.yields(now, r)) && p.hopeless(now, s, r, wait) {
 		s.urgency.refuse(now, r)
-		return Choice{}, &Refusal{RetryAfter: p.backoff(now, r, wait), Reason: "all runners are over their ceilings"}
+		return Choice{}, &Rejection{RetryAfter: p.backoff(now, r, wait), Reason: "all runners are over their ceilings"}
 	}
 	return Choice{Runner: best.ID, Address: best.Address, Priority: priority(s, r)}, nil
 }
@@ -50,7 +50,7 @@
 		return -1
 	}
 	order := rankFirst + rankStep*max(r.Route.Rank, 0)
-	if float64(r.TokensIn) > longPrompt*s.unit() {
+	if float64(r.InputTokens) > longPrompt*s.unit() {
 		order += longAfter
 	}
 	return min(lowest, order)
@@ -59,24 +59,24 @@
 // pick is the ordinary path: the serving runner with most room, own region first, then the nearest; if none has room,
 // the one least over its ceiling. For a prompt with shared parts, room counts more where those are kept.
 func (p *Placer) pick(now time.Duration, s *service, r *Request, d *demand) (*runner, int) {
-	var choice capacity.Choice[*runner]
+	var choice capacity.Selection[*runner]
 	owners := p.ownersOf(now, s, r, d)
 	shared := s.sharedCause()
 	for _, w := range s.runners {
 		if !p.may(now, r, w) {
 			continue
 		}
-		offer := capacity.Offer{Rank: p.rank(now, r, w, d, &owners, shared)}
+		offer := capacity.Candidate{Rank: p.rank(now, r, w, d, &owners, shared)}
 		if offer.Rank == rankRoomAway {
 			offer.Distance = p.distance(w)
 		}
-		offer.Room = w.room + p.preference(s, w, d, &owners)
+		offer.SpareCapacity = w.room + p.preference(s, w, d, &owners)
 		choice.Add(w, offer, &p.random)
 	}
 	if !choice.Found {
 		return nil, rankNone
 	}
-	return choice.Best, choice.Offer.Rank
+	return choice.Best, choice.Candidate.Rank
 }
 
 // rank orders runners for a request.
@@ -84,7 +84,7 @@
 	switch {
 	case r.tried(w):
 		return rankTried
-	case w.standing.Shunned(now.Seconds()) || !shared && w.doubtful(now):
+	case w.standing.IsEjected(now.Seconds()) || !shared && w.doubtful(now):
 		return rankSetAside
 	case w.doubtful(now):
 		return rankNoRoom // so many are suspect at once that those left could not bear the load alone
@@ -129,11 +129,11 @@
 	switch {
 	case !w.here || w.Draining || p.evac[w.Zone]:
 		return false
-	case w.GoneAt > 0 && now+p.expectedEnd(w, r) > w.GoneAt:
+	case w.TerminatesAt > 0 && now+p.expectedEnd(w, r) > w.TerminatesAt:
 		return false
 	case !isHome(r, w) || !w.serves(r.Model):
 		return false
-	case w.service.isEngine() && r.TokensIn+r.TokensOut > w.service.Backend.CacheTokens:
+	case w.service.isEngine() && r.InputTokens+r.MaxOutputTokens > w.service.Backend.CacheTokens:
 		return false
 	case w.ownJobs >= p.connections(w):
 		return false
@@ -188,7 +188,7 @@
 
 // tried says whether an attempt of the request went to the runner.
 func (r *Request) tried(w *runner) bool {
-	for _, id := range r.Tried {
+	for _, id := range r.TriedRunners {
 		if id == w.ID {
 			return true
 		}
@@ -197,7 +197,7 @@
 }
 
 // repeats says whether another attempt of the request would arrive after one that may have arrived.
-func (r *Request) repeats() bool { return len(r.Tried) > r.unreached }
+func (r *Request) repeats() bool { return len(r.TriedRunners) > r.connectFailures }
 
 // waitAt is how long a request would wait at a runner before its prompt is read, or its slot is free; seconds.
 func (p *Placer) waitAt(s *service, w *runner) float64 {
--- a/internal/system/placement/cold.go
+++ b/internal/system/placement/cold.go
@@ -7,14 +7,14 @@
 	"cinderroad/internal/shared/capacity"
 )
 
-// A cold runner may get ColdRate*ColdExcess+ColdSlack requests in any second from all proxies together. Each proxy has an
+// A cold runner may get ColdRate*SlowStartFactor+SlowStartAllowance requests in any second from all proxies together. Each proxy has an
 // even share, which it spends evenly spaced: so in no second it sends more than its share, whatever the others do. Where
 // there are more proxies than the runner bears requests, only those use it that come first in an order drawn from the
 // runner and the proxies' keys: whoever knows of more proxies than another comes no earlier.
 
 // isCold says whether a runner is cold, or may be: the list lags behind, and one that was silent may come back cold.
 func (w *runner) isCold(now time.Duration) bool {
-	return now < w.ColdUntil || w.service.SlowStartDuration > 0 && (w.suspect || now < w.guarded)
+	return now < w.SlowStartUntil || w.service.SlowStartDuration > 0 && (w.suspect || now < w.guarded)
 }
 
 // coldRoom says whether this proxy may send to a cold runner now.
@@ -27,7 +27,7 @@
 	if p.proxies == 0 || now < p.joined {
 		return 0 // the others may not count this one yet, and its last life may have sent just now
 	}
-	bound := coldShare * (w.service.SlowStartRate*p.options.ColdExcess + p.options.ColdSlack)
+	bound := coldShare * (w.service.SlowStartRate*p.options.SlowStartFactor + p.options.SlowStartAllowance)
 	n := float64(p.proxies)
 	share := math.Floor(math.Min(bound/(n+1), math.Max(w.service.SlowStartRate/n, 1)))
 	if share < 1 && p.isHolder(w, int(bound)) {
@@ -44,9 +44,9 @@
 	if len(p.peers) == 0 {
 		return false
 	}
-	mine, place := capacity.Scatter(w.key^p.self), 0
+	mine, place := capacity.Hash(w.key^p.self), 0
 	for _, x := range p.peers {
-		if capacity.Scatter(w.key^x.key) < mine {
+		if capacity.Hash(w.key^x.key) < mine {
 			place++
 		}
 	}
--- a/internal/system/placement/heard.go
+++ b/internal/system/placement/heard.go
@@ -14,15 +14,15 @@
 
 // The kinds of notices.
 const (
-	NoticeReads   NoticeKind = iota + 1 // the runner is to read a prompt
-	NoticeAnswers                       // the runner had been silent and answers again
+	NoticePrefill  NoticeKind = iota + 1 // the runner is to read a prompt
+	NoticeRecovery                       // the runner had been silent and answers again
 )
 
 // Notice is what a proxy tells others of a runner.
 type Notice struct {
-	Kind   NoticeKind
-	Runner uint64 // its key
-	Tokens int    // of the prompt, where there is one
+	Kind      NoticeKind
+	RunnerKey uint64 // its key
+	Tokens    int    // of the prompt, where there is one
 }
 
 // unread is what a runner has yet to read of all prompts that are known. It grows by each prompt and shrinks at the speed
@@ -50,21 +50,21 @@
 	return s.speed / s.unit()
 }
 
-// Heard takes the notice of another proxy.
-func (p *Placer) Heard(now time.Duration, notice Notice) {
+// HandleNotice takes the notice of another proxy.
+func (p *Placer) HandleNotice(now time.Duration, notice Notice) {
 	p.begin(now)
-	if notice.Kind == NoticeReads {
+	if notice.Kind == NoticePrefill {
 		p.heard, p.heardAt = true, now
 		p.heardCount++
 	}
-	w := p.byKey[notice.Runner]
+	w := p.byKey[notice.RunnerKey]
 	if w == nil {
 		return
 	}
 	switch notice.Kind {
-	case NoticeReads:
+	case NoticePrefill:
 		p.heardReading(now, w, notice.Tokens)
-	case NoticeAnswers:
+	case NoticeRecovery:
 		w.answered(now)
 	}
 }
@@ -79,13 +79,13 @@
 	w.load, w.room = w.load+slots, w.room-slots
 }
 
-// ReadingNotice is what the other proxies are to be told of an attempt that was sent; false: its prompt is too short to
+// PrefillNotice is what the other proxies are to be told of an attempt that was sent; false: its prompt is too short to
 // matter.
-func (a *Attempt) ReadingNotice() (Notice, bool) {
+func (a *Attempt) PrefillNotice() (Notice, bool) {
 	if !a.worthTelling {
 		return Notice{}, false
 	}
-	return Notice{Kind: NoticeReads, Runner: a.runner.key, Tokens: int(a.prefill)}, true
+	return Notice{Kind: NoticePrefill, RunnerKey: a.runner.key, Tokens: int(a.prefill)}, true
 }
 
 // paceNotices has longer prompts alone told while too many notices come: all proxies hear the same, so each would spend its
@@ -99,13 +99,13 @@
 	p.heardCount = 0
 }
 
-// AnswersNotice is what the other proxies are to be told of an attempt whose answer has begun; false: nothing, since the
+// RecoveryNotice is what the other proxies are to be told of an attempt whose answer has begun; false: nothing, since the
 // runner had not been silent before.
-func (a *Attempt) AnswersNotice() (Notice, bool) {
+func (a *Attempt) RecoveryNotice() (Notice, bool) {
 	if !a.returned {
 		return Notice{}, false
 	}
-	return Notice{Kind: NoticeAnswers, Runner: a.runner.key}, true
+	return Notice{Kind: NoticeRecovery, RunnerKey: a.runner.key}, true
 }
 
 // informed says whether the prompts that other proxies send to runners are known.
--- a/internal/system/placement/heard_test.go
+++ b/internal/system/placement/heard_test.go
@@ -9,7 +9,7 @@
 
 // tellReading has a placer hear that another proxy has a runner read a prompt.
 func tellReading(p *Placer, now time.Duration, id string, tokens int) {
-	p.Heard(now, Notice{Kind: NoticeReads, Runner: xxhash.Sum64String(id), Tokens: tokens})
+	p.HandleNotice(now, Notice{Kind: NoticePrefill, RunnerKey: xxhash.Sum64String(id), Tokens: tokens})
 }
 
 // westRequest is a request of the placer's region that is served by an engine.
@@ -54,14 +54,14 @@
 	p.services["llm"].speed = 1000
 	tellReading(p, testStart, "llm-1", 1)
 	r := westRequest(testStart)
-	r.Parts, r.TokensIn = nil, 6250
-	a := p.Sent(testStart, r, Choice{Runner: "llm-0"})
+	r.Chunks, r.InputTokens = nil, 6250
+	a := p.StartAttempt(testStart, r, Choice{Runner: "llm-0"})
 	load := p.runners["llm-0"].load
 	p.freshen(testStart+freshPlan, p.services["llm"])
 	if now := p.runners["llm-0"].load; now > load+0.1 {
 		t.Errorf("a load of %.2f became %.2f by a new plan", load, now)
 	}
-	if notice, worth := a.ReadingNotice(); !worth || notice.Tokens != 6250 {
+	if notice, worth := a.PrefillNotice(); !worth || notice.Tokens != 6250 {
 		t.Errorf("the others are told %+v, %v", notice, worth)
 	}
 }
@@ -71,11 +71,11 @@
 	p := testPlacer(t, append(testRunners("llm", 3), testRunners("api", 3)...))
 	for _, service := range []string{"llm", "api"} {
 		r := testRequest(testStart, service, testRoute())
-		if notice, worth := p.Sent(testStart, r, Choice{Runner: service + "-0"}).ReadingNotice(); worth {
+		if notice, worth := p.StartAttempt(testStart, r, Choice{Runner: service + "-0"}).PrefillNotice(); worth {
 			t.Errorf("%s: the others are told %+v", service, notice)
 		}
 	}
-	if notice, worth := p.Sent(testStart, westRequest(testStart), Choice{Runner: "gone"}).ReadingNotice(); worth {
+	if notice, worth := p.StartAttempt(testStart, westRequest(testStart), Choice{Runner: "gone"}).PrefillNotice(); worth {
 		t.Errorf("of a runner that has left the others are told %+v", notice)
 	}
 }
@@ -87,8 +87,8 @@
 	for _, p := range []*Placer{deaf, hearing} {
 		p.services["llm"].speed = 20000
 		r := westRequest(testStart)
-		r.Parts, r.TokensIn = nil, 20000
-		p.Sent(testStart, r, Choice{Runner: "llm-0"})
+		r.Chunks, r.InputTokens = nil, 20000
+		p.StartAttempt(testStart, r, Choice{Runner: "llm-0"})
 	}
 	tellReading(hearing, testStart, "llm-1", 100)
 	for now := testStart; now <= end; now += planPeriod {
@@ -117,8 +117,8 @@
 		p.self = self
 	}
 	now := testStart
-	a := p.Sent(now, westRequest(now), Choice{Runner: w.ID})
-	p.Ended(now, a, Unreached, Progress{})
+	a := p.StartAttempt(now, westRequest(now), Choice{Runner: w.ID})
+	p.EndAttempt(now, a, ConnectFailed, Progress{})
 	minute := now + time.Minute
 	for ; now < minute; now += planPeriod {
 		p.Tick(now)
@@ -126,7 +126,7 @@
 	if p.may(now, westRequest(now), w) {
 		t.Fatal("a runner that was silent, and may be cold, is used by a proxy that has no share of it")
 	}
-	p.Heard(now, Notice{Kind: NoticeAnswers, Runner: w.key})
+	p.HandleNotice(now, Notice{Kind: NoticeRecovery, RunnerKey: w.key})
 	if p.may(now, westRequest(now), w) {
 		t.Error("it is used before the list can show that it is cold")
 	}
@@ -142,15 +142,15 @@
 func TestWhoFindsARunnerBackTellsTheOthers(t *testing.T) {
 	p := testPlacer(t, testRunners("llm", 3))
 	now := testStart
-	p.Ended(now, p.Sent(now, westRequest(now), Choice{Runner: "llm-0"}), Silent, Progress{})
+	p.EndAttempt(now, p.StartAttempt(now, westRequest(now), Choice{Runner: "llm-0"}), TimedOut, Progress{})
 	for _, want := range []bool{true, false} {
 		now += time.Second
-		a := p.Sent(now, westRequest(now), Choice{Runner: "llm-0"})
-		if _, worth := a.AnswersNotice(); worth {
+		a := p.StartAttempt(now, westRequest(now), Choice{Runner: "llm-0"})
+		if _, worth := a.RecoveryNotice(); worth {
 			t.Error("the others are told before anything came")
 		}
-		p.FirstEvent(now, a)
-		if notice, worth := a.AnswersNotice(); worth != want || worth && notice != (Notice{Kind: NoticeAnswers, Runner: a.runner.key}) {
+		p.HandleFirstEvent(now, a)
+		if notice, worth := a.RecoveryNotice(); worth != want || worth && notice != (Notice{Kind: NoticeRecovery, RunnerKey: a.runner.key}) {
 			t.Errorf("the others are told %+v, %v; want %v", notice, worth, want)
 		}
 	}
@@ -161,8 +161,8 @@
 	p := testPlacer(t, testRunners("llm", 3))
 	told := func(now time.Duration) bool {
 		r := westRequest(now)
-		r.Parts, r.TokensIn = nil, 4000 // of two slots and a half
-		_, worth := p.Sent(now, r, Choice{Runner: "llm-0"}).ReadingNotice()
+		r.Chunks, r.InputTokens = nil, 4000 // of two slots and a half
+		_, worth := p.StartAttempt(now, r, Choice{Runner: "llm-0"}).PrefillNotice()
 		return worth
 	}
 	hear := func(now time.Duration, seconds int, rate float64) time.Duration {
@@ -190,9 +190,9 @@
 // Notices of runners that are not known change nothing.
 func TestNoticesOfUnknownRunners(t *testing.T) {
 	p := testPlacer(t, testRunners("api", 3))
-	p.Heard(testStart, Notice{Kind: NoticeReads, Runner: 7, Tokens: 1000})
-	p.Heard(testStart, Notice{Kind: NoticeAnswers, Runner: 7})
-	p.Heard(testStart, Notice{Kind: NoticeReads, Runner: p.runners["api-0"].key, Tokens: 1000})
+	p.HandleNotice(testStart, Notice{Kind: NoticePrefill, RunnerKey: 7, Tokens: 1000})
+	p.HandleNotice(testStart, Notice{Kind: NoticeRecovery, RunnerKey: 7})
+	p.HandleNotice(testStart, Notice{Kind: NoticePrefill, RunnerKey: p.runners["api-0"].key, Tokens: 1000})
 	if w := p.runners["api-0"]; w.unread.slots != 0 || w.load != 0 {
 		t.Errorf("a service without prompts reads one: %+v", w)
 	}
--- a/internal/system/placement/kept.go
+++ b/internal/system/placement/kept.go
@@ -13,20 +13,20 @@
 
 // chainOf is the hash of a prompt's shared parts in their order: all but the last, which is the request's own or its
 // session's. A prompt of a single part is its own chain. 0: there are no parts.
-func chainOf(parts []Part) uint64 {
+func chainOf(parts []Chunk) uint64 {
 	if len(parts) == 0 {
 		return 0
 	}
 	last := max(len(parts)-1, 1)
 	chain := uint64(0x9e3779b97f4a7c15)
 	for _, part := range parts[:last] {
-		chain = capacity.Scatter(chain ^ capacity.Scatter(part.ID))
+		chain = capacity.Hash(chain ^ capacity.Hash(part.ID))
 	}
 	return max(chain, 1)
 }
 
 // lastShared is the length of the last of a prompt's shared parts, in tokens.
-func lastShared(parts []Part) float64 {
+func lastShared(parts []Chunk) float64 {
 	if len(parts) < 2 {
 		return 0
 	}
@@ -54,10 +54,10 @@
 	}
 	o.wide = p.isWide(r, d)
 	for _, w := range s.runners {
-		if w.Draining || w.GoneAt > 0 || now < w.ColdUntil || p.evac[w.Zone] || !isHome(r, w) || !w.serves(r.Model) {
+		if w.Draining || w.TerminatesAt > 0 || now < w.SlowStartUntil || p.evac[w.Zone] || !isHome(r, w) || !w.serves(r.Model) {
 			continue
 		}
-		draw := capacity.Scatter(d.chain ^ w.key)
+		draw := capacity.Hash(d.chain ^ w.key)
 		o.regions[w.place%mostRegions].add(w, draw)
 		if o.wide {
 			o.all.add(w, draw)
@@ -71,12 +71,12 @@
 // are shared by more chains and are likely to be read anyway. How often a chain comes is guessed from how many requests
 // of the route repeat one that this proxy has lately sent, since each proxy sees few of a chain.
 func (p *Placer) isWide(r *Request, d *demand) bool {
-	if r.Route == nil || r.Bytes <= 0 || len(p.regions) < 2 {
+	if r.Route == nil || r.BodyBytes <= 0 || len(p.regions) < 2 {
 		return false
 	}
 	own := -math.Log(1 - math.Min(p.route(r.Route).again, mostAgain))
 	uses := own * math.Max(float64(p.proxies)/float64(len(p.regions)), 1)
-	return uses*float64(r.Bytes) < farBytes*d.last
+	return uses*float64(r.BodyBytes) < farBytes*d.last
 }
 
 // add keeps the two runners with the highest draws.
@@ -137,7 +137,7 @@
 
 // slot is the entry of a chain and a runner, or the one whose place it would take.
 func (k *keptMemory) slot(chain, runner uint64) *keptEntry {
-	at := 2 * (capacity.Scatter(chain^runner) % uint64(len(k.entries)/2))
+	at := 2 * (capacity.Hash(chain^runner) % uint64(len(k.entries)/2))
 	first, second := &k.entries[at], &k.entries[at+1]
 	if second.is(chain, runner) || !first.is(chain, runner) && second.at < first.at {
 		return second
--- a/internal/system/placement/kept_test.go
+++ b/internal/system/placement/kept_test.go
@@ -13,8 +13,8 @@
 	route := testRoute()
 	route.PrefixAffinity = true
 	r := testRequest(now, "llm", route)
-	r.Parts = []Part{{100 + chain%4, 2500}, {1000 + chain, 3800}, {own, 2900}}
-	r.TokensIn = 9200
+	r.Chunks = []Chunk{{100 + chain%4, 2500}, {1000 + chain, 3800}, {own, 2900}}
+	r.InputTokens = 9200
 	return r
 }
 
@@ -34,7 +34,7 @@
 				}
 			}
 			p.SetRunners(testStart, told)
-			p.SetProxies(testStart, 5)
+			p.SetProxyCount(testStart, 5)
 			for own := range uint64(5) {
 				r := chainRequest(testStart, chain, 1<<40+own)
 				c, refusal := p.Place(testStart, r)
@@ -47,7 +47,7 @@
 				}
 				owners[region] = c.Runner
 				used[c.Runner]++
-				p.Ended(testStart, p.Sent(testStart, r, c), Served, Progress{FirstAfter: time.Millisecond, Took: time.Millisecond})
+				p.EndAttempt(testStart, p.StartAttempt(testStart, r, c), Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Duration: time.Millisecond})
 			}
 		}
 	}
@@ -87,13 +87,13 @@
 		{"tokens", func(p *Placer, w *runner) { w.tokens = 100 }},
 		{"suspect", func(p *Placer, w *runner) { w.doubt(testStart) }},
 		{"draining", func(p *Placer, w *runner) { w.Draining = true }},
-		{"cold", func(p *Placer, w *runner) { w.ColdUntil = testStart + time.Minute }},
+		{"cold", func(p *Placer, w *runner) { w.SlowStartUntil = testStart + time.Minute }},
 	} {
 		for chain := range uint64(20) {
 			next := ""
 			for seed := range uint64(3) {
 				p := testPlacer(t, runners)
-				p.random = capacity.Source(seed) // drawn numbers have no part in it
+				p.random = capacity.Random(seed) // drawn numbers have no part in it
 				r := chainRequest(testStart, chain, 1<<40+seed)
 				first, _ := p.Place(testStart, r)
 				c.do(p, p.runners[first.Runner])
@@ -113,7 +113,7 @@
 // A chain that everybody asks for is not more than one runner can take: the load stays bounded.
 func TestAHotChainSpreads(t *testing.T) {
 	p := testPlacer(t, testRunners("llm", 12))
-	p.SetProxies(testStart, 1)
+	p.SetProxyCount(testStart, 1)
 	seen := map[string]int{}
 	now := testStart
 	for i := range 300 {
@@ -124,7 +124,7 @@
 		if refusal != nil {
 			t.Fatal(refusal)
 		}
-		p.Sent(now, r, c)
+		p.StartAttempt(now, r, c)
 		seen[c.Runner]++
 	}
 	for id, n := range seen {
@@ -146,24 +146,24 @@
 		want := ""
 		for range 4 {
 			r := testRequest(testStart, "llm", route)
-			r.Parts, r.TokensIn = []Part{{1<<50 + session, 4000}}, 4000
+			r.Chunks, r.InputTokens = []Chunk{{1<<50 + session, 4000}}, 4000
 			c, _ := p.Place(testStart, r)
 			if want != "" && c.Runner != want {
 				t.Fatalf("%s, then %s", want, c.Runner)
 			}
 			want = c.Runner
-			p.Ended(testStart, p.Sent(testStart, r, c), Served, Progress{FirstAfter: time.Millisecond, Took: time.Millisecond})
+			p.EndAttempt(testStart, p.StartAttempt(testStart, r, c), Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Duration: time.Millisecond})
 		}
 	}
 }
 
 func TestChainsGoByAllSharedPartsInOrder(t *testing.T) {
-	a, b, own, other := Part{1, 10}, Part{2, 20}, Part{3, 30}, Part{4, 40}
-	if chainOf([]Part{a, b, own}) != chainOf([]Part{a, b, other}) {
+	a, b, own, other := Chunk{1, 10}, Chunk{2, 20}, Chunk{3, 30}, Chunk{4, 40}
+	if chainOf([]Chunk{a, b, own}) != chainOf([]Chunk{a, b, other}) {
 		t.Error("the own part counts")
 	}
 	different := map[uint64]string{}
-	for _, parts := range [][]Part{{a, b, own}, {b, a, own}, {a, own}, {b, own}, {own}, {a, b, own, other}} {
+	for _, parts := range [][]Chunk{{a, b, own}, {b, a, own}, {a, own}, {b, own}, {own}, {a, b, own, other}} {
 		chain := chainOf(parts)
 		if was := different[chain]; was != "" || chain == 0 {
 			t.Errorf("%v is the same chain as %s", parts, was)
@@ -201,7 +201,7 @@
 // requests of the chain go there, too.
 func TestAmongManyProxiesAnOwnerStaysTheOwner(t *testing.T) {
 	p := testPlacer(t, testRunners("llm", 90))
-	p.SetProxies(testStart, 60)
+	p.SetProxyCount(testStart, 60)
 	now := testStart
 	for chain := range uint64(40) {
 		first := ""
@@ -217,13 +217,13 @@
 			if c.Runner != first {
 				t.Errorf("chain %d: request %d goes to %s, the first went to %s", chain, own, c.Runner, first)
 			}
-			a := p.Sent(now, r, c)
+			a := p.StartAttempt(now, r, c)
 			for range 3 {
 				now += planPeriod
 				p.Tick(now)
 			}
-			p.FirstEvent(now, a)
-			p.Ended(now, a, Served, Progress{FirstAfter: 300 * time.Millisecond, Took: 300 * time.Millisecond})
+			p.HandleFirstEvent(now, a)
+			p.EndAttempt(now, a, Succeeded, Progress{TimeToFirstEvent: 300 * time.Millisecond, Duration: 300 * time.Millisecond})
 		}
 	}
 }
--- a/internal/system/placement/learnt.go
+++ b/internal/system/placement/learnt.go
@@ -22,11 +22,11 @@
 
 type learntRunner struct {
 	size     float64
-	ceilings capacity.Ceilings
+	ceilings capacity.Limits
 }
 
-// Learnt encodes what should outlive a restart: ceilings by runner, speeds by service.
-func (p *Placer) Learnt() []byte {
+// Snapshot encodes what should outlive a restart: ceilings by runner, speeds by service.
+func (p *Placer) Snapshot() []byte {
 	b := []byte{learntVersion}
 	b = binary.AppendUvarint(b, uint64(len(p.services)))
 	for _, name := range sortedKeys(p.services) {
@@ -37,16 +37,16 @@
 	for _, id := range sortedKeys(p.runners) {
 		w := p.runners[id]
 		b = appendString(b, id)
-		for _, v := range []float64{w.size, w.ceilings.Load, w.ceilings.Util} {
+		for _, v := range []float64{w.size, w.ceilings.Load, w.ceilings.Utilization} {
 			b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(v)))
 		}
 	}
 	return b
 }
 
-// Recall takes what another Placer has learnt, all or nothing. What it says of a runner counts once the list names that
+// Restore takes what another Placer has learnt, all or nothing. What it says of a runner counts once the list names that
 // runner with the same number of slots.
-func (p *Placer) Recall(now time.Duration, b []byte) error {
+func (p *Placer) Restore(now time.Duration, b []byte) error {
 	p.begin(now)
 	speeds, runners, err := decodeLearnt(b)
 	if err != nil {
@@ -87,8 +87,8 @@
 	for range d.count() {
 		id := d.text()
 		l := learntRunner{size: d.number()}
-		l.ceilings.Load, l.ceilings.Util = d.number(), d.number()
-		if !d.bad && (l.size <= 0 || l.ceilings.Load <= 0 || l.ceilings.Util <= 0) {
+		l.ceilings.Load, l.ceilings.Utilization = d.number(), d.number()
+		if !d.bad && (l.size <= 0 || l.ceilings.Load <= 0 || l.ceilings.Utilization <= 0) {
 			return nil, nil, fmt.Errorf("%w: runner %q", errLearnt, id)
 		}
 		runners[id] = l
--- a/internal/system/placement/learnt_test.go
+++ b/internal/system/placement/learnt_test.go
@@ -11,7 +11,7 @@
 func taught(t testing.TB) *Placer {
 	p := testPlacer(t, append(testRunners("llm", 4), testRunners("api", 3)...))
 	p.services["llm"].speed = 38700
-	p.runners["llm-1"].ceilings.Load, p.runners["llm-1"].ceilings.Util = 40, 0.9
+	p.runners["llm-1"].ceilings.Load, p.runners["llm-1"].ceilings.Utilization = 40, 0.9
 	p.runners["api-2"].ceilings.Load = 3.5
 	return p
 }
@@ -27,7 +27,7 @@
 				p.SetRunners(testStart, told)
 			},
 			func() {
-				if err := p.Recall(testStart, old.Learnt()); err != nil {
+				if err := p.Restore(testStart, old.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
 			},
@@ -39,7 +39,7 @@
 			step()
 		}
 		for id, w := range old.runners {
-			if got := p.runners[id].ceilings; math.Abs(got.Load-w.ceilings.Load) > 1e-4 || math.Abs(got.Util-w.ceilings.Util) > 1e-6 {
+			if got := p.runners[id].ceilings; math.Abs(got.Load-w.ceilings.Load) > 1e-4 || math.Abs(got.Utilization-w.ceilings.Utilization) > 1e-6 {
 				t.Errorf("list first %v: %s: %+v, was %+v", listFirst, id, got, w.ceilings)
 			}
 		}
@@ -52,7 +52,7 @@
 // A runner of another size, or another incarnation, starts from what its size says.
 func TestLearntOfAnotherIncarnationDoesNotCount(t *testing.T) {
 	p := worldPlacer(t, "m", 2)
-	if err := p.Recall(testStart, taught(t).Learnt()); err != nil {
+	if err := p.Restore(testStart, taught(t).Snapshot()); err != nil {
 		t.Fatal(err)
 	}
 	told := testRunners("llm", 2)
@@ -65,13 +65,13 @@
 }
 
 func TestLearntThatIsCutIsRefused(t *testing.T) {
-	whole := taught(t).Learnt()
+	whole := taught(t).Snapshot()
 	for n := range whole {
-		if err := worldPlacer(t, "m", 2).Recall(testStart, whole[:n]); !errors.Is(err, errLearnt) {
+		if err := worldPlacer(t, "m", 2).Restore(testStart, whole[:n]); !errors.Is(err, errLearnt) {
 			t.Fatalf("%d of %d bytes: %v", n, len(whole), err)
 		}
 	}
-	if err := worldPlacer(t, "m", 2).Recall(testStart, append(whole, 0)); !errors.Is(err, errLearnt) {
+	if err := worldPlacer(t, "m", 2).Restore(testStart, append(whole, 0)); !errors.Is(err, errLearnt) {
 		t.Error("bytes after the end are taken")
 	}
 	if len(whole) > 250 {
@@ -83,10 +83,10 @@
 func FuzzRecall(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte{learntVersion, 0, 0})
-	f.Add(taught(f).Learnt())
+	f.Add(taught(f).Snapshot())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		p := worldPlacer(t, "m", 2)
-		if p.Recall(testStart, b) != nil {
+		if p.Restore(testStart, b) != nil {
 			if len(p.recalled) > 0 || len(p.speeds) > 0 {
 				t.Fatal("refused, and yet taken")
 			}
@@ -94,14 +94,14 @@
 		}
 		p.SetServices(testStart, testServices())
 		p.SetRunners(testStart, append(testRunners("llm", 4), testRunners("api", 3)...))
-		p.SetProxies(testStart, 2)
+		p.SetProxyCount(testStart, 2)
 		for at := testStart; at < testStart+time.Second; at += planPeriod {
 			p.Tick(at)
 		}
 		if _, refusal := p.Place(testStart+time.Second, testRequest(testStart+time.Second, "api", testRoute())); refusal != nil {
 			t.Fatal(refusal)
 		}
-		if err := worldPlacer(t, "m", 3).Recall(testStart, p.Learnt()); err != nil {
+		if err := worldPlacer(t, "m", 3).Restore(testStart, p.Snapshot()); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/system/placement/load.go
+++ b/internal/system/placement/load.go
@@ -32,9 +32,9 @@
 
 // move moves a running mean.
 func (u *usage) move(sample *usage, rate float64) {
-	capacity.Mean(&u.slots, sample.slots, rate)
-	capacity.Mean(&u.reading, sample.reading, rate)
-	capacity.Mean(&u.tokens, sample.tokens, rate)
+	capacity.UpdateMean(&u.slots, sample.slots, rate)
+	capacity.UpdateMean(&u.reading, sample.reading, rate)
+	capacity.UpdateMean(&u.tokens, sample.tokens, rate)
 }
 
 // add adds a share of another usage.
@@ -97,21 +97,21 @@
 	if !s.isEngine() {
 		return d
 	}
-	for i, part := range r.Parts {
-		if i < len(r.Parts)-1 {
+	for i, part := range r.Chunks {
+		if i < len(r.Chunks)-1 {
 			d.shared += float64(part.Tokens)
 		} else {
 			d.own += float64(part.Tokens)
 		}
 	}
-	if in := float64(r.TokensIn); in > d.own+d.shared {
+	if in := float64(r.InputTokens); in > d.own+d.shared {
 		d.own = in - d.shared
 	}
 	if r.Route != nil && r.Route.PrefixAffinity {
-		d.chain, d.last = chainOf(r.Parts), lastShared(r.Parts)
+		d.chain, d.last = chainOf(r.Chunks), lastShared(r.Chunks)
 	}
 	if r.Route != nil {
-		d.out = float64(r.TokensOut) * p.route(r.Route).outShare
+		d.out = float64(r.MaxOutputTokens) * p.route(r.Route).outShare
 	}
 	return d
 }
@@ -125,7 +125,7 @@
 	if target < s.target {
 		s.target = target
 	}
-	capacity.Mean(&s.target, target, aimRate)
+	capacity.UpdateMean(&s.target, target, aimRate)
 }
 
 // Tick rebuilds the plan of a monitoring period and says when it wants to be called again.
@@ -178,15 +178,15 @@
 	sum, n := 0.0, 0.0
 	for _, w := range s.runners {
 		p.derive(now, s, w)
-		if w.standing.Judged && !w.Draining {
+		if w.standing.Observed && !w.Draining {
 			sum, n = sum+w.room, n+1
 		}
 	}
 	for _, w := range s.runners {
-		if !w.standing.Judged && n > 0 { // not heard from yet: the mean room of the others
+		if !w.standing.Observed && n > 0 { // not heard from yet: the mean room of the others
 			w.room = math.Min(w.ceilings.Load*warmth(now, w), sum/n) - w.own.slots
 		}
-		if w.util >= w.ceilings.Util {
+		if w.util >= w.ceilings.Utilization {
 			w.room = math.Min(w.room, 0)
 		}
 	}
@@ -211,7 +211,7 @@
 		w.util = s.readingTime(math.Max(waiting, all.reading)) / (lateShare * s.target)
 		w.tokens = memoryShare*float64(s.Backend.CacheTokens) - all.tokens
 	}
-	w.room = capacity.Spare(w.ceilings.Load, warmth(now, w), w.load)
+	w.room = capacity.SpareCapacity(w.ceilings.Load, warmth(now, w), w.load)
 }
 
 // backlog is the load that waits have shown, in slots.
@@ -240,8 +240,8 @@
 	if !w.isCold(now) {
 		return 1
 	}
-	since := w.service.SlowStartDuration - max(w.ColdUntil-now, 0)
-	if now >= w.ColdUntil || w.service.SlowStartDuration <= 0 {
+	since := w.service.SlowStartDuration - max(w.SlowStartUntil-now, 0)
+	if now >= w.SlowStartUntil || w.service.SlowStartDuration <= 0 {
 		since = 0 // it may be cold, nobody knows since when
 	}
 	return capacity.Warmth(coldLoad, since.Seconds(), max(w.service.SlowStartDuration, time.Second).Seconds())
--- a/internal/system/placement/outcome.go
+++ b/internal/system/placement/outcome.go
@@ -7,8 +7,8 @@
 	"cinderroad/internal/shared/capacity"
 )
 
-// Sent books an attempt: room, tokens and budgets. A runner that has left meanwhile books nothing but the budgets.
-func (p *Placer) Sent(now time.Duration, r *Request, c Choice) *Attempt {
+// StartAttempt books an attempt: room, tokens and budgets. A runner that has left meanwhile books nothing but the budgets.
+func (p *Placer) StartAttempt(now time.Duration, r *Request, c Choice) *Attempt {
 	p.begin(now)
 	p.attempts++
 	a := &Attempt{ID: p.attempts, Runner: c.Runner, Request: r}
@@ -46,7 +46,7 @@
 	if s.kept.has(d.chain, anyRunner) {
 		seen = 1
 	}
-	capacity.Mean(&p.route(r.Route).again, seen, againRate)
+	capacity.UpdateMean(&p.route(r.Route).again, seen, againRate)
 	s.kept.note(now, d.chain, anyRunner)
 }
 
@@ -70,7 +70,7 @@
 
 // strain is a runner's load as its ceilings see it: near the utilization ceiling is as near as near the load ceiling.
 func (w *runner) strain() float64 {
-	return math.Max(w.load, w.util/w.ceilings.Util*w.ceilings.Load)
+	return math.Max(w.load, w.util/w.ceilings.Utilization*w.ceilings.Load)
 }
 
 // take books an attempt on its runner.
@@ -107,8 +107,8 @@
 	}
 }
 
-// FirstEvent takes the first event or byte of an answer: how long it took shows what waits there.
-func (p *Placer) FirstEvent(now time.Duration, a *Attempt) {
+// HandleFirstEvent takes the first event or byte of an answer: how long it took shows what waits there.
+func (p *Placer) HandleFirstEvent(now time.Duration, a *Attempt) {
 	if a.ended || a.first {
 		return
 	}
@@ -119,8 +119,8 @@
 	p.learnFirst(a, (now - a.sent).Seconds())
 }
 
-// Event takes another event of a stream.
-func (p *Placer) Event(now time.Duration, a *Attempt) {}
+// HandleEvent takes another event of a stream.
+func (p *Placer) HandleEvent(now time.Duration, a *Attempt) {}
 
 // learnFirst draws on the time to a first answer: how far the region is, how fast prompts are read, what waits.
 func (p *Placer) learnFirst(a *Attempt, took float64) {
@@ -130,26 +130,26 @@
 		*far = took
 	}
 	excess := took - p.expected(s, w, a.prefill)
-	capacity.Mean(&w.wait, math.Max(excess, 0), 2*capacity.LearnRate)
+	capacity.UpdateMean(&w.wait, math.Max(excess, 0), 2*capacity.LearningRate)
 	if s.isEngine() && a.prefill > s.unit()/16 && took > *far {
 		s.learnSpeed(a.prefill / (took - *far))
 	}
 	if a.Request.Route != nil && took > lateShare*a.Request.Route.LatencyTarget.Seconds() {
-		w.ceilings.Strike(a.load, w.size) // a late start is the early warning of a late end
+		w.ceilings.RecordOverload(a.load, w.size) // a late start is the early warning of a late end
 	}
 }
 
-// Ended takes the end of an attempt.
-func (p *Placer) Ended(now time.Duration, a *Attempt, outcome Outcome, progress Progress) {
-	if outcome == Unreached {
-		a.Request.unreached++
+// EndAttempt takes the end of an attempt.
+func (p *Placer) EndAttempt(now time.Duration, a *Attempt, outcome Outcome, progress Progress) {
+	if outcome == ConnectFailed {
+		a.Request.connectFailures++
 	}
 	if a.ended {
 		return
 	}
 	a.ended = true
 	w := a.runner
-	if !a.first && outcome == Served {
+	if !a.first && outcome == Succeeded {
 		p.firstKnown(now, a, progress)
 	}
 	w.give(a)
@@ -158,9 +158,9 @@
 
 // firstKnown takes the first answer where nobody told of it when it came.
 func (p *Placer) firstKnown(now time.Duration, a *Attempt, progress Progress) {
-	after := progress.FirstAfter
+	after := progress.TimeToFirstEvent
 	if after <= 0 {
-		after = progress.Took
+		after = progress.Duration
 	}
 	a.first = true
 	a.runner.lighten(a)
@@ -172,20 +172,20 @@
 func (p *Placer) learn(now time.Duration, a *Attempt, outcome Outcome, progress Progress) {
 	w := a.runner
 	switch outcome {
-	case Served:
+	case Succeeded:
 		p.learnServed(now, a, progress)
 		p.blame(now, w, 0)
-	case NotRun:
-		w.ceilings.Strike(math.Max(a.load, w.ceilings.Load), w.size)
+	case Rejected:
+		w.ceilings.RecordOverload(math.Max(a.load, w.ceilings.Load), w.size)
 		w.fullUntil = now + time.Duration(fullSpan*w.service.target*float64(time.Second))
-	case Failed, Broken:
-		w.ceilings.Strike(a.load, w.size)
+	case Failed, Interrupted:
+		w.ceilings.RecordOverload(a.load, w.size)
 		p.blame(now, w, 1)
-	case Silent, Unreached:
-		w.ceilings.Strike(a.load, w.size)
+	case TimedOut, ConnectFailed:
+		w.ceilings.RecordOverload(a.load, w.size)
 		w.doubt(now)
 		p.blame(now, w, 1)
-	case WrongRunner: // whoever has the address now is not the runner that was meant
+	case Misdirected: // whoever has the address now is not the runner that was meant
 		w.suspectFor = suspectMost
 		w.doubt(now)
 	}
@@ -197,37 +197,37 @@
 	if r.Route == nil {
 		return
 	}
-	stats, took := p.route(r.Route), progress.Took.Seconds()
+	stats, took := p.route(r.Route), progress.Duration.Seconds()
 	if took <= 0 {
 		took = (now - a.sent).Seconds()
 	}
-	capacity.Mean(&stats.spread, math.Abs(took-stats.took), learnSlow)
-	capacity.Mean(&stats.took, took, learnSlow)
-	capacity.Mean(&w.service.took, took, learnSlow)
-	if s := w.service; s.isEngine() && r.TokensOut > 0 && progress.Events > 0 {
-		out := float64(progress.Events*max(s.Backend.TokensPerEvent, 1)) / float64(r.TokensOut)
-		capacity.Mean(&stats.outShare, math.Min(out, 1), learnSlow)
+	capacity.UpdateMean(&stats.spread, math.Abs(took-stats.took), learnSlow)
+	capacity.UpdateMean(&stats.took, took, learnSlow)
+	capacity.UpdateMean(&w.service.took, took, learnSlow)
+	if s := w.service; s.isEngine() && r.MaxOutputTokens > 0 && progress.Events > 0 {
+		out := float64(progress.Events*max(s.Backend.TokensPerEvent, 1)) / float64(r.MaxOutputTokens)
+		capacity.UpdateMean(&stats.outShare, math.Min(out, 1), learnSlow)
 	}
 	if inTime(r, progress) {
-		w.ceilings.Clean(a.load, w.size)
+		w.ceilings.RecordSuccess(a.load, w.size)
 	} else {
-		w.ceilings.Strike(a.load, w.size)
+		w.ceilings.RecordOverload(a.load, w.size)
 	}
 }
 
 // inTime says whether an answer earns its full worth.
 func inTime(r *Request, progress Progress) bool {
-	first := progress.FirstAfter
+	first := progress.TimeToFirstEvent
 	if first <= 0 || r.Route.EventGapTarget == 0 {
-		first = progress.Took
+		first = progress.Duration
 	}
-	return first <= r.Route.LatencyTarget && (r.Route.EventGapTarget == 0 || progress.LongestGap <= r.Route.EventGapTarget)
+	return first <= r.Route.LatencyTarget && (r.Route.EventGapTarget == 0 || progress.LongestEventGap <= r.Route.EventGapTarget)
 }
 
 // blame counts a failure, 1, or a success, 0, and sets a runner aside whose attempts fail more than those of its peers.
 func (p *Placer) blame(now time.Duration, w *runner, bad float64) {
-	if w.standing.Blame(bad, w.service.peerErrors(w)) {
-		w.standing.SetAside(now.Seconds(), w.service.target, p.longest)
+	if w.standing.RecordOutcome(bad, w.service.peerErrors(w)) {
+		w.standing.Eject(now.Seconds(), w.service.target, p.longest)
 	}
 }
 
@@ -235,8 +235,8 @@
 func (s *service) peerErrors(w *runner) float64 {
 	sum, n := 0.0, 0.0
 	for _, peer := range s.runners {
-		if peer != w && peer.standing.Judged {
-			sum, n = sum+peer.standing.Errors, n+1
+		if peer != w && peer.standing.Observed {
+			sum, n = sum+peer.standing.ErrorRate, n+1
 		}
 	}
 	return sum / math.Max(n, 1)
--- a/internal/system/placement/place_test.go
+++ b/internal/system/placement/place_test.go
@@ -42,7 +42,7 @@
 func testPlacer(t testing.TB, runners []Runner) *Placer {
 	p := worldPlacer(t, "m", 1)
 	p.SetServices(testStart-5*time.Second, testServices())
-	p.SetProxies(testStart-5*time.Second, 7)
+	p.SetProxyCount(testStart-5*time.Second, 7)
 	for at := testStart - 5*time.Second; at <= testStart; at += planPeriod {
 		p.Tick(at)
 	}
@@ -51,8 +51,8 @@
 }
 
 func testRequest(now time.Duration, service string, route *configuration.Route) *Request {
-	return &Request{Route: route, Service: service, Model: "base", Arrived: now, Deadline: now + time.Second, TokensIn: 100,
-		TokensOut: 50, Parts: []Part{{1, 60}, {2, 40}}}
+	return &Request{Route: route, Service: service, Model: "base", ArrivedAt: now, Deadline: now + time.Second, InputTokens: 100,
+		MaxOutputTokens: 50, Chunks: []Chunk{{1, 60}, {2, 40}}}
 }
 
 // exclusions are the ways in which a rule keeps a runner out, each by what is told of it.
@@ -67,8 +67,8 @@
 	}
 	return map[string]func(p *Placer, runners []Runner, r *Request, now time.Duration){
 		"draining":            all(func(w *Runner) { w.Draining = true }),
-		"draining, with time": all(func(w *Runner) { w.Draining, w.GoneAt = true, testStart+time.Hour }),
-		"gone too soon":       all(func(w *Runner) { w.GoneAt = testStart + 100*time.Millisecond }),
+		"draining, with time": all(func(w *Runner) { w.Draining, w.TerminatesAt = true, testStart+time.Hour }),
+		"gone too soon":       all(func(w *Runner) { w.TerminatesAt = testStart + 100*time.Millisecond }),
 		"other models":        all(func(w *Runner) { w.Models = []string{"other"} }),
 		"other service":       all(func(w *Runner) { w.Service = "other" }),
 		"not listed": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
@@ -79,7 +79,7 @@
 			for _, w := range runners {
 				zones[w.Zone] = true
 			}
-			p.SetEvacuated(now, zones)
+			p.SetEvacuatedZones(now, zones)
 		},
 		"outside the homes": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			route := *r.Route
@@ -88,38 +88,38 @@
 		},
 		"cold and over its share": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			for i := range runners {
-				runners[i].ColdUntil = now + time.Minute
+				runners[i].SlowStartUntil = now + time.Minute
 			}
 			p.SetRunners(now, runners)
 			for _, w := range runners {
-				p.Sent(now, testRequest(now, w.Service, r.Route), Choice{Runner: w.ID})
+				p.StartAttempt(now, testRequest(now, w.Service, r.Route), Choice{Runner: w.ID})
 			}
 		},
 		"cold, and nobody counted the proxies": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			for i := range runners {
-				runners[i].ColdUntil = now + time.Minute
+				runners[i].SlowStartUntil = now + time.Minute
 			}
 			p.SetRunners(now, runners)
 			p.proxies = 0
 		},
 		"cold, and this proxy has just begun": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			for i := range runners {
-				runners[i].ColdUntil = now + time.Minute
+				runners[i].SlowStartUntil = now + time.Minute
 			}
 			p.SetRunners(now, runners)
 			p.joined = now + time.Millisecond
 		},
 		"cold, and of more proxies others may use it": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			for i := range runners {
-				runners[i].ColdUntil = now + time.Minute
+				runners[i].SlowStartUntil = now + time.Minute
 			}
 			p.SetRunners(now, runners)
-			p.SetProxies(now, 300)
+			p.SetProxyCount(now, 300)
 		},
 		"no connection left": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			for _, w := range runners {
 				for range p.connections(p.runners[w.ID]) {
-					p.Sent(now, testRequest(now, w.Service, r.Route), Choice{Runner: w.ID})
+					p.StartAttempt(now, testRequest(now, w.Service, r.Route), Choice{Runner: w.ID})
 				}
 			}
 		},
@@ -142,14 +142,14 @@
 		"fallback": func(p *Placer, r *Request) { fill(p, 1000) },
 		"set aside": func(p *Placer, r *Request) {
 			for _, w := range p.runners {
-				w.standing.ShunUntil, w.fullUntil = (testStart + time.Hour).Seconds(), testStart+time.Hour
+				w.standing.EjectedUntil, w.fullUntil = (testStart + time.Hour).Seconds(), testStart+time.Hour
 			}
 		},
 		"repeat": func(p *Placer, r *Request) {
-			r.Tried = []string{service + "-1"}
+			r.TriedRunners = []string{service + "-1"}
 			p.services[service].budget.sent(testStart, p.options.RetryWindow, false)
 		},
-		"every other tried": func(p *Placer, r *Request) { r.Tried = []string{service + "-1", service + "-2"} },
+		"every other tried": func(p *Placer, r *Request) { r.TriedRunners = []string{service + "-1", service + "-2"} },
 	} {
 		now := testStart
 		runners := testRunners(service, 3)
@@ -230,14 +230,14 @@
 		w := p.runners[service+"-0"]
 		room, tokens := w.room, w.tokens
 		r := testRequest(now, service, testRoute())
-		a := p.Sent(now, r, Choice{Runner: w.ID})
+		a := p.StartAttempt(now, r, Choice{Runner: w.ID})
 		if w.room >= room || service == "llm" && w.tokens >= tokens {
 			t.Errorf("%s: the send has not lowered room", service)
 		}
-		p.FirstEvent(now+time.Millisecond, a)
-		p.Event(now+2*time.Millisecond, a)
-		p.Ended(now+3*time.Millisecond, a, Served, Progress{FirstAfter: time.Millisecond, Events: 2, Took: 3 * time.Millisecond})
-		p.Ended(now+3*time.Millisecond, a, Served, Progress{}) // told twice
+		p.HandleFirstEvent(now+time.Millisecond, a)
+		p.HandleEvent(now+2*time.Millisecond, a)
+		p.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Events: 2, Duration: 3 * time.Millisecond})
+		p.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{}) // told twice
 		if w.room != room || w.tokens != tokens || w.own != (usage{}) || w.ownJobs != 0 || w.pending.head != nil {
 			t.Errorf("%s: %+v after the end", service, w)
 		}
@@ -282,7 +282,7 @@
 	s := p.services["api"]
 	for i, own := range []float64{2, 4, 0} {
 		w := s.runners[i]
-		w.own.slots, w.standing.Judged = own, i < 2
+		w.own.slots, w.standing.Observed = own, i < 2
 	}
 	p.plan(testStart, s)
 	if got, want := s.runners[2].room, (s.runners[0].room+s.runners[1].room)/2; got != want {
@@ -297,8 +297,8 @@
 	fail := func(n int) {
 		for range n {
 			w.load = 6
-			a := p.Sent(testStart, testRequest(testStart, "api", testRoute()), Choice{Runner: w.ID})
-			p.Ended(testStart+time.Millisecond, a, NotRun, Progress{})
+			a := p.StartAttempt(testStart, testRequest(testStart, "api", testRoute()), Choice{Runner: w.ID})
+			p.EndAttempt(testStart+time.Millisecond, a, Rejected, Progress{})
 		}
 	}
 	fail(1)
@@ -306,29 +306,29 @@
 		t.Error("one failure has cut the ceiling")
 	}
 	fail(1)
-	if w.ceilings.Load >= before.Load || w.ceilings.Util >= before.Util {
+	if w.ceilings.Load >= before.Load || w.ceilings.Utilization >= before.Utilization {
 		t.Error("two failures have not cut both ceilings")
 	}
 	fail(100)
-	if w.ceilings.Load < 0.5*w.size || w.ceilings.Util < 0.8 {
+	if w.ceilings.Load < 0.5*w.size || w.ceilings.Utilization < 0.8 {
 		t.Errorf("below the floor: %+v", w.ceilings)
 	}
 	cut := w.ceilings
 	for now := testStart; now < testStart+20*time.Second; now += planPeriod {
 		p.Tick(now)
 	}
-	if w.ceilings.Load <= cut.Load || w.ceilings.Util <= cut.Util {
+	if w.ceilings.Load <= cut.Load || w.ceilings.Utilization <= cut.Utilization {
 		t.Error("time has not raised the ceilings")
 	}
 }
 
 func TestARunnerThatIsSilentIsFoundOutByASingleRequest(t *testing.T) {
-	for _, outcome := range []Outcome{Silent, Unreached, WrongRunner} {
+	for _, outcome := range []Outcome{TimedOut, ConnectFailed, Misdirected} {
 		p := testPlacer(t, testRunners("api", 6))
 		now := testStart
 		w := p.runners["api-0"]
-		a := p.Sent(now, testRequest(now, "api", testRoute()), Choice{Runner: w.ID})
-		p.Ended(now, a, outcome, Progress{})
+		a := p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: w.ID})
+		p.EndAttempt(now, a, outcome, Progress{})
 		for range 50 {
 			if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner == w.ID {
 				t.Fatalf("outcome %d: sent there at once", outcome)
@@ -342,17 +342,17 @@
 				other.room = -5
 			}
 		}
-		w.room, w.standing.ShunUntil = 5, 0
+		w.room, w.standing.EjectedUntil = 5, 0
 		c, _ := p.Place(now, testRequest(now, "api", testRoute()))
 		if c.Runner != w.ID {
 			t.Fatalf("outcome %d: never tried again: %+v", outcome, w)
 		}
-		probe := p.Sent(now, testRequest(now, "api", testRoute()), c)
+		probe := p.StartAttempt(now, testRequest(now, "api", testRoute()), c)
 		w.coldNext = 0
 		if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner == w.ID {
 			t.Fatalf("outcome %d: a second one while the first is out", outcome)
 		}
-		p.FirstEvent(now, probe)
+		p.HandleFirstEvent(now, probe)
 		if w.suspect {
 			t.Errorf("outcome %d: it answers and is still suspect", outcome)
 		}
@@ -363,8 +363,8 @@
 	p := testPlacer(t, testRunners("api", 6))
 	now := testStart
 	for id := range p.runners {
-		a := p.Sent(now, testRequest(now, "api", testRoute()), Choice{Runner: id})
-		p.Ended(now, a, Unreached, Progress{})
+		a := p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: id})
+		p.EndAttempt(now, a, ConnectFailed, Progress{})
 	}
 	for _, w := range p.runners {
 		w.coldNext = 0
@@ -380,15 +380,15 @@
 	p.services["api"].SlowStartDuration = 0
 	now := testStart
 	for i := range 5 {
-		a := p.Sent(now, testRequest(now, "api", testRoute()), Choice{Runner: fmt.Sprintf("api-%d", i)})
-		p.Ended(now, a, Unreached, Progress{})
+		a := p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: fmt.Sprintf("api-%d", i)})
+		p.EndAttempt(now, a, ConnectFailed, Progress{})
 	}
 	if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner != "api-5" {
 		t.Errorf("sent to %s while api-5 has room", c.Runner)
 	}
 	p.runners["api-5"].room = -10
 	for _, w := range p.runners {
-		w.standing.ShunUntil = 0
+		w.standing.EjectedUntil = 0
 	}
 	if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner == "api-5" || c.Runner == "" {
 		t.Errorf("sent to %q, which is far over its ceiling", c.Runner)
@@ -397,7 +397,7 @@
 
 // sendAndLeave sends a request whose client leaves at once.
 func sendAndLeave(p *Placer, now time.Duration, id string) {
-	p.Ended(now, p.Sent(now, testRequest(now, "api", testRoute()), Choice{Runner: id}), Abandoned, Progress{})
+	p.EndAttempt(now, p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: id}), Cancelled, Progress{})
 }
 
 // What was sent to a runner just before it was known to be cold counts against its share, and so does what goes to one
@@ -406,20 +406,20 @@
 	now := testStart
 	for name, prepare := range map[string]func(p *Placer, runners []Runner){
 		"told": func(p *Placer, runners []Runner) {
-			runners[0].ColdUntil = now + time.Minute
+			runners[0].SlowStartUntil = now + time.Minute
 			p.SetRunners(now, runners)
 		},
 		"evacuated": func(p *Placer, runners []Runner) {
-			p.SetEvacuated(now, map[string]bool{"m": true})
-			p.SetEvacuated(now, map[string]bool{})
+			p.SetEvacuatedZones(now, map[string]bool{"m": true})
+			p.SetEvacuatedZones(now, map[string]bool{})
 			sendAndLeave(p, now, "api-0")
 		},
 		"silent": func(p *Placer, runners []Runner) {
 			w := p.runners["api-0"]
 			w.doubt(now)
-			a := p.Sent(now, testRequest(now, "api", testRoute()), Choice{Runner: "api-0"})
-			p.FirstEvent(now, a)
-			p.Ended(now, a, Abandoned, Progress{})
+			a := p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: "api-0"})
+			p.HandleFirstEvent(now, a)
+			p.EndAttempt(now, a, Cancelled, Progress{})
 		},
 	} {
 		runners := testRunners("api", 1)
@@ -449,13 +449,13 @@
 		if refusal != nil {
 			t.Fatal(refusal)
 		}
-		a := p.Sent(now, r, c)
+		a := p.StartAttempt(now, r, c)
 		if c.Runner == "api-0" {
 			failed++
-			p.Ended(now, a, Failed, Progress{Took: time.Millisecond})
+			p.EndAttempt(now, a, Failed, Progress{Duration: time.Millisecond})
 			continue
 		}
-		p.Ended(now+4*time.Millisecond, a, Served, Progress{FirstAfter: 4 * time.Millisecond, Took: 4 * time.Millisecond})
+		p.EndAttempt(now+4*time.Millisecond, a, Succeeded, Progress{TimeToFirstEvent: 4 * time.Millisecond, Duration: 4 * time.Millisecond})
 	}
 	if failed > 40 {
 		t.Errorf("%d of 400 went to a runner that fails all", failed)
@@ -487,11 +487,11 @@
 		}
 	}
 	r := testRequest(testStart, "llm", testRoute())
-	r.TokensIn, r.Parts = 2000, []Part{{7, 2000}}
+	r.InputTokens, r.Chunks = 2000, []Chunk{{7, 2000}}
 	if c, _ := p.Place(testStart, r); c.Runner != "llm-4" {
 		t.Errorf("sent to %+v", c)
 	}
-	r.TokensIn, r.Parts = 300000, []Part{{7, 300000}}
+	r.InputTokens, r.Chunks = 300000, []Chunk{{7, 300000}}
 	if c, refusal := p.Place(testStart, r); refusal == nil {
 		t.Errorf("larger than any memory, and sent to %+v", c)
 	}
@@ -526,13 +526,13 @@
 		{"a stream that may be resumed", func(r *Request) {
 			r.Route.Type, r.Route.Resumable, r.MayHaveRun = configuration.Streaming, true, true
 		}, true},
-		{"tries used up", func(r *Request) { r.Tried = []string{"a", "b", "c"} }, false},
+		{"tries used up", func(r *Request) { r.TriedRunners = []string{"a", "b", "c"} }, false},
 		{"too late", func(r *Request) { r.Deadline = testStart }, false},
 		{"another service", func(r *Request) { r.Service = "none" }, false},
 	} {
 		p := testPlacer(t, testRunners("api", 3))
 		r := testRequest(testStart, "api", testRoute())
-		r.Tried = []string{"a"}
+		r.TriedRunners = []string{"a"}
 		c.change(r)
 		if got := p.MayRetry(testStart, r); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
@@ -577,8 +577,8 @@
 	for name, change := range map[string]func(o *Options){
 		"Zone": func(o *Options) { o.Zone = "" }, "Region": func(o *Options) { o.Region = "" },
 		"RetryRatio": func(o *Options) { o.RetryRatio = -1 }, "RetryWindow": func(o *Options) { o.RetryWindow = 0 },
-		"RetryExtra": func(o *Options) { o.RetryExtra = -1 }, "ColdExcess": func(o *Options) { o.ColdExcess = -1 },
-		"ColdSlack": func(o *Options) { o.ColdSlack = -1 },
+		"RetryExtra": func(o *Options) { o.RetryAllowance = -1 }, "ColdExcess": func(o *Options) { o.SlowStartFactor = -1 },
+		"ColdSlack": func(o *Options) { o.SlowStartAllowance = -1 },
 	} {
 		o := worldOptions("m")
 		change(&o)
--- a/internal/system/placement/priority_test.go
+++ b/internal/system/placement/priority_test.go
@@ -9,7 +9,7 @@
 		route := testRoute()
 		route.Rank = rank
 		r := testRequest(testStart, "llm", route)
-		r.TokensIn = tokens
+		r.InputTokens = tokens
 		c, _ := p.Place(testStart, r)
 		return c.Priority
 	}
--- a/internal/system/placement/random_test.go
+++ b/internal/system/placement/random_test.go
@@ -50,7 +50,7 @@
 			"news": d.news,
 		})
 		for len(d.flying) > 0 {
-			d.end(0, Abandoned)
+			d.end(0, Cancelled)
 		}
 		for id, w := range p.runners {
 			if w.own != (usage{}) || w.ownJobs != 0 || w.pending.head != nil || w.pending.tail != nil || w.probing != nil {
@@ -79,9 +79,9 @@
 		w.Capacity = map[string]int{"api": 6, "llm": 64}[w.Service]
 		switch rapid.IntRange(0, 5).Draw(t, "state") {
 		case 0:
-			w.ColdUntil = d.now + 3*time.Second
+			w.SlowStartUntil = d.now + 3*time.Second
 		case 1:
-			w.GoneAt = d.now + time.Second
+			w.TerminatesAt = d.now + time.Second
 		case 2:
 			w.Models = []string{"other"}
 		}
@@ -95,12 +95,12 @@
 	for _, zone := range []string{"m", "t", "p"} {
 		d.evac[zone] = rapid.IntRange(0, 2).Draw(t, zone) == 0
 	}
-	d.p.SetEvacuated(d.now, d.evac)
+	d.p.SetEvacuatedZones(d.now, d.evac)
 }
 
 func (d *day) count(t *rapid.T) {
 	d.proxies = rapid.IntRange(1, 30).Draw(t, "proxies")
-	d.p.SetProxies(d.now, d.proxies)
+	d.p.SetProxyCount(d.now, d.proxies)
 }
 
 func (d *day) request(t *rapid.T) {
@@ -113,9 +113,9 @@
 	}
 	r := testRequest(d.now, rapid.SampledFrom([]string{"api", "llm"}).Draw(t, "service"), route)
 	if r.Service == "llm" {
-		r.TokensIn = rapid.SampledFrom([]int{1, 500, 9000, 150000, 250000}).Draw(t, "tokens")
-		third := r.TokensIn / 3
-		r.Parts = []Part{{1, third}, {rapid.Uint64Range(1, 9).Draw(t, "part"), third}, {uint64(d.next), third}}
+		r.InputTokens = rapid.SampledFrom([]int{1, 500, 9000, 150000, 250000}).Draw(t, "tokens")
+		third := r.InputTokens / 3
+		r.Chunks = []Chunk{{1, third}, {rapid.Uint64Range(1, 9).Draw(t, "part"), third}, {uint64(d.next), third}}
 	}
 	for try := 0; try == 0 || d.p.MayRetry(d.now, r); try++ {
 		if try >= route.MaxAttempts {
@@ -125,14 +125,14 @@
 		if a == nil {
 			return
 		}
-		r.Tried = append(r.Tried, a.Runner)
+		r.TriedRunners = append(r.TriedRunners, a.Runner)
 		if rapid.Bool().Draw(t, "stays out") {
 			d.flying = append(d.flying, a)
 			return
 		}
-		outcome := rapid.SampledFrom([]Outcome{NotRun, WrongRunner, Failed, Broken, Silent, Unreached}).Draw(t, "outcome")
-		d.p.Ended(d.now, a, outcome, Progress{})
-		r.MayHaveRun = r.MayHaveRun || outcome != NotRun && outcome != WrongRunner && outcome != Unreached
+		outcome := rapid.SampledFrom([]Outcome{Rejected, Misdirected, Failed, Interrupted, TimedOut, ConnectFailed}).Draw(t, "outcome")
+		d.p.EndAttempt(d.now, a, outcome, Progress{})
+		r.MayHaveRun = r.MayHaveRun || outcome != Rejected && outcome != Misdirected && outcome != ConnectFailed
 		if r.MayHaveRun && !route.IsIdempotent() && d.p.MayRetry(d.now, r) {
 			t.Fatal("a repeat of what may have run")
 		}
@@ -163,10 +163,10 @@
 		t.Fatalf("%s is outside the homes", w.ID)
 	case w.Service != r.Service || len(w.Models) > 0 && !slices.Contains(w.Models, r.Model):
 		t.Fatalf("%s does not serve it", w.ID)
-	case w.GoneAt > 0 && w.GoneAt <= d.now:
+	case w.TerminatesAt > 0 && w.TerminatesAt <= d.now:
 		t.Fatalf("%s is gone", w.ID)
 	}
-	if d.now < w.ColdUntil {
+	if d.now < w.SlowStartUntil {
 		if d.proxies == 0 || d.now < d.begun+joinHold {
 			t.Fatalf("%s is cold, and others may not count this proxy", w.ID)
 		}
@@ -175,7 +175,7 @@
 		}
 		d.coldSent[w.ID] = d.now
 	}
-	return d.p.Sent(d.now, r, c)
+	return d.p.StartAttempt(d.now, r, c)
 }
 
 // news tells something of an attempt that is out.
@@ -186,16 +186,16 @@
 	at := rapid.IntRange(0, len(d.flying)-1).Draw(t, "attempt")
 	switch a := d.flying[at]; rapid.IntRange(0, 2).Draw(t, "what") {
 	case 0:
-		d.p.FirstEvent(d.now, a)
+		d.p.HandleFirstEvent(d.now, a)
 	case 1:
-		d.p.Event(d.now, a)
+		d.p.HandleEvent(d.now, a)
 	default:
-		d.end(at, Outcome(rapid.IntRange(0, int(Abandoned)).Draw(t, "outcome")))
+		d.end(at, Outcome(rapid.IntRange(0, int(Cancelled)).Draw(t, "outcome")))
 	}
 }
 
 func (d *day) end(at int, outcome Outcome) {
 	a := d.flying[at]
 	d.flying = slices.Delete(d.flying, at, at+1)
-	d.p.Ended(d.now, a, outcome, Progress{FirstAfter: 20 * time.Millisecond, Events: 3, Took: d.now - a.sent})
+	d.p.EndAttempt(d.now, a, outcome, Progress{TimeToFirstEvent: 20 * time.Millisecond, Events: 3, Duration: d.now - a.sent})
 }
--- a/internal/system/placement/retry.go
+++ b/internal/system/placement/retry.go
@@ -26,7 +26,7 @@
 func (p *Placer) retryRules() retryRules {
 	rules := retryRules{window: p.options.RetryWindow, ratio: retryShare * p.options.RetryRatio, since: p.started}
 	if p.proxies > 0 {
-		rules.stock = stockShare * p.options.RetryExtra / float64(p.proxies+1)
+		rules.stock = stockShare * p.options.RetryAllowance / float64(p.proxies+1)
 	}
 	return rules
 }
@@ -74,7 +74,7 @@
 // and by the budget that all proxies share.
 func (p *Placer) MayRetry(now time.Duration, r *Request) bool {
 	s := p.services[r.Service]
-	if s == nil || r.Route == nil || now >= r.Deadline || len(r.Tried) >= max(r.Route.MaxAttempts, 1) {
+	if s == nil || r.Route == nil || now >= r.Deadline || len(r.TriedRunners) >= max(r.Route.MaxAttempts, 1) {
 		return false
 	}
 	if r.MayHaveRun && !r.Route.IsIdempotent() {
--- a/internal/system/placement/state.go
+++ b/internal/system/placement/state.go
@@ -22,8 +22,8 @@
 	place    int    // of its region among those known
 	here     bool   // in the set that was told last
 	size     float64
-	ceilings capacity.Ceilings
-	standing capacity.Standing
+	ceilings capacity.Limits
+	standing capacity.Ejection
 	room     float64 // the plan: spare slots, lowered by each send until the next one
 	tokens   float64 // the plan: free tokens, likewise; engines only
 	load     float64 // derived load of all proxies, as of the last plan
@@ -74,7 +74,7 @@
 // Placer decides which runner takes each request of a proxy.
 type Placer struct {
 	options  Options
-	random   capacity.Source
+	random   capacity.Random
 	services map[string]*service
 	runners  map[string]*runner
 	byKey    map[uint64]*runner
@@ -120,7 +120,7 @@
 	if err := o.validate(); err != nil {
 		return nil, err
 	}
-	return &Placer{options: o, random: capacity.Source(seed), services: map[string]*service{}, runners: map[string]*runner{}, byKey: map[uint64]*runner{},
+	return &Placer{options: o, random: capacity.Random(seed), services: map[string]*service{}, runners: map[string]*runner{}, byKey: map[uint64]*runner{},
 		evac: map[string]bool{}, routes: map[string]*routeStats{}, target: firstTarget, longest: firstTimeout,
 		tellFrom: tellLeast}, nil
 }
@@ -137,7 +137,7 @@
 	for _, f := range []struct {
 		name string
 		v    float64
-	}{{"RetryRatio", o.RetryRatio}, {"RetryExtra", o.RetryExtra}, {"ColdExcess", o.ColdExcess}, {"ColdSlack", o.ColdSlack}} {
+	}{{"RetryRatio", o.RetryRatio}, {"RetryExtra", o.RetryAllowance}, {"ColdExcess", o.SlowStartFactor}, {"ColdSlack", o.SlowStartAllowance}} {
 		if math.IsNaN(f.v) || math.IsInf(f.v, 0) || f.v < 0 {
 			bad(f.name, f.v)
 		}
@@ -231,7 +231,7 @@
 		p.byKey[w.key] = w
 	}
 	moved := isNew || w.Service != told.Service
-	if told.ColdUntil > w.ColdUntil && w.sentAt > 0 { // what went there last may already have met it cold
+	if told.SlowStartUntil > w.SlowStartUntil && w.sentAt > 0 { // what went there last may already have met it cold
 		w.coldNext = max(w.coldNext, w.sentAt+time.Duration(coldSpan*float64(time.Second)))
 	}
 	w.Runner, w.here = *told, true
@@ -276,11 +276,11 @@
 		return
 	}
 	w.size = size
-	w.ceilings = capacity.Seed(size)
+	w.ceilings = capacity.InitialLimits(size)
 }
 
-// SetEvacuated takes the zones whose runners get nothing, the whole set.
-func (p *Placer) SetEvacuated(now time.Duration, zones map[string]bool) {
+// SetEvacuatedZones takes the zones whose runners get nothing, the whole set.
+func (p *Placer) SetEvacuatedZones(now time.Duration, zones map[string]bool) {
 	p.begin(now)
 	for _, w := range p.runners {
 		if p.evac[w.Zone] && !zones[w.Zone] { // it may have become cold meanwhile
@@ -295,9 +295,9 @@
 	}
 }
 
-// SetProxies takes the number of proxies that may be sending, this one among them; shared budgets are divided by it. A
+// SetProxyCount takes the number of proxies that may be sending, this one among them; shared budgets are divided by it. A
 // lower number counts only after fewerHold: one that is thought gone may have sends on their way.
-func (p *Placer) SetProxies(now time.Duration, n int) {
+func (p *Placer) SetProxyCount(now time.Duration, n int) {
 	p.begin(now)
 	p.peers = nil
 	p.count(now, n)
--- a/internal/system/placement/urgency.go
+++ b/internal/system/placement/urgency.go
@@ -36,7 +36,7 @@
 	if rank.left == 0 {
 		rank.left = left
 	}
-	capacity.Mean(&rank.left, left, learnSlow)
+	capacity.UpdateMean(&rank.left, left, learnSlow)
 }
 
 // refuse notes that a request is refused because of load.
--- a/internal/system/placement/wide_test.go
+++ b/internal/system/placement/wide_test.go
@@ -12,7 +12,7 @@
 		p := worldPlacer(t, zone, uint64(i))
 		p.SetServices(testStart, testServices())
 		p.SetRunners(testStart, runners)
-		p.SetProxies(testStart, 4)
+		p.SetProxyCount(testStart, 4)
 		proxies = append(proxies, p)
 	}
 	return proxies
@@ -21,7 +21,7 @@
 // rareRequest has a chain that no other request has, and a body whose way to another region is cheap.
 func rareRequest(now time.Duration, chain uint64) *Request {
 	r := chainRequest(now, chain, 1<<40+chain)
-	r.Bytes = 2 * r.TokensIn
+	r.BodyBytes = 2 * r.InputTokens
 	return r
 }
 
@@ -51,7 +51,7 @@
 			p.Tick(now)
 			r := rareRequest(now, i%40)
 			c, _ := p.Place(now, r)
-			p.Ended(now, p.Sent(now, r, c), Served, Progress{FirstAfter: time.Millisecond, Took: time.Millisecond})
+			p.EndAttempt(now, p.StartAttempt(now, r, c), Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Duration: time.Millisecond})
 		}
 	}
 	two := 0
@@ -72,7 +72,7 @@
 		for chain := range uint64(40) {
 			for i, p := range proxies {
 				r := rareRequest(testStart, chain)
-				r.Bytes = bytes
+				r.BodyBytes = bytes
 				p.route(r.Route).again = 0.5
 				if c, _ := p.Place(testStart, r); p.runners[c.Runner].Region != p.options.Region {
 					t.Errorf("proxy %d sent chain %d of %d bytes to %s", i, chain, bytes, c.Runner)
--- a/internal/system/placement/world_test.go
+++ b/internal/system/placement/world_test.go
@@ -39,7 +39,7 @@
 type requestKind struct {
 	route  configuration.Route
 	rate   float64 // a second, at each proxy
-	chains [][]Part
+	chains [][]Chunk
 	own    float64 // mean tokens
 	spread float64
 	out    float64 // mean tokens
@@ -104,7 +104,7 @@
 		w.proxies = append(w.proxies, p)
 		p.placer.SetServices(w.now, []*configuration.Service{&w.service})
 		p.placer.SetRunners(w.now, w.told)
-		p.placer.SetProxies(w.now, 7)
+		p.placer.SetProxyCount(w.now, 7)
 		w.tick(p)
 		for _, k := range w.kinds {
 			w.arrivals(p, k)
@@ -119,7 +119,7 @@
 
 func worldOptions(zone string) Options {
 	return Options{Zone: zone, Region: worldRegions()[zone], Zones: worldRegions(), RetryRatio: 0.2,
-		RetryWindow: 10 * time.Second, RetryExtra: 54, ColdExcess: 1.5, ColdSlack: 5}
+		RetryWindow: 10 * time.Second, RetryAllowance: 54, SlowStartFactor: 1.5, SlowStartAllowance: 5}
 }
 
 func worldPlacer(t testing.TB, zone string, seed uint64) *Placer {
@@ -137,12 +137,12 @@
 	k.route = configuration.Route{Name: name,
 		LatencyTarget: time.Duration(target) * time.Millisecond, Timeout: 5 * time.Second, Rank: rank, Type: configuration.Streaming,
 		EventGapTarget: 400 * time.Millisecond, PrefixAffinity: true, MaxAttempts: 2}
-	var firsts []Part
+	var firsts []Chunk
 	for range things[0] {
-		firsts = append(firsts, Part{w.rng.Uint64(), w.size(tokens[0], 0.4)})
+		firsts = append(firsts, Chunk{w.rng.Uint64(), w.size(tokens[0], 0.4)})
 	}
 	for i := range things[1] {
-		k.chains = append(k.chains, []Part{firsts[i%len(firsts)], {w.rng.Uint64(), w.size(tokens[1], 0.7)}})
+		k.chains = append(k.chains, []Chunk{firsts[i%len(firsts)], {w.rng.Uint64(), w.size(tokens[1], 0.7)}})
 	}
 	return k
 }
@@ -168,12 +168,12 @@
 
 func (w *world) arrive(p *worldProxy, k *requestKind) {
 	chain := k.chains[int(float64(len(k.chains))*math.Pow(w.rng.Float64(), 1.4))]
-	own := Part{w.rng.Uint64(), w.size(k.own, k.spread)}
+	own := Chunk{w.rng.Uint64(), w.size(k.own, k.spread)}
 	out := w.size(k.out, 0.7)
-	r := &Request{Route: &k.route, Service: "llm", Parts: append(append([]Part(nil), chain...), own), TokensOut: 2 * out,
-		Arrived: w.now, Deadline: w.now + k.route.Timeout}
-	for _, part := range r.Parts {
-		r.TokensIn += part.Tokens
+	r := &Request{Route: &k.route, Service: "llm", Chunks: append(append([]Chunk(nil), chain...), own), MaxOutputTokens: 2 * out,
+		ArrivedAt: w.now, Deadline: w.now + k.route.Timeout}
+	for _, part := range r.Chunks {
+		r.InputTokens += part.Tokens
 	}
 	k.asked++
 	c, refusal := p.placer.Place(w.now, r)
@@ -183,7 +183,7 @@
 	}
 	e := w.engines[c.Runner]
 	j := &job{w: w, p: p, k: k, r: r, e: e, out: out, sent: w.now, late: w.way(p, e), urgency: c.Priority}
-	j.a = p.placer.Sent(w.now, r, c)
+	j.a = p.placer.StartAttempt(w.now, r, c)
 	w.after(j.late, func() { e.take(j) })
 }
 
@@ -218,15 +218,15 @@
 	e.queue = e.queue[1:]
 	e.busy = true
 	e.running++
-	tokens := e.read(w, j.r.Parts)
-	e.held += j.r.TokensIn
+	tokens := e.read(w, j.r.Chunks)
+	e.held += j.r.InputTokens
 	e.shrink()
 	w.after(time.Duration(float64(tokens)/worldSpeed*float64(time.Millisecond))+worldStep, func() {
 		e.busy = false
 		w.after(j.late, j.first)
 		w.after(time.Duration(j.out)*worldStep, func() {
 			e.running--
-			e.held -= j.r.TokensIn
+			e.held -= j.r.InputTokens
 			w.after(j.late, j.end)
 			e.next(w)
 		})
@@ -235,7 +235,7 @@
 }
 
 // read keeps the shared parts of a prompt and says how many tokens had to be read.
-func (e *engine) read(w *world, parts []Part) (tokens int) {
+func (e *engine) read(w *world, parts []Chunk) (tokens int) {
 	chain, whole := uint64(1), true
 	for i, part := range parts {
 		if i == len(parts)-1 {
@@ -277,7 +277,7 @@
 
 func (j *job) first() {
 	took := j.w.now - j.sent
-	j.p.placer.FirstEvent(j.w.now, j.a)
+	j.p.placer.HandleFirstEvent(j.w.now, j.a)
 	j.k.firsts = append(j.k.firsts, took)
 	if took <= j.k.route.LatencyTarget {
 		j.k.inTime++
@@ -285,7 +285,7 @@
 }
 
 func (j *job) end() {
-	j.p.placer.Ended(j.w.now, j.a, Served, Progress{FirstAfter: j.sent, Events: j.out / 4, Took: j.w.now - j.sent})
+	j.p.placer.EndAttempt(j.w.now, j.a, Succeeded, Progress{TimeToFirstEvent: j.sent, Events: j.out / 4, Duration: j.w.now - j.sent})
 }
 
 // run plays until a moment.
--- a/internal/system/policysim/host.go
+++ b/internal/system/policysim/host.go
@@ -25,7 +25,7 @@
 func (h *host) arrive(s *send) {
 	if !h.up {
 		if !h.dark {
-			s.answer(func() { s.end(placement.Unreached) })
+			s.answer(func() { s.end(placement.ConnectFailed) })
 		}
 		return
 	}
@@ -34,12 +34,12 @@
 	}
 	if h.cold.Arrive(h.world.now) {
 		h.stop(false)
-		s.answer(func() { s.end(placement.Broken) })
+		s.answer(func() { s.end(placement.Interrupted) })
 		return
 	}
 	task, taken := h.machine.Submit(h.world.now, s.order())
 	if !taken {
-		s.answer(func() { s.end(placement.NotRun) })
+		s.answer(func() { s.end(placement.Rejected) })
 		return
 	}
 	s.task = task
@@ -100,17 +100,17 @@
 		s.answer(s.event)
 	case engine.Finished:
 		delete(h.sends, event.Task)
-		s.answer(func() { s.end(placement.Served) })
+		s.answer(func() { s.end(placement.Succeeded) })
 	case engine.Expired:
 		delete(h.sends, event.Task)
-		s.answer(func() { s.end(placement.NotRun) })
+		s.answer(func() { s.end(placement.Rejected) })
 	case engine.CutOff:
 		delete(h.sends, event.Task)
 		s.answer(func() { s.end(placement.Failed) })
 	case engine.Lost:
 		delete(h.sends, event.Task)
 		if !h.dark {
-			s.answer(func() { s.end(placement.Broken) })
+			s.answer(func() { s.end(placement.Interrupted) })
 		}
 	}
 }
--- a/internal/system/policysim/policy.go
+++ b/internal/system/policysim/policy.go
@@ -14,12 +14,12 @@
 type Policy interface {
 	SetServices(now time.Duration, services []*configuration.Service)
 	SetRunners(now time.Duration, runners []placement.Runner)
-	SetProxies(now time.Duration, n int)
-	Place(now time.Duration, r *placement.Request) (placement.Choice, *placement.Refusal)
-	Sent(now time.Duration, r *placement.Request, c placement.Choice) *placement.Attempt
-	FirstEvent(now time.Duration, a *placement.Attempt)
-	Event(now time.Duration, a *placement.Attempt)
-	Ended(now time.Duration, a *placement.Attempt, o placement.Outcome, p placement.Progress)
+	SetProxyCount(now time.Duration, n int)
+	Place(now time.Duration, r *placement.Request) (placement.Choice, *placement.Rejection)
+	StartAttempt(now time.Duration, r *placement.Request, c placement.Choice) *placement.Attempt
+	HandleFirstEvent(now time.Duration, a *placement.Attempt)
+	HandleEvent(now time.Duration, a *placement.Attempt)
+	EndAttempt(now time.Duration, a *placement.Attempt, o placement.Outcome, p placement.Progress)
 	MayRetry(now time.Duration, r *placement.Request) bool
 	Tick(now time.Duration) time.Duration
 }
--- a/internal/system/policysim/rivals.go
+++ b/internal/system/policysim/rivals.go
@@ -51,12 +51,12 @@
 
 func (s *simple) SetRunners(_ time.Duration, runners []placement.Runner) { s.runners = runners }
 
-func (s *simple) SetProxies(time.Duration, int) {}
+func (s *simple) SetProxyCount(time.Duration, int) {}
 
-func (s *simple) Place(_ time.Duration, r *placement.Request) (placement.Choice, *placement.Refusal) {
+func (s *simple) Place(_ time.Duration, r *placement.Request) (placement.Choice, *placement.Rejection) {
 	allowed := s.allowed(r)
 	if len(allowed) == 0 {
-		return placement.Choice{}, &placement.Refusal{RetryAfter: time.Second, Reason: "no runner"}
+		return placement.Choice{}, &placement.Rejection{RetryAfter: time.Second, Reason: "no runner"}
 	}
 	chosen := s.pick(s, r, allowed)
 	return placement.Choice{Runner: chosen.ID, Address: chosen.Address, Priority: -1}, nil
@@ -73,7 +73,7 @@
 		if homes := r.Route.HomeRegions; len(homes) > 0 && !slices.Contains(homes, runner.Region) {
 			continue
 		}
-		if slices.Contains(r.Tried, runner.ID) {
+		if slices.Contains(r.TriedRunners, runner.ID) {
 			tried = append(tried, runner)
 		} else {
 			fresh = append(fresh, runner)
@@ -85,22 +85,22 @@
 	return tried
 }
 
-func (s *simple) Sent(_ time.Duration, r *placement.Request, c placement.Choice) *placement.Attempt {
+func (s *simple) StartAttempt(_ time.Duration, r *placement.Request, c placement.Choice) *placement.Attempt {
 	s.attempts++
 	s.inFlight[c.Runner]++
 	return &placement.Attempt{ID: s.attempts, Runner: c.Runner, Request: r}
 }
 
-func (s *simple) FirstEvent(time.Duration, *placement.Attempt) {}
+func (s *simple) HandleFirstEvent(time.Duration, *placement.Attempt) {}
 
-func (s *simple) Event(time.Duration, *placement.Attempt) {}
+func (s *simple) HandleEvent(time.Duration, *placement.Attempt) {}
 
-func (s *simple) Ended(_ time.Duration, a *placement.Attempt, _ placement.Outcome, _ placement.Progress) {
+func (s *simple) EndAttempt(_ time.Duration, a *placement.Attempt, _ placement.Outcome, _ placement.Progress) {
 	s.inFlight[a.Runner]--
 }
 
 func (s *simple) MayRetry(now time.Duration, r *placement.Request) bool {
-	return len(r.Tried) < r.Route.MaxAttempts && now < r.Deadline && (!r.MayHaveRun || r.Route.IsIdempotent())
+	return len(r.TriedRunners) < r.Route.MaxAttempts && now < r.Deadline && (!r.MayHaveRun || r.Route.IsIdempotent())
 }
 
 func (s *simple) Tick(now time.Duration) time.Duration { return now + time.Second }
@@ -132,14 +132,14 @@
 }
 
 func (s *simple) promptHash(r *placement.Request, runners []*placement.Runner) *placement.Runner {
-	if len(r.Parts) < 2 {
+	if len(r.Chunks) < 2 {
 		return runners[s.random.IntN(len(runners))]
 	}
 	return slices.MaxFunc(runners, byWeight(r))
 }
 
 func (s *simple) boundedHash(r *placement.Request, runners []*placement.Runner) *placement.Runner {
-	if len(r.Parts) < 2 {
+	if len(r.Chunks) < 2 {
 		return s.leastInFlight(r, runners)
 	}
 	total := 1
@@ -159,7 +159,7 @@
 
 // byWeight orders runners by rendezvous hashing of the last shared part of a prompt.
 func byWeight(r *placement.Request) func(a, b *placement.Runner) int {
-	subject := r.Parts[len(r.Parts)-2].ID
+	subject := r.Chunks[len(r.Chunks)-2].ID
 	weight := func(runner *placement.Runner) uint64 {
 		key := binary.BigEndian.AppendUint64(nil, subject)
 		return xxhash.Sum64(append(key, runner.ID...))
--- a/internal/system/policysim/send.go
+++ b/internal/system/policysim/send.go
@@ -21,8 +21,8 @@
 	if s.priority < 0 {
 		s.priority = engine.DefaultPriority
 	}
-	s.attempt = policy.Sent(w.now, v.request, choice)
-	v.request.Tried = append(v.request.Tried, choice.Runner)
+	s.attempt = policy.StartAttempt(w.now, v.request, choice)
+	v.request.TriedRunners = append(v.request.TriedRunners, choice.Runner)
 	v.sending = s
 	w.books.sent(v, h)
 	w.after(s.delay(), func() { h.arrive(s) })
@@ -66,11 +66,11 @@
 	w := s.world
 	policy := s.visit.proxy.policy
 	if s.progress.Events == 0 {
-		s.progress.FirstAfter = w.now - s.at
-		policy.FirstEvent(w.now, s.attempt)
+		s.progress.TimeToFirstEvent = w.now - s.at
+		policy.HandleFirstEvent(w.now, s.attempt)
 	} else {
-		s.progress.LongestGap = max(s.progress.LongestGap, w.now-s.heard)
-		policy.Event(w.now, s.attempt)
+		s.progress.LongestEventGap = max(s.progress.LongestEventGap, w.now-s.heard)
+		policy.HandleEvent(w.now, s.attempt)
 	}
 	s.progress.Events++
 	s.heard = w.now
@@ -80,8 +80,8 @@
 // close tells the policy of the end of an attempt that the client has left, and the runner too.
 func (s *send) close(o placement.Outcome) {
 	w := s.world
-	s.progress.Took = w.now - s.at
-	s.visit.proxy.policy.Ended(w.now, s.attempt, o, s.progress)
+	s.progress.Duration = w.now - s.at
+	s.visit.proxy.policy.EndAttempt(w.now, s.attempt, o, s.progress)
 	w.after(s.delay(), func() { s.host.cancel(s) })
 }
 
@@ -93,16 +93,16 @@
 	s.ended = true
 	w, v := s.world, s.visit
 	v.sending = nil
-	s.progress.Took = w.now - s.at
-	if o == placement.Served && s.progress.FirstAfter == 0 {
-		s.progress.FirstAfter = s.progress.Took
+	s.progress.Duration = w.now - s.at
+	if o == placement.Succeeded && s.progress.TimeToFirstEvent == 0 {
+		s.progress.TimeToFirstEvent = s.progress.Duration
 	}
-	v.proxy.policy.Ended(w.now, s.attempt, o, s.progress)
+	v.proxy.policy.EndAttempt(w.now, s.attempt, o, s.progress)
 	w.books.outcomes[o]++
 	switch o {
-	case placement.Served:
+	case placement.Succeeded:
 		w.after(w.scenario.Client, func() { w.served(v) })
-	case placement.NotRun, placement.WrongRunner, placement.Unreached:
+	case placement.Rejected, placement.Misdirected, placement.ConnectFailed:
 		w.again(v, func() { w.turnedAway(v, 0) })
 	default:
 		s.request.MayHaveRun = true
--- a/internal/system/policysim/traffic.go
+++ b/internal/system/policysim/traffic.go
@@ -75,7 +75,7 @@
 	At    time.Duration
 	Class *Class
 	Zone  string
-	Parts []placement.Part
+	Parts []placement.Chunk
 	Out   int           // tokens
 	Work  time.Duration // of a plain request
 }
@@ -183,14 +183,14 @@
 			call.Parts = append(call.Parts, sharedPart(class, level, subject%part.Things, part.Tokens))
 		}
 	}
-	call.Parts = append(call.Parts, placement.Part{ID: t.random.Uint64(), Tokens: int(class.Own.Draw(t.random))})
+	call.Parts = append(call.Parts, placement.Chunk{ID: t.random.Uint64(), Tokens: int(class.Own.Draw(t.random))})
 	call.Out = int(math.Ceil(class.Events.Draw(t.random))) * t.scenario.stride(class.Service)
 }
 
 // sharedPart is a thing of a class: its id and size are the same in every run.
-func sharedPart(class *Class, level, thing int, size Size) placement.Part {
+func sharedPart(class *Class, level, thing int, size Size) placement.Chunk {
 	id := xxhash.Sum64String(class.Name + string([]byte{byte(level), byte(thing >> 8), byte(thing)}))
-	return placement.Part{ID: id, Tokens: int(size.Draw(rand.New(rand.NewPCG(id, 3))))}
+	return placement.Chunk{ID: id, Tokens: int(size.Draw(rand.New(rand.NewPCG(id, 3))))}
 }
 
 // skewed draws one of n things, the i-th with a weight of (i+1) to the power of -skew.
--- a/internal/system/policysim/visit.go
+++ b/internal/system/policysim/visit.go
@@ -82,8 +82,8 @@
 	if c.Class.Type == configuration.Streaming {
 		model = modelName
 	}
-	v.request = &placement.Request{Route: w.routes[c.Class.Name], Service: c.Class.Service, Model: model, Parts: c.Parts,
-		TokensIn: c.PromptTokens(), TokensOut: c.Out, Bytes: 2 * c.PromptTokens(), Arrived: w.now, Deadline: w.deadline(v)}
+	v.request = &placement.Request{Route: w.routes[c.Class.Name], Service: c.Class.Service, Model: model, Chunks: c.Parts,
+		InputTokens: c.PromptTokens(), MaxOutputTokens: c.Out, BodyBytes: 2 * c.PromptTokens(), ArrivedAt: w.now, Deadline: w.deadline(v)}
 	w.books.requests++
 	w.send(v)
 }
@@ -118,9 +118,9 @@
 func (w *world) abandon(v *visit) {
 	if s := v.sending; s != nil {
 		v.sending = nil
-		outcome := placement.Abandoned
+		outcome := placement.Cancelled
 		if s.progress.Events == 0 && w.now-s.at >= v.patience() {
-			outcome = placement.Silent
+			outcome = placement.TimedOut
 		}
 		s.ended = true
 		w.after(w.scenario.Client, func() { s.close(outcome) })
--- a/internal/system/policysim/world.go
+++ b/internal/system/policysim/world.go
@@ -96,7 +96,7 @@
 		for range zone.Proxies {
 			seed += 1_000_003
 			policy, err := c.New(placement.Options{Zone: zone.Name, Region: zone.Region, Zones: zones, RetryRatio: retryRatio,
-				RetryWindow: retryWindow, RetryExtra: retryExtra, ColdExcess: coldExcess, ColdSlack: coldSlack}, seed)
+				RetryWindow: retryWindow, RetryAllowance: retryExtra, SlowStartFactor: coldExcess, SlowStartAllowance: coldSlack}, seed)
 			if err != nil {
 				return err
 			}
@@ -105,7 +105,7 @@
 	}
 	for _, p := range w.proxies {
 		p.policy.SetServices(0, w.services)
-		p.policy.SetProxies(0, len(w.proxies))
+		p.policy.SetProxyCount(0, len(w.proxies))
 		w.tick(p)
 	}
 	w.publish()
@@ -201,7 +201,7 @@
 	h.cold.Begin(until)
 	w.after(w.scenario.ListLag, func() {
 		h.listed = true
-		h.runner.ColdUntil = until
+		h.runner.SlowStartUntil = until
 		w.publish()
 	})
 }
--- a/internal/system/proxy/answer.go
+++ b/internal/system/proxy/answer.go
@@ -95,7 +95,7 @@
 		x.proxy.eventScratch = data
 	case x.answer.stream:
 		events = a.counter.count(data)
-	case a.progress.FirstAfter == 0:
+	case a.progress.TimeToFirstEvent == 0:
 		events = 1
 	}
 	x.writeBody(data)
@@ -136,7 +136,7 @@
 	if x.answer.framing == httpwire.Chunked {
 		x.session.write(httpwire.AppendLastChunk(x.proxy.scratch[:0]))
 	}
-	outcome := placement.Served
+	outcome := placement.Succeeded
 	if a.verdict == failure {
 		outcome = placement.Failed
 	}
--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -75,9 +75,9 @@
 	}
 	now := x.proxy.now()
 	if a.up {
-		a.progress.Took = now - a.sentAt
+		a.progress.Duration = now - a.sentAt
 	}
-	x.proxy.placer.Ended(now, a.booked, o, a.progress)
+	x.proxy.placer.EndAttempt(now, a.booked, o, a.progress)
 }
 
 // began notes that the request has been given to a connection.
@@ -97,17 +97,17 @@
 	}
 	x := a.exchange
 	now := x.proxy.now()
-	if a.progress.FirstAfter == 0 {
-		a.progress.FirstAfter = max(now-a.sentAt, 1)
-		x.proxy.placer.FirstEvent(now, a.booked)
+	if a.progress.TimeToFirstEvent == 0 {
+		a.progress.TimeToFirstEvent = max(now-a.sentAt, 1)
+		x.proxy.placer.HandleFirstEvent(now, a.booked)
 		x.proxy.peers.tellAnswers(a.booked)
 		events--
 		a.progress.Events++
 	} else {
-		a.progress.LongestGap = max(a.progress.LongestGap, now-a.last)
+		a.progress.LongestEventGap = max(a.progress.LongestEventGap, now-a.last)
 	}
 	for range events {
-		x.proxy.placer.Event(now, a.booked)
+		x.proxy.placer.HandleEvent(now, a.booked)
 	}
 	a.progress.Events += events
 	a.last = now
@@ -125,13 +125,13 @@
 		x.relay(h)
 	case notRun:
 		x.tried(a, false)
-		a.end(placement.NotRun)
+		a.end(placement.Rejected)
 		x.goOn(retryAfter(h))
 	case wrongRunner:
 		x.tried(a, false)
 		runner := a.choice.Runner
 		a.cancel()
-		a.end(placement.WrongRunner)
+		a.end(placement.Misdirected)
 		x.proxy.pool.drop(runner)
 		x.goOn(0)
 	case failure:
@@ -148,7 +148,7 @@
 		x.tried(a, false)
 		x.unreached++
 		a.cancel()
-		a.end(placement.Unreached)
+		a.end(placement.ConnectFailed)
 		if x.unreached > mostUnreached || x.proxy.now() >= x.request.Deadline {
 			x.giveUp(soon)
 			return
@@ -158,7 +158,7 @@
 	}
 	x.tried(a, mayHaveRun)
 	a.cancel()
-	a.end(placement.Broken)
+	a.end(placement.Interrupted)
 	x.goOn(0)
 }
 
--- a/internal/system/proxy/control.go
+++ b/internal/system/proxy/control.go
@@ -104,10 +104,10 @@
 		Region:   p.control.zones[r.Zone],
 		Capacity: r.Capacity, Draining: r.Draining}
 	if !r.ColdUntil.IsZero() {
-		known.ColdUntil = max(0, now+time.Until(r.ColdUntil))
+		known.SlowStartUntil = max(0, now+time.Until(r.ColdUntil))
 	}
 	if !r.GoneAt.IsZero() {
-		known.GoneAt = max(1, now+time.Until(r.GoneAt))
+		known.TerminatesAt = max(1, now+time.Until(r.GoneAt))
 	}
 	for i := range r.Models {
 		known.Models = append(known.Models, r.Models[i].Name)
@@ -117,7 +117,7 @@
 
 // Recall takes what an earlier life of the proxy had learnt.
 func (p *Proxy) Recall(learnt []byte) {
-	if err := p.placer.Recall(p.now(), learnt); err != nil {
+	if err := p.placer.Restore(p.now(), learnt); err != nil {
 		p.log.Warn("what the proxy had learnt cannot be read", zap.Error(err))
 	}
 }
@@ -126,7 +126,7 @@
 func (p *Proxy) report() {
 	var learnt []byte
 	if p.control.reports++; p.control.reports%learntEvery == 0 {
-		if learnt = p.placer.Learnt(); bytes.Equal(learnt, p.control.told) {
+		if learnt = p.placer.Snapshot(); bytes.Equal(learnt, p.control.told) {
 			learnt = nil
 		} else {
 			p.control.told = learnt
--- a/internal/system/proxy/doubt.go
+++ b/internal/system/proxy/doubt.go
@@ -66,11 +66,11 @@
 	x.attempt = nil
 	if sent, _ := x.again(); sent {
 		a.cancel()
-		a.end(placement.Silent)
+		a.end(placement.TimedOut)
 		return
 	}
 	x.attempt = a
-	x.request.Tried, x.request.MayHaveRun = before.Tried, before.MayHaveRun
+	x.request.TriedRunners, x.request.MayHaveRun = before.TriedRunners, before.MayHaveRun
 }
 
 // doubt has nothing sent to the runner for a while, and none of its idle connections used.
--- a/internal/system/proxy/exchange.go
+++ b/internal/system/proxy/exchange.go
@@ -65,7 +65,7 @@
 	tryID, once := header.GetUnique(fieldTryID)
 	host, oneHost := header.GetUnique("Host")
 	x.tryID = tryID
-	x.request.Arrived = x.session.comingAt
+	x.request.ArrivedAt = x.session.comingAt
 	switch {
 	case !once || tryID == "" || len(tryID) > mostTryID || !httpwire.IsVisibleASCII(tryID):
 		x.decline(ownAnswer{status: 400, body: "X-Try-Id missing or bad"})
@@ -89,9 +89,9 @@
 	x.request.Route = route
 	x.request.Service = x.proxy.shares.service(route)
 	x.request.Model = header.Get(fieldModel)
-	x.request.TokensIn, x.request.TokensOut = tokenCounts(header.Get(fieldTokenCounts))
-	x.request.Parts = promptParts(header.Get(fieldPromptStart))
-	x.request.Deadline = x.request.Arrived + timeLeft(header, route.Timeout)
+	x.request.InputTokens, x.request.MaxOutputTokens = tokenCounts(header.Get(fieldTokenCounts))
+	x.request.Chunks = promptParts(header.Get(fieldPromptStart))
+	x.request.Deadline = x.request.ArrivedAt + timeLeft(header, route.Timeout)
 	if x.request.Deadline <= x.proxy.now() {
 		x.decline(ownAnswer{status: 503, retryAfter: soon, body: "no time left"})
 		return
@@ -147,7 +147,7 @@
 // received goes on once the request is whole.
 func (x *exchange) received() {
 	x.transition(placing)
-	x.request.Bytes = len(x.body)
+	x.request.BodyBytes = len(x.body)
 	if x.proxy.outlastsProxy(&x.request) {
 		x.proxy.Figures.StoppingRefused++
 		x.giveUp(soon)
@@ -167,18 +167,18 @@
 }
 
 // note logs why no runner was named.
-func (x *exchange) note(refusal *placement.Refusal) {
+func (x *exchange) note(refusal *placement.Rejection) {
 	if e := x.proxy.log.Check(zap.DebugLevel, "refused"); e != nil {
 		e.Write(zap.String("try", x.tryID), zap.String("route", x.request.Route.Name), zap.String("reason", refusal.Reason),
-			zap.Duration("retry_after", refusal.RetryAfter), zap.Strings("tried", x.request.Tried))
+			zap.Duration("retry_after", refusal.RetryAfter), zap.Strings("tried", x.request.TriedRunners))
 	}
 }
 
 // choose has a runner named that has a connection to spare.
-func (x *exchange) choose() (placement.Choice, *placement.Refusal) {
-	tried := x.request.Tried
-	defer func() { x.request.Tried = tried }()
-	x.request.Tried = tried[:len(tried):len(tried)]
+func (x *exchange) choose() (placement.Choice, *placement.Rejection) {
+	tried := x.request.TriedRunners
+	defer func() { x.request.TriedRunners = tried }()
+	x.request.TriedRunners = tried[:len(tried):len(tried)]
 	for range mostFull {
 		choice, refusal := x.proxy.placer.Place(x.proxy.now(), &x.request)
 		if refusal != nil {
@@ -188,9 +188,9 @@
 		if x.proxy.pool.admits(choice) {
 			return choice, nil
 		}
-		x.request.Tried = append(x.request.Tried, choice.Runner)
+		x.request.TriedRunners = append(x.request.TriedRunners, choice.Runner)
 	}
-	return placement.Choice{}, &placement.Refusal{RetryAfter: soon, Reason: "no connection to spare"}
+	return placement.Choice{}, &placement.Rejection{RetryAfter: soon, Reason: "no connection to spare"}
 }
 
 // send begins an attempt.
@@ -200,7 +200,7 @@
 	}
 	x.proxy.Figures.Attempts++
 	a := &attempt{exchange: x, choice: c}
-	a.booked = x.proxy.placer.Sent(x.proxy.now(), &x.request, c)
+	a.booked = x.proxy.placer.StartAttempt(x.proxy.now(), &x.request, c)
 	x.attempt = a
 	x.proxy.peers.tellReading(a.booked)
 	x.proxy.pool.carry(a)
@@ -216,7 +216,7 @@
 		return false
 	}
 	now := x.proxy.now()
-	if len(x.request.Tried)-x.unreached >= max(1, x.request.Route.MaxAttempts) || now >= x.request.Deadline {
+	if len(x.request.TriedRunners)-x.unreached >= max(1, x.request.Route.MaxAttempts) || now >= x.request.Deadline {
 		return false
 	}
 	return x.proxy.placer.MayRetry(now, &x.request)
@@ -246,7 +246,7 @@
 
 // tried notes the runner of an attempt.
 func (x *exchange) tried(a *attempt, mayHaveRun bool) {
-	x.request.Tried = append(x.request.Tried, a.choice.Runner)
+	x.request.TriedRunners = append(x.request.TriedRunners, a.choice.Runner)
 	x.request.MayHaveRun = x.request.MayHaveRun || mayHaveRun
 }
 
@@ -282,7 +282,7 @@
 		x.proxy.Figures.Failed++
 		x.reply(ownAnswer{status: 504, body: "no answer in time"})
 	default:
-		x.endAttempt(placement.Abandoned)
+		x.endAttempt(placement.Cancelled)
 		x.proxy.Figures.Refused++
 		x.reply(ownAnswer{status: 503, retryAfter: soon, body: "no runner reached in time"})
 	}
@@ -296,7 +296,7 @@
 		return
 	}
 	x.request.MayHaveRun = x.request.MayHaveRun || x.attempt != nil && x.attempt.up // with a part of it, the runner may have begun
-	x.endAttempt(placement.Abandoned)
+	x.endAttempt(placement.Cancelled)
 	x.giveUp(soon)
 }
 
@@ -304,9 +304,9 @@
 func (x *exchange) lateOutcome() placement.Outcome {
 	a := x.attempt
 	if a != nil && a.sentWhole() && x.proxy.now()-a.sentAt >= x.request.Route.LatencyTarget {
-		return placement.Silent
+		return placement.TimedOut
 	}
-	return placement.Abandoned
+	return placement.Cancelled
 }
 
 // endAttempt breaks the attempt under way off, if there is one.
@@ -319,14 +319,14 @@
 
 // clientGone ends an exchange whose client has left; its session is closed already.
 func (x *exchange) clientGone() {
-	x.endAttempt(placement.Abandoned)
+	x.endAttempt(placement.Cancelled)
 	x.proxy.Figures.Aborted++
 	x.finish()
 }
 
 // abort breaks off an answer that cannot be completed.
 func (x *exchange) abort() {
-	x.endAttempt(placement.Abandoned)
+	x.endAttempt(placement.Cancelled)
 	x.proxy.Figures.Aborted++
 	s, framed := x.session, x.answer.framed()
 	x.finish()
--- a/internal/system/proxy/peers.go
+++ b/internal/system/proxy/peers.go
@@ -87,14 +87,14 @@
 
 // tellReading tells the others which prompt an attempt has its runner read.
 func (s *peers) tellReading(a *placement.Attempt) {
-	if notice, worth := a.ReadingNotice(); worth {
+	if notice, worth := a.PrefillNotice(); worth {
 		s.tell(notice)
 	}
 }
 
 // tellAnswers tells the others that the runner of an attempt answers again.
 func (s *peers) tellAnswers(a *placement.Attempt) {
-	if notice, worth := a.AnswersNotice(); worth {
+	if notice, worth := a.RecoveryNotice(); worth {
 		s.tell(notice)
 	}
 }
@@ -163,7 +163,7 @@
 		s.passOn(datagram)
 	}
 	s.proxy.Figures.NoticesHeard++
-	s.proxy.placer.Heard(s.proxy.now(), notice)
+	s.proxy.placer.HandleNotice(s.proxy.now(), notice)
 }
 
 // A datagram is a notice's kind in one byte, the runner's key, and of a prompt its tokens.
@@ -175,8 +175,8 @@
 
 func appendNotice(b []byte, notice placement.Notice) []byte {
 	b = append(b, byte(notice.Kind))
-	b = binary.LittleEndian.AppendUint64(b, notice.Runner)
-	if notice.Kind != placement.NoticeReads {
+	b = binary.LittleEndian.AppendUint64(b, notice.RunnerKey)
+	if notice.Kind != placement.NoticePrefill {
 		return b
 	}
 	return binary.AppendUvarint(b, uint64(min(notice.Tokens, mostTold)))
@@ -188,12 +188,12 @@
 	}
 	relayed = b[0]&noticeRelayed != 0
 	notice.Kind = placement.NoticeKind(b[0] &^ noticeRelayed)
-	notice.Runner = binary.LittleEndian.Uint64(b[1:])
+	notice.RunnerKey = binary.LittleEndian.Uint64(b[1:])
 	rest := b[noticeHead:]
 	switch notice.Kind {
-	case placement.NoticeAnswers:
+	case placement.NoticeRecovery:
 		return notice, relayed, len(rest) == 0
-	case placement.NoticeReads:
+	case placement.NoticePrefill:
 		tokens, n := binary.Uvarint(rest)
 		notice.Tokens = int(min(tokens, mostTold))
 		return notice, relayed, n > 0 && n == len(rest) && tokens <= mostTold
--- a/internal/system/proxy/peers_test.go
+++ b/internal/system/proxy/peers_test.go
@@ -15,9 +15,9 @@
 )
 
 func TestNoticesAreReadAsTheyWereWritten(t *testing.T) {
-	for _, notice := range []placement.Notice{{Kind: placement.NoticeReads, Runner: 1, Tokens: 1},
-		{Kind: placement.NoticeReads, Runner: 1<<64 - 1, Tokens: mostTold}, {Kind: placement.NoticeReads, Runner: 5},
-		{Kind: placement.NoticeAnswers, Runner: 9}} {
+	for _, notice := range []placement.Notice{{Kind: placement.NoticePrefill, RunnerKey: 1, Tokens: 1},
+		{Kind: placement.NoticePrefill, RunnerKey: 1<<64 - 1, Tokens: mostTold}, {Kind: placement.NoticePrefill, RunnerKey: 5},
+		{Kind: placement.NoticeRecovery, RunnerKey: 9}} {
 		if got, relayed, ok := readNotice(appendNotice(nil, notice)); !ok || relayed || got != notice {
 			t.Errorf("%+v was read as %+v, %v, %v", notice, got, relayed, ok)
 		}
@@ -26,9 +26,9 @@
 
 // FuzzReadNotice reads whatever comes: what is taken is what would have been written.
 func FuzzReadNotice(f *testing.F) {
-	f.Add(appendNotice(nil, placement.Notice{Kind: placement.NoticeReads, Runner: 3, Tokens: 4000}))
-	f.Add(appendNotice(nil, placement.Notice{Kind: placement.NoticeAnswers, Runner: 3}))
-	f.Add([]byte{byte(placement.NoticeReads), 0, 0, 0, 0, 0, 0, 0, 0, 0x80})
+	f.Add(appendNotice(nil, placement.Notice{Kind: placement.NoticePrefill, RunnerKey: 3, Tokens: 4000}))
+	f.Add(appendNotice(nil, placement.Notice{Kind: placement.NoticeRecovery, RunnerKey: 3}))
+	f.Add([]byte{byte(placement.NoticePrefill), 0, 0, 0, 0, 0, 0, 0, 0, 0x80})
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		notice, _, ok := readNotice(b)
@@ -51,11 +51,11 @@
 	numbers int // how often a number of proxies was told alone
 }
 
-func (h *hearingPlacer) Heard(_ time.Duration, notice placement.Notice) {
+func (h *hearingPlacer) HandleNotice(_ time.Duration, notice placement.Notice) {
 	h.heard = append(h.heard, notice)
 }
 
-func (h *hearingPlacer) SetProxies(time.Duration, int) { h.numbers++ }
+func (h *hearingPlacer) SetProxyCount(time.Duration, int) { h.numbers++ }
 
 func (h *hearingPlacer) SetPeers(_ time.Duration, _ uint64, peers []uint64) { h.peers = peers }
 
@@ -114,7 +114,7 @@
 	if p := teller.peers; len(p.own) != 0 || len(p.zones) != 1 || len(p.zones["c"]) != 2 {
 		t.Errorf("told are %v, %v", p.own, p.zones)
 	}
-	notice := placement.Notice{Kind: placement.NoticeReads, Runner: 7, Tokens: 3000}
+	notice := placement.Notice{Kind: placement.NoticePrefill, RunnerKey: 7, Tokens: 3000}
 	teller.peers.tell(notice)
 	relayPlacer.run(t, relay, func() bool { return len(relayPlacer.heard) == 1 })
 	lastPlacer.run(t, last, func() bool { return len(lastPlacer.heard) == 1 })
@@ -132,7 +132,7 @@
 	const link = 100e3
 	p, _ := hearingProxy(t, link)
 	p.peers.earnedAt -= 10 // long ago
-	size := 10 * (datagramHead + len(appendNotice(nil, placement.Notice{Kind: placement.NoticeReads, Tokens: 3000})))
+	size := 10 * (datagramHead + len(appendNotice(nil, placement.Notice{Kind: placement.NoticePrefill, Tokens: 3000})))
 	told := 0
 	for p.peers.spend(size) {
 		told++
--- a/internal/system/proxy/placer.go
+++ b/internal/system/proxy/placer.go
@@ -12,19 +12,19 @@
 type Placer interface {
 	SetServices(now time.Duration, services []*configuration.Service)
 	SetRunners(now time.Duration, runners []placement.Runner)
-	SetEvacuated(now time.Duration, zones map[string]bool)
-	SetProxies(now time.Duration, n int)
+	SetEvacuatedZones(now time.Duration, zones map[string]bool)
+	SetProxyCount(now time.Duration, n int)
 	SetPeers(now time.Duration, self uint64, peers []uint64)
-	Heard(now time.Duration, notice placement.Notice)
-	Place(now time.Duration, r *placement.Request) (placement.Choice, *placement.Refusal)
-	Sent(now time.Duration, r *placement.Request, c placement.Choice) *placement.Attempt
-	FirstEvent(now time.Duration, a *placement.Attempt)
-	Event(now time.Duration, a *placement.Attempt)
-	Ended(now time.Duration, a *placement.Attempt, o placement.Outcome, p placement.Progress)
+	HandleNotice(now time.Duration, notice placement.Notice)
+	Place(now time.Duration, r *placement.Request) (placement.Choice, *placement.Rejection)
+	StartAttempt(now time.Duration, r *placement.Request, c placement.Choice) *placement.Attempt
+	HandleFirstEvent(now time.Duration, a *placement.Attempt)
+	HandleEvent(now time.Duration, a *placement.Attempt)
+	EndAttempt(now time.Duration, a *placement.Attempt, o placement.Outcome, p placement.Progress)
 	MayRetry(now time.Duration, r *placement.Request) bool
 	Tick(now time.Duration) (next time.Duration)
-	Learnt() []byte
-	Recall(now time.Duration, learnt []byte) error
+	Snapshot() []byte
+	Restore(now time.Duration, learnt []byte) error
 }
 
 // Routes finds the route of a request, by the Host field and the target as the client sent them; nil: there is none.
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -191,11 +191,11 @@
 }
 
 // SetEvacuated replaces the set of zones that get nothing.
-func (p *Proxy) SetEvacuated(zones map[string]bool) { p.placer.SetEvacuated(p.now(), zones) }
+func (p *Proxy) SetEvacuated(zones map[string]bool) { p.placer.SetEvacuatedZones(p.now(), zones) }
 
 // SetProxies says how many proxies may be sending.
 func (p *Proxy) SetProxies(n int) {
-	p.placer.SetProxies(p.now(), n)
+	p.placer.SetProxyCount(p.now(), n)
 	p.pool.proxies = max(n, leastProxies)
 }
 
--- a/internal/system/proxy/proxy_test.go
+++ b/internal/system/proxy/proxy_test.go
@@ -61,8 +61,8 @@
 	up := r.accept()
 	up.request()
 	w.do(func() {
-		if q := w.placer.last; q.Model != "m" || q.TokensIn != 1460 || q.TokensOut != 80 || len(q.Parts) != 2 ||
-			q.Parts[1].ID != 0x91bd3f06 || q.Parts[1].Tokens != 410 {
+		if q := w.placer.last; q.Model != "m" || q.InputTokens != 1460 || q.MaxOutputTokens != 80 || len(q.Chunks) != 2 ||
+			q.Chunks[1].ID != 0x91bd3f06 || q.Chunks[1].Tokens != 410 {
 			t.Errorf("request for the placer: %+v", q)
 		}
 	})
--- a/internal/system/proxy/request.go
+++ b/internal/system/proxy/request.go
@@ -68,18 +68,18 @@
 }
 
 // promptParts reads the parts of a prompt in their order; from the first that makes no sense on, nothing is told.
-func promptParts(value string) []placement.Part {
+func promptParts(value string) []placement.Chunk {
 	if value == "" {
 		return nil
 	}
-	parts := make([]placement.Part, 0, strings.Count(value, ",")+1)
+	parts := make([]placement.Chunk, 0, strings.Count(value, ",")+1)
 	for text := range strings.SplitSeq(value, ",") {
 		id, tokens, ok := strings.Cut(strings.Trim(text, " \t"), ":")
 		number, err := strconv.ParseUint(id, 16, 64)
 		if !ok || err != nil || len(parts) == mostParts {
 			break
 		}
-		parts = append(parts, placement.Part{ID: number, Tokens: count(tokens)})
+		parts = append(parts, placement.Chunk{ID: number, Tokens: count(tokens)})
 	}
 	return parts
 }
--- a/internal/system/proxy/retry_test.go
+++ b/internal/system/proxy/retry_test.go
@@ -135,7 +135,7 @@
 func TestRefusal(t *testing.T) {
 	w := newWorld(t)
 	w.runners("a")
-	w.do(func() { w.placer.refusal = &placement.Refusal{RetryAfter: 250 * time.Millisecond} })
+	w.do(func() { w.placer.refusal = &placement.Rejection{RetryAfter: 250 * time.Millisecond} })
 	c := w.client()
 	for _, id := range []string{"t1", "t2"} {
 		c.send(ask("/writes/x", id, "", "body"))
--- a/internal/system/proxy/stop.go
+++ b/internal/system/proxy/stop.go
@@ -40,7 +40,7 @@
 	p.log.Info("told to stop", zap.Int("exchanges", p.exchanges), zap.Int("sessions", p.sessions.open),
 		zap.Uint64("requests", p.Figures.Requests), zap.Uint64("served", p.Figures.Served),
 		zap.Uint64("refused", p.Figures.Refused), zap.Uint64("failed", p.Figures.Failed))
-	p.tellAgent(p.placer.Learnt())
+	p.tellAgent(p.placer.Snapshot())
 	now, plan := p.now(), p.stopping.plan
 	p.at(now+plan.sweep, p.sweep)
 	p.at(now+plan.shut, p.shut)
@@ -97,7 +97,7 @@
 		return
 	}
 	fields := []zap.Field{zap.String("try", x.tryID), zap.Bool("answered", x.answer.begun), zap.Bool("may_have_run", x.request.MayHaveRun),
-		zap.Duration("came_after_signal", x.request.Arrived-p.stopping.at), zap.Duration("time_left", x.request.Deadline-p.now()),
+		zap.Duration("came_after_signal", x.request.ArrivedAt-p.stopping.at), zap.Duration("time_left", x.request.Deadline-p.now()),
 		zap.Int("request_of_connection", s.requests), zap.Duration("connected_after_signal", s.entered-p.stopping.at)}
 	if x.request.Route != nil {
 		fields = append(fields, zap.String("route", x.request.Route.Name))
--- a/internal/system/proxy/world_test.go
+++ b/internal/system/proxy/world_test.go
@@ -298,7 +298,7 @@
 // fakePlacer names the first runner that was not tried. It belongs to the loop's goroutine.
 type fakePlacer struct {
 	choices  []placement.Runner
-	refusal  *placement.Refusal
+	refusal  *placement.Rejection
 	noRetry  bool
 	spread   bool // takes runners in turn
 	priority int
@@ -318,36 +318,36 @@
 
 func (f *fakePlacer) SetServices(time.Duration, []*configuration.Service) {}
 func (f *fakePlacer) SetRunners(time.Duration, []placement.Runner)        {}
-func (f *fakePlacer) SetEvacuated(time.Duration, map[string]bool)         {}
-func (f *fakePlacer) SetProxies(time.Duration, int)                       {}
+func (f *fakePlacer) SetEvacuatedZones(time.Duration, map[string]bool)    {}
+func (f *fakePlacer) SetProxyCount(time.Duration, int)                    {}
 func (f *fakePlacer) SetPeers(time.Duration, uint64, []uint64)            {}
-func (f *fakePlacer) Heard(time.Duration, placement.Notice)               {}
-func (f *fakePlacer) Place(_ time.Duration, r *placement.Request) (placement.Choice, *placement.Refusal) {
+func (f *fakePlacer) HandleNotice(time.Duration, placement.Notice)        {}
+func (f *fakePlacer) Place(_ time.Duration, r *placement.Request) (placement.Choice, *placement.Rejection) {
 	f.last = *r
 	if f.refusal != nil {
 		return placement.Choice{}, f.refusal
 	}
 	for _, c := range f.choices {
-		if !slices.Contains(r.Tried, c.ID) {
+		if !slices.Contains(r.TriedRunners, c.ID) {
 			if f.spread {
 				f.choices = append(f.choices[1:len(f.choices):len(f.choices)], f.choices[0])
 			}
 			return placement.Choice{Runner: c.ID, Address: c.Address, Priority: f.priority - 1}, nil
 		}
 	}
-	return placement.Choice{}, &placement.Refusal{RetryAfter: 1500 * time.Millisecond, Reason: "all tried"}
+	return placement.Choice{}, &placement.Rejection{RetryAfter: 1500 * time.Millisecond, Reason: "all tried"}
 }
-func (f *fakePlacer) Sent(_ time.Duration, r *placement.Request, c placement.Choice) *placement.Attempt {
+func (f *fakePlacer) StartAttempt(_ time.Duration, r *placement.Request, c placement.Choice) *placement.Attempt {
 	tell(f.sent, c.Runner)
 	return &placement.Attempt{Runner: c.Runner, Request: r}
 }
-func (f *fakePlacer) FirstEvent(time.Duration, *placement.Attempt) { f.events++ }
-func (f *fakePlacer) Event(time.Duration, *placement.Attempt)      { f.events++ }
-func (f *fakePlacer) Ended(_ time.Duration, a *placement.Attempt, o placement.Outcome, _ placement.Progress) {
+func (f *fakePlacer) HandleFirstEvent(time.Duration, *placement.Attempt) { f.events++ }
+func (f *fakePlacer) HandleEvent(time.Duration, *placement.Attempt)      { f.events++ }
+func (f *fakePlacer) EndAttempt(_ time.Duration, a *placement.Attempt, o placement.Outcome, _ placement.Progress) {
 	names := []string{"served", "not run", "wrong runner", "failed", "broken", "silent", "unreached", "abandoned"}
 	tell(f.ended, a.Runner+" "+names[o])
 }
 func (f *fakePlacer) MayRetry(time.Duration, *placement.Request) bool { return !f.noRetry }
 func (f *fakePlacer) Tick(now time.Duration) time.Duration            { return now + time.Hour }
-func (f *fakePlacer) Learnt() []byte                                  { return []byte("learnt") }
-func (f *fakePlacer) Recall(_ time.Duration, b []byte) error          { f.recalled = b; return nil }
+func (f *fakePlacer) Snapshot() []byte                                { return []byte("learnt") }
+func (f *fakePlacer) Restore(_ time.Duration, b []byte) error         { f.recalled = b; return nil }
--- a/loadbalancer/api.go
+++ b/loadbalancer/api.go
@@ -22,51 +22,51 @@
 	WorkerID uint32
 )
 
-// Effect tells what repeating a request of a class may do.
-type Effect uint8
+// RetrySafety tells what repeating a request of a class may do.
+type RetrySafety uint8
 
 // The effects of a repeat: harmless, dropped by the worker's group for a while, or harmful.
 const (
-	Safe Effect = iota
-	Keyed
-	Unsafe
+	RetrySafe RetrySafety = iota
+	RetryDeduplicated
+	RetryUnsafe
 )
 
-// Scope is the group of workers that drops repeats of a keyed request.
-type Scope uint8
+// DedupScope is the group of workers that drops repeats of a keyed request.
+type DedupScope uint8
 
 // The scopes of a keyed class.
 const (
-	ScopeAll Scope = iota
-	ScopeZone
-	ScopeCell
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
-// Field is one value of a load report.
-type Field uint8
+// ReportField is one value of a load report.
+type ReportField uint8
 
-// The fields the decisions use; FieldOther marks a position to be skipped.
+// The fields the decisions use; FieldIgnored marks a position to be skipped.
 const (
-	FieldOther       Field = iota
-	FieldInFlight          // requests the worker holds
-	FieldUtilization       // share of its cores that is busy
-	FieldFreeSlots         // slots not taken by running jobs
-	FieldFreeMemory        // memory units not taken by running jobs
-	FieldQueued            // requests that wait
+	FieldIgnored     ReportField = iota
+	FieldInFlight                // requests the worker holds
+	FieldUtilization             // share of its cores that is busy
+	FieldFreeSlots               // slots not taken by running jobs
+	FieldFreeMemory              // memory units not taken by running jobs
+	FieldQueued                  // requests that wait
 )
 
 // Class describes one class of requests. Times are in seconds.
 type Class struct {
-	Name      string
-	Objective float64 // an answer within this (plus Stretch) earns the full worth
-	Stretch   float64 // the objective grows by this multiple of the job's own work
-	Deadline  float64 // the client waits this long in all
-	Window    float64 // keyed: how long the group drops repeats
-	Worth     float64
-	LateShare float64 // share of the worth paid for an answer after the objective
-	Effect    Effect
-	Scope     Scope
-	Kind      int // machine kind that runs the class; -1 is any
+	Name           string
+	Objective      float64 // an answer within this (plus Stretch) earns the full worth
+	Stretch        float64 // the objective grows by this multiple of the job's own work
+	Deadline       float64 // the client waits this long in all
+	DedupWindow    float64 // keyed: how long the group drops repeats
+	Value          float64
+	LateValueShare float64 // share of the worth paid for an answer after the objective
+	RetrySafety    RetrySafety
+	DedupScope     DedupScope
+	Kind           int // machine kind that runs the class; -1 is any
 }
 
 // Tenant is a customer with a share of the service.
@@ -77,30 +77,30 @@
 
 // Settings are the facts a Balancer starts with. Times are in seconds.
 type Settings struct {
-	Classes        []Class
-	Tenants        []Tenant
-	Zones          int // number of zones
-	Zone           int // the dispatcher's own
-	Instances      int // dispatchers that share the workers
-	Me             int // the dispatcher's number among them, counting from 0
-	Report         []Field
-	ReportsByProbe bool // load reports come with probe results only
-	ListOnRequest  bool // the worker list must be watched or fetched
-	MayProbe       bool
-	MayCancel      bool
-	ParallelTries  bool // two attempts of a request may be in flight together
-	MayRetryAfter  bool // a refusal may carry a wait
-	MaxAttempts    int
-	MaxRetryAfter  float64
-	TellsStart     bool    // workers tell when a job starts
-	Tick           float64 // events come in batches at least this far apart
-	AnswerSlack    float64 // a final answer still counts this long after the deadline
-	AskWithin      float64 // ListOnRequest: without a watch the list must be asked for this often
-	ColdTime       float64 // a worker is warm this long after its start
-	ColdShare      float64 // share of its capacity a worker starts with, at least
-	FallMultiple   float64 // a cold worker sent more than this multiple of its present capacity
-	FallTime       float64 // within this span falls over
-	OverShareWorth float64 // worth of a request beyond its tenant's share, as a fraction
+	Classes               []Class
+	Tenants               []Tenant
+	Zones                 int // number of zones
+	Zone                  int // the dispatcher's own
+	Instances             int // dispatchers that share the workers
+	Instance              int // the dispatcher's number among them, counting from 0
+	ReportFields          []ReportField
+	ReportsByProbe        bool // load reports come with probe results only
+	ListOnRequest         bool // the worker list must be watched or fetched
+	MayProbe              bool
+	MayCancel             bool
+	ParallelAttempts      bool // two attempts of a request may be in flight together
+	MayRetryAfter         bool // a refusal may carry a wait
+	MaxAttempts           int
+	MaxRetryAfter         float64
+	ReportsStart          bool    // workers tell when a job starts
+	Tick                  float64 // events come in batches at least this far apart
+	AnswerSlack           float64 // a final answer still counts this long after the deadline
+	ListRefreshInterval   float64 // ListOnRequest: without a watch the list must be asked for this often
+	SlowStartDuration     float64 // a worker is warm this long after its start
+	SlowStartInitialShare float64 // share of its capacity a worker starts with, at least
+	OverloadMultiple      float64 // a cold worker sent more than this multiple of its present capacity
+	OverloadWindow        float64 // within this span falls over
+	OverQuotaValue        float64 // worth of a request beyond its tenant's share, as a fraction
 }
 
 // Request is an arrival.
@@ -120,21 +120,21 @@
 
 // The states of a worker in the list.
 const (
-	Gone WorkerState = iota
+	Departed WorkerState = iota
 	Ready
 	Draining
 )
 
 // Worker is one entry of the worker list.
 type Worker struct {
-	ID     WorkerID
-	Zone   int
-	Kind   int
-	Cell   int
-	State  WorkerState
-	Weight float64  // relative size; 0 is not told
-	Since  float64  // clock time of its last start; 0 is long ago
-	Skills []uint32 // what it can do; none is skill 0 alone
+	ID        WorkerID
+	Zone      int
+	Kind      int
+	Cell      int
+	State     WorkerState
+	Weight    float64  // relative size; 0 is not told
+	StartedAt float64  // clock time of its last start; 0 is long ago
+	Skills    []uint32 // what it can do; none is skill 0 alone
 }
 
 // ListKind tells how the entries of a list event apply.
@@ -155,39 +155,39 @@
 const (
 	OK Result = iota
 	Error
-	Full
+	Rejected
 	Timeout
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	Withdrawn
 )
 
 // Outcome ends one attempt. Attempts of a request count from 0 in the order of their sends.
 type Outcome struct {
-	Request RequestID
-	Attempt int
-	Worker  WorkerID
-	Result  Result
-	Closed  bool      // the client has its answer
-	Worn    bool      // a connection that had rested broke, which says nothing of the worker
-	Report  []float32 // in the order of Settings.Report; empty when none came
+	Request         RequestID
+	Attempt         int
+	Worker          WorkerID
+	Result          Result
+	ClientAnswered  bool      // the client has its answer
+	StaleConnection bool      // a connection that had rested broke, which says nothing of the worker
+	Report          []float32 // in the order of Settings.Report; empty when none came
 }
 
-// Note is news of an attempt in flight.
-type Note struct {
-	Request RequestID
-	Attempt int
-	Started bool    // the job has started
-	Share   float64 // otherwise: the share done
+// ProgressUpdate is news of an attempt in flight.
+type ProgressUpdate struct {
+	Request  RequestID
+	Attempt  int
+	Started  bool    // the job has started
+	Fraction float64 // otherwise: the share done
 }
 
 // Actions carries out what a Balancer decides. Calls are made only from within an event method.
 type Actions interface {
 	// Send starts the next attempt; timeout 0 lasts until the client's deadline.
 	Send(id RequestID, worker WorkerID, timeout float64)
-	// Refuse is a final answer: the job did not run, a retry is harmless; wait 0 names no wait.
-	Refuse(id RequestID, wait float64)
+	// Reject is a final answer: the job did not run, a retry is harmless; wait 0 names no wait.
+	Reject(id RequestID, wait float64)
 	// Fail is a final answer that promises nothing.
 	Fail(id RequestID)
 	Cancel(id RequestID, attempt int)
@@ -226,8 +226,8 @@
 	if s.Instances < 1 {
 		return bad("Instances", s.Instances)
 	}
-	if s.Me < 0 || s.Me >= s.Instances {
-		return bad("Me", s.Me)
+	if s.Instance < 0 || s.Instance >= s.Instances {
+		return bad("Me", s.Instance)
 	}
 	if s.MaxAttempts < 1 {
 		return bad("MaxAttempts", s.MaxAttempts)
@@ -238,16 +238,16 @@
 		positive bool
 	}{
 		{"MaxRetryAfter", s.MaxRetryAfter, false}, {"Tick", s.Tick, true}, {"AnswerSlack", s.AnswerSlack, false},
-		{"AskWithin", s.AskWithin, s.ListOnRequest}, {"ColdTime", s.ColdTime, false},
-		{"FallMultiple", s.FallMultiple, true}, {"FallTime", s.FallTime, true},
-		{"OverShareWorth", s.OverShareWorth, false},
+		{"AskWithin", s.ListRefreshInterval, s.ListOnRequest}, {"ColdTime", s.SlowStartDuration, false},
+		{"FallMultiple", s.OverloadMultiple, true}, {"FallTime", s.OverloadWindow, true},
+		{"OverShareWorth", s.OverQuotaValue, false},
 	} {
 		if !finite(f.v) || f.v < 0 || f.positive && f.v == 0 {
 			return bad(f.name, f.v)
 		}
 	}
-	if !(s.ColdShare > 0 && s.ColdShare <= 1) {
-		return bad("ColdShare", s.ColdShare)
+	if !(s.SlowStartInitialShare > 0 && s.SlowStartInitialShare <= 1) {
+		return bad("ColdShare", s.SlowStartInitialShare)
 	}
 	return nil
 }
@@ -262,17 +262,17 @@
 		positive bool
 	}{
 		{"Objective", c.Objective, true}, {"Deadline", c.Deadline, true}, {"Stretch", c.Stretch, false},
-		{"Window", c.Window, c.Effect == Keyed}, {"Worth", c.Worth, false}, {"LateShare", c.LateShare, false},
+		{"Window", c.DedupWindow, c.RetrySafety == RetryDeduplicated}, {"Worth", c.Value, false}, {"LateShare", c.LateValueShare, false},
 	} {
 		if !finite(f.v) || f.v < 0 || f.positive && f.v == 0 {
 			return bad(f.name, f.v)
 		}
 	}
-	if c.Effect > Unsafe {
-		return bad("Effect", c.Effect)
+	if c.RetrySafety > RetryUnsafe {
+		return bad("Effect", c.RetrySafety)
 	}
-	if c.Scope > ScopeCell {
-		return bad("Scope", c.Scope)
+	if c.DedupScope > DedupCell {
+		return bad("Scope", c.DedupScope)
 	}
 	if c.Kind < -1 {
 		return bad("Kind", c.Kind)
--- a/loadbalancer/attempts.go
+++ b/loadbalancer/attempts.go
@@ -9,8 +9,8 @@
 
 // This file holds arrivals, attempts, second copies, and what is learnt from how attempts end.
 
-// OnRequest takes an arrival: it is sent at once, refused early, or held for a worker.
-func (b *Balancer) OnRequest(now float64, q *Request) {
+// HandleRequest takes an arrival: it is sent at once, refused early, or held for a worker.
+func (b *Balancer) HandleRequest(now float64, q *Request) {
 	if q.Class < 0 || q.Class >= len(b.Classes) {
 		b.act.Fail(q.ID) // nothing is known of such a class: promise nothing
 		return
@@ -27,7 +27,7 @@
 
 // try makes the next attempt, holds the request while no worker may be sent to, or answers.
 func (b *Balancer) try(now float64, r *request) {
-	if now >= r.Deadline-b.Tick || len(r.attempts) >= b.MaxAttempts || r.class.Effect == Unsafe && r.ran() {
+	if now >= r.Deadline-b.Tick || len(r.attempts) >= b.MaxAttempts || r.class.RetrySafety == RetryUnsafe && r.ran() {
 		b.answer(now, r)
 		return
 	}
@@ -59,7 +59,7 @@
 	}
 	b.learnWait(true, a.w, a.load, math.Max(wait-*far-b.sweep, 0))
 	if wait > waitShare*(r.aim-r.arrived) {
-		a.w.ceilings.Strike(a.load, a.w.slots) // a late start is the early warning of a late end
+		a.w.ceilings.RecordOverload(a.load, a.w.slots) // a late start is the early warning of a late end
 	}
 	for i := range r.attempts { // the copy that starts first wins, the others are withdrawn
 		if r.attempts[i].started == 0 {
@@ -79,22 +79,22 @@
 		}
 		b.learnPace(w, run, r.cost)
 		w.run = cmp.Or(w.run, b.run)*(1-learnRate) + run*learnRate
-		capacity.Mean(&b.run, run, fleetRate)
+		capacity.UpdateMean(&b.run, run, fleetRate)
 		if r.Work == 0 {
-			capacity.Mean(&b.work[r.Class], run, fleetRate)
+			capacity.UpdateMean(&b.work[r.Class], run, fleetRate)
 		}
 		b.learnWait(false, w, a.load, math.Max(now-r.aim, 0))
 		if now <= r.aim && waited <= waitShare*(r.aim-r.arrived) {
-			w.ceilings.Clean(a.load, w.slots)
-		} else if !b.TellsStart { // else only a late start blames the load: a late end may be the job's size
-			w.ceilings.Strike(a.load, w.slots)
+			w.ceilings.RecordSuccess(a.load, w.slots)
+		} else if !b.ReportsStart { // else only a late start blames the load: a late end may be the job's size
+			w.ceilings.RecordOverload(a.load, w.slots)
 		}
-	case Full: // it drains and the list is late, or is jammed: no slot comes free here for a while either way
-		w.ceilings.Strike(math.Max(a.load, w.ceilings.Load), w.slots)
+	case Rejected: // it drains and the list is late, or is jammed: no slot comes free here for a while either way
+		w.ceilings.RecordOverload(math.Max(a.load, w.ceilings.Load), w.slots)
 		b.setAside(now, w, fullShare*b.recover, "set aside: it takes nothing")
 		return
 	case Error, Reset, ConnectFailed:
-		w.ceilings.Strike(a.load, w.slots)
+		w.ceilings.RecordOverload(a.load, w.slots)
 		bad = 1
 	default:
 		return
@@ -105,15 +105,15 @@
 // blame counts a failure of a worker, 1, or a success, 0. One that fails fast looks empty and would draw all
 // jobs: it is set aside, longer each time.
 func (b *Balancer) blame(now float64, w *worker, bad float64) {
-	if w.standing.Blame(bad, b.errors) {
+	if w.standing.RecordOutcome(bad, b.errors) {
 		b.setAside(now, w, 8*b.limit, "set aside: its attempts fail")
 	}
 }
 
 // setAside has a worker get jobs only where all others are worse, longer each time.
 func (b *Balancer) setAside(now float64, w *worker, least float64, why string) {
-	if w.standing.SetAside(now, least, b.recover) {
-		b.logWorker(w, why, w.standing.ShunFor)
+	if w.standing.Eject(now, least, b.recover) {
+		b.logWorker(w, why, w.standing.LastDuration)
 	}
 }
 
@@ -122,7 +122,7 @@
 func (b *Balancer) hedge(now float64, r *request) {
 	a := r.inFlight()
 	waited, run := now-a.sent, r.cost*a.w.pace
-	if !b.ParallelTries || !b.TellsStart || b.copies < 1 || r.class.Effect == Unsafe || a.started > 0 ||
+	if !b.ParallelAttempts || !b.ReportsStart || b.copies < 1 || r.class.RetrySafety == RetryUnsafe || a.started > 0 ||
 		waited < waitShare*(r.aim-a.sent-run) || now+waited+run < r.aim {
 		return
 	}
--- a/loadbalancer/brain.go
+++ b/loadbalancer/brain.go
@@ -8,8 +8,8 @@
 
 // The constants are ratios; every time and amount derives from the settings or from what is seen.
 const (
-	seedMargin = capacity.SeedMargin
-	learnRate  = capacity.LearnRate
+	seedMargin = capacity.InitialMargin
+	learnRate  = capacity.LearningRate
 	fleetRate  = 0.05 // the same for means over all workers, which get more samples
 	othersRate = 0.2  // the same for the other balancers' jobs on a worker: reports are late and noisy
 	staleAfter = 8.0  // report periods after which a report weighs half
@@ -37,17 +37,17 @@
 // sweepToken is the timer of the sweep; a request's own timer bears its id.
 const sweepToken = math.MaxUint32
 
-// OnStart begins a life; the list comes as a list event of its own.
-func (b *Balancer) OnStart(now float64) {
-	b.askEvery, b.lastAsk = b.AskWithin/8, now
+// Start begins a life; the list comes as a list event of its own.
+func (b *Balancer) Start(now float64) {
+	b.askEvery, b.lastAsk = b.ListRefreshInterval/8, now
 	if b.ListOnRequest {
 		b.act.Watch(true)
 	}
 	b.act.SetTimer(sweepToken, now+b.sweep)
 }
 
-// OnTimer runs the sweep: the plan of the period, held and overdue requests, copies, the list, probes.
-func (b *Balancer) OnTimer(now float64, token uint32) {
+// HandleTimer runs the sweep: the plan of the period, held and overdue requests, copies, the list, probes.
+func (b *Balancer) HandleTimer(now float64, token uint32) {
 	if r := b.requests[RequestID(token)]; r != nil && now >= r.Deadline-2*b.Tick {
 		b.answer(now, r)
 	}
