--- a/loadbalancer/brain_test.go
+++ b/loadbalancer/brain_test.go
@@ -56,25 +56,25 @@
 }
 
 func (t try) mayHaveRun() bool {
-	return t.flying || t.result != Full && t.result != ConnectFailed && t.result != Moot
+	return t.flying || t.result != Rejected && t.result != ConnectFailed && t.result != Withdrawn
 }
 
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "read", Objective: 0.1, Stretch: 2, Deadline: 5, Worth: 1, Effect: Safe, Kind: -1},
-			{Name: "keyed", Objective: 0.6, Stretch: 2, Deadline: 10, Worth: 5, Effect: Keyed, Scope: ScopeCell,
-				Window: 4, Kind: -1},
-			{Name: "once", Objective: 0.3, Stretch: 2, Deadline: 5, Worth: 5, Effect: Unsafe, Kind: -1},
-			{Name: "keyed-all", Objective: 0.6, Stretch: 2, Deadline: 10, Worth: 5, Effect: Keyed, Scope: ScopeAll,
-				Window: 4, Kind: -1},
-			{Name: "keyed-zone", Objective: 0.6, Stretch: 2, Deadline: 10, Worth: 5, Effect: Keyed,
-				Scope: ScopeZone, Window: 4, Kind: -1},
-			{Name: "special", Objective: 0.6, Stretch: 2, Deadline: 10, Worth: 5, Effect: Safe, Kind: 1},
+			{Name: "read", Objective: 0.1, Stretch: 2, Deadline: 5, Value: 1, RetrySafety: RetrySafe, Kind: -1},
+			{Name: "keyed", Objective: 0.6, Stretch: 2, Deadline: 10, Value: 5, RetrySafety: RetryDeduplicated, DedupScope: DedupCell,
+				DedupWindow: 4, Kind: -1},
+			{Name: "once", Objective: 0.3, Stretch: 2, Deadline: 5, Value: 5, RetrySafety: RetryUnsafe, Kind: -1},
+			{Name: "keyed-all", Objective: 0.6, Stretch: 2, Deadline: 10, Value: 5, RetrySafety: RetryDeduplicated, DedupScope: DedupAll,
+				DedupWindow: 4, Kind: -1},
+			{Name: "keyed-zone", Objective: 0.6, Stretch: 2, Deadline: 10, Value: 5, RetrySafety: RetryDeduplicated,
+				DedupScope: DedupZone, DedupWindow: 4, Kind: -1},
+			{Name: "special", Objective: 0.6, Stretch: 2, Deadline: 10, Value: 5, RetrySafety: RetrySafe, Kind: 1},
 		},
-		Zones: 2, Zone: 0, Instances: 2, Report: []Field{FieldInFlight, FieldUtilization, FieldFreeSlots},
-		MayCancel: true, ParallelTries: true, MaxAttempts: 4, TellsStart: true, Tick: 0.005, AnswerSlack: 0.02,
-		AskWithin: 10, ColdTime: 20, ColdShare: 0.2, FallMultiple: 3, FallTime: 1.5, OverShareWorth: 0.1,
+		Zones: 2, Zone: 0, Instances: 2, ReportFields: []ReportField{FieldInFlight, FieldUtilization, FieldFreeSlots},
+		MayCancel: true, ParallelAttempts: true, MaxAttempts: 4, ReportsStart: true, Tick: 0.005, AnswerSlack: 0.02,
+		ListRefreshInterval: 10, SlowStartDuration: 20, SlowStartInitialShare: 0.2, OverloadMultiple: 3, OverloadWindow: 1.5, OverQuotaValue: 0.1,
 	}
 }
 
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	r.b = b
-	b.OnStart(r.now)
+	b.Start(r.now)
 	return r
 }
 
@@ -109,7 +109,7 @@
 		r.t.Errorf("request %d sent to a worker of kind %d", id, r.workers[w].Kind)
 	}
 	for _, a := range r.tries[id] {
-		if a.flying && !r.s.ParallelTries {
+		if a.flying && !r.s.ParallelAttempts {
 			r.t.Errorf("request %d: second attempt in flight", id)
 		}
 		if a.mayHaveRun() && !r.repeatAllowed(c, a, w) {
@@ -125,15 +125,15 @@
 }
 
 func (r *recorder) repeatAllowed(c Class, a try, w WorkerID) bool {
-	if c.Effect == Safe {
+	if c.RetrySafety == RetrySafe {
 		return true
 	}
-	if c.Effect == Unsafe || r.now >= a.at+c.Window {
+	if c.RetrySafety == RetryUnsafe || r.now >= a.at+c.DedupWindow {
 		return false
 	}
 	was, is := r.workers[a.worker], r.workers[w]
-	return c.Scope == ScopeAll || c.Scope == ScopeZone && was.Zone == is.Zone ||
-		c.Scope == ScopeCell && was.Cell == is.Cell
+	return c.DedupScope == DedupAll || c.DedupScope == DedupZone && was.Zone == is.Zone ||
+		c.DedupScope == DedupCell && was.Cell == is.Cell
 }
 
 func (r *recorder) final(id RequestID, word string) {
@@ -149,13 +149,13 @@
 	r.trace = append(r.trace, fmt.Sprintf("%s %d", word, id))
 }
 
-func (r *recorder) Refuse(id RequestID, wait float64) {
+func (r *recorder) Reject(id RequestID, wait float64) {
 	r.waits[id] = wait
 	r.final(id, "refuse")
 	r.refused[id] = true
 	c := r.s.Classes[r.reqs[id].Class]
 	for _, a := range r.tries[id] {
-		if a.mayHaveRun() && c.Effect != Safe && !(c.Effect == Keyed && c.Scope == ScopeAll) {
+		if a.mayHaveRun() && c.RetrySafety != RetrySafe && !(c.RetrySafety == RetryDeduplicated && c.DedupScope == DedupAll) {
 			r.t.Errorf("request %d of class %s may have run and was refused", id, c.Name)
 		}
 	}
@@ -201,7 +201,7 @@
 		r.timers = nil
 		for _, t := range due {
 			if t.at <= r.now {
-				r.b.OnTimer(r.now, t.token)
+				r.b.HandleTimer(r.now, t.token)
 			} else {
 				r.timers = append(r.timers, t)
 			}
@@ -212,14 +212,14 @@
 func (r *recorder) list(kind ListKind, entries ...Worker) {
 	if kind != ListDelta && kind != ListFailed {
 		for id, w := range r.workers {
-			w.State = Gone
+			w.State = Departed
 			r.workers[id] = w
 		}
 	}
 	for _, e := range entries {
 		r.workers[e.ID] = e
 	}
-	r.b.OnList(r.now, kind, entries)
+	r.b.UpdateWorkers(r.now, kind, entries)
 }
 
 func (r *recorder) request(id RequestID, class int, work float64) {
@@ -229,7 +229,7 @@
 	}
 	q := Request{ID: id, Class: class, Slots: 1, Work: work, Deadline: r.now + deadline}
 	r.reqs[id] = &q
-	r.b.OnRequest(r.now, &q)
+	r.b.HandleRequest(r.now, &q)
 }
 
 // outcome ends attempt n; an OK closes the request.
@@ -240,13 +240,13 @@
 	if result == OK {
 		r.done[id] = true
 	}
-	r.b.OnOutcome(r.now, &Outcome{Request: id, Attempt: n, Worker: a.worker, Result: result, Closed: closed,
+	r.b.HandleOutcome(r.now, &Outcome{Request: id, Attempt: n, Worker: a.worker, Result: result, ClientAnswered: closed,
 		Report: report})
 }
 
 func (r *recorder) start(id RequestID, n int) {
 	r.tries[id][n].started = true
-	r.b.OnNote(r.now, &Note{Request: id, Attempt: n, Started: true})
+	r.b.HandleProgress(r.now, &ProgressUpdate{Request: id, Attempt: n, Started: true})
 }
 
 // reportFree has workers 1 to n report no load and four free slots.
@@ -273,12 +273,12 @@
 		result Result
 		want   string
 	}{
-		{0, Error, again}, {0, Full, again}, {0, Timeout, again}, {0, ConnectFailed, again}, {0, Reset, again},
-		{0, Cancelled, again}, {0, Moot, again},
-		{1, Error, again}, {1, Full, again}, {1, Reset, again}, {1, Cancelled, again}, {1, ConnectFailed, again},
+		{0, Error, again}, {0, Rejected, again}, {0, Timeout, again}, {0, ConnectFailed, again}, {0, Reset, again},
+		{0, Cancelled, again}, {0, Withdrawn, again},
+		{1, Error, again}, {1, Rejected, again}, {1, Reset, again}, {1, Cancelled, again}, {1, ConnectFailed, again},
 		{3, Error, again}, {4, Error, again},
 		{2, Error, fail}, {2, Timeout, fail}, {2, Reset, fail}, {2, Cancelled, fail},
-		{2, Full, again}, {2, ConnectFailed, again}, {2, Moot, again},
+		{2, Rejected, again}, {2, ConnectFailed, again}, {2, Withdrawn, again},
 	} {
 		t.Run(fmt.Sprintf("%s/%d", testSettings().Classes[c.class].Name, c.result), func(t *testing.T) {
 			r := newRecorder(t, testSettings(), 1)
@@ -387,7 +387,7 @@
 	for id, want := range map[RequestID]WorkerID{1: 1, 2: 2} {
 		q := Request{ID: id, Slots: 1, Work: 0.05, Deadline: r.now + 5, Skill: uint32(id-1) * 8}
 		r.reqs[id] = &q
-		r.b.OnRequest(r.now, &q)
+		r.b.HandleRequest(r.now, &q)
 		if got := r.sends[len(r.sends)-1].worker; got != want {
 			t.Errorf("skill %d went to worker %d, want %d", q.Skill, got, want)
 		}
@@ -415,7 +415,7 @@
 	for i := 0; i < 50; i++ {
 		next := r.timers[len(r.timers)-1]
 		r.now, r.timers = next.at-1e-7, nil
-		r.b.OnTimer(r.now, next.token)
+		r.b.HandleTimer(r.now, next.token)
 		if len(r.timers) == 0 {
 			t.Fatal("no further sweep was asked for")
 		}
@@ -425,7 +425,7 @@
 func TestNothingGoesToAWorkerThatDrainsOrLeft(t *testing.T) {
 	for name, change := range map[string]func(r *recorder){
 		"drains":             func(r *recorder) { r.list(ListDelta, Worker{ID: 1, State: Draining}) },
-		"gone":               func(r *recorder) { r.list(ListDelta, Worker{ID: 1, State: Gone}) },
+		"gone":               func(r *recorder) { r.list(ListDelta, Worker{ID: 1, State: Departed}) },
 		"absent from a full": func(r *recorder) { r.list(ListFull, Worker{ID: 2, State: Ready}) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -452,7 +452,7 @@
 
 // warmAt is the warmth at a time of a worker that started at 1000.
 func warmAt(s Settings, at float64) float64 {
-	return s.ColdShare + (1-s.ColdShare)*(at-1000)/s.ColdTime
+	return s.SlowStartInitialShare + (1-s.SlowStartInitialShare)*(at-1000)/s.SlowStartDuration
 }
 
 // worstSpan is the most work sent within a fall time, as a share of what the capacity at its start allows.
@@ -461,11 +461,11 @@
 	for _, from := range sends {
 		sum := 0.0
 		for _, x := range sends {
-			if x.at >= from.at && x.at < from.at+s.FallTime {
+			if x.at >= from.at && x.at < from.at+s.OverloadWindow {
 				sum += work(x.id)
 			}
 		}
-		worst = max(worst, sum/(s.FallMultiple*capacity(from.at)*s.FallTime))
+		worst = max(worst, sum/(s.OverloadMultiple*capacity(from.at)*s.OverloadWindow))
 	}
 	return worst
 }
@@ -474,13 +474,13 @@
 func TestColdWorkerIsNotPushedOver(t *testing.T) {
 	s := testSettings()
 	r := newRecorder(t, s, 1)
-	r.list(ListFull, Worker{ID: 1, State: Ready, Since: r.now})
+	r.list(ListFull, Worker{ID: 1, State: Ready, StartedAt: r.now})
 	for id := RequestID(1); id <= 400; id++ {
 		r.request(id, 0, 0.1)
 		r.runTo(r.now + 0.02)
 	}
 	worst := worstSpan(s, r.sends, func(RequestID) float64 { return 0.1 }, func(from float64) float64 {
-		return warmAt(s, from+s.FallTime) / float64(s.Instances)
+		return warmAt(s, from+s.OverloadWindow) / float64(s.Instances)
 	})
 	if len(r.sends) == 0 {
 		t.Fatal("a cold worker must get what it can bear")
@@ -502,12 +502,12 @@
 		r.request(1, 0, 0.1)
 		r.start(1, 0)
 		r.outcome(1, 0, OK, 0, 0, 4)
-		r.list(ListFull, Worker{ID: 9, State: Ready, Since: 1000})
+		r.list(ListFull, Worker{ID: 9, State: Ready, StartedAt: 1000})
 		return r
 	}
 	var fleet []*recorder
-	for s.Me = 0; s.Me < s.Instances; s.Me++ {
-		fleet = append(fleet, life(uint64(s.Me), 1000))
+	for s.Instance = 0; s.Instance < s.Instances; s.Instance++ {
+		fleet = append(fleet, life(uint64(s.Instance), 1000))
 	}
 	var all []sent
 	work := func(id RequestID) float64 { return []float64{0.1, 0.1, 0.1, 0.4}[id%4] }
@@ -515,7 +515,7 @@
 	for step := RequestID(2); step < 100; step++ {
 		for me, r := range fleet {
 			if step == 30 && me%2 == 0 { // half of them are back with nothing but the list
-				s.Me = me
+				s.Instance = me
 				r = life(uint64(1000+me), r.now)
 				fleet[me] = r
 			}
@@ -544,7 +544,7 @@
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(1)...)
 	r.runTo(r.now + 1)
-	r.list(ListDelta, Worker{ID: 1, State: Ready, Since: r.now})
+	r.list(ListDelta, Worker{ID: 1, State: Ready, StartedAt: r.now})
 	for id := RequestID(1); id <= 50; id++ {
 		r.request(id, 0, 0.1)
 	}
@@ -582,8 +582,8 @@
 		for len(r.watches) == before && r.now < last+20 {
 			r.runTo(r.now + 0.05)
 		}
-		if r.now-last > s.AskWithin {
-			t.Fatalf("asked after %.1f s, allowed %.1f", r.now-last, s.AskWithin)
+		if r.now-last > s.ListRefreshInterval {
+			t.Fatalf("asked after %.1f s, allowed %.1f", r.now-last, s.ListRefreshInterval)
 		}
 		last = r.now
 	}
@@ -673,9 +673,9 @@
 	r := newRecorder(t, s, 1)
 	r.list(ListFull, ready(2)...)
 	for i := 0; i < 3; i++ {
-		r.b.OnProbed(r.now, 1, ConnectFailed, nil)
-		r.b.OnProbed(r.now, 2, OK, []float32{1, 0.3, 3})
-		r.b.OnProbed(r.now, 2, Full, nil)
+		r.b.HandleProbeResult(r.now, 1, ConnectFailed, nil)
+		r.b.HandleProbeResult(r.now, 2, OK, []float32{1, 0.3, 3})
+		r.b.HandleProbeResult(r.now, 2, Rejected, nil)
 	}
 	for id := RequestID(1); id < 6; id++ {
 		if r.request(id, 0, 0.05); r.tries[id][0].worker != 2 {
@@ -713,7 +713,7 @@
 		r.outcome(id, 0, Error)
 	}
 	for _, w := range r.b.workers {
-		if w.standing.ShunUntil > r.now {
+		if w.standing.EjectedUntil > r.now {
 			t.Errorf("worker %d was set aside", w.ID)
 		}
 	}
@@ -755,7 +755,7 @@
 	was := r.b.period
 	for i := 0; i < 10; i++ {
 		r.runTo(r.now + 10)
-		r.b.OnProbed(r.now, 1, OK, []float32{float32(i), 0.1 * float32(i), 9})
+		r.b.HandleProbeResult(r.now, 1, OK, []float32{float32(i), 0.1 * float32(i), 9})
 	}
 	if r.b.period > was {
 		t.Errorf("period of reports went from %.2f to %.2f though none was seen twice", was, r.b.period)
@@ -763,7 +763,7 @@
 	for i := 0; i < 20; i++ { // each seen twice: now the time between new ones is known
 		r.runTo(r.now + 1)
 		for j := 0; j < 2; j++ {
-			r.b.OnProbed(r.now, 1, OK, []float32{float32(i % 7), 0.1 * float32(i%7), 9})
+			r.b.HandleProbeResult(r.now, 1, OK, []float32{float32(i % 7), 0.1 * float32(i%7), 9})
 		}
 	}
 	if r.b.period < 0.9 || r.b.period > 1.1 {
@@ -781,7 +781,7 @@
 		fleet[i].Zone = i % 2
 	}
 	seen, kept, all := map[WorkerID]int{}, 0, 0
-	for s.Me = 0; s.Me < s.Instances; s.Me++ {
+	for s.Instance = 0; s.Instance < s.Instances; s.Instance++ {
 		r := newRecorder(t, s, 1)
 		r.list(ListFull, fleet...)
 		before := map[WorkerID]bool{}
@@ -792,10 +792,10 @@
 			}
 		}
 		if len(before) != 2*viewLeast {
-			t.Fatalf("instance %d has %d workers in sight", s.Me, len(before))
+			t.Fatalf("instance %d has %d workers in sight", s.Instance, len(before))
 		}
 		gone := fleet[7]
-		gone.State = Gone
+		gone.State = Departed
 		r.list(ListDelta, gone)
 		for _, w := range r.b.workers {
 			if before[w.ID] && w.ID != gone.ID {
@@ -814,7 +814,7 @@
 	if kept*10 < all*8 {
 		t.Errorf("only %d of %d workers stayed in sight after another left", kept, all)
 	}
-	s.Me = 0
+	s.Instance = 0
 	r := newRecorder(t, s, 1)
 	r.list(ListFull, fleet[:12]...)
 	for _, w := range r.b.workers {
@@ -866,7 +866,7 @@
 	r.start(1, 0)
 	for i := 1; i < 9; i++ {
 		r.runTo(r.now + 0.5)
-		r.b.OnNote(r.now, &Note{Request: 1, Share: float64(i) / 10})
+		r.b.HandleProgress(r.now, &ProgressUpdate{Request: 1, Fraction: float64(i) / 10})
 	}
 	if pace := r.b.byID[1].pace; pace > peerFactor*r.b.pace {
 		t.Errorf("pace %.2f against %.2f of all", pace, r.b.pace)
@@ -900,9 +900,9 @@
 
 func TestNoSecondCopyWhereItIsNotAllowed(t *testing.T) {
 	s := testSettings()
-	s.ParallelTries = false
+	s.ParallelAttempts = false
 	for _, parallel := range []bool{false, true} {
-		s.ParallelTries = parallel
+		s.ParallelAttempts = parallel
 		r := newRecorder(t, s, 1)
 		r.list(ListFull, ready(3)...)
 		r.reportFree(3)
@@ -932,7 +932,7 @@
 	r.list(ListFull, ready(2)...)
 	r.request(1, 0, 0.05)
 	r.done[1] = true // the client owns it
-	r.b.OnFirst(r.now, 1, 0)
+	r.b.HandleFirstByte(r.now, 1, 0)
 	r.runTo(r.now + 8)
 	if len(r.sends) != 1 || r.cancels != 0 {
 		t.Errorf("%d sends, %d cancels after the stream began", len(r.sends), r.cancels)
@@ -943,16 +943,16 @@
 	for field, spoil := range map[string]func(*Settings){
 		"Classes":                func(s *Settings) { s.Classes = nil },
 		"Classes[0].Objective":   func(s *Settings) { s.Classes[0].Objective = 0 },
-		"Classes[1].Window":      func(s *Settings) { s.Classes[1].Window = 0 },
+		"Classes[1].Window":      func(s *Settings) { s.Classes[1].DedupWindow = 0 },
 		"Classes[0].Deadline":    func(s *Settings) { s.Classes[0].Deadline = -1 },
 		"Zones":                  func(s *Settings) { s.Zones = 0 },
 		"Zone":                   func(s *Settings) { s.Zone = 5 },
 		"Instances":              func(s *Settings) { s.Instances = 0 },
 		"MaxAttempts":            func(s *Settings) { s.MaxAttempts = 0 },
 		"Tick":                   func(s *Settings) { s.Tick = 0 },
-		"ColdShare":              func(s *Settings) { s.ColdShare = 2 },
-		"FallTime":               func(s *Settings) { s.FallTime = 0 },
-		"AskWithin":              func(s *Settings) { s.ListOnRequest, s.AskWithin = true, 0 },
+		"ColdShare":              func(s *Settings) { s.SlowStartInitialShare = 2 },
+		"FallTime":               func(s *Settings) { s.OverloadWindow = 0 },
+		"AskWithin":              func(s *Settings) { s.ListOnRequest, s.ListRefreshInterval = true, 0 },
 		"Tenants[0].QuotaPerSec": func(s *Settings) { s.Tenants = []Tenant{{QuotaPerSec: -1}} },
 	} {
 		s := testSettings()
@@ -983,7 +983,7 @@
 				q.Class, q.Tenant = rng.Intn(9)-1, rng.Intn(5)-2
 			}
 			r.reqs[next] = &q
-			r.b.OnRequest(r.now, &q)
+			r.b.HandleRequest(r.now, &q)
 			next++
 		case 4, 5, 6, 7, 8:
 			if len(r.sends) == 0 {
@@ -994,11 +994,11 @@
 				a := r.tries[pick.id][n]
 				switch {
 				case !a.flying:
-					r.b.OnOutcome(r.now, &Outcome{Request: pick.id, Attempt: n, Result: OK}) // repeated
+					r.b.HandleOutcome(r.now, &Outcome{Request: pick.id, Attempt: n, Result: OK}) // repeated
 				case !a.started && rng.Intn(2) == 0:
 					r.start(pick.id, n)
 				case a.started && rng.Intn(4) == 0:
-					r.b.OnNote(r.now, &Note{Request: pick.id, Attempt: n, Share: odd[rng.Intn(6)]})
+					r.b.HandleProgress(r.now, &ProgressUpdate{Request: pick.id, Attempt: n, Fraction: odd[rng.Intn(6)]})
 				default:
 					r.outcome(pick.id, n, Result(rng.Intn(8)), float32(rng.Intn(9)), rng.Float32(),
 						float32(odd[rng.Intn(6)]))
@@ -1008,7 +1008,7 @@
 			w := Worker{ID: WorkerID(1 + rng.Intn(8)), Zone: rng.Intn(4) - 1, Kind: rng.Intn(2), Cell: rng.Intn(3),
 				State: WorkerState(rng.Intn(3)), Weight: odd[rng.Intn(6)]}
 			if rng.Intn(2) == 0 {
-				w.Since = r.now - rng.Float64()*3
+				w.StartedAt = r.now - rng.Float64()*3
 			}
 			if old, known := r.workers[w.ID]; known { // a worker does not move
 				w.Zone, w.Kind, w.Cell = old.Zone, old.Kind, old.Cell
@@ -1016,16 +1016,16 @@
 			r.list(ListDelta, w)
 		case 10:
 			r.list(ListFailed)
-			r.b.OnNote(r.now, &Note{Request: 1 << 30, Attempt: 3, Started: true})
-			r.b.OnOutcome(r.now, &Outcome{Request: 1, Attempt: 200})
-			r.b.OnProbed(r.now, 999, OK, []float32{1})
-			r.b.OnGone(r.now, 1<<30)
-			r.b.OnTimer(r.now, rng.Uint32())
+			r.b.HandleProgress(r.now, &ProgressUpdate{Request: 1 << 30, Attempt: 3, Started: true})
+			r.b.HandleOutcome(r.now, &Outcome{Request: 1, Attempt: 200})
+			r.b.HandleProbeResult(r.now, 999, OK, []float32{1})
+			r.b.HandleDisconnect(r.now, 1<<30)
+			r.b.HandleTimer(r.now, rng.Uint32())
 		case 11:
 			id := RequestID(1 + rng.Intn(int(next)))
 			if r.reqs[id] != nil && !r.done[id] {
 				r.done[id] = true
-				r.b.OnGone(r.now, id)
+				r.b.HandleDisconnect(r.now, id)
 			}
 		}
 	}
@@ -1040,8 +1040,8 @@
 
 func variants() []Settings {
 	plain, strict, probing := testSettings(), testSettings(), testSettings()
-	strict.ParallelTries, strict.MayCancel, strict.MaxAttempts, strict.TellsStart = false, false, 2, false
-	strict.Report = nil
+	strict.ParallelAttempts, strict.MayCancel, strict.MaxAttempts, strict.ReportsStart = false, false, 2, false
+	strict.ReportFields = nil
 	probing.MayProbe, probing.ReportsByProbe, probing.ListOnRequest = true, true, true
 	probing.Tenants = []Tenant{{Name: "a", QuotaPerSec: 3}, {Name: "b", QuotaPerSec: 9}}
 	return []Settings{plain, strict, probing}
@@ -1076,7 +1076,7 @@
 type nobody struct{}
 
 func (nobody) Send(RequestID, WorkerID, float64) {}
-func (nobody) Refuse(RequestID, float64)         {}
+func (nobody) Reject(RequestID, float64)         {}
 func (nobody) Fail(RequestID)                    {}
 func (nobody) Cancel(RequestID, int)             {}
 func (nobody) Probe(WorkerID)                    {}
@@ -1094,23 +1094,23 @@
 func arrivalsThat(t testing.TB, workers int, report []float32) func() {
 	s := testSettings()
 	if report == nil {
-		s.Report = nil
+		s.ReportFields = nil
 	}
 	b, err := New(s, 1, nobody{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	now, id := 1000.0, RequestID(0)
-	b.OnStart(now)
-	b.OnList(now, ListFull, ready(workers))
+	b.Start(now)
+	b.UpdateWorkers(now, ListFull, ready(workers))
 	return func() {
 		id++
 		now += 0.001
-		b.OnRequest(now, &Request{ID: id, Slots: 1, Work: 0.05, Deadline: now + 5})
+		b.HandleRequest(now, &Request{ID: id, Slots: 1, Work: 0.05, Deadline: now + 5})
 		w := b.requests[id].attempts[0].w.ID
-		b.OnNote(now, &Note{Request: id, Started: true})
-		b.OnOutcome(now, &Outcome{Request: id, Worker: w, Result: OK, Closed: true, Report: report})
-		b.OnTimer(now, sweepToken)
+		b.HandleProgress(now, &ProgressUpdate{Request: id, Started: true})
+		b.HandleOutcome(now, &Outcome{Request: id, Worker: w, Result: OK, ClientAnswered: true, Report: report})
+		b.HandleTimer(now, sweepToken)
 	}
 }
 
--- a/loadbalancer/choice.go
+++ b/loadbalancer/choice.go
@@ -11,7 +11,7 @@
 // rank orders workers for a job: room in the own zone, room elsewhere, no room, too slow, tried, set aside.
 func (b *Balancer) rank(now float64, r *request, w *worker) int {
 	switch {
-	case w.standing.Shunned(now):
+	case w.standing.IsEjected(now):
 		return 5
 	case r.tried(w):
 		return 4
@@ -28,18 +28,18 @@
 // pick is the ordinary path: the ready worker with most room, own zone first, then the nearest; if none has
 // room, the one least over its ceiling. Ties break at random.
 func (b *Balancer) pick(now float64, r *request) (best *worker, bestRank int) {
-	var choice capacity.Choice[*worker]
+	var choice capacity.Selection[*worker]
 	for _, w := range b.workers {
 		if !b.may(now, r, w) {
 			continue
 		}
-		offer := capacity.Offer{Rank: b.rank(now, r, w), Room: w.room}
+		offer := capacity.Candidate{Rank: b.rank(now, r, w), SpareCapacity: w.room}
 		if offer.Rank == 1 {
 			offer.Distance = b.distance(w)
 		}
 		choice.Add(w, offer, &b.rng)
 	}
-	return choice.Best, choice.Offer.Rank
+	return choice.Best, choice.Candidate.Rank
 }
 
 // draw breaks ties between workers that tell nothing: at random, in proportion to their weights in the list.
--- a/loadbalancer/cold.go
+++ b/loadbalancer/cold.go
@@ -12,10 +12,10 @@
 
 // warmth is the share of capacity a worker is sure to have: one returning cold cannot meet its ceilings yet.
 func (b *Balancer) warmth(now float64, w *worker) float64 {
-	if w.Since <= 0 || now-w.Since >= b.ColdTime {
+	if w.StartedAt <= 0 || now-w.StartedAt >= b.SlowStartDuration {
 		return 1
 	}
-	return capacity.Warmth(b.ColdShare, now-w.Since, b.ColdTime)
+	return capacity.Warmth(b.SlowStartInitialShare, now-w.StartedAt, b.SlowStartDuration)
 }
 
 // ownRoom is the room on a cold worker whose turn few instances hold: their slots there are nobody else's.
@@ -49,7 +49,7 @@
 func (b *Balancer) coldBudget(now float64, w *worker) float64 {
 	kind := b.kind(w)
 	capacity := b.warmth(now, w) * cmp.Or(kind.size, b.leastSize) / math.Max(b.pace, kind.pace)
-	return b.part * coldTurn * b.FallMultiple * capacity * b.FallTime
+	return b.part * coldTurn * b.OverloadMultiple * capacity * b.OverloadWindow
 }
 
 // turn says how many instances hold a cold worker's turn and whether this is one of them, from a place drawn
@@ -59,9 +59,9 @@
 func (b *Balancer) turn(now float64, w *worker, budget float64) (holders int, mine bool) {
 	most := math.Min(budget/slices.Max(b.work), float64(b.Instances))
 	if most < float64(b.Instances) {
-		most = math.Min(most, b.FallMultiple/2*b.warmth(now, w)*b.sizeOf(w)/math.Min(b.demand, 1))
+		most = math.Min(most, b.OverloadMultiple/2*b.warmth(now, w)*b.sizeOf(w)/math.Min(b.demand, 1))
 	}
 	holders = int(math.Max(1, most))
-	turn := uint64(int64((now - w.Since) / b.FallTime)) // a start told ahead of our clock is below 0
+	turn := uint64(int64((now - w.StartedAt) / b.OverloadWindow)) // a start told ahead of our clock is below 0
 	return holders, b.order(w, turn) < holders
 }
--- a/loadbalancer/crowd_test.go
+++ b/loadbalancer/crowd_test.go
@@ -39,8 +39,8 @@
 	c := &crowd{size: size, held: map[WorkerID]float64{}, sent: map[WorkerID][]sent{},
 		seen: make([]int, instances), now: 1000}
 	s.Instances = instances
-	for s.Me = 0; s.Me < instances; s.Me++ {
-		r := newRecorder(t, s, uint64(s.Me)+1)
+	for s.Instance = 0; s.Instance < instances; s.Instance++ {
+		r := newRecorder(t, s, uint64(s.Instance)+1)
 		r.list(ListFull, workers...)
 		c.r = append(c.r, r)
 	}
@@ -100,7 +100,7 @@
 func replaceHalf(workers int, at float64) (news []Worker, colds []WorkerID) {
 	for i := 1; i <= workers/2; i++ {
 		colds = append(colds, WorkerID(1000+i))
-		news = append(news, Worker{ID: WorkerID(i), State: Gone}, Worker{ID: WorkerID(1000 + i), State: Ready, Since: at})
+		news = append(news, Worker{ID: WorkerID(i), State: Departed}, Worker{ID: WorkerID(1000 + i), State: Ready, StartedAt: at})
 	}
 	return news, colds
 }
@@ -185,7 +185,7 @@
 			x := r.sends[seen]
 			if x.worker == 1 {
 				tried++
-				r.outcome(x.id, len(r.tries[x.id])-1, Full)
+				r.outcome(x.id, len(r.tries[x.id])-1, Rejected)
 				continue
 			}
 			r.start(x.id, len(r.tries[x.id])-1)
--- a/loadbalancer/floor_test.go
+++ b/loadbalancer/floor_test.go
@@ -6,11 +6,11 @@
 func blind() worldPlan {
 	return worldPlan{
 		s: Settings{Classes: []Class{
-			{Name: "view", Objective: 0.25, Stretch: 2, Deadline: 6, Worth: 5, LateShare: 0.5, Effect: Safe, Kind: -1},
-			{Name: "record", Objective: 1.5, Stretch: 2.5, Deadline: 25, Worth: 10, LateShare: 0.5, Effect: Keyed, Scope: ScopeCell, Window: 40, Kind: -1},
-			{Name: "plan", Objective: 2.5, Stretch: 2.5, Deadline: 25, Worth: 5, LateShare: 0.5, Effect: Keyed, Scope: ScopeCell, Window: 40, Kind: -1}},
-			Zones: 4, Instances: 4, MayCancel: true, MayRetryAfter: true, MaxAttempts: 4, MaxRetryAfter: 2, TellsStart: true, Tick: 0.004,
-			AnswerSlack: 0.016, AskWithin: 10, ColdTime: 9, ColdShare: 0.32, FallMultiple: 4, FallTime: 2},
+			{Name: "view", Objective: 0.25, Stretch: 2, Deadline: 6, Value: 5, LateValueShare: 0.5, RetrySafety: RetrySafe, Kind: -1},
+			{Name: "record", Objective: 1.5, Stretch: 2.5, Deadline: 25, Value: 10, LateValueShare: 0.5, RetrySafety: RetryDeduplicated, DedupScope: DedupCell, DedupWindow: 40, Kind: -1},
+			{Name: "plan", Objective: 2.5, Stretch: 2.5, Deadline: 25, Value: 5, LateValueShare: 0.5, RetrySafety: RetryDeduplicated, DedupScope: DedupCell, DedupWindow: 40, Kind: -1}},
+			Zones: 4, Instances: 4, MayCancel: true, MayRetryAfter: true, MaxAttempts: 4, MaxRetryAfter: 2, ReportsStart: true, Tick: 0.004,
+			AnswerSlack: 0.016, ListRefreshInterval: 10, SlowStartDuration: 9, SlowStartInitialShare: 0.32, OverloadMultiple: 4, OverloadWindow: 2},
 		load: 0.5, swing: 0.15, work: []float64{0.55, 3.3, 3.3}, cv: []float64{0.5, 0.5, 0.45}, share: []float64{0.35, 0.34, 0.31},
 		weights: true,
 		kinds:   []machineKind{{0.35, 1.6, 3, 20}, {0.3, 0.97, 3, 20}, {0.35, 0.6, 3, 20}},
@@ -22,13 +22,13 @@
 func told() worldPlan {
 	return worldPlan{
 		s: Settings{Classes: []Class{
-			{Name: "report", Objective: 0.08, Stretch: 2, Deadline: 5, Worth: 3, Effect: Safe, Kind: -1},
-			{Name: "score", Objective: 0.05, Stretch: 1.75, Deadline: 5, Worth: 3, Effect: Safe, Kind: -1},
-			{Name: "check", Objective: 0.2, Stretch: 2.5, Deadline: 6, Worth: 2, Effect: Keyed, Scope: ScopeZone, Window: 10, Kind: -1},
-			{Name: "charge", Objective: 0.05, Stretch: 2.5, Deadline: 5, Worth: 10, Effect: Keyed, Scope: ScopeCell, Window: 7.5, Kind: -1}},
-			Zones: 3, Instances: 3, Report: []Field{FieldUtilization, FieldOther, FieldInFlight, FieldFreeSlots}, MayProbe: true, MayCancel: true,
-			ParallelTries: true, MayRetryAfter: true, MaxAttempts: 6, MaxRetryAfter: 2, TellsStart: true, Tick: 0.004,
-			AnswerSlack: 0.016, AskWithin: 10, ColdTime: 9, ColdShare: 0.34, FallMultiple: 3, FallTime: 2},
+			{Name: "report", Objective: 0.08, Stretch: 2, Deadline: 5, Value: 3, RetrySafety: RetrySafe, Kind: -1},
+			{Name: "score", Objective: 0.05, Stretch: 1.75, Deadline: 5, Value: 3, RetrySafety: RetrySafe, Kind: -1},
+			{Name: "check", Objective: 0.2, Stretch: 2.5, Deadline: 6, Value: 2, RetrySafety: RetryDeduplicated, DedupScope: DedupZone, DedupWindow: 10, Kind: -1},
+			{Name: "charge", Objective: 0.05, Stretch: 2.5, Deadline: 5, Value: 10, RetrySafety: RetryDeduplicated, DedupScope: DedupCell, DedupWindow: 7.5, Kind: -1}},
+			Zones: 3, Instances: 3, ReportFields: []ReportField{FieldUtilization, FieldIgnored, FieldInFlight, FieldFreeSlots}, MayProbe: true, MayCancel: true,
+			ParallelAttempts: true, MayRetryAfter: true, MaxAttempts: 6, MaxRetryAfter: 2, ReportsStart: true, Tick: 0.004,
+			AnswerSlack: 0.016, ListRefreshInterval: 10, SlowStartDuration: 9, SlowStartInitialShare: 0.34, OverloadMultiple: 3, OverloadWindow: 2},
 		load: 0.6, swing: 0.15, work: []float64{0.12, 0.06, 0.5, 0.06}, cv: []float64{0.5, 0.5, 0.5, 0.5}, share: []float64{0.45, 0.29, 0.14, 0.12},
 		hints: true, kinds: []machineKind{{0.4, 1.8, 2, 20}, {0.6, 0.9, 5, 40}}, weights: true,
 		workers: 9, instances: 3, length: 15, skew: 0.1, same: 0.0002, cross: 0.008, retries: 0.5, reportAge: 0.3,
@@ -50,15 +50,15 @@
 		change(&base)
 		plans[name] = base
 	}
-	with("no starts told", blind(), func(p *worldPlan) { p.s.TellsStart = false })
-	for name, f := range map[string]Field{"jobs held alone": FieldInFlight, "use alone": FieldUtilization, "free slots alone": FieldFreeSlots,
+	with("no starts told", blind(), func(p *worldPlan) { p.s.ReportsStart = false })
+	for name, f := range map[string]ReportField{"jobs held alone": FieldInFlight, "use alone": FieldUtilization, "free slots alone": FieldFreeSlots,
 		"queue alone": FieldQueued} {
-		with(name, blind(), func(p *worldPlan) { p.s.Report, p.reportAge = []Field{f}, 0.5 })
+		with(name, blind(), func(p *worldPlan) { p.s.ReportFields, p.reportAge = []ReportField{f}, 0.5 })
 	}
 	with("reports by probes", told(), func(p *worldPlan) { p.s.ReportsByProbe = true })
-	with("no copies", told(), func(p *worldPlan) { p.s.ParallelTries = false })
+	with("no copies", told(), func(p *worldPlan) { p.s.ParallelAttempts = false })
 	with("no hints", told(), func(p *worldPlan) { p.hints = false })
-	with("no hints, no reports", told(), func(p *worldPlan) { p.hints, p.s.Report = false, nil })
+	with("no hints, no reports", told(), func(p *worldPlan) { p.hints, p.s.ReportFields = false, nil })
 	with("no weights", blind(), func(p *worldPlan) { p.weights = false })
 	with("one zone", blind(), func(p *worldPlan) { p.s.Zones = 1 })
 	with("one kind", blind(), func(p *worldPlan) { p.kinds = p.kinds[1:2]; p.kinds[0].share = 1 })
@@ -68,12 +68,12 @@
 	with("tenants", blind(), func(p *worldPlan) { p.s.Tenants = []Tenant{{Name: "a", QuotaPerSec: 1}} })
 	with("unsafe classes", blind(), func(p *worldPlan) {
 		p.s.Classes = append([]Class(nil), p.s.Classes...)
-		p.s.Classes[1].Effect, p.s.Classes[2].Effect = Unsafe, Unsafe
+		p.s.Classes[1].RetrySafety, p.s.Classes[2].RetrySafety = RetryUnsafe, RetryUnsafe
 	})
 	with("late is worth nothing", blind(), func(p *worldPlan) {
 		p.s.Classes = append([]Class(nil), p.s.Classes...)
 		for i := range p.s.Classes {
-			p.s.Classes[i].LateShare = 0
+			p.s.Classes[i].LateValueShare = 0
 		}
 	})
 	with("36 instances, uneven", blind(), func(p *worldPlan) {
--- a/loadbalancer/learnt.go
+++ b/loadbalancer/learnt.go
@@ -5,75 +5,75 @@
 	"math"
 )
 
-// Learnt is what a Balancer has learnt, for the one that takes its place in a new process of the same dispatcher.
-type Learnt struct {
-	Work    []float64                  `json:"work"`
-	Far     []float64                  `json:"far"`
-	Pace    float64                    `json:"pace"`
-	Run     float64                    `json:"run"`
-	PerJob  float64                    `json:"per_job"`
-	Period  float64                    `json:"period"`
-	PlanAt  float64                    `json:"plan_at"` // ceilings and paces recover from here on, not from the first day
-	Kinds   map[int]LearntKind         `json:"kinds"`
-	Workers map[WorkerID]*LearntWorker `json:"workers"`
+// Snapshot is what a Balancer has learnt, for the one that takes its place in a new process of the same dispatcher.
+type Snapshot struct {
+	WorkByClass   []float64                    `json:"work"`
+	ZoneLatencies []float64                    `json:"far"`
+	Pace          float64                      `json:"pace"`
+	RunTime       float64                      `json:"run"`
+	SlotsPerJob   float64                      `json:"per_job"`
+	ReportPeriod  float64                      `json:"period"`
+	PlannedAt     float64                      `json:"plan_at"` // ceilings and paces recover from here on, not from the first day
+	Kinds         map[int]KindSnapshot         `json:"kinds"`
+	Workers       map[WorkerID]*WorkerSnapshot `json:"workers"`
 }
 
-// LearntKind is what was learnt of a machine kind.
-type LearntKind struct {
-	Pace float64 `json:"pace"`
-	Size float64 `json:"size"`
+// KindSnapshot is what was learnt of a machine kind.
+type KindSnapshot struct {
+	Pace  float64 `json:"pace"`
+	Slots float64 `json:"size"`
 }
 
-// LearntWorker is what was learnt of a worker since its start.
-type LearntWorker struct {
-	Since     float64   `json:"since"`
-	Heard     bool      `json:"heard"`
-	InFlight  float64   `json:"in_flight"`
-	Util      float64   `json:"util"`
-	ReportAt  float64   `json:"report_at"`
-	Others    float64   `json:"others"` // the older Balancer's own jobs among them: they are others' to the newer
-	Slots     float64   `json:"slots"`
-	LoadCeil  float64   `json:"load_ceil"`
-	UtilCeil  float64   `json:"util_ceil"`
-	Pace      float64   `json:"pace"`
-	Run       float64   `json:"run"`
-	Errors    float64   `json:"errors"`
-	Judged    bool      `json:"judged"`
-	ShunUntil float64   `json:"shun_until"`
-	ShunFor   float64   `json:"shun_for"`
-	Sent      []float64 `json:"sent"` // the budget of a cold worker goes on: to it both are one dispatcher
-	Span      int64     `json:"span"`
+// WorkerSnapshot is what was learnt of a worker since its start.
+type WorkerSnapshot struct {
+	StartedAt        float64   `json:"since"`
+	Reported         bool      `json:"heard"`
+	InFlight         float64   `json:"in_flight"`
+	Utilization      float64   `json:"util"`
+	ReportedAt       float64   `json:"report_at"`
+	OtherJobs        float64   `json:"others"` // the older Balancer's own jobs among them: they are others' to the newer
+	Slots            float64   `json:"slots"`
+	LoadLimit        float64   `json:"load_ceil"`
+	UtilizationLimit float64   `json:"util_ceil"`
+	Pace             float64   `json:"pace"`
+	RunTime          float64   `json:"run"`
+	ErrorRate        float64   `json:"errors"`
+	Observed         bool      `json:"judged"`
+	EjectedUntil     float64   `json:"shun_until"`
+	EjectionDuration float64   `json:"shun_for"`
+	SentWork         []float64 `json:"sent"` // the budget of a cold worker goes on: to it both are one dispatcher
+	SentSpan         int64     `json:"span"`
 }
 
-// Learnt tells what was learnt so far.
-func (b *Balancer) Learnt() Learnt {
-	l := Learnt{Work: append([]float64(nil), b.work...), Far: append([]float64(nil), b.far...), Pace: b.pace, Run: b.run,
-		PerJob: b.perJob, Period: b.period, PlanAt: b.planAt, Kinds: map[int]LearntKind{}, Workers: map[WorkerID]*LearntWorker{}}
+// Snapshot tells what was learnt so far.
+func (b *Balancer) Snapshot() Snapshot {
+	l := Snapshot{WorkByClass: append([]float64(nil), b.work...), ZoneLatencies: append([]float64(nil), b.far...), Pace: b.pace, RunTime: b.run,
+		SlotsPerJob: b.perJob, ReportPeriod: b.period, PlannedAt: b.planAt, Kinds: map[int]KindSnapshot{}, Workers: map[WorkerID]*WorkerSnapshot{}}
 	for number, k := range b.kinds {
-		l.Kinds[number] = LearntKind{k.pace, k.size}
+		l.Kinds[number] = KindSnapshot{k.pace, k.size}
 	}
 	for _, w := range b.workers {
-		if w.State != Gone {
-			l.Workers[w.ID] = &LearntWorker{Since: w.Since, Heard: w.heard, InFlight: w.inFlight, Util: w.util,
-				ReportAt: w.reportAt, Others: math.Max(0, w.others) + w.jobs, Slots: w.slots, LoadCeil: w.ceilings.Load, UtilCeil: w.ceilings.Util,
-				Pace: w.pace, Run: w.run, Errors: w.standing.Errors, Judged: w.standing.Judged, ShunUntil: w.standing.ShunUntil, ShunFor: w.standing.ShunFor,
-				Sent: append([]float64(nil), w.sent[:]...), Span: w.span}
+		if w.State != Departed {
+			l.Workers[w.ID] = &WorkerSnapshot{StartedAt: w.StartedAt, Reported: w.heard, InFlight: w.inFlight, Utilization: w.util,
+				ReportedAt: w.reportAt, OtherJobs: math.Max(0, w.others) + w.jobs, Slots: w.slots, LoadLimit: w.ceilings.Load, UtilizationLimit: w.ceilings.Utilization,
+				Pace: w.pace, RunTime: w.run, ErrorRate: w.standing.ErrorRate, Observed: w.standing.Observed, EjectedUntil: w.standing.EjectedUntil, EjectionDuration: w.standing.LastDuration,
+				SentWork: append([]float64(nil), w.sent[:]...), SentSpan: w.span}
 		}
 	}
 	return l
 }
 
-// Recall takes what another Balancer of the same settings has learnt, all or nothing. What it says of a worker counts
+// Restore takes what another Balancer of the same settings has learnt, all or nothing. What it says of a worker counts
 // once the list names that worker, with the same start.
-func (b *Balancer) Recall(now float64, l Learnt) error {
+func (b *Balancer) Restore(now float64, l Snapshot) error {
 	if err := b.usable(now, &l); err != nil {
 		return err
 	}
-	copy(b.work, l.Work)
-	copy(b.far, l.Far)
-	b.pace, b.run, b.perJob, b.period, b.planAt = l.Pace, l.Run, l.PerJob, l.Period, l.PlanAt
+	copy(b.work, l.WorkByClass)
+	copy(b.far, l.ZoneLatencies)
+	b.pace, b.run, b.perJob, b.period, b.planAt = l.Pace, l.RunTime, l.SlotsPerJob, l.ReportPeriod, l.PlannedAt
 	for number, k := range l.Kinds {
-		b.kinds[number] = &kind{pace: k.Pace, size: k.Size}
+		b.kinds[number] = &kind{pace: k.Pace, size: k.Slots}
 	}
 	b.recalled = l.Workers
 	return nil
@@ -83,18 +83,18 @@
 func (b *Balancer) recall(w *worker, since float64) {
 	l := b.recalled[w.ID]
 	delete(b.recalled, w.ID)
-	if l == nil || l.Since != since {
+	if l == nil || l.StartedAt != since {
 		return
 	}
-	w.heard, w.inFlight, w.util, w.reportAt = l.Heard, l.InFlight, l.Util, l.ReportAt
-	w.others, w.slots, w.ceilings.Load, w.ceilings.Util = l.Others, l.Slots, l.LoadCeil, l.UtilCeil
-	w.pace, w.run, w.standing.Errors, w.standing.Judged = l.Pace, l.Run, l.Errors, l.Judged
-	w.standing.ShunUntil, w.standing.ShunFor, w.span = l.ShunUntil, l.ShunFor, l.Span
-	copy(w.sent[:], l.Sent)
+	w.heard, w.inFlight, w.util, w.reportAt = l.Reported, l.InFlight, l.Utilization, l.ReportedAt
+	w.others, w.slots, w.ceilings.Load, w.ceilings.Utilization = l.OtherJobs, l.Slots, l.LoadLimit, l.UtilizationLimit
+	w.pace, w.run, w.standing.ErrorRate, w.standing.Observed = l.Pace, l.RunTime, l.ErrorRate, l.Observed
+	w.standing.EjectedUntil, w.standing.LastDuration, w.span = l.EjectedUntil, l.EjectionDuration, l.SentSpan
+	copy(w.sent[:], l.SentWork)
 }
 
 // usable names the first thing learnt that makes no sense.
-func (b *Balancer) usable(now float64, l *Learnt) error {
+func (b *Balancer) usable(now float64, l *Snapshot) error {
 	bad := func(what string) error { return fmt.Errorf("brain: learnt: bad %s", what) }
 	fine := func(values ...float64) bool {
 		for _, v := range values {
@@ -105,28 +105,28 @@
 		return true
 	}
 	switch {
-	case len(l.Work) != len(b.work) || !fine(l.Work...):
+	case len(l.WorkByClass) != len(b.work) || !fine(l.WorkByClass...):
 		return bad("work")
-	case l.PlanAt > now:
+	case l.PlannedAt > now:
 		return bad("time")
-	case len(l.Far) != len(b.far) || !fine(l.Far...):
+	case len(l.ZoneLatencies) != len(b.far) || !fine(l.ZoneLatencies...):
 		return bad("far")
-	case !fine(l.Run) || !(l.Pace > 0 && l.PerJob > 0 && l.Period > 0) || !fine(l.Pace, l.PerJob, l.Period, l.PlanAt):
+	case !fine(l.RunTime) || !(l.Pace > 0 && l.SlotsPerJob > 0 && l.ReportPeriod > 0) || !fine(l.Pace, l.SlotsPerJob, l.ReportPeriod, l.PlannedAt):
 		return bad("means")
 	}
-	for _, w := range l.Work {
+	for _, w := range l.WorkByClass {
 		if w == 0 {
 			return bad("work")
 		}
 	}
 	for number, k := range l.Kinds {
-		if !fine(k.Pace, k.Size) || k.Pace == 0 {
+		if !fine(k.Pace, k.Slots) || k.Pace == 0 {
 			return bad(fmt.Sprint("kind ", number))
 		}
 	}
 	for id, w := range l.Workers {
-		if w == nil || w.Pace == 0 || len(w.Sent) != 4 || !fine(w.Sent...) || w.Span < 0 || !fine(w.Since, w.InFlight, w.Util,
-			w.ReportAt, w.Others, w.Slots, w.LoadCeil, w.UtilCeil, w.Pace, w.Run, w.Errors, w.ShunUntil, w.ShunFor) {
+		if w == nil || w.Pace == 0 || len(w.SentWork) != 4 || !fine(w.SentWork...) || w.SentSpan < 0 || !fine(w.StartedAt, w.InFlight, w.Utilization,
+			w.ReportedAt, w.OtherJobs, w.Slots, w.LoadLimit, w.UtilizationLimit, w.Pace, w.RunTime, w.ErrorRate, w.EjectedUntil, w.EjectionDuration) {
 			return bad(fmt.Sprint("worker ", id))
 		}
 	}
--- a/loadbalancer/learnt_test.go
+++ b/loadbalancer/learnt_test.go
@@ -12,7 +12,7 @@
 // was restarted since, spends a cold worker's budget anew, or takes in what makes no sense.
 func TestLearntGoesOver(t *testing.T) {
 	old := newRecorder(t, testSettings(), 1)
-	old.list(ListFull, append(ready(3), Worker{ID: 4, State: Ready, Since: old.now - 1})...)
+	old.list(ListFull, append(ready(3), Worker{ID: 4, State: Ready, StartedAt: old.now - 1})...)
 	for i := range 60 {
 		id := RequestID(i + 1)
 		old.request(id, 0, 0.05)
@@ -25,11 +25,11 @@
 			}
 		}
 	}
-	text, err := json.Marshal(old.b.Learnt())
+	text, err := json.Marshal(old.b.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	read := func() (l Learnt) {
+	read := func() (l Snapshot) {
 		if err := json.Unmarshal(text, &l); err != nil {
 			t.Fatal(err)
 		}
@@ -37,43 +37,43 @@
 	}
 	next := newRecorder(t, testSettings(), 2)
 	next.now = old.now
-	if err := next.b.Recall(next.now, read()); err != nil {
+	if err := next.b.Restore(next.now, read()); err != nil {
 		t.Fatal(err)
 	}
-	entries := append(ready(3), Worker{ID: 4, State: Ready, Since: old.workers[4].Since})
-	entries[2].Since = old.now // restarted
+	entries := append(ready(3), Worker{ID: 4, State: Ready, StartedAt: old.workers[4].StartedAt})
+	entries[2].StartedAt = old.now // restarted
 	next.list(ListFull, entries...)
-	got, want := next.b.Learnt(), read()
-	want.PlanAt = next.now
+	got, want := next.b.Snapshot(), read()
+	want.PlannedAt = next.now
 	fresh := newRecorder(t, testSettings(), 2)
 	fresh.now = old.now
 	fresh.b.pace = next.b.pace
 	fresh.list(ListFull, entries...)
-	want.Workers[3] = fresh.b.Learnt().Workers[3]
+	want.Workers[3] = fresh.b.Snapshot().Workers[3]
 	if diff := cmp.Diff(want, got, cmp.Comparer(func(a, b float64) bool { return math.Abs(a-b) < 0.02 })); diff != "" {
 		t.Errorf("the next one knows (-want +got):\n%s", diff)
 	}
-	if out := want.Workers[1].Others + want.Workers[2].Others + want.Workers[4].Others; out < 2 {
+	if out := want.Workers[1].OtherJobs + want.Workers[2].OtherJobs + want.Workers[4].OtherJobs; out < 2 {
 		t.Errorf("the jobs that are still out are not among the others': %v", out)
 	}
-	for name, spoil := range map[string]func(l *Learnt){
-		"another number of classes": func(l *Learnt) { l.Work = l.Work[1:] },
-		"no work":                   func(l *Learnt) { l.Work[0] = 0 },
-		"no pace":                   func(l *Learnt) { l.Pace = 0 },
-		"an endless period":         func(l *Learnt) { l.Period = math.Inf(1) },
-		"a room below nothing":      func(l *Learnt) { l.Workers[1].LoadCeil = -1 },
-		"a budget of three spans":   func(l *Learnt) { l.Workers[1].Sent = l.Workers[1].Sent[1:] },
-		"a plan of tomorrow":        func(l *Learnt) { l.PlanAt = old.now + 1 },
-		"no worker":                 func(l *Learnt) { l.Workers[1] = nil },
-		"a kind without a pace":     func(l *Learnt) { l.Kinds[0] = LearntKind{} },
+	for name, spoil := range map[string]func(l *Snapshot){
+		"another number of classes": func(l *Snapshot) { l.WorkByClass = l.WorkByClass[1:] },
+		"no work":                   func(l *Snapshot) { l.WorkByClass[0] = 0 },
+		"no pace":                   func(l *Snapshot) { l.Pace = 0 },
+		"an endless period":         func(l *Snapshot) { l.ReportPeriod = math.Inf(1) },
+		"a room below nothing":      func(l *Snapshot) { l.Workers[1].LoadLimit = -1 },
+		"a budget of three spans":   func(l *Snapshot) { l.Workers[1].SentWork = l.Workers[1].SentWork[1:] },
+		"a plan of tomorrow":        func(l *Snapshot) { l.PlannedAt = old.now + 1 },
+		"no worker":                 func(l *Snapshot) { l.Workers[1] = nil },
+		"a kind without a pace":     func(l *Snapshot) { l.Kinds[0] = KindSnapshot{} },
 	} {
 		bad, cold := read(), newRecorder(t, testSettings(), 2)
 		spoil(&bad)
-		before := cold.b.Learnt()
-		if err := cold.b.Recall(old.now, bad); err == nil {
+		before := cold.b.Snapshot()
+		if err := cold.b.Restore(old.now, bad); err == nil {
 			t.Errorf("%s: taken", name)
 		}
-		if diff := cmp.Diff(before, cold.b.Learnt()); diff != "" {
+		if diff := cmp.Diff(before, cold.b.Snapshot()); diff != "" {
 			t.Errorf("%s: half of it was taken:\n%s", name, diff)
 		}
 	}
@@ -84,7 +84,7 @@
 func TestColdBudgetGoesByKind(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, Worker{ID: 1, State: Ready}, Worker{ID: 2, State: Ready, Kind: 1}, Worker{ID: 3, State: Ready, Kind: 1},
-		Worker{ID: 4, State: Ready, Since: r.now}, Worker{ID: 5, State: Ready, Kind: 1, Since: r.now})
+		Worker{ID: 4, State: Ready, StartedAt: r.now}, Worker{ID: 5, State: Ready, Kind: 1, StartedAt: r.now})
 	for id, free := range map[WorkerID]float32{1: 2, 2: 5, 3: 6} {
 		r.b.learnReport(r.now, r.b.byID[id], []float32{0, 0, free})
 	}
--- a/loadbalancer/list.go
+++ b/loadbalancer/list.go
@@ -8,15 +8,15 @@
 
 // This file takes the list's news and the results of probes.
 
-// OnList takes the list's news; what is not ready gets nothing from here on.
-func (b *Balancer) OnList(now float64, kind ListKind, entries []Worker) {
+// UpdateWorkers takes the list's news; what is not ready gets nothing from here on.
+func (b *Balancer) UpdateWorkers(now float64, kind ListKind, entries []Worker) {
 	if kind == ListFailed { // it does not say which call failed: the watch may be broken
 		b.watching = false
-		b.askEvery = math.Min(2*b.askEvery, b.AskWithin/2)
+		b.askEvery = math.Min(2*b.askEvery, b.ListRefreshInterval/2)
 		b.act.Log("list: a call failed or the watch broke; asking again")
 		return
 	}
-	b.watching, b.askEvery = kind != ListCached, b.AskWithin/8
+	b.watching, b.askEvery = kind != ListCached, b.ListRefreshInterval/8
 	if kind != ListDelta {
 		for _, w := range b.workers {
 			w.leave(now)
@@ -25,19 +25,19 @@
 	for _, e := range entries {
 		w := b.byID[e.ID]
 		if w == nil {
-			w = &worker{pace: b.pace, ceilings: capacity.Seed(0)}
+			w = &worker{pace: b.pace, ceilings: capacity.InitialLimits(0)}
 			b.byID[e.ID] = w
 			b.workers = append(b.workers, w)
 			w.ID = e.ID
-			b.recall(w, e.Since)
-		} else if e.State == Ready && e.Since > w.Since { // restarted: what was learnt of its load is void
-			w.heard, w.others, w.ceilings.Strikes = false, 0, 0
-			w.standing.Errors, w.standing.ShunUntil = 0, 0
+			b.recall(w, e.StartedAt)
+		} else if e.State == Ready && e.StartedAt > w.StartedAt { // restarted: what was learnt of its load is void
+			w.heard, w.others, w.ceilings.Overloads = false, 0, 0
+			w.standing.ErrorRate, w.standing.EjectedUntil = 0, 0
 		}
-		if !finite(e.Since) {
-			e.Since = now
+		if !finite(e.StartedAt) {
+			e.StartedAt = now
 		}
-		if e.State == Gone {
+		if e.State == Departed {
 			w.leave(now)
 		}
 		w.Worker = e
@@ -58,8 +58,8 @@
 // mayAsk says whether reports are to be had by probes, and by nothing else.
 func (b *Balancer) mayAsk() bool { return b.MayProbe && b.ReportsByProbe }
 
-// OnProbed takes a probe's result.
-func (b *Balancer) OnProbed(now float64, id WorkerID, result Result, report []float32) {
+// HandleProbeResult takes a probe's result.
+func (b *Balancer) HandleProbeResult(now float64, id WorkerID, result Result, report []float32) {
 	w := b.byID[id]
 	if w != nil && result == OK {
 		b.learnReport(now, w, report)
--- a/loadbalancer/place_test.go
+++ b/loadbalancer/place_test.go
@@ -10,9 +10,9 @@
 )
 
 // placed makes the balancer of one of several instances.
-func placed(t *testing.T, p Place) *Balancer {
+func placed(t *testing.T, p InstanceShare) *Balancer {
 	b := newRecorder(t, testSettings(), 1).b
-	if err := b.SetPlace(p); err != nil {
+	if err := b.SetInstanceShare(p); err != nil {
 		t.Fatal(err)
 	}
 	return b
@@ -40,11 +40,11 @@
 					keys = append(keys, o)
 				}
 			}
-			b := placed(t, Place{Instances: len(keys), Me: i, Part: 1, Keys: keys})
+			b := placed(t, InstanceShare{Instances: len(keys), Instance: i, BudgetShare: 1, InstanceKeys: keys})
 			for j := range b.work {
 				b.work[j] = work
 			}
-			w := &worker{Worker: Worker{ID: 5, State: Ready, Since: 999}, pace: 1}
+			w := &worker{Worker: Worker{ID: 5, State: Ready, StartedAt: 999}, pace: 1}
 			sum += b.coldRoom(now, w)
 			budget = b.coldBudget(now, w)
 		}
@@ -58,27 +58,27 @@
 func TestThePlaceOfTheSettingsDecidesAsBefore(t *testing.T) {
 	play := func(set bool) (sends []string) {
 		s := testSettings()
-		s.Instances, s.Me = 5, 2
+		s.Instances, s.Instance = 5, 2
 		r := newRecorder(t, s, 1)
-		own := Place{Instances: 5, Me: 2, Part: 1}
+		own := InstanceShare{Instances: 5, Instance: 2, BudgetShare: 1}
 		if set {
-			if err := r.b.SetPlace(Place{Instances: 3, Me: 1, Part: 0.5, Keys: []uint64{1, 2, 3}}); err != nil {
+			if err := r.b.SetInstanceShare(InstanceShare{Instances: 3, Instance: 1, BudgetShare: 0.5, InstanceKeys: []uint64{1, 2, 3}}); err != nil {
 				t.Fatal(err)
 			}
-			if err := r.b.SetPlace(own); err != nil {
+			if err := r.b.SetInstanceShare(own); err != nil {
 				t.Fatal(err)
 			}
 		}
 		r.b.copies = r.b.stock / 2 // what a balancer begins with
 		workers := ready(6)
 		for i := range workers[:4] {
-			workers[i].Since = r.now - float64(i)
+			workers[i].StartedAt = r.now - float64(i)
 		}
 		r.list(ListFull, workers...)
 		for id := RequestID(1); id <= 400; id++ {
 			r.runTo(r.now + 0.01)
 			if set && id%7 == 0 {
-				if err := r.b.SetPlace(own); err != nil {
+				if err := r.b.SetInstanceShare(own); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -96,9 +96,9 @@
 
 func TestPlacesThatMakeNoSense(t *testing.T) {
 	b := newRecorder(t, testSettings(), 1).b
-	for _, p := range []Place{{}, {Instances: 1, Part: 0}, {Instances: 2, Me: 2, Part: 1}, {Instances: 2, Me: -1, Part: 1},
-		{Instances: 2, Part: 2}, {Instances: 2, Part: 1, Keys: []uint64{1}}} {
-		if b.SetPlace(p) == nil {
+	for _, p := range []InstanceShare{{}, {Instances: 1, BudgetShare: 0}, {Instances: 2, Instance: 2, BudgetShare: 1}, {Instances: 2, Instance: -1, BudgetShare: 1},
+		{Instances: 2, BudgetShare: 2}, {Instances: 2, BudgetShare: 1, InstanceKeys: []uint64{1}}} {
+		if b.SetInstanceShare(p) == nil {
 			t.Errorf("%+v is taken", p)
 		}
 	}
--- a/loadbalancer/plan.go
+++ b/loadbalancer/plan.go
@@ -21,7 +21,7 @@
 	fresh := 1 - crowdShare*(1-1/float64(b.Instances))
 	for _, w := range b.workers {
 		own += w.own
-		capacity.Mean(&w.jobsThen, w.jobs, was)
+		capacity.UpdateMean(&w.jobsThen, w.jobs, was)
 		w.ceilings.Recover(w.slots, age)
 		w.pace += (b.pace - w.pace) * age // or a worker once slow would never be tried again
 		if w.trust = 0; w.State != Ready || !w.heard {
@@ -31,7 +31,7 @@
 			w.others = math.Max(w.others, (w.slots-w.own+w.queued)/b.perJob)
 		}
 		ceiling := cmp.Or(w.ceilings.Load, seedMargin*b.sizeOf(w)) // its own, once its size is known
-		w.room = capacity.Spare(ceiling, b.warmth(now, w), math.Max(0, w.others)*b.perJob)
+		w.room = capacity.SpareCapacity(ceiling, b.warmth(now, w), math.Max(0, w.others)*b.perJob)
 		// A report loses weight with age: an old one would draw every job to a worker or lock it out.
 		// What others send on the same report is unseen: if all believed all of it, all would choose alike.
 		w.trust = fresh * math.Max(0, 1-(now-w.reportAt)/(2*staleAfter*b.period))
@@ -42,8 +42,8 @@
 	if sum < 0 { // and it fades: who refuses all is told nothing new
 		n = heard
 	}
-	capacity.Mean(&b.demand, own, age)
-	capacity.Mean(&b.out, own, recent)
+	capacity.UpdateMean(&b.demand, own, age)
+	capacity.UpdateMean(&b.out, own, recent)
 	busy := math.Min(b.out*float64(b.Instances-1)/math.Max(b.slots, 1), 1) // share held by others, if alike
 	for _, w := range b.workers {
 		room := sum / math.Max(n, math.SmallestNonzeroFloat32) * b.warmth(now, w)
@@ -52,7 +52,7 @@
 			w.others, room = load/b.perJob, seedMargin*b.meanSize*b.warmth(now, w)-load+b.draw(w)
 		}
 		w.room = math.Max(room+(w.room-room)*w.trust-w.own, b.ownRoom(now, w))
-		if w.queued > 0 || w.trust > 0.5 && w.util >= w.ceilings.Util { // an own job waits, or it is all busy
+		if w.queued > 0 || w.trust > 0.5 && w.util >= w.ceilings.Utilization { // an own job waits, or it is all busy
 			w.room = math.Min(w.room, 0)
 		}
 	}
@@ -66,7 +66,7 @@
 		if c.Stretch == 0 {
 			slack = plainSlack * c.Objective
 		}
-		loss := 1 - math.Min(c.LateShare, 1) // half the worth lost by being late: twice the wait
+		loss := 1 - math.Min(c.LateValueShare, 1) // half the worth lost by being late: twice the wait
 		slack = math.Min(slack/math.Max(loss, math.SmallestNonzeroFloat32), c.Deadline)
 		wait += longWait * slack / float64(len(b.Classes))
 	}
--- a/loadbalancer/refusal.go
+++ b/loadbalancer/refusal.go
@@ -11,7 +11,7 @@
 // left of the group that drops its repeats, or drops them no longer. The client is better told now.
 func (b *Balancer) lost(now float64, r *request) bool {
 	return r.flying == 0 && r.ran() && !slices.ContainsFunc(b.workers, func(w *worker) bool {
-		return w.State != Gone && w.runs(r) && r.repeats(now, w)
+		return w.State != Departed && w.runs(r) && r.repeats(now, w)
 	})
 }
 
@@ -36,7 +36,7 @@
 
 // mayRefuse says whether the client may be told that a retry is harmless.
 func (b *Balancer) mayRefuse(r *request) bool {
-	return r.class.Effect == Safe || !r.ran() || r.class.Effect == Keyed && r.class.Scope == ScopeAll
+	return r.class.RetrySafety == RetrySafe || !r.ran() || r.class.RetrySafety == RetryDeduplicated && r.class.DedupScope == DedupAll
 }
 
 // answer gives the one final answer: a refusal where it is known to be harmless, else a failure.
@@ -45,7 +45,7 @@
 		return
 	}
 	if b.mayRefuse(r) {
-		b.act.Refuse(r.ID, b.comeBack(r))
+		b.act.Reject(r.ID, b.comeBack(r))
 	} else {
 		b.act.Fail(r.ID)
 	}
--- a/loadbalancer/repeats.go
+++ b/loadbalancer/repeats.go
@@ -5,7 +5,7 @@
 
 // may says whether the four rules allow this send.
 func (b *Balancer) may(now float64, r *request, w *worker) bool {
-	if r.done || now >= r.Deadline || len(r.attempts) >= b.MaxAttempts || r.flying > 0 && !b.ParallelTries ||
+	if r.done || now >= r.Deadline || len(r.attempts) >= b.MaxAttempts || r.flying > 0 && !b.ParallelAttempts ||
 		w.State != Ready || !w.runs(r) {
 		return false
 	}
@@ -25,13 +25,13 @@
 // repeats says whether a job that may have run as a may also be sent to w.
 func repeats(now float64, c *Class, a *attempt, w *worker) bool {
 	switch {
-	case c.Effect == Safe:
+	case c.RetrySafety == RetrySafe:
 		return true
-	case c.Effect == Unsafe || now >= a.sent+c.Window:
+	case c.RetrySafety == RetryUnsafe || now >= a.sent+c.DedupWindow:
 		return false
-	case c.Scope == ScopeZone:
+	case c.DedupScope == DedupZone:
 		return w.Zone == a.w.Zone && w.Zone >= 0 // two zones that nobody knows are not known to be the same
-	case c.Scope == ScopeCell:
+	case c.DedupScope == DedupCell:
 		return w.Cell == a.w.Cell
 	}
 	return true
--- a/loadbalancer/replay_test.go
+++ b/loadbalancer/replay_test.go
@@ -31,9 +31,9 @@
 	h.Actions.Send(id, w, timeout)
 }
 
-func (h *hashing) Refuse(id RequestID, wait float64) {
+func (h *hashing) Reject(id RequestID, wait float64) {
 	h.note("refuse %d %x", id, math.Float64bits(wait))
-	h.Actions.Refuse(id, wait)
+	h.Actions.Reject(id, wait)
 }
 
 func (h *hashing) Fail(id RequestID) {
@@ -85,7 +85,7 @@
 			for i := range keys {
 				keys[i] = uint64(i+1) * 0x9e3779b97f4a7c15
 			}
-			if err := b.SetPlace(Place{Instances: s.Instances, Me: s.Me, Part: 0.5, Keys: keys}); err != nil {
+			if err := b.SetInstanceShare(InstanceShare{Instances: s.Instances, Instance: s.Instance, BudgetShare: 0.5, InstanceKeys: keys}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -97,13 +97,13 @@
 	h.note("%x %x %d %d %d", math.Float64bits(share), byClass, w.refused, w.failed, w.late)
 	for _, b := range all {
 		actions += b.act.(*hashing).count
-		learnt, err := json.Marshal(b.Learnt())
+		learnt, err := json.Marshal(b.Snapshot())
 		if err != nil {
 			t.Fatal(err)
 		}
 		h.note("%s", learnt)
 		for _, m := range w.workers {
-			standing, known := b.Standing(w.now, m.ID)
+			standing, known := b.WorkerStatus(w.now, m.ID)
 			h.note("%+v %v", standing, known)
 		}
 	}
--- a/loadbalancer/sight.go
+++ b/loadbalancer/sight.go
@@ -14,7 +14,7 @@
 	width := max(viewLeast, int(b.arrivals*b.period/math.Max(now-b.viewAt, b.sweep)))
 	b.arrivals, b.viewAt = 0, now
 	for _, ring := range b.rings() {
-		_, place := math.Modf(float64(b.Me) * math.Phi) // the golden ratio spreads any run of numbers evenly
+		_, place := math.Modf(float64(b.Instance) * math.Phi) // the golden ratio spreads any run of numbers evenly
 		first := int(place * float64(len(ring)))
 		for i, w := range ring {
 			w.inView = (i-first+len(ring))%len(ring) < width
--- a/loadbalancer/state.go
+++ b/loadbalancer/state.go
@@ -22,7 +22,7 @@
 	trust          float64 // weight of its last report against the mean
 	probedAt       float64
 	others, slots  float64 // jobs of the other balancers; slots it has been seen to have
-	ceilings       capacity.Ceilings
+	ceilings       capacity.Limits
 	room           float64 // the plan: spare room, lowered by each send until the next rebuild
 	own, jobs      float64 // slots and jobs this balancer has out here
 	jobsThen       float64 // own jobs as of about a report period ago
@@ -30,7 +30,7 @@
 	oldest         float64 // how long an own job has been waiting to start here
 	queued         float64 // slots of own jobs waiting to start here
 	goneAt         float64 // when it left the list
-	standing       capacity.Standing
+	standing       capacity.Ejection
 	sent           [4]float64 // work sent in the last spans of a third of the fall time
 	span           int64
 	turnAt         uint64 // the turn that place was worked out for
@@ -78,7 +78,7 @@
 type Balancer struct {
 	Settings
 	act       Actions
-	rng       capacity.Source
+	rng       capacity.Random
 	sweep     float64 // monitoring period
 	limit     float64 // the tightest objective
 	recover   float64 // time constant in which ceilings recover: the longest deadline
@@ -111,10 +111,10 @@
 	meanSize  float64 // mean slots of the workers
 	arrivals  float64 // since the view was chosen
 	viewAt    float64
-	part      float64                    // of a cold worker's budget that is ours to share in
-	peers     []uint64                   // keys of the instances; nil: Me and Instances say all
-	peered    uint64                     // counts the changes of peers
-	recalled  map[WorkerID]*LearntWorker // of a Balancer before this one, until the list names them
+	part      float64                      // of a cold worker's budget that is ours to share in
+	peers     []uint64                     // keys of the instances; nil: Me and Instances say all
+	peered    uint64                       // counts the changes of peers
+	recalled  map[WorkerID]*WorkerSnapshot // of a Balancer before this one, until the list names them
 }
 
 // New checks the settings and returns a Balancer that knows nothing yet.
@@ -122,7 +122,7 @@
 	if err := s.validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{Settings: s, act: act, rng: capacity.Source(seed), byID: map[WorkerID]*worker{}, pace: 1, perJob: 1,
+	b := &Balancer{Settings: s, act: act, rng: capacity.Random(seed), byID: map[WorkerID]*worker{}, pace: 1, perJob: 1,
 		requests: map[RequestID]*request{}, work: make([]float64, len(s.Classes)), limit: math.Inf(1),
 		far: make([]float64, s.Zones), kinds: map[int]*kind{}, stock: stock(s.Instances), part: 1, leastSize: 1, meanSize: 1}
 	b.copies = b.stock / 2
@@ -139,20 +139,20 @@
 // stock is how many second copies one of so many instances may save up.
 func stock(instances int) float64 { return math.Max(1, copyStock/float64(instances)) }
 
-// Place is an instance's place among those that share the workers, where it is not the settings' for good.
-type Place struct {
-	Instances int
-	Me        int
-	Part      float64  // of a cold worker's budget, above 0: less than 1 while others may not count this instance
-	Keys      []uint64 // of all instances by their numbers, drawn from their names; nil: turns go by the numbers alone
+// InstanceShare is an instance's place among those that share the workers, where it is not the settings' for good.
+type InstanceShare struct {
+	Instances    int
+	Instance     int
+	BudgetShare  float64  // of a cold worker's budget, above 0: less than 1 while others may not count this instance
+	InstanceKeys []uint64 // of all instances by their numbers, drawn from their names; nil: turns go by the numbers alone
 }
 
-// SetPlace sets the place; it is called between events, and decides nothing itself. One that makes no sense changes nothing.
-func (b *Balancer) SetPlace(p Place) error {
-	if p.Instances < 1 || p.Me < 0 || p.Me >= p.Instances || !(p.Part > 0 && p.Part <= 1) || p.Keys != nil && len(p.Keys) != p.Instances {
-		return fmt.Errorf("brain: bad place: %d of %d, part %v, %d keys", p.Me, p.Instances, p.Part, len(p.Keys))
+// SetInstanceShare sets the place; it is called between events, and decides nothing itself. One that makes no sense changes nothing.
+func (b *Balancer) SetInstanceShare(p InstanceShare) error {
+	if p.Instances < 1 || p.Instance < 0 || p.Instance >= p.Instances || !(p.BudgetShare > 0 && p.BudgetShare <= 1) || p.InstanceKeys != nil && len(p.InstanceKeys) != p.Instances {
+		return fmt.Errorf("brain: bad place: %d of %d, part %v, %d keys", p.Instance, p.Instances, p.BudgetShare, len(p.InstanceKeys))
 	}
-	b.Instances, b.Me, b.part, b.peers = p.Instances, p.Me, p.Part, p.Keys
+	b.Instances, b.Instance, b.part, b.peers = p.Instances, p.Instance, p.BudgetShare, p.InstanceKeys
 	b.peered++
 	b.stock = stock(p.Instances)
 	b.copies = math.Min(b.copies, b.stock)
@@ -162,16 +162,16 @@
 // order is this instance's place, from 0 on, in the order of a worker's turn. By the keys, whoever knows of more
 // instances comes no earlier: so the holders by views that differ are never more than by one view.
 func (b *Balancer) order(w *worker, turn uint64) int {
-	draw := capacity.Scatter(uint64(w.ID) + capacity.Scatter(turn))
+	draw := capacity.Hash(uint64(w.ID) + capacity.Hash(turn))
 	if b.peers == nil {
 		first := int(draw % uint64(b.Instances))
-		return (b.Me + b.Instances - first) % b.Instances
+		return (b.Instance + b.Instances - first) % b.Instances
 	}
 	if w.placed != b.peered || w.turnAt != turn {
 		w.placed, w.turnAt, w.place = b.peered, turn, 0
-		mine := capacity.Scatter(draw ^ b.peers[b.Me])
+		mine := capacity.Hash(draw ^ b.peers[b.Instance])
 		for _, key := range b.peers {
-			if capacity.Scatter(draw^key) < mine {
+			if capacity.Hash(draw^key) < mine {
 				w.place++
 			}
 		}
@@ -185,7 +185,7 @@
 // read sorts a report by the settings' fields; a value that makes no sense counts as not told.
 func (b *Balancer) read(w *worker, report []float32) reading {
 	got := reading{-1, -1, -1, -1}
-	for i, f := range b.Report {
+	for i, f := range b.ReportFields {
 		if i >= len(report) || !finite(float64(report[i])) || report[i] < 0 {
 			continue
 		}
@@ -228,8 +228,8 @@
 				weight, weighed = weight+w.Weight, weighed+1
 			}
 		}
-		if w.standing.Judged && w.State == Ready {
-			failing, judged = failing+w.standing.Errors, judged+1
+		if w.standing.Observed && w.State == Ready {
+			failing, judged = failing+w.standing.ErrorRate, judged+1
 		}
 		if w.slots > 0 {
 			slots, sized, least = slots+w.slots, sized+1, math.Min(least, w.slots)
@@ -241,7 +241,7 @@
 		}
 	}
 	for _, k := range b.kinds {
-		capacity.Mean(&k.waits, 0, fade) // who sends nothing is told nothing new
+		capacity.UpdateMean(&k.waits, 0, fade) // who sends nothing is told nothing new
 	}
 	b.errors, b.weight = failing/math.Max(judged, 1), weight/math.Max(weighed, 1)
 	if sized > 0 {
@@ -252,7 +252,7 @@
 	for _, r := range b.open {
 		for j := range r.attempts {
 			a := &r.attempts[j]
-			if !b.TellsStart || !a.flying || a.started > 0 {
+			if !b.ReportsStart || !a.flying || a.started > 0 {
 				continue
 			}
 			if wait := now - a.sent; wait > b.far[b.zone(a.w)]+b.sweep { // more than the note's way
@@ -274,11 +274,11 @@
 	}
 	others := got.inFlight - w.jobsThen
 	if w.repeated { // else the time between reports is how seldom this balancer asked
-		capacity.Mean(&b.period, math.Min(now-w.reportAt, 8*b.period), learnRate)
+		capacity.UpdateMean(&b.period, math.Min(now-w.reportAt, 8*b.period), learnRate)
 	}
 	w.repeated = false
 	if w.heard { // where reports are rare, each says all the more
-		capacity.Mean(&w.others, others, 1-math.Pow(1-othersRate, math.Max(1, (now-w.reportAt)/b.period)))
+		capacity.UpdateMean(&w.others, others, 1-math.Pow(1-othersRate, math.Max(1, (now-w.reportAt)/b.period)))
 	} else {
 		w.others = others
 	}
@@ -297,35 +297,35 @@
 	if cost <= 0 || run <= 0 {
 		return
 	}
-	capacity.Mean(&w.pace, math.Min(run/cost, 2*peerFactor*b.pace), learnRate) // one heavy job convicts no worker
-	capacity.Mean(&b.pace, math.Min(run/cost, 2*b.pace), fleetRate)
+	capacity.UpdateMean(&w.pace, math.Min(run/cost, 2*peerFactor*b.pace), learnRate) // one heavy job convicts no worker
+	capacity.UpdateMean(&b.pace, math.Min(run/cost, 2*b.pace), fleetRate)
 	kind := b.kind(w)
-	capacity.Mean(&kind.pace, math.Min(run/cost, 2*kind.pace), fleetRate)
+	capacity.UpdateMean(&kind.pace, math.Min(run/cost, 2*kind.pace), fleetRate)
 }
 
 // learnWait draws on the wait of a job on a worker that does not tell its load: how long its kind has jobs wait, and the
 // load at which they begin to. Where no start is told, ends say it: atStart is what the wait was seen at.
 func (b *Balancer) learnWait(atStart bool, w *worker, load, wait float64) {
-	if w.slots > 0 || atStart != b.TellsStart {
+	if w.slots > 0 || atStart != b.ReportsStart {
 		return
 	}
-	capacity.Mean(&b.kind(w).waits, wait, learnRate)
+	capacity.UpdateMean(&b.kind(w).waits, wait, learnRate)
 	if (wait == 0) == (load > b.meanSize) {
-		capacity.Mean(&b.meanSize, load, learnRate)
+		capacity.UpdateMean(&b.meanSize, load, learnRate)
 	}
 }
 
 // leave notes that the worker is not listed, and since when.
 func (w *worker) leave(now float64) {
-	if w.State != Gone || w.goneAt == 0 {
-		w.State, w.goneAt = Gone, now
+	if w.State != Departed || w.goneAt == 0 {
+		w.State, w.goneAt = Departed, now
 	}
 }
 
 // prune forgets workers that left the list long ago: machines come and go for as long as the process runs.
 func (b *Balancer) prune(now float64) {
 	b.workers = slices.DeleteFunc(b.workers, func(w *worker) bool {
-		old := w.State == Gone && w.jobs == 0 && now-w.goneAt > pruneAfter*b.recover
+		old := w.State == Departed && w.jobs == 0 && now-w.goneAt > pruneAfter*b.recover
 		if old {
 			delete(b.byID, w.ID)
 		}
@@ -356,7 +356,7 @@
 	}
 	for _, ring := range rings {
 		slices.SortFunc(ring, func(x, y *worker) int {
-			return cmp.Compare(capacity.Scatter(uint64(x.ID)), capacity.Scatter(uint64(y.ID)))
+			return cmp.Compare(capacity.Hash(uint64(x.ID)), capacity.Hash(uint64(y.ID)))
 		})
 	}
 	return rings
@@ -414,12 +414,12 @@
 	}
 	if r.cost = b.work[q.Class]; r.Work > 0 {
 		r.cost = r.Work
-		capacity.Mean(&b.work[q.Class], r.Work, fleetRate)
+		capacity.UpdateMean(&b.work[q.Class], r.Work, fleetRate)
 	}
 	if r.size = r.Slots; !finite(r.size) || r.size <= 0 {
 		r.size = 1
 	}
-	capacity.Mean(&b.perJob, math.Min(r.size, widestJob), fleetRate)
+	capacity.UpdateMean(&b.perJob, math.Min(r.size, widestJob), fleetRate)
 	r.aim = math.Min(now+r.class.Objective+r.class.Stretch*r.cost, r.Deadline)
 	b.arrivals++
 	b.requests[r.ID] = r
@@ -490,7 +490,7 @@
 
 // spent is the work sent to a worker within the fall time, rounded up to four spans of a third of it.
 func (b *Balancer) spent(now float64, w *worker) float64 {
-	span := int64(math.Floor(now / (b.FallTime / 3)))
+	span := int64(math.Floor(now / (b.OverloadWindow / 3)))
 	if span-w.span >= int64(len(w.sent)) {
 		w.sent, w.span = [4]float64{}, span
 	}
--- a/loadbalancer/world_test.go
+++ b/loadbalancer/world_test.go
@@ -105,14 +105,14 @@
 
 // policy is what decides: a Balancer, or what it is measured against.
 type policy interface {
-	OnStart(now float64)
-	OnTimer(now float64, token uint32)
-	OnRequest(now float64, q *Request)
-	OnNote(now float64, n *Note)
-	OnOutcome(now float64, o *Outcome)
-	OnList(now float64, kind ListKind, entries []Worker)
-	OnProbed(now float64, id WorkerID, result Result, report []float32)
-	OnGone(now float64, id RequestID)
+	Start(now float64)
+	HandleTimer(now float64, token uint32)
+	HandleRequest(now float64, q *Request)
+	HandleProgress(now float64, n *ProgressUpdate)
+	HandleOutcome(now float64, o *Outcome)
+	UpdateWorkers(now float64, kind ListKind, entries []Worker)
+	HandleProbeResult(now float64, id WorkerID, result Result, report []float32)
+	HandleDisconnect(now float64, id RequestID)
 }
 
 func (w *world) at(at float64, do func()) { w.agenda.At(max(at, w.now), do) }
@@ -142,12 +142,12 @@
 	}
 	for me := range plan.instances {
 		n := &node{w: w, me: me, asks: map[RequestID]*ask{}, s: plan.s}
-		n.s.Instances, n.s.Me, n.s.Zone = plan.instances, me, me%plan.s.Zones
+		n.s.Instances, n.s.Instance, n.s.Zone = plan.instances, me, me%plan.s.Zones
 		n.policy = decide(n.s, uint64(me)+100*seed, n)
 		w.nodes = append(w.nodes, n)
 		w.at(w.now, func() {
-			n.policy.OnStart(w.now)
-			n.policy.OnList(w.now, ListFull, w.list())
+			n.policy.Start(w.now)
+			n.policy.UpdateWorkers(w.now, ListFull, w.list())
 		})
 	}
 	mean := 0.0
@@ -201,14 +201,14 @@
 	if plan.replace {
 		w.at(start+plan.length/2, func() {
 			for i := 0; i < len(w.workers); i += 3 {
-				w.workers[i].Since = w.now
+				w.workers[i].StartedAt = w.now
 				for _, x := range append(append([]*tryOut(nil), w.workers[i].running...), w.workers[i].waiting...) {
 					w.end(x, Reset, nil)
 				}
 				w.workers[i].running, w.workers[i].waiting = nil, nil
 			}
 			for _, n := range w.nodes {
-				n.policy.OnList(w.now, ListFull, w.list())
+				n.policy.UpdateWorkers(w.now, ListFull, w.list())
 			}
 		})
 	}
@@ -227,7 +227,7 @@
 	w.nextID++
 	q := &ask{id: w.nextID, class: class, work: work, first: first, deadline: first + c.Deadline, again: again}
 	if fresh {
-		w.worth[class] += c.Worth * work
+		w.worth[class] += c.Value * work
 		w.asked++
 	}
 	n.asks[q.id] = q
@@ -235,7 +235,7 @@
 	if w.plan.hints {
 		r.Work = work * math.Exp(0.2*w.rng.NormFloat64())
 	}
-	n.policy.OnRequest(w.now, r)
+	n.policy.HandleRequest(w.now, r)
 }
 
 // way is one way between a node and a worker.
@@ -256,7 +256,7 @@
 	x := &tryOut{n: n, q: q, attempt: len(q.attempts), m: m}
 	c := &w.plan.s.Classes[q.class]
 	for _, y := range q.attempts {
-		if !y.over && !n.s.ParallelTries || y.started && c.Effect == Unsafe {
+		if !y.over && !n.s.ParallelAttempts || y.started && c.RetrySafety == RetryUnsafe {
 			w.breach = append(w.breach, "a second attempt that is not allowed")
 		}
 	}
@@ -271,7 +271,7 @@
 	switch {
 	case x.over:
 	case m.State != Ready || len(m.waiting) >= m.queue:
-		w.end(x, Full, w.report(m))
+		w.end(x, Rejected, w.report(m))
 	default:
 		m.waiting = append(m.waiting, x)
 		w.serve(m)
@@ -285,12 +285,12 @@
 		m.running = append(m.running, x)
 		x.started = true
 		warm := 1.0
-		if m.Since > 0 && w.now < m.Since+w.plan.s.ColdTime {
-			warm = w.plan.s.ColdShare + (1-w.plan.s.ColdShare)*(w.now-m.Since)/w.plan.s.ColdTime
+		if m.StartedAt > 0 && w.now < m.StartedAt+w.plan.s.SlowStartDuration {
+			warm = w.plan.s.SlowStartInitialShare + (1-w.plan.s.SlowStartInitialShare)*(w.now-m.StartedAt)/w.plan.s.SlowStartDuration
 		}
-		since := m.Since
+		since := m.StartedAt
 		w.at(w.now+x.q.work/(m.speed*warm), func() {
-			if m.Since != since {
+			if m.StartedAt != since {
 				return
 			}
 			for i, y := range m.running {
@@ -303,10 +303,10 @@
 			w.at(w.now+w.way(x.n, m), func() { w.end(x, OK, report) })
 			w.serve(m)
 		})
-		if x.n.s.TellsStart {
+		if x.n.s.ReportsStart {
 			w.at(w.now+w.way(x.n, m), func() {
 				if !x.over {
-					x.n.policy.OnNote(w.now, &Note{Request: x.q.id, Attempt: x.attempt, Started: true})
+					x.n.policy.HandleProgress(w.now, &ProgressUpdate{Request: x.q.id, Attempt: x.attempt, Started: true})
 				}
 			})
 		}
@@ -315,7 +315,7 @@
 }
 
 func (w *world) fields(m *machine) (fields []float32) {
-	for _, f := range w.plan.s.Report {
+	for _, f := range w.plan.s.ReportFields {
 		v := 0.0
 		switch f {
 		case FieldInFlight:
@@ -334,7 +334,7 @@
 
 // report is what the worker told of itself a while ago.
 func (w *world) report(m *machine) (fields []float32) {
-	if len(w.plan.s.Report) == 0 || w.plan.s.ReportsByProbe {
+	if len(w.plan.s.ReportFields) == 0 || w.plan.s.ReportsByProbe {
 		return nil
 	}
 	return w.aged(m)
@@ -370,13 +370,13 @@
 		c := &w.plan.s.Classes[q.class]
 		switch took := w.now - q.first; {
 		case took <= math.Min(c.Objective+c.Stretch*q.work, c.Deadline):
-			w.earned[q.class] += c.Worth * q.work
+			w.earned[q.class] += c.Value * q.work
 		case took <= c.Deadline:
-			w.earned[q.class] += c.Worth * q.work * c.LateShare
+			w.earned[q.class] += c.Value * q.work * c.LateValueShare
 			w.late++
 		}
 	}
-	x.n.policy.OnOutcome(w.now, &Outcome{Request: q.id, Attempt: x.attempt, Worker: x.m.ID, Result: result, Closed: q.done, Report: report})
+	x.n.policy.HandleOutcome(w.now, &Outcome{Request: q.id, Attempt: x.attempt, Worker: x.m.ID, Result: result, ClientAnswered: q.done, Report: report})
 }
 
 // again has the client come back, if it has not used up its patience.
@@ -389,7 +389,7 @@
 	}
 }
 
-func (n *node) Refuse(id RequestID, wait float64) {
+func (n *node) Reject(id RequestID, wait float64) {
 	if q := n.asks[id]; q != nil && !q.done {
 		q.done = true
 		n.w.refused++
@@ -401,7 +401,7 @@
 	if q := n.asks[id]; q != nil && !q.done {
 		q.done = true
 		n.w.failed++
-		if n.w.plan.s.Classes[q.class].Effect == Safe {
+		if n.w.plan.s.Classes[q.class].RetrySafety == RetrySafe {
 			n.again(q, 0)
 		}
 	}
@@ -414,15 +414,15 @@
 
 func (n *node) Probe(worker WorkerID) {
 	w, m := n.w, n.w.workers[worker-1]
-	w.at(w.now+2*w.way(n, m), func() { n.policy.OnProbed(w.now, worker, OK, w.aged(m)) })
+	w.at(w.now+2*w.way(n, m), func() { n.policy.HandleProbeResult(w.now, worker, OK, w.aged(m)) })
 }
 
 func (n *node) SetTimer(token uint32, at float64) {
-	n.w.at(math.Max(at, n.w.now+n.s.Tick), func() { n.policy.OnTimer(n.w.now, token) })
+	n.w.at(math.Max(at, n.w.now+n.s.Tick), func() { n.policy.HandleTimer(n.w.now, token) })
 }
 func (n *node) Watch(on bool) {
 	if on {
-		n.w.at(n.w.now+0.01, func() { n.policy.OnList(n.w.now, ListFull, n.w.list()) })
+		n.w.at(n.w.now+0.01, func() { n.policy.UpdateWorkers(n.w.now, ListFull, n.w.list()) })
 	}
 }
 func (n *node) Fetch()     { n.Watch(true) }
@@ -466,16 +466,16 @@
 	return &plainest{s: s, act: act, rng: rand.New(rand.NewPCG(seed, 3)), list: map[WorkerID]Worker{}, out: map[WorkerID]int{}, open: map[RequestID]*plainAsk{}}
 }
 
-func (p *plainest) OnStart(now float64) {
+func (p *plainest) Start(now float64) {
 	if p.s.ListOnRequest {
 		p.act.Watch(true)
 	}
 }
-func (p *plainest) OnTimer(now float64, token uint32)                       {}
-func (p *plainest) OnNote(now float64, n *Note)                             {}
-func (p *plainest) OnProbed(now float64, _ WorkerID, _ Result, _ []float32) {}
-func (p *plainest) OnGone(now float64, id RequestID)                        { delete(p.open, id) }
-func (p *plainest) OnList(now float64, kind ListKind, entries []Worker) {
+func (p *plainest) HandleTimer(now float64, token uint32)                            {}
+func (p *plainest) HandleProgress(now float64, n *ProgressUpdate)                    {}
+func (p *plainest) HandleProbeResult(now float64, _ WorkerID, _ Result, _ []float32) {}
+func (p *plainest) HandleDisconnect(now float64, id RequestID)                       { delete(p.open, id) }
+func (p *plainest) UpdateWorkers(now float64, kind ListKind, entries []Worker) {
 	if kind != ListDelta {
 		p.ids = p.ids[:0]
 	}
@@ -485,7 +485,7 @@
 	}
 }
 
-func (p *plainest) OnRequest(now float64, q *Request) {
+func (p *plainest) HandleRequest(now float64, q *Request) {
 	r := &plainAsk{Request: *q}
 	p.open[q.ID] = r
 	p.try(r)
@@ -518,7 +518,7 @@
 		}
 	}
 	if best == nil || len(r.tried) >= p.s.MaxAttempts {
-		p.act.Refuse(r.ID, 0)
+		p.act.Reject(r.ID, 0)
 		delete(p.open, r.ID)
 		return
 	}
@@ -527,14 +527,14 @@
 	p.act.Send(r.ID, best.ID, 0)
 }
 
-func (p *plainest) OnOutcome(now float64, o *Outcome) {
+func (p *plainest) HandleOutcome(now float64, o *Outcome) {
 	p.out[o.Worker]--
 	r := p.open[o.Request]
-	if r == nil || o.Closed {
+	if r == nil || o.ClientAnswered {
 		delete(p.open, o.Request)
 		return
 	}
-	if never := o.Result == Full || o.Result == ConnectFailed; now < r.Deadline && (never || p.s.Classes[r.Class].Effect == Safe) {
+	if never := o.Result == Rejected || o.Result == ConnectFailed; now < r.Deadline && (never || p.s.Classes[r.Class].RetrySafety == RetrySafe) {
 		p.try(r)
 		return
 	}
