--- a/internal/system/feed/codec.go
+++ b/internal/system/feed/codec.go
@@ -11,8 +11,8 @@
 	"cinderroad/internal/system/codec"
 )
 
-// tableCodecVersion is the first byte of an encoded table.
-const tableCodecVersion = 1
+// tableFormatVersion is the first byte of an encoded table.
+const tableFormatVersion = 1
 
 // Kinds of items of an encoded table.
 const (
@@ -20,8 +20,8 @@
 	kindDeleted = 1
 )
 
-// greatestAge is the greatest age of an item in nanoseconds that is taken from an encoding.
-const greatestAge = 1 << 62
+// maxEncodedAge is the greatest age of an item in nanoseconds that is taken from an encoding.
+const maxEncodedAge = 1 << 62
 
 // MalformedTableError says that bytes are not an encoded table.
 type MalformedTableError struct{ Field string }
@@ -36,13 +36,13 @@
 // tables that hold the same have the same encoding.
 func (t *Table) Encode(now time.Duration) []byte {
 	data := make([]byte, 0, t.encodedSize())
-	data = append(data, tableCodecVersion)
+	data = append(data, tableFormatVersion)
 	data = binary.AppendUvarint(data, uint64(t.partition))
 	data = binary.AppendUvarint(data, t.index)
-	data = binary.AppendUvarint(data, t.horizon)
+	data = binary.AppendUvarint(data, t.tombstoneHorizon)
 	data = binary.AppendUvarint(data, uint64(len(t.records)))
 	for _, key := range slices.Sorted(maps.Keys(t.records)) {
-		data = t.records[key].append(data, now)
+		data = t.records[key].appendTo(data, now)
 	}
 	return data
 }
@@ -57,10 +57,10 @@
 	return size
 }
 
-func (r *record) append(data []byte, now time.Duration) []byte {
+func (r *record) appendTo(data []byte, now time.Duration) []byte {
 	data = codec.AppendBytes(data, r.key)
 	data = binary.AppendUvarint(data, r.index)
-	data = binary.AppendUvarint(data, uint64(max(now-r.changed, 0)))
+	data = binary.AppendUvarint(data, uint64(max(now-r.changedAt, 0)))
 	if r.deleted {
 		return append(data, kindDeleted)
 	}
@@ -71,14 +71,14 @@
 // *MalformedTableError.
 func DecodeTable(now time.Duration, data []byte) (*Table, error) {
 	reader := codec.NewReader(data)
-	if reader.Byte("version") != tableCodecVersion {
+	if reader.Byte("version") != tableFormatVersion {
 		return nil, &MalformedTableError{Field: "version"}
 	}
 	partition := reader.Uvarint("partition")
 	table := NewTable(Partition(partition))
 	table.index = reader.Uvarint("index")
-	table.horizon = reader.Uvarint("horizon")
-	if partition > uint64(^Partition(0)) || table.horizon > table.index {
+	table.tombstoneHorizon = reader.Uvarint("horizon")
+	if partition > uint64(^Partition(0)) || table.tombstoneHorizon > table.index {
 		reader.Fail("head")
 	}
 	table.readRecords(&reader, now)
@@ -102,17 +102,17 @@
 			return
 		}
 		previous = read.key
-		t.set(read)
+		t.storeRecord(read)
 	}
 }
 
 func readRecord(reader *codec.Reader, now time.Duration) record {
 	read := record{key: reader.String("key"), index: reader.Uvarint("item's index")}
 	age := reader.Uvarint("age")
-	if age > greatestAge {
+	if age > maxEncodedAge {
 		reader.Fail("age")
 	}
-	read.changed = now - time.Duration(age)
+	read.changedAt = now - time.Duration(age)
 	switch reader.Byte("kind of item") {
 	case kindValue:
 		read.value = bytes.Clone(reader.Bytes("value"))
--- a/internal/system/feed/digest.go
+++ b/internal/system/feed/digest.go
@@ -33,7 +33,7 @@
 // Digest are the table's digests over the given number of ranges, at least one, with about as many items each.
 func (t *Table) Digest(ranges int) TableDigest {
 	digests := TableDigest{Partition: t.partition, Index: t.index}
-	keys := t.keysFrom("")
+	keys := t.sortedKeysFrom("")
 	ranges = max(min(ranges, len(keys)), 1)
 	first := ""
 	for i := range ranges {
@@ -41,7 +41,7 @@
 		if i+1 < ranges {
 			end = keys[(i+1)*len(keys)/ranges]
 		}
-		digests.Ranges = append(digests.Ranges, t.digest(KeyRange{Start: first, End: end}))
+		digests.Ranges = append(digests.Ranges, t.rangeDigest(KeyRange{Start: first, End: end}))
 		first = end
 	}
 	return digests
@@ -54,7 +54,7 @@
 		return nil, false
 	}
 	for _, theirs := range digests.Ranges {
-		if t.digest(theirs.Range) != theirs {
+		if t.rangeDigest(theirs.Range) != theirs {
 			different = append(different, theirs.Range)
 		}
 	}
@@ -62,61 +62,61 @@
 }
 
 // ItemsInRange is the items of a range, in the order of their keys.
-func (t *Table) ItemsInRange(now time.Duration, keys KeyRange) []Item {
+func (t *Table) ItemsInRange(now time.Duration, keyRange KeyRange) []Item {
 	var items []Item
-	for _, key := range t.keysFrom(keys.Start) {
-		if !keys.Contains(key) {
+	for _, key := range t.sortedKeysFrom(keyRange.Start) {
+		if !keyRange.Contains(key) {
 			break
 		}
-		items = append(items, t.records[key].item(now))
+		items = append(items, t.records[key].toItem(now))
 	}
 	return items
 }
 
 // RepairRange replaces a range by the items that a table at the same index holds of it, and returns what differed, as Apply
 // does. It does nothing if the index is not the table's. Followers of this table get a snapshot if anything differed.
-func (t *Table) RepairRange(now time.Duration, keys KeyRange, index uint64, items []Item) []Item {
+func (t *Table) RepairRange(now time.Duration, keyRange KeyRange, index uint64, items []Item) []Item {
 	if index != t.index {
 		return nil
 	}
-	named := make(map[string]bool, len(items))
+	present := make(map[string]bool, len(items))
 	var changed []Item
 	for _, item := range items {
-		if item.Deleted || item.Index > index || !keys.Contains(item.Key) {
+		if item.Deleted || item.Index > index || !keyRange.Contains(item.Key) {
 			continue
 		}
-		named[item.Key] = true
-		if !t.holds(item) {
-			t.set(newRecord(now, item))
+		present[item.Key] = true
+		if !t.holdsExactly(item) {
+			t.storeRecord(recordFromItem(now, item))
 			changed = append(changed, item)
 		}
 	}
-	for _, item := range t.missing(named, index) {
-		if keys.Contains(item.Key) {
-			t.set(newRecord(now, item))
+	for _, item := range t.tombstonesForMissing(present, index) {
+		if keyRange.Contains(item.Key) {
+			t.storeRecord(recordFromItem(now, item))
 			changed = append(changed, item)
 		}
 	}
 	if len(changed) > 0 {
 		t.sortChanges()
-		t.forget()
-		t.horizon = index
+		t.evictTombstones()
+		t.tombstoneHorizon = index
 	}
 	return changed
 }
 
-// holds says whether an item is held just so.
-func (t *Table) holds(item Item) bool {
+// holdsExactly says whether an item is held just so.
+func (t *Table) holdsExactly(item Item) bool {
 	held := t.records[item.Key]
 	return held != nil && !held.deleted && held.index == item.Index && bytes.Equal(held.value, item.Value)
 }
 
-func (t *Table) digest(keys KeyRange) RangeDigest {
-	digest := RangeDigest{Range: keys}
+func (t *Table) rangeDigest(keyRange KeyRange) RangeDigest {
+	digest := RangeDigest{Range: keyRange}
 	sum := xxhash.New()
 	var scratch []byte
-	for _, key := range t.keysFrom(keys.Start) {
-		if !keys.Contains(key) {
+	for _, key := range t.sortedKeysFrom(keyRange.Start) {
+		if !keyRange.Contains(key) {
 			break
 		}
 		held := t.records[key]
--- a/internal/system/feed/follow.go
+++ b/internal/system/feed/follow.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// itemOverhead is what an item costs on the way beside its key and value, in bytes, roughly.
-const itemOverhead = 16
+// itemOverheadBytes is what an item costs on the way beside its key and value, in bytes, roughly.
+const itemOverheadBytes = 16
 
 // BatchSince is what brings a follower from index to the table's index: the items that changed since, deletions among them,
 // or a snapshot if deletions since were forgotten or the follower holds nothing. A delta of more than maxBytes (0: no
@@ -18,14 +18,14 @@
 	if index >= t.index {
 		return Batch{Partition: t.partition, From: index, To: t.index}
 	}
-	if index == 0 || index < t.horizon {
+	if index == 0 || index < t.tombstoneHorizon {
 		return t.Snapshot(now)
 	}
 	batch := Batch{Partition: t.partition, From: index, To: t.index}
 	first := sort.Search(len(t.changes), func(i int) bool { return t.changes[i].index > index })
 	size := 0
 	for _, c := range t.changes[first:] {
-		if !t.current(c) {
+		if !t.isCurrent(c) {
 			continue
 		}
 		last := len(batch.Items) - 1
@@ -33,8 +33,8 @@
 			batch.To = batch.Items[last].Index
 			break
 		}
-		size += itemOverhead + len(c.record.key) + len(c.record.value)
-		batch.Items = append(batch.Items, c.record.item(now))
+		size += itemOverheadBytes + len(c.record.key) + len(c.record.value)
+		batch.Items = append(batch.Items, c.record.toItem(now))
 	}
 	return batch
 }
@@ -55,7 +55,7 @@
 		return nil
 	}
 	if batch.Snapshot {
-		return t.replace(now, batch)
+		return t.applySnapshot(now, batch)
 	}
 	if batch.From > t.index {
 		return nil
@@ -64,16 +64,16 @@
 	slices.SortStableFunc(items, byIndex)
 	var changed []Item
 	for _, item := range items {
-		if item.Index > batch.To || !t.newer(item) {
+		if item.Index > batch.To || !t.isNewer(item) {
 			continue
 		}
-		if t.take(now, item) {
+		if t.storeItem(now, item) {
 			changed = append(changed, item)
 		}
 	}
 	t.index = batch.To
 	t.sortChanges()
-	t.forget()
+	t.evictTombstones()
 	return changed
 }
 
@@ -87,20 +87,20 @@
 	return 0
 }
 
-// newer says whether an item is newer than what is held under its key.
-func (t *Table) newer(item Item) bool {
+// isNewer says whether an item is newer than what is held under its key.
+func (t *Table) isNewer(item Item) bool {
 	held := t.records[item.Key]
-	return held == nil && item.Index > t.horizon || held != nil && item.Index > held.index
+	return held == nil && item.Index > t.tombstoneHorizon || held != nil && item.Index > held.index
 }
 
-// take stores an item and returns whether the key's state is another one now.
-func (t *Table) take(now time.Duration, item Item) bool {
+// storeItem stores an item and returns whether the key's state is another one now.
+func (t *Table) storeItem(now time.Duration, item Item) bool {
 	held := t.records[item.Key]
 	same := held != nil && held.deleted == item.Deleted && bytes.Equal(held.value, item.Value)
 	if held == nil && item.Deleted {
 		same = true
 	}
-	t.set(newRecord(now, item))
+	t.storeRecord(recordFromItem(now, item))
 	return !same
 }
 
@@ -120,46 +120,46 @@
 	}
 }
 
-// replace takes a snapshot. Items that it lacks are deleted by its index, unless the table was empty: then, and if
+// applySnapshot takes a snapshot. Items that it lacks are deleted by its index, unless the table was empty: then, and if
 // items differ that should not, deletions up to its index count as forgotten, so that followers of this table get a
 // snapshot.
-func (t *Table) replace(now time.Duration, batch Batch) []Item {
+func (t *Table) applySnapshot(now time.Duration, batch Batch) []Item {
 	diverged := t.index == 0
-	named := make(map[string]bool, len(batch.Items))
+	present := make(map[string]bool, len(batch.Items))
 	var changed []Item
 	for _, item := range batch.Items {
 		if item.Deleted || item.Index > batch.To {
 			continue
 		}
-		named[item.Key] = true
+		present[item.Key] = true
 		held := t.records[item.Key]
 		if held != nil && held.index == item.Index && !held.deleted && bytes.Equal(held.value, item.Value) {
 			continue
 		}
 		diverged = diverged || item.Index <= t.index
-		if t.take(now, item) {
+		if t.storeItem(now, item) {
 			changed = append(changed, item)
 		}
 	}
-	gone := t.missing(named, batch.To)
+	gone := t.tombstonesForMissing(present, batch.To)
 	diverged = diverged || len(gone) > 0 && batch.To == t.index
 	for _, item := range gone {
-		t.set(newRecord(now, item))
+		t.storeRecord(recordFromItem(now, item))
 	}
 	t.index = batch.To
 	t.sortChanges()
-	t.forget()
+	t.evictTombstones()
 	if diverged {
-		t.horizon = batch.To
+		t.tombstoneHorizon = batch.To
 	}
 	return append(changed, gone...)
 }
 
-// missing are the held items that are not named, as deleted by the given index.
-func (t *Table) missing(named map[string]bool, index uint64) []Item {
+// tombstonesForMissing are the held items that are not named, as deleted by the given index.
+func (t *Table) tombstonesForMissing(present map[string]bool, index uint64) []Item {
 	var gone []Item
-	for _, key := range t.keysFrom("") {
-		if !named[key] {
+	for _, key := range t.sortedKeysFrom("") {
+		if !present[key] {
 			gone = append(gone, Item{Key: key, Index: index, Deleted: true})
 		}
 	}
--- a/internal/system/feed/pack.go
+++ b/internal/system/feed/pack.go
@@ -21,12 +21,12 @@
 	PackThresholdBytes = 2 << 10
 	// MaxUnpackedBytes is how many bytes a packed batch may hold, unpacked.
 	MaxUnpackedBytes = 32 << 20
-	// mostInflated is what a byte of a deflated stream may stand for, at most.
-	mostInflated = 1032
-	// packLevel is fast, since followers wait, and its writer is a third smaller than that of the fastest level.
-	packLevel = 2
-	// leastItem is the size of the shortest item of a packed batch in bytes.
-	leastItem = 4
+	// maxInflationRatio is what a byte of a deflated stream may stand for, at most.
+	maxInflationRatio = 1032
+	// compressionLevel is fast, since followers wait, and its writer is a third smaller than that of the fastest level.
+	compressionLevel = 2
+	// minPackedItemBytes is the size of the shortest item of a packed batch in bytes.
+	minPackedItemBytes = 4
 )
 
 // UnpackError says that a packed batch can't be read.
@@ -42,13 +42,13 @@
 
 // Causes of a UnpackError.
 var (
-	errPackedSize  = errors.New("its size is impossible")
-	errPackedItems = errors.New("its items are malformed")
+	errImpossibleSize = errors.New("its size is impossible")
+	errMalformedItems = errors.New("its items are malformed")
 )
 
-// packers are writers that are used again soon, and dropped otherwise: each takes 0.8 MB.
-var packers = sync.Pool{New: func() any {
-	writer, err := flate.NewWriter(io.Discard, packLevel)
+// flateWriters are writers that are used again soon, and dropped otherwise: each takes 0.8 MB.
+var flateWriters = sync.Pool{New: func() any {
+	writer, err := flate.NewWriter(io.Discard, compressionLevel)
 	if err != nil {
 		panic(err) // the level is a constant
 	}
@@ -59,7 +59,7 @@
 func (b *Batch) Size() int {
 	size := len(b.Packed)
 	for i := range b.Items {
-		size += itemOverhead + len(b.Items[i].Key) + len(b.Items[i].Value)
+		size += itemOverheadBytes + len(b.Items[i].Key) + len(b.Items[i].Value)
 	}
 	return size
 }
@@ -74,31 +74,31 @@
 	}
 	var deflated bytes.Buffer
 	var head [binary.MaxVarintLen64]byte
-	deflated.Write(head[:binary.PutUvarint(head[:], uint64(b.unpackedSize()))])
-	writer := packers.Get().(*flate.Writer)
-	defer packers.Put(writer)
+	deflated.Write(head[:binary.PutUvarint(head[:], uint64(b.unpackedBytes()))])
+	writer := flateWriters.Get().(*flate.Writer)
+	defer flateWriters.Put(writer)
 	writer.Reset(&deflated)
 	defer writer.Reset(io.Discard)
-	b.write(writer)
+	b.writePackedItems(writer)
 	_ = writer.Close() // a buffer takes all
 	b.Packed = bytes.Clone(deflated.Bytes())
 	b.Items = nil
 	return b
 }
 
-func (b *Batch) write(to io.Writer) {
+func (b *Batch) writePackedItems(to io.Writer) {
 	head := binary.AppendUvarint(nil, uint64(len(b.Items)))
 	_, _ = to.Write(head)
 	for i := range b.Items {
 		item := &b.Items[i]
-		head = item.appendHead(head[:0])
+		head = item.appendPackedHeader(head[:0])
 		_, _ = to.Write(head)
 		_, _ = to.Write(item.Value)
 	}
 }
 
-// appendHead appends all but the value.
-func (i *Item) appendHead(data []byte) []byte {
+// appendPackedHeader appends all but the value.
+func (i *Item) appendPackedHeader(data []byte) []byte {
 	data = codec.AppendBytes(data, i.Key)
 	data = binary.AppendUvarint(data, i.Index)
 	data = binary.AppendUvarint(data, uint64(max(i.Age, 0)))
@@ -109,11 +109,11 @@
 	return binary.AppendUvarint(data, uint64(len(i.Value)))
 }
 
-func (b *Batch) unpackedSize() int {
+func (b *Batch) unpackedBytes() int {
 	head := binary.AppendUvarint(nil, uint64(len(b.Items)))
 	size := len(head)
 	for i := range b.Items {
-		head = b.Items[i].appendHead(head[:0])
+		head = b.Items[i].appendPackedHeader(head[:0])
 		size += len(head) + len(b.Items[i].Value)
 	}
 	return size
@@ -125,12 +125,12 @@
 		return nil
 	}
 	size, read := binary.Uvarint(b.Packed)
-	if read <= 0 || size > MaxUnpackedBytes || size > mostInflated*uint64(len(b.Packed)) {
-		return &UnpackError{errPackedSize}
+	if read <= 0 || size > MaxUnpackedBytes || size > maxInflationRatio*uint64(len(b.Packed)) {
+		return &UnpackError{errImpossibleSize}
 	}
 	inflated := flate.NewReader(bytes.NewReader(b.Packed[read:]))
-	reader := packedReader{source: bufio.NewReaderSize(inflated, PackThresholdBytes), left: int64(size)}
-	items := reader.items(b.PackedAge)
+	reader := packedReader{source: bufio.NewReaderSize(inflated, PackThresholdBytes), remaining: int64(size)}
+	items := reader.readItems(b.PackedAge)
 	if reader.err != nil {
 		return &UnpackError{reader.err}
 	}
@@ -140,28 +140,28 @@
 
 // packedReader reads fields one after the other; after a first malformed one all are empty.
 type packedReader struct {
-	source *bufio.Reader
-	left   int64 // bytes that are still to come
-	err    error
+	source    *bufio.Reader
+	remaining int64 // bytes that are still to come
+	err       error
 }
 
 func (r *packedReader) fail(err error) {
 	if r.err == nil {
 		r.err = err
 	}
-	r.left = 0
+	r.remaining = 0
 }
 
 // ReadByte reads a byte of a number.
 func (r *packedReader) ReadByte() (byte, error) {
-	if r.left <= 0 {
-		return 0, errPackedItems
+	if r.remaining <= 0 {
+		return 0, errMalformedItems
 	}
-	r.left--
+	r.remaining--
 	return r.source.ReadByte()
 }
 
-func (r *packedReader) number() uint64 {
+func (r *packedReader) readUvarint() uint64 {
 	value, err := binary.ReadUvarint(r)
 	if err != nil {
 		r.fail(err)
@@ -170,11 +170,11 @@
 	return value
 }
 
-// bytes reads a length and as many bytes.
-func (r *packedReader) bytes() []byte {
-	length := r.number()
-	if r.err != nil || length > uint64(r.left) {
-		r.fail(errPackedItems)
+// readBytes reads a length and as many bytes.
+func (r *packedReader) readBytes() []byte {
+	length := r.readUvarint()
+	if r.err != nil || length > uint64(r.remaining) {
+		r.fail(errMalformedItems)
 		return nil
 	}
 	data := make([]byte, length)
@@ -182,46 +182,46 @@
 		r.fail(err)
 		return nil
 	}
-	r.left -= int64(length)
+	r.remaining -= int64(length)
 	return data
 }
 
-func (r *packedReader) items(age time.Duration) []Item {
-	count := r.number()
-	if count > uint64(r.left)/leastItem {
-		r.fail(errPackedItems)
+func (r *packedReader) readItems(age time.Duration) []Item {
+	count := r.readUvarint()
+	if count > uint64(r.remaining)/minPackedItemBytes {
+		r.fail(errMalformedItems)
 		return nil
 	}
 	items := make([]Item, 0, count)
 	for range count {
-		items = append(items, r.item(age))
+		items = append(items, r.readItem(age))
 		if r.err != nil {
 			return nil
 		}
 	}
-	if r.left != 0 {
-		r.fail(errPackedItems)
+	if r.remaining != 0 {
+		r.fail(errMalformedItems)
 	}
 	if _, err := r.source.ReadByte(); err != io.EOF {
-		r.fail(errPackedItems)
+		r.fail(errMalformedItems)
 	}
 	return items
 }
 
-func (r *packedReader) item(age time.Duration) Item {
-	item := Item{Key: string(r.bytes()), Index: r.number()}
-	aged := r.number()
+func (r *packedReader) readItem(age time.Duration) Item {
+	item := Item{Key: string(r.readBytes()), Index: r.readUvarint()}
+	aged := r.readUvarint()
 	if aged > math.MaxInt64/2 {
-		r.fail(errPackedItems)
+		r.fail(errMalformedItems)
 	}
 	item.Age = time.Duration(aged) + max(age, 0)
-	switch r.number() {
+	switch r.readUvarint() {
 	case 0:
 		item.Deleted = true
 	case 1:
-		item.Value = r.bytes()
+		item.Value = r.readBytes()
 	default:
-		r.fail(errPackedItems)
+		r.fail(errMalformedItems)
 	}
 	return item
 }
--- a/internal/system/feed/pack_test.go
+++ b/internal/system/feed/pack_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// routes are like those of a configuration, of which each differs a little from the others.
-func routes(n int) Batch {
+// routeBatch are like those of a configuration, of which each differs a little from the others.
+func routeBatch(n int) Batch {
 	batch := Batch{Snapshot: true, To: uint64(n)}
 	for i := range n {
 		value := fmt.Appendf(nil, `{"name":"route-%d","host":"shop%d.example","path_start":"/basket%d/list/","type":"read_only",`+
@@ -26,8 +26,8 @@
 	return batch
 }
 
-func TestPackedBatchIsSmallAndComesBack(t *testing.T) {
-	batch := routes(1000)
+func TestPackRoutesRoundTrip(t *testing.T) {
+	batch := routeBatch(1000)
 	packed := batch.Pack()
 	if packed.Items != nil || packed.Size() > batch.Size()/6 {
 		t.Fatalf("%d bytes became %d and %d items", batch.Size(), packed.Size(), len(packed.Items))
@@ -40,8 +40,8 @@
 	}
 }
 
-func TestSmallBatchIsNotPacked(t *testing.T) {
-	batch := routes(3)
+func TestPackLeavesSmallBatch(t *testing.T) {
+	batch := routeBatch(3)
 	if packed := batch.Pack(); !reflect.DeepEqual(packed, batch) {
 		t.Errorf("%+v", packed)
 	}
@@ -50,8 +50,8 @@
 	}
 }
 
-func TestAgesCountOnWhilePacked(t *testing.T) {
-	batch := routes(100).Pack()
+func TestUnpackAddsPackedAge(t *testing.T) {
+	batch := routeBatch(100).Pack()
 	batch.PackedAge = time.Minute
 	if err := batch.Unpack(); err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestPackedForm(t *testing.T) {
+func TestPackUnpackRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		batch := Batch{Snapshot: rapid.Bool().Draw(t, "snapshot"), To: 9}
 		batch.Items = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Item {
@@ -94,8 +94,8 @@
 	return packed.Bytes()
 }
 
-func TestMalformedPackedBatches(t *testing.T) {
-	good := routes(100).Pack().Packed
+func TestUnpackRejectsMalformedBatches(t *testing.T) {
+	good := routeBatch(100).Pack().Packed
 	cases := map[string][]byte{
 		"no size":                   {0xff},
 		"size beyond the bound":     deflated(MaxUnpackedBytes+1, make([]byte, MaxUnpackedBytes+1)),
@@ -122,7 +122,7 @@
 // FuzzUnpack has any bytes be refused or be a batch that comes back the same from being packed, with no more memory
 // than the bytes may stand for.
 func FuzzUnpack(f *testing.F) {
-	f.Add(routes(100).Pack().Packed)
+	f.Add(routeBatch(100).Pack().Packed)
 	f.Add(deflated(5, []byte{1, 0, 0, 0, 0}))
 	f.Add([]byte{0xff, 0xff, 0xff, 0x0f, 1, 2, 3})
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -134,7 +134,7 @@
 		for i := range batch.Items {
 			total += len(batch.Items[i].Key) + len(batch.Items[i].Value)
 		}
-		if total > MaxUnpackedBytes || total > mostInflated*len(data) {
+		if total > MaxUnpackedBytes || total > maxInflationRatio*len(data) {
 			t.Fatalf("%d bytes became %d", len(data), total)
 		}
 		again := batch.Pack()
@@ -145,7 +145,7 @@
 }
 
 func BenchmarkPack(b *testing.B) {
-	batch := routes(1000)
+	batch := routeBatch(1000)
 	b.ReportAllocs()
 	for b.Loop() {
 		packed := batch.Pack()
@@ -154,7 +154,7 @@
 }
 
 func BenchmarkUnpack(b *testing.B) {
-	batch := routes(1000).Pack()
+	batch := routeBatch(1000).Pack()
 	b.ReportAllocs()
 	for b.Loop() {
 		copied := batch
--- a/internal/system/feed/set.go
+++ b/internal/system/feed/set.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// mostPartitions is how many partitions a PartitionSet has room for.
-const mostPartitions = 64
+// maxPartitions is how many partitions a PartitionSet has room for.
+const maxPartitions = 64
 
 // The partitions of a system fit into a set.
-const _ = uint(mostPartitions - 1 - RunnerPartitionCount)
+const _ = uint(maxPartitions - 1 - RunnerPartitionCount)
 
 // PartitionSet is a set of partitions below 64.
 type PartitionSet uint64
@@ -30,7 +30,7 @@
 
 // With returns the set with a partition in it.
 func (s PartitionSet) With(partition Partition) PartitionSet {
-	if partition >= mostPartitions {
+	if partition >= maxPartitions {
 		panic(fmt.Sprintf("feed: partition %d does not fit into a set", partition))
 	}
 	return s | 1<<partition
@@ -41,7 +41,7 @@
 
 // Contains says whether a partition is in the set.
 func (s PartitionSet) Contains(partition Partition) bool {
-	return partition < mostPartitions && s&(1<<partition) != 0
+	return partition < maxPartitions && s&(1<<partition) != 0
 }
 
 // ContainsAll says whether all partitions of another set are in this one.
--- a/internal/system/feed/table.go
+++ b/internal/system/feed/table.go
@@ -15,11 +15,11 @@
 
 // record is a key's state within a table.
 type record struct {
-	key     string
-	index   uint64
-	value   []byte
-	deleted bool
-	changed time.Duration // when the change was made, by the caller's steady clock
+	key       string
+	index     uint64
+	value     []byte
+	deleted   bool
+	changedAt time.Duration // when the change was made, by the caller's steady clock
 }
 
 // change is an entry of the table's list of changes; it is stale once its key has changed again.
@@ -32,13 +32,13 @@
 // Apply. Both serve it on by Since. It never goes back to an older index. It is not safe for concurrent use. Times are
 // of the caller's steady clock; they are not part of the agreed state and may differ from one machine to another.
 type Table struct {
-	partition Partition
-	index     uint64
-	horizon   uint64 // deletions up to it may be forgotten
-	records   map[string]*record
-	changes   []change // by index; the last of a key is its current one
-	dead      int      // deleted records
-	keys      []string // of the live records, sorted; nil: to be built
+	partition        Partition
+	index            uint64
+	tombstoneHorizon uint64 // deletions up to it may be forgotten
+	records          map[string]*record
+	changes          []change // by index; the last of a key is its current one
+	tombstoneCount   int      // deleted records
+	sortedKeys       []string // of the live records, sorted; nil: to be built
 }
 
 // NewTable is an empty table.
@@ -58,13 +58,13 @@
 // LastChangeIndex is the number of the last change of an item. A follower at or beyond it has nothing to be sent.
 func (t *Table) LastChangeIndex() uint64 {
 	if len(t.changes) == 0 {
-		return t.horizon
+		return t.tombstoneHorizon
 	}
-	return max(t.changes[len(t.changes)-1].index, t.horizon)
+	return max(t.changes[len(t.changes)-1].index, t.tombstoneHorizon)
 }
 
 // Len is the number of items.
-func (t *Table) Len() int { return len(t.records) - t.dead }
+func (t *Table) Len() int { return len(t.records) - t.tombstoneCount }
 
 // Get is an item's value.
 func (t *Table) Get(key string) ([]byte, bool) {
@@ -81,15 +81,15 @@
 	if found == nil || found.deleted {
 		return Item{}, false
 	}
-	return found.item(now), true
+	return found.toItem(now), true
 }
 
 // Items are the items whose keys begin with prefix, in the order of their keys. The table must not be changed
 // meanwhile.
 func (t *Table) Items(now time.Duration, prefix string) iter.Seq[Item] {
 	return func(yield func(Item) bool) {
-		for _, key := range t.keysFrom(prefix) {
-			if !strings.HasPrefix(key, prefix) || !yield(t.records[key].item(now)) {
+		for _, key := range t.sortedKeysFrom(prefix) {
+			if !strings.HasPrefix(key, prefix) || !yield(t.records[key].toItem(now)) {
 				return
 			}
 		}
@@ -100,7 +100,7 @@
 // meanwhile.
 func (t *Table) Values(prefix string) iter.Seq2[string, []byte] {
 	return func(yield func(string, []byte) bool) {
-		for _, key := range t.keysFrom(prefix) {
+		for _, key := range t.sortedKeysFrom(prefix) {
 			if !strings.HasPrefix(key, prefix) || !yield(key, t.records[key].value) {
 				return
 			}
@@ -108,18 +108,18 @@
 	}
 }
 
-// keysFrom are the keys of the items from the given one on.
-func (t *Table) keysFrom(first string) []string {
-	if t.keys == nil {
-		t.keys = make([]string, 0, t.Len())
+// sortedKeysFrom are the keys of the items from the given one on.
+func (t *Table) sortedKeysFrom(first string) []string {
+	if t.sortedKeys == nil {
+		t.sortedKeys = make([]string, 0, t.Len())
 		for key, held := range t.records {
 			if !held.deleted {
-				t.keys = append(t.keys, key)
+				t.sortedKeys = append(t.sortedKeys, key)
 			}
 		}
-		slices.Sort(t.keys)
+		slices.Sort(t.sortedKeys)
 	}
-	return t.keys[sort.SearchStrings(t.keys, first):]
+	return t.sortedKeys[sort.SearchStrings(t.sortedKeys, first):]
 }
 
 // Advance notes that the partition is held up to index, with or without changes. An older index is ignored.
@@ -136,7 +136,7 @@
 	if held != nil && !held.deleted && bytes.Equal(held.value, value) {
 		return false
 	}
-	t.set(record{key: key, index: index, value: value, changed: now})
+	t.storeRecord(record{key: key, index: index, value: value, changedAt: now})
 	return true
 }
 
@@ -150,68 +150,68 @@
 	if held == nil || held.deleted {
 		return false
 	}
-	t.set(record{key: key, index: index, deleted: true, changed: now})
-	t.forget()
+	t.storeRecord(record{key: key, index: index, deleted: true, changedAt: now})
+	t.evictTombstones()
 	return true
 }
 
-// set replaces a record and appends to the list of changes.
-func (t *Table) set(next record) {
+// storeRecord replaces a record and appends to the list of changes.
+func (t *Table) storeRecord(next record) {
 	held := t.records[next.key]
 	wasLive := held != nil && !held.deleted
 	wasDead := held != nil && held.deleted
 	t.records[next.key] = &next
 	t.changes = append(t.changes, change{index: next.index, record: &next})
 	if wasDead {
-		t.dead--
+		t.tombstoneCount--
 	}
 	if next.deleted {
-		t.dead++
+		t.tombstoneCount++
 	}
 	if wasLive == next.deleted {
-		t.keys = nil
+		t.sortedKeys = nil
 	}
-	t.compact()
+	t.compactChanges()
 }
 
-// current says whether a change is the last one of its key.
-func (t *Table) current(c change) bool { return t.records[c.record.key] == c.record }
+// isCurrent says whether a change is the last one of its key.
+func (t *Table) isCurrent(c change) bool { return t.records[c.record.key] == c.record }
 
-// compact drops stale changes once they outnumber the others.
-func (t *Table) compact() {
+// compactChanges drops stale changes once they outnumber the others.
+func (t *Table) compactChanges() {
 	const slack = 64
 	if len(t.changes) > 2*len(t.records)+slack {
-		t.changes = slices.DeleteFunc(t.changes, func(c change) bool { return !t.current(c) })
+		t.changes = slices.DeleteFunc(t.changes, func(c change) bool { return !t.isCurrent(c) })
 	}
 }
 
-// forget drops the oldest deleted records beyond MaxTombstones. Those of one index go together.
-func (t *Table) forget() {
-	if t.dead <= MaxTombstones {
+// evictTombstones drops the oldest deleted records beyond MaxTombstones. Those of one index go together.
+func (t *Table) evictTombstones() {
+	if t.tombstoneCount <= MaxTombstones {
 		return
 	}
-	surplus := t.dead - MaxTombstones*3/4
+	surplus := t.tombstoneCount - MaxTombstones*3/4
 	for _, c := range t.changes {
-		if surplus <= 0 && c.index > t.horizon {
+		if surplus <= 0 && c.index > t.tombstoneHorizon {
 			break
 		}
-		if c.record.deleted && t.current(c) {
-			t.horizon = c.index
+		if c.record.deleted && t.isCurrent(c) {
+			t.tombstoneHorizon = c.index
 			delete(t.records, c.record.key)
-			t.dead--
+			t.tombstoneCount--
 			surplus--
 		}
 	}
-	t.changes = slices.DeleteFunc(t.changes, func(c change) bool { return !t.current(c) })
+	t.changes = slices.DeleteFunc(t.changes, func(c change) bool { return !t.isCurrent(c) })
 }
 
-func (r *record) item(now time.Duration) Item {
-	return Item{Key: r.key, Index: r.index, Value: r.value, Deleted: r.deleted, Age: max(now-r.changed, 0)}
+func (r *record) toItem(now time.Duration) Item {
+	return Item{Key: r.key, Index: r.index, Value: r.value, Deleted: r.deleted, Age: max(now-r.changedAt, 0)}
 }
 
-// newRecord is what a received item makes.
-func newRecord(now time.Duration, item Item) record {
-	made := record{key: item.Key, index: item.Index, deleted: item.Deleted, changed: now - max(item.Age, 0)}
+// recordFromItem is what a received item makes.
+func recordFromItem(now time.Duration, item Item) record {
+	made := record{key: item.Key, index: item.Index, deleted: item.Deleted, changedAt: now - max(item.Age, 0)}
 	if !item.Deleted {
 		made.value = item.Value
 	}
--- a/internal/system/feed/table_test.go
+++ b/internal/system/feed/table_test.go
@@ -11,24 +11,24 @@
 	"pgregory.net/rapid"
 )
 
-// state is what a table should hold: the oracle.
-type state map[string]string
+// expectedContents is what a table should hold: the oracle.
+type expectedContents map[string]string
 
-func holds(table *Table) state {
-	held := state{}
+func contentsOf(table *Table) expectedContents {
+	held := expectedContents{}
 	for key, value := range table.Values("") {
 		held[key] = string(value)
 	}
 	return held
 }
 
-func keyOf(n int) string { return fmt.Sprintf("key/%03d", n) }
+func testKey(n int) string { return fmt.Sprintf("key/%03d", n) }
 
-// command makes a few random changes of one index to a table and its oracle.
-func command(t *rapid.T, now time.Duration, table *Table, oracle state) {
+// applyRandomChanges makes a few random changes of one index to a table and its oracle.
+func applyRandomChanges(t *rapid.T, now time.Duration, table *Table, oracle expectedContents) {
 	index := table.Index() + uint64(rapid.IntRange(1, 2).Draw(t, "step"))
 	for range rapid.IntRange(0, 3).Draw(t, "changes") {
-		key := keyOf(rapid.IntRange(0, 12).Draw(t, "key"))
+		key := testKey(rapid.IntRange(0, 12).Draw(t, "key"))
 		if rapid.IntRange(0, 3).Draw(t, "kind") == 0 {
 			table.Delete(now, index, key)
 			delete(oracle, key)
@@ -41,16 +41,16 @@
 	table.Advance(index)
 }
 
-func TestTableHoldsWhatAMapWould(t *testing.T) {
+func TestTableMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, oracle := NewTable(1), state{}
+		table, oracle := NewTable(1), expectedContents{}
 		for range rapid.IntRange(0, 60).Draw(t, "changes") {
-			command(t, 0, table, oracle)
-			if !maps.Equal(holds(table), oracle) || table.Len() != len(oracle) {
-				t.Fatalf("holds %v (%d), want %v", holds(table), table.Len(), oracle)
+			applyRandomChanges(t, 0, table, oracle)
+			if !maps.Equal(contentsOf(table), oracle) || table.Len() != len(oracle) {
+				t.Fatalf("holds %v (%d), want %v", contentsOf(table), table.Len(), oracle)
 			}
 		}
-		prefix := keyOf(rapid.IntRange(0, 12).Draw(t, "prefix"))[:6]
+		prefix := testKey(rapid.IntRange(0, 12).Draw(t, "prefix"))[:6]
 		last := ""
 		for item := range table.Items(0, prefix) {
 			if item.Key[:6] != prefix || item.Key <= last {
@@ -62,27 +62,27 @@
 }
 
 // Followers of followers reach the state of the replica whatever batches they take and how late, and never go back.
-func TestFollowersCatchUpAndNeverGoBack(t *testing.T) {
+func TestFollowersConvergeMonotonically(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		replica, oracle := NewTable(2), state{}
+		replica, oracle := NewTable(2), expectedContents{}
 		agents := []*Table{NewTable(2), NewTable(2)}
-		proxy, view := NewTable(2), state{}
+		proxy, view := NewTable(2), expectedContents{}
 		var stale []Batch
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			agent := agents[rapid.IntRange(0, 1).Draw(t, "agent")]
 			maxBytes := rapid.SampledFrom([]int{0, 1, 100}).Draw(t, "bytes")
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				command(t, 0, replica, oracle)
+				applyRandomChanges(t, 0, replica, oracle)
 			case 2:
 				batch := replica.BatchSince(0, agent.Index(), maxBytes)
 				stale = append(stale, batch)
 				agent.Apply(0, batch)
 			case 3:
-				apply(t, proxy, view, agent.BatchSince(0, proxy.Index(), maxBytes))
+				applyAndCheck(t, proxy, view, agent.BatchSince(0, proxy.Index(), maxBytes))
 			case 4:
 				if len(stale) > 0 {
-					apply(t, proxy, view, rapid.SampledFrom(stale).Draw(t, "stale"))
+					applyAndCheck(t, proxy, view, rapid.SampledFrom(stale).Draw(t, "stale"))
 				}
 			}
 		}
@@ -90,11 +90,11 @@
 			catchUp(agent, replica)
 		}
 		for proxy.Index() < replica.Index() {
-			apply(t, proxy, view, agents[0].BatchSince(0, proxy.Index(), 1))
+			applyAndCheck(t, proxy, view, agents[0].BatchSince(0, proxy.Index(), 1))
 		}
 		for _, table := range append(agents, proxy) {
-			if !maps.Equal(holds(table), oracle) {
-				t.Fatalf("holds %v at %d, want %v", holds(table), table.Index(), oracle)
+			if !maps.Equal(contentsOf(table), oracle) {
+				t.Fatalf("holds %v at %d, want %v", contentsOf(table), table.Index(), oracle)
 			}
 			if different, comparable := table.DifferingRanges(replica.Digest(3)); !comparable || len(different) > 0 {
 				t.Fatalf("digests differ in %v (%v)", different, comparable)
@@ -109,8 +109,8 @@
 	}
 }
 
-// apply applies a batch and follows the changes that it returns in view, which must stay what the table holds.
-func apply(t *rapid.T, table *Table, view state, batch Batch) {
+// applyAndCheck applies a batch and follows the changes that it returns in view, which must stay what the table holds.
+func applyAndCheck(t *rapid.T, table *Table, view expectedContents, batch Batch) {
 	before := table.Index()
 	for _, item := range table.Apply(0, batch) {
 		if item.Deleted {
@@ -122,12 +122,12 @@
 	if table.Index() < before {
 		t.Fatalf("went back from %d to %d", before, table.Index())
 	}
-	if !maps.Equal(holds(table), view) {
-		t.Fatalf("holds %v, but the changes told make %v", holds(table), view)
+	if !maps.Equal(contentsOf(table), view) {
+		t.Fatalf("holds %v, but the changes told make %v", contentsOf(table), view)
 	}
 }
 
-func TestSinceCoalescesAndCutsBetweenIndexes(t *testing.T) {
+func TestBatchSinceCoalescesAndSplitsBetweenIndexes(t *testing.T) {
 	table := NewTable(1)
 	table.Put(0, 1, "a", []byte("1"))
 	table.Put(0, 2, "b", []byte("1"))
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestSinceAnswersAFollowerThatIsAheadWithNothing(t *testing.T) {
+func TestBatchSinceEmptyForFollowerAhead(t *testing.T) {
 	table := NewTable(1)
 	table.Put(0, 5, "a", []byte("1"))
 	ahead := NewTable(1)
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestForgottenDeletionsMakeASnapshot(t *testing.T) {
+func TestEvictedTombstonesForceSnapshot(t *testing.T) {
 	table := NewTable(1)
 	const items = MaxTombstones + 500
 	for i := range items {
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestAgesAreCarriedOn(t *testing.T) {
+func TestItemAgeIsPropagated(t *testing.T) {
 	replica := NewTable(1)
 	replica.Put(10*time.Second, 1, "a", []byte("x"))
 	agent := NewTable(1)
@@ -207,7 +207,7 @@
 	}
 }
 
-func TestPutOfWhatStandsChangesNothing(t *testing.T) {
+func TestPutUnchangedValue(t *testing.T) {
 	table := NewTable(1)
 	table.Put(0, 1, "a", []byte("x"))
 	if table.Put(0, 2, "a", []byte("x")) || table.LastChangeIndex() != 1 || table.Index() != 2 {
@@ -218,16 +218,16 @@
 	}
 }
 
-func TestRepairMakesTablesAlike(t *testing.T) {
+func TestRepairRangeConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		right, oracle := NewTable(1), state{}
+		right, oracle := NewTable(1), expectedContents{}
 		for range rapid.IntRange(1, 40).Draw(t, "changes") {
-			command(t, 0, right, oracle)
+			applyRandomChanges(t, 0, right, oracle)
 		}
 		wrong := NewTable(1)
 		catchUp(wrong, right)
 		for range rapid.IntRange(0, 3).Draw(t, "damages") {
-			damage(t, wrong)
+			corruptItem(t, wrong)
 		}
 		different, comparable := wrong.DifferingRanges(right.Digest(rapid.IntRange(0, 5).Draw(t, "ranges")))
 		if !comparable {
@@ -238,8 +238,8 @@
 				t.Fatalf("nothing was repaired in %v", keys)
 			}
 		}
-		if !maps.Equal(holds(wrong), oracle) {
-			t.Fatalf("holds %v, want %v", holds(wrong), oracle)
+		if !maps.Equal(contentsOf(wrong), oracle) {
+			t.Fatalf("holds %v, want %v", contentsOf(wrong), oracle)
 		}
 		if different, _ := wrong.DifferingRanges(right.Digest(4)); len(different) > 0 {
 			t.Fatalf("still differs in %v", different)
@@ -247,20 +247,20 @@
 	})
 }
 
-func damage(t *rapid.T, table *Table) {
-	key := keyOf(rapid.IntRange(0, 12).Draw(t, "damaged"))
+func corruptItem(t *rapid.T, table *Table) {
+	key := testKey(rapid.IntRange(0, 12).Draw(t, "damaged"))
 	if held := table.records[key]; held != nil && !held.deleted {
 		held.value = []byte(rapid.SampledFrom([]string{"a", "damaged"}).Draw(t, "to"))
 		return
 	}
-	table.set(record{key: key, index: table.index, value: []byte("extra")})
+	table.storeRecord(record{key: key, index: table.index, value: []byte("extra")})
 }
 
-func TestDecodeReadsWhatEncodeWrote(t *testing.T) {
+func TestTableEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, oracle := NewTable(Partition(rapid.Uint16().Draw(t, "partition"))), state{}
+		table, oracle := NewTable(Partition(rapid.Uint16().Draw(t, "partition"))), expectedContents{}
 		for range rapid.IntRange(0, 40).Draw(t, "changes") {
-			command(t, time.Second, table, oracle)
+			applyRandomChanges(t, time.Second, table, oracle)
 		}
 		data := table.Encode(3 * time.Second)
 		read, err := DecodeTable(50*time.Second, data)
@@ -286,7 +286,7 @@
 
 func byKey(a, b Item) int { return bytes.Compare([]byte(a.Key), []byte(b.Key)) }
 
-func TestPartitionOfIsConstantAndInRange(t *testing.T) {
+func TestPartitionOfIsStableAndInRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		service := rapid.String().Draw(t, "service")
 		partitions := rapid.IntRange(0, 9).Draw(t, "partitions")
@@ -300,7 +300,7 @@
 	}
 }
 
-func FuzzDecode(f *testing.F) {
+func FuzzDecodeTable(f *testing.F) {
 	table := NewTable(1)
 	f.Add(table.Encode(0))
 	table.Put(0, 3, "a", []byte("x"))
@@ -313,27 +313,27 @@
 			return
 		}
 		again, err := DecodeTable(0, table.Encode(0))
-		if err != nil || !maps.Equal(holds(again), holds(table)) || again.Index() != table.Index() {
-			t.Fatalf("%v came back as %v, %v", holds(table), holds(again), err)
+		if err != nil || !maps.Equal(contentsOf(again), contentsOf(table)) || again.Index() != table.Index() {
+			t.Fatalf("%v came back as %v, %v", contentsOf(table), contentsOf(again), err)
 		}
 		follower := NewTable(table.Partition())
-		catchUpOnce(follower, table)
-		if table.Index() > 0 && !maps.Equal(holds(follower), holds(table)) {
-			t.Fatalf("a follower holds %v, want %v", holds(follower), holds(table))
+		followOnce(follower, table)
+		if table.Index() > 0 && !maps.Equal(contentsOf(follower), contentsOf(table)) {
+			t.Fatalf("a follower holds %v, want %v", contentsOf(follower), contentsOf(table))
 		}
 	})
 }
 
-func catchUpOnce(follower, source *Table) { follower.Apply(0, source.BatchSince(0, 0, 0)) }
+func followOnce(follower, source *Table) { follower.Apply(0, source.BatchSince(0, 0, 0)) }
 
 // benchmarkTable holds as much as a large configuration does, a few deletions among it.
 func benchmarkTable() *Table {
 	table := NewTable(1)
-	for i, item := range routes(1000).Items {
+	for i, item := range routeBatch(1000).Items {
 		table.Put(0, uint64(i+1), item.Key, item.Value)
 	}
 	for i := range 10 {
-		table.Delete(0, uint64(1001+i), table.keysFrom("")[i*7])
+		table.Delete(0, uint64(1001+i), table.sortedKeysFrom("")[i*7])
 	}
 	return table
 }
@@ -356,7 +356,7 @@
 	}
 }
 
-func BenchmarkDigests(b *testing.B) {
+func BenchmarkDigest(b *testing.B) {
 	table := benchmarkTable()
 	b.ReportAllocs()
 	for b.Loop() {
