--- a/internal/system/feed/digest.go
+++ b/internal/system/feed/digest.go
@@ -10,50 +10,50 @@
 	"cinderroad/internal/system/codec"
 )
 
-// KeyRange is the keys from First, included, up to End, not included; an empty End has no bound.
+// KeyRange is the range of keys from Start, included, to End, excluded; an empty End is no bound.
 type KeyRange struct{ Start, End string }
 
-// Contains says whether a key lies in the range.
+// Contains reports whether the key is in the range.
 func (r KeyRange) Contains(key string) bool { return key >= r.Start && (r.End == "" || key < r.End) }
 
-// RangeDigest stands for the items of a range: their keys, indexes and values.
+// RangeDigest stands for the items of a key range: their keys, indexes and values.
 type RangeDigest struct {
 	Range     KeyRange
 	ItemCount int
 	Hash      uint64
 }
 
-// TableDigest stand for all items of a partition at an index. The ranges adjoin and cover all keys.
+// TableDigest stands for all items of a partition at an index. Its ranges adjoin and cover all keys.
 type TableDigest struct {
 	Partition Partition
 	Index     uint64
 	Ranges    []RangeDigest
 }
 
-// Digest are the table's digests over the given number of ranges, at least one, with about as many items each.
+// Digest returns the table's digest over the given number of ranges, at least one, with about as many items each.
 func (t *Table) Digest(ranges int) TableDigest {
-	digests := TableDigest{Partition: t.partition, Index: t.index}
+	digest := TableDigest{Partition: t.partition, Index: t.index}
 	keys := t.sortedKeysFrom("")
 	ranges = max(min(ranges, len(keys)), 1)
-	first := ""
+	start := ""
 	for i := range ranges {
 		end := ""
 		if i+1 < ranges {
 			end = keys[(i+1)*len(keys)/ranges]
 		}
-		digests.Ranges = append(digests.Ranges, t.rangeDigest(KeyRange{Start: first, End: end}))
-		first = end
+		digest.Ranges = append(digest.Ranges, t.rangeDigest(KeyRange{Start: start, End: end}))
+		start = end
 	}
-	return digests
+	return digest
 }
 
-// DifferingRanges are the ranges in which this table does not hold what the digests stand for. Tables at different indexes are
-// not compared: there are none then, and comparable is false.
-func (t *Table) DifferingRanges(digests TableDigest) (different []KeyRange, comparable bool) {
-	if digests.Partition != t.partition || digests.Index != t.index {
+// DifferingRanges returns the ranges in which this table differs from the one that the digest was made of. Tables of
+// other partitions or at other indexes cannot be compared: comparable is false then.
+func (t *Table) DifferingRanges(digest TableDigest) (different []KeyRange, comparable bool) {
+	if digest.Partition != t.partition || digest.Index != t.index {
 		return nil, false
 	}
-	for _, theirs := range digests.Ranges {
+	for _, theirs := range digest.Ranges {
 		if t.rangeDigest(theirs.Range) != theirs {
 			different = append(different, theirs.Range)
 		}
@@ -61,7 +61,7 @@
 	return different, true
 }
 
-// ItemsInRange is the items of a range, in the order of their keys.
+// ItemsInRange returns the items of a key range, in the order of their keys.
 func (t *Table) ItemsInRange(now time.Duration, keyRange KeyRange) []Item {
 	var items []Item
 	for _, key := range t.sortedKeysFrom(keyRange.Start) {
@@ -73,8 +73,9 @@
 	return items
 }
 
-// RepairRange replaces a range by the items that a table at the same index holds of it, and returns what differed, as Apply
-// does. It does nothing if the index is not the table's. Followers of this table get a snapshot if anything differed.
+// RepairRange replaces the items of a range by those of a table that is at the same index, and returns the items that
+// changed, as Apply does. It does nothing if index is not the table's own. If anything changed, the followers of this
+// table receive a snapshot, since they may hold the wrong items as well.
 func (t *Table) RepairRange(now time.Duration, keyRange KeyRange, index uint64, items []Item) []Item {
 	if index != t.index {
 		return nil
@@ -105,7 +106,7 @@
 	return changed
 }
 
-// holdsExactly says whether an item is held just so.
+// holdsExactly reports whether the table holds the item with the same index and value.
 func (t *Table) holdsExactly(item Item) bool {
 	held := t.records[item.Key]
 	return held != nil && !held.deleted && held.index == item.Index && bytes.Equal(held.value, item.Value)
--- a/internal/system/feed/pack.go
+++ b/internal/system/feed/pack.go
@@ -17,36 +17,40 @@
 
 // Bounds of packed batches.
 const (
-	// PackThresholdBytes is the size of a batch, in bytes of keys and values, from which it is worth being packed.
+	// PackThresholdBytes is the size of keys and values from which a batch is worth packing.
 	PackThresholdBytes = 2 << 10
-	// MaxUnpackedBytes is how many bytes a packed batch may hold, unpacked.
+	// MaxUnpackedBytes is the greatest unpacked size that Unpack accepts.
 	MaxUnpackedBytes = 32 << 20
-	// maxInflationRatio is what a byte of a deflated stream may stand for, at most.
+	// maxInflationRatio is the greatest number of bytes that one byte of a deflate stream can stand for.
 	maxInflationRatio = 1032
-	// compressionLevel is fast, since followers wait, and its writer is a third smaller than that of the fastest level.
+	// compressionLevel is a fast level, since followers wait. Its writer takes a third less memory than that of the
+	// fastest level.
 	compressionLevel = 2
-	// minPackedItemBytes is the size of the shortest item of a packed batch in bytes.
+	// packedDeleted and packedValue tell the kinds of packed items apart.
+	packedDeleted = 0
+	packedValue   = 1
+	// minPackedItemBytes is the size of the shortest item of a packed batch.
 	minPackedItemBytes = 4
 )
 
-// UnpackError says that a packed batch can't be read.
+// UnpackError says that a packed batch cannot be read.
 type UnpackError struct{ Cause error }
 
-// Error says what happened and what to do.
+// Error says what is wrong and what an operator can do.
 func (e *UnpackError) Error() string {
 	return fmt.Sprintf("feed: a packed batch can't be read: %v; check that all machines run one version", e.Cause)
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *UnpackError) Unwrap() error { return e.Cause }
 
-// Causes of a UnpackError.
+// Causes of an UnpackError.
 var (
 	errImpossibleSize = errors.New("its size is impossible")
 	errMalformedItems = errors.New("its items are malformed")
 )
 
-// flateWriters are writers that are used again soon, and dropped otherwise: each takes 0.8 MB.
+// flateWriters holds idle writers; each takes 0.8 MB, so those that are not used again soon are dropped.
 var flateWriters = sync.Pool{New: func() any {
 	writer, err := flate.NewWriter(io.Discard, compressionLevel)
 	if err != nil {
@@ -55,7 +59,7 @@
 	return writer
 }}
 
-// Size is about how many bytes the batch takes on the way.
+// Size returns the approximate number of bytes that the batch takes in a message.
 func (b *Batch) Size() int {
 	size := len(b.Packed)
 	for i := range b.Items {
@@ -64,10 +68,12 @@
 	return size
 }
 
-// Pack returns the batch with its items in compressed form, or as it is if that does not pay. It may be sent to many
-// followers; PackedAge is to be set to the time since. The form is the length of the rest, unpacked, and the rest,
-// deflated: the number of items, and for each the length of its key, the key, its index, its age in nanoseconds, 0 for a
-// deleted item or 1 and the length of its value, and the value.
+// Pack returns the batch with its items in compressed form, or unchanged if it is below PackThresholdBytes. A packed
+// batch may be sent to many followers, each time with PackedAge set to the time since it was packed.
+//
+// The packed form is the unpacked length of the rest as a varint, then the rest, deflated: the number of items, and for
+// each item the length of its key, the key, its index, its age in nanoseconds, and 0 for a deleted item, or 1, the
+// length of its value and the value. All numbers are unsigned varints.
 func (b Batch) Pack() Batch {
 	if b.Size() < PackThresholdBytes {
 		return b
@@ -97,15 +103,15 @@
 	}
 }
 
-// appendPackedHeader appends all but the value.
+// appendPackedHeader appends the packed form of the item up to, but without, its value.
 func (i *Item) appendPackedHeader(data []byte) []byte {
 	data = codec.AppendBytes(data, i.Key)
 	data = binary.AppendUvarint(data, i.Index)
 	data = binary.AppendUvarint(data, uint64(max(i.Age, 0)))
 	if i.Deleted {
-		return append(data, 0)
+		return append(data, packedDeleted)
 	}
-	data = append(data, 1)
+	data = append(data, packedValue)
 	return binary.AppendUvarint(data, uint64(len(i.Value)))
 }
 
@@ -119,7 +125,7 @@
 	return size
 }
 
-// Unpack puts the items of a packed batch back; a batch that is not packed stays as it is. The error is a *UnpackError.
+// Unpack restores the items of a packed batch; a batch that is not packed stays as it is. An error is an *UnpackError.
 func (b *Batch) Unpack() error {
 	if len(b.Packed) == 0 {
 		return nil
@@ -138,10 +144,11 @@
 	return nil
 }
 
-// packedReader reads fields one after the other; after a first malformed one all are empty.
+// packedReader reads the fields of a packed batch. After the first malformed field it returns only empty ones; err is
+// the cause of the first failure.
 type packedReader struct {
 	source    *bufio.Reader
-	remaining int64 // bytes that are still to come
+	remaining int64 // bytes of the announced size that are not read yet
 	err       error
 }
 
@@ -152,7 +159,7 @@
 	r.remaining = 0
 }
 
-// ReadByte reads a byte of a number.
+// ReadByte reads one byte of a varint; it makes the reader an io.ByteReader that ends with the announced size.
 func (r *packedReader) ReadByte() (byte, error) {
 	if r.remaining <= 0 {
 		return 0, errMalformedItems
@@ -170,7 +177,7 @@
 	return value
 }
 
-// readBytes reads a length and as many bytes.
+// readBytes reads a length and that many bytes.
 func (r *packedReader) readBytes() []byte {
 	length := r.readUvarint()
 	if r.err != nil || length > uint64(r.remaining) {
@@ -186,7 +193,7 @@
 	return data
 }
 
-func (r *packedReader) readItems(age time.Duration) []Item {
+func (r *packedReader) readItems(packedAge time.Duration) []Item {
 	count := r.readUvarint()
 	if count > uint64(r.remaining)/minPackedItemBytes {
 		r.fail(errMalformedItems)
@@ -194,7 +201,7 @@
 	}
 	items := make([]Item, 0, count)
 	for range count {
-		items = append(items, r.readItem(age))
+		items = append(items, r.readItem(packedAge))
 		if r.err != nil {
 			return nil
 		}
@@ -208,17 +215,17 @@
 	return items
 }
 
-func (r *packedReader) readItem(age time.Duration) Item {
+func (r *packedReader) readItem(packedAge time.Duration) Item {
 	item := Item{Key: string(r.readBytes()), Index: r.readUvarint()}
-	aged := r.readUvarint()
-	if aged > math.MaxInt64/2 {
+	packedItemAge := r.readUvarint()
+	if packedItemAge > math.MaxInt64/2 {
 		r.fail(errMalformedItems)
 	}
-	item.Age = time.Duration(aged) + max(age, 0)
+	item.Age = time.Duration(packedItemAge) + max(packedAge, 0)
 	switch r.readUvarint() {
-	case 0:
+	case packedDeleted:
 		item.Deleted = true
-	case 1:
+	case packedValue:
 		item.Value = r.readBytes()
 	default:
 		r.fail(errMalformedItems)
--- a/internal/system/feed/pack_test.go
+++ b/internal/system/feed/pack_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// routeBatch are like those of a configuration, of which each differs a little from the others.
+// routeBatch returns a snapshot of n routes such as a configuration has, each a little different from the others.
 func routeBatch(n int) Batch {
 	batch := Batch{Snapshot: true, To: uint64(n)}
 	for i := range n {
@@ -84,7 +84,7 @@
 	})
 }
 
-// deflated is the packed form of bytes that are said to be of a size.
+// deflated returns data in packed form with the given unpacked size, which need not be right.
 func deflated(size uint64, data []byte) []byte {
 	var packed bytes.Buffer
 	packed.Write(binary.AppendUvarint(nil, size))
@@ -106,8 +106,8 @@
 		"long key":                  deflated(8, []byte{1, 200, 0, 0, 0, 0, 0, 0}),
 		"long value":                deflated(8, []byte{1, 0, 0, 0, 1, 200, 1, 1}),
 		"unknown kind":              deflated(5, []byte{1, 0, 0, 0, 2}),
-		"more than was said":        deflated(5, []byte{1, 0, 0, 0, 0, 0}),
-		"less than was said":        deflated(7, []byte{1, 0, 0, 0, 0}),
+		"more than announced":       deflated(5, []byte{1, 0, 0, 0, 0, 0}),
+		"less than announced":       deflated(7, []byte{1, 0, 0, 0, 0}),
 		"rest after the items":      deflated(6, []byte{1, 0, 0, 0, 0, 0}),
 	}
 	for name, data := range cases {
@@ -119,8 +119,8 @@
 	}
 }
 
-// FuzzUnpack has any bytes be refused or be a batch that comes back the same from being packed, with no more memory
-// than the bytes may stand for.
+// FuzzUnpack checks that any bytes are either rejected or become a batch that survives being packed again, and that the
+// items take no more memory than the bytes may stand for.
 func FuzzUnpack(f *testing.F) {
 	f.Add(routeBatch(100).Pack().Packed)
 	f.Add(deflated(5, []byte{1, 0, 0, 0, 0}))
--- a/internal/system/feed/partition.go
+++ b/internal/system/feed/partition.go
@@ -2,12 +2,19 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// RunnerPartitionCount is how many partitions hold runners. It is a constant of the system: another count would be another
-// place for the runners of each service.
+// Partition numbers a part of the control state that has a consensus group of its own.
+type Partition uint16
+
+// ConfigurationPartition holds the operator's configuration and the evacuations. The other partitions hold runners, by
+// the hash of the name of their service: see PartitionOf.
+const ConfigurationPartition Partition = 0
+
+// RunnerPartitionCount is the number of partitions that hold runners. Stored state depends on it: another count assigns
+// the runners of each service to another partition.
 const RunnerPartitionCount = 2
 
-// PartitionOf is the partition that holds the runners of a service, out of the given number of runner partitions,
-// which are numbered from 1. All machines of a system must count the same.
+// PartitionOf returns the partition that holds the runners of a service. The partitions of runners are numbered from 1
+// to partitions; all machines of a system must use the same count.
 func PartitionOf(service string, partitions int) Partition {
 	if partitions <= 1 {
 		return 1
--- a/internal/system/feed/set.go
+++ b/internal/system/feed/partition_set.go
@@ -7,16 +7,16 @@
 	"strings"
 )
 
-// maxPartitions is how many partitions a PartitionSet has room for.
+// maxPartitions is the number of partitions that a PartitionSet can hold.
 const maxPartitions = 64
 
-// The partitions of a system fit into a set.
+// This fails to compile if the partitions of a system do not fit into a PartitionSet.
 const _ = uint(maxPartitions - 1 - RunnerPartitionCount)
 
-// PartitionSet is a set of partitions below 64.
+// PartitionSet is a set of partitions with numbers below 64. The zero value is the empty set.
 type PartitionSet uint64
 
-// NewPartitionSet returns the set of the partitions given.
+// NewPartitionSet returns the set of the given partitions. It panics if one is above 63.
 func NewPartitionSet(partitions ...Partition) PartitionSet {
 	var set PartitionSet
 	for _, partition := range partitions {
@@ -25,10 +25,10 @@
 	return set
 }
 
-// FirstPartitions returns the set of the first n partitions.
+// FirstPartitions returns the set of the partitions 0 to n-1.
 func FirstPartitions(n int) PartitionSet { return 1<<n - 1 }
 
-// With returns the set with a partition in it.
+// With returns the set with the partition added. It panics if the partition is above 63.
 func (s PartitionSet) With(partition Partition) PartitionSet {
 	if partition >= maxPartitions {
 		panic(fmt.Sprintf("feed: partition %d does not fit into a set", partition))
@@ -36,24 +36,24 @@
 	return s | 1<<partition
 }
 
-// Without returns the set without the partitions of another.
+// Without returns the set without the partitions of another set.
 func (s PartitionSet) Without(other PartitionSet) PartitionSet { return s &^ other }
 
-// Contains says whether a partition is in the set.
+// Contains reports whether the partition is in the set.
 func (s PartitionSet) Contains(partition Partition) bool {
 	return partition < maxPartitions && s&(1<<partition) != 0
 }
 
-// ContainsAll says whether all partitions of another set are in this one.
+// ContainsAll reports whether every partition of the other set is in this set.
 func (s PartitionSet) ContainsAll(other PartitionSet) bool { return s&other == other }
 
-// IsEmpty says whether the set has no partitions.
+// IsEmpty reports whether the set holds no partition.
 func (s PartitionSet) IsEmpty() bool { return s == 0 }
 
-// Len is the number of partitions in the set.
+// Len returns the number of partitions in the set.
 func (s PartitionSet) Len() int { return bits.OnesCount64(uint64(s)) }
 
-// All returns the partitions in the set, in rising order.
+// All returns the partitions in the set, in ascending order.
 func (s PartitionSet) All() iter.Seq[Partition] {
 	return func(yield func(Partition) bool) {
 		for rest := s; rest != 0; rest &= rest - 1 {
@@ -64,7 +64,7 @@
 	}
 }
 
-// String lists the partitions, such as "0,2".
+// String returns the partitions as a list such as "0,2".
 func (s PartitionSet) String() string {
 	var numbers []string
 	for partition := range s.All() {
--- a/internal/system/feed/set_test.go
+++ b/internal/system/feed/partition_set_test.go
@@ -26,7 +26,7 @@
 		t.Errorf("the first three are %v", got)
 	}
 	for range NewPartitionSet(1, 2).All() {
-		break // an early end is borne
+		break // the iteration may end early
 	}
 	if got := PartitionSet(0); !got.IsEmpty() || got.Len() != 0 || got.String() != "" {
 		t.Errorf("an empty set: %q", got)
--- a/internal/system/feed/follow.go
+++ b/internal/system/feed/replication.go
@@ -2,18 +2,22 @@
 
 import (
 	"bytes"
+	"cmp"
 	"slices"
 	"sort"
 	"time"
 )
 
-// itemOverheadBytes is what an item costs on the way beside its key and value, in bytes, roughly.
+// itemOverheadBytes is the approximate size of an item in a message beside its key and value.
 const itemOverheadBytes = 16
 
-// BatchSince is what brings a follower from index to the table's index: the items that changed since, deletions among them,
-// or a snapshot if deletions since were forgotten or the follower holds nothing. A delta of more than maxBytes (0: no
-// bound) ends earlier, but never between two changes of one index; its To then says how far it goes. A follower that
-// is ahead gets an empty batch, which it ignores: this table lags, and the follower keeps what it has.
+// BatchSince returns the batch that brings a follower from index to the table's index: the items that changed since,
+// deleted ones included, or a snapshot if the follower holds nothing or the deletions since that index are no longer
+// known.
+//
+// A delta of more than maxBytes (0: no bound) ends earlier, as its To says, but never between two changes of one index.
+// A follower that is ahead receives an empty batch, which it ignores: this table lags behind, and the follower keeps
+// what it has.
 func (t *Table) BatchSince(now time.Duration, index uint64, maxBytes int) Batch {
 	if index >= t.index {
 		return Batch{Partition: t.partition, From: index, To: t.index}
@@ -39,17 +43,19 @@
 	return batch
 }
 
-// Snapshot is all that the table holds, without deletions.
+// Snapshot returns a batch with all items of the table, without the deleted ones.
 func (t *Table) Snapshot(now time.Duration) Batch {
 	batch := Batch{Partition: t.partition, Snapshot: true, To: t.index, Items: make([]Item, 0, t.Len())}
 	batch.Items = slices.AppendSeq(batch.Items, t.Items(now, ""))
 	return batch
 }
 
-// Apply takes a batch that was received at now, and returns the items that it changed: those that are new or
-// different, and those that are gone, as deleted. A batch that ends before the table's index is ignored, and so is an
-// item that is older than the one held: the table never goes back. A delta that starts beyond the table's index is
-// ignored, too. A snapshot of the table's own index repairs it.
+// Apply applies a batch received at now and returns the items that it changed: those that are new or different, and
+// those that are deleted.
+//
+// A table never goes back: a batch that ends before the table's index is ignored, and so is an item older than the one
+// held. A delta that starts beyond the table's index is ignored as well, since changes would be missing. A snapshot at
+// the table's own index repairs the table.
 func (t *Table) Apply(now time.Duration, batch Batch) []Item {
 	if batch.Partition != t.partition || batch.To < t.index {
 		return nil
@@ -77,23 +83,15 @@
 	return changed
 }
 
-func byIndex(a, b Item) int {
-	switch {
-	case a.Index < b.Index:
-		return -1
-	case a.Index > b.Index:
-		return 1
-	}
-	return 0
-}
+func byIndex(a, b Item) int { return cmp.Compare(a.Index, b.Index) }
 
-// isNewer says whether an item is newer than what is held under its key.
+// isNewer reports whether an item is newer than what the table holds under its key.
 func (t *Table) isNewer(item Item) bool {
 	held := t.records[item.Key]
 	return held == nil && item.Index > t.tombstoneHorizon || held != nil && item.Index > held.index
 }
 
-// storeItem stores an item and returns whether the key's state is another one now.
+// storeItem stores an item and reports whether this changed the state of its key.
 func (t *Table) storeItem(now time.Duration, item Item) bool {
 	held := t.records[item.Key]
 	same := held != nil && held.deleted == item.Deleted && bytes.Equal(held.value, item.Value)
@@ -104,25 +102,18 @@
 	return !same
 }
 
-// sortChanges restores the order of the list of changes after items that are not newer than all others were taken.
+// sortChanges restores the order of the change list after items were stored that may be older than others.
 func (t *Table) sortChanges() {
-	inOrder := func(a, b change) int {
-		switch {
-		case a.index < b.index:
-			return -1
-		case a.index > b.index:
-			return 1
-		}
-		return 0
-	}
-	if !slices.IsSortedFunc(t.changes, inOrder) {
-		slices.SortStableFunc(t.changes, inOrder)
+	byChangeIndex := func(a, b change) int { return cmp.Compare(a.index, b.index) }
+	if !slices.IsSortedFunc(t.changes, byChangeIndex) {
+		slices.SortStableFunc(t.changes, byChangeIndex)
 	}
 }
 
-// applySnapshot takes a snapshot. Items that it lacks are deleted by its index, unless the table was empty: then, and if
-// items differ that should not, deletions up to its index count as forgotten, so that followers of this table get a
-// snapshot.
+// applySnapshot makes the table hold just the items of a snapshot. Items that it lacks are deleted at its index.
+//
+// If the table was empty, or differed from the snapshot in items that it should have held already, its deletions up to
+// the snapshot's index count as unknown, so that the followers of this table receive a snapshot, too.
 func (t *Table) applySnapshot(now time.Duration, batch Batch) []Item {
 	diverged := t.index == 0
 	present := make(map[string]bool, len(batch.Items))
@@ -132,8 +123,7 @@
 			continue
 		}
 		present[item.Key] = true
-		held := t.records[item.Key]
-		if held != nil && held.index == item.Index && !held.deleted && bytes.Equal(held.value, item.Value) {
+		if t.holdsExactly(item) {
 			continue
 		}
 		diverged = diverged || item.Index <= t.index
@@ -141,9 +131,9 @@
 			changed = append(changed, item)
 		}
 	}
-	gone := t.tombstonesForMissing(present, batch.To)
-	diverged = diverged || len(gone) > 0 && batch.To == t.index
-	for _, item := range gone {
+	missing := t.tombstonesForMissing(present, batch.To)
+	diverged = diverged || len(missing) > 0 && batch.To == t.index
+	for _, item := range missing {
 		t.storeRecord(recordFromItem(now, item))
 	}
 	t.index = batch.To
@@ -152,16 +142,16 @@
 	if diverged {
 		t.tombstoneHorizon = batch.To
 	}
-	return append(changed, gone...)
+	return append(changed, missing...)
 }
 
-// tombstonesForMissing are the held items that are not named, as deleted by the given index.
+// tombstonesForMissing returns the held items that are not present, as deleted at the given index.
 func (t *Table) tombstonesForMissing(present map[string]bool, index uint64) []Item {
-	var gone []Item
+	var missing []Item
 	for _, key := range t.sortedKeysFrom("") {
 		if !present[key] {
-			gone = append(gone, Item{Key: key, Index: index, Deleted: true})
+			missing = append(missing, Item{Key: key, Index: index, Deleted: true})
 		}
 	}
-	return gone
+	return missing
 }
--- a/internal/system/feed/table.go
+++ b/internal/system/feed/table.go
@@ -9,53 +9,52 @@
 	"time"
 )
 
-// MaxTombstones is how many deleted items a table remembers. A follower that is behind the oldest deletion that was
-// forgotten gets a snapshot.
+// MaxTombstones is the number of deleted items that a table remembers. A follower that is behind the newest deletion
+// that was evicted receives a snapshot.
 const MaxTombstones = 1024
 
-// record is a key's state within a table.
+// record is the state of one key within a table. It is not altered once it is stored.
 type record struct {
 	key       string
 	index     uint64
 	value     []byte
 	deleted   bool
-	changedAt time.Duration // when the change was made, by the caller's steady clock
+	changedAt time.Duration // time of the last change
 }
 
-// change is an entry of the table's list of changes; it is stale once its key has changed again.
+// change is an entry of the table's change list. It is stale once its key has changed again.
 type change struct {
 	index  uint64
 	record *record
 }
 
-// Table holds one partition's items. A replica changes it by Put and Delete as commands are agreed on; a follower by
-// Apply. Both serve it on by Since. It never goes back to an older index. It is not safe for concurrent use. Times are
-// of the caller's steady clock; they are not part of the agreed state and may differ from one machine to another.
+// Table holds the items of one partition; see the package comment. All times that its methods take and return are of
+// the caller's monotonic clock: they are no part of the replicated state and differ between machines.
 type Table struct {
 	partition        Partition
 	index            uint64
-	tombstoneHorizon uint64 // deletions up to it may be forgotten
+	tombstoneHorizon uint64 // deletions up to this index may have been evicted
 	records          map[string]*record
-	changes          []change // by index; the last of a key is its current one
-	tombstoneCount   int      // deleted records
-	sortedKeys       []string // of the live records, sorted; nil: to be built
+	changes          []change // ascending by index; the last change of a key is its current one
+	tombstoneCount   int      // number of deleted records
+	sortedKeys       []string // keys of the records that are not deleted; nil: to be built
 }
 
-// NewTable is an empty table.
+// NewTable returns an empty table.
 func NewTable(partition Partition) *Table {
 	return &Table{partition: partition, records: map[string]*record{}}
 }
 
-// Partition is the partition that the table holds.
+// Partition returns the partition that the table holds.
 func (t *Table) Partition() Partition { return t.partition }
 
-// Index is the number up to which the table holds the partition.
+// Index returns the index up to which the table holds its partition.
 func (t *Table) Index() uint64 { return t.index }
 
-// Position is how far the table holds its partition.
+// Position returns how far the table holds its partition.
 func (t *Table) Position() Position { return Position{Partition: t.partition, Index: t.index} }
 
-// LastChangeIndex is the number of the last change of an item. A follower at or beyond it has nothing to be sent.
+// LastChangeIndex returns the index of the last change of an item. A follower at or beyond it lacks nothing.
 func (t *Table) LastChangeIndex() uint64 {
 	if len(t.changes) == 0 {
 		return t.tombstoneHorizon
@@ -63,10 +62,10 @@
 	return max(t.changes[len(t.changes)-1].index, t.tombstoneHorizon)
 }
 
-// Len is the number of items.
+// Len returns the number of items, without the deleted ones.
 func (t *Table) Len() int { return len(t.records) - t.tombstoneCount }
 
-// Get is an item's value.
+// Get returns the value of an item, and whether there is one.
 func (t *Table) Get(key string) ([]byte, bool) {
 	found := t.records[key]
 	if found == nil || found.deleted {
@@ -75,7 +74,7 @@
 	return found.value, true
 }
 
-// Item is an item with its index and age.
+// Item returns an item with its index and its age at now, and whether there is one.
 func (t *Table) Item(now time.Duration, key string) (Item, bool) {
 	found := t.records[key]
 	if found == nil || found.deleted {
@@ -84,8 +83,8 @@
 	return found.toItem(now), true
 }
 
-// Items are the items whose keys begin with prefix, in the order of their keys. The table must not be changed
-// meanwhile.
+// Items returns the items whose keys begin with prefix, in the order of the keys. The table must not be changed during
+// the iteration.
 func (t *Table) Items(now time.Duration, prefix string) iter.Seq[Item] {
 	return func(yield func(Item) bool) {
 		for _, key := range t.sortedKeysFrom(prefix) {
@@ -96,8 +95,8 @@
 	}
 }
 
-// Values are the keys that begin with prefix and their values, in the order of the keys. The table must not be changed
-// meanwhile.
+// Values returns the keys that begin with prefix and their values, in the order of the keys. The table must not be
+// changed during the iteration.
 func (t *Table) Values(prefix string) iter.Seq2[string, []byte] {
 	return func(yield func(string, []byte) bool) {
 		for _, key := range t.sortedKeysFrom(prefix) {
@@ -108,7 +107,7 @@
 	}
 }
 
-// sortedKeysFrom are the keys of the items from the given one on.
+// sortedKeysFrom returns the keys of the items that are not below first, in order.
 func (t *Table) sortedKeysFrom(first string) []string {
 	if t.sortedKeys == nil {
 		t.sortedKeys = make([]string, 0, t.Len())
@@ -122,11 +121,12 @@
 	return t.sortedKeys[sort.SearchStrings(t.sortedKeys, first):]
 }
 
-// Advance notes that the partition is held up to index, with or without changes. An older index is ignored.
+// Advance records that the table holds its partition up to index, with or without changes. It ignores an older index.
 func (t *Table) Advance(index uint64) { t.index = max(t.index, index) }
 
-// Put sets an item by the change numbered index, which is not below that of an earlier change. The value is kept and
-// must not be altered. It returns whether anything changed: a value that stands already keeps its index.
+// Put sets an item as the change of the given index, which must not be below that of an earlier change. The table keeps
+// the value, which must not be altered. Put reports whether anything changed: an item that already has the value keeps
+// its index.
 func (t *Table) Put(now time.Duration, index uint64, key string, value []byte) bool {
 	if index < t.index {
 		return false
@@ -140,7 +140,8 @@
 	return true
 }
 
-// Delete removes an item by the change numbered index, as Put sets one. It returns whether anything changed.
+// Delete removes an item as the change of the given index, under the same rules as Put. It reports whether there was
+// one.
 func (t *Table) Delete(now time.Duration, index uint64, key string) bool {
 	if index < t.index {
 		return false
@@ -155,7 +156,7 @@
 	return true
 }
 
-// storeRecord replaces a record and appends to the list of changes.
+// storeRecord replaces the record of a key and appends the change to the change list.
 func (t *Table) storeRecord(next record) {
 	held := t.records[next.key]
 	wasLive := held != nil && !held.deleted
@@ -174,7 +175,7 @@
 	t.compactChanges()
 }
 
-// isCurrent says whether a change is the last one of its key.
+// isCurrent reports whether a change is the last one of its key.
 func (t *Table) isCurrent(c change) bool { return t.records[c.record.key] == c.record }
 
 // compactChanges drops stale changes once they outnumber the others.
@@ -185,7 +186,8 @@
 	}
 }
 
-// evictTombstones drops the oldest deleted records beyond MaxTombstones. Those of one index go together.
+// evictTombstones drops the oldest deleted records once there are more than MaxTombstones: down to three quarters of
+// that, so that it does not run at each deletion. Records deleted at one index are dropped together.
 func (t *Table) evictTombstones() {
 	if t.tombstoneCount <= MaxTombstones {
 		return
@@ -209,7 +211,7 @@
 	return Item{Key: r.key, Index: r.index, Value: r.value, Deleted: r.deleted, Age: max(now-r.changedAt, 0)}
 }
 
-// recordFromItem is what a received item makes.
+// recordFromItem returns the record of an item received at now.
 func recordFromItem(now time.Duration, item Item) record {
 	made := record{key: item.Key, index: item.Index, deleted: item.Deleted, changedAt: now - max(item.Age, 0)}
 	if !item.Deleted {
--- a/internal/system/feed/codec.go
+++ b/internal/system/feed/table_codec.go
@@ -20,20 +20,20 @@
 	kindDeleted = 1
 )
 
-// maxEncodedAge is the greatest age of an item in nanoseconds that is taken from an encoding.
+// maxEncodedAge is the greatest age of an item, in nanoseconds, that DecodeTable accepts.
 const maxEncodedAge = 1 << 62
 
-// MalformedTableError says that bytes are not an encoded table.
+// MalformedTableError says that bytes are not an encoded table. Field names the first field that could not be read.
 type MalformedTableError struct{ Field string }
 
-// Error says what happened and what to do.
+// Error names the malformed field and what an operator can do.
 func (e *MalformedTableError) Error() string {
 	return fmt.Sprintf("feed: an encoded table is malformed at its %s; "+
 		"it was damaged or written by another version, take the partition from another replica", e.Field)
 }
 
-// Encode is the whole table, deletions among it, as stored state and snapshots hold it. Ages go along; but for them,
-// tables that hold the same have the same encoding.
+// Encode returns the whole table, deleted items included, in the form of stored state and of snapshots between control
+// replicas. Ages at now are part of it; apart from them, tables with the same contents have the same encoding.
 func (t *Table) Encode(now time.Duration) []byte {
 	data := make([]byte, 0, t.encodedSize())
 	data = append(data, tableFormatVersion)
@@ -47,7 +47,7 @@
 	return data
 }
 
-// encodedSize is an upper bound of the encoding's size in bytes.
+// encodedSize returns an upper bound of the encoding's size in bytes.
 func (t *Table) encodedSize() int {
 	const head, perRecord = 5 * binary.MaxVarintLen64, 4*binary.MaxVarintLen64 + 1
 	size := head
@@ -67,8 +67,8 @@
 	return codec.AppendBytes(append(data, kindValue), r.value)
 }
 
-// DecodeTable reads what Encode wrote; its ages count from now. The table shares no bytes with data. The error is a
-// *MalformedTableError.
+// DecodeTable reads the encoding made by Encode; ages count from now. The table shares no bytes with data. An error is
+// a *MalformedTableError.
 func DecodeTable(now time.Duration, data []byte) (*Table, error) {
 	reader := codec.NewReader(data)
 	if reader.Byte("version") != tableFormatVersion {
