--- a/cmd/cinderroad-proxy/main.go
+++ b/cmd/cinderroad-proxy/main.go
@@ -98,7 +98,7 @@
 
 // listen begins to serve. The addresses may still be held by an earlier life that is about to end.
 func listen(p *proxy.Proxy) error {
-	if err := retry.WhileHeld(context.Background(), p.Listen); err != nil {
+	if err := retry.WhileAddressInUse(context.Background(), p.Listen); err != nil {
 		return fmt.Errorf("cannot serve clients; does another process hold the address? %w", err)
 	}
 	return nil
--- a/internal/system/agent/agent.go
+++ b/internal/system/agent/agent.go
@@ -168,12 +168,12 @@
 		return a.peerNotifier.handleFollow(ctx, request, toProxy.Follow)
 	})
 	ReportCall.Handle(local, a.proxyMonitor.handleReport)
-	a.serveRegistry(ctx, a.proxyListener, local, rpc.Limits{Connections: maxProxyConnections, RequestBytes: maxRequestBytes})
+	a.serveRegistry(ctx, a.proxyListener, local, rpc.ServerLimits{MaxConnections: maxProxyConnections, MaxRequestBytes: maxRequestBytes})
 
 	peers := rpc.NewRegistry()
 	pace := peerLinkShare * a.settings.Limits.LinkBytesPerSecond()
 	feedserver.FollowMethod.Handle(peers, a.newFeedServer(a.store.baseSources(), a.store.baseNotifier, pace).Follow)
-	a.serveRegistry(ctx, a.peerListener, peers, rpc.Limits{Connections: maxPeerConnections, RequestBytes: maxRequestBytes})
+	a.serveRegistry(ctx, a.peerListener, peers, rpc.ServerLimits{MaxConnections: maxPeerConnections, MaxRequestBytes: maxRequestBytes})
 }
 
 func (a *Agent) newFeedServer(sources []feedserver.Source, notifier *feedserver.Notifier, pace float64) *feedserver.Server {
@@ -187,7 +187,7 @@
 	})
 }
 
-func (a *Agent) serveRegistry(ctx context.Context, listener net.Listener, registry *rpc.Registry, limits rpc.Limits) {
+func (a *Agent) serveRegistry(ctx context.Context, listener net.Listener, registry *rpc.Registry, limits rpc.ServerLimits) {
 	a.goroutines.Go(func() {
 		if err := rpc.Serve(ctx, listener, registry, limits); err != nil {
 			a.fail(fmt.Errorf("agent: %w", err))
@@ -234,7 +234,7 @@
 	options.Log = a.log
 	options.Seeds = *a.seeds.Load()
 	options.OnChange = a.peerNotifier.wakeIfChanged
-	end := time.Now().Add(retry.HeldFor)
+	end := time.Now().Add(retry.AddressInUseTimeout)
 	for {
 		member, err := gossip.Start(options)
 		if err == nil {
@@ -247,7 +247,7 @@
 		if !errors.As(err, &taken) || time.Now().After(end) {
 			return nil, err
 		}
-		retry.Pause(ctx, joinRetryInterval)
+		retry.Sleep(ctx, joinRetryInterval)
 	}
 }
 
--- a/internal/system/agent/follower.go
+++ b/internal/system/agent/follower.go
@@ -44,7 +44,7 @@
 		request, wait := f.selector.Next(f.now())
 		if wait > 0 {
 			f.reportState()
-			retry.Pause(ctx, wait)
+			retry.Sleep(ctx, wait)
 			continue
 		}
 		f.poll(ctx, request)
@@ -53,7 +53,7 @@
 }
 
 func (f *follower) poll(ctx context.Context, request upstream.Request) {
-	patience := rpc.Patience{First: request.Timeout, Between: replyReadTimeout, Most: maxReplyTime}
+	patience := rpc.ReceiveTimeouts{FirstByte: request.Timeout, Idle: replyReadTimeout, Total: maxReplyTime}
 	followRequest := &feed.FollowRequest{Node: f.node, Positions: f.store.positions(), Wait: request.Wait, Packed: true,
 		Current: request.Current}
 	reply, err := feedserver.FollowMethod.InvokeWhileReceiving(ctx, f.connect(request), patience, followRequest)
@@ -87,7 +87,7 @@
 		return f.client
 	}
 	f.disconnect()
-	f.client = rpc.NewClient(request.Address, rpc.Options{Dial: request.DialTimeout, MessageBytes: maxReplyBytes})
+	f.client = rpc.NewClient(request.Address, rpc.ClientOptions{DialTimeout: request.DialTimeout, MaxReplyBytes: maxReplyBytes})
 	return f.client
 }
 
--- a/internal/system/agent/world_test.go
+++ b/internal/system/agent/world_test.go
@@ -148,7 +148,7 @@
 	r.stop, r.done = stop, make(chan struct{})
 	go func() {
 		defer close(r.done)
-		rpc.Serve(ctx, listener, registry, rpc.Limits{})
+		rpc.Serve(ctx, listener, registry, rpc.ServerLimits{})
 	}()
 	r.cluster.t.Cleanup(r.close)
 }
@@ -270,7 +270,7 @@
 
 func (edge *edgeMachine) startProxy() {
 	address := netip.AddrPortFrom(edge.loopback, edge.settings.Port(processconfig.AgentFeedPort))
-	edge.client = rpc.NewClient(address, rpc.Options{})
+	edge.client = rpc.NewClient(address, rpc.ClientOptions{})
 	edge.cluster.t.Cleanup(edge.client.Close)
 }
 
@@ -295,7 +295,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	reply, err := feedserver.FollowMethod.Poll(ctx, edge.client, wait, request)
+	reply, err := feedserver.FollowMethod.LongPoll(ctx, edge.client, wait, request)
 	if err != nil {
 		edge.cluster.t.Fatal(err)
 	}
--- a/internal/system/control/api/api.go
+++ b/internal/system/control/api/api.go
@@ -76,7 +76,7 @@
 	a := &API{
 		options: options,
 		committer: committer{replicas: options.Replicas, state: options.State, prepare: documents.prepare,
-			pause: retry.Pause},
+			pause: retry.Sleep},
 		documents: documents,
 		calls:     make(chan struct{}, mostCalls),
 		changes:   make(chan struct{}, mostChanges),
--- a/internal/system/control/partitions_test.go
+++ b/internal/system/control/partitions_test.go
@@ -50,7 +50,7 @@
 			s.insist(api.PathReplace, "0", document(1, 1000))
 			settings := s.settings[0]
 			address := netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ControlRPCPort))
-			client := rpc.NewClient(address, rpc.Options{})
+			client := rpc.NewClient(address, rpc.ClientOptions{})
 			defer client.Close()
 			u := usurper{partition: lost}
 			s.wait("the lost partition is stale, the others are not", func() bool {
--- a/internal/system/control/process.go
+++ b/internal/system/control/process.go
@@ -184,7 +184,7 @@
 	joining := gossip.FromSettings(options.Settings, gossip.Control)
 	joining.Version, joining.Log = options.Version, options.Log
 	var member *gossip.Gossip
-	err := retry.WhileHeld(ctx, func() (err error) {
+	err := retry.WhileAddressInUse(ctx, func() (err error) {
 		member, err = gossip.Start(joining)
 		return err
 	})
@@ -204,7 +204,7 @@
 	registry := rpc.NewRegistry()
 	p.host.Register(registry)
 	feedserver.FollowMethod.Handle(registry, p.feed.Follow)
-	limits := rpc.Limits{Connections: rpcConnections, Calls: rpcCalls}
+	limits := rpc.ServerLimits{MaxConnections: rpcConnections, MaxCallsPerConnection: rpcCalls}
 	p.running.Go(func() {
 		if err := rpc.Serve(p.context, listener, registry, limits); err != nil {
 			p.fail(fmt.Errorf("control: RPC at %v ended: %w", address, err))
--- a/internal/system/control/process_test.go
+++ b/internal/system/control/process_test.go
@@ -231,7 +231,7 @@
 // follow asks a machine's feed for all that it has.
 func (s *system) follow(machine int) map[string]feed.Item {
 	settings := s.settings[machine]
-	client := rpc.NewClient(netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ControlRPCPort)), rpc.Options{})
+	client := rpc.NewClient(netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ControlRPCPort)), rpc.ClientOptions{})
 	defer client.Close()
 	items := map[string]feed.Item{}
 	reply, err := feedserver.FollowMethod.Invoke(context.Background(), client, &feed.FollowRequest{Node: "test"})
--- a/internal/system/control/stop.go
+++ b/internal/system/control/stop.go
@@ -58,7 +58,7 @@
 	p.gossip.SetServing(gossip.Stopping)
 	p.feed.Stop()
 	p.host.Leave()
-	retry.Pause(ctx, plan.serveOn)
+	retry.Sleep(ctx, plan.serveOn)
 	if err := p.closeServers(plan.finish); err != nil {
 		p.log.Warn("calls were broken off", zap.Error(err))
 	}
--- a/internal/system/control/view.go
+++ b/internal/system/control/view.go
@@ -65,7 +65,7 @@
 
 // watch passes addresses from membership to the replicas.
 func (p *Process) watch(ctx context.Context) {
-	for retry.Pause(ctx, hintEvery) {
+	for retry.Sleep(ctx, hintEvery) {
 		p.host.AddPeerAddresses(p.gossip.ControlAddresses()...)
 	}
 }
--- a/internal/system/proxy/agentclient/uplink.go
+++ b/internal/system/proxy/agentclient/uplink.go
@@ -49,7 +49,7 @@
 
 // New makes a link; Run does its work.
 func New(log *zap.Logger, options Options) *Link {
-	client := rpc.NewClient(options.Agent, rpc.Options{Call: callTimeout, MessageBytes: mostReply})
+	client := rpc.NewClient(options.Agent, rpc.ClientOptions{CallTimeout: callTimeout, MaxReplyBytes: mostReply})
 	return &Link{options: options, log: log, client: client, told: make(chan struct{}, 1)}
 }
 
@@ -85,7 +85,7 @@
 	for ctx.Err() == nil {
 		request := &feed.FollowRequest{Node: l.options.Node, Positions: state.positions(), Wait: followWait,
 			Peers: state.peers}
-		reply, err := followCall.Poll(ctx, l.client, followWait, request)
+		reply, err := followCall.LongPoll(ctx, l.client, followWait, request)
 		if err != nil {
 			l.log.Debug("agent gave no feed", zap.Error(err))
 			sleep(ctx, pause)
--- a/internal/system/proxy/agentclient/uplink_test.go
+++ b/internal/system/proxy/agentclient/uplink_test.go
@@ -61,7 +61,7 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
-	done.Go(func() { _ = rpc.Serve(ctx, listener, registry, rpc.Limits{}) })
+	done.Go(func() { _ = rpc.Serve(ctx, listener, registry, rpc.ServerLimits{}) })
 	stop = sync.OnceFunc(func() { cancel(); done.Wait() })
 	a.t.Cleanup(stop)
 	return netip.MustParseAddrPort(listener.Addr().String()), stop
--- a/internal/system/replica/bounds_test.go
+++ b/internal/system/replica/bounds_test.go
@@ -45,7 +45,7 @@
 	founders := consensus.Snapshot{Membership: consensus.Membership{
 		Members: []consensus.Member{{ID: 1, Node: "core-0", Zone: "zone-0", Address: "127.0.0.1:1", Voter: true}}}}
 	s.open()
-	if err := s.store.Establish(1, storage.Write{Snapshot: &founders}); err != nil {
+	if err := s.store.Initialize(1, storage.Update{InstalledSnapshot: &founders}); err != nil {
 		t.Fatal(err)
 	}
 	s.start()
--- a/internal/system/replica/core_check_test.go
+++ b/internal/system/replica/core_check_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func (t *coreTruth) noteSynced(id consensus.ReplicaID, w *storage.Write) {
+func (t *coreTruth) noteSynced(id consensus.ReplicaID, w *storage.Update) {
 	s := t.synced[id]
 	if s == nil {
 		s = &synced{entries: map[place]bool{}}
@@ -73,8 +73,8 @@
 	for _, e := range w.Entries {
 		s.entries[place{e.Index, e.Term}] = true
 	}
-	if w.Snapshot != nil {
-		s.snapshot = max(s.snapshot, w.Snapshot.Index)
+	if w.InstalledSnapshot != nil {
+		s.snapshot = max(s.snapshot, w.InstalledSnapshot.Index)
 	}
 }
 
--- a/internal/system/replica/core_link_test.go
+++ b/internal/system/replica/core_link_test.go
@@ -90,7 +90,7 @@
 	first := &c.queue[0]
 	first.left -= chunk
 	c.bytes -= chunk
-	if l.world.plant.messageDeadline && l.world.now-first.began > peerOptions.UserTimeout {
+	if l.world.plant.messageDeadline && l.world.now-first.began > peerOptions.TCPUserTimeout {
 		l.reset(c)
 		return
 	}
--- a/internal/system/replica/core_process_test.go
+++ b/internal/system/replica/core_process_test.go
@@ -27,24 +27,24 @@
 	stalledUntil, failsUntil time.Duration
 }
 
-func (d *coreDisk) write(w *storage.Write) {
-	if w.Snapshot != nil {
-		d.snapshot, d.entries = *w.Snapshot, nil
+func (d *coreDisk) write(w *storage.Update) {
+	if w.InstalledSnapshot != nil {
+		d.snapshot, d.entries = *w.InstalledSnapshot, nil
 	}
-	if w.Hard != nil {
-		d.hard = *w.Hard
+	if w.HardState != nil {
+		d.hard = *w.HardState
 	}
 	if len(w.Entries) > 0 {
 		d.cutFrom(w.Entries[0].Index)
 	}
 	for _, e := range w.Entries {
-		d.entries = append(d.entries, keptEntry{e, w.Committed})
+		d.entries = append(d.entries, keptEntry{e, w.CommitIndex})
 	}
-	if w.Compacted == nil {
+	if w.CompactionSnapshot == nil {
 		return
 	}
-	d.snapshot = *w.Compacted
-	d.entries = slices.DeleteFunc(d.entries, func(k keptEntry) bool { return k.entry.Index <= w.Compacted.Index })
+	d.snapshot = *w.CompactionSnapshot
+	d.entries = slices.DeleteFunc(d.entries, func(k keptEntry) bool { return k.entry.Index <= w.CompactionSnapshot.Index })
 }
 
 func (d *coreDisk) cutFrom(index uint64) {
@@ -421,7 +421,7 @@
 	}
 }
 
-func (p *coreProcess) sync(writes []storage.Write) {
+func (p *coreProcess) sync(writes []storage.Update) {
 	for i := range writes {
 		p.slot.disk.write(&writes[i])
 		p.world.truth.noteSynced(p.slot.id(), &writes[i])
@@ -453,9 +453,9 @@
 	if kept == len(writes) {
 		return
 	}
-	if torn := writes[kept]; torn.Snapshot == nil && torn.Compacted == nil && len(torn.Entries) > 0 {
+	if torn := writes[kept]; torn.InstalledSnapshot == nil && torn.CompactionSnapshot == nil && len(torn.Entries) > 0 {
 		torn.Entries = torn.Entries[:w.random.IntN(len(torn.Entries)+1)]
-		p.sync([]storage.Write{torn})
+		p.sync([]storage.Update{torn})
 	}
 }
 
--- a/internal/system/replica/disk.go
+++ b/internal/system/replica/disk.go
@@ -47,7 +47,7 @@
 type job struct {
 	group    *group
 	ready    consensus.Ready
-	write    storage.Write
+	write    storage.Update
 	snapshot *consensus.Snapshot
 	bytes    int
 }
@@ -55,10 +55,10 @@
 // store is what the disk goroutine needs of a storage.Store.
 type store interface {
 	Identity() (consensus.ReplicaID, bool)
-	Succeeds() bool
-	Establish(replica consensus.ReplicaID, writes ...storage.Write) error
+	HasPredecessor() bool
+	Initialize(replica consensus.ReplicaID, writes ...storage.Update) error
 	Load(partition feed.Partition) (consensus.PersistentState, bool, error)
-	Write(writes ...storage.Write) error
+	Write(writes ...storage.Update) error
 	Discard() error
 	Close() error
 }
@@ -197,7 +197,7 @@
 }
 
 // writesOf are the writes of jobs, those left out that need not be on disk.
-func writesOf(jobs []job) (writes []storage.Write) {
+func writesOf(jobs []job) (writes []storage.Update) {
 	for i := range jobs {
 		if jobs[i].ready.MustSync || jobs[i].snapshot != nil {
 			writes = append(writes, jobs[i].write)
@@ -207,7 +207,7 @@
 }
 
 // persist tries until the writes are on the disk; false: the host stops before.
-func (h *Host) persist(writes []storage.Write) bool {
+func (h *Host) persist(writes []storage.Update) bool {
 	d := h.disk
 	if d.store == nil {
 		return true
--- a/internal/system/replica/disk_test.go
+++ b/internal/system/replica/disk_test.go
@@ -29,18 +29,18 @@
 	return f, err
 }
 
-func (f *faults) Write(writes ...storage.Write) error {
+func (f *faults) Write(writes ...storage.Update) error {
 	if err := f.wait(); err != nil {
 		return err
 	}
 	return f.store.Write(writes...)
 }
 
-func (f *faults) Establish(replica consensus.ReplicaID, writes ...storage.Write) error {
+func (f *faults) Initialize(replica consensus.ReplicaID, writes ...storage.Update) error {
 	if err := f.wait(); err != nil {
 		return err
 	}
-	return f.store.Establish(replica, writes...)
+	return f.store.Initialize(replica, writes...)
 }
 
 func (f *faults) wait() error {
@@ -184,7 +184,7 @@
 		t.Fatal(err)
 	}
 	gap := []consensus.Entry{{Index: 1000, Term: 1000}}
-	if err := s.Write(storage.Write{Partition: 2, Entries: gap}); err != nil {
+	if err := s.Write(storage.Update{Partition: 2, Entries: gap}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
--- a/internal/system/replica/group.go
+++ b/internal/system/replica/group.go
@@ -101,7 +101,7 @@
 		g.answerReads(r.ReadStates)
 	}
 	if snapshot := g.compaction(); snapshot != nil {
-		write := storage.Write{Partition: g.partition, Compacted: snapshot}
+		write := storage.Update{Partition: g.partition, CompactionSnapshot: snapshot}
 		g.enqueue(job{group: g, write: write, snapshot: snapshot, bytes: len(snapshot.Data)}, out)
 	}
 	g.noteLeader()
@@ -328,11 +328,11 @@
 }
 
 // write is what a Ready wants on the disk. A hard state that differs in its commit index alone goes along with entries.
-func (g *group) write(r *consensus.Ready) storage.Write {
-	w := storage.Write{Partition: g.partition, Snapshot: r.Snapshot, Entries: r.Entries, Committed: g.knownCommit}
+func (g *group) write(r *consensus.Ready) storage.Update {
+	w := storage.Update{Partition: g.partition, InstalledSnapshot: r.Snapshot, Entries: r.Entries, CommitIndex: g.knownCommit}
 	if r.HardState != nil && (r.HardState.Term != g.written.Term || r.HardState.Vote != g.written.Vote) {
 		g.written = *r.HardState
-		w.Hard = r.HardState
+		w.HardState = r.HardState
 	}
 	return w
 }
--- a/internal/system/replica/host_test.go
+++ b/internal/system/replica/host_test.go
@@ -151,7 +151,7 @@
 	served := m.served
 	go func() {
 		defer close(served)
-		if err := rpc.Serve(ctx, listener, registry, rpc.Limits{}); err != nil {
+		if err := rpc.Serve(ctx, listener, registry, rpc.ServerLimits{}); err != nil {
 			m.t.Error(err)
 		}
 	}()
--- a/internal/system/replica/load.go
+++ b/internal/system/replica/load.go
@@ -42,7 +42,7 @@
 		h.log.Error("state folder was corrupt", zap.Error(corrupt))
 	}
 	h.disk.store = store
-	h.corrupted = h.corrupted || store.Succeeds()
+	h.corrupted = h.corrupted || store.HasPredecessor()
 	return nil
 }
 
@@ -62,13 +62,13 @@
 // establish makes the empty store a new replica's.
 func (h *Host) establish() (consensus.ReplicaID, []consensus.PersistentState, error) {
 	id, stored := h.newReplica()
-	var writes []storage.Write
+	var writes []storage.Update
 	for i := range stored {
 		if len(stored[i].Snapshot.Membership.Members) > 0 {
-			writes = append(writes, storage.Write{Partition: feed.Partition(i), Snapshot: &stored[i].Snapshot})
+			writes = append(writes, storage.Update{Partition: feed.Partition(i), InstalledSnapshot: &stored[i].Snapshot})
 		}
 	}
-	if err := h.disk.store.Establish(id, writes...); err != nil {
+	if err := h.disk.store.Initialize(id, writes...); err != nil {
 		return 0, nil, err
 	}
 	return id, stored, nil
--- a/internal/system/replica/peers.go
+++ b/internal/system/replica/peers.go
@@ -13,8 +13,8 @@
 )
 
 // peerOptions are for connections between replicas: a peer that is cut off is given up and dialled anew soon.
-var peerOptions = rpc.Options{Dial: 700 * time.Millisecond, Call: 2 * time.Second, UserTimeout: 1500 * time.Millisecond,
-	Retry: 50 * time.Millisecond}
+var peerOptions = rpc.ClientOptions{DialTimeout: 700 * time.Millisecond, CallTimeout: 2 * time.Second, TCPUserTimeout: 1500 * time.Millisecond,
+	DialBackoff: 50 * time.Millisecond}
 
 const (
 	bulkWithin  = time.Minute // for a large request to be sent and taken
--- a/internal/system/replica/propose.go
+++ b/internal/system/replica/propose.go
@@ -167,7 +167,7 @@
 		defer leader.Close()
 	}
 	request := ProposeRequest{Partition: partition, Command: command, Wait: wait}
-	reply, err := proposeCall.Poll(ctx, leader, wait, &request)
+	reply, err := proposeCall.LongPoll(ctx, leader, wait, &request)
 	if err == nil {
 		return *reply, context.DeadlineExceeded
 	}
--- a/internal/system/replica/transfer.go
+++ b/internal/system/replica/transfer.go
@@ -136,6 +136,6 @@
 // soon as others are.
 func bulkClient(address netip.AddrPort) *rpc.Client {
 	options := peerOptions
-	options.Call = bulkWithin
+	options.CallTimeout = bulkWithin
 	return rpc.NewClient(address, options)
 }
--- a/internal/system/retry/retry.go
+++ b/internal/system/retry/retry.go
@@ -10,12 +10,12 @@
 
 // An address may still be held by an earlier life of the process, which is about to end.
 const (
-	HeldFor   = 5 * time.Second // for which an address is tried
-	HeldPause = 100 * time.Millisecond
+	AddressInUseTimeout  = 5 * time.Second // for which an address is tried
+	AddressInUseInterval = 100 * time.Millisecond
 )
 
-// Pause waits, or until the context ends, and says whether the context goes on.
-func Pause(ctx context.Context, wait time.Duration) bool {
+// Sleep waits, or until the context ends, and says whether the context goes on.
+func Sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -26,13 +26,13 @@
 	}
 }
 
-// WhileHeld calls open until it succeeds, HeldFor has passed or the context ends, and returns its last error.
-func WhileHeld(ctx context.Context, open func() error) error {
-	ctx, cancel := context.WithTimeout(ctx, HeldFor)
+// WhileAddressInUse calls open until it succeeds, AddressInUseTimeout has passed or the context ends, and returns its last error.
+func WhileAddressInUse(ctx context.Context, open func() error) error {
+	ctx, cancel := context.WithTimeout(ctx, AddressInUseTimeout)
 	defer cancel()
 	for {
 		err := open()
-		if err == nil || !Pause(ctx, HeldPause) {
+		if err == nil || !Sleep(ctx, AddressInUseInterval) {
 			return err
 		}
 	}
@@ -41,7 +41,7 @@
 // Listen opens a TCP listener at an address that may still be held.
 func Listen(ctx context.Context, address netip.AddrPort) (net.Listener, error) {
 	var listener net.Listener
-	err := WhileHeld(ctx, func() (err error) {
+	err := WhileAddressInUse(ctx, func() (err error) {
 		listener, err = net.Listen("tcp4", address.String())
 		return err
 	})
--- a/internal/system/retry/retry_test.go
+++ b/internal/system/retry/retry_test.go
@@ -11,11 +11,11 @@
 
 func TestPause(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	if !Pause(ctx, time.Nanosecond) {
+	if !Sleep(ctx, time.Nanosecond) {
 		t.Error("a pause that is over says that the context has ended")
 	}
 	cancel()
-	if Pause(ctx, time.Hour) {
+	if Sleep(ctx, time.Hour) {
 		t.Error("a context that has ended goes on")
 	}
 }
@@ -23,7 +23,7 @@
 func TestWhileHeld(t *testing.T) {
 	errHeld := errors.New("held")
 	tries := 0
-	err := WhileHeld(context.Background(), func() error {
+	err := WhileAddressInUse(context.Background(), func() error {
 		if tries++; tries < 3 {
 			return errHeld
 		}
@@ -34,7 +34,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := WhileHeld(ctx, func() error { return errHeld }); !errors.Is(err, errHeld) {
+	if err := WhileAddressInUse(ctx, func() error { return errHeld }); !errors.Is(err, errHeld) {
 		t.Errorf("the last error is lost: %v", err)
 	}
 }
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	address := netip.MustParseAddrPort(first.Addr().String())
-	time.AfterFunc(HeldPause/2, func() { first.Close() })
+	time.AfterFunc(AddressInUseInterval/2, func() { first.Close() })
 	second, err := Listen(context.Background(), address)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/system/rpc/call.go
+++ b/internal/system/rpc/call.go
@@ -36,13 +36,13 @@
 // Invoke calls and returns by the end of the context, or after the client's Options.Call where the context has no end.
 // A call that runs out of time on a connection that is silent takes the connection with it.
 func (c Call[Argument, Reply]) Invoke(ctx context.Context, client *Client, argument *Argument) (*Reply, error) {
-	return c.invoke(ctx, client, client.options.Call, argument)
+	return c.invoke(ctx, client, client.options.CallTimeout, argument)
 }
 
-// Poll makes a call that its handler may hold open for wait; it ends after that and the client's Options.Call.
-func (c Call[Argument, Reply]) Poll(ctx context.Context, client *Client, wait time.Duration,
+// LongPoll makes a call that its handler may hold open for wait; it ends after that and the client's Options.Call.
+func (c Call[Argument, Reply]) LongPoll(ctx context.Context, client *Client, wait time.Duration,
 	argument *Argument) (*Reply, error) {
-	return c.invoke(ctx, client, wait+client.options.Call, argument)
+	return c.invoke(ctx, client, wait+client.options.CallTimeout, argument)
 }
 
 // Send makes a call without waiting for its reply, which is dropped. It waits while Options.Window earlier ones are
--- a/internal/system/rpc/client.go
+++ b/internal/system/rpc/client.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Options are a client's. Fields that are 0 have the defaults.
-type Options struct {
-	Dial         time.Duration // bound on setting a connection up; default 1 s
-	Call         time.Duration // bound on a call whose context has no nearer end; default 3 s
-	UserTimeout  time.Duration // after which sent bytes without acknowledgement end the connection; default 3 s
-	Retry        time.Duration // pause after a failed dial, doubled up to 8 times this; default 100 ms
-	Window       int           // calls of Send that may be unanswered at once; default 16
-	MessageBytes int64         // bound on a reply; default 64 MiB
+// ClientOptions are a client's. Fields that are 0 have the defaults.
+type ClientOptions struct {
+	DialTimeout     time.Duration // bound on setting a connection up; default 1 s
+	CallTimeout     time.Duration // bound on a call whose context has no nearer end; default 3 s
+	TCPUserTimeout  time.Duration // after which sent bytes without acknowledgement end the connection; default 3 s
+	DialBackoff     time.Duration // pause after a failed dial, doubled up to 8 times this; default 100 ms
+	MaxPendingSends int           // calls of Send that may be unanswered at once; default 16
+	MaxReplyBytes   int64         // bound on a reply; default 64 MiB
 }
 
 const (
@@ -30,13 +30,13 @@
 	mostRetries         = 8 // longest pause between dials, in Options.Retry
 )
 
-func (o *Options) complete() {
-	defaultTo(&o.Dial, defaultDial)
-	defaultTo(&o.Call, defaultCall)
-	defaultTo(&o.UserTimeout, defaultUserTimeout)
-	defaultTo(&o.Retry, defaultRetry)
-	defaultTo(&o.Window, defaultWindow)
-	defaultTo(&o.MessageBytes, defaultMessageBytes)
+func (o *ClientOptions) complete() {
+	defaultTo(&o.DialTimeout, defaultDial)
+	defaultTo(&o.CallTimeout, defaultCall)
+	defaultTo(&o.TCPUserTimeout, defaultUserTimeout)
+	defaultTo(&o.DialBackoff, defaultRetry)
+	defaultTo(&o.MaxPendingSends, defaultWindow)
+	defaultTo(&o.MaxReplyBytes, defaultMessageBytes)
 }
 
 func defaultTo[T comparable](field *T, value T) {
@@ -49,7 +49,7 @@
 // Client calls one process over one connection, which it sets up when it is needed. It is safe for concurrent use.
 type Client struct {
 	address netip.AddrPort
-	options Options
+	options ClientOptions
 	ended   context.Context
 	end     context.CancelFunc
 	open    func(ctx context.Context) (net.Conn, error) // a connection to the process
@@ -80,7 +80,7 @@
 }
 
 // NewClient returns a client of the process at the address. It dials with the first call.
-func NewClient(address netip.AddrPort, options Options) *Client {
+func NewClient(address netip.AddrPort, options ClientOptions) *Client {
 	options.complete()
 	ended, end := context.WithCancel(context.Background())
 	c := &Client{address: address, options: options, ended: ended, end: end}
@@ -90,7 +90,7 @@
 
 // openSocket opens a TCP connection.
 func (c *Client) openSocket(ctx context.Context) (net.Conn, error) {
-	dialer := net.Dialer{Control: controlSocket(c.options.UserTimeout), KeepAliveConfig: keepAlive}
+	dialer := net.Dialer{Control: controlSocket(c.options.TCPUserTimeout), KeepAliveConfig: keepAlive}
 	return dialer.DialContext(ctx, "tcp4", c.address.String())
 }
 
@@ -132,7 +132,7 @@
 	if silent && errors.Is(cause, context.DeadlineExceeded) {
 		c.drop(conn)
 	}
-	return &BrokenError{c.address, name, cause}
+	return &NoReplyError{c.address, name, cause}
 }
 
 // outcome is the error of a finished call. Any other than the handler's own ends the connection.
@@ -145,12 +145,12 @@
 		return &RemoteError{c.address, call.ServiceMethod, call.Error.Error()}
 	}
 	c.drop(conn)
-	return &BrokenError{c.address, call.ServiceMethod, call.Error}
+	return &NoReplyError{c.address, call.ServiceMethod, call.Error}
 }
 
 // send makes a call whose answer nobody waits for.
 func (c *Client) send(ctx context.Context, name string, argument, reply any) error {
-	ctx, cancel := context.WithTimeout(ctx, c.options.Call)
+	ctx, cancel := context.WithTimeout(ctx, c.options.CallTimeout)
 	defer cancel()
 	conn, err := c.connect(ctx)
 	if err != nil {
@@ -160,11 +160,11 @@
 	case <-conn.sending:
 		defer func() { conn.sending <- struct{}{} }()
 	case <-ctx.Done():
-		return &BrokenError{c.address, name, ctx.Err()}
+		return &NoReplyError{c.address, name, ctx.Err()}
 	}
-	if err := conn.settle(ctx, c.options.Window); err != nil {
+	if err := conn.settle(ctx, c.options.MaxPendingSends); err != nil {
 		c.drop(conn)
-		return &BrokenError{c.address, name, err}
+		return &NoReplyError{c.address, name, err}
 	}
 	conn.waiting++
 	conn.rpc.Go(name, argument, reply, conn.answered)
@@ -262,7 +262,7 @@
 
 // dial makes an attempt and tells those who wait for it.
 func (c *Client) dial(attempt *dialing) {
-	ctx, cancel := context.WithTimeout(c.ended, c.options.Dial)
+	ctx, cancel := context.WithTimeout(c.ended, c.options.DialTimeout)
 	defer cancel()
 	socket, err := c.open(ctx)
 	c.mutex.Lock()
@@ -274,7 +274,7 @@
 		err = closedError{}
 	}
 	if err != nil {
-		c.pause = min(max(2*c.pause, c.options.Retry), mostRetries*c.options.Retry)
+		c.pause = min(max(2*c.pause, c.options.DialBackoff), mostRetries*c.options.DialBackoff)
 		c.retryAt = time.Now().Add(c.pause)
 		c.failure = err
 		attempt.err = err
@@ -285,10 +285,10 @@
 	attempt.connection = c.live
 }
 
-func newConnection(socket net.Conn, o *Options) *connection {
+func newConnection(socket net.Conn, o *ClientOptions) *connection {
 	codec := newClientCodec(socket, o)
 	conn := &connection{socket: socket, codec: codec, rpc: netrpc.NewClientWithCodec(codec),
-		sending: make(chan struct{}, 1), answered: make(chan *netrpc.Call, o.Window)}
+		sending: make(chan struct{}, 1), answered: make(chan *netrpc.Call, o.MaxPendingSends)}
 	conn.sending <- struct{}{}
 	return conn
 }
--- a/internal/system/rpc/codec.go
+++ b/internal/system/rpc/codec.go
@@ -30,7 +30,7 @@
 // Read reads what the bound leaves.
 func (b *bounded) Read(p []byte) (int, error) {
 	if b.left <= 0 {
-		return 0, &TooLargeError{b.limit}
+		return 0, &MessageTooLargeError{b.limit}
 	}
 	n, err := b.source.Read(p[:min(int64(len(p)), b.left)])
 	b.left -= int64(n)
@@ -94,8 +94,8 @@
 	ended  atomic.Bool   // nothing comes any more
 }
 
-func newClientCodec(socket net.Conn, o *Options) *clientCodec {
-	return &clientCodec{stream: newStream(socket, o.MessageBytes, o.UserTimeout)}
+func newClientCodec(socket net.Conn, o *ClientOptions) *clientCodec {
+	return &clientCodec{stream: newStream(socket, o.MaxReplyBytes, o.TCPUserTimeout)}
 }
 
 // WriteRequest sends a call; net/rpc calls it for one call at a time.
--- a/internal/system/rpc/errors.go
+++ b/internal/system/rpc/errors.go
@@ -20,39 +20,39 @@
 // Unwrap is the cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// BrokenError says that a call got no answer: it may have been carried out or not.
-type BrokenError struct {
+// NoReplyError says that a call got no answer: it may have been carried out or not.
+type NoReplyError struct {
 	Address netip.AddrPort
 	Call    string
 	Cause   error
 }
 
 // Error says what happened.
-func (e *BrokenError) Error() string {
+func (e *NoReplyError) Error() string {
 	return fmt.Sprintf("rpc: %s at %v got no answer: %v", e.Call, e.Address, e.Cause)
 }
 
 // Unwrap is the cause; it is the context's error where the call ran out of time.
-func (e *BrokenError) Unwrap() error { return e.Cause }
+func (e *NoReplyError) Unwrap() error { return e.Cause }
 
 // RemoteError is the error that a handler returned, or the server for it.
 type RemoteError struct {
 	Address netip.AddrPort
 	Call    string
-	Text    string
+	Message string
 }
 
 // Error says what the handler said.
 func (e *RemoteError) Error() string {
-	return fmt.Sprintf("rpc: %s at %v: %s", e.Call, e.Address, e.Text)
+	return fmt.Sprintf("rpc: %s at %v: %s", e.Call, e.Address, e.Message)
 }
 
-// TooLargeError says that a message exceeds the bound of its receiver, which ends the connection.
-type TooLargeError struct{ Bytes int64 }
+// MessageTooLargeError says that a message exceeds the bound of its receiver, which ends the connection.
+type MessageTooLargeError struct{ Limit int64 }
 
 // Error says what happened.
-func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("rpc: a message of more than %d bytes came", e.Bytes)
+func (e *MessageTooLargeError) Error() string {
+	return fmt.Sprintf("rpc: a message of more than %d bytes came", e.Limit)
 }
 
 // closedError says that the client was closed.
--- a/internal/system/rpc/model_test.go
+++ b/internal/system/rpc/model_test.go
@@ -278,9 +278,9 @@
 func (m *callModel) make(ctx context.Context, client *Client, request *EchoRequest, span time.Duration) (*EchoReply, error) {
 	switch m.draw(3) {
 	case 0:
-		return echoCall.Poll(ctx, client, span, request)
+		return echoCall.LongPoll(ctx, client, span, request)
 	case 1:
-		patience := Patience{First: span / 2, Between: span / 4, Most: span}
+		patience := ReceiveTimeouts{FirstByte: span / 2, Idle: span / 4, Total: span}
 		return echoCall.InvokeWhileReceiving(ctx, client, patience, request)
 	}
 	return echoCall.Invoke(ctx, client, request)
@@ -289,7 +289,7 @@
 func (m *callModel) check(text string, reply *EchoReply, err error) {
 	var remote *RemoteError
 	var unreachable *UnreachableError
-	var lost *BrokenError
+	var lost *NoReplyError
 	outcome := "other"
 	switch {
 	case err == nil:
@@ -299,8 +299,8 @@
 		}
 	case errors.As(err, &remote):
 		outcome = "refused"
-		if remote.Text != "refused "+text {
-			m.breaks("%s fails by %q", text, remote.Text)
+		if remote.Message != "refused "+text {
+			m.breaks("%s fails by %q", text, remote.Message)
 		}
 	case errors.As(err, &unreachable):
 		outcome = "unsent"
@@ -338,10 +338,10 @@
 func (m *callModel) play() {
 	registry := NewRegistry()
 	echoCall.Handle(registry, m.handle)
-	limits := Limits{}
+	limits := ServerLimits{}
 	limits.complete()
 	s := &server{registry: registry, limits: limits, open: make(map[*serverCodec]struct{})}
-	client := NewClient(netip.AddrPort{}, Options{Retry: 10 * time.Millisecond})
+	client := NewClient(netip.AddrPort{}, ClientOptions{DialBackoff: 10 * time.Millisecond})
 	client.open = func(ctx context.Context) (net.Conn, error) { return m.open(ctx, s) }
 	var callers sync.WaitGroup
 	for caller := range modelCallers {
--- a/internal/system/rpc/patience_test.go
+++ b/internal/system/rpc/patience_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestAnswerThatGoesOnIsNotGivenUp(t *testing.T) {
-	patience := Patience{First: time.Second, Between: 200 * time.Millisecond, Most: time.Minute}
+	patience := ReceiveTimeouts{FirstByte: time.Second, Idle: 200 * time.Millisecond, Total: time.Minute}
 	const ms = time.Millisecond
 	p := newProgress(&patience, 0, 500)
 	steps := []struct {
@@ -39,13 +39,13 @@
 // TestProgress draws when bytes come, and checks that a call ends neither soon after some came nor long after the last.
 func TestProgress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		patience := Patience{
-			First:   time.Duration(rapid.IntRange(1, 50).Draw(t, "first")),
-			Between: time.Duration(rapid.IntRange(1, 50).Draw(t, "between")),
+		patience := ReceiveTimeouts{
+			FirstByte: time.Duration(rapid.IntRange(1, 50).Draw(t, "first")),
+			Idle:      time.Duration(rapid.IntRange(1, 50).Draw(t, "between")),
 		}
 		times := rapid.SliceOfN(rapid.IntRange(1, 300), 0, 20).Draw(t, "times of bytes")
 		p := newProgress(&patience, 0, 0)
-		now, wait := time.Duration(0), patience.First
+		now, wait := time.Duration(0), patience.FirstByte
 		for wait > 0 {
 			now += wait
 			received := 0
@@ -63,11 +63,11 @@
 			}
 		}
 		switch {
-		case !any && now != patience.First:
+		case !any && now != patience.FirstByte:
 			t.Fatalf("it ends at %d though nothing came", now)
-		case any && now-last < patience.Between:
+		case any && now-last < patience.Idle:
 			t.Fatalf("it ends at %d, only %d after bytes came", now, now-last)
-		case any && now > max(last+2*patience.Between, patience.First+patience.Between):
+		case any && now > max(last+2*patience.Idle, patience.FirstByte+patience.Idle):
 			t.Fatalf("it ends at %d, the last bytes came at %d", now, last)
 		}
 	})
@@ -111,12 +111,12 @@
 	text := strings.Repeat("x", 10000)
 	next := make(chan int, 1)
 	defer close(next)
-	c := newTestClient(t, serveSlowly(t, text, next), Options{})
-	patience := Patience{First: time.Second, Between: longBound, Most: longBound} // long enough for a busy machine
+	c := newTestClient(t, serveSlowly(t, text, next), ClientOptions{})
+	patience := ReceiveTimeouts{FirstByte: time.Second, Idle: longBound, Total: longBound} // long enough for a busy machine
 	next <- 100
 	began := time.Now()
 	go func() {
-		waitFor(t, "the time for the first bytes", func() bool { return time.Since(began) > 3*patience.First })
+		waitFor(t, "the time for the first bytes", func() bool { return time.Since(began) > 3*patience.FirstByte })
 		next <- len(text) + 1000
 	}()
 	reply, err := echoCall.InvokeWhileReceiving(context.Background(), c, patience, &EchoRequest{})
@@ -130,11 +130,11 @@
 		t.Run(name, func(t *testing.T) {
 			next := make(chan int, 1)
 			defer close(next)
-			c := newTestClient(t, serveSlowly(t, "text of some length", next), Options{})
-			patience := Patience{First: 50 * time.Millisecond, Between: 50 * time.Millisecond, Most: longBound}
+			c := newTestClient(t, serveSlowly(t, "text of some length", next), ClientOptions{})
+			patience := ReceiveTimeouts{FirstByte: 50 * time.Millisecond, Idle: 50 * time.Millisecond, Total: longBound}
 			next <- first
 			_, err := echoCall.InvokeWhileReceiving(context.Background(), c, patience, &EchoRequest{})
-			var broken *BrokenError
+			var broken *NoReplyError
 			if !errors.As(err, &broken) || !errors.Is(err, context.DeadlineExceeded) {
 				t.Fatal(err)
 			}
@@ -148,8 +148,8 @@
 func TestAnswerHasToEndSomeTime(t *testing.T) {
 	next := make(chan int, 1)
 	defer close(next)
-	c := newTestClient(t, serveSlowly(t, "text", next), Options{})
-	patience := Patience{First: longBound, Between: longBound, Most: 50 * time.Millisecond}
+	c := newTestClient(t, serveSlowly(t, "text", next), ClientOptions{})
+	patience := ReceiveTimeouts{FirstByte: longBound, Idle: longBound, Total: 50 * time.Millisecond}
 	_, err := echoCall.InvokeWhileReceiving(context.Background(), c, patience, &EchoRequest{})
 	if !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatal(err)
--- a/internal/system/rpc/rpc_test.go
+++ b/internal/system/rpc/rpc_test.go
@@ -33,7 +33,7 @@
 	stop    func()
 }
 
-func newEchoServer(t *testing.T, address string, limits Limits) *echoServer {
+func newEchoServer(t *testing.T, address string, limits ServerLimits) *echoServer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -72,10 +72,10 @@
 	return &EchoReply{Text: request.Text}, nil
 }
 
-func newTestClient(t *testing.T, address netip.AddrPort, options Options) *Client {
+func newTestClient(t *testing.T, address netip.AddrPort, options ClientOptions) *Client {
 	t.Helper()
-	if options.Call == 0 {
-		options.Call = longBound
+	if options.CallTimeout == 0 {
+		options.CallTimeout = longBound
 	}
 	c := NewClient(address, options)
 	t.Cleanup(c.Close)
@@ -96,8 +96,8 @@
 }
 
 func TestInvoke(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", Limits{})
-	c := newTestClient(t, s.address, Options{})
+	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
+	c := newTestClient(t, s.address, ClientOptions{})
 	for _, text := range []string{"a", "", "b"} {
 		reply, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: text})
 		if err != nil || reply.Text != text {
@@ -106,7 +106,7 @@
 	}
 	_, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: "fail"})
 	var remote *RemoteError
-	if !errors.As(err, &remote) || remote.Text != "failed as asked" {
+	if !errors.As(err, &remote) || remote.Message != "failed as asked" {
 		t.Fatal(err)
 	}
 	if _, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: "after"}); err != nil {
@@ -116,7 +116,7 @@
 
 // TestPlainClient has net/rpc's own client call: the wire is its wire.
 func TestPlainClient(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", Limits{})
+	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
 	c, err := netrpc.Dial("tcp", s.address.String())
 	if err != nil {
 		t.Fatal(err)
@@ -132,11 +132,11 @@
 }
 
 func TestCallsDoNotWaitForOneAnother(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", Limits{})
-	c := newTestClient(t, s.address, Options{})
+	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
+	c := newTestClient(t, s.address, ClientOptions{})
 	held := make(chan error, 1)
 	go func() {
-		_, err := echoCall.Poll(context.Background(), c, longBound, &EchoRequest{Text: "held", Wait: true})
+		_, err := echoCall.LongPoll(context.Background(), c, longBound, &EchoRequest{Text: "held", Wait: true})
 		held <- err
 	}()
 	waitFor(t, "the first call", func() bool { return s.calls.Load() == 1 })
@@ -150,12 +150,12 @@
 }
 
 func TestCallEndsByItsDeadlineAndRedials(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", Limits{})
-	c := newTestClient(t, s.address, Options{})
+	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
+	c := newTestClient(t, s.address, ClientOptions{})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
 	_, err := echoCall.Invoke(ctx, c, &EchoRequest{Wait: true})
-	var broken *BrokenError
+	var broken *NoReplyError
 	if !errors.As(err, &broken) || !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatal(err)
 	}
@@ -177,7 +177,7 @@
 	}
 	address := netip.MustParseAddrPort(listener.Addr().String())
 	listener.Close()
-	c := newTestClient(t, address, Options{Retry: time.Millisecond})
+	c := newTestClient(t, address, ClientOptions{DialBackoff: time.Millisecond})
 	var unreachable *UnreachableError
 	if _, err := echoCall.Invoke(context.Background(), c, &EchoRequest{}); !errors.As(err, &unreachable) {
 		t.Fatal(err)
@@ -188,8 +188,8 @@
 }
 
 func TestServerRestarts(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", Limits{})
-	c := newTestClient(t, s.address, Options{Retry: time.Millisecond})
+	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
+	c := newTestClient(t, s.address, ClientOptions{DialBackoff: time.Millisecond})
 	if _, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: "a"}); err != nil {
 		t.Fatal(err)
 	}
@@ -197,7 +197,7 @@
 	if _, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: "a"}); err == nil {
 		t.Fatal("a stopped server answered")
 	}
-	newEchoServer(t, s.address.String(), Limits{})
+	newEchoServer(t, s.address.String(), ServerLimits{})
 	waitFor(t, "an answer of the new server", func() bool {
 		_, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: "a"})
 		return err == nil
@@ -205,8 +205,8 @@
 }
 
 func TestSendIsBoundedByItsWindow(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", Limits{})
-	c := newTestClient(t, s.address, Options{Window: 3})
+	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
+	c := newTestClient(t, s.address, ClientOptions{MaxPendingSends: 3})
 	for range 3 {
 		if err := echoCall.Send(context.Background(), c, &EchoRequest{Wait: true}); err != nil {
 			t.Fatal(err)
@@ -227,8 +227,8 @@
 }
 
 func TestCallsOfAConnectionAreBounded(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", Limits{Calls: 2})
-	c := newTestClient(t, s.address, Options{})
+	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{MaxCallsPerConnection: 2})
+	c := newTestClient(t, s.address, ClientOptions{})
 	var all sync.WaitGroup
 	for range 5 {
 		all.Add(1)
@@ -245,9 +245,9 @@
 }
 
 func TestLargeRequestEndsItsConnection(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", Limits{RequestBytes: 64 << 10})
-	c := newTestClient(t, s.address, Options{})
-	var broken *BrokenError
+	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{MaxRequestBytes: 64 << 10})
+	c := newTestClient(t, s.address, ClientOptions{})
+	var broken *NoReplyError
 	_, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: string(make([]byte, 1<<20))})
 	if !errors.As(err, &broken) || s.calls.Load() != 0 {
 		t.Fatal(err, s.calls.Load())
@@ -261,9 +261,9 @@
 }
 
 func TestConnectionsAreBounded(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", Limits{Connections: 1})
-	first := newTestClient(t, s.address, Options{})
-	second := newTestClient(t, s.address, Options{Retry: time.Millisecond})
+	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{MaxConnections: 1})
+	first := newTestClient(t, s.address, ClientOptions{})
+	second := newTestClient(t, s.address, ClientOptions{DialBackoff: time.Millisecond})
 	if _, err := echoCall.Invoke(context.Background(), first, &EchoRequest{}); err != nil {
 		t.Fatal(err)
 	}
@@ -279,7 +279,7 @@
 
 // TestReaderThatStops reads nothing: its connection ends, and others are served meanwhile.
 func TestReaderThatStops(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", Limits{Write: 50 * time.Millisecond})
+	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{WriteTimeout: 50 * time.Millisecond})
 	socket, err := net.Dial("tcp4", s.address.String())
 	if err != nil {
 		t.Fatal(err)
@@ -296,7 +296,7 @@
 			}
 		}
 	}()
-	c := newTestClient(t, s.address, Options{})
+	c := newTestClient(t, s.address, ClientOptions{})
 	if _, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: "a"}); err != nil {
 		t.Fatal(err)
 	}
@@ -304,8 +304,8 @@
 }
 
 func TestClose(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", Limits{})
-	c := newTestClient(t, s.address, Options{})
+	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
+	c := newTestClient(t, s.address, ClientOptions{})
 	held := make(chan error, 1)
 	go func() {
 		_, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Wait: true})
@@ -332,8 +332,8 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go Serve(ctx, listener, registry, Limits{})
-	c := NewClient(netip.MustParseAddrPort(listener.Addr().String()), Options{})
+	go Serve(ctx, listener, registry, ServerLimits{})
+	c := NewClient(netip.MustParseAddrPort(listener.Addr().String()), ClientOptions{})
 	defer c.Close()
 	request := EchoRequest{Text: string(make([]byte, 200))}
 	b.ReportAllocs()
--- a/internal/system/rpc/server.go
+++ b/internal/system/rpc/server.go
@@ -14,12 +14,12 @@
 	"cinderroad/internal/system/retry"
 )
 
-// Limits bound what a server takes. Fields that are 0 have the defaults.
-type Limits struct {
-	Connections  int           // at once; more are closed as they come; default 256
-	Calls        int           // unanswered at once on a connection; more wait unread; default 32
-	RequestBytes int64         // default 64 MiB
-	Write        time.Duration // after which a caller that does not read loses its connection; default 3 s
+// ServerLimits bound what a server takes. Fields that are 0 have the defaults.
+type ServerLimits struct {
+	MaxConnections        int           // at once; more are closed as they come; default 256
+	MaxCallsPerConnection int           // unanswered at once on a connection; more wait unread; default 32
+	MaxRequestBytes       int64         // default 64 MiB
+	WriteTimeout          time.Duration // after which a caller that does not read loses its connection; default 3 s
 }
 
 const (
@@ -33,11 +33,11 @@
 // keepAlive has a connection on which nothing is sent end a few seconds after its peer went silent.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 3 * time.Second, Interval: time.Second, Count: 3}
 
-func (l *Limits) complete() {
-	defaultTo(&l.Connections, defaultConnections)
-	defaultTo(&l.Calls, defaultCalls)
-	defaultTo(&l.RequestBytes, defaultRequestBytes)
-	defaultTo(&l.Write, defaultWrite)
+func (l *ServerLimits) complete() {
+	defaultTo(&l.MaxConnections, defaultConnections)
+	defaultTo(&l.MaxCallsPerConnection, defaultCalls)
+	defaultTo(&l.MaxRequestBytes, defaultRequestBytes)
+	defaultTo(&l.WriteTimeout, defaultWrite)
 }
 
 // Registry holds the handlers of a server.
@@ -62,14 +62,14 @@
 // server is one listener's connections.
 type server struct {
 	registry *Registry
-	limits   Limits
+	limits   ServerLimits
 	mutex    sync.Mutex
 	open     map[*serverCodec]struct{}
 }
 
 // Serve answers calls that come to the listener until it is closed or the context ends, which also ends the contexts of
 // all handlers of the registry, and returns once all connections are closed. It returns nil then.
-func Serve(ctx context.Context, listener net.Listener, registry *Registry, limits Limits) error {
+func Serve(ctx context.Context, listener net.Listener, registry *Registry, limits ServerLimits) error {
 	limits.complete()
 	s := &server{registry: registry, limits: limits, open: make(map[*serverCodec]struct{})}
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
@@ -88,7 +88,7 @@
 		case !mayPass(err):
 			return err
 		default:
-			retry.Pause(ctx, acceptPause)
+			retry.Sleep(ctx, acceptPause)
 		}
 	}
 }
@@ -104,11 +104,11 @@
 
 // admit serves a connection, or closes it where there are too many.
 func (s *server) admit(socket net.Conn) {
-	codec := &serverCodec{stream: newStream(socket, s.limits.RequestBytes, s.limits.Write),
-		places: make(chan struct{}, s.limits.Calls)}
+	codec := &serverCodec{stream: newStream(socket, s.limits.MaxRequestBytes, s.limits.WriteTimeout),
+		places: make(chan struct{}, s.limits.MaxCallsPerConnection)}
 	codec.closed = func() { s.forget(codec) }
 	s.mutex.Lock()
-	full := len(s.open) >= s.limits.Connections
+	full := len(s.open) >= s.limits.MaxConnections
 	if !full {
 		s.open[codec] = struct{}{}
 	}
@@ -117,7 +117,7 @@
 		socket.Close()
 		return
 	}
-	tune(socket, s.limits.Write)
+	tune(socket, s.limits.WriteTimeout)
 	go s.registry.server.ServeCodec(codec)
 }
 
--- a/internal/system/storage/file.go
+++ b/internal/system/storage/file.go
@@ -151,7 +151,7 @@
 	return f.run(insertMeta, int64(schemaVersion), int64(replica))
 }
 
-func (f *file) writeAll(writes []Write) error {
+func (f *file) writeAll(writes []Update) error {
 	for i := range writes {
 		if err := f.write(&writes[i]); err != nil {
 			return err
@@ -160,24 +160,24 @@
 	return nil
 }
 
-func (f *file) write(w *Write) error {
-	if w.Snapshot != nil {
-		if err := f.install(w.Partition, w.Snapshot); err != nil {
+func (f *file) write(w *Update) error {
+	if w.InstalledSnapshot != nil {
+		if err := f.install(w.Partition, w.InstalledSnapshot); err != nil {
 			return err
 		}
 	}
-	if w.Hard != nil {
-		if err := f.putHard(w.Partition, w.Hard); err != nil {
+	if w.HardState != nil {
+		if err := f.putHard(w.Partition, w.HardState); err != nil {
 			return err
 		}
 	}
-	if err := f.append(w.Partition, w.Entries, w.Committed); err != nil {
+	if err := f.append(w.Partition, w.Entries, w.CommitIndex); err != nil {
 		return err
 	}
-	if w.Compacted == nil {
+	if w.CompactionSnapshot == nil {
 		return nil
 	}
-	return f.compact(w.Partition, w.Compacted)
+	return f.compact(w.Partition, w.CompactionSnapshot)
 }
 
 // install replaces snapshot and log.
--- a/internal/system/storage/powerloss_test.go
+++ b/internal/system/storage/powerloss_test.go
@@ -78,7 +78,7 @@
 func newLossWorld(t testing.TB, seed uint64) *lossWorld {
 	w := &lossWorld{t: t, random: rand.New(rand.NewPCG(seed, 5))}
 	w.start(t.TempDir())
-	if err := w.store.Establish(lossReplica); err != nil {
+	if err := w.store.Initialize(lossReplica); err != nil {
 		t.Fatal(err)
 	}
 	w.durable = readImage(t, w.folder)
@@ -146,25 +146,25 @@
 }
 
 // change draws a write and what the store holds after it.
-func (w *lossWorld) change() (Write, consensus.PersistentState) {
+func (w *lossWorld) change() (Update, consensus.PersistentState) {
 	next := w.model
 	last := next.Snapshot.Index + uint64(len(next.Entries))
-	write := Write{Partition: 1}
+	write := Update{Partition: 1}
 	if w.random.IntN(3) == 0 {
 		hard := consensus.HardState{Term: next.HardState.Term + 1, Vote: consensus.ReplicaID(w.random.Uint64())}
-		write.Hard, next.HardState = &hard, hard
+		write.HardState, next.HardState = &hard, hard
 	}
 	switch {
 	case w.random.IntN(6) == 0 && len(next.Entries) > 1:
 		cut := 1 + w.random.IntN(len(next.Entries)-1)
 		at := next.Entries[cut-1]
-		write.Compacted = &consensus.Snapshot{Index: at.Index, Term: at.Term, Membership: membership(1),
+		write.CompactionSnapshot = &consensus.Snapshot{Index: at.Index, Term: at.Term, Membership: membership(1),
 			Data: w.data(w.random.IntN(2) == 0)}
-		next.Snapshot, next.Entries = *write.Compacted, next.Entries[cut:]
+		next.Snapshot, next.Entries = *write.CompactionSnapshot, next.Entries[cut:]
 	case w.random.IntN(10) == 0:
-		write.Snapshot = &consensus.Snapshot{Index: last + 5, Term: next.HardState.Term + 1, Membership: membership(1, 2),
+		write.InstalledSnapshot = &consensus.Snapshot{Index: last + 5, Term: next.HardState.Term + 1, Membership: membership(1, 2),
 			Data: w.data(w.random.IntN(2) == 0)}
-		next.Snapshot, next.Entries = *write.Snapshot, nil
+		next.Snapshot, next.Entries = *write.InstalledSnapshot, nil
 	default:
 		keep := len(next.Entries) - min(w.random.IntN(3), len(next.Entries))
 		from := next.Snapshot.Index + uint64(keep) + 1
@@ -315,14 +315,14 @@
 func TestMovedAsideTorn(t *testing.T) {
 	folder := t.TempDir()
 	s := open(t, folder)
-	if err := s.Establish(lossReplica); err != nil {
+	if err := s.Initialize(lossReplica); err != nil {
 		t.Fatal(err)
 	}
 	voted := consensus.PersistentState{HardState: consensus.HardState{Term: 4, Vote: 9}}
 	for range 2 { // the identity is in the file, the vote in the log alone
-		write(t, s, Write{Partition: 2, Entries: []consensus.Entry{{Index: 1, Term: 1, Data: make([]byte, 2<<20)}}})
+		write(t, s, Update{Partition: 2, Entries: []consensus.Entry{{Index: 1, Term: 1, Data: make([]byte, 2<<20)}}})
 	}
-	write(t, s, Write{Partition: 1, Hard: &voted.HardState})
+	write(t, s, Update{Partition: 1, HardState: &voted.HardState})
 	killed := readImage(t, folder)
 	aside := killed.folder(t)
 	synced := []diskImage{killed}
@@ -341,7 +341,7 @@
 			}
 			if _, existed := s.Identity(); existed {
 				expect(t, load(t, s, 1), voted)
-			} else if !s.Succeeds() {
+			} else if !s.HasPredecessor() {
 				t.Errorf("the folder counts as one that has had no replica: %d files", len(left))
 			}
 			s.Close()
@@ -379,14 +379,14 @@
 func TestFileLost(t *testing.T) {
 	folder := t.TempDir()
 	s := open(t, folder)
-	if err := s.Establish(lossReplica); err != nil {
+	if err := s.Initialize(lossReplica); err != nil {
 		t.Fatal(err)
 	}
 	image := readImage(t, folder)
 	delete(image, "")
 	s = open(t, image.folder(t))
-	if id, existed := s.Identity(); existed || !s.Succeeds() {
-		t.Errorf("replica %d, %v; succeeds another: %v", id, existed, s.Succeeds())
+	if id, existed := s.Identity(); existed || !s.HasPredecessor() {
+		t.Errorf("replica %d, %v; succeeds another: %v", id, existed, s.HasPredecessor())
 	}
 	if _, found, err := s.Load(1); found || err != nil {
 		t.Error(found, err)
@@ -398,7 +398,7 @@
 	folder := t.TempDir()
 	for range 2 {
 		s := open(t, folder)
-		write(t, s, Write{Partition: 1, Entries: entries(1, 1, 2)})
+		write(t, s, Update{Partition: 1, Entries: entries(1, 1, 2)})
 		if found, err := exists(filepath.Join(folder, fileName+"-shm")); found || err != nil {
 			t.Error("there is a file in shared memory", err)
 		}
--- a/internal/system/storage/storage.go
+++ b/internal/system/storage/storage.go
@@ -15,14 +15,14 @@
 // queueLength is how many writes may wait for the writer without holding their callers' sends up.
 const queueLength = 64
 
-// Write is what one partition's replica wants kept. It is carried out in the order of the fields.
-type Write struct {
-	Partition feed.Partition
-	Snapshot  *consensus.Snapshot  // replaces the snapshot and the whole log
-	Hard      *consensus.HardState // nil: as it was
-	Entries   []consensus.Entry    // contiguous; they replace whatever stands at their indexes and beyond
-	Committed uint64               // commit index to keep with the entries; Hard's is kept with Hard
-	Compacted *consensus.Snapshot  // replaces the snapshot and cuts the log up to its index
+// Update is what one partition's replica wants kept. It is carried out in the order of the fields.
+type Update struct {
+	Partition          feed.Partition
+	InstalledSnapshot  *consensus.Snapshot  // replaces the snapshot and the whole log
+	HardState          *consensus.HardState // nil: as it was
+	Entries            []consensus.Entry    // contiguous; they replace whatever stands at their indexes and beyond
+	CommitIndex        uint64               // commit index to keep with the entries; Hard's is kept with Hard
+	CompactionSnapshot *consensus.Snapshot  // replaces the snapshot and cuts the log up to its index
 }
 
 // Store is an open state folder.
@@ -109,12 +109,12 @@
 // Identity is the replica that the folder belongs to; false: to none yet (see Establish).
 func (s *Store) Identity() (consensus.ReplicaID, bool) { return s.replica, s.existed }
 
-// Succeeds tells whether the folder has held another replica's file, which was lost or moved aside.
-func (s *Store) Succeeds() bool { return s.succeeds }
+// HasPredecessor tells whether the folder has held another replica's file, which was lost or moved aside.
+func (s *Store) HasPredecessor() bool { return s.succeeds }
 
-// Establish makes the empty folder that of the replica, with first writes, all in one transaction. It is not to be
+// Initialize makes the empty folder that of the replica, with first writes, all in one transaction. It is not to be
 // called concurrently with Identity.
-func (s *Store) Establish(replica consensus.ReplicaID, writes ...Write) error {
+func (s *Store) Initialize(replica consensus.ReplicaID, writes ...Update) error {
 	err := s.do("establish a replica", func(f *file) error {
 		if err := f.insertIdentity(replica); err != nil {
 			return err
@@ -137,13 +137,13 @@
 }
 
 // Write has all of the writes on the disk, or none, when it returns. Writes of concurrent calls share a sync.
-func (s *Store) Write(writes ...Write) error {
+func (s *Store) Write(writes ...Update) error {
 	return s.do("write", func(f *file) error { return f.writeAll(writes) })
 }
 
 // Compact replaces a partition's snapshot and cuts its log up to the snapshot's index; entries beyond stay.
 func (s *Store) Compact(partition feed.Partition, snapshot *consensus.Snapshot) error {
-	return s.Write(Write{Partition: partition, Compacted: snapshot})
+	return s.Write(Update{Partition: partition, CompactionSnapshot: snapshot})
 }
 
 // Close writes what is queued and closes the file.
--- a/internal/system/storage/storage_test.go
+++ b/internal/system/storage/storage_test.go
@@ -35,7 +35,7 @@
 	return all
 }
 
-func write(t testing.TB, s *Store, writes ...Write) {
+func write(t testing.TB, s *Store, writes ...Update) {
 	t.Helper()
 	if err := s.Write(writes...); err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 	}
 	const replica = consensus.ReplicaID(1<<63 + 5)
 	founding := consensus.Snapshot{Membership: membership(replica, 7)}
-	if err := s.Establish(replica, Write{Partition: 2, Snapshot: &founding}); err != nil {
+	if err := s.Initialize(replica, Update{Partition: 2, InstalledSnapshot: &founding}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -91,8 +91,8 @@
 	folder := t.TempDir()
 	s := open(t, folder)
 	hard := consensus.HardState{Term: 3, Vote: 1<<63 + 1, Commit: 1}
-	write(t, s, Write{Partition: 1, Hard: &hard, Entries: entries(3, 1, 4), Committed: 2},
-		Write{Partition: 2, Entries: entries(1, 1, 1)})
+	write(t, s, Update{Partition: 1, HardState: &hard, Entries: entries(3, 1, 4), CommitIndex: 2},
+		Update{Partition: 2, Entries: entries(1, 1, 1)})
 	s.Close()
 	s = open(t, folder)
 	hard.Commit = 2
@@ -105,7 +105,7 @@
 	folder := t.TempDir()
 	s := open(t, folder)
 	for i := uint64(1); i <= 50; i++ {
-		write(t, s, Write{Partition: 1, Entries: entries(1, i, i)})
+		write(t, s, Update{Partition: 1, Entries: entries(1, i, i)})
 		if i%10 != 0 {
 			continue
 		}
@@ -130,13 +130,13 @@
 func TestTornLog(t *testing.T) {
 	folder := t.TempDir()
 	s := open(t, folder)
-	write(t, s, Write{Partition: 1, Entries: entries(1, 1, 3)})
+	write(t, s, Update{Partition: 1, Entries: entries(1, 1, 3)})
 	log := filepath.Join(folder, fileName+"-wal")
 	synced, err := os.ReadFile(log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, s, Write{Partition: 1, Entries: entries(1, 4, 6)})
+	write(t, s, Update{Partition: 1, Entries: entries(1, 4, 6)})
 	later, err := os.ReadFile(log)
 	if err != nil {
 		t.Fatal(err)
@@ -163,9 +163,9 @@
 
 func TestOverwrite(t *testing.T) {
 	s := open(t, t.TempDir())
-	write(t, s, Write{Partition: 1, Entries: entries(1, 1, 9)}, Write{Partition: 2, Entries: entries(1, 1, 2)},
-		Write{Partition: 0, Entries: entries(1, 1, 2)})
-	write(t, s, Write{Partition: 1, Entries: entries(2, 5, 6)})
+	write(t, s, Update{Partition: 1, Entries: entries(1, 1, 9)}, Update{Partition: 2, Entries: entries(1, 1, 2)},
+		Update{Partition: 0, Entries: entries(1, 1, 2)})
+	write(t, s, Update{Partition: 1, Entries: entries(2, 5, 6)})
 	expect(t, load(t, s, 1), consensus.PersistentState{Entries: append(entries(1, 1, 4), entries(2, 5, 6)...)})
 	expect(t, load(t, s, 0), consensus.PersistentState{Entries: entries(1, 1, 2)})
 	expect(t, load(t, s, 2), consensus.PersistentState{Entries: entries(1, 1, 2)})
@@ -173,7 +173,7 @@
 
 func TestCompactAndInstall(t *testing.T) {
 	s := open(t, t.TempDir())
-	write(t, s, Write{Partition: 1, Entries: entries(1, 1, 9)})
+	write(t, s, Update{Partition: 1, Entries: entries(1, 1, 9)})
 	snapshot := consensus.Snapshot{Index: 6, Term: 1, Membership: membership(1), Data: []byte("six")}
 	if err := s.Compact(1, &snapshot); err != nil {
 		t.Fatal(err)
@@ -181,7 +181,7 @@
 	hard := consensus.HardState{Commit: 6}
 	expect(t, load(t, s, 1), consensus.PersistentState{HardState: hard, Snapshot: snapshot, Entries: entries(1, 7, 9)})
 	installed := consensus.Snapshot{Index: 20, Term: 2, Membership: membership(1, 2), Data: []byte("twenty")}
-	write(t, s, Write{Partition: 1, Snapshot: &installed, Entries: entries(2, 21, 22)})
+	write(t, s, Update{Partition: 1, InstalledSnapshot: &installed, Entries: entries(2, 21, 22)})
 	hard.Commit = 20
 	expect(t, load(t, s, 1), consensus.PersistentState{HardState: hard, Snapshot: installed, Entries: entries(2, 21, 22)})
 }
@@ -202,7 +202,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if err := s.Write(Write{Partition: feed.Partition(p), Entries: entries(1, 1, 1)}); err != nil {
+			if err := s.Write(Update{Partition: feed.Partition(p), Entries: entries(1, 1, 1)}); err != nil {
 				t.Error(err)
 			}
 		}()
@@ -216,7 +216,7 @@
 
 func TestFailedStepIsUndone(t *testing.T) {
 	s := open(t, t.TempDir())
-	write(t, s, Write{Partition: 1, Entries: entries(1, 1, 2)})
+	write(t, s, Update{Partition: 1, Entries: entries(1, 1, 2)})
 	broken := errors.New("broken")
 	for range 2 * reopenAfter {
 		err := s.do("fail", func(f *file) error {
@@ -235,7 +235,7 @@
 // TestFullDisk bounds the file's size, as a full disk does, and has it work again.
 func TestFullDisk(t *testing.T) {
 	s := open(t, t.TempDir())
-	write(t, s, Write{Partition: 1, Entries: entries(1, 1, 2)})
+	write(t, s, Update{Partition: 1, Entries: entries(1, 1, 2)})
 	bound := func(pages int) {
 		err := s.do("bound the file", func(f *file) error {
 			return f.query(fmt.Sprintf("PRAGMA max_page_count=%d", pages), func([]driver.Value) error { return nil })
@@ -246,20 +246,20 @@
 	}
 	bound(1)
 	large := consensus.Entry{Index: 3, Term: 1, Data: make([]byte, 1<<20)}
-	err := s.Write(Write{Partition: 1, Entries: []consensus.Entry{large}})
+	err := s.Write(Update{Partition: 1, Entries: []consensus.Entry{large}})
 	var disk *DiskError
 	if !errors.As(err, &disk) || !disk.Full {
 		t.Fatal(err)
 	}
 	expect(t, load(t, s, 1), consensus.PersistentState{Entries: entries(1, 1, 2)})
 	bound(1 << 20)
-	write(t, s, Write{Partition: 1, Entries: []consensus.Entry{large}})
+	write(t, s, Update{Partition: 1, Entries: []consensus.Entry{large}})
 }
 
 func TestCorruptFileIsMovedAside(t *testing.T) {
 	folder := t.TempDir()
 	s := open(t, folder)
-	if err := s.Establish(7); err != nil {
+	if err := s.Initialize(7); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -284,13 +284,13 @@
 	if err != nil || !slices.Equal(kept, spoilt) {
 		t.Error("the corrupt file was not kept", err)
 	}
-	write(t, s, Write{Partition: 1, Entries: entries(1, 1, 2)})
+	write(t, s, Update{Partition: 1, Entries: entries(1, 1, 2)})
 }
 
 func TestOneProcessOnly(t *testing.T) {
 	folder := t.TempDir()
 	s := open(t, folder)
-	write(t, s, Write{Partition: 1, Entries: entries(1, 1, 2)})
+	write(t, s, Update{Partition: 1, Entries: entries(1, 1, 2)})
 	_, err := Open(folder)
 	var inUse *InUseError
 	if !errors.As(err, &inUse) {
@@ -302,7 +302,7 @@
 	s := open(t, t.TempDir())
 	s.Close()
 	var closed *ClosedError
-	if err := s.Write(Write{}); !errors.As(err, &closed) {
+	if err := s.Write(Update{}); !errors.As(err, &closed) {
 		t.Fatal(err)
 	}
 }
@@ -334,21 +334,21 @@
 }
 
 // drawWrite draws a write that a replica might make and carries it out on the model.
-func drawWrite(t *rapid.T, model *consensus.PersistentState) (w Write) {
+func drawWrite(t *rapid.T, model *consensus.PersistentState) (w Update) {
 	last := model.Snapshot.Index + uint64(len(model.Entries))
 	term := model.HardState.Term + rapid.Uint64Range(0, 2).Draw(t, "term")
-	w.Hard = &consensus.HardState{Term: term, Vote: consensus.ReplicaID(rapid.Uint64().Draw(t, "vote"))}
+	w.HardState = &consensus.HardState{Term: term, Vote: consensus.ReplicaID(rapid.Uint64().Draw(t, "vote"))}
 	switch rapid.IntRange(0, 3).Draw(t, "kind") {
 	case 0:
 		last += rapid.Uint64Range(1, 9).Draw(t, "ahead")
-		w.Snapshot = &consensus.Snapshot{Index: last, Term: term, Membership: membership(1, 2), Data: []byte{1, 2}}
-		model.Snapshot, model.Entries = *w.Snapshot, nil
+		w.InstalledSnapshot = &consensus.Snapshot{Index: last, Term: term, Membership: membership(1, 2), Data: []byte{1, 2}}
+		model.Snapshot, model.Entries = *w.InstalledSnapshot, nil
 	case 1:
 		if len(model.Entries) > 0 {
 			cut := rapid.IntRange(1, len(model.Entries)).Draw(t, "cut")
 			at := model.Entries[cut-1]
-			w.Compacted = &consensus.Snapshot{Index: at.Index, Term: at.Term, Membership: membership(3), Data: []byte{3}}
-			model.Snapshot, model.Entries = *w.Compacted, model.Entries[cut:]
+			w.CompactionSnapshot = &consensus.Snapshot{Index: at.Index, Term: at.Term, Membership: membership(3), Data: []byte{3}}
+			model.Snapshot, model.Entries = *w.CompactionSnapshot, model.Entries[cut:]
 		}
 	default:
 		from := rapid.Uint64Range(model.Snapshot.Index+1, last+1).Draw(t, "from")
@@ -356,9 +356,9 @@
 		keep := from - model.Snapshot.Index - 1
 		model.Entries = append(slices.Clone(model.Entries[:keep]), w.Entries...)
 	}
-	model.HardState = *w.Hard
+	model.HardState = *w.HardState
 	model.HardState.Commit = model.Snapshot.Index
-	w.Hard.Commit = model.HardState.Commit
+	w.HardState.Commit = model.HardState.Commit
 	return w
 }
 
@@ -368,10 +368,10 @@
 	i := uint64(0)
 	for b.Loop() {
 		i++
-		write(b, s, Write{Partition: 1, Entries: []consensus.Entry{{Index: i, Term: 1, Data: data}}, Committed: i})
+		write(b, s, Update{Partition: 1, Entries: []consensus.Entry{{Index: i, Term: 1, Data: data}}, CommitIndex: i})
 		if i%1000 == 0 {
 			snapshot := consensus.Snapshot{Index: i, Term: 1, Membership: membership(1)}
-			write(b, s, Write{Partition: 1, Compacted: &snapshot})
+			write(b, s, Update{Partition: 1, CompactionSnapshot: &snapshot})
 		}
 	}
 }
