--- a/cmd/cinderroad-proxy/main.go
+++ b/cmd/cinderroad-proxy/main.go
@@ -90,9 +90,9 @@
 	if err != nil {
 		return nil, err
 	}
-	return proxy.New(loop, log, placer, proxy.Options{Front: settings.ListenOn.Front, Ready: settings.ListenOn.Ready,
-		Metrics: metrics, Node: settings.Node, Zone: settings.Zone, LinkBytesPerS: settings.Limits.LinkBytesPerSecond(),
-		Peers:       netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ProxyPort)),
+	return proxy.New(loop, log, placer, proxy.Options{FrontAddr: settings.ListenOn.Front, ReadyAddr: settings.ListenOn.Ready,
+		MetricsAddr: metrics, Node: settings.Node, Zone: settings.Zone, LinkBytesPerSecond: settings.Limits.LinkBytesPerSecond(),
+		NoticeAddr:  netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ProxyPort)),
 		MemoryBytes: settings.Limits.RAMMB << 20, GracePeriod: timing.GracePeriod, Seed: seed}), nil
 }
 
@@ -111,10 +111,10 @@
 		Agent:            settings.AgentFeedAddress(),
 		Node:             settings.Node,
 		RunnerPartitions: feed.RunnerPartitionCount,
-		Deliver:          func(u agentclient.Update) { loop.Post(func() { p.Take(u) }) },
-		Recall:           func(learnt []byte) { loop.Post(func() { p.Recall(learnt) }) },
+		Deliver:          func(u agentclient.Update) { loop.Post(func() { p.ApplyUpdate(u) }) },
+		Recall:           func(learnt []byte) { loop.Post(func() { p.RestoreSnapshot(learnt) }) },
 	})
-	p.Follow(link, settings.Zones)
+	p.FollowAgent(link, settings.Zones)
 	go link.Run(ctx)
 }
 
--- a/internal/system/proxy/ahead_test.go
+++ b/internal/system/proxy/ahead_test.go
@@ -7,27 +7,27 @@
 )
 
 // A request that its client sends ahead has waited when its turn comes: its runner is given what is left.
-func TestTimeLeftOfRequestSentAhead(t *testing.T) {
+func TestTimeLeftOfPipelinedRequest(t *testing.T) {
 	const work, left = 700 * time.Millisecond, 1000 * time.Millisecond
-	m := newModel(1)
+	m := newSimulation(1)
 	told := map[string]time.Duration{}
 	for _, r := range m.runners {
-		r.peer.accept = func(end *simulatedEnd) {
-			end.ended = func(bool) { end.close() }
-			end.data = func(b []byte) {
+		r.peer.accept = func(end *remoteEnd) {
+			end.onEnd = func(bool) { end.close() }
+			end.onData = func(b []byte) {
 				head := parseHead(string(b))
-				id := head.header.Get(fieldTryID)
-				ms, _ := strconv.Atoi(head.header.Get(fieldTimeLeft))
+				id := head.header.Get(headerTryID)
+				ms, _ := strconv.Atoi(head.header.Get(headerTimeLeft))
 				told[id] = time.Duration(ms) * time.Millisecond
-				m.network.after(work, func() { end.send(served(id, "x")) })
+				m.network.after(work, func() { end.send(successText(id, "x")) })
 			}
 		}
 	}
 	if err := m.proxy.Listen(); err != nil {
 		t.Fatal(err)
 	}
-	client := m.network.dial(modelFront, &simulatedPeer{latency: time.Millisecond})
-	client.data, client.ended = func([]byte) {}, func(bool) {}
+	client := m.network.dial(simulationFront, &simulatedPeer{latency: time.Millisecond})
+	client.onData, client.onEnd = func([]byte) {}, func(bool) {}
 	for _, id := range []string{"first", "second"} {
 		client.send("GET /reads/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: " + id + "\r\nX-Time-Left-Ms: 1000\r\n\r\n")
 	}
--- a/internal/system/proxy/chaos_test.go
+++ b/internal/system/proxy/chaos_test.go
@@ -13,36 +13,36 @@
 	"time"
 )
 
-// runs counts how often each request ran, by its id, and holds what must be true of that in the end.
-type runs struct {
+// executionLog counts how often each request ran, by its id, and holds what must be true of that in the end.
+type executionLog struct {
 	sync.Mutex
-	count    map[string]int
-	once     []string // that run at most once
-	promised []string // that never run
-	served   int
+	count      map[string]int
+	atMostOnce []string // that run at most once
+	rejected   []string // that never run
+	served     int
 }
 
-// settle checks what must be true in the end.
-func (r *runs) settle(t *testing.T) {
+// check checks what must be true in the end.
+func (r *executionLog) check(t *testing.T) {
 	r.Lock()
 	defer r.Unlock()
-	for _, id := range r.once {
+	for _, id := range r.atMostOnce {
 		if r.count[id] > 1 {
 			t.Errorf("%s ran %d times", id, r.count[id])
 		}
 	}
-	for _, id := range r.promised {
+	for _, id := range r.rejected {
 		if r.count[id] > 0 {
 			t.Errorf("%s was promised not to run and ran %d times", id, r.count[id])
 		}
 	}
-	if r.served == 0 || len(r.promised) == 0 {
-		t.Errorf("%d served, %d refused: nothing was shown", r.served, len(r.promised))
+	if r.served == 0 || len(r.rejected) == 0 {
+		t.Errorf("%d served, %d refused: nothing was shown", r.served, len(r.rejected))
 	}
-	t.Logf("%d served, %d refused", r.served, len(r.promised))
+	t.Logf("%d served, %d refused", r.served, len(r.rejected))
 }
 
-func (r *runs) add(id string) {
+func (r *executionLog) add(id string) {
 	r.Lock()
 	defer r.Unlock()
 	r.count[id]++
@@ -51,12 +51,12 @@
 // bodyOf is the only right body of a request.
 func bodyOf(id string) string { return strings.Repeat(id+"|", 40) }
 
-// misbehave serves a connection as a runner in all sorts of trouble does.
-func (r *runs) misbehave(conn net.Conn, random *rand.Rand) {
+// serveWithFaults serves a connection as a runner in all sorts of trouble does.
+func (r *executionLog) serveWithFaults(conn net.Conn, random *rand.Rand) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for previous := ""; ; {
-		_ = conn.SetDeadline(time.Now().Add(patience))
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
 		if random.IntN(40) == 0 { // gone in the midst of a request
 			_, _ = in.Peek(1 + random.IntN(100))
 			return
@@ -68,8 +68,8 @@
 		if _, err := io.Copy(io.Discard, q.Body); err != nil {
 			return
 		}
-		id := q.Header.Get(fieldTryID)
-		answer, keep := r.answer(id, previous, strings.HasPrefix(q.URL.Path, "/resumable/"), q.Header.Get(fieldLastEvent),
+		id := q.Header.Get(headerTryID)
+		answer, keep := r.drawResponse(id, previous, strings.HasPrefix(q.URL.Path, "/resumable/"), q.Header.Get(headerLastEventID),
 			random)
 		for len(answer) > 0 {
 			n := min(1+random.IntN(200), len(answer))
@@ -88,8 +88,8 @@
 	}
 }
 
-// answer draws what a runner does with a request that it has read.
-func (r *runs) answer(id, previous string, stream bool, last string, random *rand.Rand) (text string, keep bool) {
+// drawResponse draws what a runner does with a request that it has read.
+func (r *executionLog) drawResponse(id, previous string, stream bool, last string, random *rand.Rand) (text string, keep bool) {
 	switch random.IntN(24) {
 	case 0, 1:
 		return "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Try-Id: " + id + "\r\nContent-Length: 0\r\n\r\n", true
@@ -98,12 +98,12 @@
 	case 3:
 		return "HTTP/1.1 421 No\r\nX-Server-Id: x\r\nX-Try-Id: " + id + "\r\nContent-Length: 0\r\n\r\n", true
 	case 4: // whose it is can be told on a connection's first request alone
-		return notRunAnswer, true
+		return notRunWithoutID, true
 	}
 	r.add(id)
-	whole := served(id, bodyOf(id))
+	whole := successText(id, bodyOf(id))
 	if stream {
-		whole = streamOf(id, last)
+		whole = eventStreamAfter(id, last)
 	}
 	switch random.IntN(16) {
 	case 0:
@@ -117,15 +117,15 @@
 	case 4:
 		return whole[:random.IntN(len(whole))], false
 	case 5:
-		return whole + served(id, "unasked"), true
+		return whole + successText(id, "unasked"), true
 	case 6:
 		return whole + "garbage", true
 	case 7:
 		if previous != "" {
-			return served(previous, "late") + whole, true
+			return successText(previous, "late") + whole, true
 		}
 	case 8:
-		return served("other", bodyOf("other")), true
+		return successText("other", bodyOf("other")), true
 	case 9:
 		return strings.Replace(whole, "\r\n", "\r\nConnection: close\r\n", 1), false
 	case 10:
@@ -136,20 +136,20 @@
 
 const chaosEvents = 12
 
-// streamOf is a stream that goes on after an event.
-func streamOf(id, last string) string {
+// eventStreamAfter is a stream that goes on after an event.
+func eventStreamAfter(id, last string) string {
 	from := 0
 	_, _ = fmt.Sscan(last, &from)
 	var text strings.Builder
-	text.WriteString(streamHead(id, "s"))
+	text.WriteString(streamHeadText(id, "s"))
 	for i := from + 1; i <= chaosEvents; i++ {
-		text.WriteString(chunk(fmt.Sprintf("id: %d\ndata: %s\n\n", i, id)))
+		text.WriteString(chunkText(fmt.Sprintf("id: %d\ndata: %s\n\n", i, id)))
 	}
 	return text.String() + lastChunk
 }
 
-// wholeStream is what a client must have got of a stream that ended as complete.
-func wholeStream(id string) string {
+// completeStream is what a client must have got of a stream that ended as complete.
+func completeStream(id string) string {
 	var text strings.Builder
 	for i := 1; i <= chaosEvents; i++ {
 		fmt.Fprintf(&text, "id: %d\ndata: %s\n\n", i, id)
@@ -163,51 +163,51 @@
 	const seeds, clients, requests = 3, 8, 120
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			w := newWorld(t)
-			ran := &runs{count: map[string]int{}}
-			for i, r := range w.runners("a", "b", "c", "d") {
+			w := newHarness(t)
+			ran := &executionLog{count: map[string]int{}}
+			for i, r := range w.startRunners("a", "b", "c", "d") {
 				go ran.serve(r, rand.New(rand.NewPCG(seed, uint64(i))))
 			}
-			w.do(func() { w.placer.ended, w.placer.sent, w.placer.spread = nil, nil, true })
+			w.onLoop(func() { w.placer.outcomes, w.placer.sent, w.placer.spread = nil, nil, true })
 			var all sync.WaitGroup
 			for i := range clients {
 				all.Go(func() {
 					c := &chaosClient{t: t, world: w, ran: ran, random: rand.New(rand.NewPCG(seed, uint64(100+i)))}
 					for n := range requests {
-						c.ask(fmt.Sprintf("%d-%d", i, n))
+						c.sendRandom(fmt.Sprintf("%d-%d", i, n))
 					}
-					c.leave()
+					c.disconnect()
 				})
 			}
 			all.Wait()
-			w.await("nothing is held", func() bool {
-				return w.proxy.exchanges == 0 && w.proxy.buffered == 0 && w.proxy.sessions.open == 0
+			w.waitFor("nothing is held", func() bool {
+				return w.proxy.openExchanges == 0 && w.proxy.bufferedBodyBytes == 0 && w.proxy.sessions.count == 0
 			})
-			ran.settle(t)
+			ran.check(t)
 		})
 	}
 }
 
-func (r *runs) serve(runner *testRunner, random *rand.Rand) {
+func (r *executionLog) serve(runner *testRunner, random *rand.Rand) {
 	for {
 		conn, err := runner.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.misbehave(conn, rand.New(rand.NewPCG(random.Uint64(), 0)))
+		go r.serveWithFaults(conn, rand.New(rand.NewPCG(random.Uint64(), 0)))
 	}
 }
 
 // chaosClient asks one request after the other and checks what it gets.
 type chaosClient struct {
 	t      *testing.T
-	world  *world
-	ran    *runs
+	world  *harness
+	ran    *executionLog
 	random *rand.Rand
-	peer   *peer
+	peer   *testConn
 }
 
-func (c *chaosClient) leave() {
+func (c *chaosClient) disconnect() {
 	if c.peer != nil {
 		c.peer.conn.Close()
 		c.peer = nil
@@ -218,43 +218,43 @@
 	if c.peer != nil {
 		return true
 	}
-	conn, err := net.Dial("tcp", c.world.front)
+	conn, err := net.Dial("tcp", c.world.frontAddr)
 	if err != nil {
 		c.t.Error(err)
 		return false
 	}
-	_ = conn.SetDeadline(time.Now().Add(patience))
-	c.peer = &peer{t: c.t, conn: conn.(*net.TCPConn), in: bufio.NewReader(conn)}
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
+	c.peer = &testConn{t: c.t, conn: conn.(*net.TCPConn), reader: bufio.NewReader(conn)}
 	return true
 }
 
-func (c *chaosClient) ask(id string) {
+func (c *chaosClient) sendRandom(id string) {
 	path := []string{"/reads/x", "/writes/x", "/stream/x", "/resumable/x"}[c.random.IntN(4)]
 	if path == "/writes/x" || path == "/stream/x" {
 		c.ran.Lock()
-		c.ran.once = append(c.ran.once, id)
+		c.ran.atMostOnce = append(c.ran.atMostOnce, id)
 		c.ran.Unlock()
 	}
 	if !c.connect() {
 		return
 	}
-	if _, err := io.WriteString(c.peer.conn, ask(path, id, "", "body of "+id)); err != nil {
-		c.leave()
+	if _, err := io.WriteString(c.peer.conn, requestText(path, id, "", "body of "+id)); err != nil {
+		c.disconnect()
 		return
 	}
 	if c.random.IntN(30) == 0 { // the client loses patience
-		c.leave()
+		c.disconnect()
 		return
 	}
-	got, err := http.ReadResponse(c.peer.in, nil)
+	got, err := http.ReadResponse(c.peer.reader, nil)
 	if err != nil {
-		c.leave()
+		c.disconnect()
 		return
 	}
 	body, err := io.ReadAll(got.Body)
 	c.check(path, id, got, string(body), err)
 	if err != nil || got.Close {
-		c.leave()
+		c.disconnect()
 	}
 }
 
@@ -264,7 +264,7 @@
 	defer c.ran.Unlock()
 	switch status := got.StatusCode; {
 	case status == 503 || status == 429 || status == 408 || status == 421:
-		c.ran.promised = append(c.ran.promised, id)
+		c.ran.rejected = append(c.ran.rejected, id)
 		if got.Header.Get("Retry-After") == "" {
 			c.t.Errorf("%s %s got %d without Retry-After", path, id, status)
 		}
@@ -272,9 +272,9 @@
 		c.ran.served++
 		want := bodyOf(id)
 		if path == "/resumable/x" {
-			want = wholeStream(id)
+			want = completeStream(id)
 		}
-		if body != want || got.Header.Get(fieldTryID) != id || got.Header.Get(fieldSeal) == "" {
+		if body != want || got.Header.Get(headerTryID) != id || got.Header.Get(headerSeal) == "" {
 			c.t.Errorf("%s %s got %v %q, want %q", path, id, got.Header, body, want)
 		}
 	case status == 200 || status == 500 || status == 502:
--- a/internal/system/proxy/control.go
+++ b/internal/system/proxy/control.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	reportEvery = time.Second
-	learntEvery = 5           // reports
-	settleTime  = time.Second // after the configuration is known, for partitions that may have nothing to tell
+	reportInterval     = time.Second
+	reportsPerSnapshot = 5           // reports
+	settleDelay        = time.Second // after the configuration is known, for partitions that may have nothing to tell
 )
 
 // Agent is told what the proxy is and has learnt.
@@ -23,28 +23,28 @@
 	Report(feed.ProxyReport)
 }
 
-// control is what the proxy holds of the control plane.
-type control struct {
-	agent   Agent
-	zones   map[string]string // region of each zone
-	table   *routetable.Table
-	version uint64
-	proxies int // as told last
-	reports int
-	told    []byte // what the agent was last told to be learnt
+// controlState is what the proxy holds of the control plane.
+type controlState struct {
+	agent        Agent
+	zones        map[string]string // region of each zone
+	table        *routetable.Table
+	version      uint64
+	proxies      int // as told last
+	reportCount  int
+	lastSnapshot []byte // what the agent was last told to be learnt
 }
 
-// Follow has the proxy report to the agent; zones names the region of each zone. What the agent says comes by Take.
-func (p *Proxy) Follow(agent Agent, zones map[string]string) {
-	p.control = control{agent: agent, zones: zones, table: routetable.New()}
-	p.report()
+// FollowAgent has the proxy report to the agent; zones names the region of each zone. What the agent says comes by Take.
+func (p *Proxy) FollowAgent(agent Agent, zones map[string]string) {
+	p.control = controlState{agent: agent, zones: zones, table: routetable.New()}
+	p.reportPeriodically()
 }
 
-// Take puts what changed in the control state in force. It belongs to the loop's goroutine.
-func (p *Proxy) Take(u agentclient.Update) {
+// ApplyUpdate puts what changed in the control state in force. It belongs to the loop's goroutine.
+func (p *Proxy) ApplyUpdate(u agentclient.Update) {
 	for _, name := range u.Removed {
 		p.control.table.Remove(name)
-		p.shares.forget(name)
+		p.splitter.remove(name)
 	}
 	for _, route := range u.Routes {
 		p.control.table.Upsert(route)
@@ -60,46 +60,46 @@
 	}
 	switch {
 	case u.Peers != nil:
-		p.takePeers(*u.Peers)
-	case u.Proxies > 0 && u.Proxies != p.control.proxies && !p.peers.named: // the names say the number, too
+		p.applyPeers(*u.Peers)
+	case u.Proxies > 0 && u.Proxies != p.control.proxies && !p.peers.peersKnown: // the names say the number, too
 		p.control.proxies = u.Proxies
 		p.SetProxies(u.Proxies)
 	}
 	if u.Runners != nil {
-		p.takeRunners(*u.Runners)
+		p.applyRunners(*u.Runners)
 	}
 	if u.Version > 0 {
 		p.SetRoutes(p.control.table)
 	}
 	if u.Version > 0 && p.control.version == 0 {
-		p.at(p.now()+settleTime, func() { p.settle(true) })
+		p.runAt(p.now()+settleDelay, func() { p.markRunnersKnown(true) })
 	}
-	p.settle(u.Complete)
+	p.markRunnersKnown(u.Complete)
 	if u.Version != p.control.version {
 		p.control.version = u.Version
 		p.log.Info("configuration in force", zap.Uint64("version", u.Version), zap.Int("routes", p.control.table.Len()))
 	}
 }
 
-// settle takes it that the runners are known, as far as they ever are.
-func (p *Proxy) settle(known bool) {
-	if known && !p.runnersIn {
-		p.runnersIn = true
-		p.tellAgent(nil)
+// markRunnersKnown takes it that the runners are known, as far as they ever are.
+func (p *Proxy) markRunnersKnown(known bool) {
+	if known && !p.runnersKnown {
+		p.runnersKnown = true
+		p.reportToAgent(nil)
 	}
 }
 
-// takeRunners replaces the set of runners.
-func (p *Proxy) takeRunners(listed []agentclient.Runner) {
+// applyRunners replaces the set of runners.
+func (p *Proxy) applyRunners(listed []agentclient.Runner) {
 	now := p.now()
 	runners := make([]placement.Runner, 0, len(listed))
 	for i := range listed {
-		runners = append(runners, p.runnerOf(now, &listed[i]))
+		runners = append(runners, p.placementRunner(now, &listed[i]))
 	}
 	p.setRunners(runners)
 }
 
-func (p *Proxy) runnerOf(now time.Duration, r *agentclient.Runner) placement.Runner {
+func (p *Proxy) placementRunner(now time.Duration, r *agentclient.Runner) placement.Runner {
 	known := placement.Runner{ID: r.ID, Service: r.Service, Address: r.Address, Zone: r.Zone,
 		Region:   p.control.zones[r.Zone],
 		Capacity: r.Capacity, Draining: r.Draining}
@@ -115,32 +115,32 @@
 	return known
 }
 
-// Recall takes what an earlier life of the proxy had learnt.
-func (p *Proxy) Recall(learnt []byte) {
+// RestoreSnapshot takes what an earlier life of the proxy had learnt.
+func (p *Proxy) RestoreSnapshot(learnt []byte) {
 	if err := p.placer.Restore(p.now(), learnt); err != nil {
 		p.log.Warn("what the proxy had learnt cannot be read", zap.Error(err))
 	}
 }
 
-// report tells the agent what the proxy is, now and again, and now and then what it has learnt.
-func (p *Proxy) report() {
+// reportPeriodically tells the agent what the proxy is, now and again, and now and then what it has learnt.
+func (p *Proxy) reportPeriodically() {
 	var learnt []byte
-	if p.control.reports++; p.control.reports%learntEvery == 0 {
-		if learnt = p.placer.Snapshot(); bytes.Equal(learnt, p.control.told) {
+	if p.control.reportCount++; p.control.reportCount%reportsPerSnapshot == 0 {
+		if learnt = p.placer.Snapshot(); bytes.Equal(learnt, p.control.lastSnapshot) {
 			learnt = nil
 		} else {
-			p.control.told = learnt
+			p.control.lastSnapshot = learnt
 		}
 	}
-	p.tellAgent(learnt)
-	p.at(p.now()+reportEvery, p.report)
+	p.reportToAgent(learnt)
+	p.runAt(p.now()+reportInterval, p.reportPeriodically)
 }
 
-// tellAgent tells the agent what the proxy is.
-func (p *Proxy) tellAgent(learnt []byte) {
+// reportToAgent tells the agent what the proxy is.
+func (p *Proxy) reportToAgent(learnt []byte) {
 	if p.control.agent == nil {
 		return
 	}
-	report := feed.ProxyReport{Ready: p.Ready(), Stopping: p.stopping.on, Front: p.options.Front.String(), Learnt: learnt}
+	report := feed.ProxyReport{Ready: p.Ready(), Stopping: p.shutdown.active, Front: p.options.FrontAddr.String(), Learnt: learnt}
 	p.control.agent.Report(report)
 }
--- a/internal/system/proxy/doubt.go
+++ b/internal/system/proxy/doubt.go
@@ -11,60 +11,60 @@
 // even take bytes, or a new connection, is gone. Then a request that may run twice goes to another runner, and no idle
 // connection to the machine is trusted any more.
 const (
-	takenWithin  = 400 * time.Millisecond // a request must have been taken: beyond one retransmission
-	leastSilence = 500 * time.Millisecond // of a runner that is at work, before its machine is asked
-	doubtTime    = time.Second            // that nothing is sent to a runner in doubt
-	probeTimes   = 2                      // of the usual time, that a connection may take which only asks for the machine
+	ackTimeout         = 400 * time.Millisecond // a request must have been taken: beyond one retransmission
+	minSilenceTimeout  = 500 * time.Millisecond // of a runner that is at work, before its machine is asked
+	suspectDuration    = time.Second            // that nothing is sent to a runner in doubt
+	probeTimeoutFactor = 2                      // of the usual time, that a connection may take which only asks for the machine
 )
 
-// watch looks after the attempt of the link until it has shown that its runner is there.
-func (l *link) watch(after time.Duration) {
+// startWatchdog looks after the attempt of the link until it has shown that its runner is there.
+func (l *runnerConn) startWatchdog(after time.Duration) {
 	p := l.runner.pool.proxy
 	l.watchdog.Stop()
-	l.heard, l.patience = false, after
-	l.watchdog = p.at(p.now()+after, l.look)
+	l.dataSinceCheck, l.checkInterval = false, after
+	l.watchdog = p.runAt(p.now()+after, l.checkProgress)
 }
 
-// look finds out whether the runner's machine is there if nothing has come from it since the last look.
-func (l *link) look() {
+// checkProgress finds out whether the runner's machine is there if nothing has come from it since the last look.
+func (l *runnerConn) checkProgress() {
 	a := l.attempt
-	if a == nil || l.state != waiting && l.state != reading {
+	if a == nil || l.state != connAwaitingHead && l.state != connReadingBody {
 		return
 	}
 	mayMove := a.exchange.request.Route.IsIdempotent()
-	next := a.silence()
+	next := a.silenceTimeout()
 	switch {
-	case l.heard || a.exchange.stalled:
-	case l.conn.Unacknowledged() > 0:
-		l.runner.doubt()
+	case l.dataSinceCheck || a.exchange.stalled:
+	case l.socket.Unacknowledged() > 0:
+		l.runner.markSuspect()
 		if mayMove {
-			a.moveOn()
+			a.moveToAnotherRunner()
 		}
-	case mayMove && l.runner.pool.proxy.now()-l.runner.heard >= l.patience:
-		l.runner.ask()
-		next = max(next, 2*l.patience)
+	case mayMove && l.runner.pool.proxy.now()-l.runner.lastDataAt >= l.checkInterval:
+		l.runner.probe()
+		next = max(next, 2*l.checkInterval)
 	}
 	if mayMove && l.attempt == a {
-		l.watch(next)
+		l.startWatchdog(next)
 	}
 }
 
-// silence is how long the runner may say nothing before its machine is asked.
-func (a *attempt) silence() time.Duration {
+// silenceTimeout is how long the runner may say nothing before its machine is asked.
+func (a *attempt) silenceTimeout() time.Duration {
 	r := a.exchange.request.Route
 	if a.progress.Events > 0 {
-		return max(2*r.EventGapTarget, leastSilence)
+		return max(2*r.EventGapTarget, minSilenceTimeout)
 	}
-	return max(r.LatencyTarget, leastSilence)
+	return max(r.LatencyTarget, minSilenceTimeout)
 }
 
-// moveOn sends a request that may run twice to another runner, if that may be and one can take it; else it stays.
-func (a *attempt) moveOn() {
+// moveToAnotherRunner sends a request that may run twice to another runner, if that may be and one can take it; else it stays.
+func (a *attempt) moveToAnotherRunner() {
 	x := a.exchange
 	before := x.request
-	x.tried(a, true)
+	x.noteTried(a, true)
 	x.attempt = nil
-	if sent, _ := x.again(); sent {
+	if sent, _ := x.retry(); sent {
 		a.cancel()
 		a.end(placement.TimedOut)
 		return
@@ -73,34 +73,34 @@
 	x.request.TriedRunners, x.request.MayHaveRun = before.TriedRunners, before.MayHaveRun
 }
 
-// doubt has nothing sent to the runner for a while, and none of its idle connections used.
-func (r *runner) doubt() {
-	r.doubtful = r.pool.proxy.now() + doubtTime
+// markSuspect has nothing sent to the runner for a while, and none of its idle connections used.
+func (r *runner) markSuspect() {
+	r.suspectUntil = r.pool.proxy.now() + suspectDuration
 	r.closeIdle()
 }
 
-// ask opens a connection, which comes up if the runner's machine is there. One at a time is enough.
-func (r *runner) ask() {
+// probe opens a connection, which comes up if the runner's machine is there. One at a time is enough.
+func (r *runner) probe() {
 	p := r.pool.proxy
-	if r.asking || len(r.links) >= r.pool.mostConns(r) {
+	if r.probing || len(r.conns) >= r.pool.maxConns(r) {
 		return
 	}
-	r.asking = true
-	l := r.connect()
-	l.asks = true
-	l.timeout = p.at(p.now()+probeTimes*r.connectTimeout(), func() { l.fail(errConnectTimeout) })
+	r.probing = true
+	l := r.open()
+	l.isProbe = true
+	l.timer = p.runAt(p.now()+probeTimeoutFactor*r.connectTimeout(), func() { l.fail(errConnectTimeout) })
 }
 
-// asked takes the end of the connection that asked.
-func (r *runner) asked(there bool) {
-	r.asking = false
+// finishProbe takes the end of the connection that asked.
+func (r *runner) finishProbe(there bool) {
+	r.probing = false
 	if there {
 		return
 	}
-	r.doubt()
-	for _, l := range append([]*link(nil), r.links...) {
-		if a := l.attempt; a != nil && l.state != dialing && a.exchange.request.Route.IsIdempotent() {
-			a.moveOn()
+	r.markSuspect()
+	for _, l := range append([]*runnerConn(nil), r.conns...) {
+		if a := l.attempt; a != nil && l.state != connDialing && a.exchange.request.Route.IsIdempotent() {
+			a.moveToAnotherRunner()
 		}
 	}
 }
--- a/internal/system/proxy/doubt_test.go
+++ b/internal/system/proxy/doubt_test.go
@@ -13,9 +13,9 @@
 	"cinderroad/internal/system/placement"
 )
 
-// hungRunner listens with hardly a backlog, so that it can be made to take no connections without refusing them, as a
+// newUnresponsiveRunner listens with hardly a backlog, so that it can be made to take no connections without refusing them, as a
 // machine that has lost its power does.
-func hungRunner(t *testing.T, id string) *testRunner {
+func newUnresponsiveRunner(t *testing.T, id string) *testRunner {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -37,8 +37,8 @@
 	return &testRunner{t: t, id: id, listener: listener.(*net.TCPListener)}
 }
 
-// hang fills the backlog.
-func (r *testRunner) hang() {
+// fillBacklog fills the backlog.
+func (r *testRunner) fillBacklog() {
 	r.t.Helper()
 	for range 100 {
 		conn, err := net.DialTimeout("tcp", r.listener.Addr().String(), 200*time.Millisecond)
@@ -52,63 +52,63 @@
 
 // A stream that may be continued leaves a runner that has fallen silent and takes no connections either, while one that
 // may not run twice stays.
-func TestSilentMachine(t *testing.T) {
-	w := newWorld(t)
-	second := w.runners("b")[0]
-	first := hungRunner(t, "a")
+func TestStreamMovesFromUnresponsiveMachine(t *testing.T) {
+	w := newHarness(t)
+	second := w.startRunners("b")[0]
+	first := newUnresponsiveRunner(t, "a")
 	known := []placement.Runner{
 		{ID: "a", Service: "s", Address: netip.MustParseAddrPort(first.listener.Addr().String())},
 		{ID: "b", Service: "s", Address: netip.MustParseAddrPort(second.listener.Addr().String())}}
-	w.do(func() {
-		w.placer.choices = known
+	w.onLoop(func() {
+		w.placer.runners = known
 		w.proxy.SetRunners(known)
 	})
-	stays, moves := w.client(), w.client()
-	stays.send(ask("/stream/x", "t1", "", ""))
+	stays, moves := w.connect(), w.connect()
+	stays.send(requestText("/stream/x", "t1", "", ""))
 	up := first.accept()
-	up.request()
-	up.send(streamHead("t1", "s") + chunk(event(1)))
-	stays.head()
-	moves.send(ask("/resumable/x", "t2", "", ""))
+	up.readRequest()
+	up.send(streamHeadText("t1", "s") + chunkText(eventText(1)))
+	stays.readHead()
+	moves.send(requestText("/resumable/x", "t2", "", ""))
 	other := first.accept()
-	other.request()
-	other.send(streamHead("t2", "s") + chunk(event(1)))
-	moves.head()
-	first.hang()
+	other.readRequest()
+	other.send(streamHeadText("t2", "s") + chunkText(eventText(1)))
+	moves.readHead()
+	first.fillBacklog()
 
 	next := second.accept()
-	if q, _ := next.request(); q.Header.Get("X-Try-Id") != "t2" || q.Header.Get("Last-Event-Id") != "1" {
+	if q, _ := next.readRequest(); q.Header.Get("X-Try-Id") != "t2" || q.Header.Get("Last-Event-Id") != "1" {
 		t.Errorf("second runner got %v", q.Header)
 	}
-	w.ended("a silent")
-	next.send(streamHead("t2", "s") + chunk(event(2)) + lastChunk)
-	if got := newBody(moves); got != event(1)+event(2) {
+	w.expectOutcomes("a silent")
+	next.send(streamHeadText("t2", "s") + chunkText(eventText(2)) + lastChunk)
+	if got := readChunkedBody(moves); got != eventText(1)+eventText(2) {
 		t.Errorf("the client that moved got %q", got)
 	}
-	w.ended("b served")
-	up.send(chunk(event(2)) + lastChunk)
-	if got := newBody(stays); !strings.HasSuffix(got, event(2)) {
+	w.expectOutcomes("b served")
+	up.send(chunkText(eventText(2)) + lastChunk)
+	if got := readChunkedBody(stays); !strings.HasSuffix(got, eventText(2)) {
 		t.Errorf("the client that stayed got %q", got)
 	}
-	w.ended("a served")
-	w.do(func() {
-		if w.proxy.pool.admits(placement.Choice{Runner: "a"}) && w.proxy.now() < w.proxy.pool.runners["a"].doubtful {
+	w.expectOutcomes("a served")
+	w.onLoop(func() {
+		if w.proxy.pool.canAccept(placement.Choice{Runner: "a"}) && w.proxy.now() < w.proxy.pool.runners["a"].suspectUntil {
 			t.Error("a runner in doubt is given requests")
 		}
 	})
 }
 
 // A runner that is silent but there keeps its request.
-func TestSilentRunner(t *testing.T) {
-	w := newWorld(t)
-	r := w.runners("a", "b")
-	w.do(func() { w.routes.routes[0].LatencyTarget = time.Millisecond })
-	c := w.client()
-	c.send(ask("/reads/x", "t1", "", ""))
+func TestSilentRunnerKeepsItsRequest(t *testing.T) {
+	w := newHarness(t)
+	r := w.startRunners("a", "b")
+	w.onLoop(func() { w.routes.routes[0].LatencyTarget = time.Millisecond })
+	c := w.connect()
+	c.send(requestText("/reads/x", "t1", "", ""))
 	up := r[0].accept()
-	up.request()
+	up.readRequest()
 	r[0].accept() // finds out whether the machine is there
-	up.send(served("t1", "late"))
-	c.answered(200, "late")
-	w.ended("a served")
+	up.send(successText("t1", "late"))
+	c.expectResponse(200, "late")
+	w.expectOutcomes("a served")
 }
--- a/internal/system/proxy/events.go
+++ b/internal/system/proxy/events.go
@@ -8,91 +8,91 @@
 	"cinderroad/internal/shared/httpwire"
 )
 
-// mostEvent bounds an event that is not whole yet, in bytes; a stream with a longer one cannot be continued elsewhere.
-const mostEvent = 256 << 10
+// maxEventBytes bounds an event that is not whole yet, in bytes; a stream with a longer one cannot be continued elsewhere.
+const maxEventBytes = 256 << 10
 
 // eventReader cuts a text/event-stream into events, each with the empty line that ends it.
 type eventReader struct {
-	lastID string // of the last whole event that was passed on; empty: none had one
-	held   []byte // of the event that is not whole
-	line   int    // where in held the line begins that is not whole
-	raw    bool   // the stream cannot be cut into events: bytes are passed on as they come
-	loose  bool   // an event without an id was passed on after the last one with an id
-	again  bool   // the stream goes on from another runner
+	lastID       string // of the last whole event that was passed on; empty: none had one
+	partial      []byte // of the event that is not whole
+	lineStart    int    // where in held the line begins that is not whole
+	passthrough  bool   // the stream cannot be cut into events: bytes are passed on as they come
+	unidentified bool   // an event without an id was passed on after the last one with an id
+	resumed      bool   // the stream goes on from another runner
 }
 
-// start makes the reader ready for a stream that goes on after an event; empty: from its beginning.
-func (r *eventReader) start(lastID string) { *r = eventReader{lastID: lastID} }
+// reset makes the reader ready for a stream that goes on after an event; empty: from its beginning.
+func (r *eventReader) reset(lastID string) { *r = eventReader{lastID: lastID} }
 
-// mayRestart says whether the stream can go on from another runner after what was passed on.
-func (r *eventReader) mayRestart() bool { return !r.raw && !r.loose }
+// canResume says whether the stream can go on from another runner after what was passed on.
+func (r *eventReader) canResume() bool { return !r.passthrough && !r.unidentified }
 
 // push takes bytes of the stream and appends the whole events that they bring to out; events is how many. An event
 // whose id says that it was passed on before is left out.
 func (r *eventReader) push(out, data []byte) (_ []byte, events int) {
-	if r.raw {
+	if r.passthrough {
 		return append(out, data...), 1
 	}
-	r.held = append(r.held, data...)
+	r.partial = append(r.partial, data...)
 	begin := 0
 	for {
-		end := bytes.IndexByte(r.held[r.line:], '\n')
+		end := bytes.IndexByte(r.partial[r.lineStart:], '\n')
 		if end < 0 {
 			break
 		}
-		end += r.line
-		empty := end == r.line || end == r.line+1 && r.held[r.line] == '\r'
-		r.line = end + 1
+		end += r.lineStart
+		empty := end == r.lineStart || end == r.lineStart+1 && r.partial[r.lineStart] == '\r'
+		r.lineStart = end + 1
 		if !empty {
 			continue
 		}
-		event := r.held[begin:r.line]
-		begin = r.line
-		if r.pass(event) {
+		event := r.partial[begin:r.lineStart]
+		begin = r.lineStart
+		if r.accept(event) {
 			out = append(out, event...)
 			events++
 		}
 	}
-	r.keep(begin)
-	if len(r.held) > mostEvent {
-		r.raw = true
-		out = append(out, r.held...)
-		r.held = nil
+	r.discardConsumed(begin)
+	if len(r.partial) > maxEventBytes {
+		r.passthrough = true
+		out = append(out, r.partial...)
+		r.partial = nil
 	}
 	return out, events
 }
 
-// keep drops what has been passed on.
-func (r *eventReader) keep(begin int) {
-	r.line -= begin
-	rest := copy(r.held, r.held[begin:])
-	if r.held = r.held[:rest]; rest == 0 && cap(r.held) > 4096 {
-		r.held = nil
+// discardConsumed drops what has been passed on.
+func (r *eventReader) discardConsumed(begin int) {
+	r.lineStart -= begin
+	rest := copy(r.partial, r.partial[begin:])
+	if r.partial = r.partial[:rest]; rest == 0 && cap(r.partial) > 4096 {
+		r.partial = nil
 	}
 }
 
-// pass notes the id of a whole event; false when it was passed on before.
-func (r *eventReader) pass(event []byte) bool {
-	id, numbered, data := eventID(event)
+// accept notes the id of a whole event; false when it was passed on before.
+func (r *eventReader) accept(event []byte) bool {
+	id, numbered, data := parseEventID(event)
 	if !numbered {
-		r.loose = r.loose || data
+		r.unidentified = r.unidentified || data
 		return true
 	}
-	if r.again && r.lastID != "" && !rises(r.lastID, id) {
+	if r.resumed && r.lastID != "" && !idAfter(r.lastID, id) {
 		return false
 	}
-	r.lastID, r.loose = id, !httpwire.IsVisibleASCII(id)
+	r.lastID, r.unidentified = id, !httpwire.IsVisibleASCII(id)
 	return true
 }
 
-// restart drops the event that is not whole: the stream goes on from another runner.
-func (r *eventReader) restart() { r.held, r.line, r.again = nil, 0, true }
+// resume drops the event that is not whole: the stream goes on from another runner.
+func (r *eventReader) resume() { r.partial, r.lineStart, r.resumed = nil, 0, true }
 
-// rest is what is held when the stream has ended.
-func (r *eventReader) rest() []byte { return r.held }
+// remainder is what is held when the stream has ended.
+func (r *eventReader) remainder() []byte { return r.partial }
 
-// eventID reads the id of a whole event; data says that it has data.
-func eventID(event []byte) (id string, numbered, data bool) {
+// parseEventID reads the id of a whole event; data says that it has data.
+func parseEventID(event []byte) (id string, numbered, data bool) {
 	for len(event) > 0 {
 		line, rest, _ := bytes.Cut(event, []byte("\n"))
 		event = rest
@@ -104,8 +104,8 @@
 	return id, numbered, data
 }
 
-// rises says whether the id of an event comes after another one's.
-func rises(last, id string) bool {
+// idAfter says whether the id of an event comes after another one's.
+func idAfter(last, id string) bool {
 	a, err1 := strconv.ParseInt(last, 10, 64)
 	b, err2 := strconv.ParseInt(id, 10, 64)
 	if err1 != nil || err2 != nil {
--- a/internal/system/proxy/events_test.go
+++ b/internal/system/proxy/events_test.go
@@ -25,63 +25,63 @@
 		events         int
 		mayRestart     bool
 	}{
-		{"whole events", "", event(1) + event(2), false, event(1) + event(2), "", "2", 2, true},
-		{"part of one", "", event(1) + "id: 2\ndata: x\n", false, event(1), "id: 2\ndata: x\n", "1", 1, true},
+		{"whole events", "", eventText(1) + eventText(2), false, eventText(1) + eventText(2), "", "2", 2, true},
+		{"part of one", "", eventText(1) + "id: 2\ndata: x\n", false, eventText(1), "id: 2\ndata: x\n", "1", 1, true},
 		{"CRLF", "", "id: 1\r\ndata: x\r\n\r\nid", false, "id: 1\r\ndata: x\r\n\r\n", "id", "1", 1, true},
 		{"versions first", "", "versions: 3\nid: 1\ndata: x\n\n", false, "versions: 3\nid: 1\ndata: x\n\n", "", "1", 1, true},
-		{"comments", "", ": hello\n\n" + event(1) + "\n", false, ": hello\n\n" + event(1) + "\n", "", "1", 3, true},
-		{"events without ids", "", event(1) + "data: x\n\n", false, event(1) + "data: x\n\n", "", "1", 2, false},
+		{"comments", "", ": hello\n\n" + eventText(1) + "\n", false, ": hello\n\n" + eventText(1) + "\n", "", "1", 3, true},
+		{"events without ids", "", eventText(1) + "data: x\n\n", false, eventText(1) + "data: x\n\n", "", "1", 2, false},
 		{"an id that is none", "", "id: a\x01b\ndata: x\n\n", false, "id: a\x01b\ndata: x\n\n", "", "a\x01b", 1, false},
-		{"first runner after a client's cut", "7", event(7) + event(8), false, event(7) + event(8), "", "8", 2, true},
-		{"duplicates of a second runner", "7", event(6) + event(7) + event(8), true, event(8), "", "8", 1, true},
-		{"more digits", "9", event(9) + event(10), true, event(10), "", "10", 1, true},
+		{"first runner after a client's cut", "7", eventText(7) + eventText(8), false, eventText(7) + eventText(8), "", "8", 2, true},
+		{"duplicates of a second runner", "7", eventText(6) + eventText(7) + eventText(8), true, eventText(8), "", "8", 1, true},
+		{"more digits", "9", eventText(9) + eventText(10), true, eventText(10), "", "10", 1, true},
 		{"ids that are no numbers", "a", "id: a\ndata: x\n\nid: b\ndata: y\n\n", true, "id: b\ndata: y\n\n", "", "b", 1,
 			true},
 	} {
 		for _, size := range []int{1, 2, 3, 1000} {
 			var r eventReader
-			r.start(tc.last)
+			r.reset(tc.last)
 			if tc.again {
-				r.restart()
+				r.resume()
 			}
 			out, events := pushAll(&r, tc.in, size)
-			if out != tc.out || string(r.rest()) != tc.rest || r.lastID != tc.lastID || events != tc.events ||
-				r.mayRestart() != tc.mayRestart {
-				t.Errorf("%s by %d: %q, rest %q, last id %q, %d events, may restart %v", tc.name, size, out, r.rest(), r.lastID,
-					events, r.mayRestart())
+			if out != tc.out || string(r.remainder()) != tc.rest || r.lastID != tc.lastID || events != tc.events ||
+				r.canResume() != tc.mayRestart {
+				t.Errorf("%s by %d: %q, rest %q, last id %q, %d events, may restart %v", tc.name, size, out, r.remainder(), r.lastID,
+					events, r.canResume())
 			}
 		}
 	}
 }
 
 // Guards against an event without end that is held for ever, and against one that is passed on in part and then again.
-func TestEndlessEvent(t *testing.T) {
+func TestOversizedEvent(t *testing.T) {
 	var r eventReader
-	in := event(1) + "data: " + strings.Repeat("x", mostEvent+8192) + "\n\n" + event(2)
+	in := eventText(1) + "data: " + strings.Repeat("x", maxEventBytes+8192) + "\n\n" + eventText(2)
 	out, _ := pushAll(&r, in, 4096)
-	if out+string(r.rest()) != in || r.mayRestart() {
-		t.Errorf("got %d of %d bytes, may restart %v", len(out), len(in), r.mayRestart())
+	if out+string(r.remainder()) != in || r.canResume() {
+		t.Errorf("got %d of %d bytes, may restart %v", len(out), len(in), r.canResume())
 	}
 }
 
 // FuzzEvents compares with a reader that sees the stream at once: however it is cut, the same bytes come out.
 func FuzzEvents(f *testing.F) {
-	f.Add([]byte(event(1)+event(2)+"id: 3\n"), uint8(3), false)
+	f.Add([]byte(eventText(1)+eventText(2)+"id: 3\n"), uint8(3), false)
 	f.Add([]byte("id: 1\r\n\r\n\n\n: x\n\nid: 0\n\n"), uint8(1), true)
 	f.Fuzz(func(t *testing.T, in []byte, size uint8, again bool) {
 		var whole, cut eventReader
 		if again {
-			whole.restart()
-			cut.restart()
+			whole.resume()
+			cut.resume()
 		}
 		all, events := whole.push(nil, in)
 		parts, counted := pushAll(&cut, string(in), int(size)+1)
-		if string(all) != parts || string(whole.rest()) != string(cut.rest()) || whole.lastID != cut.lastID ||
+		if string(all) != parts || string(whole.remainder()) != string(cut.remainder()) || whole.lastID != cut.lastID ||
 			events != counted {
-			t.Fatalf("whole %q rest %q, cut %q rest %q", all, whole.rest(), parts, cut.rest())
+			t.Fatalf("whole %q rest %q, cut %q rest %q", all, whole.remainder(), parts, cut.remainder())
 		}
-		if !again && string(all)+string(whole.rest()) != string(in) {
-			t.Fatalf("%q came out of %q", string(all)+string(whole.rest()), in)
+		if !again && string(all)+string(whole.remainder()) != string(in) {
+			t.Fatalf("%q came out of %q", string(all)+string(whole.remainder()), in)
 		}
 		var counter eventCounter
 		counter.count(in)
@@ -91,7 +91,7 @@
 func TestEventCounter(t *testing.T) {
 	var c eventCounter
 	got := 0
-	for _, b := range []byte(event(1) + "\n: x\r\n\r\n" + event(2) + "data") {
+	for _, b := range []byte(eventText(1) + "\n: x\r\n\r\n" + eventText(2) + "data") {
 		got += c.count([]byte{b})
 	}
 	if got != 3 {
--- a/internal/system/proxy/metrics_test.go
+++ b/internal/system/proxy/metrics_test.go
@@ -8,43 +8,43 @@
 	"cinderroad/internal/system/exposition"
 )
 
-// figures reads the proxy's page of figures.
-func (w *world) figures() string {
+// metricsPage reads the proxy's page of figures.
+func (w *harness) metricsPage() string {
 	w.t.Helper()
 	addr := ""
-	w.do(func() { addr = w.proxy.figures.listener.Addr().String() })
+	w.onLoop(func() { addr = w.proxy.metricsEndpoint.listener.Addr().String() })
 	c := dial(w.t, addr)
 	c.send("GET " + exposition.Path + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-	got, body := c.response()
+	got, body := c.readResponse()
 	if got.StatusCode != 200 || got.Header.Get("Content-Type") != exposition.ContentType {
 		w.t.Errorf("status %d, type %q", got.StatusCode, got.Header.Get("Content-Type"))
 	}
-	c.gone()
+	c.readToClose()
 	return body
 }
 
-func withMetrics(o *Options) { o.Metrics = netip.MustParseAddrPort("127.0.0.1:0") }
+func withMetrics(o *Options) { o.MetricsAddr = netip.MustParseAddrPort("127.0.0.1:0") }
 
 // The figures tell requests after the signal to stop apart by what they came on.
-func TestFiguresOfAStop(t *testing.T) {
-	w := newWorld(t, withMetrics)
-	r := w.runners("a")[0]
-	kept := w.client()
-	kept.send(ask("/reads/x", "t1", "", ""))
+func TestMetricsDuringShutdown(t *testing.T) {
+	w := newHarness(t, withMetrics)
+	r := w.startRunners("a")[0]
+	kept := w.connect()
+	kept.send(requestText("/reads/x", "t1", "", ""))
 	up := r.accept()
-	up.request()
-	up.send(served("t1", "one"))
-	kept.answered(200, "one")
-	w.do(w.proxy.Stop)
-	young := w.client()
-	for i, c := range []*peer{kept, young} {
+	up.readRequest()
+	up.send(successText("t1", "one"))
+	kept.expectResponse(200, "one")
+	w.onLoop(w.proxy.Stop)
+	young := w.connect()
+	for i, c := range []*testConn{kept, young} {
 		id := "t" + string(rune('2'+i))
-		c.send(ask("/reads/x", id, "", ""))
-		up.request()
-		up.send(served(id, "more"))
-		c.answered(200, "more")
+		c.send(requestText("/reads/x", id, "", ""))
+		up.readRequest()
+		up.send(successText(id, "more"))
+		c.expectResponse(200, "more")
 	}
-	page := w.figures()
+	page := w.metricsPage()
 	for _, want := range []string{
 		"cinderroad_proxy_requests_total 3\n",
 		"cinderroad_proxy_answers_total{end=\"served\"} 3\n",
@@ -59,16 +59,16 @@
 }
 
 // A port that is taken costs the figures, not the service.
-func TestFiguresWithoutAPort(t *testing.T) {
-	first := newWorld(t, withMetrics)
+func TestServesWithoutMetricsPort(t *testing.T) {
+	first := newHarness(t, withMetrics)
 	var taken netip.AddrPort
-	first.do(func() { taken = first.proxy.figures.listener.Addr() })
-	second := newWorld(t, func(o *Options) { o.Metrics = taken })
-	r := second.runners("a")[0]
-	c := second.client()
-	c.send(ask("/reads/x", "t1", "", ""))
+	first.onLoop(func() { taken = first.proxy.metricsEndpoint.listener.Addr() })
+	second := newHarness(t, func(o *Options) { o.MetricsAddr = taken })
+	r := second.startRunners("a")[0]
+	c := second.connect()
+	c.send(requestText("/reads/x", "t1", "", ""))
 	up := r.accept()
-	up.request()
-	up.send(served("t1", "one"))
-	c.answered(200, "one")
+	up.readRequest()
+	up.send(successText("t1", "one"))
+	c.expectResponse(200, "one")
 }
--- a/internal/system/proxy/model_test.go
+++ b/internal/system/proxy/model_test.go
@@ -17,35 +17,35 @@
 )
 
 const (
-	modelSeeds    = 100
-	modelRunners  = 4
-	modelClients  = 6
-	modelRequests = 25 // of each client
-	modelTries    = 3
-	modelTimeout  = 1200 * time.Millisecond // of routes
-	longCut       = 2500 * time.Millisecond // the longest cut of a line
-	knownWithin   = 1200 * time.Millisecond // in which clients know that a proxy stops
-	drainTime     = 8 * time.Second         // after the last request, in which what was promised not to run might still do
+	defaultSimulationSeeds = 100
+	simulationRunners      = 4
+	simulationClients      = 6
+	requestsPerClient      = 25 // of each client
+	simulationAttempts     = 3
+	simulationRouteTimeout = 1200 * time.Millisecond // of routes
+	longestPartition       = 2500 * time.Millisecond // the longest cut of a line
+	shutdownVisibleWithin  = 1200 * time.Millisecond // in which clients know that a proxy stops
+	simulationDrainTime    = 8 * time.Second         // after the last request, in which what was promised not to run might still do
 )
 
-var modelFront = netip.MustParseAddrPort("10.0.0.1:80")
-
-// model is a proxy between scripted clients and runners, in virtual time.
-type model struct {
-	network *simulatedNetwork
-	random  *rand.Rand
-	referee *referee
-	loop    *eventloop.Loop
-	proxy   *Proxy
-	runners []*modelRunner
-	clients int           // that still ask
-	stopped time.Duration // when the proxy was told to stop; 0: it was not
-	settled bool
-	made    int // requests
+var simulationFront = netip.MustParseAddrPort("10.0.0.1:80")
+
+// simulation is a proxy between scripted clients and runners, in virtual time.
+type simulation struct {
+	network       *simulatedNetwork
+	random        *rand.Rand
+	checker       *checker
+	loop          *eventloop.Loop
+	proxy         *Proxy
+	runners       []*simulatedRunner
+	activeClients int           // that still ask
+	shutdownAt    time.Duration // when the proxy was told to stop; 0: it was not
+	checked       bool
+	requestCount  int // requests
 }
 
-// modelSeedsToPlay are the seeds of a run: MODEL_SEED=N replays one, MODEL_SEEDS=N plays so many.
-func modelSeedsToPlay(t *testing.T) (seeds []uint64) {
+// simulationSeeds are the seeds of a run: MODEL_SEED=N replays one, MODEL_SEEDS=N plays so many.
+func simulationSeeds(t *testing.T) (seeds []uint64) {
 	number := func(name string, otherwise uint64) uint64 {
 		text := os.Getenv(name)
 		if text == "" {
@@ -60,7 +60,7 @@
 	if os.Getenv("MODEL_SEED") != "" {
 		return []uint64{number("MODEL_SEED", 0)}
 	}
-	for seed := range number("MODEL_SEEDS", modelSeeds) {
+	for seed := range number("MODEL_SEEDS", defaultSimulationSeeds) {
 		seeds = append(seeds, seed)
 	}
 	return seeds
@@ -68,17 +68,17 @@
 
 // Whatever runners, lines and clients do, the rules of requests hold.
 func TestRequestModel(t *testing.T) {
-	seeds := modelSeedsToPlay(t)
+	seeds := simulationSeeds(t)
 	var served, refused, resumed, late, requests int
 	for _, seed := range seeds {
-		m := newModel(seed)
-		if err := m.play(); err != nil {
+		m := newSimulation(seed)
+		if err := m.run(); err != nil {
 			t.Fatal(err)
 		}
-		served, refused = served+m.referee.served, refused+m.referee.refused
-		resumed, late, requests = resumed+m.referee.resumed, late+m.referee.late, requests+m.made
-		if len(m.referee.broken) > 0 {
-			t.Errorf("seed %d (MODEL_SEED=%d):\n%s", seed, seed, strings.Join(m.referee.broken, "\n"))
+		served, refused = served+m.checker.served, refused+m.checker.refused
+		resumed, late, requests = resumed+m.checker.resumed, late+m.checker.timedOut, requests+m.requestCount
+		if len(m.checker.violations) > 0 {
+			t.Errorf("seed %d (MODEL_SEED=%d):\n%s", seed, seed, strings.Join(m.checker.violations, "\n"))
 		}
 	}
 	t.Logf("%d requests, %d served, %d resumed, %d refused, %d out of time", requests, served, resumed, refused, late)
@@ -87,104 +87,104 @@
 	}
 }
 
-func newModel(seed uint64) *model {
+func newSimulation(seed uint64) *simulation {
 	random := rand.New(rand.NewPCG(seed, 5))
-	m := &model{network: newSimulatedNetwork(random), random: random, clients: modelClients}
-	m.referee = newReferee(m.network)
+	m := &simulation{network: newSimulatedNetwork(random), random: random, activeClients: simulationClients}
+	m.checker = newChecker(m.network)
 	m.loop = eventloop.NewLoopWithSystem(m.network, 1000)
 	m.loop.ZeroCopyReads = true
 	placer := &fakePlacer{spread: true}
-	m.proxy = New(m.loop, zap.NewNop(), placer, Options{Front: modelFront, GracePeriod: 8 * time.Second, Seed: seed})
+	m.proxy = New(m.loop, zap.NewNop(), placer, Options{FrontAddr: simulationFront, GracePeriod: 8 * time.Second, Seed: seed})
 	resumable := route("resumable", configuration.Streaming)
 	resumable.Resumable = true
 	routes := []*configuration.Route{route("reads", configuration.ReadOnly), route("writes", configuration.ReadWrite),
 		route("stream", configuration.Streaming), resumable}
 	for _, r := range routes {
-		r.Timeout, r.LatencyTarget, r.MaxAttempts = modelTimeout, 300*time.Millisecond, modelTries
+		r.Timeout, r.LatencyTarget, r.MaxAttempts = simulationRouteTimeout, 300*time.Millisecond, simulationAttempts
 	}
 	m.proxy.SetRoutes(&fakeRoutes{routes})
 	m.proxy.SetServices([]*configuration.Service{{Name: "s", MaxConnections: 100}})
 	var known []placement.Runner
-	for i := range modelRunners {
-		r := newModelRunner(m, i)
+	for i := range simulationRunners {
+		r := newSimulatedRunner(m, i)
 		m.runners = append(m.runners, r)
 		known = append(known, placement.Runner{ID: r.id, Service: "s", Address: r.address})
 	}
-	placer.choices = known
+	placer.runners = known
 	m.proxy.SetRunners(known)
 	return m
 }
 
-// play runs the model until all clients are done and what they left behind has had its time.
-func (m *model) play() error {
+// run runs the model until all clients are done and what they left behind has had its time.
+func (m *simulation) run() error {
 	if err := m.proxy.Listen(); err != nil {
 		return err
 	}
-	for i := range modelClients {
-		c := &modelClient{model: m, name: i, peer: &simulatedPeer{latency: 3 * time.Millisecond}}
-		m.network.after(m.upTo(300*time.Millisecond), c.next)
+	for i := range simulationClients {
+		c := &simulatedClient{model: m, index: i, peer: &simulatedPeer{latency: 3 * time.Millisecond}}
+		m.network.after(m.randomDuration(300*time.Millisecond), c.sendNext)
 	}
-	m.network.after(time.Second, m.trouble)
+	m.network.after(time.Second, m.injectFault)
 	if m.chance(4) {
-		m.network.after(m.upTo(10*time.Second), m.stop)
+		m.network.after(m.randomDuration(10*time.Second), m.shutDownProxy)
 	}
 	if err := m.loop.Run(); err != nil {
 		return err
 	}
-	m.network.pass(50 * time.Millisecond) // clients see the end of their connections
-	m.settle()
+	m.network.advance(50 * time.Millisecond) // clients see the end of their connections
+	m.check()
 	return nil
 }
 
-// stop tells the proxy to stop; clients soon know of other proxies.
-func (m *model) stop() {
-	m.stopped = m.network.now
+// shutDownProxy tells the proxy to stop; clients soon know of other proxies.
+func (m *simulation) shutDownProxy() {
+	m.shutdownAt = m.network.now
 	m.proxy.Stop()
 }
 
-// settle looks at what must be true in the end.
-func (m *model) settle() {
-	if m.settled {
+// check looks at what must be true in the end.
+func (m *simulation) check() {
+	if m.checked {
 		return
 	}
-	m.settled = true
-	m.referee.settle()
+	m.checked = true
+	m.checker.finish()
 	p := m.proxy
-	if m.stopped == 0 && (p.exchanges != 0 || p.buffered != 0 || p.sessions.open != 0) {
-		m.referee.breaks("BOUND", "%d exchanges, %d bytes, %d sessions", p.exchanges, p.buffered, p.sessions.open)
+	if m.shutdownAt == 0 && (p.openExchanges != 0 || p.bufferedBodyBytes != 0 || p.sessions.count != 0) {
+		m.checker.violation("BOUND", "%d exchanges, %d bytes, %d sessions", p.openExchanges, p.bufferedBodyBytes, p.sessions.count)
 	}
 }
 
-// done ends a client, and the model with the last one.
-func (m *model) done() {
-	if m.clients--; m.clients > 0 {
+// clientDone ends a client, and the model with the last one.
+func (m *simulation) clientDone() {
+	if m.activeClients--; m.activeClients > 0 {
 		return
 	}
-	m.network.after(drainTime, func() {
-		m.settle()
+	m.network.after(simulationDrainTime, func() {
+		m.check()
 		m.loop.Stop()
 	})
-	m.network.after(drainTime+time.Millisecond, func() {}) // a turn in which the loop sees that it was stopped
+	m.network.after(simulationDrainTime+time.Millisecond, func() {}) // a turn in which the loop sees that it was stopped
 }
 
-// trouble cuts a runner's line, or crashes a runner, now and then.
-func (m *model) trouble() {
+// injectFault cuts a runner's line, or crashes a runner, now and then.
+func (m *simulation) injectFault() {
 	r := m.runners[m.random.IntN(len(m.runners))]
 	switch m.random.IntN(3) {
 	case 0:
-		r.cut(m.upTo(longCut))
+		r.partition(m.randomDuration(longestPartition))
 	case 1:
-		r.crash(m.upTo(longCut))
+		r.crash(m.randomDuration(longestPartition))
 	}
-	if m.clients > 0 {
-		m.network.after(m.upTo(2*time.Second), m.trouble)
+	if m.activeClients > 0 {
+		m.network.after(m.randomDuration(2*time.Second), m.injectFault)
 	}
 }
 
-// upTo draws a time.
-func (m *model) upTo(most time.Duration) time.Duration {
+// randomDuration draws a time.
+func (m *simulation) randomDuration(most time.Duration) time.Duration {
 	return time.Duration(m.random.Int64N(int64(most)))
 }
 
 // chance says yes one time in so many.
-func (m *model) chance(oneIn int) bool { return m.random.IntN(oneIn) == 0 }
+func (m *simulation) chance(oneIn int) bool { return m.random.IntN(oneIn) == 0 }
--- a/internal/system/proxy/monitor.go
+++ b/internal/system/proxy/monitor.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	readyPath          = "/-/ready"
-	monitorHead        = 8 << 10 // bytes
-	monitorIdleTime    = 10      // seconds
-	mostMonitorClients = 16      // connections of one endpoint; beyond that the oldest goes
+	readyPath           = "/-/ready"
+	maxMonitorHeadBytes = 8 << 10 // bytes
+	monitorIdleSeconds  = 10      // seconds
+	maxMonitorConns     = 16      // connections of one endpoint; beyond that the oldest goes
 )
 
-// monitorAnswer is what an endpoint answers to a GET of its path.
-type monitorAnswer struct {
+// monitorResponse is what an endpoint answers to a GET of its path.
+type monitorResponse struct {
 	status      int
 	contentType string // empty: there is no body
 	body        []byte
@@ -29,7 +29,7 @@
 type monitorEndpoint struct {
 	proxy    *Proxy
 	path     string
-	answer   func() monitorAnswer
+	respond  func() monitorResponse
 	listener *eventloop.Listener
 	sessions []*monitorSession // the oldest first
 }
@@ -37,112 +37,112 @@
 // monitorSession is a connection to an endpoint.
 type monitorSession struct {
 	endpoint *monitorEndpoint
-	conn     *eventloop.Conn
-	timeout  *eventloop.Timer
+	socket   *eventloop.Conn
+	timer    *eventloop.Timer
 }
 
 // listenMonitor serves an endpoint; the zero address is not served.
-func (p *Proxy) listenMonitor(address netip.AddrPort, path string, answer func() monitorAnswer) (*monitorEndpoint, error) {
+func (p *Proxy) listenMonitor(address netip.AddrPort, path string, answer func() monitorResponse) (*monitorEndpoint, error) {
 	if !address.IsValid() {
 		return nil, nil
 	}
-	e := &monitorEndpoint{proxy: p, path: path, answer: answer}
+	e := &monitorEndpoint{proxy: p, path: path, respond: answer}
 	var err error
-	if e.listener, err = p.loop.ListenReserved(address, mostMonitorClients, e.shed, e.accept); err != nil {
+	if e.listener, err = p.loop.ListenReserved(address, maxMonitorConns, e.closeOldest, e.accept); err != nil {
 		return nil, err
 	}
 	return e, nil
 }
 
-// readiness is the answer to the platform, which asks whether clients should be sent here.
-func (p *Proxy) readiness() monitorAnswer {
+// readyResponse is the answer to the platform, which asks whether clients should be sent here.
+func (p *Proxy) readyResponse() monitorResponse {
 	if p.Ready() {
-		return monitorAnswer{status: 200}
+		return monitorResponse{status: 200}
 	}
-	return monitorAnswer{status: 503}
+	return monitorResponse{status: 503}
 }
 
-// metrics is the page of the process's own figures.
-func (p *Proxy) metrics() monitorAnswer {
+// metricsResponse is the page of the process's own figures.
+func (p *Proxy) metricsResponse() monitorResponse {
 	var page exposition.Page
-	p.expose(&page)
-	return monitorAnswer{status: 200, contentType: exposition.ContentType, body: page.Bytes()}
+	p.writeMetrics(&page)
+	return monitorResponse{status: 200, contentType: exposition.ContentType, body: page.Bytes()}
 }
 
 func (e *monitorEndpoint) accept(c *eventloop.Conn) eventloop.Handler {
-	s := &monitorSession{endpoint: e, conn: c}
+	s := &monitorSession{endpoint: e, socket: c}
 	e.sessions = append(e.sessions, s)
-	s.expect()
+	s.resetTimeout()
 	return s
 }
 
-// shed closes the oldest connection.
-func (e *monitorEndpoint) shed() bool {
+// closeOldest closes the oldest connection.
+func (e *monitorEndpoint) closeOldest() bool {
 	if len(e.sessions) == 0 {
 		return false
 	}
-	e.sessions[0].end()
+	e.sessions[0].close()
 	return true
 }
 
-func (s *monitorSession) expect() {
+func (s *monitorSession) resetTimeout() {
 	loop := s.endpoint.proxy.loop
-	s.timeout.Stop()
-	s.timeout = loop.At(loop.Now()+monitorIdleTime, s.end)
+	s.timer.Stop()
+	s.timer = loop.At(loop.Now()+monitorIdleSeconds, s.close)
 }
 
-// leave forgets the connection.
-func (s *monitorSession) leave() {
-	s.timeout.Stop()
+// detach forgets the connection.
+func (s *monitorSession) detach() {
+	s.timer.Stop()
 	s.endpoint.sessions = slices.DeleteFunc(s.endpoint.sessions, func(o *monitorSession) bool { return o == s })
 }
 
-func (s *monitorSession) end() {
-	s.leave()
-	s.conn.Close()
+func (s *monitorSession) close() {
+	s.detach()
+	s.socket.Close()
 }
 
 // Opened implements transport.Handler.
 func (s *monitorSession) Opened(*eventloop.Conn) {}
 
 // Closed implements transport.Handler.
-func (s *monitorSession) Closed(*eventloop.Conn, error) { s.leave() }
+func (s *monitorSession) Closed(*eventloop.Conn, error) { s.detach() }
 
 // Data implements transport.Handler.
 func (s *monitorSession) Data(c *eventloop.Conn) {
 	for len(c.Bytes()) > 0 {
-		q, n, err := httpwire.ParseRequestHead(c.Bytes(), monitorHead)
+		q, n, err := httpwire.ParseRequestHead(c.Bytes(), maxMonitorHeadBytes)
 		if errors.Is(err, httpwire.ErrIncomplete) {
 			return
 		}
 		last := err != nil || q.Close || q.Body.Kind != httpwire.NoBody
-		text := appendMonitorAnswer(nil, s.answer(&q, err), last, q.Method == "HEAD")
+		text := appendMonitorResponse(nil, s.respond(&q, err), last, q.Method == "HEAD")
 		c.Consume(n)
 		c.Write(text)
 		if last {
-			s.leave()
+			s.detach()
 			c.CloseAfterFlush()
 			return
 		}
-		s.expect()
+		s.resetTimeout()
 	}
 }
 
-// answer is the answer to a request.
-func (s *monitorSession) answer(q *httpwire.RequestHead, err error) monitorAnswer {
+// respond is the answer to a request.
+func (s *monitorSession) respond(q *httpwire.RequestHead, err error) monitorResponse {
 	switch {
 	case err != nil:
-		return monitorAnswer{status: 400}
+		return monitorResponse{status: 400}
 	case pathOf(q.Target) != s.endpoint.path:
-		return monitorAnswer{status: 404}
+		return monitorResponse{status: 404}
 	case q.Method != "GET" && q.Method != "HEAD":
-		return monitorAnswer{status: 405}
+		return monitorResponse{status: 405}
 	}
-	return s.endpoint.answer()
+	return s.endpoint.respond()
 }
 
-// appendMonitorAnswer writes an answer; last says that the connection ends with it.
-func appendMonitorAnswer(b []byte, a monitorAnswer, last, noBody bool) []byte {
+// appendMonitorResponse writes an answer; last says that the connection ends with it.
+func appendMonitorResponse(b []byte, a monitorResponse, last, noBody bool) []byte {
 	b = httpwire.AppendStatusLine(b, a.status, httpwire.ReasonPhrase(a.status))
 	if a.contentType != "" {
 		b = httpwire.AppendField(b, "Content-Type", a.contentType)
--- a/internal/system/proxy/peers.go
+++ b/internal/system/proxy/peers.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	noticeShare   = 0.04  // of the machine's link, for what other proxies are told
-	noticeSpan    = 1.0   // seconds of that share that may be spent at once
-	unknownLink   = 125e6 // bytes a second, where the settings name no bound
-	datagramHead  = 28    // bytes of a datagram's headers
-	mostListeners = 256   // proxies of the own zone that are told
+	noticeLinkFraction        = 0.04  // of the machine's link, for what other proxies are told
+	noticeBurstSeconds        = 1.0   // seconds of that share that may be spent at once
+	defaultLinkBytesPerSecond = 125e6 // bytes a second, where the settings name no bound
+	datagramHeaderBytes       = 28    // bytes of a datagram's headers
+	maxOwnZonePeers           = 256   // proxies of the own zone that are told
 )
 
-// peers are the other proxies. Each is told by datagram which prompts runners are given to read, and which runners answer
+// peerNotifier are the other proxies. Each is told by datagram which prompts runners are given to read, and which runners answer
 // again. The proxies of the own zone are told by this one; one proxy of each other zone, drawn anew
 // each time, is told to pass it on in its zone, since bytes between zones are dear. A datagram that is lost costs a worse
 // choice and nothing else.
-type peers struct {
-	proxy    *Proxy
-	random   *rand.Rand
-	socket   *eventloop.UDPSocket
-	named    bool                        // the agent has told who the others are
-	own      []netip.AddrPort            // in the own zone
-	zones    map[string][]netip.AddrPort // in the others
-	budget   float64                     // bytes that may be sent now
-	earnedAt float64                     // seconds of the loop's clock
-	datagram []byte
+type peerNotifier struct {
+	proxy       *Proxy
+	random      *rand.Rand
+	socket      *eventloop.UDPSocket
+	peersKnown  bool                        // the agent has told who the others are
+	ownZone     []netip.AddrPort            // in the own zone
+	otherZones  map[string][]netip.AddrPort // in the others
+	budgetBytes float64                     // bytes that may be sent now
+	refilledAt  float64                     // seconds of the loop's clock
+	datagram    []byte
 }
 
-func newPeers(p *Proxy) *peers {
-	random := rand.New(rand.NewPCG(p.options.Seed, noticeRelayed))
-	return &peers{proxy: p, random: random, zones: map[string][]netip.AddrPort{}, earnedAt: p.loop.Now() - noticeSpan}
+func newPeerNotifier(p *Proxy) *peerNotifier {
+	random := rand.New(rand.NewPCG(p.options.Seed, noticeRelayFlag))
+	return &peerNotifier{proxy: p, random: random, otherZones: map[string][]netip.AddrPort{}, refilledAt: p.loop.Now() - noticeBurstSeconds}
 }
 
 // listen opens the socket. The proxy does its work without it, too.
-func (s *peers) listen() {
-	address := s.proxy.options.Peers
+func (s *peerNotifier) listen() {
+	address := s.proxy.options.NoticeAddr
 	if !address.IsValid() || s.socket != nil {
 		return
 	}
-	socket, err := s.proxy.loop.ListenUDP(address, s.take)
+	socket, err := s.proxy.loop.ListenUDP(address, s.handleDatagram)
 	if err != nil {
 		s.proxy.log.Warn("other proxies are not heard, check that no other process holds the port", zap.Error(err))
 		return
@@ -56,78 +56,78 @@
 	s.socket = socket
 }
 
-// takePeers replaces the other proxies.
-func (p *Proxy) takePeers(told []feed.Peer) {
+// applyPeers replaces the other proxies.
+func (p *Proxy) applyPeers(told []feed.Peer) {
 	keys := make([]uint64, 0, len(told))
-	p.peers.own = nil
-	clear(p.peers.zones)
+	p.peers.ownZone = nil
+	clear(p.peers.otherZones)
 	for i := range told {
 		keys = append(keys, xxhash.Sum64String(told[i].Node))
 		p.peers.add(told[i].Zone, told[i].Address)
 	}
-	p.peers.named = true
+	p.peers.peersKnown = true
 	p.control.proxies = 1 + len(told)
 	p.pool.proxies = p.control.proxies
 	p.placer.SetPeers(p.now(), xxhash.Sum64String(p.options.Node), keys)
 }
 
 // add names a proxy that is to be told; one whose zone is not known is told nothing.
-func (s *peers) add(zone string, machine netip.Addr) {
+func (s *peerNotifier) add(zone string, machine netip.Addr) {
 	if zone == "" || !machine.IsValid() {
 		return
 	}
-	address := netip.AddrPortFrom(machine, s.proxy.options.Peers.Port())
+	address := netip.AddrPortFrom(machine, s.proxy.options.NoticeAddr.Port())
 	switch {
 	case zone != s.proxy.options.Zone:
-		s.zones[zone] = append(s.zones[zone], address)
-	case len(s.own) < mostListeners:
-		s.own = append(s.own, address)
+		s.otherZones[zone] = append(s.otherZones[zone], address)
+	case len(s.ownZone) < maxOwnZonePeers:
+		s.ownZone = append(s.ownZone, address)
 	}
 }
 
-// tellReading tells the others which prompt an attempt has its runner read.
-func (s *peers) tellReading(a *placement.Attempt) {
+// notifyPrefill tells the others which prompt an attempt has its runner read.
+func (s *peerNotifier) notifyPrefill(a *placement.Attempt) {
 	if notice, worth := a.PrefillNotice(); worth {
-		s.tell(notice)
+		s.broadcast(notice)
 	}
 }
 
-// tellAnswers tells the others that the runner of an attempt answers again.
-func (s *peers) tellAnswers(a *placement.Attempt) {
+// notifyResponding tells the others that the runner of an attempt answers again.
+func (s *peerNotifier) notifyResponding(a *placement.Attempt) {
 	if notice, worth := a.RecoveryNotice(); worth {
-		s.tell(notice)
+		s.broadcast(notice)
 	}
 }
 
-// tell tells all others, if the share of the link bears it.
-func (s *peers) tell(notice placement.Notice) {
+// broadcast tells all others, if the share of the link bears it.
+func (s *peerNotifier) broadcast(notice placement.Notice) {
 	if s.socket == nil {
 		return
 	}
 	s.datagram = appendNotice(s.datagram[:0], notice)
-	if !s.spend((len(s.own) + len(s.zones)) * (datagramHead + len(s.datagram))) {
+	if !s.spendBudget((len(s.ownZone) + len(s.otherZones)) * (datagramHeaderBytes + len(s.datagram))) {
 		return
 	}
-	s.proxy.Figures.NoticesTold++
-	s.send(s.own)
-	s.datagram[0] |= noticeRelayed
-	for _, listeners := range s.zones {
+	s.proxy.Counters.NoticesSent++
+	s.send(s.ownZone)
+	s.datagram[0] |= noticeRelayFlag
+	for _, listeners := range s.otherZones {
 		at := s.random.IntN(len(listeners))
 		s.send(listeners[at : at+1])
 	}
 }
 
-// passOn tells the own zone what a proxy of another one has told.
-func (s *peers) passOn(datagram []byte) {
+// verdictRelay tells the own zone what a proxy of another one has told.
+func (s *peerNotifier) forward(datagram []byte) {
 	s.datagram = append(s.datagram[:0], datagram...)
-	s.datagram[0] &^= noticeRelayed
-	if s.spend(len(s.own) * (datagramHead + len(datagram))) {
-		s.send(s.own)
+	s.datagram[0] &^= noticeRelayFlag
+	if s.spendBudget(len(s.ownZone) * (datagramHeaderBytes + len(datagram))) {
+		s.send(s.ownZone)
 	}
 }
 
 // send sends the datagram at hand. An error ends it: the system has no room, or there is no way.
-func (s *peers) send(listeners []netip.AddrPort) {
+func (s *peerNotifier) send(listeners []netip.AddrPort) {
 	for _, listener := range listeners {
 		if s.socket.SendTo(listener, s.datagram) != nil {
 			return
@@ -135,42 +135,42 @@
 	}
 }
 
-// spend takes bytes from the share of the link; false: it is used up.
-func (s *peers) spend(size int) bool {
-	link := s.proxy.options.LinkBytesPerS
+// spendBudget takes bytes from the share of the link; false: it is used up.
+func (s *peerNotifier) spendBudget(size int) bool {
+	link := s.proxy.options.LinkBytesPerSecond
 	if link <= 0 {
-		link = unknownLink
+		link = defaultLinkBytesPerSecond
 	}
-	now, rate := s.proxy.loop.Now(), noticeShare*link
-	s.budget = min(s.budget+rate*(now-s.earnedAt), rate*noticeSpan)
-	s.earnedAt = now
+	now, rate := s.proxy.loop.Now(), noticeLinkFraction*link
+	s.budgetBytes = min(s.budgetBytes+rate*(now-s.refilledAt), rate*noticeBurstSeconds)
+	s.refilledAt = now
 	bytes := float64(size)
-	if bytes > s.budget {
-		s.proxy.Figures.NoticesWithheld++
+	if bytes > s.budgetBytes {
+		s.proxy.Counters.NoticesSuppressed++
 		return false
 	}
-	s.budget -= bytes
+	s.budgetBytes -= bytes
 	return true
 }
 
-// take takes a datagram; one that makes no sense is passed over.
-func (s *peers) take(datagram []byte) {
-	notice, relayed, ok := readNotice(datagram)
+// handleDatagram takes a datagram; one that makes no sense is passed over.
+func (s *peerNotifier) handleDatagram(datagram []byte) {
+	notice, relayed, ok := parseNotice(datagram)
 	if !ok {
 		return
 	}
 	if relayed {
-		s.passOn(datagram)
+		s.forward(datagram)
 	}
-	s.proxy.Figures.NoticesHeard++
+	s.proxy.Counters.NoticesReceived++
 	s.proxy.placer.HandleNotice(s.proxy.now(), notice)
 }
 
 // A datagram is a notice's kind in one byte, the runner's key, and of a prompt its tokens.
 const (
-	noticeRelayed = 0x80      // bit of the kind: whoever gets it passes it on in its zone, without the bit
-	noticeHead    = 1 + 8     // bytes
-	mostTold      = 1<<24 - 1 // tokens of a prompt
+	noticeRelayFlag   = 0x80      // bit of the kind: whoever gets it passes it on in its zone, without the bit
+	noticeHeaderBytes = 1 + 8     // bytes
+	maxNoticeTokens   = 1<<24 - 1 // tokens of a prompt
 )
 
 func appendNotice(b []byte, notice placement.Notice) []byte {
@@ -179,24 +179,24 @@
 	if notice.Kind != placement.NoticePrefill {
 		return b
 	}
-	return binary.AppendUvarint(b, uint64(min(notice.Tokens, mostTold)))
+	return binary.AppendUvarint(b, uint64(min(notice.Tokens, maxNoticeTokens)))
 }
 
-func readNotice(b []byte) (notice placement.Notice, relayed, ok bool) {
-	if len(b) < noticeHead {
+func parseNotice(b []byte) (notice placement.Notice, relayed, ok bool) {
+	if len(b) < noticeHeaderBytes {
 		return notice, false, false
 	}
-	relayed = b[0]&noticeRelayed != 0
-	notice.Kind = placement.NoticeKind(b[0] &^ noticeRelayed)
+	relayed = b[0]&noticeRelayFlag != 0
+	notice.Kind = placement.NoticeKind(b[0] &^ noticeRelayFlag)
 	notice.RunnerKey = binary.LittleEndian.Uint64(b[1:])
-	rest := b[noticeHead:]
+	rest := b[noticeHeaderBytes:]
 	switch notice.Kind {
 	case placement.NoticeRecovery:
 		return notice, relayed, len(rest) == 0
 	case placement.NoticePrefill:
 		tokens, n := binary.Uvarint(rest)
-		notice.Tokens = int(min(tokens, mostTold))
-		return notice, relayed, n > 0 && n == len(rest) && tokens <= mostTold
+		notice.Tokens = int(min(tokens, maxNoticeTokens))
+		return notice, relayed, n > 0 && n == len(rest) && tokens <= maxNoticeTokens
 	}
 	return notice, relayed, false
 }
--- a/internal/system/proxy/peers_test.go
+++ b/internal/system/proxy/peers_test.go
@@ -14,60 +14,60 @@
 	"cinderroad/internal/system/routetable"
 )
 
-func TestNoticesAreReadAsTheyWereWritten(t *testing.T) {
+func TestNoticeRoundTrip(t *testing.T) {
 	for _, notice := range []placement.Notice{{Kind: placement.NoticePrefill, RunnerKey: 1, Tokens: 1},
-		{Kind: placement.NoticePrefill, RunnerKey: 1<<64 - 1, Tokens: mostTold}, {Kind: placement.NoticePrefill, RunnerKey: 5},
+		{Kind: placement.NoticePrefill, RunnerKey: 1<<64 - 1, Tokens: maxNoticeTokens}, {Kind: placement.NoticePrefill, RunnerKey: 5},
 		{Kind: placement.NoticeRecovery, RunnerKey: 9}} {
-		if got, relayed, ok := readNotice(appendNotice(nil, notice)); !ok || relayed || got != notice {
+		if got, relayed, ok := parseNotice(appendNotice(nil, notice)); !ok || relayed || got != notice {
 			t.Errorf("%+v was read as %+v, %v, %v", notice, got, relayed, ok)
 		}
 	}
 }
 
-// FuzzReadNotice reads whatever comes: what is taken is what would have been written.
-func FuzzReadNotice(f *testing.F) {
+// FuzzParseNotice reads whatever comes: what is taken is what would have been written.
+func FuzzParseNotice(f *testing.F) {
 	f.Add(appendNotice(nil, placement.Notice{Kind: placement.NoticePrefill, RunnerKey: 3, Tokens: 4000}))
 	f.Add(appendNotice(nil, placement.Notice{Kind: placement.NoticeRecovery, RunnerKey: 3}))
 	f.Add([]byte{byte(placement.NoticePrefill), 0, 0, 0, 0, 0, 0, 0, 0, 0x80})
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		notice, _, ok := readNotice(b)
+		notice, _, ok := parseNotice(b)
 		if !ok {
 			return
 		}
-		again, _, ok := readNotice(appendNotice(nil, notice))
-		if !ok || again != notice || notice.Tokens < 0 || notice.Tokens > mostTold {
+		again, _, ok := parseNotice(appendNotice(nil, notice))
+		if !ok || again != notice || notice.Tokens < 0 || notice.Tokens > maxNoticeTokens {
 			t.Errorf("%x was read as %+v, then as %+v", b, notice, again)
 		}
 	})
 }
 
-// hearingPlacer keeps the notices that it hears.
-type hearingPlacer struct {
+// recordingPlacer keeps the notices that it hears.
+type recordingPlacer struct {
 	fakePlacer
-	heard []placement.Notice
-	peers []uint64
+	notices []placement.Notice
+	peers   []uint64
 
-	numbers int // how often a number of proxies was told alone
+	setProxiesCalls int // how often a number of proxies was told alone
 }
 
-func (h *hearingPlacer) HandleNotice(_ time.Duration, notice placement.Notice) {
-	h.heard = append(h.heard, notice)
+func (h *recordingPlacer) HandleNotice(_ time.Duration, notice placement.Notice) {
+	h.notices = append(h.notices, notice)
 }
 
-func (h *hearingPlacer) SetProxyCount(time.Duration, int) { h.numbers++ }
+func (h *recordingPlacer) SetProxyCount(time.Duration, int) { h.setProxiesCalls++ }
 
-func (h *hearingPlacer) SetPeers(_ time.Duration, _ uint64, peers []uint64) { h.peers = peers }
+func (h *recordingPlacer) SetPeers(_ time.Duration, _ uint64, peers []uint64) { h.peers = peers }
 
-// hearingProxy is a proxy on a loopback address of its own that hears notices at a free port.
-func hearingProxy(t *testing.T, link float64) (*Proxy, *hearingPlacer) {
+// newNotifiedProxy is a proxy on a loopback address of its own that hears notices at a free port.
+func newNotifiedProxy(t *testing.T, link float64) (*Proxy, *recordingPlacer) {
 	t.Helper()
 	loop, err := eventloop.NewLoop(64)
 	if err != nil {
 		t.Fatal(err)
 	}
-	placer := &hearingPlacer{}
-	p := New(loop, zap.NewNop(), placer, Options{Peers: netip.MustParseAddrPort("127.0.0.1:0"), LinkBytesPerS: link})
+	placer := &recordingPlacer{}
+	p := New(loop, zap.NewNop(), placer, Options{NoticeAddr: netip.MustParseAddrPort("127.0.0.1:0"), LinkBytesPerSecond: link})
 	p.peers.listen()
 	if p.peers.socket == nil {
 		t.Fatal("no socket")
@@ -76,8 +76,8 @@
 	return p, placer
 }
 
-// run lets a proxy's loop turn until the condition holds; a second is far more than loopback takes.
-func (h *hearingPlacer) run(t *testing.T, p *Proxy, until func() bool) {
+// runUntil lets a proxy's loop turn until the condition holds; a second is far more than loopback takes.
+func (h *recordingPlacer) runUntil(t *testing.T, p *Proxy, until func() bool) {
 	t.Helper()
 	var look func()
 	limit := p.now() + 10*time.Second
@@ -86,7 +86,7 @@
 			p.loop.Stop()
 			return
 		}
-		p.at(p.now()+time.Millisecond, look)
+		p.runAt(p.now()+time.Millisecond, look)
 	}
 	look()
 	if err := p.loop.Run(); err != nil {
@@ -98,60 +98,60 @@
 }
 
 // The proxies of the own zone are told, and one of each other zone, which passes it on in its own.
-func TestOneProxyOfEachOtherZonePassesNoticesOn(t *testing.T) {
-	teller, _ := hearingProxy(t, 0)
-	relay, relayPlacer := hearingProxy(t, 0)
-	last, lastPlacer := hearingProxy(t, 0)
+func TestNoticeForwardedInOtherZones(t *testing.T) {
+	teller, _ := newNotifiedProxy(t, 0)
+	relay, relayPlacer := newNotifiedProxy(t, 0)
+	last, lastPlacer := newNotifiedProxy(t, 0)
 	machine := netip.MustParseAddr("127.0.0.1")
-	teller.options.Zone, teller.options.Peers = "a", relay.peers.socket.Addr() // all proxies have one port
-	teller.takePeers([]feed.Peer{{Node: "one", Address: machine, Zone: "c"}, {Node: "two", Address: machine, Zone: "c"},
+	teller.options.Zone, teller.options.NoticeAddr = "a", relay.peers.socket.Addr() // all proxies have one port
+	teller.applyPeers([]feed.Peer{{Node: "one", Address: machine, Zone: "c"}, {Node: "two", Address: machine, Zone: "c"},
 		{Node: "three", Address: machine}, {Node: "four", Zone: "a"}})
-	relay.options.Zone, relay.options.Peers = "c", last.peers.socket.Addr()
-	relay.takePeers([]feed.Peer{{Node: "five", Address: machine, Zone: "c"}})
-	if known := teller.placer.(*hearingPlacer).peers; len(known) != 4 {
+	relay.options.Zone, relay.options.NoticeAddr = "c", last.peers.socket.Addr()
+	relay.applyPeers([]feed.Peer{{Node: "five", Address: machine, Zone: "c"}})
+	if known := teller.placer.(*recordingPlacer).peers; len(known) != 4 {
 		t.Errorf("the placer was told of %d proxies", len(known))
 	}
-	if p := teller.peers; len(p.own) != 0 || len(p.zones) != 1 || len(p.zones["c"]) != 2 {
-		t.Errorf("told are %v, %v", p.own, p.zones)
+	if p := teller.peers; len(p.ownZone) != 0 || len(p.otherZones) != 1 || len(p.otherZones["c"]) != 2 {
+		t.Errorf("told are %v, %v", p.ownZone, p.otherZones)
 	}
 	notice := placement.Notice{Kind: placement.NoticePrefill, RunnerKey: 7, Tokens: 3000}
-	teller.peers.tell(notice)
-	relayPlacer.run(t, relay, func() bool { return len(relayPlacer.heard) == 1 })
-	lastPlacer.run(t, last, func() bool { return len(lastPlacer.heard) == 1 })
-	if relayPlacer.heard[0] != notice || lastPlacer.heard[0] != notice {
-		t.Errorf("heard %+v, %+v", relayPlacer.heard, lastPlacer.heard)
+	teller.peers.broadcast(notice)
+	relayPlacer.runUntil(t, relay, func() bool { return len(relayPlacer.notices) == 1 })
+	lastPlacer.runUntil(t, last, func() bool { return len(lastPlacer.notices) == 1 })
+	if relayPlacer.notices[0] != notice || lastPlacer.notices[0] != notice {
+		t.Errorf("heard %+v, %+v", relayPlacer.notices, lastPlacer.notices)
 	}
-	last.peers.take([]byte("nonsense"))
-	if len(lastPlacer.heard) != 1 {
-		t.Errorf("nonsense was taken for %+v", lastPlacer.heard[1:])
+	last.peers.handleDatagram([]byte("nonsense"))
+	if len(lastPlacer.notices) != 1 {
+		t.Errorf("nonsense was taken for %+v", lastPlacer.notices[1:])
 	}
 }
 
 // What is told takes no more than its share of the link.
-func TestNoticesKeepToTheirShareOfTheLink(t *testing.T) {
+func TestNoticeBudget(t *testing.T) {
 	const link = 100e3
-	p, _ := hearingProxy(t, link)
-	p.peers.earnedAt -= 10 // long ago
-	size := 10 * (datagramHead + len(appendNotice(nil, placement.Notice{Kind: placement.NoticePrefill, Tokens: 3000})))
+	p, _ := newNotifiedProxy(t, link)
+	p.peers.refilledAt -= 10 // long ago
+	size := 10 * (datagramHeaderBytes + len(appendNotice(nil, placement.Notice{Kind: placement.NoticePrefill, Tokens: 3000})))
 	told := 0
-	for p.peers.spend(size) {
+	for p.peers.spendBudget(size) {
 		told++
 	}
-	if most := int(noticeShare * link * noticeSpan / float64(size)); told != most {
+	if most := int(noticeLinkFraction * link * noticeBurstSeconds / float64(size)); told != most {
 		t.Errorf("%d notices were sent at once, want %d", told, most)
 	}
 }
 
 // A number that was told a moment before or after the names does not take the names away: with many proxies only those that
 // know the others' names may use a cold runner.
-func TestNamesOutliveANumber(t *testing.T) {
-	p, placer := hearingProxy(t, 0)
+func TestPeersOutliveProxyCount(t *testing.T) {
+	p, placer := newNotifiedProxy(t, 0)
 	p.control.table = routetable.New()
 	peers := []feed.Peer{{Node: "one", Zone: "a"}, {Node: "two", Zone: "a"}}
-	p.Take(agentclient.Update{Proxies: 4, Peers: &peers})
-	p.Take(agentclient.Update{Proxies: 3})
-	if placer.numbers != 0 {
-		t.Errorf("the placer was told %d times of a number alone", placer.numbers)
+	p.ApplyUpdate(agentclient.Update{Proxies: 4, Peers: &peers})
+	p.ApplyUpdate(agentclient.Update{Proxies: 3})
+	if placer.setProxiesCalls != 0 {
+		t.Errorf("the placer was told %d times of a number alone", placer.setProxiesCalls)
 	}
 	if p.pool.proxies != 3 || p.control.proxies != 3 {
 		t.Errorf("connections are shared among %d, figures tell %d; want 3", p.pool.proxies, p.control.proxies)
--- a/internal/system/proxy/proxy_test.go
+++ b/internal/system/proxy/proxy_test.go
@@ -7,14 +7,14 @@
 )
 
 // The ordinary path: what a runner gets and what a client gets, on connections that are used again.
-func TestHappyPath(t *testing.T) {
-	w := newWorld(t)
-	r := w.runners("a")[0]
-	c := w.client()
-	c.send(ask("/writes/x?q=1", "t1",
+func TestRequestAndConnectionReuse(t *testing.T) {
+	w := newHarness(t)
+	r := w.startRunners("a")[0]
+	c := w.connect()
+	c.send(requestText("/writes/x?q=1", "t1",
 		"X-Other: v\r\nConnection: keep-alive, x-hop\r\nX-Hop: gone\r\nX-Wanted-Server: evil\r\n", "the body"))
 	up := r.accept()
-	q, body := up.request()
+	q, body := up.readRequest()
 	if q.Method != "POST" || q.RequestURI != "/writes/x?q=1" || q.Host != "h.example" || body != "the body" {
 		t.Errorf("runner got %s %s of %s with %q", q.Method, q.RequestURI, q.Host, body)
 	}
@@ -28,7 +28,7 @@
 		t.Errorf("time left is %d", left)
 	}
 	up.send("HTTP/1.1 201 Made\r\nX-Try-Id: t1\r\nX-Server-Seal: seal\r\nX-Odd: kept\r\nConnection: x-drop\r\nX-Drop: 1\r\nContent-Length: 3\r\n\r\nabc")
-	head := c.head()
+	head := c.readHead()
 	for _, want := range []string{"HTTP/1.1 201 Made\r\n", "X-Server-Seal: seal\r\n", "X-Odd: kept\r\n",
 		"X-Try-Id: t1\r\n", "Content-Length: 3\r\n"} {
 		if !strings.Contains(head, want) {
@@ -39,43 +39,43 @@
 		t.Errorf("client got a field of the other connection: %q", head)
 	}
 	c.expect("abc")
-	w.ended("a served")
+	w.expectOutcomes("a served")
 
-	c.send(ask("/reads/y", "t2", "", "")) // both connections are used again
-	if q, _ := up.request(); q.Header.Get("X-Try-Id") != "t2" {
+	c.send(requestText("/reads/y", "t2", "", "")) // both connections are used again
+	if q, _ := up.readRequest(); q.Header.Get("X-Try-Id") != "t2" {
 		t.Errorf("second request has id %q", q.Header.Get("X-Try-Id"))
 	}
-	up.send(served("t2", "second"))
-	if got, body := c.response(); got.StatusCode != 200 || body != "second" {
+	up.send(successText("t2", "second"))
+	if got, body := c.readResponse(); got.StatusCode != 200 || body != "second" {
 		t.Errorf("second answer is %d %q", got.StatusCode, body)
 	}
 }
 
 // Guards against events that wait for the end of the stream, and against a body whose bytes are changed by its framing.
-func TestStreamPassesThrough(t *testing.T) {
-	w := newWorld(t)
-	r := w.runners("a")[0]
-	c := w.client()
-	c.send(ask("/stream/x", "t1",
+func TestEventStreamRelay(t *testing.T) {
+	w := newHarness(t)
+	r := w.startRunners("a")[0]
+	c := w.connect()
+	c.send(requestText("/stream/x", "t1",
 		"X-Model: m\r\nX-Token-Counts: 1460,80\r\nX-Prompt-Start: 5c1e07a2:800,91bd3f06:410\r\n", "p"))
 	up := r.accept()
-	up.request()
-	w.do(func() {
-		if q := w.placer.last; q.Model != "m" || q.InputTokens != 1460 || q.MaxOutputTokens != 80 || len(q.Chunks) != 2 ||
+	up.readRequest()
+	w.onLoop(func() {
+		if q := w.placer.lastRequest; q.Model != "m" || q.InputTokens != 1460 || q.MaxOutputTokens != 80 || len(q.Chunks) != 2 ||
 			q.Chunks[1].ID != 0x91bd3f06 || q.Chunks[1].Tokens != 410 {
 			t.Errorf("request for the placer: %+v", q)
 		}
 	})
-	up.send(streamHead("t1", "seal"))
-	c.head()
+	up.send(streamHeadText("t1", "seal"))
+	c.readHead()
 	for i := 1; i <= 3; i++ {
-		up.send(chunk(event(i)))
-		c.expect(chunk(event(i)))
+		up.send(chunkText(eventText(i)))
+		c.expect(chunkText(eventText(i)))
 	}
 	up.send(lastChunk)
 	c.expect(lastChunk)
-	w.ended("a served")
-	w.do(func() {
+	w.expectOutcomes("a served")
+	w.onLoop(func() {
 		if w.placer.events != 3 {
 			t.Errorf("placer heard of %d events", w.placer.events)
 		}
--- a/internal/system/proxy/referee_test.go
+++ b/internal/system/proxy/referee_test.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	goneWithin  = 500 * time.Millisecond // after which nothing may go on for a client that has left
-	finalWithin = 250 * time.Millisecond // after a route's time, in which its requests have their final answer
-	timeSlack   = 100 * time.Millisecond // that a runner may be given more than is left: ways and long turns
+	cancelWithin   = 500 * time.Millisecond // after which nothing may go on for a client that has left
+	completeWithin = 250 * time.Millisecond // after a route's time, in which its requests have their final answer
+	timeSlack      = 100 * time.Millisecond // that a runner may be given more than is left: ways and long turns
 )
 
-// referee knows what every client asked and what every runner did, and says what breaks the rules. It has no part in
+// checker knows what every client asked and what every runner did, and says what breaks the rules. It has no part in
 // either.
-type referee struct {
-	network  *simulatedNetwork
-	requests map[string]*askedRequest
-	runs     map[string]*run // by their seal
-	broken   []string
-	doubts   []doubt // that hold unless the request met trouble
-	served   int
-	refused  int
-	resumed  int
-	late     int
+type checker struct {
+	network             *simulatedNetwork
+	requests            map[string]*simulatedRequest
+	executions          map[string]*execution // by their seal
+	violations          []string
+	suspectedViolations []suspectedViolation // that hold unless the request met trouble
+	served              int
+	refused             int
+	resumed             int
+	timedOut            int
 }
 
-// askedRequest is what a client has asked.
-type askedRequest struct {
+// simulatedRequest is what a client has asked.
+type simulatedRequest struct {
 	id, target  string
 	method      string
 	version     string // of HTTP
@@ -38,218 +38,218 @@
 	sentAt      time.Duration
 	deadline    time.Duration // of the client
 	routeEnd    time.Duration // of the route's time
-	leftAt      time.Duration // when the client left; 0: it did not
+	cancelledAt time.Duration // when the client left; 0: it did not
 	arrivals    int
-	runs        []*run
-	troubled    bool // a runner or its line gave reason to break its answer off
-	final       bool // the client has its answer, or has seen its end
-	promised    bool
+	executions  []*execution
+	faulted     bool // a runner or its line gave reason to break its answer off
+	completed   bool // the client has its answer, or has seen its end
+	rejected    bool
 	slow        bool // the client did not send or read as fast as it could
 	lastArrival time.Duration
 }
 
-// repeatable says whether the request may run more than once.
-func (q *askedRequest) repeatable() bool { return q.kind == "reads" || q.kind == "resumable" }
+// idempotent says whether the request may run more than once.
+func (q *simulatedRequest) idempotent() bool { return q.kind == "reads" || q.kind == "resumable" }
 
-// run is a runner's work on a request.
-type run struct {
-	request *askedRequest
+// execution is a runner's work on a request.
+type execution struct {
+	request *simulatedRequest
 	runner  string
 	seal    string
 	status  int
 	body    string // of a whole answer
 }
 
-func newReferee(n *simulatedNetwork) *referee {
-	return &referee{network: n, requests: map[string]*askedRequest{}, runs: map[string]*run{}}
+func newChecker(n *simulatedNetwork) *checker {
+	return &checker{network: n, requests: map[string]*simulatedRequest{}, executions: map[string]*execution{}}
 }
 
-// breaks notes a broken rule.
-func (r *referee) breaks(rule, format string, args ...any) {
-	r.broken = append(r.broken, fmt.Sprintf("%8.4f %s: %s", r.network.now.Seconds(), rule, fmt.Sprintf(format, args...)))
+// violation notes a broken rule.
+func (r *checker) violation(rule, format string, args ...any) {
+	r.violations = append(r.violations, fmt.Sprintf("%8.4f %s: %s", r.network.now.Seconds(), rule, fmt.Sprintf(format, args...)))
 }
 
-// doubt is a rule that is broken unless a runner or its line gave reason for it, which may show later.
-type doubt struct {
-	request *askedRequest
+// suspectedViolation is a rule that is broken unless a runner or its line gave reason for it, which may show later.
+type suspectedViolation struct {
+	request *simulatedRequest
 	rule    string
 	text    string
 }
 
 // doubts notes a rule that is broken unless the request turns out to have met trouble.
-func (r *referee) doubt(q *askedRequest, rule, text string) {
-	r.doubts = append(r.doubts, doubt{q, rule, fmt.Sprintf("at %.4f: %s", r.network.now.Seconds(), text)})
+func (r *checker) suspect(q *simulatedRequest, rule, text string) {
+	r.suspectedViolations = append(r.suspectedViolations, suspectedViolation{q, rule, fmt.Sprintf("at %.4f: %s", r.network.now.Seconds(), text)})
 }
 
-// settle decides what was in doubt.
-func (r *referee) settle() {
-	for _, d := range r.doubts {
-		if !d.request.troubled {
-			r.breaks(d.rule, "%s %s", d.request.id, d.text)
+// finish decides what was in doubt.
+func (r *checker) finish() {
+	for _, d := range r.suspectedViolations {
+		if !d.request.faulted {
+			r.violation(d.rule, "%s %s", d.request.id, d.text)
 		}
 	}
 }
 
-// arrived takes a request's head that has come to a runner; nil: nobody asked it.
-func (r *referee) arrived(conn *modelConn, got *parsedHead) *askedRequest {
+// requestArrived takes a request's head that has come to a runner; nil: nobody asked it.
+func (r *checker) requestArrived(conn *simulatedRunnerConn, got *parsedHead) *simulatedRequest {
 	runner := conn.runner
-	q := r.requests[got.header.Get(fieldTryID)]
+	q := r.requests[got.header.Get(headerTryID)]
 	if q == nil {
-		r.breaks("UNASKED", "runner %s gets %q", runner.id, got.line)
+		r.violation("UNASKED", "runner %s gets %q", runner.id, got.line)
 		return nil
 	}
 	q.arrivals++
 	q.lastArrival = r.network.now
 	if want := q.method + " " + q.target + " HTTP/1.1"; got.line != want {
-		r.breaks("UNASKED", "%s arrives as %q, want %q", q.id, got.line, want)
+		r.violation("UNASKED", "%s arrives as %q, want %q", q.id, got.line, want)
 	}
-	if got.header.Get(fieldModel) != "m-"+q.id || got.header.Get("Host") != "h.example" {
-		r.breaks("UNASKED", "%s arrives with other fields: %v", q.id, got.header)
+	if got.header.Get(headerModel) != "m-"+q.id || got.header.Get("Host") != "h.example" {
+		r.violation("UNASKED", "%s arrives with other fields: %v", q.id, got.header)
 	}
-	if wanted := got.header.Get(fieldWanted); wanted != runner.id {
-		r.breaks("ROUTE", "%s for %s arrives at %s", q.id, wanted, runner.id)
+	if wanted := got.header.Get(headerWantedServer); wanted != runner.id {
+		r.violation("ROUTE", "%s for %s arrives at %s", q.id, wanted, runner.id)
 	}
-	q.troubled = q.troubled || conn.heldUp()
-	r.checkTimeLeft(conn, q, got.header.Get(fieldTimeLeft))
-	if q.leftAt > 0 && r.network.now > q.leftAt+goneWithin {
-		r.breaks("GONE", "%s arrives at %s %v after its client left", q.id, runner.id, r.network.now-q.leftAt)
+	q.faulted = q.faulted || conn.wasDelayed()
+	r.checkTimeLeft(conn, q, got.header.Get(headerTimeLeft))
+	if q.cancelledAt > 0 && r.network.now > q.cancelledAt+cancelWithin {
+		r.violation("GONE", "%s arrives at %s %v after its client left", q.id, runner.id, r.network.now-q.cancelledAt)
 	}
 	return q
 }
 
 // checkTimeLeft looks at how long a runner is told to have, unless the way there held the request up.
-func (r *referee) checkTimeLeft(conn *modelConn, q *askedRequest, value string) {
+func (r *checker) checkTimeLeft(conn *simulatedRunnerConn, q *simulatedRequest, value string) {
 	left, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || left <= 0 {
-		r.breaks("BUDGET", "%s is told %q to be left", q.id, value)
+		r.violation("BUDGET", "%s is told %q to be left", q.id, value)
 		return
 	}
-	if conn.heldUp() {
+	if conn.wasDelayed() {
 		return
 	}
 	end := r.network.now + time.Duration(left)*time.Millisecond
 	if end > min(q.deadline, q.routeEnd)+timeSlack {
-		r.breaks("BUDGET", "%s is given %v beyond its client's time", q.id, end-min(q.deadline, q.routeEnd))
+		r.violation("BUDGET", "%s is given %v beyond its client's time", q.id, end-min(q.deadline, q.routeEnd))
 	}
 }
 
-// ran takes the begin of a runner's work.
-func (r *referee) ran(q *askedRequest, runner string) *run {
-	made := &run{request: q, runner: runner, seal: fmt.Sprintf("%s.%s.%d", runner, q.id, len(r.runs))}
-	r.runs[made.seal] = made
-	q.runs = append(q.runs, made)
-	if len(q.runs) > 1 && !q.repeatable() {
-		r.breaks("TWICE", "%s runs for the %d. time, at %s", q.id, len(q.runs), runner)
+// executionStarted takes the begin of a runner's work.
+func (r *checker) executionStarted(q *simulatedRequest, runner string) *execution {
+	made := &execution{request: q, runner: runner, seal: fmt.Sprintf("%s.%s.%d", runner, q.id, len(r.executions))}
+	r.executions[made.seal] = made
+	q.executions = append(q.executions, made)
+	if len(q.executions) > 1 && !q.idempotent() {
+		r.violation("TWICE", "%s runs for the %d. time, at %s", q.id, len(q.executions), runner)
 	}
-	if q.promised {
-		r.breaks("REFUSED", "%s runs at %s after it was refused", q.id, runner)
+	if q.rejected {
+		r.violation("REFUSED", "%s runs at %s after it was refused", q.id, runner)
 	}
-	if len(q.runs) > modelTries {
-		r.breaks("BUDGET", "%s runs on %d runners", q.id, len(q.runs))
+	if len(q.executions) > simulationAttempts {
+		r.violation("BUDGET", "%s runs on %d runners", q.id, len(q.executions))
 	}
 	return made
 }
 
-// left takes that a client has left; nothing may go on for it.
-func (r *referee) left(q *askedRequest) {
-	if q.final || q.leftAt > 0 {
+// clientLeft takes that a client has left; nothing may go on for it.
+func (r *checker) clientLeft(q *simulatedRequest) {
+	if q.completed || q.cancelledAt > 0 {
 		return
 	}
-	q.leftAt = r.network.now
+	q.cancelledAt = r.network.now
 }
 
-// ended takes the end of a request's connection before its answer was whole; some says that a part had come.
-func (r *referee) ended(q *askedRequest, some bool) {
-	q.final = true
+// connectionEnded takes the end of a request's connection before its answer was whole; some says that a part had come.
+func (r *checker) connectionEnded(q *simulatedRequest, some bool) {
+	q.completed = true
 	over := r.network.now+timeSlack >= min(q.deadline, q.routeEnd)
 	if !over {
-		r.doubt(q, "LOST", fmt.Sprintf("sees its connection end without a complete answer; some of it: %v", some))
+		r.suspect(q, "LOST", fmt.Sprintf("sees its connection end without a complete answer; some of it: %v", some))
 	}
 }
 
-// answered takes an answer that is whole as far as the client can tell.
-func (r *referee) answered(q *askedRequest, a *parsedAnswer) {
-	q.final = true
-	seal := a.head.header.Get(fieldSeal)
-	id := a.head.header.Get(fieldTryID)
+// responseComplete takes an answer that is whole as far as the client can tell.
+func (r *checker) responseComplete(q *simulatedRequest, a *parsedResponse) {
+	q.completed = true
+	seal := a.head.header.Get(headerSeal)
+	id := a.head.header.Get(headerTryID)
 	if id != "" && id != q.id {
-		r.breaks("MIXED", "%s gets the answer to %s", q.id, id)
+		r.violation("MIXED", "%s gets the answer to %s", q.id, id)
 	}
 	if seal == "" {
-		r.ownAnswer(q, a)
+		r.checkLocalResponse(q, a)
 		return
 	}
-	made := r.runs[seal]
+	made := r.executions[seal]
 	if made == nil || made.request != q {
-		r.breaks("MIXED", "%s gets an answer with the stamp %q", q.id, seal)
+		r.violation("MIXED", "%s gets an answer with the stamp %q", q.id, seal)
 		return
 	}
-	if promises(a.status) {
-		r.breaks("REFUSED", "%s gets the %d of %s, which ran it", q.id, a.status, made.runner)
+	if meansNotRun(a.status) {
+		r.violation("REFUSED", "%s gets the %d of %s, which ran it", q.id, a.status, made.runner)
 	}
 	if a.status != made.status {
-		r.breaks("MIXED", "%s gets %d where the runner answered %d", q.id, a.status, made.status)
+		r.violation("MIXED", "%s gets %d where the runner answered %d", q.id, a.status, made.status)
 	}
 	want := made.body
 	if a.status == 200 && q.kind == "resumable" {
-		want = wholeStream(q.id)
+		want = completeStream(q.id)
 	}
 	if a.body != want {
-		r.breaks("MIXED", "%s gets %d bytes %.600q, want %d bytes %.60q", q.id, len(a.body), a.body, len(want), want)
+		r.violation("MIXED", "%s gets %d bytes %.600q, want %d bytes %.60q", q.id, len(a.body), a.body, len(want), want)
 	}
 	if a.status == 200 {
 		r.served++
-		if len(q.runs) > 1 && q.kind == "resumable" {
+		if len(q.executions) > 1 && q.kind == "resumable" {
 			r.resumed++
 		}
 	}
 }
 
-// promises says whether a status tells that the request has not run and never will.
-func promises(status int) bool {
+// meansNotRun says whether a status tells that the request has not run and never will.
+func meansNotRun(status int) bool {
 	return status == 503 || status == 429 || status == 408 || status == 421
 }
 
-// ownAnswer takes an answer without a stamp, which is the proxy's own.
-func (r *referee) ownAnswer(q *askedRequest, a *parsedAnswer) {
+// localResponse takes an answer without a stamp, which is the proxy's own.
+func (r *checker) checkLocalResponse(q *simulatedRequest, a *parsedResponse) {
 	over := r.network.now+timeSlack >= min(q.deadline, q.routeEnd)
 	switch {
-	case promises(a.status):
+	case meansNotRun(a.status):
 		r.refused++
-		q.promised = true
-		if len(q.runs) > 0 {
-			r.breaks("REFUSED", "%s gets %d and has run at %s", q.id, a.status, q.runs[0].runner)
+		q.rejected = true
+		if len(q.executions) > 0 {
+			r.violation("REFUSED", "%s gets %d and has run at %s", q.id, a.status, q.executions[0].runner)
 		}
-		if a.head.header.Get(fieldRetryAfter) == "" {
-			r.breaks("REFUSED", "%s gets %d without Retry-After", q.id, a.status)
+		if a.head.header.Get(headerRetryAfter) == "" {
+			r.violation("REFUSED", "%s gets %d without Retry-After", q.id, a.status)
 		}
 	case a.status == 504:
-		r.late++
+		r.timedOut++
 		if !over {
-			r.breaks("LOST", "%s gets a 504 %v before its time is over", q.id, min(q.deadline, q.routeEnd)-r.network.now)
+			r.violation("LOST", "%s gets a 504 %v before its time is over", q.id, min(q.deadline, q.routeEnd)-r.network.now)
 		}
 	case a.status == 502:
-		r.doubt(q, "LOST", "gets a 502 though no runner failed it")
+		r.suspect(q, "LOST", "gets a 502 though no runner failed it")
 	default:
-		r.breaks("MIXED", "%s gets %d without a stamp: %v", q.id, a.status, a.head.header)
+		r.violation("MIXED", "%s gets %d without a stamp: %v", q.id, a.status, a.head.header)
 	}
 }
 
-// checkFinal is called finalWithin after a route's time.
-func (r *referee) checkFinal(q *askedRequest) {
-	if !q.final && q.leftAt == 0 && !q.slow {
-		r.breaks("CONFIG", "%s has no final answer %v after its route's time", q.id, finalWithin)
+// checkCompleted is called completeWithin after a route's time.
+func (r *checker) checkCompleted(q *simulatedRequest) {
+	if !q.completed && q.cancelledAt == 0 && !q.slow {
+		r.violation("CONFIG", "%s has no final answer %v after its route's time", q.id, completeWithin)
 	}
 }
 
-// checkGone is called goneWithin after a client has left.
-func (r *referee) checkGone(q *askedRequest, runners []*modelRunner) {
+// checkCancelled is called cancelWithin after a client has left.
+func (r *checker) checkCancelled(q *simulatedRequest, runners []*simulatedRunner) {
 	for _, runner := range runners {
-		if runner.peer.lastCut > 0 && runner.peer.lastCut+longCut >= q.leftAt {
+		if runner.peer.lastPartitionEnd > 0 && runner.peer.lastPartitionEnd+longestPartition >= q.cancelledAt {
 			continue
 		}
-		if slices.ContainsFunc(runner.conns, func(c *modelConn) bool { return c.request == q && c.running && !c.end.gone }) {
-			r.breaks("GONE", "%s is still worked on at %s", q.id, runner.id)
+		if slices.ContainsFunc(runner.conns, func(c *simulatedRunnerConn) bool { return c.request == q && c.running && !c.end.localClosed }) {
+			r.violation("GONE", "%s is still worked on at %s", q.id, runner.id)
 		}
 	}
 }
@@ -285,8 +285,8 @@
 	return head
 }
 
-// parsedAnswer is an answer as a client reads it.
-type parsedAnswer struct {
+// parsedResponse is an answer as a client reads it.
+type parsedResponse struct {
 	head   *parsedHead
 	status int
 	body   string
@@ -294,14 +294,14 @@
 	closes bool
 }
 
-// parseAnswer reads an answer; whole says whether it is, ended that the connection was closed in order, valid that it is
+// parseResponse reads an answer; whole says whether it is, ended that the connection was closed in order, valid that it is
 // an answer so far.
-func parseAnswer(text string, ended bool) (a *parsedAnswer, whole, valid bool) {
+func parseResponse(text string, ended bool) (a *parsedResponse, whole, valid bool) {
 	head := parseHead(text)
 	if head == nil {
 		return nil, false, strings.HasPrefix("HTTP/1.1 ", text[:min(len(text), 9)])
 	}
-	a = &parsedAnswer{head: head, closes: head.header.Get("Connection") == "close"}
+	a = &parsedResponse{head: head, closes: head.header.Get("Connection") == "close"}
 	code, _, _ := strings.Cut(strings.TrimPrefix(head.line, "HTTP/1.1 "), " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || !strings.HasPrefix(head.line, "HTTP/1.1 ") {
--- a/internal/system/proxy/request.go
+++ b/internal/system/proxy/request.go
@@ -12,24 +12,24 @@
 
 // Fields that the system and its clients and runners speak by.
 const (
-	fieldTryID       = "X-Try-Id"
-	fieldTimeLeft    = "X-Time-Left-Ms"
-	fieldModel       = "X-Model"
-	fieldTokenCounts = "X-Token-Counts"
-	fieldPromptStart = "X-Prompt-Start"
-	fieldWanted      = "X-Wanted-Server"
-	fieldPriority    = "Priority"
-	fieldLastEvent   = "Last-Event-Id"
-	fieldSeal        = "X-Server-Seal"
-	fieldNotRun      = "X-Not-Run"
-	fieldRetryAfter  = "Retry-After"
+	headerTryID        = "X-Try-Id"
+	headerTimeLeft     = "X-Time-Left-Ms"
+	headerModel        = "X-Model"
+	headerTokenCounts  = "X-Token-Counts"
+	headerPromptStart  = "X-Prompt-Start"
+	headerWantedServer = "X-Wanted-Server"
+	headerPriority     = "Priority"
+	headerLastEventID  = "Last-Event-Id"
+	headerSeal         = "X-Server-Seal"
+	headerNotRun       = "X-Not-Run"
+	headerRetryAfter   = "Retry-After"
 )
 
 const (
-	mostTryID = 256 // bytes
-	mostWait  = 24 * time.Hour
-	mostParts = 1024      // of a prompt
-	mostCount = 100 << 20 // tokens
+	maxTryIDBytes   = 256 // bytes
+	maxRetryAfter   = 24 * time.Hour
+	maxPromptChunks = 1024      // of a prompt
+	maxTokenCount   = 100 << 20 // tokens
 )
 
 // pathOf is the path of a target.
@@ -38,10 +38,10 @@
 	return path
 }
 
-// timeLeft reads how long the client will wait, at most the given time, which is also what counts where it does not say.
+// parseTimeLeft reads how long the client will wait, at most the given time, which is also what counts where it does not say.
 // It is 0 where the client's time is over.
-func timeLeft(h httpwire.Header, atMost time.Duration) time.Duration {
-	ms, err := strconv.ParseFloat(h.Get(fieldTimeLeft), 64)
+func parseTimeLeft(h httpwire.Header, atMost time.Duration) time.Duration {
+	ms, err := strconv.ParseFloat(h.Get(headerTimeLeft), 64)
 	switch {
 	case err != nil || math.IsNaN(ms):
 		return atMost
@@ -53,22 +53,22 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// tokenCounts reads the tokens of the prompt and the most of the answer; what makes no sense is not told.
-func tokenCounts(value string) (in, out int) {
+// parseTokenCounts reads the tokens of the prompt and the most of the answer; what makes no sense is not told.
+func parseTokenCounts(value string) (in, out int) {
 	first, second, _ := strings.Cut(value, ",")
-	return count(first), count(second)
+	return parseTokenCount(first), parseTokenCount(second)
 }
 
-func count(text string) int {
+func parseTokenCount(text string) int {
 	n, err := strconv.Atoi(strings.Trim(text, " \t"))
-	if err != nil || n < 0 || n > mostCount {
+	if err != nil || n < 0 || n > maxTokenCount {
 		return 0
 	}
 	return n
 }
 
-// promptParts reads the parts of a prompt in their order; from the first that makes no sense on, nothing is told.
-func promptParts(value string) []placement.Chunk {
+// parsePromptChunks reads the parts of a prompt in their order; from the first that makes no sense on, nothing is told.
+func parsePromptChunks(value string) []placement.Chunk {
 	if value == "" {
 		return nil
 	}
@@ -76,10 +76,10 @@
 	for text := range strings.SplitSeq(value, ",") {
 		id, tokens, ok := strings.Cut(strings.Trim(text, " \t"), ":")
 		number, err := strconv.ParseUint(id, 16, 64)
-		if !ok || err != nil || len(parts) == mostParts {
+		if !ok || err != nil || len(parts) == maxPromptChunks {
 			break
 		}
-		parts = append(parts, placement.Chunk{ID: number, Tokens: count(tokens)})
+		parts = append(parts, placement.Chunk{ID: number, Tokens: parseTokenCount(tokens)})
 	}
 	return parts
 }
@@ -90,22 +90,22 @@
 	b = append(b, ' ')
 	b = append(b, x.head.Target...)
 	b = append(b, " HTTP/1.1\r\n"...)
-	resumed := x.answer.begun
+	resumed := x.response.started
 	for i := range x.head.Header {
 		f := &x.head.Header[i]
-		if !x.goesOn(f.Name, c, resumed) {
+		if !x.isForwarded(f.Name, c, resumed) {
 			continue
 		}
 		b = httpwire.AppendField(b, f.Name, f.Value)
 	}
-	if resumed && x.events.lastID != "" {
-		b = httpwire.AppendField(b, fieldLastEvent, x.events.lastID)
+	if resumed && x.eventReader.lastID != "" {
+		b = httpwire.AppendField(b, headerLastEventID, x.eventReader.lastID)
 	}
 	left := (x.request.Deadline - x.proxy.now()) / time.Millisecond
-	b = httpwire.AppendIntField(b, fieldTimeLeft, max(1, int64(left)))
-	b = httpwire.AppendField(b, fieldWanted, c.Runner)
+	b = httpwire.AppendIntField(b, headerTimeLeft, max(1, int64(left)))
+	b = httpwire.AppendField(b, headerWantedServer, c.Runner)
 	if c.Priority >= 0 {
-		b = httpwire.AppendIntField(b, fieldPriority, int64(c.Priority))
+		b = httpwire.AppendIntField(b, headerPriority, int64(c.Priority))
 	}
 	if x.head.Body.Kind != httpwire.NoBody {
 		b = httpwire.AppendIntField(b, "Content-Length", int64(len(x.body)))
@@ -113,17 +113,17 @@
 	return append(b, "\r\n"...)
 }
 
-// goesOn says whether a field of the client goes to the runner as it came.
-func (x *exchange) goesOn(name string, c placement.Choice, resumed bool) bool {
+// isForwarded says whether a field of the client goes to the runner as it came.
+func (x *exchange) isForwarded(name string, c placement.Choice, resumed bool) bool {
 	switch {
-	case strings.EqualFold(name, fieldTryID), strings.EqualFold(name, "Host"):
+	case strings.EqualFold(name, headerTryID), strings.EqualFold(name, "Host"):
 		return true
-	case strings.EqualFold(name, fieldTimeLeft), strings.EqualFold(name, fieldWanted):
+	case strings.EqualFold(name, headerTimeLeft), strings.EqualFold(name, headerWantedServer):
 		return false
-	case strings.EqualFold(name, fieldPriority):
+	case strings.EqualFold(name, headerPriority):
 		return c.Priority < 0
-	case strings.EqualFold(name, fieldLastEvent):
-		return !resumed || x.events.lastID == ""
+	case strings.EqualFold(name, headerLastEventID):
+		return !resumed || x.eventReader.lastID == ""
 	}
 	return x.head.Header.IsEndToEnd(name)
 }
--- a/internal/system/proxy/request_test.go
+++ b/internal/system/proxy/request_test.go
@@ -15,9 +15,9 @@
 	} {
 		var header httpwire.Header
 		if value != "" {
-			header = append(header, struct{ Name, Value string }{fieldTimeLeft, value})
+			header = append(header, struct{ Name, Value string }{headerTimeLeft, value})
 		}
-		if got := timeLeft(header, atMost); got != want {
+		if got := parseTimeLeft(header, atMost); got != want {
 			t.Errorf("%q: %v, want %v", value, got, want)
 		}
 	}
--- a/internal/system/proxy/rest_test.go
+++ b/internal/system/proxy/rest_test.go
@@ -7,7 +7,7 @@
 	"cinderroad/internal/shared/httpwire"
 )
 
-func TestRestBook(t *testing.T) {
+func TestIdleTimeoutEstimator(t *testing.T) {
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	for _, tc := range []struct {
 		name string
@@ -22,22 +22,22 @@
 		{"never below the least", []float64{0.01, 0.01, 0.01, 0.01}, 0.2},
 		{"the latest count", []float64{10, 10, 10, 2, 2, 2, 2, 2, 2, 2, 2}, 1.6},
 	} {
-		var b restBook
+		var b idleTimeoutEstimator
 		for _, end := range tc.ends {
-			b.ended(seconds(end))
+			b.observe(seconds(end))
 		}
-		if got := b.limit(); got != seconds(tc.want) {
+		if got := b.estimate(); got != seconds(tc.want) {
 			t.Errorf("%s: %v, want %vs", tc.name, got, tc.want)
 		}
 	}
 }
 
-func TestToldRest(t *testing.T) {
+func TestAdvertisedIdleTimeout(t *testing.T) {
 	for value, want := range map[string]time.Duration{
 		"": 0, "timeout=5": 4800 * time.Millisecond, "max=3, Timeout=1": 800 * time.Millisecond, "timeout=0": 0,
 		"timeout=x": 0, "timeout=-1": 0, "max=5": 0,
 	} {
-		if got := toldRest(httpwire.Header{{"Keep-Alive", value}}); got != want {
+		if got := advertisedIdleTimeout(httpwire.Header{{"Keep-Alive", value}}); got != want {
 			t.Errorf("%q: %v, want %v", value, got, want)
 		}
 	}
--- a/internal/system/proxy/session.go
+++ b/internal/system/proxy/session.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	mostAhead     = 16 << 10               // bytes that a client may send ahead of its turn
-	highWater     = 32 << 10               // unsent bytes at which the runner is held back
-	keepAliveLead = time.Second            // a client is told to let go so much before it would be closed
-	refusalPause  = 200 * time.Millisecond // after which a refused client may come back, if nothing better is known
-	startPause    = time.Second            // the same, of a proxy without a configuration: clients retry seldom
+	maxPipelinedBytes = 16 << 10               // bytes that a client may send ahead of its turn
+	writeHighWater    = 32 << 10               // unsent bytes at which the runner is held back
+	keepAliveLead     = time.Second            // a client is told to let go so much before it would be closed
+	defaultRetryAfter = 200 * time.Millisecond // after which a refused client may come back, if nothing better is known
+	startupRetryAfter = time.Second            // the same, of a proxy without a configuration: clients retry seldom
 )
 
 // session is a connection of a client. It carries one exchange at a time; requests that a client sends ahead wait.
 type session struct {
-	proxy    *Proxy
-	conn     *eventloop.Conn
-	exchange *exchange // nil between requests
-	last     bool      // closes after the answer at hand
-	began    bool      // bytes of the next request have come
-	requests int       // heads of requests that it has carried
-	entered  time.Duration
-	coming   bool          // bytes of a request have come whose head was not read
-	comingAt time.Duration // when the first of them came: the client's time runs at least from then
-	heardAt  time.Duration // when bytes last came
-	timeout  *eventloop.Timer
+	proxy              *Proxy
+	socket             *eventloop.Conn
+	exchange           *exchange // nil between requests
+	closeAfterResponse bool      // closes after the answer at hand
+	headStarted        bool      // bytes of the next request have come
+	requestCount       int       // heads of requests that it has carried
+	acceptedAt         time.Duration
+	nextStarted        bool          // bytes of a request have come whose head was not read
+	nextStartedAt      time.Duration // when the first of them came: the client's time runs at least from then
+	lastDataAt         time.Duration // when bytes last came
+	timer              *eventloop.Timer
 
 	previous, next *session // in the list of sessions, of which the one that rests longest is first
 }
 
 // accept owns a new connection.
 func (p *Proxy) accept(c *eventloop.Conn) eventloop.Handler {
-	s := &session{proxy: p, conn: c, entered: p.now()}
+	s := &session{proxy: p, socket: c, acceptedAt: p.now()}
 	p.sessions.add(s)
-	s.rest()
+	s.awaitNextRequest()
 	return s
 }
 
@@ -47,95 +47,95 @@
 
 // Data implements transport.Handler.
 func (s *session) Data(c *eventloop.Conn) {
-	s.heardAt = s.proxy.now()
-	if s.exchange == nil || s.exchange.state != receiving {
-		s.noteComing()
+	s.lastDataAt = s.proxy.now()
+	if s.exchange == nil || s.exchange.state != exchangeReceiving {
+		s.noteNextRequest()
 	}
-	if s.exchange != nil && s.exchange.state != receiving {
-		if len(c.Bytes()) > mostAhead {
+	if s.exchange != nil && s.exchange.state != exchangeReceiving {
+		if len(c.Bytes()) > maxPipelinedBytes {
 			c.SetPaused(true)
 		}
 		return
 	}
-	s.read()
+	s.processInput()
 }
 
-// noteComing notes when the next request began to come, if some of it has.
-func (s *session) noteComing() {
-	if !s.coming && len(s.conn.Bytes()) > 0 {
-		s.coming, s.comingAt = true, s.heardAt
+// noteNextRequest notes when the next request began to come, if some of it has.
+func (s *session) noteNextRequest() {
+	if !s.nextStarted && len(s.socket.Bytes()) > 0 {
+		s.nextStarted, s.nextStartedAt = true, s.lastDataAt
 	}
 }
 
 // Drained implements transport.Drainer: the client has taken all.
 func (s *session) Drained(*eventloop.Conn) {
 	if s.exchange != nil {
-		s.exchange.stall(false)
+		s.exchange.setStalled(false)
 	}
 }
 
 // Closed implements transport.Handler: the client has gone.
 func (s *session) Closed(*eventloop.Conn, error) {
 	x := s.exchange
-	s.leave()
+	s.detach()
 	if x != nil {
-		x.clientGone()
+		x.handleClientGone()
 	}
 }
 
-// leave forgets the session; its connection is closed by the caller.
-func (s *session) leave() {
-	s.timeout.Stop()
+// detach forgets the session; its connection is closed by the caller.
+func (s *session) detach() {
+	s.timer.Stop()
 	s.exchange = nil
 	if s.proxy.pending.session == s {
 		s.proxy.pending.session = nil
 		s.proxy.pending.bytes = s.proxy.pending.bytes[:0]
 	}
 	s.proxy.sessions.remove(s)
-	s.proxy.endWhenDone()
+	s.proxy.exitWhenDrained()
 }
 
-// end closes the session without a word.
-func (s *session) end() {
-	s.leave()
-	s.conn.Close()
+// close closes the session without a word.
+func (s *session) close() {
+	s.detach()
+	s.socket.Close()
 }
 
-// expect does something when the client has not gone on in time.
-func (s *session) expect(after time.Duration, do func()) {
-	s.timeout.Stop()
-	s.timeout = s.proxy.at(s.proxy.now()+after, do)
+// setTimeout does something when the client has not gone on in time.
+func (s *session) setTimeout(after time.Duration, do func()) {
+	s.timer.Stop()
+	s.timer = s.proxy.runAt(s.proxy.now()+after, do)
 }
 
-// rest waits for the next request.
-func (s *session) rest() {
-	s.began = false
-	s.proxy.sessions.touch(s)
-	s.expect(s.proxy.limits.IdleTimeout, s.endIdle)
+// awaitNextRequest waits for the next request.
+func (s *session) awaitNextRequest() {
+	s.headStarted = false
+	s.proxy.sessions.moveToBack(s)
+	s.setTimeout(s.proxy.limits.IdleTimeout, s.handleIdleTimeout)
 }
 
-// endIdle closes a session that rests, unless a request has come that was not read yet. One whose client has not taken
+// handleIdleTimeout closes a session that rests, unless a request has come that was not read yet. One whose client has not taken
 // its answer in all this time is given up.
-func (s *session) endIdle() {
+func (s *session) handleIdleTimeout() {
 	switch {
-	case s.exchange == nil && s.conn.Unsent() > 0:
-		s.leave()
-		s.conn.Reset()
-	case s.idle() && s.conn.Alive():
-		s.end()
+	case s.exchange == nil && s.socket.Unsent() > 0:
+		s.detach()
+		s.socket.Reset()
+	case s.isIdle() && s.socket.Alive():
+		s.close()
 	}
 }
 
-// idle says whether nothing of a request or of an answer is under way, as far as has been read.
-func (s *session) idle() bool {
-	return s.exchange == nil && len(s.conn.Bytes()) == 0 && s.conn.Unsent() == 0 && s.proxy.pending.session != s
+// isIdle says whether nothing of a request or of an answer is under way, as far as has been read.
+func (s *session) isIdle() bool {
+	return s.exchange == nil && len(s.socket.Bytes()) == 0 && s.socket.Unsent() == 0 && s.proxy.pending.session != s
 }
 
-// read takes what has come of the next request.
-func (s *session) read() {
-	for s.conn.Open() {
+// processInput takes what has come of the next request.
+func (s *session) processInput() {
+	for s.socket.Open() {
 		switch x := s.exchange; {
-		case x != nil && x.state != receiving:
+		case x != nil && x.state != exchangeReceiving:
 			return
 		case x != nil:
 			if !s.readBody(x) {
@@ -149,72 +149,72 @@
 
 // readHead takes the head of a request; false when it waits, or the session has ended.
 func (s *session) readHead() bool {
-	s.conn.SetPaused(false)
-	if len(s.conn.Bytes()) == 0 {
+	s.socket.SetPaused(false)
+	if len(s.socket.Bytes()) == 0 {
 		return false
 	}
-	head, n, err := httpwire.ParseRequestHead(s.conn.Bytes(), s.proxy.limits.MaxHeaderBytes)
+	head, n, err := httpwire.ParseRequestHead(s.socket.Bytes(), s.proxy.limits.MaxHeaderBytes)
 	if errors.Is(err, httpwire.ErrIncomplete) {
-		s.awaitHead()
+		s.limitHeadWait()
 		return false
 	}
 	if err != nil {
 		s.reject(err)
 		return false
 	}
-	s.conn.Consume(n)
-	s.timeout.Stop()
-	s.coming, s.last = false, head.Close || head.Version == "HTTP/1.0"
-	s.proxy.noteWhileStopping(s)
-	s.requests++
+	s.socket.Consume(n)
+	s.timer.Stop()
+	s.nextStarted, s.closeAfterResponse = false, head.Close || head.Version == "HTTP/1.0"
+	s.proxy.countShutdownRequest(s)
+	s.requestCount++
 	x := newExchange(s, head)
 	s.exchange = x
 	x.admit()
-	return s.exchange != nil || len(s.conn.Bytes()) > 0
+	return s.exchange != nil || len(s.socket.Bytes()) > 0
 }
 
-// awaitHead bounds how long a head may take from its first byte.
-func (s *session) awaitHead() {
-	if s.proxy.crowded() {
+// limitHeadWait bounds how long a head may take from its first byte.
+func (s *session) limitHeadWait() {
+	if s.proxy.memoryExhausted() {
 		s.rejectWith(503, "no memory to wait for the rest")
 		return
 	}
-	if !s.began {
-		s.began = true
-		s.expect(s.proxy.limits.HeaderTimeout, func() { s.rejectWith(408, "request not whole in time") })
+	if !s.headStarted {
+		s.headStarted = true
+		s.setTimeout(s.proxy.limits.HeaderTimeout, func() { s.rejectWith(408, "request not whole in time") })
 	}
 }
 
 // readBody takes what has come of a body; false when it waits, or the session has ended.
 func (s *session) readBody(x *exchange) bool {
-	data, n, done, err := x.reader.Next(s.conn.Bytes())
+	data, n, done, err := x.bodyReader.Next(s.socket.Bytes())
 	if err != nil {
 		x.finish()
 		s.reject(err)
 		return false
 	}
-	x.take(data)
-	s.conn.Consume(n)
+	x.appendBody(data)
+	s.socket.Consume(n)
 	switch {
 	case len(x.body) > s.proxy.limits.MaxBodyBytes:
 		x.finish()
 		s.rejectWith(413, "body too large")
 		return false
-	case done && s.conn.HungUp(): // the client has left, which is told next: nothing is sent for it
+	case done && s.socket.HungUp(): // the client has left, which is told next: nothing is sent for it
 		return false
 	case done:
-		s.timeout.Stop()
-		s.noteComing()
-		x.received()
+		s.timer.Stop()
+		s.noteNextRequest()
+		x.handleComplete()
 		return s.exchange != nil
-	case s.proxy.crowded():
+	case s.proxy.memoryExhausted():
 		x.finish()
 		s.rejectWith(503, "no memory to wait for the rest")
 		return false
-	case n > 0 && len(s.conn.Bytes()) > 0:
+	case n > 0 && len(s.socket.Bytes()) > 0:
 		return true
 	}
-	s.expect(s.proxy.limits.IdleTimeout, func() {
+	s.setTimeout(s.proxy.limits.IdleTimeout, func() {
 		x.finish()
 		s.rejectWith(408, "request not whole in time")
 	})
@@ -224,22 +224,22 @@
 // skipBody drops what has come of a body; true when that was all of it.
 func (s *session) skipBody(x *exchange) bool {
 	for {
-		_, n, done, err := x.reader.Next(s.conn.Bytes())
+		_, n, done, err := x.bodyReader.Next(s.socket.Bytes())
 		if err != nil || n == 0 && !done {
 			return false
 		}
-		s.conn.Consume(n)
+		s.socket.Consume(n)
 		if done {
-			s.noteComing()
+			s.noteNextRequest()
 			return true
 		}
 	}
 }
 
-// awaitsBody invites the client to send the body, if it waits for that.
-func (s *session) awaitsBody(x *exchange) {
-	if x.head.ExpectsContinue && len(s.conn.Bytes()) == 0 {
-		s.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+// sendContinue invites the client to send the body, if it waits for that.
+func (s *session) sendContinue(x *exchange) {
+	if x.head.ExpectsContinue && len(s.socket.Bytes()) == 0 {
+		s.socket.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 }
 
@@ -254,16 +254,16 @@
 }
 
 func (s *session) rejectWith(status int, reason string) {
-	s.last = true
-	a := ownAnswer{status: status, body: reason}
+	s.closeAfterResponse = true
+	a := localResponse{status: status, body: reason}
 	if status == 503 || status == 408 {
-		a.retryAfter = refusalPause
+		a.retryAfter = defaultRetryAfter
 	}
-	s.reply(a)
+	s.respond(a)
 }
 
-// ownAnswer is an answer of the proxy itself.
-type ownAnswer struct {
+// localResponse is an answer of the proxy itself.
+type localResponse struct {
 	status     int
 	tryID      string
 	retryAfter time.Duration // 0: not told
@@ -271,10 +271,10 @@
 	noBody     bool // of a request with HEAD
 }
 
-// reply writes an answer of the proxy itself, which ends the request.
-func (s *session) reply(a ownAnswer) {
+// respond writes an answer of the proxy itself, which ends the request.
+func (s *session) respond(a localResponse) {
 	s.exchange = nil
-	s.last = s.last || s.proxy.stopping.on
+	s.closeAfterResponse = s.closeAfterResponse || s.proxy.shutdown.active
 	b := httpwire.AppendStatusLine(s.proxy.scratch[:0], a.status, httpwire.ReasonPhrase(a.status))
 	if a.tryID != "" {
 		b = httpwire.AppendField(b, "X-Try-Id", a.tryID)
@@ -295,12 +295,12 @@
 	}
 	s.proxy.scratch = b
 	s.write(b)
-	s.answered()
+	s.finishResponse()
 }
 
 // appendConnection tells the client how long the connection stays, and ends the head.
 func (s *session) appendConnection(b []byte) []byte {
-	if s.last {
+	if s.closeAfterResponse {
 		return httpwire.AppendField(b, "Connection", "close")
 	}
 	if rest := (s.proxy.limits.IdleTimeout - keepAliveLead) / time.Second; rest > 0 {
@@ -319,49 +319,49 @@
 		pending.session = s
 		s.proxy.loop.Defer(pending.flush)
 	}
-	if pending.bytes = append(pending.bytes, b...); len(pending.bytes) > pendingFlush {
+	if pending.bytes = append(pending.bytes, b...); len(pending.bytes) > pendingFlushBytes {
 		s.proxy.flushPending()
 	}
 }
 
-// sent looks whether the client takes what it is sent.
-func (s *session) sent() {
-	if s.exchange != nil && s.conn.Unsent() > highWater {
-		s.exchange.stall(true)
+// applyBackpressure looks whether the client takes what it is sent.
+func (s *session) applyBackpressure() {
+	if s.exchange != nil && s.socket.Unsent() > writeHighWater {
+		s.exchange.setStalled(true)
 	}
 }
 
-// answered ends the request at hand: its answer is whole.
-func (s *session) answered() {
+// finishResponse ends the request at hand: its answer is whole.
+func (s *session) finishResponse() {
 	s.exchange = nil
-	if s.last {
+	if s.closeAfterResponse {
 		s.proxy.flushPending()
-		s.leave()
-		s.conn.CloseAfterFlush()
+		s.detach()
+		s.socket.CloseAfterFlush()
 		return
 	}
-	s.rest()
-	if len(s.conn.Bytes()) > 0 || !s.conn.Open() {
-		s.proxy.loop.Defer(s.readOn)
+	s.awaitNextRequest()
+	if len(s.socket.Bytes()) > 0 || !s.socket.Open() {
+		s.proxy.loop.Defer(s.resumeInput)
 		return
 	}
-	s.conn.SetPaused(false)
+	s.socket.SetPaused(false)
 }
 
-// readOn takes a request that was sent ahead.
-func (s *session) readOn() {
-	if s.conn.Open() && s.exchange == nil {
-		s.read()
+// resumeInput takes a request that was sent ahead.
+func (s *session) resumeInput() {
+	if s.socket.Open() && s.exchange == nil {
+		s.processInput()
 	}
 }
 
 // abort ends an answer that cannot be completed; it must not look complete. framed says that its length shows this.
 func (s *session) abort(framed bool) {
 	s.proxy.flushPending()
-	s.leave()
+	s.detach()
 	if framed {
-		s.conn.CloseAfterFlush()
+		s.socket.CloseAfterFlush()
 		return
 	}
-	s.conn.Reset()
+	s.socket.Reset()
 }
--- a/internal/system/proxy/sessions.go
+++ b/internal/system/proxy/sessions.go
@@ -3,15 +3,15 @@
 // sessionList is the open sessions, in the order in which they came to rest or were opened.
 type sessionList struct {
 	first, last *session
-	open        int
+	count       int
 }
 
 func (l *sessionList) add(s *session) {
-	l.open++
-	l.append(s)
+	l.count++
+	l.pushBack(s)
 }
 
-func (l *sessionList) append(s *session) {
+func (l *sessionList) pushBack(s *session) {
 	s.previous, s.next = l.last, nil
 	if l.last != nil {
 		l.last.next = s
@@ -35,34 +35,34 @@
 	s.previous, s.next = nil, nil
 }
 
-// touch moves a session to the end.
-func (l *sessionList) touch(s *session) {
+// moveToBack moves a session to the end.
+func (l *sessionList) moveToBack(s *session) {
 	l.unlink(s)
-	l.append(s)
+	l.pushBack(s)
 }
 
 func (l *sessionList) remove(s *session) {
 	l.unlink(s)
-	l.open--
+	l.count--
 }
 
 // oldestIdle is the session that has rested longest; nil when none rests.
 func (l *sessionList) oldestIdle() *session {
 	for s := l.first; s != nil; s = s.next {
-		if s.idle() && s.conn.Alive() {
+		if s.isIdle() && s.socket.Alive() {
 			return s
 		}
 	}
 	return nil
 }
 
-// shed frees a descriptor: first of a runner's connection that rests, then of a client's.
-func (p *Proxy) shed() bool {
+// closeIdleConnection frees a descriptor: first of a runner's connection that rests, then of a client's.
+func (p *Proxy) closeIdleConnection() bool {
 	if p.pool.closeOldestIdle() {
 		return true
 	}
 	if s := p.sessions.oldestIdle(); s != nil {
-		s.end()
+		s.close()
 		return true
 	}
 	return false
--- a/internal/system/proxy/shares_test.go
+++ b/internal/system/proxy/shares_test.go
@@ -8,7 +8,7 @@
 	"cinderroad/internal/system/configuration"
 )
 
-func weighted(weights ...float64) *configuration.Route {
+func weightedRoute(weights ...float64) *configuration.Route {
 	r := &configuration.Route{Name: "r"}
 	for i, weight := range weights {
 		r.Shares = append(r.Shares, configuration.Share{Service: string(rune('a' + i)), Weight: weight})
@@ -18,23 +18,23 @@
 
 // Few requests over many proxies lie as close to the weights as many do: 300 requests over 8 proxies were up to 0.083
 // off when they were drawn by chance, and are up to 0.023 off now.
-func TestSharesKeepToTheirWeights(t *testing.T) {
+func TestServiceSplitterFollowsWeights(t *testing.T) {
 	const requests, proxies, mostOff = 300, 8, 0.03
 	for _, weights := range [][]float64{{90, 10}, {50, 50}, {1, 1, 1}, {0.5, 0, 0.3, 0.2}, {97, 3}} {
-		route := weighted(weights...)
+		route := weightedRoute(weights...)
 		sum := 0.0
 		for _, weight := range weights {
 			sum += weight
 		}
 		for seed := range uint64(200) {
 			random := rand.New(rand.NewPCG(seed, 1))
-			var draws [proxies]*shareDraws
+			var draws [proxies]*serviceSplitter
 			for i := range draws {
-				draws[i] = newShareDraws(random)
+				draws[i] = newServiceSplitter(random)
 			}
 			counts := map[string]float64{}
 			for range requests {
-				counts[draws[random.IntN(proxies)].service(route)]++
+				counts[draws[random.IntN(proxies)].nextService(route)]++
 			}
 			for i, share := range route.Shares {
 				if off := math.Abs(counts[share.Service]/requests - weights[i]/sum); off > mostOff {
@@ -45,17 +45,17 @@
 	}
 }
 
-func TestSharesWithoutAChoice(t *testing.T) {
-	draws := newShareDraws(rand.New(rand.NewPCG(1, 1)))
+func TestServiceSplitterSingleChoice(t *testing.T) {
+	draws := newServiceSplitter(rand.New(rand.NewPCG(1, 1)))
 	for range 100 {
-		if got := draws.service(weighted(0, 5, 0)); got != "b" {
+		if got := draws.nextService(weightedRoute(0, 5, 0)); got != "b" {
 			t.Fatalf("service %q gets a request without a weight", got)
 		}
-		if got := draws.service(weighted(1)); got != "a" {
+		if got := draws.nextService(weightedRoute(1)); got != "a" {
 			t.Fatalf("service %q", got)
 		}
 	}
-	draws.forget("r")
+	draws.remove("r")
 	if len(draws.points) > 0 {
 		t.Error("a route that is no more is kept")
 	}
--- a/internal/system/proxy/simnet_test.go
+++ b/internal/system/proxy/simnet_test.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	firstDescriptor = 1 << 30  // of simulated sockets: no real one has such a number
-	sendBuffer      = 48 << 10 // bytes that a simulated socket takes and holds until they have arrived
-	longTurn        = 25 * time.Millisecond
-	longTurnIn      = 60 // turns, on average, until one is long
+	firstDescriptor    = 1 << 30  // of simulated sockets: no real one has such a number
+	sendBuffer         = 48 << 10 // bytes that a simulated socket takes and holds until they have arrived
+	longIteration      = 25 * time.Millisecond
+	longIterationOneIn = 60 // turns, on average, until one is long
 )
 
 // simulatedNetwork is a transport.System in virtual time: the sockets of one process, the lines to its peers, and the
@@ -22,7 +22,7 @@
 type simulatedNetwork struct {
 	random     *rand.Rand
 	now        time.Duration
-	agenda     agenda
+	queue      eventQueue
 	sequence   uint64
 	sockets    map[int]*simulatedSocket
 	order      []*simulatedSocket // as they were made
@@ -33,28 +33,28 @@
 
 // simulatedPeer is a process elsewhere that takes connections.
 type simulatedPeer struct {
-	latency  time.Duration
-	cutUntil time.Duration       // nothing passes its line before
-	lastCut  time.Duration       // when that was last set
-	accept   func(*simulatedEnd) // nil: it refuses
+	latency          time.Duration
+	partitionedUntil time.Duration    // nothing passes its line before
+	lastPartitionEnd time.Duration    // when that was last set
+	accept           func(*remoteEnd) // nil: it refuses
 }
 
-// task is something that happens at a time.
-type task struct {
+// scheduledEvent is something that happens at a time.
+type scheduledEvent struct {
 	at       time.Duration
 	sequence uint64
-	do       func()
+	run      func()
 }
 
-type agenda []task
+type eventQueue []scheduledEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].sequence < a[j].sequence
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(t any)   { *a = append(*a, t.(task)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(t any)   { *a = append(*a, t.(scheduledEvent)) }
+func (a *eventQueue) Pop() any {
 	last := len(*a) - 1
 	t := (*a)[last]
 	*a = (*a)[:last]
@@ -63,41 +63,41 @@
 
 // simulatedSocket is a descriptor of the process under test.
 type simulatedSocket struct {
-	network    *simulatedNetwork
-	fd         int
-	watched    bool
-	event      unix.EpollEvent
-	address    netip.AddrPort
-	queue      []*simulatedSocket // of a listener
-	listens    bool
-	connecting bool
-	in         []byte
-	finished   bool  // the peer sends no more
-	reset      bool  // by the peer
-	failure    error // not told yet
-	unacked    int
-	closed     bool
-	abortive   bool // Close resets
-	end        *simulatedEnd
-}
-
-// simulatedEnd is the other end of a connection, in the hands of a script.
-type simulatedEnd struct {
-	socket    *simulatedSocket
-	peer      *simulatedPeer
-	unread    bool         // bytes of the script came to a closed socket, or were not read when it was closed
-	lost      func([]byte) // takes what the script does not get; may be nil
-	data      func([]byte)
-	ended     func(reset bool) // the process under test has closed
-	closed    bool             // by the script
-	gone      bool             // by the process under test, as the script knows
-	stalled   bool             // the script does not read
-	heldEnd   func()           // the end that the script has not read
-	heldUntil time.Duration    // the script did not read before
-	held      []byte
-	toward    time.Duration // when the last that was sent to the process arrives
-	away      time.Duration // when the last that was sent by it arrives
-	droppedAt time.Duration // what has not arrived by then never does; 0: all arrives
+	network      *simulatedNetwork
+	fd           int
+	watched      bool
+	event        unix.EpollEvent
+	address      netip.AddrPort
+	backlog      []*simulatedSocket // of a listener
+	listens      bool
+	connecting   bool
+	received     []byte
+	peerClosed   bool  // the peer sends no more
+	reset        bool  // by the peer
+	pendingError error // not told yet
+	unackedBytes int
+	closed       bool
+	resetOnClose bool // Close resets
+	end          *remoteEnd
+}
+
+// remoteEnd is the other end of a connection, in the hands of a script.
+type remoteEnd struct {
+	socket              *simulatedSocket
+	peer                *simulatedPeer
+	unread              bool         // bytes of the script came to a closed socket, or were not read when it was closed
+	onLost              func([]byte) // takes what the script does not get; may be nil
+	onData              func([]byte)
+	onEnd               func(reset bool) // the process under test has closed
+	closed              bool             // by the script
+	localClosed         bool             // by the process under test, as the script knows
+	stalled             bool             // the script does not read
+	deferredEnd         func()           // the end that the script has not read
+	stalledUntil        time.Duration    // the script did not read before
+	unreadBytes         []byte
+	lastInboundArrival  time.Duration // when the last that was sent to the process arrives
+	lastOutboundArrival time.Duration // when the last that was sent by it arrives
+	droppedAt           time.Duration // what has not arrived by then never does; 0: all arrives
 }
 
 func newSimulatedNetwork(random *rand.Rand) *simulatedNetwork {
@@ -110,7 +110,7 @@
 
 func (n *simulatedNetwork) at(when time.Duration, do func()) {
 	n.sequence++
-	heap.Push(&n.agenda, task{max(when, n.now), n.sequence, do})
+	heap.Push(&n.queue, scheduledEvent{max(when, n.now), n.sequence, do})
 }
 
 // Now implements transport.System.
@@ -119,31 +119,31 @@
 // Wait implements transport.System: it lets time pass until something has happened to a socket.
 func (n *simulatedNetwork) Wait(events []unix.EpollEvent, timeout int) (int, error) {
 	n.now += time.Duration(n.random.IntN(100)) * time.Microsecond // of work
-	if n.random.IntN(longTurnIn) == 0 {
-		n.now += time.Duration(n.random.Int64N(int64(longTurn)))
+	if n.random.IntN(longIterationOneIn) == 0 {
+		n.now += time.Duration(n.random.Int64N(int64(longIteration)))
 	}
 	end := n.now + time.Duration(timeout)*time.Millisecond
 	for {
-		for len(n.agenda) > 0 && n.agenda[0].at <= n.now {
-			heap.Pop(&n.agenda).(task).do()
+		for len(n.queue) > 0 && n.queue[0].at <= n.now {
+			heap.Pop(&n.queue).(scheduledEvent).run()
 		}
 		if count := n.collect(events); count > 0 {
 			return count, nil
 		}
-		if len(n.agenda) == 0 || timeout >= 0 && n.agenda[0].at > end {
+		if len(n.queue) == 0 || timeout >= 0 && n.queue[0].at > end {
 			n.now = max(n.now, end)
 			return 0, nil
 		}
-		n.now = n.agenda[0].at
+		n.now = n.queue[0].at
 	}
 }
 
-// pass lets time pass once the process has ended.
-func (n *simulatedNetwork) pass(span time.Duration) {
+// advance lets time pass once the process has ended.
+func (n *simulatedNetwork) advance(span time.Duration) {
 	end := n.now + span
-	for len(n.agenda) > 0 && n.agenda[0].at <= end {
-		n.now = max(n.now, n.agenda[0].at)
-		heap.Pop(&n.agenda).(task).do()
+	for len(n.queue) > 0 && n.queue[0].at <= end {
+		n.now = max(n.now, n.queue[0].at)
+		heap.Pop(&n.queue).(scheduledEvent).run()
 	}
 }
 
@@ -168,7 +168,7 @@
 
 func (s *simulatedSocket) ready() (ready uint32) {
 	if s.listens {
-		if len(s.queue) > 0 {
+		if len(s.backlog) > 0 {
 			ready = unix.EPOLLIN
 		}
 		return ready & s.event.Events
@@ -176,17 +176,17 @@
 	if s.connecting {
 		return 0
 	}
-	if len(s.in) > 0 || s.finished || s.reset {
+	if len(s.received) > 0 || s.peerClosed || s.reset {
 		ready |= unix.EPOLLIN
 	}
-	if s.unacked < sendBuffer || s.reset {
+	if s.unackedBytes < sendBuffer || s.reset {
 		ready |= unix.EPOLLOUT
 	}
-	if s.finished || s.reset {
+	if s.peerClosed || s.reset {
 		ready |= unix.EPOLLRDHUP
 	}
 	ready &= s.event.Events
-	if s.failure != nil {
+	if s.pendingError != nil {
 		ready |= unix.EPOLLERR
 	}
 	if s.reset {
@@ -233,11 +233,11 @@
 // Accept implements transport.System.
 func (n *simulatedNetwork) Accept(fd int) (int, error) {
 	s := n.sockets[fd]
-	if len(s.queue) == 0 {
+	if len(s.backlog) == 0 {
 		return -1, unix.EAGAIN
 	}
-	accepted := s.queue[0]
-	s.queue = s.queue[1:]
+	accepted := s.backlog[0]
+	s.backlog = s.backlog[1:]
 	return accepted.fd, nil
 }
 
@@ -249,14 +249,14 @@
 	s := n.newSocket()
 	s.connecting = true
 	peer := n.peers[addr]
-	s.end = &simulatedEnd{socket: s, peer: peer}
-	n.at(max(n.now, peer.cutUntil)+2*peer.latency, func() {
+	s.end = &remoteEnd{socket: s, peer: peer}
+	n.at(max(n.now, peer.partitionedUntil)+2*peer.latency, func() {
 		if s.closed {
 			return
 		}
 		s.connecting = false
 		if peer.accept == nil {
-			s.failure, s.reset = unix.ECONNREFUSED, true
+			s.pendingError, s.reset = unix.ECONNREFUSED, true
 			return
 		}
 		peer.accept(s.end)
@@ -265,17 +265,17 @@
 }
 
 // dial has a script connect to a listener of the process under test.
-func (n *simulatedNetwork) dial(addr netip.AddrPort, peer *simulatedPeer) *simulatedEnd {
+func (n *simulatedNetwork) dial(addr netip.AddrPort, peer *simulatedPeer) *remoteEnd {
 	s := n.newSocket()
-	s.end = &simulatedEnd{socket: s, peer: peer}
+	s.end = &remoteEnd{socket: s, peer: peer}
 	n.after(peer.latency, func() {
 		listener := n.listening[addr]
 		if listener.closed { // a closed port answers by a reset
 			s.closed = true
-			n.after(peer.latency, func() { s.end.tellEnded(true) })
+			n.after(peer.latency, func() { s.end.notifyEnd(true) })
 			return
 		}
-		listener.queue = append(listener.queue, s)
+		listener.backlog = append(listener.backlog, s)
 	})
 	return s.end
 }
@@ -283,9 +283,9 @@
 // Read implements transport.System.
 func (n *simulatedNetwork) Read(fd int, b []byte) (int, error) {
 	s := n.sockets[fd]
-	if len(s.in) > 0 {
-		count := copy(b, s.in)
-		s.in = s.in[count:]
+	if len(s.received) > 0 {
+		count := copy(b, s.received)
+		s.received = s.received[count:]
 		return count, nil
 	}
 	return 0, s.emptyRead()
@@ -293,11 +293,11 @@
 
 // emptyRead is what a read without bytes gives; nil: the end.
 func (s *simulatedSocket) emptyRead() error {
-	if err := s.failure; err != nil {
-		s.failure = nil
+	if err := s.pendingError; err != nil {
+		s.pendingError = nil
 		return err
 	}
-	if s.finished || s.reset {
+	if s.peerClosed || s.reset {
 		return nil
 	}
 	return unix.EAGAIN
@@ -306,7 +306,7 @@
 // Peek implements transport.System.
 func (n *simulatedNetwork) Peek(fd int) (int, error) {
 	s := n.sockets[fd]
-	if len(s.in) > 0 {
+	if len(s.received) > 0 {
 		return 1, nil
 	}
 	return 0, s.emptyRead()
@@ -318,41 +318,43 @@
 // Write implements transport.System.
 func (n *simulatedNetwork) Write(fd int, b []byte) (int, error) {
 	s := n.sockets[fd]
-	if err := s.failure; err != nil {
-		s.failure = nil
+	if err := s.pendingError; err != nil {
+		s.pendingError = nil
 		return 0, err
 	}
 	if s.reset {
 		return 0, unix.EPIPE
 	}
-	count := min(len(b), sendBuffer-s.unacked)
+	count := min(len(b), sendBuffer-s.unackedBytes)
 	if count <= 0 {
 		return 0, unix.EAGAIN
 	}
-	s.unacked += count
-	s.end.arrive(append([]byte(nil), b[:count]...))
+	s.unackedBytes += count
+	s.end.receive(append([]byte(nil), b[:count]...))
 	return count, nil
 }
 
 // ShutdownWrite implements transport.System.
 func (n *simulatedNetwork) ShutdownWrite(fd int) error {
 	s := n.sockets[fd]
-	s.end.passAway(func() { s.end.tellEnded(false) })
+	s.end.deliverOutbound(func() { s.end.notifyEnd(false) })
 	return nil
 }
 
 // SetResetOnClose implements transport.System.
-func (n *simulatedNetwork) SetResetOnClose(fd int) { n.sockets[fd].abortive = true }
+func (n *simulatedNetwork) SetResetOnClose(fd int) { n.sockets[fd].resetOnClose = true }
 
 // SocketError implements transport.System.
 func (n *simulatedNetwork) SocketError(fd int) error {
-	err := n.sockets[fd].failure
-	n.sockets[fd].failure = nil
+	err := n.sockets[fd].pendingError
+	n.sockets[fd].pendingError = nil
 	return err
 }
 
 // Unacknowledged implements transport.System.
-func (n *simulatedNetwork) Unacknowledged(fd int) (int, error) { return n.sockets[fd].unacked, nil }
+func (n *simulatedNetwork) Unacknowledged(fd int) (int, error) {
+	return n.sockets[fd].unackedBytes, nil
+}
 
 // Close implements transport.System.
 func (n *simulatedNetwork) Close(fd int) {
@@ -362,26 +364,26 @@
 	e := s.end
 	switch {
 	case e == nil || s.connecting:
-	case s.abortive:
+	case s.resetOnClose:
 		e.droppedAt = n.now + e.peer.latency
-		if n.now >= e.peer.cutUntil { // a reset is not sent again
-			n.after(e.peer.latency, func() { e.tellEnded(true) })
+		if n.now >= e.peer.partitionedUntil { // a reset is not sent again
+			n.after(e.peer.latency, func() { e.notifyEnd(true) })
 		}
 	default:
-		reset := len(s.in) > 0
+		reset := len(s.received) > 0
 		e.unread = e.unread || reset
-		e.passAway(func() { e.tellEnded(reset) })
+		e.deliverOutbound(func() { e.notifyEnd(reset) })
 	}
 }
 
-// passAway has something arrive at the script, after all that was sent before.
-func (e *simulatedEnd) passAway(do func()) { e.passAwayOr(do, func() {}) }
+// deliverOutbound has something arrive at the script, after all that was sent before.
+func (e *remoteEnd) deliverOutbound(do func()) { e.deliverOutboundOr(do, func() {}) }
 
-// passAwayOr is passAway, and tells when a reset has what was sent dropped.
-func (e *simulatedEnd) passAwayOr(do, dropped func()) {
+// deliverOutboundOr is deliverOutbound, and tells when a reset has what was sent dropped.
+func (e *remoteEnd) deliverOutboundOr(do, dropped func()) {
 	n := e.socket.network
-	e.away = max(n.now, e.peer.cutUntil, e.away-e.peer.latency) + e.peer.latency
-	arrival := e.away
+	e.lastOutboundArrival = max(n.now, e.peer.partitionedUntil, e.lastOutboundArrival-e.peer.latency) + e.peer.latency
+	arrival := e.lastOutboundArrival
 	n.at(arrival, func() {
 		if e.droppedAt == 0 || arrival <= e.droppedAt {
 			do()
@@ -391,118 +393,118 @@
 	})
 }
 
-// arrive passes bytes to the script.
-func (e *simulatedEnd) arrive(b []byte) {
+// receive passes bytes to the script.
+func (e *remoteEnd) receive(b []byte) {
 	lose := func() {
-		if e.lost != nil {
-			e.lost(b)
+		if e.onLost != nil {
+			e.onLost(b)
 		}
 	}
-	e.passAwayOr(func() {
+	e.deliverOutboundOr(func() {
 		switch {
 		case e.closed:
 			lose()
-			e.answerReset()
+			e.sendReset()
 		case e.stalled:
-			e.held = append(e.held, b...)
+			e.unreadBytes = append(e.unreadBytes, b...)
 		default:
-			e.socket.unacked -= len(b)
-			e.data(b)
+			e.socket.unackedBytes -= len(b)
+			e.onData(b)
 		}
 	}, lose)
 }
 
-// stall has the script read nothing.
-func (e *simulatedEnd) stall(on bool) {
+// setStalled has the script read nothing.
+func (e *remoteEnd) setStalled(on bool) {
 	e.stalled = on
-	e.heldUntil = e.socket.network.now
+	e.stalledUntil = e.socket.network.now
 	if on || e.closed {
 		return
 	}
-	held := e.held
-	e.held = nil
-	e.socket.unacked -= len(held)
+	held := e.unreadBytes
+	e.unreadBytes = nil
+	e.socket.unackedBytes -= len(held)
 	if len(held) > 0 {
-		e.data(held)
+		e.onData(held)
 	}
-	if end := e.heldEnd; end != nil {
-		e.heldEnd = nil
+	if end := e.deferredEnd; end != nil {
+		e.deferredEnd = nil
 		end()
 	}
 }
 
-// answerReset tells the process under test that its peer has closed.
-func (e *simulatedEnd) answerReset() { e.passToward(e.socket.takeReset) }
+// sendReset tells the process under test that its peer has closed.
+func (e *remoteEnd) sendReset() { e.deliverInbound(e.socket.applyReset) }
 
-func (s *simulatedSocket) takeReset() {
+func (s *simulatedSocket) applyReset() {
 	if !s.reset {
-		s.reset, s.failure, s.unacked = true, unix.ECONNRESET, 0
+		s.reset, s.pendingError, s.unackedBytes = true, unix.ECONNRESET, 0
 	}
 }
 
-// loseHeld tells what the script has not read when it closes.
-func (e *simulatedEnd) loseHeld() {
-	if len(e.held) > 0 && e.lost != nil {
-		e.lost(e.held)
+// dropUnread tells what the script has not read when it closes.
+func (e *remoteEnd) dropUnread() {
+	if len(e.unreadBytes) > 0 && e.onLost != nil {
+		e.onLost(e.unreadBytes)
 	}
-	e.held = nil
+	e.unreadBytes = nil
 }
 
-func (e *simulatedEnd) tellEnded(reset bool) {
-	if e.closed || e.gone || e.ended == nil { // ended is nil where no script took the connection
+func (e *remoteEnd) notifyEnd(reset bool) {
+	if e.closed || e.localClosed || e.onEnd == nil { // ended is nil where no script took the connection
 		return
 	}
 	if e.stalled {
-		e.heldEnd = func() { e.tellEnded(reset) }
+		e.deferredEnd = func() { e.notifyEnd(reset) }
 		return
 	}
-	e.gone = true
-	e.ended(reset)
+	e.localClosed = true
+	e.onEnd(reset)
 }
 
-// passToward has something arrive at the process under test, after all that was sent before.
-func (e *simulatedEnd) passToward(do func()) {
+// deliverInbound has something arrive at the process under test, after all that was sent before.
+func (e *remoteEnd) deliverInbound(do func()) {
 	n := e.socket.network
-	e.toward = max(n.now, e.peer.cutUntil, e.toward-e.peer.latency) + e.peer.latency
-	n.at(e.toward, do)
+	e.lastInboundArrival = max(n.now, e.peer.partitionedUntil, e.lastInboundArrival-e.peer.latency) + e.peer.latency
+	n.at(e.lastInboundArrival, do)
 }
 
 // send sends bytes to the process under test.
-func (e *simulatedEnd) send(text string) {
+func (e *remoteEnd) send(text string) {
 	if e.closed || text == "" {
 		return
 	}
-	e.passToward(func() {
+	e.deliverInbound(func() {
 		switch s := e.socket; {
 		case s.closed:
 			e.unread = true
-			e.passAway(func() { e.tellEnded(true) })
+			e.deliverOutbound(func() { e.notifyEnd(true) })
 		case !s.reset:
-			s.in = append(s.in, text...)
+			s.received = append(s.received, text...)
 		}
 	})
 }
 
 // close closes the connection in order, or by a reset where the script has not read all.
-func (e *simulatedEnd) close() {
-	if len(e.held) > 0 {
+func (e *remoteEnd) close() {
+	if len(e.unreadBytes) > 0 {
 		e.abort()
 		return
 	}
 	if !e.closed {
 		e.closed = true
-		e.passToward(func() { e.socket.finished = true })
+		e.deliverInbound(func() { e.socket.peerClosed = true })
 	}
 }
 
 // abort resets the connection.
-func (e *simulatedEnd) abort() {
+func (e *remoteEnd) abort() {
 	if e.closed {
 		return
 	}
 	e.closed = true
-	e.loseHeld()
-	if e.socket.network.now >= e.peer.cutUntil {
-		e.passToward(e.socket.takeReset)
+	e.dropUnread()
+	if e.socket.network.now >= e.peer.partitionedUntil {
+		e.deliverInbound(e.socket.applyReset)
 	}
 }
--- a/internal/system/proxy/stop.go
+++ b/internal/system/proxy/stop.go
@@ -9,80 +9,80 @@
 )
 
 const (
-	sweepEvery     = 50 * time.Millisecond
-	freshGrace     = 300 * time.Millisecond // in which the first request of a new connection may be on its way
-	mostCutsLogged = 20
+	idleSweepInterval = 50 * time.Millisecond
+	newConnGrace      = 300 * time.Millisecond // in which the first request of a new connection may be on its way
+	maxCutsLogged     = 20
 )
 
-// stopping is where a proxy that was told to stop stands.
-type stopping struct {
-	plan stopPlan
-	on   bool
-	at   time.Duration // when the signal came
-	shut bool          // the listener is closed
+// shutdownState is where a proxy that was told to stop stands.
+type shutdownState struct {
+	plan           shutdownPlan
+	active         bool
+	signalAt       time.Duration // when the signal came
+	listenerClosed bool          // the listener is closed
 }
 
 // elapsed is the time since the signal to stop; 0 where none came.
-func (s *stopping) elapsed(now time.Duration) time.Duration {
-	if !s.on {
+func (s *shutdownState) elapsed(now time.Duration) time.Duration {
+	if !s.active {
 		return 0
 	}
-	return now - s.at
+	return now - s.signalAt
 }
 
 // Stop has the proxy serve on what comes, send its clients away and end once all answers are whole, before the grace
 // period is over. The loop ends then.
 func (p *Proxy) Stop() {
-	if p.stopping.on {
+	if p.shutdown.active {
 		return
 	}
-	p.stopping.on, p.stopping.at = true, p.now()
-	p.log.Info("told to stop", zap.Int("exchanges", p.exchanges), zap.Int("sessions", p.sessions.open),
-		zap.Uint64("requests", p.Figures.Requests), zap.Uint64("served", p.Figures.Served),
-		zap.Uint64("refused", p.Figures.Refused), zap.Uint64("failed", p.Figures.Failed))
-	p.tellAgent(p.placer.Snapshot())
-	now, plan := p.now(), p.stopping.plan
-	p.at(now+plan.sweep, p.sweep)
-	p.at(now+plan.shut, p.shut)
-	p.at(now+plan.last, p.answerAll)
-	p.at(now+plan.end, p.cutOff)
+	p.shutdown.active, p.shutdown.signalAt = true, p.now()
+	p.log.Info("told to stop", zap.Int("exchanges", p.openExchanges), zap.Int("sessions", p.sessions.count),
+		zap.Uint64("requests", p.Counters.Requests), zap.Uint64("served", p.Counters.Served),
+		zap.Uint64("refused", p.Counters.Rejected), zap.Uint64("failed", p.Counters.Failed))
+	p.reportToAgent(p.placer.Snapshot())
+	now, plan := p.now(), p.shutdown.plan
+	p.runAt(now+plan.sweepIdle, p.sweepIdleSessions)
+	p.runAt(now+plan.closeListener, p.closeListener)
+	p.runAt(now+plan.lastResponses, p.endUnansweredExchanges)
+	p.runAt(now+plan.exit, p.terminate)
 }
 
-// outlastsProxy says whether a request that is whole now may need the proxy for longer than it lives.
-func (p *Proxy) outlastsProxy(r *placement.Request) bool {
-	s := &p.stopping
-	return s.on && !s.plan.takes(p.now()-s.at, r.Deadline-s.at)
+// outlivesProcess says whether a request that is whole now may need the proxy for longer than it lives.
+func (p *Proxy) outlivesProcess(r *placement.Request) bool {
+	s := &p.shutdown
+	return s.active && !s.plan.accepts(p.now()-s.signalAt, r.Deadline-s.signalAt)
 }
 
-// answerAll ends all requests that have no answer yet, just before the process ends. Each is told whether it may have
+// endUnansweredExchanges ends all requests that have no answer yet, just before the process ends. Each is told whether it may have
 // run.
-func (p *Proxy) answerAll() {
+func (p *Proxy) endUnansweredExchanges() {
 	for s := p.sessions.first; s != nil; {
 		next := s.next
-		if x := s.exchange; x != nil && !x.answer.begun {
-			p.noteCut(s)
-			x.endUnanswered()
+		if x := s.exchange; x != nil && !x.response.started {
+			p.logCut(s)
+			x.endForShutdown()
 		}
 		s = next
 	}
 }
 
-// noteWhileStopping counts a request whose head has come, if the proxy was told to stop before.
-func (p *Proxy) noteWhileStopping(s *session) {
+// countShutdownRequest counts a request whose head has come, if the proxy was told to stop before.
+func (p *Proxy) countShutdownRequest(s *session) {
 	switch {
-	case !p.stopping.on:
-	case s.requests == 0:
-		p.Figures.StoppingNew++
+	case !p.shutdown.active:
+	case s.requestCount == 0:
+		p.Counters.ShutdownOnNewConns++
 	default:
-		p.Figures.StoppingKept++
+		p.Counters.ShutdownOnKeptConns++
 	}
 }
 
-// cutOff ends the process, whatever is left.
-func (p *Proxy) cutOff() {
+// terminate ends the process, whatever is left.
+func (p *Proxy) terminate() {
 	for s := p.sessions.first; s != nil; s = s.next {
 		if s.exchange != nil {
-			p.noteCut(s)
+			p.logCut(s)
 		}
 	}
 	p.flushPending()
@@ -90,15 +90,15 @@
 	p.loop.Stop()
 }
 
-// noteCut logs a request that the end of the process breaks off, with what tells why it was taken.
-func (p *Proxy) noteCut(s *session) {
+// logCut logs a request that the end of the process breaks off, with what tells why it was taken.
+func (p *Proxy) logCut(s *session) {
 	x := s.exchange
-	if p.Figures.StoppingCut++; p.Figures.StoppingCut > mostCutsLogged {
+	if p.Counters.ShutdownCut++; p.Counters.ShutdownCut > maxCutsLogged {
 		return
 	}
-	fields := []zap.Field{zap.String("try", x.tryID), zap.Bool("answered", x.answer.begun), zap.Bool("may_have_run", x.request.MayHaveRun),
-		zap.Duration("came_after_signal", x.request.ArrivedAt-p.stopping.at), zap.Duration("time_left", x.request.Deadline-p.now()),
-		zap.Int("request_of_connection", s.requests), zap.Duration("connected_after_signal", s.entered-p.stopping.at)}
+	fields := []zap.Field{zap.String("try", x.tryID), zap.Bool("answered", x.response.started), zap.Bool("may_have_run", x.request.MayHaveRun),
+		zap.Duration("came_after_signal", x.request.ArrivedAt-p.shutdown.signalAt), zap.Duration("time_left", x.request.Deadline-p.now()),
+		zap.Int("request_of_connection", s.requestCount), zap.Duration("connected_after_signal", s.acceptedAt-p.shutdown.signalAt)}
 	if x.request.Route != nil {
 		fields = append(fields, zap.String("route", x.request.Route.Name))
 	}
@@ -106,41 +106,41 @@
 }
 
 func (p *Proxy) logStopped() {
-	p.log.Info("stopped", zap.Duration("after_signal", p.stopping.elapsed(p.now())), zap.Uint64("cut", p.Figures.StoppingCut),
-		zap.Uint64("turned_away", p.Figures.StoppingRefused),
-		zap.Uint64("on_new_connections", p.Figures.StoppingNew), zap.Uint64("on_kept_connections", p.Figures.StoppingKept))
+	p.log.Info("stopped", zap.Duration("after_signal", p.shutdown.elapsed(p.now())), zap.Uint64("cut", p.Counters.ShutdownCut),
+		zap.Uint64("turned_away", p.Counters.ShutdownRejected),
+		zap.Uint64("on_new_connections", p.Counters.ShutdownOnNewConns), zap.Uint64("on_kept_connections", p.Counters.ShutdownOnKeptConns))
 }
 
-// sweep closes sessions that rest, and goes on doing so.
-func (p *Proxy) sweep() {
+// sweepIdleSessions closes sessions that rest, and goes on doing so.
+func (p *Proxy) sweepIdleSessions() {
 	for s := p.sessions.first; s != nil; {
 		next := s.next
-		if s.idle() && (s.requests > 0 || p.now() > s.entered+freshGrace) && s.conn.Alive() {
-			s.end()
+		if s.isIdle() && (s.requestCount > 0 || p.now() > s.acceptedAt+newConnGrace) && s.socket.Alive() {
+			s.close()
 		}
 		s = next
 	}
-	p.endWhenDone()
-	p.at(p.now()+sweepEvery, p.sweep)
+	p.exitWhenDrained()
+	p.runAt(p.now()+idleSweepInterval, p.sweepIdleSessions)
 }
 
-// shut closes the listener.
-func (p *Proxy) shut() {
-	p.stopping.shut = true
+// closeListener closes the listener.
+func (p *Proxy) closeListener() {
+	p.shutdown.listenerClosed = true
 	p.front.Close()
-	p.endWhenDone()
+	p.exitWhenDrained()
 }
 
-// endWhenDone ends the process once nobody waits for anything.
-func (p *Proxy) endWhenDone() {
-	if p.stopping.shut && p.exchanges == 0 && p.sessions.open == 0 {
-		p.loop.Defer(p.endNow)
+// exitWhenDrained ends the process once nobody waits for anything.
+func (p *Proxy) exitWhenDrained() {
+	if p.shutdown.listenerClosed && p.openExchanges == 0 && p.sessions.count == 0 {
+		p.loop.Defer(p.exitIfDrained)
 	}
 }
 
-// endNow ends the loop if all answers have gone out, or has a look again with the next sweep.
-func (p *Proxy) endNow() {
-	if p.exchanges == 0 && p.pending.session == nil && p.loop.Lingering() == 0 {
+// exitIfDrained ends the loop if all answers have gone out, or has a look again with the next sweep.
+func (p *Proxy) exitIfDrained() {
+	if p.openExchanges == 0 && p.pending.session == nil && p.loop.Lingering() == 0 {
 		p.logStopped()
 		p.loop.Stop()
 	}
--- a/internal/system/proxy/world_test.go
+++ b/internal/system/proxy/world_test.go
@@ -19,18 +19,18 @@
 	"cinderroad/internal/system/placement"
 )
 
-// patience bounds every wait of a test; none is meant to last.
-const patience = 30 * time.Second
-
-// world is a proxy on loopback with scripted runners; tests play its clients and runners over blocking sockets.
-type world struct {
-	t      *testing.T
-	loop   *eventloop.Loop
-	proxy  *Proxy
-	placer *fakePlacer
-	routes *fakeRoutes
-	done   chan struct{}
-	front  string // address
+// testTimeout bounds every wait of a test; none is meant to last.
+const testTimeout = 30 * time.Second
+
+// harness is a proxy on loopback with scripted runners; tests play its clients and runners over blocking sockets.
+type harness struct {
+	t         *testing.T
+	loop      *eventloop.Loop
+	proxy     *Proxy
+	placer    *fakePlacer
+	routes    *fakeRoutes
+	done      chan struct{}
+	frontAddr string // address
 }
 
 // fakeRoutes routes by the prefix of the path alone.
@@ -52,7 +52,7 @@
 		LatencyTarget: time.Second, MaxAttempts: 3, Shares: []configuration.Share{{Service: "s", Weight: 1}}}
 }
 
-func newWorld(t *testing.T, change ...func(*Options)) *world {
+func newHarness(t *testing.T, change ...func(*Options)) *harness {
 	t.Helper()
 	loop, err := eventloop.NewLoop(1000)
 	if err != nil {
@@ -60,13 +60,13 @@
 	}
 	loop.ZeroCopyReads = true
 	loopback := netip.MustParseAddrPort("127.0.0.1:0")
-	options := Options{Front: loopback, Ready: loopback, GracePeriod: 8 * time.Second, Seed: 1}
+	options := Options{FrontAddr: loopback, ReadyAddr: loopback, GracePeriod: 8 * time.Second, Seed: 1}
 	for _, c := range change {
 		c(&options)
 	}
 	resumable := route("resumable", configuration.Streaming)
 	resumable.Resumable = true
-	w := &world{t: t, loop: loop, placer: &fakePlacer{ended: make(chan string, 100), sent: make(chan string, 100)},
+	w := &harness{t: t, loop: loop, placer: &fakePlacer{outcomes: make(chan string, 100), sent: make(chan string, 100)},
 		done: make(chan struct{})}
 	w.routes = &fakeRoutes{[]*configuration.Route{route("reads", configuration.ReadOnly), route("writes",
 		configuration.ReadWrite),
@@ -77,7 +77,7 @@
 	if err := w.proxy.Listen(); err != nil {
 		t.Fatal(err)
 	}
-	w.front = w.proxy.FrontAddr().String()
+	w.frontAddr = w.proxy.FrontAddr().String()
 	go func() {
 		defer close(w.done)
 		_ = loop.Run()
@@ -89,24 +89,24 @@
 	return w
 }
 
-// do runs a change on the loop and waits for it.
-func (w *world) do(change func()) {
+// onLoop runs a change on the loop and waits for it.
+func (w *harness) onLoop(change func()) {
 	w.t.Helper()
 	done := make(chan struct{})
 	w.loop.Post(func() { change(); close(done) })
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		w.t.Fatal("the loop does not answer")
 	}
 }
 
-// await waits until a state holds on the loop.
-func (w *world) await(what string, holds func() bool) {
+// waitFor waits until a state holds on the loop.
+func (w *harness) waitFor(what string, holds func() bool) {
 	w.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		ok := false
-		w.do(func() { ok = holds() })
+		w.onLoop(func() { ok = holds() })
 		if ok {
 			return
 		}
@@ -114,8 +114,8 @@
 	w.t.Fatal("never came: " + what)
 }
 
-// runners starts scripted runners and has the proxy know them; the fake placer prefers them in this order.
-func (w *world) runners(names ...string) []*testRunner {
+// startRunners starts scripted runners and has the proxy know them; the fake placer prefers them in this order.
+func (w *harness) startRunners(names ...string) []*testRunner {
 	w.t.Helper()
 	var all []*testRunner
 	var known []placement.Runner
@@ -131,27 +131,27 @@
 		known = append(known, placement.Runner{ID: name, Service: "s",
 			Address: netip.MustParseAddrPort(listener.Addr().String())})
 	}
-	w.do(func() {
-		w.placer.choices = known
+	w.onLoop(func() {
+		w.placer.runners = known
 		w.proxy.SetRunners(known)
 	})
 	return all
 }
 
-func (w *world) client() *peer {
+func (w *harness) connect() *testConn {
 	w.t.Helper()
-	return dial(w.t, w.front)
+	return dial(w.t, w.frontAddr)
 }
 
-func (w *world) ended(want ...string) {
+func (w *harness) expectOutcomes(want ...string) {
 	w.t.Helper()
 	for _, each := range want {
 		select {
-		case got := <-w.placer.ended:
+		case got := <-w.placer.outcomes:
 			if got != each {
 				w.t.Fatalf("attempt ended as %q, want %q", got, each)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			w.t.Fatalf("no attempt ended as %q", each)
 		}
 	}
@@ -164,49 +164,49 @@
 	listener *net.TCPListener
 }
 
-func (r *testRunner) accept() *peer {
+func (r *testRunner) accept() *testConn {
 	r.t.Helper()
-	_ = r.listener.SetDeadline(time.Now().Add(patience))
+	_ = r.listener.SetDeadline(time.Now().Add(testTimeout))
 	conn, err := r.listener.Accept()
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	return newPeer(r.t, conn)
+	return newTestConn(r.t, conn)
 }
 
-// peer is the test's end of a connection.
-type peer struct {
-	t    *testing.T
-	conn *net.TCPConn
-	in   *bufio.Reader
+// testConn is the test's end of a connection.
+type testConn struct {
+	t      *testing.T
+	conn   *net.TCPConn
+	reader *bufio.Reader
 }
 
-func newPeer(t *testing.T, conn net.Conn) *peer {
-	_ = conn.SetDeadline(time.Now().Add(patience))
+func newTestConn(t *testing.T, conn net.Conn) *testConn {
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { conn.Close() })
-	return &peer{t: t, conn: conn.(*net.TCPConn), in: bufio.NewReader(conn)}
+	return &testConn{t: t, conn: conn.(*net.TCPConn), reader: bufio.NewReader(conn)}
 }
 
-func dial(t *testing.T, addr string) *peer {
+func dial(t *testing.T, addr string) *testConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return newPeer(t, conn)
+	return newTestConn(t, conn)
 }
 
-func (p *peer) send(text string) {
+func (p *testConn) send(text string) {
 	p.t.Helper()
 	if _, err := io.WriteString(p.conn, text); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-// request reads a request, with its body.
-func (p *peer) request() (*http.Request, string) {
+// readRequest reads a request, with its body.
+func (p *testConn) readRequest() (*http.Request, string) {
 	p.t.Helper()
-	q, err := http.ReadRequest(p.in)
+	q, err := http.ReadRequest(p.reader)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -217,10 +217,10 @@
 	return q, string(body)
 }
 
-// response reads a whole response.
-func (p *peer) response() (*http.Response, string) {
+// readResponse reads a whole response.
+func (p *testConn) readResponse() (*http.Response, string) {
 	p.t.Helper()
-	r, err := http.ReadResponse(p.in, nil)
+	r, err := http.ReadResponse(p.reader, nil)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -232,20 +232,20 @@
 }
 
 // expect reads exactly the text.
-func (p *peer) expect(text string) {
+func (p *testConn) expect(text string) {
 	p.t.Helper()
 	got := make([]byte, len(text))
-	if n, err := io.ReadFull(p.in, got); err != nil || string(got) != text {
+	if n, err := io.ReadFull(p.reader, got); err != nil || string(got) != text {
 		p.t.Fatalf("got %q (%v), want %q", got[:n], err, text)
 	}
 }
 
-// head reads the head of a message.
-func (p *peer) head() string {
+// readHead reads the head of a message.
+func (p *testConn) readHead() string {
 	p.t.Helper()
 	var head strings.Builder
 	for {
-		line, err := p.in.ReadString('\n')
+		line, err := p.reader.ReadString('\n')
 		if err != nil {
 			p.t.Fatalf("head %q: %v", head.String(), err)
 		}
@@ -255,10 +255,10 @@
 	}
 }
 
-// gone waits until the other side has closed and returns what came before.
-func (p *peer) gone() string {
+// readToClose waits until the other side has closed and returns what came before.
+func (p *testConn) readToClose() string {
 	p.t.Helper()
-	rest, err := io.ReadAll(p.in)
+	rest, err := io.ReadAll(p.reader)
 	if e, ok := err.(net.Error); ok && e.Timeout() {
 		p.t.Fatal("the connection stays open")
 	}
@@ -266,51 +266,51 @@
 }
 
 // reset closes the connection by a reset.
-func (p *peer) reset() {
+func (p *testConn) reset() {
 	_ = p.conn.SetLinger(0)
 	p.conn.Close()
 }
 
-// ask is the text of a request.
-func ask(path, id, extra, body string) string {
+// requestText is the text of a request.
+func requestText(path, id, extra, body string) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: %s\r\nX-Time-Left-Ms: 10000\r\n%sContent-Length: %d\r\n\r\n%s",
 		path, id, extra, len(body), body)
 }
 
-// served is the text of a success with a length.
-func served(id, body string) string {
+// successText is the text of a success with a length.
+func successText(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Try-Id: %s\r\nX-Server-Seal: seal-%s\r\nContent-Length: %d\r\n\r\n%s", id,
 		id, len(body), body)
 }
 
-// streamHead is the head of a stream.
-func streamHead(id, seal string) string {
+// streamHeadText is the head of a stream.
+func streamHeadText(id, seal string) string {
 	return "HTTP/1.1 200 OK\r\nX-Try-Id: " + id + "\r\nX-Server-Seal: " + seal +
 		"\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 }
 
-func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+func chunkText(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-func event(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
+func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
 const lastChunk = "0\r\n\r\n"
 
 // fakePlacer names the first runner that was not tried. It belongs to the loop's goroutine.
 type fakePlacer struct {
-	choices  []placement.Runner
-	refusal  *placement.Rejection
-	noRetry  bool
-	spread   bool // takes runners in turn
-	priority int
-	events   int
-	last     placement.Request
-	recalled []byte
-
-	ended chan string // nil: nobody listens
-	sent  chan string
+	runners     []placement.Runner
+	refusal     *placement.Rejection
+	noRetry     bool
+	spread      bool // takes runners in turn
+	priority    int
+	events      int
+	lastRequest placement.Request
+	restored    []byte
+
+	outcomes chan string // nil: nobody listens
+	sent     chan string
 }
 
-func tell(to chan string, what string) {
+func notify(to chan string, what string) {
 	if to != nil {
 		to <- what
 	}
@@ -323,14 +323,14 @@
 func (f *fakePlacer) SetPeers(time.Duration, uint64, []uint64)            {}
 func (f *fakePlacer) HandleNotice(time.Duration, placement.Notice)        {}
 func (f *fakePlacer) Place(_ time.Duration, r *placement.Request) (placement.Choice, *placement.Rejection) {
-	f.last = *r
+	f.lastRequest = *r
 	if f.refusal != nil {
 		return placement.Choice{}, f.refusal
 	}
-	for _, c := range f.choices {
+	for _, c := range f.runners {
 		if !slices.Contains(r.TriedRunners, c.ID) {
 			if f.spread {
-				f.choices = append(f.choices[1:len(f.choices):len(f.choices)], f.choices[0])
+				f.runners = append(f.runners[1:len(f.runners):len(f.runners)], f.runners[0])
 			}
 			return placement.Choice{Runner: c.ID, Address: c.Address, Priority: f.priority - 1}, nil
 		}
@@ -338,16 +338,16 @@
 	return placement.Choice{}, &placement.Rejection{RetryAfter: 1500 * time.Millisecond, Reason: "all tried"}
 }
 func (f *fakePlacer) StartAttempt(_ time.Duration, r *placement.Request, c placement.Choice) *placement.Attempt {
-	tell(f.sent, c.Runner)
+	notify(f.sent, c.Runner)
 	return &placement.Attempt{Runner: c.Runner, Request: r}
 }
 func (f *fakePlacer) HandleFirstEvent(time.Duration, *placement.Attempt) { f.events++ }
 func (f *fakePlacer) HandleEvent(time.Duration, *placement.Attempt)      { f.events++ }
 func (f *fakePlacer) EndAttempt(_ time.Duration, a *placement.Attempt, o placement.Outcome, _ placement.Progress) {
 	names := []string{"served", "not run", "wrong runner", "failed", "broken", "silent", "unreached", "abandoned"}
-	tell(f.ended, a.Runner+" "+names[o])
+	notify(f.outcomes, a.Runner+" "+names[o])
 }
 func (f *fakePlacer) MayRetry(time.Duration, *placement.Request) bool { return !f.noRetry }
 func (f *fakePlacer) Tick(now time.Duration) time.Duration            { return now + time.Hour }
 func (f *fakePlacer) Snapshot() []byte                                { return []byte("learnt") }
-func (f *fakePlacer) Restore(_ time.Duration, b []byte) error         { f.recalled = b; return nil }
+func (f *fakePlacer) Restore(_ time.Duration, b []byte) error         { f.restored = b; return nil }
