--- a/internal/system/control/api/answer.go
+++ b/internal/system/control/api/answer.go
@@ -23,43 +23,43 @@
 	codeBusy        = "busy"
 )
 
-// refusal is an answer other than success.
-type refusal struct {
+// apiError is an answer other than success.
+type apiError struct {
 	status   int
 	code     string
 	message  string
-	findings []validation.Problem
+	problems []validation.Problem
 }
 
 // Error returns the message.
-func (r *refusal) Error() string { return "api: " + r.message }
+func (r *apiError) Error() string { return "api: " + r.message }
 
-func invalid(message string, list ...validation.Problem) *refusal {
-	return &refusal{status: http.StatusBadRequest, code: codeInvalid, message: message, findings: list}
+func invalidError(message string, problems ...validation.Problem) *apiError {
+	return &apiError{status: http.StatusBadRequest, code: codeInvalid, message: message, problems: problems}
 }
 
-func conflict(current uint64) *refusal {
-	return &refusal{status: http.StatusPreconditionFailed, code: codeConflict,
+func versionConflict(current uint64) *apiError {
+	return &apiError{status: http.StatusPreconditionFailed, code: codeConflict,
 		message: "another version is in force: " + strconv.FormatUint(current, 10)}
 }
 
-func unavailable(message string) *refusal {
-	return &refusal{status: http.StatusServiceUnavailable, code: codeUnavailable, message: message}
+func unavailableError(message string) *apiError {
+	return &apiError{status: http.StatusServiceUnavailable, code: codeUnavailable, message: message}
 }
 
-func notFound(message string) *refusal {
-	return &refusal{status: http.StatusNotFound, code: codeNotFound, message: message}
+func notFoundError(message string) *apiError {
+	return &apiError{status: http.StatusNotFound, code: codeNotFound, message: message}
 }
 
 // write answers with the refusal.
-func (r *refusal) write(w http.ResponseWriter) {
+func (r *apiError) write(w http.ResponseWriter) {
 	if r.status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 	}
 	writeJSON(w, r.status, r.encode())
 }
 
-func (r *refusal) encode() []byte {
+func (r *apiError) encode() []byte {
 	var e jx.Encoder
 	e.ObjStart()
 	e.FieldStart("error")
@@ -70,7 +70,7 @@
 	e.Str(r.message)
 	e.FieldStart("findings")
 	e.ArrStart()
-	for _, finding := range r.findings {
+	for _, finding := range r.problems {
 		e.ObjStart()
 		e.FieldStart("place")
 		e.Str(finding.Path)
@@ -93,7 +93,7 @@
 	writeJSON(w, http.StatusOK, e.Bytes())
 }
 
-func writeZone(w http.ResponseWriter, zone string, evacuated bool) {
+func writeEvacuation(w http.ResponseWriter, zone string, evacuated bool) {
 	var e jx.Encoder
 	e.ObjStart()
 	e.FieldStart("zone")
--- a/internal/system/control/api/api.go
+++ b/internal/system/control/api/api.go
@@ -37,78 +37,78 @@
 
 // Bounds of calls.
 const (
-	MostBodyBytes = 16 << 20
-	// AnswerWithin is how long after the whole request its answer comes at the latest: callers take a second of
+	MaxBodyBytes = 16 << 20
+	// ResponseTimeout is how long after the whole request its answer comes at the latest: callers take a second of
 	// silence for a failure.
-	AnswerWithin = 800 * time.Millisecond
-	// CutOffAnswerWithin is the same for a machine that has heard no majority for long: nothing is worth waiting for there,
+	ResponseTimeout = 800 * time.Millisecond
+	// IsolatedResponseTimeout is the same for a machine that has heard no majority for long: nothing is worth waiting for there,
 	// and callers are to go on to another machine.
-	CutOffAnswerWithin = 100 * time.Millisecond
+	IsolatedResponseTimeout = 100 * time.Millisecond
 
-	// readingPerMegabyte is what a large order has more; see readingTime.
-	readingPerMegabyte = 2 * time.Second
-	mostCalls          = 64 // at once; more are told to come back
-	mostChanges        = 2  // that are compared at once: each holds two documents
+	// parseTimePerMiB is what a large order has more; see parseAllowance.
+	parseTimePerMiB      = 2 * time.Second
+	maxCalls             = 64 // at once; more are told to come back
+	maxConcurrentChanges = 2  // that are compared at once: each holds two documents
 )
 
 // Options are the API's.
 type Options struct {
-	Replicas  replica.Replicas
-	State     *state.Configuration
-	KnownZone func(zone string) bool
-	Status    func() []byte // JSON for operators
-	Log       *zap.Logger
+	Replicas   replica.Replicas
+	State      *state.Configuration
+	ZoneExists func(zone string) bool
+	Status     func() []byte // JSON for operators
+	Log        *zap.Logger
 }
 
 // API serves the calls.
 type API struct {
-	options   Options
-	committer committer
-	documents *documents
-	calls     chan struct{}
-	changes   chan struct{}
-	mux       *http.ServeMux
+	options     Options
+	committer   committer
+	documents   *documentCache
+	callSlots   chan struct{}
+	changeSlots chan struct{}
+	mux         *http.ServeMux
 }
 
 // New returns the API.
 func New(options Options) *API {
-	documents := &documents{}
+	documents := &documentCache{}
 	a := &API{
 		options: options,
-		committer: committer{replicas: options.Replicas, state: options.State, prepare: documents.prepare,
-			pause: retry.Sleep},
-		documents: documents,
-		calls:     make(chan struct{}, mostCalls),
-		changes:   make(chan struct{}, mostChanges),
-		mux:       http.NewServeMux(),
-	}
-	a.mux.HandleFunc("POST "+PathReplace, a.change(replaceWhole))
-	a.mux.HandleFunc("POST "+PathChange, a.change(changeItems))
-	a.mux.HandleFunc("GET "+PathRead, a.read)
-	a.mux.HandleFunc("POST "+PathDrainBegin+"{zone}", a.evacuate(true))
-	a.mux.HandleFunc("POST "+PathDrainFinish+"{zone}", a.evacuate(false))
-	a.mux.HandleFunc("GET "+PathStatus, a.status)
+		committer: committer{replicas: options.Replicas, state: options.State, prepare: documents.prepareChange,
+			sleep: retry.Sleep},
+		documents:   documents,
+		callSlots:   make(chan struct{}, maxCalls),
+		changeSlots: make(chan struct{}, maxConcurrentChanges),
+		mux:         http.NewServeMux(),
+	}
+	a.mux.HandleFunc("POST "+PathReplace, a.handleChange(kindReplace))
+	a.mux.HandleFunc("POST "+PathChange, a.handleChange(kindChange))
+	a.mux.HandleFunc("GET "+PathRead, a.handleRead)
+	a.mux.HandleFunc("POST "+PathDrainBegin+"{zone}", a.handleEvacuation(true))
+	a.mux.HandleFunc("POST "+PathDrainFinish+"{zone}", a.handleEvacuation(false))
+	a.mux.HandleFunc("GET "+PathStatus, a.handleStatus)
 	return a
 }
 
 // ServeHTTP answers a call.
 func (a *API) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
-	case a.calls <- struct{}{}:
-		defer func() { <-a.calls }()
+	case a.callSlots <- struct{}{}:
+		defer func() { <-a.callSlots }()
 	default:
-		busy := &refusal{status: http.StatusServiceUnavailable, code: codeBusy, message: "too many calls at once"}
+		busy := &apiError{status: http.StatusServiceUnavailable, code: codeBusy, message: "too many calls at once"}
 		busy.write(w)
 		return
 	}
 	a.mux.ServeHTTP(w, r)
 }
 
-func (a *API) change(kind kind) http.HandlerFunc {
+func (a *API) handleChange(kind requestKind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		version, size, err := a.take(w, r, kind)
+		version, size, err := a.commitChange(w, r, kind)
 		if err != nil {
-			a.refuse(w, err)
+			a.writeError(w, err)
 			return
 		}
 		a.options.Log.Info("configuration accepted", zap.Uint64("version", version), zap.Int("bytes", size))
@@ -116,8 +116,8 @@
 	}
 }
 
-// take reads a change and has it agreed on.
-func (a *API) take(w http.ResponseWriter, r *http.Request, kind kind) (version uint64, size int, err error) {
+// commitChange reads a change and has it agreed on.
+func (a *API) commitChange(w http.ResponseWriter, r *http.Request, kind requestKind) (version uint64, size int, err error) {
 	basedOn, err := readBasedOn(r)
 	if err != nil {
 		return 0, 0, err
@@ -126,73 +126,73 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), a.answerWithin(len(body)))
+	ctx, cancel := context.WithTimeout(r.Context(), a.responseTimeout(len(body)))
 	defer cancel()
 	select {
-	case a.changes <- struct{}{}:
-		defer func() { <-a.changes }()
+	case a.changeSlots <- struct{}{}:
+		defer func() { <-a.changeSlots }()
 	case <-ctx.Done():
-		return 0, 0, unavailable("too many changes at once")
+		return 0, 0, unavailableError("too many changes at once")
 	}
-	version, err = a.committer.commit(ctx, &request{kind: kind, basedOn: basedOn, body: body})
+	version, err = a.committer.commit(ctx, &changeRequest{kind: kind, basedOn: basedOn, body: body})
 	return version, len(body), err
 }
 
-// answerWithin is the time that a call has from now on, with a body of so many bytes.
-func (a *API) answerWithin(bytes int) time.Duration {
+// responseTimeout is the time that a call has from now on, with a body of so many bytes.
+func (a *API) responseTimeout(bytes int) time.Duration {
 	if a.options.Replicas.InContact(feed.ConfigurationPartition) {
-		return AnswerWithin + readingTime(bytes)
+		return ResponseTimeout + parseAllowance(bytes)
 	}
-	return CutOffAnswerWithin
+	return IsolatedResponseTimeout
 }
 
-// readingTime is what a large order has beside AnswerWithin, since callers wait longer for its answer as well: it takes
+// parseAllowance is what a large order has beside ResponseTimeout, since callers wait longer for its answer as well: it takes
 // about a tenth of a second of a whole core per megabyte to be read.
-func readingTime(bytes int) time.Duration {
-	return time.Duration(max(bytes-keptFrom, 0)) * readingPerMegabyte >> 20
+func parseAllowance(bytes int) time.Duration {
+	return time.Duration(max(bytes-largeBodyBytes, 0)) * parseTimePerMiB >> 20
 }
 
 func readBasedOn(r *http.Request) (uint64, error) {
 	text := strings.TrimSpace(r.Header.Get(HeaderBasedOn))
 	if text == "" {
-		return 0, invalid("header " + HeaderBasedOn + " is missing; it names the version to build on, 0 for the first")
+		return 0, invalidError("header " + HeaderBasedOn + " is missing; it names the version to build on, 0 for the first")
 	}
 	version, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, invalid("header " + HeaderBasedOn + " is not a version number: " + strconv.Quote(text))
+		return 0, invalidError("header " + HeaderBasedOn + " is not a version number: " + strconv.Quote(text))
 	}
 	return version, nil
 }
 
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MostBodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, &refusal{status: http.StatusRequestEntityTooLarge, code: codeTooLarge,
-			message: "the body is longer than " + strconv.Itoa(MostBodyBytes) + " bytes"}
+		return nil, &apiError{status: http.StatusRequestEntityTooLarge, code: codeTooLarge,
+			message: "the body is longer than " + strconv.Itoa(MaxBodyBytes) + " bytes"}
 	case err != nil:
-		return nil, &refusal{status: http.StatusRequestTimeout, code: codeUnavailable,
+		return nil, &apiError{status: http.StatusRequestTimeout, code: codeUnavailable,
 			message: "the body did not arrive whole: " + err.Error()}
 	}
 	return body, nil
 }
 
-func (a *API) read(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), a.answerWithin(0))
+func (a *API) handleRead(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), a.responseTimeout(0))
 	defer cancel()
 	if err := a.barrier(ctx); err != nil {
-		a.refuse(w, err)
+		a.writeError(w, err)
 		return
 	}
 	base := a.options.State.Base()
-	document, err := a.documents.inForce(&base)
+	document, err := a.documents.currentDocument(&base)
 	if err != nil {
-		a.refuse(w, err)
+		a.writeError(w, err)
 		return
 	}
 	if document == nil {
-		a.refuse(w, notFound("there is no configuration yet"))
+		a.writeError(w, notFoundError("there is no configuration yet"))
 		return
 	}
 	version := strconv.FormatUint(base.Version, 10)
@@ -207,42 +207,42 @@
 		if a.options.Replicas.Barrier(ctx, feed.ConfigurationPartition) == nil {
 			return nil
 		}
-		if !a.committer.pause(ctx, retryEvery) {
-			return unavailable("no majority of the control machines answers")
+		if !a.committer.sleep(ctx, retryInterval) {
+			return unavailableError("no majority of the control machines answers")
 		}
 	}
 }
 
-func (a *API) evacuate(on bool) http.HandlerFunc {
+func (a *API) handleEvacuation(on bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		zone := r.PathValue("zone")
-		if !a.options.KnownZone(zone) && !a.options.State.Evacuation(zone).On { // it may have left the settings since
-			a.refuse(w, notFound("there is no zone "+strconv.Quote(zone)))
+		if !a.options.ZoneExists(zone) && !a.options.State.Evacuation(zone).On { // it may have left the settings since
+			a.writeError(w, notFoundError("there is no zone "+strconv.Quote(zone)))
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), a.answerWithin(0))
+		ctx, cancel := context.WithTimeout(r.Context(), a.responseTimeout(0))
 		defer cancel()
-		if err := a.committer.evacuate(ctx, zone, on); err != nil {
-			a.refuse(w, err)
+		if err := a.committer.setEvacuation(ctx, zone, on); err != nil {
+			a.writeError(w, err)
 			return
 		}
 		a.options.Log.Info("evacuation acknowledged", zap.String("zone", zone), zap.Bool("evacuated", on))
-		writeZone(w, zone, on)
+		writeEvacuation(w, zone, on)
 	}
 }
 
-func (a *API) status(w http.ResponseWriter, _ *http.Request) {
+func (a *API) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, a.options.Status())
 }
 
-func (a *API) refuse(w http.ResponseWriter, err error) {
-	var refused *refusal
+func (a *API) writeError(w http.ResponseWriter, err error) {
+	var refused *apiError
 	if !errors.As(err, &refused) {
-		refused = unavailable(err.Error())
+		refused = unavailableError(err.Error())
 	}
 	if refused.status == http.StatusBadRequest || refused.status == http.StatusServiceUnavailable {
 		a.options.Log.Info("call refused", zap.Int("status", refused.status), zap.String("cause", refused.message),
-			zap.Int("findings", len(refused.findings)))
+			zap.Int("findings", len(refused.problems)))
 	}
 	refused.write(w)
 }
--- a/internal/system/control/api/api_test.go
+++ b/internal/system/control/api/api_test.go
@@ -23,31 +23,31 @@
 	"cinderroad/internal/system/replica"
 )
 
-// core is a core machine's replica of partition 0 that agrees with itself, and fails as it is told.
-type core struct {
-	mutex     sync.Mutex
-	state     *state.Configuration
-	index     uint64
-	away      bool          // no majority
-	cutOff    bool          // for long
-	loseNext  int           // answers to proposals that get lost after they were agreed on
-	dropNext  int           // proposals that get lost before
-	hang      bool          // calls end with their context only
-	delay     time.Duration // of each call
-	before    func()        // the next proposal is applied
-	onBarrier func()        // before the next barrier holds
-	proposals int
-}
-
-func newCore() *core {
-	return &core{state: state.NewConfiguration(func() time.Duration { return 0 }, func() {})}
+// fakeReplica is a core machine's replica of partition 0 that agrees with itself, and fails as it is told.
+type fakeReplica struct {
+	mutex         sync.Mutex
+	state         *state.Configuration
+	index         uint64
+	noQuorum      bool          // no majority
+	isolated      bool          // for long
+	lostResponses int           // answers to proposals that get lost after they were agreed on
+	lostProposals int           // proposals that get lost before
+	hang          bool          // calls end with their context only
+	delay         time.Duration // of each call
+	beforeApply   func()        // the next proposal is applied
+	onBarrier     func()        // before the next barrier holds
+	proposals     int
+}
+
+func newFakeReplica() *fakeReplica {
+	return &fakeReplica{state: state.NewConfiguration(func() time.Duration { return 0 }, func() {})}
 }
 
 var errLost = errors.New("lost")
 
-func (c *core) wait(ctx context.Context) error {
+func (c *fakeReplica) simulateFaults(ctx context.Context) error {
 	c.mutex.Lock()
-	hang, delay, away := c.hang, c.delay, c.away
+	hang, delay, away := c.hang, c.delay, c.noQuorum
 	c.mutex.Unlock()
 	if hang {
 		<-ctx.Done()
@@ -62,36 +62,36 @@
 	return ctx.Err()
 }
 
-func (c *core) Propose(ctx context.Context, _ feed.Partition, command []byte) ([]byte, error) {
-	if err := c.wait(ctx); err != nil {
+func (c *fakeReplica) Propose(ctx context.Context, _ feed.Partition, command []byte) ([]byte, error) {
+	if err := c.simulateFaults(ctx); err != nil {
 		return nil, err
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.proposals++
-	if c.dropNext > 0 {
-		c.dropNext--
+	if c.lostProposals > 0 {
+		c.lostProposals--
 		return nil, errLost
 	}
-	if before := c.before; before != nil {
-		c.before = nil
+	if before := c.beforeApply; before != nil {
+		c.beforeApply = nil
 		before()
 	}
 	answer := c.apply(command)
-	if c.loseNext > 0 {
-		c.loseNext--
+	if c.lostResponses > 0 {
+		c.lostResponses--
 		return nil, errLost
 	}
 	return answer, nil
 }
 
-func (c *core) apply(command []byte) []byte {
+func (c *fakeReplica) apply(command []byte) []byte {
 	c.index++
 	return c.state.Apply(c.index, command)
 }
 
-func (c *core) Barrier(ctx context.Context, _ feed.Partition) error {
-	if err := c.wait(ctx); err != nil {
+func (c *fakeReplica) Barrier(ctx context.Context, _ feed.Partition) error {
+	if err := c.simulateFaults(ctx); err != nil {
 		return err
 	}
 	if onBarrier := c.onBarrier; onBarrier != nil {
@@ -101,24 +101,24 @@
 	return nil
 }
 
-// orderZone has an evacuation ordered through another machine.
-func (c *core) orderZone(zone string, on bool) {
+// evacuateElsewhere has an evacuation ordered through another machine.
+func (c *fakeReplica) evacuateElsewhere(zone string, on bool) {
 	command := state.SetEvacuation{Zone: zone, On: on, Seen: c.state.Evacuation(zone).Seen}
 	c.apply(command.Encode())
 }
 
-func (c *core) LeaderLease(feed.Partition) (time.Duration, bool) { return time.Second, true }
-func (c *core) Staleness(feed.Partition) time.Duration           { return 0 }
-func (c *core) InContact(feed.Partition) bool                    { return !c.cutOff }
-func (c *core) Status() []replica.PartitionStatus                { return nil }
+func (c *fakeReplica) LeaderLease(feed.Partition) (time.Duration, bool) { return time.Second, true }
+func (c *fakeReplica) Staleness(feed.Partition) time.Duration           { return 0 }
+func (c *fakeReplica) InContact(feed.Partition) bool                    { return !c.isolated }
+func (c *fakeReplica) Status() []replica.PartitionStatus                { return nil }
 
-func (c *core) api() *API {
+func (c *fakeReplica) newAPI() *API {
 	return New(Options{
-		Replicas:  c,
-		State:     c.state,
-		KnownZone: func(zone string) bool { return zone == "a" || zone == "b" },
-		Status:    func() []byte { return []byte("{}") },
-		Log:       zap.NewNop(),
+		Replicas:   c,
+		State:      c.state,
+		ZoneExists: func(zone string) bool { return zone == "a" || zone == "b" },
+		Status:     func() []byte { return []byte("{}") },
+		Log:        zap.NewNop(),
 	})
 }
 
@@ -132,20 +132,20 @@
 	return recorder
 }
 
-func route(name, service string) string {
+func routeJSON(name, service string) string {
 	return `{"name":"` + name + `","host":"h.example","path_start":"/` + name +
 		`/","type":"read_only","timeout_ms":5000,"target_ms":800,"rank":1,"service":"` + service +
 		`","tries":1,"note":"kept"}`
 }
 
-func document(version int, routes ...string) string {
+func documentJSON(version int, routes ...string) string {
 	return fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":"s","health_path":"/health","max_conns":3,`+
 		`"cold_for_s":0,"cold_rate_s":0},{"name":"t","health_path":"/health","max_conns":3,"cold_for_s":0,`+
 		`"cold_rate_s":0}],"limits":{"max_header_bytes":1,"max_body_bytes":2,"header_wait_ms":3,"idle_limit_ms":4},`+
 		`"mood":{"x":[1]}}`, version, strings.Join(routes, ","))
 }
 
-func sameJSON(t *testing.T, got, want string) bool {
+func equalJSON(t *testing.T, got, want string) bool {
 	t.Helper()
 	var a, b any
 	if err := json.Unmarshal([]byte(got), &a); err != nil {
@@ -157,37 +157,37 @@
 	return reflect.DeepEqual(a, b)
 }
 
-func (c *core) reads(t *testing.T) string {
+func (c *fakeReplica) readConfiguration(t *testing.T) string {
 	t.Helper()
-	answer := call(c.api(), http.MethodGet, PathRead, "", "")
+	answer := call(c.newAPI(), http.MethodGet, PathRead, "", "")
 	if answer.Code != http.StatusOK {
 		t.Fatalf("read: %d %s", answer.Code, answer.Body)
 	}
 	return answer.Body.String()
 }
 
-func TestFirstConfiguration(t *testing.T) {
-	c := newCore()
-	if answer := call(c.api(), http.MethodGet, PathRead, "", ""); answer.Code != http.StatusNotFound {
+func TestFirstConfigurationIsReadBack(t *testing.T) {
+	c := newFakeReplica()
+	if answer := call(c.newAPI(), http.MethodGet, PathRead, "", ""); answer.Code != http.StatusNotFound {
 		t.Errorf("read before the first: %d", answer.Code)
 	}
-	body := document(3, route("x", "s"))
-	if answer := call(c.api(), http.MethodPost, PathReplace, "0", body); answer.Code != http.StatusOK {
+	body := documentJSON(3, routeJSON("x", "s"))
+	if answer := call(c.newAPI(), http.MethodPost, PathReplace, "0", body); answer.Code != http.StatusOK {
 		t.Fatalf("%d %s", answer.Code, answer.Body)
 	}
-	if got := c.reads(t); !sameJSON(t, got, body) {
+	if got := c.readConfiguration(t); !equalJSON(t, got, body) {
 		t.Errorf("read %s, sent %s", got, body)
 	}
-	answer := call(c.api(), http.MethodGet, PathRead, "", "")
+	answer := call(c.newAPI(), http.MethodGet, PathRead, "", "")
 	if answer.Header().Get("ETag") != `"3"` {
 		t.Errorf("ETag %s", answer.Header().Get("ETag"))
 	}
 }
 
-func TestResends(t *testing.T) {
-	c := newCore()
-	first, second := document(3, route("x", "s")), document(5, route("x", "t"))
-	change := `{"version":9,"replace":{"routes":[` + route("y", "s") + `]},"remove":{"routes":["x"]}}`
+func TestRepeatedChangesAreIdempotent(t *testing.T) {
+	c := newFakeReplica()
+	first, second := documentJSON(3, routeJSON("x", "s")), documentJSON(5, routeJSON("x", "t"))
+	change := `{"version":9,"replace":{"routes":[` + routeJSON("y", "s") + `]},"remove":{"routes":["x"]}}`
 	steps := []struct {
 		name, path, basedOn, body string
 		want                      int
@@ -205,44 +205,44 @@
 		{"by items on a stale base", PathChange, "3", change, http.StatusPreconditionFailed},
 	}
 	for _, step := range steps {
-		if answer := call(c.api(), http.MethodPost, step.path, step.basedOn, step.body); answer.Code != step.want {
+		if answer := call(c.newAPI(), http.MethodPost, step.path, step.basedOn, step.body); answer.Code != step.want {
 			t.Errorf("%s: %d %s, want %d", step.name, answer.Code, answer.Body, step.want)
 		}
 	}
-	if got, want := c.reads(t), document(9, route("y", "s")); !sameJSON(t, got, want) {
+	if got, want := c.readConfiguration(t), documentJSON(9, routeJSON("y", "s")); !equalJSON(t, got, want) {
 		t.Errorf("read %s, want %s", got, want)
 	}
 }
 
 func TestInvalidChangesAreNeverProposed(t *testing.T) {
-	c := newCore()
-	if answer := call(c.api(), http.MethodPost, PathReplace, "0", document(3, route("x", "s"))); answer.Code != 200 {
+	c := newFakeReplica()
+	if answer := call(c.newAPI(), http.MethodPost, PathReplace, "0", documentJSON(3, routeJSON("x", "s"))); answer.Code != 200 {
 		t.Fatal(answer.Body)
 	}
 	before, proposals := c.state.Snapshot(), c.proposals
-	zeroTimeout := strings.Replace(route("y", "s"), "5000", "0", 1)
-	noWeight := strings.Replace(route("y", "s"), `"service":"s"`, `"shares":[{"service":"s","weight":0}]`, 1)
+	zeroTimeout := strings.Replace(routeJSON("y", "s"), "5000", "0", 1)
+	noWeight := strings.Replace(routeJSON("y", "s"), `"service":"s"`, `"shares":[{"service":"s","weight":0}]`, 1)
 	cases := []struct{ name, path, basedOn, body string }{
 		{"no JSON", PathReplace, "3", "{"},
 		{"nothing", PathReplace, "3", ""},
 		{"a list", PathReplace, "3", "[]"},
-		{"cut short", PathReplace, "3", document(5)[:40]},
-		{"two documents", PathReplace, "3", document(5) + document(6)},
-		{"a service that is not known", PathReplace, "3", document(5, route("x", "u"))},
-		{"one prefix twice", PathReplace, "3", document(5, route("x", "s"), strings.Replace(route("x", "s"), `"x"`, `"y"`, 1))},
-		{"weights of 0", PathReplace, "3", document(5, noWeight)},
-		{"a timeout of 0", PathReplace, "3", document(5, zeroTimeout)},
-		{"the version in force", PathReplace, "3", document(3)},
-		{"an earlier version", PathReplace, "3", document(2)},
-		{"no base", PathReplace, "", document(5)},
-		{"a base that is no number", PathReplace, "x", document(5)},
-		{"by items: a service that is not known", PathChange, "3", `{"version":5,"replace":{"routes":[` + route("y", "u") + `]}}`},
+		{"cut short", PathReplace, "3", documentJSON(5)[:40]},
+		{"two documents", PathReplace, "3", documentJSON(5) + documentJSON(6)},
+		{"a service that is not known", PathReplace, "3", documentJSON(5, routeJSON("x", "u"))},
+		{"one prefix twice", PathReplace, "3", documentJSON(5, routeJSON("x", "s"), strings.Replace(routeJSON("x", "s"), `"x"`, `"y"`, 1))},
+		{"weights of 0", PathReplace, "3", documentJSON(5, noWeight)},
+		{"a timeout of 0", PathReplace, "3", documentJSON(5, zeroTimeout)},
+		{"the version in force", PathReplace, "3", documentJSON(3)},
+		{"an earlier version", PathReplace, "3", documentJSON(2)},
+		{"no base", PathReplace, "", documentJSON(5)},
+		{"a base that is no number", PathReplace, "x", documentJSON(5)},
+		{"by items: a service that is not known", PathChange, "3", `{"version":5,"replace":{"routes":[` + routeJSON("y", "u") + `]}}`},
 		{"by items: a service that is used", PathChange, "3", `{"version":5,"remove":{"services":["s"]}}`},
 		{"by items: an earlier version", PathChange, "3", `{"version":1,"remove":{"routes":["x"]}}`},
 		{"by items: no base", PathChange, "", `{"version":5,"remove":{"routes":["x"]}}`},
 	}
 	for _, test := range cases {
-		answer := call(c.api(), http.MethodPost, test.path, test.basedOn, test.body)
+		answer := call(c.newAPI(), http.MethodPost, test.path, test.basedOn, test.body)
 		if answer.Code != http.StatusBadRequest {
 			t.Errorf("%s: %d %s", test.name, answer.Code, answer.Body)
 		}
@@ -258,10 +258,10 @@
 	}
 }
 
-func TestAllFindingsComeTogether(t *testing.T) {
-	c := newCore()
-	bad := strings.Replace(route("x", "u"), "5000", "0", 1)
-	answer := call(c.api(), http.MethodPost, PathReplace, "0", document(0, bad))
+func TestAllProblemsAreReportedTogether(t *testing.T) {
+	c := newFakeReplica()
+	bad := strings.Replace(routeJSON("x", "u"), "5000", "0", 1)
+	answer := call(c.newAPI(), http.MethodPost, PathReplace, "0", documentJSON(0, bad))
 	var body struct {
 		Error struct {
 			Findings []struct{ Place, Problem string }
@@ -280,30 +280,30 @@
 	}
 }
 
-func TestRaces(t *testing.T) {
-	c := newCore()
-	call(c.api(), http.MethodPost, PathReplace, "0", document(3, route("x", "s")))
-	c.before = func() { // another operator's change comes first
+func TestConcurrentChangeConflicts(t *testing.T) {
+	c := newFakeReplica()
+	call(c.newAPI(), http.MethodPost, PathReplace, "0", documentJSON(3, routeJSON("x", "s")))
+	c.beforeApply = func() { // another operator's change comes first
 		command := state.CommitConfiguration{BasedOn: 3, Version: 4, Digest: state.Digest{1}}
 		c.apply(command.Encode())
 	}
-	answer := call(c.api(), http.MethodPost, PathReplace, "3", document(5, route("x", "t")))
+	answer := call(c.newAPI(), http.MethodPost, PathReplace, "3", documentJSON(5, routeJSON("x", "t")))
 	if answer.Code != http.StatusPreconditionFailed || c.state.Version() != 4 {
 		t.Errorf("%d %s, version %d", answer.Code, answer.Body, c.state.Version())
 	}
 }
 
-// TestLostAnswers holds that a change whose outcome is not known is taken once and acknowledged, if a majority is there.
-func TestLostAnswers(t *testing.T) {
+// TestLostProposalResponses holds that a change whose outcome is not known is taken once and acknowledged, if a majority is there.
+func TestLostProposalResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCore()
-		c.loseNext, c.dropNext = 1, 2
-		body := document(3, route("x", "s"))
-		if answer := call(c.api(), http.MethodPost, PathReplace, "0", body); answer.Code != http.StatusOK {
+		c := newFakeReplica()
+		c.lostResponses, c.lostProposals = 1, 2
+		body := documentJSON(3, routeJSON("x", "s"))
+		if answer := call(c.newAPI(), http.MethodPost, PathReplace, "0", body); answer.Code != http.StatusOK {
 			t.Errorf("%d %s", answer.Code, answer.Body)
 		}
-		c.loseNext = 1
-		if answer := call(c.api(), http.MethodPost, PathDrainBegin+"a", "", ""); answer.Code != http.StatusOK {
+		c.lostResponses = 1
+		if answer := call(c.newAPI(), http.MethodPost, PathDrainBegin+"a", "", ""); answer.Code != http.StatusOK {
 			t.Errorf("%d %s", answer.Code, answer.Body)
 		}
 		if c.state.Version() != 3 || len(c.state.EvacuatedZones()) != 1 {
@@ -312,31 +312,31 @@
 	})
 }
 
-// TestWithoutMajority holds that each call gets its answer within the time, and nothing is acknowledged.
-func TestWithoutMajority(t *testing.T) {
+// TestNoQuorum holds that each call gets its answer within the time, and nothing is acknowledged.
+func TestNoQuorum(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		change func(*core)
+		change func(*fakeReplica)
 	}{
-		{"away", func(c *core) { c.away = true }},
-		{"hanging", func(c *core) { c.hang = true }},
-		{"slow", func(c *core) { c.delay = 700 * time.Millisecond }},
-		{"proposals are lost", func(c *core) { c.dropNext = 1 << 30 }},
+		{"away", func(c *fakeReplica) { c.noQuorum = true }},
+		{"hanging", func(c *fakeReplica) { c.hang = true }},
+		{"slow", func(c *fakeReplica) { c.delay = 700 * time.Millisecond }},
+		{"proposals are lost", func(c *fakeReplica) { c.lostProposals = 1 << 30 }},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			c := newCore()
+			c := newFakeReplica()
 			test.change(c)
 			for _, request := range [][3]string{
-				{PathReplace, "0", document(3, route("x", "s"))},
+				{PathReplace, "0", documentJSON(3, routeJSON("x", "s"))},
 				{PathDrainBegin + "a", "", ""},
 			} {
 				began := time.Now()
-				answer := call(c.api(), http.MethodPost, request[0], request[1], request[2])
+				answer := call(c.newAPI(), http.MethodPost, request[0], request[1], request[2])
 				took := time.Since(began)
 				if answer.Code != http.StatusServiceUnavailable || answer.Header().Get("Retry-After") == "" {
 					t.Errorf("%s, %s: %d %s", test.name, request[0], answer.Code, answer.Body)
 				}
-				if took > AnswerWithin+c.delay {
+				if took > ResponseTimeout+c.delay {
 					t.Errorf("%s, %s: the answer took %v", test.name, request[0], took)
 				}
 			}
@@ -349,26 +349,26 @@
 	}
 }
 
-// TestCutOffMachineAnswersAtOnce holds that a machine which has heard no majority for long keeps nobody waiting, tells
+// TestIsolatedMachineRespondsAtOnce holds that a machine which has heard no majority for long keeps nobody waiting, tells
 // nothing of what it holds, and refuses nothing by it.
-func TestCutOffMachineAnswersAtOnce(t *testing.T) {
+func TestIsolatedMachineRespondsAtOnce(t *testing.T) {
 	for _, hang := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			c := newCore()
-			a := c.api()
-			if answer := call(a, http.MethodPost, PathReplace, "0", document(3, route("x", "s"))); answer.Code != http.StatusOK {
+			c := newFakeReplica()
+			a := c.newAPI()
+			if answer := call(a, http.MethodPost, PathReplace, "0", documentJSON(3, routeJSON("x", "s"))); answer.Code != http.StatusOK {
 				t.Fatal(answer.Code, answer.Body)
 			}
-			c.cutOff, c.away, c.hang = true, true, hang
+			c.isolated, c.noQuorum, c.hang = true, true, hang
 			for _, request := range [][4]string{
 				{http.MethodGet, PathRead, "", ""},
-				{http.MethodPost, PathReplace, "0", document(3, route("x", "s"))}, // again
-				{http.MethodPost, PathReplace, "3", document(4, route("x", "s"))},
-				{http.MethodPost, PathReplace, "2", document(4, route("x", "s"))},             // on another version
-				{http.MethodPost, PathReplace, "3", document(4, route("x", "nobody"))},        // invalid
-				{http.MethodPost, PathReplace, "3", "{"},                                      // not to be read
-				{http.MethodPost, PathChange, "3", `{"version":3,"replace":{}}`},              // invalid on what it holds
-				{http.MethodPost, PathChange, "3", `{"version":9,"remove":{"routes":["y"]}}`}, // the same
+				{http.MethodPost, PathReplace, "0", documentJSON(3, routeJSON("x", "s"))}, // again
+				{http.MethodPost, PathReplace, "3", documentJSON(4, routeJSON("x", "s"))},
+				{http.MethodPost, PathReplace, "2", documentJSON(4, routeJSON("x", "s"))},      // on another version
+				{http.MethodPost, PathReplace, "3", documentJSON(4, routeJSON("x", "nobody"))}, // invalid
+				{http.MethodPost, PathReplace, "3", "{"},                                       // not to be read
+				{http.MethodPost, PathChange, "3", `{"version":3,"replace":{}}`},               // invalid on what it holds
+				{http.MethodPost, PathChange, "3", `{"version":9,"remove":{"routes":["y"]}}`},  // the same
 				{http.MethodPost, PathDrainBegin + "a", "", ""},
 				{http.MethodPost, PathDrainFinish + "a", "", ""}, // so already, as far as it knows
 			} {
@@ -377,7 +377,7 @@
 				if answer.Code != http.StatusServiceUnavailable || answer.Header().Get("Retry-After") == "" {
 					t.Errorf("%v: %d %s", request, answer.Code, answer.Body)
 				}
-				if took := time.Since(began); took > CutOffAnswerWithin {
+				if took := time.Since(began); took > IsolatedResponseTimeout {
 					t.Errorf("%v: the answer took %v", request, took)
 				}
 			}
@@ -385,16 +385,16 @@
 	}
 }
 
-func TestMajorityComesBackInTime(t *testing.T) {
+func TestQuorumReturnsBeforeTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCore()
-		c.away = true
+		c := newFakeReplica()
+		c.noQuorum = true
 		time.AfterFunc(400*time.Millisecond, func() {
 			c.mutex.Lock()
 			defer c.mutex.Unlock()
-			c.away = false
+			c.noQuorum = false
 		})
-		answer := call(c.api(), http.MethodPost, PathReplace, "0", document(3, route("x", "s")))
+		answer := call(c.newAPI(), http.MethodPost, PathReplace, "0", documentJSON(3, routeJSON("x", "s")))
 		if answer.Code != http.StatusOK {
 			t.Errorf("%d %s", answer.Code, answer.Body)
 		}
@@ -402,7 +402,7 @@
 }
 
 func TestEvacuations(t *testing.T) {
-	c := newCore()
+	c := newFakeReplica()
 	steps := []struct {
 		path string
 		want int
@@ -418,7 +418,7 @@
 		{PathDrainFinish + "a", http.StatusOK, []string{"b"}},
 	}
 	for _, step := range steps {
-		answer := call(c.api(), http.MethodPost, step.path, "", "")
+		answer := call(c.newAPI(), http.MethodPost, step.path, "", "")
 		if answer.Code != step.want || !reflect.DeepEqual(c.state.EvacuatedZones(), step.zone) {
 			t.Errorf("%s: %d %s, evacuated: %q", step.path, answer.Code, answer.Body, c.state.EvacuatedZones())
 		}
@@ -426,40 +426,40 @@
 	if c.proposals != 6 { // an order that changes nothing is agreed on, too: it ends those that are under way
 		t.Errorf("%d proposals for 6 orders that were acknowledged", c.proposals)
 	}
-	if got := call(c.api(), http.MethodGet, PathDrainBegin+"a", "", ""); got.Code != http.StatusMethodNotAllowed {
+	if got := call(c.newAPI(), http.MethodGet, PathDrainBegin+"a", "", ""); got.Code != http.StatusMethodNotAllowed {
 		t.Errorf("GET: %d", got.Code)
 	}
 }
 
-func TestEvacuationOvertaken(t *testing.T) {
+func TestSupersededEvacuation(t *testing.T) {
 	tests := []struct {
 		name      string
-		meanwhile func(c *core) // between the order's coming and the barrier
+		meanwhile func(c *fakeReplica) // between the order's coming and the barrier
 		want      int
 		zones     []string
 		proposals int
 	}{
-		{"by nothing", func(*core) {}, http.StatusOK, []string{"a"}, 1},
-		{"by another zone", func(c *core) { c.orderZone("b", true) }, http.StatusOK, []string{"a", "b"}, 1},
-		{"by a copy", func(c *core) { c.orderZone("a", true) }, http.StatusOK, []string{"a"}, 1},
-		{"by a copy, and taken back", func(c *core) {
-			c.orderZone("a", true)
-			c.orderZone("a", false)
+		{"by nothing", func(*fakeReplica) {}, http.StatusOK, []string{"a"}, 1},
+		{"by another zone", func(c *fakeReplica) { c.evacuateElsewhere("b", true) }, http.StatusOK, []string{"a", "b"}, 1},
+		{"by a copy", func(c *fakeReplica) { c.evacuateElsewhere("a", true) }, http.StatusOK, []string{"a"}, 1},
+		{"by a copy, and taken back", func(c *fakeReplica) {
+			c.evacuateElsewhere("a", true)
+			c.evacuateElsewhere("a", false)
 		}, http.StatusServiceUnavailable, nil, 0},
-		{"by the contrary, which changed nothing", func(c *core) { c.orderZone("a", false) },
+		{"by the contrary, which changed nothing", func(c *fakeReplica) { c.evacuateElsewhere("a", false) },
 			http.StatusServiceUnavailable, nil, 0},
-		{"by another zone while it is proposed", func(c *core) {
-			c.before = func() { c.orderZone("b", true) }
+		{"by another zone while it is proposed", func(c *fakeReplica) {
+			c.beforeApply = func() { c.evacuateElsewhere("b", true) }
 		}, http.StatusOK, []string{"a", "b"}, 2},
-		{"by the contrary while it is proposed", func(c *core) {
-			c.before = func() { c.orderZone("a", false) }
+		{"by the contrary while it is proposed", func(c *fakeReplica) {
+			c.beforeApply = func() { c.evacuateElsewhere("a", false) }
 		}, http.StatusServiceUnavailable, nil, 1},
 	}
 	for _, test := range tests {
 		synctest.Test(t, func(t *testing.T) {
-			c := newCore()
+			c := newFakeReplica()
 			c.onBarrier = func() { test.meanwhile(c) }
-			answer := call(c.api(), http.MethodPost, PathDrainBegin+"a", "", "")
+			answer := call(c.newAPI(), http.MethodPost, PathDrainBegin+"a", "", "")
 			if answer.Code != test.want || !reflect.DeepEqual(c.state.EvacuatedZones(), test.zones) {
 				t.Errorf("%s: %d %s, evacuated: %q", test.name, answer.Code, answer.Body, c.state.EvacuatedZones())
 			}
@@ -470,40 +470,40 @@
 	}
 }
 
-// TestEvacuationOfNobody holds that an order is not carried out whose caller has gone: the caller may have sent it again
+// TestEvacuationOfDisconnectedCaller holds that an order is not carried out whose caller has gone: the caller may have sent it again
 // through another machine and taken it back there since.
-func TestEvacuationOfNobody(t *testing.T) {
-	c := newCore()
+func TestEvacuationOfDisconnectedCaller(t *testing.T) {
+	c := newFakeReplica()
 	ctx, cancel := context.WithCancel(context.Background())
 	c.onBarrier = cancel
 	request := httptest.NewRequest(http.MethodPost, PathDrainBegin+"a", http.NoBody).WithContext(ctx)
 	answer := httptest.NewRecorder()
-	c.api().ServeHTTP(answer, request)
+	c.newAPI().ServeHTTP(answer, request)
 	if answer.Code != http.StatusServiceUnavailable || c.proposals != 0 {
 		t.Errorf("%d %s, %d proposals", answer.Code, answer.Body, c.proposals)
 	}
 }
 
-// TestZoneThatLeftTheSettings holds that an evacuation can be taken back for good.
-func TestZoneThatLeftTheSettings(t *testing.T) {
-	c := newCore()
-	c.orderZone("gone", true)
-	answer := call(c.api(), http.MethodPost, PathDrainFinish+"gone", "", "")
+// TestEvacuationEndsInZoneRemovedFromSettings holds that an evacuation can be taken back for good.
+func TestEvacuationEndsInZoneRemovedFromSettings(t *testing.T) {
+	c := newFakeReplica()
+	c.evacuateElsewhere("gone", true)
+	answer := call(c.newAPI(), http.MethodPost, PathDrainFinish+"gone", "", "")
 	if zones := c.state.EvacuatedZones(); answer.Code != http.StatusOK || len(zones) > 0 {
 		t.Errorf("%d %s, evacuated: %q", answer.Code, answer.Body, zones)
 	}
 }
 
-// TestNoClearAnswer holds that an order is refused only if it can't be in force, now or later, by another copy.
-func TestNoClearAnswer(t *testing.T) {
-	c := newCore()
-	early := document(9, route("x", "s"))
-	if answer := call(c.api(), http.MethodPost, PathReplace, "3", early); answer.Code != http.StatusServiceUnavailable {
+// TestIndefiniteOutcomes holds that an order is refused only if it can't be in force, now or later, by another copy.
+func TestIndefiniteOutcomes(t *testing.T) {
+	c := newFakeReplica()
+	early := documentJSON(9, routeJSON("x", "s"))
+	if answer := call(c.newAPI(), http.MethodPost, PathReplace, "3", early); answer.Code != http.StatusServiceUnavailable {
 		t.Errorf("on a version that is not in force yet: %d %s", answer.Code, answer.Body)
 	}
-	first := document(3, route("x", "s"))
+	first := documentJSON(3, routeJSON("x", "s"))
 	for _, sent := range [][2]string{{"0", first}, {"3", early}, {"0", first}, {"3", early}} {
-		if answer := call(c.api(), http.MethodPost, PathReplace, sent[0], sent[1]); answer.Code != http.StatusOK {
+		if answer := call(c.newAPI(), http.MethodPost, PathReplace, sent[0], sent[1]); answer.Code != http.StatusOK {
 			t.Errorf("on %s: %d %s", sent[0], answer.Code, answer.Body)
 		}
 	}
@@ -517,60 +517,60 @@
 	}{
 		{"the first, which is forgotten", "0", first, http.StatusServiceUnavailable},
 		{"the second, which is forgotten", "3", early, http.StatusServiceUnavailable},
-		{"another on a base that is forgotten", "0", document(4), http.StatusServiceUnavailable},
+		{"another on a base that is forgotten", "0", documentJSON(4), http.StatusServiceUnavailable},
 		{"on a base that is remembered", "9", early, http.StatusPreconditionFailed},
 	}
 	for _, test := range answers {
-		if answer := call(c.api(), http.MethodPost, PathReplace, test.basedOn, test.body); answer.Code != test.want {
+		if answer := call(c.newAPI(), http.MethodPost, PathReplace, test.basedOn, test.body); answer.Code != test.want {
 			t.Errorf("%s: %d %s, want %d", test.name, answer.Code, answer.Body, test.want)
 		}
 	}
 }
 
-// TestForgottenWhileProposed holds that an order gets no clear answer which is agreed on after it was forgotten.
-func TestForgottenWhileProposed(t *testing.T) {
-	c := newCore()
-	c.before = func() {
+// TestChangeForgottenWhileProposed holds that an order gets no clear answer which is agreed on after it was forgotten.
+func TestChangeForgottenWhileProposed(t *testing.T) {
+	c := newFakeReplica()
+	c.beforeApply = func() {
 		for version := uint64(0); version <= state.RememberedChanges; version++ {
 			command := state.CommitConfiguration{BasedOn: version, Version: version + 1}
 			c.apply(command.Encode())
 		}
 	}
-	answer := call(c.api(), http.MethodPost, PathReplace, "0", document(3, route("x", "s")))
+	answer := call(c.newAPI(), http.MethodPost, PathReplace, "0", documentJSON(3, routeJSON("x", "s")))
 	if answer.Code != http.StatusServiceUnavailable {
 		t.Errorf("%d %s", answer.Code, answer.Body)
 	}
 }
 
-func TestTooLargeBody(t *testing.T) {
-	c := newCore()
-	body := strings.Repeat(" ", MostBodyBytes+1)
-	if answer := call(c.api(), http.MethodPost, PathReplace, "0", body); answer.Code != http.StatusRequestEntityTooLarge {
+func TestBodyTooLarge(t *testing.T) {
+	c := newFakeReplica()
+	body := strings.Repeat(" ", MaxBodyBytes+1)
+	if answer := call(c.newAPI(), http.MethodPost, PathReplace, "0", body); answer.Code != http.StatusRequestEntityTooLarge {
 		t.Errorf("%d", answer.Code)
 	}
 }
 
 func TestTooManyCalls(t *testing.T) {
-	a := newCore().api()
-	for range mostCalls {
-		a.calls <- struct{}{}
+	a := newFakeReplica().newAPI()
+	for range maxCalls {
+		a.callSlots <- struct{}{}
 	}
 	if answer := call(a, http.MethodGet, PathRead, "", ""); answer.Code != http.StatusServiceUnavailable {
 		t.Errorf("%d", answer.Code)
 	}
 }
 
-// TestStormOfOperators has operators send drawn changes through two machines whose answers get lost now and then, and
+// TestConcurrentOperators has operators send drawn changes through two machines whose answers get lost now and then, and
 // send them again: one change is acknowledged on each base, and what is read is the last acknowledged one.
-func TestStormOfOperators(t *testing.T) {
-	rapid.Check(t, storm)
+func TestConcurrentOperators(t *testing.T) {
+	rapid.Check(t, checkConcurrentOperators)
 }
 
-func storm(t *rapid.T) {
-	c := newCore()
-	machines := []*API{c.api(), c.api()}
+func checkConcurrentOperators(t *rapid.T) {
+	c := newFakeReplica()
+	machines := []*API{c.newAPI(), c.newAPI()}
 	for _, machine := range machines {
-		machine.committer.pause = func(ctx context.Context, _ time.Duration) bool { return ctx.Err() == nil }
+		machine.committer.sleep = func(ctx context.Context, _ time.Duration) bool { return ctx.Err() == nil }
 	}
 	type order struct {
 		basedOn, version int
@@ -579,7 +579,7 @@
 	var orders []order
 	acknowledged := map[int]int{} // order by base
 	for range rapid.IntRange(1, 25).Draw(t, "steps") {
-		c.loseNext = rapid.IntRange(0, 1).Draw(t, "lose")
+		c.lostResponses = rapid.IntRange(0, 1).Draw(t, "lose")
 		n := rapid.IntRange(0, len(orders)).Draw(t, "order")
 		if n == len(orders) {
 			based := int(c.state.Version())
@@ -588,7 +588,7 @@
 			}
 			version := based + rapid.IntRange(0, 3).Draw(t, "step")
 			service := rapid.SampledFrom([]string{"s", "t", "unknown"}).Draw(t, "service")
-			orders = append(orders, order{based, version, document(version, route(fmt.Sprint("r", n), service))})
+			orders = append(orders, order{based, version, documentJSON(version, routeJSON(fmt.Sprint("r", n), service))})
 		}
 		sent := orders[n]
 		machine := rapid.SampledFrom(machines).Draw(t, "machine")
--- a/internal/system/control/api/cost_test.go
+++ b/internal/system/control/api/cost_test.go
@@ -14,33 +14,33 @@
 func manyRoutes(count int) []string {
 	routes := make([]string, count)
 	for i := range routes {
-		routes[i] = route(fmt.Sprint("r", i), "s")
+		routes[i] = routeJSON(fmt.Sprint("r", i), "s")
 	}
 	return routes
 }
 
-// TestLargeConfigurationIsReadOnce: neither an order that is sent again nor a change of one route costs what it costs to
+// TestLargeConfigurationIsParsedOnce: neither an order that is sent again nor a change of one route costs what it costs to
 // read a megabyte.
-func TestLargeConfigurationIsReadOnce(t *testing.T) {
-	c := newCore()
-	whole := &request{kind: replaceWhole, body: []byte(document(1, manyRoutes(largeRoutes)...))}
-	d := &documents{}
-	first, err := d.prepare(whole, &state.Base{})
+func TestLargeConfigurationIsParsedOnce(t *testing.T) {
+	c := newFakeReplica()
+	whole := &changeRequest{kind: kindReplace, body: []byte(documentJSON(1, manyRoutes(largeRoutes)...))}
+	d := &documentCache{}
+	first, err := d.prepareChange(whole, &state.Base{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	again := testing.AllocsPerRun(1, func() {
-		if change, err := d.prepare(whole, &state.Base{}); err != nil || len(change.writes) != len(first.writes) {
+		if change, err := d.prepareChange(whole, &state.Base{}); err != nil || len(change.writes) != len(first.writes) {
 			t.Error(len(change.writes), err)
 		}
 	})
-	a := c.api()
+	a := c.newAPI()
 	if answer := call(a, http.MethodPost, PathReplace, "0", string(whole.body)); answer.Code != http.StatusOK {
 		t.Fatal(answer.Body)
 	}
 	version := 1
 	change := func() {
-		body := fmt.Sprintf(`{"version":%d,"replace":{"routes":[%s]}}`, version+1, route("r7", []string{"s", "t"}[version%2]))
+		body := fmt.Sprintf(`{"version":%d,"replace":{"routes":[%s]}}`, version+1, routeJSON("r7", []string{"s", "t"}[version%2]))
 		if answer := call(a, http.MethodPost, PathChange, fmt.Sprint(version), body); answer.Code != http.StatusOK {
 			t.Fatal(answer.Body)
 		}
@@ -52,24 +52,24 @@
 	}
 }
 
-// BenchmarkChangeOfLarge is a change of one route of a large configuration.
-func BenchmarkChangeOfLarge(b *testing.B) {
-	a := newCore().api()
-	call(a, http.MethodPost, PathReplace, "0", document(1, manyRoutes(largeRoutes)...))
+// BenchmarkChangeLargeConfiguration is a change of one route of a large configuration.
+func BenchmarkChangeLargeConfiguration(b *testing.B) {
+	a := newFakeReplica().newAPI()
+	call(a, http.MethodPost, PathReplace, "0", documentJSON(1, manyRoutes(largeRoutes)...))
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		body := fmt.Sprintf(`{"version":%d,"replace":{"routes":[%s]}}`, i+2, route("r7", []string{"s", "t"}[i%2]))
+		body := fmt.Sprintf(`{"version":%d,"replace":{"routes":[%s]}}`, i+2, routeJSON("r7", []string{"s", "t"}[i%2]))
 		if answer := call(a, http.MethodPost, PathChange, fmt.Sprint(i+1), body); answer.Code != http.StatusOK {
 			b.Fatal(answer.Body)
 		}
 	}
 }
 
-// BenchmarkReadLarge is a read of a large configuration.
-func BenchmarkReadLarge(b *testing.B) {
-	a := newCore().api()
-	call(a, http.MethodPost, PathReplace, "0", document(1, manyRoutes(largeRoutes)...))
+// BenchmarkReadLargeConfiguration is a read of a large configuration.
+func BenchmarkReadLargeConfiguration(b *testing.B) {
+	a := newFakeReplica().newAPI()
+	call(a, http.MethodPost, PathReplace, "0", documentJSON(1, manyRoutes(largeRoutes)...))
 	b.ReportAllocs()
 	for b.Loop() {
 		call(a, http.MethodGet, PathRead, "", "")
@@ -78,19 +78,19 @@
 
 // BenchmarkChange is a change of one route among 500, as one machine takes it.
 func BenchmarkChange(b *testing.B) {
-	c := newCore()
+	c := newFakeReplica()
 	routes := make([]string, 500)
 	for i := range routes {
-		routes[i] = route(fmt.Sprint("r", i), "s")
+		routes[i] = routeJSON(fmt.Sprint("r", i), "s")
 	}
-	a := c.api()
-	if answer := call(a, http.MethodPost, PathReplace, "0", document(1, routes...)); answer.Code != http.StatusOK {
+	a := c.newAPI()
+	if answer := call(a, http.MethodPost, PathReplace, "0", documentJSON(1, routes...)); answer.Code != http.StatusOK {
 		b.Fatal(answer.Body)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		body := fmt.Sprintf(`{"version":%d,"replace":{"routes":[%s]}}`, i+2, route("r7", []string{"s", "t"}[i%2]))
+		body := fmt.Sprintf(`{"version":%d,"replace":{"routes":[%s]}}`, i+2, routeJSON("r7", []string{"s", "t"}[i%2]))
 		if answer := call(a, http.MethodPost, PathChange, fmt.Sprint(i+1), body); answer.Code != http.StatusOK {
 			b.Fatal(answer.Body)
 		}
@@ -99,13 +99,13 @@
 
 // BenchmarkRead is a read of 500 routes.
 func BenchmarkRead(b *testing.B) {
-	c := newCore()
+	c := newFakeReplica()
 	routes := make([]string, 500)
 	for i := range routes {
-		routes[i] = route(fmt.Sprint("r", i), "s")
+		routes[i] = routeJSON(fmt.Sprint("r", i), "s")
 	}
-	a := c.api()
-	call(a, http.MethodPost, PathReplace, "0", document(1, routes...))
+	a := c.newAPI()
+	call(a, http.MethodPost, PathReplace, "0", documentJSON(1, routes...))
 	b.ReportAllocs()
 	for b.Loop() {
 		if answer := call(a, http.MethodGet, PathRead, "", ""); answer.Code != http.StatusOK {
--- a/internal/system/control/api/orders_referee_test.go
+++ b/internal/system/control/api/orders_referee_test.go
@@ -15,68 +15,68 @@
 	"cinderroad/internal/system/control/state"
 )
 
-const checkingMost = 30 * time.Second
+const linearizabilityTimeout = 30 * time.Second
 
-var zonesInPlay = []string{"a", "b"}
+var simulatedZones = []string{"a", "b"}
 
-// acceptedOrder is a change that was put in force.
-type acceptedOrder struct {
+// acceptedChange is a change that was put in force.
+type acceptedChange struct {
 	basedOn, version uint64
 	body             string
-	order            *modelOrder
+	request          *modelRequest
 }
 
-// orderReferee knows everything that is sent, agreed on and answered, and the rules.
-type orderReferee struct {
-	world      *orderWorld
-	orders     int
-	state      *state.Configuration // of all that was agreed on
-	chain      []acceptedOrder
-	evacuated  map[string]bool
-	firm       map[string]*modelOrder // evacuations that were acknowledged last and are not ordered otherwise yet
-	operations []*orderOperation
-	counts     orderCounts
+// checker knows everything that is sent, agreed on and answered, and the rules.
+type checker struct {
+	sim                     *simulation
+	requestCount            int
+	state                   *state.Configuration // of all that was agreed on
+	history                 []acceptedChange
+	evacuated               map[string]bool
+	acknowledgedEvacuations map[string]*modelRequest // evacuations that were acknowledged last and are not ordered otherwise yet
+	operations              []*operation
+	counts                  eventCounts
 }
 
-// orderCounts are what happened.
-type orderCounts struct {
-	accepted, acknowledged, conflicts, invalid, unclear, again, evacuations, overtaken, agreed int
+// eventCounts are what happened.
+type eventCounts struct {
+	accepted, acknowledged, conflicts, invalid, indefinite, reacknowledged, evacuations, superseded, committed int
 }
 
-func newOrderReferee(w *orderWorld) *orderReferee {
-	return &orderReferee{world: w, state: state.NewConfiguration(func() time.Duration { return w.now }, func() {}),
-		evacuated: map[string]bool{}, firm: map[string]*modelOrder{}}
+func newChecker(w *simulation) *checker {
+	return &checker{sim: w, state: state.NewConfiguration(func() time.Duration { return w.now }, func() {}),
+		evacuated: map[string]bool{}, acknowledgedEvacuations: map[string]*modelRequest{}}
 }
 
-func (r *orderReferee) newOrder() *modelOrder {
-	r.orders++
-	return &modelOrder{number: r.orders}
+func (r *checker) newRequest() *modelRequest {
+	r.requestCount++
+	return &modelRequest{number: r.requestCount}
 }
 
-// current is the version in force.
-func (r *orderReferee) current() uint64 {
-	if len(r.chain) == 0 {
+// currentVersion is the version in force.
+func (r *checker) currentVersion() uint64 {
+	if len(r.history) == 0 {
 		return 0
 	}
-	return r.chain[len(r.chain)-1].version
+	return r.history[len(r.history)-1].version
 }
 
-// taken is the change that an order became.
-func (r *orderReferee) taken(order *modelOrder) (acceptedOrder, bool) {
-	i := slices.IndexFunc(r.chain, func(a acceptedOrder) bool { return a.is(order) })
+// findAccepted is the change that an order became.
+func (r *checker) findAccepted(order *modelRequest) (acceptedChange, bool) {
+	i := slices.IndexFunc(r.history, func(a acceptedChange) bool { return a.matches(order) })
 	if i < 0 {
-		return acceptedOrder{}, false
+		return acceptedChange{}, false
 	}
-	return r.chain[i], true
+	return r.history[i], true
 }
 
-func (a *acceptedOrder) is(order *modelOrder) bool {
-	return a.basedOn == order.basedOn && a.body == string(order.request().body)
+func (a *acceptedChange) matches(order *modelRequest) bool {
+	return a.basedOn == order.basedOn && a.body == string(order.changeRequest().body)
 }
 
-// changesSince is how many changes were accepted from a base to a version.
-func (r *orderReferee) changesSince(base, version uint64) (n int) {
-	for _, a := range r.chain {
+// countChanges is how many changes were accepted from a base to a version.
+func (r *checker) countChanges(base, version uint64) (n int) {
+	for _, a := range r.history {
 		if a.basedOn >= base && a.version <= version {
 			n++
 		}
@@ -85,7 +85,7 @@
 }
 
 // versionOf is the version that a command puts in force.
-func (r *orderReferee) versionOf(command []byte) uint64 {
+func (r *checker) versionOf(command []byte) uint64 {
 	if decoded := decodeCommand(command); decoded.commit != nil {
 		return decoded.commit.Version
 	}
@@ -93,11 +93,11 @@
 }
 
 // apply notes a command that is agreed on and returns its result.
-func (r *orderReferee) apply(index int, command []byte) []byte {
-	w := r.world
-	r.counts.agreed++
+func (r *checker) apply(index int, command []byte) []byte {
+	w := r.sim
+	r.counts.committed++
 	before := r.state.Version()
-	result := r.state.Apply(uint64(index), w.planted(r.state, index, command))
+	result := r.state.Apply(uint64(index), w.mutateCommand(r.state, index, command))
 	outcome, err := state.DecodeResult(result)
 	if err != nil {
 		w.fail("the result at %d can't be read: %v", index, err)
@@ -106,26 +106,26 @@
 	switch {
 	case outcome.Outcome != state.Accepted:
 	case decoded.commit != nil:
-		r.accepted(decoded.commit, before)
+		r.handleAcceptedChange(decoded.commit, before)
 	default:
-		r.evacuation(decoded.evacuation)
+		r.handleEvacuation(decoded.evacuation)
 	}
 	return result
 }
 
-// accepted sees that changes make one chain, and that none is in force that was refused or is there already.
-func (r *orderReferee) accepted(command *state.CommitConfiguration, before uint64) {
-	w := r.world
-	a := acceptedOrder{basedOn: command.BasedOn, version: command.Version}
+// handleAcceptedChange sees that changes make one chain, and that none is in force that was refused or is there already.
+func (r *checker) handleAcceptedChange(command *state.CommitConfiguration, before uint64) {
+	w := r.sim
+	a := acceptedChange{basedOn: command.BasedOn, version: command.Version}
 	for _, write := range command.Writes {
 		a.body = string(write.Value)
 	}
 	r.counts.accepted++
 	w.logf("version %d on %d is in force: %q", a.version, a.basedOn, a.body)
-	if a.basedOn != before || before != r.current() || a.version <= before {
+	if a.basedOn != before || before != r.currentVersion() || a.version <= before {
 		w.fail("version %d on %d is put in force over %d", a.version, a.basedOn, before)
 	}
-	if slices.ContainsFunc(r.chain, func(other acceptedOrder) bool {
+	if slices.ContainsFunc(r.history, func(other acceptedChange) bool {
 		return other.basedOn == a.basedOn || other.version == a.version
 	}) {
 		w.fail("two changes are in force as version %d on %d", a.version, a.basedOn)
@@ -134,56 +134,56 @@
 		w.fail("an invalid change is in force: %q", a.body)
 	}
 	for _, op := range r.operations {
-		if op.order != nil && op.order.zone == "" && a.is(op.order) {
-			a.order = op.order
-			if op.wasRefused {
-				w.fail("%v is in force, and was refused", op.order)
+		if op.request != nil && op.request.zone == "" && a.matches(op.request) {
+			a.request = op.request
+			if op.wasRejected {
+				w.fail("%v is in force, and was refused", op.request)
 			}
 		}
 	}
-	if a.order == nil {
+	if a.request == nil {
 		w.fail("a change is in force that nobody sent: %q", a.body)
 	}
-	r.chain = append(r.chain, a)
+	r.history = append(r.history, a)
 }
 
-// evacuation sees that nobody but its sender changes what was acknowledged.
-func (r *orderReferee) evacuation(command *state.SetEvacuation) {
+// handleEvacuation sees that nobody but its sender changes what was acknowledged.
+func (r *checker) handleEvacuation(command *state.SetEvacuation) {
 	r.counts.evacuations++
-	r.world.logf("zone %s is evacuated: %t", command.Zone, command.On)
+	r.sim.logf("zone %s is evacuated: %t", command.Zone, command.On)
 	r.evacuated[command.Zone] = command.On
-	if firm := r.firm[command.Zone]; firm != nil && firm.on != command.On {
-		r.world.fail("%v was acknowledged, and is undone", firm)
+	if firm := r.acknowledgedEvacuations[command.Zone]; firm != nil && firm.on != command.On {
+		r.sim.fail("%v was acknowledged, and is undone", firm)
 	}
 }
 
-// holds notes that an evacuation was acknowledged to its sender, which has ordered nothing else since.
-func (r *orderReferee) holds(order *modelOrder) {
-	r.firm[order.zone] = order
+// handleAcknowledgedEvacuation notes that an evacuation was acknowledged to its sender, which has ordered nothing else since.
+func (r *checker) handleAcknowledgedEvacuation(order *modelRequest) {
+	r.acknowledgedEvacuations[order.zone] = order
 	if r.evacuated[order.zone] != order.on {
-		r.world.fail("%v is acknowledged, and is not so", order)
+		r.sim.fail("%v is acknowledged, and is not so", order)
 	}
 }
 
-// answered judges an answer as it leaves its machine.
-func (r *orderReferee) answered(order *modelOrder, answer orderAnswer) {
-	w := r.world
+// handleResponse judges an answer as it leaves its machine.
+func (r *checker) handleResponse(order *modelRequest, answer modelResponse) {
+	w := r.sim
 	refuses := answer.status >= 400 && answer.status < 500
 	if order.zone != "" {
 		if refuses {
 			w.fail("%v is refused", order)
 		}
 		if answer.status != http.StatusOK {
-			r.counts.overtaken++
+			r.counts.superseded++
 		}
 		return
 	}
-	change, taken := r.taken(order)
+	change, taken := r.findAccepted(order)
 	switch {
 	case answer.status == http.StatusOK:
 		r.counts.acknowledged++
 		if order.acknowledged {
-			r.counts.again++
+			r.counts.reacknowledged++
 		}
 		if !taken || change.version != answer.version {
 			w.fail("%v is acknowledged as %d, and was not agreed on", order, answer.version)
@@ -191,43 +191,43 @@
 	case refuses && taken:
 		w.fail("%v is refused with %d, and is in force", order, answer.status)
 	case refuses:
-		r.refused(order, answer)
+		r.handleRejection(order, answer)
 	default:
-		r.counts.unclear++
+		r.counts.indefinite++
 	}
 }
 
-func (r *orderReferee) refused(order *modelOrder, answer orderAnswer) {
+func (r *checker) handleRejection(order *modelRequest, answer modelResponse) {
 	if answer.status == http.StatusPreconditionFailed {
 		r.counts.conflicts++
 	} else {
 		r.counts.invalid++
 	}
 	for _, op := range r.operations {
-		if op.order != nil && op.order.zone == "" && op.order.basedOn == order.basedOn &&
-			string(op.order.request().body) == string(order.request().body) {
-			op.wasRefused = true
+		if op.request != nil && op.request.zone == "" && op.request.basedOn == order.basedOn &&
+			string(op.request.changeRequest().body) == string(order.changeRequest().body) {
+			op.wasRejected = true
 		}
 	}
 }
 
 // unanswerable tells whether there may be no clear answer to an order: its base is not in force yet, or it is too old.
-func (r *orderReferee) unanswerable(order *modelOrder) bool {
-	memory := r.world.profile.Memory
-	return order.basedOn > r.current() || memory > 0 && r.changesSince(order.basedOn, r.current()) > memory
+func (r *checker) unanswerable(order *modelRequest) bool {
+	memory := r.sim.profile.HistoryLimit
+	return order.basedOn > r.currentVersion() || memory > 0 && r.countChanges(order.basedOn, r.currentVersion()) > memory
 }
 
-// checkEnd holds after the last fault.
-func (r *orderReferee) checkEnd() {
-	w := r.world
+// checkFinalState holds after the last fault.
+func (r *checker) checkFinalState() {
+	w := r.sim
 	for i, client := range w.clients {
 		if !client.done() {
 			w.fail("client %d has no clear answer", i)
 		}
 	}
-	for _, m := range w.machines {
-		if m.state.Version() != r.current() {
-			w.fail("machine %d is at version %d of %d", m.number, m.state.Version(), r.current())
+	for _, m := range w.nodes {
+		if m.state.Version() != r.currentVersion() {
+			w.fail("machine %d is at version %d of %d", m.number, m.state.Version(), r.currentVersion())
 		}
 		for zone, on := range r.evacuated {
 			if m.state.Evacuation(zone).On != on {
@@ -235,164 +235,166 @@
 			}
 		}
 	}
-	if w.failed == "" {
+	if w.failure == "" {
 		r.checkHistory()
 	}
 }
 
-// orderOperation is a copy of an order, or a read, with its answer.
-type orderOperation struct {
-	client      int
-	order       *modelOrder // nil: a read
-	zone        string      // that the read or the order is about; empty: the configuration
-	answer      orderAnswer
-	from, until time.Duration
-	wasRefused  bool // a copy of the order was
+// operation is a copy of an order, or a read, with its answer.
+type operation struct {
+	client             int
+	request            *modelRequest // nil: a read
+	zone               string        // that the read or the order is about; empty: the configuration
+	response           modelResponse
+	startedAt, endedAt time.Duration
+	wasRejected        bool // a copy of the order was
 }
 
-func (r *orderReferee) begin(client int, order *modelOrder, zone string) *orderOperation {
-	op := &orderOperation{client: client, order: order, zone: zone, from: r.world.now}
+func (r *checker) beginOperation(client int, order *modelRequest, zone string) *operation {
+	op := &operation{client: client, request: order, zone: zone, startedAt: r.sim.now}
 	if order != nil {
-		op.wasRefused = slices.ContainsFunc(r.operations, func(other *orderOperation) bool {
-			return other.wasRefused && other.order == order
+		op.wasRejected = slices.ContainsFunc(r.operations, func(other *operation) bool {
+			return other.wasRejected && other.request == order
 		})
-		if order.zone != "" && r.firm[order.zone] != order {
-			delete(r.firm, order.zone)
+		if order.zone != "" && r.acknowledgedEvacuations[order.zone] != order {
+			delete(r.acknowledgedEvacuations, order.zone)
 		}
 	}
 	r.operations = append(r.operations, op)
 	return op
 }
 
-// endingAt is the operation as the checker wants it.
-func (o *orderOperation) endingAt(until time.Duration) porcupine.Operation {
-	return porcupine.Operation{ClientId: o.client, Input: o, Call: int64(o.from), Output: o.answer, Return: int64(until)}
+// toPorcupine is the operation as the checker wants it.
+func (o *operation) toPorcupine(until time.Duration) porcupine.Operation {
+	return porcupine.Operation{ClientId: o.client, Input: o, Call: int64(o.startedAt), Output: o.response, Return: int64(until)}
 }
 
-func (o *orderOperation) end(answer orderAnswer, now time.Duration) { o.answer, o.until = answer, now }
+func (o *operation) complete(answer modelResponse, now time.Duration) {
+	o.response, o.endedAt = answer, now
+}
 
 // text lists operations.
 func historyText(operations []porcupine.Operation) string {
 	var b strings.Builder
 	for i := range operations {
-		op := operations[i].Input.(*orderOperation)
-		fmt.Fprintf(&b, "\n  %v to %v: client %d: ", op.from, time.Duration(operations[i].Return), op.client)
-		if op.order == nil {
-			fmt.Fprintf(&b, "read of %q: %+v", op.zone, op.answer)
+		op := operations[i].Input.(*operation)
+		fmt.Fprintf(&b, "\n  %v to %v: client %d: ", op.startedAt, time.Duration(operations[i].Return), op.client)
+		if op.request == nil {
+			fmt.Fprintf(&b, "read of %q: %+v", op.zone, op.response)
 		} else {
-			fmt.Fprintf(&b, "%v: %d %d", op.order, op.answer.status, op.answer.version)
+			fmt.Fprintf(&b, "%v: %d %d", op.request, op.response.status, op.response.version)
 		}
 	}
 	return b.String()
 }
 
 // checkHistory tells whether what the clients saw is linearizable: configuration and zones, each by itself.
-func (r *orderReferee) checkHistory() {
-	r.checkOperations("the configuration", changesModel, r.changes())
-	for _, zone := range zonesInPlay {
+func (r *checker) checkHistory() {
+	r.checkOperations("the configuration", configurationModel, r.configurationHistory())
+	for _, zone := range simulatedZones {
 		r.checkOperations("zone "+zone, zoneModel.ToModel(), r.zoneHistory(zone))
 	}
 }
 
-func (r *orderReferee) checkOperations(of string, model porcupine.Model, operations []porcupine.Operation) {
-	switch porcupine.CheckOperationsTimeout(model, operations, checkingMost) {
+func (r *checker) checkOperations(of string, model porcupine.Model, operations []porcupine.Operation) {
+	switch porcupine.CheckOperationsTimeout(model, operations, linearizabilityTimeout) {
 	case porcupine.Illegal:
-		r.world.fail("the history of %s is not linearizable: %s", of, historyText(operations))
+		r.sim.fail("the history of %s is not linearizable: %s", of, historyText(operations))
 	case porcupine.Unknown:
-		r.world.fail("the history of %s with %d operations took too long to check", of, len(operations))
+		r.sim.fail("the history of %s with %d operations took too long to check", of, len(operations))
 	}
 }
 
-// changes is the history of the configuration, without what can't matter: reads without an answer, and orders without one
+// configurationHistory is the history of the configuration, without what can't matter: reads without an answer, and orders without one
 // that were never taken, or of which a copy without one is there already.
-func (r *orderReferee) changes() (operations []porcupine.Operation) {
-	unanswered := map[*modelOrder]bool{}
+func (r *checker) configurationHistory() (operations []porcupine.Operation) {
+	unanswered := map[*modelRequest]bool{}
 	for _, op := range r.operations {
 		if op.zone != "" {
 			continue
 		}
-		until := op.until
-		if !op.answer.clear() {
-			if op.order == nil || unanswered[op.order] {
+		until := op.endedAt
+		if !op.response.isDefinite() {
+			if op.request == nil || unanswered[op.request] {
 				continue
 			}
-			if _, taken := r.taken(op.order); !taken {
+			if _, taken := r.findAccepted(op.request); !taken {
 				continue
 			}
-			unanswered[op.order] = true
+			unanswered[op.request] = true
 			until = math.MaxInt64
 		}
-		operations = append(operations, op.endingAt(until))
+		operations = append(operations, op.toPorcupine(until))
 	}
 	return operations
 }
 
 // zoneHistory is the history of a zone with one operation for each order, however often it was sent. One that was given up
 // may have taken effect, but not after the next acknowledgement.
-func (r *orderReferee) zoneHistory(zone string) (operations []porcupine.Operation) {
-	first := map[*modelOrder]bool{}
+func (r *checker) zoneHistory(zone string) (operations []porcupine.Operation) {
+	first := map[*modelRequest]bool{}
 	for i, op := range r.operations {
 		switch {
-		case op.zone != zone || op.order == nil && !op.answer.clear():
-		case op.order == nil:
-			operations = append(operations, op.endingAt(op.until))
-		case !first[op.order]:
-			first[op.order] = true
-			operations = append(operations, op.endingAt(r.acknowledgedAfter(i, zone)))
+		case op.zone != zone || op.request == nil && !op.response.isDefinite():
+		case op.request == nil:
+			operations = append(operations, op.toPorcupine(op.endedAt))
+		case !first[op.request]:
+			first[op.request] = true
+			operations = append(operations, op.toPorcupine(r.firstAcknowledgement(i, zone)))
 		}
 	}
 	return operations
 }
 
-// acknowledgedAfter is when an order about the zone, that of an operation or a later one, was first acknowledged.
-func (r *orderReferee) acknowledgedAfter(i int, zone string) time.Duration {
+// firstAcknowledgement is when an order about the zone, that of an operation or a later one, was first acknowledged.
+func (r *checker) firstAcknowledgement(i int, zone string) time.Duration {
 	at := time.Duration(math.MaxInt64)
 	for _, op := range r.operations[i:] {
-		if op.zone == zone && op.order != nil && op.answer.status == http.StatusOK {
-			at = min(at, op.until)
+		if op.zone == zone && op.request != nil && op.response.status == http.StatusOK {
+			at = min(at, op.endedAt)
 		}
 	}
 	return at
 }
 
-// changesSeen is the configuration as clients see it: the last change and those before it.
-type changesSeen struct {
-	before  *changesSeen
-	basedOn uint64
-	version uint64
-	body    string
+// versionChain is the configuration as clients see it: the last change and those before it.
+type versionChain struct {
+	previous *versionChain
+	basedOn  uint64
+	version  uint64
+	body     string
 }
 
-func (c *changesSeen) current() uint64 {
+func (c *versionChain) currentVersion() uint64 {
 	if c == nil {
 		return 0
 	}
 	return c.version
 }
 
-// changesModel is what clients may rely on: a valid change on the version in force is accepted, once however often it is
+// configurationModel is what clients may rely on: a valid change on the version in force is accepted, once however often it is
 // sent; one whose base is passed is refused; a read shows what is in force.
-var changesModel = porcupine.Model{
-	Init: func() any { return (*changesSeen)(nil) },
+var configurationModel = porcupine.Model{
+	Init: func() any { return (*versionChain)(nil) },
 	Step: func(now, input, output any) (bool, any) {
-		c, op, answer := now.(*changesSeen), input.(*orderOperation), output.(orderAnswer)
-		if op.order == nil {
-			return answer.version == c.current() && (c == nil || answer.text == c.body), c
+		c, op, answer := now.(*versionChain), input.(*operation), output.(modelResponse)
+		if op.request == nil {
+			return answer.version == c.currentVersion() && (c == nil || answer.text == c.body), c
 		}
-		order := op.order
-		body := string(order.request().body)
-		for taken := c; taken != nil; taken = taken.before {
+		order := op.request
+		body := string(order.changeRequest().body)
+		for taken := c; taken != nil; taken = taken.previous {
 			if taken.basedOn == order.basedOn && taken.body == body {
 				clear := answer.status >= 400 && answer.status < 500
 				return !clear && (answer.status != http.StatusOK || answer.version == taken.version), c
 			}
 		}
-		accepts := order.basedOn == c.current() && !order.invalid && order.version > order.basedOn
+		accepts := order.basedOn == c.currentVersion() && !order.invalid && order.version > order.basedOn
 		switch answer.status {
 		case http.StatusPreconditionFailed:
-			return order.basedOn < c.current(), c
+			return order.basedOn < c.currentVersion(), c
 		case http.StatusBadRequest:
-			return order.basedOn == c.current() && !accepts, c
+			return order.basedOn == c.currentVersion() && !accepts, c
 		case http.StatusOK:
 			if !accepts || answer.version != order.version {
 				return false, c
@@ -401,24 +403,24 @@
 		if !accepts {
 			return true, c
 		}
-		return true, &changesSeen{before: c, basedOn: order.basedOn, version: order.version, body: body}
+		return true, &versionChain{previous: c, basedOn: order.basedOn, version: order.version, body: body}
 	},
 	Hash: func(state any) uint64 {
 		h := fnv.New64a()
-		if c := state.(*changesSeen); c != nil {
+		if c := state.(*versionChain); c != nil {
 			fmt.Fprint(h, c.version, c.body)
 		}
 		return h.Sum64()
 	},
-	Equal: func(a, b any) bool { return sameChanges(a.(*changesSeen), b.(*changesSeen)) },
+	Equal: func(a, b any) bool { return equalChains(a.(*versionChain), b.(*versionChain)) },
 }
 
-func sameChanges(a, b *changesSeen) bool {
+func equalChains(a, b *versionChain) bool {
 	for a != nil && b != nil && a != b {
 		if a.basedOn != b.basedOn || a.version != b.version || a.body != b.body {
 			return false
 		}
-		a, b = a.before, b.before
+		a, b = a.previous, b.previous
 	}
 	return a == b
 }
@@ -427,16 +429,16 @@
 var zoneModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{false} },
 	Step: func(now, input, output any) []any {
-		op := input.(*orderOperation)
+		op := input.(*operation)
 		switch {
-		case op.order == nil && now.(bool) != output.(orderAnswer).on:
+		case op.request == nil && now.(bool) != output.(modelResponse).on:
 			return nil
-		case op.order == nil:
+		case op.request == nil:
 			return []any{now}
-		case op.order.acknowledged:
-			return []any{op.order.on}
+		case op.request.acknowledged:
+			return []any{op.request.on}
 		}
-		return []any{now, op.order.on}
+		return []any{now, op.request.on}
 	},
 }
 
--- a/internal/system/control/api/orders_test.go
+++ b/internal/system/control/api/orders_test.go
@@ -12,66 +12,66 @@
 )
 
 var (
-	ordersSeed  = flag.Uint64("orders.seed", 0, "play only this seed of the orders, and tell what happens")
-	ordersSeeds = flag.Int("orders.seeds", 400, "how many seeds of the orders are played")
+	seedFlag      = flag.Uint64("orders.seed", 0, "play only this seed of the orders, and tell what happens")
+	seedCountFlag = flag.Int("orders.seeds", 400, "how many seeds of the orders are played")
 )
 
 const (
-	ordersTrouble = 25 * time.Second
-	ordersHealing = 300 * time.Second // at most; each order that was ever sent is sent once more
+	faultPhase  = 25 * time.Second
+	maxRecovery = 300 * time.Second // at most; each order that was ever sent is sent once more
 )
 
-// TestOrders plays operators over virtual time: changes that race, are sent again and overtake each other, and evacuations
+// TestSimulation plays operators over virtual time: changes that race, are sent again and overtake each other, and evacuations
 // that are taken back while copies of them are under way, through machines that are killed, frozen, replaced and cut off.
 // Each answer is judged as it is given, each entry as it is agreed on, and the whole history for linearizability.
-func TestOrders(t *testing.T) {
-	if *ordersSeed != 0 {
-		w := newOrderWorld(*ordersSeed)
+func TestSimulation(t *testing.T) {
+	if *seedFlag != 0 {
+		w := newSimulation(*seedFlag)
 		w.verbose = true
-		playOrders(t, w)
+		runSimulation(t, w)
 		return
 	}
-	var all orderTotals
+	var all simulationTotals
 	t.Run("seeds", func(t *testing.T) {
-		for seed := uint64(1); seed <= uint64(*ordersSeeds); seed++ {
+		for seed := uint64(1); seed <= uint64(*seedCountFlag); seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				w := newOrderWorld(seed)
-				playOrders(t, w)
-				all.add(w.referee.counts)
+				w := newSimulation(seed)
+				runSimulation(t, w)
+				all.add(w.checker.counts)
 			})
 		}
 	})
 	t.Logf("%+v", all.counts)
-	if *ordersSeeds >= 100 {
-		all.checkUseful(t)
+	if *seedCountFlag >= 100 {
+		all.checkCoverage(t)
 	}
 }
 
-func playOrders(t *testing.T, w *orderWorld) {
+func runSimulation(t *testing.T, w *simulation) {
 	w.play()
-	if w.failed != "" {
-		t.Errorf("%s\nreplay: go test ./internal/system/control/api -run TestOrders -orders.seed %d -v", w.failed, w.seed)
+	if w.failure != "" {
+		t.Errorf("%s\nreplay: go test ./internal/system/control/api -run TestOrders -orders.seed %d -v", w.failure, w.seed)
 	}
 }
 
-func (w *orderWorld) play() {
-	w.found()
-	w.run(ordersTrouble)
+func (w *simulation) play() {
+	w.start()
+	w.run(faultPhase)
 	w.heal()
-	for end := w.now + ordersHealing; w.failed == "" && w.now < end && !w.settled(); {
+	for end := w.now + maxRecovery; w.failure == "" && w.now < end && !w.allClientsDone(); {
 		w.run(time.Second)
 	}
 	w.run(time.Second) // what is under way comes
-	if w.failed == "" {
-		w.referee.checkEnd()
+	if w.failure == "" {
+		w.checker.checkFinalState()
 	}
-	for _, m := range w.machines {
+	for _, m := range w.nodes {
 		m.kill()
 	}
 }
 
-func (w *orderWorld) settled() bool {
+func (w *simulation) allClientsDone() bool {
 	for _, client := range w.clients {
 		if !client.done() {
 			return false
@@ -80,44 +80,44 @@
 	return true
 }
 
-// TestSameSeedIsSameOrders: a seed that failed replays.
-func TestSameSeedIsSameOrders(t *testing.T) {
+// TestSimulationIsDeterministic: a seed that failed replays.
+func TestSimulationIsDeterministic(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
-		a, b := newOrderWorld(seed), newOrderWorld(seed)
+		a, b := newSimulation(seed), newSimulation(seed)
 		a.play()
 		b.play()
-		if a.referee.counts != b.referee.counts || a.now != b.now || a.failed != b.failed {
-			t.Errorf("seed %d: %+v, then %+v", seed, a.referee.counts, b.referee.counts)
+		if a.checker.counts != b.checker.counts || a.now != b.now || a.failure != b.failure {
+			t.Errorf("seed %d: %+v, then %+v", seed, a.checker.counts, b.checker.counts)
 		}
 	}
 }
 
-// TestPlantedFaultsOfOrders takes one safeguard out at a time, which has to be found.
-func TestPlantedFaultsOfOrders(t *testing.T) {
-	plants := map[string]orderPlant{
-		"what is not remembered is refused":              {refusesForgotten: true},
-		"what builds on a later version is refused":      {refusesEarly: true},
-		"orders taken and version are looked up in turn": {looksTwice: true},
-		"bases are not checked as changes are applied":   {baseUnchecked: true},
-		"a request that comes again is a new one":        {requestUnknown: true},
-		"evacuations are applied whatever came first":    {seenUnchecked: true},
-		"evacuations that change nothing are no orders":  {idleOrdersFree: true},
-		"evacuations that were overtaken are repeated":   {overtakenAgain: true},
-		"callers that have gone are served":              {goneIgnored: true},
+// TestSimulationFindsMutations takes one safeguard out at a time, which has to be found.
+func TestSimulationFindsMutations(t *testing.T) {
+	plants := map[string]mutation{
+		"what is not remembered is refused":              {rejectForgotten: true},
+		"what builds on a later version is refused":      {rejectEarly: true},
+		"orders taken and version are looked up in turn": {splitLookup: true},
+		"bases are not checked as changes are applied":   {skipBaseCheck: true},
+		"a request that comes again is a new one":        {uniqueDigests: true},
+		"evacuations are applied whatever came first":    {skipSeenCheck: true},
+		"evacuations that change nothing are no orders":  {skipNoopEvacuations: true},
+		"evacuations that were overtaken are repeated":   {retrySuperseded: true},
+		"callers that have gone are served":              {ignoreCancellation: true},
 		"reads without a barrier":                        {staleReads: true},
-		"acknowledged before it is agreed on":            {acknowledgesEarly: true},
-		"refused where the outcome is not known":         {refusesUnknown: true},
-		"snapshots without what was accepted":            {forgetsBySnapshots: true},
+		"acknowledged before it is agreed on":            {acknowledgeEarly: true},
+		"refused where the outcome is not known":         {rejectUnknown: true},
+		"snapshots without what was accepted":            {lossySnapshots: true},
 	}
 	for name, plant := range plants {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= 400; seed++ {
-				w := newOrderWorld(seed)
-				w.plant = plant
+				w := newSimulation(seed)
+				w.mutation = plant
 				w.play()
-				if w.failed != "" {
-					t.Log(w.failed)
+				if w.failure != "" {
+					t.Log(w.failure)
 					return
 				}
 			}
@@ -126,30 +126,30 @@
 	}
 }
 
-// planted is a command as a state machine without a safeguard would take it.
-func (w *orderWorld) planted(at *state.Configuration, index int, command []byte) []byte {
-	if !w.plant.baseUnchecked && !w.plant.requestUnknown && !w.plant.seenUnchecked {
+// mutateCommand is a command as a state machine without a safeguard would take it.
+func (w *simulation) mutateCommand(at *state.Configuration, index int, command []byte) []byte {
+	if !w.mutation.skipBaseCheck && !w.mutation.uniqueDigests && !w.mutation.skipSeenCheck {
 		return command
 	}
 	decoded := decodeCommand(command)
 	if e := decoded.evacuation; e != nil {
-		if w.plant.seenUnchecked {
+		if w.mutation.skipSeenCheck {
 			e.Seen = at.Evacuation(e.Zone).Seen
 		}
 		return e.Encode()
 	}
 	c := decoded.commit
-	if w.plant.baseUnchecked {
+	if w.mutation.skipBaseCheck {
 		c.BasedOn = at.Version()
 	}
-	if w.plant.requestUnknown {
+	if w.mutation.uniqueDigests {
 		binary.BigEndian.PutUint64(c.Digest[:], uint64(index))
 	}
 	return c.Encode()
 }
 
-// withoutChanges is a snapshot in which no request can be recognized.
-func withoutChanges(c *state.Configuration) []byte {
+// snapshotWithoutChanges is a snapshot in which no request can be recognized.
+func snapshotWithoutChanges(c *state.Configuration) []byte {
 	snapshot := c.Snapshot()
 	at := 1 // after the format
 	number := func() uint64 {
@@ -168,13 +168,13 @@
 	return snapshot
 }
 
-// orderTotals are the counts of all seeds.
-type orderTotals struct {
+// simulationTotals are the counts of all seeds.
+type simulationTotals struct {
 	mutex  sync.Mutex
-	counts orderCounts
+	counts eventCounts
 }
 
-func (n *orderTotals) add(other orderCounts) {
+func (n *simulationTotals) add(other eventCounts) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	c := &n.counts
@@ -182,19 +182,19 @@
 	c.acknowledged += other.acknowledged
 	c.conflicts += other.conflicts
 	c.invalid += other.invalid
-	c.unclear += other.unclear
-	c.again += other.again
+	c.indefinite += other.indefinite
+	c.reacknowledged += other.reacknowledged
 	c.evacuations += other.evacuations
-	c.overtaken += other.overtaken
-	c.agreed += other.agreed
+	c.superseded += other.superseded
+	c.committed += other.committed
 }
 
-// checkUseful sees that what the test is for does happen in it.
-func (n *orderTotals) checkUseful(t *testing.T) {
+// checkCoverage sees that what the test is for does happen in it.
+func (n *simulationTotals) checkCoverage(t *testing.T) {
 	c := n.counts
 	for name, count := range map[string]int{"accepted": c.accepted, "acknowledged": c.acknowledged,
-		"conflicts": c.conflicts, "invalid": c.invalid, "unclear": c.unclear, "again": c.again,
-		"evacuations": c.evacuations, "overtaken": c.overtaken} {
+		"conflicts": c.conflicts, "invalid": c.invalid, "unclear": c.indefinite, "again": c.reacknowledged,
+		"evacuations": c.evacuations, "overtaken": c.superseded} {
 		if count == 0 {
 			t.Errorf("%s never happened: %+v", name, c)
 		}
--- a/internal/system/control/process.go
+++ b/internal/system/control/process.go
@@ -214,7 +214,7 @@
 }
 
 func (p *Process) operatorAPI() http.Handler {
-	return api.New(api.Options{Replicas: p.host, State: p.configuration, KnownZone: p.knowsZone, Status: p.status,
+	return api.New(api.Options{Replicas: p.host, State: p.configuration, ZoneExists: p.knowsZone, Status: p.status,
 		Log: p.log})
 }
 
--- a/internal/system/control/stop_test.go
+++ b/internal/system/control/stop_test.go
@@ -15,7 +15,7 @@
 		}
 	}
 	plan := planStop(8 * time.Second)
-	if plan.serveOn != serveOnFor || plan.finish < 2*api.AnswerWithin || plan.within-plan.serveOn-plan.finish < 2*time.Second {
+	if plan.serveOn != serveOnFor || plan.finish < 2*api.ResponseTimeout || plan.within-plan.serveOn-plan.finish < 2*time.Second {
 		t.Errorf("a grace period as in service leaves too little for a part of it: %+v", plan)
 	}
 }
