--- a/internal/system/control/api/answer.go
+++ b/internal/system/control/api/answer.go
@@ -70,12 +70,12 @@
 	e.Str(r.message)
 	e.FieldStart("findings")
 	e.ArrStart()
-	for _, finding := range r.problems {
+	for _, problem := range r.problems {
 		e.ObjStart()
 		e.FieldStart("place")
-		e.Str(finding.Path)
+		e.Str(problem.Path)
 		e.FieldStart("problem")
-		e.Str(finding.Message)
+		e.Str(problem.Message)
 		e.ObjEnd()
 	}
 	e.ArrEnd()
--- a/internal/system/control/api/api_test.go
+++ b/internal/system/control/api/api_test.go
@@ -572,11 +572,11 @@
 	for _, machine := range machines {
 		machine.committer.sleep = func(ctx context.Context, _ time.Duration) bool { return ctx.Err() == nil }
 	}
-	type order struct {
+	type request struct {
 		basedOn, version int
 		body             string
 	}
-	var orders []order
+	var orders []request
 	acknowledged := map[int]int{} // order by base
 	for range rapid.IntRange(1, 25).Draw(t, "steps") {
 		c.lostResponses = rapid.IntRange(0, 1).Draw(t, "lose")
@@ -588,7 +588,7 @@
 			}
 			version := based + rapid.IntRange(0, 3).Draw(t, "step")
 			service := rapid.SampledFrom([]string{"s", "t", "unknown"}).Draw(t, "service")
-			orders = append(orders, order{based, version, documentJSON(version, routeJSON(fmt.Sprint("r", n), service))})
+			orders = append(orders, request{based, version, documentJSON(version, routeJSON(fmt.Sprint("r", n), service))})
 		}
 		sent := orders[n]
 		machine := rapid.SampledFrom(machines).Draw(t, "machine")
--- a/internal/system/control/api/orders_clients_test.go
+++ b/internal/system/control/api/orders_clients_test.go
@@ -98,44 +98,44 @@
 // cancel is the sender's end. The machine learns of it, unless the way there is cut.
 func (c *delivery) cancel() {
 	c.cancelled = true
-	w := c.sim
-	if c.task != nil && !(w.faultsActive && w.chance(0.3)) {
-		w.after(w.networkDelay(), func() { c.task.cancelled = true })
+	sim := c.sim
+	if c.task != nil && !(sim.faultsActive && sim.chance(0.3)) {
+		sim.after(sim.networkDelay(), func() { c.task.cancelled = true })
 	}
 }
 
 // send brings something to a machine and its answer back, unless one is lost. An answer that comes later than the sender
 // waits for is not told.
-func (w *simulation) send(client int, order *modelRequest, zone string, handle func(t *handlerTask) modelResponse,
+func (sim *simulation) send(client int, request *modelRequest, zone string, handle func(t *handlerTask) modelResponse,
 	onResponse func(modelResponse)) *delivery {
-	c := &delivery{sim: w}
-	op := w.checker.beginOperation(client, order, zone)
+	c := &delivery{sim: sim}
+	op := sim.checker.beginOperation(client, request, zone)
 	end := func(answer modelResponse) {
 		if !c.cancelled {
-			op.complete(answer, w.now)
+			op.complete(answer, sim.now)
 			c.cancel()
 			onResponse(answer)
 		}
 	}
-	w.after(callTimeout, func() { end(modelResponse{}) })
-	m := w.nodes[w.random.IntN(len(w.nodes))]
-	w.after(w.networkDelay(), func() {
-		if !m.up {
-			w.after(w.networkDelay(), func() { end(modelResponse{}) })
+	sim.after(callTimeout, func() { end(modelResponse{}) })
+	node := sim.nodes[sim.random.IntN(len(sim.nodes))]
+	sim.after(sim.networkDelay(), func() {
+		if !node.up {
+			sim.after(sim.networkDelay(), func() { end(modelResponse{}) })
 			return
 		}
-		m.whenRunning(func() {
-			c.task = m.runHandler(c.cancelled, func(t *handlerTask) {
+		node.whenRunning(func() {
+			c.task = node.runHandler(c.cancelled, func(t *handlerTask) {
 				answer := handle(t)
 				if t.ended {
 					return
 				}
-				if order != nil {
-					w.logf("%d answers %v: %d", m.number, order, answer.status)
-					w.checker.handleResponse(order, answer)
+				if request != nil {
+					sim.logf("%d answers %v: %d", node.number, request, answer.status)
+					sim.checker.handleResponse(request, answer)
 				}
-				if !(w.faultsActive && w.chance(w.profile.LostRatio)) {
-					w.after(w.networkDelay(), func() { end(answer) })
+				if !(sim.faultsActive && sim.chance(sim.profile.LostRatio)) {
+					sim.after(sim.networkDelay(), func() { end(answer) })
 				}
 			})
 		})
@@ -143,23 +143,23 @@
 	return c
 }
 
-func (w *simulation) sendChange(client int, order *modelRequest, onResponse func(modelResponse)) *delivery {
-	return w.send(client, order, "", func(t *handlerTask) modelResponse {
+func (sim *simulation) sendChange(client int, request *modelRequest, onResponse func(modelResponse)) *delivery {
+	return sim.send(client, request, "", func(t *handlerTask) modelResponse {
 		ctx := taskContext{context.Background(), t}
-		return responseOf(t.committer().commit(ctx, order.changeRequest()))
+		return responseOf(t.committer().commit(ctx, request.changeRequest()))
 	}, onResponse)
 }
 
-func (w *simulation) sendEvacuation(client int, order *modelRequest, onResponse func(modelResponse)) *delivery {
-	return w.send(client, order, order.zone, func(t *handlerTask) modelResponse {
+func (sim *simulation) sendEvacuation(client int, request *modelRequest, onResponse func(modelResponse)) *delivery {
+	return sim.send(client, request, request.zone, func(t *handlerTask) modelResponse {
 		ctx := taskContext{context.Background(), t}
-		return responseOf(0, t.committer().setEvacuation(ctx, order.zone, order.on))
+		return responseOf(0, t.committer().setEvacuation(ctx, request.zone, request.on))
 	}, onResponse)
 }
 
 // sendRead reads the configuration, or where a zone is named, whether it is evacuated.
-func (w *simulation) sendRead(client int, zone string, onResponse func(modelResponse)) {
-	w.send(client, nil, zone, func(t *handlerTask) modelResponse {
+func (sim *simulation) sendRead(client int, zone string, onResponse func(modelResponse)) {
+	sim.send(client, nil, zone, func(t *handlerTask) modelResponse {
 		ctx := taskContext{context.Background(), t}
 		if t.committer().replicas.Barrier(ctx, 0) != nil {
 			return modelResponse{}
@@ -189,24 +189,24 @@
 	finishing bool
 }
 
-func (w *simulation) addConfigurationClient(number int) {
-	c := &configurationClient{sim: w, id: number}
-	w.clients = append(w.clients, c)
-	w.after(w.durationBetween(0, time.Second), c.act)
+func (sim *simulation) addConfigurationClient(number int) {
+	c := &configurationClient{sim: sim, id: number}
+	sim.clients = append(sim.clients, c)
+	sim.after(sim.durationBetween(0, time.Second), c.act)
 }
 
 func (c *configurationClient) finish() {
 	c.finishing = true
-	for _, order := range c.requests {
-		order.acknowledged, order.rejected = false, false // each is sent once more
+	for _, request := range c.requests {
+		request.acknowledged, request.rejected = false, false // each is sent once more
 	}
 }
 
 // unresolved are the orders that have no answer and can get one.
 func (c *configurationClient) unresolved() (orders []*modelRequest) {
-	for _, order := range c.requests {
-		if !order.acknowledged && !order.rejected && !c.sim.checker.unanswerable(order) {
-			orders = append(orders, order)
+	for _, request := range c.requests {
+		if !request.acknowledged && !request.rejected && !c.sim.checker.unanswerable(request) {
+			orders = append(orders, request)
 		}
 	}
 	return orders
@@ -215,23 +215,23 @@
 func (c *configurationClient) done() bool { return len(c.unresolved()) == 0 }
 
 func (c *configurationClient) act() {
-	w := c.sim
-	w.after(w.durationBetween(w.profile.ThinkTime/4, w.profile.ThinkTime), c.act)
+	sim := c.sim
+	sim.after(sim.durationBetween(sim.profile.ThinkTime/4, sim.profile.ThinkTime), c.act)
 	if c.openCalls >= maxOpenCalls {
 		return
 	}
 	unclear := c.unresolved()
 	switch {
 	case c.finishing && len(unclear) > 0:
-		c.send(unclear[w.random.IntN(len(unclear))])
+		c.send(unclear[sim.random.IntN(len(unclear))])
 	case c.finishing || len(c.requests) >= maxRequestsPerClient:
-	case len(unclear) > 0 && w.chance(0.4):
-		c.send(unclear[w.random.IntN(len(unclear))])
-	case len(c.requests) > 0 && w.chance(0.2):
-		c.send(c.requests[w.random.IntN(len(c.requests))])
-	case w.chance(0.3):
+	case len(unclear) > 0 && sim.chance(0.4):
+		c.send(unclear[sim.random.IntN(len(unclear))])
+	case len(c.requests) > 0 && sim.chance(0.2):
+		c.send(c.requests[sim.random.IntN(len(c.requests))])
+	case sim.chance(0.3):
 		c.openCalls++
-		w.sendRead(c.id, "", func(answer modelResponse) {
+		sim.sendRead(c.id, "", func(answer modelResponse) {
 			c.openCalls--
 			c.version = max(c.version, answer.version)
 		})
@@ -243,43 +243,43 @@
 // newChange is a new change: on the version that the client knows, or on another; with a text and number of its own, or with
 // those of another order.
 func (c *configurationClient) newChange() *modelRequest {
-	w := c.sim
-	order := w.checker.newRequest()
-	order.basedOn = c.version
+	sim := c.sim
+	request := sim.checker.newRequest()
+	request.basedOn = c.version
 	switch {
-	case w.chance(0.1):
-		order.basedOn += uint64(w.random.IntN(4))
-	case w.chance(0.1):
-		order.basedOn -= min(order.basedOn, uint64(w.random.IntN(4)))
-	case w.chance(0.1) && len(c.requests) > 0: // on one whose outcome may not be known
-		order.basedOn = c.requests[len(c.requests)-1].version
+	case sim.chance(0.1):
+		request.basedOn += uint64(sim.random.IntN(4))
+	case sim.chance(0.1):
+		request.basedOn -= min(request.basedOn, uint64(sim.random.IntN(4)))
+	case sim.chance(0.1) && len(c.requests) > 0: // on one whose outcome may not be known
+		request.basedOn = c.requests[len(c.requests)-1].version
 	}
-	order.version = order.basedOn + 1 + uint64(w.random.IntN(2))
-	order.text = strconv.Itoa(order.number)
-	if len(c.requests) > 0 && w.chance(0.1) {
-		order.text = c.requests[w.random.IntN(len(c.requests))].text
+	request.version = request.basedOn + 1 + uint64(sim.random.IntN(2))
+	request.text = strconv.Itoa(request.number)
+	if len(c.requests) > 0 && sim.chance(0.1) {
+		request.text = c.requests[sim.random.IntN(len(c.requests))].text
 	}
-	order.invalid = w.chance(0.1)
-	c.requests = append(c.requests, order)
-	return order
+	request.invalid = sim.chance(0.1)
+	c.requests = append(c.requests, request)
+	return request
 }
 
 // send sends an order to one machine, or to several at once.
-func (c *configurationClient) send(order *modelRequest) {
+func (c *configurationClient) send(request *modelRequest) {
 	for range 1 + c.sim.random.IntN(5)/4 {
 		c.openCalls++
-		c.sim.sendChange(c.id, order, func(answer modelResponse) { c.handleResponse(order, answer) })
+		c.sim.sendChange(c.id, request, func(answer modelResponse) { c.handleResponse(request, answer) })
 	}
 }
 
-func (c *configurationClient) handleResponse(order *modelRequest, answer modelResponse) {
+func (c *configurationClient) handleResponse(request *modelRequest, answer modelResponse) {
 	c.openCalls--
 	c.version = max(c.version, answer.version)
 	switch {
 	case answer.status == http.StatusOK:
-		order.acknowledged = true
+		request.acknowledged = true
 	case answer.status >= 400 && answer.status < 500:
-		order.rejected = true
+		request.rejected = true
 	}
 }
 
@@ -294,11 +294,11 @@
 	finishing    bool
 }
 
-func (w *simulation) addEvacuationClient(zone string) {
-	c := &evacuationClient{sim: w, zone: zone}
-	w.clients = append(w.clients, c)
-	w.after(w.durationBetween(0, time.Second), c.nextRequest)
-	w.after(w.durationBetween(0, time.Second), c.poll)
+func (sim *simulation) addEvacuationClient(zone string) {
+	c := &evacuationClient{sim: sim, zone: zone}
+	sim.clients = append(sim.clients, c)
+	sim.after(sim.durationBetween(0, time.Second), c.nextRequest)
+	sim.after(sim.durationBetween(0, time.Second), c.poll)
 }
 
 // id tells the client in the history.
@@ -316,23 +316,23 @@
 
 // nextRequest orders the contrary of what was ordered last, or at times the same again.
 func (c *evacuationClient) nextRequest() {
-	w := c.sim
+	sim := c.sim
 	if c.requestCount >= maxRequestsPerClient {
 		return
 	}
 	c.requestCount++
-	order := w.checker.newRequest()
-	order.zone, order.on = c.zone, c.current == nil || !c.current.on
-	if w.chance(0.2) {
-		order.on = !order.on
+	request := sim.checker.newRequest()
+	request.zone, request.on = c.zone, c.current == nil || !c.current.on
+	if sim.chance(0.2) {
+		request.on = !request.on
 	}
-	c.current = order
+	c.current = request
 	c.cancelDeliveries()
-	c.send(order)
-	patience := w.durationBetween(callTimeout/2, maxEvacuationPatience)
-	w.after(patience, func() {
-		if c.current == order && !order.acknowledged && !c.finishing {
-			w.logf("%v is given up", order)
+	c.send(request)
+	patience := sim.durationBetween(callTimeout/2, maxEvacuationPatience)
+	sim.after(patience, func() {
+		if c.current == request && !request.acknowledged && !c.finishing {
+			sim.logf("%v is given up", request)
 			c.nextRequest()
 		}
 	})
@@ -349,24 +349,24 @@
 }
 
 // send sends the order to one machine or to two at once, and again until it is acknowledged.
-func (c *evacuationClient) send(order *modelRequest) {
-	w := c.sim
-	if c.current != order || order.acknowledged {
+func (c *evacuationClient) send(request *modelRequest) {
+	sim := c.sim
+	if c.current != request || request.acknowledged {
 		return
 	}
-	for range 1 + w.random.IntN(5)/4 {
-		c.deliveries = append(c.deliveries, w.sendEvacuation(c.id(), order, func(answer modelResponse) { c.handleResponse(order, answer) }))
+	for range 1 + sim.random.IntN(5)/4 {
+		c.deliveries = append(c.deliveries, sim.sendEvacuation(c.id(), request, func(answer modelResponse) { c.handleResponse(request, answer) }))
 	}
-	w.after(w.durationBetween(callTimeout/4, callTimeout), func() { c.send(order) })
+	sim.after(sim.durationBetween(callTimeout/4, callTimeout), func() { c.send(request) })
 }
 
-func (c *evacuationClient) handleResponse(order *modelRequest, answer modelResponse) {
-	if answer.status != http.StatusOK || order.acknowledged || c.current != order {
+func (c *evacuationClient) handleResponse(request *modelRequest, answer modelResponse) {
+	if answer.status != http.StatusOK || request.acknowledged || c.current != request {
 		return
 	}
-	order.acknowledged = true
+	request.acknowledged = true
 	c.cancelDeliveries()
-	c.sim.checker.handleAcknowledgedEvacuation(order)
+	c.sim.checker.handleAcknowledgedEvacuation(request)
 	if !c.finishing {
 		c.sim.after(c.sim.durationBetween(0, 2*c.sim.profile.ThinkTime), c.nextRequest)
 	}
--- a/internal/system/control/api/orders_exhaustive_test.go
+++ b/internal/system/control/api/orders_exhaustive_test.go
@@ -62,60 +62,60 @@
 }
 
 func newExploration(s *schedule, unknown int) *exploration {
-	c := &exploration{simulation: newSimulation(1), schedule: s, unknownBudget: unknown}
-	c.profile.HistoryLimit = 0
+	e := &exploration{simulation: newSimulation(1), schedule: s, unknownBudget: unknown}
+	e.profile.HistoryLimit = 0
 	for i := range 2 {
-		m := &simulatedNode{sim: c.simulation, number: i, up: true}
-		m.state = m.newState()
-		c.nodes = append(c.nodes, m)
+		node := &simulatedNode{sim: e.simulation, number: i, up: true}
+		node.state = node.newState()
+		e.nodes = append(e.nodes, node)
 	}
-	return c
+	return e
 }
 
 // enable makes an event possible.
-func (c *exploration) enable(name string, happen func()) {
-	c.pending = append(c.pending, pendingEvent{name, happen})
+func (e *exploration) enable(name string, happen func()) {
+	e.pending = append(e.pending, pendingEvent{name, happen})
 }
 
 // play has events happen until there are none.
-func (c *exploration) play() {
-	for len(c.pending) > 0 && c.failure == "" {
-		i := c.schedule.choose(len(c.pending))
-		event := c.pending[i]
-		c.pending = append(c.pending[:i:i], c.pending[i+1:]...)
-		c.trace = append(c.trace, event.name)
+func (e *exploration) play() {
+	for len(e.pending) > 0 && e.failure == "" {
+		i := e.schedule.choose(len(e.pending))
+		event := e.pending[i]
+		e.pending = append(e.pending[:i:i], e.pending[i+1:]...)
+		e.trace = append(e.trace, event.name)
 		event.run()
 	}
-	for _, m := range c.nodes {
-		m.kill()
+	for _, node := range e.nodes {
+		node.kill()
 	}
 }
 
 // commitCommand puts a command into the log. Machines learn of it by their barriers.
-func (c *exploration) commitCommand(command []byte) []byte {
-	result := c.checker.apply(len(c.log)+1, command)
-	c.log = append(c.log, logEntry{command: command, result: string(result)})
+func (e *exploration) commitCommand(command []byte) []byte {
+	result := e.checker.apply(len(e.log)+1, command)
+	e.log = append(e.log, logEntry{command: command, result: string(result)})
 	return result
 }
 
 // deliver has a machine take a copy of an order, and told its answer unless the process ended.
-func (c *exploration) deliver(m *simulatedNode, gone bool, order *modelRequest, onResponse func(modelResponse)) {
+func (e *exploration) deliver(node *simulatedNode, gone bool, request *modelRequest, onResponse func(modelResponse)) {
 	retries := *retriesFlag
-	m.runHandler(gone, func(t *handlerTask) {
-		committer := &committer{replicas: &exploredReplicas{exploration: c, task: t}, state: &simulatedState{task: t},
+	node.runHandler(gone, func(t *handlerTask) {
+		committer := &committer{replicas: &exploredReplicas{exploration: e, task: t}, state: &simulatedState{task: t},
 			prepare: prepareModelChange, sleep: func(context.Context, time.Duration) bool {
 				retries--
 				return retries >= 0 && !t.ended
 			}}
 		ctx := taskContext{context.Background(), t}
 		var answer modelResponse
-		if order.zone != "" {
-			answer = responseOf(0, committer.setEvacuation(ctx, order.zone, order.on))
+		if request.zone != "" {
+			answer = responseOf(0, committer.setEvacuation(ctx, request.zone, request.on))
 		} else {
-			answer = responseOf(committer.commit(ctx, order.changeRequest()))
+			answer = responseOf(committer.commit(ctx, request.changeRequest()))
 		}
 		if !t.ended {
-			c.checker.handleResponse(order, answer)
+			e.checker.handleResponse(request, answer)
 			onResponse(answer)
 		}
 	})
@@ -130,13 +130,13 @@
 
 // Barrier holds for what was agreed on before the call; a machine may know more by then.
 func (r *exploredReplicas) Barrier(context.Context, feed.Partition) error {
-	c, m := r.exploration, r.task.node
-	least := len(c.log)
+	e, node := r.exploration, r.task.node
+	least := len(e.log)
 	alive := r.task.await(func(resume func()) {
-		c.enable("barrier", func() {
-			index := max(least, m.applied)
-			index += c.schedule.choose(len(c.log) - index + 1)
-			m.applyTo(index)
+		e.enable("barrier", func() {
+			index := max(least, node.applied)
+			index += e.schedule.choose(len(e.log) - index + 1)
+			node.applyTo(index)
 			resume()
 		})
 	})
@@ -148,16 +148,16 @@
 
 // Propose has a command agreed on, at any time after an unknown outcome was told.
 func (r *exploredReplicas) Propose(_ context.Context, _ feed.Partition, command []byte) ([]byte, error) {
-	c := r.exploration
+	e := r.exploration
 	var result []byte
 	alive := r.task.await(func(resume func()) {
-		c.enable("propose", func() {
-			if c.unknownBudget > 0 && c.schedule.choose(2) == 1 {
-				c.unknownBudget--
-				c.enable("agree late", func() { c.commitCommand(command) })
+		e.enable("propose", func() {
+			if e.unknownBudget > 0 && e.schedule.choose(2) == 1 {
+				e.unknownBudget--
+				e.enable("agree late", func() { e.commitCommand(command) })
 			} else {
-				result = c.commitCommand(command)
-				r.task.node.applyTo(len(c.log)) // as the one that leads
+				result = e.commitCommand(command)
+				r.task.node.applyTo(len(e.log)) // as the one that leads
 			}
 			resume()
 		})
@@ -172,14 +172,14 @@
 }
 
 // changeScenario sends a change through both machines, and a rival with the same number on the same version.
-func changeScenario(c *exploration) {
+func changeScenario(e *exploration) {
 	first := &modelRequest{number: 1, version: 2, text: "first"}
 	rival := &modelRequest{number: 2, version: 2, text: "rival"}
-	for _, order := range []*modelRequest{first, rival} {
-		c.checker.beginOperation(1, order, "")
+	for _, request := range []*modelRequest{first, rival} {
+		e.checker.beginOperation(1, request, "")
 	}
-	send := func(machine int, order *modelRequest) {
-		c.enable("send", func() { c.deliver(c.nodes[machine], false, order, func(modelResponse) {}) })
+	send := func(machine int, request *modelRequest) {
+		e.enable("send", func() { e.deliver(e.nodes[machine], false, request, func(modelResponse) {}) })
 	}
 	send(0, first)
 	send(1, first)
@@ -187,40 +187,40 @@
 }
 
 // earlyChangeScenario sends a change through both machines that builds on one which is not agreed on yet.
-func earlyChangeScenario(c *exploration) {
+func earlyChangeScenario(e *exploration) {
 	first := &modelRequest{number: 1, version: 2, text: "first"}
 	later := &modelRequest{number: 2, basedOn: 2, version: 3, text: "later"}
-	for _, order := range []*modelRequest{first, later} {
-		c.checker.beginOperation(1, order, "")
+	for _, request := range []*modelRequest{first, later} {
+		e.checker.beginOperation(1, request, "")
 	}
-	for machine, order := range []*modelRequest{first, later} {
-		c.enable("send", func() { c.deliver(c.nodes[machine], false, order, func(modelResponse) {}) })
+	for machine, request := range []*modelRequest{first, later} {
+		e.enable("send", func() { e.deliver(e.nodes[machine], false, request, func(modelResponse) {}) })
 	}
-	c.enable("send again", func() { c.deliver(c.nodes[0], false, later, func(modelResponse) {}) })
+	e.enable("send again", func() { e.deliver(e.nodes[0], false, later, func(modelResponse) {}) })
 }
 
 // evacuationScenario sends an evacuation through both machines, and takes it back through one, whether there was an
 // answer or not. Copies that come once their sender has given them up are known to be so.
-func evacuationScenario(c *exploration) {
+func evacuationScenario(e *exploration) {
 	begin := &modelRequest{number: 1, zone: "a", on: true}
 	finish := &modelRequest{number: 2, zone: "a"}
-	given := false
-	hold := func(order *modelRequest) func(modelResponse) {
+	cancelled := false
+	onResponse := func(request *modelRequest) func(modelResponse) {
 		return func(answer modelResponse) {
-			if answer.status == http.StatusOK && !(given && order == begin) && !order.acknowledged {
-				order.acknowledged = true
-				c.checker.handleAcknowledgedEvacuation(order)
+			if answer.status == http.StatusOK && !(cancelled && request == begin) && !request.acknowledged {
+				request.acknowledged = true
+				e.checker.handleAcknowledgedEvacuation(request)
 			}
 		}
 	}
-	c.checker.beginOperation(1, begin, "a")
+	e.checker.beginOperation(1, begin, "a")
 	for machine := range 2 {
-		c.enable("begin", func() { c.deliver(c.nodes[machine], given, begin, hold(begin)) })
+		e.enable("begin", func() { e.deliver(e.nodes[machine], cancelled, begin, onResponse(begin)) })
 	}
-	c.enable("finish", func() {
-		given = true
-		c.checker.beginOperation(1, finish, "a")
-		c.deliver(c.nodes[0], false, finish, hold(finish))
+	e.enable("finish", func() {
+		cancelled = true
+		e.checker.beginOperation(1, finish, "a")
+		e.deliver(e.nodes[0], false, finish, onResponse(finish))
 	})
 }
 
@@ -248,15 +248,15 @@
 const maxUnknownOutcomes = 1
 
 // exploreAll plays every order of events until one fails, and says what that was.
-func exploreAll(script func(*exploration), plant mutation) (played int, failed string) {
+func exploreAll(script func(*exploration), mutant mutation) (played int, failed string) {
 	for s := (&schedule{}); ; {
-		c := newExploration(s, maxUnknownOutcomes)
-		c.mutation = plant
-		script(c)
-		c.play()
+		e := newExploration(s, maxUnknownOutcomes)
+		e.mutation = mutant
+		script(e)
+		e.play()
 		played++
-		if c.failure != "" {
-			return played, fmt.Sprintf("%s after %v (path %v)", c.failure, c.trace, s.path)
+		if e.failure != "" {
+			return played, fmt.Sprintf("%s after %v (path %v)", e.failure, e.trace, s.path)
 		}
 		if !s.advance() {
 			return played, ""
--- a/internal/system/control/api/orders_referee_test.go
+++ b/internal/system/control/api/orders_referee_test.go
@@ -43,8 +43,8 @@
 	accepted, acknowledged, conflicts, invalid, indefinite, reacknowledged, evacuations, superseded, committed int
 }
 
-func newChecker(w *simulation) *checker {
-	return &checker{sim: w, state: state.NewConfiguration(func() time.Duration { return w.now }, func() {}),
+func newChecker(sim *simulation) *checker {
+	return &checker{sim: sim, state: state.NewConfiguration(func() time.Duration { return sim.now }, func() {}),
 		evacuated: map[string]bool{}, acknowledgedEvacuations: map[string]*modelRequest{}}
 }
 
@@ -62,16 +62,16 @@
 }
 
 // findAccepted is the change that an order became.
-func (r *checker) findAccepted(order *modelRequest) (acceptedChange, bool) {
-	i := slices.IndexFunc(r.history, func(a acceptedChange) bool { return a.matches(order) })
+func (r *checker) findAccepted(request *modelRequest) (acceptedChange, bool) {
+	i := slices.IndexFunc(r.history, func(a acceptedChange) bool { return a.matches(request) })
 	if i < 0 {
 		return acceptedChange{}, false
 	}
 	return r.history[i], true
 }
 
-func (a *acceptedChange) matches(order *modelRequest) bool {
-	return a.basedOn == order.basedOn && a.body == string(order.changeRequest().body)
+func (a *acceptedChange) matches(request *modelRequest) bool {
+	return a.basedOn == request.basedOn && a.body == string(request.changeRequest().body)
 }
 
 // countChanges is how many changes were accepted from a base to a version.
@@ -94,13 +94,13 @@
 
 // apply notes a command that is agreed on and returns its result.
 func (r *checker) apply(index int, command []byte) []byte {
-	w := r.sim
+	sim := r.sim
 	r.counts.committed++
 	before := r.state.Version()
-	result := r.state.Apply(uint64(index), w.mutateCommand(r.state, index, command))
+	result := r.state.Apply(uint64(index), sim.mutateCommand(r.state, index, command))
 	outcome, err := state.DecodeResult(result)
 	if err != nil {
-		w.fail("the result at %d can't be read: %v", index, err)
+		sim.fail("the result at %d can't be read: %v", index, err)
 	}
 	decoded := decodeCommand(command)
 	switch {
@@ -115,34 +115,34 @@
 
 // handleAcceptedChange sees that changes make one chain, and that none is in force that was refused or is there already.
 func (r *checker) handleAcceptedChange(command *state.CommitConfiguration, before uint64) {
-	w := r.sim
+	sim := r.sim
 	a := acceptedChange{basedOn: command.BasedOn, version: command.Version}
 	for _, write := range command.Writes {
 		a.body = string(write.Value)
 	}
 	r.counts.accepted++
-	w.logf("version %d on %d is in force: %q", a.version, a.basedOn, a.body)
+	sim.logf("version %d on %d is in force: %q", a.version, a.basedOn, a.body)
 	if a.basedOn != before || before != r.currentVersion() || a.version <= before {
-		w.fail("version %d on %d is put in force over %d", a.version, a.basedOn, before)
+		sim.fail("version %d on %d is put in force over %d", a.version, a.basedOn, before)
 	}
 	if slices.ContainsFunc(r.history, func(other acceptedChange) bool {
 		return other.basedOn == a.basedOn || other.version == a.version
 	}) {
-		w.fail("two changes are in force as version %d on %d", a.version, a.basedOn)
+		sim.fail("two changes are in force as version %d on %d", a.version, a.basedOn)
 	}
 	if strings.HasSuffix(a.body, " invalid") {
-		w.fail("an invalid change is in force: %q", a.body)
+		sim.fail("an invalid change is in force: %q", a.body)
 	}
 	for _, op := range r.operations {
 		if op.request != nil && op.request.zone == "" && a.matches(op.request) {
 			a.request = op.request
 			if op.wasRejected {
-				w.fail("%v is in force, and was refused", op.request)
+				sim.fail("%v is in force, and was refused", op.request)
 			}
 		}
 	}
 	if a.request == nil {
-		w.fail("a change is in force that nobody sent: %q", a.body)
+		sim.fail("a change is in force that nobody sent: %q", a.body)
 	}
 	r.history = append(r.history, a)
 }
@@ -158,84 +158,84 @@
 }
 
 // handleAcknowledgedEvacuation notes that an evacuation was acknowledged to its sender, which has ordered nothing else since.
-func (r *checker) handleAcknowledgedEvacuation(order *modelRequest) {
-	r.acknowledgedEvacuations[order.zone] = order
-	if r.evacuated[order.zone] != order.on {
-		r.sim.fail("%v is acknowledged, and is not so", order)
+func (r *checker) handleAcknowledgedEvacuation(request *modelRequest) {
+	r.acknowledgedEvacuations[request.zone] = request
+	if r.evacuated[request.zone] != request.on {
+		r.sim.fail("%v is acknowledged, and is not so", request)
 	}
 }
 
 // handleResponse judges an answer as it leaves its machine.
-func (r *checker) handleResponse(order *modelRequest, answer modelResponse) {
-	w := r.sim
-	refuses := answer.status >= 400 && answer.status < 500
-	if order.zone != "" {
-		if refuses {
-			w.fail("%v is refused", order)
+func (r *checker) handleResponse(request *modelRequest, answer modelResponse) {
+	sim := r.sim
+	rejected := answer.status >= 400 && answer.status < 500
+	if request.zone != "" {
+		if rejected {
+			sim.fail("%v is refused", request)
 		}
 		if answer.status != http.StatusOK {
 			r.counts.superseded++
 		}
 		return
 	}
-	change, taken := r.findAccepted(order)
+	change, taken := r.findAccepted(request)
 	switch {
 	case answer.status == http.StatusOK:
 		r.counts.acknowledged++
-		if order.acknowledged {
+		if request.acknowledged {
 			r.counts.reacknowledged++
 		}
 		if !taken || change.version != answer.version {
-			w.fail("%v is acknowledged as %d, and was not agreed on", order, answer.version)
+			sim.fail("%v is acknowledged as %d, and was not agreed on", request, answer.version)
 		}
-	case refuses && taken:
-		w.fail("%v is refused with %d, and is in force", order, answer.status)
-	case refuses:
-		r.handleRejection(order, answer)
+	case rejected && taken:
+		sim.fail("%v is refused with %d, and is in force", request, answer.status)
+	case rejected:
+		r.handleRejection(request, answer)
 	default:
 		r.counts.indefinite++
 	}
 }
 
-func (r *checker) handleRejection(order *modelRequest, answer modelResponse) {
+func (r *checker) handleRejection(request *modelRequest, answer modelResponse) {
 	if answer.status == http.StatusPreconditionFailed {
 		r.counts.conflicts++
 	} else {
 		r.counts.invalid++
 	}
 	for _, op := range r.operations {
-		if op.request != nil && op.request.zone == "" && op.request.basedOn == order.basedOn &&
-			string(op.request.changeRequest().body) == string(order.changeRequest().body) {
+		if op.request != nil && op.request.zone == "" && op.request.basedOn == request.basedOn &&
+			string(op.request.changeRequest().body) == string(request.changeRequest().body) {
 			op.wasRejected = true
 		}
 	}
 }
 
 // unanswerable tells whether there may be no clear answer to an order: its base is not in force yet, or it is too old.
-func (r *checker) unanswerable(order *modelRequest) bool {
+func (r *checker) unanswerable(request *modelRequest) bool {
 	memory := r.sim.profile.HistoryLimit
-	return order.basedOn > r.currentVersion() || memory > 0 && r.countChanges(order.basedOn, r.currentVersion()) > memory
+	return request.basedOn > r.currentVersion() || memory > 0 && r.countChanges(request.basedOn, r.currentVersion()) > memory
 }
 
 // checkFinalState holds after the last fault.
 func (r *checker) checkFinalState() {
-	w := r.sim
-	for i, client := range w.clients {
+	sim := r.sim
+	for i, client := range sim.clients {
 		if !client.done() {
-			w.fail("client %d has no clear answer", i)
+			sim.fail("client %d has no clear answer", i)
 		}
 	}
-	for _, m := range w.nodes {
-		if m.state.Version() != r.currentVersion() {
-			w.fail("machine %d is at version %d of %d", m.number, m.state.Version(), r.currentVersion())
+	for _, node := range sim.nodes {
+		if node.state.Version() != r.currentVersion() {
+			sim.fail("machine %d is at version %d of %d", node.number, node.state.Version(), r.currentVersion())
 		}
 		for zone, on := range r.evacuated {
-			if m.state.Evacuation(zone).On != on {
-				w.fail("machine %d: zone %s is evacuated: %t", m.number, zone, !on)
+			if node.state.Evacuation(zone).On != on {
+				sim.fail("machine %d: zone %s is evacuated: %t", node.number, zone, !on)
 			}
 		}
 	}
-	if w.failure == "" {
+	if sim.failure == "" {
 		r.checkHistory()
 	}
 }
@@ -250,14 +250,14 @@
 	wasRejected        bool // a copy of the order was
 }
 
-func (r *checker) beginOperation(client int, order *modelRequest, zone string) *operation {
-	op := &operation{client: client, request: order, zone: zone, startedAt: r.sim.now}
-	if order != nil {
+func (r *checker) beginOperation(client int, request *modelRequest, zone string) *operation {
+	op := &operation{client: client, request: request, zone: zone, startedAt: r.sim.now}
+	if request != nil {
 		op.wasRejected = slices.ContainsFunc(r.operations, func(other *operation) bool {
-			return other.wasRejected && other.request == order
+			return other.wasRejected && other.request == request
 		})
-		if order.zone != "" && r.acknowledgedEvacuations[order.zone] != order {
-			delete(r.acknowledgedEvacuations, order.zone)
+		if request.zone != "" && r.acknowledgedEvacuations[request.zone] != request {
+			delete(r.acknowledgedEvacuations, request.zone)
 		}
 	}
 	r.operations = append(r.operations, op)
--- a/internal/system/control/api/orders_test.go
+++ b/internal/system/control/api/orders_test.go
@@ -26,9 +26,9 @@
 // Each answer is judged as it is given, each entry as it is agreed on, and the whole history for linearizability.
 func TestSimulation(t *testing.T) {
 	if *seedFlag != 0 {
-		w := newSimulation(*seedFlag)
-		w.verbose = true
-		runSimulation(t, w)
+		sim := newSimulation(*seedFlag)
+		sim.verbose = true
+		runSimulation(t, sim)
 		return
 	}
 	var all simulationTotals
@@ -36,9 +36,9 @@
 		for seed := uint64(1); seed <= uint64(*seedCountFlag); seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				w := newSimulation(seed)
-				runSimulation(t, w)
-				all.add(w.checker.counts)
+				sim := newSimulation(seed)
+				runSimulation(t, sim)
+				all.add(sim.checker.counts)
 			})
 		}
 	})
@@ -48,31 +48,31 @@
 	}
 }
 
-func runSimulation(t *testing.T, w *simulation) {
-	w.play()
-	if w.failure != "" {
-		t.Errorf("%s\nreplay: go test ./internal/system/control/api -run TestOrders -orders.seed %d -v", w.failure, w.seed)
+func runSimulation(t *testing.T, sim *simulation) {
+	sim.play()
+	if sim.failure != "" {
+		t.Errorf("%s\nreplay: go test ./internal/system/control/api -run TestOrders -orders.seed %d -v", sim.failure, sim.seed)
 	}
 }
 
-func (w *simulation) play() {
-	w.start()
-	w.run(faultPhase)
-	w.heal()
-	for end := w.now + maxRecovery; w.failure == "" && w.now < end && !w.allClientsDone(); {
-		w.run(time.Second)
+func (sim *simulation) play() {
+	sim.start()
+	sim.run(faultPhase)
+	sim.heal()
+	for end := sim.now + maxRecovery; sim.failure == "" && sim.now < end && !sim.allClientsDone(); {
+		sim.run(time.Second)
 	}
-	w.run(time.Second) // what is under way comes
-	if w.failure == "" {
-		w.checker.checkFinalState()
+	sim.run(time.Second) // what is under way comes
+	if sim.failure == "" {
+		sim.checker.checkFinalState()
 	}
-	for _, m := range w.nodes {
-		m.kill()
+	for _, node := range sim.nodes {
+		node.kill()
 	}
 }
 
-func (w *simulation) allClientsDone() bool {
-	for _, client := range w.clients {
+func (sim *simulation) allClientsDone() bool {
+	for _, client := range sim.clients {
 		if !client.done() {
 			return false
 		}
@@ -94,7 +94,7 @@
 
 // TestSimulationFindsMutations takes one safeguard out at a time, which has to be found.
 func TestSimulationFindsMutations(t *testing.T) {
-	plants := map[string]mutation{
+	mutants := map[string]mutation{
 		"what is not remembered is refused":              {rejectForgotten: true},
 		"what builds on a later version is refused":      {rejectEarly: true},
 		"orders taken and version are looked up in turn": {splitLookup: true},
@@ -109,15 +109,15 @@
 		"refused where the outcome is not known":         {rejectUnknown: true},
 		"snapshots without what was accepted":            {lossySnapshots: true},
 	}
-	for name, plant := range plants {
+	for name, mutant := range mutants {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= 400; seed++ {
-				w := newSimulation(seed)
-				w.mutation = plant
-				w.play()
-				if w.failure != "" {
-					t.Log(w.failure)
+				sim := newSimulation(seed)
+				sim.mutation = mutant
+				sim.play()
+				if sim.failure != "" {
+					t.Log(sim.failure)
 					return
 				}
 			}
@@ -127,22 +127,22 @@
 }
 
 // mutateCommand is a command as a state machine without a safeguard would take it.
-func (w *simulation) mutateCommand(at *state.Configuration, index int, command []byte) []byte {
-	if !w.mutation.skipBaseCheck && !w.mutation.uniqueDigests && !w.mutation.skipSeenCheck {
+func (sim *simulation) mutateCommand(at *state.Configuration, index int, command []byte) []byte {
+	if !sim.mutation.skipBaseCheck && !sim.mutation.uniqueDigests && !sim.mutation.skipSeenCheck {
 		return command
 	}
 	decoded := decodeCommand(command)
 	if e := decoded.evacuation; e != nil {
-		if w.mutation.skipSeenCheck {
+		if sim.mutation.skipSeenCheck {
 			e.Seen = at.Evacuation(e.Zone).Seen
 		}
 		return e.Encode()
 	}
 	c := decoded.commit
-	if w.mutation.skipBaseCheck {
+	if sim.mutation.skipBaseCheck {
 		c.BasedOn = at.Version()
 	}
-	if w.mutation.uniqueDigests {
+	if sim.mutation.uniqueDigests {
 		binary.BigEndian.PutUint64(c.Digest[:], uint64(index))
 	}
 	return c.Encode()
--- a/internal/system/control/api/orders_world_test.go
+++ b/internal/system/control/api/orders_world_test.go
@@ -98,199 +98,201 @@
 }
 
 func newSimulation(seed uint64) *simulation {
-	w := &simulation{seed: seed, random: rand.New(rand.NewPCG(seed, 23)), faultsActive: true}
-	w.checker = newChecker(w)
-	w.profile = simulationProfile{
-		Nodes:         []int{1, 2, 3, 3, 3, 5}[w.random.IntN(6)],
-		Delay:         w.logUniform(time.Millisecond, 80*time.Millisecond),
-		LateRatio:     0.2 * w.random.Float64(),
-		LateDelay:     w.logUniform(200*time.Millisecond, 8*time.Second),
-		LostRatio:     0.6 * w.random.Float64(),
-		UnknownRatio:  0.4 * w.random.Float64(),
-		FaultInterval: w.logUniform(300*time.Millisecond, 4*time.Second),
-		ThinkTime:     w.logUniform(20*time.Millisecond, 800*time.Millisecond),
+	sim := &simulation{seed: seed, random: rand.New(rand.NewPCG(seed, 23)), faultsActive: true}
+	sim.checker = newChecker(sim)
+	sim.profile = simulationProfile{
+		Nodes:         []int{1, 2, 3, 3, 3, 5}[sim.random.IntN(6)],
+		Delay:         sim.logUniform(time.Millisecond, 80*time.Millisecond),
+		LateRatio:     0.2 * sim.random.Float64(),
+		LateDelay:     sim.logUniform(200*time.Millisecond, 8*time.Second),
+		LostRatio:     0.6 * sim.random.Float64(),
+		UnknownRatio:  0.4 * sim.random.Float64(),
+		FaultInterval: sim.logUniform(300*time.Millisecond, 4*time.Second),
+		ThinkTime:     sim.logUniform(20*time.Millisecond, 800*time.Millisecond),
 	}
-	if w.chance(0.4) {
-		w.profile.HistoryLimit = 1 + w.random.IntN(20)
+	if sim.chance(0.4) {
+		sim.profile.HistoryLimit = 1 + sim.random.IntN(20)
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) chance(p float64) bool { return w.random.Float64() < p }
+func (sim *simulation) chance(p float64) bool { return sim.random.Float64() < p }
 
-func (w *simulation) durationBetween(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.random.Int64N(int64(most-least)+1))
+func (sim *simulation) durationBetween(least, most time.Duration) time.Duration {
+	return least + time.Duration(sim.random.Int64N(int64(most-least)+1))
 }
 
 // logUniform draws a time whose order of magnitude may be any within a range.
-func (w *simulation) logUniform(least, most time.Duration) time.Duration {
-	return time.Duration(float64(least) * math.Pow(float64(most)/float64(least), w.random.Float64()))
+func (sim *simulation) logUniform(least, most time.Duration) time.Duration {
+	return time.Duration(float64(least) * math.Pow(float64(most)/float64(least), sim.random.Float64()))
 }
 
 // networkDelay is how long a message takes.
-func (w *simulation) networkDelay() time.Duration {
-	if w.faultsActive && w.chance(w.profile.LateRatio) {
-		return w.durationBetween(w.profile.Delay, w.profile.Delay+w.profile.LateDelay)
+func (sim *simulation) networkDelay() time.Duration {
+	if sim.faultsActive && sim.chance(sim.profile.LateRatio) {
+		return sim.durationBetween(sim.profile.Delay, sim.profile.Delay+sim.profile.LateDelay)
 	}
-	return w.durationBetween(w.profile.Delay/4, w.profile.Delay)
+	return sim.durationBetween(sim.profile.Delay/4, sim.profile.Delay)
 }
 
-func (w *simulation) logf(format string, args ...any) {
-	if w.verbose {
-		fmt.Printf("%10.4f "+format+"\n", append([]any{w.now.Seconds()}, args...)...)
+func (sim *simulation) logf(format string, args ...any) {
+	if sim.verbose {
+		fmt.Printf("%10.4f "+format+"\n", append([]any{sim.now.Seconds()}, args...)...)
 	}
 }
 
-func (w *simulation) fail(format string, args ...any) {
-	if w.failure == "" {
-		w.failure = fmt.Sprintf("seed %d, at %v: ", w.seed, w.now) + fmt.Sprintf(format, args...)
-		w.logf("FAILED %s", w.failure)
+func (sim *simulation) fail(format string, args ...any) {
+	if sim.failure == "" {
+		sim.failure = fmt.Sprintf("seed %d, at %v: ", sim.seed, sim.now) + fmt.Sprintf(format, args...)
+		sim.logf("FAILED %s", sim.failure)
 	}
 }
 
-func (w *simulation) after(d time.Duration, do func()) { w.events.At(float64(w.now+max(d, 0)), do) }
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.events.At(float64(sim.now+max(d, 0)), do)
+}
 
 // run plays for a time.
-func (w *simulation) run(d time.Duration) {
-	end := w.now + d
-	for w.failure == "" {
-		at, do, is := w.events.Next(float64(end))
+func (sim *simulation) run(d time.Duration) {
+	end := sim.now + d
+	for sim.failure == "" {
+		at, do, is := sim.events.Next(float64(end))
 		if !is {
 			break
 		}
-		w.now = time.Duration(at)
+		sim.now = time.Duration(at)
 		do()
 	}
-	w.now = end
+	sim.now = end
 }
 
 // start starts the machines and those who send orders.
-func (w *simulation) start() {
-	for i := range w.profile.Nodes {
-		m := &simulatedNode{sim: w, number: i}
-		w.nodes = append(w.nodes, m)
-		w.after(w.durationBetween(0, time.Second), m.start)
+func (sim *simulation) start() {
+	for i := range sim.profile.Nodes {
+		node := &simulatedNode{sim: sim, number: i}
+		sim.nodes = append(sim.nodes, node)
+		sim.after(sim.durationBetween(0, time.Second), node.start)
 	}
 	for i := range 3 {
-		w.addConfigurationClient(i)
+		sim.addConfigurationClient(i)
 	}
 	for _, zone := range simulatedZones {
-		w.addEvacuationClient(zone)
+		sim.addEvacuationClient(zone)
 	}
-	w.after(time.Second, w.injectFault)
+	sim.after(time.Second, sim.injectFault)
 }
 
 // injectFault does one thing to the machines.
-func (w *simulation) injectFault() {
-	if !w.faultsActive {
+func (sim *simulation) injectFault() {
+	if !sim.faultsActive {
 		return
 	}
-	w.after(w.durationBetween(w.profile.FaultInterval/4, w.profile.FaultInterval), w.injectFault)
-	m := w.nodes[w.random.IntN(len(w.nodes))]
-	span := w.logUniform(5*time.Millisecond, 5*time.Second)
-	switch w.random.IntN(7) {
+	sim.after(sim.durationBetween(sim.profile.FaultInterval/4, sim.profile.FaultInterval), sim.injectFault)
+	node := sim.nodes[sim.random.IntN(len(sim.nodes))]
+	span := sim.logUniform(5*time.Millisecond, 5*time.Second)
+	switch sim.random.IntN(7) {
 	case 0, 1:
-		m.restart(span)
+		node.restart(span)
 	case 2:
-		w.logf("all are killed")
-		for _, p := range w.inFlight {
-			p.dropped = p.dropped || w.chance(0.5)
+		sim.logf("all are killed")
+		for _, p := range sim.inFlight {
+			p.dropped = p.dropped || sim.chance(0.5)
 		}
-		for _, each := range w.nodes {
-			each.restart(w.durationBetween(time.Millisecond, span))
+		for _, each := range sim.nodes {
+			each.restart(sim.durationBetween(time.Millisecond, span))
 		}
 	case 3:
-		w.logf("%d freezes for %v", m.number, span)
-		m.frozenUntil = max(m.frozenUntil, w.now+span)
+		sim.logf("%d freezes for %v", node.number, span)
+		node.frozenUntil = max(node.frozenUntil, sim.now+span)
 	case 4:
-		w.logf("no majority for %v", span)
-		w.noQuorumUntil = max(w.noQuorumUntil, w.now+span)
+		sim.logf("no majority for %v", span)
+		sim.noQuorumUntil = max(sim.noQuorumUntil, sim.now+span)
 	case 5:
-		m.takeSnapshot()
+		node.takeSnapshot()
 	case 6:
-		w.logf("%d is replaced by an empty machine", m.number)
-		m.kill()
-		m.snapshot, m.snapshotIndex = nil, 0
-		w.after(span, m.start)
+		sim.logf("%d is replaced by an empty machine", node.number)
+		node.kill()
+		node.snapshot, node.snapshotIndex = nil, 0
+		sim.after(span, node.start)
 	}
 }
 
 // heal ends all faults.
-func (w *simulation) heal() {
-	w.logf("all faults end")
-	w.faultsActive, w.noQuorumUntil = false, 0
-	for _, m := range w.nodes {
-		m.frozenUntil = w.now
-		m.start()
-	}
-	for _, client := range w.clients {
+func (sim *simulation) heal() {
+	sim.logf("all faults end")
+	sim.faultsActive, sim.noQuorumUntil = false, 0
+	for _, node := range sim.nodes {
+		node.frozenUntil = sim.now
+		node.start()
+	}
+	for _, client := range sim.clients {
 		client.finish()
 	}
 }
 
 // start starts a machine's process from its snapshot; the log comes after it.
-func (m *simulatedNode) start() {
-	if m.up {
+func (n *simulatedNode) start() {
+	if n.up {
 		return
 	}
-	m.up = true
-	m.incarnation++
-	m.state, m.applied = m.newState(), 0
-	if m.snapshot != nil {
-		m.restore(m.snapshot, m.snapshotIndex)
+	n.up = true
+	n.incarnation++
+	n.state, n.applied = n.newState(), 0
+	if n.snapshot != nil {
+		n.restore(n.snapshot, n.snapshotIndex)
 	}
-	m.scheduleApply(len(m.sim.log))
+	n.scheduleApply(len(n.sim.log))
 }
 
-func (m *simulatedNode) newState() *state.Configuration {
-	return state.NewConfiguration(func() time.Duration { return m.sim.now }, func() {})
+func (n *simulatedNode) newState() *state.Configuration {
+	return state.NewConfiguration(func() time.Duration { return n.sim.now }, func() {})
 }
 
-func (m *simulatedNode) restore(snapshot []byte, at int) {
-	if err := m.state.Restore(uint64(at), snapshot); err != nil {
-		m.sim.fail("machine %d does not take a snapshot: %v", m.number, err)
+func (n *simulatedNode) restore(snapshot []byte, at int) {
+	if err := n.state.Restore(uint64(at), snapshot); err != nil {
+		n.sim.fail("machine %d does not take a snapshot: %v", n.number, err)
 	}
-	m.applied = at
+	n.applied = at
 }
 
 // restart kills the process and starts it again.
-func (m *simulatedNode) restart(down time.Duration) {
-	m.kill()
-	m.sim.after(down, m.start)
+func (n *simulatedNode) restart(down time.Duration) {
+	n.kill()
+	n.sim.after(down, n.start)
 }
 
-func (m *simulatedNode) kill() {
-	if !m.up {
+func (n *simulatedNode) kill() {
+	if !n.up {
 		return
 	}
-	m.sim.logf("%d is killed", m.number)
-	m.up = false
-	m.incarnation++
-	for _, t := range m.tasks {
+	n.sim.logf("%d is killed", n.number)
+	n.up = false
+	n.incarnation++
+	for _, t := range n.tasks {
 		t.stopNow()
 	}
-	m.tasks, m.waiters = nil, nil
-	m.frozenUntil = m.sim.now
+	n.tasks, n.waiters = nil, nil
+	n.frozenUntil = n.sim.now
 }
 
-func (m *simulatedNode) takeSnapshot() {
-	if m.up {
-		m.snapshot, m.snapshotIndex = m.state.Snapshot(), m.applied
-		if m.sim.mutation.lossySnapshots {
-			m.snapshot = snapshotWithoutChanges(m.state)
+func (n *simulatedNode) takeSnapshot() {
+	if n.up {
+		n.snapshot, n.snapshotIndex = n.state.Snapshot(), n.applied
+		if n.sim.mutation.lossySnapshots {
+			n.snapshot = snapshotWithoutChanges(n.state)
 		}
 	}
 }
 
 // whenRunning does something of this life of the process, once it is not frozen.
-func (m *simulatedNode) whenRunning(do func()) {
-	life := m.incarnation
+func (n *simulatedNode) whenRunning(do func()) {
+	life := n.incarnation
 	var look func()
 	look = func() {
 		switch {
-		case !m.up || m.incarnation != life:
-		case m.sim.now < m.frozenUntil:
-			m.sim.after(m.frozenUntil-m.sim.now, look)
+		case !n.up || n.incarnation != life:
+		case n.sim.now < n.frozenUntil:
+			n.sim.after(n.frozenUntil-n.sim.now, look)
 		default:
 			do()
 		}
@@ -299,51 +301,51 @@
 }
 
 // scheduleApply has the machine apply the log up to an index after a while.
-func (m *simulatedNode) scheduleApply(index int) {
-	if !m.up {
+func (n *simulatedNode) scheduleApply(index int) {
+	if !n.up {
 		return
 	}
-	life := m.incarnation
-	m.sim.after(m.sim.networkDelay(), func() {
-		if m.incarnation == life {
-			m.whenRunning(func() { m.applyTo(index) })
+	life := n.incarnation
+	n.sim.after(n.sim.networkDelay(), func() {
+		if n.incarnation == life {
+			n.whenRunning(func() { n.applyTo(index) })
 		}
 	})
 }
 
 // applyTo applies the log up to an index, by a snapshot of another machine at times.
-func (m *simulatedNode) applyTo(index int) {
-	w := m.sim
-	if other := w.nodes[w.random.IntN(len(w.nodes))]; other.up && other.applied > m.applied+5 && w.chance(0.3) {
-		m.restore(other.state.Snapshot(), other.applied)
-	}
-	for m.applied < index {
-		entry := &w.log[m.applied]
-		m.applied++
-		command := w.mutateCommand(m.state, m.applied, entry.command)
-		result := m.state.Apply(uint64(m.applied), command)
+func (n *simulatedNode) applyTo(index int) {
+	sim := n.sim
+	if other := sim.nodes[sim.random.IntN(len(sim.nodes))]; other.up && other.applied > n.applied+5 && sim.chance(0.3) {
+		n.restore(other.state.Snapshot(), other.applied)
+	}
+	for n.applied < index {
+		entry := &sim.log[n.applied]
+		n.applied++
+		command := sim.mutateCommand(n.state, n.applied, entry.command)
+		result := n.state.Apply(uint64(n.applied), command)
 		if string(result) != entry.result {
-			w.fail("machine %d comes to another result at %d than was agreed on", m.number, m.applied)
+			sim.fail("machine %d comes to another result at %d than was agreed on", n.number, n.applied)
 		}
 	}
 	var waiting []appliedWaiter
-	for _, wait := range m.waiters {
-		if wait.index <= m.applied {
-			w.after(0, wait.resume)
+	for _, wait := range n.waiters {
+		if wait.index <= n.applied {
+			sim.after(0, wait.resume)
 		} else {
 			waiting = append(waiting, wait)
 		}
 	}
-	m.waiters = waiting
+	n.waiters = waiting
 }
 
 // commit puts a command into the log, and has the machines learn of it.
-func (w *simulation) commit(command []byte) []byte {
-	index := len(w.log) + 1
-	result := w.checker.apply(index, command)
-	w.log = append(w.log, logEntry{command: command, result: string(result)})
-	for _, m := range w.nodes {
-		m.scheduleApply(index)
+func (sim *simulation) commit(command []byte) []byte {
+	index := len(sim.log) + 1
+	result := sim.checker.apply(index, command)
+	sim.log = append(sim.log, logEntry{command: command, result: string(result)})
+	for _, node := range sim.nodes {
+		node.scheduleApply(index)
 	}
 	return result
 }
@@ -363,13 +365,13 @@
 type suspension func(resume func())
 
 // runHandler runs a handler on the machine.
-func (m *simulatedNode) runHandler(gone bool, handle func(t *handlerTask)) *handlerTask {
-	t := &handlerTask{node: m, deadline: m.sim.now + ResponseTimeout, cancelled: gone}
+func (n *simulatedNode) runHandler(gone bool, handle func(t *handlerTask)) *handlerTask {
+	t := &handlerTask{node: n, deadline: n.sim.now + ResponseTimeout, cancelled: gone}
 	t.next, t.stop = iter.Pull(iter.Seq[suspension](func(yield func(suspension) bool) {
 		t.yield = yield
 		handle(t)
 	}))
-	m.tasks = append(m.tasks, t)
+	n.tasks = append(n.tasks, t)
 	t.step()
 	return t
 }
@@ -452,28 +454,28 @@
 
 // Barrier holds for what was agreed on before the call, and not always for more.
 func (r *simulatedReplicas) Barrier(context.Context, feed.Partition) error {
-	t, m := r.task, r.task.node
-	w := m.sim
-	if w.mutation.staleReads {
+	t, node := r.task, r.task.node
+	sim := node.sim
+	if sim.mutation.staleReads {
 		return nil
 	}
-	if w.now < w.noQuorumUntil || w.faultsActive && w.chance(0.05) {
-		t.sleep(min(t.remaining(), w.durationBetween(0, 400*time.Millisecond)))
+	if sim.now < sim.noQuorumUntil || sim.faultsActive && sim.chance(0.05) {
+		t.sleep(min(t.remaining(), sim.durationBetween(0, 400*time.Millisecond)))
 		return &replica.UnavailableError{}
 	}
-	index := len(w.log)
-	if !t.sleep(w.durationBetween(w.profile.Delay/2, 2*w.profile.Delay)) {
+	index := len(sim.log)
+	if !t.sleep(sim.durationBetween(sim.profile.Delay/2, 2*sim.profile.Delay)) {
 		return errProcessKilled
 	}
-	if w.chance(0.5) {
-		index = len(w.log)
+	if sim.chance(0.5) {
+		index = len(sim.log)
 	}
-	if m.applied < index {
+	if node.applied < index {
 		inTime := t.await(func(resume func()) {
-			m.waiters = append(m.waiters, appliedWaiter{index, resume})
-			w.after(t.remaining(), resume)
+			node.waiters = append(node.waiters, appliedWaiter{index, resume})
+			sim.after(t.remaining(), resume)
 		})
-		if !inTime || m.applied < index {
+		if !inTime || node.applied < index {
 			return &replica.UnavailableError{}
 		}
 	}
@@ -483,53 +485,53 @@
 // Propose has a command agreed on soon, late or never, and tells what became of it or not.
 func (r *simulatedReplicas) Propose(_ context.Context, _ feed.Partition, command []byte) ([]byte, error) {
 	t := r.task
-	w := t.node.sim
-	if w.now < w.noQuorumUntil || w.faultsActive && w.chance(0.05) || t.remaining() == 0 && !w.chance(0.5) {
-		t.sleep(min(t.remaining(), w.durationBetween(0, 400*time.Millisecond)))
+	sim := t.node.sim
+	if sim.now < sim.noQuorumUntil || sim.faultsActive && sim.chance(0.05) || t.remaining() == 0 && !sim.chance(0.5) {
+		t.sleep(min(t.remaining(), sim.durationBetween(0, 400*time.Millisecond)))
 		return nil, &replica.UnavailableError{}
 	}
-	if e := decodeCommand(command).evacuation; e != nil && w.mutation.skipNoopEvacuations {
+	if e := decodeCommand(command).evacuation; e != nil && sim.mutation.skipNoopEvacuations {
 		if t.node.state.Evacuation(e.Zone).On == e.On {
 			return state.Result{Outcome: state.AlreadyAccepted}.Encode(), nil
 		}
 	}
-	if w.mutation.acknowledgeEarly {
-		w.propose(command, func([]byte) {})
-		return state.Result{Outcome: state.Accepted, Number: w.checker.versionOf(command)}.Encode(), nil
+	if sim.mutation.acknowledgeEarly {
+		sim.propose(command, func([]byte) {})
+		return state.Result{Outcome: state.Accepted, Number: sim.checker.versionOf(command)}.Encode(), nil
 	}
 	var result []byte
-	unknown := w.faultsActive && w.chance(w.profile.UnknownRatio)
+	unknown := sim.faultsActive && sim.chance(sim.profile.UnknownRatio)
 	alive := t.await(func(resume func()) {
-		w.propose(command, func(answer []byte) {
+		sim.propose(command, func(answer []byte) {
 			if !unknown {
 				result = answer
-				w.after(w.networkDelay(), resume)
+				sim.after(sim.networkDelay(), resume)
 			}
 		})
-		w.after(max(w.durationBetween(0, t.remaining()), t.remaining()/2), resume)
+		sim.after(max(sim.durationBetween(0, t.remaining()), t.remaining()/2), resume)
 	})
 	switch {
 	case !alive:
 		return nil, errProcessKilled
 	case result != nil:
 		return result, nil
-	case w.mutation.rejectUnknown:
+	case sim.mutation.rejectUnknown:
 		return state.Result{Outcome: state.Conflict}.Encode(), nil
 	}
 	return nil, &replica.UnknownOutcomeError{}
 }
 
 // propose brings a command on its way: it is lost, or agreed on once.
-func (w *simulation) propose(command []byte, agreed func(result []byte)) {
-	if w.faultsActive && w.chance(0.1) {
+func (sim *simulation) propose(command []byte, agreed func(result []byte)) {
+	if sim.faultsActive && sim.chance(0.1) {
 		return
 	}
 	p := &pendingProposal{}
-	w.inFlight = append(w.inFlight, p)
-	w.after(w.networkDelay(), func() {
-		w.inFlight = slices.DeleteFunc(w.inFlight, func(other *pendingProposal) bool { return other == p })
+	sim.inFlight = append(sim.inFlight, p)
+	sim.after(sim.networkDelay(), func() {
+		sim.inFlight = slices.DeleteFunc(sim.inFlight, func(other *pendingProposal) bool { return other == p })
 		if !p.dropped {
-			agreed(w.commit(command))
+			agreed(sim.commit(command))
 		}
 	})
 }
@@ -539,21 +541,21 @@
 
 // Standing is the state machine's, with a shorter memory where the profile says so.
 func (o *simulatedState) Standing(basedOn uint64, digest state.Digest) state.Standing {
-	m := o.task.node
-	w := m.sim
-	standing := m.state.Standing(basedOn, digest)
-	if w.mutation.splitLookup && standing.Verdict == state.Open {
-		o.task.sleep(w.durationBetween(0, w.profile.Delay))
-		if standing = m.state.Standing(basedOn, digest); standing.Verdict != state.Open {
+	node := o.task.node
+	sim := node.sim
+	standing := node.state.Standing(basedOn, digest)
+	if sim.mutation.splitLookup && standing.Verdict == state.Open {
+		o.task.sleep(sim.durationBetween(0, sim.profile.Delay))
+		if standing = node.state.Standing(basedOn, digest); standing.Verdict != state.Open {
 			standing.Verdict = state.Superseded
 		}
 	}
 	old := standing.Verdict == state.Taken || standing.Verdict == state.Superseded
-	if old && w.profile.HistoryLimit > 0 && w.checker.countChanges(basedOn, m.state.Version()) > w.profile.HistoryLimit {
+	if old && sim.profile.HistoryLimit > 0 && sim.checker.countChanges(basedOn, node.state.Version()) > sim.profile.HistoryLimit {
 		standing.Verdict = state.Forgotten
 	}
-	if w.mutation.rejectForgotten && standing.Verdict == state.Forgotten ||
-		w.mutation.rejectEarly && standing.Verdict == state.Early {
+	if sim.mutation.rejectForgotten && standing.Verdict == state.Forgotten ||
+		sim.mutation.rejectEarly && standing.Verdict == state.Early {
 		standing.Verdict = state.Superseded
 	}
 	return standing
