--- a/internal/system/discovery/answer.go
+++ b/internal/system/discovery/answer.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	statusOK      = 200
-	statusTooMany = 429
-	// maxHeaders bounds the header lines of an answer.
-	maxHeaders = 100
+	statusOK              = 200
+	statusTooManyRequests = 429
+	// maxHeaderLines bounds the header lines of an answer.
+	maxHeaderLines = 100
 )
 
 // MalformedResponseError says that the platform's bytes are not an HTTP/1.1 answer that the client understands.
@@ -24,51 +24,51 @@
 	return fmt.Sprintf("discovery: the platform's answer cannot be read: %s", e.Reason)
 }
 
-// answer is an HTTP/1.1 answer.
-type answer struct {
-	status     int
-	body       []byte
-	retryAfter time.Duration
-	closes     bool // the connection is not to be used again
-	length     int  // of the body; -1: not told
-	chunked    bool
+// response is an HTTP/1.1 answer.
+type response struct {
+	status          int
+	body            []byte
+	retryAfter      time.Duration
+	closeConnection bool // the connection is not to be used again
+	contentLength   int  // of the body; -1: not told
+	chunked         bool
 }
 
-// readAnswer reads an answer whole.
-func readAnswer(reader *bufio.Reader) (answer, error) {
-	got, err := readHead(reader)
-	for err == nil && got.status >= 100 && got.status < 200 {
-		got, err = readHead(reader)
+// readResponse reads an answer whole.
+func readResponse(reader *bufio.Reader) (response, error) {
+	parsed, err := readResponseHead(reader)
+	for err == nil && parsed.status >= 100 && parsed.status < 200 {
+		parsed, err = readResponseHead(reader)
 	}
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	got.body, err = readBody(reader, &got)
-	return got, err
+	parsed.body, err = readBody(reader, &parsed)
+	return parsed, err
 }
 
-func readHead(reader *bufio.Reader) (answer, error) {
+func readResponseHead(reader *bufio.Reader) (response, error) {
 	line, err := readLine(reader)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	got := answer{length: -1}
-	if err := got.readStatus(line); err != nil {
-		return answer{}, err
+	head := response{contentLength: -1}
+	if err := head.parseStatusLine(line); err != nil {
+		return response{}, err
 	}
-	for range maxHeaders {
+	for range maxHeaderLines {
 		line, err := readLine(reader)
 		if err != nil {
-			return answer{}, err
+			return response{}, err
 		}
 		if line == "" {
-			return got, nil
+			return head, nil
 		}
-		if err := got.readHeader(line); err != nil {
-			return answer{}, err
+		if err := head.parseHeader(line); err != nil {
+			return response{}, err
 		}
 	}
-	return answer{}, &MalformedResponseError{Reason: "it has too many headers"}
+	return response{}, &MalformedResponseError{Reason: "it has too many headers"}
 }
 
 func readLine(reader *bufio.Reader) (string, error) {
@@ -85,7 +85,7 @@
 	return strings.TrimSuffix(string(line[:len(line)-1]), "\r"), nil
 }
 
-func (a *answer) readStatus(line string) error {
+func (a *response) parseStatusLine(line string) error {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
@@ -93,11 +93,11 @@
 		return &MalformedResponseError{Reason: "it does not begin with a status line"}
 	}
 	a.status = status
-	a.closes = version != "HTTP/1.1"
+	a.closeConnection = version != "HTTP/1.1"
 	return nil
 }
 
-func (a *answer) readHeader(line string) error {
+func (a *response) parseHeader(line string) error {
 	name, value, found := strings.Cut(line, ":")
 	if !found {
 		return &MalformedResponseError{Reason: "a header has no colon"}
@@ -109,33 +109,33 @@
 		if err != nil {
 			return &MalformedResponseError{Reason: "its length is not a number"}
 		}
-		a.length = int(length)
+		a.contentLength = int(length)
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") {
 			return &MalformedResponseError{Reason: "its transfer encoding is not known"}
 		}
 		a.chunked = true
 	case "connection":
-		a.closes = a.closes || strings.EqualFold(value, "close")
+		a.closeConnection = a.closeConnection || strings.EqualFold(value, "close")
 	case "retry-after":
-		a.retryAfter = parseSeconds(value)
+		a.retryAfter = parseRetryAfter(value)
 	}
 	return nil
 }
 
-func readBody(reader *bufio.Reader, head *answer) ([]byte, error) {
+func readBody(reader *bufio.Reader, head *response) ([]byte, error) {
 	switch {
 	case head.status == 204 || head.status == 304:
 		return nil, nil
 	case head.chunked:
-		return readChunks(reader)
-	case head.length >= 0:
-		return readBytes(reader, nil, head.length)
+		return readChunkedBody(reader)
+	case head.contentLength >= 0:
+		return readBytes(reader, nil, head.contentLength)
 	}
-	head.closes = true
+	head.closeConnection = true
 	body, err := io.ReadAll(io.LimitReader(reader, maxPageBytes+1))
 	if err == nil && len(body) > maxPageBytes {
-		err = tooLong()
+		err = bodyTooLongError()
 	}
 	return body, err
 }
@@ -143,7 +143,7 @@
 // readBytes appends count bytes to what came before.
 func readBytes(reader *bufio.Reader, before []byte, count int) ([]byte, error) {
 	if count > maxPageBytes-len(before) {
-		return nil, tooLong()
+		return nil, bodyTooLongError()
 	}
 	body := append(before, make([]byte, count)...)
 	_, err := io.ReadFull(reader, body[len(before):])
@@ -153,7 +153,7 @@
 	return body, err
 }
 
-func readChunks(reader *bufio.Reader) ([]byte, error) {
+func readChunkedBody(reader *bufio.Reader) ([]byte, error) {
 	var body []byte
 	for {
 		line, err := readLine(reader)
@@ -178,7 +178,7 @@
 }
 
 func skipTrailer(reader *bufio.Reader) error {
-	for range maxHeaders {
+	for range maxHeaderLines {
 		line, err := readLine(reader)
 		if err != nil || line == "" {
 			return err
@@ -187,4 +187,4 @@
 	return &MalformedResponseError{Reason: "its trailer is too long"}
 }
 
-func tooLong() error { return &MalformedResponseError{Reason: "its body is too long"} }
+func bodyTooLongError() error { return &MalformedResponseError{Reason: "its body is too long"} }
--- a/internal/system/discovery/client.go
+++ b/internal/system/discovery/client.go
@@ -18,8 +18,8 @@
 	maxPages = 1000
 	// maxPageBytes bounds the body of one page.
 	maxPageBytes = 4 << 20
-	// bufferBytes is the size of the connection's read buffer, and so the longest line of an answer's head.
-	bufferBytes = 4 << 10
+	// readBufferBytes is the size of the connection's read buffer, and so the longest line of an answer's head.
+	readBufferBytes = 4 << 10
 	// defaultTimeout bounds one call if the options say nothing.
 	defaultTimeout = time.Second
 )
@@ -67,7 +67,7 @@
 type Client struct {
 	options ClientOptions
 
-	mutex      sync.Mutex
+	mu         sync.Mutex
 	connection net.Conn
 	reader     *bufio.Reader
 	calls      uint64
@@ -86,23 +86,23 @@
 
 // ListZone is the list of one zone; empty: of all of them.
 func (c *Client) ListZone(ctx context.Context, zone string) ([]Runner, error) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var runners []Runner
 	token := ""
 	seen := map[string]bool{}
 	for range maxPages {
-		body, err := c.page(ctx, zone, token)
+		body, err := c.fetchPage(ctx, zone, token)
 		if err != nil {
 			return nil, err
 		}
 		page, next, err := DecodeList(body)
-		if err := c.tolerate(err); err != nil {
+		if err := c.reportSkipped(err); err != nil {
 			return nil, err
 		}
 		runners = append(runners, page...)
 		if next == "" {
-			return unique(runners), nil
+			return deduplicate(runners), nil
 		}
 		if seen[next] {
 			return nil, &EndlessPaginationError{Token: next}
@@ -115,69 +115,69 @@
 
 // CallCount is how many calls were sent to the platform so far.
 func (c *Client) CallCount() uint64 {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	return c.calls
 }
 
 // Close closes the kept connection. The client may be used again.
 func (c *Client) Close() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	c.disconnect()
 }
 
-func (c *Client) tolerate(err error) error {
-	var dropped *SkippedEntriesError
-	if !errors.As(err, &dropped) {
+func (c *Client) reportSkipped(err error) error {
+	var skipped *SkippedEntriesError
+	if !errors.As(err, &skipped) {
 		return err
 	}
 	if c.options.OnSkippedEntries != nil {
-		c.options.OnSkippedEntries(dropped)
+		c.options.OnSkippedEntries(skipped)
 	}
 	return nil
 }
 
-// unique leaves of entries with the same id the last one: a runner may move to a later page while the pages are
+// deduplicate leaves of entries with the same id the last one: a runner may move to a later page while the pages are
 // fetched.
-func unique(runners []Runner) []Runner {
-	places := make(map[string]int, len(runners))
+func deduplicate(runners []Runner) []Runner {
+	positions := make(map[string]int, len(runners))
 	kept := runners[:0]
 	for _, runner := range runners {
-		if place, known := places[runner.ID]; known {
-			kept[place] = runner
+		if position, known := positions[runner.ID]; known {
+			kept[position] = runner
 			continue
 		}
-		places[runner.ID] = len(kept)
+		positions[runner.ID] = len(kept)
 		kept = append(kept, runner)
 	}
 	return kept
 }
 
-// page fetches a page. A kept connection that the platform closed before it began to answer is replaced once.
-func (c *Client) page(ctx context.Context, zone, token string) ([]byte, error) {
+// fetchPage fetches a page. A kept connection that the platform closed before it began to answer is replaced once.
+func (c *Client) fetchPage(ctx context.Context, zone, token string) ([]byte, error) {
 	deadline := time.Now().Add(c.options.Timeout)
 	if earlier, ok := ctx.Deadline(); ok && earlier.Before(deadline) {
 		deadline = earlier
 	}
-	kept := c.connection != nil
-	answer, begun, err := c.call(ctx, deadline, target(zone, token))
-	if err != nil && kept && !begun && ctx.Err() == nil && time.Now().Before(deadline) {
-		answer, _, err = c.call(ctx, deadline, target(zone, token))
+	reused := c.connection != nil
+	received, started, err := c.roundTrip(ctx, deadline, requestTarget(zone, token))
+	if err != nil && reused && !started && ctx.Err() == nil && time.Now().Before(deadline) {
+		received, _, err = c.roundTrip(ctx, deadline, requestTarget(zone, token))
 	}
 	if err != nil {
 		return nil, fmt.Errorf("discovery: call the platform at %v: %w", c.options.Address, err)
 	}
 	switch {
-	case answer.status == statusTooMany:
-		return nil, &RateLimitedError{RetryAfter: answer.retryAfter}
-	case answer.status != statusOK:
-		return nil, &StatusError{Status: answer.status}
+	case received.status == statusTooManyRequests:
+		return nil, &RateLimitedError{RetryAfter: received.retryAfter}
+	case received.status != statusOK:
+		return nil, &StatusError{Status: received.status}
 	}
-	return answer.body, nil
+	return received.body, nil
 }
 
-func target(zone, token string) string {
+func requestTarget(zone, token string) string {
 	query := url.Values{}
 	if zone != "" {
 		query.Set("zone", zone)
@@ -191,44 +191,44 @@
 	return "/servers?" + query.Encode()
 }
 
-// call sends a request and reads its answer. begun says whether anything of the answer came.
-func (c *Client) call(ctx context.Context, deadline time.Time, target string) (answer, bool, error) {
+// roundTrip sends a request and reads its answer. begun says whether anything of the answer came.
+func (c *Client) roundTrip(ctx context.Context, deadline time.Time, target string) (response, bool, error) {
 	if err := c.connect(ctx, deadline); err != nil {
-		return answer{}, false, err
+		return response{}, false, err
 	}
 	if c.options.AllowCall != nil {
 		if err := c.options.AllowCall(); err != nil {
-			return answer{}, true, err
+			return response{}, true, err
 		}
 	}
 	connection := c.connection
 	if err := connection.SetDeadline(deadline); err != nil {
 		c.disconnect()
-		return answer{}, false, err
+		return response{}, false, err
 	}
 	stop := context.AfterFunc(ctx, func() { _ = connection.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	c.calls++
-	got, begun, err := c.exchange(target)
-	if err != nil || got.closes {
+	received, started, err := c.exchange(target)
+	if err != nil || received.closeConnection {
 		c.disconnect()
 	}
 	if err != nil && ctx.Err() != nil {
 		err = ctx.Err()
 	}
-	return got, begun, err
+	return received, started, err
 }
 
-func (c *Client) exchange(target string) (answer, bool, error) {
+func (c *Client) exchange(target string) (response, bool, error) {
 	request := "GET " + target + " HTTP/1.1\r\nHost: " + c.options.Address.String() + "\r\n\r\n"
 	if _, err := c.connection.Write([]byte(request)); err != nil {
-		return answer{}, false, err
+		return response{}, false, err
 	}
 	if _, err := c.reader.Peek(1); err != nil {
-		return answer{}, false, err
+		return response{}, false, err
 	}
-	got, err := readAnswer(c.reader)
-	return got, true, err
+	received, err := readResponse(c.reader)
+	return received, true, err
 }
 
 func (c *Client) connect(ctx context.Context, deadline time.Time) error {
@@ -241,7 +241,7 @@
 		return err
 	}
 	c.connection = connection
-	c.reader = bufio.NewReaderSize(connection, bufferBytes)
+	c.reader = bufio.NewReaderSize(connection, readBufferBytes)
 	return nil
 }
 
@@ -254,7 +254,7 @@
 	c.reader = nil
 }
 
-func parseSeconds(text string) time.Duration {
+func parseRetryAfter(text string) time.Duration {
 	const longest = 1 << 62
 	seconds, err := strconv.ParseFloat(text, 64)
 	length := seconds * float64(time.Second)
--- a/internal/system/discovery/client_test.go
+++ b/internal/system/discovery/client_test.go
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// generous bounds what takes no time unless something is wrong.
-const generous = time.Minute
+// testTimeout bounds what takes no time unless something is wrong.
+const testTimeout = time.Minute
 
-func clientOf(t *testing.T, handler http.Handler) (*Client, *atomic.Int64) {
+func newTestClient(t *testing.T, handler http.Handler) (*Client, *atomic.Int64) {
 	t.Helper()
 	var connections atomic.Int64
 	server := httptest.NewUnstartedServer(handler)
@@ -30,26 +30,26 @@
 	server.Start()
 	t.Cleanup(server.Close)
 	address := netip.MustParseAddrPort(server.Listener.Addr().String())
-	client := NewClient(ClientOptions{Address: address, Timeout: generous})
+	client := NewClient(ClientOptions{Address: address, Timeout: testTimeout})
 	t.Cleanup(client.Close)
 	return client, &connections
 }
 
-func instance(id string) string {
+func instanceJSON(id string) string {
 	return fmt.Sprintf(`{"id":%q,"service":"s","address":"10.0.0.1:80","state":"serving"}`, id)
 }
 
-func TestClientFollowsPagesOverOneConnection(t *testing.T) {
-	client, connections := clientOf(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+func TestClientListPaginatesOverOneConnection(t *testing.T) {
+	client, connections := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/servers" || r.URL.Query().Get("zone") != "a b" {
 			t.Errorf("asked for %v", r.URL)
 		}
 		switch r.URL.Query().Get("page_token") {
 		case "":
-			fmt.Fprintf(w, `{"instances":[%s,%s],"next_token":"p&2"}`, instance("a"), instance("b"))
+			fmt.Fprintf(w, `{"instances":[%s,%s],"next_token":"p&2"}`, instanceJSON("a"), instanceJSON("b"))
 		case "p&2":
 			w.(http.Flusher).Flush() // comes in chunks
-			fmt.Fprintf(w, `{"instances":[%s,%s],"next_token":null}`, instance("b"), instance("c"))
+			fmt.Fprintf(w, `{"instances":[%s,%s],"next_token":null}`, instanceJSON("b"), instanceJSON("c"))
 		default:
 			t.Errorf("asked for %v", r.URL)
 		}
@@ -65,9 +65,9 @@
 	}
 }
 
-func TestClientAsksForEachCall(t *testing.T) {
-	client, _ := clientOf(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		fmt.Fprintf(w, `{"instances":[%s],"next_token":"more"}`, instance("a"))
+func TestClientChecksAllowCallBeforeEachCall(t *testing.T) {
+	client, _ := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		fmt.Fprintf(w, `{"instances":[%s],"next_token":"more"}`, instanceJSON("a"))
 	}))
 	refused := errors.New("refused")
 	asked := 0
@@ -83,8 +83,8 @@
 	}
 }
 
-func TestClientTellsARefusalByRate(t *testing.T) {
-	client, _ := clientOf(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+func TestClientRateLimited(t *testing.T) {
+	client, _ := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "0.25")
 		w.WriteHeader(http.StatusTooManyRequests)
 	}))
@@ -94,8 +94,8 @@
 	}
 }
 
-func TestClientTellsOtherFailures(t *testing.T) {
-	client, _ := clientOf(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+func TestClientStatusError(t *testing.T) {
+	client, _ := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusInternalServerError)
 	}))
 	var failure *StatusError
@@ -104,8 +104,8 @@
 	}
 }
 
-func TestClientStopsAtPagesWithoutEnd(t *testing.T) {
-	client, _ := clientOf(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+func TestClientEndlessPagination(t *testing.T) {
+	client, _ := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, `{"instances":[],"next_token":"again"}`)
 	}))
 	var endless *EndlessPaginationError
@@ -114,9 +114,9 @@
 	}
 }
 
-func TestClientReportsEntriesThatWereLeftOut(t *testing.T) {
-	client, _ := clientOf(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		fmt.Fprintf(w, `{"instances":[{},%s]}`, instance("a"))
+func TestClientReportsSkippedEntries(t *testing.T) {
+	client, _ := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		fmt.Fprintf(w, `{"instances":[{},%s]}`, instanceJSON("a"))
 	}))
 	told := 0
 	client.options.OnSkippedEntries = func(dropped *SkippedEntriesError) { told += dropped.Skipped }
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestClientConnectsAgainWhenTheKeptConnectionWasClosed(t *testing.T) {
+func TestClientReconnectsAfterServerClose(t *testing.T) {
 	listener := listen(t)
 	go func() {
 		for {
@@ -140,7 +140,7 @@
 			_ = connection.Close()
 		}
 	}()
-	client := NewClient(ClientOptions{Address: addressOf(listener), Timeout: generous})
+	client := NewClient(ClientOptions{Address: addressOf(listener), Timeout: testTimeout})
 	defer client.Close()
 	for range 3 {
 		if _, err := client.List(context.Background()); err != nil {
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestClientGivesUpWhenItsCallerDoes(t *testing.T) {
+func TestClientListCancelled(t *testing.T) {
 	listener := listen(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -160,32 +160,32 @@
 		readRequest(connection)
 		cancel()
 	}()
-	client := NewClient(ClientOptions{Address: addressOf(listener), Timeout: generous})
+	client := NewClient(ClientOptions{Address: addressOf(listener), Timeout: testTimeout})
 	defer client.Close()
 	if _, err := client.List(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got %v", err)
 	}
 }
 
-func TestReadAnswerRefusesWhatIsCutOrMalformed(t *testing.T) {
+func TestReadResponseRejectsMalformed(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n"
 	for _, text := range []string{
 		"", "HTTP/1.1", "SSH-2.0\r\n\r\n", head, head + "Content-Length: 5\r\n\r\nfour", head + "Content-Length: -1\r\n\r\n",
 		head + "no colon\r\n\r\n", head + "Transfer-Encoding: gzip\r\n\r\n", head + "Transfer-Encoding: chunked\r\n\r\nx\r\n",
 		head + "Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n0\r\n\r\n", head + "Content-Length: 99999999\r\n\r\n",
 	} {
-		if got, err := readAnswer(bufio.NewReader(bytes.NewReader([]byte(text)))); err == nil {
+		if got, err := readResponse(bufio.NewReader(bytes.NewReader([]byte(text)))); err == nil {
 			t.Errorf("%q was read as %+v", text, got)
 		}
 	}
 }
 
-func FuzzReadAnswer(f *testing.F) {
+func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\n{}\r\n0\r\nA: b\r\n\r\n"))
 	f.Add([]byte("HTTP/1.0 429 No\nRetry-After: 3\n\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		got, err := readAnswer(bufio.NewReaderSize(bytes.NewReader(text), bufferBytes))
+		got, err := readResponse(bufio.NewReaderSize(bytes.NewReader(text), readBufferBytes))
 		if err == nil && len(got.body) > len(text) {
 			t.Fatalf("%d bytes of body out of %d", len(got.body), len(text))
 		}
--- a/internal/system/discovery/codec.go
+++ b/internal/system/discovery/codec.go
@@ -9,8 +9,8 @@
 	"cinderroad/internal/system/codec"
 )
 
-// codecVersion is the first byte of an encoded runner.
-const codecVersion = 1
+// runnerFormatVersion is the first byte of an encoded runner.
+const runnerFormatVersion = 1
 
 // flagDraining marks an encoded runner that is draining.
 const flagDraining = 1
@@ -26,7 +26,7 @@
 // EncodeRunner is the compact form of a runner in the feed. Equal runners have equal encodings.
 func EncodeRunner(runner Runner) []byte {
 	data := make([]byte, 0, 96)
-	data = append(data, codecVersion, flags(runner))
+	data = append(data, runnerFormatVersion, encodeFlags(runner))
 	data = codec.AppendBytes(data, runner.ID)
 	data = codec.AppendBytes(data, runner.Service)
 	data = appendAddress(data, runner.Address)
@@ -43,7 +43,7 @@
 	return data
 }
 
-func flags(runner Runner) byte {
+func encodeFlags(runner Runner) byte {
 	if runner.Draining {
 		return flagDraining
 	}
@@ -58,7 +58,7 @@
 // DecodeRunner reads what Encode wrote. The error is a *MalformedRunnerError.
 func DecodeRunner(data []byte) (Runner, error) {
 	reader := codec.NewReader(data)
-	if reader.Byte("version") != codecVersion {
+	if reader.Byte("version") != runnerFormatVersion {
 		return Runner{}, &MalformedRunnerError{Field: "version"}
 	}
 	runner := Runner{Draining: reader.Byte("flags")&flagDraining != 0}
--- a/internal/system/discovery/discovery_test.go
+++ b/internal/system/discovery/discovery_test.go
@@ -10,14 +10,14 @@
 	"pgregory.net/rapid"
 )
 
-const page = `{"instances":[
+const listPage = `{"instances":[
  {"service":"engine","address":"10.128.0.9:8080","zone":"north-a","version":"v1","capacity":64,"state":"serving",
   "cold_left_ms":1500.5,"phase":"both","models":[{"name":"m","version":3,"adapters":[]}],"id":"i-1"},
  {"service":"engine","address":"10.128.0.10:8080","zone":"north-a","capacity":64,"state":"draining","id":"i-2",
   "time_left_ms":2500,"cold_left_ms":0,"models":null}],"next_token":"p-50","unknown":[1,{"a":null}]}`
 
-func TestDecodeListReadsAPage(t *testing.T) {
-	runners, next, err := DecodeList([]byte(page))
+func TestDecodeList(t *testing.T) {
+	runners, next, err := DecodeList([]byte(listPage))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestDecodeListLeavesOutEntriesThatMakeNoSense(t *testing.T) {
+func TestDecodeListSkipsInvalidEntries(t *testing.T) {
 	const body = `{"instances":[7,{"id":"a"},{"id":"b","service":"s","address":"nowhere","state":"serving"},
 	 {"id":"c","service":"s","address":"10.0.0.1:80","state":"serving","capacity":"many"},
 	 {"id":"d","service":"s","address":"10.0.0.1:80","state":"serving"}],"next_token":null}`
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestDecodeListTakesAnUnknownStateForDraining(t *testing.T) {
+func TestDecodeListUnknownStateIsDraining(t *testing.T) {
 	const body = `{"instances":[{"id":"a","service":"s","address":"10.0.0.1:80","state":"resting"}]}`
 	runners, _, err := DecodeList([]byte(body))
 	if err != nil || !runners[0].Draining {
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestDecodeListKeepsATimeLeftOfNothingApartFromNone(t *testing.T) {
+func TestDecodeListZeroTimeToTermination(t *testing.T) {
 	const body = `{"instances":[
 	 {"id":"a","service":"s","address":"10.0.0.1:80","state":"serving","time_left_ms":0}]}`
 	runners, _, err := DecodeList([]byte(body))
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestDecodeListRefusesWhatIsNoList(t *testing.T) {
+func TestDecodeListRejectsMalformed(t *testing.T) {
 	for _, body := range []string{"", "[]", "{}", `{"instances":3}`, `{"instances":[]`, `{"instances":[],"next_token":1}`} {
 		var unreadable *MalformedListError
 		if runners, _, err := DecodeList([]byte(body)); !errors.As(err, &unreadable) || runners != nil {
@@ -98,7 +98,7 @@
 	return runner
 }
 
-func TestDecodeReadsWhatEncodeWrote(t *testing.T) {
+func TestRunnerEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawRunner(t)
 		data := EncodeRunner(want)
@@ -116,7 +116,7 @@
 	})
 }
 
-func FuzzDecode(f *testing.F) {
+func FuzzDecodeRunner(f *testing.F) {
 	f.Add(EncodeRunner(Runner{}))
 	f.Add(EncodeRunner(Runner{
 		ID: "i-1", Service: "s", Address: netip.MustParseAddrPort("10.0.0.1:80"), Capacity: 3,
@@ -135,7 +135,7 @@
 }
 
 func FuzzDecodeList(f *testing.F) {
-	f.Add([]byte(page))
+	f.Add([]byte(listPage))
 	f.Add([]byte(`{"instances":[]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		runners, _, err := DecodeList(body)
@@ -151,7 +151,7 @@
 	})
 }
 
-func BenchmarkEncode(b *testing.B) {
+func BenchmarkEncodeRunner(b *testing.B) {
 	runner := benchmarkRunner()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -159,7 +159,7 @@
 	}
 }
 
-func BenchmarkDecode(b *testing.B) {
+func BenchmarkDecodeRunner(b *testing.B) {
 	data := EncodeRunner(benchmarkRunner())
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/system/discovery/list.go
+++ b/internal/system/discovery/list.go
@@ -36,63 +36,63 @@
 // DecodeList reads a page of the platform's list. next is the token of the page that follows, empty on the last one.
 // An entry that makes no sense is left out and reported in a *SkippedEntriesError beside the rest of the page; any
 // other error is an *MalformedListError, and there is no page then.
-func DecodeList(body []byte) (page []Runner, next string, err error) {
+func DecodeList(body []byte) (runners []Runner, nextToken string, err error) {
 	var decoder listDecoder
-	root, ok := jsonfield.Parse(body, &decoder.list)
-	if !ok || !root.ReadObject(decoder.readField) || !decoder.sawEntries || decoder.failed {
-		if !decoder.sawEntries {
-			decoder.list.Add("instances", "is missing")
+	root, ok := jsonfield.Parse(body, &decoder.problems)
+	if !ok || !root.ReadObject(decoder.readField) || !decoder.hasEntries || decoder.malformed {
+		if !decoder.hasEntries {
+			decoder.problems.Add("instances", "is missing")
 		}
-		return nil, "", &MalformedListError{Problems: decoder.list.Err()}
+		return nil, "", &MalformedListError{Problems: decoder.problems.Err()}
 	}
-	if decoder.dropped > 0 {
-		err = &SkippedEntriesError{Skipped: decoder.dropped, Problems: decoder.list.Err()}
+	if decoder.skipped > 0 {
+		err = &SkippedEntriesError{Skipped: decoder.skipped, Problems: decoder.problems.Err()}
 	}
-	return decoder.page, decoder.next, err
+	return decoder.runners, decoder.nextToken, err
 }
 
 type listDecoder struct {
-	list       validation.Problems
-	page       []Runner
-	next       string
-	dropped    int
-	sawEntries bool
-	failed     bool
+	problems   validation.Problems
+	runners    []Runner
+	nextToken  string
+	skipped    int
+	hasEntries bool
+	malformed  bool
 }
 
 func (d *listDecoder) readField(name string, value jsonfield.Value) {
 	switch name {
 	case "instances":
-		d.sawEntries = value.ReadArray(d.readEntry)
+		d.hasEntries = value.ReadArray(d.readEntry)
 	case "next_token":
 		if value.IsNull() {
 			return
 		}
 		token, ok := value.Text()
-		d.next = token
-		d.failed = d.failed || !ok
+		d.nextToken = token
+		d.malformed = d.malformed || !ok
 	}
 }
 
 func (d *listDecoder) readEntry(_ int, value jsonfield.Value) {
-	before := d.list.Len()
-	runner := entry{}
+	before := d.problems.Len()
+	runner := listEntry{}
 	if value.ReadObject(runner.readField) {
-		runner.require(value)
+		runner.validate(value)
 	}
-	if d.list.Len() > before {
-		d.dropped++
+	if d.problems.Len() > before {
+		d.skipped++
 		return
 	}
-	d.page = append(d.page, runner.Runner)
+	d.runners = append(d.runners, runner.Runner)
 }
 
-type entry struct {
+type listEntry struct {
 	Runner
 	state string
 }
 
-func (e *entry) readField(name string, value jsonfield.Value) {
+func (e *listEntry) readField(name string, value jsonfield.Value) {
 	if value.IsNull() {
 		return
 	}
@@ -110,9 +110,9 @@
 	case "state":
 		e.state, _ = value.Text()
 	case "cold_left_ms":
-		e.SlowStartRemaining = milliseconds(value)
+		e.SlowStartRemaining = readMilliseconds(value)
 	case "time_left_ms":
-		e.TimeToTermination = max(milliseconds(value), shortest) // 0 would be one that is not told
+		e.TimeToTermination = max(readMilliseconds(value), minTimeToTermination) // 0 would be one that is not told
 		e.Draining = true
 	case "phase":
 		e.Phase, _ = value.Text()
@@ -121,7 +121,7 @@
 	}
 }
 
-func (e *entry) readModel(_ int, value jsonfield.Value) {
+func (e *listEntry) readModel(_ int, value jsonfield.Value) {
 	var model Model
 	value.ReadObject(func(name string, value jsonfield.Value) {
 		switch name {
@@ -134,9 +134,9 @@
 	e.Models = append(e.Models, model)
 }
 
-// require checks what no runner can do without. A state other than serving, also one that is not known, gets nothing
+// validate checks what no runner can do without. A state other than serving, also one that is not known, gets nothing
 // new.
-func (e *entry) require(value jsonfield.Value) {
+func (e *listEntry) validate(value jsonfield.Value) {
 	e.Draining = e.Draining || e.state != "serving"
 	if e.ID == "" {
 		value.AddProblem("has no id")
@@ -152,11 +152,11 @@
 	}
 }
 
-// shortest is the time left of a runner that is told to have none.
-const shortest = time.Nanosecond
+// minTimeToTermination is the time left of a runner that is told to have none.
+const minTimeToTermination = time.Nanosecond
 
-// milliseconds reads a time that is not negative; one that has run out may be told as a little below 0.
-func milliseconds(value jsonfield.Value) time.Duration {
+// readMilliseconds reads a time that is not negative; one that has run out may be told as a little below 0.
+func readMilliseconds(value jsonfield.Value) time.Duration {
 	const longest = 1 << 62
 	number, ok := value.Float()
 	if !ok {
