--- a/internal/system/discovery/client.go
+++ b/internal/system/discovery/client.go
@@ -8,40 +8,41 @@
 	"net"
 	"net/netip"
 	"net/url"
-	"strconv"
 	"sync"
 	"time"
 )
 
 const (
-	// maxPages bounds the pages of one list.
+	// maxPages is the greatest number of pages of one list.
 	maxPages = 1000
-	// maxPageBytes bounds the body of one page.
+	// maxPageBytes is the greatest size of a page's body.
 	maxPageBytes = 4 << 20
-	// readBufferBytes is the size of the connection's read buffer, and so the longest line of an answer's head.
+	// readBufferBytes is the size of the connection's read buffer, and so the greatest length of a header line.
 	readBufferBytes = 4 << 10
-	// defaultTimeout bounds one call if the options say nothing.
+	// defaultTimeout is the timeout of one call if the options name none.
 	defaultTimeout = time.Second
 )
 
-// RateLimitedError says that the platform refuses further calls for now.
-type RateLimitedError struct{ RetryAfter time.Duration } // 0: not told
+// RateLimitedError says that the platform rejects further calls for now. RetryAfter is 0 if the platform did not say
+// for how long.
+type RateLimitedError struct{ RetryAfter time.Duration }
 
-// Error says what happened and what to do.
+// Error says what happened and what an operator can do.
 func (e *RateLimitedError) Error() string {
 	return fmt.Sprintf("discovery: the platform takes no more calls for now (429); wait %v and call less often",
 		e.RetryAfter)
 }
 
-// StatusError says that the platform answered with a failure.
+// StatusError says that the platform responded with a status other than 200 and 429.
 type StatusError struct{ Status int }
 
-// Error says what happened.
+// Error names the status.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("discovery: the platform answered %d instead of its list", e.Status)
 }
 
-// EndlessPaginationError says that the pages of the list do not come to an end.
+// EndlessPaginationError says that the pages of the list do not end. Token is the page token that came twice, or the
+// last one of too many.
 type EndlessPaginationError struct{ Token string }
 
 // Error says what happened.
@@ -50,20 +51,20 @@
 		e.Token)
 }
 
-// ClientOptions are a client's.
+// ClientOptions are the settings of a Client.
 type ClientOptions struct {
 	Address netip.AddrPort
-	Timeout time.Duration // of one call, connecting included; 0: one second
-	// AllowCall is asked right before each call to the platform and refuses it by an error, which List returns; nil: all
-	// calls are made.
+	Timeout time.Duration // of one call, including the connection's setup; 0: one second
+	// AllowCall is called right before each call to the platform and rejects it by an error, which List returns; nil:
+	// all calls are made.
 	AllowCall func() error
-	// OnSkippedEntries is told of entries that made no sense and were left out of a list; nil: nobody is. It is called while List
-	// runs.
+	// OnSkippedEntries is called from within List for each page with entries that were skipped; nil: they are not
+	// reported.
 	OnSkippedEntries func(*SkippedEntriesError)
 }
 
-// Client asks the platform for its list, over one connection that it keeps. It is safe for concurrent use; calls wait
-// for one another.
+// Client reads the platform's list over one connection, which it keeps between calls. It is safe for concurrent use;
+// calls run one after the other.
 type Client struct {
 	options ClientOptions
 
@@ -73,7 +74,7 @@
 	calls      uint64
 }
 
-// NewClient makes a client. It connects with its first call.
+// NewClient returns a client, which connects with its first call.
 func NewClient(options ClientOptions) *Client {
 	if options.Timeout <= 0 {
 		options.Timeout = defaultTimeout
@@ -81,10 +82,11 @@
 	return &Client{options: options}
 }
 
-// List is the whole list, all pages of it. Each page is a call of its own.
+// List returns the list of all zones, all pages of it. Each page is a call of its own. Errors may wrap a
+// *RateLimitedError, *StatusError, *MalformedResponseError, *MalformedListError or *EndlessPaginationError.
 func (c *Client) List(ctx context.Context) ([]Runner, error) { return c.ListZone(ctx, "") }
 
-// ListZone is the list of one zone; empty: of all of them.
+// ListZone returns the list of one zone, or of all zones if zone is empty.
 func (c *Client) ListZone(ctx context.Context, zone string) ([]Runner, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,20 +115,21 @@
 	return nil, &EndlessPaginationError{Token: token}
 }
 
-// CallCount is how many calls were sent to the platform so far.
+// CallCount returns the number of calls that were sent to the platform so far.
 func (c *Client) CallCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
 }
 
-// Close closes the kept connection. The client may be used again.
+// Close closes the connection. The client may be used again.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.disconnect()
 }
 
+// reportSkipped reports skipped entries and returns any other error.
 func (c *Client) reportSkipped(err error) error {
 	var skipped *SkippedEntriesError
 	if !errors.As(err, &skipped) {
@@ -138,8 +141,8 @@
 	return nil
 }
 
-// deduplicate leaves of entries with the same id the last one: a runner may move to a later page while the pages are
-// fetched.
+// deduplicate keeps the last of several entries with the same id, since a runner may move to a later page while the
+// pages are fetched.
 func deduplicate(runners []Runner) []Runner {
 	positions := make(map[string]int, len(runners))
 	kept := runners[:0]
@@ -154,7 +157,8 @@
 	return kept
 }
 
-// fetchPage fetches a page. A kept connection that the platform closed before it began to answer is replaced once.
+// fetchPage fetches one page. If a reused connection turns out to have been closed before the response began, it tries
+// once more over a new one.
 func (c *Client) fetchPage(ctx context.Context, zone, token string) ([]byte, error) {
 	deadline := time.Now().Add(c.options.Timeout)
 	if earlier, ok := ctx.Deadline(); ok && earlier.Before(deadline) {
@@ -191,7 +195,8 @@
 	return "/servers?" + query.Encode()
 }
 
-// roundTrip sends a request and reads its answer. begun says whether anything of the answer came.
+// roundTrip sends a request and reads its response. The second result says whether anything of the response arrived, so
+// that the request must not be repeated.
 func (c *Client) roundTrip(ctx context.Context, deadline time.Time, target string) (response, bool, error) {
 	if err := c.connect(ctx, deadline); err != nil {
 		return response{}, false, err
@@ -219,6 +224,7 @@
 	return received, started, err
 }
 
+// exchange does the work of roundTrip on the open connection.
 func (c *Client) exchange(target string) (response, bool, error) {
 	request := "GET " + target + " HTTP/1.1\r\nHost: " + c.options.Address.String() + "\r\n\r\n"
 	if _, err := c.connection.Write([]byte(request)); err != nil {
@@ -253,13 +259,3 @@
 	c.connection = nil
 	c.reader = nil
 }
-
-func parseRetryAfter(text string) time.Duration {
-	const longest = 1 << 62
-	seconds, err := strconv.ParseFloat(text, 64)
-	length := seconds * float64(time.Second)
-	if err != nil || !(length > 0 && length < longest) {
-		return 0
-	}
-	return time.Duration(length)
-}
--- a/internal/system/discovery/list.go
+++ b/internal/system/discovery/list.go
@@ -8,34 +8,36 @@
 	"cinderroad/internal/system/validation"
 )
 
-// MalformedListError says that a page of the list cannot be read at all.
+// MalformedListError says that a page of the list cannot be read at all. Problems is a *validation.Error.
 type MalformedListError struct{ Problems error }
 
-// Error says what happened.
+// Error says what is wrong with the page.
 func (e *MalformedListError) Error() string {
 	return fmt.Sprintf("discovery: the platform's list cannot be read: %v", e.Problems)
 }
 
-// Unwrap is the error with the findings.
+// Unwrap returns the error that holds the problems.
 func (e *MalformedListError) Unwrap() error { return e.Problems }
 
-// SkippedEntriesError stands beside a page of which some entries made no sense and were left out.
+// SkippedEntriesError is returned beside a usable page some entries of which could not be used. Problems is a
+// *validation.Error.
 type SkippedEntriesError struct {
-	Skipped  int
+	Skipped  int // number of entries that were skipped
 	Problems error
 }
 
-// Error says what happened.
+// Error says how many entries were skipped and what is wrong with them.
 func (e *SkippedEntriesError) Error() string {
-	return fmt.Sprintf("discovery: %d entries of the platform's list were left out: %v", e.Skipped, e.Problems)
+	return fmt.Sprintf("discovery: %d entries of the platform's list were skipped: %v", e.Skipped, e.Problems)
 }
 
-// Unwrap is the error with the findings.
+// Unwrap returns the error that holds the problems.
 func (e *SkippedEntriesError) Unwrap() error { return e.Problems }
 
-// DecodeList reads a page of the platform's list. next is the token of the page that follows, empty on the last one.
-// An entry that makes no sense is left out and reported in a *SkippedEntriesError beside the rest of the page; any
-// other error is an *MalformedListError, and there is no page then.
+// DecodeList reads a page of the platform's list. nextToken is the token of the following page, empty on the last one.
+//
+// Entries that cannot be used are skipped and reported in a *SkippedEntriesError beside the rest of the page. Any other
+// error is a *MalformedListError, and there is no page then.
 func DecodeList(body []byte) (runners []Runner, nextToken string, err error) {
 	var decoder listDecoder
 	root, ok := jsonfield.Parse(body, &decoder.problems)
@@ -51,12 +53,13 @@
 	return decoder.runners, decoder.nextToken, err
 }
 
+// listDecoder collects the fields of a page.
 type listDecoder struct {
 	problems   validation.Problems
 	runners    []Runner
 	nextToken  string
 	skipped    int
-	hasEntries bool
+	hasEntries bool // the page has a list of entries
 	malformed  bool
 }
 
@@ -87,6 +90,7 @@
 	d.runners = append(d.runners, runner.Runner)
 }
 
+// listEntry is a runner while its fields are read.
 type listEntry struct {
 	Runner
 	state string
@@ -112,7 +116,7 @@
 	case "cold_left_ms":
 		e.SlowStartRemaining = readMilliseconds(value)
 	case "time_left_ms":
-		e.TimeToTermination = max(readMilliseconds(value), minTimeToTermination) // 0 would be one that is not told
+		e.TimeToTermination = max(readMilliseconds(value), minTimeToTermination)
 		e.Draining = true
 	case "phase":
 		e.Phase, _ = value.Text()
@@ -134,8 +138,8 @@
 	e.Models = append(e.Models, model)
 }
 
-// validate checks what no runner can do without. A state other than serving, also one that is not known, gets nothing
-// new.
+// validate checks the fields that every runner must have. A runner in any state but serving, unknown states included,
+// is draining.
 func (e *listEntry) validate(value jsonfield.Value) {
 	e.Draining = e.Draining || e.state != "serving"
 	if e.ID == "" {
@@ -152,20 +156,20 @@
 	}
 }
 
-// minTimeToTermination is the time left of a runner that is told to have none.
+// minTimeToTermination stands for a termination that is announced for now, since 0 means that none is announced.
 const minTimeToTermination = time.Nanosecond
 
-// readMilliseconds reads a time that is not negative; one that has run out may be told as a little below 0.
+// readMilliseconds reads a duration. One slightly below 0 counts as 0: the platform sends the time that is left.
 func readMilliseconds(value jsonfield.Value) time.Duration {
-	const longest = 1 << 62
+	const maxNanoseconds = 1 << 62
 	number, ok := value.Float()
 	if !ok {
 		return 0
 	}
-	length := number * float64(time.Millisecond)
-	if length > longest {
+	nanoseconds := number * float64(time.Millisecond)
+	if nanoseconds > maxNanoseconds {
 		value.AddProblem("is too long")
 		return 0
 	}
-	return max(time.Duration(length), 0)
+	return max(time.Duration(nanoseconds), 0)
 }
--- a/internal/system/discovery/answer.go
+++ b/internal/system/discovery/response.go
@@ -11,33 +11,35 @@
 
 const (
 	statusOK              = 200
+	statusNoContent       = 204
+	statusNotModified     = 304
 	statusTooManyRequests = 429
-	// maxHeaderLines bounds the header lines of an answer.
+	// maxHeaderLines bounds the header lines, and the trailer lines, of a response.
 	maxHeaderLines = 100
 )
 
-// MalformedResponseError says that the platform's bytes are not an HTTP/1.1 answer that the client understands.
+// MalformedResponseError says that the platform did not send an HTTP/1.1 response that the client understands.
 type MalformedResponseError struct{ Reason string }
 
-// Error says what happened.
+// Error says what is wrong with the response.
 func (e *MalformedResponseError) Error() string {
-	return fmt.Sprintf("discovery: the platform's answer cannot be read: %s", e.Reason)
+	return fmt.Sprintf("discovery: the platform's response cannot be read: %s", e.Reason)
 }
 
-// response is an HTTP/1.1 answer.
+// response is an HTTP/1.1 response.
 type response struct {
 	status          int
 	body            []byte
 	retryAfter      time.Duration
-	closeConnection bool // the connection is not to be used again
-	contentLength   int  // of the body; -1: not told
+	closeConnection bool // the connection must not be used again
+	contentLength   int  // bytes of the body; -1: the head does not say
 	chunked         bool
 }
 
-// readResponse reads an answer whole.
+// readResponse reads a whole response, after any interim (1xx) ones.
 func readResponse(reader *bufio.Reader) (response, error) {
 	parsed, err := readResponseHead(reader)
-	for err == nil && parsed.status >= 100 && parsed.status < 200 {
+	for err == nil && parsed.status >= 100 && parsed.status < statusOK {
 		parsed, err = readResponseHead(reader)
 	}
 	if err != nil {
@@ -85,19 +87,19 @@
 	return strings.TrimSuffix(string(line[:len(line)-1]), "\r"), nil
 }
 
-func (a *response) parseStatusLine(line string) error {
+func (r *response) parseStatusLine(line string) error {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if !strings.HasPrefix(version, "HTTP/1.") || err != nil || status < 100 || status > 999 {
 		return &MalformedResponseError{Reason: "it does not begin with a status line"}
 	}
-	a.status = status
-	a.closeConnection = version != "HTTP/1.1"
+	r.status = status
+	r.closeConnection = version != "HTTP/1.1"
 	return nil
 }
 
-func (a *response) parseHeader(line string) error {
+func (r *response) parseHeader(line string) error {
 	name, value, found := strings.Cut(line, ":")
 	if !found {
 		return &MalformedResponseError{Reason: "a header has no colon"}
@@ -109,23 +111,24 @@
 		if err != nil {
 			return &MalformedResponseError{Reason: "its length is not a number"}
 		}
-		a.contentLength = int(length)
+		r.contentLength = int(length)
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") {
 			return &MalformedResponseError{Reason: "its transfer encoding is not known"}
 		}
-		a.chunked = true
+		r.chunked = true
 	case "connection":
-		a.closeConnection = a.closeConnection || strings.EqualFold(value, "close")
+		r.closeConnection = r.closeConnection || strings.EqualFold(value, "close")
 	case "retry-after":
-		a.retryAfter = parseRetryAfter(value)
+		r.retryAfter = parseRetryAfter(value)
 	}
 	return nil
 }
 
+// readBody reads the body that belongs to a head. A body of unknown length ends with the connection.
 func readBody(reader *bufio.Reader, head *response) ([]byte, error) {
 	switch {
-	case head.status == 204 || head.status == 304:
+	case head.status == statusNoContent || head.status == statusNotModified:
 		return nil, nil
 	case head.chunked:
 		return readChunkedBody(reader)
@@ -140,7 +143,7 @@
 	return body, err
 }
 
-// readBytes appends count bytes to what came before.
+// readBytes appends the next count bytes to before.
 func readBytes(reader *bufio.Reader, before []byte, count int) ([]byte, error) {
 	if count > maxPageBytes-len(before) {
 		return nil, bodyTooLongError()
@@ -188,3 +191,15 @@
 }
 
 func bodyTooLongError() error { return &MalformedResponseError{Reason: "its body is too long"} }
+
+// parseRetryAfter returns the duration of a Retry-After header in seconds, which may be a fraction; 0 if it is no such
+// number.
+func parseRetryAfter(text string) time.Duration {
+	const maxNanoseconds = 1 << 62
+	seconds, err := strconv.ParseFloat(text, 64)
+	nanoseconds := seconds * float64(time.Second)
+	if err != nil || !(nanoseconds > 0 && nanoseconds < maxNanoseconds) {
+		return 0
+	}
+	return time.Duration(nanoseconds)
+}
--- /dev/null
+++ b/internal/system/discovery/runner.go
@@ -0,0 +1,29 @@
+package discovery
+
+import (
+	"net/netip"
+	"time"
+)
+
+// Runner is an incarnation of a server of a service, as the platform lists it.
+type Runner struct {
+	ID       string
+	Service  string
+	Address  netip.AddrPort
+	Zone     string
+	Capacity int  // requests that the runner serves at once; 0: not stated
+	Draining bool // gets no new requests
+	// SlowStartRemaining is how much longer the runner is in slow start, counted from when it was listed.
+	SlowStartRemaining time.Duration
+	// TimeToTermination is the time until the platform takes the runner away, counted from when it was listed; 0: no
+	// termination is announced.
+	TimeToTermination time.Duration
+	Phase             string // inference phases that the runner serves, in the words of the platform; may be empty
+	Models            []Model
+}
+
+// Model is a model that a runner serves.
+type Model struct {
+	Name    string
+	Version int
+}
--- a/internal/system/discovery/codec.go
+++ b/internal/system/discovery/runner_codec.go
@@ -12,20 +12,27 @@
 // runnerFormatVersion is the first byte of an encoded runner.
 const runnerFormatVersion = 1
 
-// flagDraining marks an encoded runner that is draining.
+const (
+	// usualEncodedBytes is the size within which the encodings of most runners are.
+	usualEncodedBytes = 96
+	// maxPreallocatedModels bounds the memory that a malformed count can claim.
+	maxPreallocatedModels = 64
+)
+
+// flagDraining is the bit of the flags that marks a draining runner.
 const flagDraining = 1
 
-// MalformedRunnerError says that bytes are not an encoded runner.
+// MalformedRunnerError says that bytes are not an encoded runner. Field names the first field that could not be read.
 type MalformedRunnerError struct{ Field string }
 
-// Error says what happened.
+// Error names the malformed field and what an operator can check.
 func (e *MalformedRunnerError) Error() string {
 	return fmt.Sprintf("discovery: an encoded runner is malformed at its %s; do both sides run the same version?", e.Field)
 }
 
-// EncodeRunner is the compact form of a runner in the feed. Equal runners have equal encodings.
+// EncodeRunner returns the form in which package feed stores a runner. Equal runners have equal encodings.
 func EncodeRunner(runner Runner) []byte {
-	data := make([]byte, 0, 96)
+	data := make([]byte, 0, usualEncodedBytes)
 	data = append(data, runnerFormatVersion, encodeFlags(runner))
 	data = codec.AppendBytes(data, runner.ID)
 	data = codec.AppendBytes(data, runner.Service)
@@ -55,7 +62,7 @@
 	return codec.AppendBytes(data, octets)
 }
 
-// DecodeRunner reads what Encode wrote. The error is a *MalformedRunnerError.
+// DecodeRunner reads the form made by EncodeRunner. An error is a *MalformedRunnerError.
 func DecodeRunner(data []byte) (Runner, error) {
 	reader := codec.NewReader(data)
 	if reader.Byte("version") != runnerFormatVersion {
@@ -92,7 +99,7 @@
 	if count == 0 {
 		return nil
 	}
-	models := make([]Model, 0, min(count, 64))
+	models := make([]Model, 0, min(count, maxPreallocatedModels))
 	for range count {
 		model := Model{Name: reader.String(field), Version: int(reader.Varint(field))}
 		if _, failed := reader.Malformed(); failed {
