--- a/internal/system/discovery/client_test.go
+++ b/internal/system/discovery/client_test.go
@@ -68,17 +68,17 @@
 	client, _ := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintf(w, `{"instances":[%s],"next_token":"more"}`, instanceJSON("a"))
 	}))
-	refused := errors.New("refused")
-	asked := 0
+	errRejected := errors.New("refused")
+	checks := 0
 	client.options.AllowCall = func() error {
-		asked++
-		if asked > 1 {
-			return refused
+		checks++
+		if checks > 1 {
+			return errRejected
 		}
 		return nil
 	}
-	if _, err := client.List(context.Background()); !errors.Is(err, refused) || client.CallCount() != 1 || asked != 2 {
-		t.Fatalf("%v after %d calls, asked %d times", err, client.CallCount(), asked)
+	if _, err := client.List(context.Background()); !errors.Is(err, errRejected) || client.CallCount() != 1 || checks != 2 {
+		t.Fatalf("%v after %d calls, asked %d times", err, client.CallCount(), checks)
 	}
 }
 
@@ -117,11 +117,11 @@
 	client, _ := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintf(w, `{"instances":[{},%s]}`, instanceJSON("a"))
 	}))
-	told := 0
-	client.options.OnSkippedEntries = func(dropped *SkippedEntriesError) { told += dropped.Skipped }
+	skippedEntries := 0
+	client.options.OnSkippedEntries = func(skipped *SkippedEntriesError) { skippedEntries += skipped.Skipped }
 	runners, err := client.List(context.Background())
-	if err != nil || len(runners) != 1 || told != 1 {
-		t.Fatalf("got %+v, %v, told of %d", runners, err, told)
+	if err != nil || len(runners) != 1 || skippedEntries != 1 {
+		t.Fatalf("got %+v, %v, told of %d", runners, err, skippedEntries)
 	}
 }
 
--- a/internal/system/discovery/list_test.go
+++ b/internal/system/discovery/list_test.go
@@ -39,8 +39,8 @@
 	 {"id":"c","service":"s","address":"10.0.0.1:80","state":"serving","capacity":"many"},
 	 {"id":"d","service":"s","address":"10.0.0.1:80","state":"serving"}],"next_token":null}`
 	runners, next, err := DecodeList([]byte(body))
-	var dropped *SkippedEntriesError
-	if !errors.As(err, &dropped) || dropped.Skipped != 4 {
+	var skipped *SkippedEntriesError
+	if !errors.As(err, &skipped) || skipped.Skipped != 4 {
 		t.Fatalf("got %v, want four entries left out", err)
 	}
 	if len(runners) != 1 || runners[0].ID != "d" || next != "" {
@@ -67,8 +67,8 @@
 
 func TestDecodeListRejectsMalformed(t *testing.T) {
 	for _, body := range []string{"", "[]", "{}", `{"instances":3}`, `{"instances":[]`, `{"instances":[],"next_token":1}`} {
-		var unreadable *MalformedListError
-		if runners, _, err := DecodeList([]byte(body)); !errors.As(err, &unreadable) || runners != nil {
+		var malformed *MalformedListError
+		if runners, _, err := DecodeList([]byte(body)); !errors.As(err, &malformed) || runners != nil {
 			t.Errorf("%q: got %v, %v", body, runners, err)
 		}
 	}
@@ -79,8 +79,8 @@
 	f.Add([]byte(`{"instances":[]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		runners, _, err := DecodeList(body)
-		var unreadable *MalformedListError
-		if errors.As(err, &unreadable) && runners != nil {
+		var malformed *MalformedListError
+		if errors.As(err, &malformed) && runners != nil {
 			t.Fatal("a page that cannot be read has runners")
 		}
 		for _, runner := range runners {
--- a/internal/system/jsonfield/jsonfield.go
+++ b/internal/system/jsonfield/jsonfield.go
@@ -20,8 +20,8 @@
 
 // document is what all values of one document share.
 type document struct {
-	source []byte
-	list   *validation.Problems
+	source   []byte
+	problems *validation.Problems
 }
 
 // Value is a JSON value of a document. Its methods that read it return false, and note a finding, if it is not of the
@@ -38,18 +38,18 @@
 
 // Parse checks the syntax of a whole document and returns its value. Anything but one JSON value with white space
 // around it is a finding.
-func Parse(source []byte, list *validation.Problems) (Value, bool) {
+func Parse(source []byte, problems *validation.Problems) (Value, bool) {
 	decoder := jx.DecodeBytes(source)
 	raw, err := decoder.Raw()
 	if err != nil {
-		list.Add("", "is not JSON that can be read whole: "+syntaxProblem(err))
+		problems.Add("", "is not JSON that can be read whole: "+syntaxMessage(err))
 		return Value{}, false
 	}
 	raw = trimSpace(raw)
-	root := Value{document: &document{source: source, list: list}, index: noIndex, raw: raw}
+	root := Value{document: &document{source: source, problems: problems}, index: noIndex, raw: raw}
 	end := root.Offset() + len(raw)
 	if rest := trimSpace(source[end:]); len(rest) > 0 {
-		list.AddAt("", len(source)-len(rest), "has bytes after its end")
+		problems.AddAt("", len(source)-len(rest), "has bytes after its end")
 		return Value{}, false
 	}
 	return root, true
@@ -57,11 +57,11 @@
 
 // ValueAt reads a value that is known to be valid JSON and stands at the given place of a document that is not at hand.
 // Offsets of findings count from the value's first byte.
-func ValueAt(place string, raw []byte, list *validation.Problems) Value {
-	return Value{document: &document{source: raw, list: list}, name: place, index: noIndex, raw: raw}
+func ValueAt(path string, raw []byte, problems *validation.Problems) Value {
+	return Value{document: &document{source: raw, problems: problems}, name: path, index: noIndex, raw: raw}
 }
 
-func syntaxProblem(err error) string {
+func syntaxMessage(err error) string {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return "it is cut short"
 	}
@@ -82,19 +82,19 @@
 	if v.parent == nil {
 		return v.name
 	}
-	place := v.parent.Path()
+	path := v.parent.Path()
 	if v.index != noIndex {
-		return place + "[" + strconv.Itoa(v.index) + "]"
+		return path + "[" + strconv.Itoa(v.index) + "]"
 	}
-	if place == "" {
+	if path == "" {
 		return v.name
 	}
-	return place + "." + v.name
+	return path + "." + v.name
 }
 
 // AddProblem notes a finding about the value.
-func (v Value) AddProblem(problem string) {
-	v.document.list.AddAt(v.Path(), v.Offset(), problem)
+func (v Value) AddProblem(message string) {
+	v.document.problems.AddAt(v.Path(), v.Offset(), message)
 }
 
 // IsNull says whether the value is null.
@@ -122,7 +122,7 @@
 		field(name, Value{document: v.document, parent: &v, name: name, index: noIndex, raw: trimSpace(raw)})
 		return nil
 	})
-	return v.finish(err)
+	return v.checkSyntax(err)
 }
 
 // ReadStrictObject is Object for what is to be kept: a field that is there twice with different values is a finding, and
@@ -130,9 +130,9 @@
 func (v Value) ReadStrictObject(field func(name string, value Value)) bool {
 	var seen fieldSet
 	return v.ReadObject(func(name string, value Value) {
-		raw, known := seen.add(name, value.raw)
+		raw, present := seen.add(name, value.raw)
 		switch {
-		case !known:
+		case !present:
 			field(name, value)
 		case !bytes.Equal(raw, value.raw):
 			value.AddProblem("is there twice with different values")
@@ -142,8 +142,8 @@
 
 // fieldSet is the fields of an object that were read. Most objects are small, so there is a map only for large ones.
 type fieldSet struct {
-	few  []seenField
-	many map[string][]byte
+	small []seenField
+	large map[string][]byte
 }
 
 type seenField struct {
@@ -153,27 +153,27 @@
 
 // add returns the value that a field has already, or adds it.
 func (s *fieldSet) add(name string, raw []byte) ([]byte, bool) {
-	const usual, fewest = 16, 32
-	if s.many != nil {
-		before, known := s.many[name]
-		if !known {
-			s.many[name] = raw
+	const initialCapacity, maxSmall = 16, 32
+	if s.large != nil {
+		existing, present := s.large[name]
+		if !present {
+			s.large[name] = raw
 		}
-		return before, known
+		return existing, present
 	}
-	for _, field := range s.few {
+	for _, field := range s.small {
 		if field.name == name {
 			return field.raw, true
 		}
 	}
-	if s.few == nil {
-		s.few = make([]seenField, 0, usual)
+	if s.small == nil {
+		s.small = make([]seenField, 0, initialCapacity)
 	}
-	s.few = append(s.few, seenField{name: name, raw: raw})
-	if len(s.few) > fewest {
-		s.many = make(map[string][]byte, 2*len(s.few))
-		for _, field := range s.few {
-			s.many[field.name] = field.raw
+	s.small = append(s.small, seenField{name: name, raw: raw})
+	if len(s.small) > maxSmall {
+		s.large = make(map[string][]byte, 2*len(s.small))
+		for _, field := range s.small {
+			s.large[field.name] = field.raw
 		}
 	}
 	return nil, false
@@ -195,12 +195,12 @@
 		index++
 		return nil
 	})
-	return v.finish(err)
+	return v.checkSyntax(err)
 }
 
-func (v Value) finish(err error) bool {
+func (v Value) checkSyntax(err error) bool {
 	if err != nil {
-		v.AddProblem("cannot be read: " + syntaxProblem(err))
+		v.AddProblem("cannot be read: " + syntaxMessage(err))
 		return false
 	}
 	return true
@@ -213,19 +213,19 @@
 		return "", false
 	}
 	text, err := jx.DecodeBytes(v.raw).Str()
-	return text, v.finish(err)
+	return text, v.checkSyntax(err)
 }
 
 // Texts is a list of strings.
 func (v Value) Texts() ([]string, bool) {
 	var texts []string
-	whole := true
+	allText := true
 	read := v.ReadArray(func(_ int, element Value) {
 		text, ok := element.Text()
-		whole = whole && ok
+		allText = allText && ok
 		texts = append(texts, text)
 	})
-	return texts, read && whole
+	return texts, read && allText
 }
 
 // Bool is true or false.
@@ -235,7 +235,7 @@
 		return false, false
 	}
 	value, err := jx.DecodeBytes(v.raw).Bool()
-	return value, v.finish(err)
+	return value, v.checkSyntax(err)
 }
 
 // Float is a number of any notation that a float64 can hold.
@@ -264,17 +264,17 @@
 
 // Duration is a time that is told as a number of the given unit and is not negative.
 func (v Value) Duration(unit time.Duration) (time.Duration, bool) {
-	const longest = 1 << 62
+	const maxNanoseconds = 1 << 62
 	number, ok := v.NonNegativeFloat()
 	if !ok {
 		return 0, false
 	}
-	length := number * float64(unit)
-	if length > longest {
+	nanoseconds := number * float64(unit)
+	if nanoseconds > maxNanoseconds {
 		v.AddProblem("is too long a time")
 		return 0, false
 	}
-	return time.Duration(length), true
+	return time.Duration(nanoseconds), true
 }
 
 // SplitDurationUnit cuts the unit off the name of a time, such as wait_ms or wait_s; the unit of a name without one is 0.
@@ -297,8 +297,8 @@
 	if !ok {
 		return 0, false
 	}
-	const beyond = 1 << 63
-	if value != math.Trunc(value) || value >= beyond || value < -beyond {
+	const limit = 1 << 63
+	if value != math.Trunc(value) || value >= limit || value < -limit {
 		v.AddProblem("must be a whole number")
 		return 0, false
 	}
@@ -314,8 +314,8 @@
 	if !ok {
 		return 0, false
 	}
-	const beyond = 1 << 64
-	if value != math.Trunc(value) || value >= beyond || value < 0 {
+	const limit = 1 << 64
+	if value != math.Trunc(value) || value >= limit || value < 0 {
 		v.AddProblem("must be a whole number that is not negative")
 		return 0, false
 	}
--- a/internal/system/validation/findings.go
+++ b/internal/system/validation/findings.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// maxKept is how many findings a list keeps; further ones are only counted, so that a hostile document costs little.
-const maxKept = 100
+// maxProblems is how many findings a list keeps; further ones are only counted, so that a hostile document costs little.
+const maxProblems = 100
 
 // NoOffset is the offset of a finding that belongs to no byte of the document.
 const NoOffset = -1
@@ -22,19 +22,19 @@
 }
 
 // String is the finding on one line.
-func (f Problem) String() string {
+func (p Problem) String() string {
 	var line strings.Builder
-	line.WriteString(f.Path)
-	if f.Path == "" {
+	line.WriteString(p.Path)
+	if p.Path == "" {
 		line.WriteString("document")
 	}
-	if f.Offset >= 0 {
+	if p.Offset >= 0 {
 		line.WriteString(" (byte ")
-		line.WriteString(strconv.Itoa(f.Offset))
+		line.WriteString(strconv.Itoa(p.Offset))
 		line.WriteString(")")
 	}
 	line.WriteString(": ")
-	line.WriteString(f.Message)
+	line.WriteString(p.Message)
 	return line.String()
 }
 
@@ -47,8 +47,8 @@
 // Error is all findings on one line.
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.Problems)+1)
-	for _, finding := range e.Problems {
-		lines = append(lines, finding.String())
+	for _, problem := range e.Problems {
+		lines = append(lines, problem.String())
 	}
 	if e.Omitted > 0 {
 		lines = append(lines, "and "+strconv.Itoa(e.Omitted)+" more")
@@ -58,45 +58,45 @@
 
 // Problems collects findings. The zero value is an empty list. It is not safe for concurrent use.
 type Problems struct {
-	found   []Problem
-	omitted int
+	problems []Problem
+	omitted  int
 }
 
 // Add notes a problem at a place.
-func (l *Problems) Add(place, problem string) { l.AddAt(place, NoOffset, problem) }
+func (p *Problems) Add(path, message string) { p.AddAt(path, NoOffset, message) }
 
 // AddAt notes a problem at a place and byte offset of the document.
-func (l *Problems) AddAt(place string, offset int, problem string) {
-	if len(l.found) >= maxKept {
-		l.omitted++
+func (p *Problems) AddAt(path string, offset int, message string) {
+	if len(p.problems) >= maxProblems {
+		p.omitted++
 		return
 	}
-	l.found = append(l.found, Problem{Path: place, Offset: offset, Message: problem})
+	p.problems = append(p.problems, Problem{Path: path, Offset: offset, Message: message})
 }
 
 // AddError takes over the findings of an error; one that holds none is noted as a problem of the whole document.
-func (l *Problems) AddError(err error) {
+func (p *Problems) AddError(err error) {
 	if err == nil {
 		return
 	}
-	var found *Error
-	if !errors.As(err, &found) {
-		l.Add("", err.Error())
+	var validationError *Error
+	if !errors.As(err, &validationError) {
+		p.Add("", err.Error())
 		return
 	}
-	for _, finding := range found.Problems {
-		l.AddAt(finding.Path, finding.Offset, finding.Message)
+	for _, problem := range validationError.Problems {
+		p.AddAt(problem.Path, problem.Offset, problem.Message)
 	}
-	l.omitted += found.Omitted
+	p.omitted += validationError.Omitted
 }
 
 // Len is how many problems were noted.
-func (l *Problems) Len() int { return len(l.found) + l.omitted }
+func (p *Problems) Len() int { return len(p.problems) + p.omitted }
 
 // Err is an *Error with the findings in the order in which they were noted, or nil if there are none.
-func (l *Problems) Err() error {
-	if len(l.found) == 0 {
+func (p *Problems) Err() error {
+	if len(p.problems) == 0 {
 		return nil
 	}
-	return &Error{Problems: l.found, Omitted: l.omitted}
+	return &Error{Problems: p.problems, Omitted: p.omitted}
 }
--- a/internal/system/validation/findings_test.go
+++ b/internal/system/validation/findings_test.go
@@ -7,35 +7,35 @@
 	"testing"
 )
 
-func TestListWithoutFindingsIsNoError(t *testing.T) {
-	var list Problems
-	list.AddError(nil)
-	if list.Err() != nil || list.Len() != 0 {
-		t.Fatalf("got %v", list.Err())
+func TestNoProblems(t *testing.T) {
+	var problems Problems
+	problems.AddError(nil)
+	if problems.Err() != nil || problems.Len() != 0 {
+		t.Fatalf("got %v", problems.Err())
 	}
 }
 
-func TestListReportsAllFindingsInOrder(t *testing.T) {
+func TestProblemsInOrder(t *testing.T) {
 	var inner Problems
 	inner.AddAt("b[1]", 17, "is wrong")
-	var list Problems
-	list.Add("a", "is missing")
-	list.AddError(fmt.Errorf("while reading: %w", inner.Err()))
-	list.AddError(errors.New("no more"))
+	var problems Problems
+	problems.Add("a", "is missing")
+	problems.AddError(fmt.Errorf("while reading: %w", inner.Err()))
+	problems.AddError(errors.New("no more"))
 	const want = "a: is missing; b[1] (byte 17): is wrong; document: no more"
-	if got := list.Err().Error(); got != want {
+	if got := problems.Err().Error(); got != want {
 		t.Fatalf("got %q, want %q", got, want)
 	}
 }
 
-func TestListKeepsABoundedNumber(t *testing.T) {
-	var list Problems
-	for range 10 * maxKept {
-		list.Add("a", "is wrong")
+func TestProblemsAreBounded(t *testing.T) {
+	var problems Problems
+	for range 10 * maxProblems {
+		problems.Add("a", "is wrong")
 	}
 	var all Problems
-	all.AddError(list.Err())
-	if all.Len() != 10*maxKept || !strings.HasSuffix(all.Err().Error(), fmt.Sprintf("and %d more", 9*maxKept)) {
+	all.AddError(problems.Err())
+	if all.Len() != 10*maxProblems || !strings.HasSuffix(all.Err().Error(), fmt.Sprintf("and %d more", 9*maxProblems)) {
 		t.Fatalf("got %d: %v", all.Len(), all.Err())
 	}
 }
