--- a/internal/system/validation/findings.go
+++ b/internal/system/validation/validation.go
@@ -1,5 +1,7 @@
-// Package findings collects what is wrong with a document, each finding with its place, so that all of them can be
-// reported together.
+// Package validation collects the problems of a document, each with its path in the document, so that all of them can
+// be reported together.
+//
+// A reader or validator adds to one Problems value and returns its Err, an *Error.
 package validation
 
 import (
@@ -8,20 +10,21 @@
 	"strings"
 )
 
-// maxProblems is how many findings a list keeps; further ones are only counted, so that a hostile document costs little.
+// maxProblems is the number of problems that are kept; further ones are only counted, so that the memory which a
+// hostile document takes is bounded.
 const maxProblems = 100
 
-// NoOffset is the offset of a finding that belongs to no byte of the document.
+// NoOffset is the offset of a problem that belongs to no byte of the document.
 const NoOffset = -1
 
-// Problem is one thing that is wrong.
+// Problem is one thing that is wrong with a document.
 type Problem struct {
-	Path    string // such as routes[3].timeout_ms; empty: the document as a whole
-	Offset  int    // of the first byte of the value in the document, or NoOffset
+	Path    string // of the value, such as routes[3].timeout_ms; empty: the document as a whole
+	Offset  int    // of the value's first byte in the document, or NoOffset
 	Message string // what is wrong and what was expected
 }
 
-// String is the finding on one line.
+// String returns the problem on one line.
 func (p Problem) String() string {
 	var line strings.Builder
 	line.WriteString(p.Path)
@@ -38,13 +41,13 @@
 	return line.String()
 }
 
-// Error holds the findings of a document, at least one.
+// Error holds the problems of a document, at least one.
 type Error struct {
 	Problems []Problem
-	Omitted  int // findings beyond those that were kept
+	Omitted  int // number of problems beyond those in Problems
 }
 
-// Error is all findings on one line.
+// Error returns all problems on one line.
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.Problems)+1)
 	for _, problem := range e.Problems {
@@ -56,16 +59,16 @@
 	return strings.Join(lines, "; ")
 }
 
-// Problems collects findings. The zero value is an empty list. It is not safe for concurrent use.
+// Problems collects problems. The zero value is empty and ready to use. It is not safe for concurrent use.
 type Problems struct {
 	problems []Problem
 	omitted  int
 }
 
-// Add notes a problem at a place.
+// Add adds a problem at a path that has no known offset.
 func (p *Problems) Add(path, message string) { p.AddAt(path, NoOffset, message) }
 
-// AddAt notes a problem at a place and byte offset of the document.
+// AddAt adds a problem at a path and byte offset of the document.
 func (p *Problems) AddAt(path string, offset int, message string) {
 	if len(p.problems) >= maxProblems {
 		p.omitted++
@@ -74,7 +77,8 @@
 	p.problems = append(p.problems, Problem{Path: path, Offset: offset, Message: message})
 }
 
-// AddError takes over the findings of an error; one that holds none is noted as a problem of the whole document.
+// AddError adds the problems of an *Error that err wraps. Any other error is added as a problem of the whole document;
+// nil adds none.
 func (p *Problems) AddError(err error) {
 	if err == nil {
 		return
@@ -90,10 +94,10 @@
 	p.omitted += validationError.Omitted
 }
 
-// Len is how many problems were noted.
+// Len returns the number of problems, those that were only counted included.
 func (p *Problems) Len() int { return len(p.problems) + p.omitted }
 
-// Err is an *Error with the findings in the order in which they were noted, or nil if there are none.
+// Err returns an *Error with the problems in the order in which they were added, or nil if there are none.
 func (p *Problems) Err() error {
 	if len(p.problems) == 0 {
 		return nil
