--- a/internal/system/agent/agent_test.go
+++ b/internal/system/agent/agent_test.go
@@ -15,11 +15,11 @@
 
 func TestFeedReachesProxy(t *testing.T) {
 	t.Parallel()
-	w := newTestCluster(t)
-	replicas := w.newReplicas(2)
+	cluster := newTestCluster(t)
+	replicas := cluster.newReplicas(2)
 	configure(replicas, 1, "1")
 	putRunner(replicas, 1, runner("one"))
-	edge := w.newEdge("edge-1")
+	edge := cluster.newEdge("edge-1")
 	edge.waitFor("the proxy has version 1 and its runner", func() bool {
 		_, known := edge.runner("one")
 		return edge.version() == "1" && known
@@ -32,20 +32,20 @@
 	}
 	edge.waitFor("the agent says that it is up to date", func() bool { return edge.poll(0).Age(0) < time.Second })
 	edge.waitFor("the agent says how many proxies there are", func() bool { return edge.poll(0).Proxies == 1 })
-	if n := w.platform.callCount(); n != 0 {
+	if n := cluster.platform.callCount(); n != 0 {
 		t.Errorf("the platform was asked %d times although the feed was up to date", n)
 	}
 }
 
 func TestProxyLearnsPeers(t *testing.T) {
 	t.Parallel()
-	w := newTestCluster(t)
-	replicas := w.newReplicas(1)
+	cluster := newTestCluster(t)
+	replicas := cluster.newReplicas(1)
 	configure(replicas, 1, "1")
-	first := w.newEdge("edge-1")
+	first := cluster.newEdge("edge-1")
 	proxies := 0
 	first.waitFor("one proxy is known", func() bool { proxies = first.poll(waitTimeout).Proxies; return proxies == 1 })
-	second := w.newEdge("edge-2")
+	second := cluster.newEdge("edge-2")
 	second.report(feed.ProxyReport{Front: "10.0.0.2:80"})
 	first.waitFor("two proxies are known", func() bool { proxies = first.poll(waitTimeout).Proxies; return proxies == 2 })
 	var reply *feed.FollowReply
@@ -57,17 +57,17 @@
 
 func TestRestartedAgentServesProxyAheadOfIt(t *testing.T) {
 	t.Parallel()
-	w := newTestCluster(t)
-	replicas := w.newReplicas(1)
+	cluster := newTestCluster(t)
+	replicas := cluster.newReplicas(1)
 	configure(replicas, 1, "1")
 	putRunner(replicas, 1, runner("one"))
-	w.platform.set(runner("one"), runner("two"))
-	edge := w.newEdge("edge-1")
+	cluster.platform.set(runner("one"), runner("two"))
+	edge := cluster.newEdge("edge-1")
 	edge.waitFor("the proxy has its runner", func() bool { _, known := edge.runner("one"); return known })
 	replicas[0].setAge(time.Minute)
 	edge.waitFor("the proxy has what the platform lists", func() bool { _, known := edge.runner("two"); return known })
 	edge.kill()
-	w.platform.set(runner("one"), runner("three"))
+	cluster.platform.set(runner("one"), runner("three"))
 	edge.startAgent()
 	edge.startProxy() // its positions are those of the earlier life
 	edge.waitFor("the proxy has what the platform lists now", func() bool {
@@ -79,10 +79,10 @@
 
 func TestFollowsAnotherReplica(t *testing.T) {
 	t.Parallel()
-	w := newTestCluster(t)
-	replicas := w.newReplicas(3)
+	cluster := newTestCluster(t)
+	replicas := cluster.newReplicas(3)
 	configure(replicas, 1, "1")
-	edge := w.newEdge("edge-1")
+	edge := cluster.newEdge("edge-1")
 	edge.waitFor("the proxy has version 1", func() bool { return edge.version() == "1" })
 	replicas[0].close()
 	configure(replicas[1:], 2, "2")
@@ -94,13 +94,13 @@
 
 func TestPlatformIsPolledWhenCutOff(t *testing.T) {
 	t.Parallel()
-	w := newTestCluster(t)
-	replicas := w.newReplicas(2)
+	cluster := newTestCluster(t)
+	replicas := cluster.newReplicas(2)
 	configure(replicas, 1, "1")
 	putRunner(replicas, 1, runner("one"))
 	putRunner(replicas, 1, runner("two"))
-	w.platform.set(func() discovery.Runner { r := runner("one"); r.Draining = true; return r }(), runner("three"))
-	edge := w.newEdge("edge-1")
+	cluster.platform.set(func() discovery.Runner { r := runner("one"); r.Draining = true; return r }(), runner("three"))
+	edge := cluster.newEdge("edge-1")
 	edge.waitFor("the proxy has its runners", func() bool { _, known := edge.runner("two"); return known })
 	for _, r := range replicas {
 		r.setAge(time.Minute)
@@ -150,18 +150,18 @@
 // other runners come from the control replicas as ever, by long polls, and the platform is asked for that partition alone.
 func TestRunnerPartitionWithoutLeaderBlocksNothingElse(t *testing.T) {
 	t.Parallel()
-	w := newTestCluster(t)
-	replicas := w.newReplicas(3)
+	cluster := newTestCluster(t)
+	replicas := cluster.newReplicas(3)
 	configure(replicas, 1, "1")
 	here, there := runnerIn(1, "here"), runnerIn(2, "there")
 	putRunner(replicas, 1, here)
 	putRunner(replicas, 1, there)
-	edge := w.newEdge("edge-1")
+	edge := cluster.newEdge("edge-1")
 	edge.waitFor("the proxy has its runners", func() bool { _, known := edge.runner("there"); return known })
 	for _, r := range replicas {
 		r.setPartitionAge(2, time.Minute)
 	}
-	w.platform.set(runnerIn(1, "unlisted"), runnerIn(2, "listed"))
+	cluster.platform.set(runnerIn(1, "unlisted"), runnerIn(2, "listed"))
 	edge.waitFor("the proxy has what the platform lists for the lost partition", func() bool {
 		_, listed := edge.runner("listed")
 		_, there := edge.runner("there")
@@ -191,11 +191,11 @@
 // TestConfigurationWithoutLeaderBlocksNoRunners has the partition of the configuration be without a leader.
 func TestConfigurationWithoutLeaderBlocksNoRunners(t *testing.T) {
 	t.Parallel()
-	w := newTestCluster(t)
-	replicas := w.newReplicas(3)
+	cluster := newTestCluster(t)
+	replicas := cluster.newReplicas(3)
 	configure(replicas, 1, "1")
 	putRunner(replicas, 1, runner("one"))
-	edge := w.newEdge("edge-1")
+	edge := cluster.newEdge("edge-1")
 	edge.waitFor("the proxy has its runner", func() bool { _, known := edge.runner("one"); return known })
 	for _, r := range replicas {
 		r.setPartitionAge(feed.ConfigurationPartition, time.Minute)
@@ -204,7 +204,7 @@
 		putRunner(replicas, uint64(2+i), runner(fmt.Sprint("new-", i)))
 		edge.waitFor("the proxy has the next runner", func() bool { _, known := edge.runner(fmt.Sprint("new-", i)); return known })
 	}
-	if n := w.platform.callCount(); n != 0 {
+	if n := cluster.platform.callCount(); n != 0 {
 		t.Errorf("the platform was asked %d times although the runners are up to date", n)
 	}
 	if edge.version() != "1" {
@@ -214,15 +214,15 @@
 
 func TestRestartedAgentFollowsPeers(t *testing.T) {
 	t.Parallel()
-	w := newTestCluster(t)
-	replicas := w.newReplicas(1)
+	cluster := newTestCluster(t)
+	replicas := cluster.newReplicas(1)
 	configure(replicas, 5, "1")
 	putRunner(replicas, 5, runner("one"))
-	first, second := w.newEdge("edge-1"), w.newEdge("edge-2")
+	first, second := cluster.newEdge("edge-1"), cluster.newEdge("edge-2")
 	for _, edge := range []*edgeMachine{first, second} {
 		edge.waitFor("the proxy has version 1", func() bool { return edge.version() == "1" })
 	}
-	w.platform.set(runner("one"))
+	cluster.platform.set(runner("one"))
 	replicas[0].close()
 	second.kill()
 	second.startAgent()
@@ -246,43 +246,43 @@
 
 func TestMembersLearnProxyState(t *testing.T) {
 	t.Parallel()
-	w := newTestCluster(t)
-	replicas := w.newReplicas(1)
-	edge := w.newEdge("edge-1")
+	cluster := newTestCluster(t)
+	replicas := cluster.newReplicas(1)
+	edge := cluster.newEdge("edge-1")
 	edge.report(feed.ProxyReport{Front: "10.0.0.1:80"})
-	w.wait("it is known, and does not serve", func() bool {
+	cluster.wait("it is known, and does not serve", func() bool {
 		member := memberOf(replicas, "edge-1")
 		return member.Front == "10.0.0.1:80" && member.Serving == gossip.Starting && member.Role == gossip.Edge
 	})
 	edge.report(feed.ProxyReport{Ready: true, Front: "10.0.0.1:80", Learnt: []byte("learnt")})
-	w.wait("it serves", func() bool { member := memberOf(replicas, "edge-1"); return member.Usable() })
+	cluster.wait("it serves", func() bool { member := memberOf(replicas, "edge-1"); return member.Usable() })
 	edge.client.Close() // the process ended
-	w.wait("it does not serve", func() bool { return memberOf(replicas, "edge-1").Serving == gossip.Starting })
+	cluster.wait("it does not serve", func() bool { return memberOf(replicas, "edge-1").Serving == gossip.Starting })
 	edge.startProxy()
 	if reply := edge.report(feed.ProxyReport{}); string(reply.Learnt) != "learnt" {
 		t.Errorf("the next proxy is told %q", reply.Learnt)
 	}
 	edge.report(feed.ProxyReport{Ready: true})
-	w.wait("it serves again", func() bool { member := memberOf(replicas, "edge-1"); return member.Usable() })
-	w.wait("a proxy that says nothing is not sent clients", func() bool {
+	cluster.wait("it serves again", func() bool { member := memberOf(replicas, "edge-1"); return member.Usable() })
+	cluster.wait("a proxy that says nothing is not sent clients", func() bool {
 		return memberOf(replicas, "edge-1").Serving == gossip.Starting
 	})
 	edge.report(feed.ProxyReport{Ready: true})
 	edge.report(feed.ProxyReport{Ready: true, Stopping: true})
-	w.wait("it stops", func() bool { return memberOf(replicas, "edge-1").Serving == gossip.Stopping })
+	cluster.wait("it stops", func() bool { return memberOf(replicas, "edge-1").Serving == gossip.Stopping })
 }
 
 func TestStopLeavesAfterProxy(t *testing.T) {
 	t.Parallel()
-	w := newTestCluster(t)
-	replicas := w.newReplicas(1)
+	cluster := newTestCluster(t)
+	replicas := cluster.newReplicas(1)
 	configure(replicas, 1, "1")
-	edge := w.newEdge("edge-1")
+	edge := cluster.newEdge("edge-1")
 	edge.report(feed.ProxyReport{Ready: true, Front: "10.0.0.1:80"})
-	w.wait("it serves", func() bool { member := memberOf(replicas, "edge-1"); return member.Usable() })
+	cluster.wait("it serves", func() bool { member := memberOf(replicas, "edge-1"); return member.Usable() })
 	begun := time.Now()
 	edge.stop()
-	w.wait("it stops", func() bool { return memberOf(replicas, "edge-1").Serving == gossip.Stopping })
+	cluster.wait("it stops", func() bool { return memberOf(replicas, "edge-1").Serving == gossip.Stopping })
 	configure(replicas, 2, "2")
 	edge.waitFor("the proxy is still fed", func() bool { return edge.version() == "2" })
 	edge.report(feed.ProxyReport{Ready: true})
@@ -302,14 +302,14 @@
 	if took := time.Since(begun); took < minStopTime {
 		t.Errorf("it ended %v after it was told to, want %v at least", took, minStopTime)
 	}
-	w.wait("it has left", func() bool { return memberOf(replicas, "edge-1").State == gossip.Left })
+	cluster.wait("it has left", func() bool { return memberOf(replicas, "edge-1").State == gossip.Left })
 }
 
 func TestStopTimesOutWaitingForProxy(t *testing.T) {
 	t.Parallel()
-	w := newTestCluster(t)
-	w.newReplicas(1)
-	edge := w.newEdge("edge-1")
+	cluster := newTestCluster(t)
+	cluster.newReplicas(1)
+	edge := cluster.newEdge("edge-1")
 	edge.agent.settings.Timing.GracePeriod = 2500 * time.Millisecond
 	edge.report(feed.ProxyReport{Ready: true})
 	begun := time.Now()
--- a/internal/system/agent/world_test.go
+++ b/internal/system/agent/cluster_test.go
@@ -37,15 +37,15 @@
 }
 
 func newTestCluster(t *testing.T) *testCluster {
-	w := &testCluster{t: t, network: [4]byte{127, byte(1 + rand.IntN(254)), byte(rand.IntN(256)), 0}}
-	listener, err := net.Listen("tcp4", netip.AddrPortFrom(w.address(), 0).String())
+	cluster := &testCluster{t: t, network: [4]byte{127, byte(1 + rand.IntN(254)), byte(rand.IntN(256)), 0}}
+	listener, err := net.Listen("tcp4", netip.AddrPortFrom(cluster.address(), 0).String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.firstPort = listener.Addr().(*net.TCPAddr).AddrPort().Port() - processconfig.AgentRPCPort
+	cluster.firstPort = listener.Addr().(*net.TCPAddr).AddrPort().Port() - processconfig.AgentRPCPort
 	listener.Close()
-	w.platform = newFakePlatform(t)
-	return w
+	cluster.platform = newFakePlatform(t)
+	return cluster
 }
 
 // address is that of another machine.
@@ -359,7 +359,7 @@
 }
 
 // ServeHTTP answers GET /servers.
-func (p *fakePlatform) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (p *fakePlatform) ServeHTTP(cluster http.ResponseWriter, _ *http.Request) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.calls++
@@ -373,6 +373,6 @@
 			r.ID, r.Service, r.Address, r.Zone, r.Capacity, state))
 	}
 	body := `{"instances":[` + strings.Join(entries, ",") + `],"next_token":null}`
-	w.Header().Set("Content-Length", fmt.Sprint(len(body)))
-	fmt.Fprint(w, body)
+	cluster.Header().Set("Content-Length", fmt.Sprint(len(body)))
+	fmt.Fprint(cluster, body)
 }
--- a/internal/system/agent/metrics_test.go
+++ b/internal/system/agent/metrics_test.go
@@ -10,10 +10,10 @@
 
 func TestMetrics(t *testing.T) {
 	t.Parallel()
-	w := newTestCluster(t)
-	replicas := w.newReplicas(1)
+	cluster := newTestCluster(t)
+	replicas := cluster.newReplicas(1)
 	configure(replicas, 1, "1")
-	edge := w.newEdge("edge-1")
+	edge := cluster.newEdge("edge-1")
 	edge.report(feed.ProxyReport{Ready: true, Front: "10.0.0.1:80"})
 	edge.waitFor("the proxy has version 1", func() bool { return edge.version() == "1" })
 	text := func() string {
--- a/internal/system/agent/overlay/overlay_test.go
+++ b/internal/system/agent/overlay/tables_test.go
@@ -33,12 +33,12 @@
 }
 
 func newSimulation(t fataler) *simulation {
-	w := &simulation{t: t, agent: New(partitions), now: time.Second}
+	sim := &simulation{t: t, agent: New(partitions), now: time.Second}
 	for partition := range feed.Partition(1 + partitions) {
-		w.control = append(w.control, feed.NewTable(partition))
-		w.proxy = append(w.proxy, feed.NewTable(partition))
+		sim.control = append(sim.control, feed.NewTable(partition))
+		sim.proxy = append(sim.proxy, feed.NewTable(partition))
 	}
-	return w
+	return sim
 }
 
 func runner(id string) discovery.Runner {
@@ -115,83 +115,83 @@
 }
 
 func TestFeedIsServed(t *testing.T) {
-	w := newSimulation(t)
-	if !w.agent.Empty() {
+	sim := newSimulation(t)
+	if !sim.agent.Empty() {
 		t.Error("it has something at the start")
 	}
-	w.configure("1")
-	w.put(runner("one"), runner("two"))
-	w.updateAgent()
-	w.expect("one", true, false)
-	if value, _ := w.proxy[0].Get(feed.KeyVersion); string(value) != "1" || w.agent.Empty() {
+	sim.configure("1")
+	sim.put(runner("one"), runner("two"))
+	sim.updateAgent()
+	sim.expect("one", true, false)
+	if value, _ := sim.proxy[0].Get(feed.KeyVersion); string(value) != "1" || sim.agent.Empty() {
 		t.Error("the configuration did not go through")
 	}
-	w.put(drainingRunner("one"))
-	w.remove("two")
-	w.updateAgent()
-	w.expect("one", true, true)
-	w.expect("two", false, false)
+	sim.put(drainingRunner("one"))
+	sim.remove("two")
+	sim.updateAgent()
+	sim.expect("one", true, true)
+	sim.expect("two", false, false)
 }
 
 func TestAgesArePreserved(t *testing.T) {
-	w := newSimulation(t)
-	w.put(runner("one"))
-	w.now += 3 * time.Second
-	w.updateAgent()
-	w.now += 2 * time.Second
-	item, _ := w.agent.Served(partitionOf(runner("one"))).Item(w.now, feed.KeyPrefixRunner+"one")
+	sim := newSimulation(t)
+	sim.put(runner("one"))
+	sim.now += 3 * time.Second
+	sim.updateAgent()
+	sim.now += 2 * time.Second
+	item, _ := sim.agent.Served(partitionOf(runner("one"))).Item(sim.now, feed.KeyPrefixRunner+"one")
 	if item.Age != 5*time.Second {
 		t.Errorf("the runner is as old as %v, want 5s", item.Age)
 	}
 }
 
 func TestLaggingBatchIsIgnored(t *testing.T) {
-	w := newSimulation(t)
-	w.put(runner("one"))
-	behind := w.control[partitionOf(runner("one"))].Snapshot(w.now)
-	w.put(drainingRunner("one"))
-	w.updateAgent()
-	if changed, lags := w.agent.Apply(w.now, behind); changed || !lags {
+	sim := newSimulation(t)
+	sim.put(runner("one"))
+	behind := sim.control[partitionOf(runner("one"))].Snapshot(sim.now)
+	sim.put(drainingRunner("one"))
+	sim.updateAgent()
+	if changed, lags := sim.agent.Apply(sim.now, behind); changed || !lags {
 		t.Errorf("a batch that lags: changed %v, lags %v", changed, lags)
 	}
-	w.expect("one", true, true)
+	sim.expect("one", true, true)
 }
 
 func TestListIsAppliedAndDropped(t *testing.T) {
-	w := newSimulation(t)
-	w.put(runner("one"), runner("two"), runner("three"))
-	w.updateAgent()
+	sim := newSimulation(t)
+	sim.put(runner("one"), runner("two"), runner("three"))
+	sim.updateAgent()
 	list := []discovery.Runner{runner("one"), drainingRunner("two"), runner("four")}
-	if !w.agent.ApplyList(w.now, list, allPartitions) {
+	if !sim.agent.ApplyList(sim.now, list, allPartitions) {
 		t.Error("a list that differs changes nothing")
 	}
-	w.expect("one", true, false)
-	w.expect("two", true, true)
-	w.expect("three", true, false) // missing once
-	w.expect("four", true, false)
-	w.agent.ApplyList(w.now, list, allPartitions)
-	w.expect("three", false, false)
-	if w.agent.ApplyList(w.now, list, allPartitions) {
+	sim.expect("one", true, false)
+	sim.expect("two", true, true)
+	sim.expect("three", true, false) // missing once
+	sim.expect("four", true, false)
+	sim.agent.ApplyList(sim.now, list, allPartitions)
+	sim.expect("three", false, false)
+	if sim.agent.ApplyList(sim.now, list, allPartitions) {
 		t.Error("the same list changes something")
 	}
-	if w.agent.ApplyList(w.now, nil, allPartitions) {
+	if sim.agent.ApplyList(sim.now, nil, allPartitions) {
 		t.Error("an empty list changes something")
 	}
-	if !w.agent.DropList(w.now, allPartitions) {
+	if !sim.agent.DropList(sim.now, allPartitions) {
 		t.Error("dropping the list changes nothing")
 	}
-	w.expect("one", true, false)
-	w.expect("two", true, true) // never serves again
-	w.expect("three", true, false)
-	w.expect("four", false, false)
-	if w.agent.DropList(w.now, allPartitions) {
+	sim.expect("one", true, false)
+	sim.expect("two", true, true) // never serves again
+	sim.expect("three", true, false)
+	sim.expect("four", false, false)
+	if sim.agent.DropList(sim.now, allPartitions) {
 		t.Error("the list is dropped twice")
 	}
 }
 
 // TestListAppliesToGivenPartitionsOnly has a partition be served as the control replicas have it beside one that is not.
 func TestListAppliesToGivenPartitionsOnly(t *testing.T) {
-	w := newSimulation(t)
+	sim := newSimulation(t)
 	var here, there discovery.Runner
 	for i := 0; here.ID == "" || there.ID == ""; i++ {
 		r := runner(fmt.Sprint("runner-", i))
@@ -202,11 +202,11 @@
 			there = r
 		}
 	}
-	w.put(here, there)
-	w.updateAgent()
+	sim.put(here, there)
+	sim.updateAgent()
 	drains := func(r discovery.Runner) bool {
-		w.updateProxy()
-		value, known := w.proxy[partitionOf(r)].Get(feed.KeyPrefixRunner + r.ID)
+		sim.updateProxy()
+		value, known := sim.proxy[partitionOf(r)].Get(feed.KeyPrefixRunner + r.ID)
 		held, err := discovery.DecodeRunner(value)
 		if !known || err != nil {
 			t.Fatalf("%s is held: %t, %v", r.ID, known, err)
@@ -215,120 +215,120 @@
 	}
 	list := []discovery.Runner{here, there}
 	list[0].Draining, list[1].Draining = true, true
-	w.agent.ApplyList(w.now, list, feed.NewPartitionSet(1))
+	sim.agent.ApplyList(sim.now, list, feed.NewPartitionSet(1))
 	if !drains(here) || drains(there) {
 		t.Errorf("cut off from 1: in 1 it drains: %t, in 2: %t", drains(here), drains(there))
 	}
-	w.agent.ApplyList(w.now, list[1:], feed.NewPartitionSet(1))
-	w.agent.ApplyList(w.now, list[1:], feed.NewPartitionSet(1))
-	w.updateProxy()
-	if _, known := w.proxy[1].Get(feed.KeyPrefixRunner + here.ID); known {
+	sim.agent.ApplyList(sim.now, list[1:], feed.NewPartitionSet(1))
+	sim.agent.ApplyList(sim.now, list[1:], feed.NewPartitionSet(1))
+	sim.updateProxy()
+	if _, known := sim.proxy[1].Get(feed.KeyPrefixRunner + here.ID); known {
 		t.Error("a runner that is gone is served")
 	}
-	if w.agent.DropList(w.now, feed.NewPartitionSet(2)) {
+	if sim.agent.DropList(sim.now, feed.NewPartitionSet(2)) {
 		t.Error("dropping the list for another partition changes something")
 	}
-	w.agent.DropList(w.now, feed.NewPartitionSet(1))
+	sim.agent.DropList(sim.now, feed.NewPartitionSet(1))
 	if !drains(here) {
 		t.Error("a runner that drained serves again")
 	}
 }
 
 func TestOneMissDoesNotRemoveRunner(t *testing.T) {
-	w := newSimulation(t)
-	w.put(runner("one"), runner("two"))
-	w.updateAgent()
+	sim := newSimulation(t)
+	sim.put(runner("one"), runner("two"))
+	sim.updateAgent()
 	for range 5 {
-		w.agent.ApplyList(w.now, []discovery.Runner{runner("one")}, allPartitions)
-		w.agent.ApplyList(w.now, []discovery.Runner{runner("one"), runner("two")}, allPartitions)
+		sim.agent.ApplyList(sim.now, []discovery.Runner{runner("one")}, allPartitions)
+		sim.agent.ApplyList(sim.now, []discovery.Runner{runner("one"), runner("two")}, allPartitions)
 	}
-	w.expect("two", true, false)
+	sim.expect("two", true, false)
 }
 
 func TestDrainingIsPermanent(t *testing.T) {
-	w := newSimulation(t)
-	w.put(drainingRunner("one"))
-	w.updateAgent()
-	w.agent.ApplyList(w.now, []discovery.Runner{runner("one"), runner("two")}, allPartitions)
-	w.expect("one", true, true)
-	w.put(runner("one")) // a word from before
-	w.updateAgent()
-	w.expect("one", true, true)
-	w.agent.DropList(w.now, allPartitions)
-	w.expect("one", true, true)
+	sim := newSimulation(t)
+	sim.put(drainingRunner("one"))
+	sim.updateAgent()
+	sim.agent.ApplyList(sim.now, []discovery.Runner{runner("one"), runner("two")}, allPartitions)
+	sim.expect("one", true, true)
+	sim.put(runner("one")) // a word from before
+	sim.updateAgent()
+	sim.expect("one", true, true)
+	sim.agent.DropList(sim.now, allPartitions)
+	sim.expect("one", true, true)
 }
 
 func TestFeedOverridesList(t *testing.T) {
-	w := newSimulation(t)
-	w.put(runner("one"))
-	w.updateAgent()
-	w.agent.ApplyList(w.now, []discovery.Runner{runner("one"), runner("two")}, allPartitions)
-	w.put(runner("two"))
-	w.remove("one")
-	w.updateAgent()
-	w.expect("one", false, false)
-	w.agent.DropList(w.now, allPartitions)
-	w.expect("one", false, false)
-	w.expect("two", true, false)
+	sim := newSimulation(t)
+	sim.put(runner("one"))
+	sim.updateAgent()
+	sim.agent.ApplyList(sim.now, []discovery.Runner{runner("one"), runner("two")}, allPartitions)
+	sim.put(runner("two"))
+	sim.remove("one")
+	sim.updateAgent()
+	sim.expect("one", false, false)
+	sim.agent.DropList(sim.now, allPartitions)
+	sim.expect("one", false, false)
+	sim.expect("two", true, false)
 }
 
 func TestElapsedTimesAreNoChange(t *testing.T) {
-	w := newSimulation(t)
+	sim := newSimulation(t)
 	cold := func(left time.Duration) discovery.Runner {
 		r := runner("one")
 		r.SlowStartRemaining = left
 		return r
 	}
-	w.put(cold(3 * time.Second))
-	w.updateAgent()
-	w.now += time.Second
-	if w.agent.ApplyList(w.now, []discovery.Runner{cold(2 * time.Second)}, allPartitions) {
+	sim.put(cold(3 * time.Second))
+	sim.updateAgent()
+	sim.now += time.Second
+	if sim.agent.ApplyList(sim.now, []discovery.Runner{cold(2 * time.Second)}, allPartitions) {
 		t.Error("a time that ran down is a change")
 	}
-	w.now += 4 * time.Second
-	if w.agent.ApplyList(w.now, []discovery.Runner{cold(0)}, allPartitions) {
+	sim.now += 4 * time.Second
+	if sim.agent.ApplyList(sim.now, []discovery.Runner{cold(0)}, allPartitions) {
 		t.Error("a time that ran out is a change")
 	}
-	if !w.agent.ApplyList(w.now, []discovery.Runner{cold(3 * time.Second)}, allPartitions) {
+	if !sim.agent.ApplyList(sim.now, []discovery.Runner{cold(3 * time.Second)}, allPartitions) {
 		t.Error("a runner that is cold again is no change")
 	}
 }
 
 func TestRestartedAgentContinuesServing(t *testing.T) {
-	w := newSimulation(t)
-	w.put(runner("one"), runner("two"))
-	w.updateAgent()
-	w.agent.ApplyList(w.now, []discovery.Runner{runner("one"), runner("three")}, allPartitions)
-	w.agent.ApplyList(w.now, []discovery.Runner{runner("one"), runner("three")}, allPartitions)
-	w.expect("two", false, false)
-	w.expect("three", true, false)
-	w.agent = New(partitions) // a new life, which knows nothing of the list
-	w.expect("three", true, false)
-	w.updateAgent()
-	w.expect("one", true, false)
-	w.expect("two", true, false)
-	w.expect("three", false, false)
-	w.put(runner("four"))
-	w.updateAgent()
-	w.expect("four", true, false)
+	sim := newSimulation(t)
+	sim.put(runner("one"), runner("two"))
+	sim.updateAgent()
+	sim.agent.ApplyList(sim.now, []discovery.Runner{runner("one"), runner("three")}, allPartitions)
+	sim.agent.ApplyList(sim.now, []discovery.Runner{runner("one"), runner("three")}, allPartitions)
+	sim.expect("two", false, false)
+	sim.expect("three", true, false)
+	sim.agent = New(partitions) // a new life, which knows nothing of the list
+	sim.expect("three", true, false)
+	sim.updateAgent()
+	sim.expect("one", true, false)
+	sim.expect("two", true, false)
+	sim.expect("three", false, false)
+	sim.put(runner("four"))
+	sim.updateAgent()
+	sim.expect("four", true, false)
 }
 
 func TestLaggingRestartedAgentServesNothingOlder(t *testing.T) {
-	w := newSimulation(t)
-	w.put(runner("one"))
+	sim := newSimulation(t)
+	sim.put(runner("one"))
 	partition := partitionOf(runner("one"))
-	behind := w.control[partition].Snapshot(w.now)
-	w.put(drainingRunner("one"))
-	w.updateAgent()
-	w.expect("one", true, true)
-	w.agent = New(partitions)
-	w.agent.Apply(w.now, behind)
-	w.expect("one", true, true)
-	w.updateAgent()
-	w.put(runner("two"))
-	w.updateAgent()
-	w.expect("one", true, true)
-	w.expect("two", true, false)
+	behind := sim.control[partition].Snapshot(sim.now)
+	sim.put(drainingRunner("one"))
+	sim.updateAgent()
+	sim.expect("one", true, true)
+	sim.agent = New(partitions)
+	sim.agent.Apply(sim.now, behind)
+	sim.expect("one", true, true)
+	sim.updateAgent()
+	sim.put(runner("two"))
+	sim.updateAgent()
+	sim.expect("one", true, true)
+	sim.expect("two", true, false)
 }
 
 func TestDrainedRunnersExpire(t *testing.T) {
@@ -345,7 +345,7 @@
 // TestProxyConvergesToServedTables plays drawn changes, lists, lags and restarts.
 func TestProxyConvergesToServedTables(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation(t)
+		sim := newSimulation(t)
 		drained := map[string]bool{} // as this life of the agent has served them
 		ids := []string{"a", "b", "c", "d", "e", "f"}
 		services := []string{"one", "two", "three"}
@@ -357,18 +357,18 @@
 			return r
 		}
 		remove := func(r discovery.Runner) {
-			w.index++
-			w.control[partitionOf(r)].Delete(w.now, w.index, feed.KeyPrefixRunner+r.ID)
+			sim.index++
+			sim.control[partitionOf(r)].Delete(sim.now, sim.index, feed.KeyPrefixRunner+r.ID)
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			w.now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
+			sim.now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0, 1:
-				w.put(draw("put"))
+				sim.put(draw("put"))
 			case 2:
 				remove(draw("remove"))
 			case 3, 4:
-				w.updateAgent()
+				sim.updateAgent()
 			case 5:
 				var list []discovery.Runner
 				seen := map[string]bool{}
@@ -378,25 +378,25 @@
 						list = append(list, r)
 					}
 				}
-				w.agent.ApplyList(w.now, list, allPartitions)
+				sim.agent.ApplyList(sim.now, list, allPartitions)
 			case 6:
-				w.agent.DropList(w.now, allPartitions)
+				sim.agent.DropList(sim.now, allPartitions)
 			case 7:
 				if rapid.IntRange(0, 3).Draw(t, "restart") == 0 {
-					w.agent = New(partitions)
+					sim.agent = New(partitions)
 					clear(drained)
 				}
 			}
-			for i := range w.proxy {
-				was := w.proxy[i].Index()
-				w.updateProxyPartition(feed.Partition(i))
-				if w.proxy[i].Index() < was {
-					t.Fatalf("the proxy went back from %d to %d", was, w.proxy[i].Index())
+			for i := range sim.proxy {
+				was := sim.proxy[i].Index()
+				sim.updateProxyPartition(feed.Partition(i))
+				if sim.proxy[i].Index() < was {
+					t.Fatalf("the proxy went back from %d to %d", was, sim.proxy[i].Index())
 				}
-				w.compare(feed.Partition(i))
+				sim.compare(feed.Partition(i))
 			}
-			for i := range w.proxy {
-				for _, value := range w.agent.Served(feed.Partition(i)).Values(feed.KeyPrefixRunner) {
+			for i := range sim.proxy {
+				for _, value := range sim.agent.Served(feed.Partition(i)).Values(feed.KeyPrefixRunner) {
 					r, err := discovery.DecodeRunner(value)
 					if err != nil {
 						t.Fatal(err)
--- a/internal/system/agent/upstream/partitions_test.go
+++ b/internal/system/agent/upstream/partitions_test.go
@@ -38,29 +38,29 @@
 func TestPartitionWithoutLeaderLeavesOthersFollowed(t *testing.T) {
 	for lost := range feed.Partition(testPartitions) {
 		rest := allPartitions.Without(feed.NewPartitionSet(lost))
-		m := newTestSelector()
-		m.SetCandidates(addresses(1, 2, 3))
-		m.Next(0)
-		m.HandleReply(0, address(1), Reply{Ages: agesOf(allPartitions)})
-		expectRequest(t, m, 0, 1, second)
-		m.HandleReply(second, address(1), Reply{Ages: agesOf(rest)})
+		selector := newTestSelector()
+		selector.SetCandidates(addresses(1, 2, 3))
+		selector.Next(0)
+		selector.HandleReply(0, address(1), Reply{Ages: agesOf(allPartitions)})
+		expectRequest(t, selector, 0, 1, second)
+		selector.HandleReply(second, address(1), Reply{Ages: agesOf(rest)})
 		for n := 2; n <= 3; n++ {
-			expectRequest(t, m, second, n, 0)
-			m.HandleReply(second, address(n), Reply{Ages: agesOf(rest)})
+			expectRequest(t, selector, second, n, 0)
+			selector.HandleReply(second, address(n), Reply{Ages: agesOf(rest)})
 		}
-		expectRequest(t, m, second, 1, second)
-		expectState(t, m, Following)
-		if m.Current() != rest {
-			t.Errorf("without %d it is up to date with %v", lost, m.Current())
+		expectRequest(t, selector, second, 1, second)
+		expectState(t, selector, Following)
+		if selector.Current() != rest {
+			t.Errorf("without %d it is up to date with %v", lost, selector.Current())
 		}
-		m.HandleReply(2*second, address(1), Reply{Ages: agesOf(rest)})
-		if got := m.CutOff(2*second + 499*time.Millisecond); !got.IsEmpty() {
+		selector.HandleReply(2*second, address(1), Reply{Ages: agesOf(rest)})
+		if got := selector.CutOff(2*second + 499*time.Millisecond); !got.IsEmpty() {
 			t.Errorf("without %d it is cut off from %v early", lost, got)
 		}
-		if got := m.CutOff(2*second + 500*time.Millisecond); got != feed.NewPartitionSet(lost) {
+		if got := selector.CutOff(2*second + 500*time.Millisecond); got != feed.NewPartitionSet(lost) {
 			t.Errorf("without %d it is cut off from %v", lost, got)
 		}
-		expectState(t, m, Following)
+		expectState(t, selector, Following)
 	}
 }
 
@@ -77,21 +77,21 @@
 		{[]feed.PartitionSet{feed.NewPartitionSet(0, 1), feed.NewPartitionSet(0, 2), allPartitions}, 3},
 	}
 	for _, c := range cases {
-		m := newTestSelector()
-		m.SetCandidates(addresses(1, 2, 3))
+		selector := newTestSelector()
+		selector.SetCandidates(addresses(1, 2, 3))
 		now := time.Duration(0)
-		for step := 0; m.State() != Following; step++ {
-			question, pause := m.Next(now)
+		for step := 0; selector.State() != Following; step++ {
+			request, pause := selector.Next(now)
 			now += pause
-			if m.State() == Following || step > 20 {
+			if selector.State() == Following || step > 20 {
 				break
 			}
 			if pause == 0 {
-				n := int(question.Address.Addr().As4()[3])
-				m.HandleReply(now, question.Address, Reply{Ages: agesOf(c.current[n-1])})
+				n := int(request.Address.Addr().As4()[3])
+				selector.HandleReply(now, request.Address, Reply{Ages: agesOf(c.current[n-1])})
 			}
 		}
-		if followed, _ := m.Followed(); followed != address(c.want) {
+		if followed, _ := selector.Followed(); followed != address(c.want) {
 			t.Errorf("%v: %v is followed, want %v", c.current, followed, address(c.want))
 		}
 	}
@@ -100,49 +100,49 @@
 // TestRetriesCandidatesWhilePartitionsAreMissing has a replica become up to date with more than the followed one, beside
 // one that does not answer: it is asked once, and then not before long.
 func TestRetriesCandidatesWhilePartitionsAreMissing(t *testing.T) {
-	m := newTestSelector()
-	m.SetCandidates(addresses(1, 2, 3))
+	selector := newTestSelector()
+	selector.SetCandidates(addresses(1, 2, 3))
 	partly := Reply{Ages: agesOf(feed.NewPartitionSet(0, 1))}
-	expectRequest(t, m, 0, 1, 0)
-	m.HandleReply(0, address(1), partly)
-	expectRequest(t, m, 0, 2, 0)
-	m.HandleFailure(0, address(2))
-	expectRequest(t, m, 0, 3, 0)
-	m.HandleReply(0, address(3), partly)
-	expectRequest(t, m, 0, 1, second)
-	m.HandleReply(second, address(1), partly)
-	expectRequest(t, m, second, 1, second)
-	m.HandleReply(2*second, address(1), partly)
-	expectRequest(t, m, 2*second, 1, 0) // they are asked again
-	m.HandleReply(2*second, address(1), partly)
-	expectRequest(t, m, 2*second, 3, 0) // not 2, which did not answer
-	m.HandleReply(2*second, address(3), Reply{Ages: agesOf(allPartitions)})
-	expectRequest(t, m, 2*second, 3, second)
-	if m.Current() != allPartitions {
-		t.Errorf("it is up to date with %v", m.Current())
+	expectRequest(t, selector, 0, 1, 0)
+	selector.HandleReply(0, address(1), partly)
+	expectRequest(t, selector, 0, 2, 0)
+	selector.HandleFailure(0, address(2))
+	expectRequest(t, selector, 0, 3, 0)
+	selector.HandleReply(0, address(3), partly)
+	expectRequest(t, selector, 0, 1, second)
+	selector.HandleReply(second, address(1), partly)
+	expectRequest(t, selector, second, 1, second)
+	selector.HandleReply(2*second, address(1), partly)
+	expectRequest(t, selector, 2*second, 1, 0) // they are asked again
+	selector.HandleReply(2*second, address(1), partly)
+	expectRequest(t, selector, 2*second, 3, 0) // not 2, which did not answer
+	selector.HandleReply(2*second, address(3), Reply{Ages: agesOf(allPartitions)})
+	expectRequest(t, selector, 2*second, 3, second)
+	if selector.Current() != allPartitions {
+		t.Errorf("it is up to date with %v", selector.Current())
 	}
 }
 
 // TestSearchContinuesAfterLosingPartialReplica has the followed replica be lost while others are asked again.
 func TestSearchContinuesAfterLosingPartialReplica(t *testing.T) {
-	m := newTestSelector()
-	m.SetCandidates(addresses(1, 2))
+	selector := newTestSelector()
+	selector.SetCandidates(addresses(1, 2))
 	partly := Reply{Ages: agesOf(feed.NewPartitionSet(0, 1))}
-	m.Next(0)
-	m.HandleReply(0, address(1), partly)
-	m.Next(0)
-	m.HandleFailure(0, address(2))
-	expectRequest(t, m, 0, 1, second)
-	m.HandleReply(2*second, address(1), partly)
-	expectRequest(t, m, 2*second, 1, 0)
-	m.HandleFailure(2*second, address(1))
+	selector.Next(0)
+	selector.HandleReply(0, address(1), partly)
+	selector.Next(0)
+	selector.HandleFailure(0, address(2))
+	expectRequest(t, selector, 0, 1, second)
+	selector.HandleReply(2*second, address(1), partly)
+	expectRequest(t, selector, 2*second, 1, 0)
+	selector.HandleFailure(2*second, address(1))
 	now := 2 * second
-	question, pause := m.Next(now)
-	for ; pause > 0; question, pause = m.Next(now) {
+	request, pause := selector.Next(now)
+	for ; pause > 0; request, pause = selector.Next(now) {
 		now += pause
 	}
-	if question.Address != address(2) || now > 4*second {
-		t.Errorf("%v is asked at %v, want the other one before long", question.Address, now)
+	if request.Address != address(2) || now > 4*second {
+		t.Errorf("%v is asked at %v, want the other one before long", request.Address, now)
 	}
 }
 
@@ -157,7 +157,7 @@
 		for i := range n {
 			order = append(order, i+1)
 		}
-		m := newTestSelector()
+		selector := newTestSelector()
 		now, changed := time.Duration(0), time.Duration(0)
 		for step := range 400 {
 			if step == 0 || rapid.IntRange(0, 60).Draw(t, "changes") == 0 {
@@ -167,8 +167,8 @@
 				}
 				changed = now
 			}
-			m.SetCandidates(addresses(order...))
-			question, pause := m.Next(now)
+			selector.SetCandidates(addresses(order...))
+			request, pause := selector.Next(now)
 			if pause > second {
 				t.Fatalf("step %d: it pauses for %v", step, pause)
 			}
@@ -176,16 +176,16 @@
 			if pause > 0 {
 				continue
 			}
-			from := int(question.Address.Addr().As4()[3])
+			from := int(request.Address.Addr().As4()[3])
 			if silent[from] {
-				now += question.Timeout
-				m.HandleFailure(now, question.Address)
+				now += request.Timeout
+				selector.HandleFailure(now, request.Address)
 			} else {
-				now += question.Wait + 5*time.Millisecond
-				m.HandleReply(now, question.Address, Reply{Ages: agesOf(current[from])})
+				now += request.Wait + 5*time.Millisecond
+				selector.HandleReply(now, request.Address, Reply{Ages: agesOf(current[from])})
 			}
 			longest := 25*time.Second + time.Duration(n)*1700*time.Millisecond
-			if now-changed < longest || m.State() != Following {
+			if now-changed < longest || selector.State() != Following {
 				continue
 			}
 			best := 0
@@ -194,8 +194,8 @@
 					best = max(best, weight(current[i+1]))
 				}
 			}
-			if got := weight(m.Current()); got < best && !m.Current().Contains(feed.ConfigurationPartition) {
-				t.Fatalf("step %d: %v is followed for %v, weight %d, where one of %d is there", step, m.Current(),
+			if got := weight(selector.Current()); got < best && !selector.Current().Contains(feed.ConfigurationPartition) {
+				t.Fatalf("step %d: %v is followed for %v, weight %d, where one of %d is there", step, selector.Current(),
 					now-changed, got, best)
 			}
 		}
@@ -240,25 +240,25 @@
 func (s *simulation) run() {
 	now := time.Duration(0)
 	for s.received < len(s.changes) && now < 90*second {
-		question, pause := s.selector.Next(now)
+		request, pause := s.selector.Next(now)
 		now += pause
 		if pause > 0 {
 			continue
 		}
-		if question.Address == address(s.silent) {
-			now += min(question.Timeout, question.DialTimeout)
-			s.selector.HandleFailure(now, question.Address)
+		if request.Address == address(s.silent) {
+			now += min(request.Timeout, request.DialTimeout)
+			s.selector.HandleFailure(now, request.Address)
 			continue
 		}
 		arrives := now + s.roundTrip/2
 		answered := arrives
 		if next := s.changes[s.received]; next > arrives {
-			answered = min(next, arrives+question.Wait)
+			answered = min(next, arrives+request.Wait)
 		}
 		now = answered + s.roundTrip/2
 		s.receive(answered, now)
 		s.longestGap = max(s.longestGap, now-s.oldest(now))
-		s.selector.HandleReply(now, question.Address, Reply{Ages: agesOf(s.current(answered))})
+		s.selector.HandleReply(now, request.Address, Reply{Ages: agesOf(s.current(answered))})
 	}
 }
 
@@ -335,25 +335,25 @@
 		random := rand.New(rand.NewPCG(seed, 47))
 		roundTrip := time.Duration(1+random.IntN(180)) * time.Millisecond
 		cutAt := 5*second + time.Duration(random.IntN(3000))*time.Millisecond
-		m := newTestSelector()
-		m.SetCandidates(addresses(1, 2, 3))
+		selector := newTestSelector()
+		selector.SetCandidates(addresses(1, 2, 3))
 		now, left := time.Duration(0), time.Duration(0)
 		for left == 0 && now < 60*second {
-			question, pause := m.Next(now)
+			request, pause := selector.Next(now)
 			now += pause
 			if pause > 0 {
 				continue
 			}
-			answered := now + roundTrip/2 + question.Wait
+			answered := now + roundTrip/2 + request.Wait
 			age := time.Duration(0)
-			if question.Address == address(1) {
+			if request.Address == address(1) {
 				stale := max(now+roundTrip/2, cutAt+feed.StaleAfter) + 10*time.Millisecond
 				answered = min(answered, stale)
 				age = max(0, answered-cutAt)
 			}
 			now = answered + roundTrip/2
-			m.HandleReply(now, question.Address, Reply{Ages: ages(age, age, age)})
-			if followed, follows := m.Followed(); follows && followed != address(1) {
+			selector.HandleReply(now, request.Address, Reply{Ages: ages(age, age, age)})
+			if followed, follows := selector.Followed(); follows && followed != address(1) {
 				left = now - cutAt
 			}
 		}
--- a/internal/system/agent/upstream/source.go
+++ b/internal/system/agent/upstream/selector.go
@@ -133,11 +133,11 @@
 // New returns a machine that searches from now on.
 func New(options Options, now time.Duration) *Selector {
 	options.setDefaults()
-	m := &Selector{options: options, all: feed.FirstPartitions(options.Partitions), search: 1}
+	selector := &Selector{options: options, all: feed.FirstPartitions(options.Partitions), search: 1}
 	for range options.Partitions {
-		m.upToDateAt = append(m.upToDateAt, now)
+		selector.upToDateAt = append(selector.upToDateAt, now)
 	}
-	return m
+	return selector
 }
 
 // State is the current state.
