--- a/internal/system/agent/fallback/poller.go
+++ b/internal/system/agent/fallback/poller.go
@@ -1,6 +1,9 @@
-// Package survey decides when an agent that is cut off from the control replicas asks the platform for its list itself,
-// at a pace that keeps all agents together within the platform's rate, and how long what it was told is used. Partitions
-// count each by itself: the list is used for those from which the agent is cut off. It is pure.
+// Package fallback decides when an agent that is cut off from the control replicas polls the platform's list of runners
+// itself, and how long the list is used after the agent is back in touch. It is a pure state machine that performs no
+// I/O and is not safe for concurrent use.
+//
+// The polls of all agents together stay within the platform's rate. Partitions are independent: the list is used for
+// those from which the agent is cut off.
 package fallback
 
 import (
@@ -10,17 +13,17 @@
 	"cinderroad/internal/system/feed"
 )
 
-// State is what the agent does about the platform's list.
+// State is the phase of a Poller.
 type State uint8
 
-// The states.
+// The states of a Poller.
 const (
-	Idle    State = iota // the feed is up to date: the platform is not asked
-	Asking               // cut off from some partition: the platform is asked in turn
-	Holding              // the feed is up to date again; what the platform said is used until the feed has caught up
+	Idle    State = iota // the feed is up to date: the platform is not polled
+	Asking               // cut off from at least one partition: the platform is polled
+	Holding              // the feed is up to date again; the list is used for HoldTime
 )
 
-// String names the state.
+// String returns the name of the state, as logged.
 func (s State) String() string {
 	switch s {
 	case Idle:
@@ -33,47 +36,49 @@
 	return "unknown"
 }
 
+// Bounds of the polls.
 const (
 	minInterval    = time.Second
-	rateHeadroom   = 3.0  // parts that the agents leave of the platform's rate: their number may be underestimated
-	defaultAgents  = 30   // taken where the number is not known
+	rateHeadroom   = 3.0  // divides the platform's rate: the number of agents may be underestimated
+	defaultAgents  = 30   // assumed if the number of agents is not known
 	jitterFraction = 0.25 // of the interval, to either side
 	maxBackoff     = 15 * time.Second
 )
 
-// HoldTime is how long the platform's word outlasts the cut: by then the control replicas have asked the platform.
+// HoldTime is how long the platform's list is used after a partition's feed is up to date again. By then the control
+// replicas have polled the platform.
 const HoldTime = 2 * time.Second
 
-// Pace is what the interval between two questions depends on.
+// Pace is what the interval between polls depends on.
 type Pace struct {
-	Agents   int     // that may be asking; 0: not known
-	RatePerS float64 // calls that the platform takes from all together; 0: not told
+	Agents   int     // number of agents that may be polling; 0: not known
+	RatePerS float64 // calls a second that the platform accepts of all agents together; 0: not limited
 }
 
-// Poller is the agent's state. Times are of any steady clock.
+// Poller is the state of an agent's polls. Times are of any monotonic clock.
 type Poller struct {
 	state   State
 	random  func() float64 // in [0, 1)
-	pages   int            // calls that the last list took
-	nextAt  time.Duration  // of the next question, while Asking
-	backoff time.Duration  // after failures
+	pages   int            // number of calls that the last list took
+	nextAt  time.Duration  // time of the next poll, while Asking
+	backoff time.Duration  // delay after the last failure; 0: the last poll succeeded
 
-	cutOff feed.PartitionSet                // for which the platform is asked
-	dropAt map[feed.Partition]time.Duration // of those that are up to date again: when the platform's word is dropped
+	cutOff feed.PartitionSet                // partitions for which the platform is polled
+	dropAt map[feed.Partition]time.Duration // by partition that is up to date again: time when the list is dropped
 }
 
-// New returns a machine that is idle. random spreads the questions of many agents.
+// New returns an idle poller. random returns numbers in [0, 1), which spread the polls of many agents.
 func New(random func() float64) *Poller {
 	return &Poller{random: random, pages: 1, dropAt: map[feed.Partition]time.Duration{}}
 }
 
-// State is the current state.
+// State returns the current state.
 func (p *Poller) State() State { return p.state }
 
-// CutOff are the partitions for which the platform's list is to be used as it comes.
+// CutOff returns the partitions to which a list is to be applied.
 func (p *Poller) CutOff() feed.PartitionSet { return p.cutOff }
 
-// interval is the time between two questions, without jitter.
+// interval returns the time between two polls, without jitter.
 func (p *Poller) interval(pace Pace) time.Duration {
 	agents := pace.Agents
 	if agents <= 0 {
@@ -82,7 +87,7 @@
 	if pace.RatePerS <= 0 {
 		return minInterval
 	}
-	lists := pace.RatePerS / float64(p.pages) // that the platform takes in a second
+	lists := pace.RatePerS / float64(p.pages) // lists a second that the platform accepts
 	if rateHeadroom*float64(agents) <= lists {
 		return minInterval
 	}
@@ -90,8 +95,8 @@
 	return max(minInterval, time.Duration(seconds*float64(time.Second)))
 }
 
-// safePoissonMean is the mean of independent events in a second that is four standard deviations below a bound: so many
-// agents rarely meet in one second by chance.
+// safePoissonMean returns the mean of a Poisson distribution that is four standard deviations below a bound: polls of
+// agents that rarely exceed the bound within one second.
 func safePoissonMean(bound float64) float64 {
 	const deviations = 4.0
 	root := math.Sqrt(deviations*deviations/4+bound) - deviations/2
@@ -103,8 +108,8 @@
 	return time.Duration(float64(interval) * share)
 }
 
-// Update takes the partitions from which the agent is cut off, of which it has anything to serve. It returns those whose
-// list is to be dropped.
+// Update sets the partitions from which the agent is cut off and of which it holds anything to serve. It returns the
+// partitions whose list is to be dropped now.
 func (p *Poller) Update(now time.Duration, cutOff feed.PartitionSet, pace Pace) (drop feed.PartitionSet) {
 	for partition := range p.cutOff.Without(cutOff).All() {
 		p.dropAt[partition] = now + HoldTime
@@ -123,7 +128,7 @@
 	case !cutOff.IsEmpty() && p.state == Idle:
 		p.startAsking(now, pace)
 	case !cutOff.IsEmpty():
-		p.state = Asking // on, after a cut that ended for a moment
+		p.state = Asking // the polls continue if the agent was in touch for less than HoldTime
 	case len(p.dropAt) > 0:
 		p.state = Holding
 	default:
@@ -132,14 +137,15 @@
 	return drop
 }
 
-// startAsking starts to ask: anywhere in an interval, so that agents that were cut off together do not ask together.
+// startAsking schedules the first poll at a random time within an interval, so that agents cut off together do not poll
+// together.
 func (p *Poller) startAsking(now time.Duration, pace Pace) {
 	p.state = Asking
 	p.backoff = 0
 	p.nextAt = now + time.Duration(p.random()*float64(p.interval(pace)))
 }
 
-// Next is how long until the platform is to be asked; asking says whether it is to be at all.
+// Next returns the time until the next poll is due. asking is false if none is.
 func (p *Poller) Next(now time.Duration) (wait time.Duration, asking bool) {
 	if p.state != Asking {
 		return 0, false
@@ -147,14 +153,14 @@
 	return max(0, p.nextAt-now), true
 }
 
-// HandleList takes it that the platform answered, with so many calls.
+// HandleList records that the platform returned its list, in the given number of calls.
 func (p *Poller) HandleList(now time.Duration, calls int, pace Pace) {
 	p.pages = max(1, calls)
 	p.backoff = 0
 	p.nextAt = now + p.jitter(p.interval(pace))
 }
 
-// HandleFailure takes it that the platform refused, or did not answer; retryAfter is what it asked for, 0: nothing.
+// HandleFailure records that a poll failed. retryAfter is the delay that the platform asked for; 0: none.
 func (p *Poller) HandleFailure(now time.Duration, retryAfter time.Duration, pace Pace) {
 	p.backoff = min(max(2*p.backoff, p.interval(pace)), max(maxBackoff, p.interval(pace)))
 	p.nextAt = now + p.jitter(max(p.backoff, retryAfter))
--- a/internal/system/agent/overlay/drained.go
+++ b/internal/system/agent/overlay/drained.go
@@ -6,21 +6,24 @@
 	"cinderroad/internal/system/discovery"
 )
 
+// Bounds of drainedRunners.
 const (
-	// drainedTTL is how long a runner that was draining is remembered after it was last named.
+	// drainedTTL is how long a runner that was draining is remembered after it was last seen.
 	drainedTTL   = 2 * time.Minute
-	minPruneSize = 256 // entries, below which nothing is dropped
+	minPruneSize = 256 // number of entries below which nothing is pruned
 )
 
-// drainedRunners are the runners that were seen draining: none of them ever takes new work again. Names are not used twice.
+// drainedRunners are the runners that were seen draining. None of them ever takes new work again: runner IDs are not
+// reused.
 type drainedRunners struct {
-	lastSeen       map[string]time.Duration // by id; when it was last named
-	sizeAfterPrune int                      // entries that the last pruning left
+	lastSeen       map[string]time.Duration // by runner ID: time when it was last seen
+	sizeAfterPrune int                      // number of entries after the last pruning
 }
 
 func newDrainedRunners() drainedRunners { return drainedRunners{lastSeen: map[string]time.Duration{}} }
 
-// apply notes a runner that drains, and has one that was seen draining drain on. It says whether it altered the runner.
+// apply records a draining runner, and marks a runner as draining that was seen draining before. It reports whether it
+// changed the runner.
 func (d *drainedRunners) apply(now time.Duration, runner *discovery.Runner) bool {
 	_, known := d.lastSeen[runner.ID]
 	if !known && !runner.Draining {
@@ -33,7 +36,7 @@
 	return altered
 }
 
-// prune drops what has not been named for long, whenever the entries have doubled.
+// prune removes expired entries whenever the number of entries has doubled.
 func (d *drainedRunners) prune(now time.Duration) {
 	if len(d.lastSeen) < max(minPruneSize, 2*d.sizeAfterPrune) {
 		return
--- a/internal/system/agent/overlay/list.go
+++ b/internal/system/agent/overlay/list.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"strings"
 	"time"
 
 	"cinderroad/internal/system/discovery"
@@ -9,29 +10,30 @@
 )
 
 const (
-	// missesUntilRemoved is in how many lists in a row a runner must be missing to be gone: one list may be a page short.
+	// missesUntilRemoved is in how many consecutive lists a runner must be missing to be removed: one list may lack a
+	// page.
 	missesUntilRemoved = 2
-	// timeTolerance is by how much a time that runs down by itself may differ from what is expected.
+	// timeTolerance is how far a remaining time may be off what its elapsing explains, and still be unchanged.
 	timeTolerance = 400 * time.Millisecond
 )
 
-// overlay is what the platform itself said of a partition's runners.
+// overlay is what was applied of the platform's list to one partition.
 type overlay struct {
-	altered map[string]bool // keys that are served as the platform said
-	misses  map[string]int  // keys that are served and were missing in so many lists in a row
+	altered map[string]bool // keys that are served as listed
+	misses  map[string]int  // by served key: number of consecutive lists without it
 }
 
 func newOverlay() overlay {
 	return overlay{altered: map[string]bool{}, misses: map[string]int{}}
 }
 
-// remove takes it that the control replicas had a newer word on a key.
+// remove forgets a key, because the control replicas changed it.
 func (o *overlay) remove(key string) {
 	delete(o.altered, key)
 	delete(o.misses, key)
 }
 
-// recordMiss notes that a served runner is not listed, and says whether it is gone.
+// recordMiss records that a served runner is not listed, and reports whether it is to be removed.
 func (o *overlay) recordMiss(key string) bool {
 	o.misses[key]++
 	if o.misses[key] < missesUntilRemoved {
@@ -41,9 +43,9 @@
 	return true
 }
 
-// ApplyList takes the platform's list for the partitions named: new runners are served, those that drain are served as
-// draining, and those that were missing twice in a row are gone. It says whether anything changed. An empty list says
-// nothing, and a partition of which nothing is held stays so.
+// ApplyList applies the platform's list to the given partitions: new runners are served, draining ones are served as
+// draining, and those missing missesUntilRemoved times in a row are removed. It reports whether anything changed. An
+// empty list is ignored, and so is a partition of which the agent holds nothing.
 func (t *Tables) ApplyList(now time.Duration, runners []discovery.Runner, partitions feed.PartitionSet) bool {
 	if len(runners) == 0 {
 		return false
@@ -66,10 +68,10 @@
 	return changed
 }
 
-// applyListToPartition serves a partition as listed. All its changes have one number.
+// applyListToPartition serves a partition as listed. All changes get the same index.
 func (t *Tables) applyListToPartition(now time.Duration, partition feed.Partition, listed map[string]*discovery.Runner) bool {
 	if t.base[partition].Index() == 0 {
-		return false // followers of an earlier life could not be told what is gone since
+		return false // a proxy served before a restart could not be told of removals since
 	}
 	table, overlay := t.served[partition], &t.overlays[partition]
 	index := table.Index() + 1
@@ -88,7 +90,7 @@
 		}
 		updated = append(updated, feed.Item{Key: key, Value: discovery.EncodeRunner(*runner)})
 	}
-	slices.SortFunc(updated, func(a, b feed.Item) int { return compare(a.Key, b.Key) })
+	slices.SortFunc(updated, func(a, b feed.Item) int { return strings.Compare(a.Key, b.Key) })
 	for _, item := range updated {
 		overlay.altered[item.Key] = true
 		table.Put(now, index, item.Key, item.Value)
@@ -100,18 +102,8 @@
 	return len(updated)+len(removed) > 0
 }
 
-func compare(a, b string) int {
-	switch {
-	case a < b:
-		return -1
-	case a > b:
-		return 1
-	}
-	return 0
-}
-
-// differs says whether a listed runner is another than the one served: times that run down by themselves are compared
-// with what is left of them by now.
+// differs reports whether a listed runner differs from the served one. Times that elapse by themselves are compared
+// with what remains of them by now.
 func differs(item feed.Item, listed *discovery.Runner) bool {
 	held, isRunner := decodeRunner(item)
 	if !isRunner {
@@ -128,13 +120,14 @@
 		a.Capacity == b.Capacity && a.Draining == b.Draining && a.Phase == b.Phase && slices.Equal(a.Models, b.Models)
 }
 
+// deviates reports whether a listed remaining time is off the expected one.
 func deviates(expected, listed time.Duration) bool {
 	difference := max(0, expected) - listed
 	return difference > timeTolerance || difference < -timeTolerance
 }
 
-// DropList serves the runners of the partitions named as the control replicas have them again; those that were seen draining
-// drain on. It says whether anything changed.
+// DropList serves the runners of the given partitions as the control replicas have them again; those seen draining stay
+// draining. It reports whether anything changed.
 func (t *Tables) DropList(now time.Duration, partitions feed.PartitionSet) bool {
 	changed := false
 	for partition := feed.Partition(1); int(partition) < len(t.served); partition++ {
@@ -145,7 +138,7 @@
 	return changed
 }
 
-// dropListFromPartition restores what the platform's list altered. All its changes have one number.
+// dropListFromPartition restores the keys that the list changed. All changes get the same index.
 func (t *Tables) dropListFromPartition(now time.Duration, partition feed.Partition) bool {
 	changed := false
 	index := t.served[partition].Index() + 1
@@ -158,7 +151,7 @@
 	return changed
 }
 
-// restore serves a key as the control replicas have it.
+// restore serves a key as the control replicas have it, and reports whether that is a change.
 func (t *Tables) restore(now time.Duration, partition feed.Partition, index uint64, key string) bool {
 	item, known := t.base[partition].Item(now, key)
 	if !known {
--- a/internal/system/agent/overlay/tables.go
+++ b/internal/system/agent/overlay/tables.go
@@ -1,33 +1,37 @@
-// Package overlay holds what an agent knows: the partitions as the control replicas have them, and as the agent serves
-// them to its proxy, with the platform's own word laid over the runners of those partitions from which the agent is cut
-// off. It is pure.
+// Package overlay holds an agent's tables: each partition as the control replicas have it (base), and as the agent
+// serves it to its proxy (served). The two differ while the agent is cut off from a partition of runners: then the
+// platform's own list is laid over it.
 //
-// The served partitions have numbers of their own: that of the control replicas' change, followed by Bits bits that count
-// the changes that the agent made itself. So they rise over restarts of the agent as well, which the proxy relies on. The
-// bits are 0 only where nothing of the platform's word is served: a restarted agent has the same then.
+// The package is pure: it performs no I/O and takes the time from its caller.
+//
+// A served table has indexes of its own: the base index shifted left by LocalIndexBits, plus a count of the changes
+// that the agent made itself. Hence served indexes rise across restarts of the agent, on which the proxy relies. The
+// low bits are 0 only while nothing of the platform's list is served; a restarted agent then has the same table at the
+// same index.
 package overlay
 
 import (
+	"strings"
 	"time"
 
 	"cinderroad/internal/system/discovery"
 	"cinderroad/internal/system/feed"
 )
 
-// LocalIndexBits is how many bits of a served number count the agent's own changes.
+// LocalIndexBits is the number of low bits of a served index that count the agent's own changes.
 const LocalIndexBits = 24
 
-// servedIndex is the served number of a control replicas' change.
+// servedIndex returns the served index of a base index.
 func servedIndex(index uint64) uint64 { return index << LocalIndexBits }
 
-// Tables are an agent's partitions. They are not safe for concurrent use. Times are of the caller's steady clock.
+// Tables are an agent's partitions. They are not safe for concurrent use. Times are of the caller's monotonic clock.
 type Tables struct {
 	base, served   []*feed.Table // by partition
 	drainedRunners drainedRunners
 	overlays       []overlay // by partition
 }
 
-// New returns empty tables: that of the configuration and so many of runners.
+// New returns empty tables: one of the configuration and the given number of runner partitions.
 func New(runnerPartitions int) *Tables {
 	t := &Tables{drainedRunners: newDrainedRunners()}
 	for partition := range feed.Partition(1 + runnerPartitions) {
@@ -38,10 +42,10 @@
 	return t
 }
 
-// Partitions is the number of partitions.
+// Partitions returns the number of partitions, with that of the configuration.
 func (t *Tables) Partitions() int { return len(t.base) }
 
-// Positions say how far the control replicas' changes are held.
+// Positions returns the base index of each partition.
 func (t *Tables) Positions() []feed.Position {
 	positions := make([]feed.Position, len(t.base))
 	for i, table := range t.base {
@@ -50,17 +54,18 @@
 	return positions
 }
 
-// Empty says whether no configuration is held.
+// Empty reports whether no configuration is held.
 func (t *Tables) Empty() bool { return t.base[feed.ConfigurationPartition].Index() == 0 }
 
-// Base is a partition as the control replicas have it. It is not to be changed.
+// Base returns a partition as the control replicas have it. The caller must not change it.
 func (t *Tables) Base(partition feed.Partition) *feed.Table { return t.base[partition] }
 
-// Served is a partition as the proxy is to have it. It is not to be changed.
+// Served returns a partition as the proxy is to have it. The caller must not change it, nor keep it: Reconcile replaces
+// it.
 func (t *Tables) Served(partition feed.Partition) *feed.Table { return t.served[partition] }
 
-// Apply takes a batch of the control replicas. It says whether anything changed, and whether the batch lags behind what
-// is held, in which case it is ignored.
+// Apply applies a batch of a control replica or of another agent. It reports whether anything changed, and whether the
+// batch lags behind the base, in which case it is ignored.
 func (t *Tables) Apply(now time.Duration, batch feed.Batch) (changed, lags bool) {
 	if int(batch.Partition) >= len(t.base) {
 		return false, false
@@ -78,7 +83,7 @@
 	return len(items) > 0, false
 }
 
-// serveChanges takes over the items that changed.
+// serveChanges applies changed base items to the served table. They override the platform's list.
 func (t *Tables) serveChanges(now time.Duration, partition feed.Partition, changed []feed.Item) {
 	overlay := &t.overlays[partition]
 	items := make([]feed.Item, 0, len(changed))
@@ -94,7 +99,7 @@
 	table.Apply(now, feed.Batch{Partition: partition, From: table.Index(), To: to, Items: items})
 }
 
-// serveSnapshot takes over a whole partition: what the platform said of it is dropped.
+// serveSnapshot replaces the served table by the base, without what was applied of the platform's list.
 func (t *Tables) serveSnapshot(now time.Duration, partition feed.Partition) {
 	base, table := t.base[partition], t.served[partition]
 	if base.Index() == 0 {
@@ -111,7 +116,8 @@
 	table.Apply(now, feed.Batch{Partition: partition, Snapshot: true, To: to, Items: items})
 }
 
-// servedItem is an item of the control replicas as it is served: numbered anew, and draining if the runner ever was.
+// servedItem returns a base item as it is served: with a served index, and as draining if the runner was ever seen
+// draining.
 func (t *Tables) servedItem(now time.Duration, item feed.Item) feed.Item {
 	item.Index = servedIndex(item.Index)
 	if item.Deleted {
@@ -127,9 +133,10 @@
 	return item
 }
 
-// Reconcile has a follower that is ahead of a served partition, because it was served by this agent's earlier life, be served
-// again: from a number beyond its own, with a snapshot. One that knows of later changes of the control replicas than this
-// agent is not, until the agent has caught up. It says whether anything is to be served now.
+// Reconcile lets a follower continue that is ahead of a served table because it was served by this agent before a
+// restart: the table is moved beyond the follower's index, so that the follower gets a snapshot. A follower that has
+// later base changes than this agent is not reconciled until the agent has caught up. Reconcile reports whether it
+// moved the table.
 func (t *Tables) Reconcile(now time.Duration, position feed.Position) bool {
 	if int(position.Partition) >= len(t.base) {
 		return false
@@ -145,9 +152,9 @@
 	return true
 }
 
-// decodeRunner reads an item of a runner.
+// decodeRunner returns the runner of an item, and whether the item is one.
 func decodeRunner(item feed.Item) (discovery.Runner, bool) {
-	if len(item.Key) < len(feed.KeyPrefixRunner) || item.Key[:len(feed.KeyPrefixRunner)] != feed.KeyPrefixRunner {
+	if !strings.HasPrefix(item.Key, feed.KeyPrefixRunner) {
 		return discovery.Runner{}, false
 	}
 	runner, err := discovery.DecodeRunner(item.Value)
--- a/internal/system/agent/proxystatus/tracker.go
+++ b/internal/system/agent/proxystatus/tracker.go
@@ -1,5 +1,6 @@
-// Package reports decides what the other machines are told of the proxy beside an agent, by the proxy's reports. It is
-// pure.
+// Package proxystatus derives what an agent announces of the proxy on its machine from the proxy's reports. It is a
+// pure state machine: the caller passes in the time, and calls Tick when NextTick says so. It is not safe for
+// concurrent use.
 package proxystatus
 
 import (
@@ -8,21 +9,21 @@
 	"cinderroad/internal/system/feed"
 )
 
-// State is what is told of the proxy.
+// State is what the agent announces of the proxy.
 type State uint8
 
-// The states.
+// The states of a proxy.
 const (
-	Starting State = iota // it is not ready, or has not reported for long
-	Serving               // it said a short while ago that it is ready
-	Stopping              // it said that it stops
-	Ended                 // this machine's processes stop: nothing changes any more
+	Starting State = iota // not ready, or no report for ReadyTimeout
+	Serving               // reported ready less than ReadyTimeout ago
+	Stopping              // reported that it is shutting down
+	Ended                 // the machine's processes are shutting down; final
 )
 
-// States are all of them.
+// States are all states, in order.
 var States = [...]State{Starting, Serving, Stopping, Ended}
 
-// String names the state.
+// String returns the name of the state, as logged and as the label of a metric.
 func (s State) String() string {
 	switch s {
 	case Starting:
@@ -37,29 +38,30 @@
 	return "unknown"
 }
 
-// ReadyTimeout is how long a report that the proxy is ready counts.
+// ReadyTimeout is how long a report that the proxy is ready is valid.
 const ReadyTimeout = 2500 * time.Millisecond
 
-// Tracker is what the agent holds of its proxy. Times are of any steady clock.
+// Tracker is the state of the proxy on the agent's machine. The zero value is a proxy that has not reported. Times are
+// of any monotonic clock.
 type Tracker struct {
 	state    State
 	front    string
 	snapshot []byte
-	readyAt  time.Duration // of the last report that the proxy is ready
+	readyAt  time.Duration // time of the last report that the proxy is ready
 	reported bool
 }
 
-// State is the current state.
+// State returns the current state.
 func (t *Tracker) State() State { return t.state }
 
-// Front is the address that the proxy said clients use; empty: it has not.
+// Front returns the address at which clients reach the proxy, empty if it has not been reported.
 func (t *Tracker) Front() string { return t.front }
 
-// Reported says whether any report came.
+// Reported reports whether any report came.
 func (t *Tracker) Reported() bool { return t.reported }
 
-// HandleReport takes a report and returns what the proxy is told: what its earlier life learnt, where it is not ready and sends
-// nothing of that kind.
+// HandleReport records a report. The reply holds the snapshot that the proxy reported before it restarted, if the proxy
+// is not ready and reports no snapshot itself.
 func (t *Tracker) HandleReport(now time.Duration, report *feed.ProxyReport) feed.ProxyReportReply {
 	t.reported = true
 	if report.Front != "" {
@@ -75,41 +77,31 @@
 	return feed.ProxyReportReply{Learnt: t.snapshot}
 }
 
+// updateState sets the state by a report.
 func (t *Tracker) updateState(now time.Duration, report *feed.ProxyReport) {
 	switch {
 	case t.state == Ended:
 	case report.Stopping:
-		t.stop()
+		t.state = Stopping
 	case report.Ready:
-		t.serve(now)
+		t.state = Serving
+		t.readyAt = now
 	default:
-		t.start()
+		t.state = Starting
 	}
 }
 
-// serve takes it that the proxy is ready.
-func (t *Tracker) serve(now time.Duration) {
-	t.state = Serving
-	t.readyAt = now
-}
-
-// start takes it that the proxy is not ready, or not there.
-func (t *Tracker) start() { t.state = Starting }
-
-// stop takes it that the proxy stops.
-func (t *Tracker) stop() { t.state = Stopping }
-
-// MarkEnded takes it that all of this machine's processes stop.
+// MarkEnded records that all processes of the machine are shutting down.
 func (t *Tracker) MarkEnded() { t.state = Ended }
 
-// HandleDisconnect takes it that the proxy's process has ended.
+// HandleDisconnect records that the proxy's process has ended.
 func (t *Tracker) HandleDisconnect() {
 	if t.state == Serving || t.state == Stopping {
-		t.start()
+		t.state = Starting
 	}
 }
 
-// NextTick is how long until Tick is due; due is false where it need not be called.
+// NextTick returns the time until Tick is due. due is false if no call is needed.
 func (t *Tracker) NextTick(now time.Duration) (wait time.Duration, due bool) {
 	if t.state != Serving {
 		return 0, false
@@ -117,9 +109,9 @@
 	return max(0, t.readyAt+ReadyTimeout-now), true
 }
 
-// Tick takes it that a proxy that said nothing for long is not ready.
+// Tick expires the last report of a proxy that is ready.
 func (t *Tracker) Tick(now time.Duration) {
 	if t.state == Serving && now >= t.readyAt+ReadyTimeout {
-		t.start()
+		t.state = Starting
 	}
 }
--- a/internal/system/agent/upstream/selector.go
+++ b/internal/system/agent/upstream/selector.go
@@ -1,12 +1,16 @@
-// Package source decides which control replica the feed is followed from. It is pure: times, addresses and outcomes go in,
-// questions come out. There is one question at a time.
+// Package upstream chooses the control replica from which an agent follows the feed.
 //
-// A replica that answers and is up to date is followed by long polls. One that is silent, refuses or says that it has
-// not heard a majority for long is left for the next; each is given a pause that grows. Once in a while a replica that
-// now comes first in the list, a nearer one say, is tried in place of the one that is followed.
+// It is a pure state machine: the caller passes in the time and the outcome of each call, and Selector.Next returns the
+// next call to make. There is at most one call in flight. Selector performs no I/O, starts no goroutine and is not safe
+// for concurrent use.
 //
-// Partitions count each by itself. Where no replica is up to date with all of them, the one that is with most is followed
-// after all have been asked, and the others are asked again after a while.
+// A replica that replies and is up to date is followed by long polls. A replica that times out, fails or is stale (it
+// has been out of touch with a majority for longer than Options.StaleAfter) is replaced by the next candidate and
+// retried with exponential backoff. Every Options.ReconsiderInterval the selector tries the candidates that precede the
+// followed one, since those are nearer.
+//
+// Freshness is tracked separately for each partition. If no replica is up to date with all partitions, the selector
+// asks all candidates, follows the best of them (see weight) and searches again after Options.PartialInterval.
 package upstream
 
 import (
@@ -17,17 +21,17 @@
 	"cinderroad/internal/system/feed"
 )
 
-// State is how the follower stands to the replicas.
+// State is the phase of a Selector.
 type State uint8
 
-// The states.
+// The states of a Selector.
 const (
-	Searching State = iota // asks replicas in turn, each for an answer at once
-	Following              // long-polls one that answered and is up to date with some partition at least
-	CutOff                 // none has answered and been up to date with any for long; still asks them in turn
+	Searching State = iota // polls the candidates in turn, without a wait
+	Following              // long-polls one replica that is up to date with at least one partition
+	CutOff                 // searches on; no reply was up to date with any partition for Options.CutOffAfter
 )
 
-// String names the state.
+// String returns the name of the state, as logged.
 func (s State) String() string {
 	switch s {
 	case Searching:
@@ -40,38 +44,38 @@
 	return "unknown"
 }
 
-// Options are the bounds by which a replica is left. Fields that are 0 have the defaults.
+// Options are the timeouts and intervals of a Selector. A zero field takes its default.
 type Options struct {
-	PollWait           time.Duration // of a long poll; default 1 s
-	ReplyTimeout       time.Duration // beyond the wait, after which a followed replica is left; default 1.2 s
-	ProbeTimeout       time.Duration // that a replica has to answer at once; default 700 ms
-	DialTimeout        time.Duration // that a connection may take; doubled with each failure, up to Probe; default 250 ms
-	Partitions         int           // that are followed; default 1
-	StaleAfter         time.Duration // age of a replica's last word from a partition's majority that is too old; default feed.StaleAfter
-	CutOffAfter        time.Duration // without a good answer until the follower is cut off from a partition; default 2.5 s
-	Backoff            time.Duration // after the first failure of a replica; doubled with each; default 250 ms
-	MaxBackoff         time.Duration // default 1 s
-	StaleReplyDelay    time.Duration // by which the pause after answers of no use grows with each, up to four times; default 50 ms
-	ReconsiderInterval time.Duration // between two looks for a replica that comes before the followed one; default 10 s
-	// PartialInterval is how long a replica that is up to date with some partitions only is followed before the others are
-	// asked again; doubled with each time, up to Reconsider; default 2 s.
+	PollWait           time.Duration // how long a followed replica may hold a poll open; default 1 s
+	ReplyTimeout       time.Duration // allowed beyond PollWait for the reply of a followed replica; default 1.2 s
+	ProbeTimeout       time.Duration // for the reply to a poll without a wait; default 700 ms
+	DialTimeout        time.Duration // to connect; doubles with each failure, up to ProbeTimeout; default 250 ms
+	Partitions         int           // number of partitions followed; default 1
+	StaleAfter         time.Duration // age from which a replica is stale in a partition; default feed.StaleAfter
+	CutOffAfter        time.Duration // time without an up-to-date reply until a partition counts as cut off; default 2.5 s
+	Backoff            time.Duration // before a candidate is retried; doubles with each failure; default 250 ms
+	MaxBackoff         time.Duration // upper bound of Backoff and of Reply.RetryAfter; default 1 s
+	StaleReplyDelay    time.Duration // added to the delay of a search by each stale reply, up to maxStaleReplies times; default 50 ms
+	ReconsiderInterval time.Duration // between searches for a preceding candidate; default 10 s
+	// PartialInterval is how long a replica that lacks partitions is followed before the other candidates are polled
+	// again. It doubles each time, up to ReconsiderInterval; default 2 s.
 	PartialInterval time.Duration
 }
 
-func (options *Options) setDefaults() {
-	setDefault(&options.PollWait, time.Second)
-	setDefault(&options.ReplyTimeout, 1200*time.Millisecond)
-	setDefault(&options.ProbeTimeout, 700*time.Millisecond)
-	setDefault(&options.DialTimeout, 250*time.Millisecond)
-	setDefault(&options.StaleAfter, feed.StaleAfter)
-	setDefault(&options.CutOffAfter, 2500*time.Millisecond)
-	setDefault(&options.Backoff, 250*time.Millisecond)
-	setDefault(&options.MaxBackoff, time.Second)
-	setDefault(&options.StaleReplyDelay, 50*time.Millisecond)
-	setDefault(&options.ReconsiderInterval, 10*time.Second)
-	setDefault(&options.PartialInterval, 2*time.Second)
-	if options.Partitions == 0 {
-		options.Partitions = 1
+func (o *Options) setDefaults() {
+	setDefault(&o.PollWait, time.Second)
+	setDefault(&o.ReplyTimeout, 1200*time.Millisecond)
+	setDefault(&o.ProbeTimeout, 700*time.Millisecond)
+	setDefault(&o.DialTimeout, 250*time.Millisecond)
+	setDefault(&o.StaleAfter, feed.StaleAfter)
+	setDefault(&o.CutOffAfter, 2500*time.Millisecond)
+	setDefault(&o.Backoff, 250*time.Millisecond)
+	setDefault(&o.MaxBackoff, time.Second)
+	setDefault(&o.StaleReplyDelay, 50*time.Millisecond)
+	setDefault(&o.ReconsiderInterval, 10*time.Second)
+	setDefault(&o.PartialInterval, 2*time.Second)
+	if o.Partitions == 0 {
+		o.Partitions = 1
 	}
 }
 
@@ -81,56 +85,59 @@
 	}
 }
 
-// maxStaleReplies is after how many answers of no use the pause after them grows no longer.
+// maxDoublings bounds the growth of a backoff.
+const maxDoublings = 8
+
+// maxStaleReplies bounds the growth of the delay between the polls of a search.
 const maxStaleReplies = 4
 
-// Request is a call to make.
+// Request is a poll that the caller is to make.
 type Request struct {
 	Address     netip.AddrPort
-	Wait        time.Duration     // that the replica may hold the call open
-	Timeout     time.Duration     // after which it counts as failed
-	DialTimeout time.Duration     // after which it counts as failed where no connection stands
-	Current     feed.PartitionSet // with which the replica is followed; it is to answer once one of them is stale
+	Wait        time.Duration     // how long the replica may hold the call open; 0: it is to reply at once
+	Timeout     time.Duration     // for the whole call
+	DialTimeout time.Duration     // to connect, if no connection is open
+	Current     feed.PartitionSet // partitions with which the replica was up to date; it replies early when one of them becomes stale
 }
 
-// Reply is what a replica's answer says of the replica.
+// Reply is what a replica's reply tells about the replica.
 type Reply struct {
-	Ages       []time.Duration   // by partition: how long ago it knew itself to be up to date; not named: never
-	Lagging    feed.PartitionSet // it holds less of these than the follower
-	Unusable   bool              // it is not to be followed, whatever it holds
-	RetryAfter time.Duration     // it has more to send than it can now; it is to be asked again after that
+	Ages       []time.Duration   // by partition: time since the replica was known to be up to date; missing: never
+	Lagging    feed.PartitionSet // partitions of which the replica holds less than the follower
+	Unusable   bool              // the replica must not be followed (it is another agent)
+	RetryAfter time.Duration     // the replica is busy and asks to be polled again after this time; 0: it is not busy
 }
 
-// candidate is what is remembered of a candidate.
+// candidate is a replica that may be followed.
 type candidate struct {
 	address       netip.AddrPort
 	failures      int
 	failedAt      time.Duration
-	retryAt       time.Duration     // it is not asked before
-	askedInSearch uint64            // in which it was asked last
-	requestNumber uint64            // number of the question that it was asked last
-	current       feed.PartitionSet // with which it was up to date by its last answer, none without an answer
+	retryAt       time.Duration     // it is not polled earlier
+	askedInSearch uint64            // number of the last search that polled it
+	requestNumber uint64            // number of its last poll in a search
+	current       feed.PartitionSet // partitions with which it was up to date by its last reply
 }
 
-// Selector is the follower's state. Times are of any steady clock.
+// Selector is the state of the choice. Times are of any monotonic clock, the same in all calls.
 type Selector struct {
 	options         Options
 	all             feed.PartitionSet
 	state           State
-	candidates      []*candidate    // in the order of the candidates
-	followed        *candidate      // while Following
+	candidates      []*candidate    // in order of preference
+	followed        *candidate      // not nil exactly while Following
 	search          uint64          // number of the current search
-	requests        uint64          // asked in searches
-	upToDateAt      []time.Duration // by partition: when an answer last was up to date with it
+	requests        uint64          // number of polls made in searches
+	upToDateAt      []time.Duration // by partition: time of the last up-to-date reply
 	reconsiderAt    time.Duration
-	partialFollows  int               // how many times in a row no replica was up to date with all partitions
-	seekingMore     bool              // the search looks for a replica with more partitions than the one that was followed
-	previousCurrent feed.PartitionSet // with which that one was up to date
-	staleReplies    int               // answers in a row that were of no use
-	nextRequestAt   time.Duration     // a search asks nobody before
+	partialFollows  int               // times in a row that a replica without all partitions was followed
+	seekingMore     bool              // the search is for a replica with more partitions than previousCurrent
+	previousCurrent feed.PartitionSet // partitions of the replica followed before the search
+	staleReplies    int               // stale replies in a row
+	nextRequestAt   time.Duration     // a search makes no poll earlier
 }
 
-// New returns a machine that searches from now on.
+// New returns a selector that starts to search at now.
 func New(options Options, now time.Duration) *Selector {
 	options.setDefaults()
 	selector := &Selector{options: options, all: feed.FirstPartitions(options.Partitions), search: 1}
@@ -140,10 +147,10 @@
 	return selector
 }
 
-// State is the current state.
+// State returns the current state.
 func (s *Selector) State() State { return s.state }
 
-// Followed is the replica that is followed.
+// Followed returns the address of the followed replica, and whether there is one.
 func (s *Selector) Followed() (netip.AddrPort, bool) {
 	if s.followed == nil {
 		return netip.AddrPort{}, false
@@ -151,7 +158,7 @@
 	return s.followed.address, true
 }
 
-// Current are the partitions with which the followed replica was up to date by its last answer.
+// Current returns the partitions with which the followed replica was up to date by its last reply.
 func (s *Selector) Current() feed.PartitionSet {
 	if s.followed == nil {
 		return 0
@@ -159,7 +166,7 @@
 	return s.followed.current
 }
 
-// CutOff are the partitions with which no replica's answer has been up to date for long.
+// CutOff returns the partitions for which no reply has been up to date for Options.CutOffAfter.
 func (s *Selector) CutOff(now time.Duration) feed.PartitionSet {
 	var cutOff feed.PartitionSet
 	for partition, at := range s.upToDateAt {
@@ -170,8 +177,8 @@
 	return cutOff
 }
 
-// SetCandidates sets the candidates, in the order in which they are to be tried. What is known of those that stay is kept. One
-// that is followed and no longer named is followed on.
+// SetCandidates sets the candidates in order of preference. The state of those that stay is retained. A followed
+// replica that is no longer listed stays a candidate until it fails.
 func (s *Selector) SetCandidates(addresses []netip.AddrPort) {
 	if s.hasCandidates(addresses) {
 		return
@@ -203,7 +210,8 @@
 	return nil
 }
 
-// Next is the question to ask now, or how long there is none.
+// Next returns the poll to make now, or the time until the next one is due. The caller reports the outcome of each poll
+// to HandleReply or HandleFailure before it calls Next again.
 func (s *Selector) Next(now time.Duration) (Request, time.Duration) {
 	if s.state == Following && now >= s.reconsiderAt {
 		s.reconsider(now)
@@ -219,7 +227,7 @@
 		return Request{}, s.nextRequestAt - now
 	}
 	next, wait := s.nextCandidate(now)
-	if next == nil || next.askedInSearch == s.search { // all that can be asked have been
+	if next == nil || next.askedInSearch == s.search { // every candidate that can be polled has been, in this search
 		if best := s.bestCandidate(); best != nil {
 			s.follow(now, best)
 			return s.Next(now)
@@ -234,14 +242,15 @@
 	return s.newRequest(next, 0, s.options.ProbeTimeout), 0
 }
 
-// newRequest asks a replica. The first tries give a machine that does not answer at all up soon: it may be off.
+// newRequest returns a poll of a candidate. The first connection attempts time out early, since a machine that is
+// powered off does not refuse connections.
 func (s *Selector) newRequest(to *candidate, wait, timeout time.Duration) Request {
-	dial := min(s.options.DialTimeout<<min(to.failures, 8), s.options.ProbeTimeout)
+	dial := min(s.options.DialTimeout<<min(to.failures, maxDoublings), s.options.ProbeTimeout)
 	return Request{Address: to.address, Wait: wait, Timeout: timeout, DialTimeout: dial, Current: to.current}
 }
 
-// nextCandidate is the candidate to ask: the first that was not asked in this search, or else the one that was asked longest
-// ago. Without one it says how long all are paused.
+// nextCandidate returns the candidate to poll: the first that this search has not polled, or else the one polled
+// longest ago. It returns nil and the time to wait if all are backing off.
 func (s *Selector) nextCandidate(now time.Duration) (*candidate, time.Duration) {
 	if len(s.candidates) == 0 {
 		return nil, s.options.Backoff
@@ -263,19 +272,20 @@
 	return next, wait
 }
 
-// retryFailedAt is when a replica that did not answer may be asked again while another one is followed, as what that tells
-// waits meanwhile: seldom, and ever more seldom if that one is up to date with the configuration.
+// retryFailedAt returns when a failed candidate may be polled in a search for more partitions. Such a search pauses the
+// polls of the followed replica for the candidate's whole timeout, so it is rare, and ever rarer if the followed
+// replica has the configuration.
 func (s *Selector) retryFailedAt(failed *candidate) time.Duration {
 	if failed.failures == 0 {
 		return 0
 	}
 	if s.previousCurrent.Contains(feed.ConfigurationPartition) {
-		return failed.failedAt + s.options.ReconsiderInterval<<min(failed.failures, 8)
+		return failed.failedAt + s.options.ReconsiderInterval<<min(failed.failures, maxDoublings)
 	}
 	return failed.failedAt + s.options.ReconsiderInterval
 }
 
-// lastRequest orders candidates by when it is their turn.
+// lastRequest returns the number of the candidate's last poll in the current search, 0 if there was none.
 func (s *Selector) lastRequest(candidate *candidate) uint64 {
 	if candidate.askedInSearch != s.search {
 		return 0
@@ -283,8 +293,8 @@
 	return candidate.requestNumber
 }
 
-// bestCandidate is the replica that was up to date with most partitions in the current search; nil: none was with any. That of the
-// configuration counts more than all others.
+// bestCandidate returns the candidate with the greatest weight in the current search, the first of equals, or nil if
+// none was up to date with any partition.
 func (s *Selector) bestCandidate() *candidate {
 	var best *candidate
 	for _, candidate := range s.candidates {
@@ -298,10 +308,11 @@
 	return best
 }
 
-// configurationWeight is what the partition of the configuration counts, more than all others, which count 1 each.
+// configurationWeight exceeds the weight of all partitions of runners together.
 const configurationWeight = 64
 
-// weight is what being up to date with the partitions is worth.
+// weight returns the value of a replica that is up to date with the given partitions: the configuration counts more
+// than all partitions of runners, which count 1 each.
 func weight(current feed.PartitionSet) int {
 	weight := current.Len()
 	if current.Contains(feed.ConfigurationPartition) {
@@ -310,7 +321,7 @@
 	return weight
 }
 
-// HandleReply takes a replica's answer.
+// HandleReply records a reply. A reply of an address that is not a candidate is ignored.
 func (s *Selector) HandleReply(now time.Duration, from netip.AddrPort, reply Reply) {
 	known := s.find(from)
 	if known == nil {
@@ -338,7 +349,7 @@
 	}
 }
 
-// currentPartitions are the partitions with which an answer is up to date.
+// currentPartitions returns the partitions with which a replica is up to date by its reply.
 func (s *Selector) currentPartitions(reply *Reply) feed.PartitionSet {
 	var current feed.PartitionSet
 	if reply.Unusable {
@@ -352,34 +363,34 @@
 	return current.Without(reply.Lagging)
 }
 
-// continueFollowing goes on with the followed replica, unless it is no longer up to date with a partition: another one may be.
+// continueFollowing keeps the followed replica unless it lost a partition, with which another one may be up to date.
 func (s *Selector) continueFollowing(now time.Duration, before feed.PartitionSet) {
 	followed := s.followed
 	switch {
 	case !followed.current.ContainsAll(before):
 		s.startSearch()
 		s.requests++
-		followed.askedInSearch, followed.requestNumber = s.search, s.requests // this answer counts in the search
+		followed.askedInSearch, followed.requestNumber = s.search, s.requests // its reply counts as one of the new search
 	case followed.current == s.all && before != s.all:
 		s.follow(now, followed)
 	}
 }
 
-// deferUntil has a replica that said when to come back asked then, whatever came before.
+// deferUntil postpones the next poll of a busy candidate. Being busy is no failure.
 func (c *candidate) deferUntil(now, pause time.Duration) {
 	if pause > 0 {
 		c.failures, c.retryAt = 0, now+pause
 	}
 }
 
-// slowSearch slows a search down whose answers are of no use: where no group has a leader, it is the same at every replica,
-// and all followers search at once. The second replica is asked without a pause.
+// slowSearch delays the next poll of a search after a stale reply. If a partition has no leader, all replicas are stale
+// and all followers search at once. The delay is 0 after the first stale reply.
 func (s *Selector) slowSearch(now time.Duration) {
 	s.nextRequestAt = now + time.Duration(min(s.staleReplies, maxStaleReplies))*s.options.StaleReplyDelay
 	s.staleReplies++
 }
 
-// HandleFailure takes it that a replica gave no answer.
+// HandleFailure records that a poll failed or timed out.
 func (s *Selector) HandleFailure(now time.Duration, from netip.AddrPort) {
 	if known := s.find(from); known != nil {
 		s.recordFailure(now, known)
@@ -387,7 +398,7 @@
 }
 
 func (s *Selector) recordFailure(now time.Duration, failed *candidate) {
-	pause := min(s.options.Backoff<<min(failed.failures, 8), s.options.MaxBackoff)
+	pause := min(s.options.Backoff<<min(failed.failures, maxDoublings), s.options.MaxBackoff)
 	failed.failures++
 	failed.failedAt, failed.retryAt, failed.current = now, now+pause, 0
 	if s.state == Following && s.followed == failed {
@@ -398,7 +409,7 @@
 	}
 }
 
-// follow begins to follow a replica.
+// follow starts to follow a candidate.
 func (s *Selector) follow(now time.Duration, next *candidate) {
 	s.state = Following
 	s.followed, s.nextRequestAt, s.seekingMore = next, now, false
@@ -407,11 +418,11 @@
 		s.reconsiderAt = now + s.options.ReconsiderInterval
 		return
 	}
-	s.reconsiderAt = now + min(s.options.PartialInterval<<min(s.partialFollows, 8), s.options.ReconsiderInterval)
+	s.reconsiderAt = now + min(s.options.PartialInterval<<min(s.partialFollows, maxDoublings), s.options.ReconsiderInterval)
 	s.partialFollows++
 }
 
-// startSearch gives up the followed replica and begins a search.
+// startSearch stops following and starts a search.
 func (s *Selector) startSearch() {
 	s.state = Searching
 	s.followed = nil
@@ -419,7 +430,7 @@
 	s.staleReplies = 0
 }
 
-// reconsider begins a search where the followed replica lacks partitions, or one that comes before it may be tried.
+// reconsider starts a search if the followed replica lacks partitions or a candidate before it can be polled.
 func (s *Selector) reconsider(now time.Duration) {
 	s.reconsiderAt = now + s.options.ReconsiderInterval
 	if s.followed.current != s.all {
@@ -439,7 +450,7 @@
 	}
 }
 
-// checkCutOff ends a search that was in vain.
+// checkCutOff moves a search to CutOff once all partitions are cut off.
 func (s *Selector) checkCutOff(now time.Duration) {
 	if s.state == Searching && s.CutOff(now) == s.all {
 		s.state = CutOff
