--- a/internal/system/agent/agent_test.go
+++ b/internal/system/agent/agent_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// serviceOf is a service whose runners are in a partition.
+// serviceOf returns a service whose runners are in a partition.
 func serviceOf(partition feed.Partition) string {
 	for i := 0; ; i++ {
 		service := fmt.Sprint("service-", i)
@@ -139,15 +139,16 @@
 	}
 }
 
-// runnerIn is a runner in a partition.
+// runnerIn returns a runner in a partition.
 func runnerIn(partition feed.Partition, id string) discovery.Runner {
 	r := runner(id)
 	r.Service = serviceOf(partition)
 	return r
 }
 
-// TestRunnerPartitionWithoutLeaderBlocksNothingElse has a partition of runners be without a leader: the configuration and the
-// other runners come from the control replicas as ever, by long polls, and the platform is asked for that partition alone.
+// TestRunnerPartitionWithoutLeaderBlocksNothingElse takes the leader from one partition of runners: the configuration
+// and the other runners still come from the control replicas by long polls, and the platform's list is used for that
+// partition alone.
 func TestRunnerPartitionWithoutLeaderBlocksNothingElse(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t)
@@ -188,7 +189,7 @@
 	}
 }
 
-// TestConfigurationWithoutLeaderBlocksNoRunners has the partition of the configuration be without a leader.
+// TestConfigurationWithoutLeaderBlocksNoRunners takes the leader from the partition of the configuration.
 func TestConfigurationWithoutLeaderBlocksNoRunners(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t)
@@ -234,7 +235,7 @@
 	})
 }
 
-// memberOf is what the first control machine holds of a node.
+// memberOf returns a node's entry in the view of the first control machine.
 func memberOf(replicas []*controlReplica, node string) gossip.Member {
 	for _, member := range replicas[0].member.View() {
 		if member.Node == node {
--- a/internal/system/agent/cluster_test.go
+++ b/internal/system/agent/cluster_test.go
@@ -24,9 +24,9 @@
 	"cinderroad/internal/system/rpc"
 )
 
-const waitTimeout = 60 * time.Second // that a state is waited for
+const waitTimeout = 60 * time.Second // for a state to be reached
 
-// testCluster is a system on loopback, in which each machine has an address of its own and all have the same ports.
+// testCluster is a system on loopback. Each machine has an address of its own, and all have the same ports.
 type testCluster struct {
 	t         *testing.T
 	network   [4]byte
@@ -48,7 +48,7 @@
 	return cluster
 }
 
-// address is that of another machine.
+// address returns the address of another machine.
 func (c *testCluster) address() netip.Addr {
 	c.machines++
 	address := c.network
@@ -93,7 +93,7 @@
 	startedAt time.Time
 }
 
-// newReplicas starts control machines that hold the same.
+// newReplicas starts control machines that hold the same tables.
 func (c *testCluster) newReplicas(n int) []*controlReplica {
 	c.t.Helper()
 	var replicas []*controlReplica
@@ -127,7 +127,7 @@
 	r.cluster.t.Cleanup(member.Close)
 }
 
-// serve begins to answer followers.
+// serve starts to serve followers.
 func (r *controlReplica) serve() {
 	r.cluster.t.Helper()
 	address := netip.AddrPortFrom(r.settings.IP, r.settings.Port(processconfig.ControlRPCPort))
@@ -153,7 +153,7 @@
 	r.cluster.t.Cleanup(r.close)
 }
 
-// close ends the replica's server; the machine stays a member.
+// close stops the replica's server. The machine stays a member.
 func (r *controlReplica) close() {
 	r.stop()
 	<-r.done
@@ -165,7 +165,7 @@
 	return r.ages[partition]
 }
 
-// setAge has the replica be up to date with all partitions since so long.
+// setAge sets how long ago the replica was up to date with all partitions.
 func (r *controlReplica) setAge(age time.Duration) {
 	for partition := range feed.Partition(1 + feed.RunnerPartitionCount) {
 		r.setPartitionAge(partition, age)
@@ -219,7 +219,7 @@
 	return discovery.Runner{ID: id, Service: "service", Address: netip.MustParseAddrPort("10.0.0.1:80"), Zone: "a1", Capacity: 4}
 }
 
-// edgeMachine is an edge machine: its agent and its proxy's side of the calls.
+// edgeMachine is an edge machine: its agent, and the proxy's side of the calls.
 type edgeMachine struct {
 	cluster  *testCluster
 	settings *processconfig.Settings
@@ -243,85 +243,85 @@
 	return edge
 }
 
-func (edge *edgeMachine) startAgent() {
-	edge.cluster.t.Helper()
+func (e *edgeMachine) startAgent() {
+	e.cluster.t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	options := Options{Settings: edge.settings, Version: "v1", Log: zap.NewNop(), loopback: edge.loopback}
+	options := Options{Settings: e.settings, Version: "v1", Log: zap.NewNop(), loopback: e.loopback}
 	options.upstream = upstream.Options{PollWait: 50 * time.Millisecond, CutOffAfter: 300 * time.Millisecond}
 	started, err := New(ctx, options)
 	if err != nil {
-		edge.cluster.t.Fatal(err)
+		e.cluster.t.Fatal(err)
 	}
-	edge.agent, edge.stop, edge.done = started, stop, make(chan error, 1)
-	go func() { edge.done <- started.Run(ctx) }()
-	edge.cluster.t.Cleanup(edge.kill)
+	e.agent, e.stop, e.done = started, stop, make(chan error, 1)
+	go func() { e.done <- started.Run(ctx) }()
+	e.cluster.t.Cleanup(e.kill)
 }
 
-// kill ends the agent without a word.
-func (edge *edgeMachine) kill() {
-	edge.agent.fail(errKilled)
+// kill stops the agent without a leave.
+func (e *edgeMachine) kill() {
+	e.agent.fail(errKilled)
 	select {
-	case err := <-edge.done:
-		edge.done <- err
+	case err := <-e.done:
+		e.done <- err
 	case <-time.After(waitTimeout):
-		edge.cluster.t.Error("the agent does not end")
+		e.cluster.t.Error("the agent does not end")
 	}
 }
 
-func (edge *edgeMachine) startProxy() {
-	address := netip.AddrPortFrom(edge.loopback, edge.settings.Port(processconfig.AgentFeedPort))
-	edge.client = rpc.NewClient(address, rpc.ClientOptions{})
-	edge.cluster.t.Cleanup(edge.client.Close)
+func (e *edgeMachine) startProxy() {
+	address := netip.AddrPortFrom(e.loopback, e.settings.Port(processconfig.AgentFeedPort))
+	e.client = rpc.NewClient(address, rpc.ClientOptions{})
+	e.cluster.t.Cleanup(e.client.Close)
 }
 
 // report makes the proxy's report.
-func (edge *edgeMachine) report(report feed.ProxyReport) *feed.ProxyReportReply {
-	edge.cluster.t.Helper()
+func (e *edgeMachine) report(report feed.ProxyReport) *feed.ProxyReportReply {
+	e.cluster.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	reply, err := ReportCall.Invoke(ctx, edge.client, &report)
+	reply, err := reportMethod.Invoke(ctx, e.client, &report)
 	if err != nil {
-		edge.cluster.t.Fatal(err)
+		e.cluster.t.Fatal(err)
 	}
 	return reply
 }
 
 // poll follows once.
-func (edge *edgeMachine) poll(wait time.Duration) *feed.FollowReply {
-	edge.cluster.t.Helper()
-	request := &feed.FollowRequest{Node: edge.settings.Node, Wait: wait}
-	for _, table := range edge.tables {
+func (e *edgeMachine) poll(wait time.Duration) *feed.FollowReply {
+	e.cluster.t.Helper()
+	request := &feed.FollowRequest{Node: e.settings.Node, Wait: wait}
+	for _, table := range e.tables {
 		request.Positions = append(request.Positions, table.Position())
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	reply, err := feedserver.FollowMethod.LongPoll(ctx, edge.client, wait, request)
+	reply, err := feedserver.FollowMethod.LongPoll(ctx, e.client, wait, request)
 	if err != nil {
-		edge.cluster.t.Fatal(err)
+		e.cluster.t.Fatal(err)
 	}
 	for _, batch := range reply.Batches {
-		edge.tables[batch.Partition].Apply(0, batch)
+		e.tables[batch.Partition].Apply(0, batch)
 	}
 	return reply
 }
 
-// waitFor follows until a state has come.
-func (edge *edgeMachine) waitFor(what string, holds func() bool) {
-	edge.cluster.t.Helper()
-	for end := time.Now().Add(waitTimeout); !holds(); edge.poll(time.Second) {
+// waitFor follows until a state is reached.
+func (e *edgeMachine) waitFor(what string, holds func() bool) {
+	e.cluster.t.Helper()
+	for end := time.Now().Add(waitTimeout); !holds(); e.poll(time.Second) {
 		if time.Now().After(end) {
-			edge.cluster.t.Fatalf("did not come about: %s", what)
+			e.cluster.t.Fatalf("did not come about: %s", what)
 		}
 	}
 }
 
-func (edge *edgeMachine) version() string {
-	value, _ := edge.tables[feed.ConfigurationPartition].Get(feed.KeyVersion)
+func (e *edgeMachine) version() string {
+	value, _ := e.tables[feed.ConfigurationPartition].Get(feed.KeyVersion)
 	return string(value)
 }
 
-func (edge *edgeMachine) runner(id string) (discovery.Runner, bool) {
-	for _, table := range edge.tables {
+func (e *edgeMachine) runner(id string) (discovery.Runner, bool) {
+	for _, table := range e.tables {
 		if value, known := table.Get(feed.KeyPrefixRunner + id); known {
 			decoded, err := discovery.DecodeRunner(value)
 			return decoded, err == nil
@@ -330,7 +330,7 @@
 	return discovery.Runner{}, false
 }
 
-// fakePlatform answers the platform's list.
+// fakePlatform serves the platform's list.
 type fakePlatform struct {
 	address netip.AddrPort
 	mutex   sync.Mutex
@@ -358,7 +358,7 @@
 	return p.calls
 }
 
-// ServeHTTP answers GET /servers.
+// ServeHTTP serves GET /servers.
 func (p *fakePlatform) ServeHTTP(cluster http.ResponseWriter, _ *http.Request) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/system/agent/countinglistener.go
+++ b/internal/system/agent/countinglistener.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// countingListener tells how many of its connections are open.
+// countingListener counts its open connections.
 type countingListener struct {
 	net.Listener
-	changed func(open int) // called without a lock, in any order
+	changed func(open int) // called without a lock after each change; calls may come in any order
 
 	mutex sync.Mutex
 	open  int
@@ -32,21 +32,21 @@
 	l.changed(open)
 }
 
-// count is the number of open connections.
+// count returns the number of open connections.
 func (l *countingListener) count() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.open
 }
 
-// countingConn takes itself off its listener's count when it is closed.
+// countingConn is counted until it is closed.
 type countingConn struct {
 	net.Conn
 	listener *countingListener
 	once     sync.Once
 }
 
-// Close closes the connection.
+// Close closes the connection. Further calls do not count.
 func (c *countingConn) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(func() { c.listener.add(-1) })
--- a/internal/system/agent/fallback/poller_test.go
+++ b/internal/system/agent/fallback/poller_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestPartitionsAreIndependent has one partition come back while another stays cut off.
+// TestPartitionsAreIndependent has one partition recover while another stays cut off.
 func TestPartitionsAreIndependent(t *testing.T) {
 	poller := New(half)
 	both, two := feed.NewPartitionSet(1, 2), feed.NewPartitionSet(2)
@@ -102,7 +102,8 @@
 	}
 }
 
-// TestAllAgentsStayWithinRate has many agents ask, of a list of several pages, and counts in sliding seconds.
+// TestAllAgentsStayWithinRate has many agents poll, some of them lists of several pages, and counts calls in sliding
+// seconds.
 func TestAllAgentsStayWithinRate(t *testing.T) {
 	for _, c := range []struct {
 		agents, known, pages int
--- a/internal/system/agent/follower.go
+++ b/internal/system/agent/follower.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	maxReplyBytes    = 32 << 20               // of a control replica's answer
-	replyReadTimeout = 700 * time.Millisecond // in the middle of an answer
+	maxReplyBytes    = 32 << 20               // of a reply
+	replyReadTimeout = 700 * time.Millisecond // for the next bytes of a reply that has begun
 	maxReplyTime     = 15 * time.Second
 )
 
-// follower keeps the store up to date from one replica at a time.
+// follower keeps the store up to date from one replica at a time. All its fields belong to the goroutine of run.
 type follower struct {
 	node       string
 	log        *zap.Logger
@@ -28,15 +28,15 @@
 	store      *store
 	selector   *upstream.Selector
 	candidates func() []netip.AddrPort
-	isPeer     func(netip.AddrPort) bool      // another agent stands there, which is asked but not followed
-	onStep     func(cutOff feed.PartitionSet) // called after each question
+	isPeer     func(netip.AddrPort) bool      // the address is another agent's, which is polled but not followed
+	onStep     func(cutOff feed.PartitionSet) // called after each poll and wait
 
-	client  *rpc.Client // of the replica that was asked last
+	client  *rpc.Client // of the replica polled last; nil: none
 	state   upstream.State
-	current feed.PartitionSet // with which the followed replica was up to date
+	current feed.PartitionSet // partitions with which the followed replica was up to date
 }
 
-// run follows until the context ends.
+// run follows until ctx ends.
 func (f *follower) run(ctx context.Context) {
 	defer f.disconnect()
 	for ctx.Err() == nil {
@@ -71,7 +71,7 @@
 	f.selector.HandleReply(f.now(), request.Address, outcome)
 }
 
-// unpackBatches puts the items of all batches back.
+// unpackBatches restores the items of all batches.
 func unpackBatches(reply *feed.FollowReply) error {
 	for i := range reply.Batches {
 		if err := reply.Batches[i].Unpack(); err != nil {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// connect returns the client of a replica; that of another one is closed.
+// connect returns the client of the replica to poll, and closes that of another one.
 func (f *follower) connect(request upstream.Request) *rpc.Client {
 	if f.client != nil && f.client.Address() == request.Address {
 		return f.client
@@ -98,7 +98,7 @@
 	}
 }
 
-// reportState logs a change of the state, and passes on from which partitions the agent is cut off.
+// reportState logs a change of the selector's state, and passes on from which partitions the agent is cut off.
 func (f *follower) reportState() {
 	state, current := f.selector.State(), f.selector.Current()
 	if state != f.state || current != f.current {
--- a/internal/system/agent/metrics.go
+++ b/internal/system/agent/metrics.go
@@ -8,7 +8,7 @@
 	"cinderroad/internal/system/feed"
 )
 
-// expose writes the agent's own figures.
+// expose writes the agent's metrics.
 func (a *Agent) expose(page *exposition.Page) {
 	gauge := func(name, help string, value float64) { page.Metric(exposition.Gauge, name, help, value) }
 	gauge("cinderroad_agent_stopping_seconds", "Time since the signal to stop; 0: none came.", a.stoppingFor().Seconds())
--- a/internal/system/agent/overlay/tables_test.go
+++ b/internal/system/agent/overlay/tables_test.go
@@ -17,7 +17,7 @@
 // allPartitions is all partitions.
 var allPartitions = feed.FirstPartitions(1 + partitions)
 
-// simulation is a control replica's tables, an agent, and the proxy that follows it.
+// simulation is a control replica's tables, an agent's, and those of the proxy that follows the agent.
 type simulation struct {
 	t       fataler
 	now     time.Duration
@@ -53,7 +53,7 @@
 
 func partitionOf(r discovery.Runner) feed.Partition { return feed.PartitionOf(r.Service, partitions) }
 
-// put has the control replicas agree on a runner.
+// put adds or replaces runners at the control replicas.
 func (s *simulation) put(runners ...discovery.Runner) {
 	s.index++
 	for _, r := range runners {
@@ -71,14 +71,14 @@
 	s.control[0].Put(s.now, s.index, feed.KeyVersion, []byte(version))
 }
 
-// updateAgent has the agent take what the control replicas have.
+// updateAgent has the agent follow the control replicas.
 func (s *simulation) updateAgent() {
 	for i, position := range s.agent.Positions() {
 		s.agent.Apply(s.now, s.control[i].BatchSince(s.now, position.Index, 0))
 	}
 }
 
-// updateProxy has the proxy take what the agent has.
+// updateProxy has the proxy follow the agent.
 func (s *simulation) updateProxy() {
 	s.t.Helper()
 	for i, table := range s.proxy {
@@ -91,7 +91,7 @@
 	}
 }
 
-// proxyRunner is what the proxy holds of a runner.
+// proxyRunner returns what the proxy holds of a runner.
 func (s *simulation) proxyRunner(id string) (discovery.Runner, bool) {
 	s.t.Helper()
 	value, known := s.proxy[partitionOf(runner(id))].Get(feed.KeyPrefixRunner + id)
@@ -181,7 +181,7 @@
 		t.Error("dropping the list changes nothing")
 	}
 	sim.expect("one", true, false)
-	sim.expect("two", true, true) // never serves again
+	sim.expect("two", true, true) // draining is permanent
 	sim.expect("three", true, false)
 	sim.expect("four", false, false)
 	if sim.agent.DropList(sim.now, allPartitions) {
@@ -189,7 +189,7 @@
 	}
 }
 
-// TestListAppliesToGivenPartitionsOnly has a partition be served as the control replicas have it beside one that is not.
+// TestListAppliesToGivenPartitionsOnly has one of two partitions be cut off.
 func TestListAppliesToGivenPartitionsOnly(t *testing.T) {
 	sim := newSimulation(t)
 	var here, there discovery.Runner
@@ -251,7 +251,7 @@
 	sim.updateAgent()
 	sim.agent.ApplyList(sim.now, []discovery.Runner{runner("one"), runner("two")}, allPartitions)
 	sim.expect("one", true, true)
-	sim.put(runner("one")) // a word from before
+	sim.put(runner("one")) // an outdated change
 	sim.updateAgent()
 	sim.expect("one", true, true)
 	sim.agent.DropList(sim.now, allPartitions)
@@ -302,7 +302,7 @@
 	sim.agent.ApplyList(sim.now, []discovery.Runner{runner("one"), runner("three")}, allPartitions)
 	sim.expect("two", false, false)
 	sim.expect("three", true, false)
-	sim.agent = New(partitions) // a new life, which knows nothing of the list
+	sim.agent = New(partitions) // after a restart it knows nothing of the list
 	sim.expect("three", true, false)
 	sim.updateAgent()
 	sim.expect("one", true, false)
@@ -342,11 +342,11 @@
 	}
 }
 
-// TestProxyConvergesToServedTables plays drawn changes, lists, lags and restarts.
+// TestProxyConvergesToServedTables plays random changes, lists, lags and restarts.
 func TestProxyConvergesToServedTables(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t)
-		drained := map[string]bool{} // as this life of the agent has served them
+		drained := map[string]bool{} // as the agent has served them since its last restart
 		ids := []string{"a", "b", "c", "d", "e", "f"}
 		services := []string{"one", "two", "three"}
 		draw := func(label string) discovery.Runner {
@@ -444,8 +444,8 @@
 	}
 }
 
-// drainedEarlier says whether the proxy holds a runner as draining that an earlier life of the agent knew to be draining, and
-// this one does not.
+// drainedEarlier reports whether the proxy holds a runner as draining that the agent knew to be draining before a
+// restart, and does not now.
 func drainedEarlier(held, served []byte) bool {
 	a, errA := discovery.DecodeRunner(held)
 	b, errB := discovery.DecodeRunner(served)
--- a/internal/system/agent/peernotifier.go
+++ b/internal/system/agent/peernotifier.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -13,11 +14,11 @@
 	"cinderroad/internal/system/gossip"
 )
 
-// peerNotifier has the proxy told at once when the other proxies are not those that it knows: shares of common budgets hang on
-// them, and they tell each other of what they send.
+// peerNotifier ends the proxy's long poll as soon as the other proxies differ from those that the proxy last reported.
+// Shares of common budgets depend on them, and the proxies send their load to each other.
 type peerNotifier struct {
-	peers      func() []feed.Peer // in a fixed order; none: not known
-	sentDigest atomic.Uint64      // digest of those that the proxy knows
+	peers      func() []feed.Peer // in a fixed order; nil: not known
+	sentDigest atomic.Uint64      // digest of the proxy's list, by its last request
 	notifier   *feedserver.Notifier
 }
 
@@ -26,35 +27,39 @@
 	return &peerNotifier{peers: peers, notifier: feedserver.NewNotifier(now, after)}
 }
 
-// wakeIfChanged ends the open calls if the proxy knows others.
+// wakeIfChanged ends the open calls if the proxy has an outdated list.
 func (n *peerNotifier) wakeIfChanged() {
 	if n.outdated() {
 		n.notifier.Notify()
 	}
 }
 
+// outdated reports whether the proxy's list differs from the current one.
 func (n *peerNotifier) outdated() bool {
 	digest := peersDigest(n.peers())
 	return digest != 0 && digest != n.sentDigest.Load()
 }
 
-// handleFollow answers a follower; the call is not held open where the other proxies have changed.
+// handleFollow serves a request of the proxy by next, and adds the list of the other proxies if the request has another
+// one. The call returns early when the list changes.
 func (n *peerNotifier) handleFollow(ctx context.Context, request *feed.FollowRequest,
 	next func(context.Context, *feed.FollowRequest) (*feed.FollowReply, error)) (*feed.FollowReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
+	var watcher sync.WaitGroup
+	defer watcher.Wait()
 	defer cancel()
 	n.sentDigest.Store(request.Peers)
 	wake := n.notifier.Wakeup()
 	if n.outdated() {
 		cancel()
 	}
-	go func() {
+	watcher.Go(func() {
 		select {
 		case <-wake:
 			cancel()
 		case <-ctx.Done():
 		}
-	}()
+	})
 	reply, err := next(ctx, request)
 	if err != nil {
 		return nil, err
@@ -66,7 +71,7 @@
 	return reply, nil
 }
 
-// peersDigest tells lists of peers apart; 0: there is no list. That of a proxy without peers is not 0.
+// peersDigest returns a digest of a list of peers. It is 0 for nil only.
 func peersDigest(peers []feed.Peer) uint64 {
 	if peers == nil {
 		return 0
@@ -78,7 +83,7 @@
 	return max(xxhash.Sum64String(text.String()), 1)
 }
 
-// peersFromMembers are what a proxy is told of members.
+// peersFromMembers returns what the proxy is told of other members.
 func peersFromMembers(members []gossip.Member) []feed.Peer {
 	if members == nil {
 		return nil
--- a/internal/system/agent/platformpoller.go
+++ b/internal/system/agent/platformpoller.go
@@ -13,23 +13,24 @@
 	"cinderroad/internal/system/feed"
 )
 
-const listTimeout = 3 * time.Second // of a whole list
+const listTimeout = 3 * time.Second // for a whole list
 
-// lister asks the platform for its list.
+// lister reads the platform's list of runners.
 type lister interface {
 	List(ctx context.Context) ([]discovery.Runner, error)
-	CallCount() uint64 // to the platform so far
+	CallCount() uint64 // number of calls made to the platform so far
 	Close()
 }
 
-// platformPoller asks the platform for its list while the agent is cut off from the control replicas' runners.
+// platformPoller polls the platform's list while the agent is cut off from a partition of runners, and applies it to
+// the store.
 type platformPoller struct {
 	log     *zap.Logger
 	now     func() time.Duration
 	lister  lister
 	store   *store
 	pace    func() fallback.Pace
-	changed chan struct{} // holds one token: the state changed
+	changed chan struct{} // wakes run; holds a token if the state changed
 
 	mutex  sync.Mutex
 	poller *fallback.Poller
@@ -41,7 +42,7 @@
 		changed: make(chan struct{}, 1), poller: fallback.New(random)}
 }
 
-// update takes the partitions of runners from which the agent is cut off.
+// update sets the partitions of runners from which the agent is cut off.
 func (p *platformPoller) update(cutOff feed.PartitionSet) {
 	p.mutex.Lock()
 	before := p.poller.State()
@@ -61,7 +62,7 @@
 	}
 }
 
-// run asks whenever it is due, until the context ends.
+// run polls when a poll is due, until ctx ends.
 func (p *platformPoller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait, asking := p.next()
@@ -79,13 +80,14 @@
 	}
 }
 
+// next returns the time until the next poll; asking is false if none is due.
 func (p *platformPoller) next() (wait time.Duration, asking bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.poller.Next(p.now())
 }
 
-// wait returns when the state changed, the timer fired, or the context ended.
+// wait returns when the state has changed, the timer has fired, or ctx has ended.
 func (p *platformPoller) wait(ctx context.Context, timer <-chan time.Time) {
 	select {
 	case <-p.changed:
--- a/internal/system/agent/proxymonitor.go
+++ b/internal/system/agent/proxymonitor.go
@@ -13,27 +13,27 @@
 	"cinderroad/internal/system/rpc"
 )
 
-// ReportCall is the call by which a proxy reports to the agent of its machine, over loopback.
-var ReportCall = rpc.Declare[feed.ProxyReport, feed.ProxyReportReply]("Proxy.Report")
+// reportMethod is the call with which a proxy reports its state to the agent of its machine, over loopback.
+var reportMethod = rpc.Declare[feed.ProxyReport, feed.ProxyReportReply]("Proxy.Report")
 
-// announcer tells the other machines of the proxy.
+// announcer announces the proxy's state to the other members.
 type announcer interface {
 	SetFront(front string)
 	SetServing(serving gossip.Serving)
 }
 
-// proxyMonitor is what the agent holds of the proxy, and passes on to the membership.
+// proxyMonitor tracks the proxy of the agent's machine and announces its state to the other members.
 type proxyMonitor struct {
 	log         *zap.Logger
 	now         func() time.Duration
-	firstReport chan struct{} // closed with the first report
+	firstReport chan struct{} // closed by the first report
 
 	mutex        sync.Mutex
 	tracker      proxystatus.Tracker
-	announcer    announcer // nil until the agent is a member
-	published    proxystatus.State
-	timer        *time.Timer
-	disconnected chan struct{} // closed when the last connection of the proxy ended
+	announcer    announcer         // nil until the agent is a member
+	published    proxystatus.State // last announced
+	timer        *time.Timer       // calls tick
+	disconnected chan struct{}     // closed while the proxy has no connection
 	connected    bool
 }
 
@@ -45,7 +45,7 @@
 	return p
 }
 
-// handleReport answers Proxy.Report.
+// handleReport serves Proxy.Report.
 func (p *proxyMonitor) handleReport(_ context.Context, report *feed.ProxyReport) (*feed.ProxyReportReply, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -64,7 +64,7 @@
 	p.publish()
 }
 
-// setConnections takes how many connections the proxy has.
+// setConnections records the number of the proxy's connections.
 func (p *proxyMonitor) setConnections(open int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -82,14 +82,14 @@
 	p.publish()
 }
 
-// disconnection is closed once the proxy has no connection.
+// disconnection returns a channel that is closed once the proxy has no connection.
 func (p *proxyMonitor) disconnection() <-chan struct{} {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.disconnected
 }
 
-// startAnnouncing has the announcer told from now on.
+// startAnnouncing sets the announcer, once the agent is a member.
 func (p *proxyMonitor) startAnnouncing(announcer announcer) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -97,7 +97,7 @@
 	p.publish()
 }
 
-// markStopping takes it that this machine's processes stop.
+// markStopping records that all processes of the machine are shutting down.
 func (p *proxyMonitor) markStopping() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -105,14 +105,14 @@
 	p.publish()
 }
 
-// state is what the members are told of the proxy.
+// state returns the state that was last published.
 func (p *proxyMonitor) state() proxystatus.State {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.published
 }
 
-// publish tells the members how the proxy is, and has the timer look again when a report is overdue.
+// publish announces the proxy's state and schedules the next tick. The caller holds the mutex.
 func (p *proxyMonitor) publish() {
 	state := p.tracker.State()
 	if state != p.published {
--- a/internal/system/agent/store.go
+++ b/internal/system/agent/store.go
@@ -10,23 +10,23 @@
 	"cinderroad/internal/system/feed"
 )
 
-// store is what the agent knows, shared by its goroutines.
+// store holds the agent's tables, shared by its goroutines. Its methods are safe for concurrent use.
 type store struct {
 	now                          func() time.Duration
 	baseNotifier, servedNotifier *feedserver.Notifier
 	mutex                        sync.Mutex
 	tables                       *overlay.Tables
 	lastUpToDate                 []lastUpToDate  // by partition
-	proxyPositions               []feed.Position // how far the proxy said that it holds the served partitions
+	proxyPositions               []feed.Position // positions in the served tables that the proxy last reported
 }
 
-// lastUpToDate is when the control replicas' word on a partition was up to date last.
+// lastUpToDate is when a control replica was last known to be up to date with a partition.
 type lastUpToDate struct {
-	known bool
+	known bool          // false: never yet
 	at    time.Duration // by store.now
 }
 
-// update takes the age of a word that came now.
+// update applies the age of a reply that was received at now.
 func (u *lastUpToDate) update(now, age time.Duration) {
 	if age == feed.AgeNever {
 		return
@@ -48,22 +48,22 @@
 	}
 }
 
-// positions say how far the control replicas' changes are held.
+// positions returns the base index of each partition.
 func (s *store) positions() []feed.Position {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.tables.Positions()
 }
 
-// empty says whether no configuration is held.
+// empty reports whether no configuration is held.
 func (s *store) empty() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.tables.Empty()
 }
 
-// applyReply applies a reply of a control replica, or of another agent. It returns the partitions in which the reply lags behind
-// what is held.
+// applyReply applies a reply of a control replica or of another agent. It returns the partitions in which the reply
+// lags behind the tables.
 func (s *store) applyReply(reply *feed.FollowReply) (lagging feed.PartitionSet) {
 	changed := false
 	s.mutex.Lock()
@@ -87,7 +87,7 @@
 	return lagging
 }
 
-// applyList lays the platform's list over the runners of the partitions named.
+// applyList lays the platform's list over the given partitions.
 func (s *store) applyList(runners []discovery.Runner, partitions feed.PartitionSet) {
 	s.mutex.Lock()
 	now := s.now()
@@ -99,7 +99,7 @@
 	}
 }
 
-// dropList takes the platform's list away again from the partitions named.
+// dropList removes the platform's list from the given partitions.
 func (s *store) dropList(partitions feed.PartitionSet) {
 	s.mutex.Lock()
 	changed := s.tables.DropList(s.now(), partitions)
@@ -109,7 +109,7 @@
 	}
 }
 
-// setProxyPositions takes how far the proxy holds the served partitions.
+// setProxyPositions records how far the proxy is in the served tables.
 func (s *store) setProxyPositions(positions []feed.Position) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -117,14 +117,15 @@
 	s.reconcileProxy(s.now())
 }
 
-// reconcileProxy has the proxy served although an earlier life of this agent was ahead.
+// reconcileProxy lets the proxy continue that is ahead of the served tables because of a restart of the agent. The
+// caller holds the mutex.
 func (s *store) reconcileProxy(now time.Duration) {
 	for _, position := range s.proxyPositions {
 		s.tables.Reconcile(now, position)
 	}
 }
 
-// age is how long ago the control replicas' word on a partition was up to date.
+// age returns the time since a control replica was last known to be up to date with a partition, or feed.Never.
 func (s *store) age(partition feed.Partition) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -135,32 +136,32 @@
 	return max(0, s.now()-last.at)
 }
 
-// partitionSource is a partition as following.Server reads it.
+// partitionSource is a partition as feedserver.Server reads it.
 type partitionSource struct {
 	store *store
 	table func() *feed.Table
 }
 
-// Index is that of the newest change of an item.
+// Index returns the index of the newest change.
 func (s *partitionSource) Index() uint64 {
 	s.store.mutex.Lock()
 	defer s.store.mutex.Unlock()
 	return s.table().LastChangeIndex()
 }
 
-// Since returns what changed after the index.
+// Since returns the changes after the index.
 func (s *partitionSource) Since(index uint64, maxBytes int) feed.Batch {
 	s.store.mutex.Lock()
 	defer s.store.mutex.Unlock()
 	return s.table().BatchSince(s.store.now(), index, maxBytes)
 }
 
-// baseSources are the partitions as the control replicas have them.
+// baseSources returns the partitions as the control replicas have them.
 func (s *store) baseSources() []feedserver.Source {
 	return s.sources(s.tables.Base)
 }
 
-// servedSources are the partitions as the proxy is to have them.
+// servedSources returns the partitions as the proxy is to have them.
 func (s *store) servedSources() []feedserver.Source {
 	return s.sources(s.tables.Served)
 }
--- a/internal/system/agent/upstream/partitions_test.go
+++ b/internal/system/agent/upstream/partitions_test.go
@@ -17,10 +17,10 @@
 	testSeeds      = 300
 )
 
-// allPartitions are the partitions of the models.
+// allPartitions are the partitions of the tests.
 var allPartitions = feed.FirstPartitions(testPartitions)
 
-// agesOf are the ages that a replica tells which is up to date with some partitions.
+// agesOf returns the ages in the reply of a replica that is up to date with some partitions.
 func agesOf(current feed.PartitionSet) []time.Duration {
 	ages := make([]time.Duration, testPartitions)
 	for partition := range ages {
@@ -31,7 +31,7 @@
 	return ages
 }
 
-// newTestSelector returns a machine that follows all partitions of the models.
+// newTestSelector returns a selector of all partitions of the tests.
 func newTestSelector() *Selector { return New(Options{Partitions: testPartitions}, 0) }
 
 // TestPartitionWithoutLeaderLeavesOthersFollowed has a partition be without a leader at every replica.
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestRetriesCandidatesWhilePartitionsAreMissing has a replica become up to date with more than the followed one, beside
-// one that does not answer: it is asked once, and then not before long.
+// TestRetriesCandidatesWhilePartitionsAreMissing has a replica become up to date with more partitions than the followed
+// one. A third replica, which does not reply, is polled once and then only after a long backoff.
 func TestRetriesCandidatesWhilePartitionsAreMissing(t *testing.T) {
 	selector := newTestSelector()
 	selector.SetCandidates(addresses(1, 2, 3))
@@ -123,7 +123,8 @@
 	}
 }
 
-// TestSearchContinuesAfterLosingPartialReplica has the followed replica be lost while others are asked again.
+// TestSearchContinuesAfterLosingPartialReplica has the followed replica fail while others are polled for more
+// partitions.
 func TestSearchContinuesAfterLosingPartialReplica(t *testing.T) {
 	selector := newTestSelector()
 	selector.SetCandidates(addresses(1, 2))
@@ -146,8 +147,8 @@
 	}
 }
 
-// TestBestCandidateIsFound plays drawn replicas that are silent, or up to date with drawn partitions, and change over time:
-// whoever is up to date with the configuration is found before long, and where none is, whoever is with most partitions.
+// TestBestCandidateIsFound plays random replicas that are silent, or up to date with random partitions, and change over
+// time: a replica with the configuration is found within a bounded time, or else one with the most partitions.
 func TestBestCandidateIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 7).Draw(t, "replicas")
@@ -202,20 +203,20 @@
 	})
 }
 
-// simulation are replicas that a follower asks in virtual time: each answers after half of a round trip, and a long poll as
-// soon as there is a change. From lostAt on a partition has no leader.
+// simulation is a follower of replicas in virtual time. Each replica replies after half of a round trip, and to a long
+// poll as soon as there is a change. From lostAt on some partitions have no leader.
 type simulation struct {
 	random     *rand.Rand
 	selector   *Selector
 	roundTrip  time.Duration
 	replicas   int
-	silent     int // replica that never answers; 0: none
+	silent     int // replica that never replies; 0: none
 	lost       feed.PartitionSet
 	lostAt     time.Duration
-	changes    []time.Duration // when each was agreed on, in the order of time
-	received   int             // changes that the follower has
+	changes    []time.Duration // time of each change, in order
+	received   int             // number of changes that the follower has
 	delays     []time.Duration // of the changes after lostAt
-	longestGap time.Duration   // the longest time without a partition's word that is not lost
+	longestGap time.Duration   // longest time that a partition with a leader was not known to be up to date
 }
 
 func newSimulation(seed uint64, lost feed.PartitionSet) *simulation {
@@ -236,7 +237,7 @@
 	return simulation
 }
 
-// run plays until all changes have been taken, or far beyond.
+// run polls until all changes have been received, or long beyond.
 func (s *simulation) run() {
 	now := time.Duration(0)
 	for s.received < len(s.changes) && now < 90*second {
@@ -262,7 +263,7 @@
 	}
 }
 
-// oldest is when a partition that is not lost was last known to be up to date.
+// oldest returns when the stalest partition with a leader was last known to be up to date.
 func (s *simulation) oldest(now time.Duration) time.Duration {
 	oldest := now
 	for partition := range allPartitions.Without(s.lost).All() {
@@ -271,7 +272,7 @@
 	return oldest
 }
 
-// current is what all replicas are up to date with.
+// current returns what all replicas are up to date with.
 func (s *simulation) current(at time.Duration) feed.PartitionSet {
 	if at < s.lostAt+1500*time.Millisecond {
 		return allPartitions
@@ -279,7 +280,7 @@
 	return allPartitions.Without(s.lost)
 }
 
-// receive takes the changes that were there when the replica answered.
+// receive records the changes that were there when the replica replied.
 func (s *simulation) receive(answered, now time.Duration) {
 	for s.received < len(s.changes) && s.changes[s.received] <= answered {
 		if at := s.changes[s.received]; at > s.lostAt {
@@ -289,8 +290,8 @@
 	}
 }
 
-// TestChangeLatencyWithPartitionWithoutLeader measures how long a change of a partition with a leader takes to its followers
-// while others have none: as long as ever, but for the moments in which other replicas are asked.
+// TestChangeLatencyWithPartitionWithoutLeader measures how long a change of a partition with a leader takes to its
+// followers while others have none: as long as ever, but for the moments in which other replicas are polled.
 func TestChangeLatencyWithPartitionWithoutLeader(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -327,8 +328,8 @@
 	}
 }
 
-// TestIsolatedReplicaIsReplaced has the followed replica lose the others, and not its followers: it ends calls once it is stale.
-// Another one is followed within feed.StaleAfter and three round trips of the cut.
+// TestIsolatedReplicaIsReplaced cuts the followed replica off from its peers, but not from its followers: it ends calls
+// once it is stale. Another one is followed within feed.StaleAfter and three round trips.
 func TestIsolatedReplicaIsReplaced(t *testing.T) {
 	var worst time.Duration
 	for seed := uint64(1); seed <= testSeeds; seed++ {
--- a/internal/system/agent/upstream/selector_test.go
+++ b/internal/system/agent/upstream/selector_test.go
@@ -25,10 +25,10 @@
 	return list
 }
 
-// ages are those of the partitions in an answer.
+// ages are those of the partitions in a reply.
 func ages(ages ...time.Duration) []time.Duration { return ages }
 
-// expectRequest has the machine ask a replica now.
+// expectRequest fails unless the selector polls the given replica now.
 func expectRequest(t *testing.T, selector *Selector, now time.Duration, replica int, wait time.Duration) Request {
 	t.Helper()
 	request, pause := selector.Next(now)
@@ -148,7 +148,7 @@
 	expectRequest(t, selector, second+300*time.Millisecond, 1, second)
 }
 
-// TestSearchSlowsDownAfterStaleReplies has all replicas be without a leader for a while.
+// TestSearchSlowsDownAfterStaleReplies has all replicas be without a leader.
 func TestSearchSlowsDownAfterStaleReplies(t *testing.T) {
 	selector := New(Options{}, 0)
 	var order []int
@@ -208,7 +208,7 @@
 	selector.SetCandidates(addresses(1, 2))
 	selector.Next(0)
 	selector.HandleReply(0, address(1), Reply{Ages: ages(0)})
-	now := 2200 * time.Millisecond // the followed one was silent for the whole call
+	now := 2200 * time.Millisecond // the followed replica did not reply for the whole call
 	selector.HandleFailure(now, address(1))
 	expectState(t, selector, Searching)
 	expectRequest(t, selector, now, 2, 0)
@@ -252,7 +252,7 @@
 	if selector.find(address(1)) != nil {
 		t.Error("a replica that is neither named nor followed is kept")
 	}
-	selector.HandleReply(0, address(1), Reply{Ages: ages(0)}) // late, of one that is not known any more
+	selector.HandleReply(0, address(1), Reply{Ages: ages(0)}) // a late reply of a replica that is no longer a candidate
 	expectState(t, selector, Searching)
 }
 
@@ -263,13 +263,14 @@
 	}
 }
 
-// TestUpToDateReplicaIsFound plays drawn replicas that are up, silent, refusing or stale, and change over time.
+// TestUpToDateReplicaIsFound plays random replicas that are up to date, silent, refusing or stale, and change over
+// time.
 func TestUpToDateReplicaIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 7).Draw(t, "replicas")
 		conditions := make([]int, n+1)
 		selector := New(Options{}, 0)
-		now, wellSince := time.Duration(0), time.Duration(-1) // since when one is up to date that is not followed
+		now, wellSince := time.Duration(0), time.Duration(-1) // since when a replica is up to date and not followed
 		for step := range 400 {
 			if rapid.IntRange(0, 30).Draw(t, "changes") == 0 {
 				for i := range conditions {
