--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -36,16 +36,16 @@
 func (v verdict) saysNotRun() bool { return v == verdictNotRun || v == verdictWrongRunner }
 
 // classify reads the head of a runner's answer.
-func classify(h *httpwire.ResponseHead) verdict {
-	said := h.Header.Has(headerNotRun)
+func classify(head *httpwire.ResponseHead) verdict {
+	said := head.Header.Has(headerNotRun)
 	switch {
-	case h.Status == 421:
+	case head.Status == 421:
 		return verdictWrongRunner
-	case said && (h.Status >= 500 || h.Status == 429 || h.Status == 408):
+	case said && (head.Status >= 500 || head.Status == 429 || head.Status == 408):
 		return verdictNotRun
-	case h.Status >= 500 || h.Status == 429 || h.Status == 408:
+	case head.Status >= 500 || head.Status == 429 || head.Status == 408:
 		return verdictFailure
-	case h.Status < 300 && !h.Header.Has(headerSeal):
+	case head.Status < 300 && !head.Header.Has(headerSeal):
 		return verdictInvalid
 	}
 	return verdictRelay
@@ -64,7 +64,7 @@
 }
 
 // end tells the placer how the attempt ended. It must not be used any more.
-func (a *attempt) end(o placement.Outcome) {
+func (a *attempt) end(outcome placement.Outcome) {
 	x := a.exchange
 	if x.attempt == a {
 		x.attempt = nil
@@ -77,7 +77,7 @@
 	if a.connected {
 		a.progress.Duration = now - a.sentAt
 	}
-	x.proxy.placer.EndAttempt(now, a.tracked, o, a.progress)
+	x.proxy.placer.EndAttempt(now, a.tracked, outcome, a.progress)
 }
 
 // noteSent notes that the request has been given to a connection.
@@ -114,19 +114,19 @@
 }
 
 // handleHead takes the head of the runner's answer. It may end the attempt, whose connection then reads the rest away.
-func (a *attempt) handleHead(h *httpwire.ResponseHead) {
+func (a *attempt) handleHead(head *httpwire.ResponseHead) {
 	x := a.exchange
-	a.verdict = classify(h)
-	if a.verdict == verdictRelay && x.response.started && !x.response.canContinueWith(h) {
+	a.verdict = classify(head)
+	if a.verdict == verdictRelay && x.response.started && !x.response.canContinueWith(head) {
 		a.verdict = verdictFailure
 	}
 	switch a.verdict {
 	case verdictRelay:
-		x.relayHead(h)
+		x.relayHead(head)
 	case verdictNotRun:
 		x.noteTried(a, false)
 		a.end(placement.Rejected)
-		x.retryOrGiveUp(parseRetryAfter(h))
+		x.retryOrGiveUp(parseRetryAfter(head))
 	case verdictWrongRunner:
 		x.noteTried(a, false)
 		runner := a.choice.Runner
@@ -135,7 +135,7 @@
 		x.proxy.pool.closeIdleOf(runner)
 		x.retryOrGiveUp(0)
 	case verdictFailure:
-		x.handleFailure(a, h)
+		x.handleFailure(a, head)
 	case verdictInvalid:
 		a.handleLost(true)
 	}
@@ -171,7 +171,7 @@
 
 // handleFailure takes a failure of the runner's own, which may have run the request. It is passed on unless another runner
 // takes the request.
-func (x *exchange) handleFailure(a *attempt, h *httpwire.ResponseHead) {
+func (x *exchange) handleFailure(a *attempt, head *httpwire.ResponseHead) {
 	x.noteTried(a, true)
 	x.attempt = nil
 	if sent, _ := x.retry(); sent {
@@ -184,17 +184,17 @@
 		x.abort()
 		return
 	}
-	if h.Status == 429 || h.Status == 503 || h.Status == 408 { // would promise that it has not run
+	if head.Status == 429 || head.Status == 503 || head.Status == 408 { // would promise that it has not run
 		a.end(placement.Failed)
 		x.proxy.Counters.Failed++
 		x.respond(localResponse{status: 502, body: "runner failed"})
 		return
 	}
-	x.relayHead(h)
+	x.relayHead(head)
 }
 
 // parseRetryAfter is when a runner that was full may be asked again; 0: it does not say.
-func parseRetryAfter(h *httpwire.ResponseHead) time.Duration {
-	seconds := parseSeconds(h.Header.Get(headerRetryAfter))
+func parseRetryAfter(head *httpwire.ResponseHead) time.Duration {
+	seconds := parseSeconds(head.Header.Get(headerRetryAfter))
 	return max(0, min(seconds, maxRetryAfter))
 }
--- a/internal/system/proxy/chaos_test.go
+++ b/internal/system/proxy/chaos_test.go
@@ -23,36 +23,36 @@
 }
 
 // check checks what must be true in the end.
-func (r *executionLog) check(t *testing.T) {
-	r.Lock()
-	defer r.Unlock()
-	for _, id := range r.atMostOnce {
-		if r.count[id] > 1 {
-			t.Errorf("%s ran %d times", id, r.count[id])
+func (log *executionLog) check(t *testing.T) {
+	log.Lock()
+	defer log.Unlock()
+	for _, id := range log.atMostOnce {
+		if log.count[id] > 1 {
+			t.Errorf("%s ran %d times", id, log.count[id])
 		}
 	}
-	for _, id := range r.rejected {
-		if r.count[id] > 0 {
-			t.Errorf("%s was promised not to run and ran %d times", id, r.count[id])
+	for _, id := range log.rejected {
+		if log.count[id] > 0 {
+			t.Errorf("%s was promised not to run and ran %d times", id, log.count[id])
 		}
 	}
-	if r.served == 0 || len(r.rejected) == 0 {
-		t.Errorf("%d served, %d refused: nothing was shown", r.served, len(r.rejected))
+	if log.served == 0 || len(log.rejected) == 0 {
+		t.Errorf("%d served, %d refused: nothing was shown", log.served, len(log.rejected))
 	}
-	t.Logf("%d served, %d refused", r.served, len(r.rejected))
+	t.Logf("%d served, %d refused", log.served, len(log.rejected))
 }
 
-func (r *executionLog) add(id string) {
-	r.Lock()
-	defer r.Unlock()
-	r.count[id]++
+func (log *executionLog) add(id string) {
+	log.Lock()
+	defer log.Unlock()
+	log.count[id]++
 }
 
 // bodyOf is the only right body of a request.
 func bodyOf(id string) string { return strings.Repeat(id+"|", 40) }
 
 // serveWithFaults serves a connection as a runner in all sorts of trouble does.
-func (r *executionLog) serveWithFaults(conn net.Conn, random *rand.Rand) {
+func (log *executionLog) serveWithFaults(conn net.Conn, random *rand.Rand) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for previous := ""; ; {
@@ -61,15 +61,15 @@
 			_, _ = in.Peek(1 + random.IntN(100))
 			return
 		}
-		q, err := http.ReadRequest(in)
+		request, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, q.Body); err != nil {
+		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		id := q.Header.Get(headerTryID)
-		answer, keep := r.drawResponse(id, previous, strings.HasPrefix(q.URL.Path, "/resumable/"), q.Header.Get(headerLastEventID),
+		id := request.Header.Get(headerTryID)
+		answer, keep := log.drawResponse(id, previous, strings.HasPrefix(request.URL.Path, "/resumable/"), request.Header.Get(headerLastEventID),
 			random)
 		for len(answer) > 0 {
 			n := min(1+random.IntN(200), len(answer))
@@ -89,7 +89,7 @@
 }
 
 // drawResponse draws what a runner does with a request that it has read.
-func (r *executionLog) drawResponse(id, previous string, stream bool, last string, random *rand.Rand) (text string, keep bool) {
+func (log *executionLog) drawResponse(id, previous string, stream bool, last string, random *rand.Rand) (text string, keep bool) {
 	switch random.IntN(24) {
 	case 0, 1:
 		return "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Try-Id: " + id + "\r\nContent-Length: 0\r\n\r\n", true
@@ -100,7 +100,7 @@
 	case 4: // whose it is can be told on a connection's first request alone
 		return notRunWithoutID, true
 	}
-	r.add(id)
+	log.add(id)
 	whole := successText(id, bodyOf(id))
 	if stream {
 		whole = eventStreamAfter(id, last)
@@ -188,13 +188,13 @@
 	}
 }
 
-func (r *executionLog) serve(runner *testRunner, random *rand.Rand) {
+func (log *executionLog) serve(runner *testRunner, random *rand.Rand) {
 	for {
 		conn, err := runner.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.serveWithFaults(conn, rand.New(rand.NewPCG(random.Uint64(), 0)))
+		go log.serveWithFaults(conn, rand.New(rand.NewPCG(random.Uint64(), 0)))
 	}
 }
 
--- a/internal/system/proxy/control.go
+++ b/internal/system/proxy/control_state.go
@@ -41,43 +41,43 @@
 }
 
 // ApplyUpdate puts what changed in the control state in force. It belongs to the loop's goroutine.
-func (p *Proxy) ApplyUpdate(u agentclient.Update) {
-	for _, name := range u.Removed {
+func (p *Proxy) ApplyUpdate(update agentclient.Update) {
+	for _, name := range update.Removed {
 		p.control.table.Remove(name)
 		p.splitter.remove(name)
 	}
-	for _, route := range u.Routes {
+	for _, route := range update.Routes {
 		p.control.table.Upsert(route)
 	}
-	if u.Limits != nil {
-		p.SetLimits(*u.Limits)
+	if update.Limits != nil {
+		p.SetLimits(*update.Limits)
 	}
-	if u.Services != nil {
-		p.SetServices(*u.Services)
+	if update.Services != nil {
+		p.SetServices(*update.Services)
 	}
-	if u.Evacuated != nil {
-		p.SetEvacuated(*u.Evacuated)
+	if update.Evacuated != nil {
+		p.SetEvacuated(*update.Evacuated)
 	}
 	switch {
-	case u.Peers != nil:
-		p.applyPeers(*u.Peers)
-	case u.Proxies > 0 && u.Proxies != p.control.proxies && !p.peers.peersKnown: // the names say the number, too
-		p.control.proxies = u.Proxies
-		p.SetProxies(u.Proxies)
+	case update.Peers != nil:
+		p.applyPeers(*update.Peers)
+	case update.Proxies > 0 && update.Proxies != p.control.proxies && !p.peers.peersKnown: // the names say the number, too
+		p.control.proxies = update.Proxies
+		p.SetProxies(update.Proxies)
 	}
-	if u.Runners != nil {
-		p.applyRunners(*u.Runners)
+	if update.Runners != nil {
+		p.applyRunners(*update.Runners)
 	}
-	if u.Version > 0 {
+	if update.Version > 0 {
 		p.SetRoutes(p.control.table)
 	}
-	if u.Version > 0 && p.control.version == 0 {
+	if update.Version > 0 && p.control.version == 0 {
 		p.runAt(p.now()+settleDelay, func() { p.markRunnersKnown(true) })
 	}
-	p.markRunnersKnown(u.Complete)
-	if u.Version != p.control.version {
-		p.control.version = u.Version
-		p.log.Info("configuration in force", zap.Uint64("version", u.Version), zap.Int("routes", p.control.table.Len()))
+	p.markRunnersKnown(update.Complete)
+	if update.Version != p.control.version {
+		p.control.version = update.Version
+		p.log.Info("configuration in force", zap.Uint64("version", update.Version), zap.Int("routes", p.control.table.Len()))
 	}
 }
 
@@ -99,18 +99,18 @@
 	p.setRunners(runners)
 }
 
-func (p *Proxy) placementRunner(now time.Duration, r *agentclient.Runner) placement.Runner {
-	known := placement.Runner{ID: r.ID, Service: r.Service, Address: r.Address, Zone: r.Zone,
-		Region:   p.control.zones[r.Zone],
-		Capacity: r.Capacity, Draining: r.Draining}
-	if !r.ColdUntil.IsZero() {
-		known.SlowStartUntil = max(0, now+time.Until(r.ColdUntil))
-	}
-	if !r.GoneAt.IsZero() {
-		known.TerminatesAt = max(1, now+time.Until(r.GoneAt))
-	}
-	for i := range r.Models {
-		known.Models = append(known.Models, r.Models[i].Name)
+func (p *Proxy) placementRunner(now time.Duration, listed *agentclient.Runner) placement.Runner {
+	known := placement.Runner{ID: listed.ID, Service: listed.Service, Address: listed.Address, Zone: listed.Zone,
+		Region:   p.control.zones[listed.Zone],
+		Capacity: listed.Capacity, Draining: listed.Draining}
+	if !listed.ColdUntil.IsZero() {
+		known.SlowStartUntil = max(0, now+time.Until(listed.ColdUntil))
+	}
+	if !listed.GoneAt.IsZero() {
+		known.TerminatesAt = max(1, now+time.Until(listed.GoneAt))
+	}
+	for i := range listed.Models {
+		known.Models = append(known.Models, listed.Models[i].Name)
 	}
 	return known
 }
--- a/internal/system/proxy/control_test.go
+++ b/internal/system/proxy/control_state_test.go
@@ -22,29 +22,29 @@
 // ready.
 func TestApplyUpdate(t *testing.T) {
 	w := newHarness(t)
-	a := &fakeAgent{}
+	agent := &fakeAgent{}
 	w.onLoop(func() {
 		w.proxy.SetRoutes(nil)
-		w.proxy.FollowAgent(a, map[string]string{"z": "region"})
+		w.proxy.FollowAgent(agent, map[string]string{"z": "region"})
 	})
-	r := w.startRunners("a")[0]
+	runner := w.startRunners("a")[0]
 	w.onLoop(func() { w.proxy.runnersKnown = false })
-	c := w.connect()
-	c.send(requestText("/one/x", "t1", "", ""))
-	c.expectResponse(503, "")
+	client := w.connect()
+	client.send(requestText("/one/x", "t1", "", ""))
+	client.expectResponse(503, "")
 	one, two := route("one", configuration.ReadWrite), route("two", configuration.ReadWrite)
-	address := netip.MustParseAddrPort(r.listener.Addr().String())
+	address := netip.MustParseAddrPort(runner.listener.Addr().String())
 	runners := []agentclient.Runner{{Runner: discovery.Runner{ID: "a", Service: "s", Address: address, Zone: "z",
 		SlowStartRemaining: time.Second},
 		ColdUntil: time.Now().Add(time.Hour)}}
 	w.onLoop(func() {
-		if w.proxy.Ready() || a.last().Ready {
+		if w.proxy.Ready() || agent.last().Ready {
 			t.Error("ready without a configuration")
 		}
 		w.proxy.ApplyUpdate(agentclient.Update{Version: 3, Routes: []*configuration.Route{one, two},
 			Services: &[]*configuration.Service{{Name: "s", MaxConnections: 8}},
 			Runners:  &runners, Proxies: 2, Complete: true})
-		if !w.proxy.Ready() || !a.last().Ready || a.last().Stopping {
+		if !w.proxy.Ready() || !agent.last().Ready || agent.last().Stopping {
 			t.Error("not ready with all that is needed")
 		}
 		known := w.proxy.pool.runners["a"]
@@ -52,14 +52,14 @@
 			t.Errorf("runner is known as %+v with %d connections", known, w.proxy.pool.maxConns(known))
 		}
 	})
-	c.send(requestText("/one/x", "t2", "", ""))
-	up := r.accept()
-	up.readRequest()
-	up.send(successText("t2", "ok"))
-	c.expectResponse(200, "ok")
+	client.send(requestText("/one/x", "t2", "", ""))
+	upstream := runner.accept()
+	upstream.readRequest()
+	upstream.send(successText("t2", "ok"))
+	client.expectResponse(200, "ok")
 	w.onLoop(func() { w.proxy.ApplyUpdate(agentclient.Update{Version: 4, Removed: []string{"one"}}) })
-	c.send(requestText("/one/x", "t3", "", ""))
-	c.expectResponse(404, "")
+	client.send(requestText("/one/x", "t3", "", ""))
+	client.expectResponse(404, "")
 	none := []agentclient.Runner{}
 	w.onLoop(func() {
 		w.proxy.ApplyUpdate(agentclient.Update{Version: 4, Runners: &none})
@@ -68,10 +68,10 @@
 			t.Errorf("recalled %q", w.placer.restored)
 		}
 	})
-	up.readToClose() // a runner that is not listed any more keeps no idle connection
+	upstream.readToClose() // a runner that is not listed any more keeps no idle connection
 	w.onLoop(func() {
 		w.proxy.Stop()
-		if last := a.last(); last.Ready || !last.Stopping || string(last.Learnt) != "learnt" {
+		if last := agent.last(); last.Ready || !last.Stopping || string(last.Learnt) != "learnt" {
 			t.Errorf("when stopping the agent hears %+v", last)
 		}
 	})
--- a/internal/system/proxy/exchange.go
+++ b/internal/system/proxy/exchange.go
@@ -102,11 +102,11 @@
 }
 
 // decline answers a request without a use for its body; if that has not come whole the connection ends.
-func (x *exchange) decline(a localResponse) {
+func (x *exchange) decline(response localResponse) {
 	if !x.session.skipBody(x) {
 		x.session.closeAfterResponse = true
 	}
-	x.respond(a)
+	x.respond(response)
 }
 
 // appendBody adds a part of the body.
@@ -139,9 +139,9 @@
 }
 
 // transition is the one place where the state changes.
-func (x *exchange) transition(to exchangeState) {
-	invariant.Check(slices.Contains(exchangeTransitions[x.state], to), "proxy: an exchange changes its state as it may")
-	x.state = to
+func (x *exchange) transition(next exchangeState) {
+	invariant.Check(slices.Contains(exchangeTransitions[x.state], next), "proxy: an exchange changes its state as it may")
+	x.state = next
 }
 
 // handleComplete goes on once the request is whole.
@@ -194,13 +194,13 @@
 }
 
 // startAttempt begins an attempt.
-func (x *exchange) startAttempt(c placement.Choice) {
+func (x *exchange) startAttempt(choice placement.Choice) {
 	if x.state != exchangeRelaying {
 		x.transition(exchangeConnecting)
 	}
 	x.proxy.Counters.Attempts++
-	a := &attempt{exchange: x, choice: c}
-	a.tracked = x.proxy.placer.StartAttempt(x.proxy.now(), &x.request, c)
+	a := &attempt{exchange: x, choice: choice}
+	a.tracked = x.proxy.placer.StartAttempt(x.proxy.now(), &x.request, choice)
 	x.attempt = a
 	x.proxy.peers.notifyPrefill(a.tracked)
 	x.proxy.pool.send(a)
@@ -310,10 +310,10 @@
 }
 
 // cancelAttempt breaks the attempt under way off, if there is one.
-func (x *exchange) cancelAttempt(o placement.Outcome) {
+func (x *exchange) cancelAttempt(outcome placement.Outcome) {
 	if a := x.attempt; a != nil {
 		a.cancel()
-		a.end(o)
+		a.end(outcome)
 	}
 }
 
@@ -334,12 +334,12 @@
 }
 
 // respond ends the request with an answer of the proxy itself.
-func (x *exchange) respond(a localResponse) {
-	a.tryID = x.tryID
-	a.noBody = x.head.Method == "HEAD"
+func (x *exchange) respond(response localResponse) {
+	response.tryID = x.tryID
+	response.noBody = x.head.Method == "HEAD"
 	s := x.session
 	x.finish()
-	s.respond(a)
+	s.respond(response)
 }
 
 // finish lets go of what the exchange holds.
--- a/internal/system/proxy/world_test.go
+++ b/internal/system/proxy/harness_test.go
@@ -322,17 +322,17 @@
 func (f *fakePlacer) SetProxyCount(time.Duration, int)                    {}
 func (f *fakePlacer) SetPeers(time.Duration, uint64, []uint64)            {}
 func (f *fakePlacer) HandleNotice(time.Duration, placement.Notice)        {}
-func (f *fakePlacer) Place(_ time.Duration, r *placement.Request) (placement.Choice, *placement.Rejection) {
-	f.lastRequest = *r
+func (f *fakePlacer) Place(_ time.Duration, request *placement.Request) (placement.Choice, *placement.Rejection) {
+	f.lastRequest = *request
 	if f.refusal != nil {
 		return placement.Choice{}, f.refusal
 	}
-	for _, c := range f.runners {
-		if !slices.Contains(r.TriedRunners, c.ID) {
+	for _, candidate := range f.runners {
+		if !slices.Contains(request.TriedRunners, candidate.ID) {
 			if f.spread {
 				f.runners = append(f.runners[1:len(f.runners):len(f.runners)], f.runners[0])
 			}
-			return placement.Choice{Runner: c.ID, Address: c.Address, Priority: f.priority - 1}, nil
+			return placement.Choice{Runner: candidate.ID, Address: candidate.Address, Priority: f.priority - 1}, nil
 		}
 	}
 	return placement.Choice{}, &placement.Rejection{RetryAfter: 1500 * time.Millisecond, Reason: "all tried"}
--- a/internal/system/proxy/rest.go
+++ b/internal/system/proxy/idle_timeout.go
@@ -51,8 +51,8 @@
 }
 
 // advertisedIdleTimeout is how long the connection may rest after an answer with this header; 0: it does not say.
-func advertisedIdleTimeout(h httpwire.Header) time.Duration {
-	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
+func advertisedIdleTimeout(header httpwire.Header) time.Duration {
+	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.Trim(part, " \t"), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
--- a/internal/system/proxy/metrics.go
+++ b/internal/system/proxy/metrics.go
@@ -4,27 +4,27 @@
 
 // writeMetrics writes the proxy's own figures. Names end in what they count: _total since the start of the process, _seconds.
 func (p *Proxy) writeMetrics(page *exposition.Page) {
-	f := &p.Counters
+	counters := &p.Counters
 	counter := func(name, help string, value uint64) {
 		page.Metric(exposition.Counter, name, help, float64(value))
 	}
 	gauge := func(name, help string, value float64) { page.Metric(exposition.Gauge, name, help, value) }
 
-	counter("cinderroad_proxy_requests_total", "Requests whose head was read.", f.Requests)
+	counter("cinderroad_proxy_requests_total", "Requests whose head was read.", counters.Requests)
 	page.Family(exposition.Counter, "cinderroad_proxy_answers_total", "Requests by how they ended.")
-	page.Sample(float64(f.Served), exposition.Label{Name: "end", Value: "served"})
-	page.Sample(float64(f.Rejected), exposition.Label{Name: "end", Value: "refused"})
-	page.Sample(float64(f.Failed), exposition.Label{Name: "end", Value: "failed"})
-	page.Sample(float64(f.Aborted), exposition.Label{Name: "end", Value: "aborted"})
-	counter("cinderroad_proxy_attempts_total", "Requests given to runners, repeats included.", f.Attempts)
-	counter("cinderroad_proxy_resumed_total", "Streams continued at another runner.", f.Resumed)
-	counter("cinderroad_proxy_runner_connections_total", "Connections opened to runners.", f.Dials)
-	counter("cinderroad_proxy_spoilt_total", "Connections to runners closed for bytes that belong to no request.", f.InvalidResponses)
+	page.Sample(float64(counters.Served), exposition.Label{Name: "end", Value: "served"})
+	page.Sample(float64(counters.Rejected), exposition.Label{Name: "end", Value: "refused"})
+	page.Sample(float64(counters.Failed), exposition.Label{Name: "end", Value: "failed"})
+	page.Sample(float64(counters.Aborted), exposition.Label{Name: "end", Value: "aborted"})
+	counter("cinderroad_proxy_attempts_total", "Requests given to runners, repeats included.", counters.Attempts)
+	counter("cinderroad_proxy_resumed_total", "Streams continued at another runner.", counters.Resumed)
+	counter("cinderroad_proxy_runner_connections_total", "Connections opened to runners.", counters.Dials)
+	counter("cinderroad_proxy_spoilt_total", "Connections to runners closed for bytes that belong to no request.", counters.InvalidResponses)
 
 	page.Family(exposition.Counter, "cinderroad_proxy_notices_total", "Notices of prompts and runners that proxies tell each other.")
-	page.Sample(float64(f.NoticesSent), exposition.Label{Name: "way", Value: "told"})
-	page.Sample(float64(f.NoticesReceived), exposition.Label{Name: "way", Value: "heard"})
-	page.Sample(float64(f.NoticesSuppressed), exposition.Label{Name: "way", Value: "withheld"})
+	page.Sample(float64(counters.NoticesSent), exposition.Label{Name: "way", Value: "told"})
+	page.Sample(float64(counters.NoticesReceived), exposition.Label{Name: "way", Value: "heard"})
+	page.Sample(float64(counters.NoticesSuppressed), exposition.Label{Name: "way", Value: "withheld"})
 
 	gauge("cinderroad_proxy_exchanges", "Requests that have no whole answer yet.", float64(p.openExchanges))
 	gauge("cinderroad_proxy_client_connections", "Open connections of clients.", float64(p.sessions.count))
@@ -36,8 +36,8 @@
 	gauge("cinderroad_proxy_stopping_seconds", "Time since the signal to stop; 0: none came.", p.shutdown.elapsed(p.now()).Seconds())
 	page.Family(exposition.Counter, "cinderroad_proxy_requests_while_stopping_total",
 		"Requests whose head was read after the signal to stop, by whether their connection had carried one before.")
-	page.Sample(float64(f.ShutdownOnNewConns), exposition.Label{Name: "connection", Value: "new"})
-	page.Sample(float64(f.ShutdownOnKeptConns), exposition.Label{Name: "connection", Value: "kept"})
+	page.Sample(float64(counters.ShutdownOnNewConns), exposition.Label{Name: "connection", Value: "new"})
+	page.Sample(float64(counters.ShutdownOnKeptConns), exposition.Label{Name: "connection", Value: "kept"})
 	counter("cinderroad_proxy_turned_away_while_stopping_total", "Requests turned away since they might outlast the process.",
-		f.ShutdownRejected)
+		counters.ShutdownRejected)
 }
--- a/internal/system/proxy/metrics_test.go
+++ b/internal/system/proxy/metrics_test.go
@@ -28,20 +28,20 @@
 // The figures tell requests after the signal to stop apart by what they came on.
 func TestMetricsDuringShutdown(t *testing.T) {
 	w := newHarness(t, withMetrics)
-	r := w.startRunners("a")[0]
+	runner := w.startRunners("a")[0]
 	kept := w.connect()
 	kept.send(requestText("/reads/x", "t1", "", ""))
-	up := r.accept()
-	up.readRequest()
-	up.send(successText("t1", "one"))
+	upstream := runner.accept()
+	upstream.readRequest()
+	upstream.send(successText("t1", "one"))
 	kept.expectResponse(200, "one")
 	w.onLoop(w.proxy.Stop)
 	young := w.connect()
 	for i, c := range []*testConn{kept, young} {
 		id := "t" + string(rune('2'+i))
 		c.send(requestText("/reads/x", id, "", ""))
-		up.readRequest()
-		up.send(successText(id, "more"))
+		upstream.readRequest()
+		upstream.send(successText(id, "more"))
 		c.expectResponse(200, "more")
 	}
 	page := w.metricsPage()
--- a/internal/system/proxy/monitor.go
+++ b/internal/system/proxy/monitor.go
@@ -69,8 +69,8 @@
 	return monitorResponse{status: 200, contentType: exposition.ContentType, body: page.Bytes()}
 }
 
-func (e *monitorEndpoint) accept(c *eventloop.Conn) eventloop.Handler {
-	s := &monitorSession{endpoint: e, socket: c}
+func (e *monitorEndpoint) accept(conn *eventloop.Conn) eventloop.Handler {
+	s := &monitorSession{endpoint: e, socket: conn}
 	e.sessions = append(e.sessions, s)
 	s.resetTimeout()
 	return s
@@ -94,7 +94,7 @@
 // detach forgets the connection.
 func (s *monitorSession) detach() {
 	s.timer.Stop()
-	s.endpoint.sessions = slices.DeleteFunc(s.endpoint.sessions, func(o *monitorSession) bool { return o == s })
+	s.endpoint.sessions = slices.DeleteFunc(s.endpoint.sessions, func(other *monitorSession) bool { return other == s })
 }
 
 func (s *monitorSession) close() {
@@ -109,19 +109,19 @@
 func (s *monitorSession) Closed(*eventloop.Conn, error) { s.detach() }
 
 // Data implements transport.Handler.
-func (s *monitorSession) Data(c *eventloop.Conn) {
-	for len(c.Bytes()) > 0 {
-		q, n, err := httpwire.ParseRequestHead(c.Bytes(), maxMonitorHeadBytes)
+func (s *monitorSession) Data(conn *eventloop.Conn) {
+	for len(conn.Bytes()) > 0 {
+		request, n, err := httpwire.ParseRequestHead(conn.Bytes(), maxMonitorHeadBytes)
 		if errors.Is(err, httpwire.ErrIncomplete) {
 			return
 		}
-		last := err != nil || q.Close || q.Body.Kind != httpwire.NoBody
-		text := appendMonitorResponse(nil, s.respond(&q, err), last, q.Method == "HEAD")
-		c.Consume(n)
-		c.Write(text)
+		last := err != nil || request.Close || request.Body.Kind != httpwire.NoBody
+		text := appendMonitorResponse(nil, s.respond(&request, err), last, request.Method == "HEAD")
+		conn.Consume(n)
+		conn.Write(text)
 		if last {
 			s.detach()
-			c.CloseAfterFlush()
+			conn.CloseAfterFlush()
 			return
 		}
 		s.resetTimeout()
@@ -129,25 +129,25 @@
 }
 
 // respond is the answer to a request.
-func (s *monitorSession) respond(q *httpwire.RequestHead, err error) monitorResponse {
+func (s *monitorSession) respond(request *httpwire.RequestHead, err error) monitorResponse {
 	switch {
 	case err != nil:
 		return monitorResponse{status: 400}
-	case pathOf(q.Target) != s.endpoint.path:
+	case pathOf(request.Target) != s.endpoint.path:
 		return monitorResponse{status: 404}
-	case q.Method != "GET" && q.Method != "HEAD":
+	case request.Method != "GET" && request.Method != "HEAD":
 		return monitorResponse{status: 405}
 	}
 	return s.endpoint.respond()
 }
 
 // appendMonitorResponse writes an answer; last says that the connection ends with it.
-func appendMonitorResponse(b []byte, a monitorResponse, last, noBody bool) []byte {
-	b = httpwire.AppendStatusLine(b, a.status, httpwire.ReasonPhrase(a.status))
-	if a.contentType != "" {
-		b = httpwire.AppendField(b, "Content-Type", a.contentType)
+func appendMonitorResponse(b []byte, response monitorResponse, last, noBody bool) []byte {
+	b = httpwire.AppendStatusLine(b, response.status, httpwire.ReasonPhrase(response.status))
+	if response.contentType != "" {
+		b = httpwire.AppendField(b, "Content-Type", response.contentType)
 	}
-	b = httpwire.AppendIntField(b, "Content-Length", int64(len(a.body)))
+	b = httpwire.AppendIntField(b, "Content-Length", int64(len(response.body)))
 	if last {
 		b = httpwire.AppendField(b, "Connection", "close")
 	}
@@ -155,5 +155,5 @@
 	if noBody {
 		return b
 	}
-	return append(b, a.body...)
+	return append(b, response.body...)
 }
--- a/internal/system/proxy/peers.go
+++ b/internal/system/proxy/peer_notifier.go
@@ -112,8 +112,8 @@
 	s.send(s.ownZone)
 	s.datagram[0] |= noticeRelayFlag
 	for _, listeners := range s.otherZones {
-		at := s.random.IntN(len(listeners))
-		s.send(listeners[at : at+1])
+		chosen := s.random.IntN(len(listeners))
+		s.send(listeners[chosen : chosen+1])
 	}
 }
 
--- a/internal/system/proxy/pool.go
+++ b/internal/system/proxy/pool.go
@@ -113,8 +113,8 @@
 }
 
 // canAccept says whether a request can be given to the chosen runner now.
-func (p *pool) canAccept(c placement.Choice) bool {
-	r := p.runners[c.Runner]
+func (p *pool) canAccept(choice placement.Choice) bool {
+	r := p.runners[choice.Runner]
 	if r == nil || !r.listed || r.draining || p.proxy.now() < r.suspectUntil {
 		return false
 	}
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -154,23 +154,23 @@
 }
 
 // SetRoutes puts routes in force for the requests that begin from now on.
-func (p *Proxy) SetRoutes(r Routes) { p.routes = r }
+func (p *Proxy) SetRoutes(routes Routes) { p.routes = routes }
 
 // SetLimits puts bounds on clients in force; a field that is 0 has its default.
-func (p *Proxy) SetLimits(l configuration.Limits) {
-	if l.MaxHeaderBytes <= 0 {
-		l.MaxHeaderBytes = defaultHeaderBytes
+func (p *Proxy) SetLimits(limits configuration.Limits) {
+	if limits.MaxHeaderBytes <= 0 {
+		limits.MaxHeaderBytes = defaultHeaderBytes
 	}
-	if l.MaxBodyBytes <= 0 {
-		l.MaxBodyBytes = defaultBodyBytes
+	if limits.MaxBodyBytes <= 0 {
+		limits.MaxBodyBytes = defaultBodyBytes
 	}
-	if l.HeaderTimeout <= 0 {
-		l.HeaderTimeout = defaultHeaderTimeout
+	if limits.HeaderTimeout <= 0 {
+		limits.HeaderTimeout = defaultHeaderTimeout
 	}
-	if l.IdleTimeout <= 0 {
-		l.IdleTimeout = defaultIdleTimeout
+	if limits.IdleTimeout <= 0 {
+		limits.IdleTimeout = defaultIdleTimeout
 	}
-	p.limits = l
+	p.limits = limits
 }
 
 // SetServices puts the services in force.
--- a/internal/system/proxy/proxy_test.go
+++ b/internal/system/proxy/proxy_test.go
@@ -9,26 +9,26 @@
 // The ordinary path: what a runner gets and what a client gets, on connections that are used again.
 func TestRequestAndConnectionReuse(t *testing.T) {
 	w := newHarness(t)
-	r := w.startRunners("a")[0]
-	c := w.connect()
-	c.send(requestText("/writes/x?q=1", "t1",
+	runner := w.startRunners("a")[0]
+	client := w.connect()
+	client.send(requestText("/writes/x?q=1", "t1",
 		"X-Other: v\r\nConnection: keep-alive, x-hop\r\nX-Hop: gone\r\nX-Wanted-Server: evil\r\n", "the body"))
-	up := r.accept()
-	q, body := up.readRequest()
-	if q.Method != "POST" || q.RequestURI != "/writes/x?q=1" || q.Host != "h.example" || body != "the body" {
-		t.Errorf("runner got %s %s of %s with %q", q.Method, q.RequestURI, q.Host, body)
+	upstream := runner.accept()
+	request, body := upstream.readRequest()
+	if request.Method != "POST" || request.RequestURI != "/writes/x?q=1" || request.Host != "h.example" || body != "the body" {
+		t.Errorf("runner got %s %s of %s with %q", request.Method, request.RequestURI, request.Host, body)
 	}
 	for name, want := range map[string]string{"X-Try-Id": "t1", "X-Other": "v", "X-Hop": "", "X-Wanted-Server": "a",
 		"Priority": "", "Connection": ""} {
-		if got := q.Header.Get(name); got != want || len(q.Header.Values(name)) > 1 {
-			t.Errorf("runner got %s: %q, want %q", name, q.Header.Values(name), want)
+		if got := request.Header.Get(name); got != want || len(request.Header.Values(name)) > 1 {
+			t.Errorf("runner got %s: %q, want %q", name, request.Header.Values(name), want)
 		}
 	}
-	if left, _ := strconv.Atoi(q.Header.Get("X-Time-Left-Ms")); left < 5000 || left > 10000 {
+	if left, _ := strconv.Atoi(request.Header.Get("X-Time-Left-Ms")); left < 5000 || left > 10000 {
 		t.Errorf("time left is %d", left)
 	}
-	up.send("HTTP/1.1 201 Made\r\nX-Try-Id: t1\r\nX-Server-Seal: seal\r\nX-Odd: kept\r\nConnection: x-drop\r\nX-Drop: 1\r\nContent-Length: 3\r\n\r\nabc")
-	head := c.readHead()
+	upstream.send("HTTP/1.1 201 Made\r\nX-Try-Id: t1\r\nX-Server-Seal: seal\r\nX-Odd: kept\r\nConnection: x-drop\r\nX-Drop: 1\r\nContent-Length: 3\r\n\r\nabc")
+	head := client.readHead()
 	for _, want := range []string{"HTTP/1.1 201 Made\r\n", "X-Server-Seal: seal\r\n", "X-Odd: kept\r\n",
 		"X-Try-Id: t1\r\n", "Content-Length: 3\r\n"} {
 		if !strings.Contains(head, want) {
@@ -38,15 +38,15 @@
 	if strings.Contains(head, "X-Drop") {
 		t.Errorf("client got a field of the other connection: %q", head)
 	}
-	c.expect("abc")
+	client.expect("abc")
 	w.expectOutcomes("a served")
 
-	c.send(requestText("/reads/y", "t2", "", "")) // both connections are used again
-	if q, _ := up.readRequest(); q.Header.Get("X-Try-Id") != "t2" {
-		t.Errorf("second request has id %q", q.Header.Get("X-Try-Id"))
+	client.send(requestText("/reads/y", "t2", "", "")) // both connections are used again
+	if request, _ := upstream.readRequest(); request.Header.Get("X-Try-Id") != "t2" {
+		t.Errorf("second request has id %q", request.Header.Get("X-Try-Id"))
 	}
-	up.send(successText("t2", "second"))
-	if got, body := c.readResponse(); got.StatusCode != 200 || body != "second" {
+	upstream.send(successText("t2", "second"))
+	if got, body := client.readResponse(); got.StatusCode != 200 || body != "second" {
 		t.Errorf("second answer is %d %q", got.StatusCode, body)
 	}
 }
@@ -54,26 +54,26 @@
 // Guards against events that wait for the end of the stream, and against a body whose bytes are changed by its framing.
 func TestEventStreamRelay(t *testing.T) {
 	w := newHarness(t)
-	r := w.startRunners("a")[0]
-	c := w.connect()
-	c.send(requestText("/stream/x", "t1",
+	runner := w.startRunners("a")[0]
+	client := w.connect()
+	client.send(requestText("/stream/x", "t1",
 		"X-Model: m\r\nX-Token-Counts: 1460,80\r\nX-Prompt-Start: 5c1e07a2:800,91bd3f06:410\r\n", "p"))
-	up := r.accept()
-	up.readRequest()
+	upstream := runner.accept()
+	upstream.readRequest()
 	w.onLoop(func() {
-		if q := w.placer.lastRequest; q.Model != "m" || q.InputTokens != 1460 || q.MaxOutputTokens != 80 || len(q.Chunks) != 2 ||
-			q.Chunks[1].ID != 0x91bd3f06 || q.Chunks[1].Tokens != 410 {
-			t.Errorf("request for the placer: %+v", q)
+		if request := w.placer.lastRequest; request.Model != "m" || request.InputTokens != 1460 || request.MaxOutputTokens != 80 || len(request.Chunks) != 2 ||
+			request.Chunks[1].ID != 0x91bd3f06 || request.Chunks[1].Tokens != 410 {
+			t.Errorf("request for the placer: %+v", request)
 		}
 	})
-	up.send(streamHeadText("t1", "seal"))
-	c.readHead()
+	upstream.send(streamHeadText("t1", "seal"))
+	client.readHead()
 	for i := 1; i <= 3; i++ {
-		up.send(chunkText(eventText(i)))
-		c.expect(chunkText(eventText(i)))
+		upstream.send(chunkText(eventText(i)))
+		client.expect(chunkText(eventText(i)))
 	}
-	up.send(lastChunk)
-	c.expect(lastChunk)
+	upstream.send(lastChunk)
+	client.expect(lastChunk)
 	w.expectOutcomes("a served")
 	w.onLoop(func() {
 		if w.placer.events != 3 {
--- a/internal/system/proxy/request.go
+++ b/internal/system/proxy/request.go
@@ -40,8 +40,8 @@
 
 // parseTimeLeft reads how long the client will wait, at most the given time, which is also what counts where it does not say.
 // It is 0 where the client's time is over.
-func parseTimeLeft(h httpwire.Header, atMost time.Duration) time.Duration {
-	ms, err := strconv.ParseFloat(h.Get(headerTimeLeft), 64)
+func parseTimeLeft(header httpwire.Header, atMost time.Duration) time.Duration {
+	ms, err := strconv.ParseFloat(header.Get(headerTimeLeft), 64)
 	switch {
 	case err != nil || math.IsNaN(ms):
 		return atMost
@@ -54,7 +54,7 @@
 }
 
 // parseTokenCounts reads the tokens of the prompt and the most of the answer; what makes no sense is not told.
-func parseTokenCounts(value string) (in, out int) {
+func parseTokenCounts(value string) (input, output int) {
 	first, second, _ := strings.Cut(value, ",")
 	return parseTokenCount(first), parseTokenCount(second)
 }
@@ -85,27 +85,27 @@
 }
 
 // appendRequest writes the head of a request for a runner, which is followed by the body.
-func (x *exchange) appendRequest(b []byte, c placement.Choice) []byte {
+func (x *exchange) appendRequest(b []byte, choice placement.Choice) []byte {
 	b = append(b, x.head.Method...)
 	b = append(b, ' ')
 	b = append(b, x.head.Target...)
 	b = append(b, " HTTP/1.1\r\n"...)
 	resumed := x.response.started
 	for i := range x.head.Header {
-		f := &x.head.Header[i]
-		if !x.isForwarded(f.Name, c, resumed) {
+		field := &x.head.Header[i]
+		if !x.isForwarded(field.Name, choice, resumed) {
 			continue
 		}
-		b = httpwire.AppendField(b, f.Name, f.Value)
+		b = httpwire.AppendField(b, field.Name, field.Value)
 	}
 	if resumed && x.eventReader.lastID != "" {
 		b = httpwire.AppendField(b, headerLastEventID, x.eventReader.lastID)
 	}
 	left := (x.request.Deadline - x.proxy.now()) / time.Millisecond
 	b = httpwire.AppendIntField(b, headerTimeLeft, max(1, int64(left)))
-	b = httpwire.AppendField(b, headerWantedServer, c.Runner)
-	if c.Priority >= 0 {
-		b = httpwire.AppendIntField(b, headerPriority, int64(c.Priority))
+	b = httpwire.AppendField(b, headerWantedServer, choice.Runner)
+	if choice.Priority >= 0 {
+		b = httpwire.AppendIntField(b, headerPriority, int64(choice.Priority))
 	}
 	if x.head.Body.Kind != httpwire.NoBody {
 		b = httpwire.AppendIntField(b, "Content-Length", int64(len(x.body)))
@@ -114,14 +114,14 @@
 }
 
 // isForwarded says whether a field of the client goes to the runner as it came.
-func (x *exchange) isForwarded(name string, c placement.Choice, resumed bool) bool {
+func (x *exchange) isForwarded(name string, choice placement.Choice, resumed bool) bool {
 	switch {
 	case strings.EqualFold(name, headerTryID), strings.EqualFold(name, "Host"):
 		return true
 	case strings.EqualFold(name, headerTimeLeft), strings.EqualFold(name, headerWantedServer):
 		return false
 	case strings.EqualFold(name, headerPriority):
-		return c.Priority < 0
+		return choice.Priority < 0
 	case strings.EqualFold(name, headerLastEventID):
 		return !resumed || x.eventReader.lastID == ""
 	}
--- a/internal/system/proxy/answer.go
+++ b/internal/system/proxy/response.go
@@ -23,43 +23,43 @@
 }
 
 // canContinueWith says whether another runner's answer can continue the one that has begun.
-func (a *response) canContinueWith(h *httpwire.ResponseHead) bool {
-	return h.Status == 200 && hasEventStream(h)
+func (a *response) canContinueWith(head *httpwire.ResponseHead) bool {
+	return head.Status == 200 && hasEventStream(head)
 }
 
-func hasEventStream(h *httpwire.ResponseHead) bool {
-	kind, _, _ := strings.Cut(h.Header.Get("Content-Type"), ";")
+func hasEventStream(head *httpwire.ResponseHead) bool {
+	kind, _, _ := strings.Cut(head.Header.Get("Content-Type"), ";")
 	return strings.EqualFold(strings.Trim(kind, " \t"), "text/event-stream")
 }
 
 // relayHead begins to pass a runner's answer on. The head of a runner that continues an answer is dropped.
-func (x *exchange) relayHead(h *httpwire.ResponseHead) {
+func (x *exchange) relayHead(head *httpwire.ResponseHead) {
 	if x.response.started {
 		return
 	}
 	x.transition(exchangeRelaying)
 	x.response.started = true
-	x.response.isEventStream = hasEventStream(h)
-	x.response.resumable = x.response.isEventStream && h.Status == 200 && x.request.Route.Resumable && x.head.Version == "HTTP/1.1"
-	x.response.framing = x.framing(h)
+	x.response.isEventStream = hasEventStream(head)
+	x.response.resumable = x.response.isEventStream && head.Status == 200 && x.request.Route.Resumable && x.head.Version == "HTTP/1.1"
+	x.response.framing = x.framing(head)
 	if !x.response.resumable {
 		x.releaseBody()
 	}
 	s := x.session
 	s.closeAfterResponse = s.closeAfterResponse || x.response.framing == httpwire.UntilClose || x.proxy.shutdown.active
-	b := httpwire.AppendStatusLine(x.proxy.scratch[:0], h.Status, h.Reason)
-	for i := range h.Header {
-		if f := &h.Header[i]; h.Header.IsEndToEnd(f.Name) {
-			b = httpwire.AppendField(b, f.Name, f.Value)
+	b := httpwire.AppendStatusLine(x.proxy.scratch[:0], head.Status, head.Reason)
+	for i := range head.Header {
+		if field := &head.Header[i]; head.Header.IsEndToEnd(field.Name) {
+			b = httpwire.AppendField(b, field.Name, field.Value)
 		}
 	}
 	switch x.response.framing {
 	case httpwire.ByLength:
-		b = httpwire.AppendIntField(b, "Content-Length", h.Body.Length)
+		b = httpwire.AppendIntField(b, "Content-Length", head.Body.Length)
 	case httpwire.Chunked:
 		b = httpwire.AppendField(b, "Transfer-Encoding", "chunked")
 	case httpwire.NoBody:
-		if length := h.Header.Get("Content-Length"); length != "" && h.Status != 204 {
+		if length := head.Header.Get("Content-Length"); length != "" && head.Status != 204 {
 			b = httpwire.AppendField(b, "Content-Length", length)
 		}
 	}
@@ -70,11 +70,11 @@
 }
 
 // framing is how the body of an answer is framed toward the client.
-func (x *exchange) framing(h *httpwire.ResponseHead) httpwire.FramingKind {
+func (x *exchange) framing(head *httpwire.ResponseHead) httpwire.FramingKind {
 	switch {
-	case h.Body.Kind == httpwire.NoBody:
+	case head.Body.Kind == httpwire.NoBody:
 		return httpwire.NoBody
-	case h.Body.Kind == httpwire.ByLength && !x.response.resumable:
+	case head.Body.Kind == httpwire.ByLength && !x.response.resumable:
 		return httpwire.ByLength
 	case x.head.Version == "HTTP/1.1":
 		return httpwire.Chunked
@@ -148,10 +148,10 @@
 }
 
 // setStalled holds the runner back while the client does not take what it is sent.
-func (x *exchange) setStalled(on bool) {
-	x.stalled = on
+func (x *exchange) setStalled(stalled bool) {
+	x.stalled = stalled
 	if a := x.attempt; a != nil && a.conn != nil {
-		a.conn.socket.SetStalled(on)
+		a.conn.socket.SetStalled(stalled)
 	}
 }
 
--- a/internal/system/proxy/retry_test.go
+++ b/internal/system/proxy/retry_test.go
@@ -76,26 +76,26 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := newHarness(t)
-			r := w.startRunners("a", "b")
-			c := w.connect()
-			c.send(requestText(tc.path, "t1", "", "body"))
-			first := r[0].accept()
+			runners := w.startRunners("a", "b")
+			client := w.connect()
+			client.send(requestText(tc.path, "t1", "", "body"))
+			first := runners[0].accept()
 			if _, body := first.readRequest(); body != "body" {
 				t.Errorf("first runner got %q", body)
 			}
 			tc.first(first)
 			w.expectOutcomes(tc.outcome)
 			if !tc.second {
-				c.expectResponse(tc.status, "")
+				client.expectResponse(tc.status, "")
 				return
 			}
-			second := r[1].accept()
-			q, body := second.readRequest()
-			if body != "body" || q.Header.Get("X-Wanted-Server") != "b" || q.Header.Get("X-Try-Id") != "t1" {
-				t.Errorf("second runner got %v %q", q.Header, body)
+			second := runners[1].accept()
+			request, body := second.readRequest()
+			if body != "body" || request.Header.Get("X-Wanted-Server") != "b" || request.Header.Get("X-Try-Id") != "t1" {
+				t.Errorf("second runner got %v %q", request.Header, body)
 			}
 			second.send(successText("t1", "whole"))
-			c.expectResponse(200, "whole")
+			client.expectResponse(200, "whole")
 			w.expectOutcomes("b served")
 		})
 	}
@@ -117,14 +117,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := newHarness(t)
-			r := w.startRunners("a", "b")
+			runners := w.startRunners("a", "b")
 			w.onLoop(func() { w.placer.noRetry = true })
-			c := w.connect()
-			c.send(requestText(tc.path, "t1", "", ""))
-			up := r[0].accept()
-			up.readRequest()
-			up.send(tc.answer)
-			if got := c.expectResponse(tc.status, ""); got.Header.Get("Retry-After") != tc.retryAfter {
+			client := w.connect()
+			client.send(requestText(tc.path, "t1", "", ""))
+			upstream := runners[0].accept()
+			upstream.readRequest()
+			upstream.send(tc.answer)
+			if got := client.expectResponse(tc.status, ""); got.Header.Get("Retry-After") != tc.retryAfter {
 				t.Errorf("Retry-After is %q, want %q", got.Header.Get("Retry-After"), tc.retryAfter)
 			}
 		})
@@ -164,20 +164,20 @@
 // Guards against a large request that a runner never took whole counting as one that may have run.
 func TestRequestNotFullySent(t *testing.T) {
 	w := newHarness(t)
-	r := w.startRunners("a", "b")
+	runners := w.startRunners("a", "b")
 	w.onLoop(func() { w.proxy.SetLimits(configuration.Limits{MaxBodyBytes: 1 << 30}) })
 	body := string(make([]byte, 32<<20)) // more than the buffers of the system hold
-	c := w.connect()
-	go io.WriteString(c.conn, requestText("/writes/x", "t1", "", body)) // what arrives is looked at below
-	first := r[0].accept()
+	client := w.connect()
+	go io.WriteString(client.conn, requestText("/writes/x", "t1", "", body)) // what arrives is looked at below
+	first := runners[0].accept()
 	first.readHead()
 	first.reset()
-	second := r[1].accept()
+	second := runners[1].accept()
 	if _, got := second.readRequest(); len(got) != len(body) {
 		t.Errorf("second runner got %d bytes", len(got))
 	}
 	second.send(successText("t1", "whole"))
-	c.expectResponse(200, "whole")
+	client.expectResponse(200, "whole")
 	w.expectOutcomes("a broken", "b served")
 }
 
@@ -194,20 +194,20 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := newHarness(t)
-			r := w.startRunners("a")[0]
-			c := w.connect()
-			c.send(requestText("/writes/x", "t1", "", ""))
-			up := r.accept()
-			up.readRequest()
-			up.send(successText("t1", "first"))
-			c.expectResponse(200, "first")
-			tc.spoil(up)
+			runner := w.startRunners("a")[0]
+			client := w.connect()
+			client.send(requestText("/writes/x", "t1", "", ""))
+			upstream := runner.accept()
+			upstream.readRequest()
+			upstream.send(successText("t1", "first"))
+			client.expectResponse(200, "first")
+			tc.spoil(upstream)
 			w.waitFor("the connection's end", func() bool { return len(w.proxy.pool.runners["a"].idle) == 0 })
-			c.send(requestText("/writes/x", "t2", "", ""))
-			again := r.accept()
+			client.send(requestText("/writes/x", "t2", "", ""))
+			again := runner.accept()
 			again.readRequest()
 			again.send(successText("t2", "second"))
-			c.expectResponse(200, "second")
+			client.expectResponse(200, "second")
 		})
 	}
 }
@@ -228,18 +228,18 @@
 // An extra answer to the request before is read away: the answer to the request at hand follows.
 func TestExtraResponseDiscarded(t *testing.T) {
 	w := newHarness(t)
-	r := w.startRunners("a")[0]
-	c := w.connect()
-	c.send(requestText("/writes/x", "t1", "", ""))
-	up := r.accept()
-	up.readRequest()
-	up.send(successText("t1", "first"))
-	c.expectResponse(200, "first")
-	c.send(requestText("/writes/x", "t2", "", ""))
-	up.readRequest()
-	up.send(successText("t1", "first") + successText("t2", "second"))
-	c.expectResponse(200, "second")
-	up.readToClose()
+	runner := w.startRunners("a")[0]
+	client := w.connect()
+	client.send(requestText("/writes/x", "t1", "", ""))
+	upstream := runner.accept()
+	upstream.readRequest()
+	upstream.send(successText("t1", "first"))
+	client.expectResponse(200, "first")
+	client.send(requestText("/writes/x", "t2", "", ""))
+	upstream.readRequest()
+	upstream.send(successText("t1", "first") + successText("t2", "second"))
+	client.expectResponse(200, "second")
+	upstream.readToClose()
 	w.expectOutcomes("a served", "a served")
 }
 
@@ -247,18 +247,18 @@
 // nothing of the request at hand.
 func TestNotRunWithoutIDProvesNothing(t *testing.T) {
 	w := newHarness(t)
-	r := w.startRunners("a", "b")
-	c := w.connect()
-	c.send(requestText("/writes/x", "t1", "", ""))
-	up := r[0].accept()
-	up.readRequest()
-	up.send(successText("t1", "first"))
-	c.expectResponse(200, "first")
-	c.send(requestText("/writes/x", "t2", "", ""))
-	up.readRequest()
-	up.send(notRunWithoutID)
-	c.expectResponse(502, "")
-	up.readToClose()
+	runners := w.startRunners("a", "b")
+	client := w.connect()
+	client.send(requestText("/writes/x", "t1", "", ""))
+	upstream := runners[0].accept()
+	upstream.readRequest()
+	upstream.send(successText("t1", "first"))
+	client.expectResponse(200, "first")
+	client.send(requestText("/writes/x", "t2", "", ""))
+	upstream.readRequest()
+	upstream.send(notRunWithoutID)
+	client.expectResponse(502, "")
+	upstream.readToClose()
 	w.expectOutcomes("a served", "a broken")
 }
 
@@ -278,18 +278,18 @@
 // A connection serves on after answers that were not passed on.
 func TestConnectionReuseAfterNotRun(t *testing.T) {
 	w := newHarness(t)
-	r := w.startRunners("a", "b")
-	c := w.connect()
-	c.send(requestText("/writes/x", "t1", "", ""))
-	up := r[0].accept()
-	up.readRequest()
-	up.send("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 4\r\n\r\nfull")
-	second := r[1].accept()
+	runners := w.startRunners("a", "b")
+	client := w.connect()
+	client.send(requestText("/writes/x", "t1", "", ""))
+	upstream := runners[0].accept()
+	upstream.readRequest()
+	upstream.send("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 4\r\n\r\nfull")
+	second := runners[1].accept()
 	second.readRequest()
 	second.send(successText("t1", "whole"))
-	c.expectResponse(200, "whole")
-	c.send(requestText("/writes/x", "t2", "", ""))
-	up.readRequest() // on the same connection
-	up.send(successText("t2", "next"))
-	c.expectResponse(200, "next")
+	client.expectResponse(200, "whole")
+	client.send(requestText("/writes/x", "t2", "", ""))
+	upstream.readRequest() // on the same connection
+	upstream.send(successText("t2", "next"))
+	client.expectResponse(200, "next")
 }
--- a/internal/system/proxy/link.go
+++ b/internal/system/proxy/runner_conn.go
@@ -82,9 +82,9 @@
 }
 
 // transition is the one place where the state changes.
-func (l *runnerConn) transition(to connState) {
-	invariant.Check(slices.Contains(connTransitions[l.state], to), "proxy: a connection changes its state as it may")
-	l.state = to
+func (l *runnerConn) transition(next connState) {
+	invariant.Check(slices.Contains(connTransitions[l.state], next), "proxy: a connection changes its state as it may")
+	l.state = next
 }
 
 // requestSent says whether the system has taken all bytes of the request.
@@ -99,12 +99,12 @@
 }
 
 // Opened implements transport.Handler.
-func (l *runnerConn) Opened(c *eventloop.Conn) {
+func (l *runnerConn) Opened(conn *eventloop.Conn) {
 	p := l.runner.pool.proxy
 	l.timer.Stop()
 	l.runner.noteConnected(p.now() - l.dialedAt)
-	c.SetKeepAlive(unackedTimeout, keepAliveInterval)
-	c.ReadBeforeReset()
+	conn.SetKeepAlive(unackedTimeout, keepAliveInterval)
+	conn.ReadBeforeReset()
 	l.reportProbe(true)
 	a := l.attempt
 	if a == nil {
@@ -112,7 +112,7 @@
 		return
 	}
 	switch {
-	case !c.Alive(): // the runner takes no more connections and has reset this one
+	case !conn.Alive(): // the runner takes no more connections and has reset this one
 		l.fail(errClosedBeforeRequest)
 	case !l.runner.listed || l.runner.draining: // meanwhile
 		l.fail(errDraining)
@@ -154,34 +154,34 @@
 }
 
 // Data implements transport.Handler.
-func (l *runnerConn) Data(c *eventloop.Conn) {
+func (l *runnerConn) Data(conn *eventloop.Conn) {
 	l.dataSinceCheck, l.responseStarted = true, true
 	l.runner.lastDataAt = l.runner.pool.proxy.now()
 	for l.state != connClosed {
-		if !l.advance(c) {
+		if !l.advance(conn) {
 			return
 		}
 	}
 }
 
 // advance takes the next piece of what has come; false when it needs more.
-func (l *runnerConn) advance(c *eventloop.Conn) bool {
+func (l *runnerConn) advance(conn *eventloop.Conn) bool {
 	switch l.state {
 	case connAwaitingHead:
-		return l.readHead(c)
+		return l.readHead(conn)
 	case connReadingBody, connSkippingBody:
-		return l.readBody(c)
+		return l.readBody(conn)
 	}
 	l.failProtocol(errUnexpectedBytes)
 	return false
 }
 
 // readHead takes the head of an answer.
-func (l *runnerConn) readHead(c *eventloop.Conn) bool {
-	if len(c.Bytes()) == 0 {
+func (l *runnerConn) readHead(conn *eventloop.Conn) bool {
+	if len(conn.Bytes()) == 0 {
 		return false
 	}
-	h, n, err := httpwire.ParseResponseHead(c.Bytes(), l.method, maxResponseHeadBytes)
+	head, n, err := httpwire.ParseResponseHead(conn.Bytes(), l.method, maxResponseHeadBytes)
 	if errors.Is(err, httpwire.ErrIncomplete) {
 		return false
 	}
@@ -189,14 +189,14 @@
 		l.failProtocol(err)
 		return false
 	}
-	c.Consume(n)
-	l.bodyReader.Reset(h.Body)
-	l.framing = h.Body.Kind
-	l.closeAfterResponse = l.closeAfterResponse || h.Close || !l.requestSent()
-	l.advertisedIdle = advertisedIdleTimeout(h.Header)
+	conn.Consume(n)
+	l.bodyReader.Reset(head.Body)
+	l.framing = head.Body.Kind
+	l.closeAfterResponse = l.closeAfterResponse || head.Close || !l.requestSent()
+	l.advertisedIdle = advertisedIdleTimeout(head.Header)
 	switch {
-	case l.matchesCurrent(&h):
-	case l.matchesPrevious(&h):
+	case l.matchesCurrent(&head):
+	case l.matchesPrevious(&head):
 		l.transition(connSkippingBody)
 		l.skippedPrevious, l.closeAfterResponse = true, true
 		return true
@@ -206,7 +206,7 @@
 	}
 	l.transition(connReadingBody)
 	if a := l.attempt; a != nil {
-		a.handleHead(&h)
+		a.handleHead(&head)
 	}
 	if l.state == connReadingBody && l.attempt == nil {
 		l.discardResponse()
@@ -216,24 +216,24 @@
 
 // matchesCurrent says whether an answer is one to the request at hand, which its id shows. One that only says that nothing ran
 // may lack the id on a connection that carried no request before: there it can belong to no other.
-func (l *runnerConn) matchesCurrent(h *httpwire.ResponseHead) bool {
-	id, once := h.Header.GetUnique(headerTryID)
+func (l *runnerConn) matchesCurrent(head *httpwire.ResponseHead) bool {
+	id, once := head.Header.GetUnique(headerTryID)
 	if id != "" {
 		return once && id == l.tryID
 	}
-	return l.previousTryID == "" && classify(h).saysNotRun()
+	return l.previousTryID == "" && classify(head).saysNotRun()
 }
 
 // matchesPrevious says whether an answer is an extra one to the request before on this connection, which may be read away:
 // the answer to the request at hand follows.
-func (l *runnerConn) matchesPrevious(h *httpwire.ResponseHead) bool {
-	id, once := h.Header.GetUnique(headerTryID)
-	return once && !l.skippedPrevious && id != "" && id == l.previousTryID && h.Body.Kind != httpwire.UntilClose
+func (l *runnerConn) matchesPrevious(head *httpwire.ResponseHead) bool {
+	id, once := head.Header.GetUnique(headerTryID)
+	return once && !l.skippedPrevious && id != "" && id == l.previousTryID && head.Body.Kind != httpwire.UntilClose
 }
 
 // readBody takes a part of the body.
-func (l *runnerConn) readBody(c *eventloop.Conn) bool {
-	data, n, done, err := l.bodyReader.Next(c.Bytes())
+func (l *runnerConn) readBody(conn *eventloop.Conn) bool {
+	data, n, done, err := l.bodyReader.Next(conn.Bytes())
 	if err != nil {
 		l.failProtocol(err)
 		return false
@@ -241,20 +241,20 @@
 	if a := l.attempt; a != nil && l.state == connReadingBody {
 		a.relayBody(data)
 	}
-	c.Consume(n)
+	conn.Consume(n)
 	switch {
 	case done && l.state == connSkippingBody:
 		l.transition(connAwaitingHead)
 		return true
 	case done:
-		l.finishResponse(c)
+		l.finishResponse(conn)
 		return false
 	}
-	return n > 0 && len(c.Bytes()) > 0
+	return n > 0 && len(conn.Bytes()) > 0
 }
 
 // finishResponse lets the connection rest, or closes it, and ends the attempt.
-func (l *runnerConn) finishResponse(c *eventloop.Conn) {
+func (l *runnerConn) finishResponse(conn *eventloop.Conn) {
 	a := l.attempt
 	l.attempt = nil
 	if a != nil {
@@ -263,7 +263,7 @@
 	l.timer.Stop()
 	l.watchdog.Stop()
 	switch {
-	case len(c.Bytes()) > 0:
+	case len(conn.Bytes()) > 0:
 		l.runner.pool.proxy.Counters.InvalidResponses++
 		l.close()
 	case l.closeAfterResponse:
--- a/internal/system/proxy/shares.go
+++ b/internal/system/proxy/service_splitter.go
@@ -24,22 +24,22 @@
 }
 
 // nextService is the service for the next request of a route.
-func (d *serviceSplitter) nextService(r *configuration.Route) string {
-	if len(r.Shares) == 1 {
-		return r.Shares[0].Service
+func (d *serviceSplitter) nextService(route *configuration.Route) string {
+	if len(route.Shares) == 1 {
+		return route.Shares[0].Service
 	}
 	sum := 0.0
-	for _, share := range r.Shares {
+	for _, share := range route.Shares {
 		sum += share.Weight
 	}
-	at := d.advance(r.Name) * sum
+	point := d.advance(route.Name) * sum
 	service := ""
-	for _, share := range r.Shares {
+	for _, share := range route.Shares {
 		if share.Weight <= 0 {
 			continue
 		}
 		service = share.Service
-		if at -= share.Weight; at < 0 {
+		if point -= share.Weight; point < 0 {
 			break
 		}
 	}
--- a/internal/system/proxy/session.go
+++ b/internal/system/proxy/session.go
@@ -35,8 +35,8 @@
 }
 
 // accept owns a new connection.
-func (p *Proxy) accept(c *eventloop.Conn) eventloop.Handler {
-	s := &session{proxy: p, socket: c, acceptedAt: p.now()}
+func (p *Proxy) accept(conn *eventloop.Conn) eventloop.Handler {
+	s := &session{proxy: p, socket: conn, acceptedAt: p.now()}
 	p.sessions.add(s)
 	s.awaitNextRequest()
 	return s
@@ -46,14 +46,14 @@
 func (s *session) Opened(*eventloop.Conn) {}
 
 // Data implements transport.Handler.
-func (s *session) Data(c *eventloop.Conn) {
+func (s *session) Data(conn *eventloop.Conn) {
 	s.lastDataAt = s.proxy.now()
 	if s.exchange == nil || s.exchange.state != exchangeReceiving {
 		s.noteNextRequest()
 	}
 	if s.exchange != nil && s.exchange.state != exchangeReceiving {
-		if len(c.Bytes()) > maxPipelinedBytes {
-			c.SetPaused(true)
+		if len(conn.Bytes()) > maxPipelinedBytes {
+			conn.SetPaused(true)
 		}
 		return
 	}
@@ -272,25 +272,25 @@
 }
 
 // respond writes an answer of the proxy itself, which ends the request.
-func (s *session) respond(a localResponse) {
+func (s *session) respond(response localResponse) {
 	s.exchange = nil
 	s.closeAfterResponse = s.closeAfterResponse || s.proxy.shutdown.active
-	b := httpwire.AppendStatusLine(s.proxy.scratch[:0], a.status, httpwire.ReasonPhrase(a.status))
-	if a.tryID != "" {
-		b = httpwire.AppendField(b, "X-Try-Id", a.tryID)
+	b := httpwire.AppendStatusLine(s.proxy.scratch[:0], response.status, httpwire.ReasonPhrase(response.status))
+	if response.tryID != "" {
+		b = httpwire.AppendField(b, "X-Try-Id", response.tryID)
 	}
-	if a.retryAfter > 0 {
-		b = httpwire.AppendField(b, "Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
+	if response.retryAfter > 0 {
+		b = httpwire.AppendField(b, "Retry-After", strconv.FormatFloat(response.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	body := ""
-	if a.body != "" {
-		body = a.body + "\n"
+	if response.body != "" {
+		body = response.body + "\n"
 		b = httpwire.AppendField(b, "Content-Type", "text/plain")
 	}
 	b = httpwire.AppendIntField(b, "Content-Length", int64(len(body)))
 	b = s.appendConnection(b)
 	b = append(b, "\r\n"...)
-	if !a.noBody {
+	if !response.noBody {
 		b = append(b, body...)
 	}
 	s.proxy.scratch = b
--- a/internal/system/proxy/session_test.go
+++ b/internal/system/proxy/session_test.go
@@ -40,13 +40,13 @@
 			w := newHarness(t)
 			w.startRunners("a")
 			w.onLoop(func() { w.proxy.SetLimits(configuration.Limits{MaxBodyBytes: 2000}) })
-			c := w.connect()
-			c.send(tc.in)
-			if got := c.expectResponse(tc.status, ""); got.Close != tc.closes {
+			client := w.connect()
+			client.send(tc.in)
+			if got := client.expectResponse(tc.status, ""); got.Close != tc.closes {
 				t.Errorf("close is %v", got.Close)
 			}
 			if tc.closes {
-				c.readToClose()
+				client.readToClose()
 			}
 		})
 	}
@@ -65,64 +65,64 @@
 
 func TestBodyFraming(t *testing.T) {
 	w := newHarness(t)
-	r := w.startRunners("a")[0]
-	c := w.connect()
-	c.send("PUT /writes/x HTTP/1.1\r\nHost: h.example:80\r\nX-Try-Id: t1\r\nTransfer-Encoding: chunked\r\nTrailer: X-T\r\n\r\n" +
+	runner := w.startRunners("a")[0]
+	client := w.connect()
+	client.send("PUT /writes/x HTTP/1.1\r\nHost: h.example:80\r\nX-Try-Id: t1\r\nTransfer-Encoding: chunked\r\nTrailer: X-T\r\n\r\n" +
 		"5;x=y\r\nhello\r\n" + "6\r\n world\r\n0\r\nX-T: 1\r\n\r\n")
-	up := r.accept()
-	q, body := up.readRequest()
-	if body != "hello world" || q.ContentLength != 11 || q.Host != "h.example:80" || len(q.TransferEncoding) > 0 {
-		t.Errorf("runner got %q with length %d", body, q.ContentLength)
+	upstream := runner.accept()
+	request, body := upstream.readRequest()
+	if body != "hello world" || request.ContentLength != 11 || request.Host != "h.example:80" || len(request.TransferEncoding) > 0 {
+		t.Errorf("runner got %q with length %d", body, request.ContentLength)
 	}
-	up.send("HTTP/1.1 100 Continue\r\n\r\n" + successText("t1", "one"))
-	c.expectResponse(200, "one")
+	upstream.send("HTTP/1.1 100 Continue\r\n\r\n" + successText("t1", "one"))
+	client.expectResponse(200, "one")
 
-	c.send("POST /writes/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: t2\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
-	c.expect("HTTP/1.1 100 Continue\r\n\r\n")
-	c.send("body")
-	if q, body := up.readRequest(); body != "body" || q.Header.Get("Expect") != "" {
-		t.Errorf("runner got %q, Expect %q", body, q.Header.Get("Expect"))
+	client.send("POST /writes/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: t2\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
+	client.expect("HTTP/1.1 100 Continue\r\n\r\n")
+	client.send("body")
+	if request, body := upstream.readRequest(); body != "body" || request.Header.Get("Expect") != "" {
+		t.Errorf("runner got %q, Expect %q", body, request.Header.Get("Expect"))
 	}
-	up.send(successText("t2", "two"))
-	c.expectResponse(200, "two")
+	upstream.send(successText("t2", "two"))
+	client.expectResponse(200, "two")
 
-	c.send("HEAD /reads/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: t3\r\n\r\n")
-	up.readRequest()
-	up.send("HTTP/1.1 200 OK\r\nX-Try-Id: t3\r\nX-Server-Seal: s\r\nContent-Length: 77\r\n\r\n")
-	if head := c.readHead(); !strings.Contains(head, "Content-Length: 77\r\n") {
+	client.send("HEAD /reads/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: t3\r\n\r\n")
+	upstream.readRequest()
+	upstream.send("HTTP/1.1 200 OK\r\nX-Try-Id: t3\r\nX-Server-Seal: s\r\nContent-Length: 77\r\n\r\n")
+	if head := client.readHead(); !strings.Contains(head, "Content-Length: 77\r\n") {
 		t.Errorf("head is %q", head)
 	}
 
-	c.send("DELETE /writes/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: t4\r\n\r\n")
-	if q, _ := up.readRequest(); q.ContentLength != 0 {
-		t.Errorf("a request without a body has length %d", q.ContentLength)
+	client.send("DELETE /writes/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: t4\r\n\r\n")
+	if request, _ := upstream.readRequest(); request.ContentLength != 0 {
+		t.Errorf("a request without a body has length %d", request.ContentLength)
 	}
-	up.send("HTTP/1.1 204 Done\r\nX-Try-Id: t4\r\nX-Server-Seal: s\r\n\r\n")
-	c.readHead()
-	c.send(requestText("/writes/x", "t5", "", ""))
-	up.readRequest()
+	upstream.send("HTTP/1.1 204 Done\r\nX-Try-Id: t4\r\nX-Server-Seal: s\r\n\r\n")
+	client.readHead()
+	client.send(requestText("/writes/x", "t5", "", ""))
+	upstream.readRequest()
 }
 
 // Requests that are sent ahead are answered in order, one at a time.
 func TestPipelining(t *testing.T) {
 	w := newHarness(t)
-	r := w.startRunners("a")[0]
-	c := w.connect()
-	c.send(requestText("/writes/x", "t1", "", "one") + requestText("/none/x", "t2", "", "") + requestText("/writes/x", "t3", "", "three"))
-	up := r.accept()
+	runner := w.startRunners("a")[0]
+	client := w.connect()
+	client.send(requestText("/writes/x", "t1", "", "one") + requestText("/none/x", "t2", "", "") + requestText("/writes/x", "t3", "", "three"))
+	upstream := runner.accept()
 	for _, want := range []string{"one", "three"} {
-		q, body := up.readRequest()
+		request, body := upstream.readRequest()
 		if body != want {
 			t.Errorf("runner got %q, want %q", body, want)
 		}
-		if up.reader.Buffered() > 0 {
+		if upstream.reader.Buffered() > 0 {
 			t.Error("the next request came before the answer")
 		}
-		up.send(successText(q.Header.Get("X-Try-Id"), "answer "+want))
+		upstream.send(successText(request.Header.Get("X-Try-Id"), "answer "+want))
 	}
-	c.expectResponse(200, "answer one")
-	c.expectResponse(404, "")
-	c.expectResponse(200, "answer three")
+	client.expectResponse(200, "answer one")
+	client.expectResponse(404, "")
+	client.expectResponse(200, "answer three")
 }
 
 // A client that leaves takes its request along: the runner's connection is closed.
@@ -130,17 +130,17 @@
 	for _, path := range []string{"/writes/x", "/stream/x"} {
 		t.Run(path, func(t *testing.T) {
 			w := newHarness(t)
-			r := w.startRunners("a")[0]
-			c := w.connect()
-			c.send(requestText(path, "t1", "", ""))
-			up := r.accept()
-			up.readRequest()
+			runner := w.startRunners("a")[0]
+			client := w.connect()
+			client.send(requestText(path, "t1", "", ""))
+			upstream := runner.accept()
+			upstream.readRequest()
 			if path == "/stream/x" {
-				up.send(streamHeadText("t1", "s") + chunkText(eventText(1)))
-				c.readHead()
+				upstream.send(streamHeadText("t1", "s") + chunkText(eventText(1)))
+				client.readHead()
 			}
-			c.conn.Close()
-			up.readToClose()
+			client.conn.Close()
+			upstream.readToClose()
 			w.expectOutcomes("a abandoned")
 			w.waitFor("nothing is held", func() bool {
 				return w.proxy.openExchanges == 0 && w.proxy.bufferedBodyBytes == 0 &&
@@ -157,45 +157,45 @@
 	}
 	t.Run("the runner has it", func(t *testing.T) {
 		w := newHarness(t)
-		r := w.startRunners("a")[0]
-		c := w.connect()
-		c.send(request("/writes/x"))
-		up := r.accept()
-		up.readRequest()
-		c.expectResponse(504, "")
-		up.readToClose()
+		runner := w.startRunners("a")[0]
+		client := w.connect()
+		client.send(request("/writes/x"))
+		upstream := runner.accept()
+		upstream.readRequest()
+		client.expectResponse(504, "")
+		upstream.readToClose()
 		w.expectOutcomes("a abandoned")
 	})
 	t.Run("the route's timeout is shorter", func(t *testing.T) {
 		w := newHarness(t)
 		w.onLoop(func() { w.routes.routes[0].Timeout = 30 * time.Millisecond })
-		r := w.startRunners("a")[0]
-		c := w.connect()
-		c.send(requestText("/reads/x", "t1", "", ""))
-		up := r.accept()
-		up.readRequest()
-		c.expectResponse(504, "")
+		runner := w.startRunners("a")[0]
+		client := w.connect()
+		client.send(requestText("/reads/x", "t1", "", ""))
+		upstream := runner.accept()
+		upstream.readRequest()
+		client.expectResponse(504, "")
 	})
 	t.Run("a body that does not come", func(t *testing.T) {
 		w := newHarness(t)
-		c := w.connect()
-		c.send("POST /writes/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: t1\r\n" + soon + "Content-Length: 5\r\n\r\nab")
-		c.expectResponse(408, "")
-		c.readToClose()
+		client := w.connect()
+		client.send("POST /writes/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: t1\r\n" + soon + "Content-Length: 5\r\n\r\nab")
+		client.expectResponse(408, "")
+		client.readToClose()
 	})
 	t.Run("a head that does not come", func(t *testing.T) {
 		w := newHarness(t)
 		w.onLoop(func() { w.proxy.SetLimits(configuration.Limits{HeaderTimeout: 20 * time.Millisecond}) })
-		c := w.connect()
-		c.send("POST /writes/x HT")
-		c.expectResponse(408, "")
-		c.readToClose()
+		client := w.connect()
+		client.send("POST /writes/x HT")
+		client.expectResponse(408, "")
+		client.readToClose()
 	})
 	t.Run("an idle client", func(t *testing.T) {
 		w := newHarness(t)
 		w.onLoop(func() { w.proxy.SetLimits(configuration.Limits{IdleTimeout: 20 * time.Millisecond}) })
-		c := w.connect()
-		if rest := c.readToClose(); rest != "" {
+		client := w.connect()
+		if rest := client.readToClose(); rest != "" {
 			t.Errorf("an idle client got %q", rest)
 		}
 	})
@@ -205,10 +205,10 @@
 	w := newHarness(t)
 	var addr string
 	w.onLoop(func() { addr = w.proxy.readyEndpoint.listener.Addr().String() })
-	c := dial(t, addr)
+	client := dial(t, addr)
 	get := func(path string) int {
-		c.send("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n")
-		got, _ := c.readResponse()
+		client.send("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n")
+		got, _ := client.readResponse()
 		return got.StatusCode
 	}
 	if got := get("/-/ready"); got != 503 {
@@ -236,17 +236,17 @@
 func TestShutdownDrains(t *testing.T) {
 	w := newHarness(t)
 	w.onLoop(func() { w.proxy.shutdown.plan = shutdownPlan{time.Hour, time.Hour, time.Hour, time.Hour} }) // the test goes through it by hand
-	r := w.startRunners("a")[0]
+	runner := w.startRunners("a")[0]
 	idle, busy, late := w.connect(), w.connect(), w.connect()
 	w.waitFor("three sessions", func() bool { return w.proxy.sessions.count == 3 })
 	busy.send(requestText("/stream/x", "t1", "", ""))
-	up := r.accept()
-	up.readRequest()
-	up.send(streamHeadText("t1", "s") + chunkText(eventText(1)))
+	upstream := runner.accept()
+	upstream.readRequest()
+	upstream.send(streamHeadText("t1", "s") + chunkText(eventText(1)))
 	busy.readHead()
 	w.onLoop(w.proxy.Stop)
 	late.send(requestText("/writes/x", "t2", "", ""))
-	second := r.accept()
+	second := runner.accept()
 	second.readRequest()
 	second.send(successText("t2", "late"))
 	if got := late.expectResponse(200, "late"); !got.Close {
@@ -256,7 +256,7 @@
 	w.onLoop(w.proxy.sweepIdleSessions)
 	idle.readToClose()
 	w.onLoop(w.proxy.closeListener)
-	up.send(chunkText(eventText(2)) + lastChunk)
+	upstream.send(chunkText(eventText(2)) + lastChunk)
 	busy.expect(chunkText(eventText(1)) + chunkText(eventText(2)) + lastChunk)
 	busy.conn.Close()
 	select {
@@ -270,15 +270,15 @@
 func TestShutdownAnswersPendingRequests(t *testing.T) {
 	w := newHarness(t)
 	w.onLoop(func() { w.proxy.shutdown.plan = shutdownPlan{time.Hour, time.Hour, time.Hour, time.Hour} }) // the test goes through it by hand
-	r := w.startRunners("a")[0]
+	runner := w.startRunners("a")[0]
 	half, sent, begun := w.connect(), w.connect(), w.connect()
 	begun.send(requestText("/stream/x", "t1", "", ""))
-	first := r.accept()
+	first := runner.accept()
 	first.readRequest()
 	first.send(streamHeadText("t1", "s") + chunkText(eventText(1)))
 	begun.readHead()
 	sent.send(requestText("/writes/x", "t2", "", ""))
-	r.accept().readRequest()
+	runner.accept().readRequest()
 	half.send("POST /writes/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: t3\r\nContent-Length: 5\r\n\r\nab")
 	w.waitFor("three requests", func() bool { return w.proxy.openExchanges == 3 })
 	w.onLoop(w.proxy.Stop)
@@ -300,7 +300,7 @@
 // A proxy that is about to end takes what has its end before, and sends the rest elsewhere at once.
 func TestShutdownRejectsLongRequests(t *testing.T) {
 	w := newHarness(t)
-	r := w.startRunners("a")[0]
+	runner := w.startRunners("a")[0]
 	long, short := w.connect(), w.connect()
 	w.waitFor("two sessions", func() bool { return w.proxy.sessions.count == 2 })
 	w.onLoop(func() {
@@ -312,9 +312,9 @@
 		t.Error("the client is not sent elsewhere")
 	}
 	short.send(strings.Replace(requestText("/stream/x", "t2", "", ""), "10000", "1500", 1))
-	up := r.accept()
-	up.readRequest()
-	up.send(successText("t2", "short"))
+	upstream := runner.accept()
+	upstream.readRequest()
+	upstream.send(successText("t2", "short"))
 	short.expectResponse(200, "short")
 }
 
--- a/internal/system/proxy/stop.go
+++ b/internal/system/proxy/shutdown.go
@@ -49,9 +49,9 @@
 }
 
 // outlivesProcess says whether a request that is whole now may need the proxy for longer than it lives.
-func (p *Proxy) outlivesProcess(r *placement.Request) bool {
+func (p *Proxy) outlivesProcess(request *placement.Request) bool {
 	s := &p.shutdown
-	return s.active && !s.plan.accepts(p.now()-s.signalAt, r.Deadline-s.signalAt)
+	return s.active && !s.plan.accepts(p.now()-s.signalAt, request.Deadline-s.signalAt)
 }
 
 // endUnansweredExchanges ends all requests that have no answer yet, just before the process ends. Each is told whether it may have
--- a/internal/system/proxy/stop_model_test.go
+++ b/internal/system/proxy/shutdown_simulation_test.go
@@ -73,14 +73,14 @@
 	for _, grace := range []time.Duration{2 * time.Second, 5 * time.Second, 8 * time.Second, 20 * time.Second} {
 		var made, whole, refused, cut int
 		for seed := range uint64(shutdownSeeds) {
-			r := newShutdownSimulation(seed, grace)
-			if err := r.run(); err != nil {
+			sim := newShutdownSimulation(seed, grace)
+			if err := sim.run(); err != nil {
 				t.Fatal(err)
 			}
-			if len(r.violations) > 0 {
-				t.Errorf("grace period %v, seed %d:\n%s", grace, seed, strings.Join(r.violations, "\n"))
+			if len(sim.violations) > 0 {
+				t.Errorf("grace period %v, seed %d:\n%s", grace, seed, strings.Join(sim.violations, "\n"))
 			}
-			made, whole, refused, cut = made+r.requestCount, whole+r.complete, refused+r.refused, cut+r.cut
+			made, whole, refused, cut = made+sim.requestCount, whole+sim.complete, refused+sim.refused, cut+sim.cut
 		}
 		t.Logf("grace period %v: %d requests, %d whole, %d refused, %d cut as allowed", grace, made, whole, refused, cut)
 		if whole < minComplete {
@@ -91,72 +91,72 @@
 
 func newShutdownSimulation(seed uint64, grace time.Duration) *shutdownSimulation {
 	random := rand.New(rand.NewPCG(seed, uint64(grace)))
-	r := &shutdownSimulation{random: random, network: newSimulatedNetwork(random), grace: grace, forwarded: map[string]bool{}}
-	loop := eventloop.NewLoopWithSystem(r.network, 1000)
+	sim := &shutdownSimulation{random: random, network: newSimulatedNetwork(random), grace: grace, forwarded: map[string]bool{}}
+	loop := eventloop.NewLoopWithSystem(sim.network, 1000)
 	loop.ZeroCopyReads = true
 	placer := &fakePlacer{spread: true}
-	r.proxy = New(loop, zap.NewNop(), placer, Options{FrontAddr: simulationFront, GracePeriod: grace, Seed: seed})
+	sim.proxy = New(loop, zap.NewNop(), placer, Options{FrontAddr: simulationFront, GracePeriod: grace, Seed: seed})
 	stream := route("stream", configuration.Streaming)
 	stream.Timeout = shutdownRouteTimeout
-	r.proxy.SetRoutes(&fakeRoutes{[]*configuration.Route{stream}})
-	r.proxy.SetServices([]*configuration.Service{{Name: "s", MaxConnections: 1000}})
+	sim.proxy.SetRoutes(&fakeRoutes{[]*configuration.Route{stream}})
+	sim.proxy.SetServices([]*configuration.Service{{Name: "s", MaxConnections: 1000}})
 	address := netip.MustParseAddrPort("10.0.1.1:80")
-	r.network.peers[address] = &simulatedPeer{latency: shutdownLatency, accept: r.acceptAtRunner}
+	sim.network.peers[address] = &simulatedPeer{latency: shutdownLatency, accept: sim.acceptAtRunner}
 	known := []placement.Runner{{ID: "r", Service: "s", Address: address}}
 	placer.runners = known
-	r.proxy.SetRunners(known)
-	return r
+	sim.proxy.SetRunners(known)
+	return sim
 }
 
 // run runs the proxy until it ends by itself, or is killed at the end of the grace period.
-func (r *shutdownSimulation) run() error {
-	if err := r.proxy.Listen(); err != nil {
+func (sim *shutdownSimulation) run() error {
+	if err := sim.proxy.Listen(); err != nil {
 		return err
 	}
 	for range shutdownClients {
-		c := &shutdownClient{simulation: r, peer: &simulatedPeer{latency: shutdownLatency},
-			learnsAt: signalAt + r.randomDuration(longestLookupCache)}
-		r.network.after(r.randomDuration(signalAt), c.sendNext)
+		c := &shutdownClient{simulation: sim, peer: &simulatedPeer{latency: shutdownLatency},
+			learnsAt: signalAt + sim.randomDuration(longestLookupCache)}
+		sim.network.after(sim.randomDuration(signalAt), c.sendNext)
 	}
-	r.network.at(signalAt, r.proxy.Stop)
+	sim.network.at(signalAt, sim.proxy.Stop)
 	ended := false
-	r.network.at(signalAt+r.grace, func() {
+	sim.network.at(signalAt+sim.grace, func() {
 		if !ended {
-			r.violation("the process has not ended by the end of the grace period")
-			r.proxy.loop.Stop()
+			sim.violation("the process has not ended by the end of the grace period")
+			sim.proxy.loop.Stop()
 		}
 	})
-	if err := r.proxy.loop.Run(); err != nil {
+	if err := sim.proxy.loop.Run(); err != nil {
 		return err
 	}
 	ended = true
-	r.network.advance(50 * time.Millisecond)
+	sim.network.advance(50 * time.Millisecond)
 	return nil
 }
 
-func (r *shutdownSimulation) violation(format string, args ...any) {
-	at := fmt.Sprintf("%.3f s after the signal: ", (r.network.now - signalAt).Seconds())
-	r.violations = append(r.violations, at+fmt.Sprintf(format, args...))
+func (sim *shutdownSimulation) violation(format string, args ...any) {
+	at := fmt.Sprintf("%.3f s after the signal: ", (sim.network.now - signalAt).Seconds())
+	sim.violations = append(sim.violations, at+fmt.Sprintf(format, args...))
 }
 
-func (r *shutdownSimulation) randomDuration(most time.Duration) time.Duration {
-	return time.Duration(r.random.Int64N(int64(most)))
+func (sim *shutdownSimulation) randomDuration(most time.Duration) time.Duration {
+	return time.Duration(sim.random.Int64N(int64(most)))
 }
 
 // sendNext asks the next request, unless the client knows that the proxy stops.
 func (c *shutdownClient) sendNext() {
-	r := c.simulation
-	if c.request != nil || r.network.now > c.learnsAt {
+	sim := c.simulation
+	if c.request != nil || sim.network.now > c.learnsAt {
 		return
 	}
 	if c.end == nil || c.end.localClosed {
 		c.connect()
 	}
-	r.requestCount++
-	left := 500*time.Millisecond + r.randomDuration(shutdownRouteTimeout)
-	c.request = &shutdownRequest{id: fmt.Sprintf("q%d", r.requestCount), sentAt: r.network.now, deadline: r.network.now + left}
+	sim.requestCount++
+	left := 500*time.Millisecond + sim.randomDuration(shutdownRouteTimeout)
+	c.request = &shutdownRequest{id: fmt.Sprintf("q%d", sim.requestCount), sentAt: sim.network.now, deadline: sim.network.now + left}
 	c.end.send(fmt.Sprintf("POST /stream/x%s%s HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: %s\r\nX-Time-Left-Ms: %d\r\n"+
-		"Content-Length: 0\r\n\r\n", streamLengthQuery, r.randomDuration(longestAnswer), c.request.id, left/time.Millisecond))
+		"Content-Length: 0\r\n\r\n", streamLengthQuery, sim.randomDuration(longestAnswer), c.request.id, left/time.Millisecond))
 }
 
 func (c *shutdownClient) connect() {
@@ -177,16 +177,16 @@
 // handleData takes bytes of the proxy's answer.
 func (c *shutdownClient) handleData(b string) {
 	c.received += b
-	a, whole, valid := parseResponse(c.received, false)
+	response, whole, valid := parseResponse(c.received, false)
 	if !valid {
 		c.simulation.violation("bytes that are no answer: %.60q", c.received)
 	}
 	if !whole || c.request == nil {
 		return
 	}
-	c.received = c.received[a.bytes:]
-	c.handleResponse(a)
-	if a.closes {
+	c.received = c.received[response.bytes:]
+	c.handleResponse(response)
+	if response.closes {
 		c.end.close()
 		c.end = nil
 	}
@@ -198,90 +198,90 @@
 }
 
 // handleResponse judges a whole answer.
-func (c *shutdownClient) handleResponse(a *parsedResponse) {
-	q, r := c.request, c.simulation
+func (c *shutdownClient) handleResponse(response *parsedResponse) {
+	request, sim := c.request, c.simulation
 	c.request = nil
 	switch {
-	case a.status == 200:
-		r.complete++
-	case a.status == 503:
-		r.refused++
-		if r.forwarded[q.id] {
-			r.violation("%s was passed on and is refused", q.id)
+	case response.status == 200:
+		sim.complete++
+	case response.status == 503:
+		sim.refused++
+		if sim.forwarded[request.id] {
+			sim.violation("%s was passed on and is refused", request.id)
 		}
-		if a.head.header.Get(headerRetryAfter) == "" {
-			r.violation("%s is refused without Retry-After", q.id)
+		if response.head.header.Get(headerRetryAfter) == "" {
+			sim.violation("%s is refused without Retry-After", request.id)
 		}
-	case a.status == 502 && r.mayBeCut(q):
-		r.cut++
-	case r.network.now+timeSlack < q.deadline:
-		r.violation("%s gets %d %v before its deadline", q.id, a.status, q.deadline-r.network.now)
+	case response.status == 502 && sim.mayBeCut(request):
+		sim.cut++
+	case sim.network.now+timeSlack < request.deadline:
+		sim.violation("%s gets %d %v before its deadline", request.id, response.status, request.deadline-sim.network.now)
 	}
 }
 
 // handleEnd takes the proxy's close of the client's connection.
 func (c *shutdownClient) handleEnd() {
-	q, r := c.request, c.simulation
+	request, sim := c.request, c.simulation
 	c.end.close()
 	c.end, c.request = nil, nil
-	r.network.after(r.randomDuration(100*time.Millisecond), c.sendNext)
-	if q == nil || r.network.now+timeSlack >= q.deadline {
+	sim.network.after(sim.randomDuration(100*time.Millisecond), c.sendNext)
+	if request == nil || sim.network.now+timeSlack >= request.deadline {
 		return
 	}
-	switch sent := q.sentAt - signalAt; {
-	case r.forwarded[q.id] && len(c.received) == 0:
-		r.violation("%s, sent %v after the signal and passed on, gets no word", q.id, sent)
-	case r.forwarded[q.id] && r.mayBeCut(q):
-		r.cut++
-	case r.forwarded[q.id]:
-		r.violation("%s, sent %v after the signal and passed on, is cut", q.id, sent)
-	case r.network.now-q.sentAt > lostSlack && len(c.received) > 0:
-		r.violation("%s, sent %v after the signal, is dropped without an answer", q.id, sent)
+	switch sent := request.sentAt - signalAt; {
+	case sim.forwarded[request.id] && len(c.received) == 0:
+		sim.violation("%s, sent %v after the signal and passed on, gets no word", request.id, sent)
+	case sim.forwarded[request.id] && sim.mayBeCut(request):
+		sim.cut++
+	case sim.forwarded[request.id]:
+		sim.violation("%s, sent %v after the signal and passed on, is cut", request.id, sent)
+	case sim.network.now-request.sentAt > lostSlack && len(c.received) > 0:
+		sim.violation("%s, sent %v after the signal, is dropped without an answer", request.id, sent)
 	}
 }
 
 // mayBeCut says whether the platform allows that the stop ends the request now.
-func (r *shutdownSimulation) mayBeCut(q *shutdownRequest) bool {
-	allowed := signalAt + time.Duration(cutAllowedFrom*float64(r.grace))
-	return q.sentAt <= signalAt+cutAllowedIfSentWithin && r.network.now >= allowed
+func (sim *shutdownSimulation) mayBeCut(request *shutdownRequest) bool {
+	allowed := signalAt + time.Duration(cutAllowedFrom*float64(sim.grace))
+	return request.sentAt <= signalAt+cutAllowedIfSentWithin && sim.network.now >= allowed
 }
 
 // acceptAtRunner has the runner answer each request by a stream of the length that its target names.
-func (r *shutdownSimulation) acceptAtRunner(end *remoteEnd) {
-	in := ""
+func (sim *shutdownSimulation) acceptAtRunner(end *remoteEnd) {
+	received := ""
 	end.onEnd = func(bool) { end.close() }
 	end.onData = func(b []byte) {
-		in += string(b)
-		head := parseHead(in)
+		received += string(b)
+		head := parseHead(received)
 		if head == nil {
 			return
 		}
-		in = in[head.bytes:]
+		received = received[head.bytes:]
 		id := head.header.Get(headerTryID)
-		r.forwarded[id] = true
+		sim.forwarded[id] = true
 		_, length, _ := strings.Cut(strings.TrimSuffix(head.line, " HTTP/1.1"), streamLengthQuery)
 		span, err := time.ParseDuration(length)
 		if err != nil {
-			r.violation("the runner gets %q", head.line)
+			sim.violation("the runner gets %q", head.line)
 		}
-		until := r.network.now + span
+		until := sim.network.now + span
 		silent := time.Duration(0)
-		if r.random.IntN(4) == 0 {
-			silent = r.randomDuration(max(span, 1))
+		if sim.random.IntN(4) == 0 {
+			silent = sim.randomDuration(max(span, 1))
 		}
-		r.network.after(silent, func() {
+		sim.network.after(silent, func() {
 			end.send(streamHeadText(id, "seal-"+id))
-			r.stream(end, 1, until)
+			sim.stream(end, 1, until)
 		})
 	}
 }
 
 // stream sends an event now and again, and the end of the answer at its time.
-func (r *shutdownSimulation) stream(end *remoteEnd, number int, until time.Duration) {
-	if r.network.now >= until {
+func (sim *shutdownSimulation) stream(end *remoteEnd, number int, until time.Duration) {
+	if sim.network.now >= until {
 		end.send(lastChunk)
 		return
 	}
 	end.send(chunkText(eventText(number)))
-	r.network.after(eventInterval, func() { r.stream(end, number+1, until) })
+	sim.network.after(eventInterval, func() { sim.stream(end, number+1, until) })
 }
--- a/internal/system/proxy/referee_test.go
+++ b/internal/system/proxy/simulation_checker_test.go
@@ -77,8 +77,8 @@
 }
 
 // doubts notes a rule that is broken unless the request turns out to have met trouble.
-func (r *checker) suspect(q *simulatedRequest, rule, text string) {
-	r.suspectedViolations = append(r.suspectedViolations, suspectedViolation{q, rule, fmt.Sprintf("at %.4f: %s", r.network.now.Seconds(), text)})
+func (r *checker) suspect(request *simulatedRequest, rule, text string) {
+	r.suspectedViolations = append(r.suspectedViolations, suspectedViolation{request, rule, fmt.Sprintf("at %.4f: %s", r.network.now.Seconds(), text)})
 }
 
 // finish decides what was in doubt.
@@ -93,113 +93,113 @@
 // requestArrived takes a request's head that has come to a runner; nil: nobody asked it.
 func (r *checker) requestArrived(conn *simulatedRunnerConn, got *parsedHead) *simulatedRequest {
 	runner := conn.runner
-	q := r.requests[got.header.Get(headerTryID)]
-	if q == nil {
+	request := r.requests[got.header.Get(headerTryID)]
+	if request == nil {
 		r.violation("UNASKED", "runner %s gets %q", runner.id, got.line)
 		return nil
 	}
-	q.arrivals++
-	q.lastArrival = r.network.now
-	if want := q.method + " " + q.target + " HTTP/1.1"; got.line != want {
-		r.violation("UNASKED", "%s arrives as %q, want %q", q.id, got.line, want)
+	request.arrivals++
+	request.lastArrival = r.network.now
+	if want := request.method + " " + request.target + " HTTP/1.1"; got.line != want {
+		r.violation("UNASKED", "%s arrives as %q, want %q", request.id, got.line, want)
 	}
-	if got.header.Get(headerModel) != "m-"+q.id || got.header.Get("Host") != "h.example" {
-		r.violation("UNASKED", "%s arrives with other fields: %v", q.id, got.header)
+	if got.header.Get(headerModel) != "m-"+request.id || got.header.Get("Host") != "h.example" {
+		r.violation("UNASKED", "%s arrives with other fields: %v", request.id, got.header)
 	}
 	if wanted := got.header.Get(headerWantedServer); wanted != runner.id {
-		r.violation("ROUTE", "%s for %s arrives at %s", q.id, wanted, runner.id)
+		r.violation("ROUTE", "%s for %s arrives at %s", request.id, wanted, runner.id)
 	}
-	q.faulted = q.faulted || conn.wasDelayed()
-	r.checkTimeLeft(conn, q, got.header.Get(headerTimeLeft))
-	if q.cancelledAt > 0 && r.network.now > q.cancelledAt+cancelWithin {
-		r.violation("GONE", "%s arrives at %s %v after its client left", q.id, runner.id, r.network.now-q.cancelledAt)
+	request.faulted = request.faulted || conn.wasDelayed()
+	r.checkTimeLeft(conn, request, got.header.Get(headerTimeLeft))
+	if request.cancelledAt > 0 && r.network.now > request.cancelledAt+cancelWithin {
+		r.violation("GONE", "%s arrives at %s %v after its client left", request.id, runner.id, r.network.now-request.cancelledAt)
 	}
-	return q
+	return request
 }
 
 // checkTimeLeft looks at how long a runner is told to have, unless the way there held the request up.
-func (r *checker) checkTimeLeft(conn *simulatedRunnerConn, q *simulatedRequest, value string) {
+func (r *checker) checkTimeLeft(conn *simulatedRunnerConn, request *simulatedRequest, value string) {
 	left, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || left <= 0 {
-		r.violation("BUDGET", "%s is told %q to be left", q.id, value)
+		r.violation("BUDGET", "%s is told %q to be left", request.id, value)
 		return
 	}
 	if conn.wasDelayed() {
 		return
 	}
 	end := r.network.now + time.Duration(left)*time.Millisecond
-	if end > min(q.deadline, q.routeEnd)+timeSlack {
-		r.violation("BUDGET", "%s is given %v beyond its client's time", q.id, end-min(q.deadline, q.routeEnd))
+	if end > min(request.deadline, request.routeEnd)+timeSlack {
+		r.violation("BUDGET", "%s is given %v beyond its client's time", request.id, end-min(request.deadline, request.routeEnd))
 	}
 }
 
 // executionStarted takes the begin of a runner's work.
-func (r *checker) executionStarted(q *simulatedRequest, runner string) *execution {
-	made := &execution{request: q, runner: runner, seal: fmt.Sprintf("%s.%s.%d", runner, q.id, len(r.executions))}
+func (r *checker) executionStarted(request *simulatedRequest, runner string) *execution {
+	made := &execution{request: request, runner: runner, seal: fmt.Sprintf("%s.%s.%d", runner, request.id, len(r.executions))}
 	r.executions[made.seal] = made
-	q.executions = append(q.executions, made)
-	if len(q.executions) > 1 && !q.idempotent() {
-		r.violation("TWICE", "%s runs for the %d. time, at %s", q.id, len(q.executions), runner)
+	request.executions = append(request.executions, made)
+	if len(request.executions) > 1 && !request.idempotent() {
+		r.violation("TWICE", "%s runs for the %d. time, at %s", request.id, len(request.executions), runner)
 	}
-	if q.rejected {
-		r.violation("REFUSED", "%s runs at %s after it was refused", q.id, runner)
+	if request.rejected {
+		r.violation("REFUSED", "%s runs at %s after it was refused", request.id, runner)
 	}
-	if len(q.executions) > simulationAttempts {
-		r.violation("BUDGET", "%s runs on %d runners", q.id, len(q.executions))
+	if len(request.executions) > simulationAttempts {
+		r.violation("BUDGET", "%s runs on %d runners", request.id, len(request.executions))
 	}
 	return made
 }
 
 // clientLeft takes that a client has left; nothing may go on for it.
-func (r *checker) clientLeft(q *simulatedRequest) {
-	if q.completed || q.cancelledAt > 0 {
+func (r *checker) clientLeft(request *simulatedRequest) {
+	if request.completed || request.cancelledAt > 0 {
 		return
 	}
-	q.cancelledAt = r.network.now
+	request.cancelledAt = r.network.now
 }
 
 // connectionEnded takes the end of a request's connection before its answer was whole; some says that a part had come.
-func (r *checker) connectionEnded(q *simulatedRequest, some bool) {
-	q.completed = true
-	over := r.network.now+timeSlack >= min(q.deadline, q.routeEnd)
+func (r *checker) connectionEnded(request *simulatedRequest, some bool) {
+	request.completed = true
+	over := r.network.now+timeSlack >= min(request.deadline, request.routeEnd)
 	if !over {
-		r.suspect(q, "LOST", fmt.Sprintf("sees its connection end without a complete answer; some of it: %v", some))
+		r.suspect(request, "LOST", fmt.Sprintf("sees its connection end without a complete answer; some of it: %v", some))
 	}
 }
 
 // responseComplete takes an answer that is whole as far as the client can tell.
-func (r *checker) responseComplete(q *simulatedRequest, a *parsedResponse) {
-	q.completed = true
-	seal := a.head.header.Get(headerSeal)
-	id := a.head.header.Get(headerTryID)
-	if id != "" && id != q.id {
-		r.violation("MIXED", "%s gets the answer to %s", q.id, id)
+func (r *checker) responseComplete(request *simulatedRequest, response *parsedResponse) {
+	request.completed = true
+	seal := response.head.header.Get(headerSeal)
+	id := response.head.header.Get(headerTryID)
+	if id != "" && id != request.id {
+		r.violation("MIXED", "%s gets the answer to %s", request.id, id)
 	}
 	if seal == "" {
-		r.checkLocalResponse(q, a)
+		r.checkLocalResponse(request, response)
 		return
 	}
 	made := r.executions[seal]
-	if made == nil || made.request != q {
-		r.violation("MIXED", "%s gets an answer with the stamp %q", q.id, seal)
+	if made == nil || made.request != request {
+		r.violation("MIXED", "%s gets an answer with the stamp %q", request.id, seal)
 		return
 	}
-	if meansNotRun(a.status) {
-		r.violation("REFUSED", "%s gets the %d of %s, which ran it", q.id, a.status, made.runner)
+	if meansNotRun(response.status) {
+		r.violation("REFUSED", "%s gets the %d of %s, which ran it", request.id, response.status, made.runner)
 	}
-	if a.status != made.status {
-		r.violation("MIXED", "%s gets %d where the runner answered %d", q.id, a.status, made.status)
+	if response.status != made.status {
+		r.violation("MIXED", "%s gets %d where the runner answered %d", request.id, response.status, made.status)
 	}
 	want := made.body
-	if a.status == 200 && q.kind == "resumable" {
-		want = completeStream(q.id)
+	if response.status == 200 && request.kind == "resumable" {
+		want = completeStream(request.id)
 	}
-	if a.body != want {
-		r.violation("MIXED", "%s gets %d bytes %.600q, want %d bytes %.60q", q.id, len(a.body), a.body, len(want), want)
+	if response.body != want {
+		r.violation("MIXED", "%s gets %d bytes %.600q, want %d bytes %.60q", request.id, len(response.body), response.body, len(want), want)
 	}
-	if a.status == 200 {
+	if response.status == 200 {
 		r.served++
-		if len(q.executions) > 1 && q.kind == "resumable" {
+		if len(request.executions) > 1 && request.kind == "resumable" {
 			r.resumed++
 		}
 	}
@@ -211,45 +211,47 @@
 }
 
 // localResponse takes an answer without a stamp, which is the proxy's own.
-func (r *checker) checkLocalResponse(q *simulatedRequest, a *parsedResponse) {
-	over := r.network.now+timeSlack >= min(q.deadline, q.routeEnd)
+func (r *checker) checkLocalResponse(request *simulatedRequest, response *parsedResponse) {
+	over := r.network.now+timeSlack >= min(request.deadline, request.routeEnd)
 	switch {
-	case meansNotRun(a.status):
+	case meansNotRun(response.status):
 		r.refused++
-		q.rejected = true
-		if len(q.executions) > 0 {
-			r.violation("REFUSED", "%s gets %d and has run at %s", q.id, a.status, q.executions[0].runner)
+		request.rejected = true
+		if len(request.executions) > 0 {
+			r.violation("REFUSED", "%s gets %d and has run at %s", request.id, response.status, request.executions[0].runner)
 		}
-		if a.head.header.Get(headerRetryAfter) == "" {
-			r.violation("REFUSED", "%s gets %d without Retry-After", q.id, a.status)
+		if response.head.header.Get(headerRetryAfter) == "" {
+			r.violation("REFUSED", "%s gets %d without Retry-After", request.id, response.status)
 		}
-	case a.status == 504:
+	case response.status == 504:
 		r.timedOut++
 		if !over {
-			r.violation("LOST", "%s gets a 504 %v before its time is over", q.id, min(q.deadline, q.routeEnd)-r.network.now)
+			r.violation("LOST", "%s gets a 504 %v before its time is over", request.id, min(request.deadline, request.routeEnd)-r.network.now)
 		}
-	case a.status == 502:
-		r.suspect(q, "LOST", "gets a 502 though no runner failed it")
+	case response.status == 502:
+		r.suspect(request, "LOST", "gets a 502 though no runner failed it")
 	default:
-		r.violation("MIXED", "%s gets %d without a stamp: %v", q.id, a.status, a.head.header)
+		r.violation("MIXED", "%s gets %d without a stamp: %v", request.id, response.status, response.head.header)
 	}
 }
 
 // checkCompleted is called completeWithin after a route's time.
-func (r *checker) checkCompleted(q *simulatedRequest) {
-	if !q.completed && q.cancelledAt == 0 && !q.slow {
-		r.violation("CONFIG", "%s has no final answer %v after its route's time", q.id, completeWithin)
+func (r *checker) checkCompleted(request *simulatedRequest) {
+	if !request.completed && request.cancelledAt == 0 && !request.slow {
+		r.violation("CONFIG", "%s has no final answer %v after its route's time", request.id, completeWithin)
 	}
 }
 
 // checkCancelled is called cancelWithin after a client has left.
-func (r *checker) checkCancelled(q *simulatedRequest, runners []*simulatedRunner) {
+func (r *checker) checkCancelled(request *simulatedRequest, runners []*simulatedRunner) {
 	for _, runner := range runners {
-		if runner.peer.lastPartitionEnd > 0 && runner.peer.lastPartitionEnd+longestPartition >= q.cancelledAt {
+		if runner.peer.lastPartitionEnd > 0 && runner.peer.lastPartitionEnd+longestPartition >= request.cancelledAt {
 			continue
 		}
-		if slices.ContainsFunc(runner.conns, func(c *simulatedRunnerConn) bool { return c.request == q && c.running && !c.end.localClosed }) {
-			r.violation("GONE", "%s is still worked on at %s", q.id, runner.id)
+		if slices.ContainsFunc(runner.conns, func(conn *simulatedRunnerConn) bool {
+			return conn.request == request && conn.running && !conn.end.localClosed
+		}) {
+			r.violation("GONE", "%s is still worked on at %s", request.id, runner.id)
 		}
 	}
 }
@@ -296,35 +298,35 @@
 
 // parseResponse reads an answer; whole says whether it is, ended that the connection was closed in order, valid that it is
 // an answer so far.
-func parseResponse(text string, ended bool) (a *parsedResponse, whole, valid bool) {
+func parseResponse(text string, ended bool) (response *parsedResponse, whole, valid bool) {
 	head := parseHead(text)
 	if head == nil {
 		return nil, false, strings.HasPrefix("HTTP/1.1 ", text[:min(len(text), 9)])
 	}
-	a = &parsedResponse{head: head, closes: head.header.Get("Connection") == "close"}
+	response = &parsedResponse{head: head, closes: head.header.Get("Connection") == "close"}
 	code, _, _ := strings.Cut(strings.TrimPrefix(head.line, "HTTP/1.1 "), " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || !strings.HasPrefix(head.line, "HTTP/1.1 ") {
 		return nil, false, false
 	}
-	a.status = status
+	response.status = status
 	rest := text[head.bytes:]
 	if head.header.Get("Transfer-Encoding") == "chunked" {
 		body, n, done, ok := parseChunks(rest)
-		a.body, a.bytes = body, head.bytes+n
-		return a, done, ok
+		response.body, response.bytes = body, head.bytes+n
+		return response, done, ok
 	}
 	if length := head.header.Get("Content-Length"); length != "" {
 		size, err := strconv.Atoi(length)
 		if err != nil {
 			return nil, false, false
 		}
-		a.bytes = head.bytes + min(size, len(rest))
-		a.body = rest[:min(size, len(rest))]
-		return a, len(rest) >= size, true
+		response.bytes = head.bytes + min(size, len(rest))
+		response.body = rest[:min(size, len(rest))]
+		return response, len(rest) >= size, true
 	}
-	a.body, a.bytes, a.closes = rest, len(text), true
-	return a, ended, true
+	response.body, response.bytes, response.closes = rest, len(text), true
+	return response, ended, true
 }
 
 // parseChunks reads a chunked body.
--- /dev/null
+++ b/internal/system/proxy/simulation_client_test.go
@@ -0,0 +1,195 @@
+package proxy
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// simulatedClient asks one request after the other.
+type simulatedClient struct {
+	model        *simulation
+	index        int
+	peer         *simulatedPeer
+	end          *remoteEnd
+	requestCount int
+	request      *simulatedRequest // that has no answer yet
+	slowUntil    time.Duration     // it may not read before
+	received     string
+}
+
+// sendNext asks the next request.
+func (c *simulatedClient) sendNext() {
+	sim := c.model
+	if c.requestCount == requestsPerClient || sim.shutdownAt > 0 && sim.network.now > sim.shutdownAt+shutdownVisibleWithin {
+		c.disconnect()
+		sim.clientDone()
+		return
+	}
+	c.requestCount++
+	if c.end == nil {
+		c.connect()
+	}
+	request := c.drawRequest()
+	c.request = request
+	c.send(request)
+	sim.network.at(request.deadline, func() { c.cancel(request) })
+	if request.deadline > request.routeEnd+completeWithin {
+		sim.network.at(request.routeEnd+completeWithin, func() { sim.checker.checkCompleted(request) })
+	}
+	if sim.chance(8) {
+		sim.network.after(sim.randomDuration(500*time.Millisecond), func() { c.cancel(request) })
+	}
+	if sim.chance(12) {
+		request.slow = true
+		end, begin := c.end, sim.randomDuration(100*time.Millisecond)
+		span := sim.randomDuration(500 * time.Millisecond)
+		c.slowUntil = sim.network.now + begin + span
+		sim.network.after(begin, func() { end.setStalled(true) })
+		sim.network.after(begin+span, func() { end.setStalled(false) })
+	}
+	request.slow = request.slow || sim.network.now < c.slowUntil
+}
+
+func (c *simulatedClient) connect() {
+	end := c.model.network.dial(simulationFront, c.peer)
+	c.end, c.received = end, ""
+	end.onData = func(b []byte) {
+		if c.end == end {
+			c.handleData(b)
+		}
+	}
+	end.onEnd = func(reset bool) {
+		if c.end == end {
+			c.handleEnd(reset)
+		}
+	}
+}
+
+// drawRequest makes a request.
+func (c *simulatedClient) drawRequest() *simulatedRequest {
+	sim := c.model
+	now := sim.network.now
+	kind := []string{"reads", "writes", "stream", "resumable"}[sim.random.IntN(4)]
+	request := &simulatedRequest{id: fmt.Sprintf("c%d-%d", c.index, c.requestCount), method: "POST", kind: kind, sentAt: now,
+		target: "/" + kind + "/x?q=" + strconv.Itoa(c.requestCount), routeEnd: now + simulationRouteTimeout,
+		version: "HTTP/1.1", deadline: now + 250*time.Millisecond + sim.randomDuration(3*time.Second)}
+	switch sim.random.IntN(6) {
+	case 0:
+		request.body = strings.Repeat(request.id+";", 150<<10/(len(request.id)+1))
+	case 1:
+		request.body = strings.Repeat(request.id+";", 2000)
+	case 2, 3:
+		request.body = "body of " + request.id
+	}
+	if sim.chance(10) {
+		request.version = "HTTP/1.0"
+	}
+	sim.requestCount++
+	sim.checker.requests[request.id] = request
+	return request
+}
+
+// send sends a request, whole or in pieces.
+func (c *simulatedClient) send(request *simulatedRequest) {
+	sim := c.model
+	text := fmt.Sprintf("%s %s %s\r\nHost: h.example\r\nX-Try-Id: %s\r\nX-Model: m-%s\r\nX-Time-Left-Ms: %d\r\n",
+		request.method, request.target, request.version, request.id, request.id, (request.deadline-request.sentAt)/time.Millisecond)
+	if request.body != "" && request.version == "HTTP/1.1" && sim.chance(3) {
+		text += "Transfer-Encoding: chunked\r\n\r\n" + chunkText(request.body[:1]) + chunkText(request.body[1:]) + lastChunk
+	} else {
+		text += fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(request.body), request.body)
+	}
+	if !sim.chance(10) {
+		c.end.send(text)
+		return
+	}
+	request.slow = true
+	cut := 1 + sim.random.IntN(len(text)-1)
+	end := c.end
+	end.send(text[:cut])
+	sim.network.after(sim.randomDuration(300*time.Millisecond), func() { end.send(text[cut:]) })
+}
+
+// cancel has the client leave, if it still waits for the answer.
+func (c *simulatedClient) cancel(request *simulatedRequest) {
+	m := c.model
+	if c.request != request {
+		return
+	}
+	m.checker.clientLeft(request)
+	m.network.after(cancelWithin, func() { m.checker.checkCancelled(request, m.runners) })
+	c.disconnect()
+	c.finishRequest()
+}
+
+// disconnect ends the client's connection.
+func (c *simulatedClient) disconnect() {
+	if c.end == nil {
+		return
+	}
+	if c.model.chance(3) {
+		c.end.abort()
+	} else {
+		c.end.close()
+	}
+	c.end = nil
+}
+
+// finishRequest ends the request at hand, and has the client ask the next one.
+func (c *simulatedClient) finishRequest() {
+	c.request = nil
+	c.model.network.after(c.model.randomDuration(150*time.Millisecond), c.sendNext)
+}
+
+// handleData takes bytes of the proxy.
+func (c *simulatedClient) handleData(b []byte) {
+	c.received += string(b)
+	c.checkResponse(false)
+}
+
+// checkResponse looks whether the answer is whole.
+func (c *simulatedClient) checkResponse(ended bool) {
+	referee := c.model.checker
+	if c.request == nil {
+		if c.received != "" {
+			referee.violation("MIXED", "client %d gets %.60q without a question", c.index, c.received)
+		}
+		return
+	}
+	response, whole, valid := parseResponse(c.received, ended)
+	switch {
+	case !valid:
+		referee.violation("MIXED", "%s gets %.60q", c.request.id, c.received)
+		c.disconnect()
+		c.finishRequest()
+	case whole:
+		c.received = c.received[response.bytes:]
+		referee.responseComplete(c.request, response)
+		if response.closes {
+			c.disconnect()
+		}
+		c.finishRequest()
+		if c.received != "" {
+			c.checkResponse(false)
+		}
+	}
+}
+
+// handleEnd takes the proxy's close.
+func (c *simulatedClient) handleEnd(reset bool) {
+	request, unread := c.request, c.end.unread
+	if request != nil && !reset {
+		c.checkResponse(true)
+	}
+	if c.end != nil {
+		c.end.close()
+		c.end = nil
+	}
+	if request != nil && c.request == request {
+		request.faulted = request.faulted || unread // it may be sent again elsewhere
+		c.model.checker.connectionEnded(request, c.received != "")
+		c.finishRequest()
+	}
+}
--- a/internal/system/proxy/model_runner_test.go
+++ b/internal/system/proxy/simulation_runner_test.go
@@ -18,11 +18,11 @@
 	conns   []*simulatedRunnerConn
 }
 
-func newSimulatedRunner(m *simulation, i int) *simulatedRunner {
-	r := &simulatedRunner{model: m, id: fmt.Sprint("r", i)}
+func newSimulatedRunner(sim *simulation, i int) *simulatedRunner {
+	r := &simulatedRunner{model: sim, id: fmt.Sprint("r", i)}
 	r.address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(i)}), 80)
-	r.peer = &simulatedPeer{latency: time.Duration(1+m.random.IntN(12)) * time.Millisecond, accept: r.accept}
-	m.network.peers[r.address] = r.peer
+	r.peer = &simulatedPeer{latency: time.Duration(1+sim.random.IntN(12)) * time.Millisecond, accept: r.accept}
+	sim.network.peers[r.address] = r.peer
 	return r
 }
 
@@ -146,28 +146,28 @@
 	if got == nil {
 		return false
 	}
-	m := c.runner.model
+	sim := c.runner.model
 	c.received = c.received[got.bytes:]
-	q := m.checker.requestArrived(c, got)
-	if q == nil {
+	request := sim.checker.requestArrived(c, got)
+	if request == nil {
 		c.closeWith(c.end.abort)
 		return true
 	}
 	length, _ := strconv.Atoi(got.header.Get("Content-Length"))
-	if length != len(q.body) {
-		m.checker.violation("UNASKED", "%s arrives with %d bytes of %d", q.id, length, len(q.body))
+	if length != len(request.body) {
+		sim.checker.violation("UNASKED", "%s arrives with %d bytes of %d", request.id, length, len(request.body))
 	}
-	c.request, c.pendingBody, c.answeredEarly = q, q.body, false
-	q.faulted = q.faulted || c.mayBeStale
+	c.request, c.pendingBody, c.answeredEarly = request, request.body, false
+	request.faulted = request.faulted || c.mayBeStale
 	if c.pendingBody == "" {
 		c.execute(got)
 		return true
 	}
-	if m.chance(4) {
+	if sim.chance(4) {
 		c.answerEarly(got)
 		return true
 	}
-	if m.chance(40) {
+	if sim.chance(40) {
 		c.closeWith(c.end.abort) // before the request is whole
 		return true
 	}
@@ -206,17 +206,17 @@
 
 // answerEarly answers before the body has come, and keeps the connection or ends it.
 func (c *simulatedRunnerConn) answerEarly(got *parsedHead) {
-	m := c.runner.model
+	sim := c.runner.model
 	text := notRunResponse(c.request.id, 503)
-	if m.network.now >= c.runner.peer.partitionedUntil && !m.chance(3) { // one that has begun tells so at once
-		made := m.checker.executionStarted(c.request, c.runner.id)
+	if sim.network.now >= c.runner.peer.partitionedUntil && !sim.chance(3) { // one that has begun tells so at once
+		made := sim.checker.executionStarted(c.request, c.runner.id)
 		made.status, made.body = 200, bodyOf(c.request.id)
 		text = sealedResponse(made, "", lengthDelimited(made))
 		if c.request.kind == "resumable" || c.request.kind == "stream" {
 			text = c.stream(made, got)
 		}
 	}
-	switch m.random.IntN(5) {
+	switch sim.random.IntN(5) {
 	case 0:
 		c.end.send(text)
 		c.closeWith(c.end.abort)
@@ -227,9 +227,9 @@
 	default:
 		c.answeredEarly = true
 		c.end.send(text)
-		if m.chance(2) { // and reads on later
+		if sim.chance(2) { // and reads on later
 			c.end.setStalled(true)
-			m.network.after(m.randomDuration(200*time.Millisecond), func() { c.end.setStalled(false) })
+			sim.network.after(sim.randomDuration(200*time.Millisecond), func() { c.end.setStalled(false) })
 		}
 	}
 }
@@ -265,23 +265,23 @@
 
 // execute runs the request, or does not.
 func (c *simulatedRunnerConn) execute(got *parsedHead) {
-	m, q := c.runner.model, c.request
-	switch m.random.IntN(20) {
+	sim, request := c.runner.model, c.request
+	switch sim.random.IntN(20) {
 	case 0, 1:
-		c.sendPieces(notRunResponse(q.id, 503), c.makeIdle)
+		c.sendPieces(notRunResponse(request.id, 503), c.makeIdle)
 		return
 	case 2:
-		c.sendPieces(notRunResponse(q.id, 429), c.makeIdle)
+		c.sendPieces(notRunResponse(request.id, 429), c.makeIdle)
 		return
 	case 3: // another incarnation has the address
-		c.sendPieces("HTTP/1.1 421 No\r\nX-Try-Id: "+q.id+"\r\nContent-Length: 0\r\n\r\nbytes after it", c.makeIdle)
+		c.sendPieces("HTTP/1.1 421 No\r\nX-Try-Id: "+request.id+"\r\nContent-Length: 0\r\n\r\nbytes after it", c.makeIdle)
 		return
 	case 4:
-		q.faulted = true // whose it is cannot always be told
+		request.faulted = true // whose it is cannot always be told
 		c.sendPieces(notRunWithoutID, c.makeIdle)
 		return
 	}
-	made := m.checker.executionStarted(q, c.runner.id)
+	made := sim.checker.executionStarted(request, c.runner.id)
 	c.running = true
 	c.onBody = func() { c.drawResponse(made, got) }
 	c.after(c.drawWorkTime(got), func() {
@@ -319,14 +319,14 @@
 
 // sendPieces sends a text in pieces, with pauses, and goes on.
 func (c *simulatedRunnerConn) sendPieces(text string, then func()) {
-	m := c.runner.model
+	sim := c.runner.model
 	c.replying = true
 	n, pause := len(text), time.Duration(0)
-	if n > 1 && m.chance(2) {
-		n, pause = min(1+m.random.IntN(len(text)), len(text)), m.randomDuration(30*time.Millisecond)
+	if n > 1 && sim.chance(2) {
+		n, pause = min(1+sim.random.IntN(len(text)), len(text)), sim.randomDuration(30*time.Millisecond)
 	}
-	if m.chance(30) {
-		pause = m.randomDuration(time.Second)
+	if sim.chance(30) {
+		pause = sim.randomDuration(time.Second)
 	}
 	c.end.send(text[:n])
 	if n == len(text) {
@@ -347,34 +347,34 @@
 
 // drawResponse draws an answer to what was run.
 func (c *simulatedRunnerConn) drawResponse(made *execution, got *parsedHead) {
-	m, q := c.runner.model, c.request
-	made.status, made.body = 200, bodyOf(q.id)
+	sim, request := c.runner.model, c.request
+	made.status, made.body = 200, bodyOf(request.id)
 	text := sealedResponse(made, "", lengthDelimited(made))
-	if q.kind == "stream" || q.kind == "resumable" {
+	if request.kind == "stream" || request.kind == "resumable" {
 		text = c.stream(made, got)
 	}
 	closes := func() { c.closeWith(c.end.close) }
 	resets := func() { c.closeWith(c.end.abort) }
-	switch m.random.IntN(22) {
+	switch sim.random.IntN(22) {
 	case 0:
 		resets()
 	case 1:
 		closes()
 	case 2:
-		made.status, made.body, q.faulted = 500, "oops", true
+		made.status, made.body, request.faulted = 500, "oops", true
 		c.sendPieces(sealedResponse(made, "", lengthDelimited(made)), c.makeIdle)
 	case 3:
-		made.status, made.body, q.faulted = 503, "oops", true
+		made.status, made.body, request.faulted = 503, "oops", true
 		c.sendPieces(sealedResponse(made, "", lengthDelimited(made)), c.makeIdle)
 	case 4:
-		q.faulted = true
+		request.faulted = true
 		c.sendPieces("\x01\x02 no answer", c.makeIdle)
 	case 5:
-		c.sendPieces(text[:m.random.IntN(len(text))], resets)
+		c.sendPieces(text[:sim.random.IntN(len(text))], resets)
 	case 6:
-		c.sendPieces(text[:m.random.IntN(len(text))], closes)
+		c.sendPieces(text[:sim.random.IntN(len(text))], closes)
 	case 7:
-		c.sendWithExtraBytes(text, successText(q.id, "unasked"))
+		c.sendWithExtraBytes(text, successText(request.id, "unasked"))
 	case 8:
 		c.sendWithExtraBytes(text, "garbage")
 	case 9:
@@ -383,17 +383,17 @@
 		}
 		c.sendPieces(text, c.makeIdle)
 	case 10:
-		q.faulted = true
+		request.faulted = true
 		c.sendPieces(successText("other", "answer"), c.makeIdle)
 	case 11:
 		c.sendPieces(strings.Replace(text, "\r\n", "\r\nConnection: close\r\n", 1), closes)
 	case 12:
 		c.sendPieces("HTTP/1.1 100 Continue\r\n\r\n"+text, c.makeIdle)
 	case 13:
-		if q.kind == "reads" || q.kind == "writes" {
+		if request.kind == "reads" || request.kind == "writes" {
 			text = sealedResponse(made, "", "\r\n"+made.body)
-			if m.chance(2) {
-				c.sendPieces(text[:m.random.IntN(len(text))], resets)
+			if sim.chance(2) {
+				c.sendPieces(text[:sim.random.IntN(len(text))], resets)
 				return
 			}
 		}
@@ -402,14 +402,14 @@
 		c.sendPieces(text, func() {
 			c.makeIdle()
 			c.mayBeStale = true // the extra answer may meet any later request
-			m.network.after(m.randomDuration(200*time.Millisecond), func() {
+			sim.network.after(sim.randomDuration(200*time.Millisecond), func() {
 				if !c.replying {
-					c.end.send(c.drawLateExtra(q))
+					c.end.send(c.drawLateExtra(request))
 				}
 			})
 		})
 	case 15:
-		made.status, made.body, q.faulted = 504, "late", true
+		made.status, made.body, request.faulted = 504, "late", true
 		c.sendPieces(sealedResponse(made, "", lengthDelimited(made)), c.makeIdle)
 	default:
 		c.sendPieces(text, c.makeIdle)
@@ -417,14 +417,14 @@
 }
 
 // drawLateExtra draws an answer that comes after the one that counts.
-func (c *simulatedRunnerConn) drawLateExtra(q *simulatedRequest) string {
+func (c *simulatedRunnerConn) drawLateExtra(request *simulatedRequest) string {
 	switch c.runner.model.random.IntN(4) {
 	case 0:
 		return notRunWithoutID
 	case 1:
-		return notRunResponse(q.id, 503)
+		return notRunResponse(request.id, 503)
 	}
-	return successText(q.id, "late")
+	return successText(request.id, "late")
 }
 
 // handleLostBytes takes bytes that have come to a connection which the runner has closed.
--- a/internal/system/proxy/model_test.go
+++ b/internal/system/proxy/simulation_test.go
@@ -71,14 +71,14 @@
 	seeds := simulationSeeds(t)
 	var served, refused, resumed, late, requests int
 	for _, seed := range seeds {
-		m := newSimulation(seed)
-		if err := m.run(); err != nil {
+		sim := newSimulation(seed)
+		if err := sim.run(); err != nil {
 			t.Fatal(err)
 		}
-		served, refused = served+m.checker.served, refused+m.checker.refused
-		resumed, late, requests = resumed+m.checker.resumed, late+m.checker.timedOut, requests+m.requestCount
-		if len(m.checker.violations) > 0 {
-			t.Errorf("seed %d (MODEL_SEED=%d):\n%s", seed, seed, strings.Join(m.checker.violations, "\n"))
+		served, refused = served+sim.checker.served, refused+sim.checker.refused
+		resumed, late, requests = resumed+sim.checker.resumed, late+sim.checker.timedOut, requests+sim.requestCount
+		if len(sim.checker.violations) > 0 {
+			t.Errorf("seed %d (MODEL_SEED=%d):\n%s", seed, seed, strings.Join(sim.checker.violations, "\n"))
 		}
 	}
 	t.Logf("%d requests, %d served, %d resumed, %d refused, %d out of time", requests, served, resumed, refused, late)
@@ -89,102 +89,102 @@
 
 func newSimulation(seed uint64) *simulation {
 	random := rand.New(rand.NewPCG(seed, 5))
-	m := &simulation{network: newSimulatedNetwork(random), random: random, activeClients: simulationClients}
-	m.checker = newChecker(m.network)
-	m.loop = eventloop.NewLoopWithSystem(m.network, 1000)
-	m.loop.ZeroCopyReads = true
+	sim := &simulation{network: newSimulatedNetwork(random), random: random, activeClients: simulationClients}
+	sim.checker = newChecker(sim.network)
+	sim.loop = eventloop.NewLoopWithSystem(sim.network, 1000)
+	sim.loop.ZeroCopyReads = true
 	placer := &fakePlacer{spread: true}
-	m.proxy = New(m.loop, zap.NewNop(), placer, Options{FrontAddr: simulationFront, GracePeriod: 8 * time.Second, Seed: seed})
+	sim.proxy = New(sim.loop, zap.NewNop(), placer, Options{FrontAddr: simulationFront, GracePeriod: 8 * time.Second, Seed: seed})
 	resumable := route("resumable", configuration.Streaming)
 	resumable.Resumable = true
 	routes := []*configuration.Route{route("reads", configuration.ReadOnly), route("writes", configuration.ReadWrite),
 		route("stream", configuration.Streaming), resumable}
-	for _, r := range routes {
-		r.Timeout, r.LatencyTarget, r.MaxAttempts = simulationRouteTimeout, 300*time.Millisecond, simulationAttempts
+	for _, runner := range routes {
+		runner.Timeout, runner.LatencyTarget, runner.MaxAttempts = simulationRouteTimeout, 300*time.Millisecond, simulationAttempts
 	}
-	m.proxy.SetRoutes(&fakeRoutes{routes})
-	m.proxy.SetServices([]*configuration.Service{{Name: "s", MaxConnections: 100}})
+	sim.proxy.SetRoutes(&fakeRoutes{routes})
+	sim.proxy.SetServices([]*configuration.Service{{Name: "s", MaxConnections: 100}})
 	var known []placement.Runner
 	for i := range simulationRunners {
-		r := newSimulatedRunner(m, i)
-		m.runners = append(m.runners, r)
-		known = append(known, placement.Runner{ID: r.id, Service: "s", Address: r.address})
+		runner := newSimulatedRunner(sim, i)
+		sim.runners = append(sim.runners, runner)
+		known = append(known, placement.Runner{ID: runner.id, Service: "s", Address: runner.address})
 	}
 	placer.runners = known
-	m.proxy.SetRunners(known)
-	return m
+	sim.proxy.SetRunners(known)
+	return sim
 }
 
 // run runs the model until all clients are done and what they left behind has had its time.
-func (m *simulation) run() error {
-	if err := m.proxy.Listen(); err != nil {
+func (sim *simulation) run() error {
+	if err := sim.proxy.Listen(); err != nil {
 		return err
 	}
 	for i := range simulationClients {
-		c := &simulatedClient{model: m, index: i, peer: &simulatedPeer{latency: 3 * time.Millisecond}}
-		m.network.after(m.randomDuration(300*time.Millisecond), c.sendNext)
+		c := &simulatedClient{model: sim, index: i, peer: &simulatedPeer{latency: 3 * time.Millisecond}}
+		sim.network.after(sim.randomDuration(300*time.Millisecond), c.sendNext)
 	}
-	m.network.after(time.Second, m.injectFault)
-	if m.chance(4) {
-		m.network.after(m.randomDuration(10*time.Second), m.shutDownProxy)
+	sim.network.after(time.Second, sim.injectFault)
+	if sim.chance(4) {
+		sim.network.after(sim.randomDuration(10*time.Second), sim.shutDownProxy)
 	}
-	if err := m.loop.Run(); err != nil {
+	if err := sim.loop.Run(); err != nil {
 		return err
 	}
-	m.network.advance(50 * time.Millisecond) // clients see the end of their connections
-	m.check()
+	sim.network.advance(50 * time.Millisecond) // clients see the end of their connections
+	sim.check()
 	return nil
 }
 
 // shutDownProxy tells the proxy to stop; clients soon know of other proxies.
-func (m *simulation) shutDownProxy() {
-	m.shutdownAt = m.network.now
-	m.proxy.Stop()
+func (sim *simulation) shutDownProxy() {
+	sim.shutdownAt = sim.network.now
+	sim.proxy.Stop()
 }
 
 // check looks at what must be true in the end.
-func (m *simulation) check() {
-	if m.checked {
+func (sim *simulation) check() {
+	if sim.checked {
 		return
 	}
-	m.checked = true
-	m.checker.finish()
-	p := m.proxy
-	if m.shutdownAt == 0 && (p.openExchanges != 0 || p.bufferedBodyBytes != 0 || p.sessions.count != 0) {
-		m.checker.violation("BOUND", "%d exchanges, %d bytes, %d sessions", p.openExchanges, p.bufferedBodyBytes, p.sessions.count)
+	sim.checked = true
+	sim.checker.finish()
+	p := sim.proxy
+	if sim.shutdownAt == 0 && (p.openExchanges != 0 || p.bufferedBodyBytes != 0 || p.sessions.count != 0) {
+		sim.checker.violation("BOUND", "%d exchanges, %d bytes, %d sessions", p.openExchanges, p.bufferedBodyBytes, p.sessions.count)
 	}
 }
 
 // clientDone ends a client, and the model with the last one.
-func (m *simulation) clientDone() {
-	if m.activeClients--; m.activeClients > 0 {
+func (sim *simulation) clientDone() {
+	if sim.activeClients--; sim.activeClients > 0 {
 		return
 	}
-	m.network.after(simulationDrainTime, func() {
-		m.check()
-		m.loop.Stop()
+	sim.network.after(simulationDrainTime, func() {
+		sim.check()
+		sim.loop.Stop()
 	})
-	m.network.after(simulationDrainTime+time.Millisecond, func() {}) // a turn in which the loop sees that it was stopped
+	sim.network.after(simulationDrainTime+time.Millisecond, func() {}) // a turn in which the loop sees that it was stopped
 }
 
 // injectFault cuts a runner's line, or crashes a runner, now and then.
-func (m *simulation) injectFault() {
-	r := m.runners[m.random.IntN(len(m.runners))]
-	switch m.random.IntN(3) {
+func (sim *simulation) injectFault() {
+	r := sim.runners[sim.random.IntN(len(sim.runners))]
+	switch sim.random.IntN(3) {
 	case 0:
-		r.partition(m.randomDuration(longestPartition))
+		r.partition(sim.randomDuration(longestPartition))
 	case 1:
-		r.crash(m.randomDuration(longestPartition))
+		r.crash(sim.randomDuration(longestPartition))
 	}
-	if m.activeClients > 0 {
-		m.network.after(m.randomDuration(2*time.Second), m.injectFault)
+	if sim.activeClients > 0 {
+		sim.network.after(sim.randomDuration(2*time.Second), sim.injectFault)
 	}
 }
 
 // randomDuration draws a time.
-func (m *simulation) randomDuration(most time.Duration) time.Duration {
-	return time.Duration(m.random.Int64N(int64(most)))
+func (sim *simulation) randomDuration(most time.Duration) time.Duration {
+	return time.Duration(sim.random.Int64N(int64(most)))
 }
 
 // chance says yes one time in so many.
-func (m *simulation) chance(oneIn int) bool { return m.random.IntN(oneIn) == 0 }
+func (sim *simulation) chance(oneIn int) bool { return sim.random.IntN(oneIn) == 0 }
--- a/internal/system/proxy/stream_test.go
+++ b/internal/system/proxy/stream_test.go
@@ -8,22 +8,22 @@
 // A stream whose runner breaks off goes on at another one, inside the same answer.
 func TestEventStreamResumed(t *testing.T) {
 	w := newHarness(t)
-	r := w.startRunners("a", "b")
-	c := w.connect()
-	c.send(requestText("/resumable/x", "t1", "Last-Event-Id: 4\r\n", "p"))
-	first := r[0].accept()
-	if q, _ := first.readRequest(); q.Header.Get("Last-Event-Id") != "4" {
-		t.Errorf("first runner got Last-Event-Id %q", q.Header.Get("Last-Event-Id"))
+	runners := w.startRunners("a", "b")
+	client := w.connect()
+	client.send(requestText("/resumable/x", "t1", "Last-Event-Id: 4\r\n", "p"))
+	first := runners[0].accept()
+	if request, _ := first.readRequest(); request.Header.Get("Last-Event-Id") != "4" {
+		t.Errorf("first runner got Last-Event-Id %q", request.Header.Get("Last-Event-Id"))
 	}
 	first.send(streamHeadText("t1", "first-seal"))
 	first.send(chunkText(eventText(5)) + chunkText(eventText(6)) + chunkText("id: 7\nda"))
-	if head := c.readHead(); !strings.Contains(head, "X-Server-Seal: first-seal\r\n") {
+	if head := client.readHead(); !strings.Contains(head, "X-Server-Seal: first-seal\r\n") {
 		t.Errorf("head is %q", head)
 	}
 	first.reset()
-	second := r[1].accept()
-	q, body := second.readRequest()
-	if got := q.Header.Values("Last-Event-Id"); len(got) != 1 || got[0] != "6" || body != "p" {
+	second := runners[1].accept()
+	request, body := second.readRequest()
+	if got := request.Header.Values("Last-Event-Id"); len(got) != 1 || got[0] != "6" || body != "p" {
 		t.Errorf("second runner got Last-Event-Id %q and %q", got, body)
 	}
 	second.send(streamHeadText("t1", "second-seal"))
@@ -32,7 +32,7 @@
 	for i := 5; i <= 8; i++ {
 		all.WriteString(eventText(i))
 	}
-	got := readChunkedBody(c)
+	got := readChunkedBody(client)
 	if got != all.String() {
 		t.Errorf("client got %q, want %q", got, all.String())
 	}
@@ -89,18 +89,18 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := newHarness(t)
-			r := w.startRunners("a", "b")
+			runners := w.startRunners("a", "b")
 			if tc.prepare != nil {
 				w.onLoop(func() { tc.prepare(w) })
 			}
-			c := w.connect()
-			c.send(requestText(tc.path, "t1", "", ""))
-			up := r[0].accept()
-			up.readRequest()
-			up.send(tc.answer)
-			c.readHead()
-			up.conn.Close()
-			if rest := c.readToClose(); strings.HasSuffix(rest, lastChunk) {
+			client := w.connect()
+			client.send(requestText(tc.path, "t1", "", ""))
+			upstream := runners[0].accept()
+			upstream.readRequest()
+			upstream.send(tc.answer)
+			client.readHead()
+			upstream.conn.Close()
+			if rest := client.readToClose(); strings.HasSuffix(rest, lastChunk) {
 				t.Errorf("the answer ends as complete: %q", rest)
 			}
 			w.expectOutcomes("a broken")
@@ -112,16 +112,16 @@
 // end.
 func TestHTTP10ClientSeesReset(t *testing.T) {
 	w := newHarness(t)
-	r := w.startRunners("a")[0]
-	c := w.connect()
-	c.send("GET /reads/x HTTP/1.0\r\nHost: h.example\r\nX-Try-Id: t1\r\n\r\n")
-	up := r.accept()
-	up.readRequest()
-	up.send("HTTP/1.1 200 OK\r\nX-Try-Id: t1\r\nX-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n" + chunkText("abc"))
-	c.readHead()
-	c.expect("abc")
-	up.reset()
-	if n, err := c.reader.Read(make([]byte, 10)); n != 0 || err == nil || strings.Contains(err.Error(), "EOF") {
+	runner := w.startRunners("a")[0]
+	client := w.connect()
+	client.send("GET /reads/x HTTP/1.0\r\nHost: h.example\r\nX-Try-Id: t1\r\n\r\n")
+	upstream := runner.accept()
+	upstream.readRequest()
+	upstream.send("HTTP/1.1 200 OK\r\nX-Try-Id: t1\r\nX-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n" + chunkText("abc"))
+	client.readHead()
+	client.expect("abc")
+	upstream.reset()
+	if n, err := client.reader.Read(make([]byte, 10)); n != 0 || err == nil || strings.Contains(err.Error(), "EOF") {
 		t.Errorf("client read %d bytes, %v", n, err)
 	}
 }
@@ -144,17 +144,17 @@
 // closes while it is held back.
 func TestSlowClientBackpressure(t *testing.T) {
 	w := newHarness(t)
-	r := w.startRunners("a")[0]
+	runner := w.startRunners("a")[0]
 	const size = 48 << 20 // more than the buffers of the system hold
 	slow, fast := w.connect(), w.connect()
 	slow.send(requestText("/reads/x", "slow", "", ""))
-	up := r.accept()
-	up.readRequest()
+	upstream := runner.accept()
+	upstream.readRequest()
 	written := make(chan error, 1)
 	go func() {
 		head := "HTTP/1.1 200 OK\r\nX-Try-Id: slow\r\nX-Server-Seal: s\r\nConnection: close\r\nContent-Length: 50331648\r\n\r\n"
-		_, err := up.conn.Write(append([]byte(head), make([]byte, size)...))
-		up.conn.Close()
+		_, err := upstream.conn.Write(append([]byte(head), make([]byte, size)...))
+		upstream.conn.Close()
 		written <- err
 	}()
 	w.waitFor("the runner is held back", func() bool {
@@ -166,7 +166,7 @@
 		return false
 	})
 	fast.send(requestText("/reads/x", "fast", "", ""))
-	other := r.accept()
+	other := runner.accept()
 	other.readRequest()
 	other.send(successText("fast", "quick"))
 	fast.expectResponse(200, "quick")
--- a/internal/system/proxy/doubt_test.go
+++ b/internal/system/proxy/watchdog_test.go
@@ -65,9 +65,9 @@
 	})
 	stays, moves := w.connect(), w.connect()
 	stays.send(requestText("/stream/x", "t1", "", ""))
-	up := first.accept()
-	up.readRequest()
-	up.send(streamHeadText("t1", "s") + chunkText(eventText(1)))
+	upstream := first.accept()
+	upstream.readRequest()
+	upstream.send(streamHeadText("t1", "s") + chunkText(eventText(1)))
 	stays.readHead()
 	moves.send(requestText("/resumable/x", "t2", "", ""))
 	other := first.accept()
@@ -77,8 +77,8 @@
 	first.fillBacklog()
 
 	next := second.accept()
-	if q, _ := next.readRequest(); q.Header.Get("X-Try-Id") != "t2" || q.Header.Get("Last-Event-Id") != "1" {
-		t.Errorf("second runner got %v", q.Header)
+	if request, _ := next.readRequest(); request.Header.Get("X-Try-Id") != "t2" || request.Header.Get("Last-Event-Id") != "1" {
+		t.Errorf("second runner got %v", request.Header)
 	}
 	w.expectOutcomes("a silent")
 	next.send(streamHeadText("t2", "s") + chunkText(eventText(2)) + lastChunk)
@@ -86,7 +86,7 @@
 		t.Errorf("the client that moved got %q", got)
 	}
 	w.expectOutcomes("b served")
-	up.send(chunkText(eventText(2)) + lastChunk)
+	upstream.send(chunkText(eventText(2)) + lastChunk)
 	if got := readChunkedBody(stays); !strings.HasSuffix(got, eventText(2)) {
 		t.Errorf("the client that stayed got %q", got)
 	}
