--- a/internal/system/replica/bounds_test.go
+++ b/internal/system/replica/bounds_test.go
@@ -36,7 +36,7 @@
 	state   *state.Configuration
 	group   *group
 	now     time.Duration
-	jobs    []job
+	jobs    []writeJob
 	version uint64
 }
 
@@ -70,35 +70,35 @@
 	}
 	s.state = state.NewConfiguration(func() time.Duration { return s.now }, func() {})
 	s.group = newGroup(feed.ConfigurationPartition, s.state)
-	if err := s.group.start(s.now, machineOptions(1, 1, defaultHeartbeat, defaultElection), stored); err != nil {
+	if err := s.group.start(s.now, nodeOptions(1, 1, defaultHeartbeatInterval, defaultElectionTimeout), stored); err != nil {
 		s.t.Fatal(err)
 	}
-	for s.group.machine.Role() != consensus.Leader {
-		s.now = max(s.now, s.group.machine.NextTick())
-		s.group.machine.Tick(s.now)
+	for s.group.node.Role() != consensus.Leader {
+		s.now = max(s.now, s.group.node.NextTick())
+		s.group.node.Tick(s.now)
 		s.settle()
 	}
 	s.version = s.state.Version()
 }
 
 func (s *stormGroup) send(*group, []consensus.Message) {}
-func (s *stormGroup) write(j job)                      { s.jobs = append(s.jobs, j) }
+func (s *stormGroup) enqueueWrite(j writeJob)          { s.jobs = append(s.jobs, j) }
 
 func (s *stormGroup) settle() {
 	s.t.Helper()
 	for more := true; more; {
-		if err := s.group.settle(s); err != nil {
+		if err := s.group.processReady(s); err != nil {
 			s.t.Fatal(err)
 		}
 		jobs := s.jobs
 		s.jobs = nil
-		if writes := writesOf(jobs); len(writes) > 0 {
+		if writes := durableWrites(jobs); len(writes) > 0 {
 			if err := s.store.Write(writes...); err != nil {
 				s.t.Fatal(err)
 			}
 		}
 		for i := range jobs {
-			s.group.carriedOut(&jobs[i], s)
+			s.group.handlePersisted(&jobs[i], s)
 		}
 		more = len(jobs) > 0
 	}
--- a/internal/system/replica/calls.go
+++ b/internal/system/replica/calls.go
@@ -25,11 +25,11 @@
 
 // Register has the registry answer the calls of other replicas.
 func (h *Host) Register(registry *rpc.Registry) {
-	deliverCall.Handle(registry, h.deliver)
-	proposeCall.Handle(registry, h.answerPropose)
-	readIndexCall.Handle(registry, h.answerReadIndex)
-	joinCall.Handle(registry, h.answerJoin)
-	leaveCall.Handle(registry, h.answerLeave)
+	deliverCall.Handle(registry, h.handleDeliver)
+	proposeCall.Handle(registry, h.handlePropose)
+	readIndexCall.Handle(registry, h.handleReadIndex)
+	joinCall.Handle(registry, h.handleJoin)
+	leaveCall.Handle(registry, h.handleLeave)
 }
 
 // DeliverRequest brings messages of the agreement, of any partitions, in the form of appendMessage.
@@ -41,15 +41,15 @@
 // DeliverReply says that the messages came.
 type DeliverReply struct{}
 
-// deliver passes messages to the replicas they are for. What cannot be read is left out with what follows it.
-func (h *Host) deliver(_ context.Context, request *DeliverRequest) (*DeliverReply, error) {
-	messages, err := request.unpacked()
+// handleDeliver passes messages to the replicas they are for. What cannot be read is left out with what follows it.
+func (h *Host) handleDeliver(_ context.Context, request *DeliverRequest) (*DeliverReply, error) {
+	messages, err := request.decompress()
 	if err != nil {
 		return nil, err
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	defer h.settle()
+	defer h.processReady()
 	now := h.now()
 	for rest := messages; len(rest) > 0; {
 		partition, message, after, err := readMessage(rest)
@@ -57,7 +57,7 @@
 			return nil, err
 		}
 		rest = after
-		h.step(now, partition, message)
+		h.stepMessage(now, partition, message)
 	}
 	return &DeliverReply{}, nil
 }
@@ -73,7 +73,7 @@
 // Unwrap is the cause.
 func (e *MalformedMessagesError) Unwrap() error { return e.Cause }
 
-var errCutShort = errors.New("they are cut short")
+var errTruncated = errors.New("they are cut short")
 
 // appendMessage appends a partition, the length of a message and the message.
 func appendMessage(b []byte, partition feed.Partition, message *consensus.Message) []byte {
@@ -87,12 +87,12 @@
 func readMessage(b []byte) (feed.Partition, consensus.Message, []byte, error) {
 	partition, n := binary.Uvarint(b)
 	if n <= 0 || partition > uint64(^feed.Partition(0)) {
-		return 0, consensus.Message{}, nil, &MalformedMessagesError{errCutShort}
+		return 0, consensus.Message{}, nil, &MalformedMessagesError{errTruncated}
 	}
 	b = b[n:]
 	length, n := binary.Uvarint(b)
 	if n <= 0 || length > uint64(len(b)-n) {
-		return 0, consensus.Message{}, nil, &MalformedMessagesError{errCutShort}
+		return 0, consensus.Message{}, nil, &MalformedMessagesError{errTruncated}
 	}
 	message, err := consensus.DecodeMessage(b[n : n+int(length)])
 	if err != nil {
@@ -124,11 +124,11 @@
 	OutcomeDropped                  // it was not proposed, or surely never will be agreed on
 )
 
-// answerPropose proposes to this machine's replica only; the caller looks for another leader itself.
-func (h *Host) answerPropose(ctx context.Context, request *ProposeRequest) (*ProposeReply, error) {
+// handlePropose proposes to this machine's replica only; the caller looks for another leader itself.
+func (h *Host) handlePropose(ctx context.Context, request *ProposeRequest) (*ProposeReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, request.Wait-handlerMargin)
 	defer cancel()
-	outcome, result := h.proposeHere(ctx, request.Partition, request.Command)
+	outcome, result := h.proposeLocal(ctx, request.Partition, request.Command)
 	return &ProposeReply{Outcome: outcome, Result: result}, nil
 }
 
@@ -144,11 +144,11 @@
 	Index   uint64
 }
 
-// answerReadIndex asks this machine's replica only.
-func (h *Host) answerReadIndex(ctx context.Context, request *ReadIndexRequest) (*ReadIndexReply, error) {
+// handleReadIndex asks this machine's replica only.
+func (h *Host) handleReadIndex(ctx context.Context, request *ReadIndexRequest) (*ReadIndexReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, request.Wait-handlerMargin)
 	defer cancel()
-	index, confirmed := h.readIndexHere(ctx, request.Partition)
+	index, confirmed := h.readIndexLocal(ctx, request.Partition)
 	if !confirmed {
 		return &ReadIndexReply{Outcome: OutcomeDropped}, nil
 	}
@@ -162,11 +162,11 @@
 // JoinReply says who the members are, for whoever does not know them.
 type JoinReply struct{ Members []consensus.Member }
 
-// answerJoin notes who asks; the leaders of groups act on it as they next look at their members.
-func (h *Host) answerJoin(_ context.Context, request *JoinRequest) (*JoinReply, error) {
+// handleJoin notes who asks; the leaders of groups act on it as they next look at their members.
+func (h *Host) handleJoin(_ context.Context, request *JoinRequest) (*JoinReply, error) {
 	h.mutex.Lock()
-	h.joins.note(request.Member, h.now())
-	h.manageSoon()
+	h.joinRequests.add(request.Member, h.now())
+	h.checkMembershipsSoon()
 	h.mutex.Unlock()
 	return &JoinReply{Members: h.Members()}, nil
 }
@@ -177,11 +177,11 @@
 // LeaveReply says that the word came.
 type LeaveReply struct{}
 
-// answerLeave notes who leaves; the leaders of groups give its vote to another member where there is one.
-func (h *Host) answerLeave(_ context.Context, request *LeaveRequest) (*LeaveReply, error) {
+// handleLeave notes who leaves; the leaders of groups give its vote to another member where there is one.
+func (h *Host) handleLeave(_ context.Context, request *LeaveRequest) (*LeaveReply, error) {
 	h.mutex.Lock()
-	h.departures.note(request.ID, h.now())
-	h.manageSoon()
+	h.departures.add(request.ID, h.now())
+	h.checkMembershipsSoon()
 	h.mutex.Unlock()
 	return &LeaveReply{}, nil
 }
--- a/internal/system/replica/core_address_test.go
+++ b/internal/system/replica/core_address_test.go
@@ -35,11 +35,11 @@
 			t.Fatalf("seed %d: the successor does not lead: %s", seed, w.failed)
 		}
 		clear(w.cuts)
-		applied := w.leader().group.applied
+		applied := w.leader().group.appliedIndex
 		w.run(4 * time.Second)
-		if got := away.process.group.applied; got < applied || w.failed != "" {
+		if got := away.process.group.appliedIndex; got < applied || w.failed != "" {
 			t.Errorf("seed %d: the machine that was away has applied %d of %d, led by %s; %s", seed, got, applied,
-				idText(away.process.group.machine.Leader()), w.failed)
+				formatReplicaID(away.process.group.node.Leader()), w.failed)
 		}
 	}
 }
@@ -65,8 +65,8 @@
 			return true
 		}
 		votes := func(m consensus.Member) bool { return m.ID == s.id() && m.Voter }
-		if slices.ContainsFunc(p.group.machine.Membership().Members, votes) {
-			p.do(func() { p.group.machine.TransferLeadership(p.clock(), s.id()) })
+		if slices.ContainsFunc(p.group.node.Membership().Members, votes) {
+			p.do(func() { p.group.node.TransferLeadership(p.clock(), s.id()) })
 		}
 	}
 	return false
--- a/internal/system/replica/core_calls_test.go
+++ b/internal/system/replica/core_calls_test.go
@@ -199,29 +199,29 @@
 
 // again tries something after a pause, unless the time is up then.
 func (p *coreProcess) again(deadline time.Duration, try, late func()) {
-	if p.clock()+retryPause >= deadline {
+	if p.clock()+retryDelay >= deadline {
 		late()
 		return
 	}
-	p.at(p.clock()+retryPause, try)
+	p.at(p.clock()+retryDelay, try)
 }
 
-// whoLeads is Host.whoLeads.
+// locateLeader is Host.locateLeader.
 func (p *coreProcess) whoLeads() (leader *coreSlot, here bool) {
-	machine := p.group.machine
+	machine := p.group.node
 	if machine.Role() == consensus.Leader {
 		return nil, !machine.Transferring()
 	}
-	address, known := p.host.route(p.group, machine.Leader())
+	address, known := p.host.destination(p.group, machine.Leader())
 	if !known {
 		return nil, false
 	}
 	return p.world.byPort[address], false
 }
 
-// proposeHere is Host.proposeHere.
+// proposeLocal is Host.proposeLocal.
 func (p *coreProcess) proposeHere(command []byte, deadline time.Duration, done func(ProposeReply)) {
-	if p.host.disk.down || len(p.jobs) > mostWaitingJobs {
+	if p.host.disk.leadershipReleased || len(p.jobs) > maxQueuedJobs {
 		done(ProposeReply{Outcome: OutcomeDropped})
 		return
 	}
@@ -239,15 +239,15 @@
 			return false
 		}
 	}, func() {
-		p.group.abandon(proposed)
+		p.group.abandonProposal(proposed)
 		done(ProposeReply{Outcome: OutcomeUnknown})
 	})
 }
 
-// proposeAt is proposeAt with the call's handler at its other end.
+// proposeRemote is proposeRemote with the call's handler at its other end.
 func (p *coreProcess) proposeAt(leader *coreSlot, command []byte, deadline time.Duration, done func(ProposeReply)) {
-	wait := min(deadline-p.clock(), proposeWait)
-	if wait < leastProposal || leader.process == nil {
+	wait := min(deadline-p.clock(), proposeTimeout)
+	if wait < minCallTimeout || leader.process == nil {
 		done(ProposeReply{Outcome: OutcomeDropped})
 		return
 	}
@@ -262,12 +262,12 @@
 }
 
 // call asks another machine's process; came is false where no answer comes in time, or before this replica no longer
-// follows the leader that it does (see untilChanged).
+// follows the leader that it does (see withLeaderChange).
 func call[T any](p *coreProcess, to *coreSlot, wait time.Duration, handle func(asked *coreProcess, answer func(T)),
 	done func(reply T, came bool)) {
 	var reply T
 	over, came := false, false
-	changed := p.group.changed
+	changed := p.group.leaderChanged
 	p.await(p.clock()+wait, func() bool {
 		select {
 		case <-changed:
@@ -305,7 +305,7 @@
 			return
 		}
 		p.await(deadline, func() bool {
-			if p.group.applied < index {
+			if p.group.appliedIndex < index {
 				return false
 			}
 			done(true)
@@ -323,9 +323,9 @@
 	}
 }
 
-// readIndexHere is Host.readIndexHere.
+// readIndexLocal is Host.readIndexLocal.
 func (p *coreProcess) readIndexHere(deadline time.Duration, done func(index uint64, confirmed bool)) {
-	token, answer := p.group.read(p.clock())
+	token, answer := p.group.startReadIndex(p.clock())
 	p.await(deadline, func() bool {
 		select {
 		case read := <-answer:
@@ -335,14 +335,14 @@
 			return false
 		}
 	}, func() {
-		delete(p.group.reads, token)
+		delete(p.group.pendingReads, token)
 		done(0, false)
 	})
 }
 
 func (p *coreProcess) readIndexAt(leader *coreSlot, deadline time.Duration, done func(index uint64, confirmed bool)) {
-	wait := min(deadline-p.clock(), barrierWait)
-	if wait < leastProposal || leader.process == nil {
+	wait := min(deadline-p.clock(), readIndexTimeout)
+	if wait < minCallTimeout || leader.process == nil {
 		done(0, false)
 		return
 	}
--- a/internal/system/replica/core_check_test.go
+++ b/internal/system/replica/core_check_test.go
@@ -146,32 +146,32 @@
 // checkStep holds after each step of a process.
 func (w *coreWorld) checkStep(p *coreProcess) {
 	version := p.state.Version()
-	if version < p.version || p.group.applied < p.applied {
+	if version < p.version || p.group.appliedIndex < p.applied {
 		w.fail("machine %d goes back from version %d at %d to %d at %d", p.slot.number, p.version, p.applied, version,
-			p.group.applied)
+			p.group.appliedIndex)
 	}
-	if p.group.applied != p.applied && version != w.truth.versionAt(p.group.applied) {
-		w.fail("machine %d is at version %d, where %d was agreed", p.slot.number, version, w.truth.versionAt(p.group.applied))
+	if p.group.appliedIndex != p.applied && version != w.truth.versionAt(p.group.appliedIndex) {
+		w.fail("machine %d is at version %d, where %d was agreed", p.slot.number, version, w.truth.versionAt(p.group.appliedIndex))
 	}
-	p.version, p.applied = version, p.group.applied
+	p.version, p.applied = version, p.group.appliedIndex
 	w.checkFresh(p)
 	if p.applied > w.truth.applied {
 		w.checkMajority(p)
 		w.truth.applied = p.applied
 	}
-	if p.group.machine.Role() == consensus.Leader {
+	if p.group.node.Role() == consensus.Leader {
 		w.checkLeader(p)
 	}
 }
 
 // checkMajority sees that what is applied first was synced by a majority of the voters.
 func (w *coreWorld) checkMajority(p *coreProcess) {
-	at, is := p.group.machine.CreateSnapshot(p.applied, nil)
+	at, is := p.group.node.CreateSnapshot(p.applied, nil)
 	if !is {
 		w.fail("machine %d has applied %d first, and knows no term of it", p.slot.number, p.applied)
 		return
 	}
-	membership := p.group.machine.Membership()
+	membership := p.group.node.Membership()
 	have := func(id consensus.ReplicaID) bool {
 		s := w.truth.synced[id]
 		return s != nil && (s.entries[place{at.Index, at.Term}] || s.snapshot >= at.Index)
@@ -204,21 +204,21 @@
 }
 
 // leadsStalledFor is how long a replica may lead whose disk does not finish a write.
-const leadsStalledFor = stalledAfter + defaultElection + 300*time.Millisecond
+const leadsStalledFor = diskStallTimeout + defaultElectionTimeout + 300*time.Millisecond
 
 // checkLeader sees that there is one leader a term, a voter, whose disk works.
 func (w *coreWorld) checkLeader(p *coreProcess) {
-	term := p.group.written.Term // a leader's is on its disk
+	term := p.group.lastHardState.Term // a leader's is on its disk
 	id, is := w.truth.leaders[term]
 	if is && id != p.host.self.ID {
-		w.fail("replicas %s and %s both led term %d", idText(id), idText(p.host.self.ID), term)
+		w.fail("replicas %s and %s both led term %d", formatReplicaID(id), formatReplicaID(p.host.self.ID), term)
 	}
 	if !is {
 		w.logf("%d leads term %d", p.slot.number, term)
 		w.counts.numbers.terms++
 		w.truth.leaders[term] = p.host.self.ID
 	}
-	stalled := len(p.writing) > 0 && len(writesOf(p.writing)) > 0 && p.clock()-p.began > leadsStalledFor
+	stalled := len(p.writing) > 0 && len(durableWrites(p.writing)) > 0 && p.clock()-p.began > leadsStalledFor
 	if stalled && w.now-p.thawed > leadsStalledFor {
 		w.fail("machine %d leads, and its disk has not finished a write for %v", p.slot.number, p.clock()-p.began)
 	}
@@ -361,7 +361,7 @@
 		if q == nil {
 			return fmt.Sprintf("machine %d is down", s.number)
 		}
-		if !q.host.takenIn(q.group) || q.version != w.truth.versionAt(w.truth.applied) {
+		if !q.host.isMember(q.group) || q.version != w.truth.versionAt(w.truth.applied) {
 			return fmt.Sprintf("machine %d is at version %d of %d", s.number, q.version, w.truth.versionAt(w.truth.applied))
 		}
 	}
@@ -387,9 +387,9 @@
 // members, and as many may fail as the number of machines allows. A voter that is gone may stay where the group would be no
 // better without it.
 func (w *coreWorld) unsettledMembers(p *coreProcess, slots []*coreSlot) string {
-	status := p.group.machine.Status()
+	status := p.group.node.Status()
 	text := "the membership is " + memberList(status.Membership.Members).String()
-	if _, more := planChange(p.host.situation(p.clock(), p.group, &status)); more || status.MembershipIndex > status.Commit {
+	if _, more := planChange(p.host.membershipView(p.clock(), p.group, &status)); more || status.MembershipIndex > status.Commit {
 		return text + ", which is to change"
 	}
 	learners := len(status.Membership.Members) - countVoters(status.Membership)
@@ -406,7 +406,7 @@
 		}
 	}
 	spare := living - (countVoters(status.Membership)/2 + 1)
-	if learners > 0 || spare < (min(len(slots), leastVoters)-1)/2 {
+	if learners > 0 || spare < (min(len(slots), preferredVoters)-1)/2 {
 		return text
 	}
 	return ""
--- a/internal/system/replica/core_contact_test.go
+++ b/internal/system/replica/core_contact_test.go
@@ -13,7 +13,7 @@
 	contactLasts = 20 * time.Second
 	// contactNoticed is how long it takes at most until a machine knows that it is cut off, or that it no longer is: an
 	// election time in which a leader goes on without a majority, the time without contact, and the next election.
-	contactNoticed = (1 + contactElections + 2) * defaultElection
+	contactNoticed = (1 + contactElectionTimeouts + 2) * defaultElectionTimeout
 )
 
 // inContact is what the API of a machine goes by.
@@ -137,13 +137,13 @@
 	} {
 		var contacts contacts
 		for i, from := range c.from {
-			contacts.note(from, &membership, time.Duration(i+1)*time.Second)
+			contacts.record(from, &membership, time.Duration(i+1)*time.Second)
 		}
-		if got := contacts.majority(1, &membership, 2*time.Second); got != c.want {
+		if got := contacts.heardQuorum(1, &membership, 2*time.Second); got != c.want {
 			t.Errorf("%v: a majority: %t", c.from, got)
 		}
 	}
-	if contacts := (contacts{}); !contacts.majority(1, &consensus.Membership{}, time.Second) {
+	if contacts := (contacts{}); !contacts.heardQuorum(1, &consensus.Membership{}, time.Second) {
 		t.Error("a replica that knows no members takes itself for cut off")
 	}
 }
--- a/internal/system/replica/core_elections_test.go
+++ b/internal/system/replica/core_elections_test.go
@@ -15,7 +15,7 @@
 func (w *coreWorld) newestTerm() uint64 {
 	var newest uint64
 	for _, p := range w.processes() {
-		newest = max(newest, p.group.machine.Status().Term)
+		newest = max(newest, p.group.node.Status().Term)
 	}
 	return newest
 }
--- a/internal/system/replica/core_faults_test.go
+++ b/internal/system/replica/core_faults_test.go
@@ -177,7 +177,7 @@
 			views = append(views, newestMembership(&stored))
 		}
 		if s.process != nil {
-			views = append(views, s.process.group.machine.Membership())
+			views = append(views, s.process.group.node.Membership())
 		}
 	}
 	return views
--- a/internal/system/replica/core_follower_test.go
+++ b/internal/system/replica/core_follower_test.go
@@ -79,12 +79,12 @@
 	position := f.table.Index()
 	answer := func() {
 		batch := p.state.Since(position, 0)
-		age := since(p.group.machine.Status().CaughtUpAt, p.clock())
+		age := elapsedSince(p.group.node.Status().CaughtUpAt, p.clock())
 		f.world.after(followerDelay, func() { f.take(question.Address, call, batch, age) })
 	}
 	wait := question.Wait
 	if question.Current.Contains(feed.ConfigurationPartition) {
-		age := since(p.group.machine.Status().CaughtUpAt, p.clock())
+		age := elapsedSince(p.group.node.Status().CaughtUpAt, p.clock())
 		wait = min(wait, max(0, feed.StaleAfter-age)+10*time.Millisecond)
 	}
 	p.await(p.clock()+wait, func() bool {
--- a/internal/system/replica/core_fresh_test.go
+++ b/internal/system/replica/core_fresh_test.go
@@ -9,13 +9,13 @@
 // freshSlack is by how much the state of a replica that says that it is up to date may be older than that. Its leader may
 // have lost its majority an election time ago, and messages may have waited while a process stood still for less than what
 // the replica takes for a stand-still, two election times. Messages may also have waited for a thin link, as long as any did.
-const freshSlack = 3 * defaultElection
+const freshSlack = 3 * defaultElectionTimeout
 
 // checkFresh sees that a replica which says that it was up to date a while ago holds what was in force then. Nobody is told
 // that state is current that is older than the last contact with a majority, but for freshSlack.
 func (w *coreWorld) checkFresh(p *coreProcess) {
-	status := p.group.machine.Status()
-	age := since(status.CaughtUpAt, p.clock())
+	status := p.group.node.Status()
+	age := elapsedSince(status.CaughtUpAt, p.clock())
 	if age > coreTrouble+coreHealing {
 		return
 	}
@@ -29,7 +29,7 @@
 		if link.at >= then {
 			continue
 		}
-		if link.index > p.group.applied {
+		if link.index > p.group.appliedIndex {
 			w.fail("machine %d says that it was up to date %v ago, and lacks %d of version %d, in force for %v", p.slot.number,
 				age, link.index, link.request.version, w.now-link.at)
 		}
--- a/internal/system/replica/core_link_test.go
+++ b/internal/system/replica/core_link_test.go
@@ -21,7 +21,7 @@
 // coreConnection sends messages to one machine, one after the other.
 type coreConnection struct {
 	to    int
-	lane  lane
+	lane  connectionKind
 	queue []coreSending
 	bytes int
 }
@@ -34,7 +34,7 @@
 	lost  func()
 }
 
-func (l *coreLink) connection(to int, lane lane) *coreConnection {
+func (l *coreLink) connection(to int, lane connectionKind) *coreConnection {
 	for _, c := range l.connections {
 		if c.to == to && c.lane == lane {
 			return c
@@ -114,36 +114,36 @@
 // sendOver sends a message as peers.send does.
 func (p *coreProcess) sendOver(to *coreSlot, message *consensus.Message) {
 	under := p.transfers[to.number]
-	way, message := under.laneOf(message)
+	way, message := under.route(message)
 	if p.world.plant.oneLane {
-		way = ordinaryLane
+		way = ordinaryConnection
 	}
 	switch {
-	case way == bulkLane && under == nil:
-		t := &transfer{}
-		t.take(p.group.partition, message)
+	case way == bulkConnection && under == nil:
+		t := &bulkTransfer{}
+		t.add(p.group.partition, message)
 		p.transfers[to.number] = t
 		p.runTransfer(to, t)
-	case way == bulkLane:
-		under.take(p.group.partition, message)
-	case way == ordinaryLane:
-		c := p.link.connection(to.number, ordinaryLane)
-		if c.bytes < mostPending {
+	case way == bulkConnection:
+		under.add(p.group.partition, message)
+	case way == ordinaryConnection:
+		c := p.link.connection(to.number, ordinaryConnection)
+		if c.bytes < maxPendingBytes {
 			size := len(appendMessage(nil, p.group.partition, message))
 			p.link.send(c, size, func() { p.deliver(to, message, true) }, func() {})
 		}
 	}
 }
 
-// runTransfer is peers.runTransfer.
-func (p *coreProcess) runTransfer(to *coreSlot, t *transfer) {
+// runBulkTransfer is peers.runBulkTransfer.
+func (p *coreProcess) runTransfer(to *coreSlot, t *bulkTransfer) {
 	batch := t.pending
 	t.pending = nil
 	if len(batch) == 0 {
 		delete(p.transfers, to.number)
 		return
 	}
-	p.link.send(p.link.connection(to.number, bulkLane), len(batch), func() {
+	p.link.send(p.link.connection(to.number, bulkConnection), len(batch), func() {
 		if !p.alive {
 			return
 		}
@@ -153,7 +153,7 @@
 }
 
 // snapshotLane is of the sim's connections only.
-const snapshotLane = noLane
+const snapshotLane = noConnection
 
 // sendSnapshotOver is peers.sendSnapshot.
 func (p *coreProcess) sendSnapshotOver(to *coreSlot, message *consensus.Message) {
--- a/internal/system/replica/core_process_test.go
+++ b/internal/system/replica/core_process_test.go
@@ -80,14 +80,14 @@
 	backlog []func()
 	tickAt  time.Duration
 
-	jobs    []job // that wait for the disk
-	writing []job // under way
+	jobs    []writeJob // that wait for the disk
+	writing []writeJob // under way
 	began   time.Duration
 	pause   time.Duration
 
-	sendingSnapshot map[int]bool      // by number of the machine
-	transfers       map[int]*transfer // by number of the machine
-	link            *coreLink         // nil: its bandwidth has no bound
+	sendingSnapshot map[int]bool          // by number of the machine
+	transfers       map[int]*bulkTransfer // by number of the machine
+	link            *coreLink             // nil: its bandwidth has no bound
 	waits           []func() bool
 	version         uint64 // of the configuration, as it was last seen
 	applied         uint64
@@ -98,7 +98,7 @@
 	if s.process != nil || s.retired {
 		return
 	}
-	p := &coreProcess{world: w, slot: s, alive: true, sendingSnapshot: map[int]bool{}, transfers: map[int]*transfer{}}
+	p := &coreProcess{world: w, slot: s, alive: true, sendingSnapshot: map[int]bool{}, transfers: map[int]*bulkTransfer{}}
 	if w.profile.Bandwidth > 0 {
 		p.link = &coreLink{world: w}
 	}
@@ -107,23 +107,23 @@
 	p.group = p.host.groups[0]
 	w.establish(s)
 	stored := s.disk.load()
-	options := machineOptions(s.disk.id, w.random.Uint64(), defaultHeartbeat, defaultElection)
+	options := nodeOptions(s.disk.id, w.random.Uint64(), defaultHeartbeatInterval, defaultElectionTimeout)
 	if err := p.group.start(p.clock(), options, stored); err != nil {
 		w.fail("machine %d finds what it stored senseless: %v", s.number, err)
 		return
 	}
 	s.process = p
 	p.host.self.ID = s.disk.id
-	p.version, p.applied = p.state.Version(), p.group.applied
+	p.version, p.applied = p.state.Version(), p.group.appliedIndex
 	w.truth.noteBoot(w, p, &stored)
 	for _, other := range w.inUse() { // as membership gossip tells
-		p.host.hint(other.address())
+		p.host.addAddress(other.address())
 		if other.process != nil {
-			other.process.host.hint(s.address())
+			other.process.host.addAddress(s.address())
 		}
 	}
-	w.logf("%d boots as %s: %+v, snapshot %d, log to %d", s.number, idText(s.disk.id), stored.HardState, stored.Snapshot.Index,
-		p.group.machine.Status().LastIndex)
+	w.logf("%d boots as %s: %+v, snapshot %d, log to %d", s.number, formatReplicaID(s.disk.id), stored.HardState, stored.Snapshot.Index,
+		p.group.node.Status().LastIndex)
 	p.do(func() {})
 }
 
@@ -133,7 +133,7 @@
 		return
 	}
 	s.disk.id = consensus.ReplicaID(max(w.random.Uint64(), 1))
-	if founders, founds := founding(&s.settings); founds {
+	if founders, founds := bootstrapMembership(&s.settings); founds {
 		s.disk.id = founderID(s.settings.IP)
 		s.disk.snapshot.Membership = founders
 		w.truth.noteMembership(founders)
@@ -164,7 +164,7 @@
 // settle does what the machine wants done, and what waited for that.
 func (p *coreProcess) settle() {
 	for more := true; more; more = p.runWaits() {
-		if err := p.group.settle(p); err != nil {
+		if err := p.group.processReady(p); err != nil {
 			p.world.fail("machine %d does not take a snapshot: %v", p.slot.number, err)
 		}
 		p.world.checkStep(p)
@@ -208,7 +208,7 @@
 
 // schedule has the process tick when it is due.
 func (p *coreProcess) schedule() {
-	due := p.host.due()
+	due := p.host.nextDeadline()
 	at := max(time.Duration(float64(due-p.slot.offset)/p.slot.rate)+time.Microsecond, p.world.now+time.Microsecond)
 	if p.tickAt > p.world.now && p.tickAt <= at {
 		return
@@ -224,27 +224,27 @@
 // tick is Host.tick.
 func (p *coreProcess) tick() {
 	now := p.clock()
-	if _, stepDown := p.host.disk.watch(now, 2*defaultElection); stepDown && !p.world.plant.stubborn {
-		p.group.machine.StepDown(now)
+	if _, stepDown := p.host.disk.checkHealth(now, 2*defaultElectionTimeout); stepDown && !p.world.plant.stubborn {
+		p.group.node.StepDown(now)
 	}
-	if p.group.machine.NextTick() <= now {
-		p.group.machine.Tick(now)
+	if p.group.node.NextTick() <= now {
+		p.group.node.Tick(now)
 	}
-	if now >= p.host.manageDue {
-		p.host.manageDue = now + manageEvery
+	if now >= p.host.nextMembershipCheck {
+		p.host.nextMembershipCheck = now + membershipCheckInterval
 		p.manage(now)
 	}
 }
 
 // manage is Host.manage.
 func (p *coreProcess) manage(now time.Duration) {
-	before := p.group.machine.Membership()
-	if p.group.machine.Role() == consensus.Leader && p.host.manageGroup(now, p.group) {
-		p.host.manageDue = now + manageAgain
-		p.world.checkChange(p, before, p.group.machine.Membership())
+	before := p.group.node.Membership()
+	if p.group.node.Role() == consensus.Leader && p.host.changeMembership(now, p.group) {
+		p.host.nextMembershipCheck = now + membershipRecheckDelay
+		p.world.checkChange(p, before, p.group.node.Membership())
 	}
-	if p.host.wantsIn(now) {
-		p.host.joins.note(p.host.self, now)
+	if p.host.needsJoin(now) {
+		p.host.joinRequests.add(p.host.self, now)
 		p.join(now)
 	}
 }
@@ -253,38 +253,38 @@
 func (p *coreProcess) leave() {
 	p.do(func() {
 		p.host.leaving = true
-		p.group.machine.StepDown(p.clock())
-		p.announceLeaving(p.clock() + handOverWithin)
+		p.group.node.StepDown(p.clock())
+		p.announceLeaving(p.clock() + transferTimeout)
 	})
 }
 
 func (p *coreProcess) announceLeaving(until time.Duration) {
 	w, id := p.world, p.slot.id()
-	p.host.departures.note(id, p.clock())
+	p.host.departures.add(id, p.clock())
 	for _, to := range w.inUse() {
 		if to == p.slot {
 			continue
 		}
 		w.carry(p.slot, to, false, func(told *coreProcess) {
-			told.host.departures.note(id, told.clock())
-			told.host.manageDue = min(told.host.manageDue, told.clock()+manageAgain)
+			told.host.departures.add(id, told.clock())
+			told.host.nextMembershipCheck = min(told.host.nextMembershipCheck, told.clock()+membershipRecheckDelay)
 		})
 	}
-	if p.clock() >= until || p.group.machine.Role() != consensus.Leader && !voteMayMove(p.group.machine.Status(), id) {
+	if p.clock() >= until || p.group.node.Role() != consensus.Leader && !isVoteMovable(p.group.node.Status(), id) {
 		p.kill()
 		return
 	}
-	p.at(p.clock()+leaveEvery, func() { p.announceLeaving(until) })
+	p.at(p.clock()+leaveInterval, func() { p.announceLeaving(until) })
 }
 
 // join is Host.join.
 func (p *coreProcess) join(now time.Duration) {
-	if now < p.host.joinDue {
+	if now < p.host.nextJoin {
 		return
 	}
-	p.host.joinDue = now + joinWithin/2
+	p.host.nextJoin = now + joinTimeout/2
 	var addresses []netip.AddrPort
-	for address := range p.host.addresses() {
+	for address := range p.host.peerAddresses() {
 		addresses = append(addresses, address)
 	}
 	slices.SortFunc(addresses, netip.AddrPort.Compare)
@@ -298,13 +298,13 @@
 func (p *coreProcess) joinAt(to *coreSlot) {
 	w, member := p.world, p.host.self
 	w.carry(p.slot, to, false, func(asked *coreProcess) {
-		asked.host.joins.note(member, asked.clock())
+		asked.host.joinRequests.add(member, asked.clock())
 		members := asked.host.members()
 		w.carry(to, p.slot, false, func(asker *coreProcess) {
 			for _, m := range members {
 				if address, err := netip.ParseAddrPort(m.Address); err == nil {
-					asker.host.hint(address)
-					asker.host.peers.learn(m.ID, address)
+					asker.host.addAddress(address)
+					asker.host.peers.learnAddress(m.ID, address)
 				}
 			}
 		})
@@ -315,7 +315,7 @@
 func (p *coreProcess) send(g *group, messages []consensus.Message) {
 	for i := range messages {
 		message := messages[i]
-		address, known := p.host.route(g, message.To)
+		address, known := p.host.destination(g, message.To)
 		to := p.world.byPort[address]
 		if !known || to == nil {
 			continue
@@ -340,7 +340,7 @@
 	}
 	p.world.counts.numbers.snapshots++
 	p.sendingSnapshot[to.number] = true
-	p.group.currentSnapshot(&message)
+	p.group.attachCurrentSnapshot(&message)
 	if p.link != nil {
 		p.sendSnapshotOver(to, &message)
 		return
@@ -368,32 +368,32 @@
 				return
 			}
 			rest = after
-			receiver.host.step(receiver.clock(), partition, message)
+			receiver.host.stepMessage(receiver.clock(), partition, message)
 		}
 	})
 }
 
-// write has a job carried out; see outlet.
-func (p *coreProcess) write(j job) {
+// enqueueWrite has a job carried out; see outlet.
+func (p *coreProcess) enqueueWrite(j writeJob) {
 	p.jobs = append(p.jobs, j)
 	if p.world.plant.earlyMessages {
 		p.send(p.group, j.ready.Messages)
 	}
 }
 
-// startWrite begins a transaction of all that waits, as Host.carryOut does.
+// startWrite begins a transaction of all that waits, as Host.writeQueued does.
 func (p *coreProcess) startWrite() {
 	if len(p.writing) > 0 || len(p.jobs) == 0 {
 		return
 	}
 	p.writing, p.jobs = p.jobs, nil
-	if len(writesOf(p.writing)) == 0 {
+	if len(durableWrites(p.writing)) == 0 {
 		p.world.after(time.Microsecond, func() { p.do(p.carriedOut) })
 		return
 	}
 	p.began = max(p.clock(), 1)
-	p.pause = leastDiskPause
-	p.host.disk.note(p.began, nil)
+	p.pause = minDiskBackoff
+	p.host.disk.recordAttempt(p.began, nil)
 	p.world.after(p.syncTime(), p.tryWrite)
 }
 
@@ -410,13 +410,13 @@
 		w.after(d.stalledUntil-w.now, p.tryWrite)
 	case w.now < d.failsUntil:
 		p.do(func() {
-			p.host.disk.note(p.began, errDiskFull)
+			p.host.disk.recordAttempt(p.began, errDiskFull)
 			p.tick()
 		})
 		w.after(p.pause, p.tryWrite)
-		p.pause = min(2*p.pause, mostDiskPause)
+		p.pause = min(2*p.pause, maxDiskBackoff)
 	default:
-		p.sync(writesOf(p.writing))
+		p.sync(durableWrites(p.writing))
 		p.do(p.carriedOut)
 	}
 }
@@ -428,13 +428,13 @@
 	}
 }
 
-// carriedOut is Host.persisted.
+// handlePersisted is Host.persisted.
 func (p *coreProcess) carriedOut() {
 	jobs := p.writing
 	p.writing = nil
-	p.host.disk.note(0, nil)
+	p.host.disk.recordAttempt(0, nil)
 	for i := range jobs {
-		p.group.carriedOut(&jobs[i], p)
+		p.group.handlePersisted(&jobs[i], p)
 	}
 }
 
@@ -444,7 +444,7 @@
 	w.logf("%d is killed", p.slot.number)
 	p.alive = false
 	p.slot.process = nil
-	writes := writesOf(p.writing)
+	writes := durableWrites(p.writing)
 	if len(writes) == 0 || w.now < p.slot.disk.failsUntil {
 		return
 	}
@@ -486,6 +486,6 @@
 func (s *coreState) Apply(index uint64, command []byte) []byte {
 	result := s.Configuration.Apply(index, command)
 	s.process.world.noteApplied(s.process, index, command, result)
-	s.process.group.logBytes += s.process.world.profile.Weight
+	s.process.group.logBytesSinceSnapshot += s.process.world.profile.Weight
 	return result
 }
--- a/internal/system/replica/core_storm_test.go
+++ b/internal/system/replica/core_storm_test.go
@@ -104,8 +104,8 @@
 		return
 	}
 	q := s.watched.process
-	fresh := since(q.group.machine.Status().CaughtUpAt, q.clock()) < time.Second
-	if fresh && q.group.applied+closeBehind >= w.truth.applied {
+	fresh := elapsedSince(q.group.node.Status().CaughtUpAt, q.clock()) < time.Second
+	if fresh && q.group.appliedIndex+maxPromotionLag >= w.truth.applied {
 		s.current = w.now - s.bootedAt
 		s.sent = w.sentBytes - s.sent
 	}
--- a/internal/system/replica/core_world_test.go
+++ b/internal/system/replica/core_world_test.go
@@ -98,13 +98,13 @@
 		FaultSpan:  w.spread(300*time.Millisecond, 6*time.Second),
 		Think:      w.spread(100*time.Millisecond, 2*time.Second),
 		Operators:  2 + w.random.IntN(3),
-		Weight:     leastLog / (2 + w.random.IntN(30)),
+		Weight:     minSnapshotLogBytes / (2 + w.random.IntN(30)),
 	}
 	if w.chance(0.5) {
 		w.profile.Loss = 0.1 * w.random.Float64()
 	}
 	if seed%thinLinkSeeds == 0 {
-		w.profile.Bandwidth, w.profile.Padding = thinLink*megabit, bulkBytes
+		w.profile.Bandwidth, w.profile.Padding = thinLink*megabit, bulkThresholdBytes
 	}
 	return w
 }
@@ -240,7 +240,7 @@
 // leader is a replica that leads, as far as it knows, and is not frozen; nil: there is none.
 func (w *coreWorld) leader() *coreProcess {
 	for _, p := range w.processes() {
-		if !p.frozen && p.group.machine.Role() == consensus.Leader {
+		if !p.frozen && p.group.node.Role() == consensus.Leader {
 			return p
 		}
 	}
--- a/internal/system/replica/disk.go
+++ b/internal/system/replica/disk.go
@@ -13,43 +13,43 @@
 )
 
 const (
-	stalledAfter   = time.Second // a write that takes longer costs this host its leaderships
-	leastDiskPause = 50 * time.Millisecond
-	mostDiskPause  = 400 * time.Millisecond
+	diskStallTimeout = time.Second // a write that takes longer costs this host its leaderships
+	minDiskBackoff   = 50 * time.Millisecond
+	maxDiskBackoff   = 400 * time.Millisecond
 	// Writes that may wait for a disk in trouble; beyond them the logs take no more entries.
-	mostWaitingJobs  = 256
-	mostWaitingBytes = 8 << 20
+	maxQueuedJobs  = 256
+	maxQueuedBytes = 8 << 20
 )
 
-// disk is the way of the machines' writes to the store. Jobs are carried out in their order, all that wait at once in
+// diskWriter is the way of the machines' writes to the store. Jobs are carried out in their order, all that wait at once in
 // one transaction.
-type disk struct {
-	folder string
-	wake   chan struct{}
-	ended  chan struct{}
-	once   sync.Once
+type diskWriter struct {
+	folder   string
+	wake     chan struct{}
+	stopped  chan struct{}
+	stopOnce sync.Once
 	// Of the disk goroutine.
-	store store // nil: there is no disk
-	lost  bool  // the store was found corrupt: no later write makes sense
+	store   store // nil: there is no disk
+	corrupt bool  // the store was found corrupt: no later write makes sense
 
-	mutex   sync.Mutex
-	jobs    []job
-	bytes   int           // of jobs that wait or are under way
-	began   time.Duration // when the write under way was first tried; 0: there is none
-	failure error         // of the last try of the write under way, or of opening the store
+	mutex        sync.Mutex
+	queue        []writeJob
+	queuedBytes  int           // of jobs that wait or are under way
+	writeStarted time.Duration // when the write under way was first tried; 0: there is none
+	lastError    error         // of the last try of the write under way, or of opening the store
 
 	// Of the host's mutex.
-	down     bool // leaderships are given up
-	nextStep time.Duration
+	leadershipReleased bool // leaderships are given up
+	nextStepDown       time.Duration
 }
 
-// job is a Ready's writes, or a snapshot that stands for a log.
-type job struct {
-	group    *group
-	ready    consensus.Ready
-	write    storage.Update
-	snapshot *consensus.Snapshot
-	bytes    int
+// writeJob is a Ready's writes, or a snapshot that stands for a log.
+type writeJob struct {
+	group     *group
+	ready     consensus.Ready
+	write     storage.Update
+	snapshot  *consensus.Snapshot
+	sizeBytes int
 }
 
 // store is what the disk goroutine needs of a storage.Store.
@@ -72,14 +72,14 @@
 	return s, err
 }
 
-func newDisk(folder string) *disk {
-	return &disk{folder: folder, wake: make(chan struct{}, 1), ended: make(chan struct{})}
+func newDiskWriter(folder string) *diskWriter {
+	return &diskWriter{folder: folder, wake: make(chan struct{}, 1), stopped: make(chan struct{})}
 }
 
-func (d *disk) add(j job) {
+func (d *diskWriter) enqueue(j writeJob) {
 	d.mutex.Lock()
-	d.jobs = append(d.jobs, j)
-	d.bytes += j.bytes
+	d.queue = append(d.queue, j)
+	d.queuedBytes += j.sizeBytes
 	d.mutex.Unlock()
 	select {
 	case d.wake <- struct{}{}:
@@ -87,29 +87,29 @@
 	}
 }
 
-func (d *disk) free(bytes int) {
+func (d *diskWriter) release(bytes int) {
 	d.mutex.Lock()
-	d.bytes -= bytes
+	d.queuedBytes -= bytes
 	d.mutex.Unlock()
 }
 
-func (d *disk) stop() { d.once.Do(func() { close(d.ended) }) }
+func (d *diskWriter) stop() { d.stopOnce.Do(func() { close(d.stopped) }) }
 
-// congested tells whether so much waits for the disk that no more is to be added.
-func (d *disk) congested() bool {
+// overloaded tells whether so much waits for the disk that no more is to be added.
+func (d *diskWriter) overloaded() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return len(d.jobs) > mostWaitingJobs || d.bytes > mostWaitingBytes
+	return len(d.queue) > maxQueuedJobs || d.queuedBytes > maxQueuedBytes
 }
 
-// trouble is why leadership is to be given up, nil while the disk works.
-func (d *disk) trouble(now time.Duration) error {
+// fault is why leadership is to be given up, nil while the disk works.
+func (d *diskWriter) fault(now time.Duration) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.failure == nil && d.began > 0 && now-d.began > stalledAfter {
-		return &DiskStalledError{Elapsed: now - d.began}
+	if d.lastError == nil && d.writeStarted > 0 && now-d.writeStarted > diskStallTimeout {
+		return &DiskStalledError{Elapsed: now - d.writeStarted}
 	}
-	return d.failure
+	return d.lastError
 }
 
 // DiskStalledError says that the disk has not finished a write for a while.
@@ -121,31 +121,31 @@
 		"; leadership is given up until it does; check the disk of the state folder"
 }
 
-func (d *disk) note(began time.Duration, failure error) {
+func (d *diskWriter) recordAttempt(began time.Duration, failure error) {
 	d.mutex.Lock()
-	d.began, d.failure = began, failure
+	d.writeStarted, d.lastError = began, failure
 	d.mutex.Unlock()
 }
 
-// watch tells of the disk's trouble, and whether leadership is to be given up because of it now.
-func (d *disk) watch(now, pause time.Duration) (trouble error, stepDown bool) {
-	trouble = d.trouble(now)
+// checkHealth tells of the disk's trouble, and whether leadership is to be given up because of it now.
+func (d *diskWriter) checkHealth(now, pause time.Duration) (trouble error, stepDown bool) {
+	trouble = d.fault(now)
 	if trouble == nil {
-		d.down = false
+		d.leadershipReleased = false
 		return nil, false
 	}
-	if d.down && now < d.nextStep {
+	if d.leadershipReleased && now < d.nextStepDown {
 		return trouble, false
 	}
-	d.down = true
-	d.nextStep = now + pause
+	d.leadershipReleased = true
+	d.nextStepDown = now + pause
 	return trouble, true
 }
 
-// watchDisk gives leadership up while the disk is in trouble.
-func (h *Host) watchDisk(now time.Duration) {
-	wasDown := h.disk.down
-	trouble, stepDown := h.disk.watch(now, 2*h.options.ElectionTimeout)
+// checkDisk gives leadership up while the disk is in trouble.
+func (h *Host) checkDisk(now time.Duration) {
+	wasDown := h.disk.leadershipReleased
+	trouble, stepDown := h.disk.checkHealth(now, 2*h.options.ElectionTimeout)
 	if wasDown && trouble == nil {
 		h.log.Info("disk works again")
 	}
@@ -153,51 +153,51 @@
 		h.log.Error("disk in trouble", zap.Error(trouble))
 	}
 	if stepDown {
-		h.stepDown()
+		h.releaseLeadership()
 	}
 }
 
-// runDisk owns the store: it opens it, starts the replicas and carries jobs out until the host stops.
-func (h *Host) runDisk() {
+// runDiskWriter owns the store: it opens it, starts the replicas and carries jobs out until the host stops.
+func (h *Host) runDiskWriter() {
 	d := h.disk
 	defer func() {
 		if d.store != nil {
 			d.store.Close()
 		}
 	}()
-	if !h.openDisk() {
+	if !h.openWithRetry() {
 		return
 	}
 	for {
 		select {
 		case <-d.wake:
-			h.carryOut()
-		case <-d.ended:
-			h.carryOut()
+			h.writeQueued()
+		case <-d.stopped:
+			h.writeQueued()
 			return
 		}
 	}
 }
 
-// carryOut writes the jobs that wait and lets the machines know.
-func (h *Host) carryOut() {
+// writeQueued writes the jobs that wait and lets the machines know.
+func (h *Host) writeQueued() {
 	d := h.disk
 	d.mutex.Lock()
-	jobs := d.jobs
-	d.jobs = nil
+	jobs := d.queue
+	d.queue = nil
 	d.mutex.Unlock()
-	if len(jobs) == 0 || d.lost {
+	if len(jobs) == 0 || d.corrupt {
 		return
 	}
-	writes := writesOf(jobs)
-	if len(writes) > 0 && !h.persist(writes) {
+	writes := durableWrites(jobs)
+	if len(writes) > 0 && !h.writeWithRetry(writes) {
 		return
 	}
-	h.persisted(jobs)
+	h.handlePersisted(jobs)
 }
 
-// writesOf are the writes of jobs, those left out that need not be on disk.
-func writesOf(jobs []job) (writes []storage.Update) {
+// durableWrites are the writes of jobs, those left out that need not be on disk.
+func durableWrites(jobs []writeJob) (writes []storage.Update) {
 	for i := range jobs {
 		if jobs[i].ready.MustSync || jobs[i].snapshot != nil {
 			writes = append(writes, jobs[i].write)
@@ -206,94 +206,94 @@
 	return writes
 }
 
-// persist tries until the writes are on the disk; false: the host stops before.
-func (h *Host) persist(writes []storage.Update) bool {
+// writeWithRetry tries until the writes are on the disk; false: the host stops before.
+func (h *Host) writeWithRetry(writes []storage.Update) bool {
 	d := h.disk
 	if d.store == nil {
 		return true
 	}
 	began := max(h.now(), 1)
-	d.note(began, nil)
-	pause := leastDiskPause
+	d.recordAttempt(began, nil)
+	pause := minDiskBackoff
 	for {
 		err := d.store.Write(writes...)
 		if err == nil {
-			d.note(0, nil)
+			d.recordAttempt(0, nil)
 			return true
 		}
-		d.note(began, err)
+		d.recordAttempt(began, err)
 		var corrupt *storage.CorruptError
 		if errors.As(err, &corrupt) {
-			h.failDisk(err)
-			d.lost = true
+			h.failFromDiskWriter(err)
+			d.corrupt = true
 			return false
 		}
-		h.wakeUp()
-		if !h.pauseDisk(&pause) {
+		h.wakeLoop()
+		if !h.waitDiskBackoff(&pause) {
 			return false
 		}
 	}
 }
 
-// pauseDisk waits before another try; false: the host stops.
-func (h *Host) pauseDisk(pause *time.Duration) bool {
+// waitDiskBackoff waits before another try; false: the host stops.
+func (h *Host) waitDiskBackoff(pause *time.Duration) bool {
 	timer := time.NewTimer(*pause)
 	defer timer.Stop()
-	*pause = min(2**pause, mostDiskPause)
+	*pause = min(2**pause, maxDiskBackoff)
 	select {
 	case <-timer.C:
 		return true
-	case <-h.disk.ended:
+	case <-h.disk.stopped:
 		return false
 	}
 }
 
-func (h *Host) wakeUp() {
+func (h *Host) wakeLoop() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (h *Host) failDisk(err error) {
+func (h *Host) failFromDiskWriter(err error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.fail(err)
+	h.reportFailure(err)
 }
 
-// persisted tells the machines and sends what waited for the writes.
-func (h *Host) persisted(jobs []job) {
+// handlePersisted tells the machines and sends what waited for the writes.
+func (h *Host) handlePersisted(jobs []writeJob) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	freed := 0
 	for i := range jobs {
 		j := &jobs[i]
-		freed += j.bytes
-		j.group.carriedOut(j, h)
+		freed += j.sizeBytes
+		j.group.handlePersisted(j, h)
 	}
-	h.disk.free(freed)
-	h.settle()
+	h.disk.release(freed)
+	h.processReady()
 }
 
-// openDisk opens the store and starts the replicas, as soon as the disk lets it; false: the host stops before.
-func (h *Host) openDisk() bool {
-	pause := leastDiskPause
+// openWithRetry opens the store and starts the replicas, as soon as the disk lets it; false: the host stops before.
+func (h *Host) openWithRetry() bool {
+	pause := minDiskBackoff
 	for {
 		began := max(h.now(), 1)
-		h.disk.note(began, nil)
-		id, stored, err := h.load()
+		h.disk.recordAttempt(began, nil)
+		id, stored, err := h.loadStored()
 		if err == nil {
-			h.disk.note(0, nil)
-			return h.begin(id, stored)
+			h.disk.recordAttempt(0, nil)
+			return h.startGroups(id, stored)
 		}
-		h.disk.note(began, err)
+		h.disk.recordAttempt(began, err)
 		var schema *storage.SchemaError
 		if errors.As(err, &schema) {
-			h.failDisk(err)
+			h.failFromDiskWriter(err)
 			return false
 		}
 		h.log.Error("state folder not opened", zap.Error(err))
-		if !h.pauseDisk(&pause) {
+		if !h.waitDiskBackoff(&pause) {
 			return false
 		}
 	}
--- a/internal/system/replica/disk_test.go
+++ b/internal/system/replica/disk_test.go
@@ -106,7 +106,7 @@
 	stalled.wait("the disk is back", func() error {
 		stalled.host.mutex.Lock()
 		defer stalled.host.mutex.Unlock()
-		if stalled.host.disk.down {
+		if stalled.host.disk.leadershipReleased {
 			return errors.New("it is not")
 		}
 		return nil
@@ -131,8 +131,8 @@
 		for _, m := range c.machines {
 			if m != full {
 				m.host.mutex.Lock()
-				m.host.groups[0].machine.TransferLeadership(m.host.now(), full.host.self.ID)
-				m.host.settle()
+				m.host.groups[0].node.TransferLeadership(m.host.now(), full.host.self.ID)
+				m.host.processReady()
 				m.host.mutex.Unlock()
 			}
 		}
--- a/internal/system/replica/founding.go
+++ b/internal/system/replica/founding.go
@@ -10,13 +10,13 @@
 	"cinderroad/internal/system/processconfig"
 )
 
-// founderPrefix keeps the hashes of founders apart from those of anything else.
-const founderPrefix = "founder"
+// founderIDPrefix keeps the hashes of founders apart from those of anything else.
+const founderIDPrefix = "founder"
 
 // founderID is the replica of a machine that founds the system. All founders know it of one another; a replica that
 // does not found has a random one, so that a founder that loses its disk never comes back under this one.
 func founderID(address netip.Addr) consensus.ReplicaID {
-	id := xxhash.Sum64String(founderPrefix + address.String())
+	id := xxhash.Sum64String(founderIDPrefix + address.String())
 	return consensus.ReplicaID(max(id, 1))
 }
 
@@ -25,10 +25,10 @@
 	return netip.AddrPortFrom(machine, s.Port(processconfig.ControlRPCPort))
 }
 
-// founding is the membership that a system begins with: the machines of the seed list, which is the same at all of them
+// bootstrapMembership is the membership that a system begins with: the machines of the seed list, which is the same at all of them
 // on the first boot. It tells false where this machine does not found. Names and zones are not known of the others yet;
 // each member tells them once it runs.
-func founding(s *processconfig.Settings) (consensus.Membership, bool) {
+func bootstrapMembership(s *processconfig.Settings) (consensus.Membership, bool) {
 	if !s.FirstBoot {
 		return consensus.Membership{}, false
 	}
--- a/internal/system/replica/group_test.go
+++ b/internal/system/replica/group_test.go
@@ -14,7 +14,7 @@
 	t    *testing.T
 	g    *group
 	now  time.Duration
-	jobs []job
+	jobs []writeJob
 	last map[consensus.MessageKind]consensus.Message // sent, by kind
 }
 
@@ -25,7 +25,7 @@
 	for id := consensus.ReplicaID(1); id <= 3; id++ {
 		stored.Snapshot.Membership.Members = append(stored.Snapshot.Membership.Members, consensus.Member{ID: id, Voter: true})
 	}
-	options := machineOptions(1, 1, defaultHeartbeat, defaultElection)
+	options := nodeOptions(1, 1, defaultHeartbeatInterval, defaultElectionTimeout)
 	if err := s.g.start(s.now, options, stored); err != nil {
 		t.Fatal(err)
 	}
@@ -38,19 +38,19 @@
 	}
 }
 
-func (s *scriptedGroup) write(j job) { s.jobs = append(s.jobs, j) }
+func (s *scriptedGroup) enqueueWrite(j writeJob) { s.jobs = append(s.jobs, j) }
 
 // settle does all that the machine wants done.
 func (s *scriptedGroup) settle() {
 	s.t.Helper()
 	for more := true; more; {
-		if err := s.g.settle(s); err != nil {
+		if err := s.g.processReady(s); err != nil {
 			s.t.Fatal(err)
 		}
 		jobs := s.jobs
 		s.jobs = nil
 		for i := range jobs {
-			s.g.carriedOut(&jobs[i], s)
+			s.g.handlePersisted(&jobs[i], s)
 		}
 		more = len(jobs) > 0
 	}
@@ -59,19 +59,19 @@
 func (s *scriptedGroup) step(m consensus.Message) {
 	s.t.Helper()
 	m.To = 1
-	s.g.machine.Step(s.now, m)
+	s.g.node.Step(s.now, m)
 	s.settle()
 }
 
 // elect has the group win an election by the vote of replica 2.
 func (s *scriptedGroup) elect() {
 	s.t.Helper()
-	s.now = s.g.machine.NextTick()
-	s.g.machine.Tick(s.now)
+	s.now = s.g.node.NextTick()
+	s.g.node.Tick(s.now)
 	s.settle()
 	s.step(consensus.Message{Kind: consensus.MessagePreVoteReply, From: 2, Term: s.last[consensus.MessagePreVote].Term})
 	s.step(consensus.Message{Kind: consensus.MessageVoteReply, From: 2, Term: s.last[consensus.MessageVote].Term})
-	if s.g.machine.Role() != consensus.Leader {
+	if s.g.node.Role() != consensus.Leader {
 		s.t.Fatal("the election was lost")
 	}
 }
@@ -123,12 +123,12 @@
 func TestLargeCommandIsAppendedOnce(t *testing.T) {
 	s := newScriptedGroup(t)
 	s.elect()
-	large := strings.Repeat("x", bulkBytes)
+	large := strings.Repeat("x", bulkThresholdBytes)
 	waiting := []*proposal{s.propose(large), s.propose(large), s.propose(large)}
-	if last := s.g.machine.Status().LastIndex; last != waiting[0].index {
+	if last := s.g.node.Status().LastIndex; last != waiting[0].index {
 		t.Fatalf("the log goes to %d, and the command stands at %d", last, waiting[0].index)
 	}
-	s.g.abandon(waiting[1])
+	s.g.abandonProposal(waiting[1])
 	s.step(consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: s.last[consensus.MessageVote].Term,
 		Index: waiting[0].index})
 	for i, p := range waiting {
@@ -178,23 +178,23 @@
 	s := newScriptedGroup(t)
 	beat := consensus.Message{Kind: consensus.MessageAppend, From: 2, To: 1, Term: 1, Round: 1,
 		Entries: []consensus.Entry{{Index: 1, Term: 1}}}
-	for beat.Round < 4*mostWaitingJobs {
-		s.now += defaultHeartbeat
-		s.g.machine.Step(s.now, beat)
-		if err := s.g.settle(s); err != nil {
+	for beat.Round < 4*maxQueuedJobs {
+		s.now += defaultHeartbeatInterval
+		s.g.node.Step(s.now, beat)
+		if err := s.g.processReady(s); err != nil {
 			t.Fatal(err)
 		}
 		beat.Round, beat.Entries = beat.Round+1, nil
 		beat.Index, beat.LogTerm = 1, 1
 	}
-	if len(s.jobs) > mostWaitingJobs || s.g.machine.Leader() != 2 {
-		t.Errorf("%d jobs wait, and %d leads", len(s.jobs), s.g.machine.Leader())
+	if len(s.jobs) > maxQueuedJobs || s.g.node.Leader() != 2 {
+		t.Errorf("%d jobs wait, and %d leads", len(s.jobs), s.g.node.Leader())
 	}
 	s.last = map[consensus.MessageKind]consensus.Message{}
 	jobs := s.jobs
 	s.jobs = nil
 	for i := range jobs {
-		s.g.carriedOut(&jobs[i], s)
+		s.g.handlePersisted(&jobs[i], s)
 	}
 	s.step(beat)
 	if reply := s.last[consensus.MessageAppendReply]; reply.Index != 1 || reply.Round != beat.Round {
--- a/internal/system/replica/host.go
+++ b/internal/system/replica/host.go
@@ -18,17 +18,17 @@
 
 // Times of the agreement. A lost leader is replaced within about two election times.
 const (
-	defaultHeartbeat = 150 * time.Millisecond
-	defaultElection  = 750 * time.Millisecond
-	grid             = 10 * time.Millisecond // to which timers are put off, so that several share a wake-up
-	manageEvery      = 500 * time.Millisecond
-	handOverWithin   = 2 * time.Second // when the host stops
+	defaultHeartbeatInterval = 150 * time.Millisecond
+	defaultElectionTimeout   = 750 * time.Millisecond
+	timerGranularity         = 10 * time.Millisecond // to which timers are put off, so that several share a wake-up
+	membershipCheckInterval  = 500 * time.Millisecond
+	transferTimeout          = 2 * time.Second // when the host stops
 )
 
 // Bounds of what is sent.
 const (
-	appendBytes = 128 << 10 // of entries in one message, or one entry
-	inflight    = 8         // unanswered messages with entries to one replica
+	maxAppendBytes     = 128 << 10 // of entries in one message, or one entry
+	maxInflightAppends = 8         // unanswered messages with entries to one replica
 )
 
 // Options are a host's.
@@ -55,26 +55,26 @@
 	address netip.AddrPort   // of self
 	started time.Time
 
-	mutex  sync.Mutex
-	groups []*group
-	peers  *peers
-	joins  joins
+	mutex        sync.Mutex
+	groups       []*group
+	peers        *peerSet
+	joinRequests joinRequests
 	// departures are replicas whose processes are about to end, as they said.
-	departures departures
-	disk       *disk
-	known      []netip.AddrPort // hints of other replicas' addresses
-	manageDue  time.Duration
-	joinDue    time.Duration
-	corrupted  bool          // the store that this process found was moved aside
-	armed      time.Duration // when the loop wakes next
-	failed     bool
-	leaving    bool // Leave was called
-	stopping   bool
+	departures          departures
+	disk                *diskWriter
+	knownAddresses      []netip.AddrPort // hints of other replicas' addresses
+	nextMembershipCheck time.Duration
+	nextJoin            time.Duration
+	storeCorrupted      bool          // the store that this process found was moved aside
+	nextWakeUp          time.Duration // when the loop wakes next
+	failed              bool
+	leaving             bool // Leave was called
+	stopping            bool
 
-	wake    chan struct{}
-	context context.Context
-	cancel  context.CancelFunc
-	running sync.WaitGroup
+	wake       chan struct{}
+	context    context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 	// openStore opens a state folder; tests put a failing disk in its place.
 	openStore func(folder string) (store, error)
 }
@@ -82,10 +82,10 @@
 // New returns a host that does nothing before Start. Its handlers may be registered at once.
 func New(options Options) *Host {
 	if options.HeartbeatInterval == 0 {
-		options.HeartbeatInterval = defaultHeartbeat
+		options.HeartbeatInterval = defaultHeartbeatInterval
 	}
 	if options.ElectionTimeout == 0 {
-		options.ElectionTimeout = defaultElection
+		options.ElectionTimeout = defaultElectionTimeout
 	}
 	h := &Host{options: options, log: options.Log, started: time.Now(), wake: make(chan struct{}, 1),
 		openStore: openStorage}
@@ -99,46 +99,46 @@
 		h.groups = append(h.groups, newGroup(feed.Partition(i), state))
 	}
 	for _, seed := range settings.SeedNodes {
-		h.hint(controlAddress(settings, seed.Addr()))
+		h.addAddress(controlAddress(settings, seed.Addr()))
 	}
 	h.context, h.cancel = context.WithCancel(context.Background())
-	h.peers = newPeers(h.context, &h.running)
-	h.disk = newDisk(settings.StateDir)
+	h.peers = newPeerSet(h.context, &h.goroutines)
+	h.disk = newDiskWriter(settings.StateDir)
 	return h
 }
 
 // Start opens the store, which it tries again for as long as the disk fails, and runs the replicas. It does not wait.
 func (h *Host) Start() {
-	h.running.Add(2)
+	h.goroutines.Add(2)
 	go func() {
-		defer h.running.Done()
-		h.runDisk()
+		defer h.goroutines.Done()
+		h.runDiskWriter()
 	}()
 	go func() {
-		defer h.running.Done()
+		defer h.goroutines.Done()
 		h.run()
 	}()
 }
 
-// Stop hands leadership over, and votes where another member can take them, which takes handOverWithin at most; then it
+// Stop hands leadership over, and votes where another member can take them, which takes transferTimeout at most; then it
 // writes what is under way and closes the store. The handlers are to be served until it returns. The context bounds all
 // of it: a disk that hangs is not waited for.
 func (h *Host) Stop(ctx context.Context) {
 	h.Leave()
-	handOver, cancel := context.WithTimeout(ctx, handOverWithin)
+	handOver, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	h.awaitFollowing(handOver)
+	h.awaitLeadershipTransferred(handOver)
 	h.awaitVotesMoved(handOver)
 	h.mutex.Lock()
 	h.stopping = true
-	h.stepDown()
+	h.releaseLeadership()
 	h.mutex.Unlock()
 	h.cancel()
 	h.disk.stop()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		h.running.Wait()
+		h.goroutines.Wait()
 	}()
 	select {
 	case <-ended:
@@ -146,26 +146,26 @@
 	}
 }
 
-// awaitFollowing returns once this host leads no group.
-func (h *Host) awaitFollowing(ctx context.Context) {
+// awaitLeadershipTransferred returns once this host leads no group.
+func (h *Host) awaitLeadershipTransferred(ctx context.Context) {
 	for _, g := range h.groups {
 		for {
 			h.mutex.Lock()
-			changed := g.changed
-			leads := g.machine != nil && g.machine.Role() == consensus.Leader
+			changed := g.leaderChanged
+			leads := g.node != nil && g.node.Role() == consensus.Leader
 			h.mutex.Unlock()
 			if !leads {
 				break
 			}
-			if !await(ctx, changed, grid) {
+			if !waitOrTimeout(ctx, changed, timerGranularity) {
 				return
 			}
 		}
 	}
 }
 
-// await returns once the channel is closed or the time has passed; false: the context ended.
-func await(ctx context.Context, changed <-chan struct{}, atMost time.Duration) bool {
+// waitOrTimeout returns once the channel is closed or the time has passed; false: the context ended.
+func waitOrTimeout(ctx context.Context, changed <-chan struct{}, atMost time.Duration) bool {
 	timer := time.NewTimer(atMost)
 	defer timer.Stop()
 	select {
@@ -180,42 +180,42 @@
 // now is the steady time since the host was made.
 func (h *Host) now() time.Duration { return time.Since(h.started) }
 
-// begin makes the machines of what is stored; false: the state machines do not take it.
-func (h *Host) begin(id consensus.ReplicaID, stored []consensus.PersistentState) bool {
+// startGroups makes the machines of what is stored; false: the state machines do not take it.
+func (h *Host) startGroups(id consensus.ReplicaID, stored []consensus.PersistentState) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for i, g := range h.groups {
-		options := machineOptions(id, randomNumber(), h.options.HeartbeatInterval, h.options.ElectionTimeout)
+		options := nodeOptions(id, randomUint64(), h.options.HeartbeatInterval, h.options.ElectionTimeout)
 		if err := g.start(h.now(), options, stored[i]); err != nil {
-			h.fail(fmt.Errorf("replica: stored state of partition %d: %w", g.partition, err))
+			h.reportFailure(fmt.Errorf("replica: stored state of partition %d: %w", g.partition, err))
 			return false
 		}
 	}
 	h.self.ID = id
-	h.manageDue = 0
-	h.log.Info("replica started", zap.String("replica", idText(id)))
-	h.settle()
+	h.nextMembershipCheck = 0
+	h.log.Info("replica started", zap.String("replica", formatReplicaID(id)))
+	h.processReady()
 	for _, g := range h.groups {
-		if g.applied > 0 && h.options.OnApplied != nil {
-			h.options.OnApplied(g.partition, g.applied)
+		if g.appliedIndex > 0 && h.options.OnApplied != nil {
+			h.options.OnApplied(g.partition, g.appliedIndex)
 		}
 	}
 	return true
 }
 
-// machineOptions are those of a replica of any partition.
-func machineOptions(id consensus.ReplicaID, seed uint64, heartbeat, election time.Duration) consensus.Config {
-	return consensus.Config{ID: id, HeartbeatInterval: heartbeat, ElectionTimeout: election, Seed: seed, MaxAppendBytes: appendBytes,
-		MaxInflightAppends: inflight, SnapshotThreshold: 4 * tailEntries}
+// nodeOptions are those of a replica of any partition.
+func nodeOptions(id consensus.ReplicaID, seed uint64, heartbeat, election time.Duration) consensus.Config {
+	return consensus.Config{ID: id, HeartbeatInterval: heartbeat, ElectionTimeout: election, Seed: seed, MaxAppendBytes: maxAppendBytes,
+		MaxInflightAppends: maxInflightAppends, SnapshotThreshold: 4 * retainedEntries}
 }
 
-func randomNumber() uint64 {
+func randomUint64() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-func idText(id consensus.ReplicaID) string { return fmt.Sprintf("%016x", uint64(id)) }
+func formatReplicaID(id consensus.ReplicaID) string { return fmt.Sprintf("%016x", uint64(id)) }
 
 // run ticks the machines when they are due.
 func (h *Host) run() {
@@ -237,44 +237,44 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := h.now()
-	h.watchDisk(now)
+	h.checkDisk(now)
 	for _, g := range h.groups {
-		if g.machine != nil && g.machine.NextTick() <= now {
-			g.machine.Tick(now)
+		if g.node != nil && g.node.NextTick() <= now {
+			g.node.Tick(now)
 		}
 	}
-	if now >= h.manageDue {
-		h.manageDue = now + manageEvery
-		h.manage(now)
+	if now >= h.nextMembershipCheck {
+		h.nextMembershipCheck = now + membershipCheckInterval
+		h.checkMemberships(now)
 	}
-	h.settle()
-	h.armed = h.due()
-	return max(h.armed-h.now(), 0)
+	h.processReady()
+	h.nextWakeUp = h.nextDeadline()
+	return max(h.nextWakeUp-h.now(), 0)
 }
 
-// due is when something is to be done next, put off to the grid.
-func (h *Host) due() time.Duration {
-	due := h.manageDue
+// nextDeadline is when something is to be done next, put off to the grid.
+func (h *Host) nextDeadline() time.Duration {
+	due := h.nextMembershipCheck
 	for _, g := range h.groups {
-		if g.machine != nil {
-			due = min(due, g.machine.NextTick())
+		if g.node != nil {
+			due = min(due, g.node.NextTick())
 		}
 	}
-	return (due + grid - 1) / grid * grid
+	return (due + timerGranularity - 1) / timerGranularity * timerGranularity
 }
 
-// step passes a message to its replica.
-func (h *Host) step(now time.Duration, partition feed.Partition, message consensus.Message) {
+// stepMessage passes a message to its replica.
+func (h *Host) stepMessage(now time.Duration, partition feed.Partition, message consensus.Message) {
 	g := h.group(partition)
-	if g == nil || g.machine == nil {
+	if g == nil || g.node == nil {
 		return
 	}
-	membership := g.machine.Membership()
-	g.contacts.note(message.From, &membership, now)
-	if h.disk.congested() && (len(message.Entries) > 0 || message.Snapshot != nil) {
+	membership := g.node.Membership()
+	g.contacts.record(message.From, &membership, now)
+	if h.disk.overloaded() && (len(message.Entries) > 0 || message.Snapshot != nil) {
 		return // it is sent again once the disk has caught up
 	}
-	g.machine.Step(now, message)
+	g.node.Step(now, message)
 }
 
 func (h *Host) group(partition feed.Partition) *group {
@@ -284,15 +284,15 @@
 	return h.groups[partition]
 }
 
-// settle does what the machines want done. Whoever has called a machine calls it before it lets go of the mutex.
-func (h *Host) settle() {
+// processReady does what the machines want done. Whoever has called a machine calls it before it lets go of the mutex.
+func (h *Host) processReady() {
 	for _, g := range h.groups {
-		if g.machine != nil {
-			h.settleGroup(g)
+		if g.node != nil {
+			h.processGroup(g)
 		}
 	}
 	h.peers.flush()
-	if h.due() < h.armed {
+	if h.nextDeadline() < h.nextWakeUp {
 		select {
 		case h.wake <- struct{}{}:
 		default:
@@ -300,18 +300,18 @@
 	}
 }
 
-func (h *Host) settleGroup(g *group) {
-	applied, led := g.applied, g.leads
-	if err := g.settle(h); err != nil {
-		h.fail(fmt.Errorf("replica: snapshot of partition %d: %w", g.partition, err))
+func (h *Host) processGroup(g *group) {
+	applied, led := g.appliedIndex, g.isLeader
+	if err := g.processReady(h); err != nil {
+		h.reportFailure(fmt.Errorf("replica: snapshot of partition %d: %w", g.partition, err))
 	}
-	if g.applied != applied && h.options.OnApplied != nil {
-		h.options.OnApplied(g.partition, g.applied)
+	if g.appliedIndex != applied && h.options.OnApplied != nil {
+		h.options.OnApplied(g.partition, g.appliedIndex)
 	}
-	if g.leads != led {
-		g.ledSince = h.now()
-		h.log.Info("leadership changed", zap.Uint16("partition", uint16(g.partition)), zap.Bool("leads", g.leads),
-			zap.Uint64("term", g.machine.Status().Term))
+	if g.isLeader != led {
+		g.leadershipSince = h.now()
+		h.log.Info("leadership changed", zap.Uint16("partition", uint16(g.partition)), zap.Bool("leads", g.isLeader),
+			zap.Uint64("term", g.node.Status().Term))
 	}
 }
 
@@ -319,7 +319,7 @@
 func (h *Host) send(g *group, messages []consensus.Message) {
 	for i := range messages {
 		message := &messages[i]
-		address, known := h.route(g, message.To)
+		address, known := h.destination(g, message.To)
 		if !known {
 			continue
 		}
@@ -331,28 +331,28 @@
 	}
 }
 
-// route is where a message goes; false: nowhere, its receiver is not known or an earlier life of this machine.
-func (h *Host) route(g *group, to consensus.ReplicaID) (netip.AddrPort, bool) {
-	address, known := h.addressOf(g, to)
+// destination is where a message goes; false: nowhere, its receiver is not known or an earlier life of this machine.
+func (h *Host) destination(g *group, to consensus.ReplicaID) (netip.AddrPort, bool) {
+	address, known := h.replicaAddress(g, to)
 	return address, known && address != h.address
 }
 
-// write has a job carried out; see outlet.
-func (h *Host) write(j job) { h.disk.add(j) }
+// enqueueWrite has a job carried out; see outlet.
+func (h *Host) enqueueWrite(j writeJob) { h.disk.enqueue(j) }
 
-// stepDown gives leadership of all groups up and keeps this host from leading for a few election times.
-func (h *Host) stepDown() {
+// releaseLeadership gives leadership of all groups up and keeps this host from leading for a few election times.
+func (h *Host) releaseLeadership() {
 	now := h.now()
 	for _, g := range h.groups {
-		if g.machine != nil {
-			g.machine.StepDown(now)
+		if g.node != nil {
+			g.node.StepDown(now)
 		}
 	}
-	h.settle()
+	h.processReady()
 }
 
-// fail reports that this process's replicas cannot go on.
-func (h *Host) fail(err error) {
+// reportFailure reports that this process's replicas cannot go on.
+func (h *Host) reportFailure(err error) {
 	if h.failed {
 		return
 	}
--- a/internal/system/replica/host_test.go
+++ b/internal/system/replica/host_test.go
@@ -167,7 +167,7 @@
 	<-m.served
 	m.host.cancel()
 	m.host.disk.stop()
-	m.host.running.Wait()
+	m.host.goroutines.Wait()
 	m.host = nil
 }
 
@@ -288,7 +288,7 @@
 	m.host.mutex.Lock()
 	defer m.host.mutex.Unlock()
 	for _, member := range membership.Members {
-		if member.ID == m.host.self.ID && !particularsDiffer(&member, &m.host.self) {
+		if member.ID == m.host.self.ID && !attributesDiffer(&member, &m.host.self) {
 			return true
 		}
 	}
@@ -477,20 +477,20 @@
 	stored := consensus.PersistentState{Snapshot: consensus.Snapshot{Membership: consensus.Membership{Members: []consensus.Member{
 		member, {ID: founder, Address: "10.0.0.2:9000", Voter: true}}}}}
 	g := host.groups[0]
-	if err := g.start(time.Second, machineOptions(self, 1, defaultHeartbeat, defaultElection), stored); err != nil {
+	if err := g.start(time.Second, nodeOptions(self, 1, defaultHeartbeatInterval, defaultElectionTimeout), stored); err != nil {
 		t.Fatal(err)
 	}
 	for _, leader := range []struct {
 		id    consensus.ReplicaID
 		wants bool
 	}{{founder, false}, {joined, true}} {
-		g.machine.Step(time.Second, consensus.Message{Kind: consensus.MessageAppend, From: leader.id, To: self, Term: uint64(leader.id)})
-		if wants := host.wantsIn(time.Second); wants != leader.wants {
+		g.node.Step(time.Second, consensus.Message{Kind: consensus.MessageAppend, From: leader.id, To: self, Term: uint64(leader.id)})
+		if wants := host.needsJoin(time.Second); wants != leader.wants {
 			t.Errorf("led by %d: it asks to be taken in: %v, want %v", leader.id, wants, leader.wants)
 		}
 	}
-	host.peers.learn(joined, netip.MustParseAddrPort("10.0.0.9:9000"))
-	if host.wantsIn(time.Second) {
+	host.peers.learnAddress(joined, netip.MustParseAddrPort("10.0.0.9:9000"))
+	if host.needsJoin(time.Second) {
 		t.Error("it asks on although it knows where its leader is")
 	}
 }
--- a/internal/system/replica/joins.go
+++ b/internal/system/replica/joins.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	joinLasts = 3 * time.Second // after which a request to join has to be repeated
-	mostJoins = 32
+	joinRequestTTL  = 3 * time.Second // after which a request to join has to be repeated
+	maxJoinRequests = 32
 )
 
-// joins are the replicas that ask to be taken in.
-type joins struct{ requests []joinRequest }
+// joinRequests are the replicas that ask to be taken in.
+type joinRequests struct{ requests []joinRequest }
 
 type joinRequest struct {
-	member consensus.Member
-	at     time.Duration
+	member     consensus.Member
+	receivedAt time.Duration
 }
 
-// note takes a request, in place of an earlier one of the same replica or from the same place.
-func (j *joins) note(member consensus.Member, now time.Duration) {
+// add takes a request, in place of an earlier one of the same replica or from the same place.
+func (j *joinRequests) add(member consensus.Member, now time.Duration) {
 	j.requests = slices.DeleteFunc(j.requests, func(r joinRequest) bool {
-		return r.member.ID == member.ID || samePlace(&r.member, &member) || now-r.at > joinLasts
+		return r.member.ID == member.ID || sameMachine(&r.member, &member) || now-r.receivedAt > joinRequestTTL
 	})
-	if len(j.requests) < mostJoins && member.ID != 0 && member.Address != "" {
+	if len(j.requests) < maxJoinRequests && member.ID != 0 && member.Address != "" {
 		j.requests = append(j.requests, joinRequest{member, now})
 	}
 }
 
-// members are those that asked of late.
-func (j *joins) members(now time.Duration) (members []consensus.Member) {
+// active are those that asked of late.
+func (j *joinRequests) active(now time.Duration) (members []consensus.Member) {
 	for i := range j.requests {
-		if now-j.requests[i].at <= joinLasts {
+		if now-j.requests[i].receivedAt <= joinRequestTTL {
 			members = append(members, j.requests[i].member)
 		}
 	}
--- a/internal/system/replica/leave.go
+++ b/internal/system/replica/leave.go
@@ -8,34 +8,34 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// departureLasts is how long the word that a process is about to end holds; it is repeated each leaveEvery until then.
-const departureLasts = time.Second
+// departureTTL is how long the word that a process is about to end holds; it is repeated each leaveInterval until then.
+const departureTTL = time.Second
 
 // departures are replicas whose processes are about to end, or have ended, as they said.
 type departures struct{ notices []departure }
 
 type departure struct {
-	id consensus.ReplicaID
-	at time.Duration
+	id         consensus.ReplicaID
+	receivedAt time.Duration
 }
 
-// note takes the word of a replica.
-func (d *departures) note(id consensus.ReplicaID, now time.Duration) {
-	d.notices = slices.DeleteFunc(d.notices, func(n departure) bool { return n.id == id || now-n.at > lostAfter })
-	if len(d.notices) < mostMembers {
+// add takes the word of a replica.
+func (d *departures) add(id consensus.ReplicaID, now time.Duration) {
+	d.notices = slices.DeleteFunc(d.notices, func(n departure) bool { return n.id == id || now-n.receivedAt > lostTimeout })
+	if len(d.notices) < maxMembers {
 		d.notices = append(d.notices, departure{id, now})
 	}
 }
 
-// leaving tells whether a replica said of late that its process is about to end.
-func (d *departures) leaving(id consensus.ReplicaID, now time.Duration) bool {
-	return slices.ContainsFunc(d.notices, func(n departure) bool { return n.id == id && now-n.at <= departureLasts })
+// isLeaving tells whether a replica said of late that its process is about to end.
+func (d *departures) isLeaving(id consensus.ReplicaID, now time.Duration) bool {
+	return slices.ContainsFunc(d.notices, func(n departure) bool { return n.id == id && now-n.receivedAt <= departureTTL })
 }
 
-// left tells whether a replica said that its process was about to end and has not been heard since. It was heard last at
+// hasDeparted tells whether a replica said that its process was about to end and has not been heard since. It was heard last at
 // heard, 0: never.
-func (d *departures) left(id consensus.ReplicaID, heard time.Duration) bool {
-	return slices.ContainsFunc(d.notices, func(n departure) bool { return n.id == id && heard <= n.at+departureLasts })
+func (d *departures) hasDeparted(id consensus.ReplicaID, heard time.Duration) bool {
+	return slices.ContainsFunc(d.notices, func(n departure) bool { return n.id == id && heard <= n.receivedAt+departureTTL })
 }
 
 // Leave prepares the end of the process: from now on this host tells the others that it goes, so that the leader of each
@@ -49,18 +49,18 @@
 		return
 	}
 	h.leaving = true
-	h.manageDue = 0
-	h.stepDown()
+	h.nextMembershipCheck = 0
+	h.releaseLeadership()
 }
 
-// announceLeaving tells all machines that may have replicas.
-func (h *Host) announceLeaving() {
-	h.departures.note(h.self.ID, h.now())
+// announceDeparture tells all machines that may have replicas.
+func (h *Host) announceDeparture() {
+	h.departures.add(h.self.ID, h.now())
 	request := &LeaveRequest{ID: h.self.ID}
-	for address := range h.addresses() {
-		client := h.peers.at(address).client
-		h.running.Go(func() {
-			ctx, cancel := context.WithTimeout(h.context, joinWithin)
+	for address := range h.peerAddresses() {
+		client := h.peers.get(address).client
+		h.goroutines.Go(func() {
+			ctx, cancel := context.WithTimeout(h.context, joinTimeout)
 			defer cancel()
 			_, _ = leaveCall.Invoke(ctx, client, request) // repeated until the process ends
 		})
@@ -69,21 +69,21 @@
 
 // awaitVotesMoved returns once no group that has a learner to take this replica's vote counts on it any more.
 func (h *Host) awaitVotesMoved(ctx context.Context) {
-	for h.votesToMove() && await(ctx, nil, grid) {
+	for h.hasMovableVote() && waitOrTimeout(ctx, nil, timerGranularity) {
 	}
 }
 
-func (h *Host) votesToMove() bool {
+func (h *Host) hasMovableVote() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return slices.ContainsFunc(h.groups, func(g *group) bool {
-		return g.machine != nil && voteMayMove(g.machine.Status(), h.self.ID)
+		return g.node != nil && isVoteMovable(g.node.Status(), h.self.ID)
 	})
 }
 
-// voteMayMove tells whether a replica has a vote that a learner could take, as far as it knows, or whether that is under
+// isVoteMovable tells whether a replica has a vote that a learner could take, as far as it knows, or whether that is under
 // way.
-func voteMayMove(status consensus.Status, self consensus.ReplicaID) bool {
+func isVoteMovable(status consensus.Status, self consensus.ReplicaID) bool {
 	votes, learners := false, false
 	for _, member := range status.Membership.Members {
 		switch {
--- a/internal/system/replica/load.go
+++ b/internal/system/replica/load.go
@@ -10,25 +10,25 @@
 	"cinderroad/internal/system/storage"
 )
 
-// load returns which replica this machine has and what it stored; a new one is established first.
-func (h *Host) load() (consensus.ReplicaID, []consensus.PersistentState, error) {
+// loadStored returns which replica this machine has and what it stored; a new one is established first.
+func (h *Host) loadStored() (consensus.ReplicaID, []consensus.PersistentState, error) {
 	if h.disk.folder == "" {
-		id, stored := h.newReplica()
+		id, stored := h.newIdentity()
 		return id, stored, nil
 	}
-	if err := h.open(); err != nil {
+	if err := h.openIfNeeded(); err != nil {
 		return 0, nil, err
 	}
 	id, existed := h.disk.store.Identity()
 	if !existed {
-		return h.establish()
+		return h.initializeStore()
 	}
 	stored, err := h.loadPartitions()
 	return id, stored, err
 }
 
-// open opens the store unless an earlier try has.
-func (h *Host) open() error {
+// openIfNeeded opens the store unless an earlier try has.
+func (h *Host) openIfNeeded() error {
 	if h.disk.store != nil {
 		return nil
 	}
@@ -38,20 +38,20 @@
 		return err
 	}
 	if corrupt != nil {
-		h.corrupted = true
+		h.storeCorrupted = true
 		h.log.Error("state folder was corrupt", zap.Error(corrupt))
 	}
 	h.disk.store = store
-	h.corrupted = h.corrupted || store.HasPredecessor()
+	h.storeCorrupted = h.storeCorrupted || store.HasPredecessor()
 	return nil
 }
 
-// newReplica is a founder where this machine founds the system, and else one without a past under a random number.
-func (h *Host) newReplica() (consensus.ReplicaID, []consensus.PersistentState) {
+// newIdentity is a founder where this machine founds the system, and else one without a past under a random number.
+func (h *Host) newIdentity() (consensus.ReplicaID, []consensus.PersistentState) {
 	stored := make([]consensus.PersistentState, len(h.groups))
-	founders, founds := founding(h.options.Settings)
-	if !founds || h.corrupted {
-		return consensus.ReplicaID(max(randomNumber(), 1)), stored
+	founders, founds := bootstrapMembership(h.options.Settings)
+	if !founds || h.storeCorrupted {
+		return consensus.ReplicaID(max(randomUint64(), 1)), stored
 	}
 	for i := range stored {
 		stored[i].Snapshot.Membership = founders
@@ -59,9 +59,9 @@
 	return founderID(h.options.Settings.IP), stored
 }
 
-// establish makes the empty store a new replica's.
-func (h *Host) establish() (consensus.ReplicaID, []consensus.PersistentState, error) {
-	id, stored := h.newReplica()
+// initializeStore makes the empty store a new replica's.
+func (h *Host) initializeStore() (consensus.ReplicaID, []consensus.PersistentState, error) {
+	id, stored := h.newIdentity()
 	var writes []storage.Update
 	for i := range stored {
 		if len(stored[i].Snapshot.Membership.Members) > 0 {
@@ -85,19 +85,19 @@
 			err = stored[i].Validate()
 		}
 		if err != nil {
-			return nil, h.discardCorrupt(err)
+			return nil, h.discardStore(err)
 		}
 	}
 	return stored, nil
 }
 
-// discardCorrupt moves the store aside if the error says that it is corrupt.
-func (h *Host) discardCorrupt(err error) error {
+// discardStore moves the store aside if the error says that it is corrupt.
+func (h *Host) discardStore(err error) error {
 	var disk *storage.DiskError
 	if errors.As(err, &disk) {
 		return err
 	}
-	h.corrupted = true
+	h.storeCorrupted = true
 	discarded := h.disk.store.Discard()
 	h.disk.store = nil
 	return errors.Join(err, discarded)
--- a/internal/system/replica/manage.go
+++ b/internal/system/replica/manage.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	manageAgain = 50 * time.Millisecond // after a change of membership, or a word of a replica that comes or goes
-	lonelyFor   = 2 * time.Second       // without a leader after which a replica asks to be taken in again
-	joinWithin  = time.Second
-	mostKnown   = 64                     // addresses of other replicas
-	behindFor   = 300 * time.Millisecond // for which a learner that may not vote yet is passed over
-	leaveEvery  = 200 * time.Millisecond // between two words of a host that it leaves
-	closeBehind = 16                     // entries by which a learner may be behind as it becomes a voter
+	membershipRecheckDelay = 50 * time.Millisecond // after a change of membership, or a word of a replica that comes or goes
+	leaderlessTimeout      = 2 * time.Second       // without a leader after which a replica asks to be taken in again
+	joinTimeout            = time.Second
+	maxKnownAddresses      = 64                     // addresses of other replicas
+	promotionBackoff       = 300 * time.Millisecond // for which a learner that may not vote yet is passed over
+	leaveInterval          = 200 * time.Millisecond // between two words of a host that it leaves
+	maxPromotionLag        = 16                     // entries by which a learner may be behind as it becomes a voter
 )
 
 // AddPeerAddresses adds addresses at which control replicas may be found, as membership gossip tells them.
@@ -29,20 +29,20 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for _, address := range addresses {
-		h.hint(address)
+		h.addAddress(address)
 	}
 }
 
-func (h *Host) hint(address netip.AddrPort) {
+func (h *Host) addAddress(address netip.AddrPort) {
 	if !address.IsValid() || address == h.address {
 		return
 	}
-	if i := slices.Index(h.known, address); i >= 0 {
-		h.known = slices.Delete(h.known, i, i+1)
+	if i := slices.Index(h.knownAddresses, address); i >= 0 {
+		h.knownAddresses = slices.Delete(h.knownAddresses, i, i+1)
 	}
-	h.known = append(h.known, address)
-	if len(h.known) > mostKnown {
-		h.known = slices.Delete(h.known, 0, 1)
+	h.knownAddresses = append(h.knownAddresses, address)
+	if len(h.knownAddresses) > maxKnownAddresses {
+		h.knownAddresses = slices.Delete(h.knownAddresses, 0, 1)
 	}
 }
 
@@ -55,10 +55,10 @@
 
 func (h *Host) members() (members []consensus.Member) {
 	for _, g := range h.groups {
-		if g.machine == nil {
+		if g.node == nil {
 			continue
 		}
-		for _, member := range g.machine.Membership().Members {
+		for _, member := range g.node.Membership().Members {
 			if !slices.ContainsFunc(members, func(m consensus.Member) bool { return m.ID == member.ID }) {
 				members = append(members, member)
 			}
@@ -67,84 +67,84 @@
 	return members
 }
 
-// manage looks after the memberships: this replica's own, and those of the groups that it leads.
-func (h *Host) manage(now time.Duration) {
+// checkMemberships looks after the memberships: this replica's own, and those of the groups that it leads.
+func (h *Host) checkMemberships(now time.Duration) {
 	if h.self.ID == 0 || h.stopping {
 		return
 	}
 	if h.leaving {
-		h.announceLeaving()
-		h.manageDue = now + leaveEvery
+		h.announceDeparture()
+		h.nextMembershipCheck = now + leaveInterval
 	}
 	for _, g := range h.groups {
-		if g.machine.Role() == consensus.Leader && h.manageGroup(now, g) {
-			h.manageDue = now + manageAgain
+		if g.node.Role() == consensus.Leader && h.changeMembership(now, g) {
+			h.nextMembershipCheck = now + membershipRecheckDelay
 		}
 	}
-	if h.wantsIn(now) {
-		h.joins.note(h.self, now)
-		h.join(now)
+	if h.needsJoin(now) {
+		h.joinRequests.add(h.self, now)
+		h.requestJoin(now)
 	}
-	h.peers.retain(h.addresses())
+	h.peers.retain(h.peerAddresses())
 }
 
-// manageSoon has the memberships looked after soon. Several words that come together are one occasion.
-func (h *Host) manageSoon() {
-	h.manageDue = min(h.manageDue, h.now()+manageAgain)
-	h.settle()
+// checkMembershipsSoon has the memberships looked after soon. Several words that come together are one occasion.
+func (h *Host) checkMembershipsSoon() {
+	h.nextMembershipCheck = min(h.nextMembershipCheck, h.now()+membershipRecheckDelay)
+	h.processReady()
 }
 
-// manageGroup makes the next change of a membership, if there is one, and tells whether another may be due soon.
-func (h *Host) manageGroup(now time.Duration, g *group) bool {
-	status := g.machine.Status()
+// changeMembership makes the next change of a membership, if there is one, and tells whether another may be due soon.
+func (h *Host) changeMembership(now time.Duration, g *group) bool {
+	status := g.node.Status()
 	if status.Transferring {
 		return false
 	}
 	if status.MembershipIndex > status.Commit {
 		return true
 	}
-	s := h.situation(now, g, &status)
+	s := h.membershipView(now, g, &status)
 	next, is := planChange(s)
 	if !is {
-		return s.catchingUp()
+		return s.hasCatchingUpLearner()
 	}
-	if next.handOver != 0 {
-		g.machine.TransferLeadership(now, next.handOver)
+	if next.transferTo != 0 {
+		g.node.TransferLeadership(now, next.transferTo)
 		return true
 	}
-	if err := g.machine.ChangeMembership(now, next.to); err != nil {
-		g.noteBehind(now, err)
+	if err := g.node.ChangeMembership(now, next.membership); err != nil {
+		g.delayPromotion(now, err)
 		h.log.Debug("membership not changed", zap.Uint16("partition", uint16(g.partition)), zap.Error(err))
 		return true
 	}
 	h.log.Info("membership changes", zap.Uint16("partition", uint16(g.partition)),
-		zap.Stringer("from", memberList(status.Membership.Members)), zap.Stringer("to", memberList(next.to.Members)))
+		zap.Stringer("from", memberList(status.Membership.Members)), zap.Stringer("to", memberList(next.membership.Members)))
 	return true
 }
 
-// noteBehind keeps a learner that may not vote yet from being chosen again for a while, so that others are.
-func (g *group) noteBehind(now time.Duration, err error) {
+// delayPromotion keeps a learner that may not vote yet from being chosen again for a while, so that others are.
+func (g *group) delayPromotion(now time.Duration, err error) {
 	var behind *consensus.LearnerBehindError
 	if !errors.As(err, &behind) {
 		return
 	}
-	if g.behind == nil || len(g.behind) > mostMembers {
-		g.behind = make(map[consensus.ReplicaID]time.Duration)
+	if g.promotionRetryAt == nil || len(g.promotionRetryAt) > maxMembers {
+		g.promotionRetryAt = make(map[consensus.ReplicaID]time.Duration)
 	}
-	g.behind[behind.ID] = now + behindFor
+	g.promotionRetryAt[behind.ID] = now + promotionBackoff
 }
 
-func (h *Host) situation(now time.Duration, g *group, status *consensus.Status) *situation {
+func (h *Host) membershipView(now time.Duration, g *group, status *consensus.Status) *membershipView {
 	settings := h.options.Settings
-	s := &situation{self: h.self.ID, ledFor: now - g.ledSince, patience: patienceOf(settings.Timing.CatchUp, h.options.ElectionTimeout),
-		joining: h.joins.members(now), regions: settings.Zones, aim: max(leastVoters, 2*settings.SurvivableLosses.Machines+1), byRegion: settings.SurvivableLosses.Regions > 0}
+	s := &membershipView{self: h.self.ID, leaderFor: now - g.leadershipSince, limits: newAbsenceLimits(settings.Timing.CatchUp, h.options.ElectionTimeout),
+		joining: h.joinRequests.active(now), zoneRegions: settings.Zones, targetVoters: max(preferredVoters, 2*settings.SurvivableLosses.Machines+1), surviveRegionLoss: settings.SurvivableLosses.Regions > 0}
 	for _, member := range status.Membership.Members {
-		m := standing{Member: member, caughtUp: status.Match[member.ID]+closeBehind >= status.Commit}
-		m.caughtUp = m.caughtUp && now >= g.behind[member.ID]
-		m.leaving = h.departures.leaving(member.ID, now)
-		m.left = h.departures.left(member.ID, g.contacts.heard[member.ID])
+		m := memberState{Member: member, caughtUp: status.Match[member.ID]+maxPromotionLag >= status.Commit}
+		m.caughtUp = m.caughtUp && now >= g.promotionRetryAt[member.ID]
+		m.leaving = h.departures.isLeaving(member.ID, now)
+		m.departed = h.departures.hasDeparted(member.ID, g.contacts.lastHeard[member.ID])
 		if answered, is := status.LastContact[member.ID]; is {
-			m.silent = now - answered
+			m.silence = now - answered
 		}
 		s.members = append(s.members, m)
 	}
@@ -167,58 +167,58 @@
 	return strings.Join(names, ",")
 }
 
-// wantsIn tells whether some group lacks this replica, or does not let it hear of a leader, or has a leader that this
+// needsJoin tells whether some group lacks this replica, or does not let it hear of a leader, or has a leader that this
 // replica can't answer: it joined the group after all that this replica knows, and the answer to a request to be taken in
 // tells its address.
-func (h *Host) wantsIn(now time.Duration) bool {
+func (h *Host) needsJoin(now time.Duration) bool {
 	for _, g := range h.groups {
-		if !h.takenIn(g) || since(g.machine.Status().LastLeaderContact, now) > lonelyFor || !h.reachesLeader(g) {
+		if !h.isMember(g) || elapsedSince(g.node.Status().LastLeaderContact, now) > leaderlessTimeout || !h.knowsLeaderAddress(g) {
 			return true
 		}
 	}
 	return false
 }
 
-// reachesLeader tells whether the address of a group's leader is known, if there is one.
-func (h *Host) reachesLeader(g *group) bool {
-	leader := g.machine.Leader()
+// knowsLeaderAddress tells whether the address of a group's leader is known, if there is one.
+func (h *Host) knowsLeaderAddress(g *group) bool {
+	leader := g.node.Leader()
 	if leader == 0 || leader == h.self.ID {
 		return true
 	}
-	_, known := h.addressOf(g, leader)
+	_, known := h.replicaAddress(g, leader)
 	return known
 }
 
-// takenIn tells whether a group has this replica, under its particulars.
-func (h *Host) takenIn(g *group) bool {
-	return slices.ContainsFunc(g.machine.Membership().Members, func(m consensus.Member) bool {
-		return m.ID == h.self.ID && !particularsDiffer(&m, &h.self)
+// isMember tells whether a group has this replica, under its particulars.
+func (h *Host) isMember(g *group) bool {
+	return slices.ContainsFunc(g.node.Membership().Members, func(m consensus.Member) bool {
+		return m.ID == h.self.ID && !attributesDiffer(&m, &h.self)
 	})
 }
 
-// join asks all machines that may have replicas to take this one in.
-func (h *Host) join(now time.Duration) {
-	if now < h.joinDue {
+// requestJoin asks all machines that may have replicas to take this one in.
+func (h *Host) requestJoin(now time.Duration) {
+	if now < h.nextJoin {
 		return
 	}
-	h.joinDue = now + joinWithin/2
-	for address := range h.addresses() {
-		p := h.peers.at(address)
+	h.nextJoin = now + joinTimeout/2
+	for address := range h.peerAddresses() {
+		p := h.peers.get(address)
 		if p.joining.Swap(true) {
 			continue
 		}
-		h.running.Add(1)
+		h.goroutines.Add(1)
 		go func() {
-			defer h.running.Done()
+			defer h.goroutines.Done()
 			defer p.joining.Store(false)
-			h.joinAt(p)
+			h.requestJoinAt(p)
 		}()
 	}
 }
 
-// joinAt asks one machine, and notes which others it knows.
-func (h *Host) joinAt(p *peer) {
-	ctx, cancel := context.WithTimeout(h.context, joinWithin)
+// requestJoinAt asks one machine, and notes which others it knows.
+func (h *Host) requestJoinAt(p *peer) {
+	ctx, cancel := context.WithTimeout(h.context, joinTimeout)
 	defer cancel()
 	reply, err := joinCall.Invoke(ctx, p.client, &JoinRequest{Member: h.self})
 	if err != nil {
@@ -228,16 +228,16 @@
 	defer h.mutex.Unlock()
 	for _, member := range reply.Members {
 		if address, err := netip.ParseAddrPort(member.Address); err == nil {
-			h.hint(address)
-			h.peers.learn(member.ID, address)
+			h.addAddress(address)
+			h.peers.learnAddress(member.ID, address)
 		}
 	}
 }
 
-// addresses are all others at which there may be replicas.
-func (h *Host) addresses() map[netip.AddrPort]bool {
+// peerAddresses are all others at which there may be replicas.
+func (h *Host) peerAddresses() map[netip.AddrPort]bool {
 	addresses := make(map[netip.AddrPort]bool)
-	for _, address := range h.known {
+	for _, address := range h.knownAddresses {
 		addresses[address] = true
 	}
 	for _, member := range h.members() {
--- a/internal/system/replica/pack.go
+++ b/internal/system/replica/pack.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// packLevel is fast: the receiver waits, and the processor's time is short where links are thin.
-	packLevel = 2
-	// mostUnpacked is how many bytes packed messages may hold.
-	mostUnpacked = 64 << 20
-	// mostInflated is what a byte of a deflated stream may stand for, at most.
-	mostInflated = 1032
+	// compressionLevel is fast: the receiver waits, and the processor's time is short where links are thin.
+	compressionLevel = 2
+	// maxDecompressedBytes is how many bytes packed messages may hold.
+	maxDecompressedBytes = 64 << 20
+	// maxDeflateRatio is what a byte of a deflated stream may stand for, at most.
+	maxDeflateRatio = 1032
 )
 
-var errPackedSize = errors.New("the size of packed ones is impossible")
+var errDecompressedSize = errors.New("the size of packed ones is impossible")
 
-// packers are writers that are used again soon, and dropped otherwise: each takes 0.8 MB.
-var packers = sync.Pool{New: func() any {
-	writer, err := flate.NewWriter(io.Discard, packLevel)
+// deflaters are writers that are used again soon, and dropped otherwise: each takes 0.8 MB.
+var deflaters = sync.Pool{New: func() any {
+	writer, err := flate.NewWriter(io.Discard, compressionLevel)
 	if err != nil {
 		panic(err) // the level is a constant
 	}
 	return writer
 }}
 
-// packedRequest is the request that brings large messages: deflated, where that makes them smaller.
-func packedRequest(messages []byte) *DeliverRequest {
-	if len(messages) < bulkBytes {
+// newDeliverRequest is the request that brings large messages: deflated, where that makes them smaller.
+func newDeliverRequest(messages []byte) *DeliverRequest {
+	if len(messages) < bulkThresholdBytes {
 		return &DeliverRequest{Messages: messages}
 	}
 	deflated := bytes.NewBuffer(binary.AppendUvarint(nil, uint64(len(messages))))
-	writer := packers.Get().(*flate.Writer)
-	defer packers.Put(writer)
+	writer := deflaters.Get().(*flate.Writer)
+	defer deflaters.Put(writer)
 	writer.Reset(deflated)
 	defer writer.Reset(io.Discard)
-	for part := range slices.Chunk(messages, bulkBytes) {
+	for part := range slices.Chunk(messages, bulkThresholdBytes) {
 		_, _ = writer.Write(part) // a buffer takes all
 		runtime.Gosched()         // heartbeats have their turn
 	}
@@ -52,18 +52,18 @@
 	return &DeliverRequest{Packed: deflated.Bytes()}
 }
 
-// unpacked returns the messages that a request brings.
-func (r *DeliverRequest) unpacked() ([]byte, error) {
+// decompress returns the messages that a request brings.
+func (r *DeliverRequest) decompress() ([]byte, error) {
 	if len(r.Packed) == 0 {
 		return r.Messages, nil
 	}
 	size, read := binary.Uvarint(r.Packed)
-	if read <= 0 || size > mostUnpacked || size > mostInflated*uint64(len(r.Packed)) {
-		return nil, &MalformedMessagesError{errPackedSize}
+	if read <= 0 || size > maxDecompressedBytes || size > maxDeflateRatio*uint64(len(r.Packed)) {
+		return nil, &MalformedMessagesError{errDecompressedSize}
 	}
 	messages := make([]byte, size)
 	inflated := flate.NewReader(bytes.NewReader(r.Packed[read:]))
-	for part := range slices.Chunk(messages, bulkBytes) {
+	for part := range slices.Chunk(messages, bulkThresholdBytes) {
 		if _, err := io.ReadFull(inflated, part); err != nil {
 			return nil, &MalformedMessagesError{err}
 		}
--- a/internal/system/replica/pack_test.go
+++ b/internal/system/replica/pack_test.go
@@ -10,21 +10,21 @@
 
 func TestPackedRequests(t *testing.T) {
 	random := rand.NewChaCha8([32]byte{1})
-	noise := make([]byte, 2*bulkBytes)
+	noise := make([]byte, 2*bulkThresholdBytes)
 	_, _ = random.Read(noise)
 	var text []byte
-	for i := 0; len(text) < 2*bulkBytes; i++ {
+	for i := 0; len(text) < 2*bulkThresholdBytes; i++ {
 		text = fmt.Appendf(text, `{"path":"/models/%d","timeout_ms":%d}`, i, 500+i%7)
 	}
 	for name, messages := range map[string][]byte{"none": nil, "few": text[:100], "noise": noise, "text": text} {
-		request := packedRequest(messages)
+		request := newDeliverRequest(messages)
 		if size := len(request.Packed) + len(request.Messages); size > len(messages) {
 			t.Errorf("%s: %d bytes are sent for %d", name, size, len(messages))
 		}
 		if name == "text" && 3*len(request.Packed) > len(text) {
 			t.Errorf("text of %d bytes takes %d", len(text), len(request.Packed))
 		}
-		if got, err := request.unpacked(); err != nil || !bytes.Equal(got, messages) {
+		if got, err := request.decompress(); err != nil || !bytes.Equal(got, messages) {
 			t.Errorf("%s: %d bytes come out of %d, %v", name, len(got), len(messages), err)
 		}
 	}
@@ -32,11 +32,11 @@
 
 // TestSpoiltPackedRequests: whatever comes, it is refused or bounded.
 func TestSpoiltPackedRequests(t *testing.T) {
-	whole := packedRequest(make([]byte, 2*bulkBytes)).Packed
-	huge := append(binary.AppendUvarint(nil, mostUnpacked+1), whole...)
+	whole := newDeliverRequest(make([]byte, 2*bulkThresholdBytes)).Packed
+	huge := append(binary.AppendUvarint(nil, maxDecompressedBytes+1), whole...)
 	for name, packed := range map[string][]byte{"cut short": whole[:len(whole)/2], "huge": huge, "no size": {0xff},
 		"more than it can hold": binary.AppendUvarint(nil, 1<<20)} {
-		if _, err := (&DeliverRequest{Packed: packed}).unpacked(); err == nil {
+		if _, err := (&DeliverRequest{Packed: packed}).decompress(); err == nil {
 			t.Errorf("%s: it is taken", name)
 		}
 	}
@@ -49,6 +49,6 @@
 	}
 	b.SetBytes(int64(len(text)))
 	for b.Loop() {
-		b.ReportMetric(float64(len(packedRequest(text).Packed)), "packed-bytes")
+		b.ReportMetric(float64(len(newDeliverRequest(text).Packed)), "packed-bytes")
 	}
 }
--- a/internal/system/replica/peers.go
+++ b/internal/system/replica/peers.go
@@ -17,106 +17,106 @@
 	DialBackoff: 50 * time.Millisecond}
 
 const (
-	bulkWithin  = time.Minute // for a large request to be sent and taken
-	mostPending = 4 << 20     // bytes of messages that wait for a peer; more are dropped
-	mostOrigins = 64
-	keptBuffer  = 64 << 10 // larger buffers are given back once sent
+	bulkTimeout          = time.Minute // for a large request to be sent and taken
+	maxPendingBytes      = 4 << 20     // bytes of messages that wait for a peer; more are dropped
+	maxLearnedAddresses  = 64
+	maxReusedBufferBytes = 64 << 10 // larger buffers are given back once sent
 )
 
-// peers are the other machines, by the address of their control RPC. The host's mutex guards the maps.
-type peers struct {
-	context   context.Context
-	running   *sync.WaitGroup
-	byAddress map[netip.AddrPort]*peer
-	// origins are addresses of replicas that the memberships at hand do not name, as they were told.
-	origins map[consensus.ReplicaID]netip.AddrPort
+// peerSet are the other machines, by the address of their control RPC. The host's mutex guards the maps.
+type peerSet struct {
+	context    context.Context
+	goroutines *sync.WaitGroup
+	byAddress  map[netip.AddrPort]*peer
+	// learnedAddresses are addresses of replicas that the memberships at hand do not name, as they were told.
+	learnedAddresses map[consensus.ReplicaID]netip.AddrPort
 }
 
 // peer is another machine. Messages for it, of all partitions, gather until the connection takes them.
 type peer struct {
 	client *rpc.Client
 	wake   chan struct{}
-	ended  context.CancelFunc
+	cancel context.CancelFunc
 	// joining: a request to be taken in is under way.
 	joining atomic.Bool
 
-	mutex     sync.Mutex
-	pending   []byte
-	fresh     bool                    // pending grew since the last flush
-	snapshots map[feed.Partition]bool // under way
-	transfers map[feed.Partition]*transfer
+	mutex           sync.Mutex
+	pending         []byte
+	needsFlush      bool                    // pending grew since the last flush
+	activeSnapshots map[feed.Partition]bool // under way
+	bulkTransfers   map[feed.Partition]*bulkTransfer
 }
 
-func newPeers(ctx context.Context, running *sync.WaitGroup) *peers {
-	return &peers{context: ctx, running: running, byAddress: make(map[netip.AddrPort]*peer),
-		origins: make(map[consensus.ReplicaID]netip.AddrPort)}
+func newPeerSet(ctx context.Context, running *sync.WaitGroup) *peerSet {
+	return &peerSet{context: ctx, goroutines: running, byAddress: make(map[netip.AddrPort]*peer),
+		learnedAddresses: make(map[consensus.ReplicaID]netip.AddrPort)}
 }
 
-// at returns the peer at an address.
-func (s *peers) at(address netip.AddrPort) *peer {
+// get returns the peer at an address.
+func (s *peerSet) get(address netip.AddrPort) *peer {
 	p := s.byAddress[address]
 	if p != nil {
 		return p
 	}
 	ctx, cancel := context.WithCancel(s.context)
-	p = &peer{client: rpc.NewClient(address, peerOptions), wake: make(chan struct{}, 1), ended: cancel,
-		snapshots: make(map[feed.Partition]bool), transfers: make(map[feed.Partition]*transfer)}
+	p = &peer{client: rpc.NewClient(address, peerOptions), wake: make(chan struct{}, 1), cancel: cancel,
+		activeSnapshots: make(map[feed.Partition]bool), bulkTransfers: make(map[feed.Partition]*bulkTransfer)}
 	s.byAddress[address] = p
-	s.running.Add(1)
+	s.goroutines.Add(1)
 	go func() {
-		defer s.running.Done()
-		p.run(ctx)
+		defer s.goroutines.Done()
+		p.runSender(ctx)
 	}()
 	return p
 }
 
 // retain ends the peers at all other addresses.
-func (s *peers) retain(addresses map[netip.AddrPort]bool) {
+func (s *peerSet) retain(addresses map[netip.AddrPort]bool) {
 	for address, p := range s.byAddress {
 		if !addresses[address] {
-			p.ended()
+			p.cancel()
 			delete(s.byAddress, address)
 		}
 	}
 }
 
-// learn notes where a replica is.
-func (s *peers) learn(id consensus.ReplicaID, address netip.AddrPort) {
-	if len(s.origins) >= mostOrigins {
-		clear(s.origins)
+// learnAddress notes where a replica is.
+func (s *peerSet) learnAddress(id consensus.ReplicaID, address netip.AddrPort) {
+	if len(s.learnedAddresses) >= maxLearnedAddresses {
+		clear(s.learnedAddresses)
 	}
-	s.origins[id] = address
+	s.learnedAddresses[id] = address
 }
 
-func (s *peers) origin(id consensus.ReplicaID) (netip.AddrPort, bool) {
-	address, known := s.origins[id]
+func (s *peerSet) learnedAddress(id consensus.ReplicaID) (netip.AddrPort, bool) {
+	address, known := s.learnedAddresses[id]
 	return address, known
 }
 
 // send puts a message on its way; it is lost where the peer is not reached or too slow.
-func (s *peers) send(address netip.AddrPort, partition feed.Partition, message *consensus.Message) {
-	p := s.at(address)
+func (s *peerSet) send(address netip.AddrPort, partition feed.Partition, message *consensus.Message) {
+	p := s.get(address)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	under := p.transfers[partition]
-	way, message := under.laneOf(message)
+	under := p.bulkTransfers[partition]
+	way, message := under.route(message)
 	switch {
-	case way == bulkLane && under == nil:
-		s.startTransfer(address, p, partition, message)
-	case way == bulkLane:
-		under.take(partition, message)
-	case way == ordinaryLane && len(p.pending) < mostPending:
+	case way == bulkConnection && under == nil:
+		s.startBulkTransfer(address, p, partition, message)
+	case way == bulkConnection:
+		under.add(partition, message)
+	case way == ordinaryConnection && len(p.pending) < maxPendingBytes:
 		p.pending = appendMessage(p.pending, partition, message)
-		p.fresh = true
+		p.needsFlush = true
 	}
 }
 
 // flush wakes the peers that have got messages.
-func (s *peers) flush() {
+func (s *peerSet) flush() {
 	for _, p := range s.byAddress {
 		p.mutex.Lock()
-		fresh := p.fresh
-		p.fresh = false
+		fresh := p.needsFlush
+		p.needsFlush = false
 		p.mutex.Unlock()
 		if !fresh {
 			continue
@@ -128,8 +128,8 @@
 	}
 }
 
-// run sends what gathers.
-func (p *peer) run(ctx context.Context) {
+// runSender sends what gathers.
+func (p *peer) runSender(ctx context.Context) {
 	defer p.client.Close()
 	var spare []byte
 	for {
@@ -149,7 +149,7 @@
 		// What fails is not sent again here: the machines themselves do that, with newer messages.
 		_ = deliverCall.Send(ctx, p.client, &DeliverRequest{Messages: batch})
 		spare = batch
-		if cap(spare) > keptBuffer {
+		if cap(spare) > maxReusedBufferBytes {
 			spare = nil
 		}
 	}
--- a/internal/system/replica/plan_test.go
+++ b/internal/system/replica/plan_test.go
@@ -12,24 +12,24 @@
 )
 
 // testPatience is that of a test's situations.
-var testPatience = patience{absent: 2 * time.Second, forgotten: 20 * time.Second, lost: time.Minute}
+var testPatience = absenceLimits{absentAfter: 2 * time.Second, removeAfter: 20 * time.Second, lostAfter: time.Minute}
 
 // parseSituation reads members as name:zone:marks, where the name's letter is the machine and its digit the life of its
 // disk. Marks: v votes, d silent for 10 s, D silent for a minute and a half, b behind, l leaving, ? without particulars yet. The
 // first one leads. After a bar stand the replicas that ask to be taken in.
-func parseSituation(text string) *situation {
-	s := &situation{aim: leastVoters, ledFor: time.Hour, patience: testPatience}
+func parseSituation(text string) *membershipView {
+	s := &membershipView{targetVoters: preferredVoters, leaderFor: time.Hour, limits: testPatience}
 	members, joining, _ := strings.Cut(text, "|")
 	for _, word := range strings.Fields(members) {
 		parts := strings.Split(word, ":")
-		m := standing{Member: testMember(parts[0], parts[1]), caughtUp: !strings.Contains(parts[2], "b")}
+		m := memberState{Member: testMember(parts[0], parts[1]), caughtUp: !strings.Contains(parts[2], "b")}
 		m.Voter = strings.Contains(parts[2], "v")
 		m.leaving = strings.Contains(parts[2], "l")
 		if strings.Contains(parts[2], "d") {
-			m.silent = 10 * time.Second
+			m.silence = 10 * time.Second
 		}
 		if strings.Contains(parts[2], "D") {
-			m.silent = 90 * time.Second
+			m.silence = 90 * time.Second
 		}
 		if strings.Contains(parts[2], "?") {
 			m.Node, m.Zone = "", ""
@@ -49,15 +49,15 @@
 	return consensus.Member{ID: id, Node: "core-" + name[:1], Zone: zone, Address: "10.0.0." + name[:1] + ":1"}
 }
 
-func describe(c change, is bool) string {
+func describe(c membershipChange, is bool) string {
 	if !is {
 		return "none"
 	}
-	if c.handOver != 0 {
-		return fmt.Sprintf("hand over to %c%c", byte(c.handOver>>8), byte(c.handOver))
+	if c.transferTo != 0 {
+		return fmt.Sprintf("hand over to %c%c", byte(c.transferTo>>8), byte(c.transferTo))
 	}
 	var words []string
-	for _, m := range c.to.Members {
+	for _, m := range c.membership.Members {
 		word := fmt.Sprintf("%c%c", byte(m.ID>>8), byte(m.ID))
 		if m.Node == "" {
 			word += "?"
@@ -124,7 +124,7 @@
 // TestNewLeaderDemotesNobody has a leader that cannot know yet who is gone.
 func TestNewLeaderDemotesNobody(t *testing.T) {
 	s := parseSituation("A0:a:v B0:b:v C0:c:v D0:c:v")
-	s.ledFor = time.Second
+	s.leaderFor = time.Second
 	if c, is := planChange(s); is {
 		t.Errorf("it changes the group to %s", describe(c, is))
 	}
@@ -146,22 +146,22 @@
 	})
 }
 
-func drawSituation(t *rapid.T) *situation {
-	s := &situation{aim: leastVoters, ledFor: time.Hour, patience: testPatience}
+func drawSituation(t *rapid.T) *membershipView {
+	s := &membershipView{targetVoters: preferredVoters, leaderFor: time.Hour, limits: testPatience}
 	silences := []time.Duration{0, 0, 0, 3 * time.Second, 10 * time.Second, 30 * time.Second, 90 * time.Second}
 	for i := range rapid.IntRange(1, 9).Draw(t, "members") {
 		machine := byte('A' + i)
 		zone := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")
 		if rapid.IntRange(0, 3).Draw(t, "wiped") == 0 {
-			m := standing{Member: testMember(string([]byte{machine, '0'}), zone), silent: silences[len(silences)-1]}
+			m := memberState{Member: testMember(string([]byte{machine, '0'}), zone), silence: silences[len(silences)-1]}
 			m.Voter = rapid.Bool().Draw(t, "voter")
 			s.members = append(s.members, m)
 		}
-		m := standing{Member: testMember(string([]byte{machine, '1'}), zone)}
+		m := memberState{Member: testMember(string([]byte{machine, '1'}), zone)}
 		m.caughtUp = rapid.Bool().Draw(t, "caught up")
 		m.Voter = i == 0 || rapid.Bool().Draw(t, "voter")
 		if i > 0 {
-			m.silent = rapid.SampledFrom(silences).Draw(t, "silent")
+			m.silence = rapid.SampledFrom(silences).Draw(t, "silent")
 		} else {
 			s.self = m.ID
 		}
@@ -171,43 +171,43 @@
 }
 
 // follow carries a change out and checks it.
-func follow(t *rapid.T, s *situation, c change) {
-	if c.handOver != 0 {
-		i := s.find(c.handOver)
+func follow(t *rapid.T, s *membershipView, c membershipChange) {
+	if c.transferTo != 0 {
+		i := s.indexOf(c.transferTo)
 		if i < 0 || !s.members[i].Voter {
-			t.Fatalf("leadership goes to %d", c.handOver)
+			t.Fatalf("leadership goes to %d", c.transferTo)
 		}
-		s.self = c.handOver
+		s.self = c.transferTo
 		return
 	}
-	before, majority := s.plain(), hasMajority(s)
-	d := differenceOf(consensus.Membership{Members: before}, c.to)
-	if d.members == 0 || d.votes > 0 && d.members != d.votes || d.votes > 1 && len(before) != len(c.to.Members) {
+	before, majority := s.consensusMembers(), hasMajority(s)
+	d := differenceOf(consensus.Membership{Members: before}, c.membership)
+	if d.members == 0 || d.votes > 0 && d.members != d.votes || d.votes > 1 && len(before) != len(c.membership.Members) {
 		t.Fatalf("%d members and %d votes change: %v, then %v", d.members, d.votes, memberList(before),
-			memberList(c.to.Members))
+			memberList(c.membership.Members))
 	}
-	var members []standing
-	for _, m := range c.to.Members {
-		next := standing{Member: m, caughtUp: true}
-		if i := s.find(m.ID); i >= 0 {
-			next.silent, next.caughtUp = s.members[i].silent, s.members[i].caughtUp
+	var members []memberState
+	for _, m := range c.membership.Members {
+		next := memberState{Member: m, caughtUp: true}
+		if i := s.indexOf(m.ID); i >= 0 {
+			next.silence, next.caughtUp = s.members[i].silence, s.members[i].caughtUp
 		}
 		members = append(members, next)
 	}
 	s.members = members
 	if majority && !hasMajority(s) {
-		t.Fatalf("no majority is left: %v", c.to)
+		t.Fatalf("no majority is left: %v", c.membership)
 	}
 }
 
-func hasMajority(s *situation) bool {
+func hasMajority(s *membershipView) bool {
 	voters, living := 0, 0
 	for i := range s.members {
 		if !s.members[i].Voter {
 			continue
 		}
 		voters++
-		if s.lives(i) {
+		if s.isAvailable(i) {
 			living++
 		}
 	}
--- a/internal/system/replica/propose.go
+++ b/internal/system/replica/propose.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	retryPause    = 100 * time.Millisecond // before another try, unless there is another leader sooner
-	proposeWait   = 5 * time.Second        // for a leader elsewhere, where the caller sets no bound
-	barrierWait   = time.Second            // for one try of a barrier
-	neverHeard    = time.Duration(math.MaxInt64)
-	leastProposal = 2 * handlerMargin // time that is worth asking another machine for
+	retryDelay       = 100 * time.Millisecond // before another try, unless there is another leader sooner
+	proposeTimeout   = 5 * time.Second        // for a leader elsewhere, where the caller sets no bound
+	readIndexTimeout = time.Second            // for one try of a barrier
+	neverCurrent     = time.Duration(math.MaxInt64)
+	minCallTimeout   = 2 * handlerMargin // time that is worth asking another machine for
 )
 
 var _ Replicas = (*Host)(nil)
@@ -53,16 +53,16 @@
 		return nil, &UnknownPartitionError{partition}
 	}
 	for {
-		leader, here, changed := h.whoLeads(g)
+		leader, here, changed := h.locateLeader(g)
 		reply := ProposeReply{Outcome: OutcomeDropped}
 		var err error
 		switch {
 		case here:
-			reply.Outcome, reply.Result = h.proposeHere(ctx, partition, command)
+			reply.Outcome, reply.Result = h.proposeLocal(ctx, partition, command)
 			err = ctx.Err()
 		case leader != nil:
-			call, cancel := untilChanged(ctx, changed)
-			reply, err = proposeAt(call, leader, partition, command)
+			call, cancel := withLeaderChange(ctx, changed)
+			reply, err = proposeRemote(call, leader, partition, command)
 			cancel()
 		}
 		switch reply.Outcome {
@@ -71,33 +71,33 @@
 		case OutcomeUnknown:
 			return nil, &UnknownOutcomeError{partition, err}
 		}
-		if !await(ctx, changed, retryPause) {
+		if !waitOrTimeout(ctx, changed, retryDelay) {
 			return nil, &UnavailableError{partition}
 		}
 	}
 }
 
-// whoLeads returns the client of the machine that leads a group, nil where that is not known, or that it is this one;
+// locateLeader returns the client of the machine that leads a group, nil where that is not known, or that it is this one;
 // and a channel that is closed once there is another leader.
-func (h *Host) whoLeads(g *group) (leader *rpc.Client, here bool, changed <-chan struct{}) {
+func (h *Host) locateLeader(g *group) (leader *rpc.Client, here bool, changed <-chan struct{}) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if g.machine == nil {
-		return nil, false, g.changed
+	if g.node == nil {
+		return nil, false, g.leaderChanged
 	}
-	if g.machine.Role() == consensus.Leader {
-		return nil, !g.machine.Transferring(), g.changed
+	if g.node.Role() == consensus.Leader {
+		return nil, !g.node.Transferring(), g.leaderChanged
 	}
-	address, known := h.addressOf(g, g.machine.Leader())
+	address, known := h.replicaAddress(g, g.node.Leader())
 	if !known || address == h.address {
-		return nil, false, g.changed
+		return nil, false, g.leaderChanged
 	}
-	return h.peers.at(address).client, false, g.changed
+	return h.peers.get(address).client, false, g.leaderChanged
 }
 
-// untilChanged is a context for a call to a leader: it ends as soon as this replica no longer follows that one, so that
+// withLeaderChange is a context for a call to a leader: it ends as soon as this replica no longer follows that one, so that
 // nobody waits for a machine that is cut off. What a proposal came to is then unknown.
-func untilChanged(ctx context.Context, changed <-chan struct{}) (context.Context, context.CancelFunc) {
+func withLeaderChange(ctx context.Context, changed <-chan struct{}) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
@@ -109,24 +109,24 @@
 	return ctx, cancel
 }
 
-// addressOf is where a replica is, by the group's membership or by what this machine was told.
-func (h *Host) addressOf(g *group, id consensus.ReplicaID) (netip.AddrPort, bool) {
+// replicaAddress is where a replica is, by the group's membership or by what this machine was told.
+func (h *Host) replicaAddress(g *group, id consensus.ReplicaID) (netip.AddrPort, bool) {
 	if id == 0 {
 		return netip.AddrPort{}, false
 	}
-	for _, member := range g.machine.Membership().Members {
+	for _, member := range g.node.Membership().Members {
 		if member.ID == id {
 			address, err := netip.ParseAddrPort(member.Address)
 			return address, err == nil
 		}
 	}
-	return h.peers.origin(id)
+	return h.peers.learnedAddress(id)
 }
 
-// proposeHere proposes to this machine's replica and waits for the command to be applied or lost.
-func (h *Host) proposeHere(ctx context.Context, partition feed.Partition, command []byte) (Outcome, []byte) {
+// proposeLocal proposes to this machine's replica and waits for the command to be applied or lost.
+func (h *Host) proposeLocal(ctx context.Context, partition feed.Partition, command []byte) (Outcome, []byte) {
 	g := h.group(partition)
-	p := h.enter(ctx, g, command)
+	p := h.startProposal(ctx, g, command)
 	if p == nil {
 		return OutcomeDropped, nil
 	}
@@ -137,32 +137,32 @@
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	g.abandon(p)
+	g.abandonProposal(p)
 	return OutcomeUnknown, nil
 }
 
-// enter proposes; nil: nothing was proposed, as the time is up, this machine does not lead, or its disk is in trouble.
-func (h *Host) enter(ctx context.Context, g *group, command []byte) *proposal {
+// startProposal proposes; nil: nothing was proposed, as the time is up, this machine does not lead, or its disk is in trouble.
+func (h *Host) startProposal(ctx context.Context, g *group, command []byte) *proposal {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if g == nil || g.machine == nil || ctx.Err() != nil || h.disk.down || h.disk.congested() {
+	if g == nil || g.node == nil || ctx.Err() != nil || h.disk.leadershipReleased || h.disk.overloaded() {
 		return nil
 	}
 	p := g.propose(h.now(), command)
 	if p != nil {
-		h.settle()
+		h.processReady()
 	}
 	return p
 }
 
-// proposeAt proposes through the machine that leads.
-func proposeAt(ctx context.Context, leader *rpc.Client, partition feed.Partition,
+// proposeRemote proposes through the machine that leads.
+func proposeRemote(ctx context.Context, leader *rpc.Client, partition feed.Partition,
 	command []byte) (ProposeReply, error) {
-	wait := remaining(ctx, proposeWait)
-	if wait < leastProposal {
+	wait := remainingTime(ctx, proposeTimeout)
+	if wait < minCallTimeout {
 		return ProposeReply{Outcome: OutcomeDropped}, nil
 	}
-	if len(command) >= bulkBytes { // what this machine answers its leader does not wait behind it
+	if len(command) >= bulkThresholdBytes { // what this machine answers its leader does not wait behind it
 		leader = rpc.NewClient(leader.Address(), peerOptions)
 		defer leader.Close()
 	}
@@ -178,8 +178,8 @@
 	return ProposeReply{Outcome: OutcomeUnknown}, err
 }
 
-// remaining is the time to the context's end, or a bound.
-func remaining(ctx context.Context, bound time.Duration) time.Duration {
+// remainingTime is the time to the context's end, or a bound.
+func remainingTime(ctx context.Context, bound time.Duration) time.Duration {
 	deadline, is := ctx.Deadline()
 	if !is {
 		return bound
@@ -194,35 +194,35 @@
 		return &UnknownPartitionError{partition}
 	}
 	for {
-		leader, here, changed := h.whoLeads(g)
+		leader, here, changed := h.locateLeader(g)
 		index, confirmed := uint64(0), false
 		switch {
 		case here:
-			index, confirmed = h.readIndexHere(ctx, partition)
+			index, confirmed = h.readIndexLocal(ctx, partition)
 		case leader != nil:
-			call, cancel := untilChanged(ctx, changed)
-			index, confirmed = readIndexAt(call, leader, partition)
+			call, cancel := withLeaderChange(ctx, changed)
+			index, confirmed = readIndexRemote(call, leader, partition)
 			cancel()
 		}
 		if confirmed {
 			return h.awaitApplied(ctx, g, index)
 		}
-		if !await(ctx, changed, retryPause) {
+		if !waitOrTimeout(ctx, changed, retryDelay) {
 			return &UnavailableError{partition}
 		}
 	}
 }
 
-// readIndexHere asks this machine's replica for the index that a reader has to have applied.
-func (h *Host) readIndexHere(ctx context.Context, partition feed.Partition) (uint64, bool) {
+// readIndexLocal asks this machine's replica for the index that a reader has to have applied.
+func (h *Host) readIndexLocal(ctx context.Context, partition feed.Partition) (uint64, bool) {
 	g := h.group(partition)
 	h.mutex.Lock()
-	if g == nil || g.machine == nil {
+	if g == nil || g.node == nil {
 		h.mutex.Unlock()
 		return 0, false
 	}
-	token, done := g.read(h.now())
-	h.settle()
+	token, done := g.startReadIndex(h.now())
+	h.processReady()
 	h.mutex.Unlock()
 	select {
 	case state := <-done:
@@ -230,14 +230,14 @@
 	case <-ctx.Done():
 	}
 	h.mutex.Lock()
-	delete(g.reads, token)
+	delete(g.pendingReads, token)
 	h.mutex.Unlock()
 	return 0, false
 }
 
-func readIndexAt(ctx context.Context, leader *rpc.Client, partition feed.Partition) (uint64, bool) {
-	wait := remaining(ctx, barrierWait)
-	if wait < leastProposal {
+func readIndexRemote(ctx context.Context, leader *rpc.Client, partition feed.Partition) (uint64, bool) {
+	wait := remainingTime(ctx, readIndexTimeout)
+	if wait < minCallTimeout {
 		return 0, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
@@ -252,12 +252,12 @@
 // awaitApplied returns once the state machine holds the log up to an index.
 func (h *Host) awaitApplied(ctx context.Context, g *group, index uint64) error {
 	h.mutex.Lock()
-	if g.applied >= index {
+	if g.appliedIndex >= index {
 		h.mutex.Unlock()
 		return nil
 	}
-	wait := appliedWait{index: index, done: make(chan struct{})}
-	g.appliedWaits = append(g.appliedWaits, wait)
+	wait := appliedWaiter{index: index, done: make(chan struct{})}
+	g.appliedWaiters = append(g.appliedWaiters, wait)
 	h.mutex.Unlock()
 	select {
 	case <-wait.done:
@@ -266,7 +266,7 @@
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	g.forget(wait.done)
+	g.removeAppliedWaiter(wait.done)
 	return &UnavailableError{g.partition}
 }
 
@@ -275,10 +275,10 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	g := h.group(partition)
-	if g == nil || g.machine == nil || g.machine.Role() != consensus.Leader {
+	if g == nil || g.node == nil || g.node.Role() != consensus.Leader {
 		return 0, false
 	}
-	left := g.machine.LeaseExpiry() - h.now()
+	left := g.node.LeaseExpiry() - h.now()
 	return max(left, 0), left > 0
 }
 
@@ -288,18 +288,18 @@
 	defer h.mutex.Unlock()
 	g := h.group(partition)
 	if g == nil {
-		return neverHeard
+		return neverCurrent
 	}
-	if g.machine == nil {
-		return neverHeard
+	if g.node == nil {
+		return neverCurrent
 	}
-	return since(g.machine.Status().CaughtUpAt, h.now())
+	return elapsedSince(g.node.Status().CaughtUpAt, h.now())
 }
 
-// since is how long ago something was; at 0 it never was.
-func since(at, now time.Duration) time.Duration {
+// elapsedSince is how long ago something was; at 0 it never was.
+func elapsedSince(at, now time.Duration) time.Duration {
 	if at == 0 {
-		return neverHeard
+		return neverCurrent
 	}
 	return max(now-at, 0)
 }
@@ -310,8 +310,8 @@
 	defer h.mutex.Unlock()
 	var all []PartitionStatus
 	for _, g := range h.groups {
-		if g.machine != nil {
-			all = append(all, PartitionStatus{Partition: g.partition, Status: g.machine.Status()})
+		if g.node != nil {
+			all = append(all, PartitionStatus{Partition: g.partition, Status: g.node.Status()})
 		}
 	}
 	return all
--- a/internal/system/replica/transfer_test.go
+++ b/internal/system/replica/transfer_test.go
@@ -13,29 +13,29 @@
 		return consensus.Message{Kind: consensus.MessageAppend, Term: term, Index: index - 1, LogTerm: term, Round: 7,
 			Entries: []consensus.Entry{{Index: index, Term: term, Data: make([]byte, bytes)}}}
 	}
-	under := &transfer{last: consensus.Entry{Index: 5, Term: 2}}
+	under := &bulkTransfer{lastEntry: consensus.Entry{Index: 5, Term: 2}}
 	tests := []struct {
 		name    string
-		under   *transfer
+		under   *bulkTransfer
 		message consensus.Message
-		want    lane
+		want    connectionKind
 	}{
-		{"a vote", under, consensus.Message{Kind: consensus.MessageVote}, ordinaryLane},
-		{"small entries", nil, entry(5, 2, 100), ordinaryLane},
-		{"large entries", nil, entry(5, 2, bulkBytes), bulkLane},
-		{"small entries behind large ones", under, entry(6, 2, 100), bulkLane},
-		{"entries that are under way", under, entry(5, 2, bulkBytes), noLane},
-		{"entries in place of those", under, entry(5, 3, 100), bulkLane},
-		{"a heartbeat", under, consensus.Message{Kind: consensus.MessageAppend, Index: 5, LogTerm: 2, Round: 7}, ordinaryLane},
-		{"word of a commit", under, consensus.Message{Kind: consensus.MessageAppend, Index: 5, LogTerm: 2}, noLane},
+		{"a vote", under, consensus.Message{Kind: consensus.MessageVote}, ordinaryConnection},
+		{"small entries", nil, entry(5, 2, 100), ordinaryConnection},
+		{"large entries", nil, entry(5, 2, bulkThresholdBytes), bulkConnection},
+		{"small entries behind large ones", under, entry(6, 2, 100), bulkConnection},
+		{"entries that are under way", under, entry(5, 2, bulkThresholdBytes), noConnection},
+		{"entries in place of those", under, entry(5, 3, 100), bulkConnection},
+		{"a heartbeat", under, consensus.Message{Kind: consensus.MessageAppend, Index: 5, LogTerm: 2, Round: 7}, ordinaryConnection},
+		{"word of a commit", under, consensus.Message{Kind: consensus.MessageAppend, Index: 5, LogTerm: 2}, noConnection},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			way, message := test.under.laneOf(&test.message)
+			way, message := test.under.route(&test.message)
 			if way != test.want {
 				t.Fatalf("lane %d, want %d", way, test.want)
 			}
-			overtakes := way == ordinaryLane && test.under != nil && message.Kind == consensus.MessageAppend
+			overtakes := way == ordinaryConnection && test.under != nil && message.Kind == consensus.MessageAppend
 			if overtakes && (message.Index != 0 || message.LogTerm != 0 || message.Round != test.message.Round) {
 				t.Errorf("it asks about entry %d of term %d in round %d", message.Index, message.LogTerm, message.Round)
 			}
