--- a/internal/system/replica/bounds_test.go
+++ b/internal/system/replica/bounds_test.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	stormChanges   = 5000
-	stormRoutes    = 500
-	stormRouteSize = 8 << 10 // bytes, 4 MB in all
-	stormWhole     = 20      // changes at the start that replace the whole configuration
-	stormWholeAt   = 1000    // and every so many, one later
-	stormBatch     = 50      // changes that share a write
+	boundChanges      = 5000
+	loadRoutes        = 500
+	boundRouteBytes   = 8 << 10 // bytes, 4 MB in all
+	boundFullChanges  = 20      // changes at the start that replace the whole configuration
+	boundFullInterval = 1000    // and every so many, one later
+	boundBatchChanges = 50      // changes that share a write
 
-	mostDiskBytes = 40 << 20 // of all files of the store
-	mostHeapBytes = 24 << 20 // of state, log and snapshots, between two changes
+	maxDiskBytes = 40 << 20 // of all files of the store
+	maxHeapBytes = 24 << 20 // of state, log and snapshots, between two changes
 )
 
-// stormGroup is a group of one machine over a store on a real disk, and its state machine.
-type stormGroup struct {
+// singleVoterGroup is a group of one machine over a store on a real disk, and its state machine.
+type singleVoterGroup struct {
 	t       *testing.T
 	random  *rand.Rand
 	folder  string
@@ -40,8 +40,8 @@
 	version uint64
 }
 
-func newStormGroup(t *testing.T) *stormGroup {
-	s := &stormGroup{t: t, random: rand.New(rand.NewPCG(1, 1)), folder: t.TempDir()}
+func newSingleVoterGroup(t *testing.T) *singleVoterGroup {
+	s := &singleVoterGroup{t: t, random: rand.New(rand.NewPCG(1, 1)), folder: t.TempDir()}
 	founders := consensus.Snapshot{Membership: consensus.Membership{
 		Members: []consensus.Member{{ID: 1, Node: "core-0", Zone: "zone-0", Address: "127.0.0.1:1", Voter: true}}}}
 	s.open()
@@ -52,7 +52,7 @@
 	return s
 }
 
-func (s *stormGroup) open() {
+func (s *singleVoterGroup) open() {
 	store, err := storage.Open(s.folder)
 	if err != nil {
 		s.t.Fatal(err)
@@ -62,7 +62,7 @@
 }
 
 // start makes the group of what the store holds, and has it lead.
-func (s *stormGroup) start() {
+func (s *singleVoterGroup) start() {
 	s.t.Helper()
 	stored, _, err := s.store.Load(feed.ConfigurationPartition)
 	if err != nil {
@@ -76,15 +76,15 @@
 	for s.group.node.Role() != consensus.Leader {
 		s.now = max(s.now, s.group.node.NextTick())
 		s.group.node.Tick(s.now)
-		s.settle()
+		s.processReady()
 	}
 	s.version = s.state.Version()
 }
 
-func (s *stormGroup) send(*group, []consensus.Message) {}
-func (s *stormGroup) enqueueWrite(j writeJob)          { s.jobs = append(s.jobs, j) }
+func (s *singleVoterGroup) send(*group, []consensus.Message) {}
+func (s *singleVoterGroup) enqueueWrite(j writeJob)          { s.jobs = append(s.jobs, j) }
 
-func (s *stormGroup) settle() {
+func (s *singleVoterGroup) processReady() {
 	s.t.Helper()
 	for more := true; more; {
 		if err := s.group.processReady(s); err != nil {
@@ -104,15 +104,15 @@
 	}
 }
 
-// change proposes the next version, with new values for some routes.
-func (s *stormGroup) change(routes int) {
+// proposeChange proposes the next version, with new values for some routes.
+func (s *singleVoterGroup) proposeChange(routes int) {
 	s.t.Helper()
 	command := state.CommitConfiguration{BasedOn: s.version, Version: s.version + 1}
 	for i := range command.Digest {
 		command.Digest[i] = byte(s.random.Uint32())
 	}
-	for _, route := range s.random.Perm(stormRoutes)[:routes] {
-		value := make([]byte, stormRouteSize)
+	for _, route := range s.random.Perm(loadRoutes)[:routes] {
+		value := make([]byte, boundRouteBytes)
 		for i := 0; i < len(value); i += 8 {
 			value[i] = byte(s.random.Uint32())
 		}
@@ -124,7 +124,7 @@
 	s.version++
 }
 
-func (s *stormGroup) diskBytes() (bytes int64) {
+func (s *singleVoterGroup) diskBytes() (bytes int64) {
 	s.t.Helper()
 	names, err := filepath.Glob(filepath.Join(s.folder, "*"))
 	if err != nil {
@@ -147,32 +147,32 @@
 	return int64(stats.HeapAlloc)
 }
 
-// TestStormIsBounded: log, snapshot, disk and memory stay bounded through thousands of changes of a large configuration,
+// TestWriteLoadResourceBounds: log, snapshot, disk and memory stay bounded through thousands of changes of a large configuration,
 // the whole of which is replaced now and then. It is not run beside others, whose memory would count.
-func TestStormIsBounded(t *testing.T) {
+func TestWriteLoadResourceBounds(t *testing.T) {
 	before := heapBytes()
-	s := newStormGroup(t)
+	s := newSingleVoterGroup(t)
 	var mostDisk, mostHeap int64
-	for i := 0; i < stormChanges; i++ {
-		if i < stormWhole || i%stormWholeAt == 0 {
-			s.change(stormRoutes)
-			s.settle()
+	for i := 0; i < boundChanges; i++ {
+		if i < boundFullChanges || i%boundFullInterval == 0 {
+			s.proposeChange(loadRoutes)
+			s.processReady()
 		} else {
-			s.change(1)
+			s.proposeChange(1)
 		}
-		if i%stormBatch == stormBatch-1 {
-			s.settle()
+		if i%boundBatchChanges == boundBatchChanges-1 {
+			s.processReady()
 			mostDisk = max(mostDisk, s.diskBytes())
 		}
-		if i == stormWhole || i%stormWholeAt == stormWholeAt-1 {
+		if i == boundFullChanges || i%boundFullInterval == boundFullInterval-1 {
 			mostHeap = max(mostHeap, heapBytes()-before)
 		}
 	}
-	s.settle()
-	t.Logf("%d changes: at most %.1f MB on disk, %.1f MB of memory", stormChanges, float64(mostDisk)/(1<<20),
+	s.processReady()
+	t.Logf("%d changes: at most %.1f MB on disk, %.1f MB of memory", boundChanges, float64(mostDisk)/(1<<20),
 		float64(mostHeap)/(1<<20))
-	if mostDisk > mostDiskBytes || mostHeap > mostHeapBytes {
-		t.Errorf("%d bytes on disk, at most %d; %d of memory, at most %d", mostDisk, mostDiskBytes, mostHeap, mostHeapBytes)
+	if mostDisk > maxDiskBytes || mostHeap > maxHeapBytes {
+		t.Errorf("%d bytes on disk, at most %d; %d of memory, at most %d", mostDisk, maxDiskBytes, mostHeap, maxHeapBytes)
 	}
 	if s.state.Version() != s.version {
 		t.Errorf("version %d is in force, not %d", s.state.Version(), s.version)
--- a/internal/system/replica/calls_test.go
+++ b/internal/system/replica/calls_test.go
@@ -7,8 +7,8 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// FuzzMessages reads batches: what is read makes the same batch again.
-func FuzzMessages(f *testing.F) {
+// FuzzReadMessage reads batches: what is read makes the same batch again.
+func FuzzReadMessage(f *testing.F) {
 	var batch []byte
 	for i := range 3 {
 		message := consensus.Message{Kind: consensus.MessageAppend, From: 1, To: 2, Term: uint64(i + 1),
--- a/internal/system/replica/core_calls_test.go
+++ b/internal/system/replica/core_calls_test.go
@@ -12,92 +12,92 @@
 // the calls to other replicas, and above them what the operators' API does with a change or a read.
 
 const (
-	apiWithin     = 800 * time.Millisecond // the API's AnswerWithin
-	apiCutOff     = 100 * time.Millisecond // its CutOffAnswerWithin
-	apiRetryEvery = 50 * time.Millisecond
+	apiTimeout               = 800 * time.Millisecond // the API's AnswerWithin
+	apiTimeoutWithoutContact = 100 * time.Millisecond // its CutOffAnswerWithin
+	apiRetryInterval         = 50 * time.Millisecond
 )
 
-// coreRequest is a change as an operator sends it, or a read.
-type coreRequest struct {
+// simRequest is a change as an operator sends it, or a read.
+type simRequest struct {
 	read          bool
 	base, version uint64
 	digest        state.Digest
 	zone          string // of an evacuation, or of a read of one; empty: the configuration
-	on            bool
-	gone          *bool // its sender has given an evacuation up
+	evacuated     bool
+	abandoned     *bool // its sender has given an evacuation up
 }
 
-// coreAnswer is what the operator is told.
-type coreAnswer struct {
-	kind    answerKind
-	version uint64
-	digest  state.Digest // of the version read
-	on      bool         // of the zone read
-	// hopeless: there may be no clear answer ever, since the version that the change builds on is not in force.
-	hopeless bool
+// simResponse is what the operator is told.
+type simResponse struct {
+	kind      responseKind
+	version   uint64
+	digest    state.Digest // of the version read
+	evacuated bool         // of the zone read
+	// undecidable: there may be no clear answer ever, since the version that the change builds on is not in force.
+	undecidable bool
 }
 
-type answerKind uint8
+type responseKind uint8
 
 const (
-	answerUnknown answerKind = iota
-	answerAccepted
-	answerConflict
-	answerRead
+	responseUnknown responseKind = iota
+	responseAccepted
+	responseConflict
+	responseRead
 )
 
-// serve answers a request within a time, as the API does.
-func (p *coreProcess) serve(r *coreRequest, done func(coreAnswer)) {
-	within := apiWithin
+// handleRequest answers a request within a time, as the API does.
+func (p *simProcess) handleRequest(r *simRequest, done func(simResponse)) {
+	within := apiTimeout
 	if !p.inContact() {
-		within = apiCutOff
+		within = apiTimeoutWithoutContact
 	}
-	p.attempt(r, p.state.Evacuation(r.zone).Ordered, p.clock()+within, done)
+	p.attemptRequest(r, p.state.Evacuation(r.zone).Ordered, p.clock()+within, done)
 }
 
-func (p *coreProcess) attempt(r *coreRequest, ordered uint64, deadline time.Duration, done func(coreAnswer)) {
+func (p *simProcess) attemptRequest(r *simRequest, ordered uint64, deadline time.Duration, done func(simResponse)) {
 	retry := func() {
-		if p.clock()+apiRetryEvery >= deadline {
-			done(coreAnswer{})
+		if p.clock()+apiRetryInterval >= deadline {
+			done(simResponse{})
 			return
 		}
-		p.at(p.clock()+apiRetryEvery, func() { p.attempt(r, ordered, deadline, done) })
+		p.runAt(p.clock()+apiRetryInterval, func() { p.attemptRequest(r, ordered, deadline, done) })
 	}
 	p.barrier(deadline, func(held bool) {
 		switch {
 		case !held:
 			retry()
 		case r.read:
-			done(p.readAnswer(r.zone))
+			done(p.readResponse(r.zone))
 		case r.zone != "":
-			p.evacuate(r, ordered, deadline, done, retry)
+			p.attemptEvacuation(r, ordered, deadline, done, retry)
 		default:
-			p.commit(r, deadline, done, retry)
+			p.attemptCommit(r, deadline, done, retry)
 		}
 	})
 }
 
-func (p *coreProcess) readAnswer(zone string) coreAnswer {
+func (p *simProcess) readResponse(zone string) simResponse {
 	base := p.state.Base()
-	answer := coreAnswer{kind: answerRead, version: base.Version, on: p.state.Evacuation(zone).On}
+	answer := simResponse{kind: responseRead, version: base.Version, evacuated: p.state.Evacuation(zone).On}
 	for _, value := range base.Values.All(ownerKey) {
 		copy(answer.digest[:], value)
 	}
 	return answer
 }
 
-// commit is an attempt of the API's committer, after its barrier.
-func (p *coreProcess) commit(r *coreRequest, deadline time.Duration, done func(coreAnswer), retry func()) {
+// attemptCommit is an attempt of the API's committer, after its barrier.
+func (p *simProcess) attemptCommit(r *simRequest, deadline time.Duration, done func(simResponse), retry func()) {
 	standing := p.state.Standing(r.base, r.digest)
 	switch standing.Verdict {
 	case state.Taken:
-		done(coreAnswer{kind: answerAccepted, version: standing.Version})
+		done(simResponse{kind: responseAccepted, version: standing.Version})
 		return
 	case state.Superseded:
-		done(coreAnswer{kind: answerConflict, version: standing.Version})
+		done(simResponse{kind: responseConflict, version: standing.Version})
 		return
 	case state.Early, state.Forgotten:
-		done(coreAnswer{hopeless: true})
+		done(simResponse{undecidable: true})
 		return
 	}
 	command := p.world.command(r)
@@ -113,33 +113,33 @@
 		}
 		switch decoded.Outcome {
 		case state.Accepted, state.AlreadyAccepted:
-			done(coreAnswer{kind: answerAccepted, version: decoded.Number})
+			done(simResponse{kind: responseAccepted, version: decoded.Number})
 		case state.Conflict:
-			done(coreAnswer{kind: answerConflict, version: decoded.Number})
+			done(simResponse{kind: responseConflict, version: decoded.Number})
 		default:
 			p.world.fail("outcome %d of a command", decoded.Outcome)
 		}
 	})
 }
 
-// evacuate is an attempt of the API's committer about a zone, after its barrier.
-func (p *coreProcess) evacuate(r *coreRequest, ordered uint64, deadline time.Duration, done func(coreAnswer),
+// attemptEvacuation is an attempt of the API's committer about a zone, after its barrier.
+func (p *simProcess) attemptEvacuation(r *simRequest, ordered uint64, deadline time.Duration, done func(simResponse),
 	retry func()) {
 	evacuation := p.state.Evacuation(r.zone)
-	plant := &p.world.plant
+	plant := &p.world.injected
 	switch {
-	case *r.gone && !plant.lateOrders:
-		done(coreAnswer{})
+	case *r.abandoned && !plant.acceptsLateOrders:
+		done(simResponse{})
 		return
-	case evacuation.Ordered != ordered && evacuation.On != r.on && !plant.lateOrders:
-		done(coreAnswer{})
+	case evacuation.Ordered != ordered && evacuation.On != r.evacuated && !plant.acceptsLateOrders:
+		done(simResponse{})
 		return
-	case evacuation.On == r.on && plant.idleOrders:
-		done(coreAnswer{kind: answerAccepted})
+	case evacuation.On == r.evacuated && plant.skipsNoopOrders:
+		done(simResponse{kind: responseAccepted})
 		return
 	}
-	command := (&state.SetEvacuation{Zone: r.zone, On: r.on, Seen: evacuation.Seen}).Encode()
-	p.world.truth.commands[string(command)] = *r
+	command := (&state.SetEvacuation{Zone: r.zone, On: r.evacuated, Seen: evacuation.Seen}).Encode()
+	p.world.oracle.commands[string(command)] = *r
 	p.propose(command, deadline, func(result []byte, known bool) {
 		decoded, err := state.DecodeResult(result)
 		switch {
@@ -148,7 +148,7 @@
 		case err != nil || decoded.Outcome == state.Unreadable:
 			p.world.fail("result of an evacuation: %+v, %v", decoded, err)
 		default:
-			done(coreAnswer{kind: answerAccepted})
+			done(simResponse{kind: responseAccepted})
 		}
 	})
 }
@@ -157,25 +157,25 @@
 const ownerKey = "owner"
 
 // command is the command that a request leads to.
-func (w *coreWorld) command(r *coreRequest) []byte {
+func (w *simulation) command(r *simRequest) []byte {
 	digest := r.digest
-	if w.plant.forgetful {
-		w.truth.salt++
-		digest[len(digest)-1] = byte(w.truth.salt)
-		digest[len(digest)-2] = byte(w.truth.salt >> 8)
+	if w.injected.changesDigests {
+		w.oracle.salt++
+		digest[len(digest)-1] = byte(w.oracle.salt)
+		digest[len(digest)-2] = byte(w.oracle.salt >> 8)
 	}
 	c := state.CommitConfiguration{BasedOn: r.base, Version: r.version, Digest: digest,
 		Writes: []state.Write{{Key: ownerKey, Value: r.digest[:]}}}
-	if w.profile.Padding > 0 {
-		c.Writes = append(c.Writes, state.Write{Key: "padding", Value: make([]byte, w.profile.Padding)})
+	if w.profile.PaddingBytes > 0 {
+		c.Writes = append(c.Writes, state.Write{Key: "padding", Value: make([]byte, w.profile.PaddingBytes)})
 	}
 	command := c.Encode()
-	w.truth.commands[string(command)] = *r
+	w.oracle.commands[string(command)] = *r
 	return command
 }
 
 // propose is Host.Propose; known is false where it is not known whether the command was taken, or it was not.
-func (p *coreProcess) propose(command []byte, deadline time.Duration, done func(result []byte, known bool)) {
+func (p *simProcess) propose(command []byte, deadline time.Duration, done func(result []byte, known bool)) {
 	settled := func(reply ProposeReply) {
 		switch reply.Outcome {
 		case OutcomeCommitted:
@@ -183,31 +183,31 @@
 		case OutcomeUnknown:
 			done(nil, false)
 		default:
-			p.again(deadline, func() { p.propose(command, deadline, done) }, func() { done(nil, false) })
+			p.retry(deadline, func() { p.propose(command, deadline, done) }, func() { done(nil, false) })
 		}
 	}
-	leader, here := p.whoLeads()
+	leader, here := p.locateLeader()
 	switch {
 	case here:
-		p.proposeHere(command, deadline, settled)
+		p.proposeLocal(command, deadline, settled)
 	case leader != nil:
-		p.proposeAt(leader, command, deadline, settled)
+		p.proposeRemote(leader, command, deadline, settled)
 	default:
 		settled(ProposeReply{Outcome: OutcomeDropped})
 	}
 }
 
-// again tries something after a pause, unless the time is up then.
-func (p *coreProcess) again(deadline time.Duration, try, late func()) {
+// retry tries something after a pause, unless the time is up then.
+func (p *simProcess) retry(deadline time.Duration, try, late func()) {
 	if p.clock()+retryDelay >= deadline {
 		late()
 		return
 	}
-	p.at(p.clock()+retryDelay, try)
+	p.runAt(p.clock()+retryDelay, try)
 }
 
 // locateLeader is Host.locateLeader.
-func (p *coreProcess) whoLeads() (leader *coreSlot, here bool) {
+func (p *simProcess) locateLeader() (leader *simMachine, here bool) {
 	machine := p.group.node
 	if machine.Role() == consensus.Leader {
 		return nil, !machine.Transferring()
@@ -216,12 +216,12 @@
 	if !known {
 		return nil, false
 	}
-	return p.world.byPort[address], false
+	return p.world.byAddress[address], false
 }
 
 // proposeLocal is Host.proposeLocal.
-func (p *coreProcess) proposeHere(command []byte, deadline time.Duration, done func(ProposeReply)) {
-	if p.host.disk.leadershipReleased || len(p.jobs) > maxQueuedJobs {
+func (p *simProcess) proposeLocal(command []byte, deadline time.Duration, done func(ProposeReply)) {
+	if p.host.disk.leadershipReleased || len(p.queuedJobs) > maxQueuedJobs {
 		done(ProposeReply{Outcome: OutcomeDropped})
 		return
 	}
@@ -230,7 +230,7 @@
 		done(ProposeReply{Outcome: OutcomeDropped})
 		return
 	}
-	p.await(deadline, func() bool {
+	p.waitUntil(deadline, func() bool {
 		select {
 		case reply := <-proposed.done:
 			done(reply)
@@ -245,14 +245,14 @@
 }
 
 // proposeRemote is proposeRemote with the call's handler at its other end.
-func (p *coreProcess) proposeAt(leader *coreSlot, command []byte, deadline time.Duration, done func(ProposeReply)) {
+func (p *simProcess) proposeRemote(leader *simMachine, command []byte, deadline time.Duration, done func(ProposeReply)) {
 	wait := min(deadline-p.clock(), proposeTimeout)
 	if wait < minCallTimeout || leader.process == nil {
 		done(ProposeReply{Outcome: OutcomeDropped})
 		return
 	}
-	call(p, leader, wait, func(asked *coreProcess, answer func(ProposeReply)) {
-		asked.proposeHere(command, asked.clock()+wait-handlerMargin, answer)
+	call(p, leader, wait, func(asked *simProcess, answer func(ProposeReply)) {
+		asked.proposeLocal(command, asked.clock()+wait-handlerMargin, answer)
 	}, func(reply ProposeReply, came bool) {
 		if !came {
 			reply = ProposeReply{Outcome: OutcomeUnknown}
@@ -263,12 +263,12 @@
 
 // call asks another machine's process; came is false where no answer comes in time, or before this replica no longer
 // follows the leader that it does (see withLeaderChange).
-func call[T any](p *coreProcess, to *coreSlot, wait time.Duration, handle func(asked *coreProcess, answer func(T)),
+func call[T any](p *simProcess, to *simMachine, wait time.Duration, handle func(asked *simProcess, answer func(T)),
 	done func(reply T, came bool)) {
 	var reply T
 	over, came := false, false
 	changed := p.group.leaderChanged
-	p.await(p.clock()+wait, func() bool {
+	p.waitUntil(p.clock()+wait, func() bool {
 		select {
 		case <-changed:
 			over = true
@@ -286,25 +286,25 @@
 		done(reply, false)
 	})
 	w, from := p.world, p.slot
-	w.carry(from, to, false, func(asked *coreProcess) {
+	w.transmit(from, to, false, func(asked *simProcess) {
 		handle(asked, func(answer T) {
-			w.carry(to, from, false, func(*coreProcess) { reply, came = answer, true })
+			w.transmit(to, from, false, func(*simProcess) { reply, came = answer, true })
 		})
 	})
 }
 
 // barrier is Host.Barrier.
-func (p *coreProcess) barrier(deadline time.Duration, done func(held bool)) {
-	if p.world.plant.staleReads {
+func (p *simProcess) barrier(deadline time.Duration, done func(held bool)) {
+	if p.world.injected.skipsBarrier {
 		done(true)
 		return
 	}
 	confirmed := func(index uint64, confirmed bool) {
 		if !confirmed {
-			p.again(deadline, func() { p.barrier(deadline, done) }, func() { done(false) })
+			p.retry(deadline, func() { p.barrier(deadline, done) }, func() { done(false) })
 			return
 		}
-		p.await(deadline, func() bool {
+		p.waitUntil(deadline, func() bool {
 			if p.group.appliedIndex < index {
 				return false
 			}
@@ -312,21 +312,21 @@
 			return true
 		}, func() { done(false) })
 	}
-	leader, here := p.whoLeads()
+	leader, here := p.locateLeader()
 	switch {
 	case here:
-		p.readIndexHere(deadline, confirmed)
+		p.readIndexLocal(deadline, confirmed)
 	case leader != nil:
-		p.readIndexAt(leader, deadline, confirmed)
+		p.readIndexRemote(leader, deadline, confirmed)
 	default:
 		confirmed(0, false)
 	}
 }
 
 // readIndexLocal is Host.readIndexLocal.
-func (p *coreProcess) readIndexHere(deadline time.Duration, done func(index uint64, confirmed bool)) {
+func (p *simProcess) readIndexLocal(deadline time.Duration, done func(index uint64, confirmed bool)) {
 	token, answer := p.group.startReadIndex(p.clock())
-	p.await(deadline, func() bool {
+	p.waitUntil(deadline, func() bool {
 		select {
 		case read := <-answer:
 			done(read.Index, read.Err == nil)
@@ -340,14 +340,14 @@
 	})
 }
 
-func (p *coreProcess) readIndexAt(leader *coreSlot, deadline time.Duration, done func(index uint64, confirmed bool)) {
+func (p *simProcess) readIndexRemote(leader *simMachine, deadline time.Duration, done func(index uint64, confirmed bool)) {
 	wait := min(deadline-p.clock(), readIndexTimeout)
 	if wait < minCallTimeout || leader.process == nil {
 		done(0, false)
 		return
 	}
-	call(p, leader, wait, func(asked *coreProcess, answer func(ReadIndexReply)) {
-		asked.readIndexHere(asked.clock()+wait-handlerMargin, func(index uint64, confirmed bool) {
+	call(p, leader, wait, func(asked *simProcess, answer func(ReadIndexReply)) {
+		asked.readIndexLocal(asked.clock()+wait-handlerMargin, func(index uint64, confirmed bool) {
 			reply := ReadIndexReply{Outcome: OutcomeDropped}
 			if confirmed {
 				reply = ReadIndexReply{Outcome: OutcomeCommitted, Index: index}
@@ -357,37 +357,37 @@
 	}, func(reply ReadIndexReply, came bool) { done(reply.Index, came && reply.Outcome == OutcomeCommitted) })
 }
 
-// coreAgent follows partition 0 at one replica after the other, as agents do.
-type coreAgent struct {
-	world   *coreWorld
-	table   *feed.Table
-	version uint64
-	at      *coreSlot
+// simAgent follows partition 0 at one replica after the other, as agents do.
+type simAgent struct {
+	world    *simulation
+	table    *feed.Table
+	version  uint64
+	upstream *simMachine
 }
 
-const agentEvery = 400 * time.Millisecond
+const agentPollInterval = 400 * time.Millisecond
 
-func (w *coreWorld) addAgent() {
-	a := &coreAgent{world: w, table: feed.NewTable(feed.ConfigurationPartition)}
+func (w *simulation) addAgent() {
+	a := &simAgent{world: w, table: feed.NewTable(feed.ConfigurationPartition)}
 	w.agents = append(w.agents, a)
-	w.after(agentEvery, a.follow)
+	w.schedule(agentPollInterval, a.follow)
 }
 
 // follow asks the replica for what has changed since; at times another one.
-func (a *coreAgent) follow() {
+func (a *simAgent) follow() {
 	w := a.world
-	w.after(w.between(agentEvery/2, agentEvery), a.follow)
-	if a.at == nil || a.at.retired || w.chance(0.1) {
-		a.at = w.anySlot()
+	w.schedule(w.uniform(agentPollInterval/2, agentPollInterval), a.follow)
+	if a.upstream == nil || a.upstream.replaced || w.chance(0.1) {
+		a.upstream = w.randomMachine()
 	}
-	p := a.at.process
-	if p == nil || w.faults && w.chance(w.profile.Loss) {
-		a.at = nil
+	p := a.upstream.process
+	if p == nil || w.faultsEnabled && w.chance(w.profile.Loss) {
+		a.upstream = nil
 		return
 	}
-	p.do(func() {
+	p.execute(func() {
 		batch := p.state.Since(a.table.Index(), 0)
-		w.after(w.between(0, w.profile.Delay), func() {
+		w.schedule(w.uniform(0, w.profile.Delay), func() {
 			a.table.Apply(w.now, batch)
 			w.checkAgent(a)
 		})
--- a/internal/system/replica/core_check_test.go
+++ b/internal/system/replica/core_check_test.go
@@ -15,48 +15,48 @@
 	"cinderroad/internal/system/storage"
 )
 
-// place is where an entry stands, and of which term it is.
-type place struct{ index, term uint64 }
+// entryID is where an entry stands, and of which term it is.
+type entryID struct{ index, term uint64 }
 
-// synced is what a replica had on its disk at some time, its disk lost or not.
-type synced struct {
-	entries  map[place]bool
+// syncedState is what a replica had on its disk at some time, its disk lost or not.
+type syncedState struct {
+	entries  map[entryID]bool
 	snapshot uint64
 }
 
-// link is a version of the configuration that was put in force.
-type link struct {
-	at      time.Duration
-	index   uint64
-	request coreRequest
+// committedVersion is a version of the configuration that was put in force.
+type committedVersion struct {
+	committedAt time.Duration
+	index       uint64
+	request     simRequest
 }
 
-// agreed is what all replicas must do alike at an index.
-type agreed struct{ command, result string }
+// appliedCommand is what all replicas must do alike at an index.
+type appliedCommand struct{ command, result string }
 
-// coreTruth is what an observer of the whole core knows.
-type coreTruth struct {
-	synced   map[consensus.ReplicaID]*synced
-	agreed   map[uint64]agreed
-	chain    []link
-	applied  uint64 // highest index that any replica has applied
-	leaders  map[uint64]consensus.ReplicaID
-	members  map[consensus.ReplicaID]bool // of any membership
-	voters   map[consensus.ReplicaID]bool
-	proposed consensus.Membership
+// oracle is what an observer of the whole core knows.
+type oracle struct {
+	syncedStates    map[consensus.ReplicaID]*syncedState
+	appliedCommands map[uint64]appliedCommand
+	versions        []committedVersion
+	appliedIndex    uint64 // highest index that any replica has applied
+	leaders         map[uint64]consensus.ReplicaID
+	members         map[consensus.ReplicaID]bool // of any membership
+	voters          map[consensus.ReplicaID]bool
+	proposed        consensus.Membership
 
-	commands map[string]coreRequest
+	commands map[string]simRequest
 	requests uint64
 	salt     int
 }
 
-func newCoreTruth() coreTruth {
-	return coreTruth{synced: map[consensus.ReplicaID]*synced{}, agreed: map[uint64]agreed{},
+func newOracle() oracle {
+	return oracle{syncedStates: map[consensus.ReplicaID]*syncedState{}, appliedCommands: map[uint64]appliedCommand{},
 		leaders: map[uint64]consensus.ReplicaID{}, members: map[consensus.ReplicaID]bool{},
-		voters: map[consensus.ReplicaID]bool{}, commands: map[string]coreRequest{}}
+		voters: map[consensus.ReplicaID]bool{}, commands: map[string]simRequest{}}
 }
 
-func (t *coreTruth) noteMembership(membership consensus.Membership) {
+func (t *oracle) recordMembership(membership consensus.Membership) {
 	t.proposed = membership
 	for _, m := range membership.Members {
 		t.members[m.ID] = true
@@ -64,57 +64,57 @@
 	}
 }
 
-func (t *coreTruth) noteSynced(id consensus.ReplicaID, w *storage.Update) {
-	s := t.synced[id]
+func (t *oracle) recordSynced(id consensus.ReplicaID, w *storage.Update) {
+	s := t.syncedStates[id]
 	if s == nil {
-		s = &synced{entries: map[place]bool{}}
-		t.synced[id] = s
+		s = &syncedState{entries: map[entryID]bool{}}
+		t.syncedStates[id] = s
 	}
 	for _, e := range w.Entries {
-		s.entries[place{e.Index, e.Term}] = true
+		s.entries[entryID{e.Index, e.Term}] = true
 	}
 	if w.InstalledSnapshot != nil {
 		s.snapshot = max(s.snapshot, w.InstalledSnapshot.Index)
 	}
 }
 
-// noteBoot sees that what a process finds on its disk leads to what was agreed.
-func (t *coreTruth) noteBoot(w *coreWorld, p *coreProcess, stored *consensus.PersistentState) {
+// checkBoot sees that what a process finds on its disk leads to what was agreed.
+func (t *oracle) checkBoot(w *simulation, p *simProcess, stored *consensus.PersistentState) {
 	if version := t.versionAt(stored.Snapshot.Index); p.state.Version() != version {
 		w.fail("machine %d begins at version %d, where %d was agreed", p.slot.number, p.state.Version(), version)
 	}
 }
 
 // versionAt is the version in force once the log is applied up to an index.
-func (t *coreTruth) versionAt(index uint64) uint64 {
-	l, _ := t.linkAt(index)
+func (t *oracle) versionAt(index uint64) uint64 {
+	l, _ := t.committedAt(index)
 	return l.request.version
 }
 
-func (t *coreTruth) linkAt(index uint64) (l link, is bool) {
-	for i := len(t.chain) - 1; i >= 0; i-- {
-		if t.chain[i].index <= index {
-			return t.chain[i], true
+func (t *oracle) committedAt(index uint64) (l committedVersion, is bool) {
+	for i := len(t.versions) - 1; i >= 0; i-- {
+		if t.versions[i].index <= index {
+			return t.versions[i], true
 		}
 	}
-	return link{}, false
+	return committedVersion{}, false
 }
 
-// inForce tells whether a change ever was.
-func (t *coreTruth) inForce(digest state.Digest) bool {
-	return slices.ContainsFunc(t.chain, func(l link) bool { return l.request.digest == digest })
+// everCommitted tells whether a change ever was.
+func (t *oracle) everCommitted(digest state.Digest) bool {
+	return slices.ContainsFunc(t.versions, func(l committedVersion) bool { return l.request.digest == digest })
 }
 
-// noteApplied sees that all replicas do the same at an index, and that accepted changes make one chain without repeats.
-func (w *coreWorld) noteApplied(p *coreProcess, index uint64, command, result []byte) {
-	this := agreed{string(command), string(result)}
-	if have, is := w.truth.agreed[index]; is {
+// checkApplied sees that all replicas do the same at an index, and that accepted changes make one chain without repeats.
+func (w *simulation) checkApplied(p *simProcess, index uint64, command, result []byte) {
+	this := appliedCommand{string(command), string(result)}
+	if have, is := w.oracle.appliedCommands[index]; is {
 		if have != this {
 			w.fail("machine %d does something else at %d than another did", p.slot.number, index)
 		}
 		return
 	}
-	w.truth.agreed[index] = this
+	w.oracle.appliedCommands[index] = this
 	decoded, err := state.DecodeResult(result)
 	if err != nil || decoded.Outcome == state.Unreadable {
 		w.fail("result at %d: %+v, %v", index, decoded, err)
@@ -122,42 +122,42 @@
 	if decoded.Outcome != state.Accepted {
 		return
 	}
-	request, known := w.truth.commands[this.command]
+	request, known := w.oracle.commands[this.command]
 	if !known {
 		w.fail("a change is in force at %d that nobody sent", index)
 	}
 	if request.zone != "" {
-		w.noteZone(&request)
+		w.recordEvacuation(&request)
 		return
 	}
-	before := w.truth.versionAt(index)
+	before := w.oracle.versionAt(index)
 	if request.base != before || request.version <= before {
 		w.fail("version %d on %d is put in force at %d on %d", request.version, request.base, index, before)
 	}
-	for _, l := range w.truth.chain {
+	for _, l := range w.oracle.versions {
 		if l.request.digest == request.digest || l.index >= index {
 			w.fail("a change is put in force at %d and at %d", l.index, index)
 		}
 	}
 	w.logf("%d puts version %d in force at %d", p.slot.number, request.version, index)
-	w.truth.chain = append(w.truth.chain, link{w.now, index, request})
+	w.oracle.versions = append(w.oracle.versions, committedVersion{w.now, index, request})
 }
 
 // checkStep holds after each step of a process.
-func (w *coreWorld) checkStep(p *coreProcess) {
+func (w *simulation) checkStep(p *simProcess) {
 	version := p.state.Version()
-	if version < p.version || p.group.appliedIndex < p.applied {
-		w.fail("machine %d goes back from version %d at %d to %d at %d", p.slot.number, p.version, p.applied, version,
+	if version < p.version || p.group.appliedIndex < p.appliedIndex {
+		w.fail("machine %d goes back from version %d at %d to %d at %d", p.slot.number, p.version, p.appliedIndex, version,
 			p.group.appliedIndex)
 	}
-	if p.group.appliedIndex != p.applied && version != w.truth.versionAt(p.group.appliedIndex) {
-		w.fail("machine %d is at version %d, where %d was agreed", p.slot.number, version, w.truth.versionAt(p.group.appliedIndex))
+	if p.group.appliedIndex != p.appliedIndex && version != w.oracle.versionAt(p.group.appliedIndex) {
+		w.fail("machine %d is at version %d, where %d was agreed", p.slot.number, version, w.oracle.versionAt(p.group.appliedIndex))
 	}
-	p.version, p.applied = version, p.group.appliedIndex
-	w.checkFresh(p)
-	if p.applied > w.truth.applied {
+	p.version, p.appliedIndex = version, p.group.appliedIndex
+	w.checkStaleness(p)
+	if p.appliedIndex > w.oracle.appliedIndex {
 		w.checkMajority(p)
-		w.truth.applied = p.applied
+		w.oracle.appliedIndex = p.appliedIndex
 	}
 	if p.group.node.Role() == consensus.Leader {
 		w.checkLeader(p)
@@ -165,19 +165,19 @@
 }
 
 // checkMajority sees that what is applied first was synced by a majority of the voters.
-func (w *coreWorld) checkMajority(p *coreProcess) {
-	at, is := p.group.node.CreateSnapshot(p.applied, nil)
+func (w *simulation) checkMajority(p *simProcess) {
+	at, is := p.group.node.CreateSnapshot(p.appliedIndex, nil)
 	if !is {
-		w.fail("machine %d has applied %d first, and knows no term of it", p.slot.number, p.applied)
+		w.fail("machine %d has applied %d first, and knows no term of it", p.slot.number, p.appliedIndex)
 		return
 	}
 	membership := p.group.node.Membership()
 	have := func(id consensus.ReplicaID) bool {
-		s := w.truth.synced[id]
-		return s != nil && (s.entries[place{at.Index, at.Term}] || s.snapshot >= at.Index)
+		s := w.oracle.syncedStates[id]
+		return s != nil && (s.entries[entryID{at.Index, at.Term}] || s.snapshot >= at.Index)
 	}
 	if !majorityOfEach(membership, have) {
-		w.fail("machine %d applies %d, which no majority of %v has synced", p.slot.number, p.applied,
+		w.fail("machine %d applies %d, which no majority of %v has synced", p.slot.number, p.appliedIndex,
 			memberList(membership.Members))
 	}
 }
@@ -203,37 +203,37 @@
 	return 2*agreeing > voters && (outgoing == 0 || 2*agreeingOutgoing > outgoing)
 }
 
-// leadsStalledFor is how long a replica may lead whose disk does not finish a write.
-const leadsStalledFor = diskStallTimeout + defaultElectionTimeout + 300*time.Millisecond
+// maxStalledLeadership is how long a replica may lead whose disk does not finish a write.
+const maxStalledLeadership = diskStallTimeout + defaultElectionTimeout + 300*time.Millisecond
 
 // checkLeader sees that there is one leader a term, a voter, whose disk works.
-func (w *coreWorld) checkLeader(p *coreProcess) {
+func (w *simulation) checkLeader(p *simProcess) {
 	term := p.group.lastHardState.Term // a leader's is on its disk
-	id, is := w.truth.leaders[term]
+	id, is := w.oracle.leaders[term]
 	if is && id != p.host.self.ID {
 		w.fail("replicas %s and %s both led term %d", formatReplicaID(id), formatReplicaID(p.host.self.ID), term)
 	}
 	if !is {
 		w.logf("%d leads term %d", p.slot.number, term)
-		w.counts.numbers.terms++
-		w.truth.leaders[term] = p.host.self.ID
+		w.stats.counters.terms++
+		w.oracle.leaders[term] = p.host.self.ID
 	}
-	stalled := len(p.writing) > 0 && len(durableWrites(p.writing)) > 0 && p.clock()-p.began > leadsStalledFor
-	if stalled && w.now-p.thawed > leadsStalledFor {
-		w.fail("machine %d leads, and its disk has not finished a write for %v", p.slot.number, p.clock()-p.began)
+	stalled := len(p.activeJobs) > 0 && len(durableWrites(p.activeJobs)) > 0 && p.clock()-p.writeStarted > maxStalledLeadership
+	if stalled && w.now-p.resumedAt > maxStalledLeadership {
+		w.fail("machine %d leads, and its disk has not finished a write for %v", p.slot.number, p.clock()-p.writeStarted)
 	}
 }
 
 // checkSent sees that replicas that were not taken in neither vote nor stand for election.
-func (w *coreWorld) checkSent(p *coreProcess, message *consensus.Message) {
+func (w *simulation) checkSent(p *simProcess, message *consensus.Message) {
 	id := p.slot.id()
 	switch message.Kind {
 	case consensus.MessagePreVote, consensus.MessageVote:
-		if !w.truth.voters[id] {
+		if !w.oracle.voters[id] {
 			w.fail("machine %d stands for election and never was a voter", p.slot.number)
 		}
 	case consensus.MessagePreVoteReply, consensus.MessageVoteReply:
-		if !message.Reject && !w.truth.members[id] {
+		if !message.Reject && !w.oracle.members[id] {
 			w.fail("machine %d votes and never was a member", p.slot.number)
 		}
 	}
@@ -241,12 +241,12 @@
 
 // membershipDifference counts what differs between two memberships.
 type membershipDifference struct {
-	members int // that come, go or change in any way
-	votes   int // that are given or taken away
-	founded bool
+	members   int // that come, go or change in any way
+	votes     int // that are given or taken away
+	addsVoter bool
 }
 
-func differenceOf(before, after consensus.Membership) (d membershipDifference) {
+func diffMemberships(before, after consensus.Membership) (d membershipDifference) {
 	find := func(in consensus.Membership, id consensus.ReplicaID) consensus.Member {
 		for _, m := range in.Members {
 			if m.ID == id {
@@ -263,7 +263,7 @@
 		if old.Voter != m.Voter {
 			d.votes++
 		}
-		d.founded = d.founded || old.ID == 0 && m.HasVote()
+		d.addsVoter = d.addsVoter || old.ID == 0 && m.HasVote()
 	}
 	for _, m := range before.Members {
 		if find(after, m.ID).ID != 0 {
@@ -293,22 +293,22 @@
 
 // checkChange sees that memberships change by allowed steps, that only members become voters, and that no change takes the
 // majority away.
-func (w *coreWorld) checkChange(p *coreProcess, before, after consensus.Membership) {
-	d := differenceOf(before, after)
+func (w *simulation) checkChange(p *simProcess, before, after consensus.Membership) {
+	d := diffMemberships(before, after)
 	if d.members == 0 {
 		return // leadership was handed over
 	}
 	w.logf("%d changes the membership to %v", p.slot.number, memberList(after.Members))
-	w.counts.numbers.changes++
-	w.truth.noteMembership(after)
-	if d.founded {
+	w.stats.counters.membershipChanges++
+	w.oracle.recordMembership(after)
+	if d.addsVoter {
 		w.fail("machine %d makes a voter of no member: %v", p.slot.number, memberList(after.Members))
 	}
 	if !d.allowed(before, after) {
 		w.fail("machine %d changes %d members and %d votes at once: %v, then %v", p.slot.number, d.members, d.votes,
 			memberList(before.Members), memberList(after.Members))
 	}
-	anywhere := func(*coreSlot) bool { return false }
+	anywhere := func(*simMachine) bool { return false }
 	if w.majorityIntact(before, anywhere) && !w.majorityIntact(after, anywhere) {
 		w.fail("machine %d leaves no majority: %v, then %v", p.slot.number, memberList(before.Members), memberList(after.Members))
 	}
@@ -327,10 +327,10 @@
 }
 
 // checkAgent sees that an agent does not go back, and holds what was agreed at its place.
-func (w *coreWorld) checkAgent(a *coreAgent) {
+func (w *simulation) checkAgent(a *simAgent) {
 	value, _ := a.table.Get(feed.KeyVersion)
 	owner, _ := a.table.Get(ownerKey)
-	l, _ := w.truth.linkAt(a.table.Index())
+	l, _ := w.oracle.committedAt(a.table.Index())
 	version := l.request.version
 	if string(value) != fmt.Sprint(version) && (version > 0 || len(value) > 0) {
 		w.fail("an agent holds version %q at %d, where %d was agreed", value, a.table.Index(), version)
@@ -344,16 +344,16 @@
 	a.version = version
 }
 
-// settled tells whether all is well again; why not, if it is not, is in unsettled.
-func (w *coreWorld) settled() bool { return w.unsettled() == "" }
+// converged tells whether all is well again; why not, if it is not, is in unsettled.
+func (w *simulation) converged() bool { return w.notConverged() == "" }
 
-func (w *coreWorld) unsettled() string {
+func (w *simulation) notConverged() string {
 	p := w.leader()
 	if p == nil {
 		return "nobody leads"
 	}
-	slots := w.inUse()
-	if why := w.unsettledMembers(p, slots); why != "" {
+	slots := w.activeMachines()
+	if why := w.membershipNotConverged(p, slots); why != "" {
 		return why
 	}
 	for _, s := range slots {
@@ -361,8 +361,8 @@
 		if q == nil {
 			return fmt.Sprintf("machine %d is down", s.number)
 		}
-		if !q.host.isMember(q.group) || q.version != w.truth.versionAt(w.truth.applied) {
-			return fmt.Sprintf("machine %d is at version %d of %d", s.number, q.version, w.truth.versionAt(w.truth.applied))
+		if !q.host.isMember(q.group) || q.version != w.oracle.versionAt(w.oracle.appliedIndex) {
+			return fmt.Sprintf("machine %d is at version %d of %d", s.number, q.version, w.oracle.versionAt(w.oracle.appliedIndex))
 		}
 	}
 	for _, o := range w.operators {
@@ -370,8 +370,8 @@
 			return fmt.Sprintf("operator %d does not know what became of its change", o.number)
 		}
 	}
-	for _, o := range w.zones {
-		if why := o.unsettled(); why != "" {
+	for _, o := range w.evacuationOperators {
+		if why := o.notConverged(); why != "" {
 			return why
 		}
 	}
@@ -383,10 +383,10 @@
 	return ""
 }
 
-// unsettledMembers tells what is left to do about the membership: the leader's plan has come to its end, all machines are
+// membershipNotConverged tells what is left to do about the membership: the leader's plan has come to its end, all machines are
 // members, and as many may fail as the number of machines allows. A voter that is gone may stay where the group would be no
 // better without it.
-func (w *coreWorld) unsettledMembers(p *coreProcess, slots []*coreSlot) string {
+func (w *simulation) membershipNotConverged(p *simProcess, slots []*simMachine) string {
 	status := p.group.node.Status()
 	text := "the membership is " + memberList(status.Membership.Members).String()
 	if _, more := planChange(p.host.membershipView(p.clock(), p.group, &status)); more || status.MembershipIndex > status.Commit {
@@ -413,33 +413,33 @@
 }
 
 // checkEnd sees that all is well some time after the last fault, and looks at the whole history.
-func (w *coreWorld) checkEnd() {
-	if w.failed != "" {
+func (w *simulation) checkEnd() {
+	if w.failure != "" {
 		return
 	}
-	if why := w.unsettled(); why != "" {
-		w.fail("%v after the last fault: %s", coreHealing, why)
+	if why := w.notConverged(); why != "" {
+		w.fail("%v after the last fault: %s", recoveryPhase, why)
 		return
 	}
-	w.counts.numbers.versions += len(w.truth.chain)
+	w.stats.counters.versions += len(w.oracle.versions)
 	for _, op := range w.history.operations {
-		if op.answer.kind != answerAccepted {
+		if op.response.kind != responseAccepted {
 			continue
 		}
-		if !slices.ContainsFunc(w.truth.chain, func(l link) bool {
-			return l.request.digest == op.request.digest && l.request.version == op.answer.version
+		if !slices.ContainsFunc(w.oracle.versions, func(l committedVersion) bool {
+			return l.request.digest == op.request.digest && l.request.version == op.response.version
 		}) {
-			w.fail("version %d was acknowledged and is lost", op.answer.version)
+			w.fail("version %d was acknowledged and is lost", op.response.version)
 		}
 	}
 	w.checkHistory()
-	for _, o := range w.zones {
+	for _, o := range w.evacuationOperators {
 		o.checkHistory()
 	}
 }
 
 // text lists the history.
-func (h *coreHistory) text() string {
+func (h *requestHistory) text() string {
 	var b strings.Builder
 	for _, op := range h.operations {
 		number := binary.BigEndian.Uint64(op.request.digest[:])
@@ -447,65 +447,65 @@
 		if op.request.read {
 			what = "read"
 		}
-		answer := [...]string{"unknown", "accepted", "conflict", "read"}[op.answer.kind]
-		fmt.Fprintf(&b, "\n  %v to %v: operator %d: %s: %s %d (%d)", op.from, op.until, op.client, what, answer,
-			op.answer.version, binary.BigEndian.Uint64(op.answer.digest[:]))
+		answer := [...]string{"unknown", "accepted", "conflict", "read"}[op.response.kind]
+		fmt.Fprintf(&b, "\n  %v to %v: operator %d: %s: %s %d (%d)", op.invoked, op.returned, op.operator, what, answer,
+			op.response.version, binary.BigEndian.Uint64(op.response.digest[:]))
 	}
 	return b.String()
 }
 
-// coreNumbers count what happened.
-type coreNumbers struct {
-	steps, versions, accepted, conflicts, unknown, reads, losses, snapshots, changes, terms, zoneOrders int
+// simCounters count what happened.
+type simCounters struct {
+	steps, versions, accepted, conflicts, unknown, reads, losses, snapshots, membershipChanges, terms, evacuations int
 }
 
-type coreCounts struct {
-	mutex   sync.Mutex
-	numbers coreNumbers
+type simStats struct {
+	mutex    sync.Mutex
+	counters simCounters
 }
 
-func (c *coreCounts) note(r *coreRequest, a coreAnswer) {
+func (c *simStats) record(r *simRequest, a simResponse) {
 	switch {
-	case a.kind == answerAccepted:
-		c.numbers.accepted++
-	case a.kind == answerConflict:
-		c.numbers.conflicts++
-	case a.kind == answerRead:
-		c.numbers.reads++
+	case a.kind == responseAccepted:
+		c.counters.accepted++
+	case a.kind == responseConflict:
+		c.counters.conflicts++
+	case a.kind == responseRead:
+		c.counters.reads++
 	case !r.read:
-		c.numbers.unknown++
+		c.counters.unknown++
 	}
 }
 
-func (c *coreCounts) add(other *coreNumbers) {
+func (c *simStats) add(other *simCounters) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.numbers.add(other)
+	c.counters.add(other)
 }
 
-func (n *coreNumbers) all() []*int {
+func (n *simCounters) counters() []*int {
 	return []*int{&n.steps, &n.versions, &n.accepted, &n.conflicts, &n.unknown, &n.reads, &n.losses, &n.snapshots,
-		&n.changes, &n.terms, &n.zoneOrders}
+		&n.membershipChanges, &n.terms, &n.evacuations}
 }
 
-func (n *coreNumbers) add(other *coreNumbers) {
-	others := other.all()
-	for i, number := range n.all() {
+func (n *simCounters) add(other *simCounters) {
+	others := other.counters()
+	for i, number := range n.counters() {
 		*number += *others[i]
 	}
 }
 
 // String tells the counts.
-func (c *coreCounts) String() string {
-	n := &c.numbers
+func (c *simStats) String() string {
+	n := &c.counters
 	return fmt.Sprintf("%d steps, %d versions, %d accepted, %d conflicts, %d unknown, %d reads, %d disks lost, %d snapshots "+
 		"sent, %d changes of membership, %d terms, %d evacuations acknowledged", n.steps, n.versions, n.accepted, n.conflicts, n.unknown, n.reads, n.losses,
-		n.snapshots, n.changes, n.terms, n.zoneOrders)
+		n.snapshots, n.membershipChanges, n.terms, n.evacuations)
 }
 
-// checkUseful sees that what the simulation is for does happen in it.
-func (c *coreCounts) checkUseful(t *testing.T) {
-	for i, number := range c.numbers.all() {
+// checkCoverage sees that what the simulation is for does happen in it.
+func (c *simStats) checkCoverage(t *testing.T) {
+	for i, number := range c.counters.counters() {
 		if *number == 0 {
 			t.Errorf("number %d of %v is 0", i, c)
 		}
--- a/internal/system/replica/core_faults_test.go
+++ b/internal/system/replica/core_faults_test.go
@@ -7,30 +7,30 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// nextFault does one thing to the core and has it end after a while.
-func (w *coreWorld) nextFault() {
-	if !w.faults {
+// injectFault does one thing to the core and has it end after a while.
+func (w *simulation) injectFault() {
+	if !w.faultsEnabled {
 		return
 	}
-	w.after(w.between(w.profile.FaultEvery/4, w.profile.FaultEvery), w.nextFault)
-	s := w.anySlot()
+	w.schedule(w.uniform(w.profile.FaultInterval/4, w.profile.FaultInterval), w.injectFault)
+	s := w.randomMachine()
 	if p := w.leader(); p != nil && w.chance(0.4) {
 		s = p.slot
 	}
-	span := w.between(20*time.Millisecond, w.profile.FaultSpan)
+	span := w.uniform(20*time.Millisecond, w.profile.FaultDuration)
 	switch w.random.IntN(12) {
 	case 0, 1:
 		w.restart(s, span)
 	case 2:
 		w.restart(s, time.Millisecond)
 	case 3:
-		w.freeze(s, span)
+		w.pause(s, span)
 	case 4:
-		w.cut(s, span)
+		w.isolate(s, span)
 	case 5:
-		w.setCut(s, w.anySlot(), span)
+		w.block(s, w.randomMachine(), span)
 	case 6:
-		w.split(span)
+		w.partitionNetwork(span)
 	case 7:
 		w.logf("disk of %d hangs for %v", s.number, span)
 		s.disk.stalledUntil = w.now + span
@@ -38,38 +38,38 @@
 		w.logf("disk of %d fails for %v", s.number, span)
 		s.disk.failsUntil = w.now + span
 	case 9:
-		w.lose(s, span)
+		w.loseDisk(s, span)
 	case 10:
 		w.restartAll(span)
 	case 11:
-		w.stopAndStart(s, span)
+		w.restartGracefully(s, span)
 	}
 }
 
-func (w *coreWorld) restart(s *coreSlot, down time.Duration) {
+func (w *simulation) restart(s *simMachine, down time.Duration) {
 	if s.process == nil {
 		return
 	}
 	s.process.kill()
-	w.after(down, func() { w.boot(s) })
+	w.schedule(down, func() { w.boot(s) })
 }
 
-// stopAndStart tells a process to end, which takes as long as its votes need to move, and starts it again.
-func (w *coreWorld) stopAndStart(s *coreSlot, down time.Duration) {
+// restartGracefully tells a process to end, which takes as long as its votes need to move, and starts it again.
+func (w *simulation) restartGracefully(s *simMachine, down time.Duration) {
 	p := s.process
-	if p == nil || !w.mayLose(s) {
+	if p == nil || !w.canLoseDisk(s) {
 		return
 	}
 	w.logf("%d is told to stop", s.number)
-	p.leave()
-	w.bootOnceEnded(s, p, down)
+	p.shutDown()
+	w.bootAfterExit(s, p, down)
 }
 
-// bootOnceEnded starts a machine some time after a process of it has ended.
-func (w *coreWorld) bootOnceEnded(s *coreSlot, ending *coreProcess, down time.Duration) {
-	w.after(down, func() {
+// bootAfterExit starts a machine some time after a process of it has ended.
+func (w *simulation) bootAfterExit(s *simMachine, ending *simProcess, down time.Duration) {
+	w.schedule(down, func() {
 		if ending.alive {
-			w.bootOnceEnded(s, ending, down)
+			w.bootAfterExit(s, ending, down)
 			return
 		}
 		w.boot(s)
@@ -77,102 +77,102 @@
 }
 
 // restartAll kills all processes at once.
-func (w *coreWorld) restartAll(span time.Duration) {
+func (w *simulation) restartAll(span time.Duration) {
 	if !w.chance(0.3) {
 		return
 	}
-	for _, s := range w.inUse() {
-		w.restart(s, w.between(time.Millisecond, span))
+	for _, s := range w.activeMachines() {
+		w.restart(s, w.uniform(time.Millisecond, span))
 	}
 }
 
-func (w *coreWorld) freeze(s *coreSlot, span time.Duration) {
+func (w *simulation) pause(s *simMachine, span time.Duration) {
 	p := s.process
-	if p == nil || p.frozen {
+	if p == nil || p.paused {
 		return
 	}
 	w.logf("%d freezes for %v", s.number, span)
-	p.frozen = true
-	w.after(span, p.thaw)
+	p.paused = true
+	w.schedule(span, p.resume)
 }
 
-func (w *coreWorld) setCut(from, to *coreSlot, span time.Duration) {
+func (w *simulation) block(from, to *simMachine, span time.Duration) {
 	way := [2]int{from.number, to.number}
-	w.cuts[way]++
-	w.after(span, func() { w.cuts[way] = max(w.cuts[way]-1, 0) })
+	w.blockedLinks[way]++
+	w.schedule(span, func() { w.blockedLinks[way] = max(w.blockedLinks[way]-1, 0) })
 }
 
-// cut takes a machine off the others, one way or both.
-func (w *coreWorld) cut(s *coreSlot, span time.Duration) {
+// isolate takes a machine off the others, one way or both.
+func (w *simulation) isolate(s *simMachine, span time.Duration) {
 	ways := 1 + w.random.IntN(3)
 	w.logf("%d is cut off (%d) for %v", s.number, ways, span)
-	for _, other := range w.slots {
+	for _, other := range w.machines {
 		if ways&1 != 0 {
-			w.setCut(s, other, span)
+			w.block(s, other, span)
 		}
 		if ways&2 != 0 {
-			w.setCut(other, s, span)
+			w.block(other, s, span)
 		}
 	}
 }
 
-// split cuts the core in two.
-func (w *coreWorld) split(span time.Duration) {
+// partitionNetwork cuts the core in two.
+func (w *simulation) partitionNetwork(span time.Duration) {
 	var side []bool
-	for range w.slots {
+	for range w.machines {
 		side = append(side, w.chance(0.5))
 	}
 	w.logf("split for %v: %v", span, side)
-	for i, from := range w.slots {
-		for j, to := range w.slots {
+	for i, from := range w.machines {
+		for j, to := range w.machines {
 			if side[i] != side[j] {
-				w.setCut(from, to, span)
+				w.block(from, to, span)
 			}
 		}
 	}
 }
 
-// lose takes a disk away, where a majority of voters outlives that whatever becomes of changes under way. Its machine
+// loseDisk takes a disk away, where a majority of voters outlives that whatever becomes of changes under way. Its machine
 // comes back as a new replica, or another machine at another address takes its place.
-func (w *coreWorld) lose(s *coreSlot, span time.Duration) {
-	if !w.mayLose(s) {
+func (w *simulation) loseDisk(s *simMachine, span time.Duration) {
+	if !w.canLoseDisk(s) {
 		return
 	}
 	if s.process != nil {
 		s.process.kill()
 	}
 	id := s.disk.id
-	s.disk = &coreDisk{}
-	if w.plant.sameIdentity {
+	s.disk = &simDisk{}
+	if w.injected.reusesIdentity {
 		s.disk.id = id
 	}
 	s.settings.FirstBoot = false
-	w.counts.numbers.losses++
+	w.stats.counters.losses++
 	if w.chance(0.6) {
 		w.logf("%d loses its disk", s.number)
-		w.after(span, func() { w.boot(s) })
+		w.schedule(span, func() { w.boot(s) })
 		return
 	}
-	s.retired = true
-	next := w.addSuccessor(s)
+	s.replaced = true
+	next := w.addReplacement(s)
 	w.logf("%d is lost for good, %d takes its place", s.number, next.number)
-	w.after(span, func() { w.boot(next) })
+	w.schedule(span, func() { w.boot(next) })
 }
 
-// mayLose tells whether in each membership that may be in force most voters have their disks without that of s, and without
+// canLoseDisk tells whether in each membership that may be in force most voters have their disks without that of s, and without
 // those whose processes are about to end: a machine that stops counts as lost, and its vote may go to one that is lost just
 // now.
-func (w *coreWorld) mayLose(s *coreSlot) bool {
-	if len(w.truth.chain) == 0 {
+func (w *simulation) canLoseDisk(s *simMachine) bool {
+	if len(w.oracle.versions) == 0 {
 		return false
 	}
-	views := append(w.memberships(), w.truth.proposed)
-	return w.majorityIntactInAll(views, func(other *coreSlot) bool { return other == s || other.leaving() })
+	views := append(w.memberships(), w.oracle.proposed)
+	return w.majorityIntactInAll(views, func(other *simMachine) bool { return other == s || other.isLeaving() })
 }
 
 // memberships are those that machines go by, or would after a restart.
-func (w *coreWorld) memberships() (views []consensus.Membership) {
-	for _, s := range w.inUse() {
+func (w *simulation) memberships() (views []consensus.Membership) {
+	for _, s := range w.activeMachines() {
 		if stored := s.disk.load(); stored.Validate() == nil {
 			views = append(views, newestMembership(&stored))
 		}
@@ -183,17 +183,17 @@
 	return views
 }
 
-func (w *coreWorld) majorityIntactInAll(views []consensus.Membership, without func(*coreSlot) bool) bool {
+func (w *simulation) majorityIntactInAll(views []consensus.Membership, without func(*simMachine) bool) bool {
 	return !slices.ContainsFunc(views, func(view consensus.Membership) bool { return !w.majorityIntact(view, without) })
 }
 
-// leaving tells whether a machine's process was told to end and still runs.
-func (s *coreSlot) leaving() bool { return s.process != nil && s.process.host.leaving }
+// isLeaving tells whether a machine's process was told to end and still runs.
+func (s *simMachine) isLeaving() bool { return s.process != nil && s.process.host.leaving }
 
 // majorityIntact tells whether most voters have their disks, some machines' left out.
-func (w *coreWorld) majorityIntact(view consensus.Membership, without func(*coreSlot) bool) bool {
+func (w *simulation) majorityIntact(view consensus.Membership, without func(*simMachine) bool) bool {
 	return len(view.Members) == 0 || majorityOfEach(view, func(id consensus.ReplicaID) bool {
-		return slices.ContainsFunc(w.inUse(), func(s *coreSlot) bool { return !without(s) && s.id() == id })
+		return slices.ContainsFunc(w.activeMachines(), func(s *simMachine) bool { return !without(s) && s.id() == id })
 	})
 }
 
@@ -207,22 +207,22 @@
 	return newest
 }
 
-// heal ends all faults.
-func (w *coreWorld) heal() {
+// endFaults ends all faults.
+func (w *simulation) endFaults() {
 	w.logf("all faults end")
-	w.faults = false
-	clear(w.cuts)
-	for _, s := range w.inUse() {
+	w.faultsEnabled = false
+	clear(w.blockedLinks)
+	for _, s := range w.activeMachines() {
 		s.disk.stalledUntil, s.disk.failsUntil = 0, 0
 		w.boot(s)
 		if s.process != nil { // it may end as it was told to
-			s.process.thaw()
+			s.process.resume()
 		}
 	}
 	for _, o := range w.operators {
 		o.finish()
 	}
-	for _, o := range w.zones {
-		o.ending = true
+	for _, o := range w.evacuationOperators {
+		o.finishing = true
 	}
 }
--- a/internal/system/replica/core_follower_test.go
+++ b/internal/system/replica/core_follower_test.go
@@ -11,83 +11,83 @@
 )
 
 const (
-	followerRuns  = 12
-	followerDelay = 30 * time.Millisecond // one way, between a follower and any machine
-	// versionWithin is how long it takes at most until a version that the others put in force is at a follower whose machine
+	followingSeeds     = 12
+	followingLinkDelay = 30 * time.Millisecond // one way, between a follower and any machine
+	// versionTimeout is how long it takes at most until a version that the others put in force is at a follower whose machine
 	// is in trouble: the time until that machine is stale, with an election time in which its leader goes on without a
 	// majority, or until a call to it has been silent; and the questions to others.
-	versionWithin = 3 * time.Second
+	versionTimeout = 3 * time.Second
 )
 
-// coreFollower is an agent that chooses the machine it follows as agents do. Its own links are always there.
-type coreFollower struct {
-	world    *coreWorld
-	selector *upstream.Selector
-	table    *feed.Table
-	asked    uint64                   // calls made
-	arrived  map[uint64]time.Duration // by index: when it was held
+// followingAgent is an agent that chooses the machine it follows as agents do. Its own links are always there.
+type followingAgent struct {
+	world      *simulation
+	selector   *upstream.Selector
+	table      *feed.Table
+	attempts   uint64                   // calls made
+	receivedAt map[uint64]time.Duration // by index: when it was held
 }
 
-func (w *coreWorld) addFollower() *coreFollower {
-	f := &coreFollower{world: w, selector: upstream.New(upstream.Options{}, w.now),
-		table: feed.NewTable(feed.ConfigurationPartition), arrived: map[uint64]time.Duration{}}
-	w.after(0, f.next)
+func (w *simulation) addFollower() *followingAgent {
+	f := &followingAgent{world: w, selector: upstream.New(upstream.Options{}, w.now),
+		table: feed.NewTable(feed.ConfigurationPartition), receivedAt: map[uint64]time.Duration{}}
+	w.schedule(0, f.nextAttempt)
 	return f
 }
 
-// next makes the next call, or waits for its time.
-func (f *coreFollower) next() {
+// nextAttempt makes the next call, or waits for its time.
+func (f *followingAgent) nextAttempt() {
 	w := f.world
 	var candidates []netip.AddrPort
-	for _, s := range w.inUse() {
+	for _, s := range w.activeMachines() {
 		candidates = append(candidates, s.address())
 	}
 	f.selector.SetCandidates(candidates)
 	question, pause := f.selector.Next(w.now)
 	if pause > 0 {
-		w.after(pause, f.next)
+		w.schedule(pause, f.nextAttempt)
 		return
 	}
-	f.ask(question)
+	f.attempt(question)
 }
 
-// ask makes a call. It fails where no answer comes in time.
-func (f *coreFollower) ask(question upstream.Request) {
+// attempt makes a call. It fails where no answer comes in time.
+func (f *followingAgent) attempt(question upstream.Request) {
 	w := f.world
-	f.asked++
-	call, slot := f.asked, w.byPort[question.Address]
+	f.attempts++
+	call, slot := f.attempts, w.byAddress[question.Address]
 	patience := question.Timeout
 	if slot.process == nil {
 		patience = question.DialTimeout
 	}
-	w.after(patience, func() {
-		if f.asked == call {
-			f.asked++
+	w.schedule(patience, func() {
+		if f.attempts == call {
+			f.attempts++
 			f.selector.HandleFailure(w.now, question.Address)
-			f.next()
+			f.nextAttempt()
 		}
 	})
-	w.after(followerDelay, func() {
+	w.schedule(followingLinkDelay, func() {
 		if p := slot.process; p != nil {
-			p.do(func() { f.serve(p, question, call) })
+			p.execute(func() { f.serve(p, question, call) })
 		}
 	})
 }
 
 // serve is what following.Server does with a call.
-func (f *coreFollower) serve(p *coreProcess, question upstream.Request, call uint64) {
+func (f *followingAgent) serve(p *simProcess, question upstream.Request, call uint64) {
 	position := f.table.Index()
 	answer := func() {
 		batch := p.state.Since(position, 0)
 		age := elapsedSince(p.group.node.Status().CaughtUpAt, p.clock())
-		f.world.after(followerDelay, func() { f.take(question.Address, call, batch, age) })
+		f.world.schedule(followingLinkDelay, func() { f.handleReply(question.Address, call, batch, age) })
 	}
 	wait := question.Wait
 	if question.Current.Contains(feed.ConfigurationPartition) {
 		age := elapsedSince(p.group.node.Status().CaughtUpAt, p.clock())
 		wait = min(wait, max(0, feed.StaleAfter-age)+10*time.Millisecond)
 	}
-	p.await(p.clock()+wait, func() bool {
+	p.waitUntil(p.clock()+wait, func() bool {
 		if p.state.Since(position, 0).To <= position {
 			return false
 		}
@@ -96,12 +96,12 @@
 	}, answer)
 }
 
-// take takes an answer, unless the call has failed meanwhile.
-func (f *coreFollower) take(from netip.AddrPort, call uint64, batch feed.Batch, age time.Duration) {
-	if f.asked != call {
+// handleReply takes an answer, unless the call has failed meanwhile.
+func (f *followingAgent) handleReply(from netip.AddrPort, call uint64, batch feed.Batch, age time.Duration) {
+	if f.attempts != call {
 		return
 	}
-	f.asked++
+	f.attempts++
 	w := f.world
 	before := f.table.Index()
 	var lagging feed.PartitionSet
@@ -109,39 +109,39 @@
 		lagging = feed.NewPartitionSet(feed.ConfigurationPartition)
 	}
 	f.table.Apply(w.now, batch)
-	for _, link := range w.truth.chain {
+	for _, link := range w.oracle.versions {
 		if link.index > before && link.index <= f.table.Index() {
-			f.arrived[link.index] = w.now
+			f.receivedAt[link.index] = w.now
 		}
 	}
 	f.selector.HandleReply(w.now, from, upstream.Reply{Ages: []time.Duration{age}, Lagging: lagging})
-	f.next()
+	f.nextAttempt()
 }
 
-// delaysOf plays a core of five whose operators change the configuration all the time and avoid one machine, that which an
+// measureVersionDelays plays a core of five whose operators change the configuration all the time and avoid one machine, that which an
 // agent follows, when something happens to it for 20 s. It returns how long each version took from its being in force to
 // the agent.
-func delaysOf(t *testing.T, seed uint64, leads bool, happens func(w *coreWorld, s *coreSlot)) []time.Duration {
+func measureVersionDelays(t *testing.T, seed uint64, leads bool, happens func(w *simulation, s *simMachine)) []time.Duration {
 	t.Helper()
-	w := newCoreWorld(seed)
+	w := newSimulation(seed)
 	w.profile.Machines, w.profile.Operators, w.profile.Loss, w.profile.SyncTime = 5, 3, 0, 5*time.Millisecond
-	w.profile.Think, w.faults = 200*time.Millisecond, false
-	w.found()
+	w.profile.ThinkTime, w.faultsEnabled = 200*time.Millisecond, false
+	w.bootstrap()
 	for _, o := range w.operators {
-		o.tireless = true
+		o.unlimited = true
 	}
-	w.run(scenarioQuiet)
+	w.runFor(scenarioWarmup)
 	p := w.leader()
 	if p == nil {
-		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioQuiet)
+		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
 	}
 	followed := p.slot
 	if !leads {
-		followed = w.slots[(p.slot.number+1)%len(w.slots)]
+		followed = w.machines[(p.slot.number+1)%len(w.machines)]
 	}
-	w.slots[0], w.slots[followed.number] = w.slots[followed.number], w.slots[0] // the nearest to the agent
+	w.machines[0], w.machines[followed.number] = w.machines[followed.number], w.machines[0] // the nearest to the agent
 	f := w.addFollower()
-	w.run(5 * time.Second)
+	w.runFor(5 * time.Second)
 	if address, follows := f.selector.Followed(); !follows || address != followed.address() {
 		t.Fatalf("seed %d: %v is followed, want %v", seed, address, followed.address())
 	}
@@ -150,60 +150,60 @@
 	}
 	began := w.now
 	happens(w, followed)
-	w.run(cutLasts + 5*time.Second)
-	until := w.now - versionWithin
-	w.run(time.Second)
-	if w.failed != "" {
-		t.Fatal(w.failed)
+	w.runFor(partitionDuration + 5*time.Second)
+	until := w.now - versionTimeout
+	w.runFor(time.Second)
+	if w.failure != "" {
+		t.Fatal(w.failure)
 	}
 	var delays []time.Duration
-	for _, link := range w.truth.chain {
-		if link.at < began || link.at > until {
+	for _, link := range w.oracle.versions {
+		if link.committedAt < began || link.committedAt > until {
 			continue
 		}
-		at, held := f.arrived[link.index]
+		at, held := f.receivedAt[link.index]
 		if !held {
-			t.Fatalf("seed %d: version %d, in force at %v, never came", seed, link.request.version, link.at)
+			t.Fatalf("seed %d: version %d, in force at %v, never came", seed, link.request.version, link.committedAt)
 		}
-		delays = append(delays, at-link.at)
+		delays = append(delays, at-link.committedAt)
 	}
 	return delays
 }
 
-// TestVersionsReachAgentsPastAMachineInTrouble: an agent whose control machine is cut off from the others, frozen or killed
+// TestAgentFailsOverFromFaultyReplica: an agent whose control machine is cut off from the others, frozen or killed
 // gets what the others agree on from them.
-func TestVersionsReachAgentsPastAMachineInTrouble(t *testing.T) {
-	cut := func(in, out bool) func(w *coreWorld, s *coreSlot) {
-		return func(w *coreWorld, s *coreSlot) {
-			for _, other := range w.slots {
+func TestAgentFailsOverFromFaultyReplica(t *testing.T) {
+	cut := func(in, out bool) func(w *simulation, s *simMachine) {
+		return func(w *simulation, s *simMachine) {
+			for _, other := range w.machines {
 				if in {
-					w.setCut(other, s, cutLasts)
+					w.block(other, s, partitionDuration)
 				}
 				if out {
-					w.setCut(s, other, cutLasts)
+					w.block(s, other, partitionDuration)
 				}
 			}
 		}
 	}
 	cases := []struct {
 		name    string
-		happens func(w *coreWorld, s *coreSlot)
+		happens func(w *simulation, s *simMachine)
 	}{
-		{"nothing happens", func(*coreWorld, *coreSlot) {}},
+		{"nothing happens", func(*simulation, *simMachine) {}},
 		{"it is cut off", cut(true, true)},
 		{"it hears nothing", cut(true, false)},
 		{"it is not heard", cut(false, true)},
-		{"it freezes", func(w *coreWorld, s *coreSlot) { w.freeze(s, cutLasts) }},
-		{"it is killed", func(w *coreWorld, s *coreSlot) { w.restart(s, cutLasts) }},
+		{"it freezes", func(w *simulation, s *simMachine) { w.pause(s, partitionDuration) }},
+		{"it is killed", func(w *simulation, s *simMachine) { w.restart(s, partitionDuration) }},
 	}
 	for _, c := range cases {
 		for role, leads := range map[string]bool{"leader": true, "follower": false} {
 			t.Run(c.name+", a "+role, func(t *testing.T) {
 				t.Parallel()
 				var delays []time.Duration
-				for seed := uint64(1); seed <= followerRuns; seed++ {
-					ofSeed := delaysOf(t, seed, leads, c.happens)
-					if worst := slices.Max(ofSeed); worst > versionWithin {
+				for seed := uint64(1); seed <= followingSeeds; seed++ {
+					ofSeed := measureVersionDelays(t, seed, leads, c.happens)
+					if worst := slices.Max(ofSeed); worst > versionTimeout {
 						t.Errorf("seed %d: a version took %v", seed, worst)
 					}
 					delays = append(delays, ofSeed...)
--- a/internal/system/replica/core_fresh_test.go
+++ b/internal/system/replica/core_fresh_test.go
@@ -6,32 +6,32 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// freshSlack is by how much the state of a replica that says that it is up to date may be older than that. Its leader may
+// stalenessSlack is by how much the state of a replica that says that it is up to date may be older than that. Its leader may
 // have lost its majority an election time ago, and messages may have waited while a process stood still for less than what
 // the replica takes for a stand-still, two election times. Messages may also have waited for a thin link, as long as any did.
-const freshSlack = 3 * defaultElectionTimeout
+const stalenessSlack = 3 * defaultElectionTimeout
 
-// checkFresh sees that a replica which says that it was up to date a while ago holds what was in force then. Nobody is told
-// that state is current that is older than the last contact with a majority, but for freshSlack.
-func (w *coreWorld) checkFresh(p *coreProcess) {
+// checkStaleness sees that a replica which says that it was up to date a while ago holds what was in force then. Nobody is told
+// that state is current that is older than the last contact with a majority, but for stalenessSlack.
+func (w *simulation) checkStaleness(p *simProcess) {
 	status := p.group.node.Status()
 	age := elapsedSince(status.CaughtUpAt, p.clock())
-	if age > coreTrouble+coreHealing {
+	if age > faultPhase+recoveryPhase {
 		return
 	}
-	slack := freshSlack + 4*w.profile.Delay + w.longestWait
+	slack := stalenessSlack + 4*w.profile.Delay + w.longestWait
 	if status.Role == consensus.Leader && status.CaughtUpAt == status.LastLeaderContact {
 		slack = 0 // a round that a majority answered
 	}
-	then := w.now - time.Duration(float64(age)/p.slot.rate) - slack
-	for i := len(w.truth.chain) - 1; i >= 0; i-- {
-		link := &w.truth.chain[i]
-		if link.at >= then {
+	then := w.now - time.Duration(float64(age)/p.slot.clockRate) - slack
+	for i := len(w.oracle.versions) - 1; i >= 0; i-- {
+		link := &w.oracle.versions[i]
+		if link.committedAt >= then {
 			continue
 		}
 		if link.index > p.group.appliedIndex {
 			w.fail("machine %d says that it was up to date %v ago, and lacks %d of version %d, in force for %v", p.slot.number,
-				age, link.index, link.request.version, w.now-link.at)
+				age, link.index, link.request.version, w.now-link.committedAt)
 		}
 		return
 	}
--- a/internal/system/replica/core_link_test.go
+++ b/internal/system/replica/core_link_test.go
@@ -6,65 +6,65 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// linkChunk is what a connection sends before the next one has its turn.
-const linkChunk = 8 << 10
+// linkChunkBytes is what a connection sends before the next one has its turn.
+const linkChunkBytes = 8 << 10
 
-// coreLink is a machine's way out, whose bandwidth its connections share. The real one is that of the process: what it
+// simLink is a machine's way out, whose bandwidth its connections share. The real one is that of the process: what it
 // has not sent as it ends is lost.
-type coreLink struct {
-	world       *coreWorld
-	connections []*coreConnection
-	busy        bool
-	next        int // connection whose turn it is
+type simLink struct {
+	world          *simulation
+	connections    []*simConnection
+	busy           bool
+	nextConnection int // connection whose turn it is
 }
 
-// coreConnection sends messages to one machine, one after the other.
-type coreConnection struct {
-	to    int
-	lane  connectionKind
-	queue []coreSending
-	bytes int
+// simConnection sends messages to one machine, one after the other.
+type simConnection struct {
+	receiver    int
+	kind        connectionKind
+	queue       []queuedMessage
+	queuedBytes int
 }
 
-// coreSending is a message that goes out. Sent is called at its end.
-type coreSending struct {
-	left  int
-	began time.Duration // 0: it has not begun
-	sent  func()
-	lost  func()
+// queuedMessage is a message that goes out. Sent is called at its end.
+type queuedMessage struct {
+	remainingBytes int
+	startedAt      time.Duration // 0: it has not begun
+	onSent         func()
+	onLost         func()
 }
 
-func (l *coreLink) connection(to int, lane connectionKind) *coreConnection {
+func (l *simLink) connection(to int, lane connectionKind) *simConnection {
 	for _, c := range l.connections {
-		if c.to == to && c.lane == lane {
+		if c.receiver == to && c.kind == lane {
 			return c
 		}
 	}
-	c := &coreConnection{to: to, lane: lane}
+	c := &simConnection{receiver: to, kind: lane}
 	l.connections = append(l.connections, c)
 	return c
 }
 
 // send has a message go out over a connection.
-func (l *coreLink) send(c *coreConnection, bytes int, sent, lost func()) {
+func (l *simLink) send(c *simConnection, bytes int, sent, lost func()) {
 	queued := l.world.now
-	c.queue = append(c.queue, coreSending{left: bytes, lost: lost, sent: func() {
+	c.queue = append(c.queue, queuedMessage{remainingBytes: bytes, onLost: lost, onSent: func() {
 		l.world.longestWait = max(l.world.longestWait, l.world.now-queued)
 		sent()
 	}})
-	c.bytes += bytes
+	c.queuedBytes += bytes
 	l.world.sentBytes += bytes
-	l.step()
+	l.sendNext()
 }
 
-// step sends the next chunk.
-func (l *coreLink) step() {
+// sendNext sends the next chunk.
+func (l *simLink) sendNext() {
 	if l.busy {
 		return
 	}
 	for range l.connections {
-		c := l.connections[l.next%len(l.connections)]
-		l.next++
+		c := l.connections[l.nextConnection%len(l.connections)]
+		l.nextConnection++
 		if len(c.queue) > 0 {
 			l.sendChunk(c)
 			return
@@ -72,63 +72,63 @@
 	}
 }
 
-func (l *coreLink) sendChunk(c *coreConnection) {
+func (l *simLink) sendChunk(c *simConnection) {
 	first := &c.queue[0]
-	if first.began == 0 {
-		first.began = l.world.now
+	if first.startedAt == 0 {
+		first.startedAt = l.world.now
 	}
-	chunk := min(first.left, linkChunk)
+	chunk := min(first.remainingBytes, linkChunkBytes)
 	l.busy = true
-	l.world.after(time.Duration(float64(chunk)/l.world.profile.Bandwidth*float64(time.Second)), func() {
+	l.world.schedule(time.Duration(float64(chunk)/l.world.profile.Bandwidth*float64(time.Second)), func() {
 		l.busy = false
-		l.sentChunk(c, chunk)
-		l.step()
+		l.finishChunk(c, chunk)
+		l.sendNext()
 	})
 }
 
-func (l *coreLink) sentChunk(c *coreConnection, chunk int) {
+func (l *simLink) finishChunk(c *simConnection, chunk int) {
 	first := &c.queue[0]
-	first.left -= chunk
-	c.bytes -= chunk
-	if l.world.plant.messageDeadline && l.world.now-first.began > peerOptions.TCPUserTimeout {
+	first.remainingBytes -= chunk
+	c.queuedBytes -= chunk
+	if l.world.injected.deadlinePerMessage && l.world.now-first.startedAt > peerOptions.TCPUserTimeout {
 		l.reset(c)
 		return
 	}
-	if first.left > 0 {
+	if first.remainingBytes > 0 {
 		return
 	}
-	sent := first.sent
+	sent := first.onSent
 	c.queue = c.queue[1:]
 	sent()
 }
 
 // reset loses all that the connection was to send.
-func (l *coreLink) reset(c *coreConnection) {
+func (l *simLink) reset(c *simConnection) {
 	queue := c.queue
-	c.queue, c.bytes = nil, 0
+	c.queue, c.queuedBytes = nil, 0
 	for i := range queue {
-		queue[i].lost()
+		queue[i].onLost()
 	}
 }
 
-// sendOver sends a message as peers.send does.
-func (p *coreProcess) sendOver(to *coreSlot, message *consensus.Message) {
-	under := p.transfers[to.number]
+// sendOverLink sends a message as peers.send does.
+func (p *simProcess) sendOverLink(to *simMachine, message *consensus.Message) {
+	under := p.bulkTransfers[to.number]
 	way, message := under.route(message)
-	if p.world.plant.oneLane {
+	if p.world.injected.singleConnection {
 		way = ordinaryConnection
 	}
 	switch {
 	case way == bulkConnection && under == nil:
 		t := &bulkTransfer{}
 		t.add(p.group.partition, message)
-		p.transfers[to.number] = t
-		p.runTransfer(to, t)
+		p.bulkTransfers[to.number] = t
+		p.runBulkTransfer(to, t)
 	case way == bulkConnection:
 		under.add(p.group.partition, message)
 	case way == ordinaryConnection:
 		c := p.link.connection(to.number, ordinaryConnection)
-		if c.bytes < maxPendingBytes {
+		if c.queuedBytes < maxPendingBytes {
 			size := len(appendMessage(nil, p.group.partition, message))
 			p.link.send(c, size, func() { p.deliver(to, message, true) }, func() {})
 		}
@@ -136,11 +136,11 @@
 }
 
 // runBulkTransfer is peers.runBulkTransfer.
-func (p *coreProcess) runTransfer(to *coreSlot, t *bulkTransfer) {
+func (p *simProcess) runBulkTransfer(to *simMachine, t *bulkTransfer) {
 	batch := t.pending
 	t.pending = nil
 	if len(batch) == 0 {
-		delete(p.transfers, to.number)
+		delete(p.bulkTransfers, to.number)
 		return
 	}
 	p.link.send(p.link.connection(to.number, bulkConnection), len(batch), func() {
@@ -148,21 +148,21 @@
 			return
 		}
 		p.deliverEncoded(to, batch, true)
-		p.world.after(2*p.world.profile.Delay, func() { p.runTransfer(to, t) })
-	}, func() { delete(p.transfers, to.number) })
+		p.world.schedule(2*p.world.profile.Delay, func() { p.runBulkTransfer(to, t) })
+	}, func() { delete(p.bulkTransfers, to.number) })
 }
 
-// snapshotLane is of the sim's connections only.
-const snapshotLane = noConnection
+// snapshotConnection is of the sim's connections only.
+const snapshotConnection = noConnection
 
-// sendSnapshotOver is peers.sendSnapshot.
-func (p *coreProcess) sendSnapshotOver(to *coreSlot, message *consensus.Message) {
+// sendSnapshotOverLink is peers.sendSnapshot.
+func (p *simProcess) sendSnapshotOverLink(to *simMachine, message *consensus.Message) {
 	done := func() { delete(p.sendingSnapshot, to.number) }
 	size := len(appendMessage(nil, p.group.partition, message))
-	p.link.send(p.link.connection(to.number, snapshotLane), size, func() {
+	p.link.send(p.link.connection(to.number, snapshotConnection), size, func() {
 		if p.alive {
 			p.deliver(to, message, false)
 		}
-		p.world.after(2*p.world.profile.Delay, done)
+		p.world.schedule(2*p.world.profile.Delay, done)
 	}, done)
 }
--- a/internal/system/replica/core_operator_test.go
+++ b/internal/system/replica/core_operator_test.go
@@ -11,166 +11,166 @@
 )
 
 const (
-	operatorWaits  = 1200 * time.Millisecond // for an answer
-	operatorMost   = 24                      // requests that an operator makes up
-	checkingAtMost = 30 * time.Second
+	operatorTimeout        = 1200 * time.Millisecond // for an answer
+	maxOperatorRequests    = 24                      // requests that an operator makes up
+	linearizabilityTimeout = 30 * time.Second
 )
 
-// coreOperator sends changes and reads through any machine, one after the other, and changes whose outcome it does not
+// simOperator sends changes and reads through any machine, one after the other, and changes whose outcome it does not
 // know again. It races the others.
-type coreOperator struct {
-	world   *coreWorld
-	number  int
-	version uint64 // that it saw last
-	made    int
-	last    *coreRequest // its last change
-	open    *coreRequest // a change whose outcome it does not know
-	waiting bool
-	// tireless: it goes on making changes up, and lets those go whose outcome it does not know.
-	tireless bool
-	avoid    *coreSlot // it does not ask this machine
-	ending   bool
-	done     bool
+type simOperator struct {
+	world       *simulation
+	number      int
+	lastVersion uint64 // that it saw last
+	created     int
+	lastChange  *simRequest // its last change
+	unresolved  *simRequest // a change whose outcome it does not know
+	waiting     bool
+	// unlimited: it goes on making changes up, and lets those go whose outcome it does not know.
+	unlimited bool
+	avoid     *simMachine // it does not ask this machine
+	finishing bool
+	done      bool
 }
 
-func (w *coreWorld) addOperator(number int) {
-	o := &coreOperator{world: w, number: number}
+func (w *simulation) addOperator(number int) {
+	o := &simOperator{world: w, number: number}
 	w.operators = append(w.operators, o)
-	w.after(w.between(time.Second, 3*time.Second), o.act)
+	w.schedule(w.uniform(time.Second, 3*time.Second), o.act)
 }
 
 // finish has the operator find out what became of its change, and make one more.
-func (o *coreOperator) finish() { o.ending = true }
+func (o *simOperator) finish() { o.finishing = true }
 
-func (o *coreOperator) act() {
+func (o *simOperator) act() {
 	w := o.world
-	w.after(w.between(w.profile.Think/4, w.profile.Think), o.act)
+	w.schedule(w.uniform(w.profile.ThinkTime/4, w.profile.ThinkTime), o.act)
 	if o.waiting || o.done {
 		return
 	}
-	r := o.next()
+	r := o.nextRequest()
 	if r == nil {
 		return
 	}
 	o.waiting = true
 	if !r.read && w.chance(0.15) {
-		o.ask(r, func(coreAnswer) {}) // through two machines at once
+		o.send(r, func(simResponse) {}) // through two machines at once
 	}
-	o.ask(r, func(a coreAnswer) { o.told(r, a) })
+	o.send(r, func(a simResponse) { o.handleResponse(r, a) })
 }
 
-// next is what the operator asks next; nil: nothing.
-func (o *coreOperator) next() *coreRequest {
+// nextRequest is what the operator asks next; nil: nothing.
+func (o *simOperator) nextRequest() *simRequest {
 	w := o.world
 	switch {
-	case o.tireless:
-		return o.change()
-	case o.open != nil && (o.ending || w.chance(0.7)):
-		return o.open
-	case o.ending && o.made > operatorMost:
+	case o.unlimited:
+		return o.newChange()
+	case o.unresolved != nil && (o.finishing || w.chance(0.7)):
+		return o.unresolved
+	case o.finishing && o.created > maxOperatorRequests:
 		return nil
-	case !o.ending && o.made >= operatorMost:
+	case !o.finishing && o.created >= maxOperatorRequests:
 		return nil
-	case o.last != nil && w.chance(0.15):
-		return o.last
-	case !o.ending && w.chance(0.4):
-		o.made++
-		return &coreRequest{read: true}
+	case o.lastChange != nil && w.chance(0.15):
+		return o.lastChange
+	case !o.finishing && w.chance(0.4):
+		o.created++
+		return &simRequest{read: true}
 	}
-	o.made++
-	if o.ending {
-		o.made = operatorMost + 1
+	o.created++
+	if o.finishing {
+		o.created = maxOperatorRequests + 1
 	}
-	return o.change()
+	return o.newChange()
 }
 
-// change is a new change, on the version that the operator has seen last or on another.
-func (o *coreOperator) change() *coreRequest {
+// newChange is a new change, on the version that the operator has seen last or on another.
+func (o *simOperator) newChange() *simRequest {
 	w := o.world
-	w.truth.requests++
-	r := &coreRequest{base: o.version}
+	w.oracle.requests++
+	r := &simRequest{base: o.lastVersion}
 	if w.chance(0.1) {
 		r.base += uint64(w.random.IntN(3))
 	}
 	r.version = r.base + 1 + uint64(w.random.IntN(2))
-	binary.BigEndian.PutUint64(r.digest[:], w.truth.requests)
-	o.last = r
+	binary.BigEndian.PutUint64(r.digest[:], w.oracle.requests)
+	o.lastChange = r
 	return r
 }
 
-// told takes an answer.
-func (o *coreOperator) told(r *coreRequest, a coreAnswer) {
+// handleResponse takes an answer.
+func (o *simOperator) handleResponse(r *simRequest, a simResponse) {
 	o.waiting = false
-	if a.kind != answerUnknown {
-		o.version = max(o.version, a.version)
+	if a.kind != responseUnknown {
+		o.lastVersion = max(o.lastVersion, a.version)
 	}
 	if r.read {
 		return
 	}
 	switch {
-	case a.kind == answerUnknown && !a.hopeless:
-		o.open = r
-	case o.open == r:
-		o.open = nil
+	case a.kind == responseUnknown && !a.undecidable:
+		o.unresolved = r
+	case o.unresolved == r:
+		o.unresolved = nil
 	}
-	if o.ending && (a.kind != answerUnknown || a.hopeless) && o.open == nil && o.made > operatorMost {
+	if o.finishing && (a.kind != responseUnknown || a.undecidable) && o.unresolved == nil && o.created > maxOperatorRequests {
 		o.done = true
 	}
 }
 
-// ask sends a request through any machine and notes what becomes of it.
-func (o *coreOperator) ask(r *coreRequest, told func(coreAnswer)) {
+// send sends a request through any machine and notes what becomes of it.
+func (o *simOperator) send(r *simRequest, told func(simResponse)) {
 	w := o.world
 	op := w.history.begin(o.number, r, w.now)
 	over := false
-	end := func(a coreAnswer) {
+	end := func(a simResponse) {
 		if over {
 			return
 		}
 		over = true
-		w.counts.note(r, a)
-		op.end(a, w.now)
+		w.stats.record(r, a)
+		op.complete(a, w.now)
 		told(a)
 	}
-	w.after(operatorWaits, func() { end(coreAnswer{}) })
-	slot := w.anySlot()
+	w.schedule(operatorTimeout, func() { end(simResponse{}) })
+	slot := w.randomMachine()
 	for slot == o.avoid {
-		slot = w.anySlot()
+		slot = w.randomMachine()
 	}
 	p := slot.process
 	if p == nil {
 		return
 	}
-	w.after(time.Millisecond, func() {
-		p.do(func() {
-			p.serve(r, func(a coreAnswer) { w.after(time.Millisecond, func() { end(a) }) })
+	w.schedule(time.Millisecond, func() {
+		p.execute(func() {
+			p.handleRequest(r, func(a simResponse) { w.schedule(time.Millisecond, func() { end(a) }) })
 		})
 	})
 }
 
-// coreHistory is what operators asked and were told.
-type coreHistory struct{ operations []*coreOperation }
+// requestHistory is what operators asked and were told.
+type requestHistory struct{ operations []*requestRecord }
 
-type coreOperation struct {
-	client      int
-	request     coreRequest
-	answer      coreAnswer
-	from, until time.Duration
+type requestRecord struct {
+	operator          int
+	request           simRequest
+	response          simResponse
+	invoked, returned time.Duration
 }
 
-func (h *coreHistory) begin(client int, r *coreRequest, now time.Duration) *coreOperation {
-	op := &coreOperation{client: client, request: *r, from: now}
+func (h *requestHistory) begin(client int, r *simRequest, now time.Duration) *requestRecord {
+	op := &requestRecord{operator: client, request: *r, invoked: now}
 	h.operations = append(h.operations, op)
 	return op
 }
 
-func (o *coreOperation) end(a coreAnswer, now time.Duration) { o.answer, o.until = a, now }
+func (o *requestRecord) complete(a simResponse, now time.Duration) { o.response, o.returned = a, now }
 
 // register is the configuration as an operator may see it: the last accepted change and those before it.
 type register struct {
-	before  *register
-	version uint64
-	digest  state.Digest
+	previous *register
+	version  uint64
+	digest   state.Digest
 }
 
 func (r *register) current() uint64 {
@@ -182,7 +182,7 @@
 
 // accepted is the version of a change that was accepted.
 func (r *register) accepted(digest state.Digest) (uint64, bool) {
-	for ; r != nil; r = r.before {
+	for ; r != nil; r = r.previous {
 		if r.digest == digest {
 			return r.version, true
 		}
@@ -195,7 +195,7 @@
 		if r.version != other.version || r.digest != other.digest {
 			return false
 		}
-		r, other = r.before, other.before
+		r, other = r.previous, other.previous
 	}
 	return r == other
 }
@@ -206,7 +206,7 @@
 var registerModel = porcupine.Model{
 	Init: func() any { return (*register)(nil) },
 	Step: func(now, input, output any) (bool, any) {
-		r, request, answer := now.(*register), input.(coreRequest), output.(coreAnswer)
+		r, request, answer := now.(*register), input.(simRequest), output.(simResponse)
 		if request.read {
 			return answer.version == r.current() && (r == nil || answer.digest == r.digest), r
 		}
@@ -214,12 +214,12 @@
 		next := r
 		if !known && request.base == r.current() {
 			version, known = request.version, true
-			next = &register{before: r, version: request.version, digest: request.digest}
+			next = &register{previous: r, version: request.version, digest: request.digest}
 		}
 		switch answer.kind {
-		case answerAccepted:
+		case responseAccepted:
 			return known && answer.version == version, next
-		case answerConflict:
+		case responseConflict:
 			return !known && answer.version == r.current(), r
 		default:
 			return true, next
@@ -236,9 +236,9 @@
 }
 
 // checkHistory tells whether the history is one of a register.
-func (w *coreWorld) checkHistory() {
-	operations := w.operations()
-	switch porcupine.CheckOperationsTimeout(registerModel, operations, checkingAtMost) {
+func (w *simulation) checkHistory() {
+	operations := w.linearizableOperations()
+	switch porcupine.CheckOperationsTimeout(registerModel, operations, linearizabilityTimeout) {
 	case porcupine.Illegal:
 		w.fail("the operators' history is not linearizable: %s", w.history.text())
 	case porcupine.Unknown:
@@ -246,22 +246,22 @@
 	}
 }
 
-// operations are the history without what cannot matter: reads without an answer, changes without one that were never put
+// linearizableOperations are the history without what cannot matter: reads without an answer, changes without one that were never put
 // in force, and all but the first of the same change without an answer.
-func (w *coreWorld) operations() (operations []porcupine.Operation) {
+func (w *simulation) linearizableOperations() (operations []porcupine.Operation) {
 	unanswered := map[state.Digest]bool{}
 	for _, op := range w.history.operations {
-		until := int64(op.until)
-		if op.answer.kind == answerUnknown {
+		until := int64(op.returned)
+		if op.response.kind == responseUnknown {
 			digest := op.request.digest
-			if op.request.read || unanswered[digest] || !w.truth.inForce(digest) {
+			if op.request.read || unanswered[digest] || !w.oracle.everCommitted(digest) {
 				continue
 			}
 			unanswered[digest] = true
 			until = math.MaxInt64
 		}
-		operations = append(operations, porcupine.Operation{ClientId: op.client, Input: op.request, Call: int64(op.from),
-			Output: op.answer, Return: until})
+		operations = append(operations, porcupine.Operation{ClientId: op.operator, Input: op.request, Call: int64(op.invoked),
+			Output: op.response, Return: until})
 	}
 	return operations
 }
--- a/internal/system/replica/core_process_test.go
+++ b/internal/system/replica/core_process_test.go
@@ -11,49 +11,49 @@
 	"cinderroad/internal/system/storage"
 )
 
-// keptEntry is an entry as it is stored.
-type keptEntry struct {
+// storedEntry is an entry as it is stored.
+type storedEntry struct {
 	entry     consensus.Entry
 	committed uint64
 }
 
-// coreDisk is what is synced on a machine's disk: a model of storage.Store with one partition.
-type coreDisk struct {
-	id       consensus.ReplicaID // 0: of no replica yet
-	hard     consensus.HardState
-	snapshot consensus.Snapshot
-	entries  []keptEntry
+// simDisk is what is synced on a machine's disk: a model of storage.Store with one partition.
+type simDisk struct {
+	id        consensus.ReplicaID // 0: of no replica yet
+	hardState consensus.HardState
+	snapshot  consensus.Snapshot
+	entries   []storedEntry
 
 	stalledUntil, failsUntil time.Duration
 }
 
-func (d *coreDisk) write(w *storage.Update) {
+func (d *simDisk) write(w *storage.Update) {
 	if w.InstalledSnapshot != nil {
 		d.snapshot, d.entries = *w.InstalledSnapshot, nil
 	}
 	if w.HardState != nil {
-		d.hard = *w.HardState
+		d.hardState = *w.HardState
 	}
 	if len(w.Entries) > 0 {
-		d.cutFrom(w.Entries[0].Index)
+		d.truncateFrom(w.Entries[0].Index)
 	}
 	for _, e := range w.Entries {
-		d.entries = append(d.entries, keptEntry{e, w.CommitIndex})
+		d.entries = append(d.entries, storedEntry{e, w.CommitIndex})
 	}
 	if w.CompactionSnapshot == nil {
 		return
 	}
 	d.snapshot = *w.CompactionSnapshot
-	d.entries = slices.DeleteFunc(d.entries, func(k keptEntry) bool { return k.entry.Index <= w.CompactionSnapshot.Index })
+	d.entries = slices.DeleteFunc(d.entries, func(k storedEntry) bool { return k.entry.Index <= w.CompactionSnapshot.Index })
 }
 
-func (d *coreDisk) cutFrom(index uint64) {
-	d.entries = slices.DeleteFunc(d.entries, func(k keptEntry) bool { return k.entry.Index >= index })
+func (d *simDisk) truncateFrom(index uint64) {
+	d.entries = slices.DeleteFunc(d.entries, func(k storedEntry) bool { return k.entry.Index >= index })
 }
 
 // load is what a process finds.
-func (d *coreDisk) load() consensus.PersistentState {
-	stored := consensus.PersistentState{HardState: d.hard, Snapshot: d.snapshot}
+func (d *simDisk) load() consensus.PersistentState {
+	stored := consensus.PersistentState{HardState: d.hardState, Snapshot: d.snapshot}
 	last := d.snapshot.Index
 	for _, k := range d.entries {
 		stored.Entries = append(stored.Entries, k.entry)
@@ -66,46 +66,46 @@
 
 var errDiskFull = errors.New("no space left on device")
 
-// coreProcess is a control process: a Host without its sockets, its goroutines and its clock.
-type coreProcess struct {
-	world  *coreWorld
-	slot   *coreSlot
-	host   *Host
-	group  *group
-	state  *state.Configuration
-	alive  bool
-	frozen bool
-	thawed time.Duration
+// simProcess is a control process: a Host without its sockets, its goroutines and its clock.
+type simProcess struct {
+	world     *simulation
+	slot      *simMachine
+	host      *Host
+	group     *group
+	state     *state.Configuration
+	alive     bool
+	paused    bool
+	resumedAt time.Duration
 	// backlog is what came while the process was frozen.
-	backlog []func()
-	tickAt  time.Duration
+	backlog  []func()
+	nextTick time.Duration
 
-	jobs    []writeJob // that wait for the disk
-	writing []writeJob // under way
-	began   time.Duration
-	pause   time.Duration
+	queuedJobs   []writeJob // that wait for the disk
+	activeJobs   []writeJob // under way
+	writeStarted time.Duration
+	retryBackoff time.Duration
 
 	sendingSnapshot map[int]bool          // by number of the machine
-	transfers       map[int]*bulkTransfer // by number of the machine
-	link            *coreLink             // nil: its bandwidth has no bound
-	waits           []func() bool
+	bulkTransfers   map[int]*bulkTransfer // by number of the machine
+	link            *simLink              // nil: its bandwidth has no bound
+	waiters         []func() bool
 	version         uint64 // of the configuration, as it was last seen
-	applied         uint64
+	appliedIndex    uint64
 }
 
 // boot starts a machine's process unless it runs.
-func (w *coreWorld) boot(s *coreSlot) {
-	if s.process != nil || s.retired {
+func (w *simulation) boot(s *simMachine) {
+	if s.process != nil || s.replaced {
 		return
 	}
-	p := &coreProcess{world: w, slot: s, alive: true, sendingSnapshot: map[int]bool{}, transfers: map[int]*bulkTransfer{}}
+	p := &simProcess{world: w, slot: s, alive: true, sendingSnapshot: map[int]bool{}, bulkTransfers: map[int]*bulkTransfer{}}
 	if w.profile.Bandwidth > 0 {
-		p.link = &coreLink{world: w}
+		p.link = &simLink{world: w}
 	}
 	p.state = state.NewConfiguration(p.clock, func() {})
-	p.host = New(Options{Settings: &s.settings, StateMachines: []StateMachine{&coreState{Configuration: p.state, process: p}}})
+	p.host = New(Options{Settings: &s.settings, StateMachines: []StateMachine{&observedState{Configuration: p.state, process: p}}})
 	p.group = p.host.groups[0]
-	w.establish(s)
+	w.initializeDisk(s)
 	stored := s.disk.load()
 	options := nodeOptions(s.disk.id, w.random.Uint64(), defaultHeartbeatInterval, defaultElectionTimeout)
 	if err := p.group.start(p.clock(), options, stored); err != nil {
@@ -114,9 +114,9 @@
 	}
 	s.process = p
 	p.host.self.ID = s.disk.id
-	p.version, p.applied = p.state.Version(), p.group.appliedIndex
-	w.truth.noteBoot(w, p, &stored)
-	for _, other := range w.inUse() { // as membership gossip tells
+	p.version, p.appliedIndex = p.state.Version(), p.group.appliedIndex
+	w.oracle.checkBoot(w, p, &stored)
+	for _, other := range w.activeMachines() { // as membership gossip tells
 		p.host.addAddress(other.address())
 		if other.process != nil {
 			other.process.host.addAddress(s.address())
@@ -124,11 +124,11 @@
 	}
 	w.logf("%d boots as %s: %+v, snapshot %d, log to %d", s.number, formatReplicaID(s.disk.id), stored.HardState, stored.Snapshot.Index,
 		p.group.node.Status().LastIndex)
-	p.do(func() {})
+	p.execute(func() {})
 }
 
-// establish makes an empty disk that of a new replica, as Host.establish does.
-func (w *coreWorld) establish(s *coreSlot) {
+// initializeDisk makes an empty disk that of a new replica, as Host.establish does.
+func (w *simulation) initializeDisk(s *simMachine) {
 	if s.disk.id != 0 {
 		return
 	}
@@ -136,48 +136,48 @@
 	if founders, founds := bootstrapMembership(&s.settings); founds {
 		s.disk.id = founderID(s.settings.IP)
 		s.disk.snapshot.Membership = founders
-		w.truth.noteMembership(founders)
+		w.oracle.recordMembership(founders)
 	}
 	s.settings.FirstBoot = false
 }
 
 // clock is the machine's steady time.
-func (p *coreProcess) clock() time.Duration {
-	return p.slot.offset + time.Duration(float64(p.world.now)*p.slot.rate)
+func (p *simProcess) clock() time.Duration {
+	return p.slot.clockOffset + time.Duration(float64(p.world.now)*p.slot.clockRate)
 }
 
-// do runs something of the process, later if it is frozen.
-func (p *coreProcess) do(what func()) {
+// execute runs something of the process, later if it is frozen.
+func (p *simProcess) execute(what func()) {
 	if !p.alive {
 		return
 	}
-	if p.frozen {
+	if p.paused {
 		p.backlog = append(p.backlog, what)
 		return
 	}
 	what()
 	if p.alive {
-		p.settle()
+		p.processReady()
 	}
 }
 
-// settle does what the machine wants done, and what waited for that.
-func (p *coreProcess) settle() {
-	for more := true; more; more = p.runWaits() {
+// processReady does what the machine wants done, and what waited for that.
+func (p *simProcess) processReady() {
+	for more := true; more; more = p.runWaiters() {
 		if err := p.group.processReady(p); err != nil {
 			p.world.fail("machine %d does not take a snapshot: %v", p.slot.number, err)
 		}
 		p.world.checkStep(p)
 	}
 	p.startWrite()
-	p.schedule()
+	p.scheduleTick()
 }
 
-// runWaits goes on with what waits for something that is now so, and tells whether there was any.
-func (p *coreProcess) runWaits() (ran bool) {
-	for i := 0; i < len(p.waits); {
-		if p.waits[i]() {
-			p.waits = slices.Delete(p.waits, i, i+1)
+// runWaiters goes on with what waits for something that is now so, and tells whether there was any.
+func (p *simProcess) runWaiters() (ran bool) {
+	for i := 0; i < len(p.waiters); {
+		if p.waiters[i]() {
+			p.waiters = slices.Delete(p.waiters, i, i+1)
 			ran = true
 			continue
 		}
@@ -186,14 +186,14 @@
 	return ran
 }
 
-// await goes on once poll holds, or else with late once the time has come.
-func (p *coreProcess) await(deadline time.Duration, poll func() bool, late func()) {
+// waitUntil goes on once poll holds, or else with late once the time has come.
+func (p *simProcess) waitUntil(deadline time.Duration, poll func() bool, late func()) {
 	over := false
-	p.waits = append(p.waits, func() bool {
+	p.waiters = append(p.waiters, func() bool {
 		over = over || poll()
 		return over
 	})
-	p.at(deadline, func() {
+	p.runAt(deadline, func() {
 		if !over {
 			over = true
 			late()
@@ -201,30 +201,30 @@
 	})
 }
 
-// at runs something of the process at a time of its clock.
-func (p *coreProcess) at(due time.Duration, what func()) {
-	p.world.after(time.Duration(float64(due-p.clock())/p.slot.rate), func() { p.do(what) })
+// runAt runs something of the process at a time of its clock.
+func (p *simProcess) runAt(due time.Duration, what func()) {
+	p.world.schedule(time.Duration(float64(due-p.clock())/p.slot.clockRate), func() { p.execute(what) })
 }
 
-// schedule has the process tick when it is due.
-func (p *coreProcess) schedule() {
+// scheduleTick has the process tick when it is due.
+func (p *simProcess) scheduleTick() {
 	due := p.host.nextDeadline()
-	at := max(time.Duration(float64(due-p.slot.offset)/p.slot.rate)+time.Microsecond, p.world.now+time.Microsecond)
-	if p.tickAt > p.world.now && p.tickAt <= at {
+	at := max(time.Duration(float64(due-p.slot.clockOffset)/p.slot.clockRate)+time.Microsecond, p.world.now+time.Microsecond)
+	if p.nextTick > p.world.now && p.nextTick <= at {
 		return
 	}
-	p.tickAt = at
-	p.world.after(at-p.world.now, func() {
-		if p.tickAt == at {
-			p.do(p.tick)
+	p.nextTick = at
+	p.world.schedule(at-p.world.now, func() {
+		if p.nextTick == at {
+			p.execute(p.tick)
 		}
 	})
 }
 
 // tick is Host.tick.
-func (p *coreProcess) tick() {
+func (p *simProcess) tick() {
 	now := p.clock()
-	if _, stepDown := p.host.disk.checkHealth(now, 2*defaultElectionTimeout); stepDown && !p.world.plant.stubborn {
+	if _, stepDown := p.host.disk.checkHealth(now, 2*defaultElectionTimeout); stepDown && !p.world.injected.leadsWhileStalled {
 		p.group.node.StepDown(now)
 	}
 	if p.group.node.NextTick() <= now {
@@ -232,12 +232,12 @@
 	}
 	if now >= p.host.nextMembershipCheck {
 		p.host.nextMembershipCheck = now + membershipCheckInterval
-		p.manage(now)
+		p.checkMembership(now)
 	}
 }
 
-// manage is Host.manage.
-func (p *coreProcess) manage(now time.Duration) {
+// checkMembership is Host.manage.
+func (p *simProcess) checkMembership(now time.Duration) {
 	before := p.group.node.Membership()
 	if p.group.node.Role() == consensus.Leader && p.host.changeMembership(now, p.group) {
 		p.host.nextMembershipCheck = now + membershipRecheckDelay
@@ -245,27 +245,27 @@
 	}
 	if p.host.needsJoin(now) {
 		p.host.joinRequests.add(p.host.self, now)
-		p.join(now)
+		p.requestJoin(now)
 	}
 }
 
-// leave is what Host.Leave and Host.Stop do as the process is told to end.
-func (p *coreProcess) leave() {
-	p.do(func() {
+// shutDown is what Host.Leave and Host.Stop do as the process is told to end.
+func (p *simProcess) shutDown() {
+	p.execute(func() {
 		p.host.leaving = true
 		p.group.node.StepDown(p.clock())
-		p.announceLeaving(p.clock() + transferTimeout)
+		p.announceDeparture(p.clock() + transferTimeout)
 	})
 }
 
-func (p *coreProcess) announceLeaving(until time.Duration) {
+func (p *simProcess) announceDeparture(until time.Duration) {
 	w, id := p.world, p.slot.id()
 	p.host.departures.add(id, p.clock())
-	for _, to := range w.inUse() {
+	for _, to := range w.activeMachines() {
 		if to == p.slot {
 			continue
 		}
-		w.carry(p.slot, to, false, func(told *coreProcess) {
+		w.transmit(p.slot, to, false, func(told *simProcess) {
 			told.host.departures.add(id, told.clock())
 			told.host.nextMembershipCheck = min(told.host.nextMembershipCheck, told.clock()+membershipRecheckDelay)
 		})
@@ -274,11 +274,11 @@
 		p.kill()
 		return
 	}
-	p.at(p.clock()+leaveInterval, func() { p.announceLeaving(until) })
+	p.runAt(p.clock()+leaveInterval, func() { p.announceDeparture(until) })
 }
 
-// join is Host.join.
-func (p *coreProcess) join(now time.Duration) {
+// requestJoin is Host.join.
+func (p *simProcess) requestJoin(now time.Duration) {
 	if now < p.host.nextJoin {
 		return
 	}
@@ -289,18 +289,18 @@
 	}
 	slices.SortFunc(addresses, netip.AddrPort.Compare)
 	for _, address := range addresses {
-		if to := p.world.byPort[address]; to != nil {
-			p.joinAt(to)
+		if to := p.world.byAddress[address]; to != nil {
+			p.requestJoinAt(to)
 		}
 	}
 }
 
-func (p *coreProcess) joinAt(to *coreSlot) {
+func (p *simProcess) requestJoinAt(to *simMachine) {
 	w, member := p.world, p.host.self
-	w.carry(p.slot, to, false, func(asked *coreProcess) {
+	w.transmit(p.slot, to, false, func(asked *simProcess) {
 		asked.host.joinRequests.add(member, asked.clock())
 		members := asked.host.members()
-		w.carry(to, p.slot, false, func(asker *coreProcess) {
+		w.transmit(to, p.slot, false, func(asker *simProcess) {
 			for _, m := range members {
 				if address, err := netip.ParseAddrPort(m.Address); err == nil {
 					asker.host.addAddress(address)
@@ -312,11 +312,11 @@
 }
 
 // send puts messages on their way; see outlet.
-func (p *coreProcess) send(g *group, messages []consensus.Message) {
+func (p *simProcess) send(g *group, messages []consensus.Message) {
 	for i := range messages {
 		message := messages[i]
 		address, known := p.host.destination(g, message.To)
-		to := p.world.byPort[address]
+		to := p.world.byAddress[address]
 		if !known || to == nil {
 			continue
 		}
@@ -326,7 +326,7 @@
 			continue
 		}
 		if p.link != nil {
-			p.sendOver(to, &message)
+			p.sendOverLink(to, &message)
 			continue
 		}
 		p.deliver(to, &message, true)
@@ -334,18 +334,18 @@
 }
 
 // sendSnapshot sends one at a time to a machine, as peers.sendSnapshot does.
-func (p *coreProcess) sendSnapshot(to *coreSlot, message consensus.Message) {
+func (p *simProcess) sendSnapshot(to *simMachine, message consensus.Message) {
 	if p.sendingSnapshot[to.number] {
 		return
 	}
-	p.world.counts.numbers.snapshots++
+	p.world.stats.counters.snapshots++
 	p.sendingSnapshot[to.number] = true
 	p.group.attachCurrentSnapshot(&message)
 	if p.link != nil {
-		p.sendSnapshotOver(to, &message)
+		p.sendSnapshotOverLink(to, &message)
 		return
 	}
-	p.world.after(p.world.profile.Delay+50*time.Millisecond, func() {
+	p.world.schedule(p.world.profile.Delay+50*time.Millisecond, func() {
 		delete(p.sendingSnapshot, to.number)
 		if p.alive {
 			p.deliver(to, &message, false)
@@ -353,14 +353,14 @@
 	})
 }
 
-func (p *coreProcess) deliver(to *coreSlot, message *consensus.Message, ordered bool) {
+func (p *simProcess) deliver(to *simMachine, message *consensus.Message, ordered bool) {
 	p.deliverEncoded(to, appendMessage(nil, p.group.partition, message), ordered)
 }
 
 // deliverEncoded brings messages to a machine, as a DeliverRequest does.
-func (p *coreProcess) deliverEncoded(to *coreSlot, encoded []byte, ordered bool) {
+func (p *simProcess) deliverEncoded(to *simMachine, encoded []byte, ordered bool) {
 	w := p.world
-	w.carry(p.slot, to, ordered, func(receiver *coreProcess) {
+	w.transmit(p.slot, to, ordered, func(receiver *simProcess) {
 		for rest := encoded; len(rest) > 0; {
 			partition, message, after, err := readMessage(rest)
 			if err != nil {
@@ -374,64 +374,64 @@
 }
 
 // enqueueWrite has a job carried out; see outlet.
-func (p *coreProcess) enqueueWrite(j writeJob) {
-	p.jobs = append(p.jobs, j)
-	if p.world.plant.earlyMessages {
+func (p *simProcess) enqueueWrite(j writeJob) {
+	p.queuedJobs = append(p.queuedJobs, j)
+	if p.world.injected.sendsBeforeSync {
 		p.send(p.group, j.ready.Messages)
 	}
 }
 
 // startWrite begins a transaction of all that waits, as Host.writeQueued does.
-func (p *coreProcess) startWrite() {
-	if len(p.writing) > 0 || len(p.jobs) == 0 {
+func (p *simProcess) startWrite() {
+	if len(p.activeJobs) > 0 || len(p.queuedJobs) == 0 {
 		return
 	}
-	p.writing, p.jobs = p.jobs, nil
-	if len(durableWrites(p.writing)) == 0 {
-		p.world.after(time.Microsecond, func() { p.do(p.carriedOut) })
+	p.activeJobs, p.queuedJobs = p.queuedJobs, nil
+	if len(durableWrites(p.activeJobs)) == 0 {
+		p.world.schedule(time.Microsecond, func() { p.execute(p.handlePersisted) })
 		return
 	}
-	p.began = max(p.clock(), 1)
-	p.pause = minDiskBackoff
-	p.host.disk.recordAttempt(p.began, nil)
-	p.world.after(p.syncTime(), p.tryWrite)
+	p.writeStarted = max(p.clock(), 1)
+	p.retryBackoff = minDiskBackoff
+	p.host.disk.recordAttempt(p.writeStarted, nil)
+	p.world.schedule(p.syncTime(), p.finishWrite)
 }
 
-func (p *coreProcess) syncTime() time.Duration {
-	return p.world.between(p.world.profile.SyncTime/4, p.world.profile.SyncTime)
+func (p *simProcess) syncTime() time.Duration {
+	return p.world.uniform(p.world.profile.SyncTime/4, p.world.profile.SyncTime)
 }
 
-// tryWrite is the end of a transaction: it succeeds, fails, or hangs for longer.
-func (p *coreProcess) tryWrite() {
+// finishWrite is the end of a transaction: it succeeds, fails, or hangs for longer.
+func (p *simProcess) finishWrite() {
 	w, d := p.world, p.slot.disk
 	switch {
 	case !p.alive:
 	case w.now < d.stalledUntil:
-		w.after(d.stalledUntil-w.now, p.tryWrite)
+		w.schedule(d.stalledUntil-w.now, p.finishWrite)
 	case w.now < d.failsUntil:
-		p.do(func() {
-			p.host.disk.recordAttempt(p.began, errDiskFull)
+		p.execute(func() {
+			p.host.disk.recordAttempt(p.writeStarted, errDiskFull)
 			p.tick()
 		})
-		w.after(p.pause, p.tryWrite)
-		p.pause = min(2*p.pause, maxDiskBackoff)
+		w.schedule(p.retryBackoff, p.finishWrite)
+		p.retryBackoff = min(2*p.retryBackoff, maxDiskBackoff)
 	default:
-		p.sync(durableWrites(p.writing))
-		p.do(p.carriedOut)
+		p.syncWrites(durableWrites(p.activeJobs))
+		p.execute(p.handlePersisted)
 	}
 }
 
-func (p *coreProcess) sync(writes []storage.Update) {
+func (p *simProcess) syncWrites(writes []storage.Update) {
 	for i := range writes {
 		p.slot.disk.write(&writes[i])
-		p.world.truth.noteSynced(p.slot.id(), &writes[i])
+		p.world.oracle.recordSynced(p.slot.id(), &writes[i])
 	}
 }
 
 // handlePersisted is Host.persisted.
-func (p *coreProcess) carriedOut() {
-	jobs := p.writing
-	p.writing = nil
+func (p *simProcess) handlePersisted() {
+	jobs := p.activeJobs
+	p.activeJobs = nil
 	p.host.disk.recordAttempt(0, nil)
 	for i := range jobs {
 		p.group.handlePersisted(&jobs[i], p)
@@ -439,53 +439,53 @@
 }
 
 // kill ends the process. Of the transaction under way all, nothing or a part is on disk.
-func (p *coreProcess) kill() {
+func (p *simProcess) kill() {
 	w := p.world
 	w.logf("%d is killed", p.slot.number)
 	p.alive = false
 	p.slot.process = nil
-	writes := durableWrites(p.writing)
+	writes := durableWrites(p.activeJobs)
 	if len(writes) == 0 || w.now < p.slot.disk.failsUntil {
 		return
 	}
 	kept := w.random.IntN(len(writes) + 1)
-	p.sync(writes[:kept])
+	p.syncWrites(writes[:kept])
 	if kept == len(writes) {
 		return
 	}
 	if torn := writes[kept]; torn.InstalledSnapshot == nil && torn.CompactionSnapshot == nil && len(torn.Entries) > 0 {
 		torn.Entries = torn.Entries[:w.random.IntN(len(torn.Entries)+1)]
-		p.sync([]storage.Update{torn})
+		p.syncWrites([]storage.Update{torn})
 	}
 }
 
-func (p *coreProcess) thaw() {
-	if !p.alive || !p.frozen {
+func (p *simProcess) resume() {
+	if !p.alive || !p.paused {
 		return
 	}
 	p.world.logf("%d thaws", p.slot.number)
-	p.frozen, p.thawed = false, p.world.now
+	p.paused, p.resumedAt = false, p.world.now
 	backlog := p.backlog
 	p.backlog = nil
 	if p.world.chance(0.5) { // the timer fires first
-		p.do(p.tick)
+		p.execute(p.tick)
 	}
 	for _, what := range backlog {
-		p.do(what)
+		p.execute(what)
 	}
-	p.do(p.tick)
+	p.execute(p.tick)
 }
 
-// coreState is the state machine, looked at as it applies.
-type coreState struct {
+// observedState is the state machine, looked at as it applies.
+type observedState struct {
 	*state.Configuration
-	process *coreProcess
+	process *simProcess
 }
 
 // Apply takes an agreed command.
-func (s *coreState) Apply(index uint64, command []byte) []byte {
+func (s *observedState) Apply(index uint64, command []byte) []byte {
 	result := s.Configuration.Apply(index, command)
-	s.process.world.noteApplied(s.process, index, command, result)
-	s.process.group.logBytesSinceSnapshot += s.process.world.profile.Weight
+	s.process.world.checkApplied(s.process, index, command, result)
+	s.process.group.logBytesSinceSnapshot += s.process.world.profile.EntryWeight
 	return result
 }
--- a/internal/system/replica/core_repair_test.go
+++ b/internal/system/replica/core_repair_test.go
@@ -16,13 +16,13 @@
 	delay, sync      time.Duration // of a message between regions and of a write, at most
 }
 
-// farthest is the distance up to which a core is to keep the time that a deployment sets (CatchUp). Beyond it an election
+// maxPromisedDelay is the distance up to which a core is to keep the time that a deployment sets (CatchUp). Beyond it an election
 // and the five round trips of a replacement alone may take that long; what is reached there is measured and bounded.
-const farthest = 90 * time.Millisecond
+const maxPromisedDelay = 90 * time.Millisecond
 
-// countsWithin is how long after its start a successor counts.
-func (c repairCase) countsWithin() time.Duration {
-	if c.delay > farthest {
+// repairDeadline is how long after its start a successor counts.
+func (c repairCase) repairDeadline() time.Duration {
+	if c.delay > maxPromisedDelay {
 		return testCatchUp * 3 / 2
 	}
 	return testCatchUp
@@ -45,120 +45,122 @@
 	{9, 2, 90 * time.Millisecond, 12 * time.Millisecond},
 }
 
-// newRepairWorld is a core of a case that has founded itself and is changed by operators all the time.
-func newRepairWorld(seed uint64, c repairCase) *coreWorld {
-	w := newCoreWorld(seed)
+// newRepairSimulation is a core of a case that has founded itself and is changed by operators all the time.
+func newRepairSimulation(seed uint64, c repairCase) *simulation {
+	w := newSimulation(seed)
 	w.profile.Machines, w.profile.Operators = c.machines, 3
 	w.profile.Delay, w.profile.SyncTime, w.profile.Loss = c.delay, c.sync, 0
-	w.profile.Near = min(c.delay, 4*time.Millisecond)
-	w.profile.Think, w.faults = 100*time.Millisecond, false
-	w.losses = c.losses
-	w.found()
+	w.profile.RegionalDelay = min(c.delay, 4*time.Millisecond)
+	w.profile.ThinkTime, w.faultsEnabled = 100*time.Millisecond, false
+	w.toleratedLosses = c.losses
+	w.bootstrap()
 	for _, o := range w.operators {
-		o.tireless = true
+		o.unlimited = true
 	}
-	w.run(scenarioQuiet)
+	w.runFor(scenarioWarmup)
 	return w
 }
 
-// bears tells whether a majority is intact in every membership that may be in force, some machines left out.
-func (w *coreWorld) bears(without ...*coreSlot) bool {
-	return w.majorityIntactInAll(w.memberships(), func(s *coreSlot) bool { return slices.Contains(without, s) })
+// toleratesLossOf tells whether a majority is intact in every membership that may be in force, some machines left out.
+func (w *simulation) toleratesLossOf(without ...*simMachine) bool {
+	return w.majorityIntactInAll(w.memberships(), func(s *simMachine) bool { return slices.Contains(without, s) })
 }
 
-// bearsAny tells whether the core bears the loss of any set of so many machines.
-func (w *coreWorld) bearsAny(losses int, lost ...*coreSlot) bool {
+// toleratesAnyLoss tells whether the core bears the loss of any set of so many machines.
+func (w *simulation) toleratesAnyLoss(losses int, lost ...*simMachine) bool {
 	if losses == 0 {
-		return w.bears(lost...)
+		return w.toleratesLossOf(lost...)
 	}
-	for _, s := range w.inUse() {
-		if !slices.Contains(lost, s) && !w.bearsAny(losses-1, append(slices.Clone(lost), s)...) {
+	for _, s := range w.activeMachines() {
+		if !slices.Contains(lost, s) && !w.toleratesAnyLoss(losses-1, append(slices.Clone(lost), s)...) {
 			return false
 		}
 	}
 	return true
 }
 
-// remove takes machines away for good and returns those in their places, which start after a while.
-func (w *coreWorld) remove(gone []*coreSlot, after time.Duration) (successors []*coreSlot) {
+// replaceMachines takes machines away for good and returns those in their places, which start after a while.
+func (w *simulation) replaceMachines(gone []*simMachine, after time.Duration) (successors []*simMachine) {
 	for _, s := range gone {
 		if s.process != nil {
 			s.process.kill()
 		}
-		s.retired = true
-		next := w.addSuccessor(s)
+		s.replaced = true
+		next := w.addReplacement(s)
 		successors = append(successors, next)
 		w.logf("%d is lost for good, %d takes its place", s.number, next.number)
-		w.after(after, func() { w.boot(next) })
+		w.schedule(after, func() { w.boot(next) })
 	}
 	return successors
 }
 
-// wipe takes machines' disks away; they come back empty after a while.
-func (w *coreWorld) wipe(lost []*coreSlot, after time.Duration) {
+// wipeDisks takes machines' disks away; they come back empty after a while.
+func (w *simulation) wipeDisks(lost []*simMachine, after time.Duration) {
 	for _, s := range lost {
 		if s.process != nil {
 			s.process.kill()
 		}
-		s.disk = &coreDisk{}
+		s.disk = &simDisk{}
 		s.settings.FirstBoot = false
 		w.logf("%d loses its disk", s.number)
-		w.after(after, func() { w.boot(s) })
+		w.schedule(after, func() { w.boot(s) })
 	}
 }
 
-// pick draws machines, the leader first half of the time.
-func (w *coreWorld) pick(n int) (slots []*coreSlot) {
+// pickMachines draws machines, the leader first half of the time.
+func (w *simulation) pickMachines(n int) (slots []*simMachine) {
 	if p := w.leader(); p != nil && w.chance(0.5) {
 		slots = append(slots, p.slot)
 	}
 	for len(slots) < n {
-		if s := w.anySlot(); !slices.Contains(slots, s) {
+		if s := w.randomMachine(); !slices.Contains(slots, s) {
 			slots = append(slots, s)
 		}
 	}
 	return slots
 }
 
-// untilBears plays until the core bears the loss of any machines it has to bear, and returns how long that took.
-func (w *coreWorld) untilBears(losses int, atMost time.Duration) (time.Duration, bool) {
+// untilTolerant plays until the core bears the loss of any machines it has to bear, and returns how long that took.
+func (w *simulation) untilTolerant(losses int, atMost time.Duration) (time.Duration, bool) {
 	began := w.now
-	for w.now < began+atMost && w.failed == "" {
-		if w.bearsAny(losses) {
+	for w.now < began+atMost && w.failure == "" {
+		if w.toleratesAnyLoss(losses) {
 			return w.now - began, true
 		}
-		w.run(10 * time.Millisecond)
+		w.runFor(10 * time.Millisecond)
 	}
 	return atMost, false
 }
 
-// TestSuccessorCounts measures how long after the start of successors, or the return of machines with empty disks, the
+// TestReplacementRestoresFaultTolerance measures how long after the start of successors, or the return of machines with empty disks, the
 // core bears another loss: within CatchUp, for every size, up to the farthest distance for which that is promised.
-func TestSuccessorCounts(t *testing.T) {
+func TestReplacementRestoresFaultTolerance(t *testing.T) {
 	kinds := []struct {
 		name string
-		lose func(w *coreWorld, c repairCase, down time.Duration)
+		lose func(w *simulation, c repairCase, down time.Duration)
 	}{
-		{"replaced", func(w *coreWorld, c repairCase, down time.Duration) { w.remove(w.pick(c.losses), down) }},
-		{"wiped", func(w *coreWorld, c repairCase, down time.Duration) { w.wipe(w.pick(c.losses), down) }},
+		{"replaced", func(w *simulation, c repairCase, down time.Duration) {
+			w.replaceMachines(w.pickMachines(c.losses), down)
+		}},
+		{"wiped", func(w *simulation, c repairCase, down time.Duration) { w.wipeDisks(w.pickMachines(c.losses), down) }},
 	}
 	for _, c := range repairCases {
 		for _, kind := range kinds {
 			t.Run(kind.name+", "+c.String(), func(t *testing.T) {
 				t.Parallel()
 				var took []time.Duration
-				for seed := uint64(1); seed <= scenarioRuns; seed++ {
-					w := newRepairWorld(seed, c)
-					down := w.between(time.Millisecond, 2*time.Second)
+				for seed := uint64(1); seed <= scenarioSeeds; seed++ {
+					w := newRepairSimulation(seed, c)
+					down := w.uniform(time.Millisecond, 2*time.Second)
 					kind.lose(w, c, down)
-					w.run(down)
-					d, bears := w.untilBears(c.losses, 20*time.Second)
-					if !bears || w.failed != "" {
-						t.Fatalf("seed %d: no further loss is borne %v after the start: %s", seed, d, w.failed)
+					w.runFor(down)
+					d, bears := w.untilTolerant(c.losses, 20*time.Second)
+					if !bears || w.failure != "" {
+						t.Fatalf("seed %d: no further loss is borne %v after the start: %s", seed, d, w.failure)
 					}
 					took = append(took, d)
 				}
-				checkTimes(t, took, c.countsWithin())
+				checkTimes(t, took, c.repairDeadline())
 			})
 		}
 	}
@@ -177,8 +179,8 @@
 
 // chainSeeds are the seeds of chains of losses: only -core.seed, told as it goes, where that is given.
 func chainSeeds() (seeds []uint64) {
-	if *coreSeed != 0 {
-		return []uint64{*coreSeed}
+	if *simSeed != 0 {
+		return []uint64{*simSeed}
 	}
 	for seed := uint64(1); seed <= uint64(*repairSeeds); seed++ {
 		seeds = append(seeds, seed)
@@ -186,32 +188,32 @@
 	return seeds
 }
 
-// TestLossAfterLoss takes machines away again and again, each time once those before count again: the core goes on
+// TestRepeatedLosses takes machines away again and again, each time once those before count again: the core goes on
 // agreeing after each.
-func TestLossAfterLoss(t *testing.T) {
+func TestRepeatedLosses(t *testing.T) {
 	for _, c := range repairCases {
 		t.Run(c.String(), func(t *testing.T) {
 			t.Parallel()
 			for _, seed := range chainSeeds() {
-				w := newRepairWorld(seed, c)
-				w.verbose = *coreSeed != 0
+				w := newRepairSimulation(seed, c)
+				w.verbose = *simSeed != 0
 				for round := range 6 {
-					down := w.between(time.Millisecond, 2*time.Second)
-					if lost := w.pick(c.losses); w.chance(0.5) {
-						w.remove(lost, down)
+					down := w.uniform(time.Millisecond, 2*time.Second)
+					if lost := w.pickMachines(c.losses); w.chance(0.5) {
+						w.replaceMachines(lost, down)
 					} else {
-						w.wipe(lost, down)
+						w.wipeDisks(lost, down)
 					}
-					w.run(down + c.countsWithin())
-					if !w.bearsAny(0) {
+					w.runFor(down + c.repairDeadline())
+					if !w.toleratesAnyLoss(0) {
 						t.Fatalf("seed %d: round %d leaves no majority\nreplay: go test ./internal/system/replica -run '%s' -core.seed %d -v", seed,
 							round, t.Name(), seed)
 					}
 				}
-				before := len(w.truth.chain)
-				w.run(8 * time.Second)
-				if w.failed != "" || len(w.truth.chain) == before {
-					t.Fatalf("seed %d: nothing is agreed on any more: %s", seed, w.failed)
+				before := len(w.oracle.versions)
+				w.runFor(8 * time.Second)
+				if w.failure != "" || len(w.oracle.versions) == before {
+					t.Fatalf("seed %d: nothing is agreed on any more: %s", seed, w.failure)
 				}
 			}
 		})
@@ -225,69 +227,69 @@
 		t.Run(c.String(), func(t *testing.T) {
 			t.Parallel()
 			var windows []time.Duration
-			for seed := uint64(1); seed <= scenarioRuns; seed++ {
-				w := newRepairWorld(seed, c)
-				w.replaceAsPlanned()
-				d, bears := w.untilBears(c.losses, 20*time.Second)
-				if !bears || w.failed != "" {
-					t.Fatalf("seed %d: no further loss is borne %v after the old one ended: %s", seed, d, w.failed)
+			for seed := uint64(1); seed <= scenarioSeeds; seed++ {
+				w := newRepairSimulation(seed, c)
+				w.replacePlanned()
+				d, bears := w.untilTolerant(c.losses, 20*time.Second)
+				if !bears || w.failure != "" {
+					t.Fatalf("seed %d: no further loss is borne %v after the old one ended: %s", seed, d, w.failure)
 				}
 				windows = append(windows, d)
-				checkLossAtOnce(t, seed, c)
+				checkLossAfterReplacement(t, seed, c)
 			}
 			checkTimes(t, windows, 2*c.delay+50*time.Millisecond)
 		})
 	}
 }
 
-// replaceAsPlanned starts a new machine, lets it catch up, and has an old one stop.
-func (w *coreWorld) replaceAsPlanned() {
-	old := w.pick(1)[0]
-	w.boot(w.addSuccessor(old))
-	w.run(testCatchUp)
+// replacePlanned starts a new machine, lets it catch up, and has an old one stop.
+func (w *simulation) replacePlanned() {
+	old := w.pickMachines(1)[0]
+	w.boot(w.addReplacement(old))
+	w.runFor(testCatchUp)
 	process := old.process
-	process.leave()
+	process.shutDown()
 	w.runUntilEnded(process, 8*time.Second)
-	old.retired = true
+	old.replaced = true
 }
 
-// checkLossAtOnce has as many machines lose their disks as are to be borne, just as a planned replacement ends.
-func checkLossAtOnce(t *testing.T, seed uint64, c repairCase) {
+// checkLossAfterReplacement has as many machines lose their disks as are to be borne, just as a planned replacement ends.
+func checkLossAfterReplacement(t *testing.T, seed uint64, c repairCase) {
 	t.Helper()
-	w := newRepairWorld(seed, c)
-	w.replaceAsPlanned()
-	w.wipe(w.pick(c.losses), time.Second)
-	w.run(4 * time.Second)
-	before := len(w.truth.chain)
-	w.run(8 * time.Second)
-	if w.failed != "" || len(w.truth.chain) == before {
-		t.Fatalf("seed %d: nothing is agreed on after a loss as the old machine ended: %s", seed, w.failed)
+	w := newRepairSimulation(seed, c)
+	w.replacePlanned()
+	w.wipeDisks(w.pickMachines(c.losses), time.Second)
+	w.runFor(4 * time.Second)
+	before := len(w.oracle.versions)
+	w.runFor(8 * time.Second)
+	if w.failure != "" || len(w.oracle.versions) == before {
+		t.Fatalf("seed %d: nothing is agreed on after a loss as the old machine ended: %s", seed, w.failure)
 	}
 }
 
-func (w *coreWorld) runUntilEnded(p *coreProcess, atMost time.Duration) {
-	for end := w.now + atMost; p.alive && w.now < end && w.failed == ""; {
-		w.run(10 * time.Millisecond)
+func (w *simulation) runUntilEnded(p *simProcess, atMost time.Duration) {
+	for end := w.now + atMost; p.alive && w.now < end && w.failure == ""; {
+		w.runFor(10 * time.Millisecond)
 	}
 	if p.alive {
 		w.fail("machine %d does not end within %v", p.slot.number, atMost)
 	}
 }
 
-// TestPauseByDistance measures how long nothing is agreed on after the leader is killed, freezes or is cut off.
-func TestPauseByDistance(t *testing.T) {
+// TestFailoverTimeByLatency measures how long nothing is agreed on after the leader is killed, freezes or is cut off.
+func TestFailoverTimeByLatency(t *testing.T) {
 	bounds := map[time.Duration]time.Duration{20 * time.Millisecond: 1500 * time.Millisecond, 90 * time.Millisecond: 3 * time.Second,
 		200 * time.Millisecond: 5 * time.Second}
 	kinds := []struct {
 		name string
-		to   func(w *coreWorld, leader *coreSlot)
+		to   func(w *simulation, leader *simMachine)
 	}{
-		{"killed", func(w *coreWorld, leader *coreSlot) { w.restart(leader, time.Minute) }},
-		{"frozen", func(w *coreWorld, leader *coreSlot) { w.freeze(leader, time.Minute) }},
-		{"cut off", func(w *coreWorld, leader *coreSlot) {
-			for _, other := range w.slots {
-				w.setCut(leader, other, time.Minute)
-				w.setCut(other, leader, time.Minute)
+		{"killed", func(w *simulation, leader *simMachine) { w.restart(leader, time.Minute) }},
+		{"frozen", func(w *simulation, leader *simMachine) { w.pause(leader, time.Minute) }},
+		{"cut off", func(w *simulation, leader *simMachine) {
+			for _, other := range w.machines {
+				w.block(leader, other, time.Minute)
+				w.block(other, leader, time.Minute)
 			}
 		}},
 	}
@@ -297,9 +299,9 @@
 				t.Run(fmt.Sprintf("%s, %d machines, %v", kind.name, machines, delay), func(t *testing.T) {
 					t.Parallel()
 					var pauses []time.Duration
-					for seed := uint64(1); seed <= scenarioRuns; seed++ {
+					for seed := uint64(1); seed <= scenarioSeeds; seed++ {
 						c := repairCase{machines: machines, losses: 1, delay: delay, sync: 5 * time.Millisecond}
-						pauses = append(pauses, longestPause(t, seed, c, kind.to))
+						pauses = append(pauses, measureFailover(t, seed, c, kind.to))
 					}
 					checkTimes(t, pauses, bound)
 				})
@@ -308,54 +310,54 @@
 	}
 }
 
-// longestPause is the longest time without a change of the configuration in force after something befalls the leader.
-func longestPause(t *testing.T, seed uint64, c repairCase, befalls func(w *coreWorld, leader *coreSlot)) time.Duration {
+// measureFailover is the longest time without a change of the configuration in force after something befalls the leader.
+func measureFailover(t *testing.T, seed uint64, c repairCase, befalls func(w *simulation, leader *simMachine)) time.Duration {
 	t.Helper()
-	w := newRepairWorld(seed, c)
+	w := newRepairSimulation(seed, c)
 	leader := w.leader()
 	if leader == nil {
-		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioQuiet)
+		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
 	}
 	for _, o := range w.operators {
 		o.avoid = leader.slot
 	}
 	began := w.now
 	befalls(w, leader.slot)
-	w.run(8 * time.Second)
-	if w.failed != "" {
-		t.Fatal(w.failed)
+	w.runFor(8 * time.Second)
+	if w.failure != "" {
+		t.Fatal(w.failure)
 	}
 	last, longest := began, time.Duration(0)
-	for _, l := range w.truth.chain {
-		if l.at > began {
-			longest = max(longest, l.at-last)
-			last = l.at
+	for _, l := range w.oracle.versions {
+		if l.committedAt > began {
+			longest = max(longest, l.committedAt-last)
+			last = l.committedAt
 		}
 	}
 	return max(longest, w.now-last)
 }
 
-// TestMachinesLeaveForGood has machines of five stop for good with nobody to take their votes, and another lose its disk
+// TestPermanentShutdowns has machines of five stop for good with nobody to take their votes, and another lose its disk
 // once the group had time to go on without them.
-func TestMachinesLeaveForGood(t *testing.T) {
+func TestPermanentShutdowns(t *testing.T) {
 	c := repairCase{machines: 5, losses: 1, delay: 20 * time.Millisecond, sync: 5 * time.Millisecond}
-	for seed := uint64(1); seed <= scenarioRuns; seed++ {
-		w := newRepairWorld(seed, c)
+	for seed := uint64(1); seed <= scenarioSeeds; seed++ {
+		w := newRepairSimulation(seed, c)
 		for range 2 {
-			s := w.pick(1)[0]
-			s.process.leave()
-			w.run(3 * time.Second)
-			s.retired = true
+			s := w.pickMachines(1)[0]
+			s.process.shutDown()
+			w.runFor(3 * time.Second)
+			s.replaced = true
 		}
-		w.run(testCatchUp)
-		if !w.bearsAny(1) {
-			t.Fatalf("seed %d: two of five have left, and no loss is borne: %s", seed, w.failed)
+		w.runFor(testCatchUp)
+		if !w.toleratesAnyLoss(1) {
+			t.Fatalf("seed %d: two of five have left, and no loss is borne: %s", seed, w.failure)
 		}
-		w.wipe(w.pick(1), time.Second)
-		before := len(w.truth.chain)
-		w.run(8 * time.Second)
-		if w.failed != "" || len(w.truth.chain) == before {
-			t.Fatalf("seed %d: nothing is agreed on any more: %s", seed, w.failed)
+		w.wipeDisks(w.pickMachines(1), time.Second)
+		before := len(w.oracle.versions)
+		w.runFor(8 * time.Second)
+		if w.failure != "" || len(w.oracle.versions) == before {
+			t.Fatalf("seed %d: nothing is agreed on any more: %s", seed, w.failure)
 		}
 	}
 }
--- a/internal/system/replica/core_storm_test.go
+++ b/internal/system/replica/core_storm_test.go
@@ -11,173 +11,173 @@
 )
 
 const (
-	stormBegins  = 8 * time.Second // after the founding
-	stormSettles = 25 * time.Second
-	stormGap     = 100 * time.Millisecond // between two changes
-	stormPatient = 3 * time.Second        // for a change, before the next is tried
-	stormWatched = 40 * time.Second       // after what happens
+	loadStart       = 8 * time.Second // after the founding
+	loadWarmup      = 25 * time.Second
+	loadInterval    = 100 * time.Millisecond // between two changes
+	loadRetryAfter  = 3 * time.Second        // for a change, before the next is tried
+	catchUpDeadline = 40 * time.Second       // after what happens
 
 	megabit = 1e6 / 8 // bytes
 )
 
-// stormCase is a core under a storm of changes.
-type stormCase struct {
+// writeLoadCase is a core under a storm of changes.
+type writeLoadCase struct {
 	name       string
 	machines   int
 	routeBytes int     // of each of 500 routes
 	bandwidth  float64 // of a machine's link, bytes a second
-	most       time.Duration
-	happens    func(s *coreStorm)
+	limit      time.Duration
+	happens    func(s *writeLoad)
 }
 
-// coreStorm changes the configuration all the time, a route at once.
-type coreStorm struct {
-	world   *coreWorld
-	size    int // of a route
-	made    uint64
-	tried   uint64        // version that was proposed last
-	triedAt time.Duration // when
-	pending []byte        // its command
-
-	watched  *coreSlot
-	bootedAt time.Duration
-	current  time.Duration // from its boot until it held what the others had agreed on; 0: not yet
-	sent     int           // bytes by then
+// writeLoad changes the configuration all the time, a route at once.
+type writeLoad struct {
+	world           *simulation
+	routeBytes      int // of a route
+	created         uint64
+	proposedVersion uint64        // version that was proposed last
+	proposedAt      time.Duration // when
+	proposedCommand []byte        // its command
+
+	restarted     *simMachine
+	bootedAt      time.Duration
+	caughtUpAfter time.Duration // from its boot until it held what the others had agreed on; 0: not yet
+	sentBytes     int           // bytes by then
 }
 
-func newCoreStorm(seed uint64, c *stormCase) *coreStorm {
-	w := newCoreWorld(seed)
-	w.profile.Machines, w.profile.Operators, w.profile.Loss, w.profile.Weight = c.machines, 0, 0, 0
-	w.profile.Bandwidth, w.profile.Padding = c.bandwidth, 0
-	w.profile.Delay = w.between(5*time.Millisecond, 40*time.Millisecond)
-	w.profile.SyncTime = w.between(time.Millisecond, 12*time.Millisecond)
-	w.faults = false
-	s := &coreStorm{world: w, size: c.routeBytes}
-	w.found()
+func newWriteLoad(seed uint64, c *writeLoadCase) *writeLoad {
+	w := newSimulation(seed)
+	w.profile.Machines, w.profile.Operators, w.profile.Loss, w.profile.EntryWeight = c.machines, 0, 0, 0
+	w.profile.Bandwidth, w.profile.PaddingBytes = c.bandwidth, 0
+	w.profile.Delay = w.uniform(5*time.Millisecond, 40*time.Millisecond)
+	w.profile.SyncTime = w.uniform(time.Millisecond, 12*time.Millisecond)
+	w.faultsEnabled = false
+	s := &writeLoad{world: w, routeBytes: c.routeBytes}
+	w.bootstrap()
 	w.agents = nil
-	w.after(stormBegins, s.act)
+	w.schedule(loadStart, s.proposeNext)
 	return s
 }
 
-// act proposes the next change once the one before is in force, and that one again after a while.
-func (s *coreStorm) act() {
+// proposeNext proposes the next change once the one before is in force, and that one again after a while.
+func (s *writeLoad) proposeNext() {
 	w := s.world
-	w.after(stormGap, s.act)
-	s.look()
+	w.schedule(loadInterval, s.proposeNext)
+	s.checkCaughtUp()
 	p := w.leader()
-	if p == nil || p.state.Version() < s.tried && w.now-s.triedAt < stormPatient {
+	if p == nil || p.state.Version() < s.proposedVersion && w.now-s.proposedAt < loadRetryAfter {
 		return
 	}
-	if p.state.Version() >= s.tried {
+	if p.state.Version() >= s.proposedVersion {
 		routes := 1
 		if p.state.Version() == 0 {
-			routes = stormRoutes
+			routes = loadRoutes
 		}
-		s.tried, s.pending = p.state.Version()+1, s.command(p.state.Version(), routes)
+		s.proposedVersion, s.proposedCommand = p.state.Version()+1, s.command(p.state.Version(), routes)
 	}
-	s.triedAt = w.now
-	p.do(func() { p.group.propose(p.clock(), s.pending) })
+	s.proposedAt = w.now
+	p.execute(func() { p.group.propose(p.clock(), s.proposedCommand) })
 }
 
-func (s *coreStorm) command(base uint64, routes int) []byte {
+func (s *writeLoad) command(base uint64, routes int) []byte {
 	w := s.world
-	s.made++
-	r := coreRequest{base: base, version: base + 1}
-	binary.BigEndian.PutUint64(r.digest[:], s.made)
+	s.created++
+	r := simRequest{base: base, version: base + 1}
+	binary.BigEndian.PutUint64(r.digest[:], s.created)
 	c := state.CommitConfiguration{BasedOn: r.base, Version: r.version, Digest: r.digest,
 		Writes: []state.Write{{Key: ownerKey, Value: r.digest[:]}}}
 	for i := range routes {
-		value := make([]byte, s.size)
-		binary.BigEndian.PutUint64(value, s.made)
-		route := (int(s.made) + i) % stormRoutes
+		value := make([]byte, s.routeBytes)
+		binary.BigEndian.PutUint64(value, s.created)
+		route := (int(s.created) + i) % loadRoutes
 		c.Writes = append(c.Writes, state.Write{Key: fmt.Sprintf("route/%03d", route), Value: value})
 	}
 	command := c.Encode()
-	w.truth.commands[string(command)] = r
+	w.oracle.commands[string(command)] = r
 	return command
 }
 
-// look notes when the watched machine holds all but the last changes.
-func (s *coreStorm) look() {
+// checkCaughtUp notes when the watched machine holds all but the last changes.
+func (s *writeLoad) checkCaughtUp() {
 	w := s.world
-	if s.watched == nil || s.watched.process == nil || s.current > 0 {
+	if s.restarted == nil || s.restarted.process == nil || s.caughtUpAfter > 0 {
 		return
 	}
-	q := s.watched.process
+	q := s.restarted.process
 	fresh := elapsedSince(q.group.node.Status().CaughtUpAt, q.clock()) < time.Second
-	if fresh && q.group.appliedIndex+maxPromotionLag >= w.truth.applied {
-		s.current = w.now - s.bootedAt
-		s.sent = w.sentBytes - s.sent
+	if fresh && q.group.appliedIndex+maxPromotionLag >= w.oracle.appliedIndex {
+		s.caughtUpAfter = w.now - s.bootedAt
+		s.sentBytes = w.sentBytes - s.sentBytes
 	}
 }
 
 // follower is a machine that follows, by the storm's drawing.
-func (s *coreStorm) follower() *coreSlot {
+func (s *writeLoad) follower() *simMachine {
 	w := s.world
 	for {
-		slot := w.anySlot()
+		slot := w.randomMachine()
 		if p := w.leader(); p == nil || slot != p.slot {
 			return slot
 		}
 	}
 }
 
-// back boots a machine after a while and watches it.
-func (s *coreStorm) back(slot *coreSlot, down time.Duration) {
+// restartAfter boots a machine after a while and watches it.
+func (s *writeLoad) restartAfter(slot *simMachine, down time.Duration) {
 	w := s.world
-	w.after(down, func() {
-		s.watched, s.bootedAt, s.sent = slot, w.now, w.sentBytes
+	w.schedule(down, func() {
+		s.restarted, s.bootedAt, s.sentBytes = slot, w.now, w.sentBytes
 		w.boot(slot)
 	})
 }
 
-func (s *coreStorm) wipe(slot *coreSlot, down time.Duration) {
+func (s *writeLoad) wipe(slot *simMachine, down time.Duration) {
 	slot.process.kill()
-	slot.disk = &coreDisk{}
-	s.back(slot, down)
+	slot.disk = &simDisk{}
+	s.restartAfter(slot, down)
 }
 
-func (s *coreStorm) power(slot *coreSlot, down time.Duration) {
+func (s *writeLoad) powerCycle(slot *simMachine, down time.Duration) {
 	slot.process.kill()
-	s.back(slot, down)
+	s.restartAfter(slot, down)
 }
 
 // play returns how long the machine took to hold what the others had agreed on, and the bytes sent meanwhile.
-func (s *coreStorm) play(t *testing.T, c *stormCase) {
+func (s *writeLoad) play(t *testing.T, c *writeLoadCase) {
 	t.Helper()
 	w := s.world
-	w.run(stormSettles)
-	if w.failed == "" && w.leader() == nil {
+	w.runFor(loadWarmup)
+	if w.failure == "" && w.leader() == nil {
 		w.fail("nobody leads")
 	}
-	if w.failed == "" {
+	if w.failure == "" {
 		c.happens(s)
-		w.runUntil(stormWatched, func() bool { return s.current > 0 })
+		w.runUntil(catchUpDeadline, func() bool { return s.caughtUpAfter > 0 })
 	}
-	if w.failed == "" && s.current == 0 {
+	if w.failure == "" && s.caughtUpAfter == 0 {
 		w.fail("a machine is not caught up %v after its start", w.now-s.bootedAt)
 	}
-	if w.failed != "" {
-		t.Errorf("%s\nreplay: go test ./internal/system/replica -run '%s' -core.seed %d", w.failed, t.Name(), w.seed)
+	if w.failure != "" {
+		t.Errorf("%s\nreplay: go test ./internal/system/replica -run '%s' -core.seed %d", w.failure, t.Name(), w.seed)
 	}
 }
 
-// TestCatchUpUnderStorm: a machine that comes back while the configuration changes ten times a second holds what the
+// TestCatchUpUnderWriteLoad: a machine that comes back while the configuration changes ten times a second holds what the
 // others agreed on within catch_up_s, however large the configuration is and whatever happens to the sender.
-func TestCatchUpUnderStorm(t *testing.T) {
-	wiped := func(s *coreStorm) { s.wipe(s.follower(), time.Second) }
-	away := func(s *coreStorm) { s.power(s.follower(), 9*time.Second) }
-	leaderLost := func(s *coreStorm) {
+func TestCatchUpUnderWriteLoad(t *testing.T) {
+	wiped := func(s *writeLoad) { s.wipe(s.follower(), time.Second) }
+	away := func(s *writeLoad) { s.powerCycle(s.follower(), 9*time.Second) }
+	leaderLost := func(s *writeLoad) {
 		s.wipe(s.follower(), time.Second)
 		w := s.world
-		w.after(2500*time.Millisecond, func() {
+		w.schedule(2500*time.Millisecond, func() {
 			if p := w.leader(); p != nil {
 				w.restart(p.slot, time.Minute)
 			}
 		})
 	}
 	const small, large = 200, 8 << 10
-	cases := []stormCase{
+	cases := []writeLoadCase{
 		{"wiped, 100 KB, 10 Mbit", 5, small, 10 * megabit, 4 * time.Second, wiped},
 		{"wiped, 4 MB, 30 Mbit", 5, large, 30 * megabit, 4 * time.Second, wiped},
 		{"wiped, 4 MB, 10 Mbit", 3, large, 10 * megabit, 6 * time.Second, wiped},
@@ -188,48 +188,48 @@
 		c := &cases[i]
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			seeds := []uint64{*coreSeed}
-			if *coreSeed == 0 {
+			seeds := []uint64{*simSeed}
+			if *simSeed == 0 {
 				seeds = nil
-				for seed := uint64(1); seed <= uint64(*stormSeeds); seed++ {
+				for seed := uint64(1); seed <= uint64(*loadSeeds); seed++ {
 					seeds = append(seeds, seed)
 				}
 			}
 			var times []time.Duration
 			var bytes []int
 			for _, seed := range seeds {
-				s := newCoreStorm(seed, c)
-				s.world.verbose = *coreSeed != 0
+				s := newWriteLoad(seed, c)
+				s.world.verbose = *simSeed != 0
 				s.play(t, c)
-				times, bytes = append(times, s.current), append(bytes, s.sent)
+				times, bytes = append(times, s.caughtUpAfter), append(bytes, s.sentBytes)
 			}
 			slices.Sort(times)
 			slices.Sort(bytes)
 			worst := times[len(times)-1]
 			t.Logf("caught up after %v at the median of %d runs, %v at worst; %.1f MB sent, %.1f at worst",
 				times[len(times)/2], len(times), worst, float64(bytes[len(bytes)/2])/(1<<20), float64(bytes[len(bytes)-1])/(1<<20))
-			if worst > c.most {
-				t.Errorf("%v at worst; at most %v", worst, c.most)
+			if worst > c.limit {
+				t.Errorf("%v at worst; at most %v", worst, c.limit)
 			}
 		})
 	}
 }
 
-// TestPlantedFaultsOfLinks takes the ways out by which large messages get over thin links, one at a time.
-func TestPlantedFaultsOfLinks(t *testing.T) {
-	plants := map[string]func(w *coreWorld){
-		"a message has to be out within the write time-out": func(w *coreWorld) { w.plant.messageDeadline = true },
-		"heartbeats wait behind entries":                    func(w *coreWorld) { w.plant.oneLane = true },
+// TestSlowLinkDetectsInjectedFaults takes the ways out by which large messages get over thin links, one at a time.
+func TestSlowLinkDetectsInjectedFaults(t *testing.T) {
+	plants := map[string]func(w *simulation){
+		"a message has to be out within the write time-out": func(w *simulation) { w.injected.deadlinePerMessage = true },
+		"heartbeats wait behind entries":                    func(w *simulation) { w.injected.singleConnection = true },
 	}
-	c := &stormCase{machines: 5, routeBytes: 8 << 10, bandwidth: 10 * megabit}
+	c := &writeLoadCase{machines: 5, routeBytes: 8 << 10, bandwidth: 10 * megabit}
 	for name, plant := range plants {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newCoreStorm(1, c)
+			s := newWriteLoad(1, c)
 			plant(s.world)
-			s.world.run(stormSettles)
-			t.Logf("version %d is in force", s.world.truth.versionAt(s.world.truth.applied))
-			if s.world.truth.applied > 0 && s.world.truth.versionAt(s.world.truth.applied) > 0 {
+			s.world.runFor(loadWarmup)
+			t.Logf("version %d is in force", s.world.oracle.versionAt(s.world.oracle.appliedIndex))
+			if s.world.oracle.appliedIndex > 0 && s.world.oracle.versionAt(s.world.oracle.appliedIndex) > 0 {
 				t.Error("not found: a configuration of 4 MB is in force")
 			}
 		})
--- a/internal/system/replica/disk_test.go
+++ b/internal/system/replica/disk_test.go
@@ -12,15 +12,15 @@
 	"cinderroad/internal/system/storage"
 )
 
-// faults is a disk that stalls or refuses.
-type faults struct {
+// faultyDisk is a disk that stalls or refuses.
+type faultyDisk struct {
 	store
 	mutex   sync.Mutex
-	refusal error
+	failure error
 	stall   chan struct{} // not nil: writes wait until it is closed
 }
 
-func (f *faults) open(folder string) (store, error) {
+func (f *faultyDisk) open(folder string) (store, error) {
 	if err := f.wait(); err != nil {
 		return nil, err
 	}
@@ -29,23 +29,23 @@
 	return f, err
 }
 
-func (f *faults) Write(writes ...storage.Update) error {
+func (f *faultyDisk) Write(writes ...storage.Update) error {
 	if err := f.wait(); err != nil {
 		return err
 	}
 	return f.store.Write(writes...)
 }
 
-func (f *faults) Initialize(replica consensus.ReplicaID, writes ...storage.Update) error {
+func (f *faultyDisk) Initialize(replica consensus.ReplicaID, writes ...storage.Update) error {
 	if err := f.wait(); err != nil {
 		return err
 	}
 	return f.store.Initialize(replica, writes...)
 }
 
-func (f *faults) wait() error {
+func (f *faultyDisk) wait() error {
 	f.mutex.Lock()
-	refusal, stall := f.refusal, f.stall
+	refusal, stall := f.failure, f.stall
 	f.mutex.Unlock()
 	if stall != nil {
 		<-stall
@@ -53,24 +53,24 @@
 	return refusal
 }
 
-func (f *faults) set(refusal error, stall chan struct{}) {
+func (f *faultyDisk) set(refusal error, stall chan struct{}) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.refusal, f.stall = refusal, stall
+	f.failure, f.stall = refusal, stall
 }
 
-func newFaultyCluster(t *testing.T) *cluster {
-	c := newCluster(t, 3, 3)
+func newFaultyDiskCluster(t *testing.T) *testCluster {
+	c := newTestCluster(t, 3, 3)
 	for _, m := range c.machines {
-		m.faults = &faults{}
+		m.disk = &faultyDisk{}
 	}
 	c.startAll()
-	c.settled(3)
+	c.waitForMembership(3)
 	return c
 }
 
-// leadsElsewhere waits until another machine than the one given leads the partition.
-func (c *cluster) leadsElsewhere(m *machine) {
+// waitForOtherLeader waits until another machine than the one given leads the partition.
+func (c *testCluster) waitForOtherLeader(m *testMachine) {
 	c.t.Helper()
 	waitFor(c.t, "another leader", func() error {
 		if c.leader(0) == m {
@@ -80,19 +80,19 @@
 	})
 }
 
-func TestStalledDiskGivesLeadershipUp(t *testing.T) {
-	c := newFaultyCluster(t)
+func TestStalledDiskReleasesLeadership(t *testing.T) {
+	c := newFaultyDiskCluster(t)
 	stalled := c.leader(0)
 	stall := make(chan struct{})
 	release := sync.OnceFunc(func() { close(stall) })
 	t.Cleanup(release)
-	stalled.faults.set(nil, stall)
+	stalled.disk.set(nil, stall)
 	go stalled.host.Propose(context.Background(), 0, []byte("a"))
-	c.leadsElsewhere(stalled)
+	c.waitForOtherLeader(stalled)
 	stalled.propose(0, "through another")
 	for _, m := range c.machines {
 		if m != stalled {
-			m.holds(0, "through another")
+			m.waitForCommand(0, "through another")
 		}
 	}
 	stalled.wait("it says that it lags", func() error {
@@ -101,7 +101,7 @@
 		}
 		return nil
 	})
-	stalled.faults.set(nil, nil)
+	stalled.disk.set(nil, nil)
 	release()
 	stalled.wait("the disk is back", func() error {
 		stalled.host.mutex.Lock()
@@ -113,18 +113,18 @@
 	})
 	stalled.propose(0, "after")
 	for _, m := range c.machines {
-		m.holds(0, "after")
+		m.waitForCommand(0, "after")
 	}
 }
 
-func TestFullDiskGivesLeadershipUp(t *testing.T) {
-	c := newFaultyCluster(t)
+func TestFullDiskReleasesLeadership(t *testing.T) {
+	c := newFaultyDiskCluster(t)
 	full := c.leader(0)
-	full.faults.set(&storage.DiskError{Operation: "write", Full: true}, nil)
+	full.disk.set(&storage.DiskError{Operation: "write", Full: true}, nil)
 	go full.host.Propose(context.Background(), 0, []byte("a"))
-	c.leadsElsewhere(full)
+	c.waitForOtherLeader(full)
 	full.propose(0, "through another")
-	full.faults.set(nil, nil)
+	full.disk.set(nil, nil)
 	full.wait("it leads again", func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -146,15 +146,15 @@
 	})
 	full.propose(0, "after")
 	for _, m := range c.machines {
-		m.holds(0, "after")
+		m.waitForCommand(0, "after")
 	}
 }
 
-// TestDiskInTroubleAtTheStart has the store open only once the disk works.
-func TestDiskInTroubleAtTheStart(t *testing.T) {
-	c := newCluster(t, 3, 3)
+// TestDiskFaultAtStart has the store open only once the disk works.
+func TestDiskFaultAtStart(t *testing.T) {
+	c := newTestCluster(t, 3, 3)
 	for _, m := range c.machines {
-		m.faults = &faults{refusal: &storage.DiskError{Operation: "open", Full: true}}
+		m.disk = &faultyDisk{failure: &storage.DiskError{Operation: "open", Full: true}}
 	}
 	c.startAll()
 	first := c.machines[0]
@@ -165,17 +165,17 @@
 		t.Fatal(err)
 	}
 	for _, m := range c.machines {
-		m.faults.set(nil, nil)
+		m.disk.set(nil, nil)
 	}
 	first.propose(0, "a")
-	c.settled(3)
+	c.waitForMembership(3)
 }
 
-func TestCorruptFileCountsAsWiped(t *testing.T) {
-	c := newCluster(t, 3, 3)
+func TestCorruptStoreDiscarded(t *testing.T) {
+	c := newTestCluster(t, 3, 3)
 	c.startAll()
 	c.machines[0].propose(0, "a")
-	c.settled(3)
+	c.waitForMembership(3)
 	spoilt := c.machines[1]
 	before := spoilt.host.self.ID
 	spoilt.kill()
@@ -189,26 +189,26 @@
 	}
 	s.Close()
 	spoilt.start()
-	spoilt.holds(0, "a")
-	c.settled(3)
+	spoilt.waitForCommand(0, "a")
+	c.waitForMembership(3)
 	if spoilt.host.self.ID == before {
 		t.Error("it has its old replica")
 	}
 }
 
-// TestNoDisk runs machines without a state folder.
-func TestNoDisk(t *testing.T) {
-	c := newCluster(t, 3, 3)
+// TestReplicaWithoutDisk runs machines without a state folder.
+func TestReplicaWithoutDisk(t *testing.T) {
+	c := newTestCluster(t, 3, 3)
 	for _, m := range c.machines {
 		m.settings.StateDir = ""
 	}
 	c.startAll()
 	c.machines[0].propose(0, "a")
-	c.settled(3)
+	c.waitForMembership(3)
 	restarted := c.machines[1]
 	restarted.kill()
 	restarted.settings.FirstBoot = false
 	restarted.start()
-	restarted.holds(0, "a")
-	c.settled(3)
+	restarted.waitForCommand(0, "a")
+	c.waitForMembership(3)
 }
--- a/internal/system/replica/group_test.go
+++ b/internal/system/replica/group_test.go
@@ -11,22 +11,22 @@
 
 // scriptedGroup is a group of which a test plays the other members and the disk, which is written at once.
 type scriptedGroup struct {
-	t    *testing.T
-	g    *group
-	now  time.Duration
-	jobs []writeJob
-	last map[consensus.MessageKind]consensus.Message // sent, by kind
+	t        *testing.T
+	group    *group
+	now      time.Duration
+	jobs     []writeJob
+	lastSent map[consensus.MessageKind]consensus.Message // sent, by kind
 }
 
 func newScriptedGroup(t *testing.T) *scriptedGroup {
-	s := &scriptedGroup{t: t, g: newGroup(feed.ConfigurationPartition, &listState{}), now: time.Second,
-		last: map[consensus.MessageKind]consensus.Message{}}
+	s := &scriptedGroup{t: t, group: newGroup(feed.ConfigurationPartition, &listState{}), now: time.Second,
+		lastSent: map[consensus.MessageKind]consensus.Message{}}
 	var stored consensus.PersistentState
 	for id := consensus.ReplicaID(1); id <= 3; id++ {
 		stored.Snapshot.Membership.Members = append(stored.Snapshot.Membership.Members, consensus.Member{ID: id, Voter: true})
 	}
 	options := nodeOptions(1, 1, defaultHeartbeatInterval, defaultElectionTimeout)
-	if err := s.g.start(s.now, options, stored); err != nil {
+	if err := s.group.start(s.now, options, stored); err != nil {
 		t.Fatal(err)
 	}
 	return s
@@ -34,23 +34,23 @@
 
 func (s *scriptedGroup) send(_ *group, messages []consensus.Message) {
 	for _, m := range messages {
-		s.last[m.Kind] = m
+		s.lastSent[m.Kind] = m
 	}
 }
 
 func (s *scriptedGroup) enqueueWrite(j writeJob) { s.jobs = append(s.jobs, j) }
 
-// settle does all that the machine wants done.
-func (s *scriptedGroup) settle() {
+// processReady does all that the machine wants done.
+func (s *scriptedGroup) processReady() {
 	s.t.Helper()
 	for more := true; more; {
-		if err := s.g.processReady(s); err != nil {
+		if err := s.group.processReady(s); err != nil {
 			s.t.Fatal(err)
 		}
 		jobs := s.jobs
 		s.jobs = nil
 		for i := range jobs {
-			s.g.handlePersisted(&jobs[i], s)
+			s.group.handlePersisted(&jobs[i], s)
 		}
 		more = len(jobs) > 0
 	}
@@ -59,34 +59,34 @@
 func (s *scriptedGroup) step(m consensus.Message) {
 	s.t.Helper()
 	m.To = 1
-	s.g.node.Step(s.now, m)
-	s.settle()
+	s.group.node.Step(s.now, m)
+	s.processReady()
 }
 
 // elect has the group win an election by the vote of replica 2.
 func (s *scriptedGroup) elect() {
 	s.t.Helper()
-	s.now = s.g.node.NextTick()
-	s.g.node.Tick(s.now)
-	s.settle()
-	s.step(consensus.Message{Kind: consensus.MessagePreVoteReply, From: 2, Term: s.last[consensus.MessagePreVote].Term})
-	s.step(consensus.Message{Kind: consensus.MessageVoteReply, From: 2, Term: s.last[consensus.MessageVote].Term})
-	if s.g.node.Role() != consensus.Leader {
+	s.now = s.group.node.NextTick()
+	s.group.node.Tick(s.now)
+	s.processReady()
+	s.step(consensus.Message{Kind: consensus.MessagePreVoteReply, From: 2, Term: s.lastSent[consensus.MessagePreVote].Term})
+	s.step(consensus.Message{Kind: consensus.MessageVoteReply, From: 2, Term: s.lastSent[consensus.MessageVote].Term})
+	if s.group.node.Role() != consensus.Leader {
 		s.t.Fatal("the election was lost")
 	}
 }
 
 func (s *scriptedGroup) propose(command string) *proposal {
 	s.t.Helper()
-	p := s.g.propose(s.now, []byte(command))
+	p := s.group.propose(s.now, []byte(command))
 	if p == nil {
 		s.t.Fatal("the proposal was not taken")
 	}
-	s.settle()
+	s.processReady()
 	return p
 }
 
-func outcomeOf(p *proposal) (outcome Outcome, told bool) {
+func receivedOutcome(p *proposal) (outcome Outcome, told bool) {
 	select {
 	case reply := <-p.done:
 		return reply.Outcome, true
@@ -95,25 +95,25 @@
 	}
 }
 
-// TestDisplacedProposalMayStandElsewhere: another leader replaces an entry that is not committed, and then this replica
+// TestReplacedProposalOutcomeUnknown: another leader replaces an entry that is not committed, and then this replica
 // leads again and proposes at its place. A member that was not reached meanwhile may still hold the first entry and have it
 // agreed on, so that its outcome is not known.
-func TestDisplacedProposalMayStandElsewhere(t *testing.T) {
+func TestReplacedProposalOutcomeUnknown(t *testing.T) {
 	s := newScriptedGroup(t)
 	s.elect()
 	s.propose("keeps its place")
 	first := s.propose("is displaced")
-	before := s.last[consensus.MessageVote].Term
+	before := s.lastSent[consensus.MessageVote].Term
 	s.step(consensus.Message{Kind: consensus.MessageAppend, From: 3, Term: before + 1, Round: 1,
 		Entries: []consensus.Entry{{Index: 1, Term: before + 1}}})
-	if _, told := outcomeOf(first); told {
+	if _, told := receivedOutcome(first); told {
 		t.Fatal("an outcome was told before one was known")
 	}
 	s.elect()
-	for s.g.proposals[first.index] == first {
+	for s.group.proposals[first.index] == first {
 		s.propose("displaces")
 	}
-	if outcome, told := outcomeOf(first); !told || outcome != OutcomeUnknown {
+	if outcome, told := receivedOutcome(first); !told || outcome != OutcomeUnknown {
 		t.Errorf("outcome %d, told %v; want it not to be known", outcome, told)
 	}
 }
@@ -125,14 +125,14 @@
 	s.elect()
 	large := strings.Repeat("x", bulkThresholdBytes)
 	waiting := []*proposal{s.propose(large), s.propose(large), s.propose(large)}
-	if last := s.g.node.Status().LastIndex; last != waiting[0].index {
+	if last := s.group.node.Status().LastIndex; last != waiting[0].index {
 		t.Fatalf("the log goes to %d, and the command stands at %d", last, waiting[0].index)
 	}
-	s.g.abandonProposal(waiting[1])
-	s.step(consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: s.last[consensus.MessageVote].Term,
+	s.group.abandonProposal(waiting[1])
+	s.step(consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: s.lastSent[consensus.MessageVote].Term,
 		Index: waiting[0].index})
 	for i, p := range waiting {
-		if outcome, told := outcomeOf(p); told != (i != 1) || told && outcome != OutcomeCommitted {
+		if outcome, told := receivedOutcome(p); told != (i != 1) || told && outcome != OutcomeCommitted {
 			t.Errorf("proposal %d: outcome %d, told %v", i, outcome, told)
 		}
 	}
@@ -141,25 +141,25 @@
 	}
 }
 
-// TestLostProposalWasNotTaken: another entry is agreed on at its place.
-func TestLostProposalWasNotTaken(t *testing.T) {
+// TestOverwrittenProposalDropped: another entry is agreed on at its place.
+func TestOverwrittenProposalDropped(t *testing.T) {
 	s := newScriptedGroup(t)
 	s.elect()
 	lost := s.propose("is lost")
-	term := s.last[consensus.MessageVote].Term + 1
+	term := s.lastSent[consensus.MessageVote].Term + 1
 	s.step(consensus.Message{Kind: consensus.MessageAppend, From: 3, Term: term, Round: 1, Commit: lost.index,
 		Entries: []consensus.Entry{{Index: 1, Term: term}, {Index: 2, Term: term, Data: []byte("another")}}})
-	if outcome, told := outcomeOf(lost); !told || outcome != OutcomeDropped {
+	if outcome, told := receivedOutcome(lost); !told || outcome != OutcomeDropped {
 		t.Errorf("outcome %d, told %v; want it not to be taken", outcome, told)
 	}
 }
 
-// TestProposalIsDoneOnceMostHaveIt: its proposer is told what the state machine returned.
-func TestProposalIsDoneOnceMostHaveIt(t *testing.T) {
+// TestProposalCommitsOnMajority: its proposer is told what the state machine returned.
+func TestProposalCommitsOnMajority(t *testing.T) {
 	s := newScriptedGroup(t)
 	s.elect()
 	p := s.propose("a command")
-	if _, told := outcomeOf(p); told {
+	if _, told := receivedOutcome(p); told {
 		t.Fatal("an outcome was told before a majority had it")
 	}
 	s.step(consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: p.term, Index: p.index})
@@ -173,31 +173,31 @@
 	}
 }
 
-// TestHungDiskBoundsWhatWaits: while a write does not end, heartbeats go on to be taken, and only so many answers wait.
-func TestHungDiskBoundsWhatWaits(t *testing.T) {
+// TestStalledDiskBoundsQueue: while a write does not end, heartbeats go on to be taken, and only so many answers wait.
+func TestStalledDiskBoundsQueue(t *testing.T) {
 	s := newScriptedGroup(t)
 	beat := consensus.Message{Kind: consensus.MessageAppend, From: 2, To: 1, Term: 1, Round: 1,
 		Entries: []consensus.Entry{{Index: 1, Term: 1}}}
 	for beat.Round < 4*maxQueuedJobs {
 		s.now += defaultHeartbeatInterval
-		s.g.node.Step(s.now, beat)
-		if err := s.g.processReady(s); err != nil {
+		s.group.node.Step(s.now, beat)
+		if err := s.group.processReady(s); err != nil {
 			t.Fatal(err)
 		}
 		beat.Round, beat.Entries = beat.Round+1, nil
 		beat.Index, beat.LogTerm = 1, 1
 	}
-	if len(s.jobs) > maxQueuedJobs || s.g.node.Leader() != 2 {
-		t.Errorf("%d jobs wait, and %d leads", len(s.jobs), s.g.node.Leader())
+	if len(s.jobs) > maxQueuedJobs || s.group.node.Leader() != 2 {
+		t.Errorf("%d jobs wait, and %d leads", len(s.jobs), s.group.node.Leader())
 	}
-	s.last = map[consensus.MessageKind]consensus.Message{}
+	s.lastSent = map[consensus.MessageKind]consensus.Message{}
 	jobs := s.jobs
 	s.jobs = nil
 	for i := range jobs {
-		s.g.handlePersisted(&jobs[i], s)
+		s.group.handlePersisted(&jobs[i], s)
 	}
 	s.step(beat)
-	if reply := s.last[consensus.MessageAppendReply]; reply.Index != 1 || reply.Round != beat.Round {
+	if reply := s.lastSent[consensus.MessageAppendReply]; reply.Index != 1 || reply.Round != beat.Round {
 		t.Errorf("once the write has ended the answer is %+v", reply)
 	}
 }
--- a/internal/system/replica/host_test.go
+++ b/internal/system/replica/host_test.go
@@ -25,7 +25,7 @@
 
 const (
 	testPartitions = 3
-	longBound      = 60 * time.Second
+	testTimeout    = 60 * time.Second
 )
 
 // listState is a state machine that keeps all commands in their order.
@@ -63,34 +63,34 @@
 	return gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&s.commands)
 }
 
-func (s *listState) list() []string {
+func (s *listState) snapshotCommands() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return append([]string(nil), s.commands...)
 }
 
-// machine is a control machine of a test.
-type machine struct {
-	t        *testing.T
-	settings processconfig.Settings
-	host     *Host
-	states   []*listState
-	end      context.CancelFunc
-	faults   *faults // nil: its disk works
-	served   chan struct{}
+// testMachine is a control machine of a test.
+type testMachine struct {
+	t           *testing.T
+	settings    processconfig.Settings
+	host        *Host
+	states      []*listState
+	stopServing context.CancelFunc
+	disk        *faultyDisk // nil: its disk works
+	served      chan struct{}
 }
 
-// cluster is a set of machines at loopback addresses of their own that share a port.
-type cluster struct {
+// testCluster is a set of machines at loopback addresses of their own that share a port.
+type testCluster struct {
 	t        *testing.T
 	port     uint16
 	seeds    []netip.AddrPort
-	machines []*machine
+	machines []*testMachine
 }
 
 func loopback(i int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}) }
 
-func newCluster(t *testing.T, size, seeds int) *cluster {
+func newTestCluster(t *testing.T, size, seeds int) *testCluster {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -98,7 +98,7 @@
 	}
 	port := netip.MustParseAddrPort(listener.Addr().String()).Port()
 	listener.Close()
-	c := &cluster{t: t, port: port}
+	c := &testCluster{t: t, port: port}
 	for i := range seeds {
 		c.seeds = append(c.seeds, netip.AddrPortFrom(loopback(i), 1))
 	}
@@ -114,8 +114,8 @@
 }
 
 // add makes a machine that is not started.
-func (c *cluster) add(i int, firstBoot bool) *machine {
-	m := &machine{t: c.t, settings: processconfig.Settings{Node: fmt.Sprintf("core-%d", i), IP: loopback(i),
+func (c *testCluster) add(i int, firstBoot bool) *testMachine {
+	m := &testMachine{t: c.t, settings: processconfig.Settings{Node: fmt.Sprintf("core-%d", i), IP: loopback(i),
 		Zone: fmt.Sprintf("zone-%d", i%3), FreePorts: processconfig.PortRange{First: c.port, Last: c.port + 15},
 		SeedNodes: c.seeds, FirstBoot: firstBoot, StateDir: filepath.Join(c.t.TempDir(), "state"),
 		SurvivableLosses: processconfig.SurvivableLosses{Machines: 1, Zones: 1}}}
@@ -123,7 +123,7 @@
 	return m
 }
 
-func (m *machine) start() {
+func (m *testMachine) start() {
 	m.t.Helper()
 	var states []StateMachine
 	m.states = nil
@@ -135,8 +135,8 @@
 	log := zaptest.NewLogger(m.t, zaptest.Level(zap.InfoLevel)).Named(m.settings.Node)
 	m.host = New(Options{Settings: &m.settings, StateMachines: states, Log: log, HeartbeatInterval: 40 * time.Millisecond,
 		ElectionTimeout: 250 * time.Millisecond})
-	if m.faults != nil {
-		m.host.openStore = m.faults.open
+	if m.disk != nil {
+		m.host.openStore = m.disk.open
 	}
 	var listener net.Listener
 	m.wait("its port is free", func() (err error) {
@@ -146,7 +146,7 @@
 	registry := rpc.NewRegistry()
 	m.host.Register(registry)
 	var ctx context.Context
-	ctx, m.end = context.WithCancel(context.Background())
+	ctx, m.stopServing = context.WithCancel(context.Background())
 	m.served = make(chan struct{})
 	served := m.served
 	go func() {
@@ -159,11 +159,11 @@
 }
 
 // kill ends a machine without handing anything over.
-func (m *machine) kill() {
+func (m *testMachine) kill() {
 	if m.host == nil {
 		return
 	}
-	m.end()
+	m.stopServing()
 	<-m.served
 	m.host.cancel()
 	m.host.disk.stop()
@@ -171,15 +171,15 @@
 	m.host = nil
 }
 
-func (m *machine) stop() {
+func (m *testMachine) stop() {
 	m.host.Stop(context.Background())
-	m.end()
+	m.stopServing()
 	<-m.served
 	m.host = nil
 }
 
 // wipe empties the machine's disk.
-func (m *machine) wipe() {
+func (m *testMachine) wipe() {
 	if err := os.RemoveAll(m.settings.StateDir); err != nil {
 		m.t.Fatal(err)
 	}
@@ -187,11 +187,11 @@
 }
 
 // wait returns once a condition holds.
-func (m *machine) wait(what string, holds func() error) { waitFor(m.t, what, holds) }
+func (m *testMachine) wait(what string, holds func() error) { waitFor(m.t, what, holds) }
 
 func waitFor(t *testing.T, what string, holds func() error) {
 	t.Helper()
-	deadline := time.Now().Add(longBound)
+	deadline := time.Now().Add(testTimeout)
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -206,10 +206,10 @@
 	}
 }
 
-func (m *machine) propose(partition feed.Partition, command string) {
+func (m *testMachine) propose(partition feed.Partition, command string) {
 	m.t.Helper()
 	m.wait("proposal of "+command, func() error {
-		ctx, cancel := context.WithTimeout(context.Background(), longBound)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		_, err := m.host.Propose(ctx, partition, []byte(command))
 		var unknown *UnknownOutcomeError
@@ -220,8 +220,8 @@
 	})
 }
 
-// holds waits until the machine, behind a barrier, has a command.
-func (m *machine) holds(partition feed.Partition, command string) {
+// waitForCommand waits until the machine, behind a barrier, has a command.
+func (m *testMachine) waitForCommand(partition feed.Partition, command string) {
 	m.t.Helper()
 	m.wait(m.settings.Node+" holds "+command, func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -229,7 +229,7 @@
 		if err := m.host.Barrier(ctx, partition); err != nil {
 			return err
 		}
-		list := m.states[partition].list()
+		list := m.states[partition].snapshotCommands()
 		for _, have := range list {
 			if have == command {
 				return nil
@@ -239,8 +239,8 @@
 	})
 }
 
-// settled waits until all machines that run agree that the members are the machines that run, so many of them voters.
-func (c *cluster) settled(voters int) {
+// waitForMembership waits until all machines that run agree that the members are the machines that run, so many of them voters.
+func (c *testCluster) waitForMembership(voters int) {
 	c.t.Helper()
 	waitFor(c.t, fmt.Sprintf("%d voters", voters), func() error {
 		for _, m := range c.running() {
@@ -257,7 +257,7 @@
 	})
 }
 
-func (c *cluster) running() (running []*machine) {
+func (c *testCluster) running() (running []*testMachine) {
 	for _, m := range c.machines {
 		if m.host != nil {
 			running = append(running, m)
@@ -266,7 +266,7 @@
 	return running
 }
 
-func (c *cluster) checkMembership(membership consensus.Membership, voters int) error {
+func (c *testCluster) checkMembership(membership consensus.Membership, voters int) error {
 	found := 0
 	for _, member := range membership.Members {
 		if member.Voter {
@@ -277,14 +277,14 @@
 		return fmt.Errorf("members are %v", memberList(membership.Members))
 	}
 	for _, m := range c.running() {
-		if !m.isIn(membership) {
+		if !m.isMemberOf(membership) {
 			return fmt.Errorf("%s is not in %v", m.settings.Node, memberList(membership.Members))
 		}
 	}
 	return nil
 }
 
-func (m *machine) isIn(membership consensus.Membership) bool {
+func (m *testMachine) isMemberOf(membership consensus.Membership) bool {
 	m.host.mutex.Lock()
 	defer m.host.mutex.Unlock()
 	for _, member := range membership.Members {
@@ -295,9 +295,9 @@
 	return false
 }
 
-func (c *cluster) leader(partition feed.Partition) *machine {
+func (c *testCluster) leader(partition feed.Partition) *testMachine {
 	c.t.Helper()
-	var leader *machine
+	var leader *testMachine
 	waitFor(c.t, "a leader", func() error {
 		for _, m := range c.running() {
 			if _, leads := m.host.LeaderLease(partition); leads {
@@ -310,60 +310,60 @@
 	return leader
 }
 
-func (c *cluster) startAll() {
+func (c *testCluster) startAll() {
 	for _, m := range c.machines {
 		m.start()
 	}
 }
 
-func TestProposalsThroughEachMachine(t *testing.T) {
-	c := newCluster(t, 3, 3)
+func TestProposeThroughEachReplica(t *testing.T) {
+	c := newTestCluster(t, 3, 3)
 	c.startAll()
 	for i, m := range c.machines {
 		for p := range feed.Partition(testPartitions) {
 			m.propose(p, fmt.Sprintf("%d-%d", i, p))
 		}
 	}
-	c.settled(3)
+	c.waitForMembership(3)
 	for _, m := range c.machines {
 		for i := range c.machines {
 			for p := range feed.Partition(testPartitions) {
-				m.holds(p, fmt.Sprintf("%d-%d", i, p))
+				m.waitForCommand(p, fmt.Sprintf("%d-%d", i, p))
 			}
 		}
-		if fresh := m.host.Staleness(0); fresh > longBound {
+		if fresh := m.host.Staleness(0); fresh > testTimeout {
 			t.Errorf("%s is %v behind", m.settings.Node, fresh)
 		}
 	}
 }
 
-func TestFounderAlone(t *testing.T) {
-	c := newCluster(t, 1, 1)
+func TestSingleReplicaRestart(t *testing.T) {
+	c := newTestCluster(t, 1, 1)
 	c.startAll()
 	c.machines[0].propose(0, "a")
 	c.machines[0].kill()
 	c.machines[0].settings.FirstBoot = false
 	c.machines[0].start()
-	c.machines[0].holds(0, "a")
+	c.machines[0].waitForCommand(0, "a")
 }
 
-func TestLeaderKilledAndBack(t *testing.T) {
-	c := newCluster(t, 3, 3)
+func TestLeaderKillAndRestart(t *testing.T) {
+	c := newTestCluster(t, 3, 3)
 	c.startAll()
 	c.machines[0].propose(1, "before")
-	c.settled(3)
+	c.waitForMembership(3)
 	killed := c.leader(1)
 	killed.kill()
 	c.running()[0].propose(1, "meanwhile")
 	killed.settings.FirstBoot = false
 	killed.start()
-	killed.holds(1, "meanwhile")
-	killed.holds(1, "before")
-	c.settled(3)
+	killed.waitForCommand(1, "meanwhile")
+	killed.waitForCommand(1, "before")
+	c.waitForMembership(3)
 }
 
-func TestAllKilledAtOnce(t *testing.T) {
-	c := newCluster(t, 3, 3)
+func TestFullClusterRestart(t *testing.T) {
+	c := newTestCluster(t, 3, 3)
 	c.startAll()
 	c.machines[2].propose(0, "kept")
 	for _, m := range c.machines {
@@ -372,86 +372,86 @@
 	}
 	c.startAll()
 	for _, m := range c.machines {
-		m.holds(0, "kept")
+		m.waitForCommand(0, "kept")
 	}
 }
 
-func TestLeadershipHandedOverAtStop(t *testing.T) {
-	c := newCluster(t, 3, 3)
+func TestStopTransfersLeadership(t *testing.T) {
+	c := newTestCluster(t, 3, 3)
 	c.startAll()
-	c.settled(3)
+	c.waitForMembership(3)
 	stopped := c.leader(0)
 	stopped.propose(0, "a")
 	stopped.stop()
 	for _, m := range c.running() {
-		m.holds(0, "a")
+		m.waitForCommand(0, "a")
 	}
 }
 
-func TestWipedDiskRejoins(t *testing.T) {
-	c := newCluster(t, 3, 3)
+func TestWipedReplicaRejoins(t *testing.T) {
+	c := newTestCluster(t, 3, 3)
 	c.startAll()
 	c.machines[0].propose(0, "a")
-	c.settled(3)
+	c.waitForMembership(3)
 	for _, m := range c.machines {
 		before := m.host.self.ID
 		m.kill()
 		m.wipe()
 		m.start()
-		m.holds(0, "a")
-		c.settled(3)
+		m.waitForCommand(0, "a")
+		c.waitForMembership(3)
 		if m.host.self.ID == before {
 			t.Errorf("%s has its old replica", m.settings.Node)
 		}
 	}
 }
 
-func TestMoreMachinesJoin(t *testing.T) {
-	c := newCluster(t, 7, 3)
+func TestReplicasJoin(t *testing.T) {
+	c := newTestCluster(t, 7, 3)
 	c.startAll()
-	c.settled(5)
+	c.waitForMembership(5)
 	c.machines[6].propose(2, "a")
 	for _, m := range c.machines {
-		m.holds(2, "a")
+		m.waitForCommand(2, "a")
 	}
 }
 
-func TestNewMachineReplacesLostOne(t *testing.T) {
-	c := newCluster(t, 3, 3)
+func TestNewReplicaReplacesLost(t *testing.T) {
+	c := newTestCluster(t, 3, 3)
 	c.startAll()
 	c.machines[0].propose(0, "a")
-	c.settled(3)
+	c.waitForMembership(3)
 	c.machines[1].kill()
 	added := c.add(3, false)
 	added.start()
-	added.holds(0, "a")
-	c.settled(3)
+	added.waitForCommand(0, "a")
+	c.waitForMembership(3)
 }
 
-// TestSeedsGone restarts a machine whose seeds are no more: it finds the others by what it has on disk, and a machine
+// TestRestartWithUnreachableSeeds restarts a machine whose seeds are no more: it finds the others by what it has on disk, and a machine
 // without anything by a hint.
-func TestSeedsGone(t *testing.T) {
-	c := newCluster(t, 3, 3)
+func TestRestartWithUnreachableSeeds(t *testing.T) {
+	c := newTestCluster(t, 3, 3)
 	c.startAll()
 	c.machines[0].propose(0, "a")
-	c.settled(3)
+	c.waitForMembership(3)
 	gone := []netip.AddrPort{netip.AddrPortFrom(loopback(99), 1)}
 	for _, m := range c.machines {
 		m.kill()
 		m.settings.FirstBoot, m.settings.SeedNodes = false, gone
 		m.start()
-		m.holds(0, "a")
+		m.waitForCommand(0, "a")
 	}
 	added := c.add(3, false)
 	added.settings.SeedNodes = gone
 	added.start()
 	added.host.AddPeerAddresses(c.machines[1].host.address)
-	added.holds(0, "a")
-	c.settled(3)
+	added.waitForCommand(0, "a")
+	c.waitForMembership(3)
 }
 
-func TestSnapshotBringsNewMachineUp(t *testing.T) {
-	c := newCluster(t, 3, 3)
+func TestNewReplicaReceivesSnapshot(t *testing.T) {
+	c := newTestCluster(t, 3, 3)
 	c.startAll()
 	large := string(bytes.Repeat([]byte("x"), 64<<10))
 	for i := range 40 {
@@ -459,15 +459,15 @@
 	}
 	added := c.add(3, false)
 	added.start()
-	added.holds(0, "39"+large)
-	if n := len(added.states[0].list()); n < 40 {
+	added.waitForCommand(0, "39"+large)
+	if n := len(added.states[0].snapshotCommands()); n < 40 {
 		t.Errorf("it holds %d commands", n)
 	}
 }
 
-// TestUnknownLeader has a replica follow a leader that joined the group after all that this replica knows: it can't
+// TestJoinRequestedForUnknownLeader has a replica follow a leader that joined the group after all that this replica knows: it can't
 // answer until it has asked where that one is.
-func TestUnknownLeader(t *testing.T) {
+func TestJoinRequestedForUnknownLeader(t *testing.T) {
 	const self, founder, joined = 1, 2, 9
 	settings := processconfig.Settings{IP: netip.MustParseAddr("10.0.0.1"), FreePorts: processconfig.PortRange{First: 9000, Last: 9015}}
 	host := New(Options{Settings: &settings, StateMachines: []StateMachine{&listState{}}})
--- a/internal/system/replica/pack_test.go
+++ b/internal/system/replica/pack_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestPackedRequests(t *testing.T) {
+func TestDeliverRequestCompression(t *testing.T) {
 	random := rand.NewChaCha8([32]byte{1})
 	noise := make([]byte, 2*bulkThresholdBytes)
 	_, _ = random.Read(noise)
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestSpoiltPackedRequests: whatever comes, it is refused or bounded.
-func TestSpoiltPackedRequests(t *testing.T) {
+// TestMalformedDeliverRequests: whatever comes, it is refused or bounded.
+func TestMalformedDeliverRequests(t *testing.T) {
 	whole := newDeliverRequest(make([]byte, 2*bulkThresholdBytes)).Packed
 	huge := append(binary.AppendUvarint(nil, maxDecompressedBytes+1), whole...)
 	for name, packed := range map[string][]byte{"cut short": whole[:len(whole)/2], "huge": huge, "no size": {0xff},
@@ -42,7 +42,7 @@
 	}
 }
 
-func BenchmarkPack(b *testing.B) {
+func BenchmarkNewDeliverRequest(b *testing.B) {
 	var text []byte
 	for i := 0; len(text) < 4<<20; i++ {
 		text = fmt.Appendf(text, `{"path":"/models/%d","timeout_ms":%d,"zone":"%x"}`, i, 500+i%7, i*2654435761)
--- a/internal/system/replica/plan_test.go
+++ b/internal/system/replica/plan_test.go
@@ -11,14 +11,14 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// testPatience is that of a test's situations.
-var testPatience = absenceLimits{absentAfter: 2 * time.Second, removeAfter: 20 * time.Second, lostAfter: time.Minute}
+// testLimits is that of a test's situations.
+var testLimits = absenceLimits{absentAfter: 2 * time.Second, removeAfter: 20 * time.Second, lostAfter: time.Minute}
 
-// parseSituation reads members as name:zone:marks, where the name's letter is the machine and its digit the life of its
+// parseMembershipView reads members as name:zone:marks, where the name's letter is the machine and its digit the life of its
 // disk. Marks: v votes, d silent for 10 s, D silent for a minute and a half, b behind, l leaving, ? without particulars yet. The
 // first one leads. After a bar stand the replicas that ask to be taken in.
-func parseSituation(text string) *membershipView {
-	s := &membershipView{targetVoters: preferredVoters, leaderFor: time.Hour, limits: testPatience}
+func parseMembershipView(text string) *membershipView {
+	s := &membershipView{targetVoters: preferredVoters, leaderFor: time.Hour, limits: testLimits}
 	members, joining, _ := strings.Cut(text, "|")
 	for _, word := range strings.Fields(members) {
 		parts := strings.Split(word, ":")
@@ -49,7 +49,7 @@
 	return consensus.Member{ID: id, Node: "core-" + name[:1], Zone: zone, Address: "10.0.0." + name[:1] + ":1"}
 }
 
-func describe(c membershipChange, is bool) string {
+func formatChange(c membershipChange, is bool) string {
 	if !is {
 		return "none"
 	}
@@ -70,7 +70,7 @@
 	return strings.Join(words, " ")
 }
 
-func TestPlan(t *testing.T) {
+func TestPlanChange(t *testing.T) {
 	tests := []struct{ name, situation, change string }{
 		{"all well", "A0:a:v B0:b:v C0:c:v", "none"},
 		{"particulars of a founder", "A0:a:v B0:b:v? C0:c:v?| B0:b", "A0v B0v C0?v"},
@@ -114,7 +114,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := describe(planChange(parseSituation(test.situation))); got != test.change {
+			if got := formatChange(planChange(parseMembershipView(test.situation))); got != test.change {
 				t.Errorf("%s: got %s, want %s", test.situation, got, test.change)
 			}
 		})
@@ -123,31 +123,31 @@
 
 // TestNewLeaderDemotesNobody has a leader that cannot know yet who is gone.
 func TestNewLeaderDemotesNobody(t *testing.T) {
-	s := parseSituation("A0:a:v B0:b:v C0:c:v D0:c:v")
+	s := parseMembershipView("A0:a:v B0:b:v C0:c:v D0:c:v")
 	s.leaderFor = time.Second
 	if c, is := planChange(s); is {
-		t.Errorf("it changes the group to %s", describe(c, is))
+		t.Errorf("it changes the group to %s", formatChange(c, is))
 	}
 }
 
-// TestPlanEnds draws situations and follows the plan: it comes to an end, each step changes who votes or anything else, and the living
+// TestPlanChangeTerminates draws situations and follows the plan: it comes to an end, each step changes who votes or anything else, and the living
 // voters stay a majority.
-func TestPlanEnds(t *testing.T) {
+func TestPlanChangeTerminates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := drawSituation(t)
+		s := drawMembershipView(t)
 		for range 100 {
 			c, is := planChange(s)
 			if !is {
 				return
 			}
-			follow(t, s, c)
+			applyChange(t, s, c)
 		}
 		t.Fatal("the plan does not come to an end")
 	})
 }
 
-func drawSituation(t *rapid.T) *membershipView {
-	s := &membershipView{targetVoters: preferredVoters, leaderFor: time.Hour, limits: testPatience}
+func drawMembershipView(t *rapid.T) *membershipView {
+	s := &membershipView{targetVoters: preferredVoters, leaderFor: time.Hour, limits: testLimits}
 	silences := []time.Duration{0, 0, 0, 3 * time.Second, 10 * time.Second, 30 * time.Second, 90 * time.Second}
 	for i := range rapid.IntRange(1, 9).Draw(t, "members") {
 		machine := byte('A' + i)
@@ -170,8 +170,8 @@
 	return s
 }
 
-// follow carries a change out and checks it.
-func follow(t *rapid.T, s *membershipView, c membershipChange) {
+// applyChange carries a change out and checks it.
+func applyChange(t *rapid.T, s *membershipView, c membershipChange) {
 	if c.transferTo != 0 {
 		i := s.indexOf(c.transferTo)
 		if i < 0 || !s.members[i].Voter {
@@ -181,7 +181,7 @@
 		return
 	}
 	before, majority := s.consensusMembers(), hasMajority(s)
-	d := differenceOf(consensus.Membership{Members: before}, c.membership)
+	d := diffMemberships(consensus.Membership{Members: before}, c.membership)
 	if d.members == 0 || d.votes > 0 && d.members != d.votes || d.votes > 1 && len(before) != len(c.membership.Members) {
 		t.Fatalf("%d members and %d votes change: %v, then %v", d.members, d.votes, memberList(before),
 			memberList(c.membership.Members))
--- a/internal/system/replica/repair_model_test.go
+++ b/internal/system/replica/repair_model_test.go
@@ -28,45 +28,45 @@
 	return true
 }
 
-// mostLives is how many disks a machine of the model has one after the other.
-const mostLives = 3
+// maxGenerations is how many disks a machine of the model has one after the other.
+const maxGenerations = 3
 
-func replicaOf(machine, life int) int { return machine*mostLives + life }
+func replicaOf(machine, life int) int { return machine*maxGenerations + life }
 
 // modelState is what the model distinguishes.
 type modelState struct {
-	voters, outgoing replicaSet
-	leaving          int8 // the voter that a change under way replaces, -1: none
-	taking           int8 // the learner that takes its vote
-	intact, learners replicaSet
-	cut, counted     uint8 // machines that are cut off, and that count as lost
-	lives            [6]int8
+	voters, outgoing  replicaSet
+	leaving           int8 // the voter that a change under way replaces, -1: none
+	incoming          int8 // the learner that takes its vote
+	intact, learners  replicaSet
+	partitioned, lost uint8 // machines that are cut off, and that count as lost
+	generations       [6]int8
 }
 
-// changeWay is a way of replacing a voter.
-type changeWay uint8
+// replacementStrategy is a way of replacing a voter.
+type replacementStrategy uint8
 
 const (
-	addFirst changeWay = iota
-	removeFirst
-	jointly
+	addThenRemove replacementStrategy = iota
+	removeThenAdd
+	jointConsensus
 )
 
-func (w changeWay) String() string {
+func (w replacementStrategy) String() string {
 	return [...]string{"add first", "remove first", "joint"}[w]
 }
 
 // repairModel is a group and what is to be borne.
 type repairModel struct {
 	machines, voters int
-	losses           int // machines that may count as lost at once
-	way              changeWay
+	toleratedLosses  int // machines that may count as lost at once
+	strategy         replacementStrategy
 	// stalls: a change may stand still between its steps for as long as a machine that was cut off needs to count again.
 	stalls bool
 }
 
-func (m *repairModel) start() modelState {
-	s := modelState{leaving: -1, taking: -1}
+func (m *repairModel) initialState() modelState {
+	s := modelState{leaving: -1, incoming: -1}
 	for machine := range m.machines {
 		r := replicaOf(machine, 0)
 		s.intact = s.intact.with(r)
@@ -82,59 +82,59 @@
 // reachable are the replicas that are intact and not cut off.
 func (s *modelState) reachable(m *repairModel) (set replicaSet) {
 	for machine := range m.machines {
-		r := replicaOf(machine, int(s.lives[machine]))
-		if s.intact.has(r) && s.cut&(1<<machine) == 0 {
+		r := replicaOf(machine, int(s.generations[machine]))
+		if s.intact.has(r) && s.partitioned&(1<<machine) == 0 {
 			set = set.with(r)
 		}
 	}
 	return set
 }
 
-// alive tells whether something may ever be agreed on again.
-func (s *modelState) alive() bool { return s.intact.majorities(s.voters, s.outgoing) }
+// hasMajority tells whether something may ever be agreed on again.
+func (s *modelState) hasMajority() bool { return s.intact.majorities(s.voters, s.outgoing) }
 
 // step is an event and where it leads.
 type modelStep struct {
-	what string
-	to   modelState
+	event string
+	state modelState
 }
 
-// steps are all events that may come next.
-func (m *repairModel) steps(s *modelState) (next []modelStep) {
+// nextSteps are all events that may come next.
+func (m *repairModel) nextSteps(s *modelState) (next []modelStep) {
 	for machine := range m.machines {
-		next = append(next, m.troubles(s, machine)...)
+		next = append(next, m.faultSteps(s, machine)...)
 	}
-	return append(next, m.changes(s)...)
+	return append(next, m.membershipSteps(s)...)
 }
 
-// troubles are what may befall a machine, or end.
-func (m *repairModel) troubles(s *modelState, machine int) (next []modelStep) {
+// faultSteps are what may befall a machine, or end.
+func (m *repairModel) faultSteps(s *modelState, machine int) (next []modelStep) {
 	bit := uint8(1) << machine
-	mayBeLost := s.counted&bit != 0 || bits.OnesCount8(s.counted) < m.losses
-	if mayBeLost && s.lives[machine] < mostLives-1 {
+	mayBeLost := s.lost&bit != 0 || bits.OnesCount8(s.lost) < m.toleratedLosses
+	if mayBeLost && s.generations[machine] < maxGenerations-1 {
 		to := *s
-		old := replicaOf(machine, int(s.lives[machine]))
+		old := replicaOf(machine, int(s.generations[machine]))
 		to.intact, to.learners = to.intact.without(old), to.learners.without(old)
-		to.lives[machine]++
-		fresh := replicaOf(machine, int(to.lives[machine]))
+		to.generations[machine]++
+		fresh := replicaOf(machine, int(to.generations[machine]))
 		to.intact, to.learners = to.intact.with(fresh), to.learners.with(fresh)
-		to.counted |= bit
+		to.lost |= bit
 		next = append(next, modelStep{fmt.Sprintf("machine %d loses its disk", machine), to})
 	}
-	if mayBeLost && s.cut&bit == 0 {
+	if mayBeLost && s.partitioned&bit == 0 {
 		to := *s
-		to.cut |= bit
-		to.counted |= bit
+		to.partitioned |= bit
+		to.lost |= bit
 		next = append(next, modelStep{fmt.Sprintf("machine %d is cut off", machine), to})
 	}
-	if s.cut&bit != 0 {
+	if s.partitioned&bit != 0 {
 		to := *s
-		to.cut &^= bit
+		to.partitioned &^= bit
 		next = append(next, modelStep{fmt.Sprintf("machine %d is back", machine), to})
 	}
-	if s.counted&bit != 0 && s.cut&bit == 0 && (m.repaired(s) || m.stalls && s.lives[machine] == 0) {
+	if s.lost&bit != 0 && s.partitioned&bit == 0 && (m.repaired(s) || m.stalls && s.generations[machine] == 0) {
 		to := *s
-		to.counted &^= bit
+		to.lost &^= bit
 		next = append(next, modelStep{fmt.Sprintf("machine %d counts again", machine), to})
 	}
 	return next
@@ -146,8 +146,8 @@
 	return s.leaving < 0 && s.voters.size() == m.voters && s.voters&^s.intact == 0
 }
 
-// changes are the steps of membership that may be agreed on.
-func (m *repairModel) changes(s *modelState) (next []modelStep) {
+// membershipSteps are the steps of membership that may be agreed on.
+func (m *repairModel) membershipSteps(s *modelState) (next []modelStep) {
 	reachable := s.reachable(m)
 	take := func(what string, to modelState) {
 		if reachable.majorities(s.voters, s.outgoing) && reachable.majorities(to.voters, to.outgoing) {
@@ -155,22 +155,22 @@
 		}
 	}
 	if s.leaving >= 0 {
-		take(m.finish(s))
+		take(m.finishReplacement(s))
 		return next
 	}
-	for old := range m.machines * mostLives {
-		for taking := range m.machines * mostLives {
-			if s.mayReplace(old, reachable) && s.learners.has(taking) && reachable.has(taking) {
-				take(m.begin(s, old, taking))
+	for old := range m.machines * maxGenerations {
+		for taking := range m.machines * maxGenerations {
+			if s.isReplaceable(old, reachable) && s.learners.has(taking) && reachable.has(taking) {
+				take(m.beginReplacement(s, old, taking))
 			}
 		}
 	}
 	return next
 }
 
-// mayReplace tells whether a voter is to be replaced: one whose disk is lost, and only where there is none one that is
+// isReplaceable tells whether a voter is to be replaced: one whose disk is lost, and only where there is none one that is
 // merely silent.
-func (s *modelState) mayReplace(r int, reachable replicaSet) bool {
+func (s *modelState) isReplaceable(r int, reachable replicaSet) bool {
 	lost := s.voters &^ s.intact
 	if lost != 0 {
 		return lost.has(r)
@@ -178,33 +178,33 @@
 	return s.voters.has(r) && !reachable.has(r)
 }
 
-// begin is the first step of giving a silent voter's vote to a learner.
-func (m *repairModel) begin(s *modelState, old, taking int) (string, modelState) {
+// beginReplacement is the first step of giving a silent voter's vote to a learner.
+func (m *repairModel) beginReplacement(s *modelState, old, taking int) (string, modelState) {
 	to := *s
-	to.leaving, to.taking = int8(old), int8(taking)
-	switch m.way {
-	case addFirst:
+	to.leaving, to.incoming = int8(old), int8(taking)
+	switch m.strategy {
+	case addThenRemove:
 		to.voters = to.voters.with(taking)
-	case removeFirst:
+	case removeThenAdd:
 		to.voters = to.voters.without(old)
-	case jointly:
+	case jointConsensus:
 		to.outgoing = to.voters
 		to.voters = to.voters.without(old).with(taking)
 	}
 	return fmt.Sprintf("the change from %d to %d begins", old, taking), to
 }
 
-// finish is the second step.
-func (m *repairModel) finish(s *modelState) (string, modelState) {
+// finishReplacement is the second step.
+func (m *repairModel) finishReplacement(s *modelState) (string, modelState) {
 	to := *s
-	old, taking := int(s.leaving), int(s.taking)
-	to.leaving, to.taking, to.outgoing = -1, -1, 0
+	old, taking := int(s.leaving), int(s.incoming)
+	to.leaving, to.incoming, to.outgoing = -1, -1, 0
 	to.voters = to.voters.without(old)
 	to.learners = to.learners.without(taking)
 	if s.intact.has(old) {
 		to.learners = to.learners.with(old)
 	}
-	if s.intact.has(taking) || m.way != removeFirst {
+	if s.intact.has(taking) || m.strategy != removeThenAdd {
 		to.voters = to.voters.with(taking)
 	}
 	return fmt.Sprintf("the change from %d to %d ends", old, taking), to
@@ -217,24 +217,24 @@
 		from modelState
 		what string
 	}
-	start := m.start()
+	start := m.initialState()
 	seen := map[modelState]visit{start: {}}
 	frontier := []modelState{start}
 	for range depth {
 		var next []modelState
 		for _, s := range frontier {
-			for _, step := range m.steps(&s) {
-				if _, known := seen[step.to]; known {
+			for _, step := range m.nextSteps(&s) {
+				if _, known := seen[step.state]; known {
 					continue
 				}
-				seen[step.to] = visit{s, step.what}
-				if !step.to.alive() {
-					for at := step.to; at != start; at = seen[at].from {
+				seen[step.state] = visit{s, step.event}
+				if !step.state.hasMajority() {
+					for at := step.state; at != start; at = seen[at].from {
 						trace = append([]string{seen[at].what}, trace...)
 					}
 					return trace, len(seen)
 				}
-				next = append(next, step.to)
+				next = append(next, step.state)
 			}
 		}
 		frontier = next
@@ -242,29 +242,29 @@
 	return nil, len(seen)
 }
 
-// TestWaysToReplaceAVoter searches for a counterexample to each way of giving a voter's vote to another. It is what
+// TestVoterReplacementStrategies searches for a counterexample to each way of giving a voter's vote to another. It is what
 // decides for joint consensus: adding first fails where the same machine is lost again, removing first where a change
 // stands still and the machine that was merely cut off comes back.
-func TestWaysToReplaceAVoter(t *testing.T) {
+func TestVoterReplacementStrategies(t *testing.T) {
 	tests := []struct {
 		model repairModel
 		depth int
 		holds bool
 	}{
-		{repairModel{machines: 3, voters: 3, losses: 1, way: addFirst}, 12, false},
-		{repairModel{machines: 3, voters: 3, losses: 1, way: removeFirst}, 24, true},
-		{repairModel{machines: 3, voters: 3, losses: 1, way: jointly}, 24, true},
-		{repairModel{machines: 4, voters: 3, losses: 1, way: addFirst, stalls: true}, 12, false},
-		{repairModel{machines: 4, voters: 3, losses: 1, way: removeFirst, stalls: true}, 12, false},
-		{repairModel{machines: 4, voters: 3, losses: 1, way: jointly, stalls: true}, 24, true},
-		{repairModel{machines: 5, voters: 5, losses: 2, way: addFirst}, 9, false},
-		{repairModel{machines: 5, voters: 5, losses: 2, way: jointly}, 11, true},
-		{repairModel{machines: 6, voters: 5, losses: 2, way: removeFirst, stalls: true}, 9, false},
-		{repairModel{machines: 6, voters: 5, losses: 2, way: jointly, stalls: true}, 9, true},
+		{repairModel{machines: 3, voters: 3, toleratedLosses: 1, strategy: addThenRemove}, 12, false},
+		{repairModel{machines: 3, voters: 3, toleratedLosses: 1, strategy: removeThenAdd}, 24, true},
+		{repairModel{machines: 3, voters: 3, toleratedLosses: 1, strategy: jointConsensus}, 24, true},
+		{repairModel{machines: 4, voters: 3, toleratedLosses: 1, strategy: addThenRemove, stalls: true}, 12, false},
+		{repairModel{machines: 4, voters: 3, toleratedLosses: 1, strategy: removeThenAdd, stalls: true}, 12, false},
+		{repairModel{machines: 4, voters: 3, toleratedLosses: 1, strategy: jointConsensus, stalls: true}, 24, true},
+		{repairModel{machines: 5, voters: 5, toleratedLosses: 2, strategy: addThenRemove}, 9, false},
+		{repairModel{machines: 5, voters: 5, toleratedLosses: 2, strategy: jointConsensus}, 11, true},
+		{repairModel{machines: 6, voters: 5, toleratedLosses: 2, strategy: removeThenAdd, stalls: true}, 9, false},
+		{repairModel{machines: 6, voters: 5, toleratedLosses: 2, strategy: jointConsensus, stalls: true}, 9, true},
 	}
 	for _, test := range tests {
 		m := test.model
-		t.Run(fmt.Sprintf("%v, %d voters of %d, %d lost, stalls %v", m.way, m.voters, m.machines, m.losses, m.stalls),
+		t.Run(fmt.Sprintf("%v, %d voters of %d, %d lost, stalls %v", m.strategy, m.voters, m.machines, m.toleratedLosses, m.stalls),
 			func(t *testing.T) {
 				t.Parallel()
 				trace, states := m.search(test.depth)
--- a/internal/system/replica/transfer_test.go
+++ b/internal/system/replica/transfer_test.go
@@ -6,9 +6,9 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// TestLanes: large entries have a connection of their own, what follows them keeps its place or overtakes without
+// TestMessageRouting: large entries have a connection of their own, what follows them keeps its place or overtakes without
 // asking about them, and nothing is sent twice.
-func TestLanes(t *testing.T) {
+func TestMessageRouting(t *testing.T) {
 	entry := func(index, term uint64, bytes int) consensus.Message {
 		return consensus.Message{Kind: consensus.MessageAppend, Term: term, Index: index - 1, LogTerm: term, Round: 7,
 			Entries: []consensus.Entry{{Index: index, Term: term, Data: make([]byte, bytes)}}}
