--- a/internal/system/replica/bounds_test.go
+++ b/internal/system/replica/bounds_test.go
@@ -41,15 +41,15 @@
 }
 
 func newSingleVoterGroup(t *testing.T) *singleVoterGroup {
-	s := &singleVoterGroup{t: t, random: rand.New(rand.NewPCG(1, 1)), folder: t.TempDir()}
+	single := &singleVoterGroup{t: t, random: rand.New(rand.NewPCG(1, 1)), folder: t.TempDir()}
 	founders := consensus.Snapshot{Membership: consensus.Membership{
 		Members: []consensus.Member{{ID: 1, Node: "core-0", Zone: "zone-0", Address: "127.0.0.1:1", Voter: true}}}}
-	s.open()
-	if err := s.store.Initialize(1, storage.Update{InstalledSnapshot: &founders}); err != nil {
+	single.open()
+	if err := single.store.Initialize(1, storage.Update{InstalledSnapshot: &founders}); err != nil {
 		t.Fatal(err)
 	}
-	s.start()
-	return s
+	single.start()
+	return single
 }
 
 func (s *singleVoterGroup) open() {
@@ -151,30 +151,30 @@
 // the whole of which is replaced now and then. It is not run beside others, whose memory would count.
 func TestWriteLoadResourceBounds(t *testing.T) {
 	before := heapBytes()
-	s := newSingleVoterGroup(t)
+	single := newSingleVoterGroup(t)
 	var mostDisk, mostHeap int64
 	for i := 0; i < boundChanges; i++ {
 		if i < boundFullChanges || i%boundFullInterval == 0 {
-			s.proposeChange(loadRoutes)
-			s.processReady()
+			single.proposeChange(loadRoutes)
+			single.processReady()
 		} else {
-			s.proposeChange(1)
+			single.proposeChange(1)
 		}
 		if i%boundBatchChanges == boundBatchChanges-1 {
-			s.processReady()
-			mostDisk = max(mostDisk, s.diskBytes())
+			single.processReady()
+			mostDisk = max(mostDisk, single.diskBytes())
 		}
 		if i == boundFullChanges || i%boundFullInterval == boundFullInterval-1 {
 			mostHeap = max(mostHeap, heapBytes()-before)
 		}
 	}
-	s.processReady()
+	single.processReady()
 	t.Logf("%d changes: at most %.1f MB on disk, %.1f MB of memory", boundChanges, float64(mostDisk)/(1<<20),
 		float64(mostHeap)/(1<<20))
 	if mostDisk > maxDiskBytes || mostHeap > maxHeapBytes {
 		t.Errorf("%d bytes on disk, at most %d; %d of memory, at most %d", mostDisk, maxDiskBytes, mostHeap, maxHeapBytes)
 	}
-	if s.state.Version() != s.version {
-		t.Errorf("version %d is in force, not %d", s.state.Version(), s.version)
+	if single.state.Version() != single.version {
+		t.Errorf("version %d is in force, not %d", single.state.Version(), single.version)
 	}
 }
--- a/internal/system/replica/core_calls_test.go
+++ b/internal/system/replica/core_calls_test.go
@@ -47,32 +47,32 @@
 )
 
 // handleRequest answers a request within a time, as the API does.
-func (p *simProcess) handleRequest(r *simRequest, done func(simResponse)) {
+func (p *simProcess) handleRequest(request *simRequest, done func(simResponse)) {
 	within := apiTimeout
 	if !p.inContact() {
 		within = apiTimeoutWithoutContact
 	}
-	p.attemptRequest(r, p.state.Evacuation(r.zone).Ordered, p.clock()+within, done)
+	p.attemptRequest(request, p.state.Evacuation(request.zone).Ordered, p.clock()+within, done)
 }
 
-func (p *simProcess) attemptRequest(r *simRequest, ordered uint64, deadline time.Duration, done func(simResponse)) {
+func (p *simProcess) attemptRequest(request *simRequest, ordered uint64, deadline time.Duration, done func(simResponse)) {
 	retry := func() {
 		if p.clock()+apiRetryInterval >= deadline {
 			done(simResponse{})
 			return
 		}
-		p.runAt(p.clock()+apiRetryInterval, func() { p.attemptRequest(r, ordered, deadline, done) })
+		p.runAt(p.clock()+apiRetryInterval, func() { p.attemptRequest(request, ordered, deadline, done) })
 	}
 	p.barrier(deadline, func(held bool) {
 		switch {
 		case !held:
 			retry()
-		case r.read:
-			done(p.readResponse(r.zone))
-		case r.zone != "":
-			p.attemptEvacuation(r, ordered, deadline, done, retry)
+		case request.read:
+			done(p.readResponse(request.zone))
+		case request.zone != "":
+			p.attemptEvacuation(request, ordered, deadline, done, retry)
 		default:
-			p.attemptCommit(r, deadline, done, retry)
+			p.attemptCommit(request, deadline, done, retry)
 		}
 	})
 }
@@ -87,8 +87,8 @@
 }
 
 // attemptCommit is an attempt of the API's committer, after its barrier.
-func (p *simProcess) attemptCommit(r *simRequest, deadline time.Duration, done func(simResponse), retry func()) {
-	standing := p.state.Standing(r.base, r.digest)
+func (p *simProcess) attemptCommit(request *simRequest, deadline time.Duration, done func(simResponse), retry func()) {
+	standing := p.state.Standing(request.base, request.digest)
 	switch standing.Verdict {
 	case state.Taken:
 		done(simResponse{kind: responseAccepted, version: standing.Version})
@@ -100,7 +100,7 @@
 		done(simResponse{undecidable: true})
 		return
 	}
-	command := p.world.command(r)
+	command := p.world.command(request)
 	p.propose(command, deadline, func(result []byte, known bool) {
 		if !known {
 			retry()
@@ -123,23 +123,23 @@
 }
 
 // attemptEvacuation is an attempt of the API's committer about a zone, after its barrier.
-func (p *simProcess) attemptEvacuation(r *simRequest, ordered uint64, deadline time.Duration, done func(simResponse),
+func (p *simProcess) attemptEvacuation(request *simRequest, ordered uint64, deadline time.Duration, done func(simResponse),
 	retry func()) {
-	evacuation := p.state.Evacuation(r.zone)
+	evacuation := p.state.Evacuation(request.zone)
 	plant := &p.world.injected
 	switch {
-	case *r.abandoned && !plant.acceptsLateOrders:
+	case *request.abandoned && !plant.acceptsLateOrders:
 		done(simResponse{})
 		return
-	case evacuation.Ordered != ordered && evacuation.On != r.evacuated && !plant.acceptsLateOrders:
+	case evacuation.Ordered != ordered && evacuation.On != request.evacuated && !plant.acceptsLateOrders:
 		done(simResponse{})
 		return
-	case evacuation.On == r.evacuated && plant.skipsNoopOrders:
+	case evacuation.On == request.evacuated && plant.skipsNoopOrders:
 		done(simResponse{kind: responseAccepted})
 		return
 	}
-	command := (&state.SetEvacuation{Zone: r.zone, On: r.evacuated, Seen: evacuation.Seen}).Encode()
-	p.world.oracle.commands[string(command)] = *r
+	command := (&state.SetEvacuation{Zone: request.zone, On: request.evacuated, Seen: evacuation.Seen}).Encode()
+	p.world.oracle.commands[string(command)] = *request
 	p.propose(command, deadline, func(result []byte, known bool) {
 		decoded, err := state.DecodeResult(result)
 		switch {
@@ -157,20 +157,20 @@
 const ownerKey = "owner"
 
 // command is the command that a request leads to.
-func (w *simulation) command(r *simRequest) []byte {
-	digest := r.digest
-	if w.injected.changesDigests {
-		w.oracle.salt++
-		digest[len(digest)-1] = byte(w.oracle.salt)
-		digest[len(digest)-2] = byte(w.oracle.salt >> 8)
+func (sim *simulation) command(request *simRequest) []byte {
+	digest := request.digest
+	if sim.injected.changesDigests {
+		sim.oracle.salt++
+		digest[len(digest)-1] = byte(sim.oracle.salt)
+		digest[len(digest)-2] = byte(sim.oracle.salt >> 8)
 	}
-	c := state.CommitConfiguration{BasedOn: r.base, Version: r.version, Digest: digest,
-		Writes: []state.Write{{Key: ownerKey, Value: r.digest[:]}}}
-	if w.profile.PaddingBytes > 0 {
-		c.Writes = append(c.Writes, state.Write{Key: "padding", Value: make([]byte, w.profile.PaddingBytes)})
+	commit := state.CommitConfiguration{BasedOn: request.base, Version: request.version, Digest: digest,
+		Writes: []state.Write{{Key: ownerKey, Value: request.digest[:]}}}
+	if sim.profile.PaddingBytes > 0 {
+		commit.Writes = append(commit.Writes, state.Write{Key: "padding", Value: make([]byte, sim.profile.PaddingBytes)})
 	}
-	command := c.Encode()
-	w.oracle.commands[string(command)] = *r
+	command := commit.Encode()
+	sim.oracle.commands[string(command)] = *request
 	return command
 }
 
@@ -263,12 +263,12 @@
 
 // call asks another machine's process; came is false where no answer comes in time, or before this replica no longer
 // follows the leader that it does (see withLeaderChange).
-func call[T any](p *simProcess, to *simMachine, wait time.Duration, handle func(asked *simProcess, answer func(T)),
+func call[T any](process *simProcess, to *simMachine, wait time.Duration, handle func(asked *simProcess, answer func(T)),
 	done func(reply T, came bool)) {
 	var reply T
 	over, came := false, false
-	changed := p.group.leaderChanged
-	p.waitUntil(p.clock()+wait, func() bool {
+	changed := process.group.leaderChanged
+	process.waitUntil(process.clock()+wait, func() bool {
 		select {
 		case <-changed:
 			over = true
@@ -285,10 +285,10 @@
 		over = true
 		done(reply, false)
 	})
-	w, from := p.world, p.slot
-	w.transmit(from, to, false, func(asked *simProcess) {
+	sim, from := process.world, process.slot
+	sim.transmit(from, to, false, func(asked *simProcess) {
 		handle(asked, func(answer T) {
-			w.transmit(to, from, false, func(*simProcess) { reply, came = answer, true })
+			sim.transmit(to, from, false, func(*simProcess) { reply, came = answer, true })
 		})
 	})
 }
@@ -367,29 +367,29 @@
 
 const agentPollInterval = 400 * time.Millisecond
 
-func (w *simulation) addAgent() {
-	a := &simAgent{world: w, table: feed.NewTable(feed.ConfigurationPartition)}
-	w.agents = append(w.agents, a)
-	w.schedule(agentPollInterval, a.follow)
+func (sim *simulation) addAgent() {
+	agent := &simAgent{world: sim, table: feed.NewTable(feed.ConfigurationPartition)}
+	sim.agents = append(sim.agents, agent)
+	sim.schedule(agentPollInterval, agent.follow)
 }
 
 // follow asks the replica for what has changed since; at times another one.
 func (a *simAgent) follow() {
-	w := a.world
-	w.schedule(w.uniform(agentPollInterval/2, agentPollInterval), a.follow)
-	if a.upstream == nil || a.upstream.replaced || w.chance(0.1) {
-		a.upstream = w.randomMachine()
+	sim := a.world
+	sim.schedule(sim.uniform(agentPollInterval/2, agentPollInterval), a.follow)
+	if a.upstream == nil || a.upstream.replaced || sim.chance(0.1) {
+		a.upstream = sim.randomMachine()
 	}
-	p := a.upstream.process
-	if p == nil || w.faultsEnabled && w.chance(w.profile.Loss) {
+	process := a.upstream.process
+	if process == nil || sim.faultsEnabled && sim.chance(sim.profile.Loss) {
 		a.upstream = nil
 		return
 	}
-	p.execute(func() {
-		batch := p.state.Since(a.table.Index(), 0)
-		w.schedule(w.uniform(0, w.profile.Delay), func() {
-			a.table.Apply(w.now, batch)
-			w.checkAgent(a)
+	process.execute(func() {
+		batch := process.state.Since(a.table.Index(), 0)
+		sim.schedule(sim.uniform(0, sim.profile.Delay), func() {
+			a.table.Apply(sim.now, batch)
+			sim.checkAgent(a)
 		})
 	})
 }
--- a/internal/system/replica/core_check_test.go
+++ b/internal/system/replica/core_check_test.go
@@ -64,31 +64,31 @@
 	}
 }
 
-func (t *oracle) recordSynced(id consensus.ReplicaID, w *storage.Update) {
-	s := t.syncedStates[id]
-	if s == nil {
-		s = &syncedState{entries: map[entryID]bool{}}
-		t.syncedStates[id] = s
+func (t *oracle) recordSynced(id consensus.ReplicaID, write *storage.Update) {
+	state := t.syncedStates[id]
+	if state == nil {
+		state = &syncedState{entries: map[entryID]bool{}}
+		t.syncedStates[id] = state
 	}
-	for _, e := range w.Entries {
-		s.entries[entryID{e.Index, e.Term}] = true
+	for _, e := range write.Entries {
+		state.entries[entryID{e.Index, e.Term}] = true
 	}
-	if w.InstalledSnapshot != nil {
-		s.snapshot = max(s.snapshot, w.InstalledSnapshot.Index)
+	if write.InstalledSnapshot != nil {
+		state.snapshot = max(state.snapshot, write.InstalledSnapshot.Index)
 	}
 }
 
 // checkBoot sees that what a process finds on its disk leads to what was agreed.
-func (t *oracle) checkBoot(w *simulation, p *simProcess, stored *consensus.PersistentState) {
-	if version := t.versionAt(stored.Snapshot.Index); p.state.Version() != version {
-		w.fail("machine %d begins at version %d, where %d was agreed", p.slot.number, p.state.Version(), version)
+func (t *oracle) checkBoot(sim *simulation, process *simProcess, stored *consensus.PersistentState) {
+	if version := t.versionAt(stored.Snapshot.Index); process.state.Version() != version {
+		sim.fail("machine %d begins at version %d, where %d was agreed", process.slot.number, process.state.Version(), version)
 	}
 }
 
 // versionAt is the version in force once the log is applied up to an index.
 func (t *oracle) versionAt(index uint64) uint64 {
-	l, _ := t.committedAt(index)
-	return l.request.version
+	committed, _ := t.committedAt(index)
+	return committed.request.version
 }
 
 func (t *oracle) committedAt(index uint64) (l committedVersion, is bool) {
@@ -102,82 +102,82 @@
 
 // everCommitted tells whether a change ever was.
 func (t *oracle) everCommitted(digest state.Digest) bool {
-	return slices.ContainsFunc(t.versions, func(l committedVersion) bool { return l.request.digest == digest })
+	return slices.ContainsFunc(t.versions, func(committed committedVersion) bool { return committed.request.digest == digest })
 }
 
 // checkApplied sees that all replicas do the same at an index, and that accepted changes make one chain without repeats.
-func (w *simulation) checkApplied(p *simProcess, index uint64, command, result []byte) {
+func (sim *simulation) checkApplied(process *simProcess, index uint64, command, result []byte) {
 	this := appliedCommand{string(command), string(result)}
-	if have, is := w.oracle.appliedCommands[index]; is {
+	if have, is := sim.oracle.appliedCommands[index]; is {
 		if have != this {
-			w.fail("machine %d does something else at %d than another did", p.slot.number, index)
+			sim.fail("machine %d does something else at %d than another did", process.slot.number, index)
 		}
 		return
 	}
-	w.oracle.appliedCommands[index] = this
+	sim.oracle.appliedCommands[index] = this
 	decoded, err := state.DecodeResult(result)
 	if err != nil || decoded.Outcome == state.Unreadable {
-		w.fail("result at %d: %+v, %v", index, decoded, err)
+		sim.fail("result at %d: %+v, %v", index, decoded, err)
 	}
 	if decoded.Outcome != state.Accepted {
 		return
 	}
-	request, known := w.oracle.commands[this.command]
+	request, known := sim.oracle.commands[this.command]
 	if !known {
-		w.fail("a change is in force at %d that nobody sent", index)
+		sim.fail("a change is in force at %d that nobody sent", index)
 	}
 	if request.zone != "" {
-		w.recordEvacuation(&request)
+		sim.recordEvacuation(&request)
 		return
 	}
-	before := w.oracle.versionAt(index)
+	before := sim.oracle.versionAt(index)
 	if request.base != before || request.version <= before {
-		w.fail("version %d on %d is put in force at %d on %d", request.version, request.base, index, before)
+		sim.fail("version %d on %d is put in force at %d on %d", request.version, request.base, index, before)
 	}
-	for _, l := range w.oracle.versions {
-		if l.request.digest == request.digest || l.index >= index {
-			w.fail("a change is put in force at %d and at %d", l.index, index)
+	for _, committed := range sim.oracle.versions {
+		if committed.request.digest == request.digest || committed.index >= index {
+			sim.fail("a change is put in force at %d and at %d", committed.index, index)
 		}
 	}
-	w.logf("%d puts version %d in force at %d", p.slot.number, request.version, index)
-	w.oracle.versions = append(w.oracle.versions, committedVersion{w.now, index, request})
+	sim.logf("%d puts version %d in force at %d", process.slot.number, request.version, index)
+	sim.oracle.versions = append(sim.oracle.versions, committedVersion{sim.now, index, request})
 }
 
 // checkStep holds after each step of a process.
-func (w *simulation) checkStep(p *simProcess) {
-	version := p.state.Version()
-	if version < p.version || p.group.appliedIndex < p.appliedIndex {
-		w.fail("machine %d goes back from version %d at %d to %d at %d", p.slot.number, p.version, p.appliedIndex, version,
-			p.group.appliedIndex)
+func (sim *simulation) checkStep(process *simProcess) {
+	version := process.state.Version()
+	if version < process.version || process.group.appliedIndex < process.appliedIndex {
+		sim.fail("machine %d goes back from version %d at %d to %d at %d", process.slot.number, process.version, process.appliedIndex, version,
+			process.group.appliedIndex)
 	}
-	if p.group.appliedIndex != p.appliedIndex && version != w.oracle.versionAt(p.group.appliedIndex) {
-		w.fail("machine %d is at version %d, where %d was agreed", p.slot.number, version, w.oracle.versionAt(p.group.appliedIndex))
+	if process.group.appliedIndex != process.appliedIndex && version != sim.oracle.versionAt(process.group.appliedIndex) {
+		sim.fail("machine %d is at version %d, where %d was agreed", process.slot.number, version, sim.oracle.versionAt(process.group.appliedIndex))
 	}
-	p.version, p.appliedIndex = version, p.group.appliedIndex
-	w.checkStaleness(p)
-	if p.appliedIndex > w.oracle.appliedIndex {
-		w.checkMajority(p)
-		w.oracle.appliedIndex = p.appliedIndex
+	process.version, process.appliedIndex = version, process.group.appliedIndex
+	sim.checkStaleness(process)
+	if process.appliedIndex > sim.oracle.appliedIndex {
+		sim.checkMajority(process)
+		sim.oracle.appliedIndex = process.appliedIndex
 	}
-	if p.group.node.Role() == consensus.Leader {
-		w.checkLeader(p)
+	if process.group.node.Role() == consensus.Leader {
+		sim.checkLeader(process)
 	}
 }
 
 // checkMajority sees that what is applied first was synced by a majority of the voters.
-func (w *simulation) checkMajority(p *simProcess) {
-	at, is := p.group.node.CreateSnapshot(p.appliedIndex, nil)
+func (sim *simulation) checkMajority(process *simProcess) {
+	at, is := process.group.node.CreateSnapshot(process.appliedIndex, nil)
 	if !is {
-		w.fail("machine %d has applied %d first, and knows no term of it", p.slot.number, p.appliedIndex)
+		sim.fail("machine %d has applied %d first, and knows no term of it", process.slot.number, process.appliedIndex)
 		return
 	}
-	membership := p.group.node.Membership()
+	membership := process.group.node.Membership()
 	have := func(id consensus.ReplicaID) bool {
-		s := w.oracle.syncedStates[id]
+		s := sim.oracle.syncedStates[id]
 		return s != nil && (s.entries[entryID{at.Index, at.Term}] || s.snapshot >= at.Index)
 	}
 	if !majorityOfEach(membership, have) {
-		w.fail("machine %d applies %d, which no majority of %v has synced", p.slot.number, p.appliedIndex,
+		sim.fail("machine %d applies %d, which no majority of %v has synced", process.slot.number, process.appliedIndex,
 			memberList(membership.Members))
 	}
 }
@@ -186,17 +186,17 @@
 // It counts by itself, so that the agreement's own counting is checked by it.
 func majorityOfEach(membership consensus.Membership, is func(consensus.ReplicaID) bool) bool {
 	var voters, agreeing, outgoing, agreeingOutgoing int
-	for _, m := range membership.Members {
-		if m.Voter {
+	for _, member := range membership.Members {
+		if member.Voter {
 			voters++
 		}
-		if m.Outgoing {
+		if member.Outgoing {
 			outgoing++
 		}
-		if m.Voter && is(m.ID) {
+		if member.Voter && is(member.ID) {
 			agreeing++
 		}
-		if m.Outgoing && is(m.ID) {
+		if member.Outgoing && is(member.ID) {
 			agreeingOutgoing++
 		}
 	}
@@ -207,34 +207,34 @@
 const maxStalledLeadership = diskStallTimeout + defaultElectionTimeout + 300*time.Millisecond
 
 // checkLeader sees that there is one leader a term, a voter, whose disk works.
-func (w *simulation) checkLeader(p *simProcess) {
-	term := p.group.lastHardState.Term // a leader's is on its disk
-	id, is := w.oracle.leaders[term]
-	if is && id != p.host.self.ID {
-		w.fail("replicas %s and %s both led term %d", formatReplicaID(id), formatReplicaID(p.host.self.ID), term)
+func (sim *simulation) checkLeader(process *simProcess) {
+	term := process.group.lastHardState.Term // a leader's is on its disk
+	id, is := sim.oracle.leaders[term]
+	if is && id != process.host.self.ID {
+		sim.fail("replicas %s and %s both led term %d", formatReplicaID(id), formatReplicaID(process.host.self.ID), term)
 	}
 	if !is {
-		w.logf("%d leads term %d", p.slot.number, term)
-		w.stats.counters.terms++
-		w.oracle.leaders[term] = p.host.self.ID
+		sim.logf("%d leads term %d", process.slot.number, term)
+		sim.stats.counters.terms++
+		sim.oracle.leaders[term] = process.host.self.ID
 	}
-	stalled := len(p.activeJobs) > 0 && len(durableWrites(p.activeJobs)) > 0 && p.clock()-p.writeStarted > maxStalledLeadership
-	if stalled && w.now-p.resumedAt > maxStalledLeadership {
-		w.fail("machine %d leads, and its disk has not finished a write for %v", p.slot.number, p.clock()-p.writeStarted)
+	stalled := len(process.activeJobs) > 0 && len(durableWrites(process.activeJobs)) > 0 && process.clock()-process.writeStarted > maxStalledLeadership
+	if stalled && sim.now-process.resumedAt > maxStalledLeadership {
+		sim.fail("machine %d leads, and its disk has not finished a write for %v", process.slot.number, process.clock()-process.writeStarted)
 	}
 }
 
 // checkSent sees that replicas that were not taken in neither vote nor stand for election.
-func (w *simulation) checkSent(p *simProcess, message *consensus.Message) {
-	id := p.slot.id()
+func (sim *simulation) checkSent(process *simProcess, message *consensus.Message) {
+	id := process.slot.id()
 	switch message.Kind {
 	case consensus.MessagePreVote, consensus.MessageVote:
-		if !w.oracle.voters[id] {
-			w.fail("machine %d stands for election and never was a voter", p.slot.number)
+		if !sim.oracle.voters[id] {
+			sim.fail("machine %d stands for election and never was a voter", process.slot.number)
 		}
 	case consensus.MessagePreVoteReply, consensus.MessageVoteReply:
-		if !message.Reject && !w.oracle.members[id] {
-			w.fail("machine %d votes and never was a member", p.slot.number)
+		if !message.Reject && !sim.oracle.members[id] {
+			sim.fail("machine %d votes and never was a member", process.slot.number)
 		}
 	}
 }
@@ -246,35 +246,35 @@
 	addsVoter bool
 }
 
-func diffMemberships(before, after consensus.Membership) (d membershipDifference) {
+func diffMemberships(before, after consensus.Membership) (difference membershipDifference) {
 	find := func(in consensus.Membership, id consensus.ReplicaID) consensus.Member {
-		for _, m := range in.Members {
-			if m.ID == id {
-				return m
+		for _, member := range in.Members {
+			if member.ID == id {
+				return member
 			}
 		}
 		return consensus.Member{}
 	}
-	for _, m := range after.Members {
-		old := find(before, m.ID)
-		if old != m {
-			d.members++
+	for _, member := range after.Members {
+		old := find(before, member.ID)
+		if old != member {
+			difference.members++
 		}
-		if old.Voter != m.Voter {
-			d.votes++
+		if old.Voter != member.Voter {
+			difference.votes++
 		}
-		d.addsVoter = d.addsVoter || old.ID == 0 && m.HasVote()
+		difference.addsVoter = difference.addsVoter || old.ID == 0 && member.HasVote()
 	}
-	for _, m := range before.Members {
-		if find(after, m.ID).ID != 0 {
+	for _, member := range before.Members {
+		if find(after, member.ID).ID != 0 {
 			continue
 		}
-		d.members++
-		if m.Voter {
-			d.votes++
+		difference.members++
+		if member.Voter {
+			difference.votes++
 		}
 	}
-	return d
+	return difference
 }
 
 // allowed tells whether a step is one of those that the agreement may make: one member, anything but votes, or votes
@@ -293,27 +293,27 @@
 
 // checkChange sees that memberships change by allowed steps, that only members become voters, and that no change takes the
 // majority away.
-func (w *simulation) checkChange(p *simProcess, before, after consensus.Membership) {
-	d := diffMemberships(before, after)
-	if d.members == 0 {
+func (sim *simulation) checkChange(process *simProcess, before, after consensus.Membership) {
+	difference := diffMemberships(before, after)
+	if difference.members == 0 {
 		return // leadership was handed over
 	}
-	w.logf("%d changes the membership to %v", p.slot.number, memberList(after.Members))
-	w.stats.counters.membershipChanges++
-	w.oracle.recordMembership(after)
-	if d.addsVoter {
-		w.fail("machine %d makes a voter of no member: %v", p.slot.number, memberList(after.Members))
+	sim.logf("%d changes the membership to %v", process.slot.number, memberList(after.Members))
+	sim.stats.counters.membershipChanges++
+	sim.oracle.recordMembership(after)
+	if difference.addsVoter {
+		sim.fail("machine %d makes a voter of no member: %v", process.slot.number, memberList(after.Members))
 	}
-	if !d.allowed(before, after) {
-		w.fail("machine %d changes %d members and %d votes at once: %v, then %v", p.slot.number, d.members, d.votes,
+	if !difference.allowed(before, after) {
+		sim.fail("machine %d changes %d members and %d votes at once: %v, then %v", process.slot.number, difference.members, difference.votes,
 			memberList(before.Members), memberList(after.Members))
 	}
 	anywhere := func(*simMachine) bool { return false }
-	if w.majorityIntact(before, anywhere) && !w.majorityIntact(after, anywhere) {
-		w.fail("machine %d leaves no majority: %v, then %v", p.slot.number, memberList(before.Members), memberList(after.Members))
+	if sim.majorityIntact(before, anywhere) && !sim.majorityIntact(after, anywhere) {
+		sim.fail("machine %d leaves no majority: %v, then %v", process.slot.number, memberList(before.Members), memberList(after.Members))
 	}
 	if countVoters(before) >= 3 && countVoters(after) < 3 {
-		w.fail("machine %d leaves %d voters", p.slot.number, countVoters(after))
+		sim.fail("machine %d leaves %d voters", process.slot.number, countVoters(after))
 	}
 }
 
@@ -327,57 +327,57 @@
 }
 
 // checkAgent sees that an agent does not go back, and holds what was agreed at its place.
-func (w *simulation) checkAgent(a *simAgent) {
-	value, _ := a.table.Get(feed.KeyVersion)
-	owner, _ := a.table.Get(ownerKey)
-	l, _ := w.oracle.committedAt(a.table.Index())
-	version := l.request.version
+func (sim *simulation) checkAgent(agent *simAgent) {
+	value, _ := agent.table.Get(feed.KeyVersion)
+	owner, _ := agent.table.Get(ownerKey)
+	committed, _ := sim.oracle.committedAt(agent.table.Index())
+	version := committed.request.version
 	if string(value) != fmt.Sprint(version) && (version > 0 || len(value) > 0) {
-		w.fail("an agent holds version %q at %d, where %d was agreed", value, a.table.Index(), version)
+		sim.fail("an agent holds version %q at %d, where %d was agreed", value, agent.table.Index(), version)
 	}
-	if version > 0 && string(owner) != string(l.request.digest[:]) {
-		w.fail("an agent holds version %d in a mixture", version)
+	if version > 0 && string(owner) != string(committed.request.digest[:]) {
+		sim.fail("an agent holds version %d in a mixture", version)
 	}
-	if version < a.version {
-		w.fail("an agent goes back from version %d to %d", a.version, version)
+	if version < agent.version {
+		sim.fail("an agent goes back from version %d to %d", agent.version, version)
 	}
-	a.version = version
+	agent.version = version
 }
 
 // converged tells whether all is well again; why not, if it is not, is in unsettled.
-func (w *simulation) converged() bool { return w.notConverged() == "" }
+func (sim *simulation) converged() bool { return sim.notConverged() == "" }
 
-func (w *simulation) notConverged() string {
-	p := w.leader()
-	if p == nil {
+func (sim *simulation) notConverged() string {
+	process := sim.leader()
+	if process == nil {
 		return "nobody leads"
 	}
-	slots := w.activeMachines()
-	if why := w.membershipNotConverged(p, slots); why != "" {
+	slots := sim.activeMachines()
+	if why := sim.membershipNotConverged(process, slots); why != "" {
 		return why
 	}
-	for _, s := range slots {
-		q := s.process
-		if q == nil {
-			return fmt.Sprintf("machine %d is down", s.number)
+	for _, machine := range slots {
+		other := machine.process
+		if other == nil {
+			return fmt.Sprintf("machine %d is down", machine.number)
 		}
-		if !q.host.isMember(q.group) || q.version != w.oracle.versionAt(w.oracle.appliedIndex) {
-			return fmt.Sprintf("machine %d is at version %d of %d", s.number, q.version, w.oracle.versionAt(w.oracle.appliedIndex))
+		if !other.host.isMember(other.group) || other.version != sim.oracle.versionAt(sim.oracle.appliedIndex) {
+			return fmt.Sprintf("machine %d is at version %d of %d", machine.number, other.version, sim.oracle.versionAt(sim.oracle.appliedIndex))
 		}
 	}
-	for _, o := range w.operators {
-		if !o.done {
-			return fmt.Sprintf("operator %d does not know what became of its change", o.number)
+	for _, operator := range sim.operators {
+		if !operator.done {
+			return fmt.Sprintf("operator %d does not know what became of its change", operator.number)
 		}
 	}
-	for _, o := range w.evacuationOperators {
-		if why := o.notConverged(); why != "" {
+	for _, operator := range sim.evacuationOperators {
+		if why := operator.notConverged(); why != "" {
 			return why
 		}
 	}
-	for _, a := range w.agents {
-		if a.version != p.version {
-			return fmt.Sprintf("an agent is at version %d of %d", a.version, p.version)
+	for _, agent := range sim.agents {
+		if agent.version != process.version {
+			return fmt.Sprintf("an agent is at version %d of %d", agent.version, process.version)
 		}
 	}
 	return ""
@@ -386,19 +386,19 @@
 // membershipNotConverged tells what is left to do about the membership: the leader's plan has come to its end, all machines are
 // members, and as many may fail as the number of machines allows. A voter that is gone may stay where the group would be no
 // better without it.
-func (w *simulation) membershipNotConverged(p *simProcess, slots []*simMachine) string {
-	status := p.group.node.Status()
+func (sim *simulation) membershipNotConverged(process *simProcess, slots []*simMachine) string {
+	status := process.group.node.Status()
 	text := "the membership is " + memberList(status.Membership.Members).String()
-	if _, more := planChange(p.host.membershipView(p.clock(), p.group, &status)); more || status.MembershipIndex > status.Commit {
+	if _, more := planChange(process.host.membershipView(process.clock(), process.group, &status)); more || status.MembershipIndex > status.Commit {
 		return text + ", which is to change"
 	}
 	learners := len(status.Membership.Members) - countVoters(status.Membership)
 	living := 0
-	for _, s := range slots {
-		i := slices.IndexFunc(status.Membership.Members, func(m consensus.Member) bool { return m.ID == s.id() })
+	for _, machine := range slots {
+		i := slices.IndexFunc(status.Membership.Members, func(m consensus.Member) bool { return m.ID == machine.id() })
 		switch {
 		case i < 0:
-			return text + " without " + s.address().String()
+			return text + " without " + machine.address().String()
 		case status.Membership.Members[i].Voter:
 			living++
 		default:
@@ -413,43 +413,43 @@
 }
 
 // checkEnd sees that all is well some time after the last fault, and looks at the whole history.
-func (w *simulation) checkEnd() {
-	if w.failure != "" {
+func (sim *simulation) checkEnd() {
+	if sim.failure != "" {
 		return
 	}
-	if why := w.notConverged(); why != "" {
-		w.fail("%v after the last fault: %s", recoveryPhase, why)
+	if why := sim.notConverged(); why != "" {
+		sim.fail("%v after the last fault: %s", recoveryPhase, why)
 		return
 	}
-	w.stats.counters.versions += len(w.oracle.versions)
-	for _, op := range w.history.operations {
-		if op.response.kind != responseAccepted {
+	sim.stats.counters.versions += len(sim.oracle.versions)
+	for _, record := range sim.history.operations {
+		if record.response.kind != responseAccepted {
 			continue
 		}
-		if !slices.ContainsFunc(w.oracle.versions, func(l committedVersion) bool {
-			return l.request.digest == op.request.digest && l.request.version == op.response.version
+		if !slices.ContainsFunc(sim.oracle.versions, func(committed committedVersion) bool {
+			return committed.request.digest == record.request.digest && committed.request.version == record.response.version
 		}) {
-			w.fail("version %d was acknowledged and is lost", op.response.version)
+			sim.fail("version %d was acknowledged and is lost", record.response.version)
 		}
 	}
-	w.checkHistory()
-	for _, o := range w.evacuationOperators {
-		o.checkHistory()
+	sim.checkHistory()
+	for _, operator := range sim.evacuationOperators {
+		operator.checkHistory()
 	}
 }
 
 // text lists the history.
 func (h *requestHistory) text() string {
 	var b strings.Builder
-	for _, op := range h.operations {
-		number := binary.BigEndian.Uint64(op.request.digest[:])
-		what := fmt.Sprintf("change %d of %d to %d", number, op.request.base, op.request.version)
-		if op.request.read {
+	for _, record := range h.operations {
+		number := binary.BigEndian.Uint64(record.request.digest[:])
+		what := fmt.Sprintf("change %d of %d to %d", number, record.request.base, record.request.version)
+		if record.request.read {
 			what = "read"
 		}
-		answer := [...]string{"unknown", "accepted", "conflict", "read"}[op.response.kind]
-		fmt.Fprintf(&b, "\n  %v to %v: operator %d: %s: %s %d (%d)", op.invoked, op.returned, op.operator, what, answer,
-			op.response.version, binary.BigEndian.Uint64(op.response.digest[:]))
+		answer := [...]string{"unknown", "accepted", "conflict", "read"}[record.response.kind]
+		fmt.Fprintf(&b, "\n  %v to %v: operator %d: %s: %s %d (%d)", record.invoked, record.returned, record.operator, what, answer,
+			record.response.version, binary.BigEndian.Uint64(record.response.digest[:]))
 	}
 	return b.String()
 }
@@ -464,15 +464,15 @@
 	counters simCounters
 }
 
-func (c *simStats) record(r *simRequest, a simResponse) {
+func (c *simStats) record(request *simRequest, response simResponse) {
 	switch {
-	case a.kind == responseAccepted:
+	case response.kind == responseAccepted:
 		c.counters.accepted++
-	case a.kind == responseConflict:
+	case response.kind == responseConflict:
 		c.counters.conflicts++
-	case a.kind == responseRead:
+	case response.kind == responseRead:
 		c.counters.reads++
-	case !r.read:
+	case !request.read:
 		c.counters.unknown++
 	}
 }
--- a/internal/system/replica/core_contact_test.go
+++ b/internal/system/replica/core_contact_test.go
@@ -21,45 +21,45 @@
 
 // checkContact plays a core of five in which something happens for a while, and looks at each machine throughout: lost says
 // which of them can agree on nothing then, by the number of the leader.
-func checkContact(t *testing.T, seed uint64, happens func(w *simulation, leader *simMachine, lasts time.Duration),
-	lost func(w *simulation, leader, of *simMachine) bool) {
+func checkContact(t *testing.T, seed uint64, happens func(sim *simulation, leader *simMachine, lasts time.Duration),
+	lost func(sim *simulation, leader, of *simMachine) bool) {
 	t.Helper()
-	w := newSimulation(seed)
-	w.profile.Machines, w.profile.Loss, w.profile.SyncTime = 5, 0, 5*time.Millisecond
-	w.faultsEnabled = false
-	w.bootstrap()
-	w.runFor(scenarioWarmup)
-	p := w.leader()
-	if p == nil {
+	sim := newSimulation(seed)
+	sim.profile.Machines, sim.profile.Loss, sim.profile.SyncTime = 5, 0, 5*time.Millisecond
+	sim.faultsEnabled = false
+	sim.bootstrap()
+	sim.runFor(scenarioWarmup)
+	process := sim.leader()
+	if process == nil {
 		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
 	}
-	leader := p.slot
-	happens(w, leader, contactFaultDuration)
-	w.runFor(contactDetectionTime)
-	for end := w.now + contactFaultDuration - contactDetectionTime - time.Second; w.now < end; w.runFor(100 * time.Millisecond) {
-		for _, s := range w.machines {
-			if s.process == nil || s.process.paused {
+	leader := process.slot
+	happens(sim, leader, contactFaultDuration)
+	sim.runFor(contactDetectionTime)
+	for end := sim.now + contactFaultDuration - contactDetectionTime - time.Second; sim.now < end; sim.runFor(100 * time.Millisecond) {
+		for _, machine := range sim.machines {
+			if machine.process == nil || machine.process.paused {
 				continue
 			}
-			if is, want := s.process.inContact(), !lost(w, leader, s); is != want {
-				t.Fatalf("seed %d, %v: machine %d is in contact: %t", seed, w.now, s.number, is)
+			if is, want := machine.process.inContact(), !lost(sim, leader, machine); is != want {
+				t.Fatalf("seed %d, %v: machine %d is in contact: %t", seed, sim.now, machine.number, is)
 			}
 		}
 	}
-	w.runFor(time.Second + contactDetectionTime)
-	for _, s := range w.machines {
-		if s.process == nil || !s.process.inContact() {
-			t.Fatalf("seed %d, %v: machine %d is not in contact again", seed, w.now, s.number)
+	sim.runFor(time.Second + contactDetectionTime)
+	for _, machine := range sim.machines {
+		if machine.process == nil || !machine.process.inContact() {
+			t.Fatalf("seed %d, %v: machine %d is not in contact again", seed, sim.now, machine.number)
 		}
 	}
-	if w.failure != "" {
-		t.Fatal(w.failure)
+	if sim.failure != "" {
+		t.Fatal(sim.failure)
 	}
 }
 
 // minority are two machines, the leader among them.
-func minority(w *simulation, leader *simMachine) []*simMachine {
-	other := w.machines[(leader.number+1)%len(w.machines)]
+func minority(sim *simulation, leader *simMachine) []*simMachine {
+	other := sim.machines[(leader.number+1)%len(sim.machines)]
 	return []*simMachine{leader, other}
 }
 
@@ -67,52 +67,54 @@
 // take themselves for such, whoever leads.
 func TestInContactDuringFaults(t *testing.T) {
 	nobody := func(*simulation, *simMachine, *simMachine) bool { return false }
-	theLeader := func(_ *simulation, leader, s *simMachine) bool { return s == leader }
+	theLeader := func(_ *simulation, leader, machine *simMachine) bool { return machine == leader }
 	cases := []struct {
 		name    string
-		happens func(w *simulation, leader *simMachine, lasts time.Duration)
-		lost    func(w *simulation, leader, s *simMachine) bool
+		happens func(sim *simulation, leader *simMachine, lasts time.Duration)
+		lost    func(sim *simulation, leader, machine *simMachine) bool
 	}{
 		{"nothing happens", func(*simulation, *simMachine, time.Duration) {}, nobody},
-		{"the leader is killed", func(w *simulation, leader *simMachine, lasts time.Duration) {
-			w.restart(leader, lasts)
+		{"the leader is killed", func(sim *simulation, leader *simMachine, lasts time.Duration) {
+			sim.restart(leader, lasts)
 		}, nobody},
-		{"the leader is cut off", func(w *simulation, leader *simMachine, lasts time.Duration) {
-			for _, other := range w.machines {
-				w.block(leader, other, lasts)
-				w.block(other, leader, lasts)
+		{"the leader is cut off", func(sim *simulation, leader *simMachine, lasts time.Duration) {
+			for _, other := range sim.machines {
+				sim.block(leader, other, lasts)
+				sim.block(other, leader, lasts)
 			}
 		}, theLeader},
-		{"the leader hears nothing", func(w *simulation, leader *simMachine, lasts time.Duration) {
-			for _, other := range w.machines {
-				w.block(other, leader, lasts)
+		{"the leader hears nothing", func(sim *simulation, leader *simMachine, lasts time.Duration) {
+			for _, other := range sim.machines {
+				sim.block(other, leader, lasts)
 			}
 		}, theLeader},
-		{"a minority with the leader is cut off", func(w *simulation, leader *simMachine, lasts time.Duration) {
-			few := minority(w, leader)
+		{"a minority with the leader is cut off", func(sim *simulation, leader *simMachine, lasts time.Duration) {
+			few := minority(sim, leader)
 			for _, one := range few {
-				for _, other := range w.machines {
+				for _, other := range sim.machines {
 					if !slices.Contains(few, other) {
-						w.block(one, other, lasts)
-						w.block(other, one, lasts)
+						sim.block(one, other, lasts)
+						sim.block(other, one, lasts)
 					}
 				}
 			}
-		}, func(w *simulation, leader, s *simMachine) bool { return slices.Contains(minority(w, leader), s) }},
-		{"a majority is killed", func(w *simulation, leader *simMachine, lasts time.Duration) {
-			few := minority(w, leader)
-			for _, other := range w.machines {
+		}, func(sim *simulation, leader, machine *simMachine) bool {
+			return slices.Contains(minority(sim, leader), machine)
+		}},
+		{"a majority is killed", func(sim *simulation, leader *simMachine, lasts time.Duration) {
+			few := minority(sim, leader)
+			for _, other := range sim.machines {
 				if !slices.Contains(few, other) {
-					w.restart(other, lasts)
+					sim.restart(other, lasts)
 				}
 			}
-		}, func(w *simulation, leader, s *simMachine) bool { return true }},
+		}, func(sim *simulation, leader, machine *simMachine) bool { return true }},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= contactSeeds; seed++ {
-				checkContact(t, seed, c.happens, c.lost)
+				checkContact(t, seed, test.happens, test.lost)
 			}
 		})
 	}
@@ -124,7 +126,7 @@
 	for id := consensus.ReplicaID(1); id <= 6; id++ {
 		membership.Members = append(membership.Members, consensus.Member{ID: id, Voter: id <= 5})
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		from []consensus.ReplicaID // one each second, from 1 s on
 		want bool                  // a majority since 2 s, as replica 1 sees it
 	}{
@@ -136,11 +138,11 @@
 		{[]consensus.ReplicaID{3, 4, 5}, true},
 	} {
 		var contacts contacts
-		for i, from := range c.from {
+		for i, from := range test.from {
 			contacts.record(from, &membership, time.Duration(i+1)*time.Second)
 		}
-		if got := contacts.heardQuorum(1, &membership, 2*time.Second); got != c.want {
-			t.Errorf("%v: a majority: %t", c.from, got)
+		if got := contacts.heardQuorum(1, &membership, 2*time.Second); got != test.want {
+			t.Errorf("%v: a majority: %t", test.from, got)
 		}
 	}
 	if contacts := (contacts{}); !contacts.heardQuorum(1, &consensus.Membership{}, time.Second) {
--- a/internal/system/replica/core_elections_test.go
+++ b/internal/system/replica/core_elections_test.go
@@ -12,43 +12,43 @@
 )
 
 // newestTerm is the highest term that any machine is in.
-func (w *simulation) newestTerm() uint64 {
+func (sim *simulation) newestTerm() uint64 {
 	var newest uint64
-	for _, p := range w.processes() {
-		newest = max(newest, p.group.node.Status().Term)
+	for _, process := range sim.processes() {
+		newest = max(newest, process.group.node.Status().Term)
 	}
 	return newest
 }
 
 // countTerms plays a core of five with operators in which links are cut for a while, and returns how many terms began from
 // the cut on, and in the time after its end.
-func countTerms(t *testing.T, seed uint64, cut func(w *simulation, leader, other *simMachine)) (all, after uint64) {
+func countTerms(t *testing.T, seed uint64, cut func(sim *simulation, leader, other *simMachine)) (all, after uint64) {
 	t.Helper()
-	w := newSimulation(seed)
-	w.profile.Machines, w.profile.Operators, w.profile.Loss, w.profile.SyncTime = 5, 2, 0, 5*time.Millisecond
-	w.faultsEnabled = false
-	w.bootstrap()
-	for _, o := range w.operators {
-		o.unlimited = true
+	sim := newSimulation(seed)
+	sim.profile.Machines, sim.profile.Operators, sim.profile.Loss, sim.profile.SyncTime = 5, 2, 0, 5*time.Millisecond
+	sim.faultsEnabled = false
+	sim.bootstrap()
+	for _, operator := range sim.operators {
+		operator.unlimited = true
 	}
-	w.runFor(scenarioWarmup)
-	p := w.leader()
-	if p == nil {
+	sim.runFor(scenarioWarmup)
+	process := sim.leader()
+	if process == nil {
 		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
 	}
-	before := w.newestTerm()
-	cut(w, p.slot, w.machines[(p.slot.number+1+w.random.IntN(4))%len(w.machines)])
-	w.runFor(partitionDuration)
-	ended := w.newestTerm()
-	w.runFor(rejoinedDuration)
-	if w.failure != "" {
-		t.Fatal(w.failure)
+	before := sim.newestTerm()
+	cut(sim, process.slot, sim.machines[(process.slot.number+1+sim.random.IntN(4))%len(sim.machines)])
+	sim.runFor(partitionDuration)
+	ended := sim.newestTerm()
+	sim.runFor(rejoinedDuration)
+	if sim.failure != "" {
+		t.Fatal(sim.failure)
 	}
-	w.checkHistory()
-	if w.failure != "" {
-		t.Fatal(w.failure)
+	sim.checkHistory()
+	if sim.failure != "" {
+		t.Fatal(sim.failure)
 	}
-	return w.newestTerm() - before, w.newestTerm() - ended
+	return sim.newestTerm() - before, sim.newestTerm() - ended
 }
 
 // TestPartitionsCauseNoRepeatedElections: machines that are cut off, one way or both, leave the leader of the others alone, also
@@ -57,63 +57,63 @@
 	cases := []struct {
 		name string
 		most uint64 // terms that begin from the cut on
-		cut  func(w *simulation, leader, other *simMachine)
+		cut  func(sim *simulation, leader, other *simMachine)
 	}{
-		{"a follower is cut off", 0, func(w *simulation, _, other *simMachine) {
-			for _, s := range w.machines {
-				w.block(s, other, partitionDuration)
-				w.block(other, s, partitionDuration)
+		{"a follower is cut off", 0, func(sim *simulation, _, other *simMachine) {
+			for _, machine := range sim.machines {
+				sim.block(machine, other, partitionDuration)
+				sim.block(other, machine, partitionDuration)
 			}
 		}},
-		{"a follower hears nothing", 0, func(w *simulation, _, other *simMachine) {
-			for _, s := range w.machines {
-				w.block(s, other, partitionDuration)
+		{"a follower hears nothing", 0, func(sim *simulation, _, other *simMachine) {
+			for _, machine := range sim.machines {
+				sim.block(machine, other, partitionDuration)
 			}
 		}},
-		{"a follower is not heard", 0, func(w *simulation, _, other *simMachine) {
-			for _, s := range w.machines {
-				w.block(other, s, partitionDuration)
+		{"a follower is not heard", 0, func(sim *simulation, _, other *simMachine) {
+			for _, machine := range sim.machines {
+				sim.block(other, machine, partitionDuration)
 			}
 		}},
-		{"a follower does not hear the leader", 0, func(w *simulation, leader, other *simMachine) {
-			w.block(leader, other, partitionDuration)
+		{"a follower does not hear the leader", 0, func(sim *simulation, leader, other *simMachine) {
+			sim.block(leader, other, partitionDuration)
 		}},
-		{"the leader does not hear a follower", 0, func(w *simulation, leader, other *simMachine) {
-			w.block(other, leader, partitionDuration)
+		{"the leader does not hear a follower", 0, func(sim *simulation, leader, other *simMachine) {
+			sim.block(other, leader, partitionDuration)
 		}},
-		{"two followers hear nothing", 0, func(w *simulation, leader, other *simMachine) {
-			for _, s := range w.machines {
-				w.block(s, other, partitionDuration)
-				if next := w.machines[(other.number+1)%len(w.machines)]; next != leader {
-					w.block(s, next, partitionDuration)
+		{"two followers hear nothing", 0, func(sim *simulation, leader, other *simMachine) {
+			for _, machine := range sim.machines {
+				sim.block(machine, other, partitionDuration)
+				if next := sim.machines[(other.number+1)%len(sim.machines)]; next != leader {
+					sim.block(machine, next, partitionDuration)
 				}
 			}
 		}},
-		{"the leader is cut off", 4, func(w *simulation, leader, _ *simMachine) {
-			for _, s := range w.machines {
-				w.block(s, leader, partitionDuration)
-				w.block(leader, s, partitionDuration)
+		{"the leader is cut off", 4, func(sim *simulation, leader, _ *simMachine) {
+			for _, machine := range sim.machines {
+				sim.block(machine, leader, partitionDuration)
+				sim.block(leader, machine, partitionDuration)
 			}
 		}},
-		{"the leader hears nothing", 4, func(w *simulation, leader, _ *simMachine) {
-			for _, s := range w.machines {
-				w.block(s, leader, partitionDuration)
+		{"the leader hears nothing", 4, func(sim *simulation, leader, _ *simMachine) {
+			for _, machine := range sim.machines {
+				sim.block(machine, leader, partitionDuration)
 			}
 		}},
-		{"the leader is not heard", 4, func(w *simulation, leader, _ *simMachine) {
-			for _, s := range w.machines {
-				w.block(leader, s, partitionDuration)
+		{"the leader is not heard", 4, func(sim *simulation, leader, _ *simMachine) {
+			for _, machine := range sim.machines {
+				sim.block(leader, machine, partitionDuration)
 			}
 		}},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			worst := uint64(0)
 			for seed := uint64(1); seed <= electionSeeds; seed++ {
-				all, after := countTerms(t, seed, c.cut)
+				all, after := countTerms(t, seed, test.cut)
 				worst = max(worst, all)
-				if all > c.most || after > 0 {
+				if all > test.most || after > 0 {
 					t.Errorf("seed %d: %d terms began from the cut on, %d after its end", seed, all, after)
 				}
 			}
--- a/internal/system/replica/core_follower_test.go
+++ b/internal/system/replica/core_follower_test.go
@@ -28,24 +28,24 @@
 	receivedAt map[uint64]time.Duration // by index: when it was held
 }
 
-func (w *simulation) addFollower() *followingAgent {
-	f := &followingAgent{world: w, selector: upstream.New(upstream.Options{}, w.now),
+func (sim *simulation) addFollower() *followingAgent {
+	agent := &followingAgent{world: sim, selector: upstream.New(upstream.Options{}, sim.now),
 		table: feed.NewTable(feed.ConfigurationPartition), receivedAt: map[uint64]time.Duration{}}
-	w.schedule(0, f.nextAttempt)
-	return f
+	sim.schedule(0, agent.nextAttempt)
+	return agent
 }
 
 // nextAttempt makes the next call, or waits for its time.
 func (f *followingAgent) nextAttempt() {
-	w := f.world
+	sim := f.world
 	var candidates []netip.AddrPort
-	for _, s := range w.activeMachines() {
-		candidates = append(candidates, s.address())
+	for _, machine := range sim.activeMachines() {
+		candidates = append(candidates, machine.address())
 	}
 	f.selector.SetCandidates(candidates)
-	question, pause := f.selector.Next(w.now)
+	question, pause := f.selector.Next(sim.now)
 	if pause > 0 {
-		w.schedule(pause, f.nextAttempt)
+		sim.schedule(pause, f.nextAttempt)
 		return
 	}
 	f.attempt(question)
@@ -53,42 +53,42 @@
 
 // attempt makes a call. It fails where no answer comes in time.
 func (f *followingAgent) attempt(question upstream.Request) {
-	w := f.world
+	sim := f.world
 	f.attempts++
-	call, slot := f.attempts, w.byAddress[question.Address]
+	call, slot := f.attempts, sim.byAddress[question.Address]
 	patience := question.Timeout
 	if slot.process == nil {
 		patience = question.DialTimeout
 	}
-	w.schedule(patience, func() {
+	sim.schedule(patience, func() {
 		if f.attempts == call {
 			f.attempts++
-			f.selector.HandleFailure(w.now, question.Address)
+			f.selector.HandleFailure(sim.now, question.Address)
 			f.nextAttempt()
 		}
 	})
-	w.schedule(followingLinkDelay, func() {
-		if p := slot.process; p != nil {
-			p.execute(func() { f.serve(p, question, call) })
+	sim.schedule(followingLinkDelay, func() {
+		if process := slot.process; process != nil {
+			process.execute(func() { f.serve(process, question, call) })
 		}
 	})
 }
 
 // serve is what following.Server does with a call.
-func (f *followingAgent) serve(p *simProcess, question upstream.Request, call uint64) {
+func (f *followingAgent) serve(process *simProcess, question upstream.Request, call uint64) {
 	position := f.table.Index()
 	answer := func() {
-		batch := p.state.Since(position, 0)
-		age := elapsedSince(p.group.node.Status().CaughtUpAt, p.clock())
+		batch := process.state.Since(position, 0)
+		age := elapsedSince(process.group.node.Status().CaughtUpAt, process.clock())
 		f.world.schedule(followingLinkDelay, func() { f.handleReply(question.Address, call, batch, age) })
 	}
 	wait := question.Wait
 	if question.Current.Contains(feed.ConfigurationPartition) {
-		age := elapsedSince(p.group.node.Status().CaughtUpAt, p.clock())
+		age := elapsedSince(process.group.node.Status().CaughtUpAt, process.clock())
 		wait = min(wait, max(0, feed.StaleAfter-age)+10*time.Millisecond)
 	}
-	p.waitUntil(p.clock()+wait, func() bool {
-		if p.state.Since(position, 0).To <= position {
+	process.waitUntil(process.clock()+wait, func() bool {
+		if process.state.Since(position, 0).To <= position {
 			return false
 		}
 		answer()
@@ -102,66 +102,66 @@
 		return
 	}
 	f.attempts++
-	w := f.world
+	sim := f.world
 	before := f.table.Index()
 	var lagging feed.PartitionSet
 	if batch.To < before {
 		lagging = feed.NewPartitionSet(feed.ConfigurationPartition)
 	}
-	f.table.Apply(w.now, batch)
-	for _, link := range w.oracle.versions {
+	f.table.Apply(sim.now, batch)
+	for _, link := range sim.oracle.versions {
 		if link.index > before && link.index <= f.table.Index() {
-			f.receivedAt[link.index] = w.now
+			f.receivedAt[link.index] = sim.now
 		}
 	}
-	f.selector.HandleReply(w.now, from, upstream.Reply{Ages: []time.Duration{age}, Lagging: lagging})
+	f.selector.HandleReply(sim.now, from, upstream.Reply{Ages: []time.Duration{age}, Lagging: lagging})
 	f.nextAttempt()
 }
 
 // measureVersionDelays plays a core of five whose operators change the configuration all the time and avoid one machine, that which an
 // agent follows, when something happens to it for 20 s. It returns how long each version took from its being in force to
 // the agent.
-func measureVersionDelays(t *testing.T, seed uint64, leads bool, happens func(w *simulation, s *simMachine)) []time.Duration {
+func measureVersionDelays(t *testing.T, seed uint64, leads bool, happens func(sim *simulation, s *simMachine)) []time.Duration {
 	t.Helper()
-	w := newSimulation(seed)
-	w.profile.Machines, w.profile.Operators, w.profile.Loss, w.profile.SyncTime = 5, 3, 0, 5*time.Millisecond
-	w.profile.ThinkTime, w.faultsEnabled = 200*time.Millisecond, false
-	w.bootstrap()
-	for _, o := range w.operators {
-		o.unlimited = true
-	}
-	w.runFor(scenarioWarmup)
-	p := w.leader()
-	if p == nil {
+	sim := newSimulation(seed)
+	sim.profile.Machines, sim.profile.Operators, sim.profile.Loss, sim.profile.SyncTime = 5, 3, 0, 5*time.Millisecond
+	sim.profile.ThinkTime, sim.faultsEnabled = 200*time.Millisecond, false
+	sim.bootstrap()
+	for _, operator := range sim.operators {
+		operator.unlimited = true
+	}
+	sim.runFor(scenarioWarmup)
+	process := sim.leader()
+	if process == nil {
 		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
 	}
-	followed := p.slot
+	followed := process.slot
 	if !leads {
-		followed = w.machines[(p.slot.number+1)%len(w.machines)]
+		followed = sim.machines[(process.slot.number+1)%len(sim.machines)]
 	}
-	w.machines[0], w.machines[followed.number] = w.machines[followed.number], w.machines[0] // the nearest to the agent
-	f := w.addFollower()
-	w.runFor(5 * time.Second)
-	if address, follows := f.selector.Followed(); !follows || address != followed.address() {
+	sim.machines[0], sim.machines[followed.number] = sim.machines[followed.number], sim.machines[0] // the nearest to the agent
+	agent := sim.addFollower()
+	sim.runFor(5 * time.Second)
+	if address, follows := agent.selector.Followed(); !follows || address != followed.address() {
 		t.Fatalf("seed %d: %v is followed, want %v", seed, address, followed.address())
 	}
-	for _, o := range w.operators {
-		o.avoid = followed
+	for _, operator := range sim.operators {
+		operator.avoid = followed
 	}
-	began := w.now
-	happens(w, followed)
-	w.runFor(partitionDuration + 5*time.Second)
-	until := w.now - versionTimeout
-	w.runFor(time.Second)
-	if w.failure != "" {
-		t.Fatal(w.failure)
+	began := sim.now
+	happens(sim, followed)
+	sim.runFor(partitionDuration + 5*time.Second)
+	until := sim.now - versionTimeout
+	sim.runFor(time.Second)
+	if sim.failure != "" {
+		t.Fatal(sim.failure)
 	}
 	var delays []time.Duration
-	for _, link := range w.oracle.versions {
+	for _, link := range sim.oracle.versions {
 		if link.committedAt < began || link.committedAt > until {
 			continue
 		}
-		at, held := f.receivedAt[link.index]
+		at, held := agent.receivedAt[link.index]
 		if !held {
 			t.Fatalf("seed %d: version %d, in force at %v, never came", seed, link.request.version, link.committedAt)
 		}
@@ -173,43 +173,43 @@
 // TestAgentFailsOverFromFaultyReplica: an agent whose control machine is cut off from the others, frozen or killed
 // gets what the others agree on from them.
 func TestAgentFailsOverFromFaultyReplica(t *testing.T) {
-	cut := func(in, out bool) func(w *simulation, s *simMachine) {
-		return func(w *simulation, s *simMachine) {
-			for _, other := range w.machines {
+	cut := func(in, out bool) func(sim *simulation, machine *simMachine) {
+		return func(sim *simulation, machine *simMachine) {
+			for _, other := range sim.machines {
 				if in {
-					w.block(other, s, partitionDuration)
+					sim.block(other, machine, partitionDuration)
 				}
 				if out {
-					w.block(s, other, partitionDuration)
+					sim.block(machine, other, partitionDuration)
 				}
 			}
 		}
 	}
 	cases := []struct {
 		name    string
-		happens func(w *simulation, s *simMachine)
+		happens func(sim *simulation, machine *simMachine)
 	}{
 		{"nothing happens", func(*simulation, *simMachine) {}},
 		{"it is cut off", cut(true, true)},
 		{"it hears nothing", cut(true, false)},
 		{"it is not heard", cut(false, true)},
-		{"it freezes", func(w *simulation, s *simMachine) { w.pause(s, partitionDuration) }},
-		{"it is killed", func(w *simulation, s *simMachine) { w.restart(s, partitionDuration) }},
+		{"it freezes", func(sim *simulation, machine *simMachine) { sim.pause(machine, partitionDuration) }},
+		{"it is killed", func(sim *simulation, machine *simMachine) { sim.restart(machine, partitionDuration) }},
 	}
-	for _, c := range cases {
+	for _, test := range cases {
 		for role, leads := range map[string]bool{"leader": true, "follower": false} {
-			t.Run(c.name+", a "+role, func(t *testing.T) {
+			t.Run(test.name+", a "+role, func(t *testing.T) {
 				t.Parallel()
 				var delays []time.Duration
 				for seed := uint64(1); seed <= followingSeeds; seed++ {
-					ofSeed := measureVersionDelays(t, seed, leads, c.happens)
+					ofSeed := measureVersionDelays(t, seed, leads, test.happens)
 					if worst := slices.Max(ofSeed); worst > versionTimeout {
 						t.Errorf("seed %d: a version took %v", seed, worst)
 					}
 					delays = append(delays, ofSeed...)
 				}
 				slices.Sort(delays)
-				t.Logf("%s, a %s, %d versions: p50 %v, p99 %v, worst %v", c.name, role, len(delays), delays[len(delays)/2],
+				t.Logf("%s, a %s, %d versions: p50 %v, p99 %v, worst %v", test.name, role, len(delays), delays[len(delays)/2],
 					delays[len(delays)*99/100], delays[len(delays)-1])
 			})
 		}
--- a/internal/system/replica/core_fresh_test.go
+++ b/internal/system/replica/core_fresh_test.go
@@ -13,25 +13,25 @@
 
 // checkStaleness sees that a replica which says that it was up to date a while ago holds what was in force then. Nobody is told
 // that state is current that is older than the last contact with a majority, but for stalenessSlack.
-func (w *simulation) checkStaleness(p *simProcess) {
-	status := p.group.node.Status()
-	age := elapsedSince(status.CaughtUpAt, p.clock())
+func (sim *simulation) checkStaleness(process *simProcess) {
+	status := process.group.node.Status()
+	age := elapsedSince(status.CaughtUpAt, process.clock())
 	if age > faultPhase+recoveryPhase {
 		return
 	}
-	slack := stalenessSlack + 4*w.profile.Delay + w.longestWait
+	slack := stalenessSlack + 4*sim.profile.Delay + sim.longestWait
 	if status.Role == consensus.Leader && status.CaughtUpAt == status.LastLeaderContact {
 		slack = 0 // a round that a majority answered
 	}
-	then := w.now - time.Duration(float64(age)/p.slot.clockRate) - slack
-	for i := len(w.oracle.versions) - 1; i >= 0; i-- {
-		link := &w.oracle.versions[i]
+	then := sim.now - time.Duration(float64(age)/process.slot.clockRate) - slack
+	for i := len(sim.oracle.versions) - 1; i >= 0; i-- {
+		link := &sim.oracle.versions[i]
 		if link.committedAt >= then {
 			continue
 		}
-		if link.index > p.group.appliedIndex {
-			w.fail("machine %d says that it was up to date %v ago, and lacks %d of version %d, in force for %v", p.slot.number,
-				age, link.index, link.request.version, w.now-link.committedAt)
+		if link.index > process.group.appliedIndex {
+			sim.fail("machine %d says that it was up to date %v ago, and lacks %d of version %d, in force for %v", process.slot.number,
+				age, link.index, link.request.version, sim.now-link.committedAt)
 		}
 		return
 	}
--- a/internal/system/replica/core_link_test.go
+++ b/internal/system/replica/core_link_test.go
@@ -46,13 +46,13 @@
 }
 
 // send has a message go out over a connection.
-func (l *simLink) send(c *simConnection, bytes int, sent, lost func()) {
+func (l *simLink) send(connection *simConnection, bytes int, sent, lost func()) {
 	queued := l.world.now
-	c.queue = append(c.queue, queuedMessage{remainingBytes: bytes, onLost: lost, onSent: func() {
+	connection.queue = append(connection.queue, queuedMessage{remainingBytes: bytes, onLost: lost, onSent: func() {
 		l.world.longestWait = max(l.world.longestWait, l.world.now-queued)
 		sent()
 	}})
-	c.queuedBytes += bytes
+	connection.queuedBytes += bytes
 	l.world.sentBytes += bytes
 	l.sendNext()
 }
@@ -63,17 +63,17 @@
 		return
 	}
 	for range l.connections {
-		c := l.connections[l.nextConnection%len(l.connections)]
+		connection := l.connections[l.nextConnection%len(l.connections)]
 		l.nextConnection++
-		if len(c.queue) > 0 {
-			l.sendChunk(c)
+		if len(connection.queue) > 0 {
+			l.sendChunk(connection)
 			return
 		}
 	}
 }
 
-func (l *simLink) sendChunk(c *simConnection) {
-	first := &c.queue[0]
+func (l *simLink) sendChunk(connection *simConnection) {
+	first := &connection.queue[0]
 	if first.startedAt == 0 {
 		first.startedAt = l.world.now
 	}
@@ -81,24 +81,24 @@
 	l.busy = true
 	l.world.schedule(time.Duration(float64(chunk)/l.world.profile.Bandwidth*float64(time.Second)), func() {
 		l.busy = false
-		l.finishChunk(c, chunk)
+		l.finishChunk(connection, chunk)
 		l.sendNext()
 	})
 }
 
-func (l *simLink) finishChunk(c *simConnection, chunk int) {
-	first := &c.queue[0]
+func (l *simLink) finishChunk(connection *simConnection, chunk int) {
+	first := &connection.queue[0]
 	first.remainingBytes -= chunk
-	c.queuedBytes -= chunk
+	connection.queuedBytes -= chunk
 	if l.world.injected.deadlinePerMessage && l.world.now-first.startedAt > peerOptions.TCPUserTimeout {
-		l.reset(c)
+		l.reset(connection)
 		return
 	}
 	if first.remainingBytes > 0 {
 		return
 	}
 	sent := first.onSent
-	c.queue = c.queue[1:]
+	connection.queue = connection.queue[1:]
 	sent()
 }
 
@@ -127,10 +127,10 @@
 	case way == bulkConnection:
 		under.add(p.group.partition, message)
 	case way == ordinaryConnection:
-		c := p.link.connection(to.number, ordinaryConnection)
-		if c.queuedBytes < maxPendingBytes {
+		connection := p.link.connection(to.number, ordinaryConnection)
+		if connection.queuedBytes < maxPendingBytes {
 			size := len(appendMessage(nil, p.group.partition, message))
-			p.link.send(c, size, func() { p.deliver(to, message, true) }, func() {})
+			p.link.send(connection, size, func() { p.deliver(to, message, true) }, func() {})
 		}
 	}
 }
--- a/internal/system/replica/core_operator_test.go
+++ b/internal/system/replica/core_operator_test.go
@@ -33,47 +33,47 @@
 	done      bool
 }
 
-func (w *simulation) addOperator(number int) {
-	o := &simOperator{world: w, number: number}
-	w.operators = append(w.operators, o)
-	w.schedule(w.uniform(time.Second, 3*time.Second), o.act)
+func (sim *simulation) addOperator(number int) {
+	operator := &simOperator{world: sim, number: number}
+	sim.operators = append(sim.operators, operator)
+	sim.schedule(sim.uniform(time.Second, 3*time.Second), operator.act)
 }
 
 // finish has the operator find out what became of its change, and make one more.
 func (o *simOperator) finish() { o.finishing = true }
 
 func (o *simOperator) act() {
-	w := o.world
-	w.schedule(w.uniform(w.profile.ThinkTime/4, w.profile.ThinkTime), o.act)
+	sim := o.world
+	sim.schedule(sim.uniform(sim.profile.ThinkTime/4, sim.profile.ThinkTime), o.act)
 	if o.waiting || o.done {
 		return
 	}
-	r := o.nextRequest()
-	if r == nil {
+	request := o.nextRequest()
+	if request == nil {
 		return
 	}
 	o.waiting = true
-	if !r.read && w.chance(0.15) {
-		o.send(r, func(simResponse) {}) // through two machines at once
+	if !request.read && sim.chance(0.15) {
+		o.send(request, func(simResponse) {}) // through two machines at once
 	}
-	o.send(r, func(a simResponse) { o.handleResponse(r, a) })
+	o.send(request, func(response simResponse) { o.handleResponse(request, response) })
 }
 
 // nextRequest is what the operator asks next; nil: nothing.
 func (o *simOperator) nextRequest() *simRequest {
-	w := o.world
+	sim := o.world
 	switch {
 	case o.unlimited:
 		return o.newChange()
-	case o.unresolved != nil && (o.finishing || w.chance(0.7)):
+	case o.unresolved != nil && (o.finishing || sim.chance(0.7)):
 		return o.unresolved
 	case o.finishing && o.created > maxOperatorRequests:
 		return nil
 	case !o.finishing && o.created >= maxOperatorRequests:
 		return nil
-	case o.lastChange != nil && w.chance(0.15):
+	case o.lastChange != nil && sim.chance(0.15):
 		return o.lastChange
-	case !o.finishing && w.chance(0.4):
+	case !o.finishing && sim.chance(0.4):
 		o.created++
 		return &simRequest{read: true}
 	}
@@ -86,64 +86,64 @@
 
 // newChange is a new change, on the version that the operator has seen last or on another.
 func (o *simOperator) newChange() *simRequest {
-	w := o.world
-	w.oracle.requests++
-	r := &simRequest{base: o.lastVersion}
-	if w.chance(0.1) {
-		r.base += uint64(w.random.IntN(3))
+	sim := o.world
+	sim.oracle.requests++
+	request := &simRequest{base: o.lastVersion}
+	if sim.chance(0.1) {
+		request.base += uint64(sim.random.IntN(3))
 	}
-	r.version = r.base + 1 + uint64(w.random.IntN(2))
-	binary.BigEndian.PutUint64(r.digest[:], w.oracle.requests)
-	o.lastChange = r
-	return r
+	request.version = request.base + 1 + uint64(sim.random.IntN(2))
+	binary.BigEndian.PutUint64(request.digest[:], sim.oracle.requests)
+	o.lastChange = request
+	return request
 }
 
 // handleResponse takes an answer.
-func (o *simOperator) handleResponse(r *simRequest, a simResponse) {
+func (o *simOperator) handleResponse(request *simRequest, response simResponse) {
 	o.waiting = false
-	if a.kind != responseUnknown {
-		o.lastVersion = max(o.lastVersion, a.version)
+	if response.kind != responseUnknown {
+		o.lastVersion = max(o.lastVersion, response.version)
 	}
-	if r.read {
+	if request.read {
 		return
 	}
 	switch {
-	case a.kind == responseUnknown && !a.undecidable:
-		o.unresolved = r
-	case o.unresolved == r:
+	case response.kind == responseUnknown && !response.undecidable:
+		o.unresolved = request
+	case o.unresolved == request:
 		o.unresolved = nil
 	}
-	if o.finishing && (a.kind != responseUnknown || a.undecidable) && o.unresolved == nil && o.created > maxOperatorRequests {
+	if o.finishing && (response.kind != responseUnknown || response.undecidable) && o.unresolved == nil && o.created > maxOperatorRequests {
 		o.done = true
 	}
 }
 
 // send sends a request through any machine and notes what becomes of it.
-func (o *simOperator) send(r *simRequest, told func(simResponse)) {
-	w := o.world
-	op := w.history.begin(o.number, r, w.now)
+func (o *simOperator) send(request *simRequest, told func(simResponse)) {
+	sim := o.world
+	record := sim.history.begin(o.number, request, sim.now)
 	over := false
-	end := func(a simResponse) {
+	end := func(response simResponse) {
 		if over {
 			return
 		}
 		over = true
-		w.stats.record(r, a)
-		op.complete(a, w.now)
-		told(a)
+		sim.stats.record(request, response)
+		record.complete(response, sim.now)
+		told(response)
 	}
-	w.schedule(operatorTimeout, func() { end(simResponse{}) })
-	slot := w.randomMachine()
+	sim.schedule(operatorTimeout, func() { end(simResponse{}) })
+	slot := sim.randomMachine()
 	for slot == o.avoid {
-		slot = w.randomMachine()
+		slot = sim.randomMachine()
 	}
-	p := slot.process
-	if p == nil {
+	process := slot.process
+	if process == nil {
 		return
 	}
-	w.schedule(time.Millisecond, func() {
-		p.execute(func() {
-			p.handleRequest(r, func(a simResponse) { w.schedule(time.Millisecond, func() { end(a) }) })
+	sim.schedule(time.Millisecond, func() {
+		process.execute(func() {
+			process.handleRequest(request, func(response simResponse) { sim.schedule(time.Millisecond, func() { end(response) }) })
 		})
 	})
 }
@@ -158,13 +158,15 @@
 	invoked, returned time.Duration
 }
 
-func (h *requestHistory) begin(client int, r *simRequest, now time.Duration) *requestRecord {
-	op := &requestRecord{operator: client, request: *r, invoked: now}
-	h.operations = append(h.operations, op)
-	return op
+func (h *requestHistory) begin(client int, request *simRequest, now time.Duration) *requestRecord {
+	record := &requestRecord{operator: client, request: *request, invoked: now}
+	h.operations = append(h.operations, record)
+	return record
 }
 
-func (o *requestRecord) complete(a simResponse, now time.Duration) { o.response, o.returned = a, now }
+func (o *requestRecord) complete(response simResponse, now time.Duration) {
+	o.response, o.returned = response, now
+}
 
 // register is the configuration as an operator may see it: the last accepted change and those before it.
 type register struct {
@@ -236,32 +238,32 @@
 }
 
 // checkHistory tells whether the history is one of a register.
-func (w *simulation) checkHistory() {
-	operations := w.linearizableOperations()
+func (sim *simulation) checkHistory() {
+	operations := sim.linearizableOperations()
 	switch porcupine.CheckOperationsTimeout(registerModel, operations, linearizabilityTimeout) {
 	case porcupine.Illegal:
-		w.fail("the operators' history is not linearizable: %s", w.history.text())
+		sim.fail("the operators' history is not linearizable: %s", sim.history.text())
 	case porcupine.Unknown:
-		w.fail("the operators' history of %d operations took too long to check", len(operations))
+		sim.fail("the operators' history of %d operations took too long to check", len(operations))
 	}
 }
 
 // linearizableOperations are the history without what cannot matter: reads without an answer, changes without one that were never put
 // in force, and all but the first of the same change without an answer.
-func (w *simulation) linearizableOperations() (operations []porcupine.Operation) {
+func (sim *simulation) linearizableOperations() (operations []porcupine.Operation) {
 	unanswered := map[state.Digest]bool{}
-	for _, op := range w.history.operations {
-		until := int64(op.returned)
-		if op.response.kind == responseUnknown {
-			digest := op.request.digest
-			if op.request.read || unanswered[digest] || !w.oracle.everCommitted(digest) {
+	for _, record := range sim.history.operations {
+		until := int64(record.returned)
+		if record.response.kind == responseUnknown {
+			digest := record.request.digest
+			if record.request.read || unanswered[digest] || !sim.oracle.everCommitted(digest) {
 				continue
 			}
 			unanswered[digest] = true
 			until = math.MaxInt64
 		}
-		operations = append(operations, porcupine.Operation{ClientId: op.operator, Input: op.request, Call: int64(op.invoked),
-			Output: op.response, Return: until})
+		operations = append(operations, porcupine.Operation{ClientId: record.operator, Input: record.request, Call: int64(record.invoked),
+			Output: record.response, Return: until})
 	}
 	return operations
 }
--- a/internal/system/replica/core_process_test.go
+++ b/internal/system/replica/core_process_test.go
@@ -27,24 +27,24 @@
 	stalledUntil, failsUntil time.Duration
 }
 
-func (d *simDisk) write(w *storage.Update) {
-	if w.InstalledSnapshot != nil {
-		d.snapshot, d.entries = *w.InstalledSnapshot, nil
+func (d *simDisk) write(write *storage.Update) {
+	if write.InstalledSnapshot != nil {
+		d.snapshot, d.entries = *write.InstalledSnapshot, nil
 	}
-	if w.HardState != nil {
-		d.hardState = *w.HardState
+	if write.HardState != nil {
+		d.hardState = *write.HardState
 	}
-	if len(w.Entries) > 0 {
-		d.truncateFrom(w.Entries[0].Index)
+	if len(write.Entries) > 0 {
+		d.truncateFrom(write.Entries[0].Index)
 	}
-	for _, e := range w.Entries {
-		d.entries = append(d.entries, storedEntry{e, w.CommitIndex})
+	for _, e := range write.Entries {
+		d.entries = append(d.entries, storedEntry{e, write.CommitIndex})
 	}
-	if w.CompactionSnapshot == nil {
+	if write.CompactionSnapshot == nil {
 		return
 	}
-	d.snapshot = *w.CompactionSnapshot
-	d.entries = slices.DeleteFunc(d.entries, func(k storedEntry) bool { return k.entry.Index <= w.CompactionSnapshot.Index })
+	d.snapshot = *write.CompactionSnapshot
+	d.entries = slices.DeleteFunc(d.entries, func(k storedEntry) bool { return k.entry.Index <= write.CompactionSnapshot.Index })
 }
 
 func (d *simDisk) truncateFrom(index uint64) {
@@ -94,51 +94,51 @@
 }
 
 // boot starts a machine's process unless it runs.
-func (w *simulation) boot(s *simMachine) {
-	if s.process != nil || s.replaced {
+func (sim *simulation) boot(machine *simMachine) {
+	if machine.process != nil || machine.replaced {
 		return
 	}
-	p := &simProcess{world: w, slot: s, alive: true, sendingSnapshot: map[int]bool{}, bulkTransfers: map[int]*bulkTransfer{}}
-	if w.profile.Bandwidth > 0 {
-		p.link = &simLink{world: w}
-	}
-	p.state = state.NewConfiguration(p.clock, func() {})
-	p.host = New(Options{Settings: &s.settings, StateMachines: []StateMachine{&observedState{Configuration: p.state, process: p}}})
-	p.group = p.host.groups[0]
-	w.initializeDisk(s)
-	stored := s.disk.load()
-	options := nodeOptions(s.disk.id, w.random.Uint64(), defaultHeartbeatInterval, defaultElectionTimeout)
-	if err := p.group.start(p.clock(), options, stored); err != nil {
-		w.fail("machine %d finds what it stored senseless: %v", s.number, err)
+	process := &simProcess{world: sim, slot: machine, alive: true, sendingSnapshot: map[int]bool{}, bulkTransfers: map[int]*bulkTransfer{}}
+	if sim.profile.Bandwidth > 0 {
+		process.link = &simLink{world: sim}
+	}
+	process.state = state.NewConfiguration(process.clock, func() {})
+	process.host = New(Options{Settings: &machine.settings, StateMachines: []StateMachine{&observedState{Configuration: process.state, process: process}}})
+	process.group = process.host.groups[0]
+	sim.initializeDisk(machine)
+	stored := machine.disk.load()
+	options := nodeOptions(machine.disk.id, sim.random.Uint64(), defaultHeartbeatInterval, defaultElectionTimeout)
+	if err := process.group.start(process.clock(), options, stored); err != nil {
+		sim.fail("machine %d finds what it stored senseless: %v", machine.number, err)
 		return
 	}
-	s.process = p
-	p.host.self.ID = s.disk.id
-	p.version, p.appliedIndex = p.state.Version(), p.group.appliedIndex
-	w.oracle.checkBoot(w, p, &stored)
-	for _, other := range w.activeMachines() { // as membership gossip tells
-		p.host.addAddress(other.address())
+	machine.process = process
+	process.host.self.ID = machine.disk.id
+	process.version, process.appliedIndex = process.state.Version(), process.group.appliedIndex
+	sim.oracle.checkBoot(sim, process, &stored)
+	for _, other := range sim.activeMachines() { // as membership gossip tells
+		process.host.addAddress(other.address())
 		if other.process != nil {
-			other.process.host.addAddress(s.address())
+			other.process.host.addAddress(machine.address())
 		}
 	}
-	w.logf("%d boots as %s: %+v, snapshot %d, log to %d", s.number, formatReplicaID(s.disk.id), stored.HardState, stored.Snapshot.Index,
-		p.group.node.Status().LastIndex)
-	p.execute(func() {})
+	sim.logf("%d boots as %s: %+v, snapshot %d, log to %d", machine.number, formatReplicaID(machine.disk.id), stored.HardState, stored.Snapshot.Index,
+		process.group.node.Status().LastIndex)
+	process.execute(func() {})
 }
 
 // initializeDisk makes an empty disk that of a new replica, as Host.establish does.
-func (w *simulation) initializeDisk(s *simMachine) {
-	if s.disk.id != 0 {
+func (sim *simulation) initializeDisk(machine *simMachine) {
+	if machine.disk.id != 0 {
 		return
 	}
-	s.disk.id = consensus.ReplicaID(max(w.random.Uint64(), 1))
-	if founders, founds := bootstrapMembership(&s.settings); founds {
-		s.disk.id = founderID(s.settings.IP)
-		s.disk.snapshot.Membership = founders
-		w.oracle.recordMembership(founders)
+	machine.disk.id = consensus.ReplicaID(max(sim.random.Uint64(), 1))
+	if founders, founds := bootstrapMembership(&machine.settings); founds {
+		machine.disk.id = founderID(machine.settings.IP)
+		machine.disk.snapshot.Membership = founders
+		sim.oracle.recordMembership(founders)
 	}
-	s.settings.FirstBoot = false
+	machine.settings.FirstBoot = false
 }
 
 // clock is the machine's steady time.
@@ -259,13 +259,13 @@
 }
 
 func (p *simProcess) announceDeparture(until time.Duration) {
-	w, id := p.world, p.slot.id()
+	sim, id := p.world, p.slot.id()
 	p.host.departures.add(id, p.clock())
-	for _, to := range w.activeMachines() {
+	for _, to := range sim.activeMachines() {
 		if to == p.slot {
 			continue
 		}
-		w.transmit(p.slot, to, false, func(told *simProcess) {
+		sim.transmit(p.slot, to, false, func(told *simProcess) {
 			told.host.departures.add(id, told.clock())
 			told.host.nextMembershipCheck = min(told.host.nextMembershipCheck, told.clock()+membershipRecheckDelay)
 		})
@@ -296,11 +296,11 @@
 }
 
 func (p *simProcess) requestJoinAt(to *simMachine) {
-	w, member := p.world, p.host.self
-	w.transmit(p.slot, to, false, func(asked *simProcess) {
+	sim, member := p.world, p.host.self
+	sim.transmit(p.slot, to, false, func(asked *simProcess) {
 		asked.host.joinRequests.add(member, asked.clock())
 		members := asked.host.members()
-		w.transmit(to, p.slot, false, func(asker *simProcess) {
+		sim.transmit(to, p.slot, false, func(asker *simProcess) {
 			for _, m := range members {
 				if address, err := netip.ParseAddrPort(m.Address); err == nil {
 					asker.host.addAddress(address)
@@ -359,12 +359,12 @@
 
 // deliverEncoded brings messages to a machine, as a DeliverRequest does.
 func (p *simProcess) deliverEncoded(to *simMachine, encoded []byte, ordered bool) {
-	w := p.world
-	w.transmit(p.slot, to, ordered, func(receiver *simProcess) {
+	sim := p.world
+	sim.transmit(p.slot, to, ordered, func(receiver *simProcess) {
 		for rest := encoded; len(rest) > 0; {
 			partition, message, after, err := readMessage(rest)
 			if err != nil {
-				w.fail("a message does not decode: %v", err)
+				sim.fail("a message does not decode: %v", err)
 				return
 			}
 			rest = after
@@ -403,17 +403,17 @@
 
 // finishWrite is the end of a transaction: it succeeds, fails, or hangs for longer.
 func (p *simProcess) finishWrite() {
-	w, d := p.world, p.slot.disk
+	sim, d := p.world, p.slot.disk
 	switch {
 	case !p.alive:
-	case w.now < d.stalledUntil:
-		w.schedule(d.stalledUntil-w.now, p.finishWrite)
-	case w.now < d.failsUntil:
+	case sim.now < d.stalledUntil:
+		sim.schedule(d.stalledUntil-sim.now, p.finishWrite)
+	case sim.now < d.failsUntil:
 		p.execute(func() {
 			p.host.disk.recordAttempt(p.writeStarted, errDiskFull)
 			p.tick()
 		})
-		w.schedule(p.retryBackoff, p.finishWrite)
+		sim.schedule(p.retryBackoff, p.finishWrite)
 		p.retryBackoff = min(2*p.retryBackoff, maxDiskBackoff)
 	default:
 		p.syncWrites(durableWrites(p.activeJobs))
@@ -440,21 +440,21 @@
 
 // kill ends the process. Of the transaction under way all, nothing or a part is on disk.
 func (p *simProcess) kill() {
-	w := p.world
-	w.logf("%d is killed", p.slot.number)
+	sim := p.world
+	sim.logf("%d is killed", p.slot.number)
 	p.alive = false
 	p.slot.process = nil
 	writes := durableWrites(p.activeJobs)
-	if len(writes) == 0 || w.now < p.slot.disk.failsUntil {
+	if len(writes) == 0 || sim.now < p.slot.disk.failsUntil {
 		return
 	}
-	kept := w.random.IntN(len(writes) + 1)
+	kept := sim.random.IntN(len(writes) + 1)
 	p.syncWrites(writes[:kept])
 	if kept == len(writes) {
 		return
 	}
 	if torn := writes[kept]; torn.InstalledSnapshot == nil && torn.CompactionSnapshot == nil && len(torn.Entries) > 0 {
-		torn.Entries = torn.Entries[:w.random.IntN(len(torn.Entries)+1)]
+		torn.Entries = torn.Entries[:sim.random.IntN(len(torn.Entries)+1)]
 		p.syncWrites([]storage.Update{torn})
 	}
 }
--- a/internal/system/replica/core_repair_test.go
+++ b/internal/system/replica/core_repair_test.go
@@ -46,33 +46,33 @@
 }
 
 // newRepairSimulation is a core of a case that has founded itself and is changed by operators all the time.
-func newRepairSimulation(seed uint64, c repairCase) *simulation {
-	w := newSimulation(seed)
-	w.profile.Machines, w.profile.Operators = c.machines, 3
-	w.profile.Delay, w.profile.SyncTime, w.profile.Loss = c.delay, c.sync, 0
-	w.profile.RegionalDelay = min(c.delay, 4*time.Millisecond)
-	w.profile.ThinkTime, w.faultsEnabled = 100*time.Millisecond, false
-	w.toleratedLosses = c.losses
-	w.bootstrap()
-	for _, o := range w.operators {
-		o.unlimited = true
+func newRepairSimulation(seed uint64, setup repairCase) *simulation {
+	sim := newSimulation(seed)
+	sim.profile.Machines, sim.profile.Operators = setup.machines, 3
+	sim.profile.Delay, sim.profile.SyncTime, sim.profile.Loss = setup.delay, setup.sync, 0
+	sim.profile.RegionalDelay = min(setup.delay, 4*time.Millisecond)
+	sim.profile.ThinkTime, sim.faultsEnabled = 100*time.Millisecond, false
+	sim.toleratedLosses = setup.losses
+	sim.bootstrap()
+	for _, operator := range sim.operators {
+		operator.unlimited = true
 	}
-	w.runFor(scenarioWarmup)
-	return w
+	sim.runFor(scenarioWarmup)
+	return sim
 }
 
 // toleratesLossOf tells whether a majority is intact in every membership that may be in force, some machines left out.
-func (w *simulation) toleratesLossOf(without ...*simMachine) bool {
-	return w.majorityIntactInAll(w.memberships(), func(s *simMachine) bool { return slices.Contains(without, s) })
+func (sim *simulation) toleratesLossOf(without ...*simMachine) bool {
+	return sim.majorityIntactInAll(sim.memberships(), func(machine *simMachine) bool { return slices.Contains(without, machine) })
 }
 
 // toleratesAnyLoss tells whether the core bears the loss of any set of so many machines.
-func (w *simulation) toleratesAnyLoss(losses int, lost ...*simMachine) bool {
+func (sim *simulation) toleratesAnyLoss(losses int, lost ...*simMachine) bool {
 	if losses == 0 {
-		return w.toleratesLossOf(lost...)
+		return sim.toleratesLossOf(lost...)
 	}
-	for _, s := range w.activeMachines() {
-		if !slices.Contains(lost, s) && !w.toleratesAnyLoss(losses-1, append(slices.Clone(lost), s)...) {
+	for _, machine := range sim.activeMachines() {
+		if !slices.Contains(lost, machine) && !sim.toleratesAnyLoss(losses-1, append(slices.Clone(lost), machine)...) {
 			return false
 		}
 	}
@@ -80,54 +80,54 @@
 }
 
 // replaceMachines takes machines away for good and returns those in their places, which start after a while.
-func (w *simulation) replaceMachines(gone []*simMachine, after time.Duration) (successors []*simMachine) {
-	for _, s := range gone {
-		if s.process != nil {
-			s.process.kill()
+func (sim *simulation) replaceMachines(gone []*simMachine, after time.Duration) (successors []*simMachine) {
+	for _, machine := range gone {
+		if machine.process != nil {
+			machine.process.kill()
 		}
-		s.replaced = true
-		next := w.addReplacement(s)
+		machine.replaced = true
+		next := sim.addReplacement(machine)
 		successors = append(successors, next)
-		w.logf("%d is lost for good, %d takes its place", s.number, next.number)
-		w.schedule(after, func() { w.boot(next) })
+		sim.logf("%d is lost for good, %d takes its place", machine.number, next.number)
+		sim.schedule(after, func() { sim.boot(next) })
 	}
 	return successors
 }
 
 // wipeDisks takes machines' disks away; they come back empty after a while.
-func (w *simulation) wipeDisks(lost []*simMachine, after time.Duration) {
-	for _, s := range lost {
-		if s.process != nil {
-			s.process.kill()
+func (sim *simulation) wipeDisks(lost []*simMachine, after time.Duration) {
+	for _, machine := range lost {
+		if machine.process != nil {
+			machine.process.kill()
 		}
-		s.disk = &simDisk{}
-		s.settings.FirstBoot = false
-		w.logf("%d loses its disk", s.number)
-		w.schedule(after, func() { w.boot(s) })
+		machine.disk = &simDisk{}
+		machine.settings.FirstBoot = false
+		sim.logf("%d loses its disk", machine.number)
+		sim.schedule(after, func() { sim.boot(machine) })
 	}
 }
 
 // pickMachines draws machines, the leader first half of the time.
-func (w *simulation) pickMachines(n int) (slots []*simMachine) {
-	if p := w.leader(); p != nil && w.chance(0.5) {
-		slots = append(slots, p.slot)
+func (sim *simulation) pickMachines(n int) (slots []*simMachine) {
+	if process := sim.leader(); process != nil && sim.chance(0.5) {
+		slots = append(slots, process.slot)
 	}
 	for len(slots) < n {
-		if s := w.randomMachine(); !slices.Contains(slots, s) {
-			slots = append(slots, s)
+		if machine := sim.randomMachine(); !slices.Contains(slots, machine) {
+			slots = append(slots, machine)
 		}
 	}
 	return slots
 }
 
 // untilTolerant plays until the core bears the loss of any machines it has to bear, and returns how long that took.
-func (w *simulation) untilTolerant(losses int, atMost time.Duration) (time.Duration, bool) {
-	began := w.now
-	for w.now < began+atMost && w.failure == "" {
-		if w.toleratesAnyLoss(losses) {
-			return w.now - began, true
+func (sim *simulation) untilTolerant(losses int, atMost time.Duration) (time.Duration, bool) {
+	began := sim.now
+	for sim.now < began+atMost && sim.failure == "" {
+		if sim.toleratesAnyLoss(losses) {
+			return sim.now - began, true
 		}
-		w.runFor(10 * time.Millisecond)
+		sim.runFor(10 * time.Millisecond)
 	}
 	return atMost, false
 }
@@ -137,30 +137,32 @@
 func TestReplacementRestoresFaultTolerance(t *testing.T) {
 	kinds := []struct {
 		name string
-		lose func(w *simulation, c repairCase, down time.Duration)
+		lose func(sim *simulation, setup repairCase, down time.Duration)
 	}{
-		{"replaced", func(w *simulation, c repairCase, down time.Duration) {
-			w.replaceMachines(w.pickMachines(c.losses), down)
+		{"replaced", func(sim *simulation, setup repairCase, down time.Duration) {
+			sim.replaceMachines(sim.pickMachines(setup.losses), down)
+		}},
+		{"wiped", func(sim *simulation, setup repairCase, down time.Duration) {
+			sim.wipeDisks(sim.pickMachines(setup.losses), down)
 		}},
-		{"wiped", func(w *simulation, c repairCase, down time.Duration) { w.wipeDisks(w.pickMachines(c.losses), down) }},
 	}
-	for _, c := range repairCases {
+	for _, setup := range repairCases {
 		for _, kind := range kinds {
-			t.Run(kind.name+", "+c.String(), func(t *testing.T) {
+			t.Run(kind.name+", "+setup.String(), func(t *testing.T) {
 				t.Parallel()
 				var took []time.Duration
 				for seed := uint64(1); seed <= scenarioSeeds; seed++ {
-					w := newRepairSimulation(seed, c)
-					down := w.uniform(time.Millisecond, 2*time.Second)
-					kind.lose(w, c, down)
-					w.runFor(down)
-					d, bears := w.untilTolerant(c.losses, 20*time.Second)
-					if !bears || w.failure != "" {
-						t.Fatalf("seed %d: no further loss is borne %v after the start: %s", seed, d, w.failure)
+					sim := newRepairSimulation(seed, setup)
+					down := sim.uniform(time.Millisecond, 2*time.Second)
+					kind.lose(sim, setup, down)
+					sim.runFor(down)
+					d, bears := sim.untilTolerant(setup.losses, 20*time.Second)
+					if !bears || sim.failure != "" {
+						t.Fatalf("seed %d: no further loss is borne %v after the start: %s", seed, d, sim.failure)
 					}
 					took = append(took, d)
 				}
-				checkTimes(t, took, c.repairDeadline())
+				checkTimes(t, took, setup.repairDeadline())
 			})
 		}
 	}
@@ -191,29 +193,29 @@
 // TestRepeatedLosses takes machines away again and again, each time once those before count again: the core goes on
 // agreeing after each.
 func TestRepeatedLosses(t *testing.T) {
-	for _, c := range repairCases {
-		t.Run(c.String(), func(t *testing.T) {
+	for _, setup := range repairCases {
+		t.Run(setup.String(), func(t *testing.T) {
 			t.Parallel()
 			for _, seed := range chainSeeds() {
-				w := newRepairSimulation(seed, c)
-				w.verbose = *simSeed != 0
+				sim := newRepairSimulation(seed, setup)
+				sim.verbose = *simSeed != 0
 				for round := range 6 {
-					down := w.uniform(time.Millisecond, 2*time.Second)
-					if lost := w.pickMachines(c.losses); w.chance(0.5) {
-						w.replaceMachines(lost, down)
+					down := sim.uniform(time.Millisecond, 2*time.Second)
+					if lost := sim.pickMachines(setup.losses); sim.chance(0.5) {
+						sim.replaceMachines(lost, down)
 					} else {
-						w.wipeDisks(lost, down)
+						sim.wipeDisks(lost, down)
 					}
-					w.runFor(down + c.repairDeadline())
-					if !w.toleratesAnyLoss(0) {
+					sim.runFor(down + setup.repairDeadline())
+					if !sim.toleratesAnyLoss(0) {
 						t.Fatalf("seed %d: round %d leaves no majority\nreplay: go test ./internal/system/replica -run '%s' -core.seed %d -v", seed,
 							round, t.Name(), seed)
 					}
 				}
-				before := len(w.oracle.versions)
-				w.runFor(8 * time.Second)
-				if w.failure != "" || len(w.oracle.versions) == before {
-					t.Fatalf("seed %d: nothing is agreed on any more: %s", seed, w.failure)
+				before := len(sim.oracle.versions)
+				sim.runFor(8 * time.Second)
+				if sim.failure != "" || len(sim.oracle.versions) == before {
+					t.Fatalf("seed %d: nothing is agreed on any more: %s", seed, sim.failure)
 				}
 			}
 		})
@@ -223,56 +225,56 @@
 // TestPlannedReplacement has a new machine start and the old one told to stop. As the old process ends its vote has moved:
 // all other machines know that as soon as messages under way have come, and a loss at that very moment is borne.
 func TestPlannedReplacement(t *testing.T) {
-	for _, c := range repairCases {
-		t.Run(c.String(), func(t *testing.T) {
+	for _, setup := range repairCases {
+		t.Run(setup.String(), func(t *testing.T) {
 			t.Parallel()
 			var windows []time.Duration
 			for seed := uint64(1); seed <= scenarioSeeds; seed++ {
-				w := newRepairSimulation(seed, c)
-				w.replacePlanned()
-				d, bears := w.untilTolerant(c.losses, 20*time.Second)
-				if !bears || w.failure != "" {
-					t.Fatalf("seed %d: no further loss is borne %v after the old one ended: %s", seed, d, w.failure)
+				sim := newRepairSimulation(seed, setup)
+				sim.replacePlanned()
+				d, bears := sim.untilTolerant(setup.losses, 20*time.Second)
+				if !bears || sim.failure != "" {
+					t.Fatalf("seed %d: no further loss is borne %v after the old one ended: %s", seed, d, sim.failure)
 				}
 				windows = append(windows, d)
-				checkLossAfterReplacement(t, seed, c)
+				checkLossAfterReplacement(t, seed, setup)
 			}
-			checkTimes(t, windows, 2*c.delay+50*time.Millisecond)
+			checkTimes(t, windows, 2*setup.delay+50*time.Millisecond)
 		})
 	}
 }
 
 // replacePlanned starts a new machine, lets it catch up, and has an old one stop.
-func (w *simulation) replacePlanned() {
-	old := w.pickMachines(1)[0]
-	w.boot(w.addReplacement(old))
-	w.runFor(testCatchUp)
+func (sim *simulation) replacePlanned() {
+	old := sim.pickMachines(1)[0]
+	sim.boot(sim.addReplacement(old))
+	sim.runFor(testCatchUp)
 	process := old.process
 	process.shutDown()
-	w.runUntilEnded(process, 8*time.Second)
+	sim.runUntilEnded(process, 8*time.Second)
 	old.replaced = true
 }
 
 // checkLossAfterReplacement has as many machines lose their disks as are to be borne, just as a planned replacement ends.
-func checkLossAfterReplacement(t *testing.T, seed uint64, c repairCase) {
+func checkLossAfterReplacement(t *testing.T, seed uint64, setup repairCase) {
 	t.Helper()
-	w := newRepairSimulation(seed, c)
-	w.replacePlanned()
-	w.wipeDisks(w.pickMachines(c.losses), time.Second)
-	w.runFor(4 * time.Second)
-	before := len(w.oracle.versions)
-	w.runFor(8 * time.Second)
-	if w.failure != "" || len(w.oracle.versions) == before {
-		t.Fatalf("seed %d: nothing is agreed on after a loss as the old machine ended: %s", seed, w.failure)
+	sim := newRepairSimulation(seed, setup)
+	sim.replacePlanned()
+	sim.wipeDisks(sim.pickMachines(setup.losses), time.Second)
+	sim.runFor(4 * time.Second)
+	before := len(sim.oracle.versions)
+	sim.runFor(8 * time.Second)
+	if sim.failure != "" || len(sim.oracle.versions) == before {
+		t.Fatalf("seed %d: nothing is agreed on after a loss as the old machine ended: %s", seed, sim.failure)
 	}
 }
 
-func (w *simulation) runUntilEnded(p *simProcess, atMost time.Duration) {
-	for end := w.now + atMost; p.alive && w.now < end && w.failure == ""; {
-		w.runFor(10 * time.Millisecond)
+func (sim *simulation) runUntilEnded(process *simProcess, atMost time.Duration) {
+	for end := sim.now + atMost; process.alive && sim.now < end && sim.failure == ""; {
+		sim.runFor(10 * time.Millisecond)
 	}
-	if p.alive {
-		w.fail("machine %d does not end within %v", p.slot.number, atMost)
+	if process.alive {
+		sim.fail("machine %d does not end within %v", process.slot.number, atMost)
 	}
 }
 
@@ -282,14 +284,14 @@
 		200 * time.Millisecond: 5 * time.Second}
 	kinds := []struct {
 		name string
-		to   func(w *simulation, leader *simMachine)
+		to   func(sim *simulation, leader *simMachine)
 	}{
-		{"killed", func(w *simulation, leader *simMachine) { w.restart(leader, time.Minute) }},
-		{"frozen", func(w *simulation, leader *simMachine) { w.pause(leader, time.Minute) }},
-		{"cut off", func(w *simulation, leader *simMachine) {
-			for _, other := range w.machines {
-				w.block(leader, other, time.Minute)
-				w.block(other, leader, time.Minute)
+		{"killed", func(sim *simulation, leader *simMachine) { sim.restart(leader, time.Minute) }},
+		{"frozen", func(sim *simulation, leader *simMachine) { sim.pause(leader, time.Minute) }},
+		{"cut off", func(sim *simulation, leader *simMachine) {
+			for _, other := range sim.machines {
+				sim.block(leader, other, time.Minute)
+				sim.block(other, leader, time.Minute)
 			}
 		}},
 	}
@@ -300,8 +302,8 @@
 					t.Parallel()
 					var pauses []time.Duration
 					for seed := uint64(1); seed <= scenarioSeeds; seed++ {
-						c := repairCase{machines: machines, losses: 1, delay: delay, sync: 5 * time.Millisecond}
-						pauses = append(pauses, measureFailover(t, seed, c, kind.to))
+						setup := repairCase{machines: machines, losses: 1, delay: delay, sync: 5 * time.Millisecond}
+						pauses = append(pauses, measureFailover(t, seed, setup, kind.to))
 					}
 					checkTimes(t, pauses, bound)
 				})
@@ -311,53 +313,53 @@
 }
 
 // measureFailover is the longest time without a change of the configuration in force after something befalls the leader.
-func measureFailover(t *testing.T, seed uint64, c repairCase, befalls func(w *simulation, leader *simMachine)) time.Duration {
+func measureFailover(t *testing.T, seed uint64, setup repairCase, befalls func(sim *simulation, leader *simMachine)) time.Duration {
 	t.Helper()
-	w := newRepairSimulation(seed, c)
-	leader := w.leader()
+	sim := newRepairSimulation(seed, setup)
+	leader := sim.leader()
 	if leader == nil {
 		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
 	}
-	for _, o := range w.operators {
-		o.avoid = leader.slot
+	for _, operator := range sim.operators {
+		operator.avoid = leader.slot
 	}
-	began := w.now
-	befalls(w, leader.slot)
-	w.runFor(8 * time.Second)
-	if w.failure != "" {
-		t.Fatal(w.failure)
+	began := sim.now
+	befalls(sim, leader.slot)
+	sim.runFor(8 * time.Second)
+	if sim.failure != "" {
+		t.Fatal(sim.failure)
 	}
 	last, longest := began, time.Duration(0)
-	for _, l := range w.oracle.versions {
-		if l.committedAt > began {
-			longest = max(longest, l.committedAt-last)
-			last = l.committedAt
+	for _, committed := range sim.oracle.versions {
+		if committed.committedAt > began {
+			longest = max(longest, committed.committedAt-last)
+			last = committed.committedAt
 		}
 	}
-	return max(longest, w.now-last)
+	return max(longest, sim.now-last)
 }
 
 // TestPermanentShutdowns has machines of five stop for good with nobody to take their votes, and another lose its disk
 // once the group had time to go on without them.
 func TestPermanentShutdowns(t *testing.T) {
-	c := repairCase{machines: 5, losses: 1, delay: 20 * time.Millisecond, sync: 5 * time.Millisecond}
+	setup := repairCase{machines: 5, losses: 1, delay: 20 * time.Millisecond, sync: 5 * time.Millisecond}
 	for seed := uint64(1); seed <= scenarioSeeds; seed++ {
-		w := newRepairSimulation(seed, c)
+		sim := newRepairSimulation(seed, setup)
 		for range 2 {
-			s := w.pickMachines(1)[0]
-			s.process.shutDown()
-			w.runFor(3 * time.Second)
-			s.replaced = true
+			machine := sim.pickMachines(1)[0]
+			machine.process.shutDown()
+			sim.runFor(3 * time.Second)
+			machine.replaced = true
 		}
-		w.runFor(testCatchUp)
-		if !w.toleratesAnyLoss(1) {
-			t.Fatalf("seed %d: two of five have left, and no loss is borne: %s", seed, w.failure)
+		sim.runFor(testCatchUp)
+		if !sim.toleratesAnyLoss(1) {
+			t.Fatalf("seed %d: two of five have left, and no loss is borne: %s", seed, sim.failure)
 		}
-		w.wipeDisks(w.pickMachines(1), time.Second)
-		before := len(w.oracle.versions)
-		w.runFor(8 * time.Second)
-		if w.failure != "" || len(w.oracle.versions) == before {
-			t.Fatalf("seed %d: nothing is agreed on any more: %s", seed, w.failure)
+		sim.wipeDisks(sim.pickMachines(1), time.Second)
+		before := len(sim.oracle.versions)
+		sim.runFor(8 * time.Second)
+		if sim.failure != "" || len(sim.oracle.versions) == before {
+			t.Fatalf("seed %d: nothing is agreed on any more: %s", seed, sim.failure)
 		}
 	}
 }
--- a/internal/system/replica/core_scenarios_test.go
+++ b/internal/system/replica/core_scenarios_test.go
@@ -14,37 +14,37 @@
 
 // measureUnavailability is the longest time without a change of the configuration in force after something happens, in a core of five
 // machines where operators change it all the time.
-func measureUnavailability(t *testing.T, seed uint64, happens func(w *simulation, leader *simMachine)) time.Duration {
+func measureUnavailability(t *testing.T, seed uint64, happens func(sim *simulation, leader *simMachine)) time.Duration {
 	t.Helper()
-	w := newSimulation(seed)
-	w.profile.Machines, w.profile.Operators, w.profile.Bandwidth, w.profile.PaddingBytes = 5, 3, 0, 0
-	w.profile.Delay, w.profile.SyncTime, w.profile.Loss = 5*time.Millisecond, 5*time.Millisecond, 0
-	w.profile.ThinkTime, w.faultsEnabled = 100*time.Millisecond, false
-	w.bootstrap()
-	for _, o := range w.operators {
-		o.unlimited = true
+	sim := newSimulation(seed)
+	sim.profile.Machines, sim.profile.Operators, sim.profile.Bandwidth, sim.profile.PaddingBytes = 5, 3, 0, 0
+	sim.profile.Delay, sim.profile.SyncTime, sim.profile.Loss = 5*time.Millisecond, 5*time.Millisecond, 0
+	sim.profile.ThinkTime, sim.faultsEnabled = 100*time.Millisecond, false
+	sim.bootstrap()
+	for _, operator := range sim.operators {
+		operator.unlimited = true
 	}
-	w.runFor(scenarioWarmup)
-	began, leader := w.now, w.leader()
+	sim.runFor(scenarioWarmup)
+	began, leader := sim.now, sim.leader()
 	if leader == nil {
 		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
 	}
-	for _, o := range w.operators {
-		o.avoid = leader.slot
+	for _, operator := range sim.operators {
+		operator.avoid = leader.slot
 	}
-	happens(w, leader.slot)
-	w.runFor(scenarioDuration)
-	if w.failure != "" {
-		t.Fatal(w.failure)
+	happens(sim, leader.slot)
+	sim.runFor(scenarioDuration)
+	if sim.failure != "" {
+		t.Fatal(sim.failure)
 	}
 	last, longest := began, time.Duration(0)
-	for _, l := range w.oracle.versions {
-		if l.committedAt > began {
-			longest = max(longest, l.committedAt-last)
-			last = l.committedAt
+	for _, committed := range sim.oracle.versions {
+		if committed.committedAt > began {
+			longest = max(longest, committed.committedAt-last)
+			last = committed.committedAt
 		}
 	}
-	return max(longest, w.now-last)
+	return max(longest, sim.now-last)
 }
 
 // TestUnavailabilityAfterLeaderFault: what befalls the machine that leads keeps the others from agreeing for a short time only.
@@ -52,37 +52,37 @@
 	tests := []struct {
 		name    string
 		most    time.Duration
-		happens func(w *simulation, leader *simMachine)
+		happens func(sim *simulation, leader *simMachine)
 	}{
 		{"nothing happens", 600 * time.Millisecond, func(*simulation, *simMachine) {}},
-		{"its disk is full", 600 * time.Millisecond, func(w *simulation, leader *simMachine) {
-			leader.disk.failsUntil = w.now + time.Minute
+		{"its disk is full", 600 * time.Millisecond, func(sim *simulation, leader *simMachine) {
+			leader.disk.failsUntil = sim.now + time.Minute
 		}},
-		{"its disk hangs", 2200 * time.Millisecond, func(w *simulation, leader *simMachine) {
-			leader.disk.stalledUntil = w.now + time.Minute
+		{"its disk hangs", 2200 * time.Millisecond, func(sim *simulation, leader *simMachine) {
+			leader.disk.stalledUntil = sim.now + time.Minute
 		}},
-		{"it is killed", 3 * time.Second, func(w *simulation, leader *simMachine) {
-			w.restart(leader, time.Minute)
+		{"it is killed", 3 * time.Second, func(sim *simulation, leader *simMachine) {
+			sim.restart(leader, time.Minute)
 		}},
-		{"it freezes", 3 * time.Second, func(w *simulation, leader *simMachine) {
-			w.pause(leader, time.Minute)
+		{"it freezes", 3 * time.Second, func(sim *simulation, leader *simMachine) {
+			sim.pause(leader, time.Minute)
 		}},
-		{"it loses its disk", 3 * time.Second, func(w *simulation, leader *simMachine) {
-			w.loseDisk(leader, time.Second)
+		{"it loses its disk", 3 * time.Second, func(sim *simulation, leader *simMachine) {
+			sim.loseDisk(leader, time.Second)
 		}},
-		{"it is not heard any more", 3 * time.Second, func(w *simulation, leader *simMachine) {
-			for _, other := range w.machines {
-				w.block(leader, other, time.Minute)
+		{"it is not heard any more", 3 * time.Second, func(sim *simulation, leader *simMachine) {
+			for _, other := range sim.machines {
+				sim.block(leader, other, time.Minute)
 			}
 		}},
-		{"it hears nothing any more", 3 * time.Second, func(w *simulation, leader *simMachine) {
-			for _, other := range w.machines {
-				w.block(other, leader, time.Minute)
+		{"it hears nothing any more", 3 * time.Second, func(sim *simulation, leader *simMachine) {
+			for _, other := range sim.machines {
+				sim.block(other, leader, time.Minute)
 			}
 		}},
-		{"all are killed at once", 4 * time.Second, func(w *simulation, _ *simMachine) {
-			for _, s := range w.machines {
-				w.restart(s, 500*time.Millisecond)
+		{"all are killed at once", 4 * time.Second, func(sim *simulation, _ *simMachine) {
+			for _, machine := range sim.machines {
+				sim.restart(machine, 500*time.Millisecond)
 			}
 		}},
 	}
--- a/internal/system/replica/core_storm_test.go
+++ b/internal/system/replica/core_storm_test.go
@@ -45,134 +45,134 @@
 	sentBytes     int           // bytes by then
 }
 
-func newWriteLoad(seed uint64, c *writeLoadCase) *writeLoad {
-	w := newSimulation(seed)
-	w.profile.Machines, w.profile.Operators, w.profile.Loss, w.profile.EntryWeight = c.machines, 0, 0, 0
-	w.profile.Bandwidth, w.profile.PaddingBytes = c.bandwidth, 0
-	w.profile.Delay = w.uniform(5*time.Millisecond, 40*time.Millisecond)
-	w.profile.SyncTime = w.uniform(time.Millisecond, 12*time.Millisecond)
-	w.faultsEnabled = false
-	s := &writeLoad{world: w, routeBytes: c.routeBytes}
-	w.bootstrap()
-	w.agents = nil
-	w.schedule(loadStart, s.proposeNext)
-	return s
+func newWriteLoad(seed uint64, test *writeLoadCase) *writeLoad {
+	sim := newSimulation(seed)
+	sim.profile.Machines, sim.profile.Operators, sim.profile.Loss, sim.profile.EntryWeight = test.machines, 0, 0, 0
+	sim.profile.Bandwidth, sim.profile.PaddingBytes = test.bandwidth, 0
+	sim.profile.Delay = sim.uniform(5*time.Millisecond, 40*time.Millisecond)
+	sim.profile.SyncTime = sim.uniform(time.Millisecond, 12*time.Millisecond)
+	sim.faultsEnabled = false
+	load := &writeLoad{world: sim, routeBytes: test.routeBytes}
+	sim.bootstrap()
+	sim.agents = nil
+	sim.schedule(loadStart, load.proposeNext)
+	return load
 }
 
 // proposeNext proposes the next change once the one before is in force, and that one again after a while.
-func (s *writeLoad) proposeNext() {
-	w := s.world
-	w.schedule(loadInterval, s.proposeNext)
-	s.checkCaughtUp()
-	p := w.leader()
-	if p == nil || p.state.Version() < s.proposedVersion && w.now-s.proposedAt < loadRetryAfter {
+func (load *writeLoad) proposeNext() {
+	sim := load.world
+	sim.schedule(loadInterval, load.proposeNext)
+	load.checkCaughtUp()
+	process := sim.leader()
+	if process == nil || process.state.Version() < load.proposedVersion && sim.now-load.proposedAt < loadRetryAfter {
 		return
 	}
-	if p.state.Version() >= s.proposedVersion {
+	if process.state.Version() >= load.proposedVersion {
 		routes := 1
-		if p.state.Version() == 0 {
+		if process.state.Version() == 0 {
 			routes = loadRoutes
 		}
-		s.proposedVersion, s.proposedCommand = p.state.Version()+1, s.command(p.state.Version(), routes)
+		load.proposedVersion, load.proposedCommand = process.state.Version()+1, load.command(process.state.Version(), routes)
 	}
-	s.proposedAt = w.now
-	p.execute(func() { p.group.propose(p.clock(), s.proposedCommand) })
+	load.proposedAt = sim.now
+	process.execute(func() { process.group.propose(process.clock(), load.proposedCommand) })
 }
 
-func (s *writeLoad) command(base uint64, routes int) []byte {
-	w := s.world
-	s.created++
-	r := simRequest{base: base, version: base + 1}
-	binary.BigEndian.PutUint64(r.digest[:], s.created)
-	c := state.CommitConfiguration{BasedOn: r.base, Version: r.version, Digest: r.digest,
-		Writes: []state.Write{{Key: ownerKey, Value: r.digest[:]}}}
+func (load *writeLoad) command(base uint64, routes int) []byte {
+	sim := load.world
+	load.created++
+	request := simRequest{base: base, version: base + 1}
+	binary.BigEndian.PutUint64(request.digest[:], load.created)
+	commit := state.CommitConfiguration{BasedOn: request.base, Version: request.version, Digest: request.digest,
+		Writes: []state.Write{{Key: ownerKey, Value: request.digest[:]}}}
 	for i := range routes {
-		value := make([]byte, s.routeBytes)
-		binary.BigEndian.PutUint64(value, s.created)
-		route := (int(s.created) + i) % loadRoutes
-		c.Writes = append(c.Writes, state.Write{Key: fmt.Sprintf("route/%03d", route), Value: value})
+		value := make([]byte, load.routeBytes)
+		binary.BigEndian.PutUint64(value, load.created)
+		route := (int(load.created) + i) % loadRoutes
+		commit.Writes = append(commit.Writes, state.Write{Key: fmt.Sprintf("route/%03d", route), Value: value})
 	}
-	command := c.Encode()
-	w.oracle.commands[string(command)] = r
+	command := commit.Encode()
+	sim.oracle.commands[string(command)] = request
 	return command
 }
 
 // checkCaughtUp notes when the watched machine holds all but the last changes.
-func (s *writeLoad) checkCaughtUp() {
-	w := s.world
-	if s.restarted == nil || s.restarted.process == nil || s.caughtUpAfter > 0 {
+func (load *writeLoad) checkCaughtUp() {
+	sim := load.world
+	if load.restarted == nil || load.restarted.process == nil || load.caughtUpAfter > 0 {
 		return
 	}
-	q := s.restarted.process
-	fresh := elapsedSince(q.group.node.Status().CaughtUpAt, q.clock()) < time.Second
-	if fresh && q.group.appliedIndex+maxPromotionLag >= w.oracle.appliedIndex {
-		s.caughtUpAfter = w.now - s.bootedAt
-		s.sentBytes = w.sentBytes - s.sentBytes
+	other := load.restarted.process
+	fresh := elapsedSince(other.group.node.Status().CaughtUpAt, other.clock()) < time.Second
+	if fresh && other.group.appliedIndex+maxPromotionLag >= sim.oracle.appliedIndex {
+		load.caughtUpAfter = sim.now - load.bootedAt
+		load.sentBytes = sim.sentBytes - load.sentBytes
 	}
 }
 
 // follower is a machine that follows, by the storm's drawing.
-func (s *writeLoad) follower() *simMachine {
-	w := s.world
+func (load *writeLoad) follower() *simMachine {
+	sim := load.world
 	for {
-		slot := w.randomMachine()
-		if p := w.leader(); p == nil || slot != p.slot {
+		slot := sim.randomMachine()
+		if process := sim.leader(); process == nil || slot != process.slot {
 			return slot
 		}
 	}
 }
 
 // restartAfter boots a machine after a while and watches it.
-func (s *writeLoad) restartAfter(slot *simMachine, down time.Duration) {
-	w := s.world
-	w.schedule(down, func() {
-		s.restarted, s.bootedAt, s.sentBytes = slot, w.now, w.sentBytes
-		w.boot(slot)
+func (load *writeLoad) restartAfter(slot *simMachine, down time.Duration) {
+	sim := load.world
+	sim.schedule(down, func() {
+		load.restarted, load.bootedAt, load.sentBytes = slot, sim.now, sim.sentBytes
+		sim.boot(slot)
 	})
 }
 
-func (s *writeLoad) wipe(slot *simMachine, down time.Duration) {
+func (load *writeLoad) wipe(slot *simMachine, down time.Duration) {
 	slot.process.kill()
 	slot.disk = &simDisk{}
-	s.restartAfter(slot, down)
+	load.restartAfter(slot, down)
 }
 
-func (s *writeLoad) powerCycle(slot *simMachine, down time.Duration) {
+func (load *writeLoad) powerCycle(slot *simMachine, down time.Duration) {
 	slot.process.kill()
-	s.restartAfter(slot, down)
+	load.restartAfter(slot, down)
 }
 
 // play returns how long the machine took to hold what the others had agreed on, and the bytes sent meanwhile.
-func (s *writeLoad) play(t *testing.T, c *writeLoadCase) {
+func (load *writeLoad) play(t *testing.T, test *writeLoadCase) {
 	t.Helper()
-	w := s.world
-	w.runFor(loadWarmup)
-	if w.failure == "" && w.leader() == nil {
-		w.fail("nobody leads")
+	sim := load.world
+	sim.runFor(loadWarmup)
+	if sim.failure == "" && sim.leader() == nil {
+		sim.fail("nobody leads")
 	}
-	if w.failure == "" {
-		c.happens(s)
-		w.runUntil(catchUpDeadline, func() bool { return s.caughtUpAfter > 0 })
+	if sim.failure == "" {
+		test.happens(load)
+		sim.runUntil(catchUpDeadline, func() bool { return load.caughtUpAfter > 0 })
 	}
-	if w.failure == "" && s.caughtUpAfter == 0 {
-		w.fail("a machine is not caught up %v after its start", w.now-s.bootedAt)
+	if sim.failure == "" && load.caughtUpAfter == 0 {
+		sim.fail("a machine is not caught up %v after its start", sim.now-load.bootedAt)
 	}
-	if w.failure != "" {
-		t.Errorf("%s\nreplay: go test ./internal/system/replica -run '%s' -core.seed %d", w.failure, t.Name(), w.seed)
+	if sim.failure != "" {
+		t.Errorf("%s\nreplay: go test ./internal/system/replica -run '%s' -core.seed %d", sim.failure, t.Name(), sim.seed)
 	}
 }
 
 // TestCatchUpUnderWriteLoad: a machine that comes back while the configuration changes ten times a second holds what the
 // others agreed on within catch_up_s, however large the configuration is and whatever happens to the sender.
 func TestCatchUpUnderWriteLoad(t *testing.T) {
-	wiped := func(s *writeLoad) { s.wipe(s.follower(), time.Second) }
-	away := func(s *writeLoad) { s.powerCycle(s.follower(), 9*time.Second) }
-	leaderLost := func(s *writeLoad) {
-		s.wipe(s.follower(), time.Second)
-		w := s.world
-		w.schedule(2500*time.Millisecond, func() {
-			if p := w.leader(); p != nil {
-				w.restart(p.slot, time.Minute)
+	wiped := func(load *writeLoad) { load.wipe(load.follower(), time.Second) }
+	away := func(load *writeLoad) { load.powerCycle(load.follower(), 9*time.Second) }
+	leaderLost := func(load *writeLoad) {
+		load.wipe(load.follower(), time.Second)
+		sim := load.world
+		sim.schedule(2500*time.Millisecond, func() {
+			if process := sim.leader(); process != nil {
+				sim.restart(process.slot, time.Minute)
 			}
 		})
 	}
@@ -185,8 +185,8 @@
 		{"wiped, then its sender is killed, 4 MB, 30 Mbit", 5, large, 30 * megabit, 6 * time.Second, leaderLost},
 	}
 	for i := range cases {
-		c := &cases[i]
-		t.Run(c.name, func(t *testing.T) {
+		test := &cases[i]
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			seeds := []uint64{*simSeed}
 			if *simSeed == 0 {
@@ -198,18 +198,18 @@
 			var times []time.Duration
 			var bytes []int
 			for _, seed := range seeds {
-				s := newWriteLoad(seed, c)
-				s.world.verbose = *simSeed != 0
-				s.play(t, c)
-				times, bytes = append(times, s.caughtUpAfter), append(bytes, s.sentBytes)
+				load := newWriteLoad(seed, test)
+				load.world.verbose = *simSeed != 0
+				load.play(t, test)
+				times, bytes = append(times, load.caughtUpAfter), append(bytes, load.sentBytes)
 			}
 			slices.Sort(times)
 			slices.Sort(bytes)
 			worst := times[len(times)-1]
 			t.Logf("caught up after %v at the median of %d runs, %v at worst; %.1f MB sent, %.1f at worst",
 				times[len(times)/2], len(times), worst, float64(bytes[len(bytes)/2])/(1<<20), float64(bytes[len(bytes)-1])/(1<<20))
-			if worst > c.limit {
-				t.Errorf("%v at worst; at most %v", worst, c.limit)
+			if worst > test.limit {
+				t.Errorf("%v at worst; at most %v", worst, test.limit)
 			}
 		})
 	}
@@ -217,19 +217,19 @@
 
 // TestSlowLinkDetectsInjectedFaults takes the ways out by which large messages get over thin links, one at a time.
 func TestSlowLinkDetectsInjectedFaults(t *testing.T) {
-	plants := map[string]func(w *simulation){
-		"a message has to be out within the write time-out": func(w *simulation) { w.injected.deadlinePerMessage = true },
-		"heartbeats wait behind entries":                    func(w *simulation) { w.injected.singleConnection = true },
+	plants := map[string]func(sim *simulation){
+		"a message has to be out within the write time-out": func(sim *simulation) { sim.injected.deadlinePerMessage = true },
+		"heartbeats wait behind entries":                    func(sim *simulation) { sim.injected.singleConnection = true },
 	}
-	c := &writeLoadCase{machines: 5, routeBytes: 8 << 10, bandwidth: 10 * megabit}
+	test := &writeLoadCase{machines: 5, routeBytes: 8 << 10, bandwidth: 10 * megabit}
 	for name, plant := range plants {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newWriteLoad(1, c)
-			plant(s.world)
-			s.world.runFor(loadWarmup)
-			t.Logf("version %d is in force", s.world.oracle.versionAt(s.world.oracle.appliedIndex))
-			if s.world.oracle.appliedIndex > 0 && s.world.oracle.versionAt(s.world.oracle.appliedIndex) > 0 {
+			load := newWriteLoad(1, test)
+			plant(load.world)
+			load.world.runFor(loadWarmup)
+			t.Logf("version %d is in force", load.world.oracle.versionAt(load.world.oracle.appliedIndex))
+			if load.world.oracle.appliedIndex > 0 && load.world.oracle.versionAt(load.world.oracle.appliedIndex) > 0 {
 				t.Error("not found: a configuration of 4 MB is in force")
 			}
 		})
--- a/internal/system/replica/core_test.go
+++ b/internal/system/replica/core_test.go
@@ -42,31 +42,31 @@
 }
 
 func runSimulation(t *testing.T, seed uint64, verbose bool) *simulation {
-	w := newSimulation(seed)
-	w.verbose = verbose
-	w.runSeed()
-	if w.failure != "" {
-		t.Errorf("%s\nreplay: go test ./internal/system/replica -run TestControlCore -core.seed %d -v", w.failure, seed)
+	sim := newSimulation(seed)
+	sim.verbose = verbose
+	sim.runSeed()
+	if sim.failure != "" {
+		t.Errorf("%s\nreplay: go test ./internal/system/replica -run TestControlCore -core.seed %d -v", sim.failure, seed)
 	}
 	if verbose {
-		t.Log(&w.stats)
+		t.Log(&sim.stats)
 	}
-	return w
+	return sim
 }
 
 // runSeed runs a world from its founding to its end.
-func (w *simulation) runSeed() {
+func (sim *simulation) runSeed() {
 	defer func() {
-		if r := recover(); r != nil && w.failure == "" {
-			w.fail("panic: %v", r)
-			panic(w.failure)
+		if r := recover(); r != nil && sim.failure == "" {
+			sim.fail("panic: %v", r)
+			panic(sim.failure)
 		}
 	}()
-	w.bootstrap()
-	w.runFor(faultPhase)
-	w.endFaults()
-	w.runUntil(recoveryPhase, w.converged)
-	w.checkEnd()
+	sim.bootstrap()
+	sim.runFor(faultPhase)
+	sim.endFaults()
+	sim.runUntil(recoveryPhase, sim.converged)
+	sim.checkEnd()
 }
 
 // TestSimulationIsDeterministic: a seed that failed replays.
@@ -81,24 +81,24 @@
 
 // TestSimulationDetectsInjectedFaults takes one safeguard out at a time, which has to be found.
 func TestSimulationDetectsInjectedFaults(t *testing.T) {
-	plants := map[string]func(w *simulation){
-		"messages before their writes":     func(w *simulation) { w.injected.sendsBeforeSync = true },
-		"a wiped disk keeps its identity":  func(w *simulation) { w.injected.reusesIdentity = true },
-		"requests that come again are new": func(w *simulation) { w.injected.changesDigests = true },
-		"reads without a barrier":          func(w *simulation) { w.injected.skipsBarrier = true },
-		"a stalled disk keeps leading":     func(w *simulation) { w.injected.leadsWhileStalled = true },
-		"late evacuations are carried out": func(w *simulation) { w.injected.acceptsLateOrders = true },
-		"orders without effect are free":   func(w *simulation) { w.injected.skipsNoopOrders = true },
+	plants := map[string]func(sim *simulation){
+		"messages before their writes":     func(sim *simulation) { sim.injected.sendsBeforeSync = true },
+		"a wiped disk keeps its identity":  func(sim *simulation) { sim.injected.reusesIdentity = true },
+		"requests that come again are new": func(sim *simulation) { sim.injected.changesDigests = true },
+		"reads without a barrier":          func(sim *simulation) { sim.injected.skipsBarrier = true },
+		"a stalled disk keeps leading":     func(sim *simulation) { sim.injected.leadsWhileStalled = true },
+		"late evacuations are carried out": func(sim *simulation) { sim.injected.acceptsLateOrders = true },
+		"orders without effect are free":   func(sim *simulation) { sim.injected.skipsNoopOrders = true },
 	}
 	for name, plant := range plants {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= 200; seed++ {
-				w := newSimulation(seed)
-				plant(w)
-				w.runSeed()
-				if w.failure != "" {
-					t.Log(w.failure)
+				sim := newSimulation(seed)
+				plant(sim)
+				sim.runSeed()
+				if sim.failure != "" {
+					t.Log(sim.failure)
 					return
 				}
 			}
--- a/internal/system/replica/core_world_test.go
+++ b/internal/system/replica/core_world_test.go
@@ -87,123 +87,125 @@
 }
 
 func newSimulation(seed uint64) *simulation {
-	w := &simulation{seed: seed, random: rand.New(rand.NewPCG(seed, 11)), faultsEnabled: true,
+	sim := &simulation{seed: seed, random: rand.New(rand.NewPCG(seed, 11)), faultsEnabled: true,
 		byAddress: map[netip.AddrPort]*simMachine{}, blockedLinks: map[[2]int]int{}, lastArrival: map[[2]int]time.Duration{}}
-	w.oracle = newOracle()
-	w.profile = simProfile{
-		Machines:      []int{1, 2, 3, 3, 3, 4, 5, 5, 5, 6}[w.random.IntN(10)],
-		Delay:         w.logUniform(time.Millisecond, 80*time.Millisecond),
-		SyncTime:      w.logUniform(200*time.Microsecond, 30*time.Millisecond),
-		FaultInterval: w.logUniform(300*time.Millisecond, 5*time.Second),
-		FaultDuration: w.logUniform(300*time.Millisecond, 6*time.Second),
-		ThinkTime:     w.logUniform(100*time.Millisecond, 2*time.Second),
-		Operators:     2 + w.random.IntN(3),
-		EntryWeight:   minSnapshotLogBytes / (2 + w.random.IntN(30)),
+	sim.oracle = newOracle()
+	sim.profile = simProfile{
+		Machines:      []int{1, 2, 3, 3, 3, 4, 5, 5, 5, 6}[sim.random.IntN(10)],
+		Delay:         sim.logUniform(time.Millisecond, 80*time.Millisecond),
+		SyncTime:      sim.logUniform(200*time.Microsecond, 30*time.Millisecond),
+		FaultInterval: sim.logUniform(300*time.Millisecond, 5*time.Second),
+		FaultDuration: sim.logUniform(300*time.Millisecond, 6*time.Second),
+		ThinkTime:     sim.logUniform(100*time.Millisecond, 2*time.Second),
+		Operators:     2 + sim.random.IntN(3),
+		EntryWeight:   minSnapshotLogBytes / (2 + sim.random.IntN(30)),
 	}
-	if w.chance(0.5) {
-		w.profile.Loss = 0.1 * w.random.Float64()
+	if sim.chance(0.5) {
+		sim.profile.Loss = 0.1 * sim.random.Float64()
 	}
 	if seed%thinLinkSeeds == 0 {
-		w.profile.Bandwidth, w.profile.PaddingBytes = thinLink*megabit, bulkThresholdBytes
+		sim.profile.Bandwidth, sim.profile.PaddingBytes = thinLink*megabit, bulkThresholdBytes
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) chance(p float64) bool { return w.random.Float64() < p }
+func (sim *simulation) chance(p float64) bool { return sim.random.Float64() < p }
 
-func (w *simulation) uniform(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.random.Int64N(int64(most-least)+1))
+func (sim *simulation) uniform(least, most time.Duration) time.Duration {
+	return least + time.Duration(sim.random.Int64N(int64(most-least)+1))
 }
 
 // logUniform draws a time whose order of magnitude may be any within a range.
-func (w *simulation) logUniform(least, most time.Duration) time.Duration {
-	return time.Duration(float64(least) * math.Pow(float64(most)/float64(least), w.random.Float64()))
+func (sim *simulation) logUniform(least, most time.Duration) time.Duration {
+	return time.Duration(float64(least) * math.Pow(float64(most)/float64(least), sim.random.Float64()))
 }
 
-func (w *simulation) logf(format string, args ...any) {
-	if w.verbose {
-		fmt.Printf("%10.4f "+format+"\n", append([]any{w.now.Seconds()}, args...)...)
+func (sim *simulation) logf(format string, args ...any) {
+	if sim.verbose {
+		fmt.Printf("%10.4f "+format+"\n", append([]any{sim.now.Seconds()}, args...)...)
 	}
 }
 
-func (w *simulation) fail(format string, args ...any) {
-	if w.failure == "" {
-		w.failure = fmt.Sprintf("seed %d, at %v: ", w.seed, w.now) + fmt.Sprintf(format, args...)
-		w.logf("FAILED %s", w.failure)
+func (sim *simulation) fail(format string, args ...any) {
+	if sim.failure == "" {
+		sim.failure = fmt.Sprintf("seed %d, at %v: ", sim.seed, sim.now) + fmt.Sprintf(format, args...)
+		sim.logf("FAILED %s", sim.failure)
 	}
 }
 
-func (w *simulation) schedule(d time.Duration, do func()) { w.events.At(float64(w.now+max(d, 0)), do) }
+func (sim *simulation) schedule(d time.Duration, do func()) {
+	sim.events.At(float64(sim.now+max(d, 0)), do)
+}
 
-func (w *simulation) runFor(d time.Duration) { w.runUntil(d, func() bool { return false }) }
+func (sim *simulation) runFor(d time.Duration) { sim.runUntil(d, func() bool { return false }) }
 
 // runUntil plays until something holds, looked at each half second, or a time from now has passed.
-func (w *simulation) runUntil(d time.Duration, holds func() bool) {
-	end, look := w.now+d, w.now+500*time.Millisecond
-	for w.failure == "" {
-		at, do, is := w.events.Next(float64(end))
+func (sim *simulation) runUntil(d time.Duration, holds func() bool) {
+	end, look := sim.now+d, sim.now+500*time.Millisecond
+	for sim.failure == "" {
+		at, do, is := sim.events.Next(float64(end))
 		if !is {
 			break
 		}
-		w.now = time.Duration(at)
-		w.stats.counters.steps++
+		sim.now = time.Duration(at)
+		sim.stats.counters.steps++
 		do()
-		if w.now >= look {
-			look = w.now + 500*time.Millisecond
+		if sim.now >= look {
+			look = sim.now + 500*time.Millisecond
 			if holds() {
 				return
 			}
 		}
 	}
-	w.now = end
+	sim.now = end
 }
 
 // bootstrap starts the machines of a system for the first time, in any order.
-func (w *simulation) bootstrap() {
-	for range w.profile.Machines {
-		w.addMachine(true)
+func (sim *simulation) bootstrap() {
+	for range sim.profile.Machines {
+		sim.addMachine(true)
 	}
-	for _, s := range w.machines {
-		if len(w.seeds) < 3 {
-			w.seeds = append(w.seeds, netip.AddrPortFrom(s.settings.IP, 1))
+	for _, machine := range sim.machines {
+		if len(sim.seeds) < 3 {
+			sim.seeds = append(sim.seeds, netip.AddrPortFrom(machine.settings.IP, 1))
 		}
 	}
-	for _, s := range w.machines {
-		s.settings.SeedNodes = w.seeds
-		start := w.uniform(0, 2*time.Second)
-		if w.chance(0.1) {
+	for _, machine := range sim.machines {
+		machine.settings.SeedNodes = sim.seeds
+		start := sim.uniform(0, 2*time.Second)
+		if sim.chance(0.1) {
 			start += 8 * time.Second
 		}
-		w.schedule(start, func() { w.boot(s) })
+		sim.schedule(start, func() { sim.boot(machine) })
 	}
-	for i := range w.profile.Operators {
-		w.addOperator(i)
+	for i := range sim.profile.Operators {
+		sim.addOperator(i)
 	}
 	for _, zone := range []string{"a", "b"} {
-		w.addEvacuationOperator(zone)
+		sim.addEvacuationOperator(zone)
 	}
 	for range 2 {
-		w.addAgent()
+		sim.addAgent()
 	}
-	w.schedule(3*time.Second, w.injectFault)
+	sim.schedule(3*time.Second, sim.injectFault)
 }
 
-func (w *simulation) addMachine(first bool) *simMachine {
-	n := len(w.machines)
-	s := &simMachine{number: n, disk: &simDisk{}, clockOffset: w.uniform(0, time.Hour), clockRate: 0.98 + 0.04*w.random.Float64()}
-	s.settings = processconfig.Settings{Node: fmt.Sprintf("core-%d", n), IP: netip.AddrFrom4([4]byte{10, 0, 0, byte(n + 1)}),
-		Zone: fmt.Sprintf("zone-%d", n%3), FreePorts: processconfig.PortRange{First: 9000, Last: 9015}, SeedNodes: w.seeds,
-		FirstBoot: first, SurvivableLosses: processconfig.SurvivableLosses{Machines: max(w.toleratedLosses, 1), Zones: 1},
+func (sim *simulation) addMachine(first bool) *simMachine {
+	n := len(sim.machines)
+	machine := &simMachine{number: n, disk: &simDisk{}, clockOffset: sim.uniform(0, time.Hour), clockRate: 0.98 + 0.04*sim.random.Float64()}
+	machine.settings = processconfig.Settings{Node: fmt.Sprintf("core-%d", n), IP: netip.AddrFrom4([4]byte{10, 0, 0, byte(n + 1)}),
+		Zone: fmt.Sprintf("zone-%d", n%3), FreePorts: processconfig.PortRange{First: 9000, Last: 9015}, SeedNodes: sim.seeds,
+		FirstBoot: first, SurvivableLosses: processconfig.SurvivableLosses{Machines: max(sim.toleratedLosses, 1), Zones: 1},
 		Timing: processconfig.Timing{CatchUp: testCatchUp}}
-	w.machines = append(w.machines, s)
-	w.byAddress[s.address()] = s
-	return s
+	sim.machines = append(sim.machines, machine)
+	sim.byAddress[machine.address()] = machine
+	return machine
 }
 
 // addReplacement adds a machine that takes another one's place.
-func (w *simulation) addReplacement(of *simMachine) *simMachine {
-	next := w.addMachine(false)
-	next.settings.Zone = of.settings.Zone
+func (sim *simulation) addReplacement(machine *simMachine) *simMachine {
+	next := sim.addMachine(false)
+	next.settings.Zone = machine.settings.Zone
 	return next
 }
 
@@ -213,49 +215,49 @@
 func (s *simMachine) id() consensus.ReplicaID { return s.disk.id }
 
 // activeMachines are the machines that have not been replaced.
-func (w *simulation) activeMachines() (slots []*simMachine) {
-	for _, s := range w.machines {
-		if !s.replaced {
-			slots = append(slots, s)
+func (sim *simulation) activeMachines() (slots []*simMachine) {
+	for _, machine := range sim.machines {
+		if !machine.replaced {
+			slots = append(slots, machine)
 		}
 	}
 	return slots
 }
 
-func (w *simulation) randomMachine() *simMachine {
-	slots := w.activeMachines()
-	return slots[w.random.IntN(len(slots))]
+func (sim *simulation) randomMachine() *simMachine {
+	slots := sim.activeMachines()
+	return slots[sim.random.IntN(len(slots))]
 }
 
 // processes are those that have not ended.
-func (w *simulation) processes() (all []*simProcess) {
-	for _, s := range w.machines {
-		if s.process != nil {
-			all = append(all, s.process)
+func (sim *simulation) processes() (all []*simProcess) {
+	for _, machine := range sim.machines {
+		if machine.process != nil {
+			all = append(all, machine.process)
 		}
 	}
 	return all
 }
 
 // leader is a replica that leads, as far as it knows, and is not frozen; nil: there is none.
-func (w *simulation) leader() *simProcess {
-	for _, p := range w.processes() {
-		if !p.paused && p.group.node.Role() == consensus.Leader {
-			return p
+func (sim *simulation) leader() *simProcess {
+	for _, process := range sim.processes() {
+		if !process.paused && process.group.node.Role() == consensus.Leader {
+			return process
 		}
 	}
 	return nil
 }
 
 // delay is how long something takes from one machine to another.
-func (w *simulation) delay(from, to *simMachine) time.Duration {
+func (sim *simulation) delay(from, to *simMachine) time.Duration {
 	switch {
-	case w.profile.RegionalDelay == 0:
-		return w.uniform(w.profile.Delay/4, w.profile.Delay)
+	case sim.profile.RegionalDelay == 0:
+		return sim.uniform(sim.profile.Delay/4, sim.profile.Delay)
 	case from.region() == to.region():
-		return w.uniform(w.profile.RegionalDelay/2, w.profile.RegionalDelay)
+		return sim.uniform(sim.profile.RegionalDelay/2, sim.profile.RegionalDelay)
 	default:
-		return w.uniform(w.profile.Delay*9/10, w.profile.Delay)
+		return sim.uniform(sim.profile.Delay*9/10, sim.profile.Delay)
 	}
 }
 
@@ -264,19 +266,19 @@
 
 // transmit takes something from one machine to another over a connection, in order, or loses it. What arrives runs in the
 // process that is there then.
-func (w *simulation) transmit(from, to *simMachine, ordered bool, arrive func(p *simProcess)) {
-	if w.faultsEnabled && w.chance(w.profile.Loss) {
+func (sim *simulation) transmit(from, to *simMachine, ordered bool, arrive func(p *simProcess)) {
+	if sim.faultsEnabled && sim.chance(sim.profile.Loss) {
 		return
 	}
-	delay := w.delay(from, to)
+	delay := sim.delay(from, to)
 	if ordered {
 		way := [2]int{from.number, to.number}
-		w.lastArrival[way] = max(w.lastArrival[way], w.now+delay)
-		delay = w.lastArrival[way] - w.now
+		sim.lastArrival[way] = max(sim.lastArrival[way], sim.now+delay)
+		delay = sim.lastArrival[way] - sim.now
 	}
 	process := to.process
-	w.schedule(delay, func() {
-		if w.blockedLinks[[2]int{from.number, to.number}] > 0 || to.process == nil || to.process != process {
+	sim.schedule(delay, func() {
+		if sim.blockedLinks[[2]int{from.number, to.number}] > 0 || to.process == nil || to.process != process {
 			return
 		}
 		process.execute(func() { arrive(process) })
--- a/internal/system/replica/core_zones_test.go
+++ b/internal/system/replica/core_zones_test.go
@@ -33,32 +33,32 @@
 	invoked, returned time.Duration
 }
 
-func (w *simulation) addEvacuationOperator(zone string) {
-	o := &evacuationOperator{world: w, zone: zone}
-	w.evacuationOperators = append(w.evacuationOperators, o)
-	w.schedule(w.uniform(time.Second, 3*time.Second), o.startOrder)
-	w.schedule(w.uniform(time.Second, 3*time.Second), o.startRead)
+func (sim *simulation) addEvacuationOperator(zone string) {
+	operator := &evacuationOperator{world: sim, zone: zone}
+	sim.evacuationOperators = append(sim.evacuationOperators, operator)
+	sim.schedule(sim.uniform(time.Second, 3*time.Second), operator.startOrder)
+	sim.schedule(sim.uniform(time.Second, 3*time.Second), operator.startRead)
 }
 
 // recordEvacuation sees that nobody but its operator changes what was acknowledged.
-func (w *simulation) recordEvacuation(r *simRequest) {
-	for _, o := range w.evacuationOperators {
-		if o.zone != r.zone {
+func (sim *simulation) recordEvacuation(request *simRequest) {
+	for _, operator := range sim.evacuationOperators {
+		if operator.zone != request.zone {
 			continue
 		}
-		o.evacuated = r.evacuated
-		w.logf("zone %s is evacuated: %t", o.zone, o.evacuated)
-		if o.order.acknowledged && o.order.request.evacuated != o.evacuated {
-			w.fail("evacuation of %s to %t was acknowledged, and is undone", o.zone, o.order.request.evacuated)
+		operator.evacuated = request.evacuated
+		sim.logf("zone %s is evacuated: %t", operator.zone, operator.evacuated)
+		if operator.order.acknowledged && operator.order.request.evacuated != operator.evacuated {
+			sim.fail("evacuation of %s to %t was acknowledged, and is undone", operator.zone, operator.order.request.evacuated)
 		}
 	}
 }
 
 // startOrder orders the contrary of the last order, or at times the same again.
 func (o *evacuationOperator) startOrder() {
-	w := o.world
+	sim := o.world
 	on := o.order == nil || !o.order.request.evacuated
-	if w.chance(0.2) {
+	if sim.chance(0.2) {
 		on = !on
 	}
 	if o.order != nil {
@@ -67,7 +67,7 @@
 	order := &evacuationOrder{request: simRequest{zone: o.zone, evacuated: on, abandoned: new(bool)}}
 	o.order = order
 	o.send(order)
-	w.schedule(w.uniform(500*time.Millisecond, 5*time.Second), func() {
+	sim.schedule(sim.uniform(500*time.Millisecond, 5*time.Second), func() {
 		if o.order == order && !order.acknowledged && !o.finishing {
 			o.startOrder()
 		}
@@ -76,65 +76,65 @@
 
 // send sends the order, and again until it is acknowledged.
 func (o *evacuationOperator) send(order *evacuationOrder) {
-	w := o.world
+	sim := o.world
 	if o.order != order || order.acknowledged {
 		return
 	}
-	for range 1 + w.random.IntN(4)/3 {
-		op := &evacuationRecord{order: order, invoked: w.now}
-		o.request(op, &order.request, func(a simResponse) {
-			if a.kind == responseAccepted && o.order == order && !order.acknowledged {
+	for range 1 + sim.random.IntN(4)/3 {
+		record := &evacuationRecord{order: order, invoked: sim.now}
+		o.request(record, &order.request, func(response simResponse) {
+			if response.kind == responseAccepted && o.order == order && !order.acknowledged {
 				o.handleAcknowledged(order)
 			}
 		})
 	}
-	w.schedule(w.uniform(200*time.Millisecond, time.Second), func() { o.send(order) })
+	sim.schedule(sim.uniform(200*time.Millisecond, time.Second), func() { o.send(order) })
 }
 
 // handleAcknowledged notes an acknowledgement.
 func (o *evacuationOperator) handleAcknowledged(order *evacuationOrder) {
-	w := o.world
+	sim := o.world
 	order.acknowledged = true
 	*order.request.abandoned = true
 	o.acknowledged++
-	w.stats.counters.evacuations++
+	sim.stats.counters.evacuations++
 	if o.evacuated != order.request.evacuated {
-		w.fail("evacuation of %s to %t is acknowledged, and is not so", o.zone, order.request.evacuated)
+		sim.fail("evacuation of %s to %t is acknowledged, and is not so", o.zone, order.request.evacuated)
 	}
 	if !o.finishing {
-		w.schedule(w.uniform(0, 2*w.profile.ThinkTime), o.startOrder)
+		sim.schedule(sim.uniform(0, 2*sim.profile.ThinkTime), o.startOrder)
 	}
 }
 
 // startRead reads whether the zone is evacuated.
 func (o *evacuationOperator) startRead() {
-	w := o.world
-	w.schedule(w.uniform(w.profile.ThinkTime/2, 2*w.profile.ThinkTime), o.startRead)
-	op := &evacuationRecord{invoked: w.now}
-	o.request(op, &simRequest{read: true, zone: o.zone}, func(simResponse) {})
+	sim := o.world
+	sim.schedule(sim.uniform(sim.profile.ThinkTime/2, 2*sim.profile.ThinkTime), o.startRead)
+	record := &evacuationRecord{invoked: sim.now}
+	o.request(record, &simRequest{read: true, zone: o.zone}, func(simResponse) {})
 }
 
 // request sends a request to any machine and notes the answer, if one comes in time.
-func (o *evacuationOperator) request(op *evacuationRecord, r *simRequest, told func(simResponse)) {
-	w := o.world
-	o.history = append(o.history, op)
-	given := w.now + operatorTimeout
-	p := w.randomMachine().process
-	if p == nil {
+func (o *evacuationOperator) request(record *evacuationRecord, request *simRequest, told func(simResponse)) {
+	sim := o.world
+	o.history = append(o.history, record)
+	given := sim.now + operatorTimeout
+	process := sim.randomMachine().process
+	if process == nil {
 		return
 	}
-	w.schedule(time.Millisecond, func() {
-		p.execute(func() {
-			if r.read && w.now > given {
+	sim.schedule(time.Millisecond, func() {
+		process.execute(func() {
+			if request.read && sim.now > given {
 				return
 			}
-			p.handleRequest(r, func(a simResponse) {
-				w.schedule(time.Millisecond, func() {
-					if w.now > given || a.kind == responseUnknown || op.answered {
+			process.handleRequest(request, func(response simResponse) {
+				sim.schedule(time.Millisecond, func() {
+					if sim.now > given || response.kind == responseUnknown || record.answered {
 						return
 					}
-					op.answered, op.evacuated, op.returned = true, a.evacuated, w.now
-					told(a)
+					record.answered, record.evacuated, record.returned = true, response.evacuated, sim.now
+					told(response)
 				})
 			})
 		})
@@ -146,8 +146,8 @@
 	if o.order == nil || !o.order.acknowledged {
 		return "the operator of zone " + o.zone + " does not know what became of its order"
 	}
-	for _, s := range o.world.activeMachines() {
-		if s.process.state.Evacuation(o.zone).On != o.evacuated {
+	for _, machine := range o.world.activeMachines() {
+		if machine.process.state.Evacuation(o.zone).On != o.evacuated {
 			return "a machine does not know of zone " + o.zone
 		}
 	}
@@ -176,16 +176,16 @@
 func (o *evacuationOperator) checkHistory() {
 	var operations []porcupine.Operation
 	seen := map[*evacuationOrder]bool{}
-	for i, op := range o.history {
-		until := op.returned
+	for i, record := range o.history {
+		until := record.returned
 		switch {
-		case op.order == nil && !op.answered, seen[op.order]:
+		case record.order == nil && !record.answered, seen[record.order]:
 			continue
-		case op.order != nil:
-			seen[op.order] = true
+		case record.order != nil:
+			seen[record.order] = true
 			until = o.acknowledgedAfter(i)
 		}
-		operations = append(operations, porcupine.Operation{Input: op, Call: int64(op.invoked), Return: int64(until)})
+		operations = append(operations, porcupine.Operation{Input: record, Call: int64(record.invoked), Return: int64(until)})
 	}
 	switch porcupine.CheckOperationsTimeout(evacuationModel.ToModel(), operations, linearizabilityTimeout) {
 	case porcupine.Illegal:
@@ -198,9 +198,9 @@
 // acknowledgedAfter is when the order of an operation, or a later one, was first acknowledged.
 func (o *evacuationOperator) acknowledgedAfter(i int) time.Duration {
 	at := time.Duration(math.MaxInt64)
-	for _, op := range o.history[i:] {
-		if op.order != nil && op.answered {
-			at = min(at, op.returned)
+	for _, record := range o.history[i:] {
+		if record.order != nil && record.answered {
+			at = min(at, record.returned)
 		}
 	}
 	return at
--- a/internal/system/replica/disk.go
+++ b/internal/system/replica/disk.go
@@ -65,11 +65,11 @@
 
 // openStorage opens a state folder. A *storage.CorruptError comes with an empty store.
 func openStorage(folder string) (store, error) {
-	s, err := storage.Open(folder)
-	if s == nil {
+	opened, err := storage.Open(folder)
+	if opened == nil {
 		return nil, err
 	}
-	return s, err
+	return opened, err
 }
 
 func newDiskWriter(folder string) *diskWriter {
@@ -159,10 +159,10 @@
 
 // runDiskWriter owns the store: it opens it, starts the replicas and carries jobs out until the host stops.
 func (h *Host) runDiskWriter() {
-	d := h.disk
+	disk := h.disk
 	defer func() {
-		if d.store != nil {
-			d.store.Close()
+		if disk.store != nil {
+			disk.store.Close()
 		}
 	}()
 	if !h.openWithRetry() {
@@ -170,9 +170,9 @@
 	}
 	for {
 		select {
-		case <-d.wake:
+		case <-disk.wake:
 			h.writeQueued()
-		case <-d.stopped:
+		case <-disk.stopped:
 			h.writeQueued()
 			return
 		}
@@ -181,12 +181,12 @@
 
 // writeQueued writes the jobs that wait and lets the machines know.
 func (h *Host) writeQueued() {
-	d := h.disk
-	d.mutex.Lock()
-	jobs := d.queue
-	d.queue = nil
-	d.mutex.Unlock()
-	if len(jobs) == 0 || d.corrupt {
+	disk := h.disk
+	disk.mutex.Lock()
+	jobs := disk.queue
+	disk.queue = nil
+	disk.mutex.Unlock()
+	if len(jobs) == 0 || disk.corrupt {
 		return
 	}
 	writes := durableWrites(jobs)
@@ -208,24 +208,24 @@
 
 // writeWithRetry tries until the writes are on the disk; false: the host stops before.
 func (h *Host) writeWithRetry(writes []storage.Update) bool {
-	d := h.disk
-	if d.store == nil {
+	disk := h.disk
+	if disk.store == nil {
 		return true
 	}
 	began := max(h.now(), 1)
-	d.recordAttempt(began, nil)
+	disk.recordAttempt(began, nil)
 	pause := minDiskBackoff
 	for {
-		err := d.store.Write(writes...)
+		err := disk.store.Write(writes...)
 		if err == nil {
-			d.recordAttempt(0, nil)
+			disk.recordAttempt(0, nil)
 			return true
 		}
-		d.recordAttempt(began, err)
+		disk.recordAttempt(began, err)
 		var corrupt *storage.CorruptError
 		if errors.As(err, &corrupt) {
 			h.failFromDiskWriter(err)
-			d.corrupt = true
+			disk.corrupt = true
 			return false
 		}
 		h.wakeLoop()
--- a/internal/system/replica/disk_test.go
+++ b/internal/system/replica/disk_test.go
@@ -60,13 +60,13 @@
 }
 
 func newFaultyDiskCluster(t *testing.T) *testCluster {
-	c := newTestCluster(t, 3, 3)
-	for _, m := range c.machines {
+	cluster := newTestCluster(t, 3, 3)
+	for _, m := range cluster.machines {
 		m.disk = &faultyDisk{}
 	}
-	c.startAll()
-	c.waitForMembership(3)
-	return c
+	cluster.startAll()
+	cluster.waitForMembership(3)
+	return cluster
 }
 
 // waitForOtherLeader waits until another machine than the one given leads the partition.
@@ -81,16 +81,16 @@
 }
 
 func TestStalledDiskReleasesLeadership(t *testing.T) {
-	c := newFaultyDiskCluster(t)
-	stalled := c.leader(0)
+	cluster := newFaultyDiskCluster(t)
+	stalled := cluster.leader(0)
 	stall := make(chan struct{})
 	release := sync.OnceFunc(func() { close(stall) })
 	t.Cleanup(release)
 	stalled.disk.set(nil, stall)
 	go stalled.host.Propose(context.Background(), 0, []byte("a"))
-	c.waitForOtherLeader(stalled)
+	cluster.waitForOtherLeader(stalled)
 	stalled.propose(0, "through another")
-	for _, m := range c.machines {
+	for _, m := range cluster.machines {
 		if m != stalled {
 			m.waitForCommand(0, "through another")
 		}
@@ -112,28 +112,28 @@
 		return nil
 	})
 	stalled.propose(0, "after")
-	for _, m := range c.machines {
+	for _, m := range cluster.machines {
 		m.waitForCommand(0, "after")
 	}
 }
 
 func TestFullDiskReleasesLeadership(t *testing.T) {
-	c := newFaultyDiskCluster(t)
-	full := c.leader(0)
+	cluster := newFaultyDiskCluster(t)
+	full := cluster.leader(0)
 	full.disk.set(&storage.DiskError{Operation: "write", Full: true}, nil)
 	go full.host.Propose(context.Background(), 0, []byte("a"))
-	c.waitForOtherLeader(full)
+	cluster.waitForOtherLeader(full)
 	full.propose(0, "through another")
 	full.disk.set(nil, nil)
 	full.wait("it leads again", func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		for _, m := range c.machines {
-			if m != full {
-				m.host.mutex.Lock()
-				m.host.groups[0].node.TransferLeadership(m.host.now(), full.host.self.ID)
-				m.host.processReady()
-				m.host.mutex.Unlock()
+		for _, machine := range cluster.machines {
+			if machine != full {
+				machine.host.mutex.Lock()
+				machine.host.groups[0].node.TransferLeadership(machine.host.now(), full.host.self.ID)
+				machine.host.processReady()
+				machine.host.mutex.Unlock()
 			}
 		}
 		if err := full.host.Barrier(ctx, 0); err != nil {
@@ -145,52 +145,52 @@
 		return nil
 	})
 	full.propose(0, "after")
-	for _, m := range c.machines {
-		m.waitForCommand(0, "after")
+	for _, machine := range cluster.machines {
+		machine.waitForCommand(0, "after")
 	}
 }
 
 // TestDiskFaultAtStart has the store open only once the disk works.
 func TestDiskFaultAtStart(t *testing.T) {
-	c := newTestCluster(t, 3, 3)
-	for _, m := range c.machines {
+	cluster := newTestCluster(t, 3, 3)
+	for _, m := range cluster.machines {
 		m.disk = &faultyDisk{failure: &storage.DiskError{Operation: "open", Full: true}}
 	}
-	c.startAll()
-	first := c.machines[0]
+	cluster.startAll()
+	first := cluster.machines[0]
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	var unavailable *UnavailableError
 	if _, err := first.host.Propose(ctx, 0, []byte("early")); !errors.As(err, &unavailable) {
 		t.Fatal(err)
 	}
-	for _, m := range c.machines {
+	for _, m := range cluster.machines {
 		m.disk.set(nil, nil)
 	}
 	first.propose(0, "a")
-	c.waitForMembership(3)
+	cluster.waitForMembership(3)
 }
 
 func TestCorruptStoreDiscarded(t *testing.T) {
-	c := newTestCluster(t, 3, 3)
-	c.startAll()
-	c.machines[0].propose(0, "a")
-	c.waitForMembership(3)
-	spoilt := c.machines[1]
+	cluster := newTestCluster(t, 3, 3)
+	cluster.startAll()
+	cluster.machines[0].propose(0, "a")
+	cluster.waitForMembership(3)
+	spoilt := cluster.machines[1]
 	before := spoilt.host.self.ID
 	spoilt.kill()
-	s, err := storage.Open(spoilt.settings.StateDir)
+	opened, err := storage.Open(spoilt.settings.StateDir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	gap := []consensus.Entry{{Index: 1000, Term: 1000}}
-	if err := s.Write(storage.Update{Partition: 2, Entries: gap}); err != nil {
+	if err := opened.Write(storage.Update{Partition: 2, Entries: gap}); err != nil {
 		t.Fatal(err)
 	}
-	s.Close()
+	opened.Close()
 	spoilt.start()
 	spoilt.waitForCommand(0, "a")
-	c.waitForMembership(3)
+	cluster.waitForMembership(3)
 	if spoilt.host.self.ID == before {
 		t.Error("it has its old replica")
 	}
@@ -198,17 +198,17 @@
 
 // TestReplicaWithoutDisk runs machines without a state folder.
 func TestReplicaWithoutDisk(t *testing.T) {
-	c := newTestCluster(t, 3, 3)
-	for _, m := range c.machines {
+	cluster := newTestCluster(t, 3, 3)
+	for _, m := range cluster.machines {
 		m.settings.StateDir = ""
 	}
-	c.startAll()
-	c.machines[0].propose(0, "a")
-	c.waitForMembership(3)
-	restarted := c.machines[1]
+	cluster.startAll()
+	cluster.machines[0].propose(0, "a")
+	cluster.waitForMembership(3)
+	restarted := cluster.machines[1]
 	restarted.kill()
 	restarted.settings.FirstBoot = false
 	restarted.start()
 	restarted.waitForCommand(0, "a")
-	c.waitForMembership(3)
+	cluster.waitForMembership(3)
 }
--- a/internal/system/replica/founding.go
+++ b/internal/system/replica/founding.go
@@ -28,24 +28,24 @@
 // bootstrapMembership is the membership that a system begins with: the machines of the seed list, which is the same at all of them
 // on the first boot. It tells false where this machine does not found. Names and zones are not known of the others yet;
 // each member tells them once it runs.
-func bootstrapMembership(s *processconfig.Settings) (consensus.Membership, bool) {
-	if !s.FirstBoot {
+func bootstrapMembership(settings *processconfig.Settings) (consensus.Membership, bool) {
+	if !settings.FirstBoot {
 		return consensus.Membership{}, false
 	}
 	var machines []netip.Addr
-	for _, seed := range s.SeedNodes {
+	for _, seed := range settings.SeedNodes {
 		if !slices.Contains(machines, seed.Addr()) {
 			machines = append(machines, seed.Addr())
 		}
 	}
-	if !slices.Contains(machines, s.IP) {
+	if !slices.Contains(machines, settings.IP) {
 		return consensus.Membership{}, false
 	}
 	slices.SortFunc(machines, netip.Addr.Compare)
 	var founders consensus.Membership
 	for _, machine := range machines {
 		founders.Members = append(founders.Members, consensus.Member{ID: founderID(machine),
-			Address: controlAddress(s, machine).String(), Voter: true})
+			Address: controlAddress(settings, machine).String(), Voter: true})
 	}
 	return founders, true
 }
--- a/internal/system/replica/group.go
+++ b/internal/system/replica/group.go
@@ -76,11 +76,11 @@
 	if err := stored.Validate(); err != nil {
 		return err
 	}
-	if s := &stored.Snapshot; s.Index > 0 {
-		if err := g.state.Restore(s.Index, s.Data); err != nil {
+	if snapshot := &stored.Snapshot; snapshot.Index > 0 {
+		if err := g.state.Restore(snapshot.Index, snapshot.Data); err != nil {
 			return err
 		}
-		g.appliedIndex, g.snapshotBytes = s.Index, len(s.Data)
+		g.appliedIndex, g.snapshotBytes = snapshot.Index, len(snapshot.Data)
 	}
 	g.commitIndex, g.lastHardState = stored.HardState.Commit, stored.HardState
 	stored.Snapshot.Data = nil // the state machine holds it
@@ -110,20 +110,20 @@
 
 // persistReady has a Ready's writes carried out and its messages sent after them. One that need not be on disk and that no
 // earlier one precedes is done with at once.
-func (g *group) persistReady(r *consensus.Ready, out groupOutput) {
-	if !r.MustSync && g.pendingJobs == 0 {
-		out.send(g, r.Messages)
+func (g *group) persistReady(ready *consensus.Ready, out groupOutput) {
+	if !ready.MustSync && g.pendingJobs == 0 {
+		out.send(g, ready.Messages)
 		return
 	}
-	if !r.MustSync && g.pendingJobs >= maxQueuedJobs {
+	if !ready.MustSync && g.pendingJobs >= maxQueuedJobs {
 		return // a disk that hangs: messages may be lost, and those that could wait no longer say how things are
 	}
-	j := writeJob{group: g, ready: *r, write: g.newWrite(r)}
-	for i := range r.Entries {
-		j.sizeBytes += len(r.Entries[i].Data) + entryOverheadBytes
+	j := writeJob{group: g, ready: *ready, write: g.newWrite(ready)}
+	for i := range ready.Entries {
+		j.sizeBytes += len(ready.Entries[i].Data) + entryOverheadBytes
 	}
-	if r.Snapshot != nil {
-		j.sizeBytes += len(r.Snapshot.Data)
+	if ready.Snapshot != nil {
+		j.sizeBytes += len(ready.Snapshot.Data)
 	}
 	g.enqueueJob(j, out)
 }
@@ -148,20 +148,20 @@
 // for the entry that holds it: megabytes that are appended again with each try of a caller would take the links that they
 // are waiting for.
 func (g *group) propose(now time.Duration, command []byte) *proposal {
-	p := &proposal{done: make(chan ProposeReply, 1)}
-	if g.findUncommitted(command, p) {
-		p.next = g.proposals[p.index]
-		g.proposals[p.index] = p
-		return p
+	pending := &proposal{done: make(chan ProposeReply, 1)}
+	if g.findUncommitted(command, pending) {
+		pending.next = g.proposals[pending.index]
+		g.proposals[pending.index] = pending
+		return pending
 	}
 	var err error
-	if p.index, p.term, err = g.node.Propose(now, command); err != nil {
+	if pending.index, pending.term, err = g.node.Propose(now, command); err != nil {
 		return nil
 	}
 	// Another leader had this log replaced here. Elsewhere the entry may stand yet, and be agreed on by a later one.
-	g.resolveProposals(p.index, func(*proposal) ProposeReply { return ProposeReply{Outcome: OutcomeUnknown} })
-	g.proposals[p.index] = p
-	return p
+	g.resolveProposals(pending.index, func(*proposal) ProposeReply { return ProposeReply{Outcome: OutcomeUnknown} })
+	g.proposals[pending.index] = pending
+	return pending
 }
 
 // findUncommitted tells whether this replica leads and its log has a large command that is yet to be agreed on, and where.
@@ -182,20 +182,20 @@
 }
 
 // abandonProposal has a proposal wait no longer.
-func (g *group) abandonProposal(p *proposal) {
+func (g *group) abandonProposal(pending *proposal) {
 	var kept *proposal
-	for q := g.proposals[p.index]; q != nil; {
+	for q := g.proposals[pending.index]; q != nil; {
 		next := q.next
-		if q != p {
+		if q != pending {
 			q.next, kept = kept, q
 		}
 		q = next
 	}
 	if kept == nil {
-		delete(g.proposals, p.index)
+		delete(g.proposals, pending.index)
 		return
 	}
-	g.proposals[p.index] = kept
+	g.proposals[pending.index] = kept
 }
 
 // startReadIndex has the machine confirm an index to read at.
@@ -210,44 +210,44 @@
 // applyReady takes a Ready's snapshot and entries into the state machine and answers those who wait for them. Committed
 // entries are applied before this replica's own writes are on disk: a majority has them, and the state machine lives
 // in memory.
-func (g *group) applyReady(r *consensus.Ready) error {
-	if r.Snapshot != nil {
-		if err := g.restoreSnapshot(r.Snapshot); err != nil {
+func (g *group) applyReady(ready *consensus.Ready) error {
+	if ready.Snapshot != nil {
+		if err := g.restoreSnapshot(ready.Snapshot); err != nil {
 			return err
 		}
 	}
-	for i := range r.CommittedEntries {
-		g.applyEntry(&r.CommittedEntries[i])
+	for i := range ready.CommittedEntries {
+		g.applyEntry(&ready.CommittedEntries[i])
 	}
-	if r.HardState != nil {
-		g.commitIndex = r.HardState.Commit
+	if ready.HardState != nil {
+		g.commitIndex = ready.HardState.Commit
 	}
 	g.notifyApplied()
 	return nil
 }
 
-func (g *group) restoreSnapshot(s *consensus.Snapshot) error {
-	if err := g.state.Restore(s.Index, s.Data); err != nil {
+func (g *group) restoreSnapshot(snapshot *consensus.Snapshot) error {
+	if err := g.state.Restore(snapshot.Index, snapshot.Data); err != nil {
 		return err
 	}
-	g.appliedIndex, g.snapshotBytes, g.logBytesSinceSnapshot = s.Index, len(s.Data), 0
+	g.appliedIndex, g.snapshotBytes, g.logBytesSinceSnapshot = snapshot.Index, len(snapshot.Data), 0
 	for index := range g.proposals {
-		if index <= s.Index {
+		if index <= snapshot.Index {
 			g.resolveProposals(index, func(*proposal) ProposeReply { return ProposeReply{Outcome: OutcomeUnknown} })
 		}
 	}
 	return nil
 }
 
-func (g *group) applyEntry(e *consensus.Entry) {
+func (g *group) applyEntry(entry *consensus.Entry) {
 	var result []byte
-	if e.Kind == consensus.EntryCommand && len(e.Data) > 0 {
-		result = g.state.Apply(e.Index, e.Data)
+	if entry.Kind == consensus.EntryCommand && len(entry.Data) > 0 {
+		result = g.state.Apply(entry.Index, entry.Data)
 	}
-	g.appliedIndex = e.Index
-	g.logBytesSinceSnapshot += len(e.Data) + entryOverheadBytes
-	g.resolveProposals(e.Index, func(p *proposal) ProposeReply {
-		if p.term == e.Term {
+	g.appliedIndex = entry.Index
+	g.logBytesSinceSnapshot += len(entry.Data) + entryOverheadBytes
+	g.resolveProposals(entry.Index, func(p *proposal) ProposeReply {
+		if p.term == entry.Term {
 			return ProposeReply{Outcome: OutcomeCommitted, Result: result}
 		}
 		return ProposeReply{Outcome: OutcomeDropped}
@@ -256,11 +256,11 @@
 
 func (g *group) notifyApplied() {
 	waiting := g.appliedWaiters[:0]
-	for _, w := range g.appliedWaiters {
-		if w.index <= g.appliedIndex {
-			close(w.done)
+	for _, waiter := range g.appliedWaiters {
+		if waiter.index <= g.appliedIndex {
+			close(waiter.done)
 		} else {
-			waiting = append(waiting, w)
+			waiting = append(waiting, waiter)
 		}
 	}
 	clear(g.appliedWaiters[len(waiting):])
@@ -269,7 +269,7 @@
 
 // removeAppliedWaiter drops a wait.
 func (g *group) removeAppliedWaiter(done chan struct{}) {
-	g.appliedWaiters = slices.DeleteFunc(g.appliedWaiters, func(w appliedWaiter) bool { return w.done == done })
+	g.appliedWaiters = slices.DeleteFunc(g.appliedWaiters, func(waiter appliedWaiter) bool { return waiter.done == done })
 }
 
 // resolveReads passes confirmed indexes on.
@@ -328,11 +328,11 @@
 }
 
 // newWrite is what a Ready wants on the disk. A hard state that differs in its commit index alone goes along with entries.
-func (g *group) newWrite(r *consensus.Ready) storage.Update {
-	w := storage.Update{Partition: g.partition, InstalledSnapshot: r.Snapshot, Entries: r.Entries, CommitIndex: g.commitIndex}
-	if r.HardState != nil && (r.HardState.Term != g.lastHardState.Term || r.HardState.Vote != g.lastHardState.Vote) {
-		g.lastHardState = *r.HardState
-		w.HardState = r.HardState
+func (g *group) newWrite(ready *consensus.Ready) storage.Update {
+	write := storage.Update{Partition: g.partition, InstalledSnapshot: ready.Snapshot, Entries: ready.Entries, CommitIndex: g.commitIndex}
+	if ready.HardState != nil && (ready.HardState.Term != g.lastHardState.Term || ready.HardState.Vote != g.lastHardState.Vote) {
+		g.lastHardState = *ready.HardState
+		write.HardState = ready.HardState
 	}
-	return w
+	return write
 }
--- a/internal/system/replica/group_test.go
+++ b/internal/system/replica/group_test.go
@@ -19,22 +19,22 @@
 }
 
 func newScriptedGroup(t *testing.T) *scriptedGroup {
-	s := &scriptedGroup{t: t, group: newGroup(feed.ConfigurationPartition, &listState{}), now: time.Second,
+	scripted := &scriptedGroup{t: t, group: newGroup(feed.ConfigurationPartition, &listState{}), now: time.Second,
 		lastSent: map[consensus.MessageKind]consensus.Message{}}
 	var stored consensus.PersistentState
 	for id := consensus.ReplicaID(1); id <= 3; id++ {
 		stored.Snapshot.Membership.Members = append(stored.Snapshot.Membership.Members, consensus.Member{ID: id, Voter: true})
 	}
 	options := nodeOptions(1, 1, defaultHeartbeatInterval, defaultElectionTimeout)
-	if err := s.group.start(s.now, options, stored); err != nil {
+	if err := scripted.group.start(scripted.now, options, stored); err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return scripted
 }
 
 func (s *scriptedGroup) send(_ *group, messages []consensus.Message) {
-	for _, m := range messages {
-		s.lastSent[m.Kind] = m
+	for _, message := range messages {
+		s.lastSent[message.Kind] = message
 	}
 }
 
@@ -56,10 +56,10 @@
 	}
 }
 
-func (s *scriptedGroup) step(m consensus.Message) {
+func (s *scriptedGroup) step(message consensus.Message) {
 	s.t.Helper()
-	m.To = 1
-	s.group.node.Step(s.now, m)
+	message.To = 1
+	s.group.node.Step(s.now, message)
 	s.processReady()
 }
 
@@ -78,12 +78,12 @@
 
 func (s *scriptedGroup) propose(command string) *proposal {
 	s.t.Helper()
-	p := s.group.propose(s.now, []byte(command))
-	if p == nil {
+	pending := s.group.propose(s.now, []byte(command))
+	if pending == nil {
 		s.t.Fatal("the proposal was not taken")
 	}
 	s.processReady()
-	return p
+	return pending
 }
 
 func receivedOutcome(p *proposal) (outcome Outcome, told bool) {
@@ -99,19 +99,19 @@
 // leads again and proposes at its place. A member that was not reached meanwhile may still hold the first entry and have it
 // agreed on, so that its outcome is not known.
 func TestReplacedProposalOutcomeUnknown(t *testing.T) {
-	s := newScriptedGroup(t)
-	s.elect()
-	s.propose("keeps its place")
-	first := s.propose("is displaced")
-	before := s.lastSent[consensus.MessageVote].Term
-	s.step(consensus.Message{Kind: consensus.MessageAppend, From: 3, Term: before + 1, Round: 1,
+	scripted := newScriptedGroup(t)
+	scripted.elect()
+	scripted.propose("keeps its place")
+	first := scripted.propose("is displaced")
+	before := scripted.lastSent[consensus.MessageVote].Term
+	scripted.step(consensus.Message{Kind: consensus.MessageAppend, From: 3, Term: before + 1, Round: 1,
 		Entries: []consensus.Entry{{Index: 1, Term: before + 1}}})
 	if _, told := receivedOutcome(first); told {
 		t.Fatal("an outcome was told before one was known")
 	}
-	s.elect()
-	for s.group.proposals[first.index] == first {
-		s.propose("displaces")
+	scripted.elect()
+	for scripted.group.proposals[first.index] == first {
+		scripted.propose("displaces")
 	}
 	if outcome, told := receivedOutcome(first); !told || outcome != OutcomeUnknown {
 		t.Errorf("outcome %d, told %v; want it not to be known", outcome, told)
@@ -121,22 +121,22 @@
 // TestLargeCommandIsAppendedOnce: a large command that comes again while it is under way waits for the same entry, and all
 // who wait are told, but for those who have given up.
 func TestLargeCommandIsAppendedOnce(t *testing.T) {
-	s := newScriptedGroup(t)
-	s.elect()
+	scripted := newScriptedGroup(t)
+	scripted.elect()
 	large := strings.Repeat("x", bulkThresholdBytes)
-	waiting := []*proposal{s.propose(large), s.propose(large), s.propose(large)}
-	if last := s.group.node.Status().LastIndex; last != waiting[0].index {
+	waiting := []*proposal{scripted.propose(large), scripted.propose(large), scripted.propose(large)}
+	if last := scripted.group.node.Status().LastIndex; last != waiting[0].index {
 		t.Fatalf("the log goes to %d, and the command stands at %d", last, waiting[0].index)
 	}
-	s.group.abandonProposal(waiting[1])
-	s.step(consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: s.lastSent[consensus.MessageVote].Term,
+	scripted.group.abandonProposal(waiting[1])
+	scripted.step(consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: scripted.lastSent[consensus.MessageVote].Term,
 		Index: waiting[0].index})
 	for i, p := range waiting {
 		if outcome, told := receivedOutcome(p); told != (i != 1) || told && outcome != OutcomeCommitted {
 			t.Errorf("proposal %d: outcome %d, told %v", i, outcome, told)
 		}
 	}
-	if again := s.propose(large); again.index == waiting[0].index {
+	if again := scripted.propose(large); again.index == waiting[0].index {
 		t.Error("a command that was agreed on is under way")
 	}
 }
@@ -156,15 +156,15 @@
 
 // TestProposalCommitsOnMajority: its proposer is told what the state machine returned.
 func TestProposalCommitsOnMajority(t *testing.T) {
-	s := newScriptedGroup(t)
-	s.elect()
-	p := s.propose("a command")
-	if _, told := receivedOutcome(p); told {
+	scripted := newScriptedGroup(t)
+	scripted.elect()
+	pending := scripted.propose("a command")
+	if _, told := receivedOutcome(pending); told {
 		t.Fatal("an outcome was told before a majority had it")
 	}
-	s.step(consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: p.term, Index: p.index})
+	scripted.step(consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: pending.term, Index: pending.index})
 	select {
-	case reply := <-p.done:
+	case reply := <-pending.done:
 		if reply.Outcome != OutcomeCommitted || string(reply.Result) != "1:a command" {
 			t.Errorf("outcome %d, %q", reply.Outcome, reply.Result)
 		}
@@ -175,29 +175,29 @@
 
 // TestStalledDiskBoundsQueue: while a write does not end, heartbeats go on to be taken, and only so many answers wait.
 func TestStalledDiskBoundsQueue(t *testing.T) {
-	s := newScriptedGroup(t)
+	scripted := newScriptedGroup(t)
 	beat := consensus.Message{Kind: consensus.MessageAppend, From: 2, To: 1, Term: 1, Round: 1,
 		Entries: []consensus.Entry{{Index: 1, Term: 1}}}
 	for beat.Round < 4*maxQueuedJobs {
-		s.now += defaultHeartbeatInterval
-		s.group.node.Step(s.now, beat)
-		if err := s.group.processReady(s); err != nil {
+		scripted.now += defaultHeartbeatInterval
+		scripted.group.node.Step(scripted.now, beat)
+		if err := scripted.group.processReady(scripted); err != nil {
 			t.Fatal(err)
 		}
 		beat.Round, beat.Entries = beat.Round+1, nil
 		beat.Index, beat.LogTerm = 1, 1
 	}
-	if len(s.jobs) > maxQueuedJobs || s.group.node.Leader() != 2 {
-		t.Errorf("%d jobs wait, and %d leads", len(s.jobs), s.group.node.Leader())
+	if len(scripted.jobs) > maxQueuedJobs || scripted.group.node.Leader() != 2 {
+		t.Errorf("%d jobs wait, and %d leads", len(scripted.jobs), scripted.group.node.Leader())
 	}
-	s.lastSent = map[consensus.MessageKind]consensus.Message{}
-	jobs := s.jobs
-	s.jobs = nil
+	scripted.lastSent = map[consensus.MessageKind]consensus.Message{}
+	jobs := scripted.jobs
+	scripted.jobs = nil
 	for i := range jobs {
-		s.group.handlePersisted(&jobs[i], s)
+		scripted.group.handlePersisted(&jobs[i], scripted)
 	}
-	s.step(beat)
-	if reply := s.lastSent[consensus.MessageAppendReply]; reply.Index != 1 || reply.Round != beat.Round {
+	scripted.step(beat)
+	if reply := scripted.lastSent[consensus.MessageAppendReply]; reply.Index != 1 || reply.Round != beat.Round {
 		t.Errorf("once the write has ended the answer is %+v", reply)
 	}
 }
--- a/internal/system/replica/host.go
+++ b/internal/system/replica/host.go
@@ -87,24 +87,24 @@
 	if options.ElectionTimeout == 0 {
 		options.ElectionTimeout = defaultElectionTimeout
 	}
-	h := &Host{options: options, log: options.Log, started: time.Now(), wake: make(chan struct{}, 1),
+	host := &Host{options: options, log: options.Log, started: time.Now(), wake: make(chan struct{}, 1),
 		openStore: openStorage}
-	if h.log == nil {
-		h.log = zap.NewNop()
+	if host.log == nil {
+		host.log = zap.NewNop()
 	}
 	settings := options.Settings
-	h.address = controlAddress(settings, settings.IP)
-	h.self = consensus.Member{Node: settings.Node, Zone: settings.Zone, Address: h.address.String()}
+	host.address = controlAddress(settings, settings.IP)
+	host.self = consensus.Member{Node: settings.Node, Zone: settings.Zone, Address: host.address.String()}
 	for i, state := range options.StateMachines {
-		h.groups = append(h.groups, newGroup(feed.Partition(i), state))
+		host.groups = append(host.groups, newGroup(feed.Partition(i), state))
 	}
 	for _, seed := range settings.SeedNodes {
-		h.addAddress(controlAddress(settings, seed.Addr()))
+		host.addAddress(controlAddress(settings, seed.Addr()))
 	}
-	h.context, h.cancel = context.WithCancel(context.Background())
-	h.peers = newPeerSet(h.context, &h.goroutines)
-	h.disk = newDiskWriter(settings.StateDir)
-	return h
+	host.context, host.cancel = context.WithCancel(context.Background())
+	host.peers = newPeerSet(host.context, &host.goroutines)
+	host.disk = newDiskWriter(settings.StateDir)
+	return host
 }
 
 // Start opens the store, which it tries again for as long as the disk fails, and runs the replicas. It does not wait.
--- a/internal/system/replica/host_test.go
+++ b/internal/system/replica/host_test.go
@@ -98,29 +98,29 @@
 	}
 	port := netip.MustParseAddrPort(listener.Addr().String()).Port()
 	listener.Close()
-	c := &testCluster{t: t, port: port}
+	cluster := &testCluster{t: t, port: port}
 	for i := range seeds {
-		c.seeds = append(c.seeds, netip.AddrPortFrom(loopback(i), 1))
+		cluster.seeds = append(cluster.seeds, netip.AddrPortFrom(loopback(i), 1))
 	}
 	for i := range size {
-		c.add(i, true)
+		cluster.add(i, true)
 	}
 	t.Cleanup(func() {
-		for _, m := range c.machines {
+		for _, m := range cluster.machines {
 			m.kill()
 		}
 	})
-	return c
+	return cluster
 }
 
 // add makes a machine that is not started.
 func (c *testCluster) add(i int, firstBoot bool) *testMachine {
-	m := &testMachine{t: c.t, settings: processconfig.Settings{Node: fmt.Sprintf("core-%d", i), IP: loopback(i),
+	machine := &testMachine{t: c.t, settings: processconfig.Settings{Node: fmt.Sprintf("core-%d", i), IP: loopback(i),
 		Zone: fmt.Sprintf("zone-%d", i%3), FreePorts: processconfig.PortRange{First: c.port, Last: c.port + 15},
 		SeedNodes: c.seeds, FirstBoot: firstBoot, StateDir: filepath.Join(c.t.TempDir(), "state"),
 		SurvivableLosses: processconfig.SurvivableLosses{Machines: 1, Zones: 1}}}
-	c.machines = append(c.machines, m)
-	return m
+	c.machines = append(c.machines, machine)
+	return machine
 }
 
 func (m *testMachine) start() {
@@ -243,13 +243,13 @@
 func (c *testCluster) waitForMembership(voters int) {
 	c.t.Helper()
 	waitFor(c.t, fmt.Sprintf("%d voters", voters), func() error {
-		for _, m := range c.running() {
-			for _, status := range m.host.Status() {
+		for _, machine := range c.running() {
+			for _, status := range machine.host.Status() {
 				if err := c.checkMembership(status.Status.Membership, voters); err != nil {
-					return fmt.Errorf("%s, partition %d: %w", m.settings.Node, status.Partition, err)
+					return fmt.Errorf("%s, partition %d: %w", machine.settings.Node, status.Partition, err)
 				}
 			}
-			if len(m.host.Status()) != testPartitions {
+			if len(machine.host.Status()) != testPartitions {
 				return errors.New("not started")
 			}
 		}
@@ -317,147 +317,147 @@
 }
 
 func TestProposeThroughEachReplica(t *testing.T) {
-	c := newTestCluster(t, 3, 3)
-	c.startAll()
-	for i, m := range c.machines {
-		for p := range feed.Partition(testPartitions) {
-			m.propose(p, fmt.Sprintf("%d-%d", i, p))
+	cluster := newTestCluster(t, 3, 3)
+	cluster.startAll()
+	for i, machine := range cluster.machines {
+		for partition := range feed.Partition(testPartitions) {
+			machine.propose(partition, fmt.Sprintf("%d-%d", i, partition))
 		}
 	}
-	c.waitForMembership(3)
-	for _, m := range c.machines {
-		for i := range c.machines {
-			for p := range feed.Partition(testPartitions) {
-				m.waitForCommand(p, fmt.Sprintf("%d-%d", i, p))
+	cluster.waitForMembership(3)
+	for _, machine := range cluster.machines {
+		for i := range cluster.machines {
+			for partition := range feed.Partition(testPartitions) {
+				machine.waitForCommand(partition, fmt.Sprintf("%d-%d", i, partition))
 			}
 		}
-		if fresh := m.host.Staleness(0); fresh > testTimeout {
-			t.Errorf("%s is %v behind", m.settings.Node, fresh)
+		if fresh := machine.host.Staleness(0); fresh > testTimeout {
+			t.Errorf("%s is %v behind", machine.settings.Node, fresh)
 		}
 	}
 }
 
 func TestSingleReplicaRestart(t *testing.T) {
-	c := newTestCluster(t, 1, 1)
-	c.startAll()
-	c.machines[0].propose(0, "a")
-	c.machines[0].kill()
-	c.machines[0].settings.FirstBoot = false
-	c.machines[0].start()
-	c.machines[0].waitForCommand(0, "a")
+	cluster := newTestCluster(t, 1, 1)
+	cluster.startAll()
+	cluster.machines[0].propose(0, "a")
+	cluster.machines[0].kill()
+	cluster.machines[0].settings.FirstBoot = false
+	cluster.machines[0].start()
+	cluster.machines[0].waitForCommand(0, "a")
 }
 
 func TestLeaderKillAndRestart(t *testing.T) {
-	c := newTestCluster(t, 3, 3)
-	c.startAll()
-	c.machines[0].propose(1, "before")
-	c.waitForMembership(3)
-	killed := c.leader(1)
+	cluster := newTestCluster(t, 3, 3)
+	cluster.startAll()
+	cluster.machines[0].propose(1, "before")
+	cluster.waitForMembership(3)
+	killed := cluster.leader(1)
 	killed.kill()
-	c.running()[0].propose(1, "meanwhile")
+	cluster.running()[0].propose(1, "meanwhile")
 	killed.settings.FirstBoot = false
 	killed.start()
 	killed.waitForCommand(1, "meanwhile")
 	killed.waitForCommand(1, "before")
-	c.waitForMembership(3)
+	cluster.waitForMembership(3)
 }
 
 func TestFullClusterRestart(t *testing.T) {
-	c := newTestCluster(t, 3, 3)
-	c.startAll()
-	c.machines[2].propose(0, "kept")
-	for _, m := range c.machines {
+	cluster := newTestCluster(t, 3, 3)
+	cluster.startAll()
+	cluster.machines[2].propose(0, "kept")
+	for _, m := range cluster.machines {
 		m.kill()
 		m.settings.FirstBoot = false
 	}
-	c.startAll()
-	for _, m := range c.machines {
+	cluster.startAll()
+	for _, m := range cluster.machines {
 		m.waitForCommand(0, "kept")
 	}
 }
 
 func TestStopTransfersLeadership(t *testing.T) {
-	c := newTestCluster(t, 3, 3)
-	c.startAll()
-	c.waitForMembership(3)
-	stopped := c.leader(0)
+	cluster := newTestCluster(t, 3, 3)
+	cluster.startAll()
+	cluster.waitForMembership(3)
+	stopped := cluster.leader(0)
 	stopped.propose(0, "a")
 	stopped.stop()
-	for _, m := range c.running() {
+	for _, m := range cluster.running() {
 		m.waitForCommand(0, "a")
 	}
 }
 
 func TestWipedReplicaRejoins(t *testing.T) {
-	c := newTestCluster(t, 3, 3)
-	c.startAll()
-	c.machines[0].propose(0, "a")
-	c.waitForMembership(3)
-	for _, m := range c.machines {
-		before := m.host.self.ID
-		m.kill()
-		m.wipe()
-		m.start()
-		m.waitForCommand(0, "a")
-		c.waitForMembership(3)
-		if m.host.self.ID == before {
-			t.Errorf("%s has its old replica", m.settings.Node)
+	cluster := newTestCluster(t, 3, 3)
+	cluster.startAll()
+	cluster.machines[0].propose(0, "a")
+	cluster.waitForMembership(3)
+	for _, machine := range cluster.machines {
+		before := machine.host.self.ID
+		machine.kill()
+		machine.wipe()
+		machine.start()
+		machine.waitForCommand(0, "a")
+		cluster.waitForMembership(3)
+		if machine.host.self.ID == before {
+			t.Errorf("%s has its old replica", machine.settings.Node)
 		}
 	}
 }
 
 func TestReplicasJoin(t *testing.T) {
-	c := newTestCluster(t, 7, 3)
-	c.startAll()
-	c.waitForMembership(5)
-	c.machines[6].propose(2, "a")
-	for _, m := range c.machines {
+	cluster := newTestCluster(t, 7, 3)
+	cluster.startAll()
+	cluster.waitForMembership(5)
+	cluster.machines[6].propose(2, "a")
+	for _, m := range cluster.machines {
 		m.waitForCommand(2, "a")
 	}
 }
 
 func TestNewReplicaReplacesLost(t *testing.T) {
-	c := newTestCluster(t, 3, 3)
-	c.startAll()
-	c.machines[0].propose(0, "a")
-	c.waitForMembership(3)
-	c.machines[1].kill()
-	added := c.add(3, false)
+	cluster := newTestCluster(t, 3, 3)
+	cluster.startAll()
+	cluster.machines[0].propose(0, "a")
+	cluster.waitForMembership(3)
+	cluster.machines[1].kill()
+	added := cluster.add(3, false)
 	added.start()
 	added.waitForCommand(0, "a")
-	c.waitForMembership(3)
+	cluster.waitForMembership(3)
 }
 
 // TestRestartWithUnreachableSeeds restarts a machine whose seeds are no more: it finds the others by what it has on disk, and a machine
 // without anything by a hint.
 func TestRestartWithUnreachableSeeds(t *testing.T) {
-	c := newTestCluster(t, 3, 3)
-	c.startAll()
-	c.machines[0].propose(0, "a")
-	c.waitForMembership(3)
+	cluster := newTestCluster(t, 3, 3)
+	cluster.startAll()
+	cluster.machines[0].propose(0, "a")
+	cluster.waitForMembership(3)
 	gone := []netip.AddrPort{netip.AddrPortFrom(loopback(99), 1)}
-	for _, m := range c.machines {
+	for _, m := range cluster.machines {
 		m.kill()
 		m.settings.FirstBoot, m.settings.SeedNodes = false, gone
 		m.start()
 		m.waitForCommand(0, "a")
 	}
-	added := c.add(3, false)
+	added := cluster.add(3, false)
 	added.settings.SeedNodes = gone
 	added.start()
-	added.host.AddPeerAddresses(c.machines[1].host.address)
+	added.host.AddPeerAddresses(cluster.machines[1].host.address)
 	added.waitForCommand(0, "a")
-	c.waitForMembership(3)
+	cluster.waitForMembership(3)
 }
 
 func TestNewReplicaReceivesSnapshot(t *testing.T) {
-	c := newTestCluster(t, 3, 3)
-	c.startAll()
+	cluster := newTestCluster(t, 3, 3)
+	cluster.startAll()
 	large := string(bytes.Repeat([]byte("x"), 64<<10))
 	for i := range 40 {
-		c.machines[i%3].propose(0, fmt.Sprintf("%d%s", i, large))
+		cluster.machines[i%3].propose(0, fmt.Sprintf("%d%s", i, large))
 	}
-	added := c.add(3, false)
+	added := cluster.add(3, false)
 	added.start()
 	added.waitForCommand(0, "39"+large)
 	if n := len(added.states[0].snapshotCommands()); n < 40 {
--- a/internal/system/replica/manage.go
+++ b/internal/system/replica/manage.go
@@ -103,10 +103,10 @@
 	if status.MembershipIndex > status.Commit {
 		return true
 	}
-	s := h.membershipView(now, g, &status)
-	next, is := planChange(s)
+	view := h.membershipView(now, g, &status)
+	next, is := planChange(view)
 	if !is {
-		return s.hasCatchingUpLearner()
+		return view.hasCatchingUpLearner()
 	}
 	if next.transferTo != 0 {
 		g.node.TransferLeadership(now, next.transferTo)
@@ -136,19 +136,19 @@
 
 func (h *Host) membershipView(now time.Duration, g *group, status *consensus.Status) *membershipView {
 	settings := h.options.Settings
-	s := &membershipView{self: h.self.ID, leaderFor: now - g.leadershipSince, limits: newAbsenceLimits(settings.Timing.CatchUp, h.options.ElectionTimeout),
+	view := &membershipView{self: h.self.ID, leaderFor: now - g.leadershipSince, limits: newAbsenceLimits(settings.Timing.CatchUp, h.options.ElectionTimeout),
 		joining: h.joinRequests.active(now), zoneRegions: settings.Zones, targetVoters: max(preferredVoters, 2*settings.SurvivableLosses.Machines+1), surviveRegionLoss: settings.SurvivableLosses.Regions > 0}
 	for _, member := range status.Membership.Members {
-		m := memberState{Member: member, caughtUp: status.Match[member.ID]+maxPromotionLag >= status.Commit}
-		m.caughtUp = m.caughtUp && now >= g.promotionRetryAt[member.ID]
-		m.leaving = h.departures.isLeaving(member.ID, now)
-		m.departed = h.departures.hasDeparted(member.ID, g.contacts.lastHeard[member.ID])
+		state := memberState{Member: member, caughtUp: status.Match[member.ID]+maxPromotionLag >= status.Commit}
+		state.caughtUp = state.caughtUp && now >= g.promotionRetryAt[member.ID]
+		state.leaving = h.departures.isLeaving(member.ID, now)
+		state.departed = h.departures.hasDeparted(member.ID, g.contacts.lastHeard[member.ID])
 		if answered, is := status.LastContact[member.ID]; is {
-			m.silence = now - answered
+			state.silence = now - answered
 		}
-		s.members = append(s.members, m)
+		view.members = append(view.members, state)
 	}
-	return s
+	return view
 }
 
 // memberList is how memberships stand in the log: learners in parentheses.
@@ -203,15 +203,15 @@
 	}
 	h.nextJoin = now + joinTimeout/2
 	for address := range h.peerAddresses() {
-		p := h.peers.get(address)
-		if p.joining.Swap(true) {
+		remote := h.peers.get(address)
+		if remote.joining.Swap(true) {
 			continue
 		}
 		h.goroutines.Add(1)
 		go func() {
 			defer h.goroutines.Done()
-			defer p.joining.Store(false)
-			h.requestJoinAt(p)
+			defer remote.joining.Store(false)
+			h.requestJoinAt(remote)
 		}()
 	}
 }
--- a/internal/system/replica/peers.go
+++ b/internal/system/replica/peers.go
@@ -54,20 +54,20 @@
 
 // get returns the peer at an address.
 func (s *peerSet) get(address netip.AddrPort) *peer {
-	p := s.byAddress[address]
-	if p != nil {
-		return p
+	remote := s.byAddress[address]
+	if remote != nil {
+		return remote
 	}
 	ctx, cancel := context.WithCancel(s.context)
-	p = &peer{client: rpc.NewClient(address, peerOptions), wake: make(chan struct{}, 1), cancel: cancel,
+	remote = &peer{client: rpc.NewClient(address, peerOptions), wake: make(chan struct{}, 1), cancel: cancel,
 		activeSnapshots: make(map[feed.Partition]bool), bulkTransfers: make(map[feed.Partition]*bulkTransfer)}
-	s.byAddress[address] = p
+	s.byAddress[address] = remote
 	s.goroutines.Add(1)
 	go func() {
 		defer s.goroutines.Done()
-		p.runSender(ctx)
+		remote.runSender(ctx)
 	}()
-	return p
+	return remote
 }
 
 // retain ends the peers at all other addresses.
@@ -95,34 +95,34 @@
 
 // send puts a message on its way; it is lost where the peer is not reached or too slow.
 func (s *peerSet) send(address netip.AddrPort, partition feed.Partition, message *consensus.Message) {
-	p := s.get(address)
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	under := p.bulkTransfers[partition]
+	remote := s.get(address)
+	remote.mutex.Lock()
+	defer remote.mutex.Unlock()
+	under := remote.bulkTransfers[partition]
 	way, message := under.route(message)
 	switch {
 	case way == bulkConnection && under == nil:
-		s.startBulkTransfer(address, p, partition, message)
+		s.startBulkTransfer(address, remote, partition, message)
 	case way == bulkConnection:
 		under.add(partition, message)
-	case way == ordinaryConnection && len(p.pending) < maxPendingBytes:
-		p.pending = appendMessage(p.pending, partition, message)
-		p.needsFlush = true
+	case way == ordinaryConnection && len(remote.pending) < maxPendingBytes:
+		remote.pending = appendMessage(remote.pending, partition, message)
+		remote.needsFlush = true
 	}
 }
 
 // flush wakes the peers that have got messages.
 func (s *peerSet) flush() {
-	for _, p := range s.byAddress {
-		p.mutex.Lock()
-		fresh := p.needsFlush
-		p.needsFlush = false
-		p.mutex.Unlock()
+	for _, remote := range s.byAddress {
+		remote.mutex.Lock()
+		fresh := remote.needsFlush
+		remote.needsFlush = false
+		remote.mutex.Unlock()
 		if !fresh {
 			continue
 		}
 		select {
-		case p.wake <- struct{}{}:
+		case remote.wake <- struct{}{}:
 		default:
 		}
 	}
--- a/internal/system/replica/plan.go
+++ b/internal/system/replica/plan.go
@@ -66,41 +66,41 @@
 
 // planChange decides on the next change of membership, if there is one to make: first new members and the particulars of
 // old ones, then who votes, and at last learners that are gone, who are in nobody's way.
-func planChange(s *membershipView) (membershipChange, bool) {
-	remaining := s.membersToKeep()
-	to := consensus.Membership{Members: s.withJoining(s.withNewestAttributes(remaining))}
+func planChange(view *membershipView) (membershipChange, bool) {
+	remaining := view.membersToKeep()
+	to := consensus.Membership{Members: view.withJoining(view.withNewestAttributes(remaining))}
 	if !slices.Equal(to.Members, remaining) {
 		return membershipChange{membership: to}, true
 	}
-	if next, is := s.planVoters(); is {
+	if next, is := view.planVoters(); is {
 		return next, true
 	}
-	return membershipChange{membership: to}, len(remaining) < len(s.members)
+	return membershipChange{membership: to}, len(remaining) < len(view.members)
 }
 
 // membersToKeep are the members without the learners that are gone.
-func (s *membershipView) membersToKeep() (members []consensus.Member) {
-	for i := range s.members {
-		m := &s.members[i]
-		if !m.Voter && m.ID != s.self && (s.superseded(i) || m.silence > s.limits.removeAfter) {
+func (view *membershipView) membersToKeep() (members []consensus.Member) {
+	for i := range view.members {
+		member := &view.members[i]
+		if !member.Voter && member.ID != view.self && (view.superseded(i) || member.silence > view.limits.removeAfter) {
 			continue
 		}
-		members = append(members, m.Member)
+		members = append(members, member.Member)
 	}
 	return members
 }
 
 // withNewestAttributes are members under their newest particulars.
-func (s *membershipView) withNewestAttributes(members []consensus.Member) (newest []consensus.Member) {
+func (view *membershipView) withNewestAttributes(members []consensus.Member) (newest []consensus.Member) {
 	for _, member := range members {
-		newest = append(newest, s.newestAttributes(member))
+		newest = append(newest, view.newestAttributes(member))
 	}
 	return newest
 }
 
 // newestAttributes are those of a member, as it told them last.
-func (s *membershipView) newestAttributes(member consensus.Member) consensus.Member {
-	for _, joining := range s.joining {
+func (view *membershipView) newestAttributes(member consensus.Member) consensus.Member {
+	for _, joining := range view.joining {
 		if joining.ID == member.ID && attributesDiffer(&member, &joining) {
 			joining.Voter, joining.Outgoing = member.Voter, member.Outgoing
 			return joining
@@ -110,9 +110,9 @@
 }
 
 // withJoining adds the replicas that ask to be taken in, as learners.
-func (s *membershipView) withJoining(members []consensus.Member) []consensus.Member {
-	for _, joining := range s.joining {
-		if s.indexOf(joining.ID) < 0 && len(members) < maxMembers {
+func (view *membershipView) withJoining(members []consensus.Member) []consensus.Member {
+	for _, joining := range view.joining {
+		if view.indexOf(joining.ID) < 0 && len(members) < maxMembers {
 			joining.Voter, joining.Outgoing = false, false
 			members = append(members, joining)
 		}
@@ -124,32 +124,32 @@
 	return a.Node != b.Node || a.Zone != b.Zone || a.Address != b.Address
 }
 
-func (s *membershipView) indexOf(id consensus.ReplicaID) int {
-	return slices.IndexFunc(s.members, func(m memberState) bool { return m.ID == id })
+func (view *membershipView) indexOf(id consensus.ReplicaID) int {
+	return slices.IndexFunc(view.members, func(m memberState) bool { return m.ID == id })
 }
 
-func (s *membershipView) consensusMembers() []consensus.Member {
-	members := make([]consensus.Member, 0, len(s.members)+1)
-	for i := range s.members {
-		members = append(members, s.members[i].Member)
+func (view *membershipView) consensusMembers() []consensus.Member {
+	members := make([]consensus.Member, 0, len(view.members)+1)
+	for i := range view.members {
+		members = append(members, view.members[i].Member)
 	}
 	return members
 }
 
 // superseded tells whether a member's machine has lost its disk: another replica came from its place later on. A new
 // member stands behind all that were there before it.
-func (s *membershipView) superseded(i int) bool {
-	gone := &s.members[i]
-	if gone.ID == s.self {
+func (view *membershipView) superseded(i int) bool {
+	gone := &view.members[i]
+	if gone.ID == view.self {
 		return false
 	}
-	for j := i + 1; j < len(s.members); j++ {
-		if sameMachine(&gone.Member, &s.members[j].Member) {
+	for j := i + 1; j < len(view.members); j++ {
+		if sameMachine(&gone.Member, &view.members[j].Member) {
 			return true
 		}
 	}
-	return slices.ContainsFunc(s.joining, func(joining consensus.Member) bool {
-		return s.indexOf(joining.ID) < 0 && sameMachine(&gone.Member, &joining)
+	return slices.ContainsFunc(view.joining, func(joining consensus.Member) bool {
+		return view.indexOf(joining.ID) < 0 && sameMachine(&gone.Member, &joining)
 	})
 }
 
--- a/internal/system/replica/plan_test.go
+++ b/internal/system/replica/plan_test.go
@@ -18,30 +18,30 @@
 // disk. Marks: v votes, d silent for 10 s, D silent for a minute and a half, b behind, l leaving, ? without particulars yet. The
 // first one leads. After a bar stand the replicas that ask to be taken in.
 func parseMembershipView(text string) *membershipView {
-	s := &membershipView{targetVoters: preferredVoters, leaderFor: time.Hour, limits: testLimits}
+	view := &membershipView{targetVoters: preferredVoters, leaderFor: time.Hour, limits: testLimits}
 	members, joining, _ := strings.Cut(text, "|")
 	for _, word := range strings.Fields(members) {
 		parts := strings.Split(word, ":")
-		m := memberState{Member: testMember(parts[0], parts[1]), caughtUp: !strings.Contains(parts[2], "b")}
-		m.Voter = strings.Contains(parts[2], "v")
-		m.leaving = strings.Contains(parts[2], "l")
+		member := memberState{Member: testMember(parts[0], parts[1]), caughtUp: !strings.Contains(parts[2], "b")}
+		member.Voter = strings.Contains(parts[2], "v")
+		member.leaving = strings.Contains(parts[2], "l")
 		if strings.Contains(parts[2], "d") {
-			m.silence = 10 * time.Second
+			member.silence = 10 * time.Second
 		}
 		if strings.Contains(parts[2], "D") {
-			m.silence = 90 * time.Second
+			member.silence = 90 * time.Second
 		}
 		if strings.Contains(parts[2], "?") {
-			m.Node, m.Zone = "", ""
+			member.Node, member.Zone = "", ""
 		}
-		s.members = append(s.members, m)
+		view.members = append(view.members, member)
 	}
 	for _, word := range strings.Fields(joining) {
 		parts := strings.Split(word, ":")
-		s.joining = append(s.joining, testMember(parts[0], parts[1]))
+		view.joining = append(view.joining, testMember(parts[0], parts[1]))
 	}
-	s.self = s.members[0].ID
-	return s
+	view.self = view.members[0].ID
+	return view
 }
 
 func testMember(name, zone string) consensus.Member {
@@ -49,15 +49,15 @@
 	return consensus.Member{ID: id, Node: "core-" + name[:1], Zone: zone, Address: "10.0.0." + name[:1] + ":1"}
 }
 
-func formatChange(c membershipChange, is bool) string {
+func formatChange(change membershipChange, is bool) string {
 	if !is {
 		return "none"
 	}
-	if c.transferTo != 0 {
-		return fmt.Sprintf("hand over to %c%c", byte(c.transferTo>>8), byte(c.transferTo))
+	if change.transferTo != 0 {
+		return fmt.Sprintf("hand over to %c%c", byte(change.transferTo>>8), byte(change.transferTo))
 	}
 	var words []string
-	for _, m := range c.membership.Members {
+	for _, m := range change.membership.Members {
 		word := fmt.Sprintf("%c%c", byte(m.ID>>8), byte(m.ID))
 		if m.Node == "" {
 			word += "?"
@@ -123,9 +123,9 @@
 
 // TestNewLeaderDemotesNobody has a leader that cannot know yet who is gone.
 func TestNewLeaderDemotesNobody(t *testing.T) {
-	s := parseMembershipView("A0:a:v B0:b:v C0:c:v D0:c:v")
-	s.leaderFor = time.Second
-	if c, is := planChange(s); is {
+	view := parseMembershipView("A0:a:v B0:b:v C0:c:v D0:c:v")
+	view.leaderFor = time.Second
+	if c, is := planChange(view); is {
 		t.Errorf("it changes the group to %s", formatChange(c, is))
 	}
 }
@@ -134,80 +134,80 @@
 // voters stay a majority.
 func TestPlanChangeTerminates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := drawMembershipView(t)
+		view := drawMembershipView(t)
 		for range 100 {
-			c, is := planChange(s)
+			change, is := planChange(view)
 			if !is {
 				return
 			}
-			applyChange(t, s, c)
+			applyChange(t, view, change)
 		}
 		t.Fatal("the plan does not come to an end")
 	})
 }
 
 func drawMembershipView(t *rapid.T) *membershipView {
-	s := &membershipView{targetVoters: preferredVoters, leaderFor: time.Hour, limits: testLimits}
+	view := &membershipView{targetVoters: preferredVoters, leaderFor: time.Hour, limits: testLimits}
 	silences := []time.Duration{0, 0, 0, 3 * time.Second, 10 * time.Second, 30 * time.Second, 90 * time.Second}
 	for i := range rapid.IntRange(1, 9).Draw(t, "members") {
 		machine := byte('A' + i)
 		zone := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")
 		if rapid.IntRange(0, 3).Draw(t, "wiped") == 0 {
-			m := memberState{Member: testMember(string([]byte{machine, '0'}), zone), silence: silences[len(silences)-1]}
-			m.Voter = rapid.Bool().Draw(t, "voter")
-			s.members = append(s.members, m)
+			member := memberState{Member: testMember(string([]byte{machine, '0'}), zone), silence: silences[len(silences)-1]}
+			member.Voter = rapid.Bool().Draw(t, "voter")
+			view.members = append(view.members, member)
 		}
-		m := memberState{Member: testMember(string([]byte{machine, '1'}), zone)}
-		m.caughtUp = rapid.Bool().Draw(t, "caught up")
-		m.Voter = i == 0 || rapid.Bool().Draw(t, "voter")
+		member := memberState{Member: testMember(string([]byte{machine, '1'}), zone)}
+		member.caughtUp = rapid.Bool().Draw(t, "caught up")
+		member.Voter = i == 0 || rapid.Bool().Draw(t, "voter")
 		if i > 0 {
-			m.silence = rapid.SampledFrom(silences).Draw(t, "silent")
+			member.silence = rapid.SampledFrom(silences).Draw(t, "silent")
 		} else {
-			s.self = m.ID
+			view.self = member.ID
 		}
-		s.members = append(s.members, m)
+		view.members = append(view.members, member)
 	}
-	return s
+	return view
 }
 
 // applyChange carries a change out and checks it.
-func applyChange(t *rapid.T, s *membershipView, c membershipChange) {
-	if c.transferTo != 0 {
-		i := s.indexOf(c.transferTo)
-		if i < 0 || !s.members[i].Voter {
-			t.Fatalf("leadership goes to %d", c.transferTo)
+func applyChange(t *rapid.T, view *membershipView, change membershipChange) {
+	if change.transferTo != 0 {
+		i := view.indexOf(change.transferTo)
+		if i < 0 || !view.members[i].Voter {
+			t.Fatalf("leadership goes to %d", change.transferTo)
 		}
-		s.self = c.transferTo
+		view.self = change.transferTo
 		return
 	}
-	before, majority := s.consensusMembers(), hasMajority(s)
-	d := diffMemberships(consensus.Membership{Members: before}, c.membership)
-	if d.members == 0 || d.votes > 0 && d.members != d.votes || d.votes > 1 && len(before) != len(c.membership.Members) {
+	before, majority := view.consensusMembers(), hasMajority(view)
+	d := diffMemberships(consensus.Membership{Members: before}, change.membership)
+	if d.members == 0 || d.votes > 0 && d.members != d.votes || d.votes > 1 && len(before) != len(change.membership.Members) {
 		t.Fatalf("%d members and %d votes change: %v, then %v", d.members, d.votes, memberList(before),
-			memberList(c.membership.Members))
+			memberList(change.membership.Members))
 	}
 	var members []memberState
-	for _, m := range c.membership.Members {
+	for _, m := range change.membership.Members {
 		next := memberState{Member: m, caughtUp: true}
-		if i := s.indexOf(m.ID); i >= 0 {
-			next.silence, next.caughtUp = s.members[i].silence, s.members[i].caughtUp
+		if i := view.indexOf(m.ID); i >= 0 {
+			next.silence, next.caughtUp = view.members[i].silence, view.members[i].caughtUp
 		}
 		members = append(members, next)
 	}
-	s.members = members
-	if majority && !hasMajority(s) {
-		t.Fatalf("no majority is left: %v", c.membership)
+	view.members = members
+	if majority && !hasMajority(view) {
+		t.Fatalf("no majority is left: %v", change.membership)
 	}
 }
 
-func hasMajority(s *membershipView) bool {
+func hasMajority(view *membershipView) bool {
 	voters, living := 0, 0
-	for i := range s.members {
-		if !s.members[i].Voter {
+	for i := range view.members {
+		if !view.members[i].Voter {
 			continue
 		}
 		voters++
-		if s.isAvailable(i) {
+		if view.isAvailable(i) {
 			living++
 		}
 	}
--- a/internal/system/replica/propose.go
+++ b/internal/system/replica/propose.go
@@ -126,18 +126,18 @@
 // proposeLocal proposes to this machine's replica and waits for the command to be applied or lost.
 func (h *Host) proposeLocal(ctx context.Context, partition feed.Partition, command []byte) (Outcome, []byte) {
 	g := h.group(partition)
-	p := h.startProposal(ctx, g, command)
-	if p == nil {
+	pending := h.startProposal(ctx, g, command)
+	if pending == nil {
 		return OutcomeDropped, nil
 	}
 	select {
-	case reply := <-p.done:
+	case reply := <-pending.done:
 		return reply.Outcome, reply.Result
 	case <-ctx.Done():
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	g.abandonProposal(p)
+	g.abandonProposal(pending)
 	return OutcomeUnknown, nil
 }
 
--- a/internal/system/replica/repair_model_test.go
+++ b/internal/system/replica/repair_model_test.go
@@ -66,25 +66,25 @@
 }
 
 func (m *repairModel) initialState() modelState {
-	s := modelState{leaving: -1, incoming: -1}
+	state := modelState{leaving: -1, incoming: -1}
 	for machine := range m.machines {
-		r := replicaOf(machine, 0)
-		s.intact = s.intact.with(r)
+		replica := replicaOf(machine, 0)
+		state.intact = state.intact.with(replica)
 		if machine < m.voters {
-			s.voters = s.voters.with(r)
+			state.voters = state.voters.with(replica)
 		} else {
-			s.learners = s.learners.with(r)
+			state.learners = state.learners.with(replica)
 		}
 	}
-	return s
+	return state
 }
 
 // reachable are the replicas that are intact and not cut off.
 func (s *modelState) reachable(m *repairModel) (set replicaSet) {
 	for machine := range m.machines {
-		r := replicaOf(machine, int(s.generations[machine]))
-		if s.intact.has(r) && s.partitioned&(1<<machine) == 0 {
-			set = set.with(r)
+		replica := replicaOf(machine, int(s.generations[machine]))
+		if s.intact.has(replica) && s.partitioned&(1<<machine) == 0 {
+			set = set.with(replica)
 		}
 	}
 	return set
@@ -100,42 +100,42 @@
 }
 
 // nextSteps are all events that may come next.
-func (m *repairModel) nextSteps(s *modelState) (next []modelStep) {
+func (m *repairModel) nextSteps(state *modelState) (next []modelStep) {
 	for machine := range m.machines {
-		next = append(next, m.faultSteps(s, machine)...)
+		next = append(next, m.faultSteps(state, machine)...)
 	}
-	return append(next, m.membershipSteps(s)...)
+	return append(next, m.membershipSteps(state)...)
 }
 
 // faultSteps are what may befall a machine, or end.
-func (m *repairModel) faultSteps(s *modelState, machine int) (next []modelStep) {
+func (m *repairModel) faultSteps(state *modelState, machine int) (next []modelStep) {
 	bit := uint8(1) << machine
-	mayBeLost := s.lost&bit != 0 || bits.OnesCount8(s.lost) < m.toleratedLosses
-	if mayBeLost && s.generations[machine] < maxGenerations-1 {
-		to := *s
-		old := replicaOf(machine, int(s.generations[machine]))
-		to.intact, to.learners = to.intact.without(old), to.learners.without(old)
-		to.generations[machine]++
-		fresh := replicaOf(machine, int(to.generations[machine]))
-		to.intact, to.learners = to.intact.with(fresh), to.learners.with(fresh)
-		to.lost |= bit
-		next = append(next, modelStep{fmt.Sprintf("machine %d loses its disk", machine), to})
+	mayBeLost := state.lost&bit != 0 || bits.OnesCount8(state.lost) < m.toleratedLosses
+	if mayBeLost && state.generations[machine] < maxGenerations-1 {
+		after := *state
+		old := replicaOf(machine, int(state.generations[machine]))
+		after.intact, after.learners = after.intact.without(old), after.learners.without(old)
+		after.generations[machine]++
+		fresh := replicaOf(machine, int(after.generations[machine]))
+		after.intact, after.learners = after.intact.with(fresh), after.learners.with(fresh)
+		after.lost |= bit
+		next = append(next, modelStep{fmt.Sprintf("machine %d loses its disk", machine), after})
 	}
-	if mayBeLost && s.partitioned&bit == 0 {
-		to := *s
-		to.partitioned |= bit
-		to.lost |= bit
-		next = append(next, modelStep{fmt.Sprintf("machine %d is cut off", machine), to})
+	if mayBeLost && state.partitioned&bit == 0 {
+		after := *state
+		after.partitioned |= bit
+		after.lost |= bit
+		next = append(next, modelStep{fmt.Sprintf("machine %d is cut off", machine), after})
 	}
-	if s.partitioned&bit != 0 {
-		to := *s
-		to.partitioned &^= bit
-		next = append(next, modelStep{fmt.Sprintf("machine %d is back", machine), to})
+	if state.partitioned&bit != 0 {
+		after := *state
+		after.partitioned &^= bit
+		next = append(next, modelStep{fmt.Sprintf("machine %d is back", machine), after})
 	}
-	if s.lost&bit != 0 && s.partitioned&bit == 0 && (m.repaired(s) || m.stalls && s.generations[machine] == 0) {
-		to := *s
-		to.lost &^= bit
-		next = append(next, modelStep{fmt.Sprintf("machine %d counts again", machine), to})
+	if state.lost&bit != 0 && state.partitioned&bit == 0 && (m.repaired(state) || m.stalls && state.generations[machine] == 0) {
+		after := *state
+		after.lost &^= bit
+		next = append(next, modelStep{fmt.Sprintf("machine %d counts again", machine), after})
 	}
 	return next
 }
@@ -147,21 +147,21 @@
 }
 
 // membershipSteps are the steps of membership that may be agreed on.
-func (m *repairModel) membershipSteps(s *modelState) (next []modelStep) {
-	reachable := s.reachable(m)
+func (m *repairModel) membershipSteps(state *modelState) (next []modelStep) {
+	reachable := state.reachable(m)
 	take := func(what string, to modelState) {
-		if reachable.majorities(s.voters, s.outgoing) && reachable.majorities(to.voters, to.outgoing) {
+		if reachable.majorities(state.voters, state.outgoing) && reachable.majorities(to.voters, to.outgoing) {
 			next = append(next, modelStep{what, to})
 		}
 	}
-	if s.leaving >= 0 {
-		take(m.finishReplacement(s))
+	if state.leaving >= 0 {
+		take(m.finishReplacement(state))
 		return next
 	}
 	for old := range m.machines * maxGenerations {
 		for taking := range m.machines * maxGenerations {
-			if s.isReplaceable(old, reachable) && s.learners.has(taking) && reachable.has(taking) {
-				take(m.beginReplacement(s, old, taking))
+			if state.isReplaceable(old, reachable) && state.learners.has(taking) && reachable.has(taking) {
+				take(m.beginReplacement(state, old, taking))
 			}
 		}
 	}
@@ -170,44 +170,44 @@
 
 // isReplaceable tells whether a voter is to be replaced: one whose disk is lost, and only where there is none one that is
 // merely silent.
-func (s *modelState) isReplaceable(r int, reachable replicaSet) bool {
+func (s *modelState) isReplaceable(replica int, reachable replicaSet) bool {
 	lost := s.voters &^ s.intact
 	if lost != 0 {
-		return lost.has(r)
+		return lost.has(replica)
 	}
-	return s.voters.has(r) && !reachable.has(r)
+	return s.voters.has(replica) && !reachable.has(replica)
 }
 
 // beginReplacement is the first step of giving a silent voter's vote to a learner.
 func (m *repairModel) beginReplacement(s *modelState, old, taking int) (string, modelState) {
-	to := *s
-	to.leaving, to.incoming = int8(old), int8(taking)
+	next := *s
+	next.leaving, next.incoming = int8(old), int8(taking)
 	switch m.strategy {
 	case addThenRemove:
-		to.voters = to.voters.with(taking)
+		next.voters = next.voters.with(taking)
 	case removeThenAdd:
-		to.voters = to.voters.without(old)
+		next.voters = next.voters.without(old)
 	case jointConsensus:
-		to.outgoing = to.voters
-		to.voters = to.voters.without(old).with(taking)
+		next.outgoing = next.voters
+		next.voters = next.voters.without(old).with(taking)
 	}
-	return fmt.Sprintf("the change from %d to %d begins", old, taking), to
+	return fmt.Sprintf("the change from %d to %d begins", old, taking), next
 }
 
 // finishReplacement is the second step.
-func (m *repairModel) finishReplacement(s *modelState) (string, modelState) {
-	to := *s
-	old, taking := int(s.leaving), int(s.incoming)
-	to.leaving, to.incoming, to.outgoing = -1, -1, 0
-	to.voters = to.voters.without(old)
-	to.learners = to.learners.without(taking)
-	if s.intact.has(old) {
-		to.learners = to.learners.with(old)
+func (m *repairModel) finishReplacement(state *modelState) (string, modelState) {
+	next := *state
+	old, taking := int(state.leaving), int(state.incoming)
+	next.leaving, next.incoming, next.outgoing = -1, -1, 0
+	next.voters = next.voters.without(old)
+	next.learners = next.learners.without(taking)
+	if state.intact.has(old) {
+		next.learners = next.learners.with(old)
 	}
-	if s.intact.has(taking) || m.strategy != removeThenAdd {
-		to.voters = to.voters.with(taking)
+	if state.intact.has(taking) || m.strategy != removeThenAdd {
+		next.voters = next.voters.with(taking)
 	}
-	return fmt.Sprintf("the change from %d to %d ends", old, taking), to
+	return fmt.Sprintf("the change from %d to %d ends", old, taking), next
 }
 
 // search plays all orders of events up to a depth and returns the shortest one that leaves no majority; nil: there is
@@ -222,12 +222,12 @@
 	frontier := []modelState{start}
 	for range depth {
 		var next []modelState
-		for _, s := range frontier {
-			for _, step := range m.nextSteps(&s) {
+		for _, state := range frontier {
+			for _, step := range m.nextSteps(&state) {
 				if _, known := seen[step.state]; known {
 					continue
 				}
-				seen[step.state] = visit{s, step.event}
+				seen[step.state] = visit{state, step.event}
 				if !step.state.hasMajority() {
 					for at := step.state; at != start; at = seen[at].from {
 						trace = append([]string{seen[at].what}, trace...)
