--- a/internal/system/replica/transfer.go
+++ b/internal/system/replica/transfer.go
@@ -75,32 +75,32 @@
 
 // startBulkTransfer sends a message with large entries, and what comes to wait behind it, over a connection of its own. The
 // peer's mutex is held.
-func (s *peerSet) startBulkTransfer(address netip.AddrPort, p *peer, partition feed.Partition, message *consensus.Message) {
+func (s *peerSet) startBulkTransfer(address netip.AddrPort, remote *peer, partition feed.Partition, message *consensus.Message) {
 	t := &bulkTransfer{}
 	t.add(partition, message)
-	p.bulkTransfers[partition] = t
+	remote.bulkTransfers[partition] = t
 	s.goroutines.Add(1)
 	go func() {
 		defer s.goroutines.Done()
-		s.runBulkTransfer(address, p, partition, t)
+		s.runBulkTransfer(address, remote, partition, t)
 	}()
 }
 
 // runBulkTransfer ends once nothing waits any more, or the peer is not reached: then the machines send anew what was lost.
-func (s *peerSet) runBulkTransfer(address netip.AddrPort, p *peer, partition feed.Partition, t *bulkTransfer) {
+func (s *peerSet) runBulkTransfer(address netip.AddrPort, remote *peer, partition feed.Partition, t *bulkTransfer) {
 	client := newBulkClient(address)
 	defer client.Close()
 	var err error
 	for {
-		p.mutex.Lock()
+		remote.mutex.Lock()
 		batch := t.pending
 		t.pending = nil
 		if len(batch) == 0 || err != nil {
-			delete(p.bulkTransfers, partition)
-			p.mutex.Unlock()
+			delete(remote.bulkTransfers, partition)
+			remote.mutex.Unlock()
 			return
 		}
-		p.mutex.Unlock()
+		remote.mutex.Unlock()
 		_, err = deliverCall.Invoke(s.context, client, newDeliverRequest(batch))
 	}
 }
@@ -108,11 +108,11 @@
 // sendSnapshot sends a message with the present snapshot over a connection of its own, so that heartbeats do not wait
 // behind it. It does nothing while an earlier one is under way.
 func (s *peerSet) sendSnapshot(address netip.AddrPort, g *group, message *consensus.Message) {
-	p := s.get(address)
-	p.mutex.Lock()
-	busy := p.activeSnapshots[g.partition]
-	p.activeSnapshots[g.partition] = true
-	p.mutex.Unlock()
+	remote := s.get(address)
+	remote.mutex.Lock()
+	busy := remote.activeSnapshots[g.partition]
+	remote.activeSnapshots[g.partition] = true
+	remote.mutex.Unlock()
 	if busy {
 		return
 	}
@@ -126,9 +126,9 @@
 		client := newBulkClient(address)
 		defer client.Close()
 		_, _ = deliverCall.Invoke(s.context, client, newDeliverRequest(messages)) // the receiver's replica answers by itself
-		p.mutex.Lock()
-		delete(p.activeSnapshots, partition)
-		p.mutex.Unlock()
+		remote.mutex.Lock()
+		delete(remote.activeSnapshots, partition)
+		remote.mutex.Unlock()
 	}()
 }
 
