--- a/internal/system/configuration/change_test.go
+++ b/internal/system/configuration/change_test.go
@@ -1,6 +1,7 @@
 package configuration
 
 import (
+	"bytes"
 	"errors"
 	"strings"
 	"testing"
@@ -58,7 +59,7 @@
 
 func TestApplyAndValidateRejectsInvalidChanges(t *testing.T) {
 	base := mustParse(t, sampleDocument, 0)
-	for name, invalid := range map[string]struct{ body, place string }{
+	for name, invalid := range map[string]struct{ body, path string }{
 		"nothing":                {"", ""},
 		"cut short":              {`{"version":9`, ""},
 		"no version":             {`{"replace":{}}`, ""},
@@ -79,15 +80,15 @@
 		_, err := ApplyAndValidate([]byte(invalid.body), base)
 		var found *validation.Error
 		if !errors.As(err, &found) {
-			t.Errorf("%s: got %v, want findings", name, err)
+			t.Errorf("%s: got %v, want problems", name, err)
 			continue
 		}
 		known := false
 		for _, problem := range found.Problems {
-			known = known || problem.Path == invalid.place
+			known = known || problem.Path == invalid.path
 		}
 		if !known {
-			t.Errorf("%s: no finding at %q in %v", name, invalid.place, err)
+			t.Errorf("%s: no problem at %q in %v", name, invalid.path, err)
 		}
 	}
 }
@@ -99,3 +100,31 @@
 		t.Fatal(err)
 	}
 }
+
+func FuzzApplyAndValidate(f *testing.F) {
+	f.Add([]byte(`{"version":9,"replace":{"routes":[` + sampleRoute + `]},"remove":{"routes":["r-2"],"tenants":["t-1"]}}`))
+	f.Add([]byte(`{"version":9,"replace":{"colour":1,"tenants":[{"name":"t-1"}],"limits":{}}}`))
+	f.Fuzz(func(t *testing.T, body []byte) {
+		base, err := ParseAndValidate([]byte(sampleDocument), 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		changed, err := ApplyAndValidate(body, base)
+		if err != nil {
+			return
+		}
+		if err := changed.Validate(base.Version()); err != nil {
+			t.Fatalf("an invalid document was made: %v", err)
+		}
+		stored := itemStore{}
+		stored.apply(base.Writes())
+		stored.apply(Diff(base, changed))
+		read, err := FromItems(stored.all())
+		if err != nil || !bytes.Equal(read.Encode(), changed.Encode()) {
+			t.Fatalf("%s came back as %v: %v", changed.Encode(), read, err)
+		}
+		if whole, err := ParseAndValidate(changed.Encode(), base.Version()); err != nil || !bytes.Equal(whole.Encode(), changed.Encode()) {
+			t.Fatalf("%s is not a document: %v", changed.Encode(), err)
+		}
+	})
+}
--- a/internal/system/configuration/document.go
+++ b/internal/system/configuration/document.go
@@ -3,7 +3,6 @@
 import (
 	"slices"
 	"strconv"
-	"strings"
 
 	"github.com/go-faster/jx"
 )
@@ -16,40 +15,34 @@
 	fieldLimits   = "limits"
 )
 
-// entry is an item of a list, with its JSON as the operator sent it.
+// entry is an item of a list, with its JSON as the operator wrote it.
 type entry[M any] struct {
 	name    string
-	ordinal uint64 // sorts the items of the list
+	ordinal uint64 // position of the item in its list, relative to the others: see alignOrdinals
 	raw     []byte
 	model   *M
 }
 
-// extraField is a field of the document that this version does not know.
-type extraField struct {
-	name string
-	raw  []byte
-}
-
-// Document is a whole configuration. It is not altered once it is made: what changes it makes another one.
+// Document is a whole configuration. It is immutable: changes make another document.
 type Document struct {
 	version   uint64
 	routes    []entry[Route]
 	services  []entry[Service]
 	limits    *Limits // nil: none
 	rawLimits []byte
-	extras    []extraField // by name
+	extras    []extraField // sorted by name
 }
 
-// Version is the number that the operator gave to the document.
+// Version returns the version that the operator gave to the document.
 func (d *Document) Version() uint64 { return d.version }
 
-// Routes are the routes in the operator's order. They must not be altered.
+// Routes returns the routes in the operator's order. They must not be altered.
 func (d *Document) Routes() []*Route { return models(d.routes) }
 
-// Services are the services in the operator's order. They must not be altered.
+// Services returns the services in the operator's order. They must not be altered.
 func (d *Document) Services() []*Service { return models(d.services) }
 
-// Limits are the bounds on clients; known is false if the document has none.
+// Limits returns the limits on client requests; known is false if the document has none.
 func (d *Document) Limits() (limits Limits, known bool) {
 	if d.limits == nil {
 		return Limits{}, false
@@ -65,8 +58,8 @@
 	return made
 }
 
-// Encode is the document as the operator sent it: the same items in the same order, each as it was written, and fields
-// that are not known at the end, by name.
+// Encode returns the document as the operator wrote it: the same items in the same order, each with its own text.
+// Fields that this version does not know come last, by name.
 func (d *Document) Encode() []byte {
 	writer := jx.Writer{Buf: make([]byte, 0, d.encodedSize())}
 	writer.RawStr(`{"` + fieldVersion + `":`)
@@ -114,7 +107,7 @@
 	return size
 }
 
-// clone is a copy whose lists may be altered; their items are shared.
+// clone returns a copy whose lists may be altered; it shares their items.
 func (d *Document) clone() *Document {
 	copied := *d
 	copied.routes = slices.Clone(d.routes)
@@ -122,15 +115,3 @@
 	copied.extras = slices.Clone(d.extras)
 	return &copied
 }
-
-// setExtra adds or replaces a field that is not known.
-func (d *Document) setExtra(field extraField) {
-	position, found := slices.BinarySearchFunc(d.extras, field.name, func(held extraField, name string) int {
-		return strings.Compare(held.name, name)
-	})
-	if found {
-		d.extras[position] = field
-		return
-	}
-	d.extras = slices.Insert(d.extras, position, field)
-}
--- a/internal/system/configuration/items.go
+++ b/internal/system/configuration/items.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"encoding/binary"
 	"fmt"
 	"iter"
@@ -14,16 +15,6 @@
 	"cinderroad/internal/system/validation"
 )
 
-// ordinalSize is the length of the ordinal before the JSON of a stored route or service.
-const ordinalSize = 8
-
-// Write sets or deletes an item of the configuration partition; see package feed for the keys.
-type Write struct {
-	Key     string
-	Value   []byte
-	Deleted bool
-}
-
 // NoDocumentError says that there is no configuration among the items.
 type NoDocumentError struct{}
 
@@ -34,134 +25,26 @@
 
 // MalformedItemError says that a stored item cannot be read.
 type MalformedItemError struct {
-	Key   string // empty: not known
+	Key   string // of the item; empty: the caller knows it
 	Cause error
 }
 
-// Error says what happened.
+// Error names the item and says what is wrong with it.
 func (e *MalformedItemError) Error() string {
 	return fmt.Sprintf("configuration: stored item %q cannot be read: %v", e.Key, e.Cause)
 }
 
-// Unwrap is the error with the findings.
+// Unwrap returns the cause.
 func (e *MalformedItemError) Unwrap() error { return e.Cause }
 
-// Writes are the writes that store the whole document.
-func (d *Document) Writes() []Write { return Diff(nil, d) }
-
-// Diff are the writes that bring the items of a stored document, nil for none, to those of the next one. Items that
-// stay as they are, in the same order among themselves, are not written.
-func Diff(old, next *Document) []Write {
-	if old == nil {
-		old = &Document{}
-	}
-	next = next.AlignOrdinals(old)
-	var writes []Write
-	if old.version != next.version {
-		version := strconv.AppendUint(nil, next.version, 10)
-		writes = append(writes, Write{Key: feed.KeyVersion, Value: version})
-	}
-	writes = append(writes, diffLimits(old, next)...)
-	writes = append(writes, diffExtras(old.extras, next.extras)...)
-	writes = append(writes, diffEntries(feed.KeyPrefixService, old.services, next.services)...)
-	return append(writes, diffEntries(feed.KeyPrefixRoute, old.routes, next.routes)...)
-}
-
-func diffLimits(old, next *Document) []Write {
-	switch {
-	case next.limits == nil && old.limits == nil:
-		return nil
-	case next.limits == nil:
-		return []Write{{Key: feed.KeyLimits, Deleted: true}}
-	case old.limits != nil && bytes.Equal(old.rawLimits, next.rawLimits):
-		return nil
-	}
-	return []Write{{Key: feed.KeyLimits, Value: bytes.Clone(next.rawLimits)}}
-}
-
-func diffExtras(old, next []extraField) []Write {
-	remaining := make(map[string][]byte, len(old))
-	for _, field := range old {
-		remaining[field.name] = field.raw
-	}
-	var writes []Write
-	for _, field := range next {
-		raw, known := remaining[field.name]
-		if !known || !bytes.Equal(raw, field.raw) {
-			writes = append(writes, Write{Key: feed.KeyPrefixExtra + field.name, Value: bytes.Clone(field.raw)})
-		}
-		delete(remaining, field.name)
-	}
-	for _, field := range old {
-		if _, gone := remaining[field.name]; gone {
-			writes = append(writes, Write{Key: feed.KeyPrefixExtra + field.name, Deleted: true})
-		}
-	}
-	return writes
-}
-
-func diffEntries[M any](key string, old, next []entry[M]) []Write {
-	remaining := make(map[string]entry[M], len(old))
-	for _, item := range old {
-		remaining[item.name] = item
-	}
-	var writes []Write
-	for _, item := range next {
-		before, known := remaining[item.name]
-		if !known || before.ordinal != item.ordinal || !bytes.Equal(before.raw, item.raw) {
-			writes = append(writes, Write{Key: key + item.name, Value: item.encode()})
-		}
-		delete(remaining, item.name)
-	}
-	for _, item := range old {
-		if _, gone := remaining[item.name]; gone {
-			writes = append(writes, Write{Key: key + item.name, Deleted: true})
-		}
-	}
-	return writes
-}
-
-func (e entry[M]) encode() []byte {
-	value := make([]byte, 0, ordinalSize+len(e.raw))
-	value = binary.BigEndian.AppendUint64(value, e.ordinal)
-	return append(value, e.raw...)
-}
-
-// AlignOrdinals is the same document with its items numbered as those of a stored document, nil for none, as far as their
-// order allows it. Diff does so by itself; whoever goes on to use a document after storing its difference rebases it
-// first.
-func (d *Document) AlignOrdinals(old *Document) *Document {
-	if old == nil {
-		old = &Document{}
-	}
-	rebased := d.clone()
-	alignEntries(old.routes, rebased.routes)
-	alignEntries(old.services, rebased.services)
-	return rebased
-}
-
-func alignEntries[M any](old, next []entry[M]) {
-	ordinals := make(map[string]uint64, len(old))
-	for _, item := range old {
-		ordinals[item.name] = item.ordinal
-	}
-	current := make([]uint64, len(next))
-	for i, item := range next {
-		current[i] = ordinals[item.name]
-	}
-	for i, ordinal := range alignOrdinals(current) {
-		next[i].ordinal = ordinal
-	}
-}
-
-// FromItems is the document that stored items make; keys that are not of a document are passed over. The error is a
+// FromItems returns the document that stored items make; keys that belong to no document are ignored. An error is a
 // *NoDocumentError or a *MalformedItemError. The document keeps parts of the values, which must not be altered.
 func FromItems(items iter.Seq2[string, []byte]) (*Document, error) {
 	return FromItemsReusing(nil, items)
 }
 
-// FromItemsReusing is FromItems for items of which most are those of another document, nil for none: these are not read
-// anew.
+// FromItemsReusing is FromItems for items of which most are those of another document, nil for none: items with the
+// same text are not parsed again.
 func FromItemsReusing(other *Document, items iter.Seq2[string, []byte]) (*Document, error) {
 	if other == nil {
 		other = &Document{}
@@ -200,11 +83,8 @@
 }
 
 func compareOrdinals[M any](a, b entry[M]) int {
-	switch {
-	case a.ordinal < b.ordinal:
-		return -1
-	case a.ordinal > b.ordinal:
-		return 1
+	if order := cmp.Compare(a.ordinal, b.ordinal); order != 0 {
+		return order
 	}
 	return strings.Compare(a.name, b.name)
 }
@@ -217,7 +97,7 @@
 	return named
 }
 
-// appendEntry reads a stored item, unless known, which may be nil, is that item.
+// appendEntry appends a stored item. It is not parsed if known, which may be nil, has the same text.
 func appendEntry[M any](
 	entries []entry[M], known *entry[M], value []byte, parse func(jsonfield.Value) *M, name func(*M) string,
 ) ([]entry[M], error) {
@@ -244,7 +124,7 @@
 	return version, nil
 }
 
-// DecodeVersion reads the value of feed.KeyVersion.
+// DecodeVersion decodes the value of feed.KeyVersion. An error is a *MalformedItemError.
 func DecodeVersion(value []byte) (uint64, error) {
 	version, err := decodeVersion(value)
 	if err != nil {
@@ -253,7 +133,7 @@
 	return version, nil
 }
 
-// DecodeRoute reads the value of a route's item. The error is a *MalformedItemError.
+// DecodeRoute decodes the value of a route's item. An error is a *MalformedItemError.
 func DecodeRoute(value []byte) (*Route, error) {
 	route, err := decodeWithOrdinal(value, parseRoute)
 	if err != nil {
@@ -262,7 +142,7 @@
 	return route, nil
 }
 
-// DecodeService reads the value of a service's item. The error is a *MalformedItemError.
+// DecodeService decodes the value of a service's item. An error is a *MalformedItemError.
 func DecodeService(value []byte) (*Service, error) {
 	service, err := decodeWithOrdinal(value, parseService)
 	if err != nil {
@@ -271,7 +151,7 @@
 	return service, nil
 }
 
-// DecodeLimits reads the value of the limits' item. The error is a *MalformedItemError.
+// DecodeLimits decodes the value of the limits' item. An error is a *MalformedItemError.
 func DecodeLimits(value []byte) (*Limits, error) {
 	limits, err := decode(value, parseLimits)
 	if err != nil {
--- a/internal/system/configuration/ordinals.go
+++ b/internal/system/configuration/ordinals.go
@@ -5,15 +5,15 @@
 	"sort"
 )
 
-// ordinalGap is left between the ordinals of neighbours, so that items can be put between them later on without
+// ordinalGap is the distance of neighbouring ordinals in a new list, so that items can be inserted later without
 // renumbering the others.
 const ordinalGap = 1 << 32
 
-// evenOrdinal is the ordinal of the item at a place of a list that is numbered anew.
+// evenOrdinal returns the ordinal of the item at a position of a list that is numbered anew.
 func evenOrdinal(position int) uint64 { return uint64(position+1) * ordinalGap }
 
-// alignOrdinals numbers a list so that its order is kept and as many items as possible keep the ordinal that they
-// have, 0 for those without one.
+// alignOrdinals returns ascending ordinals for a list of which the items have the given ordinals, 0 for none, so that
+// as many items as possible keep theirs. If there is no room for the others, the list is numbered anew.
 func alignOrdinals(current []uint64) []uint64 {
 	aligned := make([]uint64, len(current))
 	kept := longestIncreasing(current)
@@ -31,7 +31,7 @@
 	return aligned
 }
 
-// ordinalAt is the ordinal at a place; 0 behind the end.
+// ordinalAt returns the ordinal at a position; 0 beyond the end.
 func ordinalAt(ordinals []uint64, position int) uint64 {
 	if position == len(ordinals) {
 		return 0
@@ -39,7 +39,8 @@
 	return ordinals[position]
 }
 
-// assignBetween numbers items between two ordinals; end 0: there is no bound. It returns false if there is no room.
+// assignBetween assigns ordinals to items between two given ones; end 0: there is no upper bound. It returns false if
+// there is no room.
 func assignBetween(items []uint64, previous, end uint64) bool {
 	if len(items) == 0 {
 		return true
@@ -59,6 +60,7 @@
 	return true
 }
 
+// evenOrdinals returns the ordinals of a list that is numbered anew.
 func evenOrdinals(count int) []uint64 {
 	ordinals := make([]uint64, count)
 	for position := range ordinals {
@@ -67,10 +69,10 @@
 	return ordinals
 }
 
-// longestIncreasing are the places of a longest strictly rising subsequence of the ordinals above 0.
+// longestIncreasing returns the positions of a longest strictly increasing subsequence of the ordinals above 0.
 func longestIncreasing(ordinals []uint64) []int {
-	predecessors := make([]int, len(ordinals)) // place before each one in the best sequence that ends there
-	var ends []int                             // place at which the best sequence of each length ends
+	predecessors := make([]int, len(ordinals)) // position before each one in the best sequence that ends there
+	var ends []int                             // position at which the best sequence of each length ends
 	for position, ordinal := range ordinals {
 		if ordinal == 0 {
 			continue
--- a/internal/system/configuration/parse.go
+++ b/internal/system/configuration/parse.go
@@ -8,8 +8,8 @@
 	"cinderroad/internal/system/validation"
 )
 
-// Parse reads a whole document. All that keeps it from being read comes together, in a *findings.Error; whether it
-// makes sense is for Validate to say. The document keeps parts of body, which must not be altered.
+// Parse parses a whole document. An error is a *validation.Error with all problems. The document need not be valid: see
+// Validate. It keeps parts of body, which must not be altered.
 func Parse(body []byte) (*Document, error) {
 	var problems validation.Problems
 	document := parse(body, &problems)
@@ -19,8 +19,8 @@
 	return document, nil
 }
 
-// ParseAndValidate reads a whole document and validates it against the version that is in force, 0 for none. All findings come
-// together, in a *findings.Error. The document keeps parts of body, which must not be altered.
+// ParseAndValidate parses a whole document and validates it against the version that is in force, 0 for none. An error
+// is a *validation.Error with all problems. The document keeps parts of body, which must not be altered.
 func ParseAndValidate(body []byte, current uint64) (*Document, error) {
 	var problems validation.Problems
 	document := parse(body, &problems)
@@ -33,7 +33,7 @@
 	return document, nil
 }
 
-// parse returns what could be read of a document, nil if it is not an object at all.
+// parse returns what could be read of a document; nil if it is not an object at all.
 func parse(body []byte, problems *validation.Problems) *Document {
 	root, ok := parseRoot(body, problems)
 	if !ok {
@@ -47,7 +47,7 @@
 	return parser.document
 }
 
-// parseRoot reads a body that must be JSON in UTF-8.
+// parseRoot parses a body, which must be JSON in UTF-8.
 func parseRoot(body []byte, problems *validation.Problems) (jsonfield.Value, bool) {
 	if !utf8.Valid(body) {
 		problems.Add("", "is not valid UTF-8")
@@ -92,7 +92,7 @@
 	}
 }
 
-// parseEntries reads a list of items.
+// parseEntries parses a list of items.
 func parseEntries[M any](problems jsonfield.Value, parse func(jsonfield.Value) *M, name func(*M) string) []entry[M] {
 	var entries []entry[M]
 	problems.ReadArray(func(index int, value jsonfield.Value) {
@@ -104,11 +104,11 @@
 	return entries
 }
 
-// entriesPerYield is how many entries are read at once.
+// entriesPerYield is the number of entries that are parsed without a pause.
 const entriesPerYield = 32
 
-// yieldProcessor lets others have the processor now and then while many entries are read. A process that has one to itself and
-// reads megabytes without a pause misses its heartbeats.
+// yieldProcessor lets other goroutines run now and then while many entries are parsed. Without it a process with one
+// processor that parses megabytes would miss its heartbeats.
 func yieldProcessor(entries int) {
 	if entries%entriesPerYield == entriesPerYield-1 {
 		runtime.Gosched()
--- a/internal/system/configuration/route.go
+++ b/internal/system/configuration/route_parser.go
@@ -6,7 +6,7 @@
 	"cinderroad/internal/system/jsonfield"
 )
 
-// parseRoute reads a route as the operator sends it.
+// parseRoute parses a route as the operator writes it.
 func parseRoute(value jsonfield.Value) *Route {
 	parser := routeParser{route: &Route{Type: ReadWrite, MaxAttempts: 1}}
 	if value.ReadStrictObject(parser.readField) {
@@ -70,7 +70,7 @@
 	}
 }
 
-// readPositiveDuration reads a time; one that is above 0 but too short to be told from it counts as the shortest.
+// readPositiveDuration reads a duration. One above 0 that is too short to be represented counts as the shortest.
 func readPositiveDuration(value jsonfield.Value, unit time.Duration) time.Duration {
 	length, ok := value.Duration(unit)
 	if number, isNumber := value.Float(); ok && isNumber && number > 0 {
@@ -80,12 +80,12 @@
 }
 
 func (r *routeParser) readType(value jsonfield.Value) {
-	word, ok := value.Text()
+	name, ok := value.Text()
 	if !ok {
 		return
 	}
 	r.hasType = true
-	switch word {
+	switch name {
 	case "read_only":
 		r.route.Type = ReadOnly
 	case "writes":
--- a/internal/system/configuration/validate.go
+++ b/internal/system/configuration/validate.go
@@ -7,8 +7,8 @@
 	"cinderroad/internal/system/validation"
 )
 
-// Validate says whether the document may come into force over the version that is in force, 0 for none. All findings
-// come together, in a *findings.Error, each with its place.
+// Validate reports whether the document may replace the version that is in force, 0 for none. An error is a
+// *validation.Error with all problems.
 func (d *Document) Validate(current uint64) error {
 	var problems validation.Problems
 	d.validate(current, &problems)
@@ -29,7 +29,7 @@
 	}
 }
 
-// validateNames returns the names of a list's items; each must be there and stand for one item.
+// validateNames returns the names of a list's items. A missing name and a name that is used twice are problems.
 func validateNames[M any](entries []entry[M], field string, problems *validation.Problems) map[string]bool {
 	names := make(map[string]bool, len(entries))
 	for i, item := range entries {
@@ -45,7 +45,7 @@
 	return names
 }
 
-// routePrefix is what no two routes may share.
+// routePrefix is the host and path prefix of a route, which no two routes may share.
 type routePrefix struct{ host, path string }
 
 type routeValidator struct {
@@ -108,14 +108,3 @@
 
 // maxWeightSum bounds the sum of a route's weights, which must be finite.
 const maxWeightSum = 1e300
-
-// NormalizeHost is the form in which hosts are compared: lower case, without port and final dot.
-func NormalizeHost(host string) string {
-	if address, rest, bracketed := strings.Cut(host, "]"); bracketed && strings.HasPrefix(host, "[") {
-		if rest == "" || rest[0] == ':' {
-			return strings.ToLower(address[1:])
-		}
-	}
-	name, _, _ := strings.Cut(host, ":")
-	return strings.ToLower(strings.TrimSuffix(name, "."))
-}
