--- a/internal/system/consensus/abuse_test.go
+++ b/internal/system/consensus/abuse_test.go
@@ -28,7 +28,7 @@
 	stored.Entries = slices.Clone(stored.Entries)
 	a.m = New(a.now, Config{ID: 1, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: rapid.Uint64().Draw(t, "seed"),
 		MaxAppendBytes: 8, MaxInflightAppends: 2, SnapshotThreshold: 4}, stored)
-	if a.m.mute {
+	if a.m.disabled {
 		t.Fatalf("what was stored makes no sense: %v", stored.Validate())
 	}
 	a.pending = nil
@@ -41,7 +41,7 @@
 		From: ReplicaID(rapid.IntRange(0, 4).Draw(t, "from")), To: 1, Term: a.m.term + smallNumber(t, "term") - 2,
 		Commit: smallNumber(t, "commit"), RejectHint: smallNumber(t, "hint"), Round: smallNumber(t, "round"),
 		Reject: rapid.Bool().Draw(t, "reject"), Force: rapid.Bool().Draw(t, "force")}
-	msg.Index = a.m.log.last() + smallNumber(t, "index") - 4
+	msg.Index = a.m.log.lastIndex() + smallNumber(t, "index") - 4
 	msg.LogTerm = smallNumber(t, "log term")
 	if term, known := a.m.log.term(msg.Index); known && rapid.Bool().Draw(t, "right term") {
 		msg.LogTerm = term
@@ -109,8 +109,8 @@
 		t.Fatalf("commit went back from %d to %d", a.commit, l.commit)
 	}
 	a.commit = l.commit
-	if l.offset > l.snapshot.Index || l.snapshot.Index > l.commit || l.commit > l.last() || l.applied > l.commit ||
-		l.handed > l.last() || l.durable > l.handed {
+	if l.offset > l.snapshot.Index || l.snapshot.Index > l.commit || l.commit > l.lastIndex() || l.applied > l.commit ||
+		l.writeIndex > l.lastIndex() || l.durable > l.writeIndex {
 		t.Fatalf("log does not make sense: %+v", l)
 	}
 	for i, entry := range l.entries {
@@ -146,9 +146,9 @@
 				}
 			},
 			"acknowledge": func(t *rapid.T) {
-				index := rapid.Uint64Range(a.m.log.offset, a.m.log.last()).Draw(t, "index")
+				index := rapid.Uint64Range(a.m.log.offset, a.m.log.lastIndex()).Draw(t, "index")
 				a.m.Step(a.now, Message{Kind: MessageAppendReply, From: ReplicaID(rapid.IntRange(2, 4).Draw(t, "from")), To: 1,
-					Term: a.m.term, Index: index, Round: a.m.leading.round})
+					Term: a.m.term, Index: index, Round: a.m.leaderState.round})
 			},
 			"propose": func(t *rapid.T) { a.m.Propose(a.now, drawData(t, "data")) },
 			"read": func(t *rapid.T) {
--- a/internal/system/consensus/check.go
+++ b/internal/system/consensus/check.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// mostNumber bounds terms and indexes, so that adding to them never wraps around.
-const mostNumber = 1 << 62
+// maxNumber bounds terms and indexes, so that adding to them never wraps around.
+const maxNumber = 1 << 62
 
 // InvalidMessageError says why a message, or a stored log, makes no sense.
 type InvalidMessageError struct{ Reason string }
@@ -11,28 +11,28 @@
 // Error says what happened.
 func (e *InvalidMessageError) Error() string { return "consensus: " + e.Reason }
 
-// check tells what does not make sense in a message by itself.
-func (m *Message) check() error {
+// validate tells what does not make sense in a message by itself.
+func (m *Message) validate() error {
 	if m.Kind > MessageTimeoutNow {
 		return &InvalidMessageError{Reason: fmt.Sprintf("message of unknown kind %d", m.Kind)}
 	}
 	if m.Term == 0 {
 		return &InvalidMessageError{Reason: "message without a term"}
 	}
-	if max(m.Term, m.Index, m.LogTerm) > mostNumber {
+	if max(m.Term, m.Index, m.LogTerm) > maxNumber {
 		return &InvalidMessageError{Reason: "message with a term or an index that can't be"}
 	}
 	if m.Kind == MessageAppend {
-		return m.checkEntries()
+		return m.validateEntries()
 	}
 	if m.Kind == MessageInstallSnapshot {
-		return m.checkSnapshot()
+		return m.validateSnapshot()
 	}
 	return nil
 }
 
-// checkEntries tells what does not make sense in entries that follow Index and LogTerm.
-func (m *Message) checkEntries() error {
+// validateEntries tells what does not make sense in entries that follow Index and LogTerm.
+func (m *Message) validateEntries() error {
 	if (m.Index == 0) != (m.LogTerm == 0) {
 		return &InvalidMessageError{Reason: "place of entries makes no sense"}
 	}
@@ -50,7 +50,7 @@
 		if err != nil {
 			return err
 		}
-		if err := membership.check(); err != nil {
+		if err := membership.validate(); err != nil {
 			return err
 		}
 	}
@@ -60,10 +60,10 @@
 	return nil
 }
 
-func (m *Message) checkSnapshot() error {
+func (m *Message) validateSnapshot() error {
 	s := m.Snapshot
-	if s == nil || s.Index == 0 || s.Term == 0 || s.Term > m.Term || s.Index > mostNumber {
+	if s == nil || s.Index == 0 || s.Term == 0 || s.Term > m.Term || s.Index > maxNumber {
 		return &InvalidMessageError{Reason: "snapshot makes no sense"}
 	}
-	return s.Membership.check()
+	return s.Membership.validate()
 }
--- a/internal/system/consensus/cluster_check_test.go
+++ b/internal/system/consensus/cluster_check_test.go
@@ -111,7 +111,7 @@
 		w.fail("replica %d commits %d, the last known one is %d", p.id, entry.Index, len(w.truth.committed))
 		return
 	}
-	if p.machine.role == Leader || p.machine.role == Follower && p.machine.leader == 0 { // or has just stepped down
+	if p.machine.role == Leader || p.machine.role == Follower && p.machine.leaderID == 0 { // or has just stepped down
 		w.checkMajority(p, entry)
 	} else {
 		w.fail("replica %d commits %d first, and does not lead", p.id, entry.Index)
@@ -177,7 +177,7 @@
 		w.truth.leaders[m.term] = p
 		for i, entry := range w.truth.committed {
 			// Votes that were long under way may still make a leader of a term that is past.
-			if w.truth.committedIn[i] < m.term && entry.Index > m.log.offset && !m.log.matches(entry.Index, entry.Term) {
+			if w.truth.committedIn[i] < m.term && entry.Index > m.log.offset && !m.log.matchTerm(entry.Index, entry.Term) {
 				w.fail("replica %d leads term %d without committed entry %v", p.id, m.term, entry)
 			}
 		}
--- a/internal/system/consensus/cluster_faults_test.go
+++ b/internal/system/consensus/cluster_faults_test.go
@@ -148,8 +148,8 @@
 func (w *world) settled() bool {
 	views := []Membership{w.truth.membership, w.truth.proposed}
 	for _, s := range w.slots {
-		l := newLog(s.disk.stored.tidied())
-		views = append(views, l.membership().membership)
+		l := newLog(s.disk.stored.normalized())
+		views = append(views, l.lastMembership().membership)
 	}
 	return w.whole(views) && w.agreed()
 }
@@ -170,7 +170,7 @@
 			return false
 		}
 		for _, s := range w.slots {
-			if !view.votes(s.id) {
+			if !view.isVoter(s.id) {
 				return false
 			}
 		}
@@ -202,7 +202,7 @@
 		return
 	}
 	w.onLeader(func(p *process) {
-		if p.machine.log.last()-p.machine.log.commit > 50 || !w.faults && w.behind() {
+		if p.machine.log.lastIndex()-p.machine.log.commit > 50 || !w.faults && w.behind() {
 			return
 		}
 		p.do(func(m *Node) {
@@ -300,7 +300,7 @@
 
 func (w *world) allVote(now Membership) bool {
 	for _, s := range w.slots {
-		if !now.votes(s.id) {
+		if !now.isVoter(s.id) {
 			return false
 		}
 	}
--- a/internal/system/consensus/cluster_process_test.go
+++ b/internal/system/consensus/cluster_process_test.go
@@ -73,12 +73,12 @@
 	p.applied = stored.Snapshot.Index
 	p.state = decodeState(stored.Snapshot.Data)
 	p.machine = New(p.clock(), o, stored)
-	if p.machine.mute {
+	if p.machine.disabled {
 		w.fail("replica %d finds what was stored senseless: %v", s.id, stored.Validate())
 		return
 	}
 	w.truth.noteSynced(s.id, Ready{Entries: stored.Entries})
-	w.logf("%d boots: %+v, snapshot %d, log to %d", s.id, stored.HardState, stored.Snapshot.Index, p.machine.log.last())
+	w.logf("%d boots: %+v, snapshot %d, log to %d", s.id, stored.HardState, stored.Snapshot.Index, p.machine.log.lastIndex())
 	p.do(func(m *Node) {})
 }
 
--- a/internal/system/consensus/current_test.go
+++ b/internal/system/consensus/current_test.go
@@ -63,7 +63,7 @@
 	x.now += 20 * time.Second
 	x.step(beat)
 	x.want("not current by what waited", x.m.Status().CaughtUpAt, current)
-	x.now += doubtHeartbeats * testHeartbeat
+	x.now += staleInputHeartbeats * testHeartbeat
 	x.step(beat)
 	x.want("current by what came after", x.m.Status().CaughtUpAt, x.now)
 }
--- a/internal/system/consensus/election.go
+++ b/internal/system/consensus/election.go
@@ -6,221 +6,221 @@
 )
 
 const (
-	// quickAttempts is how many elections in a row are tried after short waits.
-	quickAttempts = 4
-	// stepDownElections is how long a replica does not lead after StepDown, in election times.
-	stepDownElections = 4
+	// maxQuickElections is how many elections in a row are tried after short waits.
+	maxQuickElections = 4
+	// stepDownElectionTimeouts is how long a replica does not lead after StepDown, in election times.
+	stepDownElectionTimeouts = 4
 )
 
-// yield is the pre-candidate that this replica last put its own election off for, once for each term.
-type yield struct {
-	to   ReplicaID
-	term uint64
+// preVoteYield is the pre-candidate that this replica last put its own election off for, once for each term.
+type preVoteYield struct {
+	candidate ReplicaID
+	term      uint64
 }
 
-// between draws a time from a range.
-func (m *Node) between(least, most time.Duration) time.Duration {
+// randomDuration draws a time from a range.
+func (n *Node) randomDuration(least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
 	}
-	return least + time.Duration(m.random.Int64N(int64(most-least)))
+	return least + time.Duration(n.random.Int64N(int64(most-least)))
 }
 
-// resetElection puts the next election off by a whole election time or more. Replicas that begin at about the same time
-// are told apart by rank, see yieldTo, so that the times need not be far apart.
-func (m *Node) resetElection() {
-	m.electionDue = m.now + m.between(m.options.ElectionTimeout, m.options.ElectionTimeout*3/2)
+// resetElectionTimer puts the next election off by a whole election time or more. Replicas that begin at about the same time
+// are told apart by rank, see yieldToPreCandidate, so that the times need not be far apart.
+func (n *Node) resetElectionTimer() {
+	n.electionDeadline = n.now + n.randomDuration(n.config.ElectionTimeout, n.config.ElectionTimeout*3/2)
 }
 
-// retryElection sets when an election that has just begun is given up: the first few soon.
-func (m *Node) retryElection(least, most time.Duration) {
-	m.attempts++
-	if m.attempts > quickAttempts {
-		m.resetElection()
+// setCampaignDeadline sets when an election that has just begun is given up: the first few soon.
+func (n *Node) setCampaignDeadline(least, most time.Duration) {
+	n.failedElections++
+	if n.failedElections > maxQuickElections {
+		n.resetElectionTimer()
 		return
 	}
-	m.electionDue = m.now + m.between(least, most)
+	n.electionDeadline = n.now + n.randomDuration(least, most)
 }
 
-// campaignDue is when this replica stands for election.
-func (m *Node) campaignDue() time.Duration {
-	if !m.mayLead() {
+// campaignDeadline is when this replica stands for election.
+func (n *Node) campaignDeadline() time.Duration {
+	if !n.promotable() {
 		return Never
 	}
-	return max(m.electionDue, m.noLeaderUntil)
+	return max(n.electionDeadline, n.noCampaignUntil)
 }
 
 // becomeFollower ends whatever role this replica has.
-func (m *Node) becomeFollower(term uint64, leader ReplicaID) {
-	m.currentAt = m.current()
-	if term > m.term {
-		m.term, m.vote = term, 0
-	}
-	m.role = Follower
-	m.leader = leader
-	m.granted = nil
-	m.dropReads()
-	m.leading = leadership{}
-	m.resetElection()
-}
-
-// campaign asks whether others would vote for this replica, which disturbs nobody who follows a leader.
-func (m *Node) campaign() {
-	if m.role != PreCandidate {
-		m.askedAt = m.now
-	}
-	m.role = PreCandidate
-	m.leader = 0
-	m.granted = []ReplicaID{m.options.ID}
-	m.retryElection(m.options.ElectionTimeout/4, m.options.ElectionTimeout/2)
-	if m.elected() {
-		m.stand(false)
+func (n *Node) becomeFollower(term uint64, leader ReplicaID) {
+	n.caughtUpAt = n.lastCaughtUp()
+	if term > n.term {
+		n.term, n.vote = term, 0
+	}
+	n.role = Follower
+	n.leaderID = leader
+	n.grantedBy = nil
+	n.failReads()
+	n.leaderState = leaderState{}
+	n.resetElectionTimer()
+}
+
+// startPreVote asks whether others would vote for this replica, which disturbs nobody who follows a leader.
+func (n *Node) startPreVote() {
+	if n.role != PreCandidate {
+		n.preVoteStartedAt = n.now
+	}
+	n.role = PreCandidate
+	n.leaderID = 0
+	n.grantedBy = []ReplicaID{n.config.ID}
+	n.setCampaignDeadline(n.config.ElectionTimeout/4, n.config.ElectionTimeout/2)
+	if n.hasVoteQuorum() {
+		n.startElection(false)
 		return
 	}
-	m.askVotes(Message{Kind: MessagePreVote, Term: m.term + 1})
+	n.requestVotes(Message{Kind: MessagePreVote, Term: n.term + 1})
 }
 
-// stand is the election proper. Votes are waited for twice as long as the pre-votes took.
-func (m *Node) stand(force bool) {
-	if m.role == PreCandidate {
-		m.voteTook = m.now - m.askedAt
+// startElection is the election proper. Votes are waited for twice as long as the pre-votes took.
+func (n *Node) startElection(force bool) {
+	if n.role == PreCandidate {
+		n.preVoteDuration = n.now - n.preVoteStartedAt
 	}
-	m.currentAt = m.current()
-	m.dropReads()
-	m.leading = leadership{}
-	m.role = Candidate
-	m.leader = 0
-	m.term++
-	m.vote = m.options.ID
-	m.granted = nil // its own vote counts once it is on disk
-	least := max(m.options.ElectionTimeout/2, 2*m.voteTook)
-	m.retryElection(least, least+m.options.ElectionTimeout/2)
-	m.askVotes(Message{Kind: MessageVote, Term: m.term, Force: force})
+	n.caughtUpAt = n.lastCaughtUp()
+	n.failReads()
+	n.leaderState = leaderState{}
+	n.role = Candidate
+	n.leaderID = 0
+	n.term++
+	n.vote = n.config.ID
+	n.grantedBy = nil // its own vote counts once it is on disk
+	least := max(n.config.ElectionTimeout/2, 2*n.preVoteDuration)
+	n.setCampaignDeadline(least, least+n.config.ElectionTimeout/2)
+	n.requestVotes(Message{Kind: MessageVote, Term: n.term, Force: force})
 }
 
-func (m *Node) askVotes(msg Message) {
-	msg.Index, msg.LogTerm = m.log.last(), m.log.lastTerm()
-	for _, member := range m.membership().Members {
-		if member.HasVote() && member.ID != m.options.ID {
+func (n *Node) requestVotes(msg Message) {
+	msg.Index, msg.LogTerm = n.log.lastIndex(), n.log.lastTerm()
+	for _, member := range n.membership().Members {
+		if member.HasVote() && member.ID != n.config.ID {
 			msg.To = member.ID
-			m.send(msg)
+			n.send(msg)
 		}
 	}
 }
 
-// elected tells whether a majority of the voters has granted.
-func (m *Node) elected() bool {
-	return m.membership().HasQuorum(func(id ReplicaID) bool { return slices.Contains(m.granted, id) })
+// hasVoteQuorum tells whether a majority of the voters has granted.
+func (n *Node) hasVoteQuorum() bool {
+	return n.membership().HasQuorum(func(id ReplicaID) bool { return slices.Contains(n.grantedBy, id) })
 }
 
-// mayLead tells whether this replica is a voter, or would be if a membership that is not known to be committed came to
+// promotable tells whether this replica is a voter, or would be if a membership that is not known to be committed came to
 // nothing: it may be the only one that holds that membership, and then nobody else can be elected. It leads until the
 // membership is committed.
-func (m *Node) mayLead() bool {
-	return m.log.anyMembership(func(s Membership) bool { return s.hasVote(m.options.ID) })
+func (n *Node) promotable() bool {
+	return n.log.anyPossibleMembership(func(s Membership) bool { return s.hasVote(n.config.ID) })
 }
 
-// mayVote tells whether this replica takes part in elections. A learner votes if it is asked: whoever asks it has made
+// canVote tells whether this replica takes part in elections. A learner votes if it is asked: whoever asks it has made
 // it a voter, and the entry that says so may not have come here yet.
-func (m *Node) mayVote() bool {
-	return m.log.anyMembership(func(s Membership) bool { return s.has(m.options.ID) })
+func (n *Node) canVote() bool {
+	return n.log.anyPossibleMembership(func(s Membership) bool { return s.has(n.config.ID) })
 }
 
-// holdsToLeader tells whether there may be a leader whose lease rests on this replica.
-func (m *Node) holdsToLeader() bool { return m.role == Leader || m.now < m.refuseUntil }
+// inLease tells whether there may be a leader whose lease rests on this replica.
+func (n *Node) inLease() bool { return n.role == Leader || n.now < n.refuseVotesUntil }
 
-func (m *Node) handlePreVote(msg Message) {
-	if !m.mayVote() {
+func (n *Node) handlePreVote(msg Message) {
+	if !n.canVote() {
 		return
 	}
 	reply := Message{Kind: MessagePreVoteReply, To: msg.From, Term: msg.Term}
-	if msg.Term <= m.term || m.holdsToLeader() || !m.log.upToDate(msg.Index, msg.LogTerm) {
-		reply.Term, reply.Reject = m.term, true
+	if msg.Term <= n.term || n.inLease() || !n.log.isUpToDate(msg.Index, msg.LogTerm) {
+		reply.Term, reply.Reject = n.term, true
 	}
 	if reply.Term > 0 {
-		m.send(reply)
+		n.send(reply)
 	}
 	if !reply.Reject {
-		m.yieldTo(msg)
+		n.yieldToPreCandidate(msg)
 	}
 }
 
-// yieldTo puts an election of this replica's own off for a pre-candidate that it would vote for, so that the two do not
+// yieldToPreCandidate puts an election of this replica's own off for a pre-candidate that it would vote for, so that the two do not
 // split the votes. Of two pre-candidates with equal logs the one with the lower id yields. A replica yields once to one
 // in a term, so that one that is not elected holds up nobody for long.
-func (m *Node) yieldTo(msg Message) {
-	ahead := m.role == PreCandidate && m.log.matchesEnd(msg.Index, msg.LogTerm) && m.options.ID > msg.From
-	yielded := yield{to: msg.From, term: msg.Term}
-	if ahead || m.yielded == yielded {
+func (n *Node) yieldToPreCandidate(msg Message) {
+	ahead := n.role == PreCandidate && n.log.endsAt(msg.Index, msg.LogTerm) && n.config.ID > msg.From
+	yielded := preVoteYield{candidate: msg.From, term: msg.Term}
+	if ahead || n.lastYield == yielded {
 		return
 	}
-	m.yielded = yielded
-	if m.role == PreCandidate {
-		m.role = Follower
-		m.granted = nil
+	n.lastYield = yielded
+	if n.role == PreCandidate {
+		n.role = Follower
+		n.grantedBy = nil
 	}
-	m.electionDue = max(m.electionDue, m.now+m.between(m.options.ElectionTimeout*3/4, m.options.ElectionTimeout*5/4))
+	n.electionDeadline = max(n.electionDeadline, n.now+n.randomDuration(n.config.ElectionTimeout*3/4, n.config.ElectionTimeout*5/4))
 }
 
-func (m *Node) handlePreVoteReply(msg Message) {
-	if m.role != PreCandidate || msg.Reject || msg.Term != m.term+1 {
+func (n *Node) handlePreVoteReply(msg Message) {
+	if n.role != PreCandidate || msg.Reject || msg.Term != n.term+1 {
 		return
 	}
-	m.grant(msg.From)
-	if m.elected() {
-		m.stand(false)
+	n.recordGrant(msg.From)
+	if n.hasVoteQuorum() {
+		n.startElection(false)
 	}
 }
 
-func (m *Node) handleVote(msg Message) {
-	if !m.mayVote() || msg.Term < m.term {
+func (n *Node) handleVote(msg Message) {
+	if !n.canVote() || msg.Term < n.term {
 		return
 	}
-	if m.holdsToLeader() && !msg.Force {
+	if n.inLease() && !msg.Force {
 		return
 	}
-	if msg.Term > m.term {
-		m.becomeFollower(msg.Term, 0)
+	if msg.Term > n.term {
+		n.becomeFollower(msg.Term, 0)
 	}
-	free := m.vote == msg.From || m.vote == 0 && m.leader == 0
+	free := n.vote == msg.From || n.vote == 0 && n.leaderID == 0
 	reply := Message{Kind: MessageVoteReply, To: msg.From, Reject: true}
-	if free && m.log.upToDate(msg.Index, msg.LogTerm) {
+	if free && n.log.isUpToDate(msg.Index, msg.LogTerm) {
 		reply.Reject = false
-		m.vote = msg.From
-		m.resetElection()
+		n.vote = msg.From
+		n.resetElectionTimer()
 	}
-	m.send(reply)
+	n.send(reply)
 }
 
-func (m *Node) handleVoteReply(msg Message) {
-	if m.role != Candidate || msg.Reject || msg.Term != m.term {
+func (n *Node) handleVoteReply(msg Message) {
+	if n.role != Candidate || msg.Reject || msg.Term != n.term {
 		return
 	}
-	m.countVote(msg.From)
+	n.recordVote(msg.From)
 }
 
-// countVote notes a vote for this candidate.
-func (m *Node) countVote(from ReplicaID) {
-	m.grant(from)
-	if m.elected() {
-		m.becomeLeader()
+// recordVote notes a vote for this candidate.
+func (n *Node) recordVote(from ReplicaID) {
+	n.recordGrant(from)
+	if n.hasVoteQuorum() {
+		n.becomeLeader()
 	}
 }
 
-func (m *Node) grant(from ReplicaID) {
-	if !slices.Contains(m.granted, from) {
-		m.granted = append(m.granted, from)
+func (n *Node) recordGrant(from ReplicaID) {
+	if !slices.Contains(n.grantedBy, from) {
+		n.grantedBy = append(n.grantedBy, from)
 	}
 }
 
-// heardLeader notes a message of the leader of this term.
-func (m *Node) heardLeader(from ReplicaID) {
-	if m.role != Follower || m.leader != from {
-		m.becomeFollower(m.term, from)
+// recordLeaderContact notes a message of the leader of this term.
+func (n *Node) recordLeaderContact(from ReplicaID) {
+	if n.role != Follower || n.leaderID != from {
+		n.becomeFollower(n.term, from)
 	}
-	m.attempts = 0
-	m.heardAt = m.now
-	m.heardFrom = from
-	m.refuseUntil = m.now + m.options.ElectionTimeout
-	m.resetElection()
+	n.failedElections = 0
+	n.lastLeaderContact = n.now
+	n.lastLeader = from
+	n.refuseVotesUntil = n.now + n.config.ElectionTimeout
+	n.resetElectionTimer()
 }
--- a/internal/system/consensus/log.go
+++ b/internal/system/consensus/log.go
@@ -2,84 +2,84 @@
 
 import "slices"
 
-// replicaLog is the log as a replica knows it: the snapshot, the entries after offset (some of them within the
+// raftLog is the log as a replica knows it: the snapshot, the entries after offset (some of them within the
 // snapshot, kept for slow followers), and how far it is committed, written and applied.
-type replicaLog struct {
+type raftLog struct {
 	snapshot   Snapshot
 	offset     uint64 // index before the first entry kept
 	offsetTerm uint64
 	entries    []Entry
 
-	commit  uint64
-	applied uint64 // handed out as committed
-	handed  uint64 // handed out to be written
-	durable uint64 // known to be synced
+	commit     uint64
+	applied    uint64 // handed out as committed
+	writeIndex uint64 // handed out to be written
+	durable    uint64 // known to be synced
 
-	restored    bool           // the snapshot came from a leader and is yet to be handed out
-	writes      []pendingWrite // handed out and not yet known to be synced, in order
-	memberships []membershipAt // in order; the first one holds at the snapshot, the last one now
+	snapshotPending bool                // the snapshot came from a leader and is yet to be handed out
+	pendingWrites   []pendingWrite      // handed out and not yet known to be synced, in order
+	memberships     []indexedMembership // in order; the first one holds at the snapshot, the last one now
 }
 
 // pendingWrite is a Ready whose writes are under way.
 type pendingWrite struct {
-	number uint64
-	term   uint64
-	last   uint64 // index up to which it makes the log durable
+	sequence  uint64
+	term      uint64
+	lastIndex uint64 // index up to which it makes the log durable
 }
 
-// membershipAt is a membership and the entry that brought it.
-type membershipAt struct {
+// indexedMembership is a membership and the entry that brought it.
+type indexedMembership struct {
 	index      uint64
 	membership Membership
 }
 
-func newLog(s PersistentState) replicaLog {
-	l := replicaLog{snapshot: s.Snapshot, offset: s.Snapshot.Index, offsetTerm: s.Snapshot.Term}
-	l.memberships = []membershipAt{{l.offset, s.Snapshot.Membership}}
+func newLog(s PersistentState) raftLog {
+	l := raftLog{snapshot: s.Snapshot, offset: s.Snapshot.Index, offsetTerm: s.Snapshot.Term}
+	l.memberships = []indexedMembership{{l.offset, s.Snapshot.Membership}}
 	l.append(s.Entries)
-	l.commit = max(l.offset, min(s.HardState.Commit, l.last()))
+	l.commit = max(l.offset, min(s.HardState.Commit, l.lastIndex()))
 	l.applied = l.offset
-	l.handed = l.last()
-	l.durable = l.last()
+	l.writeIndex = l.lastIndex()
+	l.durable = l.lastIndex()
 	return l
 }
 
-func (l *replicaLog) last() uint64 { return l.offset + uint64(len(l.entries)) }
+func (l *raftLog) lastIndex() uint64 { return l.offset + uint64(len(l.entries)) }
 
-func (l *replicaLog) lastTerm() uint64 {
-	term, _ := l.term(l.last())
+func (l *raftLog) lastTerm() uint64 {
+	term, _ := l.term(l.lastIndex())
 	return term
 }
 
 // term is that of the entry at an index, if it is known.
-func (l *replicaLog) term(index uint64) (uint64, bool) {
+func (l *raftLog) term(index uint64) (uint64, bool) {
 	if index == l.offset {
 		return l.offsetTerm, true
 	}
-	if index < l.offset || index > l.last() {
+	if index < l.offset || index > l.lastIndex() {
 		return 0, false
 	}
 	return l.entries[index-l.offset-1].Term, true
 }
 
-func (l *replicaLog) matches(index, term uint64) bool {
+func (l *raftLog) matchTerm(index, term uint64) bool {
 	have, known := l.term(index)
 	return known && have == term
 }
 
-// matchesEnd tells whether a log that ends so ends as this one does.
-func (l *replicaLog) matchesEnd(index, term uint64) bool {
-	return index == l.last() && term == l.lastTerm()
+// endsAt tells whether a log that ends so ends as this one does.
+func (l *raftLog) endsAt(index, term uint64) bool {
+	return index == l.lastIndex() && term == l.lastTerm()
 }
 
-// upToDate tells whether a log that ends so holds all that this one may have agreed on.
-func (l *replicaLog) upToDate(index, term uint64) bool {
-	return term > l.lastTerm() || term == l.lastTerm() && index >= l.last()
+// isUpToDate tells whether a log that ends so holds all that this one may have agreed on.
+func (l *raftLog) isUpToDate(index, term uint64) bool {
+	return term > l.lastTerm() || term == l.lastTerm() && index >= l.lastIndex()
 }
 
 // slice returns the entries from an index on, up to an amount of data but at least one.
-func (l *replicaLog) slice(from uint64, maxBytes int) []Entry {
-	if from <= l.offset || from > l.last() {
+func (l *raftLog) slice(from uint64, maxBytes int) []Entry {
+	if from <= l.offset || from > l.lastIndex() {
 		return nil
 	}
 	rest := l.entries[from-l.offset-1:]
@@ -93,7 +93,7 @@
 }
 
 // append adds entries that follow the last one.
-func (l *replicaLog) append(entries []Entry) {
+func (l *raftLog) append(entries []Entry) {
 	for _, entry := range entries {
 		l.entries = append(l.entries, entry)
 		if entry.Kind != EntryMembership {
@@ -101,33 +101,33 @@
 		}
 		membership, err := DecodeMembership(entry.Data)
 		if err == nil { // checked before
-			l.memberships = append(l.memberships, membershipAt{entry.Index, membership})
+			l.memberships = append(l.memberships, indexedMembership{entry.Index, membership})
 		}
 	}
 }
 
 // truncate drops the entries from an index on, which is above commit. Slices handed out before stay as they are.
-func (l *replicaLog) truncate(from uint64) {
+func (l *raftLog) truncate(from uint64) {
 	keep := int(from - l.offset - 1)
 	l.entries = l.entries[:keep:keep]
-	l.handed = min(l.handed, from-1)
+	l.writeIndex = min(l.writeIndex, from-1)
 	l.durable = min(l.durable, from-1)
-	for i := range l.writes {
-		l.writes[i].last = min(l.writes[i].last, from-1)
+	for i := range l.pendingWrites {
+		l.pendingWrites[i].lastIndex = min(l.pendingWrites[i].lastIndex, from-1)
 	}
 	for l.memberships[len(l.memberships)-1].index >= from {
 		l.memberships = l.memberships[:len(l.memberships)-1]
 	}
 }
 
-// take brings the log in line with a leader's entries, which follow an index at which both logs agree and which is not
+// merge brings the log in line with a leader's entries, which follow an index at which both logs agree and which is not
 // below commit.
-func (l *replicaLog) take(entries []Entry) {
+func (l *raftLog) merge(entries []Entry) {
 	for i, entry := range entries {
-		if l.matches(entry.Index, entry.Term) {
+		if l.matchTerm(entry.Index, entry.Term) {
 			continue
 		}
-		if entry.Index <= l.last() {
+		if entry.Index <= l.lastIndex() {
 			l.truncate(entry.Index)
 		}
 		l.append(entries[i:])
@@ -135,12 +135,12 @@
 	}
 }
 
-func (l *replicaLog) commitTo(index uint64) { l.commit = max(l.commit, min(index, l.last())) }
+func (l *raftLog) commitTo(index uint64) { l.commit = max(l.commit, min(index, l.lastIndex())) }
 
-// conflict is the largest index up to the given one whose term is not above the given one, and its term; the start of
+// findConflictByTerm is the largest index up to the given one whose term is not above the given one, and its term; the start of
 // the log if there is none.
-func (l *replicaLog) conflict(index, term uint64) (uint64, uint64) {
-	index = min(index, l.last())
+func (l *raftLog) findConflictByTerm(index, term uint64) (uint64, uint64) {
+	index = min(index, l.lastIndex())
 	for index > l.offset {
 		have, _ := l.term(index)
 		if have <= term {
@@ -152,21 +152,21 @@
 }
 
 // restore replaces all by a snapshot.
-func (l *replicaLog) restore(s Snapshot) {
+func (l *raftLog) restore(s Snapshot) {
 	l.snapshot = s
 	l.offset, l.offsetTerm = s.Index, s.Term
 	l.entries = nil
-	l.commit, l.applied, l.handed, l.durable = s.Index, s.Index, s.Index, s.Index
-	for i := range l.writes {
-		l.writes[i].last = 0
+	l.commit, l.applied, l.writeIndex, l.durable = s.Index, s.Index, s.Index, s.Index
+	for i := range l.pendingWrites {
+		l.pendingWrites[i].lastIndex = 0
 	}
-	l.memberships = []membershipAt{{s.Index, s.Membership}}
-	l.restored = true
+	l.memberships = []indexedMembership{{s.Index, s.Membership}}
+	l.snapshotPending = true
 }
 
 // compact takes over a snapshot of the applied state and drops the entries in it but for a tail, which is bounded in
 // entries and in bytes of their data (0: no bound).
-func (l *replicaLog) compact(s Snapshot, tail uint64, tailBytes int) {
+func (l *raftLog) compact(s Snapshot, tail uint64, tailBytes int) {
 	l.snapshot = s
 	l.trimMemberships(s.Index)
 	cut := l.tailStart(s.Index, tail, tailBytes)
@@ -179,7 +179,7 @@
 }
 
 // tailStart is the index before the tail that ends at an index.
-func (l *replicaLog) tailStart(end, tail uint64, tailBytes int) uint64 {
+func (l *raftLog) tailStart(end, tail uint64, tailBytes int) uint64 {
 	start, size := end, 0
 	for start > l.offset && end-start < tail {
 		size += len(l.entries[start-l.offset-1].Data)
@@ -191,7 +191,7 @@
 	return start
 }
 
-func (l *replicaLog) trimMemberships(index uint64) {
+func (l *raftLog) trimMemberships(index uint64) {
 	n := 0
 	for n+1 < len(l.memberships) && l.memberships[n+1].index <= index {
 		n++
@@ -199,10 +199,10 @@
 	l.memberships = slices.Clone(l.memberships[n:])
 }
 
-func (l *replicaLog) membership() membershipAt { return l.memberships[len(l.memberships)-1] }
+func (l *raftLog) lastMembership() indexedMembership { return l.memberships[len(l.memberships)-1] }
 
-// anyMembership tells whether something is true of the newest membership known to be committed, or of a later one.
-func (l *replicaLog) anyMembership(is func(Membership) bool) bool {
+// anyPossibleMembership tells whether something is true of the newest membership known to be committed, or of a later one.
+func (l *raftLog) anyPossibleMembership(is func(Membership) bool) bool {
 	for i := len(l.memberships) - 1; i >= 0; i-- {
 		if is(l.memberships[i].membership) {
 			return true
@@ -214,8 +214,8 @@
 	return false
 }
 
-// membershipAt is the membership that held at an index not below the snapshot's.
-func (l *replicaLog) membershipAt(index uint64) Membership {
+// indexedMembership is the membership that held at an index not below the snapshot's.
+func (l *raftLog) membershipAt(index uint64) Membership {
 	at := 0
 	for at+1 < len(l.memberships) && l.memberships[at+1].index <= index {
 		at++
@@ -223,16 +223,16 @@
 	return l.memberships[at].membership
 }
 
-// takeUnwritten hands the entries out that are to be written.
-func (l *replicaLog) takeUnwritten() []Entry {
-	from := max(l.handed, l.offset)
-	l.handed = l.last()
+// takeUnwrittenEntries hands the entries out that are to be written.
+func (l *raftLog) takeUnwrittenEntries() []Entry {
+	from := max(l.writeIndex, l.offset)
+	l.writeIndex = l.lastIndex()
 	entries := l.entries[from-l.offset:]
 	return entries[:len(entries):len(entries)]
 }
 
-// takeCommitted hands the entries out that are to be applied.
-func (l *replicaLog) takeCommitted() []Entry {
+// takeCommittedEntries hands the entries out that are to be applied.
+func (l *raftLog) takeCommittedEntries() []Entry {
 	if l.commit <= l.applied {
 		return nil
 	}
@@ -241,12 +241,12 @@
 	return l.entries[from:to:to]
 }
 
-// synced notes that the writes up to a number are on disk. It returns the highest term among them.
-func (l *replicaLog) synced(number uint64) (term uint64) {
-	for len(l.writes) > 0 && l.writes[0].number <= number {
-		l.durable = max(l.durable, l.writes[0].last)
-		term = max(term, l.writes[0].term)
-		l.writes = l.writes[1:]
+// markDurable notes that the writes up to a number are on disk. It returns the highest term among them.
+func (l *raftLog) markDurable(number uint64) (term uint64) {
+	for len(l.pendingWrites) > 0 && l.pendingWrites[0].sequence <= number {
+		l.durable = max(l.durable, l.pendingWrites[0].lastIndex)
+		term = max(term, l.pendingWrites[0].term)
+		l.pendingWrites = l.pendingWrites[1:]
 	}
 	return term
 }
--- a/internal/system/consensus/machine.go
+++ b/internal/system/consensus/machine.go
@@ -10,62 +10,62 @@
 const Never = time.Duration(math.MaxInt64)
 
 const (
-	// sleptElections is how many election times between two calls of a Machine mean that its process stood still: it is
+	// pausedElectionTimeouts is how many election times between two calls of a Machine mean that its process stood still: it is
 	// called more often than that, unless it is cut off.
-	sleptElections = 2
-	// doubtHeartbeats is for how many heartbeats what comes after a stand-still may have waited.
-	doubtHeartbeats = 2
+	pausedElectionTimeouts = 2
+	// staleInputHeartbeats is for how many heartbeats what comes after a stand-still may have waited.
+	staleInputHeartbeats = 2
 )
 
-// leaseMarginPart is the part of an election time by which a lease ends early, for clocks that differ in rate.
-const leaseMarginPart = 10
+// leaseMarginDivisor is the part of an election time by which a lease ends early, for clocks that differ in rate.
+const leaseMarginDivisor = 10
 
 // Node is one replica. It is not safe for concurrent use. Times are of a steady clock and never go back; the clocks
 // of two replicas need not agree, but must run at the same rate within a tenth.
 type Node struct {
-	options Config
-	random  *rand.Rand
-	now     time.Duration
-	mute    bool // what was stored made no sense
-
-	term   uint64
-	vote   ReplicaID
-	role   Role
-	leader ReplicaID
-	log    replicaLog
-
-	electionDue   time.Duration
-	attempts      int           // elections in a row that led to nothing
-	heardAt       time.Duration // when the leader was last heard
-	currentAt     time.Duration // when this replica last held all that the leader had committed; of a leader: see current
-	doubtUntil    time.Duration // messages that come before may be old: the process stood still
-	refuseUntil   time.Duration // no vote is given before, because of a leader that may hold a lease
-	noLeaderUntil time.Duration // this replica does not stand for election before
-	granted       []ReplicaID   // votes or pre-votes for this replica
-	heardFrom     ReplicaID     // the leader that was heard at heardAt
-	askedAt       time.Duration // when this replica began to ask for pre-votes
-	voteTook      time.Duration // from asking for pre-votes to a majority, when last measured
-	yielded       yield
-
-	leading leadership // of a leader
-
-	handedHard    HardState
-	persistedTerm uint64
-	readies       uint64
-	compactAsked  uint64
-	messages      []Message
-	early         []Message
-	readStates    []ReadState
+	config   Config
+	random   *rand.Rand
+	now      time.Duration
+	disabled bool // what was stored made no sense
+
+	term     uint64
+	vote     ReplicaID
+	role     Role
+	leaderID ReplicaID
+	log      raftLog
+
+	electionDeadline  time.Duration
+	failedElections   int           // elections in a row that led to nothing
+	lastLeaderContact time.Duration // when the leader was last heard
+	caughtUpAt        time.Duration // when this replica last held all that the leader had committed; of a leader: see current
+	staleInputUntil   time.Duration // messages that come before may be old: the process stood still
+	refuseVotesUntil  time.Duration // no vote is given before, because of a leader that may hold a lease
+	noCampaignUntil   time.Duration // this replica does not stand for election before
+	grantedBy         []ReplicaID   // votes or pre-votes for this replica
+	lastLeader        ReplicaID     // the leader that was heard at lastLeaderContact
+	preVoteStartedAt  time.Duration // when this replica began to ask for pre-votes
+	preVoteDuration   time.Duration // from asking for pre-votes to a majority, when last measured
+	lastYield         preVoteYield
+
+	leaderState leaderState // of a leader
+
+	lastHardState    HardState
+	persistedTerm    uint64
+	readySequence    uint64
+	compactRequested uint64
+	messages         []Message
+	earlyMessages    []Message
+	readStates       []ReadState
 }
 
 // New returns a replica that goes on from what was stored; the state machine is at s.Snapshot.Index. What was stored has
 // to be synced: what a process left unsynced when it was killed could still be lost after it was read. The replica is
 // silent for good if s.Check does not hold.
 func New(now time.Duration, o Config, s PersistentState) *Node {
-	s = s.tidied()
-	m := &Node{options: o, now: now, random: rand.New(rand.NewPCG(o.Seed, uint64(o.ID)))}
+	s = s.normalized()
+	m := &Node{config: o, now: now, random: rand.New(rand.NewPCG(o.Seed, uint64(o.ID)))}
 	if s.Validate() != nil {
-		m.mute = true
+		m.disabled = true
 		s = PersistentState{}
 	}
 	m.log = newLog(s)
@@ -74,27 +74,27 @@
 		m.term, m.vote = lastTerm, 0
 	}
 	m.persistedTerm = s.HardState.Term
-	m.handedHard = s.HardState
+	m.lastHardState = s.HardState
 	if m.term > 0 {
-		m.refuseUntil = now + o.ElectionTimeout // it may have confirmed a leader just before it ended
+		m.refuseVotesUntil = now + o.ElectionTimeout // it may have confirmed a leader just before it ended
 	}
-	m.resetElection()
+	m.resetElectionTimer()
 	return m
 }
 
 // Validate tells what does not make sense in what was stored.
 func (s PersistentState) Validate() error {
 	if s.Snapshot.Index > 0 || len(s.Snapshot.Membership.Members) > 0 {
-		if err := s.Snapshot.Membership.check(); err != nil {
+		if err := s.Snapshot.Membership.validate(); err != nil {
 			return err
 		}
 	}
-	before := Message{Index: s.Snapshot.Index, LogTerm: s.Snapshot.Term, Term: mostNumber, Entries: s.Entries}
-	return before.checkEntries()
+	before := Message{Index: s.Snapshot.Index, LogTerm: s.Snapshot.Term, Term: maxNumber, Entries: s.Entries}
+	return before.validateEntries()
 }
 
-// tidied leaves out entries that the snapshot holds, or that stem from a log that it replaced.
-func (s PersistentState) tidied() PersistentState {
+// normalized leaves out entries that the snapshot holds, or that stem from a log that it replaced.
+func (s PersistentState) normalized() PersistentState {
 	for len(s.Entries) > 0 && s.Entries[0].Index <= s.Snapshot.Index {
 		if s.Entries[0].Index == s.Snapshot.Index && s.Entries[0].Term != s.Snapshot.Term {
 			s.Entries = nil
@@ -108,145 +108,145 @@
 	return s
 }
 
-// advance moves the time on. After a long gap the process may have stood still, and what comes first may have waited for
+// advanceClock moves the time on. After a long gap the process may have stood still, and what comes first may have waited for
 // it: that says nothing of how things are now.
-func (m *Node) advance(now time.Duration) {
-	if now-m.now > sleptElections*m.options.ElectionTimeout {
-		m.doubtUntil = now + doubtHeartbeats*m.options.HeartbeatInterval
+func (n *Node) advanceClock(now time.Duration) {
+	if now-n.now > pausedElectionTimeouts*n.config.ElectionTimeout {
+		n.staleInputUntil = now + staleInputHeartbeats*n.config.HeartbeatInterval
 	}
-	m.now = max(m.now, now)
+	n.now = max(n.now, now)
 }
 
-// current is when this replica last held all that a leader which a majority follows had committed. A leader knows how far
+// lastCaughtUp is when this replica last held all that a leader which a majority follows had committed. A leader knows how far
 // that is once it has committed an entry of its term.
-func (m *Node) current() time.Duration {
-	if m.role == Leader && m.committedInTerm() {
-		return max(m.currentAt, time.Duration(m.leading.confirmed))
+func (n *Node) lastCaughtUp() time.Duration {
+	if n.role == Leader && n.committedInTerm() {
+		return max(n.caughtUpAt, time.Duration(n.leaderState.confirmedRound))
 	}
-	return m.currentAt
+	return n.caughtUpAt
 }
 
 // Tick does what is due.
-func (m *Node) Tick(now time.Duration) {
-	m.advance(now)
-	if m.mute {
+func (n *Node) Tick(now time.Duration) {
+	n.advanceClock(now)
+	if n.disabled {
 		return
 	}
-	if m.role == Leader {
-		m.tickLeader()
+	if n.role == Leader {
+		n.tickLeader()
 		return
 	}
-	if m.now >= m.campaignDue() {
-		m.campaign()
+	if n.now >= n.campaignDeadline() {
+		n.startPreVote()
 	}
 }
 
 // NextTick is when Tick is due, or Never. It may change with each call of another method.
-func (m *Node) NextTick() time.Duration {
-	if m.mute {
+func (n *Node) NextTick() time.Duration {
+	if n.disabled {
 		return Never
 	}
-	if m.role == Leader {
-		return m.leaderDue()
+	if n.role == Leader {
+		return n.leaderDeadline()
 	}
-	return m.campaignDue()
+	return n.campaignDeadline()
 }
 
 // Step takes a message. Messages that make no sense are left out.
-func (m *Node) Step(now time.Duration, msg Message) {
-	m.advance(now)
-	if m.mute || msg.To != m.options.ID || msg.From == m.options.ID || msg.From == 0 || msg.check() != nil {
+func (n *Node) Step(now time.Duration, msg Message) {
+	n.advanceClock(now)
+	if n.disabled || msg.To != n.config.ID || msg.From == n.config.ID || msg.From == 0 || msg.validate() != nil {
 		return
 	}
 	switch msg.Kind {
 	case MessagePreVote:
-		m.handlePreVote(msg)
+		n.handlePreVote(msg)
 	case MessageVote:
-		m.handleVote(msg)
+		n.handleVote(msg)
 	case MessageAppend, MessageInstallSnapshot:
-		m.handleLeader(msg)
+		n.handleLeaderMessage(msg)
 	case MessageTimeoutNow:
-		m.handleTimeoutNow(msg)
+		n.handleTimeoutNow(msg)
 	case MessagePreVoteReply, MessageVoteReply, MessageAppendReply, MessageInstallSnapshotReply:
-		m.handleReply(msg)
+		n.handleReply(msg)
 	}
 }
 
 // handleReply takes an answer of a member to what this replica sent.
-func (m *Node) handleReply(msg Message) {
-	if !m.membership().has(msg.From) {
+func (n *Node) handleReply(msg Message) {
+	if !n.membership().has(msg.From) {
 		return
 	}
 	future := msg.Kind == MessagePreVoteReply && !msg.Reject // for a term that nobody is in yet
-	if msg.Term > m.term && !future {
-		m.becomeFollower(msg.Term, 0)
+	if msg.Term > n.term && !future {
+		n.becomeFollower(msg.Term, 0)
 		return
 	}
 	switch msg.Kind {
 	case MessagePreVoteReply:
-		m.handlePreVoteReply(msg)
+		n.handlePreVoteReply(msg)
 	case MessageVoteReply:
-		m.handleVoteReply(msg)
+		n.handleVoteReply(msg)
 	case MessageAppendReply:
-		m.handleAppendReply(msg)
+		n.handleAppendReply(msg)
 	case MessageInstallSnapshotReply:
-		m.handleSnapshotReply(msg)
+		n.handleInstallSnapshotReply(msg)
 	}
 }
 
 // Propose appends a command to a leader's log. It is agreed on once it comes back in Ready.Committed at this index with
 // this term; another entry there means that it was lost.
-func (m *Node) Propose(now time.Duration, data []byte) (index, term uint64, err error) {
-	m.advance(now)
-	if m.role != Leader || m.leading.transferee != 0 {
-		return 0, 0, m.notLeader()
+func (n *Node) Propose(now time.Duration, data []byte) (index, term uint64, err error) {
+	n.advanceClock(now)
+	if n.role != Leader || n.leaderState.transferee != 0 {
+		return 0, 0, n.notLeaderError()
 	}
-	index = m.appendOwn(EntryCommand, data)
-	return index, m.term, nil
+	index = n.appendEntry(EntryCommand, data)
+	return index, n.term, nil
 }
 
-func (m *Node) notLeader() *NotLeaderError {
-	if m.role == Leader {
+func (n *Node) notLeaderError() *NotLeaderError {
+	if n.role == Leader {
 		return &NotLeaderError{} // about to hand over
 	}
-	return &NotLeaderError{Leader: m.leader}
+	return &NotLeaderError{Leader: n.leaderID}
 }
 
 // Status describes the replica as it stands.
-func (m *Node) Status() Status {
-	s := Status{ID: m.options.ID, Role: m.role, Term: m.term, Leader: m.leader, Commit: m.log.commit,
-		Applied: m.log.applied, LastIndex: m.log.last(), Membership: m.membership(),
-		MembershipIndex: m.log.membership().index, LastLeaderContact: m.heardAt,
-		CaughtUpAt: m.current()}
-	if m.role != Leader {
+func (n *Node) Status() Status {
+	s := Status{ID: n.config.ID, Role: n.role, Term: n.term, Leader: n.leaderID, Commit: n.log.commit,
+		Applied: n.log.applied, LastIndex: n.log.lastIndex(), Membership: n.membership(),
+		MembershipIndex: n.log.lastMembership().index, LastLeaderContact: n.lastLeaderContact,
+		CaughtUpAt: n.lastCaughtUp()}
+	if n.role != Leader {
 		return s
 	}
-	s.LeaseExpiry = m.LeaseExpiry()
-	s.Transferring = m.leading.transferee != 0
-	s.LastLeaderContact = time.Duration(m.leading.confirmed)
-	s.Match = map[ReplicaID]uint64{m.options.ID: m.log.durable}
+	s.LeaseExpiry = n.LeaseExpiry()
+	s.Transferring = n.leaderState.transferee != 0
+	s.LastLeaderContact = time.Duration(n.leaderState.confirmedRound)
+	s.Match = map[ReplicaID]uint64{n.config.ID: n.log.durable}
 	s.LastContact = map[ReplicaID]time.Duration{}
-	for _, p := range m.leading.peers {
-		s.Match[p.id] = p.match
-		s.LastContact[p.id] = p.answeredAt
+	for _, peer := range n.leaderState.peers {
+		s.Match[peer.id] = peer.match
+		s.LastContact[peer.id] = peer.lastContact
 	}
 	return s
 }
 
 // Leader is who leads as far as this replica knows, 0: not known.
-func (m *Node) Leader() ReplicaID { return m.leader }
+func (n *Node) Leader() ReplicaID { return n.leaderID }
 
 // send queues a message that rests on what is yet to be written.
-func (m *Node) send(msg Message) {
-	msg.From = m.options.ID
+func (n *Node) send(msg Message) {
+	msg.From = n.config.ID
 	if msg.Term == 0 {
-		msg.Term = m.term
+		msg.Term = n.term
 	}
-	m.messages = append(m.messages, msg)
+	n.messages = append(n.messages, msg)
 }
 
 // sendEarly queues a message of a leader, which does not rest on what is yet to be written: a leader's term is on disk.
-func (m *Node) sendEarly(msg Message) {
-	msg.From, msg.Term = m.options.ID, m.term
-	m.early = append(m.early, msg)
+func (n *Node) sendEarly(msg Message) {
+	msg.From, msg.Term = n.config.ID, n.term
+	n.earlyMessages = append(n.earlyMessages, msg)
 }
--- a/internal/system/consensus/membership.go
+++ b/internal/system/consensus/membership.go
@@ -20,7 +20,7 @@
 	return is
 }
 
-func (s Membership) votes(id ReplicaID) bool {
+func (s Membership) isVoter(id ReplicaID) bool {
 	member, is := s.find(id)
 	return is && member.Voter
 }
@@ -43,10 +43,10 @@
 // HasQuorum tells whether the members that something is true of are a majority of the voters: of a joint membership, a
 // majority of each of its two voter sets.
 func (s Membership) HasQuorum(is func(ReplicaID) bool) bool {
-	return s.majorityOf(incoming, is) && (!s.Joint() || s.majorityOf(outgoing, is))
+	return s.hasMajority(incoming, is) && (!s.Joint() || s.hasMajority(outgoing, is))
 }
 
-func (s Membership) majorityOf(set func(*Member) bool, is func(ReplicaID) bool) bool {
+func (s Membership) hasMajority(set func(*Member) bool, is func(ReplicaID) bool) bool {
 	voters, agreeing := 0, 0
 	for i := range s.Members {
 		if !set(&s.Members[i]) {
@@ -60,17 +60,17 @@
 	return agreeing > voters/2
 }
 
-// joint is the membership between two that differ in who votes alone.
-func joint(from, to Membership) Membership {
+// jointMembership is the membership between two that differ in who votes alone.
+func jointMembership(from, to Membership) Membership {
 	members := slices.Clone(to.Members)
 	for i := range members {
-		members[i].Outgoing = from.votes(members[i].ID)
+		members[i].Outgoing = from.isVoter(members[i].ID)
 	}
 	return Membership{Members: members}
 }
 
-// settled is a joint membership without its outgoing voter set: those that vote no more are learners.
-func (s Membership) settled() Membership {
+// withoutOutgoing is a joint membership without its outgoing voter set: those that vote no more are learners.
+func (s Membership) withoutOutgoing() Membership {
 	members := slices.Clone(s.Members)
 	for i := range members {
 		members[i].Outgoing = false
@@ -78,8 +78,8 @@
 	return Membership{Members: members}
 }
 
-// check tells what does not make sense in a membership.
-func (s Membership) check() error {
+// validate tells what does not make sense in a membership.
+func (s Membership) validate() error {
 	voters := 0
 	for i, member := range s.Members {
 		if member.ID == 0 {
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// differing returns the members that are not the same in both memberships, each once.
-func differing(a, b Membership) (ids []ReplicaID) {
+// changedMembers returns the members that are not the same in both memberships, each once.
+func changedMembers(a, b Membership) (ids []ReplicaID) {
 	for _, member := range a.Members {
 		other, is := b.find(member.ID)
 		if !is || other != member {
@@ -115,7 +115,7 @@
 }
 
 // membership is the newest one in the log.
-func (m *Node) membership() Membership { return m.log.membership().membership }
+func (n *Node) membership() Membership { return n.log.lastMembership().membership }
 
 // ChangeMembership appends a membership that differs from the present one in one member (a learner that becomes a voter
 // once it has caught up, a voter that becomes a learner or leaves), in anything but who votes (learners that join or
@@ -124,48 +124,48 @@
 // joint membership, which the leader leaves by itself once it is committed; members that lose their vote stay as
 // learners. The next change is possible once all of that is committed, see Status.MembershipIndex and Membership.Joint.
 // The error is a *NotLeaderError, *PendingMembershipChangeError, *LearnerBehindError or *InvalidMembershipError.
-func (m *Node) ChangeMembership(now time.Duration, to Membership) error {
-	m.advance(now)
-	if m.role != Leader {
-		return m.notLeader()
+func (n *Node) ChangeMembership(now time.Duration, to Membership) error {
+	n.advanceClock(now)
+	if n.role != Leader {
+		return n.notLeaderError()
 	}
-	present := m.membership()
-	if m.leading.transferee != 0 || !m.committedInTerm() || m.log.membership().index > m.log.commit || present.Joint() {
+	present := n.membership()
+	if n.leaderState.transferee != 0 || !n.committedInTerm() || n.log.lastMembership().index > n.log.commit || present.Joint() {
 		return &PendingMembershipChangeError{}
 	}
-	if err := to.check(); err != nil {
+	if err := to.validate(); err != nil {
 		return err
 	}
 	if to.Joint() {
 		return &InvalidMembershipError{Reason: "a member is outgoing, which the agreement itself decides"}
 	}
-	changed := differing(present, to)
-	if len(changed) == 0 || len(changed) > 1 && !sameButVotes(present, to) && !sameVoters(present, to) {
+	changed := changedMembers(present, to)
+	if len(changed) == 0 || len(changed) > 1 && !differOnlyInVotes(present, to) && !sameVoters(present, to) {
 		return &InvalidMembershipError{Reason: "it has to differ from the present one in one member, in who votes alone, or in " +
 			"anything but who votes"}
 	}
 	for _, id := range changed {
-		if err := m.checkVoter(id, to); err != nil {
+		if err := n.checkPromotion(id, to); err != nil {
 			return err
 		}
 	}
 	if len(changed) > 1 && !sameVoters(present, to) {
-		to = joint(present, to)
+		to = jointMembership(present, to)
 	}
-	m.appendOwn(EntryMembership, EncodeMembership(to))
+	n.appendEntry(EntryMembership, EncodeMembership(to))
 	return nil
 }
 
 // sameVoters tells whether the same members vote in two memberships. Learners may differ.
 func sameVoters(a, b Membership) bool {
 	everyVoter := func(of, in Membership) bool {
-		return !slices.ContainsFunc(of.Members, func(member Member) bool { return member.Voter && !in.votes(member.ID) })
+		return !slices.ContainsFunc(of.Members, func(member Member) bool { return member.Voter && !in.isVoter(member.ID) })
 	}
 	return everyVoter(a, b) && everyVoter(b, a)
 }
 
-// sameButVotes tells whether two memberships have the same members, with the same particulars.
-func sameButVotes(a, b Membership) bool {
+// differOnlyInVotes tells whether two memberships have the same members, with the same particulars.
+func differOnlyInVotes(a, b Membership) bool {
 	if len(a.Members) != len(b.Members) {
 		return false
 	}
@@ -179,77 +179,77 @@
 	return true
 }
 
-// checkVoter tells why a member may not become a voter yet.
-func (m *Node) checkVoter(id ReplicaID, to Membership) error {
-	if !to.votes(id) || m.membership().votes(id) {
+// checkPromotion tells why a member may not become a voter yet.
+func (n *Node) checkPromotion(id ReplicaID, to Membership) error {
+	if !to.isVoter(id) || n.membership().isVoter(id) {
 		return nil
 	}
-	p := m.peer(id)
-	if p == nil {
+	peer := n.progressOf(id)
+	if peer == nil {
 		return &InvalidMembershipError{Reason: "a new member has to join as a learner first"}
 	}
 	// It also has to know that it is a member: else it would not vote.
-	if p.match < m.log.membership().index || !p.keepsUp(m.now, m.options.ElectionTimeout) {
-		return &LearnerBehindError{ID: id, Match: p.match, Target: p.goal}
+	if peer.match < n.log.lastMembership().index || !peer.keepsUp(n.now, n.config.ElectionTimeout) {
+		return &LearnerBehindError{ID: id, Match: peer.match, Target: peer.catchUpTarget}
 	}
 	return nil
 }
 
-// adoptMembership brings the peers in line with the newest membership.
-func (m *Node) adoptMembership() {
-	l := &m.leading
-	membership := m.membership()
-	var peers []*peer
+// syncProgress brings the peers in line with the newest membership.
+func (n *Node) syncProgress() {
+	state := &n.leaderState
+	membership := n.membership()
+	var peers []*progress
 	for _, member := range membership.Members {
-		if member.ID == m.options.ID {
+		if member.ID == n.config.ID {
 			continue
 		}
-		p := m.peer(member.ID)
-		if p == nil {
-			p = &peer{id: member.ID, next: m.log.last() + 1, answeredAt: m.now, goal: m.log.last(), goalAt: m.now,
-				lag: Never}
+		peer := n.progressOf(member.ID)
+		if peer == nil {
+			peer = &progress{id: member.ID, next: n.log.lastIndex() + 1, lastContact: n.now, catchUpTarget: n.log.lastIndex(), catchUpStartedAt: n.now,
+				catchUpDuration: Never}
 		}
-		peers = append(peers, p)
+		peers = append(peers, peer)
 	}
-	for _, p := range l.peers {
-		if !membership.has(p.id) {
-			l.leaving = append(l.leaving, p)
+	for _, peer := range state.peers {
+		if !membership.has(peer.id) {
+			state.removed = append(state.removed, peer)
 		}
 	}
-	l.peers = peers
+	state.peers = peers
 }
 
-// membershipCommitted leaves a committed joint membership, and lets members go that a committed membership no longer
+// completeMembershipChange leaves a committed joint membership, and lets members go that a committed membership no longer
 // has, this leader included.
-func (m *Node) membershipCommitted() {
-	l := &m.leading
-	if m.log.membership().index > m.log.commit {
+func (n *Node) completeMembershipChange() {
+	state := &n.leaderState
+	if n.log.lastMembership().index > n.log.commit {
 		return
 	}
-	if present := m.membership(); present.Joint() {
-		m.appendOwn(EntryMembership, EncodeMembership(present.settled()))
+	if present := n.membership(); present.Joint() {
+		n.appendEntry(EntryMembership, EncodeMembership(present.withoutOutgoing()))
 		return
 	}
-	for _, p := range l.leaving {
-		m.bidFarewell(p)
+	for _, peer := range state.removed {
+		n.notifyRemoved(peer)
 	}
-	l.leaving = nil
-	if m.membership().votes(m.options.ID) {
+	state.removed = nil
+	if n.membership().isVoter(n.config.ID) {
 		return
 	}
-	if p := m.peer(m.heir()); p != nil && p.match == m.log.last() {
-		m.sendEarly(Message{Kind: MessageTimeoutNow, To: p.id})
+	if peer := n.progressOf(n.bestTransferee()); peer != nil && peer.match == n.log.lastIndex() {
+		n.sendEarly(Message{Kind: MessageTimeoutNow, To: peer.id})
 	}
-	m.becomeFollower(m.term, 0)
+	n.becomeFollower(n.term, 0)
 }
 
-// bidFarewell tells a former member, once, that it was removed, so that it does not go on standing for election. This
+// notifyRemoved tells a former member, once, that it was removed, so that it does not go on standing for election. This
 // must not happen earlier: before the removal is committed its vote may be needed, which it would no longer give.
-func (m *Node) bidFarewell(p *peer) {
-	term, known := m.log.term(p.next - 1)
+func (n *Node) notifyRemoved(peer *progress) {
+	term, known := n.log.term(peer.next - 1)
 	if !known {
 		return
 	}
-	m.sendEarly(Message{Kind: MessageAppend, To: p.id, Index: p.next - 1, LogTerm: term, Commit: m.log.commit,
-		Entries: m.log.slice(p.next, m.options.MaxAppendBytes)})
+	n.sendEarly(Message{Kind: MessageAppend, To: peer.id, Index: peer.next - 1, LogTerm: term, Commit: n.log.commit,
+		Entries: n.log.slice(peer.next, n.config.MaxAppendBytes)})
 }
--- a/internal/system/consensus/reads.go
+++ b/internal/system/consensus/reads.go
@@ -4,96 +4,96 @@
 
 // pendingRead waits for a round that began after it came.
 type pendingRead struct {
-	token uint64
-	index uint64 // 0: not known before the leader has committed an entry of its term
-	round uint64 // any from here on will do
+	token    uint64
+	index    uint64 // 0: not known before the leader has committed an entry of its term
+	minRound uint64 // any from here on will do
 }
 
 // ReadIndex asks for an index from which on the state machine shows all that was agreed on before the call. Ready.Reads
 // brings it under the token, or an error if this replica does not lead.
-func (m *Node) ReadIndex(now time.Duration, token uint64) {
-	m.advance(now)
-	if m.mute || m.role != Leader {
-		m.readStates = append(m.readStates, ReadState{Token: token, Err: m.notLeader()})
+func (n *Node) ReadIndex(now time.Duration, token uint64) {
+	n.advanceClock(now)
+	if n.disabled || n.role != Leader {
+		n.readStates = append(n.readStates, ReadState{Token: token, Err: n.notLeaderError()})
 		return
 	}
-	read := pendingRead{token: token, round: m.leading.round + 1}
-	if m.committedInTerm() {
-		read.index = m.log.commit
+	read := pendingRead{token: token, minRound: n.leaderState.round + 1}
+	if n.committedInTerm() {
+		read.index = n.log.commit
 	}
-	m.leading.reads = append(m.leading.reads, read)
-	m.confirmRounds()
+	n.leaderState.reads = append(n.leaderState.reads, read)
+	n.updateConfirmedRound()
 }
 
 // committedInTerm tells whether a leader knows how far the log is committed.
-func (m *Node) committedInTerm() bool {
-	term, known := m.log.term(m.log.commit)
-	return known && term == m.term
+func (n *Node) committedInTerm() bool {
+	term, known := n.log.term(n.log.commit)
+	return known && term == n.term
 }
 
-// flushRounds begins a round where a read needs one. The number of a round is the time at which it began, in
+// startReadRound begins a round where a read needs one. The number of a round is the time at which it began, in
 // nanoseconds, or the next one after the last round's.
-func (m *Node) flushRounds() {
-	l := &m.leading
-	l.round = max(l.round, uint64(max(m.now, 0)))
-	if len(l.reads) == 0 || l.reads[len(l.reads)-1].round <= l.asked {
+func (n *Node) startReadRound() {
+	state := &n.leaderState
+	state.round = max(state.round, uint64(max(n.now, 0)))
+	if len(state.reads) == 0 || state.reads[len(state.reads)-1].minRound <= state.readRound {
 		return
 	}
-	l.round = max(l.round, l.reads[len(l.reads)-1].round)
-	l.asked = l.round
-	for _, p := range l.peers {
-		p.beat = p.beat || m.membership().hasVote(p.id)
+	state.round = max(state.round, state.reads[len(state.reads)-1].minRound)
+	state.readRound = state.round
+	for _, peer := range state.peers {
+		peer.heartbeatWanted = peer.heartbeatWanted || n.membership().hasVote(peer.id)
 	}
 }
 
-// confirmRounds finds the last round that a majority has answered.
-func (m *Node) confirmRounds() {
-	l := &m.leading
-	confirmed := m.majority(func(id ReplicaID) uint64 {
-		if id == m.options.ID {
-			return l.round
+// updateConfirmedRound finds the last round that a majority has answered.
+func (n *Node) updateConfirmedRound() {
+	state := &n.leaderState
+	confirmed := n.quorumValue(func(id ReplicaID) uint64 {
+		if id == n.config.ID {
+			return state.round
 		}
-		if p := m.peer(id); p != nil {
-			return p.round
+		if peer := n.progressOf(id); peer != nil {
+			return peer.ackedRound
 		}
 		return 0
 	})
-	l.confirmed = max(l.confirmed, confirmed)
-	m.answerReads()
+	state.confirmedRound = max(state.confirmedRound, confirmed)
+	n.completeReads()
 }
 
-// answerReads answers the reads that were confirmed, in their order.
-func (m *Node) answerReads() {
-	l := &m.leading
-	if len(l.reads) == 0 || !m.committedInTerm() {
+// completeReads answers the reads that were confirmed, in their order.
+func (n *Node) completeReads() {
+	state := &n.leaderState
+	if len(state.reads) == 0 || !n.committedInTerm() {
 		return
 	}
-	n := 0
-	for n < len(l.reads) && l.reads[n].round <= l.confirmed {
-		index := l.reads[n].index
+	answered := 0
+	for answered < len(state.reads) && state.reads[answered].minRound <= state.confirmedRound {
+		index := state.reads[answered].index
 		if index == 0 {
-			index = m.log.commit
+			index = n.log.commit
 		}
-		m.readStates = append(m.readStates, ReadState{Token: l.reads[n].token, Index: index})
-		n++
+		n.readStates = append(n.readStates, ReadState{Token: state.reads[answered].token, Index: index})
+		answered++
 	}
-	l.reads = l.reads[n:]
+	state.reads = state.reads[answered:]
 }
 
-// dropReads answers the pending reads with an error.
-func (m *Node) dropReads() {
-	for _, read := range m.leading.reads {
-		m.readStates = append(m.readStates, ReadState{Token: read.token, Err: &NotLeaderError{Leader: m.leader}})
+// failReads answers the pending reads with an error.
+func (n *Node) failReads() {
+	for _, read := range n.leaderState.reads {
+		n.readStates = append(n.readStates, ReadState{Token: read.token, Err: &NotLeaderError{Leader: n.leaderID}})
 	}
-	m.leading.reads = nil
+	n.leaderState.reads = nil
 }
 
 // LeaseExpiry is until when no other replica can be leader, 0 if that is not sure; see Status.LeaseExpiry. Each follower that
 // answered a round holds to this leader for an election time after it got that round's message.
-func (m *Node) LeaseExpiry() time.Duration {
-	l := &m.leading
-	if m.role != Leader || l.handedOver || l.confirmed == 0 {
+func (n *Node) LeaseExpiry() time.Duration {
+	state := &n.leaderState
+	if n.role != Leader || state.timeoutNowSent || state.confirmedRound == 0 {
 		return 0
 	}
-	return time.Duration(l.confirmed) + m.options.ElectionTimeout - m.options.ElectionTimeout/leaseMarginPart
+	return time.Duration(state.confirmedRound) + n.config.ElectionTimeout - n.config.ElectionTimeout/leaseMarginDivisor
 }
--- a/internal/system/consensus/script_membership_test.go
+++ b/internal/system/consensus/script_membership_test.go
@@ -108,7 +108,7 @@
 	x.catchUp(x.wait())
 	x.catchUp(x.change(promoted))
 	x.want("membership", x.m.membership(), promoted)
-	x.want("committed", x.m.log.commit, x.m.log.last())
+	x.want("committed", x.m.log.commit, x.m.log.lastIndex())
 }
 
 func TestLearnersDoNotCount(t *testing.T) {
@@ -219,7 +219,7 @@
 		x.want("reply", x.only(MessageInstallSnapshotReply, 2, x.step(install)).Index, 9)
 		x.want("restored", x.restored, (*Snapshot)(nil))
 		x.want("commit", x.m.log.commit, 9)
-		x.want("last", x.m.log.last(), 10)
+		x.want("last", x.m.log.lastIndex(), 10)
 	})
 	t.Run("of old", func(t *testing.T) {
 		stored := PersistentState{HardState: HardState{Term: 2}, Snapshot: Snapshot{Index: 20, Term: 2, Membership: voters(1, 2)}}
@@ -301,7 +301,7 @@
 		{entries(5, 2), 3}, // a gap
 	} {
 		x := newScript(t, PersistentState{HardState: HardState{Term: 2, Commit: 3}, Snapshot: snapshot, Entries: c.log})
-		x.want("last", x.m.log.last(), c.last)
+		x.want("last", x.m.log.lastIndex(), c.last)
 	}
 }
 
@@ -360,8 +360,8 @@
 	x.step(ack(x.only(MessageAppend, 3, sent)))
 	x.want("commit with both", x.m.log.commit, 1)
 	x.want("joint after", x.m.membership().Joint(), false)
-	x.want("voter before", x.m.membership().votes(2), false)
-	x.want("voter now", x.m.membership().votes(5), true)
+	x.want("voter before", x.m.membership().isVoter(2), false)
+	x.want("voter now", x.m.membership().isVoter(5), true)
 }
 
 // TestVotesMoveInOneStep: a change of who votes goes through a joint membership, and the next one has to wait.
@@ -377,7 +377,7 @@
 	}
 	x.catchUp(sent)
 	x.want("after", x.m.membership(), to)
-	x.want("committed", x.m.log.commit, x.m.log.last())
+	x.want("committed", x.m.log.commit, x.m.log.lastIndex())
 	if err := x.m.ChangeMembership(x.now, betweenTwoSets()); !errors.As(err, new(*InvalidMembershipError)) {
 		t.Errorf("a joint membership asked for: %v", err)
 	}
@@ -391,9 +391,9 @@
 	ahead.wait()
 	ahead.step(ask(2))
 	ahead.want("role of the lower id", ahead.m.role, Follower)
-	due := ahead.m.electionDue
+	due := ahead.m.electionDeadline
 	ahead.step(ask(2))
-	ahead.want("due after it is asked again", ahead.m.electionDue, due)
+	ahead.want("due after it is asked again", ahead.m.electionDeadline, due)
 	if due < ahead.now+testElection*3/4 {
 		t.Errorf("its election is due %v after it yielded", due-ahead.now)
 	}
--- a/internal/system/consensus/script_test.go
+++ b/internal/system/consensus/script_test.go
@@ -334,7 +334,7 @@
 	reply := x.only(MessageAppendReply, 2, x.step(Message{Kind: MessageAppend, From: 2, Term: 3, Round: 1}))
 	x.want("term", reply.Term, 4)
 	x.want("rejected", reply.Reject, true)
-	x.want("leader", x.m.leader, 0)
+	x.want("leader", x.m.leaderID, 0)
 }
 
 func TestLeaderStepsDownForANewerTerm(t *testing.T) {
@@ -522,7 +522,7 @@
 	x.want("lease after", x.m.Status().LeaseExpiry, time.Duration(0))
 	x.now += testElection / 2
 	x.step(ack(x.only(MessageAppend, 3, sent)))
-	x.now = x.m.leading.transferEnds
+	x.now = x.m.leaderState.transferDeadline
 	x.m.Tick(x.now)
 	vote := x.only(MessageVote, 2, x.work())
 	x.want("election of its own when the other does not take over", vote.Force, true)
@@ -546,8 +546,8 @@
 	x.m.StepDown(x.now)
 	sent := x.work()
 	x.want("told", sent[0].Kind, MessageTimeoutNow)
-	x.now = x.m.leading.transferEnds
+	x.now = x.m.leaderState.transferDeadline
 	x.m.Tick(x.now)
 	x.want("role once nobody took over", x.m.role, Follower)
-	x.want("stands for election again", x.m.NextTick() >= x.now+(stepDownElections-1)*testElection, true)
+	x.want("stands for election again", x.m.NextTick() >= x.now+(stepDownElectionTimeouts-1)*testElection, true)
 }
--- a/internal/system/consensus/transfer.go
+++ b/internal/system/consensus/transfer.go
@@ -4,48 +4,48 @@
 
 // TransferLeadership has a leader hand over to a voter, 0: to the one that is best caught up. It takes no proposals
 // until the other leads or an election time has passed. Its lease ends for good once the other was told to take over.
-func (m *Node) TransferLeadership(now time.Duration, to ReplicaID) {
-	m.advance(now)
-	if m.role != Leader || m.leading.transferee != 0 {
+func (n *Node) TransferLeadership(now time.Duration, to ReplicaID) {
+	n.advanceClock(now)
+	if n.role != Leader || n.leaderState.transferee != 0 {
 		return
 	}
 	if to == 0 {
-		to = m.heir()
+		to = n.bestTransferee()
 	}
-	if to == 0 || to == m.options.ID || !m.membership().votes(to) {
+	if to == 0 || to == n.config.ID || !n.membership().isVoter(to) {
 		return
 	}
-	m.leading.transferee = to
-	m.leading.transferEnds = m.now + m.options.ElectionTimeout
+	n.leaderState.transferee = to
+	n.leaderState.transferDeadline = n.now + n.config.ElectionTimeout
 }
 
 // StepDown has this replica not lead for some election times, because its disk fails or its process stops. A leader
 // hands over to another voter if one answers, and else just ceases to lead.
-func (m *Node) StepDown(now time.Duration) {
-	m.advance(now)
-	m.noLeaderUntil = m.now + stepDownElections*m.options.ElectionTimeout
-	if m.role == PreCandidate || m.role == Candidate {
-		m.becomeFollower(m.term, 0)
+func (n *Node) StepDown(now time.Duration) {
+	n.advanceClock(now)
+	n.noCampaignUntil = n.now + stepDownElectionTimeouts*n.config.ElectionTimeout
+	if n.role == PreCandidate || n.role == Candidate {
+		n.becomeFollower(n.term, 0)
 		return
 	}
-	if m.role != Leader {
+	if n.role != Leader {
 		return
 	}
-	m.TransferLeadership(now, 0)
-	if m.leading.transferee == 0 {
-		m.becomeFollower(m.term, 0)
+	n.TransferLeadership(now, 0)
+	if n.leaderState.transferee == 0 {
+		n.becomeFollower(n.term, 0)
 	}
 }
 
-// heir is the voter that holds most of the log among those that have answered of late.
-func (m *Node) heir() ReplicaID {
-	var best *peer
-	for _, p := range m.leading.peers {
-		if !m.membership().votes(p.id) || m.now-p.answeredAt >= m.options.ElectionTimeout {
+// bestTransferee is the voter that holds most of the log among those that have answered of late.
+func (n *Node) bestTransferee() ReplicaID {
+	var best *progress
+	for _, peer := range n.leaderState.peers {
+		if !n.membership().isVoter(peer.id) || n.now-peer.lastContact >= n.config.ElectionTimeout {
 			continue
 		}
-		if best == nil || p.match > best.match || p.match == best.match && p.answeredAt > best.answeredAt {
-			best = p
+		if best == nil || peer.match > best.match || peer.match == best.match && peer.lastContact > best.lastContact {
+			best = peer
 		}
 	}
 	if best == nil {
@@ -54,37 +54,37 @@
 	return best.id
 }
 
-// flushTransfer tells the transferee to take over once it holds the whole log.
-func (m *Node) flushTransfer() {
-	p := m.peer(m.leading.transferee)
-	if p == nil || m.leading.handedOver || p.match < m.log.last() {
+// sendTimeoutNow tells the transferee to take over once it holds the whole log.
+func (n *Node) sendTimeoutNow() {
+	peer := n.progressOf(n.leaderState.transferee)
+	if peer == nil || n.leaderState.timeoutNowSent || peer.match < n.log.lastIndex() {
 		return
 	}
-	m.leading.handedOver = true
-	m.sendEarly(Message{Kind: MessageTimeoutNow, To: p.id})
+	n.leaderState.timeoutNowSent = true
+	n.sendEarly(Message{Kind: MessageTimeoutNow, To: peer.id})
 }
 
-// endTransfer is called when the transferee has not taken over in time.
-func (m *Node) endTransfer() {
-	if m.now < m.noLeaderUntil {
-		m.becomeFollower(m.term, 0)
+// abortTransfer is called when the transferee has not taken over in time.
+func (n *Node) abortTransfer() {
+	if n.now < n.noCampaignUntil {
+		n.becomeFollower(n.term, 0)
 		return
 	}
-	if m.leading.handedOver && m.mayLead() {
-		m.stand(true) // in this term the transferee may still call an election at any time, so that no lease is sure
+	if n.leaderState.timeoutNowSent && n.promotable() {
+		n.startElection(true) // in this term the transferee may still call an election at any time, so that no lease is sure
 		return
 	}
-	m.leading.transferee = 0
+	n.leaderState.transferee = 0
 }
 
 // handleTimeoutNow stands for election at once.
-func (m *Node) handleTimeoutNow(msg Message) {
-	if msg.Term != m.term || m.role == Leader || m.leader != msg.From {
+func (n *Node) handleTimeoutNow(msg Message) {
+	if msg.Term != n.term || n.role == Leader || n.leaderID != msg.From {
 		return
 	}
-	if m.now < m.noLeaderUntil || !m.mayLead() {
+	if n.now < n.noCampaignUntil || !n.promotable() {
 		return
 	}
-	m.attempts = 0
-	m.stand(true)
+	n.failedElections = 0
+	n.startElection(true)
 }
