--- a/internal/system/consensus/abuse_test.go
+++ b/internal/system/consensus/abuse_test.go
@@ -8,27 +8,27 @@
 	"pgregory.net/rapid"
 )
 
-// abused is a machine that is told whatever comes to mind, and the disk that belongs to it.
-type abused struct {
-	m       *Node
+// robustnessTest is a machine that is told whatever comes to mind, and the disk that belongs to it.
+type robustnessTest struct {
+	node    *Node
 	now     time.Duration
-	disk    disk
+	disk    simulatedDisk
 	pending []Ready
 	commit  uint64
 	applied uint64
 	token   uint64
 }
 
-func smallNumber(t *rapid.T, name string) uint64 {
+func drawSmallUint(t *rapid.T, name string) uint64 {
 	return rapid.OneOf(rapid.Uint64Range(0, 6), rapid.Uint64Range(0, 6), rapid.Uint64()).Draw(t, name)
 }
 
-func (a *abused) boot(t *rapid.T) {
+func (a *robustnessTest) restart(t *rapid.T) {
 	stored := a.disk.stored
 	stored.Entries = slices.Clone(stored.Entries)
-	a.m = New(a.now, Config{ID: 1, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: rapid.Uint64().Draw(t, "seed"),
+	a.node = New(a.now, Config{ID: 1, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: rapid.Uint64().Draw(t, "seed"),
 		MaxAppendBytes: 8, MaxInflightAppends: 2, SnapshotThreshold: 4}, stored)
-	if a.m.disabled {
+	if a.node.disabled {
 		t.Fatalf("what was stored makes no sense: %v", stored.Validate())
 	}
 	a.pending = nil
@@ -36,14 +36,14 @@
 }
 
 // message is one that may make sense: its numbers are near those of the machine.
-func (a *abused) message(t *rapid.T) Message {
+func (a *robustnessTest) message(t *rapid.T) Message {
 	msg := Message{Kind: MessageKind(rapid.IntRange(0, int(MessageTimeoutNow)+1).Draw(t, "kind")),
-		From: ReplicaID(rapid.IntRange(0, 4).Draw(t, "from")), To: 1, Term: a.m.term + smallNumber(t, "term") - 2,
-		Commit: smallNumber(t, "commit"), RejectHint: smallNumber(t, "hint"), Round: smallNumber(t, "round"),
+		From: ReplicaID(rapid.IntRange(0, 4).Draw(t, "from")), To: 1, Term: a.node.term + drawSmallUint(t, "term") - 2,
+		Commit: drawSmallUint(t, "commit"), RejectHint: drawSmallUint(t, "hint"), Round: drawSmallUint(t, "round"),
 		Reject: rapid.Bool().Draw(t, "reject"), Force: rapid.Bool().Draw(t, "force")}
-	msg.Index = a.m.log.lastIndex() + smallNumber(t, "index") - 4
-	msg.LogTerm = smallNumber(t, "log term")
-	if term, known := a.m.log.term(msg.Index); known && rapid.Bool().Draw(t, "right term") {
+	msg.Index = a.node.log.lastIndex() + drawSmallUint(t, "index") - 4
+	msg.LogTerm = drawSmallUint(t, "log term")
+	if term, known := a.node.log.term(msg.Index); known && rapid.Bool().Draw(t, "right term") {
 		msg.LogTerm = term
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "entries") {
@@ -55,13 +55,13 @@
 	return msg
 }
 
-func (a *abused) entry(t *rapid.T, msg Message) Entry {
+func (a *robustnessTest) entry(t *rapid.T, msg Message) Entry {
 	entry := Entry{Index: msg.Index + uint64(len(msg.Entries)) + 1, Term: msg.Term, Data: drawData(t, "data")}
 	switch rapid.IntRange(0, 5).Draw(t, "entry") {
 	case 0:
-		entry.Index = smallNumber(t, "entry index")
+		entry.Index = drawSmallUint(t, "entry index")
 	case 1:
-		entry.Term = smallNumber(t, "entry term")
+		entry.Term = drawSmallUint(t, "entry term")
 	case 2:
 		entry.Kind = EntryMembership
 	case 3:
@@ -71,7 +71,7 @@
 	return entry
 }
 
-func (a *abused) membership(t *rapid.T) (s Membership) {
+func (a *robustnessTest) membership(t *rapid.T) (s Membership) {
 	for id := ReplicaID(0); id < 5; id++ {
 		if rapid.IntRange(0, 3).Draw(t, "member") > 0 {
 			s.Members = append(s.Members, Member{ID: id, Voter: rapid.IntRange(0, 3).Draw(t, "voter") > 0})
@@ -83,11 +83,11 @@
 	return s
 }
 
-func (a *abused) persist(t *rapid.T) {
+func (a *robustnessTest) persist(t *rapid.T) {
 	r := a.pending[0]
 	a.pending = a.pending[1:]
 	a.disk.write(r)
-	a.m.MarkPersisted(r)
+	a.node.MarkPersisted(r)
 	if r.Snapshot != nil {
 		a.applied = r.Snapshot.Index
 	}
@@ -97,14 +97,14 @@
 		}
 		a.applied = entry.Index
 	}
-	if s, is := a.m.CreateSnapshot(r.CompactIndex, nil); is {
+	if s, is := a.node.CreateSnapshot(r.CompactIndex, nil); is {
 		a.disk.compact(s)
-		a.m.Compact(r.CompactIndex, nil, 0)
+		a.node.Compact(r.CompactIndex, nil, 0)
 	}
 }
 
-func (a *abused) check(t *rapid.T) {
-	l := &a.m.log
+func (a *robustnessTest) check(t *rapid.T) {
+	l := &a.node.log
 	if l.commit < a.commit {
 		t.Fatalf("commit went back from %d to %d", a.commit, l.commit)
 	}
@@ -120,48 +120,48 @@
 	}
 }
 
-// TestWhateverComesNothingBreaks has a machine take messages and calls that need not make sense, in any order.
-func TestWhateverComesNothingBreaks(t *testing.T) {
+// TestArbitraryInput has a machine take messages and calls that need not make sense, in any order.
+func TestArbitraryInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := &abused{disk: disk{stored: founded(1, 2, 3)}}
+		a := &robustnessTest{disk: simulatedDisk{stored: foundingState(1, 2, 3)}}
 		if rapid.Bool().Draw(t, "fresh") {
 			a.disk.stored = PersistentState{}
 		}
-		a.boot(t)
+		a.restart(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"": a.check,
 			"step": func(t *rapid.T) {
-				a.m.Step(a.now, a.message(t))
+				a.node.Step(a.now, a.message(t))
 			},
 			"tick": func(t *rapid.T) {
-				if due := a.m.NextTick(); due != Never {
+				if due := a.node.NextTick(); due != Never {
 					a.now = max(a.now, due)
 				}
-				a.m.Tick(a.now)
+				a.node.Tick(a.now)
 			},
 			"grant": func(t *rapid.T) {
 				for id := ReplicaID(2); id <= 4; id++ {
-					a.m.Step(a.now, Message{Kind: MessagePreVoteReply, From: id, To: 1, Term: a.m.term + 1})
-					a.m.Step(a.now, Message{Kind: MessageVoteReply, From: id, To: 1, Term: a.m.term})
+					a.node.Step(a.now, Message{Kind: MessagePreVoteReply, From: id, To: 1, Term: a.node.term + 1})
+					a.node.Step(a.now, Message{Kind: MessageVoteReply, From: id, To: 1, Term: a.node.term})
 				}
 			},
 			"acknowledge": func(t *rapid.T) {
-				index := rapid.Uint64Range(a.m.log.offset, a.m.log.lastIndex()).Draw(t, "index")
-				a.m.Step(a.now, Message{Kind: MessageAppendReply, From: ReplicaID(rapid.IntRange(2, 4).Draw(t, "from")), To: 1,
-					Term: a.m.term, Index: index, Round: a.m.leaderState.round})
+				index := rapid.Uint64Range(a.node.log.offset, a.node.log.lastIndex()).Draw(t, "index")
+				a.node.Step(a.now, Message{Kind: MessageAppendReply, From: ReplicaID(rapid.IntRange(2, 4).Draw(t, "from")), To: 1,
+					Term: a.node.term, Index: index, Round: a.node.leaderState.round})
 			},
-			"propose": func(t *rapid.T) { a.m.Propose(a.now, drawData(t, "data")) },
+			"propose": func(t *rapid.T) { a.node.Propose(a.now, drawData(t, "data")) },
 			"read": func(t *rapid.T) {
 				a.token++
-				a.m.ReadIndex(a.now, a.token)
+				a.node.ReadIndex(a.now, a.token)
 			},
-			"membership": func(t *rapid.T) { a.m.ChangeMembership(a.now, a.membership(t)) },
+			"membership": func(t *rapid.T) { a.node.ChangeMembership(a.now, a.membership(t)) },
 			"transfer": func(t *rapid.T) {
-				a.m.TransferLeadership(a.now, ReplicaID(rapid.IntRange(0, 5).Draw(t, "to")))
+				a.node.TransferLeadership(a.now, ReplicaID(rapid.IntRange(0, 5).Draw(t, "to")))
 			},
-			"step down": func(t *rapid.T) { a.m.StepDown(a.now) },
+			"step down": func(t *rapid.T) { a.node.StepDown(a.now) },
 			"ready": func(t *rapid.T) {
-				if r := a.m.Ready(); !r.Empty() {
+				if r := a.node.Ready(); !r.Empty() {
 					a.pending = append(a.pending, r)
 				}
 			},
@@ -170,21 +170,21 @@
 					a.persist(t)
 				}
 			},
-			"restart": func(t *rapid.T) { a.boot(t) },
+			"restart": func(t *rapid.T) { a.restart(t) },
 		})
 	})
 }
 
-// TestMutatedMessages plays clusters in which now and then a message arrives spoilt but still decodes. Nothing is
+// TestCorruptMessages plays clusters in which now and then a message arrives spoilt but still decodes. Nothing is
 // promised of what they agree on then, but no replica may break.
-func TestMutatedMessages(t *testing.T) {
+func TestCorruptMessages(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
-		w := newWorld(seed)
-		w.mutate = true
+		w := newSimulation(seed)
+		w.corruptMessages = true
 		w.start()
 		for range 200 {
 			w.run(100 * time.Millisecond)
-			w.failed = ""
+			w.failure = ""
 		}
 	}
 }
--- a/internal/system/consensus/bench_test.go
+++ b/internal/system/consensus/bench_test.go
@@ -5,99 +5,99 @@
 	"time"
 )
 
-// trio is three replicas that reach each other at once and whose disks take no time.
-type trio struct {
-	machines [4]*Node
+// testCluster is three replicas that reach each other at once and whose disks take no time.
+type testCluster struct {
+	nodes    [4]*Node
 	now      time.Duration
 	leader   *Node
 	messages int
 }
 
-func newTrio(b *testing.B) *trio {
-	x := &trio{}
+func newTestCluster(b *testing.B) *testCluster {
+	cluster := &testCluster{}
 	for id := ReplicaID(1); id <= 3; id++ {
-		x.machines[id] = New(0, Config{ID: id, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: 1,
-			MaxAppendBytes: 1 << 16, MaxInflightAppends: 16, SnapshotThreshold: 4096}, founded(1, 2, 3))
+		cluster.nodes[id] = New(0, Config{ID: id, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: 1,
+			MaxAppendBytes: 1 << 16, MaxInflightAppends: 16, SnapshotThreshold: 4096}, foundingState(1, 2, 3))
 	}
-	for x.leader == nil {
-		x.idle(10 * time.Millisecond)
+	for cluster.leader == nil {
+		cluster.advance(10 * time.Millisecond)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
-	x.messages = 0
-	return x
+	cluster.messages = 0
+	return cluster
 }
 
-// idle lets time pass.
-func (x *trio) idle(d time.Duration) {
-	x.now += d
-	for _, m := range x.machines[1:] {
-		if m.NextTick() <= x.now {
-			m.Tick(x.now)
+// advance lets time pass.
+func (c *testCluster) advance(elapsed time.Duration) {
+	c.now += elapsed
+	for _, node := range c.nodes[1:] {
+		if node.NextTick() <= c.now {
+			node.Tick(c.now)
 		}
-		if m.Status().Role == Leader {
-			x.leader = m
+		if node.Status().Role == Leader {
+			c.leader = node
 		}
 	}
-	x.settle()
+	c.exchange()
 }
 
-func (x *trio) settle() {
+func (c *testCluster) exchange() {
 	for busy := true; busy; {
 		busy = false
-		for _, m := range x.machines[1:] {
-			r := m.Ready()
-			if r.Empty() {
+		for _, node := range c.nodes[1:] {
+			ready := node.Ready()
+			if ready.Empty() {
 				continue
 			}
 			busy = true
-			m.MarkPersisted(r)
-			x.carry(r.EarlyMessages)
-			x.carry(r.Messages)
-			if r.CompactIndex > 0 {
-				m.Compact(r.CompactIndex, nil, 0)
+			node.MarkPersisted(ready)
+			c.deliver(ready.EarlyMessages)
+			c.deliver(ready.Messages)
+			if ready.CompactIndex > 0 {
+				node.Compact(ready.CompactIndex, nil, 0)
 			}
 		}
 	}
 }
 
-func (x *trio) carry(msgs []Message) {
+func (c *testCluster) deliver(msgs []Message) {
 	for _, msg := range msgs {
-		x.messages++
-		x.machines[msg.To].Step(x.now, msg)
+		c.messages++
+		c.nodes[msg.To].Step(c.now, msg)
 	}
 }
 
-func BenchmarkAgreeOnOne(b *testing.B) {
-	x := newTrio(b)
+func BenchmarkPropose(b *testing.B) {
+	script := newTestCluster(b)
 	data := make([]byte, 200)
 	for b.Loop() {
-		if _, _, err := x.leader.Propose(x.now, data); err != nil {
+		if _, _, err := script.leader.Propose(script.now, data); err != nil {
 			b.Fatal(err)
 		}
-		x.settle()
+		script.exchange()
 	}
-	b.ReportMetric(float64(x.messages)/float64(b.N), "messages/op")
+	b.ReportMetric(float64(script.messages)/float64(b.N), "messages/op")
 }
 
-func BenchmarkRead(b *testing.B) {
-	x := newTrio(b)
+func BenchmarkReadIndex(b *testing.B) {
+	script := newTestCluster(b)
 	for b.Loop() {
-		x.leader.ReadIndex(x.now, 1)
-		x.settle()
+		script.leader.ReadIndex(script.now, 1)
+		script.exchange()
 	}
-	b.ReportMetric(float64(x.messages)/float64(b.N), "messages/op")
+	b.ReportMetric(float64(script.messages)/float64(b.N), "messages/op")
 }
 
 // BenchmarkIdleSecond is what a second without proposals costs three replicas together.
 func BenchmarkIdleSecond(b *testing.B) {
-	x := newTrio(b)
+	script := newTestCluster(b)
 	for b.Loop() {
 		for range 100 {
-			x.idle(10 * time.Millisecond)
+			script.advance(10 * time.Millisecond)
 		}
 	}
-	b.ReportMetric(float64(x.messages)/float64(b.N), "messages/op")
+	b.ReportMetric(float64(script.messages)/float64(b.N), "messages/op")
 }
 
 func BenchmarkEncode(b *testing.B) {
--- a/internal/system/consensus/check.go
+++ b/internal/system/consensus/check.go
@@ -61,9 +61,9 @@
 }
 
 func (m *Message) validateSnapshot() error {
-	s := m.Snapshot
-	if s == nil || s.Index == 0 || s.Term == 0 || s.Term > m.Term || s.Index > maxNumber {
+	snapshot := m.Snapshot
+	if snapshot == nil || snapshot.Index == 0 || snapshot.Term == 0 || snapshot.Term > m.Term || snapshot.Index > maxNumber {
 		return &InvalidMessageError{Reason: "snapshot makes no sense"}
 	}
-	return s.Membership.validate()
+	return snapshot.Membership.validate()
 }
--- a/internal/system/consensus/cluster_check_test.go
+++ b/internal/system/consensus/cluster_check_test.go
@@ -7,52 +7,52 @@
 	"time"
 )
 
-// place is where an entry stands, and of which term it is.
-type place struct{ index, term uint64 }
+// entryID is where an entry stands, and of which term it is.
+type entryID struct{ index, term uint64 }
 
-// known is what all logs have to agree on for a place.
-type known struct {
-	before uint64 // term of the entry before
-	kind   EntryKind
-	data   []byte
+// entryContent is what all logs have to agree on for a place.
+type entryContent struct {
+	previousTerm uint64 // term of the entry before
+	kind         EntryKind
+	data         []byte
 }
 
-// truth is what an observer of the whole cluster knows.
-type truth struct {
-	leaders     map[uint64]*process   // by term
-	entries     map[place]known       // that ever stood in a log
-	committed   []Entry               // in order, from index 1
-	committedIn []uint64              // term of the leader that committed each
-	states      map[uint64]uint64     // of the state machine, by index
-	synced      map[ReplicaID]*synced // by replica, its disk lost or not
-	asked       map[uint64]int        // by token of a read: how many entries were committed when it came
-	reads       int
-	membership  Membership // committed
-	proposed    Membership // last
+// observations is what an observer of the whole cluster knows.
+type observations struct {
+	leadersByTerm      map[uint64]*simulatedProcess // by term
+	entriesByID        map[entryID]entryContent     // that ever stood in a log
+	committed          []Entry                      // in order, from index 1
+	commitTerms        []uint64                     // term of the leader that committed each
+	statesByIndex      map[uint64]uint64            // of the state machine, by index
+	syncedLogs         map[ReplicaID]*syncedLog     // by replica, its disk lost or not
+	pendingReads       map[uint64]int               // by token of a read: how many entries were committed when it came
+	completedReads     int
+	membership         Membership // committed
+	proposedMembership Membership // last
 }
 
-// synced is what a replica had on its disk at some time.
-type synced struct {
-	entries  map[place]bool
+// syncedLog is what a replica had on its disk at some time.
+type syncedLog struct {
+	entries  map[entryID]bool
 	snapshot uint64
 }
 
-func newTruth() truth {
-	return truth{leaders: map[uint64]*process{}, entries: map[place]known{}, states: map[uint64]uint64{},
-		synced: map[ReplicaID]*synced{}, asked: map[uint64]int{}}
+func newObservations() observations {
+	return observations{leadersByTerm: map[uint64]*simulatedProcess{}, entriesByID: map[entryID]entryContent{}, statesByIndex: map[uint64]uint64{},
+		syncedLogs: map[ReplicaID]*syncedLog{}, pendingReads: map[uint64]int{}}
 }
 
-func (t *truth) noteSynced(id ReplicaID, r Ready) {
-	s := t.synced[id]
-	if s == nil {
-		s = &synced{entries: map[place]bool{}}
-		t.synced[id] = s
+func (t *observations) recordSync(id ReplicaID, r Ready) {
+	log := t.syncedLogs[id]
+	if log == nil {
+		log = &syncedLog{entries: map[entryID]bool{}}
+		t.syncedLogs[id] = log
 	}
 	for _, entry := range r.Entries {
-		s.entries[place{entry.Index, entry.Term}] = true
+		log.entries[entryID{entry.Index, entry.Term}] = true
 	}
 	if r.Snapshot != nil {
-		s.snapshot = max(s.snapshot, r.Snapshot.Index)
+		log.snapshot = max(log.snapshot, r.Snapshot.Index)
 	}
 }
 
@@ -71,66 +71,66 @@
 }
 
 // check holds after each step.
-func (w *world) check() {
-	for _, p := range w.processes() {
-		w.checkCommit(p)
+func (sim *simulation) check() {
+	for _, p := range sim.processes() {
+		sim.checkCommit(p)
 	}
-	for _, p := range w.processes() {
-		if p.machine.role == Leader {
-			w.checkLeader(p)
+	for _, p := range sim.processes() {
+		if p.node.role == Leader {
+			sim.checkLeader(p)
 		}
-		w.checkLease(p)
+		sim.checkLease(p)
 	}
 }
 
 // checkCommit sees that what is committed stays the same everywhere, and was synced by a majority before.
-func (w *world) checkCommit(p *process) {
-	l := &p.machine.log
-	if l.commit < p.commit {
-		w.fail("replica %d: commit went back from %d to %d", p.id, p.commit, l.commit)
-	}
-	for index := max(p.commit, l.offset) + 1; index <= l.commit; index++ {
-		entry := l.entries[index-l.offset-1]
-		if index <= uint64(len(w.truth.committed)) {
-			if !sameEntry(w.truth.committed[index-1], entry) {
-				w.fail("replica %d: committed entry %d differs: %v, was %v", p.id, index, entry, w.truth.committed[index-1])
+func (sim *simulation) checkCommit(p *simulatedProcess) {
+	log := &p.node.log
+	if log.commit < p.commit {
+		sim.fail("replica %d: commit went back from %d to %d", p.id, p.commit, log.commit)
+	}
+	for index := max(p.commit, log.offset) + 1; index <= log.commit; index++ {
+		entry := log.entries[index-log.offset-1]
+		if index <= uint64(len(sim.oracle.committed)) {
+			if !sameEntry(sim.oracle.committed[index-1], entry) {
+				sim.fail("replica %d: committed entry %d differs: %v, was %v", p.id, index, entry, sim.oracle.committed[index-1])
 			}
 			continue
 		}
-		w.checkNewCommit(p, entry)
+		sim.checkNewCommit(p, entry)
 	}
-	p.commit = l.commit
+	p.commit = log.commit
 }
 
 func sameEntry(a, b Entry) bool {
 	return a.Index == b.Index && a.Term == b.Term && a.Kind == b.Kind && bytes.Equal(a.Data, b.Data)
 }
 
-func (w *world) checkNewCommit(p *process, entry Entry) {
-	if entry.Index != uint64(len(w.truth.committed))+1 {
-		w.fail("replica %d commits %d, the last known one is %d", p.id, entry.Index, len(w.truth.committed))
+func (sim *simulation) checkNewCommit(p *simulatedProcess, entry Entry) {
+	if entry.Index != uint64(len(sim.oracle.committed))+1 {
+		sim.fail("replica %d commits %d, the last known one is %d", p.id, entry.Index, len(sim.oracle.committed))
 		return
 	}
-	if p.machine.role == Leader || p.machine.role == Follower && p.machine.leaderID == 0 { // or has just stepped down
-		w.checkMajority(p, entry)
+	if p.node.role == Leader || p.node.role == Follower && p.node.leaderID == 0 { // or has just stepped down
+		sim.checkMajority(p, entry)
 	} else {
-		w.fail("replica %d commits %d first, and does not lead", p.id, entry.Index)
+		sim.fail("replica %d commits %d first, and does not lead", p.id, entry.Index)
 	}
-	w.truth.committed = append(w.truth.committed, entry)
-	w.truth.committedIn = append(w.truth.committedIn, p.machine.term)
+	sim.oracle.committed = append(sim.oracle.committed, entry)
+	sim.oracle.commitTerms = append(sim.oracle.commitTerms, p.node.term)
 	if entry.Kind == EntryMembership {
-		w.truth.membership, _ = DecodeMembership(entry.Data)
+		sim.oracle.membership, _ = DecodeMembership(entry.Data)
 	}
 }
 
 // checkMajority sees that a majority of the voters has synced an entry that is committed.
-func (w *world) checkMajority(p *process, entry Entry) {
+func (sim *simulation) checkMajority(p *simulatedProcess, entry Entry) {
 	have := map[ReplicaID]bool{}
-	for _, member := range p.machine.membership().Members {
-		s := w.truth.synced[member.ID]
-		have[member.ID] = s != nil && (s.entries[place{entry.Index, entry.Term}] || s.snapshot >= entry.Index)
+	for _, member := range p.node.membership().Members {
+		log := sim.oracle.syncedLogs[member.ID]
+		have[member.ID] = log != nil && (log.entries[entryID{entry.Index, entry.Term}] || log.snapshot >= entry.Index)
 	}
-	for _, voters := range voterSets(p.machine.membership()) {
+	for _, voters := range voterSets(p.node.membership()) {
 		synced := 0
 		for _, id := range voters {
 			if have[id] {
@@ -138,7 +138,7 @@
 			}
 		}
 		if synced <= len(voters)/2 {
-			w.fail("replica %d commits %d, which %d of the voters %v have synced", p.id, entry.Index, synced, voters)
+			sim.fail("replica %d commits %d, which %d of the voters %v have synced", p.id, entry.Index, synced, voters)
 		}
 	}
 }
@@ -163,142 +163,142 @@
 
 // checkLeader sees that there is one leader a term, that it has all that is committed, and that at most one change of
 // membership is under way.
-func (w *world) checkLeader(p *process) {
-	m := p.machine
-	first := w.truth.leaders[m.term]
+func (sim *simulation) checkLeader(p *simulatedProcess) {
+	node := p.node
+	first := sim.oracle.leadersByTerm[node.term]
 	if first != nil && first != p {
-		w.fail("replicas %d and %d both led term %d (the same: a life apart)", first.id, p.id, m.term)
+		sim.fail("replicas %d and %d both led term %d (the same: a life apart)", first.id, p.id, node.term)
 	}
-	if m.persistedTerm != m.term {
-		w.fail("replica %d leads term %d, which is not on its disk", p.id, m.term)
+	if node.persistedTerm != node.term {
+		sim.fail("replica %d leads term %d, which is not on its disk", p.id, node.term)
 	}
 	if first == nil {
-		w.logf("%d leads term %d", p.id, m.term)
-		w.truth.leaders[m.term] = p
-		for i, entry := range w.truth.committed {
+		sim.logf("%d leads term %d", p.id, node.term)
+		sim.oracle.leadersByTerm[node.term] = p
+		for i, entry := range sim.oracle.committed {
 			// Votes that were long under way may still make a leader of a term that is past.
-			if w.truth.committedIn[i] < m.term && entry.Index > m.log.offset && !m.log.matchTerm(entry.Index, entry.Term) {
-				w.fail("replica %d leads term %d without committed entry %v", p.id, m.term, entry)
+			if sim.oracle.commitTerms[i] < node.term && entry.Index > node.log.offset && !node.log.matchTerm(entry.Index, entry.Term) {
+				sim.fail("replica %d leads term %d without committed entry %v", p.id, node.term, entry)
 			}
 		}
 	}
 	changes := 0
-	for _, at := range m.log.memberships {
-		if at.index > uint64(len(w.truth.committed)) {
+	for _, at := range node.log.memberships {
+		if at.index > uint64(len(sim.oracle.committed)) {
 			changes++
 		}
 	}
 	if changes > 1 {
-		w.fail("replica %d leads with %d changes of membership under way", p.id, changes)
+		sim.fail("replica %d leads with %d changes of membership under way", p.id, changes)
 	}
 }
 
 // checkLease sees that nobody leads a later term while a lease lasts.
-func (w *world) checkLease(p *process) {
-	until := p.machine.LeaseExpiry()
+func (sim *simulation) checkLease(p *simulatedProcess) {
+	until := p.node.LeaseExpiry()
 	if until <= p.clock() {
 		return
 	}
-	for _, other := range w.processes() {
-		if other == p || other.machine.role != Leader {
+	for _, other := range sim.processes() {
+		if other == p || other.node.role != Leader {
 			continue
 		}
-		if other.machine.term > p.machine.term || other.machine.LeaseExpiry() > other.clock() {
-			w.fail("replica %d leads term %d while %d, of term %d, has a lease for %v", other.id, other.machine.term, p.id,
-				p.machine.term, until-p.clock())
+		if other.node.term > p.node.term || other.node.LeaseExpiry() > other.clock() {
+			sim.fail("replica %d leads term %d while %d, of term %d, has a lease for %v", other.id, other.node.term, p.id,
+				p.node.term, until-p.clock())
 		}
 	}
 }
 
 // checkReady sees that logs which agree in an entry agree in all before it.
-func (w *world) checkReady(p *process, r Ready) {
+func (sim *simulation) checkReady(p *simulatedProcess, r Ready) {
 	for _, entry := range r.Entries {
-		before, _ := p.machine.log.term(entry.Index - 1)
-		at := place{entry.Index, entry.Term}
-		have, is := w.truth.entries[at]
-		if !is {
-			w.truth.entries[at] = known{before, entry.Kind, entry.Data}
+		before, _ := p.node.log.term(entry.Index - 1)
+		id := entryID{entry.Index, entry.Term}
+		have, found := sim.oracle.entriesByID[id]
+		if !found {
+			sim.oracle.entriesByID[id] = entryContent{before, entry.Kind, entry.Data}
 			continue
 		}
-		if have.before != before || have.kind != entry.Kind || !bytes.Equal(have.data, entry.Data) {
-			w.fail("replica %d: entry %v after term %d differs from another log's", p.id, entry, before)
+		if have.previousTerm != before || have.kind != entry.Kind || !bytes.Equal(have.data, entry.Data) {
+			sim.fail("replica %d: entry %v after term %d differs from another log's", p.id, entry, before)
 		}
 	}
 	if r.MustSync != (r.Snapshot != nil || len(r.Entries) > 0 || r.HardState != nil && r.sequence > 0) {
-		w.fail("replica %d: MustSync is %v of %+v", p.id, r.MustSync, r)
+		sim.fail("replica %d: MustSync is %v of %+v", p.id, r.MustSync, r)
 	}
 }
 
 // checkState sees that all state machines go through the same states.
-func (w *world) checkState(p *process) {
-	have, is := w.truth.states[p.applied]
-	if is && have != p.state {
-		w.fail("replica %d is in another state at %d", p.id, p.applied)
+func (sim *simulation) checkState(p *simulatedProcess) {
+	have, found := sim.oracle.statesByIndex[p.applied]
+	if found && have != p.state {
+		sim.fail("replica %d is in another state at %d", p.id, p.applied)
 	}
-	w.truth.states[p.applied] = p.state
+	sim.oracle.statesByIndex[p.applied] = p.state
 }
 
 // checkSent sees that replicas that were not taken in are silent, and that only voters stand for election.
-func (w *world) checkSent(p *process, msg Message) {
-	member := p.machine.membership().has(p.id)
+func (sim *simulation) checkSent(p *simulatedProcess, msg Message) {
+	member := p.node.membership().has(p.id)
 	switch msg.Kind {
 	case MessagePreVote, MessageVote:
-		if !w.votedOf(p) {
-			w.fail("replica %d stands for election and is no voter", p.id)
+		if !sim.knownAsVoter(p) {
+			sim.fail("replica %d stands for election and is no voter", p.id)
 		}
 	case MessagePreVoteReply, MessageVoteReply:
-		if !member && !msg.Reject && !p.heard {
-			w.fail("replica %d votes and is no member", p.id)
+		if !member && !msg.Reject && !p.hasMembership {
+			sim.fail("replica %d votes and is no member", p.id)
 		}
 	default:
-		if !p.heard {
-			w.fail("replica %d sends message %d before it was taken in", p.id, msg.Kind)
+		if !p.hasMembership {
+			sim.fail("replica %d sends message %d before it was taken in", p.id, msg.Kind)
 		}
 	}
 }
 
-// votedOf tells whether a replica is a voter, or was one until the membership that it has only now been sent.
-func (w *world) votedOf(p *process) bool {
-	for _, at := range p.machine.log.memberships {
+// knownAsVoter tells whether a replica is a voter, or was one until the membership that it has only now been sent.
+func (sim *simulation) knownAsVoter(p *simulatedProcess) bool {
+	for _, at := range p.node.log.memberships {
 		if at.membership.hasVote(p.id) {
 			return true
 		}
 	}
-	return w.truth.membership.hasVote(p.id)
+	return sim.oracle.membership.hasVote(p.id)
 }
 
 // checkRead sees that a read shows all that was committed anywhere when it came.
-func (w *world) checkRead(p *process, read ReadState) {
-	asked, is := w.truth.asked[read.Token]
-	if !is {
-		w.fail("replica %d answers read %d twice, or one that nobody asked", p.id, read.Token)
+func (sim *simulation) checkRead(p *simulatedProcess, read ReadState) {
+	asked, found := sim.oracle.pendingReads[read.Token]
+	if !found {
+		sim.fail("replica %d answers read %d twice, or one that nobody asked", p.id, read.Token)
 	}
-	delete(w.truth.asked, read.Token)
+	delete(sim.oracle.pendingReads, read.Token)
 	if read.Err != nil {
 		return
 	}
-	w.truth.reads++
+	sim.oracle.completedReads++
 	if read.Index < uint64(asked) {
-		w.fail("replica %d reads at %d what was asked at %d", p.id, read.Index, asked)
+		sim.fail("replica %d reads at %d what was asked at %d", p.id, read.Index, asked)
 	}
 }
 
-// checkHealed sees that all is well some time after the last fault.
-func (w *world) checkHealed() {
-	if w.failed != "" {
+// checkRecovered sees that all is well some time after the last fault.
+func (sim *simulation) checkRecovered() {
+	if sim.failure != "" {
 		return
 	}
-	if !w.agreed() {
-		w.fail("the membership is not whole again: %v", w.truth.membership)
+	if !sim.membershipRestored() {
+		sim.fail("the membership is not whole again: %v", sim.oracle.membership)
 	}
-	for _, p := range w.processes() {
-		if p.applied+1000 < uint64(len(w.truth.committed)) {
-			w.fail("replica %d is at %d of %d", p.id, p.applied, len(w.truth.committed))
+	for _, p := range sim.processes() {
+		if p.applied+1000 < uint64(len(sim.oracle.committed)) {
+			sim.fail("replica %d is at %d of %d", p.id, p.applied, len(sim.oracle.committed))
 		}
 	}
-	before := len(w.truth.committed)
-	w.run(2 * time.Second)
-	if len(w.truth.committed) == before {
-		w.fail("nothing is agreed on any more")
+	before := len(sim.oracle.committed)
+	sim.run(2 * time.Second)
+	if len(sim.oracle.committed) == before {
+		sim.fail("nothing is agreed on any more")
 	}
 }
--- a/internal/system/consensus/cluster_process_test.go
+++ b/internal/system/consensus/cluster_process_test.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// disk is what is synced on a slot's disk.
-type disk struct {
+// simulatedDisk is what is synced on a slot's disk.
+type simulatedDisk struct {
 	stored       PersistentState
 	stalledUntil time.Duration
 }
 
 // write takes over the writes of a Ready.
-func (d *disk) write(r Ready) {
-	if r.Snapshot != nil {
-		d.stored.Snapshot = *r.Snapshot
+func (d *simulatedDisk) write(ready Ready) {
+	if ready.Snapshot != nil {
+		d.stored.Snapshot = *ready.Snapshot
 		d.stored.Entries = nil
 	}
-	d.writeEntries(r.Entries)
-	if r.HardState != nil {
-		d.stored.HardState = *r.HardState
+	d.writeEntries(ready.Entries)
+	if ready.HardState != nil {
+		d.stored.HardState = *ready.HardState
 	}
 }
 
-func (d *disk) writeEntries(entries []Entry) {
+func (d *simulatedDisk) writeEntries(entries []Entry) {
 	if len(entries) == 0 {
 		return
 	}
@@ -33,263 +33,263 @@
 }
 
 // compact takes over a snapshot of the applied state.
-func (d *disk) compact(s Snapshot) {
-	d.stored.Entries = slices.Clone(d.stored.Entries[s.Index-d.stored.Snapshot.Index:])
-	d.stored.Snapshot = s
+func (d *simulatedDisk) compact(snapshot Snapshot) {
+	d.stored.Entries = slices.Clone(d.stored.Entries[snapshot.Index-d.stored.Snapshot.Index:])
+	d.stored.Snapshot = snapshot
 }
 
-// process drives a machine.
-type process struct {
-	world   *world
-	slot    *slot
-	id      ReplicaID
-	machine *Node
-	alive   bool
-	heard   bool // a leader, or it knew its membership from the start
+// simulatedProcess drives a machine.
+type simulatedProcess struct {
+	sim           *simulation
+	host          *simulatedHost
+	id            ReplicaID
+	node          *Node
+	alive         bool
+	hasMembership bool // a leader, or it knew its membership from the start
 
-	queue   []Ready // in order, not done yet
-	writing bool
-	waitsAt time.Duration // since when the head of the queue is being written
-	frozen  bool
-	backlog []func(m *Node)
-	tickAt  time.Duration
+	pendingReadies []Ready // in order, not done yet
+	writing        bool
+	writeStartedAt time.Duration // since when the head of the queue is being written
+	frozen         bool
+	deferred       []func(m *Node)
+	nextTickAt     time.Duration
 
 	applied uint64
 	state   uint64
 	commit  uint64
 }
 
-func (w *world) boot(s *slot) {
-	if s.process != nil {
+func (sim *simulation) boot(host *simulatedHost) {
+	if host.process != nil {
 		return
 	}
-	stored := s.disk.stored
+	stored := host.disk.stored
 	stored.Entries = slices.Clone(stored.Entries)
-	p := &process{world: w, slot: s, id: s.id, alive: true}
-	s.process = p
-	p.heard = len(stored.Snapshot.Membership.Members) > 0 || len(stored.Entries) > 0
-	o := Config{ID: s.id, HeartbeatInterval: 150 * time.Millisecond, ElectionTimeout: 700 * time.Millisecond,
-		Seed: w.random.Uint64(), MaxAppendBytes: w.profile.AppendBytes, MaxInflightAppends: w.profile.Inflight, SnapshotThreshold: 30}
-	p.applied = stored.Snapshot.Index
-	p.state = decodeState(stored.Snapshot.Data)
-	p.machine = New(p.clock(), o, stored)
-	if p.machine.disabled {
-		w.fail("replica %d finds what was stored senseless: %v", s.id, stored.Validate())
+	started := &simulatedProcess{sim: sim, host: host, id: host.id, alive: true}
+	host.process = started
+	started.hasMembership = len(stored.Snapshot.Membership.Members) > 0 || len(stored.Entries) > 0
+	config := Config{ID: host.id, HeartbeatInterval: 150 * time.Millisecond, ElectionTimeout: 700 * time.Millisecond,
+		Seed: sim.random.Uint64(), MaxAppendBytes: sim.profile.MaxAppendBytes, MaxInflightAppends: sim.profile.MaxInflightAppends, SnapshotThreshold: 30}
+	started.applied = stored.Snapshot.Index
+	started.state = decodeState(stored.Snapshot.Data)
+	started.node = New(started.clock(), config, stored)
+	if started.node.disabled {
+		sim.fail("replica %d finds what was stored senseless: %v", host.id, stored.Validate())
 		return
 	}
-	w.truth.noteSynced(s.id, Ready{Entries: stored.Entries})
-	w.logf("%d boots: %+v, snapshot %d, log to %d", s.id, stored.HardState, stored.Snapshot.Index, p.machine.log.lastIndex())
-	p.do(func(m *Node) {})
+	sim.oracle.recordSync(host.id, Ready{Entries: stored.Entries})
+	sim.logf("%d boots: %+v, snapshot %d, log to %d", host.id, stored.HardState, stored.Snapshot.Index, started.node.log.lastIndex())
+	started.run(func(node *Node) {})
 }
 
-func (p *process) clock() time.Duration {
-	return p.slot.offset + time.Duration(float64(p.world.now)*p.slot.rate)
+func (p *simulatedProcess) clock() time.Duration {
+	return p.host.clockOffset + time.Duration(float64(p.sim.now)*p.host.clockRate)
 }
 
-// do runs something of the process, later if it is frozen.
-func (p *process) do(what func(m *Node)) {
+// run runs something of the process, later if it is frozen.
+func (p *simulatedProcess) run(what func(m *Node)) {
 	if !p.alive {
 		return
 	}
 	if p.frozen {
-		p.backlog = append(p.backlog, what)
+		p.deferred = append(p.deferred, what)
 		return
 	}
-	what(p.machine)
-	p.drain()
+	what(p.node)
+	p.takeReadies()
 	p.schedule()
 }
 
 // schedule has Tick called when it is due.
-func (p *process) schedule() {
+func (p *simulatedProcess) schedule() {
 	if !p.alive {
 		return
 	}
-	due := p.machine.NextTick()
+	due := p.node.NextTick()
 	if due == Never {
 		return
 	}
-	at := time.Duration(float64(due-p.slot.offset)/p.slot.rate) + time.Microsecond
-	if p.tickAt > p.world.now && p.tickAt <= at {
+	at := time.Duration(float64(due-p.host.clockOffset)/p.host.clockRate) + time.Microsecond
+	if p.nextTickAt > p.sim.now && p.nextTickAt <= at {
 		return
 	}
-	p.tickAt = max(at, p.world.now+time.Microsecond)
-	when := p.tickAt
-	p.world.after(p.tickAt-p.world.now, func() {
-		if p.tickAt != when {
+	p.nextTickAt = max(at, p.sim.now+time.Microsecond)
+	when := p.nextTickAt
+	p.sim.schedule(p.nextTickAt-p.sim.now, func() {
+		if p.nextTickAt != when {
 			return
 		}
-		p.do(func(m *Node) {
+		p.run(func(node *Node) {
 			p.watchDisk()
-			m.Tick(p.clock())
+			node.Tick(p.clock())
 		})
 	})
 }
 
 // watchDisk has a process whose disk hangs give leadership up.
-func (p *process) watchDisk() {
-	if p.writing && p.world.now-p.waitsAt > 300*time.Millisecond {
-		p.machine.StepDown(p.clock())
+func (p *simulatedProcess) watchDisk() {
+	if p.writing && p.sim.now-p.writeStartedAt > 300*time.Millisecond {
+		p.node.StepDown(p.clock())
 	}
 }
 
-func (p *process) drain() {
-	for p.world.profile.Pipelined || len(p.queue) == 0 {
-		r := p.machine.Ready()
-		if r.Empty() {
+func (p *simulatedProcess) takeReadies() {
+	for p.sim.profile.Pipelined || len(p.pendingReadies) == 0 {
+		ready := p.node.Ready()
+		if ready.Empty() {
 			return
 		}
-		p.world.checkReady(p, r)
-		for _, msg := range r.EarlyMessages {
-			p.world.send(p, msg)
+		p.sim.checkReady(p, ready)
+		for _, msg := range ready.EarlyMessages {
+			p.sim.send(p, msg)
 		}
-		p.queue = append(p.queue, r)
-		p.pump()
+		p.pendingReadies = append(p.pendingReadies, ready)
+		p.processQueue()
 	}
 }
 
-// pump does what is first in the queue.
-func (p *process) pump() {
-	for len(p.queue) > 0 && !p.writing {
-		r := p.queue[0]
-		if !r.MustSync {
-			p.queue = p.queue[1:]
-			if r.HardState != nil && p.world.chance(0.5) {
-				p.slot.disk.stored.HardState = *r.HardState
+// processQueue does what is first in the queue.
+func (p *simulatedProcess) processQueue() {
+	for len(p.pendingReadies) > 0 && !p.writing {
+		ready := p.pendingReadies[0]
+		if !ready.MustSync {
+			p.pendingReadies = p.pendingReadies[1:]
+			if ready.HardState != nil && p.sim.chance(0.5) {
+				p.host.disk.stored.HardState = *ready.HardState
 			}
-			p.finish(r)
+			p.processReady(ready)
 			continue
 		}
 		p.writing = true
-		p.waitsAt = p.world.now
-		p.world.after(p.syncTime(), func() { p.do(func(*Node) { p.synced() }) })
+		p.writeStartedAt = p.sim.now
+		p.sim.schedule(p.syncTime(), func() { p.run(func(*Node) { p.finishWrite() }) })
 	}
 }
 
-func (p *process) syncTime() time.Duration {
-	took := p.world.between(p.world.profile.SyncTime/4, p.world.profile.SyncTime)
-	return max(took, p.slot.disk.stalledUntil-p.world.now)
+func (p *simulatedProcess) syncTime() time.Duration {
+	took := p.sim.randomDuration(p.sim.profile.MaxSyncTime/4, p.sim.profile.MaxSyncTime)
+	return max(took, p.host.disk.stalledUntil-p.sim.now)
 }
 
-func (p *process) synced() {
-	if left := p.slot.disk.stalledUntil - p.world.now; left > 0 && p.world.faults {
-		p.world.after(left, func() { p.do(func(*Node) { p.synced() }) })
+func (p *simulatedProcess) finishWrite() {
+	if left := p.host.disk.stalledUntil - p.sim.now; left > 0 && p.sim.faults {
+		p.sim.schedule(left, func() { p.run(func(*Node) { p.finishWrite() }) })
 		return
 	}
-	r := p.queue[0]
-	p.queue = p.queue[1:]
+	ready := p.pendingReadies[0]
+	p.pendingReadies = p.pendingReadies[1:]
 	p.writing = false
-	p.slot.disk.write(r)
-	p.world.truth.noteSynced(p.id, r)
-	p.machine.MarkPersisted(r)
-	p.finish(r)
-	p.pump()
+	p.host.disk.write(ready)
+	p.sim.oracle.recordSync(p.id, ready)
+	p.node.MarkPersisted(ready)
+	p.processReady(ready)
+	p.processQueue()
 }
 
-// finish does what comes after the writes.
-func (p *process) finish(r Ready) {
-	for _, msg := range r.Messages {
-		p.world.send(p, msg)
+// processReady does what comes after the writes.
+func (p *simulatedProcess) processReady(ready Ready) {
+	for _, msg := range ready.Messages {
+		p.sim.send(p, msg)
 	}
-	if r.Snapshot != nil {
-		p.applied, p.state = r.Snapshot.Index, decodeState(r.Snapshot.Data)
-		p.world.checkState(p)
+	if ready.Snapshot != nil {
+		p.applied, p.state = ready.Snapshot.Index, decodeState(ready.Snapshot.Data)
+		p.sim.checkState(p)
 	}
-	for _, entry := range r.CommittedEntries {
+	for _, entry := range ready.CommittedEntries {
 		if entry.Index != p.applied+1 {
-			p.world.fail("replica %d applies %d after %d", p.id, entry.Index, p.applied)
+			p.sim.fail("replica %d applies %d after %d", p.id, entry.Index, p.applied)
 		}
 		p.applied = entry.Index
 		p.state = nextState(p.state, entry)
-		p.world.checkState(p)
+		p.sim.checkState(p)
 	}
-	for _, read := range r.ReadStates {
-		p.world.checkRead(p, read)
+	for _, read := range ready.ReadStates {
+		p.sim.checkRead(p, read)
 	}
-	if r.CompactIndex != 0 {
-		p.compact(r.CompactIndex)
+	if ready.CompactIndex != 0 {
+		p.compact(ready.CompactIndex)
 	}
 }
 
-func (p *process) compact(index uint64) {
+func (p *simulatedProcess) compact(index uint64) {
 	if index != p.applied {
-		p.world.fail("replica %d is to compact %d, but is at %d", p.id, index, p.applied)
+		p.sim.fail("replica %d is to compact %d, but is at %d", p.id, index, p.applied)
 		return
 	}
-	snapshot, is := p.machine.CreateSnapshot(index, binary.BigEndian.AppendUint64(nil, p.state))
-	if !is {
+	snapshot, ok := p.node.CreateSnapshot(index, binary.BigEndian.AppendUint64(nil, p.state))
+	if !ok {
 		return // a snapshot of the leader came meanwhile
 	}
-	p.world.after(p.syncTime(), func() { p.do(func(m *Node) { p.compacted(snapshot) }) })
+	p.sim.schedule(p.syncTime(), func() { p.run(func(m *Node) { p.finishCompaction(snapshot) }) })
 }
 
-func (p *process) compacted(snapshot Snapshot) {
-	if snapshot.Index <= p.slot.disk.stored.Snapshot.Index {
+func (p *simulatedProcess) finishCompaction(snapshot Snapshot) {
+	if snapshot.Index <= p.host.disk.stored.Snapshot.Index {
 		return
 	}
-	p.slot.disk.compact(snapshot)
+	p.host.disk.compact(snapshot)
 	data := snapshot.Data
-	if p.world.profile.Bare {
+	if p.sim.profile.NoSnapshotData {
 		data = nil
 	}
-	p.machine.Compact(snapshot.Index, data, 0)
+	p.node.Compact(snapshot.Index, data, 0)
 }
 
 // kill ends the process. Of the writes under way some are on disk, and the last of them may be torn.
-func (p *process) kill() {
-	w := p.world
-	w.logf("%d is killed", p.id)
+func (p *simulatedProcess) kill() {
+	sim := p.sim
+	sim.logf("%d is killed", p.id)
 	p.alive = false
-	p.slot.process = nil
-	for _, r := range p.queue {
-		if w.chance(0.5) {
-			p.tear(r)
+	p.host.process = nil
+	for _, ready := range p.pendingReadies {
+		if sim.chance(0.5) {
+			p.tearWrite(ready)
 			return
 		}
-		p.slot.disk.write(r)
-		w.truth.noteSynced(p.id, r)
+		p.host.disk.write(ready)
+		sim.oracle.recordSync(p.id, ready)
 	}
 }
 
-// tear writes a part of a Ready.
-func (p *process) tear(r Ready) {
-	d := p.slot.disk
-	switch p.world.random.IntN(4) {
+// tearWrite writes a part of a Ready.
+func (p *simulatedProcess) tearWrite(ready Ready) {
+	disk := p.host.disk
+	switch p.sim.random.IntN(4) {
 	case 0:
 	case 1:
-		if r.Snapshot == nil {
-			d.writeEntries(r.Entries[:p.world.random.IntN(len(r.Entries)+1)])
+		if ready.Snapshot == nil {
+			disk.writeEntries(ready.Entries[:p.sim.random.IntN(len(ready.Entries)+1)])
 		}
 	case 2:
-		if r.HardState != nil {
-			d.stored.HardState = *r.HardState
+		if ready.HardState != nil {
+			disk.stored.HardState = *ready.HardState
 		}
 	case 3:
-		if r.Snapshot != nil {
-			d.stored.Snapshot = *r.Snapshot // the log that it replaces is still there
+		if ready.Snapshot != nil {
+			disk.stored.Snapshot = *ready.Snapshot // the log that it replaces is still there
 		}
 	}
 }
 
-func (p *process) freeze() {
-	p.world.logf("%d freezes", p.id)
+func (p *simulatedProcess) freeze() {
+	p.sim.logf("%d freezes", p.id)
 	p.frozen = true
 }
 
-func (p *process) thaw() {
+func (p *simulatedProcess) unfreeze() {
 	if !p.alive || !p.frozen {
 		return
 	}
-	p.world.logf("%d thaws", p.id)
+	p.sim.logf("%d thaws", p.id)
 	p.frozen = false
-	backlog := p.backlog
-	p.backlog = nil
-	if p.world.chance(0.5) { // the timer fires first
-		p.do(func(m *Node) { m.Tick(p.clock()) })
+	backlog := p.deferred
+	p.deferred = nil
+	if p.sim.chance(0.5) { // the timer fires first
+		p.run(func(node *Node) { node.Tick(p.clock()) })
 	}
 	for _, what := range backlog {
-		p.do(what)
-		p.world.check()
+		p.run(what)
+		p.sim.check()
 	}
-	p.do(func(m *Node) { m.Tick(p.clock()) })
+	p.run(func(node *Node) { node.Tick(p.clock()) })
 }
--- a/internal/system/consensus/cluster_test.go
+++ b/internal/system/consensus/cluster_test.go
@@ -15,41 +15,41 @@
 // TestCluster plays clusters in virtual time under drawn faults and checks after each step what has to hold.
 func TestCluster(t *testing.T) {
 	if *seedFlag != 0 {
-		playCluster(t, *seedFlag, true)
+		runSimulation(t, *seedFlag, true)
 		return
 	}
 	for seed := uint64(1); seed <= uint64(*seedsFlag); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playCluster(t, seed, false)
+			runSimulation(t, seed, false)
 		})
 	}
 }
 
-func playCluster(t *testing.T, seed uint64, verbose bool) {
-	w := newWorld(seed)
-	w.verbose = verbose
+func runSimulation(t *testing.T, seed uint64, verbose bool) {
+	sim := newSimulation(seed)
+	sim.verbose = verbose
 	defer func() {
 		if r := recover(); r != nil {
-			w.fail("panic: %v", r)
+			sim.fail("panic: %v", r)
 		}
-		if w.failed == "" {
+		if sim.failure == "" {
 			return
 		}
-		t.Errorf("%s\nreplay: go test ./internal/system/consensus -run TestCluster -seed %d -v", w.failed, seed)
+		t.Errorf("%s\nreplay: go test ./internal/system/consensus -run TestCluster -seed %d -v", sim.failure, seed)
 	}()
-	w.start()
-	w.run(40 * time.Second)
-	w.heal()
-	w.run(30 * time.Second)
-	w.checkHealed()
+	sim.start()
+	sim.run(40 * time.Second)
+	sim.endFaults()
+	sim.run(30 * time.Second)
+	sim.checkRecovered()
 	if verbose {
-		for _, p := range w.processes() {
-			m := p.machine
-			t.Logf("%d: %+v due %v now %v queue %d frozen %v offset %d", p.id, m.Status(), m.NextTick(), p.clock(), len(p.queue),
+		for _, p := range sim.processes() {
+			m := p.node
+			t.Logf("%d: %+v due %v now %v queue %d frozen %v offset %d", p.id, m.Status(), m.NextTick(), p.clock(), len(p.pendingReadies),
 				p.frozen, m.log.offset)
 		}
-		t.Logf("%d steps, %d committed, %d terms, %d reads, %+v", w.steps, len(w.truth.committed), len(w.truth.leaders),
-			w.truth.reads, w.profile)
+		t.Logf("%d steps, %d committed, %d terms, %d reads, %+v", sim.steps, len(sim.oracle.committed), len(sim.oracle.leadersByTerm),
+			sim.oracle.completedReads, sim.profile)
 	}
 }
--- a/internal/system/consensus/current_test.go
+++ b/internal/system/consensus/current_test.go
@@ -7,63 +7,63 @@
 
 // A replica that hears its leader but lacks what the leader has committed is not current: whoever reads from it must be
 // able to tell.
-func TestReplicaThatCatchesUpIsNotCurrent(t *testing.T) {
-	x := newScript(t, founded(1, 2, 3))
-	x.step(Message{Kind: MessageAppend, From: 2, Term: 1, Entries: entries(1, 1), Commit: 1, Round: 1})
-	current := x.now
-	x.want("current with all that is committed", x.m.Status().CaughtUpAt, current)
+func TestCaughtUpAtOfFollowerWithMissingEntries(t *testing.T) {
+	script := newScript(t, foundingState(1, 2, 3))
+	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Entries: entries(1, 1), Commit: 1, Round: 1})
+	current := script.now
+	script.expect("current with all that is committed", script.node.Status().CaughtUpAt, current)
 
-	x.now += testHeartbeat
-	x.step(Message{Kind: MessageAppend, From: 2, Term: 1, Index: 1, LogTerm: 1, Commit: 3, Round: 2})
-	x.want("heard", x.m.Status().LastLeaderContact, x.now)
-	x.want("not current while entries are missing", x.m.Status().CaughtUpAt, current)
+	script.now += testHeartbeat
+	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Index: 1, LogTerm: 1, Commit: 3, Round: 2})
+	script.expect("heard", script.node.Status().LastLeaderContact, script.now)
+	script.expect("not current while entries are missing", script.node.Status().CaughtUpAt, current)
 
-	x.now += testHeartbeat
-	x.step(Message{Kind: MessageAppend, From: 2, Term: 1, Index: 9, LogTerm: 1, Commit: 3, Round: 3})
-	x.want("not current after a rejected append", x.m.Status().CaughtUpAt, current)
+	script.now += testHeartbeat
+	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Index: 9, LogTerm: 1, Commit: 3, Round: 3})
+	script.expect("not current after a rejected append", script.node.Status().CaughtUpAt, current)
 
-	x.now += testHeartbeat
-	x.step(Message{Kind: MessageAppend, From: 2, Term: 1, Index: 1, LogTerm: 1, Entries: entries(2, 1, 1), Commit: 3, Round: 4})
-	x.want("current again", x.m.Status().CaughtUpAt, x.now)
+	script.now += testHeartbeat
+	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Index: 1, LogTerm: 1, Entries: entries(2, 1, 1), Commit: 3, Round: 4})
+	script.expect("current again", script.node.Status().CaughtUpAt, script.now)
 }
 
-// TestLeaderIsCurrentOnceItHasCommittedInItsTerm: before, entries may be committed that it does not know to be.
-func TestLeaderIsCurrentOnceItHasCommittedInItsTerm(t *testing.T) {
-	x := newScript(t, founded(1, 2, 3))
-	first := x.lead()[0]
-	x.now += time.Millisecond
-	x.step(Message{Kind: MessageAppendReply, From: 2, Term: first.Term, Reject: true, Index: first.Index, Round: first.Round})
-	x.want("not current before", x.m.Status().CaughtUpAt, time.Duration(0))
-	x.step(ack(first))
-	current := x.m.Status().CaughtUpAt
-	x.want("current since a confirmed round", current, x.m.Status().LastLeaderContact)
+// TestCaughtUpAtOfLeaderBeforeCommitInItsTerm: before, entries may be committed that it does not know to be.
+func TestCaughtUpAtOfLeaderBeforeCommitInItsTerm(t *testing.T) {
+	script := newScript(t, foundingState(1, 2, 3))
+	first := script.becomeLeader()[0]
+	script.now += time.Millisecond
+	script.step(Message{Kind: MessageAppendReply, From: 2, Term: first.Term, Reject: true, Index: first.Index, Round: first.Round})
+	script.expect("not current before", script.node.Status().CaughtUpAt, time.Duration(0))
+	script.step(acknowledge(first))
+	current := script.node.Status().CaughtUpAt
+	script.expect("current since a confirmed round", current, script.node.Status().LastLeaderContact)
 	if current == 0 {
 		t.Error("not current although an entry of the term is committed")
 	}
-	x.now += time.Second
-	x.step(Message{Kind: MessageAppend, From: 3, Term: first.Term + 1, Commit: 9, Round: 1})
-	x.want("what it knew while it led counts on", x.m.Status().CaughtUpAt, current)
+	script.now += time.Second
+	script.step(Message{Kind: MessageAppend, From: 3, Term: first.Term + 1, Commit: 9, Round: 1})
+	script.expect("what it knew while it led counts on", script.node.Status().CaughtUpAt, current)
 }
 
-// TestFollowerOfALeaderThatHasCommittedNothingIsNotCurrent: such a leader does not know how far the log is committed.
-func TestFollowerOfALeaderThatHasCommittedNothingIsNotCurrent(t *testing.T) {
-	x := newScript(t, founded(1, 2, 3))
-	x.step(Message{Kind: MessageAppend, From: 2, Term: 2, Entries: entries(1, 1), Commit: 1, Round: 1})
-	x.want("not current by an entry of an earlier term", x.m.Status().CaughtUpAt, time.Duration(0))
-	x.step(Message{Kind: MessageAppend, From: 2, Term: 2, Index: 1, LogTerm: 1, Entries: entries(2, 2), Commit: 2, Round: 2})
-	x.want("current by one of its term", x.m.Status().CaughtUpAt, x.now)
+// TestCaughtUpAtBeforeLeaderCommitsInItsTerm: such a leader does not know how far the log is committed.
+func TestCaughtUpAtBeforeLeaderCommitsInItsTerm(t *testing.T) {
+	script := newScript(t, foundingState(1, 2, 3))
+	script.step(Message{Kind: MessageAppend, From: 2, Term: 2, Entries: entries(1, 1), Commit: 1, Round: 1})
+	script.expect("not current by an entry of an earlier term", script.node.Status().CaughtUpAt, time.Duration(0))
+	script.step(Message{Kind: MessageAppend, From: 2, Term: 2, Index: 1, LogTerm: 1, Entries: entries(2, 2), Commit: 2, Round: 2})
+	script.expect("current by one of its term", script.node.Status().CaughtUpAt, script.now)
 }
 
-// TestWhatWaitedForAProcessThatStoodStillIsOld: messages wait in the socket meanwhile.
-func TestWhatWaitedForAProcessThatStoodStillIsOld(t *testing.T) {
-	x := newScript(t, founded(1, 2, 3))
+// TestStaleInputAfterProcessPause: messages wait in the socket meanwhile.
+func TestStaleInputAfterProcessPause(t *testing.T) {
+	script := newScript(t, foundingState(1, 2, 3))
 	beat := Message{Kind: MessageAppend, From: 2, Term: 1, Index: 1, LogTerm: 1, Commit: 1, Round: 2}
-	x.step(Message{Kind: MessageAppend, From: 2, Term: 1, Entries: entries(1, 1), Commit: 1, Round: 1})
-	current := x.now
-	x.now += 20 * time.Second
-	x.step(beat)
-	x.want("not current by what waited", x.m.Status().CaughtUpAt, current)
-	x.now += staleInputHeartbeats * testHeartbeat
-	x.step(beat)
-	x.want("current by what came after", x.m.Status().CaughtUpAt, x.now)
+	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Entries: entries(1, 1), Commit: 1, Round: 1})
+	current := script.now
+	script.now += 20 * time.Second
+	script.step(beat)
+	script.expect("not current by what waited", script.node.Status().CaughtUpAt, current)
+	script.now += staleInputHeartbeats * testHeartbeat
+	script.step(beat)
+	script.expect("current by what came after", script.node.Status().CaughtUpAt, script.now)
 }
--- a/internal/system/consensus/election.go
+++ b/internal/system/consensus/election.go
@@ -117,13 +117,13 @@
 // nothing: it may be the only one that holds that membership, and then nobody else can be elected. It leads until the
 // membership is committed.
 func (n *Node) promotable() bool {
-	return n.log.anyPossibleMembership(func(s Membership) bool { return s.hasVote(n.config.ID) })
+	return n.log.anyPossibleMembership(func(membership Membership) bool { return membership.hasVote(n.config.ID) })
 }
 
 // canVote tells whether this replica takes part in elections. A learner votes if it is asked: whoever asks it has made
 // it a voter, and the entry that says so may not have come here yet.
 func (n *Node) canVote() bool {
-	return n.log.anyPossibleMembership(func(s Membership) bool { return s.has(n.config.ID) })
+	return n.log.anyPossibleMembership(func(membership Membership) bool { return membership.has(n.config.ID) })
 }
 
 // inLease tells whether there may be a leader whose lease rests on this replica.
--- a/internal/system/consensus/encoding.go
+++ b/internal/system/consensus/encoding.go
@@ -43,13 +43,13 @@
 }
 
 // EncodeMembership returns the bytes of a membership, as in an entry's Data.
-func EncodeMembership(s Membership) []byte { return AppendMembership(nil, s) }
+func EncodeMembership(membership Membership) []byte { return AppendMembership(nil, membership) }
 
 // AppendMembership appends the bytes of a membership.
-func AppendMembership(b []byte, s Membership) []byte {
+func AppendMembership(b []byte, membership Membership) []byte {
 	b = append(b, encodingVersion)
-	b = binary.AppendUvarint(b, uint64(len(s.Members)))
-	for _, member := range s.Members {
+	b = binary.AppendUvarint(b, uint64(len(membership.Members)))
+	for _, member := range membership.Members {
 		b = binary.AppendUvarint(b, uint64(member.ID))
 		b = appendBytes(b, member.Node)
 		b = appendBytes(b, member.Zone)
@@ -78,13 +78,13 @@
 }
 
 // EncodeHardState returns the bytes of a hard state.
-func EncodeHardState(h HardState) []byte { return AppendHardState(nil, h) }
+func EncodeHardState(hardState HardState) []byte { return AppendHardState(nil, hardState) }
 
 // AppendHardState appends the bytes of a hard state.
-func AppendHardState(b []byte, h HardState) []byte {
-	b = binary.AppendUvarint(b, h.Term)
-	b = binary.AppendUvarint(b, uint64(h.Vote))
-	return binary.AppendUvarint(b, h.Commit)
+func AppendHardState(b []byte, hardState HardState) []byte {
+	b = binary.AppendUvarint(b, hardState.Term)
+	b = binary.AppendUvarint(b, uint64(hardState.Vote))
+	return binary.AppendUvarint(b, hardState.Commit)
 }
 
 // DecodeHardState reads what EncodeHardState wrote, and nothing else.
@@ -95,14 +95,14 @@
 }
 
 // EncodeEntry returns the bytes of an entry.
-func EncodeEntry(e Entry) []byte { return AppendEntry(nil, e) }
+func EncodeEntry(entry Entry) []byte { return AppendEntry(nil, entry) }
 
 // AppendEntry appends the bytes of an entry.
-func AppendEntry(b []byte, e Entry) []byte {
-	b = binary.AppendUvarint(b, e.Index)
-	b = binary.AppendUvarint(b, e.Term)
-	b = append(b, byte(e.Kind))
-	return appendBytes(b, e.Data)
+func AppendEntry(b []byte, entry Entry) []byte {
+	b = binary.AppendUvarint(b, entry.Index)
+	b = binary.AppendUvarint(b, entry.Term)
+	b = append(b, byte(entry.Kind))
+	return appendBytes(b, entry.Data)
 }
 
 // DecodeEntry reads what EncodeEntry wrote, and nothing else. The entry does not share memory with b.
@@ -113,14 +113,14 @@
 }
 
 // EncodeSnapshot returns the bytes of a snapshot.
-func EncodeSnapshot(s Snapshot) []byte { return AppendSnapshot(nil, s) }
+func EncodeSnapshot(snapshot Snapshot) []byte { return AppendSnapshot(nil, snapshot) }
 
 // AppendSnapshot appends the bytes of a snapshot.
-func AppendSnapshot(b []byte, s Snapshot) []byte {
-	b = binary.AppendUvarint(b, s.Index)
-	b = binary.AppendUvarint(b, s.Term)
-	b = AppendMembership(b, s.Membership)
-	return appendBytes(b, s.Data)
+func AppendSnapshot(b []byte, snapshot Snapshot) []byte {
+	b = binary.AppendUvarint(b, snapshot.Index)
+	b = binary.AppendUvarint(b, snapshot.Term)
+	b = AppendMembership(b, snapshot.Membership)
+	return appendBytes(b, snapshot.Data)
 }
 
 // DecodeSnapshot reads what EncodeSnapshot wrote, and nothing else. The snapshot does not share memory with b.
@@ -131,20 +131,20 @@
 }
 
 // EncodeMessage returns the bytes of a message.
-func EncodeMessage(m Message) []byte { return AppendMessage(nil, m) }
+func EncodeMessage(message Message) []byte { return AppendMessage(nil, message) }
 
 // AppendMessage appends the bytes of a message.
-func AppendMessage(b []byte, m Message) []byte {
-	b = append(b, encodingVersion, byte(m.Kind), m.flags())
-	for _, number := range m.numbers() {
+func AppendMessage(b []byte, message Message) []byte {
+	b = append(b, encodingVersion, byte(message.Kind), message.flags())
+	for _, number := range message.numbers() {
 		b = binary.AppendUvarint(b, *number)
 	}
-	b = binary.AppendUvarint(b, uint64(len(m.Entries)))
-	for _, e := range m.Entries {
-		b = AppendEntry(b, e)
+	b = binary.AppendUvarint(b, uint64(len(message.Entries)))
+	for _, entry := range message.Entries {
+		b = AppendEntry(b, entry)
 	}
-	if m.Snapshot != nil {
-		b = AppendSnapshot(b, *m.Snapshot)
+	if message.Snapshot != nil {
+		b = AppendSnapshot(b, *message.Snapshot)
 	}
 	return b
 }
--- a/internal/system/consensus/encoding_test.go
+++ b/internal/system/consensus/encoding_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func drawNumber(t *rapid.T, name string) uint64 {
+func drawUint(t *rapid.T, name string) uint64 {
 	return rapid.OneOf(rapid.Uint64Range(0, 5), rapid.Uint64Range(0, 300), rapid.Uint64()).Draw(t, name)
 }
 
@@ -25,7 +25,7 @@
 
 func drawMembership(t *rapid.T) (s Membership) {
 	for range rapid.IntRange(0, 5).Draw(t, "members") {
-		s.Members = append(s.Members, Member{ID: ReplicaID(drawNumber(t, "id")),
+		s.Members = append(s.Members, Member{ID: ReplicaID(drawUint(t, "id")),
 			Node: rapid.StringN(0, 20, -1).Draw(t, "node"), Zone: rapid.StringN(0, 20, -1).Draw(t, "zone"),
 			Address: rapid.StringN(0, 200, -1).Draw(t, "address"), Voter: rapid.Bool().Draw(t, "voter")})
 	}
@@ -33,20 +33,20 @@
 }
 
 func drawEntry(t *rapid.T) Entry {
-	return Entry{Index: drawNumber(t, "index"), Term: drawNumber(t, "term"),
+	return Entry{Index: drawUint(t, "index"), Term: drawUint(t, "term"),
 		Kind: EntryKind(rapid.IntRange(0, int(EntryMembership)).Draw(t, "kind")), Data: drawData(t, "data")}
 }
 
 func drawSnapshot(t *rapid.T) Snapshot {
-	return Snapshot{Index: drawNumber(t, "index"), Term: drawNumber(t, "term"), Membership: drawMembership(t),
+	return Snapshot{Index: drawUint(t, "index"), Term: drawUint(t, "term"), Membership: drawMembership(t),
 		Data: drawData(t, "data")}
 }
 
 func drawMessage(t *rapid.T) Message {
 	m := Message{Kind: MessageKind(rapid.IntRange(0, int(MessageTimeoutNow)).Draw(t, "kind")),
-		From: ReplicaID(drawNumber(t, "from")), To: ReplicaID(drawNumber(t, "to")), Term: drawNumber(t, "term"),
-		Index: drawNumber(t, "index"), LogTerm: drawNumber(t, "log term"), Commit: drawNumber(t, "commit"),
-		RejectHint: drawNumber(t, "hint"), Round: drawNumber(t, "round"), Reject: rapid.Bool().Draw(t, "reject"),
+		From: ReplicaID(drawUint(t, "from")), To: ReplicaID(drawUint(t, "to")), Term: drawUint(t, "term"),
+		Index: drawUint(t, "index"), LogTerm: drawUint(t, "log term"), Commit: drawUint(t, "commit"),
+		RejectHint: drawUint(t, "hint"), Round: drawUint(t, "round"), Reject: rapid.Bool().Draw(t, "reject"),
 		Force: rapid.Bool().Draw(t, "force")}
 	for range rapid.IntRange(0, 5).Draw(t, "entries") {
 		m.Entries = append(m.Entries, drawEntry(t))
@@ -58,34 +58,34 @@
 	return m
 }
 
-// codec is one of the encodings.
-type codec struct {
+// encodingCase is one of the encodings.
+type encodingCase struct {
 	name   string
 	draw   func(*rapid.T) any
 	encode func(any) []byte
 	decode func([]byte) (any, error)
 }
 
-func codecOf[V any](name string, draw func(*rapid.T) V, encode func(V) []byte, decode func([]byte) (V, error)) codec {
-	return codec{name, func(t *rapid.T) any { return draw(t) }, func(v any) []byte { return encode(v.(V)) },
+func newEncodingCase[V any](name string, draw func(*rapid.T) V, encode func(V) []byte, decode func([]byte) (V, error)) encodingCase {
+	return encodingCase{name, func(t *rapid.T) any { return draw(t) }, func(v any) []byte { return encode(v.(V)) },
 		func(b []byte) (any, error) { return decode(b) }}
 }
 
-func codecs() []codec {
-	return []codec{
-		codecOf("membership", drawMembership, EncodeMembership, DecodeMembership),
-		codecOf("entry", drawEntry, EncodeEntry, DecodeEntry),
-		codecOf("snapshot", drawSnapshot, EncodeSnapshot, DecodeSnapshot),
-		codecOf("message", drawMessage, EncodeMessage, DecodeMessage),
-		codecOf("hard state", func(t *rapid.T) HardState {
-			return HardState{Term: drawNumber(t, "term"), Vote: ReplicaID(drawNumber(t, "vote")),
-				Commit: drawNumber(t, "commit")}
+func encodingCases() []encodingCase {
+	return []encodingCase{
+		newEncodingCase("membership", drawMembership, EncodeMembership, DecodeMembership),
+		newEncodingCase("entry", drawEntry, EncodeEntry, DecodeEntry),
+		newEncodingCase("snapshot", drawSnapshot, EncodeSnapshot, DecodeSnapshot),
+		newEncodingCase("message", drawMessage, EncodeMessage, DecodeMessage),
+		newEncodingCase("hard state", func(t *rapid.T) HardState {
+			return HardState{Term: drawUint(t, "term"), Vote: ReplicaID(drawUint(t, "vote")),
+				Commit: drawUint(t, "commit")}
 		}, EncodeHardState, DecodeHardState),
 	}
 }
 
-func TestWhatIsEncodedIsDecoded(t *testing.T) {
-	for _, c := range codecs() {
+func TestEncodingRoundTrip(t *testing.T) {
+	for _, c := range encodingCases() {
 		t.Run(c.name, rapid.MakeCheck(func(t *rapid.T) {
 			value := c.draw(t)
 			data := c.encode(value)
@@ -109,9 +109,9 @@
 	}
 }
 
-// mustBeCanonical sees that bytes which decode are those that encode what they decode to: the oracle of the fuzz tests.
-func mustBeCanonical(t *testing.T, data []byte) {
-	for _, c := range codecs() {
+// requireCanonical sees that bytes which decode are those that encode what they decode to: the oracle of the fuzz tests.
+func requireCanonical(t *testing.T, data []byte) {
+	for _, c := range encodingCases() {
 		value, err := c.decode(data)
 		if err != nil {
 			continue
@@ -127,25 +127,25 @@
 		Entries: append(entries(5, 3), membershipEntry(6, 3, voters(1, 2)))}))
 	f.Add(EncodeMessage(Message{Kind: MessageInstallSnapshot, Reject: true, Force: true,
 		Snapshot: &Snapshot{Index: 1, Term: 1, Membership: voters(1, 2), Data: []byte("x")}}))
-	f.Add(EncodeMembership(with(voters(1), Member{ID: 9, Node: "n", Zone: "z", Address: "a:1"})))
+	f.Add(EncodeMembership(withMembers(voters(1), Member{ID: 9, Node: "n", Zone: "z", Address: "a:1"})))
 	f.Add(EncodeHardState(HardState{Term: 5, Vote: 6, Commit: 7}))
 	f.Add(EncodeEntry(Entry{Index: math.MaxUint64, Term: 1, Data: []byte("x")}))
-	f.Fuzz(func(t *testing.T, data []byte) { mustBeCanonical(t, data) })
+	f.Fuzz(func(t *testing.T, data []byte) { requireCanonical(t, data) })
 }
 
-func TestSpoiltBytes(t *testing.T) {
+func TestDecodeCorruptBytes(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		all := codecs()
+		all := encodingCases()
 		c := all[rapid.IntRange(0, len(all)-1).Draw(r, "codec")]
 		data := c.encode(c.draw(r))
 		for range rapid.IntRange(1, 3).Draw(r, "bytes") {
 			data[rapid.IntRange(0, len(data)-1).Draw(r, "at")] = rapid.Byte().Draw(r, "byte")
 		}
-		mustBeCanonical(t, data)
+		requireCanonical(t, data)
 	})
 }
 
-func TestCountsAreCheckedBeforeMemoryIsTaken(t *testing.T) {
+func TestCountsAreCheckedBeforeAllocation(t *testing.T) {
 	huge := binary.AppendUvarint(nil, 1<<40)
 	message := append([]byte{encodingVersion, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}, huge...)
 	for name, data := range map[string][]byte{"entries": message, "members": append([]byte{encodingVersion}, huge...)} {
--- a/internal/system/consensus/log.go
+++ b/internal/system/consensus/log.go
@@ -33,15 +33,15 @@
 	membership Membership
 }
 
-func newLog(s PersistentState) raftLog {
-	l := raftLog{snapshot: s.Snapshot, offset: s.Snapshot.Index, offsetTerm: s.Snapshot.Term}
-	l.memberships = []indexedMembership{{l.offset, s.Snapshot.Membership}}
-	l.append(s.Entries)
-	l.commit = max(l.offset, min(s.HardState.Commit, l.lastIndex()))
-	l.applied = l.offset
-	l.writeIndex = l.lastIndex()
-	l.durable = l.lastIndex()
-	return l
+func newLog(state PersistentState) raftLog {
+	log := raftLog{snapshot: state.Snapshot, offset: state.Snapshot.Index, offsetTerm: state.Snapshot.Term}
+	log.memberships = []indexedMembership{{log.offset, state.Snapshot.Membership}}
+	log.append(state.Entries)
+	log.commit = max(log.offset, min(state.HardState.Commit, log.lastIndex()))
+	log.applied = log.offset
+	log.writeIndex = log.lastIndex()
+	log.durable = log.lastIndex()
+	return log
 }
 
 func (l *raftLog) lastIndex() uint64 { return l.offset + uint64(len(l.entries)) }
@@ -84,12 +84,12 @@
 	}
 	rest := l.entries[from-l.offset-1:]
 	size := len(rest[0].Data)
-	n := 1
-	for n < len(rest) && size+len(rest[n].Data) <= maxBytes {
-		size += len(rest[n].Data)
-		n++
+	count := 1
+	for count < len(rest) && size+len(rest[count].Data) <= maxBytes {
+		size += len(rest[count].Data)
+		count++
 	}
-	return rest[:n:n]
+	return rest[:count:count]
 }
 
 // append adds entries that follow the last one.
@@ -152,30 +152,30 @@
 }
 
 // restore replaces all by a snapshot.
-func (l *raftLog) restore(s Snapshot) {
-	l.snapshot = s
-	l.offset, l.offsetTerm = s.Index, s.Term
+func (l *raftLog) restore(snapshot Snapshot) {
+	l.snapshot = snapshot
+	l.offset, l.offsetTerm = snapshot.Index, snapshot.Term
 	l.entries = nil
-	l.commit, l.applied, l.writeIndex, l.durable = s.Index, s.Index, s.Index, s.Index
+	l.commit, l.applied, l.writeIndex, l.durable = snapshot.Index, snapshot.Index, snapshot.Index, snapshot.Index
 	for i := range l.pendingWrites {
 		l.pendingWrites[i].lastIndex = 0
 	}
-	l.memberships = []indexedMembership{{s.Index, s.Membership}}
+	l.memberships = []indexedMembership{{snapshot.Index, snapshot.Membership}}
 	l.snapshotPending = true
 }
 
 // compact takes over a snapshot of the applied state and drops the entries in it but for a tail, which is bounded in
 // entries and in bytes of their data (0: no bound).
-func (l *raftLog) compact(s Snapshot, tail uint64, tailBytes int) {
-	l.snapshot = s
-	l.trimMemberships(s.Index)
-	cut := l.tailStart(s.Index, tail, tailBytes)
-	if cut <= l.offset {
+func (l *raftLog) compact(snapshot Snapshot, tail uint64, tailBytes int) {
+	l.snapshot = snapshot
+	l.trimMemberships(snapshot.Index)
+	start := l.tailStart(snapshot.Index, tail, tailBytes)
+	if start <= l.offset {
 		return
 	}
-	term, _ := l.term(cut)
-	l.entries = slices.Clone(l.entries[cut-l.offset:])
-	l.offset, l.offsetTerm = cut, term
+	term, _ := l.term(start)
+	l.entries = slices.Clone(l.entries[start-l.offset:])
+	l.offset, l.offsetTerm = start, term
 }
 
 // tailStart is the index before the tail that ends at an index.
@@ -192,19 +192,19 @@
 }
 
 func (l *raftLog) trimMemberships(index uint64) {
-	n := 0
-	for n+1 < len(l.memberships) && l.memberships[n+1].index <= index {
-		n++
+	dropped := 0
+	for dropped+1 < len(l.memberships) && l.memberships[dropped+1].index <= index {
+		dropped++
 	}
-	l.memberships = slices.Clone(l.memberships[n:])
+	l.memberships = slices.Clone(l.memberships[dropped:])
 }
 
 func (l *raftLog) lastMembership() indexedMembership { return l.memberships[len(l.memberships)-1] }
 
 // anyPossibleMembership tells whether something is true of the newest membership known to be committed, or of a later one.
-func (l *raftLog) anyPossibleMembership(is func(Membership) bool) bool {
+func (l *raftLog) anyPossibleMembership(holds func(Membership) bool) bool {
 	for i := len(l.memberships) - 1; i >= 0; i-- {
-		if is(l.memberships[i].membership) {
+		if holds(l.memberships[i].membership) {
 			return true
 		}
 		if l.memberships[i].index <= l.commit {
--- a/internal/system/consensus/machine.go
+++ b/internal/system/consensus/machine.go
@@ -61,25 +61,25 @@
 // New returns a replica that goes on from what was stored; the state machine is at s.Snapshot.Index. What was stored has
 // to be synced: what a process left unsynced when it was killed could still be lost after it was read. The replica is
 // silent for good if s.Check does not hold.
-func New(now time.Duration, o Config, s PersistentState) *Node {
-	s = s.normalized()
-	m := &Node{config: o, now: now, random: rand.New(rand.NewPCG(o.Seed, uint64(o.ID)))}
-	if s.Validate() != nil {
-		m.disabled = true
-		s = PersistentState{}
-	}
-	m.log = newLog(s)
-	m.term, m.vote = s.HardState.Term, s.HardState.Vote
-	if lastTerm := m.log.lastTerm(); lastTerm > m.term {
-		m.term, m.vote = lastTerm, 0
-	}
-	m.persistedTerm = s.HardState.Term
-	m.lastHardState = s.HardState
-	if m.term > 0 {
-		m.refuseVotesUntil = now + o.ElectionTimeout // it may have confirmed a leader just before it ended
-	}
-	m.resetElectionTimer()
-	return m
+func New(now time.Duration, config Config, state PersistentState) *Node {
+	state = state.normalized()
+	n := &Node{config: config, now: now, random: rand.New(rand.NewPCG(config.Seed, uint64(config.ID)))}
+	if state.Validate() != nil {
+		n.disabled = true
+		state = PersistentState{}
+	}
+	n.log = newLog(state)
+	n.term, n.vote = state.HardState.Term, state.HardState.Vote
+	if lastTerm := n.log.lastTerm(); lastTerm > n.term {
+		n.term, n.vote = lastTerm, 0
+	}
+	n.persistedTerm = state.HardState.Term
+	n.lastHardState = state.HardState
+	if n.term > 0 {
+		n.refuseVotesUntil = now + config.ElectionTimeout // it may have confirmed a leader just before it ended
+	}
+	n.resetElectionTimer()
+	return n
 }
 
 // Validate tells what does not make sense in what was stored.
@@ -94,18 +94,18 @@
 }
 
 // normalized leaves out entries that the snapshot holds, or that stem from a log that it replaced.
-func (s PersistentState) normalized() PersistentState {
-	for len(s.Entries) > 0 && s.Entries[0].Index <= s.Snapshot.Index {
-		if s.Entries[0].Index == s.Snapshot.Index && s.Entries[0].Term != s.Snapshot.Term {
-			s.Entries = nil
+func (state PersistentState) normalized() PersistentState {
+	for len(state.Entries) > 0 && state.Entries[0].Index <= state.Snapshot.Index {
+		if state.Entries[0].Index == state.Snapshot.Index && state.Entries[0].Term != state.Snapshot.Term {
+			state.Entries = nil
 			break
 		}
-		s.Entries = s.Entries[1:]
+		state.Entries = state.Entries[1:]
 	}
-	if len(s.Entries) > 0 && s.Entries[0].Index != s.Snapshot.Index+1 {
-		s.Entries = nil
+	if len(state.Entries) > 0 && state.Entries[0].Index != state.Snapshot.Index+1 {
+		state.Entries = nil
 	}
-	return s
+	return state
 }
 
 // advanceClock moves the time on. After a long gap the process may have stood still, and what comes first may have waited for
@@ -214,23 +214,23 @@
 
 // Status describes the replica as it stands.
 func (n *Node) Status() Status {
-	s := Status{ID: n.config.ID, Role: n.role, Term: n.term, Leader: n.leaderID, Commit: n.log.commit,
+	status := Status{ID: n.config.ID, Role: n.role, Term: n.term, Leader: n.leaderID, Commit: n.log.commit,
 		Applied: n.log.applied, LastIndex: n.log.lastIndex(), Membership: n.membership(),
 		MembershipIndex: n.log.lastMembership().index, LastLeaderContact: n.lastLeaderContact,
 		CaughtUpAt: n.lastCaughtUp()}
 	if n.role != Leader {
-		return s
+		return status
 	}
-	s.LeaseExpiry = n.LeaseExpiry()
-	s.Transferring = n.leaderState.transferee != 0
-	s.LastLeaderContact = time.Duration(n.leaderState.confirmedRound)
-	s.Match = map[ReplicaID]uint64{n.config.ID: n.log.durable}
-	s.LastContact = map[ReplicaID]time.Duration{}
+	status.LeaseExpiry = n.LeaseExpiry()
+	status.Transferring = n.leaderState.transferee != 0
+	status.LastLeaderContact = time.Duration(n.leaderState.confirmedRound)
+	status.Match = map[ReplicaID]uint64{n.config.ID: n.log.durable}
+	status.LastContact = map[ReplicaID]time.Duration{}
 	for _, peer := range n.leaderState.peers {
-		s.Match[peer.id] = peer.match
-		s.LastContact[peer.id] = peer.lastContact
+		status.Match[peer.id] = peer.match
+		status.LastContact[peer.id] = peer.lastContact
 	}
-	return s
+	return status
 }
 
 // Leader is who leads as far as this replica knows, 0: not known.
--- a/internal/system/consensus/membership.go
+++ b/internal/system/consensus/membership.go
@@ -6,8 +6,8 @@
 )
 
 // find returns a member.
-func (s Membership) find(id ReplicaID) (Member, bool) {
-	for _, member := range s.Members {
+func (m Membership) find(id ReplicaID) (Member, bool) {
+	for _, member := range m.Members {
 		if member.ID == id {
 			return member, true
 		}
@@ -15,25 +15,25 @@
 	return Member{}, false
 }
 
-func (s Membership) has(id ReplicaID) bool {
-	_, is := s.find(id)
-	return is
+func (m Membership) has(id ReplicaID) bool {
+	_, found := m.find(id)
+	return found
 }
 
-func (s Membership) isVoter(id ReplicaID) bool {
-	member, is := s.find(id)
-	return is && member.Voter
+func (m Membership) isVoter(id ReplicaID) bool {
+	member, found := m.find(id)
+	return found && member.Voter
 }
 
 // hasVote tells whether a member votes, in either voter set of a joint membership.
-func (s Membership) hasVote(id ReplicaID) bool {
-	member, is := s.find(id)
-	return is && member.HasVote()
+func (m Membership) hasVote(id ReplicaID) bool {
+	member, found := m.find(id)
+	return found && member.HasVote()
 }
 
 // Joint tells whether the membership is between two voter sets.
-func (s Membership) Joint() bool {
-	return slices.ContainsFunc(s.Members, func(member Member) bool { return member.Outgoing })
+func (m Membership) Joint() bool {
+	return slices.ContainsFunc(m.Members, func(member Member) bool { return member.Outgoing })
 }
 
 // incoming and outgoing tell whether a member is of that voter set of a joint membership.
@@ -42,18 +42,18 @@
 
 // HasQuorum tells whether the members that something is true of are a majority of the voters: of a joint membership, a
 // majority of each of its two voter sets.
-func (s Membership) HasQuorum(is func(ReplicaID) bool) bool {
-	return s.hasMajority(incoming, is) && (!s.Joint() || s.hasMajority(outgoing, is))
+func (m Membership) HasQuorum(agrees func(ReplicaID) bool) bool {
+	return m.hasMajority(incoming, agrees) && (!m.Joint() || m.hasMajority(outgoing, agrees))
 }
 
-func (s Membership) hasMajority(set func(*Member) bool, is func(ReplicaID) bool) bool {
+func (m Membership) hasMajority(inSet func(*Member) bool, agrees func(ReplicaID) bool) bool {
 	voters, agreeing := 0, 0
-	for i := range s.Members {
-		if !set(&s.Members[i]) {
+	for i := range m.Members {
+		if !inSet(&m.Members[i]) {
 			continue
 		}
 		voters++
-		if is(s.Members[i].ID) {
+		if agrees(m.Members[i].ID) {
 			agreeing++
 		}
 	}
@@ -70,8 +70,8 @@
 }
 
 // withoutOutgoing is a joint membership without its outgoing voter set: those that vote no more are learners.
-func (s Membership) withoutOutgoing() Membership {
-	members := slices.Clone(s.Members)
+func (m Membership) withoutOutgoing() Membership {
+	members := slices.Clone(m.Members)
 	for i := range members {
 		members[i].Outgoing = false
 	}
@@ -79,13 +79,13 @@
 }
 
 // validate tells what does not make sense in a membership.
-func (s Membership) validate() error {
+func (m Membership) validate() error {
 	voters := 0
-	for i, member := range s.Members {
+	for i, member := range m.Members {
 		if member.ID == 0 {
 			return &InvalidMembershipError{Reason: "a member has no id"}
 		}
-		if slices.ContainsFunc(s.Members[:i], func(other Member) bool { return other.ID == member.ID }) {
+		if slices.ContainsFunc(m.Members[:i], func(other Member) bool { return other.ID == member.ID }) {
 			return &InvalidMembershipError{Reason: "a member stands there twice"}
 		}
 		if member.Voter {
@@ -101,8 +101,8 @@
 // changedMembers returns the members that are not the same in both memberships, each once.
 func changedMembers(a, b Membership) (ids []ReplicaID) {
 	for _, member := range a.Members {
-		other, is := b.find(member.ID)
-		if !is || other != member {
+		other, found := b.find(member.ID)
+		if !found || other != member {
 			ids = append(ids, member.ID)
 		}
 	}
@@ -170,9 +170,9 @@
 		return false
 	}
 	for _, member := range a.Members {
-		other, is := b.find(member.ID)
+		other, found := b.find(member.ID)
 		other.Voter = member.Voter
-		if !is || other != member {
+		if !found || other != member {
 			return false
 		}
 	}
--- a/internal/system/consensus/ready.go
+++ b/internal/system/consensus/ready.go
@@ -3,43 +3,43 @@
 // Ready returns what is to be done and has not been returned before.
 func (n *Node) Ready() Ready {
 	n.flushMessages()
-	r := Ready{Entries: n.log.takeUnwrittenEntries(), CommittedEntries: n.log.takeCommittedEntries()}
+	ready := Ready{Entries: n.log.takeUnwrittenEntries(), CommittedEntries: n.log.takeCommittedEntries()}
 	if n.log.snapshotPending {
 		n.log.snapshotPending = false
 		snapshot := n.log.snapshot
-		r.Snapshot = &snapshot
+		ready.Snapshot = &snapshot
 	}
-	n.takeHardState(&r)
-	r.MustSync = r.MustSync || r.Snapshot != nil || len(r.Entries) > 0
-	r.EarlyMessages, n.earlyMessages = n.earlyMessages, nil
-	r.Messages, n.messages = n.messages, nil
-	r.ReadStates, n.readStates = n.readStates, nil
-	r.CompactIndex = n.nextCompaction()
-	if r.MustSync {
+	n.takeHardState(&ready)
+	ready.MustSync = ready.MustSync || ready.Snapshot != nil || len(ready.Entries) > 0
+	ready.EarlyMessages, n.earlyMessages = n.earlyMessages, nil
+	ready.Messages, n.messages = n.messages, nil
+	ready.ReadStates, n.readStates = n.readStates, nil
+	ready.CompactIndex = n.nextCompaction()
+	if ready.MustSync {
 		n.readySequence++
-		r.sequence = n.readySequence
-		n.log.pendingWrites = append(n.log.pendingWrites, pendingWrite{r.sequence, n.term, n.log.lastIndex()})
+		ready.sequence = n.readySequence
+		n.log.pendingWrites = append(n.log.pendingWrites, pendingWrite{ready.sequence, n.term, n.log.lastIndex()})
 	}
-	return r
+	return ready
 }
 
-func (n *Node) takeHardState(r *Ready) {
-	hard := HardState{Term: n.term, Vote: n.vote, Commit: n.log.commit}
-	if hard == n.lastHardState {
+func (n *Node) takeHardState(ready *Ready) {
+	hardState := HardState{Term: n.term, Vote: n.vote, Commit: n.log.commit}
+	if hardState == n.lastHardState {
 		return
 	}
-	r.MustSync = hard.Term != n.lastHardState.Term || hard.Vote != n.lastHardState.Vote
-	n.lastHardState = hard
-	r.HardState = &hard
+	ready.MustSync = hardState.Term != n.lastHardState.Term || hardState.Vote != n.lastHardState.Vote
+	n.lastHardState = hardState
+	ready.HardState = &hardState
 }
 
 // MarkPersisted says that the writes of r, and those of all Readies before it, are synced. A candidate's own vote
 // and a leader's own entries count towards a majority only now.
-func (n *Node) MarkPersisted(r Ready) {
-	if r.sequence == 0 {
+func (n *Node) MarkPersisted(ready Ready) {
+	if ready.sequence == 0 {
 		return
 	}
-	n.persistedTerm = max(n.persistedTerm, n.log.markDurable(r.sequence))
+	n.persistedTerm = max(n.persistedTerm, n.log.markDurable(ready.sequence))
 	if n.role == Candidate && n.persistedTerm == n.term {
 		n.recordVote(n.config.ID)
 	}
@@ -82,8 +82,8 @@
 // memory: messages that install the snapshot then come without it, and the driver puts what it has stored, of this index
 // or a later one, in place of Message.Snapshot as it sends them.
 func (n *Node) Compact(index uint64, data []byte, tailBytes int) {
-	snapshot, is := n.CreateSnapshot(index, data)
-	if is {
+	snapshot, ok := n.CreateSnapshot(index, data)
+	if ok {
 		n.log.compact(snapshot, n.config.SnapshotThreshold/4, tailBytes)
 	}
 }
--- a/internal/system/consensus/replication.go
+++ b/internal/system/consensus/replication.go
@@ -75,11 +75,11 @@
 
 // freeInflights frees the appends that end up to an index.
 func (p *progress) freeInflights(index uint64) {
-	n := 0
-	for n < len(p.inflights) && p.inflights[n] <= index {
-		n++
+	freed := 0
+	for freed < len(p.inflights) && p.inflights[freed] <= index {
+		freed++
 	}
-	p.inflights = p.inflights[n:]
+	p.inflights = p.inflights[freed:]
 }
 
 // updateCatchUp notes how long it took to reach the goal, and sets the next one.
@@ -118,12 +118,12 @@
 }
 
 // majorityValue is the largest value that more than half of a voter set reach.
-func (s Membership) majorityValue(set func(*Member) bool, value func(ReplicaID) uint64) uint64 {
-	var space [16]uint64
-	values := space[:0]
-	for i := range s.Members {
-		if set(&s.Members[i]) {
-			values = append(values, value(s.Members[i].ID))
+func (m Membership) majorityValue(inSet func(*Member) bool, value func(ReplicaID) uint64) uint64 {
+	var buffer [16]uint64
+	values := buffer[:0]
+	for i := range m.Members {
+		if inSet(&m.Members[i]) {
+			values = append(values, value(m.Members[i].ID))
 		}
 	}
 	if len(values) == 0 {
@@ -374,13 +374,13 @@
 
 // handleInstallSnapshot replaces log and state unless the log holds all of the snapshot already.
 func (n *Node) handleInstallSnapshot(msg Message) {
-	s := *msg.Snapshot
+	snapshot := *msg.Snapshot
 	switch {
-	case s.Index <= n.log.commit:
-	case n.log.matchTerm(s.Index, s.Term):
-		n.log.commitTo(s.Index)
+	case snapshot.Index <= n.log.commit:
+	case n.log.matchTerm(snapshot.Index, snapshot.Term):
+		n.log.commitTo(snapshot.Index)
 	default:
-		n.log.restore(s)
+		n.log.restore(snapshot)
 	}
 	n.send(Message{Kind: MessageInstallSnapshotReply, To: msg.From, Index: n.log.commit, Round: msg.Round})
 }
--- a/internal/system/consensus/script_test.go
+++ b/internal/system/consensus/script_test.go
@@ -13,19 +13,19 @@
 	testElection  = 700 * time.Millisecond
 )
 
-// script drives one machine by hand and keeps what it puts out.
-type script struct {
-	t    *testing.T
-	m    *Node
-	now  time.Duration
-	sent []Message
-	log  []Entry
-	hard HardState
+// scriptedNode drives one machine by hand and keeps what it puts out.
+type scriptedNode struct {
+	t         *testing.T
+	node      *Node
+	now       time.Duration
+	sent      []Message
+	log       []Entry
+	hardState HardState
 
-	committed []Entry
-	reads     []ReadState
-	compact   uint64
-	restored  *Snapshot
+	committed    []Entry
+	readStates   []ReadState
+	compactIndex uint64
+	restored     *Snapshot
 }
 
 func voters(ids ...ReplicaID) (s Membership) {
@@ -35,7 +35,7 @@
 	return s
 }
 
-func with(s Membership, members ...Member) Membership {
+func withMembers(s Membership, members ...Member) Membership {
 	return Membership{Members: append(slices.Clone(s.Members), members...)}
 }
 
@@ -52,97 +52,97 @@
 }
 
 // newScript starts replica 1 from what was stored, long enough ago that no lease may rest on it.
-func newScript(t *testing.T, s PersistentState) *script {
-	x := &script{t: t, hard: s.HardState, log: s.Entries}
-	x.m = New(0, Config{ID: 1, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: 1, MaxAppendBytes: 64,
+func newScript(t *testing.T, s PersistentState) *scriptedNode {
+	script := &scriptedNode{t: t, hardState: s.HardState, log: s.Entries}
+	script.node = New(0, Config{ID: 1, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: 1, MaxAppendBytes: 64,
 		MaxInflightAppends: 2, SnapshotThreshold: 8}, s)
-	x.now = testElection
-	return x
+	script.now = testElection
+	return script
 }
 
-func founded(ids ...ReplicaID) PersistentState {
+func foundingState(ids ...ReplicaID) PersistentState {
 	return PersistentState{Snapshot: Snapshot{Membership: voters(ids...)}}
 }
 
-// work does what the machine wants done, its writes included unless held.
-func (x *script) work() []Message {
-	x.t.Helper()
-	x.sent = nil
-	for r := x.m.Ready(); !r.Empty(); r = x.m.Ready() {
-		x.take(r)
-		x.m.MarkPersisted(r)
+// process does what the machine wants done, its writes included unless held.
+func (s *scriptedNode) process() []Message {
+	s.t.Helper()
+	s.sent = nil
+	for r := s.node.Ready(); !r.Empty(); r = s.node.Ready() {
+		s.record(r)
+		s.node.MarkPersisted(r)
 	}
-	return x.sent
+	return s.sent
 }
 
-func (x *script) take(r Ready) {
-	x.sent = append(x.sent, r.EarlyMessages...)
-	x.sent = append(x.sent, r.Messages...)
+func (s *scriptedNode) record(r Ready) {
+	s.sent = append(s.sent, r.EarlyMessages...)
+	s.sent = append(s.sent, r.Messages...)
 	if r.Snapshot != nil {
-		x.restored = r.Snapshot
-		x.log = nil
+		s.restored = r.Snapshot
+		s.log = nil
 	}
 	if len(r.Entries) > 0 {
-		x.log = slices.DeleteFunc(x.log, func(e Entry) bool { return e.Index >= r.Entries[0].Index })
-		x.log = append(x.log, r.Entries...)
+		s.log = slices.DeleteFunc(s.log, func(e Entry) bool { return e.Index >= r.Entries[0].Index })
+		s.log = append(s.log, r.Entries...)
 	}
 	if r.HardState != nil {
-		x.hard = *r.HardState
+		s.hardState = *r.HardState
 	}
-	x.committed = append(x.committed, r.CommittedEntries...)
-	x.reads = append(x.reads, r.ReadStates...)
-	x.compact = max(x.compact, r.CompactIndex)
+	s.committed = append(s.committed, r.CommittedEntries...)
+	s.readStates = append(s.readStates, r.ReadStates...)
+	s.compactIndex = max(s.compactIndex, r.CompactIndex)
 }
 
-func (x *script) step(msg Message) []Message {
-	x.t.Helper()
+func (s *scriptedNode) step(msg Message) []Message {
+	s.t.Helper()
 	msg.To = 1
-	x.m.Step(x.now, msg)
-	return x.work()
+	s.node.Step(s.now, msg)
+	return s.process()
 }
 
-// wait lets time pass up to the machine's next due time.
-func (x *script) wait() []Message {
-	x.t.Helper()
-	if x.m.NextTick() == Never {
-		x.t.Fatal("nothing is due")
+// tickWhenDue lets time pass up to the machine's next due time.
+func (s *scriptedNode) tickWhenDue() []Message {
+	s.t.Helper()
+	if s.node.NextTick() == Never {
+		s.t.Fatal("nothing is due")
 	}
-	x.now = max(x.now, x.m.NextTick())
-	x.m.Tick(x.now)
-	return x.work()
-}
-
-// lead has the machine elected, with the first of the voters granting.
-func (x *script) lead() []Message {
-	x.t.Helper()
-	x.wait()
-	x.grantAll(MessagePreVoteReply, x.m.term+1)
-	term := x.m.term
-	x.grantAll(MessageVoteReply, term)
-	if x.m.role != Leader {
-		x.t.Fatalf("not elected: %+v", x.m.Status())
+	s.now = max(s.now, s.node.NextTick())
+	s.node.Tick(s.now)
+	return s.process()
+}
+
+// becomeLeader has the machine elected, with the first of the voters granting.
+func (s *scriptedNode) becomeLeader() []Message {
+	s.t.Helper()
+	s.tickWhenDue()
+	s.grantAll(MessagePreVoteReply, s.node.term+1)
+	term := s.node.term
+	s.grantAll(MessageVoteReply, term)
+	if s.node.role != Leader {
+		s.t.Fatalf("not elected: %+v", s.node.Status())
 	}
-	return x.sent
+	return s.sent
 }
 
-func (x *script) grantAll(kind MessageKind, term uint64) {
+func (s *scriptedNode) grantAll(kind MessageKind, term uint64) {
 	var all []Message
-	for _, member := range x.m.membership().Members {
-		if member.ID != 1 && member.Voter && x.m.role != Leader {
-			all = append(all, x.step(Message{Kind: kind, From: member.ID, Term: term})...)
+	for _, member := range s.node.membership().Members {
+		if member.ID != 1 && member.Voter && s.node.role != Leader {
+			all = append(all, s.step(Message{Kind: kind, From: member.ID, Term: term})...)
 		}
 	}
-	x.sent = all
+	s.sent = all
 }
 
-// ack answers an append as a replica that took all of it.
-func ack(msg Message) Message {
+// acknowledge answers an append as a replica that took all of it.
+func acknowledge(msg Message) Message {
 	return Message{Kind: MessageAppendReply, From: msg.To, Term: msg.Term, Index: msg.Index + uint64(len(msg.Entries)),
 		Round: msg.Round}
 }
 
-func (x *script) only(kind MessageKind, to ReplicaID, msgs []Message) Message {
-	x.t.Helper()
+func (s *scriptedNode) onlyMessage(kind MessageKind, to ReplicaID, msgs []Message) Message {
+	s.t.Helper()
 	var found []Message
 	for _, msg := range msgs {
 		if msg.Kind == kind && msg.To == to {
@@ -150,27 +150,27 @@
 		}
 	}
 	if len(found) != 1 {
-		x.t.Fatalf("%d messages of kind %d to %d in %+v", len(found), kind, to, msgs)
+		s.t.Fatalf("%d messages of kind %d to %d in %+v", len(found), kind, to, msgs)
 	}
 	return found[0]
 }
 
-func (x *script) want(what string, got, want any) {
-	x.t.Helper()
+func (s *scriptedNode) expect(what string, got, want any) {
+	s.t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		x.t.Errorf("%s: got %v, want %v", what, got, want)
+		s.t.Errorf("%s: got %v, want %v", what, got, want)
 	}
 }
 
-func terms(log []Entry) (all []uint64) {
+func termsOf(log []Entry) (all []uint64) {
 	for _, entry := range log {
 		all = append(all, entry.Term)
 	}
 	return all
 }
 
-func TestPreVoteAndVoteAreGrantedToWhoHasTheNewerLog(t *testing.T) {
-	stored := founded(1, 2, 3)
+func TestVotesGoToUpToDateLogs(t *testing.T) {
+	stored := foundingState(1, 2, 3)
 	stored.HardState = HardState{Term: 3}
 	stored.Entries = entries(1, 1, 3)
 	for _, c := range []struct {
@@ -188,27 +188,27 @@
 		{"old term", 2, 9, 2, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := newScript(t, stored)
-			got := x.step(Message{Kind: MessagePreVote, From: 2, Term: c.term, Index: c.index, LogTerm: c.last})
-			reply := x.only(MessagePreVoteReply, 2, got)
-			x.want("pre-vote", !reply.Reject, c.pre)
-			x.want("term after the pre-vote", x.m.term, 3)
-			x = newScript(t, stored)
-			got = x.step(Message{Kind: MessageVote, From: 2, Term: c.term, Index: c.index, LogTerm: c.last})
+			script := newScript(t, stored)
+			got := script.step(Message{Kind: MessagePreVote, From: 2, Term: c.term, Index: c.index, LogTerm: c.last})
+			reply := script.onlyMessage(MessagePreVoteReply, 2, got)
+			script.expect("pre-vote", !reply.Reject, c.pre)
+			script.expect("term after the pre-vote", script.node.term, 3)
+			script = newScript(t, stored)
+			got = script.step(Message{Kind: MessageVote, From: 2, Term: c.term, Index: c.index, LogTerm: c.last})
 			granted := len(got) == 1 && !got[0].Reject
-			x.want("vote", granted, c.vote)
-			x.want("vote on disk", x.hard.Vote == 2, c.vote)
+			script.expect("vote", granted, c.vote)
+			script.expect("vote on disk", script.hardState.Vote == 2, c.vote)
 		})
 	}
 }
 
-func TestOneVoteATerm(t *testing.T) {
-	x := newScript(t, founded(1, 2, 3))
-	x.want("first", x.only(MessageVoteReply, 2, x.step(Message{Kind: MessageVote, From: 2, Term: 1})).Reject, false)
-	x.want("another", x.only(MessageVoteReply, 3, x.step(Message{Kind: MessageVote, From: 3, Term: 1})).Reject, true)
-	x.want("the same again", x.only(MessageVoteReply, 2, x.step(Message{Kind: MessageVote, From: 2, Term: 1})).Reject, false)
-	x = newScript(t, PersistentState{HardState: x.hard, Snapshot: founded(1, 2, 3).Snapshot})
-	x.want("another after a restart", x.only(MessageVoteReply, 3, x.step(Message{Kind: MessageVote, From: 3, Term: 1})).Reject, true)
+func TestOneVotePerTerm(t *testing.T) {
+	script := newScript(t, foundingState(1, 2, 3))
+	script.expect("first", script.onlyMessage(MessageVoteReply, 2, script.step(Message{Kind: MessageVote, From: 2, Term: 1})).Reject, false)
+	script.expect("another", script.onlyMessage(MessageVoteReply, 3, script.step(Message{Kind: MessageVote, From: 3, Term: 1})).Reject, true)
+	script.expect("the same again", script.onlyMessage(MessageVoteReply, 2, script.step(Message{Kind: MessageVote, From: 2, Term: 1})).Reject, false)
+	script = newScript(t, PersistentState{HardState: script.hardState, Snapshot: foundingState(1, 2, 3).Snapshot})
+	script.expect("another after a restart", script.onlyMessage(MessageVoteReply, 3, script.step(Message{Kind: MessageVote, From: 3, Term: 1})).Reject, true)
 }
 
 func TestElection(t *testing.T) {
@@ -222,63 +222,63 @@
 			for id := range c.voters {
 				ids = append(ids, ReplicaID(id+1))
 			}
-			x := newScript(t, founded(ids...))
-			asked := x.wait()
-			x.want("asked", len(asked), c.voters-1)
-			x.want("term before the pre-vote is won", x.m.term, map[bool]int{true: 1, false: 0}[c.voters == 1])
+			script := newScript(t, foundingState(ids...))
+			asked := script.tickWhenDue()
+			script.expect("asked", len(asked), c.voters-1)
+			script.expect("term before the pre-vote is won", script.node.term, map[bool]int{true: 1, false: 0}[c.voters == 1])
 			for _, id := range ids[1:] {
-				x.step(Message{Kind: MessagePreVoteReply, From: id, Term: 1})
+				script.step(Message{Kind: MessagePreVoteReply, From: id, Term: 1})
 			}
-			x.want("term", x.m.term, 1)
+			script.expect("term", script.node.term, 1)
 			for _, id := range ids[1 : 1+c.grants] {
-				x.step(Message{Kind: MessageVoteReply, From: id, Term: 1})
-				x.step(Message{Kind: MessageVoteReply, From: id, Term: 1}) // counts once
+				script.step(Message{Kind: MessageVoteReply, From: id, Term: 1})
+				script.step(Message{Kind: MessageVoteReply, From: id, Term: 1}) // counts once
 			}
-			x.want("elected", x.m.role == Leader, c.elected)
+			script.expect("elected", script.node.role == Leader, c.elected)
 		})
 	}
 }
 
-func TestOwnVoteCountsOnceItIsOnDisk(t *testing.T) {
-	x := newScript(t, founded(1))
-	x.now = x.m.NextTick()
-	x.m.Tick(x.now)
-	r := x.m.Ready()
-	x.want("role before", x.m.role, Candidate)
-	x.want("must sync", r.MustSync, true)
-	x.m.MarkPersisted(r)
-	x.want("role after", x.m.role, Leader)
+func TestOwnVoteCountsOncePersisted(t *testing.T) {
+	script := newScript(t, foundingState(1))
+	script.now = script.node.NextTick()
+	script.node.Tick(script.now)
+	r := script.node.Ready()
+	script.expect("role before", script.node.role, Candidate)
+	script.expect("must sync", r.MustSync, true)
+	script.node.MarkPersisted(r)
+	script.expect("role after", script.node.role, Leader)
 }
 
-func TestFollowerHoldsToItsLeader(t *testing.T) {
-	x := newScript(t, founded(1, 2, 3))
-	x.step(Message{Kind: MessageAppend, From: 2, Term: 1, Round: 5})
-	x.now += testElection - 1
+func TestFollowerRejectsVotesWithinLease(t *testing.T) {
+	script := newScript(t, foundingState(1, 2, 3))
+	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Round: 5})
+	script.now += testElection - 1
 	pre := Message{Kind: MessagePreVote, From: 3, Term: 2, Index: 9, LogTerm: 1}
-	x.want("pre-vote within the lease", x.only(MessagePreVoteReply, 3, x.step(pre)).Reject, true)
+	script.expect("pre-vote within the lease", script.onlyMessage(MessagePreVoteReply, 3, script.step(pre)).Reject, true)
 	vote := Message{Kind: MessageVote, From: 3, Term: 2, Index: 9, LogTerm: 1}
-	x.want("vote within the lease", len(x.step(vote)), 0)
-	x.want("term", x.m.term, 1)
-	x.now++
-	x.want("pre-vote after it", x.only(MessagePreVoteReply, 3, x.step(pre)).Reject, false)
-	x.want("vote after it", x.only(MessageVoteReply, 3, x.step(vote)).Reject, false)
+	script.expect("vote within the lease", len(script.step(vote)), 0)
+	script.expect("term", script.node.term, 1)
+	script.now++
+	script.expect("pre-vote after it", script.onlyMessage(MessagePreVoteReply, 3, script.step(pre)).Reject, false)
+	script.expect("vote after it", script.onlyMessage(MessageVoteReply, 3, script.step(vote)).Reject, false)
 }
 
-func TestFollowerVotesAtOnceInAnElectionThatItsLeaderAskedFor(t *testing.T) {
-	x := newScript(t, founded(1, 2, 3))
-	x.step(Message{Kind: MessageAppend, From: 2, Term: 1, Round: 5})
+func TestFollowerVotesWithinLeaseInForcedElection(t *testing.T) {
+	script := newScript(t, foundingState(1, 2, 3))
+	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Round: 5})
 	vote := Message{Kind: MessageVote, From: 3, Term: 2, Index: 9, LogTerm: 1, Force: true}
-	x.want("vote", x.only(MessageVoteReply, 3, x.step(vote)).Reject, false)
+	script.expect("vote", script.onlyMessage(MessageVoteReply, 3, script.step(vote)).Reject, false)
 }
 
-func TestReplicaHoldsToALeaderOfBeforeItsRestart(t *testing.T) {
-	stored := founded(1, 2, 3)
+func TestRestartedReplicaHonorsEarlierLease(t *testing.T) {
+	stored := foundingState(1, 2, 3)
 	stored.HardState = HardState{Term: 1}
-	x := newScript(t, stored)
-	x.now = testElection - 1
-	x.want("reply", len(x.step(Message{Kind: MessageVote, From: 3, Term: 2})), 0)
-	x.now++
-	x.want("reply", len(x.step(Message{Kind: MessageVote, From: 3, Term: 2})), 1)
+	script := newScript(t, stored)
+	script.now = testElection - 1
+	script.expect("reply", len(script.step(Message{Kind: MessageVote, From: 3, Term: 2})), 0)
+	script.now++
+	script.expect("reply", len(script.step(Message{Kind: MessageVote, From: 3, Term: 2})), 1)
 }
 
 func TestAppend(t *testing.T) {
@@ -307,135 +307,135 @@
 		{"over commit", []uint64{1, 2, 2}, 2, 0, 0, entries(1, 1, 2, 4), 3, false, 3, []uint64{1, 2, 4}, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			stored := founded(1, 2, 3)
+			stored := foundingState(1, 2, 3)
 			stored.HardState = HardState{Term: 4, Commit: c.commit}
 			stored.Entries = entries(1, c.log...)
-			x := newScript(t, stored)
-			got := x.step(Message{Kind: MessageAppend, From: 2, Term: 4, Index: c.index, LogTerm: c.logTerm, Entries: c.entries,
+			script := newScript(t, stored)
+			got := script.step(Message{Kind: MessageAppend, From: 2, Term: 4, Index: c.index, LogTerm: c.logTerm, Entries: c.entries,
 				Commit: c.leaderCommit, Round: 77})
-			reply := x.only(MessageAppendReply, 2, got)
-			x.want("rejected", reply.Reject, c.reject)
-			x.want("round", reply.Round, 77)
+			reply := script.onlyMessage(MessageAppendReply, 2, got)
+			script.expect("rejected", reply.Reject, c.reject)
+			script.expect("round", reply.Round, 77)
 			if c.reject {
-				x.want("hint", reply.RejectHint, c.reply)
+				script.expect("hint", reply.RejectHint, c.reply)
 			} else {
-				x.want("index", reply.Index, c.reply)
+				script.expect("index", reply.Index, c.reply)
 			}
-			x.want("log", terms(x.log), c.after)
-			x.want("commit", x.m.log.commit, c.committed)
+			script.expect("log", termsOf(script.log), c.after)
+			script.expect("commit", script.node.log.commit, c.committed)
 		})
 	}
 }
 
-func TestSenderOfAnOldTermLearnsTheNewOne(t *testing.T) {
-	stored := founded(1, 2, 3)
+func TestStaleLeaderLearnsNewerTerm(t *testing.T) {
+	stored := foundingState(1, 2, 3)
 	stored.HardState = HardState{Term: 4}
-	x := newScript(t, stored)
-	reply := x.only(MessageAppendReply, 2, x.step(Message{Kind: MessageAppend, From: 2, Term: 3, Round: 1}))
-	x.want("term", reply.Term, 4)
-	x.want("rejected", reply.Reject, true)
-	x.want("leader", x.m.leaderID, 0)
-}
-
-func TestLeaderStepsDownForANewerTerm(t *testing.T) {
-	x := newScript(t, founded(1, 2, 3))
-	x.lead()
-	x.step(Message{Kind: MessageAppendReply, From: 3, Term: 7, Reject: true})
-	x.want("role", x.m.role, Follower)
-	x.want("term on disk", x.hard.Term, 7)
-}
-
-func TestLeadersOwnEntriesCountOnceTheyAreOnDisk(t *testing.T) {
-	x := newScript(t, founded(1, 2, 3))
-	first := x.only(MessageAppend, 2, x.lead())
-	x.step(ack(first))
-	x.want("commit of the first entry", x.m.log.commit, 1)
-	if _, _, err := x.m.Propose(x.now, []byte("a")); err != nil {
+	script := newScript(t, stored)
+	reply := script.onlyMessage(MessageAppendReply, 2, script.step(Message{Kind: MessageAppend, From: 2, Term: 3, Round: 1}))
+	script.expect("term", reply.Term, 4)
+	script.expect("rejected", reply.Reject, true)
+	script.expect("leader", script.node.leaderID, 0)
+}
+
+func TestLeaderStepsDownOnNewerTerm(t *testing.T) {
+	script := newScript(t, foundingState(1, 2, 3))
+	script.becomeLeader()
+	script.step(Message{Kind: MessageAppendReply, From: 3, Term: 7, Reject: true})
+	script.expect("role", script.node.role, Follower)
+	script.expect("term on disk", script.hardState.Term, 7)
+}
+
+func TestOwnEntriesCountOncePersisted(t *testing.T) {
+	script := newScript(t, foundingState(1, 2, 3))
+	first := script.onlyMessage(MessageAppend, 2, script.becomeLeader())
+	script.step(acknowledge(first))
+	script.expect("commit of the first entry", script.node.log.commit, 1)
+	if _, _, err := script.node.Propose(script.now, []byte("a")); err != nil {
 		t.Fatal(err)
 	}
-	r := x.m.Ready()
-	x.take(r)
-	x.want("appends sent before the sync", len(r.EarlyMessages) > 0 && r.EarlyMessages[0].Entries[0].Index == 2, true)
-	msg := ack(x.only(MessageAppend, 2, r.EarlyMessages))
+	r := script.node.Ready()
+	script.record(r)
+	script.expect("appends sent before the sync", len(r.EarlyMessages) > 0 && r.EarlyMessages[0].Entries[0].Index == 2, true)
+	msg := acknowledge(script.onlyMessage(MessageAppend, 2, r.EarlyMessages))
 	msg.To = 1
-	x.m.Step(x.now, msg)
-	x.want("commit before the sync", x.m.log.commit, 1)
-	x.m.MarkPersisted(r)
-	x.want("commit after the sync", x.m.log.commit, 2)
+	script.node.Step(script.now, msg)
+	script.expect("commit before the sync", script.node.log.commit, 1)
+	script.node.MarkPersisted(r)
+	script.expect("commit after the sync", script.node.log.commit, 2)
 }
 
-func TestOverwrittenEntriesAreNoLongerOnDisk(t *testing.T) {
+func TestOverwrittenEntriesAreNotDurable(t *testing.T) {
 	for _, late := range []bool{false, true} { // the sync ends after the entries were overwritten
-		x := newScript(t, founded(1, 2, 3))
-		x.step(ack(x.only(MessageAppend, 2, x.lead())))
+		script := newScript(t, foundingState(1, 2, 3))
+		script.step(acknowledge(script.onlyMessage(MessageAppend, 2, script.becomeLeader())))
 		for range 5 {
-			if _, _, err := x.m.Propose(x.now, nil); err != nil {
+			if _, _, err := script.node.Propose(script.now, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
-		r := x.m.Ready()
+		r := script.node.Ready()
 		if !late {
-			x.m.MarkPersisted(r)
+			script.node.MarkPersisted(r)
 		}
 		overwrite := Message{Kind: MessageAppend, From: 3, To: 1, Term: 2, Index: 1, LogTerm: 1, Entries: entries(2, 2), Round: 1}
-		x.m.Step(x.now, overwrite)
-		second := x.m.Ready()
+		script.node.Step(script.now, overwrite)
+		second := script.node.Ready()
 		if late {
-			x.m.MarkPersisted(r)
-			x.want("durable before the second sync", x.m.log.durable, 1)
+			script.node.MarkPersisted(r)
+			script.expect("durable before the second sync", script.node.log.durable, 1)
 		}
-		x.m.MarkPersisted(second)
-		x.want("durable", x.m.log.durable, 2)
+		script.node.MarkPersisted(second)
+		script.expect("durable", script.node.log.durable, 2)
 	}
 }
 
-func TestEntriesOfOlderTermsCommitWithOneOfThePresent(t *testing.T) {
-	stored := founded(1, 2, 3)
+func TestEntriesOfEarlierTermsCommitWithOneOfCurrentTerm(t *testing.T) {
+	stored := foundingState(1, 2, 3)
 	stored.HardState = HardState{Term: 2}
 	stored.Entries = entries(1, 1, 2)
-	x := newScript(t, stored)
-	x.lead()
-	x.step(Message{Kind: MessageAppendReply, From: 2, Term: 3, Index: 2})
-	x.want("commit", x.m.log.commit, 0)
-	x.step(Message{Kind: MessageAppendReply, From: 2, Term: 3, Index: 3})
-	x.want("commit", x.m.log.commit, 3)
+	script := newScript(t, stored)
+	script.becomeLeader()
+	script.step(Message{Kind: MessageAppendReply, From: 2, Term: 3, Index: 2})
+	script.expect("commit", script.node.log.commit, 0)
+	script.step(Message{Kind: MessageAppendReply, From: 2, Term: 3, Index: 3})
+	script.expect("commit", script.node.log.commit, 3)
 }
 
-func TestLeaderFindsWhereLogsAgreeByTerms(t *testing.T) {
-	stored := founded(1, 2, 3)
+func TestRejectionSkipsWholeTerms(t *testing.T) {
+	stored := foundingState(1, 2, 3)
 	stored.HardState = HardState{Term: 6}
 	stored.Entries = entries(1, 1, 1, 1, 5, 5, 5, 6, 6, 6)
-	x := newScript(t, stored)
-	probe := x.only(MessageAppend, 2, x.lead())
-	x.want("first probe", probe.Index, 9)
+	script := newScript(t, stored)
+	probe := script.onlyMessage(MessageAppend, 2, script.becomeLeader())
+	script.expect("first probe", probe.Index, 9)
 	// The member's log has terms 1 1 1 4 4 4 4: what it says skips them all.
-	next := x.step(Message{Kind: MessageAppendReply, From: 2, Term: 7, Index: 9, Reject: true, RejectHint: 7, LogTerm: 4})
-	second := x.only(MessageAppend, 2, next)
-	x.want("second probe", second.Index, 3)
-	x.want("entries", terms(second.Entries), []uint64{5, 5, 5, 6, 6, 6, 7})
-	x.step(ack(second))
-	x.want("commit", x.m.log.commit, 10)
+	next := script.step(Message{Kind: MessageAppendReply, From: 2, Term: 7, Index: 9, Reject: true, RejectHint: 7, LogTerm: 4})
+	second := script.onlyMessage(MessageAppend, 2, next)
+	script.expect("second probe", second.Index, 3)
+	script.expect("entries", termsOf(second.Entries), []uint64{5, 5, 5, 6, 6, 6, 7})
+	script.step(acknowledge(second))
+	script.expect("commit", script.node.log.commit, 10)
 }
 
-func TestAppendsInFlightAreBounded(t *testing.T) {
-	x := newScript(t, founded(1, 2))
-	x.step(ack(x.only(MessageAppend, 2, x.lead())))
+func TestMaxInflightAppends(t *testing.T) {
+	script := newScript(t, foundingState(1, 2))
+	script.step(acknowledge(script.onlyMessage(MessageAppend, 2, script.becomeLeader())))
 	for range 5 {
-		if _, _, err := x.m.Propose(x.now, make([]byte, 40)); err != nil { // one to a message
+		if _, _, err := script.node.Propose(script.now, make([]byte, 40)); err != nil { // one to a message
 			t.Fatal(err)
 		}
 	}
-	sent := x.work()
-	x.want("sent", len(sent), 2)
-	x.want("sent after an answer", len(withEntries(x.step(ack(sent[0])))), 1)
+	sent := script.process()
+	script.expect("sent", len(sent), 2)
+	script.expect("sent after an answer", len(messagesWithEntries(script.step(acknowledge(sent[0])))), 1)
 	// The others are lost, which the next heartbeat brings to light.
-	beat := x.only(MessageAppend, 2, x.wait())
-	x.want("heartbeat", []uint64{beat.Index, uint64(len(beat.Entries))}, []uint64{4, 0})
-	again := x.step(Message{Kind: MessageAppendReply, From: 2, Term: 1, Index: 4, Reject: true, RejectHint: 2, LogTerm: 1})
-	x.want("sent again", x.only(MessageAppend, 2, again).Index, 2)
+	beat := script.onlyMessage(MessageAppend, 2, script.tickWhenDue())
+	script.expect("heartbeat", []uint64{beat.Index, uint64(len(beat.Entries))}, []uint64{4, 0})
+	again := script.step(Message{Kind: MessageAppendReply, From: 2, Term: 1, Index: 4, Reject: true, RejectHint: 2, LogTerm: 1})
+	script.expect("sent again", script.onlyMessage(MessageAppend, 2, again).Index, 2)
 }
 
-func withEntries(msgs []Message) (some []Message) {
+func messagesWithEntries(msgs []Message) (some []Message) {
 	for _, msg := range msgs {
 		if len(msg.Entries) > 0 {
 			some = append(some, msg)
@@ -444,110 +444,110 @@
 	return some
 }
 
-func TestIdleLeaderSendsOneHeartbeatAnInterval(t *testing.T) {
-	x := newScript(t, founded(1, 2, 3))
-	for _, msg := range x.lead() {
-		x.step(ack(msg))
+func TestIdleLeaderSendsOneHeartbeatPerInterval(t *testing.T) {
+	script := newScript(t, foundingState(1, 2, 3))
+	for _, msg := range script.becomeLeader() {
+		script.step(acknowledge(msg))
 	}
-	start, sent := x.now, 0
-	for x.now < start+20*testHeartbeat {
-		for _, msg := range x.wait() {
+	start, sent := script.now, 0
+	for script.now < start+20*testHeartbeat {
+		for _, msg := range script.tickWhenDue() {
 			sent++
-			if more := x.step(ack(msg)); len(more) > 0 {
+			if more := script.step(acknowledge(msg)); len(more) > 0 {
 				t.Fatalf("answer of a heartbeat brings %+v", more)
 			}
 		}
 	}
-	x.want("messages", sent, 2*20)
+	script.expect("messages", sent, 2*20)
 }
 
-func TestLeaderWithoutAMajorityStepsDown(t *testing.T) {
-	x := newScript(t, founded(1, 2, 3))
-	x.lead()
-	start := x.now
-	for x.m.role == Leader {
-		x.wait()
+func TestLeaderWithoutQuorumStepsDown(t *testing.T) {
+	script := newScript(t, foundingState(1, 2, 3))
+	script.becomeLeader()
+	start := script.now
+	for script.node.role == Leader {
+		script.tickWhenDue()
 	}
-	x.want("after", x.now-start, testElection)
-}
-
-func TestReads(t *testing.T) {
-	x := newScript(t, founded(1, 2, 3))
-	first := x.only(MessageAppend, 2, x.lead())
-	x.m.ReadIndex(x.now, 1)
-	sent := x.work()
-	round := x.only(MessageAppend, 2, sent)
-	x.step(Message{Kind: MessageAppendReply, From: 2, Term: 1, Index: 0, Round: round.Round})
-	x.want("reads before an entry of the term is committed", len(x.reads), 0)
-	x.step(ack(first))
-	x.want("reads", x.reads, []ReadState{{Token: 1, Index: 1}})
-	x.m.ReadIndex(x.now, 2)
-	x.work()
-	x.step(ack(first))
-	x.want("a round from before the read does not do", len(x.reads), 1)
-	x.step(Message{Kind: MessageAppendReply, From: 3, Term: 5, Reject: true})
-	x.want("reads", len(x.reads), 2)
-	if !errors.As(x.reads[1].Err, new(*NotLeaderError)) {
-		t.Errorf("read of a leader that stepped down: %+v", x.reads[1])
+	script.expect("after", script.now-start, testElection)
+}
+
+func TestReadIndex(t *testing.T) {
+	script := newScript(t, foundingState(1, 2, 3))
+	first := script.onlyMessage(MessageAppend, 2, script.becomeLeader())
+	script.node.ReadIndex(script.now, 1)
+	sent := script.process()
+	round := script.onlyMessage(MessageAppend, 2, sent)
+	script.step(Message{Kind: MessageAppendReply, From: 2, Term: 1, Index: 0, Round: round.Round})
+	script.expect("reads before an entry of the term is committed", len(script.readStates), 0)
+	script.step(acknowledge(first))
+	script.expect("reads", script.readStates, []ReadState{{Token: 1, Index: 1}})
+	script.node.ReadIndex(script.now, 2)
+	script.process()
+	script.step(acknowledge(first))
+	script.expect("a round from before the read does not do", len(script.readStates), 1)
+	script.step(Message{Kind: MessageAppendReply, From: 3, Term: 5, Reject: true})
+	script.expect("reads", len(script.readStates), 2)
+	if !errors.As(script.readStates[1].Err, new(*NotLeaderError)) {
+		t.Errorf("read of a leader that stepped down: %+v", script.readStates[1])
 	}
-	x.m.ReadIndex(x.now, 3)
-	x.work()
-	if len(x.reads) != 3 || !errors.As(x.reads[2].Err, new(*NotLeaderError)) {
-		t.Errorf("read of a follower: %+v", x.reads)
+	script.node.ReadIndex(script.now, 3)
+	script.process()
+	if len(script.readStates) != 3 || !errors.As(script.readStates[2].Err, new(*NotLeaderError)) {
+		t.Errorf("read of a follower: %+v", script.readStates)
 	}
 }
 
-func TestLeaseRunsFromTheBeginOfAConfirmedRound(t *testing.T) {
-	x := newScript(t, founded(1, 2, 3))
-	sent := x.lead()
-	x.want("lease before an answer", x.m.Status().LeaseExpiry, time.Duration(0))
-	began := x.now
-	x.now += 100 * time.Millisecond
-	x.step(ack(x.only(MessageAppend, 3, sent)))
-	x.want("lease", x.m.Status().LeaseExpiry, began+testElection-testElection/10)
+func TestLeaseStartsWithConfirmedRound(t *testing.T) {
+	script := newScript(t, foundingState(1, 2, 3))
+	sent := script.becomeLeader()
+	script.expect("lease before an answer", script.node.Status().LeaseExpiry, time.Duration(0))
+	began := script.now
+	script.now += 100 * time.Millisecond
+	script.step(acknowledge(script.onlyMessage(MessageAppend, 3, sent)))
+	script.expect("lease", script.node.Status().LeaseExpiry, began+testElection-testElection/10)
 }
 
-func TestTransfer(t *testing.T) {
-	x := newScript(t, founded(1, 2, 3))
-	sent := x.lead()
-	x.step(ack(x.only(MessageAppend, 3, sent)))
-	x.m.TransferLeadership(x.now, 2)
-	x.want("told before it has caught up", len(x.work()), 0)
-	if _, _, err := x.m.Propose(x.now, nil); err == nil {
+func TestTransferLeadership(t *testing.T) {
+	script := newScript(t, foundingState(1, 2, 3))
+	sent := script.becomeLeader()
+	script.step(acknowledge(script.onlyMessage(MessageAppend, 3, sent)))
+	script.node.TransferLeadership(script.now, 2)
+	script.expect("told before it has caught up", len(script.process()), 0)
+	if _, _, err := script.node.Propose(script.now, nil); err == nil {
 		t.Error("a proposal was taken during the transfer")
 	}
-	x.want("lease before", x.m.Status().LeaseExpiry > x.now, true)
-	told := x.only(MessageTimeoutNow, 2, x.step(ack(x.only(MessageAppend, 2, sent))))
-	x.want("term", told.Term, 1)
-	x.want("lease after", x.m.Status().LeaseExpiry, time.Duration(0))
-	x.now += testElection / 2
-	x.step(ack(x.only(MessageAppend, 3, sent)))
-	x.now = x.m.leaderState.transferDeadline
-	x.m.Tick(x.now)
-	vote := x.only(MessageVote, 2, x.work())
-	x.want("election of its own when the other does not take over", vote.Force, true)
+	script.expect("lease before", script.node.Status().LeaseExpiry > script.now, true)
+	told := script.onlyMessage(MessageTimeoutNow, 2, script.step(acknowledge(script.onlyMessage(MessageAppend, 2, sent))))
+	script.expect("term", told.Term, 1)
+	script.expect("lease after", script.node.Status().LeaseExpiry, time.Duration(0))
+	script.now += testElection / 2
+	script.step(acknowledge(script.onlyMessage(MessageAppend, 3, sent)))
+	script.now = script.node.leaderState.transferDeadline
+	script.node.Tick(script.now)
+	vote := script.onlyMessage(MessageVote, 2, script.process())
+	script.expect("election of its own when the other does not take over", vote.Force, true)
 }
 
 func TestTimeoutNow(t *testing.T) {
-	x := newScript(t, founded(1, 2, 3))
-	x.want("of a stranger", len(x.step(Message{Kind: MessageTimeoutNow, From: 2, Term: 1})), 0)
-	x.step(Message{Kind: MessageAppend, From: 2, Term: 1, Round: 1})
-	x.want("of an old term", len(x.step(Message{Kind: MessageTimeoutNow, From: 2, Term: 0})), 0)
-	sent := x.step(Message{Kind: MessageTimeoutNow, From: 2, Term: 1})
-	x.want("vote", x.only(MessageVote, 3, sent).Force, true)
-	x.want("term", x.only(MessageVote, 2, sent).Term, 2)
+	script := newScript(t, foundingState(1, 2, 3))
+	script.expect("of a stranger", len(script.step(Message{Kind: MessageTimeoutNow, From: 2, Term: 1})), 0)
+	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Round: 1})
+	script.expect("of an old term", len(script.step(Message{Kind: MessageTimeoutNow, From: 2, Term: 0})), 0)
+	sent := script.step(Message{Kind: MessageTimeoutNow, From: 2, Term: 1})
+	script.expect("vote", script.onlyMessage(MessageVote, 3, sent).Force, true)
+	script.expect("term", script.onlyMessage(MessageVote, 2, sent).Term, 2)
 }
 
 func TestStepDown(t *testing.T) {
-	x := newScript(t, founded(1, 2, 3))
-	for _, msg := range x.lead() {
-		x.step(ack(msg))
+	script := newScript(t, foundingState(1, 2, 3))
+	for _, msg := range script.becomeLeader() {
+		script.step(acknowledge(msg))
 	}
-	x.m.StepDown(x.now)
-	sent := x.work()
-	x.want("told", sent[0].Kind, MessageTimeoutNow)
-	x.now = x.m.leaderState.transferDeadline
-	x.m.Tick(x.now)
-	x.want("role once nobody took over", x.m.role, Follower)
-	x.want("stands for election again", x.m.NextTick() >= x.now+(stepDownElectionTimeouts-1)*testElection, true)
+	script.node.StepDown(script.now)
+	sent := script.process()
+	script.expect("told", sent[0].Kind, MessageTimeoutNow)
+	script.now = script.node.leaderState.transferDeadline
+	script.node.Tick(script.now)
+	script.expect("role once nobody took over", script.node.role, Follower)
+	script.expect("stands for election again", script.node.NextTick() >= script.now+(stepDownElectionTimeouts-1)*testElection, true)
 }
