--- a/internal/system/consensus/election.go
+++ b/internal/system/consensus/election.go
@@ -126,9 +126,6 @@
 	return n.log.anyPossibleMembership(func(membership Membership) bool { return membership.has(n.config.ID) })
 }
 
-// inLease tells whether there may be a leader whose lease rests on this replica.
-func (n *Node) inLease() bool { return n.role == Leader || n.now < n.refuseVotesUntil }
-
 func (n *Node) handlePreVote(msg Message) {
 	if !n.canVote() {
 		return
@@ -212,15 +209,3 @@
 		n.grantedBy = append(n.grantedBy, from)
 	}
 }
-
-// recordLeaderContact notes a message of the leader of this term.
-func (n *Node) recordLeaderContact(from ReplicaID) {
-	if n.role != Follower || n.leaderID != from {
-		n.becomeFollower(n.term, from)
-	}
-	n.failedElections = 0
-	n.lastLeaderContact = n.now
-	n.lastLeader = from
-	n.refuseVotesUntil = n.now + n.config.ElectionTimeout
-	n.resetElectionTimer()
-}
--- a/internal/system/consensus/encoding.go
+++ b/internal/system/consensus/encoding.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/binary"
-	"fmt"
 	"math"
 )
 
@@ -30,18 +29,6 @@
 	leastMember = 5
 )
 
-// DecodeError says that bytes are not what the package encodes. They come from another version or were spoilt.
-type DecodeError struct {
-	Field  string // was expected
-	Offset int    // in bytes
-}
-
-// Error says what happened.
-func (e *DecodeError) Error() string {
-	return fmt.Sprintf("consensus: no %s at byte %d; check that all replicas run versions that understand each other",
-		e.Field, e.Offset)
-}
-
 // EncodeMembership returns the bytes of a membership, as in an entry's Data.
 func EncodeMembership(membership Membership) []byte { return AppendMembership(nil, membership) }
 
--- a/internal/system/consensus/membership.go
+++ b/internal/system/consensus/membership.go
@@ -1,45 +1,30 @@
 package consensus
 
-import (
-	"slices"
-	"time"
-)
+import "slices"
 
-// find returns a member.
-func (m Membership) find(id ReplicaID) (Member, bool) {
-	for _, member := range m.Members {
-		if member.ID == id {
-			return member, true
-		}
-	}
-	return Member{}, false
+// Member is a replica of a group.
+type Member struct {
+	ID      ReplicaID
+	Node    string // machine
+	Zone    string
+	Address string // of its control RPC, host:port
+	Voter   bool   // false: a learner, which is sent the log and has no vote
+	// Outgoing: it votes in the voter set that a joint membership is leaving; see Membership.
+	Outgoing bool
 }
 
-func (m Membership) has(id ReplicaID) bool {
-	_, found := m.find(id)
-	return found
-}
+// HasVote tells whether the member votes, in either voter set of a joint membership.
+func (m Member) HasVote() bool { return m.Voter || m.Outgoing }
 
-func (m Membership) isVoter(id ReplicaID) bool {
-	member, found := m.find(id)
-	return found && member.Voter
-}
-
-// hasVote tells whether a member votes, in either voter set of a joint membership.
-func (m Membership) hasVote(id ReplicaID) bool {
-	member, found := m.find(id)
-	return found && member.HasVote()
-}
+// Membership is who takes part in a group. It is joint while any member is Outgoing: then elections and entries need a
+// majority of the outgoing voter set and one of the incoming set, which are the members with Voter.
+type Membership struct{ Members []Member }
 
 // Joint tells whether the membership is between two voter sets.
 func (m Membership) Joint() bool {
 	return slices.ContainsFunc(m.Members, func(member Member) bool { return member.Outgoing })
 }
 
-// incoming and outgoing tell whether a member is of that voter set of a joint membership.
-func incoming(member *Member) bool { return member.Voter }
-func outgoing(member *Member) bool { return member.Outgoing }
-
 // HasQuorum tells whether the members that something is true of are a majority of the voters: of a joint membership, a
 // majority of each of its two voter sets.
 func (m Membership) HasQuorum(agrees func(ReplicaID) bool) bool {
@@ -60,6 +45,53 @@
 	return agreeing > voters/2
 }
 
+// majorityValue is the largest value that more than half of a voter set reach.
+func (m Membership) majorityValue(inSet func(*Member) bool, value func(ReplicaID) uint64) uint64 {
+	var buffer [16]uint64
+	values := buffer[:0]
+	for i := range m.Members {
+		if inSet(&m.Members[i]) {
+			values = append(values, value(m.Members[i].ID))
+		}
+	}
+	if len(values) == 0 {
+		return 0
+	}
+	slices.Sort(values)
+	return values[(len(values)-1)/2]
+}
+
+// incoming and outgoing tell whether a member is of that voter set of a joint membership.
+func incoming(member *Member) bool { return member.Voter }
+
+func outgoing(member *Member) bool { return member.Outgoing }
+
+// find returns a member.
+func (m Membership) find(id ReplicaID) (Member, bool) {
+	for _, member := range m.Members {
+		if member.ID == id {
+			return member, true
+		}
+	}
+	return Member{}, false
+}
+
+func (m Membership) has(id ReplicaID) bool {
+	_, found := m.find(id)
+	return found
+}
+
+func (m Membership) isVoter(id ReplicaID) bool {
+	member, found := m.find(id)
+	return found && member.Voter
+}
+
+// hasVote tells whether a member votes, in either voter set of a joint membership.
+func (m Membership) hasVote(id ReplicaID) bool {
+	member, found := m.find(id)
+	return found && member.HasVote()
+}
+
 // jointMembership is the membership between two that differ in who votes alone.
 func jointMembership(from, to Membership) Membership {
 	members := slices.Clone(to.Members)
@@ -114,48 +146,6 @@
 	return ids
 }
 
-// membership is the newest one in the log.
-func (n *Node) membership() Membership { return n.log.lastMembership().membership }
-
-// ChangeMembership appends a membership that differs from the present one in one member (a learner that becomes a voter
-// once it has caught up, a voter that becomes a learner or leaves), in anything but who votes (learners that join or
-// leave, particulars of members), or in who votes alone, by any number of members. The first two kinds hold at once. The
-// third goes through a
-// joint membership, which the leader leaves by itself once it is committed; members that lose their vote stay as
-// learners. The next change is possible once all of that is committed, see Status.MembershipIndex and Membership.Joint.
-// The error is a *NotLeaderError, *PendingMembershipChangeError, *LearnerBehindError or *InvalidMembershipError.
-func (n *Node) ChangeMembership(now time.Duration, to Membership) error {
-	n.advanceClock(now)
-	if n.role != Leader {
-		return n.notLeaderError()
-	}
-	present := n.membership()
-	if n.leaderState.transferee != 0 || !n.committedInTerm() || n.log.lastMembership().index > n.log.commit || present.Joint() {
-		return &PendingMembershipChangeError{}
-	}
-	if err := to.validate(); err != nil {
-		return err
-	}
-	if to.Joint() {
-		return &InvalidMembershipError{Reason: "a member is outgoing, which the agreement itself decides"}
-	}
-	changed := changedMembers(present, to)
-	if len(changed) == 0 || len(changed) > 1 && !differOnlyInVotes(present, to) && !sameVoters(present, to) {
-		return &InvalidMembershipError{Reason: "it has to differ from the present one in one member, in who votes alone, or in " +
-			"anything but who votes"}
-	}
-	for _, id := range changed {
-		if err := n.checkPromotion(id, to); err != nil {
-			return err
-		}
-	}
-	if len(changed) > 1 && !sameVoters(present, to) {
-		to = jointMembership(present, to)
-	}
-	n.appendEntry(EntryMembership, EncodeMembership(to))
-	return nil
-}
-
 // sameVoters tells whether the same members vote in two memberships. Learners may differ.
 func sameVoters(a, b Membership) bool {
 	everyVoter := func(of, in Membership) bool {
@@ -178,78 +168,3 @@
 	}
 	return true
 }
-
-// checkPromotion tells why a member may not become a voter yet.
-func (n *Node) checkPromotion(id ReplicaID, to Membership) error {
-	if !to.isVoter(id) || n.membership().isVoter(id) {
-		return nil
-	}
-	peer := n.progressOf(id)
-	if peer == nil {
-		return &InvalidMembershipError{Reason: "a new member has to join as a learner first"}
-	}
-	// It also has to know that it is a member: else it would not vote.
-	if peer.match < n.log.lastMembership().index || !peer.keepsUp(n.now, n.config.ElectionTimeout) {
-		return &LearnerBehindError{ID: id, Match: peer.match, Target: peer.catchUpTarget}
-	}
-	return nil
-}
-
-// syncProgress brings the peers in line with the newest membership.
-func (n *Node) syncProgress() {
-	state := &n.leaderState
-	membership := n.membership()
-	var peers []*progress
-	for _, member := range membership.Members {
-		if member.ID == n.config.ID {
-			continue
-		}
-		peer := n.progressOf(member.ID)
-		if peer == nil {
-			peer = &progress{id: member.ID, next: n.log.lastIndex() + 1, lastContact: n.now, catchUpTarget: n.log.lastIndex(), catchUpStartedAt: n.now,
-				catchUpDuration: Never}
-		}
-		peers = append(peers, peer)
-	}
-	for _, peer := range state.peers {
-		if !membership.has(peer.id) {
-			state.removed = append(state.removed, peer)
-		}
-	}
-	state.peers = peers
-}
-
-// completeMembershipChange leaves a committed joint membership, and lets members go that a committed membership no longer
-// has, this leader included.
-func (n *Node) completeMembershipChange() {
-	state := &n.leaderState
-	if n.log.lastMembership().index > n.log.commit {
-		return
-	}
-	if present := n.membership(); present.Joint() {
-		n.appendEntry(EntryMembership, EncodeMembership(present.withoutOutgoing()))
-		return
-	}
-	for _, peer := range state.removed {
-		n.notifyRemoved(peer)
-	}
-	state.removed = nil
-	if n.membership().isVoter(n.config.ID) {
-		return
-	}
-	if peer := n.progressOf(n.bestTransferee()); peer != nil && peer.match == n.log.lastIndex() {
-		n.sendEarly(Message{Kind: MessageTimeoutNow, To: peer.id})
-	}
-	n.becomeFollower(n.term, 0)
-}
-
-// notifyRemoved tells a former member, once, that it was removed, so that it does not go on standing for election. This
-// must not happen earlier: before the removal is committed its vote may be needed, which it would no longer give.
-func (n *Node) notifyRemoved(peer *progress) {
-	term, known := n.log.term(peer.next - 1)
-	if !known {
-		return
-	}
-	n.sendEarly(Message{Kind: MessageAppend, To: peer.id, Index: peer.next - 1, LogTerm: term, Commit: n.log.commit,
-		Entries: n.log.slice(peer.next, n.config.MaxAppendBytes)})
-}
--- a/internal/system/consensus/check.go
+++ b/internal/system/consensus/message.go
@@ -1,15 +1,48 @@
+// Package consensus has replicas agree on a sequence of entries: leader election with pre-votes, log replication,
+// changes of membership, by single steps or through joint
+// consensus, with learners, snapshots, linearizable reads and transfer of leadership. It is a pure
+// state machine after the Raft protocol (Ongaro and Ousterhout, 2014): messages and time go in, messages and writes come
+// out. It does no I/O, has no clock, and draws its random numbers from a given seed.
 package consensus
 
 import "fmt"
 
-// maxNumber bounds terms and indexes, so that adding to them never wraps around.
-const maxNumber = 1 << 62
+// MessageKind says what a message is for.
+type MessageKind uint8
+
+// The kinds of message.
+const (
+	MessagePreVote MessageKind = iota
+	MessagePreVoteReply
+	MessageVote
+	MessageVoteReply
+	MessageAppend // entries, or a heartbeat without any
+	MessageAppendReply
+	MessageInstallSnapshot
+	MessageInstallSnapshotReply
+	MessageTimeoutNow // asks its receiver to stand for election at once
+)
 
-// InvalidMessageError says why a message, or a stored log, makes no sense.
-type InvalidMessageError struct{ Reason string }
+// Message goes from one replica to another of the same group.
+type Message struct {
+	Kind       MessageKind
+	From, To   ReplicaID
+	Term       uint64
+	Index      uint64 // last log index of a candidate; index before Entries; last matching index of a reply
+	LogTerm    uint64 // term of the entry at Index
+	Commit     uint64
+	Entries    []Entry
+	Snapshot   *Snapshot
+	Reject     bool
+	RejectHint uint64 // of a rejected append: where to try next
+	// Round of an append is a number that its reply repeats, which confirms leadership for reads and leases. An append
+	// without entries and with Round 0 only tells of a commit and is not answered unless it is rejected.
+	Round uint64
+	Force bool // of a vote: the leader asked for this election, so that its followers need not hold on to it
+}
 
-// Error says what happened.
-func (e *InvalidMessageError) Error() string { return "consensus: " + e.Reason }
+// maxNumber bounds terms and indexes, so that adding to them never wraps around.
+const maxNumber = 1 << 62
 
 // validate tells what does not make sense in a message by itself.
 func (m *Message) validate() error {
--- a/internal/system/consensus/machine.go
+++ b/internal/system/consensus/node.go
@@ -6,9 +6,6 @@
 	"time"
 )
 
-// Never is what Next returns while nothing is due.
-const Never = time.Duration(math.MaxInt64)
-
 const (
 	// pausedElectionTimeouts is how many election times between two calls of a Machine mean that its process stood still: it is
 	// called more often than that, unless it is cut off.
@@ -17,8 +14,8 @@
 	staleInputHeartbeats = 2
 )
 
-// leaseMarginDivisor is the part of an election time by which a lease ends early, for clocks that differ in rate.
-const leaseMarginDivisor = 10
+// Never is what Next returns while nothing is due.
+const Never = time.Duration(math.MaxInt64)
 
 // Node is one replica. It is not safe for concurrent use. Times are of a steady clock and never go back; the clocks
 // of two replicas need not agree, but must run at the same rate within a tenth.
@@ -82,32 +79,6 @@
 	return n
 }
 
-// Validate tells what does not make sense in what was stored.
-func (s PersistentState) Validate() error {
-	if s.Snapshot.Index > 0 || len(s.Snapshot.Membership.Members) > 0 {
-		if err := s.Snapshot.Membership.validate(); err != nil {
-			return err
-		}
-	}
-	before := Message{Index: s.Snapshot.Index, LogTerm: s.Snapshot.Term, Term: maxNumber, Entries: s.Entries}
-	return before.validateEntries()
-}
-
-// normalized leaves out entries that the snapshot holds, or that stem from a log that it replaced.
-func (state PersistentState) normalized() PersistentState {
-	for len(state.Entries) > 0 && state.Entries[0].Index <= state.Snapshot.Index {
-		if state.Entries[0].Index == state.Snapshot.Index && state.Entries[0].Term != state.Snapshot.Term {
-			state.Entries = nil
-			break
-		}
-		state.Entries = state.Entries[1:]
-	}
-	if len(state.Entries) > 0 && state.Entries[0].Index != state.Snapshot.Index+1 {
-		state.Entries = nil
-	}
-	return state
-}
-
 // advanceClock moves the time on. After a long gap the process may have stood still, and what comes first may have waited for
 // it: that says nothing of how things are now.
 func (n *Node) advanceClock(now time.Duration) {
@@ -117,15 +88,6 @@
 	n.now = max(n.now, now)
 }
 
-// lastCaughtUp is when this replica last held all that a leader which a majority follows had committed. A leader knows how far
-// that is once it has committed an entry of its term.
-func (n *Node) lastCaughtUp() time.Duration {
-	if n.role == Leader && n.committedInTerm() {
-		return max(n.caughtUpAt, time.Duration(n.leaderState.confirmedRound))
-	}
-	return n.caughtUpAt
-}
-
 // Tick does what is due.
 func (n *Node) Tick(now time.Duration) {
 	n.advanceClock(now)
@@ -212,30 +174,6 @@
 	return &NotLeaderError{Leader: n.leaderID}
 }
 
-// Status describes the replica as it stands.
-func (n *Node) Status() Status {
-	status := Status{ID: n.config.ID, Role: n.role, Term: n.term, Leader: n.leaderID, Commit: n.log.commit,
-		Applied: n.log.applied, LastIndex: n.log.lastIndex(), Membership: n.membership(),
-		MembershipIndex: n.log.lastMembership().index, LastLeaderContact: n.lastLeaderContact,
-		CaughtUpAt: n.lastCaughtUp()}
-	if n.role != Leader {
-		return status
-	}
-	status.LeaseExpiry = n.LeaseExpiry()
-	status.Transferring = n.leaderState.transferee != 0
-	status.LastLeaderContact = time.Duration(n.leaderState.confirmedRound)
-	status.Match = map[ReplicaID]uint64{n.config.ID: n.log.durable}
-	status.LastContact = map[ReplicaID]time.Duration{}
-	for _, peer := range n.leaderState.peers {
-		status.Match[peer.id] = peer.match
-		status.LastContact[peer.id] = peer.lastContact
-	}
-	return status
-}
-
-// Leader is who leads as far as this replica knows, 0: not known.
-func (n *Node) Leader() ReplicaID { return n.leaderID }
-
 // send queues a message that rests on what is yet to be written.
 func (n *Node) send(msg Message) {
 	msg.From = n.config.ID
--- a/internal/system/consensus/reads.go
+++ b/internal/system/consensus/read_index.go
@@ -25,12 +25,6 @@
 	n.updateConfirmedRound()
 }
 
-// committedInTerm tells whether a leader knows how far the log is committed.
-func (n *Node) committedInTerm() bool {
-	term, known := n.log.term(n.log.commit)
-	return known && term == n.term
-}
-
 // startReadRound begins a round where a read needs one. The number of a round is the time at which it began, in
 // nanoseconds, or the next one after the last round's.
 func (n *Node) startReadRound() {
@@ -87,13 +81,3 @@
 	}
 	n.leaderState.reads = nil
 }
-
-// LeaseExpiry is until when no other replica can be leader, 0 if that is not sure; see Status.LeaseExpiry. Each follower that
-// answered a round holds to this leader for an election time after it got that round's message.
-func (n *Node) LeaseExpiry() time.Duration {
-	state := &n.leaderState
-	if n.role != Leader || state.timeoutNowSent || state.confirmedRound == 0 {
-		return 0
-	}
-	return time.Duration(state.confirmedRound) + n.config.ElectionTimeout - n.config.ElectionTimeout/leaseMarginDivisor
-}
--- a/internal/system/consensus/ready.go
+++ b/internal/system/consensus/ready.go
@@ -1,5 +1,40 @@
 package consensus
 
+// Ready is what is to be done, in this order: send Early, write Snapshot, HardState and Entries and sync them (entries
+// replace whatever stands at their indexes and beyond), call Persisted, send Messages, apply Snapshot and Committed,
+// answer Reads, compact.
+//
+// Readies are done in the order in which they were returned, and the next one may be asked for while the writes of
+// earlier ones are under way. Messages of one are sent only after its writes and those of all earlier ones are synced.
+// A write that failed is to be tried again, or the machine made anew from what is stored; it can't be left out.
+// Nothing in a Ready may be changed.
+type Ready struct {
+	HardState        *HardState
+	Snapshot         *Snapshot // received from the leader: replaces log and state
+	Entries          []Entry
+	EarlyMessages    []Message // may be sent before the writes are synced
+	Messages         []Message
+	CommittedEntries []Entry
+	ReadStates       []ReadState
+	CompactIndex     uint64 // above 0: make a snapshot at this applied index, store it (see Machine.Snapshot), call Compacted
+	MustSync         bool   // false: HardState, if any, differs in Commit alone and may wait for the next write
+
+	sequence uint64 // counts the ones with writes, 0: none
+}
+
+// Empty tells whether nothing is to be done.
+func (r Ready) Empty() bool {
+	return r.HardState == nil && r.Snapshot == nil && len(r.Entries) == 0 && len(r.EarlyMessages) == 0 && len(r.Messages) == 0 &&
+		len(r.CommittedEntries) == 0 && len(r.ReadStates) == 0 && r.CompactIndex == 0
+}
+
+// ReadState says that the state machine may be read for Token once Index is applied.
+type ReadState struct {
+	Token uint64
+	Index uint64
+	Err   error // *NotLeaderError: leadership was not confirmed
+}
+
 // Ready returns what is to be done and has not been returned before.
 func (n *Node) Ready() Ready {
 	n.flushMessages()
@@ -47,43 +82,3 @@
 		n.advanceCommit()
 	}
 }
-
-// nextCompaction is the applied index at which a snapshot is wanted, or 0.
-func (n *Node) nextCompaction() uint64 {
-	applied := n.log.applied
-	if n.config.SnapshotThreshold == 0 || len(n.log.membershipAt(applied).Members) == 0 {
-		return 0
-	}
-	if applied < max(n.log.snapshot.Index, n.compactRequested)+n.config.SnapshotThreshold {
-		return 0
-	}
-	n.compactRequested = applied
-	return applied
-}
-
-// CreateSnapshot returns the snapshot to store for an applied index, with the state machine's data. It tells false if the
-// index is not between the last snapshot and what was applied, or if the membership at the index is not known here: a
-// replica that was taken in later than the group's founding has the log from its start, and learns the members from an
-// entry in it.
-func (n *Node) CreateSnapshot(index uint64, data []byte) (Snapshot, bool) {
-	term, known := n.log.term(index)
-	if !known || index <= n.log.snapshot.Index || index > n.log.applied {
-		return Snapshot{}, false
-	}
-	membership := n.log.membershipAt(index)
-	if len(membership.Members) == 0 {
-		return Snapshot{}, false
-	}
-	return Snapshot{Index: index, Term: term, Membership: membership, Data: data}, true
-}
-
-// Compact says that the snapshot at an index was stored. The log is cut up to there but for a tail, kept for slow
-// followers: a quarter of Options.SnapshotThreshold, with tailBytes of data at most (0: no bound). Data may be nil to save
-// memory: messages that install the snapshot then come without it, and the driver puts what it has stored, of this index
-// or a later one, in place of Message.Snapshot as it sends them.
-func (n *Node) Compact(index uint64, data []byte, tailBytes int) {
-	snapshot, ok := n.CreateSnapshot(index, data)
-	if ok {
-		n.log.compact(snapshot, n.config.SnapshotThreshold/4, tailBytes)
-	}
-}
--- /dev/null
+++ b/internal/system/consensus/scripted_node_test.go
@@ -0,0 +1,209 @@
+package consensus
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+const (
+	testHeartbeat = 150 * time.Millisecond
+	testElection  = 700 * time.Millisecond
+)
+
+// scriptedNode drives one machine by hand and keeps what it puts out.
+type scriptedNode struct {
+	t         *testing.T
+	node      *Node
+	now       time.Duration
+	sent      []Message
+	log       []Entry
+	hardState HardState
+
+	committed    []Entry
+	readStates   []ReadState
+	compactIndex uint64
+	restored     *Snapshot
+}
+
+func voters(ids ...ReplicaID) (s Membership) {
+	for _, id := range ids {
+		s.Members = append(s.Members, Member{ID: id, Voter: true})
+	}
+	return s
+}
+
+func withMembers(s Membership, members ...Member) Membership {
+	return Membership{Members: append(slices.Clone(s.Members), members...)}
+}
+
+// entries are one for each term, from an index on.
+func entries(from uint64, terms ...uint64) (all []Entry) {
+	for i, term := range terms {
+		all = append(all, Entry{Index: from + uint64(i), Term: term, Data: []byte(fmt.Sprint(term))})
+	}
+	return all
+}
+
+func membershipEntry(index, term uint64, s Membership) Entry {
+	return Entry{Index: index, Term: term, Kind: EntryMembership, Data: EncodeMembership(s)}
+}
+
+// newScript starts replica 1 from what was stored, long enough ago that no lease may rest on it.
+func newScript(t *testing.T, s PersistentState) *scriptedNode {
+	script := &scriptedNode{t: t, hardState: s.HardState, log: s.Entries}
+	script.node = New(0, Config{ID: 1, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: 1, MaxAppendBytes: 64,
+		MaxInflightAppends: 2, SnapshotThreshold: 8}, s)
+	script.now = testElection
+	return script
+}
+
+func foundingState(ids ...ReplicaID) PersistentState {
+	return PersistentState{Snapshot: Snapshot{Membership: voters(ids...)}}
+}
+
+// process does what the machine wants done, its writes included unless held.
+func (s *scriptedNode) process() []Message {
+	s.t.Helper()
+	s.sent = nil
+	for r := s.node.Ready(); !r.Empty(); r = s.node.Ready() {
+		s.record(r)
+		s.node.MarkPersisted(r)
+	}
+	return s.sent
+}
+
+func (s *scriptedNode) record(r Ready) {
+	s.sent = append(s.sent, r.EarlyMessages...)
+	s.sent = append(s.sent, r.Messages...)
+	if r.Snapshot != nil {
+		s.restored = r.Snapshot
+		s.log = nil
+	}
+	if len(r.Entries) > 0 {
+		s.log = slices.DeleteFunc(s.log, func(e Entry) bool { return e.Index >= r.Entries[0].Index })
+		s.log = append(s.log, r.Entries...)
+	}
+	if r.HardState != nil {
+		s.hardState = *r.HardState
+	}
+	s.committed = append(s.committed, r.CommittedEntries...)
+	s.readStates = append(s.readStates, r.ReadStates...)
+	s.compactIndex = max(s.compactIndex, r.CompactIndex)
+}
+
+func (s *scriptedNode) step(msg Message) []Message {
+	s.t.Helper()
+	msg.To = 1
+	s.node.Step(s.now, msg)
+	return s.process()
+}
+
+// tickWhenDue lets time pass up to the machine's next due time.
+func (s *scriptedNode) tickWhenDue() []Message {
+	s.t.Helper()
+	if s.node.NextTick() == Never {
+		s.t.Fatal("nothing is due")
+	}
+	s.now = max(s.now, s.node.NextTick())
+	s.node.Tick(s.now)
+	return s.process()
+}
+
+// becomeLeader has the machine elected, with the first of the voters granting.
+func (s *scriptedNode) becomeLeader() []Message {
+	s.t.Helper()
+	s.tickWhenDue()
+	s.grantAll(MessagePreVoteReply, s.node.term+1)
+	term := s.node.term
+	s.grantAll(MessageVoteReply, term)
+	if s.node.role != Leader {
+		s.t.Fatalf("not elected: %+v", s.node.Status())
+	}
+	return s.sent
+}
+
+func (s *scriptedNode) grantAll(kind MessageKind, term uint64) {
+	var all []Message
+	for _, member := range s.node.membership().Members {
+		if member.ID != 1 && member.Voter && s.node.role != Leader {
+			all = append(all, s.step(Message{Kind: kind, From: member.ID, Term: term})...)
+		}
+	}
+	s.sent = all
+}
+
+// acknowledge answers an append as a replica that took all of it.
+func acknowledge(msg Message) Message {
+	return Message{Kind: MessageAppendReply, From: msg.To, Term: msg.Term, Index: msg.Index + uint64(len(msg.Entries)),
+		Round: msg.Round}
+}
+
+func (s *scriptedNode) onlyMessage(kind MessageKind, to ReplicaID, msgs []Message) Message {
+	s.t.Helper()
+	var found []Message
+	for _, msg := range msgs {
+		if msg.Kind == kind && msg.To == to {
+			found = append(found, msg)
+		}
+	}
+	if len(found) != 1 {
+		s.t.Fatalf("%d messages of kind %d to %d in %+v", len(found), kind, to, msgs)
+	}
+	return found[0]
+}
+
+func (s *scriptedNode) expect(what string, got, want any) {
+	s.t.Helper()
+	if fmt.Sprint(got) != fmt.Sprint(want) {
+		s.t.Errorf("%s: got %v, want %v", what, got, want)
+	}
+}
+
+func termsOf(log []Entry) (all []uint64) {
+	for _, entry := range log {
+		all = append(all, entry.Term)
+	}
+	return all
+}
+
+// newLeader is replica 1 of three, elected, with its first entry committed.
+func newLeader(t *testing.T) *scriptedNode {
+	script := newScript(t, foundingState(1, 2, 3))
+	for _, msg := range script.becomeLeader() {
+		script.step(acknowledge(msg))
+	}
+	script.process()
+	return script
+}
+
+// catchUp has all answer all appends until nothing is sent any more.
+func (s *scriptedNode) catchUp(msgs []Message, but ...ReplicaID) {
+	s.t.Helper()
+	for len(msgs) > 0 {
+		msg := msgs[0]
+		msgs = msgs[1:]
+		skip := msg.Kind != MessageAppend || msg.Round == 0
+		for _, id := range but {
+			skip = skip || msg.To == id
+		}
+		if !skip {
+			msgs = append(msgs, s.step(acknowledge(msg))...)
+		}
+	}
+}
+
+func (s *scriptedNode) changeMembership(to Membership) []Message {
+	s.t.Helper()
+	if err := s.node.ChangeMembership(s.now, to); err != nil {
+		s.t.Fatal(err)
+	}
+	return s.process()
+}
+
+// jointTestMembership is a joint membership: 1, 2 and 3 voted, and 1, 4 and 5 are to vote.
+func jointTestMembership() Membership {
+	return Membership{Members: []Member{{ID: 1, Voter: true, Outgoing: true}, {ID: 2, Outgoing: true}, {ID: 3, Outgoing: true},
+		{ID: 4, Voter: true}, {ID: 5, Voter: true}}}
+}
--- a/internal/system/consensus/cluster_world_test.go
+++ b/internal/system/consensus/simulation_test.go
@@ -69,11 +69,15 @@
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
+
 func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
+
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(v any)   { *h = append(*h, v.(event)) }
+
+func (h *eventHeap) Push(v any) { *h = append(*h, v.(event)) }
+
 func (h *eventHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
