--- a/cmd/cinderctl/check.go
+++ b/cmd/cinderctl/check.go
@@ -33,16 +33,16 @@
 	Version  uint64          `json:"version,omitempty"`
 	Routes   int             `json:"routes,omitempty"`
 	Services int             `json:"services,omitempty"`
-	Findings []findingReport `json:"findings"`
+	Problems []problemReport `json:"findings"`
 	Omitted  int             `json:"omitted,omitempty"` // findings that are not listed
 }
 
-// findingReport is a finding with the line and column where its value begins, if it has one.
-type findingReport struct {
-	Place   string `json:"place"`
+// problemReport is a finding with the line and column where its value begins, if it has one.
+type problemReport struct {
+	Path    string `json:"place"`
 	Line    int    `json:"line,omitempty"`
 	Column  int    `json:"column,omitempty"`
-	Problem string `json:"problem"`
+	Message string `json:"problem"`
 }
 
 // Run checks all files and prints what was found.
@@ -60,7 +60,7 @@
 		}
 		report := checkFile(file, c.kindOf(body), body, base)
 		reports = append(reports, report)
-		if len(report.Findings) > 0 {
+		if len(report.Problems) > 0 {
 			bad++
 		}
 	}
@@ -68,7 +68,7 @@
 		return err
 	}
 	if bad > 0 {
-		return &refusedError{what: strconv.Itoa(bad) + " of " + strconv.Itoa(len(reports)) + " files are invalid"}
+		return &rejectedError{message: strconv.Itoa(bad) + " of " + strconv.Itoa(len(reports)) + " files are invalid"}
 	}
 	return nil
 }
@@ -107,59 +107,59 @@
 }
 
 func checkFile(file, kind string, body []byte, base *configuration.Document) *fileReport {
-	report := &fileReport{File: file, Kind: kind, Findings: []findingReport{}}
+	report := &fileReport{File: file, Kind: kind, Problems: []problemReport{}}
 	switch kind {
 	case kindSettings:
 		_, err := processconfig.Parse(body)
-		report.take(err, body)
+		report.addError(err, body)
 	case kindChange:
-		report.takeChange(body, base)
+		report.addChange(body, base)
 	default:
 		document, err := configuration.ParseAndValidate(body, 0)
-		report.takeDocument(document)
-		report.take(err, body)
+		report.setDocument(document)
+		report.addError(err, body)
 	}
 	return report
 }
 
-func (r *fileReport) takeChange(body []byte, base *configuration.Document) {
+func (r *fileReport) addChange(body []byte, base *configuration.Document) {
 	if base == nil {
 		change, err := configuration.ParseChange(body)
 		if change != nil {
 			r.Version = change.Version()
 		}
-		r.take(err, body)
+		r.addError(err, body)
 		return
 	}
 	document, err := configuration.ApplyAndValidate(body, base)
-	r.takeDocument(document)
-	r.take(err, body)
+	r.setDocument(document)
+	r.addError(err, body)
 }
 
-func (r *fileReport) takeDocument(document *configuration.Document) {
+func (r *fileReport) setDocument(document *configuration.Document) {
 	if document == nil {
 		return
 	}
 	r.Version, r.Routes, r.Services = document.Version(), len(document.Routes()), len(document.Services())
 }
 
-func (r *fileReport) take(err error, body []byte) {
+func (r *fileReport) addError(err error, body []byte) {
 	var list validation.Problems
 	list.AddError(err)
-	var found *validation.Error
-	if !errors.As(list.Err(), &found) {
+	var invalid *validation.Error
+	if !errors.As(list.Err(), &invalid) {
 		return
 	}
-	r.Omitted = found.Omitted
-	for _, finding := range found.Problems {
-		line, column := lineOf(body, finding.Offset)
-		r.Findings = append(r.Findings, findingReport{Place: finding.Path, Line: line, Column: column,
-			Problem: finding.Message})
+	r.Omitted = invalid.Omitted
+	for _, problem := range invalid.Problems {
+		line, column := position(body, problem.Offset)
+		r.Problems = append(r.Problems, problemReport{Path: problem.Path, Line: line, Column: column,
+			Message: problem.Message})
 	}
 }
 
-// lineOf returns the line and column, counted from 1, of an offset; 0 for none.
-func lineOf(body []byte, offset int) (line, column int) {
+// position returns the line and column, counted from 1, of an offset; 0 for none.
+func position(body []byte, offset int) (line, column int) {
 	if offset < 0 || offset > len(body) {
 		return 0, 0
 	}
@@ -180,18 +180,18 @@
 }
 
 func (s *session) printReport(report *fileReport) error {
-	if len(report.Findings) == 0 {
+	if len(report.Problems) == 0 {
 		return s.printLine("%s: %s", report.File, report.summary())
 	}
-	for _, finding := range report.Findings {
+	for _, problem := range report.Problems {
 		place := report.File
-		if finding.Line > 0 {
-			place += ":" + strconv.Itoa(finding.Line) + ":" + strconv.Itoa(finding.Column)
+		if problem.Line > 0 {
+			place += ":" + strconv.Itoa(problem.Line) + ":" + strconv.Itoa(problem.Column)
 		}
-		if finding.Place != "" {
-			place += ": " + finding.Place
+		if problem.Path != "" {
+			place += ": " + problem.Path
 		}
-		if err := s.printLine("%s: %s", place, finding.Problem); err != nil {
+		if err := s.printLine("%s: %s", place, problem.Message); err != nil {
 			return err
 		}
 	}
--- a/cmd/cinderctl/main.go
+++ b/cmd/cinderctl/main.go
@@ -21,9 +21,9 @@
 
 // Exit statuses.
 const (
-	exitFine    = 0
-	exitRefused = 1 // findings, or a refusal
-	exitFailed  = 2
+	exitOK       = 0
+	exitRejected = 1 // findings, or a refusal
+	exitFailed   = 2
 )
 
 // commandLine are the commands and the flags that all of them take.
@@ -45,14 +45,14 @@
 	context context.Context
 	flags   *commandLine
 	output  io.Writer
-	pause   func(ctx context.Context, d time.Duration) // nil: the client's own
+	sleep   func(ctx context.Context, d time.Duration) // nil: the client's own
 }
 
-// refusedError says that the command worked and that its answer is no: it is printed already.
-type refusedError struct{ what string }
+// rejectedError says that the command worked and that its answer is no: it is printed already.
+type rejectedError struct{ message string }
 
 // Error is what was refused.
-func (e *refusedError) Error() string { return e.what }
+func (e *rejectedError) Error() string { return e.message }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -61,38 +61,38 @@
 }
 
 // run is the program. It returns its exit status.
-func run(ctx context.Context, arguments []string, output, problems io.Writer,
-	pause func(context.Context, time.Duration)) (status int) {
+func run(ctx context.Context, arguments []string, output, errOutput io.Writer,
+	sleep func(context.Context, time.Duration)) (status int) {
 	var flags commandLine
 	ended := -1
-	parser, err := kong.New(&flags, kong.Name("cinderctl"), kong.Writers(output, problems),
+	parser, err := kong.New(&flags, kong.Name("cinderctl"), kong.Writers(output, errOutput),
 		kong.Exit(func(status int) { ended = status }),
 		kong.Description("Operator's tool of the system: checks files, reads state, sends orders."))
 	if err != nil {
-		return fail(problems, err)
+		return fail(errOutput, err)
 	}
 	parsed, err := parser.Parse(arguments)
 	if ended >= 0 {
 		return ended // help was asked for, and printed
 	}
 	if err != nil {
-		return fail(problems, err)
+		return fail(errOutput, err)
 	}
-	err = parsed.Run(&session{context: ctx, flags: &flags, output: output, pause: pause})
-	var refused *refusedError
-	var refusedByMachine *client.RefusedError
+	err = parsed.Run(&session{context: ctx, flags: &flags, output: output, sleep: sleep})
+	var rejected *rejectedError
+	var rejectedByMachine *client.RejectedError
 	switch {
 	case err == nil:
-		return exitFine
-	case errors.As(err, &refused), errors.As(err, &refusedByMachine):
-		fail(problems, err)
-		return exitRefused
+		return exitOK
+	case errors.As(err, &rejected), errors.As(err, &rejectedByMachine):
+		fail(errOutput, err)
+		return exitRejected
 	}
-	return fail(problems, err)
+	return fail(errOutput, err)
 }
 
-func fail(problems io.Writer, err error) int {
-	fmt.Fprintf(problems, "cinderctl: %v\n", err) //nolint:errcheck // there is nobody left to tell
+func fail(errOutput io.Writer, err error) int {
+	fmt.Fprintf(errOutput, "cinderctl: %v\n", err) //nolint:errcheck // there is nobody left to tell
 	return exitFailed
 }
 
@@ -113,7 +113,7 @@
 		}
 	}
 	if len(machines) == 0 {
-		return nil, client.ErrNoMachines
+		return nil, client.ErrNoAddresses
 	}
-	return &client.Client{Machines: machines, Within: s.flags.Within, Pause: s.pause}, nil
+	return &client.Client{Addresses: machines, Timeout: s.flags.Within, Sleep: s.sleep}, nil
 }
--- a/cmd/cinderctl/main_test.go
+++ b/cmd/cinderctl/main_test.go
@@ -32,8 +32,8 @@
 
 // result is how a call of the program ended.
 type result struct {
-	status           int
-	output, problems string
+	status            int
+	output, errOutput string
 }
 
 func call(arguments ...string) result {
@@ -42,7 +42,7 @@
 	return result{status, output.String(), problems.String()}
 }
 
-func write(t *testing.T, name, body string) string {
+func writeFile(t *testing.T, name, body string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(body), 0o600); err != nil {
@@ -51,70 +51,70 @@
 	return path
 }
 
-// want checks an ended call: its status, and texts that its output or its problems hold.
-func (r result) want(t *testing.T, status int, texts ...string) {
+// expect checks an ended call: its status, and texts that its output or its problems hold.
+func (r result) expect(t *testing.T, status int, texts ...string) {
 	t.Helper()
 	if r.status != status {
-		t.Errorf("status %d, want %d; output %q, problems %q", r.status, status, r.output, r.problems)
+		t.Errorf("status %d, want %d; output %q, problems %q", r.status, status, r.output, r.errOutput)
 	}
 	for _, text := range texts {
-		if !strings.Contains(r.output+r.problems, text) {
-			t.Errorf("%q is missing in output %q, problems %q", text, r.output, r.problems)
+		if !strings.Contains(r.output+r.errOutput, text) {
+			t.Errorf("%q is missing in output %q, problems %q", text, r.output, r.errOutput)
 		}
 	}
 }
 
-func TestCheckOfValidFiles(t *testing.T) {
-	document := write(t, "c.json", validDocument)
-	call("check", document, write(t, "s.json", strings.ReplaceAll(validSettings, "SEED", "10.0.0.2:80")),
-		write(t, "d.json", validChange)).
-		want(t, exitFine, "version 3, 1 routes, 1 services", "valid settings", "change to version 4")
-	call("check", "--on", document, write(t, "d.json", validChange)).want(t, exitFine, "version 4, 0 routes")
+func TestCheckValidFiles(t *testing.T) {
+	document := writeFile(t, "c.json", validDocument)
+	call("check", document, writeFile(t, "s.json", strings.ReplaceAll(validSettings, "SEED", "10.0.0.2:80")),
+		writeFile(t, "d.json", validChange)).
+		expect(t, exitOK, "version 3, 1 routes, 1 services", "valid settings", "change to version 4")
+	call("check", "--on", document, writeFile(t, "d.json", validChange)).expect(t, exitOK, "version 4, 0 routes")
 }
 
-func TestCheckReportsAllFindingsWithPlaces(t *testing.T) {
-	bad := write(t, "c.json", unknownService)
-	call("check", bad).want(t, exitRefused, "routes[0].timeout_ms", "routes[0].service", "1 of 1 files are invalid")
-	misread := write(t, "m.json", strings.Replace(validDocument, "1000", "true", 1))
-	call("check", misread).want(t, exitRefused, misread+":2:14: routes[0].timeout_ms: ")
-	call("check", write(t, "s.json", `{"node":"","free_ports":[3,1]}`)).want(t, exitRefused, "node: ", "ip: ", "free_ports: ")
-	call("check", write(t, "x.json", "{")).want(t, exitRefused, "is not JSON")
+func TestCheckReportsAllProblems(t *testing.T) {
+	bad := writeFile(t, "c.json", unknownService)
+	call("check", bad).expect(t, exitRejected, "routes[0].timeout_ms", "routes[0].service", "1 of 1 files are invalid")
+	misread := writeFile(t, "m.json", strings.Replace(validDocument, "1000", "true", 1))
+	call("check", misread).expect(t, exitRejected, misread+":2:14: routes[0].timeout_ms: ")
+	call("check", writeFile(t, "s.json", `{"node":"","free_ports":[3,1]}`)).expect(t, exitRejected, "node: ", "ip: ", "free_ports: ")
+	call("check", writeFile(t, "x.json", "{")).expect(t, exitRejected, "is not JSON")
 	var reports []fileReport
 	got := call("--json", "check", bad)
 	if err := json.Unmarshal([]byte(got.output), &reports); err != nil {
 		t.Fatal(err, got.output)
 	}
-	if len(reports) != 1 || reports[0].Kind != kindConfiguration || len(reports[0].Findings) < 2 {
+	if len(reports) != 1 || reports[0].Kind != kindConfiguration || len(reports[0].Problems) < 2 {
 		t.Errorf("reports %+v", reports)
 	}
 }
 
-func TestCheckOfAMissingFile(t *testing.T) {
-	call("check", filepath.Join(t.TempDir(), "none")).want(t, exitFailed, "no such file")
+func TestCheckMissingFile(t *testing.T) {
+	call("check", filepath.Join(t.TempDir(), "none")).expect(t, exitFailed, "no such file")
 }
 
-func TestMistakesInUse(t *testing.T) {
+func TestUsageErrors(t *testing.T) {
 	for _, arguments := range [][]string{{}, {"none"}, {"check"}, {"drain", "begin"}, {"status", "--none"}} {
-		call(arguments...).want(t, exitFailed)
+		call(arguments...).expect(t, exitFailed)
 	}
-	call("status", "--settings", "").want(t, exitFailed, "--seed")
-	call("--help").want(t, exitFine, "drain begin")
+	call("status", "--settings", "").expect(t, exitFailed, "--seed")
+	call("--help").expect(t, exitOK, "drain begin")
 }
 
 func TestVersion(t *testing.T) {
-	call("version").want(t, exitFine, "cinderctl ")
-	call("--json", "version").want(t, exitFine, `"go"`)
+	call("version").expect(t, exitOK, "cinderctl ")
+	call("--json", "version").expect(t, exitOK, `"go"`)
 }
 
-// control is a stand-in for a control machine: it holds a version and takes orders on top of it.
-type control struct {
+// fakeControl is a stand-in for a control machine: it holds a version and takes orders on top of it.
+type fakeControl struct {
 	version string
-	orders  []string
+	bodies  []string
 	zones   []string
-	seen    status.Control
+	status  status.Control
 }
 
-func (c *control) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *fakeControl) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch path := r.URL.Path; {
 	case path == api.PathRead && c.version == "":
 		w.WriteHeader(http.StatusNotFound)
@@ -127,90 +127,90 @@
 		w.WriteHeader(http.StatusNotFound)
 		io.WriteString(w, `{"error":{"code":"not_found","message":"there is no zone"}}`)
 	case path == api.PathStatus:
-		json.NewEncoder(w).Encode(&c.seen)
+		json.NewEncoder(w).Encode(&c.status)
 	default:
 		c.zones = append(c.zones, path)
 		io.WriteString(w, `{"zone":"z","evacuated":true}`)
 	}
 }
 
-func (c *control) order(w http.ResponseWriter, r *http.Request) {
+func (c *fakeControl) order(w http.ResponseWriter, r *http.Request) {
 	if based := r.Header.Get(api.HeaderBasedOn); based != c.version && based != "0" {
 		w.WriteHeader(http.StatusPreconditionFailed)
 		io.WriteString(w, `{"error":{"message":"another version is in force: `+c.version+`"}}`)
 		return
 	}
 	body, _ := io.ReadAll(r.Body)
-	c.orders = append(c.orders, string(body))
+	c.bodies = append(c.bodies, string(body))
 	var document struct{ Version json.Number }
 	json.Unmarshal(body, &document)
 	c.version = document.Version.String()
 	io.WriteString(w, `{"version":`+c.version+`}`)
 }
 
-func (c *control) serve(t *testing.T) string {
+func (c *fakeControl) serve(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(c)
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestConfigurationIsReplacedChangedAndRead(t *testing.T) {
-	c := &control{}
+func TestConfigCommands(t *testing.T) {
+	c := &fakeControl{}
 	seed := "--seed=" + c.serve(t)
-	call(seed, "config", "read").want(t, exitRefused, "no configuration yet")
-	call(seed, "config", "replace", write(t, "c.json", validDocument)).want(t, exitFine, "version 3 is acknowledged")
-	call(seed, "config", "change", write(t, "d.json", validChange)).want(t, exitFine, "version 4 is acknowledged")
-	if len(c.orders) != 2 || c.orders[0] != validDocument || c.orders[1] != validChange {
-		t.Errorf("orders %q", c.orders)
+	call(seed, "config", "read").expect(t, exitRejected, "no configuration yet")
+	call(seed, "config", "replace", writeFile(t, "c.json", validDocument)).expect(t, exitOK, "version 3 is acknowledged")
+	call(seed, "config", "change", writeFile(t, "d.json", validChange)).expect(t, exitOK, "version 4 is acknowledged")
+	if len(c.bodies) != 2 || c.bodies[0] != validDocument || c.bodies[1] != validChange {
+		t.Errorf("orders %q", c.bodies)
 	}
-	call(seed, "config", "read").want(t, exitFine, `{"version":4}`)
-	call(seed, "--json", "config", "read").want(t, exitFine, `"version": 4`, `"configuration": {`)
-	call(seed, "config", "change", "--based-on", "3", write(t, "d.json", validChange)).
-		want(t, exitRefused, "412", "another version is in force: 4")
+	call(seed, "config", "read").expect(t, exitOK, `{"version":4}`)
+	call(seed, "--json", "config", "read").expect(t, exitOK, `"version": 4`, `"configuration": {`)
+	call(seed, "config", "change", "--based-on", "3", writeFile(t, "d.json", validChange)).
+		expect(t, exitRejected, "412", "another version is in force: 4")
 }
 
 func TestInvalidConfigurationIsNotSent(t *testing.T) {
-	c := &control{}
+	c := &fakeControl{}
 	seed := "--seed=" + c.serve(t)
-	bad := write(t, "c.json", unknownService)
-	call(seed, "config", "replace", bad).want(t, exitRefused, "was not sent", "routes[0].service")
-	if len(c.orders) != 0 {
-		t.Fatalf("orders %q", c.orders)
+	bad := writeFile(t, "c.json", unknownService)
+	call(seed, "config", "replace", bad).expect(t, exitRejected, "was not sent", "routes[0].service")
+	if len(c.bodies) != 0 {
+		t.Fatalf("orders %q", c.bodies)
 	}
-	call(seed, "config", "replace", "--no-check", bad).want(t, exitFine)
+	call(seed, "config", "replace", "--no-check", bad).expect(t, exitOK)
 }
 
 func TestDrain(t *testing.T) {
-	c := &control{}
+	c := &fakeControl{}
 	seed := "--seed=" + c.serve(t)
-	call(seed, "drain", "begin", "z").want(t, exitFine, "zone z is evacuated")
-	call(seed, "--json", "drain", "finish", "z").want(t, exitFine, `"evacuated": false`)
-	call(seed, "drain", "begin", "unknown").want(t, exitRefused, "there is no zone")
+	call(seed, "drain", "begin", "z").expect(t, exitOK, "zone z is evacuated")
+	call(seed, "--json", "drain", "finish", "z").expect(t, exitOK, `"evacuated": false`)
+	call(seed, "drain", "begin", "unknown").expect(t, exitRejected, "there is no zone")
 	if len(c.zones) != 2 || c.zones[0] != api.PathDrainBegin+"z" || c.zones[1] != api.PathDrainFinish+"z" {
 		t.Errorf("calls %q", c.zones)
 	}
 }
 
-func TestSeedsComeFromTheSettings(t *testing.T) {
-	c := &control{version: "8"}
-	file := write(t, "s.json", strings.ReplaceAll(validSettings, "SEED", c.serve(t)))
-	call("--settings", file, "config", "read").want(t, exitFine, `{"version":8}`)
+func TestSeedsFromSettings(t *testing.T) {
+	c := &fakeControl{version: "8"}
+	file := writeFile(t, "s.json", strings.ReplaceAll(validSettings, "SEED", c.serve(t)))
+	call("--settings", file, "config", "read").expect(t, exitOK, `{"version":8}`)
 }
 
-func TestNoMachineAnswers(t *testing.T) {
+func TestNoMachineResponds(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
-	call("--within=1ms", "--seed="+strings.TrimPrefix(server.URL, "http://"), "status").want(t, exitFailed, "no clear answer")
+	call("--within=1ms", "--seed="+strings.TrimPrefix(server.URL, "http://"), "status").expect(t, exitFailed, "no clear answer")
 }
 
-func TestStatusAsksEachControlMachine(t *testing.T) {
-	first, second := &control{seen: seenBy("core-1", true)}, &control{seen: seenBy("core-2", false)}
+func TestStatusQueriesEachMachine(t *testing.T) {
+	first, second := &fakeControl{status: newStatus("core-1", true)}, &fakeControl{status: newStatus("core-2", false)}
 	port := serveBoth(t, first, second)
 	seed := "--seed=127.0.1.1:" + port
-	call(seed, "status").want(t, exitFine, "core-1", "core-2", "holds it, list 120ms old", "voter", "leader",
+	call(seed, "status").expect(t, exitOK, "core-1", "core-2", "holds it, list 120ms old", "voter", "leader",
 		"127.0.1.3:"+port+" does not answer")
-	call(seed, "status", "--members").want(t, exitFine, "edge-1", "FOLLOWER", "suspect")
+	call(seed, "status", "--members").expect(t, exitOK, "edge-1", "FOLLOWER", "suspect")
 	var report statusReport
 	got := call(seed, "--json", "status")
 	if err := json.Unmarshal([]byte(got.output), &report); err != nil {
@@ -248,30 +248,30 @@
 }
 
 // Guards against a follower that went from one machine to another being held to be behind at the first.
-func TestFollowerStandsWhereItAskedLast(t *testing.T) {
-	first := &status.Control{Followers: []status.Follower{{Node: "a", Behind: true, AskedMS: 900}, {Node: "b", AskedMS: 5}}}
-	second := &status.Control{Followers: []status.Follower{{Node: "a", AskedMS: 100}}}
-	keepLatest([]*status.Control{first, second})
+func TestOutdatedFollowersAreDropped(t *testing.T) {
+	first := &status.Control{Followers: []status.Follower{{Node: "a", Behind: true, SinceLastCallMS: 900}, {Node: "b", SinceLastCallMS: 5}}}
+	second := &status.Control{Followers: []status.Follower{{Node: "a", SinceLastCallMS: 100}}}
+	dropOutdatedFollowers([]*status.Control{first, second})
 	if len(first.Followers) != 1 || first.Followers[0].Node != "b" || len(second.Followers) != 1 {
 		t.Errorf("followers %+v and %+v", first.Followers, second.Followers)
 	}
 }
 
-func seenBy(node string, leads bool) status.Control {
-	partition := status.Partition{Replica: "0b", Role: "follower", Term: 5, Leader: "0a", Commit: 9, Applied: 9, Last: 9,
+func newStatus(node string, leads bool) status.Control {
+	partition := status.Partition{Replica: "0b", Role: "follower", Term: 5, Leader: "0a", CommitIndex: 9, AppliedIndex: 9, LastIndex: 9,
 		Replicas: []status.Replica{{Replica: "0a", Node: "core-1", Zone: "a", Address: "127.0.1.1:7660", Voter: true},
 			{Replica: "0b", Node: "core-2", Zone: "b", Address: "127.0.1.2:7660"}}}
 	if leads {
 		partition.Replica, partition.Role, partition.LeaseMS = "0a", "leader", 900
 	}
-	return status.Control{Node: node, Release: "abc", Version: 7, Evacuated: []string{"a"}, Proxies: 4, Ready: 3,
-		Discovery:  status.Discovery{Holder: leads, Answered: leads, ListAgeMS: 120},
+	return status.Control{Node: node, Release: "abc", Version: 7, EvacuatedZones: []string{"a"}, ActiveProxies: 4, ReadyProxies: 3,
+		Discovery:  status.Discovery{Holder: leads, ListReceived: leads, ListAgeMS: 120},
 		Partitions: []status.Partition{partition},
-		Followers:  []status.Follower{{Node: "edge-1", Configuration: 9}, {Node: "edge-2", Behind: true}},
+		Followers:  []status.Follower{{Node: "edge-1", ConfigurationIndex: 9}, {Node: "edge-2", Behind: true}},
 		Members: []status.Member{
 			{Node: "core-1", Address: "127.0.1.1", State: "alive", Role: "control", Zone: "a"},
 			{Node: "core-2", Address: "127.0.1.2", State: "alive", Role: "control", Zone: "b"},
-			{Node: "core-3", Address: "127.0.1.3", State: "suspect", SinceMS: 12345, Role: "control", Zone: "c"},
+			{Node: "core-3", Address: "127.0.1.3", State: "suspect", StateAgeMS: 12345, Role: "control", Zone: "c"},
 			{Node: "edge-1", Address: "127.0.1.9", State: "alive", Role: "edge", Zone: "a", Serving: "serving"},
 		}}
 }
--- a/cmd/cinderctl/orders.go
+++ b/cmd/cinderctl/orders.go
@@ -35,7 +35,7 @@
 		return err
 	}
 	if document.Version == 0 {
-		return &refusedError{what: "there is no configuration yet"}
+		return &rejectedError{message: "there is no configuration yet"}
 	}
 	if s.flags.JSON {
 		return s.printJSON(&readReport{Version: document.Version, Configuration: document.Body})
@@ -69,17 +69,17 @@
 	if err != nil {
 		return errors.Wrap(err, "file to send")
 	}
-	if report := checkFile(f.File, kind, body, nil); len(report.Findings) > 0 && !f.NoCheck {
+	if report := checkFile(f.File, kind, body, nil); len(report.Problems) > 0 && !f.NoCheck {
 		if err := s.printReports([]*fileReport{report}); err != nil {
 			return err
 		}
-		return &refusedError{what: f.File + " is invalid and was not sent"}
+		return &rejectedError{message: f.File + " is invalid and was not sent"}
 	}
 	caller, err := s.client()
 	if err != nil {
 		return err
 	}
-	basedOn, err := f.base(s, caller)
+	basedOn, err := f.baseVersion(s, caller)
 	if err != nil {
 		return err
 	}
@@ -87,18 +87,18 @@
 	if kind == kindChange {
 		order = caller.Change
 	}
-	receipt, err := order(s.context, basedOn, body)
+	acknowledgement, err := order(s.context, basedOn, body)
 	if err != nil {
-		return s.explain(err)
+		return s.printProblems(err)
 	}
 	if s.flags.JSON {
-		return s.printJSON(receipt)
+		return s.printJSON(acknowledgement)
 	}
-	return s.printLine("version %d is acknowledged by %s (attempt %d)", receipt.Version, receipt.Machine, receipt.Attempts)
+	return s.printLine("version %d is acknowledged by %s (attempt %d)", acknowledgement.Version, acknowledgement.Machine, acknowledgement.Attempts)
 }
 
-// base is the version that an order builds on.
-func (f *sendFlags) base(s *session, caller *client.Client) (uint64, error) {
+// baseVersion is the version that an order builds on.
+func (f *sendFlags) baseVersion(s *session, caller *client.Client) (uint64, error) {
 	if f.BasedOn != nil {
 		return *f.BasedOn, nil
 	}
@@ -109,17 +109,17 @@
 	return document.Version, nil
 }
 
-// explain prints what a refusal holds besides its message.
-func (s *session) explain(err error) error {
-	var refused *client.RefusedError
-	if !errors.As(err, &refused) {
+// printProblems prints what a refusal holds besides its message.
+func (s *session) printProblems(err error) error {
+	var rejected *client.RejectedError
+	if !errors.As(err, &rejected) {
 		return err
 	}
 	if s.flags.JSON {
-		return errors.CombineErrors(err, s.printJSON(refused.Problem))
+		return errors.CombineErrors(err, s.printJSON(rejected.Details))
 	}
-	for _, finding := range refused.Problem.Findings {
-		if printErr := s.printLine("%s: %s", orNone(finding.Place), finding.Problem); printErr != nil {
+	for _, problem := range rejected.Details.Problems {
+		if printErr := s.printLine("%s: %s", orDash(problem.Path), problem.Message); printErr != nil {
 			return errors.CombineErrors(err, printErr)
 		}
 	}
@@ -149,7 +149,7 @@
 type drainReport struct {
 	Zone      string `json:"zone"`
 	Evacuated bool   `json:"evacuated"`
-	client.Receipt
+	client.Acknowledgement
 }
 
 func (s *session) drain(zone string, begin bool) error {
@@ -157,18 +157,18 @@
 	if err != nil {
 		return err
 	}
-	receipt, err := caller.Drain(s.context, zone, begin)
+	acknowledgement, err := caller.Drain(s.context, zone, begin)
 	if err != nil {
-		return s.explain(err)
+		return s.printProblems(err)
 	}
 	if s.flags.JSON {
-		return s.printJSON(&drainReport{Zone: zone, Evacuated: begin, Receipt: *receipt})
+		return s.printJSON(&drainReport{Zone: zone, Evacuated: begin, Acknowledgement: *acknowledgement})
 	}
 	state := "taken back"
 	if begin {
 		state = "evacuated"
 	}
-	return s.printLine("zone %s is %s, acknowledged by %s (attempt %d)", zone, state, receipt.Machine, receipt.Attempts)
+	return s.printLine("zone %s is %s, acknowledged by %s (attempt %d)", zone, state, acknowledgement.Machine, acknowledgement.Attempts)
 }
 
 type versionCommand struct{}
--- a/cmd/cinderctl/print.go
+++ b/cmd/cinderctl/print.go
@@ -42,8 +42,8 @@
 	return errors.Wrap(writer.Flush(), "print")
 }
 
-// orNone is the text, or a dash for none.
-func orNone(text string) string {
+// orDash is the text, or a dash for none.
+func orDash(text string) string {
 	if text == "" {
 		return "-"
 	}
--- a/cmd/cinderctl/status.go
+++ b/cmd/cinderctl/status.go
@@ -16,8 +16,8 @@
 
 // Bounds of how long one control machine is asked for its status, once another one has answered.
 const (
-	oneMachineWithin   = 2 * time.Second
-	oneMachineAttempts = 2
+	machineTimeout  = 2 * time.Second
+	machineAttempts = 2
 )
 
 type statusCommand struct {
@@ -27,12 +27,12 @@
 
 // statusReport is the system as its control machines see it.
 type statusReport struct {
-	Machines    []*status.Control `json:"machines"`
-	Unreachable []unreachable     `json:"unreachable"`
+	Machines    []*status.Control    `json:"machines"`
+	Unreachable []unreachableMachine `json:"unreachable"`
 }
 
-// unreachable is a control machine that did not answer.
-type unreachable struct {
+// unreachableMachine is a control machine that did not answer.
+type unreachableMachine struct {
 	Address string `json:"address"`
 	Problem string `json:"problem"`
 }
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	report, err := c.gather(s, caller)
+	report, err := c.collect(s, caller)
 	if err != nil {
 		return err
 	}
@@ -53,12 +53,12 @@
 	return c.print(s, report)
 }
 
-func (c *statusCommand) gather(s *session, caller *client.Client) (*statusReport, error) {
+func (c *statusCommand) collect(s *session, caller *client.Client) (*statusReport, error) {
 	address, first, err := caller.Status(s.context)
 	if err != nil {
 		return nil, err
 	}
-	report := &statusReport{Machines: []*status.Control{first}, Unreachable: []unreachable{}}
+	report := &statusReport{Machines: []*status.Control{first}, Unreachable: []unreachableMachine{}}
 	if c.One {
 		return report, nil
 	}
@@ -71,33 +71,33 @@
 			continue
 		}
 		address := net.JoinHostPort(member.Address, port) // all machines of a system use the same ports
-		one := client.Client{Machines: []string{address}, Within: min(oneMachineWithin, s.flags.Within),
-			MostAttempts: oneMachineAttempts, Pause: s.pause}
+		one := client.Client{Addresses: []string{address}, Timeout: min(machineTimeout, s.flags.Within),
+			MaxAttempts: machineAttempts, Sleep: s.sleep}
 		_, other, err := one.Status(s.context)
 		if err != nil {
-			report.Unreachable = append(report.Unreachable, unreachable{Address: address, Problem: err.Error()})
+			report.Unreachable = append(report.Unreachable, unreachableMachine{Address: address, Problem: err.Error()})
 			continue
 		}
 		report.Machines = append(report.Machines, other)
 	}
 	slices.SortFunc(report.Machines, func(a, b *status.Control) int { return cmp.Compare(a.Node, b.Node) })
-	keepLatest(report.Machines)
+	dropOutdatedFollowers(report.Machines)
 	return report, nil
 }
 
-// keepLatest has each follower stand at the machine alone that it asked last: it may have left another one just now.
-func keepLatest(machines []*status.Control) {
+// dropOutdatedFollowers has each follower stand at the machine alone that it asked last: it may have left another one just now.
+func dropOutdatedFollowers(machines []*status.Control) {
 	latest := map[string]int64{}
 	for _, machine := range machines {
 		for _, follower := range machine.Followers {
-			if asked, known := latest[follower.Node]; !known || follower.AskedMS < asked {
-				latest[follower.Node] = follower.AskedMS
+			if asked, known := latest[follower.Node]; !known || follower.SinceLastCallMS < asked {
+				latest[follower.Node] = follower.SinceLastCallMS
 			}
 		}
 	}
 	for _, machine := range machines {
 		machine.Followers = slices.DeleteFunc(machine.Followers, func(follower status.Follower) bool {
-			return follower.AskedMS > latest[follower.Node]
+			return follower.SinceLastCallMS > latest[follower.Node]
 		})
 	}
 }
@@ -135,18 +135,18 @@
 				behind++
 			}
 		}
-		t.add(machine.Node, short(machine.Release), strconv.FormatUint(machine.Version, 10),
-			orNone(strings.Join(machine.Evacuated, ",")), strconv.Itoa(machine.Proxies), strconv.Itoa(machine.Ready),
-			strconv.Itoa(len(machine.Followers)), strconv.Itoa(behind), discovery(&machine.Discovery))
+		t.add(machine.Node, shortRelease(machine.Release), strconv.FormatUint(machine.Version, 10),
+			orDash(strings.Join(machine.EvacuatedZones, ",")), strconv.Itoa(machine.ActiveProxies), strconv.Itoa(machine.ReadyProxies),
+			strconv.Itoa(len(machine.Followers)), strconv.Itoa(behind), discoveryCell(&machine.Discovery))
 	}
 	return t
 }
 
-func discovery(d *status.Discovery) string {
+func discoveryCell(d *status.Discovery) string {
 	switch {
 	case !d.Holder:
 		return "-"
-	case !d.Answered:
+	case !d.ListReceived:
 		return "holds it, platform silent"
 	}
 	return "holds it, list " + milliseconds(d.ListAgeMS) + " old"
@@ -162,23 +162,23 @@
 			if partition.LeaseMS > 0 {
 				lease = milliseconds(partition.LeaseMS)
 			}
-			t.add(strconv.Itoa(int(partition.Partition)), machine.Node, partition.Role, number(partition.Term),
-				leader(partition), lease, number(partition.Commit), number(partition.Applied), number(partition.Last),
-				strconv.Itoa(partition.Items), milliseconds(partition.FreshMS))
+			t.add(strconv.Itoa(int(partition.Partition)), machine.Node, partition.Role, formatUint(partition.Term),
+				leaderName(partition), lease, formatUint(partition.CommitIndex), formatUint(partition.AppliedIndex), formatUint(partition.LastIndex),
+				strconv.Itoa(partition.ItemCount), milliseconds(partition.StalenessMS))
 		}
 	}
 	slices.SortStableFunc(t.rows[1:], func(a, b []string) int { return cmp.Compare(a[0], b[0]) })
 	return t
 }
 
-// leader is the name of the machine that leads a partition, as far as its replicas are known.
-func leader(partition *status.Partition) string {
+// leaderName is the name of the machine that leads a partition, as far as its replicas are known.
+func leaderName(partition *status.Partition) string {
 	for _, replica := range partition.Replicas {
 		if replica.Replica == partition.Leader {
 			return replica.Node
 		}
 	}
-	return orNone(partition.Leader)
+	return orDash(partition.Leader)
 }
 
 // replicasTable lists the members of each partition's group, as the machine with the highest term has them.
@@ -189,7 +189,7 @@
 	for _, machine := range report.Machines {
 		for i := range machine.Partitions {
 			partition := &machine.Partitions[i]
-			if known := newest[partition.Partition]; known == nil || known.Commit < partition.Commit {
+			if known := newest[partition.Partition]; known == nil || known.CommitIndex < partition.CommitIndex {
 				newest[partition.Partition] = partition
 			}
 		}
@@ -212,8 +212,8 @@
 	t.add("MEMBER", "ROLE", "ZONE", "STATE", "FOR", "SERVING", "FRONT", "RELEASE")
 	for i := range report.Machines[0].Members {
 		member := &report.Machines[0].Members[i]
-		t.add(member.Node, orNone(member.Role), orNone(member.Zone), member.State, milliseconds(member.SinceMS),
-			orNone(member.Serving), orNone(member.Front), short(member.Release))
+		t.add(member.Node, orDash(member.Role), orDash(member.Zone), member.State, milliseconds(member.StateAgeMS),
+			orDash(member.Serving), orDash(member.FrontAddress), shortRelease(member.Release))
 	}
 	return t
 }
@@ -227,13 +227,13 @@
 			if follower.Behind {
 				inStep = "no"
 			}
-			t.add(follower.Node, machine.Node, "#"+number(follower.Configuration), inStep, milliseconds(follower.AskedMS))
+			t.add(follower.Node, machine.Node, "#"+formatUint(follower.ConfigurationIndex), inStep, milliseconds(follower.SinceLastCallMS))
 		}
 	}
 	return t
 }
 
-func number(n uint64) string { return strconv.FormatUint(n, 10) }
+func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
 
 func milliseconds(n int64) string {
 	d := time.Duration(n) * time.Millisecond
@@ -243,8 +243,8 @@
 	return d.String()
 }
 
-// short is the beginning of a release's name.
-func short(release string) string {
+// shortRelease is the beginning of a release's name.
+func shortRelease(release string) string {
 	const length = 12
-	return orNone(release[:min(length, len(release))])
+	return orDash(release[:min(length, len(release))])
 }
--- a/internal/system/control/client/client.go
+++ b/internal/system/control/client/client.go
@@ -18,32 +18,32 @@
 
 // Bounds of calls.
 const (
-	mostRedirects = 2
-	mostRefusals  = 3 // of 4xx answers that do not end a call at once
-	mostAnswer    = 64 << 20
-
-	silence       = time.Second             // without an answer, for a call without a body
-	silencePerMiB = time.Second             // on top of it, for what the call carries
-	firstPause    = 50 * time.Millisecond   // between two attempts
-	longestPause  = 1500 * time.Millisecond // that pauses grow to
+	maxRedirects     = 2
+	maxRejections    = 3 // of 4xx answers that do not end a call at once
+	maxResponseBytes = 64 << 20
+
+	callTimeout       = time.Second             // without an answer, for a call without a body
+	callTimeoutPerMiB = time.Second             // on top of it, for what the call carries
+	initialBackoff    = 50 * time.Millisecond   // between two attempts
+	maxBackoff        = 1500 * time.Millisecond // that pauses grow to
 )
 
-// DefaultWithin is how long a call is tried for.
-const DefaultWithin = 15 * time.Second
+// DefaultTimeout is how long a call is tried for.
+const DefaultTimeout = 15 * time.Second
 
 // Client calls control machines. It is not safe for concurrent use.
 type Client struct {
-	// Machines are the addresses of the operator's API, host:port; they are asked in turn, from the first one.
-	Machines []string
-	// Within is how long a call is tried for; 0: DefaultWithin.
-	Within time.Duration
-	// MostAttempts is how often a call is tried; 0: as often as there is time for.
-	MostAttempts int
-	// Pause waits between two attempts; nil: for the time given, or until the context ends.
-	Pause func(ctx context.Context, d time.Duration)
-
-	http http.Client
-	next int // machine that is asked next
+	// Addresses are the addresses of the operator's API, host:port; they are asked in turn, from the first one.
+	Addresses []string
+	// Timeout is how long a call is tried for; 0: DefaultTimeout.
+	Timeout time.Duration
+	// MaxAttempts is how often a call is tried; 0: as often as there is time for.
+	MaxAttempts int
+	// Sleep waits between two attempts; nil: for the time given, or until the context ends.
+	Sleep func(ctx context.Context, d time.Duration)
+
+	http        http.Client
+	nextAddress int // machine that is asked next
 }
 
 // Call is a call of the operator's API.
@@ -54,8 +54,8 @@
 	Body   []byte
 }
 
-// Answer is a machine's answer to a call.
-type Answer struct {
+// Response is a machine's answer to a call.
+type Response struct {
 	Machine  string // that gave it
 	Status   int
 	Header   http.Header
@@ -63,72 +63,72 @@
 	Attempts int // that it took
 }
 
-// RefusedError says that the call was answered, and refused for good.
-type RefusedError struct {
-	Answer  Answer
-	Problem Problem
+// RejectedError says that the call was answered, and refused for good.
+type RejectedError struct {
+	Response Response
+	Details  ErrorDetails
 }
 
 // Error is the answer's message.
-func (e *RefusedError) Error() string {
-	return "refused by " + e.Answer.Machine + " with " + strconv.Itoa(e.Answer.Status) + ": " + e.Problem.Message
+func (e *RejectedError) Error() string {
+	return "refused by " + e.Response.Machine + " with " + strconv.Itoa(e.Response.Status) + ": " + e.Details.Message
 }
 
-// UnansweredError says that no machine gave a clear answer. An order may still have been taken: send it again unchanged.
-type UnansweredError struct {
-	Attempts int
-	Last     error
+// UnavailableError says that no machine gave a clear answer. An order may still have been taken: send it again unchanged.
+type UnavailableError struct {
+	Attempts  int
+	LastError error
 }
 
 // Error says what to do.
-func (e *UnansweredError) Error() string {
+func (e *UnavailableError) Error() string {
 	return "no clear answer after " + strconv.Itoa(e.Attempts) + " attempts; an order may have been taken: send the same " +
-		"one again, and check with status that a majority of the control machines runs; last: " + e.Last.Error()
+		"one again, and check with status that a majority of the control machines runs; last: " + e.LastError.Error()
 }
 
 // Unwrap is what the last attempt came to.
-func (e *UnansweredError) Unwrap() error { return e.Last }
+func (e *UnavailableError) Unwrap() error { return e.LastError }
 
-// ErrNoMachines says that there is nobody to ask.
-var ErrNoMachines = errors.New("no control machine is known: name one with --seed, or a settings file with --settings")
+// ErrNoAddresses says that there is nobody to ask.
+var ErrNoAddresses = errors.New("no control machine is known: name one with --seed, or a settings file with --settings")
 
-// Do calls until there is a clear answer. Its error is a *RefusedError, an *UnansweredError or ErrNoMachines.
-func (c *Client) Do(ctx context.Context, call Call) (*Answer, error) {
-	if len(c.Machines) == 0 {
-		return nil, ErrNoMachines
+// Do calls until there is a clear answer. Its error is a *RejectedError, an *UnavailableError or ErrNoAddresses.
+func (c *Client) Do(ctx context.Context, call Call) (*Response, error) {
+	if len(c.Addresses) == 0 {
+		return nil, ErrNoAddresses
 	}
-	within := c.Within
-	if within == 0 {
-		within = DefaultWithin
+	timeout := c.Timeout
+	if timeout == 0 {
+		timeout = DefaultTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	pause, refusals := firstPause, 0
+	backoff, rejections := initialBackoff, 0
 	for attempts := 1; ; attempts++ {
-		answer, err := c.attempt(ctx, &call)
+		response, err := c.attempt(ctx, &call)
 		if err == nil {
-			answer.Attempts = attempts
-			outcome := judge(answer.Status)
-			if outcome == refusedOnce {
-				refusals++
+			response.Attempts = attempts
+			outcome := classify(response.Status)
+			if outcome == outcomeRejectedOnce {
+				rejections++
 			}
 			switch {
-			case outcome == accepted:
-				return answer, nil
-			case outcome == refusedForGood, refusals >= mostRefusals:
-				return nil, &RefusedError{Answer: *answer, Problem: ReadProblem(answer)}
+			case outcome == outcomeAccepted:
+				return response, nil
+			case outcome == outcomeRejected, rejections >= maxRejections:
+				return nil, &RejectedError{Response: *response, Details: ParseError(response)}
 			}
-			err = errors.Newf("%s answered %d: %s", answer.Machine, answer.Status, ReadProblem(answer).Message)
+			err = errors.Newf("%s answered %d: %s", response.Machine, response.Status, ParseError(response).Message)
 		}
-		c.next++
-		if attempts == c.MostAttempts {
-			return nil, &UnansweredError{Attempts: attempts, Last: err}
+		c.nextAddress++
+		if attempts == c.MaxAttempts {
+			return nil, &UnavailableError{Attempts: attempts, LastError: err}
 		}
-		c.wait(ctx, max(drawn(pause), retryAfter(answer)))
+		c.sleep(ctx, max(withJitter(backoff), retryAfter(response)))
 		if ctx.Err() != nil {
-			return nil, &UnansweredError{Attempts: attempts, Last: err}
+			return nil, &UnavailableError{Attempts: attempts, LastError: err}
 		}
-		pause = min(longestPause, 2*pause)
+		backoff = min(maxBackoff, 2*backoff)
 	}
 }
 
@@ -136,50 +136,50 @@
 type outcome uint8
 
 const (
-	accepted outcome = iota
-	refusedForGood
-	refusedOnce // other refusals: the call ends with the third one
-	unclear     // another machine may do better
+	outcomeAccepted outcome = iota
+	outcomeRejected
+	outcomeRejectedOnce // other refusals: the call ends with the third one
+	outcomeUnknown      // another machine may do better
 )
 
-func judge(status int) outcome {
+func classify(status int) outcome {
 	switch {
 	case status >= 200 && status < 300:
-		return accepted
+		return outcomeAccepted
 	case status >= 500, status == http.StatusRequestTimeout, status == http.StatusTooManyRequests:
-		return unclear
+		return outcomeUnknown
 	}
 	switch status {
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusConflict, http.StatusPreconditionFailed,
 		http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
-		return refusedForGood
+		return outcomeRejected
 	}
-	return refusedOnce
+	return outcomeRejectedOnce
 }
 
 // attempt asks one machine, and those that it refers to.
-func (c *Client) attempt(ctx context.Context, call *Call) (*Answer, error) {
-	machine := c.Machines[c.next%len(c.Machines)]
+func (c *Client) attempt(ctx context.Context, call *Call) (*Response, error) {
+	machine := c.Addresses[c.nextAddress%len(c.Addresses)]
 	target := url.URL{Scheme: "http", Host: machine, Path: call.Path}
 	for redirects := 0; ; redirects++ {
-		answer, err := c.send(ctx, call, &target)
-		if err != nil || answer.Status != http.StatusTemporaryRedirect {
-			return answer, err
+		response, err := c.send(ctx, call, &target)
+		if err != nil || response.Status != http.StatusTemporaryRedirect {
+			return response, err
 		}
-		location, err := target.Parse(answer.Header.Get("Location"))
+		location, err := target.Parse(response.Header.Get("Location"))
 		if err != nil {
 			return nil, errors.Wrapf(err, "%s refers to a place that makes no sense", target.Host)
 		}
-		if redirects == mostRedirects {
+		if redirects == maxRedirects {
 			return nil, errors.Newf("%s refers to another machine for the third time; no machine may lead now", target.Host)
 		}
 		target = *location
 	}
 }
 
-func (c *Client) send(ctx context.Context, call *Call, target *url.URL) (*Answer, error) {
-	patience := silence + silencePerMiB*time.Duration(len(call.Body))/(1<<20)
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func (c *Client) send(ctx context.Context, call *Call, target *url.URL) (*Response, error) {
+	timeout := callTimeout + callTimeoutPerMiB*time.Duration(len(call.Body))/(1<<20)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, call.Method, target.String(), bytes.NewReader(call.Body))
 	if err != nil {
@@ -193,16 +193,16 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "call of %s", target.Host)
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err := errors.CombineErrors(err, response.Body.Close()); err != nil {
 		return nil, errors.Wrapf(err, "answer of %s", target.Host)
 	}
-	return &Answer{Machine: target.Host, Status: response.StatusCode, Header: response.Header, Body: body}, nil
+	return &Response{Machine: target.Host, Status: response.StatusCode, Header: response.Header, Body: body}, nil
 }
 
-func (c *Client) wait(ctx context.Context, d time.Duration) {
-	if c.Pause != nil {
-		c.Pause(ctx, d)
+func (c *Client) sleep(ctx context.Context, d time.Duration) {
+	if c.Sleep != nil {
+		c.Sleep(ctx, d)
 		return
 	}
 	timer := time.NewTimer(d)
@@ -213,17 +213,17 @@
 	}
 }
 
-// drawn is a pause between half and the whole of the time, so that callers do not come in step.
-func drawn(d time.Duration) time.Duration { return d/2 + rand.N(d/2+1) }
+// withJitter is a pause between half and the whole of the time, so that callers do not come in step.
+func withJitter(d time.Duration) time.Duration { return d/2 + rand.N(d/2+1) }
 
 // retryAfter is the wait that an answer asks for, if there is one.
-func retryAfter(answer *Answer) time.Duration {
-	if answer == nil {
+func retryAfter(response *Response) time.Duration {
+	if response == nil {
 		return 0
 	}
-	seconds, err := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64)
+	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	if err != nil || seconds <= 0 {
 		return 0
 	}
-	return min(longestPause, time.Duration(seconds*float64(time.Second)))
+	return min(maxBackoff, time.Duration(seconds*float64(time.Second)))
 }
--- a/internal/system/control/client/client_test.go
+++ b/internal/system/control/client/client_test.go
@@ -15,22 +15,22 @@
 	"cinderroad/internal/system/control/api"
 )
 
-// answer is what a scripted machine answers a call with.
-type answer struct {
+// scriptedResponse is what a scripted machine answers a call with.
+type scriptedResponse struct {
 	status   int
 	location string // machine that it refers to
 	retry    string // Retry-After
 	body     string
 }
 
-// machine answers calls in the order of its script, and with the last answer for ever.
-type machine struct {
-	script []answer
+// scriptedMachine answers calls in the order of its script, and with the last answer for ever.
+type scriptedMachine struct {
+	script []scriptedResponse
 	calls  []string
 	bodies []string
 }
 
-func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (m *scriptedMachine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	m.calls = append(m.calls, r.Method+" "+r.URL.Path+" "+r.Header.Get(api.HeaderBasedOn))
 	m.bodies = append(m.bodies, string(body))
@@ -47,7 +47,7 @@
 }
 
 // serve returns the machine's address.
-func serve(t *testing.T, m *machine) string {
+func serve(t *testing.T, m *scriptedMachine) string {
 	t.Helper()
 	server := httptest.NewServer(m)
 	t.Cleanup(server.Close)
@@ -56,17 +56,17 @@
 
 // newClient returns a client that notes its pauses and makes none.
 func newClient(pauses *[]time.Duration, machines ...string) *Client {
-	return &Client{Machines: machines, Within: time.Minute,
-		Pause: func(_ context.Context, d time.Duration) { *pauses = append(*pauses, d) }}
+	return &Client{Addresses: machines, Timeout: time.Minute,
+		Sleep: func(_ context.Context, d time.Duration) { *pauses = append(*pauses, d) }}
 }
 
-func TestOrderMovesOnUntilAMachineTakesIt(t *testing.T) {
+func TestNextMachineIsTriedAfterFailure(t *testing.T) {
 	var pauses []time.Duration
-	first := &machine{script: []answer{{status: 503, retry: "0.3"}}}
-	second := &machine{script: []answer{{status: 200, body: `{"version":9}`}}}
+	first := &scriptedMachine{script: []scriptedResponse{{status: 503, retry: "0.3"}}}
+	second := &scriptedMachine{script: []scriptedResponse{{status: 200, body: `{"version":9}`}}}
 	client := newClient(&pauses, serve(t, first), serve(t, second))
 	receipt, err := client.Replace(t.Context(), 5, []byte("{}"))
-	if err != nil || receipt.Version != 9 || receipt.Attempts != 2 || receipt.Machine != client.Machines[1] {
+	if err != nil || receipt.Version != 9 || receipt.Attempts != 2 || receipt.Machine != client.Addresses[1] {
 		t.Fatalf("%+v, %v", receipt, err)
 	}
 	want := []string{"POST " + api.PathReplace + " 5"}
@@ -78,26 +78,26 @@
 	}
 }
 
-func TestOrderFollowsTwoRedirects(t *testing.T) {
+func TestRedirectsAreFollowed(t *testing.T) {
 	var pauses []time.Duration
-	leader := &machine{script: []answer{{status: 200, body: `{"version":9}`}}}
+	leader := &scriptedMachine{script: []scriptedResponse{{status: 200, body: `{"version":9}`}}}
 	leaderURL := "http://" + serve(t, leader)
-	second := &machine{script: []answer{{status: 307, location: leaderURL}}}
-	first := &machine{script: []answer{{status: 307, location: "http://" + serve(t, second)}}}
+	second := &scriptedMachine{script: []scriptedResponse{{status: 307, location: leaderURL}}}
+	first := &scriptedMachine{script: []scriptedResponse{{status: 307, location: "http://" + serve(t, second)}}}
 	receipt, err := newClient(&pauses, serve(t, first)).Change(t.Context(), 8, []byte(`{"version":9}`))
 	if err != nil || receipt.Attempts != 1 || len(pauses) != 0 || leader.bodies[0] != `{"version":9}` {
 		t.Fatalf("%+v, %v, pauses %v, %q", receipt, err, pauses, leader.bodies)
 	}
 }
 
-func TestOrderLeavesMachinesThatReferToOneAnother(t *testing.T) {
+func TestRedirectLoopIsLeft(t *testing.T) {
 	var pauses []time.Duration
-	first := &machine{}
+	first := &scriptedMachine{}
 	address := serve(t, first)
-	first.script = []answer{{status: 307, location: "http://" + address}}
-	second := &machine{script: []answer{{status: 200, body: `{}`}}}
+	first.script = []scriptedResponse{{status: 307, location: "http://" + address}}
+	second := &scriptedMachine{script: []scriptedResponse{{status: 200, body: `{}`}}}
 	receipt, err := newClient(&pauses, address, serve(t, second)).Drain(t.Context(), "zone-a", true)
-	if err != nil || receipt.Attempts != 2 || len(first.calls) != 1+mostRedirects {
+	if err != nil || receipt.Attempts != 2 || len(first.calls) != 1+maxRedirects {
 		t.Fatalf("%+v, %v, calls %q", receipt, err, first.calls)
 	}
 	if second.calls[0] != "POST "+api.PathDrainBegin+"zone-a " {
@@ -105,63 +105,63 @@
 	}
 }
 
-func TestRefusalsThatEndACall(t *testing.T) {
+func TestRejectionsEndTheCall(t *testing.T) {
 	for _, status := range []int{400, 404, 409, 412, 413, 422} {
 		var pauses []time.Duration
-		m := &machine{script: []answer{{status: status,
+		m := &scriptedMachine{script: []scriptedResponse{{status: status,
 			body: `{"error":{"code":"c","message":"m","findings":[{"place":"routes[0]","problem":"p"}]}}`}}}
 		_, err := newClient(&pauses, serve(t, m)).Replace(t.Context(), 0, nil)
-		var refused *RefusedError
+		var refused *RejectedError
 		if !errors.As(err, &refused) || len(m.calls) != 1 {
 			t.Fatalf("%d: %v after %d calls", status, err, len(m.calls))
 		}
-		if refused.Problem.Code != "c" || refused.Problem.Findings[0] != (Finding{"routes[0]", "p"}) {
-			t.Fatalf("%d: %+v", status, refused.Problem)
+		if refused.Details.Code != "c" || refused.Details.Problems[0] != (Problem{"routes[0]", "p"}) {
+			t.Fatalf("%d: %+v", status, refused.Details)
 		}
 	}
 }
 
-func TestOtherRefusalsEndACallAtTheThirdTry(t *testing.T) {
+func TestOtherRejectionsAreRetriedTwice(t *testing.T) {
 	var pauses []time.Duration
-	m := &machine{script: []answer{{status: 405}}}
+	m := &scriptedMachine{script: []scriptedResponse{{status: 405}}}
 	_, err := newClient(&pauses, serve(t, m)).Drain(t.Context(), "a", false)
-	var refused *RefusedError
-	if !errors.As(err, &refused) || len(m.calls) != mostRefusals {
+	var refused *RejectedError
+	if !errors.As(err, &refused) || len(m.calls) != maxRejections {
 		t.Fatalf("%v after %d calls", err, len(m.calls))
 	}
 }
 
-func TestCallWithoutAClearAnswerEndsWithItsTime(t *testing.T) {
+func TestUnansweredCallEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	m := &machine{script: []answer{{status: 503}}}
+	m := &scriptedMachine{script: []scriptedResponse{{status: 503}}}
 	tries := 0
-	client := &Client{Machines: []string{serve(t, m), closed(t)}, Pause: func(context.Context, time.Duration) {
+	client := &Client{Addresses: []string{serve(t, m), closedAddress(t)}, Sleep: func(context.Context, time.Duration) {
 		if tries++; tries == 6 {
 			cancel()
 		}
 	}}
 	_, err := client.Read(ctx)
-	var unanswered *UnansweredError
+	var unanswered *UnavailableError
 	if !errors.As(err, &unanswered) || unanswered.Attempts != 6 || len(m.calls) != 3 {
 		t.Fatalf("%v after %d calls", err, len(m.calls))
 	}
 }
 
-// closed returns an address that nobody listens on.
-func closed(t *testing.T) string {
+// closedAddress returns an address that nobody listens on.
+func closedAddress(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestPausesGrow(t *testing.T) {
+func TestBackoffGrows(t *testing.T) {
 	var pauses []time.Duration
-	m := &machine{script: []answer{{status: 500}, {status: 500}, {status: 500}, {status: 500}, {status: 200, body: "{}"}}}
+	m := &scriptedMachine{script: []scriptedResponse{{status: 500}, {status: 500}, {status: 500}, {status: 500}, {status: 200, body: "{}"}}}
 	if _, _, err := newClient(&pauses, serve(t, m)).Status(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	bound := firstPause
+	bound := initialBackoff
 	for i, pause := range pauses {
 		if pause < bound/2 || pause > bound {
 			t.Errorf("pause %d is %v, want %v to %v", i, pause, bound/2, bound)
@@ -170,26 +170,26 @@
 	}
 }
 
-func TestReadOfASystemWithoutConfiguration(t *testing.T) {
+func TestReadWithoutConfiguration(t *testing.T) {
 	var pauses []time.Duration
-	m := &machine{script: []answer{{status: 404, body: `{"error":{"code":"not_found","message":"none yet"}}`}}}
+	m := &scriptedMachine{script: []scriptedResponse{{status: 404, body: `{"error":{"code":"not_found","message":"none yet"}}`}}}
 	document, err := newClient(&pauses, serve(t, m)).Read(t.Context())
 	if err != nil || document.Version != 0 || len(document.Body) != 0 {
 		t.Fatalf("%+v, %v", document, err)
 	}
 }
 
-func TestReadTellsTheVersion(t *testing.T) {
+func TestReadReturnsVersion(t *testing.T) {
 	var pauses []time.Duration
-	m := &machine{script: []answer{{status: 200, body: `{"version":9}`}}}
+	m := &scriptedMachine{script: []scriptedResponse{{status: 200, body: `{"version":9}`}}}
 	document, err := newClient(&pauses, serve(t, m)).Read(t.Context())
 	if err != nil || document.Version != 9 || string(document.Body) != `{"version":9}` {
 		t.Fatalf("%+v, %v", document, err)
 	}
 }
 
-func TestClientWithoutMachines(t *testing.T) {
-	if _, _, err := (&Client{}).Status(t.Context()); !errors.Is(err, ErrNoMachines) {
+func TestNoAddresses(t *testing.T) {
+	if _, _, err := (&Client{}).Status(t.Context()); !errors.Is(err, ErrNoAddresses) {
 		t.Fatal(err)
 	}
 }
--- a/internal/system/control/feedserver/followers_test.go
+++ b/internal/system/control/feedserver/followers_test.go
@@ -8,29 +8,29 @@
 	"cinderroad/internal/system/feed"
 )
 
-func TestRollForgetsFollowersThatDoNotCall(t *testing.T) {
+func TestFollowersExpire(t *testing.T) {
 	var now time.Duration
 	s := New(Options{Sources: []Source{nil}, Now: func() time.Duration { return now }})
-	s.roll.note(&feed.FollowRequest{Node: "b", Positions: []feed.Position{{Partition: 1, Index: 9}, {Index: 4}}}, now)
-	now = forgetFollowerAfter / 2
-	s.roll.note(&feed.FollowRequest{Node: "a"}, now)
-	s.roll.note(&feed.FollowRequest{}, now)
+	s.registry.recordCall(&feed.FollowRequest{Node: "b", Positions: []feed.Position{{Partition: 1, Index: 9}, {Index: 4}}}, now)
+	now = followerExpiry / 2
+	s.registry.recordCall(&feed.FollowRequest{Node: "a"}, now)
+	s.registry.recordCall(&feed.FollowRequest{}, now)
 	want := []Follower{{Node: "a"}, {Node: "b", ConfigurationIndex: 4, SinceLastCall: now}}
 	if got := s.Followers(); len(got) != 2 || got[0] != want[0] || got[1] != want[1] {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
-	now += forgetFollowerAfter/2 + 1
+	now += followerExpiry/2 + 1
 	if got := s.Followers(); len(got) != 1 || got[0].Node != "a" {
 		t.Fatalf("got %+v after b was silent for longer than a call is held", got)
 	}
 }
 
-func TestRollIsBounded(t *testing.T) {
+func TestTrackedFollowersAreBounded(t *testing.T) {
 	s := New(Options{Sources: []Source{nil}, Now: func() time.Duration { return 0 }})
-	for i := range mostFollowersKept + 10 {
-		s.roll.note(&feed.FollowRequest{Node: fmt.Sprint(i)}, 0)
+	for i := range maxTrackedFollowers + 10 {
+		s.registry.recordCall(&feed.FollowRequest{Node: fmt.Sprint(i)}, 0)
 	}
-	if got := len(s.Followers()); got != mostFollowersKept {
-		t.Fatalf("%d followers are kept, want %d", got, mostFollowersKept)
+	if got := len(s.Followers()); got != maxTrackedFollowers {
+		t.Fatalf("%d followers are kept, want %d", got, maxTrackedFollowers)
 	}
 }
--- a/internal/system/control/feedserver/server.go
+++ b/internal/system/control/feedserver/server.go
@@ -19,7 +19,7 @@
 	MaxReplyBytes = 256 << 10        // bytes of items after which further partitions wait for the next call
 	MaxFollowers  = 2000             // calls held open at once
 
-	staleMargin = 10 * time.Millisecond // beyond the end of a partition's freshness, for it to be over
+	staleCheckMargin = 10 * time.Millisecond // beyond the end of a partition's freshness, for it to be over
 )
 
 // ErrTooManyFollowers says that no further call is taken; the follower should ask another control machine.
@@ -51,18 +51,18 @@
 // Server answers followers.
 type Server struct {
 	options   Options
-	caches    []cache
+	caches    []deltaCache
 	pacer     pacer
-	followers atomic.Int64
-	roll      roll
+	openCalls atomic.Int64
+	registry  followerRegistry
 	stop      chan struct{}
 	stopOnce  sync.Once
 }
 
 // New returns a server.
 func New(options Options) *Server {
-	s := &Server{options: options, caches: make([]cache, len(options.Sources)), stop: make(chan struct{})}
-	s.pacer.bytesPerS = options.BulkBytesPerSecond
+	s := &Server{options: options, caches: make([]deltaCache, len(options.Sources)), stop: make(chan struct{})}
+	s.pacer.bytesPerSecond = options.BulkBytesPerSecond
 	for i, source := range options.Sources {
 		s.caches[i].source = source
 		s.caches[i].maxBytes = MaxReplyBytes
@@ -80,18 +80,18 @@
 // Follow answers as soon as anything changed since the request's positions, and after its wait at the latest, or once a
 // partition is stale that the follower takes for up to date. A large answer waits for its turn; if that is far off, the answer says when to ask again.
 func (s *Server) Follow(ctx context.Context, request *feed.FollowRequest) (*feed.FollowReply, error) {
-	if s.followers.Add(1) > MaxFollowers {
-		s.followers.Add(-1)
+	if s.openCalls.Add(1) > MaxFollowers {
+		s.openCalls.Add(-1)
 		return nil, ErrTooManyFollowers
 	}
-	defer s.followers.Add(-1)
-	s.roll.note(request, s.options.Now())
-	sought := wanted{positions: s.positions(request), packed: request.Packed}
-	batches := s.collect(sought)
+	defer s.openCalls.Add(-1)
+	s.registry.recordCall(request, s.options.Now())
+	query := followQuery{positions: s.positions(request), packed: request.Packed}
+	batches := s.collect(query)
 	if len(batches) == 0 && request.Wait > 0 {
-		batches = s.await(ctx, sought, min(request.Wait, MaxWait, s.untilStale(request.Current)))
+		batches = s.await(ctx, query, min(request.Wait, MaxWait, s.untilStale(request.Current)))
 	}
-	wait, admitted := s.pacer.admit(s.options.Now(), size(batches))
+	wait, admitted := s.pacer.admit(s.options.Now(), totalSize(batches))
 	if !admitted {
 		return &feed.FollowReply{Busy: wait, Ages: s.ages(), Proxies: s.options.ProxyCount()}, nil
 	}
@@ -114,7 +114,7 @@
 	until := MaxWait
 	for partition, age := range s.ages() {
 		if current.Contains(feed.Partition(partition)) {
-			until = min(until, max(0, feed.StaleAfter-age)+staleMargin)
+			until = min(until, max(0, feed.StaleAfter-age)+staleCheckMargin)
 		}
 	}
 	return until
@@ -135,12 +135,12 @@
 }
 
 // await looks again after each wake-up until there is something, or the time is over.
-func (s *Server) await(ctx context.Context, sought wanted, wait time.Duration) []feed.Batch {
+func (s *Server) await(ctx context.Context, query followQuery, wait time.Duration) []feed.Batch {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		wake := s.options.Notifier.Wakeup()
-		if batches := s.collect(sought); len(batches) > 0 {
+		if batches := s.collect(query); len(batches) > 0 {
 			return batches
 		}
 		select {
@@ -155,8 +155,8 @@
 	}
 }
 
-// wanted is what a follower asks for: what changed since its positions, by partition.
-type wanted struct {
+// followQuery is what a follower asks for: what changed since its positions, by partition.
+type followQuery struct {
 	positions []uint64
 	packed    bool
 }
@@ -174,14 +174,14 @@
 
 // collect returns the batches of the partitions that changed, until the bound is reached. A batch of the configuration is
 // never cut: what is in force together travels together.
-func (s *Server) collect(sought wanted) []feed.Batch {
+func (s *Server) collect(query followQuery) []feed.Batch {
 	var batches []feed.Batch
 	total := 0
-	for partition, index := range sought.positions {
+	for partition, index := range query.positions {
 		if total >= MaxReplyBytes {
 			break
 		}
-		batch := s.caches[partition].since(index, s.options.Now(), sought.packed)
+		batch := s.caches[partition].since(index, s.options.Now(), query.packed)
 		if batch.To <= index {
 			continue
 		}
@@ -191,8 +191,8 @@
 	return batches
 }
 
-// size is about how many bytes batches take on the way.
-func size(batches []feed.Batch) int {
+// totalSize is about how many bytes batches take on the way.
+func totalSize(batches []feed.Batch) int {
 	total := 0
 	for i := range batches {
 		total += batches[i].Size()
@@ -202,13 +202,13 @@
 
 // Bounds of a cache.
 const (
-	cachedFor    = 20 * time.Millisecond // of an unpacked batch: ages of its items may be off by so much
-	cachedDeltas = 8
+	unpackedDeltaTTL = 20 * time.Millisecond // of an unpacked batch: ages of its items may be off by so much
+	maxCachedDeltas  = 8
 )
 
-// cache keeps a partition's latest deltas, since many followers stand at the same position. A large one is packed once
+// deltaCache keeps a partition's latest deltas, since many followers stand at the same position. A large one is packed once
 // for all of them.
-type cache struct {
+type deltaCache struct {
 	source   Source
 	maxBytes int // of a delta
 
@@ -218,21 +218,21 @@
 }
 
 type delta struct {
-	from   uint64
-	packed bool // the follower takes packed batches; a small one is not packed all the same
-	at     time.Duration
-	batch  feed.Batch
+	fromIndex uint64
+	packed    bool // the follower takes packed batches; a small one is not packed all the same
+	createdAt time.Duration
+	batch     feed.Batch
 }
 
-// serves says whether the delta may still be sent: the ages of a packed one count on by themselves.
-func (d *delta) serves(from uint64, packed bool, now time.Duration) bool {
-	if d.from != from || d.packed != packed {
+// isUsable says whether the delta may still be sent: the ages of a packed one count on by themselves.
+func (d *delta) isUsable(from uint64, packed bool, now time.Duration) bool {
+	if d.fromIndex != from || d.packed != packed {
 		return false
 	}
-	return len(d.batch.Packed) > 0 || now-d.at <= cachedFor
+	return len(d.batch.Packed) > 0 || now-d.createdAt <= unpackedDeltaTTL
 }
 
-func (c *cache) since(from uint64, now time.Duration, packed bool) feed.Batch {
+func (c *deltaCache) since(from uint64, now time.Duration, packed bool) feed.Batch {
 	index := c.source.Index()
 	if index <= from {
 		return feed.Batch{}
@@ -241,12 +241,12 @@
 	defer c.mu.Unlock()
 	if index != c.index {
 		c.index = index
-		c.forget()
+		c.reset()
 	}
 	for i := range c.deltas {
-		if d := &c.deltas[i]; d.serves(from, packed, now) {
+		if d := &c.deltas[i]; d.isUsable(from, packed, now) {
 			batch := d.batch
-			batch.PackedAge = now - d.at
+			batch.PackedAge = now - d.createdAt
 			return batch
 		}
 	}
@@ -254,18 +254,18 @@
 	if packed {
 		batch = batch.Pack()
 	}
-	c.keep(delta{from: from, packed: packed, at: now, batch: batch})
+	c.add(delta{fromIndex: from, packed: packed, createdAt: now, batch: batch})
 	return batch
 }
 
-func (c *cache) forget() {
+func (c *deltaCache) reset() {
 	clear(c.deltas) // lets go of the values
 	c.deltas = c.deltas[:0]
 }
 
-func (c *cache) keep(d delta) {
-	if len(c.deltas) == cachedDeltas {
-		c.forget()
+func (c *deltaCache) add(d delta) {
+	if len(c.deltas) == maxCachedDeltas {
+		c.reset()
 	}
 	c.deltas = append(c.deltas, d)
 }
--- a/internal/system/control/feedserver/server_test.go
+++ b/internal/system/control/feedserver/server_test.go
@@ -11,38 +11,38 @@
 	"cinderroad/internal/system/feed"
 )
 
-const longest = 30 * time.Second // that a state is waited for
+const testTimeout = 30 * time.Second // that a state is waited for
 
-// clock is a virtual steady clock with timers.
-type clock struct {
+// fakeClock is a virtual steady clock with timers.
+type fakeClock struct {
 	mutex  sync.Mutex
 	time   time.Duration
-	timers []timer
+	timers []fakeTimer
 }
 
-type timer struct {
+type fakeTimer struct {
 	at  time.Duration
 	run func()
 }
 
-func (c *clock) now() time.Duration {
+func (c *fakeClock) now() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.time
 }
 
-func (c *clock) after(d time.Duration, run func()) {
+func (c *fakeClock) after(d time.Duration, run func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.timers = append(c.timers, timer{c.time + d, run})
+	c.timers = append(c.timers, fakeTimer{c.time + d, run})
 }
 
-// pass moves the clock and runs what is due.
-func (c *clock) pass(d time.Duration) {
+// advance moves the clock and runs what is due.
+func (c *fakeClock) advance(d time.Duration) {
 	c.mutex.Lock()
 	c.time += d
 	var due []func()
-	var later []timer
+	var later []fakeTimer
 	for _, t := range c.timers {
 		if t.at <= c.time {
 			due = append(due, t.run)
@@ -57,70 +57,70 @@
 	}
 }
 
-// source is a partition's table that counts how often it is looked through.
-type source struct {
-	clock *clock
+// countingSource is a partition's table that counts how often it is looked through.
+type countingSource struct {
+	clock *fakeClock
 	mutex sync.Mutex
 	table *feed.Table
-	looks int
+	reads int
 }
 
-func (s *source) Index() uint64 {
+func (s *countingSource) Index() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.table.LastChangeIndex()
 }
 
-func (s *source) Since(index uint64, maxBytes int) feed.Batch {
+func (s *countingSource) Since(index uint64, maxBytes int) feed.Batch {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.looks++
+	s.reads++
 	return s.table.BatchSince(s.clock.now(), index, maxBytes)
 }
 
-func (s *source) put(index uint64, key string, size int) {
+func (s *countingSource) put(index uint64, key string, size int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.table.Put(s.clock.now(), index, key, make([]byte, size))
 }
 
-type world struct {
-	clock   *clock
-	sources []*source
-	server  *Server
-	notify  *Notifier
-	ages    []time.Duration // of the partitions
+type testServer struct {
+	clock    *fakeClock
+	sources  []*countingSource
+	server   *Server
+	notifier *Notifier
+	ages     []time.Duration // of the partitions
 }
 
-func newWorld() *world {
-	w := &world{clock: &clock{time: time.Hour}, ages: []time.Duration{7 * time.Millisecond, feed.AgeNever, 0}}
+func newTestServer() *testServer {
+	s := &testServer{clock: &fakeClock{time: time.Hour}, ages: []time.Duration{7 * time.Millisecond, feed.AgeNever, 0}}
 	var sources []Source
 	for partition := range feed.Partition(3) {
-		s := &source{clock: w.clock, table: feed.NewTable(partition)}
-		w.sources = append(w.sources, s)
-		sources = append(sources, s)
+		source := &countingSource{clock: s.clock, table: feed.NewTable(partition)}
+		s.sources = append(s.sources, source)
+		sources = append(sources, source)
 	}
-	w.notify = NewNotifier(w.clock.now, w.clock.after)
-	w.server = New(Options{
+	s.notifier = NewNotifier(s.clock.now, s.clock.after)
+	s.server = New(Options{
 		Sources:    sources,
-		Notifier:   w.notify,
-		Now:        w.clock.now,
-		Age:        func(partition feed.Partition) time.Duration { return w.ages[partition] },
+		Notifier:   s.notifier,
+		Now:        s.clock.now,
+		Age:        func(partition feed.Partition) time.Duration { return s.ages[partition] },
 		ProxyCount: func() int { return 3 },
 	})
-	return w
+	return s
 }
 
-func (w *world) follow(t *testing.T, wait time.Duration, positions ...uint64) *feed.FollowReply {
+func (s *testServer) follow(t *testing.T, wait time.Duration, positions ...uint64) *feed.FollowReply {
 	t.Helper()
-	reply, err := w.server.Follow(context.Background(), requestOf(wait, positions))
+	reply, err := s.server.Follow(context.Background(), newFollowRequest(wait, positions))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return reply
 }
 
-func requestOf(wait time.Duration, positions []uint64) *feed.FollowRequest {
+func newFollowRequest(wait time.Duration, positions []uint64) *feed.FollowRequest {
 	request := &feed.FollowRequest{Wait: wait}
 	for partition, index := range positions {
 		position := feed.Position{Partition: feed.Partition(partition), Index: index}
@@ -129,14 +129,14 @@
 	return request
 }
 
-func TestWhatChangedComesAtOnce(t *testing.T) {
-	w := newWorld()
+func TestChangesAreReturnedAtOnce(t *testing.T) {
+	w := newTestServer()
 	if reply := w.follow(t, 0); len(reply.Batches) != 0 || !slices.Equal(reply.Ages, w.ages) || reply.Proxies != 3 {
 		t.Errorf("nothing is there: %+v", reply)
 	}
 	w.sources[0].put(4, "a", 1)
 	w.sources[2].put(9, "b", 1)
-	w.clock.pass(time.Second)
+	w.clock.advance(time.Second)
 	reply := w.follow(t, time.Hour)
 	if len(reply.Batches) != 2 || reply.Batches[0].Partition != 0 || reply.Batches[1].Partition != 2 ||
 		!reply.Batches[0].Snapshot || reply.Batches[1].To != 9 || reply.Batches[1].Items[0].Age != time.Second {
@@ -155,39 +155,39 @@
 	}
 }
 
-func TestCallsAreHeldOpen(t *testing.T) {
-	w := newWorld()
+func TestLongPoll(t *testing.T) {
+	w := newTestServer()
 	w.sources[0].put(1, "a", 1)
 	const followers = 200
 	replies := make(chan *feed.FollowReply, followers)
 	for range followers {
 		go func() {
-			reply, err := w.server.Follow(context.Background(), requestOf(time.Hour, []uint64{1}))
+			reply, err := w.server.Follow(context.Background(), newFollowRequest(time.Hour, []uint64{1}))
 			if err != nil {
 				t.Error(err)
 			}
 			replies <- reply
 		}()
 	}
-	w.waitForFollowers(t, followers)
+	w.waitForOpenCalls(t, followers)
 	w.sources[0].put(2, "b", 1)
-	w.notify.Notify()
+	w.notifier.Notify()
 	for range followers {
 		reply := receive(t, replies)
 		if len(reply.Batches) != 1 || reply.Batches[0].To != 2 {
 			t.Fatalf("%+v", reply)
 		}
 	}
-	if looks := w.sources[0].looks; looks > 2 {
+	if looks := w.sources[0].reads; looks > 2 {
 		t.Errorf("%d followers cost %d looks", followers, looks)
 	}
 }
 
-func (w *world) waitForFollowers(t *testing.T, n int64) {
+func (s *testServer) waitForOpenCalls(t *testing.T, n int64) {
 	t.Helper()
-	for end := time.Now().Add(longest); w.server.followers.Load() != n; {
+	for end := time.Now().Add(testTimeout); s.server.openCalls.Load() != n; {
 		if time.Now().After(end) {
-			t.Fatalf("%d calls are open, want %d", w.server.followers.Load(), n)
+			t.Fatalf("%d calls are open, want %d", s.server.openCalls.Load(), n)
 		}
 		<-time.After(time.Millisecond)
 	}
@@ -198,27 +198,27 @@
 	select {
 	case reply := <-replies:
 		return reply
-	case <-time.After(longest):
+	case <-time.After(testTimeout):
 		t.Fatal("no answer came")
 		return nil
 	}
 }
 
-func TestCallsEnd(t *testing.T) {
-	w := newWorld()
+func TestOpenCallsEnd(t *testing.T) {
+	w := newTestServer()
 	replies := make(chan *feed.FollowReply, 1)
 	start := func(ctx context.Context) {
 		go func() {
-			reply, _ := w.server.Follow(ctx, requestOf(time.Hour, nil))
+			reply, _ := w.server.Follow(ctx, newFollowRequest(time.Hour, nil))
 			replies <- reply
 		}()
-		w.waitForFollowers(t, 1)
+		w.waitForOpenCalls(t, 1)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	start(ctx)
 	cancel()
 	receive(t, replies)
-	w.waitForFollowers(t, 0)
+	w.waitForOpenCalls(t, 0)
 	start(context.Background())
 	w.server.Stop()
 	w.server.Stop()
@@ -228,19 +228,19 @@
 	}
 }
 
-// TestCallsEndWithAPartitionsFreshness has a follower be told as soon as a partition is stale that it takes for up to date.
-func TestCallsEndWithAPartitionsFreshness(t *testing.T) {
-	w := newWorld()
+// TestCallEndsWhenPartitionTurnsStale has a follower be told as soon as a partition is stale that it takes for up to date.
+func TestCallEndsWhenPartitionTurnsStale(t *testing.T) {
+	w := newTestServer()
 	all := feed.FirstPartitions(3)
 	for _, c := range []struct {
 		ages    []time.Duration
 		current feed.PartitionSet
 		want    time.Duration
 	}{
-		{[]time.Duration{0, 0, 0}, all, feed.StaleAfter + staleMargin},
-		{[]time.Duration{0, time.Second, 0}, all, feed.StaleAfter - time.Second + staleMargin},
-		{[]time.Duration{0, feed.AgeNever, 0}, all, staleMargin},
-		{[]time.Duration{0, feed.AgeNever, time.Hour}, feed.NewPartitionSet(0), feed.StaleAfter + staleMargin},
+		{[]time.Duration{0, 0, 0}, all, feed.StaleAfter + staleCheckMargin},
+		{[]time.Duration{0, time.Second, 0}, all, feed.StaleAfter - time.Second + staleCheckMargin},
+		{[]time.Duration{0, feed.AgeNever, 0}, all, staleCheckMargin},
+		{[]time.Duration{0, feed.AgeNever, time.Hour}, feed.NewPartitionSet(0), feed.StaleAfter + staleCheckMargin},
 		{[]time.Duration{0, feed.AgeNever, 0}, 0, MaxWait},
 	} {
 		w.ages = c.ages
@@ -250,7 +250,7 @@
 	}
 	w.ages = []time.Duration{0, feed.AgeNever, 0}
 	begun := time.Now()
-	request := requestOf(MaxWait, nil)
+	request := newFollowRequest(MaxWait, nil)
 	request.Current = all
 	if _, err := w.server.Follow(context.Background(), request); err != nil {
 		t.Fatal(err)
@@ -261,18 +261,18 @@
 }
 
 func TestTooManyFollowers(t *testing.T) {
-	w := newWorld()
-	w.server.followers.Store(MaxFollowers)
-	if _, err := w.server.Follow(context.Background(), requestOf(0, nil)); err != ErrTooManyFollowers {
+	w := newTestServer()
+	w.server.openCalls.Store(MaxFollowers)
+	if _, err := w.server.Follow(context.Background(), newFollowRequest(0, nil)); err != ErrTooManyFollowers {
 		t.Errorf("%v", err)
 	}
-	if n := w.server.followers.Load(); n != MaxFollowers {
+	if n := w.server.openCalls.Load(); n != MaxFollowers {
 		t.Errorf("%d calls are counted", n)
 	}
 }
 
 func TestRepliesAreBounded(t *testing.T) {
-	w := newWorld()
+	w := newTestServer()
 	const items, size = 100, 8 << 10
 	for i := range items {
 		for _, source := range w.sources {
@@ -305,8 +305,8 @@
 	t.Fatalf("the follower stands at %v", positions)
 }
 
-func TestWakeUpsAreCoalesced(t *testing.T) {
-	c := &clock{time: time.Hour}
+func TestWakeupsAreCoalesced(t *testing.T) {
+	c := &fakeClock{time: time.Hour}
 	n := NewNotifier(c.now, c.after)
 	woken := func(wake <-chan struct{}) bool {
 		select {
@@ -323,18 +323,18 @@
 	}
 	wake = n.Wakeup()
 	for range 9 {
-		c.pass(CoalesceInterval / 10)
+		c.advance(CoalesceInterval / 10)
 		n.Notify()
 	}
 	if woken(wake) {
 		t.Error("a storm wakes too often")
 	}
-	c.pass(CoalesceInterval / 10)
+	c.advance(CoalesceInterval / 10)
 	if !woken(wake) {
 		t.Error("changes within a storm do not wake at its end")
 	}
 	wake = n.Wakeup()
-	c.pass(CoalesceInterval)
+	c.advance(CoalesceInterval)
 	if woken(wake) {
 		t.Error("woken without a change")
 	}
--- a/internal/system/control/metrics.go
+++ b/internal/system/control/metrics.go
@@ -7,27 +7,27 @@
 	"cinderroad/internal/system/exposition"
 )
 
-// expose writes the process's own figures.
-func (p *Process) expose(page *exposition.Page) {
-	p.exposeState(page)
-	p.exposePartitions(page)
-	p.exposeDirectory(page)
+// writeMetrics writes the process's own figures.
+func (p *Process) writeMetrics(page *exposition.Page) {
+	p.writeStateMetrics(page)
+	p.writePartitionMetrics(page)
+	p.writeDirectoryMetrics(page)
 }
 
-func (p *Process) exposeState(page *exposition.Page) {
+func (p *Process) writeStateMetrics(page *exposition.Page) {
 	gauge := func(name, help string, value float64) { page.Metric(exposition.Gauge, name, help, value) }
 	gauge("cinderroad_control_configuration_version", "Version of the configuration held here; 0: none.",
 		float64(p.configuration.Version()))
 	gauge("cinderroad_control_stopping", "Whether the process was told to stop.", exposition.BoolValue(p.stopping.Load()))
-	gauge("cinderroad_control_followers", "Members that follow this machine's feed.", float64(len(p.feed.Followers())))
-	duty := p.duty.Status()
+	gauge("cinderroad_control_followers", "Members that follow this machine's feed.", float64(len(p.feedServer.Followers())))
+	duty := p.runnerSync.Status()
 	gauge("cinderroad_control_discovery_holder", "Whether this machine reads the platform's list of runners.",
 		exposition.BoolValue(duty.Holder))
-	page.Metric(exposition.Counter, "cinderroad_control_discovery_calls_total", "Calls to the platform.", float64(duty.Calls))
+	page.Metric(exposition.Counter, "cinderroad_control_discovery_calls_total", "Calls to the platform.", float64(duty.CallCount))
 }
 
-// exposePartitions writes what tells of each replica of the control state.
-func (p *Process) exposePartitions(page *exposition.Page) {
+// writePartitionMetrics writes what tells of each replica of the control state.
+func (p *Process) writePartitionMetrics(page *exposition.Page) {
 	partitions := p.host.Status()
 	label := func(i int) exposition.Label {
 		return exposition.Label{Name: "partition", Value: strconv.Itoa(int(partitions[i].Partition))}
@@ -51,8 +51,8 @@
 	}
 }
 
-// exposeDirectory writes which proxies look-ups may name.
-func (p *Process) exposeDirectory(page *exposition.Page) {
+// writeDirectoryMetrics writes which proxies look-ups may name.
+func (p *Process) writeDirectoryMetrics(page *exposition.Page) {
 	var usable, stopping, starting, lost int
 	edges := p.Edges()
 	for i := range edges {
--- a/internal/system/control/metrics_test.go
+++ b/internal/system/control/metrics_test.go
@@ -7,12 +7,12 @@
 	"cinderroad/internal/system/exposition"
 )
 
-func TestFigures(t *testing.T) {
-	s := newSystem(t, 1)
-	s.insist("/-/Settings.Replace", "0", document(7, 1000))
-	s.wait("the figures tell of the state and its partitions", func() bool {
+func TestMetrics(t *testing.T) {
+	s := newTestCluster(t, 1)
+	s.mustAcknowledge("/-/Settings.Replace", "0", documentJSON(7, 1000))
+	s.waitFor("the figures tell of the state and its partitions", func() bool {
 		var page exposition.Page
-		s.processes[0].expose(&page)
+		s.processes[0].writeMetrics(&page)
 		text := string(page.Bytes())
 		for _, want := range []string{
 			"cinderroad_control_configuration_version 7\n",
--- a/internal/system/control/process.go
+++ b/internal/system/control/process.go
@@ -32,102 +32,102 @@
 
 // Times of a process.
 const (
-	hintEvery         = time.Second      // between two looks of the replicas at what membership tells
-	staleWhenStopping = 10 * time.Second // age told to followers, so that they turn to another machine
+	hintInterval = time.Second      // between two looks of the replicas at what membership tells
+	stoppingAge  = 10 * time.Second // age told to followers, so that they turn to another machine
 )
 
 // Limits of connections to the control RPC: every agent may follow, and replicas call each other.
 const (
-	rpcConnections = 1024
-	rpcCalls       = 64
+	maxRPCConnections        = 1024
+	maxRPCCallsPerConnection = 64
 )
 
-// feedShare is the share of the machine's link that large answers to followers may take; what replicas say to each other
+// bulkBandwidthShare is the share of the machine's link that large answers to followers may take; what replicas say to each other
 // goes over the same link.
-const feedShare = 0.75
+const bulkBandwidthShare = 0.75
 
 // Options are a process's.
 type Options struct {
-	Settings *processconfig.Settings
-	Version  string // of the program
-	Log      *zap.Logger
-	Metrics  netip.AddrPort // where the process serves its own figures; the zero value: nowhere
+	Settings       *processconfig.Settings
+	Version        string // of the program
+	Log            *zap.Logger
+	MetricsAddress netip.AddrPort // where the process serves its own figures; the zero value: nowhere
 }
 
 // Process is a running control process.
 type Process struct {
-	log      *zap.Logger
-	version  string // of the program
-	settings atomic.Pointer[processconfig.Settings]
-	started  time.Time
-	stopping atomic.Bool
+	log       *zap.Logger
+	version   string // of the program
+	settings  atomic.Pointer[processconfig.Settings]
+	startedAt time.Time
+	stopping  atomic.Bool
 
 	configuration *state.Configuration
 	runners       []*state.Runners
 	host          *replica.Host
 	gossip        *gossip.Gossip
-	feed          *feedserver.Server
-	duty          *runnersync.Duty
+	feedServer    *feedserver.Server
+	runnerSync    *runnersync.Syncer
 
-	servers  []*http.Server
-	failures chan error
-	context  context.Context
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
+	servers    []*http.Server
+	failures   chan error
+	context    context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
 // Start opens the process's addresses and runs it. The context ends only the opening.
 func Start(ctx context.Context, options Options) (*Process, error) {
-	p := &Process{log: options.Log, version: options.Version, started: time.Now(), failures: make(chan error, 8)}
+	p := &Process{log: options.Log, version: options.Version, startedAt: time.Now(), failures: make(chan error, 8)}
 	p.settings.Store(options.Settings)
 	p.context, p.cancel = context.WithCancel(context.Background())
 	notifier := feedserver.NewNotifier(p.now, func(d time.Duration, f func()) { time.AfterFunc(d, f) })
-	p.makeStates(notifier)
-	p.makeHost(options)
-	p.makeFeed(notifier)
-	p.makeDuty()
-	if err := p.open(ctx, options); err != nil {
+	p.initStates(notifier)
+	p.initHost(options)
+	p.initFeedServer(notifier)
+	p.initRunnerSync()
+	if err := p.openListeners(ctx, options); err != nil {
 		p.cancel()
 		return nil, err
 	}
-	exposition.Serve(p.context, p.log, options.Metrics, p.expose)
+	exposition.Serve(p.context, p.log, options.MetricsAddress, p.writeMetrics)
 	p.host.Start()
-	p.running.Go(func() { p.duty.Run(p.context) })
-	p.running.Go(func() { p.watch(p.context) })
+	p.goroutines.Go(func() { p.runnerSync.Run(p.context) })
+	p.goroutines.Go(func() { p.watchMembers(p.context) })
 	return p, nil
 }
 
 // now is the steady time since the start.
-func (p *Process) now() time.Duration { return time.Since(p.started) }
+func (p *Process) now() time.Duration { return time.Since(p.startedAt) }
 
-func (p *Process) makeStates(notifier *feedserver.Notifier) {
+func (p *Process) initStates(notifier *feedserver.Notifier) {
 	p.configuration = state.NewConfiguration(p.now, notifier.Notify)
 	for i := range feed.RunnerPartitionCount {
 		p.runners = append(p.runners, state.NewRunners(feed.Partition(i+1), p.now, notifier.Notify))
 	}
 }
 
-func (p *Process) makeHost(options Options) {
+func (p *Process) initHost(options Options) {
 	states := []replica.StateMachine{p.configuration}
 	for _, runners := range p.runners {
 		states = append(states, runners)
 	}
-	p.host = replica.New(replica.Options{Settings: options.Settings, StateMachines: states, Log: options.Log, OnFailure: p.fail})
+	p.host = replica.New(replica.Options{Settings: options.Settings, StateMachines: states, Log: options.Log, OnFailure: p.reportFailure})
 }
 
-func (p *Process) makeFeed(notifier *feedserver.Notifier) {
+func (p *Process) initFeedServer(notifier *feedserver.Notifier) {
 	sources := []feedserver.Source{p.configuration}
 	for _, runners := range p.runners {
 		sources = append(sources, runners)
 	}
-	p.feed = feedserver.New(feedserver.Options{
+	p.feedServer = feedserver.New(feedserver.Options{
 		Sources:    sources,
 		Notifier:   notifier,
 		Now:        p.now,
 		Age:        p.age,
 		ProxyCount: func() int { return p.gossip.Proxies() },
 
-		BulkBytesPerSecond: feedShare * p.settings.Load().Limits.LinkBytesPerSecond(),
+		BulkBytesPerSecond: bulkBandwidthShare * p.settings.Load().Limits.LinkBytesPerSecond(),
 	})
 }
 
@@ -136,12 +136,12 @@
 func (p *Process) age(partition feed.Partition) time.Duration {
 	age := p.host.Staleness(partition)
 	if p.stopping.Load() {
-		age = max(age, staleWhenStopping)
+		age = max(age, stoppingAge)
 	}
 	return age
 }
 
-func (p *Process) makeDuty() {
+func (p *Process) initRunnerSync() {
 	settings := p.settings.Load()
 	var partitions []runnersync.Partition
 	for _, runners := range p.runners {
@@ -149,21 +149,21 @@
 	}
 	client := discovery.NewClient(discovery.ClientOptions{
 		Address:   settings.CloudAPI.Address,
-		AllowCall: func() error { return runnersync.Permit(p.host, len(partitions)) },
+		AllowCall: func() error { return runnersync.CheckLease(p.host, len(partitions)) },
 		OnSkippedEntries: func(err *discovery.SkippedEntriesError) {
 			p.log.Warn("entries of the list of runners make no sense", zap.Error(err))
 		},
 	})
-	p.duty = runnersync.New(runnersync.Options{Lister: client, Replicas: p.host, Partitions: partitions,
-		RatePerS: settings.CloudAPI.CallsPerSecond, DrainWithin: settings.Timing.DrainWithin, Now: p.now, Log: p.log})
+	p.runnerSync = runnersync.New(runnersync.Options{Lister: client, Replicas: p.host, Partitions: partitions,
+		CallsPerSecond: settings.CloudAPI.CallsPerSecond, DrainWithin: settings.Timing.DrainWithin, Now: p.now, Log: p.log})
 }
 
-// open opens the addresses that the settings name and serves them.
-func (p *Process) open(ctx context.Context, options Options) (err error) {
+// openListeners opens the addresses that the settings name and serves them.
+func (p *Process) openListeners(ctx context.Context, options Options) (err error) {
 	settings := options.Settings
 	defer func() {
 		if err != nil {
-			err = multierr.Append(err, p.closeServers(abandonWithin))
+			err = multierr.Append(err, p.closeServers(abortTimeout))
 			p.leave()
 		}
 	}()
@@ -177,7 +177,7 @@
 		return err
 	}
 	lookups := &directory.Handler{Members: p, TTLMax: settings.Timing.TTLMax}
-	return p.serveHTTP(ctx, settings.ListenOn.Directory, directoryOnly(lookups))
+	return p.serveHTTP(ctx, settings.ListenOn.Directory, newDirectoryMux(lookups))
 }
 
 func (p *Process) startGossip(ctx context.Context, options Options) (*gossip.Gossip, error) {
@@ -203,23 +203,23 @@
 	}
 	registry := rpc.NewRegistry()
 	p.host.Register(registry)
-	feedserver.FollowMethod.Handle(registry, p.feed.Follow)
-	limits := rpc.ServerLimits{MaxConnections: rpcConnections, MaxCallsPerConnection: rpcCalls}
-	p.running.Go(func() {
+	feedserver.FollowMethod.Handle(registry, p.feedServer.Follow)
+	limits := rpc.ServerLimits{MaxConnections: maxRPCConnections, MaxCallsPerConnection: maxRPCCallsPerConnection}
+	p.goroutines.Go(func() {
 		if err := rpc.Serve(p.context, listener, registry, limits); err != nil {
-			p.fail(fmt.Errorf("control: RPC at %v ended: %w", address, err))
+			p.reportFailure(fmt.Errorf("control: RPC at %v ended: %w", address, err))
 		}
 	})
 	return nil
 }
 
 func (p *Process) operatorAPI() http.Handler {
-	return api.New(api.Options{Replicas: p.host, State: p.configuration, ZoneExists: p.knowsZone, Status: p.status,
+	return api.New(api.Options{Replicas: p.host, State: p.configuration, ZoneExists: p.zoneExists, Status: p.encodeStatus,
 		Log: p.log})
 }
 
-// knowsZone says whether the settings name the zone; they are read again where they do not.
-func (p *Process) knowsZone(zone string) bool {
+// zoneExists says whether the settings name the zone; they are read again where they do not.
+func (p *Process) zoneExists(zone string) bool {
 	if _, known := p.settings.Load().Zones[zone]; known {
 		return true
 	}
@@ -239,7 +239,7 @@
 	p.gossip.Seek(gossip.SeedAddresses(settings))
 }
 
-func directoryOnly(lookups http.Handler) http.Handler {
+func newDirectoryMux(lookups http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(directory.Path, lookups)
 	return mux
@@ -254,16 +254,16 @@
 	if err != nil {
 		return err
 	}
-	p.serveOn(listener, handler)
+	p.serve(listener, handler)
 	return nil
 }
 
-func (p *Process) serveOn(listener net.Listener, handler http.Handler) {
+func (p *Process) serve(listener net.Listener, handler http.Handler) {
 	server := newServer(handler)
 	p.servers = append(p.servers, server)
-	p.running.Go(func() {
+	p.goroutines.Go(func() {
 		if err := server.Serve(listener); err != http.ErrServerClosed {
-			p.fail(fmt.Errorf("control: HTTP at %v ended: %w", listener.Addr(), err))
+			p.reportFailure(fmt.Errorf("control: HTTP at %v ended: %w", listener.Addr(), err))
 		}
 	})
 }
@@ -277,8 +277,8 @@
 	return listener, nil
 }
 
-// fail has Run end: the process can't go on.
-func (p *Process) fail(err error) {
+// reportFailure has Run end: the process can't go on.
+func (p *Process) reportFailure(err error) {
 	select {
 	case p.failures <- err:
 	default:
--- a/internal/system/control/process_test.go
+++ b/internal/system/control/process_test.go
@@ -26,19 +26,19 @@
 )
 
 const (
-	longest  = 60 * time.Second // that a state is waited for
-	lookPace = 20 * time.Millisecond
-	portSpan = 4
+	testTimeout     = 60 * time.Second // that a state is waited for
+	pollInterval    = 20 * time.Millisecond
+	portsPerMachine = 4
 )
 
-// system is a core of control processes on loopback, each at an address of its own, with a platform.
-type system struct {
+// testCluster is a core of control processes on loopback, each at an address of its own, with a platform.
+type testCluster struct {
 	t         *testing.T
 	platform  *platform
 	settings  []*processconfig.Settings
 	processes []*Process
-	stops     []context.CancelFunc
-	ended     []chan error
+	cancels   []context.CancelFunc
+	exits     []chan error
 }
 
 // platform answers with a list of runners.
@@ -59,12 +59,12 @@
 	p.runners = runners
 }
 
-func runner(id, state string) string {
+func runnerJSON(id, state string) string {
 	return fmt.Sprintf(`{"id":%q,"service":"s","address":"10.0.0.1:80","zone":"a","capacity":4,"state":%q}`, id, state)
 }
 
-func newSystem(t *testing.T, machines int) *system {
-	s := &system{t: t, platform: &platform{}}
+func newTestCluster(t *testing.T, machines int) *testCluster {
+	s := &testCluster{t: t, platform: &platform{}}
 	server := httptest.NewServer(s.platform)
 	t.Cleanup(server.Close)
 	first := freePorts(t, machines)
@@ -74,7 +74,7 @@
 		ip := address(i)
 		settings := &processconfig.Settings{
 			Node: fmt.Sprint("core-", i+1), IP: ip, Zone: names[i%3], Region: zones[names[i%3]], Zones: zones,
-			FreePorts: processconfig.PortRange{First: first, Last: first + portSpan - 1},
+			FreePorts: processconfig.PortRange{First: first, Last: first + portsPerMachine - 1},
 			FirstBoot: true, CountsAsLoss: true, StateDir: t.TempDir(),
 			SurvivableLosses: processconfig.SurvivableLosses{Machines: 1, Zones: 1},
 			Timing:           processconfig.Timing{GracePeriod: 2 * time.Second, TTLMax: time.Second},
@@ -90,8 +90,8 @@
 		}
 	}
 	s.processes = make([]*Process, machines)
-	s.stops = make([]context.CancelFunc, machines)
-	s.ended = make([]chan error, machines)
+	s.cancels = make([]context.CancelFunc, machines)
+	s.exits = make([]chan error, machines)
 	for i := range machines {
 		s.start(i)
 	}
@@ -115,7 +115,7 @@
 		}
 		first := listener.Addr().(*net.TCPAddr).AddrPort().Port()
 		listener.Close()
-		if first < 1<<16-portSpan && allFree(machines, first) {
+		if first < 1<<16-portsPerMachine && allFree(machines, first) {
 			return first
 		}
 	}
@@ -125,7 +125,7 @@
 
 func allFree(machines int, first uint16) bool {
 	for machine := range machines {
-		for port := first; port < first+portSpan; port++ {
+		for port := first; port < first+portsPerMachine; port++ {
 			at := netip.AddrPortFrom(address(machine), port)
 			listener, err := net.Listen("tcp4", at.String())
 			if err != nil {
@@ -142,7 +142,7 @@
 	return true
 }
 
-func (s *system) start(machine int) {
+func (s *testCluster) start(machine int) {
 	s.t.Helper()
 	process, err := Start(context.Background(),
 		Options{Settings: s.settings[machine], Version: "test", Log: zap.NewNop()})
@@ -152,32 +152,32 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- process.Run(ctx) }()
-	s.processes[machine], s.stops[machine], s.ended[machine] = process, stop, ended
+	s.processes[machine], s.cancels[machine], s.exits[machine] = process, stop, ended
 }
 
 // stop has a process end as by SIGTERM.
-func (s *system) stop(machine int) {
+func (s *testCluster) stop(machine int) {
 	if s.processes[machine] == nil {
 		return
 	}
-	s.stops[machine]()
-	if err := <-s.ended[machine]; err != nil {
+	s.cancels[machine]()
+	if err := <-s.exits[machine]; err != nil {
 		s.t.Errorf("machine %d ended: %v", machine, err)
 	}
 	s.processes[machine] = nil
 	s.settings[machine].FirstBoot = false
 }
 
-func (s *system) wait(what string, holds func() bool) {
+func (s *testCluster) waitFor(what string, holds func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(longest); !holds(); <-time.After(lookPace) {
+	for end := time.Now().Add(testTimeout); !holds(); <-time.After(pollInterval) {
 		if time.Now().After(end) {
 			s.t.Fatalf("did not come about: %s", what)
 		}
 	}
 }
 
-func (s *system) call(machine int, method, path, basedOn, body string) (int, string) {
+func (s *testCluster) call(machine int, method, path, basedOn, body string) (int, string) {
 	url := "http://" + s.settings[machine].ListenOn.Control.String() + path
 	request, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -198,11 +198,11 @@
 	return answer.StatusCode, string(text)
 }
 
-// insist sends an order to the machines in turn until one acknowledges it, as operators do.
-func (s *system) insist(path, basedOn, body string) {
+// mustAcknowledge sends an order to the machines in turn until one acknowledges it, as operators do.
+func (s *testCluster) mustAcknowledge(path, basedOn, body string) {
 	s.t.Helper()
 	machine := 0
-	s.wait("acknowledgement of "+path, func() bool {
+	s.waitFor("acknowledgement of "+path, func() bool {
 		machine = (machine + 1) % len(s.processes)
 		status, text := s.call(machine, http.MethodPost, path, basedOn, body)
 		if status >= 400 && status < 500 {
@@ -212,14 +212,14 @@
 	})
 }
 
-func document(version, timeout int) string {
+func documentJSON(version, timeout int) string {
 	return fmt.Sprintf(`{"version":%d,"routes":[{"name":"r","host":"h.example","path_start":"/r/","type":"writes",`+
 		`"timeout_ms":%d,"target_ms":800,"rank":1,"service":"s","tries":1}],"services":[{"name":"s","health_path":"/h",`+
 		`"max_conns":3,"cold_for_s":0,"cold_rate_s":0}]}`, version, timeout)
 }
 
 // versionAt is what a machine reads; 0: nothing.
-func (s *system) versionAt(machine int) int {
+func (s *testCluster) versionAt(machine int) int {
 	status, text := s.call(machine, http.MethodGet, api.PathRead, "", "")
 	var body struct{ Version int }
 	if status == http.StatusOK && json.Unmarshal([]byte(text), &body) != nil {
@@ -229,7 +229,7 @@
 }
 
 // follow asks a machine's feed for all that it has.
-func (s *system) follow(machine int) map[string]feed.Item {
+func (s *testCluster) follow(machine int) map[string]feed.Item {
 	settings := s.settings[machine]
 	client := rpc.NewClient(netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ControlRPCPort)), rpc.ClientOptions{})
 	defer client.Close()
@@ -246,19 +246,19 @@
 	return items
 }
 
-// TestCore has three machines found a system, take orders, lose machines and start again.
-func TestCore(t *testing.T) {
-	s := newSystem(t, 3)
-	s.insist(api.PathReplace, "0", document(3, 1000))
+// TestCluster has three machines found a system, take orders, lose machines and start again.
+func TestCluster(t *testing.T) {
+	s := newTestCluster(t, 3)
+	s.mustAcknowledge(api.PathReplace, "0", documentJSON(3, 1000))
 	for machine := range 3 {
-		s.wait(fmt.Sprintf("machine %d reads version 3", machine), func() bool { return s.versionAt(machine) == 3 })
+		s.waitFor(fmt.Sprintf("machine %d reads version 3", machine), func() bool { return s.versionAt(machine) == 3 })
 	}
-	s.insist(api.PathReplace, "0", document(3, 1000)) // again: at another machine
-	s.insist(api.PathDrainBegin+"a", "", "")
+	s.mustAcknowledge(api.PathReplace, "0", documentJSON(3, 1000)) // again: at another machine
+	s.mustAcknowledge(api.PathDrainBegin+"a", "", "")
 
-	s.platform.set(runner("i-1", "serving"), runner("i-2", "serving"))
+	s.platform.set(runnerJSON("i-1", "serving"), runnerJSON("i-2", "serving"))
 	for machine := range 3 {
-		s.wait(fmt.Sprintf("machine %d feeds runners and configuration", machine), func() bool {
+		s.waitFor(fmt.Sprintf("machine %d feeds runners and configuration", machine), func() bool {
 			items := s.follow(machine)
 			_, one := items[feed.KeyPrefixRunner+"i-1"]
 			_, two := items[feed.KeyPrefixRunner+"i-2"]
@@ -268,19 +268,19 @@
 	}
 
 	s.stop(0)
-	s.insist(api.PathReplace, "3", document(5, 2000))
-	s.platform.set(runner("i-2", "draining"))
-	s.wait("the others go on", func() bool {
+	s.mustAcknowledge(api.PathReplace, "3", documentJSON(5, 2000))
+	s.platform.set(runnerJSON("i-2", "draining"))
+	s.waitFor("the others go on", func() bool {
 		items := s.follow(1)
 		_, gone := items[feed.KeyPrefixRunner+"i-1"]
 		return !gone && s.versionAt(1) == 5 && s.versionAt(2) == 5
 	})
 	s.start(0)
-	s.wait("the machine that was away has caught up", func() bool { return s.versionAt(0) == 5 })
+	s.waitFor("the machine that was away has caught up", func() bool { return s.versionAt(0) == 5 })
 
 	s.stop(1)
 	s.stop(2)
-	if status, text := s.call(0, http.MethodPost, api.PathReplace, "5", document(6, 3000)); status != 503 {
+	if status, text := s.call(0, http.MethodPost, api.PathReplace, "5", documentJSON(6, 3000)); status != 503 {
 		t.Errorf("an order without a majority: %d %s", status, text)
 	}
 	if items := s.follow(0); string(items[feed.KeyVersion].Value) != "5" {
@@ -289,7 +289,7 @@
 	s.start(1)
 	s.start(2)
 	for machine := range 3 {
-		s.wait(fmt.Sprintf("machine %d still has it all", machine), func() bool { return s.versionAt(machine) >= 5 })
+		s.waitFor(fmt.Sprintf("machine %d still has it all", machine), func() bool { return s.versionAt(machine) >= 5 })
 	}
 	if !s.processes[0].configuration.Evacuation("a").On {
 		t.Error("an evacuation that was acknowledged is gone")
@@ -299,10 +299,10 @@
 	}
 }
 
-// TestLoneMachine holds that a core of one works, and that the directory tells of edges as they come and go.
-func TestLoneMachine(t *testing.T) {
-	s := newSystem(t, 1)
-	s.insist(api.PathReplace, "0", document(1, 1000))
+// TestSingleMachine holds that a core of one works, and that the directory tells of edges as they come and go.
+func TestSingleMachine(t *testing.T) {
+	s := newTestCluster(t, 1)
+	s.mustAcknowledge(api.PathReplace, "0", documentJSON(1, 1000))
 	edge, err := gossip.Start(gossip.Options{Node: "edge-1", Role: gossip.Edge, Zone: "a", Front: "10.0.0.7:80",
 		Zones: s.settings[0].Zones, Listen: netip.AddrPortFrom(address(7), 0),
 		Seeds: gossip.SeedAddresses(s.settings[0])})
@@ -324,6 +324,6 @@
 	}
 	edge.SetServing(gossip.ServingNow)
 	want := `200 {"addresses":["10.0.0.7:80"],"cache_ttl_s":1}`
-	s.wait("the directory tells of the edge", func() bool { return lookup() == want })
-	s.wait("the edge is counted", func() bool { return s.processes[0].gossip.Proxies() == 1 })
+	s.waitFor("the directory tells of the edge", func() bool { return lookup() == want })
+	s.waitFor("the edge is counted", func() bool { return s.processes[0].gossip.Proxies() == 1 })
 }
--- a/internal/system/control/runnersync/diff.go
+++ b/internal/system/control/runnersync/diff.go
@@ -15,80 +15,82 @@
 
 // Bounds of what counts as a change of a time that runs down by itself.
 const (
-	tolerance    = 400 * time.Millisecond // between what is listed and what the item's age lets expect
-	settledAfter = 2 * time.Second        // after its end, a cold time is written as 0: ages are lost with a restart
-	noticeAnew   = 1 * time.Second        // after which a short notice is written again, for the same reason
+	remainingTolerance    = 400 * time.Millisecond // between what is listed and what the item's age lets expect
+	slowStartSettleDelay  = 2 * time.Second        // after its end, a cold time is written as 0: ages are lost with a restart
+	noticeRewriteInterval = 1 * time.Second        // after which a short notice is written again, for the same reason
 )
 
-// held is a runner as the partition holds it.
-type held struct {
-	runner discovery.Runner
-	at     time.Duration // steady time of the item's change
+// storedRunner is a runner as the partition holds it.
+type storedRunner struct {
+	runner    discovery.Runner
+	changedAt time.Duration // steady time of the item's change
 }
 
-func (h *held) encodedAs(value []byte) bool {
+func (h *storedRunner) encodesTo(value []byte) bool {
 	return bytes.Equal(discovery.EncodeRunner(h.runner), value)
 }
 
-// expected is what is left of a time that ran down since the item was written.
-func (h *held) expected(left, now time.Duration) time.Duration { return max(0, left-(now-h.at)) }
+// expectedRemaining is what is left of a time that ran down since the item was written.
+func (h *storedRunner) expectedRemaining(left, now time.Duration) time.Duration {
+	return max(0, left-(now-h.changedAt))
+}
 
-// differs says whether the list's entry is to be written.
-func (h *held) differs(listed *discovery.Runner, now time.Duration) bool {
-	if !sameButTimes(&h.runner, listed) {
+// needsWrite says whether the list's entry is to be written.
+func (h *storedRunner) needsWrite(listed *discovery.Runner, now time.Duration) bool {
+	if !equalExceptTimes(&h.runner, listed) {
 		return true
 	}
-	if deviates(h.expected(h.runner.SlowStartRemaining, now), listed.SlowStartRemaining) {
+	if exceedsTolerance(h.expectedRemaining(h.runner.SlowStartRemaining, now), listed.SlowStartRemaining) {
 		return true
 	}
-	if h.noticeDiffers(listed, now) {
+	if h.noticeNeedsWrite(listed, now) {
 		return true
 	}
-	return listed.SlowStartRemaining == 0 && h.runner.SlowStartRemaining > 0 && now-h.at > h.runner.SlowStartRemaining+settledAfter
+	return listed.SlowStartRemaining == 0 && h.runner.SlowStartRemaining > 0 && now-h.changedAt > h.runner.SlowStartRemaining+slowStartSettleDelay
 }
 
-// noticeDiffers says whether the time left of a runner that is taken away at short notice is to be written.
-func (h *held) noticeDiffers(listed *discovery.Runner, now time.Duration) bool {
+// noticeNeedsWrite says whether the time left of a runner that is taken away at short notice is to be written.
+func (h *storedRunner) noticeNeedsWrite(listed *discovery.Runner, now time.Duration) bool {
 	if listed.TimeToTermination == 0 {
 		return false
 	}
-	if h.runner.TimeToTermination == 0 || now-h.at >= noticeAnew {
+	if h.runner.TimeToTermination == 0 || now-h.changedAt >= noticeRewriteInterval {
 		return true
 	}
-	return deviates(h.expected(h.runner.TimeToTermination, now), listed.TimeToTermination)
+	return exceedsTolerance(h.expectedRemaining(h.runner.TimeToTermination, now), listed.TimeToTermination)
 }
 
-func deviates(a, b time.Duration) bool {
-	return a-b > tolerance || b-a > tolerance
+func exceedsTolerance(a, b time.Duration) bool {
+	return a-b > remainingTolerance || b-a > remainingTolerance
 }
 
-// sameButTimes compares all that does not change by itself.
-func sameButTimes(a, b *discovery.Runner) bool {
+// equalExceptTimes compares all that does not change by itself.
+func equalExceptTimes(a, b *discovery.Runner) bool {
 	return a.ID == b.ID && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone &&
 		a.Capacity == b.Capacity && a.Draining == b.Draining && a.Phase == b.Phase && slices.Equal(a.Models, b.Models)
 }
 
-// view is a partition's runners as the local replica holds them, kept up to date from its feed.
-type view struct {
+// partitionView is a partition's runners as the local replica holds them, kept up to date from its feed.
+type partitionView struct {
 	index   uint64
-	runners map[string]held // by key
+	runners map[string]storedRunner // by key
 }
 
-// follow takes the changes since the view's index.
-func (v *view) follow(batch feed.Batch, now time.Duration) {
+// update takes the changes since the view's index.
+func (v *partitionView) update(batch feed.Batch, now time.Duration) {
 	if batch.To <= v.index {
 		return
 	}
 	if batch.Snapshot || v.runners == nil {
-		v.runners = make(map[string]held, len(batch.Items))
+		v.runners = make(map[string]storedRunner, len(batch.Items))
 	}
 	v.index = batch.To
 	for i := range batch.Items {
-		v.take(&batch.Items[i], now)
+		v.applyItem(&batch.Items[i], now)
 	}
 }
 
-func (v *view) take(item *feed.Item, now time.Duration) {
+func (v *partitionView) applyItem(item *feed.Item, now time.Duration) {
 	if item.Deleted {
 		delete(v.runners, item.Key)
 		return
@@ -98,20 +100,20 @@
 		delete(v.runners, item.Key) // the list has it written anew
 		return
 	}
-	v.runners[item.Key] = held{runner: runner, at: now - item.Age}
+	v.runners[item.Key] = storedRunner{runner: runner, changedAt: now - item.Age}
 }
 
-// writes returns what brings the view to the list, in the order of keys. Runners that are held and not listed are
+// diff returns what brings the view to the list, in the order of keys. Runners that are held and not listed are
 // deleted if gone says so.
-func (v *view) writes(listed map[string]*discovery.Runner, now time.Duration, gone func(key string) bool) []state.Write {
+func (v *partitionView) diff(listed map[string]*discovery.Runner, now time.Duration, gone func(key string) bool) []state.Write {
 	var out []state.Write
 	for key, runner := range listed {
 		h, known := v.runners[key]
-		if known && !h.differs(runner, now) {
+		if known && !h.needsWrite(runner, now) {
 			continue
 		}
 		value := discovery.EncodeRunner(*runner)
-		if known && h.encodedAs(value) {
+		if known && h.encodesTo(value) {
 			anew := *runner
 			anew.SlowStartRemaining++ // an equal value would keep its index and age
 			value = discovery.EncodeRunner(anew)
--- a/internal/system/control/runnersync/duty.go
+++ b/internal/system/control/runnersync/duty.go
@@ -18,18 +18,18 @@
 
 // The duty's pace.
 const (
-	pollEvery    = 450 * time.Millisecond // while the list changes
-	calmGrowth   = 1.5                    // of the time between two polls, with each list that is as the one before
-	drainShare   = 6                      // polls come one part in so many of the time in which a drain must be heeded apart, at most
-	lookEvery    = 200 * time.Millisecond // for the lease, while another machine has the duty
-	leaseMargin  = 100 * time.Millisecond // that must be left of the lease when a call begins
-	listTimeout  = 2 * time.Second
-	writeTimeout = 1 * time.Second
-	longestPause = 2 * time.Second // between two calls of a platform that refuses them
-	rateShare    = 0.5             // of the platform's rate that the duty takes; agents that are cut off share the rest
-	// takeOverAfter is for how long this machine must not have heard of a leader of partition 0 to keep the runners of the
+	minPollInterval    = 450 * time.Millisecond // while the list changes
+	pollIntervalGrowth = 1.5                    // of the time between two polls, with each list that is as the one before
+	pollsPerDrain      = 6                      // polls come one part in so many of the time in which a drain must be heeded apart, at most
+	leaseCheckInterval = 200 * time.Millisecond // for the lease, while another machine has the duty
+	minLeaseRemaining  = 100 * time.Millisecond // that must be left of the lease when a call begins
+	listTimeout        = 2 * time.Second
+	writeTimeout       = 1 * time.Second
+	maxBackoff         = 2 * time.Second // between two calls of a platform that refuses them
+	callRateShare      = 0.5             // of the platform's rate that the duty takes; agents that are cut off share the rest
+	// takeoverDelay is for how long this machine must not have heard of a leader of partition 0 to keep the runners of the
 	// partitions that it leads itself.
-	takeOverAfter = 2 * time.Second
+	takeoverDelay = 2 * time.Second
 )
 
 // Lister asks the platform for its list.
@@ -46,45 +46,45 @@
 
 // Options are a duty's.
 type Options struct {
-	Lister      Lister
-	Replicas    replica.Replicas
-	Partitions  []Partition   // the first one is partition 1
-	DrainWithin time.Duration // in which a runner that drains must get nothing any more; 0: not told
-	RatePerS    float64       // that the platform takes from the whole system; 0: not told
-	Now         func() time.Duration
-	Log         *zap.Logger
+	Lister         Lister
+	Replicas       replica.Replicas
+	Partitions     []Partition   // the first one is partition 1
+	DrainWithin    time.Duration // in which a runner that drains must get nothing any more; 0: not told
+	CallsPerSecond float64       // that the platform takes from the whole system; 0: not told
+	Now            func() time.Duration
+	Log            *zap.Logger
 }
 
-// Duty polls the list. Run is called once.
-type Duty struct {
-	options  Options
-	views    []view
-	behind   []bool         // partitions whose local replica must catch up before the next comparison
-	missing  map[string]int // lists in a row that lacked a runner that is held, by key
-	doubtful bool           // a single list does not prove that a runner is gone
-	pages    int            // calls that the last list took, at least 1
-	pause    time.Duration
-	spacing  time.Duration     // between two polls, as the list's changes ask for it
-	changing atomic.Bool       // the last list changed what is held, or could not be compared
-	held     feed.PartitionSet // that this machine keeps
-	failing  bool
-	progress progress
+// Syncer polls the list. Run is called once.
+type Syncer struct {
+	options          Options
+	views            []partitionView
+	stale            []bool         // partitions whose local replica must catch up before the next comparison
+	missingCounts    map[string]int // lists in a row that lacked a runner that is held, by key
+	confirmDeletions bool           // a single list does not prove that a runner is gone
+	pageCount        int            // calls that the last list took, at least 1
+	backoff          time.Duration
+	pollInterval     time.Duration     // between two polls, as the list's changes ask for it
+	listChanged      atomic.Bool       // the last list changed what is held, or could not be compared
+	owned            feed.PartitionSet // that this machine keeps
+	failing          bool
+	progress         liveStatus
 }
 
 // New returns a duty.
-func New(options Options) *Duty {
-	return &Duty{
-		options: options,
-		views:   make([]view, len(options.Partitions)),
-		behind:  make([]bool, len(options.Partitions)),
-		missing: map[string]int{},
-		pages:   1,
-		spacing: pollEvery,
+func New(options Options) *Syncer {
+	return &Syncer{
+		options:       options,
+		views:         make([]partitionView, len(options.Partitions)),
+		stale:         make([]bool, len(options.Partitions)),
+		missingCounts: map[string]int{},
+		pageCount:     1,
+		pollInterval:  minPollInterval,
 	}
 }
 
 // Run does the duty whenever this machine has it, until the context ends.
-func (d *Duty) Run(ctx context.Context) {
+func (s *Syncer) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -93,171 +93,173 @@
 			return
 		case <-timer.C:
 		}
-		timer.Reset(d.Step(ctx))
+		timer.Reset(s.Step(ctx))
 	}
 }
 
 // ErrLostLease says that the lease does not reach for another call.
 var ErrLostLease = errors.New("duty: the lease ended; another machine has the duty now")
 
-// Held are the partitions of runners, of so many, that this machine keeps equal to the list: all of them while it surely
+// OwnedPartitions are the partitions of runners, of so many, that this machine keeps equal to the list: all of them while it surely
 // leads partition 0. Once it has not heard of a leader there for a while, it keeps those that it surely leads itself: no
 // partition waits for another one's leader. Two machines may then keep one for a moment, which the conditions of
 // state.WriteRunners bear.
-func Held(replicas replica.Replicas, runnerPartitions int) feed.PartitionSet {
+func OwnedPartitions(replicas replica.Replicas, runnerPartitions int) feed.PartitionSet {
 	all := feed.FirstPartitions(1 + runnerPartitions).Without(feed.NewPartitionSet(feed.ConfigurationPartition))
-	if surelyLeads(replicas, feed.ConfigurationPartition) {
+	if holdsLease(replicas, feed.ConfigurationPartition) {
 		return all
 	}
 	var held feed.PartitionSet
-	if replicas.Staleness(feed.ConfigurationPartition) < takeOverAfter {
+	if replicas.Staleness(feed.ConfigurationPartition) < takeoverDelay {
 		return held
 	}
 	for partition := range all.All() {
-		if surelyLeads(replicas, partition) {
+		if holdsLease(replicas, partition) {
 			held = held.With(partition)
 		}
 	}
 	return held
 }
 
-func surelyLeads(replicas replica.Replicas, partition feed.Partition) bool {
+func holdsLease(replicas replica.Replicas, partition feed.Partition) bool {
 	left, leads := replicas.LeaderLease(partition)
-	return leads && left > leaseMargin
+	return leads && left > minLeaseRemaining
 }
 
-// Permit says whether a call to the platform may begin now: nil or ErrLostLease.
-func Permit(replicas replica.Replicas, runnerPartitions int) error {
-	if Held(replicas, runnerPartitions).IsEmpty() {
+// CheckLease says whether a call to the platform may begin now: nil or ErrLostLease.
+func CheckLease(replicas replica.Replicas, runnerPartitions int) error {
+	if OwnedPartitions(replicas, runnerPartitions).IsEmpty() {
 		return ErrLostLease
 	}
 	return nil
 }
 
-// holds are the partitions that this machine keeps now.
-func (d *Duty) holds() feed.PartitionSet { return Held(d.options.Replicas, len(d.options.Partitions)) }
+// ownedPartitions are the partitions that this machine keeps now.
+func (s *Syncer) ownedPartitions() feed.PartitionSet {
+	return OwnedPartitions(s.options.Replicas, len(s.options.Partitions))
+}
 
 // Step polls once if this machine has the duty, and returns how long to wait until the next step.
-func (d *Duty) Step(ctx context.Context) time.Duration {
-	held := d.holds()
+func (s *Syncer) Step(ctx context.Context) time.Duration {
+	held := s.ownedPartitions()
 	if held.IsEmpty() {
-		d.lapse()
-		return lookEvery
+		s.release()
+		return leaseCheckInterval
 	}
-	d.begin(held)
-	started := d.options.Now()
-	list, err := d.list(ctx)
+	s.acquire(held)
+	started := s.options.Now()
+	list, err := s.fetchList(ctx)
 	if err != nil {
-		return d.failed(ctx, err)
+		return s.handleListFailure(ctx, err)
 	}
-	d.succeeded()
-	d.write(ctx, list)
-	return max(0, d.interval()-(d.options.Now()-started))
+	s.handleListSuccess()
+	s.syncPartitions(ctx, list)
+	return max(0, s.pollDelay()-(s.options.Now()-started))
 }
 
-func (d *Duty) list(ctx context.Context) ([]discovery.Runner, error) {
+func (s *Syncer) fetchList(ctx context.Context) ([]discovery.Runner, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	before := d.options.Lister.CallCount()
-	list, err := d.options.Lister.List(ctx)
-	d.progress.calls.Store(d.options.Lister.CallCount())
+	before := s.options.Lister.CallCount()
+	list, err := s.options.Lister.List(ctx)
+	s.progress.callCount.Store(s.options.Lister.CallCount())
 	if err == nil {
-		d.pages = max(1, int(d.options.Lister.CallCount()-before))
+		s.pageCount = max(1, int(s.options.Lister.CallCount()-before))
 	}
 	return list, err
 }
 
-// begin starts the duty anew where it keeps other partitions: what was seen while another machine did does not count.
-func (d *Duty) begin(held feed.PartitionSet) {
-	if held == d.held {
+// acquire starts the duty anew where it keeps other partitions: what was seen while another machine did does not count.
+func (s *Syncer) acquire(held feed.PartitionSet) {
+	if held == s.owned {
 		return
 	}
-	if d.held.IsEmpty() {
-		d.progress.begin()
+	if s.owned.IsEmpty() {
+		s.progress.acquire()
 	}
-	d.held, d.spacing = held, pollEvery
-	clear(d.missing)
-	for i := range d.behind {
-		d.behind[i] = true
+	s.owned, s.pollInterval = held, minPollInterval
+	clear(s.missingCounts)
+	for i := range s.stale {
+		s.stale[i] = true
 	}
-	d.options.Log.Info("discovery taken up", zap.Stringer("partitions", held))
+	s.options.Log.Info("discovery taken up", zap.Stringer("partitions", held))
 }
 
-func (d *Duty) lapse() {
-	if d.held.IsEmpty() {
+func (s *Syncer) release() {
+	if s.owned.IsEmpty() {
 		return
 	}
-	d.held = 0
-	d.progress.lapse()
-	d.options.Log.Info("discovery given up")
+	s.owned = 0
+	s.progress.release()
+	s.options.Log.Info("discovery given up")
 }
 
-func (d *Duty) succeeded() {
-	d.pause = 0
-	d.progress.succeeded(d.options.Now())
-	if d.failing {
-		d.failing = false
-		d.options.Log.Info("list of runners is answered again")
+func (s *Syncer) handleListSuccess() {
+	s.backoff = 0
+	s.progress.recordList(s.options.Now())
+	if s.failing {
+		s.failing = false
+		s.options.Log.Info("list of runners is answered again")
 	}
 }
 
-// failed logs the first of a series of failures, and returns a pause that grows with them.
-func (d *Duty) failed(ctx context.Context, err error) time.Duration {
+// handleListFailure logs the first of a series of failures, and returns a pause that grows with them.
+func (s *Syncer) handleListFailure(ctx context.Context, err error) time.Duration {
 	if ctx.Err() != nil || errors.Is(err, ErrLostLease) {
-		return lookEvery
+		return leaseCheckInterval
 	}
-	if !d.failing {
-		d.failing = true
-		d.options.Log.Warn("list of runners is not answered, what is known is kept", zap.Error(err))
+	if !s.failing {
+		s.failing = true
+		s.options.Log.Warn("list of runners is not answered, what is known is kept", zap.Error(err))
 	}
-	d.pause = min(longestPause, max(pollEvery, d.pause*2))
-	return d.pause
+	s.backoff = min(maxBackoff, max(minPollInterval, s.backoff*2))
+	return s.backoff
 }
 
-// interval is the time between two polls: longer where the platform takes few calls, or the list has many pages, or where
+// pollDelay is the time between two polls: longer where the platform takes few calls, or the list has many pages, or where
 // other machines may keep other partitions.
-func (d *Duty) interval() time.Duration {
-	if d.options.RatePerS <= 0 {
-		return d.spacing
+func (s *Syncer) pollDelay() time.Duration {
+	if s.options.CallsPerSecond <= 0 {
+		return s.pollInterval
 	}
-	share := rateShare * float64(d.held.Len()) / float64(len(d.options.Partitions))
-	least := time.Duration(float64(d.pages) / (d.options.RatePerS * share) * float64(time.Second))
-	return max(d.spacing, least)
+	share := callRateShare * float64(s.owned.Len()) / float64(len(s.options.Partitions))
+	least := time.Duration(float64(s.pageCount) / (s.options.CallsPerSecond * share) * float64(time.Second))
+	return max(s.pollInterval, least)
 }
 
-// space has the next poll come soon where the list changes, and later with each list that is as the one before: calls of
+// adjustPollInterval has the next poll come soon where the list changes, and later with each list that is as the one before: calls of
 // the platform are priced, and changes come in groups.
-func (d *Duty) space() {
-	if d.changing.Load() || len(d.missing) > 0 {
-		d.spacing = pollEvery
+func (s *Syncer) adjustPollInterval() {
+	if s.listChanged.Load() || len(s.missingCounts) > 0 {
+		s.pollInterval = minPollInterval
 		return
 	}
-	most := max(pollEvery, d.options.DrainWithin/drainShare)
-	d.spacing = min(time.Duration(calmGrowth*float64(d.spacing)), most)
+	most := max(minPollInterval, s.options.DrainWithin/pollsPerDrain)
+	s.pollInterval = min(time.Duration(pollIntervalGrowth*float64(s.pollInterval)), most)
 }
 
-// write brings the partitions that are kept to the list, each by itself: one without a leader does not hold up the others.
-func (d *Duty) write(ctx context.Context, list []discovery.Runner) {
-	listed := d.byPartition(list)
-	for i := range d.views {
-		d.follow(i)
+// syncPartitions brings the partitions that are kept to the list, each by itself: one without a leader does not hold up the others.
+func (s *Syncer) syncPartitions(ctx context.Context, list []discovery.Runner) {
+	listed := s.groupByPartition(list)
+	for i := range s.views {
+		s.refreshView(i)
 	}
-	d.noteMissing(listed)
-	d.changing.Store(false)
+	s.countMissing(listed)
+	s.listChanged.Store(false)
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	var running sync.WaitGroup
-	for partition := range d.held.All() {
+	for partition := range s.owned.All() {
 		i := int(partition) - 1
-		running.Go(func() { d.writePartition(ctx, i, listed[i]) })
+		running.Go(func() { s.syncPartition(ctx, i, listed[i]) })
 	}
 	running.Wait()
-	d.space()
+	s.adjustPollInterval()
 }
 
-// byPartition sorts the list's entries by partition and key.
-func (d *Duty) byPartition(list []discovery.Runner) []map[string]*discovery.Runner {
-	out := make([]map[string]*discovery.Runner, len(d.options.Partitions))
+// groupByPartition sorts the list's entries by partition and key.
+func (s *Syncer) groupByPartition(list []discovery.Runner) []map[string]*discovery.Runner {
+	out := make([]map[string]*discovery.Runner, len(s.options.Partitions))
 	for i := range out {
 		out[i] = map[string]*discovery.Runner{}
 	}
@@ -268,39 +270,39 @@
 	return out
 }
 
-// noteMissing counts for each runner that was held how many lists in a row lacked it.
-func (d *Duty) noteMissing(listed []map[string]*discovery.Runner) {
+// countMissing counts for each runner that was held how many lists in a row lacked it.
+func (s *Syncer) countMissing(listed []map[string]*discovery.Runner) {
 	now := make(map[string]int)
 	known := 0
-	for partition := range d.held.All() {
+	for partition := range s.owned.All() {
 		i := int(partition) - 1
-		known += len(d.views[i].runners)
-		for key := range d.views[i].runners {
+		known += len(s.views[i].runners)
+		for key := range s.views[i].runners {
 			if listed[i][key] == nil {
-				now[key] = d.missing[key] + 1
+				now[key] = s.missingCounts[key] + 1
 			}
 		}
 	}
-	d.missing = now
-	d.doubtful = d.pages > 1 || len(now) > known/2
+	s.missingCounts = now
+	s.confirmDeletions = s.pageCount > 1 || len(now) > known/2
 }
 
-// gone says whether a runner that is held and not listed is gone. A list of several pages may lack one that moved from
+// isGone says whether a runner that is held and not listed is gone. A list of several pages may lack one that moved from
 // one page to another between two calls, and one that lacks most runners may be the platform's own trouble: there it
 // takes two lists in a row.
-func (d *Duty) gone(key string) bool { return !d.doubtful || d.missing[key] >= 2 }
+func (s *Syncer) isGone(key string) bool { return !s.confirmDeletions || s.missingCounts[key] >= 2 }
 
-// writePartition proposes what differs; after a conflict it looks again, once.
-func (d *Duty) writePartition(ctx context.Context, i int, listed map[string]*discovery.Runner) {
+// syncPartition proposes what differs; after a conflict it looks again, once.
+func (s *Syncer) syncPartition(ctx context.Context, i int, listed map[string]*discovery.Runner) {
 	for range 2 {
-		if err := d.catchUp(ctx, i); err != nil {
-			d.changing.Store(true)
+		if err := s.catchUp(ctx, i); err != nil {
+			s.listChanged.Store(true)
 			return
 		}
-		settled, err := d.propose(ctx, i, listed)
+		settled, err := s.proposeDiff(ctx, i, listed)
 		if err != nil {
-			d.behind[i] = true
-			d.options.Log.Debug("change of runners was not agreed on", zap.Int("partition", i+1), zap.Error(err))
+			s.stale[i] = true
+			s.options.Log.Debug("change of runners was not agreed on", zap.Int("partition", i+1), zap.Error(err))
 			return
 		}
 		if settled {
@@ -310,38 +312,38 @@
 }
 
 // catchUp has the local replica hold what was agreed on before, where that is not sure.
-func (d *Duty) catchUp(ctx context.Context, i int) error {
-	if !d.behind[i] {
+func (s *Syncer) catchUp(ctx context.Context, i int) error {
+	if !s.stale[i] {
 		return nil
 	}
-	if err := d.options.Replicas.Barrier(ctx, feed.Partition(i+1)); err != nil {
+	if err := s.options.Replicas.Barrier(ctx, feed.Partition(i+1)); err != nil {
 		return fmt.Errorf("duty: catch up with partition %d: %w", i+1, err)
 	}
-	d.behind[i] = false
+	s.stale[i] = false
 	return nil
 }
 
-// follow brings the view of a partition to what the local replica holds.
-func (d *Duty) follow(i int) {
-	v := &d.views[i]
-	v.follow(d.options.Partitions[i].Since(v.index, 0), d.options.Now())
+// refreshView brings the view of a partition to what the local replica holds.
+func (s *Syncer) refreshView(i int) {
+	v := &s.views[i]
+	v.update(s.options.Partitions[i].Since(v.index, 0), s.options.Now())
 }
 
-// propose compares and proposes. It says whether the partition is settled with the list.
-func (d *Duty) propose(ctx context.Context, i int, listed map[string]*discovery.Runner) (bool, error) {
-	partition := d.options.Partitions[i]
+// proposeDiff compares and proposes. It says whether the partition is settled with the list.
+func (s *Syncer) proposeDiff(ctx context.Context, i int, listed map[string]*discovery.Runner) (bool, error) {
+	partition := s.options.Partitions[i]
 	seen := partition.Changed()
-	d.follow(i)
-	writes := d.views[i].writes(listed, d.options.Now(), d.gone)
+	s.refreshView(i)
+	writes := s.views[i].diff(listed, s.options.Now(), s.isGone)
 	if len(writes) == 0 {
 		return true, nil
 	}
-	d.changing.Store(true)
-	if !d.holds().Contains(feed.Partition(i + 1)) {
+	s.listChanged.Store(true)
+	if !s.ownedPartitions().Contains(feed.Partition(i + 1)) {
 		return false, ErrLostLease
 	}
 	command := state.WriteRunners{Seen: seen, Writes: writes}
-	answer, err := d.options.Replicas.Propose(ctx, feed.Partition(i+1), command.Encode())
+	answer, err := s.options.Replicas.Propose(ctx, feed.Partition(i+1), command.Encode())
 	if err != nil {
 		return false, fmt.Errorf("duty: propose to partition %d: %w", i+1, err)
 	}
@@ -349,6 +351,6 @@
 	if err != nil {
 		return false, err
 	}
-	d.behind[i] = partition.Changed() < result.Number
+	s.stale[i] = partition.Changed() < result.Number
 	return result.Outcome == state.Accepted, nil
 }
--- a/internal/system/control/status.go
+++ b/internal/system/control/status.go
@@ -11,33 +11,33 @@
 	"cinderroad/internal/system/replica"
 )
 
-// status describes the process for operators, as JSON.
-func (p *Process) status() []byte {
-	body, err := json.Marshal(p.describe())
+// encodeStatus describes the process for operators, as JSON.
+func (p *Process) encodeStatus() []byte {
+	body, err := json.Marshal(p.buildStatus())
 	if err != nil {
 		panic("control: a status that can't be encoded: " + err.Error()) // it holds numbers and strings alone
 	}
 	return body
 }
 
-func (p *Process) describe() *status.Control {
+func (p *Process) buildStatus() *status.Control {
 	members := p.gossip.View()
 	out := &status.Control{
-		Node:      p.settings.Load().Node,
-		Release:   p.version,
-		Version:   p.configuration.Version(),
-		Evacuated: append([]string{}, p.configuration.EvacuatedZones()...),
-		Proxies:   p.gossip.Proxies(),
-		Discovery: p.describeDiscovery(),
-		Followers: p.describeFollowers(),
-		Members:   make([]status.Member, 0, len(members)),
+		Node:           p.settings.Load().Node,
+		Release:        p.version,
+		Version:        p.configuration.Version(),
+		EvacuatedZones: append([]string{}, p.configuration.EvacuatedZones()...),
+		ActiveProxies:  p.gossip.Proxies(),
+		Discovery:      p.describeDiscovery(),
+		Followers:      p.describeFollowers(),
+		Members:        make([]status.Member, 0, len(members)),
 	}
 	for _, partition := range p.host.Status() {
 		out.Partitions = append(out.Partitions, p.describePartition(&partition))
 	}
 	for i := range members {
 		if members[i].Usable() {
-			out.Ready++
+			out.ReadyProxies++
 		}
 		out.Members = append(out.Members, describeMember(&members[i]))
 	}
@@ -45,25 +45,25 @@
 }
 
 func (p *Process) describeDiscovery() status.Discovery {
-	duty := p.duty.Status()
+	duty := p.runnerSync.Status()
 	return status.Discovery{
-		Holder:    duty.Holder,
-		Answered:  duty.Answered,
-		ListAgeMS: duty.ListAge.Milliseconds(),
-		Calls:     duty.Calls,
+		Holder:       duty.Holder,
+		ListReceived: duty.ListReceived,
+		ListAgeMS:    duty.ListAge.Milliseconds(),
+		CallCount:    duty.CallCount,
 	}
 }
 
 func (p *Process) describeFollowers() []status.Follower {
 	index := p.configuration.Index()
-	followers := p.feed.Followers()
+	followers := p.feedServer.Followers()
 	out := make([]status.Follower, 0, len(followers))
 	for _, follower := range followers {
 		out = append(out, status.Follower{
-			Node:          follower.Node,
-			Configuration: follower.ConfigurationIndex,
-			Behind:        follower.ConfigurationIndex < index,
-			AskedMS:       follower.SinceLastCall.Milliseconds(),
+			Node:               follower.Node,
+			ConfigurationIndex: follower.ConfigurationIndex,
+			Behind:             follower.ConfigurationIndex < index,
+			SinceLastCallMS:    follower.SinceLastCall.Milliseconds(),
 		})
 	}
 	return out
@@ -72,17 +72,17 @@
 func (p *Process) describePartition(partition *replica.PartitionStatus) status.Partition {
 	group := &partition.Status
 	out := status.Partition{
-		Partition: uint16(partition.Partition),
-		Replica:   replicaName(group.ID),
-		Role:      roleName(group.Role),
-		Term:      group.Term,
-		Leader:    replicaName(group.Leader),
-		Commit:    group.Commit,
-		Applied:   group.Applied,
-		Last:      group.LastIndex,
-		Items:     p.items(int(partition.Partition)),
-		FreshMS:   p.host.Staleness(partition.Partition).Milliseconds(),
-		Replicas:  make([]status.Replica, 0, len(group.Membership.Members)),
+		Partition:    uint16(partition.Partition),
+		Replica:      replicaName(group.ID),
+		Role:         roleName(group.Role),
+		Term:         group.Term,
+		Leader:       replicaName(group.Leader),
+		CommitIndex:  group.Commit,
+		AppliedIndex: group.Applied,
+		LastIndex:    group.LastIndex,
+		ItemCount:    p.itemCount(int(partition.Partition)),
+		StalenessMS:  p.host.Staleness(partition.Partition).Milliseconds(),
+		Replicas:     make([]status.Replica, 0, len(group.Membership.Members)),
 	}
 	if lease, leads := p.host.LeaderLease(partition.Partition); leads {
 		out.LeaseMS = lease.Milliseconds()
@@ -94,8 +94,8 @@
 	return out
 }
 
-// items is how many items a partition holds here.
-func (p *Process) items(partition int) int {
+// itemCount is how many items a partition holds here.
+func (p *Process) itemCount(partition int) int {
 	if partition == 0 {
 		return p.configuration.Len()
 	}
@@ -104,15 +104,15 @@
 
 func describeMember(member *gossip.Member) status.Member {
 	return status.Member{
-		Node:    member.Node,
-		Address: member.Address.String(),
-		State:   member.State.String(),
-		SinceMS: time.Since(member.Since).Milliseconds(),
-		Role:    string(member.Role),
-		Zone:    member.Zone,
-		Serving: string(member.Serving),
-		Front:   member.Front,
-		Release: member.Version,
+		Node:         member.Node,
+		Address:      member.Address.String(),
+		State:        member.State.String(),
+		StateAgeMS:   time.Since(member.Since).Milliseconds(),
+		Role:         string(member.Role),
+		Zone:         member.Zone,
+		Serving:      string(member.Serving),
+		FrontAddress: member.Front,
+		Release:      member.Version,
 	}
 }
 
--- a/internal/system/control/status/status_test.go
+++ b/internal/system/control/status/status_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-func TestStatusSurvivesItsEncoding(t *testing.T) {
+func TestJSONRoundTrip(t *testing.T) {
 	want := Control{
-		Node: "core-1", Release: "r1", Version: 7, Evacuated: []string{"a"}, Proxies: 3, Ready: 2,
-		Discovery: Discovery{Holder: true, Answered: true, ListAgeMS: 120, Calls: 9},
+		Node: "core-1", Release: "r1", Version: 7, EvacuatedZones: []string{"a"}, ActiveProxies: 3, ReadyProxies: 2,
+		Discovery: Discovery{Holder: true, ListReceived: true, ListAgeMS: 120, CallCount: 9},
 		Partitions: []Partition{{Partition: 1, Replica: "01", Role: "leader", Term: 4, Leader: "01", LeaseMS: 900,
 			Replicas: []Replica{{Replica: "01", Node: "core-1", Zone: "a", Address: "10.0.0.1:7660", Voter: true}}}},
-		Followers: []Follower{{Node: "edge-1", Configuration: 12, Behind: true, AskedMS: 5}},
-		Members:   []Member{{Node: "edge-1", Address: "10.0.0.9", State: "alive", SinceMS: 8, Role: "edge"}},
+		Followers: []Follower{{Node: "edge-1", ConfigurationIndex: 12, Behind: true, SinceLastCallMS: 5}},
+		Members:   []Member{{Node: "edge-1", Address: "10.0.0.9", State: "alive", StateAgeMS: 8, Role: "edge"}},
 	}
 	body, err := json.Marshal(&want)
 	if err != nil {
--- a/internal/system/control/stop.go
+++ b/internal/system/control/stop.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	serveOnFor    = 1500 * time.Millisecond // after SIGTERM, while others are told
-	serveOnShare  = 4                       // of the grace period, one part in so many, at most
-	exitMargin    = time.Second             // before the end of the grace period
-	finishShare   = 2                       // of what is left then, one part in so many, for calls under way; the rest to hand over
-	abandonWithin = time.Second             // for calls under way when the process can't go on
+	announceTime    = 1500 * time.Millisecond // after SIGTERM, while others are told
+	announceDivisor = 4                       // of the grace period, one part in so many, at most
+	exitMargin      = time.Second             // before the end of the grace period
+	drainDivisor    = 2                       // of what is left then, one part in so many, for calls under way; the rest to hand over
+	abortTimeout    = time.Second             // for calls under way when the process can't go on
 )
 
 // stopPlan says how long a process that was told to stop takes for what, one after the other.
 type stopPlan struct {
-	serveOn time.Duration // it goes on taking calls, while the others are told
-	finish  time.Duration // calls under way end; less if there are none
-	within  time.Duration // all of it, with handing over leadership and votes
+	announce time.Duration // it goes on taking calls, while the others are told
+	drain    time.Duration // calls under way end; less if there are none
+	total    time.Duration // all of it, with handing over leadership and votes
 }
 
-// planStop divides the grace period, from the signal to stop until the process is killed.
-func planStop(grace time.Duration) stopPlan {
+// newStopPlan divides the grace period, from the signal to stop until the process is killed.
+func newStopPlan(grace time.Duration) stopPlan {
 	within := max(0, grace-exitMargin)
-	serveOn := min(serveOnFor, within/serveOnShare)
-	return stopPlan{serveOn: serveOn, finish: (within - serveOn) / finishShare, within: within}
+	serveOn := min(announceTime, within/announceDivisor)
+	return stopPlan{announce: serveOn, drain: (within - serveOn) / drainDivisor, total: within}
 }
 
 // Run returns nil once the context has ended and the process has handed over what it does, or an error if the process
 // can't go on.
 func (p *Process) Run(ctx context.Context) error {
-	plan := planStop(p.settings.Load().Timing.GracePeriod)
+	plan := newStopPlan(p.settings.Load().Timing.GracePeriod)
 	select {
 	case err := <-p.failures:
-		p.stop(stopPlan{finish: abandonWithin, within: plan.within})
+		p.stop(stopPlan{drain: abortTimeout, total: plan.total})
 		return err
 	case <-ctx.Done():
 	}
@@ -52,20 +52,20 @@
 // stop tells the others, serves on for a while, ends what is under way and hands leadership and votes over, all within a
 // time, also where the disk hangs.
 func (p *Process) stop(plan stopPlan) {
-	ctx, cancel := context.WithTimeout(context.Background(), plan.within)
+	ctx, cancel := context.WithTimeout(context.Background(), plan.total)
 	defer cancel()
 	p.stopping.Store(true)
 	p.gossip.SetServing(gossip.Stopping)
-	p.feed.Stop()
+	p.feedServer.Stop()
 	p.host.Leave()
-	retry.Sleep(ctx, plan.serveOn)
-	if err := p.closeServers(plan.finish); err != nil {
+	retry.Sleep(ctx, plan.announce)
+	if err := p.closeServers(plan.drain); err != nil {
 		p.log.Warn("calls were broken off", zap.Error(err))
 	}
 	p.host.Stop(ctx)
 	p.cancel()
 	p.leave()
-	p.running.Wait()
+	p.goroutines.Wait()
 }
 
 // leave has the other members know, if this one has joined.
--- a/internal/system/control/view.go
+++ b/internal/system/control/view.go
@@ -14,16 +14,16 @@
 
 // Bounds of HTTP connections.
 const (
-	headerTimeout  = 5 * time.Second
-	requestTimeout = 30 * time.Second // whole, with its body
-	answerTimeout  = 30 * time.Second
-	idleTimeout    = 15 * time.Second
-	mostHeader     = 16 << 10
+	readHeaderTimeout = 5 * time.Second
+	readTimeout       = 30 * time.Second // whole, with its body
+	writeTimeout      = 30 * time.Second
+	idleTimeout       = 15 * time.Second
+	maxHeaderBytes    = 16 << 10
 )
 
 func newServer(handler http.Handler) *http.Server {
-	return &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, ReadTimeout: requestTimeout,
-		WriteTimeout: answerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: mostHeader}
+	return &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout,
+		WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
 // Edges is the directory's view of the members. On a machine that is cut off from all it is the one of before: clients that
@@ -34,13 +34,13 @@
 	edges := make([]directory.Edge, 0, len(members))
 	for i := range members {
 		if members[i].Role == gossip.Edge {
-			edges = append(edges, edgeOf(&members[i], zones))
+			edges = append(edges, newEdge(&members[i], zones))
 		}
 	}
 	return edges
 }
 
-func edgeOf(member *gossip.Member, zones map[string]string) directory.Edge {
+func newEdge(member *gossip.Member, zones map[string]string) directory.Edge {
 	front, _ := netip.ParseAddrPort(member.Front) // none yet: it is left out
 	return directory.Edge{
 		Node:     member.Node,
@@ -63,9 +63,9 @@
 	return directory.Dead
 }
 
-// watch passes addresses from membership to the replicas.
-func (p *Process) watch(ctx context.Context) {
-	for retry.Sleep(ctx, hintEvery) {
+// watchMembers passes addresses from membership to the replicas.
+func (p *Process) watchMembers(ctx context.Context) {
+	for retry.Sleep(ctx, hintInterval) {
 		p.host.AddPeerAddresses(p.gossip.ControlAddresses()...)
 	}
 }
