--- a/loadbalancer/brain_test.go
+++ b/loadbalancer/brain_test.go
@@ -1213,7 +1213,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, act := range []string{"act.Send(", "act.Refuse(", "act.Fail(", "act.Probe("} {
+		for _, act := range []string{"act.Send(", "act.Reject(", "act.Fail(", "act.Probe("} {
 			if strings.Contains(string(text), act) {
 				t.Errorf("%s calls %s...)", name, act)
 			}
