--- a/internal/system/placement/aim_test.go
+++ b/internal/system/placement/aim_test.go
@@ -9,9 +9,9 @@
 
 // The utilization of a service's runners goes by the aims of its own routes: a look-up service with an aim of 200 ms must
 // not make an engine whose answers have 800 ms look full.
-func TestTheAimOfOneServiceDoesNotFillTheRunnersOfAnother(t *testing.T) {
+func TestLatencyTargetsOfServicesAreIndependent(t *testing.T) {
 	utilization := func(others ...*configuration.Route) float64 {
-		p := testPlacer(t, append(testRunners("llm", 3), testRunners("api", 3)...))
+		p := startedTestPlacer(t, append(testRunners("llm", 3), testRunners("api", 3)...))
 		long := &configuration.Route{Name: "long", Type: configuration.Streaming, LatencyTarget: 800 * time.Millisecond,
 			Timeout: 5 * time.Second, MaxAttempts: 1}
 		ask := func(service string, route *configuration.Route) {
@@ -25,9 +25,9 @@
 			ask("api", route)
 		}
 		s, w := p.services["llm"], p.runners["llm-0"]
-		s.speed, w.wait = 40000, 0.3
-		p.plan(testStart, s)
-		return w.util
+		s.prefillSpeed, w.excessWait = 40000, 0.3
+		p.planService(testStart, s)
+		return w.utilization
 	}
 	alone, beside := utilization(), utilization(testRoute())
 	if alone <= 0 || beside > alone {
--- a/internal/system/placement/api.go
+++ b/internal/system/placement/api.go
@@ -82,7 +82,7 @@
 	Runner  string
 	Request *Request
 
-	booking
+	reservation
 }
 
 // Progress is what an attempt has shown when it ends.
--- a/internal/system/placement/budget_test.go
+++ b/internal/system/placement/budget_test.go
@@ -12,57 +12,57 @@
 	"cinderroad/internal/system/configuration"
 )
 
-// fleet is several proxies with views that differ, in virtual time.
-type fleet struct {
-	t        *rapid.T
-	now      time.Duration
-	services []*configuration.Service
-	runners  []Runner
-	proxies  []*fleetProxy
-	keys     bool // they know each other by keys
-	seeds    uint64
-	firsts   []time.Duration // requests that arrived
-	repeats  []time.Duration // and what arrived beyond the first of each
-	colds    map[string][]time.Duration
+// proxyGroup is several proxies with views that differ, in virtual time.
+type proxyGroup struct {
+	t              *rapid.T
+	now            time.Duration
+	services       []*configuration.Service
+	runners        []Runner
+	proxies        []*groupProxy
+	useKeys        bool // they know each other by keys
+	lastSeed       uint64
+	requests       []time.Duration // requests that arrived
+	retries        []time.Duration // and what arrived beyond the first of each
+	slowStartSends map[string][]time.Duration
 }
 
-type fleetProxy struct {
-	placer *Placer
-	key    uint64
-	born   time.Duration
-	frozen time.Duration // until then
+type groupProxy struct {
+	placer      *Placer
+	key         uint64
+	startedAt   time.Duration
+	frozenUntil time.Duration // until then
 }
 
-// newFleet draws a fleet; it begins long enough after its start that all know each other.
-func newFleet(t *rapid.T, runners []Runner) *fleet {
-	f := &fleet{t: t, now: testStart, services: testServices(), runners: runners, keys: rapid.Bool().Draw(t, "keys"),
-		colds: map[string][]time.Duration{}}
+// newProxyGroup draws a fleet; it begins long enough after its start that all know each other.
+func newProxyGroup(t *rapid.T, runners []Runner) *proxyGroup {
+	f := &proxyGroup{t: t, now: testStart, services: testServices(), runners: runners, useKeys: rapid.Bool().Draw(t, "keys"),
+		slowStartSends: map[string][]time.Duration{}}
 	for range rapid.SampledFrom([]int{1, 2, 3, 7, 12, 24}).Draw(t, "proxies") {
 		f.join()
 	}
 	for _, p := range f.proxies {
-		f.tell(p)
+		f.sendPeers(p)
 	}
 	return f
 }
 
 // join starts a proxy. It knows of all others at once; they learn of it later.
-func (f *fleet) join() {
-	f.seeds++
-	placer, err := New(worldOptions([]string{"m", "t", "p"}[f.seeds%3]), f.seeds)
+func (f *proxyGroup) join() {
+	f.lastSeed++
+	placer, err := New(testOptions([]string{"m", "t", "p"}[f.lastSeed%3]), f.lastSeed)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	p := &fleetProxy{placer: placer, key: f.seeds * 0x9e3779b97f4a7c15, born: f.now}
+	p := &groupProxy{placer: placer, key: f.lastSeed * 0x9e3779b97f4a7c15, startedAt: f.now}
 	f.proxies = append(f.proxies, p)
 	placer.SetServices(f.now, f.services)
 	placer.SetRunners(f.now, f.runners)
-	f.tell(p)
+	f.sendPeers(p)
 }
 
-// tell tells a proxy of all there are.
-func (f *fleet) tell(p *fleetProxy) {
-	if !f.keys {
+// sendPeers tells a proxy of all there are.
+func (f *proxyGroup) sendPeers(p *groupProxy) {
+	if !f.useKeys {
 		p.placer.SetProxyCount(f.now, len(f.proxies))
 		return
 	}
@@ -75,25 +75,25 @@
 
 // step lets time pass. Each proxy that runs is told of those that began at least a second ago, which is well within the
 // time for which a new one holds back.
-func (f *fleet) step(d time.Duration) {
+func (f *proxyGroup) step(d time.Duration) {
 	f.now += d
 	for _, p := range f.proxies {
-		if f.now < p.frozen {
+		if f.now < p.frozenUntil {
 			continue
 		}
 		p.placer.Tick(f.now)
-		f.tellOld(p)
+		f.sendKnownPeers(p)
 	}
 }
 
-func (f *fleet) tellOld(p *fleetProxy) {
+func (f *proxyGroup) sendKnownPeers(p *groupProxy) {
 	n, keys := 0, []uint64{}
 	for _, x := range f.proxies {
-		if x == p || f.now-x.born >= time.Second || p.born >= x.born {
+		if x == p || f.now-x.startedAt >= time.Second || p.startedAt >= x.startedAt {
 			n, keys = n+1, append(keys, x.key)
 		}
 	}
-	if f.keys {
+	if f.useKeys {
 		p.placer.SetPeers(f.now, p.key, keys)
 	} else {
 		p.placer.SetProxyCount(f.now, n)
@@ -101,8 +101,8 @@
 }
 
 // send has a proxy place a request, and sends it if it may.
-func (f *fleet) send(p *fleetProxy, r *Request) (Choice, *Attempt) {
-	if f.now < p.frozen {
+func (f *proxyGroup) send(p *groupProxy, r *Request) (Choice, *Attempt) {
+	if f.now < p.frozenUntil {
 		return Choice{}, nil
 	}
 	c, refusal := p.placer.Place(f.now, r)
@@ -110,21 +110,21 @@
 		return c, nil
 	}
 	if len(r.TriedRunners) > 0 {
-		f.repeats = append(f.repeats, f.now)
+		f.retries = append(f.retries, f.now)
 	} else {
-		f.firsts = append(f.firsts, f.now)
+		f.requests = append(f.requests, f.now)
 	}
 	for i := range f.runners {
 		if w := &f.runners[i]; w.ID == c.Runner && f.now < w.SlowStartUntil {
-			f.colds[w.ID] = append(f.colds[w.ID], f.now)
+			f.slowStartSends[w.ID] = append(f.slowStartSends[w.ID], f.now)
 		}
 	}
 	a := p.placer.StartAttempt(f.now, r, c)
 	return c, a
 }
 
-// most is the largest number of moments in any span.
-func most(moments []time.Duration, span time.Duration) (n int, from time.Duration) {
+// largestCount is the largest number of moments in any span.
+func largestCount(moments []time.Duration, span time.Duration) (n int, from time.Duration) {
 	slices.Sort(moments)
 	first := 0
 	for i, at := range moments {
@@ -140,13 +140,13 @@
 
 // Summed over all proxies, those that began just now and those that slept included, no cold runner gets more in any second
 // than the rule allows, however hard all of them press.
-func TestAllProxiesTogetherSpareColdRunners(t *testing.T) {
+func TestSlowStartBoundHoldsOverAllProxies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runners := testRunners("api", 3)
 		for i := range runners {
 			runners[i].SlowStartUntil = testStart + time.Hour
 		}
-		f := newFleet(t, runners)
+		f := newProxyGroup(t, runners)
 		f.services[0].SlowStartRate = rapid.SampledFrom([]float64{0, 2, 9, 40}).Draw(t, "rate")
 		for _, p := range f.proxies {
 			p.placer.SetServices(f.now, f.services)
@@ -166,7 +166,7 @@
 				f.proxies[len(f.proxies)-1].key = key
 			case 2:
 				p := f.proxies[rapid.IntRange(0, len(f.proxies)-1).Draw(t, "frozen")]
-				p.frozen = f.now + time.Duration(rapid.IntRange(100, 3000).Draw(t, "for"))*time.Millisecond
+				p.frozenUntil = f.now + time.Duration(rapid.IntRange(100, 3000).Draw(t, "for"))*time.Millisecond
 			}
 			for _, p := range f.proxies {
 				for range 2 {
@@ -175,8 +175,8 @@
 			}
 		}
 		bound := int(f.services[0].SlowStartRate*1.5 + 5)
-		for id, moments := range f.colds {
-			if n, from := most(moments, time.Second); n > bound {
+		for id, moments := range f.slowStartSends {
+			if n, from := largestCount(moments, time.Second); n > bound {
 				t.Fatalf("%s got %d in the second from %v, at most %d; %d proxies", id, n, from, bound, len(f.proxies))
 			}
 		}
@@ -184,7 +184,7 @@
 }
 
 // Cold runners are used all the same, by few proxies and by many that know each other.
-func TestColdRunnersAreUsed(t *testing.T) {
+func TestSlowStartRunnersAreUsed(t *testing.T) {
 	for _, n := range []int{1, 7, 18, 60} {
 		runners := testRunners("api", 1)
 		runners[0].SlowStartUntil = testStart + time.Hour
@@ -194,7 +194,7 @@
 		}
 		sent := 0
 		for i := range n {
-			p := worldPlacer(t, "m", uint64(i))
+			p := newTestPlacer(t, "m", uint64(i))
 			p.SetServices(testStart, testServices())
 			p.SetRunners(testStart, runners)
 			p.SetPeers(testStart, keys[i], keys)
@@ -215,10 +215,10 @@
 }
 
 // Summed over all proxies, what arrives beyond the first of each request stays within the budget in every window.
-func TestAllProxiesTogetherKeepTheRetryBudget(t *testing.T) {
+func TestRetryBudgetHoldsOverAllProxies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet(t, testRunners("api", 30))
-		options := worldOptions("m")
+		f := newProxyGroup(t, testRunners("api", 30))
+		options := testOptions("m")
 		eager := rapid.SampledFrom([]int{1, 4, 25}).Draw(t, "repeats wanted for each request")
 		for f.now < testStart+35*time.Second {
 			f.step(time.Duration(rapid.IntRange(50, 800).Draw(t, "ms")) * time.Millisecond)
@@ -239,15 +239,15 @@
 				if quiet {
 					continue
 				}
-				f.repeatedly(p, eager)
+				f.retryWhileAllowed(p, eager)
 			}
 		}
 		f.checkBudget(options.RetryRatio, options.RetryAllowance, options.RetryWindow)
 	})
 }
 
-// repeatedly has a proxy send a request, and again as often as it may.
-func (f *fleet) repeatedly(p *fleetProxy, eager int) {
+// retryWhileAllowed has a proxy send a request, and again as often as it may.
+func (f *proxyGroup) retryWhileAllowed(p *groupProxy, eager int) {
 	route := testRoute()
 	route.MaxAttempts = 1 + eager
 	r := testRequest(f.now, "api", route)
@@ -265,7 +265,7 @@
 }
 
 // checkBudget checks every window that ends with a repeat.
-func (f *fleet) checkBudget(ratio, extra float64, window time.Duration) {
+func (f *proxyGroup) checkBudget(ratio, extra float64, window time.Duration) {
 	count := func(moments []time.Duration, from, to time.Duration) float64 {
 		n := 0
 		for _, at := range moments {
@@ -275,20 +275,20 @@
 		}
 		return float64(n)
 	}
-	for i := 0; i < len(f.repeats); i += 1 + len(f.repeats)/200 {
-		to := f.repeats[i]
+	for i := 0; i < len(f.retries); i += 1 + len(f.retries)/200 {
+		to := f.retries[i]
 		from := to - window
-		requests := math.Max(count(f.firsts, from, to),
-			math.Max(count(f.firsts, from-window, from), count(f.firsts, from-window/2, to-window/2)))
-		if n := count(f.repeats, from, to); n > ratio*requests+extra {
+		requests := math.Max(count(f.requests, from, to),
+			math.Max(count(f.requests, from-window, from), count(f.requests, from-window/2, to-window/2)))
+		if n := count(f.retries, from, to); n > ratio*requests+extra {
 			f.t.Fatalf("%v repeats within the window until %v, for %v requests; %d proxies", n, to, requests, len(f.proxies))
 		}
 	}
 }
 
 // A repeat that nobody else would have to forgo is allowed: the budget is there to be used.
-func TestTheRetryBudgetIsUsable(t *testing.T) {
-	p := testPlacer(t, testRunners("api", 3))
+func TestRetryBudgetAllowsRetries(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("api", 3))
 	now := testStart + 20*time.Second
 	allowed := 0
 	for i := range 100 {
@@ -311,8 +311,8 @@
 }
 
 // What never arrived costs no budget.
-func TestAnAttemptThatNeverArrivedCostsNoBudget(t *testing.T) {
-	p := testPlacer(t, testRunners("api", 30))
+func TestFailedConnectionCostsNoRetryBudget(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("api", 30))
 	now := testStart
 	for i := range 100 {
 		r := testRequest(now, "api", testRoute())
--- a/internal/system/placement/cold.go
+++ b/internal/system/placement/cold.go
@@ -12,39 +12,39 @@
 // there are more proxies than the runner bears requests, only those use it that come first in an order drawn from the
 // runner and the proxies' keys: whoever knows of more proxies than another comes no earlier.
 
-// isCold says whether a runner is cold, or may be: the list lags behind, and one that was silent may come back cold.
-func (w *runner) isCold(now time.Duration) bool {
-	return now < w.SlowStartUntil || w.service.SlowStartDuration > 0 && (w.suspect || now < w.guarded)
+// inSlowStart says whether a runner is cold, or may be: the list lags behind, and one that was silent may come back cold.
+func (w *runnerState) inSlowStart(now time.Duration) bool {
+	return now < w.SlowStartUntil || w.service.SlowStartDuration > 0 && (w.suspect || now < w.guardedUntil)
 }
 
-// coldRoom says whether this proxy may send to a cold runner now.
-func (p *Placer) coldRoom(now time.Duration, w *runner) bool {
-	return now >= w.coldNext && p.coldSpacing(now, w) > 0
+// hasSlowStartBudget says whether this proxy may send to a cold runner now.
+func (p *Placer) hasSlowStartBudget(now time.Duration, w *runnerState) bool {
+	return now >= w.slowStartNextAt && p.slowStartInterval(now, w) > 0
 }
 
-// coldSpacing is the time between two sends to a cold runner; 0: nothing may be sent.
-func (p *Placer) coldSpacing(now time.Duration, w *runner) time.Duration {
-	if p.proxies == 0 || now < p.joined {
+// slowStartInterval is the time between two sends to a cold runner; 0: nothing may be sent.
+func (p *Placer) slowStartInterval(now time.Duration, w *runnerState) time.Duration {
+	if p.proxyCount == 0 || now < p.countedFrom {
 		return 0 // the others may not count this one yet, and its last life may have sent just now
 	}
-	bound := coldShare * (w.service.SlowStartRate*p.options.SlowStartFactor + p.options.SlowStartAllowance)
-	n := float64(p.proxies)
+	bound := slowStartPlannedShare * (w.service.SlowStartRate*p.options.SlowStartFactor + p.options.SlowStartAllowance)
+	n := float64(p.proxyCount)
 	share := math.Floor(math.Min(bound/(n+1), math.Max(w.service.SlowStartRate/n, 1)))
-	if share < 1 && p.isHolder(w, int(bound)) {
+	if share < 1 && p.holdsSlowStartShare(w, int(bound)) {
 		share = 1
 	}
 	if share < 1 {
 		return 0
 	}
-	return time.Duration(coldSpan / share * float64(time.Second))
+	return time.Duration(slowStartWindow / share * float64(time.Second))
 }
 
-// isHolder says whether this proxy is one of the few that may use a cold runner.
-func (p *Placer) isHolder(w *runner, holders int) bool {
+// holdsSlowStartShare says whether this proxy is one of the few that may use a cold runner.
+func (p *Placer) holdsSlowStartShare(w *runnerState, holders int) bool {
 	if len(p.peers) == 0 {
 		return false
 	}
-	mine, place := capacity.Hash(w.key^p.self), 0
+	mine, place := capacity.Hash(w.key^p.selfKey), 0
 	for _, x := range p.peers {
 		if capacity.Hash(w.key^x.key) < mine {
 			place++
@@ -53,9 +53,9 @@
 	return place < holders
 }
 
-// coldSent books a send to a cold runner.
-func (p *Placer) coldSent(now time.Duration, w *runner) {
-	if w.isCold(now) {
-		w.coldNext = now + p.coldSpacing(now, w)
+// recordSlowStartSend books a send to a cold runner.
+func (p *Placer) recordSlowStartSend(now time.Duration, w *runnerState) {
+	if w.inSlowStart(now) {
+		w.slowStartNextAt = now + p.slowStartInterval(now, w)
 	}
 }
--- a/internal/system/placement/distribution_test.go
+++ b/internal/system/placement/distribution_test.go
@@ -23,13 +23,13 @@
 		again, shared, refused := 0, 0, 0
 		var kinds [3]requestKind
 		for seed := uint64(1); seed <= 5; seed++ {
-			w := newWorld(t, seed, c.load)
+			w := newSimulation(t, seed, c.load)
 			w.run(35 * time.Second)
-			again, shared, refused = again+w.again, shared+w.shared, refused+w.refused
+			again, shared, refused = again+w.repeatedTokens, shared+w.sharedTokens, refused+w.rejected
 			for i, k := range w.kinds {
-				kinds[i].asked += k.asked
+				kinds[i].requests += k.requests
 				kinds[i].inTime += k.inTime
-				kinds[i].firsts = append(kinds[i].firsts, k.firsts...)
+				kinds[i].firstEvents = append(kinds[i].firstEvents, k.firstEvents...)
 			}
 		}
 		part := float64(again) / float64(shared)
@@ -38,8 +38,8 @@
 			t.Errorf("load %.1f: %.3f of shared tokens read again", c.load, part)
 		}
 		for i, k := range kinds {
-			share := float64(k.inTime) / float64(k.asked)
-			slices.Sort(k.firsts)
+			share := float64(k.inTime) / float64(k.requests)
+			slices.Sort(k.firstEvents)
 			t.Logf("   kind %d: %.4f in time, first events after %v, 95 in 100 within %v", i, share,
 				k.quantile(0.5), k.quantile(0.95))
 			if share < c.inTime {
@@ -50,5 +50,5 @@
 }
 
 func (k *requestKind) quantile(share float64) time.Duration {
-	return k.firsts[int(share*float64(len(k.firsts)))].Round(time.Millisecond)
+	return k.firstEvents[int(share*float64(len(k.firstEvents)))].Round(time.Millisecond)
 }
--- a/internal/system/placement/heard.go
+++ b/internal/system/placement/heard.go
@@ -25,37 +25,37 @@
 	Tokens    int    // of the prompt, where there is one
 }
 
-// unread is what a runner has yet to read of all prompts that are known. It grows by each prompt and shrinks at the speed
+// prefillBacklog is what a runner has yet to read of all prompts that are known. It grows by each prompt and shrinks at the speed
 // of reading.
-type unread struct {
-	slots float64 // at the time below
-	at    time.Duration
+type prefillBacklog struct {
+	slots     float64 // at the time below
+	updatedAt time.Duration
 }
 
-// left is what has not been read by now, in slots; rate is how many slots are read in a second.
-func (u *unread) left(now time.Duration, rate float64) float64 {
-	return math.Max(0, u.slots-rate*(now-u.at).Seconds())
+// remaining is what has not been read by now, in slots; rate is how many slots are read in a second.
+func (u *prefillBacklog) remaining(now time.Duration, rate float64) float64 {
+	return math.Max(0, u.slots-rate*(now-u.updatedAt).Seconds())
 }
 
 // add adds a prompt.
-func (u *unread) add(now time.Duration, rate, slots float64) {
-	u.slots, u.at = u.left(now, rate)+slots, now
+func (u *prefillBacklog) add(now time.Duration, rate, slots float64) {
+	u.slots, u.updatedAt = u.remaining(now, rate)+slots, now
 }
 
-// readingRate is how many slots of prompts an engine reads in a second; 0: its speed is not known.
-func (s *service) readingRate() float64 {
+// prefillRate is how many slots of prompts an engine reads in a second; 0: its speed is not known.
+func (s *serviceState) prefillRate() float64 {
 	if !s.isEngine() {
 		return 0
 	}
-	return s.speed / s.unit()
+	return s.prefillSpeed / s.slotTokens()
 }
 
 // HandleNotice takes the notice of another proxy.
 func (p *Placer) HandleNotice(now time.Duration, notice Notice) {
-	p.begin(now)
+	p.recordCall(now)
 	if notice.Kind == NoticePrefill {
-		p.heard, p.heardAt = true, now
-		p.heardCount++
+		p.notified, p.lastNoticeAt = true, now
+		p.noticeCount++
 	}
 	w := p.byKey[notice.RunnerKey]
 	if w == nil {
@@ -63,50 +63,52 @@
 	}
 	switch notice.Kind {
 	case NoticePrefill:
-		p.heardReading(now, w, notice.Tokens)
+		p.addPeerPrefill(now, w, notice.Tokens)
 	case NoticeRecovery:
-		w.answered(now)
+		w.markAlive(now)
 	}
 }
 
-// heardReading takes it that a runner reads a prompt of another proxy.
-func (p *Placer) heardReading(now time.Duration, w *runner, tokens int) {
+// addPeerPrefill takes it that a runner reads a prompt of another proxy.
+func (p *Placer) addPeerPrefill(now time.Duration, w *runnerState, tokens int) {
 	if !w.service.isEngine() {
 		return
 	}
-	slots := float64(tokens) / w.service.unit()
-	w.unread.add(now, w.service.readingRate(), slots)
-	w.load, w.room = w.load+slots, w.room-slots
+	slots := float64(tokens) / w.service.slotTokens()
+	w.backlog.add(now, w.service.prefillRate(), slots)
+	w.load, w.spareSlots = w.load+slots, w.spareSlots-slots
 }
 
 // PrefillNotice is what the other proxies are to be told of an attempt that was sent; false: its prompt is too short to
 // matter.
 func (a *Attempt) PrefillNotice() (Notice, bool) {
-	if !a.worthTelling {
+	if !a.announced {
 		return Notice{}, false
 	}
-	return Notice{Kind: NoticePrefill, RunnerKey: a.runner.key, Tokens: int(a.prefill)}, true
+	return Notice{Kind: NoticePrefill, RunnerKey: a.runner.key, Tokens: int(a.prefillTokens)}, true
 }
 
-// paceNotices has longer prompts alone told while too many notices come: all proxies hear the same, so each would spend its
+// adjustNoticeThreshold has longer prompts alone told while too many notices come: all proxies hear the same, so each would spend its
 // processor on the more notices the more proxies there are. In a period without too many, shorter ones are told again.
-func (p *Placer) paceNotices(elapsed float64) {
-	if float64(p.heardCount) > mostHeard*elapsed {
-		p.tellFrom *= tellGrowth
+func (p *Placer) adjustNoticeThreshold(elapsed float64) {
+	if float64(p.noticeCount) > maxNoticeRate*elapsed {
+		p.noticeThreshold *= noticeThresholdGrowth
 	} else {
-		p.tellFrom = math.Max(tellLeast, p.tellFrom*tellFade)
+		p.noticeThreshold = math.Max(minNoticeThreshold, p.noticeThreshold*noticeThresholdDecay)
 	}
-	p.heardCount = 0
+	p.noticeCount = 0
 }
 
 // RecoveryNotice is what the other proxies are to be told of an attempt whose answer has begun; false: nothing, since the
 // runner had not been silent before.
 func (a *Attempt) RecoveryNotice() (Notice, bool) {
-	if !a.returned {
+	if !a.recovered {
 		return Notice{}, false
 	}
 	return Notice{Kind: NoticeRecovery, RunnerKey: a.runner.key}, true
 }
 
-// informed says whether the prompts that other proxies send to runners are known.
-func (p *Placer) informed(now time.Duration) bool { return p.heard && now-p.heardAt < heardSpan }
+// hasRecentNotices says whether the prompts that other proxies send to runners are known.
+func (p *Placer) hasRecentNotices(now time.Duration) bool {
+	return p.notified && now-p.lastNoticeAt < noticeValidity
+}
--- a/internal/system/placement/heard_test.go
+++ b/internal/system/placement/heard_test.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// tellReading has a placer hear that another proxy has a runner read a prompt.
-func tellReading(p *Placer, now time.Duration, id string, tokens int) {
+// notifyPrefill has a placer hear that another proxy has a runner read a prompt.
+func notifyPrefill(p *Placer, now time.Duration, id string, tokens int) {
 	p.HandleNotice(now, Notice{Kind: NoticePrefill, RunnerKey: xxhash.Sum64String(id), Tokens: tokens})
 }
 
@@ -16,10 +16,10 @@
 func westRequest(now time.Duration) *Request { return testRequest(now, "llm", testRoute()) }
 
 // A prompt that another proxy has a runner read keeps requests away for as long as it takes to be read, and no longer.
-func TestPromptsOfOthersAreAvoidedWhileTheyAreRead(t *testing.T) {
+func TestPeerPrefillIsAvoidedWhileItRuns(t *testing.T) {
 	const speed, tokens = 20000.0, 10000
-	p := testPlacer(t, testRunners("llm", 3)) // llm-0 and llm-1 are in the region of the placer
-	p.services["llm"].speed = speed
+	p := startedTestPlacer(t, testRunners("llm", 3)) // llm-0 and llm-1 are in the region of the placer
+	p.services["llm"].prefillSpeed = speed
 	read := time.Duration(tokens / speed * float64(time.Second))
 	chosen := func(now time.Duration) map[string]int {
 		counts := map[string]int{}
@@ -32,7 +32,7 @@
 		}
 		return counts
 	}
-	tellReading(p, testStart, "llm-0", tokens)
+	notifyPrefill(p, testStart, "llm-0", tokens)
 	if counts := chosen(testStart); counts["llm-1"] != 40 {
 		t.Errorf("while llm-0 reads: %v", counts)
 	}
@@ -40,8 +40,8 @@
 		t.Errorf("while llm-0 reads on: %v", counts)
 	}
 	p.Tick(testStart + read)
-	if w := p.runners["llm-0"]; w.unread.left(testStart+read, p.services["llm"].readingRate()) != 0 {
-		t.Errorf("after the prompt has been read %+v is left", w.unread)
+	if w := p.runners["llm-0"]; w.backlog.remaining(testStart+read, p.services["llm"].prefillRate()) != 0 {
+		t.Errorf("after the prompt has been read %+v is left", w.backlog)
 	}
 	if counts := chosen(testStart + read + time.Millisecond); counts["llm-0"] == 0 {
 		t.Errorf("after the prompt has been read: %v", counts)
@@ -49,15 +49,15 @@
 }
 
 // Own prompts count once: as the proxy's own while their answers have not begun, and not as another's beside that.
-func TestOwnPromptsCountOnce(t *testing.T) {
-	p := testPlacer(t, testRunners("llm", 3))
-	p.services["llm"].speed = 1000
-	tellReading(p, testStart, "llm-1", 1)
+func TestOwnPrefillCountsOnce(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("llm", 3))
+	p.services["llm"].prefillSpeed = 1000
+	notifyPrefill(p, testStart, "llm-1", 1)
 	r := westRequest(testStart)
 	r.Chunks, r.InputTokens = nil, 6250
 	a := p.StartAttempt(testStart, r, Choice{Runner: "llm-0"})
 	load := p.runners["llm-0"].load
-	p.freshen(testStart+freshPlan, p.services["llm"])
+	p.refreshPlan(testStart+maxPlanAge, p.services["llm"])
 	if now := p.runners["llm-0"].load; now > load+0.1 {
 		t.Errorf("a load of %.2f became %.2f by a new plan", load, now)
 	}
@@ -67,8 +67,8 @@
 }
 
 // Short prompts are not worth a notice, and neither is what a service without prompts is sent.
-func TestShortPromptsAreNotTold(t *testing.T) {
-	p := testPlacer(t, append(testRunners("llm", 3), testRunners("api", 3)...))
+func TestShortPromptsAreNotAnnounced(t *testing.T) {
+	p := startedTestPlacer(t, append(testRunners("llm", 3), testRunners("api", 3)...))
 	for _, service := range []string{"llm", "api"} {
 		r := testRequest(testStart, service, testRoute())
 		if notice, worth := p.StartAttempt(testStart, r, Choice{Runner: service + "-0"}).PrefillNotice(); worth {
@@ -81,31 +81,31 @@
 }
 
 // Where no notice comes, a runner's load is guessed as by a proxy that never heard any.
-func TestSilenceOfTheOthersIsNoLackOfLoad(t *testing.T) {
-	deaf, hearing := testPlacer(t, testRunners("llm", 3)), testPlacer(t, testRunners("llm", 3))
-	end := testStart + heardSpan + time.Second
+func TestLoadEstimateWithoutNotices(t *testing.T) {
+	deaf, hearing := startedTestPlacer(t, testRunners("llm", 3)), startedTestPlacer(t, testRunners("llm", 3))
+	end := testStart + noticeValidity + time.Second
 	for _, p := range []*Placer{deaf, hearing} {
-		p.services["llm"].speed = 20000
+		p.services["llm"].prefillSpeed = 20000
 		r := westRequest(testStart)
 		r.Chunks, r.InputTokens = nil, 20000
 		p.StartAttempt(testStart, r, Choice{Runner: "llm-0"})
 	}
-	tellReading(hearing, testStart, "llm-1", 100)
+	notifyPrefill(hearing, testStart, "llm-1", 100)
 	for now := testStart; now <= end; now += planPeriod {
 		deaf.Tick(now)
 		hearing.Tick(now)
 	}
 	for id, w := range hearing.runners {
-		if other := deaf.runners[id]; w.load != other.load || w.util != other.util {
-			t.Errorf("%s: load %.3f, util %.3f; without notices %.3f, %.3f", id, w.load, w.util, other.load, other.util)
+		if other := deaf.runners[id]; w.load != other.load || w.utilization != other.utilization {
+			t.Errorf("%s: load %.3f, util %.3f; without notices %.3f, %.3f", id, w.load, w.utilization, other.load, other.utilization)
 		}
 	}
 }
 
 // With more proxies than a cold runner bears requests most may not try a runner that was silent. They use it again once
 // one that may has told them that it answers, after the time in which the list comes to show that it is cold.
-func TestAnAnswerToldByAnotherEndsTheSuspicion(t *testing.T) {
-	p := testPlacer(t, testRunners("llm", 3))
+func TestRecoveryNoticeEndsSuspicion(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("llm", 3))
 	peers := make([]uint64, 0, 80)
 	self := xxhash.Sum64String("self")
 	for i := range uint64(80) {
@@ -113,8 +113,8 @@
 	}
 	p.SetPeers(testStart, self, peers)
 	w := p.runners["llm-0"]
-	for ; p.isHolder(w, 14); self++ {
-		p.self = self
+	for ; p.holdsSlowStartShare(w, 14); self++ {
+		p.selfKey = self
 	}
 	now := testStart
 	a := p.StartAttempt(now, westRequest(now), Choice{Runner: w.ID})
@@ -123,24 +123,24 @@
 	for ; now < minute; now += planPeriod {
 		p.Tick(now)
 	}
-	if p.may(now, westRequest(now), w) {
+	if p.isEligible(now, westRequest(now), w) {
 		t.Fatal("a runner that was silent, and may be cold, is used by a proxy that has no share of it")
 	}
 	p.HandleNotice(now, Notice{Kind: NoticeRecovery, RunnerKey: w.key})
-	if p.may(now, westRequest(now), w) {
+	if p.isEligible(now, westRequest(now), w) {
 		t.Error("it is used before the list can show that it is cold")
 	}
-	for end := now + guardSpan; now < end; now += planPeriod {
+	for end := now + slowStartGuard; now < end; now += planPeriod {
 		p.Tick(now)
 	}
-	if !p.may(now, westRequest(now), w) {
+	if !p.isEligible(now, westRequest(now), w) {
 		t.Error("it answers, and is not used")
 	}
 }
 
 // The proxy that finds out that a runner is back has the others told, once.
-func TestWhoFindsARunnerBackTellsTheOthers(t *testing.T) {
-	p := testPlacer(t, testRunners("llm", 3))
+func TestRecoveryIsAnnouncedOnce(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("llm", 3))
 	now := testStart
 	p.EndAttempt(now, p.StartAttempt(now, westRequest(now), Choice{Runner: "llm-0"}), TimedOut, Progress{})
 	for _, want := range []bool{true, false} {
@@ -157,8 +157,8 @@
 }
 
 // Where more notices come than a proxy should spend its processor on, only longer prompts are told, until fewer come.
-func TestTooManyNoticesHaveLongPromptsAloneTold(t *testing.T) {
-	p := testPlacer(t, testRunners("llm", 3))
+func TestNoticeThresholdFollowsNoticeRate(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("llm", 3))
 	told := func(now time.Duration) bool {
 		r := westRequest(now)
 		r.Chunks, r.InputTokens = nil, 4000 // of two slots and a half
@@ -168,32 +168,32 @@
 	hear := func(now time.Duration, seconds int, rate float64) time.Duration {
 		for range seconds * int(time.Second/planPeriod) {
 			for range int(rate * planPeriod.Seconds()) {
-				tellReading(p, now, "llm-1", 3000)
+				notifyPrefill(p, now, "llm-1", 3000)
 			}
 			now += planPeriod
 			p.Tick(now)
 		}
 		return now
 	}
-	now := hear(testStart, 3, mostHeard*0.9)
+	now := hear(testStart, 3, maxNoticeRate*0.9)
 	if !told(now) {
 		t.Error("with few notices a prompt of two slots is not told")
 	}
-	if now = hear(now, 3, mostHeard*2); told(now) {
+	if now = hear(now, 3, maxNoticeRate*2); told(now) {
 		t.Error("with twice as many as should come a prompt of two slots is told")
 	}
-	if now = hear(now, 30, mostHeard*0.9); !told(now) {
+	if now = hear(now, 30, maxNoticeRate*0.9); !told(now) {
 		t.Error("with few notices again a prompt of two slots is not told")
 	}
 }
 
 // Notices of runners that are not known change nothing.
-func TestNoticesOfUnknownRunners(t *testing.T) {
-	p := testPlacer(t, testRunners("api", 3))
+func TestNoticeOfUnknownRunnerIsIgnored(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("api", 3))
 	p.HandleNotice(testStart, Notice{Kind: NoticePrefill, RunnerKey: 7, Tokens: 1000})
 	p.HandleNotice(testStart, Notice{Kind: NoticeRecovery, RunnerKey: 7})
 	p.HandleNotice(testStart, Notice{Kind: NoticePrefill, RunnerKey: p.runners["api-0"].key, Tokens: 1000})
-	if w := p.runners["api-0"]; w.unread.slots != 0 || w.load != 0 {
+	if w := p.runners["api-0"]; w.backlog.slots != 0 || w.load != 0 {
 		t.Errorf("a service without prompts reads one: %+v", w)
 	}
 }
--- a/internal/system/placement/kept_test.go
+++ b/internal/system/placement/kept_test.go
@@ -8,8 +8,8 @@
 	"cinderroad/internal/shared/capacity"
 )
 
-// chainRequest asks with the shared parts of one of many chains.
-func chainRequest(now time.Duration, chain uint64, own uint64) *Request {
+// prefixRequest asks with the shared parts of one of many chains.
+func prefixRequest(now time.Duration, chain uint64, own uint64) *Request {
 	route := testRoute()
 	route.PrefixAffinity = true
 	r := testRequest(now, "llm", route)
@@ -19,13 +19,13 @@
 }
 
 // All proxies of a region send a chain to the same runner without a word, and those of another region to one of theirs.
-func TestAllProxiesAgreeOnTheOwnerOfAChain(t *testing.T) {
+func TestProxiesAgreeOnPrefixOwner(t *testing.T) {
 	runners := testRunners("llm", 12)
 	used := map[string]int{}
 	for chain := range uint64(40) {
 		owners := map[string]string{}
 		for i, zone := range []string{"m", "t", "m", "p", "p"} {
-			p := worldPlacer(t, zone, uint64(i))
+			p := newTestPlacer(t, zone, uint64(i))
 			p.SetServices(testStart, testServices())
 			told := append([]Runner(nil), runners...)
 			if i%2 == 1 { // in whatever order they are told
@@ -36,12 +36,12 @@
 			p.SetRunners(testStart, told)
 			p.SetProxyCount(testStart, 5)
 			for own := range uint64(5) {
-				r := chainRequest(testStart, chain, 1<<40+own)
+				r := prefixRequest(testStart, chain, 1<<40+own)
 				c, refusal := p.Place(testStart, r)
 				if refusal != nil {
 					t.Fatal(refusal)
 				}
-				region := worldRegions()[zone]
+				region := zoneRegions()[zone]
 				if was := owners[region]; was != "" && was != c.Runner {
 					t.Fatalf("chain %d: %s and %s in %s", chain, was, c.Runner, region)
 				}
@@ -57,12 +57,12 @@
 }
 
 // One runner less, or one more, moves only the chains that have to move.
-func TestFewChainsMoveWithARunner(t *testing.T) {
+func TestFewPrefixesMoveWithARunner(t *testing.T) {
 	runners := testRunners("llm", 12)
-	with, without := testPlacer(t, runners), testPlacer(t, runners[1:])
+	with, without := startedTestPlacer(t, runners), startedTestPlacer(t, runners[1:])
 	moved, lost := 0, 0
 	for chain := range uint64(300) {
-		r := chainRequest(testStart, chain, 1<<40)
+		r := prefixRequest(testStart, chain, 1<<40)
 		a, _ := with.Place(testStart, r)
 		b, _ := without.Place(testStart, r)
 		if a.Runner == runners[0].ID {
@@ -77,24 +77,24 @@
 }
 
 // An owner that is full hands its chain on to the next, the same at all proxies; a cold or draining one owns none.
-func TestAnOwnerWithoutRoomHandsOnToTheNext(t *testing.T) {
+func TestPrefixOverflowsToSecondaryOwner(t *testing.T) {
 	runners := testRunners("llm", 12)
 	for _, c := range []struct {
 		name string
-		do   func(p *Placer, owner *runner)
+		do   func(p *Placer, owner *runnerState)
 	}{
-		{"load", func(p *Placer, w *runner) { w.room -= 20 }},
-		{"tokens", func(p *Placer, w *runner) { w.tokens = 100 }},
-		{"suspect", func(p *Placer, w *runner) { w.doubt(testStart) }},
-		{"draining", func(p *Placer, w *runner) { w.Draining = true }},
-		{"cold", func(p *Placer, w *runner) { w.SlowStartUntil = testStart + time.Minute }},
+		{"load", func(p *Placer, w *runnerState) { w.spareSlots -= 20 }},
+		{"tokens", func(p *Placer, w *runnerState) { w.spareTokens = 100 }},
+		{"suspect", func(p *Placer, w *runnerState) { w.markSuspect(testStart) }},
+		{"draining", func(p *Placer, w *runnerState) { w.Draining = true }},
+		{"cold", func(p *Placer, w *runnerState) { w.SlowStartUntil = testStart + time.Minute }},
 	} {
 		for chain := range uint64(20) {
 			next := ""
 			for seed := range uint64(3) {
-				p := testPlacer(t, runners)
+				p := startedTestPlacer(t, runners)
 				p.random = capacity.Random(seed) // drawn numbers have no part in it
-				r := chainRequest(testStart, chain, 1<<40+seed)
+				r := prefixRequest(testStart, chain, 1<<40+seed)
 				first, _ := p.Place(testStart, r)
 				c.do(p, p.runners[first.Runner])
 				second, refusal := p.Place(testStart, r)
@@ -111,15 +111,15 @@
 }
 
 // A chain that everybody asks for is not more than one runner can take: the load stays bounded.
-func TestAHotChainSpreads(t *testing.T) {
-	p := testPlacer(t, testRunners("llm", 12))
+func TestHotPrefixSpreads(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("llm", 12))
 	p.SetProxyCount(testStart, 1)
 	seen := map[string]int{}
 	now := testStart
 	for i := range 300 {
 		now += time.Millisecond
 		p.Tick(now)
-		r := chainRequest(now, 7, 1<<40+uint64(i))
+		r := prefixRequest(now, 7, 1<<40+uint64(i))
 		c, refusal := p.Place(now, r)
 		if refusal != nil {
 			t.Fatal(refusal)
@@ -138,8 +138,8 @@
 }
 
 // Prompts without shared parts, and sessions that have nothing but their own, keep to one runner, too.
-func TestASessionKeepsToItsRunner(t *testing.T) {
-	p := testPlacer(t, testRunners("llm", 12))
+func TestSessionStaysOnItsRunner(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("llm", 12))
 	route := testRoute()
 	route.PrefixAffinity = true
 	for session := range uint64(20) {
@@ -157,56 +157,56 @@
 	}
 }
 
-func TestChainsGoByAllSharedPartsInOrder(t *testing.T) {
+func TestPrefixHashCoversSharedChunksInOrder(t *testing.T) {
 	a, b, own, other := Chunk{1, 10}, Chunk{2, 20}, Chunk{3, 30}, Chunk{4, 40}
-	if chainOf([]Chunk{a, b, own}) != chainOf([]Chunk{a, b, other}) {
+	if prefixHash([]Chunk{a, b, own}) != prefixHash([]Chunk{a, b, other}) {
 		t.Error("the own part counts")
 	}
 	different := map[uint64]string{}
 	for _, parts := range [][]Chunk{{a, b, own}, {b, a, own}, {a, own}, {b, own}, {own}, {a, b, own, other}} {
-		chain := chainOf(parts)
+		chain := prefixHash(parts)
 		if was := different[chain]; was != "" || chain == 0 {
 			t.Errorf("%v is the same chain as %s", parts, was)
 		}
 		different[chain] = fmt.Sprint(parts)
 	}
-	if chainOf(nil) != 0 {
+	if prefixHash(nil) != 0 {
 		t.Error("no parts are a chain")
 	}
 }
 
 // The memory of what was sent where is bounded and forgets.
-func TestKeptMemoryForgets(t *testing.T) {
-	var k keptMemory
-	if k.has(1, 2) {
+func TestPrefixHistoryExpires(t *testing.T) {
+	var k prefixHistory
+	if k.sentRecently(1, 2) {
 		t.Error("an empty memory has something")
 	}
-	k.note(testStart, 1, 2)
-	if !k.has(1, 2) || k.has(1, 3) || k.has(2, 2) {
+	k.record(testStart, 1, 2)
+	if !k.sentRecently(1, 2) || k.sentRecently(1, 3) || k.sentRecently(2, 2) {
 		t.Error("not what was noted")
 	}
-	k.note(testStart+keptSpan, 5, 6)
-	if k.has(1, 2) && *k.slot(1, 2) == (keptEntry{1, 2, testStart}) {
+	k.record(testStart+prefixHistorySpan, 5, 6)
+	if k.sentRecently(1, 2) && *k.find(1, 2) == (prefixRecord{1, 2, testStart}) {
 		t.Error("kept for longer than its span")
 	}
 	for i := range uint64(100000) {
-		k.note(testStart+keptSpan, i, i)
+		k.record(testStart+prefixHistorySpan, i, i)
 	}
-	if len(k.entries) != keptEntries {
+	if len(k.entries) != prefixHistorySize {
 		t.Errorf("%d entries", len(k.entries))
 	}
 }
 
 // Among many proxies, the few requests that one of them has at an owner are not taken for a load that all share: the next
 // requests of the chain go there, too.
-func TestAmongManyProxiesAnOwnerStaysTheOwner(t *testing.T) {
-	p := testPlacer(t, testRunners("llm", 90))
+func TestOwnerIsStableAmongManyProxies(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("llm", 90))
 	p.SetProxyCount(testStart, 60)
 	now := testStart
 	for chain := range uint64(40) {
 		first := ""
 		for own := range uint64(3) {
-			r := chainRequest(now, chain, 1<<40+own)
+			r := prefixRequest(now, chain, 1<<40+own)
 			c, refusal := p.Place(now, r)
 			if refusal != nil {
 				t.Fatal(refusal)
--- a/internal/system/placement/learnt.go
+++ b/internal/system/placement/learnt.go
@@ -11,33 +11,33 @@
 	"cinderroad/internal/shared/capacity"
 )
 
-// learntVersion is the first byte of the encoding: version, then the services' speeds, then the runners' ceilings.
-const learntVersion = 1
+// snapshotVersion is the first byte of the encoding: version, then the services' speeds, then the runners' ceilings.
+const snapshotVersion = 1
 
-// mostLearnt bounds what is taken from an encoding.
-const mostLearnt = 1 << 16
+// maxSnapshotCount bounds what is taken from an encoding.
+const maxSnapshotCount = 1 << 16
 
-// errLearnt is returned for an encoding that was not made by Learnt. The placer then starts from nothing learnt.
-var errLearnt = errors.New("placement: learnt: the encoding is cut or not of this version; start without it")
+// errSnapshot is returned for an encoding that was not made by Learnt. The placer then starts from nothing learnt.
+var errSnapshot = errors.New("placement: learnt: the encoding is cut or not of this version; start without it")
 
-type learntRunner struct {
-	size     float64
-	ceilings capacity.Limits
+type runnerSnapshot struct {
+	slots  float64
+	limits capacity.Limits
 }
 
 // Snapshot encodes what should outlive a restart: ceilings by runner, speeds by service.
 func (p *Placer) Snapshot() []byte {
-	b := []byte{learntVersion}
+	b := []byte{snapshotVersion}
 	b = binary.AppendUvarint(b, uint64(len(p.services)))
 	for _, name := range sortedKeys(p.services) {
 		b = appendString(b, name)
-		b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(p.services[name].speed)))
+		b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(p.services[name].prefillSpeed)))
 	}
 	b = binary.AppendUvarint(b, uint64(len(p.runners)))
 	for _, id := range sortedKeys(p.runners) {
 		w := p.runners[id]
 		b = appendString(b, id)
-		for _, v := range []float64{w.size, w.ceilings.Load, w.ceilings.Utilization} {
+		for _, v := range []float64{w.slots, w.limits.Load, w.limits.Utilization} {
 			b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(v)))
 		}
 	}
@@ -47,54 +47,54 @@
 // Restore takes what another Placer has learnt, all or nothing. What it says of a runner counts once the list names that
 // runner with the same number of slots.
 func (p *Placer) Restore(now time.Duration, b []byte) error {
-	p.begin(now)
-	speeds, runners, err := decodeLearnt(b)
+	p.recordCall(now)
+	speeds, runners, err := decodeSnapshot(b)
 	if err != nil {
 		return err
 	}
-	p.speeds, p.recalled = speeds, runners
+	p.restoredSpeeds, p.restored = speeds, runners
 	for name, s := range p.services {
-		if s.speed == 0 {
-			s.speed = speeds[name]
+		if s.prefillSpeed == 0 {
+			s.prefillSpeed = speeds[name]
 		}
 	}
 	for _, w := range p.runners {
-		p.recall(w)
+		p.restoreRunner(w)
 	}
 	return nil
 }
 
-// recall gives a runner that is new to the set what is known of it.
-func (p *Placer) recall(w *runner) {
-	l, ok := p.recalled[w.ID]
-	if !ok || l.size != w.size {
+// restoreRunner gives a runner that is new to the set what is known of it.
+func (p *Placer) restoreRunner(w *runnerState) {
+	l, ok := p.restored[w.ID]
+	if !ok || l.slots != w.slots {
 		return
 	}
-	delete(p.recalled, w.ID)
-	w.ceilings = l.ceilings
+	delete(p.restored, w.ID)
+	w.limits = l.limits
 }
 
-func decodeLearnt(b []byte) (map[string]float64, map[string]learntRunner, error) {
-	if len(b) == 0 || b[0] != learntVersion {
-		return nil, nil, errLearnt
+func decodeSnapshot(b []byte) (map[string]float64, map[string]runnerSnapshot, error) {
+	if len(b) == 0 || b[0] != snapshotVersion {
+		return nil, nil, errSnapshot
 	}
 	d := learntReader{rest: b[1:]}
 	speeds := map[string]float64{}
 	for range d.count() {
 		speeds[d.text()] = d.number()
 	}
-	runners := map[string]learntRunner{}
+	runners := map[string]runnerSnapshot{}
 	for range d.count() {
 		id := d.text()
-		l := learntRunner{size: d.number()}
-		l.ceilings.Load, l.ceilings.Utilization = d.number(), d.number()
-		if !d.bad && (l.size <= 0 || l.ceilings.Load <= 0 || l.ceilings.Utilization <= 0) {
-			return nil, nil, fmt.Errorf("%w: runner %q", errLearnt, id)
+		l := runnerSnapshot{slots: d.number()}
+		l.limits.Load, l.limits.Utilization = d.number(), d.number()
+		if !d.bad && (l.slots <= 0 || l.limits.Load <= 0 || l.limits.Utilization <= 0) {
+			return nil, nil, fmt.Errorf("%w: runner %q", errSnapshot, id)
 		}
 		runners[id] = l
 	}
 	if d.bad || len(d.rest) > 0 {
-		return nil, nil, errLearnt
+		return nil, nil, errSnapshot
 	}
 	return speeds, runners, nil
 }
@@ -107,7 +107,7 @@
 
 func (d *learntReader) count() uint64 {
 	n, used := binary.Uvarint(d.rest)
-	if d.bad || used <= 0 || n > mostLearnt {
+	if d.bad || used <= 0 || n > maxSnapshotCount {
 		d.bad = true
 		return 0
 	}
--- a/internal/system/placement/learnt_test.go
+++ b/internal/system/placement/learnt_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// taught is a Placer that has learnt something.
-func taught(t testing.TB) *Placer {
-	p := testPlacer(t, append(testRunners("llm", 4), testRunners("api", 3)...))
-	p.services["llm"].speed = 38700
-	p.runners["llm-1"].ceilings.Load, p.runners["llm-1"].ceilings.Utilization = 40, 0.9
-	p.runners["api-2"].ceilings.Load = 3.5
+// placerWithState is a Placer that has learnt something.
+func placerWithState(t testing.TB) *Placer {
+	p := startedTestPlacer(t, append(testRunners("llm", 4), testRunners("api", 3)...))
+	p.services["llm"].prefillSpeed = 38700
+	p.runners["llm-1"].limits.Load, p.runners["llm-1"].limits.Utilization = 40, 0.9
+	p.runners["api-2"].limits.Load = 3.5
 	return p
 }
 
-func TestLearntOutlivesARestart(t *testing.T) {
-	old := taught(t)
+func TestSnapshotOutlivesRestart(t *testing.T) {
+	old := placerWithState(t)
 	for _, listFirst := range []bool{true, false} {
-		p := worldPlacer(t, "m", 2)
+		p := newTestPlacer(t, "m", 2)
 		told := append(testRunners("llm", 4), testRunners("api", 3)...)
 		steps := []func(){
 			func() {
@@ -39,39 +39,39 @@
 			step()
 		}
 		for id, w := range old.runners {
-			if got := p.runners[id].ceilings; math.Abs(got.Load-w.ceilings.Load) > 1e-4 || math.Abs(got.Utilization-w.ceilings.Utilization) > 1e-6 {
-				t.Errorf("list first %v: %s: %+v, was %+v", listFirst, id, got, w.ceilings)
+			if got := p.runners[id].limits; math.Abs(got.Load-w.limits.Load) > 1e-4 || math.Abs(got.Utilization-w.limits.Utilization) > 1e-6 {
+				t.Errorf("list first %v: %s: %+v, was %+v", listFirst, id, got, w.limits)
 			}
 		}
-		if p.services["llm"].speed != 38700 {
-			t.Errorf("list first %v: speed %v", listFirst, p.services["llm"].speed)
+		if p.services["llm"].prefillSpeed != 38700 {
+			t.Errorf("list first %v: speed %v", listFirst, p.services["llm"].prefillSpeed)
 		}
 	}
 }
 
 // A runner of another size, or another incarnation, starts from what its size says.
-func TestLearntOfAnotherIncarnationDoesNotCount(t *testing.T) {
-	p := worldPlacer(t, "m", 2)
-	if err := p.Restore(testStart, taught(t).Snapshot()); err != nil {
+func TestSnapshotOfAnotherIncarnationIsIgnored(t *testing.T) {
+	p := newTestPlacer(t, "m", 2)
+	if err := p.Restore(testStart, placerWithState(t).Snapshot()); err != nil {
 		t.Fatal(err)
 	}
 	told := testRunners("llm", 2)
 	told[1].Capacity = 32
 	p.SetServices(testStart, testServices())
 	p.SetRunners(testStart, told)
-	if got := p.runners["llm-1"].ceilings.Load; math.Abs(got-32*1.1) > 1e-9 {
+	if got := p.runners["llm-1"].limits.Load; math.Abs(got-32*1.1) > 1e-9 {
 		t.Errorf("ceiling %v", got)
 	}
 }
 
-func TestLearntThatIsCutIsRefused(t *testing.T) {
-	whole := taught(t).Snapshot()
+func TestTruncatedSnapshotIsRejected(t *testing.T) {
+	whole := placerWithState(t).Snapshot()
 	for n := range whole {
-		if err := worldPlacer(t, "m", 2).Restore(testStart, whole[:n]); !errors.Is(err, errLearnt) {
+		if err := newTestPlacer(t, "m", 2).Restore(testStart, whole[:n]); !errors.Is(err, errSnapshot) {
 			t.Fatalf("%d of %d bytes: %v", n, len(whole), err)
 		}
 	}
-	if err := worldPlacer(t, "m", 2).Restore(testStart, append(whole, 0)); !errors.Is(err, errLearnt) {
+	if err := newTestPlacer(t, "m", 2).Restore(testStart, append(whole, 0)); !errors.Is(err, errSnapshot) {
 		t.Error("bytes after the end are taken")
 	}
 	if len(whole) > 250 {
@@ -80,14 +80,14 @@
 }
 
 // Whatever Recall is handed, it refuses it, or what it took is told again by Learnt just so, and placing goes on.
-func FuzzRecall(f *testing.F) {
+func FuzzRestore(f *testing.F) {
 	f.Add([]byte{})
-	f.Add([]byte{learntVersion, 0, 0})
-	f.Add(taught(f).Snapshot())
+	f.Add([]byte{snapshotVersion, 0, 0})
+	f.Add(placerWithState(f).Snapshot())
 	f.Fuzz(func(t *testing.T, b []byte) {
-		p := worldPlacer(t, "m", 2)
+		p := newTestPlacer(t, "m", 2)
 		if p.Restore(testStart, b) != nil {
-			if len(p.recalled) > 0 || len(p.speeds) > 0 {
+			if len(p.restored) > 0 || len(p.restoredSpeeds) > 0 {
 				t.Fatal("refused, and yet taken")
 			}
 			return
@@ -101,7 +101,7 @@
 		if _, refusal := p.Place(testStart+time.Second, testRequest(testStart+time.Second, "api", testRoute())); refusal != nil {
 			t.Fatal(refusal)
 		}
-		if err := worldPlacer(t, "m", 3).Restore(testStart, p.Snapshot()); err != nil {
+		if err := newTestPlacer(t, "m", 3).Restore(testStart, p.Snapshot()); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/system/placement/place_test.go
+++ b/internal/system/placement/place_test.go
@@ -33,14 +33,14 @@
 	for i := range n {
 		zone := zones[i%3]
 		runners = append(runners, Runner{ID: fmt.Sprintf("%s-%d", service, i), Service: service, Zone: zone,
-			Region: worldRegions()[zone], Capacity: capacity, Models: []string{"base"}})
+			Region: zoneRegions()[zone], Capacity: capacity, Models: []string{"base"}})
 	}
 	return runners
 }
 
-// testPlacer is a Placer that has been told of the runners, and counts among seven proxies.
-func testPlacer(t testing.TB, runners []Runner) *Placer {
-	p := worldPlacer(t, "m", 1)
+// startedTestPlacer is a Placer that has been told of the runners, and counts among seven proxies.
+func startedTestPlacer(t testing.TB, runners []Runner) *Placer {
+	p := newTestPlacer(t, "m", 1)
 	p.SetServices(testStart-5*time.Second, testServices())
 	p.SetProxyCount(testStart-5*time.Second, 7)
 	for at := testStart - 5*time.Second; at <= testStart; at += planPeriod {
@@ -100,14 +100,14 @@
 				runners[i].SlowStartUntil = now + time.Minute
 			}
 			p.SetRunners(now, runners)
-			p.proxies = 0
+			p.proxyCount = 0
 		},
 		"cold, and this proxy has just begun": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			for i := range runners {
 				runners[i].SlowStartUntil = now + time.Minute
 			}
 			p.SetRunners(now, runners)
-			p.joined = now + time.Millisecond
+			p.countedFrom = now + time.Millisecond
 		},
 		"cold, and of more proxies others may use it": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			for i := range runners {
@@ -118,7 +118,7 @@
 		},
 		"no connection left": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			for _, w := range runners {
-				for range p.connections(p.runners[w.ID]) {
+				for range p.connectionLimit(p.runners[w.ID]) {
 					p.StartAttempt(now, testRequest(now, w.Service, r.Route), Choice{Runner: w.ID})
 				}
 			}
@@ -128,32 +128,32 @@
 
 // Whatever keeps all runners of a zone out keeps them out of the ordinary pick, of the fallback to the runner least over
 // its ceiling, and of repeats, the last of which have nobody else left.
-func TestExclusionsBindEveryPath(t *testing.T) {
+func TestEligibilityHoldsOnEveryPath(t *testing.T) {
 	for _, service := range []string{"api", "llm"} {
 		for name, exclude := range exclusions() {
-			t.Run(service+", "+name, func(t *testing.T) { testExclusion(t, service, exclude) })
+			t.Run(service+", "+name, func(t *testing.T) { testEligibility(t, service, exclude) })
 		}
 	}
 }
 
-func testExclusion(t *testing.T, service string, exclude func(p *Placer, runners []Runner, r *Request, now time.Duration)) {
+func testEligibility(t *testing.T, service string, exclude func(p *Placer, runners []Runner, r *Request, now time.Duration)) {
 	for path, prepare := range map[string]func(p *Placer, r *Request){
 		"pick":     func(p *Placer, r *Request) {},
-		"fallback": func(p *Placer, r *Request) { fill(p, 1000) },
+		"fallback": func(p *Placer, r *Request) { overload(p, 1000) },
 		"set aside": func(p *Placer, r *Request) {
 			for _, w := range p.runners {
-				w.standing.EjectedUntil, w.fullUntil = (testStart + time.Hour).Seconds(), testStart+time.Hour
+				w.ejection.EjectedUntil, w.saturatedUntil = (testStart + time.Hour).Seconds(), testStart+time.Hour
 			}
 		},
 		"repeat": func(p *Placer, r *Request) {
 			r.TriedRunners = []string{service + "-1"}
-			p.services[service].budget.sent(testStart, p.options.RetryWindow, false)
+			p.services[service].retryBudget.record(testStart, p.options.RetryWindow, false)
 		},
 		"every other tried": func(p *Placer, r *Request) { r.TriedRunners = []string{service + "-1", service + "-2"} },
 	} {
 		now := testStart
 		runners := testRunners(service, 3)
-		p := testPlacer(t, runners)
+		p := startedTestPlacer(t, runners)
 		r := testRequest(now, service, testRoute())
 		prepare(p, r)
 		if c, refusal := p.Place(now, r); refusal != nil || c.Runner == "" {
@@ -170,24 +170,24 @@
 	}
 }
 
-// fill puts so much load on every runner that none has room.
-func fill(p *Placer, load float64) {
+// overload puts so much load on every runner that none has room.
+func overload(p *Placer, load float64) {
 	for _, w := range p.runners {
-		w.room, w.load, w.util = -load, load, 0
+		w.spareSlots, w.load, w.utilization = -load, load, 0
 	}
 }
 
 // One runner that may take the request gets it, whatever keeps the others out, and however full it is.
-func TestTheOnlyOneLeftIsChosen(t *testing.T) {
+func TestOnlyEligibleRunnerIsSelected(t *testing.T) {
 	for _, service := range []string{"api", "llm"} {
 		for _, full := range []bool{false, true} {
 			runners := testRunners(service, 6)
 			for i := range runners[:5] {
 				runners[i].Draining = true
 			}
-			p := testPlacer(t, runners)
+			p := startedTestPlacer(t, runners)
 			if full {
-				fill(p, 3)
+				overload(p, 3)
 			}
 			c, refusal := p.Place(testStart, testRequest(testStart, service, testRoute()))
 			if refusal != nil || c.Runner != service+"-5" {
@@ -197,11 +197,11 @@
 	}
 }
 
-func TestMostRoomInTheOwnRegionFirst(t *testing.T) {
-	p := testPlacer(t, testRunners("api", 6))
+func TestMostSpareCapacityInOwnRegionFirst(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("api", 6))
 	room := func(rooms ...float64) {
 		for i, v := range rooms {
-			p.runners[fmt.Sprintf("api-%d", i)].room = v
+			p.runners[fmt.Sprintf("api-%d", i)].spareSlots = v
 		}
 	}
 	for _, c := range []struct {
@@ -223,33 +223,33 @@
 }
 
 // Each send lowers the room, and its end gives it back.
-func TestRoomIsBookedAndGivenBack(t *testing.T) {
+func TestCapacityIsReservedAndReleased(t *testing.T) {
 	for _, service := range []string{"api", "llm"} {
-		p := testPlacer(t, testRunners(service, 3))
+		p := startedTestPlacer(t, testRunners(service, 3))
 		now := testStart
 		w := p.runners[service+"-0"]
-		room, tokens := w.room, w.tokens
+		room, tokens := w.spareSlots, w.spareTokens
 		r := testRequest(now, service, testRoute())
 		a := p.StartAttempt(now, r, Choice{Runner: w.ID})
-		if w.room >= room || service == "llm" && w.tokens >= tokens {
+		if w.spareSlots >= room || service == "llm" && w.spareTokens >= tokens {
 			t.Errorf("%s: the send has not lowered room", service)
 		}
 		p.HandleFirstEvent(now+time.Millisecond, a)
 		p.HandleEvent(now+2*time.Millisecond, a)
 		p.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Events: 2, Duration: 3 * time.Millisecond})
 		p.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{}) // told twice
-		if w.room != room || w.tokens != tokens || w.own != (usage{}) || w.ownJobs != 0 || w.pending.head != nil {
+		if w.spareSlots != room || w.spareTokens != tokens || w.ownUsage != (usage{}) || w.ownAttempts != 0 || w.pending.head != nil {
 			t.Errorf("%s: %+v after the end", service, w)
 		}
 	}
 }
 
-func TestTiesShareEvenly(t *testing.T) {
+func TestTiesAreBrokenEvenly(t *testing.T) {
 	runners := testRunners("api", 6)
 	for i := range runners {
 		runners[i].Zone, runners[i].Region = "t", "west"
 	}
-	p := testPlacer(t, runners)
+	p := startedTestPlacer(t, runners)
 	seen := map[string]int{}
 	for range 6000 {
 		c, _ := p.Place(testStart, testRequest(testStart, "api", testRoute()))
@@ -262,14 +262,14 @@
 	}
 }
 
-func TestARunnerAtItsUtilizationCeilingHasNoRoom(t *testing.T) {
-	p := testPlacer(t, testRunners("llm", 3))
+func TestRunnerAtUtilizationLimitHasNoSpareCapacity(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("llm", 3))
 	s, w := p.services["llm"], p.runners["llm-0"]
-	s.speed = 40000
-	w.wait = p.target // its prompts have waited as long as an answer may take
-	p.plan(testStart, s)
-	if w.room > 0 {
-		t.Errorf("room %v at utilization %v", w.room, w.util)
+	s.prefillSpeed = 40000
+	w.excessWait = p.latencyTarget // its prompts have waited as long as an answer may take
+	p.planService(testStart, s)
+	if w.spareSlots > 0 {
+		t.Errorf("room %v at utilization %v", w.spareSlots, w.utilization)
 	}
 	c, _ := p.Place(testStart, testRequest(testStart, "llm", testRoute()))
 	if c.Runner != "llm-1" {
@@ -277,23 +277,23 @@
 	}
 }
 
-func TestARunnerNotHeardFromGetsTheMeanRoom(t *testing.T) {
-	p := testPlacer(t, testRunners("api", 3))
+func TestUnobservedRunnerGetsMeanSpareCapacity(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("api", 3))
 	s := p.services["api"]
 	for i, own := range []float64{2, 4, 0} {
 		w := s.runners[i]
-		w.own.slots, w.standing.Observed = own, i < 2
+		w.ownUsage.slots, w.ejection.Observed = own, i < 2
 	}
-	p.plan(testStart, s)
-	if got, want := s.runners[2].room, (s.runners[0].room+s.runners[1].room)/2; got != want {
+	p.planService(testStart, s)
+	if got, want := s.runners[2].spareSlots, (s.runners[0].spareSlots+s.runners[1].spareSlots)/2; got != want {
 		t.Errorf("room %v, not the mean %v", got, want)
 	}
 }
 
-func TestRepeatedFailuresNearTheLoadCutCeilings(t *testing.T) {
-	p := testPlacer(t, testRunners("api", 3))
+func TestRepeatedOverloadLowersLimits(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("api", 3))
 	w := p.runners["api-0"]
-	before := w.ceilings
+	before := w.limits
 	fail := func(n int) {
 		for range n {
 			w.load = 6
@@ -302,29 +302,29 @@
 		}
 	}
 	fail(1)
-	if w.ceilings.Load != before.Load {
+	if w.limits.Load != before.Load {
 		t.Error("one failure has cut the ceiling")
 	}
 	fail(1)
-	if w.ceilings.Load >= before.Load || w.ceilings.Utilization >= before.Utilization {
+	if w.limits.Load >= before.Load || w.limits.Utilization >= before.Utilization {
 		t.Error("two failures have not cut both ceilings")
 	}
 	fail(100)
-	if w.ceilings.Load < 0.5*w.size || w.ceilings.Utilization < 0.8 {
-		t.Errorf("below the floor: %+v", w.ceilings)
+	if w.limits.Load < 0.5*w.slots || w.limits.Utilization < 0.8 {
+		t.Errorf("below the floor: %+v", w.limits)
 	}
-	cut := w.ceilings
+	cut := w.limits
 	for now := testStart; now < testStart+20*time.Second; now += planPeriod {
 		p.Tick(now)
 	}
-	if w.ceilings.Load <= cut.Load || w.ceilings.Utilization <= cut.Utilization {
+	if w.limits.Load <= cut.Load || w.limits.Utilization <= cut.Utilization {
 		t.Error("time has not raised the ceilings")
 	}
 }
 
-func TestARunnerThatIsSilentIsFoundOutByASingleRequest(t *testing.T) {
+func TestSuspectRunnerIsProbedByOneRequest(t *testing.T) {
 	for _, outcome := range []Outcome{TimedOut, ConnectFailed, Misdirected} {
-		p := testPlacer(t, testRunners("api", 6))
+		p := startedTestPlacer(t, testRunners("api", 6))
 		now := testStart
 		w := p.runners["api-0"]
 		a := p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: w.ID})
@@ -339,16 +339,16 @@
 		}
 		for _, other := range p.runners {
 			if other != w {
-				other.room = -5
+				other.spareSlots = -5
 			}
 		}
-		w.room, w.standing.EjectedUntil = 5, 0
+		w.spareSlots, w.ejection.EjectedUntil = 5, 0
 		c, _ := p.Place(now, testRequest(now, "api", testRoute()))
 		if c.Runner != w.ID {
 			t.Fatalf("outcome %d: never tried again: %+v", outcome, w)
 		}
 		probe := p.StartAttempt(now, testRequest(now, "api", testRoute()), c)
-		w.coldNext = 0
+		w.slowStartNextAt = 0
 		if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner == w.ID {
 			t.Fatalf("outcome %d: a second one while the first is out", outcome)
 		}
@@ -359,15 +359,15 @@
 	}
 }
 
-func TestASharedCauseBlamesNobody(t *testing.T) {
-	p := testPlacer(t, testRunners("api", 6))
+func TestSharedFaultMakesNoRunnerUnavailable(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("api", 6))
 	now := testStart
 	for id := range p.runners {
 		a := p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: id})
 		p.EndAttempt(now, a, ConnectFailed, Progress{})
 	}
 	for _, w := range p.runners {
-		w.coldNext = 0
+		w.slowStartNextAt = 0
 	}
 	if _, refusal := p.Place(now, testRequest(now, "api", testRoute())); refusal != nil {
 		t.Error(refusal)
@@ -375,8 +375,8 @@
 }
 
 // Where most are suspect, those left are not drowned: whoever is full shares with those.
-func TestThoseLeftAreNotDrowned(t *testing.T) {
-	p := testPlacer(t, testRunners("api", 6))
+func TestRemainingRunnersAreNotOverloaded(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("api", 6))
 	p.services["api"].SlowStartDuration = 0
 	now := testStart
 	for i := range 5 {
@@ -386,23 +386,23 @@
 	if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner != "api-5" {
 		t.Errorf("sent to %s while api-5 has room", c.Runner)
 	}
-	p.runners["api-5"].room = -10
+	p.runners["api-5"].spareSlots = -10
 	for _, w := range p.runners {
-		w.standing.EjectedUntil = 0
+		w.ejection.EjectedUntil = 0
 	}
 	if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner == "api-5" || c.Runner == "" {
 		t.Errorf("sent to %q, which is far over its ceiling", c.Runner)
 	}
 }
 
-// sendAndLeave sends a request whose client leaves at once.
-func sendAndLeave(p *Placer, now time.Duration, id string) {
+// sendAndCancel sends a request whose client leaves at once.
+func sendAndCancel(p *Placer, now time.Duration, id string) {
 	p.EndAttempt(now, p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: id}), Cancelled, Progress{})
 }
 
 // What was sent to a runner just before it was known to be cold counts against its share, and so does what goes to one
 // that was silent, or whose zone was evacuated, until the list has had time to tell.
-func TestARunnerThatMayBeColdIsSpared(t *testing.T) {
+func TestPossiblySlowStartingRunnerIsLimited(t *testing.T) {
 	now := testStart
 	for name, prepare := range map[string]func(p *Placer, runners []Runner){
 		"told": func(p *Placer, runners []Runner) {
@@ -412,19 +412,19 @@
 		"evacuated": func(p *Placer, runners []Runner) {
 			p.SetEvacuatedZones(now, map[string]bool{"m": true})
 			p.SetEvacuatedZones(now, map[string]bool{})
-			sendAndLeave(p, now, "api-0")
+			sendAndCancel(p, now, "api-0")
 		},
 		"silent": func(p *Placer, runners []Runner) {
 			w := p.runners["api-0"]
-			w.doubt(now)
+			w.markSuspect(now)
 			a := p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: "api-0"})
 			p.HandleFirstEvent(now, a)
 			p.EndAttempt(now, a, Cancelled, Progress{})
 		},
 	} {
 		runners := testRunners("api", 1)
-		p := testPlacer(t, runners)
-		sendAndLeave(p, now, "api-0")
+		p := startedTestPlacer(t, runners)
+		sendAndCancel(p, now, "api-0")
 		prepare(p, runners)
 		if c, refusal := p.Place(now+900*time.Millisecond, testRequest(now, "api", testRoute())); refusal == nil {
 			t.Errorf("%s: sent to %s within the second", name, c.Runner)
@@ -437,8 +437,8 @@
 	}
 }
 
-func TestARunnerThatFailsFastIsSetAside(t *testing.T) {
-	p := testPlacer(t, testRunners("api", 3))
+func TestFailingRunnerIsEjected(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("api", 3))
 	now := testStart
 	failed := 0
 	for range 400 {
@@ -462,28 +462,28 @@
 	}
 }
 
-func TestPriorityGoesByRank(t *testing.T) {
+func TestPriorityFollowsRank(t *testing.T) {
 	for rank, want := range []int{3, 5, 7, 9, 9} {
-		p := testPlacer(t, testRunners("llm", 3))
+		p := startedTestPlacer(t, testRunners("llm", 3))
 		route := testRoute()
 		route.Rank = rank
 		if c, _ := p.Place(testStart, testRequest(testStart, "llm", route)); c.Priority != want {
 			t.Errorf("rank %d: priority %d", rank, c.Priority)
 		}
 	}
-	p := testPlacer(t, testRunners("api", 3))
+	p := startedTestPlacer(t, testRunners("api", 3))
 	if c, _ := p.Place(testStart, testRequest(testStart, "api", testRoute())); c.Priority != -1 {
 		t.Errorf("priority %d for a service that is no engine", c.Priority)
 	}
 }
 
 // A prompt larger than what is free goes to a runner that has it free.
-func TestNobodyIsPreemptedWhereAnotherHasRoom(t *testing.T) {
-	p := testPlacer(t, testRunners("llm", 6))
+func TestRunnerWithEnoughFreeTokensIsPreferred(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("llm", 6))
 	for id, w := range p.runners {
-		w.tokens = 500
+		w.spareTokens = 500
 		if id == "llm-4" {
-			w.tokens, w.room = 5000, 2
+			w.spareTokens, w.spareSlots = 5000, 2
 		}
 	}
 	r := testRequest(testStart, "llm", testRoute())
@@ -497,16 +497,16 @@
 	}
 }
 
-func TestARefusalNeedsTakenPlaces(t *testing.T) {
-	p := testPlacer(t, testRunners("api", 3))
+func TestRejectionRequiresOccupiedSlots(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("api", 3))
 	for _, w := range p.runners {
-		w.room, w.taken, w.wait = -1, 1, 10
+		w.spareSlots, w.occupiedSlots, w.excessWait = -1, 1, 10
 	}
 	if _, refusal := p.Place(testStart, testRequest(testStart, "api", testRoute())); refusal != nil {
 		t.Errorf("refused with places free: %+v", refusal)
 	}
 	for _, w := range p.runners {
-		w.taken = 6
+		w.occupiedSlots = 6
 	}
 	if _, refusal := p.Place(testStart, testRequest(testStart, "api", testRoute())); refusal == nil {
 		t.Error("sent where it would wait ten times its time")
@@ -530,7 +530,7 @@
 		{"too late", func(r *Request) { r.Deadline = testStart }, false},
 		{"another service", func(r *Request) { r.Service = "none" }, false},
 	} {
-		p := testPlacer(t, testRunners("api", 3))
+		p := startedTestPlacer(t, testRunners("api", 3))
 		r := testRequest(testStart, "api", testRoute())
 		r.TriedRunners = []string{"a"}
 		c.change(r)
@@ -540,9 +540,9 @@
 	}
 }
 
-func TestPlacingAllocatesNothing(t *testing.T) {
+func TestPlaceDoesNotAllocate(t *testing.T) {
 	for _, service := range []string{"api", "llm"} {
-		p := testPlacer(t, testRunners(service, 12))
+		p := startedTestPlacer(t, testRunners(service, 12))
 		route := testRoute()
 		route.PrefixAffinity = true
 		r := testRequest(testStart, service, route)
@@ -557,7 +557,7 @@
 	for _, service := range []string{"api", "llm"} {
 		for _, runners := range []int{10, 100, 1000} {
 			b.Run(fmt.Sprint(service, "/", runners), func(b *testing.B) {
-				p := testPlacer(b, testRunners(service, runners))
+				p := startedTestPlacer(b, testRunners(service, runners))
 				route := testRoute()
 				route.PrefixAffinity = true
 				r := testRequest(testStart, service, route)
@@ -571,7 +571,7 @@
 }
 
 func TestOptionsErrorsNameTheField(t *testing.T) {
-	if _, err := New(worldOptions("m"), 1); err != nil {
+	if _, err := New(testOptions("m"), 1); err != nil {
 		t.Fatal(err)
 	}
 	for name, change := range map[string]func(o *Options){
@@ -580,7 +580,7 @@
 		"RetryExtra": func(o *Options) { o.RetryAllowance = -1 }, "ColdExcess": func(o *Options) { o.SlowStartFactor = -1 },
 		"ColdSlack": func(o *Options) { o.SlowStartAllowance = -1 },
 	} {
-		o := worldOptions("m")
+		o := testOptions("m")
 		change(&o)
 		if _, err := New(o, 1); err == nil {
 			t.Errorf("%s: no error", name)
--- a/internal/system/placement/priority_test.go
+++ b/internal/system/placement/priority_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // Long prompts come after short ones, but never before those of a higher rank that are as long.
-func TestLongPromptsComeAfterShortOnes(t *testing.T) {
-	p := testPlacer(t, testRunners("llm", 3))
+func TestLongPromptsGetLowerPriority(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("llm", 3))
 	order := func(rank, tokens int) int {
 		route := testRoute()
 		route.Rank = rank
@@ -22,7 +22,7 @@
 			t.Errorf("rank %d: short %d, long %d, long of the next rank %d", rank, order(rank, short), order(rank, long),
 				order(rank+1, long))
 		}
-		if order(rank, long) > lowest {
+		if order(rank, long) > lowestPriority {
 			t.Errorf("rank %d: priority %d", rank, order(rank, long))
 		}
 	}
--- a/internal/system/placement/state.go
+++ b/internal/system/placement/state.go
@@ -14,105 +14,105 @@
 	"cinderroad/internal/system/configuration"
 )
 
-// runner is what this proxy knows of one runner. Loads are in slots; see load.go for what a request weighs.
-type runner struct {
+// runnerState is what this proxy knows of one runner. Loads are in slots; see load.go for what a request weighs.
+type runnerState struct {
 	Runner
-	service  *service
-	key      uint64 // of its id
-	place    int    // of its region among those known
-	here     bool   // in the set that was told last
-	size     float64
-	ceilings capacity.Limits
-	standing capacity.Ejection
-	room     float64 // the plan: spare slots, lowered by each send until the next one
-	tokens   float64 // the plan: free tokens, likewise; engines only
-	load     float64 // derived load of all proxies, as of the last plan
-	util     float64 // derived utilization, likewise
-	taken    float64 // places that requests of all proxies are likely to take, likewise
-
-	own       usage // of this proxy's attempts in flight
-	mean      usage // the same, over about meanSpan
-	ownJobs   int
-	unread    unread
-	wait      float64 // time beyond the expected that first answers have lately taken, in seconds
-	fullUntil time.Duration
-	guarded   time.Duration // until then it may be cold, and the list may not show it yet
-
-	pending      attemptList // sent, and nothing has come yet
-	suspectUntil time.Duration
-	suspectFor   time.Duration
-	suspect      bool // a connection or an answer never came: a single request may find out whether it is back
-	probing      *Attempt
-
-	sentAt   time.Duration // of the last send
-	coldNext time.Duration // the earliest next send while it is cold
+	service       *serviceState
+	key           uint64 // of its id
+	regionIndex   int    // of its region among those known
+	listed        bool   // in the set that was told last
+	slots         float64
+	limits        capacity.Limits
+	ejection      capacity.Ejection
+	spareSlots    float64 // the plan: spare slots, lowered by each send until the next one
+	spareTokens   float64 // the plan: free tokens, likewise; engines only
+	load          float64 // derived load of all proxies, as of the last plan
+	utilization   float64 // derived utilization, likewise
+	occupiedSlots float64 // places that requests of all proxies are likely to take, likewise
+
+	ownUsage       usage // of this proxy's attempts in flight
+	meanUsage      usage // the same, over about usageWindow
+	ownAttempts    int
+	backlog        prefillBacklog
+	excessWait     float64 // time beyond the expected that first answers have lately taken, in seconds
+	saturatedUntil time.Duration
+	guardedUntil   time.Duration // until then it may be cold, and the list may not show it yet
+
+	pending         attemptList // sent, and nothing has come yet
+	suspectUntil    time.Duration
+	suspectDuration time.Duration
+	suspect         bool // a connection or an answer never came: a single request may find out whether it is back
+	probe           *Attempt
+
+	lastSentAt      time.Duration // of the last send
+	slowStartNextAt time.Duration // the earliest next send while it is cold
 }
 
-// service is a group of runners and what is known of them together.
-type service struct {
+// serviceState is a group of runners and what is known of them together.
+type serviceState struct {
 	configuration.Service
-	known     bool      // the configuration names it
-	runners   []*runner // in the order of their ids
-	budget    retryBudget
-	speed     float64 // prompt tokens read in a second by a runner that reads nothing else; 0: not seen yet
-	target    float64 // the tightest aim of its routes, in seconds; one that is not asked for any more counts less and less
-	took      float64 // running mean of the time that an answer takes, in seconds
-	mean      usage   // mean of the runners' means
-	kept      keptMemory
-	urgency   urgency
-	plannedAt time.Duration
-	speeds    speedWindow
+	configured    bool           // the configuration names it
+	runners       []*runnerState // in the order of their ids
+	retryBudget   retryBudget
+	prefillSpeed  float64 // prompt tokens read in a second by a runner that reads nothing else; 0: not seen yet
+	latencyTarget float64 // the tightest aim of its routes, in seconds; one that is not asked for any more counts less and less
+	meanDuration  float64 // running mean of the time that an answer takes, in seconds
+	meanUsage     usage   // mean of the runners' means
+	prefixHistory prefixHistory
+	shedding      loadShedding
+	plannedAt     time.Duration
+	prefillSpeeds speedWindow
 }
 
 // routeStats are what answers of a route have shown.
 type routeStats struct {
-	took, spread float64 // running mean of the time to the end, and of how far it is missed; seconds
-	outShare     float64 // of the most tokens out that a request names, what comes
-	again        float64 // share of requests whose chain this proxy has sent within keptSpan
+	meanDuration, deviation float64 // running mean of the time to the end, and of how far it is missed; seconds
+	outputShare             float64 // of the most tokens out that a request names, what comes
+	prefixReuse             float64 // share of requests whose chain this proxy has sent within prefixHistorySpan
 }
 
 // Placer decides which runner takes each request of a proxy.
 type Placer struct {
-	options  Options
-	random   capacity.Random
-	services map[string]*service
-	runners  map[string]*runner
-	byKey    map[uint64]*runner
-	evac     map[string]bool
-	routes   map[string]*routeStats
-	regions  []regionStats
-
-	started    time.Duration // when it first was told anything
-	begun      bool
-	awakeAt    time.Duration // when it was last asked or told anything
-	joined     time.Duration // from then on the others count this proxy
-	proxies    int           // that may be sending; 0: not told yet
-	fewer      int           // the count that was told last, where it is lower
-	fewerAt    time.Duration
-	self       uint64
-	peers      []peer // empty: only their number was told
-	planAt     time.Duration
-	target     float64 // tightest aim of a route seen, in seconds
-	longest    float64 // longest time-out of a route seen
-	attempts   uint64
-	recalled   map[string]learntRunner
-	speeds     map[string]float64
-	heard      bool          // another proxy has told of a prompt
-	heardAt    time.Duration // when one did last
-	heardCount int           // notices of prompts in this period
-	tellFrom   float64       // slots that the reading of a prompt takes for the others to be told
+	options   Options
+	random    capacity.Random
+	services  map[string]*serviceState
+	runners   map[string]*runnerState
+	byKey     map[uint64]*runnerState
+	evacuated map[string]bool
+	routes    map[string]*routeStats
+	regions   []regionStats
+
+	startedAt           time.Duration // when it first was told anything
+	started             bool
+	lastCallAt          time.Duration // when it was last asked or told anything
+	countedFrom         time.Duration // from then on the others count this proxy
+	proxyCount          int           // that may be sending; 0: not told yet
+	pendingProxyCount   int           // the count that was told last, where it is lower
+	pendingProxyCountAt time.Duration
+	selfKey             uint64
+	peers               []peer // empty: only their number was told
+	plannedAt           time.Duration
+	latencyTarget       float64 // tightest aim of a route seen, in seconds
+	longestTimeout      float64 // longest time-out of a route seen
+	lastAttemptID       uint64
+	restored            map[string]runnerSnapshot
+	restoredSpeeds      map[string]float64
+	notified            bool          // another proxy has told of a prompt
+	lastNoticeAt        time.Duration // when one did last
+	noticeCount         int           // notices of prompts in this period
+	noticeThreshold     float64       // slots that the reading of a prompt takes for the others to be told
 }
 
 // peer is another proxy, or this one, by its key.
 type peer struct {
-	key   uint64
-	until time.Duration // it was left out of what was told last, and counts no longer from then on; 0: it was named
+	key       uint64
+	expiresAt time.Duration // it was left out of what was told last, and counts no longer from then on; 0: it was named
 }
 
 // regionStats are what is known of a region.
 type regionStats struct {
-	name string
-	far  float64 // least time to a first answer seen; 0: none yet
+	name    string
+	latency float64 // least time to a first answer seen; 0: none yet
 }
 
 // New checks the options and returns a Placer that knows nothing yet.
@@ -120,9 +120,9 @@
 	if err := o.validate(); err != nil {
 		return nil, err
 	}
-	return &Placer{options: o, random: capacity.Random(seed), services: map[string]*service{}, runners: map[string]*runner{}, byKey: map[uint64]*runner{},
-		evac: map[string]bool{}, routes: map[string]*routeStats{}, target: firstTarget, longest: firstTimeout,
-		tellFrom: tellLeast}, nil
+	return &Placer{options: o, random: capacity.Random(seed), services: map[string]*serviceState{}, runners: map[string]*runnerState{}, byKey: map[uint64]*runnerState{},
+		evacuated: map[string]bool{}, routes: map[string]*routeStats{}, latencyTarget: initialTarget, longestTimeout: initialTimeout,
+		noticeThreshold: minNoticeThreshold}, nil
 }
 
 func (o *Options) validate() error {
@@ -148,23 +148,23 @@
 	return errors.Join(findings...)
 }
 
-// begin notes that the placer was told or asked something. After a start, and after a sleep, others may not count this
+// recordCall notes that the placer was told or asked something. After a start, and after a sleep, others may not count this
 // proxy for a while.
-func (p *Placer) begin(now time.Duration) {
-	if !p.begun {
-		p.begun, p.started, p.planAt = true, now, now
-		p.joined = now + joinHold
-	} else if now-p.awakeAt > asleepAfter {
-		p.joined = now + joinHold
-	}
-	p.awakeAt = now
+func (p *Placer) recordCall(now time.Duration) {
+	if !p.started {
+		p.started, p.startedAt, p.plannedAt = true, now, now
+		p.countedFrom = now + joinDelay
+	} else if now-p.lastCallAt > sleepThreshold {
+		p.countedFrom = now + joinDelay
+	}
+	p.lastCallAt = now
 }
 
-// serviceOf finds a service, or makes one that the configuration has not named yet.
-func (p *Placer) serviceOf(name string) *service {
+// ensureService finds a service, or makes one that the configuration has not named yet.
+func (p *Placer) ensureService(name string) *serviceState {
 	s := p.services[name]
 	if s == nil {
-		s = &service{Service: configuration.Service{Name: name}, speed: p.speeds[name], target: firstTarget}
+		s = &serviceState{Service: configuration.Service{Name: name}, prefillSpeed: p.restoredSpeeds[name], latencyTarget: initialTarget}
 		p.services[name] = s
 	}
 	return s
@@ -172,25 +172,25 @@
 
 // SetServices takes the services of the configuration in force, the whole set.
 func (p *Placer) SetServices(now time.Duration, services []*configuration.Service) {
-	p.begin(now)
+	p.recordCall(now)
 	for _, s := range p.services {
-		s.known = false
+		s.configured = false
 	}
 	for _, told := range services {
-		s := p.serviceOf(told.Name)
-		s.Service, s.known = *told, true
+		s := p.ensureService(told.Name)
+		s.Service, s.configured = *told, true
 		for _, w := range s.runners {
-			w.resize()
+			w.updateSlots()
 		}
-		p.plan(now, s)
+		p.planService(now, s)
 	}
-	p.forget()
+	p.dropUnusedServices()
 }
 
-// forget drops services that neither the configuration nor a runner names.
-func (p *Placer) forget() {
+// dropUnusedServices drops services that neither the configuration nor a runner names.
+func (p *Placer) dropUnusedServices() {
 	for name, s := range p.services {
-		if !s.known && len(s.runners) == 0 {
+		if !s.configured && len(s.runners) == 0 {
 			delete(p.services, name)
 		}
 	}
@@ -198,26 +198,26 @@
 
 // SetRunners takes the whole set of runners. Those that are not named any more get nothing from here on.
 func (p *Placer) SetRunners(now time.Duration, told []Runner) {
-	p.begin(now)
+	p.recordCall(now)
 	for _, w := range p.runners {
-		w.here = false
+		w.listed = false
 	}
 	changed := false
 	for i := range told {
 		changed = p.setRunner(&told[i]) || changed
 	}
 	for id, w := range p.runners {
-		if !w.here {
+		if !w.listed {
 			delete(p.runners, id)
 			delete(p.byKey, w.key)
 			changed = true
 		}
 	}
 	if changed {
-		p.rejoin()
+		p.regroupRunners()
 	}
 	for _, s := range p.services {
-		p.plan(now, s)
+		p.planService(now, s)
 	}
 }
 
@@ -226,31 +226,31 @@
 	w := p.runners[told.ID]
 	isNew := w == nil
 	if isNew {
-		w = &runner{key: xxhash.Sum64String(told.ID)}
+		w = &runnerState{key: xxhash.Sum64String(told.ID)}
 		p.runners[told.ID] = w
 		p.byKey[w.key] = w
 	}
 	moved := isNew || w.Service != told.Service
-	if told.SlowStartUntil > w.SlowStartUntil && w.sentAt > 0 { // what went there last may already have met it cold
-		w.coldNext = max(w.coldNext, w.sentAt+time.Duration(coldSpan*float64(time.Second)))
+	if told.SlowStartUntil > w.SlowStartUntil && w.lastSentAt > 0 { // what went there last may already have met it cold
+		w.slowStartNextAt = max(w.slowStartNextAt, w.lastSentAt+time.Duration(slowStartWindow*float64(time.Second)))
 	}
-	w.Runner, w.here = *told, true
+	w.Runner, w.listed = *told, true
 	if w.Region == "" {
 		w.Region = p.options.Zones[w.Zone]
 	}
-	w.place = p.region(w.Region)
+	w.regionIndex = p.regionIndex(w.Region)
 	if moved {
-		w.service = p.serviceOf(w.Service)
+		w.service = p.ensureService(w.Service)
 	}
-	w.resize()
+	w.updateSlots()
 	if isNew {
-		p.recall(w)
+		p.restoreRunner(w)
 	}
 	return moved
 }
 
-// rejoin lists the runners of each service again.
-func (p *Placer) rejoin() {
+// regroupRunners lists the runners of each service again.
+func (p *Placer) regroupRunners() {
 	for _, s := range p.services {
 		s.runners = s.runners[:0]
 	}
@@ -258,13 +258,13 @@
 		w.service.runners = append(w.service.runners, w)
 	}
 	for _, s := range p.services {
-		slices.SortFunc(s.runners, func(x, y *runner) int { return cmp.Compare(x.ID, y.ID) })
+		slices.SortFunc(s.runners, func(x, y *runnerState) int { return cmp.Compare(x.ID, y.ID) })
 	}
-	p.forget()
+	p.dropUnusedServices()
 }
 
-// resize takes the slots of a runner; ceilings that were not learnt start from them.
-func (w *runner) resize() {
+// updateSlots takes the slots of a runner; ceilings that were not learnt start from them.
+func (w *runnerState) updateSlots() {
 	size := float64(w.Capacity)
 	if size <= 0 && w.service.Backend != nil {
 		size = float64(w.service.Backend.Capacity)
@@ -272,93 +272,93 @@
 	if size <= 0 {
 		size = 1
 	}
-	if w.size == size {
+	if w.slots == size {
 		return
 	}
-	w.size = size
-	w.ceilings = capacity.InitialLimits(size)
+	w.slots = size
+	w.limits = capacity.InitialLimits(size)
 }
 
 // SetEvacuatedZones takes the zones whose runners get nothing, the whole set.
 func (p *Placer) SetEvacuatedZones(now time.Duration, zones map[string]bool) {
-	p.begin(now)
+	p.recordCall(now)
 	for _, w := range p.runners {
-		if p.evac[w.Zone] && !zones[w.Zone] { // it may have become cold meanwhile
-			w.guarded = now + guardSpan
+		if p.evacuated[w.Zone] && !zones[w.Zone] { // it may have become cold meanwhile
+			w.guardedUntil = now + slowStartGuard
 		}
 	}
-	clear(p.evac)
+	clear(p.evacuated)
 	for zone, gone := range zones {
 		if gone {
-			p.evac[zone] = true
+			p.evacuated[zone] = true
 		}
 	}
 }
 
 // SetProxyCount takes the number of proxies that may be sending, this one among them; shared budgets are divided by it. A
-// lower number counts only after fewerHold: one that is thought gone may have sends on their way.
+// lower number counts only after proxyRemovalDelay: one that is thought gone may have sends on their way.
 func (p *Placer) SetProxyCount(now time.Duration, n int) {
-	p.begin(now)
+	p.recordCall(now)
 	p.peers = nil
-	p.count(now, n)
+	p.setProxyCount(now, n)
 }
 
 // SetPeers takes the keys of all proxies that may be sending, which says their number, too. With them cold runners can be
 // shared among more proxies than a cold runner bears requests in a second.
 func (p *Placer) SetPeers(now time.Duration, self uint64, peers []uint64) {
-	p.begin(now)
-	p.self = self
+	p.recordCall(now)
+	p.selfKey = self
 	for i := range p.peers {
-		if x := &p.peers[i]; x.until == 0 && !slices.Contains(peers, x.key) {
-			x.until = now + fewerHold
+		if x := &p.peers[i]; x.expiresAt == 0 && !slices.Contains(peers, x.key) {
+			x.expiresAt = now + proxyRemovalDelay
 		}
 	}
-	p.name(self)
+	p.addPeer(self)
 	for _, key := range peers {
-		p.name(key)
+		p.addPeer(key)
 	}
-	p.proxies, p.fewer = len(p.peers), 0
+	p.proxyCount, p.pendingProxyCount = len(p.peers), 0
 }
 
-// name counts a proxy that was named.
-func (p *Placer) name(key uint64) {
+// addPeer counts a proxy that was named.
+func (p *Placer) addPeer(key uint64) {
 	for i := range p.peers {
 		if p.peers[i].key == key {
-			p.peers[i].until = 0
+			p.peers[i].expiresAt = 0
 			return
 		}
 	}
 	p.peers = append(p.peers, peer{key: key})
 }
 
-func (p *Placer) count(now time.Duration, n int) {
+func (p *Placer) setProxyCount(now time.Duration, n int) {
 	n = max(n, 0)
-	if n >= p.proxies {
-		p.proxies, p.fewer = n, 0
+	if n >= p.proxyCount {
+		p.proxyCount, p.pendingProxyCount = n, 0
 		return
 	}
-	if p.fewer == 0 {
-		p.fewerAt = now + fewerHold
+	if p.pendingProxyCount == 0 {
+		p.pendingProxyCountAt = now + proxyRemovalDelay
 	}
-	p.fewer = max(n, 1)
+	p.pendingProxyCount = max(n, 1)
 }
 
-// settle lets a lower number of proxies count once it has held for long enough.
-func (p *Placer) settle(now time.Duration) {
-	if p.fewer > 0 && now >= p.fewerAt {
-		p.proxies, p.fewer = p.fewer, 0
+// applyProxyCount lets a lower number of proxies count once it has held for long enough.
+func (p *Placer) applyProxyCount(now time.Duration) {
+	if p.pendingProxyCount > 0 && now >= p.pendingProxyCountAt {
+		p.proxyCount, p.pendingProxyCount = p.pendingProxyCount, 0
 	}
 	if len(p.peers) > 0 {
-		p.peers = slices.DeleteFunc(p.peers, func(x peer) bool { return x.until > 0 && now >= x.until })
-		p.proxies = len(p.peers)
+		p.peers = slices.DeleteFunc(p.peers, func(x peer) bool { return x.expiresAt > 0 && now >= x.expiresAt })
+		p.proxyCount = len(p.peers)
 	}
 }
 
-// others is the number of other proxies, as far as it is known.
-func (p *Placer) others() float64 { return float64(max(p.proxies, 1) - 1) }
+// otherProxies is the number of other proxies, as far as it is known.
+func (p *Placer) otherProxies() float64 { return float64(max(p.proxyCount, 1) - 1) }
 
-// region finds the place of a region among those known.
-func (p *Placer) region(name string) int {
+// regionIndex finds the place of a region among those known.
+func (p *Placer) regionIndex(name string) int {
 	for i := range p.regions {
 		if p.regions[i].name == name {
 			return i
@@ -368,19 +368,19 @@
 	return len(p.regions) - 1
 }
 
-// route finds what is known of a route.
-func (p *Placer) route(r *configuration.Route) *routeStats {
+// statsOf finds what is known of a route.
+func (p *Placer) statsOf(r *configuration.Route) *routeStats {
 	s := p.routes[r.Name]
 	if s == nil {
-		if len(p.routes) >= mostRoutes {
+		if len(p.routes) >= maxRoutes {
 			clear(p.routes)
 		}
-		s = &routeStats{took: r.LatencyTarget.Seconds(), spread: r.LatencyTarget.Seconds() / 2, outShare: 0.5}
+		s = &routeStats{meanDuration: r.LatencyTarget.Seconds(), deviation: r.LatencyTarget.Seconds() / 2, outputShare: 0.5}
 		p.routes[r.Name] = s
 		if r.LatencyTarget > 0 {
-			p.target = math.Min(p.target, r.LatencyTarget.Seconds())
+			p.latencyTarget = math.Min(p.latencyTarget, r.LatencyTarget.Seconds())
 		}
-		p.longest = math.Max(p.longest, r.Timeout.Seconds())
+		p.longestTimeout = math.Max(p.longestTimeout, r.Timeout.Seconds())
 	}
 	return s
 }
--- a/internal/system/placement/urgency.go
+++ b/internal/system/placement/urgency.go
@@ -7,66 +7,68 @@
 	"cinderroad/internal/shared/capacity"
 )
 
-// urgency is how long the requests of each rank may take, so that under load less urgent ones are refused first: a long
+// loadShedding is how long the requests of each rank may take, so that under load less urgent ones are refused first: a long
 // deadline does not outlast a more urgent request.
-type urgency [mostRanks]rankStats
+type loadShedding [maxRanks]rankStats
 
 // rankStats are what requests of a rank have shown.
 type rankStats struct {
-	left    float64       // running mean of the time that they have left, in seconds; 0: none came yet
-	refused time.Duration // when one was refused last because of load
-	yield   bool          // refused holds a time
+	remaining  float64       // running mean of the time that they have left, in seconds; 0: none came yet
+	rejectedAt time.Duration // when one was refused last because of load
+	rejected   bool          // refused holds a time
 }
 
 // rankOf is the rank of a request, 0 the most urgent.
 func rankOf(r *Request) int {
 	if r.Route == nil {
-		return mostRanks - 1
+		return maxRanks - 1
 	}
-	return min(max(r.Route.Rank, 0), mostRanks-1)
+	return min(max(r.Route.Rank, 0), maxRanks-1)
 }
 
-// note takes the time that a request has left.
-func (u *urgency) note(now time.Duration, r *Request) {
+// recordArrival takes the time that a request has left.
+func (u *loadShedding) recordArrival(now time.Duration, r *Request) {
 	left := (r.Deadline - now).Seconds()
 	if left <= 0 || r.Route == nil {
 		return
 	}
 	rank := &u[rankOf(r)]
-	if rank.left == 0 {
-		rank.left = left
+	if rank.remaining == 0 {
+		rank.remaining = left
 	}
-	capacity.UpdateMean(&rank.left, left, learnSlow)
+	capacity.UpdateMean(&rank.remaining, left, fleetLearningRate)
 }
 
-// refuse notes that a request is refused because of load.
-func (u *urgency) refuse(now time.Duration, r *Request) {
+// recordRejection notes that a request is refused because of load.
+func (u *loadShedding) recordRejection(now time.Duration, r *Request) {
 	rank := &u[rankOf(r)]
-	rank.refused, rank.yield = now, true
+	rank.rejectedAt, rank.rejected = now, true
 }
 
-// bearable is how long a request may wait before it is refused, in seconds: a part of the time that it has left, and
+// maxWait is how long a request may wait before it is refused, in seconds: a part of the time that it has left, and
 // less than what requests of a more urgent rank may while some of those are refused.
-func (u *urgency) bearable(now time.Duration, r *Request) float64 {
+func (u *loadShedding) maxWait(now time.Duration, r *Request) float64 {
 	own := rankOf(r)
-	most := waitedShare * (r.Deadline - now).Seconds()
+	most := maxWaitShare * (r.Deadline - now).Seconds()
 	for rank := range own {
-		if stats := &u[rank]; stats.yields(now) {
-			most = math.Min(most, waitedShare*stats.left*math.Pow(yieldShare, float64(own-rank)))
+		if stats := &u[rank]; stats.recentlyRejected(now) {
+			most = math.Min(most, maxWaitShare*stats.remaining*math.Pow(yieldShare, float64(own-rank)))
 		}
 	}
 	return most
 }
 
-// yields says whether requests of a more urgent rank are refused: less urgent ones then yield, small ones too, which
+// mustYield says whether requests of a more urgent rank are refused: less urgent ones then yield, small ones too, which
 // would find room where large ones do not.
-func (u *urgency) yields(now time.Duration, r *Request) bool {
+func (u *loadShedding) mustYield(now time.Duration, r *Request) bool {
 	for rank := range rankOf(r) {
-		if u[rank].yields(now) {
+		if u[rank].recentlyRejected(now) {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *rankStats) yields(now time.Duration) bool { return s.yield && now-s.refused <= yieldSpan }
+func (s *rankStats) recentlyRejected(now time.Duration) bool {
+	return s.rejected && now-s.rejectedAt <= yieldDuration
+}
--- a/internal/system/placement/urgency_test.go
+++ b/internal/system/placement/urgency_test.go
@@ -7,60 +7,60 @@
 	"cinderroad/internal/system/configuration"
 )
 
-// urgencyRequest is one of a rank with so much time left.
-func urgencyRequest(rank int, now, left time.Duration) *Request {
+// rankRequest is one of a rank with so much time left.
+func rankRequest(rank int, now, left time.Duration) *Request {
 	return &Request{Route: &configuration.Route{Rank: rank}, Deadline: now + left}
 }
 
-func TestUrgencyWithoutRefusals(t *testing.T) {
-	var u urgency
+func TestMaxWaitWithoutRejections(t *testing.T) {
+	var u loadShedding
 	now := 10 * time.Second
-	u.note(now, urgencyRequest(0, now, 3*time.Second))
-	late := urgencyRequest(2, now, 15*time.Second)
-	u.note(now, late)
-	if got, want := u.bearable(now, late), waitedShare*15; got != want {
+	u.recordArrival(now, rankRequest(0, now, 3*time.Second))
+	late := rankRequest(2, now, 15*time.Second)
+	u.recordArrival(now, late)
+	if got, want := u.maxWait(now, late), maxWaitShare*15; got != want {
 		t.Errorf("bearable %v s, want %v: nothing more urgent is refused", got, want)
 	}
-	if u.yields(now, late) {
+	if u.mustYield(now, late) {
 		t.Error("a request yields though nothing more urgent is refused")
 	}
 }
 
-func TestLessUrgentYieldsToRefused(t *testing.T) {
-	var u urgency
+func TestLowerRankYieldsToRejectedHigherRank(t *testing.T) {
+	var u loadShedding
 	now := 10 * time.Second
-	urgent, late := urgencyRequest(0, now, 3*time.Second), urgencyRequest(2, now, 15*time.Second)
-	u.note(now, urgent)
-	u.note(now, late)
-	u.refuse(now, urgent)
-	if got, own := u.bearable(now, late), u.bearable(now, urgent); got >= own {
+	urgent, late := rankRequest(0, now, 3*time.Second), rankRequest(2, now, 15*time.Second)
+	u.recordArrival(now, urgent)
+	u.recordArrival(now, late)
+	u.recordRejection(now, urgent)
+	if got, own := u.maxWait(now, late), u.maxWait(now, urgent); got >= own {
 		t.Errorf("the less urgent one may wait %v s, the urgent one %v s", got, own)
 	}
-	if !u.yields(now, late) || u.yields(now, urgent) {
+	if !u.mustYield(now, late) || u.mustYield(now, urgent) {
 		t.Error("only less urgent requests yield")
 	}
-	if after := now + yieldSpan + 1; u.yields(after, late) || u.bearable(after, urgencyRequest(2, after, 15*time.Second)) < 7 {
+	if after := now + yieldDuration + 1; u.mustYield(after, late) || u.maxWait(after, rankRequest(2, after, 15*time.Second)) < 7 {
 		t.Error("it yields for too long after the last refusal")
 	}
 }
 
 // A refused request that is not urgent has nobody yield.
-func TestUrgentDoesNotYield(t *testing.T) {
-	var u urgency
+func TestHigherRankDoesNotYield(t *testing.T) {
+	var u loadShedding
 	now := 10 * time.Second
-	u.refuse(now, urgencyRequest(2, now, 15*time.Second))
-	urgent := urgencyRequest(0, now, 3*time.Second)
-	if u.yields(now, urgent) || u.bearable(now, urgent) != waitedShare*3 {
+	u.recordRejection(now, rankRequest(2, now, 15*time.Second))
+	urgent := rankRequest(0, now, 3*time.Second)
+	if u.mustYield(now, urgent) || u.maxWait(now, urgent) != maxWaitShare*3 {
 		t.Error("an urgent request yields to a less urgent one")
 	}
 }
 
 // Under load a request that is not urgent is not taken on the strength of its long deadline where an urgent one is
 // refused; it is once none has been refused for a while.
-func TestRefusalsBeginWithTheLeastUrgent(t *testing.T) {
-	p := testPlacer(t, testRunners("api", 3))
+func TestLowerRanksAreRejectedFirst(t *testing.T) {
+	p := startedTestPlacer(t, testRunners("api", 3))
 	for _, w := range p.runners {
-		w.room, w.taken, w.wait = -1, 6, 2
+		w.spareSlots, w.occupiedSlots, w.excessWait = -1, 6, 2
 	}
 	urgent := testRequest(testStart, "api", testRoute())
 	route := testRoute()
@@ -76,10 +76,10 @@
 	if _, refusal := p.Place(testStart, late); refusal == nil {
 		t.Error("a request that is not urgent is taken while urgent ones are refused")
 	}
-	late.Deadline += 2 * yieldSpan
-	after := testStart + 2*yieldSpan
+	late.Deadline += 2 * yieldDuration
+	after := testStart + 2*yieldDuration
 	for _, w := range p.runners {
-		w.wait = 2
+		w.excessWait = 2
 	}
 	if _, refusal := p.Place(after, late); refusal != nil {
 		t.Errorf("still refused long after the last urgent one: %+v", refusal)
--- a/internal/system/placement/wide_test.go
+++ b/internal/system/placement/wide_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// wideProxies are proxies of two regions that know the same runners.
-func wideProxies(t *testing.T, runners []Runner) []*Placer {
+// twoRegionProxies are proxies of two regions that know the same runners.
+func twoRegionProxies(t *testing.T, runners []Runner) []*Placer {
 	var proxies []*Placer
 	for i, zone := range []string{"m", "t", "p", "p"} {
-		p := worldPlacer(t, zone, uint64(i))
+		p := newTestPlacer(t, zone, uint64(i))
 		p.SetServices(testStart, testServices())
 		p.SetRunners(testStart, runners)
 		p.SetProxyCount(testStart, 4)
@@ -18,20 +18,20 @@
 	return proxies
 }
 
-// rareRequest has a chain that no other request has, and a body whose way to another region is cheap.
-func rareRequest(now time.Duration, chain uint64) *Request {
-	r := chainRequest(now, chain, 1<<40+chain)
+// rarePrefixRequest has a chain that no other request has, and a body whose way to another region is cheap.
+func rarePrefixRequest(now time.Duration, chain uint64) *Request {
+	r := prefixRequest(now, chain, 1<<40+chain)
 	r.BodyBytes = 2 * r.InputTokens
 	return r
 }
 
 // Chains that come seldom have one owner for all regions; where a region sends one often, it has an owner of its own.
-func TestRareChainsHaveOneOwnerForAllRegions(t *testing.T) {
-	proxies := wideProxies(t, testRunners("llm", 12))
+func TestRarePrefixesHaveOneGlobalOwner(t *testing.T) {
+	proxies := twoRegionProxies(t, testRunners("llm", 12))
 	ownersOf := func(chain uint64) map[string]bool {
 		owners := map[string]bool{}
 		for _, p := range proxies {
-			c, refusal := p.Place(testStart, rareRequest(testStart, chain))
+			c, refusal := p.Place(testStart, rarePrefixRequest(testStart, chain))
 			if refusal != nil {
 				t.Fatal(refusal)
 			}
@@ -49,7 +49,7 @@
 		now += 10 * time.Millisecond
 		for _, p := range proxies {
 			p.Tick(now)
-			r := rareRequest(now, i%40)
+			r := rarePrefixRequest(now, i%40)
 			c, _ := p.Place(now, r)
 			p.EndAttempt(now, p.StartAttempt(now, r, c), Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Duration: time.Millisecond})
 		}
@@ -66,14 +66,14 @@
 }
 
 // A body that is long for the parts that it shares is not sent far, nor one whose length is not told.
-func TestLongBodiesStayInTheRegion(t *testing.T) {
-	proxies := wideProxies(t, testRunners("llm", 12))
+func TestLargeBodiesStayInRegion(t *testing.T) {
+	proxies := twoRegionProxies(t, testRunners("llm", 12))
 	for _, bytes := range []int{0, 1 << 20} {
 		for chain := range uint64(40) {
 			for i, p := range proxies {
-				r := rareRequest(testStart, chain)
+				r := rarePrefixRequest(testStart, chain)
 				r.BodyBytes = bytes
-				p.route(r.Route).again = 0.5
+				p.statsOf(r.Route).prefixReuse = 0.5
 				if c, _ := p.Place(testStart, r); p.runners[c.Runner].Region != p.options.Region {
 					t.Errorf("proxy %d sent chain %d of %d bytes to %s", i, chain, bytes, c.Runner)
 				}
@@ -83,18 +83,18 @@
 }
 
 // Where the owner in another region has no room, the proxies of a region send the chain to the same runner of theirs.
-func TestAFarOwnerWithoutRoomIsReplacedNearby(t *testing.T) {
-	proxies := wideProxies(t, testRunners("llm", 12))
+func TestFullRemoteOwnerIsReplacedInRegion(t *testing.T) {
+	proxies := twoRegionProxies(t, testRunners("llm", 12))
 	for chain := range uint64(40) {
 		next := map[string]string{}
 		for i, p := range proxies {
-			r := rareRequest(testStart, chain)
+			r := rarePrefixRequest(testStart, chain)
 			owner, _ := p.Place(testStart, r)
 			w := p.runners[owner.Runner]
-			room := w.room
-			w.room = 0
+			room := w.spareSlots
+			w.spareSlots = 0
 			c, refusal := p.Place(testStart, r)
-			w.room = room
+			w.spareSlots = room
 			if refusal != nil || c.Runner == owner.Runner || p.runners[c.Runner].Region != p.options.Region {
 				t.Fatalf("proxy %d sent chain %d to %s, the owner being %s, %v", i, chain, c.Runner, owner.Runner, refusal)
 			}
@@ -107,11 +107,11 @@
 }
 
 // One owner for all regions never means a region that the route is not bound to.
-func TestOneOwnerKeepsToTheHomes(t *testing.T) {
-	proxies := wideProxies(t, testRunners("llm", 12))
+func TestGlobalOwnerStaysInHomeRegions(t *testing.T) {
+	proxies := twoRegionProxies(t, testRunners("llm", 12))
 	for chain := range uint64(40) {
 		for i, p := range proxies {
-			r := rareRequest(testStart, chain)
+			r := rarePrefixRequest(testStart, chain)
 			r.Route.HomeRegions = []string{"west"}
 			if c, refusal := p.Place(testStart, r); refusal != nil || p.runners[c.Runner].Region != "west" {
 				t.Errorf("proxy %d sent chain %d to %s, %v", i, chain, c.Runner, refusal)
