--- a/internal/system/placement/budget_test.go
+++ b/internal/system/placement/budget_test.go
@@ -35,15 +35,15 @@
 
 // newProxyGroup draws a fleet; it begins long enough after its start that all know each other.
 func newProxyGroup(t *rapid.T, runners []Runner) *proxyGroup {
-	f := &proxyGroup{t: t, now: testStart, services: testServices(), runners: runners, useKeys: rapid.Bool().Draw(t, "keys"),
+	group := &proxyGroup{t: t, now: testStart, services: testServices(), runners: runners, useKeys: rapid.Bool().Draw(t, "keys"),
 		slowStartSends: map[string][]time.Duration{}}
 	for range rapid.SampledFrom([]int{1, 2, 3, 7, 12, 24}).Draw(t, "proxies") {
-		f.join()
+		group.join()
 	}
-	for _, p := range f.proxies {
-		f.sendPeers(p)
+	for _, proxy := range group.proxies {
+		group.sendPeers(proxy)
 	}
-	return f
+	return group
 }
 
 // join starts a proxy. It knows of all others at once; they learn of it later.
@@ -53,74 +53,74 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	p := &groupProxy{placer: placer, key: f.lastSeed * 0x9e3779b97f4a7c15, startedAt: f.now}
-	f.proxies = append(f.proxies, p)
+	proxy := &groupProxy{placer: placer, key: f.lastSeed * 0x9e3779b97f4a7c15, startedAt: f.now}
+	f.proxies = append(f.proxies, proxy)
 	placer.SetServices(f.now, f.services)
 	placer.SetRunners(f.now, f.runners)
-	f.sendPeers(p)
+	f.sendPeers(proxy)
 }
 
 // sendPeers tells a proxy of all there are.
-func (f *proxyGroup) sendPeers(p *groupProxy) {
+func (f *proxyGroup) sendPeers(proxy *groupProxy) {
 	if !f.useKeys {
-		p.placer.SetProxyCount(f.now, len(f.proxies))
+		proxy.placer.SetProxyCount(f.now, len(f.proxies))
 		return
 	}
 	var keys []uint64
-	for _, x := range f.proxies {
-		keys = append(keys, x.key)
+	for _, other := range f.proxies {
+		keys = append(keys, other.key)
 	}
-	p.placer.SetPeers(f.now, p.key, keys)
+	proxy.placer.SetPeers(f.now, proxy.key, keys)
 }
 
 // step lets time pass. Each proxy that runs is told of those that began at least a second ago, which is well within the
 // time for which a new one holds back.
 func (f *proxyGroup) step(d time.Duration) {
 	f.now += d
-	for _, p := range f.proxies {
-		if f.now < p.frozenUntil {
+	for _, proxy := range f.proxies {
+		if f.now < proxy.frozenUntil {
 			continue
 		}
-		p.placer.Tick(f.now)
-		f.sendKnownPeers(p)
+		proxy.placer.Tick(f.now)
+		f.sendKnownPeers(proxy)
 	}
 }
 
-func (f *proxyGroup) sendKnownPeers(p *groupProxy) {
+func (f *proxyGroup) sendKnownPeers(proxy *groupProxy) {
 	n, keys := 0, []uint64{}
-	for _, x := range f.proxies {
-		if x == p || f.now-x.startedAt >= time.Second || p.startedAt >= x.startedAt {
-			n, keys = n+1, append(keys, x.key)
+	for _, other := range f.proxies {
+		if other == proxy || f.now-other.startedAt >= time.Second || proxy.startedAt >= other.startedAt {
+			n, keys = n+1, append(keys, other.key)
 		}
 	}
 	if f.useKeys {
-		p.placer.SetPeers(f.now, p.key, keys)
+		proxy.placer.SetPeers(f.now, proxy.key, keys)
 	} else {
-		p.placer.SetProxyCount(f.now, n)
+		proxy.placer.SetProxyCount(f.now, n)
 	}
 }
 
 // send has a proxy place a request, and sends it if it may.
-func (f *proxyGroup) send(p *groupProxy, r *Request) (Choice, *Attempt) {
-	if f.now < p.frozenUntil {
+func (f *proxyGroup) send(proxy *groupProxy, request *Request) (Choice, *Attempt) {
+	if f.now < proxy.frozenUntil {
 		return Choice{}, nil
 	}
-	c, refusal := p.placer.Place(f.now, r)
+	choice, refusal := proxy.placer.Place(f.now, request)
 	if refusal != nil {
-		return c, nil
+		return choice, nil
 	}
-	if len(r.TriedRunners) > 0 {
+	if len(request.TriedRunners) > 0 {
 		f.retries = append(f.retries, f.now)
 	} else {
 		f.requests = append(f.requests, f.now)
 	}
 	for i := range f.runners {
-		if w := &f.runners[i]; w.ID == c.Runner && f.now < w.SlowStartUntil {
+		if w := &f.runners[i]; w.ID == choice.Runner && f.now < w.SlowStartUntil {
 			f.slowStartSends[w.ID] = append(f.slowStartSends[w.ID], f.now)
 		}
 	}
-	a := p.placer.StartAttempt(f.now, r, c)
-	return c, a
+	attempt := proxy.placer.StartAttempt(f.now, request, choice)
+	return choice, attempt
 }
 
 // largestCount is the largest number of moments in any span.
@@ -146,38 +146,38 @@
 		for i := range runners {
 			runners[i].SlowStartUntil = testStart + time.Hour
 		}
-		f := newProxyGroup(t, runners)
-		f.services[0].SlowStartRate = rapid.SampledFrom([]float64{0, 2, 9, 40}).Draw(t, "rate")
-		for _, p := range f.proxies {
-			p.placer.SetServices(f.now, f.services)
+		group := newProxyGroup(t, runners)
+		group.services[0].SlowStartRate = rapid.SampledFrom([]float64{0, 2, 9, 40}).Draw(t, "rate")
+		for _, proxy := range group.proxies {
+			proxy.placer.SetServices(group.now, group.services)
 		}
-		for f.now < testStart+6*time.Second {
-			f.step(time.Duration(rapid.IntRange(1, 120).Draw(t, "ms")) * time.Millisecond)
+		for group.now < testStart+6*time.Second {
+			group.step(time.Duration(rapid.IntRange(1, 120).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 120).Draw(t, "event") {
 			case 0:
-				if len(f.proxies) < 30 {
-					f.join()
+				if len(group.proxies) < 30 {
+					group.join()
 				}
 			case 1: // killed, and started again with nothing remembered
-				i := rapid.IntRange(0, len(f.proxies)-1).Draw(t, "killed")
-				key := f.proxies[i].key
-				f.proxies = slices.Delete(f.proxies, i, i+1)
-				f.join()
-				f.proxies[len(f.proxies)-1].key = key
+				i := rapid.IntRange(0, len(group.proxies)-1).Draw(t, "killed")
+				key := group.proxies[i].key
+				group.proxies = slices.Delete(group.proxies, i, i+1)
+				group.join()
+				group.proxies[len(group.proxies)-1].key = key
 			case 2:
-				p := f.proxies[rapid.IntRange(0, len(f.proxies)-1).Draw(t, "frozen")]
-				p.frozenUntil = f.now + time.Duration(rapid.IntRange(100, 3000).Draw(t, "for"))*time.Millisecond
+				proxy := group.proxies[rapid.IntRange(0, len(group.proxies)-1).Draw(t, "frozen")]
+				proxy.frozenUntil = group.now + time.Duration(rapid.IntRange(100, 3000).Draw(t, "for"))*time.Millisecond
 			}
-			for _, p := range f.proxies {
+			for _, proxy := range group.proxies {
 				for range 2 {
-					f.send(p, testRequest(f.now, "api", testRoute()))
+					group.send(proxy, testRequest(group.now, "api", testRoute()))
 				}
 			}
 		}
-		bound := int(f.services[0].SlowStartRate*1.5 + 5)
-		for id, moments := range f.slowStartSends {
+		bound := int(group.services[0].SlowStartRate*1.5 + 5)
+		for id, moments := range group.slowStartSends {
 			if n, from := largestCount(moments, time.Second); n > bound {
-				t.Fatalf("%s got %d in the second from %v, at most %d; %d proxies", id, n, from, bound, len(f.proxies))
+				t.Fatalf("%s got %d in the second from %v, at most %d; %d proxies", id, n, from, bound, len(group.proxies))
 			}
 		}
 	})
@@ -217,50 +217,50 @@
 // Summed over all proxies, what arrives beyond the first of each request stays within the budget in every window.
 func TestRetryBudgetHoldsOverAllProxies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newProxyGroup(t, testRunners("api", 30))
+		group := newProxyGroup(t, testRunners("api", 30))
 		options := testOptions("m")
 		eager := rapid.SampledFrom([]int{1, 4, 25}).Draw(t, "repeats wanted for each request")
-		for f.now < testStart+35*time.Second {
-			f.step(time.Duration(rapid.IntRange(50, 800).Draw(t, "ms")) * time.Millisecond)
+		for group.now < testStart+35*time.Second {
+			group.step(time.Duration(rapid.IntRange(50, 800).Draw(t, "ms")) * time.Millisecond)
 			quiet := rapid.IntRange(0, 3).Draw(t, "quiet") == 0
 			switch rapid.IntRange(0, 80).Draw(t, "event") {
 			case 0:
-				if len(f.proxies) < 30 {
-					f.join()
+				if len(group.proxies) < 30 {
+					group.join()
 				}
 			case 1:
-				i := rapid.IntRange(0, len(f.proxies)-1).Draw(t, "killed")
-				key := f.proxies[i].key
-				f.proxies = slices.Delete(f.proxies, i, i+1)
-				f.join()
-				f.proxies[len(f.proxies)-1].key = key
+				i := rapid.IntRange(0, len(group.proxies)-1).Draw(t, "killed")
+				key := group.proxies[i].key
+				group.proxies = slices.Delete(group.proxies, i, i+1)
+				group.join()
+				group.proxies[len(group.proxies)-1].key = key
 			}
-			for _, p := range f.proxies {
+			for _, proxy := range group.proxies {
 				if quiet {
 					continue
 				}
-				f.retryWhileAllowed(p, eager)
+				group.retryWhileAllowed(proxy, eager)
 			}
 		}
-		f.checkBudget(options.RetryRatio, options.RetryAllowance, options.RetryWindow)
+		group.checkBudget(options.RetryRatio, options.RetryAllowance, options.RetryWindow)
 	})
 }
 
 // retryWhileAllowed has a proxy send a request, and again as often as it may.
-func (f *proxyGroup) retryWhileAllowed(p *groupProxy, eager int) {
+func (f *proxyGroup) retryWhileAllowed(proxy *groupProxy, eager int) {
 	route := testRoute()
 	route.MaxAttempts = 1 + eager
-	r := testRequest(f.now, "api", route)
+	request := testRequest(f.now, "api", route)
 	for try := range 1 + eager {
-		if try > 0 && !p.placer.MayRetry(f.now, r) {
+		if try > 0 && !proxy.placer.MayRetry(f.now, request) {
 			return
 		}
-		c, a := f.send(p, r)
-		if a == nil {
+		choice, attempt := f.send(proxy, request)
+		if attempt == nil {
 			return
 		}
-		p.placer.EndAttempt(f.now, a, Interrupted, Progress{})
-		r.TriedRunners, r.MayHaveRun = append(r.TriedRunners, c.Runner), true
+		proxy.placer.EndAttempt(f.now, attempt, Interrupted, Progress{})
+		request.TriedRunners, request.MayHaveRun = append(request.TriedRunners, choice.Runner), true
 	}
 }
 
--- a/internal/system/placement/choose.go
+++ b/internal/system/placement/choose.go
@@ -19,38 +19,38 @@
 )
 
 // Place says which runner takes a request, or refuses it. A choice is booked only by Sent.
-func (p *Placer) Place(now time.Duration, r *Request) (Choice, *Rejection) {
+func (p *Placer) Place(now time.Duration, request *Request) (Choice, *Rejection) {
 	p.recordCall(now)
-	s := p.services[r.Service]
-	if s == nil || len(s.runners) == 0 {
-		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, r, 0), Reason: "no runner of the service is known"}
-	}
-	if r.isRetry() && !s.retryBudget.allows(now, p.retryPolicy()) {
-		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, r, 0), Reason: "the retry budget is spent"}
-	}
-	s.observeTarget(r)
-	p.refreshPlan(now, s)
-	s.shedding.recordArrival(now, r)
-	d := p.demandOf(s, r)
-	best, rank := p.selectRunner(now, s, r, &d)
+	service := p.services[request.Service]
+	if service == nil || len(service.runners) == 0 {
+		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, 0), Reason: "no runner of the service is known"}
+	}
+	if request.isRetry() && !service.retryBudget.allows(now, p.retryPolicy()) {
+		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, 0), Reason: "the retry budget is spent"}
+	}
+	service.observeTarget(request)
+	p.refreshPlan(now, service)
+	service.shedding.recordArrival(now, request)
+	demand := p.demandOf(service, request)
+	best, rank := p.selectRunner(now, service, request, &demand)
 	if best == nil {
-		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, r, 0), Reason: "no runner may take the request"}
+		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, 0), Reason: "no runner may take the request"}
 	}
-	if wait := p.expectedWait(s, best); (rank >= rankNoSpare || s.shedding.mustYield(now, r)) && p.isHopeless(now, s, r, wait) {
-		s.shedding.recordRejection(now, r)
-		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, r, wait), Reason: "all runners are over their ceilings"}
+	if wait := p.expectedWait(service, best); (rank >= rankNoSpare || service.shedding.mustYield(now, request)) && p.isHopeless(now, service, request, wait) {
+		service.shedding.recordRejection(now, request)
+		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, wait), Reason: "all runners are over their ceilings"}
 	}
-	return Choice{Runner: best.ID, Address: best.Address, Priority: priority(s, r)}, nil
+	return Choice{Runner: best.ID, Address: best.Address, Priority: priority(service, request)}, nil
 }
 
 // priority is the order in which an engine lets requests in: by the route's rank, and long prompts after short ones. A
 // long one that is read first makes many short ones late; one that comes after them loses the little that they take.
-func priority(s *serviceState, r *Request) int {
-	if !s.isEngine() || r.Route == nil {
+func priority(service *serviceState, request *Request) int {
+	if !service.isEngine() || request.Route == nil {
 		return -1
 	}
-	order := firstPriority + priorityStep*max(r.Route.Rank, 0)
-	if float64(r.InputTokens) > longPromptSlots*s.slotTokens() {
+	order := firstPriority + priorityStep*max(request.Route.Rank, 0)
+	if float64(request.InputTokens) > longPromptSlots*service.slotTokens() {
 		order += longPromptPenalty
 	}
 	return min(lowestPriority, order)
@@ -58,20 +58,20 @@
 
 // selectRunner is the ordinary path: the serving runner with most room, own region first, then the nearest; if none has room,
 // the one least over its ceiling. For a prompt with shared parts, room counts more where those are kept.
-func (p *Placer) selectRunner(now time.Duration, s *serviceState, r *Request, d *tokenDemand) (*runnerState, int) {
+func (p *Placer) selectRunner(now time.Duration, service *serviceState, request *Request, demand *tokenDemand) (*runnerState, int) {
 	var choice capacity.Selection[*runnerState]
-	owners := p.ownersOf(now, s, r, d)
-	shared := s.isSharedFault()
-	for _, w := range s.runners {
-		if !p.isEligible(now, r, w) {
+	owners := p.ownersOf(now, service, request, demand)
+	shared := service.isSharedFault()
+	for _, runner := range service.runners {
+		if !p.isEligible(now, request, runner) {
 			continue
 		}
-		offer := capacity.Candidate{Rank: p.rank(now, r, w, d, &owners, shared)}
+		offer := capacity.Candidate{Rank: p.rank(now, request, runner, demand, &owners, shared)}
 		if offer.Rank == rankSpareRemote {
-			offer.Distance = p.distance(w)
+			offer.Distance = p.distance(runner)
 		}
-		offer.SpareCapacity = w.spareSlots + p.preference(s, w, d, &owners)
-		choice.Add(w, offer, &p.random)
+		offer.SpareCapacity = runner.spareSlots + p.preference(service, runner, demand, &owners)
+		choice.Add(runner, offer, &p.random)
 	}
 	if !choice.Found {
 		return nil, rankNone
@@ -80,19 +80,19 @@
 }
 
 // rank orders runners for a request.
-func (p *Placer) rank(now time.Duration, r *Request, w *runnerState, d *tokenDemand, o *prefixOwners, shared bool) int {
+func (p *Placer) rank(now time.Duration, request *Request, runner *runnerState, demand *tokenDemand, owners *prefixOwners, shared bool) int {
 	switch {
-	case r.hasTried(w):
+	case request.hasTried(runner):
 		return rankTried
-	case w.ejection.IsEjected(now.Seconds()) || !shared && w.isAvoided(now):
+	case runner.ejection.IsEjected(now.Seconds()) || !shared && runner.isAvoided(now):
 		return rankAvoided
-	case w.isAvoided(now):
+	case runner.isAvoided(now):
 		return rankNoSpare // so many are suspect at once that those left could not bear the load alone
-	case now < w.saturatedUntil:
+	case now < runner.saturatedUntil:
 		return rankSaturated
-	case w.spareSlots < 1 || w.spareTokens < d.memoryTokens(o.isOwner(w)):
+	case runner.spareSlots < 1 || runner.spareTokens < demand.memoryTokens(owners.isOwner(runner)):
 		return rankNoSpare
-	case w.Region != p.options.Region && !(o.global && o.isOwner(w)):
+	case runner.Region != p.options.Region && !(owners.global && owners.isOwner(runner)):
 		return rankSpareRemote
 	}
 	return rankSpareLocal
@@ -108,48 +108,48 @@
 
 // preference is added to a runner's room: a little for the own zone, since bytes between zones are priced, and for the
 // runner that keeps the shared parts what reading them again costs.
-func (p *Placer) preference(s *serviceState, w *runnerState, d *tokenDemand, o *prefixOwners) (slots float64) {
-	if w.Zone == p.options.Zone {
-		slots += math.Max(minZonePreference, zonePreferenceShare*w.slots)
+func (p *Placer) preference(service *serviceState, runner *runnerState, demand *tokenDemand, owners *prefixOwners) (slots float64) {
+	if runner.Zone == p.options.Zone {
+		slots += math.Max(minZonePreference, zonePreferenceShare*runner.slots)
 	}
-	if d.prefix == 0 {
+	if demand.prefix == 0 {
 		return slots
 	}
-	whole := math.Max(prefixPrice*d.sharedTokens/s.slotTokens(), minPrefixPreference)
-	return slots + whole*o.cachedShare(w, s, d.prefix)
+	whole := math.Max(prefixPrice*demand.sharedTokens/service.slotTokens(), minPrefixPreference)
+	return slots + whole*owners.cachedShare(runner, service, demand.prefix)
 }
 
 // distance counts in eighths of the tightest target: regions that differ by less share the spill.
-func (p *Placer) distance(w *runnerState) float64 {
-	return math.Floor(p.regions[w.regionIndex].latency * 8 / p.latencyTarget)
+func (p *Placer) distance(runner *runnerState) float64 {
+	return math.Floor(p.regions[runner.regionIndex].latency * 8 / p.latencyTarget)
 }
 
 // isEligible says whether the rules allow this send. Every pick asks it, the fallback and repeats included.
-func (p *Placer) isEligible(now time.Duration, r *Request, w *runnerState) bool {
+func (p *Placer) isEligible(now time.Duration, request *Request, runner *runnerState) bool {
 	switch {
-	case !w.listed || w.Draining || p.evacuated[w.Zone]:
+	case !runner.listed || runner.Draining || p.evacuated[runner.Zone]:
 		return false
-	case w.TerminatesAt > 0 && now+p.expectedDuration(w, r) > w.TerminatesAt:
+	case runner.TerminatesAt > 0 && now+p.expectedDuration(runner, request) > runner.TerminatesAt:
 		return false
-	case !inHomeRegion(r, w) || !w.servesModel(r.Model):
+	case !inHomeRegion(request, runner) || !runner.servesModel(request.Model):
 		return false
-	case w.service.isEngine() && r.InputTokens+r.MaxOutputTokens > w.service.Backend.CacheTokens:
+	case runner.service.isEngine() && request.InputTokens+request.MaxOutputTokens > runner.service.Backend.CacheTokens:
 		return false
-	case w.ownAttempts >= p.connectionLimit(w):
+	case runner.ownAttempts >= p.connectionLimit(runner):
 		return false
-	case w.inSlowStart(now) && !p.hasSlowStartBudget(now, w):
+	case runner.inSlowStart(now) && !p.hasSlowStartBudget(now, runner):
 		return false
 	}
 	return true
 }
 
 // inHomeRegion says whether a runner stands in one of the regions that the route is bound to.
-func inHomeRegion(r *Request, w *runnerState) bool {
-	if r.Route == nil || len(r.Route.HomeRegions) == 0 {
+func inHomeRegion(request *Request, runner *runnerState) bool {
+	if request.Route == nil || len(request.Route.HomeRegions) == 0 {
 		return true
 	}
-	for _, home := range r.Route.HomeRegions {
-		if home == w.Region {
+	for _, home := range request.Route.HomeRegions {
+		if home == runner.Region {
 			return true
 		}
 	}
@@ -161,8 +161,8 @@
 	if model == "" || len(w.Models) == 0 {
 		return true
 	}
-	for _, m := range w.Models {
-		if m == model {
+	for _, candidate := range w.Models {
+		if candidate == model {
 			return true
 		}
 	}
@@ -170,26 +170,26 @@
 }
 
 // connectionLimit is this proxy's share of the connections that a runner takes.
-func (p *Placer) connectionLimit(w *runnerState) int {
-	if w.service.MaxConnections <= 0 {
+func (p *Placer) connectionLimit(runner *runnerState) int {
+	if runner.service.MaxConnections <= 0 {
 		return math.MaxInt
 	}
-	return max(1, int(connectionShare*float64(w.service.MaxConnections)/(1+p.otherProxies())))
+	return max(1, int(connectionShare*float64(runner.service.MaxConnections)/(1+p.otherProxies())))
 }
 
 // expectedDuration is how long a request is likely to take at most.
-func (p *Placer) expectedDuration(w *runnerState, r *Request) time.Duration {
-	if r.Route == nil {
+func (p *Placer) expectedDuration(runner *runnerState, request *Request) time.Duration {
+	if request.Route == nil {
 		return 0
 	}
-	stats := p.statsOf(r.Route)
-	return time.Duration((stats.meanDuration + 2*stats.deviation + w.excessWait) * float64(time.Second))
+	stats := p.statsOf(request.Route)
+	return time.Duration((stats.meanDuration + 2*stats.deviation + runner.excessWait) * float64(time.Second))
 }
 
 // hasTried says whether an attempt of the request went to the runner.
-func (r *Request) hasTried(w *runnerState) bool {
+func (r *Request) hasTried(runner *runnerState) bool {
 	for _, id := range r.TriedRunners {
-		if id == w.ID {
+		if id == runner.ID {
 			return true
 		}
 	}
@@ -200,30 +200,30 @@
 func (r *Request) isRetry() bool { return len(r.TriedRunners) > r.connectFailures }
 
 // expectedWait is how long a request would wait at a runner before its prompt is read, or its slot is free; seconds.
-func (p *Placer) expectedWait(s *serviceState, w *runnerState) float64 {
-	if s.isEngine() {
-		return math.Max(w.excessWait, w.utilization*lateStartShare*s.latencyTarget)
+func (p *Placer) expectedWait(service *serviceState, runner *runnerState) float64 {
+	if service.isEngine() {
+		return math.Max(runner.excessWait, runner.utilization*lateStartShare*service.latencyTarget)
 	}
-	return math.Max(w.excessWait, (w.load-w.slots)/w.slots*s.meanDuration)
+	return math.Max(runner.excessWait, (runner.load-runner.slots)/runner.slots*service.meanDuration)
 }
 
 // isHopeless says that even the best runner would answer too late, while the runners have hardly a place left.
-func (p *Placer) isHopeless(now time.Duration, s *serviceState, r *Request, wait float64) bool {
-	if wait <= s.shedding.maxWait(now, r) {
+func (p *Placer) isHopeless(now time.Duration, service *serviceState, request *Request, wait float64) bool {
+	if wait <= service.shedding.maxWait(now, request) {
 		return false
 	}
 	taken, places := 0.0, 0.0
-	for _, w := range s.runners {
-		if p.isEligible(now, r, w) {
-			taken, places = taken+math.Min(w.occupiedSlots, w.slots), places+w.slots
+	for _, runner := range service.runners {
+		if p.isEligible(now, request, runner) {
+			taken, places = taken+math.Min(runner.occupiedSlots, runner.slots), places+runner.slots
 		}
 	}
 	return taken >= minOccupiedShare*places
 }
 
 // retryAfter is when a refused client should come back: once the wait has gone down to what is bearable.
-func (p *Placer) retryAfter(now time.Duration, r *Request, wait float64) time.Duration {
-	left := r.Deadline - now
+func (p *Placer) retryAfter(now time.Duration, request *Request, wait float64) time.Duration {
+	left := request.Deadline - now
 	bearable := time.Duration(maxWaitShare * float64(left))
 	after := time.Duration(wait*float64(time.Second)) - bearable
 	after = max(after, minRetryAfter, planPeriod)
--- a/internal/system/placement/cold.go
+++ b/internal/system/placement/cold.go
@@ -18,19 +18,19 @@
 }
 
 // hasSlowStartBudget says whether this proxy may send to a cold runner now.
-func (p *Placer) hasSlowStartBudget(now time.Duration, w *runnerState) bool {
-	return now >= w.slowStartNextAt && p.slowStartInterval(now, w) > 0
+func (p *Placer) hasSlowStartBudget(now time.Duration, runner *runnerState) bool {
+	return now >= runner.slowStartNextAt && p.slowStartInterval(now, runner) > 0
 }
 
 // slowStartInterval is the time between two sends to a cold runner; 0: nothing may be sent.
-func (p *Placer) slowStartInterval(now time.Duration, w *runnerState) time.Duration {
+func (p *Placer) slowStartInterval(now time.Duration, runner *runnerState) time.Duration {
 	if p.proxyCount == 0 || now < p.countedFrom {
 		return 0 // the others may not count this one yet, and its last life may have sent just now
 	}
-	bound := slowStartPlannedShare * (w.service.SlowStartRate*p.options.SlowStartFactor + p.options.SlowStartAllowance)
+	bound := slowStartPlannedShare * (runner.service.SlowStartRate*p.options.SlowStartFactor + p.options.SlowStartAllowance)
 	n := float64(p.proxyCount)
-	share := math.Floor(math.Min(bound/(n+1), math.Max(w.service.SlowStartRate/n, 1)))
-	if share < 1 && p.holdsSlowStartShare(w, int(bound)) {
+	share := math.Floor(math.Min(bound/(n+1), math.Max(runner.service.SlowStartRate/n, 1)))
+	if share < 1 && p.holdsSlowStartShare(runner, int(bound)) {
 		share = 1
 	}
 	if share < 1 {
@@ -40,13 +40,13 @@
 }
 
 // holdsSlowStartShare says whether this proxy is one of the few that may use a cold runner.
-func (p *Placer) holdsSlowStartShare(w *runnerState, holders int) bool {
+func (p *Placer) holdsSlowStartShare(runner *runnerState, holders int) bool {
 	if len(p.peers) == 0 {
 		return false
 	}
-	mine, place := capacity.Hash(w.key^p.selfKey), 0
-	for _, x := range p.peers {
-		if capacity.Hash(w.key^x.key) < mine {
+	mine, place := capacity.Hash(runner.key^p.selfKey), 0
+	for _, peer := range p.peers {
+		if capacity.Hash(runner.key^peer.key) < mine {
 			place++
 		}
 	}
@@ -54,8 +54,8 @@
 }
 
 // recordSlowStartSend books a send to a cold runner.
-func (p *Placer) recordSlowStartSend(now time.Duration, w *runnerState) {
-	if w.inSlowStart(now) {
-		w.slowStartNextAt = now + p.slowStartInterval(now, w)
+func (p *Placer) recordSlowStartSend(now time.Duration, runner *runnerState) {
+	if runner.inSlowStart(now) {
+		runner.slowStartNextAt = now + p.slowStartInterval(now, runner)
 	}
 }
--- a/internal/system/placement/distribution_test.go
+++ b/internal/system/placement/distribution_test.go
@@ -9,7 +9,7 @@
 // Over half a minute of three kinds of request, proxies that do not speak to each other serve nearly all in time, and have
 // few shared parts read again: reading each once in both regions is about an eighth at this size.
 func TestDistribution(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		load   float64
 		inTime float64 // share of each kind, at least
 		again  float64 // share of shared tokens read again, at most
@@ -23,27 +23,27 @@
 		again, shared, refused := 0, 0, 0
 		var kinds [3]requestKind
 		for seed := uint64(1); seed <= 5; seed++ {
-			w := newSimulation(t, seed, c.load)
-			w.run(35 * time.Second)
-			again, shared, refused = again+w.repeatedTokens, shared+w.sharedTokens, refused+w.rejected
-			for i, k := range w.kinds {
-				kinds[i].requests += k.requests
-				kinds[i].inTime += k.inTime
-				kinds[i].firstEvents = append(kinds[i].firstEvents, k.firstEvents...)
+			sim := newSimulation(t, seed, test.load)
+			sim.run(35 * time.Second)
+			again, shared, refused = again+sim.repeatedTokens, shared+sim.sharedTokens, refused+sim.rejected
+			for i, kind := range sim.kinds {
+				kinds[i].requests += kind.requests
+				kinds[i].inTime += kind.inTime
+				kinds[i].firstEvents = append(kinds[i].firstEvents, kind.firstEvents...)
 			}
 		}
 		part := float64(again) / float64(shared)
-		t.Logf("load %.1f: %.3f of shared tokens read again, %d refused", c.load, part, refused)
-		if part > c.again {
-			t.Errorf("load %.1f: %.3f of shared tokens read again", c.load, part)
+		t.Logf("load %.1f: %.3f of shared tokens read again, %d refused", test.load, part, refused)
+		if part > test.again {
+			t.Errorf("load %.1f: %.3f of shared tokens read again", test.load, part)
 		}
-		for i, k := range kinds {
-			share := float64(k.inTime) / float64(k.requests)
-			slices.Sort(k.firstEvents)
+		for i, kind := range kinds {
+			share := float64(kind.inTime) / float64(kind.requests)
+			slices.Sort(kind.firstEvents)
 			t.Logf("   kind %d: %.4f in time, first events after %v, 95 in 100 within %v", i, share,
-				k.quantile(0.5), k.quantile(0.95))
-			if share < c.inTime {
-				t.Errorf("load %.1f, kind %d: %.4f in time", c.load, i, share)
+				kind.quantile(0.5), kind.quantile(0.95))
+			if share < test.inTime {
+				t.Errorf("load %.1f, kind %d: %.4f in time", test.load, i, share)
 			}
 		}
 	}
--- a/internal/system/placement/heard.go
+++ b/internal/system/placement/heard.go
@@ -57,26 +57,26 @@
 		p.notified, p.lastNoticeAt = true, now
 		p.noticeCount++
 	}
-	w := p.byKey[notice.RunnerKey]
-	if w == nil {
+	runner := p.byKey[notice.RunnerKey]
+	if runner == nil {
 		return
 	}
 	switch notice.Kind {
 	case NoticePrefill:
-		p.addPeerPrefill(now, w, notice.Tokens)
+		p.addPeerPrefill(now, runner, notice.Tokens)
 	case NoticeRecovery:
-		w.markAlive(now)
+		runner.markAlive(now)
 	}
 }
 
 // addPeerPrefill takes it that a runner reads a prompt of another proxy.
-func (p *Placer) addPeerPrefill(now time.Duration, w *runnerState, tokens int) {
-	if !w.service.isEngine() {
+func (p *Placer) addPeerPrefill(now time.Duration, runner *runnerState, tokens int) {
+	if !runner.service.isEngine() {
 		return
 	}
-	slots := float64(tokens) / w.service.slotTokens()
-	w.backlog.add(now, w.service.prefillRate(), slots)
-	w.load, w.spareSlots = w.load+slots, w.spareSlots-slots
+	slots := float64(tokens) / runner.service.slotTokens()
+	runner.backlog.add(now, runner.service.prefillRate(), slots)
+	runner.load, runner.spareSlots = runner.load+slots, runner.spareSlots-slots
 }
 
 // PrefillNotice is what the other proxies are to be told of an attempt that was sent; false: its prompt is too short to
--- a/internal/system/placement/kept.go
+++ b/internal/system/placement/kept.go
@@ -13,24 +13,24 @@
 
 // prefixHash is the hash of a prompt's shared parts in their order: all but the last, which is the request's own or its
 // session's. A prompt of a single part is its own chain. 0: there are no parts.
-func prefixHash(parts []Chunk) uint64 {
-	if len(parts) == 0 {
+func prefixHash(chunks []Chunk) uint64 {
+	if len(chunks) == 0 {
 		return 0
 	}
-	last := max(len(parts)-1, 1)
+	last := max(len(chunks)-1, 1)
 	chain := uint64(0x9e3779b97f4a7c15)
-	for _, part := range parts[:last] {
-		chain = capacity.Hash(chain ^ capacity.Hash(part.ID))
+	for _, chunk := range chunks[:last] {
+		chain = capacity.Hash(chain ^ capacity.Hash(chunk.ID))
 	}
 	return max(chain, 1)
 }
 
 // lastSharedTokens is the length of the last of a prompt's shared parts, in tokens.
-func lastSharedTokens(parts []Chunk) float64 {
-	if len(parts) < 2 {
+func lastSharedTokens(chunks []Chunk) float64 {
+	if len(chunks) < 2 {
 		return 0
 	}
-	return float64(parts[len(parts)-2].Tokens)
+	return float64(chunks[len(chunks)-2].Tokens)
 }
 
 // prefixOwners are the runners that a chain belongs to: in each region, or one for all of them.
@@ -48,73 +48,73 @@
 
 // ownersOf draws the owners of a request's chain among the warm serving runners. It goes by what all proxies are told,
 // not by this proxy's own opinion of a runner: else each would send the chain somewhere else.
-func (p *Placer) ownersOf(now time.Duration, s *serviceState, r *Request, d *tokenDemand) (o prefixOwners) {
-	if d.prefix == 0 {
-		return o
+func (p *Placer) ownersOf(now time.Duration, service *serviceState, request *Request, demand *tokenDemand) (owners prefixOwners) {
+	if demand.prefix == 0 {
+		return owners
 	}
-	o.global = p.isGlobal(r, d)
-	for _, w := range s.runners {
-		if w.Draining || w.TerminatesAt > 0 || now < w.SlowStartUntil || p.evacuated[w.Zone] || !inHomeRegion(r, w) || !w.servesModel(r.Model) {
+	owners.global = p.isGlobal(request, demand)
+	for _, runner := range service.runners {
+		if runner.Draining || runner.TerminatesAt > 0 || now < runner.SlowStartUntil || p.evacuated[runner.Zone] || !inHomeRegion(request, runner) || !runner.servesModel(request.Model) {
 			continue
 		}
-		draw := capacity.Hash(d.prefix ^ w.key)
-		o.regions[w.regionIndex%maxRegions].consider(w, draw)
-		if o.global {
-			o.all.consider(w, draw)
+		draw := capacity.Hash(demand.prefix ^ runner.key)
+		owners.regions[runner.regionIndex%maxRegions].consider(runner, draw)
+		if owners.global {
+			owners.all.consider(runner, draw)
 		}
 	}
-	return o
+	return owners
 }
 
 // isGlobal says whether a chain has one owner for all regions: the few prompts that a region is likely to send while the
 // parts are kept cost less on their way to another region than reading the chain's last part there, too. The first parts
 // are shared by more chains and are likely to be read anyway. How often a chain comes is guessed from how many requests
 // of the route repeat one that this proxy has lately sent, since each proxy sees few of a chain.
-func (p *Placer) isGlobal(r *Request, d *tokenDemand) bool {
-	if r.Route == nil || r.BodyBytes <= 0 || len(p.regions) < 2 {
+func (p *Placer) isGlobal(request *Request, demand *tokenDemand) bool {
+	if request.Route == nil || request.BodyBytes <= 0 || len(p.regions) < 2 {
 		return false
 	}
-	own := -math.Log(1 - math.Min(p.statsOf(r.Route).prefixReuse, maxReuse))
+	own := -math.Log(1 - math.Min(p.statsOf(request.Route).prefixReuse, maxReuse))
 	uses := own * math.Max(float64(p.proxyCount)/float64(len(p.regions)), 1)
-	return uses*float64(r.BodyBytes) < bytesPerToken*d.lastSharedTokens
+	return uses*float64(request.BodyBytes) < bytesPerToken*demand.lastSharedTokens
 }
 
 // consider keeps the two runners with the highest draws.
-func (o *regionOwners) consider(w *runnerState, draw uint64) {
+func (o *regionOwners) consider(runner *runnerState, score uint64) {
 	switch {
-	case o.first == nil || draw > o.firstScore:
+	case o.first == nil || score > o.firstScore:
 		o.second, o.secondScore = o.first, o.firstScore
-		o.first, o.firstScore = w, draw
-	case o.second == nil || draw > o.secondScore:
-		o.second, o.secondScore = w, draw
+		o.first, o.firstScore = runner, score
+	case o.second == nil || score > o.secondScore:
+		o.second, o.secondScore = runner, score
 	}
 }
 
 // isOwner says whether a runner is taken to keep the chain.
-func (o *prefixOwners) isOwner(w *runnerState) bool {
+func (o *prefixOwners) isOwner(runner *runnerState) bool {
 	if o.global {
-		return o.all.first == w
+		return o.all.first == runner
 	}
-	return o.regions[w.regionIndex%maxRegions].first == w
+	return o.regions[runner.regionIndex%maxRegions].first == runner
 }
 
 // isSecondary says whether a runner comes after the owner: of those in its region.
-func (o *prefixOwners) isSecondary(w *runnerState) bool {
-	region := &o.regions[w.regionIndex%maxRegions]
+func (o *prefixOwners) isSecondary(runner *runnerState) bool {
+	region := &o.regions[runner.regionIndex%maxRegions]
 	if o.global && o.all.first != region.first {
-		return region.first == w
+		return region.first == runner
 	}
-	return region.second == w
+	return region.second == runner
 }
 
 // cachedShare is the part of the chain's price that is saved at a runner.
-func (o *prefixOwners) cachedShare(w *runnerState, s *serviceState, chain uint64) float64 {
+func (o *prefixOwners) cachedShare(runner *runnerState, service *serviceState, prefix uint64) float64 {
 	switch {
-	case o.isOwner(w):
+	case o.isOwner(runner):
 		return 1
-	case s.prefixHistory.sentRecently(chain, w.key):
+	case service.prefixHistory.sentRecently(prefix, runner.key):
 		return recentPrefixShare
-	case o.isSecondary(w):
+	case o.isSecondary(runner):
 		return secondaryPrefixShare
 	}
 	return 0
@@ -136,33 +136,33 @@
 }
 
 // find is the entry of a chain and a runner, or the one whose place it would take.
-func (k *prefixHistory) find(chain, runner uint64) *prefixRecord {
-	at := 2 * (capacity.Hash(chain^runner) % uint64(len(k.entries)/2))
+func (k *prefixHistory) find(prefix, runner uint64) *prefixRecord {
+	at := 2 * (capacity.Hash(prefix^runner) % uint64(len(k.entries)/2))
 	first, second := &k.entries[at], &k.entries[at+1]
-	if second.matches(chain, runner) || !first.matches(chain, runner) && second.sentAt < first.sentAt {
+	if second.matches(prefix, runner) || !first.matches(prefix, runner) && second.sentAt < first.sentAt {
 		return second
 	}
 	return first
 }
 
-func (e *prefixRecord) matches(chain, runner uint64) bool {
-	return e.prefix == chain && e.runner == runner
+func (e *prefixRecord) matches(prefix, runner uint64) bool {
+	return e.prefix == prefix && e.runner == runner
 }
 
 // sentRecently says whether the chain was sent to the runner within prefixHistorySpan.
-func (k *prefixHistory) sentRecently(chain, runner uint64) bool {
+func (k *prefixHistory) sentRecently(prefix, runner uint64) bool {
 	if len(k.entries) == 0 {
 		return false
 	}
-	e := k.find(chain, runner)
-	return e.matches(chain, runner) && k.updatedAt-e.sentAt < prefixHistorySpan
+	e := k.find(prefix, runner)
+	return e.matches(prefix, runner) && k.updatedAt-e.sentAt < prefixHistorySpan
 }
 
 // record remembers a send.
-func (k *prefixHistory) record(now time.Duration, chain, runner uint64) {
+func (k *prefixHistory) record(now time.Duration, prefix, runner uint64) {
 	if k.entries == nil {
 		k.entries = make([]prefixRecord, prefixHistorySize)
 	}
 	k.updatedAt = now
-	*k.find(chain, runner) = prefixRecord{chain, runner, now}
+	*k.find(prefix, runner) = prefixRecord{prefix, runner, now}
 }
--- a/internal/system/placement/kept_test.go
+++ b/internal/system/placement/kept_test.go
@@ -79,15 +79,15 @@
 // An owner that is full hands its chain on to the next, the same at all proxies; a cold or draining one owns none.
 func TestPrefixOverflowsToSecondaryOwner(t *testing.T) {
 	runners := testRunners("llm", 12)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		do   func(p *Placer, owner *runnerState)
 	}{
-		{"load", func(p *Placer, w *runnerState) { w.spareSlots -= 20 }},
-		{"tokens", func(p *Placer, w *runnerState) { w.spareTokens = 100 }},
-		{"suspect", func(p *Placer, w *runnerState) { w.markSuspect(testStart) }},
-		{"draining", func(p *Placer, w *runnerState) { w.Draining = true }},
-		{"cold", func(p *Placer, w *runnerState) { w.SlowStartUntil = testStart + time.Minute }},
+		{"load", func(p *Placer, runner *runnerState) { runner.spareSlots -= 20 }},
+		{"tokens", func(p *Placer, runner *runnerState) { runner.spareTokens = 100 }},
+		{"suspect", func(p *Placer, runner *runnerState) { runner.markSuspect(testStart) }},
+		{"draining", func(p *Placer, runner *runnerState) { runner.Draining = true }},
+		{"cold", func(p *Placer, runner *runnerState) { runner.SlowStartUntil = testStart + time.Minute }},
 	} {
 		for chain := range uint64(20) {
 			next := ""
@@ -96,13 +96,13 @@
 				p.random = capacity.Random(seed) // drawn numbers have no part in it
 				r := prefixRequest(testStart, chain, 1<<40+seed)
 				first, _ := p.Place(testStart, r)
-				c.do(p, p.runners[first.Runner])
+				test.do(p, p.runners[first.Runner])
 				second, refusal := p.Place(testStart, r)
 				if refusal != nil || second.Runner == first.Runner {
-					t.Fatalf("%s: still %s, %v", c.name, second.Runner, refusal)
+					t.Fatalf("%s: still %s, %v", test.name, second.Runner, refusal)
 				}
 				if next != "" && next != second.Runner {
-					t.Fatalf("%s: %s and %s come next", c.name, next, second.Runner)
+					t.Fatalf("%s: %s and %s come next", test.name, next, second.Runner)
 				}
 				next = second.Runner
 			}
--- a/internal/system/placement/learnt.go
+++ b/internal/system/placement/learnt.go
@@ -35,9 +35,9 @@
 	}
 	b = binary.AppendUvarint(b, uint64(len(p.runners)))
 	for _, id := range sortedKeys(p.runners) {
-		w := p.runners[id]
+		runner := p.runners[id]
 		b = appendString(b, id)
-		for _, v := range []float64{w.slots, w.limits.Load, w.limits.Utilization} {
+		for _, v := range []float64{runner.slots, runner.limits.Load, runner.limits.Utilization} {
 			b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(v)))
 		}
 	}
@@ -53,25 +53,25 @@
 		return err
 	}
 	p.restoredSpeeds, p.restored = speeds, runners
-	for name, s := range p.services {
-		if s.prefillSpeed == 0 {
-			s.prefillSpeed = speeds[name]
+	for name, service := range p.services {
+		if service.prefillSpeed == 0 {
+			service.prefillSpeed = speeds[name]
 		}
 	}
-	for _, w := range p.runners {
-		p.restoreRunner(w)
+	for _, runner := range p.runners {
+		p.restoreRunner(runner)
 	}
 	return nil
 }
 
 // restoreRunner gives a runner that is new to the set what is known of it.
-func (p *Placer) restoreRunner(w *runnerState) {
-	l, ok := p.restored[w.ID]
-	if !ok || l.slots != w.slots {
+func (p *Placer) restoreRunner(runner *runnerState) {
+	l, ok := p.restored[runner.ID]
+	if !ok || l.slots != runner.slots {
 		return
 	}
-	delete(p.restored, w.ID)
-	w.limits = l.limits
+	delete(p.restored, runner.ID)
+	runner.limits = l.limits
 }
 
 func decodeSnapshot(b []byte) (map[string]float64, map[string]runnerSnapshot, error) {
--- a/internal/system/placement/load.go
+++ b/internal/system/placement/load.go
@@ -93,35 +93,35 @@
 func (s *serviceState) isEngine() bool { return s.Backend != nil && s.Backend.CacheTokens > 0 }
 
 // demandOf works out what a request asks of a service's runners.
-func (p *Placer) demandOf(s *serviceState, r *Request) (d tokenDemand) {
-	if !s.isEngine() {
-		return d
+func (p *Placer) demandOf(service *serviceState, request *Request) (demand tokenDemand) {
+	if !service.isEngine() {
+		return demand
 	}
-	for i, part := range r.Chunks {
-		if i < len(r.Chunks)-1 {
-			d.sharedTokens += float64(part.Tokens)
+	for i, part := range request.Chunks {
+		if i < len(request.Chunks)-1 {
+			demand.sharedTokens += float64(part.Tokens)
 		} else {
-			d.uniqueTokens += float64(part.Tokens)
+			demand.uniqueTokens += float64(part.Tokens)
 		}
 	}
-	if in := float64(r.InputTokens); in > d.uniqueTokens+d.sharedTokens {
-		d.uniqueTokens = in - d.sharedTokens
+	if in := float64(request.InputTokens); in > demand.uniqueTokens+demand.sharedTokens {
+		demand.uniqueTokens = in - demand.sharedTokens
 	}
-	if r.Route != nil && r.Route.PrefixAffinity {
-		d.prefix, d.lastSharedTokens = prefixHash(r.Chunks), lastSharedTokens(r.Chunks)
+	if request.Route != nil && request.Route.PrefixAffinity {
+		demand.prefix, demand.lastSharedTokens = prefixHash(request.Chunks), lastSharedTokens(request.Chunks)
 	}
-	if r.Route != nil {
-		d.outputTokens = float64(r.MaxOutputTokens) * p.statsOf(r.Route).outputShare
+	if request.Route != nil {
+		demand.outputTokens = float64(request.MaxOutputTokens) * p.statsOf(request.Route).outputShare
 	}
-	return d
+	return demand
 }
 
 // observeTarget notes the aim of a request's route.
-func (s *serviceState) observeTarget(r *Request) {
-	if r.Route == nil || r.Route.LatencyTarget <= 0 {
+func (s *serviceState) observeTarget(request *Request) {
+	if request.Route == nil || request.Route.LatencyTarget <= 0 {
 		return
 	}
-	target := r.Route.LatencyTarget.Seconds()
+	target := request.Route.LatencyTarget.Seconds()
 	if target < s.latencyTarget {
 		s.latencyTarget = target
 	}
@@ -143,88 +143,88 @@
 func (p *Placer) rebuildPlan(now time.Duration, elapsed float64) {
 	p.plannedAt = now
 	p.adjustNoticeThreshold(elapsed)
-	for _, s := range p.services {
-		p.updateMeans(now, s, elapsed)
-		p.planService(now, s)
+	for _, service := range p.services {
+		p.updateMeans(now, service, elapsed)
+		p.planService(now, service)
 	}
 }
 
 // refreshPlan makes the plan of a service anew where others tell of their prompts: what was told is read meanwhile.
-func (p *Placer) refreshPlan(now time.Duration, s *serviceState) {
-	if p.notified && s.isEngine() && now-s.plannedAt >= maxPlanAge {
-		p.planService(now, s)
+func (p *Placer) refreshPlan(now time.Duration, service *serviceState) {
+	if p.notified && service.isEngine() && now-service.plannedAt >= maxPlanAge {
+		p.planService(now, service)
 	}
 }
 
 // updateMeans moves the running means of a service's runners.
-func (p *Placer) updateMeans(now time.Duration, s *serviceState, elapsed float64) {
+func (p *Placer) updateMeans(now time.Duration, service *serviceState, elapsed float64) {
 	rate, fade := 1-math.Exp(-elapsed/usageWindow), math.Exp(-elapsed/waitDecay)
 	recovered := math.Min(elapsed/p.longestTimeout, 1)
-	s.meanUsage = usage{}
-	for _, w := range s.runners {
-		w.meanUsage.smooth(&w.ownUsage, rate)
-		w.excessWait *= fade
-		if a := w.pending.head; a != nil { // it has been waiting for longer than is usual: fresher news than any end
-			w.excessWait = math.Max(w.excessWait, (now-a.sentAt).Seconds()-p.expectedFirstEvent(s, w, a.prefillTokens))
+	service.meanUsage = usage{}
+	for _, runner := range service.runners {
+		runner.meanUsage.smooth(&runner.ownUsage, rate)
+		runner.excessWait *= fade
+		if attempt := runner.pending.head; attempt != nil { // it has been waiting for longer than is usual: fresher news than any end
+			runner.excessWait = math.Max(runner.excessWait, (now-attempt.sentAt).Seconds()-p.expectedFirstEvent(service, runner, attempt.prefillTokens))
 		}
-		w.limits.Recover(w.slots, recovered)
-		s.meanUsage.add(&w.meanUsage, 1/float64(len(s.runners)))
+		runner.limits.Recover(runner.slots, recovered)
+		service.meanUsage.add(&runner.meanUsage, 1/float64(len(service.runners)))
 	}
 }
 
 // planService works out the room of a service's runners.
-func (p *Placer) planService(now time.Duration, s *serviceState) {
-	s.plannedAt = now
+func (p *Placer) planService(now time.Duration, service *serviceState) {
+	service.plannedAt = now
 	sum, n := 0.0, 0.0
-	for _, w := range s.runners {
-		p.deriveLoad(now, s, w)
-		if w.ejection.Observed && !w.Draining {
-			sum, n = sum+w.spareSlots, n+1
+	for _, runner := range service.runners {
+		p.deriveLoad(now, service, runner)
+		if runner.ejection.Observed && !runner.Draining {
+			sum, n = sum+runner.spareSlots, n+1
 		}
 	}
-	for _, w := range s.runners {
-		if !w.ejection.Observed && n > 0 { // not heard from yet: the mean room of the others
-			w.spareSlots = math.Min(w.limits.Load*warmth(now, w), sum/n) - w.ownUsage.slots
+	for _, runner := range service.runners {
+		if !runner.ejection.Observed && n > 0 { // not heard from yet: the mean room of the others
+			runner.spareSlots = math.Min(runner.limits.Load*warmth(now, runner), sum/n) - runner.ownUsage.slots
 		}
-		if w.utilization >= w.limits.Utilization {
-			w.spareSlots = math.Min(w.spareSlots, 0)
+		if runner.utilization >= runner.limits.Utilization {
+			runner.spareSlots = math.Min(runner.spareSlots, 0)
 		}
 	}
 }
 
 // deriveLoad works out a runner's load from this proxy's own requests there, from what the others are likely to have there,
 // and from the waits that were seen; and the room that is left of its ceiling.
-func (p *Placer) deriveLoad(now time.Duration, s *serviceState, w *runnerState) {
-	all, others := w.ownUsage, p.otherProxies()
-	all.add(&s.meanUsage, others)
+func (p *Placer) deriveLoad(now time.Duration, service *serviceState, runner *runnerState) {
+	all, others := runner.ownUsage, p.otherProxies()
+	all.add(&service.meanUsage, others)
 	if p.hasRecentNotices(now) {
-		guessed := all.prefill - w.ownUsage.prefill
-		known := math.Max(w.backlog.remaining(now, s.prefillRate())-w.ownUsage.prefill, 0)
-		all.slots, all.prefill = all.slots+known-guessed, w.ownUsage.prefill+known
+		guessed := all.prefill - runner.ownUsage.prefill
+		known := math.Max(runner.backlog.remaining(now, service.prefillRate())-runner.ownUsage.prefill, 0)
+		all.slots, all.prefill = all.slots+known-guessed, runner.ownUsage.prefill+known
 	}
-	waiting := s.waitLoad(w)
-	w.occupiedSlots = all.slots - all.prefill
-	w.load = all.slots + math.Max(waiting-all.prefill, 0)
-	w.utilization = w.load / w.slots
-	w.spareTokens = math.Inf(1)
-	if s.isEngine() {
-		w.utilization = s.prefillTime(math.Max(waiting, all.prefill)) / (lateStartShare * s.latencyTarget)
-		w.spareTokens = plannedMemoryShare*float64(s.Backend.CacheTokens) - all.tokens
+	waiting := service.waitLoad(runner)
+	runner.occupiedSlots = all.slots - all.prefill
+	runner.load = all.slots + math.Max(waiting-all.prefill, 0)
+	runner.utilization = runner.load / runner.slots
+	runner.spareTokens = math.Inf(1)
+	if service.isEngine() {
+		runner.utilization = service.prefillTime(math.Max(waiting, all.prefill)) / (lateStartShare * service.latencyTarget)
+		runner.spareTokens = plannedMemoryShare*float64(service.Backend.CacheTokens) - all.tokens
 	}
-	w.spareSlots = capacity.SpareCapacity(w.limits.Load, warmth(now, w), w.load)
+	runner.spareSlots = capacity.SpareCapacity(runner.limits.Load, warmth(now, runner), runner.load)
 }
 
 // waitLoad is the load that waits have shown, in slots.
-func (s *serviceState) waitLoad(w *runnerState) float64 {
+func (s *serviceState) waitLoad(runner *runnerState) float64 {
 	slots := 0.0
 	switch {
-	case w.excessWait <= 0:
+	case runner.excessWait <= 0:
 	case s.isEngine():
-		slots = w.excessWait * s.prefillSpeed / s.slotTokens()
+		slots = runner.excessWait * s.prefillSpeed / s.slotTokens()
 	case s.meanDuration > 0:
-		slots = w.excessWait / s.meanDuration * w.slots
+		slots = runner.excessWait / s.meanDuration * runner.slots
 	}
-	return math.Min(slots, maxWaitLoad*w.slots)
+	return math.Min(slots, maxWaitLoad*runner.slots)
 }
 
 // prefillTime is how long an engine reads prompts of such a weight, in seconds; 0: its speed is not known.
@@ -236,22 +236,22 @@
 }
 
 // warmth is the share of its ceiling that a runner is held to bear: it climbs while a runner that returned cold warms up.
-func warmth(now time.Duration, w *runnerState) float64 {
-	if !w.inSlowStart(now) {
+func warmth(now time.Duration, runner *runnerState) float64 {
+	if !runner.inSlowStart(now) {
 		return 1
 	}
-	since := w.service.SlowStartDuration - max(w.SlowStartUntil-now, 0)
-	if now >= w.SlowStartUntil || w.service.SlowStartDuration <= 0 {
+	since := runner.service.SlowStartDuration - max(runner.SlowStartUntil-now, 0)
+	if now >= runner.SlowStartUntil || runner.service.SlowStartDuration <= 0 {
 		since = 0 // it may be cold, nobody knows since when
 	}
-	return capacity.Warmth(slowStartInitialShare, since.Seconds(), max(w.service.SlowStartDuration, time.Second).Seconds())
+	return capacity.Warmth(slowStartInitialShare, since.Seconds(), max(runner.service.SlowStartDuration, time.Second).Seconds())
 }
 
 // expectedFirstEvent is how long a first answer of a runner without a backlog takes, in seconds.
-func (p *Placer) expectedFirstEvent(s *serviceState, w *runnerState, prefill float64) float64 {
-	least := p.regions[w.regionIndex].latency
-	if s.prefillSpeed > 0 {
-		return least + prefill/s.prefillSpeed
+func (p *Placer) expectedFirstEvent(service *serviceState, runner *runnerState, prefill float64) float64 {
+	least := p.regions[runner.regionIndex].latency
+	if service.prefillSpeed > 0 {
+		return least + prefill/service.prefillSpeed
 	}
-	return least + s.latencyTarget*lateStartShare
+	return least + service.latencyTarget*lateStartShare
 }
--- a/internal/system/placement/outcome.go
+++ b/internal/system/placement/outcome.go
@@ -8,64 +8,64 @@
 )
 
 // StartAttempt books an attempt: room, tokens and budgets. A runner that has left meanwhile books nothing but the budgets.
-func (p *Placer) StartAttempt(now time.Duration, r *Request, c Choice) *Attempt {
+func (p *Placer) StartAttempt(now time.Duration, request *Request, choice Choice) *Attempt {
 	p.recordCall(now)
 	p.lastAttemptID++
-	a := &Attempt{ID: p.lastAttemptID, Runner: c.Runner, Request: r}
-	a.sentAt = now
-	s := p.ensureService(r.Service)
-	s.retryBudget.record(now, p.options.RetryWindow, r.isRetry())
-	w := p.runners[c.Runner]
-	if w == nil {
-		a.ended = true
-		return a
+	attempt := &Attempt{ID: p.lastAttemptID, Runner: choice.Runner, Request: request}
+	attempt.sentAt = now
+	service := p.ensureService(request.Service)
+	service.retryBudget.record(now, p.options.RetryWindow, request.isRetry())
+	runner := p.runners[choice.Runner]
+	if runner == nil {
+		attempt.ended = true
+		return attempt
 	}
-	d := p.demandOf(s, r)
-	a.runner = w
-	p.sizeAttempt(now, s, a, &d)
-	p.recordSlowStartSend(now, w)
-	w.addAttempt(a)
-	w.backlog.add(now, s.prefillRate(), a.prefillWeight)
-	p.recordPrefix(now, s, r, &d, w)
-	if w.suspect && w.probe == nil {
-		w.probe = a
+	demand := p.demandOf(service, request)
+	attempt.runner = runner
+	p.sizeAttempt(now, service, attempt, &demand)
+	p.recordSlowStartSend(now, runner)
+	runner.addAttempt(attempt)
+	runner.backlog.add(now, service.prefillRate(), attempt.prefillWeight)
+	p.recordPrefix(now, service, request, &demand, runner)
+	if runner.suspect && runner.probe == nil {
+		runner.probe = attempt
 	}
-	return a
+	return attempt
 }
 
 // recordPrefix remembers where a chain was sent, and how often chains of the route come again.
-func (p *Placer) recordPrefix(now time.Duration, s *serviceState, r *Request, d *tokenDemand, w *runnerState) {
-	if d.prefix == 0 {
+func (p *Placer) recordPrefix(now time.Duration, service *serviceState, request *Request, demand *tokenDemand, runner *runnerState) {
+	if demand.prefix == 0 {
 		return
 	}
-	s.prefixHistory.record(now, d.prefix, w.key)
-	if r.isRetry() {
+	service.prefixHistory.record(now, demand.prefix, runner.key)
+	if request.isRetry() {
 		return
 	}
 	seen := 0.0
-	if s.prefixHistory.sentRecently(d.prefix, anyRunner) {
+	if service.prefixHistory.sentRecently(demand.prefix, anyRunner) {
 		seen = 1
 	}
-	capacity.UpdateMean(&p.statsOf(r.Route).prefixReuse, seen, reuseLearningRate)
-	s.prefixHistory.record(now, d.prefix, anyRunner)
+	capacity.UpdateMean(&p.statsOf(request.Route).prefixReuse, seen, reuseLearningRate)
+	service.prefixHistory.record(now, demand.prefix, anyRunner)
 }
 
 // sizeAttempt works out what an attempt takes of its runner.
-func (p *Placer) sizeAttempt(now time.Duration, s *serviceState, a *Attempt, d *tokenDemand) {
-	w := a.runner
-	o := p.ownersOf(now, s, a.Request, d)
-	kept := o.isOwner(w) || d.prefix != 0 && s.prefixHistory.sentRecently(d.prefix, w.key)
-	a.weight = 1
-	if s.isEngine() {
-		a.tokens, a.prefillTokens = d.memoryTokens(kept), d.uniqueTokens
+func (p *Placer) sizeAttempt(now time.Duration, service *serviceState, attempt *Attempt, demand *tokenDemand) {
+	runner := attempt.runner
+	owners := p.ownersOf(now, service, attempt.Request, demand)
+	kept := owners.isOwner(runner) || demand.prefix != 0 && service.prefixHistory.sentRecently(demand.prefix, runner.key)
+	attempt.weight = 1
+	if service.isEngine() {
+		attempt.tokens, attempt.prefillTokens = demand.memoryTokens(kept), demand.uniqueTokens
 		if !kept {
-			a.prefillTokens += d.sharedTokens
+			attempt.prefillTokens += demand.sharedTokens
 		}
-		a.prefillWeight = a.prefillTokens / s.slotTokens()
-		a.weight += a.prefillWeight
-		a.announced = a.prefillWeight >= p.noticeThreshold
+		attempt.prefillWeight = attempt.prefillTokens / service.slotTokens()
+		attempt.weight += attempt.prefillWeight
+		attempt.announced = attempt.prefillWeight >= p.noticeThreshold
 	}
-	a.load = w.loadForLimits() + a.weight
+	attempt.load = runner.loadForLimits() + attempt.weight
 }
 
 // loadForLimits is a runner's load as its ceilings see it: near the utilization ceiling is as near as near the load ceiling.
@@ -74,168 +74,168 @@
 }
 
 // addAttempt books an attempt on its runner.
-func (w *runnerState) addAttempt(a *Attempt) {
-	w.ownUsage.add(&usage{a.weight, a.prefillWeight, a.tokens}, 1)
-	w.load, w.spareSlots, w.spareTokens = w.load+a.weight, w.spareSlots-a.weight, w.spareTokens-a.tokens
+func (w *runnerState) addAttempt(attempt *Attempt) {
+	w.ownUsage.add(&usage{attempt.weight, attempt.prefillWeight, attempt.tokens}, 1)
+	w.load, w.spareSlots, w.spareTokens = w.load+attempt.weight, w.spareSlots-attempt.weight, w.spareTokens-attempt.tokens
 	w.ownAttempts++
-	w.lastSentAt = a.sentAt
-	w.pending.push(a)
+	w.lastSentAt = attempt.sentAt
+	w.pending.push(attempt)
 }
 
 // endPrefill takes the weight of reading off: the prompt has been read.
-func (w *runnerState) endPrefill(a *Attempt) {
-	w.ownUsage.add(&usage{a.prefillWeight, a.prefillWeight, 0}, -1)
-	w.load, w.spareSlots = w.load-a.prefillWeight, w.spareSlots+a.prefillWeight
-	a.weight -= a.prefillWeight
-	a.prefillWeight = 0
-	w.pending.remove(a)
+func (w *runnerState) endPrefill(attempt *Attempt) {
+	w.ownUsage.add(&usage{attempt.prefillWeight, attempt.prefillWeight, 0}, -1)
+	w.load, w.spareSlots = w.load-attempt.prefillWeight, w.spareSlots+attempt.prefillWeight
+	attempt.weight -= attempt.prefillWeight
+	attempt.prefillWeight = 0
+	w.pending.remove(attempt)
 }
 
 // removeAttempt books the end of an attempt.
-func (w *runnerState) removeAttempt(a *Attempt) {
-	if !a.answered {
-		w.endPrefill(a)
+func (w *runnerState) removeAttempt(attempt *Attempt) {
+	if !attempt.answered {
+		w.endPrefill(attempt)
 	}
-	w.ownUsage.add(&usage{a.weight, 0, a.tokens}, -1)
-	w.load, w.spareSlots, w.spareTokens = w.load-a.weight, w.spareSlots+a.weight, w.spareTokens+a.tokens
+	w.ownUsage.add(&usage{attempt.weight, 0, attempt.tokens}, -1)
+	w.load, w.spareSlots, w.spareTokens = w.load-attempt.weight, w.spareSlots+attempt.weight, w.spareTokens+attempt.tokens
 	w.ownAttempts--
 	if w.ownAttempts == 0 {
 		w.ownUsage = usage{} // whatever rounding has left
 	}
-	if w.probe == a {
+	if w.probe == attempt {
 		w.probe = nil
 	}
 }
 
 // HandleFirstEvent takes the first event or byte of an answer: how long it took shows what waits there.
-func (p *Placer) HandleFirstEvent(now time.Duration, a *Attempt) {
-	if a.ended || a.answered {
+func (p *Placer) HandleFirstEvent(now time.Duration, attempt *Attempt) {
+	if attempt.ended || attempt.answered {
 		return
 	}
-	w := a.runner
-	a.answered, a.recovered = true, w.suspect
-	w.endPrefill(a)
-	w.markAlive(now)
-	p.learnFromFirstEvent(a, (now - a.sentAt).Seconds())
+	runner := attempt.runner
+	attempt.answered, attempt.recovered = true, runner.suspect
+	runner.endPrefill(attempt)
+	runner.markAlive(now)
+	p.learnFromFirstEvent(attempt, (now - attempt.sentAt).Seconds())
 }
 
 // HandleEvent takes another event of a stream.
-func (p *Placer) HandleEvent(now time.Duration, a *Attempt) {}
+func (p *Placer) HandleEvent(now time.Duration, attempt *Attempt) {}
 
 // learnFromFirstEvent draws on the time to a first answer: how far the region is, how fast prompts are read, what waits.
-func (p *Placer) learnFromFirstEvent(a *Attempt, took float64) {
-	w, s := a.runner, a.runner.service
-	far := &p.regions[w.regionIndex].latency
+func (p *Placer) learnFromFirstEvent(attempt *Attempt, took float64) {
+	runner, service := attempt.runner, attempt.runner.service
+	far := &p.regions[runner.regionIndex].latency
 	if *far == 0 || took < *far {
 		*far = took
 	}
-	excess := took - p.expectedFirstEvent(s, w, a.prefillTokens)
-	capacity.UpdateMean(&w.excessWait, math.Max(excess, 0), 2*capacity.LearningRate)
-	if s.isEngine() && a.prefillTokens > s.slotTokens()/16 && took > *far {
-		s.learnPrefillSpeed(a.prefillTokens / (took - *far))
+	excess := took - p.expectedFirstEvent(service, runner, attempt.prefillTokens)
+	capacity.UpdateMean(&runner.excessWait, math.Max(excess, 0), 2*capacity.LearningRate)
+	if service.isEngine() && attempt.prefillTokens > service.slotTokens()/16 && took > *far {
+		service.learnPrefillSpeed(attempt.prefillTokens / (took - *far))
 	}
-	if a.Request.Route != nil && took > lateStartShare*a.Request.Route.LatencyTarget.Seconds() {
-		w.limits.RecordOverload(a.load, w.slots) // a late start is the early warning of a late end
+	if attempt.Request.Route != nil && took > lateStartShare*attempt.Request.Route.LatencyTarget.Seconds() {
+		runner.limits.RecordOverload(attempt.load, runner.slots) // a late start is the early warning of a late end
 	}
 }
 
 // EndAttempt takes the end of an attempt.
-func (p *Placer) EndAttempt(now time.Duration, a *Attempt, outcome Outcome, progress Progress) {
+func (p *Placer) EndAttempt(now time.Duration, attempt *Attempt, outcome Outcome, progress Progress) {
 	if outcome == ConnectFailed {
-		a.Request.connectFailures++
+		attempt.Request.connectFailures++
 	}
-	if a.ended {
+	if attempt.ended {
 		return
 	}
-	a.ended = true
-	w := a.runner
-	if !a.answered && outcome == Succeeded {
-		p.inferFirstEvent(now, a, progress)
+	attempt.ended = true
+	runner := attempt.runner
+	if !attempt.answered && outcome == Succeeded {
+		p.inferFirstEvent(now, attempt, progress)
 	}
-	w.removeAttempt(a)
-	p.learnFromOutcome(now, a, outcome, progress)
+	runner.removeAttempt(attempt)
+	p.learnFromOutcome(now, attempt, outcome, progress)
 }
 
 // inferFirstEvent takes the first answer where nobody told of it when it came.
-func (p *Placer) inferFirstEvent(now time.Duration, a *Attempt, progress Progress) {
+func (p *Placer) inferFirstEvent(now time.Duration, attempt *Attempt, progress Progress) {
 	after := progress.TimeToFirstEvent
 	if after <= 0 {
 		after = progress.Duration
 	}
-	a.answered = true
-	a.runner.endPrefill(a)
-	a.runner.markAlive(now)
-	p.learnFromFirstEvent(a, after.Seconds())
+	attempt.answered = true
+	attempt.runner.endPrefill(attempt)
+	attempt.runner.markAlive(now)
+	p.learnFromFirstEvent(attempt, after.Seconds())
 }
 
 // learnFromOutcome draws on an outcome.
-func (p *Placer) learnFromOutcome(now time.Duration, a *Attempt, outcome Outcome, progress Progress) {
-	w := a.runner
+func (p *Placer) learnFromOutcome(now time.Duration, attempt *Attempt, outcome Outcome, progress Progress) {
+	runner := attempt.runner
 	switch outcome {
 	case Succeeded:
-		p.learnFromSuccess(now, a, progress)
-		p.recordOutcome(now, w, 0)
+		p.learnFromSuccess(now, attempt, progress)
+		p.recordOutcome(now, runner, 0)
 	case Rejected:
-		w.limits.RecordOverload(math.Max(a.load, w.limits.Load), w.slots)
-		w.saturatedUntil = now + time.Duration(saturatedShare*w.service.latencyTarget*float64(time.Second))
+		runner.limits.RecordOverload(math.Max(attempt.load, runner.limits.Load), runner.slots)
+		runner.saturatedUntil = now + time.Duration(saturatedShare*runner.service.latencyTarget*float64(time.Second))
 	case Failed, Interrupted:
-		w.limits.RecordOverload(a.load, w.slots)
-		p.recordOutcome(now, w, 1)
+		runner.limits.RecordOverload(attempt.load, runner.slots)
+		p.recordOutcome(now, runner, 1)
 	case TimedOut, ConnectFailed:
-		w.limits.RecordOverload(a.load, w.slots)
-		w.markSuspect(now)
-		p.recordOutcome(now, w, 1)
+		runner.limits.RecordOverload(attempt.load, runner.slots)
+		runner.markSuspect(now)
+		p.recordOutcome(now, runner, 1)
 	case Misdirected: // whoever has the address now is not the runner that was meant
-		w.suspectDuration = maxSuspectDuration
-		w.markSuspect(now)
+		runner.suspectDuration = maxSuspectDuration
+		runner.markSuspect(now)
 	}
 }
 
 // learnFromSuccess draws on a whole answer.
-func (p *Placer) learnFromSuccess(now time.Duration, a *Attempt, progress Progress) {
-	w, r := a.runner, a.Request
-	if r.Route == nil {
+func (p *Placer) learnFromSuccess(now time.Duration, attempt *Attempt, progress Progress) {
+	runner, request := attempt.runner, attempt.Request
+	if request.Route == nil {
 		return
 	}
-	stats, took := p.statsOf(r.Route), progress.Duration.Seconds()
+	stats, took := p.statsOf(request.Route), progress.Duration.Seconds()
 	if took <= 0 {
-		took = (now - a.sentAt).Seconds()
+		took = (now - attempt.sentAt).Seconds()
 	}
 	capacity.UpdateMean(&stats.deviation, math.Abs(took-stats.meanDuration), fleetLearningRate)
 	capacity.UpdateMean(&stats.meanDuration, took, fleetLearningRate)
-	capacity.UpdateMean(&w.service.meanDuration, took, fleetLearningRate)
-	if s := w.service; s.isEngine() && r.MaxOutputTokens > 0 && progress.Events > 0 {
-		out := float64(progress.Events*max(s.Backend.TokensPerEvent, 1)) / float64(r.MaxOutputTokens)
+	capacity.UpdateMean(&runner.service.meanDuration, took, fleetLearningRate)
+	if service := runner.service; service.isEngine() && request.MaxOutputTokens > 0 && progress.Events > 0 {
+		out := float64(progress.Events*max(service.Backend.TokensPerEvent, 1)) / float64(request.MaxOutputTokens)
 		capacity.UpdateMean(&stats.outputShare, math.Min(out, 1), fleetLearningRate)
 	}
-	if metTargets(r, progress) {
-		w.limits.RecordSuccess(a.load, w.slots)
+	if metTargets(request, progress) {
+		runner.limits.RecordSuccess(attempt.load, runner.slots)
 	} else {
-		w.limits.RecordOverload(a.load, w.slots)
+		runner.limits.RecordOverload(attempt.load, runner.slots)
 	}
 }
 
 // metTargets says whether an answer earns its full worth.
-func metTargets(r *Request, progress Progress) bool {
+func metTargets(request *Request, progress Progress) bool {
 	first := progress.TimeToFirstEvent
-	if first <= 0 || r.Route.EventGapTarget == 0 {
+	if first <= 0 || request.Route.EventGapTarget == 0 {
 		first = progress.Duration
 	}
-	return first <= r.Route.LatencyTarget && (r.Route.EventGapTarget == 0 || progress.LongestEventGap <= r.Route.EventGapTarget)
+	return first <= request.Route.LatencyTarget && (request.Route.EventGapTarget == 0 || progress.LongestEventGap <= request.Route.EventGapTarget)
 }
 
 // recordOutcome counts a failure, 1, or a success, 0, and sets a runner aside whose attempts fail more than those of its peers.
-func (p *Placer) recordOutcome(now time.Duration, w *runnerState, bad float64) {
-	if w.ejection.RecordOutcome(bad, w.service.peerErrorRate(w)) {
-		w.ejection.Eject(now.Seconds(), w.service.latencyTarget, p.longestTimeout)
+func (p *Placer) recordOutcome(now time.Duration, runner *runnerState, bad float64) {
+	if runner.ejection.RecordOutcome(bad, runner.service.peerErrorRate(runner)) {
+		runner.ejection.Eject(now.Seconds(), runner.service.latencyTarget, p.longestTimeout)
 	}
 }
 
 // peerErrorRate is the mean error share of the other runners that have been judged.
-func (s *serviceState) peerErrorRate(w *runnerState) float64 {
+func (s *serviceState) peerErrorRate(runner *runnerState) float64 {
 	sum, n := 0.0, 0.0
 	for _, peer := range s.runners {
-		if peer != w && peer.ejection.Observed {
+		if peer != runner && peer.ejection.Observed {
 			sum, n = sum+peer.ejection.ErrorRate, n+1
 		}
 	}
@@ -270,8 +270,8 @@
 // could not bear the load.
 func (s *serviceState) isSharedFault() bool {
 	suspect := 0
-	for _, w := range s.runners {
-		if w.suspect {
+	for _, runner := range s.runners {
+		if runner.suspect {
 			suspect++
 		}
 	}
--- a/internal/system/placement/place_test.go
+++ b/internal/system/placement/place_test.go
@@ -204,7 +204,7 @@
 			p.runners[fmt.Sprintf("api-%d", i)].spareSlots = v
 		}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		rooms []float64 // of m, t, p, m, t, p
 		want  string
@@ -214,10 +214,10 @@
 		{"the other region where the own has none", []float64{0, -1, 3, 0, 0.5, 4}, "api-5"},
 		{"least over its ceiling where nobody has room", []float64{-9, -8, -2, -9, -8, -3}, "api-2"},
 	} {
-		room(c.rooms...)
+		room(test.rooms...)
 		got, refusal := p.Place(testStart, testRequest(testStart, "api", testRoute()))
-		if refusal != nil || got.Runner != c.want {
-			t.Errorf("%s: %+v %+v, not %s", c.name, got, refusal, c.want)
+		if refusal != nil || got.Runner != test.want {
+			t.Errorf("%s: %+v %+v, not %s", test.name, got, refusal, test.want)
 		}
 	}
 }
@@ -514,7 +514,7 @@
 }
 
 func TestMayRetry(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		change func(r *Request)
 		want   bool
@@ -533,9 +533,9 @@
 		p := startedTestPlacer(t, testRunners("api", 3))
 		r := testRequest(testStart, "api", testRoute())
 		r.TriedRunners = []string{"a"}
-		c.change(r)
-		if got := p.MayRetry(testStart, r); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+		test.change(r)
+		if got := p.MayRetry(testStart, r); got != test.want {
+			t.Errorf("%s: %v", test.name, got)
 		}
 	}
 }
--- a/internal/system/placement/retry.go
+++ b/internal/system/placement/retry.go
@@ -72,13 +72,13 @@
 
 // MayRetry says whether another attempt of a request may be made: by its tries, by whether it may have run, by its time
 // and by the budget that all proxies share.
-func (p *Placer) MayRetry(now time.Duration, r *Request) bool {
-	s := p.services[r.Service]
-	if s == nil || r.Route == nil || now >= r.Deadline || len(r.TriedRunners) >= max(r.Route.MaxAttempts, 1) {
+func (p *Placer) MayRetry(now time.Duration, request *Request) bool {
+	service := p.services[request.Service]
+	if service == nil || request.Route == nil || now >= request.Deadline || len(request.TriedRunners) >= max(request.Route.MaxAttempts, 1) {
 		return false
 	}
-	if r.MayHaveRun && !r.Route.IsIdempotent() {
+	if request.MayHaveRun && !request.Route.IsIdempotent() {
 		return false
 	}
-	return !r.isRetry() || s.retryBudget.allows(now, p.retryPolicy())
+	return !request.isRetry() || service.retryBudget.allows(now, p.retryPolicy())
 }
--- a/internal/system/placement/state.go
+++ b/internal/system/placement/state.go
@@ -162,35 +162,35 @@
 
 // ensureService finds a service, or makes one that the configuration has not named yet.
 func (p *Placer) ensureService(name string) *serviceState {
-	s := p.services[name]
-	if s == nil {
-		s = &serviceState{Service: configuration.Service{Name: name}, prefillSpeed: p.restoredSpeeds[name], latencyTarget: initialTarget}
-		p.services[name] = s
+	service := p.services[name]
+	if service == nil {
+		service = &serviceState{Service: configuration.Service{Name: name}, prefillSpeed: p.restoredSpeeds[name], latencyTarget: initialTarget}
+		p.services[name] = service
 	}
-	return s
+	return service
 }
 
 // SetServices takes the services of the configuration in force, the whole set.
 func (p *Placer) SetServices(now time.Duration, services []*configuration.Service) {
 	p.recordCall(now)
-	for _, s := range p.services {
-		s.configured = false
-	}
-	for _, told := range services {
-		s := p.ensureService(told.Name)
-		s.Service, s.configured = *told, true
-		for _, w := range s.runners {
-			w.updateSlots()
+	for _, service := range p.services {
+		service.configured = false
+	}
+	for _, services := range services {
+		service := p.ensureService(services.Name)
+		service.Service, service.configured = *services, true
+		for _, runner := range service.runners {
+			runner.updateSlots()
 		}
-		p.planService(now, s)
+		p.planService(now, service)
 	}
 	p.dropUnusedServices()
 }
 
 // dropUnusedServices drops services that neither the configuration nor a runner names.
 func (p *Placer) dropUnusedServices() {
-	for name, s := range p.services {
-		if !s.configured && len(s.runners) == 0 {
+	for name, service := range p.services {
+		if !service.configured && len(service.runners) == 0 {
 			delete(p.services, name)
 		}
 	}
@@ -199,66 +199,66 @@
 // SetRunners takes the whole set of runners. Those that are not named any more get nothing from here on.
 func (p *Placer) SetRunners(now time.Duration, told []Runner) {
 	p.recordCall(now)
-	for _, w := range p.runners {
-		w.listed = false
+	for _, runner := range p.runners {
+		runner.listed = false
 	}
 	changed := false
 	for i := range told {
 		changed = p.setRunner(&told[i]) || changed
 	}
-	for id, w := range p.runners {
-		if !w.listed {
+	for id, runner := range p.runners {
+		if !runner.listed {
 			delete(p.runners, id)
-			delete(p.byKey, w.key)
+			delete(p.byKey, runner.key)
 			changed = true
 		}
 	}
 	if changed {
 		p.regroupRunners()
 	}
-	for _, s := range p.services {
-		p.planService(now, s)
+	for _, service := range p.services {
+		p.planService(now, service)
 	}
 }
 
 // setRunner takes one runner and says whether the lists of the services change by it.
 func (p *Placer) setRunner(told *Runner) bool {
-	w := p.runners[told.ID]
-	isNew := w == nil
+	runner := p.runners[told.ID]
+	isNew := runner == nil
 	if isNew {
-		w = &runnerState{key: xxhash.Sum64String(told.ID)}
-		p.runners[told.ID] = w
-		p.byKey[w.key] = w
+		runner = &runnerState{key: xxhash.Sum64String(told.ID)}
+		p.runners[told.ID] = runner
+		p.byKey[runner.key] = runner
 	}
-	moved := isNew || w.Service != told.Service
-	if told.SlowStartUntil > w.SlowStartUntil && w.lastSentAt > 0 { // what went there last may already have met it cold
-		w.slowStartNextAt = max(w.slowStartNextAt, w.lastSentAt+time.Duration(slowStartWindow*float64(time.Second)))
+	moved := isNew || runner.Service != told.Service
+	if told.SlowStartUntil > runner.SlowStartUntil && runner.lastSentAt > 0 { // what went there last may already have met it cold
+		runner.slowStartNextAt = max(runner.slowStartNextAt, runner.lastSentAt+time.Duration(slowStartWindow*float64(time.Second)))
 	}
-	w.Runner, w.listed = *told, true
-	if w.Region == "" {
-		w.Region = p.options.Zones[w.Zone]
+	runner.Runner, runner.listed = *told, true
+	if runner.Region == "" {
+		runner.Region = p.options.Zones[runner.Zone]
 	}
-	w.regionIndex = p.regionIndex(w.Region)
+	runner.regionIndex = p.regionIndex(runner.Region)
 	if moved {
-		w.service = p.ensureService(w.Service)
+		runner.service = p.ensureService(runner.Service)
 	}
-	w.updateSlots()
+	runner.updateSlots()
 	if isNew {
-		p.restoreRunner(w)
+		p.restoreRunner(runner)
 	}
 	return moved
 }
 
 // regroupRunners lists the runners of each service again.
 func (p *Placer) regroupRunners() {
-	for _, s := range p.services {
-		s.runners = s.runners[:0]
+	for _, service := range p.services {
+		service.runners = service.runners[:0]
 	}
-	for _, w := range p.runners {
-		w.service.runners = append(w.service.runners, w)
+	for _, runner := range p.runners {
+		runner.service.runners = append(runner.service.runners, runner)
 	}
-	for _, s := range p.services {
-		slices.SortFunc(s.runners, func(x, y *runnerState) int { return cmp.Compare(x.ID, y.ID) })
+	for _, service := range p.services {
+		slices.SortFunc(service.runners, func(peer, y *runnerState) int { return cmp.Compare(peer.ID, y.ID) })
 	}
 	p.dropUnusedServices()
 }
@@ -282,9 +282,9 @@
 // SetEvacuatedZones takes the zones whose runners get nothing, the whole set.
 func (p *Placer) SetEvacuatedZones(now time.Duration, zones map[string]bool) {
 	p.recordCall(now)
-	for _, w := range p.runners {
-		if p.evacuated[w.Zone] && !zones[w.Zone] { // it may have become cold meanwhile
-			w.guardedUntil = now + slowStartGuard
+	for _, runner := range p.runners {
+		if p.evacuated[runner.Zone] && !zones[runner.Zone] { // it may have become cold meanwhile
+			runner.guardedUntil = now + slowStartGuard
 		}
 	}
 	clear(p.evacuated)
@@ -309,8 +309,8 @@
 	p.recordCall(now)
 	p.selfKey = self
 	for i := range p.peers {
-		if x := &p.peers[i]; x.expiresAt == 0 && !slices.Contains(peers, x.key) {
-			x.expiresAt = now + proxyRemovalDelay
+		if peer := &p.peers[i]; peer.expiresAt == 0 && !slices.Contains(peers, peer.key) {
+			peer.expiresAt = now + proxyRemovalDelay
 		}
 	}
 	p.addPeer(self)
@@ -349,7 +349,7 @@
 		p.proxyCount, p.pendingProxyCount = p.pendingProxyCount, 0
 	}
 	if len(p.peers) > 0 {
-		p.peers = slices.DeleteFunc(p.peers, func(x peer) bool { return x.expiresAt > 0 && now >= x.expiresAt })
+		p.peers = slices.DeleteFunc(p.peers, func(peer peer) bool { return peer.expiresAt > 0 && now >= peer.expiresAt })
 		p.proxyCount = len(p.peers)
 	}
 }
@@ -369,18 +369,18 @@
 }
 
 // statsOf finds what is known of a route.
-func (p *Placer) statsOf(r *configuration.Route) *routeStats {
-	s := p.routes[r.Name]
-	if s == nil {
+func (p *Placer) statsOf(request *configuration.Route) *routeStats {
+	service := p.routes[request.Name]
+	if service == nil {
 		if len(p.routes) >= maxRoutes {
 			clear(p.routes)
 		}
-		s = &routeStats{meanDuration: r.LatencyTarget.Seconds(), deviation: r.LatencyTarget.Seconds() / 2, outputShare: 0.5}
-		p.routes[r.Name] = s
-		if r.LatencyTarget > 0 {
-			p.latencyTarget = math.Min(p.latencyTarget, r.LatencyTarget.Seconds())
+		service = &routeStats{meanDuration: request.LatencyTarget.Seconds(), deviation: request.LatencyTarget.Seconds() / 2, outputShare: 0.5}
+		p.routes[request.Name] = service
+		if request.LatencyTarget > 0 {
+			p.latencyTarget = math.Min(p.latencyTarget, request.LatencyTarget.Seconds())
 		}
-		p.longestTimeout = math.Max(p.longestTimeout, r.Timeout.Seconds())
+		p.longestTimeout = math.Max(p.longestTimeout, request.Timeout.Seconds())
 	}
-	return s
+	return service
 }
--- a/internal/system/placement/urgency.go
+++ b/internal/system/placement/urgency.go
@@ -19,20 +19,20 @@
 }
 
 // rankOf is the rank of a request, 0 the most urgent.
-func rankOf(r *Request) int {
-	if r.Route == nil {
+func rankOf(request *Request) int {
+	if request.Route == nil {
 		return maxRanks - 1
 	}
-	return min(max(r.Route.Rank, 0), maxRanks-1)
+	return min(max(request.Route.Rank, 0), maxRanks-1)
 }
 
 // recordArrival takes the time that a request has left.
-func (u *loadShedding) recordArrival(now time.Duration, r *Request) {
-	left := (r.Deadline - now).Seconds()
-	if left <= 0 || r.Route == nil {
+func (u *loadShedding) recordArrival(now time.Duration, request *Request) {
+	left := (request.Deadline - now).Seconds()
+	if left <= 0 || request.Route == nil {
 		return
 	}
-	rank := &u[rankOf(r)]
+	rank := &u[rankOf(request)]
 	if rank.remaining == 0 {
 		rank.remaining = left
 	}
@@ -40,16 +40,16 @@
 }
 
 // recordRejection notes that a request is refused because of load.
-func (u *loadShedding) recordRejection(now time.Duration, r *Request) {
-	rank := &u[rankOf(r)]
+func (u *loadShedding) recordRejection(now time.Duration, request *Request) {
+	rank := &u[rankOf(request)]
 	rank.rejectedAt, rank.rejected = now, true
 }
 
 // maxWait is how long a request may wait before it is refused, in seconds: a part of the time that it has left, and
 // less than what requests of a more urgent rank may while some of those are refused.
-func (u *loadShedding) maxWait(now time.Duration, r *Request) float64 {
-	own := rankOf(r)
-	most := maxWaitShare * (r.Deadline - now).Seconds()
+func (u *loadShedding) maxWait(now time.Duration, request *Request) float64 {
+	own := rankOf(request)
+	most := maxWaitShare * (request.Deadline - now).Seconds()
 	for rank := range own {
 		if stats := &u[rank]; stats.recentlyRejected(now) {
 			most = math.Min(most, maxWaitShare*stats.remaining*math.Pow(yieldShare, float64(own-rank)))
@@ -60,8 +60,8 @@
 
 // mustYield says whether requests of a more urgent rank are refused: less urgent ones then yield, small ones too, which
 // would find room where large ones do not.
-func (u *loadShedding) mustYield(now time.Duration, r *Request) bool {
-	for rank := range rankOf(r) {
+func (u *loadShedding) mustYield(now time.Duration, request *Request) bool {
+	for rank := range rankOf(request) {
 		if u[rank].recentlyRejected(now) {
 			return true
 		}
