--- a/internal/system/placement/load.go
+++ b/internal/system/placement/capacity.go
@@ -7,21 +7,25 @@
 	"cinderroad/internal/shared/capacity"
 )
 
-// reservation is what an attempt takes of its runner.
-type reservation struct {
-	runner        *runnerState
-	sentAt        time.Duration
-	load          float64 // of the runner when it was sent
-	weight        float64 // slots: 1, and more while its prompt is read
-	prefillWeight float64 // the part of weight that goes with the first event
-	tokens        float64 // of the runner's memory
-	prefillTokens float64 // tokens of its prompt that are likely to be read
-	answered      bool    // something has come
-	announced     bool    // its prompt is long enough to be told to other proxies
-	recovered     bool    // it showed that a runner which had been silent answers
-	ended         bool
-	prev, next    *Attempt // among those of which nothing has come yet
-}
+// This file decides how much spare capacity each runner has: the plan of a monitoring period.
+
+// The capacity plan.
+const (
+	planPeriod         = 100 * time.Millisecond // monitoring period
+	usageWindow        = 1.5                    // seconds over which own loads are averaged to guess those of others; measured
+	waitDecay          = 0.5                    // seconds in which a wait that was seen stops counting; measured
+	lateStartShare     = 0.6                    // of an aim that a first answer may take before it is a sign of load
+	maxWaitLoad        = 2.0                    // multiples of its size that waits may add to a runner's load
+	plannedMemoryShare = 0.95                   // of an engine's memory that is planned with
+	initialTarget      = 1.0                    // seconds; the aim of a service of which no route has been asked for
+	initialTimeout     = 5.0                    // seconds; the longest time-out before a route is seen
+	fleetLearningRate  = 0.1                    // weight of a sample in means over all runners, which get more of them
+	targetForgetRate   = 0.002                  // with which the tightest aim of a service forgets
+	maxRoutes          = 4096                   // whose answers are remembered
+	speedWindowSize    = 64                     // prompts by which the speed of reading is known
+	minSpeedSamples    = 4                      // of them that count for more than what an earlier life had learnt
+	speedQuantile      = 0.8                    // the share of prompts that are read more slowly than the speed learnt
+)
 
 // usage is what attempts take of a runner.
 type usage struct {
@@ -30,7 +34,7 @@
 	tokens  float64 // of memory
 }
 
-// smooth moves a running mean.
+// smooth moves a running mean towards a sample.
 func (u *usage) smooth(sample *usage, rate float64) {
 	capacity.UpdateMean(&u.slots, sample.slots, rate)
 	capacity.UpdateMean(&u.prefill, sample.prefill, rate)
@@ -44,91 +48,7 @@
 	u.tokens += other.tokens * share
 }
 
-// attemptList holds attempts in the order in which they were sent.
-type attemptList struct{ head, tail *Attempt }
-
-func (l *attemptList) push(a *Attempt) {
-	a.prev, a.next = l.tail, nil
-	if l.tail != nil {
-		l.tail.next = a
-	} else {
-		l.head = a
-	}
-	l.tail = a
-}
-
-func (l *attemptList) remove(a *Attempt) {
-	if a.prev != nil {
-		a.prev.next = a.next
-	} else {
-		l.head = a.next
-	}
-	if a.next != nil {
-		a.next.prev = a.prev
-	} else {
-		l.tail = a.prev
-	}
-	a.prev, a.next = nil, nil
-}
-
-// tokenDemand is what a request asks of a runner.
-type tokenDemand struct {
-	uniqueTokens     float64 // prompt tokens that no other request shares
-	sharedTokens     float64 // prompt tokens that may be kept
-	outputTokens     float64 // tokens that come
-	prefix           uint64  // of the shared parts; 0: none
-	lastSharedTokens float64 // prompt tokens of the last shared part
-}
-
-// slotTokens is how many prompt tokens weigh as much as a slot: a share of an engine's memory divided by its slots. Prompts being
-// read hold others up, while an answer that is being written holds a slot and little else.
-func (s *serviceState) slotTokens() float64 {
-	if s.Backend == nil || s.Backend.Capacity <= 0 || s.Backend.CacheTokens <= 0 {
-		return math.Inf(1)
-	}
-	return prefillSlotShare * float64(s.Backend.CacheTokens) / float64(s.Backend.Capacity)
-}
-
-// isEngine says whether the runners of the service have a memory of tokens.
-func (s *serviceState) isEngine() bool { return s.Backend != nil && s.Backend.CacheTokens > 0 }
-
-// demandOf works out what a request asks of a service's runners.
-func (p *Placer) demandOf(service *serviceState, request *Request) (demand tokenDemand) {
-	if !service.isEngine() {
-		return demand
-	}
-	for i, part := range request.Chunks {
-		if i < len(request.Chunks)-1 {
-			demand.sharedTokens += float64(part.Tokens)
-		} else {
-			demand.uniqueTokens += float64(part.Tokens)
-		}
-	}
-	if in := float64(request.InputTokens); in > demand.uniqueTokens+demand.sharedTokens {
-		demand.uniqueTokens = in - demand.sharedTokens
-	}
-	if request.Route != nil && request.Route.PrefixAffinity {
-		demand.prefix, demand.lastSharedTokens = prefixHash(request.Chunks), lastSharedTokens(request.Chunks)
-	}
-	if request.Route != nil {
-		demand.outputTokens = float64(request.MaxOutputTokens) * p.statsOf(request.Route).outputShare
-	}
-	return demand
-}
-
-// observeTarget notes the aim of a request's route.
-func (s *serviceState) observeTarget(request *Request) {
-	if request.Route == nil || request.Route.LatencyTarget <= 0 {
-		return
-	}
-	target := request.Route.LatencyTarget.Seconds()
-	if target < s.latencyTarget {
-		s.latencyTarget = target
-	}
-	capacity.UpdateMean(&s.latencyTarget, target, targetForgetRate)
-}
-
-// Tick rebuilds the plan of a monitoring period and says when it wants to be called again.
+// Tick rebuilds the plan when its period is over and returns the time at which to call it again.
 func (p *Placer) Tick(now time.Duration) (next time.Duration) {
 	p.recordCall(now)
 	p.applyProxyCount(now)
@@ -138,8 +58,8 @@
 	return p.plannedAt + planPeriod
 }
 
-// rebuildPlan makes the capacity plan of a period: spare room is the load ceiling less the derived load. There are no load
-// reports: the load is this proxy's own, what the others are likely to have there, and what waits have shown.
+// rebuildPlan makes the capacity plan of a period. Runners send no load reports: a load is this proxy's own requests, an
+// estimate of the other proxies' requests, and what waits have shown.
 func (p *Placer) rebuildPlan(now time.Duration, elapsed float64) {
 	p.plannedAt = now
 	p.adjustNoticeThreshold(elapsed)
@@ -149,7 +69,8 @@
 	}
 }
 
-// refreshPlan makes the plan of a service anew where others tell of their prompts: what was told is read meanwhile.
+// refreshPlan replans a service before a choice if the plan is older than maxPlanAge. Only where other proxies announce
+// their prompts does a plan change within a period: prompts that they announced are being prefilled meanwhile.
 func (p *Placer) refreshPlan(now time.Duration, service *serviceState) {
 	if p.notified && service.isEngine() && now-service.plannedAt >= maxPlanAge {
 		p.planService(now, service)
@@ -172,7 +93,7 @@
 	}
 }
 
-// planService works out the room of a service's runners.
+// planService computes the spare capacity of a service's runners.
 func (p *Placer) planService(now time.Duration, service *serviceState) {
 	service.plannedAt = now
 	sum, n := 0.0, 0.0
@@ -192,8 +113,8 @@
 	}
 }
 
-// deriveLoad works out a runner's load from this proxy's own requests there, from what the others are likely to have there,
-// and from the waits that were seen; and the room that is left of its ceiling.
+// deriveLoad computes a runner's load from this proxy's own requests there, the estimate of the others' and the waits
+// seen; and the spare capacity that remains below its limits.
 func (p *Placer) deriveLoad(now time.Duration, service *serviceState, runner *runnerState) {
 	all, others := runner.ownUsage, p.otherProxies()
 	all.add(&service.meanUsage, others)
@@ -227,7 +148,7 @@
 	return math.Min(slots, maxWaitLoad*runner.slots)
 }
 
-// prefillTime is how long an engine reads prompts of such a weight, in seconds; 0: its speed is not known.
+// prefillTime is how long an engine takes to prefill prompts of a weight in slots, in seconds; 0: its speed is not known.
 func (s *serviceState) prefillTime(slots float64) float64 {
 	if s.prefillSpeed <= 0 {
 		return 0
@@ -235,19 +156,24 @@
 	return slots * s.slotTokens() / s.prefillSpeed
 }
 
-// warmth is the share of its ceiling that a runner is held to bear: it climbs while a runner that returned cold warms up.
-func warmth(now time.Duration, runner *runnerState) float64 {
-	if !runner.inSlowStart(now) {
-		return 1
+// prefillRate is how many slots of prompts an engine prefills in a second; 0: its speed is not known.
+func (s *serviceState) prefillRate() float64 {
+	if !s.isEngine() {
+		return 0
 	}
-	since := runner.service.SlowStartDuration - max(runner.SlowStartUntil-now, 0)
-	if now >= runner.SlowStartUntil || runner.service.SlowStartDuration <= 0 {
-		since = 0 // it may be cold, nobody knows since when
+	return s.prefillSpeed / s.slotTokens()
+}
+
+// slotTokens is how many prompt tokens weigh as much as a slot: a share of an engine's memory divided by its slots. A
+// prefill delays other requests, while an answer that is being decoded holds a slot and little else.
+func (s *serviceState) slotTokens() float64 {
+	if s.Backend == nil || s.Backend.Capacity <= 0 || s.Backend.CacheTokens <= 0 {
+		return math.Inf(1)
 	}
-	return capacity.Warmth(slowStartInitialShare, since.Seconds(), max(runner.service.SlowStartDuration, time.Second).Seconds())
+	return prefillSlotShare * float64(s.Backend.CacheTokens) / float64(s.Backend.Capacity)
 }
 
-// expectedFirstEvent is how long a first answer of a runner without a backlog takes, in seconds.
+// expectedFirstEvent is how long the first event of a runner without a backlog takes, in seconds.
 func (p *Placer) expectedFirstEvent(service *serviceState, runner *runnerState, prefill float64) float64 {
 	least := p.regions[runner.regionIndex].latency
 	if service.prefillSpeed > 0 {
--- /dev/null
+++ b/internal/system/placement/eligibility.go
@@ -0,0 +1,68 @@
+package placement
+
+import (
+	"math"
+	"time"
+)
+
+// isEligible reports whether the rules allow a send. Every selection passes it, the fallback and retries included.
+func (p *Placer) isEligible(now time.Duration, request *Request, runner *runnerState) bool {
+	switch {
+	case !runner.listed || runner.Draining || p.evacuated[runner.Zone]:
+		return false
+	case runner.TerminatesAt > 0 && now+p.expectedDuration(runner, request) > runner.TerminatesAt:
+		return false
+	case !inHomeRegion(request, runner) || !runner.servesModel(request.Model):
+		return false
+	case runner.service.isEngine() && request.InputTokens+request.MaxOutputTokens > runner.service.Backend.CacheTokens:
+		return false
+	case runner.ownAttempts >= p.connectionLimit(runner):
+		return false
+	case runner.inSlowStart(now) && !p.hasSlowStartBudget(now, runner):
+		return false
+	}
+	return true
+}
+
+// inHomeRegion reports whether a runner is in one of the regions that the route is bound to.
+func inHomeRegion(request *Request, runner *runnerState) bool {
+	if request.Route == nil || len(request.Route.HomeRegions) == 0 {
+		return true
+	}
+	for _, home := range request.Route.HomeRegions {
+		if home == runner.Region {
+			return true
+		}
+	}
+	return false
+}
+
+// servesModel reports whether a runner has a model; one that reports no models has all.
+func (w *runnerState) servesModel(model string) bool {
+	if model == "" || len(w.Models) == 0 {
+		return true
+	}
+	for _, candidate := range w.Models {
+		if candidate == model {
+			return true
+		}
+	}
+	return false
+}
+
+// connectionLimit is this proxy's share of the connections that a runner accepts.
+func (p *Placer) connectionLimit(runner *runnerState) int {
+	if runner.service.MaxConnections <= 0 {
+		return math.MaxInt
+	}
+	return max(1, int(connectionShare*float64(runner.service.MaxConnections)/(1+p.otherProxies())))
+}
+
+// expectedDuration is an upper estimate of how long a request takes at a runner.
+func (p *Placer) expectedDuration(runner *runnerState, request *Request) time.Duration {
+	if request.Route == nil {
+		return 0
+	}
+	stats := p.statsOf(request.Route)
+	return time.Duration((stats.meanDuration + 2*stats.deviation + runner.excessWait) * float64(time.Second))
+}
--- /dev/null
+++ b/internal/system/placement/limits.go
@@ -0,0 +1,89 @@
+package placement
+
+import (
+	"math"
+	"time"
+
+	"cinderroad/internal/shared/capacity"
+)
+
+// This file decides the concurrency limits of runners: what the ends of attempts teach about them.
+
+// loadForLimits is a runner's load as its limits see it: being near the utilization limit counts like being as near to the
+// load limit.
+func (w *runnerState) loadForLimits() float64 {
+	return math.Max(w.load, w.utilization/w.limits.Utilization*w.limits.Load)
+}
+
+// learnFromFirstEvent learns from the time to a first event: the latency of the region, the prefill speed, the wait.
+func (p *Placer) learnFromFirstEvent(attempt *Attempt, took float64) {
+	runner, service := attempt.runner, attempt.runner.service
+	far := &p.regions[runner.regionIndex].latency
+	if *far == 0 || took < *far {
+		*far = took
+	}
+	excess := took - p.expectedFirstEvent(service, runner, attempt.prefillTokens)
+	capacity.UpdateMean(&runner.excessWait, math.Max(excess, 0), 2*capacity.LearningRate)
+	if service.isEngine() && attempt.prefillTokens > service.slotTokens()/16 && took > *far {
+		service.learnPrefillSpeed(attempt.prefillTokens / (took - *far))
+	}
+	if attempt.Request.Route != nil && took > lateStartShare*attempt.Request.Route.LatencyTarget.Seconds() {
+		runner.limits.RecordOverload(attempt.load, runner.slots) // a late start is the early warning of a late end
+	}
+}
+
+// learnFromOutcome updates limits, ejection and suspicion of a runner.
+func (p *Placer) learnFromOutcome(now time.Duration, attempt *Attempt, outcome Outcome, progress Progress) {
+	runner := attempt.runner
+	switch outcome {
+	case Succeeded:
+		p.learnFromSuccess(now, attempt, progress)
+		p.recordOutcome(now, runner, 0)
+	case Rejected:
+		runner.limits.RecordOverload(math.Max(attempt.load, runner.limits.Load), runner.slots)
+		runner.saturatedUntil = now + time.Duration(saturatedShare*runner.service.latencyTarget*float64(time.Second))
+	case Failed, Interrupted:
+		runner.limits.RecordOverload(attempt.load, runner.slots)
+		p.recordOutcome(now, runner, 1)
+	case TimedOut, ConnectFailed:
+		runner.limits.RecordOverload(attempt.load, runner.slots)
+		runner.markSuspect(now)
+		p.recordOutcome(now, runner, 1)
+	case Misdirected: // whoever has the address now is not the runner that was meant
+		runner.suspectDuration = maxSuspectDuration
+		runner.markSuspect(now)
+	}
+}
+
+// learnFromSuccess learns from a complete answer.
+func (p *Placer) learnFromSuccess(now time.Duration, attempt *Attempt, progress Progress) {
+	runner, request := attempt.runner, attempt.Request
+	if request.Route == nil {
+		return
+	}
+	stats, took := p.statsOf(request.Route), progress.Duration.Seconds()
+	if took <= 0 {
+		took = (now - attempt.sentAt).Seconds()
+	}
+	capacity.UpdateMean(&stats.deviation, math.Abs(took-stats.meanDuration), fleetLearningRate)
+	capacity.UpdateMean(&stats.meanDuration, took, fleetLearningRate)
+	capacity.UpdateMean(&runner.service.meanDuration, took, fleetLearningRate)
+	if service := runner.service; service.isEngine() && request.MaxOutputTokens > 0 && progress.Events > 0 {
+		out := float64(progress.Events*max(service.Backend.TokensPerEvent, 1)) / float64(request.MaxOutputTokens)
+		capacity.UpdateMean(&stats.outputShare, math.Min(out, 1), fleetLearningRate)
+	}
+	if metTargets(request, progress) {
+		runner.limits.RecordSuccess(attempt.load, runner.slots)
+	} else {
+		runner.limits.RecordOverload(attempt.load, runner.slots)
+	}
+}
+
+// metTargets reports whether an answer earns its full value.
+func metTargets(request *Request, progress Progress) bool {
+	first := progress.TimeToFirstEvent
+	if first <= 0 || request.Route.EventGapTarget == 0 {
+		first = progress.Duration
+	}
+	return first <= request.Route.LatencyTarget && (request.Route.EventGapTarget == 0 || progress.LongestEventGap <= request.Route.EventGapTarget)
+}
--- a/internal/system/placement/heard.go
+++ b/internal/system/placement/notices.go
@@ -5,9 +5,20 @@
 	"time"
 )
 
-// Each proxy sees few of a runner's requests, so proxies tell each other what all of them need to know: the prompts that
-// they have runners read, and that a runner which had been silent answers again. Nothing hangs on the arrival of a notice:
-// where none comes for a while, the load of the others is guessed from a proxy's own.
+// This file decides what proxies announce to each other. Each proxy sees few of a runner's requests, so they announce the
+// long prompts that they send, and that a suspect runner answers again. Correctness does not depend on notices: where none
+// comes for a while, the load of the others is estimated from the proxy's own.
+
+// What proxies tell each other.
+const (
+	prefillSlotShare      = 0.5                   // of the memory that a slot has: so many tokens being read weigh as much as a slot; measured
+	minNoticeThreshold    = 1.0                   // slots that the reading of a prompt takes for the other proxies to be told, at least
+	maxPlanAge            = 10 * time.Millisecond // the age of a plan that a choice goes by, where others tell of their prompts
+	maxNoticeRate         = 300.0                 // notices a second; where more come, longer prompts alone are told
+	noticeThresholdGrowth = 1.1                   // of the length from which prompts are told, in a period in which too many came
+	noticeThresholdDecay  = 0.98                  // of it in any other
+	noticeValidity        = 2 * time.Second       // after the last notice, in which the prompts of all others are taken to be known
+)
 
 // NoticeKind says what a notice is about.
 type NoticeKind uint8
@@ -18,21 +29,21 @@
 	NoticeRecovery                       // the runner had been silent and answers again
 )
 
-// Notice is what a proxy tells others of a runner.
+// Notice is what a proxy announces to the others about a runner.
 type Notice struct {
 	Kind      NoticeKind
 	RunnerKey uint64 // its key
 	Tokens    int    // of the prompt, where there is one
 }
 
-// prefillBacklog is what a runner has yet to read of all prompts that are known. It grows by each prompt and shrinks at the speed
-// of reading.
+// prefillBacklog is what a runner has yet to prefill of all prompts that are known. It grows by each prompt and shrinks at
+// the prefill speed.
 type prefillBacklog struct {
 	slots     float64 // at the time below
 	updatedAt time.Duration
 }
 
-// remaining is what has not been read by now, in slots; rate is how many slots are read in a second.
+// remaining is what has not been prefilled by now, in slots; rate is in slots a second.
 func (u *prefillBacklog) remaining(now time.Duration, rate float64) float64 {
 	return math.Max(0, u.slots-rate*(now-u.updatedAt).Seconds())
 }
@@ -42,15 +53,7 @@
 	u.slots, u.updatedAt = u.remaining(now, rate)+slots, now
 }
 
-// prefillRate is how many slots of prompts an engine reads in a second; 0: its speed is not known.
-func (s *serviceState) prefillRate() float64 {
-	if !s.isEngine() {
-		return 0
-	}
-	return s.prefillSpeed / s.slotTokens()
-}
-
-// HandleNotice takes the notice of another proxy.
+// HandleNotice applies the notice of another proxy.
 func (p *Placer) HandleNotice(now time.Duration, notice Notice) {
 	p.recordCall(now)
 	if notice.Kind == NoticePrefill {
@@ -69,7 +72,7 @@
 	}
 }
 
-// addPeerPrefill takes it that a runner reads a prompt of another proxy.
+// addPeerPrefill adds a prompt of another proxy to a runner's backlog.
 func (p *Placer) addPeerPrefill(now time.Duration, runner *runnerState, tokens int) {
 	if !runner.service.isEngine() {
 		return
@@ -79,8 +82,7 @@
 	runner.load, runner.spareSlots = runner.load+slots, runner.spareSlots-slots
 }
 
-// PrefillNotice is what the other proxies are to be told of an attempt that was sent; false: its prompt is too short to
-// matter.
+// PrefillNotice returns what to announce about an attempt that was started; false: its prompt is too short.
 func (a *Attempt) PrefillNotice() (Notice, bool) {
 	if !a.announced {
 		return Notice{}, false
@@ -88,8 +90,8 @@
 	return Notice{Kind: NoticePrefill, RunnerKey: a.runner.key, Tokens: int(a.prefillTokens)}, true
 }
 
-// adjustNoticeThreshold has longer prompts alone told while too many notices come: all proxies hear the same, so each would spend its
-// processor on the more notices the more proxies there are. In a period without too many, shorter ones are told again.
+// adjustNoticeThreshold raises the length from which prompts are announced while too many notices come, and lowers it
+// again otherwise. All proxies receive the same notices, so each would spend more processor time the more proxies there are.
 func (p *Placer) adjustNoticeThreshold(elapsed float64) {
 	if float64(p.noticeCount) > maxNoticeRate*elapsed {
 		p.noticeThreshold *= noticeThresholdGrowth
@@ -99,8 +101,7 @@
 	p.noticeCount = 0
 }
 
-// RecoveryNotice is what the other proxies are to be told of an attempt whose answer has begun; false: nothing, since the
-// runner had not been silent before.
+// RecoveryNotice returns what to announce about an attempt whose answer has begun; false: the runner was not suspect.
 func (a *Attempt) RecoveryNotice() (Notice, bool) {
 	if !a.recovered {
 		return Notice{}, false
@@ -108,7 +109,7 @@
 	return Notice{Kind: NoticeRecovery, RunnerKey: a.runner.key}, true
 }
 
-// hasRecentNotices says whether the prompts that other proxies send to runners are known.
+// hasRecentNotices reports whether the prompts that other proxies send are known.
 func (p *Placer) hasRecentNotices(now time.Duration) bool {
 	return p.notified && now-p.lastNoticeAt < noticeValidity
 }
--- a/internal/system/placement/speed.go
+++ b/internal/system/placement/prefill_speed.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// speedWindow holds how fast the last prompts of a service were read, in tokens a second. Prompts that waited for others say
-// little of the engines' speed, so it is the one that speedQuantile of the samples stay below; a few samples are enough after a
-// start, and no single one moves it far.
+// speedWindow holds the prefill speeds of a service's last prompts, in tokens a second. Prompts that waited for others say
+// little of the engines' speed, so the speed is a high quantile of the samples; a few samples are enough after a start, and
+// no single one moves it far.
 type speedWindow struct {
 	samples [speedWindowSize]float64
 	count   int
 }
 
-// add takes a sample and returns the speed.
+// add adds a sample and returns the speed.
 func (w *speedWindow) add(sample float64) (speed float64) {
 	w.samples[w.count%speedWindowSize] = sample
 	w.count++
@@ -20,7 +20,7 @@
 	return sorted[min(int(speedQuantile*float64(len(sorted))), len(sorted)-1)]
 }
 
-// learnPrefillSpeed takes a sample. What an earlier life had learnt counts until there are enough of them.
+// learnPrefillSpeed adds a sample. A restored speed counts until there are enough samples.
 func (s *serviceState) learnPrefillSpeed(sample float64) {
 	speed := s.prefillSpeeds.add(sample)
 	if s.prefillSpeed == 0 || s.prefillSpeeds.count >= minSpeedSamples {
--- a/internal/system/placement/kept.go
+++ b/internal/system/placement/prefix_cache.go
@@ -7,12 +7,26 @@
 	"cinderroad/internal/shared/capacity"
 )
 
-// Shared parts of prompts are read once and kept by the runner that read them, as long as all parts before are kept, too.
-// Which runner that should be is drawn from the chain of parts and the runners' ids alone (rendezvous hashing), so all
-// proxies send a chain to the same runner of a region without a word between them.
+// This file decides which runner caches a prefix. The shared chunks of prompts are prefilled once and cached by the runner
+// that did, as long as all chunks before them are cached, too. The owner of a prefix is drawn from the prefix and the
+// runners' ids alone (rendezvous hashing), so all proxies send a prefix to the same runner of a region without messages.
+
+// Kept parts.
+const (
+	prefixPrice          = 4.0  // reading a shared part again costs this multiple of its time, since it is priced; measured
+	minPrefixPreference  = 0.5  // slots by which the owner of a chain is preferred at least; measured
+	recentPrefixShare    = 0.75 // of what is saved at the owner, where this proxy sent the chain lately
+	secondaryPrefixShare = 0.5  // and at the runner that comes after the owner
+	prefixHistorySpan    = 30 * time.Second
+	prefixHistorySize    = 1024
+	maxRegions           = 16   // whose owners of a chain are told apart
+	bytesPerToken        = 18.0 // bytes between regions that are priced as a token read again is: 15 to 23 where this was measured
+	reuseLearningRate    = 0.05 // weight of a request in the share of those that come again
+	maxReuse             = 0.98 // of it that is believed
+)
 
-// prefixHash is the hash of a prompt's shared parts in their order: all but the last, which is the request's own or its
-// session's. A prompt of a single part is its own chain. 0: there are no parts.
+// prefixHash is the hash of a prompt's shared chunks in their order: all but the last, which belongs to the request or its
+// session. A prompt of a single chunk is its own prefix. 0: there are no chunks.
 func prefixHash(chunks []Chunk) uint64 {
 	if len(chunks) == 0 {
 		return 0
@@ -25,7 +39,7 @@
 	return max(chain, 1)
 }
 
-// lastSharedTokens is the length of the last of a prompt's shared parts, in tokens.
+// lastSharedTokens is the length of the last shared chunk, in tokens.
 func lastSharedTokens(chunks []Chunk) float64 {
 	if len(chunks) < 2 {
 		return 0
@@ -33,21 +47,21 @@
 	return float64(chunks[len(chunks)-2].Tokens)
 }
 
-// prefixOwners are the runners that a chain belongs to: in each region, or one for all of them.
+// prefixOwners are the owners of a prefix: one in each region, or one for all regions.
 type prefixOwners struct {
 	regions [maxRegions]regionOwners
 	all     regionOwners // over all regions
 	global  bool         // the chain has one owner for all regions
 }
 
-// regionOwners are the runners that a chain belongs to: the first, and the second if that is full.
+// regionOwners are the owner of a prefix in a region and the secondary owner, which takes over when the first is full.
 type regionOwners struct {
 	first, second           *runnerState
 	firstScore, secondScore uint64 // their draws
 }
 
-// ownersOf draws the owners of a request's chain among the warm serving runners. It goes by what all proxies are told,
-// not by this proxy's own opinion of a runner: else each would send the chain somewhere else.
+// ownersOf draws the owners of a request's prefix among the serving runners that are not in slow start. It uses only what
+// all proxies are told, not this proxy's own observations: else each proxy would choose another owner.
 func (p *Placer) ownersOf(now time.Duration, service *serviceState, request *Request, demand *tokenDemand) (owners prefixOwners) {
 	if demand.prefix == 0 {
 		return owners
@@ -66,10 +80,10 @@
 	return owners
 }
 
-// isGlobal says whether a chain has one owner for all regions: the few prompts that a region is likely to send while the
-// parts are kept cost less on their way to another region than reading the chain's last part there, too. The first parts
-// are shared by more chains and are likely to be read anyway. How often a chain comes is guessed from how many requests
-// of the route repeat one that this proxy has lately sent, since each proxy sees few of a chain.
+// isGlobal reports whether a prefix has one owner for all regions. It has if sending the few prompts that a region is
+// likely to send while the prefix is cached costs less than prefilling its last shared chunk in that region, too. Earlier
+// chunks don't count: more prefixes share them, so they are likely to be prefilled anyway. How often a prefix comes is
+// estimated from the share of the route's requests whose prefix this proxy sent recently, since each proxy sees few of them.
 func (p *Placer) isGlobal(request *Request, demand *tokenDemand) bool {
 	if request.Route == nil || request.BodyBytes <= 0 || len(p.regions) < 2 {
 		return false
@@ -79,7 +93,7 @@
 	return uses*float64(request.BodyBytes) < bytesPerToken*demand.lastSharedTokens
 }
 
-// consider keeps the two runners with the highest draws.
+// consider keeps the two runners with the highest scores.
 func (o *regionOwners) consider(runner *runnerState, score uint64) {
 	switch {
 	case o.first == nil || score > o.firstScore:
@@ -90,7 +104,7 @@
 	}
 }
 
-// isOwner says whether a runner is taken to keep the chain.
+// isOwner reports whether a runner is taken to have the prefix cached.
 func (o *prefixOwners) isOwner(runner *runnerState) bool {
 	if o.global {
 		return o.all.first == runner
@@ -98,7 +112,7 @@
 	return o.regions[runner.regionIndex%maxRegions].first == runner
 }
 
-// isSecondary says whether a runner comes after the owner: of those in its region.
+// isSecondary reports whether a runner comes next after the owner in its region.
 func (o *prefixOwners) isSecondary(runner *runnerState) bool {
 	region := &o.regions[runner.regionIndex%maxRegions]
 	if o.global && o.all.first != region.first {
@@ -107,7 +121,7 @@
 	return region.second == runner
 }
 
-// cachedShare is the part of the chain's price that is saved at a runner.
+// cachedShare is the share of the prefix's price that is saved at a runner.
 func (o *prefixOwners) cachedShare(runner *runnerState, service *serviceState, prefix uint64) float64 {
 	switch {
 	case o.isOwner(runner):
@@ -120,22 +134,23 @@
 	return 0
 }
 
-// anyRunner is the key under which prefixHistory notes that a chain was sent at all.
+// anyRunner is the key under which prefixHistory records that a prefix was sent at all.
 const anyRunner = 0
 
-// prefixHistory remembers which chains this proxy has lately sent to which runners. An entry has a choice of two places and
-// takes that of the older one.
+// prefixHistory remembers which prefixes this proxy sent recently to which runners. It is a two-way associative table: a
+// record has two slots and replaces the older one.
 type prefixHistory struct {
 	entries   []prefixRecord
 	updatedAt time.Duration
 }
 
+// prefixRecord is one send.
 type prefixRecord struct {
 	prefix, runner uint64
 	sentAt         time.Duration
 }
 
-// find is the entry of a chain and a runner, or the one whose place it would take.
+// find returns the record of a prefix and a runner, or the one that it would replace.
 func (k *prefixHistory) find(prefix, runner uint64) *prefixRecord {
 	at := 2 * (capacity.Hash(prefix^runner) % uint64(len(k.entries)/2))
 	first, second := &k.entries[at], &k.entries[at+1]
@@ -149,7 +164,7 @@
 	return e.prefix == prefix && e.runner == runner
 }
 
-// sentRecently says whether the chain was sent to the runner within prefixHistorySpan.
+// sentRecently reports whether the prefix was sent to the runner within prefixHistorySpan.
 func (k *prefixHistory) sentRecently(prefix, runner uint64) bool {
 	if len(k.entries) == 0 {
 		return false
@@ -158,7 +173,7 @@
 	return e.matches(prefix, runner) && k.updatedAt-e.sentAt < prefixHistorySpan
 }
 
-// record remembers a send.
+// record records a send.
 func (k *prefixHistory) record(now time.Duration, prefix, runner uint64) {
 	if k.entries == nil {
 		k.entries = make([]prefixRecord, prefixHistorySize)
@@ -166,3 +181,20 @@
 	k.updatedAt = now
 	*k.find(prefix, runner) = prefixRecord{prefix, runner, now}
 }
+
+// recordPrefix records where a prefix was sent, and how often prefixes of the route come again.
+func (p *Placer) recordPrefix(now time.Duration, service *serviceState, request *Request, demand *tokenDemand, runner *runnerState) {
+	if demand.prefix == 0 {
+		return
+	}
+	service.prefixHistory.record(now, demand.prefix, runner.key)
+	if request.isRetry() {
+		return
+	}
+	seen := 0.0
+	if service.prefixHistory.sentRecently(demand.prefix, anyRunner) {
+		seen = 1
+	}
+	capacity.UpdateMean(&p.statsOf(request.Route).prefixReuse, seen, reuseLearningRate)
+	service.prefixHistory.record(now, demand.prefix, anyRunner)
+}
--- /dev/null
+++ b/internal/system/placement/rejection.go
@@ -0,0 +1,120 @@
+package placement
+
+import (
+	"math"
+	"time"
+
+	"cinderroad/internal/shared/capacity"
+)
+
+// This file decides when a request is rejected, and when its client should come back. Under load lower ranks are rejected
+// first: without that, a request with a long deadline would outlast more urgent ones.
+
+// Refusals.
+const (
+	maxWaitShare     = 0.5         // of the time left that a request may wait
+	yieldShare       = 0.8         // of what a request of the next more urgent rank may wait
+	yieldDuration    = time.Second // after a refusal for which less urgent requests yield
+	maxRanks         = 8           // that are told apart
+	minOccupiedShare = 0.5         // of the places of its runners that must be taken before a request is refused
+	minRetryAfter    = 50 * time.Millisecond
+	maxRetryAfter    = 2 * time.Second
+)
+
+// loadShedding holds, for each rank, how much time requests have and when one was last rejected.
+type loadShedding [maxRanks]rankStats
+
+// rankStats are the statistics of a rank.
+type rankStats struct {
+	remaining  float64       // running mean of the time that they have left, in seconds; 0: none came yet
+	rejectedAt time.Duration // when one was refused last because of load
+	rejected   bool          // refused holds a time
+}
+
+// rankOf is the rank of a request, 0 the most urgent. A request without a route has the lowest.
+func rankOf(request *Request) int {
+	if request.Route == nil {
+		return maxRanks - 1
+	}
+	return min(max(request.Route.Rank, 0), maxRanks-1)
+}
+
+// recordArrival records how much time a request has left.
+func (u *loadShedding) recordArrival(now time.Duration, request *Request) {
+	left := (request.Deadline - now).Seconds()
+	if left <= 0 || request.Route == nil {
+		return
+	}
+	rank := &u[rankOf(request)]
+	if rank.remaining == 0 {
+		rank.remaining = left
+	}
+	capacity.UpdateMean(&rank.remaining, left, fleetLearningRate)
+}
+
+// recordRejection records that a request was rejected because of load.
+func (u *loadShedding) recordRejection(now time.Duration, request *Request) {
+	rank := &u[rankOf(request)]
+	rank.rejectedAt, rank.rejected = now, true
+}
+
+// maxWait is how long a request may wait before it is rejected, in seconds: a share of the time that it has left, and less
+// than requests of a more urgent rank may wait, while some of those are rejected.
+func (u *loadShedding) maxWait(now time.Duration, request *Request) float64 {
+	own := rankOf(request)
+	most := maxWaitShare * (request.Deadline - now).Seconds()
+	for rank := range own {
+		if stats := &u[rank]; stats.recentlyRejected(now) {
+			most = math.Min(most, maxWaitShare*stats.remaining*math.Pow(yieldShare, float64(own-rank)))
+		}
+	}
+	return most
+}
+
+// mustYield reports whether requests of a more urgent rank are being rejected. Less urgent ones then yield, small ones too,
+// which would find room where large ones don't.
+func (u *loadShedding) mustYield(now time.Duration, request *Request) bool {
+	for rank := range rankOf(request) {
+		if u[rank].recentlyRejected(now) {
+			return true
+		}
+	}
+	return false
+}
+
+// recentlyRejected reports whether a request of the rank was rejected within yieldDuration.
+func (s *rankStats) recentlyRejected(now time.Duration) bool {
+	return s.rejected && now-s.rejectedAt <= yieldDuration
+}
+
+// expectedWait is how long a request would wait at a runner for its prefill, or for a free slot; seconds.
+func (p *Placer) expectedWait(service *serviceState, runner *runnerState) float64 {
+	if service.isEngine() {
+		return math.Max(runner.excessWait, runner.utilization*lateStartShare*service.latencyTarget)
+	}
+	return math.Max(runner.excessWait, (runner.load-runner.slots)/runner.slots*service.meanDuration)
+}
+
+// isHopeless reports whether even the best runner would answer too late, while the eligible runners are busy. The second
+// condition keeps a wrong estimate of the wait from rejecting requests beside free slots.
+func (p *Placer) isHopeless(now time.Duration, service *serviceState, request *Request, wait float64) bool {
+	if wait <= service.shedding.maxWait(now, request) {
+		return false
+	}
+	taken, places := 0.0, 0.0
+	for _, runner := range service.runners {
+		if p.isEligible(now, request, runner) {
+			taken, places = taken+math.Min(runner.occupiedSlots, runner.slots), places+runner.slots
+		}
+	}
+	return taken >= minOccupiedShare*places
+}
+
+// retryAfter is when a rejected client should come back: once the wait has gone down to what the request can bear.
+func (p *Placer) retryAfter(now time.Duration, request *Request, wait float64) time.Duration {
+	left := request.Deadline - now
+	bearable := time.Duration(maxWaitShare * float64(left))
+	after := time.Duration(wait*float64(time.Second)) - bearable
+	after = max(after, minRetryAfter, planPeriod)
+	return min(after, maxRetryAfter, max(left/4, minRetryAfter))
+}
--- /dev/null
+++ b/internal/system/placement/request.go
@@ -0,0 +1,57 @@
+package placement
+
+import (
+	"net/netip"
+	"time"
+
+	"cinderroad/internal/system/configuration"
+)
+
+// Chunk is a part of a prompt, which an engine caches as a whole. Chunks are in order from the start of the prompt.
+type Chunk struct {
+	ID     uint64
+	Tokens int
+}
+
+// Request is what a client wants, and what has been tried for it.
+type Request struct {
+	Route           *configuration.Route
+	Service         string // drawn from the route's shares
+	Model           string
+	Chunks          []Chunk
+	InputTokens     int
+	MaxOutputTokens int // the most; 0: not told
+	BodyBytes       int // of its body
+	ArrivedAt       time.Duration
+	Deadline        time.Duration // the earlier of the client's and the route's
+	TriedRunners    []string      // runners that attempts were sent to
+	MayHaveRun      bool          // an attempt was sent whole to a runner that did not say that it had not run
+
+	connectFailures int // attempts of which no connection came up: they never arrived, and cost no retry budget
+}
+
+// Choice is the runner that a request goes to. It reserves nothing before StartAttempt.
+type Choice struct {
+	Runner   string
+	Address  netip.AddrPort
+	Priority int // 0 to 9, 0 first; -1: none
+}
+
+// Rejection says that no runner should take the request now. Nothing of it has run unless Request.MayHaveRun.
+type Rejection struct {
+	RetryAfter time.Duration
+	Reason     string // for the log, a constant
+}
+
+// hasTried reports whether an attempt of the request went to the runner.
+func (r *Request) hasTried(runner *runnerState) bool {
+	for _, id := range r.TriedRunners {
+		if id == runner.ID {
+			return true
+		}
+	}
+	return false
+}
+
+// isRetry reports whether another attempt of the request would arrive after one that may have arrived.
+func (r *Request) isRetry() bool { return len(r.TriedRunners) > r.connectFailures }
--- a/internal/system/placement/retry.go
+++ b/internal/system/placement/retries.go
@@ -2,20 +2,28 @@
 
 import "time"
 
-// The retry budget of a service bounds what arrives beyond the first of each request within any window, over all proxies.
-// Each proxy earns a share of its own first sends, which is safe whatever the others do, and has an even part of the
-// retries beyond the ratio, which grows to its full size within a window after a start: its last life may have spent it.
+// This file decides whether a request may be sent again. The retry budget of a service bounds, over all proxies, what
+// arrives beyond the first attempt of each request within any window. Each proxy earns a share of its own first attempts,
+// which is safe whatever the others do, and has an even part of the allowance beyond that ratio. The part grows to its full
+// size within a window after a start: the process before this one may have spent it.
 
+// Repeats.
+const (
+	retryRatioShare     = 0.7 // of the ratio of retries that is planned with
+	retryAllowanceShare = 0.6 // of the retries beyond the ratio
+)
+
+// retryBuckets is the number of buckets that a window is counted in.
 const retryBuckets = 16
 
-// retryBudget counts first sends and repeats in spans of a sixteenth of the window.
+// retryBudget counts first attempts and retries in buckets of a sixteenth of the window.
 type retryBudget struct {
 	bucket   int64
 	requests [retryBuckets + 1]uint32
 	retries  [retryBuckets + 1]uint32
 }
 
-// retryPolicy are what a service's budget is worked out by.
+// retryPolicy holds the bounds of a retry budget.
 type retryPolicy struct {
 	window    time.Duration
 	ratio     float64
@@ -23,6 +31,7 @@
 	since     time.Duration
 }
 
+// retryPolicy returns this proxy's part of the budget.
 func (p *Placer) retryPolicy() retryPolicy {
 	rules := retryPolicy{window: p.options.RetryWindow, ratio: retryRatioShare * p.options.RetryRatio, since: p.startedAt}
 	if p.proxyCount > 0 {
@@ -31,7 +40,7 @@
 	return rules
 }
 
-// advance forgets the spans that have left the window.
+// advance clears the buckets that have left the window.
 func (b *retryBudget) advance(now time.Duration, window time.Duration) {
 	span := int64(now / (window / retryBuckets))
 	if span-b.bucket > retryBuckets {
@@ -44,8 +53,8 @@
 	}
 }
 
-// allows says whether one more repeat may be sent. Repeats are counted for a little longer than a window, and first sends
-// for a little less.
+// allows reports whether one more retry may be sent. Retries count for a little longer than a window, and first attempts
+// for a little less, so that the bound holds in every window.
 func (b *retryBudget) allows(now time.Duration, rules retryPolicy) bool {
 	b.advance(now, rules.window)
 	firsts, repeats := uint32(0), uint32(0)
@@ -60,7 +69,7 @@
 	return float64(repeats)+1 <= rules.ratio*float64(firsts)+rules.allowance*grown
 }
 
-// record books a send.
+// record counts an attempt.
 func (b *retryBudget) record(now time.Duration, window time.Duration, repeat bool) {
 	b.advance(now, window)
 	if repeat {
@@ -70,8 +79,8 @@
 	}
 }
 
-// MayRetry says whether another attempt of a request may be made: by its tries, by whether it may have run, by its time
-// and by the budget that all proxies share.
+// MayRetry reports whether another attempt of a request may be made, by the route's number of attempts, by whether the
+// request may have run and is idempotent, by its deadline and by the shared retry budget.
 func (p *Placer) MayRetry(now time.Duration, request *Request) bool {
 	service := p.services[request.Service]
 	if service == nil || request.Route == nil || now >= request.Deadline || len(request.TriedRunners) >= max(request.Route.MaxAttempts, 1) {
--- /dev/null
+++ b/internal/system/placement/selection.go
@@ -0,0 +1,135 @@
+package placement
+
+import (
+	"math"
+	"time"
+
+	"cinderroad/internal/shared/capacity"
+)
+
+// This file decides which runner takes a request.
+
+// The ranks of runners for a request; the lowest is selected.
+const (
+	rankSpareLocal  = iota // room, in the own region
+	rankSpareRemote        // room, in another one: the nearest first
+	rankNoSpare            // the one least over its ceiling
+	rankSaturated          // turned a request away just now
+	rankAvoided            // set aside, or suspect
+	rankTried              // an attempt of this request went there
+	rankNone        = 1 << 10
+)
+
+// The choice.
+const (
+	zonePreferenceShare = 0.0125 // of its size by which a runner in the own zone is preferred, at least minZonePreference; measured
+	minZonePreference   = 0.5    // slots
+	saturatedShare      = 0.25   // of its service's tightest aim for which a runner that was full gets nothing, if another may
+	connectionShare     = 0.9    // of a runner's connections that are shared among the proxies
+	firstPriority       = 3      // priority of rank 0: an engine takes 5 where none is told
+	priorityStep        = 2
+	longPromptSlots     = 1.0 // slots that the reading of a prompt takes, above which it is long; measured
+	longPromptPenalty   = 4   // long prompts come after short ones of two ranks below; measured
+	lowestPriority      = 9   // priority
+)
+
+// Place selects the runner that takes a request, or rejects it. The choice reserves nothing before StartAttempt.
+func (p *Placer) Place(now time.Duration, request *Request) (Choice, *Rejection) {
+	p.recordCall(now)
+	service := p.services[request.Service]
+	if service == nil || len(service.runners) == 0 {
+		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, 0), Reason: "no runner of the service is known"}
+	}
+	if request.isRetry() && !service.retryBudget.allows(now, p.retryPolicy()) {
+		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, 0), Reason: "the retry budget is spent"}
+	}
+	service.observeTarget(request)
+	p.refreshPlan(now, service)
+	service.shedding.recordArrival(now, request)
+	demand := p.demandOf(service, request)
+	best, rank := p.selectRunner(now, service, request, &demand)
+	if best == nil {
+		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, 0), Reason: "no runner may take the request"}
+	}
+	if wait := p.expectedWait(service, best); (rank >= rankNoSpare || service.shedding.mustYield(now, request)) && p.isHopeless(now, service, request, wait) {
+		service.shedding.recordRejection(now, request)
+		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, wait), Reason: "all runners are over their ceilings"}
+	}
+	return Choice{Runner: best.ID, Address: best.Address, Priority: priority(service, request)}, nil
+}
+
+// priority is the order in which an engine admits requests, 0 first; -1 where runners know none. It goes by the route's
+// rank, and long prompts come after short ones: a long one that is prefilled first makes many short ones late, while one
+// that comes after them is delayed only by the little that they take.
+func priority(service *serviceState, request *Request) int {
+	if !service.isEngine() || request.Route == nil {
+		return -1
+	}
+	order := firstPriority + priorityStep*max(request.Route.Rank, 0)
+	if float64(request.InputTokens) > longPromptSlots*service.slotTokens() {
+		order += longPromptPenalty
+	}
+	return min(lowestPriority, order)
+}
+
+// selectRunner selects the eligible runner with the most spare capacity, in the own region first, then in the nearest; if
+// none has any, the one least over its limit. For a prompt with a shared prefix, capacity counts more where that is cached.
+// It returns nil and rankNone if no runner is eligible.
+func (p *Placer) selectRunner(now time.Duration, service *serviceState, request *Request, demand *tokenDemand) (*runnerState, int) {
+	var choice capacity.Selection[*runnerState]
+	owners := p.ownersOf(now, service, request, demand)
+	shared := service.isSharedFault()
+	for _, runner := range service.runners {
+		if !p.isEligible(now, request, runner) {
+			continue
+		}
+		offer := capacity.Candidate{Rank: p.rank(now, request, runner, demand, &owners, shared)}
+		if offer.Rank == rankSpareRemote {
+			offer.Distance = p.distance(runner)
+		}
+		offer.SpareCapacity = runner.spareSlots + p.preference(service, runner, demand, &owners)
+		choice.Add(runner, offer, &p.random)
+	}
+	if !choice.Found {
+		return nil, rankNone
+	}
+	return choice.Best, choice.Candidate.Rank
+}
+
+// rank orders runners for a request.
+func (p *Placer) rank(now time.Duration, request *Request, runner *runnerState, demand *tokenDemand, owners *prefixOwners, shared bool) int {
+	switch {
+	case request.hasTried(runner):
+		return rankTried
+	case runner.ejection.IsEjected(now.Seconds()) || !shared && runner.isAvoided(now):
+		return rankAvoided
+	case runner.isAvoided(now):
+		return rankNoSpare // so many are suspect at once that those left could not bear the load alone
+	case now < runner.saturatedUntil:
+		return rankSaturated
+	case runner.spareSlots < 1 || runner.spareTokens < demand.memoryTokens(owners.isOwner(runner)):
+		return rankNoSpare
+	case runner.Region != p.options.Region && !(owners.global && owners.isOwner(runner)):
+		return rankSpareRemote
+	}
+	return rankSpareLocal
+}
+
+// preference is added to a runner's spare slots: a little in the own zone, since bytes between zones are priced, and where
+// the prefix is cached, what prefilling it again would cost.
+func (p *Placer) preference(service *serviceState, runner *runnerState, demand *tokenDemand, owners *prefixOwners) (slots float64) {
+	if runner.Zone == p.options.Zone {
+		slots += math.Max(minZonePreference, zonePreferenceShare*runner.slots)
+	}
+	if demand.prefix == 0 {
+		return slots
+	}
+	whole := math.Max(prefixPrice*demand.sharedTokens/service.slotTokens(), minPrefixPreference)
+	return slots + whole*owners.cachedShare(runner, service, demand.prefix)
+}
+
+// distance is the latency of a runner's region in eighths of the tightest latency target: regions that differ by less share
+// what overflows.
+func (p *Placer) distance(runner *runnerState) float64 {
+	return math.Floor(p.regions[runner.regionIndex].latency * 8 / p.latencyTarget)
+}
--- /dev/null
+++ b/internal/system/placement/slow_start.go
@@ -0,0 +1,86 @@
+package placement
+
+import (
+	"math"
+	"time"
+
+	"cinderroad/internal/shared/capacity"
+)
+
+// This file decides what a runner in slow start gets. After a start it may get SlowStartRate*SlowStartFactor +
+// SlowStartAllowance requests in any second from all proxies together. Each proxy has an even share, which it spends evenly
+// spaced: so in no second it sends more than its share, whatever the others do. Where there are more proxies than the
+// runner bears requests, only the first in an order drawn from the runner's and the proxies' keys use it: a proxy that
+// knows of more proxies than another never ranks earlier by that, so views that differ don't exceed the bound.
+
+// Cold runners and the proxies that share them.
+const (
+	slowStartPlannedShare = 0.8             // of the bound on cold runners that is planned with
+	slowStartWindow       = 1.05            // seconds in which a share is spent; the bound is for one second
+	slowStartInitialShare = 0.25            // of its ceiling that a runner is held to bear when it starts cold
+	joinDelay             = 2 * time.Second // after a start or a sleep, until others count this proxy
+	sleepThreshold        = time.Second     // without a call: the process was frozen
+	proxyRemovalDelay     = 2 * time.Second // until a lower number of proxies counts
+	slowStartGuard        = 2 * time.Second // in which the list comes to show that a runner is cold
+)
+
+// inSlowStart reports whether a runner is in slow start, or may be: the membership feed lags behind, and a runner that did
+// not answer may have restarted.
+func (w *runnerState) inSlowStart(now time.Duration) bool {
+	return now < w.SlowStartUntil || w.service.SlowStartDuration > 0 && (w.suspect || now < w.guardedUntil)
+}
+
+// hasSlowStartBudget reports whether this proxy may send to a runner in slow start now.
+func (p *Placer) hasSlowStartBudget(now time.Duration, runner *runnerState) bool {
+	return now >= runner.slowStartNextAt && p.slowStartInterval(now, runner) > 0
+}
+
+// slowStartInterval is the time between two sends of this proxy to a runner in slow start; 0: nothing may be sent.
+func (p *Placer) slowStartInterval(now time.Duration, runner *runnerState) time.Duration {
+	if p.proxyCount == 0 || now < p.countedFrom {
+		return 0 // the others may not count this one yet, and its last life may have sent just now
+	}
+	bound := slowStartPlannedShare * (runner.service.SlowStartRate*p.options.SlowStartFactor + p.options.SlowStartAllowance)
+	n := float64(p.proxyCount)
+	share := math.Floor(math.Min(bound/(n+1), math.Max(runner.service.SlowStartRate/n, 1)))
+	if share < 1 && p.holdsSlowStartShare(runner, int(bound)) {
+		share = 1
+	}
+	if share < 1 {
+		return 0
+	}
+	return time.Duration(slowStartWindow / share * float64(time.Second))
+}
+
+// holdsSlowStartShare reports whether this proxy is one of the few that may use a runner in slow start.
+func (p *Placer) holdsSlowStartShare(runner *runnerState, holders int) bool {
+	if len(p.peers) == 0 {
+		return false
+	}
+	mine, place := capacity.Hash(runner.key^p.selfKey), 0
+	for _, peer := range p.peers {
+		if capacity.Hash(runner.key^peer.key) < mine {
+			place++
+		}
+	}
+	return place < holders
+}
+
+// recordSlowStartSend charges a send to a runner in slow start.
+func (p *Placer) recordSlowStartSend(now time.Duration, runner *runnerState) {
+	if runner.inSlowStart(now) {
+		runner.slowStartNextAt = now + p.slowStartInterval(now, runner)
+	}
+}
+
+// warmth is the share of its limit that a runner is planned with: it climbs during slow start.
+func warmth(now time.Duration, runner *runnerState) float64 {
+	if !runner.inSlowStart(now) {
+		return 1
+	}
+	since := runner.service.SlowStartDuration - max(runner.SlowStartUntil-now, 0)
+	if now >= runner.SlowStartUntil || runner.service.SlowStartDuration <= 0 {
+		since = 0 // it may be cold, nobody knows since when
+	}
+	return capacity.Warmth(slowStartInitialShare, since.Seconds(), max(runner.service.SlowStartDuration, time.Second).Seconds())
+}
--- a/internal/system/placement/learnt.go
+++ b/internal/system/placement/snapshot.go
@@ -11,21 +11,23 @@
 	"cinderroad/internal/shared/capacity"
 )
 
-// snapshotVersion is the first byte of the encoding: version, then the services' speeds, then the runners' ceilings.
+// snapshotVersion is the first byte of a snapshot. After it come the services, each a name and its prefill speed, and the
+// runners, each an id, its slots and its two limits; counts are varints, numbers are float32.
 const snapshotVersion = 1
 
-// maxSnapshotCount bounds what is taken from an encoding.
+// maxSnapshotCount bounds the elements of a list and the bytes of a name that Restore accepts.
 const maxSnapshotCount = 1 << 16
 
-// errSnapshot is returned for an encoding that was not made by Learnt. The placer then starts from nothing learnt.
+// errSnapshot is returned for an encoding that Snapshot did not make. The Placer then keeps what it has.
 var errSnapshot = errors.New("placement: learnt: the encoding is cut or not of this version; start without it")
 
+// runnerSnapshot is what a snapshot holds of a runner.
 type runnerSnapshot struct {
 	slots  float64
 	limits capacity.Limits
 }
 
-// Snapshot encodes what should outlive a restart: ceilings by runner, speeds by service.
+// Snapshot encodes what should outlive a restart: the limits of each runner, the prefill speed of each service.
 func (p *Placer) Snapshot() []byte {
 	b := []byte{snapshotVersion}
 	b = binary.AppendUvarint(b, uint64(len(p.services)))
@@ -44,7 +46,7 @@
 	return b
 }
 
-// Restore takes what another Placer has learnt, all or nothing. What it says of a runner counts once the list names that
+// Restore takes over the snapshot of another Placer, all or nothing. Limits of a runner apply once SetRunners names that
 // runner with the same number of slots.
 func (p *Placer) Restore(now time.Duration, b []byte) error {
 	p.recordCall(now)
@@ -64,7 +66,7 @@
 	return nil
 }
 
-// restoreRunner gives a runner that is new to the set what is known of it.
+// restoreRunner applies a snapshot to a runner that is new to the set.
 func (p *Placer) restoreRunner(runner *runnerState) {
 	l, ok := p.restored[runner.ID]
 	if !ok || l.slots != runner.slots {
@@ -74,6 +76,7 @@
 	runner.limits = l.limits
 }
 
+// decodeSnapshot returns the prefill speeds by service and the runners by id.
 func decodeSnapshot(b []byte) (map[string]float64, map[string]runnerSnapshot, error) {
 	if len(b) == 0 || b[0] != snapshotVersion {
 		return nil, nil, errSnapshot
