--- a/internal/system/placement/attempt.go
+++ b/internal/system/placement/attempt.go
@@ -7,14 +7,14 @@
 
 // The outcomes of an attempt.
 const (
-	Succeeded     Outcome = iota // whole answer
-	Rejected                     // the runner said that it did not run it: full, or too late
-	Misdirected                  // 421: another incarnation has the address
-	Failed                       // an answer that failed: 5xx of the runner's own
-	Interrupted                  // connection lost, spoilt bytes, answer broken off
+	Succeeded     Outcome = iota // a complete answer
+	Rejected                     // the runner did not run it: at capacity, or too late
+	Misdirected                  // status 421: another incarnation of the runner has the address
+	Failed                       // the runner answered with a status of 5xx
+	Interrupted                  // connection lost, malformed bytes, incomplete answer
 	TimedOut                     // no answer in time
-	ConnectFailed                // no connection came up: surely not run
-	Cancelled                    // the client left or the deadline passed; says little of the runner
+	ConnectFailed                // no connection was established: surely not run
+	Cancelled                    // the client disconnected or the deadline passed; says little of the runner
 )
 
 // Attempt is a request on its way to, or at, a runner. StartAttempt makes it, EndAttempt ends it.
@@ -28,7 +28,7 @@
 
 // Progress is what an attempt has shown by its end.
 type Progress struct {
-	TimeToFirstEvent time.Duration // from the send to the first event or byte; 0: none came
+	TimeToFirstEvent time.Duration // from the start of the attempt to the first event or byte; 0: none came
 	LongestEventGap  time.Duration
 	Events           int
 	Duration         time.Duration
@@ -38,16 +38,16 @@
 type reservation struct {
 	runner        *runnerState
 	sentAt        time.Duration
-	load          float64 // of the runner when it was sent
-	weight        float64 // slots: 1, and more while its prompt is read
-	prefillWeight float64 // the part of weight that goes with the first event
-	tokens        float64 // of the runner's memory
-	prefillTokens float64 // tokens of its prompt that are likely to be read
-	answered      bool    // something has come
-	announced     bool    // its prompt is long enough to be told to other proxies
-	recovered     bool    // it showed that a runner which had been silent answers
+	load          float64 // of the runner after it was added, as its limits see it
+	weight        float64 // in slots: 1, and more during prefill
+	prefillWeight float64 // the part of weight that the first event releases
+	tokens        float64 // of the engine's memory
+	prefillTokens float64 // prompt tokens that are probably not cached
+	answered      bool    // the first event or byte has come
+	announced     bool    // its prompt is long enough for a notice to the other proxies
+	recovered     bool    // its first event ended the suspicion of its runner
 	ended         bool
-	prev, next    *Attempt // among those of which nothing has come yet
+	prev, next    *Attempt // neighbours in runnerState.pending
 }
 
 // attemptList is an intrusive list of attempts in the order in which they were sent.
@@ -80,15 +80,15 @@
 // tokenDemand is what a request asks of an engine's memory.
 type tokenDemand struct {
 	uniqueTokens     float64 // prompt tokens that no other request shares
-	sharedTokens     float64 // prompt tokens that may be kept
-	outputTokens     float64 // tokens that come
-	prefix           uint64  // of the shared parts; 0: none
-	lastSharedTokens float64 // prompt tokens of the last shared part
+	sharedTokens     float64 // prompt tokens that may be cached
+	outputTokens     float64 // expected generated tokens
+	prefix           uint64  // hash of the shared chunks; 0: the route has no prefix affinity
+	lastSharedTokens float64 // prompt tokens of the last shared chunk
 }
 
 // memoryTokens is the memory that a request takes, in tokens.
-func (d *tokenDemand) memoryTokens(kept bool) float64 {
-	if kept {
+func (d *tokenDemand) memoryTokens(cached bool) float64 {
+	if cached {
 		return d.uniqueTokens + d.outputTokens
 	}
 	return d.uniqueTokens + d.sharedTokens + d.outputTokens
@@ -99,11 +99,11 @@
 	if !service.isEngine() {
 		return demand
 	}
-	for i, part := range request.Chunks {
+	for i, chunk := range request.Chunks {
 		if i < len(request.Chunks)-1 {
-			demand.sharedTokens += float64(part.Tokens)
+			demand.sharedTokens += float64(chunk.Tokens)
 		} else {
-			demand.uniqueTokens += float64(part.Tokens)
+			demand.uniqueTokens += float64(chunk.Tokens)
 		}
 	}
 	if in := float64(request.InputTokens); in > demand.uniqueTokens+demand.sharedTokens {
@@ -149,11 +149,11 @@
 func (p *Placer) sizeAttempt(now time.Duration, service *serviceState, attempt *Attempt, demand *tokenDemand) {
 	runner := attempt.runner
 	owners := p.ownersOf(now, service, attempt.Request, demand)
-	kept := owners.isOwner(runner) || demand.prefix != 0 && service.prefixHistory.sentRecently(demand.prefix, runner.key)
+	cached := owners.isOwner(runner) || demand.prefix != 0 && service.prefixHistory.sentRecently(demand.prefix, runner.key)
 	attempt.weight = 1
 	if service.isEngine() {
-		attempt.tokens, attempt.prefillTokens = demand.memoryTokens(kept), demand.uniqueTokens
-		if !kept {
+		attempt.tokens, attempt.prefillTokens = demand.memoryTokens(cached), demand.uniqueTokens
+		if !cached {
 			attempt.prefillTokens += demand.sharedTokens
 		}
 		attempt.prefillWeight = attempt.prefillTokens / service.slotTokens()
@@ -164,36 +164,36 @@
 }
 
 // addAttempt reserves what an attempt takes.
-func (w *runnerState) addAttempt(attempt *Attempt) {
-	w.ownUsage.add(&usage{attempt.weight, attempt.prefillWeight, attempt.tokens}, 1)
-	w.load, w.spareSlots, w.spareTokens = w.load+attempt.weight, w.spareSlots-attempt.weight, w.spareTokens-attempt.tokens
-	w.ownAttempts++
-	w.lastSentAt = attempt.sentAt
-	w.pending.push(attempt)
+func (r *runnerState) addAttempt(attempt *Attempt) {
+	r.ownUsage.add(&usage{attempt.weight, attempt.prefillWeight, attempt.tokens}, 1)
+	r.load, r.spareSlots, r.spareTokens = r.load+attempt.weight, r.spareSlots-attempt.weight, r.spareTokens-attempt.tokens
+	r.ownAttempts++
+	r.lastSentAt = attempt.sentAt
+	r.pending.push(attempt)
 }
 
 // endPrefill releases the weight of an attempt's prefill.
-func (w *runnerState) endPrefill(attempt *Attempt) {
-	w.ownUsage.add(&usage{attempt.prefillWeight, attempt.prefillWeight, 0}, -1)
-	w.load, w.spareSlots = w.load-attempt.prefillWeight, w.spareSlots+attempt.prefillWeight
+func (r *runnerState) endPrefill(attempt *Attempt) {
+	r.ownUsage.add(&usage{attempt.prefillWeight, attempt.prefillWeight, 0}, -1)
+	r.load, r.spareSlots = r.load-attempt.prefillWeight, r.spareSlots+attempt.prefillWeight
 	attempt.weight -= attempt.prefillWeight
 	attempt.prefillWeight = 0
-	w.pending.remove(attempt)
+	r.pending.remove(attempt)
 }
 
 // removeAttempt releases all that an attempt still holds.
-func (w *runnerState) removeAttempt(attempt *Attempt) {
+func (r *runnerState) removeAttempt(attempt *Attempt) {
 	if !attempt.answered {
-		w.endPrefill(attempt)
+		r.endPrefill(attempt)
 	}
-	w.ownUsage.add(&usage{attempt.weight, 0, attempt.tokens}, -1)
-	w.load, w.spareSlots, w.spareTokens = w.load-attempt.weight, w.spareSlots+attempt.weight, w.spareTokens+attempt.tokens
-	w.ownAttempts--
-	if w.ownAttempts == 0 {
-		w.ownUsage = usage{} // whatever rounding has left
+	r.ownUsage.add(&usage{attempt.weight, 0, attempt.tokens}, -1)
+	r.load, r.spareSlots, r.spareTokens = r.load-attempt.weight, r.spareSlots+attempt.weight, r.spareTokens+attempt.tokens
+	r.ownAttempts--
+	if r.ownAttempts == 0 {
+		r.ownUsage = usage{} // drops rounding errors
 	}
-	if w.probe == attempt {
-		w.probe = nil
+	if r.probe == attempt {
+		r.probe = nil
 	}
 }
 
@@ -209,10 +209,12 @@
 	p.learnFromFirstEvent(attempt, (now - attempt.sentAt).Seconds())
 }
 
-// HandleEvent records a later event of a stream. This policy does not use them; others of the same interface may.
+// HandleEvent records a later event of a stream. This policy does not use them; other implementations of the
+// caller's interface may.
 func (p *Placer) HandleEvent(now time.Duration, attempt *Attempt) {}
 
-// EndAttempt records the end of an attempt. A second call for the same attempt has no effect.
+// EndAttempt records the end of an attempt. A further call for the same attempt changes no load and no
+// learnt value.
 func (p *Placer) EndAttempt(now time.Duration, attempt *Attempt, outcome Outcome, progress Progress) {
 	if outcome == ConnectFailed {
 		attempt.Request.connectFailures++
@@ -231,12 +233,12 @@
 
 // inferFirstEvent records the first event of an answer that ended without HandleFirstEvent.
 func (p *Placer) inferFirstEvent(now time.Duration, attempt *Attempt, progress Progress) {
-	after := progress.TimeToFirstEvent
-	if after <= 0 {
-		after = progress.Duration
+	elapsed := progress.TimeToFirstEvent
+	if elapsed <= 0 {
+		elapsed = progress.Duration
 	}
 	attempt.answered = true
 	attempt.runner.endPrefill(attempt)
 	attempt.runner.markAlive(now)
-	p.learnFromFirstEvent(attempt, after.Seconds())
+	p.learnFromFirstEvent(attempt, elapsed.Seconds())
 }
--- a/internal/system/placement/capacity.go
+++ b/internal/system/placement/capacity.go
@@ -11,27 +11,20 @@
 
 // The capacity plan.
 const (
-	planPeriod         = 100 * time.Millisecond // monitoring period
-	usageWindow        = 1.5                    // seconds over which own loads are averaged to guess those of others; measured
-	waitDecay          = 0.5                    // seconds in which a wait that was seen stops counting; measured
-	lateStartShare     = 0.6                    // of an aim that a first answer may take before it is a sign of load
-	maxWaitLoad        = 2.0                    // multiples of its size that waits may add to a runner's load
-	plannedMemoryShare = 0.95                   // of an engine's memory that is planned with
-	initialTarget      = 1.0                    // seconds; the aim of a service of which no route has been asked for
-	initialTimeout     = 5.0                    // seconds; the longest time-out before a route is seen
-	fleetLearningRate  = 0.1                    // weight of a sample in means over all runners, which get more of them
-	targetForgetRate   = 0.002                  // with which the tightest aim of a service forgets
-	maxRoutes          = 4096                   // whose answers are remembered
-	speedWindowSize    = 64                     // prompts by which the speed of reading is known
-	minSpeedSamples    = 4                      // of them that count for more than what an earlier life had learnt
-	speedQuantile      = 0.8                    // the share of prompts that are read more slowly than the speed learnt
+	planPeriod         = 100 * time.Millisecond // how often the plan is rebuilt
+	usageWindow        = 1.5                    // seconds over which own loads are averaged, to estimate those of other proxies; measured
+	waitDecay          = 0.5                    // time constant in seconds with which an observed wait decays; measured
+	lateStartShare     = 0.6                    // share of a latency target; a first event that takes longer is a sign of overload
+	maxWaitLoad        = 2.0                    // what waits may add to a runner's load, in multiples of its slots
+	plannedMemoryShare = 0.95                   // share of an engine's memory that is planned with
+	fleetLearningRate  = 0.1                    // weight of a sample in means over all runners, which get more samples
 )
 
 // usage is what attempts take of a runner.
 type usage struct {
-	slots   float64 // weights
-	prefill float64 // the part of them that is prompts being read
-	tokens  float64 // of memory
+	slots   float64 // sum of the attempts' weights
+	prefill float64 // the part of slots that is prompts in prefill
+	tokens  float64 // of the engine's memory
 }
 
 // smooth moves a running mean towards a sample.
@@ -79,13 +72,13 @@
 
 // updateMeans moves the running means of a service's runners.
 func (p *Placer) updateMeans(now time.Duration, service *serviceState, elapsed float64) {
-	rate, fade := 1-math.Exp(-elapsed/usageWindow), math.Exp(-elapsed/waitDecay)
+	rate, decay := 1-math.Exp(-elapsed/usageWindow), math.Exp(-elapsed/waitDecay)
 	recovered := math.Min(elapsed/p.longestTimeout, 1)
 	service.meanUsage = usage{}
 	for _, runner := range service.runners {
 		runner.meanUsage.smooth(&runner.ownUsage, rate)
-		runner.excessWait *= fade
-		if attempt := runner.pending.head; attempt != nil { // it has been waiting for longer than is usual: fresher news than any end
+		runner.excessWait *= decay
+		if attempt := runner.pending.head; attempt != nil { // it still waits, which says more than attempts that ended earlier
 			runner.excessWait = math.Max(runner.excessWait, (now-attempt.sentAt).Seconds()-p.expectedFirstEvent(service, runner, attempt.prefillTokens))
 		}
 		runner.limits.Recover(runner.slots, recovered)
@@ -96,16 +89,16 @@
 // planService computes the spare capacity of a service's runners.
 func (p *Placer) planService(now time.Duration, service *serviceState) {
 	service.plannedAt = now
-	sum, n := 0.0, 0.0
+	sum, observed := 0.0, 0.0
 	for _, runner := range service.runners {
 		p.deriveLoad(now, service, runner)
 		if runner.ejection.Observed && !runner.Draining {
-			sum, n = sum+runner.spareSlots, n+1
+			sum, observed = sum+runner.spareSlots, observed+1
 		}
 	}
 	for _, runner := range service.runners {
-		if !runner.ejection.Observed && n > 0 { // not heard from yet: the mean room of the others
-			runner.spareSlots = math.Min(runner.limits.Load*warmth(now, runner), sum/n) - runner.ownUsage.slots
+		if !runner.ejection.Observed && observed > 0 { // no attempt has ended yet: the mean of the others
+			runner.spareSlots = math.Min(runner.limits.Load*warmth(now, runner), sum/observed) - runner.ownUsage.slots
 		}
 		if runner.utilization >= runner.limits.Utilization {
 			runner.spareSlots = math.Min(runner.spareSlots, 0)
@@ -116,21 +109,21 @@
 // deriveLoad computes a runner's load from this proxy's own requests there, the estimate of the others' and the waits
 // seen; and the spare capacity that remains below its limits.
 func (p *Placer) deriveLoad(now time.Duration, service *serviceState, runner *runnerState) {
-	all, others := runner.ownUsage, p.otherProxies()
-	all.add(&service.meanUsage, others)
+	total, others := runner.ownUsage, p.otherProxies()
+	total.add(&service.meanUsage, others)
 	if p.hasRecentNotices(now) {
-		guessed := all.prefill - runner.ownUsage.prefill
-		known := math.Max(runner.backlog.remaining(now, service.prefillRate())-runner.ownUsage.prefill, 0)
-		all.slots, all.prefill = all.slots+known-guessed, runner.ownUsage.prefill+known
+		estimated := total.prefill - runner.ownUsage.prefill
+		announced := math.Max(runner.backlog.remaining(now, service.prefillRate())-runner.ownUsage.prefill, 0)
+		total.slots, total.prefill = total.slots+announced-estimated, runner.ownUsage.prefill+announced
 	}
 	waiting := service.waitLoad(runner)
-	runner.occupiedSlots = all.slots - all.prefill
-	runner.load = all.slots + math.Max(waiting-all.prefill, 0)
+	runner.occupiedSlots = total.slots - total.prefill
+	runner.load = total.slots + math.Max(waiting-total.prefill, 0)
 	runner.utilization = runner.load / runner.slots
 	runner.spareTokens = math.Inf(1)
 	if service.isEngine() {
-		runner.utilization = service.prefillTime(math.Max(waiting, all.prefill)) / (lateStartShare * service.latencyTarget)
-		runner.spareTokens = plannedMemoryShare*float64(service.Backend.CacheTokens) - all.tokens
+		runner.utilization = service.prefillTime(math.Max(waiting, total.prefill)) / (lateStartShare * service.latencyTarget)
+		runner.spareTokens = plannedMemoryShare*float64(service.Backend.CacheTokens) - total.tokens
 	}
 	runner.spareSlots = capacity.SpareCapacity(runner.limits.Load, warmth(now, runner), runner.load)
 }
--- a/internal/system/placement/eligibility.go
+++ b/internal/system/placement/eligibility.go
@@ -38,11 +38,11 @@
 }
 
 // servesModel reports whether a runner has a model; one that reports no models has all.
-func (w *runnerState) servesModel(model string) bool {
-	if model == "" || len(w.Models) == 0 {
+func (r *runnerState) servesModel(model string) bool {
+	if model == "" || len(r.Models) == 0 {
 		return true
 	}
-	for _, candidate := range w.Models {
+	for _, candidate := range r.Models {
 		if candidate == model {
 			return true
 		}
--- a/internal/system/placement/health.go
+++ b/internal/system/placement/health.go
@@ -10,51 +10,51 @@
 
 // Suspicion.
 const (
-	minSuspectDuration = 300 * time.Millisecond // for which a silent runner gets nothing, longer each time
+	minSuspectDuration = 300 * time.Millisecond // first suspicion of a runner; each further one doubles, up to
 	maxSuspectDuration = 4 * time.Second
-	sharedFaultShare   = 0.5 // of a service's runners that are suspect at once: the cause is shared
+	sharedFaultShare   = 0.5 // share of a service's runners; if more are suspect at once, the fault is shared
 )
 
 // recordOutcome counts a failure, 1, or a success, 0, and ejects a runner whose attempts fail more than those of its peers.
-func (p *Placer) recordOutcome(now time.Duration, runner *runnerState, bad float64) {
-	if runner.ejection.RecordOutcome(bad, runner.service.peerErrorRate(runner)) {
+func (p *Placer) recordOutcome(now time.Duration, runner *runnerState, failure float64) {
+	if runner.ejection.RecordOutcome(failure, runner.service.peerErrorRate(runner)) {
 		runner.ejection.Eject(now.Seconds(), runner.service.latencyTarget, p.longestTimeout)
 	}
 }
 
 // peerErrorRate is the mean error rate of the other runners that have ended an attempt.
 func (s *serviceState) peerErrorRate(runner *runnerState) float64 {
-	sum, n := 0.0, 0.0
+	sum, observed := 0.0, 0.0
 	for _, peer := range s.runners {
 		if peer != runner && peer.ejection.Observed {
-			sum, n = sum+peer.ejection.ErrorRate, n+1
+			sum, observed = sum+peer.ejection.ErrorRate, observed+1
 		}
 	}
-	return sum / math.Max(n, 1)
+	return sum / math.Max(observed, 1)
 }
 
 // markSuspect records that a connection or an answer never came. Each time the suspicion lasts longer.
-func (w *runnerState) markSuspect(now time.Duration) {
-	if w.suspect && now < w.suspectUntil {
+func (r *runnerState) markSuspect(now time.Duration) {
+	if r.suspect && now < r.suspectUntil {
 		return
 	}
-	w.suspect = true
-	w.suspectDuration = min(max(2*w.suspectDuration, minSuspectDuration), maxSuspectDuration)
-	w.suspectUntil = now + w.suspectDuration
+	r.suspect = true
+	r.suspectDuration = min(max(2*r.suspectDuration, minSuspectDuration), maxSuspectDuration)
+	r.suspectUntil = now + r.suspectDuration
 }
 
 // markAlive records that the runner answers. One that was suspect may have restarted, and may be in slow start.
-func (w *runnerState) markAlive(now time.Duration) {
-	if w.suspect {
-		w.guardedUntil = now + slowStartGuard
+func (r *runnerState) markAlive(now time.Duration) {
+	if r.suspect {
+		r.guardedUntil = now + slowStartGuard
 	}
-	w.suspect, w.suspectDuration, w.probe = false, 0, nil
+	r.suspect, r.suspectDuration, r.probe = false, 0, nil
 }
 
 // isAvoided reports whether a runner is suspect and not to be tried now: once its suspicion has expired, a single request
 // probes whether it is back.
-func (w *runnerState) isAvoided(now time.Duration) bool {
-	return w.suspect && (now < w.suspectUntil || w.probe != nil)
+func (r *runnerState) isAvoided(now time.Duration) bool {
+	return r.suspect && (now < r.suspectUntil || r.probe != nil)
 }
 
 // isSharedFault reports whether so many runners of the service are suspect at once that the fault is not theirs, or that
--- a/internal/system/placement/limits.go
+++ b/internal/system/placement/limits.go
@@ -11,24 +11,24 @@
 
 // loadForLimits is a runner's load as its limits see it: being near the utilization limit counts like being as near to the
 // load limit.
-func (w *runnerState) loadForLimits() float64 {
-	return math.Max(w.load, w.utilization/w.limits.Utilization*w.limits.Load)
+func (r *runnerState) loadForLimits() float64 {
+	return math.Max(r.load, r.utilization/r.limits.Utilization*r.limits.Load)
 }
 
 // learnFromFirstEvent learns from the time to a first event: the latency of the region, the prefill speed, the wait.
-func (p *Placer) learnFromFirstEvent(attempt *Attempt, took float64) {
+func (p *Placer) learnFromFirstEvent(attempt *Attempt, elapsed float64) {
 	runner, service := attempt.runner, attempt.runner.service
-	far := &p.regions[runner.regionIndex].latency
-	if *far == 0 || took < *far {
-		*far = took
+	latency := &p.regions[runner.regionIndex].latency
+	if *latency == 0 || elapsed < *latency {
+		*latency = elapsed
 	}
-	excess := took - p.expectedFirstEvent(service, runner, attempt.prefillTokens)
+	excess := elapsed - p.expectedFirstEvent(service, runner, attempt.prefillTokens)
 	capacity.UpdateMean(&runner.excessWait, math.Max(excess, 0), 2*capacity.LearningRate)
-	if service.isEngine() && attempt.prefillTokens > service.slotTokens()/16 && took > *far {
-		service.learnPrefillSpeed(attempt.prefillTokens / (took - *far))
+	if service.isEngine() && attempt.prefillTokens > service.slotTokens()/minSpeedSampleSlot && elapsed > *latency {
+		service.learnPrefillSpeed(attempt.prefillTokens / (elapsed - *latency))
 	}
-	if attempt.Request.Route != nil && took > lateStartShare*attempt.Request.Route.LatencyTarget.Seconds() {
-		runner.limits.RecordOverload(attempt.load, runner.slots) // a late start is the early warning of a late end
+	if attempt.Request.Route != nil && elapsed > lateStartShare*attempt.Request.Route.LatencyTarget.Seconds() {
+		runner.limits.RecordOverload(attempt.load, runner.slots) // a late start precedes a late end
 	}
 }
 
@@ -49,7 +49,7 @@
 		runner.limits.RecordOverload(attempt.load, runner.slots)
 		runner.markSuspect(now)
 		p.recordOutcome(now, runner, 1)
-	case Misdirected: // whoever has the address now is not the runner that was meant
+	case Misdirected: // the runner at the address is another one
 		runner.suspectDuration = maxSuspectDuration
 		runner.markSuspect(now)
 	}
@@ -61,16 +61,16 @@
 	if request.Route == nil {
 		return
 	}
-	stats, took := p.statsOf(request.Route), progress.Duration.Seconds()
-	if took <= 0 {
-		took = (now - attempt.sentAt).Seconds()
+	stats, elapsed := p.statsOf(request.Route), progress.Duration.Seconds()
+	if elapsed <= 0 {
+		elapsed = (now - attempt.sentAt).Seconds()
 	}
-	capacity.UpdateMean(&stats.deviation, math.Abs(took-stats.meanDuration), fleetLearningRate)
-	capacity.UpdateMean(&stats.meanDuration, took, fleetLearningRate)
-	capacity.UpdateMean(&runner.service.meanDuration, took, fleetLearningRate)
+	capacity.UpdateMean(&stats.deviation, math.Abs(elapsed-stats.meanDuration), fleetLearningRate)
+	capacity.UpdateMean(&stats.meanDuration, elapsed, fleetLearningRate)
+	capacity.UpdateMean(&runner.service.meanDuration, elapsed, fleetLearningRate)
 	if service := runner.service; service.isEngine() && request.MaxOutputTokens > 0 && progress.Events > 0 {
-		out := float64(progress.Events*max(service.Backend.TokensPerEvent, 1)) / float64(request.MaxOutputTokens)
-		capacity.UpdateMean(&stats.outputShare, math.Min(out, 1), fleetLearningRate)
+		share := float64(progress.Events*max(service.Backend.TokensPerEvent, 1)) / float64(request.MaxOutputTokens)
+		capacity.UpdateMean(&stats.outputShare, math.Min(share, 1), fleetLearningRate)
 	}
 	if metTargets(request, progress) {
 		runner.limits.RecordSuccess(attempt.load, runner.slots)
--- a/internal/system/placement/notices.go
+++ b/internal/system/placement/notices.go
@@ -11,13 +11,13 @@
 
 // What proxies tell each other.
 const (
-	prefillSlotShare      = 0.5                   // of the memory that a slot has: so many tokens being read weigh as much as a slot; measured
-	minNoticeThreshold    = 1.0                   // slots that the reading of a prompt takes for the other proxies to be told, at least
-	maxPlanAge            = 10 * time.Millisecond // the age of a plan that a choice goes by, where others tell of their prompts
-	maxNoticeRate         = 300.0                 // notices a second; where more come, longer prompts alone are told
-	noticeThresholdGrowth = 1.1                   // of the length from which prompts are told, in a period in which too many came
-	noticeThresholdDecay  = 0.98                  // of it in any other
-	noticeValidity        = 2 * time.Second       // after the last notice, in which the prompts of all others are taken to be known
+	prefillSlotShare      = 0.5                   // share of a slot's memory: so many tokens in prefill weigh as much as a slot; measured
+	minNoticeThreshold    = 1.0                   // prefill weight in slots from which prompts are announced, at least
+	maxPlanAge            = 10 * time.Millisecond // of the plan that a choice uses, where other proxies announce their prompts
+	maxNoticeRate         = 300.0                 // notices a second; if more come, only longer prompts are announced
+	noticeThresholdGrowth = 1.1                   // factor of the threshold after a period with too many notices
+	noticeThresholdDecay  = 0.98                  // factor of the threshold after any other period
+	noticeValidity        = 2 * time.Second       // how long after the last notice the others' prompts are taken to be known
 )
 
 // NoticeKind says what a notice is about.
@@ -25,32 +25,32 @@
 
 // The kinds of notices.
 const (
-	NoticePrefill  NoticeKind = iota + 1 // the runner is to read a prompt
-	NoticeRecovery                       // the runner had been silent and answers again
+	NoticePrefill  NoticeKind = iota + 1 // a prompt was sent to the runner
+	NoticeRecovery                       // the runner was suspect and answers again
 )
 
 // Notice is what a proxy announces to the others about a runner.
 type Notice struct {
 	Kind      NoticeKind
-	RunnerKey uint64 // its key
-	Tokens    int    // of the prompt, where there is one
+	RunnerKey uint64 // hash of its id
+	Tokens    int    // length of the prompt, for NoticePrefill
 }
 
 // prefillBacklog is what a runner has yet to prefill of all prompts that are known. It grows by each prompt and shrinks at
 // the prefill speed.
 type prefillBacklog struct {
-	slots     float64 // at the time below
+	slots     float64 // at updatedAt
 	updatedAt time.Duration
 }
 
 // remaining is what has not been prefilled by now, in slots; rate is in slots a second.
-func (u *prefillBacklog) remaining(now time.Duration, rate float64) float64 {
-	return math.Max(0, u.slots-rate*(now-u.updatedAt).Seconds())
+func (b *prefillBacklog) remaining(now time.Duration, rate float64) float64 {
+	return math.Max(0, b.slots-rate*(now-b.updatedAt).Seconds())
 }
 
 // add adds a prompt.
-func (u *prefillBacklog) add(now time.Duration, rate, slots float64) {
-	u.slots, u.updatedAt = u.remaining(now, rate)+slots, now
+func (b *prefillBacklog) add(now time.Duration, rate, slots float64) {
+	b.slots, b.updatedAt = b.remaining(now, rate)+slots, now
 }
 
 // HandleNotice applies the notice of another proxy.
--- a/internal/system/placement/peers.go
+++ b/internal/system/placement/peers.go
@@ -5,18 +5,25 @@
 	"time"
 )
 
+// Delays after which a change of the proxies counts.
+const (
+	joinDelay         = 2 * time.Second // after a start or a pause, until all other proxies count this one
+	sleepThreshold    = time.Second     // without a call after which the process must have been frozen
+	proxyRemovalDelay = 2 * time.Second // until a lower number of proxies applies
+)
+
 // peer is a proxy, this one included, by its key.
 type peer struct {
 	key       uint64
-	expiresAt time.Duration // it was left out of what was told last, and counts no longer from then on; 0: it was named
+	expiresAt time.Duration // from then on it no longer counts, since SetPeers no longer names it; 0: it does
 }
 
 // SetProxyCount sets the number of proxies that may be sending, this one among them; shared budgets are divided by it. A
 // lower number counts only after proxyRemovalDelay: a proxy that seems gone may have sends under way.
-func (p *Placer) SetProxyCount(now time.Duration, n int) {
+func (p *Placer) SetProxyCount(now time.Duration, count int) {
 	p.recordCall(now)
 	p.peers = nil
-	p.setProxyCount(now, n)
+	p.setProxyCount(now, count)
 }
 
 // SetPeers sets the keys of all proxies that may be sending, which implies their number. Only with keys can slow start be
@@ -49,16 +56,16 @@
 }
 
 // setProxyCount applies a higher number at once and keeps a lower one pending.
-func (p *Placer) setProxyCount(now time.Duration, n int) {
-	n = max(n, 0)
-	if n >= p.proxyCount {
-		p.proxyCount, p.pendingProxyCount = n, 0
+func (p *Placer) setProxyCount(now time.Duration, count int) {
+	count = max(count, 0)
+	if count >= p.proxyCount {
+		p.proxyCount, p.pendingProxyCount = count, 0
 		return
 	}
 	if p.pendingProxyCount == 0 {
 		p.pendingProxyCountAt = now + proxyRemovalDelay
 	}
-	p.pendingProxyCount = max(n, 1)
+	p.pendingProxyCount = max(count, 1)
 }
 
 // applyProxyCount applies a lower number of proxies once it has been pending for long enough.
--- a/internal/system/placement/placer.go
+++ b/internal/system/placement/placer.go
@@ -12,7 +12,7 @@
 // Options are the location of a proxy and the budgets of the deployment.
 type Options struct {
 	Zone, Region       string
-	Zones              map[string]string // region of each zone
+	Zones              map[string]string // region by zone, for runners that report none
 	RetryRatio         float64
 	RetryWindow        time.Duration
 	RetryAllowance     float64
@@ -22,26 +22,26 @@
 
 // validate returns one error for each option that makes no sense. It names them as the settings do.
 func (o *Options) validate() error {
-	var findings []error
-	bad := func(field string, v any) { findings = append(findings, fmt.Errorf("placement: bad %s: %v", field, v)) }
+	var problems []error
+	bad := func(field string, v any) { problems = append(problems, fmt.Errorf("placement: bad %s: %v", field, v)) }
 	if o.Zone == "" {
 		bad("Zone", "empty")
 	}
 	if o.Region == "" {
 		bad("Region", "empty")
 	}
-	for _, f := range []struct {
+	for _, option := range []struct {
 		name string
 		v    float64
 	}{{"RetryRatio", o.RetryRatio}, {"RetryExtra", o.RetryAllowance}, {"ColdExcess", o.SlowStartFactor}, {"ColdSlack", o.SlowStartAllowance}} {
-		if math.IsNaN(f.v) || math.IsInf(f.v, 0) || f.v < 0 {
-			bad(f.name, f.v)
+		if math.IsNaN(option.v) || math.IsInf(option.v, 0) || option.v < 0 {
+			bad(option.name, option.v)
 		}
 	}
 	if o.RetryWindow <= 0 {
 		bad("RetryWindow", o.RetryWindow)
 	}
-	return errors.Join(findings...)
+	return errors.Join(problems...)
 }
 
 // Placer decides which runner takes each request of a proxy.
@@ -55,25 +55,25 @@
 	routes    map[string]*routeStats
 	regions   []regionStats
 
-	startedAt           time.Duration // when it first was told anything
+	startedAt           time.Duration // of the first call
 	started             bool
-	lastCallAt          time.Duration // when it was last asked or told anything
-	countedFrom         time.Duration // from then on the others count this proxy
-	proxyCount          int           // that may be sending; 0: not told yet
-	pendingProxyCount   int           // the count that was told last, where it is lower
+	lastCallAt          time.Duration // of the last call
+	countedFrom         time.Duration // from then on all other proxies count this one
+	proxyCount          int           // proxies that may be sending; 0: not known yet
+	pendingProxyCount   int           // a lower count that does not apply yet; 0: none
 	pendingProxyCountAt time.Duration
 	selfKey             uint64
-	peers               []peer // empty: only their number was told
+	peers               []peer // empty: only their number is known
 	plannedAt           time.Duration
-	latencyTarget       float64 // tightest aim of a route seen, in seconds
-	longestTimeout      float64 // longest time-out of a route seen
+	latencyTarget       float64 // tightest target of a route seen, in seconds
+	longestTimeout      float64 // longest timeout of a route seen, in seconds
 	lastAttemptID       uint64
 	restored            map[string]runnerSnapshot
 	restoredSpeeds      map[string]float64
-	notified            bool          // another proxy has told of a prompt
-	lastNoticeAt        time.Duration // when one did last
-	noticeCount         int           // notices of prompts in this period
-	noticeThreshold     float64       // slots that the reading of a prompt takes for the others to be told
+	notified            bool          // another proxy has announced a prompt
+	lastNoticeAt        time.Duration // of the last announced prompt
+	noticeCount         int           // announced prompts in this period
+	noticeThreshold     float64       // prefill weight in slots from which own prompts are announced
 }
 
 // New checks the options and returns a Placer that knows nothing yet. The seed decides how ties are broken.
--- a/internal/system/placement/prefill_speed.go
+++ b/internal/system/placement/prefill_speed.go
@@ -2,6 +2,14 @@
 
 import "slices"
 
+// The prefill speed.
+const (
+	speedWindowSize    = 64  // samples that are kept
+	minSpeedSamples    = 4   // samples that replace a restored speed
+	speedQuantile      = 0.8 // quantile of the samples that is taken for the speed
+	minSpeedSampleSlot = 16  // a prompt is a sample if it weighs more than a slot divided by this
+)
+
 // speedWindow holds the prefill speeds of a service's last prompts, in tokens a second. Prompts that waited for others say
 // little of the engines' speed, so the speed is a high quantile of the samples; a few samples are enough after a start, and
 // no single one moves it far.
@@ -14,8 +22,8 @@
 func (w *speedWindow) add(sample float64) (speed float64) {
 	w.samples[w.count%speedWindowSize] = sample
 	w.count++
-	held := w.samples
-	sorted := held[:min(w.count, speedWindowSize)]
+	samples := w.samples
+	sorted := samples[:min(w.count, speedWindowSize)]
 	slices.Sort(sorted)
 	return sorted[min(int(speedQuantile*float64(len(sorted))), len(sorted)-1)]
 }
--- a/internal/system/placement/prefix_cache.go
+++ b/internal/system/placement/prefix_cache.go
@@ -13,18 +13,21 @@
 
 // Kept parts.
 const (
-	prefixPrice          = 4.0  // reading a shared part again costs this multiple of its time, since it is priced; measured
-	minPrefixPreference  = 0.5  // slots by which the owner of a chain is preferred at least; measured
-	recentPrefixShare    = 0.75 // of what is saved at the owner, where this proxy sent the chain lately
-	secondaryPrefixShare = 0.5  // and at the runner that comes after the owner
+	prefixPrice          = 4.0  // weight of prefilling a prefix again relative to its time, since it is priced; measured
+	minPrefixPreference  = 0.5  // slots by which the owner of a prefix is preferred at least; measured
+	recentPrefixShare    = 0.75 // share of the owner's preference for a runner that this proxy recently sent the prefix to
+	secondaryPrefixShare = 0.5  // and for the secondary owner
 	prefixHistorySpan    = 30 * time.Second
 	prefixHistorySize    = 1024
-	maxRegions           = 16   // whose owners of a chain are told apart
-	bytesPerToken        = 18.0 // bytes between regions that are priced as a token read again is: 15 to 23 where this was measured
-	reuseLearningRate    = 0.05 // weight of a request in the share of those that come again
-	maxReuse             = 0.98 // of it that is believed
+	maxRegions           = 16   // regions with prefix owners of their own
+	bytesPerToken        = 18.0 // bytes between regions that cost as much as prefilling a token; 15 to 23 were measured
+	reuseLearningRate    = 0.05 // weight of a request in routeStats.prefixReuse
+	maxReuse             = 0.98 // upper bound of the reuse that is planned with
 )
 
+// prefixHashSeed is the hash of no chunks.
+const prefixHashSeed = 0x9e3779b97f4a7c15
+
 // prefixHash is the hash of a prompt's shared chunks in their order: all but the last, which belongs to the request or its
 // session. A prompt of a single chunk is its own prefix. 0: there are no chunks.
 func prefixHash(chunks []Chunk) uint64 {
@@ -32,11 +35,11 @@
 		return 0
 	}
 	last := max(len(chunks)-1, 1)
-	chain := uint64(0x9e3779b97f4a7c15)
+	prefix := uint64(prefixHashSeed)
 	for _, chunk := range chunks[:last] {
-		chain = capacity.Hash(chain ^ capacity.Hash(chunk.ID))
+		prefix = capacity.Hash(prefix ^ capacity.Hash(chunk.ID))
 	}
-	return max(chain, 1)
+	return max(prefix, 1)
 }
 
 // lastSharedTokens is the length of the last shared chunk, in tokens.
@@ -51,13 +54,13 @@
 type prefixOwners struct {
 	regions [maxRegions]regionOwners
 	all     regionOwners // over all regions
-	global  bool         // the chain has one owner for all regions
+	global  bool         // the prefix has one owner for all regions
 }
 
 // regionOwners are the owner of a prefix in a region and the secondary owner, which takes over when the first is full.
 type regionOwners struct {
 	first, second           *runnerState
-	firstScore, secondScore uint64 // their draws
+	firstScore, secondScore uint64 // rendezvous scores of the two
 }
 
 // ownersOf draws the owners of a request's prefix among the serving runners that are not in slow start. It uses only what
@@ -71,10 +74,10 @@
 		if runner.Draining || runner.TerminatesAt > 0 || now < runner.SlowStartUntil || p.evacuated[runner.Zone] || !inHomeRegion(request, runner) || !runner.servesModel(request.Model) {
 			continue
 		}
-		draw := capacity.Hash(demand.prefix ^ runner.key)
-		owners.regions[runner.regionIndex%maxRegions].consider(runner, draw)
+		score := capacity.Hash(demand.prefix ^ runner.key)
+		owners.regions[runner.regionIndex%maxRegions].consider(runner, score)
 		if owners.global {
-			owners.all.consider(runner, draw)
+			owners.all.consider(runner, score)
 		}
 	}
 	return owners
@@ -88,8 +91,8 @@
 	if request.Route == nil || request.BodyBytes <= 0 || len(p.regions) < 2 {
 		return false
 	}
-	own := -math.Log(1 - math.Min(p.statsOf(request.Route).prefixReuse, maxReuse))
-	uses := own * math.Max(float64(p.proxyCount)/float64(len(p.regions)), 1)
+	perProxy := -math.Log(1 - math.Min(p.statsOf(request.Route).prefixReuse, maxReuse))
+	uses := perProxy * math.Max(float64(p.proxyCount)/float64(len(p.regions)), 1)
 	return uses*float64(request.BodyBytes) < bytesPerToken*demand.lastSharedTokens
 }
 
@@ -151,9 +154,9 @@
 }
 
 // find returns the record of a prefix and a runner, or the one that it would replace.
-func (k *prefixHistory) find(prefix, runner uint64) *prefixRecord {
-	at := 2 * (capacity.Hash(prefix^runner) % uint64(len(k.entries)/2))
-	first, second := &k.entries[at], &k.entries[at+1]
+func (history *prefixHistory) find(prefix, runner uint64) *prefixRecord {
+	at := 2 * (capacity.Hash(prefix^runner) % uint64(len(history.entries)/2))
+	first, second := &history.entries[at], &history.entries[at+1]
 	if second.matches(prefix, runner) || !first.matches(prefix, runner) && second.sentAt < first.sentAt {
 		return second
 	}
@@ -165,21 +168,21 @@
 }
 
 // sentRecently reports whether the prefix was sent to the runner within prefixHistorySpan.
-func (k *prefixHistory) sentRecently(prefix, runner uint64) bool {
-	if len(k.entries) == 0 {
+func (history *prefixHistory) sentRecently(prefix, runner uint64) bool {
+	if len(history.entries) == 0 {
 		return false
 	}
-	e := k.find(prefix, runner)
-	return e.matches(prefix, runner) && k.updatedAt-e.sentAt < prefixHistorySpan
+	record := history.find(prefix, runner)
+	return record.matches(prefix, runner) && history.updatedAt-record.sentAt < prefixHistorySpan
 }
 
 // record records a send.
-func (k *prefixHistory) record(now time.Duration, prefix, runner uint64) {
-	if k.entries == nil {
-		k.entries = make([]prefixRecord, prefixHistorySize)
+func (history *prefixHistory) record(now time.Duration, prefix, runner uint64) {
+	if history.entries == nil {
+		history.entries = make([]prefixRecord, prefixHistorySize)
 	}
-	k.updatedAt = now
-	*k.find(prefix, runner) = prefixRecord{prefix, runner, now}
+	history.updatedAt = now
+	*history.find(prefix, runner) = prefixRecord{prefix, runner, now}
 }
 
 // recordPrefix records where a prefix was sent, and how often prefixes of the route come again.
--- a/internal/system/placement/rejection.go
+++ b/internal/system/placement/rejection.go
@@ -12,11 +12,11 @@
 
 // Refusals.
 const (
-	maxWaitShare     = 0.5         // of the time left that a request may wait
-	yieldShare       = 0.8         // of what a request of the next more urgent rank may wait
-	yieldDuration    = time.Second // after a refusal for which less urgent requests yield
-	maxRanks         = 8           // that are told apart
-	minOccupiedShare = 0.5         // of the places of its runners that must be taken before a request is refused
+	maxWaitShare     = 0.5         // share of its remaining time that a request may wait
+	yieldShare       = 0.8         // share of what a request of the next more urgent rank may wait
+	yieldDuration    = time.Second // how long less urgent requests yield after a rejection
+	maxRanks         = 8           // ranks with statistics of their own
+	minOccupiedShare = 0.5         // share of the eligible runners' slots that must be in use before a request is rejected
 	minRetryAfter    = 50 * time.Millisecond
 	maxRetryAfter    = 2 * time.Second
 )
@@ -26,9 +26,9 @@
 
 // rankStats are the statistics of a rank.
 type rankStats struct {
-	remaining  float64       // running mean of the time that they have left, in seconds; 0: none came yet
-	rejectedAt time.Duration // when one was refused last because of load
-	rejected   bool          // refused holds a time
+	remaining  float64       // mean of the time that they have left at arrival, in seconds; 0: none came yet
+	rejectedAt time.Duration // when one was last rejected because of load
+	rejected   bool          // rejectedAt is valid
 }
 
 // rankOf is the rank of a request, 0 the most urgent. A request without a route has the lowest.
@@ -40,12 +40,12 @@
 }
 
 // recordArrival records how much time a request has left.
-func (u *loadShedding) recordArrival(now time.Duration, request *Request) {
+func (shedding *loadShedding) recordArrival(now time.Duration, request *Request) {
 	left := (request.Deadline - now).Seconds()
 	if left <= 0 || request.Route == nil {
 		return
 	}
-	rank := &u[rankOf(request)]
+	rank := &shedding[rankOf(request)]
 	if rank.remaining == 0 {
 		rank.remaining = left
 	}
@@ -53,29 +53,29 @@
 }
 
 // recordRejection records that a request was rejected because of load.
-func (u *loadShedding) recordRejection(now time.Duration, request *Request) {
-	rank := &u[rankOf(request)]
+func (shedding *loadShedding) recordRejection(now time.Duration, request *Request) {
+	rank := &shedding[rankOf(request)]
 	rank.rejectedAt, rank.rejected = now, true
 }
 
 // maxWait is how long a request may wait before it is rejected, in seconds: a share of the time that it has left, and less
 // than requests of a more urgent rank may wait, while some of those are rejected.
-func (u *loadShedding) maxWait(now time.Duration, request *Request) float64 {
+func (shedding *loadShedding) maxWait(now time.Duration, request *Request) float64 {
 	own := rankOf(request)
-	most := maxWaitShare * (request.Deadline - now).Seconds()
+	wait := maxWaitShare * (request.Deadline - now).Seconds()
 	for rank := range own {
-		if stats := &u[rank]; stats.recentlyRejected(now) {
-			most = math.Min(most, maxWaitShare*stats.remaining*math.Pow(yieldShare, float64(own-rank)))
+		if stats := &shedding[rank]; stats.recentlyRejected(now) {
+			wait = math.Min(wait, maxWaitShare*stats.remaining*math.Pow(yieldShare, float64(own-rank)))
 		}
 	}
-	return most
+	return wait
 }
 
 // mustYield reports whether requests of a more urgent rank are being rejected. Less urgent ones then yield, small ones too,
 // which would find room where large ones don't.
-func (u *loadShedding) mustYield(now time.Duration, request *Request) bool {
+func (shedding *loadShedding) mustYield(now time.Duration, request *Request) bool {
 	for rank := range rankOf(request) {
-		if u[rank].recentlyRejected(now) {
+		if shedding[rank].recentlyRejected(now) {
 			return true
 		}
 	}
@@ -101,20 +101,20 @@
 	if wait <= service.shedding.maxWait(now, request) {
 		return false
 	}
-	taken, places := 0.0, 0.0
+	occupied, slots := 0.0, 0.0
 	for _, runner := range service.runners {
 		if p.isEligible(now, request, runner) {
-			taken, places = taken+math.Min(runner.occupiedSlots, runner.slots), places+runner.slots
+			occupied, slots = occupied+math.Min(runner.occupiedSlots, runner.slots), slots+runner.slots
 		}
 	}
-	return taken >= minOccupiedShare*places
+	return occupied >= minOccupiedShare*slots
 }
 
 // retryAfter is when a rejected client should come back: once the wait has gone down to what the request can bear.
 func (p *Placer) retryAfter(now time.Duration, request *Request, wait float64) time.Duration {
-	left := request.Deadline - now
-	bearable := time.Duration(maxWaitShare * float64(left))
+	remaining := request.Deadline - now
+	bearable := time.Duration(maxWaitShare * float64(remaining))
 	after := time.Duration(wait*float64(time.Second)) - bearable
 	after = max(after, minRetryAfter, planPeriod)
-	return min(after, maxRetryAfter, max(left/4, minRetryAfter))
+	return min(after, maxRetryAfter, max(remaining/4, minRetryAfter))
 }
--- a/internal/system/placement/request.go
+++ b/internal/system/placement/request.go
@@ -16,31 +16,31 @@
 // Request is what a client wants, and what has been tried for it.
 type Request struct {
 	Route           *configuration.Route
-	Service         string // drawn from the route's shares
+	Service         string // drawn by the caller from the route's shares
 	Model           string
 	Chunks          []Chunk
 	InputTokens     int
-	MaxOutputTokens int // the most; 0: not told
-	BodyBytes       int // of its body
+	MaxOutputTokens int // 0: the request names no maximum
+	BodyBytes       int // 0: not known
 	ArrivedAt       time.Duration
 	Deadline        time.Duration // the earlier of the client's and the route's
-	TriedRunners    []string      // runners that attempts were sent to
-	MayHaveRun      bool          // an attempt was sent whole to a runner that did not say that it had not run
+	TriedRunners    []string      // ids of the runners that attempts were sent to
+	MayHaveRun      bool          // an attempt reached a runner that did not prove that it had not run
 
-	connectFailures int // attempts of which no connection came up: they never arrived, and cost no retry budget
+	connectFailures int // attempts without a connection: they cost no retry budget
 }
 
 // Choice is the runner that a request goes to. It reserves nothing before StartAttempt.
 type Choice struct {
 	Runner   string
 	Address  netip.AddrPort
-	Priority int // 0 to 9, 0 first; -1: none
+	Priority int // 0 to 9, 0 first; -1: the runner knows no priorities
 }
 
 // Rejection says that no runner should take the request now. Nothing of it has run unless Request.MayHaveRun.
 type Rejection struct {
 	RetryAfter time.Duration
-	Reason     string // for the log, a constant
+	Reason     string // one of a fixed set, for the log
 }
 
 // hasTried reports whether an attempt of the request went to the runner.
--- a/internal/system/placement/retries.go
+++ b/internal/system/placement/retries.go
@@ -9,8 +9,8 @@
 
 // Repeats.
 const (
-	retryRatioShare     = 0.7 // of the ratio of retries that is planned with
-	retryAllowanceShare = 0.6 // of the retries beyond the ratio
+	retryRatioShare     = 0.7 // share of the retry ratio that is used
+	retryAllowanceShare = 0.6 // share of the allowance beyond the ratio that is used
 )
 
 // retryBuckets is the number of buckets that a window is counted in.
@@ -41,28 +41,28 @@
 }
 
 // advance clears the buckets that have left the window.
-func (b *retryBudget) advance(now time.Duration, window time.Duration) {
+func (budget *retryBudget) advance(now time.Duration, window time.Duration) {
 	span := int64(now / (window / retryBuckets))
-	if span-b.bucket > retryBuckets {
-		b.requests, b.retries = [retryBuckets + 1]uint32{}, [retryBuckets + 1]uint32{}
-		b.bucket = span
+	if span-budget.bucket > retryBuckets {
+		budget.requests, budget.retries = [retryBuckets + 1]uint32{}, [retryBuckets + 1]uint32{}
+		budget.bucket = span
 	}
-	for b.bucket < span {
-		b.bucket++
-		b.requests[b.bucket%(retryBuckets+1)], b.retries[b.bucket%(retryBuckets+1)] = 0, 0
+	for budget.bucket < span {
+		budget.bucket++
+		budget.requests[budget.bucket%(retryBuckets+1)], budget.retries[budget.bucket%(retryBuckets+1)] = 0, 0
 	}
 }
 
 // allows reports whether one more retry may be sent. Retries count for a little longer than a window, and first attempts
 // for a little less, so that the bound holds in every window.
-func (b *retryBudget) allows(now time.Duration, rules retryPolicy) bool {
-	b.advance(now, rules.window)
+func (budget *retryBudget) allows(now time.Duration, rules retryPolicy) bool {
+	budget.advance(now, rules.window)
 	firsts, repeats := uint32(0), uint32(0)
-	oldest := (b.bucket + 1) % (retryBuckets + 1)
-	for i := range b.requests {
-		repeats += b.retries[i]
+	oldest := (budget.bucket + 1) % (retryBuckets + 1)
+	for i := range budget.requests {
+		repeats += budget.retries[i]
 		if int64(i) != oldest {
-			firsts += b.requests[i]
+			firsts += budget.requests[i]
 		}
 	}
 	grown := min(float64(now-rules.since)/float64(rules.window), 1)
@@ -70,12 +70,12 @@
 }
 
 // record counts an attempt.
-func (b *retryBudget) record(now time.Duration, window time.Duration, repeat bool) {
-	b.advance(now, window)
+func (budget *retryBudget) record(now time.Duration, window time.Duration, repeat bool) {
+	budget.advance(now, window)
 	if repeat {
-		b.retries[b.bucket%(retryBuckets+1)]++
+		budget.retries[budget.bucket%(retryBuckets+1)]++
 	} else {
-		b.requests[b.bucket%(retryBuckets+1)]++
+		budget.requests[budget.bucket%(retryBuckets+1)]++
 	}
 }
 
--- a/internal/system/placement/runner.go
+++ b/internal/system/placement/runner.go
@@ -20,8 +20,8 @@
 	Region         string
 	Capacity       int
 	Draining       bool
-	SlowStartUntil time.Duration // 0: warm
-	TerminatesAt   time.Duration // of a short notice; 0: not told
+	SlowStartUntil time.Duration // end of slow start; 0: not in slow start
+	TerminatesAt   time.Duration // announced end of the machine; 0: none announced
 	Models         []string
 }
 
@@ -29,45 +29,45 @@
 type runnerState struct {
 	Runner
 	service       *serviceState
-	key           uint64 // of its id
-	regionIndex   int    // of its region among those known
-	listed        bool   // in the set that was told last
+	key           uint64 // hash of its id
+	regionIndex   int    // index in Placer.regions
+	listed        bool   // in the set that SetRunners got last
 	slots         float64
 	limits        capacity.Limits
 	ejection      capacity.Ejection
-	spareSlots    float64 // the plan: spare slots, lowered by each send until the next one
-	spareTokens   float64 // the plan: free tokens, likewise; engines only
-	load          float64 // derived load of all proxies, as of the last plan
-	utilization   float64 // derived utilization, likewise
-	occupiedSlots float64 // places that requests of all proxies are likely to take, likewise
+	spareSlots    float64 // by the plan, lowered by each attempt since
+	spareTokens   float64 // likewise; infinite for runners that are no engines
+	load          float64 // of all proxies, in slots, as of the last plan
+	utilization   float64 // of all proxies: 1 is a full runner; as of the last plan
+	occupiedSlots float64 // slots in use by all proxies, prefill aside; as of the last plan
 
 	ownUsage       usage // of this proxy's attempts in flight
-	meanUsage      usage // the same, over about usageWindow
+	meanUsage      usage // mean of ownUsage over about usageWindow
 	ownAttempts    int
 	backlog        prefillBacklog
-	excessWait     float64 // time beyond the expected that first answers have lately taken, in seconds
+	excessWait     float64 // how much longer than expected first events recently took, in seconds
 	saturatedUntil time.Duration
-	guardedUntil   time.Duration // until then it may be cold, and the list may not show it yet
+	guardedUntil   time.Duration // until then it may be in slow start before the membership feed shows it
 
-	pending         attemptList // sent, and nothing has come yet
+	pending         attemptList // attempts without a first event
 	suspectUntil    time.Duration
 	suspectDuration time.Duration
-	suspect         bool // a connection or an answer never came: a single request may find out whether it is back
+	suspect         bool // a connection or an answer never came; see isAvoided
 	probe           *Attempt
 
-	lastSentAt      time.Duration // of the last send
-	slowStartNextAt time.Duration // the earliest next send while it is cold
+	lastSentAt      time.Duration // of the last attempt
+	slowStartNextAt time.Duration // earliest next attempt while it is in slow start
 }
 
 // SetRunners replaces the set of runners. Those that it no longer names get nothing from here on.
-func (p *Placer) SetRunners(now time.Duration, told []Runner) {
+func (p *Placer) SetRunners(now time.Duration, runners []Runner) {
 	p.recordCall(now)
 	for _, runner := range p.runners {
 		runner.listed = false
 	}
 	changed := false
-	for i := range told {
-		changed = p.setRunner(&told[i]) || changed
+	for i := range runners {
+		changed = p.setRunner(&runners[i]) || changed
 	}
 	for id, runner := range p.runners {
 		if !runner.listed {
@@ -85,19 +85,19 @@
 }
 
 // setRunner adds or updates one runner and reports whether the runners of a service change by it.
-func (p *Placer) setRunner(told *Runner) bool {
-	runner := p.runners[told.ID]
+func (p *Placer) setRunner(update *Runner) bool {
+	runner := p.runners[update.ID]
 	isNew := runner == nil
 	if isNew {
-		runner = &runnerState{key: xxhash.Sum64String(told.ID)}
-		p.runners[told.ID] = runner
+		runner = &runnerState{key: xxhash.Sum64String(update.ID)}
+		p.runners[update.ID] = runner
 		p.byKey[runner.key] = runner
 	}
-	moved := isNew || runner.Service != told.Service
-	if told.SlowStartUntil > runner.SlowStartUntil && runner.lastSentAt > 0 { // what went there last may already have met it cold
+	moved := isNew || runner.Service != update.Service
+	if update.SlowStartUntil > runner.SlowStartUntil && runner.lastSentAt > 0 { // the last attempt may already have met the new process
 		runner.slowStartNextAt = max(runner.slowStartNextAt, runner.lastSentAt+time.Duration(slowStartWindow*float64(time.Second)))
 	}
-	runner.Runner, runner.listed = *told, true
+	runner.Runner, runner.listed = *update, true
 	if runner.Region == "" {
 		runner.Region = p.options.Zones[runner.Zone]
 	}
@@ -127,32 +127,32 @@
 }
 
 // updateSlots derives the slots of a runner; a change of them resets the learnt limits.
-func (w *runnerState) updateSlots() {
-	size := float64(w.Capacity)
-	if size <= 0 && w.service.Backend != nil {
-		size = float64(w.service.Backend.Capacity)
+func (r *runnerState) updateSlots() {
+	size := float64(r.Capacity)
+	if size <= 0 && r.service.Backend != nil {
+		size = float64(r.service.Backend.Capacity)
 	}
 	if size <= 0 {
 		size = 1
 	}
-	if w.slots == size {
+	if r.slots == size {
 		return
 	}
-	w.slots = size
-	w.limits = capacity.InitialLimits(size)
+	r.slots = size
+	r.limits = capacity.InitialLimits(size)
 }
 
 // SetEvacuatedZones replaces the set of zones whose runners get nothing.
 func (p *Placer) SetEvacuatedZones(now time.Duration, zones map[string]bool) {
 	p.recordCall(now)
 	for _, runner := range p.runners {
-		if p.evacuated[runner.Zone] && !zones[runner.Zone] { // it may have become cold meanwhile
+		if p.evacuated[runner.Zone] && !zones[runner.Zone] { // it may have restarted meanwhile
 			runner.guardedUntil = now + slowStartGuard
 		}
 	}
 	clear(p.evacuated)
-	for zone, gone := range zones {
-		if gone {
+	for zone, evacuated := range zones {
+		if evacuated {
 			p.evacuated[zone] = true
 		}
 	}
@@ -161,7 +161,7 @@
 // regionStats are what is known of a region.
 type regionStats struct {
 	name    string
-	latency float64 // least time to a first answer seen; 0: none yet
+	latency float64 // shortest time to a first event seen, in seconds; 0: none yet
 }
 
 // regionIndex returns the index of a region among those known; a new one is added.
--- a/internal/system/placement/selection.go
+++ b/internal/system/placement/selection.go
@@ -11,26 +11,27 @@
 
 // The ranks of runners for a request; the lowest is selected.
 const (
-	rankSpareLocal  = iota // room, in the own region
-	rankSpareRemote        // room, in another one: the nearest first
-	rankNoSpare            // the one least over its ceiling
-	rankSaturated          // turned a request away just now
-	rankAvoided            // set aside, or suspect
+	rankSpareLocal  = iota // spare capacity in the own region
+	rankSpareRemote        // spare capacity in another region: the nearest first
+	rankNoSpare            // no spare capacity: the least overloaded first
+	rankSaturated          // rejected a request just now
+	rankAvoided            // ejected, or suspect
 	rankTried              // an attempt of this request went there
 	rankNone        = 1 << 10
 )
 
 // The choice.
 const (
-	zonePreferenceShare = 0.0125 // of its size by which a runner in the own zone is preferred, at least minZonePreference; measured
-	minZonePreference   = 0.5    // slots
-	saturatedShare      = 0.25   // of its service's tightest aim for which a runner that was full gets nothing, if another may
-	connectionShare     = 0.9    // of a runner's connections that are shared among the proxies
-	firstPriority       = 3      // priority of rank 0: an engine takes 5 where none is told
+	distanceSteps       = 8      // steps of latency in the tightest latency target that tell regions apart
+	zonePreferenceShare = 0.0125 // share of its slots by which a runner in the own zone is preferred; measured
+	minZonePreference   = 0.5    // slots; lower bound of that preference
+	saturatedShare      = 0.25   // share of its service's latency target for which a runner that rejected is passed over
+	connectionShare     = 0.9    // share of a runner's connections that the proxies divide
+	firstPriority       = 3      // priority of rank 0; engines take 5 for requests without one
 	priorityStep        = 2
-	longPromptSlots     = 1.0 // slots that the reading of a prompt takes, above which it is long; measured
+	longPromptSlots     = 1.0 // prefill weight in slots above which a prompt is long; measured
 	longPromptPenalty   = 4   // long prompts come after short ones of two ranks below; measured
-	lowestPriority      = 9   // priority
+	lowestPriority      = 9   // the last that engines know
 )
 
 // Place selects the runner that takes a request, or rejects it. The choice reserves nothing before StartAttempt.
@@ -104,7 +105,7 @@
 	case runner.ejection.IsEjected(now.Seconds()) || !shared && runner.isAvoided(now):
 		return rankAvoided
 	case runner.isAvoided(now):
-		return rankNoSpare // so many are suspect at once that those left could not bear the load alone
+		return rankNoSpare // so many are suspect that the others could not bear the load
 	case now < runner.saturatedUntil:
 		return rankSaturated
 	case runner.spareSlots < 1 || runner.spareTokens < demand.memoryTokens(owners.isOwner(runner)):
@@ -124,12 +125,12 @@
 	if demand.prefix == 0 {
 		return slots
 	}
-	whole := math.Max(prefixPrice*demand.sharedTokens/service.slotTokens(), minPrefixPreference)
-	return slots + whole*owners.cachedShare(runner, service, demand.prefix)
+	saved := math.Max(prefixPrice*demand.sharedTokens/service.slotTokens(), minPrefixPreference)
+	return slots + saved*owners.cachedShare(runner, service, demand.prefix)
 }
 
-// distance is the latency of a runner's region in eighths of the tightest latency target: regions that differ by less share
+// distance is the latency of a runner's region in steps of an eighth of the tightest latency target: regions that differ by less share
 // what overflows.
 func (p *Placer) distance(runner *runnerState) float64 {
-	return math.Floor(p.regions[runner.regionIndex].latency * 8 / p.latencyTarget)
+	return math.Floor(p.regions[runner.regionIndex].latency * distanceSteps / p.latencyTarget)
 }
--- a/internal/system/placement/service.go
+++ b/internal/system/placement/service.go
@@ -8,16 +8,25 @@
 	"cinderroad/internal/system/configuration"
 )
 
+// Services and routes.
+const (
+	initialTarget      = 1.0   // seconds; latency target of a service before a request of its routes comes
+	initialTimeout     = 5.0   // seconds; longest timeout before a route is seen
+	initialOutputShare = 0.5   // routeStats.outputShare before an answer
+	targetForgetRate   = 0.002 // weight of a looser target in the tightest target of a service
+	maxRoutes          = 4096  // routes with statistics; more of them clear the table
+)
+
 // serviceState is a service and what is known of its runners together.
 type serviceState struct {
 	configuration.Service
-	configured    bool           // the configuration names it
-	runners       []*runnerState // in the order of their ids
+	configured    bool           // the configuration in force names it
+	runners       []*runnerState // sorted by id
 	retryBudget   retryBudget
-	prefillSpeed  float64 // prompt tokens read in a second by a runner that reads nothing else; 0: not seen yet
-	latencyTarget float64 // the tightest aim of its routes, in seconds; one that is not asked for any more counts less and less
-	meanDuration  float64 // running mean of the time that an answer takes, in seconds
-	meanUsage     usage   // mean of the runners' means
+	prefillSpeed  float64 // prompt tokens a second of a runner that prefills nothing else; 0: not known yet
+	latencyTarget float64 // tightest target of its routes, in seconds; see observeTarget
+	meanDuration  float64 // of an answer, in seconds
+	meanUsage     usage   // mean over its runners of their meanUsage
 	prefixHistory prefixHistory
 	shedding      loadShedding
 	plannedAt     time.Duration
@@ -40,9 +49,9 @@
 	for _, service := range p.services {
 		service.configured = false
 	}
-	for _, services := range services {
-		service := p.ensureService(services.Name)
-		service.Service, service.configured = *services, true
+	for _, update := range services {
+		service := p.ensureService(update.Name)
+		service.Service, service.configured = *update, true
 		for _, runner := range service.runners {
 			runner.updateSlots()
 		}
@@ -65,26 +74,26 @@
 
 // routeStats are running means over the answers of a route.
 type routeStats struct {
-	meanDuration, deviation float64 // running mean of the time to the end, and of how far it is missed; seconds
-	outputShare             float64 // of the most tokens out that a request names, what comes
-	prefixReuse             float64 // share of requests whose chain this proxy has sent within prefixHistorySpan
+	meanDuration, deviation float64 // of the time to the end, and its mean absolute deviation; seconds
+	outputShare             float64 // generated tokens as a share of the most that requests allow
+	prefixReuse             float64 // share of requests whose prefix this proxy sent within prefixHistorySpan
 }
 
 // statsOf returns the statistics of a route; the first request of a route adds them.
-func (p *Placer) statsOf(request *configuration.Route) *routeStats {
-	service := p.routes[request.Name]
-	if service == nil {
+func (p *Placer) statsOf(route *configuration.Route) *routeStats {
+	stats := p.routes[route.Name]
+	if stats == nil {
 		if len(p.routes) >= maxRoutes {
 			clear(p.routes)
 		}
-		service = &routeStats{meanDuration: request.LatencyTarget.Seconds(), deviation: request.LatencyTarget.Seconds() / 2, outputShare: 0.5}
-		p.routes[request.Name] = service
-		if request.LatencyTarget > 0 {
-			p.latencyTarget = math.Min(p.latencyTarget, request.LatencyTarget.Seconds())
+		stats = &routeStats{meanDuration: route.LatencyTarget.Seconds(), deviation: route.LatencyTarget.Seconds() / 2, outputShare: initialOutputShare}
+		p.routes[route.Name] = stats
+		if route.LatencyTarget > 0 {
+			p.latencyTarget = math.Min(p.latencyTarget, route.LatencyTarget.Seconds())
 		}
-		p.longestTimeout = math.Max(p.longestTimeout, request.Timeout.Seconds())
+		p.longestTimeout = math.Max(p.longestTimeout, route.Timeout.Seconds())
 	}
-	return service
+	return stats
 }
 
 // observeTarget records the latency target of a request's route: a tighter one counts at once, a looser one gradually, so
--- a/internal/system/placement/slow_start.go
+++ b/internal/system/placement/slow_start.go
@@ -15,19 +15,16 @@
 
 // Cold runners and the proxies that share them.
 const (
-	slowStartPlannedShare = 0.8             // of the bound on cold runners that is planned with
-	slowStartWindow       = 1.05            // seconds in which a share is spent; the bound is for one second
-	slowStartInitialShare = 0.25            // of its ceiling that a runner is held to bear when it starts cold
-	joinDelay             = 2 * time.Second // after a start or a sleep, until others count this proxy
-	sleepThreshold        = time.Second     // without a call: the process was frozen
-	proxyRemovalDelay     = 2 * time.Second // until a lower number of proxies counts
-	slowStartGuard        = 2 * time.Second // in which the list comes to show that a runner is cold
+	slowStartPlannedShare = 0.8             // share of the slow start bound that is used
+	slowStartWindow       = 1.05            // seconds over which a share is spaced; the bound is for one second
+	slowStartInitialShare = 0.25            // share of its limit that a runner is planned with when it starts
+	slowStartGuard        = 2 * time.Second // in which the membership feed comes to show that a runner restarted
 )
 
 // inSlowStart reports whether a runner is in slow start, or may be: the membership feed lags behind, and a runner that did
 // not answer may have restarted.
-func (w *runnerState) inSlowStart(now time.Duration) bool {
-	return now < w.SlowStartUntil || w.service.SlowStartDuration > 0 && (w.suspect || now < w.guardedUntil)
+func (r *runnerState) inSlowStart(now time.Duration) bool {
+	return now < r.SlowStartUntil || r.service.SlowStartDuration > 0 && (r.suspect || now < r.guardedUntil)
 }
 
 // hasSlowStartBudget reports whether this proxy may send to a runner in slow start now.
@@ -38,11 +35,11 @@
 // slowStartInterval is the time between two sends of this proxy to a runner in slow start; 0: nothing may be sent.
 func (p *Placer) slowStartInterval(now time.Duration, runner *runnerState) time.Duration {
 	if p.proxyCount == 0 || now < p.countedFrom {
-		return 0 // the others may not count this one yet, and its last life may have sent just now
+		return 0 // the others may not count this one yet, and its last process may have sent just now
 	}
 	bound := slowStartPlannedShare * (runner.service.SlowStartRate*p.options.SlowStartFactor + p.options.SlowStartAllowance)
-	n := float64(p.proxyCount)
-	share := math.Floor(math.Min(bound/(n+1), math.Max(runner.service.SlowStartRate/n, 1)))
+	proxies := float64(p.proxyCount)
+	share := math.Floor(math.Min(bound/(proxies+1), math.Max(runner.service.SlowStartRate/proxies, 1)))
 	if share < 1 && p.holdsSlowStartShare(runner, int(bound)) {
 		share = 1
 	}
@@ -80,7 +77,7 @@
 	}
 	since := runner.service.SlowStartDuration - max(runner.SlowStartUntil-now, 0)
 	if now >= runner.SlowStartUntil || runner.service.SlowStartDuration <= 0 {
-		since = 0 // it may be cold, nobody knows since when
+		since = 0 // it may have restarted, at an unknown time
 	}
 	return capacity.Warmth(slowStartInitialShare, since.Seconds(), max(runner.service.SlowStartDuration, time.Second).Seconds())
 }
--- a/internal/system/placement/snapshot.go
+++ b/internal/system/placement/snapshot.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"cinderroad/internal/shared/capacity"
+	"cinderroad/internal/system/codec"
 )
 
 // snapshotVersion is the first byte of a snapshot. After it come the services, each a name and its prefill speed, and the
@@ -19,7 +20,7 @@
 const maxSnapshotCount = 1 << 16
 
 // errSnapshot is returned for an encoding that Snapshot did not make. The Placer then keeps what it has.
-var errSnapshot = errors.New("placement: learnt: the encoding is cut or not of this version; start without it")
+var errSnapshot = errors.New("placement: snapshot: truncated, malformed or of another version; start without it")
 
 // runnerSnapshot is what a snapshot holds of a runner.
 type runnerSnapshot struct {
@@ -32,15 +33,15 @@
 	b := []byte{snapshotVersion}
 	b = binary.AppendUvarint(b, uint64(len(p.services)))
 	for _, name := range sortedKeys(p.services) {
-		b = appendString(b, name)
-		b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(p.services[name].prefillSpeed)))
+		b = codec.AppendBytes(b, name)
+		b = codec.AppendFloat32(b, float32(p.services[name].prefillSpeed))
 	}
 	b = binary.AppendUvarint(b, uint64(len(p.runners)))
 	for _, id := range sortedKeys(p.runners) {
 		runner := p.runners[id]
-		b = appendString(b, id)
-		for _, v := range []float64{runner.slots, runner.limits.Load, runner.limits.Utilization} {
-			b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(v)))
+		b = codec.AppendBytes(b, id)
+		for _, value := range []float64{runner.slots, runner.limits.Load, runner.limits.Utilization} {
+			b = codec.AppendFloat32(b, float32(value))
 		}
 	}
 	return b
@@ -48,9 +49,9 @@
 
 // Restore takes over the snapshot of another Placer, all or nothing. Limits of a runner apply once SetRunners names that
 // runner with the same number of slots.
-func (p *Placer) Restore(now time.Duration, b []byte) error {
+func (p *Placer) Restore(now time.Duration, snapshot []byte) error {
 	p.recordCall(now)
-	speeds, runners, err := decodeSnapshot(b)
+	speeds, runners, err := decodeSnapshot(snapshot)
 	if err != nil {
 		return err
 	}
@@ -68,84 +69,73 @@
 
 // restoreRunner applies a snapshot to a runner that is new to the set.
 func (p *Placer) restoreRunner(runner *runnerState) {
-	l, ok := p.restored[runner.ID]
-	if !ok || l.slots != runner.slots {
+	restored, ok := p.restored[runner.ID]
+	if !ok || restored.slots != runner.slots {
 		return
 	}
 	delete(p.restored, runner.ID)
-	runner.limits = l.limits
+	runner.limits = restored.limits
 }
 
 // decodeSnapshot returns the prefill speeds by service and the runners by id.
-func decodeSnapshot(b []byte) (map[string]float64, map[string]runnerSnapshot, error) {
-	if len(b) == 0 || b[0] != snapshotVersion {
+func decodeSnapshot(snapshot []byte) (map[string]float64, map[string]runnerSnapshot, error) {
+	reader := codec.NewReader(snapshot)
+	if reader.Byte("version") != snapshotVersion {
 		return nil, nil, errSnapshot
 	}
-	d := learntReader{rest: b[1:]}
 	speeds := map[string]float64{}
-	for range d.count() {
-		speeds[d.text()] = d.number()
+	for range readCount(&reader, "services") {
+		speeds[readName(&reader, "service")] = readNumber(&reader, "prefill speed")
 	}
 	runners := map[string]runnerSnapshot{}
-	for range d.count() {
-		id := d.text()
-		l := runnerSnapshot{slots: d.number()}
-		l.limits.Load, l.limits.Utilization = d.number(), d.number()
-		if !d.bad && (l.slots <= 0 || l.limits.Load <= 0 || l.limits.Utilization <= 0) {
+	for range readCount(&reader, "runners") {
+		id := readName(&reader, "runner")
+		runner := runnerSnapshot{slots: readNumber(&reader, "slots")}
+		runner.limits.Load = readNumber(&reader, "load limit")
+		runner.limits.Utilization = readNumber(&reader, "utilization limit")
+		if _, failed := reader.Malformed(); failed {
+			break
+		}
+		if runner.slots <= 0 || runner.limits.Load <= 0 || runner.limits.Utilization <= 0 {
 			return nil, nil, fmt.Errorf("%w: runner %q", errSnapshot, id)
 		}
-		runners[id] = l
+		runners[id] = runner
 	}
-	if d.bad || len(d.rest) > 0 {
-		return nil, nil, errSnapshot
+	reader.ExpectEnd("end")
+	if field, failed := reader.Malformed(); failed {
+		return nil, nil, fmt.Errorf("%w: malformed %s at byte %d", errSnapshot, field, reader.Offset())
 	}
 	return speeds, runners, nil
 }
 
-// learntReader reads an encoding; once it is bad it reads nothing more.
-type learntReader struct {
-	rest []byte
-	bad  bool
-}
-
-func (d *learntReader) count() uint64 {
-	n, used := binary.Uvarint(d.rest)
-	if d.bad || used <= 0 || n > maxSnapshotCount {
-		d.bad = true
+// readCount reads the number of elements of a list, at most maxSnapshotCount.
+func readCount(reader *codec.Reader, field string) int {
+	count := reader.Count(field)
+	if count > maxSnapshotCount {
+		reader.Fail(field)
 		return 0
 	}
-	d.rest = d.rest[used:]
-	return n
+	return count
 }
 
-func (d *learntReader) text() string {
-	n := d.count()
-	if d.bad || n > uint64(len(d.rest)) {
-		d.bad = true
+// readName reads a name of at most maxSnapshotCount bytes.
+func readName(reader *codec.Reader, field string) string {
+	name := reader.Bytes(field)
+	if len(name) > maxSnapshotCount {
+		reader.Fail(field)
 		return ""
 	}
-	s := string(d.rest[:n])
-	d.rest = d.rest[n:]
-	return s
+	return string(name)
 }
 
-// number reads a value that is not below 0.
-func (d *learntReader) number() float64 {
-	if d.bad || len(d.rest) < 4 {
-		d.bad = true
+// readNumber reads a finite number that is not below 0.
+func readNumber(reader *codec.Reader, field string) float64 {
+	value := float64(reader.Float32(field))
+	if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
+		reader.Fail(field)
 		return 0
 	}
-	v := float64(math.Float32frombits(binary.LittleEndian.Uint32(d.rest)))
-	d.rest = d.rest[4:]
-	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-		d.bad = true
-	}
-	return v
-}
-
-func appendString(b []byte, s string) []byte {
-	b = binary.AppendUvarint(b, uint64(len(s)))
-	return append(b, s...)
+	return value
 }
 
 func sortedKeys[V any](m map[string]V) []string {
