--- a/internal/system/agent/agent.go
+++ b/internal/system/agent/agent.go
@@ -52,8 +52,8 @@
 	proxyMonitor   *proxyMonitor
 	platformPoller *platformPoller
 	follower       *follower
-	member         atomic.Pointer[gossip.Gossip]    // nil until the agent has joined
-	seeds          atomic.Pointer[[]netip.AddrPort] // gossip addresses of the seeds; never nil
+	member         atomic.Pointer[gossip.Memberlist] // nil until the agent has joined
+	seeds          atomic.Pointer[[]netip.AddrPort]  // gossip addresses of the seeds; never nil
 
 	proxyListener *countingListener // for the proxy
 	peerListener  net.Listener      // for other agents
@@ -120,7 +120,7 @@
 	seeds := gossip.SeedAddresses(settings)
 	a.seeds.Store(&seeds)
 	if member := a.member.Load(); member != nil {
-		member.Seek(seeds)
+		member.SetSeeds(seeds)
 	}
 }
 
--- a/internal/system/agent/cluster_test.go
+++ b/internal/system/agent/cluster_test.go
@@ -82,7 +82,7 @@
 type controlReplica struct {
 	cluster  *testCluster
 	settings *processconfig.Settings
-	member   *gossip.Gossip
+	member   *gossip.Memberlist
 	notifier *feedserver.Notifier
 	stop     context.CancelFunc
 	done     chan struct{}
@@ -118,7 +118,7 @@
 func (r *controlReplica) join() {
 	r.cluster.t.Helper()
 	options := gossip.FromSettings(r.settings, gossip.Control)
-	options.Period = 30 * time.Millisecond
+	options.ProbeInterval = 30 * time.Millisecond
 	member, err := gossip.Start(options)
 	if err != nil {
 		r.cluster.t.Fatal(err)
--- a/internal/system/agent/membership.go
+++ b/internal/system/agent/membership.go
@@ -36,11 +36,11 @@
 	a.member.Store(member)
 	a.peerNotifier.wakeIfChanged()
 	a.proxyMonitor.startAnnouncing(member)
-	member.Seek(*a.seeds.Load())
+	member.SetSeeds(*a.seeds.Load())
 }
 
 // startMember opens the gossip socket, and retries while the address is in use.
-func (a *Agent) startMember(ctx context.Context) (*gossip.Gossip, error) {
+func (a *Agent) startMember(ctx context.Context) (*gossip.Memberlist, error) {
 	options := gossip.FromSettings(a.settings, gossip.Edge)
 	options.Version = a.version
 	options.Log = a.log
@@ -66,7 +66,7 @@
 // proxies returns how many proxies may be sending, 0 if that is not known.
 func (a *Agent) proxies() int {
 	if member := a.member.Load(); member != nil {
-		return member.Proxies()
+		return member.ProxyCount()
 	}
 	return 0
 }
--- a/internal/system/control/process.go
+++ b/internal/system/control/process.go
@@ -65,7 +65,7 @@
 	configuration *state.Configuration
 	runners       []*state.Runners
 	host          *replica.Host
-	gossip        *gossip.Gossip
+	gossip        *gossip.Memberlist
 	feedServer    *feedserver.Server
 	runnerSync    *runnersync.Syncer
 
@@ -125,7 +125,7 @@
 		Notifier:   notifier,
 		Now:        p.now,
 		Age:        p.age,
-		ProxyCount: func() int { return p.gossip.Proxies() },
+		ProxyCount: func() int { return p.gossip.ProxyCount() },
 
 		BulkBytesPerSecond: bulkBandwidthShare * p.settings.Load().Limits.LinkBytesPerSecond(),
 	})
@@ -180,10 +180,10 @@
 	return p.serveHTTP(ctx, settings.ListenOn.Directory, newDirectoryMux(lookups))
 }
 
-func (p *Process) startGossip(ctx context.Context, options Options) (*gossip.Gossip, error) {
+func (p *Process) startGossip(ctx context.Context, options Options) (*gossip.Memberlist, error) {
 	joining := gossip.FromSettings(options.Settings, gossip.Control)
 	joining.Version, joining.Log = options.Version, options.Log
-	var member *gossip.Gossip
+	var member *gossip.Memberlist
 	err := retry.WhileAddressInUse(ctx, func() (err error) {
 		member, err = gossip.Start(joining)
 		return err
@@ -236,7 +236,7 @@
 // Reload takes settings that have changed. What needs a new process stays as it is.
 func (p *Process) Reload(settings *processconfig.Settings) {
 	p.settings.Store(settings)
-	p.gossip.Seek(gossip.SeedAddresses(settings))
+	p.gossip.SetSeeds(gossip.SeedAddresses(settings))
 }
 
 func newDirectoryMux(lookups http.Handler) http.Handler {
--- a/internal/system/control/process_test.go
+++ b/internal/system/control/process_test.go
@@ -325,5 +325,5 @@
 	edge.SetServing(gossip.ServingNow)
 	want := `200 {"addresses":["10.0.0.7:80"],"cache_ttl_s":1}`
 	s.waitFor("the directory tells of the edge", func() bool { return lookup() == want })
-	s.waitFor("the edge is counted", func() bool { return s.processes[0].gossip.Proxies() == 1 })
+	s.waitFor("the edge is counted", func() bool { return s.processes[0].gossip.ProxyCount() == 1 })
 }
--- a/internal/system/control/status.go
+++ b/internal/system/control/status.go
@@ -27,7 +27,7 @@
 		Release:        p.version,
 		Version:        p.configuration.Version(),
 		EvacuatedZones: append([]string{}, p.configuration.EvacuatedZones()...),
-		ActiveProxies:  p.gossip.Proxies(),
+		ActiveProxies:  p.gossip.ProxyCount(),
 		Discovery:      p.describeDiscovery(),
 		Followers:      p.describeFollowers(),
 		Members:        make([]status.Member, 0, len(members)),
--- a/internal/system/control/view.go
+++ b/internal/system/control/view.go
@@ -29,7 +29,7 @@
 // Edges is the directory's view of the members. On a machine that is cut off from all it is the one of before: clients that
 // reach this machine may reach the proxies, too.
 func (p *Process) Edges() []directory.Edge {
-	members := p.gossip.LastHeard()
+	members := p.gossip.LastConfirmedView()
 	zones := p.settings.Load().Zones
 	edges := make([]directory.Edge, 0, len(members))
 	for i := range members {
--- a/internal/system/gossip/gossip.go
+++ b/internal/system/gossip/gossip.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	fleetName = "cinderroad"
+	clusterName = "cinderroad"
 
-	// DefaultPeriod is the time between two probes.
-	DefaultPeriod = 450 * time.Millisecond
+	// DefaultProbeInterval is the time between two probes.
+	DefaultProbeInterval = 450 * time.Millisecond
 
-	stepsInPeriod  = 2                // looks at deadlines in a period: each one is a wake-up
-	forgetAfter    = 10 * time.Minute // until a member that is dead or has left is dropped
-	sleptPeriods   = 2.0              // a step that is so many periods late: the process stood still
+	ticksPerProbe  = 2                // looks at deadlines in a period: each one is a wake-up
+	deadMemberTTL  = 10 * time.Minute // until a member that is dead or has left is dropped
+	pauseThreshold = 2.0              // a step that is so many periods late: the process stood still
 	readBufferSize = 64 << 10         // bytes of datagrams that may wait for a process that stands still
 	clockOffset    = 1.0              // seconds on the machine's clock at the start, where 0 has a meaning
-	retryReadAfter = 50 * time.Millisecond
-	longestName    = membership.MostName
+	readErrorDelay = 50 * time.Millisecond
+	maxNameLength  = membership.MostName
 )
 
 // Role is what a member does.
@@ -66,12 +66,12 @@
 	ControlPort uint16           // of control replicas, for agents
 	AgentPort   uint16           // of agents, for other agents
 
-	Period   time.Duration // 0: DefaultPeriod
-	DeadFor  time.Duration // that a dead edge counts among the proxies that may be sending; 0: DefaultDeadFor
-	Log      *zap.Logger   // nil: none
-	OnChange func()        // called on the gossip goroutine after the view or its facts changed; it must not block
+	ProbeInterval time.Duration // 0: DefaultProbeInterval
+	DeadProxyTTL  time.Duration // that a dead edge counts among the proxies that may be sending; 0: DefaultDeadProxyTTL
+	Log           *zap.Logger   // nil: none
+	OnChange      func()        // called on the gossip goroutine after the view or its facts changed; it must not block
 
-	life uint64 // number of the process's life; 0: by the time of day
+	incarnation uint64 // number of the process's life; 0: by the time of day
 }
 
 // FromSettings returns the options of a process on a machine.
@@ -106,8 +106,8 @@
 	Slept                   uint64
 }
 
-// Gossip is a member of the system. Its methods may be called from any goroutine.
-type Gossip struct {
+// Memberlist is a member of the system. Its methods may be called from any goroutine.
+type Memberlist struct {
 	options Options
 	log     *zap.Logger
 	conn    *net.UDPConn
@@ -115,25 +115,25 @@
 	epoch   time.Time // of the machine's clock
 	done    chan struct{}
 
-	mutex    sync.Mutex
-	machine  *membership.Machine
-	facts    membership.Facts
-	stats    Stats
-	closed   bool
-	deadline float64 // that the socket has, on the machine's clock
-	counted  bool    // the view has been complete once
-	snapshot snapshot
-	hearing  hearing
-	notified digests // of the view that OnChange was last called for
+	mutex           sync.Mutex
+	node            *membership.Machine
+	facts           membership.Facts
+	stats           Stats
+	closed          bool
+	readDeadline    float64 // that the socket has, on the machine's clock
+	viewComplete    bool    // the view has been complete once
+	snapshot        snapshot
+	isolation       isolation
+	notifiedDigests digests // of the view that OnChange was last called for
 }
 
 // Start opens the socket and joins.
-func Start(options Options) (*Gossip, error) {
-	if options.Period <= 0 {
-		options.Period = DefaultPeriod
+func Start(options Options) (*Memberlist, error) {
+	if options.ProbeInterval <= 0 {
+		options.ProbeInterval = DefaultProbeInterval
 	}
-	if options.DeadFor <= 0 {
-		options.DeadFor = DefaultDeadFor
+	if options.DeadProxyTTL <= 0 {
+		options.DeadProxyTTL = DefaultDeadProxyTTL
 	}
 	if options.Log == nil {
 		options.Log = zap.NewNop()
@@ -143,7 +143,7 @@
 		return nil, &ListenError{Address: options.Listen, Err: err}
 	}
 	_ = conn.SetReadBuffer(readBufferSize) // the kernel's own bound does as well
-	g := &Gossip{
+	g := &Memberlist{
 		options: options,
 		log:     options.Log,
 		conn:    conn,
@@ -158,33 +158,33 @@
 		Serving: string(Starting),
 		Front:   options.Front,
 	}
-	g.machine = membership.New(g.machineOptions())
-	g.machine.Start(g.now())
-	g.pump()
+	g.node = membership.New(g.nodeOptions())
+	g.node.Start(g.now())
+	g.flush()
 	go g.run()
 	return g, nil
 }
 
-func (g *Gossip) machineOptions() membership.Options {
+func (g *Memberlist) nodeOptions() membership.Options {
 	return membership.Options{
-		Fleet:  fleetName,
+		Fleet:  clusterName,
 		Name:   memberName(g.options.Node, g.options.Role),
 		Addr:   g.address,
 		Seeds:  slices.Clone(g.options.Seeds),
-		Period: g.options.Period.Seconds(),
-		Steps:  stepsInPeriod,
-		Forget: forgetAfter.Seconds(),
-		Life:   g.life(),
+		Period: g.options.ProbeInterval.Seconds(),
+		Steps:  ticksPerProbe,
+		Forget: deadMemberTTL.Seconds(),
+		Life:   g.newIncarnation(),
 		Seed:   rand.Uint64(),
 		Facts:  g.facts,
 	}
 }
 
-// life is the number of this process's life: a later one has a higher number. The time of day may have been ahead in an
+// newIncarnation is the number of this process's life: a later one has a higher number. The time of day may have been ahead in an
 // earlier life; the machine outlives that one then.
-func (g *Gossip) life() uint64 {
-	if g.options.life > 0 {
-		return g.options.life
+func (g *Memberlist) newIncarnation() uint64 {
+	if g.options.incarnation > 0 {
+		return g.options.incarnation
 	}
 	return uint64(max(1, g.epoch.UnixMicro()))
 }
@@ -192,10 +192,10 @@
 // memberName names a process of a machine; a name that is too long is told apart by its end.
 func memberName(node string, role Role) string {
 	name := node + nameSeparator + string(role)
-	if len(name) <= longestName {
+	if len(name) <= maxNameLength {
 		return name
 	}
-	return fmt.Sprintf("%016x", membership.Key(node)) + name[len(name)-longestName+16:]
+	return fmt.Sprintf("%016x", membership.Key(node)) + name[len(name)-maxNameLength+16:]
 }
 
 // ListenError says that the socket could not be opened.
@@ -213,19 +213,19 @@
 func (e *ListenError) Unwrap() error { return e.Err }
 
 // now is the machine's clock: steady, in seconds.
-func (g *Gossip) now() float64 { return time.Since(g.epoch).Seconds() + clockOffset }
+func (g *Memberlist) now() float64 { return time.Since(g.epoch).Seconds() + clockOffset }
 
 // changedAt is when a member's state changed, on the machine's clock.
-func (g *Gossip) changedAt(member *Member) float64 {
+func (g *Memberlist) changedAt(member *Member) float64 {
 	return member.Since.Sub(g.epoch).Seconds() + clockOffset
 }
 
-func (g *Gossip) timeOf(at float64) time.Time {
+func (g *Memberlist) timeOf(at float64) time.Time {
 	return g.epoch.Add(time.Duration((at - clockOffset) * float64(time.Second)))
 }
 
 // run receives, and does the machine's steps when they are due.
-func (g *Gossip) run() {
+func (g *Memberlist) run() {
 	defer close(g.done)
 	buffer := make([]byte, membership.MostBytes+1)
 	for {
@@ -237,83 +237,83 @@
 		var timeout net.Error
 		if err != nil && !(errors.As(err, &timeout) && timeout.Timeout()) {
 			g.log.Debug("gossip receive failed", zap.Error(err))
-			time.Sleep(retryReadAfter) // not for each turn of an error that lasts
+			time.Sleep(readErrorDelay) // not for each turn of an error that lasts
 		}
 		var datagram []byte
 		if err == nil {
 			datagram = buffer[:n]
 		}
-		if g.turn(datagram) && g.options.OnChange != nil {
+		if g.step(datagram) && g.options.OnChange != nil {
 			g.options.OnChange()
 		}
 	}
 }
 
 // armDeadline has the read end when the machine's next step is due.
-func (g *Gossip) armDeadline() {
+func (g *Memberlist) armDeadline() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	next := g.machine.Next()
-	if next == g.deadline {
+	next := g.node.Next()
+	if next == g.readDeadline {
 		return
 	}
-	g.deadline = next
+	g.readDeadline = next
 	_ = g.conn.SetReadDeadline(g.timeOf(next)) // fails on a closed socket only, as the read will
 }
 
-// turn takes a datagram, if there is one, and does the step that is due. It says whether the view changed.
-func (g *Gossip) turn(datagram []byte) bool {
+// step takes a datagram, if there is one, and does the step that is due. It says whether the view changed.
+func (g *Memberlist) step(datagram []byte) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := g.now()
-	if now > g.machine.Next()+sleptPeriods*g.options.Period.Seconds() {
-		g.slept(now)
+	if now > g.node.Next()+pauseThreshold*g.options.ProbeInterval.Seconds() {
+		g.handlePause(now)
 	}
 	if datagram != nil {
-		g.receive(now, datagram)
+		g.handleDatagram(now, datagram)
 	}
-	if now >= g.machine.Next() {
-		g.machine.Tick(now)
+	if now >= g.node.Next() {
+		g.node.Tick(now)
 	}
-	if g.machine.Counted() {
-		g.counted = true
+	if g.node.Counted() {
+		g.viewComplete = true
 	}
-	g.pump()
-	g.hearing.look(now, silentPeriods*g.options.Period.Seconds(), g.members, g.changedAt)
-	return g.changed()
+	g.flush()
+	g.isolation.update(now, isolationProbes*g.options.ProbeInterval.Seconds(), g.currentMembers, g.changedAt)
+	return g.viewChanged()
 }
 
-// slept has the machine look again at all that it was waiting for while the process stood still.
-func (g *Gossip) slept(now float64) {
+// handlePause has the machine look again at all that it was waiting for while the process stood still.
+func (g *Memberlist) handlePause(now float64) {
 	g.stats.Slept++
-	g.log.Warn("process stood still, membership is checked again", zap.Float64("late_s", now-g.machine.Next()))
-	g.machine.Slept(now)
+	g.log.Warn("process stood still, membership is checked again", zap.Float64("late_s", now-g.node.Next()))
+	g.node.Slept(now)
 }
 
-func (g *Gossip) receive(now float64, datagram []byte) {
+func (g *Memberlist) handleDatagram(now float64, datagram []byte) {
 	g.stats.Received++
-	message, err := membership.Decode(fleetName, datagram)
+	message, err := membership.Decode(clusterName, datagram)
 	if err != nil {
 		g.stats.Dropped++
 		g.log.Debug("datagram dropped", zap.Error(err))
 		return
 	}
-	g.hearing.received(now, message)
-	g.machine.Receive(now, message)
+	g.isolation.handleMessage(now, message)
+	g.node.Receive(now, message)
 }
 
-// pump sends what the machine has to send and logs what it found.
-func (g *Gossip) pump() {
-	for _, packet := range g.machine.Out() {
+// flush sends what the machine has to send and logs what it found.
+func (g *Memberlist) flush() {
+	for _, packet := range g.node.Out() {
 		g.send(packet)
 	}
-	for _, change := range g.machine.Changes() {
+	for _, change := range g.node.Changes() {
 		g.logChange(change)
 	}
-	g.machine.Settlings()
+	g.node.Settlings()
 }
 
-func (g *Gossip) send(packet membership.Packet) {
+func (g *Memberlist) send(packet membership.Packet) {
 	datagram, err := membership.Encode(packet.Msg)
 	if err == nil {
 		_, err = g.conn.WriteToUDPAddrPort(datagram, packet.To)
@@ -327,7 +327,7 @@
 }
 
 // logChange tells operators of control members, on control members; edges come and go, and each member hears of all.
-func (g *Gossip) logChange(change membership.Change) {
+func (g *Memberlist) logChange(change membership.Change) {
 	if change.New && change.To == membership.Alive {
 		g.log.Debug("member joined", zap.String("member", change.Name))
 		return
@@ -341,16 +341,16 @@
 }
 
 // SetServing tells the others whether this process takes work from clients; control replicas hear it at once.
-func (g *Gossip) SetServing(serving Serving) {
+func (g *Memberlist) SetServing(serving Serving) {
 	g.setFacts(func(facts *membership.Facts) { facts.Serving = string(serving) })
 }
 
 // SetFront tells the others the address that clients use.
-func (g *Gossip) SetFront(front string) {
+func (g *Memberlist) SetFront(front string) {
 	g.setFacts(func(facts *membership.Facts) { facts.Front = front })
 }
 
-func (g *Gossip) setFacts(alter func(*membership.Facts)) {
+func (g *Memberlist) setFacts(alter func(*membership.Facts)) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	was := g.facts
@@ -359,55 +359,55 @@
 		return
 	}
 	now := g.now()
-	g.machine.SetFacts(now, g.facts)
-	g.machine.Announce(now, isControl)
-	g.pump()
+	g.node.SetFacts(now, g.facts)
+	g.node.Announce(now, isControl)
+	g.flush()
 }
 
 func isControl(record *membership.Record) bool {
 	return record.FactsOf != nil && record.FactsOf.Role == string(Control)
 }
 
-// Seek sets other seeds; members that are known stay so.
-func (g *Gossip) Seek(seeds []netip.AddrPort) {
+// SetSeeds sets other seeds; members that are known stay so.
+func (g *Memberlist) SetSeeds(seeds []netip.AddrPort) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.closed || slices.Equal(seeds, g.options.Seeds) {
 		return
 	}
 	g.options.Seeds = slices.Clone(seeds)
-	g.machine.Seek(g.now(), slices.Clone(seeds))
-	g.pump()
+	g.node.Seek(g.now(), slices.Clone(seeds))
+	g.flush()
 }
 
 // Address is where others reach this member.
-func (g *Gossip) Address() netip.AddrPort { return g.address }
+func (g *Memberlist) Address() netip.AddrPort { return g.address }
 
 // Stats returns the counts.
-func (g *Gossip) Stats() Stats {
+func (g *Memberlist) Stats() Stats {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.stats
 }
 
 // Leave tells the others that this process ends, and closes the socket.
-func (g *Gossip) Leave() { g.close(true) }
+func (g *Memberlist) Leave() { g.shutdown(true) }
 
 // Close closes the socket without a word: the others find the member dead.
-func (g *Gossip) Close() { g.close(false) }
+func (g *Memberlist) Close() { g.shutdown(false) }
 
-func (g *Gossip) close(tell bool) {
+func (g *Memberlist) shutdown(announce bool) {
 	g.mutex.Lock()
 	if g.closed {
 		g.mutex.Unlock()
 		return
 	}
 	g.closed = true
-	if tell {
+	if announce {
 		now := g.now()
-		g.machine.Announce(now, isControl)
-		g.machine.Leave(now)
-		g.pump()
+		g.node.Announce(now, isControl)
+		g.node.Leave(now)
+		g.flush()
 	}
 	g.conn.Close()
 	g.mutex.Unlock()
--- a/internal/system/gossip/gossip_test.go
+++ b/internal/system/gossip/gossip_test.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	testPeriod = 30 * time.Millisecond
-	longest    = 60 * time.Second // that a state is waited for
+	testProbeInterval = 30 * time.Millisecond
+	waitTimeout       = 60 * time.Second // that a state is waited for
 )
 
-// cluster is a system on loopback, each member at an address of its own.
-type cluster struct {
-	t       *testing.T
-	members map[string]*Gossip
-	seed    netip.AddrPort
-	next    byte
+// testCluster is a system on loopback, each member at an address of its own.
+type testCluster struct {
+	t        *testing.T
+	members  map[string]*Memberlist
+	seed     netip.AddrPort
+	lastHost byte
 }
 
-func newCluster(t *testing.T) *cluster {
-	c := &cluster{t: t, members: map[string]*Gossip{}}
+func newCluster(t *testing.T) *testCluster {
+	c := &testCluster{t: t, members: map[string]*Memberlist{}}
 	t.Cleanup(func() {
 		for _, member := range c.members {
 			member.Close()
@@ -35,14 +35,14 @@
 	return c
 }
 
-func (c *cluster) options(node string, role Role, zone string) Options {
-	c.next++
+func (c *testCluster) options(node string, role Role, zone string) Options {
+	c.lastHost++
 	options := Options{
 		Node: node, Role: role, Zone: zone,
 		Zones:       map[string]string{"a1": "a", "a2": "a", "b1": "b"},
-		Listen:      netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 10 + c.next}), 0),
+		Listen:      netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 10 + c.lastHost}), 0),
 		ControlPort: 7000, AgentPort: 7003,
-		Period: testPeriod,
+		ProbeInterval: testProbeInterval,
 	}
 	if c.seed.IsValid() {
 		options.Seeds = []netip.AddrPort{c.seed}
@@ -50,7 +50,7 @@
 	return options
 }
 
-func (c *cluster) start(options Options) *Gossip {
+func (c *testCluster) start(options Options) *Memberlist {
 	c.t.Helper()
 	member, err := Start(options)
 	if err != nil {
@@ -63,9 +63,9 @@
 	return member
 }
 
-func (c *cluster) wait(what string, holds func() bool) {
+func (c *testCluster) wait(what string, holds func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(longest); !holds(); time.Sleep(testPeriod / 3) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(testProbeInterval / 3) {
 		if time.Now().After(end) {
 			for node, member := range c.members {
 				c.t.Logf("%s: %+v", node, member.View())
@@ -75,7 +75,7 @@
 	}
 }
 
-func (c *cluster) find(member *Gossip, node string) Member {
+func (c *testCluster) memberOf(member *Memberlist, node string) Member {
 	for _, m := range member.View() {
 		if m.Node == node {
 			return m
@@ -84,8 +84,8 @@
 	return Member{State: Left}
 }
 
-// small starts two control replicas and three edges.
-func small(t *testing.T) *cluster {
+// newSmallCluster starts two control replicas and three edges.
+func newSmallCluster(t *testing.T) *testCluster {
 	c := newCluster(t)
 	c.start(c.options("core-1", Control, "a1"))
 	c.start(c.options("core-2", Control, "b1"))
@@ -96,7 +96,7 @@
 	}
 	c.wait("all know three proxies", func() bool {
 		for _, member := range c.members {
-			if member.Proxies() != 3 {
+			if member.ProxyCount() != 3 {
 				return false
 			}
 		}
@@ -105,12 +105,12 @@
 	return c
 }
 
-func TestFactsReachAll(t *testing.T) {
-	c := small(t)
+func TestMetadataReachesAllMembers(t *testing.T) {
+	c := newSmallCluster(t)
 	c.members["edge-2"].SetServing(ServingNow)
 	c.wait("all know that edge-2 serves", func() bool {
 		for _, member := range c.members {
-			edge := c.find(member, "edge-2")
+			edge := c.memberOf(member, "edge-2")
 			if !edge.Usable() || edge.Front != "10.0.0.2:80" || edge.Zone != "a1" {
 				return false
 			}
@@ -121,7 +121,7 @@
 	c.members["edge-2"].SetServing(Stopping)
 	c.wait("all know that edge-2 stops", func() bool {
 		for _, member := range c.members {
-			edge := c.find(member, "edge-2")
+			edge := c.memberOf(member, "edge-2")
 			if edge.Usable() || edge.Front != "10.0.0.9:80" || edge.Serving != Stopping {
 				return false
 			}
@@ -130,20 +130,20 @@
 	})
 }
 
-func TestLostMemberIsFoundDeadAndReturns(t *testing.T) {
-	c := small(t)
+func TestFailedMemberIsDetectedAndRejoins(t *testing.T) {
+	c := newSmallCluster(t)
 	options := c.members["edge-3"].options
 	options.Listen = c.members["edge-3"].Address()
 	c.members["edge-3"].Close()
-	c.wait("core-1 finds edge-3 dead", func() bool { return c.find(c.members["core-1"], "edge-3").State == Dead })
-	if n := c.members["core-1"].Proxies(); n != 3 {
+	c.wait("core-1 finds edge-3 dead", func() bool { return c.memberOf(c.members["core-1"], "edge-3").State == Dead })
+	if n := c.members["core-1"].ProxyCount(); n != 3 {
 		t.Errorf("%d proxies may be sending just after one was found dead, want 3", n)
 	}
 	options.Seeds = nil // the others find it again by themselves
 	c.start(options)
 	c.wait("edge-3 is back everywhere", func() bool {
 		for _, member := range c.members {
-			if c.find(member, "edge-3").State != Alive || member.Proxies() != 3 {
+			if c.memberOf(member, "edge-3").State != Alive || member.ProxyCount() != 3 {
 				return false
 			}
 		}
@@ -151,28 +151,28 @@
 	})
 }
 
-func TestDeadProxyCountsForAWhile(t *testing.T) {
+func TestDeadProxyCountsUntilTTL(t *testing.T) {
 	c := newCluster(t)
 	options := c.options("core-1", Control, "a1")
-	options.DeadFor = time.Millisecond
+	options.DeadProxyTTL = time.Millisecond
 	c.start(options)
 	c.start(c.options("edge-1", Edge, "a1"))
 	c.start(c.options("edge-2", Edge, "a1"))
-	c.wait("core-1 knows two proxies", func() bool { return c.members["core-1"].Proxies() == 2 })
+	c.wait("core-1 knows two proxies", func() bool { return c.members["core-1"].ProxyCount() == 2 })
 	c.members["edge-2"].Close()
-	c.wait("the dead one counts no more", func() bool { return c.members["core-1"].Proxies() == 1 })
+	c.wait("the dead one counts no more", func() bool { return c.members["core-1"].ProxyCount() == 1 })
 }
 
-func TestRestartAfterTheClockWentBack(t *testing.T) {
-	c := small(t)
+func TestRestartAfterClockStepBack(t *testing.T) {
+	c := newSmallCluster(t)
 	options := c.members["edge-3"].options
 	options.Listen = c.members["edge-3"].Address()
 	c.members["edge-3"].Close()
-	options.life = 1
+	options.incarnation = 1
 	c.start(options).SetServing(ServingNow)
 	c.wait("all know the later life", func() bool {
 		for _, member := range c.members {
-			if edge := c.find(member, "edge-3"); edge.State != Alive || edge.Serving != ServingNow {
+			if edge := c.memberOf(member, "edge-3"); edge.State != Alive || edge.Serving != ServingNow {
 				return false
 			}
 		}
@@ -180,12 +180,12 @@
 	})
 }
 
-func TestLeaveIsNoDeath(t *testing.T) {
-	c := small(t)
+func TestLeaveIsNotFailure(t *testing.T) {
+	c := newSmallCluster(t)
 	c.members["edge-1"].Leave()
-	c.wait("core-1 knows that edge-1 left", func() bool { return c.find(c.members["core-1"], "edge-1").State == Left })
-	c.wait("it counts no more", func() bool { return c.members["core-1"].Proxies() == 2 })
-	c.wait("edge-2 knows, too", func() bool { return c.find(c.members["edge-2"], "edge-1").State == Left })
+	c.wait("core-1 knows that edge-1 left", func() bool { return c.memberOf(c.members["core-1"], "edge-1").State == Left })
+	c.wait("it counts no more", func() bool { return c.members["core-1"].ProxyCount() == 2 })
+	c.wait("edge-2 knows, too", func() bool { return c.memberOf(c.members["edge-2"], "edge-1").State == Left })
 	for _, address := range c.members["edge-2"].AgentAddresses() {
 		if address.Addr() == c.members["edge-1"].Address().Addr() {
 			t.Error("one that left is named as an agent to ask")
@@ -195,10 +195,10 @@
 	c.members["edge-1"].SetServing(ServingNow)
 }
 
-func TestLoneMemberDoesNotKnowTheProxies(t *testing.T) {
+func TestProxyCountUnknownWhenAlone(t *testing.T) {
 	c := newCluster(t)
 	edge := c.start(c.options("edge-1", Edge, "a1"))
-	if n := edge.Proxies(); n != 0 {
+	if n := edge.ProxyCount(); n != 0 {
 		t.Errorf("%d proxies where nobody else was heard from, want 0", n)
 	}
 }
@@ -232,7 +232,7 @@
 	})
 }
 
-func TestChangeIsTold(t *testing.T) {
+func TestOnChange(t *testing.T) {
 	c := newCluster(t)
 	changes := make(chan struct{}, 1)
 	options := c.options("core-1", Control, "a1")
@@ -245,8 +245,8 @@
 	core := c.start(options)
 	edge := c.start(c.options("edge-1", Edge, "a1"))
 	edge.SetServing(ServingNow)
-	end := time.After(longest)
-	for c.find(core, "edge-1").Serving != ServingNow {
+	end := time.After(waitTimeout)
+	for c.memberOf(core, "edge-1").Serving != ServingNow {
 		select {
 		case <-changes:
 		case <-end:
@@ -255,17 +255,17 @@
 	}
 }
 
-func TestSeekFindsOthers(t *testing.T) {
+func TestSetSeeds(t *testing.T) {
 	c := newCluster(t)
 	core := c.start(c.options("core-1", Control, "a1"))
 	options := c.options("edge-1", Edge, "a1")
 	options.Seeds = nil
 	edge := c.start(options)
-	edge.Seek([]netip.AddrPort{core.Address()})
-	c.wait("edge knows core", func() bool { return c.find(edge, "core-1").State == Alive })
+	edge.SetSeeds([]netip.AddrPort{core.Address()})
+	c.wait("edge knows core", func() bool { return c.memberOf(edge, "core-1").State == Alive })
 }
 
-func TestAddressTaken(t *testing.T) {
+func TestAddressInUse(t *testing.T) {
 	c := newCluster(t)
 	first := c.start(c.options("core-1", Control, "a1"))
 	options := c.options("core-2", Control, "a1")
@@ -281,12 +281,12 @@
 		long += "x"
 	}
 	one, other := memberName(long+"1", Edge), memberName(long+"2", Edge)
-	if len(one) > longestName || one == other {
+	if len(one) > maxNameLength || one == other {
 		t.Errorf("%q and %q: too long, or the same", one, other)
 	}
 }
 
-func TestOnlyControlMembersTellOperatorsOfControlMembers(t *testing.T) {
+func TestControlMembersLogControlChanges(t *testing.T) {
 	for _, c := range []struct {
 		own     Role
 		changed string
@@ -295,7 +295,7 @@
 		{Control, "core-1/control", 1}, {Control, "edge-1/edge", 0}, {Edge, "core-1/control", 0}, {Edge, "edge-1/edge", 0},
 	} {
 		core, logs := observer.New(zap.InfoLevel)
-		g := &Gossip{options: Options{Role: c.own}, log: zap.New(core)}
+		g := &Memberlist{options: Options{Role: c.own}, log: zap.New(core)}
 		g.logChange(membership.Change{Name: c.changed, From: membership.Alive, To: membership.Dead})
 		if logs.Len() != c.want {
 			t.Errorf("a member of role %s: %d lines of %s, want %d", c.own, logs.Len(), c.changed, c.want)
--- a/internal/system/gossip/hearing.go
+++ b/internal/system/gossip/hearing.go
@@ -6,34 +6,34 @@
 	"cinderroad/internal/shared/membership"
 )
 
-// silentPeriods is for how many periods nobody answers until this process counts as cut off from all. It asks some member in
+// isolationProbes is for how many periods nobody answers until this process counts as cut off from all. It asks some member in
 // each, and others to ask in its place.
-const silentPeriods = 4.0
+const isolationProbes = 4.0
 
-// hearing keeps the members as they were when one of them last answered this process: what it finds out by silence alone
+// isolation keeps the members as they were when one of them last answered this process: what it finds out by silence alone
 // says nothing of others, since the silence may be its own, be it that it hears nobody or that nobody hears it. Times are
 // in seconds, on the machine's clock.
-type hearing struct {
-	at      float64  // when the last answer came
-	members []Member // as they were then, while nobody answers; nil otherwise
+type isolation struct {
+	lastAckAt float64  // when the last answer came
+	confirmed []Member // as they were then, while nobody answers; nil otherwise
 }
 
-// received takes a message of another member.
-func (h *hearing) received(now float64, message *membership.Message) {
+// handleMessage takes a message of another member.
+func (iso *isolation) handleMessage(now float64, message *membership.Message) {
 	if message.Kind == membership.Ack {
-		h.at = now
-		h.members = nil
+		iso.lastAckAt = now
+		iso.confirmed = nil
 	}
 }
 
-// look has the members kept once nobody has answered for the time given. changedAt is when a member's state changed.
-func (h *hearing) look(now, silence float64, view func() []Member, changedAt func(*Member) float64) {
-	if h.members != nil || now-h.at < silence {
+// update has the members kept once nobody has answered for the time given. changedAt is when a member's state changed.
+func (iso *isolation) update(now, timeout float64, view func() []Member, changedAt func(*Member) float64) {
+	if iso.confirmed != nil || now-iso.lastAckAt < timeout {
 		return
 	}
-	h.members = slices.Clone(view())
-	for i := range h.members {
-		if member := &h.members[i]; changedAt(member) > h.at {
+	iso.confirmed = slices.Clone(view())
+	for i := range iso.confirmed {
+		if member := &iso.confirmed[i]; changedAt(member) > iso.lastAckAt {
 			member.State = stateBefore(member.State)
 		}
 	}
--- a/internal/system/gossip/hearing_test.go
+++ b/internal/system/gossip/hearing_test.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	cutSeeds = 150
-	// judgedWithin is how long it takes at most until a member that was killed is held to be dead.
-	judgedWithin = 25.0
+	simulationSeeds = 150
+	// detectionBound is how long it takes at most until a member that was killed is held to be dead.
+	detectionBound = 25.0
 )
 
-// TestMachineThatHearsNobodyKeepsTheOthers closes all others without a word.
-func TestMachineThatHearsNobodyKeepsTheOthers(t *testing.T) {
-	c := small(t)
+// TestIsolatedMemberRetainsConfirmedView closes all others without a word.
+func TestIsolatedMemberRetainsConfirmedView(t *testing.T) {
+	c := newSmallCluster(t)
 	core := c.members["core-1"]
 	state := func(members []Member, node string) State {
 		for _, m := range members {
@@ -31,10 +31,10 @@
 	}
 	c.members["edge-3"].Close()
 	c.wait("edge-3 is dead, and somebody has answered since", func() bool {
-		edge := c.find(core, "edge-3")
+		edge := c.memberOf(core, "edge-3")
 		core.mutex.Lock()
 		defer core.mutex.Unlock()
-		return edge.State == Dead && core.hearing.at > core.changedAt(&edge)
+		return edge.State == Dead && core.isolation.lastAckAt > core.changedAt(&edge)
 	})
 	for _, node := range []string{"core-2", "edge-1", "edge-2"} {
 		c.members[node].Close()
@@ -43,7 +43,7 @@
 		return state(core.View(), "edge-1") == Dead && state(core.View(), "edge-2") == Dead
 	})
 	for node, dead := range map[string]bool{"edge-1": false, "edge-2": false, "edge-3": true} {
-		if got := state(core.LastHeard(), node); (got == Dead) != dead {
+		if got := state(core.LastConfirmedView(), node); (got == Dead) != dead {
 			t.Errorf("%s was %v when somebody was last heard", node, got)
 		}
 	}
@@ -51,41 +51,41 @@
 	options.Seeds = []netip.AddrPort{core.Address()}
 	c.start(options)
 	c.wait("edge-4 is heard, the others are dead", func() bool {
-		return state(core.LastHeard(), "edge-4") == Alive && state(core.LastHeard(), "edge-1") == Dead
+		return state(core.LastConfirmedView(), "edge-4") == Alive && state(core.LastConfirmedView(), "edge-1") == Dead
 	})
 }
 
-// virtual is a system's membership in virtual time, with one machine that is cut off from all others for a while.
-type virtual struct {
-	random *rand.Rand
-	now    float64
-	nodes  []*node
-	byAddr map[netip.AddrPort]*node
-	flying []flying
-	delay  float64 // at most
-	cut    cut     // of the first node
+// simulation is a system's membership in virtual time, with one machine that is cut off from all others for a while.
+type simulation struct {
+	random    *rand.Rand
+	now       float64
+	nodes     []*simulatedNode
+	nodeAt    map[netip.AddrPort]*simulatedNode
+	inFlight  []inFlightPacket
+	maxDelay  float64   // at most
+	partition partition // of the first node
 }
 
-// cut says which messages of the first node are lost.
-type cut struct{ in, out bool }
+// partition says which messages of the first node are lost.
+type partition struct{ inbound, outbound bool }
 
-// node is a member without a socket.
-type node struct {
-	*Gossip
+// simulatedNode is a member without a socket.
+type simulatedNode struct {
+	*Memberlist
 	up       bool
 	killedAt float64
 }
 
-// flying is a message on its way.
-type flying struct {
+// inFlightPacket is a message on its way.
+type inFlightPacket struct {
 	at       float64
-	from, to *node
+	from, to *simulatedNode
 	message  *membership.Message
 }
 
-func newVirtual(seed uint64) *virtual {
+func newSimulation(seed uint64) *simulation {
 	random := rand.New(rand.NewPCG(seed, 7))
-	v := &virtual{random: random, byAddr: map[netip.AddrPort]*node{}, delay: 0.001 + 0.09*random.Float64()}
+	v := &simulation{random: random, nodeAt: map[netip.AddrPort]*simulatedNode{}, maxDelay: 0.001 + 0.09*random.Float64()}
 	edges := 4 + random.IntN(24)
 	first := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), uint16(processconfig.GossipPort))
 	for i := range 2 + edges {
@@ -93,73 +93,73 @@
 		if i < 2 {
 			role = Control
 		}
-		g := &Gossip{epoch: time.Now(), address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), first.Port()),
-			options: Options{Node: fmt.Sprint("node-", i), Role: role, Period: DefaultPeriod, Seeds: []netip.AddrPort{first}}}
+		g := &Memberlist{epoch: time.Now(), address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), first.Port()),
+			options: Options{Node: fmt.Sprint("node-", i), Role: role, ProbeInterval: DefaultProbeInterval, Seeds: []netip.AddrPort{first}}}
 		g.facts = membership.Facts{Role: string(role), Serving: string(ServingNow), Front: fmt.Sprintf("10.0.0.%d:80", i+1)}
-		options := g.machineOptions()
+		options := g.nodeOptions()
 		options.Seed, options.Life = random.Uint64(), 1
-		g.machine = membership.New(options)
-		n := &node{Gossip: g, up: true}
-		v.nodes, v.byAddr[g.address] = append(v.nodes, n), n
+		g.node = membership.New(options)
+		n := &simulatedNode{Memberlist: g, up: true}
+		v.nodes, v.nodeAt[g.address] = append(v.nodes, n), n
 	}
 	return v
 }
 
 // send puts what a node has to say on its way.
-func (v *virtual) send(n *node) {
-	for _, packet := range n.machine.Out() {
-		if to := v.byAddr[packet.To]; to != nil {
-			v.flying = append(v.flying, flying{v.now + v.delay*v.random.Float64(), n, to, packet.Msg})
+func (s *simulation) send(n *simulatedNode) {
+	for _, packet := range n.node.Out() {
+		if to := s.nodeAt[packet.To]; to != nil {
+			s.inFlight = append(s.inFlight, inFlightPacket{s.now + s.maxDelay*s.random.Float64(), n, to, packet.Msg})
 		}
 	}
-	n.machine.Changes()
-	n.machine.Settlings()
+	n.node.Changes()
+	n.node.Settlings()
 }
 
 // run plays until a time.
-func (v *virtual) run(until float64) {
+func (s *simulation) run(until float64) {
 	const step = 0.02
-	for ; v.now < until; v.now += step {
-		arrived := v.flying
-		v.flying = nil
+	for ; s.now < until; s.now += step {
+		arrived := s.inFlight
+		s.inFlight = nil
 		for _, f := range arrived {
-			v.arrive(f)
+			s.deliver(f)
 		}
-		for _, n := range v.nodes {
-			if n.up && v.now >= n.machine.Next() {
-				n.machine.Tick(v.now)
-				v.send(n)
+		for _, n := range s.nodes {
+			if n.up && s.now >= n.node.Next() {
+				n.node.Tick(s.now)
+				s.send(n)
 			}
-			n.hearing.look(v.now, silentPeriods*n.options.Period.Seconds(), n.members, n.changedAt)
+			n.isolation.update(s.now, isolationProbes*n.options.ProbeInterval.Seconds(), n.currentMembers, n.changedAt)
 		}
 	}
 }
 
-func (v *virtual) arrive(f flying) {
-	if f.at > v.now {
-		v.flying = append(v.flying, f)
+func (s *simulation) deliver(p inFlightPacket) {
+	if p.at > s.now {
+		s.inFlight = append(s.inFlight, p)
 		return
 	}
-	if !f.to.up || v.cut.in && f.to == v.nodes[0] || v.cut.out && f.from == v.nodes[0] {
+	if !p.to.up || s.partition.inbound && p.to == s.nodes[0] || s.partition.outbound && p.from == s.nodes[0] {
 		return
 	}
-	f.to.hearing.received(v.now, f.message)
-	f.to.machine.Receive(v.now, f.message)
-	v.send(f.to)
+	p.to.isolation.handleMessage(s.now, p.message)
+	p.to.node.Receive(s.now, p.message)
+	s.send(p.to)
 }
 
-// kill ends some of the edges.
-func (v *virtual) kill(share float64) {
-	for _, n := range v.nodes[2:] {
-		if n.up && v.random.Float64() < share {
-			n.up, n.killedAt = false, v.now
+// killEdges ends some of the edges.
+func (s *simulation) killEdges(fraction float64) {
+	for _, n := range s.nodes[2:] {
+		if n.up && s.random.Float64() < fraction {
+			n.up, n.killedAt = false, s.now
 		}
 	}
 }
 
-// killed is how many edges were killed.
-func (v *virtual) killed() (count int) {
-	for _, n := range v.nodes {
+// killedCount is how many edges were killed.
+func (s *simulation) killedCount() (count int) {
+	for _, n := range s.nodes {
 		if !n.up {
 			count++
 		}
@@ -167,58 +167,58 @@
 	return count
 }
 
-// check sees that the cut-off machine names who was there when it last heard anybody, and nobody who was dead then.
-func (v *virtual) check(lastHeard float64) error {
-	members := v.nodes[0].LastHeard()
-	if len(members) < len(v.nodes)-v.killed() {
-		return fmt.Errorf("at %.1f: %d members of %d are known", v.now, len(members), len(v.nodes))
+// checkConfirmedView sees that the cut-off machine names who was there when it last heard anybody, and nobody who was dead then.
+func (s *simulation) checkConfirmedView(connectedUntil float64) error {
+	members := s.nodes[0].LastConfirmedView()
+	if len(members) < len(s.nodes)-s.killedCount() {
+		return fmt.Errorf("at %.1f: %d members of %d are known", s.now, len(members), len(s.nodes))
 	}
 	for _, member := range members {
-		n := v.byAddr[netip.AddrPortFrom(member.Address, v.nodes[0].address.Port())]
+		n := s.nodeAt[netip.AddrPortFrom(member.Address, s.nodes[0].address.Port())]
 		switch {
-		case n.killedAt > 0 && n.killedAt < lastHeard-judgedWithin && member.State <= Suspect:
-			return fmt.Errorf("at %.1f: %s, killed at %.1f, is %v", v.now, member.Node, n.killedAt, member.State)
-		case (n.killedAt == 0 || n.killedAt > lastHeard) && member.State > Suspect:
-			return fmt.Errorf("at %.1f: %s, killed at %.1f, is %v", v.now, member.Node, n.killedAt, member.State)
+		case n.killedAt > 0 && n.killedAt < connectedUntil-detectionBound && member.State <= Suspect:
+			return fmt.Errorf("at %.1f: %s, killed at %.1f, is %v", s.now, member.Node, n.killedAt, member.State)
+		case (n.killedAt == 0 || n.killedAt > connectedUntil) && member.State > Suspect:
+			return fmt.Errorf("at %.1f: %s, killed at %.1f, is %v", s.now, member.Node, n.killedAt, member.State)
 		}
 	}
 	return nil
 }
 
 // play has edges be killed before, in and after a time in which the first machine is cut off.
-func (v *virtual) play(ways cut) error {
-	for _, n := range v.nodes {
-		n.machine.Start(v.now)
-		v.send(n)
+func (s *simulation) play(ways partition) error {
+	for _, n := range s.nodes {
+		n.node.Start(s.now)
+		s.send(n)
 	}
-	v.run(20)
-	v.kill(0.2)
-	v.run(v.now + judgedWithin + 1)
-	v.cut = ways
-	lastHeard := v.now
-	for end := v.now + 20 + 40*v.random.Float64(); v.now < end; {
-		v.kill(0.01)
-		v.run(v.now + 1)
-		if v.now < lastHeard+silentPeriods*DefaultPeriod.Seconds()+2*v.delay {
+	s.run(20)
+	s.killEdges(0.2)
+	s.run(s.now + detectionBound + 1)
+	s.partition = ways
+	connectedUntil := s.now
+	for end := s.now + 20 + 40*s.random.Float64(); s.now < end; {
+		s.killEdges(0.01)
+		s.run(s.now + 1)
+		if s.now < connectedUntil+isolationProbes*DefaultProbeInterval.Seconds()+2*s.maxDelay {
 			continue
 		}
-		if err := v.check(lastHeard); err != nil {
+		if err := s.checkConfirmedView(connectedUntil); err != nil {
 			return err
 		}
 	}
-	v.cut = cut{}
-	v.run(v.now + judgedWithin + 1)
-	return v.check(v.now)
+	s.partition = partition{}
+	s.run(s.now + detectionBound + 1)
+	return s.checkConfirmedView(s.now)
 }
 
-// TestCutOffMachineNamesWhoWasThere plays drawn systems in virtual time, with cuts in either and in both directions.
-func TestCutOffMachineNamesWhoWasThere(t *testing.T) {
-	ways := []cut{{in: true, out: true}, {in: true}, {out: true}}
-	for seed := uint64(1); seed <= cutSeeds; seed++ {
+// TestIsolatedMemberViewSimulation plays drawn systems in virtual time, with cuts in either and in both directions.
+func TestIsolatedMemberViewSimulation(t *testing.T) {
+	ways := []partition{{inbound: true, outbound: true}, {inbound: true}, {outbound: true}}
+	for seed := uint64(1); seed <= simulationSeeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			way := ways[seed%uint64(len(ways))]
-			if err := newVirtual(seed).play(way); err != nil {
+			if err := newSimulation(seed).play(way); err != nil {
 				t.Errorf("seed %d, cut %+v, %v", seed, way, err)
 			}
 		})
--- a/internal/system/gossip/view.go
+++ b/internal/system/gossip/view.go
@@ -12,8 +12,8 @@
 	"cinderroad/internal/shared/membership"
 )
 
-// DefaultDeadFor is how long an edge that is held to be dead counts among the proxies that may be sending.
-const DefaultDeadFor = 10 * time.Second
+// DefaultDeadProxyTTL is how long an edge that is held to be dead counts among the proxies that may be sending.
+const DefaultDeadProxyTTL = 10 * time.Second
 
 const nameSeparator = "/"
 
@@ -34,7 +34,7 @@
 	Address netip.Addr // of its machine, for calls
 	State   State
 	Since   time.Time // of the state, by the steady clock
-	Me      bool
+	Self    bool
 	Role    Role
 	Zone    string
 	Front   string // address that clients use; empty: none or not told
@@ -52,47 +52,47 @@
 
 // snapshot is the view as it was last asked for.
 type snapshot struct {
-	of      digests
+	digests digests
 	members []Member
 }
 
-// changed says whether the view is another one than when this was last asked.
-func (g *Gossip) changed() bool {
+// viewChanged says whether the view is another one than when this was last asked.
+func (g *Memberlist) viewChanged() bool {
 	now := g.digests()
-	if now == g.notified {
+	if now == g.notifiedDigests {
 		return false
 	}
-	g.notified = now
+	g.notifiedDigests = now
 	return true
 }
 
-func (g *Gossip) digests() digests {
-	return digests{view: g.machine.Digest(), facts: g.machine.FactsDigest()}
+func (g *Memberlist) digests() digests {
+	return digests{view: g.node.Digest(), facts: g.node.FactsDigest()}
 }
 
 // refresh makes the snapshot anew if the view has changed.
-func (g *Gossip) refresh() {
+func (g *Memberlist) refresh() {
 	now := g.digests()
-	if g.snapshot.members != nil && g.snapshot.of == now {
+	if g.snapshot.members != nil && g.snapshot.digests == now {
 		return
 	}
-	seen := g.machine.View()
-	members := make([]Member, 0, len(seen.Members))
-	for i := range seen.Members {
-		members = append(members, g.member(&seen.Members[i]))
+	view := g.node.View()
+	members := make([]Member, 0, len(view.Members))
+	for i := range view.Members {
+		members = append(members, g.newMember(&view.Members[i]))
 	}
-	g.snapshot = snapshot{of: now, members: members}
+	g.snapshot = snapshot{digests: now, members: members}
 }
 
-func (g *Gossip) member(seen *membership.Seen) Member {
+func (g *Memberlist) newMember(entry *membership.Seen) Member {
 	member := Member{
-		Node:    nodeName(seen.Name),
-		Address: seen.Addr.Addr(),
-		State:   seen.State,
-		Since:   g.timeOf(seen.Since),
-		Me:      seen.Me,
+		Node:    nodeName(entry.Name),
+		Address: entry.Addr.Addr(),
+		State:   entry.State,
+		Since:   g.timeOf(entry.Since),
+		Self:    entry.Me,
 	}
-	if facts := seen.FactsOf; facts != nil {
+	if facts := entry.FactsOf; facts != nil {
 		member.Role = Role(facts.Role)
 		member.Zone = facts.Zone
 		member.Front = facts.Front
@@ -113,34 +113,34 @@
 // roleOf is the role in a member's name.
 func roleOf(member string) Role { return Role(member[strings.LastIndex(member, nameSeparator)+1:]) }
 
-// members are those of an up-to-date snapshot.
-func (g *Gossip) members() []Member {
+// currentMembers are those of an up-to-date snapshot.
+func (g *Memberlist) currentMembers() []Member {
 	g.refresh()
 	return g.snapshot.members
 }
 
 // View returns the members, by name, this one among them. The slice is shared and not to be changed.
-func (g *Gossip) View() []Member {
+func (g *Memberlist) View() []Member {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.members()
+	return g.currentMembers()
 }
 
-// LastHeard returns the members as View does, but those of a process that nobody answers any more as they were when
+// LastConfirmedView returns the members as View does, but those of a process that nobody answers any more as they were when
 // somebody last did: it is cut off, and whoever it can't reach may be there. Those that were dead or had left before are so.
-func (g *Gossip) LastHeard() []Member {
+func (g *Memberlist) LastConfirmedView() []Member {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.hearing.members != nil {
-		return g.hearing.members
+	if g.isolation.confirmed != nil {
+		return g.isolation.confirmed
 	}
-	return g.members()
+	return g.currentMembers()
 }
 
-// Proxies is how many proxies may be sending: those that are dead to this process may be cut off from it only, and count
+// ProxyCount is how many proxies may be sending: those that are dead to this process may be cut off from it only, and count
 // for a while. A member whose role is not known counts. 0: this process does not know the others yet.
-func (g *Gossip) Proxies() int {
-	proxies, known := g.proxies()
+func (g *Memberlist) ProxyCount() int {
+	proxies, known := g.activeProxies()
 	if !known {
 		return 0
 	}
@@ -148,19 +148,19 @@
 }
 
 // Peers are the other proxies that may be sending, as Proxies counts them; nil where those are not known yet.
-func (g *Gossip) Peers() []Member {
-	proxies, known := g.proxies()
+func (g *Memberlist) Peers() []Member {
+	proxies, known := g.activeProxies()
 	if !known {
 		return nil
 	}
-	return slices.DeleteFunc(proxies, func(m Member) bool { return m.Me })
+	return slices.DeleteFunc(proxies, func(m Member) bool { return m.Self })
 }
 
-// proxies are the members that may be sending, in a slice of the caller's own; known: the view has been complete once.
-func (g *Gossip) proxies() (proxies []Member, known bool) {
+// activeProxies are the members that may be sending, in a slice of the caller's own; known: the view has been complete once.
+func (g *Memberlist) activeProxies() (proxies []Member, known bool) {
 	members := g.View()
 	g.mutex.Lock()
-	known = g.counted
+	known = g.viewComplete
 	g.mutex.Unlock()
 	if !known {
 		return nil, false
@@ -168,17 +168,17 @@
 	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return !g.maySend(&m) }), true
 }
 
-func (g *Gossip) maySend(member *Member) bool {
+func (g *Memberlist) maySend(member *Member) bool {
 	if member.Role != Edge && member.Role != "" {
 		return false
 	}
-	return member.State <= Suspect || member.State == Dead && time.Since(member.Since) < g.options.DeadFor
+	return member.State <= Suspect || member.State == Dead && time.Since(member.Since) < g.options.DeadProxyTTL
 }
 
 // ControlAddresses returns where control replicas serve, in the order in which to try them: those that are alive before
 // suspected ones, seeds nothing is known of and dead ones; then the nearest; then by a number that differs between
 // members, so that they spread.
-func (g *Gossip) ControlAddresses() []netip.AddrPort {
+func (g *Memberlist) ControlAddresses() []netip.AddrPort {
 	g.mutex.Lock()
 	port, seeds := g.options.ControlPort, g.options.Seeds
 	g.mutex.Unlock()
@@ -186,55 +186,55 @@
 	for _, seed := range seeds {
 		known := slices.ContainsFunc(candidates, func(c candidate) bool { return c.address == seed.Addr() })
 		if !known && seed.Addr() != g.address.Addr() {
-			candidates = append(candidates, candidate{address: seed.Addr(), class: classUnknown, spread: g.spread(seed.Addr())})
+			candidates = append(candidates, candidate{address: seed.Addr(), reachability: reachabilityUnknown, spread: g.spreadKey(seed.Addr())})
 		}
 	}
-	return ordered(candidates, port)
+	return sortedAddresses(candidates, port)
 }
 
 // AgentAddresses returns where other agents serve, in the order in which to try them.
-func (g *Gossip) AgentAddresses() []netip.AddrPort {
-	return ordered(g.candidates(Edge), g.options.AgentPort)
+func (g *Memberlist) AgentAddresses() []netip.AddrPort {
+	return sortedAddresses(g.candidates(Edge), g.options.AgentPort)
 }
 
 // Classes of members, by how likely they are to answer.
 const (
-	classAlive = iota
-	classSuspect
-	classUnknown
-	classDead
+	reachabilityAlive = iota
+	reachabilitySuspect
+	reachabilityUnknown
+	reachabilityDead
 )
 
 type candidate struct {
-	address  netip.Addr
-	class    int
-	distance int
-	spread   uint64
+	address      netip.Addr
+	reachability int
+	distance     int
+	spread       uint64
 }
 
 // candidates are the other members of a role that have not left.
-func (g *Gossip) candidates(role Role) []candidate {
+func (g *Memberlist) candidates(role Role) []candidate {
 	var candidates []candidate
 	for _, member := range g.View() {
-		if member.Role != role || member.Me || member.State == Left {
+		if member.Role != role || member.Self || member.State == Left {
 			continue
 		}
-		c := candidate{address: member.Address, distance: g.distance(member.Zone), spread: g.spread(member.Address)}
+		c := candidate{address: member.Address, distance: g.zoneDistance(member.Zone), spread: g.spreadKey(member.Address)}
 		switch member.State {
 		case Alive:
-			c.class = classAlive
+			c.reachability = reachabilityAlive
 		case Suspect:
-			c.class = classSuspect
+			c.reachability = reachabilitySuspect
 		default:
-			c.class = classDead
+			c.reachability = reachabilityDead
 		}
 		candidates = append(candidates, c)
 	}
 	return candidates
 }
 
-// distance is 0 within the zone, 1 within the region, 2 beyond.
-func (g *Gossip) distance(zone string) int {
+// zoneDistance is 0 within the zone, 1 within the region, 2 beyond.
+func (g *Memberlist) zoneDistance(zone string) int {
 	switch {
 	case zone == g.options.Zone:
 		return 0
@@ -244,13 +244,13 @@
 	return 2
 }
 
-func (g *Gossip) spread(address netip.Addr) uint64 {
+func (g *Memberlist) spreadKey(address netip.Addr) uint64 {
 	return xxhash.Sum64String(g.options.Node + nameSeparator + address.String())
 }
 
-func ordered(candidates []candidate, port uint16) []netip.AddrPort {
+func sortedAddresses(candidates []candidate, port uint16) []netip.AddrPort {
 	slices.SortFunc(candidates, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.distance, b.distance), cmp.Compare(a.spread, b.spread))
+		return cmp.Or(cmp.Compare(a.reachability, b.reachability), cmp.Compare(a.distance, b.distance), cmp.Compare(a.spread, b.spread))
 	})
 	addresses := make([]netip.AddrPort, 0, len(candidates))
 	for _, c := range candidates {
