--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -162,13 +162,6 @@
 	x.retryOrGiveUp(0)
 }
 
-// retryOrGiveUp sends the request to another runner after an attempt that brought nothing, or gives up.
-func (x *exchange) retryOrGiveUp(pause time.Duration) {
-	if sent, refused := x.retry(); !sent {
-		x.giveUp(max(pause, refused))
-	}
-}
-
 // handleFailure takes a failure of the runner's own, which may have run the request. It is passed on unless another runner
 // takes the request.
 func (x *exchange) handleFailure(a *attempt, head *httpwire.ResponseHead) {
@@ -193,8 +186,12 @@
 	x.relayHead(head)
 }
 
-// parseRetryAfter is when a runner that was full may be asked again; 0: it does not say.
-func parseRetryAfter(head *httpwire.ResponseHead) time.Duration {
-	seconds := parseSeconds(head.Header.Get(headerRetryAfter))
-	return max(0, min(seconds, maxRetryAfter))
+// handleConnFailure ends an attempt whose connection has failed.
+func (a *attempt) handleConnFailure(mayHaveRun bool) {
+	if a.verdict == verdictFailure && a.exchange.response.started { // its own failure was being passed on
+		a.end(placement.Failed)
+		a.exchange.abort()
+		return
+	}
+	a.handleLost(mayHaveRun)
 }
--- a/internal/system/proxy/event_stream.go
+++ b/internal/system/proxy/event_stream.go
@@ -8,8 +8,12 @@
 	"cinderroad/internal/shared/httpwire"
 )
 
-// maxEventBytes bounds an event that is not whole yet, in bytes; a stream with a longer one cannot be continued elsewhere.
-const maxEventBytes = 256 << 10
+const (
+	// maxEventBytes bounds an event that is not whole yet, in bytes; a stream with a longer one cannot be continued elsewhere.
+	maxEventBytes = 256 << 10
+	// maxSpareBytes is how much of an empty buffer a stream keeps for its next event.
+	maxSpareBytes = 4096
+)
 
 // eventReader cuts a text/event-stream into events, each with the empty line that ends it.
 type eventReader struct {
@@ -66,7 +70,7 @@
 func (r *eventReader) discardConsumed(begin int) {
 	r.lineStart -= begin
 	rest := copy(r.partial, r.partial[begin:])
-	if r.partial = r.partial[:rest]; rest == 0 && cap(r.partial) > 4096 {
+	if r.partial = r.partial[:rest]; rest == 0 && cap(r.partial) > maxSpareBytes {
 		r.partial = nil
 	}
 }
--- /dev/null
+++ b/internal/system/proxy/exchange_placement.go
@@ -0,0 +1,110 @@
+package proxy
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"cinderroad/internal/system/placement"
+)
+
+// place has a runner named and sends the request there, or gives up.
+func (x *exchange) place() {
+	choice, refusal := x.chooseRunner()
+	if refusal != nil {
+		x.giveUp(refusal.RetryAfter)
+		return
+	}
+	x.startAttempt(choice)
+}
+
+// logRefusal logs why no runner was named.
+func (x *exchange) logRefusal(refusal *placement.Rejection) {
+	if e := x.proxy.log.Check(zap.DebugLevel, "refused"); e != nil {
+		e.Write(zap.String("try", x.tryID), zap.String("route", x.request.Route.Name), zap.String("reason", refusal.Reason),
+			zap.Duration("retry_after", refusal.RetryAfter), zap.Strings("tried", x.request.TriedRunners))
+	}
+}
+
+// chooseRunner has a runner named that has a connection to spare.
+func (x *exchange) chooseRunner() (placement.Choice, *placement.Rejection) {
+	tried := x.request.TriedRunners
+	defer func() { x.request.TriedRunners = tried }()
+	x.request.TriedRunners = tried[:len(tried):len(tried)]
+	for range maxPlacementTries {
+		choice, refusal := x.proxy.placer.Place(x.proxy.now(), &x.request)
+		if refusal != nil {
+			x.logRefusal(refusal)
+			return choice, refusal
+		}
+		if x.proxy.pool.canAccept(choice) {
+			return choice, nil
+		}
+		x.request.TriedRunners = append(x.request.TriedRunners, choice.Runner)
+	}
+	return placement.Choice{}, &placement.Rejection{RetryAfter: shortRetryAfter, Reason: "no connection to spare"}
+}
+
+// startAttempt begins an attempt.
+func (x *exchange) startAttempt(choice placement.Choice) {
+	if x.state != exchangeRelaying {
+		x.transition(exchangeConnecting)
+	}
+	x.proxy.Counters.Attempts++
+	a := &attempt{exchange: x, choice: choice}
+	a.tracked = x.proxy.placer.StartAttempt(x.proxy.now(), &x.request, choice)
+	x.attempt = a
+	x.proxy.peers.notifyPrefill(a.tracked)
+	x.proxy.pool.send(a)
+}
+
+// mayRetry says whether the request may be sent to another runner. What must hold is checked here too: the placer
+// knows of budgets, this knows of promises.
+func (x *exchange) mayRetry() bool {
+	if x.request.MayHaveRun && !x.request.Route.IsIdempotent() {
+		return false
+	}
+	if x.response.started && !x.canContinue() {
+		return false
+	}
+	now := x.proxy.now()
+	if len(x.request.TriedRunners)-x.unreached >= max(1, x.request.Route.MaxAttempts) || now >= x.request.Deadline {
+		return false
+	}
+	return x.proxy.placer.MayRetry(now, &x.request)
+}
+
+// canContinue says whether an answer that has begun may go on from another runner.
+func (x *exchange) canContinue() bool {
+	return x.response.resumable && x.eventReader.canResume()
+}
+
+// retry sends the request to another runner, if that may be and one can take it.
+func (x *exchange) retry() (sent bool, pause time.Duration) {
+	if !x.mayRetry() {
+		return false, 0
+	}
+	choice, refusal := x.chooseRunner()
+	if refusal != nil {
+		return false, refusal.RetryAfter
+	}
+	if x.response.started {
+		x.eventReader.resume()
+		x.proxy.Counters.Resumed++
+	}
+	x.startAttempt(choice)
+	return true, 0
+}
+
+// retryOrGiveUp sends the request to another runner after an attempt that brought nothing, or gives up.
+func (x *exchange) retryOrGiveUp(pause time.Duration) {
+	if sent, refused := x.retry(); !sent {
+		x.giveUp(max(pause, refused))
+	}
+}
+
+// noteTried notes the runner of an attempt.
+func (x *exchange) noteTried(a *attempt, mayHaveRun bool) {
+	x.request.TriedRunners = append(x.request.TriedRunners, a.choice.Runner)
+	x.request.MayHaveRun = x.request.MayHaveRun || mayHaveRun
+}
--- a/internal/system/proxy/request_test.go
+++ b/internal/system/proxy/headers_test.go
@@ -22,3 +22,14 @@
 		}
 	}
 }
+
+func TestAdvertisedIdleTimeout(t *testing.T) {
+	for value, want := range map[string]time.Duration{
+		"": 0, "timeout=5": 4800 * time.Millisecond, "max=3, Timeout=1": 800 * time.Millisecond, "timeout=0": 0,
+		"timeout=x": 0, "timeout=-1": 0, "max=5": 0,
+	} {
+		if got := advertisedIdleTimeout(httpwire.Header{{"Keep-Alive", value}}); got != want {
+			t.Errorf("%q: %v, want %v", value, got, want)
+		}
+	}
+}
--- a/internal/system/proxy/idle_timeout.go
+++ b/internal/system/proxy/idle_timeout.go
@@ -2,11 +2,7 @@
 
 import (
 	"slices"
-	"strconv"
-	"strings"
 	"time"
-
-	"cinderroad/internal/shared/httpwire"
 )
 
 const (
@@ -50,16 +46,39 @@
 	return max(low, minIdleTrust)
 }
 
-// advertisedIdleTimeout is how long the connection may rest after an answer with this header; 0: it does not say.
-func advertisedIdleTimeout(header httpwire.Header) time.Duration {
-	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
-		name, value, _ := strings.Cut(strings.Trim(part, " \t"), "=")
-		if !strings.EqualFold(name, "timeout") {
-			continue
-		}
-		if n, err := strconv.ParseUint(value, 10, 16); err == nil && n > 0 {
-			return max(time.Duration(n)*time.Second-advertisedIdleMargin, minIdleTrust)
-		}
+// makeIdle makes the connection idle for the next request.
+func (l *runnerConn) makeIdle() {
+	p := l.runner.pool.proxy
+	if !l.runner.listed || l.runner.draining || p.shutdown.active && p.openExchanges == 0 {
+		l.close()
+		return
+	}
+	l.socket.SetStalled(false)
+	l.transition(connIdle)
+	l.requestEnd = 0
+	l.idleSince = p.now()
+	l.runner.idle = append(l.runner.idle, l)
+	most := maxIdleTime
+	if l.advertisedIdle > 0 {
+		most = l.advertisedIdle
+	}
+	l.timer = p.runAt(l.idleSince+most, l.close)
+}
+
+// idleTrustLimit is how long the connection may have rested to be given a request.
+func (l *runnerConn) idleTrustLimit() time.Duration {
+	if l.advertisedIdle > 0 {
+		return l.advertisedIdle
+	}
+	return l.runner.pool.idleTimeoutOf(l.runner.service).estimate()
+}
+
+// learnIdleTimeout learns from a runner's close of an idle connection, unless others end at the same time: then the runner
+// ends.
+func (l *runnerConn) learnIdleTimeout() {
+	now := l.runner.pool.proxy.now()
+	if now-l.runner.lastIdleCloseAt > sharedCloseWindow && l.advertisedIdle == 0 {
+		l.runner.pool.idleTimeoutOf(l.runner.service).observe(now - l.idleSince)
 	}
-	return 0
+	l.runner.lastIdleCloseAt = now
 }
--- a/internal/system/proxy/peer_notifier.go
+++ b/internal/system/proxy/peer_notifier.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"encoding/binary"
 	"math/rand/v2"
 	"net/netip"
 
@@ -18,6 +17,7 @@
 	noticeBurstSeconds        = 1.0   // seconds of that share that may be spent at once
 	defaultLinkBytesPerSecond = 125e6 // bytes a second, where the settings name no bound
 	datagramHeaderBytes       = 28    // bytes of a datagram's headers
+	relaySeedStream           = 0x80  // of the random choice of proxies in other zones
 	maxOwnZonePeers           = 256   // proxies of the own zone that are told
 )
 
@@ -38,7 +38,7 @@
 }
 
 func newPeerNotifier(p *Proxy) *peerNotifier {
-	random := rand.New(rand.NewPCG(p.options.Seed, noticeRelayFlag))
+	random := rand.New(rand.NewPCG(p.options.Seed, relaySeedStream))
 	return &peerNotifier{proxy: p, random: random, otherZones: map[string][]netip.AddrPort{}, refilledAt: p.loop.Now() - noticeBurstSeconds}
 }
 
@@ -165,38 +165,3 @@
 	s.proxy.Counters.NoticesReceived++
 	s.proxy.placer.HandleNotice(s.proxy.now(), notice)
 }
-
-// A datagram is a notice's kind in one byte, the runner's key, and of a prompt its tokens.
-const (
-	noticeRelayFlag   = 0x80      // bit of the kind: whoever gets it passes it on in its zone, without the bit
-	noticeHeaderBytes = 1 + 8     // bytes
-	maxNoticeTokens   = 1<<24 - 1 // tokens of a prompt
-)
-
-func appendNotice(b []byte, notice placement.Notice) []byte {
-	b = append(b, byte(notice.Kind))
-	b = binary.LittleEndian.AppendUint64(b, notice.RunnerKey)
-	if notice.Kind != placement.NoticePrefill {
-		return b
-	}
-	return binary.AppendUvarint(b, uint64(min(notice.Tokens, maxNoticeTokens)))
-}
-
-func parseNotice(b []byte) (notice placement.Notice, relayed, ok bool) {
-	if len(b) < noticeHeaderBytes {
-		return notice, false, false
-	}
-	relayed = b[0]&noticeRelayFlag != 0
-	notice.Kind = placement.NoticeKind(b[0] &^ noticeRelayFlag)
-	notice.RunnerKey = binary.LittleEndian.Uint64(b[1:])
-	rest := b[noticeHeaderBytes:]
-	switch notice.Kind {
-	case placement.NoticeRecovery:
-		return notice, relayed, len(rest) == 0
-	case placement.NoticePrefill:
-		tokens, n := binary.Uvarint(rest)
-		notice.Tokens = int(min(tokens, maxNoticeTokens))
-		return notice, relayed, n > 0 && n == len(rest) && tokens <= maxNoticeTokens
-	}
-	return notice, relayed, false
-}
--- a/internal/system/proxy/peer_notifier_test.go
+++ b/internal/system/proxy/peer_notifier_test.go
@@ -14,34 +14,6 @@
 	"cinderroad/internal/system/routetable"
 )
 
-func TestNoticeRoundTrip(t *testing.T) {
-	for _, notice := range []placement.Notice{{Kind: placement.NoticePrefill, RunnerKey: 1, Tokens: 1},
-		{Kind: placement.NoticePrefill, RunnerKey: 1<<64 - 1, Tokens: maxNoticeTokens}, {Kind: placement.NoticePrefill, RunnerKey: 5},
-		{Kind: placement.NoticeRecovery, RunnerKey: 9}} {
-		if got, relayed, ok := parseNotice(appendNotice(nil, notice)); !ok || relayed || got != notice {
-			t.Errorf("%+v was read as %+v, %v, %v", notice, got, relayed, ok)
-		}
-	}
-}
-
-// FuzzParseNotice reads whatever comes: what is taken is what would have been written.
-func FuzzParseNotice(f *testing.F) {
-	f.Add(appendNotice(nil, placement.Notice{Kind: placement.NoticePrefill, RunnerKey: 3, Tokens: 4000}))
-	f.Add(appendNotice(nil, placement.Notice{Kind: placement.NoticeRecovery, RunnerKey: 3}))
-	f.Add([]byte{byte(placement.NoticePrefill), 0, 0, 0, 0, 0, 0, 0, 0, 0x80})
-	f.Add([]byte{})
-	f.Fuzz(func(t *testing.T, b []byte) {
-		notice, _, ok := parseNotice(b)
-		if !ok {
-			return
-		}
-		again, _, ok := parseNotice(appendNotice(nil, notice))
-		if !ok || again != notice || notice.Tokens < 0 || notice.Tokens > maxNoticeTokens {
-			t.Errorf("%x was read as %+v, then as %+v", b, notice, again)
-		}
-	})
-}
-
 // recordingPlacer keeps the notices that it hears.
 type recordingPlacer struct {
 	fakePlacer
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -28,10 +28,12 @@
 )
 
 const (
-	minProxies          = 1
-	bufferMemoryDivisor = 4 // requests may hold one part in so many of the memory
-	pendingFlushBytes   = 16 << 10
-	defaultBufferBytes  = 64 << 20 // bytes, where the memory is not known
+	minProxies           = 1
+	bufferMemoryDivisor  = 4 // requests may hold one part in so many of the memory
+	pendingFlushBytes    = 16 << 10
+	maxPendingSpareBytes = 4 * pendingFlushBytes
+	splitterSeedMask     = 0x9e3779b97f4a7c15 // apart from the seed of what else is drawn
+	defaultBufferBytes   = 64 << 20           // bytes, where the memory is not known
 )
 
 // Options say where the proxy listens and what it may use.
@@ -86,7 +88,6 @@
 	bufferedBodyBytes int // bytes of bodies held
 	pending           pendingWrite
 	shutdown          shutdownState
-	tick              *eventloop.Timer
 	scratch           []byte
 	eventScratch      []byte
 }
@@ -94,7 +95,7 @@
 // New makes a proxy; it serves nothing until Listen.
 func New(loop *eventloop.Loop, log *zap.Logger, placer Placer, options Options) *Proxy {
 	p := &Proxy{loop: loop, log: log, placer: placer, options: options, startedAt: loop.Now()}
-	p.splitter = newServiceSplitter(rand.New(rand.NewPCG(options.Seed, options.Seed^0x9e3779b97f4a7c15)))
+	p.splitter = newServiceSplitter(rand.New(rand.NewPCG(options.Seed, options.Seed^splitterSeedMask)))
 	p.pool = newPool(p)
 	p.peers = newPeerNotifier(p)
 	p.pending.flush = p.flushPending
@@ -150,7 +151,7 @@
 func (p *Proxy) tickPlacer() {
 	now := p.now()
 	next := max(p.placer.Tick(now), now+time.Millisecond)
-	p.tick = p.runAt(next, p.tickPlacer)
+	p.runAt(next, p.tickPlacer)
 }
 
 // SetRoutes puts routes in force for the requests that begin from now on.
@@ -202,9 +203,6 @@
 // Ready says whether clients should be sent here.
 func (p *Proxy) Ready() bool { return p.routes != nil && p.runnersKnown && !p.shutdown.active }
 
-// ShuttingDown says whether the process has been told to stop.
-func (p *Proxy) ShuttingDown() bool { return p.shutdown.active }
-
 // maxBufferedBytes is how many bytes of requests may be held.
 func (p *Proxy) maxBufferedBytes() int {
 	if p.options.MemoryBytes <= 0 {
@@ -217,25 +215,3 @@
 func (p *Proxy) memoryExhausted() bool {
 	return p.bufferedBodyBytes+p.loop.BufferedBytes() > p.maxBufferedBytes()
 }
-
-// pendingWrite gathers what one session is to be sent within an event, so that it goes out in one call of the system.
-type pendingWrite struct {
-	session *session
-	bytes   []byte
-	flush   func()
-}
-
-// flushPending sends what has been gathered.
-func (p *Proxy) flushPending() {
-	s := p.pending.session
-	if s == nil {
-		return
-	}
-	p.pending.session = nil
-	s.socket.Write(p.pending.bytes)
-	if cap(p.pending.bytes) > 4*pendingFlushBytes {
-		p.pending.bytes = nil
-	}
-	p.pending.bytes = p.pending.bytes[:0]
-	s.applyBackpressure()
-}
--- a/internal/system/proxy/request.go
+++ b/internal/system/proxy/request.go
@@ -1,8 +1,6 @@
 package proxy
 
 import (
-	"math"
-	"strconv"
 	"strings"
 	"time"
 
@@ -10,80 +8,12 @@
 	"cinderroad/internal/system/placement"
 )
 
-// Fields that the system and its clients and runners speak by.
-const (
-	headerTryID        = "X-Try-Id"
-	headerTimeLeft     = "X-Time-Left-Ms"
-	headerModel        = "X-Model"
-	headerTokenCounts  = "X-Token-Counts"
-	headerPromptStart  = "X-Prompt-Start"
-	headerWantedServer = "X-Wanted-Server"
-	headerPriority     = "Priority"
-	headerLastEventID  = "Last-Event-Id"
-	headerSeal         = "X-Server-Seal"
-	headerNotRun       = "X-Not-Run"
-	headerRetryAfter   = "Retry-After"
-)
-
-const (
-	maxTryIDBytes   = 256 // bytes
-	maxRetryAfter   = 24 * time.Hour
-	maxPromptChunks = 1024      // of a prompt
-	maxTokenCount   = 100 << 20 // tokens
-)
-
 // pathOf is the path of a target.
 func pathOf(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	return path
 }
 
-// parseTimeLeft reads how long the client will wait, at most the given time, which is also what counts where it does not say.
-// It is 0 where the client's time is over.
-func parseTimeLeft(header httpwire.Header, atMost time.Duration) time.Duration {
-	ms, err := strconv.ParseFloat(header.Get(headerTimeLeft), 64)
-	switch {
-	case err != nil || math.IsNaN(ms):
-		return atMost
-	case ms <= 0:
-		return 0
-	case ms >= float64(atMost)/float64(time.Millisecond):
-		return atMost
-	}
-	return time.Duration(ms * float64(time.Millisecond))
-}
-
-// parseTokenCounts reads the tokens of the prompt and the most of the answer; what makes no sense is not told.
-func parseTokenCounts(value string) (input, output int) {
-	first, second, _ := strings.Cut(value, ",")
-	return parseTokenCount(first), parseTokenCount(second)
-}
-
-func parseTokenCount(text string) int {
-	n, err := strconv.Atoi(strings.Trim(text, " \t"))
-	if err != nil || n < 0 || n > maxTokenCount {
-		return 0
-	}
-	return n
-}
-
-// parsePromptChunks reads the parts of a prompt in their order; from the first that makes no sense on, nothing is told.
-func parsePromptChunks(value string) []placement.Chunk {
-	if value == "" {
-		return nil
-	}
-	parts := make([]placement.Chunk, 0, strings.Count(value, ",")+1)
-	for text := range strings.SplitSeq(value, ",") {
-		id, tokens, ok := strings.Cut(strings.Trim(text, " \t"), ":")
-		number, err := strconv.ParseUint(id, 16, 64)
-		if !ok || err != nil || len(parts) == maxPromptChunks {
-			break
-		}
-		parts = append(parts, placement.Chunk{ID: number, Tokens: parseTokenCount(tokens)})
-	}
-	return parts
-}
-
 // appendRequest writes the head of a request for a runner, which is followed by the body.
 func (x *exchange) appendRequest(b []byte, choice placement.Choice) []byte {
 	b = append(b, x.head.Method...)
--- a/internal/system/proxy/response.go
+++ b/internal/system/proxy/response.go
@@ -1,9 +1,7 @@
 package proxy
 
 import (
-	"strconv"
 	"strings"
-	"time"
 
 	"cinderroad/internal/shared/httpwire"
 	"cinderroad/internal/system/placement"
@@ -154,12 +152,3 @@
 		a.conn.socket.SetStalled(stalled)
 	}
 }
-
-// parseSeconds reads a time in seconds; 0 when it makes no sense.
-func parseSeconds(value string) time.Duration {
-	s, err := strconv.ParseFloat(value, 64)
-	if err != nil || !(s > 0) || s > maxRetryAfter.Seconds() {
-		return 0
-	}
-	return time.Duration(s * float64(time.Second))
-}
--- a/internal/system/proxy/retry_test.go
+++ b/internal/system/proxy/retry_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"io"
-	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -11,18 +10,6 @@
 	"cinderroad/internal/system/placement"
 )
 
-const notRunWithoutID = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
-
-// expectResponse checks the status of a whole answer.
-func (p *testConn) expectResponse(status int, body string) *http.Response {
-	p.t.Helper()
-	got, text := p.readResponse()
-	if got.StatusCode != status || status == 200 && text != body {
-		p.t.Fatalf("answer is %d %q, want %d %q", got.StatusCode, text, status, body)
-	}
-	return got
-}
-
 // What may go to a second runner, by route and by what the first one did.
 func TestRetryOnAnotherRunner(t *testing.T) {
 	for _, tc := range []struct {
--- /dev/null
+++ b/internal/system/proxy/runner.go
@@ -0,0 +1,92 @@
+package proxy
+
+import (
+	"net/netip"
+	"time"
+)
+
+// runner is an incarnation and the connections to it.
+type runner struct {
+	pool            *pool
+	id              string
+	service         string
+	address         netip.AddrPort
+	listed          bool
+	draining        bool
+	conns           []*runnerConn // all connections
+	idle            []*runnerConn // those that rest; the one used last is at the end
+	slowestConnect  time.Duration // the longest connect seen, decayed; 0: none yet
+	lastIdleCloseAt time.Duration // when an idle connection to it last ended
+	suspectUntil    time.Duration // until when nothing is sent to it
+	lastDataAt      time.Duration // when anything last came from it
+	probing         bool          // whether its machine is there
+}
+
+// takeIdle takes the connection that has rested least, if it can be trusted with a request.
+func (r *runner) takeIdle() *runnerConn {
+	now := r.pool.proxy.now()
+	for len(r.idle) > 0 {
+		l := r.idle[len(r.idle)-1]
+		if !l.socket.Alive() {
+			l.close()
+			continue
+		}
+		if now-l.idleSince > l.idleTrustLimit() { // the others have rested longer
+			r.closeStaleIdle()
+			return nil
+		}
+		r.idle = r.idle[:len(r.idle)-1]
+		l.timer.Stop()
+		return l
+	}
+	return nil
+}
+
+// closeStaleIdle makes room for a new connection when only idle ones are left that cannot be trusted.
+func (r *runner) closeStaleIdle() {
+	if len(r.conns) >= r.pool.maxConns(r) && len(r.idle) > 0 {
+		r.idle[0].close()
+	}
+}
+
+func (r *runner) closeIdle() {
+	for len(r.idle) > 0 {
+		r.idle[len(r.idle)-1].close()
+	}
+}
+
+// dial opens a connection for an attempt.
+func (r *runner) dial(a *attempt) {
+	p := r.pool.proxy
+	l := r.open()
+	l.attempt, a.conn = a, l
+	l.timer = p.runAt(p.now()+r.connectTimeout(), func() { l.fail(errConnectTimeout) })
+}
+
+// open opens a connection.
+func (r *runner) open() *runnerConn {
+	p := r.pool.proxy
+	p.Counters.Dials++
+	l := &runnerConn{runner: r, dialedAt: p.now(), state: connDialing}
+	r.conns = append(r.conns, l)
+	l.socket = p.loop.Connect(r.address, l)
+	return l
+}
+
+// connectTimeout is how long a connection may take to come up.
+func (r *runner) connectTimeout() time.Duration {
+	switch {
+	case r.slowestConnect > 0:
+		return min(max(connectTimeoutFactor*r.slowestConnect, minConnectTimeout), maxConnectTimeout)
+	case r.pool.slowestConnect > 0:
+		return min(max(connectTimeoutFactor*r.pool.slowestConnect, minUnmeasuredConnectTimeout), maxConnectTimeout)
+	}
+	return initialConnectTimeout
+}
+
+// noteConnected notes how long a connect took.
+func (r *runner) noteConnected(took time.Duration) {
+	r.suspectUntil, r.lastDataAt = 0, r.pool.proxy.now()
+	r.slowestConnect = max(took, time.Duration(float64(r.slowestConnect)*connectTimeDecay), 1)
+	r.pool.slowestConnect = max(took, time.Duration(float64(r.pool.slowestConnect)*connectTimeDecay), 1)
+}
--- a/internal/system/proxy/runner_conn.go
+++ b/internal/system/proxy/runner_conn.go
@@ -11,7 +11,6 @@
 	"cinderroad/internal/shared/eventloop"
 	"cinderroad/internal/shared/httpwire"
 	"cinderroad/internal/shared/invariant"
-	"cinderroad/internal/system/placement"
 )
 
 const (
@@ -153,168 +152,6 @@
 	l.startWatchdog(ackTimeout)
 }
 
-// Data implements transport.Handler.
-func (l *runnerConn) Data(conn *eventloop.Conn) {
-	l.dataSinceCheck, l.responseStarted = true, true
-	l.runner.lastDataAt = l.runner.pool.proxy.now()
-	for l.state != connClosed {
-		if !l.advance(conn) {
-			return
-		}
-	}
-}
-
-// advance takes the next piece of what has come; false when it needs more.
-func (l *runnerConn) advance(conn *eventloop.Conn) bool {
-	switch l.state {
-	case connAwaitingHead:
-		return l.readHead(conn)
-	case connReadingBody, connSkippingBody:
-		return l.readBody(conn)
-	}
-	l.failProtocol(errUnexpectedBytes)
-	return false
-}
-
-// readHead takes the head of an answer.
-func (l *runnerConn) readHead(conn *eventloop.Conn) bool {
-	if len(conn.Bytes()) == 0 {
-		return false
-	}
-	head, n, err := httpwire.ParseResponseHead(conn.Bytes(), l.method, maxResponseHeadBytes)
-	if errors.Is(err, httpwire.ErrIncomplete) {
-		return false
-	}
-	if err != nil {
-		l.failProtocol(err)
-		return false
-	}
-	conn.Consume(n)
-	l.bodyReader.Reset(head.Body)
-	l.framing = head.Body.Kind
-	l.closeAfterResponse = l.closeAfterResponse || head.Close || !l.requestSent()
-	l.advertisedIdle = advertisedIdleTimeout(head.Header)
-	switch {
-	case l.matchesCurrent(&head):
-	case l.matchesPrevious(&head):
-		l.transition(connSkippingBody)
-		l.skippedPrevious, l.closeAfterResponse = true, true
-		return true
-	default:
-		l.failProtocol(errMismatchedResponse)
-		return false
-	}
-	l.transition(connReadingBody)
-	if a := l.attempt; a != nil {
-		a.handleHead(&head)
-	}
-	if l.state == connReadingBody && l.attempt == nil {
-		l.discardResponse()
-	}
-	return l.state != connClosed
-}
-
-// matchesCurrent says whether an answer is one to the request at hand, which its id shows. One that only says that nothing ran
-// may lack the id on a connection that carried no request before: there it can belong to no other.
-func (l *runnerConn) matchesCurrent(head *httpwire.ResponseHead) bool {
-	id, once := head.Header.GetUnique(headerTryID)
-	if id != "" {
-		return once && id == l.tryID
-	}
-	return l.previousTryID == "" && classify(head).saysNotRun()
-}
-
-// matchesPrevious says whether an answer is an extra one to the request before on this connection, which may be read away:
-// the answer to the request at hand follows.
-func (l *runnerConn) matchesPrevious(head *httpwire.ResponseHead) bool {
-	id, once := head.Header.GetUnique(headerTryID)
-	return once && !l.skippedPrevious && id != "" && id == l.previousTryID && head.Body.Kind != httpwire.UntilClose
-}
-
-// readBody takes a part of the body.
-func (l *runnerConn) readBody(conn *eventloop.Conn) bool {
-	data, n, done, err := l.bodyReader.Next(conn.Bytes())
-	if err != nil {
-		l.failProtocol(err)
-		return false
-	}
-	if a := l.attempt; a != nil && l.state == connReadingBody {
-		a.relayBody(data)
-	}
-	conn.Consume(n)
-	switch {
-	case done && l.state == connSkippingBody:
-		l.transition(connAwaitingHead)
-		return true
-	case done:
-		l.finishResponse(conn)
-		return false
-	}
-	return n > 0 && len(conn.Bytes()) > 0
-}
-
-// finishResponse lets the connection rest, or closes it, and ends the attempt.
-func (l *runnerConn) finishResponse(conn *eventloop.Conn) {
-	a := l.attempt
-	l.attempt = nil
-	if a != nil {
-		a.conn = nil
-	}
-	l.timer.Stop()
-	l.watchdog.Stop()
-	switch {
-	case len(conn.Bytes()) > 0:
-		l.runner.pool.proxy.Counters.InvalidResponses++
-		l.close()
-	case l.closeAfterResponse:
-		l.close()
-	default:
-		l.makeIdle()
-	}
-	if a != nil {
-		a.complete()
-	}
-}
-
-// discardResponse reads the rest of an answer that nobody wants, so that the connection may serve on.
-func (l *runnerConn) discardResponse() {
-	if l.closeAfterResponse || l.framing == httpwire.UntilClose {
-		l.close()
-		return
-	}
-	p := l.runner.pool.proxy
-	l.socket.SetStalled(false)
-	l.timer.Stop()
-	l.timer = p.runAt(p.now()+discardTimeout, func() { l.fail(errDiscardTimeout) })
-}
-
-// makeIdle makes the connection idle for the next request.
-func (l *runnerConn) makeIdle() {
-	p := l.runner.pool.proxy
-	if !l.runner.listed || l.runner.draining || p.shutdown.active && p.openExchanges == 0 {
-		l.close()
-		return
-	}
-	l.socket.SetStalled(false)
-	l.transition(connIdle)
-	l.requestEnd = 0
-	l.idleSince = p.now()
-	l.runner.idle = append(l.runner.idle, l)
-	most := maxIdleTime
-	if l.advertisedIdle > 0 {
-		most = l.advertisedIdle
-	}
-	l.timer = p.runAt(l.idleSince+most, l.close)
-}
-
-// idleTrustLimit is how long the connection may have rested to be given a request.
-func (l *runnerConn) idleTrustLimit() time.Duration {
-	if l.advertisedIdle > 0 {
-		return l.advertisedIdle
-	}
-	return l.runner.pool.idleTimeoutOf(l.runner.service).estimate()
-}
-
 // Closed implements transport.Handler.
 func (l *runnerConn) Closed(_ *eventloop.Conn, err error) {
 	if l.state == connIdle && errors.Is(err, io.EOF) {
@@ -328,16 +165,6 @@
 	l.fail(err)
 }
 
-// learnIdleTimeout learns from a runner's close of an idle connection, unless others end at the same time: then the runner
-// ends.
-func (l *runnerConn) learnIdleTimeout() {
-	now := l.runner.pool.proxy.now()
-	if now-l.runner.lastIdleCloseAt > sharedCloseWindow && l.advertisedIdle == 0 {
-		l.runner.pool.idleTimeoutOf(l.runner.service).observe(now - l.idleSince)
-	}
-	l.runner.lastIdleCloseAt = now
-}
-
 // failProtocol closes a connection that brought bytes which belong to no request.
 func (l *runnerConn) failProtocol(err error) {
 	l.runner.pool.proxy.Counters.InvalidResponses++
@@ -388,20 +215,8 @@
 
 // removeConn is a list without one of its links, in the same order.
 func removeConn(list []*runnerConn, l *runnerConn) []*runnerConn {
-	for i, o := range list {
-		if o == l {
-			return append(list[:i], list[i+1:]...)
-		}
+	if i := slices.Index(list, l); i >= 0 {
+		return slices.Delete(list, i, i+1)
 	}
 	return list
 }
-
-// handleConnFailure ends an attempt whose connection has failed.
-func (a *attempt) handleConnFailure(mayHaveRun bool) {
-	if a.verdict == verdictFailure && a.exchange.response.started { // its own failure was being passed on
-		a.end(placement.Failed)
-		a.exchange.abort()
-		return
-	}
-	a.handleLost(mayHaveRun)
-}
--- /dev/null
+++ b/internal/system/proxy/session_input.go
@@ -0,0 +1,126 @@
+package proxy
+
+import (
+	"errors"
+
+	"cinderroad/internal/shared/httpwire"
+)
+
+// processInput takes what has come of the next request.
+func (s *session) processInput() {
+	for s.socket.Open() {
+		switch x := s.exchange; {
+		case x != nil && x.state != exchangeReceiving:
+			return
+		case x != nil:
+			if !s.readBody(x) {
+				return
+			}
+		case !s.readHead():
+			return
+		}
+	}
+}
+
+// readHead takes the head of a request; false when it waits, or the session has ended.
+func (s *session) readHead() bool {
+	s.socket.SetPaused(false)
+	if len(s.socket.Bytes()) == 0 {
+		return false
+	}
+	head, n, err := httpwire.ParseRequestHead(s.socket.Bytes(), s.proxy.limits.MaxHeaderBytes)
+	if errors.Is(err, httpwire.ErrIncomplete) {
+		s.limitHeadWait()
+		return false
+	}
+	if err != nil {
+		s.reject(err)
+		return false
+	}
+	s.socket.Consume(n)
+	s.timer.Stop()
+	s.nextStarted, s.closeAfterResponse = false, head.Close || head.Version == "HTTP/1.0"
+	s.proxy.countShutdownRequest(s)
+	s.requestCount++
+	x := newExchange(s, head)
+	s.exchange = x
+	x.admit()
+	return s.exchange != nil || len(s.socket.Bytes()) > 0
+}
+
+// limitHeadWait bounds how long a head may take from its first byte.
+func (s *session) limitHeadWait() {
+	if s.proxy.memoryExhausted() {
+		s.rejectWith(503, "no memory to wait for the rest")
+		return
+	}
+	if !s.headStarted {
+		s.headStarted = true
+		s.setTimeout(s.proxy.limits.HeaderTimeout, func() { s.rejectWith(408, "request not whole in time") })
+	}
+}
+
+// readBody takes what has come of a body; false when it waits, or the session has ended.
+func (s *session) readBody(x *exchange) bool {
+	data, n, done, err := x.bodyReader.Next(s.socket.Bytes())
+	if err != nil {
+		x.finish()
+		s.reject(err)
+		return false
+	}
+	x.appendBody(data)
+	s.socket.Consume(n)
+	switch {
+	case len(x.body) > s.proxy.limits.MaxBodyBytes:
+		x.finish()
+		s.rejectWith(413, "body too large")
+		return false
+	case done && s.socket.HungUp(): // the client has left, which is told next: nothing is sent for it
+		return false
+	case done:
+		s.timer.Stop()
+		s.noteNextRequest()
+		x.handleComplete()
+		return s.exchange != nil
+	case s.proxy.memoryExhausted():
+		x.finish()
+		s.rejectWith(503, "no memory to wait for the rest")
+		return false
+	case n > 0 && len(s.socket.Bytes()) > 0:
+		return true
+	}
+	s.setTimeout(s.proxy.limits.IdleTimeout, func() {
+		x.finish()
+		s.rejectWith(408, "request not whole in time")
+	})
+	return false
+}
+
+// skipBody drops what has come of a body; true when that was all of it.
+func (s *session) skipBody(x *exchange) bool {
+	for {
+		_, n, done, err := x.bodyReader.Next(s.socket.Bytes())
+		if err != nil || n == 0 && !done {
+			return false
+		}
+		s.socket.Consume(n)
+		if done {
+			s.noteNextRequest()
+			return true
+		}
+	}
+}
+
+// sendContinue invites the client to send the body, if it waits for that.
+func (s *session) sendContinue(x *exchange) {
+	if x.head.ExpectsContinue && len(s.socket.Bytes()) == 0 {
+		s.socket.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	}
+}
+
+// resumeInput takes a request that was sent ahead.
+func (s *session) resumeInput() {
+	if s.socket.Open() && s.exchange == nil {
+		s.processInput()
+	}
+}
--- a/internal/system/proxy/session_list.go
+++ b/internal/system/proxy/session_list.go
@@ -1,5 +1,7 @@
 package proxy
 
+import "iter"
+
 // sessionList is the open sessions, in the order in which they came to rest or were opened.
 type sessionList struct {
 	first, last *session
@@ -46,9 +48,22 @@
 	l.count--
 }
 
+// all yields every session, the one idle longest first. The session that is yielded may be removed meanwhile.
+func (l *sessionList) all() iter.Seq[*session] {
+	return func(yield func(*session) bool) {
+		for s := l.first; s != nil; {
+			next := s.next
+			if !yield(s) {
+				return
+			}
+			s = next
+		}
+	}
+}
+
 // oldestIdle is the session that has rested longest; nil when none rests.
 func (l *sessionList) oldestIdle() *session {
-	for s := l.first; s != nil; s = s.next {
+	for s := range l.all() {
 		if s.isIdle() && s.socket.Alive() {
 			return s
 		}
--- a/internal/system/proxy/shutdown.go
+++ b/internal/system/proxy/shutdown.go
@@ -57,13 +57,11 @@
 // endUnansweredExchanges ends all requests that have no answer yet, just before the process ends. Each is told whether it may have
 // run.
 func (p *Proxy) endUnansweredExchanges() {
-	for s := p.sessions.first; s != nil; {
-		next := s.next
+	for s := range p.sessions.all() {
 		if x := s.exchange; x != nil && !x.response.started {
 			p.logCut(s)
 			x.endForShutdown()
 		}
-		s = next
 	}
 }
 
@@ -80,7 +78,7 @@
 
 // terminate ends the process, whatever is left.
 func (p *Proxy) terminate() {
-	for s := p.sessions.first; s != nil; s = s.next {
+	for s := range p.sessions.all() {
 		if s.exchange != nil {
 			p.logCut(s)
 		}
@@ -113,12 +111,10 @@
 
 // sweepIdleSessions closes sessions that rest, and goes on doing so.
 func (p *Proxy) sweepIdleSessions() {
-	for s := p.sessions.first; s != nil; {
-		next := s.next
+	for s := range p.sessions.all() {
 		if s.isIdle() && (s.requestCount > 0 || p.now() > s.acceptedAt+newConnGrace) && s.socket.Alive() {
 			s.close()
 		}
-		s = next
 	}
 	p.exitWhenDrained()
 	p.runAt(p.now()+idleSweepInterval, p.sweepIdleSessions)
--- a/internal/system/proxy/watchdog.go
+++ b/internal/system/proxy/watchdog.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"slices"
 	"time"
 
 	"cinderroad/internal/system/placement"
@@ -98,7 +99,7 @@
 		return
 	}
 	r.markSuspect()
-	for _, l := range append([]*runnerConn(nil), r.conns...) {
+	for _, l := range slices.Clone(r.conns) {
 		if a := l.attempt; a != nil && l.state != connDialing && a.exchange.request.Route.IsIdempotent() {
 			a.moveToAnotherRunner()
 		}
