--- /dev/null
+++ b/internal/system/processconfig/timing.go
@@ -0,0 +1,83 @@
+package processconfig
+
+import (
+	"time"
+
+	"cinderroad/internal/system/jsonfield"
+)
+
+// Timing holds the bounds of the deployment that the guarantees refer to. A field that the file lacks has the default
+// of defaultTiming.
+type Timing struct {
+	GracePeriod  time.Duration // from the signal to stop until the platform kills the process
+	CatchUp      time.Duration // after the loss of a control replica, until its successor has its vote
+	DrainWithin  time.Duration // until a draining runner gets no new requests
+	ConfigWithin time.Duration // until an acknowledged configuration is in force at all proxies
+	Evacuate     time.Duration // until an evacuated zone gets no new requests
+	AckWithin    time.Duration // until the control API acknowledges or rejects a change
+	TTLMax       time.Duration // greatest time to live of a directory record
+
+	// No process uses these bounds of the platform at present; they are read so that cinderctl can check them.
+	SeedLag, ReuseAfter, InTouch, LostSlack, GoBack, Stretch, Recovery, Pass time.Duration
+
+	RetryRatio  float64       // retries for each request that all proxies together may make
+	RetryWindow time.Duration // in which requests and retries are counted
+	RetryExtra  float64       // retries beyond the ratio that all proxies together may make in a window
+
+	// SlowStartRateFactor times a service's slow start rate, plus SlowStartRateAllowance requests per second, is what a
+	// runner in slow start can take.
+	SlowStartRateFactor    float64
+	SlowStartRateAllowance float64
+}
+
+// defaultTiming returns the bounds for fields that the file lacks: the shorter ones of plausible deployments, and no
+// retry or slow start budget that is not granted.
+func defaultTiming() Timing {
+	return Timing{
+		SeedLag: 3 * time.Second, ReuseAfter: 2 * time.Second, InTouch: 4 * time.Second,
+		AckWithin: 5 * time.Second, CatchUp: 4 * time.Second, DrainWithin: 3 * time.Second,
+		GracePeriod: 8 * time.Second, LostSlack: 200 * time.Millisecond,
+		ConfigWithin: 2500 * time.Millisecond, GoBack: 250 * time.Millisecond, Stretch: 6 * time.Second,
+		Evacuate: 5 * time.Second, Recovery: 12 * time.Second, Pass: 250 * time.Millisecond, TTLMax: 5 * time.Second,
+		RetryRatio: 0.1, RetryWindow: 10 * time.Second, RetryExtra: 0, SlowStartRateFactor: 1, SlowStartRateAllowance: 0,
+	}
+}
+
+func (t *Timing) readField(name string, value jsonfield.Value) {
+	if value.IsNull() {
+		return
+	}
+	if number := t.numberField(name); number != nil {
+		*number = readNonNegativeOrNull(value)
+		return
+	}
+	base, unit := jsonfield.SplitDurationUnit(name)
+	if bound := t.durationField(base); bound != nil && unit > 0 {
+		*bound, _ = value.Duration(unit)
+	}
+}
+
+func (t *Timing) numberField(name string) *float64 {
+	switch name {
+	case "retry_ratio":
+		return &t.RetryRatio
+	case "retry_extra":
+		return &t.RetryExtra
+	case "cold_excess":
+		return &t.SlowStartRateFactor
+	case "cold_slack":
+		return &t.SlowStartRateAllowance
+	}
+	return nil
+}
+
+func (t *Timing) durationField(base string) *time.Duration {
+	bounds := map[string]*time.Duration{
+		"seed_lag": &t.SeedLag, "reuse_after": &t.ReuseAfter, "in_touch": &t.InTouch, "ack_within": &t.AckWithin,
+		"catch_up": &t.CatchUp, "drain_within": &t.DrainWithin, "grace_period": &t.GracePeriod,
+		"lost_slack": &t.LostSlack, "config_within": &t.ConfigWithin, "go_back": &t.GoBack, "stretch": &t.Stretch,
+		"evacuate": &t.Evacuate, "recovery": &t.Recovery, "pass": &t.Pass, "ttl_max": &t.TTLMax,
+		"retry_window": &t.RetryWindow,
+	}
+	return bounds[base]
+}
