--- a/cmd/cinderroad-proxy/main.go
+++ b/cmd/cinderroad-proxy/main.go
@@ -85,8 +85,8 @@
 	seed := maphash.Bytes(maphash.MakeSeed(), []byte(settings.Node))
 	timing := &settings.Timing
 	placer, err := placement.New(placement.Options{Zone: settings.Zone, Region: settings.Region, Zones: settings.Zones,
-		RetryRatio: timing.RetryRatio, RetryWindow: timing.RetryWindow, RetryAllowance: timing.RetryExtra,
-		SlowStartFactor: timing.SlowStartRateFactor, SlowStartAllowance: timing.SlowStartRateAllowance}, seed)
+		RetryRatio: timing.RetryRatio, RetryWindow: timing.RetryWindow, RetryAllowance: timing.RetryAllowance,
+		SlowStartFactor: timing.SlowStartFactor, SlowStartAllowance: timing.SlowStartAllowance}, seed)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/system/processconfig/parse_test.go
+++ b/internal/system/processconfig/parse_test.go
@@ -51,7 +51,7 @@
 		"seconds":       settings.Timing.SeedLag == 3500*time.Millisecond,
 		"milliseconds":  settings.Timing.InTouch == 4100*time.Millisecond,
 		"window":        settings.Timing.RetryWindow == 11*time.Second,
-		"figures":       settings.Timing.RetryRatio == 0.2 && settings.Timing.RetryExtra == 54,
+		"figures":       settings.Timing.RetryRatio == 0.2 && settings.Timing.RetryAllowance == 54,
 		"default":       settings.Timing.ConfigWithin == defaultTiming().ConfigWithin,
 		"cloud":         settings.CloudAPI.CallsPerSecond == 42 && settings.CloudAPI.MaxLag == 800*time.Millisecond,
 	}
--- a/internal/system/processconfig/timing.go
+++ b/internal/system/processconfig/timing.go
@@ -20,14 +20,14 @@
 	// No process uses these bounds of the platform at present; they are read so that cinderctl can check them.
 	SeedLag, ReuseAfter, InTouch, LostSlack, GoBack, Stretch, Recovery, Pass time.Duration
 
-	RetryRatio  float64       // retries for each request that all proxies together may make
-	RetryWindow time.Duration // in which requests and retries are counted
-	RetryExtra  float64       // retries beyond the ratio that all proxies together may make in a window
+	RetryRatio     float64       // retries for each request that all proxies together may make
+	RetryWindow    time.Duration // in which requests and retries are counted
+	RetryAllowance float64       // retries beyond the ratio that all proxies together may make in a window
 
-	// SlowStartRateFactor times a service's slow start rate, plus SlowStartRateAllowance requests per second, is what a
+	// SlowStartFactor times a service's slow start rate, plus SlowStartAllowance requests per second, is what a
 	// runner in slow start can take.
-	SlowStartRateFactor    float64
-	SlowStartRateAllowance float64
+	SlowStartFactor    float64
+	SlowStartAllowance float64
 }
 
 // defaultTiming returns the bounds for fields that the file lacks: the shorter ones of plausible deployments, and no
@@ -39,7 +39,7 @@
 		GracePeriod: 8 * time.Second, LostSlack: 200 * time.Millisecond,
 		ConfigWithin: 2500 * time.Millisecond, GoBack: 250 * time.Millisecond, Stretch: 6 * time.Second,
 		Evacuate: 5 * time.Second, Recovery: 12 * time.Second, Pass: 250 * time.Millisecond, TTLMax: 5 * time.Second,
-		RetryRatio: 0.1, RetryWindow: 10 * time.Second, RetryExtra: 0, SlowStartRateFactor: 1, SlowStartRateAllowance: 0,
+		RetryRatio: 0.1, RetryWindow: 10 * time.Second, RetryAllowance: 0, SlowStartFactor: 1, SlowStartAllowance: 0,
 	}
 }
 
@@ -62,11 +62,11 @@
 	case "retry_ratio":
 		return &t.RetryRatio
 	case "retry_extra":
-		return &t.RetryExtra
+		return &t.RetryAllowance
 	case "cold_excess":
-		return &t.SlowStartRateFactor
+		return &t.SlowStartFactor
 	case "cold_slack":
-		return &t.SlowStartRateAllowance
+		return &t.SlowStartAllowance
 	}
 	return nil
 }
