--- a/cmd/cinderctl/check.go
+++ b/cmd/cinderctl/check.go
@@ -7,10 +7,10 @@
 
 	"github.com/cockroachdb/errors"
 
-	"cinderroad/internal/configuration"
-	"cinderroad/internal/environment"
-	"cinderroad/internal/findings"
-	"cinderroad/internal/jsonfield"
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/jsonfield"
+	"cinderroad/internal/system/processconfig"
+	"cinderroad/internal/system/validation"
 )
 
 // Kinds of files.
@@ -33,16 +33,16 @@
 	Version  uint64          `json:"version,omitempty"`
 	Routes   int             `json:"routes,omitempty"`
 	Services int             `json:"services,omitempty"`
-	Findings []findingReport `json:"findings"`
+	Problems []problemReport `json:"findings"`
 	Omitted  int             `json:"omitted,omitempty"` // findings that are not listed
 }
 
-// findingReport is a finding with the line and column where its value begins, if it has one.
-type findingReport struct {
-	Place   string `json:"place"`
+// problemReport is a finding with the line and column where its value begins, if it has one.
+type problemReport struct {
+	Path    string `json:"place"`
 	Line    int    `json:"line,omitempty"`
 	Column  int    `json:"column,omitempty"`
-	Problem string `json:"problem"`
+	Message string `json:"problem"`
 }
 
 // Run checks all files and prints what was found.
@@ -60,7 +60,7 @@
 		}
 		report := checkFile(file, c.kindOf(body), body, base)
 		reports = append(reports, report)
-		if len(report.Findings) > 0 {
+		if len(report.Problems) > 0 {
 			bad++
 		}
 	}
@@ -68,7 +68,7 @@
 		return err
 	}
 	if bad > 0 {
-		return &refusedError{what: strconv.Itoa(bad) + " of " + strconv.Itoa(len(reports)) + " files are invalid"}
+		return &rejectedError{message: strconv.Itoa(bad) + " of " + strconv.Itoa(len(reports)) + " files are invalid"}
 	}
 	return nil
 }
@@ -91,11 +91,11 @@
 		return c.Kind
 	}
 	kind := kindConfiguration
-	root, ok := jsonfield.Read(body, &findings.List{})
+	root, ok := jsonfield.Parse(body, &validation.Problems{})
 	if !ok || !root.IsObject() {
 		return kind
 	}
-	root.Object(func(name string, _ jsonfield.Value) {
+	root.ReadObject(func(name string, _ jsonfield.Value) {
 		switch name {
 		case "node", "free_ports", "listen_on":
 			kind = kindSettings
@@ -107,59 +107,59 @@
 }
 
 func checkFile(file, kind string, body []byte, base *configuration.Document) *fileReport {
-	report := &fileReport{File: file, Kind: kind, Findings: []findingReport{}}
+	report := &fileReport{File: file, Kind: kind, Problems: []problemReport{}}
 	switch kind {
 	case kindSettings:
-		_, err := environment.Parse(body)
-		report.take(err, body)
+		_, err := processconfig.Parse(body)
+		report.addError(err, body)
 	case kindChange:
-		report.takeChange(body, base)
+		report.addChange(body, base)
 	default:
-		document, err := configuration.Check(body, 0)
-		report.takeDocument(document)
-		report.take(err, body)
+		document, err := configuration.ParseAndValidate(body, 0)
+		report.setDocument(document)
+		report.addError(err, body)
 	}
 	return report
 }
 
-func (r *fileReport) takeChange(body []byte, base *configuration.Document) {
+func (r *fileReport) addChange(body []byte, base *configuration.Document) {
 	if base == nil {
 		change, err := configuration.ParseChange(body)
 		if change != nil {
 			r.Version = change.Version()
 		}
-		r.take(err, body)
+		r.addError(err, body)
 		return
 	}
-	document, err := configuration.CheckChange(body, base)
-	r.takeDocument(document)
-	r.take(err, body)
+	document, err := configuration.ApplyAndValidate(body, base)
+	r.setDocument(document)
+	r.addError(err, body)
 }
 
-func (r *fileReport) takeDocument(document *configuration.Document) {
+func (r *fileReport) setDocument(document *configuration.Document) {
 	if document == nil {
 		return
 	}
 	r.Version, r.Routes, r.Services = document.Version(), len(document.Routes()), len(document.Services())
 }
 
-func (r *fileReport) take(err error, body []byte) {
-	var list findings.List
-	list.Include(err)
-	var found *findings.Error
-	if !errors.As(list.Err(), &found) {
+func (r *fileReport) addError(err error, body []byte) {
+	var list validation.Problems
+	list.AddError(err)
+	var invalid *validation.Error
+	if !errors.As(list.Err(), &invalid) {
 		return
 	}
-	r.Omitted = found.Omitted
-	for _, finding := range found.Findings {
-		line, column := lineOf(body, finding.Offset)
-		r.Findings = append(r.Findings, findingReport{Place: finding.Place, Line: line, Column: column,
-			Problem: finding.Problem})
+	r.Omitted = invalid.Omitted
+	for _, problem := range invalid.Problems {
+		line, column := position(body, problem.Offset)
+		r.Problems = append(r.Problems, problemReport{Path: problem.Path, Line: line, Column: column,
+			Message: problem.Message})
 	}
 }
 
-// lineOf returns the line and column, counted from 1, of an offset; 0 for none.
-func lineOf(body []byte, offset int) (line, column int) {
+// position returns the line and column, counted from 1, of an offset; 0 for none.
+func position(body []byte, offset int) (line, column int) {
 	if offset < 0 || offset > len(body) {
 		return 0, 0
 	}
@@ -180,18 +180,18 @@
 }
 
 func (s *session) printReport(report *fileReport) error {
-	if len(report.Findings) == 0 {
+	if len(report.Problems) == 0 {
 		return s.printLine("%s: %s", report.File, report.summary())
 	}
-	for _, finding := range report.Findings {
+	for _, problem := range report.Problems {
 		place := report.File
-		if finding.Line > 0 {
-			place += ":" + strconv.Itoa(finding.Line) + ":" + strconv.Itoa(finding.Column)
+		if problem.Line > 0 {
+			place += ":" + strconv.Itoa(problem.Line) + ":" + strconv.Itoa(problem.Column)
 		}
-		if finding.Place != "" {
-			place += ": " + finding.Place
+		if problem.Path != "" {
+			place += ": " + problem.Path
 		}
-		if err := s.printLine("%s: %s", place, finding.Problem); err != nil {
+		if err := s.printLine("%s: %s", place, problem.Message); err != nil {
 			return err
 		}
 	}
--- a/cmd/cinderroad-emulator/day.go
+++ b/cmd/cinderroad-emulator/day.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"cinderroad/internal/emulator"
-	"cinderroad/internal/experiment"
+	"cinderroad/internal/system/emulator"
+	"cinderroad/internal/system/policysim"
 )
 
 // day serves a short day.
@@ -83,9 +83,9 @@
 	return strings.Join(names, ", ")
 }
 
-func scenarioNamed(name string) *experiment.Scenario {
+func scenarioNamed(name string) *policysim.Scenario {
 	if name == "parcels" {
-		return experiment.Parcels()
+		return policysim.Parcels()
 	}
-	return experiment.Screening()
+	return policysim.Screening()
 }
--- a/cmd/cinderroad-proxy/main.go
+++ b/cmd/cinderroad-proxy/main.go
@@ -15,14 +15,14 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"cinderroad/internal/environment"
-	"cinderroad/internal/feed"
-	"cinderroad/internal/placement"
-	"cinderroad/internal/proxy"
-	"cinderroad/internal/proxy/uplink"
-	"cinderroad/internal/retry"
-	"cinderroad/internal/startup"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/placement"
+	"cinderroad/internal/system/processconfig"
+	"cinderroad/internal/system/proxy"
+	"cinderroad/internal/system/proxy/agentclient"
+	"cinderroad/internal/system/retry"
+	"cinderroad/internal/system/startup"
 )
 
 const (
@@ -33,13 +33,13 @@
 
 func main() {
 	program := startup.Program{
-		Name:           "cinderroad-proxy",
-		Description:    "Serves clients of an edge machine; the settings file is named by " + environment.Variable + ".",
-		Version:        "cinderroad-proxy 1",
-		LogLevel:       zapcore.InfoLevel,
-		GarbagePercent: 40, // memory at its peak costs more than a collection of so small a heap
+		Name:        "cinderroad-proxy",
+		Description: "Serves clients of an edge machine; the settings file is named by " + processconfig.PathVariable + ".",
+		Version:     "cinderroad-proxy 1",
+		LogLevel:    zapcore.InfoLevel,
+		GCPercent:   40, // memory at its peak costs more than a collection of so small a heap
 	}
-	if err := run(&program, program.Start()); err != nil {
+	if err := run(&program, program.Init()); err != nil {
 		fmt.Fprintln(os.Stderr, "cinderroad-proxy:", err)
 		os.Exit(1)
 	}
@@ -48,20 +48,20 @@
 func run(program *startup.Program, log *zap.Logger) error {
 	// Before anything else: by default the signal ends the process. The settings of a running proxy stay as at its start.
 	signal.Ignore(syscall.SIGHUP)
-	settings, err := environment.Load()
+	settings, err := processconfig.Load()
 	if err != nil {
 		return err
 	}
 	if !settings.ListenOn.Front.IsValid() {
 		return errNoFront
 	}
-	loop, err := transport.NewLoop(max(leastSockets, settings.Limits.OpenFiles-filesReserved))
+	loop, err := eventloop.NewLoop(max(leastSockets, settings.Limits.OpenFiles-filesReserved))
 	if err != nil {
 		return err
 	}
-	loop.LendReads = true
-	loop.SleptAfter = sleptAfter
-	loop.Overslept = func(late float64) { log.Info("the process was held up", zap.Float64("seconds", late)) }
+	loop.ZeroCopyReads = true
+	loop.LateWakeupSeconds = sleptAfter
+	loop.OnLateWakeup = func(late float64) { log.Info("the process was held up", zap.Float64("seconds", late)) }
 	p, err := newProxy(loop, log, settings, program.MetricsAddress(settings.IP))
 	if err != nil {
 		return err
@@ -80,46 +80,46 @@
 var errNoFront = errors.New("the settings name no listen_on.front; does the deploy file give this role " +
 	`serves = ["edge"]?`)
 
-func newProxy(loop *transport.Loop, log *zap.Logger, settings *environment.Settings,
+func newProxy(loop *eventloop.Loop, log *zap.Logger, settings *processconfig.Settings,
 	metrics netip.AddrPort) (*proxy.Proxy, error) {
 	seed := maphash.Bytes(maphash.MakeSeed(), []byte(settings.Node))
 	timing := &settings.Timing
 	placer, err := placement.New(placement.Options{Zone: settings.Zone, Region: settings.Region, Zones: settings.Zones,
-		RetryRatio: timing.RetryRatio, RetryWindow: timing.RetryWindow, RetryExtra: timing.RetryExtra,
-		ColdExcess: timing.ColdExcess, ColdSlack: timing.ColdSlack}, seed)
+		RetryRatio: timing.RetryRatio, RetryWindow: timing.RetryWindow, RetryAllowance: timing.RetryAllowance,
+		SlowStartFactor: timing.SlowStartFactor, SlowStartAllowance: timing.SlowStartAllowance}, seed)
 	if err != nil {
 		return nil, err
 	}
-	return proxy.New(loop, log, placer, proxy.Options{Front: settings.ListenOn.Front, Ready: settings.ListenOn.Ready,
-		Metrics: metrics, Node: settings.Node, Zone: settings.Zone, LinkBytesPerS: settings.Limits.LinkBytesPerS(),
-		Peers:       netip.AddrPortFrom(settings.IP, settings.Port(environment.ProxyPort)),
+	return proxy.New(loop, log, placer, proxy.Options{FrontAddr: settings.ListenOn.Front, ReadyAddr: settings.ListenOn.Ready,
+		MetricsAddr: metrics, Node: settings.Node, Zone: settings.Zone, LinkBytesPerSecond: settings.Limits.LinkBytesPerSecond(),
+		NoticeAddr:  netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ProxyPort)),
 		MemoryBytes: settings.Limits.RAMMB << 20, GracePeriod: timing.GracePeriod, Seed: seed}), nil
 }
 
 // listen begins to serve. The addresses may still be held by an earlier life that is about to end.
 func listen(p *proxy.Proxy) error {
-	if err := retry.WhileHeld(context.Background(), p.Listen); err != nil {
+	if err := retry.WhileAddressInUse(context.Background(), p.Listen); err != nil {
 		return fmt.Errorf("cannot serve clients; does another process hold the address? %w", err)
 	}
 	return nil
 }
 
 // follow links the proxy to the agent of its machine.
-func follow(ctx context.Context, loop *transport.Loop, log *zap.Logger, p *proxy.Proxy,
-	settings *environment.Settings) {
-	link := uplink.New(log, uplink.Options{
-		Agent:            settings.FeedAddress(),
+func follow(ctx context.Context, loop *eventloop.Loop, log *zap.Logger, p *proxy.Proxy,
+	settings *processconfig.Settings) {
+	link := agentclient.New(log, agentclient.Options{
+		Agent:            settings.AgentFeedAddress(),
 		Node:             settings.Node,
-		RunnerPartitions: feed.RunnerPartitions,
-		Deliver:          func(u uplink.Update) { loop.Post(func() { p.Take(u) }) },
-		Recall:           func(learnt []byte) { loop.Post(func() { p.Recall(learnt) }) },
+		RunnerPartitions: feed.RunnerPartitionCount,
+		Deliver:          func(u agentclient.Update) { loop.Post(func() { p.ApplyUpdate(u) }) },
+		Recall:           func(learnt []byte) { loop.Post(func() { p.RestoreSnapshot(learnt) }) },
 	})
-	p.Follow(link, settings.Zones)
+	p.FollowAgent(link, settings.Zones)
 	go link.Run(ctx)
 }
 
 // stopOnSignal has the proxy stop when it is told to.
-func stopOnSignal(loop *transport.Loop, p *proxy.Proxy) {
+func stopOnSignal(loop *eventloop.Loop, p *proxy.Proxy) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, startup.StopSignals()...)
 	go func() {
--- a/rpcplugin/figures.go
+++ b/grpcbalancer/figures.go
@@ -1,9 +1,9 @@
-package rpcplugin
+package grpcbalancer
 
 import (
 	"strconv"
 
-	"cinderroad/internal/telemetry"
+	"cinderroad/internal/dispatcher/telemetry"
 )
 
 // FigureOptions turn a Dispatcher's figures on.
--- a/internal/fleet/copies/envelope.go
+++ b/internal/dispatcher/cluster/jobreplica/envelope.go
@@ -1,11 +1,11 @@
-package copies
+package jobreplica
 
 import (
 	"encoding/binary"
 	"errors"
 	"fmt"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 // kind says what a message between copies is, in its first byte.
--- a/internal/fleet/promises/command.go
+++ b/internal/dispatcher/cluster/jobstate/command.go
@@ -1,12 +1,12 @@
 // Package promises is what the copies hold for the fleet: the state that agreed commands make, the same at each copy bit for bit. It
 // knows no network, no clock and no log; time in it is the time that commands bring along.
-package promises
+package jobstate
 
 import (
 	"errors"
 	"fmt"
 
-	"cinderroad/internal/fleet/membership"
+	"cinderroad/internal/shared/membership"
 )
 
 // Form is the number of the commands' form. A copy that meets a newer one cannot tell what the others make of it, and stops.
--- a/internal/fleet/divisor/divisor.go
+++ b/internal/dispatcher/cluster/quota/divisor.go
@@ -16,13 +16,13 @@
 //     and, while it knows fewer than are configured, until all others would have found it.
 //
 // One that has heard nobody since its start decides by the configured numbers.
-package divisor
+package quota
 
 import (
 	"slices"
 	"strconv"
 
-	"cinderroad/internal/fleet/membership"
+	"cinderroad/internal/shared/membership"
 )
 
 const (
--- a/internal/routing/routing.go
+++ b/internal/dispatcher/dispatch/routing.go
@@ -3,15 +3,15 @@
 //
 // All of it belongs to one goroutine. Whatever a backend or a front does from within an action of the
 // Balancer is queued and handled after the event at hand, so the Balancer is never re-entered.
-package routing
+package dispatch
 
 import (
 	"hash/fnv"
 	"math"
 
-	"cinderroad/brain"
-	"cinderroad/internal/invariant"
-	"cinderroad/internal/slots"
+	"cinderroad/internal/shared/invariant"
+	"cinderroad/internal/shared/slotmap"
+	"cinderroad/loadbalancer"
 )
 
 // Stop withdraws a deadline.
@@ -49,8 +49,8 @@
 
 // ReqID names a req, FetchID a fetch; either misses once what it named is over.
 type (
-	ReqID   slots.Handle
-	FetchID slots.Handle
+	ReqID   slotmap.Handle
+	FetchID slotmap.Handle
 )
 
 // Job is what a front hands in.
@@ -67,14 +67,14 @@
 // Fetch is one attempt as a backend sees it.
 type Fetch struct {
 	ID       FetchID
-	Worker   brain.WorkerID
+	Worker   loadbalancer.WorkerID
 	Deadline float64 // when the core stops waiting
 	Load     any
 }
 
 // End is how a fetch ended.
 type End struct {
-	Result   brain.Result
+	Result   loadbalancer.Result
 	Unusable bool // the backend says that the job itself is bad
 	Worn     bool // a connection that had rested was found dead: no word on the backend
 	Body     []byte
@@ -91,16 +91,16 @@
 	// Renew drops connections that rest, and those at work once they are done: the worker was restarted.
 	Renew()
 	// Probe asks for health and load; done is called once.
-	Probe(done func(result brain.Result, report []float32))
+	Probe(done func(result loadbalancer.Result, report []float32))
 }
 
 // Member is a worker of the list and its backend.
 type Member struct {
-	brain.Worker
+	loadbalancer.Worker
 	Backend Backend
 	Name    string // as given to Number
 
-	told brain.Worker // as its front listed it; Worker is what the decisions see
+	told loadbalancer.Worker // as its front listed it; Worker is what the decisions see
 	book
 }
 
@@ -112,20 +112,20 @@
 
 // Counts are the core's figures since the start.
 type Counts struct {
-	Reqs        uint64                 `json:"Reqs"`
-	Served      uint64                 `json:"Served"`
-	Refused     uint64                 `json:"Refused"`
-	Failed      uint64                 `json:"Failed"`
-	Gone        uint64                 `json:"Gone"`
-	Fetches     uint64                 `json:"Fetches"`
-	Repeats     uint64                 `json:"Repeats"`
-	Cancels     uint64                 `json:"Cancels"`
-	Probes      uint64                 `json:"Probes"`
-	Results     [brain.Moot + 1]uint64 `json:"Results"`  // ends of fetches by result
-	Unusable    uint64                 `json:"Unusable"` // failed since backends could do nothing with them
-	Overdue     uint64                 `json:"Overdue"`  // answered by the core because the decisions had not
-	OpenReqs    int                    `json:"OpenReqs"`
-	OpenFetches int                    `json:"OpenFetches"`
+	Reqs        uint64                             `json:"Reqs"`
+	Served      uint64                             `json:"Served"`
+	Refused     uint64                             `json:"Refused"`
+	Failed      uint64                             `json:"Failed"`
+	Gone        uint64                             `json:"Gone"`
+	Fetches     uint64                             `json:"Fetches"`
+	Repeats     uint64                             `json:"Repeats"`
+	Cancels     uint64                             `json:"Cancels"`
+	Probes      uint64                             `json:"Probes"`
+	Results     [loadbalancer.Withdrawn + 1]uint64 `json:"Results"`  // ends of fetches by result
+	Unusable    uint64                             `json:"Unusable"` // failed since backends could do nothing with them
+	Overdue     uint64                             `json:"Overdue"`  // answered by the core because the decisions had not
+	OpenReqs    int                                `json:"OpenReqs"`
+	OpenFetches int                                `json:"OpenFetches"`
 }
 
 // Core is the dispatcher between its fronts and its backends.
@@ -136,17 +136,17 @@
 	Log      func(line string)
 
 	clock   Clock
-	bal     *brain.Balancer
-	reqs    slots.Table[*req]
-	fetches slots.Table[*fetch]
-	byID    map[brain.RequestID]*req
-	nextID  brain.RequestID
-	members map[brain.WorkerID]*Member
-	byName  map[string]brain.WorkerID
+	bal     *loadbalancer.Balancer
+	reqs    slotmap.Map[*req]
+	fetches slotmap.Map[*fetch]
+	byID    map[loadbalancer.RequestID]*req
+	nextID  loadbalancer.RequestID
+	members map[loadbalancer.WorkerID]*Member
+	byName  map[string]loadbalancer.WorkerID
 	out     map[string]Exclusion
 	held    map[string]Held // by what others know
 	paused  bool            // nobody gets anything new
-	set     brain.Settings
+	set     loadbalancer.Settings
 	ready   int   // members that are ready
 	last    Final // for the observer, made anew for each req
 	queue   []func()
@@ -155,8 +155,8 @@
 }
 
 type req struct {
-	h        slots.Handle
-	id       brain.RequestID
+	h        slotmap.Handle
+	id       loadbalancer.RequestID
 	job      Job
 	asker    Asker
 	fetches  []*fetch // by attempt
@@ -168,7 +168,7 @@
 }
 
 type fetch struct {
-	h        slots.Handle
+	h        slotmap.Handle
 	r        *req
 	attempt  int
 	member   *Member
@@ -179,18 +179,18 @@
 	sent, started, ended float64
 	copy                 bool   // another was out when it was sent
 	mark                 uint64 // of the core when it was sent
-	result               brain.Result
+	result               loadbalancer.Result
 }
 
 // overdueAfter is how long after a client's deadline the core itself answers, should the decisions not have.
 const overdueAfter = 0.005
 
 // New makes a core; Start begins its life.
-func New(set brain.Settings, seed uint64, clock Clock) (*Core, error) {
-	c := &Core{clock: clock, byID: map[brain.RequestID]*req{}, members: map[brain.WorkerID]*Member{},
-		byName: map[string]brain.WorkerID{}, out: map[string]Exclusion{}, set: set,
+func New(set loadbalancer.Settings, seed uint64, clock Clock) (*Core, error) {
+	c := &Core{clock: clock, byID: map[loadbalancer.RequestID]*req{}, members: map[loadbalancer.WorkerID]*Member{},
+		byName: map[string]loadbalancer.WorkerID{}, out: map[string]Exclusion{}, set: set,
 		Log: func(string) {}}
-	bal, err := brain.New(set, seed, actions{c})
+	bal, err := loadbalancer.New(set, seed, actions{c})
 	if err != nil {
 		return nil, err
 	}
@@ -199,7 +199,7 @@
 }
 
 // Start begins the decisions' life.
-func (c *Core) Start() { c.do(func() { c.bal.OnStart(c.clock.Now()) }) }
+func (c *Core) Start() { c.do(func() { c.bal.Start(c.clock.Now()) }) }
 
 // Counts returns the figures so far.
 func (c *Core) Counts() Counts {
@@ -226,7 +226,7 @@
 // Take accepts a job; its one answer goes to asker, perhaps before Take returns.
 func (c *Core) Take(job Job, asker Asker) ReqID {
 	r := &req{job: job, asker: asker, arrived: c.clock.Now()}
-	r.h = c.reqs.Put(r)
+	r.h = c.reqs.Insert(r)
 	for r.id = c.nextID + 1; r.id == 0 || r.id == math.MaxUint32 || c.byID[r.id] != nil; r.id++ {
 	} // the last number is the sweep's timer
 	c.nextID = r.id
@@ -237,7 +237,7 @@
 		if r.answered {
 			return
 		}
-		c.bal.OnRequest(c.clock.Now(), &brain.Request{ID: r.id, Class: job.Class, Skill: job.Skill, Slots: job.Slots,
+		c.bal.HandleRequest(c.clock.Now(), &loadbalancer.Request{ID: r.id, Class: job.Class, Skill: job.Skill, Slots: job.Slots,
 			Memory: job.Memory, Work: job.Work, Deadline: job.Deadline})
 	})
 	return ReqID(r.h)
@@ -246,14 +246,14 @@
 // Gone tells that the client has left: nothing is owed any more.
 func (c *Core) Gone(id ReqID) {
 	c.do(func() {
-		r, ok := c.reqs.Get(slots.Handle(id))
+		r, ok := c.reqs.Get(slotmap.Handle(id))
 		if !ok || r.answered {
 			return
 		}
 		c.counts.Gone++
 		c.settle(r)
 		c.observe(r, Left, NoReason, 0, -1)
-		c.bal.OnGone(c.clock.Now(), r.id)
+		c.bal.HandleDisconnect(c.clock.Now(), r.id)
 		c.forget(r)
 	})
 }
@@ -265,7 +265,7 @@
 	}
 	c.counts.Overdue++
 	c.answer(r, Answer{Verdict: Failed}, Overdue, -1)
-	c.bal.OnGone(c.clock.Now(), r.id)
+	c.bal.HandleDisconnect(c.clock.Now(), r.id)
 	c.forget(r)
 }
 
@@ -299,34 +299,34 @@
 
 // forget lets go of a req that has its answer and no fetch out.
 func (c *Core) forget(r *req) {
-	if r.answered && r.live == 0 && c.reqs.Drop(r.h) {
+	if r.answered && r.live == 0 && c.reqs.Remove(r.h) {
 		delete(c.byID, r.id)
 	}
 }
 
 // Clear says whether a fetch whose first byte has not gone out may still be sent: its req must be open, its
 // time not over, and its worker must still want new work. If not, result is what it ended as.
-func (c *Core) Clear(id FetchID) (result brain.Result, clear bool) {
-	f, ok := c.fetches.Get(slots.Handle(id))
+func (c *Core) Clear(id FetchID) (result loadbalancer.Result, clear bool) {
+	f, ok := c.fetches.Get(slotmap.Handle(id))
 	switch {
 	case !ok || f.over || f.r.answered || c.clock.Now() >= f.ends:
-		return brain.Moot, false
-	case f.member.State != brain.Ready:
-		return brain.ConnectFailed, false
+		return loadbalancer.Withdrawn, false
+	case f.member.State != loadbalancer.Ready:
+		return loadbalancer.ConnectFailed, false
 	}
 	f.member.started = c.clock.Now()
-	return brain.OK, true
+	return loadbalancer.OK, true
 }
 
 // Number numbers the worker of a name. The number is drawn from the name alone, since dispatchers that share
 // nothing must agree on a worker's place in the turns of cold starts.
-func (c *Core) Number(name string) brain.WorkerID {
+func (c *Core) Number(name string) loadbalancer.WorkerID {
 	if id, ok := c.byName[name]; ok {
 		return id
 	}
 	h := fnv.New32a()
 	h.Write([]byte(name))
-	id := brain.WorkerID(h.Sum32())
+	id := loadbalancer.WorkerID(h.Sum32())
 	for c.members[id] != nil {
 		id++
 	}
@@ -336,20 +336,22 @@
 
 // Started tells that a fetch's job has begun.
 func (c *Core) Started(id FetchID) {
-	if f, ok := c.fetches.Get(slots.Handle(id)); ok && f.started == 0 {
+	if f, ok := c.fetches.Get(slotmap.Handle(id)); ok && f.started == 0 {
 		f.started = c.clock.Now()
 	}
-	c.note(id, brain.Note{Started: true})
+	c.note(id, loadbalancer.ProgressUpdate{Started: true})
 }
 
 // Progress tells the share of a fetch's job that is done.
-func (c *Core) Progress(id FetchID, share float64) { c.note(id, brain.Note{Share: share}) }
+func (c *Core) Progress(id FetchID, share float64) {
+	c.note(id, loadbalancer.ProgressUpdate{Fraction: share})
+}
 
-func (c *Core) note(id FetchID, n brain.Note) {
+func (c *Core) note(id FetchID, n loadbalancer.ProgressUpdate) {
 	c.do(func() {
-		if f, ok := c.fetches.Get(slots.Handle(id)); ok && !f.over {
+		if f, ok := c.fetches.Get(slotmap.Handle(id)); ok && !f.over {
 			n.Request, n.Attempt = f.r.id, f.attempt
-			c.bal.OnNote(c.clock.Now(), &n)
+			c.bal.HandleProgress(c.clock.Now(), &n)
 		}
 	})
 }
@@ -357,7 +359,7 @@
 // Ended tells how a fetch ended; only the first word on a fetch counts.
 func (c *Core) Ended(id FetchID, e End) {
 	c.do(func() {
-		if f, ok := c.fetches.Get(slots.Handle(id)); ok && !f.over {
+		if f, ok := c.fetches.Get(slotmap.Handle(id)); ok && !f.over {
 			c.end(f, e)
 		}
 	})
@@ -368,14 +370,14 @@
 	invariant.Check(!f.over, "a fetch ends once")
 	f.over, f.ended, f.result = true, c.clock.Now(), e.Result
 	f.deadline.Stop()
-	c.fetches.Drop(f.h)
+	c.fetches.Remove(f.h)
 	r := f.r
 	r.live--
 	switch {
-	case e.Result == brain.OK && !r.answered:
+	case e.Result == loadbalancer.OK && !r.answered:
 		c.answer(r, Answer{Verdict: Served, Body: e.Body}, NoReason, f.attempt)
 	case e.Unusable: // no blame for the backend; a second one that says so settles it, and the client is told
-		e.Result = brain.Cancelled
+		e.Result = loadbalancer.Cancelled
 		f.result = e.Result
 		if r.unusable++; r.unusable > 1 && !r.answered {
 			c.counts.Unusable++
@@ -390,29 +392,29 @@
 		}
 	}
 	c.counts.Results[e.Result]++
-	c.bal.OnOutcome(c.clock.Now(), &brain.Outcome{Request: r.id, Attempt: f.attempt, Worker: f.member.ID,
-		Result: e.Result, Closed: r.answered, Worn: e.Worn, Report: e.Report})
+	c.bal.HandleOutcome(c.clock.Now(), &loadbalancer.Outcome{Request: r.id, Attempt: f.attempt, Worker: f.member.ID,
+		Result: e.Result, ClientAnswered: r.answered, StaleConnection: e.Worn, Report: e.Report})
 	c.forget(r)
 }
 
 // List takes the director's news. What has left the list stays known: a fetch may still be out there.
-func (c *Core) List(kind brain.ListKind, members []Member) {
+func (c *Core) List(kind loadbalancer.ListKind, members []Member) {
 	c.do(func() {
-		if kind == brain.ListFull || kind == brain.ListCached {
-			named := make(map[brain.WorkerID]bool, len(members))
+		if kind == loadbalancer.ListFull || kind == loadbalancer.ListCached {
+			named := make(map[loadbalancer.WorkerID]bool, len(members))
 			for i := range members {
 				named[members[i].ID] = true
 			}
 			for id, m := range c.members {
-				m.told.State = brain.Gone
+				m.told.State = loadbalancer.Departed
 				if !named[id] {
 					was := m.State
-					m.State = brain.Gone
+					m.State = loadbalancer.Departed
 					c.became(m, was)
 				}
 			}
 		}
-		workers := make([]brain.Worker, 0, len(members))
+		workers := make([]loadbalancer.Worker, 0, len(members))
 		for i := range members {
 			m := c.members[members[i].ID]
 			if m == nil {
@@ -430,18 +432,18 @@
 		if c.Observer != nil {
 			c.Observer.Listed(kind, members)
 		}
-		c.bal.OnList(c.clock.Now(), kind, workers)
+		c.bal.UpdateWorkers(c.clock.Now(), kind, workers)
 		c.prune()
 	})
 }
 
 // became notes that the decisions see a member in another state than before.
-func (c *Core) became(m *Member, was brain.WorkerState) {
+func (c *Core) became(m *Member, was loadbalancer.WorkerState) {
 	switch {
 	case was == m.State:
-	case m.State == brain.Ready:
+	case m.State == loadbalancer.Ready:
 		c.ready++
-	case was == brain.Ready:
+	case was == loadbalancer.Ready:
 		c.ready--
 		c.drained(m)
 	}
@@ -455,7 +457,7 @@
 func (c *Core) prune() {
 	gone := 0
 	for _, m := range c.members {
-		if m.State == brain.Gone {
+		if m.State == loadbalancer.Departed {
 			gone++
 		}
 	}
@@ -463,7 +465,7 @@
 		return
 	}
 	for id, m := range c.members {
-		if m.State == brain.Gone {
+		if m.State == loadbalancer.Departed {
 			delete(c.members, id)
 			delete(c.byName, m.Name)
 		}
--- a/internal/metrics/collectd.go
+++ b/internal/dispatcher/exporter/collectd.go
@@ -1,4 +1,4 @@
-package metrics
+package exporter
 
 import (
 	"bytes"
@@ -8,8 +8,8 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/internal/telemetry"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/telemetry"
+	"cinderroad/internal/shared/eventloop"
 )
 
 // mostUnanswered is how many lines may wait for collectd's answers: it reads a line, dispatches it, answers, and only
@@ -34,7 +34,7 @@
 	path     string
 	patience float64
 
-	conn     *transport.Conn
+	conn     *eventloop.Conn
 	up       bool
 	at       uint64
 	period   *telemetry.Period
@@ -44,7 +44,7 @@
 	answers  uint64
 	answered uint64 // as of moved
 	moved    float64
-	limit    *transport.Deadline
+	limit    *eventloop.Timer
 	host     string
 }
 
@@ -113,7 +113,7 @@
 }
 
 // Opened implements transport.Handler.
-func (o *Collectd) Opened(*transport.Conn) {
+func (o *Collectd) Opened(*eventloop.Conn) {
 	o.up = true
 	o.pump()
 }
@@ -154,12 +154,12 @@
 	o.period, o.written, o.pause = nil, false, 0
 	o.state.Periods++
 	o.feed.took(o, n, stamp)
-	o.feed.loop.Later(o.wake)
+	o.feed.loop.Defer(o.wake)
 }
 
 // Data implements transport.Handler: `0 Success...` or `-1 why not`, a line each. A point that collectd will not have, it
 // will not have later either: it is counted and left.
-func (o *Collectd) Data(c *transport.Conn) {
+func (o *Collectd) Data(c *eventloop.Conn) {
 	for {
 		line, _, whole := bytes.Cut(c.Bytes(), []byte("\n"))
 		if !whole {
@@ -186,7 +186,7 @@
 }
 
 // Closed implements transport.Handler: what has no answer goes again, from the beginning of its period.
-func (o *Collectd) Closed(_ *transport.Conn, err error) {
+func (o *Collectd) Closed(_ *eventloop.Conn, err error) {
 	o.feed.log.Debug("metrics: collectd", zap.String("path", o.path), zap.Error(err))
 	idle := o.period == nil
 	o.drop()
--- a/internal/protocol/gearman/admin.go
+++ b/internal/dispatcher/gearman/admin.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"cinderroad/internal/slots"
+	"cinderroad/internal/shared/slotmap"
 )
 
 // admin carries out a text command and returns what it prints.
@@ -66,7 +66,7 @@
 		if !s.config.AllowShutdown || s.Shutdown == nil {
 			return "ERR NOT_ALLOWED allow_shutdown+is+off\r\n"
 		}
-		s.loop.Later(s.Shutdown)
+		s.loop.Defer(s.Shutdown)
 		return "OK\r\n"
 	}
 	return "ERR UNKNOWN_COMMAND Unknown+server+command\r\n"
@@ -82,7 +82,7 @@
 // statusText lists for each function the jobs held, the jobs running and the workers able.
 func (s *Server) statusText() string {
 	able := map[string]int{}
-	s.peers.Each(func(_ slots.Handle, p *peer) {
+	s.peers.Each(func(_ slotmap.Handle, p *peer) {
 		if p.worker != nil {
 			for name := range p.worker.can {
 				able[name]++
@@ -99,7 +99,7 @@
 
 func (s *Server) workersText() string {
 	var b strings.Builder
-	s.peers.Each(func(h slots.Handle, p *peer) {
+	s.peers.Each(func(h slotmap.Handle, p *peer) {
 		var names []string
 		if p.worker != nil {
 			for name := range p.worker.can {
--- a/internal/handover/handover.go
+++ b/internal/dispatcher/handover/handover.go
@@ -8,7 +8,7 @@
 	"errors"
 	"fmt"
 
-	"cinderroad/internal/transport"
+	"cinderroad/internal/shared/eventloop"
 )
 
 // Version is of the frames and their bodies. Another version's process is no heir and no predecessor.
@@ -85,7 +85,7 @@
 
 // Link is the connection to the other process.
 type Link struct {
-	conn  *transport.Conn
+	conn  *eventloop.Conn
 	owner Owner
 	asks  map[uint64]func(yes bool)
 	last  uint64
@@ -93,15 +93,15 @@
 }
 
 // Connect looks for the process that serves at path; Down tells if there is none.
-func Connect(loop *transport.Loop, path string, owner Owner) *Link {
+func Connect(loop *eventloop.Loop, path string, owner Owner) *Link {
 	l := &Link{owner: owner, asks: map[uint64]func(bool){}}
-	l.conn = loop.ConnectNear(path, l)
+	l.conn = loop.ConnectUnixWithDescriptors(path, l)
 	return l
 }
 
 // Accept owns a connection from a newer process.
-func Accept(conn *transport.Conn, owner Owner) *Link {
-	conn.Passes()
+func Accept(conn *eventloop.Conn, owner Owner) *Link {
+	conn.EnableDescriptorPassing()
 	return &Link{conn: conn, owner: owner, asks: map[uint64]func(bool){}}
 }
 
@@ -122,13 +122,13 @@
 		return fmt.Errorf("handover: %w", err)
 	}
 	body := binary.BigEndian.AppendUint32(nil, uint32(len(text)))
-	l.conn.Pass(Append(nil, kind, append(append(body, text...), bytes...)), fd)
+	l.conn.WriteWithDescriptor(Append(nil, kind, append(append(body, text...), bytes...)), fd)
 	return nil
 }
 
 // Passed reads what Pass has sent.
 func (l *Link) Passed(body []byte, head any) (bytes []byte, fd int, err error) {
-	fd, ok := l.conn.Taken()
+	fd, ok := l.conn.NextDescriptor()
 	if !ok {
 		return nil, -1, errors.New("handover: no descriptor came")
 	}
@@ -143,7 +143,7 @@
 }
 
 // Descriptor is the next one that came along.
-func (l *Link) Descriptor() (fd int, ok bool) { return l.conn.Taken() }
+func (l *Link) Descriptor() (fd int, ok bool) { return l.conn.NextDescriptor() }
 
 // Ask sends a question; done gets the answer, or a no when the link ends before it has come. False when too many wait.
 func (l *Link) Ask(kind Kind, body []byte, done func(yes bool)) bool {
@@ -175,16 +175,16 @@
 }
 
 // Opened implements transport.Handler.
-func (l *Link) Opened(*transport.Conn) { l.owner.Up(l) }
+func (l *Link) Opened(*eventloop.Conn) { l.owner.Up(l) }
 
 // Closed implements transport.Handler.
-func (l *Link) Closed(_ *transport.Conn, err error) {
+func (l *Link) Closed(_ *eventloop.Conn, err error) {
 	l.end()
 	l.owner.Down(l, err)
 }
 
 // Data implements transport.Handler.
-func (l *Link) Data(c *transport.Conn) {
+func (l *Link) Data(c *eventloop.Conn) {
 	for !l.down {
 		kind, body, n, err := Parse(c.Bytes())
 		if errors.Is(err, errMore) {
--- a/internal/protocol/platform/front.go
+++ b/internal/dispatcher/httpfront/front.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"cmp"
@@ -8,12 +8,12 @@
 
 	"go.uber.org/zap"
 
-	"cinderroad/brain"
-	"cinderroad/internal/httpwire"
-	"cinderroad/internal/protocol/door"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/slots"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/admission"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/shared/httpwire"
+	"cinderroad/internal/shared/slotmap"
+	"cinderroad/loadbalancer"
 )
 
 const (
@@ -44,24 +44,24 @@
 	// Elsewhere asks the dispatcher's other process about a call-back that is not known here; false when there is none.
 	Elsewhere func(body []byte, done func()) bool
 
-	loop      *transport.Loop
+	loop      *eventloop.Loop
 	log       *zap.Logger
-	core      *routing.Core
+	core      *dispatch.Core
 	pool      *Pool
-	door      *door.Door
+	door      *admission.Door
 	classes   map[string]class
-	sessions  slots.Table[*session]
+	sessions  slotmap.Map[*session]
 	calls     map[string]bool // ids of calls that are open
 	asking    int             // sessions that have carried a client's request
 	closing   bool
 	leaving   float64 // when an evacuation began; 0 is none
 	emptying  bool    // and its sessions are closed
 	shut      bool    // no new job is taken
-	sweeping  *transport.Deadline
+	sweeping  *eventloop.Timer
 	rests     uint64
 	lastNews  float64            // when bytes last came from any session
 	noted     map[string]float64 // when a kind of bad input was last logged
-	successor func(State, *transport.Conn) bool
+	successor func(State, *eventloop.Conn) bool
 	comeBack  string // of a refusal that the decisions had no part in
 
 	comeBackIn float64 // the same, in seconds
@@ -74,7 +74,7 @@
 }
 
 // NewFront makes the front.
-func NewFront(loop *transport.Loop, log *zap.Logger, core *routing.Core, pool *Pool, door *door.Door, set *brain.Settings) *Front {
+func NewFront(loop *eventloop.Loop, log *zap.Logger, core *dispatch.Core, pool *Pool, door *admission.Door, set *loadbalancer.Settings) *Front {
 	f := &Front{loop: loop, log: log, core: core, pool: pool, door: door, classes: map[string]class{}, calls: map[string]bool{},
 		noted: map[string]float64{}}
 	for i, c := range set.Classes {
@@ -87,11 +87,11 @@
 }
 
 // Accept owns a new connection. One for which there is no room takes the place of a session that has shown less.
-func (f *Front) Accept(c *transport.Conn) transport.Handler {
+func (f *Front) Accept(c *eventloop.Conn) eventloop.Handler {
 	f.Sessions++
 	s := &session{f: f, conn: c, from: c.Peer().Addr().Unmap(), entered: f.loop.Now()}
 	s.backend = f.pool.at(s.from)
-	s.h = f.sessions.Put(s)
+	s.h = f.sessions.Insert(s)
 	s.rest()
 	if !f.door.Enter(s.from, func(may func(netip.Addr) bool) bool {
 		return f.shed(func(o *session) bool { return o != s && may(o.from) })
@@ -111,7 +111,7 @@
 func (f *Front) shed(may func(*session) bool) bool {
 	var best *session
 	rank := 0
-	f.sessions.Each(func(_ slots.Handle, s *session) {
+	f.sessions.Each(func(_ slotmap.Handle, s *session) {
 		r := s.rank()
 		if r == 0 || !may(s) || best != nil && (r < rank || r == rank && s.since > best.since) {
 			return
@@ -137,7 +137,7 @@
 // call-backs stay: what is out can end by them alone.
 func (f *Front) Drain() {
 	f.closing = true
-	f.sessions.Each(func(_ slots.Handle, s *session) {
+	f.sessions.Each(func(_ slotmap.Handle, s *session) {
 		if s.idle() && s.asked && s.conn.Alive() { // else a request has come that was not read yet
 			s.end()
 		}
@@ -168,7 +168,7 @@
 func (f *Front) sweep() {
 	f.emptying = true
 	now := f.loop.Now()
-	f.sessions.Each(func(_ slots.Handle, s *session) {
+	f.sessions.Each(func(_ slotmap.Handle, s *session) {
 		switch {
 		case !s.idle() || s.told || !s.whole && (s.backend || now < s.entered+freshGrace):
 		case s.conn.Alive(): // else a request has come that was not read yet
@@ -182,7 +182,9 @@
 // a request that is just arriving counts as taken.
 func (f *Front) Quiet() bool {
 	quiet := f.loop.Now() >= f.lastNews+quietTime
-	f.sessions.Each(func(_ slots.Handle, s *session) { quiet = quiet && (s.idle() || !s.asked && s.call == "" && !s.waits) })
+	f.sessions.Each(func(_ slotmap.Handle, s *session) {
+		quiet = quiet && (s.idle() || !s.asked && s.call == "" && !s.waits)
+	})
 	return quiet
 }
 
@@ -208,10 +210,10 @@
 // call reads a client's request; reason says why it is none that can be sent on. What goes on to a backend
 // holds visible ASCII alone, and the id nothing that ends a path.
 func (f *Front) call(q *Request) (c Call, budget float64, reason string) {
-	class, ok1 := q.Header.Once("X-Call-Class")
-	id, ok2 := q.Header.Once("X-Call-Id")
-	ms, ok3 := q.Header.Once("X-Budget-Ms")
-	key, ok4 := q.Header.Once("Idempotency-Key")
+	class, ok1 := q.Header.GetUnique("X-Call-Class")
+	id, ok2 := q.Header.GetUnique("X-Call-Id")
+	ms, ok3 := q.Header.GetUnique("X-Budget-Ms")
+	key, ok4 := q.Header.GetUnique("Idempotency-Key")
 	path, _, _ := strings.Cut(strings.TrimPrefix(q.Target, "/"), "?")
 	first, _, _ := strings.Cut(path, "/")
 	c = Call{ID: id, Class: cmp.Or(class, first), Method: q.Method, Target: q.Target, IdempotencyKey: key, Body: q.Body}
@@ -220,11 +222,11 @@
 	switch {
 	case !ok1 || !ok2 || !ok3 || !ok4:
 		reason = "a field is there twice"
-	case id == "" || len(id) > mostID || !httpwire.Visible(id) || strings.ContainsAny(id, `/?#%"\`):
+	case id == "" || len(id) > mostID || !httpwire.IsVisibleASCII(id) || strings.ContainsAny(id, `/?#%"\`):
 		reason = "X-Call-Id missing or bad"
 	case err != nil:
 		reason = "X-Budget-Ms missing or bad"
-	case !httpwire.Visible(key):
+	case !httpwire.IsVisibleASCII(key):
 		reason = "Idempotency-Key bad"
 	case c.Class != first:
 		reason = "X-Call-Class is not the path's"
--- a/internal/operator/fleet.go
+++ b/internal/dispatcher/operatorconfig/fleet.go
@@ -1,11 +1,11 @@
-package operator
+package operatorconfig
 
 import (
 	"errors"
 	"fmt"
 	"net/netip"
 
-	"cinderroad/internal/fleet/lease"
+	"cinderroad/internal/shared/lease"
 )
 
 // Fleet is how the dispatcher is a member of its fleet.
--- a/internal/audit/audit.go
+++ b/internal/dispatcher/requestaudit/audit.go
@@ -1,6 +1,6 @@
 // Package audit compares what a dispatcher's request log says with what a receiver of its figures has got: for each
 // dispatcher, class and verdict, the lines of the log against the growth of the total. They must be equal.
-package audit
+package requestaudit
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"strings"
 	"text/tabwriter"
 
-	"cinderroad/internal/requestlog"
-	"cinderroad/internal/telemetry"
+	"cinderroad/internal/dispatcher/requestlog"
+	"cinderroad/internal/dispatcher/telemetry"
 )
 
 // Key names a total.
--- a/internal/program/upgrade.go
+++ b/internal/dispatcher/server/upgrade.go
@@ -1,4 +1,4 @@
-package program
+package server
 
 import (
 	"bytes"
@@ -9,11 +9,11 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
-	"cinderroad/brain"
-	"cinderroad/internal/handover"
-	"cinderroad/internal/protocol/platform"
-	"cinderroad/internal/routing"
-	"cinderroad/internal/transport"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/dispatcher/handover"
+	"cinderroad/internal/dispatcher/httpfront"
+	"cinderroad/internal/shared/eventloop"
+	"cinderroad/loadbalancer"
 )
 
 const (
@@ -25,14 +25,14 @@
 
 // state is what a process tells the one that takes its place.
 type state struct {
-	Discovery  string                       `json:"discovery"`
-	List       platform.List                `json:"list"`
-	Out        map[string]routing.Exclusion `json:"out"`
-	Evacuated  float64                      `json:"evacuated"` // since when; 0 is not
-	Learnt     brain.Learnt                 `json:"learnt"`
-	Gearman    bool                         `json:"gearman"` // its listening socket comes along
-	GearmanFor string                       `json:"gearman_listen"`
-	Figures    bool                         `json:"figures,omitempty"` // its totals follow once the newer one has taken the clients
+	Discovery  string                        `json:"discovery"`
+	List       httpfront.List                `json:"list"`
+	Out        map[string]dispatch.Exclusion `json:"out"`
+	Evacuated  float64                       `json:"evacuated"` // since when; 0 is not
+	Learnt     loadbalancer.Snapshot         `json:"learnt"`
+	Gearman    bool                          `json:"gearman"` // its listening socket comes along
+	GearmanFor string                        `json:"gearman_listen"`
+	Figures    bool                          `json:"figures,omitempty"` // its totals follow once the newer one has taken the clients
 }
 
 // hello is what a newer process says of itself.
@@ -46,7 +46,7 @@
 
 	p        *Program
 	path     string
-	door     *transport.Listener // where the next process comes
+	door     *eventloop.Listener // where the next process comes
 	prev     *handover.Link      // the process before this one, while it lives
 	next     *handover.Link      // the one that takes this one's place
 	heard    bool                // prev has told its state
@@ -54,7 +54,7 @@
 	moves    int                 // sessions on their way to next
 	gearman  int                 // listening socket that came along; 0 is none
 	figures  bool                // next takes totals
-	deadline *transport.Deadline
+	deadline *eventloop.Timer
 }
 
 func newUpgrade(p *Program) *upgrade {
@@ -125,7 +125,7 @@
 		u.p.log.Warn("program: the next process has gone, taking back", zap.Error(err))
 		u.took, u.moves = false, 0
 		u.p.front.HandOver(nil)
-		u.p.listener.Suspend(false)
+		u.p.listener.SetSuspended(false)
 		u.p.reporting.resume()
 		u.p.resumeFleet()
 		if u.p.gearman != nil {
@@ -160,7 +160,7 @@
 	u.door = door
 }
 
-func (u *upgrade) accept(c *transport.Conn) transport.Handler {
+func (u *upgrade) accept(c *eventloop.Conn) eventloop.Handler {
 	l := handover.Accept(c, u)
 	if u.took { // it has looked before the next one stood at the path
 		l.Close()
@@ -228,7 +228,7 @@
 		u.door.Close()
 		u.door = nil
 	}
-	p.listener.Suspend(true)
+	p.listener.SetSuspended(true)
 	p.yieldFleet()
 	if p.gearman != nil {
 		p.gearman.Retire(true)
@@ -240,11 +240,11 @@
 }
 
 // move sends a session that rests to the next process.
-func (u *upgrade) move(s platform.State, c *transport.Conn) bool {
+func (u *upgrade) move(s httpfront.State, c *eventloop.Conn) bool {
 	if u.next == nil || u.moves >= mostMoves {
 		return false
 	}
-	fd, in := c.Release()
+	fd, in := c.Detach()
 	u.moves++
 	u.Passed++
 	if err := u.next.Pass(handover.Session, s, in, fd); err != nil {
@@ -255,7 +255,7 @@
 
 // adopt takes a session over.
 func (u *upgrade) adopt(body []byte) error {
-	var s platform.State
+	var s httpfront.State
 	in, fd, err := u.prev.Passed(body, &s)
 	if err != nil {
 		if fd >= 0 {
@@ -264,7 +264,7 @@
 		return err
 	}
 	u.Adopted++
-	if err := u.p.loop.Adopt(fd, bytes.Clone(in), func(c *transport.Conn) transport.Handler {
+	if err := u.p.loop.Adopt(fd, bytes.Clone(in), func(c *eventloop.Conn) eventloop.Handler {
 		return u.p.front.Adopt(s, c)
 	}); err != nil {
 		u.p.log.Warn("program: a session could not be taken over", zap.Error(err))
--- /dev/null
+++ b/internal/shared/invariant/release.go
@@ -0,0 +1,6 @@
+//go:build !debug
+
+package invariant
+
+// PanicOnViolation says that a breach panics.
+const PanicOnViolation = false
--- a/internal/agent/listener.go
+++ b/internal/system/agent/countinglistener.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// countingListener tells how many of its connections are open.
+// countingListener counts its open connections.
 type countingListener struct {
 	net.Listener
-	changed func(open int) // called without a lock, in any order
+	changed func(open int) // called without a lock after each change; calls may come in any order
 
 	mutex sync.Mutex
 	open  int
@@ -21,7 +21,7 @@
 		return nil, err
 	}
 	l.add(1)
-	return &countedConn{Conn: conn, listener: l}, nil
+	return &countingConn{Conn: conn, listener: l}, nil
 }
 
 func (l *countingListener) add(change int) {
@@ -32,22 +32,22 @@
 	l.changed(open)
 }
 
-// count is the number of open connections.
+// count returns the number of open connections.
 func (l *countingListener) count() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.open
 }
 
-// countedConn takes itself off its listener's count when it is closed.
-type countedConn struct {
+// countingConn is counted until it is closed.
+type countingConn struct {
 	net.Conn
 	listener *countingListener
 	once     sync.Once
 }
 
-// Close closes the connection.
-func (c *countedConn) Close() error {
+// Close closes the connection. Further calls do not count.
+func (c *countingConn) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(func() { c.listener.add(-1) })
 	return err
--- /dev/null
+++ b/internal/system/consensus/election.go
@@ -0,0 +1,211 @@
+package consensus
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// maxQuickElections is how many elections in a row are tried after short waits.
+	maxQuickElections = 4
+	// stepDownElectionTimeouts is how long a replica does not lead after StepDown, in election times.
+	stepDownElectionTimeouts = 4
+)
+
+// preVoteYield is the pre-candidate that this replica last put its own election off for, once for each term.
+type preVoteYield struct {
+	candidate ReplicaID
+	term      uint64
+}
+
+// randomDuration draws a time from a range.
+func (n *Node) randomDuration(least, most time.Duration) time.Duration {
+	if most <= least {
+		return least
+	}
+	return least + time.Duration(n.random.Int64N(int64(most-least)))
+}
+
+// resetElectionTimer puts the next election off by a whole election time or more. Replicas that begin at about the same time
+// are told apart by rank, see yieldToPreCandidate, so that the times need not be far apart.
+func (n *Node) resetElectionTimer() {
+	n.electionDeadline = n.now + n.randomDuration(n.config.ElectionTimeout, n.config.ElectionTimeout*3/2)
+}
+
+// setCampaignDeadline sets when an election that has just begun is given up: the first few soon.
+func (n *Node) setCampaignDeadline(least, most time.Duration) {
+	n.failedElections++
+	if n.failedElections > maxQuickElections {
+		n.resetElectionTimer()
+		return
+	}
+	n.electionDeadline = n.now + n.randomDuration(least, most)
+}
+
+// campaignDeadline is when this replica stands for election.
+func (n *Node) campaignDeadline() time.Duration {
+	if !n.promotable() {
+		return Never
+	}
+	return max(n.electionDeadline, n.noCampaignUntil)
+}
+
+// becomeFollower ends whatever role this replica has.
+func (n *Node) becomeFollower(term uint64, leader ReplicaID) {
+	n.caughtUpAt = n.lastCaughtUp()
+	if term > n.term {
+		n.term, n.vote = term, 0
+	}
+	n.role = Follower
+	n.leaderID = leader
+	n.grantedBy = nil
+	n.failReads()
+	n.leaderState = leaderState{}
+	n.resetElectionTimer()
+}
+
+// startPreVote asks whether others would vote for this replica, which disturbs nobody who follows a leader.
+func (n *Node) startPreVote() {
+	if n.role != PreCandidate {
+		n.preVoteStartedAt = n.now
+	}
+	n.role = PreCandidate
+	n.leaderID = 0
+	n.grantedBy = []ReplicaID{n.config.ID}
+	n.setCampaignDeadline(n.config.ElectionTimeout/4, n.config.ElectionTimeout/2)
+	if n.hasVoteQuorum() {
+		n.startElection(false)
+		return
+	}
+	n.requestVotes(Message{Kind: MessagePreVote, Term: n.term + 1})
+}
+
+// startElection is the election proper. Votes are waited for twice as long as the pre-votes took.
+func (n *Node) startElection(force bool) {
+	if n.role == PreCandidate {
+		n.preVoteDuration = n.now - n.preVoteStartedAt
+	}
+	n.caughtUpAt = n.lastCaughtUp()
+	n.failReads()
+	n.leaderState = leaderState{}
+	n.role = Candidate
+	n.leaderID = 0
+	n.term++
+	n.vote = n.config.ID
+	n.grantedBy = nil // its own vote counts once it is on disk
+	least := max(n.config.ElectionTimeout/2, 2*n.preVoteDuration)
+	n.setCampaignDeadline(least, least+n.config.ElectionTimeout/2)
+	n.requestVotes(Message{Kind: MessageVote, Term: n.term, Force: force})
+}
+
+func (n *Node) requestVotes(msg Message) {
+	msg.Index, msg.LogTerm = n.log.lastIndex(), n.log.lastTerm()
+	for _, member := range n.membership().Members {
+		if member.HasVote() && member.ID != n.config.ID {
+			msg.To = member.ID
+			n.send(msg)
+		}
+	}
+}
+
+// hasVoteQuorum tells whether a majority of the voters has granted.
+func (n *Node) hasVoteQuorum() bool {
+	return n.membership().HasQuorum(func(id ReplicaID) bool { return slices.Contains(n.grantedBy, id) })
+}
+
+// promotable tells whether this replica is a voter, or would be if a membership that is not known to be committed came to
+// nothing: it may be the only one that holds that membership, and then nobody else can be elected. It leads until the
+// membership is committed.
+func (n *Node) promotable() bool {
+	return n.log.anyPossibleMembership(func(membership Membership) bool { return membership.hasVote(n.config.ID) })
+}
+
+// canVote tells whether this replica takes part in elections. A learner votes if it is asked: whoever asks it has made
+// it a voter, and the entry that says so may not have come here yet.
+func (n *Node) canVote() bool {
+	return n.log.anyPossibleMembership(func(membership Membership) bool { return membership.has(n.config.ID) })
+}
+
+func (n *Node) handlePreVote(msg Message) {
+	if !n.canVote() {
+		return
+	}
+	reply := Message{Kind: MessagePreVoteReply, To: msg.From, Term: msg.Term}
+	if msg.Term <= n.term || n.inLease() || !n.log.isUpToDate(msg.Index, msg.LogTerm) {
+		reply.Term, reply.Reject = n.term, true
+	}
+	if reply.Term > 0 {
+		n.send(reply)
+	}
+	if !reply.Reject {
+		n.yieldToPreCandidate(msg)
+	}
+}
+
+// yieldToPreCandidate puts an election of this replica's own off for a pre-candidate that it would vote for, so that the two do not
+// split the votes. Of two pre-candidates with equal logs the one with the lower id yields. A replica yields once to one
+// in a term, so that one that is not elected holds up nobody for long.
+func (n *Node) yieldToPreCandidate(msg Message) {
+	ahead := n.role == PreCandidate && n.log.endsAt(msg.Index, msg.LogTerm) && n.config.ID > msg.From
+	yielded := preVoteYield{candidate: msg.From, term: msg.Term}
+	if ahead || n.lastYield == yielded {
+		return
+	}
+	n.lastYield = yielded
+	if n.role == PreCandidate {
+		n.role = Follower
+		n.grantedBy = nil
+	}
+	n.electionDeadline = max(n.electionDeadline, n.now+n.randomDuration(n.config.ElectionTimeout*3/4, n.config.ElectionTimeout*5/4))
+}
+
+func (n *Node) handlePreVoteReply(msg Message) {
+	if n.role != PreCandidate || msg.Reject || msg.Term != n.term+1 {
+		return
+	}
+	n.recordGrant(msg.From)
+	if n.hasVoteQuorum() {
+		n.startElection(false)
+	}
+}
+
+func (n *Node) handleVote(msg Message) {
+	if !n.canVote() || msg.Term < n.term {
+		return
+	}
+	if n.inLease() && !msg.Force {
+		return
+	}
+	if msg.Term > n.term {
+		n.becomeFollower(msg.Term, 0)
+	}
+	free := n.vote == msg.From || n.vote == 0 && n.leaderID == 0
+	reply := Message{Kind: MessageVoteReply, To: msg.From, Reject: true}
+	if free && n.log.isUpToDate(msg.Index, msg.LogTerm) {
+		reply.Reject = false
+		n.vote = msg.From
+		n.resetElectionTimer()
+	}
+	n.send(reply)
+}
+
+func (n *Node) handleVoteReply(msg Message) {
+	if n.role != Candidate || msg.Reject || msg.Term != n.term {
+		return
+	}
+	n.recordVote(msg.From)
+}
+
+// recordVote notes a vote for this candidate.
+func (n *Node) recordVote(from ReplicaID) {
+	n.recordGrant(from)
+	if n.hasVoteQuorum() {
+		n.becomeLeader()
+	}
+}
+
+func (n *Node) recordGrant(from ReplicaID) {
+	if !slices.Contains(n.grantedBy, from) {
+		n.grantedBy = append(n.grantedBy, from)
+	}
+}
--- /dev/null
+++ b/internal/system/consensus/raft_log.go
@@ -0,0 +1,252 @@
+package consensus
+
+import "slices"
+
+// raftLog is the log as a replica knows it: the snapshot, the entries after offset (some of them within the
+// snapshot, kept for slow followers), and how far it is committed, written and applied.
+type raftLog struct {
+	snapshot   Snapshot
+	offset     uint64 // index before the first entry kept
+	offsetTerm uint64
+	entries    []Entry
+
+	commit     uint64
+	applied    uint64 // handed out as committed
+	writeIndex uint64 // handed out to be written
+	durable    uint64 // known to be synced
+
+	snapshotPending bool                // the snapshot came from a leader and is yet to be handed out
+	pendingWrites   []pendingWrite      // handed out and not yet known to be synced, in order
+	memberships     []indexedMembership // in order; the first one holds at the snapshot, the last one now
+}
+
+// pendingWrite is a Ready whose writes are under way.
+type pendingWrite struct {
+	sequence  uint64
+	term      uint64
+	lastIndex uint64 // index up to which it makes the log durable
+}
+
+// indexedMembership is a membership and the entry that brought it.
+type indexedMembership struct {
+	index      uint64
+	membership Membership
+}
+
+func newLog(state PersistentState) raftLog {
+	log := raftLog{snapshot: state.Snapshot, offset: state.Snapshot.Index, offsetTerm: state.Snapshot.Term}
+	log.memberships = []indexedMembership{{log.offset, state.Snapshot.Membership}}
+	log.append(state.Entries)
+	log.commit = max(log.offset, min(state.HardState.Commit, log.lastIndex()))
+	log.applied = log.offset
+	log.writeIndex = log.lastIndex()
+	log.durable = log.lastIndex()
+	return log
+}
+
+func (l *raftLog) lastIndex() uint64 { return l.offset + uint64(len(l.entries)) }
+
+func (l *raftLog) lastTerm() uint64 {
+	term, _ := l.term(l.lastIndex())
+	return term
+}
+
+// term is that of the entry at an index, if it is known.
+func (l *raftLog) term(index uint64) (uint64, bool) {
+	if index == l.offset {
+		return l.offsetTerm, true
+	}
+	if index < l.offset || index > l.lastIndex() {
+		return 0, false
+	}
+	return l.entries[index-l.offset-1].Term, true
+}
+
+func (l *raftLog) matchTerm(index, term uint64) bool {
+	have, known := l.term(index)
+	return known && have == term
+}
+
+// endsAt tells whether a log that ends so ends as this one does.
+func (l *raftLog) endsAt(index, term uint64) bool {
+	return index == l.lastIndex() && term == l.lastTerm()
+}
+
+// isUpToDate tells whether a log that ends so holds all that this one may have agreed on.
+func (l *raftLog) isUpToDate(index, term uint64) bool {
+	return term > l.lastTerm() || term == l.lastTerm() && index >= l.lastIndex()
+}
+
+// slice returns the entries from an index on, up to an amount of data but at least one.
+func (l *raftLog) slice(from uint64, maxBytes int) []Entry {
+	if from <= l.offset || from > l.lastIndex() {
+		return nil
+	}
+	rest := l.entries[from-l.offset-1:]
+	size := len(rest[0].Data)
+	count := 1
+	for count < len(rest) && size+len(rest[count].Data) <= maxBytes {
+		size += len(rest[count].Data)
+		count++
+	}
+	return rest[:count:count]
+}
+
+// append adds entries that follow the last one.
+func (l *raftLog) append(entries []Entry) {
+	for _, entry := range entries {
+		l.entries = append(l.entries, entry)
+		if entry.Kind != EntryMembership {
+			continue
+		}
+		membership, err := DecodeMembership(entry.Data)
+		if err == nil { // checked before
+			l.memberships = append(l.memberships, indexedMembership{entry.Index, membership})
+		}
+	}
+}
+
+// truncate drops the entries from an index on, which is above commit. Slices handed out before stay as they are.
+func (l *raftLog) truncate(from uint64) {
+	keep := int(from - l.offset - 1)
+	l.entries = l.entries[:keep:keep]
+	l.writeIndex = min(l.writeIndex, from-1)
+	l.durable = min(l.durable, from-1)
+	for i := range l.pendingWrites {
+		l.pendingWrites[i].lastIndex = min(l.pendingWrites[i].lastIndex, from-1)
+	}
+	for l.memberships[len(l.memberships)-1].index >= from {
+		l.memberships = l.memberships[:len(l.memberships)-1]
+	}
+}
+
+// merge brings the log in line with a leader's entries, which follow an index at which both logs agree and which is not
+// below commit.
+func (l *raftLog) merge(entries []Entry) {
+	for i, entry := range entries {
+		if l.matchTerm(entry.Index, entry.Term) {
+			continue
+		}
+		if entry.Index <= l.lastIndex() {
+			l.truncate(entry.Index)
+		}
+		l.append(entries[i:])
+		return
+	}
+}
+
+func (l *raftLog) commitTo(index uint64) { l.commit = max(l.commit, min(index, l.lastIndex())) }
+
+// findConflictByTerm is the largest index up to the given one whose term is not above the given one, and its term; the start of
+// the log if there is none.
+func (l *raftLog) findConflictByTerm(index, term uint64) (uint64, uint64) {
+	index = min(index, l.lastIndex())
+	for index > l.offset {
+		have, _ := l.term(index)
+		if have <= term {
+			return index, have
+		}
+		index--
+	}
+	return l.offset, l.offsetTerm
+}
+
+// restore replaces all by a snapshot.
+func (l *raftLog) restore(snapshot Snapshot) {
+	l.snapshot = snapshot
+	l.offset, l.offsetTerm = snapshot.Index, snapshot.Term
+	l.entries = nil
+	l.commit, l.applied, l.writeIndex, l.durable = snapshot.Index, snapshot.Index, snapshot.Index, snapshot.Index
+	for i := range l.pendingWrites {
+		l.pendingWrites[i].lastIndex = 0
+	}
+	l.memberships = []indexedMembership{{snapshot.Index, snapshot.Membership}}
+	l.snapshotPending = true
+}
+
+// compact takes over a snapshot of the applied state and drops the entries in it but for a tail, which is bounded in
+// entries and in bytes of their data (0: no bound).
+func (l *raftLog) compact(snapshot Snapshot, tail uint64, tailBytes int) {
+	l.snapshot = snapshot
+	l.trimMemberships(snapshot.Index)
+	start := l.tailStart(snapshot.Index, tail, tailBytes)
+	if start <= l.offset {
+		return
+	}
+	term, _ := l.term(start)
+	l.entries = slices.Clone(l.entries[start-l.offset:])
+	l.offset, l.offsetTerm = start, term
+}
+
+// tailStart is the index before the tail that ends at an index.
+func (l *raftLog) tailStart(end, tail uint64, tailBytes int) uint64 {
+	start, size := end, 0
+	for start > l.offset && end-start < tail {
+		size += len(l.entries[start-l.offset-1].Data)
+		if tailBytes > 0 && size > tailBytes {
+			break
+		}
+		start--
+	}
+	return start
+}
+
+func (l *raftLog) trimMemberships(index uint64) {
+	dropped := 0
+	for dropped+1 < len(l.memberships) && l.memberships[dropped+1].index <= index {
+		dropped++
+	}
+	l.memberships = slices.Clone(l.memberships[dropped:])
+}
+
+func (l *raftLog) lastMembership() indexedMembership { return l.memberships[len(l.memberships)-1] }
+
+// anyPossibleMembership tells whether something is true of the newest membership known to be committed, or of a later one.
+func (l *raftLog) anyPossibleMembership(holds func(Membership) bool) bool {
+	for i := len(l.memberships) - 1; i >= 0; i-- {
+		if holds(l.memberships[i].membership) {
+			return true
+		}
+		if l.memberships[i].index <= l.commit {
+			return false
+		}
+	}
+	return false
+}
+
+// indexedMembership is the membership that held at an index not below the snapshot's.
+func (l *raftLog) membershipAt(index uint64) Membership {
+	at := 0
+	for at+1 < len(l.memberships) && l.memberships[at+1].index <= index {
+		at++
+	}
+	return l.memberships[at].membership
+}
+
+// takeUnwrittenEntries hands the entries out that are to be written.
+func (l *raftLog) takeUnwrittenEntries() []Entry {
+	from := max(l.writeIndex, l.offset)
+	l.writeIndex = l.lastIndex()
+	entries := l.entries[from-l.offset:]
+	return entries[:len(entries):len(entries)]
+}
+
+// takeCommittedEntries hands the entries out that are to be applied.
+func (l *raftLog) takeCommittedEntries() []Entry {
+	if l.commit <= l.applied {
+		return nil
+	}
+	from, to := l.applied-l.offset, l.commit-l.offset
+	l.applied = l.commit
+	return l.entries[from:to:to]
+}
+
+// markDurable notes that the writes up to a number are on disk. It returns the highest term among them.
+func (l *raftLog) markDurable(number uint64) (term uint64) {
+	for len(l.pendingWrites) > 0 && l.pendingWrites[0].sequence <= number {
+		l.durable = max(l.durable, l.pendingWrites[0].lastIndex)
+		term = max(term, l.pendingWrites[0].term)
+		l.pendingWrites = l.pendingWrites[1:]
+	}
+	return term
+}
--- /dev/null
+++ b/internal/system/control/api/simulation_clients_test.go
@@ -0,0 +1,373 @@
+package api
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+
+	"cinderroad/internal/system/control/state"
+	"cinderroad/internal/system/validation"
+)
+
+const (
+	callTimeout           = time.Second // without an answer, after which a copy is given up
+	maxEvacuationPatience = 5 * time.Second
+	maxRequestsPerClient  = 120 // that a client makes up
+	maxOpenCalls          = 2   // calls of a client at once, beside a copy of the last one
+)
+
+// modelRequest is an order as its sender knows it.
+type modelRequest struct {
+	number       int
+	zone         string // of an evacuation; empty: it is a configuration
+	on           bool
+	basedOn      uint64
+	version      uint64
+	text         string // two orders may share it
+	invalid      bool
+	acknowledged bool // its sender was told
+	rejected     bool
+}
+
+func (o *modelRequest) String() string {
+	if o.zone != "" {
+		return fmt.Sprintf("order %d (evacuation of %s: %t)", o.number, o.zone, o.on)
+	}
+	return fmt.Sprintf("order %d (%d on %d, %q)", o.number, o.version, o.basedOn, o.text)
+}
+
+// changeRequest is the configuration order as it is sent.
+func (o *modelRequest) changeRequest() *changeRequest {
+	body := strconv.FormatUint(o.version, 10) + " " + o.text
+	if o.invalid {
+		body += " invalid"
+	}
+	return &changeRequest{kind: kindReplace, basedOn: o.basedOn, body: []byte(body)}
+}
+
+// ownerKey holds the text of the change that brought the version in force.
+const ownerKey = "owner"
+
+// prepareModelChange reads what modelRequest.request wrote.
+func prepareModelChange(request *changeRequest, base *state.Base) (preparedChange, error) {
+	var invalid validation.Problems
+	version, text, _ := bytes.Cut(request.body, []byte(" "))
+	number, err := strconv.ParseUint(string(version), 10, 64)
+	if err != nil || number <= base.Version || bytes.HasSuffix(text, []byte(" invalid")) {
+		invalid.Add("", "is invalid")
+		return preparedChange{}, invalid.Err()
+	}
+	return preparedChange{version: number, writes: []state.Write{{Key: ownerKey, Value: request.body}}}, nil
+}
+
+// modelResponse is what a sender is told; the zero one: nothing.
+type modelResponse struct {
+	status  int
+	version uint64
+	text    string // of the version read
+	on      bool   // of the zone read
+}
+
+// isDefinite tells whether the answer says what became of an order.
+func (a modelResponse) isDefinite() bool {
+	return a.status == http.StatusOK || a.status >= 400 && a.status < 500
+}
+
+func responseOf(version uint64, err error) modelResponse {
+	var refused *apiError
+	switch {
+	case err == nil:
+		return modelResponse{status: http.StatusOK, version: version}
+	case errors.As(err, &refused):
+		return modelResponse{status: refused.status}
+	}
+	return modelResponse{status: http.StatusServiceUnavailable}
+}
+
+// delivery is an order, or a read, sent once.
+type delivery struct {
+	sim       *simulation
+	cancelled bool // by its sender
+	task      *handlerTask
+}
+
+// cancel is the sender's end. The machine learns of it, unless the way there is cut.
+func (c *delivery) cancel() {
+	c.cancelled = true
+	sim := c.sim
+	if c.task != nil && !(sim.faultsActive && sim.chance(0.3)) {
+		sim.after(sim.networkDelay(), func() { c.task.cancelled = true })
+	}
+}
+
+// send brings something to a machine and its answer back, unless one is lost. An answer that comes later than the sender
+// waits for is not told.
+func (sim *simulation) send(client int, request *modelRequest, zone string, handle func(t *handlerTask) modelResponse,
+	onResponse func(modelResponse)) *delivery {
+	c := &delivery{sim: sim}
+	op := sim.checker.beginOperation(client, request, zone)
+	end := func(answer modelResponse) {
+		if !c.cancelled {
+			op.complete(answer, sim.now)
+			c.cancel()
+			onResponse(answer)
+		}
+	}
+	sim.after(callTimeout, func() { end(modelResponse{}) })
+	node := sim.nodes[sim.random.IntN(len(sim.nodes))]
+	sim.after(sim.networkDelay(), func() {
+		if !node.up {
+			sim.after(sim.networkDelay(), func() { end(modelResponse{}) })
+			return
+		}
+		node.whenRunning(func() {
+			c.task = node.runHandler(c.cancelled, func(t *handlerTask) {
+				answer := handle(t)
+				if t.ended {
+					return
+				}
+				if request != nil {
+					sim.logf("%d answers %v: %d", node.number, request, answer.status)
+					sim.checker.handleResponse(request, answer)
+				}
+				if !(sim.faultsActive && sim.chance(sim.profile.LostRatio)) {
+					sim.after(sim.networkDelay(), func() { end(answer) })
+				}
+			})
+		})
+	})
+	return c
+}
+
+func (sim *simulation) sendChange(client int, request *modelRequest, onResponse func(modelResponse)) *delivery {
+	return sim.send(client, request, "", func(t *handlerTask) modelResponse {
+		ctx := taskContext{context.Background(), t}
+		return responseOf(t.committer().commit(ctx, request.changeRequest()))
+	}, onResponse)
+}
+
+func (sim *simulation) sendEvacuation(client int, request *modelRequest, onResponse func(modelResponse)) *delivery {
+	return sim.send(client, request, request.zone, func(t *handlerTask) modelResponse {
+		ctx := taskContext{context.Background(), t}
+		return responseOf(0, t.committer().setEvacuation(ctx, request.zone, request.on))
+	}, onResponse)
+}
+
+// sendRead reads the configuration, or where a zone is named, whether it is evacuated.
+func (sim *simulation) sendRead(client int, zone string, onResponse func(modelResponse)) {
+	sim.send(client, nil, zone, func(t *handlerTask) modelResponse {
+		ctx := taskContext{context.Background(), t}
+		if t.committer().replicas.Barrier(ctx, 0) != nil {
+			return modelResponse{}
+		}
+		base := t.node.state.Base()
+		answer := modelResponse{status: http.StatusOK, version: base.Version, on: t.node.state.Evacuation(zone).On}
+		for _, value := range base.Values.All(ownerKey) {
+			answer.text = string(value)
+		}
+		return answer
+	}, onResponse)
+}
+
+// simulatedClient sends orders until it is told to finish, and then finds out what became of them.
+type simulatedClient interface {
+	finish()
+	done() bool
+}
+
+// configurationClient makes changes up, races the others, sends changes again and reads.
+type configurationClient struct {
+	sim       *simulation
+	id        int
+	version   uint64 // newest that it knows
+	requests  []*modelRequest
+	openCalls int // copies and reads that wait for an answer
+	finishing bool
+}
+
+func (sim *simulation) addConfigurationClient(number int) {
+	c := &configurationClient{sim: sim, id: number}
+	sim.clients = append(sim.clients, c)
+	sim.after(sim.durationBetween(0, time.Second), c.act)
+}
+
+func (c *configurationClient) finish() {
+	c.finishing = true
+	for _, request := range c.requests {
+		request.acknowledged, request.rejected = false, false // each is sent once more
+	}
+}
+
+// unresolved are the orders that have no answer and can get one.
+func (c *configurationClient) unresolved() (orders []*modelRequest) {
+	for _, request := range c.requests {
+		if !request.acknowledged && !request.rejected && !c.sim.checker.unanswerable(request) {
+			orders = append(orders, request)
+		}
+	}
+	return orders
+}
+
+func (c *configurationClient) done() bool { return len(c.unresolved()) == 0 }
+
+func (c *configurationClient) act() {
+	sim := c.sim
+	sim.after(sim.durationBetween(sim.profile.ThinkTime/4, sim.profile.ThinkTime), c.act)
+	if c.openCalls >= maxOpenCalls {
+		return
+	}
+	unclear := c.unresolved()
+	switch {
+	case c.finishing && len(unclear) > 0:
+		c.send(unclear[sim.random.IntN(len(unclear))])
+	case c.finishing || len(c.requests) >= maxRequestsPerClient:
+	case len(unclear) > 0 && sim.chance(0.4):
+		c.send(unclear[sim.random.IntN(len(unclear))])
+	case len(c.requests) > 0 && sim.chance(0.2):
+		c.send(c.requests[sim.random.IntN(len(c.requests))])
+	case sim.chance(0.3):
+		c.openCalls++
+		sim.sendRead(c.id, "", func(answer modelResponse) {
+			c.openCalls--
+			c.version = max(c.version, answer.version)
+		})
+	default:
+		c.send(c.newChange())
+	}
+}
+
+// newChange is a new change: on the version that the client knows, or on another; with a text and number of its own, or with
+// those of another order.
+func (c *configurationClient) newChange() *modelRequest {
+	sim := c.sim
+	request := sim.checker.newRequest()
+	request.basedOn = c.version
+	switch {
+	case sim.chance(0.1):
+		request.basedOn += uint64(sim.random.IntN(4))
+	case sim.chance(0.1):
+		request.basedOn -= min(request.basedOn, uint64(sim.random.IntN(4)))
+	case sim.chance(0.1) && len(c.requests) > 0: // on one whose outcome may not be known
+		request.basedOn = c.requests[len(c.requests)-1].version
+	}
+	request.version = request.basedOn + 1 + uint64(sim.random.IntN(2))
+	request.text = strconv.Itoa(request.number)
+	if len(c.requests) > 0 && sim.chance(0.1) {
+		request.text = c.requests[sim.random.IntN(len(c.requests))].text
+	}
+	request.invalid = sim.chance(0.1)
+	c.requests = append(c.requests, request)
+	return request
+}
+
+// send sends an order to one machine, or to several at once.
+func (c *configurationClient) send(request *modelRequest) {
+	for range 1 + c.sim.random.IntN(5)/4 {
+		c.openCalls++
+		c.sim.sendChange(c.id, request, func(answer modelResponse) { c.handleResponse(request, answer) })
+	}
+}
+
+func (c *configurationClient) handleResponse(request *modelRequest, answer modelResponse) {
+	c.openCalls--
+	c.version = max(c.version, answer.version)
+	switch {
+	case answer.status == http.StatusOK:
+		request.acknowledged = true
+	case answer.status >= 400 && answer.status < 500:
+		request.rejected = true
+	}
+}
+
+// evacuationClient is the only one to order about its zone: one thing after the other, each sent again until it is
+// acknowledged or given up. What was acknowledged has to hold until it orders something else.
+type evacuationClient struct {
+	sim          *simulation
+	zone         string
+	current      *modelRequest // the present one; nil: none yet
+	deliveries   []*delivery
+	requestCount int
+	finishing    bool
+}
+
+func (sim *simulation) addEvacuationClient(zone string) {
+	c := &evacuationClient{sim: sim, zone: zone}
+	sim.clients = append(sim.clients, c)
+	sim.after(sim.durationBetween(0, time.Second), c.nextRequest)
+	sim.after(sim.durationBetween(0, time.Second), c.poll)
+}
+
+// id tells the client in the history.
+func (c *evacuationClient) id() int { return 100 + int(c.zone[0]) }
+
+func (c *evacuationClient) finish() { c.finishing = true }
+
+func (c *evacuationClient) done() bool { return c.current != nil && c.current.acknowledged }
+
+// poll reads whether the zone is evacuated.
+func (c *evacuationClient) poll() {
+	c.sim.after(c.sim.durationBetween(100*time.Millisecond, time.Second), c.poll)
+	c.sim.sendRead(c.id(), c.zone, func(modelResponse) {})
+}
+
+// nextRequest orders the contrary of what was ordered last, or at times the same again.
+func (c *evacuationClient) nextRequest() {
+	sim := c.sim
+	if c.requestCount >= maxRequestsPerClient {
+		return
+	}
+	c.requestCount++
+	request := sim.checker.newRequest()
+	request.zone, request.on = c.zone, c.current == nil || !c.current.on
+	if sim.chance(0.2) {
+		request.on = !request.on
+	}
+	c.current = request
+	c.cancelDeliveries()
+	c.send(request)
+	patience := sim.durationBetween(callTimeout/2, maxEvacuationPatience)
+	sim.after(patience, func() {
+		if c.current == request && !request.acknowledged && !c.finishing {
+			sim.logf("%v is given up", request)
+			c.nextRequest()
+		}
+	})
+}
+
+// cancelDeliveries closes what is open.
+func (c *evacuationClient) cancelDeliveries() {
+	for _, open := range c.deliveries {
+		if !open.cancelled {
+			open.cancel()
+		}
+	}
+	c.deliveries = nil
+}
+
+// send sends the order to one machine or to two at once, and again until it is acknowledged.
+func (c *evacuationClient) send(request *modelRequest) {
+	sim := c.sim
+	if c.current != request || request.acknowledged {
+		return
+	}
+	for range 1 + sim.random.IntN(5)/4 {
+		c.deliveries = append(c.deliveries, sim.sendEvacuation(c.id(), request, func(answer modelResponse) { c.handleResponse(request, answer) }))
+	}
+	sim.after(sim.durationBetween(callTimeout/4, callTimeout), func() { c.send(request) })
+}
+
+func (c *evacuationClient) handleResponse(request *modelRequest, answer modelResponse) {
+	if answer.status != http.StatusOK || request.acknowledged || c.current != request {
+		return
+	}
+	request.acknowledged = true
+	c.cancelDeliveries()
+	c.sim.checker.handleAcknowledgedEvacuation(request)
+	if !c.finishing {
+		c.sim.after(c.sim.durationBetween(0, 2*c.sim.profile.ThinkTime), c.nextRequest)
+	}
+}
--- a/internal/control/metrics.go
+++ b/internal/system/control/metrics.go
@@ -3,43 +3,43 @@
 import (
 	"strconv"
 
-	"cinderroad/internal/control/directory"
-	"cinderroad/internal/exposition"
+	"cinderroad/internal/system/control/directory"
+	"cinderroad/internal/system/exposition"
 )
 
-// expose writes the process's own figures.
-func (p *Process) expose(page *exposition.Page) {
-	p.exposeState(page)
-	p.exposePartitions(page)
-	p.exposeDirectory(page)
+// writeMetrics writes the process's own figures.
+func (p *Process) writeMetrics(page *exposition.Page) {
+	p.writeStateMetrics(page)
+	p.writePartitionMetrics(page)
+	p.writeDirectoryMetrics(page)
 }
 
-func (p *Process) exposeState(page *exposition.Page) {
-	gauge := func(name, help string, value float64) { page.Single(exposition.Gauge, name, help, value) }
+func (p *Process) writeStateMetrics(page *exposition.Page) {
+	gauge := func(name, help string, value float64) { page.Metric(exposition.Gauge, name, help, value) }
 	gauge("cinderroad_control_configuration_version", "Version of the configuration held here; 0: none.",
 		float64(p.configuration.Version()))
-	gauge("cinderroad_control_stopping", "Whether the process was told to stop.", exposition.Flag(p.stopping.Load()))
-	gauge("cinderroad_control_followers", "Members that follow this machine's feed.", float64(len(p.feed.Followers())))
-	duty := p.duty.Status()
+	gauge("cinderroad_control_stopping", "Whether the process was told to stop.", exposition.BoolValue(p.stopping.Load()))
+	gauge("cinderroad_control_followers", "Members that follow this machine's feed.", float64(len(p.feedServer.Followers())))
+	duty := p.runnerSync.Status()
 	gauge("cinderroad_control_discovery_holder", "Whether this machine reads the platform's list of runners.",
-		exposition.Flag(duty.Holder))
-	page.Single(exposition.Counter, "cinderroad_control_discovery_calls_total", "Calls to the platform.", float64(duty.Calls))
+		exposition.BoolValue(duty.Holder))
+	page.Metric(exposition.Counter, "cinderroad_control_discovery_calls_total", "Calls to the platform.", float64(duty.CallCount))
 }
 
-// exposePartitions writes what tells of each replica of the control state.
-func (p *Process) exposePartitions(page *exposition.Page) {
+// writePartitionMetrics writes what tells of each replica of the control state.
+func (p *Process) writePartitionMetrics(page *exposition.Page) {
 	partitions := p.host.Status()
 	label := func(i int) exposition.Label {
 		return exposition.Label{Name: "partition", Value: strconv.Itoa(int(partitions[i].Partition))}
 	}
 	page.Family(exposition.Gauge, "cinderroad_control_leads", "Whether this machine leads the partition, with a lease.")
 	for i := range partitions {
-		_, leads := p.host.Leads(partitions[i].Partition)
-		page.Sample(exposition.Flag(leads), label(i))
+		_, leads := p.host.LeaderLease(partitions[i].Partition)
+		page.Sample(exposition.BoolValue(leads), label(i))
 	}
 	page.Family(exposition.Gauge, "cinderroad_control_fresh_seconds", "Time since a leader that a majority follows was heard.")
 	for i := range partitions {
-		page.Sample(p.host.Fresh(partitions[i].Partition).Seconds(), label(i))
+		page.Sample(p.host.Staleness(partitions[i].Partition).Seconds(), label(i))
 	}
 	page.Family(exposition.Gauge, "cinderroad_control_term", "Term of the partition's group, as held here.")
 	for i := range partitions {
@@ -51,8 +51,8 @@
 	}
 }
 
-// exposeDirectory writes which proxies look-ups may name.
-func (p *Process) exposeDirectory(page *exposition.Page) {
+// writeDirectoryMetrics writes which proxies look-ups may name.
+func (p *Process) writeDirectoryMetrics(page *exposition.Page) {
 	var usable, stopping, starting, lost int
 	edges := p.Edges()
 	for i := range edges {
--- /dev/null
+++ b/internal/system/control/status.go
@@ -0,0 +1,124 @@
+package control
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/control/status"
+	"cinderroad/internal/system/gossip"
+	"cinderroad/internal/system/replica"
+)
+
+// encodeStatus describes the process for operators, as JSON.
+func (p *Process) encodeStatus() []byte {
+	body, err := json.Marshal(p.buildStatus())
+	if err != nil {
+		panic("control: a status that can't be encoded: " + err.Error()) // it holds numbers and strings alone
+	}
+	return body
+}
+
+func (p *Process) buildStatus() *status.Control {
+	members := p.gossip.View()
+	out := &status.Control{
+		Node:           p.settings.Load().Node,
+		Release:        p.version,
+		Version:        p.configuration.Version(),
+		EvacuatedZones: append([]string{}, p.configuration.EvacuatedZones()...),
+		ActiveProxies:  p.gossip.ProxyCount(),
+		Discovery:      p.describeDiscovery(),
+		Followers:      p.describeFollowers(),
+		Members:        make([]status.Member, 0, len(members)),
+	}
+	for _, partition := range p.host.Status() {
+		out.Partitions = append(out.Partitions, p.describePartition(&partition))
+	}
+	for i := range members {
+		if members[i].Usable() {
+			out.ReadyProxies++
+		}
+		out.Members = append(out.Members, describeMember(&members[i]))
+	}
+	return out
+}
+
+func (p *Process) describeDiscovery() status.Discovery {
+	duty := p.runnerSync.Status()
+	return status.Discovery{
+		Holder:       duty.Holder,
+		ListReceived: duty.ListReceived,
+		ListAgeMS:    duty.ListAge.Milliseconds(),
+		CallCount:    duty.CallCount,
+	}
+}
+
+func (p *Process) describeFollowers() []status.Follower {
+	index := p.configuration.Index()
+	followers := p.feedServer.Followers()
+	out := make([]status.Follower, 0, len(followers))
+	for _, follower := range followers {
+		out = append(out, status.Follower{
+			Node:               follower.Node,
+			ConfigurationIndex: follower.ConfigurationIndex,
+			Behind:             follower.ConfigurationIndex < index,
+			SinceLastCallMS:    follower.SinceLastCall.Milliseconds(),
+		})
+	}
+	return out
+}
+
+func (p *Process) describePartition(partition *replica.PartitionStatus) status.Partition {
+	group := &partition.Status
+	out := status.Partition{
+		Partition:    uint16(partition.Partition),
+		Replica:      replicaName(group.ID),
+		Role:         roleName(group.Role),
+		Term:         group.Term,
+		Leader:       replicaName(group.Leader),
+		CommitIndex:  group.Commit,
+		AppliedIndex: group.Applied,
+		LastIndex:    group.LastIndex,
+		ItemCount:    p.itemCount(int(partition.Partition)),
+		StalenessMS:  p.host.Staleness(partition.Partition).Milliseconds(),
+		Replicas:     make([]status.Replica, 0, len(group.Membership.Members)),
+	}
+	if lease, leads := p.host.LeaderLease(partition.Partition); leads {
+		out.LeaseMS = lease.Milliseconds()
+	}
+	for _, member := range group.Membership.Members {
+		out.Replicas = append(out.Replicas, status.Replica{Replica: replicaName(member.ID), Node: member.Node,
+			Zone: member.Zone, Address: member.Address, Voter: member.Voter})
+	}
+	return out
+}
+
+// itemCount is how many items a partition holds here.
+func (p *Process) itemCount(partition int) int {
+	if partition == 0 {
+		return p.configuration.Len()
+	}
+	return p.runners[partition-1].Len()
+}
+
+func describeMember(member *gossip.Member) status.Member {
+	return status.Member{
+		Node:         member.Node,
+		Address:      member.Address.String(),
+		State:        member.State.String(),
+		StateAgeMS:   time.Since(member.Since).Milliseconds(),
+		Role:         string(member.Role),
+		Zone:         member.Zone,
+		Serving:      string(member.Serving),
+		FrontAddress: member.Front,
+		Release:      member.Version,
+	}
+}
+
+func replicaName(id consensus.ReplicaID) string {
+	if id == 0 {
+		return ""
+	}
+	return fmt.Sprintf("%016x", uint64(id))
+}
--- a/internal/discovery/codec.go
+++ b/internal/system/discovery/runner_codec.go
@@ -6,34 +6,41 @@
 	"net/netip"
 	"time"
 
-	"cinderroad/internal/codec"
+	"cinderroad/internal/system/codec"
 )
 
-// codecVersion is the first byte of an encoded runner.
-const codecVersion = 1
+// runnerFormatVersion is the first byte of an encoded runner.
+const runnerFormatVersion = 1
 
-// flagDraining marks an encoded runner that is draining.
+const (
+	// usualEncodedBytes is the size within which the encodings of most runners are.
+	usualEncodedBytes = 96
+	// maxPreallocatedModels bounds the memory that a malformed count can claim.
+	maxPreallocatedModels = 64
+)
+
+// flagDraining is the bit of the flags that marks a draining runner.
 const flagDraining = 1
 
-// MalformedRunnerError says that bytes are not an encoded runner.
+// MalformedRunnerError says that bytes are not an encoded runner. Field names the first field that could not be read.
 type MalformedRunnerError struct{ Field string }
 
-// Error says what happened.
+// Error names the malformed field and what an operator can check.
 func (e *MalformedRunnerError) Error() string {
 	return fmt.Sprintf("discovery: an encoded runner is malformed at its %s; do both sides run the same version?", e.Field)
 }
 
-// Encode is the compact form of a runner in the feed. Equal runners have equal encodings.
-func Encode(runner Runner) []byte {
-	data := make([]byte, 0, 96)
-	data = append(data, codecVersion, flags(runner))
+// EncodeRunner returns the form in which package feed stores a runner. Equal runners have equal encodings.
+func EncodeRunner(runner Runner) []byte {
+	data := make([]byte, 0, usualEncodedBytes)
+	data = append(data, runnerFormatVersion, encodeFlags(runner))
 	data = codec.AppendBytes(data, runner.ID)
 	data = codec.AppendBytes(data, runner.Service)
 	data = appendAddress(data, runner.Address)
 	data = codec.AppendBytes(data, runner.Zone)
 	data = binary.AppendVarint(data, int64(runner.Capacity))
-	data = binary.AppendVarint(data, int64(runner.ColdLeft))
-	data = binary.AppendVarint(data, int64(runner.TimeLeft))
+	data = binary.AppendVarint(data, int64(runner.SlowStartRemaining))
+	data = binary.AppendVarint(data, int64(runner.TimeToTermination))
 	data = codec.AppendBytes(data, runner.Phase)
 	data = binary.AppendUvarint(data, uint64(len(runner.Models)))
 	for _, model := range runner.Models {
@@ -43,7 +50,7 @@
 	return data
 }
 
-func flags(runner Runner) byte {
+func encodeFlags(runner Runner) byte {
 	if runner.Draining {
 		return flagDraining
 	}
@@ -55,23 +62,23 @@
 	return codec.AppendBytes(data, octets)
 }
 
-// Decode reads what Encode wrote. The error is a *MalformedRunnerError.
-func Decode(data []byte) (Runner, error) {
+// DecodeRunner reads the form made by EncodeRunner. An error is a *MalformedRunnerError.
+func DecodeRunner(data []byte) (Runner, error) {
 	reader := codec.NewReader(data)
-	if reader.Octet("version") != codecVersion {
+	if reader.Byte("version") != runnerFormatVersion {
 		return Runner{}, &MalformedRunnerError{Field: "version"}
 	}
-	runner := Runner{Draining: reader.Octet("flags")&flagDraining != 0}
-	runner.ID = reader.Text("id")
-	runner.Service = reader.Text("service")
+	runner := Runner{Draining: reader.Byte("flags")&flagDraining != 0}
+	runner.ID = reader.String("id")
+	runner.Service = reader.String("service")
 	runner.Address = readAddress(&reader, "address")
-	runner.Zone = reader.Text("zone")
-	runner.Capacity = int(reader.Signed("capacity"))
-	runner.ColdLeft = time.Duration(reader.Signed("time left cold"))
-	runner.TimeLeft = time.Duration(reader.Signed("time left"))
-	runner.Phase = reader.Text("phase")
+	runner.Zone = reader.String("zone")
+	runner.Capacity = int(reader.Varint("capacity"))
+	runner.SlowStartRemaining = time.Duration(reader.Varint("time left cold"))
+	runner.TimeToTermination = time.Duration(reader.Varint("time left"))
+	runner.Phase = reader.String("phase")
 	runner.Models = readModels(&reader, "models")
-	reader.End("end")
+	reader.ExpectEnd("end")
 	if field, failed := reader.Malformed(); failed {
 		return Runner{}, &MalformedRunnerError{Field: field}
 	}
@@ -92,9 +99,9 @@
 	if count == 0 {
 		return nil
 	}
-	models := make([]Model, 0, min(count, 64))
+	models := make([]Model, 0, min(count, maxPreallocatedModels))
 	for range count {
-		model := Model{Name: reader.Text(field), Version: int(reader.Signed(field))}
+		model := Model{Name: reader.String(field), Version: int(reader.Varint(field))}
 		if _, failed := reader.Malformed(); failed {
 			return nil
 		}
--- a/internal/feed/codec.go
+++ b/internal/system/feed/table_codec.go
@@ -8,11 +8,11 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/codec"
+	"cinderroad/internal/system/codec"
 )
 
-// tableCodecVersion is the first byte of an encoded table.
-const tableCodecVersion = 1
+// tableFormatVersion is the first byte of an encoded table.
+const tableFormatVersion = 1
 
 // Kinds of items of an encoded table.
 const (
@@ -20,34 +20,34 @@
 	kindDeleted = 1
 )
 
-// greatestAge is the greatest age of an item in nanoseconds that is taken from an encoding.
-const greatestAge = 1 << 62
+// maxEncodedAge is the greatest age of an item, in nanoseconds, that DecodeTable accepts.
+const maxEncodedAge = 1 << 62
 
-// MalformedTableError says that bytes are not an encoded table.
+// MalformedTableError says that bytes are not an encoded table. Field names the first field that could not be read.
 type MalformedTableError struct{ Field string }
 
-// Error says what happened and what to do.
+// Error names the malformed field and what an operator can do.
 func (e *MalformedTableError) Error() string {
 	return fmt.Sprintf("feed: an encoded table is malformed at its %s; "+
 		"it was damaged or written by another version, take the partition from another replica", e.Field)
 }
 
-// Encode is the whole table, deletions among it, as stored state and snapshots hold it. Ages go along; but for them,
-// tables that hold the same have the same encoding.
+// Encode returns the whole table, deleted items included, in the form of stored state and of snapshots between control
+// replicas. Ages at now are part of it; apart from them, tables with the same contents have the same encoding.
 func (t *Table) Encode(now time.Duration) []byte {
 	data := make([]byte, 0, t.encodedSize())
-	data = append(data, tableCodecVersion)
+	data = append(data, tableFormatVersion)
 	data = binary.AppendUvarint(data, uint64(t.partition))
 	data = binary.AppendUvarint(data, t.index)
-	data = binary.AppendUvarint(data, t.horizon)
+	data = binary.AppendUvarint(data, t.tombstoneHorizon)
 	data = binary.AppendUvarint(data, uint64(len(t.records)))
 	for _, key := range slices.Sorted(maps.Keys(t.records)) {
-		data = t.records[key].append(data, now)
+		data = t.records[key].appendTo(data, now)
 	}
 	return data
 }
 
-// encodedSize is an upper bound of the encoding's size in bytes.
+// encodedSize returns an upper bound of the encoding's size in bytes.
 func (t *Table) encodedSize() int {
 	const head, perRecord = 5 * binary.MaxVarintLen64, 4*binary.MaxVarintLen64 + 1
 	size := head
@@ -57,32 +57,32 @@
 	return size
 }
 
-func (r *record) append(data []byte, now time.Duration) []byte {
+func (r *record) appendTo(data []byte, now time.Duration) []byte {
 	data = codec.AppendBytes(data, r.key)
 	data = binary.AppendUvarint(data, r.index)
-	data = binary.AppendUvarint(data, uint64(max(now-r.changed, 0)))
+	data = binary.AppendUvarint(data, uint64(max(now-r.changedAt, 0)))
 	if r.deleted {
 		return append(data, kindDeleted)
 	}
 	return codec.AppendBytes(append(data, kindValue), r.value)
 }
 
-// Decode reads what Encode wrote; its ages count from now. The table shares no bytes with data. The error is a
-// *MalformedTableError.
-func Decode(now time.Duration, data []byte) (*Table, error) {
+// DecodeTable reads the encoding made by Encode; ages count from now. The table shares no bytes with data. An error is
+// a *MalformedTableError.
+func DecodeTable(now time.Duration, data []byte) (*Table, error) {
 	reader := codec.NewReader(data)
-	if reader.Octet("version") != tableCodecVersion {
+	if reader.Byte("version") != tableFormatVersion {
 		return nil, &MalformedTableError{Field: "version"}
 	}
-	partition := reader.Unsigned("partition")
+	partition := reader.Uvarint("partition")
 	table := NewTable(Partition(partition))
-	table.index = reader.Unsigned("index")
-	table.horizon = reader.Unsigned("horizon")
-	if partition > uint64(^Partition(0)) || table.horizon > table.index {
+	table.index = reader.Uvarint("index")
+	table.tombstoneHorizon = reader.Uvarint("horizon")
+	if partition > uint64(^Partition(0)) || table.tombstoneHorizon > table.index {
 		reader.Fail("head")
 	}
 	table.readRecords(&reader, now)
-	reader.End("end")
+	reader.ExpectEnd("end")
 	if field, failed := reader.Malformed(); failed {
 		return nil, &MalformedTableError{Field: field}
 	}
@@ -102,18 +102,18 @@
 			return
 		}
 		previous = read.key
-		t.set(read)
+		t.storeRecord(read)
 	}
 }
 
 func readRecord(reader *codec.Reader, now time.Duration) record {
-	read := record{key: reader.Text("key"), index: reader.Unsigned("item's index")}
-	age := reader.Unsigned("age")
-	if age > greatestAge {
+	read := record{key: reader.String("key"), index: reader.Uvarint("item's index")}
+	age := reader.Uvarint("age")
+	if age > maxEncodedAge {
 		reader.Fail("age")
 	}
-	read.changed = now - time.Duration(age)
-	switch reader.Octet("kind of item") {
+	read.changedAt = now - time.Duration(age)
+	switch reader.Byte("kind of item") {
 	case kindValue:
 		read.value = bytes.Clone(reader.Bytes("value"))
 	case kindDeleted:
--- /dev/null
+++ b/internal/system/placement/attempt.go
@@ -0,0 +1,244 @@
+package placement
+
+import "time"
+
+// Outcome is how an attempt ended.
+type Outcome uint8
+
+// The outcomes of an attempt.
+const (
+	Succeeded     Outcome = iota // a complete answer
+	Rejected                     // the runner did not run it: at capacity, or too late
+	Misdirected                  // status 421: another incarnation of the runner has the address
+	Failed                       // the runner answered with a status of 5xx
+	Interrupted                  // connection lost, malformed bytes, incomplete answer
+	TimedOut                     // no answer in time
+	ConnectFailed                // no connection was established: surely not run
+	Cancelled                    // the client disconnected or the deadline passed; says little of the runner
+)
+
+// Attempt is a request on its way to, or at, a runner. StartAttempt makes it, EndAttempt ends it.
+type Attempt struct {
+	ID      uint64
+	Runner  string
+	Request *Request
+
+	reservation
+}
+
+// Progress is what an attempt has shown by its end.
+type Progress struct {
+	TimeToFirstEvent time.Duration // from the start of the attempt to the first event or byte; 0: none came
+	LongestEventGap  time.Duration
+	Events           int
+	Duration         time.Duration
+}
+
+// reservation is what an attempt takes of its runner.
+type reservation struct {
+	runner        *runnerState
+	sentAt        time.Duration
+	load          float64 // of the runner after it was added, as its limits see it
+	weight        float64 // in slots: 1, and more during prefill
+	prefillWeight float64 // the part of weight that the first event releases
+	tokens        float64 // of the engine's memory
+	prefillTokens float64 // prompt tokens that are probably not cached
+	answered      bool    // the first event or byte has come
+	announced     bool    // its prompt is long enough for a notice to the other proxies
+	recovered     bool    // its first event ended the suspicion of its runner
+	ended         bool
+	prev, next    *Attempt // neighbours in runnerState.pending
+}
+
+// attemptList is an intrusive list of attempts in the order in which they were sent.
+type attemptList struct{ head, tail *Attempt }
+
+func (l *attemptList) push(a *Attempt) {
+	a.prev, a.next = l.tail, nil
+	if l.tail != nil {
+		l.tail.next = a
+	} else {
+		l.head = a
+	}
+	l.tail = a
+}
+
+func (l *attemptList) remove(a *Attempt) {
+	if a.prev != nil {
+		a.prev.next = a.next
+	} else {
+		l.head = a.next
+	}
+	if a.next != nil {
+		a.next.prev = a.prev
+	} else {
+		l.tail = a.prev
+	}
+	a.prev, a.next = nil, nil
+}
+
+// tokenDemand is what a request asks of an engine's memory.
+type tokenDemand struct {
+	uniqueTokens     float64 // prompt tokens that no other request shares
+	sharedTokens     float64 // prompt tokens that may be cached
+	outputTokens     float64 // expected generated tokens
+	prefix           uint64  // hash of the shared chunks; 0: the route has no prefix affinity
+	lastSharedTokens float64 // prompt tokens of the last shared chunk
+}
+
+// memoryTokens is the memory that a request takes, in tokens.
+func (d *tokenDemand) memoryTokens(cached bool) float64 {
+	if cached {
+		return d.uniqueTokens + d.outputTokens
+	}
+	return d.uniqueTokens + d.sharedTokens + d.outputTokens
+}
+
+// demandOf computes what a request asks of a service's runners; nothing if they are no engines.
+func (p *Placer) demandOf(service *serviceState, request *Request) (demand tokenDemand) {
+	if !service.isEngine() {
+		return demand
+	}
+	for i, chunk := range request.Chunks {
+		if i < len(request.Chunks)-1 {
+			demand.sharedTokens += float64(chunk.Tokens)
+		} else {
+			demand.uniqueTokens += float64(chunk.Tokens)
+		}
+	}
+	if in := float64(request.InputTokens); in > demand.uniqueTokens+demand.sharedTokens {
+		demand.uniqueTokens = in - demand.sharedTokens
+	}
+	if request.Route != nil && request.Route.PrefixAffinity {
+		demand.prefix, demand.lastSharedTokens = prefixHash(request.Chunks), lastSharedTokens(request.Chunks)
+	}
+	if request.Route != nil {
+		demand.outputTokens = float64(request.MaxOutputTokens) * p.statsOf(request.Route).outputShare
+	}
+	return demand
+}
+
+// StartAttempt reserves capacity, tokens and budgets for an attempt. If the runner has been removed since the choice, only
+// the budgets are charged.
+func (p *Placer) StartAttempt(now time.Duration, request *Request, choice Choice) *Attempt {
+	p.recordCall(now)
+	p.lastAttemptID++
+	attempt := &Attempt{ID: p.lastAttemptID, Runner: choice.Runner, Request: request}
+	attempt.sentAt = now
+	service := p.ensureService(request.Service)
+	service.retryBudget.record(now, p.options.RetryWindow, request.isRetry())
+	runner := p.runners[choice.Runner]
+	if runner == nil {
+		attempt.ended = true
+		return attempt
+	}
+	demand := p.demandOf(service, request)
+	attempt.runner = runner
+	p.sizeAttempt(now, service, attempt, &demand)
+	p.recordSlowStartSend(now, runner)
+	runner.addAttempt(attempt)
+	runner.backlog.add(now, service.prefillRate(), attempt.prefillWeight)
+	p.recordPrefix(now, service, request, &demand, runner)
+	if runner.suspect && runner.probe == nil {
+		runner.probe = attempt
+	}
+	return attempt
+}
+
+// sizeAttempt computes what an attempt takes of its runner.
+func (p *Placer) sizeAttempt(now time.Duration, service *serviceState, attempt *Attempt, demand *tokenDemand) {
+	runner := attempt.runner
+	owners := p.ownersOf(now, service, attempt.Request, demand)
+	cached := owners.isOwner(runner) || demand.prefix != 0 && service.prefixHistory.sentRecently(demand.prefix, runner.key)
+	attempt.weight = 1
+	if service.isEngine() {
+		attempt.tokens, attempt.prefillTokens = demand.memoryTokens(cached), demand.uniqueTokens
+		if !cached {
+			attempt.prefillTokens += demand.sharedTokens
+		}
+		attempt.prefillWeight = attempt.prefillTokens / service.slotTokens()
+		attempt.weight += attempt.prefillWeight
+		attempt.announced = attempt.prefillWeight >= p.noticeThreshold
+	}
+	attempt.load = runner.loadForLimits() + attempt.weight
+}
+
+// addAttempt reserves what an attempt takes.
+func (r *runnerState) addAttempt(attempt *Attempt) {
+	r.ownUsage.add(&usage{attempt.weight, attempt.prefillWeight, attempt.tokens}, 1)
+	r.load, r.spareSlots, r.spareTokens = r.load+attempt.weight, r.spareSlots-attempt.weight, r.spareTokens-attempt.tokens
+	r.ownAttempts++
+	r.lastSentAt = attempt.sentAt
+	r.pending.push(attempt)
+}
+
+// endPrefill releases the weight of an attempt's prefill.
+func (r *runnerState) endPrefill(attempt *Attempt) {
+	r.ownUsage.add(&usage{attempt.prefillWeight, attempt.prefillWeight, 0}, -1)
+	r.load, r.spareSlots = r.load-attempt.prefillWeight, r.spareSlots+attempt.prefillWeight
+	attempt.weight -= attempt.prefillWeight
+	attempt.prefillWeight = 0
+	r.pending.remove(attempt)
+}
+
+// removeAttempt releases all that an attempt still holds.
+func (r *runnerState) removeAttempt(attempt *Attempt) {
+	if !attempt.answered {
+		r.endPrefill(attempt)
+	}
+	r.ownUsage.add(&usage{attempt.weight, 0, attempt.tokens}, -1)
+	r.load, r.spareSlots, r.spareTokens = r.load-attempt.weight, r.spareSlots+attempt.weight, r.spareTokens+attempt.tokens
+	r.ownAttempts--
+	if r.ownAttempts == 0 {
+		r.ownUsage = usage{} // drops rounding errors
+	}
+	if r.probe == attempt {
+		r.probe = nil
+	}
+}
+
+// HandleFirstEvent records the first event or byte of an answer; the time that it took shows the backlog of the runner.
+func (p *Placer) HandleFirstEvent(now time.Duration, attempt *Attempt) {
+	if attempt.ended || attempt.answered {
+		return
+	}
+	runner := attempt.runner
+	attempt.answered, attempt.recovered = true, runner.suspect
+	runner.endPrefill(attempt)
+	runner.markAlive(now)
+	p.learnFromFirstEvent(attempt, (now - attempt.sentAt).Seconds())
+}
+
+// HandleEvent records a later event of a stream. This policy does not use them; other implementations of the
+// caller's interface may.
+func (p *Placer) HandleEvent(now time.Duration, attempt *Attempt) {}
+
+// EndAttempt records the end of an attempt. A further call for the same attempt changes no load and no
+// learnt value.
+func (p *Placer) EndAttempt(now time.Duration, attempt *Attempt, outcome Outcome, progress Progress) {
+	if outcome == ConnectFailed {
+		attempt.Request.connectFailures++
+	}
+	if attempt.ended {
+		return
+	}
+	attempt.ended = true
+	runner := attempt.runner
+	if !attempt.answered && outcome == Succeeded {
+		p.inferFirstEvent(now, attempt, progress)
+	}
+	runner.removeAttempt(attempt)
+	p.learnFromOutcome(now, attempt, outcome, progress)
+}
+
+// inferFirstEvent records the first event of an answer that ended without HandleFirstEvent.
+func (p *Placer) inferFirstEvent(now time.Duration, attempt *Attempt, progress Progress) {
+	elapsed := progress.TimeToFirstEvent
+	if elapsed <= 0 {
+		elapsed = progress.Duration
+	}
+	attempt.answered = true
+	attempt.runner.endPrefill(attempt)
+	attempt.runner.markAlive(now)
+	p.learnFromFirstEvent(attempt, elapsed.Seconds())
+}
--- /dev/null
+++ b/internal/system/placement/compatibility_test.go
@@ -0,0 +1,29 @@
+package placement
+
+import (
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"cinderroad/internal/compatibility"
+	"cinderroad/internal/shared/capacity"
+)
+
+// TestReadsLearnt: what a proxy has its agent keep for its next life.
+func TestReadsLearnt(t *testing.T) {
+	recorded := compatibility.Elsewhere.Check(t, "learnt", placerWithState(t).Snapshot())
+	speeds, runners, err := decodeSnapshot(recorded)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if d := cmp.Diff(map[string]float64{"api": 0, "llm": 38700}, speeds); d != "" {
+		t.Error(d)
+	}
+	if d := cmp.Diff(runnerSnapshot{slots: 64, limits: capacity.Limits{Load: 40, Utilization: float64(float32(0.9))}}, runners["llm-1"],
+		cmp.AllowUnexported(runnerSnapshot{})); d != "" {
+		t.Error(d)
+	}
+	if len(runners) != 7 || runners["api-2"].limits.Load != 3.5 {
+		t.Errorf("%+v", runners)
+	}
+}
--- /dev/null
+++ b/internal/system/placement/retries.go
@@ -0,0 +1,93 @@
+package placement
+
+import "time"
+
+// This file decides whether a request may be sent again. The retry budget of a service bounds, over all proxies, what
+// arrives beyond the first attempt of each request within any window. Each proxy earns a share of its own first attempts,
+// which is safe whatever the others do, and has an even part of the allowance beyond that ratio. The part grows to its full
+// size within a window after a start: the process before this one may have spent it.
+
+// Repeats.
+const (
+	retryRatioShare     = 0.7 // share of the retry ratio that is used
+	retryAllowanceShare = 0.6 // share of the allowance beyond the ratio that is used
+)
+
+// retryBuckets is the number of buckets that a window is counted in.
+const retryBuckets = 16
+
+// retryBudget counts first attempts and retries in buckets of a sixteenth of the window.
+type retryBudget struct {
+	bucket   int64
+	requests [retryBuckets + 1]uint32
+	retries  [retryBuckets + 1]uint32
+}
+
+// retryPolicy holds the bounds of a retry budget.
+type retryPolicy struct {
+	window    time.Duration
+	ratio     float64
+	allowance float64
+	since     time.Duration
+}
+
+// retryPolicy returns this proxy's part of the budget.
+func (p *Placer) retryPolicy() retryPolicy {
+	rules := retryPolicy{window: p.options.RetryWindow, ratio: retryRatioShare * p.options.RetryRatio, since: p.startedAt}
+	if p.proxyCount > 0 {
+		rules.allowance = retryAllowanceShare * p.options.RetryAllowance / float64(p.proxyCount+1)
+	}
+	return rules
+}
+
+// advance clears the buckets that have left the window.
+func (budget *retryBudget) advance(now time.Duration, window time.Duration) {
+	span := int64(now / (window / retryBuckets))
+	if span-budget.bucket > retryBuckets {
+		budget.requests, budget.retries = [retryBuckets + 1]uint32{}, [retryBuckets + 1]uint32{}
+		budget.bucket = span
+	}
+	for budget.bucket < span {
+		budget.bucket++
+		budget.requests[budget.bucket%(retryBuckets+1)], budget.retries[budget.bucket%(retryBuckets+1)] = 0, 0
+	}
+}
+
+// allows reports whether one more retry may be sent. Retries count for a little longer than a window, and first attempts
+// for a little less, so that the bound holds in every window.
+func (budget *retryBudget) allows(now time.Duration, rules retryPolicy) bool {
+	budget.advance(now, rules.window)
+	firsts, repeats := uint32(0), uint32(0)
+	oldest := (budget.bucket + 1) % (retryBuckets + 1)
+	for i := range budget.requests {
+		repeats += budget.retries[i]
+		if int64(i) != oldest {
+			firsts += budget.requests[i]
+		}
+	}
+	grown := min(float64(now-rules.since)/float64(rules.window), 1)
+	return float64(repeats)+1 <= rules.ratio*float64(firsts)+rules.allowance*grown
+}
+
+// record counts an attempt.
+func (budget *retryBudget) record(now time.Duration, window time.Duration, repeat bool) {
+	budget.advance(now, window)
+	if repeat {
+		budget.retries[budget.bucket%(retryBuckets+1)]++
+	} else {
+		budget.requests[budget.bucket%(retryBuckets+1)]++
+	}
+}
+
+// MayRetry reports whether another attempt of a request may be made, by the route's number of attempts, by whether the
+// request may have run and is idempotent, by its deadline and by the shared retry budget.
+func (p *Placer) MayRetry(now time.Duration, request *Request) bool {
+	service := p.services[request.Service]
+	if service == nil || request.Route == nil || now >= request.Deadline || len(request.TriedRunners) >= max(request.Route.MaxAttempts, 1) {
+		return false
+	}
+	if request.MayHaveRun && !request.Route.IsIdempotent() {
+		return false
+	}
+	return !request.isRetry() || service.retryBudget.allows(now, p.retryPolicy())
+}
