--- a/internal/storage/powerloss_test.go
+++ b/internal/system/storage/powerloss_test.go
@@ -11,7 +11,7 @@
 	"slices"
 	"testing"
 
-	"cinderroad/internal/consensus"
+	"cinderroad/internal/system/consensus"
 )
 
 var (
@@ -69,7 +69,7 @@
 	random  *rand.Rand
 	folder  string
 	store   *Store
-	model   consensus.Stored
+	model   consensus.PersistentState
 	durable diskImage // what a loss of power leaves if nothing happens meanwhile
 	noSync  bool      // a planted fault: what an earlier process left is not synced
 	failed  string
@@ -78,7 +78,7 @@
 func newLossWorld(t testing.TB, seed uint64) *lossWorld {
 	w := &lossWorld{t: t, random: rand.New(rand.NewPCG(seed, 5))}
 	w.start(t.TempDir())
-	if err := w.store.Establish(lossReplica); err != nil {
+	if err := w.store.Initialize(lossReplica); err != nil {
 		t.Fatal(err)
 	}
 	w.durable = readImage(t, w.folder)
@@ -146,33 +146,33 @@
 }
 
 // change draws a write and what the store holds after it.
-func (w *lossWorld) change() (Write, consensus.Stored) {
+func (w *lossWorld) change() (Update, consensus.PersistentState) {
 	next := w.model
 	last := next.Snapshot.Index + uint64(len(next.Entries))
-	write := Write{Partition: 1}
+	write := Update{Partition: 1}
 	if w.random.IntN(3) == 0 {
-		hard := consensus.HardState{Term: next.Hard.Term + 1, Vote: consensus.ReplicaID(w.random.Uint64())}
-		write.Hard, next.Hard = &hard, hard
+		hard := consensus.HardState{Term: next.HardState.Term + 1, Vote: consensus.ReplicaID(w.random.Uint64())}
+		write.HardState, next.HardState = &hard, hard
 	}
 	switch {
 	case w.random.IntN(6) == 0 && len(next.Entries) > 1:
 		cut := 1 + w.random.IntN(len(next.Entries)-1)
 		at := next.Entries[cut-1]
-		write.Compacted = &consensus.Snapshot{Index: at.Index, Term: at.Term, Membership: membership(1),
+		write.CompactionSnapshot = &consensus.Snapshot{Index: at.Index, Term: at.Term, Membership: membership(1),
 			Data: w.data(w.random.IntN(2) == 0)}
-		next.Snapshot, next.Entries = *write.Compacted, next.Entries[cut:]
+		next.Snapshot, next.Entries = *write.CompactionSnapshot, next.Entries[cut:]
 	case w.random.IntN(10) == 0:
-		write.Snapshot = &consensus.Snapshot{Index: last + 5, Term: next.Hard.Term + 1, Membership: membership(1, 2),
+		write.InstalledSnapshot = &consensus.Snapshot{Index: last + 5, Term: next.HardState.Term + 1, Membership: membership(1, 2),
 			Data: w.data(w.random.IntN(2) == 0)}
-		next.Snapshot, next.Entries = *write.Snapshot, nil
+		next.Snapshot, next.Entries = *write.InstalledSnapshot, nil
 	default:
 		keep := len(next.Entries) - min(w.random.IntN(3), len(next.Entries))
 		from := next.Snapshot.Index + uint64(keep) + 1
-		write.Entries = entries(next.Hard.Term+1, from, from+w.random.Uint64N(4))
+		write.Entries = entries(next.HardState.Term+1, from, from+w.random.Uint64N(4))
 		write.Entries[0].Data = w.data(w.random.IntN(4) == 0)
 		next.Entries = append(slices.Clone(next.Entries[:keep]), write.Entries...)
 	}
-	next.Hard.Commit = next.Snapshot.Index
+	next.HardState.Commit = next.Snapshot.Index
 	return write, next
 }
 
@@ -189,14 +189,14 @@
 }
 
 // holds tells whether the store holds something, under its identity.
-func (w *lossWorld) holds(want consensus.Stored) bool {
+func (w *lossWorld) holds(want consensus.PersistentState) bool {
 	w.t.Helper()
 	if id, existed := w.store.Identity(); !existed || id != lossReplica {
 		w.t.Fatalf("the store is replica %d's, %v", id, existed)
 	}
 	got := load(w.t, w.store, 1)
 	sameSnapshot := got.Snapshot.Index == want.Snapshot.Index && bytes.Equal(got.Snapshot.Data, want.Snapshot.Data)
-	return got.Hard == want.Hard && sameSnapshot && slices.EqualFunc(got.Entries, want.Entries, sameEntry)
+	return got.HardState == want.HardState && sameSnapshot && slices.EqualFunc(got.Entries, want.Entries, sameEntry)
 }
 
 func sameEntry(a, b consensus.Entry) bool {
@@ -229,7 +229,7 @@
 
 // resume starts the store with what a process finds, and what of it is on the disk. It holds what was there before the
 // write that was under way or what is there after it, and what it is found to hold is not lost any more.
-func (w *lossWorld) resume(visible, durable diskImage, next consensus.Stored, written bool) {
+func (w *lossWorld) resume(visible, durable diskImage, next consensus.PersistentState, written bool) {
 	w.t.Helper()
 	w.store.Close()
 	w.durable = durable
@@ -282,7 +282,7 @@
 func TestPowerLoss(t *testing.T) {
 	play := func(t *testing.T, seed uint64) {
 		if failure := newLossWorld(t, seed).play(); failure != "" {
-			t.Errorf("%s\nreplay: go test ./internal/storage -run TestPowerLoss -loss.seed %d", failure, seed)
+			t.Errorf("%s\nreplay: go test ./internal/system/storage -run TestPowerLoss -loss.seed %d", failure, seed)
 		}
 	}
 	if *lossSeed != 0 {
@@ -315,14 +315,14 @@
 func TestMovedAsideTorn(t *testing.T) {
 	folder := t.TempDir()
 	s := open(t, folder)
-	if err := s.Establish(lossReplica); err != nil {
+	if err := s.Initialize(lossReplica); err != nil {
 		t.Fatal(err)
 	}
-	voted := consensus.Stored{Hard: consensus.HardState{Term: 4, Vote: 9}}
+	voted := consensus.PersistentState{HardState: consensus.HardState{Term: 4, Vote: 9}}
 	for range 2 { // the identity is in the file, the vote in the log alone
-		write(t, s, Write{Partition: 2, Entries: []consensus.Entry{{Index: 1, Term: 1, Data: make([]byte, 2<<20)}}})
+		write(t, s, Update{Partition: 2, Entries: []consensus.Entry{{Index: 1, Term: 1, Data: make([]byte, 2<<20)}}})
 	}
-	write(t, s, Write{Partition: 1, Hard: &voted.Hard})
+	write(t, s, Update{Partition: 1, HardState: &voted.HardState})
 	killed := readImage(t, folder)
 	aside := killed.folder(t)
 	synced := []diskImage{killed}
@@ -341,7 +341,7 @@
 			}
 			if _, existed := s.Identity(); existed {
 				expect(t, load(t, s, 1), voted)
-			} else if !s.Succeeds() {
+			} else if !s.HasPredecessor() {
 				t.Errorf("the folder counts as one that has had no replica: %d files", len(left))
 			}
 			s.Close()
@@ -379,14 +379,14 @@
 func TestFileLost(t *testing.T) {
 	folder := t.TempDir()
 	s := open(t, folder)
-	if err := s.Establish(lossReplica); err != nil {
+	if err := s.Initialize(lossReplica); err != nil {
 		t.Fatal(err)
 	}
 	image := readImage(t, folder)
 	delete(image, "")
 	s = open(t, image.folder(t))
-	if id, existed := s.Identity(); existed || !s.Succeeds() {
-		t.Errorf("replica %d, %v; succeeds another: %v", id, existed, s.Succeeds())
+	if id, existed := s.Identity(); existed || !s.HasPredecessor() {
+		t.Errorf("replica %d, %v; succeeds another: %v", id, existed, s.HasPredecessor())
 	}
 	if _, found, err := s.Load(1); found || err != nil {
 		t.Error(found, err)
@@ -398,7 +398,7 @@
 	folder := t.TempDir()
 	for range 2 {
 		s := open(t, folder)
-		write(t, s, Write{Partition: 1, Entries: entries(1, 1, 2)})
+		write(t, s, Update{Partition: 1, Entries: entries(1, 1, 2)})
 		if found, err := exists(filepath.Join(folder, fileName+"-shm")); found || err != nil {
 			t.Error("there is a file in shared memory", err)
 		}
--- a/internal/storage/storage_test.go
+++ b/internal/system/storage/storage_test.go
@@ -14,8 +14,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"pgregory.net/rapid"
 
-	"cinderroad/internal/consensus"
-	"cinderroad/internal/feed"
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
 )
 
 func open(t testing.TB, folder string) *Store {
@@ -35,14 +35,14 @@
 	return all
 }
 
-func write(t testing.TB, s *Store, writes ...Write) {
+func write(t testing.TB, s *Store, writes ...Update) {
 	t.Helper()
 	if err := s.Write(writes...); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func load(t testing.TB, s *Store, partition feed.Partition) consensus.Stored {
+func load(t testing.TB, s *Store, partition feed.Partition) consensus.PersistentState {
 	t.Helper()
 	stored, _, err := s.Load(partition)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return stored
 }
 
-func expect(t testing.TB, got, want consensus.Stored) {
+func expect(t testing.TB, got, want consensus.PersistentState) {
 	t.Helper()
 	if diff := cmp.Diff(want, got, cmpopts.EquateEmpty()); diff != "" {
 		t.Errorf("stored state differs (-want +got):\n%s", diff)
@@ -76,7 +76,7 @@
 	}
 	const replica = consensus.ReplicaID(1<<63 + 5)
 	founding := consensus.Snapshot{Membership: membership(replica, 7)}
-	if err := s.Establish(replica, Write{Partition: 2, Snapshot: &founding}); err != nil {
+	if err := s.Initialize(replica, Update{Partition: 2, InstalledSnapshot: &founding}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -84,20 +84,20 @@
 	if id, existed := s.Identity(); id != replica || !existed {
 		t.Fatal(id, existed)
 	}
-	expect(t, load(t, s, 2), consensus.Stored{Snapshot: founding})
+	expect(t, load(t, s, 2), consensus.PersistentState{Snapshot: founding})
 }
 
 func TestReopen(t *testing.T) {
 	folder := t.TempDir()
 	s := open(t, folder)
 	hard := consensus.HardState{Term: 3, Vote: 1<<63 + 1, Commit: 1}
-	write(t, s, Write{Partition: 1, Hard: &hard, Entries: entries(3, 1, 4), Committed: 2},
-		Write{Partition: 2, Entries: entries(1, 1, 1)})
+	write(t, s, Update{Partition: 1, HardState: &hard, Entries: entries(3, 1, 4), CommitIndex: 2},
+		Update{Partition: 2, Entries: entries(1, 1, 1)})
 	s.Close()
 	s = open(t, folder)
 	hard.Commit = 2
-	expect(t, load(t, s, 1), consensus.Stored{Hard: hard, Entries: entries(3, 1, 4)})
-	expect(t, load(t, s, 2), consensus.Stored{Entries: entries(1, 1, 1)})
+	expect(t, load(t, s, 1), consensus.PersistentState{HardState: hard, Entries: entries(3, 1, 4)})
+	expect(t, load(t, s, 2), consensus.PersistentState{Entries: entries(1, 1, 1)})
 }
 
 // TestKilled copies the files as they stand while the store is open, as a kill leaves them.
@@ -105,7 +105,7 @@
 	folder := t.TempDir()
 	s := open(t, folder)
 	for i := uint64(1); i <= 50; i++ {
-		write(t, s, Write{Partition: 1, Entries: entries(1, i, i)})
+		write(t, s, Update{Partition: 1, Entries: entries(1, i, i)})
 		if i%10 != 0 {
 			continue
 		}
@@ -122,7 +122,7 @@
 				t.Fatal(err)
 			}
 		}
-		expect(t, load(t, open(t, copied), 1), consensus.Stored{Entries: entries(1, 1, i)})
+		expect(t, load(t, open(t, copied), 1), consensus.PersistentState{Entries: entries(1, 1, i)})
 	}
 }
 
@@ -130,13 +130,13 @@
 func TestTornLog(t *testing.T) {
 	folder := t.TempDir()
 	s := open(t, folder)
-	write(t, s, Write{Partition: 1, Entries: entries(1, 1, 3)})
+	write(t, s, Update{Partition: 1, Entries: entries(1, 1, 3)})
 	log := filepath.Join(folder, fileName+"-wal")
 	synced, err := os.ReadFile(log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, s, Write{Partition: 1, Entries: entries(1, 4, 6)})
+	write(t, s, Update{Partition: 1, Entries: entries(1, 4, 6)})
 	later, err := os.ReadFile(log)
 	if err != nil {
 		t.Fatal(err)
@@ -157,33 +157,33 @@
 		if err := os.WriteFile(filepath.Join(copied, fileName+"-wal"), torn, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		expect(t, load(t, open(t, copied), 1), consensus.Stored{Entries: entries(1, 1, 3)})
+		expect(t, load(t, open(t, copied), 1), consensus.PersistentState{Entries: entries(1, 1, 3)})
 	}
 }
 
 func TestOverwrite(t *testing.T) {
 	s := open(t, t.TempDir())
-	write(t, s, Write{Partition: 1, Entries: entries(1, 1, 9)}, Write{Partition: 2, Entries: entries(1, 1, 2)},
-		Write{Partition: 0, Entries: entries(1, 1, 2)})
-	write(t, s, Write{Partition: 1, Entries: entries(2, 5, 6)})
-	expect(t, load(t, s, 1), consensus.Stored{Entries: append(entries(1, 1, 4), entries(2, 5, 6)...)})
-	expect(t, load(t, s, 0), consensus.Stored{Entries: entries(1, 1, 2)})
-	expect(t, load(t, s, 2), consensus.Stored{Entries: entries(1, 1, 2)})
+	write(t, s, Update{Partition: 1, Entries: entries(1, 1, 9)}, Update{Partition: 2, Entries: entries(1, 1, 2)},
+		Update{Partition: 0, Entries: entries(1, 1, 2)})
+	write(t, s, Update{Partition: 1, Entries: entries(2, 5, 6)})
+	expect(t, load(t, s, 1), consensus.PersistentState{Entries: append(entries(1, 1, 4), entries(2, 5, 6)...)})
+	expect(t, load(t, s, 0), consensus.PersistentState{Entries: entries(1, 1, 2)})
+	expect(t, load(t, s, 2), consensus.PersistentState{Entries: entries(1, 1, 2)})
 }
 
 func TestCompactAndInstall(t *testing.T) {
 	s := open(t, t.TempDir())
-	write(t, s, Write{Partition: 1, Entries: entries(1, 1, 9)})
+	write(t, s, Update{Partition: 1, Entries: entries(1, 1, 9)})
 	snapshot := consensus.Snapshot{Index: 6, Term: 1, Membership: membership(1), Data: []byte("six")}
 	if err := s.Compact(1, &snapshot); err != nil {
 		t.Fatal(err)
 	}
 	hard := consensus.HardState{Commit: 6}
-	expect(t, load(t, s, 1), consensus.Stored{Hard: hard, Snapshot: snapshot, Entries: entries(1, 7, 9)})
+	expect(t, load(t, s, 1), consensus.PersistentState{HardState: hard, Snapshot: snapshot, Entries: entries(1, 7, 9)})
 	installed := consensus.Snapshot{Index: 20, Term: 2, Membership: membership(1, 2), Data: []byte("twenty")}
-	write(t, s, Write{Partition: 1, Snapshot: &installed, Entries: entries(2, 21, 22)})
+	write(t, s, Update{Partition: 1, InstalledSnapshot: &installed, Entries: entries(2, 21, 22)})
 	hard.Commit = 20
-	expect(t, load(t, s, 1), consensus.Stored{Hard: hard, Snapshot: installed, Entries: entries(2, 21, 22)})
+	expect(t, load(t, s, 1), consensus.PersistentState{HardState: hard, Snapshot: installed, Entries: entries(2, 21, 22)})
 }
 
 // TestGroupCommit has many write at once: the writer carries out all that wait in one transaction.
@@ -202,7 +202,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if err := s.Write(Write{Partition: feed.Partition(p), Entries: entries(1, 1, 1)}); err != nil {
+			if err := s.Write(Update{Partition: feed.Partition(p), Entries: entries(1, 1, 1)}); err != nil {
 				t.Error(err)
 			}
 		}()
@@ -210,13 +210,13 @@
 	close(hold)
 	all.Wait()
 	for p := range feed.Partition(writers) {
-		expect(t, load(t, s, p), consensus.Stored{Entries: entries(1, 1, 1)})
+		expect(t, load(t, s, p), consensus.PersistentState{Entries: entries(1, 1, 1)})
 	}
 }
 
 func TestFailedStepIsUndone(t *testing.T) {
 	s := open(t, t.TempDir())
-	write(t, s, Write{Partition: 1, Entries: entries(1, 1, 2)})
+	write(t, s, Update{Partition: 1, Entries: entries(1, 1, 2)})
 	broken := errors.New("broken")
 	for range 2 * reopenAfter {
 		err := s.do("fail", func(f *file) error {
@@ -228,14 +228,14 @@
 		if !errors.Is(err, broken) {
 			t.Fatal(err)
 		}
-		expect(t, load(t, s, 1), consensus.Stored{Entries: entries(1, 1, 2)})
+		expect(t, load(t, s, 1), consensus.PersistentState{Entries: entries(1, 1, 2)})
 	}
 }
 
 // TestFullDisk bounds the file's size, as a full disk does, and has it work again.
 func TestFullDisk(t *testing.T) {
 	s := open(t, t.TempDir())
-	write(t, s, Write{Partition: 1, Entries: entries(1, 1, 2)})
+	write(t, s, Update{Partition: 1, Entries: entries(1, 1, 2)})
 	bound := func(pages int) {
 		err := s.do("bound the file", func(f *file) error {
 			return f.query(fmt.Sprintf("PRAGMA max_page_count=%d", pages), func([]driver.Value) error { return nil })
@@ -246,20 +246,20 @@
 	}
 	bound(1)
 	large := consensus.Entry{Index: 3, Term: 1, Data: make([]byte, 1<<20)}
-	err := s.Write(Write{Partition: 1, Entries: []consensus.Entry{large}})
+	err := s.Write(Update{Partition: 1, Entries: []consensus.Entry{large}})
 	var disk *DiskError
 	if !errors.As(err, &disk) || !disk.Full {
 		t.Fatal(err)
 	}
-	expect(t, load(t, s, 1), consensus.Stored{Entries: entries(1, 1, 2)})
+	expect(t, load(t, s, 1), consensus.PersistentState{Entries: entries(1, 1, 2)})
 	bound(1 << 20)
-	write(t, s, Write{Partition: 1, Entries: []consensus.Entry{large}})
+	write(t, s, Update{Partition: 1, Entries: []consensus.Entry{large}})
 }
 
 func TestCorruptFileIsMovedAside(t *testing.T) {
 	folder := t.TempDir()
 	s := open(t, folder)
-	if err := s.Establish(7); err != nil {
+	if err := s.Initialize(7); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -284,13 +284,13 @@
 	if err != nil || !slices.Equal(kept, spoilt) {
 		t.Error("the corrupt file was not kept", err)
 	}
-	write(t, s, Write{Partition: 1, Entries: entries(1, 1, 2)})
+	write(t, s, Update{Partition: 1, Entries: entries(1, 1, 2)})
 }
 
 func TestOneProcessOnly(t *testing.T) {
 	folder := t.TempDir()
 	s := open(t, folder)
-	write(t, s, Write{Partition: 1, Entries: entries(1, 1, 2)})
+	write(t, s, Update{Partition: 1, Entries: entries(1, 1, 2)})
 	_, err := Open(folder)
 	var inUse *InUseError
 	if !errors.As(err, &inUse) {
@@ -302,7 +302,7 @@
 	s := open(t, t.TempDir())
 	s.Close()
 	var closed *ClosedError
-	if err := s.Write(Write{}); !errors.As(err, &closed) {
+	if err := s.Write(Update{}); !errors.As(err, &closed) {
 		t.Fatal(err)
 	}
 }
@@ -316,7 +316,7 @@
 		}
 		s := open(t, folder)
 		defer func() { s.Close() }()
-		model := make([]consensus.Stored, 3)
+		model := make([]consensus.PersistentState, 3)
 		for range rapid.IntRange(1, 20).Draw(rt, "steps") {
 			p := rapid.IntRange(0, 2).Draw(rt, "partition")
 			w := drawWrite(rt, &model[p])
@@ -334,21 +334,21 @@
 }
 
 // drawWrite draws a write that a replica might make and carries it out on the model.
-func drawWrite(t *rapid.T, model *consensus.Stored) (w Write) {
+func drawWrite(t *rapid.T, model *consensus.PersistentState) (w Update) {
 	last := model.Snapshot.Index + uint64(len(model.Entries))
-	term := model.Hard.Term + rapid.Uint64Range(0, 2).Draw(t, "term")
-	w.Hard = &consensus.HardState{Term: term, Vote: consensus.ReplicaID(rapid.Uint64().Draw(t, "vote"))}
+	term := model.HardState.Term + rapid.Uint64Range(0, 2).Draw(t, "term")
+	w.HardState = &consensus.HardState{Term: term, Vote: consensus.ReplicaID(rapid.Uint64().Draw(t, "vote"))}
 	switch rapid.IntRange(0, 3).Draw(t, "kind") {
 	case 0:
 		last += rapid.Uint64Range(1, 9).Draw(t, "ahead")
-		w.Snapshot = &consensus.Snapshot{Index: last, Term: term, Membership: membership(1, 2), Data: []byte{1, 2}}
-		model.Snapshot, model.Entries = *w.Snapshot, nil
+		w.InstalledSnapshot = &consensus.Snapshot{Index: last, Term: term, Membership: membership(1, 2), Data: []byte{1, 2}}
+		model.Snapshot, model.Entries = *w.InstalledSnapshot, nil
 	case 1:
 		if len(model.Entries) > 0 {
 			cut := rapid.IntRange(1, len(model.Entries)).Draw(t, "cut")
 			at := model.Entries[cut-1]
-			w.Compacted = &consensus.Snapshot{Index: at.Index, Term: at.Term, Membership: membership(3), Data: []byte{3}}
-			model.Snapshot, model.Entries = *w.Compacted, model.Entries[cut:]
+			w.CompactionSnapshot = &consensus.Snapshot{Index: at.Index, Term: at.Term, Membership: membership(3), Data: []byte{3}}
+			model.Snapshot, model.Entries = *w.CompactionSnapshot, model.Entries[cut:]
 		}
 	default:
 		from := rapid.Uint64Range(model.Snapshot.Index+1, last+1).Draw(t, "from")
@@ -356,9 +356,9 @@
 		keep := from - model.Snapshot.Index - 1
 		model.Entries = append(slices.Clone(model.Entries[:keep]), w.Entries...)
 	}
-	model.Hard = *w.Hard
-	model.Hard.Commit = model.Snapshot.Index
-	w.Hard.Commit = model.Hard.Commit
+	model.HardState = *w.HardState
+	model.HardState.Commit = model.Snapshot.Index
+	w.HardState.Commit = model.HardState.Commit
 	return w
 }
 
@@ -368,10 +368,10 @@
 	i := uint64(0)
 	for b.Loop() {
 		i++
-		write(b, s, Write{Partition: 1, Entries: []consensus.Entry{{Index: i, Term: 1, Data: data}}, Committed: i})
+		write(b, s, Update{Partition: 1, Entries: []consensus.Entry{{Index: i, Term: 1, Data: data}}, CommitIndex: i})
 		if i%1000 == 0 {
 			snapshot := consensus.Snapshot{Index: i, Term: 1, Membership: membership(1)}
-			write(b, s, Write{Partition: 1, Compacted: &snapshot})
+			write(b, s, Update{Partition: 1, CompactionSnapshot: &snapshot})
 		}
 	}
 }
