--- a/internal/system/placement/distribution_test.go
+++ b/internal/system/placement/distribution_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Over half a minute of three kinds of request, proxies that do not speak to each other serve nearly all in time, and have
-// few shared parts read again: reading each once in both regions is about an eighth at this size.
+// Over half a minute of three kinds of request, proxies that exchange no notices serve nearly all in time, and have few
+// shared chunks prefilled again. At this size, prefilling each once in both regions is about an eighth.
 func TestDistribution(t *testing.T) {
 	for _, test := range []struct {
 		load   float64
@@ -33,7 +33,7 @@
 			}
 		}
 		part := float64(again) / float64(shared)
-		t.Logf("load %.1f: %.3f of shared tokens read again, %d refused", test.load, part, refused)
+		t.Logf("load %.1f: %.3f of shared tokens read again, %d rejected", test.load, part, refused)
 		if part > test.again {
 			t.Errorf("load %.1f: %.3f of shared tokens read again", test.load, part)
 		}
--- a/internal/system/placement/global_prefix_test.go
+++ b/internal/system/placement/global_prefix_test.go
@@ -7,6 +7,7 @@
 
 // twoRegionProxies are proxies of two regions that know the same runners.
 func twoRegionProxies(t *testing.T, runners []Runner) []*Placer {
+	t.Helper()
 	var proxies []*Placer
 	for i, zone := range []string{"m", "t", "p", "p"} {
 		p := newTestPlacer(t, zone, uint64(i))
@@ -18,30 +19,30 @@
 	return proxies
 }
 
-// rarePrefixRequest has a chain that no other request has, and a body whose way to another region is cheap.
-func rarePrefixRequest(now time.Duration, chain uint64) *Request {
-	r := prefixRequest(now, chain, 1<<40+chain)
+// rarePrefixRequest has a prefix that no other request has, and a body whose way to another region is cheap.
+func rarePrefixRequest(now time.Duration, prefix uint64) *Request {
+	r := prefixRequest(now, prefix, 1<<40+prefix)
 	r.BodyBytes = 2 * r.InputTokens
 	return r
 }
 
-// Chains that come seldom have one owner for all regions; where a region sends one often, it has an owner of its own.
+// A rare prefix has one owner for all regions; a region that sends a prefix often has an owner of its own.
 func TestRarePrefixesHaveOneGlobalOwner(t *testing.T) {
 	proxies := twoRegionProxies(t, testRunners("llm", 12))
-	ownersOf := func(chain uint64) map[string]bool {
+	ownersOf := func(prefix uint64) map[string]bool {
 		owners := map[string]bool{}
 		for _, p := range proxies {
-			c, refusal := p.Place(testStart, rarePrefixRequest(testStart, chain))
-			if refusal != nil {
-				t.Fatal(refusal)
+			c, rejection := p.Place(testStart, rarePrefixRequest(testStart, prefix))
+			if rejection != nil {
+				t.Fatal(rejection)
 			}
 			owners[c.Runner] = true
 		}
 		return owners
 	}
-	for chain := range uint64(40) {
-		if owners := ownersOf(chain); len(owners) != 1 {
-			t.Errorf("chain %d has the owners %v", chain, owners)
+	for prefix := range uint64(40) {
+		if owners := ownersOf(prefix); len(owners) != 1 {
+			t.Errorf("prefix %d has the owners %v", prefix, owners)
 		}
 	}
 	now := testStart
@@ -55,66 +56,66 @@
 		}
 	}
 	two := 0
-	for chain := range uint64(40) {
-		if len(ownersOf(chain)) == 2 {
+	for prefix := range uint64(40) {
+		if len(ownersOf(prefix)) == 2 {
 			two++
 		}
 	}
 	if two < 38 {
-		t.Errorf("%d of 40 chains that come often have an owner in each region", two)
+		t.Errorf("%d of 40 prefixes that come often have an owner in each region", two)
 	}
 }
 
-// A body that is long for the parts that it shares is not sent far, nor one whose length is not told.
+// A body that is long for its shared chunks is not sent to another region, nor is one of unknown length.
 func TestLargeBodiesStayInRegion(t *testing.T) {
 	proxies := twoRegionProxies(t, testRunners("llm", 12))
 	for _, bytes := range []int{0, 1 << 20} {
-		for chain := range uint64(40) {
+		for prefix := range uint64(40) {
 			for i, p := range proxies {
-				r := rarePrefixRequest(testStart, chain)
+				r := rarePrefixRequest(testStart, prefix)
 				r.BodyBytes = bytes
 				p.statsOf(r.Route).prefixReuse = 0.5
 				if c, _ := p.Place(testStart, r); p.runners[c.Runner].Region != p.options.Region {
-					t.Errorf("proxy %d sent chain %d of %d bytes to %s", i, chain, bytes, c.Runner)
+					t.Errorf("proxy %d sent prefix %d of %d bytes to %s", i, prefix, bytes, c.Runner)
 				}
 			}
 		}
 	}
 }
 
-// Where the owner in another region has no room, the proxies of a region send the chain to the same runner of theirs.
+// If an owner in another region has no spare capacity, all proxies of a region agree on one of their own runners.
 func TestFullRemoteOwnerIsReplacedInRegion(t *testing.T) {
 	proxies := twoRegionProxies(t, testRunners("llm", 12))
-	for chain := range uint64(40) {
+	for prefix := range uint64(40) {
 		next := map[string]string{}
 		for i, p := range proxies {
-			r := rarePrefixRequest(testStart, chain)
+			r := rarePrefixRequest(testStart, prefix)
 			owner, _ := p.Place(testStart, r)
-			w := p.runners[owner.Runner]
-			room := w.spareSlots
-			w.spareSlots = 0
-			c, refusal := p.Place(testStart, r)
-			w.spareSlots = room
-			if refusal != nil || c.Runner == owner.Runner || p.runners[c.Runner].Region != p.options.Region {
-				t.Fatalf("proxy %d sent chain %d to %s, the owner being %s, %v", i, chain, c.Runner, owner.Runner, refusal)
+			runner := p.runners[owner.Runner]
+			room := runner.spareSlots
+			runner.spareSlots = 0
+			c, rejection := p.Place(testStart, r)
+			runner.spareSlots = room
+			if rejection != nil || c.Runner == owner.Runner || p.runners[c.Runner].Region != p.options.Region {
+				t.Fatalf("proxy %d sent prefix %d to %s, the owner being %s, %v", i, prefix, c.Runner, owner.Runner, rejection)
 			}
 			if was := next[p.options.Region]; was != "" && was != c.Runner {
-				t.Errorf("chain %d goes to %s and %s", chain, was, c.Runner)
+				t.Errorf("prefix %d goes to %s and %s", prefix, was, c.Runner)
 			}
 			next[p.options.Region] = c.Runner
 		}
 	}
 }
 
-// One owner for all regions never means a region that the route is not bound to.
+// The owner for all regions is never outside the route's home regions.
 func TestGlobalOwnerStaysInHomeRegions(t *testing.T) {
 	proxies := twoRegionProxies(t, testRunners("llm", 12))
-	for chain := range uint64(40) {
+	for prefix := range uint64(40) {
 		for i, p := range proxies {
-			r := rarePrefixRequest(testStart, chain)
+			r := rarePrefixRequest(testStart, prefix)
 			r.Route.HomeRegions = []string{"west"}
-			if c, refusal := p.Place(testStart, r); refusal != nil || p.runners[c.Runner].Region != "west" {
-				t.Errorf("proxy %d sent chain %d to %s, %v", i, chain, c.Runner, refusal)
+			if c, rejection := p.Place(testStart, r); rejection != nil || p.runners[c.Runner].Region != "west" {
+				t.Errorf("proxy %d sent prefix %d to %s, %v", i, prefix, c.Runner, rejection)
 			}
 		}
 	}
--- a/internal/system/placement/notices_test.go
+++ b/internal/system/placement/notices_test.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// notifyPrefill has a placer hear that another proxy has a runner read a prompt.
+// notifyPrefill delivers the notice that another proxy sent a prompt to a runner.
 func notifyPrefill(p *Placer, now time.Duration, id string, tokens int) {
 	p.HandleNotice(now, Notice{Kind: NoticePrefill, RunnerKey: xxhash.Sum64String(id), Tokens: tokens})
 }
@@ -15,7 +15,7 @@
 // westRequest is a request of the placer's region that is served by an engine.
 func westRequest(now time.Duration) *Request { return testRequest(now, "llm", testRoute()) }
 
-// A prompt that another proxy has a runner read keeps requests away for as long as it takes to be read, and no longer.
+// A prompt that another proxy announced keeps requests away from its runner for as long as the prefill takes, and no longer.
 func TestPeerPrefillIsAvoidedWhileItRuns(t *testing.T) {
 	const speed, tokens = 20000.0, 10000
 	p := startedTestPlacer(t, testRunners("llm", 3)) // llm-0 and llm-1 are in the region of the placer
@@ -24,9 +24,9 @@
 	chosen := func(now time.Duration) map[string]int {
 		counts := map[string]int{}
 		for range 40 {
-			choice, refusal := p.Place(now, westRequest(now))
-			if refusal != nil {
-				t.Fatal(refusal)
+			choice, rejection := p.Place(now, westRequest(now))
+			if rejection != nil {
+				t.Fatal(rejection)
 			}
 			counts[choice.Runner]++
 		}
@@ -40,15 +40,15 @@
 		t.Errorf("while llm-0 reads on: %v", counts)
 	}
 	p.Tick(testStart + read)
-	if w := p.runners["llm-0"]; w.backlog.remaining(testStart+read, p.services["llm"].prefillRate()) != 0 {
-		t.Errorf("after the prompt has been read %+v is left", w.backlog)
+	if runner := p.runners["llm-0"]; runner.backlog.remaining(testStart+read, p.services["llm"].prefillRate()) != 0 {
+		t.Errorf("after the prompt has been read %+v is left", runner.backlog)
 	}
 	if counts := chosen(testStart + read + time.Millisecond); counts["llm-0"] == 0 {
 		t.Errorf("after the prompt has been read: %v", counts)
 	}
 }
 
-// Own prompts count once: as the proxy's own while their answers have not begun, and not as another's beside that.
+// An own prompt counts once, as the proxy's own, and not as another proxy's as well.
 func TestOwnPrefillCountsOnce(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("llm", 3))
 	p.services["llm"].prefillSpeed = 1000
@@ -66,7 +66,7 @@
 	}
 }
 
-// Short prompts are not worth a notice, and neither is what a service without prompts is sent.
+// Short prompts are not worth a notice, and neither is what a service without prompts sends.
 func TestShortPromptsAreNotAnnounced(t *testing.T) {
 	p := startedTestPlacer(t, append(testRunners("llm", 3), testRunners("api", 3)...))
 	for _, service := range []string{"llm", "api"} {
@@ -80,7 +80,7 @@
 	}
 }
 
-// Where no notice comes, a runner's load is guessed as by a proxy that never heard any.
+// Where no notice comes, a runner's load is estimated as by a proxy that never received one.
 func TestLoadEstimateWithoutNotices(t *testing.T) {
 	deaf, hearing := startedTestPlacer(t, testRunners("llm", 3)), startedTestPlacer(t, testRunners("llm", 3))
 	end := testStart + noticeValidity + time.Second
@@ -95,15 +95,15 @@
 		deaf.Tick(now)
 		hearing.Tick(now)
 	}
-	for id, w := range hearing.runners {
-		if other := deaf.runners[id]; w.load != other.load || w.utilization != other.utilization {
-			t.Errorf("%s: load %.3f, util %.3f; without notices %.3f, %.3f", id, w.load, w.utilization, other.load, other.utilization)
+	for id, runner := range hearing.runners {
+		if other := deaf.runners[id]; runner.load != other.load || runner.utilization != other.utilization {
+			t.Errorf("%s: load %.3f, util %.3f; without notices %.3f, %.3f", id, runner.load, runner.utilization, other.load, other.utilization)
 		}
 	}
 }
 
-// With more proxies than a cold runner bears requests most may not try a runner that was silent. They use it again once
-// one that may has told them that it answers, after the time in which the list comes to show that it is cold.
+// With more proxies than a runner in slow start bears requests, most may not probe a suspect runner. They use it again
+// once a proxy that may has announced its recovery, after slowStartGuard.
 func TestRecoveryNoticeEndsSuspicion(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("llm", 3))
 	peers := make([]uint64, 0, 80)
@@ -112,33 +112,33 @@
 		peers = append(peers, xxhash.Sum64String(string(rune('a'+i))))
 	}
 	p.SetPeers(testStart, self, peers)
-	w := p.runners["llm-0"]
-	for ; p.holdsSlowStartShare(w, 14); self++ {
+	runner := p.runners["llm-0"]
+	for ; p.holdsSlowStartShare(runner, 14); self++ {
 		p.selfKey = self
 	}
 	now := testStart
-	a := p.StartAttempt(now, westRequest(now), Choice{Runner: w.ID})
+	a := p.StartAttempt(now, westRequest(now), Choice{Runner: runner.ID})
 	p.EndAttempt(now, a, ConnectFailed, Progress{})
 	minute := now + time.Minute
 	for ; now < minute; now += planPeriod {
 		p.Tick(now)
 	}
-	if p.isEligible(now, westRequest(now), w) {
-		t.Fatal("a runner that was silent, and may be cold, is used by a proxy that has no share of it")
+	if p.isEligible(now, westRequest(now), runner) {
+		t.Fatal("a runner that did not answer, and may be cold, is used by a proxy that has no share of it")
 	}
-	p.HandleNotice(now, Notice{Kind: NoticeRecovery, RunnerKey: w.key})
-	if p.isEligible(now, westRequest(now), w) {
-		t.Error("it is used before the list can show that it is cold")
+	p.HandleNotice(now, Notice{Kind: NoticeRecovery, RunnerKey: runner.key})
+	if p.isEligible(now, westRequest(now), runner) {
+		t.Error("it is used before the list can show that it is in slow start")
 	}
 	for end := now + slowStartGuard; now < end; now += planPeriod {
 		p.Tick(now)
 	}
-	if !p.isEligible(now, westRequest(now), w) {
+	if !p.isEligible(now, westRequest(now), runner) {
 		t.Error("it answers, and is not used")
 	}
 }
 
-// The proxy that finds out that a runner is back has the others told, once.
+// The proxy that finds a suspect runner answering announces it once.
 func TestRecoveryIsAnnouncedOnce(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("llm", 3))
 	now := testStart
@@ -156,10 +156,10 @@
 	}
 }
 
-// Where more notices come than a proxy should spend its processor on, only longer prompts are told, until fewer come.
+// While more notices come than maxNoticeRate, only longer prompts are announced.
 func TestNoticeThresholdFollowsNoticeRate(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("llm", 3))
-	told := func(now time.Duration) bool {
+	runners := func(now time.Duration) bool {
 		r := westRequest(now)
 		r.Chunks, r.InputTokens = nil, 4000 // of two slots and a half
 		_, worth := p.StartAttempt(now, r, Choice{Runner: "llm-0"}).PrefillNotice()
@@ -176,24 +176,24 @@
 		return now
 	}
 	now := hear(testStart, 3, maxNoticeRate*0.9)
-	if !told(now) {
+	if !runners(now) {
 		t.Error("with few notices a prompt of two slots is not told")
 	}
-	if now = hear(now, 3, maxNoticeRate*2); told(now) {
+	if now = hear(now, 3, maxNoticeRate*2); runners(now) {
 		t.Error("with twice as many as should come a prompt of two slots is told")
 	}
-	if now = hear(now, 30, maxNoticeRate*0.9); !told(now) {
+	if now = hear(now, 30, maxNoticeRate*0.9); !runners(now) {
 		t.Error("with few notices again a prompt of two slots is not told")
 	}
 }
 
-// Notices of runners that are not known change nothing.
+// Notices of unknown runners, and prefill notices of runners that are no engines, change nothing.
 func TestNoticeOfUnknownRunnerIsIgnored(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("api", 3))
 	p.HandleNotice(testStart, Notice{Kind: NoticePrefill, RunnerKey: 7, Tokens: 1000})
 	p.HandleNotice(testStart, Notice{Kind: NoticeRecovery, RunnerKey: 7})
 	p.HandleNotice(testStart, Notice{Kind: NoticePrefill, RunnerKey: p.runners["api-0"].key, Tokens: 1000})
-	if w := p.runners["api-0"]; w.backlog.slots != 0 || w.load != 0 {
-		t.Errorf("a service without prompts reads one: %+v", w)
+	if runner := p.runners["api-0"]; runner.backlog.slots != 0 || runner.load != 0 {
+		t.Errorf("a service without prompts reads one: %+v", runner)
 	}
 }
--- a/internal/system/placement/placer_test.go
+++ b/internal/system/placement/placer_test.go
@@ -10,7 +10,7 @@
 
 const testStart = 100 * time.Second
 
-// testRoute is a read-only route that may be tried thrice.
+// testRoute is a read-only route with three attempts.
 func testRoute() *configuration.Route {
 	return &configuration.Route{Name: "r", Type: configuration.ReadOnly, LatencyTarget: 200 * time.Millisecond, Timeout: time.Second,
 		MaxAttempts: 3}
@@ -25,7 +25,7 @@
 	}
 }
 
-// testRunners are so many runners of a service, two in each of the zones m and t (west) and p (east) in turn.
+// testRunners returns n runners of a service, in the zones m, t (region west) and p (region east) in turn.
 func testRunners(service string, n int) []Runner {
 	zones := []string{"m", "t", "p"}
 	capacity := map[string]int{"api": 6, "llm": 64}[service]
@@ -38,8 +38,9 @@
 	return runners
 }
 
-// startedTestPlacer is a Placer that has been told of the runners, and counts among seven proxies.
+// startedTestPlacer returns a Placer that knows the runners and has been one of seven proxies for five seconds.
 func startedTestPlacer(t testing.TB, runners []Runner) *Placer {
+	t.Helper()
 	p := newTestPlacer(t, "m", 1)
 	p.SetServices(testStart-5*time.Second, testServices())
 	p.SetProxyCount(testStart-5*time.Second, 7)
@@ -55,9 +56,9 @@
 		MaxOutputTokens: 50, Chunks: []Chunk{{1, 60}, {2, 40}}}
 }
 
-// exclusions are the ways in which a rule keeps a runner out, each by what is told of it.
+// exclusions are the rules that exclude runners; each function makes its rule apply to all of them.
 func exclusions() map[string]func(p *Placer, runners []Runner, r *Request, now time.Duration) {
-	all := func(change func(w *Runner)) func(*Placer, []Runner, *Request, time.Duration) {
+	all := func(change func(runner *Runner)) func(*Placer, []Runner, *Request, time.Duration) {
 		return func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			for i := range runners {
 				change(&runners[i])
@@ -66,18 +67,18 @@
 		}
 	}
 	return map[string]func(p *Placer, runners []Runner, r *Request, now time.Duration){
-		"draining":            all(func(w *Runner) { w.Draining = true }),
-		"draining, with time": all(func(w *Runner) { w.Draining, w.TerminatesAt = true, testStart+time.Hour }),
-		"gone too soon":       all(func(w *Runner) { w.TerminatesAt = testStart + 100*time.Millisecond }),
-		"other models":        all(func(w *Runner) { w.Models = []string{"other"} }),
-		"other service":       all(func(w *Runner) { w.Service = "other" }),
+		"draining":            all(func(runner *Runner) { runner.Draining = true }),
+		"draining, with time": all(func(runner *Runner) { runner.Draining, runner.TerminatesAt = true, testStart+time.Hour }),
+		"gone too soon":       all(func(runner *Runner) { runner.TerminatesAt = testStart + 100*time.Millisecond }),
+		"other models":        all(func(runner *Runner) { runner.Models = []string{"other"} }),
+		"other service":       all(func(runner *Runner) { runner.Service = "other" }),
 		"not listed": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			p.SetRunners(now, nil)
 		},
 		"evacuated": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			zones := map[string]bool{}
-			for _, w := range runners {
-				zones[w.Zone] = true
+			for _, runner := range runners {
+				zones[runner.Zone] = true
 			}
 			p.SetEvacuatedZones(now, zones)
 		},
@@ -91,8 +92,8 @@
 				runners[i].SlowStartUntil = now + time.Minute
 			}
 			p.SetRunners(now, runners)
-			for _, w := range runners {
-				p.StartAttempt(now, testRequest(now, w.Service, r.Route), Choice{Runner: w.ID})
+			for _, runner := range runners {
+				p.StartAttempt(now, testRequest(now, runner.Service, r.Route), Choice{Runner: runner.ID})
 			}
 		},
 		"cold, and nobody counted the proxies": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
@@ -117,17 +118,17 @@
 			p.SetProxyCount(now, 300)
 		},
 		"no connection left": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
-			for _, w := range runners {
-				for range p.connectionLimit(p.runners[w.ID]) {
-					p.StartAttempt(now, testRequest(now, w.Service, r.Route), Choice{Runner: w.ID})
+			for _, runner := range runners {
+				for range p.connectionLimit(p.runners[runner.ID]) {
+					p.StartAttempt(now, testRequest(now, runner.Service, r.Route), Choice{Runner: runner.ID})
 				}
 			}
 		},
 	}
 }
 
-// Whatever keeps all runners of a zone out keeps them out of the ordinary pick, of the fallback to the runner least over
-// its ceiling, and of repeats, the last of which have nobody else left.
+// A rule that excludes all runners holds on the ordinary path, on the fallback to the runner least over its limit, and on
+// retries that have no other runner left.
 func TestEligibilityHoldsOnEveryPath(t *testing.T) {
 	for _, service := range []string{"api", "llm"} {
 		for name, exclude := range exclusions() {
@@ -137,12 +138,13 @@
 }
 
 func testEligibility(t *testing.T, service string, exclude func(p *Placer, runners []Runner, r *Request, now time.Duration)) {
+	t.Helper()
 	for path, prepare := range map[string]func(p *Placer, r *Request){
 		"pick":     func(p *Placer, r *Request) {},
 		"fallback": func(p *Placer, r *Request) { overload(p, 1000) },
 		"set aside": func(p *Placer, r *Request) {
-			for _, w := range p.runners {
-				w.ejection.EjectedUntil, w.saturatedUntil = (testStart + time.Hour).Seconds(), testStart+time.Hour
+			for _, runner := range p.runners {
+				runner.ejection.EjectedUntil, runner.saturatedUntil = (testStart + time.Hour).Seconds(), testStart+time.Hour
 			}
 		},
 		"repeat": func(p *Placer, r *Request) {
@@ -156,28 +158,28 @@
 		p := startedTestPlacer(t, runners)
 		r := testRequest(now, service, testRoute())
 		prepare(p, r)
-		if c, refusal := p.Place(now, r); refusal != nil || c.Runner == "" {
-			t.Fatalf("%s: nobody may take it from the start: %v", path, refusal)
+		if c, rejection := p.Place(now, r); rejection != nil || c.Runner == "" {
+			t.Fatalf("%s: nobody may take it from the start: %v", path, rejection)
 		}
 		exclude(p, runners, r, now)
-		c, refusal := p.Place(now, r)
-		if refusal == nil {
+		c, rejection := p.Place(now, r)
+		if rejection == nil {
 			t.Fatalf("%s: sent to %s", path, c.Runner)
 		}
-		if refusal.RetryAfter <= 0 || refusal.RetryAfter > time.Second || refusal.Reason == "" {
-			t.Errorf("%s: refusal %+v", path, refusal)
+		if rejection.RetryAfter <= 0 || rejection.RetryAfter > time.Second || rejection.Reason == "" {
+			t.Errorf("%s: rejection %+v", path, rejection)
 		}
 	}
 }
 
-// overload puts so much load on every runner that none has room.
+// overload puts so much load on every runner that none has spare capacity.
 func overload(p *Placer, load float64) {
-	for _, w := range p.runners {
-		w.spareSlots, w.load, w.utilization = -load, load, 0
+	for _, runner := range p.runners {
+		runner.spareSlots, runner.load, runner.utilization = -load, load, 0
 	}
 }
 
-// One runner that may take the request gets it, whatever keeps the others out, and however full it is.
+// A single eligible runner is selected, however full it is.
 func TestOnlyEligibleRunnerIsSelected(t *testing.T) {
 	for _, service := range []string{"api", "llm"} {
 		for _, full := range []bool{false, true} {
@@ -189,9 +191,9 @@
 			if full {
 				overload(p, 3)
 			}
-			c, refusal := p.Place(testStart, testRequest(testStart, service, testRoute()))
-			if refusal != nil || c.Runner != service+"-5" {
-				t.Errorf("%s: %+v %+v", service, c, refusal)
+			c, rejection := p.Place(testStart, testRequest(testStart, service, testRoute()))
+			if rejection != nil || c.Runner != service+"-5" {
+				t.Errorf("%s: %+v %+v", service, c, rejection)
 			}
 		}
 	}
@@ -215,31 +217,31 @@
 		{"least over its ceiling where nobody has room", []float64{-9, -8, -2, -9, -8, -3}, "api-2"},
 	} {
 		room(test.rooms...)
-		got, refusal := p.Place(testStart, testRequest(testStart, "api", testRoute()))
-		if refusal != nil || got.Runner != test.want {
-			t.Errorf("%s: %+v %+v, not %s", test.name, got, refusal, test.want)
+		got, rejection := p.Place(testStart, testRequest(testStart, "api", testRoute()))
+		if rejection != nil || got.Runner != test.want {
+			t.Errorf("%s: %+v %+v, not %s", test.name, got, rejection, test.want)
 		}
 	}
 }
 
-// Each send lowers the room, and its end gives it back.
+// An attempt lowers the spare capacity of its runner, and its end restores it.
 func TestCapacityIsReservedAndReleased(t *testing.T) {
 	for _, service := range []string{"api", "llm"} {
 		p := startedTestPlacer(t, testRunners(service, 3))
 		now := testStart
-		w := p.runners[service+"-0"]
-		room, tokens := w.spareSlots, w.spareTokens
+		runner := p.runners[service+"-0"]
+		room, tokens := runner.spareSlots, runner.spareTokens
 		r := testRequest(now, service, testRoute())
-		a := p.StartAttempt(now, r, Choice{Runner: w.ID})
-		if w.spareSlots >= room || service == "llm" && w.spareTokens >= tokens {
+		a := p.StartAttempt(now, r, Choice{Runner: runner.ID})
+		if runner.spareSlots >= room || service == "llm" && runner.spareTokens >= tokens {
 			t.Errorf("%s: the send has not lowered room", service)
 		}
 		p.HandleFirstEvent(now+time.Millisecond, a)
 		p.HandleEvent(now+2*time.Millisecond, a)
 		p.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Events: 2, Duration: 3 * time.Millisecond})
 		p.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{}) // told twice
-		if w.spareSlots != room || w.spareTokens != tokens || w.ownUsage != (usage{}) || w.ownAttempts != 0 || w.pending.head != nil {
-			t.Errorf("%s: %+v after the end", service, w)
+		if runner.spareSlots != room || runner.spareTokens != tokens || runner.ownUsage != (usage{}) || runner.ownAttempts != 0 || runner.pending.head != nil {
+			t.Errorf("%s: %+v after the end", service, runner)
 		}
 	}
 }
@@ -264,12 +266,12 @@
 
 func TestRunnerAtUtilizationLimitHasNoSpareCapacity(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("llm", 3))
-	s, w := p.services["llm"], p.runners["llm-0"]
+	s, runner := p.services["llm"], p.runners["llm-0"]
 	s.prefillSpeed = 40000
-	w.excessWait = p.latencyTarget // its prompts have waited as long as an answer may take
+	runner.excessWait = p.latencyTarget // its prompts have waited as long as an answer may take
 	p.planService(testStart, s)
-	if w.spareSlots > 0 {
-		t.Errorf("room %v at utilization %v", w.spareSlots, w.utilization)
+	if runner.spareSlots > 0 {
+		t.Errorf("room %v at utilization %v", runner.spareSlots, runner.utilization)
 	}
 	c, _ := p.Place(testStart, testRequest(testStart, "llm", testRoute()))
 	if c.Runner != "llm-1" {
@@ -281,8 +283,8 @@
 	p := startedTestPlacer(t, testRunners("api", 3))
 	s := p.services["api"]
 	for i, own := range []float64{2, 4, 0} {
-		w := s.runners[i]
-		w.ownUsage.slots, w.ejection.Observed = own, i < 2
+		runner := s.runners[i]
+		runner.ownUsage.slots, runner.ejection.Observed = own, i < 2
 	}
 	p.planService(testStart, s)
 	if got, want := s.runners[2].spareSlots, (s.runners[0].spareSlots+s.runners[1].spareSlots)/2; got != want {
@@ -292,33 +294,33 @@
 
 func TestRepeatedOverloadLowersLimits(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("api", 3))
-	w := p.runners["api-0"]
-	before := w.limits
+	runner := p.runners["api-0"]
+	before := runner.limits
 	fail := func(n int) {
 		for range n {
-			w.load = 6
-			a := p.StartAttempt(testStart, testRequest(testStart, "api", testRoute()), Choice{Runner: w.ID})
+			runner.load = 6
+			a := p.StartAttempt(testStart, testRequest(testStart, "api", testRoute()), Choice{Runner: runner.ID})
 			p.EndAttempt(testStart+time.Millisecond, a, Rejected, Progress{})
 		}
 	}
 	fail(1)
-	if w.limits.Load != before.Load {
-		t.Error("one failure has cut the ceiling")
+	if runner.limits.Load != before.Load {
+		t.Error("one failure has cut the limit")
 	}
 	fail(1)
-	if w.limits.Load >= before.Load || w.limits.Utilization >= before.Utilization {
-		t.Error("two failures have not cut both ceilings")
+	if runner.limits.Load >= before.Load || runner.limits.Utilization >= before.Utilization {
+		t.Error("two failures have not cut both limits")
 	}
 	fail(100)
-	if w.limits.Load < 0.5*w.slots || w.limits.Utilization < 0.8 {
-		t.Errorf("below the floor: %+v", w.limits)
+	if runner.limits.Load < 0.5*runner.slots || runner.limits.Utilization < 0.8 {
+		t.Errorf("below the floor: %+v", runner.limits)
 	}
-	cut := w.limits
+	cut := runner.limits
 	for now := testStart; now < testStart+20*time.Second; now += planPeriod {
 		p.Tick(now)
 	}
-	if w.limits.Load <= cut.Load || w.limits.Utilization <= cut.Utilization {
-		t.Error("time has not raised the ceilings")
+	if runner.limits.Load <= cut.Load || runner.limits.Utilization <= cut.Utilization {
+		t.Error("time has not raised the limits")
 	}
 }
 
@@ -326,11 +328,11 @@
 	for _, outcome := range []Outcome{TimedOut, ConnectFailed, Misdirected} {
 		p := startedTestPlacer(t, testRunners("api", 6))
 		now := testStart
-		w := p.runners["api-0"]
-		a := p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: w.ID})
+		runner := p.runners["api-0"]
+		a := p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: runner.ID})
 		p.EndAttempt(now, a, outcome, Progress{})
 		for range 50 {
-			if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner == w.ID {
+			if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner == runner.ID {
 				t.Fatalf("outcome %d: sent there at once", outcome)
 			}
 		}
@@ -338,22 +340,22 @@
 			p.Tick(now)
 		}
 		for _, other := range p.runners {
-			if other != w {
+			if other != runner {
 				other.spareSlots = -5
 			}
 		}
-		w.spareSlots, w.ejection.EjectedUntil = 5, 0
+		runner.spareSlots, runner.ejection.EjectedUntil = 5, 0
 		c, _ := p.Place(now, testRequest(now, "api", testRoute()))
-		if c.Runner != w.ID {
-			t.Fatalf("outcome %d: never tried again: %+v", outcome, w)
+		if c.Runner != runner.ID {
+			t.Fatalf("outcome %d: never tried again: %+v", outcome, runner)
 		}
 		probe := p.StartAttempt(now, testRequest(now, "api", testRoute()), c)
-		w.slowStartNextAt = 0
-		if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner == w.ID {
+		runner.slowStartNextAt = 0
+		if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner == runner.ID {
 			t.Fatalf("outcome %d: a second one while the first is out", outcome)
 		}
 		p.HandleFirstEvent(now, probe)
-		if w.suspect {
+		if runner.suspect {
 			t.Errorf("outcome %d: it answers and is still suspect", outcome)
 		}
 	}
@@ -366,15 +368,15 @@
 		a := p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: id})
 		p.EndAttempt(now, a, ConnectFailed, Progress{})
 	}
-	for _, w := range p.runners {
-		w.slowStartNextAt = 0
+	for _, runner := range p.runners {
+		runner.slowStartNextAt = 0
 	}
-	if _, refusal := p.Place(now, testRequest(now, "api", testRoute())); refusal != nil {
-		t.Error(refusal)
+	if _, rejection := p.Place(now, testRequest(now, "api", testRoute())); rejection != nil {
+		t.Error(rejection)
 	}
 }
 
-// Where most are suspect, those left are not drowned: whoever is full shares with those.
+// If most runners are suspect, the others are not overloaded: what exceeds their capacity goes to suspect ones.
 func TestRemainingRunnersAreNotOverloaded(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("api", 6))
 	p.services["api"].SlowStartDuration = 0
@@ -387,21 +389,21 @@
 		t.Errorf("sent to %s while api-5 has room", c.Runner)
 	}
 	p.runners["api-5"].spareSlots = -10
-	for _, w := range p.runners {
-		w.ejection.EjectedUntil = 0
+	for _, runner := range p.runners {
+		runner.ejection.EjectedUntil = 0
 	}
 	if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner == "api-5" || c.Runner == "" {
-		t.Errorf("sent to %q, which is far over its ceiling", c.Runner)
+		t.Errorf("sent to %q, which is far over its limit", c.Runner)
 	}
 }
 
-// sendAndCancel sends a request whose client leaves at once.
+// sendAndCancel sends a request whose client disconnects at once.
 func sendAndCancel(p *Placer, now time.Duration, id string) {
 	p.EndAttempt(now, p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: id}), Cancelled, Progress{})
 }
 
-// What was sent to a runner just before it was known to be cold counts against its share, and so does what goes to one
-// that was silent, or whose zone was evacuated, until the list has had time to tell.
+// An attempt just before a runner was known to be in slow start counts against its share. A runner that was suspect, or whose
+// zone was evacuated, counts as in slow start until the membership feed has had time to show it.
 func TestPossiblySlowStartingRunnerIsLimited(t *testing.T) {
 	now := testStart
 	for name, prepare := range map[string]func(p *Placer, runners []Runner){
@@ -415,8 +417,8 @@
 			sendAndCancel(p, now, "api-0")
 		},
 		"silent": func(p *Placer, runners []Runner) {
-			w := p.runners["api-0"]
-			w.markSuspect(now)
+			runner := p.runners["api-0"]
+			runner.markSuspect(now)
 			a := p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: "api-0"})
 			p.HandleFirstEvent(now, a)
 			p.EndAttempt(now, a, Cancelled, Progress{})
@@ -426,13 +428,13 @@
 		p := startedTestPlacer(t, runners)
 		sendAndCancel(p, now, "api-0")
 		prepare(p, runners)
-		if c, refusal := p.Place(now+900*time.Millisecond, testRequest(now, "api", testRoute())); refusal == nil {
+		if c, rejection := p.Place(now+900*time.Millisecond, testRequest(now, "api", testRoute())); rejection == nil {
 			t.Errorf("%s: sent to %s within the second", name, c.Runner)
 		}
 		p.Tick(now + 900*time.Millisecond)
 		later := now + 1100*time.Millisecond
-		if _, refusal := p.Place(later, testRequest(later, "api", testRoute())); refusal != nil {
-			t.Errorf("%s: not sent after it: %+v", name, refusal)
+		if _, rejection := p.Place(later, testRequest(later, "api", testRoute())); rejection != nil {
+			t.Errorf("%s: not sent after it: %+v", name, rejection)
 		}
 	}
 }
@@ -445,9 +447,9 @@
 		now += 5 * time.Millisecond
 		p.Tick(now)
 		r := testRequest(now, "api", testRoute())
-		c, refusal := p.Place(now, r)
-		if refusal != nil {
-			t.Fatal(refusal)
+		c, rejection := p.Place(now, r)
+		if rejection != nil {
+			t.Fatal(rejection)
 		}
 		a := p.StartAttempt(now, r, c)
 		if c.Runner == "api-0" {
@@ -477,13 +479,13 @@
 	}
 }
 
-// A prompt larger than what is free goes to a runner that has it free.
+// A prompt goes to a runner with enough free tokens.
 func TestRunnerWithEnoughFreeTokensIsPreferred(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("llm", 6))
-	for id, w := range p.runners {
-		w.spareTokens = 500
+	for id, runner := range p.runners {
+		runner.spareTokens = 500
 		if id == "llm-4" {
-			w.spareTokens, w.spareSlots = 5000, 2
+			runner.spareTokens, runner.spareSlots = 5000, 2
 		}
 	}
 	r := testRequest(testStart, "llm", testRoute())
@@ -492,23 +494,23 @@
 		t.Errorf("sent to %+v", c)
 	}
 	r.InputTokens, r.Chunks = 300000, []Chunk{{7, 300000}}
-	if c, refusal := p.Place(testStart, r); refusal == nil {
+	if c, rejection := p.Place(testStart, r); rejection == nil {
 		t.Errorf("larger than any memory, and sent to %+v", c)
 	}
 }
 
 func TestRejectionRequiresOccupiedSlots(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("api", 3))
-	for _, w := range p.runners {
-		w.spareSlots, w.occupiedSlots, w.excessWait = -1, 1, 10
+	for _, runner := range p.runners {
+		runner.spareSlots, runner.occupiedSlots, runner.excessWait = -1, 1, 10
 	}
-	if _, refusal := p.Place(testStart, testRequest(testStart, "api", testRoute())); refusal != nil {
-		t.Errorf("refused with places free: %+v", refusal)
+	if _, rejection := p.Place(testStart, testRequest(testStart, "api", testRoute())); rejection != nil {
+		t.Errorf("rejected with places free: %+v", rejection)
 	}
-	for _, w := range p.runners {
-		w.occupiedSlots = 6
+	for _, runner := range p.runners {
+		runner.occupiedSlots = 6
 	}
-	if _, refusal := p.Place(testStart, testRequest(testStart, "api", testRoute())); refusal == nil {
+	if _, rejection := p.Place(testStart, testRequest(testStart, "api", testRoute())); rejection == nil {
 		t.Error("sent where it would wait ten times its time")
 	}
 }
--- a/internal/system/placement/prefill_speed_test.go
+++ b/internal/system/placement/prefill_speed_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The speed is known a second after a start, whatever the first prompts met, and follows a change within the window.
+// The speed is known after a few samples, whatever the first ones were, and follows a change within the window.
 func TestPrefillSpeed(t *testing.T) {
 	s := &serviceState{}
 	s.learnPrefillSpeed(300) // waited for others
@@ -30,7 +30,7 @@
 	}
 }
 
-// What an earlier life had learnt counts until a few prompts have been read.
+// A restored speed counts until minSpeedSamples prompts have been prefilled.
 func TestRestoredSpeedOutlivesFirstPrompts(t *testing.T) {
 	s := &serviceState{prefillSpeed: 30000}
 	for i := range minSpeedSamples {
--- a/internal/system/placement/prefix_cache_test.go
+++ b/internal/system/placement/prefix_cache_test.go
@@ -8,42 +8,42 @@
 	"cinderroad/internal/shared/capacity"
 )
 
-// prefixRequest asks with the shared parts of one of many chains.
-func prefixRequest(now time.Duration, chain uint64, own uint64) *Request {
+// prefixRequest returns a request with one of many prefixes.
+func prefixRequest(now time.Duration, prefix uint64, own uint64) *Request {
 	route := testRoute()
 	route.PrefixAffinity = true
 	r := testRequest(now, "llm", route)
-	r.Chunks = []Chunk{{100 + chain%4, 2500}, {1000 + chain, 3800}, {own, 2900}}
+	r.Chunks = []Chunk{{100 + prefix%4, 2500}, {1000 + prefix, 3800}, {own, 2900}}
 	r.InputTokens = 9200
 	return r
 }
 
-// All proxies of a region send a chain to the same runner without a word, and those of another region to one of theirs.
+// All proxies of a region send a prefix to the same runner of that region without exchanging messages.
 func TestProxiesAgreeOnPrefixOwner(t *testing.T) {
 	runners := testRunners("llm", 12)
 	used := map[string]int{}
-	for chain := range uint64(40) {
+	for prefix := range uint64(40) {
 		owners := map[string]string{}
 		for i, zone := range []string{"m", "t", "m", "p", "p"} {
 			p := newTestPlacer(t, zone, uint64(i))
 			p.SetServices(testStart, testServices())
-			told := append([]Runner(nil), runners...)
+			runners := append([]Runner(nil), runners...)
 			if i%2 == 1 { // in whatever order they are told
-				for a, b := 0, len(told)-1; a < b; a, b = a+1, b-1 {
-					told[a], told[b] = told[b], told[a]
+				for a, b := 0, len(runners)-1; a < b; a, b = a+1, b-1 {
+					runners[a], runners[b] = runners[b], runners[a]
 				}
 			}
-			p.SetRunners(testStart, told)
+			p.SetRunners(testStart, runners)
 			p.SetProxyCount(testStart, 5)
 			for own := range uint64(5) {
-				r := prefixRequest(testStart, chain, 1<<40+own)
-				c, refusal := p.Place(testStart, r)
-				if refusal != nil {
-					t.Fatal(refusal)
+				r := prefixRequest(testStart, prefix, 1<<40+own)
+				c, rejection := p.Place(testStart, r)
+				if rejection != nil {
+					t.Fatal(rejection)
 				}
 				region := zoneRegions()[zone]
 				if was := owners[region]; was != "" && was != c.Runner {
-					t.Fatalf("chain %d: %s and %s in %s", chain, was, c.Runner, region)
+					t.Fatalf("prefix %d: %s and %s in %s", prefix, was, c.Runner, region)
 				}
 				owners[region] = c.Runner
 				used[c.Runner]++
@@ -52,17 +52,17 @@
 		}
 	}
 	if len(used) != len(runners) {
-		t.Errorf("%d of %d runners own chains", len(used), len(runners))
+		t.Errorf("%d of %d runners own prefixes", len(used), len(runners))
 	}
 }
 
-// One runner less, or one more, moves only the chains that have to move.
+// Removing or adding a runner moves only the prefixes that it owns.
 func TestFewPrefixesMoveWithARunner(t *testing.T) {
 	runners := testRunners("llm", 12)
 	with, without := startedTestPlacer(t, runners), startedTestPlacer(t, runners[1:])
 	moved, lost := 0, 0
-	for chain := range uint64(300) {
-		r := prefixRequest(testStart, chain, 1<<40)
+	for prefix := range uint64(300) {
+		r := prefixRequest(testStart, prefix, 1<<40)
 		a, _ := with.Place(testStart, r)
 		b, _ := without.Place(testStart, r)
 		if a.Runner == runners[0].ID {
@@ -72,11 +72,11 @@
 		}
 	}
 	if moved > 0 || lost < 15 || lost > 70 {
-		t.Errorf("%d chains moved that need not, %d of 300 lost their owner", moved, lost)
+		t.Errorf("%d prefixes moved that need not, %d of 300 lost their owner", moved, lost)
 	}
 }
 
-// An owner that is full hands its chain on to the next, the same at all proxies; a cold or draining one owns none.
+// The prefix of a full owner goes to the same secondary owner at all proxies; runners that start slowly or drain own none.
 func TestPrefixOverflowsToSecondaryOwner(t *testing.T) {
 	runners := testRunners("llm", 12)
 	for _, test := range []struct {
@@ -89,17 +89,17 @@
 		{"draining", func(p *Placer, runner *runnerState) { runner.Draining = true }},
 		{"cold", func(p *Placer, runner *runnerState) { runner.SlowStartUntil = testStart + time.Minute }},
 	} {
-		for chain := range uint64(20) {
+		for prefix := range uint64(20) {
 			next := ""
 			for seed := range uint64(3) {
 				p := startedTestPlacer(t, runners)
 				p.random = capacity.Random(seed) // drawn numbers have no part in it
-				r := prefixRequest(testStart, chain, 1<<40+seed)
+				r := prefixRequest(testStart, prefix, 1<<40+seed)
 				first, _ := p.Place(testStart, r)
 				test.do(p, p.runners[first.Runner])
-				second, refusal := p.Place(testStart, r)
-				if refusal != nil || second.Runner == first.Runner {
-					t.Fatalf("%s: still %s, %v", test.name, second.Runner, refusal)
+				second, rejection := p.Place(testStart, r)
+				if rejection != nil || second.Runner == first.Runner {
+					t.Fatalf("%s: still %s, %v", test.name, second.Runner, rejection)
 				}
 				if next != "" && next != second.Runner {
 					t.Fatalf("%s: %s and %s come next", test.name, next, second.Runner)
@@ -110,7 +110,7 @@
 	}
 }
 
-// A chain that everybody asks for is not more than one runner can take: the load stays bounded.
+// A prefix that all requests share spreads over runners, so that the load of each stays bounded.
 func TestHotPrefixSpreads(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("llm", 12))
 	p.SetProxyCount(testStart, 1)
@@ -120,9 +120,9 @@
 		now += time.Millisecond
 		p.Tick(now)
 		r := prefixRequest(now, 7, 1<<40+uint64(i))
-		c, refusal := p.Place(now, r)
-		if refusal != nil {
-			t.Fatal(refusal)
+		c, rejection := p.Place(now, r)
+		if rejection != nil {
+			t.Fatal(rejection)
 		}
 		p.StartAttempt(now, r, c)
 		seen[c.Runner]++
@@ -137,7 +137,7 @@
 	}
 }
 
-// Prompts without shared parts, and sessions that have nothing but their own, keep to one runner, too.
+// Prompts of a single chunk, such as those of a session, stay on one runner, too.
 func TestSessionStaysOnItsRunner(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("llm", 12))
 	route := testRoute()
@@ -164,18 +164,18 @@
 	}
 	different := map[uint64]string{}
 	for _, parts := range [][]Chunk{{a, b, own}, {b, a, own}, {a, own}, {b, own}, {own}, {a, b, own, other}} {
-		chain := prefixHash(parts)
-		if was := different[chain]; was != "" || chain == 0 {
-			t.Errorf("%v is the same chain as %s", parts, was)
+		prefix := prefixHash(parts)
+		if was := different[prefix]; was != "" || prefix == 0 {
+			t.Errorf("%v is the same prefix as %s", parts, was)
 		}
-		different[chain] = fmt.Sprint(parts)
+		different[prefix] = fmt.Sprint(parts)
 	}
 	if prefixHash(nil) != 0 {
-		t.Error("no parts are a chain")
+		t.Error("no chunks are a prefix")
 	}
 }
 
-// The memory of what was sent where is bounded and forgets.
+// The history of prefixes is bounded and its records expire.
 func TestPrefixHistoryExpires(t *testing.T) {
 	var k prefixHistory
 	if k.sentRecently(1, 2) {
@@ -197,25 +197,25 @@
 	}
 }
 
-// Among many proxies, the few requests that one of them has at an owner are not taken for a load that all share: the next
-// requests of the chain go there, too.
+// Among many proxies, the few requests of one of them at an owner are not taken for the load of all: later requests of the
+// prefix go there, too.
 func TestOwnerIsStableAmongManyProxies(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("llm", 90))
 	p.SetProxyCount(testStart, 60)
 	now := testStart
-	for chain := range uint64(40) {
+	for prefix := range uint64(40) {
 		first := ""
 		for own := range uint64(3) {
-			r := prefixRequest(now, chain, 1<<40+own)
-			c, refusal := p.Place(now, r)
-			if refusal != nil {
-				t.Fatal(refusal)
+			r := prefixRequest(now, prefix, 1<<40+own)
+			c, rejection := p.Place(now, r)
+			if rejection != nil {
+				t.Fatal(rejection)
 			}
 			if first == "" {
 				first = c.Runner
 			}
 			if c.Runner != first {
-				t.Errorf("chain %d: request %d goes to %s, the first went to %s", chain, own, c.Runner, first)
+				t.Errorf("prefix %d: request %d goes to %s, the first went to %s", prefix, own, c.Runner, first)
 			}
 			a := p.StartAttempt(now, r, c)
 			for range 3 {
--- a/internal/system/placement/random_schedule_test.go
+++ b/internal/system/placement/random_schedule_test.go
@@ -11,7 +11,7 @@
 	"cinderroad/internal/system/configuration"
 )
 
-// randomSchedule draws what a Placer is told and asked, and checks each of its choices against what was told last.
+// randomSchedule draws the calls of a Placer and checks each choice against the last configuration.
 type randomSchedule struct {
 	t             *rapid.T
 	placer        *Placer
@@ -25,8 +25,8 @@
 	startedAt     time.Duration
 }
 
-// Whatever it is told in whatever order, a Placer sends to nobody that a rule keeps out, refuses only with a time, and
-// what it has booked is given back.
+// For any sequence of calls, a Placer selects no excluded runner, rejects only with a time, and releases all that it
+// reserved.
 func TestRandomSchedulesKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		schedule := &randomSchedule{t: t, now: testStart, startedAt: testStart, evacuated: map[string]bool{}, slowStartSent: map[string]time.Duration{}}
@@ -134,18 +134,18 @@
 		schedule.placer.EndAttempt(schedule.now, attempt, outcome, Progress{})
 		request.MayHaveRun = request.MayHaveRun || outcome != Rejected && outcome != Misdirected && outcome != ConnectFailed
 		if request.MayHaveRun && !route.IsIdempotent() && schedule.placer.MayRetry(schedule.now, request) {
-			t.Fatal("a repeat of what may have run")
+			t.Fatal("a retry of what may have run")
 		}
 	}
 }
 
-// place has a request placed and checks the choice.
+// place places a request and checks the choice.
 func (schedule *randomSchedule) place(t *rapid.T, request *Request) *Attempt {
 	schedule.requestCount++
-	choice, refusal := schedule.placer.Place(schedule.now, request)
-	if refusal != nil {
-		if refusal.RetryAfter <= 0 || refusal.RetryAfter > maxRetryAfter {
-			t.Fatalf("refusal %+v", refusal)
+	choice, rejection := schedule.placer.Place(schedule.now, request)
+	if rejection != nil {
+		if rejection.RetryAfter <= 0 || rejection.RetryAfter > maxRetryAfter {
+			t.Fatalf("rejection %+v", rejection)
 		}
 		return nil
 	}
@@ -168,17 +168,17 @@
 	}
 	if schedule.now < runner.SlowStartUntil {
 		if schedule.proxies == 0 || schedule.now < schedule.startedAt+joinDelay {
-			t.Fatalf("%s is cold, and others may not count this proxy", runner.ID)
+			t.Fatalf("%s is in slow start, and others may not count this proxy", runner.ID)
 		}
 		if last, sent := schedule.slowStartSent[runner.ID]; sent && schedule.now-last < 100*time.Millisecond {
-			t.Fatalf("%s is cold and had one at %v", runner.ID, last)
+			t.Fatalf("%s is in slow start and had one at %v", runner.ID, last)
 		}
 		schedule.slowStartSent[runner.ID] = schedule.now
 	}
 	return schedule.placer.StartAttempt(schedule.now, request, choice)
 }
 
-// updateAttempt tells something of an attempt that is out.
+// updateAttempt draws an event of an attempt in flight.
 func (schedule *randomSchedule) updateAttempt(t *rapid.T) {
 	if len(schedule.inFlight) == 0 {
 		return
--- a/internal/system/placement/rejection_test.go
+++ b/internal/system/placement/rejection_test.go
@@ -7,7 +7,7 @@
 	"cinderroad/internal/system/configuration"
 )
 
-// rankRequest is one of a rank with so much time left.
+// rankRequest returns a request of a rank with a remaining time.
 func rankRequest(rank int, now, left time.Duration) *Request {
 	return &Request{Route: &configuration.Route{Rank: rank}, Deadline: now + left}
 }
@@ -19,10 +19,10 @@
 	late := rankRequest(2, now, 15*time.Second)
 	u.recordArrival(now, late)
 	if got, want := u.maxWait(now, late), maxWaitShare*15; got != want {
-		t.Errorf("bearable %v s, want %v: nothing more urgent is refused", got, want)
+		t.Errorf("bearable %v s, want %v: nothing more urgent is rejected", got, want)
 	}
 	if u.mustYield(now, late) {
-		t.Error("a request yields though nothing more urgent is refused")
+		t.Error("a request yields though nothing more urgent is rejected")
 	}
 }
 
@@ -40,11 +40,11 @@
 		t.Error("only less urgent requests yield")
 	}
 	if after := now + yieldDuration + 1; u.mustYield(after, late) || u.maxWait(after, rankRequest(2, after, 15*time.Second)) < 7 {
-		t.Error("it yields for too long after the last refusal")
+		t.Error("it yields for too long after the last rejection")
 	}
 }
 
-// A refused request that is not urgent has nobody yield.
+// A rejected request of a low rank makes no higher rank yield.
 func TestHigherRankDoesNotYield(t *testing.T) {
 	var u loadShedding
 	now := 10 * time.Second
@@ -55,33 +55,33 @@
 	}
 }
 
-// Under load a request that is not urgent is not taken on the strength of its long deadline where an urgent one is
-// refused; it is once none has been refused for a while.
+// Under load a request of a low rank with a long deadline is rejected while more urgent ones are; it is placed again once
+// none of those has been rejected for yieldDuration.
 func TestLowerRanksAreRejectedFirst(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("api", 3))
-	for _, w := range p.runners {
-		w.spareSlots, w.occupiedSlots, w.excessWait = -1, 6, 2
+	for _, runner := range p.runners {
+		runner.spareSlots, runner.occupiedSlots, runner.excessWait = -1, 6, 2
 	}
 	urgent := testRequest(testStart, "api", testRoute())
 	route := testRoute()
 	route.Name, route.Rank = "late", 2
 	late := testRequest(testStart, "api", route)
 	late.Deadline = testStart + 15*time.Second
-	if _, refusal := p.Place(testStart, late); refusal != nil {
-		t.Fatalf("refused before any urgent one: %+v", refusal)
+	if _, rejection := p.Place(testStart, late); rejection != nil {
+		t.Fatalf("rejected before any urgent one: %+v", rejection)
 	}
-	if _, refusal := p.Place(testStart, urgent); refusal == nil {
+	if _, rejection := p.Place(testStart, urgent); rejection == nil {
 		t.Fatal("an urgent request is sent where it would wait twice its time")
 	}
-	if _, refusal := p.Place(testStart, late); refusal == nil {
-		t.Error("a request that is not urgent is taken while urgent ones are refused")
+	if _, rejection := p.Place(testStart, late); rejection == nil {
+		t.Error("a request that is not urgent is taken while urgent ones are rejected")
 	}
 	late.Deadline += 2 * yieldDuration
 	after := testStart + 2*yieldDuration
-	for _, w := range p.runners {
-		w.excessWait = 2
+	for _, runner := range p.runners {
+		runner.excessWait = 2
 	}
-	if _, refusal := p.Place(after, late); refusal != nil {
-		t.Errorf("still refused long after the last urgent one: %+v", refusal)
+	if _, rejection := p.Place(after, late); rejection != nil {
+		t.Errorf("still rejected long after the last urgent one: %+v", rejection)
 	}
 }
--- a/internal/system/placement/service_test.go
+++ b/internal/system/placement/service_test.go
@@ -7,8 +7,8 @@
 	"cinderroad/internal/system/configuration"
 )
 
-// The utilization of a service's runners goes by the aims of its own routes: a look-up service with an aim of 200 ms must
-// not make an engine whose answers have 800 ms look full.
+// The utilization of a service's runners follows the latency targets of its own routes: a look-up service with a target of
+// 200 ms must not make an engine with a target of 800 ms look full.
 func TestLatencyTargetsOfServicesAreIndependent(t *testing.T) {
 	utilization := func(others ...*configuration.Route) float64 {
 		p := startedTestPlacer(t, append(testRunners("llm", 3), testRunners("api", 3)...))
@@ -16,7 +16,7 @@
 			Timeout: 5 * time.Second, MaxAttempts: 1}
 		ask := func(service string, route *configuration.Route) {
 			r := testRequest(testStart, service, route)
-			if c, refusal := p.Place(testStart, r); refusal == nil {
+			if c, rejection := p.Place(testStart, r); rejection == nil {
 				p.EndAttempt(testStart, p.StartAttempt(testStart, r, c), Succeeded, Progress{})
 			}
 		}
@@ -24,13 +24,13 @@
 		for _, route := range others {
 			ask("api", route)
 		}
-		s, w := p.services["llm"], p.runners["llm-0"]
-		s.prefillSpeed, w.excessWait = 40000, 0.3
+		s, runner := p.services["llm"], p.runners["llm-0"]
+		s.prefillSpeed, runner.excessWait = 40000, 0.3
 		p.planService(testStart, s)
-		return w.utilization
+		return runner.utilization
 	}
 	alone, beside := utilization(), utilization(testRoute())
 	if alone <= 0 || beside > alone {
-		t.Errorf("utilization %v alone and %v beside a service with a tighter aim", alone, beside)
+		t.Errorf("utilization %v alone and %v beside a service with a tighter latency target", alone, beside)
 	}
 }
--- a/internal/system/placement/shared_budgets_test.go
+++ b/internal/system/placement/shared_budgets_test.go
@@ -33,7 +33,7 @@
 	frozenUntil time.Duration // until then
 }
 
-// newProxyGroup draws a fleet; it begins long enough after its start that all know each other.
+// newProxyGroup draws a group of proxies; it begins long enough after its start for all to know each other.
 func newProxyGroup(t *rapid.T, runners []Runner) *proxyGroup {
 	group := &proxyGroup{t: t, now: testStart, services: testServices(), runners: runners, useKeys: rapid.Bool().Draw(t, "keys"),
 		slowStartSends: map[string][]time.Duration{}}
@@ -60,7 +60,7 @@
 	f.sendPeers(proxy)
 }
 
-// sendPeers tells a proxy of all there are.
+// sendPeers tells a proxy of all proxies.
 func (f *proxyGroup) sendPeers(proxy *groupProxy) {
 	if !f.useKeys {
 		proxy.placer.SetProxyCount(f.now, len(f.proxies))
@@ -73,8 +73,8 @@
 	proxy.placer.SetPeers(f.now, proxy.key, keys)
 }
 
-// step lets time pass. Each proxy that runs is told of those that began at least a second ago, which is well within the
-// time for which a new one holds back.
+// step advances the time. Each running proxy learns of those that started at least a second ago, which is well within
+// joinDelay.
 func (f *proxyGroup) step(d time.Duration) {
 	f.now += d
 	for _, proxy := range f.proxies {
@@ -100,13 +100,13 @@
 	}
 }
 
-// send has a proxy place a request, and sends it if it may.
+// send places a request at a proxy and starts the attempt that it chose.
 func (f *proxyGroup) send(proxy *groupProxy, request *Request) (Choice, *Attempt) {
 	if f.now < proxy.frozenUntil {
 		return Choice{}, nil
 	}
-	choice, refusal := proxy.placer.Place(f.now, request)
-	if refusal != nil {
+	choice, rejection := proxy.placer.Place(f.now, request)
+	if rejection != nil {
 		return choice, nil
 	}
 	if len(request.TriedRunners) > 0 {
@@ -115,8 +115,8 @@
 		f.requests = append(f.requests, f.now)
 	}
 	for i := range f.runners {
-		if w := &f.runners[i]; w.ID == choice.Runner && f.now < w.SlowStartUntil {
-			f.slowStartSends[w.ID] = append(f.slowStartSends[w.ID], f.now)
+		if runner := &f.runners[i]; runner.ID == choice.Runner && f.now < runner.SlowStartUntil {
+			f.slowStartSends[runner.ID] = append(f.slowStartSends[runner.ID], f.now)
 		}
 	}
 	attempt := proxy.placer.StartAttempt(f.now, request, choice)
@@ -138,8 +138,8 @@
 	return n, from
 }
 
-// Summed over all proxies, those that began just now and those that slept included, no cold runner gets more in any second
-// than the rule allows, however hard all of them press.
+// Over all proxies together, new and frozen ones included, no runner in slow start gets more requests in any second than its
+// bound, however many requests all of them have.
 func TestSlowStartBoundHoldsOverAllProxies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runners := testRunners("api", 3)
@@ -183,7 +183,7 @@
 	})
 }
 
-// Cold runners are used all the same, by few proxies and by many that know each other.
+// Runners in slow start are still used, by few proxies and by many that know each other's keys.
 func TestSlowStartRunnersAreUsed(t *testing.T) {
 	for _, n := range []int{1, 7, 18, 60} {
 		runners := testRunners("api", 1)
@@ -201,8 +201,8 @@
 			for now := testStart; now < testStart+12*time.Second; now += 50 * time.Millisecond {
 				p.Tick(now)
 				r := testRequest(now, "api", testRoute())
-				c, refusal := p.Place(now, r)
-				if refusal == nil {
+				c, rejection := p.Place(now, r)
+				if rejection == nil {
 					sent++
 					p.EndAttempt(now, p.StartAttempt(now, r, c), Succeeded, Progress{Duration: time.Millisecond})
 				}
@@ -214,7 +214,7 @@
 	}
 }
 
-// Summed over all proxies, what arrives beyond the first of each request stays within the budget in every window.
+// Over all proxies together, attempts beyond the first of each request stay within the budget in every window.
 func TestRetryBudgetHoldsOverAllProxies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		group := newProxyGroup(t, testRunners("api", 30))
@@ -246,7 +246,7 @@
 	})
 }
 
-// retryWhileAllowed has a proxy send a request, and again as often as it may.
+// retryWhileAllowed sends a request and retries it for as long as the proxy allows.
 func (f *proxyGroup) retryWhileAllowed(proxy *groupProxy, eager int) {
 	route := testRoute()
 	route.MaxAttempts = 1 + eager
@@ -264,7 +264,7 @@
 	}
 }
 
-// checkBudget checks every window that ends with a repeat.
+// checkBudget checks every window that ends with a retry.
 func (f *proxyGroup) checkBudget(ratio, extra float64, window time.Duration) {
 	count := func(moments []time.Duration, from, to time.Duration) float64 {
 		n := 0
@@ -281,12 +281,12 @@
 		requests := math.Max(count(f.requests, from, to),
 			math.Max(count(f.requests, from-window, from), count(f.requests, from-window/2, to-window/2)))
 		if n := count(f.retries, from, to); n > ratio*requests+extra {
-			f.t.Fatalf("%v repeats within the window until %v, for %v requests; %d proxies", n, to, requests, len(f.proxies))
+			f.t.Fatalf("%v retries within the window until %v, for %v requests; %d proxies", n, to, requests, len(f.proxies))
 		}
 	}
 }
 
-// A repeat that nobody else would have to forgo is allowed: the budget is there to be used.
+// The budget is usable: a moderate rate of retries is allowed.
 func TestRetryBudgetAllowsRetries(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("api", 3))
 	now := testStart + 20*time.Second
@@ -295,9 +295,9 @@
 		now += 50 * time.Millisecond
 		p.Tick(now)
 		r := testRequest(now, "api", testRoute())
-		c, refusal := p.Place(now, r)
-		if refusal != nil {
-			t.Fatal(refusal)
+		c, rejection := p.Place(now, r)
+		if rejection != nil {
+			t.Fatal(rejection)
 		}
 		p.EndAttempt(now, p.StartAttempt(now, r, c), Succeeded, Progress{Duration: time.Millisecond})
 		if r.TriedRunners = []string{c.Runner}; i%10 == 0 && p.MayRetry(now, r) {
@@ -306,11 +306,11 @@
 		}
 	}
 	if allowed < 9 {
-		t.Errorf("%d of 10 repeats allowed", allowed)
+		t.Errorf("%d of 10 retries allowed", allowed)
 	}
 }
 
-// What never arrived costs no budget.
+// An attempt without a connection costs no budget.
 func TestFailedConnectionCostsNoRetryBudget(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("api", 30))
 	now := testStart
--- a/internal/system/placement/simulation_test.go
+++ b/internal/system/placement/simulation_test.go
@@ -11,9 +11,9 @@
 	"cinderroad/internal/testkit/eventqueue"
 )
 
-// simulation plays engines, proxies and clients over virtual time, so that what the proxies decide together can be measured.
-// An engine reads prompts one after the other, in the order of their priority, keeps shared parts in a memory of tokens
-// from which the parts unused for longest give way, and then hands out tokens at an even pace.
+// simulation plays engines, proxies and clients over virtual time, so that the effect of all decisions together can be measured.
+// An engine prefills prompts one after the other in the order of their priority, caches shared chunks in a memory of tokens
+// from which the least recently used are evicted, and then decodes tokens at an even pace.
 type simulation struct {
 	t                 testing.TB
 	now               time.Duration
@@ -83,6 +83,7 @@
 
 // newSimulation makes a deployment of two regions, with three zones, ten engines and seven proxies.
 func newSimulation(t testing.TB, seed uint64, load float64) *simulation {
+	t.Helper()
 	sim := &simulation{t: t, now: time.Second, random: rand.New(rand.NewPCG(seed, 5)), engines: map[string]*simulatedEngine{},
 		prefilledPrefixes: map[uint64]bool{},
 		service: configuration.Service{Name: "llm", MaxConnections: 360, SlowStartDuration: 3 * time.Second, SlowStartRate: 9.2,
@@ -123,6 +124,7 @@
 }
 
 func newTestPlacer(t testing.TB, zone string, seed uint64) *Placer {
+	t.Helper()
 	p, err := New(testOptions(zone), seed)
 	if err != nil {
 		t.Fatal(err)
@@ -130,7 +132,7 @@
 	return p
 }
 
-// kind draws a kind of request: its chains have a first part of a few, and a second one of many.
+// kind draws a kind of request: the first chunk of its prefixes is one of a few, the second one of many.
 func (sim *simulation) kind(name string, rank, target int, rate float64, things []int, tokens []float64,
 	own, spread, out float64) *requestKind {
 	kind := &requestKind{rate: rate, uniqueTokens: own, spread: spread, outputTokens: out}
@@ -167,17 +169,17 @@
 }
 
 func (sim *simulation) arrive(proxy *simulatedProxy, kind *requestKind) {
-	chain := kind.prefixes[int(float64(len(kind.prefixes))*math.Pow(sim.random.Float64(), 1.4))]
+	prefix := kind.prefixes[int(float64(len(kind.prefixes))*math.Pow(sim.random.Float64(), 1.4))]
 	own := Chunk{sim.random.Uint64(), sim.drawTokens(kind.uniqueTokens, kind.spread)}
 	out := sim.drawTokens(kind.outputTokens, 0.7)
-	request := &Request{Route: &kind.route, Service: "llm", Chunks: append(append([]Chunk(nil), chain...), own), MaxOutputTokens: 2 * out,
+	request := &Request{Route: &kind.route, Service: "llm", Chunks: append(append([]Chunk(nil), prefix...), own), MaxOutputTokens: 2 * out,
 		ArrivedAt: sim.now, Deadline: sim.now + kind.route.Timeout}
 	for _, part := range request.Chunks {
 		request.InputTokens += part.Tokens
 	}
 	kind.requests++
-	choice, refusal := proxy.placer.Place(sim.now, request)
-	if refusal != nil {
+	choice, rejection := proxy.placer.Place(sim.now, request)
+	if rejection != nil {
 		sim.rejected++
 		return
 	}
@@ -187,7 +189,7 @@
 	sim.after(job.latency, func() { engine.enqueue(job) })
 }
 
-// latency is one way between a proxy and an engine.
+// latency is the one-way latency between a proxy and an engine.
 func (sim *simulation) latency(proxy *simulatedProxy, engine *simulatedEngine) time.Duration {
 	switch {
 	case proxy.zone == engine.Zone:
@@ -209,7 +211,7 @@
 	e.startNext(job.simulation)
 }
 
-// startNext reads the next prompt.
+// startNext prefills the next prompt.
 func (e *simulatedEngine) startNext(sim *simulation) {
 	if e.prefilling || len(e.queue) == 0 || e.running >= 64 {
 		return
@@ -234,33 +236,33 @@
 	})
 }
 
-// prefill keeps the shared parts of a prompt and says how many tokens had to be read.
+// prefill caches the shared chunks of a prompt and returns how many tokens were not cached.
 func (e *simulatedEngine) prefill(sim *simulation, parts []Chunk) (tokens int) {
-	chain, whole := uint64(1), true
+	prefix, whole := uint64(1), true
 	for i, part := range parts {
 		if i == len(parts)-1 {
 			return tokens + part.Tokens
 		}
-		chain = chain*0x9e3779b97f4a7c15 ^ part.ID
+		prefix = prefix*0x9e3779b97f4a7c15 ^ part.ID
 		sim.sharedTokens += part.Tokens
-		if whole = whole && e.touch(chain); whole {
+		if whole = whole && e.touch(prefix); whole {
 			continue
 		}
 		tokens += part.Tokens
-		if sim.prefilledPrefixes[chain] {
+		if sim.prefilledPrefixes[prefix] {
 			sim.repeatedTokens += part.Tokens
 		}
-		sim.prefilledPrefixes[chain] = true
-		e.cached = append(e.cached, cachedChunk{chain, part.Tokens})
+		sim.prefilledPrefixes[prefix] = true
+		e.cached = append(e.cached, cachedChunk{prefix, part.Tokens})
 		e.cachedTokens += part.Tokens
 	}
 	return tokens
 }
 
-// touch says whether a part is kept, and makes it the one used last.
-func (e *simulatedEngine) touch(chain uint64) bool {
+// touch reports whether a chunk is cached, and makes it the most recently used.
+func (e *simulatedEngine) touch(prefix uint64) bool {
 	for i, chunk := range e.cached {
-		if chunk.chain == chain {
+		if chunk.chain == prefix {
 			e.cached = append(append(e.cached[:i:i], e.cached[i+1:]...), chunk)
 			return true
 		}
@@ -288,7 +290,7 @@
 	j.proxy.placer.EndAttempt(j.simulation.now, j.attempt, Succeeded, Progress{TimeToFirstEvent: j.sent, Events: j.outputTokens / 4, Duration: j.simulation.now - j.sent})
 }
 
-// run plays until a moment.
+// run plays the events up to a time.
 func (sim *simulation) run(until time.Duration) {
 	for {
 		at, do, is := sim.events.Next(until.Seconds())
--- a/internal/system/placement/snapshot_test.go
+++ b/internal/system/placement/snapshot_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// placerWithState is a Placer that has learnt something.
+// placerWithState returns a Placer with learnt limits and a learnt speed.
 func placerWithState(t testing.TB) *Placer {
+	t.Helper()
 	p := startedTestPlacer(t, append(testRunners("llm", 4), testRunners("api", 3)...))
 	p.services["llm"].prefillSpeed = 38700
 	p.runners["llm-1"].limits.Load, p.runners["llm-1"].limits.Utilization = 40, 0.9
@@ -20,11 +21,11 @@
 	old := placerWithState(t)
 	for _, listFirst := range []bool{true, false} {
 		p := newTestPlacer(t, "m", 2)
-		told := append(testRunners("llm", 4), testRunners("api", 3)...)
+		runners := append(testRunners("llm", 4), testRunners("api", 3)...)
 		steps := []func(){
 			func() {
 				p.SetServices(testStart, testServices())
-				p.SetRunners(testStart, told)
+				p.SetRunners(testStart, runners)
 			},
 			func() {
 				if err := p.Restore(testStart, old.Snapshot()); err != nil {
@@ -38,9 +39,9 @@
 		for _, step := range steps {
 			step()
 		}
-		for id, w := range old.runners {
-			if got := p.runners[id].limits; math.Abs(got.Load-w.limits.Load) > 1e-4 || math.Abs(got.Utilization-w.limits.Utilization) > 1e-6 {
-				t.Errorf("list first %v: %s: %+v, was %+v", listFirst, id, got, w.limits)
+		for id, runner := range old.runners {
+			if got := p.runners[id].limits; math.Abs(got.Load-runner.limits.Load) > 1e-4 || math.Abs(got.Utilization-runner.limits.Utilization) > 1e-6 {
+				t.Errorf("list first %v: %s: %+v, was %+v", listFirst, id, got, runner.limits)
 			}
 		}
 		if p.services["llm"].prefillSpeed != 38700 {
@@ -49,18 +50,18 @@
 	}
 }
 
-// A runner of another size, or another incarnation, starts from what its size says.
+// A runner with another number of slots starts from the initial limits.
 func TestSnapshotOfAnotherIncarnationIsIgnored(t *testing.T) {
 	p := newTestPlacer(t, "m", 2)
 	if err := p.Restore(testStart, placerWithState(t).Snapshot()); err != nil {
 		t.Fatal(err)
 	}
-	told := testRunners("llm", 2)
-	told[1].Capacity = 32
+	runners := testRunners("llm", 2)
+	runners[1].Capacity = 32
 	p.SetServices(testStart, testServices())
-	p.SetRunners(testStart, told)
+	p.SetRunners(testStart, runners)
 	if got := p.runners["llm-1"].limits.Load; math.Abs(got-32*1.1) > 1e-9 {
-		t.Errorf("ceiling %v", got)
+		t.Errorf("limit %v", got)
 	}
 }
 
@@ -79,7 +80,7 @@
 	}
 }
 
-// Whatever Recall is handed, it refuses it, or what it took is told again by Learnt just so, and placing goes on.
+// Restore rejects an encoding without a trace, or takes it over so that Place works and Snapshot can be restored again.
 func FuzzRestore(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte{snapshotVersion, 0, 0})
@@ -88,7 +89,7 @@
 		p := newTestPlacer(t, "m", 2)
 		if p.Restore(testStart, b) != nil {
 			if len(p.restored) > 0 || len(p.restoredSpeeds) > 0 {
-				t.Fatal("refused, and yet taken")
+				t.Fatal("rejected, and yet taken")
 			}
 			return
 		}
@@ -98,8 +99,8 @@
 		for at := testStart; at < testStart+time.Second; at += planPeriod {
 			p.Tick(at)
 		}
-		if _, refusal := p.Place(testStart+time.Second, testRequest(testStart+time.Second, "api", testRoute())); refusal != nil {
-			t.Fatal(refusal)
+		if _, rejection := p.Place(testStart+time.Second, testRequest(testStart+time.Second, "api", testRoute())); rejection != nil {
+			t.Fatal(rejection)
 		}
 		if err := newTestPlacer(t, "m", 3).Restore(testStart, p.Snapshot()); err != nil {
 			t.Fatal(err)
