--- a/internal/system/exposition/exposition.go
+++ b/internal/system/exposition/exposition.go
@@ -1,5 +1,5 @@
-// Package exposition writes a process's own figures as text, in the format that Prometheus and its kin read: for each
-// family of figures its help and type, and one line a sample.
+// Package exposition writes and serves the metrics of a process in the Prometheus text format: for each metric family
+// its help text and type, and one line for each sample.
 package exposition
 
 import (
@@ -8,31 +8,31 @@
 	"strings"
 )
 
-// ContentType is the media type of a page.
+// ContentType is the media type of a page of metrics.
 const ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// Path is where every role serves its page.
+// Path is where every role serves its metrics.
 const Path = "/metrics"
 
-// Kind says how the samples of a family change.
+// Kind is the type of a metric family.
 type Kind string
 
-// The kinds.
+// The types of metric families.
 const (
-	Counter Kind = "counter" // only rises while the process lives
+	Counter Kind = "counter" // never falls during the life of the process
 	Gauge   Kind = "gauge"   // rises and falls
 )
 
-// Label tells samples of a family apart.
+// Label distinguishes a sample from others of its family.
 type Label struct{ Name, Value string }
 
-// Page gathers figures. The zero value is an empty page.
+// Page collects metrics in text form. The zero value is an empty page.
 type Page struct {
 	text          []byte
-	currentFamily string
+	currentFamily string // name of the family that Sample adds to
 }
 
-// Family begins a family of figures, whose samples follow.
+// Family begins a metric family; its samples must follow.
 func (p *Page) Family(kind Kind, name, help string) {
 	p.currentFamily = name
 	p.text = append(p.text, "# HELP "+name+" "+helpEscaper.Replace(help)+"\n# TYPE "+name+" "+string(kind)+"\n"...)
@@ -57,16 +57,16 @@
 	p.text = append(p.text, '\n')
 }
 
-// Metric adds a family with one sample.
+// Metric adds a family with a single sample without labels.
 func (p *Page) Metric(kind Kind, name, help string, value float64) {
 	p.Family(kind, name, help)
 	p.Sample(value)
 }
 
-// Bytes is the page so far.
+// Bytes returns the text of the page so far. It must not be altered.
 func (p *Page) Bytes() []byte { return p.text }
 
-// BoolValue is the value of a figure that says yes or no.
+// BoolValue returns the value of a metric that is true or false: 1 or 0.
 func BoolValue(on bool) float64 {
 	if on {
 		return 1
@@ -79,7 +79,7 @@
 	valueEscaper = strings.NewReplacer(`\`, `\\`, "\n", `\n`, `"`, `\"`)
 )
 
-// Handler serves at Path a page that is filled anew for each call.
+// Handler returns a handler that serves, at Path, a page that fill writes anew for each request.
 func Handler(fill func(*Page)) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+Path, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/system/exposition/serve.go
+++ b/internal/system/exposition/serve.go
@@ -11,15 +11,16 @@
 	"go.uber.org/zap"
 )
 
-// Bounds of connections that ask for the page.
+// Limits of connections that ask for metrics.
 const (
 	headerTimeout  = 2 * time.Second
 	idleTimeout    = 10 * time.Second
 	maxHeaderBytes = 8 << 10 // bytes
 )
 
-// Serve serves a page, filled anew for each call, at an address until the context ends; at the zero address none is served.
-// A process does its work without its page, so what fails is logged and nothing more. It returns once the address is open.
+// Serve serves a page, which fill writes anew for each request, at an address until the context ends; it serves none at
+// the zero address. It returns once the address is open. A process works without its metrics, so Serve only logs
+// failures, and nobody waits for the server after the context has ended.
 func Serve(ctx context.Context, log *zap.Logger, address netip.AddrPort, fill func(*Page)) {
 	if !address.IsValid() {
 		return
--- a/internal/system/exposition/serve_test.go
+++ b/internal/system/exposition/serve_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// freeAddress is an address of loopback that nobody holds.
+// freeAddress returns a loopback address that is not in use.
 func freeAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -39,7 +39,7 @@
 	cancel()
 }
 
-// A port that another process holds is logged, and the process goes on; without an address nothing is opened.
+// A port that is in use is logged, and the process goes on; without an address nothing is opened.
 func TestServeWithoutAPort(t *testing.T) {
 	held, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/system/logfmt/logfmt.go
+++ b/internal/system/logfmt/logfmt.go
@@ -1,4 +1,5 @@
-// Package logfmt is a core for zap that writes one event a line, as key=value pairs.
+// Package logfmt provides a zap core that writes each event as a line of key=value pairs: time, level and message, then
+// the fields in the order in which they were added.
 package logfmt
 
 import (
@@ -16,7 +17,8 @@
 
 const timeFormat = "2006-01-02T15:04:05.000Z"
 
-// New returns a logger that writes events of the level and above. Writes are not concurrent.
+// New returns a logger that writes events of the level and above to w, one Write each. Its cores share a lock, so w
+// need not be safe for concurrent use.
 func New(w io.Writer, level zapcore.LevelEnabler) *zap.Logger {
 	return zap.New(&core{LevelEnabler: level, sink: &sink{writer: w}})
 }
@@ -38,7 +40,7 @@
 	return &core{LevelEnabler: c.LevelEnabler, sink: c.sink, contextFields: slices.Concat(c.contextFields, fields)}
 }
 
-// Check adds the core to an event of its level.
+// Check adds the core to an event if its level is enabled.
 func (c *core) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if c.Enabled(entry.Level) {
 		return checked.AddCore(entry, c)
@@ -66,7 +68,7 @@
 	return err
 }
 
-// Sync does nothing: lines are not held back.
+// Sync does nothing: lines are written at once.
 func (c *core) Sync() error { return nil }
 
 func appendFields(line []byte, fields []zapcore.Field) []byte {
@@ -103,7 +105,7 @@
 	return fmt.Sprint(value)
 }
 
-// appendField appends a pair; a value that would not read as one word is quoted.
+// appendField appends a pair. A value that would not read as one word is quoted.
 func appendField(line []byte, key, value string) []byte {
 	line = append(line, ' ')
 	line = append(line, key...)
--- a/internal/system/routetable/routetable.go
+++ b/internal/system/routetable/routetable.go
@@ -1,5 +1,7 @@
-// Package routetable finds the route of a request by its host and path. It is altered by single routes as changes
-// arrive.
+// Package routetable finds the route of a request by its host and the longest matching path prefix.
+//
+// A table is changed route by route, as changes of the configuration arrive. Lookups allocate nothing for hosts in
+// lower case.
 package routetable
 
 import (
@@ -8,31 +10,32 @@
 	"cinderroad/internal/system/configuration"
 )
 
-// Table holds routes. The zero value is not usable; see New. It is not safe for concurrent use.
+// Table holds routes. Use New; the zero value is not usable. It is not safe for concurrent use.
 type Table struct {
-	byName map[string]*configuration.Route // by name
-	byHost map[string]*hostRoutes          // by normal host
+	byName map[string]*configuration.Route
+	byHost map[string]*hostRoutes // by the host in the form of configuration.NormalizeHost
 }
 
-// hostRoutes holds the routes of one host. Prefixes begin and end with a slash, so that those of a path end at its slashes.
+// hostRoutes holds the routes of one host. Prefixes begin and end with a slash, so that only those parts of a path that
+// end at a slash can match.
 type hostRoutes struct {
-	byPrefix        map[string]*configuration.Route // by path prefix
-	maxPrefixLength int                             // no prefix is longer
+	byPrefix        map[string]*configuration.Route
+	maxPrefixLength int // length of the longest prefix, in bytes
 }
 
-// New is an empty table.
+// New returns an empty table.
 func New() *Table {
 	return &Table{byName: map[string]*configuration.Route{}, byHost: map[string]*hostRoutes{}}
 }
 
-// Len is the number of routes.
+// Len returns the number of routes.
 func (t *Table) Len() int { return len(t.byName) }
 
-// Route is the route of a name, nil if there is none.
+// Route returns the route with the name, nil if there is none.
 func (t *Table) Route(name string) *configuration.Route { return t.byName[name] }
 
-// Lookup is the route of the host whose prefix begins the path and is the longest, nil if there is none. A port in the
-// host and a query in the path do not count. It allocates nothing for hosts in lower case.
+// Lookup returns the route of the host with the longest prefix that begins the path, nil if there is none. It ignores a
+// port in the host and a query in the path.
 func (t *Table) Lookup(hostName, path string) *configuration.Route {
 	host := t.byHost[configuration.NormalizeHost(hostName)]
 	if host == nil {
@@ -54,8 +57,9 @@
 	}
 }
 
-// Upsert adds a route, or replaces the one of its name. The route is kept and must not be altered. If another route
-// has its host and prefix, the one that came last is found: that one's own change or removal is then yet to come.
+// Upsert adds a route, or replaces the one with the same name. The table keeps the route, which must not be altered. If
+// another route has the same host and prefix, the later one is found: a change or removal of the earlier one is about
+// to follow.
 func (t *Table) Upsert(route *configuration.Route) {
 	if previous := t.byName[route.Name]; previous != nil {
 		t.unlink(previous)
@@ -71,7 +75,7 @@
 	host.maxPrefixLength = max(host.maxPrefixLength, len(route.PathPrefix))
 }
 
-// Remove removes the route of a name, if there is one.
+// Remove removes the route with the name, if there is one.
 func (t *Table) Remove(name string) {
 	route := t.byName[name]
 	if route == nil {
@@ -81,7 +85,7 @@
 	t.unlink(route)
 }
 
-// unlink takes a route out of its host, unless another one stands in its place by now.
+// unlink removes a route from those of its host, unless another route has replaced it there.
 func (t *Table) unlink(route *configuration.Route) {
 	hostName := configuration.NormalizeHost(route.Host)
 	host := t.byHost[hostName]
--- a/internal/system/routetable/routetable_test.go
+++ b/internal/system/routetable/routetable_test.go
@@ -49,7 +49,7 @@
 	return route.Name
 }
 
-// Routes that exchange prefixes within a batch of changes end up right in whatever order the changes come.
+// Routes that exchange prefixes within a batch of changes are right afterwards, in whatever order the changes arrive.
 func TestUpsertExchangesPrefixes(t *testing.T) {
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 		table := New()
@@ -105,7 +105,7 @@
 	return route(name, rapid.SampledFrom(hosts).Draw(t, "of"), drawPath(t))
 }
 
-// isPrefixFree says whether no other route has the prefix.
+// isPrefixFree reports whether no other route has the host and prefix.
 func isPrefixFree(routes map[string]*configuration.Route, next *configuration.Route) bool {
 	for name, held := range routes {
 		if name != next.Name && held.Host == next.Host && held.PathPrefix == next.PathPrefix {
--- a/internal/system/shutdown/shutdown.go
+++ b/internal/system/shutdown/shutdown.go
@@ -1,25 +1,26 @@
-// Package shutdown says when the programs of an edge machine end after the signal to stop, so that the agent outlives the
-// proxy and both end before the platform kills them.
+// Package shutdown schedules the end of the programs of an edge machine after the signal to stop, so that the agent
+// outlives the proxy and both end before the platform kills them.
 package shutdown
 
 import "time"
 
-// DefaultGracePeriod is the grace period that counts where the settings name none.
+// DefaultGracePeriod is the grace period if the settings name none.
 const DefaultGracePeriod = 8 * time.Second
 
 const (
-	maxMargin     = 500 * time.Millisecond // of the grace period that is left when the proxy's answers end
-	marginDivisor = 12                     // the margin is one part in so many of the grace period, at most
+	maxMargin     = 500 * time.Millisecond // greatest time left of the grace period after LastResponses
+	marginDivisor = 12                     // the margin is at most the grace period divided by this
 )
 
-// Schedule are counted from the signal to stop.
+// Schedule holds the times at which the programs end, counted from the signal to stop. They are in ascending order.
 type Schedule struct {
-	LastResponses time.Duration // the proxy answers what has no answer yet
-	ProxyEnd      time.Duration // the proxy ends, whatever it has left
-	AgentEnd      time.Duration // the agent ends, whether the proxy has or not
+	LastResponses time.Duration // the proxy answers every request that is still pending
+	ProxyEnd      time.Duration // the proxy ends, whatever is left
+	AgentEnd      time.Duration // the agent ends, whether or not the proxy has ended
 }
 
-// Plan divides a grace period, from the signal to stop until the platform kills the processes.
+// Plan divides a grace period, which begins with the signal to stop and ends when the platform kills the processes. A
+// grace period of 0 or less counts as DefaultGracePeriod.
 func Plan(grace time.Duration) Schedule {
 	if grace <= 0 {
 		grace = DefaultGracePeriod
--- a/internal/system/startup/serve.go
+++ b/internal/system/startup/serve.go
@@ -9,19 +9,22 @@
 	"cinderroad/internal/system/processconfig"
 )
 
-// Process is a running program that can take settings which have changed.
+// Process is a running program.
 type Process interface {
-	Run(ctx context.Context) error // until the context ends and the process has ended in order
+	// Run works until the context ends and the process has shut down gracefully.
+	Run(ctx context.Context) error
+	// Reload applies changed settings. It is called from another goroutine than Run.
 	Reload(settings *processconfig.Settings)
 }
 
-// StartFunc makes a process of the settings. The context ends only the start.
+// StartFunc makes a process of the settings. The end of the context ends only the start.
 type StartFunc func(ctx context.Context, settings *processconfig.Settings, log *zap.Logger) (Process, error)
 
 // Run reads the settings, starts a process and runs it until the program is asked to stop. On SIGHUP it reads the
-// settings again and hands them to the process; the earlier ones stay where they can't be read.
+// settings again and passes them to the process; if they cannot be read, the earlier ones stay in force. A program
+// calls it once.
 func (p *Program) Run(log *zap.Logger, start StartFunc) error {
-	changes := NotifyReload() // before anything else: the signal would end the process
+	changes := NotifyReload() // before anything else, since the signal would otherwise end the process
 	settings, log, err := p.LoadSettings(log)
 	if err != nil {
 		return err
@@ -36,7 +39,7 @@
 	return process.Run(ctx)
 }
 
-// reloadOnNotify reads the settings again whenever they are said to have changed.
+// reloadOnNotify reads the settings again whenever they are said to have changed. It runs until the program exits.
 func reloadOnNotify(log *zap.Logger, process Process, changes <-chan os.Signal) {
 	for range changes {
 		settings, err := processconfig.Load()
--- a/internal/system/startup/startup.go
+++ b/internal/system/startup/startup.go
@@ -1,7 +1,8 @@
-// Package startup holds what the programs of the system do alike before and around their own work: the runtime's
-// settings, the command line, the logger, the settings file, signals and the exit.
+// Package startup holds what the programs of the system have in common around their own work: the runtime's settings,
+// the command line, the logger, the settings file, signals and the exit.
 //
-// It links the settings' reader, the command line's and the logger, which each of the programs needs, and nothing else.
+// It links only what each of the programs needs: the reader of the settings, the parser of the command line and the
+// logger.
 package startup
 
 import (
@@ -19,7 +20,8 @@
 	"cinderroad/internal/system/processconfig"
 )
 
-// maxProcessors is how many threads run Go code at once: each program's share of its machine is at most one core.
+// maxProcessors is the number of threads that run Go code at once: each program may use at most one core of its
+// machine.
 const maxProcessors = 1
 
 // Program describes one of the programs of the system.
@@ -27,16 +29,16 @@
 	Name        string
 	Description string
 	Version     string
-	LogLevel    zapcore.Level // least level of events that are logged unless the command line names another
-	// GCPercent is by how much of what is live the heap may grow before a collection: low values keep the peak of
-	// memory low where little is allocated in a second.
+	LogLevel    zapcore.Level // lowest level that is logged, unless the command line names another
+	// GCPercent is by how much, relative to the live heap, the heap may grow before a collection. Low values keep the
+	// peak of memory low in programs that allocate little.
 	GCPercent int
-	// MetricsPort is the port at which the program serves its own figures, as the command line names it; 0: none.
+	// MetricsPort is the port at which the program serves its metrics, as the command line states it; 0: none.
 	MetricsPort uint16
 }
 
-// Init sets the runtime up, reads the command line and returns the program's logger, which writes to standard error.
-// It ends the process on a malformed command line, and after the help or the version was asked for.
+// Init sets up the Go runtime, parses the command line and returns the program's logger, which writes to standard
+// error. It ends the process if the command line is malformed, and after it printed the help or the version.
 func (p *Program) Init() *zap.Logger {
 	runtime.GOMAXPROCS(maxProcessors)
 	debug.SetGCPercent(p.GCPercent)
@@ -48,7 +50,7 @@
 	return logfmt.New(os.Stderr, flags.LogLevel)
 }
 
-// commandLine are the flags of each program.
+// commandLine holds the flags that all programs have.
 type commandLine struct {
 	LogLevel    zapcore.Level    `help:"Least level of events that are logged: debug, info, warn or error." default:"${log_level}" aliases:"log"`
 	MetricsPort uint16           `help:"Port of the machine's address at which the process serves its own figures (GET /metrics); 0: none."`
@@ -60,7 +62,7 @@
 		kong.Vars{"version": p.Version, "log_level": p.LogLevel.String()})
 }
 
-// MetricsAddress is where the program serves its own figures on a machine; the zero value: nowhere.
+// MetricsAddress returns where the program serves its metrics on a machine; the zero value: nowhere.
 func (p *Program) MetricsAddress(machine netip.Addr) netip.AddrPort {
 	if p.MetricsPort == 0 {
 		return netip.AddrPort{}
@@ -68,8 +70,8 @@
 	return netip.AddrPortFrom(machine, p.MetricsPort)
 }
 
-// LoadSettings reads the settings file of a program that says that it starts, and returns the settings with a logger
-// that adds the machine's name to each event.
+// LoadSettings reads the settings file, logs that the program starts, and returns the settings with a logger that adds
+// the machine's name to each event.
 func (p *Program) LoadSettings(log *zap.Logger) (*processconfig.Settings, *zap.Logger, error) {
 	settings, err := processconfig.Load()
 	if err != nil {
@@ -81,7 +83,7 @@
 	return settings, log, nil
 }
 
-// Exit ends the process: with status 1 and the error as an event if the program ended by one, otherwise with status 0.
+// Exit ends the process: with status 1 after logging err, or with status 0 if err is nil.
 func Exit(log *zap.Logger, err error) {
 	if err != nil {
 		log.Error("ended", zap.Error(err))
@@ -90,7 +92,7 @@
 	os.Exit(0)
 }
 
-// BuildVersion is the program's revision as its build tells, of a bounded length.
+// BuildVersion returns the program's revision as its build information states it, of bounded length.
 func BuildVersion() string {
 	const maxLength = 64
 	info, known := debug.ReadBuildInfo()
