--- a/internal/system/gossip/hearing_test.go
+++ b/internal/system/gossip/isolation_test.go
@@ -13,14 +13,14 @@
 
 const (
 	simulationSeeds = 150
-	// detectionBound is how long it takes at most until a member that was killed is held to be dead.
+	// detectionBound is the longest time, in seconds, until a killed member is detected to be dead.
 	detectionBound = 25.0
 )
 
-// TestIsolatedMemberRetainsConfirmedView closes all others without a word.
+// TestIsolatedMemberRetainsConfirmedView closes all other members without a leave.
 func TestIsolatedMemberRetainsConfirmedView(t *testing.T) {
-	c := newSmallCluster(t)
-	core := c.members["core-1"]
+	cluster := newSmallCluster(t)
+	core := cluster.members["core-1"]
 	state := func(members []Member, node string) State {
 		for _, m := range members {
 			if m.Node == node {
@@ -29,17 +29,17 @@
 		}
 		return Left
 	}
-	c.members["edge-3"].Close()
-	c.wait("edge-3 is dead, and somebody has answered since", func() bool {
-		edge := c.memberOf(core, "edge-3")
+	cluster.members["edge-3"].Close()
+	cluster.wait("edge-3 is dead, and somebody has answered since", func() bool {
+		edge := cluster.memberOf(core, "edge-3")
 		core.mutex.Lock()
 		defer core.mutex.Unlock()
 		return edge.State == Dead && core.isolation.lastAckAt > core.changedAt(&edge)
 	})
 	for _, node := range []string{"core-2", "edge-1", "edge-2"} {
-		c.members[node].Close()
+		cluster.members[node].Close()
 	}
-	c.wait("all others are dead, as far as core-1 can tell", func() bool {
+	cluster.wait("all others are dead, as far as core-1 can tell", func() bool {
 		return state(core.View(), "edge-1") == Dead && state(core.View(), "edge-2") == Dead
 	})
 	for node, dead := range map[string]bool{"edge-1": false, "edge-2": false, "edge-3": true} {
@@ -47,22 +47,22 @@
 			t.Errorf("%s was %v when somebody was last heard", node, got)
 		}
 	}
-	options := c.options("edge-4", Edge, "a1")
+	options := cluster.options("edge-4", Edge, "a1")
 	options.Seeds = []netip.AddrPort{core.Address()}
-	c.start(options)
-	c.wait("edge-4 is heard, the others are dead", func() bool {
+	cluster.start(options)
+	cluster.wait("edge-4 is heard, the others are dead", func() bool {
 		return state(core.LastConfirmedView(), "edge-4") == Alive && state(core.LastConfirmedView(), "edge-1") == Dead
 	})
 }
 
-// simulation is a system's membership in virtual time, with one machine that is cut off from all others for a while.
+// simulation is a system's membership in virtual time. One node is cut off from all others for a while.
 type simulation struct {
 	random    *rand.Rand
 	now       float64
 	nodes     []*simulatedNode
 	nodeAt    map[netip.AddrPort]*simulatedNode
 	inFlight  []inFlightPacket
-	maxDelay  float64   // at most
+	maxDelay  float64   // of a message, at most, in seconds
 	partition partition // of the first node
 }
 
@@ -76,7 +76,7 @@
 	killedAt float64
 }
 
-// inFlightPacket is a message on its way.
+// inFlightPacket is a message on its way, delivered at a time.
 type inFlightPacket struct {
 	at       float64
 	from, to *simulatedNode
@@ -85,7 +85,7 @@
 
 func newSimulation(seed uint64) *simulation {
 	random := rand.New(rand.NewPCG(seed, 7))
-	v := &simulation{random: random, nodeAt: map[netip.AddrPort]*simulatedNode{}, maxDelay: 0.001 + 0.09*random.Float64()}
+	sim := &simulation{random: random, nodeAt: map[netip.AddrPort]*simulatedNode{}, maxDelay: 0.001 + 0.09*random.Float64()}
 	edges := 4 + random.IntN(24)
 	first := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), uint16(processconfig.GossipPort))
 	for i := range 2 + edges {
@@ -93,19 +93,19 @@
 		if i < 2 {
 			role = Control
 		}
-		g := &Memberlist{epoch: time.Now(), address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), first.Port()),
+		list := &Memberlist{epoch: time.Now(), address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), first.Port()),
 			options: Options{Node: fmt.Sprint("node-", i), Role: role, ProbeInterval: DefaultProbeInterval, Seeds: []netip.AddrPort{first}}}
-		g.facts = membership.Facts{Role: string(role), Serving: string(ServingNow), Front: fmt.Sprintf("10.0.0.%d:80", i+1)}
-		options := g.nodeOptions()
+		list.facts = membership.Facts{Role: string(role), Serving: string(ServingNow), Front: fmt.Sprintf("10.0.0.%d:80", i+1)}
+		options := list.nodeOptions()
 		options.Seed, options.Life = random.Uint64(), 1
-		g.node = membership.New(options)
-		n := &simulatedNode{Memberlist: g, up: true}
-		v.nodes, v.nodeAt[g.address] = append(v.nodes, n), n
+		list.node = membership.New(options)
+		n := &simulatedNode{Memberlist: list, up: true}
+		sim.nodes, sim.nodeAt[list.address] = append(sim.nodes, n), n
 	}
-	return v
+	return sim
 }
 
-// send puts what a node has to say on its way.
+// send puts a node's messages in flight.
 func (s *simulation) send(n *simulatedNode) {
 	for _, packet := range n.node.Out() {
 		if to := s.nodeAt[packet.To]; to != nil {
@@ -148,7 +148,7 @@
 	s.send(p.to)
 }
 
-// killEdges ends some of the edges.
+// killEdges ends a fraction of the edges.
 func (s *simulation) killEdges(fraction float64) {
 	for _, n := range s.nodes[2:] {
 		if n.up && s.random.Float64() < fraction {
@@ -157,7 +157,7 @@
 	}
 }
 
-// killedCount is how many edges were killed.
+// killedCount returns how many edges were killed.
 func (s *simulation) killedCount() (count int) {
 	for _, n := range s.nodes {
 		if !n.up {
@@ -167,7 +167,8 @@
 	return count
 }
 
-// checkConfirmedView sees that the cut-off machine names who was there when it last heard anybody, and nobody who was dead then.
+// checkConfirmedView fails unless the isolated node's confirmed view has all members that were alive when it was last
+// connected, and none that was dead then.
 func (s *simulation) checkConfirmedView(connectedUntil float64) error {
 	members := s.nodes[0].LastConfirmedView()
 	if len(members) < len(s.nodes)-s.killedCount() {
@@ -185,7 +186,7 @@
 	return nil
 }
 
-// play has edges be killed before, in and after a time in which the first machine is cut off.
+// play kills edges before, during and after a time in which the first node is cut off.
 func (s *simulation) play(ways partition) error {
 	for _, n := range s.nodes {
 		n.node.Start(s.now)
@@ -211,7 +212,8 @@
 	return s.checkConfirmedView(s.now)
 }
 
-// TestIsolatedMemberViewSimulation plays drawn systems in virtual time, with cuts in either and in both directions.
+// TestIsolatedMemberViewSimulation plays random systems in virtual time, with partitions in either and in both
+// directions.
 func TestIsolatedMemberViewSimulation(t *testing.T) {
 	ways := []partition{{inbound: true, outbound: true}, {inbound: true}, {outbound: true}}
 	for seed := uint64(1); seed <= simulationSeeds; seed++ {
