--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -7,35 +7,35 @@
 	"cinderroad/internal/system/placement"
 )
 
-// attempt is a send of a request to one runner.
+// attempt is one transmission of a request to one runner.
 type attempt struct {
 	exchange     *exchange
 	choice       placement.Choice
 	tracked      *placement.Attempt
-	conn         *runnerConn // that carries it; nil before and after
-	connected    bool        // a connection to the runner was there
+	conn         *runnerConn // carries the request; nil before it is sent and after the attempt
+	connected    bool        // a connection to the runner was established
 	sentAt       time.Duration
-	lastEventAt  time.Duration // when the last event came
+	lastEventAt  time.Duration // when the last event of the response arrived
 	progress     placement.Progress
 	eventCounter eventCounter
 	verdict      verdict
 }
 
-// verdict is what the head of a runner's answer says.
+// verdict classifies a response by its head.
 type verdict uint8
 
 const (
-	verdictRelay       verdict = iota // the answer goes to the client
-	verdictNotRun                     // the runner says that it did not run the request
-	verdictWrongRunner                // another incarnation has the address
-	verdictFailure                    // the runner failed; it may have run the request
-	verdictInvalid                    // no answer that may be passed on
+	verdictRelay       verdict = iota // forward the response to the client
+	verdictNotRun                     // the runner guarantees that the request was not executed
+	verdictWrongRunner                // the address belongs to another incarnation
+	verdictFailure                    // the runner failed; it may have executed the request
+	verdictInvalid                    // not a response that may be forwarded
 )
 
-// saysNotRun says whether the runner has told that the request did not run and will not.
+// saysNotRun reports whether the runner guarantees that the request was not and will not be executed.
 func (v verdict) saysNotRun() bool { return v == verdictNotRun || v == verdictWrongRunner }
 
-// classify reads the head of a runner's answer.
+// classify derives the verdict from the head of a runner's response.
 func classify(head *httpwire.ResponseHead) verdict {
 	said := head.Header.Has(headerNotRun)
 	switch {
@@ -51,10 +51,10 @@
 	return verdictRelay
 }
 
-// requestSent says whether the system has taken the last byte of the request.
+// requestSent reports whether the kernel has accepted the last byte of the request.
 func (a *attempt) requestSent() bool { return a.conn != nil && a.conn.requestSent() }
 
-// cancel breaks the attempt off: its connection is of no more use.
+// cancel aborts the attempt and closes its connection, which cannot be reused.
 func (a *attempt) cancel() {
 	if l := a.conn; l != nil {
 		a.conn = nil
@@ -63,7 +63,7 @@
 	}
 }
 
-// end tells the placer how the attempt ended. It must not be used any more.
+// end reports the outcome of the attempt to the placer. The attempt must not be used afterwards.
 func (a *attempt) end(outcome placement.Outcome) {
 	x := a.exchange
 	if x.attempt == a {
@@ -80,7 +80,7 @@
 	x.proxy.placer.EndAttempt(now, a.tracked, outcome, a.progress)
 }
 
-// noteSent notes that the request has been given to a connection.
+// noteSent records that the request was written to a connection.
 func (a *attempt) noteSent() {
 	x := a.exchange
 	a.connected = true
@@ -90,7 +90,7 @@
 	}
 }
 
-// noteEvents notes events of the answer, or its first bytes.
+// noteEvents records events of the response, or the first bytes of one that is not an event stream.
 func (a *attempt) noteEvents(events int) {
 	if events == 0 {
 		return
@@ -113,7 +113,8 @@
 	a.lastEventAt = now
 }
 
-// handleHead takes the head of the runner's answer. It may end the attempt, whose connection then reads the rest away.
+// handleHead processes the head of the runner's response. It may end the attempt; the connection then discards the rest
+// of the response.
 func (a *attempt) handleHead(head *httpwire.ResponseHead) {
 	x := a.exchange
 	a.verdict = classify(head)
@@ -141,7 +142,7 @@
 	}
 }
 
-// handleLost ends an attempt whose connection was lost, or brought what is no answer to it.
+// handleLost ends an attempt whose connection was lost or delivered something that is no response to it.
 func (a *attempt) handleLost(mayHaveRun bool) {
 	x := a.exchange
 	if !a.connected {
@@ -162,8 +163,8 @@
 	x.retryOrGiveUp(0)
 }
 
-// handleFailure takes a failure of the runner's own, which may have run the request. It is passed on unless another runner
-// takes the request.
+// handleFailure processes a failure response of the runner, which may have executed the request. The response is
+// forwarded to the client unless another runner takes the request.
 func (x *exchange) handleFailure(a *attempt, head *httpwire.ResponseHead) {
 	x.noteTried(a, true)
 	x.attempt = nil
@@ -177,7 +178,7 @@
 		x.abort()
 		return
 	}
-	if head.Status == 429 || head.Status == 503 || head.Status == 408 { // would promise that it has not run
+	if head.Status == 429 || head.Status == 503 || head.Status == 408 { // these statuses would tell the client that the request was not executed
 		a.end(placement.Failed)
 		x.proxy.Counters.Failed++
 		x.respond(localResponse{status: 502, body: "runner failed"})
@@ -188,7 +189,7 @@
 
 // handleConnFailure ends an attempt whose connection has failed.
 func (a *attempt) handleConnFailure(mayHaveRun bool) {
-	if a.verdict == verdictFailure && a.exchange.response.started { // its own failure was being passed on
+	if a.verdict == verdictFailure && a.exchange.response.started { // the runner's own failure response was being forwarded
 		a.end(placement.Failed)
 		a.exchange.abort()
 		return
--- a/internal/system/proxy/control_state.go
+++ b/internal/system/proxy/control_state.go
@@ -15,32 +15,33 @@
 const (
 	reportInterval     = time.Second
 	reportsPerSnapshot = 5           // reports
-	settleDelay        = time.Second // after the configuration is known, for partitions that may have nothing to tell
+	settleDelay        = time.Second // after the first configuration, for partitions that may have no runners to announce
 )
 
-// Agent is told what the proxy is and has learnt.
+// Agent receives the proxy's status and the snapshots of what it has learned.
 type Agent interface {
 	Report(feed.ProxyReport)
 }
 
-// controlState is what the proxy holds of the control plane.
+// controlState is the part of the control plane's state that the proxy keeps.
 type controlState struct {
 	agent        Agent
-	zones        map[string]string // region of each zone
+	zones        map[string]string // region by zone
 	table        *routetable.Table
 	version      uint64
-	proxies      int // as told last
+	proxies      int // last announced number of proxies, this one included
 	reportCount  int
-	lastSnapshot []byte // what the agent was last told to be learnt
+	lastSnapshot []byte // last snapshot sent to the agent
 }
 
-// FollowAgent has the proxy report to the agent; zones names the region of each zone. What the agent says comes by Take.
+// FollowAgent starts the periodic reports to the agent; zones maps each zone to its region. Updates from the agent
+// arrive through ApplyUpdate.
 func (p *Proxy) FollowAgent(agent Agent, zones map[string]string) {
 	p.control = controlState{agent: agent, zones: zones, table: routetable.New()}
 	p.reportPeriodically()
 }
 
-// ApplyUpdate puts what changed in the control state in force. It belongs to the loop's goroutine.
+// ApplyUpdate puts a change of the control state into force. Only the loop's goroutine may call it.
 func (p *Proxy) ApplyUpdate(update agentclient.Update) {
 	for _, name := range update.Removed {
 		p.control.table.Remove(name)
@@ -61,7 +62,7 @@
 	switch {
 	case update.Peers != nil:
 		p.applyPeers(*update.Peers)
-	case update.Proxies > 0 && update.Proxies != p.control.proxies && !p.peers.peersKnown: // the names say the number, too
+	case update.Proxies > 0 && update.Proxies != p.control.proxies && !p.peers.peersKnown: // a peer list implies the count
 		p.control.proxies = update.Proxies
 		p.SetProxies(update.Proxies)
 	}
@@ -81,7 +82,8 @@
 	}
 }
 
-// markRunnersKnown takes it that the runners are known, as far as they ever are.
+// markRunnersKnown records that the runners are known as completely as they will be, which the proxy's readiness
+// depends on.
 func (p *Proxy) markRunnersKnown(known bool) {
 	if known && !p.runnersKnown {
 		p.runnersKnown = true
@@ -115,14 +117,15 @@
 	return known
 }
 
-// RestoreSnapshot takes what an earlier life of the proxy had learnt.
+// RestoreSnapshot loads what a previous incarnation of the proxy had learned.
 func (p *Proxy) RestoreSnapshot(learnt []byte) {
 	if err := p.placer.Restore(p.now(), learnt); err != nil {
 		p.log.Warn("what the proxy had learnt cannot be read", zap.Error(err))
 	}
 }
 
-// reportPeriodically tells the agent what the proxy is, now and again, and now and then what it has learnt.
+// reportPeriodically sends the proxy's status to the agent every reportInterval, and every reportsPerSnapshot reports a
+// snapshot if it has changed.
 func (p *Proxy) reportPeriodically() {
 	var learnt []byte
 	if p.control.reportCount++; p.control.reportCount%reportsPerSnapshot == 0 {
@@ -136,7 +139,7 @@
 	p.runAt(p.now()+reportInterval, p.reportPeriodically)
 }
 
-// reportToAgent tells the agent what the proxy is.
+// reportToAgent sends the proxy's status; an empty snapshot leaves the agent's copy as it is.
 func (p *Proxy) reportToAgent(learnt []byte) {
 	if p.control.agent == nil {
 		return
--- a/internal/system/proxy/event_stream.go
+++ b/internal/system/proxy/event_stream.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// maxEventBytes bounds an event that is not whole yet, in bytes; a stream with a longer one cannot be continued elsewhere.
+	// maxEventBytes bounds an incomplete event. A stream with a larger one cannot be resumed at another runner.
 	maxEventBytes = 256 << 10
-	// maxSpareBytes is how much of an empty buffer a stream keeps for its next event.
+	// maxSpareBytes is the largest buffer that a stream without an incomplete event retains.
 	maxSpareBytes = 4096
 )
 
-// eventReader cuts a text/event-stream into events, each with the empty line that ends it.
+// eventReader splits a text/event-stream into events, each including the empty line that ends it.
 type eventReader struct {
-	lastID       string // of the last whole event that was passed on; empty: none had one
-	partial      []byte // of the event that is not whole
-	lineStart    int    // where in held the line begins that is not whole
-	passthrough  bool   // the stream cannot be cut into events: bytes are passed on as they come
-	unidentified bool   // an event without an id was passed on after the last one with an id
-	resumed      bool   // the stream goes on from another runner
+	lastID       string // of the last complete event that was forwarded; empty: none had one
+	partial      []byte // bytes of the incomplete event
+	lineStart    int    // offset in partial of the incomplete line
+	passthrough  bool   // the stream cannot be split into events: bytes are forwarded as they arrive
+	unidentified bool   // an event without an id was forwarded after the last one with an id
+	resumed      bool   // the stream continues at another runner
 }
 
-// reset makes the reader ready for a stream that goes on after an event; empty: from its beginning.
+// reset prepares the reader for a stream that follows the event lastID; empty: a stream from its beginning.
 func (r *eventReader) reset(lastID string) { *r = eventReader{lastID: lastID} }
 
-// canResume says whether the stream can go on from another runner after what was passed on.
+// canResume reports whether another runner can continue the stream after what was forwarded.
 func (r *eventReader) canResume() bool { return !r.passthrough && !r.unidentified }
 
-// push takes bytes of the stream and appends the whole events that they bring to out; events is how many. An event
-// whose id says that it was passed on before is left out.
+// push consumes bytes of the stream and appends the events they complete to out; events is their number. Events whose
+// id shows that they were forwarded before are dropped.
 func (r *eventReader) push(out, data []byte) (_ []byte, events int) {
 	if r.passthrough {
 		return append(out, data...), 1
@@ -66,7 +66,7 @@
 	return out, events
 }
 
-// discardConsumed drops what has been passed on.
+// discardConsumed removes the bytes before begin from the buffer.
 func (r *eventReader) discardConsumed(begin int) {
 	r.lineStart -= begin
 	rest := copy(r.partial, r.partial[begin:])
@@ -75,7 +75,7 @@
 	}
 }
 
-// accept notes the id of a whole event; false when it was passed on before.
+// accept records the id of a complete event; false if it was forwarded before.
 func (r *eventReader) accept(event []byte) bool {
 	id, numbered, data := parseEventID(event)
 	if !numbered {
@@ -89,13 +89,13 @@
 	return true
 }
 
-// resume drops the event that is not whole: the stream goes on from another runner.
+// resume drops the incomplete event because another runner continues the stream.
 func (r *eventReader) resume() { r.partial, r.lineStart, r.resumed = nil, 0, true }
 
-// remainder is what is held when the stream has ended.
+// remainder returns the incomplete event at the end of the stream.
 func (r *eventReader) remainder() []byte { return r.partial }
 
-// parseEventID reads the id of a whole event; data says that it has data.
+// parseEventID returns the id of a complete event; data reports whether it has a data field.
 func parseEventID(event []byte) (id string, numbered, data bool) {
 	for len(event) > 0 {
 		line, rest, _ := bytes.Cut(event, []byte("\n"))
@@ -108,7 +108,7 @@
 	return id, numbered, data
 }
 
-// idAfter says whether the id of an event comes after another one's.
+// idAfter reports whether an event id follows another. Ids that are not numbers are only compared for equality.
 func idAfter(last, id string) bool {
 	a, err1 := strconv.ParseInt(last, 10, 64)
 	b, err2 := strconv.ParseInt(id, 10, 64)
@@ -118,13 +118,13 @@
 	return b > a
 }
 
-// eventCounter counts the events of a stream whose bytes are passed on as they come.
+// eventCounter counts the events of a stream that is forwarded without being split.
 type eventCounter struct {
-	inLine  bool // the line at hand has bytes
-	inEvent bool // the event at hand has lines
+	inLine  bool // the current line has bytes
+	inEvent bool // the current event has lines
 }
 
-// count says how many events end in data.
+// count returns the number of events that end in data.
 func (c *eventCounter) count(data []byte) (events int) {
 	for _, b := range data {
 		switch {
--- a/internal/system/proxy/exchange.go
+++ b/internal/system/proxy/exchange.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	maxUnreached      = 4                      // runners that were never reached, for one request
-	maxPlacementTries = 8                      // runners without a connection to spare, in one choice
-	deadlineGrace     = 150 * time.Millisecond // past the deadline, for the end of an answer that is under way; see expire
-	shortRetryAfter   = 100 * time.Millisecond // after which a refused client may come back: another runner or proxy has room
+	maxUnreached      = 4                      // runners to which no connection came up, per request
+	maxPlacementTries = 8                      // choices of a runner without a spare connection, per placement
+	deadlineGrace     = 150 * time.Millisecond // beyond the deadline, for the end of a response in progress; see handleDeadline
+	shortRetryAfter   = 100 * time.Millisecond // told to a rejected client when another runner or proxy may have capacity
 )
 
-// exchangeState is where an exchange stands.
+// exchangeState is the state of an exchange.
 type exchangeState uint8
 
 const (
-	exchangeReceiving  exchangeState = iota // the body of the request is coming
-	exchangePlacing                         // whole; no runner has it
-	exchangeConnecting                      // a connection to the chosen runner is coming up
-	exchangeAwaiting                        // given to a runner, which has not answered
-	exchangeRelaying                        // the head of the answer has gone to the client
+	exchangeReceiving  exchangeState = iota // the request body is arriving
+	exchangePlacing                         // the request is complete and assigned to no runner
+	exchangeConnecting                      // a connection to the chosen runner is being established
+	exchangeAwaiting                        // the request was sent and no response head has arrived
+	exchangeRelaying                        // the response head was forwarded to the client
 	exchangeFinished
 )
 
-// exchange is a request of a client and its answer.
+// exchange is one request of a client and its response.
 type exchange struct {
 	proxy         *Proxy
 	session       *session
@@ -40,15 +40,15 @@
 	body          []byte
 	tryID         string
 	request       placement.Request
-	attempt       *attempt // under way; nil between attempts
-	unreached     int      // attempts of which no connection came up
+	attempt       *attempt // in progress; nil between attempts
+	unreached     int      // attempts without an established connection
 	response      response
-	eventReader   eventReader // of a stream that may be continued at another runner
-	stalled       bool        // the client does not take what it is sent
+	eventReader   eventReader // of a stream that another runner may continue
+	stalled       bool        // the client does not read fast enough
 	deadlineTimer *eventloop.Timer
 }
 
-// newExchange makes the exchange of a request whose head has come.
+// newExchange creates the exchange for a request whose head was read.
 func newExchange(s *session, head httpwire.RequestHead) *exchange {
 	x := &exchange{proxy: s.proxy, session: s, head: head}
 	x.bodyReader.Reset(head.Body)
@@ -57,7 +57,7 @@
 	return x
 }
 
-// admit looks at the head: a request that cannot be served is answered at once.
+// admit validates the head. A request that cannot be served is answered immediately.
 func (x *exchange) admit() {
 	header := x.head.Header
 	tryID, once := header.GetUnique(headerTryID)
@@ -99,7 +99,8 @@
 	x.session.sendContinue(x)
 }
 
-// decline answers a request without a use for its body; if that has not come whole the connection ends.
+// decline responds without using the request body. If the body has not arrived completely, the connection is closed
+// after the response.
 func (x *exchange) decline(response localResponse) {
 	if !x.session.skipBody(x) {
 		x.session.closeAfterResponse = true
@@ -107,7 +108,7 @@
 	x.respond(response)
 }
 
-// appendBody adds a part of the body.
+// appendBody stores bytes of the body.
 func (x *exchange) appendBody(data []byte) {
 	if len(data) == 0 {
 		return
@@ -119,14 +120,15 @@
 	x.proxy.bufferedBodyBytes += len(data)
 }
 
-// releaseBody lets go of the body once it cannot be sent again.
+// releaseBody frees the body once the request cannot be sent again.
 func (x *exchange) releaseBody() {
 	x.proxy.bufferedBodyBytes -= len(x.body)
 	x.body = nil
 }
 
-// exchangeTransitions says which states an exchange may go to from each one. A request that was not sent, or that may run again, is
-// connected anew; an answer that has begun stays relaying, also while another runner continues it.
+// exchangeTransitions lists the valid successors of each state. A request that was not sent or may be executed again
+// returns to exchangeConnecting; a response that has begun stays in exchangeRelaying even while another runner
+// continues it.
 var exchangeTransitions = [...][]exchangeState{
 	exchangeReceiving:  {exchangePlacing, exchangeFinished},
 	exchangePlacing:    {exchangeConnecting, exchangeFinished},
@@ -136,13 +138,13 @@
 	exchangeFinished:   {},
 }
 
-// transition is the one place where the state changes.
+// transition is the only place that changes the state.
 func (x *exchange) transition(next exchangeState) {
 	invariant.Check(slices.Contains(exchangeTransitions[x.state], next), "proxy: an exchange changes its state as it may")
 	x.state = next
 }
 
-// handleComplete goes on once the request is whole.
+// handleComplete continues once the request has arrived completely.
 func (x *exchange) handleComplete() {
 	x.transition(exchangePlacing)
 	x.request.BodyBytes = len(x.body)
--- a/internal/system/proxy/exchange_placement.go
+++ b/internal/system/proxy/exchange_placement.go
@@ -8,7 +8,7 @@
 	"cinderroad/internal/system/placement"
 )
 
-// place has a runner named and sends the request there, or gives up.
+// place chooses a runner and sends the request to it, or gives up.
 func (x *exchange) place() {
 	choice, refusal := x.chooseRunner()
 	if refusal != nil {
@@ -18,7 +18,7 @@
 	x.startAttempt(choice)
 }
 
-// logRefusal logs why no runner was named.
+// logRefusal logs why the placer chose no runner.
 func (x *exchange) logRefusal(refusal *placement.Rejection) {
 	if e := x.proxy.log.Check(zap.DebugLevel, "refused"); e != nil {
 		e.Write(zap.String("try", x.tryID), zap.String("route", x.request.Route.Name), zap.String("reason", refusal.Reason),
@@ -26,7 +26,7 @@
 	}
 }
 
-// chooseRunner has a runner named that has a connection to spare.
+// chooseRunner asks the placer for a runner until one has a spare connection, at most maxPlacementTries times.
 func (x *exchange) chooseRunner() (placement.Choice, *placement.Rejection) {
 	tried := x.request.TriedRunners
 	defer func() { x.request.TriedRunners = tried }()
@@ -45,7 +45,7 @@
 	return placement.Choice{}, &placement.Rejection{RetryAfter: shortRetryAfter, Reason: "no connection to spare"}
 }
 
-// startAttempt begins an attempt.
+// startAttempt sends the request to the chosen runner.
 func (x *exchange) startAttempt(choice placement.Choice) {
 	if x.state != exchangeRelaying {
 		x.transition(exchangeConnecting)
@@ -58,8 +58,8 @@
 	x.proxy.pool.send(a)
 }
 
-// mayRetry says whether the request may be sent to another runner. What must hold is checked here too: the placer
-// knows of budgets, this knows of promises.
+// mayRetry reports whether the request may be sent to another runner. The placer decides on the retry budget; whether a
+// second execution is allowed is decided here.
 func (x *exchange) mayRetry() bool {
 	if x.request.MayHaveRun && !x.request.Route.IsIdempotent() {
 		return false
@@ -74,12 +74,13 @@
 	return x.proxy.placer.MayRetry(now, &x.request)
 }
 
-// canContinue says whether an answer that has begun may go on from another runner.
+// canContinue reports whether another runner may continue a response that has begun.
 func (x *exchange) canContinue() bool {
 	return x.response.resumable && x.eventReader.canResume()
 }
 
-// retry sends the request to another runner, if that may be and one can take it.
+// retry sends the request to another runner if that is allowed and a runner has capacity. Otherwise pause is when the
+// client may retry; 0: unknown.
 func (x *exchange) retry() (sent bool, pause time.Duration) {
 	if !x.mayRetry() {
 		return false, 0
@@ -96,14 +97,14 @@
 	return true, 0
 }
 
-// retryOrGiveUp sends the request to another runner after an attempt that brought nothing, or gives up.
+// retryOrGiveUp sends the request to another runner after an attempt without a usable response, or gives up.
 func (x *exchange) retryOrGiveUp(pause time.Duration) {
 	if sent, refused := x.retry(); !sent {
 		x.giveUp(max(pause, refused))
 	}
 }
 
-// noteTried notes the runner of an attempt.
+// noteTried excludes the attempt's runner from further placement and records whether it may have executed the request.
 func (x *exchange) noteTried(a *attempt, mayHaveRun bool) {
 	x.request.TriedRunners = append(x.request.TriedRunners, a.choice.Runner)
 	x.request.MayHaveRun = x.request.MayHaveRun || mayHaveRun
--- a/internal/system/proxy/headers.go
+++ b/internal/system/proxy/headers.go
@@ -10,7 +10,7 @@
 	"cinderroad/internal/system/placement"
 )
 
-// Fields that the system and its clients and runners speak by.
+// Header fields of the protocol between clients, proxies and runners.
 const (
 	headerTryID        = "X-Try-Id"
 	headerTimeLeft     = "X-Time-Left-Ms"
@@ -26,14 +26,14 @@
 )
 
 const (
-	maxTryIDBytes   = 256 // bytes
+	maxTryIDBytes   = 256
 	maxRetryAfter   = 24 * time.Hour
-	maxPromptChunks = 1024      // of a prompt
-	maxTokenCount   = 100 << 20 // tokens
+	maxPromptChunks = 1024
+	maxTokenCount   = 100 << 20
 )
 
-// parseTimeLeft reads how long the client will wait, at most the given time, which is also what counts where it does not say.
-// It is 0 where the client's time is over.
+// parseTimeLeft returns how long the client will wait, at most atMost. A missing or malformed field means atMost; 0
+// means that the client's time has run out.
 func parseTimeLeft(header httpwire.Header, atMost time.Duration) time.Duration {
 	ms, err := strconv.ParseFloat(header.Get(headerTimeLeft), 64)
 	switch {
@@ -47,7 +47,8 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// parseTokenCounts reads the tokens of the prompt and the most of the answer; what makes no sense is not told.
+// parseTokenCounts returns the number of prompt tokens and the limit of response tokens; 0 for a malformed or missing
+// value.
 func parseTokenCounts(value string) (input, output int) {
 	first, second, _ := strings.Cut(value, ",")
 	return parseTokenCount(first), parseTokenCount(second)
@@ -61,7 +62,7 @@
 	return n
 }
 
-// parsePromptChunks reads the parts of a prompt in their order; from the first that makes no sense on, nothing is told.
+// parsePromptChunks returns the chunks of a prompt in order, up to the first malformed one.
 func parsePromptChunks(value string) []placement.Chunk {
 	if value == "" {
 		return nil
@@ -78,13 +79,13 @@
 	return parts
 }
 
-// parseRetryAfter is when a runner that was full may be asked again; 0: it does not say.
+// parseRetryAfter returns when a runner at capacity may be tried again; 0: not given.
 func parseRetryAfter(head *httpwire.ResponseHead) time.Duration {
 	seconds := parseSeconds(head.Header.Get(headerRetryAfter))
 	return max(0, min(seconds, maxRetryAfter))
 }
 
-// parseSeconds reads a time in seconds; 0 when it makes no sense.
+// parseSeconds returns a duration given in seconds; 0 if it is malformed or out of range.
 func parseSeconds(value string) time.Duration {
 	s, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(s > 0) || s > maxRetryAfter.Seconds() {
@@ -93,7 +94,8 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-// advertisedIdleTimeout is how long the connection may rest after an answer with this header; 0: it does not say.
+// advertisedIdleTimeout returns how long the connection may stay idle after a response with this header, less a safety
+// margin; 0: not given.
 func advertisedIdleTimeout(header httpwire.Header) time.Duration {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.Trim(part, " \t"), "=")
--- a/internal/system/proxy/idle_timeout.go
+++ b/internal/system/proxy/idle_timeout.go
@@ -6,23 +6,24 @@
 )
 
 const (
-	defaultIdleTrust     = time.Second // that a connection is trusted for while nothing is known
+	defaultIdleTrust     = time.Second // a connection's trusted idle time while nothing was observed
 	minIdleTrust         = 200 * time.Millisecond
-	advertisedIdleMargin = 200 * time.Millisecond // before the end that a runner has named
-	idleTrustFraction    = 0.8                    // of the rest after which runners were seen to close
+	advertisedIdleMargin = 200 * time.Millisecond // before the timeout that a runner advertises
+	idleTrustFraction    = 0.8                    // of the idle times after which runners were seen to close
 	maxIdleSamples       = 8
-	minIdleSamples       = 3           // ends seen before they count for more than defaultIdleTrust
-	maxIdleTime          = time.Minute // after which an idle connection is closed here
+	minIdleSamples       = 3           // observations required to exceed defaultIdleTrust
+	maxIdleTime          = time.Minute // after which the proxy closes an idle connection
 )
 
-// idleTimeoutEstimator holds the rests after which runners of a service closed idle connections, the last few of them. Those that a
-// crash cut short are outliers: what counts is a low quartile, not the least.
+// idleTimeoutEstimator estimates how long the runners of a service keep an idle connection open, from the idle times
+// after which they closed the latest ones. Closes caused by a crash are outliers: the estimate uses a low quartile, not
+// the minimum.
 type idleTimeoutEstimator struct {
 	samples []time.Duration
 	next    int
 }
 
-// observe notes that a runner closed a connection that had rested so long.
+// observe records that a runner closed a connection that had been idle for so long.
 func (b *idleTimeoutEstimator) observe(rest time.Duration) {
 	if len(b.samples) < maxIdleSamples {
 		b.samples = append(b.samples, rest)
@@ -32,7 +33,7 @@
 	b.next = (b.next + 1) % maxIdleSamples
 }
 
-// estimate is how long a connection may rest and still be given a request.
+// estimate returns how long a connection may be idle and still be used for a request.
 func (b *idleTimeoutEstimator) estimate() time.Duration {
 	if len(b.samples) == 0 {
 		return defaultIdleTrust
@@ -46,7 +47,7 @@
 	return max(low, minIdleTrust)
 }
 
-// makeIdle makes the connection idle for the next request.
+// makeIdle makes the connection available for the next request.
 func (l *runnerConn) makeIdle() {
 	p := l.runner.pool.proxy
 	if !l.runner.listed || l.runner.draining || p.shutdown.active && p.openExchanges == 0 {
@@ -65,7 +66,7 @@
 	l.timer = p.runAt(l.idleSince+most, l.close)
 }
 
-// idleTrustLimit is how long the connection may have rested to be given a request.
+// idleTrustLimit returns how long the connection may have been idle and still be used for a request.
 func (l *runnerConn) idleTrustLimit() time.Duration {
 	if l.advertisedIdle > 0 {
 		return l.advertisedIdle
@@ -73,8 +74,8 @@
 	return l.runner.pool.idleTimeoutOf(l.runner.service).estimate()
 }
 
-// learnIdleTimeout learns from a runner's close of an idle connection, unless others end at the same time: then the runner
-// ends.
+// learnIdleTimeout records the close of an idle connection by its runner. Closes in quick succession mean that the
+// runner itself stops, and are not recorded.
 func (l *runnerConn) learnIdleTimeout() {
 	now := l.runner.pool.proxy.now()
 	if now-l.runner.lastIdleCloseAt > sharedCloseWindow && l.advertisedIdle == 0 {
--- a/internal/system/proxy/metrics.go
+++ b/internal/system/proxy/metrics.go
@@ -2,7 +2,8 @@
 
 import "cinderroad/internal/system/exposition"
 
-// writeMetrics writes the proxy's own figures. Names end in what they count: _total since the start of the process, _seconds.
+// writeMetrics writes the proxy's metrics. Names end in their unit: _total for counters since the start of the process,
+// _seconds for times.
 func (p *Proxy) writeMetrics(page *exposition.Page) {
 	counters := &p.Counters
 	counter := func(name, help string, value uint64) {
--- a/internal/system/proxy/monitor.go
+++ b/internal/system/proxy/monitor.go
@@ -12,26 +12,26 @@
 
 const (
 	readyPath           = "/-/ready"
-	maxMonitorHeadBytes = 8 << 10 // bytes
-	monitorIdleSeconds  = 10      // seconds
-	maxMonitorConns     = 16      // connections of one endpoint; beyond that the oldest goes
+	maxMonitorHeadBytes = 8 << 10
+	monitorIdleSeconds  = 10
+	maxMonitorConns     = 16 // per endpoint; beyond that the oldest is closed
 )
 
-// monitorResponse is what an endpoint answers to a GET of its path.
+// monitorResponse is an endpoint's response to a GET of its path.
 type monitorResponse struct {
 	status      int
-	contentType string // empty: there is no body
+	contentType string // empty: no body
 	body        []byte
 }
 
-// monitorEndpoint is an address at which monitoring asks about the process, apart from clients: a flood of them does not
-// make the proxy look dead.
+// monitorEndpoint is a listener for health checks or metrics, separate from the one for clients so that a flood of
+// clients does not make the proxy look dead.
 type monitorEndpoint struct {
 	proxy    *Proxy
 	path     string
 	respond  func() monitorResponse
 	listener *eventloop.Listener
-	sessions []*monitorSession // the oldest first
+	sessions []*monitorSession // oldest first
 }
 
 // monitorSession is a connection to an endpoint.
@@ -41,7 +41,7 @@
 	timer    *eventloop.Timer
 }
 
-// listenMonitor serves an endpoint; the zero address is not served.
+// listenMonitor starts an endpoint; the zero address starts none.
 func (p *Proxy) listenMonitor(address netip.AddrPort, path string, answer func() monitorResponse) (*monitorEndpoint, error) {
 	if !address.IsValid() {
 		return nil, nil
@@ -54,7 +54,7 @@
 	return e, nil
 }
 
-// readyResponse is the answer to the platform, which asks whether clients should be sent here.
+// readyResponse answers the platform's readiness check.
 func (p *Proxy) readyResponse() monitorResponse {
 	if p.Ready() {
 		return monitorResponse{status: 200}
@@ -62,7 +62,7 @@
 	return monitorResponse{status: 503}
 }
 
-// metricsResponse is the page of the process's own figures.
+// metricsResponse is the page of the process's metrics.
 func (p *Proxy) metricsResponse() monitorResponse {
 	var page exposition.Page
 	p.writeMetrics(&page)
@@ -76,7 +76,7 @@
 	return s
 }
 
-// closeOldest closes the oldest connection.
+// closeOldest closes the oldest connection; false if there is none.
 func (e *monitorEndpoint) closeOldest() bool {
 	if len(e.sessions) == 0 {
 		return false
@@ -91,7 +91,7 @@
 	s.timer = loop.At(loop.Now()+monitorIdleSeconds, s.close)
 }
 
-// detach forgets the connection.
+// detach removes the session from its endpoint.
 func (s *monitorSession) detach() {
 	s.timer.Stop()
 	s.endpoint.sessions = slices.DeleteFunc(s.endpoint.sessions, func(other *monitorSession) bool { return other == s })
@@ -102,13 +102,13 @@
 	s.socket.Close()
 }
 
-// Opened implements transport.Handler.
+// Opened implements eventloop.Handler.
 func (s *monitorSession) Opened(*eventloop.Conn) {}
 
-// Closed implements transport.Handler.
+// Closed implements eventloop.Handler.
 func (s *monitorSession) Closed(*eventloop.Conn, error) { s.detach() }
 
-// Data implements transport.Handler.
+// Data implements eventloop.Handler.
 func (s *monitorSession) Data(conn *eventloop.Conn) {
 	for len(conn.Bytes()) > 0 {
 		request, n, err := httpwire.ParseRequestHead(conn.Bytes(), maxMonitorHeadBytes)
@@ -128,7 +128,7 @@
 	}
 }
 
-// respond is the answer to a request.
+// respond returns the response to a request, or to the parse error of one.
 func (s *monitorSession) respond(request *httpwire.RequestHead, err error) monitorResponse {
 	switch {
 	case err != nil:
@@ -141,7 +141,7 @@
 	return s.endpoint.respond()
 }
 
-// appendMonitorResponse writes an answer; last says that the connection ends with it.
+// appendMonitorResponse encodes a response; last means that the connection is closed after it.
 func appendMonitorResponse(b []byte, response monitorResponse, last, noBody bool) []byte {
 	b = httpwire.AppendStatusLine(b, response.status, httpwire.ReasonPhrase(response.status))
 	if response.contentType != "" {
--- a/internal/system/proxy/notice.go
+++ b/internal/system/proxy/notice.go
@@ -6,11 +6,12 @@
 	"cinderroad/internal/system/placement"
 )
 
-// A datagram is a notice's kind in one byte, the runner's key, and of a prompt its tokens.
+// Encoding of a notice: its kind in one byte, the runner's key in eight, and for a prompt its number of tokens as a
+// varint.
 const (
-	noticeRelayFlag   = 0x80      // bit of the kind: whoever gets it passes it on in its zone, without the bit
-	noticeHeaderBytes = 1 + 8     // bytes
-	maxNoticeTokens   = 1<<24 - 1 // tokens of a prompt
+	noticeRelayFlag   = 0x80 // bit of the kind: the receiver forwards the notice in its zone, without the bit
+	noticeHeaderBytes = 1 + 8
+	maxNoticeTokens   = 1<<24 - 1 // per prompt
 )
 
 func appendNotice(b []byte, notice placement.Notice) []byte {
--- a/internal/system/proxy/peer_notifier.go
+++ b/internal/system/proxy/peer_notifier.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	noticeLinkFraction        = 0.04  // of the machine's link, for what other proxies are told
-	noticeBurstSeconds        = 1.0   // seconds of that share that may be spent at once
-	defaultLinkBytesPerSecond = 125e6 // bytes a second, where the settings name no bound
-	datagramHeaderBytes       = 28    // bytes of a datagram's headers
+	noticeLinkFraction        = 0.04  // of the machine's link, for notices to other proxies
+	noticeBurstSeconds        = 1.0   // the budget may be spent at once for so long
+	defaultLinkBytesPerSecond = 125e6 // if the settings give no bandwidth
+	datagramHeaderBytes       = 28    // IP and UDP headers
 	relaySeedStream           = 0x80  // of the random choice of proxies in other zones
-	maxOwnZonePeers           = 256   // proxies of the own zone that are told
+	maxOwnZonePeers           = 256   // notified proxies of the own zone
 )
 
-// peerNotifier are the other proxies. Each is told by datagram which prompts runners are given to read, and which runners answer
-// again. The proxies of the own zone are told by this one; one proxy of each other zone, drawn anew
-// each time, is told to pass it on in its zone, since bytes between zones are dear. A datagram that is lost costs a worse
-// choice and nothing else.
+// peerNotifier tells the other proxies which prompts runners are prefilling and which runners respond again, one
+// datagram a notice. It notifies every proxy of its own zone and one of each other zone, drawn anew each time, which
+// forwards the notice in its zone because traffic between zones is expensive. A lost datagram costs a worse choice of
+// runner and nothing else.
 type peerNotifier struct {
 	proxy       *Proxy
 	random      *rand.Rand
 	socket      *eventloop.UDPSocket
-	peersKnown  bool                        // the agent has told who the others are
-	ownZone     []netip.AddrPort            // in the own zone
-	otherZones  map[string][]netip.AddrPort // in the others
-	budgetBytes float64                     // bytes that may be sent now
-	refilledAt  float64                     // seconds of the loop's clock
+	peersKnown  bool                        // the agent has announced the peer list
+	ownZone     []netip.AddrPort            // peers in the own zone
+	otherZones  map[string][]netip.AddrPort // peers in the other zones, by zone
+	budgetBytes float64                     // may be sent now
+	refilledAt  float64                     // when budgetBytes was last refilled, in seconds of the loop's clock
 	datagram    []byte
 }
 
@@ -42,7 +42,7 @@
 	return &peerNotifier{proxy: p, random: random, otherZones: map[string][]netip.AddrPort{}, refilledAt: p.loop.Now() - noticeBurstSeconds}
 }
 
-// listen opens the socket. The proxy does its work without it, too.
+// listen opens the socket. The proxy serves without it if that fails.
 func (s *peerNotifier) listen() {
 	address := s.proxy.options.NoticeAddr
 	if !address.IsValid() || s.socket != nil {
@@ -56,7 +56,7 @@
 	s.socket = socket
 }
 
-// applyPeers replaces the other proxies.
+// applyPeers replaces the peer list.
 func (p *Proxy) applyPeers(told []feed.Peer) {
 	keys := make([]uint64, 0, len(told))
 	p.peers.ownZone = nil
@@ -71,7 +71,7 @@
 	p.placer.SetPeers(p.now(), xxhash.Sum64String(p.options.Node), keys)
 }
 
-// add names a proxy that is to be told; one whose zone is not known is told nothing.
+// add adds a peer to be notified; one whose zone is unknown gets no notices.
 func (s *peerNotifier) add(zone string, machine netip.Addr) {
 	if zone == "" || !machine.IsValid() {
 		return
@@ -85,21 +85,21 @@
 	}
 }
 
-// notifyPrefill tells the others which prompt an attempt has its runner read.
+// notifyPrefill tells the peers which prompt the attempt's runner is prefilling.
 func (s *peerNotifier) notifyPrefill(a *placement.Attempt) {
 	if notice, worth := a.PrefillNotice(); worth {
 		s.broadcast(notice)
 	}
 }
 
-// notifyResponding tells the others that the runner of an attempt answers again.
+// notifyResponding tells the peers that the attempt's runner responds again.
 func (s *peerNotifier) notifyResponding(a *placement.Attempt) {
 	if notice, worth := a.RecoveryNotice(); worth {
 		s.broadcast(notice)
 	}
 }
 
-// broadcast tells all others, if the share of the link bears it.
+// broadcast sends a notice to all peers if the bandwidth budget allows it.
 func (s *peerNotifier) broadcast(notice placement.Notice) {
 	if s.socket == nil {
 		return
@@ -117,7 +117,7 @@
 	}
 }
 
-// verdictRelay tells the own zone what a proxy of another one has told.
+// forward sends a notice from another zone to the peers of the own zone.
 func (s *peerNotifier) forward(datagram []byte) {
 	s.datagram = append(s.datagram[:0], datagram...)
 	s.datagram[0] &^= noticeRelayFlag
@@ -126,7 +126,7 @@
 	}
 }
 
-// send sends the datagram at hand. An error ends it: the system has no room, or there is no way.
+// send sends the current datagram. It stops at the first error: the socket buffer is full or there is no route.
 func (s *peerNotifier) send(listeners []netip.AddrPort) {
 	for _, listener := range listeners {
 		if s.socket.SendTo(listener, s.datagram) != nil {
@@ -135,7 +135,7 @@
 	}
 }
 
-// spendBudget takes bytes from the share of the link; false: it is used up.
+// spendBudget takes size bytes from the bandwidth budget; false if it is used up.
 func (s *peerNotifier) spendBudget(size int) bool {
 	link := s.proxy.options.LinkBytesPerSecond
 	if link <= 0 {
@@ -153,7 +153,7 @@
 	return true
 }
 
-// handleDatagram takes a datagram; one that makes no sense is passed over.
+// handleDatagram processes a datagram; malformed ones are ignored.
 func (s *peerNotifier) handleDatagram(datagram []byte) {
 	notice, relayed, ok := parseNotice(datagram)
 	if !ok {
--- a/internal/system/proxy/placer.go
+++ b/internal/system/proxy/placer.go
@@ -7,27 +7,36 @@
 	"cinderroad/internal/system/placement"
 )
 
-// Placer decides which runner takes a request. It has no clock: now is the proxy's steady clock, which begins at 0.
-// placement.Placer is the one that programs use.
+// Placer chooses the runner for a request. It has no clock: now is the proxy's monotonic clock, which starts at 0.
+// Programs use placement.Placer.
 type Placer interface {
 	SetServices(now time.Duration, services []*configuration.Service)
 	SetRunners(now time.Duration, runners []placement.Runner)
 	SetEvacuatedZones(now time.Duration, zones map[string]bool)
+	// SetProxyCount announces how many proxies may send to the same runners, this one included.
 	SetProxyCount(now time.Duration, n int)
+	// SetPeers announces the other proxies by keys derived from their names; it implies their number.
 	SetPeers(now time.Duration, self uint64, peers []uint64)
 	HandleNotice(now time.Duration, notice placement.Notice)
-	Place(now time.Duration, r *placement.Request) (placement.Choice, *placement.Rejection)
-	StartAttempt(now time.Duration, r *placement.Request, c placement.Choice) *placement.Attempt
-	HandleFirstEvent(now time.Duration, a *placement.Attempt)
-	HandleEvent(now time.Duration, a *placement.Attempt)
-	EndAttempt(now time.Duration, a *placement.Attempt, o placement.Outcome, p placement.Progress)
-	MayRetry(now time.Duration, r *placement.Request) bool
+
+	// Place chooses a runner that is not among request.Tried, or says why there is none.
+	Place(now time.Duration, request *placement.Request) (placement.Choice, *placement.Rejection)
+	// StartAttempt is called when a request is sent to the chosen runner. Each attempt is ended by EndAttempt once.
+	StartAttempt(now time.Duration, request *placement.Request, choice placement.Choice) *placement.Attempt
+	HandleFirstEvent(now time.Duration, attempt *placement.Attempt)
+	HandleEvent(now time.Duration, attempt *placement.Attempt)
+	EndAttempt(now time.Duration, attempt *placement.Attempt, outcome placement.Outcome, progress placement.Progress)
+	// MayRetry reports whether the retry budget allows another attempt.
+	MayRetry(now time.Duration, request *placement.Request) bool
+
+	// Tick does periodic work and returns when it is to be called again.
 	Tick(now time.Duration) (next time.Duration)
+	// Snapshot encodes what was learned about the runners; Restore loads the snapshot of an earlier incarnation.
 	Snapshot() []byte
-	Restore(now time.Duration, learnt []byte) error
+	Restore(now time.Duration, snapshot []byte) error
 }
 
-// Routes finds the route of a request, by the Host field and the target as the client sent them; nil: there is none.
+// Routes finds the route of a request by the Host field and the target as the client sent them; nil: there is none.
 type Routes interface {
 	Lookup(host, target string) *configuration.Route
 }
--- a/internal/system/proxy/pool.go
+++ b/internal/system/proxy/pool.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	minConns                    = 2 // to a runner, whatever its service allows
+	minConns                    = 2 // per runner, whatever its service allows
 	defaultConns                = 64
-	defaultProxies              = 16 // while their number is not known
+	defaultProxies              = 16 // while their number is unknown
 	minConnectTimeout           = 250 * time.Millisecond
 	maxConnectTimeout           = 2 * time.Second
-	initialConnectTimeout       = time.Second            // while no connect has been seen
-	minUnmeasuredConnectTimeout = 500 * time.Millisecond // at least, while none of the runner has
-	connectTimeoutFactor        = 4                      // of the time that connects took
-	connectTimeDecay            = 0.9                    // of the longest connect seen, after each shorter one
+	initialConnectTimeout       = time.Second            // before any connect was measured
+	minUnmeasuredConnectTimeout = 500 * time.Millisecond // minimum while no connect to the runner was measured
+	connectTimeoutFactor        = 4                      // of the longest measured connect time
+	connectTimeDecay            = 0.9                    // of the longest measured connect time, with each shorter one
 )
 
-// pool is the connections to runners. A connection belongs to an incarnation: another one at the same address gets none
-// that was opened for the first.
+// pool holds the connections to runners. A connection belongs to one incarnation of a runner: another incarnation at
+// the same address never uses it.
 type pool struct {
 	proxy          *Proxy
 	runners        map[string]*runner
 	services       map[string]*configuration.Service
 	idleTimeouts   map[string]*idleTimeoutEstimator // by service
 	proxies        int
-	slowestConnect time.Duration // connect, decayed
+	slowestConnect time.Duration // connect time over all runners, decayed
 }
 
 func newPool(p *Proxy) *pool {
@@ -35,7 +35,7 @@
 		idleTimeouts: map[string]*idleTimeoutEstimator{}, proxies: defaultProxies}
 }
 
-// setServices takes the services in force.
+// setServices replaces the services.
 func (p *pool) setServices(services []*configuration.Service) {
 	clear(p.services)
 	for _, s := range services {
@@ -43,7 +43,7 @@
 	}
 }
 
-// setRunners takes the runners that are known. One that is gone or drains keeps no idle connections.
+// setRunners replaces the known runners. Idle connections to runners that are gone or draining are closed.
 func (p *pool) setRunners(runners []placement.Runner) {
 	for _, r := range p.runners {
 		r.listed = false
@@ -71,21 +71,21 @@
 	r.service, r.address, r.draining, r.listed = known.Service, known.Address, known.Draining, true
 }
 
-// removeIfUnused drops a runner that is neither listed nor connected.
+// removeIfUnused removes a runner that is neither listed nor connected.
 func (p *pool) removeIfUnused(r *runner) {
 	if !r.listed && len(r.conns) == 0 {
 		delete(p.runners, r.id)
 	}
 }
 
-// closeIdleOf closes the idle connections of a runner that has gone from its address.
+// closeIdleOf closes the idle connections of a runner that has left its address.
 func (p *pool) closeIdleOf(id string) {
 	if r := p.runners[id]; r != nil {
 		r.closeIdle()
 	}
 }
 
-// maxConns is this proxy's part of the connections that a runner takes.
+// maxConns returns this proxy's share of the connections that a runner accepts.
 func (p *pool) maxConns(r *runner) int {
 	most := defaultConns
 	if s := p.services[r.service]; s != nil && s.MaxConnections > 0 {
@@ -94,7 +94,7 @@
 	return max(minConns, most/p.proxies)
 }
 
-// canAccept says whether a request can be given to the chosen runner now.
+// canAccept reports whether a request can be sent to the chosen runner now.
 func (p *pool) canAccept(choice placement.Choice) bool {
 	r := p.runners[choice.Runner]
 	if r == nil || !r.listed || r.draining || p.proxy.now() < r.suspectUntil {
@@ -103,7 +103,7 @@
 	return len(r.idle) > 0 || len(r.conns) < p.maxConns(r)
 }
 
-// send gives an attempt to an idle connection or a new one.
+// send sends an attempt on an idle connection or on a new one.
 func (p *pool) send(a *attempt) {
 	r := p.runners[a.choice.Runner]
 	if r == nil {
@@ -117,7 +117,7 @@
 	r.dial(a)
 }
 
-// closeOldestIdle closes the connection that has rested longest; false when none rests.
+// closeOldestIdle closes the connection that has been idle longest; false if none is idle.
 func (p *pool) closeOldestIdle() bool {
 	var oldest *runnerConn
 	for _, r := range p.runners {
@@ -131,7 +131,7 @@
 	return oldest != nil
 }
 
-// idleTimeoutEstimator is what is known of how long the runners of a service leave a connection idle.
+// idleTimeoutOf returns the idle timeout estimator of a service.
 func (p *pool) idleTimeoutOf(service string) *idleTimeoutEstimator {
 	b := p.idleTimeouts[service]
 	if b == nil {
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -1,9 +1,3 @@
-// Package proxy is the data plane: it takes requests of clients over HTTP/1.1, has a Placer name a runner for each,
-// sends them there and passes the answers on. All of it runs on one goroutine, that of the transport loop; what comes
-// from elsewhere (the feed of the control plane, signals) is posted to it.
-//
-// A request is held whole before it is sent. Whether it may have run hinges on its last byte: until the system has
-// taken that from the proxy no runner can have begun, after it only an answer that says so proves that none did.
 package proxy
 
 import (
@@ -19,7 +13,7 @@
 	"cinderroad/internal/system/placement"
 )
 
-// Bounds that hold until the configuration names its own, and where it names none.
+// Client limits for values that the configuration does not set.
 const (
 	defaultHeaderBytes   = 16 << 10
 	defaultBodyBytes     = 4 << 20
@@ -29,40 +23,41 @@
 
 const (
 	minProxies           = 1
-	bufferMemoryDivisor  = 4 // requests may hold one part in so many of the memory
+	bufferMemoryDivisor  = 4 // request bodies may use one part in so many of the memory
 	pendingFlushBytes    = 16 << 10
 	maxPendingSpareBytes = 4 * pendingFlushBytes
-	splitterSeedMask     = 0x9e3779b97f4a7c15 // apart from the seed of what else is drawn
-	defaultBufferBytes   = 64 << 20           // bytes, where the memory is not known
+	splitterSeedMask     = 0x9e3779b97f4a7c15 // separates this random stream from others of the same seed
+	defaultBufferBytes   = 64 << 20           // if the memory is unknown
 )
 
-// Options say where the proxy listens and what it may use.
+// Options configure a Proxy.
 type Options struct {
+	// Address for clients.
 	FrontAddr          netip.AddrPort
-	ReadyAddr          netip.AddrPort // zero: readiness is not served
-	MetricsAddr        netip.AddrPort // zero: figures are not served
-	MemoryBytes        int            // of the process; 0: not known
-	NoticeAddr         netip.AddrPort // where other proxies tell what they send; zero: nowhere, and nobody is told
-	Node               string         // the machine's name
+	ReadyAddr          netip.AddrPort // zero: no readiness endpoint
+	MetricsAddr        netip.AddrPort // zero: no metrics endpoint
+	MemoryBytes        int            // of the process; 0: unknown
+	NoticeAddr         netip.AddrPort // for notices of other proxies; zero: none are sent or received
+	Node               string         // name of the machine
 	Zone               string         // of the machine
-	LinkBytesPerSecond float64        // of the machine; 0: not known
-	GracePeriod        time.Duration  // from the signal to stop until the process is killed
-	Seed               uint64         // of what is drawn by chance
+	LinkBytesPerSecond float64        // of the machine; 0: unknown
+	GracePeriod        time.Duration  // from the shutdown signal until the process is killed
+	Seed               uint64         // of all random choices
 }
 
-// Counters count what the proxy has done since it started.
+// Counters count events since the start of the process.
 type Counters struct {
-	Requests, Served, Rejected, Failed, Aborted uint64 // Aborted: answers broken off and clients that left
+	Requests, Served, Rejected, Failed, Aborted uint64 // Aborted: responses broken off and clients that disconnected
 	Attempts, Resumed, Dials                    uint64
 	InvalidResponses                            uint64 // runner connections closed for bytes that belong to no request
-	NoticesSent, NoticesReceived                uint64 // to and from other proxies
-	NoticesSuppressed                           uint64 // beyond the share of the link
-	ShutdownOnNewConns, ShutdownOnKeptConns     uint64 // requests after the signal to stop, by their connection
-	ShutdownRejected                            uint64 // requests turned away since they might outlast the process
-	ShutdownCut                                 uint64 // requests that the end of the process broke off
+	NoticesSent, NoticesReceived                uint64
+	NoticesSuppressed                           uint64 // beyond the bandwidth budget
+	ShutdownOnNewConns, ShutdownOnKeptConns     uint64 // requests after the shutdown signal, by connection
+	ShutdownRejected                            uint64 // requests rejected because they might outlast the process
+	ShutdownCut                                 uint64 // requests cut off by the end of the process
 }
 
-// Proxy is the data plane of one process.
+// Proxy is the data plane of one process. Except for its construction, only the loop's goroutine may use it.
 type Proxy struct {
 	Counters Counters
 
@@ -71,11 +66,11 @@
 	placer    Placer
 	options   Options
 	splitter  *serviceSplitter
-	startedAt float64 // of the loop's clock, when the proxy's began
+	startedAt float64 // on the loop's clock, when the proxy's clock was 0
 
 	routes       Routes // nil until the configuration is known
 	limits       configuration.Limits
-	runnersKnown bool // the runners are known
+	runnersKnown bool // the runner list is complete
 	control      controlState
 	pool         *pool
 	peers        *peerNotifier
@@ -84,15 +79,15 @@
 	readyEndpoint     *monitorEndpoint
 	metricsEndpoint   *monitorEndpoint
 	sessions          sessionList
-	openExchanges     int // open
-	bufferedBodyBytes int // bytes of bodies held
+	openExchanges     int
+	bufferedBodyBytes int
 	pending           pendingWrite
 	shutdown          shutdownState
 	scratch           []byte
 	eventScratch      []byte
 }
 
-// New makes a proxy; it serves nothing until Listen.
+// New creates a proxy; it serves nothing until Listen.
 func New(loop *eventloop.Loop, log *zap.Logger, placer Placer, options Options) *Proxy {
 	p := &Proxy{loop: loop, log: log, placer: placer, options: options, startedAt: loop.Now()}
 	p.splitter = newServiceSplitter(rand.New(rand.NewPCG(options.Seed, options.Seed^splitterSeedMask)))
@@ -105,7 +100,7 @@
 	return p
 }
 
-// Listen begins to serve. It may be called again after an error.
+// Listen starts serving. It may be called again after an error.
 func (p *Proxy) Listen() (err error) {
 	if p.front == nil {
 		if p.front, err = p.loop.Listen(p.options.FrontAddr, p.accept); err != nil {
@@ -124,7 +119,7 @@
 	return nil
 }
 
-// listenMetrics serves the figures. The proxy does its work without them, too.
+// listenMetrics starts the metrics endpoint. The proxy serves without it if that fails.
 func (p *Proxy) listenMetrics() {
 	var err error
 	if p.metricsEndpoint, err = p.listenMonitor(p.options.MetricsAddr, exposition.Path, p.metricsResponse); err != nil {
@@ -132,32 +127,32 @@
 	}
 }
 
-// FrontAddr is the address that clients reach.
+// FrontAddr returns the address that clients connect to.
 func (p *Proxy) FrontAddr() netip.AddrPort { return p.front.Addr() }
 
-// now is the proxy's steady clock.
+// now returns the proxy's monotonic clock, which starts at 0.
 func (p *Proxy) now() time.Duration { return p.secondsToDuration(p.loop.Now() - p.startedAt) }
 
 func (p *Proxy) secondsToDuration(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// runAt runs do at a time of the proxy's clock.
+// runAt calls do at a time of the proxy's clock.
 func (p *Proxy) runAt(when time.Duration, do func()) *eventloop.Timer {
 	return p.loop.At(p.startedAt+when.Seconds(), do)
 }
 
-// tickPlacer has the placer rebuild its plan when it is due.
+// tickPlacer lets the placer rebuild its plan when that is due.
 func (p *Proxy) tickPlacer() {
 	now := p.now()
 	next := max(p.placer.Tick(now), now+time.Millisecond)
 	p.runAt(next, p.tickPlacer)
 }
 
-// SetRoutes puts routes in force for the requests that begin from now on.
+// SetRoutes replaces the routes for requests that arrive from now on.
 func (p *Proxy) SetRoutes(routes Routes) { p.routes = routes }
 
-// SetLimits puts bounds on clients in force; a field that is 0 has its default.
+// SetLimits replaces the limits for clients; a field that is 0 gets its default.
 func (p *Proxy) SetLimits(limits configuration.Limits) {
 	if limits.MaxHeaderBytes <= 0 {
 		limits.MaxHeaderBytes = defaultHeaderBytes
@@ -174,13 +169,13 @@
 	p.limits = limits
 }
 
-// SetServices puts the services in force.
+// SetServices replaces the services.
 func (p *Proxy) SetServices(services []*configuration.Service) {
 	p.placer.SetServices(p.now(), services)
 	p.pool.setServices(services)
 }
 
-// SetRunners replaces the set of runners.
+// SetRunners replaces the runners, a complete list.
 func (p *Proxy) SetRunners(runners []placement.Runner) {
 	p.runnersKnown = true
 	p.setRunners(runners)
@@ -191,19 +186,19 @@
 	p.pool.setRunners(runners)
 }
 
-// SetEvacuated replaces the set of zones that get nothing.
+// SetEvacuated replaces the set of zones that get no requests.
 func (p *Proxy) SetEvacuated(zones map[string]bool) { p.placer.SetEvacuatedZones(p.now(), zones) }
 
-// SetProxies says how many proxies may be sending.
+// SetProxies sets the number of proxies that may send to the same runners.
 func (p *Proxy) SetProxies(n int) {
 	p.placer.SetProxyCount(p.now(), n)
 	p.pool.proxies = max(n, minProxies)
 }
 
-// Ready says whether clients should be sent here.
+// Ready reports whether clients should be sent to this proxy.
 func (p *Proxy) Ready() bool { return p.routes != nil && p.runnersKnown && !p.shutdown.active }
 
-// maxBufferedBytes is how many bytes of requests may be held.
+// maxBufferedBytes returns how many bytes of requests may be buffered.
 func (p *Proxy) maxBufferedBytes() int {
 	if p.options.MemoryBytes <= 0 {
 		return defaultBufferBytes
@@ -211,7 +206,7 @@
 	return p.options.MemoryBytes / bufferMemoryDivisor
 }
 
-// memoryExhausted says whether there is no memory to take in more of a request.
+// memoryExhausted reports whether there is no memory to buffer more of a request.
 func (p *Proxy) memoryExhausted() bool {
 	return p.bufferedBodyBytes+p.loop.BufferedBytes() > p.maxBufferedBytes()
 }
--- a/internal/system/proxy/request.go
+++ b/internal/system/proxy/request.go
@@ -8,13 +8,13 @@
 	"cinderroad/internal/system/placement"
 )
 
-// pathOf is the path of a target.
+// pathOf returns the path of a request target.
 func pathOf(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	return path
 }
 
-// appendRequest writes the head of a request for a runner, which is followed by the body.
+// appendRequest encodes the head of the request for a runner; the body follows it.
 func (x *exchange) appendRequest(b []byte, choice placement.Choice) []byte {
 	b = append(b, x.head.Method...)
 	b = append(b, ' ')
@@ -43,7 +43,7 @@
 	return append(b, "\r\n"...)
 }
 
-// isForwarded says whether a field of the client goes to the runner as it came.
+// isForwarded reports whether a field of the client is forwarded to the runner unchanged.
 func (x *exchange) isForwarded(name string, choice placement.Choice, resumed bool) bool {
 	switch {
 	case strings.EqualFold(name, headerTryID), strings.EqualFold(name, "Host"):
--- a/internal/system/proxy/response.go
+++ b/internal/system/proxy/response.go
@@ -7,20 +7,20 @@
 	"cinderroad/internal/system/placement"
 )
 
-// response is what goes to the client of a runner's answer.
+// response is the part of a runner's response that determines what the client gets.
 type response struct {
-	started       bool // the head has been given to the session
+	started       bool // the head was written to the session
 	framing       httpwire.FramingKind
-	isEventStream bool // text/event-stream
-	resumable     bool // a stream that may go on from another runner
+	isEventStream bool // the content type is text/event-stream
+	resumable     bool // another runner may continue the stream
 }
 
-// isDelimited says whether the client can tell an answer that ends early from a whole one.
+// isDelimited reports whether the client can distinguish a truncated response from a complete one.
 func (a *response) isDelimited() bool {
 	return a.framing == httpwire.ByLength || a.framing == httpwire.Chunked
 }
 
-// canContinueWith says whether another runner's answer can continue the one that has begun.
+// canContinueWith reports whether another runner's response can continue the one that has begun.
 func (a *response) canContinueWith(head *httpwire.ResponseHead) bool {
 	return head.Status == 200 && hasEventStream(head)
 }
@@ -30,7 +30,7 @@
 	return strings.EqualFold(strings.Trim(kind, " \t"), "text/event-stream")
 }
 
-// relayHead begins to pass a runner's answer on. The head of a runner that continues an answer is dropped.
+// relayHead starts forwarding a runner's response. The head is dropped if the response continues an earlier one.
 func (x *exchange) relayHead(head *httpwire.ResponseHead) {
 	if x.response.started {
 		return
@@ -67,7 +67,7 @@
 	s.write(b)
 }
 
-// framing is how the body of an answer is framed toward the client.
+// framing returns how the response body is framed toward the client.
 func (x *exchange) framing(head *httpwire.ResponseHead) httpwire.FramingKind {
 	switch {
 	case head.Body.Kind == httpwire.NoBody:
@@ -80,7 +80,7 @@
 	return httpwire.UntilClose
 }
 
-// relayBody passes bytes of the runner's body on.
+// relayBody forwards bytes of the runner's response body.
 func (a *attempt) relayBody(data []byte) {
 	x := a.exchange
 	if len(data) == 0 {
@@ -100,7 +100,7 @@
 	a.noteEvents(events)
 }
 
-// writeBody gives bytes of the body to the session.
+// writeBody writes bytes of the body to the session in the client's framing.
 func (x *exchange) writeBody(data []byte) {
 	if len(data) == 0 {
 		return
@@ -113,8 +113,8 @@
 	x.session.write(data)
 }
 
-// endedMidEvent says whether a stream has ended in the midst of an event. A runner that ends while it answers closes its
-// connections in order, so that a stream without a length looks whole then; nil: nobody reads the answer.
+// endedMidEvent reports whether an event stream ended within an event. A runner process that exits closes its
+// connections in order, so that a stream without a length would look complete. a may be nil: nobody reads the response.
 func (a *attempt) endedMidEvent() bool {
 	if a == nil || !a.exchange.response.isEventStream {
 		return false
@@ -125,7 +125,7 @@
 	return a.eventCounter.inEvent
 }
 
-// complete ends an answer that has come whole.
+// complete ends an attempt whose response has arrived completely.
 func (a *attempt) complete() {
 	x := a.exchange
 	if x.response.resumable {
@@ -145,7 +145,7 @@
 	s.finishResponse()
 }
 
-// setStalled holds the runner back while the client does not take what it is sent.
+// setStalled stops reading from the runner while the client does not read fast enough.
 func (x *exchange) setStalled(stalled bool) {
 	x.stalled = stalled
 	if a := x.attempt; a != nil && a.conn != nil {
--- a/internal/system/proxy/runner.go
+++ b/internal/system/proxy/runner.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// runner is an incarnation and the connections to it.
+// runner is one incarnation of a runner and the connections to it.
 type runner struct {
 	pool            *pool
 	id              string
@@ -13,16 +13,16 @@
 	address         netip.AddrPort
 	listed          bool
 	draining        bool
-	conns           []*runnerConn // all connections
-	idle            []*runnerConn // those that rest; the one used last is at the end
-	slowestConnect  time.Duration // the longest connect seen, decayed; 0: none yet
-	lastIdleCloseAt time.Duration // when an idle connection to it last ended
-	suspectUntil    time.Duration // until when nothing is sent to it
-	lastDataAt      time.Duration // when anything last came from it
-	probing         bool          // whether its machine is there
+	conns           []*runnerConn // all connections, the idle ones included
+	idle            []*runnerConn // most recently used last
+	slowestConnect  time.Duration // longest measured connect time, decayed; 0: none measured
+	lastIdleCloseAt time.Duration // when the runner last closed an idle connection
+	suspectUntil    time.Duration // no requests are sent until then
+	lastDataAt      time.Duration // when bytes last arrived on any connection
+	probing         bool          // a probe connection is being established
 }
 
-// takeIdle takes the connection that has rested least, if it can be trusted with a request.
+// takeIdle removes and returns the most recently used idle connection, if it can be trusted with a request.
 func (r *runner) takeIdle() *runnerConn {
 	now := r.pool.proxy.now()
 	for len(r.idle) > 0 {
@@ -31,7 +31,7 @@
 			l.close()
 			continue
 		}
-		if now-l.idleSince > l.idleTrustLimit() { // the others have rested longer
+		if now-l.idleSince > l.idleTrustLimit() { // the others have been idle longer
 			r.closeStaleIdle()
 			return nil
 		}
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// closeStaleIdle makes room for a new connection when only idle ones are left that cannot be trusted.
+// closeStaleIdle makes room for a new connection if only idle connections that cannot be trusted are left.
 func (r *runner) closeStaleIdle() {
 	if len(r.conns) >= r.pool.maxConns(r) && len(r.idle) > 0 {
 		r.idle[0].close()
@@ -73,7 +73,7 @@
 	return l
 }
 
-// connectTimeout is how long a connection may take to come up.
+// connectTimeout returns how long establishing a connection may take.
 func (r *runner) connectTimeout() time.Duration {
 	switch {
 	case r.slowestConnect > 0:
@@ -84,7 +84,7 @@
 	return initialConnectTimeout
 }
 
-// noteConnected notes how long a connect took.
+// noteConnected records the time that a connect took and that the runner's machine is reachable.
 func (r *runner) noteConnected(took time.Duration) {
 	r.suspectUntil, r.lastDataAt = 0, r.pool.proxy.now()
 	r.slowestConnect = max(took, time.Duration(float64(r.slowestConnect)*connectTimeDecay), 1)
--- a/internal/system/proxy/runner_conn.go
+++ b/internal/system/proxy/runner_conn.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	maxResponseHeadBytes = 32 << 10               // bytes
-	discardTimeout       = 400 * time.Millisecond // for the rest of an answer: its client may leave, and the runner be at work
-	sharedCloseWindow    = time.Second            // within which the ends of idle connections say that their runner ends
-	singleWriteBodyBytes = 32 << 10               // bytes that are sent in one call with the head
+	maxResponseHeadBytes = 32 << 10
+	discardTimeout       = 400 * time.Millisecond // for the rest of a response whose client may have disconnected while the runner is still working
+	sharedCloseWindow    = time.Second            // closes of idle connections within it mean that the runner stops
+	singleWriteBodyBytes = 32 << 10               // bodies up to this size are written in one call with the head
 
-	unackedTimeout    = 3 * time.Second // without an acknowledgement of what was sent
+	unackedTimeout    = 3 * time.Second // sent bytes may stay unacknowledged for so long
 	keepAliveInterval = time.Second     // without a byte from the runner's machine
 )
 
-// Why a connection to a runner is closed here.
+// Reasons for closing a connection to a runner.
 var (
-	errConnectTimeout      = errors.New("no connection came up in time")
-	errClosedBeforeRequest = errors.New("the runner closed the connection before it had a request")
-	errDraining            = errors.New("the runner takes nothing new")
+	errConnectTimeout      = errors.New("connect timeout")
+	errClosedBeforeRequest = errors.New("the runner closed the connection before the request was sent")
+	errDraining            = errors.New("the runner accepts no new requests")
 	errUnexpectedBytes     = errors.New("bytes that belong to no request")
-	errMismatchedResponse  = errors.New("an answer to another request")
-	errDiscardTimeout      = errors.New("the rest of an answer did not come in time")
+	errMismatchedResponse  = errors.New("a response to another request")
+	errDiscardTimeout      = errors.New("timeout while discarding the rest of a response")
 )
 
-// connState is where a connection to a runner stands.
+// connState is the state of a connection to a runner.
 type connState uint8
 
 const (
-	connDialing      connState = iota
-	connIdle                   // idle
-	connAwaitingHead           // a request has been written, the head of the answer is due
-	connReadingBody            // the body of the answer is coming
-	connSkippingBody           // the body of an answer to the request before is coming
+	connDialing connState = iota
+	connIdle
+	connAwaitingHead // a request was written and the response head is awaited
+	connReadingBody  // the response body is arriving
+	connSkippingBody // the body of a response to the previous request is being discarded
 	connClosed
 )
 
@@ -50,27 +50,27 @@
 	runner             *runner
 	socket             *eventloop.Conn
 	state              connState
-	attempt            *attempt // nil when idle, or when nobody wants the rest of the answer
+	attempt            *attempt // nil when idle, or when the rest of the response is discarded
 	method             string
-	tryID              string // of the request at hand
-	previousTryID      string // of the one before
-	skippedPrevious    bool   // an answer to the one before has been read away
-	requestEnd         uint64 // bytes written once the request is whole
-	responseStarted    bool   // bytes have come since the request at hand began to be written
+	tryID              string // of the current request
+	previousTryID      string // of the request before it
+	skippedPrevious    bool   // a response to the previous request was discarded
+	requestEnd         uint64 // bytes written on the connection when the request is complete; 0 when idle
+	responseStarted    bool   // bytes have arrived since the current request was written
 	bodyReader         httpwire.BodyReader
 	framing            httpwire.FramingKind
-	closeAfterResponse bool          // closes after the answer
-	advertisedIdle     time.Duration // rest that the runner named
-	idleSince          time.Duration // when it came to rest
+	closeAfterResponse bool
+	advertisedIdle     time.Duration // idle timeout announced by the runner; 0: none
+	idleSince          time.Duration
 	dialedAt           time.Duration
 	timer              *eventloop.Timer
-	isProbe            bool          // was opened to find out whether the runner's machine is there
-	dataSinceCheck     bool          // bytes have come since the last look
-	checkInterval      time.Duration // until the next one
+	isProbe            bool          // opened to find out whether the runner's machine is reachable
+	dataSinceCheck     bool          // bytes have arrived since the last check of the watchdog
+	checkInterval      time.Duration // until the watchdog's next check
 	watchdog           *eventloop.Timer
 }
 
-// connTransitions says which states a connection may go to from each one.
+// connTransitions lists the valid successors of each state.
 var connTransitions = [...][]connState{
 	connDialing:      {connAwaitingHead, connIdle, connClosed},
 	connIdle:         {connAwaitingHead, connClosed},
@@ -80,24 +80,24 @@
 	connClosed:       {},
 }
 
-// transition is the one place where the state changes.
+// transition is the only place that changes the state.
 func (l *runnerConn) transition(next connState) {
 	invariant.Check(slices.Contains(connTransitions[l.state], next), "proxy: a connection changes its state as it may")
 	l.state = next
 }
 
-// requestSent says whether the system has taken all bytes of the request.
+// requestSent reports whether the kernel has accepted all bytes of the request.
 func (l *runnerConn) requestSent() bool {
 	return l.state != connDialing && l.requestEnd > 0 && l.socket.Written() >= l.requestEnd
 }
 
-// mayHaveRun says whether the runner may have run the request: it may once it can have got the last byte, and one that
-// answers sooner may have run what it had got by then.
+// mayHaveRun reports whether the runner may have executed the request: once it may have received the last byte, or once
+// it has responded, since it may then have executed what it had received.
 func (l *runnerConn) mayHaveRun() bool {
 	return l.requestSent() || l.responseStarted && l.requestEnd > 0
 }
 
-// Opened implements transport.Handler.
+// Opened implements eventloop.Handler.
 func (l *runnerConn) Opened(conn *eventloop.Conn) {
 	p := l.runner.pool.proxy
 	l.timer.Stop()
@@ -111,16 +111,16 @@
 		return
 	}
 	switch {
-	case !conn.Alive(): // the runner takes no more connections and has reset this one
+	case !conn.Alive(): // the runner accepts no more connections and has reset this one
 		l.fail(errClosedBeforeRequest)
-	case !l.runner.listed || l.runner.draining: // meanwhile
+	case !l.runner.listed || l.runner.draining: // changed while connecting
 		l.fail(errDraining)
 	default:
 		l.sendRequest(a)
 	}
 }
 
-// reportProbe says whether the runner's machine is there, if the connection was opened to find that out.
+// reportProbe ends the probe of the runner's machine if the connection was opened as one.
 func (l *runnerConn) reportProbe(there bool) {
 	if l.isProbe {
 		l.isProbe = false
@@ -152,7 +152,7 @@
 	l.startWatchdog(ackTimeout)
 }
 
-// Closed implements transport.Handler.
+// Closed implements eventloop.Handler.
 func (l *runnerConn) Closed(_ *eventloop.Conn, err error) {
 	if l.state == connIdle && errors.Is(err, io.EOF) {
 		l.learnIdleTimeout()
@@ -165,7 +165,7 @@
 	l.fail(err)
 }
 
-// failProtocol closes a connection that brought bytes which belong to no request.
+// failProtocol closes a connection that received bytes which belong to no request.
 func (l *runnerConn) failProtocol(err error) {
 	l.runner.pool.proxy.Counters.InvalidResponses++
 	l.fail(err)
@@ -180,14 +180,14 @@
 	}
 	l.attempt = nil
 	l.close()
-	l.reportProbe(errors.Is(err, eventloop.ErrNoDescriptor)) // the want is here: it says nothing of the runner
+	l.reportProbe(errors.Is(err, eventloop.ErrNoDescriptor)) // a lack of descriptors is local and says nothing about the runner
 	if a != nil {
 		a.conn = nil
 		a.handleConnFailure(mayHaveRun)
 	}
 }
 
-// close ends the connection.
+// close closes the connection. Calling it again has no effect.
 func (l *runnerConn) close() {
 	if l.state == connClosed {
 		return
@@ -197,7 +197,7 @@
 	l.removeFromIdle()
 	l.transition(connClosed)
 	if l.requestEnd > 0 && !l.responseStarted && l.socket.Unacknowledged() > 0 {
-		l.socket.Reset() // an ordered close would have the system go on sending a request that nobody waits for
+		l.socket.Reset() // an orderly close would keep the kernel sending a request that nobody waits for
 	} else {
 		l.socket.Close()
 	}
@@ -206,14 +206,14 @@
 	r.pool.removeIfUnused(r)
 }
 
-// removeFromIdle takes the connection from the idle ones.
+// removeFromIdle removes the connection from the runner's idle ones.
 func (l *runnerConn) removeFromIdle() {
 	if l.state == connIdle {
 		l.runner.idle = removeConn(l.runner.idle, l)
 	}
 }
 
-// removeConn is a list without one of its links, in the same order.
+// removeConn returns a list without one connection, in the same order.
 func removeConn(list []*runnerConn, l *runnerConn) []*runnerConn {
 	if i := slices.Index(list, l); i >= 0 {
 		return slices.Delete(list, i, i+1)
--- a/internal/system/proxy/runner_response.go
+++ b/internal/system/proxy/runner_response.go
@@ -7,7 +7,7 @@
 	"cinderroad/internal/shared/httpwire"
 )
 
-// Data implements transport.Handler.
+// Data implements eventloop.Handler.
 func (l *runnerConn) Data(conn *eventloop.Conn) {
 	l.dataSinceCheck, l.responseStarted = true, true
 	l.runner.lastDataAt = l.runner.pool.proxy.now()
@@ -18,7 +18,7 @@
 	}
 }
 
-// advance takes the next piece of what has come; false when it needs more.
+// advance processes the next part of the received bytes; false if it needs more.
 func (l *runnerConn) advance(conn *eventloop.Conn) bool {
 	switch l.state {
 	case connAwaitingHead:
@@ -30,7 +30,7 @@
 	return false
 }
 
-// readHead takes the head of an answer.
+// readHead processes the head of a response.
 func (l *runnerConn) readHead(conn *eventloop.Conn) bool {
 	if len(conn.Bytes()) == 0 {
 		return false
@@ -68,8 +68,9 @@
 	return l.state != connClosed
 }
 
-// matchesCurrent says whether an answer is one to the request at hand, which its id shows. One that only says that nothing ran
-// may lack the id on a connection that carried no request before: there it can belong to no other.
+// matchesCurrent reports whether a response belongs to the current request, which its id shows. A response that only
+// says that nothing was executed may lack the id on a connection that carried no request before: it can belong to no
+// other.
 func (l *runnerConn) matchesCurrent(head *httpwire.ResponseHead) bool {
 	id, once := head.Header.GetUnique(headerTryID)
 	if id != "" {
@@ -78,14 +79,14 @@
 	return l.previousTryID == "" && classify(head).saysNotRun()
 }
 
-// matchesPrevious says whether an answer is an extra one to the request before on this connection, which may be read away:
-// the answer to the request at hand follows.
+// matchesPrevious reports whether a response is an extra one to the previous request of this connection. It may be
+// discarded because the response to the current request follows.
 func (l *runnerConn) matchesPrevious(head *httpwire.ResponseHead) bool {
 	id, once := head.Header.GetUnique(headerTryID)
 	return once && !l.skippedPrevious && id != "" && id == l.previousTryID && head.Body.Kind != httpwire.UntilClose
 }
 
-// readBody takes a part of the body.
+// readBody processes a part of the body.
 func (l *runnerConn) readBody(conn *eventloop.Conn) bool {
 	data, n, done, err := l.bodyReader.Next(conn.Bytes())
 	if err != nil {
@@ -107,7 +108,7 @@
 	return n > 0 && len(conn.Bytes()) > 0
 }
 
-// finishResponse lets the connection rest, or closes it, and ends the attempt.
+// finishResponse makes the connection idle or closes it, and completes the attempt.
 func (l *runnerConn) finishResponse(conn *eventloop.Conn) {
 	a := l.attempt
 	l.attempt = nil
@@ -130,7 +131,7 @@
 	}
 }
 
-// discardResponse reads the rest of an answer that nobody wants, so that the connection may serve on.
+// discardResponse reads the rest of a response that nobody waits for, so that the connection can be reused.
 func (l *runnerConn) discardResponse() {
 	if l.closeAfterResponse || l.framing == httpwire.UntilClose {
 		l.close()
--- a/internal/system/proxy/service_splitter.go
+++ b/internal/system/proxy/service_splitter.go
@@ -7,23 +7,23 @@
 	"cinderroad/internal/system/configuration"
 )
 
-// goldenRatioStep is by how much the point moves that picks a part of a route's shares from one request to the next. The
-// fractions of its multiples fill the unit interval evenly, whatever number of requests one looks at: the golden ratio
-// is the number that is worst to approximate by a fraction.
+// goldenRatioStep is the distance between the points at which consecutive requests of a route are placed on its
+// weights. The fractional parts of its multiples fill the unit interval evenly for any number of requests, because the
+// golden ratio is the number worst approximated by fractions.
 var goldenRatioStep = (math.Sqrt(5) - 1) / 2
 
-// serviceSplitter spreads the requests of each route over the services of its shares by their weights. Drawn by chance, parts
-// lie further off their weights the fewer requests there are; these keep close to them from the first requests on.
+// serviceSplitter distributes the requests of each route over the services of its shares by their weights. Unlike a
+// random choice it stays close to the weights from the first requests on.
 type serviceSplitter struct {
 	random *rand.Rand
-	points map[string]float64 // by route with more than one share; from 0 to below 1
+	points map[string]float64 // by route with more than one share; in [0, 1)
 }
 
 func newServiceSplitter(random *rand.Rand) *serviceSplitter {
 	return &serviceSplitter{random: random, points: map[string]float64{}}
 }
 
-// nextService is the service for the next request of a route.
+// nextService returns the service for the next request of a route.
 func (d *serviceSplitter) nextService(route *configuration.Route) string {
 	if len(route.Shares) == 1 {
 		return route.Shares[0].Service
@@ -46,7 +46,7 @@
 	return service
 }
 
-// advance moves a route's point. The first one is drawn by chance, so that proxies do not begin with the same service.
+// advance moves a route's point. The first one is random so that proxies do not all start with the same service.
 func (d *serviceSplitter) advance(route string) float64 {
 	point, known := d.points[route]
 	if !known {
@@ -57,5 +57,5 @@
 	return point
 }
 
-// remove drops what is kept of a route that is no more.
+// remove drops the state of a route that was removed.
 func (d *serviceSplitter) remove(route string) { delete(d.points, route) }
--- a/internal/system/proxy/session.go
+++ b/internal/system/proxy/session.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	maxPipelinedBytes = 16 << 10               // bytes that a client may send ahead of its turn
-	writeHighWater    = 32 << 10               // unsent bytes at which the runner is held back
-	keepAliveLead     = time.Second            // a client is told to let go so much before it would be closed
-	defaultRetryAfter = 200 * time.Millisecond // after which a refused client may come back, if nothing better is known
-	startupRetryAfter = time.Second            // the same, of a proxy without a configuration: clients retry seldom
+	maxPipelinedBytes = 16 << 10               // that a client may pipeline before its turn
+	writeHighWater    = 32 << 10               // unsent bytes beyond which reading from the runner is paused
+	keepAliveLead     = time.Second            // the advertised keep-alive time is shorter than the real one by this much
+	defaultRetryAfter = 200 * time.Millisecond // told to a rejected client if nothing better is known
+	startupRetryAfter = time.Second            // the same while the proxy has no configuration
 )
 
-// session is a connection of a client. It carries one exchange at a time; requests that a client sends ahead wait.
+// session is a connection of a client. It processes one exchange at a time; pipelined requests wait.
 type session struct {
 	proxy              *Proxy
 	socket             *eventloop.Conn
 	exchange           *exchange // nil between requests
-	closeAfterResponse bool      // closes after the answer at hand
-	headStarted        bool      // bytes of the next request have come
-	requestCount       int       // heads of requests that it has carried
+	closeAfterResponse bool
+	headStarted        bool // bytes of the next request have arrived
+	requestCount       int  // request heads read
 	acceptedAt         time.Duration
-	nextStarted        bool          // bytes of a request have come whose head was not read
-	nextStartedAt      time.Duration // when the first of them came: the client's time runs at least from then
-	lastDataAt         time.Duration // when bytes last came
+	nextStarted        bool          // bytes of a request have arrived whose head was not read
+	nextStartedAt      time.Duration // when the first of them arrived: the client's time runs at least from then
+	lastDataAt         time.Duration
 	timer              *eventloop.Timer
 
-	previous, next *session // in the list of sessions, of which the one that rests longest is first
+	previous, next *session // in the session list, longest idle first
 }
 
-// accept owns a new connection.
+// accept creates the session of a new connection.
 func (p *Proxy) accept(conn *eventloop.Conn) eventloop.Handler {
 	s := &session{proxy: p, socket: conn, acceptedAt: p.now()}
 	p.sessions.add(s)
@@ -39,10 +39,10 @@
 	return s
 }
 
-// Opened implements transport.Handler.
+// Opened implements eventloop.Handler.
 func (s *session) Opened(*eventloop.Conn) {}
 
-// Data implements transport.Handler.
+// Data implements eventloop.Handler.
 func (s *session) Data(conn *eventloop.Conn) {
 	s.lastDataAt = s.proxy.now()
 	if s.exchange == nil || s.exchange.state != exchangeReceiving {
@@ -57,21 +57,21 @@
 	s.processInput()
 }
 
-// noteNextRequest notes when the next request began to come, if some of it has.
+// noteNextRequest records when the first bytes of the next request arrived.
 func (s *session) noteNextRequest() {
 	if !s.nextStarted && len(s.socket.Bytes()) > 0 {
 		s.nextStarted, s.nextStartedAt = true, s.lastDataAt
 	}
 }
 
-// Drained implements transport.Drainer: the client has taken all.
+// Drained implements eventloop.Drainer: the client has read everything.
 func (s *session) Drained(*eventloop.Conn) {
 	if s.exchange != nil {
 		s.exchange.setStalled(false)
 	}
 }
 
-// Closed implements transport.Handler: the client has gone.
+// Closed implements eventloop.Handler: the client has disconnected.
 func (s *session) Closed(*eventloop.Conn, error) {
 	x := s.exchange
 	s.detach()
@@ -80,7 +80,7 @@
 	}
 }
 
-// detach forgets the session; its connection is closed by the caller.
+// detach removes the session from the proxy; the caller closes its connection.
 func (s *session) detach() {
 	s.timer.Stop()
 	s.exchange = nil
@@ -92,27 +92,27 @@
 	s.proxy.exitWhenDrained()
 }
 
-// close closes the session without a word.
+// close closes the session without a response.
 func (s *session) close() {
 	s.detach()
 	s.socket.Close()
 }
 
-// setTimeout does something when the client has not gone on in time.
+// setTimeout calls do if the client does not continue in time.
 func (s *session) setTimeout(after time.Duration, do func()) {
 	s.timer.Stop()
 	s.timer = s.proxy.runAt(s.proxy.now()+after, do)
 }
 
-// awaitNextRequest waits for the next request.
+// awaitNextRequest makes the session idle until the next request.
 func (s *session) awaitNextRequest() {
 	s.headStarted = false
 	s.proxy.sessions.moveToBack(s)
 	s.setTimeout(s.proxy.limits.IdleTimeout, s.handleIdleTimeout)
 }
 
-// handleIdleTimeout closes a session that rests, unless a request has come that was not read yet. One whose client has not taken
-// its answer in all this time is given up.
+// handleIdleTimeout closes an idle session, unless a request has arrived that was not read yet. A client that has not
+// read its response in all this time is disconnected.
 func (s *session) handleIdleTimeout() {
 	switch {
 	case s.exchange == nil && s.socket.Unsent() > 0:
@@ -123,12 +123,13 @@
 	}
 }
 
-// isIdle says whether nothing of a request or of an answer is under way, as far as has been read.
+// isIdle reports whether nothing of a request or response is in progress, as far as has been read.
 func (s *session) isIdle() bool {
 	return s.exchange == nil && len(s.socket.Bytes()) == 0 && s.socket.Unsent() == 0 && s.proxy.pending.session != s
 }
 
-// abort ends an answer that cannot be completed; it must not look complete. framed says that its length shows this.
+// abort ends a response that cannot be completed and must not look complete. framed means that its framing shows the
+// truncation.
 func (s *session) abort(framed bool) {
 	s.proxy.flushPending()
 	s.detach()
--- a/internal/system/proxy/session_input.go
+++ b/internal/system/proxy/session_input.go
@@ -6,7 +6,7 @@
 	"cinderroad/internal/shared/httpwire"
 )
 
-// processInput takes what has come of the next request.
+// processInput reads the next request as far as it has arrived.
 func (s *session) processInput() {
 	for s.socket.Open() {
 		switch x := s.exchange; {
@@ -22,7 +22,7 @@
 	}
 }
 
-// readHead takes the head of a request; false when it waits, or the session has ended.
+// readHead reads the head of a request; false if it waits for more or the session has ended.
 func (s *session) readHead() bool {
 	s.socket.SetPaused(false)
 	if len(s.socket.Bytes()) == 0 {
@@ -60,7 +60,7 @@
 	}
 }
 
-// readBody takes what has come of a body; false when it waits, or the session has ended.
+// readBody reads a part of the body; false if it waits for more or the session has ended.
 func (s *session) readBody(x *exchange) bool {
 	data, n, done, err := x.bodyReader.Next(s.socket.Bytes())
 	if err != nil {
@@ -75,7 +75,7 @@
 		x.finish()
 		s.rejectWith(413, "body too large")
 		return false
-	case done && s.socket.HungUp(): // the client has left, which is told next: nothing is sent for it
+	case done && s.socket.HungUp(): // the disconnect is reported next; nothing is sent for a client that is gone
 		return false
 	case done:
 		s.timer.Stop()
@@ -96,7 +96,7 @@
 	return false
 }
 
-// skipBody drops what has come of a body; true when that was all of it.
+// skipBody discards what has arrived of a body; true if that was all of it.
 func (s *session) skipBody(x *exchange) bool {
 	for {
 		_, n, done, err := x.bodyReader.Next(s.socket.Bytes())
@@ -111,14 +111,14 @@
 	}
 }
 
-// sendContinue invites the client to send the body, if it waits for that.
+// sendContinue sends the interim response 100 to a client that waits for it before the body.
 func (s *session) sendContinue(x *exchange) {
 	if x.head.ExpectsContinue && len(s.socket.Bytes()) == 0 {
 		s.socket.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 }
 
-// resumeInput takes a request that was sent ahead.
+// resumeInput reads a pipelined request.
 func (s *session) resumeInput() {
 	if s.socket.Open() && s.exchange == nil {
 		s.processInput()
--- a/internal/system/proxy/session_list.go
+++ b/internal/system/proxy/session_list.go
@@ -2,7 +2,7 @@
 
 import "iter"
 
-// sessionList is the open sessions, in the order in which they came to rest or were opened.
+// sessionList holds the open sessions, longest idle first. It is intrusive, so that moving a session allocates nothing.
 type sessionList struct {
 	first, last *session
 	count       int
@@ -37,7 +37,7 @@
 	s.previous, s.next = nil, nil
 }
 
-// moveToBack moves a session to the end.
+// moveToBack marks a session as the most recently used.
 func (l *sessionList) moveToBack(s *session) {
 	l.unlink(s)
 	l.pushBack(s)
@@ -61,7 +61,7 @@
 	}
 }
 
-// oldestIdle is the session that has rested longest; nil when none rests.
+// oldestIdle returns the session that has been idle longest; nil if none is idle.
 func (l *sessionList) oldestIdle() *session {
 	for s := range l.all() {
 		if s.isIdle() && s.socket.Alive() {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// closeIdleConnection frees a descriptor: first of a runner's connection that rests, then of a client's.
+// closeIdleConnection frees a descriptor by closing an idle connection, preferably to a runner; false if there is none.
 func (p *Proxy) closeIdleConnection() bool {
 	if p.pool.closeOldestIdle() {
 		return true
--- a/internal/system/proxy/shutdown.go
+++ b/internal/system/proxy/shutdown.go
@@ -10,19 +10,19 @@
 
 const (
 	idleSweepInterval = 50 * time.Millisecond
-	newConnGrace      = 300 * time.Millisecond // in which the first request of a new connection may be on its way
+	newConnGrace      = 300 * time.Millisecond // in which the first request of a new connection may be in flight
 	maxCutsLogged     = 20
 )
 
-// shutdownState is where a proxy that was told to stop stands.
+// shutdownState is the progress of a shutdown.
 type shutdownState struct {
 	plan           shutdownPlan
 	active         bool
-	signalAt       time.Duration // when the signal came
-	listenerClosed bool          // the listener is closed
+	signalAt       time.Duration // when the shutdown signal arrived
+	listenerClosed bool
 }
 
-// elapsed is the time since the signal to stop; 0 where none came.
+// elapsed returns the time since the shutdown signal; 0 if there was none.
 func (s *shutdownState) elapsed(now time.Duration) time.Duration {
 	if !s.active {
 		return 0
@@ -30,8 +30,8 @@
 	return now - s.signalAt
 }
 
-// Stop has the proxy serve on what comes, send its clients away and end once all answers are whole, before the grace
-// period is over. The loop ends then.
+// Stop starts a graceful shutdown: the proxy keeps serving, closes idle sessions, and stops the loop once all responses
+// are complete, at the latest before the grace period ends. Calling it again has no effect.
 func (p *Proxy) Stop() {
 	if p.shutdown.active {
 		return
@@ -48,14 +48,14 @@
 	p.runAt(now+plan.exit, p.terminate)
 }
 
-// outlivesProcess says whether a request that is whole now may need the proxy for longer than it lives.
+// outlivesProcess reports whether a request that is complete now may still be in progress when the process exits.
 func (p *Proxy) outlivesProcess(request *placement.Request) bool {
 	s := &p.shutdown
 	return s.active && !s.plan.accepts(p.now()-s.signalAt, request.Deadline-s.signalAt)
 }
 
-// endUnansweredExchanges ends all requests that have no answer yet, just before the process ends. Each is told whether it may have
-// run.
+// endUnansweredExchanges ends all requests without a response shortly before the process exits. The response says
+// whether the request may have been executed.
 func (p *Proxy) endUnansweredExchanges() {
 	for s := range p.sessions.all() {
 		if x := s.exchange; x != nil && !x.response.started {
@@ -65,7 +65,7 @@
 	}
 }
 
-// countShutdownRequest counts a request whose head has come, if the proxy was told to stop before.
+// countShutdownRequest counts a request whose head was read after the shutdown signal.
 func (p *Proxy) countShutdownRequest(s *session) {
 	switch {
 	case !p.shutdown.active:
@@ -76,7 +76,7 @@
 	}
 }
 
-// terminate ends the process, whatever is left.
+// terminate stops the loop with whatever is in progress.
 func (p *Proxy) terminate() {
 	for s := range p.sessions.all() {
 		if s.exchange != nil {
@@ -88,7 +88,7 @@
 	p.loop.Stop()
 }
 
-// logCut logs a request that the end of the process breaks off, with what tells why it was taken.
+// logCut logs a request that the exit of the process cuts off, with the data that shows why it was accepted.
 func (p *Proxy) logCut(s *session) {
 	x := s.exchange
 	if p.Counters.ShutdownCut++; p.Counters.ShutdownCut > maxCutsLogged {
@@ -109,7 +109,7 @@
 		zap.Uint64("on_new_connections", p.Counters.ShutdownOnNewConns), zap.Uint64("on_kept_connections", p.Counters.ShutdownOnKeptConns))
 }
 
-// sweepIdleSessions closes sessions that rest, and goes on doing so.
+// sweepIdleSessions closes idle sessions, repeatedly.
 func (p *Proxy) sweepIdleSessions() {
 	for s := range p.sessions.all() {
 		if s.isIdle() && (s.requestCount > 0 || p.now() > s.acceptedAt+newConnGrace) && s.socket.Alive() {
@@ -120,21 +120,21 @@
 	p.runAt(p.now()+idleSweepInterval, p.sweepIdleSessions)
 }
 
-// closeListener closes the listener.
+// closeListener closes the listener for clients.
 func (p *Proxy) closeListener() {
 	p.shutdown.listenerClosed = true
 	p.front.Close()
 	p.exitWhenDrained()
 }
 
-// exitWhenDrained ends the process once nobody waits for anything.
+// exitWhenDrained stops the loop once nothing is in progress.
 func (p *Proxy) exitWhenDrained() {
 	if p.shutdown.listenerClosed && p.openExchanges == 0 && p.sessions.count == 0 {
 		p.loop.Defer(p.exitIfDrained)
 	}
 }
 
-// exitIfDrained ends the loop if all answers have gone out, or has a look again with the next sweep.
+// exitIfDrained stops the loop if all responses were sent; otherwise the next sweep tries again.
 func (p *Proxy) exitIfDrained() {
 	if p.openExchanges == 0 && p.pending.session == nil && p.loop.Lingering() == 0 {
 		p.logStopped()
--- a/internal/system/proxy/shutdown_plan.go
+++ b/internal/system/proxy/shutdown_plan.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// mustCompleteAfter is how long after the signal a request may be sent at the latest whose answer the process's end may cut, by
-	// what the platform allows. One that comes later must be answered whole.
+	// mustCompleteAfter is the time after the signal from which on requests must be answered completely. The platform
+	// allows the process's exit to cut off only those sent earlier.
 	mustCompleteAfter = 3 * time.Second
-	// acceptAnyMargin is how much earlier than mustCompleteAfter requests of any length are turned away: signals, requests on their way
-	// and turns of the loop come late.
+	// acceptAnyMargin is how much earlier than mustCompleteAfter the proxy stops accepting requests of any length,
+	// because signals, requests in flight and iterations of the loop may be late.
 	acceptAnyMargin = 500 * time.Millisecond
 
-	acceptAnyFraction = 0.3 // of the grace period in which requests of any length are taken, at most
+	acceptAnyFraction = 0.3 // of the grace period in which requests of any length are accepted, at most
 	idleSweepDivisor  = 4
-	idleSweepDelay    = 1500 * time.Millisecond // the directory's answers have moved on by then
+	idleSweepDelay    = 1500 * time.Millisecond // clients' cached lookups have expired by then
 )
 
-// shutdownPlan says when a proxy that was told to stop does what, counted from then.
+// shutdownPlan gives the times of the steps of a shutdown, counted from the signal.
 type shutdownPlan struct {
-	sweepIdle     time.Duration // clients that rest are sent away from then on
-	closeListener time.Duration // the listener is closed; then the process ends once nobody waits for anything
-	lastResponses time.Duration // what has no answer yet is told so
-	exit          time.Duration // the process ends, whatever it has left
+	sweepIdle     time.Duration // idle sessions are closed from then on
+	closeListener time.Duration // the process exits afterwards once nothing is in progress
+	lastResponses time.Duration // requests without a response are answered
+	exit          time.Duration // the process exits with whatever is in progress
 }
 
-// planShutdown divides the grace period, from the signal to stop until the process is killed.
+// planShutdown divides the grace period, which runs from the signal until the process is killed.
 func planShutdown(grace time.Duration) shutdownPlan {
 	if grace <= 0 {
 		grace = shutdown.DefaultGracePeriod
@@ -42,8 +42,8 @@
 	}
 }
 
-// accepts says whether a request that is whole so long after the signal, and whose answer may take until a deadline after
-// the signal, may be passed on: a proxy whose end is near takes only what has its end, too.
+// accepts reports whether a request may be forwarded that is complete at after and has its deadline at deadline, both
+// counted from the signal. Late in a shutdown only requests that end before the process are accepted.
 func (p *shutdownPlan) accepts(after, deadline time.Duration) bool {
 	return after < p.closeListener || deadline+deadlineGrace <= p.lastResponses
 }
--- a/internal/system/proxy/watchdog.go
+++ b/internal/system/proxy/watchdog.go
@@ -7,18 +7,19 @@
 	"cinderroad/internal/system/placement"
 )
 
-// A machine that has lost its power or its links says nothing: connections to it stay open, and what is written to them
-// stays without an acknowledgement. Silence alone proves nothing, since a runner may be busy; a machine that does not
-// even take bytes, or a new connection, is gone. Then a request that may run twice goes to another runner, and no idle
-// connection to the machine is trusted any more.
+// A machine that has lost power or its network is silent: its connections stay open, and what is written to them stays
+// unacknowledged. Silence alone proves nothing because the runner may be busy, but a machine that acknowledges neither
+// bytes nor a new connection is gone. Then idempotent requests move to another runner, and no idle connection to the
+// machine is trusted any more.
 const (
-	ackTimeout         = 400 * time.Millisecond // a request must have been taken: beyond one retransmission
-	minSilenceTimeout  = 500 * time.Millisecond // of a runner that is at work, before its machine is asked
-	suspectDuration    = time.Second            // that nothing is sent to a runner in doubt
-	probeTimeoutFactor = 2                      // of the usual time, that a connection may take which only asks for the machine
+	ackTimeout         = 400 * time.Millisecond // for the acknowledgement of a request: longer than one retransmission
+	minSilenceTimeout  = 500 * time.Millisecond // of a busy runner, before its machine is probed
+	suspectDuration    = time.Second            // no requests are sent to a suspect runner for so long
+	probeTimeoutFactor = 2                      // of the usual connect timeout, for a probe
 )
 
-// startWatchdog looks after the attempt of the link until it has shown that its runner is there.
+// startWatchdog schedules a check of the attempt. The checks repeat until the attempt ends if the request is idempotent;
+// other requests are checked once.
 func (l *runnerConn) startWatchdog(after time.Duration) {
 	p := l.runner.pool.proxy
 	l.watchdog.Stop()
@@ -26,7 +27,8 @@
 	l.watchdog = p.runAt(p.now()+after, l.checkProgress)
 }
 
-// checkProgress finds out whether the runner's machine is there if nothing has come from it since the last look.
+// checkProgress finds out whether the runner's machine is reachable if nothing has arrived from it since the last
+// check.
 func (l *runnerConn) checkProgress() {
 	a := l.attempt
 	if a == nil || l.state != connAwaitingHead && l.state != connReadingBody {
@@ -50,7 +52,7 @@
 	}
 }
 
-// silenceTimeout is how long the runner may say nothing before its machine is asked.
+// silenceTimeout returns how long the runner may be silent before its machine is probed.
 func (a *attempt) silenceTimeout() time.Duration {
 	r := a.exchange.request.Route
 	if a.progress.Events > 0 {
@@ -59,7 +61,8 @@
 	return max(r.LatencyTarget, minSilenceTimeout)
 }
 
-// moveToAnotherRunner sends a request that may run twice to another runner, if that may be and one can take it; else it stays.
+// moveToAnotherRunner retries an idempotent request elsewhere if that is allowed and a runner has capacity; otherwise
+// the attempt continues.
 func (a *attempt) moveToAnotherRunner() {
 	x := a.exchange
 	before := x.request
@@ -74,13 +77,13 @@
 	x.request.TriedRunners, x.request.MayHaveRun = before.TriedRunners, before.MayHaveRun
 }
 
-// markSuspect has nothing sent to the runner for a while, and none of its idle connections used.
+// markSuspect stops sending requests to the runner for a while and closes its idle connections.
 func (r *runner) markSuspect() {
 	r.suspectUntil = r.pool.proxy.now() + suspectDuration
 	r.closeIdle()
 }
 
-// probe opens a connection, which comes up if the runner's machine is there. One at a time is enough.
+// probe opens a connection, which succeeds if the runner's machine is reachable. One at a time is enough.
 func (r *runner) probe() {
 	p := r.pool.proxy
 	if r.probing || len(r.conns) >= r.pool.maxConns(r) {
@@ -92,7 +95,7 @@
 	l.timer = p.runAt(p.now()+probeTimeoutFactor*r.connectTimeout(), func() { l.fail(errConnectTimeout) })
 }
 
-// finishProbe takes the end of the connection that asked.
+// finishProbe handles the result of a probe.
 func (r *runner) finishProbe(there bool) {
 	r.probing = false
 	if there {
