--- a/internal/system/codec/codec.go
+++ b/internal/system/codec/codec.go
@@ -43,9 +43,9 @@
 // Reader reads the fields of an encoding in order. Each method takes the name under which Malformed reports its field.
 // After the first malformed field every method returns the zero value. A Reader is not safe for concurrent use.
 type Reader struct {
-	rest      []byte // not read yet; nil after a malformed field
-	size      int    // of the whole encoding in bytes
-	start     int    // offset of the field read last
+	data      []byte
+	start     int    // offset of the field read last, or of the first malformed one
+	next      int    // offset of the next field; the end after a malformed one
 	canonical bool   // varints must have their shortest form
 	malformed string // name of the first malformed field
 	failed    bool
@@ -53,13 +53,11 @@
 
 // NewReader returns a reader of data, which must not change while the reader or what Bytes returned is in use. It
 // accepts varints that are longer than they need be.
-func NewReader(data []byte) Reader { return Reader{rest: data, size: len(data)} }
+func NewReader(data []byte) Reader { return Reader{data: data} }
 
 // NewCanonicalReader is like NewReader, but a varint that is longer than it need be is malformed: an encoding whose
 // other fields have one form each then decodes from one sequence of bytes only.
-func NewCanonicalReader(data []byte) Reader {
-	return Reader{rest: data, size: len(data), canonical: true}
-}
+func NewCanonicalReader(data []byte) Reader { return Reader{data: data, canonical: true} }
 
 // Malformed returns the name of the first malformed field, and whether there is one.
 func (r *Reader) Malformed() (field string, failed bool) { return r.malformed, r.failed }
@@ -74,32 +72,36 @@
 	if !r.failed {
 		r.malformed, r.failed = field, true
 	}
-	r.rest = nil
+	r.next = len(r.data)
 }
 
 // ExpectEnd marks the encoding as malformed if bytes follow the field read last.
 func (r *Reader) ExpectEnd(field string) {
-	if len(r.rest) > 0 {
+	if r.remaining() > 0 {
 		r.begin()
 		r.Fail(field)
 	}
 }
 
+// remaining returns the number of bytes that are not read yet.
+func (r *Reader) remaining() int { return len(r.data) - r.next }
+
 // begin notes where the next field begins.
 func (r *Reader) begin() {
 	if !r.failed {
-		r.start = r.size - len(r.rest)
+		r.start = r.next
 	}
 }
 
 // Byte reads one byte.
 func (r *Reader) Byte(field string) byte {
 	r.begin()
-	taken := r.take(field, 1)
-	if len(taken) == 0 {
+	if r.next == len(r.data) {
+		r.Fail(field)
 		return 0
 	}
-	return taken[0]
+	r.next++
+	return r.data[r.next-1]
 }
 
 // Bool reads a byte that AppendBool wrote; any other is malformed.
@@ -114,7 +116,11 @@
 // Uvarint reads an unsigned varint.
 func (r *Reader) Uvarint(field string) uint64 {
 	r.begin()
-	value, size := binary.Uvarint(r.rest)
+	if r.next < len(r.data) && r.data[r.next] < 1<<7 { // the usual case: a number of one byte
+		r.next++
+		return uint64(r.data[r.next-1])
+	}
+	value, size := binary.Uvarint(r.data[r.next:])
 	if !r.takeVarint(field, size) {
 		return 0
 	}
@@ -124,7 +130,7 @@
 // Varint reads a signed varint.
 func (r *Reader) Varint(field string) int64 {
 	r.begin()
-	value, size := binary.Varint(r.rest)
+	value, size := binary.Varint(r.data[r.next:])
 	if !r.takeVarint(field, size) {
 		return 0
 	}
@@ -133,11 +139,11 @@
 
 // takeVarint consumes a varint of a size, which is 0 or less if the varint is cut short or does not fit 64 bits.
 func (r *Reader) takeVarint(field string, size int) bool {
-	if size <= 0 || r.canonical && size > 1 && r.rest[size-1] == 0 {
+	if size <= 0 || r.canonical && size > 1 && r.data[r.next+size-1] == 0 {
 		r.Fail(field)
 		return false
 	}
-	r.rest = r.rest[size:]
+	r.next += size
 	return true
 }
 
@@ -153,16 +159,23 @@
 
 // Count reads how many elements follow, each of at least one byte; a larger number is malformed. The result is at most
 // the number of bytes that are left, so that memory for it may be allocated.
-func (r *Reader) Count(field string) int { return r.CountOf(field, 1) }
+func (r *Reader) Count(field string) int {
+	value := r.Uvarint(field)
+	if value > uint64(r.remaining()) {
+		r.Fail(field)
+		return 0
+	}
+	return int(value)
+}
 
 // CountOf is like Count for elements of at least minSize bytes each, minSize above 0.
 func (r *Reader) CountOf(field string, minSize int) int {
-	value := r.Uvarint(field)
-	if value > uint64(len(r.rest)/minSize) {
+	count := r.Count(field)
+	if count > r.remaining()/minSize {
 		r.Fail(field)
 		return 0
 	}
-	return int(value)
+	return count
 }
 
 // Bytes reads a field that AppendBytes wrote. The result shares memory with the encoding, but its capacity ends with it.
@@ -173,11 +186,10 @@
 
 // take consumes a number of bytes.
 func (r *Reader) take(field string, count int) []byte {
-	if r.failed || count > len(r.rest) {
+	if r.failed || count > r.remaining() {
 		r.Fail(field)
 		return nil
 	}
-	taken := r.rest[:count:count]
-	r.rest = r.rest[count:]
-	return taken
+	r.next += count
+	return r.data[r.next-count : r.next : r.next]
 }
