--- a/internal/system/control/api/document.go
+++ b/internal/system/control/api/documentcache.go
@@ -9,22 +9,26 @@
 	"cinderroad/internal/system/feed"
 )
 
-// largeBodyBytes is the size of an order that is worth being kept, in bytes.
+// largeBodyBytes is the size from which a request body takes long to parse: its prepared change is cached, and its call
+// has more time.
 const largeBodyBytes = 64 << 10
 
-// documentCache keeps what was read last: the configuration in force, of which a later version shares most, and a large
-// order. A large order takes its time to be read, and is sent again meanwhile; neither it nor the configuration that it
-// builds on is read anew.
+// documentCache holds what is expensive to parse and likely to be needed again: the configuration in force, most of which
+// the next version shares, and the last large change, which callers repeat while it is being committed.
 type documentCache struct {
-	mutex          sync.Mutex
-	current        *configuration.Document // nil: none yet
+	mutex   sync.Mutex
+	current *configuration.Document // in force when it was last read; nil: none yet
+
+	// preparedChange is the last large change, with the digest of its request and the version that it was validated
+	// against; nil: none.
+	preparedChange *preparedChange
 	digest         state.Digest
 	baseVersion    uint64
-	preparedChange *preparedChange // of the order with the digest; nil: there is none
 }
 
-// prepareChange reads and checks a request against the configuration that it builds on. An invalid request's error is a
-// *findings.Error.
+// prepareChange parses and validates a request against the configuration that it builds on. The error is a
+// *validation.Error or an *apiError, or says why the body can't be parsed. The mutex is held while it parses, so that a
+// repeated request waits for the result of the first.
 func (c *documentCache) prepareChange(request *changeRequest, base *state.Base) (preparedChange, error) {
 	digest, large := request.digest(), len(request.body) >= largeBodyBytes
 	c.mutex.Lock()
@@ -48,14 +52,14 @@
 	return prepared, nil
 }
 
-// currentDocument is the configuration in force, nil if there is none.
+// currentDocument returns the configuration in force; nil if there is none.
 func (c *documentCache) currentDocument(base *state.Base) (*configuration.Document, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.load(base)
 }
 
-// load is currentDocument under the lock.
+// load returns the document of a base, parsing only what differs from the cached one. The mutex is held.
 func (c *documentCache) load(base *state.Base) (*configuration.Document, error) {
 	if c.current != nil && c.current.Version() == base.Version {
 		return c.current, nil
@@ -79,7 +83,7 @@
 	return configuration.ApplyAndValidate(request.body, current)
 }
 
-// commitWrites are those of a commit, to which the version belongs by itself.
+// commitWrites returns the writes of a commit. The version is not among them: applying the commit writes it.
 func commitWrites(diff []configuration.Write) []state.Write {
 	out := make([]state.Write, 0, len(diff))
 	for _, write := range diff {
--- a/internal/system/control/api/interleavings_test.go
+++ b/internal/system/control/api/interleavings_test.go
@@ -12,12 +12,12 @@
 	"cinderroad/internal/system/replica"
 )
 
-var retriesFlag = flag.Int("orders.retries", 0, "how often each copy is tried again as every order of events is played")
+var retriesFlag = flag.Int("orders.retries", 0, "retries of each request in every interleaving")
 
-// schedule plays one order of events: where there is a choice, that of path, and the first one beyond its end.
+// schedule enumerates interleavings: it makes the choices in path, and the first choice beyond its end.
 type schedule struct {
 	path         []int
-	choiceCounts []int // how many choices there were at each place of the path
+	choiceCounts []int // number of choices at each position of path
 	position     int
 }
 
@@ -32,7 +32,7 @@
 	return choice
 }
 
-// advance moves to the next order of events; false: that was the last one.
+// advance moves to the next interleaving; false: that was the last one.
 func (s *schedule) advance() bool {
 	s.position = 0
 	for i := len(s.path) - 1; i >= 0; i-- {
@@ -45,24 +45,24 @@
 	return false
 }
 
-// pendingEvent is something that may happen next.
+// pendingEvent is an event that may occur next.
 type pendingEvent struct {
 	name string
 	run  func()
 }
 
-// exploration is two machines whose every order of events is played: when copies come, which state a confirmed read
-// shows, when commands are agreed on, and whether their proposers learn of it.
+// exploration runs two nodes through one interleaving of its events: when requests arrive, which state a barrier shows,
+// when commands are committed, and whether their proposers learn of it.
 type exploration struct {
 	*simulation
 	schedule      *schedule
 	pending       []pendingEvent
-	unknownBudget int // proposals that may yet get no answer
+	unknownBudget int // proposals whose outcome may still be made unknown
 	trace         []string
 }
 
-func newExploration(s *schedule, unknown int) *exploration {
-	e := &exploration{simulation: newSimulation(1), schedule: s, unknownBudget: unknown}
+func newExploration(s *schedule, unknownBudget int) *exploration {
+	e := &exploration{simulation: newSimulation(1), schedule: s, unknownBudget: unknownBudget}
 	e.profile.HistoryLimit = 0
 	for i := range 2 {
 		node := &simulatedNode{sim: e.simulation, number: i, up: true}
@@ -72,12 +72,12 @@
 	return e
 }
 
-// enable makes an event possible.
-func (e *exploration) enable(name string, happen func()) {
-	e.pending = append(e.pending, pendingEvent{name, happen})
+// enable adds an event to those that may occur.
+func (e *exploration) enable(name string, run func()) {
+	e.pending = append(e.pending, pendingEvent{name, run})
 }
 
-// play has events happen until there are none.
+// play runs events until there are none.
 func (e *exploration) play() {
 	for len(e.pending) > 0 && e.failure == "" {
 		i := e.schedule.choose(len(e.pending))
@@ -91,44 +91,44 @@
 	}
 }
 
-// commitCommand puts a command into the log. Machines learn of it by their barriers.
+// commitCommand appends a command to the log. Nodes learn of it by their barriers.
 func (e *exploration) commitCommand(command []byte) []byte {
 	result := e.checker.apply(len(e.log)+1, command)
 	e.log = append(e.log, logEntry{command: command, result: string(result)})
 	return result
 }
 
-// deliver has a machine take a copy of an order, and told its answer unless the process ended.
-func (e *exploration) deliver(node *simulatedNode, gone bool, request *modelRequest, onResponse func(modelResponse)) {
+// deliver runs a request on a node; onResponse is called unless the process ends first.
+func (e *exploration) deliver(node *simulatedNode, cancelled bool, request *modelRequest, onResponse func(modelResponse)) {
 	retries := *retriesFlag
-	node.runHandler(gone, func(t *handlerTask) {
+	node.runHandler(cancelled, func(t *handlerTask) {
 		committer := &committer{replicas: &exploredReplicas{exploration: e, task: t}, state: &simulatedState{task: t},
 			prepare: prepareModelChange, sleep: func(context.Context, time.Duration) bool {
 				retries--
 				return retries >= 0 && !t.ended
 			}}
 		ctx := taskContext{context.Background(), t}
-		var answer modelResponse
+		var response modelResponse
 		if request.zone != "" {
-			answer = responseOf(0, committer.setEvacuation(ctx, request.zone, request.on))
+			response = responseOf(0, committer.setEvacuation(ctx, request.zone, request.on))
 		} else {
-			answer = responseOf(committer.commit(ctx, request.changeRequest()))
+			response = responseOf(committer.commit(ctx, request.changeRequest()))
 		}
 		if !t.ended {
-			e.checker.handleResponse(request, answer)
-			onResponse(answer)
+			e.checker.handleResponse(request, response)
+			onResponse(response)
 		}
 	})
 }
 
-// exploredReplicas are a machine's replicas.
+// exploredReplicas models the replicas of a node.
 type exploredReplicas struct {
 	replica.Replicas
 	exploration *exploration
 	task        *handlerTask
 }
 
-// Barrier holds for what was agreed on before the call; a machine may know more by then.
+// Barrier covers what was committed before the call; the node may know more by then.
 func (r *exploredReplicas) Barrier(context.Context, feed.Partition) error {
 	e, node := r.exploration, r.task.node
 	least := len(e.log)
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// Propose has a command agreed on, at any time after an unknown outcome was told.
+// Propose commits a command, possibly after its outcome was reported as unknown.
 func (r *exploredReplicas) Propose(_ context.Context, _ feed.Partition, command []byte) ([]byte, error) {
 	e := r.exploration
 	var result []byte
@@ -154,10 +154,10 @@
 		e.enable("propose", func() {
 			if e.unknownBudget > 0 && e.schedule.choose(2) == 1 {
 				e.unknownBudget--
-				e.enable("agree late", func() { e.commitCommand(command) })
+				e.enable("commit late", func() { e.commitCommand(command) })
 			} else {
 				result = e.commitCommand(command)
-				r.task.node.applyTo(len(e.log)) // as the one that leads
+				r.task.node.applyTo(len(e.log)) // as the leader's
 			}
 			resume()
 		})
@@ -171,7 +171,7 @@
 	return result, nil
 }
 
-// changeScenario sends a change through both machines, and a rival with the same number on the same version.
+// changeScenario sends a change to both nodes, and a rival with the same number on the same version.
 func changeScenario(e *exploration) {
 	first := &modelRequest{number: 1, version: 2, text: "first"}
 	rival := &modelRequest{number: 2, version: 2, text: "rival"}
@@ -186,7 +186,7 @@
 	send(1, rival)
 }
 
-// earlyChangeScenario sends a change through both machines that builds on one which is not agreed on yet.
+// earlyChangeScenario sends to both nodes a change that builds on one which is not committed yet.
 func earlyChangeScenario(e *exploration) {
 	first := &modelRequest{number: 1, version: 2, text: "first"}
 	later := &modelRequest{number: 2, basedOn: 2, version: 3, text: "later"}
@@ -199,15 +199,15 @@
 	e.enable("send again", func() { e.deliver(e.nodes[0], false, later, func(modelResponse) {}) })
 }
 
-// evacuationScenario sends an evacuation through both machines, and takes it back through one, whether there was an
-// answer or not. Copies that come once their sender has given them up are known to be so.
+// evacuationScenario sends an evacuation to both nodes and reverts it through one, whether there was a response or not.
+// Copies that arrive after their sender has given them up are known to be cancelled.
 func evacuationScenario(e *exploration) {
 	begin := &modelRequest{number: 1, zone: "a", on: true}
 	finish := &modelRequest{number: 2, zone: "a"}
 	cancelled := false
 	onResponse := func(request *modelRequest) func(modelResponse) {
-		return func(answer modelResponse) {
-			if answer.status == http.StatusOK && !(cancelled && request == begin) && !request.acknowledged {
+		return func(response modelResponse) {
+			if response.status == http.StatusOK && !(cancelled && request == begin) && !request.acknowledged {
 				request.acknowledged = true
 				e.checker.handleAcknowledgedEvacuation(request)
 			}
@@ -224,68 +224,68 @@
 	})
 }
 
-// TestAllInterleavings plays every order of events of small scripts with at most one outcome that is not known. With one
-// retry of each copy, by -orders.retries 1, it takes minutes.
+// TestAllInterleavings runs every interleaving of small scenarios with at most one unknown outcome. With a retry of
+// each request (-orders.retries 1) it takes minutes.
 func TestAllInterleavings(t *testing.T) {
-	scripts := map[string]func(*exploration){
+	scenarios := map[string]func(*exploration){
 		"changes":       changeScenario,
 		"early changes": earlyChangeScenario,
 		"evacuations":   evacuationScenario,
 	}
-	for name, script := range scripts {
+	for name, scenario := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			played, failed := exploreAll(script, mutation{})
-			if failed != "" {
-				t.Error(failed)
+			count, failure := exploreAll(scenario, mutation{})
+			if failure != "" {
+				t.Error(failure)
 			}
-			t.Logf("%d orders of events", played)
+			t.Logf("%d interleavings", count)
 		})
 	}
 }
 
-// maxUnknownOutcomes is how many proposals of a script have an outcome that is not known.
+// maxUnknownOutcomes is the number of proposals in a scenario whose outcome may be unknown.
 const maxUnknownOutcomes = 1
 
-// exploreAll plays every order of events until one fails, and says what that was.
-func exploreAll(script func(*exploration), mutant mutation) (played int, failed string) {
+// exploreAll runs every interleaving until one fails, and returns how many it ran and the failure.
+func exploreAll(scenario func(*exploration), mutation mutation) (count int, failure string) {
 	for s := (&schedule{}); ; {
 		e := newExploration(s, maxUnknownOutcomes)
-		e.mutation = mutant
-		script(e)
+		e.mutation = mutation
+		scenario(e)
 		e.play()
-		played++
+		count++
 		if e.failure != "" {
-			return played, fmt.Sprintf("%s after %v (path %v)", e.failure, e.trace, s.path)
+			return count, fmt.Sprintf("%s after %v (path %v)", e.failure, e.trace, s.path)
 		}
 		if !s.advance() {
-			return played, ""
+			return count, ""
 		}
 	}
 }
 
-// TestInterleavingsFindMutations takes safeguards out, which has to be found.
+// TestInterleavingsFindMutations disables one safeguard at a time; some interleaving has to show it.
 func TestInterleavingsFindMutations(t *testing.T) {
 	tests := []struct {
-		name   string
-		script func(*exploration)
-		plant  mutation
+		name     string
+		scenario func(*exploration)
+		mutation mutation
 	}{
-		{"bases are not checked as changes are applied", changeScenario, mutation{skipBaseCheck: true}},
-		{"a request that comes again is a new one", changeScenario, mutation{uniqueDigests: true}},
-		{"what builds on a later version is refused", earlyChangeScenario, mutation{rejectEarly: true}},
-		{"evacuations are applied whatever came first", evacuationScenario, mutation{skipSeenCheck: true}},
-		{"evacuations that were overtaken are repeated", evacuationScenario, mutation{retrySuperseded: true}},
-		{"callers that have gone are served", evacuationScenario, mutation{ignoreCancellation: true}},
+		{"changes are applied on any base", changeScenario, mutation{skipBaseCheck: true}},
+		{"copies of a request have different digests", changeScenario, mutation{uniqueDigests: true}},
+		{"early changes are rejected", earlyChangeScenario, mutation{rejectEarly: true}},
+		{"evacuations are applied unconditionally", evacuationScenario, mutation{skipSeenCheck: true}},
+		{"superseded evacuations are repeated", evacuationScenario, mutation{retrySuperseded: true}},
+		{"disconnected callers are served", evacuationScenario, mutation{ignoreCancellation: true}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			played, failed := exploreAll(test.script, test.plant)
-			if failed == "" {
-				t.Errorf("not found in %d orders of events", played)
+			count, failure := exploreAll(test.scenario, test.mutation)
+			if failure == "" {
+				t.Errorf("not found in %d interleavings", count)
 			}
-			t.Logf("%d orders of events: %s", played, failed)
+			t.Logf("%d interleavings: %s", count, failure)
 		})
 	}
 }
--- a/internal/system/control/api/answer.go
+++ b/internal/system/control/api/response.go
@@ -10,10 +10,10 @@
 	"cinderroad/internal/system/validation"
 )
 
-// retryAfter is what callers are asked to wait before they ask again.
+// retryAfter is the Retry-After of 503.
 const retryAfter = 300 * time.Millisecond
 
-// Codes of errors, as operators' tools read them.
+// Error codes in response bodies. Operators' tools compare them.
 const (
 	codeInvalid     = "invalid"
 	codeConflict    = "version_conflict"
@@ -23,7 +23,7 @@
 	codeBusy        = "busy"
 )
 
-// apiError is an answer other than success.
+// apiError is a response other than success. 4xx is definite; 503 leaves the outcome unknown.
 type apiError struct {
 	status   int
 	code     string
@@ -51,7 +51,7 @@
 	return &apiError{status: http.StatusNotFound, code: codeNotFound, message: message}
 }
 
-// write answers with the refusal.
+// write sends the response.
 func (r *apiError) write(w http.ResponseWriter) {
 	if r.status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
@@ -59,6 +59,7 @@
 	writeJSON(w, r.status, r.encode())
 }
 
+// encode returns the body. Its field names are part of the API.
 func (r *apiError) encode() []byte {
 	var e jx.Encoder
 	e.ObjStart()
@@ -109,5 +110,5 @@
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	w.Write(body) //nolint:errcheck // the caller has gone: nobody is left to tell
+	w.Write(body) //nolint:errcheck // the caller has disconnected
 }
--- a/internal/system/control/api/simulation_checker_test.go
+++ b/internal/system/control/api/simulation_checker_test.go
@@ -19,26 +19,27 @@
 
 var simulatedZones = []string{"a", "b"}
 
-// acceptedChange is a change that was put in force.
+// acceptedChange is a change that the log has accepted.
 type acceptedChange struct {
 	basedOn, version uint64
 	body             string
 	request          *modelRequest
 }
 
-// checker knows everything that is sent, agreed on and answered, and the rules.
+// checker observes all requests, log entries and responses of a simulation, and fails it when one breaks a guarantee of
+// the package.
 type checker struct {
 	sim                     *simulation
 	requestCount            int
-	state                   *state.Configuration // of all that was agreed on
+	state                   *state.Configuration // of the whole log
 	history                 []acceptedChange
 	evacuated               map[string]bool
-	acknowledgedEvacuations map[string]*modelRequest // evacuations that were acknowledged last and are not ordered otherwise yet
+	acknowledgedEvacuations map[string]*modelRequest // by zone; deleted when the sender begins another request
 	operations              []*operation
 	counts                  eventCounts
 }
 
-// eventCounts are what happened.
+// eventCounts show what a simulation has covered.
 type eventCounts struct {
 	accepted, acknowledged, conflicts, invalid, indefinite, reacknowledged, evacuations, superseded, committed int
 }
@@ -53,7 +54,7 @@
 	return &modelRequest{number: r.requestCount}
 }
 
-// currentVersion is the version in force.
+// currentVersion returns the version in force.
 func (r *checker) currentVersion() uint64 {
 	if len(r.history) == 0 {
 		return 0
@@ -61,7 +62,7 @@
 	return r.history[len(r.history)-1].version
 }
 
-// findAccepted is the change that an order became.
+// findAccepted returns the accepted change that a request became.
 func (r *checker) findAccepted(request *modelRequest) (acceptedChange, bool) {
 	i := slices.IndexFunc(r.history, func(a acceptedChange) bool { return a.matches(request) })
 	if i < 0 {
@@ -74,7 +75,7 @@
 	return a.basedOn == request.basedOn && a.body == string(request.changeRequest().body)
 }
 
-// countChanges is how many changes were accepted from a base to a version.
+// countChanges returns the number of changes that were accepted between a base and a version.
 func (r *checker) countChanges(base, version uint64) (n int) {
 	for _, a := range r.history {
 		if a.basedOn >= base && a.version <= version {
@@ -84,7 +85,7 @@
 	return n
 }
 
-// versionOf is the version that a command puts in force.
+// versionOf returns the version that a command puts in force; 0 for an evacuation.
 func (r *checker) versionOf(command []byte) uint64 {
 	if decoded := decodeCommand(command); decoded.commit != nil {
 		return decoded.commit.Version
@@ -92,7 +93,7 @@
 	return 0
 }
 
-// apply notes a command that is agreed on and returns its result.
+// apply applies a command at its log index and returns its result.
 func (r *checker) apply(index int, command []byte) []byte {
 	sim := r.sim
 	r.counts.committed++
@@ -113,92 +114,94 @@
 	return result
 }
 
-// handleAcceptedChange sees that changes make one chain, and that none is in force that was refused or is there already.
+// handleAcceptedChange checks that accepted changes form one chain, and that none was invalid, rejected or accepted
+// before.
 func (r *checker) handleAcceptedChange(command *state.CommitConfiguration, before uint64) {
 	sim := r.sim
-	a := acceptedChange{basedOn: command.BasedOn, version: command.Version}
+	change := acceptedChange{basedOn: command.BasedOn, version: command.Version}
 	for _, write := range command.Writes {
-		a.body = string(write.Value)
+		change.body = string(write.Value)
 	}
 	r.counts.accepted++
-	sim.logf("version %d on %d is in force: %q", a.version, a.basedOn, a.body)
-	if a.basedOn != before || before != r.currentVersion() || a.version <= before {
-		sim.fail("version %d on %d is put in force over %d", a.version, a.basedOn, before)
+	sim.logf("version %d on %d is in force: %q", change.version, change.basedOn, change.body)
+	if change.basedOn != before || before != r.currentVersion() || change.version <= before {
+		sim.fail("version %d on %d is put in force over %d", change.version, change.basedOn, before)
 	}
 	if slices.ContainsFunc(r.history, func(other acceptedChange) bool {
-		return other.basedOn == a.basedOn || other.version == a.version
+		return other.basedOn == change.basedOn || other.version == change.version
 	}) {
-		sim.fail("two changes are in force as version %d on %d", a.version, a.basedOn)
+		sim.fail("two changes are in force as version %d on %d", change.version, change.basedOn)
 	}
-	if strings.HasSuffix(a.body, " invalid") {
-		sim.fail("an invalid change is in force: %q", a.body)
+	if strings.HasSuffix(change.body, " invalid") {
+		sim.fail("an invalid change is in force: %q", change.body)
 	}
 	for _, op := range r.operations {
-		if op.request != nil && op.request.zone == "" && a.matches(op.request) {
-			a.request = op.request
+		if op.request != nil && op.request.zone == "" && change.matches(op.request) {
+			change.request = op.request
 			if op.wasRejected {
-				sim.fail("%v is in force, and was refused", op.request)
+				sim.fail("%v is in force, and was rejected", op.request)
 			}
 		}
 	}
-	if a.request == nil {
-		sim.fail("a change is in force that nobody sent: %q", a.body)
+	if change.request == nil {
+		sim.fail("a change is in force that nobody sent: %q", change.body)
 	}
-	r.history = append(r.history, a)
+	r.history = append(r.history, change)
 }
 
-// handleEvacuation sees that nobody but its sender changes what was acknowledged.
+// handleEvacuation checks that only its sender undoes an evacuation that was acknowledged.
 func (r *checker) handleEvacuation(command *state.SetEvacuation) {
 	r.counts.evacuations++
 	r.sim.logf("zone %s is evacuated: %t", command.Zone, command.On)
 	r.evacuated[command.Zone] = command.On
 	if firm := r.acknowledgedEvacuations[command.Zone]; firm != nil && firm.on != command.On {
-		r.sim.fail("%v was acknowledged, and is undone", firm)
+		r.sim.fail("%v was acknowledged, and is reverted", firm)
 	}
 }
 
-// handleAcknowledgedEvacuation notes that an evacuation was acknowledged to its sender, which has ordered nothing else since.
+// handleAcknowledgedEvacuation records an evacuation that was acknowledged to its sender, which has sent no other
+// request since.
 func (r *checker) handleAcknowledgedEvacuation(request *modelRequest) {
 	r.acknowledgedEvacuations[request.zone] = request
 	if r.evacuated[request.zone] != request.on {
-		r.sim.fail("%v is acknowledged, and is not so", request)
+		r.sim.fail("%v is acknowledged, but not in force", request)
 	}
 }
 
-// handleResponse judges an answer as it leaves its machine.
-func (r *checker) handleResponse(request *modelRequest, answer modelResponse) {
+// handleResponse checks a response as it leaves its node.
+func (r *checker) handleResponse(request *modelRequest, response modelResponse) {
 	sim := r.sim
-	rejected := answer.status >= 400 && answer.status < 500
+	rejected := response.status >= 400 && response.status < 500
 	if request.zone != "" {
 		if rejected {
-			sim.fail("%v is refused", request)
+			sim.fail("%v is rejected", request)
 		}
-		if answer.status != http.StatusOK {
+		if response.status != http.StatusOK {
 			r.counts.superseded++
 		}
 		return
 	}
-	change, taken := r.findAccepted(request)
+	change, accepted := r.findAccepted(request)
 	switch {
-	case answer.status == http.StatusOK:
+	case response.status == http.StatusOK:
 		r.counts.acknowledged++
 		if request.acknowledged {
 			r.counts.reacknowledged++
 		}
-		if !taken || change.version != answer.version {
-			sim.fail("%v is acknowledged as %d, and was not agreed on", request, answer.version)
+		if !accepted || change.version != response.version {
+			sim.fail("%v is acknowledged as %d, and was not committed", request, response.version)
 		}
-	case rejected && taken:
-		sim.fail("%v is refused with %d, and is in force", request, answer.status)
+	case rejected && accepted:
+		sim.fail("%v is rejected with %d, and is in force", request, response.status)
 	case rejected:
-		r.handleRejection(request, answer)
+		r.handleRejection(request, response)
 	default:
 		r.counts.indefinite++
 	}
 }
 
-func (r *checker) handleRejection(request *modelRequest, answer modelResponse) {
-	if answer.status == http.StatusPreconditionFailed {
+func (r *checker) handleRejection(request *modelRequest, response modelResponse) {
+	if response.status == http.StatusPreconditionFailed {
 		r.counts.conflicts++
 	} else {
 		r.counts.invalid++
@@ -211,27 +214,28 @@
 	}
 }
 
-// unanswerable tells whether there may be no clear answer to an order: its base is not in force yet, or it is too old.
+// unanswerable reports whether a request may get no definite response: its base is not in force yet, or it is older
+// than the history limit.
 func (r *checker) unanswerable(request *modelRequest) bool {
-	memory := r.sim.profile.HistoryLimit
-	return request.basedOn > r.currentVersion() || memory > 0 && r.countChanges(request.basedOn, r.currentVersion()) > memory
+	limit := r.sim.profile.HistoryLimit
+	return request.basedOn > r.currentVersion() || limit > 0 && r.countChanges(request.basedOn, r.currentVersion()) > limit
 }
 
-// checkFinalState holds after the last fault.
+// checkFinalState checks clients, nodes and the history after recovery.
 func (r *checker) checkFinalState() {
 	sim := r.sim
 	for i, client := range sim.clients {
 		if !client.done() {
-			sim.fail("client %d has no clear answer", i)
+			sim.fail("client %d has requests without a definite response", i)
 		}
 	}
 	for _, node := range sim.nodes {
 		if node.state.Version() != r.currentVersion() {
-			sim.fail("machine %d is at version %d of %d", node.number, node.state.Version(), r.currentVersion())
+			sim.fail("node %d is at version %d of %d", node.number, node.state.Version(), r.currentVersion())
 		}
 		for zone, on := range r.evacuated {
 			if node.state.Evacuation(zone).On != on {
-				sim.fail("machine %d: zone %s is evacuated: %t", node.number, zone, !on)
+				sim.fail("node %d: zone %s is evacuated: %t", node.number, zone, !on)
 			}
 		}
 	}
@@ -240,14 +244,14 @@
 	}
 }
 
-// operation is a copy of an order, or a read, with its answer.
+// operation is one delivery of a request, or a read, with its response.
 type operation struct {
 	client             int
-	request            *modelRequest // nil: a read
-	zone               string        // that the read or the order is about; empty: the configuration
+	request            *modelRequest // nil for a read
+	zone               string        // empty: the configuration
 	response           modelResponse
 	startedAt, endedAt time.Duration
-	wasRejected        bool // a copy of the order was
+	wasRejected        bool // some delivery of the request was
 }
 
 func (r *checker) beginOperation(client int, request *modelRequest, zone string) *operation {
@@ -264,16 +268,16 @@
 	return op
 }
 
-// toPorcupine is the operation as the checker wants it.
+// toPorcupine converts the operation for the linearizability check.
 func (o *operation) toPorcupine(until time.Duration) porcupine.Operation {
 	return porcupine.Operation{ClientId: o.client, Input: o, Call: int64(o.startedAt), Output: o.response, Return: int64(until)}
 }
 
-func (o *operation) complete(answer modelResponse, now time.Duration) {
-	o.response, o.endedAt = answer, now
+func (o *operation) complete(response modelResponse, now time.Duration) {
+	o.response, o.endedAt = response, now
 }
 
-// text lists operations.
+// historyText lists operations, one a line.
 func historyText(operations []porcupine.Operation) string {
 	var b strings.Builder
 	for i := range operations {
@@ -288,7 +292,7 @@
 	return b.String()
 }
 
-// checkHistory tells whether what the clients saw is linearizable: configuration and zones, each by itself.
+// checkHistory checks that what the clients observed is linearizable: the configuration and each zone by itself.
 func (r *checker) checkHistory() {
 	r.checkOperations("the configuration", configurationModel, r.configurationHistory())
 	for _, zone := range simulatedZones {
@@ -296,32 +300,32 @@
 	}
 }
 
-func (r *checker) checkOperations(of string, model porcupine.Model, operations []porcupine.Operation) {
+func (r *checker) checkOperations(subject string, model porcupine.Model, operations []porcupine.Operation) {
 	switch porcupine.CheckOperationsTimeout(model, operations, linearizabilityTimeout) {
 	case porcupine.Illegal:
-		r.sim.fail("the history of %s is not linearizable: %s", of, historyText(operations))
+		r.sim.fail("the history of %s is not linearizable: %s", subject, historyText(operations))
 	case porcupine.Unknown:
-		r.sim.fail("the history of %s with %d operations took too long to check", of, len(operations))
+		r.sim.fail("the history of %s with %d operations took too long to check", subject, len(operations))
 	}
 }
 
-// configurationHistory is the history of the configuration, without what can't matter: reads without an answer, and orders without one
-// that were never taken, or of which a copy without one is there already.
+// configurationHistory returns the operations on the configuration, without those that can't matter: reads without a
+// response, and of the unanswered deliveries those of requests never accepted and all but the first of a request.
 func (r *checker) configurationHistory() (operations []porcupine.Operation) {
-	unanswered := map[*modelRequest]bool{}
+	seen := map[*modelRequest]bool{}
 	for _, op := range r.operations {
 		if op.zone != "" {
 			continue
 		}
 		until := op.endedAt
 		if !op.response.isDefinite() {
-			if op.request == nil || unanswered[op.request] {
+			if op.request == nil || seen[op.request] {
 				continue
 			}
-			if _, taken := r.findAccepted(op.request); !taken {
+			if _, accepted := r.findAccepted(op.request); !accepted {
 				continue
 			}
-			unanswered[op.request] = true
+			seen[op.request] = true
 			until = math.MaxInt64
 		}
 		operations = append(operations, op.toPorcupine(until))
@@ -329,8 +333,8 @@
 	return operations
 }
 
-// zoneHistory is the history of a zone with one operation for each order, however often it was sent. One that was given up
-// may have taken effect, but not after the next acknowledgement.
+// zoneHistory returns the operations on a zone, one for each request however often it was sent. A request that was
+// given up may have taken effect, but not after the next acknowledgement.
 func (r *checker) zoneHistory(zone string) (operations []porcupine.Operation) {
 	first := map[*modelRequest]bool{}
 	for i, op := range r.operations {
@@ -346,7 +350,8 @@
 	return operations
 }
 
-// firstAcknowledgement is when an order about the zone, that of an operation or a later one, was first acknowledged.
+// firstAcknowledgement returns when a request about the zone, that of operation i or a later one, was first
+// acknowledged.
 func (r *checker) firstAcknowledgement(i int, zone string) time.Duration {
 	at := time.Duration(math.MaxInt64)
 	for _, op := range r.operations[i:] {
@@ -357,7 +362,7 @@
 	return at
 }
 
-// versionChain is the configuration as clients see it: the last change and those before it.
+// versionChain is the configuration as clients observe it: the last change and those before it.
 type versionChain struct {
 	previous *versionChain
 	basedOn  uint64
@@ -372,38 +377,13 @@
 	return c.version
 }
 
-// configurationModel is what clients may rely on: a valid change on the version in force is accepted, once however often it is
-// sent; one whose base is passed is refused; a read shows what is in force.
+// configurationModel is what clients may rely on: a valid change on the version in force is accepted, once however
+// often it is sent; one whose base is superseded is rejected; a read returns what is in force.
 var configurationModel = porcupine.Model{
 	Init: func() any { return (*versionChain)(nil) },
 	Step: func(now, input, output any) (bool, any) {
-		c, op, answer := now.(*versionChain), input.(*operation), output.(modelResponse)
-		if op.request == nil {
-			return answer.version == c.currentVersion() && (c == nil || answer.text == c.body), c
-		}
-		order := op.request
-		body := string(order.changeRequest().body)
-		for taken := c; taken != nil; taken = taken.previous {
-			if taken.basedOn == order.basedOn && taken.body == body {
-				clear := answer.status >= 400 && answer.status < 500
-				return !clear && (answer.status != http.StatusOK || answer.version == taken.version), c
-			}
-		}
-		accepts := order.basedOn == c.currentVersion() && !order.invalid && order.version > order.basedOn
-		switch answer.status {
-		case http.StatusPreconditionFailed:
-			return order.basedOn < c.currentVersion(), c
-		case http.StatusBadRequest:
-			return order.basedOn == c.currentVersion() && !accepts, c
-		case http.StatusOK:
-			if !accepts || answer.version != order.version {
-				return false, c
-			}
-		}
-		if !accepts {
-			return true, c
-		}
-		return true, &versionChain{previous: c, basedOn: order.basedOn, version: order.version, body: body}
+		ok, next := stepConfiguration(now.(*versionChain), input.(*operation), output.(modelResponse))
+		return ok, next
 	},
 	Hash: func(state any) uint64 {
 		h := fnv.New64a()
@@ -415,6 +395,36 @@
 	Equal: func(a, b any) bool { return equalChains(a.(*versionChain), b.(*versionChain)) },
 }
 
+// stepConfiguration reports whether the model allows the response to an operation, and the configuration afterwards.
+func stepConfiguration(chain *versionChain, op *operation, response modelResponse) (bool, *versionChain) {
+	if op.request == nil {
+		return response.version == chain.currentVersion() && (chain == nil || response.text == chain.body), chain
+	}
+	request := op.request
+	body := string(request.changeRequest().body)
+	for accepted := chain; accepted != nil; accepted = accepted.previous {
+		if accepted.basedOn == request.basedOn && accepted.body == body {
+			rejected := response.status >= 400 && response.status < 500
+			return !rejected && (response.status != http.StatusOK || response.version == accepted.version), chain
+		}
+	}
+	accepts := request.basedOn == chain.currentVersion() && !request.invalid && request.version > request.basedOn
+	switch response.status {
+	case http.StatusPreconditionFailed:
+		return request.basedOn < chain.currentVersion(), chain
+	case http.StatusBadRequest:
+		return request.basedOn == chain.currentVersion() && !accepts, chain
+	case http.StatusOK:
+		if !accepts || response.version != request.version {
+			return false, chain
+		}
+	}
+	if !accepts {
+		return true, chain
+	}
+	return true, &versionChain{previous: chain, basedOn: request.basedOn, version: request.version, body: body}
+}
+
 func equalChains(a, b *versionChain) bool {
 	for a != nil && b != nil && a != b {
 		if a.basedOn != b.basedOn || a.version != b.version || a.body != b.body {
@@ -425,7 +435,7 @@
 	return a == b
 }
 
-// zoneModel is a zone that is evacuated or not.
+// zoneModel is a register that says whether a zone is evacuated. Unacknowledged requests may or may not take effect.
 var zoneModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{false} },
 	Step: func(now, input, output any) []any {
@@ -442,13 +452,13 @@
 	},
 }
 
-// decodedCommand is one of the two.
+// decodedCommand holds one of the two.
 type decodedCommand struct {
 	commit     *state.CommitConfiguration
 	evacuation *state.SetEvacuation
 }
 
-// decodeCommand reads a command of the committer. Its format is that of package state, which reads it for itself only.
+// decodeCommand decodes a command of the committer. The format is that of package state, whose decoder is not exported.
 func decodeCommand(command []byte) decodedCommand {
 	b := command[2:]
 	number := func() uint64 {
@@ -473,12 +483,12 @@
 	b = b[state.DigestSize:]
 	for range number() {
 		write := state.Write{Key: text()}
-		b = b[1:] // it is never a deletion
+		b = b[1:] // the deletion flag, never set here
 		write.Value = []byte(text())
 		c.Writes = append(c.Writes, write)
 	}
 	return decodedCommand{commit: c}
 }
 
-// evacuationKind is the second byte of a SetEvacuation.
+// evacuationKind is the second byte of an encoded SetEvacuation.
 const evacuationKind = 2
--- a/internal/system/control/api/simulation_clients_test.go
+++ b/internal/system/control/api/simulation_clients_test.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	callTimeout           = time.Second // without an answer, after which a copy is given up
+	callTimeout           = time.Second // after which a client gives up a delivery
 	maxEvacuationPatience = 5 * time.Second
-	maxRequestsPerClient  = 120 // that a client makes up
-	maxOpenCalls          = 2   // calls of a client at once, beside a copy of the last one
+	maxRequestsPerClient  = 120
+	maxOpenCalls          = 2 // of a configuration client, besides further copies of the last request
 )
 
-// modelRequest is an order as its sender knows it.
+// modelRequest is a request with what its sender knows of it.
 type modelRequest struct {
 	number       int
-	zone         string // of an evacuation; empty: it is a configuration
+	zone         string // of an evacuation; empty for a change of the configuration
 	on           bool
 	basedOn      uint64
 	version      uint64
-	text         string // two orders may share it
+	text         string // several requests may share it
 	invalid      bool
-	acknowledged bool // its sender was told
+	acknowledged bool // to its sender
 	rejected     bool
 }
 
 func (o *modelRequest) String() string {
 	if o.zone != "" {
-		return fmt.Sprintf("order %d (evacuation of %s: %t)", o.number, o.zone, o.on)
+		return fmt.Sprintf("request %d (evacuation of %s: %t)", o.number, o.zone, o.on)
 	}
-	return fmt.Sprintf("order %d (%d on %d, %q)", o.number, o.version, o.basedOn, o.text)
+	return fmt.Sprintf("request %d (%d on %d, %q)", o.number, o.version, o.basedOn, o.text)
 }
 
-// changeRequest is the configuration order as it is sent.
+// changeRequest returns the change as the API receives it.
 func (o *modelRequest) changeRequest() *changeRequest {
 	body := strconv.FormatUint(o.version, 10) + " " + o.text
 	if o.invalid {
@@ -49,10 +49,10 @@
 	return &changeRequest{kind: kindReplace, basedOn: o.basedOn, body: []byte(body)}
 }
 
-// ownerKey holds the text of the change that brought the version in force.
+// ownerKey is the item with the body of the change that brought the version in force.
 const ownerKey = "owner"
 
-// prepareModelChange reads what modelRequest.request wrote.
+// prepareModelChange parses the bodies that modelRequest.changeRequest writes; it stands for documentCache.
 func prepareModelChange(request *changeRequest, base *state.Base) (preparedChange, error) {
 	var invalid validation.Problems
 	version, text, _ := bytes.Cut(request.body, []byte(" "))
@@ -64,38 +64,38 @@
 	return preparedChange{version: number, writes: []state.Write{{Key: ownerKey, Value: request.body}}}, nil
 }
 
-// modelResponse is what a sender is told; the zero one: nothing.
+// modelResponse is what a client receives; the zero value stands for none.
 type modelResponse struct {
 	status  int
 	version uint64
-	text    string // of the version read
-	on      bool   // of the zone read
+	text    string // of the version that was read
+	on      bool   // whether the zone that was read is evacuated
 }
 
-// isDefinite tells whether the answer says what became of an order.
+// isDefinite reports whether the response says what became of a request.
 func (a modelResponse) isDefinite() bool {
 	return a.status == http.StatusOK || a.status >= 400 && a.status < 500
 }
 
 func responseOf(version uint64, err error) modelResponse {
-	var refused *apiError
+	var apiErr *apiError
 	switch {
 	case err == nil:
 		return modelResponse{status: http.StatusOK, version: version}
-	case errors.As(err, &refused):
-		return modelResponse{status: refused.status}
+	case errors.As(err, &apiErr):
+		return modelResponse{status: apiErr.status}
 	}
 	return modelResponse{status: http.StatusServiceUnavailable}
 }
 
-// delivery is an order, or a read, sent once.
+// delivery is one copy of a request, or a read, on its way.
 type delivery struct {
 	sim       *simulation
-	cancelled bool // by its sender
+	cancelled bool
 	task      *handlerTask
 }
 
-// cancel is the sender's end. The machine learns of it, unless the way there is cut.
+// cancel closes the sender's end. The node learns of it unless that message is lost.
 func (c *delivery) cancel() {
 	c.cancelled = true
 	sim := c.sim
@@ -104,17 +104,17 @@
 	}
 }
 
-// send brings something to a machine and its answer back, unless one is lost. An answer that comes later than the sender
-// waits for is not told.
+// send delivers a call to a random node and its response back, unless either is lost. A response that arrives after
+// callTimeout is dropped.
 func (sim *simulation) send(client int, request *modelRequest, zone string, handle func(t *handlerTask) modelResponse,
 	onResponse func(modelResponse)) *delivery {
 	c := &delivery{sim: sim}
 	op := sim.checker.beginOperation(client, request, zone)
-	end := func(answer modelResponse) {
+	end := func(response modelResponse) {
 		if !c.cancelled {
-			op.complete(answer, sim.now)
+			op.complete(response, sim.now)
 			c.cancel()
-			onResponse(answer)
+			onResponse(response)
 		}
 	}
 	sim.after(callTimeout, func() { end(modelResponse{}) })
@@ -126,16 +126,16 @@
 		}
 		node.whenRunning(func() {
 			c.task = node.runHandler(c.cancelled, func(t *handlerTask) {
-				answer := handle(t)
+				response := handle(t)
 				if t.ended {
 					return
 				}
 				if request != nil {
-					sim.logf("%d answers %v: %d", node.number, request, answer.status)
-					sim.checker.handleResponse(request, answer)
+					sim.logf("node %d responds to %v: %d", node.number, request, response.status)
+					sim.checker.handleResponse(request, response)
 				}
 				if !(sim.faultsActive && sim.chance(sim.profile.LostRatio)) {
-					sim.after(sim.networkDelay(), func() { end(answer) })
+					sim.after(sim.networkDelay(), func() { end(response) })
 				}
 			})
 		})
@@ -157,7 +157,7 @@
 	}, onResponse)
 }
 
-// sendRead reads the configuration, or where a zone is named, whether it is evacuated.
+// sendRead reads the configuration, or the zone if one is named.
 func (sim *simulation) sendRead(client int, zone string, onResponse func(modelResponse)) {
 	sim.send(client, nil, zone, func(t *handlerTask) modelResponse {
 		ctx := taskContext{context.Background(), t}
@@ -165,27 +165,27 @@
 			return modelResponse{}
 		}
 		base := t.node.state.Base()
-		answer := modelResponse{status: http.StatusOK, version: base.Version, on: t.node.state.Evacuation(zone).On}
+		response := modelResponse{status: http.StatusOK, version: base.Version, on: t.node.state.Evacuation(zone).On}
 		for _, value := range base.Values.All(ownerKey) {
-			answer.text = string(value)
+			response.text = string(value)
 		}
-		return answer
+		return response
 	}, onResponse)
 }
 
-// simulatedClient sends orders until it is told to finish, and then finds out what became of them.
+// simulatedClient sends requests until finish, and afterwards repeats them until each has a definite response.
 type simulatedClient interface {
 	finish()
 	done() bool
 }
 
-// configurationClient makes changes up, races the others, sends changes again and reads.
+// configurationClient reads and sends changes, concurrent with those of others, and repeats them.
 type configurationClient struct {
 	sim       *simulation
 	id        int
-	version   uint64 // newest that it knows
+	version   uint64 // newest that it has seen
 	requests  []*modelRequest
-	openCalls int // copies and reads that wait for an answer
+	openCalls int // deliveries and reads in flight
 	finishing bool
 }
 
@@ -198,18 +198,18 @@
 func (c *configurationClient) finish() {
 	c.finishing = true
 	for _, request := range c.requests {
-		request.acknowledged, request.rejected = false, false // each is sent once more
+		request.acknowledged, request.rejected = false, false // each is sent again
 	}
 }
 
-// unresolved are the orders that have no answer and can get one.
-func (c *configurationClient) unresolved() (orders []*modelRequest) {
+// unresolved returns the requests that have no definite response and can get one.
+func (c *configurationClient) unresolved() (requests []*modelRequest) {
 	for _, request := range c.requests {
 		if !request.acknowledged && !request.rejected && !c.sim.checker.unanswerable(request) {
-			orders = append(orders, request)
+			requests = append(requests, request)
 		}
 	}
-	return orders
+	return requests
 }
 
 func (c *configurationClient) done() bool { return len(c.unresolved()) == 0 }
@@ -231,17 +231,17 @@
 		c.send(c.requests[sim.random.IntN(len(c.requests))])
 	case sim.chance(0.3):
 		c.openCalls++
-		sim.sendRead(c.id, "", func(answer modelResponse) {
+		sim.sendRead(c.id, "", func(response modelResponse) {
 			c.openCalls--
-			c.version = max(c.version, answer.version)
+			c.version = max(c.version, response.version)
 		})
 	default:
 		c.send(c.newChange())
 	}
 }
 
-// newChange is a new change: on the version that the client knows, or on another; with a text and number of its own, or with
-// those of another order.
+// newChange returns a new change: on the version that the client knows or on another one, with a text and number of its
+// own or with those of another request.
 func (c *configurationClient) newChange() *modelRequest {
 	sim := c.sim
 	request := sim.checker.newRequest()
@@ -251,7 +251,7 @@
 		request.basedOn += uint64(sim.random.IntN(4))
 	case sim.chance(0.1):
 		request.basedOn -= min(request.basedOn, uint64(sim.random.IntN(4)))
-	case sim.chance(0.1) && len(c.requests) > 0: // on one whose outcome may not be known
+	case sim.chance(0.1) && len(c.requests) > 0: // on one whose outcome may be unknown
 		request.basedOn = c.requests[len(c.requests)-1].version
 	}
 	request.version = request.basedOn + 1 + uint64(sim.random.IntN(2))
@@ -264,31 +264,31 @@
 	return request
 }
 
-// send sends an order to one machine, or to several at once.
+// send delivers a request to one node, or to several at once.
 func (c *configurationClient) send(request *modelRequest) {
 	for range 1 + c.sim.random.IntN(5)/4 {
 		c.openCalls++
-		c.sim.sendChange(c.id, request, func(answer modelResponse) { c.handleResponse(request, answer) })
+		c.sim.sendChange(c.id, request, func(response modelResponse) { c.handleResponse(request, response) })
 	}
 }
 
-func (c *configurationClient) handleResponse(request *modelRequest, answer modelResponse) {
+func (c *configurationClient) handleResponse(request *modelRequest, response modelResponse) {
 	c.openCalls--
-	c.version = max(c.version, answer.version)
+	c.version = max(c.version, response.version)
 	switch {
-	case answer.status == http.StatusOK:
+	case response.status == http.StatusOK:
 		request.acknowledged = true
-	case answer.status >= 400 && answer.status < 500:
+	case response.status >= 400 && response.status < 500:
 		request.rejected = true
 	}
 }
 
-// evacuationClient is the only one to order about its zone: one thing after the other, each sent again until it is
-// acknowledged or given up. What was acknowledged has to hold until it orders something else.
+// evacuationClient is the only one to send requests about its zone: one after the other, each repeated until it is
+// acknowledged or given up. What was acknowledged has to hold until it sends something else.
 type evacuationClient struct {
 	sim          *simulation
 	zone         string
-	current      *modelRequest // the present one; nil: none yet
+	current      *modelRequest // nil: none yet
 	deliveries   []*delivery
 	requestCount int
 	finishing    bool
@@ -301,20 +301,20 @@
 	sim.after(sim.durationBetween(0, time.Second), c.poll)
 }
 
-// id tells the client in the history.
+// id identifies the client in the history.
 func (c *evacuationClient) id() int { return 100 + int(c.zone[0]) }
 
 func (c *evacuationClient) finish() { c.finishing = true }
 
 func (c *evacuationClient) done() bool { return c.current != nil && c.current.acknowledged }
 
-// poll reads whether the zone is evacuated.
+// poll reads the zone's state at intervals.
 func (c *evacuationClient) poll() {
 	c.sim.after(c.sim.durationBetween(100*time.Millisecond, time.Second), c.poll)
 	c.sim.sendRead(c.id(), c.zone, func(modelResponse) {})
 }
 
-// nextRequest orders the contrary of what was ordered last, or at times the same again.
+// nextRequest sends the contrary of the previous request, or sometimes the same again.
 func (c *evacuationClient) nextRequest() {
 	sim := c.sim
 	if c.requestCount >= maxRequestsPerClient {
@@ -329,8 +329,8 @@
 	c.current = request
 	c.cancelDeliveries()
 	c.send(request)
-	patience := sim.durationBetween(callTimeout/2, maxEvacuationPatience)
-	sim.after(patience, func() {
+	timeout := sim.durationBetween(callTimeout/2, maxEvacuationPatience)
+	sim.after(timeout, func() {
 		if c.current == request && !request.acknowledged && !c.finishing {
 			sim.logf("%v is given up", request)
 			c.nextRequest()
@@ -338,7 +338,7 @@
 	})
 }
 
-// cancelDeliveries closes what is open.
+// cancelDeliveries closes all open calls.
 func (c *evacuationClient) cancelDeliveries() {
 	for _, open := range c.deliveries {
 		if !open.cancelled {
@@ -348,20 +348,20 @@
 	c.deliveries = nil
 }
 
-// send sends the order to one machine or to two at once, and again until it is acknowledged.
+// send delivers the request to one node or to two at once, and again until it is acknowledged.
 func (c *evacuationClient) send(request *modelRequest) {
 	sim := c.sim
 	if c.current != request || request.acknowledged {
 		return
 	}
 	for range 1 + sim.random.IntN(5)/4 {
-		c.deliveries = append(c.deliveries, sim.sendEvacuation(c.id(), request, func(answer modelResponse) { c.handleResponse(request, answer) }))
+		c.deliveries = append(c.deliveries, sim.sendEvacuation(c.id(), request, func(response modelResponse) { c.handleResponse(request, response) }))
 	}
 	sim.after(sim.durationBetween(callTimeout/4, callTimeout), func() { c.send(request) })
 }
 
-func (c *evacuationClient) handleResponse(request *modelRequest, answer modelResponse) {
-	if answer.status != http.StatusOK || request.acknowledged || c.current != request {
+func (c *evacuationClient) handleResponse(request *modelRequest, response modelResponse) {
+	if response.status != http.StatusOK || request.acknowledged || c.current != request {
 		return
 	}
 	request.acknowledged = true
--- a/internal/system/control/api/simulation_cluster_test.go
+++ b/internal/system/control/api/simulation_cluster_test.go
@@ -16,8 +16,9 @@
 	"cinderroad/internal/testkit/eventqueue"
 )
 
-// simulation is a core's machines in virtual time: the committer of each with its state machine, over a model of the
-// agreement that does whatever the replicas may do. Handlers run as coroutines, one at a time, so that a seed replays.
+// simulation is a cluster of control machines in virtual time: each runs the committer and its state machine over a
+// model of the replicated log that does whatever real replicas may do. Handlers run as coroutines, one at a time, so
+// that a seed replays.
 type simulation struct {
 	seed         uint64
 	random       *rand.Rand
@@ -25,63 +26,63 @@
 	events       eventqueue.Agenda
 	verbose      bool
 	failure      string
-	faultsActive bool // they go on
+	faultsActive bool // false once recovery begins
 	mutation     mutation
 	profile      simulationProfile
 
 	nodes         []*simulatedNode
 	log           []logEntry
 	inFlight      []*pendingProposal
-	noQuorumUntil time.Duration // until when no majority is there
+	noQuorumUntil time.Duration // in virtual time
 	checker       *checker
 	clients       []simulatedClient
 }
 
-// mutation are safeguards that are taken out.
+// mutation is a set of safeguards that are disabled.
 type mutation struct {
-	rejectForgotten     bool // an order that is not remembered counts as superseded
-	rejectEarly         bool // so does one whose base is not in force yet
-	splitLookup         bool // whether an order was taken, and what is in force, are looked up at two moments
-	skipBaseCheck       bool // when a change is applied
-	uniqueDigests       bool // the same request has another digest each time
-	skipSeenCheck       bool // when an evacuation is applied
-	skipNoopEvacuations bool // an evacuation that changes nothing does not count as an order
-	retrySuperseded     bool // an evacuation that was overtaken is tried again
-	ignoreCancellation  bool // that the caller has gone is not looked at
-	staleReads          bool // reads don't wait for what was acknowledged
-	acknowledgeEarly    bool // before a command is agreed on
-	rejectUnknown       bool // an unknown outcome counts as a conflict
-	lossySnapshots      bool // a snapshot loses the changes that are remembered
-}
-
-// simulationProfile is what a seed draws.
+	rejectForgotten     bool // a forgotten request counts as superseded
+	rejectEarly         bool // a request whose base is not in force yet counts as superseded
+	splitLookup         bool // verdict and base are read at two moments
+	skipBaseCheck       bool // changes are applied on any base
+	uniqueDigests       bool // copies of a request have different digests
+	skipSeenCheck       bool // evacuations are applied whatever was applied before
+	skipNoopEvacuations bool // an evacuation that changes nothing is not committed
+	retrySuperseded     bool // a superseded evacuation is attempted again
+	ignoreCancellation  bool // requests of disconnected callers are served
+	staleReads          bool // reads skip the barrier
+	acknowledgeEarly    bool // before the command is committed
+	rejectUnknown       bool // an unknown outcome is reported as a conflict
+	lossySnapshots      bool // snapshots lose the accepted changes
+}
+
+// simulationProfile holds the parameters that a seed draws.
 type simulationProfile struct {
 	Nodes         int
-	Delay         time.Duration // of a message, at most
-	LateRatio     float64       // part of the messages that take up to LateDelay
+	Delay         time.Duration // largest of a message that is not late
+	LateRatio     float64       // of messages that take up to LateDelay more
 	LateDelay     time.Duration
-	LostRatio     float64 // part of the answers to operators
-	UnknownRatio  float64 // part of the proposals whose outcome is not known
+	LostRatio     float64 // of responses to clients
+	UnknownRatio  float64 // of proposals whose outcome stays unknown
 	FaultInterval time.Duration
 	ThinkTime     time.Duration
-	HistoryLimit  int // changes after which one counts as forgotten; 0: as the state machine has it
+	HistoryLimit  int // changes after which one counts as forgotten; 0: state.RememberedChanges
 }
 
-// logEntry is an entry of the log. Its index is one more than its place.
+// logEntry is an entry of the replicated log; its log index is its slice index plus one.
 type logEntry struct {
 	command []byte
 	result  string
 }
 
-// pendingProposal is one that may be agreed on yet.
+// pendingProposal is a command that may still be committed.
 type pendingProposal struct{ dropped bool }
 
-// simulatedNode is a control machine; its snapshot outlives its process.
+// simulatedNode is a control machine. Its snapshot survives the process.
 type simulatedNode struct {
 	sim           *simulation
 	number        int
 	state         *state.Configuration
-	applied       int // entries of the log
+	applied       int // log entries
 	snapshot      []byte
 	snapshotIndex int
 	up            bool
@@ -91,7 +92,7 @@
 	waiters       []appliedWaiter
 }
 
-// appliedWaiter goes on once entries are applied.
+// appliedWaiter is resumed once the log is applied up to an index.
 type appliedWaiter struct {
 	index  int
 	resume func()
@@ -118,16 +119,16 @@
 
 func (sim *simulation) chance(p float64) bool { return sim.random.Float64() < p }
 
-func (sim *simulation) durationBetween(least, most time.Duration) time.Duration {
-	return least + time.Duration(sim.random.Int64N(int64(most-least)+1))
+func (sim *simulation) durationBetween(low, high time.Duration) time.Duration {
+	return low + time.Duration(sim.random.Int64N(int64(high-low)+1))
 }
 
-// logUniform draws a time whose order of magnitude may be any within a range.
-func (sim *simulation) logUniform(least, most time.Duration) time.Duration {
-	return time.Duration(float64(least) * math.Pow(float64(most)/float64(least), sim.random.Float64()))
+// logUniform draws a duration whose logarithm is uniform.
+func (sim *simulation) logUniform(low, high time.Duration) time.Duration {
+	return time.Duration(float64(low) * math.Pow(float64(high)/float64(low), sim.random.Float64()))
 }
 
-// networkDelay is how long a message takes.
+// networkDelay draws the time that a message takes.
 func (sim *simulation) networkDelay() time.Duration {
 	if sim.faultsActive && sim.chance(sim.profile.LateRatio) {
 		return sim.durationBetween(sim.profile.Delay, sim.profile.Delay+sim.profile.LateDelay)
@@ -152,7 +153,7 @@
 	sim.events.At(float64(sim.now+max(d, 0)), do)
 }
 
-// run plays for a time.
+// run processes events for a span of virtual time.
 func (sim *simulation) run(d time.Duration) {
 	end := sim.now + d
 	for sim.failure == "" {
@@ -166,7 +167,7 @@
 	sim.now = end
 }
 
-// start starts the machines and those who send orders.
+// start starts nodes, clients and faults.
 func (sim *simulation) start() {
 	for i := range sim.profile.Nodes {
 		node := &simulatedNode{sim: sim, number: i}
@@ -182,7 +183,7 @@
 	sim.after(time.Second, sim.injectFault)
 }
 
-// injectFault does one thing to the machines.
+// injectFault injects one random fault and schedules the next.
 func (sim *simulation) injectFault() {
 	if !sim.faultsActive {
 		return
@@ -194,7 +195,7 @@
 	case 0, 1:
 		node.restart(span)
 	case 2:
-		sim.logf("all are killed")
+		sim.logf("all nodes are killed")
 		for _, p := range sim.inFlight {
 			p.dropped = p.dropped || sim.chance(0.5)
 		}
@@ -202,22 +203,22 @@
 			each.restart(sim.durationBetween(time.Millisecond, span))
 		}
 	case 3:
-		sim.logf("%d freezes for %v", node.number, span)
+		sim.logf("node %d freezes for %v", node.number, span)
 		node.frozenUntil = max(node.frozenUntil, sim.now+span)
 	case 4:
-		sim.logf("no majority for %v", span)
+		sim.logf("no quorum for %v", span)
 		sim.noQuorumUntil = max(sim.noQuorumUntil, sim.now+span)
 	case 5:
 		node.takeSnapshot()
 	case 6:
-		sim.logf("%d is replaced by an empty machine", node.number)
+		sim.logf("node %d is replaced by an empty one", node.number)
 		node.kill()
 		node.snapshot, node.snapshotIndex = nil, 0
 		sim.after(span, node.start)
 	}
 }
 
-// heal ends all faults.
+// heal ends all faults and has the clients finish.
 func (sim *simulation) heal() {
 	sim.logf("all faults end")
 	sim.faultsActive, sim.noQuorumUntil = false, 0
@@ -230,7 +231,7 @@
 	}
 }
 
-// start starts a machine's process from its snapshot; the log comes after it.
+// start starts the process from its snapshot; the rest of the log follows.
 func (n *simulatedNode) start() {
 	if n.up {
 		return
@@ -250,22 +251,22 @@
 
 func (n *simulatedNode) restore(snapshot []byte, at int) {
 	if err := n.state.Restore(uint64(at), snapshot); err != nil {
-		n.sim.fail("machine %d does not take a snapshot: %v", n.number, err)
+		n.sim.fail("node %d rejects a snapshot: %v", n.number, err)
 	}
 	n.applied = at
 }
 
-// restart kills the process and starts it again.
-func (n *simulatedNode) restart(down time.Duration) {
+// restart kills the process and starts it again after a downtime.
+func (n *simulatedNode) restart(downtime time.Duration) {
 	n.kill()
-	n.sim.after(down, n.start)
+	n.sim.after(downtime, n.start)
 }
 
 func (n *simulatedNode) kill() {
 	if !n.up {
 		return
 	}
-	n.sim.logf("%d is killed", n.number)
+	n.sim.logf("node %d is killed", n.number)
 	n.up = false
 	n.incarnation++
 	for _, t := range n.tasks {
@@ -284,7 +285,7 @@
 	}
 }
 
-// whenRunning does something of this life of the process, once it is not frozen.
+// whenRunning calls do in this incarnation of the process, once it is not frozen.
 func (n *simulatedNode) whenRunning(do func()) {
 	life := n.incarnation
 	var look func()
@@ -300,7 +301,7 @@
 	look()
 }
 
-// scheduleApply has the machine apply the log up to an index after a while.
+// scheduleApply applies the log up to an index after a network delay.
 func (n *simulatedNode) scheduleApply(index int) {
 	if !n.up {
 		return
@@ -313,7 +314,7 @@
 	})
 }
 
-// applyTo applies the log up to an index, by a snapshot of another machine at times.
+// applyTo applies the log up to an index, at times by a snapshot of another node.
 func (n *simulatedNode) applyTo(index int) {
 	sim := n.sim
 	if other := sim.nodes[sim.random.IntN(len(sim.nodes))]; other.up && other.applied > n.applied+5 && sim.chance(0.3) {
@@ -325,7 +326,7 @@
 		command := sim.mutateCommand(n.state, n.applied, entry.command)
 		result := n.state.Apply(uint64(n.applied), command)
 		if string(result) != entry.result {
-			sim.fail("machine %d comes to another result at %d than was agreed on", n.number, n.applied)
+			sim.fail("node %d: the result at %d differs from the committed one", n.number, n.applied)
 		}
 	}
 	var waiting []appliedWaiter
@@ -339,7 +340,7 @@
 	n.waiters = waiting
 }
 
-// commit puts a command into the log, and has the machines learn of it.
+// commit appends a command to the log and tells the nodes.
 func (sim *simulation) commit(command []byte) []byte {
 	index := len(sim.log) + 1
 	result := sim.checker.apply(index, command)
@@ -350,7 +351,7 @@
 	return result
 }
 
-// handlerTask is a handler of a machine that runs as a coroutine.
+// handlerTask is an API handler that runs as a coroutine on a node.
 type handlerTask struct {
 	node      *simulatedNode
 	next      func() (suspension, bool)
@@ -358,15 +359,15 @@
 	yield     func(suspension) bool
 	ended     bool
 	deadline  time.Duration
-	cancelled bool // the machine knows that the caller has closed its connection
+	cancelled bool // the node knows that the caller has disconnected
 }
 
-// suspension begins what a coroutine waits for; it calls resume later, and never at once.
+// suspension starts what a coroutine waits for. It calls resume later, never synchronously.
 type suspension func(resume func())
 
-// runHandler runs a handler on the machine.
-func (n *simulatedNode) runHandler(gone bool, handle func(t *handlerTask)) *handlerTask {
-	t := &handlerTask{node: n, deadline: n.sim.now + ResponseTimeout, cancelled: gone}
+// runHandler runs a handler on the node.
+func (n *simulatedNode) runHandler(cancelled bool, handle func(t *handlerTask)) *handlerTask {
+	t := &handlerTask{node: n, deadline: n.sim.now + ResponseTimeout, cancelled: cancelled}
 	t.next, t.stop = iter.Pull(iter.Seq[suspension](func(yield func(suspension) bool) {
 		t.yield = yield
 		handle(t)
@@ -376,7 +377,7 @@
 	return t
 }
 
-// step goes on until the coroutine waits again or has ended.
+// step runs the coroutine until it waits again or ends.
 func (t *handlerTask) step() {
 	if t.ended {
 		return
@@ -401,20 +402,20 @@
 	t.stop()
 }
 
-// await waits; false: the process was killed meanwhile.
+// await suspends the handler; false means that the process was killed meanwhile.
 func (t *handlerTask) await(begin suspension) bool {
 	return !t.ended && t.yield(begin) && !t.ended
 }
 
-// sleep waits for a time.
+// sleep suspends the handler for a time.
 func (t *handlerTask) sleep(d time.Duration) bool {
 	return t.await(func(resume func()) { t.node.sim.after(d, resume) })
 }
 
-// remaining is the time to the end of the call.
+// remaining returns the time left until the deadline of the call.
 func (t *handlerTask) remaining() time.Duration { return max(t.deadline-t.node.sim.now, 0) }
 
-// taskContext is a call's context over virtual time. It is not canceled by itself: nothing in the handlers waits for that.
+// taskContext is a call's context in virtual time. Done never fires: the handlers only check Err.
 type taskContext struct {
 	context.Context
 	task *handlerTask
@@ -432,12 +433,12 @@
 
 var errProcessKilled = errors.New("killed")
 
-// committer is the machine's, for one call.
+// committer returns a committer for one call.
 func (t *handlerTask) committer() *committer {
 	return &committer{replicas: &simulatedReplicas{task: t}, state: &simulatedState{task: t}, prepare: prepareModelChange, sleep: t.pause}
 }
 
-// pause is the API's. After a process was frozen either of its two timers may come first.
+// pause stands for retry.Sleep. After a frozen process resumes, either of its two timers may fire first.
 func (t *handlerTask) pause(ctx context.Context, d time.Duration) bool {
 	alive := t.sleep(min(d, t.remaining()))
 	if alive && t.remaining() == 0 && !t.cancelled {
@@ -446,13 +447,13 @@
 	return alive && ctx.Err() == nil
 }
 
-// simulatedReplicas are a machine's replicas.
+// simulatedReplicas models the replicas of a node.
 type simulatedReplicas struct {
 	replica.Replicas
 	task *handlerTask
 }
 
-// Barrier holds for what was agreed on before the call, and not always for more.
+// Barrier covers what was committed before the call, and sometimes what was committed during it.
 func (r *simulatedReplicas) Barrier(context.Context, feed.Partition) error {
 	t, node := r.task, r.task.node
 	sim := node.sim
@@ -482,7 +483,7 @@
 	return nil
 }
 
-// Propose has a command agreed on soon, late or never, and tells what became of it or not.
+// Propose commits a command soon, late or never, and reports the outcome or not.
 func (r *simulatedReplicas) Propose(_ context.Context, _ feed.Partition, command []byte) ([]byte, error) {
 	t := r.task
 	sim := t.node.sim
@@ -502,9 +503,9 @@
 	var result []byte
 	unknown := sim.faultsActive && sim.chance(sim.profile.UnknownRatio)
 	alive := t.await(func(resume func()) {
-		sim.propose(command, func(answer []byte) {
+		sim.propose(command, func(response []byte) {
 			if !unknown {
-				result = answer
+				result = response
 				sim.after(sim.networkDelay(), resume)
 			}
 		})
@@ -521,7 +522,7 @@
 	return nil, &replica.UnknownOutcomeError{}
 }
 
-// propose brings a command on its way: it is lost, or agreed on once.
+// propose sends a command towards the log: it is lost, or committed once.
 func (sim *simulation) propose(command []byte, agreed func(result []byte)) {
 	if sim.faultsActive && sim.chance(0.1) {
 		return
@@ -536,10 +537,10 @@
 	})
 }
 
-// simulatedState is a machine's state as its committer asks for it.
+// simulatedState is a node's state as its committer reads it.
 type simulatedState struct{ task *handlerTask }
 
-// Standing is the state machine's, with a shorter memory where the profile says so.
+// Standing returns the state machine's, with the profile's history limit and the mutations.
 func (o *simulatedState) Standing(basedOn uint64, digest state.Digest) state.Standing {
 	node := o.task.node
 	sim := node.sim
@@ -561,7 +562,7 @@
 	return standing
 }
 
-// Evacuation is the state machine's.
+// Evacuation returns the state machine's, with the mutations.
 func (o *simulatedState) Evacuation(zone string) state.Evacuation {
 	evacuation := o.task.node.state.Evacuation(zone)
 	if o.task.node.sim.mutation.retrySuperseded {
--- a/internal/system/control/api/simulation_test.go
+++ b/internal/system/control/api/simulation_test.go
@@ -12,18 +12,18 @@
 )
 
 var (
-	seedFlag      = flag.Uint64("orders.seed", 0, "play only this seed of the orders, and tell what happens")
-	seedCountFlag = flag.Int("orders.seeds", 400, "how many seeds of the orders are played")
+	seedFlag      = flag.Uint64("orders.seed", 0, "simulate only this seed, and print what happens")
+	seedCountFlag = flag.Int("orders.seeds", 400, "number of seeds to simulate")
 )
 
 const (
 	faultPhase  = 25 * time.Second
-	maxRecovery = 300 * time.Second // at most; each order that was ever sent is sent once more
+	maxRecovery = 300 * time.Second // at most; each request is sent once more
 )
 
-// TestSimulation plays operators over virtual time: changes that race, are sent again and overtake each other, and evacuations
-// that are taken back while copies of them are under way, through machines that are killed, frozen, replaced and cut off.
-// Each answer is judged as it is given, each entry as it is agreed on, and the whole history for linearizability.
+// TestSimulation runs operators in virtual time: concurrent, repeated and reordered changes, and evacuations that are
+// reverted while copies of them are in flight, on nodes that are killed, frozen, replaced and partitioned. Responses
+// and log entries are checked as they occur, the whole history for linearizability.
 func TestSimulation(t *testing.T) {
 	if *seedFlag != 0 {
 		sim := newSimulation(*seedFlag)
@@ -51,7 +51,7 @@
 func runSimulation(t *testing.T, sim *simulation) {
 	sim.play()
 	if sim.failure != "" {
-		t.Errorf("%s\nreplay: go test ./internal/system/control/api -run TestOrders -orders.seed %d -v", sim.failure, sim.seed)
+		t.Errorf("%s\nreplay: go test ./internal/system/control/api -run TestSimulation -orders.seed %d -v", sim.failure, sim.seed)
 	}
 }
 
@@ -62,7 +62,7 @@
 	for end := sim.now + maxRecovery; sim.failure == "" && sim.now < end && !sim.allClientsDone(); {
 		sim.run(time.Second)
 	}
-	sim.run(time.Second) // what is under way comes
+	sim.run(time.Second) // what is in flight arrives
 	if sim.failure == "" {
 		sim.checker.checkFinalState()
 	}
@@ -80,7 +80,7 @@
 	return true
 }
 
-// TestSimulationIsDeterministic: a seed that failed replays.
+// TestSimulationIsDeterministic checks that a seed replays.
 func TestSimulationIsDeterministic(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		a, b := newSimulation(seed), newSimulation(seed)
@@ -92,22 +92,22 @@
 	}
 }
 
-// TestSimulationFindsMutations takes one safeguard out at a time, which has to be found.
+// TestSimulationFindsMutations disables one safeguard at a time; the checker has to notice each.
 func TestSimulationFindsMutations(t *testing.T) {
 	mutants := map[string]mutation{
-		"what is not remembered is refused":              {rejectForgotten: true},
-		"what builds on a later version is refused":      {rejectEarly: true},
-		"orders taken and version are looked up in turn": {splitLookup: true},
-		"bases are not checked as changes are applied":   {skipBaseCheck: true},
-		"a request that comes again is a new one":        {uniqueDigests: true},
-		"evacuations are applied whatever came first":    {skipSeenCheck: true},
-		"evacuations that change nothing are no orders":  {skipNoopEvacuations: true},
-		"evacuations that were overtaken are repeated":   {retrySuperseded: true},
-		"callers that have gone are served":              {ignoreCancellation: true},
-		"reads without a barrier":                        {staleReads: true},
-		"acknowledged before it is agreed on":            {acknowledgeEarly: true},
-		"refused where the outcome is not known":         {rejectUnknown: true},
-		"snapshots without what was accepted":            {lossySnapshots: true},
+		"forgotten changes are rejected":               {rejectForgotten: true},
+		"early changes are rejected":                   {rejectEarly: true},
+		"verdict and base are read separately":         {splitLookup: true},
+		"changes are applied on any base":              {skipBaseCheck: true},
+		"copies of a request have different digests":   {uniqueDigests: true},
+		"evacuations are applied unconditionally":      {skipSeenCheck: true},
+		"evacuations without effect are not committed": {skipNoopEvacuations: true},
+		"superseded evacuations are repeated":          {retrySuperseded: true},
+		"disconnected callers are served":              {ignoreCancellation: true},
+		"reads without a barrier":                      {staleReads: true},
+		"acknowledged before commit":                   {acknowledgeEarly: true},
+		"unknown outcomes are rejected":                {rejectUnknown: true},
+		"snapshots without accepted changes":           {lossySnapshots: true},
 	}
 	for name, mutant := range mutants {
 		t.Run(name, func(t *testing.T) {
@@ -126,7 +126,7 @@
 	}
 }
 
-// mutateCommand is a command as a state machine without a safeguard would take it.
+// mutateCommand returns the command as a state machine without the disabled safeguards would apply it.
 func (sim *simulation) mutateCommand(at *state.Configuration, index int, command []byte) []byte {
 	if !sim.mutation.skipBaseCheck && !sim.mutation.uniqueDigests && !sim.mutation.skipSeenCheck {
 		return command
@@ -148,10 +148,10 @@
 	return c.Encode()
 }
 
-// snapshotWithoutChanges is a snapshot in which no request can be recognized.
+// snapshotWithoutChanges returns a snapshot whose accepted changes match no request.
 func snapshotWithoutChanges(c *state.Configuration) []byte {
 	snapshot := c.Snapshot()
-	at := 1 // after the format
+	at := 1 // behind the format
 	number := func() uint64 {
 		v, n := binary.Uvarint(snapshot[at:])
 		at += n
@@ -168,7 +168,7 @@
 	return snapshot
 }
 
-// simulationTotals are the counts of all seeds.
+// simulationTotals sums the counts of all seeds.
 type simulationTotals struct {
 	mutex  sync.Mutex
 	counts eventCounts
@@ -189,12 +189,12 @@
 	c.committed += other.committed
 }
 
-// checkCoverage sees that what the test is for does happen in it.
+// checkCoverage checks that everything the test is meant to cover did occur.
 func (n *simulationTotals) checkCoverage(t *testing.T) {
 	c := n.counts
 	for name, count := range map[string]int{"accepted": c.accepted, "acknowledged": c.acknowledged,
-		"conflicts": c.conflicts, "invalid": c.invalid, "unclear": c.indefinite, "again": c.reacknowledged,
-		"evacuations": c.evacuations, "overtaken": c.superseded} {
+		"conflicts": c.conflicts, "invalid": c.invalid, "indefinite": c.indefinite, "reacknowledged": c.reacknowledged,
+		"evacuations": c.evacuations, "superseded": c.superseded} {
 		if count == 0 {
 			t.Errorf("%s never happened: %+v", name, c)
 		}
