--- a/internal/system/replica/core_address_test.go
+++ b/internal/system/replica/core_address_test.go
@@ -23,7 +23,7 @@
 		if process == nil {
 			t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
 		}
-		away, lost := sim.machines[(process.slot.number+1)%5], sim.machines[(process.slot.number+2)%5]
+		away, lost := sim.machines[(process.machine.index+1)%5], sim.machines[(process.machine.index+2)%5]
 		for _, machine := range sim.machines {
 			sim.block(machine, away, time.Hour)
 			sim.block(away, machine, time.Hour)
@@ -61,7 +61,7 @@
 		if process == nil {
 			continue
 		}
-		if process.slot == machine {
+		if process.machine == machine {
 			return true
 		}
 		votes := func(m consensus.Member) bool { return m.ID == machine.id() && m.Voter }
--- a/internal/system/replica/core_calls_test.go
+++ b/internal/system/replica/core_calls_test.go
@@ -100,7 +100,7 @@
 		done(simResponse{undecidable: true})
 		return
 	}
-	command := p.world.command(request)
+	command := p.sim.command(request)
 	p.propose(command, deadline, func(result []byte, known bool) {
 		if !known {
 			retry()
@@ -108,7 +108,7 @@
 		}
 		decoded, err := state.DecodeResult(result)
 		if err != nil {
-			p.world.fail("result of a command: %v", err)
+			p.sim.fail("result of a command: %v", err)
 			return
 		}
 		switch decoded.Outcome {
@@ -117,7 +117,7 @@
 		case state.Conflict:
 			done(simResponse{kind: responseConflict, version: decoded.Number})
 		default:
-			p.world.fail("outcome %d of a command", decoded.Outcome)
+			p.sim.fail("outcome %d of a command", decoded.Outcome)
 		}
 	})
 }
@@ -126,7 +126,7 @@
 func (p *simProcess) attemptEvacuation(request *simRequest, ordered uint64, deadline time.Duration, done func(simResponse),
 	retry func()) {
 	evacuation := p.state.Evacuation(request.zone)
-	plant := &p.world.injected
+	plant := &p.sim.injected
 	switch {
 	case *request.abandoned && !plant.acceptsLateOrders:
 		done(simResponse{})
@@ -139,14 +139,14 @@
 		return
 	}
 	command := (&state.SetEvacuation{Zone: request.zone, On: request.evacuated, Seen: evacuation.Seen}).Encode()
-	p.world.oracle.commands[string(command)] = *request
+	p.sim.oracle.commands[string(command)] = *request
 	p.propose(command, deadline, func(result []byte, known bool) {
 		decoded, err := state.DecodeResult(result)
 		switch {
 		case !known || err == nil && decoded.Outcome == state.Conflict:
 			retry()
 		case err != nil || decoded.Outcome == state.Unreadable:
-			p.world.fail("result of an evacuation: %+v, %v", decoded, err)
+			p.sim.fail("result of an evacuation: %+v, %v", decoded, err)
 		default:
 			done(simResponse{kind: responseAccepted})
 		}
@@ -216,7 +216,7 @@
 	if !known {
 		return nil, false
 	}
-	return p.world.byAddress[address], false
+	return p.sim.byAddress[address], false
 }
 
 // proposeLocal is Host.proposeLocal.
@@ -285,7 +285,7 @@
 		over = true
 		done(reply, false)
 	})
-	sim, from := process.world, process.slot
+	sim, from := process.sim, process.machine
 	sim.transmit(from, to, false, func(asked *simProcess) {
 		handle(asked, func(answer T) {
 			sim.transmit(to, from, false, func(*simProcess) { reply, came = answer, true })
@@ -295,7 +295,7 @@
 
 // barrier is Host.Barrier.
 func (p *simProcess) barrier(deadline time.Duration, done func(held bool)) {
-	if p.world.injected.skipsBarrier {
+	if p.sim.injected.skipsBarrier {
 		done(true)
 		return
 	}
@@ -359,7 +359,7 @@
 
 // simAgent follows partition 0 at one replica after the other, as agents do.
 type simAgent struct {
-	world    *simulation
+	sim      *simulation
 	table    *feed.Table
 	version  uint64
 	upstream *simMachine
@@ -368,14 +368,14 @@
 const agentPollInterval = 400 * time.Millisecond
 
 func (sim *simulation) addAgent() {
-	agent := &simAgent{world: sim, table: feed.NewTable(feed.ConfigurationPartition)}
+	agent := &simAgent{sim: sim, table: feed.NewTable(feed.ConfigurationPartition)}
 	sim.agents = append(sim.agents, agent)
 	sim.schedule(agentPollInterval, agent.follow)
 }
 
 // follow asks the replica for what has changed since; at times another one.
 func (a *simAgent) follow() {
-	sim := a.world
+	sim := a.sim
 	sim.schedule(sim.uniform(agentPollInterval/2, agentPollInterval), a.follow)
 	if a.upstream == nil || a.upstream.replaced || sim.chance(0.1) {
 		a.upstream = sim.randomMachine()
--- a/internal/system/replica/core_check_test.go
+++ b/internal/system/replica/core_check_test.go
@@ -81,7 +81,7 @@
 // checkBoot sees that what a process finds on its disk leads to what was agreed.
 func (t *oracle) checkBoot(sim *simulation, process *simProcess, stored *consensus.PersistentState) {
 	if version := t.versionAt(stored.Snapshot.Index); process.state.Version() != version {
-		sim.fail("machine %d begins at version %d, where %d was agreed", process.slot.number, process.state.Version(), version)
+		sim.fail("machine %d begins at version %d, where %d was agreed", process.machine.index, process.state.Version(), version)
 	}
 }
 
@@ -110,7 +110,7 @@
 	this := appliedCommand{string(command), string(result)}
 	if have, is := sim.oracle.appliedCommands[index]; is {
 		if have != this {
-			sim.fail("machine %d does something else at %d than another did", process.slot.number, index)
+			sim.fail("machine %d does something else at %d than another did", process.machine.index, index)
 		}
 		return
 	}
@@ -139,7 +139,7 @@
 			sim.fail("a change is put in force at %d and at %d", committed.index, index)
 		}
 	}
-	sim.logf("%d puts version %d in force at %d", process.slot.number, request.version, index)
+	sim.logf("%d puts version %d in force at %d", process.machine.index, request.version, index)
 	sim.oracle.versions = append(sim.oracle.versions, committedVersion{sim.now, index, request})
 }
 
@@ -147,11 +147,11 @@
 func (sim *simulation) checkStep(process *simProcess) {
 	version := process.state.Version()
 	if version < process.version || process.group.appliedIndex < process.appliedIndex {
-		sim.fail("machine %d goes back from version %d at %d to %d at %d", process.slot.number, process.version, process.appliedIndex, version,
+		sim.fail("machine %d goes back from version %d at %d to %d at %d", process.machine.index, process.version, process.appliedIndex, version,
 			process.group.appliedIndex)
 	}
 	if process.group.appliedIndex != process.appliedIndex && version != sim.oracle.versionAt(process.group.appliedIndex) {
-		sim.fail("machine %d is at version %d, where %d was agreed", process.slot.number, version, sim.oracle.versionAt(process.group.appliedIndex))
+		sim.fail("machine %d is at version %d, where %d was agreed", process.machine.index, version, sim.oracle.versionAt(process.group.appliedIndex))
 	}
 	process.version, process.appliedIndex = version, process.group.appliedIndex
 	sim.checkStaleness(process)
@@ -168,7 +168,7 @@
 func (sim *simulation) checkMajority(process *simProcess) {
 	at, is := process.group.node.CreateSnapshot(process.appliedIndex, nil)
 	if !is {
-		sim.fail("machine %d has applied %d first, and knows no term of it", process.slot.number, process.appliedIndex)
+		sim.fail("machine %d has applied %d first, and knows no term of it", process.machine.index, process.appliedIndex)
 		return
 	}
 	membership := process.group.node.Membership()
@@ -177,7 +177,7 @@
 		return s != nil && (s.entries[entryID{at.Index, at.Term}] || s.snapshot >= at.Index)
 	}
 	if !majorityOfEach(membership, have) {
-		sim.fail("machine %d applies %d, which no majority of %v has synced", process.slot.number, process.appliedIndex,
+		sim.fail("machine %d applies %d, which no majority of %v has synced", process.machine.index, process.appliedIndex,
 			memberList(membership.Members))
 	}
 }
@@ -214,27 +214,27 @@
 		sim.fail("replicas %s and %s both led term %d", formatReplicaID(id), formatReplicaID(process.host.self.ID), term)
 	}
 	if !is {
-		sim.logf("%d leads term %d", process.slot.number, term)
+		sim.logf("%d leads term %d", process.machine.index, term)
 		sim.stats.counters.terms++
 		sim.oracle.leaders[term] = process.host.self.ID
 	}
 	stalled := len(process.activeJobs) > 0 && len(durableWrites(process.activeJobs)) > 0 && process.clock()-process.writeStarted > maxStalledLeadership
 	if stalled && sim.now-process.resumedAt > maxStalledLeadership {
-		sim.fail("machine %d leads, and its disk has not finished a write for %v", process.slot.number, process.clock()-process.writeStarted)
+		sim.fail("machine %d leads, and its disk has not finished a write for %v", process.machine.index, process.clock()-process.writeStarted)
 	}
 }
 
 // checkSent sees that replicas that were not taken in neither vote nor stand for election.
 func (sim *simulation) checkSent(process *simProcess, message *consensus.Message) {
-	id := process.slot.id()
+	id := process.machine.id()
 	switch message.Kind {
 	case consensus.MessagePreVote, consensus.MessageVote:
 		if !sim.oracle.voters[id] {
-			sim.fail("machine %d stands for election and never was a voter", process.slot.number)
+			sim.fail("machine %d stands for election and never was a voter", process.machine.index)
 		}
 	case consensus.MessagePreVoteReply, consensus.MessageVoteReply:
 		if !message.Reject && !sim.oracle.members[id] {
-			sim.fail("machine %d votes and never was a member", process.slot.number)
+			sim.fail("machine %d votes and never was a member", process.machine.index)
 		}
 	}
 }
@@ -298,22 +298,22 @@
 	if difference.members == 0 {
 		return // leadership was handed over
 	}
-	sim.logf("%d changes the membership to %v", process.slot.number, memberList(after.Members))
+	sim.logf("%d changes the membership to %v", process.machine.index, memberList(after.Members))
 	sim.stats.counters.membershipChanges++
 	sim.oracle.recordMembership(after)
 	if difference.addsVoter {
-		sim.fail("machine %d makes a voter of no member: %v", process.slot.number, memberList(after.Members))
+		sim.fail("machine %d makes a voter of no member: %v", process.machine.index, memberList(after.Members))
 	}
 	if !difference.allowed(before, after) {
-		sim.fail("machine %d changes %d members and %d votes at once: %v, then %v", process.slot.number, difference.members, difference.votes,
+		sim.fail("machine %d changes %d members and %d votes at once: %v, then %v", process.machine.index, difference.members, difference.votes,
 			memberList(before.Members), memberList(after.Members))
 	}
 	anywhere := func(*simMachine) bool { return false }
 	if sim.majorityIntact(before, anywhere) && !sim.majorityIntact(after, anywhere) {
-		sim.fail("machine %d leaves no majority: %v, then %v", process.slot.number, memberList(before.Members), memberList(after.Members))
+		sim.fail("machine %d leaves no majority: %v, then %v", process.machine.index, memberList(before.Members), memberList(after.Members))
 	}
 	if countVoters(before) >= 3 && countVoters(after) < 3 {
-		sim.fail("machine %d leaves %d voters", process.slot.number, countVoters(after))
+		sim.fail("machine %d leaves %d voters", process.machine.index, countVoters(after))
 	}
 }
 
@@ -352,17 +352,17 @@
 	if process == nil {
 		return "nobody leads"
 	}
-	slots := sim.activeMachines()
-	if why := sim.membershipNotConverged(process, slots); why != "" {
+	machines := sim.activeMachines()
+	if why := sim.membershipNotConverged(process, machines); why != "" {
 		return why
 	}
-	for _, machine := range slots {
+	for _, machine := range machines {
 		other := machine.process
 		if other == nil {
-			return fmt.Sprintf("machine %d is down", machine.number)
+			return fmt.Sprintf("machine %d is down", machine.index)
 		}
 		if !other.host.isMember(other.group) || other.version != sim.oracle.versionAt(sim.oracle.appliedIndex) {
-			return fmt.Sprintf("machine %d is at version %d of %d", machine.number, other.version, sim.oracle.versionAt(sim.oracle.appliedIndex))
+			return fmt.Sprintf("machine %d is at version %d of %d", machine.index, other.version, sim.oracle.versionAt(sim.oracle.appliedIndex))
 		}
 	}
 	for _, operator := range sim.operators {
@@ -386,7 +386,7 @@
 // membershipNotConverged tells what is left to do about the membership: the leader's plan has come to its end, all machines are
 // members, and as many may fail as the number of machines allows. A voter that is gone may stay where the group would be no
 // better without it.
-func (sim *simulation) membershipNotConverged(process *simProcess, slots []*simMachine) string {
+func (sim *simulation) membershipNotConverged(process *simProcess, machines []*simMachine) string {
 	status := process.group.node.Status()
 	text := "the membership is " + memberList(status.Membership.Members).String()
 	if _, more := planChange(process.host.membershipView(process.clock(), process.group, &status)); more || status.MembershipIndex > status.Commit {
@@ -394,7 +394,7 @@
 	}
 	learners := len(status.Membership.Members) - countVoters(status.Membership)
 	living := 0
-	for _, machine := range slots {
+	for _, machine := range machines {
 		i := slices.IndexFunc(status.Membership.Members, func(m consensus.Member) bool { return m.ID == machine.id() })
 		switch {
 		case i < 0:
@@ -406,7 +406,7 @@
 		}
 	}
 	spare := living - (countVoters(status.Membership)/2 + 1)
-	if learners > 0 || spare < (min(len(slots), preferredVoters)-1)/2 {
+	if learners > 0 || spare < (min(len(machines), preferredVoters)-1)/2 {
 		return text
 	}
 	return ""
--- a/internal/system/replica/core_contact_test.go
+++ b/internal/system/replica/core_contact_test.go
@@ -33,7 +33,7 @@
 	if process == nil {
 		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
 	}
-	leader := process.slot
+	leader := process.machine
 	happens(sim, leader, contactFaultDuration)
 	sim.runFor(contactDetectionTime)
 	for end := sim.now + contactFaultDuration - contactDetectionTime - time.Second; sim.now < end; sim.runFor(100 * time.Millisecond) {
@@ -42,14 +42,14 @@
 				continue
 			}
 			if is, want := machine.process.inContact(), !lost(sim, leader, machine); is != want {
-				t.Fatalf("seed %d, %v: machine %d is in contact: %t", seed, sim.now, machine.number, is)
+				t.Fatalf("seed %d, %v: machine %d is in contact: %t", seed, sim.now, machine.index, is)
 			}
 		}
 	}
 	sim.runFor(time.Second + contactDetectionTime)
 	for _, machine := range sim.machines {
 		if machine.process == nil || !machine.process.inContact() {
-			t.Fatalf("seed %d, %v: machine %d is not in contact again", seed, sim.now, machine.number)
+			t.Fatalf("seed %d, %v: machine %d is not in contact again", seed, sim.now, machine.index)
 		}
 	}
 	if sim.failure != "" {
@@ -59,7 +59,7 @@
 
 // minority are two machines, the leader among them.
 func minority(sim *simulation, leader *simMachine) []*simMachine {
-	other := sim.machines[(leader.number+1)%len(sim.machines)]
+	other := sim.machines[(leader.index+1)%len(sim.machines)]
 	return []*simMachine{leader, other}
 }
 
--- a/internal/system/replica/core_elections_test.go
+++ b/internal/system/replica/core_elections_test.go
@@ -37,7 +37,7 @@
 		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
 	}
 	before := sim.newestTerm()
-	cut(sim, process.slot, sim.machines[(process.slot.number+1+sim.random.IntN(4))%len(sim.machines)])
+	cut(sim, process.machine, sim.machines[(process.machine.index+1+sim.random.IntN(4))%len(sim.machines)])
 	sim.runFor(partitionDuration)
 	ended := sim.newestTerm()
 	sim.runFor(rejoinedDuration)
@@ -84,7 +84,7 @@
 		{"two followers hear nothing", 0, func(sim *simulation, leader, other *simMachine) {
 			for _, machine := range sim.machines {
 				sim.block(machine, other, partitionDuration)
-				if next := sim.machines[(other.number+1)%len(sim.machines)]; next != leader {
+				if next := sim.machines[(other.index+1)%len(sim.machines)]; next != leader {
 					sim.block(machine, next, partitionDuration)
 				}
 			}
--- a/internal/system/replica/core_faults_test.go
+++ b/internal/system/replica/core_faults_test.go
@@ -15,7 +15,7 @@
 	sim.schedule(sim.uniform(sim.profile.FaultInterval/4, sim.profile.FaultInterval), sim.injectFault)
 	machine := sim.randomMachine()
 	if process := sim.leader(); process != nil && sim.chance(0.4) {
-		machine = process.slot
+		machine = process.machine
 	}
 	span := sim.uniform(20*time.Millisecond, sim.profile.FaultDuration)
 	switch sim.random.IntN(12) {
@@ -32,10 +32,10 @@
 	case 6:
 		sim.partitionNetwork(span)
 	case 7:
-		sim.logf("disk of %d hangs for %v", machine.number, span)
+		sim.logf("disk of %d hangs for %v", machine.index, span)
 		machine.disk.stalledUntil = sim.now + span
 	case 8:
-		sim.logf("disk of %d fails for %v", machine.number, span)
+		sim.logf("disk of %d fails for %v", machine.index, span)
 		machine.disk.failsUntil = sim.now + span
 	case 9:
 		sim.loseDisk(machine, span)
@@ -60,7 +60,7 @@
 	if process == nil || !sim.canLoseDisk(machine) {
 		return
 	}
-	sim.logf("%d is told to stop", machine.number)
+	sim.logf("%d is told to stop", machine.index)
 	process.shutDown()
 	sim.bootAfterExit(machine, process, down)
 }
@@ -91,13 +91,13 @@
 	if process == nil || process.paused {
 		return
 	}
-	sim.logf("%d freezes for %v", machine.number, span)
+	sim.logf("%d freezes for %v", machine.index, span)
 	process.paused = true
 	sim.schedule(span, process.resume)
 }
 
 func (sim *simulation) block(from, to *simMachine, span time.Duration) {
-	way := [2]int{from.number, to.number}
+	way := [2]int{from.index, to.index}
 	sim.blockedLinks[way]++
 	sim.schedule(span, func() { sim.blockedLinks[way] = max(sim.blockedLinks[way]-1, 0) })
 }
@@ -105,7 +105,7 @@
 // isolate takes a machine off the others, one way or both.
 func (sim *simulation) isolate(machine *simMachine, span time.Duration) {
 	ways := 1 + sim.random.IntN(3)
-	sim.logf("%d is cut off (%d) for %v", machine.number, ways, span)
+	sim.logf("%d is cut off (%d) for %v", machine.index, ways, span)
 	for _, other := range sim.machines {
 		if ways&1 != 0 {
 			sim.block(machine, other, span)
@@ -149,13 +149,13 @@
 	machine.settings.FirstBoot = false
 	sim.stats.counters.losses++
 	if sim.chance(0.6) {
-		sim.logf("%d loses its disk", machine.number)
+		sim.logf("%d loses its disk", machine.index)
 		sim.schedule(span, func() { sim.boot(machine) })
 		return
 	}
 	machine.replaced = true
 	next := sim.addReplacement(machine)
-	sim.logf("%d is lost for good, %d takes its place", machine.number, next.number)
+	sim.logf("%d is lost for good, %d takes its place", machine.index, next.index)
 	sim.schedule(span, func() { sim.boot(next) })
 }
 
@@ -171,16 +171,16 @@
 }
 
 // memberships are those that machines go by, or would after a restart.
-func (sim *simulation) memberships() (views []consensus.Membership) {
+func (sim *simulation) memberships() (memberships []consensus.Membership) {
 	for _, machine := range sim.activeMachines() {
 		if stored := machine.disk.load(); stored.Validate() == nil {
-			views = append(views, newestMembership(&stored))
+			memberships = append(memberships, newestMembership(&stored))
 		}
 		if machine.process != nil {
-			views = append(views, machine.process.group.node.Membership())
+			memberships = append(memberships, machine.process.group.node.Membership())
 		}
 	}
-	return views
+	return memberships
 }
 
 func (sim *simulation) majorityIntactInAll(views []consensus.Membership, without func(*simMachine) bool) bool {
--- a/internal/system/replica/core_follower_test.go
+++ b/internal/system/replica/core_follower_test.go
@@ -21,7 +21,7 @@
 
 // followingAgent is an agent that chooses the machine it follows as agents do. Its own links are always there.
 type followingAgent struct {
-	world      *simulation
+	sim        *simulation
 	selector   *upstream.Selector
 	table      *feed.Table
 	attempts   uint64                   // calls made
@@ -29,7 +29,7 @@
 }
 
 func (sim *simulation) addFollower() *followingAgent {
-	agent := &followingAgent{world: sim, selector: upstream.New(upstream.Options{}, sim.now),
+	agent := &followingAgent{sim: sim, selector: upstream.New(upstream.Options{}, sim.now),
 		table: feed.NewTable(feed.ConfigurationPartition), receivedAt: map[uint64]time.Duration{}}
 	sim.schedule(0, agent.nextAttempt)
 	return agent
@@ -37,7 +37,7 @@
 
 // nextAttempt makes the next call, or waits for its time.
 func (f *followingAgent) nextAttempt() {
-	sim := f.world
+	sim := f.sim
 	var candidates []netip.AddrPort
 	for _, machine := range sim.activeMachines() {
 		candidates = append(candidates, machine.address())
@@ -53,14 +53,14 @@
 
 // attempt makes a call. It fails where no answer comes in time.
 func (f *followingAgent) attempt(question upstream.Request) {
-	sim := f.world
+	sim := f.sim
 	f.attempts++
-	call, slot := f.attempts, sim.byAddress[question.Address]
-	patience := question.Timeout
-	if slot.process == nil {
-		patience = question.DialTimeout
+	call, machine := f.attempts, sim.byAddress[question.Address]
+	timeout := question.Timeout
+	if machine.process == nil {
+		timeout = question.DialTimeout
 	}
-	sim.schedule(patience, func() {
+	sim.schedule(timeout, func() {
 		if f.attempts == call {
 			f.attempts++
 			f.selector.HandleFailure(sim.now, question.Address)
@@ -68,7 +68,7 @@
 		}
 	})
 	sim.schedule(followingLinkDelay, func() {
-		if process := slot.process; process != nil {
+		if process := machine.process; process != nil {
 			process.execute(func() { f.serve(process, question, call) })
 		}
 	})
@@ -80,7 +80,7 @@
 	answer := func() {
 		batch := process.state.Since(position, 0)
 		age := elapsedSince(process.group.node.Status().CaughtUpAt, process.clock())
-		f.world.schedule(followingLinkDelay, func() { f.handleReply(question.Address, call, batch, age) })
+		f.sim.schedule(followingLinkDelay, func() { f.handleReply(question.Address, call, batch, age) })
 	}
 	wait := question.Wait
 	if question.Current.Contains(feed.ConfigurationPartition) {
@@ -102,7 +102,7 @@
 		return
 	}
 	f.attempts++
-	sim := f.world
+	sim := f.sim
 	before := f.table.Index()
 	var lagging feed.PartitionSet
 	if batch.To < before {
@@ -135,11 +135,11 @@
 	if process == nil {
 		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
 	}
-	followed := process.slot
+	followed := process.machine
 	if !leads {
-		followed = sim.machines[(process.slot.number+1)%len(sim.machines)]
+		followed = sim.machines[(process.machine.index+1)%len(sim.machines)]
 	}
-	sim.machines[0], sim.machines[followed.number] = sim.machines[followed.number], sim.machines[0] // the nearest to the agent
+	sim.machines[0], sim.machines[followed.index] = sim.machines[followed.index], sim.machines[0] // the nearest to the agent
 	agent := sim.addFollower()
 	sim.runFor(5 * time.Second)
 	if address, follows := agent.selector.Followed(); !follows || address != followed.address() {
--- a/internal/system/replica/core_fresh_test.go
+++ b/internal/system/replica/core_fresh_test.go
@@ -23,14 +23,14 @@
 	if status.Role == consensus.Leader && status.CaughtUpAt == status.LastLeaderContact {
 		slack = 0 // a round that a majority answered
 	}
-	then := sim.now - time.Duration(float64(age)/process.slot.clockRate) - slack
+	then := sim.now - time.Duration(float64(age)/process.machine.clockRate) - slack
 	for i := len(sim.oracle.versions) - 1; i >= 0; i-- {
 		link := &sim.oracle.versions[i]
 		if link.committedAt >= then {
 			continue
 		}
 		if link.index > process.group.appliedIndex {
-			sim.fail("machine %d says that it was up to date %v ago, and lacks %d of version %d, in force for %v", process.slot.number,
+			sim.fail("machine %d says that it was up to date %v ago, and lacks %d of version %d, in force for %v", process.machine.index,
 				age, link.index, link.request.version, sim.now-link.committedAt)
 		}
 		return
--- a/internal/system/replica/core_link_test.go
+++ b/internal/system/replica/core_link_test.go
@@ -12,7 +12,7 @@
 // simLink is a machine's way out, whose bandwidth its connections share. The real one is that of the process: what it
 // has not sent as it ends is lost.
 type simLink struct {
-	world          *simulation
+	sim            *simulation
 	connections    []*simConnection
 	busy           bool
 	nextConnection int // connection whose turn it is
@@ -47,13 +47,13 @@
 
 // send has a message go out over a connection.
 func (l *simLink) send(connection *simConnection, bytes int, sent, lost func()) {
-	queued := l.world.now
+	queued := l.sim.now
 	connection.queue = append(connection.queue, queuedMessage{remainingBytes: bytes, onLost: lost, onSent: func() {
-		l.world.longestWait = max(l.world.longestWait, l.world.now-queued)
+		l.sim.longestWait = max(l.sim.longestWait, l.sim.now-queued)
 		sent()
 	}})
 	connection.queuedBytes += bytes
-	l.world.sentBytes += bytes
+	l.sim.sentBytes += bytes
 	l.sendNext()
 }
 
@@ -75,11 +75,11 @@
 func (l *simLink) sendChunk(connection *simConnection) {
 	first := &connection.queue[0]
 	if first.startedAt == 0 {
-		first.startedAt = l.world.now
+		first.startedAt = l.sim.now
 	}
 	chunk := min(first.remainingBytes, linkChunkBytes)
 	l.busy = true
-	l.world.schedule(time.Duration(float64(chunk)/l.world.profile.Bandwidth*float64(time.Second)), func() {
+	l.sim.schedule(time.Duration(float64(chunk)/l.sim.profile.Bandwidth*float64(time.Second)), func() {
 		l.busy = false
 		l.finishChunk(connection, chunk)
 		l.sendNext()
@@ -90,7 +90,7 @@
 	first := &connection.queue[0]
 	first.remainingBytes -= chunk
 	connection.queuedBytes -= chunk
-	if l.world.injected.deadlinePerMessage && l.world.now-first.startedAt > peerOptions.TCPUserTimeout {
+	if l.sim.injected.deadlinePerMessage && l.sim.now-first.startedAt > peerOptions.TCPUserTimeout {
 		l.reset(connection)
 		return
 	}
@@ -113,21 +113,21 @@
 
 // sendOverLink sends a message as peers.send does.
 func (p *simProcess) sendOverLink(to *simMachine, message *consensus.Message) {
-	under := p.bulkTransfers[to.number]
+	under := p.bulkTransfers[to.index]
 	way, message := under.route(message)
-	if p.world.injected.singleConnection {
+	if p.sim.injected.singleConnection {
 		way = ordinaryConnection
 	}
 	switch {
 	case way == bulkConnection && under == nil:
 		t := &bulkTransfer{}
 		t.add(p.group.partition, message)
-		p.bulkTransfers[to.number] = t
+		p.bulkTransfers[to.index] = t
 		p.runBulkTransfer(to, t)
 	case way == bulkConnection:
 		under.add(p.group.partition, message)
 	case way == ordinaryConnection:
-		connection := p.link.connection(to.number, ordinaryConnection)
+		connection := p.link.connection(to.index, ordinaryConnection)
 		if connection.queuedBytes < maxPendingBytes {
 			size := len(appendMessage(nil, p.group.partition, message))
 			p.link.send(connection, size, func() { p.deliver(to, message, true) }, func() {})
@@ -140,16 +140,16 @@
 	batch := t.pending
 	t.pending = nil
 	if len(batch) == 0 {
-		delete(p.bulkTransfers, to.number)
+		delete(p.bulkTransfers, to.index)
 		return
 	}
-	p.link.send(p.link.connection(to.number, bulkConnection), len(batch), func() {
+	p.link.send(p.link.connection(to.index, bulkConnection), len(batch), func() {
 		if !p.alive {
 			return
 		}
 		p.deliverEncoded(to, batch, true)
-		p.world.schedule(2*p.world.profile.Delay, func() { p.runBulkTransfer(to, t) })
-	}, func() { delete(p.bulkTransfers, to.number) })
+		p.sim.schedule(2*p.sim.profile.Delay, func() { p.runBulkTransfer(to, t) })
+	}, func() { delete(p.bulkTransfers, to.index) })
 }
 
 // snapshotConnection is of the sim's connections only.
@@ -157,12 +157,12 @@
 
 // sendSnapshotOverLink is peers.sendSnapshot.
 func (p *simProcess) sendSnapshotOverLink(to *simMachine, message *consensus.Message) {
-	done := func() { delete(p.sendingSnapshot, to.number) }
+	done := func() { delete(p.sendingSnapshot, to.index) }
 	size := len(appendMessage(nil, p.group.partition, message))
-	p.link.send(p.link.connection(to.number, snapshotConnection), size, func() {
+	p.link.send(p.link.connection(to.index, snapshotConnection), size, func() {
 		if p.alive {
 			p.deliver(to, message, false)
 		}
-		p.world.schedule(2*p.world.profile.Delay, done)
+		p.sim.schedule(2*p.sim.profile.Delay, done)
 	}, done)
 }
--- a/internal/system/replica/core_operator_test.go
+++ b/internal/system/replica/core_operator_test.go
@@ -19,7 +19,7 @@
 // simOperator sends changes and reads through any machine, one after the other, and changes whose outcome it does not
 // know again. It races the others.
 type simOperator struct {
-	world       *simulation
+	sim         *simulation
 	number      int
 	lastVersion uint64 // that it saw last
 	created     int
@@ -34,7 +34,7 @@
 }
 
 func (sim *simulation) addOperator(number int) {
-	operator := &simOperator{world: sim, number: number}
+	operator := &simOperator{sim: sim, number: number}
 	sim.operators = append(sim.operators, operator)
 	sim.schedule(sim.uniform(time.Second, 3*time.Second), operator.act)
 }
@@ -43,7 +43,7 @@
 func (o *simOperator) finish() { o.finishing = true }
 
 func (o *simOperator) act() {
-	sim := o.world
+	sim := o.sim
 	sim.schedule(sim.uniform(sim.profile.ThinkTime/4, sim.profile.ThinkTime), o.act)
 	if o.waiting || o.done {
 		return
@@ -61,7 +61,7 @@
 
 // nextRequest is what the operator asks next; nil: nothing.
 func (o *simOperator) nextRequest() *simRequest {
-	sim := o.world
+	sim := o.sim
 	switch {
 	case o.unlimited:
 		return o.newChange()
@@ -86,7 +86,7 @@
 
 // newChange is a new change, on the version that the operator has seen last or on another.
 func (o *simOperator) newChange() *simRequest {
-	sim := o.world
+	sim := o.sim
 	sim.oracle.requests++
 	request := &simRequest{base: o.lastVersion}
 	if sim.chance(0.1) {
@@ -120,7 +120,7 @@
 
 // send sends a request through any machine and notes what becomes of it.
 func (o *simOperator) send(request *simRequest, told func(simResponse)) {
-	sim := o.world
+	sim := o.sim
 	record := sim.history.begin(o.number, request, sim.now)
 	over := false
 	end := func(response simResponse) {
@@ -133,11 +133,11 @@
 		told(response)
 	}
 	sim.schedule(operatorTimeout, func() { end(simResponse{}) })
-	slot := sim.randomMachine()
-	for slot == o.avoid {
-		slot = sim.randomMachine()
+	machine := sim.randomMachine()
+	for machine == o.avoid {
+		machine = sim.randomMachine()
 	}
-	process := slot.process
+	process := machine.process
 	if process == nil {
 		return
 	}
--- a/internal/system/replica/core_process_test.go
+++ b/internal/system/replica/core_process_test.go
@@ -68,16 +68,16 @@
 
 // simProcess is a control process: a Host without its sockets, its goroutines and its clock.
 type simProcess struct {
-	world     *simulation
-	slot      *simMachine
+	sim       *simulation
+	machine   *simMachine
 	host      *Host
 	group     *group
 	state     *state.Configuration
 	alive     bool
 	paused    bool
 	resumedAt time.Duration
-	// backlog is what came while the process was frozen.
-	backlog  []func()
+	// deferred is what came while the process was frozen.
+	deferred []func()
 	nextTick time.Duration
 
 	queuedJobs   []writeJob // that wait for the disk
@@ -98,9 +98,9 @@
 	if machine.process != nil || machine.replaced {
 		return
 	}
-	process := &simProcess{world: sim, slot: machine, alive: true, sendingSnapshot: map[int]bool{}, bulkTransfers: map[int]*bulkTransfer{}}
+	process := &simProcess{sim: sim, machine: machine, alive: true, sendingSnapshot: map[int]bool{}, bulkTransfers: map[int]*bulkTransfer{}}
 	if sim.profile.Bandwidth > 0 {
-		process.link = &simLink{world: sim}
+		process.link = &simLink{sim: sim}
 	}
 	process.state = state.NewConfiguration(process.clock, func() {})
 	process.host = New(Options{Settings: &machine.settings, StateMachines: []StateMachine{&observedState{Configuration: process.state, process: process}}})
@@ -109,7 +109,7 @@
 	stored := machine.disk.load()
 	options := nodeOptions(machine.disk.id, sim.random.Uint64(), defaultHeartbeatInterval, defaultElectionTimeout)
 	if err := process.group.start(process.clock(), options, stored); err != nil {
-		sim.fail("machine %d finds what it stored senseless: %v", machine.number, err)
+		sim.fail("machine %d finds what it stored senseless: %v", machine.index, err)
 		return
 	}
 	machine.process = process
@@ -122,7 +122,7 @@
 			other.process.host.addAddress(machine.address())
 		}
 	}
-	sim.logf("%d boots as %s: %+v, snapshot %d, log to %d", machine.number, formatReplicaID(machine.disk.id), stored.HardState, stored.Snapshot.Index,
+	sim.logf("%d boots as %s: %+v, snapshot %d, log to %d", machine.index, formatReplicaID(machine.disk.id), stored.HardState, stored.Snapshot.Index,
 		process.group.node.Status().LastIndex)
 	process.execute(func() {})
 }
@@ -143,7 +143,7 @@
 
 // clock is the machine's steady time.
 func (p *simProcess) clock() time.Duration {
-	return p.slot.clockOffset + time.Duration(float64(p.world.now)*p.slot.clockRate)
+	return p.machine.clockOffset + time.Duration(float64(p.sim.now)*p.machine.clockRate)
 }
 
 // execute runs something of the process, later if it is frozen.
@@ -152,7 +152,7 @@
 		return
 	}
 	if p.paused {
-		p.backlog = append(p.backlog, what)
+		p.deferred = append(p.deferred, what)
 		return
 	}
 	what()
@@ -165,9 +165,9 @@
 func (p *simProcess) processReady() {
 	for more := true; more; more = p.runWaiters() {
 		if err := p.group.processReady(p); err != nil {
-			p.world.fail("machine %d does not take a snapshot: %v", p.slot.number, err)
+			p.sim.fail("machine %d does not take a snapshot: %v", p.machine.index, err)
 		}
-		p.world.checkStep(p)
+		p.sim.checkStep(p)
 	}
 	p.startWrite()
 	p.scheduleTick()
@@ -203,18 +203,18 @@
 
 // runAt runs something of the process at a time of its clock.
 func (p *simProcess) runAt(due time.Duration, what func()) {
-	p.world.schedule(time.Duration(float64(due-p.clock())/p.slot.clockRate), func() { p.execute(what) })
+	p.sim.schedule(time.Duration(float64(due-p.clock())/p.machine.clockRate), func() { p.execute(what) })
 }
 
 // scheduleTick has the process tick when it is due.
 func (p *simProcess) scheduleTick() {
 	due := p.host.nextDeadline()
-	at := max(time.Duration(float64(due-p.slot.clockOffset)/p.slot.clockRate)+time.Microsecond, p.world.now+time.Microsecond)
-	if p.nextTick > p.world.now && p.nextTick <= at {
+	at := max(time.Duration(float64(due-p.machine.clockOffset)/p.machine.clockRate)+time.Microsecond, p.sim.now+time.Microsecond)
+	if p.nextTick > p.sim.now && p.nextTick <= at {
 		return
 	}
 	p.nextTick = at
-	p.world.schedule(at-p.world.now, func() {
+	p.sim.schedule(at-p.sim.now, func() {
 		if p.nextTick == at {
 			p.execute(p.tick)
 		}
@@ -224,7 +224,7 @@
 // tick is Host.tick.
 func (p *simProcess) tick() {
 	now := p.clock()
-	if _, stepDown := p.host.disk.checkHealth(now, 2*defaultElectionTimeout); stepDown && !p.world.injected.leadsWhileStalled {
+	if _, stepDown := p.host.disk.checkHealth(now, 2*defaultElectionTimeout); stepDown && !p.sim.injected.leadsWhileStalled {
 		p.group.node.StepDown(now)
 	}
 	if p.group.node.NextTick() <= now {
@@ -241,7 +241,7 @@
 	before := p.group.node.Membership()
 	if p.group.node.Role() == consensus.Leader && p.host.changeMembership(now, p.group) {
 		p.host.nextMembershipCheck = now + membershipRecheckDelay
-		p.world.checkChange(p, before, p.group.node.Membership())
+		p.sim.checkChange(p, before, p.group.node.Membership())
 	}
 	if p.host.needsJoin(now) {
 		p.host.joinRequests.add(p.host.self, now)
@@ -259,13 +259,13 @@
 }
 
 func (p *simProcess) announceDeparture(until time.Duration) {
-	sim, id := p.world, p.slot.id()
+	sim, id := p.sim, p.machine.id()
 	p.host.departures.add(id, p.clock())
 	for _, to := range sim.activeMachines() {
-		if to == p.slot {
+		if to == p.machine {
 			continue
 		}
-		sim.transmit(p.slot, to, false, func(told *simProcess) {
+		sim.transmit(p.machine, to, false, func(told *simProcess) {
 			told.host.departures.add(id, told.clock())
 			told.host.nextMembershipCheck = min(told.host.nextMembershipCheck, told.clock()+membershipRecheckDelay)
 		})
@@ -289,18 +289,18 @@
 	}
 	slices.SortFunc(addresses, netip.AddrPort.Compare)
 	for _, address := range addresses {
-		if to := p.world.byAddress[address]; to != nil {
+		if to := p.sim.byAddress[address]; to != nil {
 			p.requestJoinAt(to)
 		}
 	}
 }
 
 func (p *simProcess) requestJoinAt(to *simMachine) {
-	sim, member := p.world, p.host.self
-	sim.transmit(p.slot, to, false, func(asked *simProcess) {
+	sim, member := p.sim, p.host.self
+	sim.transmit(p.machine, to, false, func(asked *simProcess) {
 		asked.host.joinRequests.add(member, asked.clock())
 		members := asked.host.members()
-		sim.transmit(to, p.slot, false, func(asker *simProcess) {
+		sim.transmit(to, p.machine, false, func(asker *simProcess) {
 			for _, m := range members {
 				if address, err := netip.ParseAddrPort(m.Address); err == nil {
 					asker.host.addAddress(address)
@@ -316,11 +316,11 @@
 	for i := range messages {
 		message := messages[i]
 		address, known := p.host.destination(g, message.To)
-		to := p.world.byAddress[address]
+		to := p.sim.byAddress[address]
 		if !known || to == nil {
 			continue
 		}
-		p.world.checkSent(p, &message)
+		p.sim.checkSent(p, &message)
 		if message.Kind == consensus.MessageInstallSnapshot {
 			p.sendSnapshot(to, message)
 			continue
@@ -335,18 +335,18 @@
 
 // sendSnapshot sends one at a time to a machine, as peers.sendSnapshot does.
 func (p *simProcess) sendSnapshot(to *simMachine, message consensus.Message) {
-	if p.sendingSnapshot[to.number] {
+	if p.sendingSnapshot[to.index] {
 		return
 	}
-	p.world.stats.counters.snapshots++
-	p.sendingSnapshot[to.number] = true
+	p.sim.stats.counters.snapshots++
+	p.sendingSnapshot[to.index] = true
 	p.group.attachCurrentSnapshot(&message)
 	if p.link != nil {
 		p.sendSnapshotOverLink(to, &message)
 		return
 	}
-	p.world.schedule(p.world.profile.Delay+50*time.Millisecond, func() {
-		delete(p.sendingSnapshot, to.number)
+	p.sim.schedule(p.sim.profile.Delay+50*time.Millisecond, func() {
+		delete(p.sendingSnapshot, to.index)
 		if p.alive {
 			p.deliver(to, &message, false)
 		}
@@ -359,8 +359,8 @@
 
 // deliverEncoded brings messages to a machine, as a DeliverRequest does.
 func (p *simProcess) deliverEncoded(to *simMachine, encoded []byte, ordered bool) {
-	sim := p.world
-	sim.transmit(p.slot, to, ordered, func(receiver *simProcess) {
+	sim := p.sim
+	sim.transmit(p.machine, to, ordered, func(receiver *simProcess) {
 		for rest := encoded; len(rest) > 0; {
 			partition, message, after, err := readMessage(rest)
 			if err != nil {
@@ -376,7 +376,7 @@
 // enqueueWrite has a job carried out; see outlet.
 func (p *simProcess) enqueueWrite(j writeJob) {
 	p.queuedJobs = append(p.queuedJobs, j)
-	if p.world.injected.sendsBeforeSync {
+	if p.sim.injected.sendsBeforeSync {
 		p.send(p.group, j.ready.Messages)
 	}
 }
@@ -388,22 +388,22 @@
 	}
 	p.activeJobs, p.queuedJobs = p.queuedJobs, nil
 	if len(durableWrites(p.activeJobs)) == 0 {
-		p.world.schedule(time.Microsecond, func() { p.execute(p.handlePersisted) })
+		p.sim.schedule(time.Microsecond, func() { p.execute(p.handlePersisted) })
 		return
 	}
 	p.writeStarted = max(p.clock(), 1)
 	p.retryBackoff = minDiskBackoff
 	p.host.disk.recordAttempt(p.writeStarted, nil)
-	p.world.schedule(p.syncTime(), p.finishWrite)
+	p.sim.schedule(p.syncTime(), p.finishWrite)
 }
 
 func (p *simProcess) syncTime() time.Duration {
-	return p.world.uniform(p.world.profile.SyncTime/4, p.world.profile.SyncTime)
+	return p.sim.uniform(p.sim.profile.SyncTime/4, p.sim.profile.SyncTime)
 }
 
 // finishWrite is the end of a transaction: it succeeds, fails, or hangs for longer.
 func (p *simProcess) finishWrite() {
-	sim, d := p.world, p.slot.disk
+	sim, d := p.sim, p.machine.disk
 	switch {
 	case !p.alive:
 	case sim.now < d.stalledUntil:
@@ -423,8 +423,8 @@
 
 func (p *simProcess) syncWrites(writes []storage.Update) {
 	for i := range writes {
-		p.slot.disk.write(&writes[i])
-		p.world.oracle.recordSynced(p.slot.id(), &writes[i])
+		p.machine.disk.write(&writes[i])
+		p.sim.oracle.recordSynced(p.machine.id(), &writes[i])
 	}
 }
 
@@ -440,12 +440,12 @@
 
 // kill ends the process. Of the transaction under way all, nothing or a part is on disk.
 func (p *simProcess) kill() {
-	sim := p.world
-	sim.logf("%d is killed", p.slot.number)
+	sim := p.sim
+	sim.logf("%d is killed", p.machine.index)
 	p.alive = false
-	p.slot.process = nil
+	p.machine.process = nil
 	writes := durableWrites(p.activeJobs)
-	if len(writes) == 0 || sim.now < p.slot.disk.failsUntil {
+	if len(writes) == 0 || sim.now < p.machine.disk.failsUntil {
 		return
 	}
 	kept := sim.random.IntN(len(writes) + 1)
@@ -463,11 +463,11 @@
 	if !p.alive || !p.paused {
 		return
 	}
-	p.world.logf("%d thaws", p.slot.number)
-	p.paused, p.resumedAt = false, p.world.now
-	backlog := p.backlog
-	p.backlog = nil
-	if p.world.chance(0.5) { // the timer fires first
+	p.sim.logf("%d thaws", p.machine.index)
+	p.paused, p.resumedAt = false, p.sim.now
+	backlog := p.deferred
+	p.deferred = nil
+	if p.sim.chance(0.5) { // the timer fires first
 		p.execute(p.tick)
 	}
 	for _, what := range backlog {
@@ -485,7 +485,7 @@
 // Apply takes an agreed command.
 func (s *observedState) Apply(index uint64, command []byte) []byte {
 	result := s.Configuration.Apply(index, command)
-	s.process.world.checkApplied(s.process, index, command, result)
-	s.process.group.logBytesSinceSnapshot += s.process.world.profile.EntryWeight
+	s.process.sim.checkApplied(s.process, index, command, result)
+	s.process.group.logBytesSinceSnapshot += s.process.sim.profile.EntryWeight
 	return result
 }
--- a/internal/system/replica/core_repair_test.go
+++ b/internal/system/replica/core_repair_test.go
@@ -88,7 +88,7 @@
 		machine.replaced = true
 		next := sim.addReplacement(machine)
 		successors = append(successors, next)
-		sim.logf("%d is lost for good, %d takes its place", machine.number, next.number)
+		sim.logf("%d is lost for good, %d takes its place", machine.index, next.index)
 		sim.schedule(after, func() { sim.boot(next) })
 	}
 	return successors
@@ -102,22 +102,22 @@
 		}
 		machine.disk = &simDisk{}
 		machine.settings.FirstBoot = false
-		sim.logf("%d loses its disk", machine.number)
+		sim.logf("%d loses its disk", machine.index)
 		sim.schedule(after, func() { sim.boot(machine) })
 	}
 }
 
 // pickMachines draws machines, the leader first half of the time.
-func (sim *simulation) pickMachines(n int) (slots []*simMachine) {
+func (sim *simulation) pickMachines(n int) (machines []*simMachine) {
 	if process := sim.leader(); process != nil && sim.chance(0.5) {
-		slots = append(slots, process.slot)
+		machines = append(machines, process.machine)
 	}
-	for len(slots) < n {
-		if machine := sim.randomMachine(); !slices.Contains(slots, machine) {
-			slots = append(slots, machine)
+	for len(machines) < n {
+		if machine := sim.randomMachine(); !slices.Contains(machines, machine) {
+			machines = append(machines, machine)
 		}
 	}
-	return slots
+	return machines
 }
 
 // untilTolerant plays until the core bears the loss of any machines it has to bear, and returns how long that took.
@@ -274,7 +274,7 @@
 		sim.runFor(10 * time.Millisecond)
 	}
 	if process.alive {
-		sim.fail("machine %d does not end within %v", process.slot.number, atMost)
+		sim.fail("machine %d does not end within %v", process.machine.index, atMost)
 	}
 }
 
@@ -313,7 +313,7 @@
 }
 
 // measureFailover is the longest time without a change of the configuration in force after something befalls the leader.
-func measureFailover(t *testing.T, seed uint64, setup repairCase, befalls func(sim *simulation, leader *simMachine)) time.Duration {
+func measureFailover(t *testing.T, seed uint64, setup repairCase, inject func(sim *simulation, leader *simMachine)) time.Duration {
 	t.Helper()
 	sim := newRepairSimulation(seed, setup)
 	leader := sim.leader()
@@ -321,10 +321,10 @@
 		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
 	}
 	for _, operator := range sim.operators {
-		operator.avoid = leader.slot
+		operator.avoid = leader.machine
 	}
 	began := sim.now
-	befalls(sim, leader.slot)
+	inject(sim, leader.machine)
 	sim.runFor(8 * time.Second)
 	if sim.failure != "" {
 		t.Fatal(sim.failure)
--- a/internal/system/replica/core_scenarios_test.go
+++ b/internal/system/replica/core_scenarios_test.go
@@ -30,9 +30,9 @@
 		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
 	}
 	for _, operator := range sim.operators {
-		operator.avoid = leader.slot
+		operator.avoid = leader.machine
 	}
-	happens(sim, leader.slot)
+	happens(sim, leader.machine)
 	sim.runFor(scenarioDuration)
 	if sim.failure != "" {
 		t.Fatal(sim.failure)
--- a/internal/system/replica/core_storm_test.go
+++ b/internal/system/replica/core_storm_test.go
@@ -32,7 +32,7 @@
 
 // writeLoad changes the configuration all the time, a route at once.
 type writeLoad struct {
-	world           *simulation
+	sim             *simulation
 	routeBytes      int // of a route
 	created         uint64
 	proposedVersion uint64        // version that was proposed last
@@ -52,7 +52,7 @@
 	sim.profile.Delay = sim.uniform(5*time.Millisecond, 40*time.Millisecond)
 	sim.profile.SyncTime = sim.uniform(time.Millisecond, 12*time.Millisecond)
 	sim.faultsEnabled = false
-	load := &writeLoad{world: sim, routeBytes: test.routeBytes}
+	load := &writeLoad{sim: sim, routeBytes: test.routeBytes}
 	sim.bootstrap()
 	sim.agents = nil
 	sim.schedule(loadStart, load.proposeNext)
@@ -61,7 +61,7 @@
 
 // proposeNext proposes the next change once the one before is in force, and that one again after a while.
 func (load *writeLoad) proposeNext() {
-	sim := load.world
+	sim := load.sim
 	sim.schedule(loadInterval, load.proposeNext)
 	load.checkCaughtUp()
 	process := sim.leader()
@@ -80,7 +80,7 @@
 }
 
 func (load *writeLoad) command(base uint64, routes int) []byte {
-	sim := load.world
+	sim := load.sim
 	load.created++
 	request := simRequest{base: base, version: base + 1}
 	binary.BigEndian.PutUint64(request.digest[:], load.created)
@@ -99,7 +99,7 @@
 
 // checkCaughtUp notes when the watched machine holds all but the last changes.
 func (load *writeLoad) checkCaughtUp() {
-	sim := load.world
+	sim := load.sim
 	if load.restarted == nil || load.restarted.process == nil || load.caughtUpAfter > 0 {
 		return
 	}
@@ -113,39 +113,39 @@
 
 // follower is a machine that follows, by the storm's drawing.
 func (load *writeLoad) follower() *simMachine {
-	sim := load.world
+	sim := load.sim
 	for {
-		slot := sim.randomMachine()
-		if process := sim.leader(); process == nil || slot != process.slot {
-			return slot
+		machine := sim.randomMachine()
+		if process := sim.leader(); process == nil || machine != process.machine {
+			return machine
 		}
 	}
 }
 
 // restartAfter boots a machine after a while and watches it.
-func (load *writeLoad) restartAfter(slot *simMachine, down time.Duration) {
-	sim := load.world
+func (load *writeLoad) restartAfter(machine *simMachine, down time.Duration) {
+	sim := load.sim
 	sim.schedule(down, func() {
-		load.restarted, load.bootedAt, load.sentBytes = slot, sim.now, sim.sentBytes
-		sim.boot(slot)
+		load.restarted, load.bootedAt, load.sentBytes = machine, sim.now, sim.sentBytes
+		sim.boot(machine)
 	})
 }
 
-func (load *writeLoad) wipe(slot *simMachine, down time.Duration) {
-	slot.process.kill()
-	slot.disk = &simDisk{}
-	load.restartAfter(slot, down)
+func (load *writeLoad) wipe(machine *simMachine, down time.Duration) {
+	machine.process.kill()
+	machine.disk = &simDisk{}
+	load.restartAfter(machine, down)
 }
 
-func (load *writeLoad) powerCycle(slot *simMachine, down time.Duration) {
-	slot.process.kill()
-	load.restartAfter(slot, down)
+func (load *writeLoad) powerCycle(machine *simMachine, down time.Duration) {
+	machine.process.kill()
+	load.restartAfter(machine, down)
 }
 
 // play returns how long the machine took to hold what the others had agreed on, and the bytes sent meanwhile.
 func (load *writeLoad) play(t *testing.T, test *writeLoadCase) {
 	t.Helper()
-	sim := load.world
+	sim := load.sim
 	sim.runFor(loadWarmup)
 	if sim.failure == "" && sim.leader() == nil {
 		sim.fail("nobody leads")
@@ -169,10 +169,10 @@
 	away := func(load *writeLoad) { load.powerCycle(load.follower(), 9*time.Second) }
 	leaderLost := func(load *writeLoad) {
 		load.wipe(load.follower(), time.Second)
-		sim := load.world
+		sim := load.sim
 		sim.schedule(2500*time.Millisecond, func() {
 			if process := sim.leader(); process != nil {
-				sim.restart(process.slot, time.Minute)
+				sim.restart(process.machine, time.Minute)
 			}
 		})
 	}
@@ -199,7 +199,7 @@
 			var bytes []int
 			for _, seed := range seeds {
 				load := newWriteLoad(seed, test)
-				load.world.verbose = *simSeed != 0
+				load.sim.verbose = *simSeed != 0
 				load.play(t, test)
 				times, bytes = append(times, load.caughtUpAfter), append(bytes, load.sentBytes)
 			}
@@ -226,10 +226,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			load := newWriteLoad(1, test)
-			plant(load.world)
-			load.world.runFor(loadWarmup)
-			t.Logf("version %d is in force", load.world.oracle.versionAt(load.world.oracle.appliedIndex))
-			if load.world.oracle.appliedIndex > 0 && load.world.oracle.versionAt(load.world.oracle.appliedIndex) > 0 {
+			plant(load.sim)
+			load.sim.runFor(loadWarmup)
+			t.Logf("version %d is in force", load.sim.oracle.versionAt(load.sim.oracle.appliedIndex))
+			if load.sim.oracle.appliedIndex > 0 && load.sim.oracle.versionAt(load.sim.oracle.appliedIndex) > 0 {
 				t.Error("not found: a configuration of 4 MB is in force")
 			}
 		})
--- a/internal/system/replica/core_world_test.go
+++ b/internal/system/replica/core_world_test.go
@@ -77,7 +77,7 @@
 
 // simMachine is a machine: its disk and its process outlive each other.
 type simMachine struct {
-	number      int
+	index       int
 	settings    processconfig.Settings
 	disk        *simDisk
 	process     *simProcess
@@ -192,7 +192,7 @@
 
 func (sim *simulation) addMachine(first bool) *simMachine {
 	n := len(sim.machines)
-	machine := &simMachine{number: n, disk: &simDisk{}, clockOffset: sim.uniform(0, time.Hour), clockRate: 0.98 + 0.04*sim.random.Float64()}
+	machine := &simMachine{index: n, disk: &simDisk{}, clockOffset: sim.uniform(0, time.Hour), clockRate: 0.98 + 0.04*sim.random.Float64()}
 	machine.settings = processconfig.Settings{Node: fmt.Sprintf("core-%d", n), IP: netip.AddrFrom4([4]byte{10, 0, 0, byte(n + 1)}),
 		Zone: fmt.Sprintf("zone-%d", n%3), FreePorts: processconfig.PortRange{First: 9000, Last: 9015}, SeedNodes: sim.seeds,
 		FirstBoot: first, SurvivableLosses: processconfig.SurvivableLosses{Machines: max(sim.toleratedLosses, 1), Zones: 1},
@@ -215,18 +215,18 @@
 func (s *simMachine) id() consensus.ReplicaID { return s.disk.id }
 
 // activeMachines are the machines that have not been replaced.
-func (sim *simulation) activeMachines() (slots []*simMachine) {
+func (sim *simulation) activeMachines() (machines []*simMachine) {
 	for _, machine := range sim.machines {
 		if !machine.replaced {
-			slots = append(slots, machine)
+			machines = append(machines, machine)
 		}
 	}
-	return slots
+	return machines
 }
 
 func (sim *simulation) randomMachine() *simMachine {
-	slots := sim.activeMachines()
-	return slots[sim.random.IntN(len(slots))]
+	machines := sim.activeMachines()
+	return machines[sim.random.IntN(len(machines))]
 }
 
 // processes are those that have not ended.
@@ -272,13 +272,13 @@
 	}
 	delay := sim.delay(from, to)
 	if ordered {
-		way := [2]int{from.number, to.number}
+		way := [2]int{from.index, to.index}
 		sim.lastArrival[way] = max(sim.lastArrival[way], sim.now+delay)
 		delay = sim.lastArrival[way] - sim.now
 	}
 	process := to.process
 	sim.schedule(delay, func() {
-		if sim.blockedLinks[[2]int{from.number, to.number}] > 0 || to.process == nil || to.process != process {
+		if sim.blockedLinks[[2]int{from.index, to.index}] > 0 || to.process == nil || to.process != process {
 			return
 		}
 		process.execute(func() { arrive(process) })
--- a/internal/system/replica/core_zones_test.go
+++ b/internal/system/replica/core_zones_test.go
@@ -10,7 +10,7 @@
 // evacuationOperator is the only one to order about its zone: one thing after the other, each sent again through any machine
 // until it is acknowledged or given up. What was acknowledged has to hold until it orders something else.
 type evacuationOperator struct {
-	world        *simulation
+	sim          *simulation
 	zone         string
 	evacuated    bool // as it was agreed on
 	order        *evacuationOrder
@@ -34,7 +34,7 @@
 }
 
 func (sim *simulation) addEvacuationOperator(zone string) {
-	operator := &evacuationOperator{world: sim, zone: zone}
+	operator := &evacuationOperator{sim: sim, zone: zone}
 	sim.evacuationOperators = append(sim.evacuationOperators, operator)
 	sim.schedule(sim.uniform(time.Second, 3*time.Second), operator.startOrder)
 	sim.schedule(sim.uniform(time.Second, 3*time.Second), operator.startRead)
@@ -56,7 +56,7 @@
 
 // startOrder orders the contrary of the last order, or at times the same again.
 func (o *evacuationOperator) startOrder() {
-	sim := o.world
+	sim := o.sim
 	on := o.order == nil || !o.order.request.evacuated
 	if sim.chance(0.2) {
 		on = !on
@@ -76,7 +76,7 @@
 
 // send sends the order, and again until it is acknowledged.
 func (o *evacuationOperator) send(order *evacuationOrder) {
-	sim := o.world
+	sim := o.sim
 	if o.order != order || order.acknowledged {
 		return
 	}
@@ -93,7 +93,7 @@
 
 // handleAcknowledged notes an acknowledgement.
 func (o *evacuationOperator) handleAcknowledged(order *evacuationOrder) {
-	sim := o.world
+	sim := o.sim
 	order.acknowledged = true
 	*order.request.abandoned = true
 	o.acknowledged++
@@ -108,7 +108,7 @@
 
 // startRead reads whether the zone is evacuated.
 func (o *evacuationOperator) startRead() {
-	sim := o.world
+	sim := o.sim
 	sim.schedule(sim.uniform(sim.profile.ThinkTime/2, 2*sim.profile.ThinkTime), o.startRead)
 	record := &evacuationRecord{invoked: sim.now}
 	o.request(record, &simRequest{read: true, zone: o.zone}, func(simResponse) {})
@@ -116,7 +116,7 @@
 
 // request sends a request to any machine and notes the answer, if one comes in time.
 func (o *evacuationOperator) request(record *evacuationRecord, request *simRequest, told func(simResponse)) {
-	sim := o.world
+	sim := o.sim
 	o.history = append(o.history, record)
 	given := sim.now + operatorTimeout
 	process := sim.randomMachine().process
@@ -146,7 +146,7 @@
 	if o.order == nil || !o.order.acknowledged {
 		return "the operator of zone " + o.zone + " does not know what became of its order"
 	}
-	for _, machine := range o.world.activeMachines() {
+	for _, machine := range o.sim.activeMachines() {
 		if machine.process.state.Evacuation(o.zone).On != o.evacuated {
 			return "a machine does not know of zone " + o.zone
 		}
@@ -189,9 +189,9 @@
 	}
 	switch porcupine.CheckOperationsTimeout(evacuationModel.ToModel(), operations, linearizabilityTimeout) {
 	case porcupine.Illegal:
-		o.world.fail("the history of zone %s is not linearizable", o.zone)
+		o.sim.fail("the history of zone %s is not linearizable", o.zone)
 	case porcupine.Unknown:
-		o.world.fail("the history of zone %s with %d operations took too long to check", o.zone, len(operations))
+		o.sim.fail("the history of zone %s with %d operations took too long to check", o.zone, len(operations))
 	}
 }
 
--- a/internal/system/replica/disk.go
+++ b/internal/system/replica/disk.go
@@ -128,29 +128,29 @@
 }
 
 // checkHealth tells of the disk's trouble, and whether leadership is to be given up because of it now.
-func (d *diskWriter) checkHealth(now, pause time.Duration) (trouble error, stepDown bool) {
-	trouble = d.fault(now)
-	if trouble == nil {
+func (d *diskWriter) checkHealth(now, pause time.Duration) (fault error, stepDown bool) {
+	fault = d.fault(now)
+	if fault == nil {
 		d.leadershipReleased = false
 		return nil, false
 	}
 	if d.leadershipReleased && now < d.nextStepDown {
-		return trouble, false
+		return fault, false
 	}
 	d.leadershipReleased = true
 	d.nextStepDown = now + pause
-	return trouble, true
+	return fault, true
 }
 
 // checkDisk gives leadership up while the disk is in trouble.
 func (h *Host) checkDisk(now time.Duration) {
 	wasDown := h.disk.leadershipReleased
-	trouble, stepDown := h.disk.checkHealth(now, 2*h.options.ElectionTimeout)
-	if wasDown && trouble == nil {
+	fault, stepDown := h.disk.checkHealth(now, 2*h.options.ElectionTimeout)
+	if wasDown && fault == nil {
 		h.log.Info("disk works again")
 	}
-	if !wasDown && trouble != nil {
-		h.log.Error("disk in trouble", zap.Error(trouble))
+	if !wasDown && fault != nil {
+		h.log.Error("disk in trouble", zap.Error(fault))
 	}
 	if stepDown {
 		h.releaseLeadership()
