--- a/internal/system/replica/founding.go
+++ b/internal/system/replica/bootstrap.go
@@ -20,11 +20,6 @@
 	return consensus.ReplicaID(max(id, 1))
 }
 
-// controlAddress is where the control replica of a machine listens.
-func controlAddress(s *processconfig.Settings, machine netip.Addr) netip.AddrPort {
-	return netip.AddrPortFrom(machine, s.Port(processconfig.ControlRPCPort))
-}
-
 // bootstrapMembership is the membership that a system begins with: the machines of the seed list, which is the same at all of them
 // on the first boot. It tells false where this machine does not found. Names and zones are not known of the others yet;
 // each member tells them once it runs.
--- a/internal/system/replica/transfer.go
+++ b/internal/system/replica/bulk_transfer.go
@@ -105,33 +105,6 @@
 	}
 }
 
-// sendSnapshot sends a message with the present snapshot over a connection of its own, so that heartbeats do not wait
-// behind it. It does nothing while an earlier one is under way.
-func (s *peerSet) sendSnapshot(address netip.AddrPort, g *group, message *consensus.Message) {
-	remote := s.get(address)
-	remote.mutex.Lock()
-	busy := remote.activeSnapshots[g.partition]
-	remote.activeSnapshots[g.partition] = true
-	remote.mutex.Unlock()
-	if busy {
-		return
-	}
-	filled := *message
-	g.attachCurrentSnapshot(&filled)
-	messages := appendMessage(nil, g.partition, &filled)
-	partition := g.partition
-	s.goroutines.Add(1)
-	go func() {
-		defer s.goroutines.Done()
-		client := newBulkClient(address)
-		defer client.Close()
-		_, _ = deliverCall.Invoke(s.context, client, newDeliverRequest(messages)) // the receiver's replica answers by itself
-		remote.mutex.Lock()
-		delete(remote.activeSnapshots, partition)
-		remote.mutex.Unlock()
-	}()
-}
-
 // newBulkClient is a client for requests that are large. They have long to arrive; a peer that takes nothing is given up as
 // soon as others are.
 func newBulkClient(address netip.AddrPort) *rpc.Client {
--- a/internal/system/replica/leave.go
+++ b/internal/system/replica/departures.go
@@ -38,21 +38,6 @@
 	return slices.ContainsFunc(d.notices, func(n departure) bool { return n.id == id && heard <= n.receivedAt+departureTTL })
 }
 
-// Leave prepares the end of the process: from now on this host tells the others that it goes, so that the leader of each
-// group gives its vote to another member where there is one, and it hands over the groups that it leads. It returns at
-// once; Stop waits for the outcome. A process that comes back on the same disk is a member as before, without a vote if
-// that was moved.
-func (h *Host) Leave() {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.leaving {
-		return
-	}
-	h.leaving = true
-	h.nextMembershipCheck = 0
-	h.releaseLeadership()
-}
-
 // announceDeparture tells all machines that may have replicas.
 func (h *Host) announceDeparture() {
 	h.departures.add(h.self.ID, h.now())
@@ -66,35 +51,3 @@
 		})
 	}
 }
-
-// awaitVotesMoved returns once no group that has a learner to take this replica's vote counts on it any more.
-func (h *Host) awaitVotesMoved(ctx context.Context) {
-	for h.hasMovableVote() && waitOrTimeout(ctx, nil, timerGranularity) {
-	}
-}
-
-func (h *Host) hasMovableVote() bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	return slices.ContainsFunc(h.groups, func(g *group) bool {
-		return g.node != nil && isVoteMovable(g.node.Status(), h.self.ID)
-	})
-}
-
-// isVoteMovable tells whether a replica has a vote that a learner could take, as far as it knows, or whether that is under
-// way.
-func isVoteMovable(status consensus.Status, self consensus.ReplicaID) bool {
-	votes, learners := false, false
-	for _, member := range status.Membership.Members {
-		switch {
-		case member.ID == self:
-			votes = member.HasVote()
-		case !member.HasVote():
-			learners = true
-		}
-	}
-	if !votes {
-		return status.MembershipIndex > status.Commit
-	}
-	return learners || status.Membership.Joint()
-}
--- a/internal/system/replica/disk.go
+++ b/internal/system/replica/disk_writer.go
@@ -8,7 +8,6 @@
 	"go.uber.org/zap"
 
 	"cinderroad/internal/system/consensus"
-	"cinderroad/internal/system/feed"
 	"cinderroad/internal/system/storage"
 )
 
@@ -52,26 +51,6 @@
 	sizeBytes int
 }
 
-// store is what the disk goroutine needs of a storage.Store.
-type store interface {
-	Identity() (consensus.ReplicaID, bool)
-	HasPredecessor() bool
-	Initialize(replica consensus.ReplicaID, writes ...storage.Update) error
-	Load(partition feed.Partition) (consensus.PersistentState, bool, error)
-	Write(writes ...storage.Update) error
-	Discard() error
-	Close() error
-}
-
-// openStorage opens a state folder. A *storage.CorruptError comes with an empty store.
-func openStorage(folder string) (store, error) {
-	opened, err := storage.Open(folder)
-	if opened == nil {
-		return nil, err
-	}
-	return opened, err
-}
-
 func newDiskWriter(folder string) *diskWriter {
 	return &diskWriter{folder: folder, wake: make(chan struct{}, 1), stopped: make(chan struct{})}
 }
@@ -112,15 +91,6 @@
 	return d.lastError
 }
 
-// DiskStalledError says that the disk has not finished a write for a while.
-type DiskStalledError struct{ Elapsed time.Duration }
-
-// Error says what happened and what to do.
-func (e *DiskStalledError) Error() string {
-	return "replica: the disk has not finished a write for " + e.Elapsed.Round(time.Millisecond).String() +
-		"; leadership is given up until it does; check the disk of the state folder"
-}
-
 func (d *diskWriter) recordAttempt(began time.Duration, failure error) {
 	d.mutex.Lock()
 	d.writeStarted, d.lastError = began, failure
@@ -248,13 +218,6 @@
 	}
 }
 
-func (h *Host) wakeLoop() {
-	select {
-	case h.wake <- struct{}{}:
-	default:
-	}
-}
-
 func (h *Host) failFromDiskWriter(err error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -274,27 +237,3 @@
 	h.disk.release(freed)
 	h.processReady()
 }
-
-// openWithRetry opens the store and starts the replicas, as soon as the disk lets it; false: the host stops before.
-func (h *Host) openWithRetry() bool {
-	pause := minDiskBackoff
-	for {
-		began := max(h.now(), 1)
-		h.disk.recordAttempt(began, nil)
-		id, stored, err := h.loadStored()
-		if err == nil {
-			h.disk.recordAttempt(0, nil)
-			return h.startGroups(id, stored)
-		}
-		h.disk.recordAttempt(began, err)
-		var schema *storage.SchemaError
-		if errors.As(err, &schema) {
-			h.failFromDiskWriter(err)
-			return false
-		}
-		h.log.Error("state folder not opened", zap.Error(err))
-		if !h.waitDiskBackoff(&pause) {
-			return false
-		}
-	}
-}
--- a/internal/system/replica/group.go
+++ b/internal/system/replica/group.go
@@ -1,7 +1,6 @@
 package replica
 
 import (
-	"slices"
 	"time"
 
 	"cinderroad/internal/system/consensus"
@@ -9,17 +8,6 @@
 	"cinderroad/internal/system/storage"
 )
 
-// Bounds on the log that is kept beside a snapshot. A snapshot is made once the log since the last one takes more than
-// the larger of minSnapshotLogBytes and the last snapshot, in bytes, so that the cost of snapshots stays in proportion.
-const (
-	minSnapshotLogBytes = 512 << 10
-	entryOverheadBytes  = 64 // bytes that an entry costs beside its data
-	// Entries, and bytes of their data, that are kept in memory behind a snapshot for members that are behind; as many bytes
-	// as the snapshot has, where that is more. A member that is further behind has less to receive by the snapshot.
-	retainedEntries = 1024
-	retainedBytes   = minSnapshotLogBytes / 2
-)
-
 // group is this machine's replica of a partition. The host's mutex guards it.
 type group struct {
 	partition feed.Partition
@@ -53,19 +41,6 @@
 	enqueueWrite(j writeJob)
 }
 
-// proposal waits for the entry at its index to be applied.
-type proposal struct {
-	index, term uint64
-	done        chan ProposeReply // of capacity 1
-	next        *proposal         // another one that waits for the same entry
-}
-
-// appliedWaiter is closed once the index is applied.
-type appliedWaiter struct {
-	index uint64
-	done  chan struct{}
-}
-
 func newGroup(partition feed.Partition, state StateMachine) *group {
 	return &group{partition: partition, state: state, proposals: make(map[uint64]*proposal),
 		pendingReads: make(map[uint64]chan consensus.ReadState), leaderChanged: make(chan struct{})}
@@ -133,6 +108,16 @@
 	out.enqueueWrite(j)
 }
 
+// newWrite is what a Ready wants on the disk. A hard state that differs in its commit index alone goes along with entries.
+func (g *group) newWrite(ready *consensus.Ready) storage.Update {
+	write := storage.Update{Partition: g.partition, InstalledSnapshot: ready.Snapshot, Entries: ready.Entries, CommitIndex: g.commitIndex}
+	if ready.HardState != nil && (ready.HardState.Term != g.lastHardState.Term || ready.HardState.Vote != g.lastHardState.Vote) {
+		g.lastHardState = *ready.HardState
+		write.HardState = ready.HardState
+	}
+	return write
+}
+
 // handlePersisted tells the machine that a job is on the disk, and sends what waited for it.
 func (g *group) handlePersisted(j *writeJob, out groupOutput) {
 	g.pendingJobs--
@@ -144,69 +129,6 @@
 	out.send(g, j.ready.Messages)
 }
 
-// propose has the machine propose; nil: it does not lead. A large command that is sent again while it is under way waits
-// for the entry that holds it: megabytes that are appended again with each try of a caller would take the links that they
-// are waiting for.
-func (g *group) propose(now time.Duration, command []byte) *proposal {
-	pending := &proposal{done: make(chan ProposeReply, 1)}
-	if g.findUncommitted(command, pending) {
-		pending.next = g.proposals[pending.index]
-		g.proposals[pending.index] = pending
-		return pending
-	}
-	var err error
-	if pending.index, pending.term, err = g.node.Propose(now, command); err != nil {
-		return nil
-	}
-	// Another leader had this log replaced here. Elsewhere the entry may stand yet, and be agreed on by a later one.
-	g.resolveProposals(pending.index, func(*proposal) ProposeReply { return ProposeReply{Outcome: OutcomeUnknown} })
-	g.proposals[pending.index] = pending
-	return pending
-}
-
-// findUncommitted tells whether this replica leads and its log has a large command that is yet to be agreed on, and where.
-func (g *group) findUncommitted(command []byte, p *proposal) (found bool) {
-	if len(command) < bulkThresholdBytes || g.node.Role() != consensus.Leader || g.node.Transferring() {
-		return false
-	}
-	p.index, p.term, found = g.node.FindUncommitted(command)
-	return found
-}
-
-// resolveProposals tells those who wait for an entry.
-func (g *group) resolveProposals(index uint64, reply func(p *proposal) ProposeReply) {
-	for p := g.proposals[index]; p != nil; p = p.next {
-		p.done <- reply(p)
-	}
-	delete(g.proposals, index)
-}
-
-// abandonProposal has a proposal wait no longer.
-func (g *group) abandonProposal(pending *proposal) {
-	var kept *proposal
-	for q := g.proposals[pending.index]; q != nil; {
-		next := q.next
-		if q != pending {
-			q.next, kept = kept, q
-		}
-		q = next
-	}
-	if kept == nil {
-		delete(g.proposals, pending.index)
-		return
-	}
-	g.proposals[pending.index] = kept
-}
-
-// startReadIndex has the machine confirm an index to read at.
-func (g *group) startReadIndex(now time.Duration) (token uint64, done <-chan consensus.ReadState) {
-	g.lastReadToken++
-	answer := make(chan consensus.ReadState, 1)
-	g.pendingReads[g.lastReadToken] = answer
-	g.node.ReadIndex(now, g.lastReadToken)
-	return g.lastReadToken, answer
-}
-
 // applyReady takes a Ready's snapshot and entries into the state machine and answers those who wait for them. Committed
 // entries are applied before this replica's own writes are on disk: a majority has them, and the state machine lives
 // in memory.
@@ -254,34 +176,6 @@
 	})
 }
 
-func (g *group) notifyApplied() {
-	waiting := g.appliedWaiters[:0]
-	for _, waiter := range g.appliedWaiters {
-		if waiter.index <= g.appliedIndex {
-			close(waiter.done)
-		} else {
-			waiting = append(waiting, waiter)
-		}
-	}
-	clear(g.appliedWaiters[len(waiting):])
-	g.appliedWaiters = waiting
-}
-
-// removeAppliedWaiter drops a wait.
-func (g *group) removeAppliedWaiter(done chan struct{}) {
-	g.appliedWaiters = slices.DeleteFunc(g.appliedWaiters, func(waiter appliedWaiter) bool { return waiter.done == done })
-}
-
-// resolveReads passes confirmed indexes on.
-func (g *group) resolveReads(states []consensus.ReadState) {
-	for _, state := range states {
-		if done := g.pendingReads[state.Token]; done != nil {
-			delete(g.pendingReads, state.Token)
-			done <- state
-		}
-	}
-}
-
 // updateLeader wakes those who wait for another leader.
 func (g *group) updateLeader() {
 	leader, leads := g.node.Leader(), g.node.Role() == consensus.Leader && !g.node.Transferring()
@@ -292,47 +186,3 @@
 	close(g.leaderChanged)
 	g.leaderChanged = make(chan struct{})
 }
-
-// dueSnapshot is the snapshot that is due, or nil.
-func (g *group) dueSnapshot() *consensus.Snapshot {
-	if g.snapshotPending || g.logBytesSinceSnapshot < max(minSnapshotLogBytes, g.snapshotBytes) {
-		return nil
-	}
-	if _, may := g.node.CreateSnapshot(g.appliedIndex, nil); !may {
-		return nil // without the state's encoding, which may be large
-	}
-	snapshot, is := g.node.CreateSnapshot(g.appliedIndex, g.state.Snapshot())
-	if !is {
-		return nil
-	}
-	g.snapshotPending, g.logBytesSinceSnapshot = true, 0
-	return &snapshot
-}
-
-// handleSnapshotPersisted notes that the snapshot is on disk.
-func (g *group) handleSnapshotPersisted(snapshot *consensus.Snapshot) {
-	g.snapshotPending = false
-	g.snapshotBytes = len(snapshot.Data)
-	g.node.Compact(snapshot.Index, nil, max(retainedBytes, len(snapshot.Data)))
-}
-
-// attachCurrentSnapshot fills the message of a snapshot with the state as it is: the machine keeps none, to save memory.
-func (g *group) attachCurrentSnapshot(message *consensus.Message) {
-	data := g.state.Snapshot()
-	snapshot, is := g.node.CreateSnapshot(g.appliedIndex, data)
-	if !is {
-		snapshot = *message.Snapshot // the state machine has not moved on since
-		snapshot.Data = data
-	}
-	message.Snapshot = &snapshot
-}
-
-// newWrite is what a Ready wants on the disk. A hard state that differs in its commit index alone goes along with entries.
-func (g *group) newWrite(ready *consensus.Ready) storage.Update {
-	write := storage.Update{Partition: g.partition, InstalledSnapshot: ready.Snapshot, Entries: ready.Entries, CommitIndex: g.commitIndex}
-	if ready.HardState != nil && (ready.HardState.Term != g.lastHardState.Term || ready.HardState.Vote != g.lastHardState.Vote) {
-		g.lastHardState = *ready.HardState
-		write.HardState = ready.HardState
-	}
-	return write
-}
--- a/internal/system/replica/host.go
+++ b/internal/system/replica/host.go
@@ -79,6 +79,8 @@
 	openStore func(folder string) (store, error)
 }
 
+var _ Replicas = (*Host)(nil)
+
 // New returns a host that does nothing before Start. Its handlers may be registered at once.
 func New(options Options) *Host {
 	if options.HeartbeatInterval == 0 {
@@ -120,103 +122,6 @@
 	}()
 }
 
-// Stop hands leadership over, and votes where another member can take them, which takes transferTimeout at most; then it
-// writes what is under way and closes the store. The handlers are to be served until it returns. The context bounds all
-// of it: a disk that hangs is not waited for.
-func (h *Host) Stop(ctx context.Context) {
-	h.Leave()
-	handOver, cancel := context.WithTimeout(ctx, transferTimeout)
-	defer cancel()
-	h.awaitLeadershipTransferred(handOver)
-	h.awaitVotesMoved(handOver)
-	h.mutex.Lock()
-	h.stopping = true
-	h.releaseLeadership()
-	h.mutex.Unlock()
-	h.cancel()
-	h.disk.stop()
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		h.goroutines.Wait()
-	}()
-	select {
-	case <-ended:
-	case <-ctx.Done():
-	}
-}
-
-// awaitLeadershipTransferred returns once this host leads no group.
-func (h *Host) awaitLeadershipTransferred(ctx context.Context) {
-	for _, g := range h.groups {
-		for {
-			h.mutex.Lock()
-			changed := g.leaderChanged
-			leads := g.node != nil && g.node.Role() == consensus.Leader
-			h.mutex.Unlock()
-			if !leads {
-				break
-			}
-			if !waitOrTimeout(ctx, changed, timerGranularity) {
-				return
-			}
-		}
-	}
-}
-
-// waitOrTimeout returns once the channel is closed or the time has passed; false: the context ended.
-func waitOrTimeout(ctx context.Context, changed <-chan struct{}, atMost time.Duration) bool {
-	timer := time.NewTimer(atMost)
-	defer timer.Stop()
-	select {
-	case <-changed:
-	case <-timer.C:
-	case <-ctx.Done():
-		return false
-	}
-	return true
-}
-
-// now is the steady time since the host was made.
-func (h *Host) now() time.Duration { return time.Since(h.started) }
-
-// startGroups makes the machines of what is stored; false: the state machines do not take it.
-func (h *Host) startGroups(id consensus.ReplicaID, stored []consensus.PersistentState) bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	for i, g := range h.groups {
-		options := nodeOptions(id, randomUint64(), h.options.HeartbeatInterval, h.options.ElectionTimeout)
-		if err := g.start(h.now(), options, stored[i]); err != nil {
-			h.reportFailure(fmt.Errorf("replica: stored state of partition %d: %w", g.partition, err))
-			return false
-		}
-	}
-	h.self.ID = id
-	h.nextMembershipCheck = 0
-	h.log.Info("replica started", zap.String("replica", formatReplicaID(id)))
-	h.processReady()
-	for _, g := range h.groups {
-		if g.appliedIndex > 0 && h.options.OnApplied != nil {
-			h.options.OnApplied(g.partition, g.appliedIndex)
-		}
-	}
-	return true
-}
-
-// nodeOptions are those of a replica of any partition.
-func nodeOptions(id consensus.ReplicaID, seed uint64, heartbeat, election time.Duration) consensus.Config {
-	return consensus.Config{ID: id, HeartbeatInterval: heartbeat, ElectionTimeout: election, Seed: seed, MaxAppendBytes: maxAppendBytes,
-		MaxInflightAppends: maxInflightAppends, SnapshotThreshold: 4 * retainedEntries}
-}
-
-func randomUint64() uint64 {
-	var b [8]byte
-	rand.Read(b[:])
-	return binary.LittleEndian.Uint64(b[:])
-}
-
-func formatReplicaID(id consensus.ReplicaID) string { return fmt.Sprintf("%016x", uint64(id)) }
-
 // run ticks the machines when they are due.
 func (h *Host) run() {
 	timer := time.NewTimer(0)
@@ -232,6 +137,13 @@
 	}
 }
 
+func (h *Host) wakeLoop() {
+	select {
+	case h.wake <- struct{}{}:
+	default:
+	}
+}
+
 // tick does what is due and returns when to come back.
 func (h *Host) tick() time.Duration {
 	h.mutex.Lock()
@@ -277,13 +189,6 @@
 	g.node.Step(now, message)
 }
 
-func (h *Host) group(partition feed.Partition) *group {
-	if int(partition) >= len(h.groups) {
-		return nil
-	}
-	return h.groups[partition]
-}
-
 // processReady does what the machines want done. Whoever has called a machine calls it before it lets go of the mutex.
 func (h *Host) processReady() {
 	for _, g := range h.groups {
@@ -340,17 +245,39 @@
 // enqueueWrite has a job carried out; see outlet.
 func (h *Host) enqueueWrite(j writeJob) { h.disk.enqueue(j) }
 
-// releaseLeadership gives leadership of all groups up and keeps this host from leading for a few election times.
-func (h *Host) releaseLeadership() {
-	now := h.now()
-	for _, g := range h.groups {
-		if g.node != nil {
-			g.node.StepDown(now)
+// startGroups makes the machines of what is stored; false: the state machines do not take it.
+func (h *Host) startGroups(id consensus.ReplicaID, stored []consensus.PersistentState) bool {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	for i, g := range h.groups {
+		options := nodeOptions(id, randomUint64(), h.options.HeartbeatInterval, h.options.ElectionTimeout)
+		if err := g.start(h.now(), options, stored[i]); err != nil {
+			h.reportFailure(fmt.Errorf("replica: stored state of partition %d: %w", g.partition, err))
+			return false
 		}
 	}
+	h.self.ID = id
+	h.nextMembershipCheck = 0
+	h.log.Info("replica started", zap.String("replica", formatReplicaID(id)))
 	h.processReady()
+	for _, g := range h.groups {
+		if g.appliedIndex > 0 && h.options.OnApplied != nil {
+			h.options.OnApplied(g.partition, g.appliedIndex)
+		}
+	}
+	return true
+}
+
+func (h *Host) group(partition feed.Partition) *group {
+	if int(partition) >= len(h.groups) {
+		return nil
+	}
+	return h.groups[partition]
 }
 
+// now is the steady time since the host was made.
+func (h *Host) now() time.Duration { return time.Since(h.started) }
+
 // reportFailure reports that this process's replicas cannot go on.
 func (h *Host) reportFailure(err error) {
 	if h.failed {
@@ -362,3 +289,17 @@
 		go h.options.OnFailure(err)
 	}
 }
+
+// nodeOptions are those of a replica of any partition.
+func nodeOptions(id consensus.ReplicaID, seed uint64, heartbeat, election time.Duration) consensus.Config {
+	return consensus.Config{ID: id, HeartbeatInterval: heartbeat, ElectionTimeout: election, Seed: seed, MaxAppendBytes: maxAppendBytes,
+		MaxInflightAppends: maxInflightAppends, SnapshotThreshold: 4 * retainedEntries}
+}
+
+func randomUint64() uint64 {
+	var b [8]byte
+	rand.Read(b[:])
+	return binary.LittleEndian.Uint64(b[:])
+}
+
+func formatReplicaID(id consensus.ReplicaID) string { return fmt.Sprintf("%016x", uint64(id)) }
--- a/internal/system/replica/manage.go
+++ b/internal/system/replica/membership.go
@@ -1,11 +1,8 @@
 package replica
 
 import (
-	"context"
 	"errors"
 	"fmt"
-	"net/netip"
-	"slices"
 	"strings"
 	"time"
 
@@ -24,49 +21,6 @@
 	maxPromotionLag        = 16                     // entries by which a learner may be behind as it becomes a voter
 )
 
-// AddPeerAddresses adds addresses at which control replicas may be found, as membership gossip tells them.
-func (h *Host) AddPeerAddresses(addresses ...netip.AddrPort) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	for _, address := range addresses {
-		h.addAddress(address)
-	}
-}
-
-func (h *Host) addAddress(address netip.AddrPort) {
-	if !address.IsValid() || address == h.address {
-		return
-	}
-	if i := slices.Index(h.knownAddresses, address); i >= 0 {
-		h.knownAddresses = slices.Delete(h.knownAddresses, i, i+1)
-	}
-	h.knownAddresses = append(h.knownAddresses, address)
-	if len(h.knownAddresses) > maxKnownAddresses {
-		h.knownAddresses = slices.Delete(h.knownAddresses, 0, 1)
-	}
-}
-
-// Members are the members of all groups, each replica once, as this replica knows them.
-func (h *Host) Members() []consensus.Member {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	return h.members()
-}
-
-func (h *Host) members() (members []consensus.Member) {
-	for _, g := range h.groups {
-		if g.node == nil {
-			continue
-		}
-		for _, member := range g.node.Membership().Members {
-			if !slices.ContainsFunc(members, func(m consensus.Member) bool { return m.ID == member.ID }) {
-				members = append(members, member)
-			}
-		}
-	}
-	return members
-}
-
 // checkMemberships looks after the memberships: this replica's own, and those of the groups that it leads.
 func (h *Host) checkMemberships(now time.Duration) {
 	if h.self.ID == 0 || h.stopping {
@@ -166,85 +120,3 @@
 	}
 	return strings.Join(names, ",")
 }
-
-// needsJoin tells whether some group lacks this replica, or does not let it hear of a leader, or has a leader that this
-// replica can't answer: it joined the group after all that this replica knows, and the answer to a request to be taken in
-// tells its address.
-func (h *Host) needsJoin(now time.Duration) bool {
-	for _, g := range h.groups {
-		if !h.isMember(g) || elapsedSince(g.node.Status().LastLeaderContact, now) > leaderlessTimeout || !h.knowsLeaderAddress(g) {
-			return true
-		}
-	}
-	return false
-}
-
-// knowsLeaderAddress tells whether the address of a group's leader is known, if there is one.
-func (h *Host) knowsLeaderAddress(g *group) bool {
-	leader := g.node.Leader()
-	if leader == 0 || leader == h.self.ID {
-		return true
-	}
-	_, known := h.replicaAddress(g, leader)
-	return known
-}
-
-// isMember tells whether a group has this replica, under its particulars.
-func (h *Host) isMember(g *group) bool {
-	return slices.ContainsFunc(g.node.Membership().Members, func(m consensus.Member) bool {
-		return m.ID == h.self.ID && !attributesDiffer(&m, &h.self)
-	})
-}
-
-// requestJoin asks all machines that may have replicas to take this one in.
-func (h *Host) requestJoin(now time.Duration) {
-	if now < h.nextJoin {
-		return
-	}
-	h.nextJoin = now + joinTimeout/2
-	for address := range h.peerAddresses() {
-		remote := h.peers.get(address)
-		if remote.joining.Swap(true) {
-			continue
-		}
-		h.goroutines.Add(1)
-		go func() {
-			defer h.goroutines.Done()
-			defer remote.joining.Store(false)
-			h.requestJoinAt(remote)
-		}()
-	}
-}
-
-// requestJoinAt asks one machine, and notes which others it knows.
-func (h *Host) requestJoinAt(p *peer) {
-	ctx, cancel := context.WithTimeout(h.context, joinTimeout)
-	defer cancel()
-	reply, err := joinCall.Invoke(ctx, p.client, &JoinRequest{Member: h.self})
-	if err != nil {
-		return
-	}
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	for _, member := range reply.Members {
-		if address, err := netip.ParseAddrPort(member.Address); err == nil {
-			h.addAddress(address)
-			h.peers.learnAddress(member.ID, address)
-		}
-	}
-}
-
-// peerAddresses are all others at which there may be replicas.
-func (h *Host) peerAddresses() map[netip.AddrPort]bool {
-	addresses := make(map[netip.AddrPort]bool)
-	for _, address := range h.knownAddresses {
-		addresses[address] = true
-	}
-	for _, member := range h.members() {
-		address, err := netip.ParseAddrPort(member.Address)
-		if err == nil && address != h.address {
-			addresses[address] = true
-		}
-	}
-	return addresses
-}
--- a/internal/system/replica/repair_model_test.go
+++ b/internal/system/replica/repair_model_test.go
@@ -6,19 +6,21 @@
 	"testing"
 )
 
-// The model below plays all orders of events in which a voter is lost or silent and a learner takes its vote, for the
-// ways in which a membership may change. It knows nothing of logs and messages, only which disks are intact: a state has
-// failed where no majority of some voter set is left, for then nothing is ever agreed on again.
-
 // replicaSet is a set of replicas, by number. Replica numbers follow from machine and life of its disk, see replicaOf.
 type replicaSet uint32
 
-func (s replicaSet) has(r int) bool                   { return s&(1<<r) != 0 }
-func (s replicaSet) with(r int) replicaSet            { return s | 1<<r }
-func (s replicaSet) without(r int) replicaSet         { return s &^ (1 << r) }
-func (s replicaSet) majorityIn(of replicaSet) bool    { return 2*(s&of).size() > of.size() }
-func (s replicaSet) size() int                        { return bits.OnesCount32(uint32(s)) }
+func (s replicaSet) has(r int) bool { return s&(1<<r) != 0 }
+
+func (s replicaSet) with(r int) replicaSet { return s | 1<<r }
+
+func (s replicaSet) without(r int) replicaSet { return s &^ (1 << r) }
+
+func (s replicaSet) majorityIn(of replicaSet) bool { return 2*(s&of).size() > of.size() }
+
+func (s replicaSet) size() int { return bits.OnesCount32(uint32(s)) }
+
 func (s replicaSet) majorities(of ...replicaSet) bool { return all(of, s.majorityIn) }
+
 func all(sets []replicaSet, is func(replicaSet) bool) bool {
 	for _, set := range sets {
 		if set != 0 && !is(set) {
--- a/internal/system/replica/core_repair_test.go
+++ b/internal/system/replica/repair_test.go
@@ -278,67 +278,6 @@
 	}
 }
 
-// TestFailoverTimeByLatency measures how long nothing is agreed on after the leader is killed, freezes or is cut off.
-func TestFailoverTimeByLatency(t *testing.T) {
-	bounds := map[time.Duration]time.Duration{20 * time.Millisecond: 1500 * time.Millisecond, 90 * time.Millisecond: 3 * time.Second,
-		200 * time.Millisecond: 5 * time.Second}
-	kinds := []struct {
-		name string
-		to   func(sim *simulation, leader *simMachine)
-	}{
-		{"killed", func(sim *simulation, leader *simMachine) { sim.restart(leader, time.Minute) }},
-		{"frozen", func(sim *simulation, leader *simMachine) { sim.pause(leader, time.Minute) }},
-		{"cut off", func(sim *simulation, leader *simMachine) {
-			for _, other := range sim.machines {
-				sim.block(leader, other, time.Minute)
-				sim.block(other, leader, time.Minute)
-			}
-		}},
-	}
-	for delay, bound := range bounds {
-		for _, machines := range []int{3, 5} {
-			for _, kind := range kinds {
-				t.Run(fmt.Sprintf("%s, %d machines, %v", kind.name, machines, delay), func(t *testing.T) {
-					t.Parallel()
-					var pauses []time.Duration
-					for seed := uint64(1); seed <= scenarioSeeds; seed++ {
-						setup := repairCase{machines: machines, losses: 1, delay: delay, sync: 5 * time.Millisecond}
-						pauses = append(pauses, measureFailover(t, seed, setup, kind.to))
-					}
-					checkTimes(t, pauses, bound)
-				})
-			}
-		}
-	}
-}
-
-// measureFailover is the longest time without a change of the configuration in force after something befalls the leader.
-func measureFailover(t *testing.T, seed uint64, setup repairCase, inject func(sim *simulation, leader *simMachine)) time.Duration {
-	t.Helper()
-	sim := newRepairSimulation(seed, setup)
-	leader := sim.leader()
-	if leader == nil {
-		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
-	}
-	for _, operator := range sim.operators {
-		operator.avoid = leader.machine
-	}
-	began := sim.now
-	inject(sim, leader.machine)
-	sim.runFor(8 * time.Second)
-	if sim.failure != "" {
-		t.Fatal(sim.failure)
-	}
-	last, longest := began, time.Duration(0)
-	for _, committed := range sim.oracle.versions {
-		if committed.committedAt > began {
-			longest = max(longest, committed.committedAt-last)
-			last = committed.committedAt
-		}
-	}
-	return max(longest, sim.now-last)
-}
-
 // TestPermanentShutdowns has machines of five stop for good with nobody to take their votes, and another lose its disk
 // once the group had time to go on without them.
 func TestPermanentShutdowns(t *testing.T) {
--- a/internal/system/replica/replica.go
+++ b/internal/system/replica/replica.go
@@ -4,7 +4,6 @@
 
 import (
 	"context"
-	"fmt"
 	"time"
 
 	"cinderroad/internal/system/consensus"
@@ -42,12 +41,3 @@
 	Partition feed.Partition
 	Status    consensus.Status
 }
-
-// UnavailableError says that a partition had no leader to take a command: nothing was proposed.
-type UnavailableError struct{ Partition feed.Partition }
-
-// Error says what happened and what to do.
-func (e *UnavailableError) Error() string {
-	return fmt.Sprintf("replica: partition %d has no leader that a majority follows; check which control machines are up",
-		e.Partition)
-}
--- a/internal/system/replica/bounds_test.go
+++ b/internal/system/replica/resource_bounds_test.go
@@ -82,7 +82,8 @@
 }
 
 func (s *singleVoterGroup) send(*group, []consensus.Message) {}
-func (s *singleVoterGroup) enqueueWrite(j writeJob)          { s.jobs = append(s.jobs, j) }
+
+func (s *singleVoterGroup) enqueueWrite(j writeJob) { s.jobs = append(s.jobs, j) }
 
 func (s *singleVoterGroup) processReady() {
 	s.t.Helper()
--- a/internal/system/replica/calls.go
+++ b/internal/system/replica/rpc.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"encoding/binary"
-	"errors"
 	"time"
 
 	"cinderroad/internal/system/consensus"
@@ -62,45 +60,6 @@
 	return &DeliverReply{}, nil
 }
 
-// MalformedMessagesError says that a batch of messages cannot be read.
-type MalformedMessagesError struct{ Cause error }
-
-// Error says what happened and what to do.
-func (e *MalformedMessagesError) Error() string {
-	return "replica: messages cannot be read: " + e.Cause.Error() + "; check that all control machines run one version"
-}
-
-// Unwrap is the cause.
-func (e *MalformedMessagesError) Unwrap() error { return e.Cause }
-
-var errTruncated = errors.New("they are cut short")
-
-// appendMessage appends a partition, the length of a message and the message.
-func appendMessage(b []byte, partition feed.Partition, message *consensus.Message) []byte {
-	encoded := consensus.EncodeMessage(*message)
-	b = binary.AppendUvarint(b, uint64(partition))
-	b = binary.AppendUvarint(b, uint64(len(encoded)))
-	return append(b, encoded...)
-}
-
-// readMessage reads what appendMessage wrote and returns what follows.
-func readMessage(b []byte) (feed.Partition, consensus.Message, []byte, error) {
-	partition, n := binary.Uvarint(b)
-	if n <= 0 || partition > uint64(^feed.Partition(0)) {
-		return 0, consensus.Message{}, nil, &MalformedMessagesError{errTruncated}
-	}
-	b = b[n:]
-	length, n := binary.Uvarint(b)
-	if n <= 0 || length > uint64(len(b)-n) {
-		return 0, consensus.Message{}, nil, &MalformedMessagesError{errTruncated}
-	}
-	message, err := consensus.DecodeMessage(b[n : n+int(length)])
-	if err != nil {
-		return 0, consensus.Message{}, nil, &MalformedMessagesError{err}
-	}
-	return feed.Partition(partition), message, b[n+int(length):], nil
-}
-
 // ProposeRequest asks a leader to have a command agreed on within Wait.
 type ProposeRequest struct {
 	Partition feed.Partition
--- a/internal/system/replica/core_check_test.go
+++ b/internal/system/replica/sim_checks_test.go
@@ -1,110 +1,15 @@
 package replica
 
 import (
-	"encoding/binary"
 	"fmt"
 	"slices"
-	"strings"
-	"sync"
-	"testing"
 	"time"
 
 	"cinderroad/internal/system/consensus"
 	"cinderroad/internal/system/control/state"
 	"cinderroad/internal/system/feed"
-	"cinderroad/internal/system/storage"
 )
 
-// entryID is where an entry stands, and of which term it is.
-type entryID struct{ index, term uint64 }
-
-// syncedState is what a replica had on its disk at some time, its disk lost or not.
-type syncedState struct {
-	entries  map[entryID]bool
-	snapshot uint64
-}
-
-// committedVersion is a version of the configuration that was put in force.
-type committedVersion struct {
-	committedAt time.Duration
-	index       uint64
-	request     simRequest
-}
-
-// appliedCommand is what all replicas must do alike at an index.
-type appliedCommand struct{ command, result string }
-
-// oracle is what an observer of the whole core knows.
-type oracle struct {
-	syncedStates    map[consensus.ReplicaID]*syncedState
-	appliedCommands map[uint64]appliedCommand
-	versions        []committedVersion
-	appliedIndex    uint64 // highest index that any replica has applied
-	leaders         map[uint64]consensus.ReplicaID
-	members         map[consensus.ReplicaID]bool // of any membership
-	voters          map[consensus.ReplicaID]bool
-	proposed        consensus.Membership
-
-	commands map[string]simRequest
-	requests uint64
-	salt     int
-}
-
-func newOracle() oracle {
-	return oracle{syncedStates: map[consensus.ReplicaID]*syncedState{}, appliedCommands: map[uint64]appliedCommand{},
-		leaders: map[uint64]consensus.ReplicaID{}, members: map[consensus.ReplicaID]bool{},
-		voters: map[consensus.ReplicaID]bool{}, commands: map[string]simRequest{}}
-}
-
-func (t *oracle) recordMembership(membership consensus.Membership) {
-	t.proposed = membership
-	for _, m := range membership.Members {
-		t.members[m.ID] = true
-		t.voters[m.ID] = t.voters[m.ID] || m.Voter
-	}
-}
-
-func (t *oracle) recordSynced(id consensus.ReplicaID, write *storage.Update) {
-	state := t.syncedStates[id]
-	if state == nil {
-		state = &syncedState{entries: map[entryID]bool{}}
-		t.syncedStates[id] = state
-	}
-	for _, e := range write.Entries {
-		state.entries[entryID{e.Index, e.Term}] = true
-	}
-	if write.InstalledSnapshot != nil {
-		state.snapshot = max(state.snapshot, write.InstalledSnapshot.Index)
-	}
-}
-
-// checkBoot sees that what a process finds on its disk leads to what was agreed.
-func (t *oracle) checkBoot(sim *simulation, process *simProcess, stored *consensus.PersistentState) {
-	if version := t.versionAt(stored.Snapshot.Index); process.state.Version() != version {
-		sim.fail("machine %d begins at version %d, where %d was agreed", process.machine.index, process.state.Version(), version)
-	}
-}
-
-// versionAt is the version in force once the log is applied up to an index.
-func (t *oracle) versionAt(index uint64) uint64 {
-	committed, _ := t.committedAt(index)
-	return committed.request.version
-}
-
-func (t *oracle) committedAt(index uint64) (l committedVersion, is bool) {
-	for i := len(t.versions) - 1; i >= 0; i-- {
-		if t.versions[i].index <= index {
-			return t.versions[i], true
-		}
-	}
-	return committedVersion{}, false
-}
-
-// everCommitted tells whether a change ever was.
-func (t *oracle) everCommitted(digest state.Digest) bool {
-	return slices.ContainsFunc(t.versions, func(committed committedVersion) bool { return committed.request.digest == digest })
-}
-
 // checkApplied sees that all replicas do the same at an index, and that accepted changes make one chain without repeats.
 func (sim *simulation) checkApplied(process *simProcess, index uint64, command, result []byte) {
 	this := appliedCommand{string(command), string(result)}
@@ -344,74 +249,6 @@
 	agent.version = version
 }
 
-// converged tells whether all is well again; why not, if it is not, is in unsettled.
-func (sim *simulation) converged() bool { return sim.notConverged() == "" }
-
-func (sim *simulation) notConverged() string {
-	process := sim.leader()
-	if process == nil {
-		return "nobody leads"
-	}
-	machines := sim.activeMachines()
-	if why := sim.membershipNotConverged(process, machines); why != "" {
-		return why
-	}
-	for _, machine := range machines {
-		other := machine.process
-		if other == nil {
-			return fmt.Sprintf("machine %d is down", machine.index)
-		}
-		if !other.host.isMember(other.group) || other.version != sim.oracle.versionAt(sim.oracle.appliedIndex) {
-			return fmt.Sprintf("machine %d is at version %d of %d", machine.index, other.version, sim.oracle.versionAt(sim.oracle.appliedIndex))
-		}
-	}
-	for _, operator := range sim.operators {
-		if !operator.done {
-			return fmt.Sprintf("operator %d does not know what became of its change", operator.number)
-		}
-	}
-	for _, operator := range sim.evacuationOperators {
-		if why := operator.notConverged(); why != "" {
-			return why
-		}
-	}
-	for _, agent := range sim.agents {
-		if agent.version != process.version {
-			return fmt.Sprintf("an agent is at version %d of %d", agent.version, process.version)
-		}
-	}
-	return ""
-}
-
-// membershipNotConverged tells what is left to do about the membership: the leader's plan has come to its end, all machines are
-// members, and as many may fail as the number of machines allows. A voter that is gone may stay where the group would be no
-// better without it.
-func (sim *simulation) membershipNotConverged(process *simProcess, machines []*simMachine) string {
-	status := process.group.node.Status()
-	text := "the membership is " + memberList(status.Membership.Members).String()
-	if _, more := planChange(process.host.membershipView(process.clock(), process.group, &status)); more || status.MembershipIndex > status.Commit {
-		return text + ", which is to change"
-	}
-	learners := len(status.Membership.Members) - countVoters(status.Membership)
-	living := 0
-	for _, machine := range machines {
-		i := slices.IndexFunc(status.Membership.Members, func(m consensus.Member) bool { return m.ID == machine.id() })
-		switch {
-		case i < 0:
-			return text + " without " + machine.address().String()
-		case status.Membership.Members[i].Voter:
-			living++
-		default:
-			learners--
-		}
-	}
-	spare := living - (countVoters(status.Membership)/2 + 1)
-	if learners > 0 || spare < (min(len(machines), preferredVoters)-1)/2 {
-		return text
-	}
-	return ""
-}
-
 // checkEnd sees that all is well some time after the last fault, and looks at the whole history.
 func (sim *simulation) checkEnd() {
 	if sim.failure != "" {
@@ -438,76 +275,33 @@
 	}
 }
 
-// text lists the history.
-func (h *requestHistory) text() string {
-	var b strings.Builder
-	for _, record := range h.operations {
-		number := binary.BigEndian.Uint64(record.request.digest[:])
-		what := fmt.Sprintf("change %d of %d to %d", number, record.request.base, record.request.version)
-		if record.request.read {
-			what = "read"
-		}
-		answer := [...]string{"unknown", "accepted", "conflict", "read"}[record.response.kind]
-		fmt.Fprintf(&b, "\n  %v to %v: operator %d: %s: %s %d (%d)", record.invoked, record.returned, record.operator, what, answer,
-			record.response.version, binary.BigEndian.Uint64(record.response.digest[:]))
-	}
-	return b.String()
-}
-
-// simCounters count what happened.
-type simCounters struct {
-	steps, versions, accepted, conflicts, unknown, reads, losses, snapshots, membershipChanges, terms, evacuations int
-}
-
-type simStats struct {
-	mutex    sync.Mutex
-	counters simCounters
-}
+// stalenessSlack is by how much the state of a replica that says that it is up to date may be older than that. Its leader may
+// have lost its majority an election time ago, and messages may have waited while a process stood still for less than what
+// the replica takes for a stand-still, two election times. Messages may also have waited for a thin link, as long as any did.
+const stalenessSlack = 3 * defaultElectionTimeout
 
-func (c *simStats) record(request *simRequest, response simResponse) {
-	switch {
-	case response.kind == responseAccepted:
-		c.counters.accepted++
-	case response.kind == responseConflict:
-		c.counters.conflicts++
-	case response.kind == responseRead:
-		c.counters.reads++
-	case !request.read:
-		c.counters.unknown++
+// checkStaleness sees that a replica which says that it was up to date a while ago holds what was in force then. Nobody is told
+// that state is current that is older than the last contact with a majority, but for stalenessSlack.
+func (sim *simulation) checkStaleness(process *simProcess) {
+	status := process.group.node.Status()
+	age := elapsedSince(status.CaughtUpAt, process.clock())
+	if age > faultPhase+recoveryPhase {
+		return
 	}
-}
-
-func (c *simStats) add(other *simCounters) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.counters.add(other)
-}
-
-func (n *simCounters) counters() []*int {
-	return []*int{&n.steps, &n.versions, &n.accepted, &n.conflicts, &n.unknown, &n.reads, &n.losses, &n.snapshots,
-		&n.membershipChanges, &n.terms, &n.evacuations}
-}
-
-func (n *simCounters) add(other *simCounters) {
-	others := other.counters()
-	for i, number := range n.counters() {
-		*number += *others[i]
+	slack := stalenessSlack + 4*sim.profile.Delay + sim.longestWait
+	if status.Role == consensus.Leader && status.CaughtUpAt == status.LastLeaderContact {
+		slack = 0 // a round that a majority answered
 	}
-}
-
-// String tells the counts.
-func (c *simStats) String() string {
-	n := &c.counters
-	return fmt.Sprintf("%d steps, %d versions, %d accepted, %d conflicts, %d unknown, %d reads, %d disks lost, %d snapshots "+
-		"sent, %d changes of membership, %d terms, %d evacuations acknowledged", n.steps, n.versions, n.accepted, n.conflicts, n.unknown, n.reads, n.losses,
-		n.snapshots, n.membershipChanges, n.terms, n.evacuations)
-}
-
-// checkCoverage sees that what the simulation is for does happen in it.
-func (c *simStats) checkCoverage(t *testing.T) {
-	for i, number := range c.counters.counters() {
-		if *number == 0 {
-			t.Errorf("number %d of %v is 0", i, c)
+	then := sim.now - time.Duration(float64(age)/process.machine.clockRate) - slack
+	for i := len(sim.oracle.versions) - 1; i >= 0; i-- {
+		link := &sim.oracle.versions[i]
+		if link.committedAt >= then {
+			continue
 		}
+		if link.index > process.group.appliedIndex {
+			sim.fail("machine %d says that it was up to date %v ago, and lacks %d of version %d, in force for %v", process.machine.index,
+				age, link.index, link.request.version, sim.now-link.committedAt)
+		}
+		return
 	}
 }
--- /dev/null
+++ b/internal/system/replica/sim_convergence_test.go
@@ -0,0 +1,76 @@
+package replica
+
+import (
+	"fmt"
+	"slices"
+
+	"cinderroad/internal/system/consensus"
+)
+
+// converged tells whether all is well again; why not, if it is not, is in unsettled.
+func (sim *simulation) converged() bool { return sim.notConverged() == "" }
+
+func (sim *simulation) notConverged() string {
+	process := sim.leader()
+	if process == nil {
+		return "nobody leads"
+	}
+	machines := sim.activeMachines()
+	if why := sim.membershipNotConverged(process, machines); why != "" {
+		return why
+	}
+	for _, machine := range machines {
+		other := machine.process
+		if other == nil {
+			return fmt.Sprintf("machine %d is down", machine.index)
+		}
+		if !other.host.isMember(other.group) || other.version != sim.oracle.versionAt(sim.oracle.appliedIndex) {
+			return fmt.Sprintf("machine %d is at version %d of %d", machine.index, other.version, sim.oracle.versionAt(sim.oracle.appliedIndex))
+		}
+	}
+	for _, operator := range sim.operators {
+		if !operator.done {
+			return fmt.Sprintf("operator %d does not know what became of its change", operator.number)
+		}
+	}
+	for _, operator := range sim.evacuationOperators {
+		if why := operator.notConverged(); why != "" {
+			return why
+		}
+	}
+	for _, agent := range sim.agents {
+		if agent.version != process.version {
+			return fmt.Sprintf("an agent is at version %d of %d", agent.version, process.version)
+		}
+	}
+	return ""
+}
+
+// membershipNotConverged tells what is left to do about the membership: the leader's plan has come to its end, all machines are
+// members, and as many may fail as the number of machines allows. A voter that is gone may stay where the group would be no
+// better without it.
+func (sim *simulation) membershipNotConverged(process *simProcess, machines []*simMachine) string {
+	status := process.group.node.Status()
+	text := "the membership is " + memberList(status.Membership.Members).String()
+	if _, more := planChange(process.host.membershipView(process.clock(), process.group, &status)); more || status.MembershipIndex > status.Commit {
+		return text + ", which is to change"
+	}
+	learners := len(status.Membership.Members) - countVoters(status.Membership)
+	living := 0
+	for _, machine := range machines {
+		i := slices.IndexFunc(status.Membership.Members, func(m consensus.Member) bool { return m.ID == machine.id() })
+		switch {
+		case i < 0:
+			return text + " without " + machine.address().String()
+		case status.Membership.Members[i].Voter:
+			living++
+		default:
+			learners--
+		}
+	}
+	spare := living - (countVoters(status.Membership)/2 + 1)
+	if learners > 0 || spare < (min(len(machines), preferredVoters)-1)/2 {
+		return text
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/system/replica/sim_linearizability_test.go
@@ -0,0 +1,149 @@
+package replica
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+	"strings"
+	"time"
+
+	"github.com/anishathalye/porcupine"
+
+	"cinderroad/internal/system/control/state"
+)
+
+// requestHistory is what operators asked and were told.
+type requestHistory struct{ operations []*requestRecord }
+
+type requestRecord struct {
+	operator          int
+	request           simRequest
+	response          simResponse
+	invoked, returned time.Duration
+}
+
+func (h *requestHistory) begin(client int, request *simRequest, now time.Duration) *requestRecord {
+	record := &requestRecord{operator: client, request: *request, invoked: now}
+	h.operations = append(h.operations, record)
+	return record
+}
+
+func (o *requestRecord) complete(response simResponse, now time.Duration) {
+	o.response, o.returned = response, now
+}
+
+// text lists the history.
+func (h *requestHistory) text() string {
+	var b strings.Builder
+	for _, record := range h.operations {
+		number := binary.BigEndian.Uint64(record.request.digest[:])
+		what := fmt.Sprintf("change %d of %d to %d", number, record.request.base, record.request.version)
+		if record.request.read {
+			what = "read"
+		}
+		answer := [...]string{"unknown", "accepted", "conflict", "read"}[record.response.kind]
+		fmt.Fprintf(&b, "\n  %v to %v: operator %d: %s: %s %d (%d)", record.invoked, record.returned, record.operator, what, answer,
+			record.response.version, binary.BigEndian.Uint64(record.response.digest[:]))
+	}
+	return b.String()
+}
+
+// register is the configuration as an operator may see it: the last accepted change and those before it.
+type register struct {
+	previous *register
+	version  uint64
+	digest   state.Digest
+}
+
+func (r *register) current() uint64 {
+	if r == nil {
+		return 0
+	}
+	return r.version
+}
+
+// accepted is the version of a change that was accepted.
+func (r *register) accepted(digest state.Digest) (uint64, bool) {
+	for ; r != nil; r = r.previous {
+		if r.digest == digest {
+			return r.version, true
+		}
+	}
+	return 0, false
+}
+
+func (r *register) same(other *register) bool {
+	for r != nil && other != nil && r != other {
+		if r.version != other.version || r.digest != other.digest {
+			return false
+		}
+		r, other = r.previous, other.previous
+	}
+	return r == other
+}
+
+// registerModel is what operators may rely on: a change that builds on the version in force is accepted, once however
+// often it is sent, and any other is refused; a read shows what is in force. A change whose outcome is not known may take
+// effect at any time after it was sent.
+var registerModel = porcupine.Model{
+	Init: func() any { return (*register)(nil) },
+	Step: func(now, input, output any) (bool, any) {
+		r, request, answer := now.(*register), input.(simRequest), output.(simResponse)
+		if request.read {
+			return answer.version == r.current() && (r == nil || answer.digest == r.digest), r
+		}
+		version, known := r.accepted(request.digest)
+		next := r
+		if !known && request.base == r.current() {
+			version, known = request.version, true
+			next = &register{previous: r, version: request.version, digest: request.digest}
+		}
+		switch answer.kind {
+		case responseAccepted:
+			return known && answer.version == version, next
+		case responseConflict:
+			return !known && answer.version == r.current(), r
+		default:
+			return true, next
+		}
+	},
+	Equal: func(a, b any) bool { return a.(*register).same(b.(*register)) },
+	Hash: func(a any) uint64 {
+		r := a.(*register)
+		if r == nil {
+			return 0
+		}
+		return r.version ^ binary.BigEndian.Uint64(r.digest[:])<<32
+	},
+}
+
+// checkHistory tells whether the history is one of a register.
+func (sim *simulation) checkHistory() {
+	operations := sim.linearizableOperations()
+	switch porcupine.CheckOperationsTimeout(registerModel, operations, linearizabilityTimeout) {
+	case porcupine.Illegal:
+		sim.fail("the operators' history is not linearizable: %s", sim.history.text())
+	case porcupine.Unknown:
+		sim.fail("the operators' history of %d operations took too long to check", len(operations))
+	}
+}
+
+// linearizableOperations are the history without what cannot matter: reads without an answer, changes without one that were never put
+// in force, and all but the first of the same change without an answer.
+func (sim *simulation) linearizableOperations() (operations []porcupine.Operation) {
+	unanswered := map[state.Digest]bool{}
+	for _, record := range sim.history.operations {
+		until := int64(record.returned)
+		if record.response.kind == responseUnknown {
+			digest := record.request.digest
+			if record.request.read || unanswered[digest] || !sim.oracle.everCommitted(digest) {
+				continue
+			}
+			unanswered[digest] = true
+			until = math.MaxInt64
+		}
+		operations = append(operations, porcupine.Operation{ClientId: record.operator, Input: record.request, Call: int64(record.invoked),
+			Output: record.response, Return: until})
+	}
+	return operations
+}
--- /dev/null
+++ b/internal/system/replica/sim_requests_test.go
@@ -0,0 +1,170 @@
+package replica
+
+import (
+	"time"
+
+	"cinderroad/internal/system/control/state"
+)
+
+const (
+	apiTimeout               = 800 * time.Millisecond // the API's AnswerWithin
+	apiTimeoutWithoutContact = 100 * time.Millisecond // its CutOffAnswerWithin
+	apiRetryInterval         = 50 * time.Millisecond
+)
+
+// simRequest is a change as an operator sends it, or a read.
+type simRequest struct {
+	read          bool
+	base, version uint64
+	digest        state.Digest
+	zone          string // of an evacuation, or of a read of one; empty: the configuration
+	evacuated     bool
+	abandoned     *bool // its sender has given an evacuation up
+}
+
+// simResponse is what the operator is told.
+type simResponse struct {
+	kind      responseKind
+	version   uint64
+	digest    state.Digest // of the version read
+	evacuated bool         // of the zone read
+	// undecidable: there may be no clear answer ever, since the version that the change builds on is not in force.
+	undecidable bool
+}
+
+type responseKind uint8
+
+const (
+	responseUnknown responseKind = iota
+	responseAccepted
+	responseConflict
+	responseRead
+)
+
+// handleRequest answers a request within a time, as the API does.
+func (p *simProcess) handleRequest(request *simRequest, done func(simResponse)) {
+	within := apiTimeout
+	if !p.inContact() {
+		within = apiTimeoutWithoutContact
+	}
+	p.attemptRequest(request, p.state.Evacuation(request.zone).Ordered, p.clock()+within, done)
+}
+
+func (p *simProcess) attemptRequest(request *simRequest, ordered uint64, deadline time.Duration, done func(simResponse)) {
+	retry := func() {
+		if p.clock()+apiRetryInterval >= deadline {
+			done(simResponse{})
+			return
+		}
+		p.runAt(p.clock()+apiRetryInterval, func() { p.attemptRequest(request, ordered, deadline, done) })
+	}
+	p.barrier(deadline, func(held bool) {
+		switch {
+		case !held:
+			retry()
+		case request.read:
+			done(p.readResponse(request.zone))
+		case request.zone != "":
+			p.attemptEvacuation(request, ordered, deadline, done, retry)
+		default:
+			p.attemptCommit(request, deadline, done, retry)
+		}
+	})
+}
+
+func (p *simProcess) readResponse(zone string) simResponse {
+	base := p.state.Base()
+	answer := simResponse{kind: responseRead, version: base.Version, evacuated: p.state.Evacuation(zone).On}
+	for _, value := range base.Values.All(ownerKey) {
+		copy(answer.digest[:], value)
+	}
+	return answer
+}
+
+// attemptCommit is an attempt of the API's committer, after its barrier.
+func (p *simProcess) attemptCommit(request *simRequest, deadline time.Duration, done func(simResponse), retry func()) {
+	standing := p.state.Standing(request.base, request.digest)
+	switch standing.Verdict {
+	case state.Taken:
+		done(simResponse{kind: responseAccepted, version: standing.Version})
+		return
+	case state.Superseded:
+		done(simResponse{kind: responseConflict, version: standing.Version})
+		return
+	case state.Early, state.Forgotten:
+		done(simResponse{undecidable: true})
+		return
+	}
+	command := p.sim.command(request)
+	p.propose(command, deadline, func(result []byte, known bool) {
+		if !known {
+			retry()
+			return
+		}
+		decoded, err := state.DecodeResult(result)
+		if err != nil {
+			p.sim.fail("result of a command: %v", err)
+			return
+		}
+		switch decoded.Outcome {
+		case state.Accepted, state.AlreadyAccepted:
+			done(simResponse{kind: responseAccepted, version: decoded.Number})
+		case state.Conflict:
+			done(simResponse{kind: responseConflict, version: decoded.Number})
+		default:
+			p.sim.fail("outcome %d of a command", decoded.Outcome)
+		}
+	})
+}
+
+// attemptEvacuation is an attempt of the API's committer about a zone, after its barrier.
+func (p *simProcess) attemptEvacuation(request *simRequest, ordered uint64, deadline time.Duration, done func(simResponse),
+	retry func()) {
+	evacuation := p.state.Evacuation(request.zone)
+	plant := &p.sim.injected
+	switch {
+	case *request.abandoned && !plant.acceptsLateOrders:
+		done(simResponse{})
+		return
+	case evacuation.Ordered != ordered && evacuation.On != request.evacuated && !plant.acceptsLateOrders:
+		done(simResponse{})
+		return
+	case evacuation.On == request.evacuated && plant.skipsNoopOrders:
+		done(simResponse{kind: responseAccepted})
+		return
+	}
+	command := (&state.SetEvacuation{Zone: request.zone, On: request.evacuated, Seen: evacuation.Seen}).Encode()
+	p.sim.oracle.commands[string(command)] = *request
+	p.propose(command, deadline, func(result []byte, known bool) {
+		decoded, err := state.DecodeResult(result)
+		switch {
+		case !known || err == nil && decoded.Outcome == state.Conflict:
+			retry()
+		case err != nil || decoded.Outcome == state.Unreadable:
+			p.sim.fail("result of an evacuation: %+v, %v", decoded, err)
+		default:
+			done(simResponse{kind: responseAccepted})
+		}
+	})
+}
+
+// ownerKey holds the digest of the change that brought the version in force.
+const ownerKey = "owner"
+
+// command is the command that a request leads to.
+func (sim *simulation) command(request *simRequest) []byte {
+	digest := request.digest
+	if sim.injected.changesDigests {
+		sim.oracle.salt++
+		digest[len(digest)-1] = byte(sim.oracle.salt)
+		digest[len(digest)-2] = byte(sim.oracle.salt >> 8)
+	}
+	commit := state.CommitConfiguration{BasedOn: request.base, Version: request.version, Digest: digest,
+		Writes: []state.Write{{Key: ownerKey, Value: request.digest[:]}}}
+	if sim.profile.PaddingBytes > 0 {
+		commit.Writes = append(commit.Writes, state.Write{Key: "padding", Value: make([]byte, sim.profile.PaddingBytes)})
+	}
+	command := commit.Encode()
+	sim.oracle.commands[string(command)] = *request
+	return command
+}
--- /dev/null
+++ b/internal/system/replica/sim_rpc_test.go
@@ -0,0 +1,190 @@
+package replica
+
+import (
+	"time"
+
+	"cinderroad/internal/system/consensus"
+)
+
+// propose is Host.Propose; known is false where it is not known whether the command was taken, or it was not.
+func (p *simProcess) propose(command []byte, deadline time.Duration, done func(result []byte, known bool)) {
+	settled := func(reply ProposeReply) {
+		switch reply.Outcome {
+		case OutcomeCommitted:
+			done(reply.Result, true)
+		case OutcomeUnknown:
+			done(nil, false)
+		default:
+			p.retry(deadline, func() { p.propose(command, deadline, done) }, func() { done(nil, false) })
+		}
+	}
+	leader, here := p.locateLeader()
+	switch {
+	case here:
+		p.proposeLocal(command, deadline, settled)
+	case leader != nil:
+		p.proposeRemote(leader, command, deadline, settled)
+	default:
+		settled(ProposeReply{Outcome: OutcomeDropped})
+	}
+}
+
+// retry tries something after a pause, unless the time is up then.
+func (p *simProcess) retry(deadline time.Duration, try, late func()) {
+	if p.clock()+retryDelay >= deadline {
+		late()
+		return
+	}
+	p.runAt(p.clock()+retryDelay, try)
+}
+
+// locateLeader is Host.locateLeader.
+func (p *simProcess) locateLeader() (leader *simMachine, here bool) {
+	machine := p.group.node
+	if machine.Role() == consensus.Leader {
+		return nil, !machine.Transferring()
+	}
+	address, known := p.host.destination(p.group, machine.Leader())
+	if !known {
+		return nil, false
+	}
+	return p.sim.byAddress[address], false
+}
+
+// proposeLocal is Host.proposeLocal.
+func (p *simProcess) proposeLocal(command []byte, deadline time.Duration, done func(ProposeReply)) {
+	if p.host.disk.leadershipReleased || len(p.queuedJobs) > maxQueuedJobs {
+		done(ProposeReply{Outcome: OutcomeDropped})
+		return
+	}
+	proposed := p.group.propose(p.clock(), command)
+	if proposed == nil {
+		done(ProposeReply{Outcome: OutcomeDropped})
+		return
+	}
+	p.waitUntil(deadline, func() bool {
+		select {
+		case reply := <-proposed.done:
+			done(reply)
+			return true
+		default:
+			return false
+		}
+	}, func() {
+		p.group.abandonProposal(proposed)
+		done(ProposeReply{Outcome: OutcomeUnknown})
+	})
+}
+
+// proposeRemote is proposeRemote with the call's handler at its other end.
+func (p *simProcess) proposeRemote(leader *simMachine, command []byte, deadline time.Duration, done func(ProposeReply)) {
+	wait := min(deadline-p.clock(), proposeTimeout)
+	if wait < minCallTimeout || leader.process == nil {
+		done(ProposeReply{Outcome: OutcomeDropped})
+		return
+	}
+	call(p, leader, wait, func(asked *simProcess, answer func(ProposeReply)) {
+		asked.proposeLocal(command, asked.clock()+wait-handlerMargin, answer)
+	}, func(reply ProposeReply, came bool) {
+		if !came {
+			reply = ProposeReply{Outcome: OutcomeUnknown}
+		}
+		done(reply)
+	})
+}
+
+// call asks another machine's process; came is false where no answer comes in time, or before this replica no longer
+// follows the leader that it does (see withLeaderChange).
+func call[T any](process *simProcess, to *simMachine, wait time.Duration, handle func(asked *simProcess, answer func(T)),
+	done func(reply T, came bool)) {
+	var reply T
+	over, came := false, false
+	changed := process.group.leaderChanged
+	process.waitUntil(process.clock()+wait, func() bool {
+		select {
+		case <-changed:
+			over = true
+			done(reply, came)
+			return true
+		default:
+		}
+		if came && !over {
+			over = true
+			done(reply, true)
+		}
+		return over
+	}, func() {
+		over = true
+		done(reply, false)
+	})
+	sim, from := process.sim, process.machine
+	sim.transmit(from, to, false, func(asked *simProcess) {
+		handle(asked, func(answer T) {
+			sim.transmit(to, from, false, func(*simProcess) { reply, came = answer, true })
+		})
+	})
+}
+
+// barrier is Host.Barrier.
+func (p *simProcess) barrier(deadline time.Duration, done func(held bool)) {
+	if p.sim.injected.skipsBarrier {
+		done(true)
+		return
+	}
+	confirmed := func(index uint64, confirmed bool) {
+		if !confirmed {
+			p.retry(deadline, func() { p.barrier(deadline, done) }, func() { done(false) })
+			return
+		}
+		p.waitUntil(deadline, func() bool {
+			if p.group.appliedIndex < index {
+				return false
+			}
+			done(true)
+			return true
+		}, func() { done(false) })
+	}
+	leader, here := p.locateLeader()
+	switch {
+	case here:
+		p.readIndexLocal(deadline, confirmed)
+	case leader != nil:
+		p.readIndexRemote(leader, deadline, confirmed)
+	default:
+		confirmed(0, false)
+	}
+}
+
+// readIndexLocal is Host.readIndexLocal.
+func (p *simProcess) readIndexLocal(deadline time.Duration, done func(index uint64, confirmed bool)) {
+	token, answer := p.group.startReadIndex(p.clock())
+	p.waitUntil(deadline, func() bool {
+		select {
+		case read := <-answer:
+			done(read.Index, read.Err == nil)
+			return true
+		default:
+			return false
+		}
+	}, func() {
+		delete(p.group.pendingReads, token)
+		done(0, false)
+	})
+}
+
+func (p *simProcess) readIndexRemote(leader *simMachine, deadline time.Duration, done func(index uint64, confirmed bool)) {
+	wait := min(deadline-p.clock(), readIndexTimeout)
+	if wait < minCallTimeout || leader.process == nil {
+		done(0, false)
+		return
+	}
+	call(p, leader, wait, func(asked *simProcess, answer func(ReadIndexReply)) {
+		asked.readIndexLocal(asked.clock()+wait-handlerMargin, func(index uint64, confirmed bool) {
+			reply := ReadIndexReply{Outcome: OutcomeDropped}
+			if confirmed {
+				reply = ReadIndexReply{Outcome: OutcomeCommitted, Index: index}
+			}
+			answer(reply)
+		})
+	}, func(reply ReadIndexReply, came bool) { done(reply.Index, came && reply.Outcome == OutcomeCommitted) })
+}
--- /dev/null
+++ b/internal/system/replica/status.go
@@ -0,0 +1,55 @@
+package replica
+
+import (
+	"time"
+
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
+)
+
+// LeaderLease says whether this machine surely leads the partition, and for how long; see Replicas.
+func (h *Host) LeaderLease(partition feed.Partition) (time.Duration, bool) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	g := h.group(partition)
+	if g == nil || g.node == nil || g.node.Role() != consensus.Leader {
+		return 0, false
+	}
+	left := g.node.LeaseExpiry() - h.now()
+	return max(left, 0), left > 0
+}
+
+// Staleness is how long ago this replica last held all that its leader had committed; see Replicas.
+func (h *Host) Staleness(partition feed.Partition) time.Duration {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	g := h.group(partition)
+	if g == nil {
+		return neverCurrent
+	}
+	if g.node == nil {
+		return neverCurrent
+	}
+	return elapsedSince(g.node.Status().CaughtUpAt, h.now())
+}
+
+// elapsedSince is how long ago something was; at 0 it never was.
+func elapsedSince(at, now time.Duration) time.Duration {
+	if at == 0 {
+		return neverCurrent
+	}
+	return max(now-at, 0)
+}
+
+// Status describes each partition's replica; see Replicas.
+func (h *Host) Status() []PartitionStatus {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	var all []PartitionStatus
+	for _, g := range h.groups {
+		if g.node != nil {
+			all = append(all, PartitionStatus{Partition: g.partition, Status: g.node.Status()})
+		}
+	}
+	return all
+}
--- a/internal/system/replica/load.go
+++ b/internal/system/replica/store.go
@@ -10,6 +10,50 @@
 	"cinderroad/internal/system/storage"
 )
 
+// store is what the disk goroutine needs of a storage.Store.
+type store interface {
+	Identity() (consensus.ReplicaID, bool)
+	HasPredecessor() bool
+	Initialize(replica consensus.ReplicaID, writes ...storage.Update) error
+	Load(partition feed.Partition) (consensus.PersistentState, bool, error)
+	Write(writes ...storage.Update) error
+	Discard() error
+	Close() error
+}
+
+// openStorage opens a state folder. A *storage.CorruptError comes with an empty store.
+func openStorage(folder string) (store, error) {
+	opened, err := storage.Open(folder)
+	if opened == nil {
+		return nil, err
+	}
+	return opened, err
+}
+
+// openWithRetry opens the store and starts the replicas, as soon as the disk lets it; false: the host stops before.
+func (h *Host) openWithRetry() bool {
+	pause := minDiskBackoff
+	for {
+		began := max(h.now(), 1)
+		h.disk.recordAttempt(began, nil)
+		id, stored, err := h.loadStored()
+		if err == nil {
+			h.disk.recordAttempt(0, nil)
+			return h.startGroups(id, stored)
+		}
+		h.disk.recordAttempt(began, err)
+		var schema *storage.SchemaError
+		if errors.As(err, &schema) {
+			h.failFromDiskWriter(err)
+			return false
+		}
+		h.log.Error("state folder not opened", zap.Error(err))
+		if !h.waitDiskBackoff(&pause) {
+			return false
+		}
+	}
+}
+
 // loadStored returns which replica this machine has and what it stored; a new one is established first.
 func (h *Host) loadStored() (consensus.ReplicaID, []consensus.PersistentState, error) {
 	if h.disk.folder == "" {
--- a/internal/system/replica/voters.go
+++ b/internal/system/replica/voter_plan.go
@@ -11,7 +11,8 @@
 type voterSet uint32
 
 func (v voterSet) has(i int) bool { return v&(1<<i) != 0 }
-func (v voterSet) size() int      { return bits.OnesCount32(uint32(v)) }
+
+func (v voterSet) size() int { return bits.OnesCount32(uint32(v)) }
 
 // planVoters moves the votes to the best members, all at once.
 func (view *membershipView) planVoters() (membershipChange, bool) {
