--- a/internal/system/replica/addresses.go
+++ b/internal/system/replica/addresses.go
@@ -8,7 +8,8 @@
 	"cinderroad/internal/system/processconfig"
 )
 
-// AddPeerAddresses adds addresses at which control replicas may be found, as membership gossip tells them.
+// AddPeerAddresses adds addresses at which control replicas may be found, for example from gossip membership. The
+// newest maxKnownAddresses are kept.
 func (h *Host) AddPeerAddresses(addresses ...netip.AddrPort) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -17,6 +18,7 @@
 	}
 }
 
+// addAddress moves an address to the newest end of knownAddresses. The host's mutex is held.
 func (h *Host) addAddress(address netip.AddrPort) {
 	if !address.IsValid() || address == h.address {
 		return
@@ -30,7 +32,8 @@
 	}
 }
 
-// replicaAddress is where a replica is, by the group's membership or by what this machine was told.
+// replicaAddress returns the address of a replica from the group's membership, or else as it was learned from a join
+// reply.
 func (h *Host) replicaAddress(g *group, id consensus.ReplicaID) (netip.AddrPort, bool) {
 	if id == 0 {
 		return netip.AddrPort{}, false
@@ -44,7 +47,7 @@
 	return h.peers.learnedAddress(id)
 }
 
-// peerAddresses are all others at which there may be replicas.
+// peerAddresses returns the addresses of all other machines that may run replicas: known addresses and members.
 func (h *Host) peerAddresses() map[netip.AddrPort]bool {
 	addresses := make(map[netip.AddrPort]bool)
 	for _, address := range h.knownAddresses {
@@ -59,13 +62,14 @@
 	return addresses
 }
 
-// Members are the members of all groups, each replica once, as this replica knows them.
+// Members returns the members of all groups as this replica knows them, each replica once.
 func (h *Host) Members() []consensus.Member {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.members()
 }
 
+// members is Members with the host's mutex held.
 func (h *Host) members() (members []consensus.Member) {
 	for _, g := range h.groups {
 		if g.node == nil {
@@ -80,7 +84,7 @@
 	return members
 }
 
-// controlAddress is where the control replica of a machine listens.
+// controlAddress returns the address at which a machine's control replica listens.
 func controlAddress(s *processconfig.Settings, machine netip.Addr) netip.AddrPort {
 	return netip.AddrPortFrom(machine, s.Port(processconfig.ControlRPCPort))
 }
--- a/internal/system/replica/bootstrap.go
+++ b/internal/system/replica/bootstrap.go
@@ -10,35 +10,36 @@
 	"cinderroad/internal/system/processconfig"
 )
 
-// founderIDPrefix keeps the hashes of founders apart from those of anything else.
+// founderIDPrefix separates the hashes of founder IDs from other hashes of addresses.
 const founderIDPrefix = "founder"
 
-// founderID is the replica of a machine that founds the system. All founders know it of one another; a replica that
-// does not found has a random one, so that a founder that loses its disk never comes back under this one.
+// founderID returns the replica ID of a machine that founds the system. It follows from the address, so that all
+// founders know it of each other. A replica that does not found has a random ID, so that a founder that loses its
+// disk never comes back under its old ID.
 func founderID(address netip.Addr) consensus.ReplicaID {
 	id := xxhash.Sum64String(founderIDPrefix + address.String())
 	return consensus.ReplicaID(max(id, 1))
 }
 
-// bootstrapMembership is the membership that a system begins with: the machines of the seed list, which is the same at all of them
-// on the first boot. It tells false where this machine does not found. Names and zones are not known of the others yet;
-// each member tells them once it runs.
+// bootstrapMembership returns the initial membership: the machines of the seed list, which must be the same on all of
+// them at the first boot. It returns false if this machine is not a founder. Node names and zones of the others are
+// unknown here; each member reports its own once it runs.
 func bootstrapMembership(settings *processconfig.Settings) (consensus.Membership, bool) {
 	if !settings.FirstBoot {
 		return consensus.Membership{}, false
 	}
-	var machines []netip.Addr
+	var addresses []netip.Addr
 	for _, seed := range settings.SeedNodes {
-		if !slices.Contains(machines, seed.Addr()) {
-			machines = append(machines, seed.Addr())
+		if !slices.Contains(addresses, seed.Addr()) {
+			addresses = append(addresses, seed.Addr())
 		}
 	}
-	if !slices.Contains(machines, settings.IP) {
+	if !slices.Contains(addresses, settings.IP) {
 		return consensus.Membership{}, false
 	}
-	slices.SortFunc(machines, netip.Addr.Compare)
+	slices.SortFunc(addresses, netip.Addr.Compare)
 	var founders consensus.Membership
-	for _, machine := range machines {
+	for _, machine := range addresses {
 		founders.Members = append(founders.Members, consensus.Member{ID: founderID(machine),
 			Address: controlAddress(settings, machine).String(), Voter: true})
 	}
--- a/internal/system/replica/bulk_transfer.go
+++ b/internal/system/replica/bulk_transfer.go
@@ -8,28 +8,31 @@
 	"cinderroad/internal/system/rpc"
 )
 
-// bulkThresholdBytes is the size of entries, in one message, from which they do not hold up what follows them: a heartbeat behind
-// megabytes on a thin link comes after the election time.
+// bulkThresholdBytes is the size of the entries in one message from which they are sent over a connection of their
+// own. A heartbeat that waits behind megabytes on a slow link would arrive after the election timeout.
 const bulkThresholdBytes = 64 << 10
 
-// connectionKind is the connection to a peer that a message goes over.
+// connectionKind selects the connection to a peer that a message is sent over.
 type connectionKind uint8
 
+// The kinds of connection.
 const (
 	ordinaryConnection connectionKind = iota
-	bulkConnection                    // for entries of a partition, in their order, while large ones are on their way
+	bulkConnection                    // for entries of a partition, in order, while large ones are being sent
 	noConnection                      // the message need not be sent
 )
 
-// bulkTransfer is a partition's entries on their way to a peer over a connection of their own.
+// bulkTransfer sends large entries of one partition to a peer over a connection of its own. The peer's mutex guards
+// it.
 type bulkTransfer struct {
-	lastEntry consensus.Entry // the last one that was taken, without its data
-	pending   []byte          // messages that wait for the ones under way
+	lastEntry consensus.Entry // the last entry queued, without its data
+	pending   []byte          // messages queued behind those in flight
 }
 
-// route says which way a message goes while the transfer is under way (nil: there is none), and in what form. Entries
-// follow those that are under way, and the same ones are not sent again. A heartbeat overtakes them, and asks about no
-// entry: the follower would refuse what it has not got yet.
+// route returns the connection for a message, and the message in the form to send, while a transfer is in progress (a
+// nil receiver means that there is none). Entries are queued behind those in flight and are not sent twice. A
+// heartbeat overtakes them without referring to an entry: the follower would reject an index that it does not have
+// yet.
 func (t *bulkTransfer) route(message *consensus.Message) (connectionKind, *consensus.Message) {
 	if message.Kind != consensus.MessageAppend {
 		return ordinaryConnection, message
@@ -48,14 +51,14 @@
 		return bulkConnection, message
 	}
 	if message.Round == 0 {
-		return noConnection, nil // it tells of a commit only, as does the next heartbeat after the entries
+		return noConnection, nil // it only tells the commit index, as the next heartbeat after the entries will
 	}
-	present := *message
-	present.Index, present.LogTerm = 0, 0 // where all logs agree
-	return ordinaryConnection, &present
+	heartbeat := *message
+	heartbeat.Index, heartbeat.LogTerm = 0, 0 // the start of the log, where all logs match
+	return ordinaryConnection, &heartbeat
 }
 
-// add adds a message to what is to be sent; false: too much waits already.
+// add queues a message with entries; it returns false, and drops the message, if too much is queued already.
 func (t *bulkTransfer) add(partition feed.Partition, message *consensus.Message) bool {
 	if len(t.pending) >= maxPendingBytes {
 		return false
@@ -66,6 +69,7 @@
 	return true
 }
 
+// entryBytes returns the size of the data of a message's entries.
 func entryBytes(message *consensus.Message) (bytes int) {
 	for i := range message.Entries {
 		bytes += len(message.Entries[i].Data)
@@ -73,28 +77,28 @@
 	return bytes
 }
 
-// startBulkTransfer sends a message with large entries, and what comes to wait behind it, over a connection of its own. The
-// peer's mutex is held.
+// startBulkTransfer sends a message with large entries, and what is queued behind it, over a connection of its own.
+// The peer's mutex is held.
 func (s *peerSet) startBulkTransfer(address netip.AddrPort, remote *peer, partition feed.Partition, message *consensus.Message) {
-	t := &bulkTransfer{}
-	t.add(partition, message)
-	remote.bulkTransfers[partition] = t
+	transfer := &bulkTransfer{}
+	transfer.add(partition, message)
+	remote.bulkTransfers[partition] = transfer
 	s.goroutines.Add(1)
 	go func() {
 		defer s.goroutines.Done()
-		s.runBulkTransfer(address, remote, partition, t)
+		s.runBulkTransfer(address, remote, partition, transfer)
 	}()
 }
 
-// runBulkTransfer ends once nothing waits any more, or the peer is not reached: then the machines send anew what was lost.
-func (s *peerSet) runBulkTransfer(address netip.AddrPort, remote *peer, partition feed.Partition, t *bulkTransfer) {
+// runBulkTransfer sends until nothing is queued or a call fails. The consensus node retransmits what was lost.
+func (s *peerSet) runBulkTransfer(address netip.AddrPort, remote *peer, partition feed.Partition, transfer *bulkTransfer) {
 	client := newBulkClient(address)
 	defer client.Close()
 	var err error
 	for {
 		remote.mutex.Lock()
-		batch := t.pending
-		t.pending = nil
+		batch := transfer.pending
+		transfer.pending = nil
 		if len(batch) == 0 || err != nil {
 			delete(remote.bulkTransfers, partition)
 			remote.mutex.Unlock()
@@ -105,8 +109,8 @@
 	}
 }
 
-// newBulkClient is a client for requests that are large. They have long to arrive; a peer that takes nothing is given up as
-// soon as others are.
+// newBulkClient returns a client for large requests: they may take bulkTimeout to arrive, but a peer that accepts no
+// data is given up as early as by other clients.
 func newBulkClient(address netip.AddrPort) *rpc.Client {
 	options := peerOptions
 	options.CallTimeout = bulkTimeout
--- a/internal/system/replica/compression.go
+++ b/internal/system/replica/compression.go
@@ -12,26 +12,27 @@
 )
 
 const (
-	// compressionLevel is fast: the receiver waits, and the processor's time is short where links are thin.
+	// compressionLevel is a fast one: the receiver waits, and machines with slow links have little processor time.
 	compressionLevel = 2
-	// maxDecompressedBytes is how many bytes packed messages may hold.
+	// maxDecompressedBytes limits the encoded messages of one request.
 	maxDecompressedBytes = 64 << 20
-	// maxDeflateRatio is what a byte of a deflated stream may stand for, at most.
+	// maxDeflateRatio is the highest compression ratio that deflate can reach.
 	maxDeflateRatio = 1032
 )
 
-var errDecompressedSize = errors.New("the size of packed ones is impossible")
+var errDecompressedSize = errors.New("the decompressed size is out of range")
 
-// deflaters are writers that are used again soon, and dropped otherwise: each takes 0.8 MB.
+// deflaters are reusable writers; each takes 0.8 MB, so idle ones may be collected.
 var deflaters = sync.Pool{New: func() any {
 	writer, err := flate.NewWriter(io.Discard, compressionLevel)
 	if err != nil {
-		panic(err) // the level is a constant
+		panic(err) // impossible: the level is valid
 	}
 	return writer
 }}
 
-// newDeliverRequest is the request that brings large messages: deflated, where that makes them smaller.
+// newDeliverRequest returns the request that carries encoded messages, compressed if they are large and compression
+// saves bytes.
 func newDeliverRequest(messages []byte) *DeliverRequest {
 	if len(messages) < bulkThresholdBytes {
 		return &DeliverRequest{Messages: messages}
@@ -41,9 +42,9 @@
 	defer deflaters.Put(writer)
 	writer.Reset(deflated)
 	defer writer.Reset(io.Discard)
-	for part := range slices.Chunk(messages, bulkThresholdBytes) {
-		_, _ = writer.Write(part) // a buffer takes all
-		runtime.Gosched()         // heartbeats have their turn
+	for chunk := range slices.Chunk(messages, bulkThresholdBytes) {
+		_, _ = writer.Write(chunk) // a buffer returns no error
+		runtime.Gosched()          // compression must not delay heartbeats
 	}
 	_ = writer.Close()
 	if deflated.Len() >= len(messages) {
@@ -52,7 +53,7 @@
 	return &DeliverRequest{Packed: deflated.Bytes()}
 }
 
-// decompress returns the messages that a request brings.
+// decompress returns the encoded messages. The size that the sender states is limited before anything is allocated.
 func (r *DeliverRequest) decompress() ([]byte, error) {
 	if len(r.Packed) == 0 {
 		return r.Messages, nil
@@ -63,8 +64,8 @@
 	}
 	messages := make([]byte, size)
 	inflated := flate.NewReader(bytes.NewReader(r.Packed[read:]))
-	for part := range slices.Chunk(messages, bulkThresholdBytes) {
-		if _, err := io.ReadFull(inflated, part); err != nil {
+	for chunk := range slices.Chunk(messages, bulkThresholdBytes) {
+		if _, err := io.ReadFull(inflated, chunk); err != nil {
 			return nil, &MalformedMessagesError{err}
 		}
 		runtime.Gosched()
--- a/internal/system/replica/contact.go
+++ b/internal/system/replica/contact.go
@@ -9,17 +9,19 @@
 	"cinderroad/internal/system/feed"
 )
 
-// contactElectionTimeouts is for how many election times neither a leader nor a majority of the voters may be unheard until this
-// machine takes itself for cut off. Where a leader is lost, the voters that are left ask each other within two.
+// contactElectionTimeouts is the number of election timeouts without contact to a leader or to a majority of the
+// voters after which this machine considers itself cut off. After the loss of a leader, the remaining voters contact
+// each other within two.
 const contactElectionTimeouts = 3
 
-// contacts are when messages of other replicas of a group came last, on the host's clock.
+// contacts records when messages of the other members of a group were last received, on the host's clock.
 type contacts struct {
-	startedAt time.Duration // before it nothing could be heard
+	startedAt time.Duration // when the group was started; nothing could be received before
+	// lastHeard has the members from which a message was received.
 	lastHeard map[consensus.ReplicaID]time.Duration
 }
 
-// record takes it that a member's message came.
+// record notes a message of a replica. Replicas that are not members are ignored, which bounds the map.
 func (c *contacts) record(from consensus.ReplicaID, membership *consensus.Membership, now time.Duration) {
 	if c.lastHeard == nil {
 		c.lastHeard = map[consensus.ReplicaID]time.Duration{}
@@ -33,12 +35,13 @@
 	}
 }
 
+// hasMember reports whether a replica is a member.
 func hasMember(membership *consensus.Membership, id consensus.ReplicaID) bool {
 	return slices.ContainsFunc(membership.Members, func(m consensus.Member) bool { return m.ID == id })
 }
 
-// heardQuorum says whether a majority of the voters has been heard since a time, this replica counted in; in a joint
-// membership, a majority of both voter sets.
+// heardQuorum reports whether a majority of the voters, this replica included, was heard at or after a time; in a
+// joint membership, a majority of both voter sets. It holds for an empty membership.
 func (c *contacts) heardQuorum(self consensus.ReplicaID, membership *consensus.Membership, since time.Duration) bool {
 	if len(membership.Members) == 0 {
 		return true
@@ -49,17 +52,18 @@
 	})
 }
 
-// InContact says whether this machine may be able to have something agreed on soon; see Replicas.
+// InContact implements Replicas.
 func (h *Host) InContact(partition feed.Partition) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	g := h.group(partition)
 	if g == nil || g.node == nil {
-		return true // its state is being read
+		return true // not started: the state is still being loaded
 	}
 	return h.inContact(g, h.now())
 }
 
+// inContact is InContact for a started group, with the host's mutex held.
 func (h *Host) inContact(g *group, now time.Duration) bool {
 	since := now - contactElectionTimeouts*h.options.ElectionTimeout
 	status := g.node.Status()
--- a/internal/system/replica/departures.go
+++ b/internal/system/replica/departures.go
@@ -8,18 +8,20 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// departureTTL is how long the word that a process is about to end holds; it is repeated each leaveInterval until then.
+// departureTTL is how long an announced departure is believed. A leaving host repeats the announcement every
+// leaveInterval.
 const departureTTL = time.Second
 
-// departures are replicas whose processes are about to end, or have ended, as they said.
+// departures are the replicas that announced that their processes are about to end.
 type departures struct{ notices []departure }
 
+// departure is the latest announcement of one replica.
 type departure struct {
 	id         consensus.ReplicaID
 	receivedAt time.Duration
 }
 
-// add takes the word of a replica.
+// add records an announcement in place of the replica's earlier one and drops those older than lostTimeout.
 func (d *departures) add(id consensus.ReplicaID, now time.Duration) {
 	d.notices = slices.DeleteFunc(d.notices, func(n departure) bool { return n.id == id || now-n.receivedAt > lostTimeout })
 	if len(d.notices) < maxMembers {
@@ -27,18 +29,19 @@
 	}
 }
 
-// isLeaving tells whether a replica said of late that its process is about to end.
+// isLeaving reports whether a replica announced its departure within departureTTL.
 func (d *departures) isLeaving(id consensus.ReplicaID, now time.Duration) bool {
 	return slices.ContainsFunc(d.notices, func(n departure) bool { return n.id == id && now-n.receivedAt <= departureTTL })
 }
 
-// hasDeparted tells whether a replica said that its process was about to end and has not been heard since. It was heard last at
-// heard, 0: never.
-func (d *departures) hasDeparted(id consensus.ReplicaID, heard time.Duration) bool {
-	return slices.ContainsFunc(d.notices, func(n departure) bool { return n.id == id && heard <= n.receivedAt+departureTTL })
+// hasDeparted reports whether a replica announced its departure and has sent nothing since. lastHeard is when its
+// last message was received; 0 means never.
+func (d *departures) hasDeparted(id consensus.ReplicaID, lastHeard time.Duration) bool {
+	return slices.ContainsFunc(d.notices, func(n departure) bool { return n.id == id && lastHeard <= n.receivedAt+departureTTL })
 }
 
-// announceDeparture tells all machines that may have replicas.
+// announceDeparture tells all known control machines that this replica is leaving. The host's mutex is held; the
+// calls run in the background.
 func (h *Host) announceDeparture() {
 	h.departures.add(h.self.ID, h.now())
 	request := &LeaveRequest{ID: h.self.ID}
--- a/internal/system/replica/disk_writer.go
+++ b/internal/system/replica/disk_writer.go
@@ -11,50 +11,53 @@
 	"cinderroad/internal/system/storage"
 )
 
+// Timing and limits of the disk writer.
 const (
-	diskStallTimeout = time.Second // a write that takes longer costs this host its leaderships
+	diskStallTimeout = time.Second // a longer write makes this host release leadership
 	minDiskBackoff   = 50 * time.Millisecond
 	maxDiskBackoff   = 400 * time.Millisecond
-	// Writes that may wait for a disk in trouble; beyond them the logs take no more entries.
+	// Above either of these the host accepts no proposals and no entries.
 	maxQueuedJobs  = 256
 	maxQueuedBytes = 8 << 20
 )
 
-// diskWriter is the way of the machines' writes to the store. Jobs are carried out in their order, all that wait at once in
-// one transaction.
+// diskWriter is the queue between the consensus nodes and the store. Host.runDiskWriter, the only user of the store,
+// writes all queued jobs in order in one transaction.
 type diskWriter struct {
-	folder   string
+	folder   string // the state folder; empty: no disk
 	wake     chan struct{}
 	stopped  chan struct{}
 	stopOnce sync.Once
-	// Of the disk goroutine.
-	store   store // nil: there is no disk
-	corrupt bool  // the store was found corrupt: no later write makes sense
+	// Owned by the goroutine of Host.runDiskWriter.
+	store   store // nil: not open, or no disk
+	corrupt bool  // the store was found corrupt: nothing is written any more
 
 	mutex        sync.Mutex
 	queue        []writeJob
-	queuedBytes  int           // of jobs that wait or are under way
-	writeStarted time.Duration // when the write under way was first tried; 0: there is none
-	lastError    error         // of the last try of the write under way, or of opening the store
+	queuedBytes  int           // of queued jobs and those being written
+	writeStarted time.Duration // first attempt of the current write on the host's clock; 0: none
+	lastError    error         // of the last attempt of the current write, or of opening the store
 
-	// Of the host's mutex.
-	leadershipReleased bool // leaderships are given up
-	nextStepDown       time.Duration
+	// Guarded by the host's mutex.
+	leadershipReleased bool          // the disk is faulty: this host must not lead
+	nextStepDown       time.Duration // when to step down again
 }
 
-// writeJob is a Ready's writes, or a snapshot that stands for a log.
+// writeJob is the write of a Ready, or of a snapshot that replaces a part of the log.
 type writeJob struct {
 	group     *group
 	ready     consensus.Ready
 	write     storage.Update
-	snapshot  *consensus.Snapshot
-	sizeBytes int
+	snapshot  *consensus.Snapshot // not nil: the log is compacted, and ready is empty
+	sizeBytes int                 // of the data, for the limits of the queue
 }
 
+// newDiskWriter returns the writer of a state folder; an empty path means that there is no disk.
 func newDiskWriter(folder string) *diskWriter {
 	return &diskWriter{folder: folder, wake: make(chan struct{}, 1), stopped: make(chan struct{})}
 }
 
+// enqueue appends a job. It never blocks; see overloaded.
 func (d *diskWriter) enqueue(j writeJob) {
 	d.mutex.Lock()
 	d.queue = append(d.queue, j)
@@ -66,22 +69,24 @@
 	}
 }
 
+// release subtracts completed jobs from queuedBytes.
 func (d *diskWriter) release(bytes int) {
 	d.mutex.Lock()
 	d.queuedBytes -= bytes
 	d.mutex.Unlock()
 }
 
+// stop makes the writer write what is queued and end.
 func (d *diskWriter) stop() { d.stopOnce.Do(func() { close(d.stopped) }) }
 
-// overloaded tells whether so much waits for the disk that no more is to be added.
+// overloaded reports whether the queue is so long that no entries or proposals should be accepted.
 func (d *diskWriter) overloaded() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return len(d.queue) > maxQueuedJobs || d.queuedBytes > maxQueuedBytes
 }
 
-// fault is why leadership is to be given up, nil while the disk works.
+// fault returns the reason why leadership must be released, nil while the disk works.
 func (d *diskWriter) fault(now time.Duration) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -91,14 +96,16 @@
 	return d.lastError
 }
 
-func (d *diskWriter) recordAttempt(began time.Duration, failure error) {
+// recordAttempt notes when the current write was started, 0 if it succeeded, and its last error.
+func (d *diskWriter) recordAttempt(startedAt time.Duration, err error) {
 	d.mutex.Lock()
-	d.writeStarted, d.lastError = began, failure
+	d.writeStarted, d.lastError = startedAt, err
 	d.mutex.Unlock()
 }
 
-// checkHealth tells of the disk's trouble, and whether leadership is to be given up because of it now.
-func (d *diskWriter) checkHealth(now, pause time.Duration) (fault error, stepDown bool) {
+// checkHealth returns the disk's fault, if any, and whether to step down now. Stepping down is repeated every
+// interval while the fault lasts. The host's mutex is held.
+func (d *diskWriter) checkHealth(now, interval time.Duration) (fault error, stepDown bool) {
 	fault = d.fault(now)
 	if fault == nil {
 		d.leadershipReleased = false
@@ -108,11 +115,11 @@
 		return fault, false
 	}
 	d.leadershipReleased = true
-	d.nextStepDown = now + pause
+	d.nextStepDown = now + interval
 	return fault, true
 }
 
-// checkDisk gives leadership up while the disk is in trouble.
+// checkDisk releases leadership while the disk is faulty. The host's mutex is held.
 func (h *Host) checkDisk(now time.Duration) {
 	wasDown := h.disk.leadershipReleased
 	fault, stepDown := h.disk.checkHealth(now, 2*h.options.ElectionTimeout)
@@ -127,7 +134,7 @@
 	}
 }
 
-// runDiskWriter owns the store: it opens it, starts the replicas and carries jobs out until the host stops.
+// runDiskWriter owns the store: it opens it, starts the groups and writes jobs until the host stops.
 func (h *Host) runDiskWriter() {
 	disk := h.disk
 	defer func() {
@@ -149,7 +156,7 @@
 	}
 }
 
-// writeQueued writes the jobs that wait and lets the machines know.
+// writeQueued writes the queued jobs and tells their groups.
 func (h *Host) writeQueued() {
 	disk := h.disk
 	disk.mutex.Lock()
@@ -166,7 +173,7 @@
 	h.handlePersisted(jobs)
 }
 
-// durableWrites are the writes of jobs, those left out that need not be on disk.
+// durableWrites returns the writes of the jobs that must be durable.
 func durableWrites(jobs []writeJob) (writes []storage.Update) {
 	for i := range jobs {
 		if jobs[i].ready.MustSync || jobs[i].snapshot != nil {
@@ -176,7 +183,7 @@
 	return writes
 }
 
-// writeWithRetry tries until the writes are on the disk; false: the host stops before.
+// writeWithRetry retries until the writes are durable; false if the host stops first or the store is corrupt.
 func (h *Host) writeWithRetry(writes []storage.Update) bool {
 	disk := h.disk
 	if disk.store == nil {
@@ -205,7 +212,7 @@
 	}
 }
 
-// waitDiskBackoff waits before another try; false: the host stops.
+// waitDiskBackoff waits and doubles the backoff up to maxDiskBackoff; false if the host stops first.
 func (h *Host) waitDiskBackoff(pause *time.Duration) bool {
 	timer := time.NewTimer(*pause)
 	defer timer.Stop()
@@ -218,13 +225,14 @@
 	}
 }
 
+// failFromDiskWriter is reportFailure for the disk writer, which does not hold the host's mutex.
 func (h *Host) failFromDiskWriter(err error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.reportFailure(err)
 }
 
-// handlePersisted tells the machines and sends what waited for the writes.
+// handlePersisted tells the groups that their jobs are durable.
 func (h *Host) handlePersisted(jobs []writeJob) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/system/replica/group.go
+++ b/internal/system/replica/group.go
@@ -8,45 +8,49 @@
 	"cinderroad/internal/system/storage"
 )
 
-// group is this machine's replica of a partition. The host's mutex guards it.
+// group is this machine's replica of one partition: a consensus node, the state machine that it drives, and the
+// requests that wait for either. The host's mutex guards it.
 type group struct {
 	partition feed.Partition
-	node      *consensus.Node // nil before the store is open
+	node      *consensus.Node // nil until the store is open
 	state     StateMachine
 
-	appliedIndex          uint64
-	logBytesSinceSnapshot int // of entries applied since the last snapshot
-	snapshotBytes         int // bytes of the last one
+	appliedIndex          uint64 // of the state machine
+	logBytesSinceSnapshot int    // of applied entries, with entryOverheadBytes for each
+	snapshotBytes         int    // of the last snapshot
 	snapshotPending       bool
-	pendingJobs           int                                   // jobs of the disk
-	promotionRetryAt      map[consensus.ReplicaID]time.Duration // learners that may not vote yet, and until when that stands
+	pendingJobs           int                                   // in the disk writer
+	promotionRetryAt      map[consensus.ReplicaID]time.Duration // learners that were too far behind to vote, and when to try again
 	commitIndex           uint64
-	lastHardState         consensus.HardState  // handed to the disk last
-	proposals             map[uint64]*proposal // by index; more than one are linked
+	lastHardState         consensus.HardState  // given to the disk writer last
+	proposals             map[uint64]*proposal // by index, linked if there are several
 	pendingReads          map[uint64]chan consensus.ReadState
 	lastReadToken         uint64
 	appliedWaiters        []appliedWaiter
 	leader                consensus.ReplicaID
-	isLeader              bool
-	leadershipSince       time.Duration // since when it has led, or has not
-	leaderChanged         chan struct{} // closed when there is another leader
+	isLeader              bool          // and not transferring leadership
+	leadershipSince       time.Duration // when isLeader last changed, on the host's clock
+	leaderChanged         chan struct{} // closed when the leader changes
 	contacts              contacts
 }
 
-// groupOutput takes what a group wants sent and written.
+// groupOutput is where a group sends its messages and writes. The host implements it, and tests with simulated disks
+// and networks.
 type groupOutput interface {
-	// send puts messages on their way. One that installs a snapshot is to get the present one, see attachCurrentSnapshot.
+	// send sends messages without blocking; they may be lost. It must call attachCurrentSnapshot for a message that
+	// installs a snapshot.
 	send(g *group, messages []consensus.Message)
-	// enqueueWrite has a job carried out after all earlier ones; the group is then told by handlePersisted.
+	// enqueueWrite writes a job after all earlier ones without blocking, and then calls the group's handlePersisted.
 	enqueueWrite(j writeJob)
 }
 
+// newGroup returns a group that has no consensus node before start.
 func newGroup(partition feed.Partition, state StateMachine) *group {
 	return &group{partition: partition, state: state, proposals: make(map[uint64]*proposal),
 		pendingReads: make(map[uint64]chan consensus.ReadState), leaderChanged: make(chan struct{})}
 }
 
-// start makes the machine out of what is stored.
+// start creates the consensus node from its persistent state and restores the state machine.
 func (g *group) start(now time.Duration, options consensus.Config, stored consensus.PersistentState) error {
 	if err := stored.Validate(); err != nil {
 		return err
@@ -58,13 +62,14 @@
 		g.appliedIndex, g.snapshotBytes = snapshot.Index, len(snapshot.Data)
 	}
 	g.commitIndex, g.lastHardState = stored.HardState.Commit, stored.HardState
-	stored.Snapshot.Data = nil // the state machine holds it
+	stored.Snapshot.Data = nil // the state machine has it; this frees the memory
 	g.node = consensus.New(now, options, stored)
 	g.contacts = contacts{startedAt: now}
 	return nil
 }
 
-// processReady does what the machine wants done. The error is that of a snapshot that the state machine does not take.
+// processReady handles the output of the consensus node until there is none left. The error is that of a snapshot
+// that the state machine rejected.
 func (g *group) processReady(out groupOutput) error {
 	var failure error
 	for r := g.node.Ready(); !r.Empty(); r = g.node.Ready() {
@@ -83,15 +88,15 @@
 	return failure
 }
 
-// persistReady has a Ready's writes carried out and its messages sent after them. One that need not be on disk and that no
-// earlier one precedes is done with at once.
+// persistReady enqueues the writes of a Ready; its messages are sent once they are durable. A Ready that needs no
+// sync is completed at once if no earlier write is pending.
 func (g *group) persistReady(ready *consensus.Ready, out groupOutput) {
 	if !ready.MustSync && g.pendingJobs == 0 {
 		out.send(g, ready.Messages)
 		return
 	}
 	if !ready.MustSync && g.pendingJobs >= maxQueuedJobs {
-		return // a disk that hangs: messages may be lost, and those that could wait no longer say how things are
+		return // the disk hangs: messages may be lost, and these would be outdated by the time they could be sent
 	}
 	j := writeJob{group: g, ready: *ready, write: g.newWrite(ready)}
 	for i := range ready.Entries {
@@ -103,12 +108,14 @@
 	g.enqueueJob(j, out)
 }
 
+// enqueueJob passes a job to the disk writer and counts it as pending.
 func (g *group) enqueueJob(j writeJob, out groupOutput) {
 	g.pendingJobs++
 	out.enqueueWrite(j)
 }
 
-// newWrite is what a Ready wants on the disk. A hard state that differs in its commit index alone goes along with entries.
+// newWrite returns the storage write of a Ready. A hard state in which only the commit index changed is not written
+// by itself; the index is stored along with the next entries.
 func (g *group) newWrite(ready *consensus.Ready) storage.Update {
 	write := storage.Update{Partition: g.partition, InstalledSnapshot: ready.Snapshot, Entries: ready.Entries, CommitIndex: g.commitIndex}
 	if ready.HardState != nil && (ready.HardState.Term != g.lastHardState.Term || ready.HardState.Vote != g.lastHardState.Vote) {
@@ -118,7 +125,7 @@
 	return write
 }
 
-// handlePersisted tells the machine that a job is on the disk, and sends what waited for it.
+// handlePersisted tells the consensus node that a job is durable and sends the messages that waited for it.
 func (g *group) handlePersisted(j *writeJob, out groupOutput) {
 	g.pendingJobs--
 	if j.snapshot != nil {
@@ -129,9 +136,9 @@
 	out.send(g, j.ready.Messages)
 }
 
-// applyReady takes a Ready's snapshot and entries into the state machine and answers those who wait for them. Committed
-// entries are applied before this replica's own writes are on disk: a majority has them, and the state machine lives
-// in memory.
+// applyReady applies the snapshot and the committed entries of a Ready and resolves the requests that wait for them.
+// Committed entries are applied before this replica's own writes are durable: a majority has them, and the state
+// machine is kept in memory only.
 func (g *group) applyReady(ready *consensus.Ready) error {
 	if ready.Snapshot != nil {
 		if err := g.restoreSnapshot(ready.Snapshot); err != nil {
@@ -148,6 +155,8 @@
 	return nil
 }
 
+// restoreSnapshot replaces the state machine's state. Proposals at the indexes that the snapshot covers end with an
+// unknown outcome.
 func (g *group) restoreSnapshot(snapshot *consensus.Snapshot) error {
 	if err := g.state.Restore(snapshot.Index, snapshot.Data); err != nil {
 		return err
@@ -161,6 +170,8 @@
 	return nil
 }
 
+// applyEntry applies one committed entry and resolves the proposals at its index: a proposal of another term was
+// overwritten.
 func (g *group) applyEntry(entry *consensus.Entry) {
 	var result []byte
 	if entry.Kind == consensus.EntryCommand && len(entry.Data) > 0 {
@@ -176,7 +187,7 @@
 	})
 }
 
-// updateLeader wakes those who wait for another leader.
+// updateLeader notes the current leader and closes leaderChanged if it differs from the last one.
 func (g *group) updateLeader() {
 	leader, leads := g.node.Leader(), g.node.Role() == consensus.Leader && !g.node.Transferring()
 	if g.leader == leader && g.isLeader == leads {
--- a/internal/system/replica/host.go
+++ b/internal/system/replica/host.go
@@ -16,34 +16,36 @@
 	"cinderroad/internal/system/processconfig"
 )
 
-// Times of the agreement. A lost leader is replaced within about two election times.
+// Timing of consensus. A failed leader is replaced within about two election timeouts.
 const (
 	defaultHeartbeatInterval = 150 * time.Millisecond
 	defaultElectionTimeout   = 750 * time.Millisecond
-	timerGranularity         = 10 * time.Millisecond // to which timers are put off, so that several share a wake-up
-	membershipCheckInterval  = 500 * time.Millisecond
-	transferTimeout          = 2 * time.Second // when the host stops
+	timerGranularity         = 10 * time.Millisecond  // timers are rounded up to it so that they share wake-ups
+	membershipCheckInterval  = 500 * time.Millisecond // unless something happens earlier
+	transferTimeout          = 2 * time.Second        // for moving leaderships and votes when the host stops
 )
 
-// Bounds of what is sent.
+// Limits on append messages.
 const (
-	maxAppendBytes     = 128 << 10 // of entries in one message, or one entry
-	maxInflightAppends = 8         // unanswered messages with entries to one replica
+	maxAppendBytes     = 128 << 10 // of the entries in one message, unless a single entry is larger
+	maxInflightAppends = 8         // unacknowledged messages with entries to one replica
 )
 
-// Options are a host's.
+// Options configure a Host.
 type Options struct {
 	Settings *processconfig.Settings
-	// StateMachines are the state machines of the partitions, from 0 on.
+	// StateMachines has the state machine of each partition at its index.
 	StateMachines []StateMachine
 	Log           *zap.Logger
-	// OnApplied is told, one call at a time for a partition, up to which index a state machine now holds the log. It must
-	// neither block nor call the host.
+	// OnApplied, if not nil, is called with the index up to which a state machine has applied the log, one call at a time
+	// for a partition. It must neither block nor call the host.
 	OnApplied func(partition feed.Partition, index uint64)
-	// OnFailure is told, once, that this replica cannot go on in this process, as when its file was found corrupt while it
-	// ran: the process should end, and starts as a replica without a disk.
+	// OnFailure, if not nil, is called once if the replicas cannot go on in this process, for example because the store
+	// was found corrupt. The process should end; restarted, it joins as a new replica with an empty store.
 	OnFailure func(error)
-	// HeartbeatInterval and Election are the times of the agreement; 0: the defaults.
+	// HeartbeatInterval is the time between two messages of an idle leader. ElectionTimeout is the time without a leader
+	// after which a replica starts an election, at least; shorter ones replace a failed leader sooner, and cause needless
+	// elections on slow networks and disks. 0: 150 ms and 750 ms.
 	HeartbeatInterval, ElectionTimeout time.Duration
 }
 
@@ -51,37 +53,39 @@
 type Host struct {
 	options Options
 	log     *zap.Logger
-	self    consensus.Member // ID 0 before the store is open
-	address netip.AddrPort   // of self
-	started time.Time
+	self    consensus.Member // its ID is 0 until the store is open
+	address netip.AddrPort   // of this machine's control RPC
+	started time.Time        // the origin of the clock, see now
 
-	mutex        sync.Mutex
-	groups       []*group
-	peers        *peerSet
-	joinRequests joinRequests
-	// departures are replicas whose processes are about to end, as they said.
+	// mutex guards what follows up to nextWakeUp, and all groups.
+	mutex               sync.Mutex
+	groups              []*group
+	peers               *peerSet
+	joinRequests        joinRequests
 	departures          departures
 	disk                *diskWriter
-	knownAddresses      []netip.AddrPort // hints of other replicas' addresses
+	knownAddresses      []netip.AddrPort // where other replicas may be, oldest first
 	nextMembershipCheck time.Duration
 	nextJoin            time.Duration
-	storeCorrupted      bool          // the store that this process found was moved aside
-	nextWakeUp          time.Duration // when the loop wakes next
-	failed              bool
-	leaving             bool // Leave was called
+	storeCorrupted      bool          // a corrupt store was moved aside: this replica does not found
+	nextWakeUp          time.Duration // when run ticks next
+	failed              bool          // OnFailure was called
+	leaving             bool          // Leave was called
 	stopping            bool
 
-	wake       chan struct{}
-	context    context.Context
-	cancel     context.CancelFunc
+	wake    chan struct{}
+	context context.Context
+	cancel  context.CancelFunc
+	// goroutines counts all goroutines of the host; Stop waits for them.
 	goroutines sync.WaitGroup
-	// openStore opens a state folder; tests put a failing disk in its place.
+	// openStore opens a state folder; tests replace it to simulate disk faults.
 	openStore func(folder string) (store, error)
 }
 
 var _ Replicas = (*Host)(nil)
 
-// New returns a host that does nothing before Start. Its handlers may be registered at once.
+// New returns a host that is idle until Start. Its handlers may be registered before that; they answer as a replica
+// without a leader.
 func New(options Options) *Host {
 	if options.HeartbeatInterval == 0 {
 		options.HeartbeatInterval = defaultHeartbeatInterval
@@ -109,7 +113,8 @@
 	return host
 }
 
-// Start opens the store, which it tries again for as long as the disk fails, and runs the replicas. It does not wait.
+// Start opens the store and runs the replicas in the background. It does not block; opening is retried for as long as
+// the disk fails. Stop ends what Start began.
 func (h *Host) Start() {
 	h.goroutines.Add(2)
 	go func() {
@@ -122,7 +127,7 @@
 	}()
 }
 
-// run ticks the machines when they are due.
+// run ticks the groups when their timers are due, until the host stops.
 func (h *Host) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -137,6 +142,7 @@
 	}
 }
 
+// wakeLoop makes run tick at once.
 func (h *Host) wakeLoop() {
 	select {
 	case h.wake <- struct{}{}:
@@ -144,7 +150,7 @@
 	}
 }
 
-// tick does what is due and returns when to come back.
+// tick does what is due and returns after how long to call it again.
 func (h *Host) tick() time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -164,7 +170,7 @@
 	return max(h.nextWakeUp-h.now(), 0)
 }
 
-// nextDeadline is when something is to be done next, put off to the grid.
+// nextDeadline returns the time of the next tick, rounded up to timerGranularity.
 func (h *Host) nextDeadline() time.Duration {
 	due := h.nextMembershipCheck
 	for _, g := range h.groups {
@@ -175,7 +181,8 @@
 	return (due + timerGranularity - 1) / timerGranularity * timerGranularity
 }
 
-// stepMessage passes a message to its replica.
+// stepMessage passes a message to the partition's consensus node. Entries and snapshots are dropped while the disk
+// writer is overloaded; their sender retransmits them. The host's mutex is held.
 func (h *Host) stepMessage(now time.Duration, partition feed.Partition, message consensus.Message) {
 	g := h.group(partition)
 	if g == nil || g.node == nil {
@@ -184,12 +191,13 @@
 	membership := g.node.Membership()
 	g.contacts.record(message.From, &membership, now)
 	if h.disk.overloaded() && (len(message.Entries) > 0 || message.Snapshot != nil) {
-		return // it is sent again once the disk has caught up
+		return // the leader retransmits it
 	}
 	g.node.Step(now, message)
 }
 
-// processReady does what the machines want done. Whoever has called a machine calls it before it lets go of the mutex.
+// processReady handles the pending output of all consensus nodes. Whoever has called a node must call it before
+// releasing the mutex.
 func (h *Host) processReady() {
 	for _, g := range h.groups {
 		if g.node != nil {
@@ -205,22 +213,23 @@
 	}
 }
 
+// processGroup handles the output of one group and reports changes of its applied index and of its leadership.
 func (h *Host) processGroup(g *group) {
-	applied, led := g.appliedIndex, g.isLeader
+	appliedBefore, ledBefore := g.appliedIndex, g.isLeader
 	if err := g.processReady(h); err != nil {
 		h.reportFailure(fmt.Errorf("replica: snapshot of partition %d: %w", g.partition, err))
 	}
-	if g.appliedIndex != applied && h.options.OnApplied != nil {
+	if g.appliedIndex != appliedBefore && h.options.OnApplied != nil {
 		h.options.OnApplied(g.partition, g.appliedIndex)
 	}
-	if g.isLeader != led {
+	if g.isLeader != ledBefore {
 		g.leadershipSince = h.now()
 		h.log.Info("leadership changed", zap.Uint16("partition", uint16(g.partition)), zap.Bool("leads", g.isLeader),
 			zap.Uint64("term", g.node.Status().Term))
 	}
 }
 
-// send puts messages on their way; see outlet.
+// send implements groupOutput.
 func (h *Host) send(g *group, messages []consensus.Message) {
 	for i := range messages {
 		message := &messages[i]
@@ -236,16 +245,18 @@
 	}
 }
 
-// destination is where a message goes; false: nowhere, its receiver is not known or an earlier life of this machine.
+// destination returns the address of a replica; false if the address is unknown or this machine's own, which an
+// earlier replica of this machine had.
 func (h *Host) destination(g *group, to consensus.ReplicaID) (netip.AddrPort, bool) {
 	address, known := h.replicaAddress(g, to)
 	return address, known && address != h.address
 }
 
-// enqueueWrite has a job carried out; see outlet.
+// enqueueWrite implements groupOutput.
 func (h *Host) enqueueWrite(j writeJob) { h.disk.enqueue(j) }
 
-// startGroups makes the machines of what is stored; false: the state machines do not take it.
+// startGroups creates the consensus nodes from their persistent state. It returns false, after reportFailure, if a
+// state machine rejects its snapshot.
 func (h *Host) startGroups(id consensus.ReplicaID, stored []consensus.PersistentState) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -268,6 +279,7 @@
 	return true
 }
 
+// group returns the group of a partition, nil if there is no such partition.
 func (h *Host) group(partition feed.Partition) *group {
 	if int(partition) >= len(h.groups) {
 		return nil
@@ -275,10 +287,11 @@
 	return h.groups[partition]
 }
 
-// now is the steady time since the host was made.
+// now returns the monotonic time since the host was created. It is the clock of all consensus nodes.
 func (h *Host) now() time.Duration { return time.Since(h.started) }
 
-// reportFailure reports that this process's replicas cannot go on.
+// reportFailure calls OnFailure for the first error after which the replicas cannot go on in this process. The host's
+// mutex is held.
 func (h *Host) reportFailure(err error) {
 	if h.failed {
 		return
@@ -290,16 +303,18 @@
 	}
 }
 
-// nodeOptions are those of a replica of any partition.
+// nodeOptions returns the consensus configuration of a replica of any partition.
 func nodeOptions(id consensus.ReplicaID, seed uint64, heartbeat, election time.Duration) consensus.Config {
 	return consensus.Config{ID: id, HeartbeatInterval: heartbeat, ElectionTimeout: election, Seed: seed, MaxAppendBytes: maxAppendBytes,
 		MaxInflightAppends: maxInflightAppends, SnapshotThreshold: 4 * retainedEntries}
 }
 
+// randomUint64 returns a cryptographically random number.
 func randomUint64() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
 	return binary.LittleEndian.Uint64(b[:])
 }
 
+// formatReplicaID returns the form in which logs show a replica.
 func formatReplicaID(id consensus.ReplicaID) string { return fmt.Sprintf("%016x", uint64(id)) }
--- a/internal/system/replica/join.go
+++ b/internal/system/replica/join.go
@@ -9,20 +9,22 @@
 	"cinderroad/internal/system/consensus"
 )
 
+// Limits of pending join requests.
 const (
-	joinRequestTTL  = 3 * time.Second // after which a request to join has to be repeated
+	joinRequestTTL  = 3 * time.Second // replicas repeat their requests more often
 	maxJoinRequests = 32
 )
 
-// joinRequests are the replicas that ask to be taken in.
+// joinRequests are the replicas that recently asked to join, or whose attributes changed.
 type joinRequests struct{ requests []joinRequest }
 
+// joinRequest is the latest request of one replica.
 type joinRequest struct {
 	member     consensus.Member
 	receivedAt time.Duration
 }
 
-// add takes a request, in place of an earlier one of the same replica or from the same place.
+// add records a request in place of earlier ones from the same replica or machine, and drops expired ones.
 func (j *joinRequests) add(member consensus.Member, now time.Duration) {
 	j.requests = slices.DeleteFunc(j.requests, func(r joinRequest) bool {
 		return r.member.ID == member.ID || sameMachine(&r.member, &member) || now-r.receivedAt > joinRequestTTL
@@ -32,7 +34,7 @@
 	}
 }
 
-// active are those that asked of late.
+// active returns the replicas whose requests have not expired.
 func (j *joinRequests) active(now time.Duration) (members []consensus.Member) {
 	for i := range j.requests {
 		if now-j.requests[i].receivedAt <= joinRequestTTL {
@@ -42,9 +44,9 @@
 	return members
 }
 
-// needsJoin tells whether some group lacks this replica, or does not let it hear of a leader, or has a leader that this
-// replica can't answer: it joined the group after all that this replica knows, and the answer to a request to be taken in
-// tells its address.
+// needsJoin reports whether this replica has to ask to join: a group lacks it or has other attributes of it, no
+// leader was heard for leaderlessTimeout, or the leader's address is unknown. The last happens if the leader joined
+// after everything that this replica knows; the reply to a join request tells the address.
 func (h *Host) needsJoin(now time.Duration) bool {
 	for _, g := range h.groups {
 		if !h.isMember(g) || elapsedSince(g.node.Status().LastLeaderContact, now) > leaderlessTimeout || !h.knowsLeaderAddress(g) {
@@ -54,7 +56,7 @@
 	return false
 }
 
-// knowsLeaderAddress tells whether the address of a group's leader is known, if there is one.
+// knowsLeaderAddress reports whether this replica can reply to the group's leader. It holds if there is no leader.
 func (h *Host) knowsLeaderAddress(g *group) bool {
 	leader := g.node.Leader()
 	if leader == 0 || leader == h.self.ID {
@@ -64,14 +66,15 @@
 	return known
 }
 
-// isMember tells whether a group has this replica, under its particulars.
+// isMember reports whether a group has this replica as a member with its present attributes.
 func (h *Host) isMember(g *group) bool {
 	return slices.ContainsFunc(g.node.Membership().Members, func(m consensus.Member) bool {
 		return m.ID == h.self.ID && !attributesDiffer(&m, &h.self)
 	})
 }
 
-// requestJoin asks all machines that may have replicas to take this one in.
+// requestJoin asks all known control machines to add this replica to the groups. The host's mutex is held; the calls
+// run in the background, one at a time for each peer.
 func (h *Host) requestJoin(now time.Duration) {
 	if now < h.nextJoin {
 		return
@@ -91,7 +94,7 @@
 	}
 }
 
-// requestJoinAt asks one machine, and notes which others it knows.
+// requestJoinAt asks one machine and learns the addresses of the members it knows.
 func (h *Host) requestJoinAt(p *peer) {
 	ctx, cancel := context.WithTimeout(h.context, joinTimeout)
 	defer cancel()
--- a/internal/system/replica/membership.go
+++ b/internal/system/replica/membership.go
@@ -11,17 +11,19 @@
 	"cinderroad/internal/system/consensus"
 )
 
+// Timing and limits of membership changes.
 const (
-	membershipRecheckDelay = 50 * time.Millisecond // after a change of membership, or a word of a replica that comes or goes
-	leaderlessTimeout      = 2 * time.Second       // without a leader after which a replica asks to be taken in again
+	membershipRecheckDelay = 50 * time.Millisecond // until the next check after a change or a request to join or leave
+	leaderlessTimeout      = 2 * time.Second       // without a leader, after which a replica asks to join again
 	joinTimeout            = time.Second
-	maxKnownAddresses      = 64                     // addresses of other replicas
-	promotionBackoff       = 300 * time.Millisecond // for which a learner that may not vote yet is passed over
-	leaveInterval          = 200 * time.Millisecond // between two words of a host that it leaves
-	maxPromotionLag        = 16                     // entries by which a learner may be behind as it becomes a voter
+	maxKnownAddresses      = 64
+	promotionBackoff       = 300 * time.Millisecond // before a learner that was too far behind is considered again
+	leaveInterval          = 200 * time.Millisecond // between two announcements of a leaving host
+	maxPromotionLag        = 16                     // entries that a learner may lack when it becomes a voter
 )
 
-// checkMemberships looks after the memberships: this replica's own, and those of the groups that it leads.
+// checkMemberships maintains this replica's own membership and, where this replica leads, those of the groups. The
+// host's mutex is held.
 func (h *Host) checkMemberships(now time.Duration) {
 	if h.self.ID == 0 || h.stopping {
 		return
@@ -42,13 +44,15 @@
 	h.peers.retain(h.peerAddresses())
 }
 
-// checkMembershipsSoon has the memberships looked after soon. Several words that come together are one occasion.
+// checkMembershipsSoon schedules checkMemberships after membershipRecheckDelay, so that several requests are handled
+// together.
 func (h *Host) checkMembershipsSoon() {
 	h.nextMembershipCheck = min(h.nextMembershipCheck, h.now()+membershipRecheckDelay)
 	h.processReady()
 }
 
-// changeMembership makes the next change of a membership, if there is one, and tells whether another may be due soon.
+// changeMembership starts the next membership change of a group that this replica leads, if one is planned, and
+// reports whether another check is needed soon.
 func (h *Host) changeMembership(now time.Duration, g *group) bool {
 	status := g.node.Status()
 	if status.Transferring {
@@ -58,8 +62,8 @@
 		return true
 	}
 	view := h.membershipView(now, g, &status)
-	next, is := planChange(view)
-	if !is {
+	next, ok := planChange(view)
+	if !ok {
 		return view.hasCatchingUpLearner()
 	}
 	if next.transferTo != 0 {
@@ -76,7 +80,8 @@
 	return true
 }
 
-// delayPromotion keeps a learner that may not vote yet from being chosen again for a while, so that others are.
+// delayPromotion excludes a learner that was too far behind to become a voter for promotionBackoff, so that others
+// are considered.
 func (g *group) delayPromotion(now time.Duration, err error) {
 	var behind *consensus.LearnerBehindError
 	if !errors.As(err, &behind) {
@@ -88,16 +93,24 @@
 	g.promotionRetryAt[behind.ID] = now + promotionBackoff
 }
 
+// membershipView collects what planChange decides on.
 func (h *Host) membershipView(now time.Duration, g *group, status *consensus.Status) *membershipView {
 	settings := h.options.Settings
-	view := &membershipView{self: h.self.ID, leaderFor: now - g.leadershipSince, limits: newAbsenceLimits(settings.Timing.CatchUp, h.options.ElectionTimeout),
-		joining: h.joinRequests.active(now), zoneRegions: settings.Zones, targetVoters: max(preferredVoters, 2*settings.SurvivableLosses.Machines+1), surviveRegionLoss: settings.SurvivableLosses.Regions > 0}
+	view := &membershipView{
+		self:              h.self.ID,
+		leaderFor:         now - g.leadershipSince,
+		limits:            newAbsenceLimits(settings.Timing.CatchUp, h.options.ElectionTimeout),
+		joining:           h.joinRequests.active(now),
+		zoneRegions:       settings.Zones,
+		targetVoters:      max(preferredVoters, 2*settings.SurvivableLosses.Machines+1),
+		surviveRegionLoss: settings.SurvivableLosses.Regions > 0,
+	}
 	for _, member := range status.Membership.Members {
 		state := memberState{Member: member, caughtUp: status.Match[member.ID]+maxPromotionLag >= status.Commit}
 		state.caughtUp = state.caughtUp && now >= g.promotionRetryAt[member.ID]
 		state.leaving = h.departures.isLeaving(member.ID, now)
 		state.departed = h.departures.hasDeparted(member.ID, g.contacts.lastHeard[member.ID])
-		if answered, is := status.LastContact[member.ID]; is {
+		if answered, ok := status.LastContact[member.ID]; ok {
 			state.silence = now - answered
 		}
 		view.members = append(view.members, state)
@@ -105,10 +118,10 @@
 	return view
 }
 
-// memberList is how memberships stand in the log: learners in parentheses.
+// memberList formats the members of a group for logs, learners in parentheses.
 type memberList []consensus.Member
 
-// String lists the members by their addresses.
+// String lists the members by address.
 func (l memberList) String() string {
 	names := make([]string, 0, len(l))
 	for i := range l {
--- a/internal/system/replica/membership_plan.go
+++ b/internal/system/replica/membership_plan.go
@@ -7,78 +7,81 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// absenceLimits is how long a member may be silent.
+// absenceLimits are the times without contact after which a member is treated as absent, is removed, or counts as
+// lost.
 type absenceLimits struct {
-	// absentAfter: a voter's vote may go to another member that is there to take it. A machine that was merely cut off becomes
-	// a learner by that, and may vote again later.
+	// absentAfter: the vote of a voter may move to an available learner. A machine that was merely partitioned becomes a
+	// learner by that and may become a voter again later.
 	absentAfter time.Duration
-	// removeAfter: a learner is removed; it has to ask to be taken in again.
+	// removeAfter: a learner is removed; it has to ask to join again.
 	removeAfter time.Duration
-	// lostAfter: a voter's vote may be dropped with nobody to take it, where the others are better off without it. Nobody can
-	// tell a machine that is gone from one that is cut off, so this is long.
+	// lostAfter: the vote of a voter may be dropped without a replacement if the group is more fault tolerant without it.
+	// A lost machine cannot be told from a partitioned one, so this is long.
 	lostAfter time.Duration
 }
 
-// lostTimeout is patience.lost.
+// lostTimeout is absenceLimits.lostAfter.
 const lostTimeout = time.Minute
 
-// newAbsenceLimits follows from the time after which a new machine counts (environment.Timing.CatchUp): within it the new one
-// is taken in, and gets the vote of one that has gone, of which a third is for finding that out.
+// newAbsenceLimits derives the limits from processconfig.Timing.CatchUp, the time within which a new machine has to
+// add to the group's fault tolerance. Detecting an absent voter takes a third of it; the rest is for adding the new
+// machine and moving the vote.
 func newAbsenceLimits(catchUp, election time.Duration) absenceLimits {
 	absent := max(catchUp/3, 2*election)
 	return absenceLimits{absentAfter: absent, removeAfter: max(2*catchUp, 4*absent), lostAfter: lostTimeout}
 }
 
-// Bounds of a group.
+// Limits of a group.
 const (
-	preferredVoters    = 5  // aimed at where there are machines enough
-	maxVoterCandidates = 12 // members that are weighed as voters; others get no vote
+	preferredVoters    = 5  // if there are enough machines
+	maxVoterCandidates = 12 // the choice of voters takes time exponential in it; other members get no vote
 	maxMembers         = 32
 )
 
-// memberState is a member as its leader sees it.
+// memberState is a member as the leader sees it.
 type memberState struct {
 	consensus.Member
-	silence  time.Duration // since it last answered; 0 of the leader itself
-	caughtUp bool          // it holds all but the last few entries
-	leaving  bool          // its process is about to end
-	departed bool          // its process said that it was about to end, and has not been heard since
-	replaced bool          // its disk is lost, as a member shows that is not in this situation
+	silence  time.Duration // since its last response; 0 for the leader itself
+	caughtUp bool          // it lacks at most maxPromotionLag entries
+	leaving  bool          // its process announced that it is about to end
+	departed bool          // its process announced its end and has sent nothing since
+	replaced bool          // its disk is lost: a member outside this view superseded it
 }
 
-// membershipView is what a change of membership is decided on.
+// membershipView is the input of planChange.
 type membershipView struct {
-	self              consensus.ReplicaID // the leader
+	self              consensus.ReplicaID // the leader, which plans
 	limits            absenceLimits
-	leaderFor         time.Duration // how long the leader has led: before patience.absent it can't know who is not there
+	leaderFor         time.Duration // time as the leader; below limits.absentAfter it cannot know who is absent
 	members           []memberState
-	joining           []consensus.Member // replicas that ask to be taken in, or whose particulars changed
-	targetVoters      int                // of voters
-	zoneRegions       map[string]string  // of each zone
-	surviveRegionLoss bool               // whole regions may be lost
+	joining           []consensus.Member // replicas that ask to join, or whose attributes changed
+	targetVoters      int
+	zoneRegions       map[string]string // the region of each zone
+	surviveRegionLoss bool              // prefer voters that survive the loss of a region
 }
 
-// membershipChange is the next step of a membership: to another one, or leadership goes to a member first.
+// membershipChange is the next step towards the planned membership: another membership, or a transfer of leadership
+// that has to come first.
 type membershipChange struct {
 	membership consensus.Membership
-	transferTo consensus.ReplicaID // above 0: instead of to
+	transferTo consensus.ReplicaID // not 0: transfer leadership to this voter instead
 }
 
-// planChange decides on the next change of membership, if there is one to make: first new members and the particulars of
-// old ones, then who votes, and at last learners that are gone, who are in nobody's way.
+// planChange returns the next membership change, false if there is none. In this order: new members and changed
+// attributes, then votes, and last the removal of absent learners, which do no harm while they remain.
 func planChange(view *membershipView) (membershipChange, bool) {
 	remaining := view.membersToKeep()
 	to := consensus.Membership{Members: view.withJoining(view.withNewestAttributes(remaining))}
 	if !slices.Equal(to.Members, remaining) {
 		return membershipChange{membership: to}, true
 	}
-	if next, is := view.planVoters(); is {
+	if next, ok := view.planVoters(); ok {
 		return next, true
 	}
 	return membershipChange{membership: to}, len(remaining) < len(view.members)
 }
 
-// membersToKeep are the members without the learners that are gone.
+// membersToKeep returns the members without the learners that are superseded or absent for too long.
 func (view *membershipView) membersToKeep() (members []consensus.Member) {
 	for i := range view.members {
 		member := &view.members[i]
@@ -90,7 +93,7 @@
 	return members
 }
 
-// withNewestAttributes are members under their newest particulars.
+// withNewestAttributes returns the members with the attributes that they reported last.
 func (view *membershipView) withNewestAttributes(members []consensus.Member) (newest []consensus.Member) {
 	for _, member := range members {
 		newest = append(newest, view.newestAttributes(member))
@@ -98,7 +101,7 @@
 	return newest
 }
 
-// newestAttributes are those of a member, as it told them last.
+// newestAttributes returns a member with the attributes that it reported last.
 func (view *membershipView) newestAttributes(member consensus.Member) consensus.Member {
 	for _, joining := range view.joining {
 		if joining.ID == member.ID && attributesDiffer(&member, &joining) {
@@ -109,7 +112,7 @@
 	return member
 }
 
-// withJoining adds the replicas that ask to be taken in, as learners.
+// withJoining adds the replicas that ask to join, as learners.
 func (view *membershipView) withJoining(members []consensus.Member) []consensus.Member {
 	for _, joining := range view.joining {
 		if view.indexOf(joining.ID) < 0 && len(members) < maxMembers {
@@ -120,14 +123,17 @@
 	return members
 }
 
+// attributesDiffer reports whether two members differ in node, zone or address.
 func attributesDiffer(a, b *consensus.Member) bool {
 	return a.Node != b.Node || a.Zone != b.Zone || a.Address != b.Address
 }
 
+// indexOf returns a replica's index in members, -1 if it is not there.
 func (view *membershipView) indexOf(id consensus.ReplicaID) int {
 	return slices.IndexFunc(view.members, func(m memberState) bool { return m.ID == id })
 }
 
+// consensusMembers returns a copy of the members without their states.
 func (view *membershipView) consensusMembers() []consensus.Member {
 	members := make([]consensus.Member, 0, len(view.members)+1)
 	for i := range view.members {
@@ -136,23 +142,24 @@
 	return members
 }
 
-// superseded tells whether a member's machine has lost its disk: another replica came from its place later on. A new
-// member stands behind all that were there before it.
+// superseded reports whether a member's machine has lost its disk: another replica joined from the same machine
+// later. New members are appended, so a later one has a higher index.
 func (view *membershipView) superseded(i int) bool {
-	gone := &view.members[i]
-	if gone.ID == view.self {
+	earlier := &view.members[i]
+	if earlier.ID == view.self {
 		return false
 	}
 	for j := i + 1; j < len(view.members); j++ {
-		if sameMachine(&gone.Member, &view.members[j].Member) {
+		if sameMachine(&earlier.Member, &view.members[j].Member) {
 			return true
 		}
 	}
 	return slices.ContainsFunc(view.joining, func(joining consensus.Member) bool {
-		return view.indexOf(joining.ID) < 0 && sameMachine(&gone.Member, &joining)
+		return view.indexOf(joining.ID) < 0 && sameMachine(&earlier.Member, &joining)
 	})
 }
 
+// sameMachine reports whether two replicas have the same address or node name.
 func sameMachine(a, b *consensus.Member) bool {
 	return a.Address == b.Address || a.Node != "" && a.Node == b.Node
 }
--- a/internal/system/replica/membership_plan_test.go
+++ b/internal/system/replica/membership_plan_test.go
@@ -49,8 +49,8 @@
 	return consensus.Member{ID: id, Node: "core-" + name[:1], Zone: zone, Address: "10.0.0." + name[:1] + ":1"}
 }
 
-func formatChange(change membershipChange, is bool) string {
-	if !is {
+func formatChange(change membershipChange, ok bool) string {
+	if !ok {
 		return "none"
 	}
 	if change.transferTo != 0 {
@@ -125,8 +125,8 @@
 func TestNewLeaderDemotesNobody(t *testing.T) {
 	view := parseMembershipView("A0:a:v B0:b:v C0:c:v D0:c:v")
 	view.leaderFor = time.Second
-	if c, is := planChange(view); is {
-		t.Errorf("it changes the group to %s", formatChange(c, is))
+	if change, ok := planChange(view); ok {
+		t.Errorf("it changes the group to %s", formatChange(change, ok))
 	}
 }
 
@@ -136,8 +136,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		view := drawMembershipView(t)
 		for range 100 {
-			change, is := planChange(view)
-			if !is {
+			change, ok := planChange(view)
+			if !ok {
 				return
 			}
 			applyChange(t, view, change)
--- a/internal/system/replica/peers.go
+++ b/internal/system/replica/peers.go
@@ -12,47 +12,48 @@
 	"cinderroad/internal/system/rpc"
 )
 
-// peerOptions are for connections between replicas: a peer that is cut off is given up and dialled anew soon.
+// peerOptions configure connections between replicas: an unreachable peer is given up and dialled again soon.
 var peerOptions = rpc.ClientOptions{DialTimeout: 700 * time.Millisecond, CallTimeout: 2 * time.Second, TCPUserTimeout: 1500 * time.Millisecond,
 	DialBackoff: 50 * time.Millisecond}
 
 const (
-	bulkTimeout          = time.Minute // for a large request to be sent and taken
-	maxPendingBytes      = 4 << 20     // bytes of messages that wait for a peer; more are dropped
+	bulkTimeout          = time.Minute // for a large request to arrive and be handled
+	maxPendingBytes      = 4 << 20     // of messages queued for a peer; more are dropped
 	maxLearnedAddresses  = 64
-	maxReusedBufferBytes = 64 << 10 // larger buffers are given back once sent
+	maxReusedBufferBytes = 64 << 10 // larger send buffers are not reused
 )
 
-// peerSet are the other machines, by the address of their control RPC. The host's mutex guards the maps.
+// peerSet is the other control machines, by the address of their control RPC. The host's mutex guards its maps.
 type peerSet struct {
 	context    context.Context
-	goroutines *sync.WaitGroup
+	goroutines *sync.WaitGroup // the host's
 	byAddress  map[netip.AddrPort]*peer
-	// learnedAddresses are addresses of replicas that the memberships at hand do not name, as they were told.
+	// learnedAddresses are those from join replies, of replicas that no known membership may have.
 	learnedAddresses map[consensus.ReplicaID]netip.AddrPort
 }
 
-// peer is another machine. Messages for it, of all partitions, gather until the connection takes them.
+// peer is another control machine. Messages of all partitions are queued in pending until the connection takes them.
 type peer struct {
 	client *rpc.Client
 	wake   chan struct{}
 	cancel context.CancelFunc
-	// joining: a request to be taken in is under way.
+	// joining is true while a join request to the peer is in flight.
 	joining atomic.Bool
 
 	mutex           sync.Mutex
 	pending         []byte
-	needsFlush      bool                    // pending grew since the last flush
-	activeSnapshots map[feed.Partition]bool // under way
+	needsFlush      bool                    // pending has grown since the last flush
+	activeSnapshots map[feed.Partition]bool // being sent
 	bulkTransfers   map[feed.Partition]*bulkTransfer
 }
 
+// newPeerSet returns an empty set. The context ends its goroutines, which are counted in the wait group.
 func newPeerSet(ctx context.Context, running *sync.WaitGroup) *peerSet {
 	return &peerSet{context: ctx, goroutines: running, byAddress: make(map[netip.AddrPort]*peer),
 		learnedAddresses: make(map[consensus.ReplicaID]netip.AddrPort)}
 }
 
-// get returns the peer at an address.
+// get returns the peer at an address; it creates the peer and starts its sender if there is none.
 func (s *peerSet) get(address netip.AddrPort) *peer {
 	remote := s.byAddress[address]
 	if remote != nil {
@@ -70,7 +71,7 @@
 	return remote
 }
 
-// retain ends the peers at all other addresses.
+// retain closes the peers at all other addresses.
 func (s *peerSet) retain(addresses map[netip.AddrPort]bool) {
 	for address, p := range s.byAddress {
 		if !addresses[address] {
@@ -80,7 +81,7 @@
 	}
 }
 
-// learnAddress notes where a replica is.
+// learnAddress records the address of a replica that may not be in any known membership.
 func (s *peerSet) learnAddress(id consensus.ReplicaID, address netip.AddrPort) {
 	if len(s.learnedAddresses) >= maxLearnedAddresses {
 		clear(s.learnedAddresses)
@@ -88,30 +89,32 @@
 	s.learnedAddresses[id] = address
 }
 
+// learnedAddress returns an address that learnAddress recorded.
 func (s *peerSet) learnedAddress(id consensus.ReplicaID) (netip.AddrPort, bool) {
 	address, known := s.learnedAddresses[id]
 	return address, known
 }
 
-// send puts a message on its way; it is lost where the peer is not reached or too slow.
+// send queues a message. It is dropped if the queue is full, and lost if the peer cannot be reached; the consensus
+// node retransmits.
 func (s *peerSet) send(address netip.AddrPort, partition feed.Partition, message *consensus.Message) {
 	remote := s.get(address)
 	remote.mutex.Lock()
 	defer remote.mutex.Unlock()
-	under := remote.bulkTransfers[partition]
-	way, message := under.route(message)
+	transfer := remote.bulkTransfers[partition]
+	connection, message := transfer.route(message)
 	switch {
-	case way == bulkConnection && under == nil:
+	case connection == bulkConnection && transfer == nil:
 		s.startBulkTransfer(address, remote, partition, message)
-	case way == bulkConnection:
-		under.add(partition, message)
-	case way == ordinaryConnection && len(remote.pending) < maxPendingBytes:
+	case connection == bulkConnection:
+		transfer.add(partition, message)
+	case connection == ordinaryConnection && len(remote.pending) < maxPendingBytes:
 		remote.pending = appendMessage(remote.pending, partition, message)
 		remote.needsFlush = true
 	}
 }
 
-// flush wakes the peers that have got messages.
+// flush wakes the senders of the peers for which messages were queued.
 func (s *peerSet) flush() {
 	for _, remote := range s.byAddress {
 		remote.mutex.Lock()
@@ -128,7 +131,7 @@
 	}
 }
 
-// runSender sends what gathers.
+// runSender sends queued messages in batches until the context ends.
 func (p *peer) runSender(ctx context.Context) {
 	defer p.client.Close()
 	var spare []byte
@@ -146,7 +149,7 @@
 			spare = batch
 			continue
 		}
-		// What fails is not sent again here: the machines themselves do that, with newer messages.
+		// No retries here: the consensus nodes retransmit, with newer messages.
 		_ = deliverCall.Send(ctx, p.client, &DeliverRequest{Messages: batch})
 		spare = batch
 		if cap(spare) > maxReusedBufferBytes {
--- a/internal/system/replica/proposals.go
+++ b/internal/system/replica/proposals.go
@@ -6,16 +6,16 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// proposal waits for the entry at its index to be applied.
+// proposal waits until the entry at its index is applied.
 type proposal struct {
-	index, term uint64
-	done        chan ProposeReply // of capacity 1
-	next        *proposal         // another one that waits for the same entry
+	index, term uint64            // of the entry
+	done        chan ProposeReply // has a buffer of one
+	next        *proposal         // waits for the same entry
 }
 
-// propose has the machine propose; nil: it does not lead. A large command that is sent again while it is under way waits
-// for the entry that holds it: megabytes that are appended again with each try of a caller would take the links that they
-// are waiting for.
+// propose appends a command to the leader's log; it returns nil if this replica does not lead. A large command that
+// is proposed again while it is uncommitted waits for the existing entry: appending megabytes again with each retry
+// would saturate the links that the first copy is waiting for.
 func (g *group) propose(now time.Duration, command []byte) *proposal {
 	pending := &proposal{done: make(chan ProposeReply, 1)}
 	if g.findUncommitted(command, pending) {
@@ -27,13 +27,15 @@
 	if pending.index, pending.term, err = g.node.Propose(now, command); err != nil {
 		return nil
 	}
-	// Another leader had this log replaced here. Elsewhere the entry may stand yet, and be agreed on by a later one.
+	// Another leader has overwritten the entry at this index here. Elsewhere it may still exist, and a later leader may
+	// commit it.
 	g.resolveProposals(pending.index, func(*proposal) ProposeReply { return ProposeReply{Outcome: OutcomeUnknown} })
 	g.proposals[pending.index] = pending
 	return pending
 }
 
-// findUncommitted tells whether this replica leads and its log has a large command that is yet to be agreed on, and where.
+// findUncommitted reports whether the leader's log has the same large command uncommitted, and sets the proposal's
+// index and term to those of the entry.
 func (g *group) findUncommitted(command []byte, p *proposal) (found bool) {
 	if len(command) < bulkThresholdBytes || g.node.Role() != consensus.Leader || g.node.Transferring() {
 		return false
@@ -42,7 +44,7 @@
 	return found
 }
 
-// resolveProposals tells those who wait for an entry.
+// resolveProposals sends the reply to all proposals at an index and removes them.
 func (g *group) resolveProposals(index uint64, reply func(p *proposal) ProposeReply) {
 	for p := g.proposals[index]; p != nil; p = p.next {
 		p.done <- reply(p)
@@ -50,19 +52,19 @@
 	delete(g.proposals, index)
 }
 
-// abandonProposal has a proposal wait no longer.
+// abandonProposal removes a proposal whose caller no longer waits.
 func (g *group) abandonProposal(pending *proposal) {
-	var kept *proposal
-	for q := g.proposals[pending.index]; q != nil; {
-		next := q.next
-		if q != pending {
-			q.next, kept = kept, q
+	var remaining *proposal
+	for other := g.proposals[pending.index]; other != nil; {
+		next := other.next
+		if other != pending {
+			other.next, remaining = remaining, other
 		}
-		q = next
+		other = next
 	}
-	if kept == nil {
+	if remaining == nil {
 		delete(g.proposals, pending.index)
 		return
 	}
-	g.proposals[pending.index] = kept
+	g.proposals[pending.index] = remaining
 }
--- a/internal/system/replica/propose.go
+++ b/internal/system/replica/propose.go
@@ -11,30 +11,31 @@
 	"cinderroad/internal/system/rpc"
 )
 
+// Timeouts of proposals and reads that are forwarded to the leader.
 const (
-	retryDelay       = 100 * time.Millisecond // before another try, unless there is another leader sooner
-	proposeTimeout   = 5 * time.Second        // for a leader elsewhere, where the caller sets no bound
-	readIndexTimeout = time.Second            // for one try of a barrier
-	neverCurrent     = time.Duration(math.MaxInt64)
-	minCallTimeout   = 2 * handlerMargin // time that is worth asking another machine for
+	retryDelay       = 100 * time.Millisecond       // before a retry, unless the leader changes earlier
+	proposeTimeout   = 5 * time.Second              // for a remote leader, unless the context ends earlier
+	readIndexTimeout = time.Second                  // for one attempt of Barrier
+	neverCurrent     = time.Duration(math.MaxInt64) // Staleness before the first contact to a leader
+	minCallTimeout   = 2 * handlerMargin            // with less time left, no remote call is made
 )
 
-// Propose has a command agreed and applied; see Replicas.
+// Propose implements Replicas. It proposes on the leader, wherever that is, and retries while nothing was proposed.
 func (h *Host) Propose(ctx context.Context, partition feed.Partition, command []byte) ([]byte, error) {
 	g := h.group(partition)
 	if g == nil {
 		return nil, &UnknownPartitionError{partition}
 	}
 	for {
-		leader, here, changed := h.locateLeader(g)
+		leader, local, leaderChanged := h.locateLeader(g)
 		reply := ProposeReply{Outcome: OutcomeDropped}
 		var err error
 		switch {
-		case here:
+		case local:
 			reply.Outcome, reply.Result = h.proposeLocal(ctx, partition, command)
 			err = ctx.Err()
 		case leader != nil:
-			call, cancel := withLeaderChange(ctx, changed)
+			call, cancel := withLeaderChange(ctx, leaderChanged)
 			reply, err = proposeRemote(call, leader, partition, command)
 			cancel()
 		}
@@ -44,15 +45,15 @@
 		case OutcomeUnknown:
 			return nil, &UnknownOutcomeError{partition, err}
 		}
-		if !waitOrTimeout(ctx, changed, retryDelay) {
+		if !waitOrTimeout(ctx, leaderChanged, retryDelay) {
 			return nil, &UnavailableError{partition}
 		}
 	}
 }
 
-// locateLeader returns the client of the machine that leads a group, nil where that is not known, or that it is this one;
-// and a channel that is closed once there is another leader.
-func (h *Host) locateLeader(g *group) (leader *rpc.Client, here bool, changed <-chan struct{}) {
+// locateLeader returns the client of the machine that leads a group, or local if this machine does; neither if the
+// leader is unknown. leaderChanged is closed once the group has another leader.
+func (h *Host) locateLeader(g *group) (leader *rpc.Client, local bool, leaderChanged <-chan struct{}) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if g.node == nil {
@@ -68,13 +69,14 @@
 	return h.peers.get(address).client, false, g.leaderChanged
 }
 
-// withLeaderChange is a context for a call to a leader: it ends as soon as this replica no longer follows that one, so that
-// nobody waits for a machine that is cut off. What a proposal came to is then unknown.
-func withLeaderChange(ctx context.Context, changed <-chan struct{}) (context.Context, context.CancelFunc) {
+// withLeaderChange returns a context for a call to the leader that is cancelled as soon as this replica follows
+// another one, so that no caller waits for a machine that is partitioned. The outcome of a proposal is then unknown.
+// The caller must call the cancel function, which ends the goroutine.
+func withLeaderChange(ctx context.Context, leaderChanged <-chan struct{}) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
-		case <-changed:
+		case <-leaderChanged:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -82,7 +84,7 @@
 	return ctx, cancel
 }
 
-// proposeLocal proposes to this machine's replica and waits for the command to be applied or lost.
+// proposeLocal proposes to this machine's replica and waits until the command is applied or overwritten.
 func (h *Host) proposeLocal(ctx context.Context, partition feed.Partition, command []byte) (Outcome, []byte) {
 	g := h.group(partition)
 	pending := h.startProposal(ctx, g, command)
@@ -100,7 +102,8 @@
 	return OutcomeUnknown, nil
 }
 
-// startProposal proposes; nil: nothing was proposed, as the time is up, this machine does not lead, or its disk is in trouble.
+// startProposal proposes; it returns nil if nothing was proposed because the context ended, this machine does not
+// lead, or its disk is faulty or overloaded.
 func (h *Host) startProposal(ctx context.Context, g *group, command []byte) *proposal {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -114,14 +117,15 @@
 	return p
 }
 
-// proposeRemote proposes through the machine that leads.
+// proposeRemote proposes through the machine that leads. The error is the reason for an outcome that is not
+// OutcomeCommitted.
 func proposeRemote(ctx context.Context, leader *rpc.Client, partition feed.Partition,
 	command []byte) (ProposeReply, error) {
 	wait := remainingTime(ctx, proposeTimeout)
 	if wait < minCallTimeout {
 		return ProposeReply{Outcome: OutcomeDropped}, nil
 	}
-	if len(command) >= bulkThresholdBytes { // what this machine answers its leader does not wait behind it
+	if len(command) >= bulkThresholdBytes { // on a connection of its own, so that replies to the leader do not wait behind it
 		leader = rpc.NewClient(leader.Address(), peerOptions)
 		defer leader.Close()
 	}
@@ -137,11 +141,11 @@
 	return ProposeReply{Outcome: OutcomeUnknown}, err
 }
 
-// remainingTime is the time to the context's end, or a bound.
-func remainingTime(ctx context.Context, bound time.Duration) time.Duration {
-	deadline, is := ctx.Deadline()
-	if !is {
-		return bound
+// remainingTime returns the time until the context's deadline, at most limit.
+func remainingTime(ctx context.Context, limit time.Duration) time.Duration {
+	deadline, ok := ctx.Deadline()
+	if !ok {
+		return limit
 	}
-	return min(time.Until(deadline), bound)
+	return min(time.Until(deadline), limit)
 }
--- a/internal/system/replica/reads.go
+++ b/internal/system/replica/reads.go
@@ -10,33 +10,34 @@
 	"cinderroad/internal/system/rpc"
 )
 
-// Barrier returns once the local state machine holds all that was acknowledged before; see Replicas.
+// Barrier implements Replicas. It obtains a read index from the leader and waits until this replica has applied it.
 func (h *Host) Barrier(ctx context.Context, partition feed.Partition) error {
 	g := h.group(partition)
 	if g == nil {
 		return &UnknownPartitionError{partition}
 	}
 	for {
-		leader, here, changed := h.locateLeader(g)
+		leader, local, leaderChanged := h.locateLeader(g)
 		index, confirmed := uint64(0), false
 		switch {
-		case here:
+		case local:
 			index, confirmed = h.readIndexLocal(ctx, partition)
 		case leader != nil:
-			call, cancel := withLeaderChange(ctx, changed)
+			call, cancel := withLeaderChange(ctx, leaderChanged)
 			index, confirmed = readIndexRemote(call, leader, partition)
 			cancel()
 		}
 		if confirmed {
 			return h.awaitApplied(ctx, g, index)
 		}
-		if !waitOrTimeout(ctx, changed, retryDelay) {
+		if !waitOrTimeout(ctx, leaderChanged, retryDelay) {
 			return &UnavailableError{partition}
 		}
 	}
 }
 
-// readIndexLocal asks this machine's replica for the index that a reader has to have applied.
+// readIndexLocal obtains a read index from this machine's replica; false if it does not lead, or not until the
+// context ended.
 func (h *Host) readIndexLocal(ctx context.Context, partition feed.Partition) (uint64, bool) {
 	g := h.group(partition)
 	h.mutex.Lock()
@@ -58,6 +59,7 @@
 	return 0, false
 }
 
+// readIndexRemote obtains a read index from the machine that leads; false if that one did not confirm it in time.
 func readIndexRemote(ctx context.Context, leader *rpc.Client, partition feed.Partition) (uint64, bool) {
 	wait := remainingTime(ctx, readIndexTimeout)
 	if wait < minCallTimeout {
@@ -72,7 +74,7 @@
 	return reply.Index, reply.Outcome == OutcomeCommitted
 }
 
-// awaitApplied returns once the state machine holds the log up to an index.
+// awaitApplied returns once the state machine has applied the log up to an index.
 func (h *Host) awaitApplied(ctx context.Context, g *group, index uint64) error {
 	h.mutex.Lock()
 	if g.appliedIndex >= index {
@@ -93,13 +95,14 @@
 	return &UnavailableError{g.partition}
 }
 
-// appliedWaiter is closed once the index is applied.
+// appliedWaiter has its channel closed once the index is applied.
 type appliedWaiter struct {
 	index uint64
 	done  chan struct{}
 }
 
-// startReadIndex has the machine confirm an index to read at.
+// startReadIndex asks the consensus node for a read index. The channel receives the answer; a caller that no longer
+// waits must delete the token from pendingReads.
 func (g *group) startReadIndex(now time.Duration) (token uint64, done <-chan consensus.ReadState) {
 	g.lastReadToken++
 	answer := make(chan consensus.ReadState, 1)
@@ -108,7 +111,7 @@
 	return g.lastReadToken, answer
 }
 
-// resolveReads passes confirmed indexes on.
+// resolveReads delivers read indexes to those who asked for them.
 func (g *group) resolveReads(states []consensus.ReadState) {
 	for _, state := range states {
 		if done := g.pendingReads[state.Token]; done != nil {
@@ -118,6 +121,7 @@
 	}
 }
 
+// notifyApplied closes the channels of the waiters whose index is applied.
 func (g *group) notifyApplied() {
 	waiting := g.appliedWaiters[:0]
 	for _, waiter := range g.appliedWaiters {
@@ -131,7 +135,7 @@
 	g.appliedWaiters = waiting
 }
 
-// removeAppliedWaiter drops a wait.
+// removeAppliedWaiter removes a waiter whose caller no longer waits.
 func (g *group) removeAppliedWaiter(done chan struct{}) {
 	g.appliedWaiters = slices.DeleteFunc(g.appliedWaiters, func(waiter appliedWaiter) bool { return waiter.done == done })
 }
--- a/internal/system/replica/repair_model_test.go
+++ b/internal/system/replica/repair_model_test.go
@@ -21,9 +21,9 @@
 
 func (s replicaSet) majorities(of ...replicaSet) bool { return all(of, s.majorityIn) }
 
-func all(sets []replicaSet, is func(replicaSet) bool) bool {
+func all(sets []replicaSet, holds func(replicaSet) bool) bool {
 	for _, set := range sets {
-		if set != 0 && !is(set) {
+		if set != 0 && !holds(set) {
 			return false
 		}
 	}
--- a/internal/system/replica/replica.go
+++ b/internal/system/replica/replica.go
@@ -1,5 +1,3 @@
-// Package replica runs this machine's replicas of all partitions: it joins each consensus machine to its storage, to the
-// other machines over RPC, and to the state machine that the agreed commands drive.
 package replica
 
 import (
@@ -10,33 +8,41 @@
 	"cinderroad/internal/system/feed"
 )
 
-// StateMachine is the state that agreed commands make. Its methods are called one at a time for a partition.
+// StateMachine is the replicated state of a partition. The host calls its methods one at a time for a partition.
 type StateMachine interface {
-	// Apply takes an agreed command and returns what its proposer is to be told. It is deterministic.
+	// Apply applies the committed command at an index and returns the result for its proposer. It must be deterministic.
+	// Indexes rise, but not by one each.
 	Apply(index uint64, command []byte) []byte
+	// Snapshot encodes the whole state.
 	Snapshot() []byte
+	// Restore replaces the state by one that Snapshot encoded when the log was applied up to index.
 	Restore(index uint64, snapshot []byte) error
 }
 
-// Replicas is what the control process asks of its replicas.
+// Replicas is what the rest of the control process uses of the replicas on this machine. Host implements it. All
+// methods may be called concurrently.
 type Replicas interface {
-	// Propose has a command agreed and applied, through whichever machine leads the partition, and returns what Apply
-	// returned there. An error does not say that the command was not agreed on, except *UnavailableError.
+	// Propose has a command committed and applied through the leader of the partition and returns the result of Apply
+	// there. A *UnavailableError or *UnknownPartitionError says that nothing was proposed; after any other error, such as
+	// *UnknownOutcomeError, the command may have been committed or may still be.
 	Propose(ctx context.Context, partition feed.Partition, command []byte) ([]byte, error)
-	// Barrier returns once the local state machine holds all that was acknowledged before the call.
+	// Barrier returns once the local state machine has applied everything that was acknowledged before the call, so that
+	// reads of it are linearizable. The error is a *UnavailableError or *UnknownPartitionError.
 	Barrier(ctx context.Context, partition feed.Partition) error
-	// LeaderLease says whether this machine surely leads the partition for the time returned, confirmed by a majority.
+	// LeaderLease returns for how long this machine is certain to be the only leader of the partition, confirmed by a
+	// majority; false if it is not.
 	LeaderLease(partition feed.Partition) (time.Duration, bool)
-	// Staleness is how long ago this replica last held all that a leader which a majority follows had committed.
+	// Staleness returns how long ago this replica last had applied everything that a leader with a majority had committed.
 	Staleness(partition feed.Partition) time.Duration
-	// InContact says whether this machine has lately heard a leader of the partition or a majority of its voters. Where it
-	// has not, it is cut off, or too many machines are down, and nothing can be agreed on or confirmed soon.
+	// InContact reports whether this machine has recently received messages from a leader of the partition or from a
+	// majority of its voters. If not, it is partitioned or too many machines are down: no proposal or barrier will
+	// succeed soon.
 	InContact(partition feed.Partition) bool
-	// Status describes each partition's replica, for operators.
+	// Status describes the replica of each partition, for operators. It is empty until the store is open.
 	Status() []PartitionStatus
 }
 
-// PartitionStatus is a partition's replica as operators see it.
+// PartitionStatus describes this machine's replica of a partition.
 type PartitionStatus struct {
 	Partition feed.Partition
 	Status    consensus.Status
--- a/internal/system/replica/rpc.go
+++ b/internal/system/replica/rpc.go
@@ -9,7 +9,7 @@
 	"cinderroad/internal/system/rpc"
 )
 
-// The calls between control replicas. Each is answered by the method of Host that stands after it.
+// The RPCs between control replicas. Each is served by a handler of Host, see Register.
 var (
 	deliverCall   = rpc.Declare[DeliverRequest, DeliverReply]("Replica.Deliver")
 	proposeCall   = rpc.Declare[ProposeRequest, ProposeReply]("Replica.Propose")
@@ -18,10 +18,11 @@
 	leaveCall     = rpc.Declare[LeaveRequest, LeaveReply]("Replica.Leave")
 )
 
-// handlerMargin is by how much a handler ends before its caller stops waiting.
+// handlerMargin is how much earlier than its caller's timeout a handler gives up, so that the reply still arrives in
+// time.
 const handlerMargin = 50 * time.Millisecond
 
-// Register has the registry answer the calls of other replicas.
+// Register registers the handlers of the RPCs between control replicas.
 func (h *Host) Register(registry *rpc.Registry) {
 	deliverCall.Handle(registry, h.handleDeliver)
 	proposeCall.Handle(registry, h.handlePropose)
@@ -30,16 +31,18 @@
 	leaveCall.Handle(registry, h.handleLeave)
 }
 
-// DeliverRequest brings messages of the agreement, of any partitions, in the form of appendMessage.
+// DeliverRequest carries consensus messages of any partitions, encoded by appendMessage. Its names are part of the
+// wire format.
 type DeliverRequest struct {
 	Messages []byte
-	Packed   []byte // the messages, deflated, behind their length; then there are none in Messages
+	Packed   []byte // if not empty: a uvarint, the length of the messages, and the messages deflated; Messages is empty
 }
 
-// DeliverReply says that the messages came.
+// DeliverReply acknowledges the receipt of messages, not their effect.
 type DeliverReply struct{}
 
-// handleDeliver passes messages to the replicas they are for. What cannot be read is left out with what follows it.
+// handleDeliver passes messages to the groups. Decoding stops at the first malformed message; those before it take
+// effect.
 func (h *Host) handleDeliver(_ context.Context, request *DeliverRequest) (*DeliverReply, error) {
 	messages, err := request.decompress()
 	if err != nil {
@@ -60,30 +63,30 @@
 	return &DeliverReply{}, nil
 }
 
-// ProposeRequest asks a leader to have a command agreed on within Wait.
+// ProposeRequest asks a leader to commit a command within Wait.
 type ProposeRequest struct {
 	Partition feed.Partition
 	Command   []byte
 	Wait      time.Duration
 }
 
-// ProposeReply says what became of a command.
+// ProposeReply is the outcome of a proposal.
 type ProposeReply struct {
 	Outcome Outcome
-	Result  []byte // of OutcomeCommitted: what Apply returned
+	Result  []byte // what Apply returned, if Outcome is OutcomeCommitted
 }
 
-// Outcome is what became of a command or a read.
+// Outcome is what became of a proposal or a read index request. Its values are part of the wire format.
 type Outcome uint8
 
 // The outcomes.
 const (
-	OutcomeUnknown   Outcome = iota // it may be agreed on, now or later
-	OutcomeCommitted                // it was agreed on and applied
-	OutcomeDropped                  // it was not proposed, or surely never will be agreed on
+	OutcomeUnknown   Outcome = iota // it may have been committed, or be committed later
+	OutcomeCommitted                // it was committed and applied; a read index was confirmed
+	OutcomeDropped                  // it was not proposed or was overwritten, so that it is never committed; a read index was not confirmed
 )
 
-// handlePropose proposes to this machine's replica only; the caller looks for another leader itself.
+// handlePropose proposes to this machine's replica only; the caller has to find another leader itself.
 func (h *Host) handlePropose(ctx context.Context, request *ProposeRequest) (*ProposeReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, request.Wait-handlerMargin)
 	defer cancel()
@@ -91,13 +94,13 @@
 	return &ProposeReply{Outcome: outcome, Result: result}, nil
 }
 
-// ReadIndexRequest asks a leader up to which index a reader has to have applied to see all that was acknowledged.
+// ReadIndexRequest asks a leader for the index that a linearizable read has to wait for.
 type ReadIndexRequest struct {
 	Partition feed.Partition
 	Wait      time.Duration
 }
 
-// ReadIndexReply holds the index where the outcome is OutcomeCommitted.
+// ReadIndexReply has the read index if the outcome is OutcomeCommitted.
 type ReadIndexReply struct {
 	Outcome Outcome
 	Index   uint64
@@ -114,14 +117,14 @@
 	return &ReadIndexReply{Outcome: OutcomeCommitted, Index: index}, nil
 }
 
-// JoinRequest asks to be a member of each partition's group, under the particulars given. It is repeated until that is
-// so.
+// JoinRequest asks the leaders of all groups to add a replica, or to change its attributes. It is repeated until they
+// have.
 type JoinRequest struct{ Member consensus.Member }
 
-// JoinReply says who the members are, for whoever does not know them.
+// JoinReply tells the known members, so that the caller learns their addresses.
 type JoinReply struct{ Members []consensus.Member }
 
-// handleJoin notes who asks; the leaders of groups act on it as they next look at their members.
+// handleJoin records the request; the leaders of groups act on it at their next membership check.
 func (h *Host) handleJoin(_ context.Context, request *JoinRequest) (*JoinReply, error) {
 	h.mutex.Lock()
 	h.joinRequests.add(request.Member, h.now())
@@ -130,13 +133,13 @@
 	return &JoinReply{Members: h.Members()}, nil
 }
 
-// LeaveRequest says that a replica's process is about to end. It is repeated until then.
+// LeaveRequest announces that a replica's process is about to end. It is repeated until then.
 type LeaveRequest struct{ ID consensus.ReplicaID }
 
-// LeaveReply says that the word came.
+// LeaveReply acknowledges the announcement.
 type LeaveReply struct{}
 
-// handleLeave notes who leaves; the leaders of groups give its vote to another member where there is one.
+// handleLeave records the announcement; the leaders of groups move the replica's vote to a learner if there is one.
 func (h *Host) handleLeave(_ context.Context, request *LeaveRequest) (*LeaveReply, error) {
 	h.mutex.Lock()
 	h.departures.add(request.ID, h.now())
--- a/internal/system/replica/shutdown.go
+++ b/internal/system/replica/shutdown.go
@@ -8,10 +8,10 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// Leave prepares the end of the process: from now on this host tells the others that it goes, so that the leader of each
-// group gives its vote to another member where there is one, and it hands over the groups that it leads. It returns at
-// once; Stop waits for the outcome. A process that comes back on the same disk is a member as before, without a vote if
-// that was moved.
+// Leave announces that the process is about to end. The leaders of the groups then move this replica's votes to
+// learners where there are any, and this host transfers the leaderships it has. Leave returns at once and may be
+// called more than once; Stop waits for the result. A process that restarts on the same disk is a member as before,
+// as a learner if its vote was moved.
 func (h *Host) Leave() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -23,9 +23,9 @@
 	h.releaseLeadership()
 }
 
-// Stop hands leadership over, and votes where another member can take them, which takes transferTimeout at most; then it
-// writes what is under way and closes the store. The handlers are to be served until it returns. The context bounds all
-// of it: a disk that hangs is not waited for.
+// Stop shuts the host down: it calls Leave, waits up to transferTimeout until leaderships and votes have moved,
+// completes the writes in flight and closes the store. The handlers must be served until it returns. The context
+// bounds all of this: Stop does not wait for a disk that hangs.
 func (h *Host) Stop(ctx context.Context) {
 	h.Leave()
 	handOver, cancel := context.WithTimeout(ctx, transferTimeout)
@@ -49,7 +49,7 @@
 	}
 }
 
-// awaitLeadershipTransferred returns once this host leads no group.
+// awaitLeadershipTransferred returns once this host leads no group, or when the context ends.
 func (h *Host) awaitLeadershipTransferred(ctx context.Context) {
 	for _, g := range h.groups {
 		for {
@@ -67,12 +67,13 @@
 	}
 }
 
-// awaitVotesMoved returns once no group that has a learner to take this replica's vote counts on it any more.
+// awaitVotesMoved returns once this replica has no vote that a learner could take, or when the context ends.
 func (h *Host) awaitVotesMoved(ctx context.Context) {
 	for h.hasMovableVote() && waitOrTimeout(ctx, nil, timerGranularity) {
 	}
 }
 
+// hasMovableVote reports whether isVoteMovable holds for any group.
 func (h *Host) hasMovableVote() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -81,8 +82,8 @@
 	})
 }
 
-// isVoteMovable tells whether a replica has a vote that a learner could take, as far as it knows, or whether that is under
-// way.
+// isVoteMovable reports whether a replica, as far as it knows, has a vote that a learner could take, or whether a
+// change that takes its vote is not committed yet.
 func isVoteMovable(status consensus.Status, self consensus.ReplicaID) bool {
 	votes, learners := false, false
 	for _, member := range status.Membership.Members {
@@ -99,7 +100,8 @@
 	return learners || status.Membership.Joint()
 }
 
-// releaseLeadership gives leadership of all groups up and keeps this host from leading for a few election times.
+// releaseLeadership steps down in all groups and keeps this host from becoming leader for a few election timeouts.
+// The host's mutex is held.
 func (h *Host) releaseLeadership() {
 	now := h.now()
 	for _, g := range h.groups {
@@ -110,12 +112,12 @@
 	h.processReady()
 }
 
-// waitOrTimeout returns once the channel is closed or the time has passed; false: the context ended.
-func waitOrTimeout(ctx context.Context, changed <-chan struct{}, atMost time.Duration) bool {
-	timer := time.NewTimer(atMost)
+// waitOrTimeout returns true once the channel is closed or the timeout has passed, false if the context ends first.
+func waitOrTimeout(ctx context.Context, done <-chan struct{}, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-changed:
+	case <-done:
 	case <-timer.C:
 	case <-ctx.Done():
 		return false
--- a/internal/system/replica/sim_checks_test.go
+++ b/internal/system/replica/sim_checks_test.go
@@ -13,7 +13,7 @@
 // checkApplied sees that all replicas do the same at an index, and that accepted changes make one chain without repeats.
 func (sim *simulation) checkApplied(process *simProcess, index uint64, command, result []byte) {
 	this := appliedCommand{string(command), string(result)}
-	if have, is := sim.oracle.appliedCommands[index]; is {
+	if have, ok := sim.oracle.appliedCommands[index]; ok {
 		if have != this {
 			sim.fail("machine %d does something else at %d than another did", process.machine.index, index)
 		}
@@ -71,8 +71,8 @@
 
 // checkMajority sees that what is applied first was synced by a majority of the voters.
 func (sim *simulation) checkMajority(process *simProcess) {
-	at, is := process.group.node.CreateSnapshot(process.appliedIndex, nil)
-	if !is {
+	at, ok := process.group.node.CreateSnapshot(process.appliedIndex, nil)
+	if !ok {
 		sim.fail("machine %d has applied %d first, and knows no term of it", process.machine.index, process.appliedIndex)
 		return
 	}
@@ -89,7 +89,7 @@
 
 // majorityOfEach tells whether something is true of a majority of the voters, in both voter sets of a joint membership.
 // It counts by itself, so that the agreement's own counting is checked by it.
-func majorityOfEach(membership consensus.Membership, is func(consensus.ReplicaID) bool) bool {
+func majorityOfEach(membership consensus.Membership, holds func(consensus.ReplicaID) bool) bool {
 	var voters, agreeing, outgoing, agreeingOutgoing int
 	for _, member := range membership.Members {
 		if member.Voter {
@@ -98,10 +98,10 @@
 		if member.Outgoing {
 			outgoing++
 		}
-		if member.Voter && is(member.ID) {
+		if member.Voter && holds(member.ID) {
 			agreeing++
 		}
-		if member.Outgoing && is(member.ID) {
+		if member.Outgoing && holds(member.ID) {
 			agreeingOutgoing++
 		}
 	}
@@ -114,11 +114,11 @@
 // checkLeader sees that there is one leader a term, a voter, whose disk works.
 func (sim *simulation) checkLeader(process *simProcess) {
 	term := process.group.lastHardState.Term // a leader's is on its disk
-	id, is := sim.oracle.leaders[term]
-	if is && id != process.host.self.ID {
+	id, ok := sim.oracle.leaders[term]
+	if ok && id != process.host.self.ID {
 		sim.fail("replicas %s and %s both led term %d", formatReplicaID(id), formatReplicaID(process.host.self.ID), term)
 	}
-	if !is {
+	if !ok {
 		sim.logf("%d leads term %d", process.machine.index, term)
 		sim.stats.counters.terms++
 		sim.oracle.leaders[term] = process.host.self.ID
--- a/internal/system/replica/sim_oracle_test.go
+++ b/internal/system/replica/sim_oracle_test.go
@@ -85,7 +85,7 @@
 	return committed.request.version
 }
 
-func (t *oracle) committedAt(index uint64) (l committedVersion, is bool) {
+func (t *oracle) committedAt(index uint64) (l committedVersion, ok bool) {
 	for i := len(t.versions) - 1; i >= 0; i-- {
 		if t.versions[i].index <= index {
 			return t.versions[i], true
--- a/internal/system/replica/simulation_test.go
+++ b/internal/system/replica/simulation_test.go
@@ -143,8 +143,8 @@
 func (sim *simulation) runUntil(d time.Duration, holds func() bool) {
 	end, look := sim.now+d, sim.now+500*time.Millisecond
 	for sim.failure == "" {
-		at, do, is := sim.events.Next(float64(end))
-		if !is {
+		at, do, ok := sim.events.Next(float64(end))
+		if !ok {
 			break
 		}
 		sim.now = time.Duration(at)
--- a/internal/system/replica/status.go
+++ b/internal/system/replica/status.go
@@ -7,7 +7,7 @@
 	"cinderroad/internal/system/feed"
 )
 
-// LeaderLease says whether this machine surely leads the partition, and for how long; see Replicas.
+// LeaderLease implements Replicas.
 func (h *Host) LeaderLease(partition feed.Partition) (time.Duration, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -19,7 +19,7 @@
 	return max(left, 0), left > 0
 }
 
-// Staleness is how long ago this replica last held all that its leader had committed; see Replicas.
+// Staleness implements Replicas.
 func (h *Host) Staleness(partition feed.Partition) time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -33,15 +33,15 @@
 	return elapsedSince(g.node.Status().CaughtUpAt, h.now())
 }
 
-// elapsedSince is how long ago something was; at 0 it never was.
-func elapsedSince(at, now time.Duration) time.Duration {
-	if at == 0 {
+// elapsedSince returns the time since an event, neverCurrent if at is 0 because there was none.
+func elapsedSince(since, now time.Duration) time.Duration {
+	if since == 0 {
 		return neverCurrent
 	}
-	return max(now-at, 0)
+	return max(now-since, 0)
 }
 
-// Status describes each partition's replica; see Replicas.
+// Status implements Replicas.
 func (h *Host) Status() []PartitionStatus {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/system/replica/store.go
+++ b/internal/system/replica/store.go
@@ -10,7 +10,7 @@
 	"cinderroad/internal/system/storage"
 )
 
-// store is what the disk goroutine needs of a storage.Store.
+// store is what the disk writer uses of a storage.Store.
 type store interface {
 	Identity() (consensus.ReplicaID, bool)
 	HasPredecessor() bool
@@ -21,7 +21,7 @@
 	Close() error
 }
 
-// openStorage opens a state folder. A *storage.CorruptError comes with an empty store.
+// openStorage opens a state folder. An error of type *storage.CorruptError comes along with an empty store.
 func openStorage(folder string) (store, error) {
 	opened, err := storage.Open(folder)
 	if opened == nil {
@@ -30,7 +30,8 @@
 	return opened, err
 }
 
-// openWithRetry opens the store and starts the replicas, as soon as the disk lets it; false: the host stops before.
+// openWithRetry opens the store and starts the groups, with retries while the disk fails; false if the host stops
+// first or the store belongs to another release.
 func (h *Host) openWithRetry() bool {
 	pause := minDiskBackoff
 	for {
@@ -54,7 +55,7 @@
 	}
 }
 
-// loadStored returns which replica this machine has and what it stored; a new one is established first.
+// loadStored returns this machine's replica ID and the persistent state of its groups. It initializes an empty store.
 func (h *Host) loadStored() (consensus.ReplicaID, []consensus.PersistentState, error) {
 	if h.disk.folder == "" {
 		id, stored := h.newIdentity()
@@ -71,12 +72,12 @@
 	return id, stored, err
 }
 
-// openIfNeeded opens the store unless an earlier try has.
+// openIfNeeded opens the store unless an earlier attempt has.
 func (h *Host) openIfNeeded() error {
 	if h.disk.store != nil {
 		return nil
 	}
-	store, err := h.openStore(h.disk.folder)
+	opened, err := h.openStore(h.disk.folder)
 	var corrupt *storage.CorruptError
 	if err != nil && !errors.As(err, &corrupt) {
 		return err
@@ -85,12 +86,12 @@
 		h.storeCorrupted = true
 		h.log.Error("state folder was corrupt", zap.Error(corrupt))
 	}
-	h.disk.store = store
-	h.storeCorrupted = h.storeCorrupted || store.HasPredecessor()
+	h.disk.store = opened
+	h.storeCorrupted = h.storeCorrupted || opened.HasPredecessor()
 	return nil
 }
 
-// newIdentity is a founder where this machine founds the system, and else one without a past under a random number.
+// newIdentity returns the ID and initial state of a new replica: that of a founder, or a random ID without state.
 func (h *Host) newIdentity() (consensus.ReplicaID, []consensus.PersistentState) {
 	stored := make([]consensus.PersistentState, len(h.groups))
 	founders, founds := bootstrapMembership(h.options.Settings)
@@ -103,7 +104,7 @@
 	return founderID(h.options.Settings.IP), stored
 }
 
-// initializeStore makes the empty store a new replica's.
+// initializeStore writes the identity and initial state of a new replica into the empty store.
 func (h *Host) initializeStore() (consensus.ReplicaID, []consensus.PersistentState, error) {
 	id, stored := h.newIdentity()
 	var writes []storage.Update
@@ -118,8 +119,8 @@
 	return id, stored, nil
 }
 
-// loadPartitions reads what the replica stored. A partition that makes no sense makes the store as good as lost: it is
-// moved aside, and the next try finds an empty one.
+// loadPartitions reads the persistent state of all partitions. If that of one is invalid, the whole store is
+// discarded, and the next attempt finds an empty one.
 func (h *Host) loadPartitions() ([]consensus.PersistentState, error) {
 	stored := make([]consensus.PersistentState, len(h.groups))
 	for i := range stored {
@@ -135,7 +136,7 @@
 	return stored, nil
 }
 
-// discardStore moves the store aside if the error says that it is corrupt.
+// discardStore moves the store aside unless the error is one of the disk, which may work again later.
 func (h *Host) discardStore(err error) error {
 	var disk *storage.DiskError
 	if errors.As(err, &disk) {
--- a/internal/system/replica/unavailability_test.go
+++ b/internal/system/replica/unavailability_test.go
@@ -38,11 +38,16 @@
 	if sim.failure != "" {
 		t.Fatal(sim.failure)
 	}
-	last, longest := began, time.Duration(0)
-	for _, committed := range sim.oracle.versions {
-		if committed.committedAt > began {
-			longest = max(longest, committed.committedAt-last)
-			last = committed.committedAt
+	return sim.longestCommitGap(began)
+}
+
+// longestCommitGap returns the longest time without a committed version from a time until now.
+func (sim *simulation) longestCommitGap(from time.Duration) time.Duration {
+	last, longest := from, time.Duration(0)
+	for _, version := range sim.oracle.versions {
+		if version.committedAt > from {
+			longest = max(longest, version.committedAt-last)
+			last = version.committedAt
 		}
 	}
 	return max(longest, sim.now-last)
@@ -155,12 +160,5 @@
 	if sim.failure != "" {
 		t.Fatal(sim.failure)
 	}
-	last, longest := began, time.Duration(0)
-	for _, committed := range sim.oracle.versions {
-		if committed.committedAt > began {
-			longest = max(longest, committed.committedAt-last)
-			last = committed.committedAt
-		}
-	}
-	return max(longest, sim.now-last)
+	return sim.longestCommitGap(began)
 }
--- a/internal/system/replica/voter_plan.go
+++ b/internal/system/replica/voter_plan.go
@@ -7,23 +7,26 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// voterSet is a set of members, by their place in situation.members.
+// voterSet is a set of members, one bit for each index in membershipView.members.
 type voterSet uint32
 
+// has reports whether a member is in the set.
 func (v voterSet) has(i int) bool { return v&(1<<i) != 0 }
 
+// size returns the number of members in the set.
 func (v voterSet) size() int { return bits.OnesCount32(uint32(v)) }
 
-// planVoters moves the votes to the best members, all at once.
+// planVoters moves the votes to the best set of voters in a single step.
 func (view *membershipView) planVoters() (membershipChange, bool) {
-	next, is := view.shortlist().chooseVoters()
-	if is && next.transferTo == 0 {
+	next, ok := view.shortlist().chooseVoters()
+	if ok && next.transferTo == 0 {
 		next.membership = view.withVotes(next.membership)
 	}
-	return next, is
+	return next, ok
 }
 
-// shortlist is the situation of those that may vote: the voters, and as many learners that are ready as can be weighed.
+// shortlist returns the view restricted to the voters and to as many promotable learners as maxVoterCandidates
+// allows.
 func (view *membershipView) shortlist() *membershipView {
 	short := *view
 	short.members = nil
@@ -41,7 +44,7 @@
 	return &short
 }
 
-// withVotes are all members, with the votes of a membership of the shortlist.
+// withVotes returns all members with the votes of a membership of the shortlist.
 func (view *membershipView) withVotes(short consensus.Membership) consensus.Membership {
 	members := view.consensusMembers()
 	for i := range members {
@@ -52,7 +55,8 @@
 	return consensus.Membership{Members: members}
 }
 
-// chooseVoters gives the votes to the best members. Without a majority nothing can be agreed on.
+// chooseVoters gives the votes to the best set of voters. It returns false if that is the present set, if no majority
+// can commit a change, or if it is too early to tell.
 func (view *membershipView) chooseVoters() (membershipChange, bool) {
 	voters := view.classifyCandidates()
 	if view.hasUnidentifiedMember() || (voters.voters&voters.responsive).size() <= voters.voters.size()/2 {
@@ -63,20 +67,20 @@
 		return membershipChange{}, false
 	}
 	if i := view.indexOf(view.self); i < maxVoterCandidates && !best.has(i) {
-		if next, is := view.planTransfer(best & voters.available); is {
+		if next, ok := view.planTransfer(best & voters.available); ok {
 			return next, true
 		}
 	}
 	return membershipChange{membership: view.withVoters(best)}, true
 }
 
-// demotesTooEarly tells whether a living voter would lose its vote before the leader can know who is not there: another
-// may be gone, and the one that should lose it.
+// demotesTooEarly reports whether a set would take the vote of an available voter before the leader has led long
+// enough to know which members are absent; the vote of an absent one may have to be taken instead.
 func (view *membershipView) demotesTooEarly(best voterSet, voters *voterCandidates) bool {
 	return view.leaderFor < view.limits.absentAfter && voters.voters&voters.available&^best != 0
 }
 
-// withVoters gives the votes to a set of members.
+// withVoters returns all members with the votes given to a set.
 func (view *membershipView) withVoters(set voterSet) consensus.Membership {
 	members := view.consensusMembers()
 	for i := range members {
@@ -85,30 +89,31 @@
 	return consensus.Membership{Members: members}
 }
 
-// voterCandidates are the members that are weighed as voters.
+// voterCandidates are the sets of members that the choice of voters depends on.
 type voterCandidates struct {
-	voters     voterSet // the voters
-	responsive voterSet // those that can agree to a change
-	available  voterSet // those of them that stay
-	eligible   voterSet // those that may vote
-	diskLost   voterSet // those whose disks are lost: they will not come back, as one that is silent may
-	lost       voterSet // those that said that they go, or are gone for so long, that the group may become smaller
+	voters     voterSet // the present voters
+	responsive voterSet // members that can commit a change
+	available  voterSet // responsive members that are not leaving
+	eligible   voterSet // members that may be voters
+	diskLost   voterSet // members whose disks are lost: unlike absent ones they never return
+	lost       voterSet // members that departed, or are absent for so long that the group may shrink
 }
 
+// classifyCandidates sorts the first maxVoterCandidates members into sets.
 func (view *membershipView) classifyCandidates() (candidates voterCandidates) {
 	for i := range min(len(view.members), maxVoterCandidates) {
 		member, bit := &view.members[i], voterSet(1)<<i
-		alive := view.isAvailable(i)
+		available := view.isAvailable(i)
 		if view.isResponsive(i) {
 			candidates.responsive |= bit
 		}
-		if alive {
+		if available {
 			candidates.available |= bit
 		}
 		if member.Voter {
 			candidates.voters |= bit
 		}
-		if member.Voter || alive && member.caughtUp {
+		if member.Voter || available && member.caughtUp {
 			candidates.eligible |= bit
 		}
 		if view.hasLostDisk(i) {
@@ -121,12 +126,12 @@
 	return candidates
 }
 
-// hasUnidentifiedMember tells whether a founder that is there has not told its particulars yet.
+// hasUnidentifiedMember reports whether a founder that responds has not reported its node name and zone yet.
 func (view *membershipView) hasUnidentifiedMember() bool {
 	return slices.ContainsFunc(view.members, func(m memberState) bool { return m.Node == "" && m.silence < view.limits.absentAfter })
 }
 
-// hasCatchingUpLearner tells whether a learner is about to be ready for a vote.
+// hasCatchingUpLearner reports whether an available learner is not promotable yet.
 func (view *membershipView) hasCatchingUpLearner() bool {
 	for i := range view.members {
 		if !view.members[i].Voter && !view.members[i].caughtUp && view.isAvailable(i) {
@@ -136,22 +141,22 @@
 	return false
 }
 
-// isResponsive tells whether a member is there.
+// isResponsive reports whether a member has responded within absentAfter and has its disk.
 func (view *membershipView) isResponsive(i int) bool {
 	return view.members[i].silence < view.limits.absentAfter && !view.hasLostDisk(i)
 }
 
-// hasLostDisk tells whether a member will never answer again: another replica came from its place.
+// hasLostDisk reports whether a member will never respond again because another replica runs on its machine.
 func (view *membershipView) hasLostDisk(i int) bool {
 	return view.members[i].replaced || view.superseded(i)
 }
 
-// isAvailable tells whether a member is there and stays.
+// isAvailable reports whether a member is responsive and not leaving.
 func (view *membershipView) isAvailable(i int) bool {
 	return view.isResponsive(i) && !view.members[i].leaving
 }
 
-// bestVoters is the best set; the present one unless another is better.
+// bestVoters returns the set with the highest score; the present voters if no other set scores higher.
 func (view *membershipView) bestVoters(voters *voterCandidates) voterSet {
 	best, bestWorth := voters.voters, view.score(voters.voters, voters)
 	for set := voters.eligible; set > 0; set = (set - 1) & voters.eligible {
@@ -165,33 +170,34 @@
 	return best
 }
 
-// shrinksTooSoon tells whether a set is smaller than the present one, by more than the voter that makes an even number,
-// without those that it leaves out being gone for long.
+// shrinksTooSoon reports whether a set is smaller than the present odd number of voters although a voter that it
+// omits is not lost for good.
 func (view *membershipView) shrinksTooSoon(set voterSet, voters *voterCandidates) bool {
 	least := (voters.voters.size()-1)/2*2 + 1
 	return set.size() < least && voters.voters&^set&^voters.lost != 0
 }
 
-// isValidSize tells whether a group may be meant to have so many voters: an odd number, or both members of two.
+// isValidSize reports whether a group may have so many voters: an odd number up to targetVoters, or both members of
+// two.
 func (view *membershipView) isValidSize(size, eligible int) bool {
 	return size <= max(view.targetVoters, 1) && (size%2 == 1 || size == 2 && eligible == 2)
 }
 
-// voterScore are what sets of voters are compared by, the weightiest first.
+// voterScore orders sets of voters by lexicographic comparison, the most important criterion first.
 type voterScore [7]int
 
-// score weighs a set of voters. It is worth little where its living ones are no majority.
+// score rates a set of voters. A set whose available members are no majority is rated lowest.
 func (view *membershipView) score(set voterSet, voters *voterCandidates) (score voterScore) {
 	quorum := set.size()/2 + 1
-	alive := set & voters.available
-	if alive.size() < quorum {
+	available := set & voters.available
+	if available.size() < quorum {
 		return voterScore{-1}
 	}
 	if view.surviveRegionLoss {
-		score[0] = survivesLoss(view, alive, quorum, func(m *memberState) string { return view.zoneRegions[m.Zone] })
+		score[0] = survivesLoss(view, available, quorum, func(m *memberState) string { return view.zoneRegions[m.Zone] })
 	}
-	score[1] = survivesLoss(view, alive, quorum, func(m *memberState) string { return m.Zone })
-	score[2] = alive.size() - quorum
+	score[1] = survivesLoss(view, available, quorum, func(m *memberState) string { return m.Zone })
+	score[2] = available.size() - quorum
 	score[3] = min(quorum, 2)
 	score[4] = -(set & voters.diskLost).size()
 	score[5] = -(set ^ voters.voters).size()
@@ -201,31 +207,32 @@
 	return score
 }
 
-// survivesLoss is 1 if a majority is left whichever domain fails.
-func survivesLoss(view *membershipView, alive voterSet, quorum int, domain func(*memberState) string) int {
+// survivesLoss returns 1 if a majority of the voters remains available whichever single failure domain is lost, else
+// 0.
+func survivesLoss(view *membershipView, available voterSet, quorum int, domain func(*memberState) string) int {
 	for i := range view.members {
-		if !alive.has(i) {
+		if !available.has(i) {
 			continue
 		}
-		left := 0
+		remaining := 0
 		for j := range view.members {
 			apart := domain(&view.members[j]) == "" || domain(&view.members[j]) != domain(&view.members[i])
-			if alive.has(j) && apart && i != j {
-				left++
+			if available.has(j) && apart && i != j {
+				remaining++
 			}
 		}
-		if left < quorum {
+		if remaining < quorum {
 			return 0
 		}
 	}
 	return 1
 }
 
-// transferTo gives leadership to the first of the heirs that votes already.
-func (view *membershipView) planTransfer(heirs voterSet) (membershipChange, bool) {
+// planTransfer moves leadership to the first responsive voter among the candidates.
+func (view *membershipView) planTransfer(candidates voterSet) (membershipChange, bool) {
 	for i := range min(len(view.members), maxVoterCandidates) {
 		m := &view.members[i]
-		if heirs.has(i) && m.Voter && m.ID != view.self && m.silence < view.limits.absentAfter {
+		if candidates.has(i) && m.Voter && m.ID != view.self && m.silence < view.limits.absentAfter {
 			return membershipChange{transferTo: m.ID}, true
 		}
 	}
