--- a/internal/system/replica/disk_writer.go
+++ b/internal/system/replica/disk_writer.go
@@ -189,16 +189,16 @@
 	if disk.store == nil {
 		return true
 	}
-	began := max(h.now(), 1)
-	disk.recordAttempt(began, nil)
-	pause := minDiskBackoff
+	startedAt := max(h.now(), 1)
+	disk.recordAttempt(startedAt, nil)
+	backoff := minDiskBackoff
 	for {
 		err := disk.store.Write(writes...)
 		if err == nil {
 			disk.recordAttempt(0, nil)
 			return true
 		}
-		disk.recordAttempt(began, err)
+		disk.recordAttempt(startedAt, err)
 		var corrupt *storage.CorruptError
 		if errors.As(err, &corrupt) {
 			h.failFromDiskWriter(err)
@@ -206,17 +206,17 @@
 			return false
 		}
 		h.wakeLoop()
-		if !h.waitDiskBackoff(&pause) {
+		if !h.waitDiskBackoff(&backoff) {
 			return false
 		}
 	}
 }
 
 // waitDiskBackoff waits and doubles the backoff up to maxDiskBackoff; false if the host stops first.
-func (h *Host) waitDiskBackoff(pause *time.Duration) bool {
-	timer := time.NewTimer(*pause)
+func (h *Host) waitDiskBackoff(backoff *time.Duration) bool {
+	timer := time.NewTimer(*backoff)
 	defer timer.Stop()
-	*pause = min(2**pause, maxDiskBackoff)
+	*backoff = min(2**backoff, maxDiskBackoff)
 	select {
 	case <-timer.C:
 		return true
--- a/internal/system/replica/group.go
+++ b/internal/system/replica/group.go
@@ -70,19 +70,19 @@
 
 // processReady handles the output of the consensus node until there is none left. The error is that of a snapshot
 // that the state machine rejected.
-func (g *group) processReady(out groupOutput) error {
+func (g *group) processReady(output groupOutput) error {
 	var failure error
-	for r := g.node.Ready(); !r.Empty(); r = g.node.Ready() {
-		out.send(g, r.EarlyMessages)
-		if err := g.applyReady(&r); err != nil {
+	for ready := g.node.Ready(); !ready.Empty(); ready = g.node.Ready() {
+		output.send(g, ready.EarlyMessages)
+		if err := g.applyReady(&ready); err != nil {
 			failure = err
 		}
-		g.persistReady(&r, out)
-		g.resolveReads(r.ReadStates)
+		g.persistReady(&ready, output)
+		g.resolveReads(ready.ReadStates)
 	}
 	if snapshot := g.dueSnapshot(); snapshot != nil {
 		write := storage.Update{Partition: g.partition, CompactionSnapshot: snapshot}
-		g.enqueueJob(writeJob{group: g, write: write, snapshot: snapshot, sizeBytes: len(snapshot.Data)}, out)
+		g.enqueueJob(writeJob{group: g, write: write, snapshot: snapshot, sizeBytes: len(snapshot.Data)}, output)
 	}
 	g.updateLeader()
 	return failure
@@ -90,28 +90,28 @@
 
 // persistReady enqueues the writes of a Ready; its messages are sent once they are durable. A Ready that needs no
 // sync is completed at once if no earlier write is pending.
-func (g *group) persistReady(ready *consensus.Ready, out groupOutput) {
+func (g *group) persistReady(ready *consensus.Ready, output groupOutput) {
 	if !ready.MustSync && g.pendingJobs == 0 {
-		out.send(g, ready.Messages)
+		output.send(g, ready.Messages)
 		return
 	}
 	if !ready.MustSync && g.pendingJobs >= maxQueuedJobs {
 		return // the disk hangs: messages may be lost, and these would be outdated by the time they could be sent
 	}
-	j := writeJob{group: g, ready: *ready, write: g.newWrite(ready)}
+	job := writeJob{group: g, ready: *ready, write: g.newWrite(ready)}
 	for i := range ready.Entries {
-		j.sizeBytes += len(ready.Entries[i].Data) + entryOverheadBytes
+		job.sizeBytes += len(ready.Entries[i].Data) + entryOverheadBytes
 	}
 	if ready.Snapshot != nil {
-		j.sizeBytes += len(ready.Snapshot.Data)
+		job.sizeBytes += len(ready.Snapshot.Data)
 	}
-	g.enqueueJob(j, out)
+	g.enqueueJob(job, output)
 }
 
 // enqueueJob passes a job to the disk writer and counts it as pending.
-func (g *group) enqueueJob(j writeJob, out groupOutput) {
+func (g *group) enqueueJob(job writeJob, output groupOutput) {
 	g.pendingJobs++
-	out.enqueueWrite(j)
+	output.enqueueWrite(job)
 }
 
 // newWrite returns the storage write of a Ready. A hard state in which only the commit index changed is not written
@@ -126,14 +126,14 @@
 }
 
 // handlePersisted tells the consensus node that a job is durable and sends the messages that waited for it.
-func (g *group) handlePersisted(j *writeJob, out groupOutput) {
+func (g *group) handlePersisted(job *writeJob, output groupOutput) {
 	g.pendingJobs--
-	if j.snapshot != nil {
-		g.handleSnapshotPersisted(j.snapshot)
+	if job.snapshot != nil {
+		g.handleSnapshotPersisted(job.snapshot)
 		return
 	}
-	g.node.MarkPersisted(j.ready)
-	out.send(g, j.ready.Messages)
+	g.node.MarkPersisted(job.ready)
+	output.send(g, job.ready.Messages)
 }
 
 // applyReady applies the snapshot and the committed entries of a Ready and resolves the requests that wait for them.
--- a/internal/system/replica/store.go
+++ b/internal/system/replica/store.go
@@ -33,23 +33,23 @@
 // openWithRetry opens the store and starts the groups, with retries while the disk fails; false if the host stops
 // first or the store belongs to another release.
 func (h *Host) openWithRetry() bool {
-	pause := minDiskBackoff
+	backoff := minDiskBackoff
 	for {
-		began := max(h.now(), 1)
-		h.disk.recordAttempt(began, nil)
+		startedAt := max(h.now(), 1)
+		h.disk.recordAttempt(startedAt, nil)
 		id, stored, err := h.loadStored()
 		if err == nil {
 			h.disk.recordAttempt(0, nil)
 			return h.startGroups(id, stored)
 		}
-		h.disk.recordAttempt(began, err)
+		h.disk.recordAttempt(startedAt, err)
 		var schema *storage.SchemaError
 		if errors.As(err, &schema) {
 			h.failFromDiskWriter(err)
 			return false
 		}
 		h.log.Error("state folder not opened", zap.Error(err))
-		if !h.waitDiskBackoff(&pause) {
+		if !h.waitDiskBackoff(&backoff) {
 			return false
 		}
 	}
--- a/internal/system/replica/unavailability_test.go
+++ b/internal/system/replica/unavailability_test.go
@@ -26,7 +26,7 @@
 		operator.unlimited = true
 	}
 	sim.runFor(scenarioWarmup)
-	began, leader := sim.now, sim.leader()
+	startedAt, leader := sim.now, sim.leader()
 	if leader == nil {
 		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
 	}
@@ -38,7 +38,7 @@
 	if sim.failure != "" {
 		t.Fatal(sim.failure)
 	}
-	return sim.longestCommitGap(began)
+	return sim.longestCommitGap(startedAt)
 }
 
 // longestCommitGap returns the longest time without a committed version from a time until now.
