--- a/internal/dispatcher/cluster/fleet.go
+++ b/internal/dispatcher/cluster/fleet.go
@@ -34,7 +34,7 @@
 	Period, Forget  float64 // seconds
 	Lease           float64 // seconds
 	Seed            uint64
-	Facts           membership.Facts
+	Facts           membership.Metadata
 	Rules           quota.Rules
 	Board           *versions.Board            // who holds which list; not nil
 	Leased          func(out bool, why string) // this dispatcher may take new work no more, or again
@@ -59,7 +59,7 @@
 	log     *zap.Logger
 	options Options
 	use     func(quota.Place) // who decides by the place
-	machine *membership.Machine
+	machine *membership.Node
 	divisor *quota.Divisor
 	socket  *eventloop.UDPSocket
 	timer   *eventloop.Timer
@@ -110,11 +110,11 @@
 // begin starts a life as a member.
 func (f *Fleet) begin() {
 	o := &f.options
-	f.machine = membership.New(membership.Options{Fleet: o.Fleet, Name: o.Name, Addr: o.Advertise, Seeds: o.Seeds, Period: o.Period,
-		Forget: o.Forget, Life: uint64(f.loop.Now() * 1e6), Seed: o.Seed, Facts: o.Facts, Rider: o.Board})
+	f.machine = membership.New(membership.Options{Cluster: o.Fleet, Name: o.Name, Addr: o.Advertise, Seeds: o.Seeds, ProbeInterval: o.Period,
+		DeadTTL: o.Forget, Generation: uint64(f.loop.Now() * 1e6), RandomSeed: o.Seed, Metadata: o.Facts, Delegate: o.Board})
 	o.Board.Near = func(member string) bool { return f.machine.Zone(member) == o.Facts.Zone }
 	f.divisor = quota.New(o.Rules)
-	o.Board.Lease.Period, o.Board.Lease.Term = o.Period, o.Lease
+	o.Board.Lease.ProbeInterval, o.Board.Lease.Term = o.Period, o.Lease
 	f.divide()
 	if f.socket == nil {
 		f.rebind()
@@ -144,7 +144,7 @@
 func (f *Fleet) open() {
 	f.socket.SetHandler(f.receive)
 	f.log.Info("fleet: member", zap.String("fleet", f.options.Fleet), zap.String("name", f.options.Name),
-		zap.Stringer("bind", f.options.Bind), zap.Stringer("advertise", f.options.Advertise), zap.Uint64("life", f.machine.Life))
+		zap.Stringer("bind", f.options.Bind), zap.Stringer("advertise", f.options.Advertise), zap.Uint64("life", f.machine.Generation))
 	f.machine.Start(f.loop.Now())
 	f.pump()
 	f.arm()
@@ -152,7 +152,7 @@
 
 func (f *Fleet) arm() {
 	f.timer.Stop()
-	f.timer = f.loop.At(f.machine.Next(), func() {
+	f.timer = f.loop.At(f.machine.NextTick(), func() {
 		f.machine.Tick(f.loop.Now())
 		if f.loop.Now() >= f.placeAt+f.options.Period {
 			f.divide()
@@ -168,11 +168,11 @@
 	msg, err := membership.Decode(f.options.Fleet, b)
 	switch {
 	case err == nil:
-		f.machine.Receive(f.loop.Now(), msg)
+		f.machine.HandleMessage(f.loop.Now(), msg)
 		f.pump()
-	case errors.Is(err, membership.ErrForeign):
+	case errors.Is(err, membership.ErrOtherCluster):
 		f.Drops[dropForeign]++
-	case errors.Is(err, membership.ErrFormat):
+	case errors.Is(err, membership.ErrUnknownFormat):
 		f.Drops[dropFormat]++
 	case errors.Is(err, membership.ErrOversized):
 		f.Drops[dropOversized]++
@@ -190,15 +190,15 @@
 	if f.options.Slept != nil {
 		f.options.Slept(late)
 	}
-	f.machine.Slept(f.loop.Now())
+	f.machine.HandlePause(f.loop.Now())
 	f.pump()
 	f.arm()
 }
 
 // pump sends what the machine has to send, tells what has changed, and has the decisions know.
 func (f *Fleet) pump() {
-	for _, p := range f.machine.Out() {
-		b, err := membership.Encode(p.Msg)
+	for _, p := range f.machine.TakePackets() {
+		b, err := membership.Encode(p.Message)
 		if err == nil {
 			if err = f.socket.SendTo(p.To, b); err == nil {
 				f.Sent++
@@ -209,24 +209,24 @@
 		f.Unsent++ // a full buffer, no way there: as good as lost on the way
 		f.log.Debug("fleet: not sent", zap.Stringer("to", p.To), zap.Error(err))
 	}
-	changes := f.machine.Changes()
+	changes := f.machine.TakeChanges()
 	for _, c := range changes {
 		f.tell(c)
 	}
-	for _, s := range f.machine.Settlings() {
+	for _, s := range f.machine.TakeConvergenceTimes() {
 		f.settled = s
-		alive, suspect, dead := f.machine.Census()
+		alive, suspect, dead := f.machine.CountByState()
 		f.options.Settled(Settled{s, alive, digest(f.machine.Digest())})
 		f.log.Info("fleet: settled", zap.Float64("after_s", s), zap.Int("alive", alive), zap.Int("suspect", suspect), zap.Int("dead", dead),
 			zap.String("digest", digest(f.machine.Digest())))
 	}
-	if len(changes) > 0 || f.counted != f.machine.Counted() {
+	if len(changes) > 0 || f.counted != f.machine.Recognized() {
 		f.divide()
 	}
 }
 
 func (f *Fleet) tell(c membership.Change) {
-	fields := []zap.Field{zap.String("member", c.Name), zap.Stringer("is", c.To), zap.Uint64("incarnation", c.Inc), zap.String("cause", c.Cause)}
+	fields := []zap.Field{zap.String("member", c.Name), zap.Stringer("is", c.To), zap.Uint64("incarnation", c.Incarnation), zap.String("cause", c.Cause)}
 	if !c.New {
 		fields = append(fields, zap.Stringer("was", c.From))
 	}
@@ -239,7 +239,7 @@
 
 // divide works the place out anew.
 func (f *Fleet) divide() {
-	f.placeAt, f.counted = f.loop.Now(), f.machine.Counted()
+	f.placeAt, f.counted = f.loop.Now(), f.machine.Recognized()
 	v := f.machine.View()
 	f.judge(&v)
 	p := f.divisor.Place(f.loop.Now(), &v)
@@ -263,7 +263,7 @@
 }
 
 // Met says whether anybody else was heard from.
-func (f *Fleet) Met() bool { return f.machine.Met() }
+func (f *Fleet) Met() bool { return f.machine.Contacted() }
 
 // Lease is how long a lease lasts without a fresh word, in seconds.
 func (f *Fleet) Lease() float64 { return f.options.Lease }
@@ -285,9 +285,9 @@
 		return
 	}
 	f.SetFacts(f.options.Facts)
-	f.log.Warn("fleet: lease", zap.Stringer("is", l.State()), zap.String("why", l.Why))
+	f.log.Warn("fleet: lease", zap.Stringer("is", l.State()), zap.String("why", l.Reason))
 	if out := l.State() == lease.Out; out != (was == lease.Out) {
-		f.options.Leased(out, l.Why)
+		f.options.Leased(out, l.Reason)
 	}
 }
 
@@ -320,17 +320,17 @@
 
 // Urge sends what the Board has to tell without waiting for the next step.
 func (f *Fleet) Urge() {
-	if f.socket != nil && !f.waits && f.options.Board.Eager() {
-		f.machine.Urge(f.loop.Now())
+	if f.socket != nil && !f.waits && f.options.Board.HasUrgent() {
+		f.machine.GossipNow(f.loop.Now())
 		f.pump()
 	}
 }
 
 // SetFacts sets what is told of this member.
-func (f *Fleet) SetFacts(facts membership.Facts) {
+func (f *Fleet) SetFacts(facts membership.Metadata) {
 	facts.Lease = f.options.Board.Lease.State()
 	f.options.Facts = facts
-	f.machine.SetFacts(f.loop.Now(), facts)
+	f.machine.SetMetadata(f.loop.Now(), facts)
 }
 
 // Leave tells the others that this dispatcher has stopped sending; Rejoin that it begins again.
@@ -358,7 +358,7 @@
 	if f.socket == nil {
 		return errors.New("fleet: not joined yet")
 	}
-	err := f.machine.Declare(f.loop.Now(), name)
+	err := f.machine.DeclareLeft(f.loop.Now(), name)
 	f.divide()
 	f.pump()
 	return err
@@ -393,7 +393,7 @@
 	f.options.Rules, f.divisor.Rules = o.Rules, o.Rules
 	if !slices.Equal(f.options.Seeds, o.Seeds) {
 		f.options.Seeds = o.Seeds
-		f.machine.Seek(f.loop.Now(), o.Seeds)
+		f.machine.SetSeeds(f.loop.Now(), o.Seeds)
 		if f.socket != nil {
 			f.pump()
 		}
@@ -419,10 +419,10 @@
 }
 
 // Census counts the members by state, this one among the living.
-func (f *Fleet) Census() (alive, suspect, dead int) { return f.machine.Census() }
+func (f *Fleet) Census() (alive, suspect, dead int) { return f.machine.CountByState() }
 
 // Counts are what the membership has counted.
-func (f *Fleet) Counts() membership.Counts { return f.machine.Counts }
+func (f *Fleet) Counts() membership.Stats { return f.machine.Stats }
 
 // LastSettling is how long the view took to settle the last time, in seconds; 0: it has not yet.
 func (f *Fleet) LastSettling() float64 { return f.settled }
--- a/internal/dispatcher/cluster/jobreplica/wire.go
+++ b/internal/dispatcher/cluster/jobreplica/wire.go
@@ -37,7 +37,7 @@
 )
 
 // decoding takes nothing but what seal makes.
-var decoding = membership.Strict(6, 32)
+var decoding = membership.StrictDecMode(6, 32)
 
 // page is a datagram's body.
 type page struct {
@@ -107,7 +107,7 @@
 }
 
 func seal(g *page) []byte {
-	body := membership.Deterministic(g)
+	body := membership.MarshalDeterministic(g)
 	datagram := append(make([]byte, headBytes-1, headBytes+len(body)), Format)
 	datagram = append(datagram, body...)
 	binary.LittleEndian.PutUint64(datagram, xxhash.Sum64(datagram[headBytes-1:]))
--- a/internal/dispatcher/cluster/jobstate/command.go
+++ b/internal/dispatcher/cluster/jobstate/command.go
@@ -61,12 +61,12 @@
 	Unrun  bool   `cbor:"18,keyasint,omitempty"` // End: it surely never ran under this fence, and waits again
 }
 
-var decoding = membership.Strict(4, 64)
+var decoding = membership.StrictDecMode(4, 64)
 
 // Encode is the command as it stands in the log.
 func (c *Command) Encode() []byte {
 	c.Form = Form
-	return membership.Deterministic(c)
+	return membership.MarshalDeterministic(c)
 }
 
 // Decode reads a command and checks what can be told without a state.
@@ -92,5 +92,5 @@
 	errJob  = errors.New("a job that makes no sense")
 
 	// loading reads snapshots, whose size the log's bound holds.
-	loading = membership.StrictLong(6, 64, 1<<24)
+	loading = membership.StrictDecModeForArrays(6, 64, 1<<24)
 )
--- a/internal/dispatcher/cluster/jobstate/state.go
+++ b/internal/dispatcher/cluster/jobstate/state.go
@@ -180,7 +180,7 @@
 }
 
 func hash(item any) uint64 {
-	return xxhash.Sum64(membership.Deterministic(item))
+	return xxhash.Sum64(membership.MarshalDeterministic(item))
 }
 
 func (s *State) take(index uint64, c *Command) Result {
@@ -362,7 +362,7 @@
 		im.Out = append(im.Out, o)
 	}
 	slices.SortFunc(im.Out, func(a, b Out) int { return cmp.Compare(a.Worker, b.Worker) })
-	return membership.Deterministic(&im)
+	return membership.MarshalDeterministic(&im)
 }
 
 // Restore takes a snapshot's place, all or nothing.
--- a/internal/dispatcher/cluster/quota/crowd_test.go
+++ b/internal/dispatcher/cluster/quota/crowd_test.go
@@ -166,7 +166,7 @@
 		}
 		if d.slept { // the loop tells it before anything else
 			d.slept = false
-			d.node.Machine.Slept(now)
+			d.node.Machine.HandlePause(now)
 			d.divide()
 			f.net.Flush(d.node)
 		}
@@ -298,7 +298,7 @@
 // F1: one that has heard nobody decides by the settings alone.
 func TestAloneIsAsConfigured(t *testing.T) {
 	d := quota.New(quota.Rules{Instances: 7, Me: 3, Period: 1, LastSends: 2, Whole: true})
-	m := membership.New(membership.Options{Fleet: "f", Name: "a", Addr: virtualcluster.New(virtualcluster.Options{}, 1).Nodes[0].Addr, Period: 1, Life: 1})
+	m := membership.New(membership.Options{Cluster: "f", Name: "a", Addr: virtualcluster.New(virtualcluster.Options{}, 1).Nodes[0].Addr, ProbeInterval: 1, Generation: 1})
 	m.Start(0)
 	v := m.View()
 	if p := d.Place(0, &v); p.Instances != 7 || p.Me != 3 || p.Part != 1 || p.Keys != nil {
@@ -308,16 +308,16 @@
 
 // seen makes a view of members in states, the first of which is oneself.
 func seen(counted bool, states ...membership.State) *membership.View {
-	v := &membership.View{Met: true, Counted: counted}
+	v := &membership.View{Contacted: true, Recognized: counted}
 	for i, s := range states {
 		name := fmt.Sprint("m", i)
-		v.Members = append(v.Members, membership.Seen{Record: membership.Record{Name: name, Life: 1, State: s}, Key: membership.Key(name), Me: i == 0})
+		v.Members = append(v.Members, membership.Member{Record: membership.Record{Name: name, Generation: 1, State: s}, Key: membership.Key(name), Self: i == 0})
 	}
 	return v
 }
 
 func begun(v *membership.View, at float64) *membership.View {
-	v.Began = at
+	v.JoinedAt = at
 	return v
 }
 
@@ -349,8 +349,8 @@
 		{"not all are members, and more than told", seen(true, alive, alive, alive), 2, false, 3, 1, quota.Full},
 	} {
 		d := quota.New(quota.Rules{Instances: tc.told, Me: 1, Period: 1, LastSends: 2, Whole: tc.whole})
-		if tc.view.Began == 0 {
-			tc.view.Began = -100
+		if tc.view.JoinedAt == 0 {
+			tc.view.JoinedAt = -100
 		}
 		p := d.Place(10, tc.view)
 		if p.Instances != tc.instances || p.Part != tc.part || p.Why != tc.why || p.Keys != nil && len(p.Keys) != p.Instances {
--- a/internal/dispatcher/cluster/quota/divisor.go
+++ b/internal/dispatcher/cluster/quota/divisor.go
@@ -86,13 +86,13 @@
 // Lease is how long after one was found dead it has surely stopped, or taken to its cautious part: each side of a cut finds
 // the other dead within a suspicion's longest time, and what was sent last lasts for a fall time.
 func (d *Divisor) Lease(known int) float64 {
-	return leaseSuspicions*membership.LongestSuspicion(known, d.Rules.Period) + leasePeriods*d.Rules.Period + d.Rules.LastSends
+	return leaseSuspicions*membership.MaxSuspicionTimeout(known, d.Rules.Period) + leasePeriods*d.Rules.Period + d.Rules.LastSends
 }
 
 // Place works out the place by a view at a time.
 func (d *Divisor) Place(now float64, v *membership.View) Place {
 	configured := Place{Instances: d.Rules.Instances, Me: d.Rules.Me, Part: 1, Why: Alone}
-	if !v.Met {
+	if !v.Contacted {
 		return configured
 	}
 	known, heard := 0, 0
@@ -106,9 +106,9 @@
 	}
 	p := Place{Part: 1, Why: Full}
 	switch {
-	case v.Withdrawn || v.Gone || 2*heard < known:
+	case v.Withdrawn || v.Left || 2*heard < known:
 		p.Part, p.Why = Cautious, CutOff
-	case !v.Counted, len(v.Members) < d.Rules.Instances && now < v.Began+joinPeriods*d.Rules.Period:
+	case !v.Recognized, len(v.Members) < d.Rules.Instances && now < v.JoinedAt+joinPeriods*d.Rules.Period:
 		p.Part, p.Why = Cautious, Uncounted
 	case 2*heard == known:
 		p.Why = Waiting
@@ -124,7 +124,7 @@
 	over := p.Why == Full && now >= d.full+lease
 	for i := range v.Members {
 		s := &v.Members[i]
-		if s.Me {
+		if s.Self {
 			p.Me = len(p.Keys)
 		} else if !d.counts(now, s, over, lease) {
 			continue
@@ -149,17 +149,17 @@
 }
 
 // counts says whether a member may be sending; over says whether this part was the larger one for a lease.
-func (d *Divisor) counts(now float64, s *membership.Seen, over bool, lease float64) bool {
+func (d *Divisor) counts(now float64, s *membership.Member, over bool, lease float64) bool {
 	switch s.State {
 	case membership.Left:
 		delete(d.out, s.Name)
 		return false
 	case membership.Dead:
-		if d.out[s.Name] == s.Life {
+		if d.out[s.Name] == s.Generation {
 			return false
 		}
 		if over && now >= s.Since+lease {
-			d.out[s.Name] = s.Life
+			d.out[s.Name] = s.Generation
 			return false
 		}
 		return true
--- a/internal/dispatcher/cluster/status.go
+++ b/internal/dispatcher/cluster/status.go
@@ -70,14 +70,14 @@
 // Status tells all that is shown.
 func (f *Fleet) Status() Status {
 	v := f.machine.View()
-	s := Status{Fleet: f.options.Fleet, Me: f.options.Name, Digest: digest(v.Digest), Settled: v.Settled && !v.Withdrawn && !f.waits, Health: v.Health,
+	s := Status{Fleet: f.options.Fleet, Me: f.options.Name, Digest: digest(v.Digest), Settled: v.Converged && !v.Withdrawn && !f.waits, Health: v.TimeoutFactor,
 		Place: StatusPlace{f.place.Instances, f.place.Me, f.place.Part, string(f.place.Why)}, Drops: map[string]uint64{}, Members: []Member{}, Held: []StatusHeld{},
 		Orders: []versions.Order{}}
 	held := f.options.Board.Held()
 	for _, worker := range slices.Sorted(maps.Keys(held)) {
 		s.Held = append(s.Held, StatusHeld{worker, held[worker].State.String(), held[worker].Rev, held[worker].From})
 	}
-	s.Lease = StatusLease{f.options.Board.Lease.State().String(), f.options.Board.Lease.Why, f.WordAge()}
+	s.Lease = StatusLease{f.options.Board.Lease.State().String(), f.options.Board.Lease.Reason, f.WordAge()}
 	orders := f.options.Board.Orders()
 	for _, name := range slices.Sorted(maps.Keys(orders)) {
 		s.Orders = append(s.Orders, orders[name])
@@ -85,31 +85,31 @@
 	for i, n := range f.Drops {
 		s.Drops[DropNames[i]] = n
 	}
-	c := f.machine.Counts
-	maps.Copy(s.Drops, map[string]uint64{"repeated": c.Repeated, "stale": c.Stale, "own": c.Own})
+	c := f.machine.Stats
+	maps.Copy(s.Drops, map[string]uint64{"repeated": c.Duplicates, "stale": c.Stale, "own": c.OwnMessages})
 	for _, m := range v.Members {
-		out := Member{Name: m.Name, Address: m.Addr.String(), State: m.State.String(), Incarnation: m.Inc, SinceMS: int64(m.Since * 1000),
-			Life: m.Life, Version: map[string]string{}, VersionMS: map[string]int64{}}
-		if k := m.FactsOf; k != nil {
+		out := Member{Name: m.Name, Address: m.Addr.String(), State: m.State.String(), Incarnation: m.Incarnation, SinceMS: int64(m.Since * 1000),
+			Life: m.Generation, Version: map[string]string{}, VersionMS: map[string]int64{}}
+		if k := m.Metadata; k != nil {
 			out.Zone, out.Serving, out.Console = k.Zone, k.Serving, k.Console
-			for name, v := range map[string]string{"program": k.Version, "settings": k.Settings, "operator": k.Operator, "excluded": k.Excluded} {
+			for name, v := range map[string]string{"program": k.Version, "settings": k.SettingsHash, "operator": k.OperatorHash, "excluded": k.ExcludedHash} {
 				if v != "" {
 					out.Version[name] = v
 				}
 			}
-			started := int64(m.Life / 1000) // a life is its start in microseconds
+			started := int64(m.Generation / 1000) // a life is its start in microseconds
 			for name, at := range map[string]int64{"program": started, "settings": started, "operator": int64(k.OperatorAt) * 1000, "excluded": int64(k.ExcludedAt) * 1000} {
 				if at > 0 && out.Version[name] != "" {
 					out.VersionMS[name] = at
 				}
 			}
 		}
-		if m.State == membership.Alive && m.Shut() {
+		if m.State == membership.Alive && m.OutOfService() {
 			out.State = shutOut
 		}
 		if p, told := f.options.Board.Peers()[m.Name]; told && m.State != membership.Left {
 			out.List, out.ListMS = &p.List, int64(p.Since*1000)
-		} else if own, has := f.options.Board.List(); has && m.Me {
+		} else if own, has := f.options.Board.List(); has && m.Self {
 			out.List, out.ListMS = &own, int64(f.options.Board.OwnSince()*1000)
 		}
 		s.Members = append(s.Members, out)
--- a/internal/dispatcher/cluster/versions/exchange.go
+++ b/internal/dispatcher/cluster/versions/exchange.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Eager says whether there is something that should not wait for a message to ride on.
-func (b *Board) Eager() bool { return b.eager > 0 || b.ordersUntold() }
+// HasUrgent says whether there is something that should not wait for a message to ride on.
+func (b *Board) HasUrgent() bool { return b.eager > 0 || b.ordersUntold() }
 
-// Ride is what goes along with a message; nil is nothing.
-func (b *Board) Ride(now float64, room int) []byte {
+// Payload is what goes along with a message; nil is nothing.
+func (b *Board) Payload(now float64, room int) []byte {
 	if !b.has && len(b.orders.by) == 0 {
 		return nil
 	}
@@ -55,8 +55,8 @@
 	return picked
 }
 
-// Hear takes what came along with a member's message, and returns what is to be answered.
-func (b *Board) Hear(now float64, from string, text []byte) (answers [][]byte) {
+// HandlePayload takes what came along with a member's message, and returns what is to be answered.
+func (b *Board) HandlePayload(now float64, from string, text []byte) (answers [][]byte) {
 	r, err := decode(text)
 	if err != nil {
 		b.Counts.Bad++
--- a/internal/dispatcher/cluster/versions/fleet_test.go
+++ b/internal/dispatcher/cluster/versions/fleet_test.go
@@ -19,7 +19,7 @@
 func fleet(t *testing.T, seed uint64, n int, loss float64) (*virtualcluster.Net, map[*virtualcluster.Node]*versions.Board) {
 	net := virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: loss, Delay: 0.002, Jitter: 0.01}, n)
 	boards := map[*virtualcluster.Node]*versions.Board{}
-	net.Rider = func(node *virtualcluster.Node) membership.Rider {
+	net.Rider = func(node *virtualcluster.Node) membership.Delegate {
 		b := versions.New(node.Name)
 		b.Own(net.Now, src, 5, false, []versions.Entry{{Worker: "x"}, {Worker: "y"}})
 		boards[node] = b
@@ -54,7 +54,7 @@
 					net.Pause(sleeper)
 					first := net.Nodes[seed%uint64(n-1)]
 					boards[first].Own(net.Now, src, 6, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
-					first.Machine.Urge(net.Now)
+					first.Machine.GossipNow(net.Now)
 					net.Flush(first)
 					known := func(nodes []*virtualcluster.Node) bool {
 						for _, node := range nodes {
--- a/internal/dispatcher/cluster/versions/hard_test.go
+++ b/internal/dispatcher/cluster/versions/hard_test.go
@@ -19,10 +19,10 @@
 	by float64
 }
 
-func (s skewed) Ride(now float64, room int) []byte { return s.Board.Ride(now+s.by, room) }
-func (s skewed) Tick(now float64)                  { s.Board.Tick(now + s.by) }
-func (s skewed) Hear(now float64, from string, ride []byte) [][]byte {
-	return s.Board.Hear(now+s.by, from, ride)
+func (s skewed) Payload(now float64, room int) []byte { return s.Board.Payload(now+s.by, room) }
+func (s skewed) Tick(now float64)                     { s.Board.Tick(now + s.by) }
+func (s skewed) HandlePayload(now float64, from string, ride []byte) [][]byte {
+	return s.Board.HandlePayload(now+s.by, from, ride)
 }
 
 // Clocks that are up to two seconds off: one that loses discovery is kept in its lease by its peers, whoever's clock is ahead, and
@@ -33,7 +33,7 @@
 		boards, skews := map[*virtualcluster.Node]*versions.Board{}, map[string]float64{}
 		net := virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: 0.05, Delay: 0.002, Jitter: 0.01}, 8)
 		best := map[[2]string]float64{}
-		net.Rider = func(node *virtualcluster.Node) membership.Rider {
+		net.Rider = func(node *virtualcluster.Node) membership.Delegate {
 			b, by := versions.New(node.Name), 4*rng.Float64()-2
 			boards[node], skews[node.Name] = b, by
 			b.Own(net.Now+by, src, 5, false, nil)
@@ -54,7 +54,7 @@
 				}
 				v := node.Machine.View()
 				if b.Judge(net.Now+by, &v); s > 20 && b.Lease.State() != lease.Held {
-					t.Fatalf("seed %d: %s is %v: %s", seed, node.Name, b.Lease.State(), b.Lease.Why)
+					t.Fatalf("seed %d: %s is %v: %s", seed, node.Name, b.Lease.State(), b.Lease.Reason)
 				}
 			}
 		}
@@ -164,8 +164,8 @@
 		a, b := net.Nodes[1], net.Nodes[5]
 		boards[a].Own(net.Now, src, 6, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
 		boards[b].Own(net.Now, src, 7, false, []versions.Entry{{Worker: "x"}, {Worker: "y", State: versions.Draining}})
-		a.Machine.Urge(net.Now)
-		b.Machine.Urge(net.Now)
+		a.Machine.GossipNow(net.Now)
+		b.Machine.GossipNow(net.Now)
 		net.Flush(b)
 		net.Flush(a)
 		net.Run(net.Now + 60)
--- a/internal/dispatcher/cluster/versions/lease_test.go
+++ b/internal/dispatcher/cluster/versions/lease_test.go
@@ -51,14 +51,14 @@
 			}
 			b, v := l.boards[node], node.Machine.View()
 			b.Judge(l.net.Now, &v)
-			node.Machine.SetFacts(l.net.Now, membership.Facts{Zone: "z", Lease: b.Lease.State()})
+			node.Machine.SetMetadata(l.net.Now, membership.Metadata{Zone: "z", Lease: b.Lease.State()})
 			if b.Lease.State() == lease.Out {
 				out++
 			}
 			if !l.informed(node) {
 				l.well[node] = l.net.Now
 			} else if b.Lease.State() == lease.Out && l.net.Now > l.well[node]+healed {
-				l.wrong = append(l.wrong, node.Name+": "+b.Lease.Why)
+				l.wrong = append(l.wrong, node.Name+": "+b.Lease.Reason)
 			}
 		}
 		l.most = max(l.most, out)
@@ -133,10 +133,10 @@
 		l.run(60)
 		for node, b := range l.boards {
 			if b.Lease.State() != lease.Held {
-				t.Errorf("seed %d: %s is %v (%s) long after all was mended", seed, node.Name, b.Lease.State(), b.Lease.Why)
+				t.Errorf("seed %d: %s is %v (%s) long after all was mended", seed, node.Name, b.Lease.State(), b.Lease.Reason)
 			}
 		}
-		if outs += l.most; l.most > lease.Quota(n) {
+		if outs += l.most; l.most > lease.MaxOut(n) {
 			t.Errorf("seed %d: %d of %d were out at once", seed, l.most, n)
 		}
 		if len(l.wrong) > 0 {
@@ -166,7 +166,7 @@
 		for l.boards[one].Lease.State() != lease.Out && l.net.Now < from+200 {
 			l.run(1)
 		}
-		t.Logf("%s", l.boards[one].Lease.Why)
+		t.Logf("%s", l.boards[one].Lease.Reason)
 		t.Logf("%d members: out after %.0f periods", n, l.net.Now-from)
 		if l.net.Now > from+lease.Term(5, 1)+5 || l.most != 1 {
 			t.Errorf("%d members: out after %.0f periods, %d at most", n, l.net.Now-from, l.most)
--- a/internal/dispatcher/cluster/versions/ride.go
+++ b/internal/dispatcher/cluster/versions/ride.go
@@ -58,7 +58,7 @@
 	return out
 }
 
-var decoding = membership.Strict(5, 16)
+var decoding = membership.StrictDecMode(5, 16)
 
 func decode(text []byte) (*ride, error) {
 	r := &ride{}
--- a/internal/dispatcher/cluster/versions/standing.go
+++ b/internal/dispatcher/cluster/versions/standing.go
@@ -9,33 +9,33 @@
 
 // Judge has the lease judged by what is known here and in the view, and says whether it is another than before.
 func (b *Board) Judge(now float64, v *membership.View) (changed bool) {
-	in := lease.Input{Now: now, Director: b.heardAt}
+	in := lease.Input{Now: now, LastDiscovery: b.heardAt}
 	for i := range v.Members {
 		s := &v.Members[i]
-		m := lease.Member{Name: s.Name, Key: s.Key, Heard: s.HeardAt, Order: b.Ordered(s.Name)}
-		if s.FactsOf != nil {
-			m.State = s.FactsOf.Lease
+		m := lease.Member{Name: s.Name, Key: s.Key, LastContact: s.LastContact, Excluded: b.Ordered(s.Name)}
+		if s.Metadata != nil {
+			m.State = s.Metadata.Lease
 		}
 		if s.State == membership.Dead {
-			m.Dead = s.Since
+			m.DeadSince = s.Since
 		}
 		switch p, told := b.peers[s.Name]; {
-		case s.Me:
-			m.Word, m.State = b.wordAt, b.Lease.State()
-			if m.Word == 0 { // of an earlier life is the list, and nobody has confirmed it: as old as its taking up
-				m.Word = b.ownAt
+		case s.Self:
+			m.LastUpdate, m.State = b.wordAt, b.Lease.State()
+			if m.LastUpdate == 0 { // of an earlier life is the list, and nobody has confirmed it: as old as its taking up
+				m.LastUpdate = b.ownAt
 			}
-			in.Me = m
+			in.Self = m
 			continue
 		case s.State == membership.Left:
 			continue
 		case told:
-			m.Word, m.Direct, m.Ahead = p.Word, p.Direct, (float64(p.word)-float64(b.word))/wordsASecond
+			m.LastUpdate, m.DirectUpdate, m.UpdateLead = p.Word, p.Direct, (float64(p.word)-float64(b.word))/wordsASecond
 		}
 		in.Others = append(in.Others, m)
 	}
-	was, why := b.Lease.State(), b.Lease.Why
-	return b.Lease.Judge(&in) != was || b.Lease.Why != why
+	was, why := b.Lease.State(), b.Lease.Reason
+	return b.Lease.Update(&in) != was || b.Lease.Reason != why
 }
 
 // Order gives an order at this member. More than a third of the members are not shut out at once.
@@ -49,11 +49,11 @@
 		known++
 		if s.Name == member {
 			found = true
-		} else if b.Ordered(s.Name) || s.Shut() || s.State == membership.Dead {
+		} else if b.Ordered(s.Name) || s.OutOfService() || s.State == membership.Dead {
 			shut++
 		}
 	}
-	switch quota := lease.Quota(known); {
+	switch quota := lease.MaxOut(known); {
 	case out && !found:
 		return fmt.Errorf("versions: no member has the name %s", member)
 	case out && shut > quota:
--- a/internal/dispatcher/cluster/versions/versions.go
+++ b/internal/dispatcher/cluster/versions/versions.go
@@ -110,7 +110,7 @@
 func New(me string) *Board {
 	return &Board{Changed: func() {}, Heard: func() {}, Log: func(string) {}, Ordering: func(Order) {}, Note: func(float64, *Note) {}, Near: func(string) bool { return true }, me: me, states: map[string]Entry{},
 		facts: map[string]*fact{}, peers: map[string]Peer{}, descents: map[string]uint64{}, held: map[string]Held{},
-		Lease: &lease.Lease{Period: 1, Term: lease.Term(liveGap, 1)}, orders: orders{by: map[string]*order{}}}
+		Lease: &lease.Lease{ProbeInterval: 1, Term: lease.Term(liveGap, 1)}, orders: orders{by: map[string]*order{}}}
 }
 
 // List is the version that the own list has; false before there is one.
--- a/internal/dispatcher/cluster/versions/versions_test.go
+++ b/internal/dispatcher/cluster/versions/versions_test.go
@@ -27,7 +27,7 @@
 
 // carry has b hear what a has to tell along with a message, and a what b answers, until nobody answers any more.
 func carry(now float64, a, b *Board) {
-	ride := a.Ride(now, 300)
+	ride := a.Payload(now, 300)
 	if ride == nil {
 		return
 	}
@@ -42,7 +42,7 @@
 		}
 		l := queue[0]
 		queue = queue[1:]
-		for _, answer := range l.to.Hear(now, l.from.me, l.text) {
+		for _, answer := range l.to.HandlePayload(now, l.from.me, l.text) {
 			queue = append(queue, letter{l.to, l.from, answer})
 		}
 	}
@@ -82,7 +82,7 @@
 	b.Own(24, src, 9, false, entries(Gone, "y"))
 	expect(t, "the own director has said it", b)
 	b.Own(25, src, 10, false, entries(Ready, "y"))
-	a.Hear(25, "b", b.Ride(25, 300))
+	a.HandlePayload(25, "b", b.Payload(25, 300))
 	expect(t, "nothing that is heard makes a worker ready or known", a)
 	if _, known := a.states["y"]; known {
 		t.Error("a worker became known by a peer's word")
@@ -100,7 +100,7 @@
 	b.Own(22, src, 8, false, entries(Draining, "x"))
 	expect(t, "as new", b)
 	b.Own(23, src, 9, false, entries(Ready, "x"))
-	b.Hear(23, "a", a.Ride(23, 300))
+	b.HandlePayload(23, "a", a.Payload(23, 300))
 	expect(t, "newer", b)
 }
 
@@ -164,9 +164,9 @@
 	a, b := told("a", 5, workers...), told("b", 5, workers...)
 	a.Own(20, src, 6, false, entries(Draining, workers...))
 	for range 5000 { // told to others
-		a.Ride(20, 300)
+		a.Payload(20, 300)
 	}
-	if a.Eager() {
+	if a.HasUrgent() {
 		t.Fatal("it goes on for ever")
 	}
 	rounds := 0
@@ -207,10 +207,10 @@
 // One that says it knows all of a version nobody issued does not keep another from asking for good.
 func TestALieOnWhatIsKnown(t *testing.T) {
 	a, b := told("a", 5, "x"), told("b", 5, "x")
-	b.Hear(20, "liar", b.encode(&ride{List: List{src, 0, 5}, Knows: 1 << 40, Count: 1}))
+	b.HandlePayload(20, "liar", b.encode(&ride{List: List{src, 0, 5}, Knows: 1 << 40, Count: 1}))
 	a.Own(20, src, 6, false, entries(Draining, "x"))
 	for range 50 { // told to others
-		a.Ride(20, 300)
+		a.Payload(20, 300)
 	}
 	for at := 21.0; at < 60 && len(b.Held()) == 0; at += 2 {
 		b.Tick(at)
@@ -242,14 +242,14 @@
 				b.Tick(now)
 				b.Live(now)
 			case 2:
-				b.Ride(now, 300)
+				b.Payload(now, 300)
 			default:
 				r := &ride{List: List{src, uint64(rapid.IntRange(0, 2).Draw(t, "descent")), int64(rapid.IntRange(0, 12).Draw(t, "peer's rev"))}, Ask: rapid.Bool().Draw(t, "asks")}
 				for range rapid.IntRange(0, 5).Draw(t, "facts") {
 					r.Facts = append(r.Facts, Fact{rapid.SampledFrom(names).Draw(t, "worker"), State(rapid.IntRange(0, 2).Draw(t, "state")),
 						int64(rapid.IntRange(0, 3).Draw(t, "start")), int64(rapid.IntRange(0, 12).Draw(t, "fact's rev"))})
 				}
-				for _, answer := range b.Hear(now, rapid.SampledFrom([]string{"p", "q"}).Draw(t, "from"), b.encode(r)) {
+				for _, answer := range b.HandlePayload(now, rapid.SampledFrom([]string{"p", "q"}).Draw(t, "from"), b.encode(r)) {
 					if len(answer) > 1100 {
 						t.Fatalf("an answer of %d bytes", len(answer))
 					}
@@ -272,12 +272,12 @@
 func FuzzHear(f *testing.F) {
 	a := told("a", 5, "x")
 	a.Own(20, src, 6, false, entries(Draining, "x"))
-	f.Add(a.Ride(20, 300))
+	f.Add(a.Payload(20, 300))
 	f.Add([]byte{})
 	f.Add([]byte{0xa1, 0x01, 0xa0})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		b := told("b", 5, "x")
-		for _, answer := range b.Hear(21, "a", text) {
+		for _, answer := range b.HandlePayload(21, "a", text) {
 			if _, err := decode(answer); err != nil {
 				t.Fatal(err)
 			}
@@ -290,7 +290,7 @@
 func TestRoomForFacts(t *testing.T) {
 	b := told("b", 5)
 	for i := range 3 * mostFacts {
-		b.Hear(20, "a", b.encode(&ride{List: List{src, 0, int64(i + 10)}, Facts: []Fact{{fmt.Sprint("w", i), Draining, 0, int64(i + 10)}}}))
+		b.HandlePayload(20, "a", b.encode(&ride{List: List{src, 0, int64(i + 10)}, Facts: []Fact{{fmt.Sprint("w", i), Draining, 0, int64(i + 10)}}}))
 	}
 	if len(b.facts) != mostFacts || b.facts[fmt.Sprint("w", 3*mostFacts-1)] == nil || b.facts["w0"] != nil {
 		t.Errorf("%d facts", len(b.facts))
@@ -303,7 +303,7 @@
 	ahead := &ride{List: List{src, 0, 9}, Knows: 9}
 	asks := func(b *Board, now float64, from string) bool {
 		before := b.Counts.Asked
-		b.Hear(now, from, b.encode(ahead))
+		b.HandlePayload(now, from, b.encode(ahead))
 		return b.Counts.Asked > before
 	}
 	b := told("b", 5, "x")
@@ -327,11 +327,11 @@
 	a := told("a", 9, "x")
 	answered := 0
 	for i := range 50 {
-		if len(a.Hear(30, fmt.Sprint("m", i), a.encode(&ride{List: List{src, 0, 5}, Ask: true}))) > 0 {
+		if len(a.HandlePayload(30, fmt.Sprint("m", i), a.encode(&ride{List: List{src, 0, 5}, Ask: true}))) > 0 {
 			answered++
 		}
 	}
-	if answered != answersOf || len(a.Hear(31.5, "m1", a.encode(&ride{List: List{src, 0, 5}, Ask: true}))) == 0 {
+	if answered != answersOf || len(a.HandlePayload(31.5, "m1", a.encode(&ride{List: List{src, 0, 5}, Ask: true}))) == 0 {
 		t.Errorf("%d of 50 answered", answered)
 	}
 }
--- a/internal/dispatcher/cluster/versions/word_test.go
+++ b/internal/dispatcher/cluster/versions/word_test.go
@@ -40,7 +40,7 @@
 func TestWhatAWordConfirms(t *testing.T) {
 	a, b, c := told("a", 5, "x", "y"), told("b", 5, "x", "y"), told("c", 5, "x", "y")
 	a.Own(20, src, 6, false, entries(Draining, "x"))
-	b.Hear(20, "a", b.encode(a.ride(20))) // without the fact
+	b.HandlePayload(20, "a", b.encode(a.ride(20))) // without the fact
 	if b.Word() >= 20 {
 		t.Error("confirmed by one that knows more")
 	}
@@ -50,8 +50,8 @@
 	if b.Word() != 22 {
 		t.Errorf("not confirmed: %v", b.Word())
 	}
-	c.Hear(30, "a", c.encode(&ride{List: List{src, 0, 6}}))
-	c.Hear(30, "b", c.encode(&ride{List: List{src, 0, 6}}))
+	c.HandlePayload(30, "a", c.encode(&ride{List: List{src, 0, 6}}))
+	c.HandlePayload(30, "b", c.encode(&ride{List: List{src, 0, 6}}))
 	if c.Live(31); c.Word() >= 31 {
 		t.Error("an old list counts as confirmed")
 	}
@@ -80,17 +80,17 @@
 // Words from far ahead count for nothing; those a little ahead hold up no lease of one whose own discovery speaks.
 func TestWordsOfALiar(t *testing.T) {
 	a, b, c := told("a", 5, "x"), told("b", 5, "x"), told("c", 5, "x")
-	b.Hear(100, "liar", b.encode(&ride{List: List{src, 0, 5}, Word: math.MaxUint64 / 2}))
+	b.HandlePayload(100, "liar", b.encode(&ride{List: List{src, 0, 5}, Word: math.MaxUint64 / 2}))
 	a.Live(101)
 	carry(101, a, b)
 	if b.Word() != 101 {
 		t.Error("a's words count no more")
 	}
-	b.Hear(102, "liar", b.encode(&ride{List: List{src, 0, 5}, Word: 111 * wordsASecond}))
+	b.HandlePayload(102, "liar", b.encode(&ride{List: List{src, 0, 5}, Word: 111 * wordsASecond}))
 	if b.Live(103); b.Word() != 103 {
 		t.Error("the own discovery's words count no more")
 	}
-	c.Hear(100, "liar", c.encode(&ride{List: List{src, 0, 5}, Orders: []Order{{Member: "c", N: 0}}}))
+	c.HandlePayload(100, "liar", c.encode(&ride{List: List{src, 0, 5}, Orders: []Order{{Member: "c", N: 0}}}))
 	if c.Counts.Bad != 1 {
 		t.Errorf("%d bad", c.Counts.Bad)
 	}
@@ -98,9 +98,9 @@
 
 // view is one of members that are alive.
 func view(me string, names ...string) *membership.View {
-	v := &membership.View{Met: true}
+	v := &membership.View{Contacted: true}
 	for _, name := range names {
-		v.Members = append(v.Members, membership.Seen{Record: membership.Record{Name: name}, Key: membership.Key(name), Me: name == me, HeardAt: 1})
+		v.Members = append(v.Members, membership.Member{Record: membership.Record{Name: name}, Key: membership.Key(name), Self: name == me, LastContact: 1})
 	}
 	return v
 }
@@ -118,7 +118,7 @@
 	if err := a.Order(10, view("a", names...), "b", true); err == nil {
 		t.Error("two of three are shut out")
 	}
-	if !a.Eager() {
+	if !a.HasUrgent() {
 		t.Error("it waits")
 	}
 	heard := 0
@@ -134,13 +134,13 @@
 		t.Fatal(err)
 	}
 	for range 5 * tellTimes { // told to others
-		b.Ride(15, 300)
+		b.Payload(15, 300)
 	}
-	if b.Eager() {
+	if b.HasUrgent() {
 		t.Error("it goes on for ever")
 	}
 	carry(16, c, b) // another digest
-	c.Hear(17, "x", c.encode(old))
+	c.HandlePayload(17, "x", c.encode(old))
 	if c.Judge(18, view("c", names...)); c.Lease.State() != lease.Held {
 		t.Errorf("%v after it was brought back", c.Lease.State())
 	}
@@ -153,7 +153,7 @@
 func TestOrdersOfALiar(t *testing.T) {
 	b := told("b", 5)
 	for i := range 2 * mostOrders {
-		b.Hear(20, "liar", b.encode(&ride{List: List{src, 0, 5}, Orders: []Order{{Member: fmt.Sprint("m", i), Out: true, N: 1, By: "liar"}}}))
+		b.HandlePayload(20, "liar", b.encode(&ride{List: List{src, 0, 5}, Orders: []Order{{Member: fmt.Sprint("m", i), Out: true, N: 1, By: "liar"}}}))
 	}
 	if len(b.Orders()) != mostOrders {
 		t.Errorf("%d orders", len(b.Orders()))
@@ -170,7 +170,7 @@
 	for _, name := range names {
 		x := told(name, 5)
 		for _, o := range names {
-			x.Hear(20, "liar", x.encode(&ride{List: List{src, 0, 5}, Orders: []Order{{Member: o, Out: true, N: 1, By: "liar"}}}))
+			x.HandlePayload(20, "liar", x.encode(&ride{List: List{src, 0, 5}, Orders: []Order{{Member: o, Out: true, N: 1, By: "liar"}}}))
 		}
 		boards[name] = x
 	}
@@ -179,7 +179,7 @@
 		for _, name := range names {
 			v := view(name, names...)
 			for i := range v.Members {
-				v.Members[i].FactsOf = &membership.Facts{Lease: boards[names[i]].Lease.State()}
+				v.Members[i].Metadata = &membership.Metadata{Lease: boards[names[i]].Lease.State()}
 			}
 			if boards[name].Judge(21, v); boards[name].Lease.State() == lease.Out {
 				out++
--- a/internal/dispatcher/operatorconfig/fleet.go
+++ b/internal/dispatcher/operatorconfig/fleet.go
@@ -114,7 +114,7 @@
 	if err := checkSeconds(&f.Forget, DefaultForget, leastForget, mostForget); err != nil {
 		return wrong("forget_s", err)
 	}
-	least := lease.Least(watchSilence, f.Period)
+	least := lease.MinTerm(watchSilence, f.Period)
 	if err := checkSeconds(&f.Lease, lease.Term(watchSilence, f.Period), least, mostLease); err != nil {
 		return wrong("lease_s", err)
 	}
--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -41,16 +41,16 @@
 	if f == nil {
 		return nil, nil
 	}
-	if c.Name == "" || len(c.Name) > membership.MostName {
-		return nil, fmt.Errorf("config: name: %q: a member of a fleet needs one of 1 to %d bytes", c.Name, membership.MostName)
+	if c.Name == "" || len(c.Name) > membership.MaxNameLength {
+		return nil, fmt.Errorf("config: name: %q: a member of a fleet needs one of 1 to %d bytes", c.Name, membership.MaxNameLength)
 	}
 	zone := ""
 	if z := c.brain.Zone; z < len(c.names.FailureDomains) {
 		zone = c.names.FailureDomains[z]
 	}
 	return &cluster.Options{Fleet: f.Name, Name: c.Name, Bind: f.BindAddr, Advertise: f.AdvertiseAddr, Seeds: f.SeedAddrs,
-		Period: f.Period, Forget: f.Forget, Lease: f.Lease, Seed: c.seed, Facts: membership.Facts{Zone: zone[:min(len(zone), 48)], Version: version(), Console: c.Console,
-			Settings: hash(common(c.Settings)), Operator: hash([]byte(c.Operator.Common()))},
+		Period: f.Period, Forget: f.Forget, Lease: f.Lease, Seed: c.seed, Facts: membership.Metadata{Zone: zone[:min(len(zone), 48)], Version: version(), Console: c.Console,
+			SettingsHash: hash(common(c.Settings)), OperatorHash: hash([]byte(c.Operator.Common()))},
 		Rules: quota.Rules{Instances: c.brain.Instances, Me: c.brain.Instance, Period: f.Period, LastSends: c.brain.OverloadWindow, Whole: *f.Whole}}, nil
 }
 
@@ -135,8 +135,8 @@
 		return
 	}
 	p.facts.Serving = p.standing()
-	if out := p.excluded(); out != p.facts.Excluded {
-		p.facts.Excluded, p.facts.ExcludedAt = out, uint32(p.loop.Now())
+	if out := p.excluded(); out != p.facts.ExcludedHash {
+		p.facts.ExcludedHash, p.facts.ExcludedAt = out, uint32(p.loop.Now())
 		p.record(auditlog.Entry{What: auditlog.Excluded, Digest: out, Members: len(p.core.Exclusions())})
 	}
 	p.fleet.SetFacts(p.facts)
--- a/internal/dispatcher/server/fleet_figures.go
+++ b/internal/dispatcher/server/fleet_figures.go
@@ -38,13 +38,13 @@
 	gauge("part", "", "Part of its share of cold workers that this one takes; below 1 while others may not count it.", func(f *cluster.Fleet) float64 { return f.Place().Part })
 	gauge("settle_s", "s", "How long the view took to settle the last time.", (*cluster.Fleet).LastSettling)
 	counter("suspicions", "suspicions", "Members that came under suspicion.", func(f *cluster.Fleet) uint64 { return f.Counts().Suspicions })
-	counter("suspicions_refuted", "suspicions", "Suspicions that were taken back.", func(f *cluster.Fleet) uint64 { return f.Counts().Refuted })
-	counter("suspected", "suspicions", "Suspicions of this member that it answered.", func(f *cluster.Fleet) uint64 { return f.Counts().SelfRefuted })
+	counter("suspicions_refuted", "suspicions", "Suspicions that were taken back.", func(f *cluster.Fleet) uint64 { return f.Counts().Refutations })
+	counter("suspected", "suspicions", "Suspicions of this member that it answered.", func(f *cluster.Fleet) uint64 { return f.Counts().SelfRefutations })
 	counter("deaths", "members", "Members found dead.", func(f *cluster.Fleet) uint64 { return f.Counts().Deaths })
 	counter("probes", "questions", "Members asked whether they are there.", func(f *cluster.Fleet) uint64 { return f.Counts().Probes })
-	counter("probes_unanswered", "questions", "Those that ended without an answer.", func(f *cluster.Fleet) uint64 { return f.Counts().Unanswered })
-	counter("slept", "", "Times that this process stood still.", func(f *cluster.Fleet) uint64 { return f.Counts().Slept })
-	counter("name_claims", "", "Times that another process was found under this name.", func(f *cluster.Fleet) uint64 { return f.Counts().Claims })
+	counter("probes_unanswered", "questions", "Those that ended without an answer.", func(f *cluster.Fleet) uint64 { return f.Counts().FailedProbes })
+	counter("slept", "", "Times that this process stood still.", func(f *cluster.Fleet) uint64 { return f.Counts().Pauses })
+	counter("name_claims", "", "Times that another process was found under this name.", func(f *cluster.Fleet) uint64 { return f.Counts().NameClaims })
 	gauge("list_behind", "versions", "Versions that the own list is behind the newest that a member says it has; none compares: 0.", func(*cluster.Fleet) float64 { return float64(p.board.BehindBy()) })
 	gauge("out_of_lease", "", "1 while this member is out of its lease and takes no new work.", func(f *cluster.Fleet) float64 { return oneIf(p.unleased()) })
 	gauge("word_age_s", "s", "Since a word of discovery last confirmed what is known here; -1: never.", func(f *cluster.Fleet) float64 { return f.WordAge() })
@@ -59,7 +59,7 @@
 	for i, name := range cluster.DropNames {
 		counter("dropped_"+name, "datagrams", "Datagrams dropped: "+name+".", func(f *cluster.Fleet) uint64 { return f.Drops[i] })
 	}
-	counter("dropped_repeated", "datagrams", "Datagrams dropped: heard before.", func(f *cluster.Fleet) uint64 { return f.Counts().Repeated })
-	counter("dropped_no_room", "names", "Names not taken in, since 4,096 are known.", func(f *cluster.Fleet) uint64 { return f.Counts().NoRoom })
+	counter("dropped_repeated", "datagrams", "Datagrams dropped: heard before.", func(f *cluster.Fleet) uint64 { return f.Counts().Duplicates })
+	counter("dropped_no_room", "names", "Names not taken in, since 4,096 are known.", func(f *cluster.Fleet) uint64 { return f.Counts().RejectedNames })
 	counter("dropped_stale", "datagrams", "Datagrams dropped: of an earlier life.", func(f *cluster.Fleet) uint64 { return f.Counts().Stale })
 }
--- a/internal/dispatcher/server/fleet_reload.go
+++ b/internal/dispatcher/server/fleet_reload.go
@@ -62,15 +62,15 @@
 		p.joinFleet(o, r.socket, r.book)
 	case p.fleet.Same(o):
 		p.fleet.Change(*o)
-		other := o.Facts.Settings != p.facts.Settings || o.Facts.Operator != p.facts.Operator
-		o.Facts.Excluded, o.Facts.ExcludedAt = p.facts.Excluded, p.facts.ExcludedAt
-		if o.Facts.OperatorAt = uint32(p.loop.Now()); o.Facts.Operator == p.facts.Operator {
+		other := o.Facts.SettingsHash != p.facts.SettingsHash || o.Facts.OperatorHash != p.facts.OperatorHash
+		o.Facts.ExcludedHash, o.Facts.ExcludedAt = p.facts.ExcludedHash, p.facts.ExcludedAt
+		if o.Facts.OperatorAt = uint32(p.loop.Now()); o.Facts.OperatorHash == p.facts.OperatorHash {
 			o.Facts.OperatorAt = p.facts.OperatorAt
 		}
 		p.facts = o.Facts
 		p.keepLedger(r.book, p.config.Operator)
 		if other {
-			p.record(auditlog.Entry{What: auditlog.Settings, Settings: o.Facts.Settings, Operator: o.Facts.Operator})
+			p.record(auditlog.Entry{What: auditlog.Settings, Settings: o.Facts.SettingsHash, Operator: o.Facts.OperatorHash})
 		}
 	default:
 		socket := p.fleet.Release()
--- a/internal/dispatcher/server/fleet_test.go
+++ b/internal/dispatcher/server/fleet_test.go
@@ -429,7 +429,7 @@
 func addrOf(text string) netip.AddrPort { return netip.MustParseAddrPort(text) }
 
 func datagram(t *testing.T, fleet, name string) []byte {
-	b, err := membership.Encode(&membership.Message{Kind: membership.News, Fleet: fleet, N: 1, From: membership.Record{Name: name, Life: 1,
+	b, err := membership.Encode(&membership.Message{Kind: membership.Update, Cluster: fleet, Number: 1, From: membership.Record{Name: name, Generation: 1,
 		Addr: addrOf("127.0.0.1:9")}})
 	if err != nil {
 		t.Fatal(err)
@@ -453,14 +453,14 @@
 	for i := range 150 {
 		var lies []membership.Record
 		for _, m := range r.Members {
-			victim := membership.Record{Name: m.Name, Addr: addrOf(m.Relay.Addr()), Life: lifeOf(m, m.Name), Inc: uint64(i), State: membership.State(1 + i%3), By: "liar"}
+			victim := membership.Record{Name: m.Name, Addr: addrOf(m.Relay.Addr()), Generation: lifeOf(m, m.Name), Incarnation: uint64(i), State: membership.State(1 + i%3), SuspectedBy: "liar"}
 			if i%5 == 4 {
-				victim.Life, victim.Addr, victim.State = life*2, here, membership.Alive
+				victim.Generation, victim.Addr, victim.State = life*2, here, membership.Alive
 			}
 			lies = append(lies, victim)
 		}
-		b, err := membership.Encode(&membership.Message{Kind: membership.News, Fleet: r.Fleet, N: uint64(i + 1), Tell: lies,
-			From: membership.Record{Name: "liar", Life: life, Addr: here}})
+		b, err := membership.Encode(&membership.Message{Kind: membership.Update, Cluster: r.Fleet, Number: uint64(i + 1), Records: lies,
+			From: membership.Record{Name: "liar", Generation: life, Addr: here}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/dispatcher/server/ledger.go
+++ b/internal/dispatcher/server/ledger.go
@@ -58,7 +58,7 @@
 	}
 	p.ledger = b
 	b.After(p.marked)
-	p.record(auditlog.Entry{What: auditlog.Start, Program: version(), Settings: p.facts.Settings, Operator: p.facts.Operator})
+	p.record(auditlog.Entry{What: auditlog.Start, Program: version(), Settings: p.facts.SettingsHash, Operator: p.facts.OperatorHash})
 	if list, has := p.board.List(); has {
 		p.record(listEntry(&versions.Note{Kind: versions.ListTaken, List: list, Cached: true, Facts: p.board.Unready()}))
 	}
--- a/internal/dispatcher/server/program.go
+++ b/internal/dispatcher/server/program.go
@@ -49,9 +49,9 @@
 	door               *admission.Door
 	console            *admin.Console
 	upgrade            *upgrade
-	fleet              *cluster.Fleet   // nil: no member of one
-	facts              membership.Facts // what the fleet is told of this dispatcher
-	woke               float64          // after a sleep, until it has looked again; 0: it has
+	fleet              *cluster.Fleet      // nil: no member of one
+	facts              membership.Metadata // what the fleet is told of this dispatcher
+	woke               float64             // after a sleep, until it has looked again; 0: it has
 	waking             *eventloop.Timer
 	wakeTimedOut       bool            // nobody has spoken for so long after a sleep that new jobs are refused
 	board              *versions.Board // nil while fleet is
--- a/internal/shared/lease/lease.go
+++ b/internal/shared/lease/lease.go
@@ -33,85 +33,87 @@
 }
 
 const (
-	silences  = 3.0  // of a watch of discovery, after which it counts as dead, in a term
-	periods   = 20.0 // and periods of the view: a word passes the fleet in a few, also where much gets lost
-	waits     = 6.0  // periods that one whose lease has lapsed waits: the others' laments have come by then
-	silent    = 6.0  // seconds after which discovery has said something new to whoever hears it
-	witnesses = 2    // members that must have a fresh word: one alone may be wrong
+	silenceMultiple  = 3.0  // of a watch of discovery, after which it counts as dead, in a term
+	probeMultiple    = 20.0 // and periods of the view: a word passes the fleet in a few, also where much gets lost
+	lapsedWaitProbes = 6.0  // periods that one whose lease has lapsed waits: the others' laments have come by then
+	discoverySilence = 6.0  // seconds after which discovery has said something new to whoever hears it
+	minFreshMembers  = 2    // members that must have a fresh word: one alone may be wrong
 )
 
 // Term is how long a lease lasts without a fresh word where nobody says otherwise, in seconds, by the watch's silence and the
 // view's period.
-func Term(silence, period float64) float64 { return math.Max(silences*silence, periods*period) }
+func Term(silence, period float64) float64 {
+	return math.Max(silenceMultiple*silence, probeMultiple*period)
+}
 
-// Least is how short it may be: discovery's pauses must not end it, nor the way of a word through the fleet.
-func Least(silence, period float64) float64 { return math.Max(silence+1, periods*period) }
+// MinTerm is how short it may be: discovery's pauses must not end it, nor the way of a word through the fleet.
+func MinTerm(silence, period float64) float64 { return math.Max(silence+1, probeMultiple*period) }
 
 // Member is another one as this one knows it.
 type Member struct {
-	Name   string
-	Key    uint64
-	Heard  float64 // when it was last heard directly; 0: never
-	Word   float64 // when it last told a new word of discovery that is of the same list as the own; 0: never
-	Direct bool    // that was of its own discovery
-	Ahead  float64 // seconds by which that word is newer than this one's, by the clocks of those that heard them from discovery
-	State  State   // of its lease, as it says
-	Order  bool    // shut out by hand
-	Dead   float64 // since when it is held dead; 0: it is not. It may be cut off, and out for all that is known
+	Name         string
+	Key          uint64
+	LastContact  float64 // when it was last heard directly; 0: never
+	LastUpdate   float64 // when it last told a new word of discovery that is of the same list as the own; 0: never
+	DirectUpdate bool    // that was of its own discovery
+	UpdateLead   float64 // seconds by which that word is newer than this one's, by the clocks of those that heard them from discovery
+	State        State   // of its lease, as it says
+	Excluded     bool    // shut out by hand
+	DeadSince    float64 // since when it is held dead; 0: it is not. It may be cut off, and out for all that is known
 }
 
 // Input is what is known at a time. Times are of the own clock, in seconds.
 type Input struct {
-	Now      float64
-	Me       Member   // Heard says nothing; Word is the last that confirmed all that is known here
-	Director float64  // when the own discovery last spoke; 0: never
-	Others   []Member // all that may be sending
+	Now           float64
+	Self          Member   // Heard says nothing; Word is the last that confirmed all that is known here
+	LastDiscovery float64  // when the own discovery last spoke; 0: never
+	Others        []Member // all that may be sending
 }
 
 // Lease is one member's.
 type Lease struct {
-	Period float64 // of the view, in seconds
-	Term   float64 // seconds
-	Why    string  // of the state, for people
+	ProbeInterval float64 // of the view, in seconds
+	Term          float64 // seconds
+	Reason        string  // of the state, for people
 
-	state  State
-	lapsed float64 // since when
+	state    State
+	lapsedAt float64 // since when
 }
 
 // State is how the member stands.
 func (l *Lease) State() State { return l.state }
 
-// Quota is how many of so many members may be out at once.
-func Quota(members int) int { return members / 3 }
+// MaxOut is how many of so many members may be out at once.
+func MaxOut(members int) int { return members / 3 }
 
-// Judge works the state out.
-func (l *Lease) Judge(in *Input) State {
+// Update works the state out.
+func (l *Lease) Update(in *Input) State {
 	was := l.state
-	l.state, l.Why = l.judge(in)
+	l.state, l.Reason = l.evaluate(in)
 	if l.state == Lapsed && was == Held {
-		l.lapsed = in.Now
+		l.lapsedAt = in.Now
 	}
 	return l.state
 }
 
-func (l *Lease) judge(in *Input) (State, string) {
-	if in.Me.Order {
-		if first(in, func(m *Member) bool { return m.Order || m.State == Out }) {
+func (l *Lease) evaluate(in *Input) (State, string) {
+	if in.Self.Excluded {
+		if withinQuota(in, func(m *Member) bool { return m.Excluded || m.State == Out }) {
 			return Out, "shut out by hand"
 		}
 		return Held, "shut out by hand, but a third of the members are already"
 	}
 	term := l.Term
-	if in.Me.Word == 0 || in.Now <= in.Me.Word+term {
+	if in.Self.LastUpdate == 0 || in.Now <= in.Self.LastUpdate+term {
 		return Held, ""
 	}
 	heard, fresher, contact := 0, 0, 0.0
 	for i := range in.Others {
 		m := &in.Others[i]
-		contact = math.Max(contact, m.Heard)
-		if m.Heard > 0 && in.Now <= m.Heard+term {
+		contact = math.Max(contact, m.LastContact)
+		if m.LastContact > 0 && in.Now <= m.LastContact+term {
 			heard++
-			if m.State == Held && m.Ahead > term/2 {
+			if m.State == Held && m.UpdateLead > term/2 {
 				fresher++
 			}
 		}
@@ -120,30 +122,30 @@
 	case contact == 0:
 		return Held, "nobody was ever heard"
 	case heard == 0:
-		return l.alone(in, contact)
-	case fresher < witnesses:
+		return l.evaluateIsolated(in, contact)
+	case fresher < minFreshMembers:
 		return Held, "nobody has a fresh word"
-	case l.state == Held, in.Now < l.lapsed+waits*l.Period:
+	case l.state == Held, in.Now < l.lapsedAt+lapsedWaitProbes*l.ProbeInterval:
 		return Lapsed, "others have a fresh word"
-	case l.state == Out || first(in, func(m *Member) bool { return m.State != Held || m.Order }):
+	case l.state == Out || withinQuota(in, func(m *Member) bool { return m.State != Held || m.Excluded }):
 		return Out, "others have a fresh word"
 	}
 	return Lapsed, "others have a fresh word, and a third of the members are out"
 }
 
-// alone judges one that hears neither discovery nor anybody.
-func (l *Lease) alone(in *Input, contact float64) (State, string) {
+// evaluateIsolated judges one that hears neither discovery nor anybody.
+func (l *Lease) evaluateIsolated(in *Input, contact float64) (State, string) {
 	// What was known of the others when they were last heard. In a large fleet few are heard within a term: they stand for the rest.
 	asked, without, dead := 0, 0, 0
 	for i := range in.Others {
-		if m := &in.Others[i]; m.Dead > 0 && m.Dead <= contact { // before: else it is this one that was lost
+		if m := &in.Others[i]; m.DeadSince > 0 && m.DeadSince <= contact { // before: else it is this one that was lost
 			dead++
 		}
-		if m := &in.Others[i]; m.Heard > 0 && m.Heard >= contact-l.Term {
-			if m.Dead > 0 && m.Dead <= contact {
+		if m := &in.Others[i]; m.LastContact > 0 && m.LastContact >= contact-l.Term {
+			if m.DeadSince > 0 && m.DeadSince <= contact {
 				continue
 			}
-			if asked++; m.State != Held || m.Order || !m.Direct || m.Heard > m.Word+silent {
+			if asked++; m.State != Held || m.Excluded || !m.DirectUpdate || m.LastContact > m.LastUpdate+discoverySilence {
 				without++
 			}
 		}
@@ -159,41 +161,41 @@
 		return Held, "cut off, and the others had no discovery either"
 	case l.state == Out:
 		return Out, "cut off"
-	case in.Director < contact-2*l.Period && cut+1 <= Quota(n): // it lost discovery first, as the others saw
+	case in.LastDiscovery < contact-2*l.ProbeInterval && cut+1 <= MaxOut(n): // it lost discovery first, as the others saw
 		return Out, "cut off, after discovery was lost while others had it"
-	case lot(in) < Quota(n)-cut:
+	case rank(in) < MaxOut(n)-cut:
 		return Out, "cut off from discovery and all others"
 	}
 	return Held, "cut off, but not among the third that may take it for their own fault"
 }
 
-// lot is this member's place in an order of all that none of them can choose.
-func lot(in *Input) (place int) {
+// rank is this member's place in an order of all that none of them can choose.
+func rank(in *Input) (place int) {
 	for i := range in.Others {
-		if in.Others[i].Key < in.Me.Key {
+		if in.Others[i].Key < in.Self.Key {
 			place++
 		}
 	}
 	return place
 }
 
-// first says whether this member is among those that the quota has room for: those that are out already go before, then by an order
+// withinQuota says whether this member is among those that the quota has room for: those that are out already go before, then by an order
 // that is the same everywhere.
-func first(in *Input, wants func(*Member) bool) bool {
-	all := []Member{in.Me}
+func withinQuota(in *Input, wants func(*Member) bool) bool {
+	all := []Member{in.Self}
 	for i := range in.Others {
-		if in.Others[i].Dead > 0 || wants(&in.Others[i]) {
+		if in.Others[i].DeadSince > 0 || wants(&in.Others[i]) {
 			all = append(all, in.Others[i])
 		}
 	}
 	slices.SortFunc(all, func(x, y Member) int {
-		return cmp.Or(cmp.Compare(out(&y), out(&x)), cmp.Compare(x.Key, y.Key), cmp.Compare(x.Name, y.Name))
+		return cmp.Or(cmp.Compare(outFirst(&y), outFirst(&x)), cmp.Compare(x.Key, y.Key), cmp.Compare(x.Name, y.Name))
 	})
-	return slices.IndexFunc(all, func(m Member) bool { return m.Name == in.Me.Name }) < Quota(1+len(in.Others))
+	return slices.IndexFunc(all, func(m Member) bool { return m.Name == in.Self.Name }) < MaxOut(1+len(in.Others))
 }
 
-func out(m *Member) int {
-	if m.State == Out || m.Dead > 0 {
+func outFirst(m *Member) int {
+	if m.State == Out || m.DeadSince > 0 {
 		return 1
 	}
 	return 0
--- a/internal/shared/membership/export_test.go
+++ b/internal/shared/membership/export_test.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// Sound says what of a machine's books does not add up; empty is nothing.
-func (m *Machine) Sound() string {
+// CheckInvariants says what of a machine's books does not add up; empty is nothing.
+func (m *Node) CheckInvariants() string {
 	alive, suspects, deads := 0, 0, 0
 	var view, names, facts uint64
-	if m.me.State == Alive {
-		view, names, facts = m.me.Record.digest(m.me.key), m.me.key, m.me.factsDigest(m.me.key)
+	if m.self.State == Alive {
+		view, names, facts = m.self.Record.digest(m.self.key), m.self.key, m.self.digestWithMetadata(m.self.key)
 	}
 	for i, o := range m.members {
-		if m.byName[o.Name] != o || i > 0 && m.members[i-1].Name >= o.Name || o.Name == m.me.Name {
+		if m.byName[o.Name] != o || i > 0 && m.members[i-1].Name >= o.Name || o.Name == m.self.Name {
 			return "members are not in order, or not found by their names"
 		}
-		if err := o.Record.check(); err != nil {
+		if err := o.Record.validate(); err != nil {
 			return fmt.Sprintf("%s: %v", o.Name, err)
 		}
 		switch o.State {
@@ -25,7 +25,7 @@
 			deads++
 		}
 		if o.State <= Dead {
-			view, facts = view^o.Record.digest(o.key), facts^o.factsDigest(o.key)
+			view, facts = view^o.Record.digest(o.key), facts^o.digestWithMetadata(o.key)
 		}
 		if o.State < Dead {
 			names ^= o.key
@@ -34,19 +34,19 @@
 	switch {
 	case len(m.byName) != len(m.members):
 		return "names and members differ"
-	case alive != m.alive || suspects != m.suspects || deads != m.deads:
+	case alive != m.alive || suspects != m.suspects || deads != m.dead:
 		return "members by state are counted wrong"
-	case len(m.doubts) != suspects:
-		return fmt.Sprintf("%d are suspect, %d suspicions run", suspects, len(m.doubts))
-	case view != m.view || names != m.names || facts != m.facts:
+	case len(m.suspicions) != suspects:
+		return fmt.Sprintf("%d are suspect, %d suspicions run", suspects, len(m.suspicions))
+	case view != m.viewDigest || names != m.namesDigest || facts != m.metadataDigest:
 		return "digests are not those of the view"
-	case !m.gone && m.me.State != Alive:
+	case !m.left && m.self.State != Alive:
 		return "it takes others' word on itself"
-	case m.health < 0 || m.health >= mostHealth:
+	case m.awareness < 0 || m.awareness >= maxAwareness:
 		return "its own health is beyond its bounds"
 	}
 	return ""
 }
 
 // Seal puts checksum and format before a body.
-func Seal(body []byte) []byte { return seal(append(make([]byte, headBytes), body...)) }
+func Seal(body []byte) []byte { return seal(append(make([]byte, headerSize), body...)) }
--- a/internal/shared/membership/facts_test.go
+++ b/internal/shared/membership/facts_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-func factsMessage(facts Facts) *Message {
-	record := Record{Name: "edge-1", Addr: netip.MustParseAddrPort("10.0.0.1:7661"), Life: 1, FactsOf: &facts}
+func metadataMessage(facts Metadata) *Message {
+	record := Record{Name: "edge-1", Addr: netip.MustParseAddrPort("10.0.0.1:7661"), Generation: 1, Metadata: &facts}
 	from := record
-	from.FactsOf = nil
-	return &Message{Kind: News, Fleet: "fleet", From: from, N: 1, Tell: []Record{record}}
+	from.Metadata = nil
+	return &Message{Kind: Update, Cluster: "fleet", From: from, Number: 1, Records: []Record{record}}
 }
 
-func TestRoleAndFrontTravel(t *testing.T) {
-	facts := Facts{Seq: 2, Zone: "a1", Serving: "serving", Role: "edge", Front: "10.0.0.1:8144"}
-	datagram, err := Encode(factsMessage(facts))
+func TestMetadataEncodeDecode(t *testing.T) {
+	facts := Metadata{Seq: 2, Zone: "a1", Serving: "serving", Role: "edge", Front: "10.0.0.1:8144"}
+	datagram, err := Encode(metadataMessage(facts))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,14 +23,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := *message.Tell[0].FactsOf; got != facts {
+	if got := *message.Records[0].Metadata; got != facts {
 		t.Errorf("facts are %+v, want %+v", got, facts)
 	}
 }
 
-func TestRoleAndFrontAreBounded(t *testing.T) {
-	for _, facts := range []Facts{{Role: strings.Repeat("x", mostRole+1)}, {Front: strings.Repeat("x", mostFront+1)}} {
-		datagram, err := Encode(factsMessage(facts))
+func TestMetadataIsBounded(t *testing.T) {
+	for _, facts := range []Metadata{{Role: strings.Repeat("x", maxRoleLength+1)}, {Front: strings.Repeat("x", maxFrontLength+1)}} {
+		datagram, err := Encode(metadataMessage(facts))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,12 +38,12 @@
 			t.Errorf("%+v is taken", facts)
 		}
 	}
-	longest := Facts{Seq: 1 << 62, Zone: strings.Repeat("x", mostZone), Version: strings.Repeat("x", mostVersion),
-		Serving: strings.Repeat("x", mostServing), Console: strings.Repeat("x", mostConsole), Settings: strings.Repeat("x", mostHash),
-		Operator: strings.Repeat("x", mostHash), Excluded: strings.Repeat("x", mostHash), OperatorAt: 1 << 31, ExcludedAt: 1 << 31,
-		Lease: 1, Role: strings.Repeat("x", mostRole), Front: strings.Repeat("x", mostFront)}
-	message := factsMessage(longest)
-	alone, err := Encode(&Message{Kind: News, Fleet: "fleet", From: message.From, N: 1})
+	longest := Metadata{Seq: 1 << 62, Zone: strings.Repeat("x", maxZoneLength), Version: strings.Repeat("x", maxVersionLength),
+		Serving: strings.Repeat("x", maxServingLength), Console: strings.Repeat("x", maxConsoleLength), SettingsHash: strings.Repeat("x", maxHashLength),
+		OperatorHash: strings.Repeat("x", maxHashLength), ExcludedHash: strings.Repeat("x", maxHashLength), OperatorAt: 1 << 31, ExcludedAt: 1 << 31,
+		Lease: 1, Role: strings.Repeat("x", maxRoleLength), Front: strings.Repeat("x", maxFrontLength)}
+	message := metadataMessage(longest)
+	alone, err := Encode(&Message{Kind: Update, Cluster: "fleet", From: message.From, Number: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,44 +51,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if took, room := len(with)-len(alone), message.Tell[0].room(); took > room {
+	if took, room := len(with)-len(alone), message.Records[0].maxEncodedSize(); took > room {
 		t.Errorf("a record takes %d bytes, %d are reckoned", took, room)
 	}
 }
 
-func TestStepsSetThePace(t *testing.T) {
+func TestTicksPerProbe(t *testing.T) {
 	for steps, want := range map[int]float64{0: 0.2, 2: 0.5, 10: 0.1} {
-		m := New(Options{Fleet: "fleet", Name: "one", Addr: netip.MustParseAddrPort("10.0.0.1:1"), Period: 1, Steps: steps, Life: 1})
+		m := New(Options{Cluster: "fleet", Name: "one", Addr: netip.MustParseAddrPort("10.0.0.1:1"), ProbeInterval: 1, TicksPerProbe: steps, Generation: 1})
 		m.Start(10)
-		at := m.Next()
+		at := m.NextTick()
 		m.Tick(at)
-		if got := m.Next() - at; got < want-1e-9 || got > want+1e-9 {
+		if got := m.NextTick() - at; got < want-1e-9 || got > want+1e-9 {
 			t.Errorf("with %d steps in a period of 1 s the next look is after %v s, want %v", steps, got, want)
 		}
 	}
 }
 
-func TestAnnounceGoesToThoseMeant(t *testing.T) {
-	m := New(Options{Fleet: "fleet", Name: "one", Addr: netip.MustParseAddrPort("10.0.0.1:1"), Period: 1, Life: 1})
+func TestAnnounce(t *testing.T) {
+	m := New(Options{Cluster: "fleet", Name: "one", Addr: netip.MustParseAddrPort("10.0.0.1:1"), ProbeInterval: 1, Generation: 1})
 	m.Start(10)
 	for i, role := range []string{"control", "edge", "control"} {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(i)}), 1)
-		record := Record{Name: address.String(), Addr: address, Life: 1, FactsOf: &Facts{Seq: 1, Role: role}}
+		record := Record{Name: address.String(), Addr: address, Generation: 1, Metadata: &Metadata{Seq: 1, Role: role}}
 		from := record
-		from.FactsOf = nil
-		m.Receive(10, &Message{Kind: News, Fleet: "fleet", From: from, N: 1, Tell: []Record{record}})
+		from.Metadata = nil
+		m.HandleMessage(10, &Message{Kind: Update, Cluster: "fleet", From: from, Number: 1, Records: []Record{record}})
 	}
-	m.Out()
-	before := m.FactsDigest()
-	m.SetFacts(11, Facts{Serving: "stopping"})
-	if m.FactsDigest() == before {
+	m.TakePackets()
+	before := m.MetadataDigest()
+	m.SetMetadata(11, Metadata{Serving: "stopping"})
+	if m.MetadataDigest() == before {
 		t.Error("other facts have the same digest")
 	}
-	m.Announce(11, func(r *Record) bool { return r.FactsOf != nil && r.FactsOf.Role == "control" })
+	m.Announce(11, func(r *Record) bool { return r.Metadata != nil && r.Metadata.Role == "control" })
 	told := map[netip.Addr]bool{}
-	for _, packet := range m.Out() {
-		for i := range packet.Msg.Tell {
-			if facts := packet.Msg.Tell[i].FactsOf; facts != nil && facts.Serving == "stopping" {
+	for _, packet := range m.TakePackets() {
+		for i := range packet.Message.Records {
+			if facts := packet.Message.Records[i].Metadata; facts != nil && facts.Serving == "stopping" {
 				told[packet.To.Addr()] = true
 			}
 		}
--- a/internal/shared/membership/judge.go
+++ b/internal/shared/membership/judge.go
@@ -10,337 +10,337 @@
 
 // This file is how members are asked, doubted and given up.
 
-// factor is what the own health stretches times by: one that is slow itself does not blame others for it.
-func (m *Machine) factor() float64 {
-	if m.Plain {
+// timeoutFactor is what the own health stretches times by: one that is slow itself does not blame others for it.
+func (m *Node) timeoutFactor() float64 {
+	if m.PlainSWIM {
 		return 1
 	}
-	return float64(1 + m.health)
+	return float64(1 + m.awareness)
 }
 
-func (m *Machine) healthier(by int) { m.health = min(max(m.health+by, 0), mostHealth-1) }
+func (m *Node) adjustAwareness(by int) { m.awareness = min(max(m.awareness+by, 0), maxAwareness-1) }
 
-// stepProbe moves the question at hand on, and puts the next one once its time is over.
-func (m *Machine) stepProbe() {
+// advanceProbe moves the question at hand on, and puts the next one once its time is over.
+func (m *Node) advanceProbe() {
 	p := &m.probe
-	if o := m.byName[p.name]; o != nil && p.asked && !p.acked && !m.Plain && m.now >= p.again {
-		p.again = m.now + askAgain*m.Period*m.factor()
-		m.ping(o, p.seq) // a datagram or its answer may be lost, and a suspicion costs everybody more than this
+	if o := m.byName[p.name]; o != nil && p.indirect && !p.acked && !m.PlainSWIM && m.now >= p.retryAt {
+		p.retryAt = m.now + probeRetryInterval*m.ProbeInterval*m.timeoutFactor()
+		m.sendPing(o, p.seq) // a datagram or its answer may be lost, and a suspicion costs everybody more than this
 	}
-	if p.name != "" && !p.acked && !p.asked && m.now >= p.at+askAfter*m.Period*m.factor() {
-		p.asked = true
+	if p.name != "" && !p.acked && !p.indirect && m.now >= p.sentAt+indirectProbeDelay*m.ProbeInterval*m.timeoutFactor() {
+		p.indirect = true
 		if o := m.byName[p.name]; o != nil {
-			others := slices.DeleteFunc(m.some(askOthers, p.name), func(o *member) bool { return o.Shut() })
-			p.owed = len(others)
+			others := slices.DeleteFunc(m.randomMembers(indirectProbeCount, p.name), func(o *member) bool { return o.OutOfService() })
+			p.expectedNacks = len(others)
 			for _, via := range others {
-				about := o.told(m.now)
-				about.FactsOf = nil
-				m.send(via.Addr, &Message{Kind: PingReq, Seq: p.seq, About: &about})
+				about := o.outgoingRecord(m.now)
+				about.Metadata = nil
+				m.send(via.Addr, &Message{Kind: IndirectPing, Seq: p.seq, Subject: &about})
 			}
 		}
-		p.again = m.now
+		p.retryAt = m.now
 	}
-	if m.now < p.ends {
+	if m.now < p.deadline {
 		return
 	}
 	if o := m.byName[p.name]; o != nil && p.name != "" && !p.acked && o.State <= Suspect {
-		m.Unanswered++
+		m.FailedProbes++
 		// who was asked in our place and says nothing is heard as little as the one in doubt: that may be us
-		m.healthier(1 + max(0, p.owed-p.nacks))
-		m.learn(m.doubt(o), "") // or one more witness of a suspicion that there is
+		m.adjustAwareness(1 + max(0, p.expectedNacks-p.nacks))
+		m.merge(m.suspectRecord(o), "") // or one more witness of a suspicion that there is
 	} else if p.name != "" && p.acked {
-		m.healthier(-1)
+		m.adjustAwareness(-1)
 	}
-	m.nextProbe()
+	m.startProbe()
 }
 
-// doubt is the record that says that a member did not answer us.
-func (m *Machine) doubt(o *member) Record {
+// suspectRecord is the record that says that a member did not answer us.
+func (m *Node) suspectRecord(o *member) Record {
 	r := o.Record
-	r.State, r.By = Suspect, m.me.Name
+	r.State, r.SuspectedBy = Suspect, m.self.Name
 	return r
 }
 
-// nextProbe asks the next member, in a shuffled order in which each has its turn once.
-func (m *Machine) nextProbe() {
-	m.probe = probe{ends: m.now + m.Period}
+// startProbe asks the next member, in a shuffled order in which each has its turn once.
+func (m *Node) startProbe() {
+	m.probe = probe{deadline: m.now + m.ProbeInterval}
 	for tries := 0; tries <= len(m.members); tries++ {
-		if len(m.order) == 0 {
+		if len(m.probeOrder) == 0 {
 			for _, o := range m.members {
-				m.order = append(m.order, o.Name)
+				m.probeOrder = append(m.probeOrder, o.Name)
 			}
-			m.rng.Shuffle(len(m.order), func(i, j int) { m.order[i], m.order[j] = m.order[j], m.order[i] })
+			m.rng.Shuffle(len(m.probeOrder), func(i, j int) { m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i] })
 		}
-		if len(m.order) == 0 {
+		if len(m.probeOrder) == 0 {
 			return
 		}
-		o := m.byName[m.order[len(m.order)-1]]
-		m.order = m.order[:len(m.order)-1]
+		o := m.byName[m.probeOrder[len(m.probeOrder)-1]]
+		m.probeOrder = m.probeOrder[:len(m.probeOrder)-1]
 		if o == nil || o.State > Suspect {
 			continue
 		}
-		m.seq++
+		m.probeSeq++
 		m.Probes++
-		m.probe = probe{name: o.Name, seq: m.seq, at: m.now, ends: m.now + m.Period*m.factor()}
-		m.ping(o, m.seq)
+		m.probe = probe{name: o.Name, seq: m.probeSeq, sentAt: m.now, deadline: m.now + m.ProbeInterval*m.timeoutFactor()}
+		m.sendPing(o, m.probeSeq)
 		return
 	}
 }
 
-func (m *Machine) ping(o *member, seq uint64) {
-	about := o.told(m.now)
-	about.FactsOf = nil
-	if m.Plain {
-		about.State, about.By = Alive, ""
+func (m *Node) sendPing(o *member, seq uint64) {
+	about := o.outgoingRecord(m.now)
+	about.Metadata = nil
+	if m.PlainSWIM {
+		about.State, about.SuspectedBy = Alive, ""
 	}
-	m.send(o.Addr, &Message{Kind: Ping, Seq: seq, About: &about})
+	m.send(o.Addr, &Message{Kind: Ping, Seq: seq, Subject: &about})
 }
 
-// acked takes an answer: to our question, or to one that we put in another one's place.
-func (m *Machine) acked(msg *Message) {
-	if msg.Seq == m.probe.seq && msg.About.Name == m.probe.name {
+// handleAck takes an answer: to our question, or to one that we put in another one's place.
+func (m *Node) handleAck(msg *Message) {
+	if msg.Seq == m.probe.seq && msg.Subject.Name == m.probe.name {
 		m.probe.acked = true
 	}
-	for i := range m.relays {
-		if r := &m.relays[i]; r.seq == msg.Seq && r.about.Name == msg.About.Name {
-			m.send(r.to, &Message{Kind: Ack, Seq: r.theirs, About: msg.About})
-			m.relays = slices.Delete(m.relays, i, i+1)
+	for i := range m.indirectProbes {
+		if r := &m.indirectProbes[i]; r.seq == msg.Seq && r.target.Name == msg.Subject.Name {
+			m.send(r.requester, &Message{Kind: Ack, Seq: r.requesterSeq, Subject: msg.Subject})
+			m.indirectProbes = slices.Delete(m.indirectProbes, i, i+1)
 			break
 		}
 	}
-	m.learn(*msg.About, msg.From.Name)
-	if m.claim.seq != 0 && msg.Seq == m.claim.seq {
-		m.claimed(msg.About, msg)
+	m.merge(*msg.Subject, msg.From.Name)
+	if m.nameClaim.seq != 0 && msg.Seq == m.nameClaim.seq {
+		m.handleNameClaim(msg.Subject, msg)
 	}
 }
 
-// relayed says no where one that was asked in another one's place does not answer.
-func (m *Machine) relayed() {
-	for i := range m.relays {
-		if r := &m.relays[i]; !r.nacked && m.now >= r.at+nackAfter*m.Period {
+// expireIndirectProbes says no where one that was asked in another one's place does not answer.
+func (m *Node) expireIndirectProbes() {
+	for i := range m.indirectProbes {
+		if r := &m.indirectProbes[i]; !r.nacked && m.now >= r.sentAt+nackDelay*m.ProbeInterval {
 			r.nacked = true
-			if !m.Plain {
-				about := r.about // the slice moves, and a message must not change once it is given out
-				m.send(r.to, &Message{Kind: Nack, Seq: r.theirs, About: &about})
+			if !m.PlainSWIM {
+				about := r.target // the slice moves, and a message must not change once it is given out
+				m.send(r.requester, &Message{Kind: Nack, Seq: r.requesterSeq, Subject: &about})
 			}
 		}
 	}
-	m.relays = slices.DeleteFunc(m.relays, func(r relay) bool { return m.now >= r.at+2*m.Period })
+	m.indirectProbes = slices.DeleteFunc(m.indirectProbes, func(r indirectProbe) bool { return m.now >= r.sentAt+2*m.ProbeInterval })
 }
 
-// learn takes what is told of a member; by is who tells it, empty for ourselves. What is known comes back where it is
+// merge takes what is told of a member; by is who tells it, empty for ourselves. What is known comes back where it is
 // newer than what was told.
-func (m *Machine) learn(r Record, by string) *Record {
-	if r.Name == m.me.Name {
-		m.aboutMe(&r)
+func (m *Node) merge(r Record, by string) *Record {
+	if r.Name == m.self.Name {
+		m.mergeSelf(&r)
 		return nil
 	}
 	o := m.byName[r.Name]
 	if o == nil {
 		// of one that left, or was given up long ago, nothing is to be known
-		if r.State == Left || r.State == Dead && float64(r.Ago) >= 0.9*m.Forget || m.Plain && r.State == Dead {
+		if r.State == Left || r.State == Dead && float64(r.DeadFor) >= 0.9*m.DeadTTL || m.PlainSWIM && r.State == Dead {
 			return nil
 		}
-		if len(m.members) >= mostMembers {
-			m.NoRoom++
+		if len(m.members) >= maxMembers {
+			m.RejectedNames++
 			return nil
 		}
-		o = m.insert(r)
-		m.enter(o, r, "told by "+by, true)
+		o = m.addMember(r)
+		m.setRecord(o, r, "told by "+by, true)
 		return nil
 	}
 	c := r.compare(&o.Record)
-	if f := r.FactsOf; f != nil && r.Life == o.Life && (o.FactsOf == nil || f.Seq > o.FactsOf.Seq) {
-		m.count(o, -1)
-		o.FactsOf = f
-		m.count(o, 1)
+	if f := r.Metadata; f != nil && r.Generation == o.Generation && (o.Metadata == nil || f.Seq > o.Metadata.Seq) {
+		m.countMember(o, -1)
+		o.Metadata = f
+		m.countMember(o, 1)
 		if r.State < Dead {
-			m.tell(o.Name)
+			m.queueBroadcast(o.Name)
 		}
 	}
 	switch {
 	case c > 0:
 		cause := "told by " + by
 		if by == "" {
-			cause = fmt.Sprintf("no answer to question %d (asked by %d others: %d no answer either)", m.probe.seq, m.probe.owed, m.probe.nacks)
+			cause = fmt.Sprintf("no answer to question %d (asked by %d others: %d no answer either)", m.probe.seq, m.probe.expectedNacks, m.probe.nacks)
 		} else if by == r.Name {
 			cause = "its own word"
 		}
-		m.adopt(o, r, cause)
+		m.replaceRecord(o, r, cause)
 	case c == 0 && r.State == Suspect:
-		m.confirm(o, r.By)
+		m.confirmSuspicion(o, r.SuspectedBy)
 	case c < 0:
-		known := o.told(m.now)
+		known := o.outgoingRecord(m.now)
 		return &known
 	}
 	return nil
 }
 
-// adopt has a member be what is newer.
-func (m *Machine) adopt(o *member, r Record, cause string) {
-	m.count(o, -1)
-	if r.FactsOf == nil && r.Life == o.Life {
-		r.FactsOf = o.FactsOf
+// replaceRecord has a member be what is newer.
+func (m *Node) replaceRecord(o *member, r Record, cause string) {
+	m.countMember(o, -1)
+	if r.Metadata == nil && r.Generation == o.Generation {
+		r.Metadata = o.Metadata
 	}
-	if r.Life != o.Life {
-		o.window = window{}
+	if r.Generation != o.Generation {
+		o.replay = replayWindow{}
 	}
-	m.enter(o, r, cause, false)
+	m.setRecord(o, r, cause, false)
 }
 
-// enter books a record that is new.
-func (m *Machine) enter(o *member, r Record, cause string, unknown bool) {
+// setRecord books a record that is new.
+func (m *Node) setRecord(o *member, r Record, cause string, unknown bool) {
 	was := o.State
 	if was == Suspect && r.State == Alive {
-		m.Refuted++
+		m.Refutations++
 	}
 	if was == Suspect && r.State != Suspect {
-		m.doubts = slices.DeleteFunc(m.doubts, func(d *member) bool { return d == o })
+		m.suspicions = slices.DeleteFunc(m.suspicions, func(d *member) bool { return d == o })
 	}
 	o.Record = r
-	o.Ago = 0
+	o.DeadFor = 0
 	if was != r.State || unknown {
 		// Others' word on how long ago is for forgetting alone: a lease runs from when we know it.
-		o.since, o.endedAt = m.now, m.now-float64(r.Ago)
-		m.changes = append(m.changes, Change{Name: o.Name, From: was, To: r.State, New: unknown, Inc: r.Inc, Cause: cause})
+		o.stateSince, o.deadSince = m.now, m.now-float64(r.DeadFor)
+		m.changes = append(m.changes, Change{Name: o.Name, From: was, To: r.State, New: unknown, Incarnation: r.Incarnation, Cause: cause})
 	}
 	if r.State == Suspect {
 		if was != Suspect || unknown {
 			m.Suspicions++
-			m.doubts = append(m.doubts, o)
-			o.suspected = m.now
+			m.suspicions = append(m.suspicions, o)
+			o.suspectedAt = m.now
 		}
-		o.witnesses = append(o.witnesses[:0], r.By)
-		o.ends = o.suspected + m.patience(0)
+		o.suspectedBy = append(o.suspectedBy[:0], r.SuspectedBy)
+		o.suspicionDeadline = o.suspectedAt + m.suspicionTimeout(0)
 	}
 	if r.State == Dead && was != Dead {
 		m.Deaths++
 	}
-	m.count(o, 1)
-	m.tell(o.Name)
+	m.countMember(o, 1)
+	m.queueBroadcast(o.Name)
 }
 
-func (m *Machine) insert(r Record) *member {
-	o := &member{key: Key(r.Name), changed: m.now}
-	i, _ := m.find(r.Name)
+func (m *Node) addMember(r Record) *member {
+	o := &member{key: Key(r.Name), lastReconnect: m.now}
+	i, _ := m.searchMember(r.Name)
 	m.members = slices.Insert(m.members, i, o)
 	m.byName[r.Name] = o
 	// its first turn comes at a random place of the round under way, as in SWIM
-	at := m.rng.IntN(len(m.order) + 1)
-	m.order = slices.Insert(m.order, at, r.Name)
+	at := m.rng.IntN(len(m.probeOrder) + 1)
+	m.probeOrder = slices.Insert(m.probeOrder, at, r.Name)
 	return o
 }
 
-// logOf is a decimal logarithm of the members, 1 at least.
-func logOf(n int) float64 { return math.Max(1, math.Log10(float64(n+1))) }
+// logScale is a decimal logarithm of the members, 1 at least.
+func logScale(n int) float64 { return math.Max(1, math.Log10(float64(n+1))) }
 
-func spreadTimes(times float64, others int) int { return int(math.Ceil(times * logOf(others))) }
+func retransmitLimit(times float64, others int) int { return int(math.Ceil(times * logScale(others))) }
 
-// patience is how long a suspicion lasts that so many others confirm (Lifeguard, section IV.B).
-func (m *Machine) patience(confirmed int) float64 {
-	least := suspectLeast * logOf(len(m.members)) * m.Period
-	wanted := min(confirms, len(m.members)-2) // a third one must exist to confirm anything
-	if m.Plain || wanted < 1 {
+// suspicionTimeout is how long a suspicion lasts that so many others confirm (Lifeguard, section IV.B).
+func (m *Node) suspicionTimeout(confirmed int) float64 {
+	least := suspicionMult * logScale(len(m.members)) * m.ProbeInterval
+	wanted := min(suspicionConfirmations, len(m.members)-2) // a third one must exist to confirm anything
+	if m.PlainSWIM || wanted < 1 {
 		return least
 	}
-	most := suspectMost * least
+	most := suspicionMaxMult * least
 	return math.Max(least, most-(most-least)*math.Log(float64(confirmed+1))/math.Log(float64(wanted+1)))
 }
 
-// LongestSuspicion is how long a suspicion lasts at most, in a fleet of so many, in seconds.
-func LongestSuspicion(members int, period float64) float64 {
-	return suspectMost * suspectLeast * logOf(members) * period
+// MaxSuspicionTimeout is how long a suspicion lasts at most, in a fleet of so many, in seconds.
+func MaxSuspicionTimeout(members int, period float64) float64 {
+	return suspicionMaxMult * suspicionMult * logScale(members) * period
 }
 
-// confirm takes another witness.
-func (m *Machine) confirm(o *member, by string) {
-	if m.Plain || by == "" || slices.Contains(o.witnesses, by) || len(o.witnesses) > confirms {
+// confirmSuspicion takes another witness.
+func (m *Node) confirmSuspicion(o *member, by string) {
+	if m.PlainSWIM || by == "" || slices.Contains(o.suspectedBy, by) || len(o.suspectedBy) > suspicionConfirmations {
 		return
 	}
-	o.witnesses = append(o.witnesses, by)
-	o.By = by
-	o.ends = o.suspected + m.patience(len(o.witnesses)-1)
-	m.tell(o.Name)
+	o.suspectedBy = append(o.suspectedBy, by)
+	o.SuspectedBy = by
+	o.suspicionDeadline = o.suspectedAt + m.suspicionTimeout(len(o.suspectedBy)-1)
+	m.queueBroadcast(o.Name)
 }
 
-// judge gives up those whose suspicion is over.
-func (m *Machine) judge() {
-	for i := len(m.doubts) - 1; i >= 0; i-- {
-		o := m.doubts[i]
-		if m.now < o.ends {
+// expireSuspicions gives up those whose suspicion is over.
+func (m *Node) expireSuspicions() {
+	for i := len(m.suspicions) - 1; i >= 0; i-- {
+		o := m.suspicions[i]
+		if m.now < o.suspicionDeadline {
 			continue
 		}
 		r := o.Record
 		r.State = Dead
-		m.adopt(o, r, fmt.Sprintf("suspected for %.2f s, witnesses %s", m.now-o.suspected, strings.Join(o.witnesses, ", ")))
+		m.replaceRecord(o, r, fmt.Sprintf("suspected for %.2f s, witnesses %s", m.now-o.suspectedAt, strings.Join(o.suspectedBy, ", ")))
 	}
 }
 
-// aboutMe takes what is told of ourselves.
-func (m *Machine) aboutMe(r *Record) {
+// mergeSelf takes what is told of ourselves.
+func (m *Node) mergeSelf(r *Record) {
 	switch {
-	case r.Life > m.me.Life:
-		m.claimed(r, nil)
-	case r.Life < m.me.Life:
-		m.tell(m.me.Name)
-	case r.Inc > m.me.Inc || r.Inc == m.me.Inc && r.State != Alive:
-		if r.Inc+1 >= mostInc {
+	case r.Generation > m.self.Generation:
+		m.handleNameClaim(r, nil)
+	case r.Generation < m.self.Generation:
+		m.queueBroadcast(m.self.Name)
+	case r.Incarnation > m.self.Incarnation || r.Incarnation == m.self.Incarnation && r.State != Alive:
+		if r.Incarnation+1 >= maxIncarnation {
 			return
 		}
-		m.digestSelf()
-		m.me.Inc = r.Inc + 1
-		m.digestSelf()
+		m.toggleSelfDigest()
+		m.self.Incarnation = r.Incarnation + 1
+		m.toggleSelfDigest()
 		if r.State >= Dead { // those who held us so may have divided our share among themselves
-			m.uncount()
+			m.resetRecognition()
 		}
 		if r.State != Alive {
-			m.SelfRefuted++
-			if !m.Plain {
-				m.healthier(1)
+			m.SelfRefutations++
+			if !m.PlainSWIM {
+				m.adjustAwareness(1)
 			}
 		}
-		m.tell(m.me.Name)
+		m.queueBroadcast(m.self.Name)
 	}
 }
 
-// askSeeds asks those seeds that no living member is known to stand at.
-func (m *Machine) askSeeds() {
-	m.seedsAt = m.now + reaskDead*m.Period*(0.75+0.5*m.rng.Float64())
+// pingSeeds asks those seeds that no living member is known to stand at.
+func (m *Node) pingSeeds() {
+	m.nextReconnect = m.now + reconnectInterval*m.ProbeInterval*(0.75+0.5*m.rng.Float64())
 	if len(m.members) == 0 {
-		m.seedsAt = m.now + m.Period*(0.75+0.5*m.rng.Float64())
+		m.nextReconnect = m.now + m.ProbeInterval*(0.75+0.5*m.rng.Float64())
 	}
 	for _, seed := range m.Seeds {
-		if seed != m.me.Addr && !slices.ContainsFunc(m.members, func(o *member) bool { return o.Addr == seed && o.State == Alive }) {
-			m.seq++
-			m.send(seed, &Message{Kind: Ping, Seq: m.seq})
+		if seed != m.self.Addr && !slices.ContainsFunc(m.members, func(o *member) bool { return o.Addr == seed && o.State == Alive }) {
+			m.probeSeq++
+			m.send(seed, &Message{Kind: Ping, Seq: m.probeSeq})
 		}
 	}
 }
 
-// askDead asks the one that is dead and was asked longest ago, so that halves of a fleet find each other again.
-func (m *Machine) askDead() {
-	if m.deads == 0 || m.Plain {
+// pingDead asks the one that is dead and was asked longest ago, so that halves of a fleet find each other again.
+func (m *Node) pingDead() {
+	if m.dead == 0 || m.PlainSWIM {
 		return
 	}
 	var next *member
 	for _, o := range m.members {
-		if o.State == Dead && (next == nil || o.changed < next.changed) {
+		if o.State == Dead && (next == nil || o.lastReconnect < next.lastReconnect) {
 			next = o
 		}
 	}
 	if next != nil {
-		next.changed = m.now
-		m.seq++
-		m.ping(next, m.seq)
+		next.lastReconnect = m.now
+		m.probeSeq++
+		m.sendPing(next, m.probeSeq)
 	}
 }
 
-// forget drops those that are dead or have left for long.
-func (m *Machine) forget() {
+// removeExpired drops those that are dead or have left for long.
+func (m *Node) removeExpired() {
 	m.members = slices.DeleteFunc(m.members, func(o *member) bool {
-		old := o.State >= Dead && m.now-o.endedAt > m.Forget
+		old := o.State >= Dead && m.now-o.deadSince > m.DeadTTL
 		if old {
-			m.count(o, -1)
+			m.countMember(o, -1)
 			delete(m.byName, o.Name)
 		}
 		return old
@@ -349,102 +349,102 @@
 
 // ---- two processes under one name ----
 
-// claim is a process that says it has the own name and began later.
-type claim struct {
-	life  uint64
-	addr  netip.AddrPort
-	seq   uint64
-	tries int
-	at    float64
+// nameClaim is a process that says it has the own name and began later.
+type nameClaim struct {
+	generation uint64
+	addr       netip.AddrPort
+	seq        uint64
+	attempts   int
+	retryAt    float64
 }
 
-// claimed takes word of a process with the own name; msg is that process's own message, or nil where others tell of it.
-func (m *Machine) claimed(r *Record, msg *Message) {
-	if r.Life < m.me.Life {
+// handleNameClaim takes word of a process with the own name; msg is that process's own message, or nil where others tell of it.
+func (m *Node) handleNameClaim(r *Record, msg *Message) {
+	if r.Generation < m.self.Generation {
 		if msg != nil { // it does not know yet, or asks whether we are here
-			self := m.bare()
-			m.send(r.Addr, &Message{Kind: Ack, Seq: msg.Seq, About: &self})
-			m.Claims++
+			self := m.selfRecord()
+			m.send(r.Addr, &Message{Kind: Ack, Seq: msg.Seq, Subject: &self})
+			m.NameClaims++
 		}
 		return
 	}
-	if r.Life == m.me.Life {
+	if r.Generation == m.self.Generation {
 		return
 	}
-	if r.State >= Dead || r.Addr == m.me.Addr { // its clock was ahead, and it has gone: nobody but us can stand here
-		m.outlive(r.Life)
+	if r.State >= Dead || r.Addr == m.self.Addr { // its clock was ahead, and it has gone: nobody but us can stand here
+		m.advanceGeneration(r.Generation)
 		return
 	}
-	if msg != nil && msg.Kind == Ack && m.claim.seq != 0 && msg.Seq == m.claim.seq { // it has answered us
+	if msg != nil && msg.Kind == Ack && m.nameClaim.seq != 0 && msg.Seq == m.nameClaim.seq { // it has answered us
 		m.withdraw(r)
 		return
 	}
-	if m.claim.life >= r.Life || m.withdrawn {
+	if m.nameClaim.generation >= r.Generation || m.withdrawn {
 		return
 	}
-	m.Claims++
-	m.claim = claim{life: r.Life, addr: r.Addr, at: m.now}
-	m.pressClaim()
+	m.NameClaims++
+	m.nameClaim = nameClaim{generation: r.Generation, addr: r.Addr, retryAt: m.now}
+	m.probeNameClaim()
 }
 
-// pressClaim asks the one that claims the name: a word may be a lie, or of a clock that was wrong, and is cheap; an answer from
+// probeNameClaim asks the one that claims the name: a word may be a lie, or of a clock that was wrong, and is cheap; an answer from
 // its address is not.
-func (m *Machine) pressClaim() {
-	c := &m.claim
-	if c.life == 0 || m.now < c.at {
+func (m *Node) probeNameClaim() {
+	c := &m.nameClaim
+	if c.generation == 0 || m.now < c.retryAt {
 		return
 	}
-	if c.tries == claimTries {
-		m.outlive(c.life)
+	if c.attempts == nameClaimAttempts {
+		m.advanceGeneration(c.generation)
 		return
 	}
-	m.seq++
+	m.probeSeq++
 	if c.seq == 0 {
-		c.seq = m.seq
+		c.seq = m.probeSeq
 	}
-	c.tries++
-	c.at = m.now + m.Period
+	c.attempts++
+	c.retryAt = m.now + m.ProbeInterval
 	m.send(c.addr, &Message{Kind: Ping, Seq: c.seq})
 }
 
-// outlive takes a life later than that of a process which has gone, or never was.
-func (m *Machine) outlive(life uint64) {
-	m.claim = claim{}
-	if life+1 == 0 || m.withdrawn {
+// advanceGeneration takes a life later than that of a process which has gone, or never was.
+func (m *Node) advanceGeneration(generation uint64) {
+	m.nameClaim = nameClaim{}
+	if generation+1 == 0 || m.withdrawn {
 		return
 	}
-	m.digestSelf()
-	m.me.Life, m.me.Inc = life+1, 0
-	m.Life = m.me.Life
-	m.digestSelf()
-	m.changes = append(m.changes, Change{Name: m.me.Name, Cause: "a later start under this name is known, and nobody stands there: begun anew after it"})
-	m.tell(m.me.Name)
+	m.toggleSelfDigest()
+	m.self.Generation, m.self.Incarnation = generation+1, 0
+	m.Generation = m.self.Generation
+	m.toggleSelfDigest()
+	m.changes = append(m.changes, Change{Name: m.self.Name, Cause: "a later start under this name is known, and nobody stands there: begun anew after it"})
+	m.queueBroadcast(m.self.Name)
 }
 
 // withdraw leaves the name to the process that began later.
-func (m *Machine) withdraw(r *Record) {
+func (m *Node) withdraw(r *Record) {
 	if m.withdrawn {
 		return
 	}
-	m.withdrawn, m.counted = true, false
+	m.withdrawn, m.recognized = true, false
 	m.Withdrawals++
-	m.claim = claim{life: r.Life, addr: r.Addr}
-	m.regainAt = m.now + regainAfter*m.Period
-	m.changes = append(m.changes, Change{Name: m.me.Name, To: Left,
+	m.nameClaim = nameClaim{generation: r.Generation, addr: r.Addr}
+	m.nameReclaimAt = m.now + nameReclaimInterval*m.ProbeInterval
+	m.changes = append(m.changes, Change{Name: m.self.Name, To: Left,
 		Cause: fmt.Sprintf("another process has this name, at %s, and began later: this one takes no part until it has gone", r.Addr)})
 }
 
-// regain looks whether the name is free again: the other one is asked, and if it does not answer, outlived.
-func (m *Machine) regain() {
-	if m.now < m.regainAt {
+// reclaimName looks whether the name is free again: the other one is asked, and if it does not answer, outlived.
+func (m *Node) reclaimName() {
+	if m.now < m.nameReclaimAt {
 		return
 	}
-	m.regainAt = m.now + regainAfter*m.Period
+	m.nameReclaimAt = m.now + nameReclaimInterval*m.ProbeInterval
 	m.withdrawn = false
-	m.me.State = Alive
-	m.claim = claim{life: m.claim.life, addr: m.claim.addr, at: m.now}
-	m.pressClaim()
+	m.self.State = Alive
+	m.nameClaim = nameClaim{generation: m.nameClaim.generation, addr: m.nameClaim.addr, retryAt: m.now}
+	m.probeNameClaim()
 }
 
 // Withdrawn says whether another process has the name.
-func (m *Machine) Withdrawn() bool { return m.withdrawn }
+func (m *Node) Withdrawn() bool { return m.withdrawn }
--- a/internal/shared/membership/machine_test.go
+++ b/internal/shared/membership/machine_test.go
@@ -17,16 +17,16 @@
 )
 
 var (
-	someNames = []string{"a", "b", "c", "d", "me"}
-	someAddrs = []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")}
+	testNames = []string{"a", "b", "c", "d", "me"}
+	testAddrs = []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")}
 )
 
-func record(t *rapid.T, label string) membership.Record {
-	r := membership.Record{Name: rapid.SampledFrom(someNames).Draw(t, label+" name"), Addr: rapid.SampledFrom(someAddrs).Draw(t, label+" addr"),
-		Life: rapid.Uint64Range(1, 5).Draw(t, label+" life"), Inc: rapid.SampledFrom([]uint64{0, 1, 2, 3, 1<<48 - 1}).Draw(t, label+" inc"),
-		State: membership.State(rapid.IntRange(0, 3).Draw(t, label+" state")), By: rapid.SampledFrom(someNames).Draw(t, label+" by")}
+func drawRecord(t *rapid.T, label string) membership.Record {
+	r := membership.Record{Name: rapid.SampledFrom(testNames).Draw(t, label+" name"), Addr: rapid.SampledFrom(testAddrs).Draw(t, label+" addr"),
+		Generation: rapid.Uint64Range(1, 5).Draw(t, label+" life"), Incarnation: rapid.SampledFrom([]uint64{0, 1, 2, 3, 1<<48 - 1}).Draw(t, label+" inc"),
+		State: membership.State(rapid.IntRange(0, 3).Draw(t, label+" state")), SuspectedBy: rapid.SampledFrom(testNames).Draw(t, label+" by")}
 	if rapid.Bool().Draw(t, label+" facts") {
-		r.FactsOf = &membership.Facts{Seq: rapid.Uint64Range(0, 4).Draw(t, label+" seq"), Zone: "z"}
+		r.Metadata = &membership.Metadata{Seq: rapid.Uint64Range(0, 4).Draw(t, label+" seq"), Zone: "z"}
 	}
 	return r
 }
@@ -35,8 +35,8 @@
 // for dead on the own word of another about oneself.
 func TestAnyMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := membership.New(membership.Options{Fleet: "f", Name: "me", Addr: someAddrs[0], Seeds: someAddrs[1:2], Period: 1, Life: 3, Seed: 7,
-			Forget: rapid.SampledFrom([]float64{60, 3600}).Draw(t, "forget")})
+		m := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], Seeds: testAddrs[1:2], ProbeInterval: 1, Generation: 3, RandomSeed: 7,
+			DeadTTL: rapid.SampledFrom([]float64{60, 3600}).Draw(t, "forget")})
 		now := 100.0
 		m.Start(now)
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -45,7 +45,7 @@
 				now += rapid.SampledFrom([]float64{0.01, 0.2, 1, 5, 100}).Draw(t, "passes")
 				m.Tick(now)
 			case 4:
-				m.SetFacts(now, membership.Facts{Zone: fmt.Sprint(i)})
+				m.SetMetadata(now, membership.Metadata{Zone: fmt.Sprint(i)})
 			case 5:
 				if rapid.IntRange(0, 5).Draw(t, "leaves") == 0 {
 					m.Leave(now)
@@ -53,46 +53,46 @@
 			case 6:
 				m.Rejoin(now)
 			case 7:
-				m.Slept(now)
+				m.HandlePause(now)
 			case 8:
-				_ = m.Declare(now, rapid.SampledFrom(someNames).Draw(t, "declared"))
+				_ = m.DeclareLeft(now, rapid.SampledFrom(testNames).Draw(t, "declared"))
 			default:
-				msg := &membership.Message{Kind: membership.Kind(rapid.IntRange(1, 7).Draw(t, "kind")), Fleet: "f", From: record(t, "from"),
-					N: rapid.Uint64Range(0, 200).Draw(t, "n"), View: rapid.Uint64Range(0, 2).Draw(t, "view"),
-					Seq: rapid.Uint64Range(0, 5).Draw(t, "question"), Return: rapid.Bool().Draw(t, "return")}
-				about := record(t, "about")
-				msg.About = &about
-				if msg.Kind == membership.Parts {
-					msg.Parts = make([]uint64, 64)
+				msg := &membership.Message{Kind: membership.Kind(rapid.IntRange(1, 7).Draw(t, "kind")), Cluster: "f", From: drawRecord(t, "from"),
+					Number: rapid.Uint64Range(0, 200).Draw(t, "n"), ViewDigest: rapid.Uint64Range(0, 2).Draw(t, "view"),
+					Seq: rapid.Uint64Range(0, 5).Draw(t, "question"), WantsDigests: rapid.Bool().Draw(t, "return")}
+				about := drawRecord(t, "about")
+				msg.Subject = &about
+				if msg.Kind == membership.Digests {
+					msg.ShardDigests = make([]uint64, 64)
 				}
 				for range rapid.IntRange(0, 4).Draw(t, "told") {
-					msg.Tell = append(msg.Tell, record(t, "told"))
+					msg.Records = append(msg.Records, drawRecord(t, "told"))
 				}
-				m.Receive(now, msg)
+				m.HandleMessage(now, msg)
 			}
-			if wrong := m.Sound(); wrong != "" {
+			if wrong := m.CheckInvariants(); wrong != "" {
 				t.Fatal(wrong)
 			}
-			for _, p := range m.Out() {
-				b, err := membership.Encode(p.Msg)
+			for _, p := range m.TakePackets() {
+				b, err := membership.Encode(p.Message)
 				if err != nil {
-					t.Fatalf("%+v: %v", p.Msg, err)
+					t.Fatalf("%+v: %v", p.Message, err)
 				}
 				if _, err := membership.Decode("f", b); err != nil {
-					t.Fatalf("%+v: %v", p.Msg, err)
+					t.Fatalf("%+v: %v", p.Message, err)
 				}
 			}
-			if m.Next() <= now-1 || math.IsNaN(m.Next()) {
-				t.Fatalf("due at %v, now %v", m.Next(), now)
+			if m.NextTick() <= now-1 || math.IsNaN(m.NextTick()) {
+				t.Fatalf("due at %v, now %v", m.NextTick(), now)
 			}
 		}
 	})
 }
 
 // The same input gives the same output, bit for bit.
-func TestSameInputSameOutput(t *testing.T) {
+func TestDeterminism(t *testing.T) {
 	play := func() (out [][]byte) {
-		net := lossy(9, 12)
+		net := newLossyNet(9, 12)
 		net.Each = func(n *virtualcluster.Node) {
 			b := []byte(fmt.Sprintf("%v %s %x", net.Now, n.Name, n.Machine.Digest()))
 			out = append(out, b)
@@ -114,23 +114,23 @@
 	}
 }
 
-func example() *membership.Message {
-	about := membership.Record{Name: "b", Addr: someAddrs[1], Life: 2, State: membership.Suspect, By: "c"}
-	return &membership.Message{Kind: membership.Ping, Fleet: "f", From: membership.Record{Name: "a", Addr: someAddrs[0], Life: 1, Inc: 4}, N: 17, View: 1 << 63,
-		Names: 3, Facts: 4, Seq: 5, About: &about, Tell: []membership.Record{{Name: "d", Addr: someAddrs[2], Life: 9, State: membership.Dead, Ago: 1.5,
-			FactsOf: &membership.Facts{Seq: 2, Zone: "milano", Version: "v1", Serving: "serving", Console: "10.0.0.3:2"}}}}
+func exampleMessage() *membership.Message {
+	about := membership.Record{Name: "b", Addr: testAddrs[1], Generation: 2, State: membership.Suspect, SuspectedBy: "c"}
+	return &membership.Message{Kind: membership.Ping, Cluster: "f", From: membership.Record{Name: "a", Addr: testAddrs[0], Generation: 1, Incarnation: 4}, Number: 17, ViewDigest: 1 << 63,
+		NamesDigest: 3, MetadataDigest: 4, Seq: 5, Subject: &about, Records: []membership.Record{{Name: "d", Addr: testAddrs[2], Generation: 9, State: membership.Dead, DeadFor: 1.5,
+			Metadata: &membership.Metadata{Seq: 2, Zone: "milano", Version: "v1", Serving: "serving", Console: "10.0.0.3:2"}}}}
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
-	b, err := membership.Encode(example())
+func TestEncodeDecode(t *testing.T) {
+	b, err := membership.Encode(exampleMessage())
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := membership.Decode("f", b)
-	if d := cmp.Diff(example(), got, cmpopts.EquateComparable(netip.AddrPort{})); err != nil || d != "" {
+	if d := cmp.Diff(exampleMessage(), got, cmpopts.EquateComparable(netip.AddrPort{})); err != nil || d != "" {
 		t.Error(err, d)
 	}
-	if _, err := membership.Decode("g", b); !errors.Is(err, membership.ErrForeign) {
+	if _, err := membership.Decode("g", b); !errors.Is(err, membership.ErrOtherCluster) {
 		t.Errorf("another fleet's: %v", err)
 	}
 	for i := range b {
@@ -145,14 +145,14 @@
 			t.Errorf("the first %d bytes are taken", n)
 		}
 	}
-	if _, err := membership.Decode("f", make([]byte, membership.MostBytes+1)); !errors.Is(err, membership.ErrOversized) {
+	if _, err := membership.Decode("f", make([]byte, membership.MaxDatagramSize+1)); !errors.Is(err, membership.ErrOversized) {
 		t.Errorf("oversized: %v", err)
 	}
 }
 
 // Nothing that comes by the network ends the reader, and what is taken can be written again.
 func FuzzDecode(f *testing.F) {
-	b, err := membership.Encode(example())
+	b, err := membership.Encode(exampleMessage())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -168,22 +168,22 @@
 		if _, err := membership.Encode(m); err != nil {
 			t.Fatalf("read, and cannot be written: %v", err)
 		}
-		machine := membership.New(membership.Options{Fleet: "f", Name: "me", Addr: someAddrs[0], Period: 1, Life: 3})
+		machine := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
 		machine.Start(0)
-		machine.Receive(1, m)
+		machine.HandleMessage(1, m)
 		machine.Tick(2)
-		if wrong := machine.Sound(); wrong != "" {
+		if wrong := machine.CheckInvariants(); wrong != "" {
 			t.Fatal(wrong)
 		}
 	})
 }
 
 // Word of a later start under one's own name, even as if from it, is not enough to withdraw: only an answer from there is.
-func TestAClaimIsAskedFirst(t *testing.T) {
-	start := func() *membership.Machine {
-		m := membership.New(membership.Options{Fleet: "f", Name: "me", Addr: someAddrs[0], Period: 1, Life: 3})
+func TestNameClaimIsVerified(t *testing.T) {
+	start := func() *membership.Node {
+		m := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
 		m.Start(0)
-		m.Receive(1, &membership.Message{Kind: membership.News, Fleet: "f", N: 1, From: membership.Record{Name: "me", Addr: someAddrs[1], Life: 9}})
+		m.HandleMessage(1, &membership.Message{Kind: membership.Update, Cluster: "f", Number: 1, From: membership.Record{Name: "me", Addr: testAddrs[1], Generation: 9}})
 		return m
 	}
 	m := start()
@@ -191,13 +191,13 @@
 		t.Error("it withdrew before a datagram that anybody could have sent")
 	}
 	asked := uint64(0)
-	for _, p := range m.Out() {
-		if p.Msg.Kind == membership.Ping && p.To == someAddrs[1] {
-			asked = p.Msg.Seq
+	for _, p := range m.TakePackets() {
+		if p.Message.Kind == membership.Ping && p.To == testAddrs[1] {
+			asked = p.Message.Seq
 		}
 	}
-	m.Receive(1.1, &membership.Message{Kind: membership.Ack, Fleet: "f", N: 2, Seq: asked, About: &membership.Record{Name: "me", Addr: someAddrs[1], Life: 9},
-		From: membership.Record{Name: "me", Addr: someAddrs[1], Life: 9}})
+	m.HandleMessage(1.1, &membership.Message{Kind: membership.Ack, Cluster: "f", Number: 2, Seq: asked, Subject: &membership.Record{Name: "me", Addr: testAddrs[1], Generation: 9},
+		From: membership.Record{Name: "me", Addr: testAddrs[1], Generation: 9}})
 	if asked == 0 || !m.Withdrawn() {
 		t.Error("it does not withdraw before one that answers")
 	}
@@ -205,29 +205,29 @@
 	for now := 1.0; now < 10; now += 0.2 {
 		m.Tick(now)
 	}
-	if m.Withdrawn() || m.Life != 10 {
-		t.Errorf("nobody answers: life %d", m.Life)
+	if m.Withdrawn() || m.Generation != 10 {
+		t.Errorf("nobody answers: life %d", m.Generation)
 	}
 }
 
 // Names that somebody makes up take a bounded room, and the loop's time stays bounded with it.
-func TestMadeUpNames(t *testing.T) {
-	m := membership.New(membership.Options{Fleet: "f", Name: "me", Addr: someAddrs[0], Period: 1, Life: 3})
+func TestForgedNamesAreBounded(t *testing.T) {
+	m := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
 	m.Start(0)
 	for i := range uint64(1000) {
-		msg := &membership.Message{Kind: membership.PingReq, Fleet: "f", N: i, From: membership.Record{Name: "liar", Addr: someAddrs[1], Life: 1},
-			About: &membership.Record{Name: "x", Addr: someAddrs[2], Life: 1}}
+		msg := &membership.Message{Kind: membership.IndirectPing, Cluster: "f", Number: i, From: membership.Record{Name: "liar", Addr: testAddrs[1], Generation: 1},
+			Subject: &membership.Record{Name: "x", Addr: testAddrs[2], Generation: 1}}
 		for j := range 20 {
-			msg.Tell = append(msg.Tell, membership.Record{Name: fmt.Sprint("made up ", i, j), Addr: someAddrs[2], Life: 1})
+			msg.Records = append(msg.Records, membership.Record{Name: fmt.Sprint("made up ", i, j), Addr: testAddrs[2], Generation: 1})
 		}
-		m.Receive(1, msg)
+		m.HandleMessage(1, msg)
 	}
-	if n := len(m.View().Members); n > 4097 || m.NoRoom < 15000 {
-		t.Errorf("%d members, %d names not taken", n, m.NoRoom)
+	if n := len(m.View().Members); n > 4097 || m.RejectedNames < 15000 {
+		t.Errorf("%d members, %d names not taken", n, m.RejectedNames)
 	}
 	sent := 0
-	for _, p := range m.Out() {
-		if p.Msg.Kind == membership.Ping {
+	for _, p := range m.TakePackets() {
+		if p.Message.Kind == membership.Ping {
 			sent++
 		}
 	}
@@ -237,28 +237,28 @@
 }
 
 // What was heard before is dropped, what comes late by a little is not; an earlier life's is dropped.
-func TestRepeatsAndReplays(t *testing.T) {
-	m := membership.New(membership.Options{Fleet: "f", Name: "me", Addr: someAddrs[0], Period: 1, Life: 3})
+func TestDuplicatesAndReplays(t *testing.T) {
+	m := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
 	m.Start(0)
 	say := func(life, n uint64) {
-		m.Receive(1, &membership.Message{Kind: membership.News, Fleet: "f", N: n, From: membership.Record{Name: "a", Addr: someAddrs[1], Life: life}})
+		m.HandleMessage(1, &membership.Message{Kind: membership.Update, Cluster: "f", Number: n, From: membership.Record{Name: "a", Addr: testAddrs[1], Generation: life}})
 	}
 	for _, n := range []uint64{1, 2, 5, 3, 4, 100} {
 		say(7, n)
 	}
-	if m.Repeated != 0 {
-		t.Errorf("%d dropped that were new", m.Repeated)
+	if m.Duplicates != 0 {
+		t.Errorf("%d dropped that were new", m.Duplicates)
 	}
 	for _, n := range []uint64{5, 3, 100, 20} { // the last one is older than what is kept in mind
 		say(7, n)
 	}
-	if m.Repeated != 4 {
-		t.Errorf("%d of 4 repeats dropped", m.Repeated)
+	if m.Duplicates != 4 {
+		t.Errorf("%d of 4 repeats dropped", m.Duplicates)
 	}
 	if say(6, 101); m.Stale != 1 {
 		t.Errorf("%d of 1 of an earlier life dropped", m.Stale)
 	}
-	if say(8, 1); m.Repeated != 4 || m.Stale != 1 {
+	if say(8, 1); m.Duplicates != 4 || m.Stale != 1 {
 		t.Error("the next life's first word is dropped")
 	}
 }
--- a/internal/shared/membership/measure_test.go
+++ b/internal/shared/membership/measure_test.go
@@ -43,8 +43,8 @@
 				if node.Machine == nil {
 					continue
 				}
-				a, s, d := node.Machine.Census()
-				if node.Machine.Names() != net.Nodes[0].Machine.Names() || a+s != alive || d != dead {
+				a, s, d := node.Machine.CountByState()
+				if node.Machine.NamesDigest() != net.Nodes[0].Machine.NamesDigest() || a+s != alive || d != dead {
 					return false
 				}
 			}
@@ -137,8 +137,8 @@
 	return v[len(v)/2], v[len(v)-1]
 }
 
-// TestMeasure writes the table of the design note: go test ./internal/shared/membership -run TestMeasure -timeout 2h -fleet.measure FILE
-func TestMeasure(t *testing.T) {
+// TestMeasurements writes the table of the design note: go test ./internal/shared/membership -run TestMeasurements -timeout 2h -fleet.measure FILE
+func TestMeasurements(t *testing.T) {
 	if *measure == "" {
 		t.Skip("by hand, with -fleet.measure")
 	}
--- a/internal/shared/membership/receive.go
+++ b/internal/shared/membership/receive.go
@@ -2,90 +2,90 @@
 
 import "math"
 
-// Receive takes a message.
-func (m *Machine) Receive(now float64, msg *Message) {
+// HandleMessage takes a message.
+func (m *Node) HandleMessage(now float64, msg *Message) {
 	m.now = math.Max(m.now, now)
-	if m.gone || !m.started {
+	if m.left || !m.started {
 		return
 	}
 	from := &msg.From
-	if from.Name == m.me.Name {
-		if from.Life == m.me.Life {
-			m.Own++
+	if from.Name == m.self.Name {
+		if from.Generation == m.self.Generation {
+			m.OwnMessages++
 			return
 		}
-		m.claimed(from, msg)
+		m.handleNameClaim(from, msg)
 		return
 	}
 	if m.withdrawn {
 		return
 	}
 	o := m.byName[from.Name]
-	if o != nil && from.Life < o.Life {
+	if o != nil && from.Generation < o.Generation {
 		m.Stale++
-		m.send(from.Addr, &Message{Kind: News, Tell: []Record{o.told(now)}}) // it has a namesake that began later
+		m.send(from.Addr, &Message{Kind: Update, Records: []Record{o.outgoingRecord(now)}}) // it has a namesake that began later
 		return
 	}
-	if o != nil && !o.window.fresh(from.Life, msg.N) {
-		m.Repeated++
+	if o != nil && !o.replay.accept(from.Generation, msg.Number) {
+		m.Duplicates++
 		return
 	}
-	m.learn(*from, from.Name)
+	m.merge(*from, from.Name)
 	if o = m.byName[from.Name]; o == nil {
 		return
 	}
-	if o.window.life != from.Life {
-		o.window.fresh(from.Life, msg.N)
+	if o.replay.generation != from.Generation {
+		o.replay.accept(from.Generation, msg.Number)
 	}
-	o.heardAt = now
-	m.met = true
+	o.lastContact = now
+	m.contacted = true
 	var stale []Record
-	for i := range msg.Tell {
-		if known := m.learn(msg.Tell[i], from.Name); known != nil && msg.Kind == Page {
+	for i := range msg.Records {
+		if known := m.merge(msg.Records[i], from.Name); known != nil && msg.Kind == Records {
 			stale = append(stale, *known)
 		}
 	}
 	if o.State != Alive && from.State == Alive && from.compare(&o.Record) < 0 {
-		stale = append(stale, o.told(now)) // told early that it is suspected, or held to be dead
+		stale = append(stale, o.outgoingRecord(now)) // told early that it is suspected, or held to be dead
 	}
-	m.answer(o, msg)
+	m.handleRequest(o, msg)
 	if len(stale) > 0 {
-		m.page(from.Addr, stale)
+		m.sendRecords(from.Addr, stale)
 	}
 	m.compareViews(o, msg)
-	if m.Rider != nil && len(msg.Ride) > 0 {
-		for _, ride := range m.Rider.Hear(m.now, o.Name, msg.Ride) {
-			m.send(from.Addr, &Message{Kind: News, Ride: ride})
+	if m.Delegate != nil && len(msg.Payload) > 0 {
+		for _, ride := range m.Delegate.HandlePayload(m.now, o.Name, msg.Payload) {
+			m.send(from.Addr, &Message{Kind: Update, Payload: ride})
 		}
 	}
 }
 
-// answer does what a message asks for.
-func (m *Machine) answer(o *member, msg *Message) {
+// handleRequest does what a message asks for.
+func (m *Node) handleRequest(o *member, msg *Message) {
 	switch msg.Kind {
 	case Ping:
-		if msg.About != nil && msg.About.Name != m.me.Name {
+		if msg.Subject != nil && msg.Subject.Name != m.self.Name {
 			return // whoever was here before
 		}
-		if msg.About != nil && msg.About.State != Alive {
-			m.learn(*msg.About, o.Name) // told early
+		if msg.Subject != nil && msg.Subject.State != Alive {
+			m.merge(*msg.Subject, o.Name) // told early
 		}
-		self := m.bare()
-		m.send(msg.From.Addr, &Message{Kind: Ack, Seq: msg.Seq, About: &self})
-	case PingReq:
-		if len(m.relays) == mostRelays {
+		self := m.selfRecord()
+		m.send(msg.From.Addr, &Message{Kind: Ack, Seq: msg.Seq, Subject: &self})
+	case IndirectPing:
+		if len(m.indirectProbes) == maxIndirectProbes {
 			return
 		}
-		m.seq++
-		m.relays = append(m.relays, relay{seq: m.seq, theirs: msg.Seq, to: msg.From.Addr, about: *msg.About, at: m.now})
-		m.send(msg.About.Addr, &Message{Kind: Ping, Seq: m.seq, About: msg.About})
+		m.probeSeq++
+		m.indirectProbes = append(m.indirectProbes, indirectProbe{seq: m.probeSeq, requesterSeq: msg.Seq, requester: msg.From.Addr, target: *msg.Subject, sentAt: m.now})
+		m.send(msg.Subject.Addr, &Message{Kind: Ping, Seq: m.probeSeq, Subject: msg.Subject})
 	case Ack:
-		m.acked(msg)
+		m.handleAck(msg)
 	case Nack:
 		if msg.Seq == m.probe.seq && !m.probe.acked {
 			m.probe.nacks++
 		}
-	case Parts:
-		m.differing(msg)
+	case Digests:
+		m.handleDigests(msg)
 	}
 }
--- a/internal/shared/membership/virtual_test.go
+++ b/internal/shared/membership/virtual_test.go
@@ -12,8 +12,8 @@
 
 var seed = flag.Uint64("fleet.seed", 0, "play this seed alone")
 
-// seeds has a test played with several seeds, each named, or with the one of the flag.
-func seeds(t *testing.T, n uint64, play func(t *testing.T, seed uint64)) {
+// runSeeds has a test played with several seeds, each named, or with the one of the flag.
+func runSeeds(t *testing.T, n uint64, play func(t *testing.T, seed uint64)) {
 	first := uint64(1)
 	if *seed != 0 {
 		first, n = *seed, 1
@@ -23,8 +23,8 @@
 	}
 }
 
-// settled waits for one view that has so many living members.
-func settled(t *testing.T, net *virtualcluster.Net, alive int, periods float64) float64 {
+// waitConverged waits for one view that has so many living members.
+func waitConverged(t *testing.T, net *virtualcluster.Net, alive int, periods float64) float64 {
 	t.Helper()
 	took, ok := net.Until(periods*net.Period, net.Period/2, func() bool {
 		one, n := net.Agreed()
@@ -33,8 +33,8 @@
 	if !ok {
 		for _, n := range net.Nodes {
 			if n.Machine != nil {
-				a, s, d := n.Machine.Census()
-				t.Logf("%s: digest %x, %d alive, %d suspect, %d dead, %+v", n.Name, n.Machine.Digest(), a, s, d, n.Machine.Counts)
+				a, s, d := n.Machine.CountByState()
+				t.Logf("%s: digest %x, %d alive, %d suspect, %d dead, %+v", n.Name, n.Machine.Digest(), a, s, d, n.Machine.Stats)
 			}
 		}
 		t.Fatalf("no one view of %d after %v periods", alive, periods)
@@ -53,30 +53,30 @@
 	return n
 }
 
-func lossy(seed uint64, n int) *virtualcluster.Net {
+func newLossyNet(seed uint64, n int) *virtualcluster.Net {
 	return virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: 0.05, Delay: 0.002, Jitter: 0.01, Repeat: 0.01}, n)
 }
 
-// begun is a fleet of so many that holds one view.
-func begun(t *testing.T, seed uint64, n int) *virtualcluster.Net {
+// newConvergedNet is a fleet of so many that holds one view.
+func newConvergedNet(t *testing.T, seed uint64, n int) *virtualcluster.Net {
 	t.Helper()
-	net := lossy(seed, n)
+	net := newLossyNet(seed, n)
 	net.StartAll(1)
-	settled(t, net, n, 60)
+	waitConverged(t, net, n, 60)
 	return net
 }
 
 // F3: whatever the size, members that start together find each other by one seed.
-func TestAllFindEachOther(t *testing.T) {
+func TestJoin(t *testing.T) {
 	for _, n := range []int{2, 3, 10, 60, 300} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			seeds(t, 3, func(t *testing.T, seed uint64) {
-				net := lossy(seed, n)
+			runSeeds(t, 3, func(t *testing.T, seed uint64) {
+				net := newLossyNet(seed, n)
 				net.StartAll(1)
-				t.Logf("one view after %.1f periods", settled(t, net, n, 60))
+				t.Logf("one view after %.1f periods", waitConverged(t, net, n, 60))
 				if _, ok := net.Until(60, 0.5, func() bool {
 					for _, node := range net.Nodes {
-						if v := node.Machine.View(); !v.Settled || !v.Counted {
+						if v := node.Machine.View(); !v.Converged || !v.Recognized {
 							return false
 						}
 					}
@@ -93,41 +93,41 @@
 }
 
 // The only seed comes up last: those that wait for it must ask again.
-func TestTheSeedComesLast(t *testing.T) {
-	seeds(t, 3, func(t *testing.T, seed uint64) {
-		net := lossy(seed, 8)
+func TestSeedStartsLast(t *testing.T) {
+	runSeeds(t, 3, func(t *testing.T, seed uint64) {
+		net := newLossyNet(seed, 8)
 		for _, n := range net.Nodes[1:] {
 			net.Start(n, net.Nodes[0])
 		}
 		net.Run(net.Now + 20)
 		net.Start(net.Nodes[0])
-		settled(t, net, 8, 30)
+		waitConverged(t, net, 8, 30)
 	})
 }
 
 // A process that is killed is found, by all, and its restart under the name is taken as itself.
-func TestKilledAndStartedAgain(t *testing.T) {
-	seeds(t, 5, func(t *testing.T, seed uint64) {
-		net := begun(t, seed, 12)
+func TestKillAndRestart(t *testing.T) {
+	runSeeds(t, 5, func(t *testing.T, seed uint64) {
+		net := newConvergedNet(t, seed, 12)
 		net.Kill(net.Nodes[3])
-		t.Logf("found after %.1f periods", settled(t, net, 11, 60))
+		t.Logf("found after %.1f periods", waitConverged(t, net, 11, 60))
 		net.Start(net.Nodes[3], net.Nodes[0])
-		settled(t, net, 12, 30)
+		waitConverged(t, net, 12, 30)
 		net.Kill(net.Nodes[5]) // and within one period
 		net.Run(net.Now + 0.5)
 		net.Start(net.Nodes[5], net.Nodes[0])
-		settled(t, net, 12, 30)
+		waitConverged(t, net, 12, 30)
 	})
 }
 
 // Stopped for 2, 8 and 60 s, stopped again while suspected; it comes back as itself, and blames nobody for its sleep.
-func TestAProcessThatSleeps(t *testing.T) {
+func TestPausedProcess(t *testing.T) {
 	for _, span := range []float64{2, 8, 60} {
 		t.Run(fmt.Sprint(span), func(t *testing.T) {
-			seeds(t, 5, func(t *testing.T, seed uint64) {
-				net := begun(t, seed, 9)
+			runSeeds(t, 5, func(t *testing.T, seed uint64) {
+				net := newConvergedNet(t, seed, 9)
 				sleeper := net.Nodes[4]
-				life := sleeper.Machine.Life
+				life := sleeper.Machine.Generation
 				net.Pause(sleeper)
 				net.Run(net.Now + span)
 				net.Resume(sleeper)
@@ -135,8 +135,8 @@
 				net.Pause(sleeper) // while it may be suspected
 				net.Run(net.Now + 2)
 				net.Resume(sleeper)
-				settled(t, net, 9, 60)
-				if sleeper.Machine.Life != life {
+				waitConverged(t, net, 9, 60)
+				if sleeper.Machine.Generation != life {
 					t.Error("it came back as another")
 				}
 				for _, c := range sleeper.Changes {
@@ -150,9 +150,9 @@
 }
 
 // One way cut: A hears B, B does not hear A. Neither is lost, since others hear both.
-func TestOneWayCut(t *testing.T) {
-	seeds(t, 5, func(t *testing.T, seed uint64) {
-		net := begun(t, seed, 6)
+func TestOneWayPartition(t *testing.T) {
+	runSeeds(t, 5, func(t *testing.T, seed uint64) {
+		net := newConvergedNet(t, seed, 6)
 		a, b := net.Nodes[1], net.Nodes[2]
 		net.Cut = func(from, to *virtualcluster.Node) bool { return from == a && to == b }
 		net.Run(net.Now + 300)
@@ -160,16 +160,16 @@
 			t.Errorf("%d times one was given up that others heard", d)
 		}
 		net.Cut = nil
-		settled(t, net, 6, 30)
+		waitConverged(t, net, 6, 30)
 	})
 }
 
 // A half-open triangle: of three, A and B do not hear each other at all, C hears both.
-func TestHalfOpenTriangle(t *testing.T) {
-	seeds(t, 5, func(t *testing.T, seed uint64) {
+func TestNonTransitiveConnectivity(t *testing.T) {
+	runSeeds(t, 5, func(t *testing.T, seed uint64) {
 		net := virtualcluster.New(virtualcluster.Options{Seed: seed, Delay: 0.002, Jitter: 0.01}, 3)
 		net.StartAll(1)
-		settled(t, net, 3, 40)
+		waitConverged(t, net, 3, 40)
 		a, b := net.Nodes[0], net.Nodes[1]
 		net.Cut = func(from, to *virtualcluster.Node) bool { return from == a && to == b || from == b && to == a }
 		net.Run(net.Now + 120)
@@ -182,17 +182,17 @@
 			}
 		}
 		net.Cut = nil
-		settled(t, net, 3, 30)
+		waitConverged(t, net, 3, 30)
 	})
 }
 
 // Three islands that heal in turn, after half an hour: all are one fleet again, by the seeds, and without any by asking the dead.
-func TestIslandsHeal(t *testing.T) {
-	seeds(t, 4, func(t *testing.T, seed uint64) {
-		net := begun(t, seed, 15)
+func TestPartitionsHeal(t *testing.T) {
+	runSeeds(t, 4, func(t *testing.T, seed uint64) {
+		net := newConvergedNet(t, seed, 15)
 		if seed%2 == 0 {
 			for _, n := range net.Nodes {
-				n.Machine.Seek(net.Now, nil)
+				n.Machine.SetSeeds(net.Now, nil)
 			}
 		}
 		bridged := 0
@@ -207,36 +207,36 @@
 		net.Cut = func(from, to *virtualcluster.Node) bool { return island(from) != island(to) }
 		net.Run(net.Now + 1800)
 		for _, n := range net.Nodes {
-			if a, _, _ := n.Machine.Census(); a != 5 {
+			if a, _, _ := n.Machine.CountByState(); a != 5 {
 				t.Fatalf("%s holds %d of its 5 alive", n.Name, a)
 			}
 		}
 		bridged = 1
 		net.Run(net.Now + 60)
 		bridged = 2
-		t.Logf("one view %.1f periods after the last heal", settled(t, net, 15, 120))
+		t.Logf("one view %.1f periods after the last heal", waitConverged(t, net, 15, 120))
 	})
 }
 
 // A flapping link, and 30% loss: nobody that answers is lost for good, and the view settles after it.
-func TestFlappingAndLoss(t *testing.T) {
-	seeds(t, 3, func(t *testing.T, seed uint64) {
+func TestFlappingLinkAndLoss(t *testing.T) {
+	runSeeds(t, 3, func(t *testing.T, seed uint64) {
 		net := virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: 0.3, Delay: 0.002, Jitter: 0.05}, 12)
 		net.StartAll(1)
-		settled(t, net, 12, 120)
+		waitConverged(t, net, 12, 120)
 		net.Cut = func(from, to *virtualcluster.Node) bool {
 			return int(net.Now/3)%2 == 0 && (from == net.Nodes[2]) != (to == net.Nodes[2])
 		}
 		net.Run(net.Now + 120)
 		net.Cut, net.Drop = nil, 0
-		settled(t, net, 12, 60)
+		waitConverged(t, net, 12, 60)
 	})
 }
 
 // One member at a hundredth of its CPU: it sees everything 1.5 s late. The others are not blamed by it, and are not lost.
-func TestASlowMember(t *testing.T) {
-	seeds(t, 5, func(t *testing.T, seed uint64) {
-		net := begun(t, seed, 10)
+func TestSlowMember(t *testing.T) {
+	runSeeds(t, 5, func(t *testing.T, seed uint64) {
+		net := newConvergedNet(t, seed, 10)
 		slow := net.Nodes[6]
 		slow.Slow = 1.5
 		net.Run(net.Now + 120)
@@ -248,34 +248,34 @@
 			}
 		}
 		slow.Slow = 0
-		settled(t, net, 10, 60)
+		waitConverged(t, net, 10, 60)
 	})
 }
 
 // Seven in ten are killed at once, and come back.
-func TestSevenInTenKilled(t *testing.T) {
-	seeds(t, 3, func(t *testing.T, seed uint64) {
-		net := begun(t, seed, 50)
+func TestMassFailure(t *testing.T) {
+	runSeeds(t, 3, func(t *testing.T, seed uint64) {
+		net := newConvergedNet(t, seed, 50)
 		for _, n := range net.Nodes[15:] {
 			net.Kill(n)
 		}
-		t.Logf("found after %.1f periods", settled(t, net, 15, 200))
+		t.Logf("found after %.1f periods", waitConverged(t, net, 15, 200))
 		for _, n := range net.Nodes[15:] {
 			net.Start(n, net.Nodes[0])
 		}
-		settled(t, net, 50, 60)
+		waitConverged(t, net, 50, 60)
 	})
 }
 
 // Leaving by word: nobody is suspected, and the name is gone within periods.
-func TestLeaving(t *testing.T) {
-	seeds(t, 5, func(t *testing.T, seed uint64) {
-		net := begun(t, seed, 10)
+func TestLeave(t *testing.T) {
+	runSeeds(t, 5, func(t *testing.T, seed uint64) {
+		net := newConvergedNet(t, seed, 10)
 		n := net.Nodes[7]
 		n.Machine.Leave(net.Now)
 		net.Flush(n)
 		net.Kill(n)
-		settled(t, net, 9, 15)
+		waitConverged(t, net, 9, 15)
 		net.Run(net.Now + 60)
 		if d := deaths(net, n.Name); d > 0 {
 			t.Errorf("%d hold it for dead", d)
@@ -284,34 +284,34 @@
 }
 
 // Two processes under one name: the later start stays, the other says so and takes no part.
-func TestTwoUnderOneName(t *testing.T) {
-	seeds(t, 5, func(t *testing.T, seed uint64) {
-		net := begun(t, seed, 6)
+func TestDuplicateName(t *testing.T) {
+	runSeeds(t, 5, func(t *testing.T, seed uint64) {
+		net := newConvergedNet(t, seed, 6)
 		twin := net.Add("m0002")
 		net.Start(twin, net.Nodes[0])
 		first := net.Nodes[2]
 		if _, ok := net.Until(20, 0.5, first.Machine.Withdrawn); !ok || twin.Machine.Withdrawn() {
 			t.Fatal("the earlier start does not withdraw")
 		}
-		settled(t, net, 6, 30)
+		waitConverged(t, net, 6, 30)
 		net.Kill(twin) // the name is free again
 		if _, ok := net.Until(60, 0.5, func() bool { return !first.Machine.Withdrawn() }); !ok {
 			t.Fatal("it does not come back")
 		}
-		settled(t, net, 6, 60)
+		waitConverged(t, net, 6, 60)
 	})
 }
 
 // A restart after the clock was put back by a minute: its life is earlier than the one it follows. It stands at the same
 // address, so the other one cannot be there.
-func TestClockSteps(t *testing.T) {
+func TestClockStep(t *testing.T) {
 	for _, skew := range []float64{-60, 60} {
-		seeds(t, 3, func(t *testing.T, seed uint64) {
-			net := begun(t, seed, 6)
+		runSeeds(t, 3, func(t *testing.T, seed uint64) {
+			net := newConvergedNet(t, seed, 6)
 			net.Kill(net.Nodes[1])
 			net.Nodes[1].Skew = skew
 			net.Start(net.Nodes[1], net.Nodes[0])
-			if took := settled(t, net, 6, 30); took > 5 { // it need not ask whether somebody stands at its own address
+			if took := waitConverged(t, net, 6, 30); took > 5 { // it need not ask whether somebody stands at its own address
 				t.Errorf("it took %.1f periods", took)
 			}
 			if net.Nodes[1].Machine.Withdrawn() {
@@ -322,15 +322,15 @@
 }
 
 // The same address under another name: the old name is found to be gone, the new one is there.
-func TestAnotherNameAtTheAddress(t *testing.T) {
-	seeds(t, 3, func(t *testing.T, seed uint64) {
-		net := begun(t, seed, 6)
+func TestNameChangeAtSameAddress(t *testing.T) {
+	runSeeds(t, 3, func(t *testing.T, seed uint64) {
+		net := newConvergedNet(t, seed, 6)
 		n := net.Nodes[4]
 		net.Kill(n)
 		n.Name = "renamed"
 		net.Start(n, net.Nodes[0])
 		if _, ok := net.Until(60, 0.5, func() bool {
-			alive, suspect, dead := net.Nodes[0].Machine.Census()
+			alive, suspect, dead := net.Nodes[0].Machine.CountByState()
 			one, _ := net.Agreed()
 			return one && alive == 6 && suspect == 0 && dead == 1
 		}); !ok {
@@ -342,18 +342,18 @@
 // Faults drawn from a seed: processes killed, started, stopped and continued, ways cut one way and both, islands, loss, slow
 // members; all at once and in any order. The books add up all the while, and after the last fault all hold one view within
 // 80 periods, whatever came before.
-func TestFaultsDrawn(t *testing.T) {
-	seeds(t, 40, func(t *testing.T, seed uint64) {
+func TestRandomFaults(t *testing.T) {
+	runSeeds(t, 40, func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 99))
 		n := 3 + rng.IntN(22)
-		net := lossy(seed, n)
+		net := newLossyNet(seed, n)
 		cuts := map[[2]*virtualcluster.Node]bool{}
 		var island map[*virtualcluster.Node]bool
 		net.Cut = func(a, b *virtualcluster.Node) bool {
 			return cuts[[2]*virtualcluster.Node{a, b}] || island[a] != island[b]
 		}
 		net.Each = func(node *virtualcluster.Node) {
-			if wrong := node.Machine.Sound(); wrong != "" {
+			if wrong := node.Machine.CheckInvariants(); wrong != "" {
 				t.Fatalf("at %.2f %s: %s", net.Now, node.Name, wrong)
 			}
 		}
@@ -399,13 +399,13 @@
 				net.Start(node, net.Nodes[0], net.Nodes[n-1])
 			}
 		}
-		t.Logf("%d members: one view after %.1f periods", n, settled(t, net, n, 80))
+		t.Logf("%d members: one view after %.1f periods", n, waitConverged(t, net, n, 80))
 	})
 }
 
 // F11: once the view has settled a member says as much as in a small fleet. News of a join goes on for n log n records otherwise, told
 // to those who know: 4.5 KB a member and period for 45 periods at 300 members, for 140 at 1,000.
-func TestQuietIsQuiet(t *testing.T) {
+func TestTrafficWhenConverged(t *testing.T) {
 	for _, n := range []int{10, 100, 300} {
 		net := virtualcluster.New(virtualcluster.Options{Seed: 3, Delay: 0.002, Jitter: 0.01, Bytes: 1}, n)
 		net.StartAll(1)
--- a/internal/shared/membership/window.go
+++ b/internal/shared/membership/window.go
@@ -1,27 +1,27 @@
 package membership
 
-// window drops what was heard before: messages may come late by 64 numbers.
-type window struct {
-	life, last, seen uint64
+// replayWindow drops what was heard before: messages may come late by 64 numbers.
+type replayWindow struct {
+	generation, last, seen uint64
 }
 
-func (w *window) fresh(life, n uint64) bool {
-	if life != w.life {
-		*w = window{life, n, 1}
+func (w *replayWindow) accept(generation, number uint64) bool {
+	if generation != w.generation {
+		*w = replayWindow{generation, number, 1}
 		return true
 	}
 	switch {
-	case n > w.last:
-		if shift := n - w.last; shift < 64 {
+	case number > w.last:
+		if shift := number - w.last; shift < 64 {
 			w.seen = w.seen<<shift | 1
 		} else {
 			w.seen = 1
 		}
-		w.last = n
+		w.last = number
 		return true
-	case w.last-n >= 64 || w.seen>>(w.last-n)&1 == 1:
+	case w.last-number >= 64 || w.seen>>(w.last-number)&1 == 1:
 		return false
 	}
-	w.seen |= 1 << (w.last - n)
+	w.seen |= 1 << (w.last - number)
 	return true
 }
--- a/internal/system/gossip/announce.go
+++ b/internal/system/gossip/announce.go
@@ -6,28 +6,28 @@
 
 // SetServing announces whether this process takes work from clients, to control replicas at once.
 func (l *Memberlist) SetServing(serving Serving) {
-	l.setFacts(func(facts *membership.Facts) { facts.Serving = string(serving) })
+	l.setMetadata(func(facts *membership.Metadata) { facts.Serving = string(serving) })
 }
 
 // SetFront announces the address at which clients reach this process.
 func (l *Memberlist) SetFront(front string) {
-	l.setFacts(func(facts *membership.Facts) { facts.Front = front })
+	l.setMetadata(func(facts *membership.Metadata) { facts.Front = front })
 }
 
-func (l *Memberlist) setFacts(alter func(*membership.Facts)) {
+func (l *Memberlist) setMetadata(alter func(*membership.Metadata)) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	was := l.facts
-	alter(&l.facts)
-	if l.facts == was || l.closed {
+	was := l.metadata
+	alter(&l.metadata)
+	if l.metadata == was || l.closed {
 		return
 	}
 	now := l.now()
-	l.node.SetFacts(now, l.facts)
+	l.node.SetMetadata(now, l.metadata)
 	l.node.Announce(now, isControl)
 	l.flush()
 }
 
 func isControl(record *membership.Record) bool {
-	return record.FactsOf != nil && record.FactsOf.Role == string(Control)
+	return record.Metadata != nil && record.Metadata.Role == string(Control)
 }
--- a/internal/system/gossip/isolation_test.go
+++ b/internal/system/gossip/isolation_test.go
@@ -95,9 +95,9 @@
 		}
 		list := &Memberlist{epoch: time.Now(), address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), first.Port()),
 			options: Options{Node: fmt.Sprint("node-", i), Role: role, ProbeInterval: DefaultProbeInterval, Seeds: []netip.AddrPort{first}}}
-		list.facts = membership.Facts{Role: string(role), Serving: string(ServingNow), Front: fmt.Sprintf("10.0.0.%d:80", i+1)}
+		list.metadata = membership.Metadata{Role: string(role), Serving: string(ServingNow), Front: fmt.Sprintf("10.0.0.%d:80", i+1)}
 		options := list.nodeOptions()
-		options.Seed, options.Life = random.Uint64(), 1
+		options.RandomSeed, options.Generation = random.Uint64(), 1
 		list.node = membership.New(options)
 		n := &simulatedNode{Memberlist: list, up: true}
 		sim.nodes, sim.nodeAt[list.address] = append(sim.nodes, n), n
@@ -107,13 +107,13 @@
 
 // send puts a node's messages in flight.
 func (s *simulation) send(n *simulatedNode) {
-	for _, packet := range n.node.Out() {
+	for _, packet := range n.node.TakePackets() {
 		if to := s.nodeAt[packet.To]; to != nil {
-			s.inFlight = append(s.inFlight, inFlightPacket{s.now + s.maxDelay*s.random.Float64(), n, to, packet.Msg})
+			s.inFlight = append(s.inFlight, inFlightPacket{s.now + s.maxDelay*s.random.Float64(), n, to, packet.Message})
 		}
 	}
-	n.node.Changes()
-	n.node.Settlings()
+	n.node.TakeChanges()
+	n.node.TakeConvergenceTimes()
 }
 
 // run plays until a time.
@@ -126,7 +126,7 @@
 			s.deliver(f)
 		}
 		for _, n := range s.nodes {
-			if n.up && s.now >= n.node.Next() {
+			if n.up && s.now >= n.node.NextTick() {
 				n.node.Tick(s.now)
 				s.send(n)
 			}
@@ -144,7 +144,7 @@
 		return
 	}
 	p.to.isolation.handleMessage(s.now, p.message)
-	p.to.node.Receive(s.now, p.message)
+	p.to.node.HandleMessage(s.now, p.message)
 	s.send(p.to)
 }
 
--- a/internal/system/gossip/memberlist.go
+++ b/internal/system/gossip/memberlist.go
@@ -26,7 +26,7 @@
 	readBufferSize = 64 << 10         // bytes of datagrams that wait for a paused process
 	clockOffset    = 1.0              // seconds on the node's clock at the start, since 0 means never there
 	readErrorDelay = 50 * time.Millisecond
-	maxNameLength  = membership.MostName
+	maxNameLength  = membership.MaxNameLength
 )
 
 // Memberlist is this process's membership in the system and its view of the other members. Its methods are safe for
@@ -40,8 +40,8 @@
 	done    chan struct{} // closed when run has returned
 
 	mutex           sync.Mutex
-	node            *membership.Machine
-	facts           membership.Facts
+	node            *membership.Node
+	metadata        membership.Metadata
 	closed          bool
 	readDeadline    float64 // of the socket, on the node's clock
 	viewComplete    bool    // the node has been counted by the others once
@@ -75,7 +75,7 @@
 		epoch:   time.Now(),
 		done:    make(chan struct{}),
 	}
-	list.facts = membership.Facts{
+	list.metadata = membership.Metadata{
 		Role:    string(options.Role),
 		Zone:    options.Zone,
 		Version: options.Version,
@@ -91,24 +91,24 @@
 
 func (l *Memberlist) nodeOptions() membership.Options {
 	return membership.Options{
-		Fleet:  clusterName,
-		Name:   memberName(l.options.Node, l.options.Role),
-		Addr:   l.address,
-		Seeds:  slices.Clone(l.options.Seeds),
-		Period: l.options.ProbeInterval.Seconds(),
-		Steps:  ticksPerProbe,
-		Forget: deadMemberTTL.Seconds(),
-		Life:   l.newIncarnation(),
-		Seed:   rand.Uint64(),
-		Facts:  l.facts,
+		Cluster:       clusterName,
+		Name:          memberName(l.options.Node, l.options.Role),
+		Addr:          l.address,
+		Seeds:         slices.Clone(l.options.Seeds),
+		ProbeInterval: l.options.ProbeInterval.Seconds(),
+		TicksPerProbe: ticksPerProbe,
+		DeadTTL:       deadMemberTTL.Seconds(),
+		Generation:    l.newGeneration(),
+		RandomSeed:    rand.Uint64(),
+		Metadata:      l.metadata,
 	}
 }
 
-// newIncarnation returns the number of this run of the process. A later run has a higher number, unless the clock was
+// newGeneration returns the number of this run of the process. A later run has a higher number, unless the clock was
 // set back in between; the node then takes a higher one once it learns of the earlier run.
-func (l *Memberlist) newIncarnation() uint64 {
-	if l.options.incarnation > 0 {
-		return l.options.incarnation
+func (l *Memberlist) newGeneration() uint64 {
+	if l.options.generation > 0 {
+		return l.options.generation
 	}
 	return uint64(max(1, l.epoch.UnixMicro()))
 }
@@ -129,7 +129,7 @@
 // run receives datagrams and ticks the node, until the socket is closed.
 func (l *Memberlist) run() {
 	defer close(l.done)
-	buffer := make([]byte, membership.MostBytes+1)
+	buffer := make([]byte, membership.MaxDatagramSize+1)
 	for {
 		l.armDeadline()
 		n, _, err := l.conn.ReadFromUDPAddrPort(buffer)
@@ -155,7 +155,7 @@
 func (l *Memberlist) armDeadline() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	next := l.node.Next()
+	next := l.node.NextTick()
 	if next == l.readDeadline {
 		return
 	}
@@ -169,16 +169,16 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.now()
-	if now > l.node.Next()+pauseThreshold*l.options.ProbeInterval.Seconds() {
+	if now > l.node.NextTick()+pauseThreshold*l.options.ProbeInterval.Seconds() {
 		l.handlePause(now)
 	}
 	if datagram != nil {
 		l.handleDatagram(now, datagram)
 	}
-	if now >= l.node.Next() {
+	if now >= l.node.NextTick() {
 		l.node.Tick(now)
 	}
-	if l.node.Counted() {
+	if l.node.Recognized() {
 		l.viewComplete = true
 	}
 	l.flush()
@@ -189,8 +189,8 @@
 // handlePause tells the node that the process was paused, so that deadlines that passed meanwhile are not held against
 // other members.
 func (l *Memberlist) handlePause(now float64) {
-	l.log.Warn("process stood still, membership is checked again", zap.Float64("late_s", now-l.node.Next()))
-	l.node.Slept(now)
+	l.log.Warn("process stood still, membership is checked again", zap.Float64("late_s", now-l.node.NextTick()))
+	l.node.HandlePause(now)
 }
 
 func (l *Memberlist) handleDatagram(now float64, datagram []byte) {
@@ -200,22 +200,22 @@
 		return
 	}
 	l.isolation.handleMessage(now, message)
-	l.node.Receive(now, message)
+	l.node.HandleMessage(now, message)
 }
 
 // flush sends the node's messages and logs the changes that it found.
 func (l *Memberlist) flush() {
-	for _, packet := range l.node.Out() {
+	for _, packet := range l.node.TakePackets() {
 		l.send(packet)
 	}
-	for _, change := range l.node.Changes() {
+	for _, change := range l.node.TakeChanges() {
 		l.logChange(change)
 	}
-	l.node.Settlings()
+	l.node.TakeConvergenceTimes()
 }
 
 func (l *Memberlist) send(packet membership.Packet) {
-	datagram, err := membership.Encode(packet.Msg)
+	datagram, err := membership.Encode(packet.Message)
 	if err == nil {
 		_, err = l.conn.WriteToUDPAddrPort(datagram, packet.To)
 	}
@@ -247,7 +247,7 @@
 		return
 	}
 	l.options.Seeds = slices.Clone(seeds)
-	l.node.Seek(l.now(), slices.Clone(seeds))
+	l.node.SetSeeds(l.now(), slices.Clone(seeds))
 	l.flush()
 }
 
--- a/internal/system/gossip/memberlist_test.go
+++ b/internal/system/gossip/memberlist_test.go
@@ -168,7 +168,7 @@
 	options := cluster.members["edge-3"].options
 	options.Listen = cluster.members["edge-3"].Address()
 	cluster.members["edge-3"].Close()
-	options.incarnation = 1
+	options.generation = 1
 	cluster.start(options).SetServing(ServingNow)
 	cluster.wait("all know the later life", func() bool {
 		for _, member := range cluster.members {
--- a/internal/system/gossip/options.go
+++ b/internal/system/gossip/options.go
@@ -47,7 +47,7 @@
 	Log           *zap.Logger   // nil: none
 	OnChange      func()        // called on the receiving goroutine after the view changed; must not block
 
-	incarnation uint64 // number of this run of the process; 0: by the time of day
+	generation uint64 // number of this run of the process; 0: by the time of day
 }
 
 // FromSettings returns the options of a process on a machine.
--- a/internal/system/gossip/view.go
+++ b/internal/system/gossip/view.go
@@ -58,7 +58,7 @@
 }
 
 func (l *Memberlist) digests() digests {
-	return digests{view: l.node.Digest(), facts: l.node.FactsDigest()}
+	return digests{view: l.node.Digest(), facts: l.node.MetadataDigest()}
 }
 
 // refresh renews the snapshot if the view has changed.
@@ -75,15 +75,15 @@
 	l.snapshot = snapshot{digests: now, members: members}
 }
 
-func (l *Memberlist) newMember(entry *membership.Seen) Member {
+func (l *Memberlist) newMember(entry *membership.Member) Member {
 	member := Member{
 		Node:    nodeName(entry.Name),
 		Address: entry.Addr.Addr(),
 		State:   entry.State,
 		Since:   l.timeOf(entry.Since),
-		Self:    entry.Me,
+		Self:    entry.Self,
 	}
-	if facts := entry.FactsOf; facts != nil {
+	if facts := entry.Metadata; facts != nil {
 		member.Role = Role(facts.Role)
 		member.Zone = facts.Zone
 		member.Front = facts.Front
--- a/internal/testkit/virtualcluster/virtual.go
+++ b/internal/testkit/virtualcluster/virtual.go
@@ -27,7 +27,7 @@
 type Node struct {
 	Name    string
 	Addr    netip.AddrPort
-	Machine *membership.Machine // nil: no process
+	Machine *membership.Node // nil: no process
 	Paused  bool
 	Slow    float64 // seconds that the process takes longer to see a message or a deadline
 	Skew    float64 // seconds that its clock is ahead, for lives
@@ -54,7 +54,7 @@
 	// Loss is the share that gets lost from one to another; nil: Drop everywhere.
 	Loss func(from, to *Node) float64
 	// Rider makes what rides along with a member's messages, for each of its processes; nil: nothing does.
-	Rider func(n *Node) membership.Rider
+	Rider func(n *Node) membership.Delegate
 	// Each is called after each thing that a member did.
 	Each func(n *Node)
 
@@ -123,10 +123,10 @@
 
 // Start starts a process at a place; seeds are places.
 func (net *Net) Start(node *Node, seeds ...*Node) {
-	o := membership.Options{Fleet: "virtual", Name: node.Name, Addr: node.Addr, Period: net.Period, Life: uint64((net.Now + node.Skew) * 1e6),
-		Seed: net.rng.Uint64(), Plain: net.Plain, Facts: membership.Facts{Zone: "z", Version: "v1", Serving: "serving"}}
+	o := membership.Options{Cluster: "virtual", Name: node.Name, Addr: node.Addr, ProbeInterval: net.Period, Generation: uint64((net.Now + node.Skew) * 1e6),
+		RandomSeed: net.rng.Uint64(), PlainSWIM: net.Plain, Metadata: membership.Metadata{Zone: "z", Version: "v1", Serving: "serving"}}
 	if net.Rider != nil {
-		o.Rider = net.Rider(node)
+		o.Delegate = net.Rider(node)
 	}
 	for _, s := range seeds {
 		o.Seeds = append(o.Seeds, s.Addr)
@@ -169,7 +169,7 @@
 
 func (net *Net) tick(node *Node) {
 	node.epoch++
-	net.push(event{at: max(net.Now, node.Machine.Next()+node.Slow), node: node, epoch: node.epoch})
+	net.push(event{at: max(net.Now, node.Machine.NextTick()+node.Slow), node: node, epoch: node.epoch})
 }
 
 // mostHeld is how many messages a socket's buffer holds.
@@ -192,12 +192,12 @@
 			}
 			continue
 		case e.msg != nil:
-			e.node.Machine.Receive(net.Now, e.msg)
+			e.node.Machine.HandleMessage(net.Now, e.msg)
 		case e.epoch != e.node.epoch || e.node.Paused:
 			continue
 		default:
 			e.node.Machine.Tick(net.Now)
-			net.push(event{at: max(net.Now+1e-3, e.node.Machine.Next()+e.node.Slow), node: e.node, epoch: e.node.epoch})
+			net.push(event{at: max(net.Now+1e-3, e.node.Machine.NextTick()+e.node.Slow), node: e.node, epoch: e.node.epoch})
 		}
 		net.after(e.node)
 	}
@@ -221,10 +221,10 @@
 func (net *Net) Flush(node *Node) { net.after(node) }
 
 func (net *Net) after(node *Node) {
-	for _, c := range node.Machine.Changes() {
+	for _, c := range node.Machine.TakeChanges() {
 		node.Changes = append(node.Changes, Change{net.Now, c})
 	}
-	for _, p := range node.Machine.Out() {
+	for _, p := range node.Machine.TakePackets() {
 		net.deliver(node, p)
 	}
 	if net.Each != nil {
@@ -236,9 +236,9 @@
 	from.Sent++
 	if net.Bytes > 0 {
 		if net.count%net.Bytes == 0 {
-			b, err := membership.Encode(p.Msg)
+			b, err := membership.Encode(p.Message)
 			if err != nil {
-				panic(fmt.Sprintf("seed %d: %v: %+v", net.Seed, err, p.Msg))
+				panic(fmt.Sprintf("seed %d: %v: %+v", net.Seed, err, p.Message))
 			}
 			net.size = float64(len(b))
 		}
@@ -255,7 +255,7 @@
 	}
 	for range 2 {
 		if drop == 0 || net.rng.Float64() >= drop {
-			net.push(event{at: net.Now + net.Delay + net.Jitter*net.rng.Float64() + to.Slow, node: to, msg: p.Msg})
+			net.push(event{at: net.Now + net.Delay + net.Jitter*net.rng.Float64() + to.Slow, node: to, msg: p.Message})
 		}
 		if net.Repeat == 0 || net.rng.Float64() >= net.Repeat {
 			break
@@ -271,7 +271,7 @@
 		if n.Machine == nil || n.Paused || n.Machine.Withdrawn() {
 			continue
 		}
-		a, _, _ := n.Machine.Census()
+		a, _, _ := n.Machine.CountByState()
 		if first {
 			digest, alive, first = n.Machine.Digest(), a, false
 		} else if n.Machine.Digest() != digest {
