--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -165,21 +165,21 @@
 
 // handleFailure processes a failure response of the runner, which may have executed the request. The response is
 // forwarded to the client unless another runner takes the request.
-func (x *exchange) handleFailure(a *attempt, head *httpwire.ResponseHead) {
-	x.noteTried(a, true)
+func (x *exchange) handleFailure(attempt *attempt, head *httpwire.ResponseHead) {
+	x.noteTried(attempt, true)
 	x.attempt = nil
 	if sent, _ := x.retry(); sent {
-		a.end(placement.Failed)
+		attempt.end(placement.Failed)
 		return
 	}
-	x.attempt = a
+	x.attempt = attempt
 	if x.response.started {
-		a.end(placement.Failed)
+		attempt.end(placement.Failed)
 		x.abort()
 		return
 	}
 	if head.Status == 429 || head.Status == 503 || head.Status == 408 { // these statuses would tell the client that the request was not executed
-		a.end(placement.Failed)
+		attempt.end(placement.Failed)
 		x.proxy.Counters.Failed++
 		x.respond(localResponse{status: 502, body: "runner failed"})
 		return
--- a/internal/system/proxy/chaos_test.go
+++ b/internal/system/proxy/chaos_test.go
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// executionLog counts how often each request ran, by its id, and holds what must be true of that in the end.
+// executionLog counts the executions of each request by its id and checks the final counts.
 type executionLog struct {
 	sync.Mutex
 	count      map[string]int
-	atMostOnce []string // that run at most once
-	rejected   []string // that never run
+	atMostOnce []string // requests that may be executed at most once
+	rejected   []string // requests that were rejected and must not be executed
 	served     int
 }
 
-// check checks what must be true in the end.
+// check verifies the final state.
 func (log *executionLog) check(t *testing.T) {
 	log.Lock()
 	defer log.Unlock()
@@ -48,16 +48,16 @@
 	log.count[id]++
 }
 
-// bodyOf is the only right body of a request.
+// bodyOf returns the only correct response body of a request.
 func bodyOf(id string) string { return strings.Repeat(id+"|", 40) }
 
-// serveWithFaults serves a connection as a runner in all sorts of trouble does.
+// serveWithFaults serves a connection as a faulty runner.
 func (log *executionLog) serveWithFaults(conn net.Conn, random *rand.Rand) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for previous := ""; ; {
 		_ = conn.SetDeadline(time.Now().Add(testTimeout))
-		if random.IntN(40) == 0 { // gone in the midst of a request
+		if random.IntN(40) == 0 { // the connection is lost within a request
 			_, _ = in.Peek(1 + random.IntN(100))
 			return
 		}
@@ -88,7 +88,7 @@
 	}
 }
 
-// drawResponse draws what a runner does with a request that it has read.
+// drawResponse chooses what a runner does with a request that it has read.
 func (log *executionLog) drawResponse(id, previous string, stream bool, last string, random *rand.Rand) (text string, keep bool) {
 	switch random.IntN(24) {
 	case 0, 1:
@@ -97,7 +97,7 @@
 		return "HTTP/1.1 429 Busy\r\nX-Not-Run: 1\r\nX-Try-Id: " + id + "\r\nContent-Length: 3\r\n\r\nabc", true
 	case 3:
 		return "HTTP/1.1 421 No\r\nX-Server-Id: x\r\nX-Try-Id: " + id + "\r\nContent-Length: 0\r\n\r\n", true
-	case 4: // whose it is can be told on a connection's first request alone
+	case 4: // without an id, the response can only be matched to a connection's first request
 		return notRunWithoutID, true
 	}
 	log.add(id)
@@ -136,7 +136,7 @@
 
 const chaosEvents = 12
 
-// eventStreamAfter is a stream that goes on after an event.
+// eventStreamAfter returns a stream that continues after an event.
 func eventStreamAfter(id, last string) string {
 	from := 0
 	_, _ = fmt.Sscan(last, &from)
@@ -148,7 +148,7 @@
 	return text.String() + lastChunk
 }
 
-// completeStream is what a client must have got of a stream that ended as complete.
+// completeStream returns what a client must have received of a stream that ended as complete.
 func completeStream(id string) string {
 	var text strings.Builder
 	for i := 1; i <= chaosEvents; i++ {
@@ -157,22 +157,22 @@
 	return text.String()
 }
 
-// Whatever runners do: no write runs twice, a promise that nothing ran is kept, and what a client gets as a whole
-// success is the runner's whole body.
+// Whatever runners do, no write is executed twice, a rejected request is never executed, and a client that gets a
+// complete success gets the runner's whole body.
 func TestChaos(t *testing.T) {
 	const seeds, clients, requests = 3, 8, 120
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			w := newHarness(t)
+			h := newHarness(t)
 			ran := &executionLog{count: map[string]int{}}
-			for i, r := range w.startRunners("a", "b", "c", "d") {
+			for i, r := range h.startRunners("a", "b", "c", "d") {
 				go ran.serve(r, rand.New(rand.NewPCG(seed, uint64(i))))
 			}
-			w.onLoop(func() { w.placer.outcomes, w.placer.sent, w.placer.spread = nil, nil, true })
+			h.onLoop(func() { h.placer.outcomes, h.placer.sent, h.placer.spread = nil, nil, true })
 			var all sync.WaitGroup
 			for i := range clients {
 				all.Go(func() {
-					c := &chaosClient{t: t, world: w, ran: ran, random: rand.New(rand.NewPCG(seed, uint64(100+i)))}
+					c := &chaosClient{t: t, harness: h, ran: ran, random: rand.New(rand.NewPCG(seed, uint64(100+i)))}
 					for n := range requests {
 						c.sendRandom(fmt.Sprintf("%d-%d", i, n))
 					}
@@ -180,8 +180,8 @@
 				})
 			}
 			all.Wait()
-			w.waitFor("nothing is held", func() bool {
-				return w.proxy.openExchanges == 0 && w.proxy.bufferedBodyBytes == 0 && w.proxy.sessions.count == 0
+			h.waitFor("nothing is held", func() bool {
+				return h.proxy.openExchanges == 0 && h.proxy.bufferedBodyBytes == 0 && h.proxy.sessions.count == 0
 			})
 			ran.check(t)
 		})
@@ -198,33 +198,33 @@
 	}
 }
 
-// chaosClient asks one request after the other and checks what it gets.
+// chaosClient sends one request after the other and checks the responses.
 type chaosClient struct {
-	t      *testing.T
-	world  *harness
-	ran    *executionLog
-	random *rand.Rand
-	peer   *testConn
+	t       *testing.T
+	harness *harness
+	ran     *executionLog
+	random  *rand.Rand
+	conn    *testConn
 }
 
 func (c *chaosClient) disconnect() {
-	if c.peer != nil {
-		c.peer.conn.Close()
-		c.peer = nil
+	if c.conn != nil {
+		c.conn.conn.Close()
+		c.conn = nil
 	}
 }
 
 func (c *chaosClient) connect() bool {
-	if c.peer != nil {
+	if c.conn != nil {
 		return true
 	}
-	conn, err := net.Dial("tcp", c.world.frontAddr)
+	conn, err := net.Dial("tcp", c.harness.frontAddr)
 	if err != nil {
 		c.t.Error(err)
 		return false
 	}
 	_ = conn.SetDeadline(time.Now().Add(testTimeout))
-	c.peer = &testConn{t: c.t, conn: conn.(*net.TCPConn), reader: bufio.NewReader(conn)}
+	c.conn = &testConn{t: c.t, conn: conn.(*net.TCPConn), reader: bufio.NewReader(conn)}
 	return true
 }
 
@@ -238,15 +238,15 @@
 	if !c.connect() {
 		return
 	}
-	if _, err := io.WriteString(c.peer.conn, requestText(path, id, "", "body of "+id)); err != nil {
+	if _, err := io.WriteString(c.conn.conn, requestText(path, id, "", "body of "+id)); err != nil {
 		c.disconnect()
 		return
 	}
-	if c.random.IntN(30) == 0 { // the client loses patience
+	if c.random.IntN(30) == 0 { // the client gives up
 		c.disconnect()
 		return
 	}
-	got, err := http.ReadResponse(c.peer.reader, nil)
+	got, err := http.ReadResponse(c.conn.reader, nil)
 	if err != nil {
 		c.disconnect()
 		return
@@ -258,7 +258,7 @@
 	}
 }
 
-// check looks at an answer; err says that it was broken off.
+// check verifies a response; err says that it was cut off.
 func (c *chaosClient) check(path, id string, got *http.Response, body string, err error) {
 	c.ran.Lock()
 	defer c.ran.Unlock()
--- a/internal/system/proxy/event_stream_test.go
+++ b/internal/system/proxy/event_stream_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// pushAll gives a reader a stream in pieces.
+// pushAll passes a stream to a reader in pieces.
 func pushAll(r *eventReader, in string, size int) (out string, events int) {
 	for len(in) > 0 {
 		n := min(size, len(in))
@@ -54,7 +54,8 @@
 	}
 }
 
-// Guards against an event without end that is held for ever, and against one that is passed on in part and then again.
+// Guards against an event without end that is buffered forever, and against one that is forwarded in part and then
+// again.
 func TestOversizedEvent(t *testing.T) {
 	var r eventReader
 	in := eventText(1) + "data: " + strings.Repeat("x", maxEventBytes+8192) + "\n\n" + eventText(2)
@@ -64,7 +65,7 @@
 	}
 }
 
-// FuzzEvents compares with a reader that sees the stream at once: however it is cut, the same bytes come out.
+// FuzzEvents compares with a reader that gets the stream in one piece: however it is split, the same bytes come out.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte(eventText(1)+eventText(2)+"id: 3\n"), uint8(3), false)
 	f.Add([]byte("id: 1\r\n\r\n\n\n: x\n\nid: 0\n\n"), uint8(1), true)
--- a/internal/system/proxy/fake_placer_test.go
+++ b/internal/system/proxy/fake_placer_test.go
@@ -9,7 +9,7 @@
 	"cinderroad/internal/system/placement"
 )
 
-// fakeRoutes routes by the prefix of the path alone.
+// fakeRoutes routes by the path prefix alone.
 type fakeRoutes struct{ routes []*configuration.Route }
 
 func (f *fakeRoutes) Lookup(host, path string) *configuration.Route {
@@ -28,18 +28,18 @@
 		LatencyTarget: time.Second, MaxAttempts: 3, Shares: []configuration.Share{{Service: "s", Weight: 1}}}
 }
 
-// fakePlacer names the first runner that was not tried. It belongs to the loop's goroutine.
+// fakePlacer chooses the first runner that was not tried. It belongs to the loop's goroutine.
 type fakePlacer struct {
 	runners     []placement.Runner
 	refusal     *placement.Rejection
 	noRetry     bool
-	spread      bool // takes runners in turn
+	spread      bool // rotates through the runners
 	priority    int
 	events      int
 	lastRequest placement.Request
 	restored    []byte
 
-	outcomes chan string // nil: nobody listens
+	outcomes chan string // nil: nobody receives
 	sent     chan string
 }
 
--- a/internal/system/proxy/harness_test.go
+++ b/internal/system/proxy/harness_test.go
@@ -13,10 +13,10 @@
 	"cinderroad/internal/system/placement"
 )
 
-// testTimeout bounds every wait of a test; none is meant to last.
+// testTimeout bounds every wait of a test; none should take that long.
 const testTimeout = 30 * time.Second
 
-// harness is a proxy on loopback with scripted runners; tests play its clients and runners over blocking sockets.
+// harness is a proxy on loopback with scripted runners. Tests play its clients and runners over blocking sockets.
 type harness struct {
 	t         *testing.T
 	loop      *eventloop.Loop
@@ -24,7 +24,7 @@
 	placer    *fakePlacer
 	routes    *fakeRoutes
 	done      chan struct{}
-	frontAddr string // address
+	frontAddr string
 }
 
 func newHarness(t *testing.T, change ...func(*Options)) *harness {
@@ -41,93 +41,93 @@
 	}
 	resumable := route("resumable", configuration.Streaming)
 	resumable.Resumable = true
-	w := &harness{t: t, loop: loop, placer: &fakePlacer{outcomes: make(chan string, 100), sent: make(chan string, 100)},
+	h := &harness{t: t, loop: loop, placer: &fakePlacer{outcomes: make(chan string, 100), sent: make(chan string, 100)},
 		done: make(chan struct{})}
-	w.routes = &fakeRoutes{[]*configuration.Route{route("reads", configuration.ReadOnly), route("writes",
+	h.routes = &fakeRoutes{[]*configuration.Route{route("reads", configuration.ReadOnly), route("writes",
 		configuration.ReadWrite),
 		route("stream", configuration.Streaming), resumable}}
-	w.proxy = New(loop, zap.NewNop(), w.placer, options)
-	w.proxy.SetRoutes(w.routes)
-	w.proxy.SetServices([]*configuration.Service{{Name: "s", MaxConnections: 100}})
-	if err := w.proxy.Listen(); err != nil {
+	h.proxy = New(loop, zap.NewNop(), h.placer, options)
+	h.proxy.SetRoutes(h.routes)
+	h.proxy.SetServices([]*configuration.Service{{Name: "s", MaxConnections: 100}})
+	if err := h.proxy.Listen(); err != nil {
 		t.Fatal(err)
 	}
-	w.frontAddr = w.proxy.FrontAddr().String()
+	h.frontAddr = h.proxy.FrontAddr().String()
 	go func() {
-		defer close(w.done)
+		defer close(h.done)
 		_ = loop.Run()
 	}()
 	t.Cleanup(func() {
 		loop.Post(loop.Stop)
-		<-w.done
+		<-h.done
 	})
-	return w
+	return h
 }
 
-// onLoop runs a change on the loop and waits for it.
-func (w *harness) onLoop(change func()) {
-	w.t.Helper()
+// onLoop runs a function on the loop and waits for it.
+func (h *harness) onLoop(change func()) {
+	h.t.Helper()
 	done := make(chan struct{})
-	w.loop.Post(func() { change(); close(done) })
+	h.loop.Post(func() { change(); close(done) })
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
-		w.t.Fatal("the loop does not answer")
+		h.t.Fatal("the loop does not answer")
 	}
 }
 
-// waitFor waits until a state holds on the loop.
-func (w *harness) waitFor(what string, holds func() bool) {
-	w.t.Helper()
+// waitFor waits until a condition holds on the loop.
+func (h *harness) waitFor(what string, holds func() bool) {
+	h.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		ok := false
-		w.onLoop(func() { ok = holds() })
+		h.onLoop(func() { ok = holds() })
 		if ok {
 			return
 		}
 	}
-	w.t.Fatal("never came: " + what)
+	h.t.Fatal("never came: " + what)
 }
 
-// startRunners starts scripted runners and has the proxy know them; the fake placer prefers them in this order.
-func (w *harness) startRunners(names ...string) []*testRunner {
-	w.t.Helper()
+// startRunners starts scripted runners and announces them to the proxy; the fake placer prefers them in this order.
+func (h *harness) startRunners(names ...string) []*testRunner {
+	h.t.Helper()
 	var all []*testRunner
 	var known []placement.Runner
 	for _, name := range names {
-		r := &testRunner{t: w.t, id: name}
+		r := &testRunner{t: h.t, id: name}
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			w.t.Fatal(err)
+			h.t.Fatal(err)
 		}
 		r.listener = listener.(*net.TCPListener)
-		w.t.Cleanup(func() { listener.Close() })
+		h.t.Cleanup(func() { listener.Close() })
 		all = append(all, r)
 		known = append(known, placement.Runner{ID: name, Service: "s",
 			Address: netip.MustParseAddrPort(listener.Addr().String())})
 	}
-	w.onLoop(func() {
-		w.placer.runners = known
-		w.proxy.SetRunners(known)
+	h.onLoop(func() {
+		h.placer.runners = known
+		h.proxy.SetRunners(known)
 	})
 	return all
 }
 
-func (w *harness) connect() *testConn {
-	w.t.Helper()
-	return dial(w.t, w.frontAddr)
+func (h *harness) connect() *testConn {
+	h.t.Helper()
+	return dial(h.t, h.frontAddr)
 }
 
-func (w *harness) expectOutcomes(want ...string) {
-	w.t.Helper()
+func (h *harness) expectOutcomes(want ...string) {
+	h.t.Helper()
 	for _, each := range want {
 		select {
-		case got := <-w.placer.outcomes:
+		case got := <-h.placer.outcomes:
 			if got != each {
-				w.t.Fatalf("attempt ended as %q, want %q", got, each)
+				h.t.Fatalf("attempt ended as %q, want %q", got, each)
 			}
 		case <-time.After(testTimeout):
-			w.t.Fatalf("no attempt ended as %q", each)
+			h.t.Fatalf("no attempt ended as %q", each)
 		}
 	}
 }
--- a/internal/system/proxy/metrics_test.go
+++ b/internal/system/proxy/metrics_test.go
@@ -8,16 +8,16 @@
 	"cinderroad/internal/system/exposition"
 )
 
-// metricsPage reads the proxy's page of figures.
-func (w *harness) metricsPage() string {
-	w.t.Helper()
+// metricsPage returns the proxy's metrics page.
+func (h *harness) metricsPage() string {
+	h.t.Helper()
 	addr := ""
-	w.onLoop(func() { addr = w.proxy.metricsEndpoint.listener.Addr().String() })
-	c := dial(w.t, addr)
+	h.onLoop(func() { addr = h.proxy.metricsEndpoint.listener.Addr().String() })
+	c := dial(h.t, addr)
 	c.send("GET " + exposition.Path + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 	got, body := c.readResponse()
 	if got.StatusCode != 200 || got.Header.Get("Content-Type") != exposition.ContentType {
-		w.t.Errorf("status %d, type %q", got.StatusCode, got.Header.Get("Content-Type"))
+		h.t.Errorf("status %d, type %q", got.StatusCode, got.Header.Get("Content-Type"))
 	}
 	c.readToClose()
 	return body
@@ -25,18 +25,18 @@
 
 func withMetrics(o *Options) { o.MetricsAddr = netip.MustParseAddrPort("127.0.0.1:0") }
 
-// The figures tell requests after the signal to stop apart by what they came on.
+// The metrics distinguish requests after the shutdown signal by their connection.
 func TestMetricsDuringShutdown(t *testing.T) {
-	w := newHarness(t, withMetrics)
-	runner := w.startRunners("a")[0]
-	kept := w.connect()
+	h := newHarness(t, withMetrics)
+	runner := h.startRunners("a")[0]
+	kept := h.connect()
 	kept.send(requestText("/reads/x", "t1", "", ""))
 	upstream := runner.accept()
 	upstream.readRequest()
 	upstream.send(successText("t1", "one"))
 	kept.expectResponse(200, "one")
-	w.onLoop(w.proxy.Stop)
-	young := w.connect()
+	h.onLoop(h.proxy.Stop)
+	young := h.connect()
 	for i, c := range []*testConn{kept, young} {
 		id := "t" + string(rune('2'+i))
 		c.send(requestText("/reads/x", id, "", ""))
@@ -44,7 +44,7 @@
 		upstream.send(successText(id, "more"))
 		c.expectResponse(200, "more")
 	}
-	page := w.metricsPage()
+	page := h.metricsPage()
 	for _, want := range []string{
 		"cinderroad_proxy_requests_total 3\n",
 		"cinderroad_proxy_answers_total{end=\"served\"} 3\n",
@@ -58,7 +58,7 @@
 	}
 }
 
-// A port that is taken costs the figures, not the service.
+// A port that is in use costs the metrics, not the service.
 func TestServesWithoutMetricsPort(t *testing.T) {
 	first := newHarness(t, withMetrics)
 	var taken netip.AddrPort
--- a/internal/system/proxy/monitor_test.go
+++ b/internal/system/proxy/monitor_test.go
@@ -3,9 +3,9 @@
 import "testing"
 
 func TestReadyEndpoint(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	var addr string
-	w.onLoop(func() { addr = w.proxy.readyEndpoint.listener.Addr().String() })
+	h.onLoop(func() { addr = h.proxy.readyEndpoint.listener.Addr().String() })
 	client := dial(t, addr)
 	get := func(path string) int {
 		client.send("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -15,19 +15,19 @@
 	if got := get("/-/ready"); got != 503 {
 		t.Errorf("without runners: %d", got)
 	}
-	w.startRunners("a")
+	h.startRunners("a")
 	if got := get("/-/ready"); got != 200 {
 		t.Errorf("with all that is needed: %d", got)
 	}
 	if got := get("/-/other"); got != 404 {
 		t.Errorf("other path: %d", got)
 	}
-	w.onLoop(func() { w.proxy.SetRoutes(nil) })
+	h.onLoop(func() { h.proxy.SetRoutes(nil) })
 	if got := get("/-/ready"); got != 503 {
 		t.Errorf("without a configuration: %d", got)
 	}
-	w.onLoop(func() { w.proxy.SetRoutes(w.routes) })
-	w.onLoop(w.proxy.Stop)
+	h.onLoop(func() { h.proxy.SetRoutes(h.routes) })
+	h.onLoop(h.proxy.Stop)
 	if got := get("/-/ready"); got != 503 {
 		t.Errorf("when stopping: %d", got)
 	}
--- a/internal/system/proxy/notice_test.go
+++ b/internal/system/proxy/notice_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// FuzzParseNotice reads whatever comes: what is taken is what would have been written.
+// FuzzParseNotice parses arbitrary bytes: what is accepted encodes to an equal notice.
 func FuzzParseNotice(f *testing.F) {
 	f.Add(appendNotice(nil, placement.Notice{Kind: placement.NoticePrefill, RunnerKey: 3, Tokens: 4000}))
 	f.Add(appendNotice(nil, placement.Notice{Kind: placement.NoticeRecovery, RunnerKey: 3}))
--- a/internal/system/proxy/peer_notifier_test.go
+++ b/internal/system/proxy/peer_notifier_test.go
@@ -14,13 +14,13 @@
 	"cinderroad/internal/system/routetable"
 )
 
-// recordingPlacer keeps the notices that it hears.
+// recordingPlacer records the notices it gets.
 type recordingPlacer struct {
 	fakePlacer
 	notices []placement.Notice
 	peers   []uint64
 
-	setProxiesCalls int // how often a number of proxies was told alone
+	setProxiesCalls int // calls of SetProxyCount
 }
 
 func (h *recordingPlacer) HandleNotice(_ time.Duration, notice placement.Notice) {
@@ -31,7 +31,7 @@
 
 func (h *recordingPlacer) SetPeers(_ time.Duration, _ uint64, peers []uint64) { h.peers = peers }
 
-// newNotifiedProxy is a proxy on a loopback address of its own that hears notices at a free port.
+// newNotifiedProxy returns a proxy on loopback that receives notices at a free port.
 func newNotifiedProxy(t *testing.T, link float64) (*Proxy, *recordingPlacer) {
 	t.Helper()
 	loop, err := eventloop.NewLoop(64)
@@ -39,29 +39,29 @@
 		t.Fatal(err)
 	}
 	placer := &recordingPlacer{}
-	p := New(loop, zap.NewNop(), placer, Options{NoticeAddr: netip.MustParseAddrPort("127.0.0.1:0"), LinkBytesPerSecond: link})
-	p.peers.listen()
-	if p.peers.socket == nil {
+	proxy := New(loop, zap.NewNop(), placer, Options{NoticeAddr: netip.MustParseAddrPort("127.0.0.1:0"), LinkBytesPerSecond: link})
+	proxy.peers.listen()
+	if proxy.peers.socket == nil {
 		t.Fatal("no socket")
 	}
-	t.Cleanup(p.peers.socket.Close)
-	return p, placer
+	t.Cleanup(proxy.peers.socket.Close)
+	return proxy, placer
 }
 
-// runUntil lets a proxy's loop turn until the condition holds; a second is far more than loopback takes.
-func (h *recordingPlacer) runUntil(t *testing.T, p *Proxy, until func() bool) {
+// runUntil runs a proxy's loop until the condition holds.
+func (h *recordingPlacer) runUntil(t *testing.T, proxy *Proxy, until func() bool) {
 	t.Helper()
 	var look func()
-	limit := p.now() + 10*time.Second
+	limit := proxy.now() + 10*time.Second
 	look = func() {
-		if until() || p.now() > limit {
-			p.loop.Stop()
+		if until() || proxy.now() > limit {
+			proxy.loop.Stop()
 			return
 		}
-		p.runAt(p.now()+time.Millisecond, look)
+		proxy.runAt(proxy.now()+time.Millisecond, look)
 	}
 	look()
-	if err := p.loop.Run(); err != nil {
+	if err := proxy.loop.Run(); err != nil {
 		t.Fatal(err)
 	}
 	if !until() {
@@ -69,13 +69,13 @@
 	}
 }
 
-// The proxies of the own zone are told, and one of each other zone, which passes it on in its own.
+// Peers in the own zone get every notice; one of each other zone gets it and forwards it in its zone.
 func TestNoticeForwardedInOtherZones(t *testing.T) {
 	teller, _ := newNotifiedProxy(t, 0)
 	relay, relayPlacer := newNotifiedProxy(t, 0)
 	last, lastPlacer := newNotifiedProxy(t, 0)
 	machine := netip.MustParseAddr("127.0.0.1")
-	teller.options.Zone, teller.options.NoticeAddr = "a", relay.peers.socket.Addr() // all proxies have one port
+	teller.options.Zone, teller.options.NoticeAddr = "a", relay.peers.socket.Addr() // all proxies use the same port
 	teller.applyPeers([]feed.Peer{{Node: "one", Address: machine, Zone: "c"}, {Node: "two", Address: machine, Zone: "c"},
 		{Node: "three", Address: machine}, {Node: "four", Zone: "a"}})
 	relay.options.Zone, relay.options.NoticeAddr = "c", last.peers.socket.Addr()
@@ -99,11 +99,11 @@
 	}
 }
 
-// What is told takes no more than its share of the link.
+// Notices take no more than their share of the bandwidth.
 func TestNoticeBudget(t *testing.T) {
 	const link = 100e3
 	p, _ := newNotifiedProxy(t, link)
-	p.peers.refilledAt -= 10 // long ago
+	p.peers.refilledAt -= 10
 	size := 10 * (datagramHeaderBytes + len(appendNotice(nil, placement.Notice{Kind: placement.NoticePrefill, Tokens: 3000})))
 	told := 0
 	for p.peers.spendBudget(size) {
@@ -114,8 +114,8 @@
 	}
 }
 
-// A number that was told a moment before or after the names does not take the names away: with many proxies only those that
-// know the others' names may use a cold runner.
+// A proxy count that arrives just before or after the peer list does not discard the list: with many proxies, only
+// those that know the others' names may use a runner in slow start.
 func TestPeersOutliveProxyCount(t *testing.T) {
 	p, placer := newNotifiedProxy(t, 0)
 	p.control.table = routetable.New()
--- a/internal/system/proxy/pipelining_test.go
+++ b/internal/system/proxy/pipelining_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A request that its client sends ahead has waited when its turn comes: its runner is given what is left.
+// A pipelined request has waited when its turn comes: its runner is told the remaining time.
 func TestTimeLeftOfPipelinedRequest(t *testing.T) {
 	const work, left = 700 * time.Millisecond, 1000 * time.Millisecond
 	sim := newSimulation(1)
--- a/internal/system/proxy/proxy_test.go
+++ b/internal/system/proxy/proxy_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// The ordinary path: what a runner gets and what a client gets, on connections that are used again.
+// What a runner and a client get in the ordinary case, on connections that are reused.
 func TestRequestAndConnectionReuse(t *testing.T) {
-	w := newHarness(t)
-	runner := w.startRunners("a")[0]
-	client := w.connect()
+	h := newHarness(t)
+	runner := h.startRunners("a")[0]
+	client := h.connect()
 	client.send(requestText("/writes/x?q=1", "t1",
 		"X-Other: v\r\nConnection: keep-alive, x-hop\r\nX-Hop: gone\r\nX-Wanted-Server: evil\r\n", "the body"))
 	upstream := runner.accept()
@@ -39,9 +39,9 @@
 		t.Errorf("client got a field of the other connection: %q", head)
 	}
 	client.expect("abc")
-	w.expectOutcomes("a served")
+	h.expectOutcomes("a served")
 
-	client.send(requestText("/reads/y", "t2", "", "")) // both connections are used again
+	client.send(requestText("/reads/y", "t2", "", "")) // both connections are reused
 	if request, _ := upstream.readRequest(); request.Header.Get("X-Try-Id") != "t2" {
 		t.Errorf("second request has id %q", request.Header.Get("X-Try-Id"))
 	}
@@ -51,17 +51,17 @@
 	}
 }
 
-// Guards against events that wait for the end of the stream, and against a body whose bytes are changed by its framing.
+// Guards against events that wait for the end of the stream, and against a body that is changed by its framing.
 func TestEventStreamRelay(t *testing.T) {
-	w := newHarness(t)
-	runner := w.startRunners("a")[0]
-	client := w.connect()
+	h := newHarness(t)
+	runner := h.startRunners("a")[0]
+	client := h.connect()
 	client.send(requestText("/stream/x", "t1",
 		"X-Model: m\r\nX-Token-Counts: 1460,80\r\nX-Prompt-Start: 5c1e07a2:800,91bd3f06:410\r\n", "p"))
 	upstream := runner.accept()
 	upstream.readRequest()
-	w.onLoop(func() {
-		if request := w.placer.lastRequest; request.Model != "m" || request.InputTokens != 1460 || request.MaxOutputTokens != 80 || len(request.Chunks) != 2 ||
+	h.onLoop(func() {
+		if request := h.placer.lastRequest; request.Model != "m" || request.InputTokens != 1460 || request.MaxOutputTokens != 80 || len(request.Chunks) != 2 ||
 			request.Chunks[1].ID != 0x91bd3f06 || request.Chunks[1].Tokens != 410 {
 			t.Errorf("request for the placer: %+v", request)
 		}
@@ -74,10 +74,10 @@
 	}
 	upstream.send(lastChunk)
 	client.expect(lastChunk)
-	w.expectOutcomes("a served")
-	w.onLoop(func() {
-		if w.placer.events != 3 {
-			t.Errorf("placer heard of %d events", w.placer.events)
+	h.expectOutcomes("a served")
+	h.onLoop(func() {
+		if h.placer.events != 3 {
+			t.Errorf("placer heard of %d events", h.placer.events)
 		}
 	})
 }
--- a/internal/system/proxy/retry_test.go
+++ b/internal/system/proxy/retry_test.go
@@ -10,14 +10,14 @@
 	"cinderroad/internal/system/placement"
 )
 
-// What may go to a second runner, by route and by what the first one did.
+// Whether a second runner gets the request, by route and by what the first one did.
 func TestRetryOnAnotherRunner(t *testing.T) {
 	for _, tc := range []struct {
 		name, path string
-		first      func(p *testConn) // what the first runner does with the request that it has read
+		first      func(p *testConn) // what the first runner does after reading the request
 		outcome    string
-		second     bool // the second runner gets it
-		status     int  // of the client, without a second
+		second     bool // the second runner gets the request
+		status     int  // for the client, without a second runner
 	}{
 		{"not run, read only", "/reads/x", func(p *testConn) { p.send(notRunWithoutID) }, "a not run", true, 0},
 		{"not run, writes", "/writes/x", func(p *testConn) { p.send(notRunWithoutID) }, "a not run", true, 0},
@@ -62,16 +62,16 @@
 		}, "a served", false, 422},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newHarness(t)
-			runners := w.startRunners("a", "b")
-			client := w.connect()
+			h := newHarness(t)
+			runners := h.startRunners("a", "b")
+			client := h.connect()
 			client.send(requestText(tc.path, "t1", "", "body"))
 			first := runners[0].accept()
 			if _, body := first.readRequest(); body != "body" {
 				t.Errorf("first runner got %q", body)
 			}
 			tc.first(first)
-			w.expectOutcomes(tc.outcome)
+			h.expectOutcomes(tc.outcome)
 			if !tc.second {
 				client.expectResponse(tc.status, "")
 				return
@@ -83,12 +83,13 @@
 			}
 			second.send(successText("t1", "whole"))
 			client.expectResponse(200, "whole")
-			w.expectOutcomes("b served")
+			h.expectOutcomes("b served")
 		})
 	}
 }
 
-// Guards against a repeat that the placer's budget does not allow, and against a promise once the request may have run.
+// Guards against a retry that the placer's budget does not allow, and against a rejection once the request may have
+// run.
 func TestResponseWithoutRetry(t *testing.T) {
 	for _, tc := range []struct {
 		name, path, answer string
@@ -103,10 +104,10 @@
 		{"another incarnation", "/writes/x", "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n", 503, "0.200"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newHarness(t)
-			runners := w.startRunners("a", "b")
-			w.onLoop(func() { w.placer.noRetry = true })
-			client := w.connect()
+			h := newHarness(t)
+			runners := h.startRunners("a", "b")
+			h.onLoop(func() { h.placer.noRetry = true })
+			client := h.connect()
 			client.send(requestText(tc.path, "t1", "", ""))
 			upstream := runners[0].accept()
 			upstream.readRequest()
@@ -118,12 +119,12 @@
 	}
 }
 
-// A refusal is answered at once, with when to come back, and the connection serves on.
+// A rejected request is answered at once with a Retry-After, and the connection stays usable.
 func TestPlacementRefusal(t *testing.T) {
-	w := newHarness(t)
-	w.startRunners("a")
-	w.onLoop(func() { w.placer.refusal = &placement.Rejection{RetryAfter: 250 * time.Millisecond} })
-	c := w.connect()
+	h := newHarness(t)
+	h.startRunners("a")
+	h.onLoop(func() { h.placer.refusal = &placement.Rejection{RetryAfter: 250 * time.Millisecond} })
+	c := h.connect()
 	for _, id := range []string{"t1", "t2"} {
 		c.send(requestText("/writes/x", id, "", "body"))
 		got := c.expectResponse(503, "")
@@ -133,29 +134,29 @@
 	}
 }
 
-// Guards against a write that is given up after a runner could not even be reached, and against one that is sent to it
+// Guards against a write that is given up because a runner could not be reached, and against one that is sent to it
 // twice.
 func TestUnreachableRunner(t *testing.T) {
-	w := newHarness(t)
-	r := w.startRunners("a", "b")
+	h := newHarness(t)
+	r := h.startRunners("a", "b")
 	r[0].listener.Close()
-	c := w.connect()
+	c := h.connect()
 	c.send(requestText("/writes/x", "t1", "", "body"))
 	up := r[1].accept()
 	up.readRequest()
 	up.send(successText("t1", "whole"))
 	c.expectResponse(200, "whole")
-	w.expectOutcomes("a unreached", "b served")
+	h.expectOutcomes("a unreached", "b served")
 }
 
-// Guards against a large request that a runner never took whole counting as one that may have run.
+// Guards against a large request that a runner never received completely counting as possibly executed.
 func TestRequestNotFullySent(t *testing.T) {
-	w := newHarness(t)
-	runners := w.startRunners("a", "b")
-	w.onLoop(func() { w.proxy.SetLimits(configuration.Limits{MaxBodyBytes: 1 << 30}) })
-	body := string(make([]byte, 32<<20)) // more than the buffers of the system hold
-	client := w.connect()
-	go io.WriteString(client.conn, requestText("/writes/x", "t1", "", body)) // what arrives is looked at below
+	h := newHarness(t)
+	runners := h.startRunners("a", "b")
+	h.onLoop(func() { h.proxy.SetLimits(configuration.Limits{MaxBodyBytes: 1 << 30}) })
+	body := string(make([]byte, 32<<20)) // more than the kernel's buffers hold
+	client := h.connect()
+	go io.WriteString(client.conn, requestText("/writes/x", "t1", "", body)) // what arrives is checked below
 	first := runners[0].accept()
 	first.readHead()
 	first.reset()
@@ -165,11 +166,10 @@
 	}
 	second.send(successText("t1", "whole"))
 	client.expectResponse(200, "whole")
-	w.expectOutcomes("a broken", "b served")
+	h.expectOutcomes("a broken", "b served")
 }
 
-// Guards against a request on a connection whose runner has closed it or sent bytes that nobody asked for, and against
-// such bytes behind an answer.
+// Guards against sending a request on a connection that its runner has closed or sent unrequested bytes on.
 func TestUnusableIdleConnection(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -180,16 +180,16 @@
 		{"reset", func(p *testConn) { p.reset() }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newHarness(t)
-			runner := w.startRunners("a")[0]
-			client := w.connect()
+			h := newHarness(t)
+			runner := h.startRunners("a")[0]
+			client := h.connect()
 			client.send(requestText("/writes/x", "t1", "", ""))
 			upstream := runner.accept()
 			upstream.readRequest()
 			upstream.send(successText("t1", "first"))
 			client.expectResponse(200, "first")
 			tc.spoil(upstream)
-			w.waitFor("the connection's end", func() bool { return len(w.proxy.pool.runners["a"].idle) == 0 })
+			h.waitFor("the connection's end", func() bool { return len(h.proxy.pool.runners["a"].idle) == 0 })
 			client.send(requestText("/writes/x", "t2", "", ""))
 			again := runner.accept()
 			again.readRequest()
@@ -200,23 +200,23 @@
 }
 
 func TestBytesAfterResponse(t *testing.T) {
-	w := newHarness(t)
-	r := w.startRunners("a")[0]
-	c := w.connect()
+	h := newHarness(t)
+	r := h.startRunners("a")[0]
+	c := h.connect()
 	c.send(requestText("/writes/x", "t1", "", ""))
 	up := r.accept()
 	up.readRequest()
 	up.send(successText("t1", "first") + "more")
 	c.expectResponse(200, "first")
 	up.readToClose()
-	w.expectOutcomes("a served")
+	h.expectOutcomes("a served")
 }
 
-// An extra answer to the request before is read away: the answer to the request at hand follows.
+// An extra response to the previous request is discarded; the response to the current request follows.
 func TestExtraResponseDiscarded(t *testing.T) {
-	w := newHarness(t)
-	runner := w.startRunners("a")[0]
-	client := w.connect()
+	h := newHarness(t)
+	runner := h.startRunners("a")[0]
+	client := h.connect()
 	client.send(requestText("/writes/x", "t1", "", ""))
 	upstream := runner.accept()
 	upstream.readRequest()
@@ -227,15 +227,15 @@
 	upstream.send(successText("t1", "first") + successText("t2", "second"))
 	client.expectResponse(200, "second")
 	upstream.readToClose()
-	w.expectOutcomes("a served", "a served")
+	h.expectOutcomes("a served", "a served")
 }
 
-// An answer that says that nothing ran, but not of which request, may be a late one to the request before: it proves
-// nothing of the request at hand.
+// A response that says that nothing was executed, but not for which request, may be a late one to the previous request:
+// it proves nothing about the current one.
 func TestNotRunWithoutIDProvesNothing(t *testing.T) {
-	w := newHarness(t)
-	runners := w.startRunners("a", "b")
-	client := w.connect()
+	h := newHarness(t)
+	runners := h.startRunners("a", "b")
+	client := h.connect()
 	client.send(requestText("/writes/x", "t1", "", ""))
 	upstream := runners[0].accept()
 	upstream.readRequest()
@@ -246,27 +246,28 @@
 	upstream.send(notRunWithoutID)
 	client.expectResponse(502, "")
 	upstream.readToClose()
-	w.expectOutcomes("a served", "a broken")
+	h.expectOutcomes("a served", "a broken")
 }
 
-// A runner that answers before it has the whole request may have run what it got: what it says cannot be read here.
+// A runner that responds before it has the whole request may have executed what it received; its response is unreadable
+// here.
 func TestInvalidEarlyResponse(t *testing.T) {
-	w := newHarness(t)
-	r := w.startRunners("a", "b")
-	c := w.connect()
+	h := newHarness(t)
+	r := h.startRunners("a", "b")
+	c := h.connect()
 	c.send(requestText("/writes/x", "t1", "", strings.Repeat("x", 4<<20)))
 	up := r[0].accept()
 	up.readHead()
 	up.send("\x00\x01")
 	c.expectResponse(502, "")
-	w.expectOutcomes("a broken")
+	h.expectOutcomes("a broken")
 }
 
-// A connection serves on after answers that were not passed on.
+// A connection is reused after responses that were not forwarded.
 func TestConnectionReuseAfterNotRun(t *testing.T) {
-	w := newHarness(t)
-	runners := w.startRunners("a", "b")
-	client := w.connect()
+	h := newHarness(t)
+	runners := h.startRunners("a", "b")
+	client := h.connect()
 	client.send(requestText("/writes/x", "t1", "", ""))
 	upstream := runners[0].accept()
 	upstream.readRequest()
--- a/internal/system/proxy/runner_conn.go
+++ b/internal/system/proxy/runner_conn.go
@@ -129,14 +129,14 @@
 }
 
 // sendRequest writes the request of an attempt.
-func (l *runnerConn) sendRequest(a *attempt) {
-	x := a.exchange
-	l.attempt, a.conn = a, l
+func (l *runnerConn) sendRequest(attempt *attempt) {
+	x := attempt.exchange
+	l.attempt, attempt.conn = attempt, l
 	l.transition(connAwaitingHead)
 	l.skippedPrevious, l.closeAfterResponse, l.responseStarted = false, false, false
 	l.previousTryID, l.tryID, l.method = l.tryID, x.tryID, x.head.Method
-	a.noteSent()
-	head := x.appendRequest(x.proxy.scratch[:0], a.choice)
+	attempt.noteSent()
+	head := x.appendRequest(x.proxy.scratch[:0], attempt.choice)
 	l.requestEnd = l.socket.Written() + uint64(len(head)+len(x.body))
 	if len(x.body) <= singleWriteBodyBytes {
 		head = append(head, x.body...)
--- a/internal/system/proxy/service_splitter_test.go
+++ b/internal/system/proxy/service_splitter_test.go
@@ -16,8 +16,8 @@
 	return r
 }
 
-// Few requests over many proxies lie as close to the weights as many do: 300 requests over 8 proxies were up to 0.083
-// off when they were drawn by chance, and are up to 0.023 off now.
+// Few requests over many proxies are as close to the weights as many are: 300 requests over 8 proxies were up to 0.083
+// off with a random choice, and are up to 0.023 off now.
 func TestServiceSplitterFollowsWeights(t *testing.T) {
 	const requests, proxies, mostOff = 300, 8, 0.03
 	for _, weights := range [][]float64{{90, 10}, {50, 50}, {1, 1, 1}, {0.5, 0, 0.3, 0.2}, {97, 3}} {
--- a/internal/system/proxy/session_input.go
+++ b/internal/system/proxy/session_input.go
@@ -61,18 +61,18 @@
 }
 
 // readBody reads a part of the body; false if it waits for more or the session has ended.
-func (s *session) readBody(x *exchange) bool {
-	data, n, done, err := x.bodyReader.Next(s.socket.Bytes())
+func (s *session) readBody(exchange *exchange) bool {
+	data, n, done, err := exchange.bodyReader.Next(s.socket.Bytes())
 	if err != nil {
-		x.finish()
+		exchange.finish()
 		s.reject(err)
 		return false
 	}
-	x.appendBody(data)
+	exchange.appendBody(data)
 	s.socket.Consume(n)
 	switch {
-	case len(x.body) > s.proxy.limits.MaxBodyBytes:
-		x.finish()
+	case len(exchange.body) > s.proxy.limits.MaxBodyBytes:
+		exchange.finish()
 		s.rejectWith(413, "body too large")
 		return false
 	case done && s.socket.HungUp(): // the disconnect is reported next; nothing is sent for a client that is gone
@@ -80,26 +80,26 @@
 	case done:
 		s.timer.Stop()
 		s.noteNextRequest()
-		x.handleComplete()
+		exchange.handleComplete()
 		return s.exchange != nil
 	case s.proxy.memoryExhausted():
-		x.finish()
+		exchange.finish()
 		s.rejectWith(503, "no memory to wait for the rest")
 		return false
 	case n > 0 && len(s.socket.Bytes()) > 0:
 		return true
 	}
 	s.setTimeout(s.proxy.limits.IdleTimeout, func() {
-		x.finish()
+		exchange.finish()
 		s.rejectWith(408, "request not whole in time")
 	})
 	return false
 }
 
 // skipBody discards what has arrived of a body; true if that was all of it.
-func (s *session) skipBody(x *exchange) bool {
+func (s *session) skipBody(exchange *exchange) bool {
 	for {
-		_, n, done, err := x.bodyReader.Next(s.socket.Bytes())
+		_, n, done, err := exchange.bodyReader.Next(s.socket.Bytes())
 		if err != nil || n == 0 && !done {
 			return false
 		}
--- a/internal/system/proxy/session_test.go
+++ b/internal/system/proxy/session_test.go
@@ -8,7 +8,7 @@
 	"cinderroad/internal/system/configuration"
 )
 
-// What is answered without a runner.
+// Requests that are answered without a runner.
 func TestLocalResponses(t *testing.T) {
 	for _, tc := range []struct {
 		name, in string
@@ -37,10 +37,10 @@
 		{"version", "GET /reads/x HTTP/2.0\r\n\r\n", 505, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newHarness(t)
-			w.startRunners("a")
-			w.onLoop(func() { w.proxy.SetLimits(configuration.Limits{MaxBodyBytes: 2000}) })
-			client := w.connect()
+			h := newHarness(t)
+			h.startRunners("a")
+			h.onLoop(func() { h.proxy.SetLimits(configuration.Limits{MaxBodyBytes: 2000}) })
+			client := h.connect()
 			client.send(tc.in)
 			if got := client.expectResponse(tc.status, ""); got.Close != tc.closes {
 				t.Errorf("close is %v", got.Close)
@@ -52,11 +52,11 @@
 	}
 }
 
-// Until the configuration is known nothing can be said of a route.
+// Without a configuration, no route can be found.
 func TestRequestBeforeConfiguration(t *testing.T) {
-	w := newHarness(t)
-	w.onLoop(func() { w.proxy.SetRoutes(nil) })
-	c := w.connect()
+	h := newHarness(t)
+	h.onLoop(func() { h.proxy.SetRoutes(nil) })
+	c := h.connect()
 	c.send(requestText("/reads/x", "t1", "", ""))
 	if got := c.expectResponse(503, ""); got.Header.Get("Retry-After") == "" {
 		t.Error("no Retry-After")
@@ -64,9 +64,9 @@
 }
 
 func TestBodyFraming(t *testing.T) {
-	w := newHarness(t)
-	runner := w.startRunners("a")[0]
-	client := w.connect()
+	h := newHarness(t)
+	runner := h.startRunners("a")[0]
+	client := h.connect()
 	client.send("PUT /writes/x HTTP/1.1\r\nHost: h.example:80\r\nX-Try-Id: t1\r\nTransfer-Encoding: chunked\r\nTrailer: X-T\r\n\r\n" +
 		"5;x=y\r\nhello\r\n" + "6\r\n world\r\n0\r\nX-T: 1\r\n\r\n")
 	upstream := runner.accept()
@@ -103,11 +103,11 @@
 	upstream.readRequest()
 }
 
-// Requests that are sent ahead are answered in order, one at a time.
+// Pipelined requests are answered in order, one at a time.
 func TestPipelining(t *testing.T) {
-	w := newHarness(t)
-	runner := w.startRunners("a")[0]
-	client := w.connect()
+	h := newHarness(t)
+	runner := h.startRunners("a")[0]
+	client := h.connect()
 	client.send(requestText("/writes/x", "t1", "", "one") + requestText("/none/x", "t2", "", "") + requestText("/writes/x", "t3", "", "three"))
 	upstream := runner.accept()
 	for _, want := range []string{"one", "three"} {
@@ -125,13 +125,13 @@
 	client.expectResponse(200, "answer three")
 }
 
-// A client that leaves takes its request along: the runner's connection is closed.
+// The request of a client that disconnects is cancelled: the runner's connection is closed.
 func TestClientDisconnectCancelsRequest(t *testing.T) {
 	for _, path := range []string{"/writes/x", "/stream/x"} {
 		t.Run(path, func(t *testing.T) {
-			w := newHarness(t)
-			runner := w.startRunners("a")[0]
-			client := w.connect()
+			h := newHarness(t)
+			runner := h.startRunners("a")[0]
+			client := h.connect()
 			client.send(requestText(path, "t1", "", ""))
 			upstream := runner.accept()
 			upstream.readRequest()
@@ -141,10 +141,10 @@
 			}
 			client.conn.Close()
 			upstream.readToClose()
-			w.expectOutcomes("a abandoned")
-			w.waitFor("nothing is held", func() bool {
-				return w.proxy.openExchanges == 0 && w.proxy.bufferedBodyBytes == 0 &&
-					w.proxy.sessions.count == 0
+			h.expectOutcomes("a abandoned")
+			h.waitFor("nothing is held", func() bool {
+				return h.proxy.openExchanges == 0 && h.proxy.bufferedBodyBytes == 0 &&
+					h.proxy.sessions.count == 0
 			})
 		})
 	}
@@ -156,45 +156,45 @@
 		return "POST " + path + " HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: t1\r\n" + soon + "Content-Length: 0\r\n\r\n"
 	}
 	t.Run("the runner has it", func(t *testing.T) {
-		w := newHarness(t)
-		runner := w.startRunners("a")[0]
-		client := w.connect()
+		h := newHarness(t)
+		runner := h.startRunners("a")[0]
+		client := h.connect()
 		client.send(request("/writes/x"))
 		upstream := runner.accept()
 		upstream.readRequest()
 		client.expectResponse(504, "")
 		upstream.readToClose()
-		w.expectOutcomes("a abandoned")
+		h.expectOutcomes("a abandoned")
 	})
 	t.Run("the route's timeout is shorter", func(t *testing.T) {
-		w := newHarness(t)
-		w.onLoop(func() { w.routes.routes[0].Timeout = 30 * time.Millisecond })
-		runner := w.startRunners("a")[0]
-		client := w.connect()
+		h := newHarness(t)
+		h.onLoop(func() { h.routes.routes[0].Timeout = 30 * time.Millisecond })
+		runner := h.startRunners("a")[0]
+		client := h.connect()
 		client.send(requestText("/reads/x", "t1", "", ""))
 		upstream := runner.accept()
 		upstream.readRequest()
 		client.expectResponse(504, "")
 	})
 	t.Run("a body that does not come", func(t *testing.T) {
-		w := newHarness(t)
-		client := w.connect()
+		h := newHarness(t)
+		client := h.connect()
 		client.send("POST /writes/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: t1\r\n" + soon + "Content-Length: 5\r\n\r\nab")
 		client.expectResponse(408, "")
 		client.readToClose()
 	})
 	t.Run("a head that does not come", func(t *testing.T) {
-		w := newHarness(t)
-		w.onLoop(func() { w.proxy.SetLimits(configuration.Limits{HeaderTimeout: 20 * time.Millisecond}) })
-		client := w.connect()
+		h := newHarness(t)
+		h.onLoop(func() { h.proxy.SetLimits(configuration.Limits{HeaderTimeout: 20 * time.Millisecond}) })
+		client := h.connect()
 		client.send("POST /writes/x HT")
 		client.expectResponse(408, "")
 		client.readToClose()
 	})
 	t.Run("an idle client", func(t *testing.T) {
-		w := newHarness(t)
-		w.onLoop(func() { w.proxy.SetLimits(configuration.Limits{IdleTimeout: 20 * time.Millisecond}) })
-		client := w.connect()
+		h := newHarness(t)
+		h.onLoop(func() { h.proxy.SetLimits(configuration.Limits{IdleTimeout: 20 * time.Millisecond}) })
+		client := h.connect()
 		if rest := client.readToClose(); rest != "" {
 			t.Errorf("an idle client got %q", rest)
 		}
--- a/internal/system/proxy/shutdown.go
+++ b/internal/system/proxy/shutdown.go
@@ -89,14 +89,14 @@
 }
 
 // logCut logs a request that the exit of the process cuts off, with the data that shows why it was accepted.
-func (p *Proxy) logCut(s *session) {
-	x := s.exchange
+func (p *Proxy) logCut(session *session) {
+	x := session.exchange
 	if p.Counters.ShutdownCut++; p.Counters.ShutdownCut > maxCutsLogged {
 		return
 	}
 	fields := []zap.Field{zap.String("try", x.tryID), zap.Bool("answered", x.response.started), zap.Bool("may_have_run", x.request.MayHaveRun),
 		zap.Duration("came_after_signal", x.request.ArrivedAt-p.shutdown.signalAt), zap.Duration("time_left", x.request.Deadline-p.now()),
-		zap.Int("request_of_connection", s.requestCount), zap.Duration("connected_after_signal", s.acceptedAt-p.shutdown.signalAt)}
+		zap.Int("request_of_connection", session.requestCount), zap.Duration("connected_after_signal", session.acceptedAt-p.shutdown.signalAt)}
 	if x.request.Route != nil {
 		fields = append(fields, zap.String("route", x.request.Route.Name))
 	}
--- a/internal/system/proxy/shutdown_plan_test.go
+++ b/internal/system/proxy/shutdown_plan_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// Whatever the grace period, a stop keeps to what the platform allows: cuts come in its last sixth and before its end, and
-// only to requests that were taken within three seconds or may be cut by nobody else than their own deadline.
+// For any grace period the plan keeps to what the platform allows: requests are cut off only in its last sixth, before
+// its end, and only if they were accepted within three seconds of the signal; others end by their own deadline.
 func TestPlanShutdownFitsGracePeriod(t *testing.T) {
 	for grace := 100 * time.Millisecond; grace < time.Minute; grace += 70 * time.Millisecond {
 		plan := planShutdown(grace)
--- a/internal/system/proxy/shutdown_simulation_test.go
+++ b/internal/system/proxy/shutdown_simulation_test.go
@@ -15,8 +15,8 @@
 	"cinderroad/internal/system/placement"
 )
 
-// What the platform promises about a stop (LOST): a request that was passed on is answered whole. The only answers that
-// may be cut are those still under way in the last part of the grace period, of requests sent soon after the signal.
+// The platform's guarantee for a shutdown (LOST): a forwarded request is answered completely. Only responses still in
+// progress in the last part of the grace period, to requests sent soon after the signal, may be cut off.
 const (
 	cutAllowedIfSentWithin = 3 * time.Second // after the signal
 	cutAllowedFrom         = 5.0 / 6         // of the grace period
@@ -26,8 +26,8 @@
 const (
 	shutdownSeeds        = 25
 	shutdownClients      = 40
-	minComplete          = 100             // answers, over all seeds
-	longestLookupCache   = 6 * time.Second // three times as long as the directory says
+	minComplete          = 100             // complete responses, over all seeds
+	longestLookupCache   = 6 * time.Second // three times the lifetime that the directory states
 	shutdownRouteTimeout = 15 * time.Second
 	shutdownLatency      = 3 * time.Millisecond
 	eventInterval        = 100 * time.Millisecond
@@ -36,7 +36,7 @@
 	streamLengthQuery    = "?for=" // in the target: how long the runner streams
 )
 
-// shutdownSimulation is a proxy that is told to stop under traffic, in virtual time.
+// shutdownSimulation is a proxy that is told to stop under load, in virtual time.
 type shutdownSimulation struct {
 	random       *rand.Rand
 	network      *simulatedNetwork
@@ -45,7 +45,7 @@
 	requestCount int
 	complete     int
 	refused      int
-	cut          int // that the promise allows
+	cut          int // as the guarantee allows
 	forwarded    map[string]bool
 	violations   []string
 }
@@ -57,8 +57,8 @@
 	deadline time.Duration
 }
 
-// shutdownClient asks one request after the other, each on the connection of the one before while that is kept. It stops
-// asking when it knows that the proxy stops.
+// shutdownClient sends one request after the other, on the same connection as long as it stays open. It stops when it
+// learns that the proxy shuts down.
 type shutdownClient struct {
 	simulation *shutdownSimulation
 	peer       *simulatedPeer
@@ -68,7 +68,7 @@
 	learnsAt   time.Duration
 }
 
-// Whatever clients ask after the signal to stop, and however long their answers take, no answer is lost.
+// Whatever clients send after the shutdown signal, and however long the responses take, no response is lost.
 func TestShutdownUnderTraffic(t *testing.T) {
 	for _, grace := range []time.Duration{2 * time.Second, 5 * time.Second, 8 * time.Second, 20 * time.Second} {
 		var made, whole, refused, cut int
@@ -108,7 +108,7 @@
 	return sim
 }
 
-// run runs the proxy until it ends by itself, or is killed at the end of the grace period.
+// run runs the proxy until it exits or is killed at the end of the grace period.
 func (sim *shutdownSimulation) run() error {
 	if err := sim.proxy.Listen(); err != nil {
 		return err
@@ -143,7 +143,7 @@
 	return time.Duration(sim.random.Int64N(int64(most)))
 }
 
-// sendNext asks the next request, unless the client knows that the proxy stops.
+// sendNext sends the next request unless the client knows that the proxy shuts down.
 func (c *shutdownClient) sendNext() {
 	sim := c.simulation
 	if c.request != nil || sim.network.now > c.learnsAt {
@@ -174,7 +174,7 @@
 	}
 }
 
-// handleData takes bytes of the proxy's answer.
+// handleData processes bytes of the proxy's response.
 func (c *shutdownClient) handleData(b string) {
 	c.received += b
 	response, whole, valid := parseResponse(c.received, false)
@@ -197,7 +197,7 @@
 	c.simulation.network.after(pause, c.sendNext)
 }
 
-// handleResponse judges a whole answer.
+// handleResponse checks a complete response.
 func (c *shutdownClient) handleResponse(response *parsedResponse) {
 	request, sim := c.request, c.simulation
 	c.request = nil
@@ -219,7 +219,7 @@
 	}
 }
 
-// handleEnd takes the proxy's close of the client's connection.
+// handleEnd processes the close of the client's connection by the proxy.
 func (c *shutdownClient) handleEnd() {
 	request, sim := c.request, c.simulation
 	c.end.close()
@@ -240,13 +240,13 @@
 	}
 }
 
-// mayBeCut says whether the platform allows that the stop ends the request now.
+// mayBeCut reports whether the platform allows that the shutdown ends the request now.
 func (sim *shutdownSimulation) mayBeCut(request *shutdownRequest) bool {
 	allowed := signalAt + time.Duration(cutAllowedFrom*float64(sim.grace))
 	return request.sentAt <= signalAt+cutAllowedIfSentWithin && sim.network.now >= allowed
 }
 
-// acceptAtRunner has the runner answer each request by a stream of the length that its target names.
+// acceptAtRunner lets the runner respond to each request with a stream of the length that the target states.
 func (sim *shutdownSimulation) acceptAtRunner(end *remoteEnd) {
 	received := ""
 	end.onEnd = func(bool) { end.close() }
@@ -276,7 +276,7 @@
 	}
 }
 
-// stream sends an event now and again, and the end of the answer at its time.
+// stream sends an event periodically, and the end of the response when its time has come.
 func (sim *shutdownSimulation) stream(end *remoteEnd, number int, until time.Duration) {
 	if sim.network.now >= until {
 		end.send(lastChunk)
--- a/internal/system/proxy/shutdown_test.go
+++ b/internal/system/proxy/shutdown_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// A proxy that is told to stop takes what still comes, ends it whole, and then ends.
+// A proxy that is told to stop serves what still arrives and exits afterwards.
 func TestShutdownDrains(t *testing.T) {
-	w := newHarness(t)
-	w.onLoop(func() { w.proxy.shutdown.plan = shutdownPlan{time.Hour, time.Hour, time.Hour, time.Hour} }) // the test goes through it by hand
-	runner := w.startRunners("a")[0]
-	idle, busy, late := w.connect(), w.connect(), w.connect()
-	w.waitFor("three sessions", func() bool { return w.proxy.sessions.count == 3 })
+	h := newHarness(t)
+	h.onLoop(func() { h.proxy.shutdown.plan = shutdownPlan{time.Hour, time.Hour, time.Hour, time.Hour} }) // the test runs the steps itself
+	runner := h.startRunners("a")[0]
+	idle, busy, late := h.connect(), h.connect(), h.connect()
+	h.waitFor("three sessions", func() bool { return h.proxy.sessions.count == 3 })
 	busy.send(requestText("/stream/x", "t1", "", ""))
 	upstream := runner.accept()
 	upstream.readRequest()
 	upstream.send(streamHeadText("t1", "s") + chunkText(eventText(1)))
 	busy.readHead()
-	w.onLoop(w.proxy.Stop)
+	h.onLoop(h.proxy.Stop)
 	late.send(requestText("/writes/x", "t2", "", ""))
 	second := runner.accept()
 	second.readRequest()
@@ -27,25 +27,25 @@
 		t.Error("the answer does not end the connection")
 	}
 	late.conn.Close()
-	w.onLoop(w.proxy.sweepIdleSessions)
+	h.onLoop(h.proxy.sweepIdleSessions)
 	idle.readToClose()
-	w.onLoop(w.proxy.closeListener)
+	h.onLoop(h.proxy.closeListener)
 	upstream.send(chunkText(eventText(2)) + lastChunk)
 	busy.expect(chunkText(eventText(1)) + chunkText(eventText(2)) + lastChunk)
 	busy.conn.Close()
 	select {
-	case <-w.done:
+	case <-h.done:
 	case <-time.After(testTimeout):
 		t.Fatal("the proxy does not end")
 	}
 }
 
-// What has no answer when the proxy must end is told so, and whether it may have run.
+// Requests without a response when the proxy must exit are answered, and the status says whether they may have run.
 func TestShutdownAnswersPendingRequests(t *testing.T) {
-	w := newHarness(t)
-	w.onLoop(func() { w.proxy.shutdown.plan = shutdownPlan{time.Hour, time.Hour, time.Hour, time.Hour} }) // the test goes through it by hand
-	runner := w.startRunners("a")[0]
-	half, sent, begun := w.connect(), w.connect(), w.connect()
+	h := newHarness(t)
+	h.onLoop(func() { h.proxy.shutdown.plan = shutdownPlan{time.Hour, time.Hour, time.Hour, time.Hour} }) // the test runs the steps itself
+	runner := h.startRunners("a")[0]
+	half, sent, begun := h.connect(), h.connect(), h.connect()
 	begun.send(requestText("/stream/x", "t1", "", ""))
 	first := runner.accept()
 	first.readRequest()
@@ -54,9 +54,9 @@
 	sent.send(requestText("/writes/x", "t2", "", ""))
 	runner.accept().readRequest()
 	half.send("POST /writes/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: t3\r\nContent-Length: 5\r\n\r\nab")
-	w.waitFor("three requests", func() bool { return w.proxy.openExchanges == 3 })
-	w.onLoop(w.proxy.Stop)
-	w.onLoop(w.proxy.endUnansweredExchanges)
+	h.waitFor("three requests", func() bool { return h.proxy.openExchanges == 3 })
+	h.onLoop(h.proxy.Stop)
+	h.onLoop(h.proxy.endUnansweredExchanges)
 	if got := half.expectResponse(503, ""); got.Header.Get("Retry-After") == "" || !got.Close {
 		t.Error("a request that was not whole is not asked to come again elsewhere")
 	}
@@ -64,24 +64,24 @@
 		t.Error("the connection of a request that may have run stays")
 	}
 	begun.expect(chunkText(eventText(1)))
-	w.onLoop(w.proxy.terminate)
+	h.onLoop(h.proxy.terminate)
 	if rest := begun.readToClose(); strings.Contains(rest, lastChunk) {
 		t.Errorf("a cut answer looks whole: %q", rest)
 	}
-	<-w.done
+	<-h.done
 }
 
-// A proxy that is about to end takes what has its end before, and sends the rest elsewhere at once.
+// A proxy that is about to exit accepts requests that end before and rejects the others at once.
 func TestShutdownRejectsLongRequests(t *testing.T) {
-	w := newHarness(t)
-	runner := w.startRunners("a")[0]
-	long, short := w.connect(), w.connect()
-	w.waitFor("two sessions", func() bool { return w.proxy.sessions.count == 2 })
-	w.onLoop(func() {
-		w.proxy.shutdown.active, w.proxy.shutdown.signalAt = true, w.proxy.now()-3*time.Second
-		w.proxy.shutdown.plan = shutdownPlan{closeListener: 2 * time.Second, lastResponses: 6 * time.Second, exit: 7 * time.Second}
+	h := newHarness(t)
+	runner := h.startRunners("a")[0]
+	long, short := h.connect(), h.connect()
+	h.waitFor("two sessions", func() bool { return h.proxy.sessions.count == 2 })
+	h.onLoop(func() {
+		h.proxy.shutdown.active, h.proxy.shutdown.signalAt = true, h.proxy.now()-3*time.Second
+		h.proxy.shutdown.plan = shutdownPlan{closeListener: 2 * time.Second, lastResponses: 6 * time.Second, exit: 7 * time.Second}
 	})
-	long.send(requestText("/stream/x", "t1", "", "")) // it may take 10 s
+	long.send(requestText("/stream/x", "t1", "", "")) // its deadline is 10 s away
 	if got := long.expectResponse(503, ""); got.Header.Get("Retry-After") == "" || !got.Close {
 		t.Error("the client is not sent elsewhere")
 	}
--- a/internal/system/proxy/simulation_checker_test.go
+++ b/internal/system/proxy/simulation_checker_test.go
@@ -9,46 +9,46 @@
 )
 
 const (
-	cancelWithin   = 500 * time.Millisecond // after which nothing may go on for a client that has left
-	completeWithin = 250 * time.Millisecond // after a route's time, in which its requests have their final answer
-	timeSlack      = 100 * time.Millisecond // that a runner may be given more than is left: ways and long turns
+	cancelWithin   = 500 * time.Millisecond // after the client's disconnect, no work may continue
+	completeWithin = 250 * time.Millisecond // after a route's timeout, its requests must have ended
+	timeSlack      = 100 * time.Millisecond // by which a runner may be given more than the remaining time: network and late loop iterations
 )
 
-// checker knows what every client asked and what every runner did, and says what breaks the rules. It has no part in
-// either.
+// checker knows every request of a client and everything the runners did, and reports violations of the rules. It
+// influences neither.
 type checker struct {
 	network             *simulatedNetwork
 	requests            map[string]*simulatedRequest
-	executions          map[string]*execution // by their seal
+	executions          map[string]*execution // by seal
 	violations          []string
-	suspectedViolations []suspectedViolation // that hold unless the request met trouble
+	suspectedViolations []suspectedViolation // count unless the request met a fault
 	served              int
 	refused             int
 	resumed             int
 	timedOut            int
 }
 
-// simulatedRequest is what a client has asked.
+// simulatedRequest is a request of a client and what became of it.
 type simulatedRequest struct {
 	id, target  string
 	method      string
-	version     string // of HTTP
-	kind        string // of its route
+	version     string
+	kind        string // name of its route
 	body        string
 	sentAt      time.Duration
 	deadline    time.Duration // of the client
-	routeEnd    time.Duration // of the route's time
-	cancelledAt time.Duration // when the client left; 0: it did not
+	routeEnd    time.Duration // when the route's timeout ends
+	cancelledAt time.Duration // when the client disconnected; 0: it did not
 	arrivals    int
 	executions  []*execution
-	faulted     bool // a runner or its line gave reason to break its answer off
-	completed   bool // the client has its answer, or has seen its end
+	faulted     bool // a runner or its network gave reason to cut off its response
+	completed   bool // the client has its response or has seen its end
 	rejected    bool
 	slow        bool // the client did not send or read as fast as it could
 	lastArrival time.Duration
 }
 
-// idempotent says whether the request may run more than once.
+// idempotent reports whether the request may be executed more than once.
 func (q *simulatedRequest) idempotent() bool { return q.kind == "reads" || q.kind == "resumable" }
 
 // execution is a runner's work on a request.
@@ -57,31 +57,31 @@
 	runner  string
 	seal    string
 	status  int
-	body    string // of a whole answer
+	body    string // of a complete response
 }
 
 func newChecker(n *simulatedNetwork) *checker {
 	return &checker{network: n, requests: map[string]*simulatedRequest{}, executions: map[string]*execution{}}
 }
 
-// violation notes a broken rule.
+// violation records a broken rule.
 func (r *checker) violation(rule, format string, args ...any) {
 	r.violations = append(r.violations, fmt.Sprintf("%8.4f %s: %s", r.network.now.Seconds(), rule, fmt.Sprintf(format, args...)))
 }
 
-// suspectedViolation is a rule that is broken unless a runner or its line gave reason for it, which may show later.
+// suspectedViolation is a violation unless a runner or its network gave reason for it, which may turn out later.
 type suspectedViolation struct {
 	request *simulatedRequest
 	rule    string
 	text    string
 }
 
-// doubts notes a rule that is broken unless the request turns out to have met trouble.
+// suspect records a violation that counts unless the request turns out to have met a fault.
 func (r *checker) suspect(request *simulatedRequest, rule, text string) {
 	r.suspectedViolations = append(r.suspectedViolations, suspectedViolation{request, rule, fmt.Sprintf("at %.4f: %s", r.network.now.Seconds(), text)})
 }
 
-// finish decides what was in doubt.
+// finish decides on the suspected violations.
 func (r *checker) finish() {
 	for _, d := range r.suspectedViolations {
 		if !d.request.faulted {
@@ -90,7 +90,7 @@
 	}
 }
 
-// requestArrived takes a request's head that has come to a runner; nil: nobody asked it.
+// requestArrived processes the head of a request at a runner; nil: no client sent it.
 func (r *checker) requestArrived(conn *simulatedRunnerConn, got *parsedHead) *simulatedRequest {
 	runner := conn.runner
 	request := r.requests[got.header.Get(headerTryID)]
@@ -117,7 +117,7 @@
 	return request
 }
 
-// checkTimeLeft looks at how long a runner is told to have, unless the way there held the request up.
+// checkTimeLeft checks the time that a runner is given, unless the request was delayed on its way.
 func (r *checker) checkTimeLeft(conn *simulatedRunnerConn, request *simulatedRequest, value string) {
 	left, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || left <= 0 {
@@ -133,7 +133,7 @@
 	}
 }
 
-// executionStarted takes the begin of a runner's work.
+// executionStarted records that a runner starts to work on a request.
 func (r *checker) executionStarted(request *simulatedRequest, runner string) *execution {
 	made := &execution{request: request, runner: runner, seal: fmt.Sprintf("%s.%s.%d", runner, request.id, len(r.executions))}
 	r.executions[made.seal] = made
@@ -150,7 +150,7 @@
 	return made
 }
 
-// clientLeft takes that a client has left; nothing may go on for it.
+// clientLeft records that a client has disconnected; no work may continue for it.
 func (r *checker) clientLeft(request *simulatedRequest) {
 	if request.completed || request.cancelledAt > 0 {
 		return
@@ -158,7 +158,8 @@
 	request.cancelledAt = r.network.now
 }
 
-// connectionEnded takes the end of a request's connection before its answer was whole; some says that a part had come.
+// connectionEnded processes the end of a connection before the response was complete; some says that a part had
+// arrived.
 func (r *checker) connectionEnded(request *simulatedRequest, some bool) {
 	request.completed = true
 	over := r.network.now+timeSlack >= min(request.deadline, request.routeEnd)
@@ -167,7 +168,7 @@
 	}
 }
 
-// responseComplete takes an answer that is whole as far as the client can tell.
+// responseComplete checks a response that is complete as far as the client can tell.
 func (r *checker) responseComplete(request *simulatedRequest, response *parsedResponse) {
 	request.completed = true
 	seal := response.head.header.Get(headerSeal)
@@ -205,12 +206,12 @@
 	}
 }
 
-// meansNotRun says whether a status tells that the request has not run and never will.
+// meansNotRun reports whether a status guarantees that the request was not and will not be executed.
 func meansNotRun(status int) bool {
 	return status == 503 || status == 429 || status == 408 || status == 421
 }
 
-// localResponse takes an answer without a stamp, which is the proxy's own.
+// checkLocalResponse checks a response without a seal, which comes from the proxy itself.
 func (r *checker) checkLocalResponse(request *simulatedRequest, response *parsedResponse) {
 	over := r.network.now+timeSlack >= min(request.deadline, request.routeEnd)
 	switch {
@@ -235,14 +236,14 @@
 	}
 }
 
-// checkCompleted is called completeWithin after a route's time.
+// checkCompleted is called completeWithin after a route's timeout.
 func (r *checker) checkCompleted(request *simulatedRequest) {
 	if !request.completed && request.cancelledAt == 0 && !request.slow {
 		r.violation("CONFIG", "%s has no final answer %v after its route's time", request.id, completeWithin)
 	}
 }
 
-// checkCancelled is called cancelWithin after a client has left.
+// checkCancelled is called cancelWithin after a client has disconnected.
 func (r *checker) checkCancelled(request *simulatedRequest, runners []*simulatedRunner) {
 	for _, runner := range runners {
 		if runner.peer.lastPartitionEnd > 0 && runner.peer.lastPartitionEnd+longestPartition >= request.cancelledAt {
@@ -256,7 +257,7 @@
 	}
 }
 
-// parsedHead is the head of a message as the model's peers read it: with a parser of their own.
+// parsedHead is the head of a message as the simulation's peers parse it, with a parser of their own.
 type parsedHead struct {
 	line   string
 	header parsedHeader
@@ -265,10 +266,10 @@
 
 type parsedHeader map[string]string
 
-// Get is the value of a field.
+// Get returns the value of a field.
 func (h parsedHeader) Get(name string) string { return h[strings.ToLower(name)] }
 
-// parseHead reads a head; nil: it is not whole. A second field of a name is kept under another one.
+// parseHead parses a head; nil if it is incomplete. A second field of the same name is stored under another one.
 func parseHead(text string) *parsedHead {
 	end := strings.Index(text, "\r\n\r\n")
 	if end < 0 {
@@ -287,7 +288,7 @@
 	return head
 }
 
-// parsedResponse is an answer as a client reads it.
+// parsedResponse is a response as a client parses it.
 type parsedResponse struct {
 	head   *parsedHead
 	status int
@@ -296,8 +297,8 @@
 	closes bool
 }
 
-// parseResponse reads an answer; whole says whether it is, ended that the connection was closed in order, valid that it is
-// an answer so far.
+// parseResponse parses a response. ended says that the connection was closed in order; whole that the response is
+// complete; valid that it is a response so far.
 func parseResponse(text string, ended bool) (response *parsedResponse, whole, valid bool) {
 	head := parseHead(text)
 	if head == nil {
@@ -329,7 +330,7 @@
 	return response, ended, true
 }
 
-// parseChunks reads a chunked body.
+// parseChunks parses a chunked body.
 func parseChunks(text string) (body string, n int, whole, valid bool) {
 	var out strings.Builder
 	for {
--- a/internal/system/proxy/simulation_client_test.go
+++ b/internal/system/proxy/simulation_client_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// simulatedClient asks one request after the other.
+// simulatedClient sends one request after the other.
 type simulatedClient struct {
-	model        *simulation
+	sim          *simulation
 	index        int
 	peer         *simulatedPeer
 	end          *remoteEnd
 	requestCount int
-	request      *simulatedRequest // that has no answer yet
-	slowUntil    time.Duration     // it may not read before
+	request      *simulatedRequest // without a response so far
+	slowUntil    time.Duration     // the client does not read before
 	received     string
 }
 
-// sendNext asks the next request.
+// sendNext sends the next request.
 func (c *simulatedClient) sendNext() {
-	sim := c.model
+	sim := c.sim
 	if c.requestCount == requestsPerClient || sim.shutdownAt > 0 && sim.network.now > sim.shutdownAt+shutdownVisibleWithin {
 		c.disconnect()
 		sim.clientDone()
@@ -53,7 +53,7 @@
 }
 
 func (c *simulatedClient) connect() {
-	end := c.model.network.dial(simulationFront, c.peer)
+	end := c.sim.network.dial(simulationFront, c.peer)
 	c.end, c.received = end, ""
 	end.onData = func(b []byte) {
 		if c.end == end {
@@ -67,9 +67,9 @@
 	}
 }
 
-// drawRequest makes a request.
+// drawRequest creates a random request.
 func (c *simulatedClient) drawRequest() *simulatedRequest {
-	sim := c.model
+	sim := c.sim
 	now := sim.network.now
 	kind := []string{"reads", "writes", "stream", "resumable"}[sim.random.IntN(4)]
 	request := &simulatedRequest{id: fmt.Sprintf("c%d-%d", c.index, c.requestCount), method: "POST", kind: kind, sentAt: now,
@@ -91,9 +91,9 @@
 	return request
 }
 
-// send sends a request, whole or in pieces.
+// send sends a request, in one piece or several.
 func (c *simulatedClient) send(request *simulatedRequest) {
-	sim := c.model
+	sim := c.sim
 	text := fmt.Sprintf("%s %s %s\r\nHost: h.example\r\nX-Try-Id: %s\r\nX-Model: m-%s\r\nX-Time-Left-Ms: %d\r\n",
 		request.method, request.target, request.version, request.id, request.id, (request.deadline-request.sentAt)/time.Millisecond)
 	if request.body != "" && request.version == "HTTP/1.1" && sim.chance(3) {
@@ -112,9 +112,9 @@
 	sim.network.after(sim.randomDuration(300*time.Millisecond), func() { end.send(text[cut:]) })
 }
 
-// cancel has the client leave, if it still waits for the answer.
+// cancel disconnects the client if it still waits for the response.
 func (c *simulatedClient) cancel(request *simulatedRequest) {
-	m := c.model
+	m := c.sim
 	if c.request != request {
 		return
 	}
@@ -124,12 +124,12 @@
 	c.finishRequest()
 }
 
-// disconnect ends the client's connection.
+// disconnect closes the client's connection.
 func (c *simulatedClient) disconnect() {
 	if c.end == nil {
 		return
 	}
-	if c.model.chance(3) {
+	if c.sim.chance(3) {
 		c.end.abort()
 	} else {
 		c.end.close()
@@ -137,21 +137,21 @@
 	c.end = nil
 }
 
-// finishRequest ends the request at hand, and has the client ask the next one.
+// finishRequest ends the current request and schedules the next one.
 func (c *simulatedClient) finishRequest() {
 	c.request = nil
-	c.model.network.after(c.model.randomDuration(150*time.Millisecond), c.sendNext)
+	c.sim.network.after(c.sim.randomDuration(150*time.Millisecond), c.sendNext)
 }
 
-// handleData takes bytes of the proxy.
+// handleData processes bytes from the proxy.
 func (c *simulatedClient) handleData(b []byte) {
 	c.received += string(b)
 	c.checkResponse(false)
 }
 
-// checkResponse looks whether the answer is whole.
+// checkResponse checks whether the response is complete.
 func (c *simulatedClient) checkResponse(ended bool) {
-	referee := c.model.checker
+	referee := c.sim.checker
 	if c.request == nil {
 		if c.received != "" {
 			referee.violation("MIXED", "client %d gets %.60q without a question", c.index, c.received)
@@ -177,7 +177,7 @@
 	}
 }
 
-// handleEnd takes the proxy's close.
+// handleEnd processes the close of the connection by the proxy.
 func (c *simulatedClient) handleEnd(reset bool) {
 	request, unread := c.request, c.end.unread
 	if request != nil && !reset {
@@ -189,7 +189,7 @@
 	}
 	if request != nil && c.request == request {
 		request.faulted = request.faulted || unread // it may be sent again elsewhere
-		c.model.checker.connectionEnded(request, c.received != "")
+		c.sim.checker.connectionEnded(request, c.received != "")
 		c.finishRequest()
 	}
 }
--- a/internal/system/proxy/simulation_network_test.go
+++ b/internal/system/proxy/simulation_network_test.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	firstDescriptor    = 1 << 30  // of simulated sockets: no real one has such a number
-	sendBuffer         = 48 << 10 // bytes that a simulated socket takes and holds until they have arrived
+	firstDescriptor    = 1 << 30  // no real descriptor has such a number
+	sendBuffer         = 48 << 10 // bytes that a simulated socket buffers until they have arrived
 	longIteration      = 25 * time.Millisecond
-	longIterationOneIn = 60 // turns, on average, until one is long
+	longIterationOneIn = 60 // iterations, on average, until one is long
 )
 
-// simulatedNetwork is a transport.System in virtual time: the sockets of one process, the lines to its peers, and the
-// peers' doings, which run within Wait. It behaves as TCP of Linux does: bytes that came before a reset can still be read;
-// an error is told once, by a read, a peek or a write; data for a closed socket is answered by a reset.
+// simulatedNetwork is an eventloop.System in virtual time: the sockets of one process, the connections to its peers,
+// and the peers' actions, which run within Wait. It behaves like Linux TCP: bytes that arrived before a reset can still
+// be read; an error is reported once, by a read, a peek or a write; data for a closed socket is answered with a reset.
 type simulatedNetwork struct {
 	random     *rand.Rand
 	now        time.Duration
 	queue      eventQueue
 	sequence   uint64
 	sockets    map[int]*simulatedSocket
-	order      []*simulatedSocket // as they were made
+	order      []*simulatedSocket // in order of creation
 	listening  map[netip.AddrPort]*simulatedSocket
 	peers      map[netip.AddrPort]*simulatedPeer
 	descriptor int
 }
 
-// simulatedPeer is a process elsewhere that takes connections.
+// simulatedPeer is a remote process that accepts connections.
 type simulatedPeer struct {
 	latency          time.Duration
-	partitionedUntil time.Duration    // nothing passes its line before
-	lastPartitionEnd time.Duration    // when that was last set
-	accept           func(*remoteEnd) // nil: it refuses
+	partitionedUntil time.Duration    // nothing passes the network before
+	lastPartitionEnd time.Duration    // the last value of partitionedUntil
+	accept           func(*remoteEnd) // nil: connections are refused
 }
 
-// scheduledEvent is something that happens at a time.
+// scheduledEvent is an action at a time.
 type scheduledEvent struct {
 	at       time.Duration
 	sequence uint64
@@ -72,32 +72,32 @@
 	listens      bool
 	connecting   bool
 	received     []byte
-	peerClosed   bool  // the peer sends no more
+	peerClosed   bool  // the peer sends nothing more
 	reset        bool  // by the peer
-	pendingError error // not told yet
+	pendingError error // not reported yet
 	unackedBytes int
 	closed       bool
-	resetOnClose bool // Close resets
+	resetOnClose bool // Close resets the connection
 	end          *remoteEnd
 }
 
-// remoteEnd is the other end of a connection, in the hands of a script.
+// remoteEnd is the remote end of a connection, which a script controls.
 type remoteEnd struct {
 	socket              *simulatedSocket
 	peer                *simulatedPeer
-	unread              bool         // bytes of the script came to a closed socket, or were not read when it was closed
-	onLost              func([]byte) // takes what the script does not get; may be nil
+	unread              bool         // bytes of the script reached a closed socket, or were unread when it was closed
+	onLost              func([]byte) // gets the bytes that the script does not receive; may be nil
 	onData              func([]byte)
-	onEnd               func(reset bool) // the process under test has closed
+	onEnd               func(reset bool) // the process under test has closed the connection
 	closed              bool             // by the script
-	localClosed         bool             // by the process under test, as the script knows
+	localClosed         bool             // by the process under test, as the script has seen
 	stalled             bool             // the script does not read
-	deferredEnd         func()           // the end that the script has not read
+	deferredEnd         func()           // runs when the script reads on; nil: the connection has not ended
 	stalledUntil        time.Duration    // the script did not read before
 	unreadBytes         []byte
-	lastInboundArrival  time.Duration // when the last that was sent to the process arrives
-	lastOutboundArrival time.Duration // when the last that was sent by it arrives
-	droppedAt           time.Duration // what has not arrived by then never does; 0: all arrives
+	lastInboundArrival  time.Duration // of what was sent to the process
+	lastOutboundArrival time.Duration // of what the process sent
+	droppedAt           time.Duration // what has not arrived by then is lost; 0: everything arrives
 }
 
 func newSimulatedNetwork(random *rand.Rand) *simulatedNetwork {
@@ -105,7 +105,7 @@
 		listening: map[netip.AddrPort]*simulatedSocket{}, peers: map[netip.AddrPort]*simulatedPeer{}}
 }
 
-// after has something happen.
+// after schedules an action.
 func (n *simulatedNetwork) after(wait time.Duration, do func()) { n.at(n.now+wait, do) }
 
 func (n *simulatedNetwork) at(when time.Duration, do func()) {
@@ -113,12 +113,12 @@
 	heap.Push(&n.queue, scheduledEvent{max(when, n.now), n.sequence, do})
 }
 
-// Now implements transport.System.
+// Now implements eventloop.System.
 func (n *simulatedNetwork) Now() time.Time { return time.Unix(1000, 0).Add(n.now) }
 
-// Wait implements transport.System: it lets time pass until something has happened to a socket.
+// Wait implements eventloop.System. Time passes until an event has occurred on a socket.
 func (n *simulatedNetwork) Wait(events []unix.EpollEvent, timeout int) (int, error) {
-	n.now += time.Duration(n.random.IntN(100)) * time.Microsecond // of work
+	n.now += time.Duration(n.random.IntN(100)) * time.Microsecond // work of the process
 	if n.random.IntN(longIterationOneIn) == 0 {
 		n.now += time.Duration(n.random.Int64N(int64(longIteration)))
 	}
@@ -138,7 +138,7 @@
 	}
 }
 
-// advance lets time pass once the process has ended.
+// advance lets time pass after the process has exited.
 func (n *simulatedNetwork) advance(span time.Duration) {
 	end := n.now + span
 	for len(n.queue) > 0 && n.queue[0].at <= end {
@@ -147,7 +147,7 @@
 	}
 }
 
-// collect fills in the events of the sockets that are ready, in any order.
+// collect returns the events of the sockets that are ready, in random order.
 func (n *simulatedNetwork) collect(events []unix.EpollEvent) (count int) {
 	open := n.order[:0]
 	for _, s := range n.order {
@@ -195,16 +195,16 @@
 	return ready
 }
 
-// Wake implements transport.System; nobody posts.
+// Wake implements eventloop.System; nothing is posted.
 func (n *simulatedNetwork) Wake() {}
 
-// ClearWake implements transport.System.
+// ClearWake implements eventloop.System.
 func (n *simulatedNetwork) ClearWake() {}
 
-// Release implements transport.System.
+// Release implements eventloop.System.
 func (n *simulatedNetwork) Release() {}
 
-// Watch implements transport.System.
+// Watch implements eventloop.System.
 func (n *simulatedNetwork) Watch(operation, fd int, event unix.EpollEvent) error {
 	s := n.sockets[fd]
 	if s == nil {
@@ -222,7 +222,7 @@
 	return s
 }
 
-// Listen implements transport.System.
+// Listen implements eventloop.System.
 func (n *simulatedNetwork) Listen(addr netip.AddrPort) (int, error) {
 	s := n.newSocket()
 	s.listens, s.address = true, addr
@@ -230,7 +230,7 @@
 	return s.fd, nil
 }
 
-// Accept implements transport.System.
+// Accept implements eventloop.System.
 func (n *simulatedNetwork) Accept(fd int) (int, error) {
 	s := n.sockets[fd]
 	if len(s.backlog) == 0 {
@@ -241,10 +241,10 @@
 	return accepted.fd, nil
 }
 
-// Address implements transport.System.
+// Address implements eventloop.System.
 func (n *simulatedNetwork) Address(fd int) netip.AddrPort { return n.sockets[fd].address }
 
-// Connect implements transport.System.
+// Connect implements eventloop.System.
 func (n *simulatedNetwork) Connect(addr netip.AddrPort) (int, error) {
 	s := n.newSocket()
 	s.connecting = true
@@ -264,13 +264,13 @@
 	return s.fd, nil
 }
 
-// dial has a script connect to a listener of the process under test.
+// dial connects a script to a listener of the process under test.
 func (n *simulatedNetwork) dial(addr netip.AddrPort, peer *simulatedPeer) *remoteEnd {
 	s := n.newSocket()
 	s.end = &remoteEnd{socket: s, peer: peer}
 	n.after(peer.latency, func() {
 		listener := n.listening[addr]
-		if listener.closed { // a closed port answers by a reset
+		if listener.closed { // a closed port answers with a reset
 			s.closed = true
 			n.after(peer.latency, func() { s.end.notifyEnd(true) })
 			return
@@ -280,7 +280,7 @@
 	return s.end
 }
 
-// Read implements transport.System.
+// Read implements eventloop.System.
 func (n *simulatedNetwork) Read(fd int, b []byte) (int, error) {
 	s := n.sockets[fd]
 	if len(s.received) > 0 {
@@ -291,7 +291,7 @@
 	return 0, s.emptyRead()
 }
 
-// emptyRead is what a read without bytes gives; nil: the end.
+// emptyRead returns the result of a read without bytes; nil: the end.
 func (s *simulatedSocket) emptyRead() error {
 	if err := s.pendingError; err != nil {
 		s.pendingError = nil
@@ -303,7 +303,7 @@
 	return unix.EAGAIN
 }
 
-// Peek implements transport.System.
+// Peek implements eventloop.System.
 func (n *simulatedNetwork) Peek(fd int) (int, error) {
 	s := n.sockets[fd]
 	if len(s.received) > 0 {
@@ -312,10 +312,10 @@
 	return 0, s.emptyRead()
 }
 
-// Discard implements transport.System.
+// Discard implements eventloop.System.
 func (n *simulatedNetwork) Discard(fd int, b []byte) (int, error) { return n.Read(fd, b) }
 
-// Write implements transport.System.
+// Write implements eventloop.System.
 func (n *simulatedNetwork) Write(fd int, b []byte) (int, error) {
 	s := n.sockets[fd]
 	if err := s.pendingError; err != nil {
@@ -334,29 +334,29 @@
 	return count, nil
 }
 
-// ShutdownWrite implements transport.System.
+// ShutdownWrite implements eventloop.System.
 func (n *simulatedNetwork) ShutdownWrite(fd int) error {
 	s := n.sockets[fd]
 	s.end.deliverOutbound(func() { s.end.notifyEnd(false) })
 	return nil
 }
 
-// SetResetOnClose implements transport.System.
+// SetResetOnClose implements eventloop.System.
 func (n *simulatedNetwork) SetResetOnClose(fd int) { n.sockets[fd].resetOnClose = true }
 
-// SocketError implements transport.System.
+// SocketError implements eventloop.System.
 func (n *simulatedNetwork) SocketError(fd int) error {
 	err := n.sockets[fd].pendingError
 	n.sockets[fd].pendingError = nil
 	return err
 }
 
-// Unacknowledged implements transport.System.
+// Unacknowledged implements eventloop.System.
 func (n *simulatedNetwork) Unacknowledged(fd int) (int, error) {
 	return n.sockets[fd].unackedBytes, nil
 }
 
-// Close implements transport.System.
+// Close implements eventloop.System.
 func (n *simulatedNetwork) Close(fd int) {
 	s := n.sockets[fd]
 	s.closed, s.watched = true, false
@@ -366,7 +366,7 @@
 	case e == nil || s.connecting:
 	case s.resetOnClose:
 		e.droppedAt = n.now + e.peer.latency
-		if n.now >= e.peer.partitionedUntil { // a reset is not sent again
+		if n.now >= e.peer.partitionedUntil { // a reset is not retransmitted
 			n.after(e.peer.latency, func() { e.notifyEnd(true) })
 		}
 	default:
@@ -376,10 +376,10 @@
 	}
 }
 
-// deliverOutbound has something arrive at the script, after all that was sent before.
+// deliverOutbound runs do at the script after everything sent before has arrived.
 func (e *remoteEnd) deliverOutbound(do func()) { e.deliverOutboundOr(do, func() {}) }
 
-// deliverOutboundOr is deliverOutbound, and tells when a reset has what was sent dropped.
+// deliverOutboundOr is deliverOutbound; dropped runs instead if a reset discards what was sent.
 func (e *remoteEnd) deliverOutboundOr(do, dropped func()) {
 	n := e.socket.network
 	e.lastOutboundArrival = max(n.now, e.peer.partitionedUntil, e.lastOutboundArrival-e.peer.latency) + e.peer.latency
@@ -393,7 +393,7 @@
 	})
 }
 
-// receive passes bytes to the script.
+// receive delivers bytes to the script.
 func (e *remoteEnd) receive(b []byte) {
 	lose := func() {
 		if e.onLost != nil {
@@ -414,7 +414,7 @@
 	}, lose)
 }
 
-// setStalled has the script read nothing.
+// setStalled pauses or resumes the script's reading.
 func (e *remoteEnd) setStalled(on bool) {
 	e.stalled = on
 	e.stalledUntil = e.socket.network.now
@@ -433,7 +433,7 @@
 	}
 }
 
-// sendReset tells the process under test that its peer has closed.
+// sendReset resets the connection of the process under test.
 func (e *remoteEnd) sendReset() { e.deliverInbound(e.socket.applyReset) }
 
 func (s *simulatedSocket) applyReset() {
@@ -442,7 +442,7 @@
 	}
 }
 
-// dropUnread tells what the script has not read when it closes.
+// dropUnread discards what the script has not read when it closes.
 func (e *remoteEnd) dropUnread() {
 	if len(e.unreadBytes) > 0 && e.onLost != nil {
 		e.onLost(e.unreadBytes)
@@ -451,7 +451,7 @@
 }
 
 func (e *remoteEnd) notifyEnd(reset bool) {
-	if e.closed || e.localClosed || e.onEnd == nil { // ended is nil where no script took the connection
+	if e.closed || e.localClosed || e.onEnd == nil { // no script accepted the connection if onEnd is nil
 		return
 	}
 	if e.stalled {
@@ -462,7 +462,7 @@
 	e.onEnd(reset)
 }
 
-// deliverInbound has something arrive at the process under test, after all that was sent before.
+// deliverInbound runs do at the process under test after everything sent before has arrived.
 func (e *remoteEnd) deliverInbound(do func()) {
 	n := e.socket.network
 	e.lastInboundArrival = max(n.now, e.peer.partitionedUntil, e.lastInboundArrival-e.peer.latency) + e.peer.latency
@@ -485,7 +485,7 @@
 	})
 }
 
-// close closes the connection in order, or by a reset where the script has not read all.
+// close closes the connection in order, or with a reset if the script has unread bytes.
 func (e *remoteEnd) close() {
 	if len(e.unreadBytes) > 0 {
 		e.abort()
--- a/internal/system/proxy/simulation_runner_test.go
+++ b/internal/system/proxy/simulation_runner_test.go
@@ -11,7 +11,7 @@
 
 // simulatedRunner is a scripted runner.
 type simulatedRunner struct {
-	model   *simulation
+	sim     *simulation
 	id      string
 	address netip.AddrPort
 	peer    *simulatedPeer
@@ -19,26 +19,26 @@
 }
 
 func newSimulatedRunner(sim *simulation, i int) *simulatedRunner {
-	r := &simulatedRunner{model: sim, id: fmt.Sprint("r", i)}
+	r := &simulatedRunner{sim: sim, id: fmt.Sprint("r", i)}
 	r.address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(i)}), 80)
 	r.peer = &simulatedPeer{latency: time.Duration(1+sim.random.IntN(12)) * time.Millisecond, accept: r.accept}
 	sim.network.peers[r.address] = r.peer
 	return r
 }
 
-// partition has nothing pass the runner's line for a while.
+// partition blocks the runner's network for a while.
 func (r *simulatedRunner) partition(span time.Duration) {
-	now := r.model.network.now
+	now := r.sim.network.now
 	r.peer.partitionedUntil = max(r.peer.partitionedUntil, now+span)
 	r.peer.lastPartitionEnd = r.peer.partitionedUntil
 	r.markFaults()
 }
 
-// markFaults notes that requests at the runner may fail without a fault of the proxy.
+// markFaults records that requests at the runner may fail without a fault of the proxy.
 func (r *simulatedRunner) markFaults() {
-	for _, q := range r.model.checker.requests {
+	for _, q := range r.sim.checker.requests {
 		if !q.completed {
-			q.faulted = true // it may be on its way here
+			q.faulted = true // it may be on its way to this runner
 		}
 	}
 }
@@ -52,14 +52,14 @@
 	}
 	r.conns = nil
 	r.peer.accept = nil
-	r.model.network.after(span, func() { r.peer.accept = r.accept })
+	r.sim.network.after(span, func() { r.peer.accept = r.accept })
 }
 
 func (r *simulatedRunner) accept(end *remoteEnd) {
 	c := &simulatedRunnerConn{runner: r, end: end}
 	r.conns = append(r.conns, c)
 	end.onData, end.onEnd, end.onLost = c.handleData, c.handleClose, c.handleLostBytes
-	if r.model.chance(40) { // it takes no more connections
+	if r.sim.chance(40) { // it accepts no more connections
 		c.closeWith(end.abort)
 	}
 }
@@ -69,27 +69,27 @@
 	runner        *simulatedRunner
 	end           *remoteEnd
 	received      string
-	request       *simulatedRequest // at work, or due
-	previousID    string            // id
-	pendingBody   string            // bytes of a body that is not whole
-	running       bool              // works on the request
-	replying      bool              // a part of an answer has been sent
-	mayBeStale    bool              // an extra answer may come
-	answeredEarly bool              // the request was answered before its body was whole
-	onBody        func()            // once the body is whole
-	generation    int               // of the script: a later one makes the earlier void
+	request       *simulatedRequest // being executed, or its body is arriving
+	previousID    string
+	pendingBody   string // bytes of the body that have not arrived
+	running       bool   // the request is being executed
+	replying      bool   // a part of a response was sent
+	mayBeStale    bool   // an extra response may arrive
+	answeredEarly bool   // the request was answered before its body was complete
+	onBody        func() // runs when the body is complete
+	generation    int    // of the script: a new one invalidates the steps of the earlier ones
 }
 
-// markFault notes that a request at hand fails by the runner.
+// markFault records that the current request fails because of the runner.
 func (c *simulatedRunnerConn) markFault() {
 	if c.request != nil {
 		c.request.faulted = true
 	}
 }
 
-// wasDelayed says whether what comes now could have come sooner, but for the line or for the runner's not reading.
+// wasDelayed reports whether what arrives now was delayed by the network or because the runner did not read.
 func (c *simulatedRunnerConn) wasDelayed() bool {
-	now, peer := c.runner.model.network.now, c.runner.peer
+	now, peer := c.runner.sim.network.now, c.runner.peer
 	return now <= max(peer.lastPartitionEnd+peer.latency, c.end.stalledUntil)+longIteration
 }
 
@@ -106,13 +106,13 @@
 	c.runner.conns = slices.DeleteFunc(c.runner.conns, func(o *simulatedRunnerConn) bool { return o == c })
 }
 
-// handleClose takes the proxy's close: the work is dropped.
+// handleClose processes the close by the proxy: the work is dropped.
 func (c *simulatedRunnerConn) handleClose(bool) {
 	c.remove()
 	c.end.close()
 }
 
-// handleData takes bytes of the proxy.
+// handleData processes bytes from the proxy.
 func (c *simulatedRunnerConn) handleData(b []byte) {
 	c.received += string(b)
 	for c.received != "" && !c.end.closed {
@@ -120,7 +120,7 @@
 		case c.pendingBody != "":
 			n := min(len(c.pendingBody), len(c.received))
 			if c.received[:n] != c.pendingBody[:n] {
-				c.runner.model.checker.violation("UNASKED", "%s gets %.40q where %.40q of %s is due", c.runner.id, c.received, c.pendingBody,
+				c.runner.sim.checker.violation("UNASKED", "%s gets %.40q where %.40q of %s is due", c.runner.id, c.received, c.pendingBody,
 					c.request.id)
 				c.closeWith(c.end.abort)
 				return
@@ -130,7 +130,7 @@
 				c.handleBody()
 			}
 		case c.request != nil:
-			c.runner.model.checker.violation("UNASKED", "%s gets %.60q while it works on %s", c.runner.id, c.received, c.request.id)
+			c.runner.sim.checker.violation("UNASKED", "%s gets %.60q while it works on %s", c.runner.id, c.received, c.request.id)
 			c.closeWith(c.end.abort)
 		default:
 			if !c.readHead() {
@@ -140,13 +140,13 @@
 	}
 }
 
-// readHead takes the head of a request; false: it is not whole.
+// readHead reads the head of a request; false if it is incomplete.
 func (c *simulatedRunnerConn) readHead() bool {
 	got := parseHead(c.received)
 	if got == nil {
 		return false
 	}
-	sim := c.runner.model
+	sim := c.runner.sim
 	c.received = c.received[got.bytes:]
 	request := sim.checker.requestArrived(c, got)
 	if request == nil {
@@ -168,7 +168,7 @@
 		return true
 	}
 	if sim.chance(40) {
-		c.closeWith(c.end.abort) // before the request is whole
+		c.closeWith(c.end.abort) // before the request is complete
 		return true
 	}
 	head := *got
@@ -176,10 +176,10 @@
 	return true
 }
 
-// whole is what is done when the body has come.
+// whenBodyComplete sets what is done when the body has arrived.
 func (c *simulatedRunnerConn) whenBodyComplete(do func()) { c.onBody = do }
 
-// relayBody goes on once the body is whole.
+// handleBody continues once the body is complete.
 func (c *simulatedRunnerConn) handleBody() {
 	if c.answeredEarly {
 		c.makeIdle()
@@ -191,12 +191,12 @@
 	}
 }
 
-// makeIdle makes the connection free for the next request.
+// makeIdle makes the connection available for the next request.
 func (c *simulatedRunnerConn) makeIdle() {
 	c.previousID, c.request, c.answeredEarly, c.replying, c.running = c.request.id, nil, false, false, false
-	if c.runner.model.chance(15) {
+	if c.runner.sim.chance(15) {
 		step := c.generation
-		c.runner.model.network.after(c.runner.model.randomDuration(400*time.Millisecond), func() {
+		c.runner.sim.network.after(c.runner.sim.randomDuration(400*time.Millisecond), func() {
 			if c.generation == step && c.request == nil {
 				c.closeWith(c.end.close)
 			}
@@ -204,11 +204,11 @@
 	}
 }
 
-// answerEarly answers before the body has come, and keeps the connection or ends it.
+// answerEarly responds before the body has arrived, and keeps the connection or ends it.
 func (c *simulatedRunnerConn) answerEarly(got *parsedHead) {
-	sim := c.runner.model
+	sim := c.runner.sim
 	text := notRunResponse(c.request.id, 503)
-	if sim.network.now >= c.runner.peer.partitionedUntil && !sim.chance(3) { // one that has begun tells so at once
+	if sim.network.now >= c.runner.peer.partitionedUntil && !sim.chance(3) { // a runner that has started says so at once
 		made := sim.checker.executionStarted(c.request, c.runner.id)
 		made.status, made.body = 200, bodyOf(c.request.id)
 		text = sealedResponse(made, "", lengthDelimited(made))
@@ -227,19 +227,19 @@
 	default:
 		c.answeredEarly = true
 		c.end.send(text)
-		if sim.chance(2) { // and reads on later
+		if sim.chance(2) { // it reads on later
 			c.end.setStalled(true)
 			sim.network.after(sim.randomDuration(200*time.Millisecond), func() { c.end.setStalled(false) })
 		}
 	}
 }
 
-// notRunResponse is an answer that says that nothing ran.
+// notRunResponse is a response that says that nothing was executed.
 func notRunResponse(id string, status int) string {
 	return fmt.Sprintf("HTTP/1.1 %d No\r\nX-Not-Run: 1\r\nX-Try-Id: %s\r\nContent-Length: 3\r\n\r\nabc", status, id)
 }
 
-// sealedResponse is the text of a run's answer, with a framing of its own in rest.
+// sealedResponse is the response of an execution; rest is its framing and body.
 func sealedResponse(made *execution, fields, rest string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Try-Id: %s\r\nX-Server-Seal: %s\r\n%s%s", made.status, made.request.id, made.seal,
 		fields, rest)
@@ -249,7 +249,7 @@
 	return fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(made.body), made.body)
 }
 
-// stream is the text of a stream from the event that is wanted.
+// stream is the response with a stream from the event that is wanted.
 func (c *simulatedRunnerConn) stream(made *execution, got *parsedHead) string {
 	from := 0
 	if c.request.kind == "resumable" {
@@ -263,9 +263,9 @@
 	return sealedResponse(made, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", text.String()+lastChunk)
 }
 
-// execute runs the request, or does not.
+// execute executes the request or rejects it.
 func (c *simulatedRunnerConn) execute(got *parsedHead) {
-	sim, request := c.runner.model, c.request
+	sim, request := c.runner.sim, c.request
 	switch sim.random.IntN(20) {
 	case 0, 1:
 		c.sendPieces(notRunResponse(request.id, 503), c.makeIdle)
@@ -277,7 +277,7 @@
 		c.sendPieces("HTTP/1.1 421 No\r\nX-Try-Id: "+request.id+"\r\nContent-Length: 0\r\n\r\nbytes after it", c.makeIdle)
 		return
 	case 4:
-		request.faulted = true // whose it is cannot always be told
+		request.faulted = true // without an id, the response cannot always be matched
 		c.sendPieces(notRunWithoutID, c.makeIdle)
 		return
 	}
@@ -291,35 +291,35 @@
 	})
 }
 
-// drawWorkTime draws how long a request takes; sometimes until its time is just over.
+// drawWorkTime chooses how long a request takes; sometimes until just after its time has run out.
 func (c *simulatedRunnerConn) drawWorkTime(got *parsedHead) time.Duration {
-	m := c.runner.model
+	m := c.runner.sim
 	left, _ := strconv.Atoi(got.header.Get(headerTimeLeft))
 	switch m.random.IntN(10) {
 	case 0:
 		return time.Duration(left)*time.Millisecond - 20*time.Millisecond + m.randomDuration(30*time.Millisecond)
 	case 1:
-		return time.Hour // hung
+		return time.Hour // the runner hangs
 	case 2:
 		return m.randomDuration(2 * time.Second)
 	}
 	return m.randomDuration(200 * time.Millisecond)
 }
 
-// after does something later, unless the connection has gone on to something else.
+// after schedules an action unless the connection has gone on to something else by then.
 func (c *simulatedRunnerConn) after(wait time.Duration, do func()) {
 	c.generation++
 	step := c.generation
-	c.runner.model.network.after(max(wait, 0), func() {
+	c.runner.sim.network.after(max(wait, 0), func() {
 		if c.generation == step && !c.end.closed {
 			do()
 		}
 	})
 }
 
-// sendPieces sends a text in pieces, with pauses, and goes on.
+// sendPieces sends a text in pieces, with pauses, and continues with then.
 func (c *simulatedRunnerConn) sendPieces(text string, then func()) {
-	sim := c.runner.model
+	sim := c.runner.sim
 	c.replying = true
 	n, pause := len(text), time.Duration(0)
 	if n > 1 && sim.chance(2) {
@@ -336,7 +336,7 @@
 	c.after(pause, func() { c.sendPieces(text[n:], then) })
 }
 
-// sendWithExtraBytes sends a whole answer and bytes that belong to no request.
+// sendWithExtraBytes sends a complete response and bytes that belong to no request.
 func (c *simulatedRunnerConn) sendWithExtraBytes(text, more string) {
 	c.sendPieces(text, func() {
 		c.makeIdle()
@@ -345,9 +345,9 @@
 	})
 }
 
-// drawResponse draws an answer to what was run.
+// drawResponse chooses a response to what was executed. It is one switch over the kinds of responses.
 func (c *simulatedRunnerConn) drawResponse(made *execution, got *parsedHead) {
-	sim, request := c.runner.model, c.request
+	sim, request := c.runner.sim, c.request
 	made.status, made.body = 200, bodyOf(request.id)
 	text := sealedResponse(made, "", lengthDelimited(made))
 	if request.kind == "stream" || request.kind == "resumable" {
@@ -401,7 +401,7 @@
 	case 14:
 		c.sendPieces(text, func() {
 			c.makeIdle()
-			c.mayBeStale = true // the extra answer may meet any later request
+			c.mayBeStale = true // the extra response may meet any later request
 			sim.network.after(sim.randomDuration(200*time.Millisecond), func() {
 				if !c.replying {
 					c.end.send(c.drawLateExtra(request))
@@ -416,9 +416,9 @@
 	}
 }
 
-// drawLateExtra draws an answer that comes after the one that counts.
+// drawLateExtra chooses a response that arrives after the one that counts.
 func (c *simulatedRunnerConn) drawLateExtra(request *simulatedRequest) string {
-	switch c.runner.model.random.IntN(4) {
+	switch c.runner.sim.random.IntN(4) {
 	case 0:
 		return notRunWithoutID
 	case 1:
@@ -427,10 +427,10 @@
 	return successText(request.id, "late")
 }
 
-// handleLostBytes takes bytes that have come to a connection which the runner has closed.
+// handleLostBytes processes bytes that arrive on a connection which the runner has closed.
 func (c *simulatedRunnerConn) handleLostBytes(b []byte) {
 	if head := parseHead(string(b)); head != nil {
-		if q := c.runner.model.checker.requests[head.header.Get(headerTryID)]; q != nil {
+		if q := c.runner.sim.checker.requests[head.header.Get(headerTryID)]; q != nil {
 			q.faulted = true
 		}
 	}
--- a/internal/system/proxy/simulation_test.go
+++ b/internal/system/proxy/simulation_test.go
@@ -20,12 +20,12 @@
 	defaultSimulationSeeds = 100
 	simulationRunners      = 4
 	simulationClients      = 6
-	requestsPerClient      = 25 // of each client
+	requestsPerClient      = 25
 	simulationAttempts     = 3
-	simulationRouteTimeout = 1200 * time.Millisecond // of routes
-	longestPartition       = 2500 * time.Millisecond // the longest cut of a line
-	shutdownVisibleWithin  = 1200 * time.Millisecond // in which clients know that a proxy stops
-	simulationDrainTime    = 8 * time.Second         // after the last request, in which what was promised not to run might still do
+	simulationRouteTimeout = 1200 * time.Millisecond
+	longestPartition       = 2500 * time.Millisecond
+	shutdownVisibleWithin  = 1200 * time.Millisecond // clients know of a shutdown after this time
+	simulationDrainTime    = 8 * time.Second         // after the last request, in which a rejected request might still be executed
 )
 
 var simulationFront = netip.MustParseAddrPort("10.0.0.1:80")
@@ -38,13 +38,13 @@
 	loop          *eventloop.Loop
 	proxy         *Proxy
 	runners       []*simulatedRunner
-	activeClients int           // that still ask
-	shutdownAt    time.Duration // when the proxy was told to stop; 0: it was not
+	activeClients int           // that still send requests
+	shutdownAt    time.Duration // when the shutdown began; 0: it did not
 	checked       bool
-	requestCount  int // requests
+	requestCount  int
 }
 
-// simulationSeeds are the seeds of a run: MODEL_SEED=N replays one, MODEL_SEEDS=N plays so many.
+// simulationSeeds returns the seeds to run: MODEL_SEED=N replays one, MODEL_SEEDS=N runs that many.
 func simulationSeeds(t *testing.T) (seeds []uint64) {
 	number := func(name string, otherwise uint64) uint64 {
 		text := os.Getenv(name)
@@ -66,7 +66,7 @@
 	return seeds
 }
 
-// Whatever runners, lines and clients do, the rules of requests hold.
+// Whatever runners, networks and clients do, the rules for requests hold.
 func TestRequestModel(t *testing.T) {
 	seeds := simulationSeeds(t)
 	var served, refused, resumed, late, requests int
@@ -115,13 +115,13 @@
 	return sim
 }
 
-// run runs the model until all clients are done and what they left behind has had its time.
+// run runs the simulation until all clients are done and the work they left behind has had time to end.
 func (sim *simulation) run() error {
 	if err := sim.proxy.Listen(); err != nil {
 		return err
 	}
 	for i := range simulationClients {
-		c := &simulatedClient{model: sim, index: i, peer: &simulatedPeer{latency: 3 * time.Millisecond}}
+		c := &simulatedClient{sim: sim, index: i, peer: &simulatedPeer{latency: 3 * time.Millisecond}}
 		sim.network.after(sim.randomDuration(300*time.Millisecond), c.sendNext)
 	}
 	sim.network.after(time.Second, sim.injectFault)
@@ -136,13 +136,13 @@
 	return nil
 }
 
-// shutDownProxy tells the proxy to stop; clients soon know of other proxies.
+// shutDownProxy starts a shutdown; clients soon learn of it.
 func (sim *simulation) shutDownProxy() {
 	sim.shutdownAt = sim.network.now
 	sim.proxy.Stop()
 }
 
-// check looks at what must be true in the end.
+// check verifies the final state.
 func (sim *simulation) check() {
 	if sim.checked {
 		return
@@ -155,7 +155,7 @@
 	}
 }
 
-// clientDone ends a client, and the model with the last one.
+// clientDone ends a client, and the simulation with the last one.
 func (sim *simulation) clientDone() {
 	if sim.activeClients--; sim.activeClients > 0 {
 		return
@@ -164,10 +164,10 @@
 		sim.check()
 		sim.loop.Stop()
 	})
-	sim.network.after(simulationDrainTime+time.Millisecond, func() {}) // a turn in which the loop sees that it was stopped
+	sim.network.after(simulationDrainTime+time.Millisecond, func() {}) // an iteration in which the loop sees that it was stopped
 }
 
-// injectFault cuts a runner's line, or crashes a runner, now and then.
+// injectFault partitions or crashes a runner, repeatedly.
 func (sim *simulation) injectFault() {
 	r := sim.runners[sim.random.IntN(len(sim.runners))]
 	switch sim.random.IntN(3) {
@@ -181,10 +181,10 @@
 	}
 }
 
-// randomDuration draws a time.
+// randomDuration returns a duration in [0, most).
 func (sim *simulation) randomDuration(most time.Duration) time.Duration {
 	return time.Duration(sim.random.Int64N(int64(most)))
 }
 
-// chance says yes one time in so many.
+// chance returns true one time in oneIn on average.
 func (sim *simulation) chance(oneIn int) bool { return sim.random.IntN(oneIn) == 0 }
--- a/internal/system/proxy/stream_test.go
+++ b/internal/system/proxy/stream_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// A stream whose runner breaks off goes on at another one, inside the same answer.
+// A stream whose runner fails continues at another one within the same response.
 func TestEventStreamResumed(t *testing.T) {
-	w := newHarness(t)
-	runners := w.startRunners("a", "b")
-	client := w.connect()
+	h := newHarness(t)
+	runners := h.startRunners("a", "b")
+	client := h.connect()
 	client.send(requestText("/resumable/x", "t1", "Last-Event-Id: 4\r\n", "p"))
 	first := runners[0].accept()
 	if request, _ := first.readRequest(); request.Header.Get("Last-Event-Id") != "4" {
@@ -36,7 +36,7 @@
 	if got != all.String() {
 		t.Errorf("client got %q, want %q", got, all.String())
 	}
-	w.expectOutcomes("a broken", "b served")
+	h.expectOutcomes("a broken", "b served")
 }
 
 // readChunkedBody reads a chunked body whose head was read.
@@ -70,15 +70,15 @@
 // unframedHead is the head of a stream that ends with its connection.
 const unframedHead = "HTTP/1.1 200 OK\r\nX-Try-Id: t1\r\nX-Server-Seal: s\r\nContent-Type: text/event-stream\r\n\r\n"
 
-// Guards against a broken answer that looks complete to the client.
+// Guards against a truncated response that looks complete to the client.
 func TestBrokenResponseNotCompleted(t *testing.T) {
 	for _, tc := range []struct {
 		name, path, answer string
-		prepare            func(w *harness)
+		prepare            func(h *harness)
 	}{
 		{"stream", "/stream/x", streamHeadText("t1", "s") + chunkText(eventText(1)), nil},
 		{"resumable, no budget", "/resumable/x", streamHeadText("t1", "s") + chunkText(eventText(1)),
-			func(w *harness) { w.placer.noRetry = true }},
+			func(h *harness) { h.placer.noRetry = true }},
 		{"resumable, no ids", "/resumable/x", streamHeadText("t1", "s") + chunkText("data: x\n\n"), nil},
 		{"stream without a length, in an event", "/stream/x", unframedHead + "id: 1\ndata: pie", nil},
 		{"length", "/reads/x", "HTTP/1.1 200 OK\r\nX-Try-Id: t1\r\nX-Server-Seal: s\r\nContent-Length: 9\r\n\r\nabc", nil},
@@ -88,12 +88,12 @@
 			"HTTP/1.1 200 OK\r\nX-Try-Id: t1\r\nX-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc", nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newHarness(t)
-			runners := w.startRunners("a", "b")
+			h := newHarness(t)
+			runners := h.startRunners("a", "b")
 			if tc.prepare != nil {
-				w.onLoop(func() { tc.prepare(w) })
+				h.onLoop(func() { tc.prepare(h) })
 			}
-			client := w.connect()
+			client := h.connect()
 			client.send(requestText(tc.path, "t1", "", ""))
 			upstream := runners[0].accept()
 			upstream.readRequest()
@@ -103,17 +103,16 @@
 			if rest := client.readToClose(); strings.HasSuffix(rest, lastChunk) {
 				t.Errorf("the answer ends as complete: %q", rest)
 			}
-			w.expectOutcomes("a broken")
+			h.expectOutcomes("a broken")
 		})
 	}
 }
 
-// Guards against an answer of unknown length that was reset passing for a whole one with a client that reads until the
-// end.
+// Guards against a response of unknown length that was reset looking complete to a client that reads until the end.
 func TestHTTP10ClientSeesReset(t *testing.T) {
-	w := newHarness(t)
-	runner := w.startRunners("a")[0]
-	client := w.connect()
+	h := newHarness(t)
+	runner := h.startRunners("a")[0]
+	client := h.connect()
 	client.send("GET /reads/x HTTP/1.0\r\nHost: h.example\r\nX-Try-Id: t1\r\n\r\n")
 	upstream := runner.accept()
 	upstream.readRequest()
@@ -126,27 +125,27 @@
 	}
 }
 
-// An answer that its runner ends by closing is whole if it closes in order.
+// A response that ends with its connection is complete if the connection is closed in order.
 func TestResponseUntilClose(t *testing.T) {
-	w := newHarness(t)
-	r := w.startRunners("a")[0]
-	c := w.connect()
+	h := newHarness(t)
+	r := h.startRunners("a")[0]
+	c := h.connect()
 	c.send(requestText("/reads/x", "t1", "", ""))
 	up := r.accept()
 	up.readRequest()
 	up.send("HTTP/1.1 200 OK\r\nX-Try-Id: t1\r\nX-Server-Seal: s\r\n\r\nabc")
 	_ = up.conn.CloseWrite()
 	c.expectResponse(200, "abc")
-	w.expectOutcomes("a served")
+	h.expectOutcomes("a served")
 }
 
-// Guards against a slow reader that holds up anybody but its own runner, and against bytes that are lost when a runner
-// closes while it is held back.
+// Guards against a slow client that delays others than its own runner, and against bytes that are lost when a runner
+// closes while reading from it is paused.
 func TestSlowClientBackpressure(t *testing.T) {
-	w := newHarness(t)
-	runner := w.startRunners("a")[0]
-	const size = 48 << 20 // more than the buffers of the system hold
-	slow, fast := w.connect(), w.connect()
+	h := newHarness(t)
+	runner := h.startRunners("a")[0]
+	const size = 48 << 20 // more than the kernel's buffers hold
+	slow, fast := h.connect(), h.connect()
 	slow.send(requestText("/reads/x", "slow", "", ""))
 	upstream := runner.accept()
 	upstream.readRequest()
@@ -157,8 +156,8 @@
 		upstream.conn.Close()
 		written <- err
 	}()
-	w.waitFor("the runner is held back", func() bool {
-		for s := w.proxy.sessions.first; s != nil; s = s.next {
+	h.waitFor("the runner is held back", func() bool {
+		for s := h.proxy.sessions.first; s != nil; s = s.next {
 			if s.exchange != nil && s.exchange.stalled {
 				return true
 			}
--- a/internal/system/proxy/test_conn_test.go
+++ b/internal/system/proxy/test_conn_test.go
@@ -50,68 +50,68 @@
 	return newTestConn(t, conn)
 }
 
-func (p *testConn) send(text string) {
-	p.t.Helper()
-	if _, err := io.WriteString(p.conn, text); err != nil {
-		p.t.Fatal(err)
+func (c *testConn) send(text string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c.conn, text); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
-// readRequest reads a request, with its body.
-func (p *testConn) readRequest() (*http.Request, string) {
-	p.t.Helper()
-	q, err := http.ReadRequest(p.reader)
+// readRequest reads a request with its body.
+func (c *testConn) readRequest() (*http.Request, string) {
+	c.t.Helper()
+	q, err := http.ReadRequest(c.reader)
 	if err != nil {
-		p.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	body, err := io.ReadAll(q.Body)
 	if err != nil {
-		p.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	return q, string(body)
 }
 
-// readResponse reads a whole response.
-func (p *testConn) readResponse() (*http.Response, string) {
-	p.t.Helper()
-	r, err := http.ReadResponse(p.reader, nil)
+// readResponse reads a complete response.
+func (c *testConn) readResponse() (*http.Response, string) {
+	c.t.Helper()
+	r, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		p.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		p.t.Fatalf("body after %q: %v", body, err)
+		c.t.Fatalf("body after %q: %v", body, err)
 	}
 	return r, string(body)
 }
 
-// expect reads exactly the text.
-func (p *testConn) expect(text string) {
-	p.t.Helper()
+// expect reads exactly the given text.
+func (c *testConn) expect(text string) {
+	c.t.Helper()
 	got := make([]byte, len(text))
-	if n, err := io.ReadFull(p.reader, got); err != nil || string(got) != text {
-		p.t.Fatalf("got %q (%v), want %q", got[:n], err, text)
+	if n, err := io.ReadFull(c.reader, got); err != nil || string(got) != text {
+		c.t.Fatalf("got %q (%v), want %q", got[:n], err, text)
 	}
 }
 
-// expectResponse checks the status of a whole answer.
-func (p *testConn) expectResponse(status int, body string) *http.Response {
-	p.t.Helper()
-	got, text := p.readResponse()
+// expectResponse checks the status of a complete response, and the body of a success.
+func (c *testConn) expectResponse(status int, body string) *http.Response {
+	c.t.Helper()
+	got, text := c.readResponse()
 	if got.StatusCode != status || status == 200 && text != body {
-		p.t.Fatalf("answer is %d %q, want %d %q", got.StatusCode, text, status, body)
+		c.t.Fatalf("answer is %d %q, want %d %q", got.StatusCode, text, status, body)
 	}
 	return got
 }
 
 // readHead reads the head of a message.
-func (p *testConn) readHead() string {
-	p.t.Helper()
+func (c *testConn) readHead() string {
+	c.t.Helper()
 	var head strings.Builder
 	for {
-		line, err := p.reader.ReadString('\n')
+		line, err := c.reader.ReadString('\n')
 		if err != nil {
-			p.t.Fatalf("head %q: %v", head.String(), err)
+			c.t.Fatalf("head %q: %v", head.String(), err)
 		}
 		if head.WriteString(line); line == "\r\n" {
 			return head.String()
@@ -119,35 +119,35 @@
 	}
 }
 
-// readToClose waits until the other side has closed and returns what came before.
-func (p *testConn) readToClose() string {
-	p.t.Helper()
-	rest, err := io.ReadAll(p.reader)
+// readToClose waits until the other side has closed and returns what arrived before.
+func (c *testConn) readToClose() string {
+	c.t.Helper()
+	rest, err := io.ReadAll(c.reader)
 	if e, ok := err.(net.Error); ok && e.Timeout() {
-		p.t.Fatal("the connection stays open")
+		c.t.Fatal("the connection stays open")
 	}
 	return string(rest)
 }
 
-// reset closes the connection by a reset.
-func (p *testConn) reset() {
-	_ = p.conn.SetLinger(0)
-	p.conn.Close()
+// reset closes the connection with a reset.
+func (c *testConn) reset() {
+	_ = c.conn.SetLinger(0)
+	c.conn.Close()
 }
 
-// requestText is the text of a request.
+// requestText returns a request.
 func requestText(path, id, extra, body string) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: %s\r\nX-Time-Left-Ms: 10000\r\n%sContent-Length: %d\r\n\r\n%s",
 		path, id, extra, len(body), body)
 }
 
-// successText is the text of a success with a length.
+// successText returns a successful response with a length.
 func successText(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Try-Id: %s\r\nX-Server-Seal: seal-%s\r\nContent-Length: %d\r\n\r\n%s", id,
 		id, len(body), body)
 }
 
-// streamHeadText is the head of a stream.
+// streamHeadText returns the head of an event stream.
 func streamHeadText(id, seal string) string {
 	return "HTTP/1.1 200 OK\r\nX-Try-Id: " + id + "\r\nX-Server-Seal: " + seal +
 		"\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/internal/system/proxy/watchdog_test.go
+++ b/internal/system/proxy/watchdog_test.go
@@ -13,8 +13,8 @@
 	"cinderroad/internal/system/placement"
 )
 
-// newUnresponsiveRunner listens with hardly a backlog, so that it can be made to take no connections without refusing them, as a
-// machine that has lost its power does.
+// newUnresponsiveRunner listens with a minimal backlog, so that it can be made to ignore connections without refusing
+// them, as a machine does that has lost power.
 func newUnresponsiveRunner(t *testing.T, id string) *testRunner {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -50,20 +50,20 @@
 	r.t.Fatal("the backlog is never full")
 }
 
-// A stream that may be continued leaves a runner that has fallen silent and takes no connections either, while one that
-// may not run twice stays.
+// A resumable stream moves away from a runner that is silent and accepts no connections, while a request that may not
+// be executed twice stays.
 func TestStreamMovesFromUnresponsiveMachine(t *testing.T) {
-	w := newHarness(t)
-	second := w.startRunners("b")[0]
+	h := newHarness(t)
+	second := h.startRunners("b")[0]
 	first := newUnresponsiveRunner(t, "a")
 	known := []placement.Runner{
 		{ID: "a", Service: "s", Address: netip.MustParseAddrPort(first.listener.Addr().String())},
 		{ID: "b", Service: "s", Address: netip.MustParseAddrPort(second.listener.Addr().String())}}
-	w.onLoop(func() {
-		w.placer.runners = known
-		w.proxy.SetRunners(known)
+	h.onLoop(func() {
+		h.placer.runners = known
+		h.proxy.SetRunners(known)
 	})
-	stays, moves := w.connect(), w.connect()
+	stays, moves := h.connect(), h.connect()
 	stays.send(requestText("/stream/x", "t1", "", ""))
 	upstream := first.accept()
 	upstream.readRequest()
@@ -80,35 +80,35 @@
 	if request, _ := next.readRequest(); request.Header.Get("X-Try-Id") != "t2" || request.Header.Get("Last-Event-Id") != "1" {
 		t.Errorf("second runner got %v", request.Header)
 	}
-	w.expectOutcomes("a silent")
+	h.expectOutcomes("a silent")
 	next.send(streamHeadText("t2", "s") + chunkText(eventText(2)) + lastChunk)
 	if got := readChunkedBody(moves); got != eventText(1)+eventText(2) {
 		t.Errorf("the client that moved got %q", got)
 	}
-	w.expectOutcomes("b served")
+	h.expectOutcomes("b served")
 	upstream.send(chunkText(eventText(2)) + lastChunk)
 	if got := readChunkedBody(stays); !strings.HasSuffix(got, eventText(2)) {
 		t.Errorf("the client that stayed got %q", got)
 	}
-	w.expectOutcomes("a served")
-	w.onLoop(func() {
-		if w.proxy.pool.canAccept(placement.Choice{Runner: "a"}) && w.proxy.now() < w.proxy.pool.runners["a"].suspectUntil {
+	h.expectOutcomes("a served")
+	h.onLoop(func() {
+		if h.proxy.pool.canAccept(placement.Choice{Runner: "a"}) && h.proxy.now() < h.proxy.pool.runners["a"].suspectUntil {
 			t.Error("a runner in doubt is given requests")
 		}
 	})
 }
 
-// A runner that is silent but there keeps its request.
+// A silent runner whose machine is reachable keeps its request.
 func TestSilentRunnerKeepsItsRequest(t *testing.T) {
-	w := newHarness(t)
-	r := w.startRunners("a", "b")
-	w.onLoop(func() { w.routes.routes[0].LatencyTarget = time.Millisecond })
-	c := w.connect()
+	h := newHarness(t)
+	r := h.startRunners("a", "b")
+	h.onLoop(func() { h.routes.routes[0].LatencyTarget = time.Millisecond })
+	c := h.connect()
 	c.send(requestText("/reads/x", "t1", "", ""))
 	up := r[0].accept()
 	up.readRequest()
-	r[0].accept() // finds out whether the machine is there
+	r[0].accept() // the probe of the machine
 	up.send(successText("t1", "late"))
 	c.expectResponse(200, "late")
-	w.expectOutcomes("a served")
+	h.expectOutcomes("a served")
 }
