--- a/internal/system/consensus/config.go
+++ b/internal/system/consensus/config.go
@@ -2,14 +2,22 @@
 
 import "time"
 
-// Config are a replica's. Times are steady.
+// Config configures a Node. All replicas of a group need the same ElectionTimeout: leases rest on it.
 type Config struct {
-	ID                ReplicaID
-	HeartbeatInterval time.Duration // between two messages of an idle leader
-	ElectionTimeout   time.Duration // without a leader after which a replica stands for election, at least; up to twice as long
-	Seed              uint64
-	// MaxAppendBytes bounds the data of entries in one message; MaxInflightAppends the unanswered appends to one replica.
-	MaxAppendBytes, MaxInflightAppends int
-	// SnapshotThreshold is how many applied entries are kept before the driver is asked to compact (see Ready.Compact).
+	ID ReplicaID
+	// HeartbeatInterval is the time between two heartbeats of a leader to an idle follower. It should be a small part of
+	// ElectionTimeout; shorter intervals cost messages.
+	HeartbeatInterval time.Duration
+	// ElectionTimeout is the time without a leader after which a replica starts an election, drawn between this and one
+	// and a half times this. Leases and transfers of leadership last as long. Shorter timeouts shorten the unavailability
+	// after a leader's failure and bring more needless elections on slow networks and disks.
+	ElectionTimeout time.Duration
+	Seed            uint64 // of the random numbers, mixed with ID; two runs with the same inputs behave the same
+	// MaxAppendBytes bounds the data of the entries in one message; a single larger entry is sent all the same.
+	MaxAppendBytes int
+	// MaxInflightAppends bounds the unacknowledged appends to one replica.
+	MaxInflightAppends int
+	// SnapshotThreshold is the number of entries applied since the last snapshot at which Ready.CompactIndex asks for
+	// another one; 0: never.
 	SnapshotThreshold uint64
 }
--- a/internal/system/consensus/election.go
+++ b/internal/system/consensus/election.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// maxQuickElections is how many elections in a row are tried after short waits.
+	// maxQuickElections is how many failed elections in a row are retried after a short wait.
 	maxQuickElections = 4
-	// stepDownElectionTimeouts is how long a replica does not lead after StepDown, in election times.
+	// stepDownElectionTimeouts is how long a replica does not lead after StepDown, in election timeouts.
 	stepDownElectionTimeouts = 4
 )
 
-// preVoteYield is the pre-candidate that this replica last put its own election off for, once for each term.
+// preVoteYield is the pre-candidate, and its term, for which this replica last postponed its own election.
 type preVoteYield struct {
 	candidate ReplicaID
 	term      uint64
 }
 
-// randomDuration draws a time from a range.
+// randomDuration draws a duration from a range.
 func (n *Node) randomDuration(least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
@@ -26,13 +26,14 @@
 	return least + time.Duration(n.random.Int64N(int64(most-least)))
 }
 
-// resetElectionTimer puts the next election off by a whole election time or more. Replicas that begin at about the same time
-// are told apart by rank, see yieldToPreCandidate, so that the times need not be far apart.
+// resetElectionTimer postpones the next election by an election timeout or more. Replicas whose timers fire at about
+// the same time are ordered by yieldToPreCandidate, so that the range of timeouts can be narrow.
 func (n *Node) resetElectionTimer() {
 	n.electionDeadline = n.now + n.randomDuration(n.config.ElectionTimeout, n.config.ElectionTimeout*3/2)
 }
 
-// setCampaignDeadline sets when an election that has just begun is given up: the first few soon.
+// setCampaignDeadline sets when an election that has just started is given up and the next one starts. After several
+// failures in a row that is a whole election timeout.
 func (n *Node) setCampaignDeadline(least, most time.Duration) {
 	n.failedElections++
 	if n.failedElections > maxQuickElections {
@@ -42,7 +43,7 @@
 	n.electionDeadline = n.now + n.randomDuration(least, most)
 }
 
-// campaignDeadline is when this replica stands for election.
+// campaignDeadline returns when this replica starts an election.
 func (n *Node) campaignDeadline() time.Duration {
 	if !n.promotable() {
 		return Never
@@ -50,7 +51,7 @@
 	return max(n.electionDeadline, n.noCampaignUntil)
 }
 
-// becomeFollower ends whatever role this replica has.
+// becomeFollower ends any role of this replica.
 func (n *Node) becomeFollower(term uint64, leader ReplicaID) {
 	n.caughtUpAt = n.lastCaughtUp()
 	if term > n.term {
@@ -64,7 +65,7 @@
 	n.resetElectionTimer()
 }
 
-// startPreVote asks whether others would vote for this replica, which disturbs nobody who follows a leader.
+// startPreVote asks whether the others would vote for this replica. That does not disturb followers of a live leader.
 func (n *Node) startPreVote() {
 	if n.role != PreCandidate {
 		n.preVoteStartedAt = n.now
@@ -80,7 +81,7 @@
 	n.requestVotes(Message{Kind: MessagePreVote, Term: n.term + 1})
 }
 
-// startElection is the election proper. Votes are waited for twice as long as the pre-votes took.
+// startElection starts an election in a new term. It waits for votes at least twice as long as the pre-vote took.
 func (n *Node) startElection(force bool) {
 	if n.role == PreCandidate {
 		n.preVoteDuration = n.now - n.preVoteStartedAt
@@ -92,12 +93,13 @@
 	n.leaderID = 0
 	n.term++
 	n.vote = n.config.ID
-	n.grantedBy = nil // its own vote counts once it is on disk
+	n.grantedBy = nil // its own vote counts once it is persisted
 	least := max(n.config.ElectionTimeout/2, 2*n.preVoteDuration)
 	n.setCampaignDeadline(least, least+n.config.ElectionTimeout/2)
 	n.requestVotes(Message{Kind: MessageVote, Term: n.term, Force: force})
 }
 
+// requestVotes sends a vote or pre-vote request to all other voters.
 func (n *Node) requestVotes(msg Message) {
 	msg.Index, msg.LogTerm = n.log.lastIndex(), n.log.lastTerm()
 	for _, member := range n.membership().Members {
@@ -108,20 +110,20 @@
 	}
 }
 
-// hasVoteQuorum tells whether a majority of the voters has granted.
+// hasVoteQuorum reports whether a majority of the voters has granted its vote or pre-vote.
 func (n *Node) hasVoteQuorum() bool {
 	return n.membership().HasQuorum(func(id ReplicaID) bool { return slices.Contains(n.grantedBy, id) })
 }
 
-// promotable tells whether this replica is a voter, or would be if a membership that is not known to be committed came to
-// nothing: it may be the only one that holds that membership, and then nobody else can be elected. It leads until the
-// membership is committed.
+// promotable reports whether this replica may become leader. It is so if the replica votes in the committed membership
+// or in a later one: if it is the only one that holds the entry that removes it, nobody else can be elected. It then
+// leads until that entry is committed.
 func (n *Node) promotable() bool {
 	return n.log.anyPossibleMembership(func(membership Membership) bool { return membership.hasVote(n.config.ID) })
 }
 
-// canVote tells whether this replica takes part in elections. A learner votes if it is asked: whoever asks it has made
-// it a voter, and the entry that says so may not have come here yet.
+// canVote reports whether this replica grants votes. A learner does so if asked: the candidate considers it a voter, by
+// an entry that may not have arrived here yet.
 func (n *Node) canVote() bool {
 	return n.log.anyPossibleMembership(func(membership Membership) bool { return membership.has(n.config.ID) })
 }
@@ -142,9 +144,9 @@
 	}
 }
 
-// yieldToPreCandidate puts an election of this replica's own off for a pre-candidate that it would vote for, so that the two do not
-// split the votes. Of two pre-candidates with equal logs the one with the lower id yields. A replica yields once to one
-// in a term, so that one that is not elected holds up nobody for long.
+// yieldToPreCandidate postpones this replica's own election in favour of a pre-candidate that it would vote for, so
+// that the two do not split the votes. Of two pre-candidates with equal logs the one with the lower ID yields. It
+// yields once per pre-candidate and term, so that one that can't win does not delay the others for long.
 func (n *Node) yieldToPreCandidate(msg Message) {
 	ahead := n.role == PreCandidate && n.log.endsAt(msg.Index, msg.LogTerm) && n.config.ID > msg.From
 	yielded := preVoteYield{candidate: msg.From, term: msg.Term}
@@ -196,7 +198,7 @@
 	n.recordVote(msg.From)
 }
 
-// recordVote notes a vote for this candidate.
+// recordVote counts a vote for this candidate.
 func (n *Node) recordVote(from ReplicaID) {
 	n.recordGrant(from)
 	if n.hasVoteQuorum() {
@@ -204,6 +206,7 @@
 	}
 }
 
+// recordGrant counts a vote or pre-vote.
 func (n *Node) recordGrant(from ReplicaID) {
 	if !slices.Contains(n.grantedBy, from) {
 		n.grantedBy = append(n.grantedBy, from)
--- a/internal/system/consensus/encoding.go
+++ b/internal/system/consensus/encoding.go
@@ -27,16 +27,16 @@
 	knownMemberFlags = flagVoter | flagOutgoing
 )
 
-// Least sizes of encoded parts, against which counts are checked before memory is taken.
+// Minimum sizes of encoded elements in bytes, against which counts are checked before memory is allocated.
 const (
 	minEntrySize  = 4
 	minMemberSize = 5
 )
 
-// EncodeMembership returns the bytes of a membership, as in an entry's Data.
+// EncodeMembership returns the encoding of a membership, which is that in an entry's Data.
 func EncodeMembership(membership Membership) []byte { return AppendMembership(nil, membership) }
 
-// AppendMembership appends the bytes of a membership.
+// AppendMembership appends the encoding of a membership.
 func AppendMembership(b []byte, membership Membership) []byte {
 	b = append(b, encodingVersion)
 	b = binary.AppendUvarint(b, uint64(len(membership.Members)))
@@ -50,7 +50,7 @@
 	return b
 }
 
-// memberFlags are the votes of a member as they are encoded.
+// memberFlags returns the encoded flags of a member.
 func memberFlags(member Member) (flags byte) {
 	if member.Voter {
 		flags |= flagVoter
@@ -61,24 +61,25 @@
 	return flags
 }
 
-// DecodeMembership reads what EncodeMembership wrote, and nothing else.
+// DecodeMembership decodes what EncodeMembership returned. The error is a *DecodeError, as are those of the other
+// decoders.
 func DecodeMembership(b []byte) (Membership, error) {
 	reader := codec.NewCanonicalReader(b)
 	membership := readMembership(&reader)
 	return membership, decodeError(&reader)
 }
 
-// EncodeHardState returns the bytes of a hard state.
+// EncodeHardState returns the encoding of a hard state.
 func EncodeHardState(hardState HardState) []byte { return AppendHardState(nil, hardState) }
 
-// AppendHardState appends the bytes of a hard state.
+// AppendHardState appends the encoding of a hard state.
 func AppendHardState(b []byte, hardState HardState) []byte {
 	b = binary.AppendUvarint(b, hardState.Term)
 	b = binary.AppendUvarint(b, uint64(hardState.Vote))
 	return binary.AppendUvarint(b, hardState.Commit)
 }
 
-// DecodeHardState reads what EncodeHardState wrote, and nothing else.
+// DecodeHardState decodes what EncodeHardState returned.
 func DecodeHardState(b []byte) (HardState, error) {
 	reader := codec.NewCanonicalReader(b)
 	hardState := HardState{
@@ -89,10 +90,10 @@
 	return hardState, decodeError(&reader)
 }
 
-// EncodeEntry returns the bytes of an entry.
+// EncodeEntry returns the encoding of an entry.
 func EncodeEntry(entry Entry) []byte { return AppendEntry(nil, entry) }
 
-// AppendEntry appends the bytes of an entry.
+// AppendEntry appends the encoding of an entry.
 func AppendEntry(b []byte, entry Entry) []byte {
 	b = binary.AppendUvarint(b, entry.Index)
 	b = binary.AppendUvarint(b, entry.Term)
@@ -100,17 +101,17 @@
 	return codec.AppendBytes(b, entry.Data)
 }
 
-// DecodeEntry reads what EncodeEntry wrote, and nothing else. The entry does not share memory with b.
+// DecodeEntry decodes what EncodeEntry returned. The entry does not share memory with b.
 func DecodeEntry(b []byte) (Entry, error) {
 	reader := codec.NewCanonicalReader(b)
 	entry := readEntry(&reader)
 	return entry, decodeError(&reader)
 }
 
-// EncodeSnapshot returns the bytes of a snapshot.
+// EncodeSnapshot returns the encoding of a snapshot.
 func EncodeSnapshot(snapshot Snapshot) []byte { return AppendSnapshot(nil, snapshot) }
 
-// AppendSnapshot appends the bytes of a snapshot.
+// AppendSnapshot appends the encoding of a snapshot.
 func AppendSnapshot(b []byte, snapshot Snapshot) []byte {
 	b = binary.AppendUvarint(b, snapshot.Index)
 	b = binary.AppendUvarint(b, snapshot.Term)
@@ -118,17 +119,17 @@
 	return codec.AppendBytes(b, snapshot.Data)
 }
 
-// DecodeSnapshot reads what EncodeSnapshot wrote, and nothing else. The snapshot does not share memory with b.
+// DecodeSnapshot decodes what EncodeSnapshot returned. The snapshot does not share memory with b.
 func DecodeSnapshot(b []byte) (Snapshot, error) {
 	reader := codec.NewCanonicalReader(b)
 	snapshot := readSnapshot(&reader)
 	return snapshot, decodeError(&reader)
 }
 
-// EncodeMessage returns the bytes of a message.
+// EncodeMessage returns the encoding of a message.
 func EncodeMessage(message Message) []byte { return AppendMessage(nil, message) }
 
-// AppendMessage appends the bytes of a message.
+// AppendMessage appends the encoding of a message.
 func AppendMessage(b []byte, message Message) []byte {
 	b = append(b, encodingVersion, byte(message.Kind), message.flags())
 	for _, number := range message.numbers() {
@@ -144,7 +145,7 @@
 	return b
 }
 
-// DecodeMessage reads what EncodeMessage wrote, and nothing else. The message does not share memory with b.
+// DecodeMessage decodes what EncodeMessage returned. The message does not share memory with b.
 func DecodeMessage(b []byte) (Message, error) {
 	reader := codec.NewCanonicalReader(b)
 	message := readMessage(&reader)
--- a/internal/system/consensus/errors.go
+++ b/internal/system/consensus/errors.go
@@ -1,55 +1,57 @@
 package consensus
 
-import "fmt"
-
-// NotLeaderError says that the replica does not lead; Leader is who does, 0 if that is not known.
-type NotLeaderError struct{ Leader ReplicaID }
+import (
+	"errors"
+	"fmt"
+)
+
+// NotLeaderError reports that the replica is not the leader, or is transferring its leadership.
+type NotLeaderError struct {
+	Leader ReplicaID // the leader as far as known; 0: unknown
+}
 
-// Error says what happened.
+// Error implements error.
 func (e *NotLeaderError) Error() string { return "consensus: this replica does not lead its group" }
 
-// InvalidMessageError says why a message, or a stored log, makes no sense.
+// InvalidMessageError reports a message, or a persisted log, that no replica can have written.
 type InvalidMessageError struct{ Reason string }
 
-// Error says what happened.
+// Error implements error.
 func (e *InvalidMessageError) Error() string { return "consensus: " + e.Reason }
 
-// InvalidMembershipError says that a change of membership is not allowed.
+// InvalidMembershipError reports a membership that is malformed, or that the present one must not be changed to.
 type InvalidMembershipError struct{ Reason string }
 
-// Error says what happened.
+// Error implements error.
 func (e *InvalidMembershipError) Error() string {
 	return "consensus: membership not changed: " + e.Reason
 }
 
-// LearnerBehindError says that a learner can't be made a voter yet: wait until its log has caught up.
+// LearnerBehindError reports that a learner can't become a voter yet. The change may be tried again once the learner's log
+// has caught up.
 type LearnerBehindError struct {
-	ID            ReplicaID
-	Match, Target uint64 // index that it surely holds, and one that it has to reach in time
+	ID     ReplicaID
+	Match  uint64 // index up to which the learner is known to hold the log
+	Target uint64 // index that it has to reach within an election timeout
 }
 
-// Error says what happened.
+// Error implements error.
 func (e *LearnerBehindError) Error() string {
 	return fmt.Sprintf("consensus: replica %d holds the log up to %d and still has to catch up to %d; wait", e.ID, e.Match,
 		e.Target)
 }
 
-// PendingMembershipChangeError says that a change of membership is under way.
-type PendingMembershipChangeError struct{}
-
-// Error says what happened.
-func (e *PendingMembershipChangeError) Error() string {
-	return "consensus: a change of membership is under way"
-}
+// ErrMembershipChangePending is returned by ChangeMembership until the preceding change is committed, and while leadership
+// is being transferred. The change may be tried again later.
+var ErrMembershipChangePending = errors.New("consensus: a change of membership is under way")
 
-// DecodeError says that bytes are not what the package encodes. They come from another version or were spoilt.
+// DecodeError reports bytes that are not an encoding of this package: they come from another version or are corrupt.
 type DecodeError struct {
-	Field  string // was expected
-	Offset int    // in bytes
+	Field  string // the first malformed one
+	Offset int    // of Field in bytes
 }
 
-// Error says what happened.
+// Error implements error.
 func (e *DecodeError) Error() string {
-	return fmt.Sprintf("consensus: no %s at byte %d; check that all replicas run versions that understand each other",
-		e.Field, e.Offset)
+	return fmt.Sprintf("consensus: malformed %s at byte %d; check that all replicas run compatible versions", e.Field, e.Offset)
 }
--- a/internal/system/consensus/follower.go
+++ b/internal/system/consensus/follower.go
@@ -1,6 +1,7 @@
 package consensus
 
-// recordLeaderContact notes a message of the leader of this term.
+// recordLeaderContact records a message of the leader of this term. It grants the leader a lease: no vote for others
+// within an election timeout.
 func (n *Node) recordLeaderContact(from ReplicaID) {
 	if n.role != Follower || n.leaderID != from {
 		n.becomeFollower(n.term, from)
@@ -12,10 +13,10 @@
 	n.resetElectionTimer()
 }
 
-// handleLeaderMessage takes a message that only a leader sends.
+// handleLeaderMessage handles a message that only a leader sends.
 func (n *Node) handleLeaderMessage(msg Message) {
 	if msg.Term < n.term {
-		// Its sender learns of the newer term and gives up.
+		// The sender learns of the newer term and resigns.
 		n.send(Message{Kind: MessageAppendReply, To: msg.From, Reject: true})
 		return
 	}
@@ -23,7 +24,7 @@
 		n.becomeFollower(msg.Term, msg.From)
 	}
 	if n.role == Leader || n.leaderID != 0 && n.leaderID != msg.From {
-		return // there is one leader a term
+		return // there is one leader per term
 	}
 	n.recordLeaderContact(msg.From)
 	if msg.Kind == MessageAppend {
@@ -31,17 +32,17 @@
 	} else {
 		n.handleInstallSnapshot(msg)
 	}
-	// A leader knows how far the log is committed once it has committed an entry of its term.
+	// The leader knows the commit index of the group once it has committed an entry of its term.
 	if n.log.commit >= msg.Commit && n.committedInTerm() && n.now >= n.staleInputUntil {
 		n.caughtUpAt = n.now
 	}
 }
 
-// handleAppend takes a leader's entries if they follow an entry that both have.
+// handleAppend appends a leader's entries if they follow an entry that both logs hold.
 func (n *Node) handleAppend(msg Message) {
 	index, entries := msg.Index, msg.Entries
 	if index < n.log.commit {
-		// What is committed is the same everywhere.
+		// Committed entries are the same in all logs.
 		skip := min(uint64(len(entries)), n.log.commit-index)
 		index += skip
 		if index < n.log.commit {
@@ -62,6 +63,7 @@
 	n.sendAppendReply(msg, last)
 }
 
+// sendAppendReply reports that the log agrees with the leader's up to an index, unless the append demands no reply.
 func (n *Node) sendAppendReply(msg Message, index uint64) {
 	if msg.Round == 0 && len(msg.Entries) == 0 {
 		return
@@ -69,14 +71,16 @@
 	n.send(Message{Kind: MessageAppendReply, To: msg.From, Index: index, Round: msg.Round})
 }
 
-// sendAppendRejection tells the leader where the logs may agree, passing over whole terms.
+// sendAppendRejection tells the leader an index at which the logs may agree. It skips whole terms, so that few attempts
+// suffice.
 func (n *Node) sendAppendRejection(msg Message) {
 	hint, term := n.log.findConflictByTerm(msg.Index, msg.LogTerm)
 	n.send(Message{Kind: MessageAppendReply, To: msg.From, Index: msg.Index, LogTerm: term, Reject: true, RejectHint: hint,
 		Round: msg.Round})
 }
 
-// handleInstallSnapshot replaces log and state unless the log holds all of the snapshot already.
+// handleInstallSnapshot replaces the log and the state machine, unless the log already holds all that the snapshot
+// covers.
 func (n *Node) handleInstallSnapshot(msg Message) {
 	snapshot := *msg.Snapshot
 	switch {
--- a/internal/system/consensus/leader.go
+++ b/internal/system/consensus/leader.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// leaderState is what only a leader knows.
+// leaderState is the volatile state of a leader.
 type leaderState struct {
-	peers             []*progress // the other members, in the order of the membership
-	removed           []*progress // removed by a membership that is not committed yet
+	peers             []*progress // of the other members, in the order of the membership
+	removed           []*progress // of members that a membership removed which is not committed yet
 	heartbeatDeadline time.Duration
 
 	round          uint64 // of the messages sent last, see startReadRound
-	readRound      uint64 // last round that was begun for reads
-	confirmedRound uint64 // last round that a majority answered
+	readRound      uint64 // last round that was started for reads
+	confirmedRound uint64 // last round that a majority replied to
 	reads          []pendingRead
 
-	transferee       ReplicaID
+	transferee       ReplicaID // 0: no transfer of leadership in progress
 	transferDeadline time.Duration
-	timeoutNowSent   bool // the transferee was told to take over: there is no lease in this term any more
+	timeoutNowSent   bool // the transferee may start an election at any time: no lease in this term any more
 }
 
-// becomeLeader begins a leadership with an entry of the new term, which commits all that stands before it.
+// becomeLeader starts a leadership. The entry of the new term commits all entries before it.
 func (n *Node) becomeLeader() {
 	granted := n.grantedBy
 	n.role = Leader
@@ -34,8 +34,8 @@
 	n.appendEntry(EntryCommand, nil)
 }
 
-// backdatePredecessorContact dates the last word of the leader before, which this replica knows as its follower, unless that
-// one has just voted. All other members are taken for present until they are silent.
+// backdatePredecessorContact sets the last contact of the preceding leader to what this replica saw as its follower,
+// unless that leader has just granted its vote. All other members count as present until they are silent for long.
 func (n *Node) backdatePredecessorContact(granted []ReplicaID) {
 	if peer := n.progressOf(n.lastLeader); peer != nil && n.lastLeaderContact > 0 && !slices.Contains(granted, peer.id) {
 		peer.lastContact = n.lastLeaderContact
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// appendEntry appends an entry of a leader.
+// appendEntry appends an entry to the log of a leader and returns its index.
 func (n *Node) appendEntry(kind EntryKind, data []byte) uint64 {
 	entry := Entry{Index: n.log.lastIndex() + 1, Term: n.term, Kind: kind, Data: data}
 	n.log.append([]Entry{entry})
@@ -61,12 +61,14 @@
 	return entry.Index
 }
 
-// committedInTerm tells whether a leader knows how far the log is committed.
+// committedInTerm reports whether an entry of the present term is committed. Before that a leader does not know the
+// commit index of the group.
 func (n *Node) committedInTerm() bool {
 	term, known := n.log.term(n.log.commit)
 	return known && term == n.term
 }
 
+// tickLeader resigns without a quorum, ends a transfer that timed out and schedules heartbeats.
 func (n *Node) tickLeader() {
 	if n.now >= n.quorumDeadline() {
 		n.becomeFollower(n.term, 0)
@@ -85,6 +87,7 @@
 	}
 }
 
+// leaderDeadline returns when tickLeader has something to do.
 func (n *Node) leaderDeadline() time.Duration {
 	due := min(n.leaderState.heartbeatDeadline, n.quorumDeadline())
 	if n.leaderState.transferee != 0 {
@@ -93,23 +96,25 @@
 	return due
 }
 
-// quorumDeadline is when this leader gives up unless a majority answers before.
+// quorumDeadline returns when this leader resigns unless more members reply: an election timeout after a majority was last
+// in contact.
 func (n *Node) quorumDeadline() time.Duration {
-	answered := n.quorumValue(func(id ReplicaID) uint64 {
+	contact := n.quorumValue(uint64(max(n.now, 0)), func(peer *progress) uint64 { return uint64(max(peer.lastContact, 0)) })
+	return time.Duration(contact) + n.config.ElectionTimeout
+}
+
+// quorumValue returns the largest value that a majority of the voters has reached; in a joint membership, a majority of
+// each of its sets. own is this leader's value, of returns a peer's.
+func (n *Node) quorumValue(own uint64, of func(*progress) uint64) uint64 {
+	value := func(id ReplicaID) uint64 {
 		if id == n.config.ID {
-			return uint64(max(n.now, 0))
+			return own
 		}
 		if peer := n.progressOf(id); peer != nil {
-			return uint64(max(peer.lastContact, 0))
+			return of(peer)
 		}
 		return 0
-	})
-	return time.Duration(answered) + n.config.ElectionTimeout
-}
-
-// quorumValue is the largest value that more than half of the voters reach: of a joint membership, more than half of each
-// of its voter sets.
-func (n *Node) quorumValue(value func(ReplicaID) uint64) uint64 {
+	}
 	membership := n.membership()
 	reached := membership.majorityValue(incoming, value)
 	if membership.Joint() {
@@ -118,7 +123,8 @@
 	return reached
 }
 
-// recordReply notes that a member has answered in this leader's term.
+// recordReply records a reply of a peer to this leader. It returns nil for a reply of another term, or if this replica
+// is not the leader.
 func (n *Node) recordReply(msg Message) *progress {
 	peer := n.progressOf(msg.From)
 	if n.role != Leader || msg.Term != n.term || peer == nil {
@@ -150,7 +156,7 @@
 	n.updateMatch(peer, msg.Index)
 }
 
-// updateMatch notes up to where a member holds the log.
+// updateMatch records that a peer holds the log up to an index.
 func (n *Node) updateMatch(peer *progress, index uint64) {
 	updated := index > peer.match
 	peer.match = max(peer.match, index)
@@ -172,10 +178,10 @@
 	}
 }
 
-// handleAppendRejection goes back to where a member's log may agree with this one.
+// handleAppendRejection continues from an index at which the peer's log may agree with this one.
 func (n *Node) handleAppendRejection(peer *progress, msg Message) {
 	if peer.state == stateSnapshot || msg.Index <= peer.match || peer.state == stateProbe && msg.Index != peer.next-1 {
-		return // of old
+		return // stale
 	}
 	hint, _ := n.log.findConflictByTerm(msg.RejectHint, msg.LogTerm)
 	if msg.RejectHint < n.log.offset {
@@ -184,17 +190,10 @@
 	peer.becomeProbe(max(peer.match, min(msg.Index-1, hint)) + 1)
 }
 
-// advanceCommit finds the last entry that a majority holds. Only one of this term commits, and with it all before it.
+// advanceCommit commits the entries that a majority has synced. Only an entry of the present term is committed by counting
+// replicas, and with it all entries before it.
 func (n *Node) advanceCommit() {
-	index := n.quorumValue(func(id ReplicaID) uint64 {
-		if id == n.config.ID {
-			return n.log.durable
-		}
-		if peer := n.progressOf(id); peer != nil {
-			return peer.match
-		}
-		return 0
-	})
+	index := n.quorumValue(n.log.durable, func(peer *progress) uint64 { return peer.match })
 	if index <= n.log.commit || !n.log.matchTerm(index, n.term) {
 		return
 	}
--- a/internal/system/consensus/lease.go
+++ b/internal/system/consensus/lease.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// leaseMarginDivisor is the part of an election time by which a lease ends early, for clocks that differ in rate.
+// leaseMarginDivisor makes a lease end a tenth of an election timeout early, for clocks of different rates.
 const leaseMarginDivisor = 10
 
-// inLease tells whether there may be a leader whose lease rests on this replica.
+// inLease reports whether a leader may hold a lease that rests on this replica.
 func (n *Node) inLease() bool { return n.role == Leader || n.now < n.refuseVotesUntil }
 
-// LeaseExpiry is until when no other replica can be leader, 0 if that is not sure; see Status.LeaseExpiry. Each follower that
-// answered a round holds to this leader for an election time after it got that round's message.
+// LeaseExpiry returns the time until which no other replica can be leader, provided that this is the Node's newest
+// state; 0 if there is no such time. It rests on the followers: each one that replied to a round grants no vote to
+// others within an election timeout after it received that round's message.
 func (n *Node) LeaseExpiry() time.Duration {
 	state := &n.leaderState
 	if n.role != Leader || state.timeoutNowSent || state.confirmedRound == 0 {
--- a/internal/system/consensus/membership.go
+++ b/internal/system/consensus/membership.go
@@ -2,35 +2,36 @@
 
 import "slices"
 
-// Member is a replica of a group.
+// Member is a replica of a group. The type travels by gob between processes: its fields keep their names and order.
 type Member struct {
 	ID      ReplicaID
-	Node    string // machine
+	Node    string // the control machine that runs the replica
 	Zone    string
 	Address string // of its control RPC, host:port
-	Voter   bool   // false: a learner, which is sent the log and has no vote
-	// Outgoing: it votes in the voter set that a joint membership is leaving; see Membership.
+	Voter   bool   // false: a learner, which receives the log and has no vote
+	// Outgoing marks a voter of the set that a joint membership is replacing; see Membership.
 	Outgoing bool
 }
 
-// HasVote tells whether the member votes, in either voter set of a joint membership.
+// HasVote reports whether the member votes, in either voter set of a joint membership.
 func (m Member) HasVote() bool { return m.Voter || m.Outgoing }
 
-// Membership is who takes part in a group. It is joint while any member is Outgoing: then elections and entries need a
-// majority of the outgoing voter set and one of the incoming set, which are the members with Voter.
+// Membership is the set of members of a group. It is joint while any member is Outgoing: elections and commits then
+// need a majority of the outgoing voters and one of the incoming voters, which are the members with Voter.
 type Membership struct{ Members []Member }
 
-// Joint tells whether the membership is between two voter sets.
+// Joint reports whether the membership is between two sets of voters.
 func (m Membership) Joint() bool {
 	return slices.ContainsFunc(m.Members, func(member Member) bool { return member.Outgoing })
 }
 
-// HasQuorum tells whether the members that something is true of are a majority of the voters: of a joint membership, a
-// majority of each of its two voter sets.
+// HasQuorum reports whether the members for which agrees is true are a majority of the voters; in a joint membership,
+// of each of the two sets.
 func (m Membership) HasQuorum(agrees func(ReplicaID) bool) bool {
 	return m.hasMajority(incoming, agrees) && (!m.Joint() || m.hasMajority(outgoing, agrees))
 }
 
+// hasMajority reports whether the members for which agrees is true are a majority of one voter set.
 func (m Membership) hasMajority(inSet func(*Member) bool, agrees func(ReplicaID) bool) bool {
 	voters, agreeing := 0, 0
 	for i := range m.Members {
@@ -45,7 +46,7 @@
 	return agreeing > voters/2
 }
 
-// majorityValue is the largest value that more than half of a voter set reach.
+// majorityValue returns the largest value that a majority of one voter set has reached.
 func (m Membership) majorityValue(inSet func(*Member) bool, value func(ReplicaID) uint64) uint64 {
 	var buffer [16]uint64
 	values := buffer[:0]
@@ -61,12 +62,14 @@
 	return values[(len(values)-1)/2]
 }
 
-// incoming and outgoing tell whether a member is of that voter set of a joint membership.
+// incoming reports whether a member belongs to the incoming voter set; in a membership that is not joint, to the only
+// one.
 func incoming(member *Member) bool { return member.Voter }
 
+// outgoing reports whether a member belongs to the outgoing voter set of a joint membership.
 func outgoing(member *Member) bool { return member.Outgoing }
 
-// find returns a member.
+// find returns a member by its ID.
 func (m Membership) find(id ReplicaID) (Member, bool) {
 	for _, member := range m.Members {
 		if member.ID == id {
@@ -86,13 +89,13 @@
 	return found && member.Voter
 }
 
-// hasVote tells whether a member votes, in either voter set of a joint membership.
+// hasVote reports whether a replica votes, in either voter set of a joint membership.
 func (m Membership) hasVote(id ReplicaID) bool {
 	member, found := m.find(id)
 	return found && member.HasVote()
 }
 
-// jointMembership is the membership between two that differ in who votes alone.
+// jointMembership returns the joint membership between two that differ in their voters only.
 func jointMembership(from, to Membership) Membership {
 	members := slices.Clone(to.Members)
 	for i := range members {
@@ -101,7 +104,7 @@
 	return Membership{Members: members}
 }
 
-// withoutOutgoing is a joint membership without its outgoing voter set: those that vote no more are learners.
+// withoutOutgoing returns the membership that follows a joint one: members that lost their vote are learners.
 func (m Membership) withoutOutgoing() Membership {
 	members := slices.Clone(m.Members)
 	for i := range members {
@@ -110,15 +113,16 @@
 	return Membership{Members: members}
 }
 
-// validate tells what does not make sense in a membership.
+// validate returns an *InvalidMembershipError for a membership without voters, with duplicate members or with a member
+// that has no ID.
 func (m Membership) validate() error {
 	voters := 0
 	for i, member := range m.Members {
 		if member.ID == 0 {
-			return &InvalidMembershipError{Reason: "a member has no id"}
+			return &InvalidMembershipError{Reason: "a member has no ID"}
 		}
 		if slices.ContainsFunc(m.Members[:i], func(other Member) bool { return other.ID == member.ID }) {
-			return &InvalidMembershipError{Reason: "a member stands there twice"}
+			return &InvalidMembershipError{Reason: "a member is listed twice"}
 		}
 		if member.Voter {
 			voters++
@@ -130,7 +134,7 @@
 	return nil
 }
 
-// changedMembers returns the members that are not the same in both memberships, each once.
+// changedMembers returns the IDs of members that are in one membership only or differ between the two.
 func changedMembers(a, b Membership) (ids []ReplicaID) {
 	for _, member := range a.Members {
 		other, found := b.find(member.ID)
@@ -146,7 +150,7 @@
 	return ids
 }
 
-// sameVoters tells whether the same members vote in two memberships. Learners may differ.
+// sameVoters reports whether two memberships have the same voters. Learners may differ.
 func sameVoters(a, b Membership) bool {
 	everyVoter := func(of, in Membership) bool {
 		return !slices.ContainsFunc(of.Members, func(member Member) bool { return member.Voter && !in.isVoter(member.ID) })
@@ -154,7 +158,7 @@
 	return everyVoter(a, b) && everyVoter(b, a)
 }
 
-// differOnlyInVotes tells whether two memberships have the same members, with the same particulars.
+// differOnlyInVotes reports whether two memberships differ in nothing but who votes.
 func differOnlyInVotes(a, b Membership) bool {
 	if len(a.Members) != len(b.Members) {
 		return false
--- a/internal/system/consensus/membership_change.go
+++ b/internal/system/consensus/membership_change.go
@@ -2,16 +2,19 @@
 
 import "time"
 
-// membership is the newest one in the log.
+// membership returns the newest membership in the log: a membership is in effect as soon as it is appended.
 func (n *Node) membership() Membership { return n.log.lastMembership().membership }
 
-// ChangeMembership appends a membership that differs from the present one in one member (a learner that becomes a voter
-// once it has caught up, a voter that becomes a learner or leaves), in anything but who votes (learners that join or
-// leave, particulars of members), or in who votes alone, by any number of members. The first two kinds hold at once. The
-// third goes through a
-// joint membership, which the leader leaves by itself once it is committed; members that lose their vote stay as
-// learners. The next change is possible once all of that is committed, see Status.MembershipIndex and Membership.Joint.
-// The error is a *NotLeaderError, *PendingMembershipChangeError, *LearnerBehindError or *InvalidMembershipError.
+// ChangeMembership proposes another membership. It may differ from the present one
+//
+//   - in one member: a learner that becomes a voter once it has caught up, a voter that becomes a learner or leaves;
+//   - in any members other than voters: learners that join or leave, addresses;
+//   - in the votes of any number of members.
+//
+// The first two kinds are in effect at once. The third kind goes through a joint membership, which the leader leaves by
+// itself once it is committed; members that lose their vote remain as learners. The next change is possible once all of
+// that is committed, see Status.MembershipIndex and Membership.Joint. The error is a *NotLeaderError,
+// ErrMembershipChangePending, a *LearnerBehindError or an *InvalidMembershipError.
 func (n *Node) ChangeMembership(now time.Duration, to Membership) error {
 	n.advanceClock(now)
 	if n.role != Leader {
@@ -19,18 +22,18 @@
 	}
 	present := n.membership()
 	if n.leaderState.transferee != 0 || !n.committedInTerm() || n.log.lastMembership().index > n.log.commit || present.Joint() {
-		return &PendingMembershipChangeError{}
+		return ErrMembershipChangePending
 	}
 	if err := to.validate(); err != nil {
 		return err
 	}
 	if to.Joint() {
-		return &InvalidMembershipError{Reason: "a member is outgoing, which the agreement itself decides"}
+		return &InvalidMembershipError{Reason: "a member is outgoing, which only the leader may decide"}
 	}
 	changed := changedMembers(present, to)
 	if len(changed) == 0 || len(changed) > 1 && !differOnlyInVotes(present, to) && !sameVoters(present, to) {
-		return &InvalidMembershipError{Reason: "it has to differ from the present one in one member, in who votes alone, or in " +
-			"anything but who votes"}
+		return &InvalidMembershipError{Reason: "it must differ from the present one in one member, in votes only, or in anything but " +
+			"votes"}
 	}
 	for _, id := range changed {
 		if err := n.checkPromotion(id, to); err != nil {
@@ -44,23 +47,23 @@
 	return nil
 }
 
-// checkPromotion tells why a member may not become a voter yet.
+// checkPromotion reports why a member can't become a voter yet; members that do not become voters pass.
 func (n *Node) checkPromotion(id ReplicaID, to Membership) error {
 	if !to.isVoter(id) || n.membership().isVoter(id) {
 		return nil
 	}
 	peer := n.progressOf(id)
 	if peer == nil {
-		return &InvalidMembershipError{Reason: "a new member has to join as a learner first"}
+		return &InvalidMembershipError{Reason: "a new member must join as a learner first"}
 	}
-	// It also has to know that it is a member: else it would not vote.
+	// It must also hold the entry that made it a member: otherwise it would not vote.
 	if peer.match < n.log.lastMembership().index || !peer.keepsUp(n.now, n.config.ElectionTimeout) {
 		return &LearnerBehindError{ID: id, Match: peer.match, Target: peer.catchUpTarget}
 	}
 	return nil
 }
 
-// syncProgress brings the peers in line with the newest membership.
+// syncProgress brings the leader's list of peers in line with the newest membership.
 func (n *Node) syncProgress() {
 	state := &n.leaderState
 	membership := n.membership()
@@ -71,8 +74,8 @@
 		}
 		peer := n.progressOf(member.ID)
 		if peer == nil {
-			peer = &progress{id: member.ID, next: n.log.lastIndex() + 1, lastContact: n.now, catchUpTarget: n.log.lastIndex(), catchUpStartedAt: n.now,
-				catchUpDuration: Never}
+			peer = &progress{id: member.ID, next: n.log.lastIndex() + 1, lastContact: n.now,
+				catchUpTarget: n.log.lastIndex(), catchUpStartedAt: n.now, catchUpDuration: Never}
 		}
 		peers = append(peers, peer)
 	}
@@ -84,8 +87,8 @@
 	state.peers = peers
 }
 
-// completeMembershipChange leaves a committed joint membership, and lets members go that a committed membership no longer
-// has, this leader included.
+// completeMembershipChange acts on a committed membership: it leaves a joint one, and notifies members that were
+// removed. A leader that is no longer a voter resigns.
 func (n *Node) completeMembershipChange() {
 	state := &n.leaderState
 	if n.log.lastMembership().index > n.log.commit {
@@ -108,8 +111,8 @@
 	n.becomeFollower(n.term, 0)
 }
 
-// notifyRemoved tells a former member, once, that it was removed, so that it does not go on standing for election. This
-// must not happen earlier: before the removal is committed its vote may be needed, which it would no longer give.
+// notifyRemoved sends a removed member the entry that removed it, so that it stops starting elections. That must not
+// happen before the removal is committed: until then the member's vote may be needed.
 func (n *Node) notifyRemoved(peer *progress) {
 	term, known := n.log.term(peer.next - 1)
 	if !known {
--- a/internal/system/consensus/membership_change_test.go
+++ b/internal/system/consensus/membership_change_test.go
@@ -34,7 +34,7 @@
 func TestChangeMembershipWaitsForCommitInTerm(t *testing.T) {
 	script := newScript(t, foundingState(1, 2, 3))
 	sent := script.becomeLeader()
-	if err := script.node.ChangeMembership(script.now, voters(1, 2)); !errors.As(err, new(*PendingMembershipChangeError)) {
+	if err := script.node.ChangeMembership(script.now, voters(1, 2)); !errors.Is(err, ErrMembershipChangePending) {
 		t.Errorf("before: %v", err)
 	}
 	script.step(acknowledge(script.onlyMessage(MessageAppend, 2, sent)))
@@ -56,7 +56,7 @@
 	script.expect("holds at once", script.node.membership(), joined)
 	probe := script.onlyMessage(MessageAppend, 4, sent)
 	promoted := withMembers(voters(1, 2, 3), Member{ID: 4, Address: "a", Voter: true})
-	if err := script.node.ChangeMembership(script.now, promoted); !errors.As(err, new(*PendingMembershipChangeError)) {
+	if err := script.node.ChangeMembership(script.now, promoted); !errors.Is(err, ErrMembershipChangePending) {
 		t.Errorf("while the first is not committed: %v", err)
 	}
 	script.catchUp(sent, 4)
@@ -191,7 +191,7 @@
 	to := withMembers(voters(1, 2), Member{ID: 3}, Member{ID: 4, Voter: true})
 	sent := script.changeMembership(to)
 	script.expect("joint", script.node.membership().Joint(), true)
-	if err := script.node.ChangeMembership(script.now, voters(1, 2)); !errors.As(err, new(*PendingMembershipChangeError)) {
+	if err := script.node.ChangeMembership(script.now, voters(1, 2)); !errors.Is(err, ErrMembershipChangePending) {
 		t.Errorf("while it is joint: %v", err)
 	}
 	script.catchUp(sent)
--- a/internal/system/consensus/message.go
+++ b/internal/system/consensus/message.go
@@ -1,50 +1,45 @@
-// Package consensus has replicas agree on a sequence of entries: leader election with pre-votes, log replication,
-// changes of membership, by single steps or through joint
-// consensus, with learners, snapshots, linearizable reads and transfer of leadership. It is a pure
-// state machine after the Raft protocol (Ongaro and Ousterhout, 2014): messages and time go in, messages and writes come
-// out. It does no I/O, has no clock, and draws its random numbers from a given seed.
 package consensus
 
 import "fmt"
 
-// MessageKind says what a message is for.
+// MessageKind is the type of a message.
 type MessageKind uint8
 
-// The kinds of message.
+// The kinds of messages. Their values are encoded, so that their order must not change.
 const (
-	MessagePreVote MessageKind = iota
+	MessagePreVote MessageKind = iota // asks whether the receiver would vote for the sender in Term
 	MessagePreVoteReply
 	MessageVote
 	MessageVoteReply
-	MessageAppend // entries, or a heartbeat without any
+	MessageAppend // carries entries; a heartbeat carries none
 	MessageAppendReply
 	MessageInstallSnapshot
 	MessageInstallSnapshotReply
-	MessageTimeoutNow // asks its receiver to stand for election at once
+	MessageTimeoutNow // asks the receiver to start an election at once
 )
 
-// Message goes from one replica to another of the same group.
+// Message is sent from one replica of a group to another. Which fields a message uses depends on its Kind.
 type Message struct {
 	Kind       MessageKind
 	From, To   ReplicaID
-	Term       uint64
-	Index      uint64 // last log index of a candidate; index before Entries; last matching index of a reply
-	LogTerm    uint64 // term of the entry at Index
-	Commit     uint64
-	Entries    []Entry
-	Snapshot   *Snapshot
-	Reject     bool
-	RejectHint uint64 // of a rejected append: where to try next
-	// Round of an append is a number that its reply repeats, which confirms leadership for reads and leases. An append
-	// without entries and with Round 0 only tells of a commit and is not answered unless it is rejected.
+	Term       uint64    // of the sender; of a pre-vote, the term that it would start
+	Index      uint64    // last log index of a candidate; index before Entries; last matching index of a reply
+	LogTerm    uint64    // term of the entry at Index
+	Commit     uint64    // commit index of the leader
+	Entries    []Entry   // of an append: contiguous, from Index+1 on
+	Snapshot   *Snapshot // of an install-snapshot message
+	Reject     bool      // of a reply
+	RejectHint uint64    // of a rejected append: the index at which the logs may agree
+	// Round of an append or a snapshot is repeated by its reply, which confirms leadership for reads and leases. An append
+	// without entries and with Round 0 only announces a commit index; it is answered only by a rejection.
 	Round uint64
-	Force bool // of a vote: the leader asked for this election, so that its followers need not hold on to it
+	Force bool // of a vote: the leader has asked for this election, so that its lease need not be respected
 }
 
-// maxNumber bounds terms and indexes, so that adding to them never wraps around.
+// maxNumber bounds terms and indexes, so that sums with them can't overflow.
 const maxNumber = 1 << 62
 
-// validate tells what does not make sense in a message by itself.
+// validate reports why a message can't have been sent by a replica, as far as the message itself shows.
 func (m *Message) validate() error {
 	if m.Kind > MessageTimeoutNow {
 		return &InvalidMessageError{Reason: fmt.Sprintf("message of unknown kind %d", m.Kind)}
@@ -53,7 +48,7 @@
 		return &InvalidMessageError{Reason: "message without a term"}
 	}
 	if max(m.Term, m.Index, m.LogTerm) > maxNumber {
-		return &InvalidMessageError{Reason: "message with a term or an index that can't be"}
+		return &InvalidMessageError{Reason: "message with an impossible term or index"}
 	}
 	if m.Kind == MessageAppend {
 		return m.validateEntries()
@@ -64,16 +59,16 @@
 	return nil
 }
 
-// validateEntries tells what does not make sense in entries that follow Index and LogTerm.
+// validateEntries reports why the entries can't follow the entry at Index and LogTerm.
 func (m *Message) validateEntries() error {
 	if (m.Index == 0) != (m.LogTerm == 0) {
-		return &InvalidMessageError{Reason: "place of entries makes no sense"}
+		return &InvalidMessageError{Reason: "index and term before the entries contradict each other"}
 	}
 	index, term := m.Index, m.LogTerm
 	for _, entry := range m.Entries {
 		index++
 		if entry.Index != index || entry.Term < term || entry.Term == 0 || entry.Kind > EntryMembership {
-			return &InvalidMessageError{Reason: fmt.Sprintf("entry %d makes no sense after entry %d", entry.Index, index-1)}
+			return &InvalidMessageError{Reason: fmt.Sprintf("entry %d can't follow entry %d", entry.Index, index-1)}
 		}
 		term = entry.Term
 		if entry.Kind != EntryMembership {
@@ -88,7 +83,7 @@
 		}
 	}
 	if term > m.Term {
-		return &InvalidMessageError{Reason: "entries are of a later term than their sender"}
+		return &InvalidMessageError{Reason: "entries of a later term than their sender's"}
 	}
 	return nil
 }
@@ -96,7 +91,7 @@
 func (m *Message) validateSnapshot() error {
 	snapshot := m.Snapshot
 	if snapshot == nil || snapshot.Index == 0 || snapshot.Term == 0 || snapshot.Term > m.Term || snapshot.Index > maxNumber {
-		return &InvalidMessageError{Reason: "snapshot makes no sense"}
+		return &InvalidMessageError{Reason: "snapshot with an impossible index or term"}
 	}
 	return snapshot.Membership.validate()
 }
--- a/internal/system/consensus/node.go
+++ b/internal/system/consensus/node.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// pausedElectionTimeouts is how many election times between two calls of a Machine mean that its process stood still: it is
-	// called more often than that, unless it is cut off.
+	// pausedElectionTimeouts is the gap between two calls of a Node, in election timeouts, above which its process is taken
+	// to have been paused: a running process calls more often, unless it is partitioned.
 	pausedElectionTimeouts = 2
-	// staleInputHeartbeats is for how many heartbeats what comes after a stand-still may have waited.
+	// staleInputHeartbeats is how long after a pause, in heartbeat intervals, messages may still be old ones from a queue.
 	staleInputHeartbeats = 2
 )
 
-// Never is what Next returns while nothing is due.
+// Never is what NextTick returns while nothing is scheduled.
 const Never = time.Duration(math.MaxInt64)
 
-// Node is one replica. It is not safe for concurrent use. Times are of a steady clock and never go back; the clocks
-// of two replicas need not agree, but must run at the same rate within a tenth.
+// Node is one replica of a group. It is not safe for concurrent use. Times are those of a monotonic clock; the clocks of
+// two replicas need not agree, but their rates must not differ by more than a tenth: leases rest on that.
 type Node struct {
 	config   Config
 	random   *rand.Rand
-	now      time.Duration
-	disabled bool // what was stored made no sense
+	now      time.Duration // the latest time passed in
+	disabled bool          // the persistent state was invalid
 
 	term     uint64
 	vote     ReplicaID
@@ -32,32 +32,32 @@
 	log      raftLog
 
 	electionDeadline  time.Duration
-	failedElections   int           // elections in a row that led to nothing
-	lastLeaderContact time.Duration // when the leader was last heard
-	caughtUpAt        time.Duration // when this replica last held all that the leader had committed; of a leader: see current
-	staleInputUntil   time.Duration // messages that come before may be old: the process stood still
-	refuseVotesUntil  time.Duration // no vote is given before, because of a leader that may hold a lease
-	noCampaignUntil   time.Duration // this replica does not stand for election before
-	grantedBy         []ReplicaID   // votes or pre-votes for this replica
-	lastLeader        ReplicaID     // the leader that was heard at lastLeaderContact
-	preVoteStartedAt  time.Duration // when this replica began to ask for pre-votes
-	preVoteDuration   time.Duration // from asking for pre-votes to a majority, when last measured
+	failedElections   int           // in a row
+	lastLeaderContact time.Duration // when the last message of a leader was received
+	lastLeader        ReplicaID     // sender of that message
+	caughtUpAt        time.Duration // see Status.CaughtUpAt; of a leader also lastCaughtUp
+	staleInputUntil   time.Duration // the process was paused: messages before this time may be old
+	refuseVotesUntil  time.Duration // until then a leader may hold a lease that rests on this replica
+	noCampaignUntil   time.Duration // until then the replica starts no election, see StepDown
+	grantedBy         []ReplicaID   // who granted a vote or a pre-vote to this candidate
+	preVoteStartedAt  time.Duration
+	preVoteDuration   time.Duration // of the last pre-vote that was won
 	lastYield         preVoteYield
 
-	leaderState leaderState // of a leader
+	leaderState leaderState // the zero value unless role is Leader
 
-	lastHardState    HardState
-	persistedTerm    uint64
-	readySequence    uint64
-	compactRequested uint64
-	messages         []Message
-	earlyMessages    []Message
+	lastHardState    HardState // returned in a Ready last
+	persistedTerm    uint64    // highest term known to be on disk
+	readySequence    uint64    // of the last Ready with writes
+	compactRequested uint64    // last Ready.CompactIndex
+	messages         []Message // for the next Ready
+	earlyMessages    []Message // for the next Ready
 	readStates       []ReadState
 }
 
-// New returns a replica that goes on from what was stored; the state machine is at s.Snapshot.Index. What was stored has
-// to be synced: what a process left unsynced when it was killed could still be lost after it was read. The replica is
-// silent for good if s.Check does not hold.
+// New returns a replica that continues from a persistent state; the state machine must be at state.Snapshot.Index. All
+// of the state must be synced: bytes that a killed process left unsynced could still be lost after they were read. If
+// state.Validate reports an error, the replica is disabled: it neither sends messages nor starts elections.
 func New(now time.Duration, config Config, state PersistentState) *Node {
 	state = state.normalized()
 	n := &Node{config: config, now: now, random: rand.New(rand.NewPCG(config.Seed, uint64(config.ID)))}
@@ -73,14 +73,14 @@
 	n.persistedTerm = state.HardState.Term
 	n.lastHardState = state.HardState
 	if n.term > 0 {
-		n.refuseVotesUntil = now + config.ElectionTimeout // it may have confirmed a leader just before it ended
+		n.refuseVotesUntil = now + config.ElectionTimeout // it may have granted a lease just before it stopped
 	}
 	n.resetElectionTimer()
 	return n
 }
 
-// advanceClock moves the time on. After a long gap the process may have stood still, and what comes first may have waited for
-// it: that says nothing of how things are now.
+// advanceClock sets the time. After a long gap the process may have been paused and the next messages may have been
+// queued meanwhile: they do not show the present state of the leader.
 func (n *Node) advanceClock(now time.Duration) {
 	if now-n.now > pausedElectionTimeouts*n.config.ElectionTimeout {
 		n.staleInputUntil = now + staleInputHeartbeats*n.config.HeartbeatInterval
@@ -88,7 +88,7 @@
 	n.now = max(n.now, now)
 }
 
-// Tick does what is due.
+// Tick does what is scheduled up to now: an election, heartbeats, or the end of a leadership without quorum.
 func (n *Node) Tick(now time.Duration) {
 	n.advanceClock(now)
 	if n.disabled {
@@ -103,7 +103,7 @@
 	}
 }
 
-// NextTick is when Tick is due, or Never. It may change with each call of another method.
+// NextTick returns when Tick has to be called next, or Never. Each call of another method may change it.
 func (n *Node) NextTick() time.Duration {
 	if n.disabled {
 		return Never
@@ -114,7 +114,7 @@
 	return n.campaignDeadline()
 }
 
-// Step takes a message. Messages that make no sense are left out.
+// Step handles a message of another replica. It ignores invalid messages and those addressed to another replica.
 func (n *Node) Step(now time.Duration, msg Message) {
 	n.advanceClock(now)
 	if n.disabled || msg.To != n.config.ID || msg.From == n.config.ID || msg.From == 0 || msg.validate() != nil {
@@ -134,12 +134,12 @@
 	}
 }
 
-// handleReply takes an answer of a member to what this replica sent.
+// handleReply handles the reply of a member to a message of this replica.
 func (n *Node) handleReply(msg Message) {
 	if !n.membership().has(msg.From) {
 		return
 	}
-	future := msg.Kind == MessagePreVoteReply && !msg.Reject // for a term that nobody is in yet
+	future := msg.Kind == MessagePreVoteReply && !msg.Reject // of a term that nobody is in yet
 	if msg.Term > n.term && !future {
 		n.becomeFollower(msg.Term, 0)
 		return
@@ -156,8 +156,9 @@
 	}
 }
 
-// Propose appends a command to a leader's log. It is agreed on once it comes back in Ready.Committed at this index with
-// this term; another entry there means that it was lost.
+// Propose appends a command to the log of a leader. It is committed once Ready.CommittedEntries returns an entry of
+// this index and term; an entry of another term at this index means that the command was lost. The error is a
+// *NotLeaderError. data must not be changed afterwards.
 func (n *Node) Propose(now time.Duration, data []byte) (index, term uint64, err error) {
 	n.advanceClock(now)
 	if n.role != Leader || n.leaderState.transferee != 0 {
@@ -167,14 +168,15 @@
 	return index, n.term, nil
 }
 
+// notLeaderError names the leader, except on a leader that transfers its leadership.
 func (n *Node) notLeaderError() *NotLeaderError {
 	if n.role == Leader {
-		return &NotLeaderError{} // about to hand over
+		return &NotLeaderError{} // transferring
 	}
 	return &NotLeaderError{Leader: n.leaderID}
 }
 
-// send queues a message that rests on what is yet to be written.
+// send queues a message that must not leave before the pending writes are synced.
 func (n *Node) send(msg Message) {
 	msg.From = n.config.ID
 	if msg.Term == 0 {
@@ -183,7 +185,7 @@
 	n.messages = append(n.messages, msg)
 }
 
-// sendEarly queues a message of a leader, which does not rest on what is yet to be written: a leader's term is on disk.
+// sendEarly queues a message of a leader, which need not wait for pending writes: the leader's term is on disk.
 func (n *Node) sendEarly(msg Message) {
 	msg.From, msg.Term = n.config.ID, n.term
 	n.earlyMessages = append(n.earlyMessages, msg)
--- a/internal/system/consensus/progress.go
+++ b/internal/system/consensus/progress.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// progressState says how entries are sent to a member.
+// progressState tells how the leader sends entries to a peer.
 type progressState uint8
 
 const (
-	stateProbe     progressState = iota // one append at a time, until it is known where the logs agree
-	stateReplicate                      // appends follow each other without waiting, up to Options.MaxInflightAppends
-	stateSnapshot                       // a snapshot is on its way
+	stateProbe     progressState = iota // one append at a time, until an index is found at which the logs agree
+	stateReplicate                      // pipelined appends, up to Config.MaxInflightAppends
+	stateSnapshot                       // a snapshot is in flight, no appends but heartbeats
 )
 
-// progress is another member as its leader knows it.
+// progress is what a leader knows of a peer's log.
 type progress struct {
 	id              ReplicaID
 	state           progressState
-	match           uint64 // it surely holds the log up to here
-	next            uint64 // entry to be sent next
-	sentCommit      uint64 // commit that it was told
-	probeSent       bool   // probing: an append is under way
-	heartbeatWanted bool   // an append is wanted, even an empty one
-	inflights       []uint64
-	lastSentAt      time.Duration // of the last append that is answered
+	match           uint64        // the peer is known to hold the log up to this index
+	next            uint64        // index of the next entry to send
+	sentCommit      uint64        // commit index sent last
+	probeSent       bool          // in stateProbe: an append is in flight
+	heartbeatWanted bool          // an append has to be sent, even without entries
+	inflights       []uint64      // last indexes of the unacknowledged appends, ascending
+	lastSentAt      time.Duration // when the last append that demands a reply was sent
 	snapshotSentAt  time.Duration
-	lastContact     time.Duration
-	ackedRound      uint64 // last one answered
+	lastContact     time.Duration // when the last reply was received
+	ackedRound      uint64        // last round that the peer replied to
 
-	// How fast it catches up: goal was the end of the log at catchUpStartedAt; lag is how long it took to reach the one before.
+	// The speed of catching up: catchUpTarget was the last index of the leader's log at catchUpStartedAt, catchUpDuration is
+	// how long the peer took to reach the target before.
 	catchUpTarget    uint64
 	catchUpStartedAt time.Duration
 	catchUpDuration  time.Duration
@@ -51,7 +52,7 @@
 	p.inflights = nil
 }
 
-// freeInflights frees the appends that end up to an index.
+// freeInflights drops the in-flight appends that end at or before an index.
 func (p *progress) freeInflights(index uint64) {
 	freed := 0
 	for freed < len(p.inflights) && p.inflights[freed] <= index {
@@ -60,7 +61,7 @@
 	p.inflights = p.inflights[freed:]
 }
 
-// updateCatchUp notes how long it took to reach the goal, and sets the next one.
+// updateCatchUp records how long the peer took to reach its target, once it has, and sets the next target.
 func (p *progress) updateCatchUp(last uint64, now time.Duration) {
 	if p.match < p.catchUpTarget {
 		return
@@ -70,7 +71,7 @@
 	p.catchUpStartedAt = now
 }
 
-// keepsUp tells whether a member is behind the end of the log by less than a span of time.
+// keepsUp reports whether the peer reaches the end of the leader's log within a limit.
 func (p *progress) keepsUp(now, span time.Duration) bool {
 	return p.catchUpDuration < span && now-p.catchUpStartedAt < span
 }
--- a/internal/system/consensus/raft_log.go
+++ b/internal/system/consensus/raft_log.go
@@ -2,32 +2,34 @@
 
 import "slices"
 
-// raftLog is the log as a replica knows it: the snapshot, the entries after offset (some of them within the
-// snapshot, kept for slow followers), and how far it is committed, written and applied.
+// raftLog is the log of a replica: the snapshot, the entries after offset (some of which the snapshot covers, kept for
+// slow followers), and the positions up to which it is committed, written and applied. Always
+//
+//	offset <= snapshot.Index <= commit <= lastIndex, applied <= commit and durable <= writeIndex <= lastIndex.
 type raftLog struct {
 	snapshot   Snapshot
-	offset     uint64 // index before the first entry kept
-	offsetTerm uint64
+	offset     uint64 // index before the first entry
+	offsetTerm uint64 // term of the entry at offset
 	entries    []Entry
 
 	commit     uint64
-	applied    uint64 // handed out as committed
-	writeIndex uint64 // handed out to be written
-	durable    uint64 // known to be synced
+	applied    uint64 // last index returned as committed
+	writeIndex uint64 // last index returned to be written
+	durable    uint64 // last index known to be synced
 
-	snapshotPending bool                // the snapshot came from a leader and is yet to be handed out
-	pendingWrites   []pendingWrite      // handed out and not yet known to be synced, in order
-	memberships     []indexedMembership // in order; the first one holds at the snapshot, the last one now
+	snapshotPending bool                // a snapshot of the leader is to be returned by the next Ready
+	pendingWrites   []pendingWrite      // returned and not known to be synced, in order
+	memberships     []indexedMembership // in order: the first one is in effect at the snapshot, the last one now
 }
 
-// pendingWrite is a Ready whose writes are under way.
+// pendingWrite is a Ready whose writes are in flight.
 type pendingWrite struct {
-	sequence  uint64
+	sequence  uint64 // of the Ready
 	term      uint64
-	lastIndex uint64 // index up to which it makes the log durable
+	lastIndex uint64 // the log is durable up to here once the write is synced
 }
 
-// indexedMembership is a membership and the entry that brought it.
+// indexedMembership is a membership and the index of the entry that holds it.
 type indexedMembership struct {
 	index      uint64
 	membership Membership
@@ -51,7 +53,7 @@
 	return term
 }
 
-// term is that of the entry at an index, if it is known.
+// term returns the term of the entry at an index, if it is known.
 func (l *raftLog) term(index uint64) (uint64, bool) {
 	if index == l.offset {
 		return l.offsetTerm, true
@@ -62,17 +64,19 @@
 	return l.entries[index-l.offset-1].Term, true
 }
 
+// matchTerm reports whether the log holds an entry of this index and term.
 func (l *raftLog) matchTerm(index, term uint64) bool {
 	have, known := l.term(index)
 	return known && have == term
 }
 
-// endsAt tells whether a log that ends so ends as this one does.
+// endsAt reports whether the last entry has this index and term.
 func (l *raftLog) endsAt(index, term uint64) bool {
 	return index == l.lastIndex() && term == l.lastTerm()
 }
 
-// isUpToDate tells whether a log that ends so holds all that this one may have agreed on.
+// isUpToDate reports whether a log whose last entry has this index and term is at least as up to date as this one, so
+// that its owner may be voted for.
 func (l *raftLog) isUpToDate(index, term uint64) bool {
 	return term > l.lastTerm() || term == l.lastTerm() && index >= l.lastIndex()
 }
@@ -92,7 +96,7 @@
 	return rest[:count:count]
 }
 
-// append adds entries that follow the last one.
+// append adds entries that follow the last one. Memberships among them have been validated.
 func (l *raftLog) append(entries []Entry) {
 	for _, entry := range entries {
 		l.entries = append(l.entries, entry)
@@ -106,7 +110,7 @@
 	}
 }
 
-// truncate drops the entries from an index on, which is above commit. Slices handed out before stay as they are.
+// truncate drops the entries from an index on, which must be above commit. Slices returned earlier keep their content.
 func (l *raftLog) truncate(from uint64) {
 	keep := int(from - l.offset - 1)
 	l.entries = l.entries[:keep:keep]
@@ -120,8 +124,7 @@
 	}
 }
 
-// merge brings the log in line with a leader's entries, which follow an index at which both logs agree and which is not
-// below commit.
+// merge adopts a leader's entries. They must follow an index at which both logs agree and which is not below commit.
 func (l *raftLog) merge(entries []Entry) {
 	for i, entry := range entries {
 		if l.matchTerm(entry.Index, entry.Term) {
@@ -137,8 +140,8 @@
 
 func (l *raftLog) commitTo(index uint64) { l.commit = max(l.commit, min(index, l.lastIndex())) }
 
-// findConflictByTerm is the largest index up to the given one whose term is not above the given one, and its term; the start of
-// the log if there is none.
+// findConflictByTerm returns the largest index, up to a given one, whose term is not above a given one, and its term;
+// the start of the log if there is none.
 func (l *raftLog) findConflictByTerm(index, term uint64) (uint64, uint64) {
 	index = min(index, l.lastIndex())
 	for index > l.offset {
@@ -151,7 +154,7 @@
 	return l.offset, l.offsetTerm
 }
 
-// restore replaces all by a snapshot.
+// restore replaces everything by a snapshot.
 func (l *raftLog) restore(snapshot Snapshot) {
 	l.snapshot = snapshot
 	l.offset, l.offsetTerm = snapshot.Index, snapshot.Term
@@ -164,8 +167,8 @@
 	l.snapshotPending = true
 }
 
-// compact takes over a snapshot of the applied state and drops the entries in it but for a tail, which is bounded in
-// entries and in bytes of their data (0: no bound).
+// compact adopts a snapshot of the applied state and drops the entries that it covers, except for a tail that is
+// bounded by its number of entries and by the bytes of their data (0: unbounded).
 func (l *raftLog) compact(snapshot Snapshot, tail uint64, tailBytes int) {
 	l.snapshot = snapshot
 	l.trimMemberships(snapshot.Index)
@@ -178,7 +181,7 @@
 	l.offset, l.offsetTerm = start, term
 }
 
-// tailStart is the index before the tail that ends at an index.
+// tailStart returns the index before the tail that ends at an index.
 func (l *raftLog) tailStart(end, tail uint64, tailBytes int) uint64 {
 	start, size := end, 0
 	for start > l.offset && end-start < tail {
@@ -191,6 +194,7 @@
 	return start
 }
 
+// trimMemberships drops the memberships that were no longer in effect at an index.
 func (l *raftLog) trimMemberships(index uint64) {
 	dropped := 0
 	for dropped+1 < len(l.memberships) && l.memberships[dropped+1].index <= index {
@@ -199,9 +203,11 @@
 	l.memberships = slices.Clone(l.memberships[dropped:])
 }
 
+// lastMembership returns the membership in effect.
 func (l *raftLog) lastMembership() indexedMembership { return l.memberships[len(l.memberships)-1] }
 
-// anyPossibleMembership tells whether something is true of the newest membership known to be committed, or of a later one.
+// anyPossibleMembership reports whether a property holds for the newest membership known to be committed or for a later
+// one: each of these may turn out to be the one in effect.
 func (l *raftLog) anyPossibleMembership(holds func(Membership) bool) bool {
 	for i := len(l.memberships) - 1; i >= 0; i-- {
 		if holds(l.memberships[i].membership) {
@@ -214,7 +220,7 @@
 	return false
 }
 
-// indexedMembership is the membership that held at an index not below the snapshot's.
+// membershipAt returns the membership in effect at an index, which must not be below the snapshot's.
 func (l *raftLog) membershipAt(index uint64) Membership {
 	at := 0
 	for at+1 < len(l.memberships) && l.memberships[at+1].index <= index {
@@ -223,7 +229,7 @@
 	return l.memberships[at].membership
 }
 
-// takeUnwrittenEntries hands the entries out that are to be written.
+// takeUnwrittenEntries returns the entries that were not returned to be written yet.
 func (l *raftLog) takeUnwrittenEntries() []Entry {
 	from := max(l.writeIndex, l.offset)
 	l.writeIndex = l.lastIndex()
@@ -231,7 +237,7 @@
 	return entries[:len(entries):len(entries)]
 }
 
-// takeCommittedEntries hands the entries out that are to be applied.
+// takeCommittedEntries returns the committed entries that were not returned yet.
 func (l *raftLog) takeCommittedEntries() []Entry {
 	if l.commit <= l.applied {
 		return nil
@@ -241,7 +247,7 @@
 	return l.entries[from:to:to]
 }
 
-// markDurable notes that the writes up to a number are on disk. It returns the highest term among them.
+// markDurable records that the writes up to a sequence number are synced. It returns the highest term among them.
 func (l *raftLog) markDurable(number uint64) (term uint64) {
 	for len(l.pendingWrites) > 0 && l.pendingWrites[0].sequence <= number {
 		l.durable = max(l.durable, l.pendingWrites[0].lastIndex)
--- a/internal/system/consensus/read_index.go
+++ b/internal/system/consensus/read_index.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// pendingRead waits for a round that began after it came.
+// pendingRead is a read that waits until a round that started after it is confirmed.
 type pendingRead struct {
 	token    uint64
-	index    uint64 // 0: not known before the leader has committed an entry of its term
-	minRound uint64 // any from here on will do
+	index    uint64 // 0: unknown until the leader has committed an entry of its term
+	minRound uint64 // the first round that started after the read
 }
 
-// ReadIndex asks for an index from which on the state machine shows all that was agreed on before the call. Ready.Reads
-// brings it under the token, or an error if this replica does not lead.
+// ReadIndex requests an index for a linearizable read: a state machine that has applied it shows everything that was
+// committed before the call. Ready.ReadStates returns the index, or a *NotLeaderError, under the token.
 func (n *Node) ReadIndex(now time.Duration, token uint64) {
 	n.advanceClock(now)
 	if n.disabled || n.role != Leader {
@@ -25,8 +25,8 @@
 	n.updateConfirmedRound()
 }
 
-// startReadRound begins a round where a read needs one. The number of a round is the time at which it began, in
-// nanoseconds, or the next one after the last round's.
+// startReadRound starts a round if a read needs one. The number of a round is the time at which it started, in
+// nanoseconds, or one more than the last round's: confirmed rounds therefore date leases as well.
 func (n *Node) startReadRound() {
 	state := &n.leaderState
 	state.round = max(state.round, uint64(max(n.now, 0)))
@@ -40,23 +40,15 @@
 	}
 }
 
-// updateConfirmedRound finds the last round that a majority has answered.
+// updateConfirmedRound finds the last round that a majority replied to.
 func (n *Node) updateConfirmedRound() {
 	state := &n.leaderState
-	confirmed := n.quorumValue(func(id ReplicaID) uint64 {
-		if id == n.config.ID {
-			return state.round
-		}
-		if peer := n.progressOf(id); peer != nil {
-			return peer.ackedRound
-		}
-		return 0
-	})
+	confirmed := n.quorumValue(state.round, func(peer *progress) uint64 { return peer.ackedRound })
 	state.confirmedRound = max(state.confirmedRound, confirmed)
 	n.completeReads()
 }
 
-// completeReads answers the reads that were confirmed, in their order.
+// completeReads completes the confirmed reads, in order.
 func (n *Node) completeReads() {
 	state := &n.leaderState
 	if len(state.reads) == 0 || !n.committedInTerm() {
@@ -74,7 +66,7 @@
 	state.reads = state.reads[answered:]
 }
 
-// failReads answers the pending reads with an error.
+// failReads completes the pending reads with an error.
 func (n *Node) failReads() {
 	for _, read := range n.leaderState.reads {
 		n.readStates = append(n.readStates, ReadState{Token: read.token, Err: &NotLeaderError{Leader: n.leaderID}})
--- a/internal/system/consensus/ready.go
+++ b/internal/system/consensus/ready.go
@@ -1,41 +1,45 @@
 package consensus
 
-// Ready is what is to be done, in this order: send Early, write Snapshot, HardState and Entries and sync them (entries
-// replace whatever stands at their indexes and beyond), call Persisted, send Messages, apply Snapshot and Committed,
-// answer Reads, compact.
+// Ready is work for the driver, in this order: send EarlyMessages; write Snapshot, HardState and Entries and sync them
+// (entries replace whatever the log holds at their indexes and beyond); call MarkPersisted; send Messages; apply Snapshot
+// and CommittedEntries; complete ReadStates; compact.
 //
-// Readies are done in the order in which they were returned, and the next one may be asked for while the writes of
-// earlier ones are under way. Messages of one are sent only after its writes and those of all earlier ones are synced.
-// A write that failed is to be tried again, or the machine made anew from what is stored; it can't be left out.
-// Nothing in a Ready may be changed.
+// Readies are processed in the order in which Node.Ready returned them. The next one may be requested while writes of
+// earlier ones are in flight, but Messages must not be sent before the writes of their own Ready and of all earlier ones
+// are synced. A failed write must be repeated, or the Node made anew from what is on disk; it must not be skipped. Nothing
+// in a Ready may be changed.
 type Ready struct {
-	HardState        *HardState
-	Snapshot         *Snapshot // received from the leader: replaces log and state
+	HardState        *HardState // nil: unchanged
+	Snapshot         *Snapshot  // received from the leader; replaces the log and the state machine
 	Entries          []Entry
 	EarlyMessages    []Message // may be sent before the writes are synced
 	Messages         []Message
 	CommittedEntries []Entry
 	ReadStates       []ReadState
-	CompactIndex     uint64 // above 0: make a snapshot at this applied index, store it (see Machine.Snapshot), call Compacted
-	MustSync         bool   // false: HardState, if any, differs in Commit alone and may wait for the next write
+	// CompactIndex, unless 0, asks the driver to take a snapshot of its state machine at this applied index, to store it
+	// (see Node.CreateSnapshot) and to call Node.Compact.
+	CompactIndex uint64
+	// MustSync tells that the writes have to be synced now. Otherwise HardState, if any, differs in Commit only and may be
+	// written with the next Ready.
+	MustSync bool
 
-	sequence uint64 // counts the ones with writes, 0: none
+	sequence uint64 // numbers the Readies with MustSync; 0 for others
 }
 
-// Empty tells whether nothing is to be done.
+// Empty reports whether there is nothing to do.
 func (r Ready) Empty() bool {
 	return r.HardState == nil && r.Snapshot == nil && len(r.Entries) == 0 && len(r.EarlyMessages) == 0 && len(r.Messages) == 0 &&
 		len(r.CommittedEntries) == 0 && len(r.ReadStates) == 0 && r.CompactIndex == 0
 }
 
-// ReadState says that the state machine may be read for Token once Index is applied.
+// ReadState answers a call of Node.ReadIndex.
 type ReadState struct {
 	Token uint64
-	Index uint64
-	Err   error // *NotLeaderError: leadership was not confirmed
+	Index uint64 // the state machine may be read once it has applied this index
+	Err   error  // a *NotLeaderError if leadership was not confirmed, else nil
 }
 
-// Ready returns what is to be done and has not been returned before.
+// Ready returns the work that has come up since the last call.
 func (n *Node) Ready() Ready {
 	n.flushMessages()
 	ready := Ready{Entries: n.log.takeUnwrittenEntries(), CommittedEntries: n.log.takeCommittedEntries()}
@@ -58,6 +62,7 @@
 	return ready
 }
 
+// takeHardState adds the hard state to a Ready if it has changed.
 func (n *Node) takeHardState(ready *Ready) {
 	hardState := HardState{Term: n.term, Vote: n.vote, Commit: n.log.commit}
 	if hardState == n.lastHardState {
@@ -68,8 +73,8 @@
 	ready.HardState = &hardState
 }
 
-// MarkPersisted says that the writes of r, and those of all Readies before it, are synced. A candidate's own vote
-// and a leader's own entries count towards a majority only now.
+// MarkPersisted reports that the writes of a Ready, and those of all Readies before it, are synced. Only now does a
+// candidate's vote for itself, or a leader's own copy of an entry, count towards a majority.
 func (n *Node) MarkPersisted(ready Ready) {
 	if ready.sequence == 0 {
 		return
--- a/internal/system/consensus/replication.go
+++ b/internal/system/consensus/replication.go
@@ -1,9 +1,9 @@
 package consensus
 
-// snapshotResendElectionTimeouts is after how many election times a snapshot without an answer is sent again.
+// snapshotResendElectionTimeouts is the time, in election timeouts, after which an unanswered snapshot is sent again.
 const snapshotResendElectionTimeouts = 2
 
-// flushMessages makes a leader's messages out of what has come together since the last time.
+// flushMessages builds the messages of a leader from what has changed since the last Ready.
 func (n *Node) flushMessages() {
 	if n.role != Leader {
 		return
@@ -18,6 +18,7 @@
 	n.updateConfirmedRound() // a group of one confirms itself
 }
 
+// flushPeer builds the messages to one peer: entries, a snapshot, a heartbeat, a new commit index.
 func (n *Node) flushPeer(peer *progress) {
 	for n.canSendEntries(peer) {
 		n.sendEntries(peer)
@@ -33,12 +34,13 @@
 	}
 }
 
-// snapshotTimedOut tells whether a member that is there has not answered a snapshot for long.
+// snapshotTimedOut reports whether a peer that is in contact has left a snapshot unanswered for long.
 func (n *Node) snapshotTimedOut(peer *progress) bool {
 	return peer.state == stateSnapshot && n.now-peer.snapshotSentAt >= snapshotResendElectionTimeouts*n.config.ElectionTimeout &&
 		n.now-peer.lastContact < n.config.ElectionTimeout
 }
 
+// canSendEntries reports whether another append may be sent to the peer now.
 func (n *Node) canSendEntries(peer *progress) bool {
 	switch peer.state {
 	case stateProbe:
@@ -50,7 +52,7 @@
 	}
 }
 
-// sendEntries sends the next entries to a member, or a snapshot where the log no longer holds them.
+// sendEntries sends the next entries to a peer, or a snapshot if the log no longer holds them.
 func (n *Node) sendEntries(peer *progress) {
 	if _, known := n.log.term(peer.next - 1); !known {
 		n.sendSnapshot(peer)
@@ -67,7 +69,7 @@
 	peer.inflights = append(peer.inflights, peer.next-1)
 }
 
-// sendHeartbeat sends an append without entries, which also finds out whether earlier ones were lost.
+// sendHeartbeat sends an append without entries. Its rejection shows that earlier appends were lost.
 func (n *Node) sendHeartbeat(peer *progress) {
 	peer.heartbeatWanted = false
 	index := peer.next - 1
@@ -75,14 +77,14 @@
 		index = peer.match
 	}
 	if _, known := n.log.term(index); !known {
-		index = 0 // where all logs agree
+		index = 0 // all logs agree there
 		n.resumeProbing(peer)
 	}
 	n.sendAppend(peer, index, nil, n.leaderState.round)
 }
 
-// resumeProbing begins anew, once it answers, with a member that fell behind the start of the log while appends to it were
-// under way.
+// resumeProbing starts over with a peer that fell behind the start of the log while appends to it were in flight. The
+// next append waits for the peer's reply.
 func (n *Node) resumeProbing(peer *progress) {
 	if peer.state != stateSnapshot {
 		peer.becomeProbe(peer.match + 1)
@@ -90,8 +92,9 @@
 	}
 }
 
+// sendAppend sends an append. A reply is demanded unless round is 0.
 func (n *Node) sendAppend(peer *progress, index uint64, entries []Entry, round uint64) {
-	term, _ := n.log.term(index) // 0 at the start
+	term, _ := n.log.term(index) // 0 at index 0
 	n.sendEarly(Message{Kind: MessageAppend, To: peer.id, Index: index, LogTerm: term, Commit: n.log.commit, Entries: entries,
 		Round: round})
 	peer.sentCommit = max(peer.sentCommit, min(n.log.commit, index+uint64(len(entries))))
--- a/internal/system/consensus/snapshot.go
+++ b/internal/system/consensus/snapshot.go
@@ -1,6 +1,6 @@
 package consensus
 
-// nextCompaction is the applied index at which a snapshot is wanted, or 0.
+// nextCompaction returns the applied index at which a snapshot is due, or 0.
 func (n *Node) nextCompaction() uint64 {
 	applied := n.log.applied
 	if n.config.SnapshotThreshold == 0 || len(n.log.membershipAt(applied).Members) == 0 {
@@ -13,10 +13,10 @@
 	return applied
 }
 
-// CreateSnapshot returns the snapshot to store for an applied index, with the state machine's data. It tells false if the
-// index is not between the last snapshot and what was applied, or if the membership at the index is not known here: a
-// replica that was taken in later than the group's founding has the log from its start, and learns the members from an
-// entry in it.
+// CreateSnapshot returns the snapshot to store for an applied index and the state machine's data. It returns false if
+// the index is not above the last snapshot's, is not applied yet, or if the membership at the index is unknown: a
+// replica that joined after the group's founding receives the log from its start and learns the members from a later
+// entry.
 func (n *Node) CreateSnapshot(index uint64, data []byte) (Snapshot, bool) {
 	term, known := n.log.term(index)
 	if !known || index <= n.log.snapshot.Index || index > n.log.applied {
@@ -29,10 +29,10 @@
 	return Snapshot{Index: index, Term: term, Membership: membership, Data: data}, true
 }
 
-// Compact says that the snapshot at an index was stored. The log is cut up to there but for a tail, kept for slow
-// followers: a quarter of Options.SnapshotThreshold, with tailBytes of data at most (0: no bound). Data may be nil to save
-// memory: messages that install the snapshot then come without it, and the driver puts what it has stored, of this index
-// or a later one, in place of Message.Snapshot as it sends them.
+// Compact reports that the snapshot at an index is stored, and drops the log up to it except for a tail for slow
+// followers: a quarter of Config.SnapshotThreshold entries with at most tailBytes of data (0: unbounded). Data may be
+// nil to save memory: install-snapshot messages then carry none, and the driver must replace Message.Snapshot by the
+// stored snapshot of this index or a later one before it sends them.
 func (n *Node) Compact(index uint64, data []byte, tailBytes int) {
 	snapshot, ok := n.CreateSnapshot(index, data)
 	if ok {
--- a/internal/system/consensus/status.go
+++ b/internal/system/consensus/status.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Role is what a replica is at present.
+// Role is the part that a replica plays in its term.
 type Role uint8
 
 // The roles.
@@ -16,32 +16,33 @@
 	Leader
 )
 
-// Status describes a replica.
+// Status describes a replica. Its maps are the caller's.
 type Status struct {
 	ID         ReplicaID
 	Role       Role
 	Term       uint64
-	Leader     ReplicaID // 0: not known
-	Commit     uint64
-	Applied    uint64 // last index returned in Ready.Committed or Ready.Snapshot
+	Leader     ReplicaID // 0: unknown
+	Commit     uint64    // index of the last entry known to be committed
+	Applied    uint64    // last index returned in Ready.CommittedEntries or Ready.Snapshot
 	LastIndex  uint64
-	Membership Membership // the newest, which may not be committed yet
-	// MembershipIndex is the entry that brought Membership, or the snapshot; it is committed if it is not above Commit.
+	Membership Membership // the newest in the log, which may not be committed yet
+	// MembershipIndex is the index of the entry, or the snapshot, that holds Membership.
 	MembershipIndex uint64
-	// LeaseExpiry of a leader: while the time is below it and this status is the newest, no other replica can be leader.
+	// LeaseExpiry is that of Node.LeaseExpiry.
 	LeaseExpiry  time.Duration
-	Transferring bool // a leader that hands leadership over takes no proposals
-	// LastLeaderContact is when this replica last heard the leader; a leader's is when its last confirmed round began.
+	Transferring bool // a leader that transfers its leadership and accepts no proposals
+	// LastLeaderContact is when the last message of the leader was received; on a leader, when its last confirmed round
+	// began.
 	LastLeaderContact time.Duration
-	// CaughtUpAt is when this replica last held all that the leader had committed, as far as the leader said, once that had
-	// committed an entry of its term; a leader's is LastLeaderContact from then on. A replica that catches up hears its leader and
-	// is not current, nor is one that has just stood still before it has heard anew.
+	// CaughtUpAt is when the replica last held every entry that the leader had announced as committed, provided that the
+	// leader had committed an entry of its term; on such a leader it is LastLeaderContact. A follower that still receives
+	// missing entries does not advance it, nor does one whose process was just paused before it gets a fresh message.
 	CaughtUpAt  time.Duration
-	Match       map[ReplicaID]uint64        // of a leader: up to where each member surely holds the log
-	LastContact map[ReplicaID]time.Duration // of a leader: when each other member last answered
+	Match       map[ReplicaID]uint64        // of a leader: index up to which each member is known to hold the log
+	LastContact map[ReplicaID]time.Duration // of a leader: when the last reply of each other member was received
 }
 
-// Status describes the replica as it stands.
+// Status returns the present state. It allocates; Role, Leader, CommitIndex, Transferring and Membership do not.
 func (n *Node) Status() Status {
 	status := Status{ID: n.config.ID, Role: n.role, Term: n.term, Leader: n.leaderID, Commit: n.log.commit,
 		Applied: n.log.applied, LastIndex: n.log.lastIndex(), Membership: n.membership(),
@@ -62,8 +63,8 @@
 	return status
 }
 
-// lastCaughtUp is when this replica last held all that a leader which a majority follows had committed. A leader knows how far
-// that is once it has committed an entry of its term.
+// lastCaughtUp returns Status.CaughtUpAt. A leader knows the commit index of the group once it has committed an entry
+// of its term.
 func (n *Node) lastCaughtUp() time.Duration {
 	if n.role == Leader && n.committedInTerm() {
 		return max(n.caughtUpAt, time.Duration(n.leaderState.confirmedRound))
@@ -71,22 +72,23 @@
 	return n.caughtUpAt
 }
 
-// Role is what the replica is at present. Unlike Status it takes no memory.
+// Role returns the present role.
 func (n *Node) Role() Role { return n.role }
 
-// Leader is who leads as far as this replica knows, 0: not known.
+// Leader returns the leader as far as this replica knows; 0: unknown.
 func (n *Node) Leader() ReplicaID { return n.leaderID }
 
-// CommitIndex is up to where the replica knows the log to be agreed on.
+// CommitIndex returns the index of the last entry that this replica knows to be committed.
 func (n *Node) CommitIndex() uint64 { return n.log.commit }
 
-// Transferring tells whether the replica leads and is handing leadership over.
+// Transferring reports whether the replica is a leader that transfers its leadership.
 func (n *Node) Transferring() bool { return n.role == Leader && n.leaderState.transferee != 0 }
 
-// Membership is the newest one, which may not be committed yet; it is not to be changed.
+// Membership returns the newest membership in the log, which may not be committed yet. It must not be changed.
 func (n *Node) Membership() Membership { return n.membership() }
 
-// FindUncommitted finds a command among the entries that are not known to be agreed on.
+// FindUncommitted finds a command with this data among the entries not known to be committed. It lets a driver join a
+// repeated proposal with one in flight.
 func (n *Node) FindUncommitted(data []byte) (index, term uint64, found bool) {
 	for i := n.log.commit - n.log.offset; i < uint64(len(n.log.entries)); i++ {
 		entry := &n.log.entries[i]
--- a/internal/system/consensus/transfer.go
+++ b/internal/system/consensus/transfer.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// TransferLeadership has a leader hand over to a voter, 0: to the one that is best caught up. It takes no proposals
-// until the other leads or an election time has passed. Its lease ends for good once the other was told to take over.
+// TransferLeadership transfers the leadership to a voter; 0: to the one with the most complete log. The leader accepts
+// no proposals until the transferee leads or an election timeout has passed. The leader's lease ends for good once the
+// transferee is told to start its election.
 func (n *Node) TransferLeadership(now time.Duration, to ReplicaID) {
 	n.advanceClock(now)
 	if n.role != Leader || n.leaderState.transferee != 0 {
@@ -19,8 +20,8 @@
 	n.leaderState.transferDeadline = n.now + n.config.ElectionTimeout
 }
 
-// StepDown has this replica not lead for some election times, because its disk fails or its process stops. A leader
-// hands over to another voter if one answers, and else just ceases to lead.
+// StepDown keeps this replica from leading for several election timeouts, because its disk fails or its process stops.
+// A leader transfers its leadership to another voter that is in contact, and otherwise resigns at once.
 func (n *Node) StepDown(now time.Duration) {
 	n.advanceClock(now)
 	n.noCampaignUntil = n.now + stepDownElectionTimeouts*n.config.ElectionTimeout
@@ -37,7 +38,8 @@
 	}
 }
 
-// bestTransferee is the voter that holds most of the log among those that have answered of late.
+// bestTransferee returns the voter with the most complete log among those in contact within an election timeout; 0:
+// none.
 func (n *Node) bestTransferee() ReplicaID {
 	var best *progress
 	for _, peer := range n.leaderState.peers {
@@ -54,7 +56,7 @@
 	return best.id
 }
 
-// sendTimeoutNow tells the transferee to take over once it holds the whole log.
+// sendTimeoutNow tells the transferee to start its election once it holds the whole log.
 func (n *Node) sendTimeoutNow() {
 	peer := n.progressOf(n.leaderState.transferee)
 	if peer == nil || n.leaderState.timeoutNowSent || peer.match < n.log.lastIndex() {
@@ -64,20 +66,20 @@
 	n.sendEarly(Message{Kind: MessageTimeoutNow, To: peer.id})
 }
 
-// abortTransfer is called when the transferee has not taken over in time.
+// abortTransfer ends a transfer that has timed out.
 func (n *Node) abortTransfer() {
 	if n.now < n.noCampaignUntil {
 		n.becomeFollower(n.term, 0)
 		return
 	}
 	if n.leaderState.timeoutNowSent && n.promotable() {
-		n.startElection(true) // in this term the transferee may still call an election at any time, so that no lease is sure
+		n.startElection(true) // the transferee may still start one in this term at any time, so that no lease would be safe
 		return
 	}
 	n.leaderState.transferee = 0
 }
 
-// handleTimeoutNow stands for election at once.
+// handleTimeoutNow starts an election at once, without a pre-vote.
 func (n *Node) handleTimeoutNow(msg Message) {
 	if msg.Term != n.term || n.role == Leader || n.leaderID != msg.From {
 		return
