--- a/internal/system/policysim/host.go
+++ b/internal/system/policysim/host.go
@@ -60,7 +60,6 @@
 // stop ends the incarnation.
 func (h *host) stop(dark bool) {
 	h.up, h.dark = false, dark
-	h.world.books.close(h)
 	for _, event := range h.machine.Stop(h.world.now) {
 		h.handle(event)
 	}
--- a/internal/system/policysim/result.go
+++ b/internal/system/policysim/result.go
@@ -5,7 +5,6 @@
 	"slices"
 	"time"
 
-	"cinderroad/internal/system/placement"
 	"cinderroad/internal/testkit/engine"
 )
 
@@ -24,17 +23,15 @@
 
 // books are what is counted while a run goes on.
 type books struct {
-	requests, repeats, crossRegion int
-	sends                          int
-	refusals                       map[string]int
-	outcomes                       map[placement.Outcome]int
-	read                           map[uint64]bool // shared parts that some runner has read
-	sharedRead, sharedAgain, own   int64
-	closed                         []*host
+	repeats, crossRegion         int
+	sends                        int
+	refusals                     map[string]int
+	read                         map[uint64]bool // shared parts that some runner has read
+	sharedRead, sharedAgain, own int64
 }
 
 func newBooks() books {
-	return books{refusals: make(map[string]int), outcomes: make(map[placement.Outcome]int), read: make(map[uint64]bool)}
+	return books{refusals: make(map[string]int), read: make(map[uint64]bool)}
 }
 
 func (b *books) sent(v *visit, h *host) {
@@ -58,8 +55,6 @@
 	b.read[part.ID] = true
 }
 
-func (b *books) close(h *host) { b.closed = append(b.closed, h) }
-
 // ClassResult is what became of the calls of a class.
 type ClassResult struct {
 	Name                                      string
--- a/internal/system/policysim/send.go
+++ b/internal/system/policysim/send.go
@@ -98,7 +98,6 @@
 		s.progress.TimeToFirstEvent = s.progress.Duration
 	}
 	v.proxy.policy.EndAttempt(w.now, s.attempt, o, s.progress)
-	w.books.outcomes[o]++
 	switch o {
 	case placement.Succeeded:
 		w.after(w.scenario.Client, func() { w.served(v) })
--- a/internal/system/policysim/visit.go
+++ b/internal/system/policysim/visit.go
@@ -33,7 +33,6 @@
 	sending  *send         // nil: nothing is at work on it
 	finished bool
 	outcome  Outcome
-	took     time.Duration
 }
 
 // send is an attempt at a runner.
@@ -84,7 +83,6 @@
 	}
 	v.request = &placement.Request{Route: w.routes[c.Class.Name], Service: c.Class.Service, Model: model, Chunks: c.Parts,
 		InputTokens: c.PromptTokens(), MaxOutputTokens: c.Out, BodyBytes: 2 * c.PromptTokens(), ArrivedAt: w.now, Deadline: w.deadline(v)}
-	w.books.requests++
 	w.send(v)
 }
 
@@ -199,5 +197,4 @@
 func (w *world) finish(v *visit, o Outcome) {
 	v.finished = true
 	v.outcome = o
-	v.took = w.now - v.call.At
 }
