--- a/cmd/cinderroad-emulator/day.go
+++ b/cmd/cinderroad-emulator/day.go
@@ -53,7 +53,7 @@
 func (d *day) options() (o emulator.Options, err error) {
 	o = emulator.Options{Scenario: scenarioNamed(d.Scenario), Edges: d.Edges, Programs: d.Programs, Folder: d.Folder,
 		Seed: d.Seed, Out: os.Stdout}
-	o.Scenario.Load, o.Scenario.Length = d.Load, d.Length
+	o.Scenario.Load, o.Scenario.Duration = d.Load, d.Length
 	if o.Programs == "" {
 		self, err := os.Executable()
 		if err != nil {
--- a/cmd/cinderroad-emulator/policies.go
+++ b/cmd/cinderroad-emulator/policies.go
@@ -72,12 +72,12 @@
 	return max(1, runtime.NumCPU()/2)
 }
 
-func (p *policies) contestants() ([]policysim.Contestant, error) {
-	all := policysim.Contestants()
+func (p *policies) contestants() ([]policysim.PolicyFactory, error) {
+	all := policysim.Policies()
 	if len(p.Only) == 0 {
 		return all, nil
 	}
-	var chosen []policysim.Contestant
+	var chosen []policysim.PolicyFactory
 	for _, name := range p.Only {
 		found := false
 		for _, c := range all {
@@ -94,13 +94,13 @@
 
 func (p *policies) scenario() *policysim.Scenario {
 	s := scenarioNamed(p.Scenario)
-	s.Length, s.Load = p.Length, p.Load
+	s.Duration, s.Load = p.Length, p.Load
 	if p.Burst != "" {
-		s.Bursts = []policysim.Burst{{Class: p.Burst, Factor: burstFactor, From: burstFrom, For: burstFor}}
+		s.Bursts = []policysim.Burst{{Class: p.Burst, Factor: burstFactor, Start: burstFrom, Duration: burstFor}}
 	}
 	for i := range p.Crash {
-		s.Crashes = append(s.Crashes, policysim.Crash{Service: "llm", Runner: i * 3, At: crashAt, For: crashFor,
-			Dark: p.Dark})
+		s.Crashes = append(s.Crashes, policysim.Crash{Service: "llm", RunnerIndex: i * 3, At: crashAt, Downtime: crashFor,
+			Silent: p.Dark})
 	}
 	return s
 }
--- a/internal/system/emulator/day.go
+++ b/internal/system/emulator/day.go
@@ -206,7 +206,7 @@
 	d.load = client.New(client.Options{Zones: d.deploy.zones, Directories: d.deploy.directories,
 		TTLMax: time.Duration(defaultTiming.TTLMaxS) * time.Second, Referee: d.referee, Seed: d.options.Seed})
 	for i, trouble := range d.options.Troubles {
-		d.schedule(ctx, trouble, d.options.Scenario.Length*time.Duration(i+1)/time.Duration(len(d.options.Troubles)+1))
+		d.schedule(ctx, trouble, d.options.Scenario.Duration*time.Duration(i+1)/time.Duration(len(d.options.Troubles)+1))
 	}
 	ended := make(chan struct{})
 	go d.progress(ended)
@@ -217,9 +217,9 @@
 
 func clientRoute(c *policysim.Class) *client.Route {
 	r := &client.Route{Name: c.Name, Host: host, Path: pathStart(c) + "1", Stream: c.Type == configuration.Streaming,
-		Resumable: c.Resume,
-		ReadOnly:  c.Type == configuration.ReadOnly, Target: c.Target, Gap: c.Gap, Deadline: c.Deadline, Retries: c.Retries}
-	r.Referee = &checker.Route{Name: c.Name, Services: []string{c.Service}, Homes: c.Homes, Idempotent: r.ReadOnly ||
+		Resumable: c.Resumable,
+		ReadOnly:  c.Type == configuration.ReadOnly, Target: c.LatencyTarget, Gap: c.EventGapTarget, Deadline: c.Deadline, Retries: c.ClientRetries}
+	r.Referee = &checker.Route{Name: c.Name, Services: []string{c.Service}, Homes: c.HomeRegions, Idempotent: r.ReadOnly ||
 		r.Stream && r.Resumable}
 	return r
 }
@@ -227,13 +227,13 @@
 // calls are the day's traffic.
 func (d *day) calls() (calls []*client.Call) {
 	const bytesPerToken = 2
-	for _, drawn := range policysim.Draw(d.options.Scenario, d.options.Seed) {
+	for _, drawn := range policysim.GenerateTraffic(d.options.Scenario, d.options.Seed) {
 		one := &client.Call{At: drawn.At, Route: d.routes[drawn.Class.Name], Zone: drawn.Zone, TokensIn: drawn.PromptTokens(),
-			TokensOut: drawn.Out, Bytes: bytesPerToken * drawn.PromptTokens()}
-		if len(drawn.Parts) > 0 {
+			TokensOut: drawn.OutputTokens, Bytes: bytesPerToken * drawn.PromptTokens()}
+		if len(drawn.Chunks) > 0 {
 			one.Model = modelName
 		}
-		for i, part := range drawn.Parts {
+		for i, part := range drawn.Chunks {
 			if i > 0 {
 				one.Prompt += ","
 			}
--- a/internal/system/emulator/emulator_test.go
+++ b/internal/system/emulator/emulator_test.go
@@ -260,7 +260,7 @@
 		t.Skip("the real programs take some seconds")
 	}
 	scenario := policysim.Screening()
-	scenario.Length, scenario.Load = 6*time.Second, 0.3
+	scenario.Duration, scenario.Load = 6*time.Second, 0.3
 	report, err := Run(context.Background(), Options{Scenario: scenario, Edges: 3, Programs: buildPrograms(t),
 		Folder:   t.TempDir(),
 		Troubles: []Trouble{CrashRunner, KillProxy, KillControl}, Seed: 1, Out: io.Discard})
--- a/internal/system/emulator/operator.go
+++ b/internal/system/emulator/operator.go
@@ -66,18 +66,18 @@
 func routeOf(c *policysim.Class) routeDocument {
 	r := routeDocument{Name: "r-" + c.Name, Host: host, PathStart: pathStart(c), Type: typeName(c.Type),
 		TimeoutMS: c.Deadline.Milliseconds(),
-		TargetMS:  c.Target.Milliseconds(), Rank: c.Rank, Service: c.Service, Tries: c.Tries, HomeRegions: []string{}}
+		TargetMS:  c.LatencyTarget.Milliseconds(), Rank: c.Rank, Service: c.Service, Tries: c.MaxAttempts, HomeRegions: []string{}}
 	if c.Type == configuration.Streaming {
-		r.PinCache, r.Resumable, r.GapAimMS = true, c.Resume, c.Gap.Milliseconds()
+		r.PinCache, r.Resumable, r.GapAimMS = true, c.Resumable, c.EventGapTarget.Milliseconds()
 	}
-	r.HomeRegions = append(r.HomeRegions, c.Homes...)
+	r.HomeRegions = append(r.HomeRegions, c.HomeRegions...)
 	return r
 }
 
 func serviceOf(s *policysim.Service) map[string]any {
-	service := map[string]any{"name": s.Name, "health_path": healthPath, "max_conns": s.MaxConns, "protocol": "h1",
+	service := map[string]any{"name": s.Name, "health_path": healthPath, "max_conns": s.MaxConnections, "protocol": "h1",
 		"use_tls":    false,
-		"cold_for_s": s.ColdFor.Seconds(), "cold_rate_s": s.ColdRate}
+		"cold_for_s": s.SlowStartDuration.Seconds(), "cold_rate_s": s.SlowStartRate}
 	if e := s.Engine; e != nil {
 		service["backend"] = map[string]any{"capacity": e.Slots, "cache_tokens": e.MemoryTokens, "token_cache_bytes": 327680,
 			"link_mbps": 550000.0, "stride": e.StrideTokens, "models": []map[string]string{{"name": modelName}}}
--- a/internal/system/emulator/runners.go
+++ b/internal/system/emulator/runners.go
@@ -96,8 +96,8 @@
 func (rs *runners) options(s *policysim.Service, zone string) (o runner.Options, err error) {
 	o = runner.Options{
 		Runner:  checker.Runner{ID: fmt.Sprintf("i-%04x", rs.started), Service: s.Name, Zone: zone, Region: rs.zones[zone]},
-		Address: fmt.Sprintf("127.1.%d.%d:0", rs.started/250, 1+rs.started%250), HealthPath: healthPath, MaxConns: s.MaxConns,
-		IdleFor: runnerIdle, CloseShare: closeShare, ReportLag: reportLag, Cold: defaultTiming.cold(s.ColdRate),
+		Address: fmt.Sprintf("127.1.%d.%d:0", rs.started/250, 1+rs.started%250), HealthPath: healthPath, MaxConns: s.MaxConnections,
+		IdleFor: runnerIdle, CloseShare: closeShare, ReportLag: reportLag, Cold: defaultTiming.cold(s.SlowStartRate),
 		Referee: rs.referee,
 		Seed:    uint64(rs.started), BodyBytes: plainBytes,
 	}
@@ -106,7 +106,7 @@
 		o.Machine, err = engine.New(*s.Engine)
 		return o, err
 	}
-	o.Machine, err = engine.NewWorkers(s.Slots, s.Queue)
+	o.Machine, err = engine.NewWorkers(s.Slots, s.QueueLength)
 	o.Work = rs.workOf(s.Name)
 	return o, err
 }
@@ -116,7 +116,7 @@
 	for i := range rs.scenario.Classes {
 		if c := &rs.scenario.Classes[i]; c.Service == service {
 			return func(random *rand.Rand) time.Duration {
-				return time.Duration(math.Round(c.Work.Draw(random) * float64(time.Millisecond)))
+				return time.Duration(math.Round(c.WorkMS.Sample(random) * float64(time.Millisecond)))
 			}
 		}
 	}
@@ -192,7 +192,7 @@
 	rs.mutex.Lock()
 	s, zone := rs.service[r.ID()], rs.entries[r.ID()].Zone
 	rs.mutex.Unlock()
-	_, _ = rs.start(s, zone, s.ColdFor) // one that does not start is one that is missing
+	_, _ = rs.start(s, zone, s.SlowStartDuration) // one that does not start is one that is missing
 }
 
 // remove takes a runner from those that run.
--- a/internal/system/policysim/contestants.go
+++ b/internal/system/policysim/contestants.go
@@ -2,11 +2,13 @@
 
 import "cinderroad/internal/system/placement"
 
-// Placement is the system's own policy, placement.Placer.
-func Placement() Contestant {
+// PlacementPolicy is the system's own policy, placement.Placer.
+func PlacementPolicy() PolicyFactory {
 	create := func(o placement.Options, seed uint64) (Policy, error) { return placement.New(o, seed) }
-	return Contestant{Name: "placement", New: create}
+	return PolicyFactory{Name: "placement", New: create}
 }
 
-// Contestants are the system's own policy and its rivals.
-func Contestants() []Contestant { return append([]Contestant{Placement()}, Rivals()...) }
+// Policies are the system's own policy and its rivals.
+func Policies() []PolicyFactory {
+	return append([]PolicyFactory{PlacementPolicy()}, BaselinePolicies()...)
+}
--- a/internal/system/policysim/experiment_test.go
+++ b/internal/system/policysim/experiment_test.go
@@ -7,14 +7,14 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// short is a scenario that takes little time.
-func short() *Scenario {
+// shortScenario is a scenario that takes little time.
+func shortScenario() *Scenario {
 	s := Screening()
-	s.Length = 6 * time.Second
+	s.Duration = 6 * time.Second
 	return s
 }
 
-func run(t *testing.T, s *Scenario, c Contestant, seed uint64) *Result {
+func mustRun(t *testing.T, s *Scenario, c PolicyFactory, seed uint64) *Result {
 	t.Helper()
 	r, err := Run(s, c, seed)
 	if err != nil {
@@ -23,9 +23,9 @@
 	return r
 }
 
-func TestTheSameSeedGivesTheSameRun(t *testing.T) {
-	for _, rival := range Rivals() {
-		first, second := run(t, short(), rival, 7), run(t, short(), rival, 7)
+func TestRunIsDeterministic(t *testing.T) {
+	for _, rival := range BaselinePolicies() {
+		first, second := mustRun(t, shortScenario(), rival, 7), mustRun(t, shortScenario(), rival, 7)
 		if diff := cmp.Diff(first, second); diff != "" {
 			t.Errorf("%s: %s", rival.Name, diff)
 		}
@@ -33,53 +33,53 @@
 }
 
 func TestEveryCallHasAnOutcome(t *testing.T) {
-	s := short()
-	s.Crashes = []Crash{{Service: "llm", Runner: 1, At: 2 * time.Second, For: 2 * time.Second},
-		{Service: "llm", Runner: 4, At: 3 * time.Second, For: time.Second, Dark: true}}
-	s.Bursts = []Burst{{Class: "draft", Factor: 3, From: time.Second, For: 3 * time.Second}}
-	for _, rival := range Rivals() {
-		r := run(t, s, rival, 3)
+	s := shortScenario()
+	s.Crashes = []Crash{{Service: "llm", RunnerIndex: 1, At: 2 * time.Second, Downtime: 2 * time.Second},
+		{Service: "llm", RunnerIndex: 4, At: 3 * time.Second, Downtime: time.Second, Silent: true}}
+	s.Bursts = []Burst{{Class: "draft", Factor: 3, Start: time.Second, Duration: 3 * time.Second}}
+	for _, rival := range BaselinePolicies() {
+		r := mustRun(t, s, rival, 3)
 		calls := 0
 		for _, c := range r.Classes {
 			calls += c.Calls
-			if got := c.InTime + c.Late + c.Refused + c.Failed; got != c.Calls {
+			if got := c.InTime + c.Late + c.Rejected + c.Failed; got != c.Calls {
 				t.Errorf("%s: %s: %d outcomes of %d calls", rival.Name, c.Name, got, c.Calls)
 			}
 			if c.InTime == 0 {
 				t.Errorf("%s: %s: nothing was served in time", rival.Name, c.Name)
 			}
 		}
-		if calls != len(Draw(s, 3)) {
-			t.Errorf("%s: %d calls of %d", rival.Name, calls, len(Draw(s, 3)))
+		if calls != len(GenerateTraffic(s, 3)) {
+			t.Errorf("%s: %d calls of %d", rival.Name, calls, len(GenerateTraffic(s, 3)))
 		}
 	}
 }
 
-func TestALightLoadIsServedInTime(t *testing.T) {
-	s := short()
+func TestLightLoadServedInTime(t *testing.T) {
+	s := shortScenario()
 	s.Load = 0.2
-	r := run(t, s, Rivals()[0], 1)
-	if r.Share < 0.9 {
-		t.Errorf("%.3f of the worth was earned", r.Share)
+	r := mustRun(t, s, BaselinePolicies()[0], 1)
+	if r.ValueShare < 0.9 {
+		t.Errorf("%.3f of the worth was earned", r.ValueShare)
 	}
 }
 
-func TestHashesReadSharedPartsLessOften(t *testing.T) {
-	least, hash := run(t, short(), Rivals()[0], 1), run(t, short(), Rivals()[2], 1)
-	if hash.SharedAgain*2 > least.SharedAgain {
-		t.Errorf("%d tokens read again by hash, %d by requests in flight", hash.SharedAgain, least.SharedAgain)
+func TestPromptHashReusesPrefixCache(t *testing.T) {
+	least, hash := mustRun(t, shortScenario(), BaselinePolicies()[0], 1), mustRun(t, shortScenario(), BaselinePolicies()[2], 1)
+	if hash.SharedPrefilledAgain*2 > least.SharedPrefilledAgain {
+		t.Errorf("%d tokens read again by hash, %d by requests in flight", hash.SharedPrefilledAgain, least.SharedPrefilledAgain)
 	}
 }
 
-func TestTrafficHasItsRate(t *testing.T) {
+func TestTrafficRate(t *testing.T) {
 	s := Screening()
-	s.Length = 260 * time.Second
+	s.Duration = 260 * time.Second
 	counts := make(map[string]int)
-	for _, call := range Draw(s, 5) {
+	for _, call := range GenerateTraffic(s, 5) {
 		counts[call.Class.Name]++
 	}
 	for _, class := range s.Classes {
-		want := class.PerS * s.Length.Seconds()
+		want := class.RequestsPerSecond * s.Duration.Seconds()
 		if got := float64(counts[class.Name]); got < 0.85*want || got > 1.15*want {
 			t.Errorf("%s: %v calls, want about %.0f", class.Name, got, want)
 		}
--- a/internal/system/policysim/host.go
+++ b/internal/system/policysim/host.go
@@ -7,88 +7,88 @@
 	"cinderroad/internal/testkit/engine"
 )
 
-// host is an incarnation of a runner.
-type host struct {
-	world   *world
-	service *Service
-	runner  placement.Runner
-	machine engine.Machine
-	cold    engine.Cold
-	sends   map[*engine.Task]*send
-	up      bool
-	dark    bool // down, and nobody hears of it
-	listed  bool
-	wake    time.Duration // the earliest that is on the agenda; 0: none
+// simulatedRunner is an incarnation of a runner.
+type simulatedRunner struct {
+	sim        *simulation
+	service    *Service
+	info       placement.Runner
+	engine     engine.Machine
+	slowStart  engine.Cold
+	attempts   map[*engine.Task]*attempt
+	up         bool
+	silent     bool // down, and nobody hears of it
+	listed     bool
+	nextWakeup time.Duration // the earliest that is on the agenda; 0: none
 }
 
-// arrive takes a request that a proxy has sent.
-func (h *host) arrive(s *send) {
+// handleRequest takes a request that a proxy has sent.
+func (h *simulatedRunner) handleRequest(s *attempt) {
 	if !h.up {
-		if !h.dark {
-			s.answer(func() { s.end(placement.ConnectFailed) })
+		if !h.silent {
+			s.respond(func() { s.handleEnd(placement.ConnectFailed) })
 		}
 		return
 	}
 	if s.ended { // its client has left meanwhile
 		return
 	}
-	if h.cold.Arrive(h.world.now) {
+	if h.slowStart.Arrive(h.sim.now) {
 		h.stop(false)
-		s.answer(func() { s.end(placement.Interrupted) })
+		s.respond(func() { s.handleEnd(placement.Interrupted) })
 		return
 	}
-	task, taken := h.machine.Submit(h.world.now, s.order())
+	task, taken := h.engine.Submit(h.sim.now, s.engineRequest())
 	if !taken {
-		s.answer(func() { s.end(placement.Rejected) })
+		s.respond(func() { s.handleEnd(placement.Rejected) })
 		return
 	}
 	s.task = task
-	h.sends[task] = s
-	h.pump()
+	h.attempts[task] = s
+	h.advance()
 }
 
 // cancel ends a request whose proxy has closed the connection.
-func (h *host) cancel(s *send) {
+func (h *simulatedRunner) cancel(s *attempt) {
 	if s.task == nil || !h.up {
 		return
 	}
-	h.machine.Cancel(h.world.now, s.task)
-	delete(h.sends, s.task)
-	h.pump()
+	h.engine.Cancel(h.sim.now, s.task)
+	delete(h.attempts, s.task)
+	h.advance()
 }
 
 // stop ends the incarnation.
-func (h *host) stop(dark bool) {
-	h.up, h.dark = false, dark
-	for _, event := range h.machine.Stop(h.world.now) {
-		h.handle(event)
+func (h *simulatedRunner) stop(dark bool) {
+	h.up, h.silent = false, dark
+	for _, event := range h.engine.Stop(h.sim.now) {
+		h.handleEvent(event)
 	}
 }
 
-// pump handles what has happened and has itself called again when something will.
-func (h *host) pump() {
-	for _, event := range h.machine.Advance(h.world.now) {
-		h.handle(event)
+// advance handles what has happened and has itself called again when something will.
+func (h *simulatedRunner) advance() {
+	for _, event := range h.engine.Advance(h.sim.now) {
+		h.handleEvent(event)
 	}
-	next, is := h.machine.Next()
-	if !is || h.wake != 0 && h.wake <= next {
+	next, is := h.engine.Next()
+	if !is || h.nextWakeup != 0 && h.nextWakeup <= next {
 		return
 	}
-	h.wake = next
-	h.world.at(next, func() {
-		if h.wake == next {
-			h.wake = 0
+	h.nextWakeup = next
+	h.sim.at(next, func() {
+		if h.nextWakeup == next {
+			h.nextWakeup = 0
 		}
 		if h.up {
-			h.pump()
+			h.advance()
 		}
 	})
 }
 
-func (h *host) handle(event engine.Event) {
-	s := h.sends[event.Task]
+func (h *simulatedRunner) handleEvent(event engine.Event) {
+	s := h.attempts[event.Task]
 	if event.Kind == engine.PartRead {
-		h.world.books.partRead(event.Task, event.Index)
+		h.sim.counters.countPrefill(event.Task, event.Index)
 		return
 	}
 	if s == nil {
@@ -96,20 +96,20 @@
 	}
 	switch event.Kind {
 	case engine.Emitted:
-		s.answer(s.event)
+		s.respond(s.handleEvent)
 	case engine.Finished:
-		delete(h.sends, event.Task)
-		s.answer(func() { s.end(placement.Succeeded) })
+		delete(h.attempts, event.Task)
+		s.respond(func() { s.handleEnd(placement.Succeeded) })
 	case engine.Expired:
-		delete(h.sends, event.Task)
-		s.answer(func() { s.end(placement.Rejected) })
+		delete(h.attempts, event.Task)
+		s.respond(func() { s.handleEnd(placement.Rejected) })
 	case engine.CutOff:
-		delete(h.sends, event.Task)
-		s.answer(func() { s.end(placement.Failed) })
+		delete(h.attempts, event.Task)
+		s.respond(func() { s.handleEnd(placement.Failed) })
 	case engine.Lost:
-		delete(h.sends, event.Task)
-		if !h.dark {
-			s.answer(func() { s.end(placement.Interrupted) })
+		delete(h.attempts, event.Task)
+		if !h.silent {
+			s.respond(func() { s.handleEnd(placement.Interrupted) })
 		}
 	}
 }
--- a/internal/system/policysim/policy.go
+++ b/internal/system/policysim/policy.go
@@ -24,8 +24,8 @@
 	Tick(now time.Duration) time.Duration
 }
 
-// Contestant makes the policies of a run, one for each proxy.
-type Contestant struct {
+// PolicyFactory makes the policies of a run, one for each proxy.
+type PolicyFactory struct {
 	Name string
 	New  func(o placement.Options, seed uint64) (Policy, error)
 }
--- a/internal/system/policysim/print.go
+++ b/internal/system/policysim/print.go
@@ -28,10 +28,10 @@
 			"cross-region\tcold worst\tcold over\trefusals\t")
 	for _, r := range results {
 		fmt.Fprintf(table, "%s\t%.4f\t%.4f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t\n", r.Policy,
-			r.Share, r.ShareDeviation,
-			r.WorstSecond, r.WorstFive, r.SharedRead/kilo, r.SharedAgain/kilo, r.OwnRead/kilo, r.Preemptions, r.Rejected,
-			r.Sends,
-			r.Repeats, r.CrossRegion, r.ColdWorst, r.ColdBroken, r.Refusals)
+			r.ValueShare, r.ValueShareDeviation,
+			r.WorstSecondShare, r.WorstFiveSecondsShare, r.SharedPrefilled/kilo, r.SharedPrefilledAgain/kilo, r.OwnPrefilled/kilo, r.Preemptions, r.RejectedByRunners,
+			r.Attempts,
+			r.Retries, r.CrossRegionAttempts, r.SlowStartWorstRate, r.SlowStartExcess, r.Rejections)
 	}
 	return table.Flush()
 }
@@ -44,9 +44,9 @@
 	for _, r := range results {
 		for _, c := range r.Classes {
 			fmt.Fprintf(table, "%s\t%s\t%d\t%.3f\t%d\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%v\t%v\t%v\t\n", r.Policy,
-				c.Name, c.Calls, c.InTimeOfCalls,
-				c.Late, c.Refused, c.Failed, ratio(c.Earned, c.Due), c.LargestInTime, c.LargestServed, c.LargeInTime, c.LargeServed,
-				c.First50.Round(time.Millisecond), c.First95.Round(time.Millisecond), c.First99.Round(time.Millisecond))
+				c.Name, c.Calls, c.InTimeShare,
+				c.Late, c.Rejected, c.Failed, ratio(c.ValueEarned, c.ValueDue), c.LargestInTime, c.LargestServed, c.LargeInTime, c.LargeServed,
+				c.FirstEventP50.Round(time.Millisecond), c.FirstEventP95.Round(time.Millisecond), c.FirstEventP99.Round(time.Millisecond))
 		}
 	}
 	return table.Flush()
--- a/internal/system/policysim/result.go
+++ b/internal/system/policysim/result.go
@@ -15,173 +15,173 @@
 const (
 	Unfinished Outcome = iota
 	InTime
-	InTimeAfterRefusal // refused early, and in time counted from the next try
+	InTimeAfterRejection // refused early, and in time counted from the next try
 	Late
-	Refused
+	Rejected
 	Failed
 )
 
-// books are what is counted while a run goes on.
-type books struct {
-	repeats, crossRegion         int
-	sends                        int
-	refusals                     map[string]int
-	read                         map[uint64]bool // shared parts that some runner has read
-	sharedRead, sharedAgain, own int64
+// counters are what is counted while a run goes on.
+type counters struct {
+	retries, crossRegion                                int
+	attempts                                            int
+	rejections                                          map[string]int
+	prefilledChunks                                     map[uint64]bool // shared parts that some runner has read
+	sharedPrefilled, sharedPrefilledAgain, ownPrefilled int64
 }
 
-func newBooks() books {
-	return books{refusals: make(map[string]int), read: make(map[uint64]bool)}
+func newCounters() counters {
+	return counters{rejections: make(map[string]int), prefilledChunks: make(map[uint64]bool)}
 }
 
-func (b *books) sent(v *visit, h *host) {
-	b.sends++
-	if v.proxy.zone != h.runner.Zone && h.world.scenario.region(v.proxy.zone) != h.runner.Region {
+func (b *counters) countAttempt(v *callState, h *simulatedRunner) {
+	b.attempts++
+	if v.proxy.zone != h.info.Zone && h.sim.scenario.regionOf(v.proxy.zone) != h.info.Region {
 		b.crossRegion++
 	}
 }
 
-// partRead counts a part of a prompt that a runner has prefilled.
-func (b *books) partRead(t *engine.Task, index int) {
+// countPrefill counts a part of a prompt that a runner has prefilled.
+func (b *counters) countPrefill(t *engine.Task, index int) {
 	part := t.Request.Parts[index]
 	if index == len(t.Request.Parts)-1 {
-		b.own += int64(part.Tokens)
+		b.ownPrefilled += int64(part.Tokens)
 		return
 	}
-	b.sharedRead += int64(part.Tokens)
-	if b.read[part.ID] {
-		b.sharedAgain += int64(part.Tokens)
+	b.sharedPrefilled += int64(part.Tokens)
+	if b.prefilledChunks[part.ID] {
+		b.sharedPrefilledAgain += int64(part.Tokens)
 	}
-	b.read[part.ID] = true
+	b.prefilledChunks[part.ID] = true
 }
 
 // ClassResult is what became of the calls of a class.
 type ClassResult struct {
-	Name                                      string
-	Calls, InTime, Late, Refused, Failed      int
-	Earned, Due                               float64 // worth
-	First50, First95, First99                 time.Duration
-	ServedShare, LargestServed, LargeServed   float64 // of all, of the largest tenth, of the fifth below it
-	LargestInTime, LargeInTime, InTimeOfCalls float64
+	Name                                        string
+	Calls, InTime, Late, Rejected, Failed       int
+	ValueEarned, ValueDue                       float64 // worth
+	FirstEventP50, FirstEventP95, FirstEventP99 time.Duration
+	ServedShare, LargestServed, LargeServed     float64 // of all, of the largest tenth, of the fifth below it
+	LargestInTime, LargeInTime, InTimeShare     float64
 }
 
 // Result is the outcome of a run.
 type Result struct {
-	Policy      string
-	Classes     []ClassResult
-	Share       float64       // worth earned of worth due
-	WorstSecond float64       // the same, of the calls of the worst second
-	WorstAt     time.Duration // its begin
-	WorstFive   float64       // of the worst five seconds
-	SharedRead  int64         // tokens of shared parts that were prefilled
-	SharedAgain int64         // of them, tokens of parts that some runner had read before
-	OwnRead     int64
-	Preemptions int64
-	Rejected    int64 // by runners
-	Sends       int
-	Repeats     int
-	CrossRegion int            // sends
-	ColdWorst   int            // requests that a cold runner got in a second
-	ColdBroken  int            // requests to cold runners above what they bear
-	Refusals    map[string]int // by reason
-
-	Runs           int     // that this is the mean of; 0: it is one run
-	ShareDeviation float64 // standard deviation of Share over the runs
+	Policy                string
+	Classes               []ClassResult
+	ValueShare            float64       // worth earned of worth due
+	WorstSecondShare      float64       // the same, of the calls of the worst second
+	WorstAt               time.Duration // its begin
+	WorstFiveSecondsShare float64       // of the worst five seconds
+	SharedPrefilled       int64         // tokens of shared parts that were prefilled
+	SharedPrefilledAgain  int64         // of them, tokens of parts that some runner had read before
+	OwnPrefilled          int64
+	Preemptions           int64
+	RejectedByRunners     int64 // by runners
+	Attempts              int
+	Retries               int
+	CrossRegionAttempts   int            // sends
+	SlowStartWorstRate    int            // requests that a cold runner got in a second
+	SlowStartExcess       int            // requests to cold runners above what they bear
+	Rejections            map[string]int // by reason
+
+	Runs                int     // that this is the mean of; 0: it is one run
+	ValueShareDeviation float64 // standard deviation of Share over the runs
 }
 
-func (w *world) result(policy string) *Result {
-	r := &Result{Policy: policy, SharedRead: w.books.sharedRead, SharedAgain: w.books.sharedAgain, OwnRead: w.books.own,
-		Sends: w.books.sends, Repeats: w.books.repeats, CrossRegion: w.books.crossRegion, Refusals: w.books.refusals}
-	for _, h := range w.hosts {
-		state := h.machine.State()
+func (w *simulation) result(policy string) *Result {
+	r := &Result{Policy: policy, SharedPrefilled: w.counters.sharedPrefilled, SharedPrefilledAgain: w.counters.sharedPrefilledAgain, OwnPrefilled: w.counters.ownPrefilled,
+		Attempts: w.counters.attempts, Retries: w.counters.retries, CrossRegionAttempts: w.counters.crossRegion, Rejections: w.counters.rejections}
+	for _, h := range w.runners {
+		state := h.engine.State()
 		r.Preemptions += state.Preemptions
-		r.Rejected += state.Rejected
-		r.ColdWorst = max(r.ColdWorst, h.cold.Worst())
-		r.ColdBroken += h.cold.Broken()
+		r.RejectedByRunners += state.Rejected
+		r.SlowStartWorstRate = max(r.SlowStartWorstRate, h.slowStart.Worst())
+		r.SlowStartExcess += h.slowStart.Broken()
 	}
 	earned, due := 0.0, 0.0
-	worth := make(map[*visit]float64)
-	owed := make(map[*visit]float64)
+	worth := make(map[*callState]float64)
+	owed := make(map[*callState]float64)
 	for i := range w.scenario.Classes {
 		class := w.classResult(&w.scenario.Classes[i], worth, owed)
-		earned += class.Earned
-		due += class.Due
+		earned += class.ValueEarned
+		due += class.ValueDue
 		r.Classes = append(r.Classes, class)
 	}
-	r.Share = ratio(earned, due)
-	r.WorstSecond, r.WorstAt = w.worst(time.Second, worth, owed)
-	r.WorstFive, _ = w.worst(5*time.Second, worth, owed)
+	r.ValueShare = ratio(earned, due)
+	r.WorstSecondShare, r.WorstAt = w.worstWindow(time.Second, worth, owed)
+	r.WorstFiveSecondsShare, _ = w.worstWindow(5*time.Second, worth, owed)
 	return r
 }
 
-// value is what a call is worth: a generation by its size, within bounds.
-func value(c *Call, meanSize float64) (inTime, late float64) {
+// callValue is what a call is worth: a generation by its size, within bounds.
+func callValue(c *Call, meanSize float64) (inTime, late float64) {
 	const fixed, bySize, most = 0.3, 0.7, 4
 	factor := 1.0
 	if meanSize > 0 {
-		factor = min(most, fixed+bySize*c.Size()/meanSize)
+		factor = min(most, fixed+bySize*c.Cost()/meanSize)
 	}
-	return c.Class.Worth * factor, c.Class.Late * factor
+	return c.Class.ValueInTime * factor, c.Class.ValueLate * factor
 }
 
-func (w *world) classResult(class *Class, worth, owed map[*visit]float64) ClassResult {
+func (w *simulation) classResult(class *Class, worth, owed map[*callState]float64) ClassResult {
 	r := ClassResult{Name: class.Name}
-	var visits []*visit
+	var visits []*callState
 	total := 0.0
-	for _, v := range w.visits {
+	for _, v := range w.calls {
 		if v.call.Class == class {
 			visits = append(visits, v)
-			total += v.call.Size()
+			total += v.call.Cost()
 		}
 	}
 	var firsts []time.Duration
 	for _, v := range visits {
-		full, late := value(v.call, ratio(total, float64(len(visits))))
+		full, late := callValue(v.call, ratio(total, float64(len(visits))))
 		r.Calls++
 		owed[v] = full
-		r.Due += full
+		r.ValueDue += full
 		switch v.outcome {
 		case InTime:
 			r.InTime++
 			worth[v] = full
-		case InTimeAfterRefusal:
+		case InTimeAfterRejection:
 			r.Late++
 			worth[v] = (full + late) / 2
 		case Late:
 			r.Late++
 			worth[v] = late
-		case Refused:
-			r.Refused++
+		case Rejected:
+			r.Rejected++
 		default:
 			r.Failed++
 		}
-		r.Earned += worth[v]
-		if v.first > 0 {
-			firsts = append(firsts, v.first)
+		r.ValueEarned += worth[v]
+		if v.timeToFirstEvent > 0 {
+			firsts = append(firsts, v.timeToFirstEvent)
 		}
 	}
-	r.First50, r.First95, r.First99 = quantile(firsts, 0.5), quantile(firsts, 0.95), quantile(firsts, 0.99)
-	r.bySize(visits)
+	r.FirstEventP50, r.FirstEventP95, r.FirstEventP99 = quantile(firsts, 0.5), quantile(firsts, 0.95), quantile(firsts, 0.99)
+	r.addSizeBreakdown(visits)
 	return r
 }
 
-// bySize tells how the largest calls fared.
-func (r *ClassResult) bySize(visits []*visit) {
+// addSizeBreakdown tells how the largest calls fared.
+func (r *ClassResult) addSizeBreakdown(visits []*callState) {
 	visits = slices.Clone(visits)
-	slices.SortStableFunc(visits, func(a, b *visit) int { return cmp.Compare(b.call.Size(), a.call.Size()) })
+	slices.SortStableFunc(visits, func(a, b *callState) int { return cmp.Compare(b.call.Cost(), a.call.Cost()) })
 	tenth, three := len(visits)/10, len(visits)*3/10
-	r.ServedShare, r.InTimeOfCalls = fared(visits)
-	r.LargestServed, r.LargestInTime = fared(visits[:tenth])
-	r.LargeServed, r.LargeInTime = fared(visits[tenth:three])
+	r.ServedShare, r.InTimeShare = servedShares(visits)
+	r.LargestServed, r.LargestInTime = servedShares(visits[:tenth])
+	r.LargeServed, r.LargeInTime = servedShares(visits[tenth:three])
 }
 
-func fared(visits []*visit) (served, inTime float64) {
+func servedShares(visits []*callState) (served, inTime float64) {
 	for _, v := range visits {
 		switch v.outcome {
 		case InTime:
 			inTime++
 			served++
-		case Late, InTimeAfterRefusal:
+		case Late, InTimeAfterRejection:
 			served++
 		}
 	}
@@ -189,21 +189,21 @@
 }
 
 // startsBefore orders visits by when they began.
-func startsBefore(v *visit, at time.Duration) int { return cmp.Compare(v.call.At, at) }
+func startsBefore(v *callState, at time.Duration) int { return cmp.Compare(v.call.At, at) }
 
-// worst is the share of worth earned of the calls that began within the worst window of a length.
-func (w *world) worst(length time.Duration, worth, owed map[*visit]float64) (share float64, at time.Duration) {
+// worstWindow is the share of worth earned of the calls that began within the worst window of a length.
+func (w *simulation) worstWindow(length time.Duration, worth, dueValues map[*callState]float64) (share float64, at time.Duration) {
 	const step, leastCalls = 100 * time.Millisecond, 10
 	share = 1
-	for from := time.Duration(0); from+length <= w.scenario.Length; from += step {
+	for from := time.Duration(0); from+length <= w.scenario.Duration; from += step {
 		earned, due, calls := 0.0, 0.0, 0
-		first, _ := slices.BinarySearchFunc(w.visits, from, startsBefore)
-		for _, v := range w.visits[first:] {
+		first, _ := slices.BinarySearchFunc(w.calls, from, startsBefore)
+		for _, v := range w.calls[first:] {
 			if v.call.At >= from+length {
 				break
 			}
 			earned += worth[v]
-			due += owed[v]
+			due += dueValues[v]
 			calls++
 		}
 		if calls >= leastCalls && ratio(earned, due) < share {
--- a/internal/system/policysim/rivals.go
+++ b/internal/system/policysim/rivals.go
@@ -12,31 +12,31 @@
 	"cinderroad/internal/system/placement"
 )
 
-// Rivals are simple policies that know no more than a proxy's own requests in flight and the prompts.
-func Rivals() []Contestant {
-	return []Contestant{
-		rival("least-in-flight", (*simple).leastInFlight),
-		rival("two-choices", (*simple).twoChoices),
-		rival("prompt-hash", (*simple).promptHash),
-		rival("bounded-hash", (*simple).boundedHash),
+// BaselinePolicies are simple policies that know no more than a proxy's own requests in flight and the prompts.
+func BaselinePolicies() []PolicyFactory {
+	return []PolicyFactory{
+		newBaselineFactory("least-in-flight", (*baseline).leastInFlight),
+		newBaselineFactory("two-choices", (*baseline).twoChoices),
+		newBaselineFactory("prompt-hash", (*baseline).promptHash),
+		newBaselineFactory("bounded-hash", (*baseline).boundedHash),
 	}
 }
 
-func rival(name string, pick picker) Contestant {
-	return Contestant{Name: name, New: func(o placement.Options, seed uint64) (Policy, error) {
-		return &simple{options: o, pick: pick, random: rand.New(rand.NewPCG(seed, 2)), inFlight: make(map[string]int)}, nil
+func newBaselineFactory(name string, pick picker) PolicyFactory {
+	return PolicyFactory{Name: name, New: func(o placement.Options, seed uint64) (Policy, error) {
+		return &baseline{options: o, pick: pick, random: rand.New(rand.NewPCG(seed, 2)), inFlight: make(map[string]int)}, nil
 	}}
 }
 
-// boundOver is how far above the mean a runner's requests may be under bounded-hash.
-const boundOver = 1.25
+// maxLoadFactor is how far above the mean a runner's requests may be under bounded-hash.
+const maxLoadFactor = 1.25
 
 // picker picks one of at least one runner.
-type picker func(s *simple, r *placement.Request, runners []*placement.Runner) *placement.Runner
+type picker func(s *baseline, r *placement.Request, runners []*placement.Runner) *placement.Runner
 
-// simple is a policy without ceilings: it sends to any serving runner of the service that the route's homes allow, and
+// baseline is a policy without ceilings: it sends to any serving runner of the service that the route's homes allow, and
 // never refuses while there is one.
-type simple struct {
+type baseline struct {
 	options  placement.Options
 	pick     picker
 	random   *rand.Rand
@@ -45,16 +45,16 @@
 	attempts uint64
 }
 
-var _ Policy = (*simple)(nil)
+var _ Policy = (*baseline)(nil)
 
-func (s *simple) SetServices(time.Duration, []*configuration.Service) {}
+func (s *baseline) SetServices(time.Duration, []*configuration.Service) {}
 
-func (s *simple) SetRunners(_ time.Duration, runners []placement.Runner) { s.runners = runners }
+func (s *baseline) SetRunners(_ time.Duration, runners []placement.Runner) { s.runners = runners }
 
-func (s *simple) SetProxyCount(time.Duration, int) {}
+func (s *baseline) SetProxyCount(time.Duration, int) {}
 
-func (s *simple) Place(_ time.Duration, r *placement.Request) (placement.Choice, *placement.Rejection) {
-	allowed := s.allowed(r)
+func (s *baseline) Place(_ time.Duration, r *placement.Request) (placement.Choice, *placement.Rejection) {
+	allowed := s.eligibleRunners(r)
 	if len(allowed) == 0 {
 		return placement.Choice{}, &placement.Rejection{RetryAfter: time.Second, Reason: "no runner"}
 	}
@@ -62,8 +62,8 @@
 	return placement.Choice{Runner: chosen.ID, Address: chosen.Address, Priority: -1}, nil
 }
 
-// allowed are the runners that may take a request; those that it was sent to already only if there are no others.
-func (s *simple) allowed(r *placement.Request) []*placement.Runner {
+// eligibleRunners are the runners that may take a request; those that it was sent to already only if there are no others.
+func (s *baseline) eligibleRunners(r *placement.Request) []*placement.Runner {
 	var fresh, tried []*placement.Runner
 	for i := range s.runners {
 		runner := &s.runners[i]
@@ -85,27 +85,27 @@
 	return tried
 }
 
-func (s *simple) StartAttempt(_ time.Duration, r *placement.Request, c placement.Choice) *placement.Attempt {
+func (s *baseline) StartAttempt(_ time.Duration, r *placement.Request, c placement.Choice) *placement.Attempt {
 	s.attempts++
 	s.inFlight[c.Runner]++
 	return &placement.Attempt{ID: s.attempts, Runner: c.Runner, Request: r}
 }
 
-func (s *simple) HandleFirstEvent(time.Duration, *placement.Attempt) {}
+func (s *baseline) HandleFirstEvent(time.Duration, *placement.Attempt) {}
 
-func (s *simple) HandleEvent(time.Duration, *placement.Attempt) {}
+func (s *baseline) HandleEvent(time.Duration, *placement.Attempt) {}
 
-func (s *simple) EndAttempt(_ time.Duration, a *placement.Attempt, _ placement.Outcome, _ placement.Progress) {
+func (s *baseline) EndAttempt(_ time.Duration, a *placement.Attempt, _ placement.Outcome, _ placement.Progress) {
 	s.inFlight[a.Runner]--
 }
 
-func (s *simple) MayRetry(now time.Duration, r *placement.Request) bool {
+func (s *baseline) MayRetry(now time.Duration, r *placement.Request) bool {
 	return len(r.TriedRunners) < r.Route.MaxAttempts && now < r.Deadline && (!r.MayHaveRun || r.Route.IsIdempotent())
 }
 
-func (s *simple) Tick(now time.Duration) time.Duration { return now + time.Second }
+func (s *baseline) Tick(now time.Duration) time.Duration { return now + time.Second }
 
-func (s *simple) leastInFlight(_ *placement.Request, runners []*placement.Runner) *placement.Runner {
+func (s *baseline) leastInFlight(_ *placement.Request, runners []*placement.Runner) *placement.Runner {
 	var best *placement.Runner
 	ties := 0
 	for _, runner := range runners {
@@ -122,7 +122,7 @@
 	return best
 }
 
-func (s *simple) twoChoices(_ *placement.Request, runners []*placement.Runner) *placement.Runner {
+func (s *baseline) twoChoices(_ *placement.Request, runners []*placement.Runner) *placement.Runner {
 	a := runners[s.random.IntN(len(runners))]
 	b := runners[s.random.IntN(len(runners))]
 	if s.inFlight[b.ID] < s.inFlight[a.ID] {
@@ -131,14 +131,14 @@
 	return a
 }
 
-func (s *simple) promptHash(r *placement.Request, runners []*placement.Runner) *placement.Runner {
+func (s *baseline) promptHash(r *placement.Request, runners []*placement.Runner) *placement.Runner {
 	if len(r.Chunks) < 2 {
 		return runners[s.random.IntN(len(runners))]
 	}
-	return slices.MaxFunc(runners, byWeight(r))
+	return slices.MaxFunc(runners, byRendezvousWeight(r))
 }
 
-func (s *simple) boundedHash(r *placement.Request, runners []*placement.Runner) *placement.Runner {
+func (s *baseline) boundedHash(r *placement.Request, runners []*placement.Runner) *placement.Runner {
 	if len(r.Chunks) < 2 {
 		return s.leastInFlight(r, runners)
 	}
@@ -146,8 +146,8 @@
 	for _, runner := range runners {
 		total += s.inFlight[runner.ID]
 	}
-	bound := boundOver * float64(total) / float64(len(runners))
-	order := byWeight(r)
+	bound := maxLoadFactor * float64(total) / float64(len(runners))
+	order := byRendezvousWeight(r)
 	slices.SortFunc(runners, func(a, b *placement.Runner) int { return order(b, a) })
 	for _, runner := range runners {
 		if float64(s.inFlight[runner.ID]+1) <= max(1, bound) {
@@ -157,11 +157,11 @@
 	return s.leastInFlight(r, runners)
 }
 
-// byWeight orders runners by rendezvous hashing of the last shared part of a prompt.
-func byWeight(r *placement.Request) func(a, b *placement.Runner) int {
-	subject := r.Chunks[len(r.Chunks)-2].ID
+// byRendezvousWeight orders runners by rendezvous hashing of the last shared part of a prompt.
+func byRendezvousWeight(r *placement.Request) func(a, b *placement.Runner) int {
+	prefix := r.Chunks[len(r.Chunks)-2].ID
 	weight := func(runner *placement.Runner) uint64 {
-		key := binary.BigEndian.AppendUint64(nil, subject)
+		key := binary.BigEndian.AppendUint64(nil, prefix)
 		return xxhash.Sum64(append(key, runner.ID...))
 	}
 	return func(a, b *placement.Runner) int {
--- a/internal/system/policysim/visit.go
+++ b/internal/system/policysim/visit.go
@@ -13,66 +13,66 @@
 
 // Patience of clients: a stream is given up after a silence of the longest of these.
 const (
-	leastPatience  = 2 * time.Second
-	targetPatience = 4 // multiple of the target
-	gapPatience    = 8 // multiple of the longest pause in time
+	minSilenceTimeout   = 2 * time.Second
+	targetTimeoutFactor = 4 // multiple of the target
+	gapTimeoutFactor    = 8 // multiple of the longest pause in time
 )
 
-// visit is a client's call with all its tries.
-type visit struct {
-	call     *Call
-	proxy    *proxy
-	request  *placement.Request
-	tries    int // of the client
-	began    time.Duration
-	refused  bool // its first try, early and with nothing at work on it
-	events   int
-	heard    time.Duration // the last event, or the begin of the try
-	first    time.Duration // from the call's begin to the first event
-	gap      time.Duration // the longest pause
-	sending  *send         // nil: nothing is at work on it
-	finished bool
-	outcome  Outcome
+// callState is a client's call with all its tries.
+type callState struct {
+	call             *Call
+	proxy            *proxy
+	request          *placement.Request
+	clientAttempts   int // of the client
+	attemptStart     time.Duration
+	rejectedEarly    bool // its first try, early and with nothing at work on it
+	events           int
+	lastEventAt      time.Duration // the last event, or the begin of the try
+	timeToFirstEvent time.Duration // from the call's begin to the first event
+	longestEventGap  time.Duration // the longest pause
+	active           *attempt      // nil: nothing is at work on it
+	finished         bool
+	outcome          Outcome
 }
 
-// send is an attempt at a runner.
-type send struct {
-	world    *world
-	visit    *visit
-	request  *placement.Request
-	priority int
-	host     *host
-	attempt  *placement.Attempt
-	task     *engine.Task
-	at       time.Duration
-	heard    time.Duration
-	progress placement.Progress
-	ended    bool
+// attempt is an attempt at a runner.
+type attempt struct {
+	sim              *simulation
+	call             *callState
+	request          *placement.Request
+	priority         int
+	runner           *simulatedRunner
+	placementAttempt *placement.Attempt
+	task             *engine.Task
+	sentAt           time.Duration
+	lastEventAt      time.Duration
+	progress         placement.Progress
+	ended            bool
 }
 
-// begin is the begin of a try, at the client.
-func (w *world) begin(v *visit) {
-	v.tries++
-	v.began = w.now
-	v.heard = w.now
-	v.proxy = w.proxyOf(v.call.Zone)
-	w.watch(v, v.tries)
-	w.after(w.scenario.Client, func() { w.take(v) })
+// startClientAttempt is the begin of a try, at the client.
+func (w *simulation) startClientAttempt(v *callState) {
+	v.clientAttempts++
+	v.attemptStart = w.now
+	v.lastEventAt = w.now
+	v.proxy = w.nextProxyIn(v.call.Zone)
+	w.scheduleTimeout(v, v.clientAttempts)
+	w.after(w.scenario.ClientLatency, func() { w.handleAtProxy(v) })
 }
 
-// proxyOf is the next proxy of a zone.
-func (w *world) proxyOf(zone string) *proxy {
+// nextProxyIn is the next proxy of a zone.
+func (w *simulation) nextProxyIn(zone string) *proxy {
 	for range w.proxies {
-		w.turn++
-		if p := w.proxies[w.turn%len(w.proxies)]; p.zone == zone {
+		w.proxyTurn++
+		if p := w.proxies[w.proxyTurn%len(w.proxies)]; p.zone == zone {
 			return p
 		}
 	}
 	return w.proxies[0]
 }
 
-// take is the arrival of a try at the proxy.
-func (w *world) take(v *visit) {
+// handleAtProxy is the arrival of a try at the proxy.
+func (w *simulation) handleAtProxy(v *callState) {
 	if v.finished {
 		return
 	}
@@ -81,31 +81,31 @@
 	if c.Class.Type == configuration.Streaming {
 		model = modelName
 	}
-	v.request = &placement.Request{Route: w.routes[c.Class.Name], Service: c.Class.Service, Model: model, Chunks: c.Parts,
-		InputTokens: c.PromptTokens(), MaxOutputTokens: c.Out, BodyBytes: 2 * c.PromptTokens(), ArrivedAt: w.now, Deadline: w.deadline(v)}
-	w.send(v)
+	v.request = &placement.Request{Route: w.routes[c.Class.Name], Service: c.Class.Service, Model: model, Chunks: c.Chunks,
+		InputTokens: c.PromptTokens(), MaxOutputTokens: c.OutputTokens, BodyBytes: 2 * c.PromptTokens(), ArrivedAt: w.now, Deadline: w.deadline(v)}
+	w.dispatch(v)
 }
 
-func (w *world) deadline(v *visit) time.Duration { return v.call.At + v.call.Class.Deadline }
+func (w *simulation) deadline(v *callState) time.Duration { return v.call.At + v.call.Class.Deadline }
 
-// patience is how long a client bears silence.
-func (v *visit) patience() time.Duration {
+// silenceTimeout is how long a client bears silence.
+func (v *callState) silenceTimeout() time.Duration {
 	class := v.call.Class
-	return max(leastPatience, targetPatience*class.Target, gapPatience*class.Gap)
+	return max(minSilenceTimeout, targetTimeoutFactor*class.LatencyTarget, gapTimeoutFactor*class.EventGapTarget)
 }
 
-// watch ends a try whose client has waited for too long.
-func (w *world) watch(v *visit, try int) {
+// scheduleTimeout ends a try whose client has waited for too long.
+func (w *simulation) scheduleTimeout(v *callState, try int) {
 	until := w.deadline(v)
 	if v.call.Class.Type == configuration.Streaming {
-		until = min(until, v.heard+v.patience())
+		until = min(until, v.lastEventAt+v.silenceTimeout())
 	}
 	w.at(max(until, w.now), func() {
-		if v.finished || v.tries != try {
+		if v.finished || v.clientAttempts != try {
 			return
 		}
-		if v.heard+v.patience() > w.now && w.now < w.deadline(v) {
-			w.watch(v, try)
+		if v.lastEventAt+v.silenceTimeout() > w.now && w.now < w.deadline(v) {
+			w.scheduleTimeout(v, try)
 			return
 		}
 		w.abandon(v)
@@ -113,46 +113,46 @@
 }
 
 // abandon is a client's leaving.
-func (w *world) abandon(v *visit) {
-	if s := v.sending; s != nil {
-		v.sending = nil
+func (w *simulation) abandon(v *callState) {
+	if s := v.active; s != nil {
+		v.active = nil
 		outcome := placement.Cancelled
-		if s.progress.Events == 0 && w.now-s.at >= v.patience() {
+		if s.progress.Events == 0 && w.now-s.sentAt >= v.silenceTimeout() {
 			outcome = placement.TimedOut
 		}
 		s.ended = true
-		w.after(w.scenario.Client, func() { s.close(outcome) })
+		w.after(w.scenario.ClientLatency, func() { s.closeCancelled(outcome) })
 	}
 	w.finish(v, Failed)
 }
 
 // retry begins another try after a wait, if the client has one left.
-func (w *world) retry(v *visit, wait time.Duration) bool {
+func (w *simulation) retry(v *callState, wait time.Duration) bool {
 	left := w.deadline(v) - w.now
-	if v.tries > v.call.Class.Retries || left <= 0 {
+	if v.clientAttempts > v.call.Class.ClientRetries || left <= 0 {
 		return false
 	}
 	const waitShare = 3 // of the time left, that a client waits at most
-	w.after(min(wait, left/waitShare), func() { w.begin(v) })
+	w.after(min(wait, left/waitShare), func() { w.startClientAttempt(v) })
 	return true
 }
 
-// turnedAway is the arrival of a refusal at the client.
-func (w *world) turnedAway(v *visit, wait time.Duration) {
+// handleRejection is the arrival of a refusal at the client.
+func (w *simulation) handleRejection(v *callState, wait time.Duration) {
 	if v.finished {
 		return
 	}
 	const early = 4 // a refusal within this part of the target costs less
-	if v.tries == 1 && w.now-v.began <= v.call.Class.Target/early {
-		v.refused = true
+	if v.clientAttempts == 1 && w.now-v.attemptStart <= v.call.Class.LatencyTarget/early {
+		v.rejectedEarly = true
 	}
 	if !w.retry(v, wait) {
-		w.finish(v, Refused)
+		w.finish(v, Rejected)
 	}
 }
 
-// failed is the arrival of a failure at the client.
-func (w *world) failed(v *visit) {
+// handleFailure is the arrival of a failure at the client.
+func (w *simulation) handleFailure(v *callState) {
 	if v.finished {
 		return
 	}
@@ -161,40 +161,40 @@
 	}
 }
 
-// served is the arrival of the last byte at the client.
-func (w *world) served(v *visit) {
+// handleCompletion is the arrival of the last byte at the client.
+func (w *simulation) handleCompletion(v *callState) {
 	if v.finished {
 		return
 	}
 	outcome := InTime
 	class := v.call.Class
 	if class.Type != configuration.Streaming {
-		v.first = w.now - v.call.At
+		v.timeToFirstEvent = w.now - v.call.At
 	}
-	if v.first > class.Target || class.Gap > 0 && v.gap > class.Gap {
+	if v.timeToFirstEvent > class.LatencyTarget || class.EventGapTarget > 0 && v.longestEventGap > class.EventGapTarget {
 		outcome = Late
 	}
-	if outcome == Late && v.refused && v.tries == 2 && v.first-(v.began-v.call.At) <= class.Target {
-		outcome = InTimeAfterRefusal
+	if outcome == Late && v.rejectedEarly && v.clientAttempts == 2 && v.timeToFirstEvent-(v.attemptStart-v.call.At) <= class.LatencyTarget {
+		outcome = InTimeAfterRejection
 	}
 	w.finish(v, outcome)
 }
 
-// progressed is the arrival of an event at the client.
-func (w *world) progressed(v *visit) {
+// handleEvent is the arrival of an event at the client.
+func (w *simulation) handleEvent(v *callState) {
 	if v.finished {
 		return
 	}
 	if v.events == 0 {
-		v.first = w.now - v.call.At
+		v.timeToFirstEvent = w.now - v.call.At
 	} else {
-		v.gap = max(v.gap, w.now-v.heard)
+		v.longestEventGap = max(v.longestEventGap, w.now-v.lastEventAt)
 	}
 	v.events++
-	v.heard = w.now
+	v.lastEventAt = w.now
 }
 
-func (w *world) finish(v *visit, o Outcome) {
+func (w *simulation) finish(v *callState, o Outcome) {
 	v.finished = true
 	v.outcome = o
 }
--- a/internal/system/policysim/world.go
+++ b/internal/system/policysim/world.go
@@ -13,28 +13,28 @@
 
 // The shared budgets of a run.
 const (
-	retryRatio  = 0.2
-	retryWindow = 10 * time.Second
-	retryExtra  = 54
-	coldExcess  = 1.5
-	coldSlack   = 5
-	coldFalls   = 4 // multiple of its rate at which a cold runner falls over
-	drainAfter  = 20 * time.Second
+	retryRatio             = 0.2
+	retryWindow            = 10 * time.Second
+	retryAllowance         = 54
+	slowStartFactor        = 1.5
+	slowStartAllowance     = 5
+	slowStartFailureFactor = 4 // multiple of its rate at which a cold runner falls over
+	drainTime              = 20 * time.Second
 )
 
-// world is a run.
-type world struct {
-	scenario *Scenario
-	agenda   eventqueue.Agenda
-	now      time.Duration
-	routes   map[string]*configuration.Route // by class
-	services []*configuration.Service
-	hosts    []*host
-	started  int // incarnations
-	proxies  []*proxy
-	turn     int
-	visits   []*visit
-	books    books
+// simulation is a run.
+type simulation struct {
+	scenario     *Scenario
+	eventQueue   eventqueue.Agenda
+	now          time.Duration
+	routes       map[string]*configuration.Route // by class
+	services     []*configuration.Service
+	runners      []*simulatedRunner
+	incarnations int // incarnations
+	proxies      []*proxy
+	proxyTurn    int
+	calls        []*callState
+	counters     counters
 }
 
 // proxy is one that serves clients, with its policy.
@@ -44,45 +44,45 @@
 }
 
 // Run plays a scenario with a contestant's policies.
-func Run(s *Scenario, c Contestant, seed uint64) (*Result, error) {
-	w := &world{scenario: s, books: newBooks()}
+func Run(s *Scenario, c PolicyFactory, seed uint64) (*Result, error) {
+	w := &simulation{scenario: s, counters: newCounters()}
 	if err := w.build(c, seed); err != nil {
 		return nil, fmt.Errorf("experiment: %s: %w", c.Name, err)
 	}
-	for _, call := range Draw(s, seed) {
-		v := &visit{call: call}
-		w.visits = append(w.visits, v)
-		w.at(call.At, func() { w.begin(v) })
+	for _, call := range GenerateTraffic(s, seed) {
+		v := &callState{call: call}
+		w.calls = append(w.calls, v)
+		w.at(call.At, func() { w.startClientAttempt(v) })
 	}
 	for _, crash := range s.Crashes {
-		w.at(crash.At, func() { w.crash(crash) })
+		w.at(crash.At, func() { w.crashRunner(crash) })
 	}
-	w.play(s.Length + drainAfter)
+	w.runUntil(s.Duration + drainTime)
 	return w.result(c.Name), nil
 }
 
-func (w *world) at(at time.Duration, do func()) { w.agenda.At(at.Seconds(), do) }
+func (w *simulation) at(at time.Duration, do func()) { w.eventQueue.At(at.Seconds(), do) }
 
-func (w *world) after(wait time.Duration, do func()) { w.at(w.now+wait, do) }
+func (w *simulation) after(wait time.Duration, do func()) { w.at(w.now+wait, do) }
 
-func (w *world) play(until time.Duration) {
+func (w *simulation) runUntil(until time.Duration) {
 	for {
-		at, do, is := w.agenda.Next(until.Seconds())
+		at, do, is := w.eventQueue.Next(until.Seconds())
 		if !is {
 			return
 		}
-		w.now = max(w.now, seconds(at))
+		w.now = max(w.now, secondsToDuration(at))
 		do()
 	}
 }
 
-func (w *world) build(c Contestant, seed uint64) error {
+func (w *simulation) build(c PolicyFactory, seed uint64) error {
 	w.buildConfiguration()
 	for i := range w.scenario.Services {
 		service := &w.scenario.Services[i]
 		for _, zone := range w.scenario.Zones {
 			for range service.Runners[zone.Name] {
-				if _, err := w.start(service, zone.Name); err != nil {
+				if _, err := w.startRunner(service, zone.Name); err != nil {
 					return err
 				}
 			}
@@ -96,7 +96,7 @@
 		for range zone.Proxies {
 			seed += 1_000_003
 			policy, err := c.New(placement.Options{Zone: zone.Name, Region: zone.Region, Zones: zones, RetryRatio: retryRatio,
-				RetryWindow: retryWindow, RetryAllowance: retryExtra, SlowStartFactor: coldExcess, SlowStartAllowance: coldSlack}, seed)
+				RetryWindow: retryWindow, RetryAllowance: retryAllowance, SlowStartFactor: slowStartFactor, SlowStartAllowance: slowStartAllowance}, seed)
 			if err != nil {
 				return err
 			}
@@ -106,26 +106,26 @@
 	for _, p := range w.proxies {
 		p.policy.SetServices(0, w.services)
 		p.policy.SetProxyCount(0, len(w.proxies))
-		w.tick(p)
+		w.tickPolicy(p)
 	}
-	w.publish()
+	w.publishRunners()
 	return nil
 }
 
-func (w *world) buildConfiguration() {
+func (w *simulation) buildConfiguration() {
 	w.routes = make(map[string]*configuration.Route)
 	for i := range w.scenario.Classes {
 		c := &w.scenario.Classes[i]
 		w.routes[c.Name] = &configuration.Route{Name: c.Name, Host: "screening.example", PathPrefix: "/" + c.Name + "/",
 			Type:    c.Type,
-			Timeout: c.Deadline, LatencyTarget: c.Target, EventGapTarget: c.Gap, Rank: c.Rank, MaxAttempts: c.Tries, Resumable: c.Resume,
+			Timeout: c.Deadline, LatencyTarget: c.LatencyTarget, EventGapTarget: c.EventGapTarget, Rank: c.Rank, MaxAttempts: c.MaxAttempts, Resumable: c.Resumable,
 			Shares: []configuration.Share{{Service: c.Service, Weight: 1}}, PrefixAffinity: c.Type == configuration.Streaming,
-			HomeRegions: c.Homes}
+			HomeRegions: c.HomeRegions}
 	}
 	for i := range w.scenario.Services {
 		s := &w.scenario.Services[i]
-		service := &configuration.Service{Name: s.Name, HealthPath: "/health", MaxConnections: s.MaxConns, SlowStartDuration: s.ColdFor,
-			SlowStartRate: s.ColdRate}
+		service := &configuration.Service{Name: s.Name, HealthPath: "/health", MaxConnections: s.MaxConnections, SlowStartDuration: s.SlowStartDuration,
+			SlowStartRate: s.SlowStartRate}
 		if s.Engine != nil {
 			service.Backend = &configuration.Backend{Capacity: s.Engine.Slots, CacheTokens: s.Engine.MemoryTokens,
 				CacheBytesPerToken: 327680, LinkMbps: 370000, TokensPerEvent: s.Engine.StrideTokens, Models: []string{modelName}}
@@ -134,17 +134,17 @@
 	}
 }
 
-func (w *world) tick(p *proxy) {
+func (w *simulation) tickPolicy(p *proxy) {
 	next := p.policy.Tick(w.now)
-	w.at(max(next, w.now+time.Millisecond), func() { w.tick(p) })
+	w.at(max(next, w.now+time.Millisecond), func() { w.tickPolicy(p) })
 }
 
-// publish tells all proxies of the runners that are up.
-func (w *world) publish() {
+// publishRunners tells all proxies of the runners that are up.
+func (w *simulation) publishRunners() {
 	var runners []placement.Runner
-	for _, h := range w.hosts {
+	for _, h := range w.runners {
 		if h.listed {
-			runners = append(runners, h.runner)
+			runners = append(runners, h.info)
 		}
 	}
 	for _, p := range w.proxies {
@@ -152,56 +152,56 @@
 	}
 }
 
-// start starts a new incarnation of a runner.
-func (w *world) start(service *Service, zone string) (*host, error) {
-	w.started++
-	h := &host{world: w, up: true, listed: true, service: service, sends: make(map[*engine.Task]*send)}
-	h.cold = engine.Cold{Rate: service.ColdRate, Excess: coldExcess, Slack: coldSlack, Falls: coldFalls}
-	h.runner = placement.Runner{ID: fmt.Sprintf("i-%04x", w.started), Service: service.Name, Zone: zone,
-		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(w.started >> 8), byte(w.started)}), 8080),
-		Region:  w.scenario.region(zone), Capacity: service.Slots}
+// startRunner starts a new incarnation of a runner.
+func (w *simulation) startRunner(service *Service, zone string) (*simulatedRunner, error) {
+	w.incarnations++
+	h := &simulatedRunner{sim: w, up: true, listed: true, service: service, attempts: make(map[*engine.Task]*attempt)}
+	h.slowStart = engine.Cold{Rate: service.SlowStartRate, Excess: slowStartFactor, Slack: slowStartAllowance, Falls: slowStartFailureFactor}
+	h.info = placement.Runner{ID: fmt.Sprintf("i-%04x", w.incarnations), Service: service.Name, Zone: zone,
+		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(w.incarnations >> 8), byte(w.incarnations)}), 8080),
+		Region:  w.scenario.regionOf(zone), Capacity: service.Slots}
 	var err error
 	if service.Engine != nil {
-		h.runner.Capacity, h.runner.Models = service.Engine.Slots, []string{modelName}
-		h.machine, err = engine.New(*service.Engine)
+		h.info.Capacity, h.info.Models = service.Engine.Slots, []string{modelName}
+		h.engine, err = engine.New(*service.Engine)
 	} else {
-		h.machine, err = engine.NewWorkers(service.Slots, service.Queue)
+		h.engine, err = engine.NewWorkers(service.Slots, service.QueueLength)
 	}
-	w.hosts = append(w.hosts, h)
+	w.runners = append(w.runners, h)
 	return h, err
 }
 
-// crash ends a runner; a new incarnation takes its place later, cold and with nothing kept.
-func (w *world) crash(c Crash) {
-	var of []*host
-	for _, h := range w.hosts {
+// crashRunner ends a runner; a new incarnation takes its place later, cold and with nothing kept.
+func (w *simulation) crashRunner(c Crash) {
+	var of []*simulatedRunner
+	for _, h := range w.runners {
 		if h.service.Name == c.Service && h.up {
 			of = append(of, h)
 		}
 	}
-	if c.Runner >= len(of) {
+	if c.RunnerIndex >= len(of) {
 		return
 	}
-	h := of[c.Runner]
-	h.stop(c.Dark)
-	w.after(w.scenario.ListLag, func() {
+	h := of[c.RunnerIndex]
+	h.stop(c.Silent)
+	w.after(w.scenario.DiscoveryLag, func() {
 		h.listed = false
-		w.publish()
+		w.publishRunners()
 	})
-	w.after(c.For, func() { w.restart(h) })
+	w.after(c.Downtime, func() { w.restartRunner(h) })
 }
 
-func (w *world) restart(old *host) {
-	h, err := w.start(old.service, old.runner.Zone)
+func (w *simulation) restartRunner(old *simulatedRunner) {
+	h, err := w.startRunner(old.service, old.info.Zone)
 	if err != nil {
 		panic(err) // its options were good before
 	}
 	h.listed = false
-	until := w.now + old.service.ColdFor
-	h.cold.Begin(until)
-	w.after(w.scenario.ListLag, func() {
+	until := w.now + old.service.SlowStartDuration
+	h.slowStart.Begin(until)
+	w.after(w.scenario.DiscoveryLag, func() {
 		h.listed = true
-		h.runner.SlowStartUntil = until
-		w.publish()
+		h.info.SlowStartUntil = until
+		w.publishRunners()
 	})
 }
