--- a/internal/system/policysim/host.go
+++ b/internal/system/policysim/host.go
@@ -22,94 +22,94 @@
 }
 
 // handleRequest takes a request that a proxy has sent.
-func (h *simulatedRunner) handleRequest(s *attempt) {
-	if !h.up {
-		if !h.silent {
-			s.respond(func() { s.handleEnd(placement.ConnectFailed) })
+func (r *simulatedRunner) handleRequest(a *attempt) {
+	if !r.up {
+		if !r.silent {
+			a.respond(func() { a.handleEnd(placement.ConnectFailed) })
 		}
 		return
 	}
-	if s.ended { // its client has left meanwhile
+	if a.ended { // its client has left meanwhile
 		return
 	}
-	if h.slowStart.Arrive(h.sim.now) {
-		h.stop(false)
-		s.respond(func() { s.handleEnd(placement.Interrupted) })
+	if r.slowStart.Arrive(r.sim.now) {
+		r.stop(false)
+		a.respond(func() { a.handleEnd(placement.Interrupted) })
 		return
 	}
-	task, taken := h.engine.Submit(h.sim.now, s.engineRequest())
+	task, taken := r.engine.Submit(r.sim.now, a.engineRequest())
 	if !taken {
-		s.respond(func() { s.handleEnd(placement.Rejected) })
+		a.respond(func() { a.handleEnd(placement.Rejected) })
 		return
 	}
-	s.task = task
-	h.attempts[task] = s
-	h.advance()
+	a.task = task
+	r.attempts[task] = a
+	r.advance()
 }
 
 // cancel ends a request whose proxy has closed the connection.
-func (h *simulatedRunner) cancel(s *attempt) {
-	if s.task == nil || !h.up {
+func (r *simulatedRunner) cancel(a *attempt) {
+	if a.task == nil || !r.up {
 		return
 	}
-	h.engine.Cancel(h.sim.now, s.task)
-	delete(h.attempts, s.task)
-	h.advance()
+	r.engine.Cancel(r.sim.now, a.task)
+	delete(r.attempts, a.task)
+	r.advance()
 }
 
 // stop ends the incarnation.
-func (h *simulatedRunner) stop(dark bool) {
-	h.up, h.silent = false, dark
-	for _, event := range h.engine.Stop(h.sim.now) {
-		h.handleEvent(event)
+func (r *simulatedRunner) stop(dark bool) {
+	r.up, r.silent = false, dark
+	for _, event := range r.engine.Stop(r.sim.now) {
+		r.handleEvent(event)
 	}
 }
 
 // advance handles what has happened and has itself called again when something will.
-func (h *simulatedRunner) advance() {
-	for _, event := range h.engine.Advance(h.sim.now) {
-		h.handleEvent(event)
+func (r *simulatedRunner) advance() {
+	for _, event := range r.engine.Advance(r.sim.now) {
+		r.handleEvent(event)
 	}
-	next, is := h.engine.Next()
-	if !is || h.nextWakeup != 0 && h.nextWakeup <= next {
+	next, is := r.engine.Next()
+	if !is || r.nextWakeup != 0 && r.nextWakeup <= next {
 		return
 	}
-	h.nextWakeup = next
-	h.sim.at(next, func() {
-		if h.nextWakeup == next {
-			h.nextWakeup = 0
+	r.nextWakeup = next
+	r.sim.at(next, func() {
+		if r.nextWakeup == next {
+			r.nextWakeup = 0
 		}
-		if h.up {
-			h.advance()
+		if r.up {
+			r.advance()
 		}
 	})
 }
 
-func (h *simulatedRunner) handleEvent(event engine.Event) {
-	s := h.attempts[event.Task]
+func (r *simulatedRunner) handleEvent(event engine.Event) {
+	a := r.attempts[event.Task]
 	if event.Kind == engine.PartRead {
-		h.sim.counters.countPrefill(event.Task, event.Index)
+		r.sim.counters.countPrefill(event.Task, event.Index)
 		return
 	}
-	if s == nil {
+	if a == nil {
 		return
 	}
 	switch event.Kind {
 	case engine.Emitted:
-		s.respond(s.handleEvent)
+		a.respond(a.handleEvent)
 	case engine.Finished:
-		delete(h.attempts, event.Task)
-		s.respond(func() { s.handleEnd(placement.Succeeded) })
+		delete(r.attempts, event.Task)
+		a.respond(func() { a.handleEnd(placement.Succeeded) })
 	case engine.Expired:
-		delete(h.attempts, event.Task)
-		s.respond(func() { s.handleEnd(placement.Rejected) })
+		delete(r.attempts, event.Task)
+		a.respond(func() { a.handleEnd(placement.Rejected) })
 	case engine.CutOff:
-		delete(h.attempts, event.Task)
-		s.respond(func() { s.handleEnd(placement.Failed) })
+		delete(r.attempts, event.Task)
+		a.respond(func() { a.handleEnd(placement.Failed) })
 	case engine.Lost:
-		delete(h.attempts, event.Task)
-		if !h.silent {
-			s.respond(func() { s.handleEnd(placement.Interrupted) })
+		delete(r.attempts, event.Task)
+		if !r.silent {
+			a.respond(func() { a.handleEnd(placement.Interrupted) })
 		}
 	}
 }
--- a/internal/system/policysim/mean.go
+++ b/internal/system/policysim/mean.go
@@ -9,13 +9,13 @@
 // sums, and what was the worst in any run stays so.
 func Mean(results []*Result) *Result {
 	mean := &Result{Policy: results[0].Policy, Rejections: make(map[string]int), Runs: len(results)}
-	n := float64(len(results))
+	runs := float64(len(results))
 	var squares float64
 	for _, r := range results {
-		mean.ValueShare += r.ValueShare / n
-		squares += r.ValueShare * r.ValueShare / n
-		mean.WorstSecondShare += r.WorstSecondShare / n
-		mean.WorstFiveSecondsShare += r.WorstFiveSecondsShare / n
+		mean.ValueShare += r.ValueShare / runs
+		squares += r.ValueShare * r.ValueShare / runs
+		mean.WorstSecondShare += r.WorstSecondShare / runs
+		mean.WorstFiveSecondsShare += r.WorstFiveSecondsShare / runs
 		mean.SharedPrefilled += r.SharedPrefilled
 		mean.SharedPrefilledAgain += r.SharedPrefilledAgain
 		mean.OwnPrefilled += r.OwnPrefilled
@@ -29,38 +29,38 @@
 		for reason, count := range r.Rejections {
 			mean.Rejections[reason] += count
 		}
-		mean.addClasses(r.Classes, n)
+		mean.addClasses(r.Classes, runs)
 	}
 	mean.ValueShareDeviation = math.Sqrt(max(0, squares-mean.ValueShare*mean.ValueShare))
 	return mean
 }
 
-func (r *Result) addClasses(classes []ClassResult, n float64) {
+func (r *Result) addClasses(classes []ClassResult, runs float64) {
 	if r.Classes == nil {
 		r.Classes = make([]ClassResult, len(classes))
 	}
 	for i := range classes {
-		r.Classes[i].add(&classes[i], n)
+		r.Classes[i].add(&classes[i], runs)
 	}
 }
 
 // add adds one of n runs.
-func (r *ClassResult) add(one *ClassResult, n float64) {
-	r.Name = one.Name
-	r.Calls += one.Calls
-	r.InTime += one.InTime
-	r.Late += one.Late
-	r.Rejected += one.Rejected
-	r.Failed += one.Failed
-	r.ValueEarned += one.ValueEarned
-	r.ValueDue += one.ValueDue
-	r.FirstEventP50 += time.Duration(float64(one.FirstEventP50) / n)
-	r.FirstEventP95 += time.Duration(float64(one.FirstEventP95) / n)
-	r.FirstEventP99 += time.Duration(float64(one.FirstEventP99) / n)
-	r.ServedShare += one.ServedShare / n
-	r.LargestServed += one.LargestServed / n
-	r.LargeServed += one.LargeServed / n
-	r.LargestInTime += one.LargestInTime / n
-	r.LargeInTime += one.LargeInTime / n
-	r.InTimeShare += one.InTimeShare / n
+func (r *ClassResult) add(run *ClassResult, runs float64) {
+	r.Name = run.Name
+	r.Calls += run.Calls
+	r.InTime += run.InTime
+	r.Late += run.Late
+	r.Rejected += run.Rejected
+	r.Failed += run.Failed
+	r.ValueEarned += run.ValueEarned
+	r.ValueDue += run.ValueDue
+	r.FirstEventP50 += time.Duration(float64(run.FirstEventP50) / runs)
+	r.FirstEventP95 += time.Duration(float64(run.FirstEventP95) / runs)
+	r.FirstEventP99 += time.Duration(float64(run.FirstEventP99) / runs)
+	r.ServedShare += run.ServedShare / runs
+	r.LargestServed += run.LargestServed / runs
+	r.LargeServed += run.LargeServed / runs
+	r.LargestInTime += run.LargestInTime / runs
+	r.LargeInTime += run.LargeInTime / runs
+	r.InTimeShare += run.InTimeShare / runs
 }
--- a/internal/system/policysim/result.go
+++ b/internal/system/policysim/result.go
@@ -34,25 +34,25 @@
 	return counters{rejections: make(map[string]int), prefilledChunks: make(map[uint64]bool)}
 }
 
-func (b *counters) countAttempt(v *callState, h *simulatedRunner) {
-	b.attempts++
-	if v.proxy.zone != h.info.Zone && h.sim.scenario.regionOf(v.proxy.zone) != h.info.Region {
-		b.crossRegion++
+func (c *counters) countAttempt(state *callState, runner *simulatedRunner) {
+	c.attempts++
+	if state.proxy.zone != runner.info.Zone && runner.sim.scenario.regionOf(state.proxy.zone) != runner.info.Region {
+		c.crossRegion++
 	}
 }
 
 // countPrefill counts a part of a prompt that a runner has prefilled.
-func (b *counters) countPrefill(t *engine.Task, index int) {
-	part := t.Request.Parts[index]
-	if index == len(t.Request.Parts)-1 {
-		b.ownPrefilled += int64(part.Tokens)
+func (c *counters) countPrefill(task *engine.Task, index int) {
+	part := task.Request.Parts[index]
+	if index == len(task.Request.Parts)-1 {
+		c.ownPrefilled += int64(part.Tokens)
 		return
 	}
-	b.sharedPrefilled += int64(part.Tokens)
-	if b.prefilledChunks[part.ID] {
-		b.sharedPrefilledAgain += int64(part.Tokens)
+	c.sharedPrefilled += int64(part.Tokens)
+	if c.prefilledChunks[part.ID] {
+		c.sharedPrefilledAgain += int64(part.Tokens)
 	}
-	b.prefilledChunks[part.ID] = true
+	c.prefilledChunks[part.ID] = true
 }
 
 // ClassResult is what became of the calls of a class.
@@ -89,94 +89,94 @@
 	ValueShareDeviation float64 // standard deviation of Share over the runs
 }
 
-func (w *simulation) result(policy string) *Result {
-	r := &Result{Policy: policy, SharedPrefilled: w.counters.sharedPrefilled, SharedPrefilledAgain: w.counters.sharedPrefilledAgain, OwnPrefilled: w.counters.ownPrefilled,
-		Attempts: w.counters.attempts, Retries: w.counters.retries, CrossRegionAttempts: w.counters.crossRegion, Rejections: w.counters.rejections}
-	for _, h := range w.runners {
-		state := h.engine.State()
-		r.Preemptions += state.Preemptions
-		r.RejectedByRunners += state.Rejected
-		r.SlowStartWorstRate = max(r.SlowStartWorstRate, h.slowStart.Worst())
-		r.SlowStartExcess += h.slowStart.Broken()
+func (sim *simulation) result(policy string) *Result {
+	result := &Result{Policy: policy, SharedPrefilled: sim.counters.sharedPrefilled, SharedPrefilledAgain: sim.counters.sharedPrefilledAgain, OwnPrefilled: sim.counters.ownPrefilled,
+		Attempts: sim.counters.attempts, Retries: sim.counters.retries, CrossRegionAttempts: sim.counters.crossRegion, Rejections: sim.counters.rejections}
+	for _, runner := range sim.runners {
+		state := runner.engine.State()
+		result.Preemptions += state.Preemptions
+		result.RejectedByRunners += state.Rejected
+		result.SlowStartWorstRate = max(result.SlowStartWorstRate, runner.slowStart.Worst())
+		result.SlowStartExcess += runner.slowStart.Broken()
 	}
 	earned, due := 0.0, 0.0
-	worth := make(map[*callState]float64)
-	owed := make(map[*callState]float64)
-	for i := range w.scenario.Classes {
-		class := w.classResult(&w.scenario.Classes[i], worth, owed)
+	earnedValues := make(map[*callState]float64)
+	dueValues := make(map[*callState]float64)
+	for i := range sim.scenario.Classes {
+		class := sim.classResult(&sim.scenario.Classes[i], earnedValues, dueValues)
 		earned += class.ValueEarned
 		due += class.ValueDue
-		r.Classes = append(r.Classes, class)
+		result.Classes = append(result.Classes, class)
 	}
-	r.ValueShare = ratio(earned, due)
-	r.WorstSecondShare, r.WorstAt = w.worstWindow(time.Second, worth, owed)
-	r.WorstFiveSecondsShare, _ = w.worstWindow(5*time.Second, worth, owed)
-	return r
+	result.ValueShare = ratio(earned, due)
+	result.WorstSecondShare, result.WorstAt = sim.worstWindow(time.Second, earnedValues, dueValues)
+	result.WorstFiveSecondsShare, _ = sim.worstWindow(5*time.Second, earnedValues, dueValues)
+	return result
 }
 
 // callValue is what a call is worth: a generation by its size, within bounds.
-func callValue(c *Call, meanSize float64) (inTime, late float64) {
-	const fixed, bySize, most = 0.3, 0.7, 4
+func callValue(call *Call, meanSize float64) (inTime, late float64) {
+	const fixedShare, sizeShare, maxFactor = 0.3, 0.7, 4
 	factor := 1.0
 	if meanSize > 0 {
-		factor = min(most, fixed+bySize*c.Cost()/meanSize)
+		factor = min(maxFactor, fixedShare+sizeShare*call.Cost()/meanSize)
 	}
-	return c.Class.ValueInTime * factor, c.Class.ValueLate * factor
+	return call.Class.ValueInTime * factor, call.Class.ValueLate * factor
 }
 
-func (w *simulation) classResult(class *Class, worth, owed map[*callState]float64) ClassResult {
-	r := ClassResult{Name: class.Name}
-	var visits []*callState
+func (sim *simulation) classResult(class *Class, earnedValues, dueValues map[*callState]float64) ClassResult {
+	result := ClassResult{Name: class.Name}
+	var states []*callState
 	total := 0.0
-	for _, v := range w.calls {
-		if v.call.Class == class {
-			visits = append(visits, v)
-			total += v.call.Cost()
+	for _, state := range sim.calls {
+		if state.call.Class == class {
+			states = append(states, state)
+			total += state.call.Cost()
 		}
 	}
-	var firsts []time.Duration
-	for _, v := range visits {
-		full, late := callValue(v.call, ratio(total, float64(len(visits))))
-		r.Calls++
-		owed[v] = full
-		r.ValueDue += full
-		switch v.outcome {
+	var firstEventTimes []time.Duration
+	for _, state := range states {
+		full, late := callValue(state.call, ratio(total, float64(len(states))))
+		result.Calls++
+		dueValues[state] = full
+		result.ValueDue += full
+		switch state.outcome {
 		case InTime:
-			r.InTime++
-			worth[v] = full
+			result.InTime++
+			earnedValues[state] = full
 		case InTimeAfterRejection:
-			r.Late++
-			worth[v] = (full + late) / 2
+			result.Late++
+			earnedValues[state] = (full + late) / 2
 		case Late:
-			r.Late++
-			worth[v] = late
+			result.Late++
+			earnedValues[state] = late
 		case Rejected:
-			r.Rejected++
+			result.Rejected++
 		default:
-			r.Failed++
+			result.Failed++
 		}
-		r.ValueEarned += worth[v]
-		if v.timeToFirstEvent > 0 {
-			firsts = append(firsts, v.timeToFirstEvent)
+		result.ValueEarned += earnedValues[state]
+		if state.timeToFirstEvent > 0 {
+			firstEventTimes = append(firstEventTimes, state.timeToFirstEvent)
 		}
 	}
-	r.FirstEventP50, r.FirstEventP95, r.FirstEventP99 = quantile(firsts, 0.5), quantile(firsts, 0.95), quantile(firsts, 0.99)
-	r.addSizeBreakdown(visits)
-	return r
+	result.FirstEventP50, result.FirstEventP95, result.FirstEventP99 = quantile(firstEventTimes, 0.5), quantile(firstEventTimes, 0.95), quantile(firstEventTimes, 0.99)
+	result.addSizeBreakdown(states)
+	return result
 }
 
 // addSizeBreakdown tells how the largest calls fared.
-func (r *ClassResult) addSizeBreakdown(visits []*callState) {
-	visits = slices.Clone(visits)
-	slices.SortStableFunc(visits, func(a, b *callState) int { return cmp.Compare(b.call.Cost(), a.call.Cost()) })
-	tenth, three := len(visits)/10, len(visits)*3/10
-	r.ServedShare, r.InTimeShare = servedShares(visits)
-	r.LargestServed, r.LargestInTime = servedShares(visits[:tenth])
-	r.LargeServed, r.LargeInTime = servedShares(visits[tenth:three])
+func (r *ClassResult) addSizeBreakdown(states []*callState) {
+	states = slices.Clone(states)
+	slices.SortStableFunc(states, func(a, b *callState) int { return cmp.Compare(b.call.Cost(), a.call.Cost()) })
+	tenth, threeTenths := len(states)/10, len(states)*3/10
+	r.ServedShare, r.InTimeShare = servedShares(states)
+	r.LargestServed, r.LargestInTime = servedShares(states[:tenth])
+	r.LargeServed, r.LargeInTime = servedShares(states[tenth:threeTenths])
 }
 
-func servedShares(visits []*callState) (served, inTime float64) {
-	for _, v := range visits {
+func servedShares(states []*callState) (served, inTime float64) {
+	for _, v := range states {
 		switch v.outcome {
 		case InTime:
 			inTime++
@@ -185,29 +185,29 @@
 			served++
 		}
 	}
-	return ratio(served, float64(len(visits))), ratio(inTime, float64(len(visits)))
+	return ratio(served, float64(len(states))), ratio(inTime, float64(len(states)))
 }
 
-// startsBefore orders visits by when they began.
-func startsBefore(v *callState, at time.Duration) int { return cmp.Compare(v.call.At, at) }
+// compareStart orders visits by when they began.
+func compareStart(v *callState, at time.Duration) int { return cmp.Compare(v.call.At, at) }
 
 // worstWindow is the share of worth earned of the calls that began within the worst window of a length.
-func (w *simulation) worstWindow(length time.Duration, worth, dueValues map[*callState]float64) (share float64, at time.Duration) {
-	const step, leastCalls = 100 * time.Millisecond, 10
+func (sim *simulation) worstWindow(length time.Duration, earnedValues, dueValues map[*callState]float64) (share float64, at time.Duration) {
+	const step, minCalls = 100 * time.Millisecond, 10
 	share = 1
-	for from := time.Duration(0); from+length <= w.scenario.Duration; from += step {
+	for start := time.Duration(0); start+length <= sim.scenario.Duration; start += step {
 		earned, due, calls := 0.0, 0.0, 0
-		first, _ := slices.BinarySearchFunc(w.calls, from, startsBefore)
-		for _, v := range w.calls[first:] {
-			if v.call.At >= from+length {
+		first, _ := slices.BinarySearchFunc(sim.calls, start, compareStart)
+		for _, state := range sim.calls[first:] {
+			if state.call.At >= start+length {
 				break
 			}
-			earned += worth[v]
-			due += dueValues[v]
+			earned += earnedValues[state]
+			due += dueValues[state]
 			calls++
 		}
-		if calls >= leastCalls && ratio(earned, due) < share {
-			share, at = ratio(earned, due), from
+		if calls >= minCalls && ratio(earned, due) < share {
+			share, at = ratio(earned, due), start
 		}
 	}
 	return share, at
--- a/internal/system/policysim/rivals.go
+++ b/internal/system/policysim/rivals.go
@@ -47,33 +47,33 @@
 
 var _ Policy = (*baseline)(nil)
 
-func (s *baseline) SetServices(time.Duration, []*configuration.Service) {}
+func (b *baseline) SetServices(time.Duration, []*configuration.Service) {}
 
-func (s *baseline) SetRunners(_ time.Duration, runners []placement.Runner) { s.runners = runners }
+func (b *baseline) SetRunners(_ time.Duration, runners []placement.Runner) { b.runners = runners }
 
-func (s *baseline) SetProxyCount(time.Duration, int) {}
+func (b *baseline) SetProxyCount(time.Duration, int) {}
 
-func (s *baseline) Place(_ time.Duration, r *placement.Request) (placement.Choice, *placement.Rejection) {
-	allowed := s.eligibleRunners(r)
+func (b *baseline) Place(_ time.Duration, request *placement.Request) (placement.Choice, *placement.Rejection) {
+	allowed := b.eligibleRunners(request)
 	if len(allowed) == 0 {
 		return placement.Choice{}, &placement.Rejection{RetryAfter: time.Second, Reason: "no runner"}
 	}
-	chosen := s.pick(s, r, allowed)
+	chosen := b.pick(b, request, allowed)
 	return placement.Choice{Runner: chosen.ID, Address: chosen.Address, Priority: -1}, nil
 }
 
 // eligibleRunners are the runners that may take a request; those that it was sent to already only if there are no others.
-func (s *baseline) eligibleRunners(r *placement.Request) []*placement.Runner {
+func (b *baseline) eligibleRunners(request *placement.Request) []*placement.Runner {
 	var fresh, tried []*placement.Runner
-	for i := range s.runners {
-		runner := &s.runners[i]
-		if runner.Service != r.Service || runner.Draining {
+	for i := range b.runners {
+		runner := &b.runners[i]
+		if runner.Service != request.Service || runner.Draining {
 			continue
 		}
-		if homes := r.Route.HomeRegions; len(homes) > 0 && !slices.Contains(homes, runner.Region) {
+		if homes := request.Route.HomeRegions; len(homes) > 0 && !slices.Contains(homes, runner.Region) {
 			continue
 		}
-		if slices.Contains(r.TriedRunners, runner.ID) {
+		if slices.Contains(request.TriedRunners, runner.ID) {
 			tried = append(tried, runner)
 		} else {
 			fresh = append(fresh, runner)
@@ -85,36 +85,36 @@
 	return tried
 }
 
-func (s *baseline) StartAttempt(_ time.Duration, r *placement.Request, c placement.Choice) *placement.Attempt {
-	s.attempts++
-	s.inFlight[c.Runner]++
-	return &placement.Attempt{ID: s.attempts, Runner: c.Runner, Request: r}
+func (b *baseline) StartAttempt(_ time.Duration, r *placement.Request, c placement.Choice) *placement.Attempt {
+	b.attempts++
+	b.inFlight[c.Runner]++
+	return &placement.Attempt{ID: b.attempts, Runner: c.Runner, Request: r}
 }
 
-func (s *baseline) HandleFirstEvent(time.Duration, *placement.Attempt) {}
+func (b *baseline) HandleFirstEvent(time.Duration, *placement.Attempt) {}
 
-func (s *baseline) HandleEvent(time.Duration, *placement.Attempt) {}
+func (b *baseline) HandleEvent(time.Duration, *placement.Attempt) {}
 
-func (s *baseline) EndAttempt(_ time.Duration, a *placement.Attempt, _ placement.Outcome, _ placement.Progress) {
-	s.inFlight[a.Runner]--
+func (b *baseline) EndAttempt(_ time.Duration, a *placement.Attempt, _ placement.Outcome, _ placement.Progress) {
+	b.inFlight[a.Runner]--
 }
 
-func (s *baseline) MayRetry(now time.Duration, r *placement.Request) bool {
+func (b *baseline) MayRetry(now time.Duration, r *placement.Request) bool {
 	return len(r.TriedRunners) < r.Route.MaxAttempts && now < r.Deadline && (!r.MayHaveRun || r.Route.IsIdempotent())
 }
 
-func (s *baseline) Tick(now time.Duration) time.Duration { return now + time.Second }
+func (b *baseline) Tick(now time.Duration) time.Duration { return now + time.Second }
 
-func (s *baseline) leastInFlight(_ *placement.Request, runners []*placement.Runner) *placement.Runner {
+func (b *baseline) leastInFlight(_ *placement.Request, runners []*placement.Runner) *placement.Runner {
 	var best *placement.Runner
 	ties := 0
 	for _, runner := range runners {
 		switch {
-		case best == nil || s.inFlight[runner.ID] < s.inFlight[best.ID]:
+		case best == nil || b.inFlight[runner.ID] < b.inFlight[best.ID]:
 			best, ties = runner, 1
-		case s.inFlight[runner.ID] == s.inFlight[best.ID]:
+		case b.inFlight[runner.ID] == b.inFlight[best.ID]:
 			ties++
-			if s.random.IntN(ties) == 0 {
+			if b.random.IntN(ties) == 0 {
 				best = runner
 			}
 		}
@@ -122,44 +122,44 @@
 	return best
 }
 
-func (s *baseline) twoChoices(_ *placement.Request, runners []*placement.Runner) *placement.Runner {
-	a := runners[s.random.IntN(len(runners))]
-	b := runners[s.random.IntN(len(runners))]
-	if s.inFlight[b.ID] < s.inFlight[a.ID] {
-		return b
+func (b *baseline) twoChoices(_ *placement.Request, runners []*placement.Runner) *placement.Runner {
+	first := runners[b.random.IntN(len(runners))]
+	second := runners[b.random.IntN(len(runners))]
+	if b.inFlight[second.ID] < b.inFlight[first.ID] {
+		return second
 	}
-	return a
+	return first
 }
 
-func (s *baseline) promptHash(r *placement.Request, runners []*placement.Runner) *placement.Runner {
-	if len(r.Chunks) < 2 {
-		return runners[s.random.IntN(len(runners))]
+func (b *baseline) promptHash(request *placement.Request, runners []*placement.Runner) *placement.Runner {
+	if len(request.Chunks) < 2 {
+		return runners[b.random.IntN(len(runners))]
 	}
-	return slices.MaxFunc(runners, byRendezvousWeight(r))
+	return slices.MaxFunc(runners, byRendezvousWeight(request))
 }
 
-func (s *baseline) boundedHash(r *placement.Request, runners []*placement.Runner) *placement.Runner {
-	if len(r.Chunks) < 2 {
-		return s.leastInFlight(r, runners)
+func (b *baseline) boundedHash(request *placement.Request, runners []*placement.Runner) *placement.Runner {
+	if len(request.Chunks) < 2 {
+		return b.leastInFlight(request, runners)
 	}
 	total := 1
 	for _, runner := range runners {
-		total += s.inFlight[runner.ID]
+		total += b.inFlight[runner.ID]
 	}
 	bound := maxLoadFactor * float64(total) / float64(len(runners))
-	order := byRendezvousWeight(r)
+	order := byRendezvousWeight(request)
 	slices.SortFunc(runners, func(a, b *placement.Runner) int { return order(b, a) })
 	for _, runner := range runners {
-		if float64(s.inFlight[runner.ID]+1) <= max(1, bound) {
+		if float64(b.inFlight[runner.ID]+1) <= max(1, bound) {
 			return runner
 		}
 	}
-	return s.leastInFlight(r, runners)
+	return b.leastInFlight(request, runners)
 }
 
 // byRendezvousWeight orders runners by rendezvous hashing of the last shared part of a prompt.
-func byRendezvousWeight(r *placement.Request) func(a, b *placement.Runner) int {
-	prefix := r.Chunks[len(r.Chunks)-2].ID
+func byRendezvousWeight(request *placement.Request) func(a, b *placement.Runner) int {
+	prefix := request.Chunks[len(request.Chunks)-2].ID
 	weight := func(runner *placement.Runner) uint64 {
 		key := binary.BigEndian.AppendUint64(nil, prefix)
 		return xxhash.Sum64(append(key, runner.ID...))
--- a/internal/system/policysim/send.go
+++ b/internal/system/policysim/send.go
@@ -8,113 +8,113 @@
 )
 
 // dispatch sends a try to the runner that the policy chooses, or refuses it.
-func (w *simulation) dispatch(v *callState) {
-	policy := v.proxy.policy
-	choice, refusal := policy.Place(w.now, v.request)
+func (sim *simulation) dispatch(state *callState) {
+	policy := state.proxy.policy
+	choice, refusal := policy.Place(sim.now, state.request)
 	if refusal != nil {
-		w.counters.rejections[refusal.Reason]++
-		w.after(w.scenario.ClientLatency, func() { w.handleRejection(v, refusal.RetryAfter) })
+		sim.counters.rejections[refusal.Reason]++
+		sim.after(sim.scenario.ClientLatency, func() { sim.handleRejection(state, refusal.RetryAfter) })
 		return
 	}
-	h := w.runnerByID(choice.Runner)
-	s := &attempt{sim: w, call: v, request: v.request, priority: choice.Priority, runner: h, sentAt: w.now, lastEventAt: w.now}
+	runner := sim.runnerByID(choice.Runner)
+	s := &attempt{sim: sim, state: state, request: state.request, priority: choice.Priority, runner: runner, sentAt: sim.now, lastEventAt: sim.now}
 	if s.priority < 0 {
 		s.priority = engine.DefaultPriority
 	}
-	s.placementAttempt = policy.StartAttempt(w.now, v.request, choice)
-	v.request.TriedRunners = append(v.request.TriedRunners, choice.Runner)
-	v.active = s
-	w.counters.countAttempt(v, h)
-	w.after(s.latency(), func() { h.handleRequest(s) })
+	s.placementAttempt = policy.StartAttempt(sim.now, state.request, choice)
+	state.request.TriedRunners = append(state.request.TriedRunners, choice.Runner)
+	state.active = s
+	sim.counters.countAttempt(state, runner)
+	sim.after(s.latency(), func() { runner.handleRequest(s) })
 }
 
-func (w *simulation) runnerByID(id string) *simulatedRunner {
-	for _, h := range w.runners {
-		if h.info.ID == id {
-			return h
+func (sim *simulation) runnerByID(id string) *simulatedRunner {
+	for _, runner := range sim.runners {
+		if runner.info.ID == id {
+			return runner
 		}
 	}
 	panic("experiment: a policy chose runner " + id + ", which there is not")
 }
 
 // engineRequest is what the runner is asked to do: what the client has of a stream is not generated again.
-func (s *attempt) engineRequest() *engine.Request {
-	call := s.call.call
-	r := &engine.Request{Model: s.request.Model, Out: call.OutputTokens, Work: call.Work, Priority: s.priority,
-		Deadline: s.request.Deadline}
+func (a *attempt) engineRequest() *engine.Request {
+	call := a.state.call
+	r := &engine.Request{Model: a.request.Model, Out: call.OutputTokens, Work: call.Work, Priority: a.priority,
+		Deadline: a.request.Deadline}
 	for _, part := range call.Chunks {
 		r.Parts = append(r.Parts, engine.Part{ID: part.ID, Tokens: part.Tokens})
 	}
-	if done := s.call.events * s.sim.scenario.tokensPerEvent(call.Class.Service); done > 0 {
+	if done := a.state.events * a.sim.scenario.tokensPerEvent(call.Class.Service); done > 0 {
 		r.Done = min(done, r.Out-1)
 	}
 	return r
 }
 
-func (s *attempt) latency() time.Duration {
-	return s.sim.scenario.latency(s.call.proxy.zone, s.runner.info.Zone)
+func (a *attempt) latency() time.Duration {
+	return a.sim.scenario.latency(a.state.proxy.zone, a.runner.info.Zone)
 }
 
 // respond does something at the proxy, once a message from the runner has got there.
-func (s *attempt) respond(do func()) { s.sim.after(s.latency(), do) }
+func (a *attempt) respond(do func()) { a.sim.after(a.latency(), do) }
 
 // handleEvent is the arrival of an event at the proxy.
-func (s *attempt) handleEvent() {
-	if s.ended {
+func (a *attempt) handleEvent() {
+	if a.ended {
 		return
 	}
-	w := s.sim
-	policy := s.call.proxy.policy
-	if s.progress.Events == 0 {
-		s.progress.TimeToFirstEvent = w.now - s.sentAt
-		policy.HandleFirstEvent(w.now, s.placementAttempt)
+	sim := a.sim
+	policy := a.state.proxy.policy
+	if a.progress.Events == 0 {
+		a.progress.TimeToFirstEvent = sim.now - a.sentAt
+		policy.HandleFirstEvent(sim.now, a.placementAttempt)
 	} else {
-		s.progress.LongestEventGap = max(s.progress.LongestEventGap, w.now-s.lastEventAt)
-		policy.HandleEvent(w.now, s.placementAttempt)
+		a.progress.LongestEventGap = max(a.progress.LongestEventGap, sim.now-a.lastEventAt)
+		policy.HandleEvent(sim.now, a.placementAttempt)
 	}
-	s.progress.Events++
-	s.lastEventAt = w.now
-	w.after(w.scenario.ClientLatency, func() { w.handleEvent(s.call) })
+	a.progress.Events++
+	a.lastEventAt = sim.now
+	sim.after(sim.scenario.ClientLatency, func() { sim.handleEvent(a.state) })
 }
 
 // closeCancelled tells the policy of the end of an attempt that the client has left, and the runner too.
-func (s *attempt) closeCancelled(o placement.Outcome) {
-	w := s.sim
-	s.progress.Duration = w.now - s.sentAt
-	s.call.proxy.policy.EndAttempt(w.now, s.placementAttempt, o, s.progress)
-	w.after(s.latency(), func() { s.runner.cancel(s) })
+func (a *attempt) closeCancelled(outcome placement.Outcome) {
+	sim := a.sim
+	a.progress.Duration = sim.now - a.sentAt
+	a.state.proxy.policy.EndAttempt(sim.now, a.placementAttempt, outcome, a.progress)
+	sim.after(a.latency(), func() { a.runner.cancel(a) })
 }
 
 // handleEnd is the arrival of an attempt's end at the proxy.
-func (s *attempt) handleEnd(o placement.Outcome) {
-	if s.ended {
+func (a *attempt) handleEnd(outcome placement.Outcome) {
+	if a.ended {
 		return
 	}
-	s.ended = true
-	w, v := s.sim, s.call
-	v.active = nil
-	s.progress.Duration = w.now - s.sentAt
-	if o == placement.Succeeded && s.progress.TimeToFirstEvent == 0 {
-		s.progress.TimeToFirstEvent = s.progress.Duration
+	a.ended = true
+	sim, state := a.sim, a.state
+	state.active = nil
+	a.progress.Duration = sim.now - a.sentAt
+	if outcome == placement.Succeeded && a.progress.TimeToFirstEvent == 0 {
+		a.progress.TimeToFirstEvent = a.progress.Duration
 	}
-	v.proxy.policy.EndAttempt(w.now, s.placementAttempt, o, s.progress)
-	switch o {
+	state.proxy.policy.EndAttempt(sim.now, a.placementAttempt, outcome, a.progress)
+	switch outcome {
 	case placement.Succeeded:
-		w.after(w.scenario.ClientLatency, func() { w.handleCompletion(v) })
+		sim.after(sim.scenario.ClientLatency, func() { sim.handleCompletion(state) })
 	case placement.Rejected, placement.Misdirected, placement.ConnectFailed:
-		w.retryOrReport(v, func() { w.handleRejection(v, 0) })
+		sim.retryOrReport(state, func() { sim.handleRejection(state, 0) })
 	default:
-		s.request.MayHaveRun = true
-		w.retryOrReport(v, func() { w.handleFailure(v) })
+		a.request.MayHaveRun = true
+		sim.retryOrReport(state, func() { sim.handleFailure(state) })
 	}
 }
 
 // retryOrReport sends a try to another runner if it may be; otherwise the client is told.
-func (w *simulation) retryOrReport(v *callState, tell func()) {
-	if v.proxy.policy.MayRetry(w.now, v.request) {
-		w.counters.retries++
-		w.dispatch(v)
+func (sim *simulation) retryOrReport(state *callState, tell func()) {
+	if state.proxy.policy.MayRetry(sim.now, state.request) {
+		sim.counters.retries++
+		sim.dispatch(state)
 		return
 	}
-	w.after(w.scenario.ClientLatency, tell)
+	sim.after(sim.scenario.ClientLatency, tell)
 }
--- a/internal/system/policysim/traffic.go
+++ b/internal/system/policysim/traffic.go
@@ -22,11 +22,11 @@
 
 // Sample draws a size of at least 1.
 func (s SizeDistribution) Sample(random *rand.Rand) float64 {
-	v := s.Mean * math.Exp(s.Spread*random.NormFloat64()-s.Spread*s.Spread/2)
+	size := s.Mean * math.Exp(s.Spread*random.NormFloat64()-s.Spread*s.Spread/2)
 	if s.Max > 0 {
-		v = min(v, s.Max)
+		size = min(size, s.Max)
 	}
-	return max(1, v)
+	return max(1, size)
 }
 
 // SharedChunk is a part that requests of a class have in common: there are so many different ones, and a request has one
@@ -90,8 +90,8 @@
 
 // Cost is what the worth of a generation is measured by.
 func (c *Call) Cost() float64 {
-	const outWeight = 10
-	return float64(c.PromptTokens()) + outWeight*float64(c.OutputTokens)
+	const outputWeight = 10
+	return float64(c.PromptTokens()) + outputWeight*float64(c.OutputTokens)
 }
 
 // trafficGenerator draws the calls of a run.
@@ -102,42 +102,42 @@
 }
 
 // GenerateTraffic draws the calls of a scenario, in order of time.
-func GenerateTraffic(s *Scenario, seed uint64) []*Call {
-	t := &trafficGenerator{scenario: s, random: rand.New(rand.NewPCG(seed, 1))}
-	for i := range s.Classes {
-		for j := range s.Zones {
-			t.generateZone(&s.Classes[i], &s.Zones[j])
+func GenerateTraffic(scenario *Scenario, seed uint64) []*Call {
+	generator := &trafficGenerator{scenario: scenario, random: rand.New(rand.NewPCG(seed, 1))}
+	for i := range scenario.Classes {
+		for j := range scenario.Zones {
+			generator.generateZone(&scenario.Classes[i], &scenario.Zones[j])
 		}
 	}
-	slices.SortStableFunc(t.calls, func(a, b *Call) int { return cmp.Compare(a.At, b.At) })
-	return t.calls
+	slices.SortStableFunc(generator.calls, func(a, b *Call) int { return cmp.Compare(a.At, b.At) })
+	return generator.calls
 }
 
 // generateZone draws the calls of a class from a zone: clumps at a rate that swings, thinned from the highest rate.
-func (t *trafficGenerator) generateZone(class *Class, zone *Zone) {
-	meanRate := class.RequestsPerSecond * t.scenario.Load * zone.TrafficShare
+func (g *trafficGenerator) generateZone(class *Class, zone *Zone) {
+	meanRate := class.RequestsPerSecond * g.scenario.Load * zone.TrafficShare
 	batchSize := max(1, zone.RateVariation.MeanBatchSize)
-	maxRate := meanRate * (1 + zone.RateVariation.Amplitude) * t.maxBurstFactor(class) / batchSize
+	maxRate := meanRate * (1 + zone.RateVariation.Amplitude) * g.maxBurstFactor(class) / batchSize
 	for at := 0.0; maxRate > 0; {
-		at += t.random.ExpFloat64() / maxRate
-		if at >= t.scenario.Duration.Seconds() {
+		at += g.random.ExpFloat64() / maxRate
+		if at >= g.scenario.Duration.Seconds() {
 			return
 		}
 		now := secondsToDuration(at)
-		rate := meanRate * zone.RateVariation.factorAt(now) * t.burstFactor(class, now) / batchSize
-		if t.random.Float64()*maxRate >= rate {
+		rate := meanRate * zone.RateVariation.factorAt(now) * g.burstFactor(class, now) / batchSize
+		if g.random.Float64()*maxRate >= rate {
 			continue
 		}
-		for range t.sampleBatchSize(batchSize) {
-			t.addCall(now+time.Duration(t.random.Float64()*float64(batchSpan)), class, zone.Name)
+		for range g.sampleBatchSize(batchSize) {
+			g.addCall(now+time.Duration(g.random.Float64()*float64(batchSpan)), class, zone.Name)
 		}
 	}
 }
 
 // sampleBatchSize draws from a geometric distribution.
-func (t *trafficGenerator) sampleBatchSize(mean float64) int {
+func (g *trafficGenerator) sampleBatchSize(mean float64) int {
 	n := 1
-	for t.random.Float64() > 1/mean {
+	for g.random.Float64() > 1/mean {
 		n++
 	}
 	return n
@@ -150,9 +150,9 @@
 	return 1 + w.Amplitude*math.Sin(2*math.Pi*(now.Seconds()/w.Period.Seconds()+w.Phase))
 }
 
-func (t *trafficGenerator) burstFactor(class *Class, now time.Duration) float64 {
+func (g *trafficGenerator) burstFactor(class *Class, now time.Duration) float64 {
 	factor := 1.0
-	for _, b := range t.scenario.Bursts {
+	for _, b := range g.scenario.Bursts {
 		if b.Class == class.Name && now >= b.Start && now < b.Start+b.Duration {
 			factor *= b.Factor
 		}
@@ -160,9 +160,9 @@
 	return factor
 }
 
-func (t *trafficGenerator) maxBurstFactor(class *Class) float64 {
+func (g *trafficGenerator) maxBurstFactor(class *Class) float64 {
 	factor := 1.0
-	for _, b := range t.scenario.Bursts {
+	for _, b := range g.scenario.Bursts {
 		if b.Class == class.Name {
 			factor *= max(1, b.Factor)
 		}
@@ -170,21 +170,21 @@
 	return factor
 }
 
-func (t *trafficGenerator) addCall(at time.Duration, class *Class, zone string) {
+func (g *trafficGenerator) addCall(at time.Duration, class *Class, zone string) {
 	call := &Call{At: at, Class: class, Zone: zone}
-	t.calls = append(t.calls, call)
+	g.calls = append(g.calls, call)
 	if class.Type != configuration.Streaming {
-		call.Work = time.Duration(class.WorkMS.Sample(t.random) * float64(time.Millisecond))
+		call.Work = time.Duration(class.WorkMS.Sample(g.random) * float64(time.Millisecond))
 		return
 	}
 	if n := len(class.SharedChunks); n > 0 {
-		subject := sampleSkewed(t.random, class.SharedChunks[n-1].Variants, class.Skew)
+		subject := sampleSkewed(g.random, class.SharedChunks[n-1].Variants, class.Skew)
 		for level, part := range class.SharedChunks {
 			call.Chunks = append(call.Chunks, sharedChunk(class, level, subject%part.Variants, part.Tokens))
 		}
 	}
-	call.Chunks = append(call.Chunks, placement.Chunk{ID: t.random.Uint64(), Tokens: int(class.OwnTokens.Sample(t.random))})
-	call.OutputTokens = int(math.Ceil(class.Events.Sample(t.random))) * t.scenario.tokensPerEvent(class.Service)
+	call.Chunks = append(call.Chunks, placement.Chunk{ID: g.random.Uint64(), Tokens: int(class.OwnTokens.Sample(g.random))})
+	call.OutputTokens = int(math.Ceil(class.Events.Sample(g.random))) * g.scenario.tokensPerEvent(class.Service)
 }
 
 // sharedChunk is a thing of a class: its id and size are the same in every run.
--- a/internal/system/policysim/visit.go
+++ b/internal/system/policysim/visit.go
@@ -38,7 +38,7 @@
 // attempt is an attempt at a runner.
 type attempt struct {
 	sim              *simulation
-	call             *callState
+	state            *callState
 	request          *placement.Request
 	priority         int
 	runner           *simulatedRunner
@@ -51,150 +51,152 @@
 }
 
 // startClientAttempt is the begin of a try, at the client.
-func (w *simulation) startClientAttempt(v *callState) {
-	v.clientAttempts++
-	v.attemptStart = w.now
-	v.lastEventAt = w.now
-	v.proxy = w.nextProxyIn(v.call.Zone)
-	w.scheduleTimeout(v, v.clientAttempts)
-	w.after(w.scenario.ClientLatency, func() { w.handleAtProxy(v) })
+func (sim *simulation) startClientAttempt(state *callState) {
+	state.clientAttempts++
+	state.attemptStart = sim.now
+	state.lastEventAt = sim.now
+	state.proxy = sim.nextProxyIn(state.call.Zone)
+	sim.scheduleTimeout(state, state.clientAttempts)
+	sim.after(sim.scenario.ClientLatency, func() { sim.handleAtProxy(state) })
 }
 
 // nextProxyIn is the next proxy of a zone.
-func (w *simulation) nextProxyIn(zone string) *proxy {
-	for range w.proxies {
-		w.proxyTurn++
-		if p := w.proxies[w.proxyTurn%len(w.proxies)]; p.zone == zone {
+func (sim *simulation) nextProxyIn(zone string) *proxy {
+	for range sim.proxies {
+		sim.proxyTurn++
+		if p := sim.proxies[sim.proxyTurn%len(sim.proxies)]; p.zone == zone {
 			return p
 		}
 	}
-	return w.proxies[0]
+	return sim.proxies[0]
 }
 
 // handleAtProxy is the arrival of a try at the proxy.
-func (w *simulation) handleAtProxy(v *callState) {
-	if v.finished {
+func (sim *simulation) handleAtProxy(state *callState) {
+	if state.finished {
 		return
 	}
-	c := v.call
+	c := state.call
 	model := ""
 	if c.Class.Type == configuration.Streaming {
 		model = modelName
 	}
-	v.request = &placement.Request{Route: w.routes[c.Class.Name], Service: c.Class.Service, Model: model, Chunks: c.Chunks,
-		InputTokens: c.PromptTokens(), MaxOutputTokens: c.OutputTokens, BodyBytes: 2 * c.PromptTokens(), ArrivedAt: w.now, Deadline: w.deadline(v)}
-	w.dispatch(v)
+	state.request = &placement.Request{Route: sim.routes[c.Class.Name], Service: c.Class.Service, Model: model, Chunks: c.Chunks,
+		InputTokens: c.PromptTokens(), MaxOutputTokens: c.OutputTokens, BodyBytes: 2 * c.PromptTokens(), ArrivedAt: sim.now, Deadline: sim.deadline(state)}
+	sim.dispatch(state)
 }
 
-func (w *simulation) deadline(v *callState) time.Duration { return v.call.At + v.call.Class.Deadline }
+func (sim *simulation) deadline(state *callState) time.Duration {
+	return state.call.At + state.call.Class.Deadline
+}
 
 // silenceTimeout is how long a client bears silence.
-func (v *callState) silenceTimeout() time.Duration {
-	class := v.call.Class
+func (s *callState) silenceTimeout() time.Duration {
+	class := s.call.Class
 	return max(minSilenceTimeout, targetTimeoutFactor*class.LatencyTarget, gapTimeoutFactor*class.EventGapTarget)
 }
 
 // scheduleTimeout ends a try whose client has waited for too long.
-func (w *simulation) scheduleTimeout(v *callState, try int) {
-	until := w.deadline(v)
-	if v.call.Class.Type == configuration.Streaming {
-		until = min(until, v.lastEventAt+v.silenceTimeout())
+func (sim *simulation) scheduleTimeout(state *callState, try int) {
+	until := sim.deadline(state)
+	if state.call.Class.Type == configuration.Streaming {
+		until = min(until, state.lastEventAt+state.silenceTimeout())
 	}
-	w.at(max(until, w.now), func() {
-		if v.finished || v.clientAttempts != try {
+	sim.at(max(until, sim.now), func() {
+		if state.finished || state.clientAttempts != try {
 			return
 		}
-		if v.lastEventAt+v.silenceTimeout() > w.now && w.now < w.deadline(v) {
-			w.scheduleTimeout(v, try)
+		if state.lastEventAt+state.silenceTimeout() > sim.now && sim.now < sim.deadline(state) {
+			sim.scheduleTimeout(state, try)
 			return
 		}
-		w.abandon(v)
+		sim.abandon(state)
 	})
 }
 
 // abandon is a client's leaving.
-func (w *simulation) abandon(v *callState) {
-	if s := v.active; s != nil {
-		v.active = nil
+func (sim *simulation) abandon(state *callState) {
+	if s := state.active; s != nil {
+		state.active = nil
 		outcome := placement.Cancelled
-		if s.progress.Events == 0 && w.now-s.sentAt >= v.silenceTimeout() {
+		if s.progress.Events == 0 && sim.now-s.sentAt >= state.silenceTimeout() {
 			outcome = placement.TimedOut
 		}
 		s.ended = true
-		w.after(w.scenario.ClientLatency, func() { s.closeCancelled(outcome) })
+		sim.after(sim.scenario.ClientLatency, func() { s.closeCancelled(outcome) })
 	}
-	w.finish(v, Failed)
+	sim.finish(state, Failed)
 }
 
 // retry begins another try after a wait, if the client has one left.
-func (w *simulation) retry(v *callState, wait time.Duration) bool {
-	left := w.deadline(v) - w.now
-	if v.clientAttempts > v.call.Class.ClientRetries || left <= 0 {
+func (sim *simulation) retry(state *callState, wait time.Duration) bool {
+	remaining := sim.deadline(state) - sim.now
+	if state.clientAttempts > state.call.Class.ClientRetries || remaining <= 0 {
 		return false
 	}
 	const waitShare = 3 // of the time left, that a client waits at most
-	w.after(min(wait, left/waitShare), func() { w.startClientAttempt(v) })
+	sim.after(min(wait, remaining/waitShare), func() { sim.startClientAttempt(state) })
 	return true
 }
 
 // handleRejection is the arrival of a refusal at the client.
-func (w *simulation) handleRejection(v *callState, wait time.Duration) {
-	if v.finished {
+func (sim *simulation) handleRejection(state *callState, wait time.Duration) {
+	if state.finished {
 		return
 	}
-	const early = 4 // a refusal within this part of the target costs less
-	if v.clientAttempts == 1 && w.now-v.attemptStart <= v.call.Class.LatencyTarget/early {
-		v.rejectedEarly = true
+	const earlyFraction = 4 // a refusal within this part of the target costs less
+	if state.clientAttempts == 1 && sim.now-state.attemptStart <= state.call.Class.LatencyTarget/earlyFraction {
+		state.rejectedEarly = true
 	}
-	if !w.retry(v, wait) {
-		w.finish(v, Rejected)
+	if !sim.retry(state, wait) {
+		sim.finish(state, Rejected)
 	}
 }
 
 // handleFailure is the arrival of a failure at the client.
-func (w *simulation) handleFailure(v *callState) {
-	if v.finished {
+func (sim *simulation) handleFailure(state *callState) {
+	if state.finished {
 		return
 	}
-	if !w.routes[v.call.Class.Name].IsIdempotent() || !w.retry(v, 0) {
-		w.finish(v, Failed)
+	if !sim.routes[state.call.Class.Name].IsIdempotent() || !sim.retry(state, 0) {
+		sim.finish(state, Failed)
 	}
 }
 
 // handleCompletion is the arrival of the last byte at the client.
-func (w *simulation) handleCompletion(v *callState) {
-	if v.finished {
+func (sim *simulation) handleCompletion(state *callState) {
+	if state.finished {
 		return
 	}
 	outcome := InTime
-	class := v.call.Class
+	class := state.call.Class
 	if class.Type != configuration.Streaming {
-		v.timeToFirstEvent = w.now - v.call.At
+		state.timeToFirstEvent = sim.now - state.call.At
 	}
-	if v.timeToFirstEvent > class.LatencyTarget || class.EventGapTarget > 0 && v.longestEventGap > class.EventGapTarget {
+	if state.timeToFirstEvent > class.LatencyTarget || class.EventGapTarget > 0 && state.longestEventGap > class.EventGapTarget {
 		outcome = Late
 	}
-	if outcome == Late && v.rejectedEarly && v.clientAttempts == 2 && v.timeToFirstEvent-(v.attemptStart-v.call.At) <= class.LatencyTarget {
+	if outcome == Late && state.rejectedEarly && state.clientAttempts == 2 && state.timeToFirstEvent-(state.attemptStart-state.call.At) <= class.LatencyTarget {
 		outcome = InTimeAfterRejection
 	}
-	w.finish(v, outcome)
+	sim.finish(state, outcome)
 }
 
 // handleEvent is the arrival of an event at the client.
-func (w *simulation) handleEvent(v *callState) {
-	if v.finished {
+func (sim *simulation) handleEvent(state *callState) {
+	if state.finished {
 		return
 	}
-	if v.events == 0 {
-		v.timeToFirstEvent = w.now - v.call.At
+	if state.events == 0 {
+		state.timeToFirstEvent = sim.now - state.call.At
 	} else {
-		v.longestEventGap = max(v.longestEventGap, w.now-v.lastEventAt)
+		state.longestEventGap = max(state.longestEventGap, sim.now-state.lastEventAt)
 	}
-	v.events++
-	v.lastEventAt = w.now
+	state.events++
+	state.lastEventAt = sim.now
 }
 
-func (w *simulation) finish(v *callState, o Outcome) {
-	v.finished = true
-	v.outcome = o
+func (sim *simulation) finish(state *callState, outcome Outcome) {
+	state.finished = true
+	state.outcome = outcome
 }
--- a/internal/system/policysim/world.go
+++ b/internal/system/policysim/world.go
@@ -44,164 +44,164 @@
 }
 
 // Run plays a scenario with a contestant's policies.
-func Run(s *Scenario, c PolicyFactory, seed uint64) (*Result, error) {
-	w := &simulation{scenario: s, counters: newCounters()}
-	if err := w.build(c, seed); err != nil {
-		return nil, fmt.Errorf("experiment: %s: %w", c.Name, err)
+func Run(scenario *Scenario, factory PolicyFactory, seed uint64) (*Result, error) {
+	sim := &simulation{scenario: scenario, counters: newCounters()}
+	if err := sim.build(factory, seed); err != nil {
+		return nil, fmt.Errorf("experiment: %s: %w", factory.Name, err)
 	}
-	for _, call := range GenerateTraffic(s, seed) {
-		v := &callState{call: call}
-		w.calls = append(w.calls, v)
-		w.at(call.At, func() { w.startClientAttempt(v) })
+	for _, call := range GenerateTraffic(scenario, seed) {
+		state := &callState{call: call}
+		sim.calls = append(sim.calls, state)
+		sim.at(call.At, func() { sim.startClientAttempt(state) })
 	}
-	for _, crash := range s.Crashes {
-		w.at(crash.At, func() { w.crashRunner(crash) })
+	for _, crash := range scenario.Crashes {
+		sim.at(crash.At, func() { sim.crashRunner(crash) })
 	}
-	w.runUntil(s.Duration + drainTime)
-	return w.result(c.Name), nil
+	sim.runUntil(scenario.Duration + drainTime)
+	return sim.result(factory.Name), nil
 }
 
-func (w *simulation) at(at time.Duration, do func()) { w.eventQueue.At(at.Seconds(), do) }
+func (sim *simulation) at(at time.Duration, do func()) { sim.eventQueue.At(at.Seconds(), do) }
 
-func (w *simulation) after(wait time.Duration, do func()) { w.at(w.now+wait, do) }
+func (sim *simulation) after(wait time.Duration, do func()) { sim.at(sim.now+wait, do) }
 
-func (w *simulation) runUntil(until time.Duration) {
+func (sim *simulation) runUntil(until time.Duration) {
 	for {
-		at, do, is := w.eventQueue.Next(until.Seconds())
+		at, do, is := sim.eventQueue.Next(until.Seconds())
 		if !is {
 			return
 		}
-		w.now = max(w.now, secondsToDuration(at))
+		sim.now = max(sim.now, secondsToDuration(at))
 		do()
 	}
 }
 
-func (w *simulation) build(c PolicyFactory, seed uint64) error {
-	w.buildConfiguration()
-	for i := range w.scenario.Services {
-		service := &w.scenario.Services[i]
-		for _, zone := range w.scenario.Zones {
+func (sim *simulation) build(factory PolicyFactory, seed uint64) error {
+	sim.buildConfiguration()
+	for i := range sim.scenario.Services {
+		service := &sim.scenario.Services[i]
+		for _, zone := range sim.scenario.Zones {
 			for range service.Runners[zone.Name] {
-				if _, err := w.startRunner(service, zone.Name); err != nil {
+				if _, err := sim.startRunner(service, zone.Name); err != nil {
 					return err
 				}
 			}
 		}
 	}
 	zones := make(map[string]string)
-	for _, zone := range w.scenario.Zones {
+	for _, zone := range sim.scenario.Zones {
 		zones[zone.Name] = zone.Region
 	}
-	for _, zone := range w.scenario.Zones {
+	for _, zone := range sim.scenario.Zones {
 		for range zone.Proxies {
 			seed += 1_000_003
-			policy, err := c.New(placement.Options{Zone: zone.Name, Region: zone.Region, Zones: zones, RetryRatio: retryRatio,
+			policy, err := factory.New(placement.Options{Zone: zone.Name, Region: zone.Region, Zones: zones, RetryRatio: retryRatio,
 				RetryWindow: retryWindow, RetryAllowance: retryAllowance, SlowStartFactor: slowStartFactor, SlowStartAllowance: slowStartAllowance}, seed)
 			if err != nil {
 				return err
 			}
-			w.proxies = append(w.proxies, &proxy{zone: zone.Name, policy: policy})
+			sim.proxies = append(sim.proxies, &proxy{zone: zone.Name, policy: policy})
 		}
 	}
-	for _, p := range w.proxies {
-		p.policy.SetServices(0, w.services)
-		p.policy.SetProxyCount(0, len(w.proxies))
-		w.tickPolicy(p)
+	for _, p := range sim.proxies {
+		p.policy.SetServices(0, sim.services)
+		p.policy.SetProxyCount(0, len(sim.proxies))
+		sim.tickPolicy(p)
 	}
-	w.publishRunners()
+	sim.publishRunners()
 	return nil
 }
 
-func (w *simulation) buildConfiguration() {
-	w.routes = make(map[string]*configuration.Route)
-	for i := range w.scenario.Classes {
-		c := &w.scenario.Classes[i]
-		w.routes[c.Name] = &configuration.Route{Name: c.Name, Host: "screening.example", PathPrefix: "/" + c.Name + "/",
+func (sim *simulation) buildConfiguration() {
+	sim.routes = make(map[string]*configuration.Route)
+	for i := range sim.scenario.Classes {
+		c := &sim.scenario.Classes[i]
+		sim.routes[c.Name] = &configuration.Route{Name: c.Name, Host: "screening.example", PathPrefix: "/" + c.Name + "/",
 			Type:    c.Type,
 			Timeout: c.Deadline, LatencyTarget: c.LatencyTarget, EventGapTarget: c.EventGapTarget, Rank: c.Rank, MaxAttempts: c.MaxAttempts, Resumable: c.Resumable,
 			Shares: []configuration.Share{{Service: c.Service, Weight: 1}}, PrefixAffinity: c.Type == configuration.Streaming,
 			HomeRegions: c.HomeRegions}
 	}
-	for i := range w.scenario.Services {
-		s := &w.scenario.Services[i]
+	for i := range sim.scenario.Services {
+		s := &sim.scenario.Services[i]
 		service := &configuration.Service{Name: s.Name, HealthPath: "/health", MaxConnections: s.MaxConnections, SlowStartDuration: s.SlowStartDuration,
 			SlowStartRate: s.SlowStartRate}
 		if s.Engine != nil {
 			service.Backend = &configuration.Backend{Capacity: s.Engine.Slots, CacheTokens: s.Engine.MemoryTokens,
 				CacheBytesPerToken: 327680, LinkMbps: 370000, TokensPerEvent: s.Engine.StrideTokens, Models: []string{modelName}}
 		}
-		w.services = append(w.services, service)
+		sim.services = append(sim.services, service)
 	}
 }
 
-func (w *simulation) tickPolicy(p *proxy) {
-	next := p.policy.Tick(w.now)
-	w.at(max(next, w.now+time.Millisecond), func() { w.tickPolicy(p) })
+func (sim *simulation) tickPolicy(p *proxy) {
+	next := p.policy.Tick(sim.now)
+	sim.at(max(next, sim.now+time.Millisecond), func() { sim.tickPolicy(p) })
 }
 
 // publishRunners tells all proxies of the runners that are up.
-func (w *simulation) publishRunners() {
+func (sim *simulation) publishRunners() {
 	var runners []placement.Runner
-	for _, h := range w.runners {
-		if h.listed {
-			runners = append(runners, h.info)
+	for _, runner := range sim.runners {
+		if runner.listed {
+			runners = append(runners, runner.info)
 		}
 	}
-	for _, p := range w.proxies {
-		p.policy.SetRunners(w.now, runners)
+	for _, p := range sim.proxies {
+		p.policy.SetRunners(sim.now, runners)
 	}
 }
 
 // startRunner starts a new incarnation of a runner.
-func (w *simulation) startRunner(service *Service, zone string) (*simulatedRunner, error) {
-	w.incarnations++
-	h := &simulatedRunner{sim: w, up: true, listed: true, service: service, attempts: make(map[*engine.Task]*attempt)}
-	h.slowStart = engine.Cold{Rate: service.SlowStartRate, Excess: slowStartFactor, Slack: slowStartAllowance, Falls: slowStartFailureFactor}
-	h.info = placement.Runner{ID: fmt.Sprintf("i-%04x", w.incarnations), Service: service.Name, Zone: zone,
-		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(w.incarnations >> 8), byte(w.incarnations)}), 8080),
-		Region:  w.scenario.regionOf(zone), Capacity: service.Slots}
+func (sim *simulation) startRunner(service *Service, zone string) (*simulatedRunner, error) {
+	sim.incarnations++
+	runner := &simulatedRunner{sim: sim, up: true, listed: true, service: service, attempts: make(map[*engine.Task]*attempt)}
+	runner.slowStart = engine.Cold{Rate: service.SlowStartRate, Excess: slowStartFactor, Slack: slowStartAllowance, Falls: slowStartFailureFactor}
+	runner.info = placement.Runner{ID: fmt.Sprintf("i-%04x", sim.incarnations), Service: service.Name, Zone: zone,
+		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(sim.incarnations >> 8), byte(sim.incarnations)}), 8080),
+		Region:  sim.scenario.regionOf(zone), Capacity: service.Slots}
 	var err error
 	if service.Engine != nil {
-		h.info.Capacity, h.info.Models = service.Engine.Slots, []string{modelName}
-		h.engine, err = engine.New(*service.Engine)
+		runner.info.Capacity, runner.info.Models = service.Engine.Slots, []string{modelName}
+		runner.engine, err = engine.New(*service.Engine)
 	} else {
-		h.engine, err = engine.NewWorkers(service.Slots, service.QueueLength)
+		runner.engine, err = engine.NewWorkers(service.Slots, service.QueueLength)
 	}
-	w.runners = append(w.runners, h)
-	return h, err
+	sim.runners = append(sim.runners, runner)
+	return runner, err
 }
 
 // crashRunner ends a runner; a new incarnation takes its place later, cold and with nothing kept.
-func (w *simulation) crashRunner(c Crash) {
-	var of []*simulatedRunner
-	for _, h := range w.runners {
-		if h.service.Name == c.Service && h.up {
-			of = append(of, h)
+func (sim *simulation) crashRunner(crash Crash) {
+	var candidates []*simulatedRunner
+	for _, runner := range sim.runners {
+		if runner.service.Name == crash.Service && runner.up {
+			candidates = append(candidates, runner)
 		}
 	}
-	if c.RunnerIndex >= len(of) {
+	if crash.RunnerIndex >= len(candidates) {
 		return
 	}
-	h := of[c.RunnerIndex]
-	h.stop(c.Silent)
-	w.after(w.scenario.DiscoveryLag, func() {
-		h.listed = false
-		w.publishRunners()
+	runner := candidates[crash.RunnerIndex]
+	runner.stop(crash.Silent)
+	sim.after(sim.scenario.DiscoveryLag, func() {
+		runner.listed = false
+		sim.publishRunners()
 	})
-	w.after(c.Downtime, func() { w.restartRunner(h) })
+	sim.after(crash.Downtime, func() { sim.restartRunner(runner) })
 }
 
-func (w *simulation) restartRunner(old *simulatedRunner) {
-	h, err := w.startRunner(old.service, old.info.Zone)
+func (sim *simulation) restartRunner(old *simulatedRunner) {
+	runner, err := sim.startRunner(old.service, old.info.Zone)
 	if err != nil {
 		panic(err) // its options were good before
 	}
-	h.listed = false
-	until := w.now + old.service.SlowStartDuration
-	h.slowStart.Begin(until)
-	w.after(w.scenario.DiscoveryLag, func() {
-		h.listed = true
-		h.info.SlowStartUntil = until
-		w.publishRunners()
+	runner.listed = false
+	until := sim.now + old.service.SlowStartDuration
+	runner.slowStart.Begin(until)
+	sim.after(sim.scenario.DiscoveryLag, func() {
+		runner.listed = true
+		runner.info.SlowStartUntil = until
+		sim.publishRunners()
 	})
 }
