--- a/internal/system/configuration/items.go
+++ b/internal/system/configuration/items.go
@@ -64,9 +64,11 @@
 		case strings.HasPrefix(key, feed.KeyPrefixExtra):
 			document.extras = append(document.extras, extraField{name: key[len(feed.KeyPrefixExtra):], raw: value})
 		case strings.HasPrefix(key, feed.KeyPrefixRoute):
-			document.routes, err = appendEntry(document.routes, routes[key[len(feed.KeyPrefixRoute):]], value, parseRoute, routeName)
+			document.routes, err = appendEntry(document.routes, routes[key[len(feed.KeyPrefixRoute):]], value,
+				parseRoute, routeName)
 		case strings.HasPrefix(key, feed.KeyPrefixService):
-			document.services, err = appendEntry(document.services, services[key[len(feed.KeyPrefixService):]], value, parseService,
+			document.services, err = appendEntry(document.services, services[key[len(feed.KeyPrefixService):]], value,
+				parseService,
 				serviceName)
 		}
 		if err != nil {
--- /dev/null
+++ b/internal/system/policysim/counters.go
@@ -0,0 +1,37 @@
+package policysim
+
+import "cinderroad/internal/testkit/engine"
+
+// counters are counted during a run; tokens are those of prompts.
+type counters struct {
+	retries, crossRegion                                int
+	attempts                                            int
+	rejections                                          map[string]int  // by reason
+	prefilledChunks                                     map[uint64]bool // shared chunks that some runner has prefilled, by id
+	sharedPrefilled, sharedPrefilledAgain, ownPrefilled int64
+}
+
+func newCounters() counters {
+	return counters{rejections: make(map[string]int), prefilledChunks: make(map[uint64]bool)}
+}
+
+func (c *counters) countAttempt(state *callState, runner *simulatedRunner) {
+	c.attempts++
+	if state.proxy.zone != runner.info.Zone && runner.sim.scenario.regionOf(state.proxy.zone) != runner.info.Region {
+		c.crossRegion++
+	}
+}
+
+// countPrefill counts a chunk of a prompt that a runner has prefilled. The last chunk is the request's own.
+func (c *counters) countPrefill(task *engine.Task, index int) {
+	part := task.Request.Parts[index]
+	if index == len(task.Request.Parts)-1 {
+		c.ownPrefilled += int64(part.Tokens)
+		return
+	}
+	c.sharedPrefilled += int64(part.Tokens)
+	if c.prefilledChunks[part.ID] {
+		c.sharedPrefilledAgain += int64(part.Tokens)
+	}
+	c.prefilledChunks[part.ID] = true
+}
--- a/internal/system/policysim/mean.go
+++ b/internal/system/policysim/mean.go
@@ -6,7 +6,7 @@
 )
 
 // Mean joins the results of runs of one policy: shares, times and the worst windows are means over the runs, counts are
-// sums, and what was the worst in any run stays so.
+// sums, and SlowStartWorstRate is the greatest of all runs.
 func Mean(results []*Result) *Result {
 	mean := &Result{Policy: results[0].Policy, Rejections: make(map[string]int), Runs: len(results)}
 	runs := float64(len(results))
@@ -44,7 +44,7 @@
 	}
 }
 
-// add adds one of n runs.
+// add adds the result of one of the given number of runs.
 func (r *ClassResult) add(run *ClassResult, runs float64) {
 	r.Name = run.Name
 	r.Calls += run.Calls
--- a/internal/system/policysim/policy.go
+++ b/internal/system/policysim/policy.go
@@ -1,6 +1,3 @@
-// Package experiment compares placement policies: several proxies, each with a policy of its own, send drawn traffic
-// to the same modelled runners in virtual time. Every policy sees the same traffic for the same seed, so that
-// differences are the policies' own.
 package policysim
 
 import (
@@ -10,7 +7,8 @@
 	"cinderroad/internal/system/placement"
 )
 
-// Policy decides for one proxy. It is what placement.Placer offers a proxy; times are since the start of the run.
+// Policy decides for one proxy. It has the methods of placement.Placer that a proxy uses; times are since the start of
+// the run.
 type Policy interface {
 	SetServices(now time.Duration, services []*configuration.Service)
 	SetRunners(now time.Duration, runners []placement.Runner)
@@ -29,3 +27,14 @@
 	Name string
 	New  func(o placement.Options, seed uint64) (Policy, error)
 }
+
+// PlacementPolicy returns the system's own policy, placement.Placer.
+func PlacementPolicy() PolicyFactory {
+	create := func(o placement.Options, seed uint64) (Policy, error) { return placement.New(o, seed) }
+	return PolicyFactory{Name: "placement", New: create}
+}
+
+// Policies returns the system's own policy and the baselines.
+func Policies() []PolicyFactory {
+	return append([]PolicyFactory{PlacementPolicy()}, BaselinePolicies()...)
+}
--- a/internal/system/policysim/result.go
+++ b/internal/system/policysim/result.go
@@ -4,94 +4,60 @@
 	"cmp"
 	"slices"
 	"time"
-
-	"cinderroad/internal/testkit/engine"
 )
 
-// Outcome is what became of a call.
+// Outcome is the outcome of a call.
 type Outcome uint8
 
 // The outcomes of a call.
 const (
 	Unfinished Outcome = iota
 	InTime
-	InTimeAfterRejection // refused early, and in time counted from the next try
+	InTimeAfterRejection // rejected early, and in time counted from the next attempt
 	Late
 	Rejected
 	Failed
 )
 
-// counters are what is counted while a run goes on.
-type counters struct {
-	retries, crossRegion                                int
-	attempts                                            int
-	rejections                                          map[string]int
-	prefilledChunks                                     map[uint64]bool // shared parts that some runner has read
-	sharedPrefilled, sharedPrefilledAgain, ownPrefilled int64
-}
-
-func newCounters() counters {
-	return counters{rejections: make(map[string]int), prefilledChunks: make(map[uint64]bool)}
-}
-
-func (c *counters) countAttempt(state *callState, runner *simulatedRunner) {
-	c.attempts++
-	if state.proxy.zone != runner.info.Zone && runner.sim.scenario.regionOf(state.proxy.zone) != runner.info.Region {
-		c.crossRegion++
-	}
-}
-
-// countPrefill counts a part of a prompt that a runner has prefilled.
-func (c *counters) countPrefill(task *engine.Task, index int) {
-	part := task.Request.Parts[index]
-	if index == len(task.Request.Parts)-1 {
-		c.ownPrefilled += int64(part.Tokens)
-		return
-	}
-	c.sharedPrefilled += int64(part.Tokens)
-	if c.prefilledChunks[part.ID] {
-		c.sharedPrefilledAgain += int64(part.Tokens)
-	}
-	c.prefilledChunks[part.ID] = true
-}
-
-// ClassResult is what became of the calls of a class.
+// ClassResult is the result of the calls of a class.
 type ClassResult struct {
 	Name                                        string
 	Calls, InTime, Late, Rejected, Failed       int
-	ValueEarned, ValueDue                       float64 // worth
+	ValueEarned, ValueDue                       float64 // Due: the value if all calls were in time
 	FirstEventP50, FirstEventP95, FirstEventP99 time.Duration
-	ServedShare, LargestServed, LargeServed     float64 // of all, of the largest tenth, of the fifth below it
+	ServedShare, LargestServed, LargeServed     float64 // of all calls, of the largest tenth, and of the fifth below it
 	LargestInTime, LargeInTime, InTimeShare     float64
 }
 
-// Result is the outcome of a run.
+// Result is the result of a run.
 type Result struct {
 	Policy                string
 	Classes               []ClassResult
-	ValueShare            float64       // worth earned of worth due
-	WorstSecondShare      float64       // the same, of the calls of the worst second
-	WorstAt               time.Duration // its begin
-	WorstFiveSecondsShare float64       // of the worst five seconds
-	SharedPrefilled       int64         // tokens of shared parts that were prefilled
-	SharedPrefilledAgain  int64         // of them, tokens of parts that some runner had read before
-	OwnPrefilled          int64
+	ValueShare            float64       // value earned as a share of the value due
+	WorstSecondShare      float64       // the same for the calls that began within the worst second
+	WorstAt               time.Duration // start of that second
+	WorstFiveSecondsShare float64       // the same for the worst five seconds
+	SharedPrefilled       int64         // tokens of shared chunks that were prefilled
+	SharedPrefilledAgain  int64         // of these, tokens of chunks that some runner had prefilled before
+	OwnPrefilled          int64         // tokens of the requests' own chunks
 	Preemptions           int64
-	RejectedByRunners     int64 // by runners
+	RejectedByRunners     int64
 	Attempts              int
 	Retries               int
-	CrossRegionAttempts   int            // sends
-	SlowStartWorstRate    int            // requests that a cold runner got in a second
-	SlowStartExcess       int            // requests to cold runners above what they bear
-	Rejections            map[string]int // by reason
+	CrossRegionAttempts   int
+	SlowStartWorstRate    int            // most requests that a runner in slow start received within a second
+	SlowStartExcess       int            // requests to runners in slow start beyond what they can take
+	Rejections            map[string]int // by proxies, by reason
 
-	Runs                int     // that this is the mean of; 0: it is one run
-	ValueShareDeviation float64 // standard deviation of Share over the runs
+	Runs                int     // number of runs that this is the mean of; 0: it is a single run
+	ValueShareDeviation float64 // standard deviation of ValueShare over the runs
 }
 
 func (sim *simulation) result(policy string) *Result {
-	result := &Result{Policy: policy, SharedPrefilled: sim.counters.sharedPrefilled, SharedPrefilledAgain: sim.counters.sharedPrefilledAgain, OwnPrefilled: sim.counters.ownPrefilled,
-		Attempts: sim.counters.attempts, Retries: sim.counters.retries, CrossRegionAttempts: sim.counters.crossRegion, Rejections: sim.counters.rejections}
+	result := &Result{Policy: policy, SharedPrefilled: sim.counters.sharedPrefilled,
+		SharedPrefilledAgain: sim.counters.sharedPrefilledAgain, OwnPrefilled: sim.counters.ownPrefilled,
+		Attempts: sim.counters.attempts, Retries: sim.counters.retries, CrossRegionAttempts: sim.counters.crossRegion,
+		Rejections: sim.counters.rejections}
 	for _, runner := range sim.runners {
 		state := runner.engine.State()
 		result.Preemptions += state.Preemptions
@@ -114,7 +80,8 @@
 	return result
 }
 
-// callValue is what a call is worth: a generation by its size, within bounds.
+// callValue returns the value of a call that is in time and of one that is late. That of a generation grows with its
+// cost, within bounds.
 func callValue(call *Call, meanSize float64) (inTime, late float64) {
 	const fixedShare, sizeShare, maxFactor = 0.3, 0.7, 4
 	factor := 1.0
@@ -160,12 +127,14 @@
 			firstEventTimes = append(firstEventTimes, state.timeToFirstEvent)
 		}
 	}
-	result.FirstEventP50, result.FirstEventP95, result.FirstEventP99 = quantile(firstEventTimes, 0.5), quantile(firstEventTimes, 0.95), quantile(firstEventTimes, 0.99)
+	result.FirstEventP50 = quantile(firstEventTimes, 0.5)
+	result.FirstEventP95 = quantile(firstEventTimes, 0.95)
+	result.FirstEventP99 = quantile(firstEventTimes, 0.99)
 	result.addSizeBreakdown(states)
 	return result
 }
 
-// addSizeBreakdown tells how the largest calls fared.
+// addSizeBreakdown adds the shares of the largest calls that were served, and served in time.
 func (r *ClassResult) addSizeBreakdown(states []*callState) {
 	states = slices.Clone(states)
 	slices.SortStableFunc(states, func(a, b *callState) int { return cmp.Compare(b.call.Cost(), a.call.Cost()) })
@@ -188,11 +157,13 @@
 	return ratio(served, float64(len(states))), ratio(inTime, float64(len(states)))
 }
 
-// compareStart orders visits by when they began.
+// compareStart orders a call by its start relative to a time.
 func compareStart(v *callState, at time.Duration) int { return cmp.Compare(v.call.At, at) }
 
-// worstWindow is the share of worth earned of the calls that began within the worst window of a length.
-func (sim *simulation) worstWindow(length time.Duration, earnedValues, dueValues map[*callState]float64) (share float64, at time.Duration) {
+// worstWindow returns the least share of value earned by the calls that began within a window of the given length, and
+// that window's start. Windows with few calls do not count.
+func (sim *simulation) worstWindow(length time.Duration, earnedValues, dueValues map[*callState]float64) (share float64,
+	at time.Duration) {
 	const step, minCalls = 100 * time.Millisecond, 10
 	share = 1
 	for start := time.Duration(0); start+length <= sim.scenario.Duration; start += step {
--- a/internal/system/policysim/host.go
+++ b/internal/system/policysim/runner.go
@@ -16,12 +16,12 @@
 	slowStart  engine.Cold
 	attempts   map[*engine.Task]*attempt
 	up         bool
-	silent     bool // down, and nobody hears of it
+	silent     bool // down without closing its connections
 	listed     bool
-	nextWakeup time.Duration // the earliest that is on the agenda; 0: none
+	nextWakeup time.Duration // earliest event that is scheduled for it; 0: none
 }
 
-// handleRequest takes a request that a proxy has sent.
+// handleRequest handles a request that a proxy has sent.
 func (r *simulatedRunner) handleRequest(a *attempt) {
 	if !r.up {
 		if !r.silent {
@@ -29,7 +29,7 @@
 		}
 		return
 	}
-	if a.ended { // its client has left meanwhile
+	if a.ended { // its client has cancelled it
 		return
 	}
 	if r.slowStart.Arrive(r.sim.now) {
@@ -57,15 +57,15 @@
 	r.advance()
 }
 
-// stop ends the incarnation.
-func (r *simulatedRunner) stop(dark bool) {
-	r.up, r.silent = false, dark
+// stop ends the incarnation. A silent one does not close its connections.
+func (r *simulatedRunner) stop(silent bool) {
+	r.up, r.silent = false, silent
 	for _, event := range r.engine.Stop(r.sim.now) {
 		r.handleEvent(event)
 	}
 }
 
-// advance handles what has happened and has itself called again when something will.
+// advance handles the engine's events up to now and schedules itself for the next one.
 func (r *simulatedRunner) advance() {
 	for _, event := range r.engine.Advance(r.sim.now) {
 		r.handleEvent(event)
--- /dev/null
+++ b/internal/system/policysim/scenarios.go
@@ -0,0 +1,90 @@
+package policysim
+
+import (
+	"time"
+
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/testkit/engine"
+)
+
+// milliseconds returns a duration of n milliseconds.
+func milliseconds(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
+
+// Screening returns a deployment of three zones in two regions with ten engines. Its traffic has long prompts with
+// shared prefixes, short explanations and long responses that are bound to one region, beside look-ups without an
+// engine.
+func Screening() *Scenario {
+	wave := func(phase float64) RateVariation {
+		return RateVariation{Amplitude: 0.4, Period: 26 * time.Second, Phase: phase, MeanBatchSize: 3}
+	}
+	return &Scenario{
+		Name: "screening", Duration: 34 * time.Second, Load: 1,
+		ZoneLatency: milliseconds(0.1), CrossZoneLatency: milliseconds(1.4), CrossRegionLatency: milliseconds(20),
+		ClientLatency: milliseconds(3), DiscoveryLag: milliseconds(1500),
+		Zones: []Zone{
+			{Name: "west-a", Region: "west", Proxies: 3, TrafficShare: 0.25, RateVariation: wave(0)},
+			{Name: "west-b", Region: "west", Proxies: 2, TrafficShare: 0.25, RateVariation: wave(0)},
+			{Name: "east-a", Region: "east", Proxies: 2, TrafficShare: 0.5, RateVariation: wave(0.5)},
+		},
+		Services: []Service{
+			{Name: "llm", Runners: map[string]int{"west-a": 3, "west-b": 3, "east-a": 4},
+				Engine: engineOptions(5.47, 38.7, 230413), MaxConnections: 360, SlowStartDuration: 3 * time.Second, SlowStartRate: 9.2},
+			{Name: "api", Runners: map[string]int{"west-a": 1, "west-b": 1, "east-a": 1}, Slots: 6, QueueLength: 24,
+				MaxConnections: 100},
+		},
+		Classes: classes([4]float64{9.78, 13.9, 11.6, 8.79}, 15, milliseconds(200), time.Second),
+	}
+}
+
+// Parcels returns a deployment like Screening with somewhat faster engines, half as much traffic again and no home
+// regions.
+func Parcels() *Scenario {
+	s := Screening()
+	s.Name = "parcels"
+	s.CrossZoneLatency, s.CrossRegionLatency = milliseconds(0.9), milliseconds(12)
+	s.Zones[0].Proxies = 3
+	s.Zones[1].Proxies = 2
+	s.Zones[2].Proxies = 3
+	s.Services[0].Runners = map[string]int{"west-a": 3, "west-b": 3, "east-a": 5}
+	s.Services[0].Engine = engineOptions(5.55, 42.6, 253713)
+	s.Classes = classes([4]float64{15.1, 20.6, 15, 12.7}, 60, milliseconds(300), 2*time.Second)
+	for i := range s.Classes {
+		s.Classes[i].HomeRegions = nil
+	}
+	return s
+}
+
+func engineOptions(stepMS, prefillPerMS float64, memory int) *engine.Options {
+	return &engine.Options{Slots: 64, Queue: 179, MemoryTokens: memory, BlockTokens: 16, Step: milliseconds(stepMS),
+		StepPerSlot: milliseconds(0.0121), StepPerKilo: milliseconds(0.023), PrefillPerMS: prefillPerMS,
+		PairsPerMega: milliseconds(0.737), ChunkTokens: 2048, StrideTokens: 4}
+}
+
+func classes(perS [4]float64, workMS float64, lookupTarget, lookupDeadline time.Duration) []Class {
+	return []Class{
+		{Name: "review", Service: "llm", Type: configuration.Streaming, RequestsPerSecond: perS[0],
+			LatencyTarget: milliseconds(800), EventGapTarget: milliseconds(400),
+			Deadline: 5 * time.Second, ValueInTime: 2, ValueLate: 0.6, Rank: 1, MaxAttempts: 1, ClientRetries: 1,
+			SharedChunks: []SharedChunk{
+				{SizeDistribution{2520, 0.4, 6290}, 4}, {SizeDistribution{3780, 0.7, 11300}, 37}},
+			Skew: 0.3, OwnTokens: SizeDistribution{2890, 1, 39600}, Events: SizeDistribution{13, 1.4, 52.1}},
+		{Name: "explain", Service: "llm", Type: configuration.Streaming, RequestsPerSecond: perS[1],
+			LatencyTarget: milliseconds(600), EventGapTarget: milliseconds(400),
+			Deadline: 3 * time.Second, ValueInTime: 3, ValueLate: 0.9, Rank: 0, MaxAttempts: 2, ClientRetries: 1,
+			Resumable:    true,
+			SharedChunks: []SharedChunk{{SizeDistribution{341, 0.4, 851}, 40}, {SizeDistribution{227, 0.7, 681}, 52}},
+			Skew:         0.3,
+			OwnTokens:    SizeDistribution{1800, 1.3, 6870}, Events: SizeDistribution{5.64, 1.4, 22.6}},
+		{Name: "draft", Service: "llm", Type: configuration.Streaming, RequestsPerSecond: perS[2],
+			LatencyTarget: milliseconds(500), EventGapTarget: milliseconds(400),
+			Deadline: 15 * time.Second, ValueInTime: 1, ValueLate: 0.3, Rank: 2, MaxAttempts: 1, ClientRetries: 1,
+			HomeRegions:  []string{"west"},
+			SharedChunks: []SharedChunk{{SizeDistribution{103, 0.4, 257}, 20}, {SizeDistribution{68.6, 0.7, 206}, 98}},
+			Skew:         0.3,
+			OwnTokens:    SizeDistribution{543, 0.89, 2310}, Events: SizeDistribution{70, 0.7, 238}},
+		{Name: "lookup", Service: "api", Type: configuration.ReadOnly, RequestsPerSecond: perS[3],
+			LatencyTarget: lookupTarget,
+			Deadline:      lookupDeadline, ValueInTime: 1, ValueLate: 0.3, Rank: 2, MaxAttempts: 2, ClientRetries: 1,
+			WorkMS: SizeDistribution{workMS, 0.5, 110}},
+	}
+}
