--- /dev/null
+++ b/internal/system/policysim/simulation.go
@@ -0,0 +1,225 @@
+package policysim
+
+import (
+	"fmt"
+	"net/netip"
+	"time"
+
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/placement"
+	"cinderroad/internal/testkit/engine"
+	"cinderroad/internal/testkit/eventqueue"
+)
+
+// Budgets that all proxies of a run share, and limits of the runners.
+const (
+	retryRatio             = 0.2
+	retryWindow            = 10 * time.Second
+	retryAllowance         = 54
+	slowStartFactor        = 1.5
+	slowStartAllowance     = 5
+	slowStartFailureFactor = 4                // a runner in slow start crashes at its rate times this
+	drainTime              = 20 * time.Second // after the traffic, for pending calls
+)
+
+// Properties of the engines of all services.
+const (
+	cacheBytesPerToken = 327680
+	linkMbps           = 370000
+)
+
+// seedStep is the distance between the seeds of the proxies' policies, which is greater than that between the runs.
+const seedStep = 1_000_003
+
+// simulation is a run.
+type simulation struct {
+	scenario     *Scenario
+	eventQueue   eventqueue.Agenda
+	now          time.Duration
+	routes       map[string]*configuration.Route // by class
+	services     []*configuration.Service
+	runners      []*simulatedRunner
+	incarnations int // number of runners that were started
+	proxies      []*proxy
+	proxyTurn    int
+	calls        []*callState
+	counters     counters
+}
+
+// proxy is a proxy with its policy.
+type proxy struct {
+	zone   string
+	policy Policy
+}
+
+// Run plays a scenario with the policies that the factory makes.
+func Run(scenario *Scenario, factory PolicyFactory, seed uint64) (*Result, error) {
+	sim := &simulation{scenario: scenario, counters: newCounters()}
+	if err := sim.build(factory, seed); err != nil {
+		return nil, fmt.Errorf("policysim: %s: %w", factory.Name, err)
+	}
+	for _, call := range GenerateTraffic(scenario, seed) {
+		state := &callState{call: call}
+		sim.calls = append(sim.calls, state)
+		sim.at(call.At, func() { sim.startClientAttempt(state) })
+	}
+	for _, crash := range scenario.Crashes {
+		sim.at(crash.At, func() { sim.crashRunner(crash) })
+	}
+	sim.runUntil(scenario.Duration + drainTime)
+	return sim.result(factory.Name), nil
+}
+
+func (sim *simulation) at(at time.Duration, do func()) { sim.eventQueue.At(at.Seconds(), do) }
+
+func (sim *simulation) after(wait time.Duration, do func()) { sim.at(sim.now+wait, do) }
+
+func (sim *simulation) runUntil(until time.Duration) {
+	for {
+		at, do, is := sim.eventQueue.Next(until.Seconds())
+		if !is {
+			return
+		}
+		sim.now = max(sim.now, secondsToDuration(at))
+		do()
+	}
+}
+
+func (sim *simulation) build(factory PolicyFactory, seed uint64) error {
+	sim.buildConfiguration()
+	for i := range sim.scenario.Services {
+		service := &sim.scenario.Services[i]
+		for _, zone := range sim.scenario.Zones {
+			for range service.Runners[zone.Name] {
+				if _, err := sim.startRunner(service, zone.Name); err != nil {
+					return err
+				}
+			}
+		}
+	}
+	zones := make(map[string]string)
+	for _, zone := range sim.scenario.Zones {
+		zones[zone.Name] = zone.Region
+	}
+	for _, zone := range sim.scenario.Zones {
+		for range zone.Proxies {
+			seed += seedStep
+			policy, err := factory.New(placement.Options{
+				Zone: zone.Name, Region: zone.Region, Zones: zones,
+				RetryRatio: retryRatio, RetryWindow: retryWindow, RetryAllowance: retryAllowance,
+				SlowStartFactor: slowStartFactor, SlowStartAllowance: slowStartAllowance,
+			}, seed)
+			if err != nil {
+				return err
+			}
+			sim.proxies = append(sim.proxies, &proxy{zone: zone.Name, policy: policy})
+		}
+	}
+	for _, p := range sim.proxies {
+		p.policy.SetServices(0, sim.services)
+		p.policy.SetProxyCount(0, len(sim.proxies))
+		sim.tickPolicy(p)
+	}
+	sim.publishRunners()
+	return nil
+}
+
+func (sim *simulation) buildConfiguration() {
+	sim.routes = make(map[string]*configuration.Route)
+	for i := range sim.scenario.Classes {
+		c := &sim.scenario.Classes[i]
+		sim.routes[c.Name] = &configuration.Route{
+			Name: c.Name, Host: "screening.example", PathPrefix: "/" + c.Name + "/", Type: c.Type, Rank: c.Rank,
+			Timeout: c.Deadline, LatencyTarget: c.LatencyTarget, EventGapTarget: c.EventGapTarget,
+			Shares:      []configuration.Share{{Service: c.Service, Weight: 1}},
+			MaxAttempts: c.MaxAttempts, Resumable: c.Resumable,
+			PrefixAffinity: c.Type == configuration.Streaming, HomeRegions: c.HomeRegions,
+		}
+	}
+	for i := range sim.scenario.Services {
+		s := &sim.scenario.Services[i]
+		service := &configuration.Service{Name: s.Name, HealthPath: "/health", MaxConnections: s.MaxConnections,
+			SlowStartDuration: s.SlowStartDuration, SlowStartRate: s.SlowStartRate}
+		if s.Engine != nil {
+			service.Backend = &configuration.Backend{Capacity: s.Engine.Slots, CacheTokens: s.Engine.MemoryTokens,
+				CacheBytesPerToken: cacheBytesPerToken, LinkMbps: linkMbps, TokensPerEvent: s.Engine.StrideTokens,
+				Models: []string{modelName}}
+		}
+		sim.services = append(sim.services, service)
+	}
+}
+
+func (sim *simulation) tickPolicy(p *proxy) {
+	next := p.policy.Tick(sim.now)
+	sim.at(max(next, sim.now+time.Millisecond), func() { sim.tickPolicy(p) })
+}
+
+// publishRunners sends the list of runners to all proxies.
+func (sim *simulation) publishRunners() {
+	var runners []placement.Runner
+	for _, runner := range sim.runners {
+		if runner.listed {
+			runners = append(runners, runner.info)
+		}
+	}
+	for _, p := range sim.proxies {
+		p.policy.SetRunners(sim.now, runners)
+	}
+}
+
+// startRunner starts a new incarnation of a runner.
+func (sim *simulation) startRunner(service *Service, zone string) (*simulatedRunner, error) {
+	sim.incarnations++
+	runner := &simulatedRunner{sim: sim, up: true, listed: true, service: service,
+		attempts: make(map[*engine.Task]*attempt)}
+	runner.slowStart = engine.Cold{Rate: service.SlowStartRate, Excess: slowStartFactor, Slack: slowStartAllowance,
+		Falls: slowStartFailureFactor}
+	runner.info = placement.Runner{ID: fmt.Sprintf("i-%04x", sim.incarnations), Service: service.Name, Zone: zone,
+		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(sim.incarnations >> 8),
+			byte(sim.incarnations)}), 8080),
+		Region: sim.scenario.regionOf(zone), Capacity: service.Slots}
+	var err error
+	if service.Engine != nil {
+		runner.info.Capacity, runner.info.Models = service.Engine.Slots, []string{modelName}
+		runner.engine, err = engine.New(*service.Engine)
+	} else {
+		runner.engine, err = engine.NewWorkers(service.Slots, service.QueueLength)
+	}
+	sim.runners = append(sim.runners, runner)
+	return runner, err
+}
+
+// crashRunner ends a runner. A new incarnation replaces it later, in slow start and with an empty cache.
+func (sim *simulation) crashRunner(crash Crash) {
+	var candidates []*simulatedRunner
+	for _, runner := range sim.runners {
+		if runner.service.Name == crash.Service && runner.up {
+			candidates = append(candidates, runner)
+		}
+	}
+	if crash.RunnerIndex >= len(candidates) {
+		return
+	}
+	runner := candidates[crash.RunnerIndex]
+	runner.stop(crash.Silent)
+	sim.after(sim.scenario.DiscoveryLag, func() {
+		runner.listed = false
+		sim.publishRunners()
+	})
+	sim.after(crash.Downtime, func() { sim.restartRunner(runner) })
+}
+
+func (sim *simulation) restartRunner(old *simulatedRunner) {
+	runner, err := sim.startRunner(old.service, old.info.Zone)
+	if err != nil {
+		panic(err) // its options were good before
+	}
+	runner.listed = false
+	until := sim.now + old.service.SlowStartDuration
+	runner.slowStart.Begin(until)
+	sim.after(sim.scenario.DiscoveryLag, func() {
+		runner.listed = true
+		runner.info.SlowStartUntil = until
+		sim.publishRunners()
+	})
+}
--- a/internal/system/replica/group.go
+++ b/internal/system/replica/group.go
@@ -1,7 +1,6 @@
 package replica
 
 import (
-	"slices"
 	"time"
 
 	"cinderroad/internal/system/consensus"
@@ -9,69 +8,49 @@
 	"cinderroad/internal/system/storage"
 )
 
-// Bounds on the log that is kept beside a snapshot. A snapshot is made once the log since the last one takes more than
-// the larger of minSnapshotLogBytes and the last snapshot, in bytes, so that the cost of snapshots stays in proportion.
-const (
-	minSnapshotLogBytes = 512 << 10
-	entryOverheadBytes  = 64 // bytes that an entry costs beside its data
-	// Entries, and bytes of their data, that are kept in memory behind a snapshot for members that are behind; as many bytes
-	// as the snapshot has, where that is more. A member that is further behind has less to receive by the snapshot.
-	retainedEntries = 1024
-	retainedBytes   = minSnapshotLogBytes / 2
-)
-
-// group is this machine's replica of a partition. The host's mutex guards it.
+// group is this machine's replica of one partition: a consensus node, the state machine that it drives, and the
+// requests that wait for either. The host's mutex guards it.
 type group struct {
 	partition feed.Partition
-	node      *consensus.Node // nil before the store is open
+	node      *consensus.Node // nil until the store is open
 	state     StateMachine
 
-	appliedIndex          uint64
-	logBytesSinceSnapshot int // of entries applied since the last snapshot
-	snapshotBytes         int // bytes of the last one
+	appliedIndex          uint64 // of the state machine
+	logBytesSinceSnapshot int    // of applied entries, with entryOverheadBytes for each
+	snapshotBytes         int    // of the last snapshot
 	snapshotPending       bool
-	pendingJobs           int                                   // jobs of the disk
-	promotionRetryAt      map[consensus.ReplicaID]time.Duration // learners that may not vote yet, and until when that stands
+	pendingJobs           int                                   // in the disk writer
+	promotionRetryAt      map[consensus.ReplicaID]time.Duration // learners that were too far behind to vote, and when to try again
 	commitIndex           uint64
-	lastHardState         consensus.HardState  // handed to the disk last
-	proposals             map[uint64]*proposal // by index; more than one are linked
+	lastHardState         consensus.HardState  // given to the disk writer last
+	proposals             map[uint64]*proposal // by index, linked if there are several
 	pendingReads          map[uint64]chan consensus.ReadState
 	lastReadToken         uint64
 	appliedWaiters        []appliedWaiter
 	leader                consensus.ReplicaID
-	isLeader              bool
-	leadershipSince       time.Duration // since when it has led, or has not
-	leaderChanged         chan struct{} // closed when there is another leader
+	isLeader              bool          // and not transferring leadership
+	leadershipSince       time.Duration // when isLeader last changed, on the host's clock
+	leaderChanged         chan struct{} // closed when the leader changes
 	contacts              contacts
 }
 
-// groupOutput takes what a group wants sent and written.
+// groupOutput is where a group sends its messages and writes. The host implements it, and tests with simulated disks
+// and networks.
 type groupOutput interface {
-	// send puts messages on their way. One that installs a snapshot is to get the present one, see attachCurrentSnapshot.
+	// send sends messages without blocking; they may be lost. It must call attachCurrentSnapshot for a message that
+	// installs a snapshot.
 	send(g *group, messages []consensus.Message)
-	// enqueueWrite has a job carried out after all earlier ones; the group is then told by handlePersisted.
+	// enqueueWrite writes a job after all earlier ones without blocking, and then calls the group's handlePersisted.
 	enqueueWrite(j writeJob)
 }
 
-// proposal waits for the entry at its index to be applied.
-type proposal struct {
-	index, term uint64
-	done        chan ProposeReply // of capacity 1
-	next        *proposal         // another one that waits for the same entry
-}
-
-// appliedWaiter is closed once the index is applied.
-type appliedWaiter struct {
-	index uint64
-	done  chan struct{}
-}
-
+// newGroup returns a group that has no consensus node before start.
 func newGroup(partition feed.Partition, state StateMachine) *group {
 	return &group{partition: partition, state: state, proposals: make(map[uint64]*proposal),
 		pendingReads: make(map[uint64]chan consensus.ReadState), leaderChanged: make(chan struct{})}
 }
 
-// start makes the machine out of what is stored.
+// start creates the consensus node from its persistent state and restores the state machine.
 func (g *group) start(now time.Duration, options consensus.Config, stored consensus.PersistentState) error {
 	if err := stored.Validate(); err != nil {
 		return err
@@ -83,133 +62,83 @@
 		g.appliedIndex, g.snapshotBytes = snapshot.Index, len(snapshot.Data)
 	}
 	g.commitIndex, g.lastHardState = stored.HardState.Commit, stored.HardState
-	stored.Snapshot.Data = nil // the state machine holds it
+	stored.Snapshot.Data = nil // the state machine has it; this frees the memory
 	g.node = consensus.New(now, options, stored)
 	g.contacts = contacts{startedAt: now}
 	return nil
 }
 
-// processReady does what the machine wants done. The error is that of a snapshot that the state machine does not take.
-func (g *group) processReady(out groupOutput) error {
+// processReady handles the output of the consensus node until there is none left. The error is that of a snapshot
+// that the state machine rejected.
+func (g *group) processReady(output groupOutput) error {
 	var failure error
-	for r := g.node.Ready(); !r.Empty(); r = g.node.Ready() {
-		out.send(g, r.EarlyMessages)
-		if err := g.applyReady(&r); err != nil {
+	for ready := g.node.Ready(); !ready.Empty(); ready = g.node.Ready() {
+		output.send(g, ready.EarlyMessages)
+		if err := g.applyReady(&ready); err != nil {
 			failure = err
 		}
-		g.persistReady(&r, out)
-		g.resolveReads(r.ReadStates)
+		g.persistReady(&ready, output)
+		g.resolveReads(ready.ReadStates)
 	}
 	if snapshot := g.dueSnapshot(); snapshot != nil {
 		write := storage.Update{Partition: g.partition, CompactionSnapshot: snapshot}
-		g.enqueueJob(writeJob{group: g, write: write, snapshot: snapshot, sizeBytes: len(snapshot.Data)}, out)
+		g.enqueueJob(writeJob{group: g, write: write, snapshot: snapshot, sizeBytes: len(snapshot.Data)}, output)
 	}
 	g.updateLeader()
 	return failure
 }
 
-// persistReady has a Ready's writes carried out and its messages sent after them. One that need not be on disk and that no
-// earlier one precedes is done with at once.
-func (g *group) persistReady(ready *consensus.Ready, out groupOutput) {
+// persistReady enqueues the writes of a Ready; its messages are sent once they are durable. A Ready that needs no
+// sync is completed at once if no earlier write is pending.
+func (g *group) persistReady(ready *consensus.Ready, output groupOutput) {
 	if !ready.MustSync && g.pendingJobs == 0 {
-		out.send(g, ready.Messages)
+		output.send(g, ready.Messages)
 		return
 	}
 	if !ready.MustSync && g.pendingJobs >= maxQueuedJobs {
-		return // a disk that hangs: messages may be lost, and those that could wait no longer say how things are
+		return // the disk hangs: messages may be lost, and these would be outdated by the time they could be sent
 	}
-	j := writeJob{group: g, ready: *ready, write: g.newWrite(ready)}
+	job := writeJob{group: g, ready: *ready, write: g.newWrite(ready)}
 	for i := range ready.Entries {
-		j.sizeBytes += len(ready.Entries[i].Data) + entryOverheadBytes
+		job.sizeBytes += len(ready.Entries[i].Data) + entryOverheadBytes
 	}
 	if ready.Snapshot != nil {
-		j.sizeBytes += len(ready.Snapshot.Data)
+		job.sizeBytes += len(ready.Snapshot.Data)
 	}
-	g.enqueueJob(j, out)
+	g.enqueueJob(job, output)
 }
 
-func (g *group) enqueueJob(j writeJob, out groupOutput) {
+// enqueueJob passes a job to the disk writer and counts it as pending.
+func (g *group) enqueueJob(job writeJob, output groupOutput) {
 	g.pendingJobs++
-	out.enqueueWrite(j)
-}
-
-// handlePersisted tells the machine that a job is on the disk, and sends what waited for it.
-func (g *group) handlePersisted(j *writeJob, out groupOutput) {
-	g.pendingJobs--
-	if j.snapshot != nil {
-		g.handleSnapshotPersisted(j.snapshot)
-		return
-	}
-	g.node.MarkPersisted(j.ready)
-	out.send(g, j.ready.Messages)
-}
-
-// propose has the machine propose; nil: it does not lead. A large command that is sent again while it is under way waits
-// for the entry that holds it: megabytes that are appended again with each try of a caller would take the links that they
-// are waiting for.
-func (g *group) propose(now time.Duration, command []byte) *proposal {
-	pending := &proposal{done: make(chan ProposeReply, 1)}
-	if g.findUncommitted(command, pending) {
-		pending.next = g.proposals[pending.index]
-		g.proposals[pending.index] = pending
-		return pending
-	}
-	var err error
-	if pending.index, pending.term, err = g.node.Propose(now, command); err != nil {
-		return nil
-	}
-	// Another leader had this log replaced here. Elsewhere the entry may stand yet, and be agreed on by a later one.
-	g.resolveProposals(pending.index, func(*proposal) ProposeReply { return ProposeReply{Outcome: OutcomeUnknown} })
-	g.proposals[pending.index] = pending
-	return pending
+	output.enqueueWrite(job)
 }
 
-// findUncommitted tells whether this replica leads and its log has a large command that is yet to be agreed on, and where.
-func (g *group) findUncommitted(command []byte, p *proposal) (found bool) {
-	if len(command) < bulkThresholdBytes || g.node.Role() != consensus.Leader || g.node.Transferring() {
-		return false
-	}
-	p.index, p.term, found = g.node.FindUncommitted(command)
-	return found
-}
-
-// resolveProposals tells those who wait for an entry.
-func (g *group) resolveProposals(index uint64, reply func(p *proposal) ProposeReply) {
-	for p := g.proposals[index]; p != nil; p = p.next {
-		p.done <- reply(p)
+// newWrite returns the storage write of a Ready. A hard state in which only the commit index changed is not written
+// by itself; the index is stored along with the next entries.
+func (g *group) newWrite(ready *consensus.Ready) storage.Update {
+	write := storage.Update{Partition: g.partition, InstalledSnapshot: ready.Snapshot, Entries: ready.Entries, CommitIndex: g.commitIndex}
+	if ready.HardState != nil && (ready.HardState.Term != g.lastHardState.Term || ready.HardState.Vote != g.lastHardState.Vote) {
+		g.lastHardState = *ready.HardState
+		write.HardState = ready.HardState
 	}
-	delete(g.proposals, index)
+	return write
 }
 
-// abandonProposal has a proposal wait no longer.
-func (g *group) abandonProposal(pending *proposal) {
-	var kept *proposal
-	for q := g.proposals[pending.index]; q != nil; {
-		next := q.next
-		if q != pending {
-			q.next, kept = kept, q
-		}
-		q = next
-	}
-	if kept == nil {
-		delete(g.proposals, pending.index)
+// handlePersisted tells the consensus node that a job is durable and sends the messages that waited for it.
+func (g *group) handlePersisted(job *writeJob, output groupOutput) {
+	g.pendingJobs--
+	if job.snapshot != nil {
+		g.handleSnapshotPersisted(job.snapshot)
 		return
 	}
-	g.proposals[pending.index] = kept
-}
-
-// startReadIndex has the machine confirm an index to read at.
-func (g *group) startReadIndex(now time.Duration) (token uint64, done <-chan consensus.ReadState) {
-	g.lastReadToken++
-	answer := make(chan consensus.ReadState, 1)
-	g.pendingReads[g.lastReadToken] = answer
-	g.node.ReadIndex(now, g.lastReadToken)
-	return g.lastReadToken, answer
+	g.node.MarkPersisted(job.ready)
+	output.send(g, job.ready.Messages)
 }
 
-// applyReady takes a Ready's snapshot and entries into the state machine and answers those who wait for them. Committed
-// entries are applied before this replica's own writes are on disk: a majority has them, and the state machine lives
-// in memory.
+// applyReady applies the snapshot and the committed entries of a Ready and resolves the requests that wait for them.
+// Committed entries are applied before this replica's own writes are durable: a majority has them, and the state
+// machine is kept in memory only.
 func (g *group) applyReady(ready *consensus.Ready) error {
 	if ready.Snapshot != nil {
 		if err := g.restoreSnapshot(ready.Snapshot); err != nil {
@@ -226,6 +155,8 @@
 	return nil
 }
 
+// restoreSnapshot replaces the state machine's state. Proposals at the indexes that the snapshot covers end with an
+// unknown outcome.
 func (g *group) restoreSnapshot(snapshot *consensus.Snapshot) error {
 	if err := g.state.Restore(snapshot.Index, snapshot.Data); err != nil {
 		return err
@@ -239,6 +170,8 @@
 	return nil
 }
 
+// applyEntry applies one committed entry and resolves the proposals at its index: a proposal of another term was
+// overwritten.
 func (g *group) applyEntry(entry *consensus.Entry) {
 	var result []byte
 	if entry.Kind == consensus.EntryCommand && len(entry.Data) > 0 {
@@ -254,35 +187,7 @@
 	})
 }
 
-func (g *group) notifyApplied() {
-	waiting := g.appliedWaiters[:0]
-	for _, waiter := range g.appliedWaiters {
-		if waiter.index <= g.appliedIndex {
-			close(waiter.done)
-		} else {
-			waiting = append(waiting, waiter)
-		}
-	}
-	clear(g.appliedWaiters[len(waiting):])
-	g.appliedWaiters = waiting
-}
-
-// removeAppliedWaiter drops a wait.
-func (g *group) removeAppliedWaiter(done chan struct{}) {
-	g.appliedWaiters = slices.DeleteFunc(g.appliedWaiters, func(waiter appliedWaiter) bool { return waiter.done == done })
-}
-
-// resolveReads passes confirmed indexes on.
-func (g *group) resolveReads(states []consensus.ReadState) {
-	for _, state := range states {
-		if done := g.pendingReads[state.Token]; done != nil {
-			delete(g.pendingReads, state.Token)
-			done <- state
-		}
-	}
-}
-
-// updateLeader wakes those who wait for another leader.
+// updateLeader notes the current leader and closes leaderChanged if it differs from the last one.
 func (g *group) updateLeader() {
 	leader, leads := g.node.Leader(), g.node.Role() == consensus.Leader && !g.node.Transferring()
 	if g.leader == leader && g.isLeader == leads {
@@ -292,47 +197,3 @@
 	close(g.leaderChanged)
 	g.leaderChanged = make(chan struct{})
 }
-
-// dueSnapshot is the snapshot that is due, or nil.
-func (g *group) dueSnapshot() *consensus.Snapshot {
-	if g.snapshotPending || g.logBytesSinceSnapshot < max(minSnapshotLogBytes, g.snapshotBytes) {
-		return nil
-	}
-	if _, may := g.node.CreateSnapshot(g.appliedIndex, nil); !may {
-		return nil // without the state's encoding, which may be large
-	}
-	snapshot, is := g.node.CreateSnapshot(g.appliedIndex, g.state.Snapshot())
-	if !is {
-		return nil
-	}
-	g.snapshotPending, g.logBytesSinceSnapshot = true, 0
-	return &snapshot
-}
-
-// handleSnapshotPersisted notes that the snapshot is on disk.
-func (g *group) handleSnapshotPersisted(snapshot *consensus.Snapshot) {
-	g.snapshotPending = false
-	g.snapshotBytes = len(snapshot.Data)
-	g.node.Compact(snapshot.Index, nil, max(retainedBytes, len(snapshot.Data)))
-}
-
-// attachCurrentSnapshot fills the message of a snapshot with the state as it is: the machine keeps none, to save memory.
-func (g *group) attachCurrentSnapshot(message *consensus.Message) {
-	data := g.state.Snapshot()
-	snapshot, is := g.node.CreateSnapshot(g.appliedIndex, data)
-	if !is {
-		snapshot = *message.Snapshot // the state machine has not moved on since
-		snapshot.Data = data
-	}
-	message.Snapshot = &snapshot
-}
-
-// newWrite is what a Ready wants on the disk. A hard state that differs in its commit index alone goes along with entries.
-func (g *group) newWrite(ready *consensus.Ready) storage.Update {
-	write := storage.Update{Partition: g.partition, InstalledSnapshot: ready.Snapshot, Entries: ready.Entries, CommitIndex: g.commitIndex}
-	if ready.HardState != nil && (ready.HardState.Term != g.lastHardState.Term || ready.HardState.Vote != g.lastHardState.Vote) {
-		g.lastHardState = *ready.HardState
-		write.HardState = ready.HardState
-	}
-	return write
-}
--- /dev/null
+++ b/internal/system/replica/sim_checks_test.go
@@ -0,0 +1,307 @@
+package replica
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/control/state"
+	"cinderroad/internal/system/feed"
+)
+
+// checkApplied sees that all replicas do the same at an index, and that accepted changes make one chain without repeats.
+func (sim *simulation) checkApplied(process *simProcess, index uint64, command, result []byte) {
+	this := appliedCommand{string(command), string(result)}
+	if have, ok := sim.oracle.appliedCommands[index]; ok {
+		if have != this {
+			sim.fail("machine %d does something else at %d than another did", process.machine.index, index)
+		}
+		return
+	}
+	sim.oracle.appliedCommands[index] = this
+	decoded, err := state.DecodeResult(result)
+	if err != nil || decoded.Outcome == state.Unreadable {
+		sim.fail("result at %d: %+v, %v", index, decoded, err)
+	}
+	if decoded.Outcome != state.Accepted {
+		return
+	}
+	request, known := sim.oracle.commands[this.command]
+	if !known {
+		sim.fail("a change is in force at %d that nobody sent", index)
+	}
+	if request.zone != "" {
+		sim.recordEvacuation(&request)
+		return
+	}
+	before := sim.oracle.versionAt(index)
+	if request.base != before || request.version <= before {
+		sim.fail("version %d on %d is put in force at %d on %d", request.version, request.base, index, before)
+	}
+	for _, committed := range sim.oracle.versions {
+		if committed.request.digest == request.digest || committed.index >= index {
+			sim.fail("a change is put in force at %d and at %d", committed.index, index)
+		}
+	}
+	sim.logf("%d puts version %d in force at %d", process.machine.index, request.version, index)
+	sim.oracle.versions = append(sim.oracle.versions, committedVersion{sim.now, index, request})
+}
+
+// checkStep holds after each step of a process.
+func (sim *simulation) checkStep(process *simProcess) {
+	version := process.state.Version()
+	if version < process.version || process.group.appliedIndex < process.appliedIndex {
+		sim.fail("machine %d goes back from version %d at %d to %d at %d", process.machine.index, process.version, process.appliedIndex, version,
+			process.group.appliedIndex)
+	}
+	if process.group.appliedIndex != process.appliedIndex && version != sim.oracle.versionAt(process.group.appliedIndex) {
+		sim.fail("machine %d is at version %d, where %d was agreed", process.machine.index, version, sim.oracle.versionAt(process.group.appliedIndex))
+	}
+	process.version, process.appliedIndex = version, process.group.appliedIndex
+	sim.checkStaleness(process)
+	if process.appliedIndex > sim.oracle.appliedIndex {
+		sim.checkMajority(process)
+		sim.oracle.appliedIndex = process.appliedIndex
+	}
+	if process.group.node.Role() == consensus.Leader {
+		sim.checkLeader(process)
+	}
+}
+
+// checkMajority sees that what is applied first was synced by a majority of the voters.
+func (sim *simulation) checkMajority(process *simProcess) {
+	at, ok := process.group.node.CreateSnapshot(process.appliedIndex, nil)
+	if !ok {
+		sim.fail("machine %d has applied %d first, and knows no term of it", process.machine.index, process.appliedIndex)
+		return
+	}
+	membership := process.group.node.Membership()
+	have := func(id consensus.ReplicaID) bool {
+		s := sim.oracle.syncedStates[id]
+		return s != nil && (s.entries[entryID{at.Index, at.Term}] || s.snapshot >= at.Index)
+	}
+	if !majorityOfEach(membership, have) {
+		sim.fail("machine %d applies %d, which no majority of %v has synced", process.machine.index, process.appliedIndex,
+			memberList(membership.Members))
+	}
+}
+
+// majorityOfEach tells whether something is true of a majority of the voters, in both voter sets of a joint membership.
+// It counts by itself, so that the agreement's own counting is checked by it.
+func majorityOfEach(membership consensus.Membership, holds func(consensus.ReplicaID) bool) bool {
+	var voters, agreeing, outgoing, agreeingOutgoing int
+	for _, member := range membership.Members {
+		if member.Voter {
+			voters++
+		}
+		if member.Outgoing {
+			outgoing++
+		}
+		if member.Voter && holds(member.ID) {
+			agreeing++
+		}
+		if member.Outgoing && holds(member.ID) {
+			agreeingOutgoing++
+		}
+	}
+	return 2*agreeing > voters && (outgoing == 0 || 2*agreeingOutgoing > outgoing)
+}
+
+// maxStalledLeadership is how long a replica may lead whose disk does not finish a write.
+const maxStalledLeadership = diskStallTimeout + defaultElectionTimeout + 300*time.Millisecond
+
+// checkLeader sees that there is one leader a term, a voter, whose disk works.
+func (sim *simulation) checkLeader(process *simProcess) {
+	term := process.group.lastHardState.Term // a leader's is on its disk
+	id, ok := sim.oracle.leaders[term]
+	if ok && id != process.host.self.ID {
+		sim.fail("replicas %s and %s both led term %d", formatReplicaID(id), formatReplicaID(process.host.self.ID), term)
+	}
+	if !ok {
+		sim.logf("%d leads term %d", process.machine.index, term)
+		sim.stats.counters.terms++
+		sim.oracle.leaders[term] = process.host.self.ID
+	}
+	stalled := len(process.activeJobs) > 0 && len(durableWrites(process.activeJobs)) > 0 && process.clock()-process.writeStarted > maxStalledLeadership
+	if stalled && sim.now-process.resumedAt > maxStalledLeadership {
+		sim.fail("machine %d leads, and its disk has not finished a write for %v", process.machine.index, process.clock()-process.writeStarted)
+	}
+}
+
+// checkSent sees that replicas that were not taken in neither vote nor stand for election.
+func (sim *simulation) checkSent(process *simProcess, message *consensus.Message) {
+	id := process.machine.id()
+	switch message.Kind {
+	case consensus.MessagePreVote, consensus.MessageVote:
+		if !sim.oracle.voters[id] {
+			sim.fail("machine %d stands for election and never was a voter", process.machine.index)
+		}
+	case consensus.MessagePreVoteReply, consensus.MessageVoteReply:
+		if !message.Reject && !sim.oracle.members[id] {
+			sim.fail("machine %d votes and never was a member", process.machine.index)
+		}
+	}
+}
+
+// membershipDifference counts what differs between two memberships.
+type membershipDifference struct {
+	members   int // that come, go or change in any way
+	votes     int // that are given or taken away
+	addsVoter bool
+}
+
+func diffMemberships(before, after consensus.Membership) (difference membershipDifference) {
+	find := func(in consensus.Membership, id consensus.ReplicaID) consensus.Member {
+		for _, member := range in.Members {
+			if member.ID == id {
+				return member
+			}
+		}
+		return consensus.Member{}
+	}
+	for _, member := range after.Members {
+		old := find(before, member.ID)
+		if old != member {
+			difference.members++
+		}
+		if old.Voter != member.Voter {
+			difference.votes++
+		}
+		difference.addsVoter = difference.addsVoter || old.ID == 0 && member.HasVote()
+	}
+	for _, member := range before.Members {
+		if find(after, member.ID).ID != 0 {
+			continue
+		}
+		difference.members++
+		if member.Voter {
+			difference.votes++
+		}
+	}
+	return difference
+}
+
+// allowed tells whether a step is one of those that the agreement may make: one member, anything but votes, or votes
+// alone and then through a joint membership that holds the old votes too.
+func (d membershipDifference) allowed(before, after consensus.Membership) bool {
+	if after.Joint() {
+		kept := slices.EqualFunc(before.Members, after.Members, func(a, b consensus.Member) bool {
+			votes := a.Voter == b.Outgoing
+			b.Voter, b.Outgoing = a.Voter, a.Outgoing
+			return votes && a == b
+		})
+		return kept && d.votes > 1
+	}
+	return d.votes == 0 || d.members == 1
+}
+
+// checkChange sees that memberships change by allowed steps, that only members become voters, and that no change takes the
+// majority away.
+func (sim *simulation) checkChange(process *simProcess, before, after consensus.Membership) {
+	difference := diffMemberships(before, after)
+	if difference.members == 0 {
+		return // leadership was handed over
+	}
+	sim.logf("%d changes the membership to %v", process.machine.index, memberList(after.Members))
+	sim.stats.counters.membershipChanges++
+	sim.oracle.recordMembership(after)
+	if difference.addsVoter {
+		sim.fail("machine %d makes a voter of no member: %v", process.machine.index, memberList(after.Members))
+	}
+	if !difference.allowed(before, after) {
+		sim.fail("machine %d changes %d members and %d votes at once: %v, then %v", process.machine.index, difference.members, difference.votes,
+			memberList(before.Members), memberList(after.Members))
+	}
+	anywhere := func(*simMachine) bool { return false }
+	if sim.majorityIntact(before, anywhere) && !sim.majorityIntact(after, anywhere) {
+		sim.fail("machine %d leaves no majority: %v, then %v", process.machine.index, memberList(before.Members), memberList(after.Members))
+	}
+	if countVoters(before) >= 3 && countVoters(after) < 3 {
+		sim.fail("machine %d leaves %d voters", process.machine.index, countVoters(after))
+	}
+}
+
+func countVoters(membership consensus.Membership) (voters int) {
+	for _, m := range membership.Members {
+		if m.Voter {
+			voters++
+		}
+	}
+	return voters
+}
+
+// checkAgent sees that an agent does not go back, and holds what was agreed at its place.
+func (sim *simulation) checkAgent(agent *simAgent) {
+	value, _ := agent.table.Get(feed.KeyVersion)
+	owner, _ := agent.table.Get(ownerKey)
+	committed, _ := sim.oracle.committedAt(agent.table.Index())
+	version := committed.request.version
+	if string(value) != fmt.Sprint(version) && (version > 0 || len(value) > 0) {
+		sim.fail("an agent holds version %q at %d, where %d was agreed", value, agent.table.Index(), version)
+	}
+	if version > 0 && string(owner) != string(committed.request.digest[:]) {
+		sim.fail("an agent holds version %d in a mixture", version)
+	}
+	if version < agent.version {
+		sim.fail("an agent goes back from version %d to %d", agent.version, version)
+	}
+	agent.version = version
+}
+
+// checkEnd sees that all is well some time after the last fault, and looks at the whole history.
+func (sim *simulation) checkEnd() {
+	if sim.failure != "" {
+		return
+	}
+	if why := sim.notConverged(); why != "" {
+		sim.fail("%v after the last fault: %s", recoveryPhase, why)
+		return
+	}
+	sim.stats.counters.versions += len(sim.oracle.versions)
+	for _, record := range sim.history.operations {
+		if record.response.kind != responseAccepted {
+			continue
+		}
+		if !slices.ContainsFunc(sim.oracle.versions, func(committed committedVersion) bool {
+			return committed.request.digest == record.request.digest && committed.request.version == record.response.version
+		}) {
+			sim.fail("version %d was acknowledged and is lost", record.response.version)
+		}
+	}
+	sim.checkHistory()
+	for _, operator := range sim.evacuationOperators {
+		operator.checkHistory()
+	}
+}
+
+// stalenessSlack is by how much the state of a replica that says that it is up to date may be older than that. Its leader may
+// have lost its majority an election time ago, and messages may have waited while a process stood still for less than what
+// the replica takes for a stand-still, two election times. Messages may also have waited for a thin link, as long as any did.
+const stalenessSlack = 3 * defaultElectionTimeout
+
+// checkStaleness sees that a replica which says that it was up to date a while ago holds what was in force then. Nobody is told
+// that state is current that is older than the last contact with a majority, but for stalenessSlack.
+func (sim *simulation) checkStaleness(process *simProcess) {
+	status := process.group.node.Status()
+	age := elapsedSince(status.CaughtUpAt, process.clock())
+	if age > faultPhase+recoveryPhase {
+		return
+	}
+	slack := stalenessSlack + 4*sim.profile.Delay + sim.longestWait
+	if status.Role == consensus.Leader && status.CaughtUpAt == status.LastLeaderContact {
+		slack = 0 // a round that a majority answered
+	}
+	then := sim.now - time.Duration(float64(age)/process.machine.clockRate) - slack
+	for i := len(sim.oracle.versions) - 1; i >= 0; i-- {
+		link := &sim.oracle.versions[i]
+		if link.committedAt >= then {
+			continue
+		}
+		if link.index > process.group.appliedIndex {
+			sim.fail("machine %d says that it was up to date %v ago, and lacks %d of version %d, in force for %v", process.machine.index,
+				age, link.index, link.request.version, sim.now-link.committedAt)
+		}
+		return
+	}
+}
