--- a/internal/system/control/runnersync/status.go
+++ b/internal/system/control/runnersync/status.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Status is the duty as operators see it.
+// Status describes a Syncer to operators.
 type Status struct {
-	Holder       bool          // this machine has the duty
-	ListReceived bool          // the platform has answered since it has
-	ListAge      time.Duration // since the platform's last answer
-	CallCount    uint64        // to the platform since the start
+	Holder       bool          // this machine polls the list
+	ListReceived bool          // the platform has responded since this machine became the holder
+	ListAge      time.Duration // since the platform's last response; 0 unless ListReceived
+	CallCount    uint64        // calls to the platform since the process started
 }
 
-// liveStatus is what Status tells of a duty that runs.
+// liveStatus holds what Status reports; the polling goroutine writes it.
 type liveStatus struct {
 	holder       atomic.Bool
 	listReceived atomic.Bool
-	lastListAt   atomic.Int64 // steady time of the last answer
+	lastListAt   atomic.Int64 // steady time of the last response, in nanoseconds
 	callCount    atomic.Uint64
 }
 
@@ -33,7 +33,7 @@
 	p.listReceived.Store(true)
 }
 
-// Status describes the duty. It may be called while the duty runs.
+// Status returns the current status. It may be called while Run runs.
 func (s *Syncer) Status() Status {
 	answered := s.progress.listReceived.Load()
 	status := Status{Holder: s.progress.holder.Load(), ListReceived: answered, CallCount: s.progress.callCount.Load()}
--- /dev/null
+++ b/internal/system/control/runnersync/sync.go
@@ -0,0 +1,144 @@
+package runnersync
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"cinderroad/internal/system/control/state"
+	"cinderroad/internal/system/discovery"
+	"cinderroad/internal/system/feed"
+)
+
+const (
+	// writeTimeout bounds the writes of a list, all partitions together.
+	writeTimeout = 1 * time.Second
+	// maxWriteAttempts is how often a partition is compared and written for one list; conflicts repeat it.
+	maxWriteAttempts = 2
+	// confirmingLists is the number of successive lists that must lack a runner where one list proves too little.
+	confirmingLists = 2
+)
+
+// syncPartitions makes the owned partitions equal to the list. They are written concurrently: one without a leader does
+// not hold up the others.
+func (s *Syncer) syncPartitions(ctx context.Context, list []discovery.Runner) {
+	listed := s.groupByPartition(list)
+	for i := range s.views {
+		s.refreshView(i)
+	}
+	s.countMissing(listed)
+	s.listChanged.Store(false)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
+	defer cancel()
+	var running sync.WaitGroup
+	for partition := range s.owned.All() {
+		i := int(partition) - 1
+		running.Go(func() { s.syncPartition(ctx, i, listed[i]) })
+	}
+	running.Wait()
+	s.adjustPollInterval()
+}
+
+// groupByPartition returns the list's entries by partition, from 0, and key.
+func (s *Syncer) groupByPartition(list []discovery.Runner) []map[string]*discovery.Runner {
+	out := make([]map[string]*discovery.Runner, len(s.options.Partitions))
+	for i := range out {
+		out[i] = map[string]*discovery.Runner{}
+	}
+	for i := range list {
+		partition := int(feed.PartitionOf(list[i].Service, len(out))) - 1
+		out[partition][feed.KeyPrefixRunner+list[i].ID] = &list[i]
+	}
+	return out
+}
+
+// countMissing counts the successive lists that lacked each stored runner.
+func (s *Syncer) countMissing(listed []map[string]*discovery.Runner) {
+	counts := make(map[string]int)
+	stored := 0
+	for partition := range s.owned.All() {
+		i := int(partition) - 1
+		stored += len(s.views[i].runners)
+		for key := range s.views[i].runners {
+			if listed[i][key] == nil {
+				counts[key] = s.missingCounts[key] + 1
+			}
+		}
+	}
+	s.missingCounts = counts
+	s.confirmDeletions = s.pageCount > 1 || len(counts) > stored/2
+}
+
+// isGone reports whether a stored runner that is not listed is to be deleted. A list of several pages may lack a runner
+// that moved between pages while they were read, and a list that lacks most runners may be a fault of the platform: in
+// both cases the next list has to confirm it.
+func (s *Syncer) isGone(key string) bool {
+	return !s.confirmDeletions || s.missingCounts[key] >= confirmingLists
+}
+
+// syncPartition writes what differs in a partition; after a conflict it compares again.
+func (s *Syncer) syncPartition(ctx context.Context, i int, listed map[string]*discovery.Runner) {
+	for range maxWriteAttempts {
+		if err := s.catchUp(ctx, i); err != nil {
+			s.listChanged.Store(true)
+			return
+		}
+		equal, err := s.proposeDiff(ctx, i, listed)
+		if err != nil {
+			s.stale[i] = true
+			s.options.Log.Debug("change of runners was not agreed on", zap.Int("partition", i+1), zap.Error(err))
+			return
+		}
+		if equal {
+			return
+		}
+	}
+}
+
+// catchUp waits until the local replica holds what was committed before, unless it surely does.
+func (s *Syncer) catchUp(ctx context.Context, i int) error {
+	if !s.stale[i] {
+		return nil
+	}
+	if err := s.options.Replicas.Barrier(ctx, feed.Partition(i+1)); err != nil {
+		return fmt.Errorf("runnersync: catch up with partition %d: %w", i+1, err)
+	}
+	s.stale[i] = false
+	return nil
+}
+
+// refreshView updates the view of a partition from the local replica.
+func (s *Syncer) refreshView(i int) {
+	v := &s.views[i]
+	v.update(s.options.Partitions[i].Since(v.index, 0), s.options.Now())
+}
+
+// proposeDiff compares a partition with the list and proposes what differs. It reports whether the partition equals the
+// list now.
+func (s *Syncer) proposeDiff(ctx context.Context, i int, listed map[string]*discovery.Runner) (bool, error) {
+	partition := s.options.Partitions[i]
+	seen := partition.Changed()
+	s.refreshView(i)
+	writes := s.views[i].diff(listed, s.options.Now(), s.isGone)
+	if len(writes) == 0 {
+		return true, nil
+	}
+	s.listChanged.Store(true)
+	if !s.ownedPartitions().Contains(feed.Partition(i + 1)) {
+		return false, ErrLostLease
+	}
+	command := state.WriteRunners{Seen: seen, Writes: writes}
+	encoded, err := s.options.Replicas.Propose(ctx, feed.Partition(i+1), command.Encode())
+	if err != nil {
+		return false, fmt.Errorf("runnersync: propose to partition %d: %w", i+1, err)
+	}
+	result, err := state.DecodeResult(encoded)
+	if err != nil {
+		return false, err
+	}
+	s.stale[i] = partition.Changed() < result.Number
+	return result.Outcome == state.Accepted, nil
+}
