--- a/cmd/cinderroad-proxy/main.go
+++ b/cmd/cinderroad-proxy/main.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	filesReserved = 200 + 56
-	leastSockets  = 64
-	sleptAfter    = 0.5 // seconds by which a turn of the loop is late when that is logged
+	reservedDescriptors = 200 + 56
+	minSockets          = 64
+	lateWakeupSeconds   = 0.5 // seconds by which a turn of the loop is late when that is logged
 )
 
 func main() {
@@ -53,31 +53,31 @@
 		return err
 	}
 	if !settings.ListenOn.Front.IsValid() {
-		return errNoFront
+		return errNoFrontAddress
 	}
-	loop, err := eventloop.NewLoop(max(leastSockets, settings.Limits.OpenFiles-filesReserved))
+	loop, err := eventloop.NewLoop(max(minSockets, settings.Limits.OpenFiles-reservedDescriptors))
 	if err != nil {
 		return err
 	}
 	loop.ZeroCopyReads = true
-	loop.LateWakeupSeconds = sleptAfter
+	loop.LateWakeupSeconds = lateWakeupSeconds
 	loop.OnLateWakeup = func(late float64) { log.Info("the process was held up", zap.Float64("seconds", late)) }
-	p, err := newProxy(loop, log, settings, program.MetricsAddress(settings.IP))
+	dataPlane, err := newProxy(loop, log, settings, program.MetricsAddress(settings.IP))
 	if err != nil {
 		return err
 	}
-	if err := listen(p); err != nil {
+	if err := listen(dataPlane); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	follow(ctx, loop, log, p, settings)
-	stopOnSignal(loop, p)
+	followAgent(ctx, loop, log, dataPlane, settings)
+	shutDownOnSignal(loop, dataPlane)
 	return loop.Run()
 }
 
-// errNoFront says that the settings name no address for clients.
-var errNoFront = errors.New("the settings name no listen_on.front; does the deploy file give this role " +
+// errNoFrontAddress says that the settings name no address for clients.
+var errNoFrontAddress = errors.New("the settings name no listen_on.front; does the deploy file give this role " +
 	`serves = ["edge"]?`)
 
 func newProxy(loop *eventloop.Loop, log *zap.Logger, settings *processconfig.Settings,
@@ -97,34 +97,34 @@
 }
 
 // listen begins to serve. The addresses may still be held by an earlier life that is about to end.
-func listen(p *proxy.Proxy) error {
-	if err := retry.WhileAddressInUse(context.Background(), p.Listen); err != nil {
+func listen(dataPlane *proxy.Proxy) error {
+	if err := retry.WhileAddressInUse(context.Background(), dataPlane.Listen); err != nil {
 		return fmt.Errorf("cannot serve clients; does another process hold the address? %w", err)
 	}
 	return nil
 }
 
-// follow links the proxy to the agent of its machine.
-func follow(ctx context.Context, loop *eventloop.Loop, log *zap.Logger, p *proxy.Proxy,
+// followAgent links the proxy to the agent of its machine.
+func followAgent(ctx context.Context, loop *eventloop.Loop, log *zap.Logger, dataPlane *proxy.Proxy,
 	settings *processconfig.Settings) {
-	link := agentclient.New(log, agentclient.Options{
-		Agent:            settings.AgentFeedAddress(),
+	client := agentclient.New(log, agentclient.Options{
+		AgentAddr:        settings.AgentFeedAddress(),
 		Node:             settings.Node,
 		RunnerPartitions: feed.RunnerPartitionCount,
-		Deliver:          func(u agentclient.Update) { loop.Post(func() { p.ApplyUpdate(u) }) },
-		Recall:           func(learnt []byte) { loop.Post(func() { p.RestoreSnapshot(learnt) }) },
+		OnUpdate:         func(update agentclient.Update) { loop.Post(func() { dataPlane.ApplyUpdate(update) }) },
+		OnSnapshot:       func(learnt []byte) { loop.Post(func() { dataPlane.RestoreSnapshot(learnt) }) },
 	})
-	p.FollowAgent(link, settings.Zones)
-	go link.Run(ctx)
+	dataPlane.FollowAgent(client, settings.Zones)
+	go client.Run(ctx)
 }
 
-// stopOnSignal has the proxy stop when it is told to.
-func stopOnSignal(loop *eventloop.Loop, p *proxy.Proxy) {
+// shutDownOnSignal has the proxy stop when it is told to.
+func shutDownOnSignal(loop *eventloop.Loop, dataPlane *proxy.Proxy) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, startup.StopSignals()...)
 	go func() {
 		for range signals {
-			loop.Post(p.Stop)
+			loop.Post(dataPlane.Stop)
 		}
 	}()
 }
--- a/cmd/cinderroad-proxy/main_test.go
+++ b/cmd/cinderroad-proxy/main_test.go
@@ -10,9 +10,9 @@
 	"cinderroad/internal/system/startup"
 )
 
-// TestSignalDuringTheStart has the platform say that the settings have changed while the process still reads them: the
+// TestSignalDuringStartup has the platform say that the settings have changed while the process still reads them: the
 // signal must not end it. Without a handler it ends this test's process.
-func TestSignalDuringTheStart(t *testing.T) {
+func TestSignalDuringStartup(t *testing.T) {
 	t.Setenv("CINDERROAD_SETTINGS", filepath.Join(t.TempDir(), "missing.json"))
 	if err := run(&startup.Program{Name: "cinderroad-proxy"}, zap.NewNop()); err == nil {
 		t.Error("it ran without settings")
--- a/internal/system/proxy/agentclient/update.go
+++ b/internal/system/proxy/agentclient/update.go
@@ -13,56 +13,56 @@
 
 // Update is what changed in the control state since the update before. Fields that are nil did not change.
 type Update struct {
-	Version   uint64 // of the configuration in force; 0: none is known
-	Routes    []*configuration.Route
-	Removed   []string // names of routes; they go before Routes come
-	Services  *[]*configuration.Service
-	Limits    *configuration.Limits
-	Evacuated *map[string]bool // zones
-	Runners   *[]Runner
-	Complete  bool         // a configuration is known, and so are the partitions that hold the runners of its services
-	Proxies   int          // that may be serving; 0: not known
-	Peers     *[]feed.Peer // the other ones, the whole set
+	Version        uint64 // of the configuration in force; 0: none is known
+	Routes         []*configuration.Route
+	RemovedRoutes  []string // names of routes; they go before Routes come
+	Services       *[]*configuration.Service
+	Limits         *configuration.Limits
+	EvacuatedZones *map[string]bool // zones
+	Runners        *[]Runner
+	Complete       bool         // a configuration is known, and so are the partitions that hold the runners of its services
+	ProxyCount     int          // that may be serving; 0: not known
+	Peers          *[]feed.Peer // the other ones, the whole set
 }
 
 // Runner is a runner with the times of the process's steady clock to which the platform's spans refer.
 type Runner struct {
 	discovery.Runner
-	ColdUntil time.Time // the zero value: warm
-	GoneAt    time.Time // the zero value: not told
+	SlowStartUntil time.Time // the zero value: warm
+	TerminatesAt   time.Time // the zero value: not told
 }
 
-// Finding is an item of the feed that makes no sense; what was held under its key stays.
-type Finding struct {
+// Problem is an item of the feed that makes no sense; what was held under its key stays.
+type Problem struct {
 	Key string
 	Err error
 }
 
-// state is what the feed has said, decoded. It belongs to one goroutine.
-type state struct {
-	began     time.Time
-	tables    []*feed.Table // by partition
-	heard     []bool        // partitions of which a batch has come
-	version   uint64
-	services  map[string]*configuration.Service
-	evacuated map[string]bool
-	runners   map[string]Runner
-	findings  []Finding
-	peers     uint64 // digest of the peers that were told last; 0: none
+// feedState is what the feed has said, decoded. It belongs to one goroutine.
+type feedState struct {
+	startedAt      time.Time
+	tables         []*feed.Table // by partition
+	received       []bool        // partitions of which a batch has come
+	version        uint64
+	services       map[string]*configuration.Service
+	evacuatedZones map[string]bool
+	runners        map[string]Runner
+	problems       []Problem
+	peersDigest    uint64 // digest of the peers that were told last; 0: none
 }
 
-func newState(runnerPartitions int) *state {
-	s := &state{began: time.Now(), services: map[string]*configuration.Service{}, evacuated: map[string]bool{},
+func newFeedState(runnerPartitions int) *feedState {
+	s := &feedState{startedAt: time.Now(), services: map[string]*configuration.Service{}, evacuatedZones: map[string]bool{},
 		runners: map[string]Runner{}}
 	for partition := range feed.Partition(1 + runnerPartitions) {
 		s.tables = append(s.tables, feed.NewTable(partition))
 	}
-	s.heard = make([]bool, len(s.tables))
+	s.received = make([]bool, len(s.tables))
 	return s
 }
 
 // positions say how far each partition is held.
-func (s *state) positions() []feed.Position {
+func (s *feedState) positions() []feed.Position {
 	positions := make([]feed.Position, len(s.tables))
 	for i, table := range s.tables {
 		positions[i] = table.Position()
@@ -70,64 +70,64 @@
 	return positions
 }
 
-// take applies a reply and returns what changed by it.
-func (s *state) take(reply *feed.FollowReply) Update {
+// apply applies a reply and returns what changed by it.
+func (s *feedState) apply(reply *feed.FollowReply) Update {
 	var update Update
-	now := time.Since(s.began)
+	now := time.Since(s.startedAt)
 	for _, batch := range reply.Batches {
 		if int(batch.Partition) >= len(s.tables) {
 			continue
 		}
 		table := s.tables[batch.Partition]
 		changed := table.Apply(now, batch)
-		s.heard[batch.Partition] = s.heard[batch.Partition] || table.Index() > 0
+		s.received[batch.Partition] = s.received[batch.Partition] || table.Index() > 0
 		for i := range changed {
-			s.change(&update, &changed[i])
+			s.applyItem(&update, &changed[i])
 		}
 	}
 	update.Version = s.version
-	update.Complete = s.complete()
-	update.Proxies = reply.Proxies
-	if reply.PeersDigest != 0 && reply.PeersDigest != s.peers {
-		s.peers = reply.PeersDigest
+	update.Complete = s.isComplete()
+	update.ProxyCount = reply.Proxies
+	if reply.PeersDigest != 0 && reply.PeersDigest != s.peersDigest {
+		s.peersDigest = reply.PeersDigest
 		update.Peers = &reply.Peers
 	}
 	return update
 }
 
-// complete says whether a configuration is known and the partitions of all its services have been heard of.
-func (s *state) complete() bool {
+// isComplete says whether a configuration is known and the partitions of all its services have been heard of.
+func (s *feedState) isComplete() bool {
 	for name := range s.services {
-		if !s.heard[feed.PartitionOf(name, len(s.tables)-1)] {
+		if !s.received[feed.PartitionOf(name, len(s.tables)-1)] {
 			return false
 		}
 	}
 	return s.version > 0
 }
 
-// change takes one item that changed.
-func (s *state) change(update *Update, item *feed.Item) {
+// applyItem takes one item that changed.
+func (s *feedState) applyItem(update *Update, item *feed.Item) {
 	var err error
 	switch key := item.Key; {
 	case key == feed.KeyVersion:
-		err = s.changeVersion(item)
+		err = s.applyVersion(item)
 	case key == feed.KeyLimits:
-		update.Limits, err = limitsOf(item)
+		update.Limits, err = decodeLimits(item)
 	case strings.HasPrefix(key, feed.KeyPrefixRoute):
-		err = changeRoute(update, item)
+		err = applyRoute(update, item)
 	case strings.HasPrefix(key, feed.KeyPrefixService):
-		err = s.changeService(update, item)
+		err = s.applyService(update, item)
 	case strings.HasPrefix(key, feed.KeyPrefixEvacuation):
-		s.changeEvacuation(update, item)
+		s.applyEvacuation(update, item)
 	case strings.HasPrefix(key, feed.KeyPrefixRunner):
-		err = s.changeRunner(update, item)
+		err = s.applyRunner(update, item)
 	}
 	if err != nil {
-		s.findings = append(s.findings, Finding{Key: item.Key, Err: err})
+		s.problems = append(s.problems, Problem{Key: item.Key, Err: err})
 	}
 }
 
-func (s *state) changeVersion(item *feed.Item) error {
+func (s *feedState) applyVersion(item *feed.Item) error {
 	if item.Deleted {
 		return nil
 	}
@@ -138,17 +138,17 @@
 	return err
 }
 
-func limitsOf(item *feed.Item) (*configuration.Limits, error) {
+func decodeLimits(item *feed.Item) (*configuration.Limits, error) {
 	if item.Deleted {
 		return &configuration.Limits{}, nil
 	}
 	return configuration.DecodeLimits(item.Value)
 }
 
-func changeRoute(update *Update, item *feed.Item) error {
+func applyRoute(update *Update, item *feed.Item) error {
 	name := item.Key[len(feed.KeyPrefixRoute):]
 	if item.Deleted {
-		update.Removed = append(update.Removed, name)
+		update.RemovedRoutes = append(update.RemovedRoutes, name)
 		return nil
 	}
 	route, err := configuration.DecodeRoute(item.Value)
@@ -159,7 +159,7 @@
 	return nil
 }
 
-func (s *state) changeService(update *Update, item *feed.Item) error {
+func (s *feedState) applyService(update *Update, item *feed.Item) error {
 	name := item.Key[len(feed.KeyPrefixService):]
 	if item.Deleted {
 		delete(s.services, name)
@@ -174,17 +174,17 @@
 	return nil
 }
 
-func (s *state) changeEvacuation(update *Update, item *feed.Item) {
+func (s *feedState) applyEvacuation(update *Update, item *feed.Item) {
 	zone := item.Key[len(feed.KeyPrefixEvacuation):]
 	if item.Deleted {
-		delete(s.evacuated, zone)
+		delete(s.evacuatedZones, zone)
 	} else {
-		s.evacuated[zone] = true
+		s.evacuatedZones[zone] = true
 	}
-	update.Evacuated = &map[string]bool{}
+	update.EvacuatedZones = &map[string]bool{}
 }
 
-func (s *state) changeRunner(update *Update, item *feed.Item) error {
+func (s *feedState) applyRunner(update *Update, item *feed.Item) error {
 	id := item.Key[len(feed.KeyPrefixRunner):]
 	if item.Deleted {
 		delete(s.runners, id)
@@ -193,26 +193,26 @@
 		if err != nil {
 			return err
 		}
-		s.runners[id] = runnerOf(decoded, time.Now().Add(-item.Age))
+		s.runners[id] = newRunner(decoded, time.Now().Add(-item.Age))
 	}
 	update.Runners = &[]Runner{}
 	return nil
 }
 
-// runnerOf turns the spans of a runner that was listed at a time into times.
-func runnerOf(decoded discovery.Runner, listed time.Time) Runner {
-	r := Runner{Runner: decoded}
-	if decoded.SlowStartRemaining > 0 {
-		r.ColdUntil = listed.Add(decoded.SlowStartRemaining)
+// newRunner turns the spans of a runner that was listed at a time into times.
+func newRunner(listed discovery.Runner, at time.Time) Runner {
+	r := Runner{Runner: listed}
+	if listed.SlowStartRemaining > 0 {
+		r.SlowStartUntil = at.Add(listed.SlowStartRemaining)
 	}
-	if decoded.TimeToTermination > 0 {
-		r.GoneAt = listed.Add(decoded.TimeToTermination)
+	if listed.TimeToTermination > 0 {
+		r.TerminatesAt = at.Add(listed.TimeToTermination)
 	}
 	return r
 }
 
-// fill puts the whole sets that changed into an update.
-func (s *state) fill(update *Update) {
+// fillSets puts the whole sets that changed into an update.
+func (s *feedState) fillSets(update *Update) {
 	if update.Services != nil {
 		services := make([]*configuration.Service, 0, len(s.services))
 		for _, service := range s.services {
@@ -220,12 +220,12 @@
 		}
 		update.Services = &services
 	}
-	if update.Evacuated != nil {
-		zones := make(map[string]bool, len(s.evacuated))
-		for zone := range s.evacuated {
+	if update.EvacuatedZones != nil {
+		zones := make(map[string]bool, len(s.evacuatedZones))
+		for zone := range s.evacuatedZones {
 			zones[zone] = true
 		}
-		update.Evacuated = &zones
+		update.EvacuatedZones = &zones
 	}
 	if update.Runners != nil {
 		runners := make([]Runner, 0, len(s.runners))
--- a/internal/system/proxy/control_state.go
+++ b/internal/system/proxy/control_state.go
@@ -43,7 +43,7 @@
 
 // ApplyUpdate puts a change of the control state into force. Only the loop's goroutine may call it.
 func (p *Proxy) ApplyUpdate(update agentclient.Update) {
-	for _, name := range update.Removed {
+	for _, name := range update.RemovedRoutes {
 		p.control.table.Remove(name)
 		p.splitter.remove(name)
 	}
@@ -56,15 +56,15 @@
 	if update.Services != nil {
 		p.SetServices(*update.Services)
 	}
-	if update.Evacuated != nil {
-		p.SetEvacuated(*update.Evacuated)
+	if update.EvacuatedZones != nil {
+		p.SetEvacuated(*update.EvacuatedZones)
 	}
 	switch {
 	case update.Peers != nil:
 		p.applyPeers(*update.Peers)
-	case update.Proxies > 0 && update.Proxies != p.control.proxies && !p.peers.peersKnown: // a peer list implies the count
-		p.control.proxies = update.Proxies
-		p.SetProxies(update.Proxies)
+	case update.ProxyCount > 0 && update.ProxyCount != p.control.proxies && !p.peers.peersKnown: // a peer list implies the count
+		p.control.proxies = update.ProxyCount
+		p.SetProxies(update.ProxyCount)
 	}
 	if update.Runners != nil {
 		p.applyRunners(*update.Runners)
@@ -105,11 +105,11 @@
 	known := placement.Runner{ID: listed.ID, Service: listed.Service, Address: listed.Address, Zone: listed.Zone,
 		Region:   p.control.zones[listed.Zone],
 		Capacity: listed.Capacity, Draining: listed.Draining}
-	if !listed.ColdUntil.IsZero() {
-		known.SlowStartUntil = max(0, now+time.Until(listed.ColdUntil))
+	if !listed.SlowStartUntil.IsZero() {
+		known.SlowStartUntil = max(0, now+time.Until(listed.SlowStartUntil))
 	}
-	if !listed.GoneAt.IsZero() {
-		known.TerminatesAt = max(1, now+time.Until(listed.GoneAt))
+	if !listed.TerminatesAt.IsZero() {
+		known.TerminatesAt = max(1, now+time.Until(listed.TerminatesAt))
 	}
 	for i := range listed.Models {
 		known.Models = append(known.Models, listed.Models[i].Name)
--- a/internal/system/proxy/control_state_test.go
+++ b/internal/system/proxy/control_state_test.go
@@ -35,14 +35,14 @@
 	address := netip.MustParseAddrPort(runner.listener.Addr().String())
 	runners := []agentclient.Runner{{Runner: discovery.Runner{ID: "a", Service: "s", Address: address, Zone: "z",
 		SlowStartRemaining: time.Second},
-		ColdUntil: time.Now().Add(time.Hour)}}
+		SlowStartUntil: time.Now().Add(time.Hour)}}
 	h.onLoop(func() {
 		if h.proxy.Ready() || agent.last().Ready {
 			t.Error("ready without a configuration")
 		}
 		h.proxy.ApplyUpdate(agentclient.Update{Version: 3, Routes: []*configuration.Route{one, two},
 			Services: &[]*configuration.Service{{Name: "s", MaxConnections: 8}},
-			Runners:  &runners, Proxies: 2, Complete: true})
+			Runners:  &runners, ProxyCount: 2, Complete: true})
 		if !h.proxy.Ready() || !agent.last().Ready || agent.last().Stopping {
 			t.Error("not ready with all that is needed")
 		}
@@ -56,7 +56,7 @@
 	upstream.readRequest()
 	upstream.send(successText("t2", "ok"))
 	client.expectResponse(200, "ok")
-	h.onLoop(func() { h.proxy.ApplyUpdate(agentclient.Update{Version: 4, Removed: []string{"one"}}) })
+	h.onLoop(func() { h.proxy.ApplyUpdate(agentclient.Update{Version: 4, RemovedRoutes: []string{"one"}}) })
 	client.send(requestText("/one/x", "t3", "", ""))
 	client.expectResponse(404, "")
 	none := []agentclient.Runner{}
--- a/internal/system/proxy/monitor.go
+++ b/internal/system/proxy/monitor.go
@@ -42,11 +42,11 @@
 }
 
 // listenMonitor starts an endpoint; the zero address starts none.
-func (p *Proxy) listenMonitor(address netip.AddrPort, path string, answer func() monitorResponse) (*monitorEndpoint, error) {
+func (p *Proxy) listenMonitor(address netip.AddrPort, path string, respond func() monitorResponse) (*monitorEndpoint, error) {
 	if !address.IsValid() {
 		return nil, nil
 	}
-	e := &monitorEndpoint{proxy: p, path: path, respond: answer}
+	e := &monitorEndpoint{proxy: p, path: path, respond: respond}
 	var err error
 	if e.listener, err = p.loop.ListenReserved(address, maxMonitorConns, e.closeOldest, e.accept); err != nil {
 		return nil, err
--- a/internal/system/proxy/peer_notifier.go
+++ b/internal/system/proxy/peer_notifier.go
@@ -57,16 +57,16 @@
 }
 
 // applyPeers replaces the peer list.
-func (p *Proxy) applyPeers(told []feed.Peer) {
-	keys := make([]uint64, 0, len(told))
+func (p *Proxy) applyPeers(peers []feed.Peer) {
+	keys := make([]uint64, 0, len(peers))
 	p.peers.ownZone = nil
 	clear(p.peers.otherZones)
-	for i := range told {
-		keys = append(keys, xxhash.Sum64String(told[i].Node))
-		p.peers.add(told[i].Zone, told[i].Address)
+	for i := range peers {
+		keys = append(keys, xxhash.Sum64String(peers[i].Node))
+		p.peers.add(peers[i].Zone, peers[i].Address)
 	}
 	p.peers.peersKnown = true
-	p.control.proxies = 1 + len(told)
+	p.control.proxies = 1 + len(peers)
 	p.pool.proxies = p.control.proxies
 	p.placer.SetPeers(p.now(), xxhash.Sum64String(p.options.Node), keys)
 }
--- a/internal/system/proxy/peer_notifier_test.go
+++ b/internal/system/proxy/peer_notifier_test.go
@@ -120,8 +120,8 @@
 	p, placer := newNotifiedProxy(t, 0)
 	p.control.table = routetable.New()
 	peers := []feed.Peer{{Node: "one", Zone: "a"}, {Node: "two", Zone: "a"}}
-	p.ApplyUpdate(agentclient.Update{Proxies: 4, Peers: &peers})
-	p.ApplyUpdate(agentclient.Update{Proxies: 3})
+	p.ApplyUpdate(agentclient.Update{ProxyCount: 4, Peers: &peers})
+	p.ApplyUpdate(agentclient.Update{ProxyCount: 3})
 	if placer.setProxiesCalls != 0 {
 		t.Errorf("the placer was told %d times of a number alone", placer.setProxiesCalls)
 	}
