--- a/internal/shared/capacity/choice.go
+++ b/internal/shared/capacity/choice.go
@@ -16,27 +16,27 @@
 }
 
 // Add offers a worker. A number is drawn only where two are equal.
-func (c *Selection[W]) Add(w W, o Candidate, random *Random) {
+func (s *Selection[W]) Add(worker W, candidate Candidate, random *Random) {
 	order := 1.0 // above 0: w is better
-	if c.Found {
-		order = c.Candidate.against(&o)
+	if s.Found {
+		order = s.Candidate.compare(&candidate)
 	}
 	if order == 0 {
-		if c.ties++; random.Next()%c.ties == 0 {
-			c.Best = w
+		if s.ties++; random.Next()%s.ties == 0 {
+			s.Best = worker
 		}
 	} else if order > 0 {
-		c.Best, c.Candidate, c.Found, c.ties = w, o, true, 1
+		s.Best, s.Candidate, s.Found, s.ties = worker, candidate, true, 1
 	}
 }
 
-// against is above 0 where the other offer is better, and 0 where they are equal.
-func (o *Candidate) against(other *Candidate) float64 {
-	if o.Rank != other.Rank {
-		return float64(o.Rank - other.Rank)
+// compare is above 0 where the other offer is better, and 0 where they are equal.
+func (c *Candidate) compare(other *Candidate) float64 {
+	if c.Rank != other.Rank {
+		return float64(c.Rank - other.Rank)
 	}
-	if o.Distance != other.Distance {
-		return o.Distance - other.Distance
+	if c.Distance != other.Distance {
+		return c.Distance - other.Distance
 	}
-	return other.SpareCapacity - o.SpareCapacity
+	return other.SpareCapacity - c.SpareCapacity
 }
--- a/internal/shared/capacity/standing.go
+++ b/internal/shared/capacity/standing.go
@@ -20,27 +20,27 @@
 // RecordOutcome counts a failure, 1, or a success, 0. It says whether the worker should be set aside: one that
 // fails fast looks empty and would draw all jobs. Peers is the mean share of errors of its peers: what
 // hits all blames none.
-func (s *Ejection) RecordOutcome(bad, peers float64) bool {
-	UpdateMean(&s.ErrorRate, bad, LearningRate)
-	s.Observed = true
-	if s.ErrorRate < EjectionErrorRate/2 {
-		s.LastDuration = 0
+func (e *Ejection) RecordOutcome(failure, peerErrorRate float64) bool {
+	UpdateMean(&e.ErrorRate, failure, LearningRate)
+	e.Observed = true
+	if e.ErrorRate < EjectionErrorRate/2 {
+		e.LastDuration = 0
 	}
-	return bad > 0 && s.ErrorRate > EjectionErrorRate && s.ErrorRate > PeerFactor*peers
+	return failure > 0 && e.ErrorRate > EjectionErrorRate && e.ErrorRate > PeerFactor*peerErrorRate
 }
 
 // Eject sets the worker aside from now on, longer each time, and says whether it was not yet.
-func (s *Ejection) Eject(now, least, most float64) bool {
-	if now < s.EjectedUntil {
+func (e *Ejection) Eject(now, minDuration, maxDuration float64) bool {
+	if now < e.EjectedUntil {
 		return false
 	}
-	s.LastDuration = math.Min(math.Max(2*s.LastDuration, least), most)
-	s.EjectedUntil = now + s.LastDuration
+	e.LastDuration = math.Min(math.Max(2*e.LastDuration, minDuration), maxDuration)
+	e.EjectedUntil = now + e.LastDuration
 	return true
 }
 
 // IsEjected says whether the worker is set aside.
-func (s *Ejection) IsEjected(now float64) bool { return now < s.EjectedUntil }
+func (e *Ejection) IsEjected(now float64) bool { return now < e.EjectedUntil }
 
 // UpdateMean moves a running mean.
-func UpdateMean(m *float64, sample, rate float64) { *m += rate * (sample - *m) }
+func UpdateMean(mean *float64, sample, rate float64) { *mean += rate * (sample - *mean) }
