--- a/internal/shared/capacity/capacity_test.go
+++ b/internal/shared/capacity/capacity_test.go
@@ -10,13 +10,13 @@
 	const slots = 10
 	for _, test := range []struct {
 		name       string
-		loads      []float64 // of strikes; below 0: a clean finish at that load
+		loads      []float64 // of overloads; below 0: a success at that load
 		load, util float64
 	}{
 		{"one failure", []float64{11}, 11, 1.1},
 		{"two near the ceiling", []float64{11, 9}, 11 * 0.85, 1.1 * 0.85},
 		{"two far below it", []float64{5, 5}, 11, 1.1},
-		{"a clean finish between", []float64{11, -3, 11}, 11, 1.1},
+		{"a success between", []float64{11, -3, 11}, 11, 1.1},
 		{"many", []float64{11, 11, 11, 11, 11, 11, 11, 11, 11, 11, 11, 11, 11, 11, 11, 11}, slots * 0.5, 0.85},
 	} {
 		got := InitialLimits(slots)
@@ -33,21 +33,21 @@
 	}
 }
 
-// Whatever happens, a ceiling stays above its floor and below what clean finishes can show; cuts are bounded; time and
-// clean finishes only raise.
+// Limits stay above their lower bounds and below what successes can show; decreases are bounded; time and successes
+// only raise them.
 func TestLimitsStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.Float64Range(1, 100).Draw(t, "size")
 		limits := InitialLimits(slots)
 		t.Repeat(map[string]func(*rapid.T){
-			"strike": func(t *rapid.T) {
+			"overload": func(t *rapid.T) {
 				before := limits
 				limits.RecordOverload(rapid.Float64Range(0, 2*slots).Draw(t, "load"), slots)
 				if limits.Load > before.Load || limits.Utilization > before.Utilization || limits.Load < before.Load*decreaseFactor-1e-9 && limits.Load > minLoadShare*slots+1e-9 {
 					t.Fatalf("%+v, was %+v", limits, before)
 				}
 			},
-			"clean": func(t *rapid.T) {
+			"success": func(t *rapid.T) {
 				before := limits
 				limits.RecordSuccess(rapid.Float64Range(0, 2*slots).Draw(t, "load"), slots)
 				if limits.Load < before.Load || limits.Utilization < before.Utilization {
@@ -79,7 +79,7 @@
 		limits.RecordOverload(limits.Load, 10)
 	}
 	if limits.Load > 0.6*10 {
-		t.Errorf("ceiling %v where one finish in four is clean", limits.Load)
+		t.Errorf("limit %v where one job in four succeeds", limits.Load)
 	}
 }
 
@@ -91,7 +91,7 @@
 	}{
 		{"rank before all", []Candidate{{1, 0, 9}, {0, 5, -9}}, 1},
 		{"then distance", []Candidate{{1, 2, 9}, {1, 1, 0}}, 1},
-		{"then room", []Candidate{{0, 0, 1}, {0, 0, 2}, {0, 0, 1.5}}, 1},
+		{"then spare capacity", []Candidate{{0, 0, 1}, {0, 0, 2}, {0, 0, 1.5}}, 1},
 		{"least over its ceiling", []Candidate{{2, 0, -7}, {2, 0, -3}}, 1},
 	} {
 		var selection Selection[int]
@@ -104,7 +104,7 @@
 		}
 	}
 	if empty := (Selection[int]{}); empty.Found {
-		t.Error("nothing was offered, and something found")
+		t.Error("found a worker though none was added")
 	}
 }
 
@@ -133,11 +133,11 @@
 			ejections++
 		}
 		if together.RecordOutcome(1, together.ErrorRate) {
-			t.Fatal("set aside though its peers fail as often")
+			t.Fatal("ejected though its peers fail as often")
 		}
 	}
 	if ejections == 0 || ejections > 9 {
-		t.Errorf("set aside after %d of 10 failures", ejections)
+		t.Errorf("ejected after %d of 10 failures", ejections)
 	}
 }
 
@@ -147,10 +147,10 @@
 	now := 0.0
 	for range 6 {
 		if !ejection.Eject(now, 1, 10) {
-			t.Fatal("not set aside")
+			t.Fatal("not ejected")
 		}
 		if ejection.Eject(now, 1, 10) {
-			t.Fatal("set aside twice")
+			t.Fatal("ejected twice")
 		}
 		durations = append(durations, ejection.LastDuration)
 		now = ejection.EjectedUntil
@@ -164,7 +164,7 @@
 		ejection.RecordOutcome(0, 0)
 	}
 	if ejection.LastDuration != 0 {
-		t.Error("clean finishes have not forgiven")
+		t.Error("successes have not reset the duration")
 	}
 }
 
--- a/internal/shared/capacity/doc.go
+++ b/internal/shared/capacity/doc.go
@@ -1,4 +1,11 @@
-// Package capacity is the core of the design that the dispatcher's decisions (package brain) and the system's (package
-// placement) share: two ceilings for each worker learnt from outcomes, spare room below them, the pick of the worker
-// with most room, and how a worker whose attempts fail is set aside. It is pure: no I/O, no clock; times are seconds.
+// Package capacity is the core that the dispatcher's load balancer (package loadbalancer) and the system's placement
+// (package placement) share.
+//
+// Limits are the concurrency limits of a worker, learnt from how its jobs end. SpareCapacity is what a plan leaves below
+// them, Warmth how much of it counts during slow start. Selection picks the worker with the most spare capacity, and
+// Ejection keeps jobs away from a worker whose attempts fail.
+//
+// The package is pure: no I/O, no clock, no goroutine, no allocation. Loads are in slots, the jobs that a worker runs at a
+// time; times and durations are seconds of the caller's clock. No type is safe for concurrent use. The order of all
+// floating-point operations is part of its behaviour: recorded runs are replayed bit for bit.
 package capacity
