--- a/loadbalancer/api.go
+++ b/loadbalancer/api.go
@@ -199,7 +199,7 @@
 	Log(line string)
 }
 
-func finite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
+func isFinite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
 
 // validate names the first field that is missing or makes no sense.
 func (s *Settings) validate() error {
@@ -213,7 +213,7 @@
 		}
 	}
 	for i, t := range s.Tenants {
-		if !finite(t.QuotaPerSec) || t.QuotaPerSec < 0 {
+		if !isFinite(t.QuotaPerSec) || t.QuotaPerSec < 0 {
 			return bad(fmt.Sprintf("Tenants[%d].QuotaPerSec", i), t.QuotaPerSec)
 		}
 	}
@@ -232,7 +232,7 @@
 	if s.MaxAttempts < 1 {
 		return bad("MaxAttempts", s.MaxAttempts)
 	}
-	for _, f := range []struct {
+	for _, field := range []struct {
 		name     string
 		v        float64
 		positive bool
@@ -242,8 +242,8 @@
 		{"FallMultiple", s.OverloadMultiple, true}, {"FallTime", s.OverloadWindow, true},
 		{"OverShareWorth", s.OverQuotaValue, false},
 	} {
-		if !finite(f.v) || f.v < 0 || f.positive && f.v == 0 {
-			return bad(f.name, f.v)
+		if !isFinite(field.v) || field.v < 0 || field.positive && field.v == 0 {
+			return bad(field.name, field.v)
 		}
 	}
 	if !(s.SlowStartInitialShare > 0 && s.SlowStartInitialShare <= 1) {
@@ -252,11 +252,11 @@
 	return nil
 }
 
-func (c *Class) validate(i int) error {
+func (c *Class) validate(index int) error {
 	bad := func(field string, v any) error {
-		return fmt.Errorf("brain: settings: bad Classes[%d].%s: %v", i, field, v)
+		return fmt.Errorf("brain: settings: bad Classes[%d].%s: %v", index, field, v)
 	}
-	for _, f := range []struct {
+	for _, field := range []struct {
 		name     string
 		v        float64
 		positive bool
@@ -264,8 +264,8 @@
 		{"Objective", c.Objective, true}, {"Deadline", c.Deadline, true}, {"Stretch", c.Stretch, false},
 		{"Window", c.DedupWindow, c.RetrySafety == RetryDeduplicated}, {"Worth", c.Value, false}, {"LateShare", c.LateValueShare, false},
 	} {
-		if !finite(f.v) || f.v < 0 || f.positive && f.v == 0 {
-			return bad(f.name, f.v)
+		if !isFinite(field.v) || field.v < 0 || field.positive && field.v == 0 {
+			return bad(field.name, field.v)
 		}
 	}
 	if c.RetrySafety > RetryUnsafe {
--- a/loadbalancer/attempts.go
+++ b/loadbalancer/attempts.go
@@ -10,124 +10,124 @@
 // This file holds arrivals, attempts, second copies, and what is learnt from how attempts end.
 
 // HandleRequest takes an arrival: it is sent at once, refused early, or held for a worker.
-func (b *Balancer) HandleRequest(now float64, q *Request) {
-	if q.Class < 0 || q.Class >= len(b.Classes) {
-		b.act.Fail(q.ID) // nothing is known of such a class: promise nothing
+func (b *Balancer) HandleRequest(now float64, arrival *Request) {
+	if arrival.Class < 0 || arrival.Class >= len(b.Classes) {
+		b.actions.Fail(arrival.ID) // nothing is known of such a class: promise nothing
 		return
 	}
-	if b.requests[q.ID] != nil {
+	if b.requests[arrival.ID] != nil {
 		return
 	}
-	r := b.enter(now, q)
-	b.copies = math.Min(b.copies+copyShare, b.stock)
-	b.probes = math.Min(b.probes+probeShare, float64(len(b.workers)))
-	b.act.SetTimer(uint32(r.ID), r.Deadline-2*b.Tick)
-	b.try(now, r)
+	request := b.admit(now, arrival)
+	b.hedgeBudget = math.Min(b.hedgeBudget+hedgeShare, b.maxHedgeBudget)
+	b.probeBudget = math.Min(b.probeBudget+probeShare, float64(len(b.workers)))
+	b.actions.SetTimer(uint32(request.ID), request.Deadline-2*b.Tick)
+	b.attemptNext(now, request)
 }
 
-// try makes the next attempt, holds the request while no worker may be sent to, or answers.
-func (b *Balancer) try(now float64, r *request) {
-	if now >= r.Deadline-b.Tick || len(r.attempts) >= b.MaxAttempts || r.class.RetrySafety == RetryUnsafe && r.ran() {
-		b.answer(now, r)
+// attemptNext makes the next attempt, holds the request while no worker may be sent to, or answers.
+func (b *Balancer) attemptNext(now float64, request *request) {
+	if now >= request.Deadline-b.Tick || len(request.attempts) >= b.MaxAttempts || request.class.RetrySafety == RetryUnsafe && request.mayHaveRun() {
+		b.answerWithoutWorker(now, request)
 		return
 	}
-	w, rank := b.pick(now, r)
-	if w == nil {
-		if b.lost(now, r) {
-			b.answer(now, r)
+	worker, rank := b.selectWorker(now, request)
+	if worker == nil {
+		if b.isUnservable(now, request) {
+			b.answerWithoutWorker(now, request)
 		}
 		return // held: the sweep tries again
 	}
-	if rank >= 2 && b.hopeless(w, r) && b.mayRefuse(r) {
-		if w = b.soonest(now, r); w == nil || b.wait(w, r) > shortWait*b.patience {
-			b.answer(now, r)
+	if rank >= 2 && b.isHopeless(worker, request) && b.mayReject(request) {
+		if worker = b.soonestStart(now, request); worker == nil || b.expectedWait(worker, request) > shortWaitShare*b.maxWait {
+			b.answerWithoutWorker(now, request)
 			return
 		}
 	}
-	b.send(now, r, w)
+	b.send(now, request, worker)
 }
 
-// started draws on the start of a job: how near the zone is, whether its worker had a slot free, its ceiling.
-func (b *Balancer) started(now float64, r *request, a *attempt) {
-	a.started = now
-	wait, far := now-a.sent, &b.far[b.zone(a.w)]
+// handleJobStart draws on the start of a job: how near the zone is, whether its worker had a slot free, its ceiling.
+func (b *Balancer) handleJobStart(now float64, request *request, attempt *attempt) {
+	attempt.startedAt = now
+	wait, far := now-attempt.sentAt, &b.zoneLatencies[b.zoneOf(attempt.worker)]
 	if *far == 0 || wait < *far {
 		*far = wait
 	}
-	if a.w.slots > 0 && wait <= *far+b.sweep { // it found a free slot: fresher news than any report
-		a.w.others = math.Min(a.w.others, math.Max(0, a.w.slots-a.w.own+a.w.queued)/b.perJob)
+	if attempt.worker.slots > 0 && wait <= *far+b.sweepInterval { // it found a free slot: fresher news than any report
+		attempt.worker.otherJobs = math.Min(attempt.worker.otherJobs, math.Max(0, attempt.worker.slots-attempt.worker.ownSlots+attempt.worker.queuedSlots)/b.slotsPerJob)
 	}
-	b.learnWait(true, a.w, a.load, math.Max(wait-*far-b.sweep, 0))
-	if wait > waitShare*(r.aim-r.arrived) {
-		a.w.ceilings.RecordOverload(a.load, a.w.slots) // a late start is the early warning of a late end
+	b.learnWait(true, attempt.worker, attempt.load, math.Max(wait-*far-b.sweepInterval, 0))
+	if wait > lateStartShare*(request.target-request.arrivedAt) {
+		attempt.worker.limits.RecordOverload(attempt.load, attempt.worker.slots) // a late start is the early warning of a late end
 	}
-	for i := range r.attempts { // the copy that starts first wins, the others are withdrawn
-		if r.attempts[i].started == 0 {
-			b.cancel(r, i)
+	for i := range request.attempts { // the copy that starts first wins, the others are withdrawn
+		if request.attempts[i].startedAt == 0 {
+			b.cancel(request, i)
 		}
 	}
 }
 
 // learnOutcome draws on the end of an attempt: pace, ceilings, errors.
-func (b *Balancer) learnOutcome(now float64, r *request, a *attempt, result Result) {
-	w, bad := a.w, 0.0
+func (b *Balancer) learnOutcome(now float64, request *request, attempt *attempt, result Result) {
+	worker, bad := attempt.worker, 0.0
 	switch result {
 	case OK:
-		run, waited := now-a.sent, 0.0
-		if a.started > 0 {
-			run, waited = now-a.started, a.started-a.sent
+		run, waited := now-attempt.sentAt, 0.0
+		if attempt.startedAt > 0 {
+			run, waited = now-attempt.startedAt, attempt.startedAt-attempt.sentAt
 		}
-		b.learnPace(w, run, r.cost)
-		w.run = cmp.Or(w.run, b.run)*(1-learnRate) + run*learnRate
-		capacity.UpdateMean(&b.run, run, fleetRate)
-		if r.Work == 0 {
-			capacity.UpdateMean(&b.work[r.Class], run, fleetRate)
+		b.learnPace(worker, run, request.cost)
+		worker.runTime = cmp.Or(worker.runTime, b.meanRunTime)*(1-learningRate) + run*learningRate
+		capacity.UpdateMean(&b.meanRunTime, run, fleetLearningRate)
+		if request.Work == 0 {
+			capacity.UpdateMean(&b.meanWork[request.Class], run, fleetLearningRate)
 		}
-		b.learnWait(false, w, a.load, math.Max(now-r.aim, 0))
-		if now <= r.aim && waited <= waitShare*(r.aim-r.arrived) {
-			w.ceilings.RecordSuccess(a.load, w.slots)
+		b.learnWait(false, worker, attempt.load, math.Max(now-request.target, 0))
+		if now <= request.target && waited <= lateStartShare*(request.target-request.arrivedAt) {
+			worker.limits.RecordSuccess(attempt.load, worker.slots)
 		} else if !b.ReportsStart { // else only a late start blames the load: a late end may be the job's size
-			w.ceilings.RecordOverload(a.load, w.slots)
+			worker.limits.RecordOverload(attempt.load, worker.slots)
 		}
 	case Rejected: // it drains and the list is late, or is jammed: no slot comes free here for a while either way
-		w.ceilings.RecordOverload(math.Max(a.load, w.ceilings.Load), w.slots)
-		b.setAside(now, w, fullShare*b.recover, "set aside: it takes nothing")
+		worker.limits.RecordOverload(math.Max(attempt.load, worker.limits.Load), worker.slots)
+		b.eject(now, worker, rejectedEjectionShare*b.recoveryTime, "set aside: it takes nothing")
 		return
 	case Error, Reset, ConnectFailed:
-		w.ceilings.RecordOverload(a.load, w.slots)
+		worker.limits.RecordOverload(attempt.load, worker.slots)
 		bad = 1
 	default:
 		return
 	}
-	b.blame(now, w, bad)
+	b.recordOutcome(now, worker, bad)
 }
 
-// blame counts a failure of a worker, 1, or a success, 0. One that fails fast looks empty and would draw all
+// recordOutcome counts a failure of a worker, 1, or a success, 0. One that fails fast looks empty and would draw all
 // jobs: it is set aside, longer each time.
-func (b *Balancer) blame(now float64, w *worker, bad float64) {
-	if w.standing.RecordOutcome(bad, b.errors) {
-		b.setAside(now, w, 8*b.limit, "set aside: its attempts fail")
+func (b *Balancer) recordOutcome(now float64, worker *worker, bad float64) {
+	if worker.ejection.RecordOutcome(bad, b.meanErrorRate) {
+		b.eject(now, worker, 8*b.tightestObjective, "set aside: its attempts fail")
 	}
 }
 
-// setAside has a worker get jobs only where all others are worse, longer each time.
-func (b *Balancer) setAside(now float64, w *worker, least float64, why string) {
-	if w.standing.Eject(now, least, b.recover) {
-		b.logWorker(w, why, w.standing.LastDuration)
+// eject has a worker get jobs only where all others are worse, longer each time.
+func (b *Balancer) eject(now float64, worker *worker, least float64, why string) {
+	if worker.ejection.Eject(now, least, b.recoveryTime) {
+		b.logWorker(worker, why, worker.ejection.LastDuration)
 	}
 }
 
 // hedge sends a second copy of a job that waits and, should it wait as long again, will miss its aim, to a
 // worker with room. One that runs is left alone: a copy costs its whole work again and feeds the jam.
-func (b *Balancer) hedge(now float64, r *request) {
-	a := r.inFlight()
-	waited, run := now-a.sent, r.cost*a.w.pace
-	if !b.ParallelAttempts || !b.ReportsStart || b.copies < 1 || r.class.RetrySafety == RetryUnsafe || a.started > 0 ||
-		waited < waitShare*(r.aim-a.sent-run) || now+waited+run < r.aim {
+func (b *Balancer) hedge(now float64, request *request) {
+	attempt := request.lastInFlight()
+	waited, run := now-attempt.sentAt, request.cost*attempt.worker.pace
+	if !b.ParallelAttempts || !b.ReportsStart || b.hedgeBudget < 1 || request.class.RetrySafety == RetryUnsafe || attempt.startedAt > 0 ||
+		waited < lateStartShare*(request.target-attempt.sentAt-run) || now+waited+run < request.target {
 		return
 	}
-	if w, rank := b.pick(now, r); w != nil && rank <= 1 && r.cost*w.pace < waited+run {
-		b.copies--
-		b.send(now, r, w)
+	if worker, rank := b.selectWorker(now, request); worker != nil && rank <= 1 && request.cost*worker.pace < waited+run {
+		b.hedgeBudget--
+		b.send(now, request, worker)
 	}
 }
--- a/loadbalancer/brain_test.go
+++ b/loadbalancer/brain_test.go
@@ -15,8 +15,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// sent is one send as the recorder saw it.
-type sent struct {
+// recordedSend is one send as the recorder saw it.
+type recordedSend struct {
 	id     RequestID
 	worker WorkerID
 	at     float64
@@ -28,7 +28,7 @@
 	s       Settings
 	b       *Balancer
 	now     float64
-	sends   []sent
+	sends   []recordedSend
 	refused map[RequestID]bool
 	waits   map[RequestID]float64
 	failed  map[RequestID]bool
@@ -37,7 +37,7 @@
 	timers  []timer
 	trace   []string
 	reqs    map[RequestID]*Request
-	tries   map[RequestID][]try
+	tries   map[RequestID][]recordedAttempt
 	done    map[RequestID]bool
 	workers map[WorkerID]Worker
 }
@@ -47,7 +47,7 @@
 	at    float64
 }
 
-type try struct {
+type recordedAttempt struct {
 	worker  WorkerID
 	at      float64
 	result  Result
@@ -55,7 +55,7 @@
 	started bool
 }
 
-func (t try) mayHaveRun() bool {
+func (t recordedAttempt) mayHaveRun() bool {
 	return t.flying || t.result != Rejected && t.result != ConnectFailed && t.result != Withdrawn
 }
 
@@ -81,7 +81,7 @@
 func newRecorder(t testing.TB, s Settings, seed uint64) *recorder {
 	t.Helper()
 	r := &recorder{t: t, s: s, now: 1000, refused: map[RequestID]bool{}, waits: map[RequestID]float64{}, failed: map[RequestID]bool{},
-		reqs: map[RequestID]*Request{}, tries: map[RequestID][]try{}, done: map[RequestID]bool{},
+		reqs: map[RequestID]*Request{}, tries: map[RequestID][]recordedAttempt{}, done: map[RequestID]bool{},
 		workers: map[WorkerID]Worker{}}
 	b, err := New(s, seed, r)
 	if err != nil {
@@ -119,12 +119,12 @@
 	if len(r.tries[id]) >= r.s.MaxAttempts {
 		r.t.Errorf("request %d: attempt beyond the cap", id)
 	}
-	r.tries[id] = append(r.tries[id], try{worker: w, at: r.now, flying: true})
-	r.sends = append(r.sends, sent{id, w, r.now})
+	r.tries[id] = append(r.tries[id], recordedAttempt{worker: w, at: r.now, flying: true})
+	r.sends = append(r.sends, recordedSend{id, w, r.now})
 	r.trace = append(r.trace, fmt.Sprintf("send %d %d", id, w))
 }
 
-func (r *recorder) repeatAllowed(c Class, a try, w WorkerID) bool {
+func (r *recorder) repeatAllowed(c Class, a recordedAttempt, w WorkerID) bool {
 	if c.RetrySafety == RetrySafe {
 		return true
 	}
@@ -252,7 +252,7 @@
 // reportFree has workers 1 to n report no load and four free slots.
 func (r *recorder) reportFree(n int) {
 	for i := 1; i <= n; i++ {
-		r.b.learnReport(r.now, r.b.byID[WorkerID(i)], []float32{0, 0, 4})
+		r.b.learnReport(r.now, r.b.workersByID[WorkerID(i)], []float32{0, 0, 4})
 	}
 }
 
@@ -266,7 +266,7 @@
 }
 
 // Each class and outcome: what may follow. The recorder checks that nothing forbidden does.
-func TestRepeatSafetyByClassAndOutcome(t *testing.T) {
+func TestRetrySafetyByClassAndOutcome(t *testing.T) {
 	const again, refuse, fail = "again", "refused", "failed"
 	for _, c := range []struct {
 		class  int
@@ -302,7 +302,7 @@
 	}
 }
 
-func TestKeyedRepeatStaysInItsGroup(t *testing.T) {
+func TestDeduplicatedRetryStaysInItsScope(t *testing.T) {
 	for class, other := range map[int]Worker{1: {ID: 2, State: Ready, Cell: 7}, 4: {ID: 2, State: Ready, Zone: 1}} {
 		r := newRecorder(t, testSettings(), 1)
 		r.list(ListFull, ready(1)...)
@@ -316,7 +316,7 @@
 	}
 }
 
-func TestKeyedRepeatStopsAfterTheWindow(t *testing.T) {
+func TestDeduplicatedRetryStopsAfterTheWindow(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(1)...)
 	r.request(1, 1, 0.05)
@@ -329,7 +329,7 @@
 }
 
 // Guards against a process that slows down and swells with every machine that was ever replaced.
-func TestWorkersThatLeftAreForgotten(t *testing.T) {
+func TestDepartedWorkersArePruned(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	for i := range 200 {
 		r.list(ListFull, Worker{ID: WorkerID(i), State: Ready}, Worker{ID: 1000, State: Ready})
@@ -337,13 +337,13 @@
 		r.outcome(RequestID(i+1), 0, OK)
 		r.runTo(r.now + 5)
 	}
-	if n := len(r.b.workers); n > 20 || len(r.b.byID) != n || r.b.byID[1000] == nil {
-		t.Errorf("%d workers kept, %d by id", n, len(r.b.byID))
+	if n := len(r.b.workers); n > 20 || len(r.b.workersByID) != n || r.b.workersByID[1000] == nil {
+		t.Errorf("%d workers kept, %d by id", n, len(r.b.workersByID))
 	}
 }
 
 // Guards against a client that is told to come back at once, into the same jam, or later than it would obey.
-func TestARefusalSaysWhenToComeBack(t *testing.T) {
+func TestRejectionCarriesRetryAfter(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		s := testSettings()
 		s.MayRetryAfter, s.MaxRetryAfter = allowed, 2
@@ -370,7 +370,7 @@
 }
 
 // Guards against holding a request to its deadline when nobody is left who could serve it under the rules.
-func TestARequestNobodyMayServeIsGivenUpAtOnce(t *testing.T) {
+func TestUnservableRequestFailsAtOnce(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, Worker{ID: 1, State: Ready, Cell: 1}, Worker{ID: 2, State: Ready, Cell: 2})
 	r.request(1, 1, 0.05)
@@ -381,7 +381,7 @@
 	}
 }
 
-func TestSkillsDecideWhoMayServe(t *testing.T) {
+func TestSkillsLimitEligibleWorkers(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, Worker{ID: 1, State: Ready}, Worker{ID: 2, State: Ready, Skills: []uint32{7, 8}})
 	for id, want := range map[RequestID]WorkerID{1: 1, 2: 2} {
@@ -422,7 +422,7 @@
 	}
 }
 
-func TestNothingGoesToAWorkerThatDrainsOrLeft(t *testing.T) {
+func TestDrainingAndDepartedWorkersGetNothing(t *testing.T) {
 	for name, change := range map[string]func(r *recorder){
 		"drains":             func(r *recorder) { r.list(ListDelta, Worker{ID: 1, State: Draining}) },
 		"gone":               func(r *recorder) { r.list(ListDelta, Worker{ID: 1, State: Departed}) },
@@ -456,7 +456,7 @@
 }
 
 // worstSpan is the most work sent within a fall time, as a share of what the capacity at its start allows.
-func worstSpan(s Settings, sends []sent, work func(RequestID) float64, capacity func(from float64) float64) float64 {
+func worstSpan(s Settings, sends []recordedSend, work func(RequestID) float64, capacity func(from float64) float64) float64 {
 	worst := 0.0
 	for _, from := range sends {
 		sum := 0.0
@@ -471,7 +471,7 @@
 }
 
 // An instance keeps to its part of the cold budget, whatever the others know.
-func TestColdWorkerIsNotPushedOver(t *testing.T) {
+func TestSlowStartBudgetIsKept(t *testing.T) {
 	s := testSettings()
 	r := newRecorder(t, s, 1)
 	r.list(ListFull, Worker{ID: 1, State: Ready, StartedAt: r.now})
@@ -492,7 +492,7 @@
 
 // Many instances, of which only the first few ever had a turn: the worker stayed unused until it was warm. All
 // together must use it and stay within the rule, restarts and a job larger than an equal part included.
-func TestManyInstancesTogetherKeepAColdWorkerUp(t *testing.T) {
+func TestSlowStartBudgetHoldsOverAllInstances(t *testing.T) {
 	s := testSettings()
 	s.Instances = 100
 	life := func(seed uint64, at float64) *recorder {
@@ -509,7 +509,7 @@
 	for s.Instance = 0; s.Instance < s.Instances; s.Instance++ {
 		fleet = append(fleet, life(uint64(s.Instance), 1000))
 	}
-	var all []sent
+	var all []recordedSend
 	work := func(id RequestID) float64 { return []float64{0.1, 0.1, 0.1, 0.4}[id%4] }
 	who := map[int]bool{}
 	for step := RequestID(2); step < 100; step++ {
@@ -540,7 +540,7 @@
 	t.Logf("%.2f of the budget, from %d instances", worst, len(who))
 }
 
-func TestARestartUnderTheSameIDIsColdAgain(t *testing.T) {
+func TestRestartUnderTheSameIDStartsSlowly(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(1)...)
 	r.runTo(r.now + 1)
@@ -554,7 +554,7 @@
 }
 
 // A restarted balancer has an old list and no ceilings: it serves at once and survives what is wrong in it.
-func TestRestartWithAnOldList(t *testing.T) {
+func TestRestartWithCachedList(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListCached, ready(3)...)
 	r.request(1, 0, 0.05)
@@ -571,7 +571,7 @@
 	}
 }
 
-func TestAFailedWatchIsAskedForAgainWithinTheAllowedTime(t *testing.T) {
+func TestFailedWatchIsRenewedInTime(t *testing.T) {
 	s := testSettings()
 	s.ListOnRequest = true
 	r := newRecorder(t, s, 1)
@@ -593,7 +593,7 @@
 }
 
 // A worker that fails fast looks empty; a ceiling floor alone would let it draw every job.
-func TestFastFailerDoesNotDrawTheJobs(t *testing.T) {
+func TestFailingWorkerDoesNotAttractJobs(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(4)...)
 	late := 0
@@ -622,14 +622,14 @@
 
 // What hits all workers alike must set none aside.
 // With 434 dispatchers and 283 workers the plans of each period alone took more CPU than there was.
-func TestALargeFleetIsPlannedLessOften(t *testing.T) {
+func TestLargeClusterIsPlannedLessOften(t *testing.T) {
 	for _, c := range []struct{ workers, least, most int }{{16, 95, 101}, {320, 18, 26}} {
 		r := newRecorder(t, testSettings(), 1)
 		r.list(ListFull, ready(c.workers)...)
-		plans, last := 0, r.b.planAt
+		plans, last := 0, r.b.plannedAt
 		for i := 0; i < 100; i++ {
-			if r.runTo(r.now + r.b.sweep); r.b.planAt != last {
-				plans, last = plans+1, r.b.planAt
+			if r.runTo(r.now + r.b.sweepInterval); r.b.plannedAt != last {
+				plans, last = plans+1, r.b.plannedAt
 			}
 		}
 		if plans < c.least || plans > c.most {
@@ -639,7 +639,7 @@
 }
 
 // A zone of dead workers drew attempt after attempt: the many failed connects made failing look common to all.
-func TestManyDeadWorkersAreStillSetAside(t *testing.T) {
+func TestManyDeadWorkersAreEjected(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	fleet := ready(12)
 	dead := func(w WorkerID) bool { return w%3 == 0 }
@@ -667,7 +667,7 @@
 }
 
 // At size a job lost to learn that a worker is dead is lost by each of hundreds: the probes find it out.
-func TestAProbeThatFindsNobodySetsTheWorkerAside(t *testing.T) {
+func TestFailedProbeEjectsWorker(t *testing.T) {
 	s := testSettings()
 	s.MayProbe, s.ReportsByProbe = true, true
 	r := newRecorder(t, s, 1)
@@ -685,7 +685,7 @@
 }
 
 // In a jam a worker not heard from has the others' mean room, far below none, but looked idle to the refusals.
-func TestAJamIsSeenOnWorkersNotHeardFrom(t *testing.T) {
+func TestQueueIsSeenOnWorkersWithoutReports(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(2)...)
 	for i := 0; i < 2; i++ {
@@ -697,14 +697,14 @@
 	}
 	w := r.b.workers[0]
 	r.b.learnReport(r.now, r.b.workers[1], []float32{60, 1, 0})
-	r.b.workers[1].others, w.heard = 60, false
-	r.b.rebuild(r.now)
+	r.b.workers[1].otherJobs, w.reported = 60, false
+	r.b.rebuildPlan(r.now)
 	if r.request(9, 0, 0.5); !r.refused[9] {
-		t.Errorf("no refusal though what is known is a queue of 60: rooms %.1f and %.1f", w.room, r.b.workers[1].room)
+		t.Errorf("no refusal though what is known is a queue of 60: rooms %.1f and %.1f", w.spareSlots, r.b.workers[1].spareSlots)
 	}
 }
 
-func TestErrorsEverywhereBlameNoOne(t *testing.T) {
+func TestSharedFaultEjectsNobody(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(4)...)
 	for id := RequestID(1); id <= 200; id++ {
@@ -713,14 +713,14 @@
 		r.outcome(id, 0, Error)
 	}
 	for _, w := range r.b.workers {
-		if w.standing.EjectedUntil > r.now {
+		if w.ejection.EjectedUntil > r.now {
 			t.Errorf("worker %d was set aside", w.ID)
 		}
 	}
 }
 
 // A report that shows a worker full once kept it without room for good where reports come with answers only.
-func TestAnOldReportDoesNotLockAWorkerOut(t *testing.T) {
+func TestOldReportDoesNotExcludeWorker(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(2)...)
 	hit := map[WorkerID]int{}
@@ -747,18 +747,18 @@
 }
 
 // Asked once in ten seconds, a worker's report was taken to hold for forty, and drew every job meanwhile.
-func TestSeldomAskedIsNotLongValid(t *testing.T) {
+func TestRarelyPolledReportExpires(t *testing.T) {
 	s := testSettings()
 	s.MayProbe, s.ReportsByProbe = true, true
 	r := newRecorder(t, s, 1)
 	r.list(ListFull, ready(2)...)
-	was := r.b.period
+	was := r.b.reportPeriod
 	for i := 0; i < 10; i++ {
 		r.runTo(r.now + 10)
 		r.b.HandleProbeResult(r.now, 1, OK, []float32{float32(i), 0.1 * float32(i), 9})
 	}
-	if r.b.period > was {
-		t.Errorf("period of reports went from %.2f to %.2f though none was seen twice", was, r.b.period)
+	if r.b.reportPeriod > was {
+		t.Errorf("period of reports went from %.2f to %.2f though none was seen twice", was, r.b.reportPeriod)
 	}
 	for i := 0; i < 20; i++ { // each seen twice: now the time between new ones is known
 		r.runTo(r.now + 1)
@@ -766,14 +766,14 @@
 			r.b.HandleProbeResult(r.now, 1, OK, []float32{float32(i % 7), 0.1 * float32(i%7), 9})
 		}
 	}
-	if r.b.period < 0.9 || r.b.period > 1.1 {
-		t.Errorf("period of reports is %.2f, reports come each second", r.b.period)
+	if r.b.reportPeriod < 0.9 || r.b.reportPeriod > 1.1 {
+		t.Errorf("period of reports is %.2f, reports come each second", r.b.reportPeriod)
 	}
 }
 
 // Hundreds of instances that each look at all workers see none of them in time. The few that each keeps in
 // sight are spread evenly, stay as they are while others leave, and are all of them in a small fleet.
-func TestSightIsAnEvenStableSubset(t *testing.T) {
+func TestViewIsAnEvenStableSubset(t *testing.T) {
 	s := testSettings()
 	s.MayProbe, s.ReportsByProbe, s.Instances = true, true, 200
 	fleet := ready(80)
@@ -791,7 +791,7 @@
 				before[w.ID] = true
 			}
 		}
-		if len(before) != 2*viewLeast {
+		if len(before) != 2*minViewWidth {
 			t.Fatalf("instance %d has %d workers in sight", s.Instance, len(before))
 		}
 		gone := fleet[7]
@@ -807,8 +807,8 @@
 		}
 	}
 	for _, w := range fleet {
-		if n := seen[w.ID]; n < s.Instances*viewLeast/40/2 || n > s.Instances*viewLeast/40*2 {
-			t.Errorf("worker %d is in sight of %d instances, %d on the mean", w.ID, n, s.Instances*viewLeast/40)
+		if n := seen[w.ID]; n < s.Instances*minViewWidth/40/2 || n > s.Instances*minViewWidth/40*2 {
+			t.Errorf("worker %d is in sight of %d instances, %d on the mean", w.ID, n, s.Instances*minViewWidth/40)
 		}
 	}
 	if kept*10 < all*8 {
@@ -824,7 +824,7 @@
 	}
 }
 
-func TestAWaitingJobShowsThatAWorkerIsFull(t *testing.T) {
+func TestWaitingJobMarksWorkerFull(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(2)...)
 	for i := 0; i < 2; i++ { // both reported four slots and no load
@@ -846,10 +846,10 @@
 }
 
 // A queue behind a wide job once made a worker of four slots look as if it had 28, and drew the jobs there.
-func TestAQueueBehindAWideJobIsNotTakenForSlots(t *testing.T) {
+func TestQueueBehindWideJobDoesNotCountAsSlots(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(1)...)
-	w := r.b.byID[1]
+	w := r.b.workersByID[1]
 	r.b.learnReport(r.now, w, []float32{1, 0.2, 3})
 	r.b.learnReport(r.now, w, []float32{27, 0.8, 1})
 	if w.slots != 4 {
@@ -858,28 +858,28 @@
 }
 
 // Idle workers were once held to be slow for good on the word of one long job's progress notes.
-func TestOneLongJobDoesNotConvictAWorker(t *testing.T) {
+func TestOneLongJobDoesNotMarkWorkerSlow(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(1)...)
-	r.b.work[2] = 0.1
+	r.b.meanWork[2] = 0.1
 	r.request(1, 2, 0)
 	r.start(1, 0)
 	for i := 1; i < 9; i++ {
 		r.runTo(r.now + 0.5)
 		r.b.HandleProgress(r.now, &ProgressUpdate{Request: 1, Fraction: float64(i) / 10})
 	}
-	if pace := r.b.byID[1].pace; pace > peerFactor*r.b.pace {
-		t.Errorf("pace %.2f against %.2f of all", pace, r.b.pace)
+	if pace := r.b.workersByID[1].pace; pace > peerFactor*r.b.meanPace {
+		t.Errorf("pace %.2f against %.2f of all", pace, r.b.meanPace)
 	}
 	r.outcome(1, 0, OK)
-	slow := r.b.byID[1].pace
+	slow := r.b.workersByID[1].pace
 	r.runTo(r.now + 30)
-	if pace := r.b.byID[1].pace; math.Abs(pace-r.b.pace) > 0.2*math.Abs(slow-r.b.pace) {
-		t.Errorf("pace %.2f is not forgotten, was %.2f, all have %.2f", pace, slow, r.b.pace)
+	if pace := r.b.workersByID[1].pace; math.Abs(pace-r.b.meanPace) > 0.2*math.Abs(slow-r.b.meanPace) {
+		t.Errorf("pace %.2f is not forgotten, was %.2f, all have %.2f", pace, slow, r.b.meanPace)
 	}
 }
 
-func TestOwnZoneFirstThenSpill(t *testing.T) {
+func TestOwnZoneFirstThenOverflow(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, Worker{ID: 1, State: Ready}, Worker{ID: 2, State: Ready, Zone: 1})
 	r.reportFree(2)
@@ -898,7 +898,7 @@
 	}
 }
 
-func TestNoSecondCopyWhereItIsNotAllowed(t *testing.T) {
+func TestNoHedgeWhereNotAllowed(t *testing.T) {
 	s := testSettings()
 	s.ParallelAttempts = false
 	for _, parallel := range []bool{false, true} {
@@ -915,7 +915,7 @@
 }
 
 // Copies of jobs that ran cost their whole work again and fed every jam.
-func TestAJobThatRunsIsNotCopied(t *testing.T) {
+func TestRunningJobIsNotHedged(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(3)...)
 	r.reportFree(3)
@@ -927,7 +927,7 @@
 	}
 }
 
-func TestAStreamThatBeganIsLeftAlone(t *testing.T) {
+func TestStartedStreamIsNotInterrupted(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(2)...)
 	r.request(1, 0, 0.05)
@@ -963,8 +963,8 @@
 	}
 }
 
-// drive feeds a seeded sequence of ordinary and odd events; the recorder checks the rules all along.
-func drive(t testing.TB, s Settings, seed int64, steps int) []string {
+// playRandomEvents feeds a seeded sequence of ordinary and odd events; the recorder checks the rules all along.
+func playRandomEvents(t testing.TB, s Settings, seed int64, steps int) []string {
 	rng := rand.New(rand.NewSource(seed))
 	r := newRecorder(t, s, uint64(seed))
 	for i := 1; i <= 6; i++ {
@@ -1047,10 +1047,10 @@
 	return []Settings{plain, strict, probing}
 }
 
-func TestRandomEventsBreakNoRule(t *testing.T) {
+func TestRandomEventsKeepInvariants(t *testing.T) {
 	for v, s := range variants() {
 		for seed := int64(1); seed <= 40; seed++ {
-			drive(t, s, seed*10+int64(v), 600)
+			playRandomEvents(t, s, seed*10+int64(v), 600)
 			if t.Failed() {
 				t.Fatalf("variant %d, seed %d", v, seed)
 			}
@@ -1060,9 +1060,9 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	for v, s := range variants() {
-		alone := drive(t, s, 77, 800)
-		drive(t, s, 78, 300) // another instance in the same process
-		again := drive(t, s, 77, 800)
+		alone := playRandomEvents(t, s, 77, 800)
+		playRandomEvents(t, s, 78, 300) // another instance in the same process
+		again := playRandomEvents(t, s, 77, 800)
 		if strings.Join(alone, "\n") != strings.Join(again, "\n") {
 			t.Errorf("variant %d: the same events led to other actions", v)
 		}
@@ -1072,18 +1072,18 @@
 	}
 }
 
-// nobody carries out nothing.
-type nobody struct{}
+// discardActions carries out nothing.
+type discardActions struct{}
 
-func (nobody) Send(RequestID, WorkerID, float64) {}
-func (nobody) Reject(RequestID, float64)         {}
-func (nobody) Fail(RequestID)                    {}
-func (nobody) Cancel(RequestID, int)             {}
-func (nobody) Probe(WorkerID)                    {}
-func (nobody) SetTimer(uint32, float64)          {}
-func (nobody) Watch(bool)                        {}
-func (nobody) Fetch()                            {}
-func (nobody) Log(string)                        {}
+func (discardActions) Send(RequestID, WorkerID, float64) {}
+func (discardActions) Reject(RequestID, float64)         {}
+func (discardActions) Fail(RequestID)                    {}
+func (discardActions) Cancel(RequestID, int)             {}
+func (discardActions) Probe(WorkerID)                    {}
+func (discardActions) SetTimer(uint32, float64)          {}
+func (discardActions) Watch(bool)                        {}
+func (discardActions) Fetch()                            {}
+func (discardActions) Log(string)                        {}
 
 // arrivals returns a step that takes one arrival, its start, its outcome and a sweep.
 func arrivals(t testing.TB, workers int) func() {
@@ -1096,7 +1096,7 @@
 	if report == nil {
 		s.ReportFields = nil
 	}
-	b, err := New(s, 1, nobody{})
+	b, err := New(s, 1, discardActions{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -1107,14 +1107,14 @@
 		id++
 		now += 0.001
 		b.HandleRequest(now, &Request{ID: id, Slots: 1, Work: 0.05, Deadline: now + 5})
-		w := b.requests[id].attempts[0].w.ID
+		w := b.requests[id].attempts[0].worker.ID
 		b.HandleProgress(now, &ProgressUpdate{Request: id, Started: true})
 		b.HandleOutcome(now, &Outcome{Request: id, Worker: w, Result: OK, ClientAnswered: true, Report: report})
 		b.HandleTimer(now, sweepToken)
 	}
 }
 
-func TestNoGarbageInTheSteadyState(t *testing.T) {
+func TestSteadyStateDoesNotAllocate(t *testing.T) {
 	for _, workers := range []int{16, 256} {
 		step := arrivals(t, workers)
 		for i := 0; i < 1000; i++ {
@@ -1213,7 +1213,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, act := range []string{"act.Send(", "act.Reject(", "act.Fail(", "act.Probe("} {
+		for _, act := range []string{"actions.Send(", "actions.Reject(", "actions.Fail(", "actions.Probe("} {
 			if strings.Contains(string(text), act) {
 				t.Errorf("%s calls %s...)", name, act)
 			}
--- a/loadbalancer/choice.go
+++ b/loadbalancer/choice.go
@@ -9,57 +9,59 @@
 // This file holds the choice of the worker that a request is sent to.
 
 // rank orders workers for a job: room in the own zone, room elsewhere, no room, too slow, tried, set aside.
-func (b *Balancer) rank(now float64, r *request, w *worker) int {
+func (b *Balancer) rank(now float64, request *request, worker *worker) int {
 	switch {
-	case w.standing.IsEjected(now):
+	case worker.ejection.IsEjected(now):
 		return 5
-	case r.tried(w):
+	case request.hasTried(worker):
 		return 4
-	case now+r.cost*w.pace > r.aim && w.pace > peerFactor*b.pace:
+	case now+request.cost*worker.pace > request.target && worker.pace > peerFactor*b.meanPace:
 		return 3 // so much slower than its peers that this job would end late even if alone
-	case w.room < r.size:
+	case worker.spareSlots < request.slotsNeeded:
 		return 2
-	case b.zone(w) != b.Zone:
+	case b.zoneOf(worker) != b.Zone:
 		return 1
 	}
 	return 0
 }
 
-// pick is the ordinary path: the ready worker with most room, own zone first, then the nearest; if none has
+// selectWorker is the ordinary path: the ready worker with most room, own zone first, then the nearest; if none has
 // room, the one least over its ceiling. Ties break at random.
-func (b *Balancer) pick(now float64, r *request) (best *worker, bestRank int) {
-	var choice capacity.Selection[*worker]
-	for _, w := range b.workers {
-		if !b.may(now, r, w) {
+func (b *Balancer) selectWorker(now float64, request *request) (best *worker, bestRank int) {
+	var selection capacity.Selection[*worker]
+	for _, worker := range b.workers {
+		if !b.isEligible(now, request, worker) {
 			continue
 		}
-		offer := capacity.Candidate{Rank: b.rank(now, r, w), SpareCapacity: w.room}
+		offer := capacity.Candidate{Rank: b.rank(now, request, worker), SpareCapacity: worker.spareSlots}
 		if offer.Rank == 1 {
-			offer.Distance = b.distance(w)
+			offer.Distance = b.distance(worker)
 		}
-		choice.Add(w, offer, &b.rng)
+		selection.Add(worker, offer, &b.random)
 	}
-	return choice.Best, choice.Candidate.Rank
+	return selection.Best, selection.Candidate.Rank
 }
 
-// draw breaks ties between workers that tell nothing: at random, in proportion to their weights in the list.
-func (b *Balancer) draw(w *worker) float64 {
-	u, weight := (float64(b.rng.Next()>>11)+0.5)/(1<<53), 1.0
-	if w.Weight > 0 && finite(w.Weight) {
-		weight = w.Weight / b.weight
+// tieBreak breaks ties between workers that tell nothing: at random, in proportion to their weights in the list.
+func (b *Balancer) tieBreak(worker *worker) float64 {
+	u, weight := (float64(b.random.Next()>>11)+0.5)/(1<<53), 1.0
+	if worker.Weight > 0 && isFinite(worker.Weight) {
+		weight = worker.Weight / b.meanWeight
 	}
 	return tieWidth * (math.Log(weight) - math.Log(-math.Log(u)))
 }
 
 // distance counts in eighths of the tightest objective: zones that differ by less share the spill.
-func (b *Balancer) distance(w *worker) float64 { return math.Floor(b.far[b.zone(w)] * 8 / b.limit) }
+func (b *Balancer) distance(worker *worker) float64 {
+	return math.Floor(b.zoneLatencies[b.zoneOf(worker)] * 8 / b.tightestObjective)
+}
 
-// soonest is the worker that would start the job first, of those that are only full: the least full one may
+// soonestStart is the worker that would start the job first, of those that are only full: the least full one may
 // be so slow that it starts it last.
-func (b *Balancer) soonest(now float64, r *request) (best *worker) {
-	for _, w := range b.workers {
-		if b.may(now, r, w) && b.rank(now, r, w) <= 2 && (best == nil || b.wait(w, r) < b.wait(best, r)) {
-			best = w
+func (b *Balancer) soonestStart(now float64, request *request) (best *worker) {
+	for _, worker := range b.workers {
+		if b.isEligible(now, request, worker) && b.rank(now, request, worker) <= 2 && (best == nil || b.expectedWait(worker, request) < b.expectedWait(best, request)) {
+			best = worker
 		}
 	}
 	return best
--- a/loadbalancer/crowd_test.go
+++ b/loadbalancer/crowd_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// crowd is many instances that share nothing but the workers, over a virtual clock. A worker runs what it is sent at
+// instanceGroup is many instances that share nothing but the workers, over a virtual clock. A worker runs what it is sent at
 // once, however much that is, and reports truly: what counts here is who is sent how much.
-type crowd struct {
+type instanceGroup struct {
 	r    []*recorder
 	seen []int // sends of each that were carried out
 	held map[WorkerID]float64
-	ends []ending
+	ends []groupAttempt
 	size float64
-	sent map[WorkerID][]sent
+	sent map[WorkerID][]recordedSend
 	now  float64
 
 	share func(me int) float64 // of an instance's traffic against the mean; nil is even
@@ -27,7 +27,7 @@
 	all  int
 }
 
-type ending struct {
+type groupAttempt struct {
 	at  float64
 	me  int
 	id  RequestID
@@ -35,8 +35,8 @@
 	w   WorkerID
 }
 
-func newCrowd(t *testing.T, s Settings, instances int, size float64, workers []Worker) *crowd {
-	c := &crowd{size: size, held: map[WorkerID]float64{}, sent: map[WorkerID][]sent{},
+func newInstanceGroup(t *testing.T, s Settings, instances int, size float64, workers []Worker) *instanceGroup {
+	c := &instanceGroup{size: size, held: map[WorkerID]float64{}, sent: map[WorkerID][]recordedSend{},
 		seen: make([]int, instances), now: 1000}
 	s.Instances = instances
 	for s.Instance = 0; s.Instance < instances; s.Instance++ {
@@ -47,14 +47,14 @@
 	return c
 }
 
-func (c *crowd) list(entries ...Worker) {
+func (c *instanceGroup) list(entries ...Worker) {
 	for _, r := range c.r {
 		r.list(ListDelta, entries...)
 	}
 }
 
 // run plays on until a time, with jobs that keep busy slots of all workers on average.
-func (c *crowd) run(to, busy, work float64, rng *rand.Rand, id *RequestID) {
+func (c *instanceGroup) run(to, busy, work float64, rng *rand.Rand, id *RequestID) {
 	const step = 0.01
 	for ; c.now < to; c.now += step {
 		if c.past = append(c.past, maps.Clone(c.held)); float64(len(c.past)) > c.late/step {
@@ -89,7 +89,7 @@
 				c.sent[x.worker] = append(c.sent[x.worker], x)
 				try := len(r.tries[x.id]) - 1
 				r.start(x.id, try)
-				c.ends = append(c.ends, ending{c.now + work, me, x.id, try, x.worker}) // all run alike: in order
+				c.ends = append(c.ends, groupAttempt{c.now + work, me, x.id, try, x.worker}) // all run alike: in order
 			}
 			c.seen[me] = len(r.sends)
 		}
@@ -106,14 +106,14 @@
 }
 
 // worst is the most work that a worker which came cold at a time was sent within a fall time, as a share of what it bears.
-func (c *crowd) worst(s Settings, cold WorkerID, at, work float64) float64 {
+func (c *instanceGroup) worst(s Settings, cold WorkerID, at, work float64) float64 {
 	return worstSpan(s, c.sent[cold], func(RequestID) float64 { return work },
 		func(from float64) float64 { return c.size * warmAt(s, from-(at-1000)) })
 }
 
 // Guards against a cold worker that many instances leave idle while the warm ones are full: each knows little of it, and
 // what the turns leave to each is less than a slot. However many there are, all together must use it well and keep the rule.
-func TestAColdWorkerIsGivenWorkHoweverManyShareIt(t *testing.T) {
+func TestSlowStartWorkerGetsWorkFromManyInstances(t *testing.T) {
 	for _, instances := range []int{1, 3, 36, 80} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
 			s := testSettings()
@@ -122,7 +122,7 @@
 			const size, work, busy = 4.0, 0.1, 0.65
 			workers := max(4, 3*instances/4) // many instances share many workers
 			load := busy * size * float64(workers)
-			c := newCrowd(t, s, instances, size, ready(workers))
+			c := newInstanceGroup(t, s, instances, size, ready(workers))
 			c.run(1003, load, work, rng, &id)
 			news, colds := replaceHalf(workers, 1003) // and the rest are full
 			c.list(news...)
@@ -149,7 +149,7 @@
 
 // Guards against all instances believing the same late report and choosing alike: a worker that was idle a while ago is
 // full before anyone hears of it, and idle ones stand beside it.
-func TestACrowdDoesNotActAsOneOnLateReports(t *testing.T) {
+func TestManyInstancesSpreadOnLateReports(t *testing.T) {
 	for _, instances := range []int{3, 36, 80} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
 			s := testSettings()
@@ -157,7 +157,7 @@
 			rng, id := rand.New(rand.NewPCG(3, 4)), RequestID(0)
 			const size, work, busy = 4.0, 0.1, 0.65
 			workers := max(10, 3*instances/4)
-			c := newCrowd(t, s, instances, size, ready(workers))
+			c := newInstanceGroup(t, s, instances, size, ready(workers))
 			c.late = 0.7
 			c.run(1010, busy*size*float64(workers), work, rng, &id)
 			share := float64(c.full) / float64(c.all)
@@ -174,7 +174,7 @@
 
 // Guards against a worker that drains before the list says so, and answers 'full' at once: with no job there it looks
 // like the emptiest, and every instance would try it with job after job.
-func TestAWorkerThatTakesNothingIsNotTriedAgainAndAgain(t *testing.T) {
+func TestRejectingWorkerIsNotTriedRepeatedly(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(6)...)
 	tried, seen := 0, 0
@@ -199,7 +199,7 @@
 
 // Guards against second copies saved up by each of many instances: where a part of the workers stands still all see it at
 // the same time, and what is a few copies for each was hundreds on the workers that are left.
-func TestSavedCopiesAreTheFleets(t *testing.T) {
+func TestHedgeBudgetIsShared(t *testing.T) {
 	for _, instances := range []int{3, 60, 300} {
 		s := testSettings()
 		s.Instances = instances
@@ -220,7 +220,7 @@
 		}
 		r.runTo(r.now + 1)
 		first := 20
-		copies, want := len(r.sends)-quiet-first, copyShare*float64(first)+math.Max(1, copyStock/float64(instances))
+		copies, want := len(r.sends)-quiet-first, hedgeShare*float64(first)+math.Max(1, hedgeStock/float64(instances))
 		if copies < 1 || float64(copies) > want {
 			t.Errorf("%d instances: one sent %d copies of %d jobs that wait, of %.1f that it may", instances, copies, first, want)
 		}
@@ -229,7 +229,7 @@
 
 // Guards against cold budgets that hold only where traffic is even and all hear of a start together: a tenth has six times
 // the mean, and a third hears of the starts a second late, when the others have spent their turns.
-func TestColdWorkersStandUnevenTraffic(t *testing.T) {
+func TestSlowStartHoldsUnderUnevenTraffic(t *testing.T) {
 	for _, tc := range []struct {
 		instances int
 		seed      uint64
@@ -240,7 +240,7 @@
 		const size, work, busy = 4.0, 0.1, 0.8
 		workers := min(max(4, 3*tc.instances/4), 60)
 		load := busy * size * float64(workers)
-		c := newCrowd(t, s, tc.instances, size, ready(workers))
+		c := newInstanceGroup(t, s, tc.instances, size, ready(workers))
 		if tc.instances > 1 {
 			c.share = func(me int) float64 { // a mean of 1
 				if me%10 == 0 {
--- a/loadbalancer/floor_test.go
+++ b/loadbalancer/floor_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// blind is a deployment whose workers tell nothing but starts, with work of seconds.
-func blind() worldPlan {
-	return worldPlan{
+// planWithoutReports is a deployment whose workers tell nothing but starts, with work of seconds.
+func planWithoutReports() simulationPlan {
+	return simulationPlan{
 		s: Settings{Classes: []Class{
 			{Name: "view", Objective: 0.25, Stretch: 2, Deadline: 6, Value: 5, LateValueShare: 0.5, RetrySafety: RetrySafe, Kind: -1},
 			{Name: "record", Objective: 1.5, Stretch: 2.5, Deadline: 25, Value: 10, LateValueShare: 0.5, RetrySafety: RetryDeduplicated, DedupScope: DedupCell, DedupWindow: 40, Kind: -1},
@@ -13,14 +13,14 @@
 			AnswerSlack: 0.016, ListRefreshInterval: 10, SlowStartDuration: 9, SlowStartInitialShare: 0.32, OverloadMultiple: 4, OverloadWindow: 2},
 		load: 0.5, swing: 0.15, work: []float64{0.55, 3.3, 3.3}, cv: []float64{0.5, 0.5, 0.45}, share: []float64{0.35, 0.34, 0.31},
 		weights: true,
-		kinds:   []machineKind{{0.35, 1.6, 3, 20}, {0.3, 0.97, 3, 20}, {0.35, 0.6, 3, 20}},
+		kinds:   []simKind{{0.35, 1.6, 3, 20}, {0.3, 0.97, 3, 20}, {0.35, 0.6, 3, 20}},
 		workers: 12, instances: 4, length: 30, skew: 0.1, same: 0.0002, cross: 0.008, retries: 0.5,
 	}
 }
 
-// told is a deployment whose workers tell everything, with work of a tenth of a second.
-func told() worldPlan {
-	return worldPlan{
+// planWithReports is a deployment whose workers tell everything, with work of a tenth of a second.
+func planWithReports() simulationPlan {
+	return simulationPlan{
 		s: Settings{Classes: []Class{
 			{Name: "report", Objective: 0.08, Stretch: 2, Deadline: 5, Value: 3, RetrySafety: RetrySafe, Kind: -1},
 			{Name: "score", Objective: 0.05, Stretch: 1.75, Deadline: 5, Value: 3, RetrySafety: RetrySafe, Kind: -1},
@@ -30,12 +30,12 @@
 			ParallelAttempts: true, MayRetryAfter: true, MaxAttempts: 6, MaxRetryAfter: 2, ReportsStart: true, Tick: 0.004,
 			AnswerSlack: 0.016, ListRefreshInterval: 10, SlowStartDuration: 9, SlowStartInitialShare: 0.34, OverloadMultiple: 3, OverloadWindow: 2},
 		load: 0.6, swing: 0.15, work: []float64{0.12, 0.06, 0.5, 0.06}, cv: []float64{0.5, 0.5, 0.5, 0.5}, share: []float64{0.45, 0.29, 0.14, 0.12},
-		hints: true, kinds: []machineKind{{0.4, 1.8, 2, 20}, {0.6, 0.9, 5, 40}}, weights: true,
+		hints: true, kinds: []simKind{{0.4, 1.8, 2, 20}, {0.6, 0.9, 5, 40}}, weights: true,
 		workers: 9, instances: 3, length: 15, skew: 0.1, same: 0.0002, cross: 0.008, retries: 0.5, reportAge: 0.3,
 	}
 }
 
-func ours(s Settings, seed uint64, act Actions) policy {
+func newSimBalancer(s Settings, seed uint64, act Actions) decider {
 	b, err := New(s, seed, act)
 	if err != nil {
 		panic(err)
@@ -43,53 +43,53 @@
 	return b
 }
 
-// leftOut is what settings may leave out, one at a time, of either deployment.
-func leftOut() map[string]worldPlan {
-	plans := map[string]worldPlan{"nothing told": blind(), "all told": told()}
-	with := func(name string, base worldPlan, change func(p *worldPlan)) {
+// omittedPlans is what settings may leave out, one at a time, of either deployment.
+func omittedPlans() map[string]simulationPlan {
+	plans := map[string]simulationPlan{"nothing told": planWithoutReports(), "all told": planWithReports()}
+	with := func(name string, base simulationPlan, change func(p *simulationPlan)) {
 		change(&base)
 		plans[name] = base
 	}
-	with("no starts told", blind(), func(p *worldPlan) { p.s.ReportsStart = false })
+	with("no starts told", planWithoutReports(), func(p *simulationPlan) { p.s.ReportsStart = false })
 	for name, f := range map[string]ReportField{"jobs held alone": FieldInFlight, "use alone": FieldUtilization, "free slots alone": FieldFreeSlots,
 		"queue alone": FieldQueued} {
-		with(name, blind(), func(p *worldPlan) { p.s.ReportFields, p.reportAge = []ReportField{f}, 0.5 })
+		with(name, planWithoutReports(), func(p *simulationPlan) { p.s.ReportFields, p.reportAge = []ReportField{f}, 0.5 })
 	}
-	with("reports by probes", told(), func(p *worldPlan) { p.s.ReportsByProbe = true })
-	with("no copies", told(), func(p *worldPlan) { p.s.ParallelAttempts = false })
-	with("no hints", told(), func(p *worldPlan) { p.hints = false })
-	with("no hints, no reports", told(), func(p *worldPlan) { p.hints, p.s.ReportFields = false, nil })
-	with("no weights", blind(), func(p *worldPlan) { p.weights = false })
-	with("one zone", blind(), func(p *worldPlan) { p.s.Zones = 1 })
-	with("one kind", blind(), func(p *worldPlan) { p.kinds = p.kinds[1:2]; p.kinds[0].share = 1 })
-	with("no cancelling", blind(), func(p *worldPlan) { p.s.MayCancel = false })
-	with("no wait at refusals", blind(), func(p *worldPlan) { p.s.MayRetryAfter = false })
-	with("list on request", blind(), func(p *worldPlan) { p.s.ListOnRequest = true })
-	with("tenants", blind(), func(p *worldPlan) { p.s.Tenants = []Tenant{{Name: "a", QuotaPerSec: 1}} })
-	with("unsafe classes", blind(), func(p *worldPlan) {
+	with("reports by probes", planWithReports(), func(p *simulationPlan) { p.s.ReportsByProbe = true })
+	with("no copies", planWithReports(), func(p *simulationPlan) { p.s.ParallelAttempts = false })
+	with("no hints", planWithReports(), func(p *simulationPlan) { p.hints = false })
+	with("no hints, no reports", planWithReports(), func(p *simulationPlan) { p.hints, p.s.ReportFields = false, nil })
+	with("no weights", planWithoutReports(), func(p *simulationPlan) { p.weights = false })
+	with("one zone", planWithoutReports(), func(p *simulationPlan) { p.s.Zones = 1 })
+	with("one kind", planWithoutReports(), func(p *simulationPlan) { p.kinds = p.kinds[1:2]; p.kinds[0].share = 1 })
+	with("no cancelling", planWithoutReports(), func(p *simulationPlan) { p.s.MayCancel = false })
+	with("no wait at refusals", planWithoutReports(), func(p *simulationPlan) { p.s.MayRetryAfter = false })
+	with("list on request", planWithoutReports(), func(p *simulationPlan) { p.s.ListOnRequest = true })
+	with("tenants", planWithoutReports(), func(p *simulationPlan) { p.s.Tenants = []Tenant{{Name: "a", QuotaPerSec: 1}} })
+	with("unsafe classes", planWithoutReports(), func(p *simulationPlan) {
 		p.s.Classes = append([]Class(nil), p.s.Classes...)
 		p.s.Classes[1].RetrySafety, p.s.Classes[2].RetrySafety = RetryUnsafe, RetryUnsafe
 	})
-	with("late is worth nothing", blind(), func(p *worldPlan) {
+	with("late is worth nothing", planWithoutReports(), func(p *simulationPlan) {
 		p.s.Classes = append([]Class(nil), p.s.Classes...)
 		for i := range p.s.Classes {
 			p.s.Classes[i].LateValueShare = 0
 		}
 	})
-	with("36 instances, uneven", blind(), func(p *worldPlan) {
+	with("36 instances, uneven", planWithoutReports(), func(p *simulationPlan) {
 		p.workers, p.instances, p.uneven, p.skew, p.length = 30, 36, true, 0, 20
 	})
-	with("a worker slows down", blind(), func(p *worldPlan) { p.slow = 6 })
-	with("a third starts anew", blind(), func(p *worldPlan) { p.replace = true })
-	with("a burst", blind(), func(p *worldPlan) { p.surge = 2 })
+	with("a worker slows down", planWithoutReports(), func(p *simulationPlan) { p.slow = 6 })
+	with("a third starts anew", planWithoutReports(), func(p *simulationPlan) { p.replace = true })
+	with("a burst", planWithoutReports(), func(p *simulationPlan) { p.surge = 2 })
 	return plans
 }
 
 // Whatever a deployment leaves out, we serve at least what the plainest policy does: nearest zone, fewest own jobs out. On the calmest
 // days both serve nearly all, and one job of a thousand that nobody could know to be long may go either way.
-func TestNoLessIsServedThanByThePlainest(t *testing.T) {
+func TestServesNoLessThanBaseline(t *testing.T) {
 	const seeds, oneJob = 20, 0.002
-	for name, plan := range leftOut() {
+	for name, plan := range omittedPlans() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, load := range []float64{0.4, 0.7, 0.9} {
@@ -99,10 +99,10 @@
 				var share [2]float64
 				refused := 0.0
 				for seed := uint64(1); seed <= seeds; seed++ {
-					for i, decide := range []func(Settings, uint64, Actions) policy{plain, ours} {
+					for i, decide := range []func(Settings, uint64, Actions) decider{newBaseline, newSimBalancer} {
 						p := plan
 						p.load = load
-						w := newWorld(p, seed, decide)
+						w := newSimulation(p, seed, decide)
 						served, _ := w.run()
 						share[i] += served / seeds
 						if len(w.breach) > 0 {
--- a/loadbalancer/learnt.go
+++ b/loadbalancer/learnt.go
@@ -47,86 +47,86 @@
 
 // Snapshot tells what was learnt so far.
 func (b *Balancer) Snapshot() Snapshot {
-	l := Snapshot{WorkByClass: append([]float64(nil), b.work...), ZoneLatencies: append([]float64(nil), b.far...), Pace: b.pace, RunTime: b.run,
-		SlotsPerJob: b.perJob, ReportPeriod: b.period, PlannedAt: b.planAt, Kinds: map[int]KindSnapshot{}, Workers: map[WorkerID]*WorkerSnapshot{}}
+	snapshot := Snapshot{WorkByClass: append([]float64(nil), b.meanWork...), ZoneLatencies: append([]float64(nil), b.zoneLatencies...), Pace: b.meanPace, RunTime: b.meanRunTime,
+		SlotsPerJob: b.slotsPerJob, ReportPeriod: b.reportPeriod, PlannedAt: b.plannedAt, Kinds: map[int]KindSnapshot{}, Workers: map[WorkerID]*WorkerSnapshot{}}
 	for number, k := range b.kinds {
-		l.Kinds[number] = KindSnapshot{k.pace, k.size}
+		snapshot.Kinds[number] = KindSnapshot{k.pace, k.slots}
 	}
-	for _, w := range b.workers {
-		if w.State != Departed {
-			l.Workers[w.ID] = &WorkerSnapshot{StartedAt: w.StartedAt, Reported: w.heard, InFlight: w.inFlight, Utilization: w.util,
-				ReportedAt: w.reportAt, OtherJobs: math.Max(0, w.others) + w.jobs, Slots: w.slots, LoadLimit: w.ceilings.Load, UtilizationLimit: w.ceilings.Utilization,
-				Pace: w.pace, RunTime: w.run, ErrorRate: w.standing.ErrorRate, Observed: w.standing.Observed, EjectedUntil: w.standing.EjectedUntil, EjectionDuration: w.standing.LastDuration,
-				SentWork: append([]float64(nil), w.sent[:]...), SentSpan: w.span}
+	for _, worker := range b.workers {
+		if worker.State != Departed {
+			snapshot.Workers[worker.ID] = &WorkerSnapshot{StartedAt: worker.StartedAt, Reported: worker.reported, InFlight: worker.inFlight, Utilization: worker.utilization,
+				ReportedAt: worker.reportedAt, OtherJobs: math.Max(0, worker.otherJobs) + worker.ownJobs, Slots: worker.slots, LoadLimit: worker.limits.Load, UtilizationLimit: worker.limits.Utilization,
+				Pace: worker.pace, RunTime: worker.runTime, ErrorRate: worker.ejection.ErrorRate, Observed: worker.ejection.Observed, EjectedUntil: worker.ejection.EjectedUntil, EjectionDuration: worker.ejection.LastDuration,
+				SentWork: append([]float64(nil), worker.sentWork[:]...), SentSpan: worker.sentSpan}
 		}
 	}
-	return l
+	return snapshot
 }
 
 // Restore takes what another Balancer of the same settings has learnt, all or nothing. What it says of a worker counts
 // once the list names that worker, with the same start.
-func (b *Balancer) Restore(now float64, l Snapshot) error {
-	if err := b.usable(now, &l); err != nil {
+func (b *Balancer) Restore(now float64, snapshot Snapshot) error {
+	if err := b.validateSnapshot(now, &snapshot); err != nil {
 		return err
 	}
-	copy(b.work, l.WorkByClass)
-	copy(b.far, l.ZoneLatencies)
-	b.pace, b.run, b.perJob, b.period, b.planAt = l.Pace, l.RunTime, l.SlotsPerJob, l.ReportPeriod, l.PlannedAt
-	for number, k := range l.Kinds {
-		b.kinds[number] = &kind{pace: k.Pace, size: k.Slots}
+	copy(b.meanWork, snapshot.WorkByClass)
+	copy(b.zoneLatencies, snapshot.ZoneLatencies)
+	b.meanPace, b.meanRunTime, b.slotsPerJob, b.reportPeriod, b.plannedAt = snapshot.Pace, snapshot.RunTime, snapshot.SlotsPerJob, snapshot.ReportPeriod, snapshot.PlannedAt
+	for number, k := range snapshot.Kinds {
+		b.kinds[number] = &machineKind{pace: k.Pace, slots: k.Slots}
 	}
-	b.recalled = l.Workers
+	b.restored = snapshot.Workers
 	return nil
 }
 
-// recall gives a worker that is new to the list what is known of it, if it is still the same process.
-func (b *Balancer) recall(w *worker, since float64) {
-	l := b.recalled[w.ID]
-	delete(b.recalled, w.ID)
-	if l == nil || l.StartedAt != since {
+// restoreWorker gives a worker that is new to the list what is known of it, if it is still the same process.
+func (b *Balancer) restoreWorker(worker *worker, since float64) {
+	snapshot := b.restored[worker.ID]
+	delete(b.restored, worker.ID)
+	if snapshot == nil || snapshot.StartedAt != since {
 		return
 	}
-	w.heard, w.inFlight, w.util, w.reportAt = l.Reported, l.InFlight, l.Utilization, l.ReportedAt
-	w.others, w.slots, w.ceilings.Load, w.ceilings.Utilization = l.OtherJobs, l.Slots, l.LoadLimit, l.UtilizationLimit
-	w.pace, w.run, w.standing.ErrorRate, w.standing.Observed = l.Pace, l.RunTime, l.ErrorRate, l.Observed
-	w.standing.EjectedUntil, w.standing.LastDuration, w.span = l.EjectedUntil, l.EjectionDuration, l.SentSpan
-	copy(w.sent[:], l.SentWork)
+	worker.reported, worker.inFlight, worker.utilization, worker.reportedAt = snapshot.Reported, snapshot.InFlight, snapshot.Utilization, snapshot.ReportedAt
+	worker.otherJobs, worker.slots, worker.limits.Load, worker.limits.Utilization = snapshot.OtherJobs, snapshot.Slots, snapshot.LoadLimit, snapshot.UtilizationLimit
+	worker.pace, worker.runTime, worker.ejection.ErrorRate, worker.ejection.Observed = snapshot.Pace, snapshot.RunTime, snapshot.ErrorRate, snapshot.Observed
+	worker.ejection.EjectedUntil, worker.ejection.LastDuration, worker.sentSpan = snapshot.EjectedUntil, snapshot.EjectionDuration, snapshot.SentSpan
+	copy(worker.sentWork[:], snapshot.SentWork)
 }
 
-// usable names the first thing learnt that makes no sense.
-func (b *Balancer) usable(now float64, l *Snapshot) error {
+// validateSnapshot names the first thing learnt that makes no sense.
+func (b *Balancer) validateSnapshot(now float64, snapshot *Snapshot) error {
 	bad := func(what string) error { return fmt.Errorf("brain: learnt: bad %s", what) }
 	fine := func(values ...float64) bool {
 		for _, v := range values {
-			if !finite(v) || v < 0 {
+			if !isFinite(v) || v < 0 {
 				return false
 			}
 		}
 		return true
 	}
 	switch {
-	case len(l.WorkByClass) != len(b.work) || !fine(l.WorkByClass...):
+	case len(snapshot.WorkByClass) != len(b.meanWork) || !fine(snapshot.WorkByClass...):
 		return bad("work")
-	case l.PlannedAt > now:
+	case snapshot.PlannedAt > now:
 		return bad("time")
-	case len(l.ZoneLatencies) != len(b.far) || !fine(l.ZoneLatencies...):
+	case len(snapshot.ZoneLatencies) != len(b.zoneLatencies) || !fine(snapshot.ZoneLatencies...):
 		return bad("far")
-	case !fine(l.RunTime) || !(l.Pace > 0 && l.SlotsPerJob > 0 && l.ReportPeriod > 0) || !fine(l.Pace, l.SlotsPerJob, l.ReportPeriod, l.PlannedAt):
+	case !fine(snapshot.RunTime) || !(snapshot.Pace > 0 && snapshot.SlotsPerJob > 0 && snapshot.ReportPeriod > 0) || !fine(snapshot.Pace, snapshot.SlotsPerJob, snapshot.ReportPeriod, snapshot.PlannedAt):
 		return bad("means")
 	}
-	for _, w := range l.WorkByClass {
-		if w == 0 {
+	for _, worker := range snapshot.WorkByClass {
+		if worker == 0 {
 			return bad("work")
 		}
 	}
-	for number, k := range l.Kinds {
+	for number, k := range snapshot.Kinds {
 		if !fine(k.Pace, k.Slots) || k.Pace == 0 {
 			return bad(fmt.Sprint("kind ", number))
 		}
 	}
-	for id, w := range l.Workers {
-		if w == nil || w.Pace == 0 || len(w.SentWork) != 4 || !fine(w.SentWork...) || w.SentSpan < 0 || !fine(w.StartedAt, w.InFlight, w.Utilization,
-			w.ReportedAt, w.OtherJobs, w.Slots, w.LoadLimit, w.UtilizationLimit, w.Pace, w.RunTime, w.ErrorRate, w.EjectedUntil, w.EjectionDuration) {
+	for id, worker := range snapshot.Workers {
+		if worker == nil || worker.Pace == 0 || len(worker.SentWork) != 4 || !fine(worker.SentWork...) || worker.SentSpan < 0 || !fine(worker.StartedAt, worker.InFlight, worker.Utilization,
+			worker.ReportedAt, worker.OtherJobs, worker.Slots, worker.LoadLimit, worker.UtilizationLimit, worker.Pace, worker.RunTime, worker.ErrorRate, worker.EjectedUntil, worker.EjectionDuration) {
 			return bad(fmt.Sprint("worker ", id))
 		}
 	}
--- a/loadbalancer/learnt_test.go
+++ b/loadbalancer/learnt_test.go
@@ -10,7 +10,7 @@
 
 // Guards against a process that takes another's place and knows nothing, believes what it was told of a worker that
 // was restarted since, spends a cold worker's budget anew, or takes in what makes no sense.
-func TestLearntGoesOver(t *testing.T) {
+func TestSnapshotIsRestored(t *testing.T) {
 	old := newRecorder(t, testSettings(), 1)
 	old.list(ListFull, append(ready(3), Worker{ID: 4, State: Ready, StartedAt: old.now - 1})...)
 	for i := range 60 {
@@ -47,7 +47,7 @@
 	want.PlannedAt = next.now
 	fresh := newRecorder(t, testSettings(), 2)
 	fresh.now = old.now
-	fresh.b.pace = next.b.pace
+	fresh.b.meanPace = next.b.meanPace
 	fresh.list(ListFull, entries...)
 	want.Workers[3] = fresh.b.Snapshot().Workers[3]
 	if diff := cmp.Diff(want, got, cmp.Comparer(func(a, b float64) bool { return math.Abs(a-b) < 0.02 })); diff != "" {
@@ -81,32 +81,32 @@
 
 // Guards against a cold worker of a large kind that gets what the smallest of all could bear, and against one that
 // looks larger than its kind, since it held a queue when it reported, raising what its kind is given.
-func TestColdBudgetGoesByKind(t *testing.T) {
+func TestSlowStartBudgetFollowsKind(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, Worker{ID: 1, State: Ready}, Worker{ID: 2, State: Ready, Kind: 1}, Worker{ID: 3, State: Ready, Kind: 1},
 		Worker{ID: 4, State: Ready, StartedAt: r.now}, Worker{ID: 5, State: Ready, Kind: 1, StartedAt: r.now})
 	for id, free := range map[WorkerID]float32{1: 2, 2: 5, 3: 6} {
-		r.b.learnReport(r.now, r.b.byID[id], []float32{0, 0, free})
+		r.b.learnReport(r.now, r.b.workersByID[id], []float32{0, 0, free})
 	}
-	r.b.rebuild(r.now)
-	small, large := r.b.coldRoom(r.now, r.b.byID[4]), r.b.coldRoom(r.now, r.b.byID[5])
+	r.b.rebuildPlan(r.now)
+	small, large := r.b.slowStartBudgetLeft(r.now, r.b.workersByID[4]), r.b.slowStartBudgetLeft(r.now, r.b.workersByID[5])
 	if small <= 0 || math.Abs(large/small-2.5) > 1e-9 {
 		t.Errorf("budgets %v and %v of kinds of 2 and 5 slots", small, large)
 	}
 }
 
 // Guards against a job refused for one slow worker: it has a little more room than the others, and would start it last.
-func TestASlowWorkerRefusesForNobody(t *testing.T) {
+func TestSlowWorkerCausesNoRejection(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(2)...)
-	slow, quick := r.b.byID[1], r.b.byID[2]
-	slow.slots, slow.room, slow.run = 2, 0.5, 5
-	quick.slots, quick.room, quick.run = 2, 0, 0.05
+	slow, quick := r.b.workersByID[1], r.b.workersByID[2]
+	slow.slots, slow.spareSlots, slow.runTime = 2, 0.5, 5
+	quick.slots, quick.spareSlots, quick.runTime = 2, 0, 0.05
 	r.request(1, 0, 0.05)
 	if len(r.sends) != 1 || r.sends[0].worker != 2 {
 		t.Errorf("sends %v, refused %v; want worker 2", r.sends, r.refused)
 	}
-	quick.room, quick.run = -20, 5 // it would start late, too
+	quick.spareSlots, quick.runTime = -20, 5 // it would start late, too
 	r.request(2, 0, 0.05)
 	if !r.refused[2] {
 		t.Errorf("sends %v; want a refusal", r.sends)
@@ -116,21 +116,21 @@
 // Guards against a few long queues, known from reports that are old by now, having a balancer of a large fleet refuse all
 // that comes: the mean which stands in for what is not known of the others was of the queues, the reports that it was
 // weighed with grew old together, and who refuses everything is told nothing new.
-func TestAFewJamsDoNotRefuseForAll(t *testing.T) {
+func TestFewLongQueuesDoNotRejectEverything(t *testing.T) {
 	s := testSettings()
 	s.Instances = 60
 	for _, after := range []float64{0, 4, 8} { // seconds
 		r := newRecorder(t, s, 1)
 		r.list(ListFull, ready(12)...)
-		for id, w := range r.b.byID {
-			w.run = 0.4
+		for id, w := range r.b.workersByID {
+			w.runTime = 0.4
 			if r.b.learnReport(r.now, w, []float32{0, 0, 4}); id <= 4 {
-				w.others, w.inFlight = 66, 66
+				w.otherJobs, w.inFlight = 66, 66
 			}
 		}
-		r.b.run = 0.4
+		r.b.meanRunTime = 0.4
 		r.runTo(r.now + after)
-		r.b.rebuild(r.now)
+		r.b.rebuildPlan(r.now)
 		if r.request(1, 0, 0.05); r.refused[1] || len(r.sends) != 1 || r.sends[0].worker <= 4 {
 			t.Errorf("after %v s: refused %v, sends %v; eight of twelve workers were idle", after, r.refused[1], r.sends)
 		}
@@ -139,7 +139,7 @@
 
 // Guards against workers of zones that the settings don't know being taken for one zone: a job that may have run in one
 // must not be repeated in the other.
-func TestUnknownZonesAreNotOneZone(t *testing.T) {
+func TestUnknownZonesAreDistinct(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, Worker{ID: 1, Zone: -1, State: Ready}, Worker{ID: 2, Zone: -1, State: Ready})
 	r.request(1, 4, 0.05)
--- a/loadbalancer/list.go
+++ b/loadbalancer/list.go
@@ -12,58 +12,58 @@
 func (b *Balancer) UpdateWorkers(now float64, kind ListKind, entries []Worker) {
 	if kind == ListFailed { // it does not say which call failed: the watch may be broken
 		b.watching = false
-		b.askEvery = math.Min(2*b.askEvery, b.ListRefreshInterval/2)
-		b.act.Log("list: a call failed or the watch broke; asking again")
+		b.watchInterval = math.Min(2*b.watchInterval, b.ListRefreshInterval/2)
+		b.actions.Log("list: a call failed or the watch broke; asking again")
 		return
 	}
-	b.watching, b.askEvery = kind != ListCached, b.ListRefreshInterval/8
+	b.watching, b.watchInterval = kind != ListCached, b.ListRefreshInterval/8
 	if kind != ListDelta {
-		for _, w := range b.workers {
-			w.leave(now)
+		for _, known := range b.workers {
+			known.markDeparted(now)
 		}
 	}
-	for _, e := range entries {
-		w := b.byID[e.ID]
-		if w == nil {
-			w = &worker{pace: b.pace, ceilings: capacity.InitialLimits(0)}
-			b.byID[e.ID] = w
-			b.workers = append(b.workers, w)
-			w.ID = e.ID
-			b.recall(w, e.StartedAt)
-		} else if e.State == Ready && e.StartedAt > w.StartedAt { // restarted: what was learnt of its load is void
-			w.heard, w.others, w.ceilings.Overloads = false, 0, 0
-			w.standing.ErrorRate, w.standing.EjectedUntil = 0, 0
+	for _, entry := range entries {
+		known := b.workersByID[entry.ID]
+		if known == nil {
+			known = &worker{pace: b.meanPace, limits: capacity.InitialLimits(0)}
+			b.workersByID[entry.ID] = known
+			b.workers = append(b.workers, known)
+			known.ID = entry.ID
+			b.restoreWorker(known, entry.StartedAt)
+		} else if entry.State == Ready && entry.StartedAt > known.StartedAt { // restarted: what was learnt of its load is void
+			known.reported, known.otherJobs, known.limits.Overloads = false, 0, 0
+			known.ejection.ErrorRate, known.ejection.EjectedUntil = 0, 0
 		}
-		if !finite(e.StartedAt) {
-			e.StartedAt = now
+		if !isFinite(entry.StartedAt) {
+			entry.StartedAt = now
 		}
-		if e.State == Departed {
-			w.leave(now)
+		if entry.State == Departed {
+			known.markDeparted(now)
 		}
-		w.Worker = e
+		known.Worker = entry
 	}
-	b.prune(now)
-	b.view(now)
-	b.rebuild(now)
+	b.pruneDeparted(now)
+	b.chooseView(now)
+	b.rebuildPlan(now)
 }
 
-// keepList asks again for a watch that failed, less often after each failure but within the allowed time.
-func (b *Balancer) keepList(now float64) {
-	if b.ListOnRequest && !b.watching && now-b.lastAsk >= b.askEvery {
-		b.lastAsk = now
-		b.act.Watch(true)
+// renewWatch asks again for a watch that failed, less often after each failure but within the allowed time.
+func (b *Balancer) renewWatch(now float64) {
+	if b.ListOnRequest && !b.watching && now-b.lastWatchAt >= b.watchInterval {
+		b.lastWatchAt = now
+		b.actions.Watch(true)
 	}
 }
 
-// mayAsk says whether reports are to be had by probes, and by nothing else.
-func (b *Balancer) mayAsk() bool { return b.MayProbe && b.ReportsByProbe }
+// pollsReports says whether reports are to be had by probes, and by nothing else.
+func (b *Balancer) pollsReports() bool { return b.MayProbe && b.ReportsByProbe }
 
 // HandleProbeResult takes a probe's result.
 func (b *Balancer) HandleProbeResult(now float64, id WorkerID, result Result, report []float32) {
-	w := b.byID[id]
-	if w != nil && result == OK {
-		b.learnReport(now, w, report)
-	} else if w != nil && (result == ConnectFailed || result == Timeout) { // found dead, no job lost
-		b.blame(now, w, 1)
+	worker := b.workersByID[id]
+	if worker != nil && result == OK {
+		b.learnReport(now, worker, report)
+	} else if worker != nil && (result == ConnectFailed || result == Timeout) { // found dead, no job lost
+		b.recordOutcome(now, worker, 1)
 	}
 }
--- a/loadbalancer/place_test.go
+++ b/loadbalancer/place_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// placed makes the balancer of one of several instances.
-func placed(t *testing.T, p InstanceShare) *Balancer {
+// balancerWithShare makes the balancer of one of several instances.
+func balancerWithShare(t *testing.T, p InstanceShare) *Balancer {
 	b := newRecorder(t, testSettings(), 1).b
 	if err := b.SetInstanceShare(p); err != nil {
 		t.Fatal(err)
@@ -19,7 +19,7 @@
 }
 
 // Whoever counts all that send gets, with all of them together, no more than one turn's budget, whatever else each counts.
-func TestHoldersByDifferingViewsShareOneBudget(t *testing.T) {
+func TestInstancesWithDifferentViewsShareOneBudget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		senders := make([]uint64, rapid.IntRange(1, 12).Draw(rt, "senders"))
@@ -40,13 +40,13 @@
 					keys = append(keys, o)
 				}
 			}
-			b := placed(t, InstanceShare{Instances: len(keys), Instance: i, BudgetShare: 1, InstanceKeys: keys})
-			for j := range b.work {
-				b.work[j] = work
+			b := balancerWithShare(t, InstanceShare{Instances: len(keys), Instance: i, BudgetShare: 1, InstanceKeys: keys})
+			for j := range b.meanWork {
+				b.meanWork[j] = work
 			}
 			w := &worker{Worker: Worker{ID: 5, State: Ready, StartedAt: 999}, pace: 1}
-			sum += b.coldRoom(now, w)
-			budget = b.coldBudget(now, w)
+			sum += b.slowStartBudgetLeft(now, w)
+			budget = b.slowStartBudget(now, w)
 		}
 		if sum > budget*1.0001 {
 			rt.Fatalf("%d senders give %.3f of a budget of %.3f", len(senders), sum, budget)
@@ -55,7 +55,7 @@
 }
 
 // F1: a place that is the settings' own changes no decision, whatever places were set in between.
-func TestThePlaceOfTheSettingsDecidesAsBefore(t *testing.T) {
+func TestInstanceOfSettingsDecidesAsInstanceShare(t *testing.T) {
 	play := func(set bool) (sends []string) {
 		s := testSettings()
 		s.Instances, s.Instance = 5, 2
@@ -69,7 +69,7 @@
 				t.Fatal(err)
 			}
 		}
-		r.b.copies = r.b.stock / 2 // what a balancer begins with
+		r.b.hedgeBudget = r.b.maxHedgeBudget / 2 // what a balancer begins with
 		workers := ready(6)
 		for i := range workers[:4] {
 			workers[i].StartedAt = r.now - float64(i)
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestPlacesThatMakeNoSense(t *testing.T) {
+func TestInvalidInstanceShares(t *testing.T) {
 	b := newRecorder(t, testSettings(), 1).b
 	for _, p := range []InstanceShare{{}, {Instances: 1, BudgetShare: 0}, {Instances: 2, Instance: 2, BudgetShare: 1}, {Instances: 2, Instance: -1, BudgetShare: 1},
 		{Instances: 2, BudgetShare: 2}, {Instances: 2, BudgetShare: 1, InstanceKeys: []uint64{1}}} {
@@ -102,7 +102,7 @@
 			t.Errorf("%+v is taken", p)
 		}
 	}
-	if b.Instances != testSettings().Instances || b.part != 1 {
+	if b.Instances != testSettings().Instances || b.budgetShare != 1 {
 		t.Error("a place that makes no sense has changed something")
 	}
 }
--- a/loadbalancer/plan.go
+++ b/loadbalancer/plan.go
@@ -9,73 +9,73 @@
 
 // This file holds the capacity plan: spare room of each worker, and how long a job would wait there.
 
-// rebuild makes the capacity plan of this period: spare room is the ceiling less the load, and the load is
+// rebuildPlan makes the capacity plan of this period: spare room is the ceiling less the load, and the load is
 // the others' jobs by the last reports plus our own of now. Ceilings recover with time.
-func (b *Balancer) rebuild(now float64) {
-	age, was := math.Min((now-b.planAt)/b.recover, 1), math.Min((now-b.planAt)/b.period, 1)
-	recent := math.Min((now-b.planAt)/math.Max(b.run, b.Tick), 1)
-	b.planAt = now
-	b.measure(now, age)
-	b.patience = b.longest()
-	sum, n, heard, own := 0.0, 0.0, 0.0, 0.0
+func (b *Balancer) rebuildPlan(now float64) {
+	age, was := math.Min((now-b.plannedAt)/b.recoveryTime, 1), math.Min((now-b.plannedAt)/b.reportPeriod, 1)
+	recent := math.Min((now-b.plannedAt)/math.Max(b.meanRunTime, b.Tick), 1)
+	b.plannedAt = now
+	b.updateMeans(now, age)
+	b.maxWait = b.longestWait()
+	sum, update, heard, own := 0.0, 0.0, 0.0, 0.0
 	fresh := 1 - crowdShare*(1-1/float64(b.Instances))
-	for _, w := range b.workers {
-		own += w.own
-		capacity.UpdateMean(&w.jobsThen, w.jobs, was)
-		w.ceilings.Recover(w.slots, age)
-		w.pace += (b.pace - w.pace) * age // or a worker once slow would never be tried again
-		if w.trust = 0; w.State != Ready || !w.heard {
+	for _, worker := range b.workers {
+		own += worker.ownSlots
+		capacity.UpdateMean(&worker.meanOwnJobs, worker.ownJobs, was)
+		worker.limits.Recover(worker.slots, age)
+		worker.pace += (b.meanPace - worker.pace) * age // or a worker once slow would never be tried again
+		if worker.reportWeight = 0; worker.State != Ready || !worker.reported {
 			continue
 		}
-		if w.queued > 0 { // an own job waits, so all slots are taken: fresher news than any report
-			w.others = math.Max(w.others, (w.slots-w.own+w.queued)/b.perJob)
+		if worker.queuedSlots > 0 { // an own job waits, so all slots are taken: fresher news than any report
+			worker.otherJobs = math.Max(worker.otherJobs, (worker.slots-worker.ownSlots+worker.queuedSlots)/b.slotsPerJob)
 		}
-		ceiling := cmp.Or(w.ceilings.Load, seedMargin*b.sizeOf(w)) // its own, once its size is known
-		w.room = capacity.SpareCapacity(ceiling, b.warmth(now, w), math.Max(0, w.others)*b.perJob)
+		ceiling := cmp.Or(worker.limits.Load, initialMargin*b.slotsOf(worker)) // its own, once its size is known
+		worker.spareSlots = capacity.SpareCapacity(ceiling, b.warmth(now, worker), math.Max(0, worker.otherJobs)*b.slotsPerJob)
 		// A report loses weight with age: an old one would draw every job to a worker or lock it out.
 		// What others send on the same report is unseen: if all believed all of it, all would choose alike.
-		w.trust = fresh * math.Max(0, 1-(now-w.reportAt)/(2*staleAfter*b.period))
+		worker.reportWeight = fresh * math.Max(0, 1-(now-worker.reportedAt)/(2*staleAfter*b.reportPeriod))
 		// In the mean a queue counts up to what is refused: one of sixty jobs would have the idle look full.
-		deep := b.patience * b.sizeOf(w) / math.Max(b.run, b.Tick)
-		sum, n, heard = sum+math.Max(w.room, -deep)*w.trust, n+w.trust, heard+fresh
+		deep := b.maxWait * b.slotsOf(worker) / math.Max(b.meanRunTime, b.Tick)
+		sum, update, heard = sum+math.Max(worker.spareSlots, -deep)*worker.reportWeight, update+worker.reportWeight, heard+fresh
 	}
 	if sum < 0 { // and it fades: who refuses all is told nothing new
-		n = heard
+		update = heard
 	}
-	capacity.UpdateMean(&b.demand, own, age)
-	capacity.UpdateMean(&b.out, own, recent)
-	busy := math.Min(b.out*float64(b.Instances-1)/math.Max(b.slots, 1), 1) // share held by others, if alike
-	for _, w := range b.workers {
-		room := sum / math.Max(n, math.SmallestNonzeroFloat32) * b.warmth(now, w)
+	capacity.UpdateMean(&b.meanOwnSlots, own, age)
+	capacity.UpdateMean(&b.recentOwnSlots, own, recent)
+	busy := math.Min(b.recentOwnSlots*float64(b.Instances-1)/math.Max(b.totalSlots, 1), 1) // share held by others, if alike
+	for _, worker := range b.workers {
+		room := sum / math.Max(update, math.SmallestNonzeroFloat32) * b.warmth(now, worker)
 		if heard == 0 { // nobody tells anything: our own jobs and how long they wait are all there is
-			load := (busy*b.warmth(now, w) + b.kind(w).waits/math.Max(b.run, b.Tick)) * b.meanSize
-			w.others, room = load/b.perJob, seedMargin*b.meanSize*b.warmth(now, w)-load+b.draw(w)
+			load := (busy*b.warmth(now, worker) + b.kindOf(worker).meanWait/math.Max(b.meanRunTime, b.Tick)) * b.meanSlots
+			worker.otherJobs, room = load/b.slotsPerJob, initialMargin*b.meanSlots*b.warmth(now, worker)-load+b.tieBreak(worker)
 		}
-		w.room = math.Max(room+(w.room-room)*w.trust-w.own, b.ownRoom(now, w))
-		if w.queued > 0 || w.trust > 0.5 && w.util >= w.ceilings.Utilization { // an own job waits, or it is all busy
-			w.room = math.Min(w.room, 0)
+		worker.spareSlots = math.Max(room+(worker.spareSlots-room)*worker.reportWeight-worker.ownSlots, b.slowStartOwnSlots(now, worker))
+		if worker.queuedSlots > 0 || worker.reportWeight > 0.5 && worker.utilization >= worker.limits.Utilization { // an own job waits, or it is all busy
+			worker.spareSlots = math.Min(worker.spareSlots, 0)
 		}
 	}
 }
 
-// longest is how long a job may wait: a share of the classes' mean slack, more where a late answer earns.
-func (b *Balancer) longest() (wait float64) {
+// longestWait is how long a job may wait: a share of the classes' mean slack, more where a late answer earns.
+func (b *Balancer) longestWait() (wait float64) {
 	for i := range b.Classes {
 		c := &b.Classes[i]
-		slack := math.Max(c.Objective+(c.Stretch-1)*b.work[i], c.Objective)
+		slack := math.Max(c.Objective+(c.Stretch-1)*b.meanWork[i], c.Objective)
 		if c.Stretch == 0 {
-			slack = plainSlack * c.Objective
+			slack = defaultSlack * c.Objective
 		}
 		loss := 1 - math.Min(c.LateValueShare, 1) // half the worth lost by being late: twice the wait
 		slack = math.Min(slack/math.Max(loss, math.SmallestNonzeroFloat32), c.Deadline)
-		wait += longWait * slack / float64(len(b.Classes))
+		wait += maxWaitShare * slack / float64(len(b.Classes))
 	}
 	return wait
 }
 
-// wait is how long a job sent to the worker now would wait for its start.
-func (b *Balancer) wait(w *worker, r *request) float64 {
-	size, run := b.sizeOf(w), cmp.Or(w.run, b.run)
-	wait := ((seedMargin-1)*size - w.room + r.size) * run / size // what is over its size, as it ends
-	return math.Max(wait, w.oldest)
+// expectedWait is how long a job sent to the worker now would wait for its start.
+func (b *Balancer) expectedWait(worker *worker, request *request) float64 {
+	size, run := b.slotsOf(worker), cmp.Or(worker.runTime, b.meanRunTime)
+	wait := ((initialMargin-1)*size - worker.spareSlots + request.slotsNeeded) * run / size // what is over its size, as it ends
+	return math.Max(wait, worker.longestWait)
 }
--- a/loadbalancer/repeats.go
+++ b/loadbalancer/repeats.go
@@ -3,45 +3,45 @@
 // This file holds the rules that bind each send: repeat safety, drains and cold budgets; every send passes
 // send.
 
-// may says whether the four rules allow this send.
-func (b *Balancer) may(now float64, r *request, w *worker) bool {
-	if r.done || now >= r.Deadline || len(r.attempts) >= b.MaxAttempts || r.flying > 0 && !b.ParallelAttempts ||
-		w.State != Ready || !w.runs(r) {
+// isEligible says whether the four rules allow this send.
+func (b *Balancer) isEligible(now float64, request *request, worker *worker) bool {
+	if request.answered || now >= request.Deadline || len(request.attempts) >= b.MaxAttempts || request.inFlight > 0 && !b.ParallelAttempts ||
+		worker.State != Ready || !worker.canRun(request) {
 		return false
 	}
-	return r.repeats(now, w) && b.coldRoom(now, w) >= b.burden(r)
+	return request.mayRepeatOn(now, worker) && b.slowStartBudgetLeft(now, worker) >= b.slowStartCost(request)
 }
 
-// repeats says whether every attempt that may have run may also be sent to w.
-func (r *request) repeats(now float64, w *worker) bool {
+// mayRepeatOn says whether every attempt that may have run may also be sent to w.
+func (r *request) mayRepeatOn(now float64, worker *worker) bool {
 	for i := range r.attempts {
-		if a := &r.attempts[i]; a.mayHaveRun && !repeats(now, r.class, a, w) {
+		if attempt := &r.attempts[i]; attempt.mayHaveRun && !mayRepeat(now, r.class, attempt, worker) {
 			return false
 		}
 	}
 	return true
 }
 
-// repeats says whether a job that may have run as a may also be sent to w.
-func repeats(now float64, c *Class, a *attempt, w *worker) bool {
+// mayRepeat says whether a job that may have run as a may also be sent to w.
+func mayRepeat(now float64, class *Class, attempt *attempt, worker *worker) bool {
 	switch {
-	case c.RetrySafety == RetrySafe:
+	case class.RetrySafety == RetrySafe:
 		return true
-	case c.RetrySafety == RetryUnsafe || now >= a.sent+c.DedupWindow:
+	case class.RetrySafety == RetryUnsafe || now >= attempt.sentAt+class.DedupWindow:
 		return false
-	case c.DedupScope == DedupZone:
-		return w.Zone == a.w.Zone && w.Zone >= 0 // two zones that nobody knows are not known to be the same
-	case c.DedupScope == DedupCell:
-		return w.Cell == a.w.Cell
+	case class.DedupScope == DedupZone:
+		return worker.Zone == attempt.worker.Zone && worker.Zone >= 0 // two zones that nobody knows are not known to be the same
+	case class.DedupScope == DedupCell:
+		return worker.Cell == attempt.worker.Cell
 	}
 	return true
 }
 
 // send is the one gate.
-func (b *Balancer) send(now float64, r *request, w *worker) {
-	if !b.may(now, r, w) {
+func (b *Balancer) send(now float64, request *request, worker *worker) {
+	if !b.isEligible(now, request, worker) {
 		return
 	}
-	b.sent(now, r, w)
-	b.act.Send(r.ID, w.ID, 0)
+	b.recordSend(now, request, worker)
+	b.actions.Send(request.ID, worker.ID, 0)
 }
--- a/loadbalancer/replay_test.go
+++ b/loadbalancer/replay_test.go
@@ -14,69 +14,69 @@
 	"testing"
 )
 
-// hashing notes all actions of a Balancer on their way, in their order and with all bits of their numbers.
-type hashing struct {
+// hashingActions notes all actions of a Balancer on their way, in their order and with all bits of their numbers.
+type hashingActions struct {
 	Actions
 	sum   hash.Hash64
 	count int
 }
 
-func (h *hashing) note(format string, args ...any) {
+func (h *hashingActions) note(format string, args ...any) {
 	h.count++
 	fmt.Fprintf(h.sum, format+"\n", args...)
 }
 
-func (h *hashing) Send(id RequestID, w WorkerID, timeout float64) {
+func (h *hashingActions) Send(id RequestID, w WorkerID, timeout float64) {
 	h.note("send %d %d %x", id, w, math.Float64bits(timeout))
 	h.Actions.Send(id, w, timeout)
 }
 
-func (h *hashing) Reject(id RequestID, wait float64) {
+func (h *hashingActions) Reject(id RequestID, wait float64) {
 	h.note("refuse %d %x", id, math.Float64bits(wait))
 	h.Actions.Reject(id, wait)
 }
 
-func (h *hashing) Fail(id RequestID) {
+func (h *hashingActions) Fail(id RequestID) {
 	h.note("fail %d", id)
 	h.Actions.Fail(id)
 }
 
-func (h *hashing) Cancel(id RequestID, attempt int) {
+func (h *hashingActions) Cancel(id RequestID, attempt int) {
 	h.note("cancel %d %d", id, attempt)
 	h.Actions.Cancel(id, attempt)
 }
 
-func (h *hashing) Probe(w WorkerID) {
+func (h *hashingActions) Probe(w WorkerID) {
 	h.note("probe %d", w)
 	h.Actions.Probe(w)
 }
 
-func (h *hashing) SetTimer(token uint32, at float64) {
+func (h *hashingActions) SetTimer(token uint32, at float64) {
 	h.note("timer %d %x", token, math.Float64bits(at))
 	h.Actions.SetTimer(token, at)
 }
 
-func (h *hashing) Watch(on bool) {
+func (h *hashingActions) Watch(on bool) {
 	h.note("watch %v", on)
 	h.Actions.Watch(on)
 }
 
-func (h *hashing) Fetch() {
+func (h *hashingActions) Fetch() {
 	h.note("fetch")
 	h.Actions.Fetch()
 }
 
-func (h *hashing) Log(line string) {
+func (h *hashingActions) Log(line string) {
 	h.note("log %s", line)
 	h.Actions.Log(line)
 }
 
 // replayed plays a day and tells the hash of all actions, of all that was learnt and of what is held of each worker.
-func replayed(t *testing.T, plan worldPlan, seed uint64, place bool) (sum uint64, actions int) {
-	h := &hashing{sum: fnv.New64a()}
+func replayed(t *testing.T, plan simulationPlan, seed uint64, place bool) (sum uint64, actions int) {
+	h := &hashingActions{sum: fnv.New64a()}
 	var all []*Balancer
-	decide := func(s Settings, seed uint64, act Actions) policy {
-		b, err := New(s, seed, &hashing{Actions: act, sum: h.sum})
+	decide := func(s Settings, seed uint64, act Actions) decider {
+		b, err := New(s, seed, &hashingActions{Actions: act, sum: h.sum})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -92,19 +92,21 @@
 		all = append(all, b)
 		return b
 	}
-	w := newWorld(plan, seed, decide)
+	w := newSimulation(plan, seed, decide)
 	share, byClass := w.run()
 	h.note("%x %x %d %d %d", math.Float64bits(share), byClass, w.refused, w.failed, w.late)
 	for _, b := range all {
-		actions += b.act.(*hashing).count
+		actions += b.actions.(*hashingActions).count
 		learnt, err := json.Marshal(b.Snapshot())
 		if err != nil {
 			t.Fatal(err)
 		}
 		h.note("%s", learnt)
 		for _, m := range w.workers {
-			standing, known := b.WorkerStatus(w.now, m.ID)
-			h.note("%+v %v", standing, known)
+			status, known := b.WorkerStatus(w.now, m.ID)
+			h.note("{Room:%v Ceiling:%v UtilCeil:%v Own:%v Others:%v Pace:%v Errors:%v Shunned:%v Warmth:%v ColdSent:%v} %v",
+				status.SpareCapacity, status.LoadLimit, status.UtilizationLimit, status.OwnSlots, status.OtherJobs, status.Pace,
+				status.ErrorRate, status.Ejected, status.Warmth, status.SlowStartWork, known) // labels as they were recorded
 		}
 	}
 	return h.sum.Sum64(), actions
@@ -120,8 +122,8 @@
 	record := func(name string, sum uint64, actions int) {
 		got = append(got, fmt.Sprintf("%016x %7d %s", sum, actions, name))
 	}
-	plans := leftOut()
-	anew := told()
+	plans := omittedPlans()
+	anew := planWithReports()
 	anew.replace, anew.slow = true, 4
 	plans["all told, a third starts anew, some slow down"] = anew
 	names := make([]string, 0, len(plans))
@@ -145,7 +147,7 @@
 	}
 	for v, s := range variants() {
 		for seed := int64(1000); seed < 1010; seed++ {
-			trace := drive(t, s, seed, 800)
+			trace := playRandomEvents(t, s, seed, 800)
 			sum := fnv.New64a()
 			fmt.Fprint(sum, strings.Join(trace, "\n"))
 			record(fmt.Sprintf("odd events, variant %d, seed %d", v, seed), sum.Sum64(), len(trace))
--- a/loadbalancer/standing.go
+++ b/loadbalancer/standing.go
@@ -18,11 +18,11 @@
 
 // WorkerStatus tells what is held of a worker at a time; false of one that is not known. It changes nothing that is decided.
 func (b *Balancer) WorkerStatus(now float64, id WorkerID) (WorkerStatus, bool) {
-	w := b.byID[id]
-	if w == nil {
+	worker := b.workersByID[id]
+	if worker == nil {
 		return WorkerStatus{}, false
 	}
-	s := WorkerStatus{SpareCapacity: w.room, LoadLimit: w.ceilings.Load, UtilizationLimit: w.ceilings.Utilization, OwnSlots: w.own, OtherJobs: math.Max(0, w.others), Pace: w.pace,
-		ErrorRate: w.standing.ErrorRate, Ejected: w.standing.IsEjected(now), Warmth: b.warmth(now, w), SlowStartWork: b.spent(now, w)}
+	s := WorkerStatus{SpareCapacity: worker.spareSlots, LoadLimit: worker.limits.Load, UtilizationLimit: worker.limits.Utilization, OwnSlots: worker.ownSlots, OtherJobs: math.Max(0, worker.otherJobs), Pace: worker.pace,
+		ErrorRate: worker.ejection.ErrorRate, Ejected: worker.ejection.IsEjected(now), Warmth: b.warmth(now, worker), SlowStartWork: b.slowStartSpent(now, worker)}
 	return s, true
 }
--- a/loadbalancer/world_test.go
+++ b/loadbalancer/world_test.go
@@ -7,15 +7,15 @@
 	"cinderroad/internal/testkit/eventqueue"
 )
 
-// world plays a small fleet over virtual time: clients, instances that share nothing, workers with cores and a queue. What a deployment's
+// simulation plays a small fleet over virtual time: clients, instances that share nothing, workers with cores and a queue. What a deployment's
 // settings leave out is left out here, so that the same decisions can be measured on all of them beside a policy without any thought.
-type world struct {
-	plan    worldPlan
+type simulation struct {
+	plan    simulationPlan
 	now     float64
 	agenda  eventqueue.Agenda
 	rng     *rand.Rand
-	workers []*machine
-	nodes   []*node
+	workers []*simWorker
+	nodes   []*simInstance
 	nextID  RequestID
 	worth   []float64 // asked for, by class
 	earned  []float64
@@ -26,8 +26,8 @@
 	breach  []string
 }
 
-// worldPlan is what a deployment is like; times are in seconds.
-type worldPlan struct {
+// simulationPlan is what a deployment is like; times are in seconds.
+type simulationPlan struct {
 	s         Settings
 	load      float64 // jobs' work asked for, as a share of what the workers can do when warm
 	swing     float64 // the load rises and falls by this share, over the day
@@ -36,7 +36,7 @@
 	cv        []float64
 	share     []float64
 	hints     bool
-	kinds     []machineKind
+	kinds     []simKind
 	workers   int
 	instances int
 	length    float64
@@ -51,19 +51,19 @@
 	replace   bool    // a third of the workers start anew at half of the day
 }
 
-type machineKind struct {
+type simKind struct {
 	share, speed float64
 	cores, queue int
 }
 
-// machine is a worker: it runs as many jobs as it has cores, in order, and turns away what its queue does not hold.
-type machine struct {
+// simWorker is a worker: it runs as many jobs as it has cores, in order, and turns away what its queue does not hold.
+type simWorker struct {
 	Worker
 	speed   float64
 	cores   int
 	queue   int
-	running []*tryOut
-	waiting []*tryOut
+	running []*simAttempt
+	waiting []*simAttempt
 	reports []timedReport
 }
 
@@ -72,39 +72,39 @@
 	fields []float32
 }
 
-type tryOut struct {
-	n       *node
-	q       *ask
+type simAttempt struct {
+	n       *simInstance
+	q       *simRequest
 	attempt int
-	m       *machine
+	m       *simWorker
 	over    bool // its outcome has been told
 	started bool
 }
 
-// ask is one try of a client.
-type ask struct {
+// simRequest is one try of a client.
+type simRequest struct {
 	id       RequestID
 	class    int
 	work     float64
 	first    float64 // when the client asked for the first time
 	deadline float64
 	again    float64 // retries the client has left
-	attempts []*tryOut
+	attempts []*simAttempt
 	done     bool
 	out      int
 }
 
-// node is one dispatcher.
-type node struct {
-	w      *world
+// simInstance is one dispatcher.
+type simInstance struct {
+	w      *simulation
 	me     int
-	policy policy
-	asks   map[RequestID]*ask
+	policy decider
+	asks   map[RequestID]*simRequest
 	s      Settings
 }
 
-// policy is what decides: a Balancer, or what it is measured against.
-type policy interface {
+// decider is what decides: a Balancer, or what it is measured against.
+type decider interface {
 	Start(now float64)
 	HandleTimer(now float64, token uint32)
 	HandleRequest(now float64, q *Request)
@@ -115,12 +115,12 @@
 	HandleDisconnect(now float64, id RequestID)
 }
 
-func (w *world) at(at float64, do func()) { w.agenda.At(max(at, w.now), do) }
+func (w *simulation) at(at float64, do func()) { w.agenda.At(max(at, w.now), do) }
 
-// newWorld draws a day. The same plan and seed draw the same day whoever decides: decisions have no part in these numbers.
-func newWorld(plan worldPlan, seed uint64, decide func(s Settings, seed uint64, act Actions) policy) *world {
+// newSimulation draws a day. The same plan and seed draw the same day whoever decides: decisions have no part in these numbers.
+func newSimulation(plan simulationPlan, seed uint64, decide func(s Settings, seed uint64, act Actions) decider) *simulation {
 	classes := len(plan.s.Classes)
-	w := &world{plan: plan, now: 1000, rng: rand.New(rand.NewPCG(seed, 7)), worth: make([]float64, classes), earned: make([]float64, classes)}
+	w := &simulation{plan: plan, now: 1000, rng: rand.New(rand.NewPCG(seed, 7)), worth: make([]float64, classes), earned: make([]float64, classes)}
 	day := rand.New(rand.NewPCG(seed, 1))
 	power := 0.0
 	for i := range plan.workers {
@@ -132,7 +132,7 @@
 			}
 			sum += k.share
 		}
-		m := &machine{speed: k.speed * math.Exp(0.12*day.NormFloat64()), cores: k.cores, queue: k.queue}
+		m := &simWorker{speed: k.speed * math.Exp(0.12*day.NormFloat64()), cores: k.cores, queue: k.queue}
 		m.Worker = Worker{ID: WorkerID(1 + i), Zone: i % plan.s.Zones, Kind: kind, Cell: i / 6, State: Ready, Weight: 1}
 		if plan.weights {
 			m.Weight = m.speed * float64(m.cores) * math.Exp(0.2*day.NormFloat64())
@@ -141,7 +141,7 @@
 		w.workers = append(w.workers, m)
 	}
 	for me := range plan.instances {
-		n := &node{w: w, me: me, asks: map[RequestID]*ask{}, s: plan.s}
+		n := &simInstance{w: w, me: me, asks: map[RequestID]*simRequest{}, s: plan.s}
 		n.s.Instances, n.s.Instance, n.s.Zone = plan.instances, me, me%plan.s.Zones
 		n.policy = decide(n.s, uint64(me)+100*seed, n)
 		w.nodes = append(w.nodes, n)
@@ -202,7 +202,7 @@
 		w.at(start+plan.length/2, func() {
 			for i := 0; i < len(w.workers); i += 3 {
 				w.workers[i].StartedAt = w.now
-				for _, x := range append(append([]*tryOut(nil), w.workers[i].running...), w.workers[i].waiting...) {
+				for _, x := range append(append([]*simAttempt(nil), w.workers[i].running...), w.workers[i].waiting...) {
 					w.end(x, Reset, nil)
 				}
 				w.workers[i].running, w.workers[i].waiting = nil, nil
@@ -215,17 +215,17 @@
 	return w
 }
 
-func (w *world) list() (entries []Worker) {
+func (w *simulation) list() (entries []Worker) {
 	for _, m := range w.workers {
 		entries = append(entries, m.Worker)
 	}
 	return entries
 }
 
-func (w *world) arrive(n *node, class int, work, first, again float64, fresh bool) {
+func (w *simulation) arrive(n *simInstance, class int, work, first, again float64, fresh bool) {
 	c := &w.plan.s.Classes[class]
 	w.nextID++
-	q := &ask{id: w.nextID, class: class, work: work, first: first, deadline: first + c.Deadline, again: again}
+	q := &simRequest{id: w.nextID, class: class, work: work, first: first, deadline: first + c.Deadline, again: again}
 	if fresh {
 		w.worth[class] += c.Value * work
 		w.asked++
@@ -239,21 +239,21 @@
 }
 
 // way is one way between a node and a worker.
-func (w *world) way(n *node, m *machine) float64 {
+func (w *simulation) way(n *simInstance, m *simWorker) float64 {
 	if n.s.Zone == m.Zone {
 		return w.plan.same
 	}
 	return w.plan.cross
 }
 
-func (n *node) Send(id RequestID, worker WorkerID, timeout float64) {
+func (n *simInstance) Send(id RequestID, worker WorkerID, timeout float64) {
 	w, q := n.w, n.asks[id]
 	if q == nil || q.done {
 		w.breach = append(w.breach, "sent what is answered")
 		return
 	}
 	m := w.workers[worker-1]
-	x := &tryOut{n: n, q: q, attempt: len(q.attempts), m: m}
+	x := &simAttempt{n: n, q: q, attempt: len(q.attempts), m: m}
 	c := &w.plan.s.Classes[q.class]
 	for _, y := range q.attempts {
 		if !y.over && !n.s.ParallelAttempts || y.started && c.RetrySafety == RetryUnsafe {
@@ -266,7 +266,7 @@
 	w.at(q.deadline, func() { w.end(x, Timeout, nil) })
 }
 
-func (w *world) take(x *tryOut) {
+func (w *simulation) take(x *simAttempt) {
 	m := x.m
 	switch {
 	case x.over:
@@ -278,7 +278,7 @@
 	}
 }
 
-func (w *world) serve(m *machine) {
+func (w *simulation) serve(m *simWorker) {
 	for len(m.running) < m.cores && len(m.waiting) > 0 {
 		x := m.waiting[0]
 		m.waiting = m.waiting[1:]
@@ -314,7 +314,7 @@
 	m.reports = append(m.reports, timedReport{w.now, w.fields(m)})
 }
 
-func (w *world) fields(m *machine) (fields []float32) {
+func (w *simulation) fields(m *simWorker) (fields []float32) {
 	for _, f := range w.plan.s.ReportFields {
 		v := 0.0
 		switch f {
@@ -333,14 +333,14 @@
 }
 
 // report is what the worker told of itself a while ago.
-func (w *world) report(m *machine) (fields []float32) {
+func (w *simulation) report(m *simWorker) (fields []float32) {
 	if len(w.plan.s.ReportFields) == 0 || w.plan.s.ReportsByProbe {
 		return nil
 	}
 	return w.aged(m)
 }
 
-func (w *world) aged(m *machine) (fields []float32) {
+func (w *simulation) aged(m *simWorker) (fields []float32) {
 	for i, r := range m.reports {
 		if r.at > w.now-w.plan.reportAge {
 			m.reports = m.reports[max(i-1, 0):]
@@ -352,7 +352,7 @@
 }
 
 // end tells the outcome of an attempt, once.
-func (w *world) end(x *tryOut, result Result, report []float32) {
+func (w *simulation) end(x *simAttempt, result Result, report []float32) {
 	if x.over {
 		return
 	}
@@ -380,7 +380,7 @@
 }
 
 // again has the client come back, if it has not used up its patience.
-func (n *node) again(q *ask, wait float64) {
+func (n *simInstance) again(q *simRequest, wait float64) {
 	w := n.w
 	pause := math.Max(0.05, math.Min(wait, 2)*float64(w.rng.IntN(2)))
 	if q.again >= 1 && w.now+pause < q.deadline {
@@ -389,7 +389,7 @@
 	}
 }
 
-func (n *node) Reject(id RequestID, wait float64) {
+func (n *simInstance) Reject(id RequestID, wait float64) {
 	if q := n.asks[id]; q != nil && !q.done {
 		q.done = true
 		n.w.refused++
@@ -397,7 +397,7 @@
 	}
 }
 
-func (n *node) Fail(id RequestID) {
+func (n *simInstance) Fail(id RequestID) {
 	if q := n.asks[id]; q != nil && !q.done {
 		q.done = true
 		n.w.failed++
@@ -407,29 +407,29 @@
 	}
 }
 
-func (n *node) Cancel(id RequestID, attempt int) {
+func (n *simInstance) Cancel(id RequestID, attempt int) {
 	x := n.asks[id].attempts[attempt]
 	n.w.at(n.w.now, func() { n.w.end(x, Cancelled, nil) })
 }
 
-func (n *node) Probe(worker WorkerID) {
+func (n *simInstance) Probe(worker WorkerID) {
 	w, m := n.w, n.w.workers[worker-1]
 	w.at(w.now+2*w.way(n, m), func() { n.policy.HandleProbeResult(w.now, worker, OK, w.aged(m)) })
 }
 
-func (n *node) SetTimer(token uint32, at float64) {
+func (n *simInstance) SetTimer(token uint32, at float64) {
 	n.w.at(math.Max(at, n.w.now+n.s.Tick), func() { n.policy.HandleTimer(n.w.now, token) })
 }
-func (n *node) Watch(on bool) {
+func (n *simInstance) Watch(on bool) {
 	if on {
 		n.w.at(n.w.now+0.01, func() { n.policy.UpdateWorkers(n.w.now, ListFull, n.w.list()) })
 	}
 }
-func (n *node) Fetch()     { n.Watch(true) }
-func (n *node) Log(string) {}
+func (n *simInstance) Fetch()     { n.Watch(true) }
+func (n *simInstance) Log(string) {}
 
 // run plays the day out and tells the share of the worth that was earned, in all and by class.
-func (w *world) run() (share float64, byClass []float64) {
+func (w *simulation) run() (share float64, byClass []float64) {
 	for {
 		at, do, is := w.agenda.Next(1000 + w.plan.length + 60)
 		if !is {
@@ -446,36 +446,36 @@
 	return earned / asked, byClass
 }
 
-// plainest sends to the worker with fewest own jobs out in the nearest zone, and elsewhere where it is turned away.
-type plainest struct {
+// baseline sends to the worker with fewest own jobs out in the nearest zone, and elsewhere where it is turned away.
+type baseline struct {
 	s    Settings
 	act  Actions
 	rng  *rand.Rand
 	list map[WorkerID]Worker
 	ids  []WorkerID
 	out  map[WorkerID]int
-	open map[RequestID]*plainAsk
+	open map[RequestID]*baselineRequest
 }
 
-type plainAsk struct {
+type baselineRequest struct {
 	Request
 	tried []WorkerID
 }
 
-func plain(s Settings, seed uint64, act Actions) policy {
-	return &plainest{s: s, act: act, rng: rand.New(rand.NewPCG(seed, 3)), list: map[WorkerID]Worker{}, out: map[WorkerID]int{}, open: map[RequestID]*plainAsk{}}
+func newBaseline(s Settings, seed uint64, act Actions) decider {
+	return &baseline{s: s, act: act, rng: rand.New(rand.NewPCG(seed, 3)), list: map[WorkerID]Worker{}, out: map[WorkerID]int{}, open: map[RequestID]*baselineRequest{}}
 }
 
-func (p *plainest) Start(now float64) {
+func (p *baseline) Start(now float64) {
 	if p.s.ListOnRequest {
 		p.act.Watch(true)
 	}
 }
-func (p *plainest) HandleTimer(now float64, token uint32)                            {}
-func (p *plainest) HandleProgress(now float64, n *ProgressUpdate)                    {}
-func (p *plainest) HandleProbeResult(now float64, _ WorkerID, _ Result, _ []float32) {}
-func (p *plainest) HandleDisconnect(now float64, id RequestID)                       { delete(p.open, id) }
-func (p *plainest) UpdateWorkers(now float64, kind ListKind, entries []Worker) {
+func (p *baseline) HandleTimer(now float64, token uint32)                            {}
+func (p *baseline) HandleProgress(now float64, n *ProgressUpdate)                    {}
+func (p *baseline) HandleProbeResult(now float64, _ WorkerID, _ Result, _ []float32) {}
+func (p *baseline) HandleDisconnect(now float64, id RequestID)                       { delete(p.open, id) }
+func (p *baseline) UpdateWorkers(now float64, kind ListKind, entries []Worker) {
 	if kind != ListDelta {
 		p.ids = p.ids[:0]
 	}
@@ -485,13 +485,13 @@
 	}
 }
 
-func (p *plainest) HandleRequest(now float64, q *Request) {
-	r := &plainAsk{Request: *q}
+func (p *baseline) HandleRequest(now float64, q *Request) {
+	r := &baselineRequest{Request: *q}
 	p.open[q.ID] = r
 	p.try(r)
 }
 
-func (p *plainest) try(r *plainAsk) {
+func (p *baseline) try(r *baselineRequest) {
 	class := &p.s.Classes[r.Class]
 	var best *Worker
 	score, ties := 0.0, 0
@@ -527,7 +527,7 @@
 	p.act.Send(r.ID, best.ID, 0)
 }
 
-func (p *plainest) HandleOutcome(now float64, o *Outcome) {
+func (p *baseline) HandleOutcome(now float64, o *Outcome) {
 	p.out[o.Worker]--
 	r := p.open[o.Request]
 	if r == nil || o.ClientAnswered {
