--- a/internal/system/consensus/arbitrary_input_test.go
+++ b/internal/system/consensus/arbitrary_input_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// robustnessTest is a machine that is told whatever comes to mind, and the disk that belongs to it.
+// robustnessTest is a node that is given arbitrary input, and its disk.
 type robustnessTest struct {
 	node    *Node
 	now     time.Duration
@@ -35,7 +35,7 @@
 	a.commit, a.applied = 0, stored.Snapshot.Index
 }
 
-// message is one that may make sense: its numbers are near those of the machine.
+// message draws a message that may be valid: its numbers are near those of the node.
 func (a *robustnessTest) message(t *rapid.T) Message {
 	msg := Message{Kind: MessageKind(rapid.IntRange(0, int(MessageTimeoutNow)+1).Draw(t, "kind")),
 		From: ReplicaID(rapid.IntRange(0, 4).Draw(t, "from")), To: 1, Term: a.node.term + drawSmallUint(t, "term") - 2,
@@ -120,7 +120,7 @@
 	}
 }
 
-// TestArbitraryInput has a machine take messages and calls that need not make sense, in any order.
+// TestArbitraryInput has a node handle messages and calls, valid or not, in any order.
 func TestArbitraryInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := &robustnessTest{disk: simulatedDisk{stored: foundingState(1, 2, 3)}}
@@ -175,12 +175,12 @@
 	})
 }
 
-// TestCorruptMessages plays clusters in which now and then a message arrives spoilt but still decodes. Nothing is
-// promised of what they agree on then, but no replica may break.
+// TestCorruptMessages runs clusters in which messages sometimes arrive corrupt but still decode. Replicas may then
+// disagree, but none may break.
 func TestCorruptMessages(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		w := newSimulation(seed)
-		w.corruptMessages = true
+		w.corruptsMessages = true
 		w.start()
 		for range 200 {
 			w.run(100 * time.Millisecond)
--- a/internal/system/consensus/bench_test.go
+++ b/internal/system/consensus/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// testCluster is three replicas that reach each other at once and whose disks take no time.
+// testCluster is three replicas with links and disks that take no time.
 type testCluster struct {
 	nodes    [4]*Node
 	now      time.Duration
@@ -14,6 +14,7 @@
 }
 
 func newTestCluster(b *testing.B) *testCluster {
+	b.Helper()
 	cluster := &testCluster{}
 	for id := ReplicaID(1); id <= 3; id++ {
 		cluster.nodes[id] = New(0, Config{ID: id, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: 1,
@@ -89,7 +90,7 @@
 	b.ReportMetric(float64(script.messages)/float64(b.N), "messages/op")
 }
 
-// BenchmarkIdleSecond is what a second without proposals costs three replicas together.
+// BenchmarkIdleSecond measures what a second without proposals costs three replicas together.
 func BenchmarkIdleSecond(b *testing.B) {
 	script := newTestCluster(b)
 	for b.Loop() {
--- a/internal/system/consensus/cluster_test.go
+++ b/internal/system/consensus/cluster_test.go
@@ -12,7 +12,7 @@
 	seedsFlag = flag.Int("seeds", 240, "how many seeds of the cluster simulation are played")
 )
 
-// TestCluster plays clusters in virtual time under drawn faults and checks after each step what has to hold.
+// TestCluster runs clusters in virtual time under random faults and checks the invariants after each step.
 func TestCluster(t *testing.T) {
 	if *seedFlag != 0 {
 		runSimulation(t, *seedFlag, true)
@@ -27,6 +27,7 @@
 }
 
 func runSimulation(t *testing.T, seed uint64, verbose bool) {
+	t.Helper()
 	sim := newSimulation(seed)
 	sim.verbose = verbose
 	defer func() {
@@ -45,9 +46,9 @@
 	sim.checkRecovered()
 	if verbose {
 		for _, p := range sim.processes() {
-			m := p.node
-			t.Logf("%d: %+v due %v now %v queue %d frozen %v offset %d", p.id, m.Status(), m.NextTick(), p.clock(), len(p.pendingReadies),
-				p.frozen, m.log.offset)
+			node := p.node
+			t.Logf("%d: %+v due %v now %v queue %d frozen %v offset %d", p.id, node.Status(), node.NextTick(), p.clock(), len(p.pendingReadies),
+				p.frozen, node.log.offset)
 		}
 		t.Logf("%d steps, %d committed, %d terms, %d reads, %+v", sim.steps, len(sim.oracle.committed), len(sim.oracle.leadersByTerm),
 			sim.oracle.completedReads, sim.profile)
--- a/internal/system/consensus/election_test.go
+++ b/internal/system/consensus/election_test.go
@@ -9,7 +9,7 @@
 	stored := foundingState(1, 2, 3)
 	stored.HardState = HardState{Term: 3}
 	stored.Entries = entries(1, 1, 3)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name        string
 		term        uint64 // of the candidate
 		index, last uint64 // its log's end
@@ -23,60 +23,60 @@
 		{"present term", 3, 2, 3, false, true},
 		{"old term", 2, 9, 2, false, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			script := newScript(t, stored)
-			got := script.step(Message{Kind: MessagePreVote, From: 2, Term: c.term, Index: c.index, LogTerm: c.last})
+		t.Run(test.name, func(t *testing.T) {
+			script := newScriptedNode(t, stored)
+			got := script.step(Message{Kind: MessagePreVote, From: 2, Term: test.term, Index: test.index, LogTerm: test.last})
 			reply := script.onlyMessage(MessagePreVoteReply, 2, got)
-			script.expect("pre-vote", !reply.Reject, c.pre)
+			script.expect("pre-vote", !reply.Reject, test.pre)
 			script.expect("term after the pre-vote", script.node.term, 3)
-			script = newScript(t, stored)
-			got = script.step(Message{Kind: MessageVote, From: 2, Term: c.term, Index: c.index, LogTerm: c.last})
+			script = newScriptedNode(t, stored)
+			got = script.step(Message{Kind: MessageVote, From: 2, Term: test.term, Index: test.index, LogTerm: test.last})
 			granted := len(got) == 1 && !got[0].Reject
-			script.expect("vote", granted, c.vote)
-			script.expect("vote on disk", script.hardState.Vote == 2, c.vote)
+			script.expect("vote", granted, test.vote)
+			script.expect("vote on disk", script.hardState.Vote == 2, test.vote)
 		})
 	}
 }
 
 func TestOneVotePerTerm(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	script.expect("first", script.onlyMessage(MessageVoteReply, 2, script.step(Message{Kind: MessageVote, From: 2, Term: 1})).Reject, false)
 	script.expect("another", script.onlyMessage(MessageVoteReply, 3, script.step(Message{Kind: MessageVote, From: 3, Term: 1})).Reject, true)
 	script.expect("the same again", script.onlyMessage(MessageVoteReply, 2, script.step(Message{Kind: MessageVote, From: 2, Term: 1})).Reject, false)
-	script = newScript(t, PersistentState{HardState: script.hardState, Snapshot: foundingState(1, 2, 3).Snapshot})
+	script = newScriptedNode(t, PersistentState{HardState: script.hardState, Snapshot: foundingState(1, 2, 3).Snapshot})
 	script.expect("another after a restart", script.onlyMessage(MessageVoteReply, 3, script.step(Message{Kind: MessageVote, From: 3, Term: 1})).Reject, true)
 }
 
 func TestElection(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		voters  int
 		grants  int
 		elected bool
 	}{{1, 0, true}, {2, 0, false}, {2, 1, true}, {3, 1, true}, {4, 1, false}, {4, 2, true}, {5, 1, false}, {5, 2, true}} {
-		t.Run(fmt.Sprintf("%d of %d", c.grants, c.voters), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d of %d", test.grants, test.voters), func(t *testing.T) {
 			var ids []ReplicaID
-			for id := range c.voters {
+			for id := range test.voters {
 				ids = append(ids, ReplicaID(id+1))
 			}
-			script := newScript(t, foundingState(ids...))
+			script := newScriptedNode(t, foundingState(ids...))
 			asked := script.tickWhenDue()
-			script.expect("asked", len(asked), c.voters-1)
-			script.expect("term before the pre-vote is won", script.node.term, map[bool]int{true: 1, false: 0}[c.voters == 1])
+			script.expect("asked", len(asked), test.voters-1)
+			script.expect("term before the pre-vote is won", script.node.term, map[bool]int{true: 1, false: 0}[test.voters == 1])
 			for _, id := range ids[1:] {
 				script.step(Message{Kind: MessagePreVoteReply, From: id, Term: 1})
 			}
 			script.expect("term", script.node.term, 1)
-			for _, id := range ids[1 : 1+c.grants] {
+			for _, id := range ids[1 : 1+test.grants] {
 				script.step(Message{Kind: MessageVoteReply, From: id, Term: 1})
 				script.step(Message{Kind: MessageVoteReply, From: id, Term: 1}) // counts once
 			}
-			script.expect("elected", script.node.role == Leader, c.elected)
+			script.expect("elected", script.node.role == Leader, test.elected)
 		})
 	}
 }
 
 func TestOwnVoteCountsOncePersisted(t *testing.T) {
-	script := newScript(t, foundingState(1))
+	script := newScriptedNode(t, foundingState(1))
 	script.now = script.node.NextTick()
 	script.node.Tick(script.now)
 	r := script.node.Ready()
@@ -87,7 +87,7 @@
 }
 
 func TestFollowerRejectsVotesWithinLease(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Round: 5})
 	script.now += testElection - 1
 	pre := Message{Kind: MessagePreVote, From: 3, Term: 2, Index: 9, LogTerm: 1}
@@ -101,7 +101,7 @@
 }
 
 func TestFollowerVotesWithinLeaseInForcedElection(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Round: 5})
 	vote := Message{Kind: MessageVote, From: 3, Term: 2, Index: 9, LogTerm: 1, Force: true}
 	script.expect("vote", script.onlyMessage(MessageVoteReply, 3, script.step(vote)).Reject, false)
@@ -110,18 +110,18 @@
 func TestRestartedReplicaHonorsEarlierLease(t *testing.T) {
 	stored := foundingState(1, 2, 3)
 	stored.HardState = HardState{Term: 1}
-	script := newScript(t, stored)
+	script := newScriptedNode(t, stored)
 	script.now = testElection - 1
 	script.expect("reply", len(script.step(Message{Kind: MessageVote, From: 3, Term: 2})), 0)
 	script.now++
 	script.expect("reply", len(script.step(Message{Kind: MessageVote, From: 3, Term: 2})), 1)
 }
 
-// TestPreCandidatesYieldByID: of two replicas that ask for pre-votes with equal logs the one with the lower id puts its
-// election off, once a term.
+// TestPreCandidatesYieldByID: of two pre-candidates with equal logs the one with the lower ID postpones its election,
+// once per term.
 func TestPreCandidatesYieldByID(t *testing.T) {
 	ask := func(from ReplicaID) Message { return Message{Kind: MessagePreVote, From: from, Term: 1} }
-	ahead := newScript(t, foundingState(1, 2, 3))
+	ahead := newScriptedNode(t, foundingState(1, 2, 3))
 	ahead.tickWhenDue()
 	ahead.step(ask(2))
 	ahead.expect("role of the lower id", ahead.node.role, Follower)
@@ -133,9 +133,10 @@
 	}
 }
 
-// TestNewLeaderBackdatesPredecessorContact: a leader counts the silence of the one before from its last word.
+// TestNewLeaderBackdatesPredecessorContact: a leader counts the silence of its predecessor from that one's last
+// message.
 func TestNewLeaderBackdatesPredecessorContact(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	script.step(Message{Kind: MessageAppend, From: 3, Term: 1, Round: 1})
 	heard := script.now
 	script.tickWhenDue()
@@ -147,7 +148,7 @@
 }
 
 func TestLeaderStepsDownOnNewerTerm(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	script.becomeLeader()
 	script.step(Message{Kind: MessageAppendReply, From: 3, Term: 7, Reject: true})
 	script.expect("role", script.node.role, Follower)
@@ -155,7 +156,7 @@
 }
 
 func TestLeaderWithoutQuorumStepsDown(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	script.becomeLeader()
 	start := script.now
 	for script.node.role == Leader {
@@ -164,9 +165,9 @@
 	script.expect("after", script.now-start, testElection)
 }
 
-// TestJointElectionNeedsBothMajorities: neither voter set of a joint membership elects a leader by itself.
+// TestJointElectionNeedsBothMajorities: neither voter set of a joint membership elects a leader alone.
 func TestJointElectionNeedsBothMajorities(t *testing.T) {
-	script := newScript(t, PersistentState{Snapshot: Snapshot{Membership: jointTestMembership()}})
+	script := newScriptedNode(t, PersistentState{Snapshot: Snapshot{Membership: jointTestMembership()}})
 	script.expect("asked", len(script.tickWhenDue()), 4)
 	for _, id := range []ReplicaID{4, 5} {
 		script.step(Message{Kind: MessagePreVoteReply, From: id, Term: 1})
--- a/internal/system/consensus/encoding_test.go
+++ b/internal/system/consensus/encoding_test.go
@@ -101,7 +101,7 @@
 			if _, err := c.decode(append(data, 0)); err == nil {
 				t.Fatal("a byte too many passes")
 			}
-			clear(data) // what was decoded has its own memory
+			clear(data) // the decoded value must have its own memory
 			if !reflect.DeepEqual(got, value) {
 				t.Fatalf("what was decoded changed with the bytes: %+v", got)
 			}
@@ -109,8 +109,9 @@
 	}
 }
 
-// requireCanonical sees that bytes which decode are those that encode what they decode to: the oracle of the fuzz tests.
+// requireCanonical checks that bytes which decode are the encoding of what they decode to.
 func requireCanonical(t *testing.T, data []byte) {
+	t.Helper()
 	for _, c := range encodingCases() {
 		value, err := c.decode(data)
 		if err != nil {
--- a/internal/system/consensus/membership_change_test.go
+++ b/internal/system/consensus/membership_change_test.go
@@ -8,7 +8,7 @@
 func TestChangeMembershipRejectsInvalidChanges(t *testing.T) {
 	script := newLeader(t)
 	learner := Member{ID: 4}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		to   Membership
 	}{
@@ -21,18 +21,18 @@
 		{"twice", withMembers(voters(1, 2, 3), learner, learner)},
 		{"no id", withMembers(voters(1, 2, 3), Member{})},
 	} {
-		if err := script.node.ChangeMembership(script.now, c.to); !errors.As(err, new(*InvalidMembershipError)) {
-			t.Errorf("%s: %v", c.name, err)
+		if err := script.node.ChangeMembership(script.now, test.to); !errors.As(err, new(*InvalidMembershipError)) {
+			t.Errorf("%s: %v", test.name, err)
 		}
 	}
-	follower := newScript(t, foundingState(1, 2))
+	follower := newScriptedNode(t, foundingState(1, 2))
 	if err := follower.node.ChangeMembership(0, voters(1)); !errors.As(err, new(*NotLeaderError)) {
 		t.Errorf("of a follower: %v", err)
 	}
 }
 
 func TestChangeMembershipWaitsForCommitInTerm(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	sent := script.becomeLeader()
 	if err := script.node.ChangeMembership(script.now, voters(1, 2)); !errors.Is(err, ErrMembershipChangePending) {
 		t.Errorf("before: %v", err)
@@ -64,7 +64,7 @@
 		t.Errorf("before it has caught up: %v", err)
 	}
 	answers := script.step(Message{Kind: MessageAppendReply, From: 4, Term: 1, Index: probe.Index, Reject: true, Round: probe.Round})
-	for began := script.now; script.now < began+testElection; { // it takes long, so that it may fall behind again
+	for began := script.now; script.now < began+testElection; { // long enough that it may have fallen behind again
 		script.catchUp(script.tickWhenDue(), 4)
 	}
 	script.catchUp(answers)
@@ -79,7 +79,7 @@
 
 func TestLearnersDoNotCount(t *testing.T) {
 	stored := PersistentState{Snapshot: Snapshot{Membership: withMembers(voters(1, 2), Member{ID: 3}, Member{ID: 4})}}
-	script := newScript(t, stored)
+	script := newScriptedNode(t, stored)
 	asked := script.tickWhenDue()
 	script.expect("asked", len(asked), 1)
 	script.step(Message{Kind: MessagePreVoteReply, From: 3, Term: 1})
@@ -121,7 +121,7 @@
 	stored := foundingState(1, 2)
 	stored.HardState = HardState{Term: 1, Commit: 1}
 	stored.Entries = append(entries(1, 1), membershipEntry(2, 1, voters(2)))
-	script := newScript(t, stored)
+	script := newScriptedNode(t, stored)
 	asked := script.tickWhenDue()
 	script.expect("asked", script.onlyMessage(MessagePreVote, 2, asked).Index, 2)
 	script.step(Message{Kind: MessagePreVoteReply, From: 2, Term: 2})
@@ -136,14 +136,14 @@
 	stored := foundingState(1, 2, 3)
 	stored.HardState = HardState{Term: 1}
 	stored.Entries = append(entries(1, 1), membershipEntry(2, 1, voters(1, 2)))
-	script := newScript(t, stored)
+	script := newScriptedNode(t, stored)
 	script.expect("before", script.node.membership(), voters(1, 2))
 	script.step(Message{Kind: MessageAppend, From: 3, Term: 2, Index: 1, LogTerm: 1, Entries: entries(2, 2), Round: 1})
 	script.expect("after", script.node.membership(), voters(1, 2, 3))
 }
 
 func TestNewReplicaIsSilentUntilItIsMember(t *testing.T) {
-	script := newScript(t, PersistentState{})
+	script := newScriptedNode(t, PersistentState{})
 	script.expect("due", script.node.NextTick(), Never)
 	for _, msg := range []Message{{Kind: MessagePreVote, Term: 5}, {Kind: MessageVote, Term: 5}, {Kind: MessageVote, Term: 5, Force: true},
 		{Kind: MessageTimeoutNow, Term: 5}, {Kind: MessageVoteReply, Term: 5}, {Kind: MessageAppendReply, Term: 5}} {
@@ -163,10 +163,10 @@
 	script.expect("due as a voter", script.node.NextTick() < Never, true)
 }
 
-// TestJointCommitNeedsBothMajorities: an entry of a joint membership is committed once both sets hold it, and then the
-// leader leaves the joint membership by itself.
+// TestJointCommitNeedsBothMajorities: an entry of a joint membership is committed once majorities of both sets hold it;
+// the leader then leaves the joint membership by itself.
 func TestJointCommitNeedsBothMajorities(t *testing.T) {
-	script := newScript(t, PersistentState{Snapshot: Snapshot{Membership: jointTestMembership()}})
+	script := newScriptedNode(t, PersistentState{Snapshot: Snapshot{Membership: jointTestMembership()}})
 	script.tickWhenDue()
 	for _, id := range []ReplicaID{2, 4} {
 		script.step(Message{Kind: MessagePreVoteReply, From: id, Term: 1})
@@ -183,7 +183,8 @@
 	script.expect("voter now", script.node.membership().isVoter(5), true)
 }
 
-// TestChangeVotersThroughJointMembership: a change of who votes goes through a joint membership, and the next one has to wait.
+// TestChangeVotersThroughJointMembership: a change of several votes goes through a joint membership; the next change
+// has to wait.
 func TestChangeVotersThroughJointMembership(t *testing.T) {
 	script := newLeader(t)
 	script.catchUp(script.changeMembership(withMembers(voters(1, 2, 3), Member{ID: 4})))
--- a/internal/system/consensus/node_test.go
+++ b/internal/system/consensus/node_test.go
@@ -13,7 +13,7 @@
 		if stored.Validate() == nil {
 			t.Errorf("%s: passes", name)
 		}
-		script := newScript(t, stored)
+		script := newScriptedNode(t, stored)
 		script.expect(name+": due", script.node.NextTick(), Never)
 		script.expect(name+": answers", len(script.step(Message{Kind: MessageVote, From: 2, Term: 9, Index: 99, LogTerm: 8})), 0)
 		script.expect(name+": to be done", script.node.Ready().Empty(), true)
@@ -22,7 +22,7 @@
 
 func TestEntriesBeforeSnapshotAreIgnored(t *testing.T) {
 	snapshot := Snapshot{Index: 3, Term: 2, Membership: voters(1)}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		log  []Entry
 		last uint64
 	}{
@@ -32,7 +32,7 @@
 		{entries(4, 2, 2), 5},
 		{entries(5, 2), 3}, // a gap
 	} {
-		script := newScript(t, PersistentState{HardState: HardState{Term: 2, Commit: 3}, Snapshot: snapshot, Entries: c.log})
-		script.expect("last", script.node.log.lastIndex(), c.last)
+		script := newScriptedNode(t, PersistentState{HardState: HardState{Term: 2, Commit: 3}, Snapshot: snapshot, Entries: test.log})
+		script.expect("last", script.node.log.lastIndex(), test.last)
 	}
 }
--- a/internal/system/consensus/read_index_test.go
+++ b/internal/system/consensus/read_index_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestReadIndex(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	first := script.onlyMessage(MessageAppend, 2, script.becomeLeader())
 	script.node.ReadIndex(script.now, 1)
 	sent := script.process()
@@ -33,7 +33,7 @@
 }
 
 func TestLeaseStartsWithConfirmedRound(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	sent := script.becomeLeader()
 	script.expect("lease before an answer", script.node.Status().LeaseExpiry, time.Duration(0))
 	began := script.now
--- a/internal/system/consensus/replication_test.go
+++ b/internal/system/consensus/replication_test.go
@@ -3,9 +3,9 @@
 import "testing"
 
 func TestAppend(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name           string
-		log            []uint64 // terms
+		log            []uint64 // its terms
 		commit         uint64   // stored
 		index, logTerm uint64
 		entries        []Entry
@@ -27,23 +27,23 @@
 		{"below commit", []uint64{1, 2, 2}, 2, 0, 0, entries(1, 1), 1, false, 2, []uint64{1, 2, 2}, 2},
 		{"over commit", []uint64{1, 2, 2}, 2, 0, 0, entries(1, 1, 2, 4), 3, false, 3, []uint64{1, 2, 4}, 3},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			stored := foundingState(1, 2, 3)
-			stored.HardState = HardState{Term: 4, Commit: c.commit}
-			stored.Entries = entries(1, c.log...)
-			script := newScript(t, stored)
-			got := script.step(Message{Kind: MessageAppend, From: 2, Term: 4, Index: c.index, LogTerm: c.logTerm, Entries: c.entries,
-				Commit: c.leaderCommit, Round: 77})
+			stored.HardState = HardState{Term: 4, Commit: test.commit}
+			stored.Entries = entries(1, test.log...)
+			script := newScriptedNode(t, stored)
+			got := script.step(Message{Kind: MessageAppend, From: 2, Term: 4, Index: test.index, LogTerm: test.logTerm, Entries: test.entries,
+				Commit: test.leaderCommit, Round: 77})
 			reply := script.onlyMessage(MessageAppendReply, 2, got)
-			script.expect("rejected", reply.Reject, c.reject)
+			script.expect("rejected", reply.Reject, test.reject)
 			script.expect("round", reply.Round, 77)
-			if c.reject {
-				script.expect("hint", reply.RejectHint, c.reply)
+			if test.reject {
+				script.expect("hint", reply.RejectHint, test.reply)
 			} else {
-				script.expect("index", reply.Index, c.reply)
+				script.expect("index", reply.Index, test.reply)
 			}
-			script.expect("log", termsOf(script.log), c.after)
-			script.expect("commit", script.node.log.commit, c.committed)
+			script.expect("log", termsOf(script.log), test.after)
+			script.expect("commit", script.node.log.commit, test.committed)
 		})
 	}
 }
@@ -51,7 +51,7 @@
 func TestStaleLeaderLearnsNewerTerm(t *testing.T) {
 	stored := foundingState(1, 2, 3)
 	stored.HardState = HardState{Term: 4}
-	script := newScript(t, stored)
+	script := newScriptedNode(t, stored)
 	reply := script.onlyMessage(MessageAppendReply, 2, script.step(Message{Kind: MessageAppend, From: 2, Term: 3, Round: 1}))
 	script.expect("term", reply.Term, 4)
 	script.expect("rejected", reply.Reject, true)
@@ -59,7 +59,7 @@
 }
 
 func TestOwnEntriesCountOncePersisted(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	first := script.onlyMessage(MessageAppend, 2, script.becomeLeader())
 	script.step(acknowledge(first))
 	script.expect("commit of the first entry", script.node.log.commit, 1)
@@ -79,7 +79,7 @@
 
 func TestOverwrittenEntriesAreNotDurable(t *testing.T) {
 	for _, late := range []bool{false, true} { // the sync ends after the entries were overwritten
-		script := newScript(t, foundingState(1, 2, 3))
+		script := newScriptedNode(t, foundingState(1, 2, 3))
 		script.step(acknowledge(script.onlyMessage(MessageAppend, 2, script.becomeLeader())))
 		for range 5 {
 			if _, _, err := script.node.Propose(script.now, nil); err != nil {
@@ -106,7 +106,7 @@
 	stored := foundingState(1, 2, 3)
 	stored.HardState = HardState{Term: 2}
 	stored.Entries = entries(1, 1, 2)
-	script := newScript(t, stored)
+	script := newScriptedNode(t, stored)
 	script.becomeLeader()
 	script.step(Message{Kind: MessageAppendReply, From: 2, Term: 3, Index: 2})
 	script.expect("commit", script.node.log.commit, 0)
@@ -118,10 +118,10 @@
 	stored := foundingState(1, 2, 3)
 	stored.HardState = HardState{Term: 6}
 	stored.Entries = entries(1, 1, 1, 1, 5, 5, 5, 6, 6, 6)
-	script := newScript(t, stored)
+	script := newScriptedNode(t, stored)
 	probe := script.onlyMessage(MessageAppend, 2, script.becomeLeader())
 	script.expect("first probe", probe.Index, 9)
-	// The member's log has terms 1 1 1 4 4 4 4: what it says skips them all.
+	// The peer's log has terms 1 1 1 4 4 4 4: the hint skips all of term 4.
 	next := script.step(Message{Kind: MessageAppendReply, From: 2, Term: 7, Index: 9, Reject: true, RejectHint: 7, LogTerm: 4})
 	second := script.onlyMessage(MessageAppend, 2, next)
 	script.expect("second probe", second.Index, 3)
@@ -131,17 +131,17 @@
 }
 
 func TestMaxInflightAppends(t *testing.T) {
-	script := newScript(t, foundingState(1, 2))
+	script := newScriptedNode(t, foundingState(1, 2))
 	script.step(acknowledge(script.onlyMessage(MessageAppend, 2, script.becomeLeader())))
 	for range 5 {
-		if _, _, err := script.node.Propose(script.now, make([]byte, 40)); err != nil { // one to a message
+		if _, _, err := script.node.Propose(script.now, make([]byte, 40)); err != nil { // one per message
 			t.Fatal(err)
 		}
 	}
 	sent := script.process()
 	script.expect("sent", len(sent), 2)
 	script.expect("sent after an answer", len(messagesWithEntries(script.step(acknowledge(sent[0])))), 1)
-	// The others are lost, which the next heartbeat brings to light.
+	// The others are lost, which the next heartbeat reveals.
 	beat := script.onlyMessage(MessageAppend, 2, script.tickWhenDue())
 	script.expect("heartbeat", []uint64{beat.Index, uint64(len(beat.Entries))}, []uint64{4, 0})
 	again := script.step(Message{Kind: MessageAppendReply, From: 2, Term: 1, Index: 4, Reject: true, RejectHint: 2, LogTerm: 1})
@@ -158,7 +158,7 @@
 }
 
 func TestIdleLeaderSendsOneHeartbeatPerInterval(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	for _, msg := range script.becomeLeader() {
 		script.step(acknowledge(msg))
 	}
--- a/internal/system/consensus/scripted_node_test.go
+++ b/internal/system/consensus/scripted_node_test.go
@@ -12,7 +12,7 @@
 	testElection  = 700 * time.Millisecond
 )
 
-// scriptedNode drives one machine by hand and keeps what it puts out.
+// scriptedNode drives one node by hand and records its output.
 type scriptedNode struct {
 	t         *testing.T
 	node      *Node
@@ -21,10 +21,10 @@
 	log       []Entry
 	hardState HardState
 
-	committed    []Entry
-	readStates   []ReadState
-	compactIndex uint64
-	restored     *Snapshot
+	committedEntries []Entry
+	readStates       []ReadState
+	compactIndex     uint64
+	restoredSnapshot *Snapshot
 }
 
 func voters(ids ...ReplicaID) (s Membership) {
@@ -38,7 +38,7 @@
 	return Membership{Members: append(slices.Clone(s.Members), members...)}
 }
 
-// entries are one for each term, from an index on.
+// entries returns one entry for each term, from an index on.
 func entries(from uint64, terms ...uint64) (all []Entry) {
 	for i, term := range terms {
 		all = append(all, Entry{Index: from + uint64(i), Term: term, Data: []byte(fmt.Sprint(term))})
@@ -50,8 +50,9 @@
 	return Entry{Index: index, Term: term, Kind: EntryMembership, Data: EncodeMembership(s)}
 }
 
-// newScript starts replica 1 from what was stored, long enough ago that no lease may rest on it.
-func newScript(t *testing.T, s PersistentState) *scriptedNode {
+// newScriptedNode starts replica 1 from a persistent state. No lease from before the start can still last.
+func newScriptedNode(t *testing.T, s PersistentState) *scriptedNode {
+	t.Helper()
 	script := &scriptedNode{t: t, hardState: s.HardState, log: s.Entries}
 	script.node = New(0, Config{ID: 1, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: 1, MaxAppendBytes: 64,
 		MaxInflightAppends: 2, SnapshotThreshold: 8}, s)
@@ -63,7 +64,7 @@
 	return PersistentState{Snapshot: Snapshot{Membership: voters(ids...)}}
 }
 
-// process does what the machine wants done, its writes included unless held.
+// process does all work of the node, including its writes, and returns the messages sent.
 func (s *scriptedNode) process() []Message {
 	s.t.Helper()
 	s.sent = nil
@@ -78,7 +79,7 @@
 	s.sent = append(s.sent, r.EarlyMessages...)
 	s.sent = append(s.sent, r.Messages...)
 	if r.Snapshot != nil {
-		s.restored = r.Snapshot
+		s.restoredSnapshot = r.Snapshot
 		s.log = nil
 	}
 	if len(r.Entries) > 0 {
@@ -88,7 +89,7 @@
 	if r.HardState != nil {
 		s.hardState = *r.HardState
 	}
-	s.committed = append(s.committed, r.CommittedEntries...)
+	s.committedEntries = append(s.committedEntries, r.CommittedEntries...)
 	s.readStates = append(s.readStates, r.ReadStates...)
 	s.compactIndex = max(s.compactIndex, r.CompactIndex)
 }
@@ -100,7 +101,7 @@
 	return s.process()
 }
 
-// tickWhenDue lets time pass up to the machine's next due time.
+// tickWhenDue advances the time to the next tick and ticks.
 func (s *scriptedNode) tickWhenDue() []Message {
 	s.t.Helper()
 	if s.node.NextTick() == Never {
@@ -111,7 +112,7 @@
 	return s.process()
 }
 
-// becomeLeader has the machine elected, with the first of the voters granting.
+// becomeLeader has the node elected by the first voters of its membership.
 func (s *scriptedNode) becomeLeader() []Message {
 	s.t.Helper()
 	s.tickWhenDue()
@@ -134,7 +135,7 @@
 	s.sent = all
 }
 
-// acknowledge answers an append as a replica that took all of it.
+// acknowledge returns the reply to an append by a replica that accepted all of it.
 func acknowledge(msg Message) Message {
 	return Message{Kind: MessageAppendReply, From: msg.To, Term: msg.Term, Index: msg.Index + uint64(len(msg.Entries)),
 		Round: msg.Round}
@@ -168,9 +169,10 @@
 	return all
 }
 
-// newLeader is replica 1 of three, elected, with its first entry committed.
+// newLeader returns replica 1 of three as leader, with its first entry committed.
 func newLeader(t *testing.T) *scriptedNode {
-	script := newScript(t, foundingState(1, 2, 3))
+	t.Helper()
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	for _, msg := range script.becomeLeader() {
 		script.step(acknowledge(msg))
 	}
@@ -178,7 +180,7 @@
 	return script
 }
 
-// catchUp has all answer all appends until nothing is sent any more.
+// catchUp has all peers acknowledge all appends until nothing more is sent.
 func (s *scriptedNode) catchUp(msgs []Message, but ...ReplicaID) {
 	s.t.Helper()
 	for len(msgs) > 0 {
@@ -202,7 +204,7 @@
 	return s.process()
 }
 
-// jointTestMembership is a joint membership: 1, 2 and 3 voted, and 1, 4 and 5 are to vote.
+// jointTestMembership returns a joint membership: 1, 2 and 3 are the outgoing voters, 1, 4 and 5 the incoming ones.
 func jointTestMembership() Membership {
 	return Membership{Members: []Member{{ID: 1, Voter: true, Outgoing: true}, {ID: 2, Outgoing: true}, {ID: 3, Outgoing: true},
 		{ID: 4, Voter: true}, {ID: 5, Voter: true}}}
--- a/internal/system/consensus/simulation_check_test.go
+++ b/internal/system/consensus/simulation_check_test.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// entryID is where an entry stands, and of which term it is.
+// entryID identifies an entry.
 type entryID struct{ index, term uint64 }
 
-// entryContent is what all logs have to agree on for a place.
+// entryContent is what all logs must agree on for an entryID.
 type entryContent struct {
-	previousTerm uint64 // term of the entry before
+	previousTerm uint64
 	kind         EntryKind
 	data         []byte
 }
 
 // observations is what an observer of the whole cluster knows.
 type observations struct {
-	leadersByTerm      map[uint64]*simulatedProcess // by term
-	entriesByID        map[entryID]entryContent     // that ever stood in a log
-	committed          []Entry                      // in order, from index 1
-	commitTerms        []uint64                     // term of the leader that committed each
-	statesByIndex      map[uint64]uint64            // of the state machine, by index
-	syncedLogs         map[ReplicaID]*syncedLog     // by replica, its disk lost or not
-	pendingReads       map[uint64]int               // by token of a read: how many entries were committed when it came
+	leadersByTerm      map[uint64]*simulatedProcess
+	entriesByID        map[entryID]entryContent // all that were ever in a log
+	committed          []Entry                  // in order, from index 1
+	commitTerms        []uint64                 // term of the leader that committed each entry
+	statesByIndex      map[uint64]uint64        // of the state machine
+	syncedLogs         map[ReplicaID]*syncedLog // including those of lost disks
+	pendingReads       map[uint64]int           // by token: the number of entries committed when the read was requested
 	completedReads     int
-	membership         Membership // committed
-	proposedMembership Membership // last
+	membership         Membership // the committed one
+	proposedMembership Membership // the one proposed last
 }
 
-// syncedLog is what a replica had on its disk at some time.
+// syncedLog is what a replica's disk has held at any time.
 type syncedLog struct {
 	entries  map[entryID]bool
 	snapshot uint64
@@ -70,7 +70,7 @@
 	return binary.BigEndian.Uint64(data)
 }
 
-// check holds after each step.
+// check checks the invariants that hold after each step.
 func (sim *simulation) check() {
 	for _, p := range sim.processes() {
 		sim.checkCommit(p)
@@ -83,7 +83,7 @@
 	}
 }
 
-// checkCommit sees that what is committed stays the same everywhere, and was synced by a majority before.
+// checkCommit checks that committed entries never change and that a majority had synced them before.
 func (sim *simulation) checkCommit(p *simulatedProcess) {
 	log := &p.node.log
 	if log.commit < p.commit {
@@ -123,7 +123,7 @@
 	}
 }
 
-// checkMajority sees that a majority of the voters has synced an entry that is committed.
+// checkMajority checks that a majority of the voters has synced a committed entry.
 func (sim *simulation) checkMajority(p *simulatedProcess, entry Entry) {
 	have := map[ReplicaID]bool{}
 	for _, member := range p.node.membership().Members {
@@ -143,7 +143,7 @@
 	}
 }
 
-// voterSets are the sets of voters that have to agree, each by its majority: two of a joint membership.
+// voterSets returns the sets of voters whose majorities have to agree: two for a joint membership.
 func voterSets(membership Membership) (sets [][]ReplicaID) {
 	var voters, outgoing []ReplicaID
 	for _, member := range membership.Members {
@@ -161,13 +161,13 @@
 	return sets
 }
 
-// checkLeader sees that there is one leader a term, that it has all that is committed, and that at most one change of
-// membership is under way.
+// checkLeader checks that a term has one leader, that the leader holds all committed entries, and that at most one
+// membership change is in progress.
 func (sim *simulation) checkLeader(p *simulatedProcess) {
 	node := p.node
 	first := sim.oracle.leadersByTerm[node.term]
 	if first != nil && first != p {
-		sim.fail("replicas %d and %d both led term %d (the same: a life apart)", first.id, p.id, node.term)
+		sim.fail("replicas %d and %d both led term %d (equal IDs: before and after a restart)", first.id, p.id, node.term)
 	}
 	if node.persistedTerm != node.term {
 		sim.fail("replica %d leads term %d, which is not on its disk", p.id, node.term)
@@ -176,7 +176,7 @@
 		sim.logf("%d leads term %d", p.id, node.term)
 		sim.oracle.leadersByTerm[node.term] = p
 		for i, entry := range sim.oracle.committed {
-			// Votes that were long under way may still make a leader of a term that is past.
+			// Votes that were delayed for long may still elect a leader of a past term.
 			if sim.oracle.commitTerms[i] < node.term && entry.Index > node.log.offset && !node.log.matchTerm(entry.Index, entry.Term) {
 				sim.fail("replica %d leads term %d without committed entry %v", p.id, node.term, entry)
 			}
@@ -189,11 +189,11 @@
 		}
 	}
 	if changes > 1 {
-		sim.fail("replica %d leads with %d changes of membership under way", p.id, changes)
+		sim.fail("replica %d leads with %d membership changes in progress", p.id, changes)
 	}
 }
 
-// checkLease sees that nobody leads a later term while a lease lasts.
+// checkLease checks that no other replica leads a later term while a lease lasts.
 func (sim *simulation) checkLease(p *simulatedProcess) {
 	until := p.node.LeaseExpiry()
 	if until <= p.clock() {
@@ -210,7 +210,7 @@
 	}
 }
 
-// checkReady sees that logs which agree in an entry agree in all before it.
+// checkReady checks that logs which agree in an entry agree in the preceding one.
 func (sim *simulation) checkReady(p *simulatedProcess, r Ready) {
 	for _, entry := range r.Entries {
 		before, _ := p.node.log.term(entry.Index - 1)
@@ -229,7 +229,7 @@
 	}
 }
 
-// checkState sees that all state machines go through the same states.
+// checkState checks that all state machines go through the same states.
 func (sim *simulation) checkState(p *simulatedProcess) {
 	have, found := sim.oracle.statesByIndex[p.applied]
 	if found && have != p.state {
@@ -238,13 +238,13 @@
 	sim.oracle.statesByIndex[p.applied] = p.state
 }
 
-// checkSent sees that replicas that were not taken in are silent, and that only voters stand for election.
+// checkSent checks that replicas send nothing before they are members, and that only voters start elections.
 func (sim *simulation) checkSent(p *simulatedProcess, msg Message) {
 	member := p.node.membership().has(p.id)
 	switch msg.Kind {
 	case MessagePreVote, MessageVote:
 		if !sim.knownAsVoter(p) {
-			sim.fail("replica %d stands for election and is no voter", p.id)
+			sim.fail("replica %d starts an election and is no voter", p.id)
 		}
 	case MessagePreVoteReply, MessageVoteReply:
 		if !member && !msg.Reject && !p.hasMembership {
@@ -252,12 +252,12 @@
 		}
 	default:
 		if !p.hasMembership {
-			sim.fail("replica %d sends message %d before it was taken in", p.id, msg.Kind)
+			sim.fail("replica %d sends message kind %d before it is a member", p.id, msg.Kind)
 		}
 	}
 }
 
-// knownAsVoter tells whether a replica is a voter, or was one until the membership that it has only now been sent.
+// knownAsVoter reports whether a replica votes by any membership in its log, or by the committed one.
 func (sim *simulation) knownAsVoter(p *simulatedProcess) bool {
 	for _, at := range p.node.log.memberships {
 		if at.membership.hasVote(p.id) {
@@ -267,11 +267,11 @@
 	return sim.oracle.membership.hasVote(p.id)
 }
 
-// checkRead sees that a read shows all that was committed anywhere when it came.
+// checkRead checks that a read shows everything that was committed anywhere when it was requested.
 func (sim *simulation) checkRead(p *simulatedProcess, read ReadState) {
 	asked, found := sim.oracle.pendingReads[read.Token]
 	if !found {
-		sim.fail("replica %d answers read %d twice, or one that nobody asked", p.id, read.Token)
+		sim.fail("replica %d completes read %d twice, or one that nobody requested", p.id, read.Token)
 	}
 	delete(sim.oracle.pendingReads, read.Token)
 	if read.Err != nil {
@@ -279,17 +279,17 @@
 	}
 	sim.oracle.completedReads++
 	if read.Index < uint64(asked) {
-		sim.fail("replica %d reads at %d what was asked at %d", p.id, read.Index, asked)
+		sim.fail("replica %d reads at %d what was requested at %d", p.id, read.Index, asked)
 	}
 }
 
-// checkRecovered sees that all is well some time after the last fault.
+// checkRecovered checks that the cluster is complete and makes progress some time after the last fault.
 func (sim *simulation) checkRecovered() {
 	if sim.failure != "" {
 		return
 	}
 	if !sim.membershipRestored() {
-		sim.fail("the membership is not whole again: %v", sim.oracle.membership)
+		sim.fail("the membership is not complete again: %v", sim.oracle.membership)
 	}
 	for _, p := range sim.processes() {
 		if p.applied+1000 < uint64(len(sim.oracle.committed)) {
@@ -299,6 +299,6 @@
 	before := len(sim.oracle.committed)
 	sim.run(2 * time.Second)
 	if len(sim.oracle.committed) == before {
-		sim.fail("nothing is agreed on any more")
+		sim.fail("nothing is committed any more")
 	}
 }
--- a/internal/system/consensus/simulation_faults_test.go
+++ b/internal/system/consensus/simulation_faults_test.go
@@ -10,7 +10,7 @@
 
 func (sim *simulation) randomHost() *simulatedHost { return sim.hosts[sim.random.IntN(len(sim.hosts))] }
 
-// nextFault does one thing to the cluster and has it end after a while.
+// nextFault injects a fault, which ends after a while, and schedules the next one.
 func (sim *simulation) nextFault() {
 	if !sim.faults {
 		return
@@ -57,11 +57,12 @@
 	}
 }
 
-// isolateFollower has one replica not hear its leader, and the others forget, when it has noticed, that they heard it.
+// isolateFollower cuts the link from a leader to one follower, and restarts the others once that follower has noticed:
+// they forget that they were in contact with the leader.
 func (sim *simulation) isolateFollower(leader, deaf *simulatedHost) {
-	sim.logf("%d does not hear %d, the others restart", deaf.id, leader.id)
+	sim.logf("%d is isolated from %d, the others restart", deaf.id, leader.id)
 	sim.setCut(leader.index, deaf.index, 2*time.Second)
-	sim.proposalsPausedUntil = sim.now + 2*time.Second // a log without the newest entries would not be voted for
+	sim.proposalsPausedUntil = sim.now + 2*time.Second // a candidate without the newest entries would get no votes
 	sim.schedule(sim.randomDuration(700*time.Millisecond, 1500*time.Millisecond), func() {
 		for _, host := range sim.hosts {
 			if host != leader && host != deaf {
@@ -80,11 +81,11 @@
 }
 
 func (sim *simulation) setCut(from, to int, span time.Duration) {
-	sim.cuts[[2]int{from, to}] = true
-	sim.schedule(span, func() { delete(sim.cuts, [2]int{from, to}) })
+	sim.cutLinks[[2]int{from, to}] = true
+	sim.schedule(span, func() { delete(sim.cutLinks, [2]int{from, to}) })
 }
 
-// cutOff takes a slot off the others, one way or both.
+// cutOff cuts the links of a host, in one direction or both.
 func (sim *simulation) cutOff(host *simulatedHost, span time.Duration) {
 	ways := 1 + sim.random.IntN(3)
 	sim.logf("%d is cut off (%d) for %v", host.id, ways, span)
@@ -106,7 +107,7 @@
 	}
 }
 
-// partition cuts the cluster in two.
+// partition splits the cluster in two.
 func (sim *simulation) partition(span time.Duration) {
 	sim.logf("split for %v", span)
 	var side []bool
@@ -122,7 +123,7 @@
 	}
 }
 
-// loseDisks takes disks away, as many as a majority of voters outlives, and has their machines return as new replicas.
+// loseDisks removes the disks of a minority of the hosts and restarts these as new replicas.
 func (sim *simulation) loseDisks(host *simulatedHost, span time.Duration) {
 	if !sim.fullyReplicated() {
 		return
@@ -144,7 +145,8 @@
 	}
 }
 
-// fullyReplicated tells whether all slots are voters and nobody else is, whatever may become of changes that are under way.
+// fullyReplicated reports whether the hosts' replicas, and no others, are voters, whatever becomes of changes in
+// progress.
 func (sim *simulation) fullyReplicated() bool {
 	views := []Membership{sim.oracle.membership, sim.oracle.proposedMembership}
 	for _, host := range sim.hosts {
@@ -154,8 +156,8 @@
 	return sim.allVoters(views) && sim.membershipRestored()
 }
 
-// membershipRestored tells whether all slots are voters and nobody else is, in every running replica's view and in what is
-// committed.
+// membershipRestored reports whether the hosts' replicas, and no others, are voters, in the view of every running
+// replica and in the committed membership.
 func (sim *simulation) membershipRestored() bool {
 	views := []Membership{sim.oracle.membership}
 	for _, p := range sim.processes() {
@@ -178,7 +180,7 @@
 	return true
 }
 
-// withRandomLeader does something with a replica that holds itself for the leader.
+// withRandomLeader calls a function with a replica that considers itself leader.
 func (sim *simulation) withRandomLeader(do func(p *simulatedProcess)) {
 	var leaders []*simulatedProcess
 	for _, p := range sim.processes() {
@@ -191,7 +193,7 @@
 	}
 }
 
-// propose has a command proposed and a read begun.
+// propose proposes commands and requests reads.
 func (sim *simulation) propose() {
 	wait := sim.randomDuration(sim.profile.MaxProposalInterval/2, sim.profile.MaxProposalInterval)
 	if !sim.faults {
@@ -202,7 +204,7 @@
 		return
 	}
 	sim.withRandomLeader(func(p *simulatedProcess) {
-		if p.node.log.lastIndex()-p.node.log.commit > 50 || !sim.faults && sim.anyBehind() {
+		if p.node.log.lastIndex()-p.node.log.commit > 50 || !sim.faults && sim.anyReplicaBehind() {
 			return
 		}
 		p.run(func(node *Node) {
@@ -231,14 +233,14 @@
 	}
 }
 
-// anyBehind tells whether a replica has to catch up, for which the rates of the profile may be too slow under load.
-func (sim *simulation) anyBehind() bool {
+// anyReplicaBehind reports whether a replica has to catch up, for which the profile's rates may be too slow under load.
+func (sim *simulation) anyReplicaBehind() bool {
 	return slices.ContainsFunc(sim.processes(), func(p *simulatedProcess) bool {
 		return p.applied+200 < uint64(len(sim.oracle.committed))
 	})
 }
 
-// repairMembership repairs the membership as an operator would, and at times does something strange.
+// repairMembership changes the membership as an operator would, sometimes without need.
 func (sim *simulation) repairMembership() {
 	sim.schedule(sim.randomDuration(50*time.Millisecond, 300*time.Millisecond), sim.repairMembership)
 	sim.withRandomLeader(func(p *simulatedProcess) {
@@ -262,7 +264,7 @@
 	})
 }
 
-// nextMembership is the next step towards a membership of all slots.
+// nextMembership returns the next step towards a membership of all hosts.
 func (sim *simulation) nextMembership(now Membership) (Membership, bool) {
 	to := Membership{Members: slices.Clone(now.Members)}
 	for _, host := range sim.hosts {
@@ -289,7 +291,7 @@
 	return to, false
 }
 
-// movedVotes gives the votes of replicas that are gone to those in their places, through a joint membership.
+// movedVotes moves the votes of lost replicas to their successors on the same hosts, through a joint membership.
 func (sim *simulation) movedVotes(now Membership) (Membership, bool) {
 	to := Membership{Members: slices.Clone(now.Members)}
 	for i, member := range now.Members {
@@ -307,7 +309,7 @@
 	return true
 }
 
-// needlessChange is a change that nobody needs, or a handing over of leadership.
+// needlessChange returns a membership change without need, or transfers the leadership.
 func (sim *simulation) needlessChange(p *simulatedProcess) (Membership, bool) {
 	now := p.node.membership()
 	to := Membership{Members: slices.Clone(now.Members)}
@@ -320,7 +322,7 @@
 	}
 	switch sim.random.IntN(6) {
 	case 0:
-		sim.logf("%d hands over", p.id)
+		sim.logf("%d transfers its leadership", p.id)
 		p.node.TransferLeadership(p.clock(), to.Members[i].ID*ReplicaID(sim.random.IntN(2)))
 		return to, false
 	case 1:
@@ -332,7 +334,7 @@
 		return to, true
 	}
 	if len(to.Members) != len(sim.hosts) || voters != len(sim.hosts) || voters < 2 {
-		return to, false // the majority must be there without those that are out already
+		return to, false // a majority must remain without the members that are already removed
 	}
 	if sim.chance(0.3) {
 		for out := range sim.random.IntN(voters) {
@@ -352,7 +354,7 @@
 func (sim *simulation) endFaults() {
 	sim.logf("all faults end")
 	sim.faults = false
-	clear(sim.cuts)
+	clear(sim.cutLinks)
 	for _, host := range sim.hosts {
 		host.disk.stalledUntil = 0
 		sim.boot(host)
--- a/internal/system/consensus/simulation_process_test.go
+++ b/internal/system/consensus/simulation_process_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// simulatedDisk is what is synced on a slot's disk.
+// simulatedDisk is what is synced on a host's disk.
 type simulatedDisk struct {
 	stored       PersistentState
 	stalledUntil time.Duration
 }
 
-// write takes over the writes of a Ready.
+// write performs the writes of a Ready.
 func (d *simulatedDisk) write(ready Ready) {
 	if ready.Snapshot != nil {
 		d.stored.Snapshot = *ready.Snapshot
@@ -32,26 +32,26 @@
 	d.stored.Entries = append(slices.Clone(d.stored.Entries[:keep]), entries...)
 }
 
-// compact takes over a snapshot of the applied state.
+// compact stores a snapshot of the applied state.
 func (d *simulatedDisk) compact(snapshot Snapshot) {
 	d.stored.Entries = slices.Clone(d.stored.Entries[snapshot.Index-d.stored.Snapshot.Index:])
 	d.stored.Snapshot = snapshot
 }
 
-// simulatedProcess drives a machine.
+// simulatedProcess drives a node.
 type simulatedProcess struct {
 	sim           *simulation
 	host          *simulatedHost
 	id            ReplicaID
 	node          *Node
 	alive         bool
-	hasMembership bool // a leader, or it knew its membership from the start
+	hasMembership bool // from the start or from a leader
 
-	pendingReadies []Ready // in order, not done yet
+	pendingReadies []Ready // in order
 	writing        bool
-	writeStartedAt time.Duration // since when the head of the queue is being written
+	writeStartedAt time.Duration // of the first pending Ready
 	frozen         bool
-	deferred       []func(m *Node)
+	deferred       []func(node *Node)
 	nextTickAt     time.Duration
 
 	applied uint64
@@ -74,7 +74,7 @@
 	started.state = decodeState(stored.Snapshot.Data)
 	started.node = New(started.clock(), config, stored)
 	if started.node.disabled {
-		sim.fail("replica %d finds what was stored senseless: %v", host.id, stored.Validate())
+		sim.fail("replica %d finds its persistent state invalid: %v", host.id, stored.Validate())
 		return
 	}
 	sim.oracle.recordSync(host.id, Ready{Entries: stored.Entries})
@@ -86,8 +86,8 @@
 	return p.host.clockOffset + time.Duration(float64(p.sim.now)*p.host.clockRate)
 }
 
-// run runs something of the process, later if it is frozen.
-func (p *simulatedProcess) run(what func(m *Node)) {
+// run runs a function of the process, deferred while the process is frozen.
+func (p *simulatedProcess) run(what func(node *Node)) {
 	if !p.alive {
 		return
 	}
@@ -100,7 +100,7 @@
 	p.schedule()
 }
 
-// schedule has Tick called when it is due.
+// schedule schedules the next tick.
 func (p *simulatedProcess) schedule() {
 	if !p.alive {
 		return
@@ -126,7 +126,7 @@
 	})
 }
 
-// watchDisk has a process whose disk hangs give leadership up.
+// watchDisk has a leader whose disk hangs step down.
 func (p *simulatedProcess) watchDisk() {
 	if p.writing && p.sim.now-p.writeStartedAt > 300*time.Millisecond {
 		p.node.StepDown(p.clock())
@@ -148,7 +148,7 @@
 	}
 }
 
-// processQueue does what is first in the queue.
+// processQueue starts or skips the writes of the pending Readies, in order.
 func (p *simulatedProcess) processQueue() {
 	for len(p.pendingReadies) > 0 && !p.writing {
 		ready := p.pendingReadies[0]
@@ -186,7 +186,7 @@
 	p.processQueue()
 }
 
-// processReady does what comes after the writes.
+// processReady does the work that follows the writes.
 func (p *simulatedProcess) processReady(ready Ready) {
 	for _, msg := range ready.Messages {
 		p.sim.send(p, msg)
@@ -213,14 +213,14 @@
 
 func (p *simulatedProcess) compact(index uint64) {
 	if index != p.applied {
-		p.sim.fail("replica %d is to compact %d, but is at %d", p.id, index, p.applied)
+		p.sim.fail("replica %d must compact %d but has applied %d", p.id, index, p.applied)
 		return
 	}
 	snapshot, ok := p.node.CreateSnapshot(index, binary.BigEndian.AppendUint64(nil, p.state))
 	if !ok {
-		return // a snapshot of the leader came meanwhile
+		return // superseded by a snapshot of the leader
 	}
-	p.sim.schedule(p.syncTime(), func() { p.run(func(m *Node) { p.finishCompaction(snapshot) }) })
+	p.sim.schedule(p.syncTime(), func() { p.run(func(node *Node) { p.finishCompaction(snapshot) }) })
 }
 
 func (p *simulatedProcess) finishCompaction(snapshot Snapshot) {
@@ -235,7 +235,7 @@
 	p.node.Compact(snapshot.Index, data, 0)
 }
 
-// kill ends the process. Of the writes under way some are on disk, and the last of them may be torn.
+// kill ends the process. Some of the writes in flight reach the disk, the last of them perhaps in part.
 func (p *simulatedProcess) kill() {
 	sim := p.sim
 	sim.logf("%d is killed", p.id)
@@ -251,7 +251,7 @@
 	}
 }
 
-// tearWrite writes a part of a Ready.
+// tearWrite performs a part of a Ready's writes.
 func (p *simulatedProcess) tearWrite(ready Ready) {
 	disk := p.host.disk
 	switch p.sim.random.IntN(4) {
@@ -266,7 +266,7 @@
 		}
 	case 3:
 		if ready.Snapshot != nil {
-			disk.stored.Snapshot = *ready.Snapshot // the log that it replaces is still there
+			disk.stored.Snapshot = *ready.Snapshot // the log that it replaces remains
 		}
 	}
 }
@@ -280,7 +280,7 @@
 	if !p.alive || !p.frozen {
 		return
 	}
-	p.sim.logf("%d thaws", p.id)
+	p.sim.logf("%d unfreezes", p.id)
 	p.frozen = false
 	backlog := p.deferred
 	p.deferred = nil
--- a/internal/system/consensus/simulation_test.go
+++ b/internal/system/consensus/simulation_test.go
@@ -11,24 +11,24 @@
 
 // simulation is a cluster in virtual time.
 type simulation struct {
-	seed            uint64
-	random          *rand.Rand
-	now             time.Duration
-	events          eventHeap
-	lastSequence    uint64
-	steps           int
-	verbose         bool
-	failure         string
-	corruptMessages bool // messages are spoilt now and then
+	seed             uint64
+	random           *rand.Rand
+	now              time.Duration
+	events           eventHeap
+	lastSequence     uint64
+	steps            int
+	verbose          bool
+	failure          string
+	corruptsMessages bool // some messages arrive corrupt
 
 	profile      simulationProfile
 	hosts        []*simulatedHost
 	lastID       ReplicaID
-	cuts         map[[2]int]bool                // one way each
-	lastDelivery map[[2]ReplicaID]time.Duration // of messages that keep their order
+	cutLinks     map[[2]int]bool                // by sender and receiver
+	lastDelivery map[[2]ReplicaID]time.Duration // on links that keep the order of messages
 	faults       bool
 
-	proposalsPausedUntil time.Duration // no proposals
+	proposalsPausedUntil time.Duration
 	oracle               observations
 	lastToken            uint64
 }
@@ -36,27 +36,27 @@
 // simulationProfile is what a seed draws about its cluster.
 type simulationProfile struct {
 	Replicas                  int
-	LossRate, DuplicationRate float64
-	OrderedLinks              bool // messages between two replicas keep their order
+	LossRate, DuplicationRate float64 // of messages
+	OrderedLinks              bool    // messages between two replicas keep their order
 	MaxDelay                  time.Duration
-	Pipelined                 bool // the next Ready is taken while writes are under way
-	NoSnapshotData            bool // machines hold no snapshot data
+	Pipelined                 bool // the next Ready is taken while writes are in flight
+	NoSnapshotData            bool // nodes hold no snapshot data
 	MaxSyncTime               time.Duration
-	MaxFaultInterval          time.Duration // at most
-	MaxFaultDuration          time.Duration // at most
-	MaxProposalInterval       time.Duration // between two
-	NeedlessChangeRate        float64       // of the operator, a turn
+	MaxFaultInterval          time.Duration
+	MaxFaultDuration          time.Duration
+	MaxProposalInterval       time.Duration
+	NeedlessChangeRate        float64 // of membership, per turn of the operator
 
 	MaxAppendBytes, MaxInflightAppends int
 }
 
-// simulatedHost is a machine: its disk and its process outlive each other.
+// simulatedHost is a computer. Its disk and its process are replaced independently.
 type simulatedHost struct {
 	index       int
 	id          ReplicaID
 	disk        *simulatedDisk
-	process     *simulatedProcess
-	clockOffset time.Duration // of its clock
+	process     *simulatedProcess // nil: not running
+	clockOffset time.Duration
 	clockRate   float64
 }
 
@@ -86,7 +86,7 @@
 }
 
 func newSimulation(seed uint64) *simulation {
-	sim := &simulation{seed: seed, random: rand.New(rand.NewPCG(seed, 7)), cuts: map[[2]int]bool{},
+	sim := &simulation{seed: seed, random: rand.New(rand.NewPCG(seed, 7)), cutLinks: map[[2]int]bool{},
 		lastDelivery: map[[2]ReplicaID]time.Duration{}, faults: true}
 	sim.profile = sim.drawProfile()
 	sim.oracle = newObservations()
@@ -121,7 +121,7 @@
 	return least + time.Duration(sim.random.Int64N(int64(most-least)+1))
 }
 
-// randomMagnitude draws a time whose order of magnitude may be any within a range.
+// randomMagnitude draws a duration whose order of magnitude is uniform within a range.
 func (sim *simulation) randomMagnitude(least, most time.Duration) time.Duration {
 	return time.Duration(float64(least) * math.Pow(float64(most)/float64(least), sim.random.Float64()))
 }
@@ -164,7 +164,7 @@
 	sim.schedule(time.Second, sim.nextFault)
 }
 
-// run plays until a time from now has passed.
+// run simulates a duration.
 func (sim *simulation) run(duration time.Duration) {
 	end := sim.now + duration
 	for len(sim.events) > 0 && sim.events[0].at <= end && sim.failure == "" {
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// processes are those that have not ended.
+// processes returns the running processes.
 func (sim *simulation) processes() (all []*simulatedProcess) {
 	for _, host := range sim.hosts {
 		if host.process != nil {
@@ -196,7 +196,7 @@
 	return all
 }
 
-// send carries a message, in its encoded form, or loses it.
+// send encodes a message and delivers it later, loses it or duplicates it.
 func (sim *simulation) send(from *simulatedProcess, msg Message) {
 	sim.checkSent(from, msg)
 	to := sim.hostOf(msg.To)
@@ -213,7 +213,7 @@
 	}
 	data := EncodeMessage(msg)
 	for range copies {
-		if sim.cuts[[2]int{from.host.index, to.index}] || sim.faults && sim.chance(sim.profile.LossRate) {
+		if sim.cutLinks[[2]int{from.host.index, to.index}] || sim.faults && sim.chance(sim.profile.LossRate) {
 			continue
 		}
 		sim.schedule(sim.delay(from.id, msg.To), func() { sim.deliver(from.host, to, msg.To, data) })
@@ -235,12 +235,12 @@
 }
 
 func (sim *simulation) deliver(from, to *simulatedHost, id ReplicaID, data []byte) {
-	if to.process == nil || to.id != id || sim.cuts[[2]int{from.index, to.index}] {
+	if to.process == nil || to.id != id || sim.cutLinks[[2]int{from.index, to.index}] {
 		return
 	}
 	data = sim.corrupt(data)
 	msg, err := DecodeMessage(data)
-	if err != nil && sim.corruptMessages {
+	if err != nil && sim.corruptsMessages {
 		return
 	}
 	if err != nil {
@@ -255,9 +255,9 @@
 	})
 }
 
-// corrupt changes some bytes of a message at times.
+// corrupt sometimes changes some bytes of a message.
 func (sim *simulation) corrupt(data []byte) []byte {
-	if !sim.corruptMessages || !sim.chance(0.05) {
+	if !sim.corruptsMessages || !sim.chance(0.05) {
 		return data
 	}
 	data = slices.Clone(data)
--- a/internal/system/consensus/snapshot_test.go
+++ b/internal/system/consensus/snapshot_test.go
@@ -8,29 +8,29 @@
 	t.Run("on a log without it", func(t *testing.T) {
 		stored := foundingState(1, 2)
 		stored.Entries = entries(1, 1, 1)
-		script := newScript(t, stored)
+		script := newScriptedNode(t, stored)
 		reply := script.onlyMessage(MessageInstallSnapshotReply, 2, script.step(install))
 		script.expect("reply", []uint64{reply.Index, reply.Round}, []uint64{9, 4})
-		script.expect("restored", script.restored.Index, 9)
+		script.expect("restored", script.restoredSnapshot.Index, 9)
 		script.expect("membership", script.node.membership(), voters(1, 2, 3))
 		script.step(Message{Kind: MessageAppend, From: 2, Term: 3, Index: 9, LogTerm: 2, Entries: entries(10, 3), Commit: 10, Round: 5})
-		script.expect("applied", script.committed, entries(10, 3))
+		script.expect("applied", script.committedEntries, entries(10, 3))
 	})
 	t.Run("on a log with it", func(t *testing.T) {
 		stored := foundingState(1, 2)
 		stored.HardState = HardState{Term: 2}
 		stored.Entries = entries(1, 1, 1, 1, 1, 1, 1, 1, 1, 2, 2)
-		script := newScript(t, stored)
+		script := newScriptedNode(t, stored)
 		script.expect("reply", script.onlyMessage(MessageInstallSnapshotReply, 2, script.step(install)).Index, 9)
-		script.expect("restored", script.restored, (*Snapshot)(nil))
+		script.expect("restored", script.restoredSnapshot, (*Snapshot)(nil))
 		script.expect("commit", script.node.log.commit, 9)
 		script.expect("last", script.node.log.lastIndex(), 10)
 	})
 	t.Run("of old", func(t *testing.T) {
 		stored := PersistentState{HardState: HardState{Term: 2}, Snapshot: Snapshot{Index: 20, Term: 2, Membership: voters(1, 2)}}
-		script := newScript(t, stored)
+		script := newScriptedNode(t, stored)
 		script.expect("reply", script.onlyMessage(MessageInstallSnapshotReply, 2, script.step(install)).Index, 20)
-		script.expect("restored", script.restored, (*Snapshot)(nil))
+		script.expect("restored", script.restoredSnapshot, (*Snapshot)(nil))
 	})
 }
 
@@ -47,7 +47,7 @@
 	script.expect("snapshot", []any{is, snapshot.Index, snapshot.Term, snapshot.Membership}, []any{true, 8, 1, voters(1, 2, 3)})
 	script.node.Compact(8, []byte("state"), 0)
 	script.expect("offset", script.node.log.offset, 6)
-	// Member 3 holds no more than the first entry, and gets the snapshot.
+	// Member 3 holds only the first entry, so that it gets the snapshot.
 	sent := script.step(Message{Kind: MessageAppendReply, From: 3, Term: 1, Index: 7, Reject: true, RejectHint: 1, LogTerm: 1})
 	install := script.onlyMessage(MessageInstallSnapshot, 3, sent)
 	script.expect("snapshot", []any{install.Snapshot.Index, string(install.Snapshot.Data)}, []any{8, "state"})
@@ -69,15 +69,15 @@
 			script.node.Compact(script.node.log.applied, nil, 0)
 		}
 	}
-	// Its appends were lost; it answers the next heartbeat, which stands where all logs agree.
+	// The appends to it were lost; it replies to the next heartbeat, at an index where all logs agree.
 	beat := script.onlyMessage(MessageAppend, 3, script.tickWhenDue())
 	script.expect("heartbeat", beat.Index, 0)
 	script.onlyMessage(MessageInstallSnapshot, 3, script.step(Message{Kind: MessageAppendReply, From: 3, Term: 1, Index: 1, Round: beat.Round}))
 }
 
-// TestCreateSnapshotNeedsKnownMembership has a replica that joined later be sent the log from its start.
+// TestCreateSnapshotNeedsKnownMembership sends the log from its start to a replica that joined later.
 func TestCreateSnapshotNeedsKnownMembership(t *testing.T) {
-	script := newScript(t, PersistentState{})
+	script := newScriptedNode(t, PersistentState{})
 	log := append(entries(1, 1, 1), membershipEntry(3, 1, withMembers(voters(2, 3), Member{ID: 1})))
 	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Entries: log, Commit: 2, Round: 1})
 	if snapshot, is := script.node.CreateSnapshot(2, nil); is {
--- a/internal/system/consensus/status_test.go
+++ b/internal/system/consensus/status_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A replica that hears its leader but lacks what the leader has committed is not current: whoever reads from it must be
-// able to tell.
+// TestCaughtUpAtOfFollowerWithMissingEntries: a follower in contact with its leader that lacks committed entries is not
+// caught up, and its readers must be able to tell.
 func TestCaughtUpAtOfFollowerWithMissingEntries(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Entries: entries(1, 1), Commit: 1, Round: 1})
 	current := script.now
 	script.expect("current with all that is committed", script.node.Status().CaughtUpAt, current)
@@ -27,9 +27,9 @@
 	script.expect("current again", script.node.Status().CaughtUpAt, script.now)
 }
 
-// TestCaughtUpAtOfLeaderBeforeCommitInItsTerm: before, entries may be committed that it does not know to be.
+// TestCaughtUpAtOfLeaderBeforeCommitInItsTerm: until then entries may be committed that the leader does not know to be.
 func TestCaughtUpAtOfLeaderBeforeCommitInItsTerm(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	first := script.becomeLeader()[0]
 	script.now += time.Millisecond
 	script.step(Message{Kind: MessageAppendReply, From: 2, Term: first.Term, Reject: true, Index: first.Index, Round: first.Round})
@@ -45,18 +45,18 @@
 	script.expect("what it knew while it led counts on", script.node.Status().CaughtUpAt, current)
 }
 
-// TestCaughtUpAtBeforeLeaderCommitsInItsTerm: such a leader does not know how far the log is committed.
+// TestCaughtUpAtBeforeLeaderCommitsInItsTerm: until then the leader does not know the commit index of the group.
 func TestCaughtUpAtBeforeLeaderCommitsInItsTerm(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	script.step(Message{Kind: MessageAppend, From: 2, Term: 2, Entries: entries(1, 1), Commit: 1, Round: 1})
 	script.expect("not current by an entry of an earlier term", script.node.Status().CaughtUpAt, time.Duration(0))
 	script.step(Message{Kind: MessageAppend, From: 2, Term: 2, Index: 1, LogTerm: 1, Entries: entries(2, 2), Commit: 2, Round: 2})
 	script.expect("current by one of its term", script.node.Status().CaughtUpAt, script.now)
 }
 
-// TestStaleInputAfterProcessPause: messages wait in the socket meanwhile.
+// TestStaleInputAfterProcessPause: messages queue in the socket during the pause.
 func TestStaleInputAfterProcessPause(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	beat := Message{Kind: MessageAppend, From: 2, Term: 1, Index: 1, LogTerm: 1, Commit: 1, Round: 2}
 	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Entries: entries(1, 1), Commit: 1, Round: 1})
 	current := script.now
--- a/internal/system/consensus/transfer_test.go
+++ b/internal/system/consensus/transfer_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestTransferLeadership(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	sent := script.becomeLeader()
 	script.step(acknowledge(script.onlyMessage(MessageAppend, 3, sent)))
 	script.node.TransferLeadership(script.now, 2)
@@ -27,7 +27,7 @@
 }
 
 func TestTimeoutNow(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	script.expect("of a stranger", len(script.step(Message{Kind: MessageTimeoutNow, From: 2, Term: 1})), 0)
 	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Round: 1})
 	script.expect("of an old term", len(script.step(Message{Kind: MessageTimeoutNow, From: 2, Term: 0})), 0)
@@ -37,7 +37,7 @@
 }
 
 func TestStepDown(t *testing.T) {
-	script := newScript(t, foundingState(1, 2, 3))
+	script := newScriptedNode(t, foundingState(1, 2, 3))
 	for _, msg := range script.becomeLeader() {
 		script.step(acknowledge(msg))
 	}
