--- a/cmd/cinderroad-proxy/main.go
+++ b/cmd/cinderroad-proxy/main.go
@@ -1,5 +1,5 @@
-// Command cinderroad-proxy is the data plane of an edge machine: it serves clients and sends their requests to runners.
-// What it needs to know it is told by the agent of its machine, over loopback.
+// Command cinderroad-proxy is the data plane of an edge machine: it serves clients and forwards their requests to
+// runners. Routes, services and runners come from the agent of its machine over loopback.
 package main
 
 import (
@@ -26,9 +26,9 @@
 )
 
 const (
-	reservedDescriptors = 200 + 56
+	reservedDescriptors = 200 + 56 // of the limit for open files, for all but the loop's sockets
 	minSockets          = 64
-	lateWakeupSeconds   = 0.5 // seconds by which a turn of the loop is late when that is logged
+	lateWakeupSeconds   = 0.5 // by which an iteration of the loop must be late to be logged
 )
 
 func main() {
@@ -37,7 +37,7 @@
 		Description: "Serves clients of an edge machine; the settings file is named by " + processconfig.PathVariable + ".",
 		Version:     "cinderroad-proxy 1",
 		LogLevel:    zapcore.InfoLevel,
-		GCPercent:   40, // memory at its peak costs more than a collection of so small a heap
+		GCPercent:   40, // peak memory costs more than collecting so small a heap
 	}
 	if err := run(&program, program.Init()); err != nil {
 		fmt.Fprintln(os.Stderr, "cinderroad-proxy:", err)
@@ -46,7 +46,7 @@
 }
 
 func run(program *startup.Program, log *zap.Logger) error {
-	// Before anything else: by default the signal ends the process. The settings of a running proxy stay as at its start.
+	// First of all, because the signal's default action ends the process. A running proxy does not reload its settings.
 	signal.Ignore(syscall.SIGHUP)
 	settings, err := processconfig.Load()
 	if err != nil {
@@ -76,7 +76,7 @@
 	return loop.Run()
 }
 
-// errNoFrontAddress says that the settings name no address for clients.
+// errNoFrontAddress means that the settings give no address for clients.
 var errNoFrontAddress = errors.New("the settings name no listen_on.front; does the deploy file give this role " +
 	`serves = ["edge"]?`)
 
@@ -96,7 +96,7 @@
 		MemoryBytes: settings.Limits.RAMMB << 20, GracePeriod: timing.GracePeriod, Seed: seed}), nil
 }
 
-// listen begins to serve. The addresses may still be held by an earlier life that is about to end.
+// listen starts serving. The previous instance may still hold the addresses while it exits.
 func listen(dataPlane *proxy.Proxy) error {
 	if err := retry.WhileAddressInUse(context.Background(), dataPlane.Listen); err != nil {
 		return fmt.Errorf("cannot serve clients; does another process hold the address? %w", err)
@@ -104,7 +104,8 @@
 	return nil
 }
 
-// followAgent links the proxy to the agent of its machine.
+// followAgent connects the proxy to the agent of its machine. The client is not waited for: the proxy's exit must not
+// depend on the agent.
 func followAgent(ctx context.Context, loop *eventloop.Loop, log *zap.Logger, dataPlane *proxy.Proxy,
 	settings *processconfig.Settings) {
 	client := agentclient.New(log, agentclient.Options{
@@ -112,13 +113,13 @@
 		Node:             settings.Node,
 		RunnerPartitions: feed.RunnerPartitionCount,
 		OnUpdate:         func(update agentclient.Update) { loop.Post(func() { dataPlane.ApplyUpdate(update) }) },
-		OnSnapshot:       func(learnt []byte) { loop.Post(func() { dataPlane.RestoreSnapshot(learnt) }) },
+		OnSnapshot:       func(snapshot []byte) { loop.Post(func() { dataPlane.RestoreSnapshot(snapshot) }) },
 	})
 	dataPlane.FollowAgent(client, settings.Zones)
 	go client.Run(ctx)
 }
 
-// shutDownOnSignal has the proxy stop when it is told to.
+// shutDownOnSignal starts the proxy's shutdown on a stop signal. Its goroutine lasts as long as the process.
 func shutDownOnSignal(loop *eventloop.Loop, dataPlane *proxy.Proxy) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, startup.StopSignals()...)
--- a/cmd/cinderroad-proxy/main_test.go
+++ b/cmd/cinderroad-proxy/main_test.go
@@ -10,8 +10,8 @@
 	"cinderroad/internal/system/startup"
 )
 
-// TestSignalDuringStartup has the platform say that the settings have changed while the process still reads them: the
-// signal must not end it. Without a handler it ends this test's process.
+// TestSignalDuringStartup sends SIGHUP, which announces changed settings, while the process still reads them. The signal
+// must not end the process; without a handler it would end the test.
 func TestSignalDuringStartup(t *testing.T) {
 	t.Setenv("CINDERROAD_SETTINGS", filepath.Join(t.TempDir(), "missing.json"))
 	if err := run(&startup.Program{Name: "cinderroad-proxy"}, zap.NewNop()); err == nil {
--- a/internal/system/proxy/agentclient/client.go
+++ b/internal/system/proxy/agentclient/client.go
@@ -9,51 +9,53 @@
 	"go.uber.org/zap"
 
 	"cinderroad/internal/system/feed"
+	"cinderroad/internal/system/retry"
 	"cinderroad/internal/system/rpc"
 )
 
 const (
-	maxFollowWait   = 20 * time.Second // that the agent may hold a call open while nothing changes
+	maxFollowWait   = 20 * time.Second // for which the agent may keep a call open while nothing changes
 	callTimeout     = 2 * time.Second
-	minRetryBackoff = 100 * time.Millisecond // after a call that failed; the first of a series
+	minRetryBackoff = 100 * time.Millisecond // after the first failed call; doubles with each further one
 	maxRetryBackoff = time.Second
-	maxReplyBytes   = 32 << 20 // bytes
+	maxReplyBytes   = 32 << 20
 )
 
-// The agent's calls, by the names that it serves them under.
+// The agent's methods, by the names that it registers them under.
 var (
 	followCall = rpc.Declare[feed.FollowRequest, feed.FollowReply]("Feed.Follow")
 	reportCall = rpc.Declare[feed.ProxyReport, feed.ProxyReportReply]("Proxy.Report")
 )
 
-// Options say whom to follow.
+// Options configure a Client.
 type Options struct {
 	AgentAddr        netip.AddrPort
 	Node             string
 	RunnerPartitions int
-	OnUpdate         func(Update) // gets what changed, in order; it is called on a goroutine of the link
-	OnSnapshot       func([]byte) // gets what the proxy's earlier life had learnt, if anything
+	OnUpdate         func(Update) // gets all changes in order, on a goroutine of the Client
+	OnSnapshot       func([]byte) // gets the snapshot of the proxy's previous incarnation, at most once and only if there is one
 }
 
-// Client follows the agent and reports to it. What is known stays known while the agent is away.
+// Client follows the agent's feed and sends it the proxy's reports. While the agent is unreachable the last known state
+// stays valid.
 type Client struct {
 	options       Options
 	log           *zap.Logger
 	client        *rpc.Client
-	reportPending chan struct{} // holds one token when there is a report to be sent
+	reportPending chan struct{} // holds one token while a report is to be sent
 
 	mutex           sync.Mutex
 	report          feed.ProxyReport
-	pendingSnapshot []byte // that the agent has not got yet
+	pendingSnapshot []byte // not yet received by the agent; nil: none
 }
 
-// New makes a link; Run does its work.
+// New creates a client; Run does its work.
 func New(log *zap.Logger, options Options) *Client {
 	client := rpc.NewClient(options.AgentAddr, rpc.ClientOptions{CallTimeout: callTimeout, MaxReplyBytes: maxReplyBytes})
 	return &Client{options: options, log: log, client: client, reportPending: make(chan struct{}, 1)}
 }
 
-// Run follows and reports until the context ends.
+// Run follows the feed and sends reports until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	var both sync.WaitGroup
 	both.Go(func() { c.follow(ctx) })
@@ -62,8 +64,8 @@
 	c.client.Close()
 }
 
-// Report has the agent told what the proxy is; it is to be called every second, and at once on a change. Learnt may be
-// empty: nothing new.
+// Report queues a report; a later one replaces it. Call it every second, and at once when something has changed. An
+// empty Learnt means that the snapshot has not changed. It may be called from any goroutine and does not block.
 func (c *Client) Report(report feed.ProxyReport) {
 	c.mutex.Lock()
 	if len(report.Learnt) > 0 {
@@ -78,7 +80,7 @@
 	}
 }
 
-// follow asks for changes, one call after the other.
+// follow polls the feed, one call after the other.
 func (c *Client) follow(ctx context.Context) {
 	state := newFeedState(c.options.RunnerPartitions)
 	pause := minRetryBackoff
@@ -88,7 +90,7 @@
 		reply, err := followCall.LongPoll(ctx, c.client, maxFollowWait, request)
 		if err != nil {
 			c.log.Debug("agent gave no feed", zap.Error(err))
-			sleep(ctx, pause)
+			retry.Sleep(ctx, pause)
 			pause = min(2*pause, maxRetryBackoff)
 			continue
 		}
@@ -100,20 +102,20 @@
 	}
 }
 
-// logProblems logs items that make no sense.
+// logProblems logs the items that could not be decoded.
 func (c *Client) logProblems(state *feedState) {
-	for _, finding := range state.problems {
-		c.log.Warn("feed: item cannot be read, the one before it stays", zap.String("key", finding.Key),
-			zap.Error(finding.Err))
+	for _, problem := range state.problems {
+		c.log.Warn("feed: item cannot be read, the one before it stays", zap.String("key", problem.Key),
+			zap.Error(problem.Err))
 	}
 	state.problems = nil
 }
 
-// sendReports tells the agent what the proxy is. The first report says nothing: it asks for what an earlier life had
-// learnt.
+// sendReports sends the queued reports. Before the first one it fetches the snapshot of the proxy's previous
+// incarnation.
 func (c *Client) sendReports(ctx context.Context) {
 	for !c.fetchSnapshot(ctx) && ctx.Err() == nil {
-		sleep(ctx, minRetryBackoff)
+		retry.Sleep(ctx, minRetryBackoff)
 	}
 	for {
 		select {
@@ -125,7 +127,7 @@
 	}
 }
 
-// fetchSnapshot asks for what an earlier life had learnt; false when the agent did not answer.
+// fetchSnapshot fetches the previous incarnation's snapshot; false if the agent did not answer.
 func (c *Client) fetchSnapshot(ctx context.Context) bool {
 	c.mutex.Lock()
 	report := feed.ProxyReport{Front: c.report.Front, Stopping: c.report.Stopping}
@@ -140,7 +142,7 @@
 	return true
 }
 
-// sendReport sends the report. What was learnt goes along until the agent has it.
+// sendReport sends the latest report, with the snapshot until the agent has received it.
 func (c *Client) sendReport(ctx context.Context) {
 	c.mutex.Lock()
 	report := c.report
@@ -153,7 +155,7 @@
 	}
 }
 
-// requeueSnapshot has what was learnt sent again, unless there is newer by now.
+// requeueSnapshot schedules a snapshot to be sent again, unless there is a newer one.
 func (c *Client) requeueSnapshot(snapshot []byte) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -161,12 +163,3 @@
 		c.pendingSnapshot = snapshot
 	}
 }
-
-func sleep(ctx context.Context, pause time.Duration) {
-	timer := time.NewTimer(pause)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-}
--- a/internal/system/proxy/agentclient/client_test.go
+++ b/internal/system/proxy/agentclient/client_test.go
@@ -18,7 +18,7 @@
 
 const testTimeout = 30 * time.Second
 
-// fakeAgent is a stand-in that answers each call with the next reply it was given, and holds the others open.
+// fakeAgent answers each call with the next of its replies, and keeps the others open.
 type fakeAgent struct {
 	t        *testing.T
 	replies  chan *feed.FollowReply
@@ -32,12 +32,12 @@
 		reports: make(chan *feed.ProxyReport, 100)}
 }
 
-// serve answers at the address until the returned function is called.
+// serve serves at the address until the returned function is called.
 func (a *fakeAgent) serve(address string) (bound netip.AddrPort, stop func()) {
 	a.t.Helper()
 	var listener net.Listener
 	var err error
-	for end := time.Now().Add(testTimeout); time.Now().Before(end); { // an earlier life may still hold the address
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); { // the previous instance may still hold the address
 		if listener, err = net.Listen("tcp", address); err == nil {
 			break
 		}
@@ -107,7 +107,7 @@
 	return feed.Item{Key: feed.KeyVersion, Index: index, Value: []byte(n)}
 }
 
-// serviceInSecondPartition is the name of a service whose runners stand in the second partition of runners.
+// serviceInSecondPartition is the name of a service whose runners are in the second runner partition.
 var serviceInSecondPartition = func() string {
 	name := "s"
 	for feed.PartitionOf(name, 2) != 2 {
@@ -116,7 +116,7 @@
 	return name
 }()
 
-// The whole way: a snapshot, a delta, an agent that goes away and comes back with an older state.
+// A snapshot, a delta, and an agent that restarts with an older state.
 func TestFollowAppliesFeed(t *testing.T) {
 	agent := newFakeAgent(t)
 	address, stop := agent.serve("127.0.0.1:0")
@@ -168,7 +168,7 @@
 	}
 }
 
-// What the proxy's earlier life had learnt is asked for before anything else is told; later changes are told at once.
+// The previous incarnation's snapshot is fetched before the first report; later changes are reported at once.
 func TestReportsAndSnapshot(t *testing.T) {
 	agent := newFakeAgent(t)
 	agent.snapshot = []byte("ceilings")
--- a/internal/system/proxy/agentclient/update.go
+++ b/internal/system/proxy/agentclient/update.go
@@ -1,9 +1,8 @@
-// Package uplink is the proxy's link to the agent of its machine: it follows the feed of the control state and reports
-// what the proxy is and has learnt. It decodes what comes, so that the data plane is handed typed changes only.
+// Package agentclient connects the proxy to the agent of its machine: it follows the feed of the control state and
+// reports the proxy's status and snapshots. It decodes the feed, so that the data plane gets typed changes only.
 package agentclient
 
 import (
-	"strings"
 	"time"
 
 	"cinderroad/internal/system/configuration"
@@ -11,227 +10,29 @@
 	"cinderroad/internal/system/feed"
 )
 
-// Update is what changed in the control state since the update before. Fields that are nil did not change.
+// Update holds the changes of the control state since the previous update. Nil fields have not changed.
 type Update struct {
-	Version        uint64 // of the configuration in force; 0: none is known
+	Version        uint64 // of the configuration in force; 0: unknown
 	Routes         []*configuration.Route
-	RemovedRoutes  []string // names of routes; they go before Routes come
+	RemovedRoutes  []string // names; to be removed before Routes are added
 	Services       *[]*configuration.Service
 	Limits         *configuration.Limits
-	EvacuatedZones *map[string]bool // zones
+	EvacuatedZones *map[string]bool
 	Runners        *[]Runner
-	Complete       bool         // a configuration is known, and so are the partitions that hold the runners of its services
-	ProxyCount     int          // that may be serving; 0: not known
-	Peers          *[]feed.Peer // the other ones, the whole set
+	Complete       bool         // the configuration is known, and so are the partitions that hold the runners of its services
+	ProxyCount     int          // proxies that may be serving, this one included; 0: unknown
+	Peers          *[]feed.Peer // all other proxies
 }
 
-// Runner is a runner with the times of the process's steady clock to which the platform's spans refer.
+// Runner is a runner with times on this process's clock in place of the durations in the feed.
 type Runner struct {
 	discovery.Runner
-	SlowStartUntil time.Time // the zero value: warm
-	TerminatesAt   time.Time // the zero value: not told
+	SlowStartUntil time.Time // zero: not in slow start
+	TerminatesAt   time.Time // zero: unknown
 }
 
-// Problem is an item of the feed that makes no sense; what was held under its key stays.
+// Problem is an item of the feed that could not be decoded; the previous value of its key stays in force.
 type Problem struct {
 	Key string
 	Err error
 }
-
-// feedState is what the feed has said, decoded. It belongs to one goroutine.
-type feedState struct {
-	startedAt      time.Time
-	tables         []*feed.Table // by partition
-	received       []bool        // partitions of which a batch has come
-	version        uint64
-	services       map[string]*configuration.Service
-	evacuatedZones map[string]bool
-	runners        map[string]Runner
-	problems       []Problem
-	peersDigest    uint64 // digest of the peers that were told last; 0: none
-}
-
-func newFeedState(runnerPartitions int) *feedState {
-	s := &feedState{startedAt: time.Now(), services: map[string]*configuration.Service{}, evacuatedZones: map[string]bool{},
-		runners: map[string]Runner{}}
-	for partition := range feed.Partition(1 + runnerPartitions) {
-		s.tables = append(s.tables, feed.NewTable(partition))
-	}
-	s.received = make([]bool, len(s.tables))
-	return s
-}
-
-// positions say how far each partition is held.
-func (s *feedState) positions() []feed.Position {
-	positions := make([]feed.Position, len(s.tables))
-	for i, table := range s.tables {
-		positions[i] = table.Position()
-	}
-	return positions
-}
-
-// apply applies a reply and returns what changed by it.
-func (s *feedState) apply(reply *feed.FollowReply) Update {
-	var update Update
-	now := time.Since(s.startedAt)
-	for _, batch := range reply.Batches {
-		if int(batch.Partition) >= len(s.tables) {
-			continue
-		}
-		table := s.tables[batch.Partition]
-		changed := table.Apply(now, batch)
-		s.received[batch.Partition] = s.received[batch.Partition] || table.Index() > 0
-		for i := range changed {
-			s.applyItem(&update, &changed[i])
-		}
-	}
-	update.Version = s.version
-	update.Complete = s.isComplete()
-	update.ProxyCount = reply.Proxies
-	if reply.PeersDigest != 0 && reply.PeersDigest != s.peersDigest {
-		s.peersDigest = reply.PeersDigest
-		update.Peers = &reply.Peers
-	}
-	return update
-}
-
-// isComplete says whether a configuration is known and the partitions of all its services have been heard of.
-func (s *feedState) isComplete() bool {
-	for name := range s.services {
-		if !s.received[feed.PartitionOf(name, len(s.tables)-1)] {
-			return false
-		}
-	}
-	return s.version > 0
-}
-
-// applyItem takes one item that changed.
-func (s *feedState) applyItem(update *Update, item *feed.Item) {
-	var err error
-	switch key := item.Key; {
-	case key == feed.KeyVersion:
-		err = s.applyVersion(item)
-	case key == feed.KeyLimits:
-		update.Limits, err = decodeLimits(item)
-	case strings.HasPrefix(key, feed.KeyPrefixRoute):
-		err = applyRoute(update, item)
-	case strings.HasPrefix(key, feed.KeyPrefixService):
-		err = s.applyService(update, item)
-	case strings.HasPrefix(key, feed.KeyPrefixEvacuation):
-		s.applyEvacuation(update, item)
-	case strings.HasPrefix(key, feed.KeyPrefixRunner):
-		err = s.applyRunner(update, item)
-	}
-	if err != nil {
-		s.problems = append(s.problems, Problem{Key: item.Key, Err: err})
-	}
-}
-
-func (s *feedState) applyVersion(item *feed.Item) error {
-	if item.Deleted {
-		return nil
-	}
-	version, err := configuration.DecodeVersion(item.Value)
-	if err == nil {
-		s.version = version
-	}
-	return err
-}
-
-func decodeLimits(item *feed.Item) (*configuration.Limits, error) {
-	if item.Deleted {
-		return &configuration.Limits{}, nil
-	}
-	return configuration.DecodeLimits(item.Value)
-}
-
-func applyRoute(update *Update, item *feed.Item) error {
-	name := item.Key[len(feed.KeyPrefixRoute):]
-	if item.Deleted {
-		update.RemovedRoutes = append(update.RemovedRoutes, name)
-		return nil
-	}
-	route, err := configuration.DecodeRoute(item.Value)
-	if err != nil {
-		return err
-	}
-	update.Routes = append(update.Routes, route)
-	return nil
-}
-
-func (s *feedState) applyService(update *Update, item *feed.Item) error {
-	name := item.Key[len(feed.KeyPrefixService):]
-	if item.Deleted {
-		delete(s.services, name)
-	} else {
-		service, err := configuration.DecodeService(item.Value)
-		if err != nil {
-			return err
-		}
-		s.services[name] = service
-	}
-	update.Services = &[]*configuration.Service{}
-	return nil
-}
-
-func (s *feedState) applyEvacuation(update *Update, item *feed.Item) {
-	zone := item.Key[len(feed.KeyPrefixEvacuation):]
-	if item.Deleted {
-		delete(s.evacuatedZones, zone)
-	} else {
-		s.evacuatedZones[zone] = true
-	}
-	update.EvacuatedZones = &map[string]bool{}
-}
-
-func (s *feedState) applyRunner(update *Update, item *feed.Item) error {
-	id := item.Key[len(feed.KeyPrefixRunner):]
-	if item.Deleted {
-		delete(s.runners, id)
-	} else {
-		decoded, err := discovery.DecodeRunner(item.Value)
-		if err != nil {
-			return err
-		}
-		s.runners[id] = newRunner(decoded, time.Now().Add(-item.Age))
-	}
-	update.Runners = &[]Runner{}
-	return nil
-}
-
-// newRunner turns the spans of a runner that was listed at a time into times.
-func newRunner(listed discovery.Runner, at time.Time) Runner {
-	r := Runner{Runner: listed}
-	if listed.SlowStartRemaining > 0 {
-		r.SlowStartUntil = at.Add(listed.SlowStartRemaining)
-	}
-	if listed.TimeToTermination > 0 {
-		r.TerminatesAt = at.Add(listed.TimeToTermination)
-	}
-	return r
-}
-
-// fillSets puts the whole sets that changed into an update.
-func (s *feedState) fillSets(update *Update) {
-	if update.Services != nil {
-		services := make([]*configuration.Service, 0, len(s.services))
-		for _, service := range s.services {
-			services = append(services, service)
-		}
-		update.Services = &services
-	}
-	if update.EvacuatedZones != nil {
-		zones := make(map[string]bool, len(s.evacuatedZones))
-		for zone := range s.evacuatedZones {
-			zones[zone] = true
-		}
-		update.EvacuatedZones = &zones
-	}
-	if update.Runners != nil {
-		runners := make([]Runner, 0, len(s.runners))
-		for _, runner := range s.runners {
-			runners = append(runners, runner)
-		}
-		update.Runners = &runners
-	}
-}
