--- a/cmd/cinderroad-emulator/day.go
+++ b/cmd/cinderroad-emulator/day.go
@@ -14,8 +14,8 @@
 	"cinderroad/internal/system/policysim"
 )
 
-// day serves a short day.
-type day struct {
+// dayCommand serves a short day.
+type dayCommand struct {
 	Programs string        `help:"Folder of the system's programs; that of this program if there is none." type:"path"`
 	Folder   string        `help:"For settings, logs and disks; a temporary one if there is none." type:"path"`
 	Scenario string        `default:"screening" enum:"screening,parcels" help:"Deployment: ${enum}."`
@@ -30,7 +30,7 @@
 var errDayFailed = errors.New("a rule was broken, or a process ended by itself")
 
 // Run implements the command.
-func (d *day) Run() error {
+func (d *dayCommand) Run() error {
 	options, err := d.options()
 	if err != nil {
 		return err
@@ -50,40 +50,40 @@
 	return nil
 }
 
-func (d *day) options() (o emulator.Options, err error) {
-	o = emulator.Options{Scenario: scenarioNamed(d.Scenario), Edges: d.Edges, Programs: d.Programs, Folder: d.Folder,
+func (d *dayCommand) options() (o emulator.Options, err error) {
+	o = emulator.Options{Scenario: scenarioByName(d.Scenario), EdgeMachines: d.Edges, ProgramDir: d.Programs, WorkDir: d.Folder,
 		Seed: d.Seed, Out: os.Stdout}
 	o.Scenario.Load, o.Scenario.Duration = d.Load, d.Length
-	if o.Programs == "" {
+	if o.ProgramDir == "" {
 		self, err := os.Executable()
 		if err != nil {
 			return o, err
 		}
-		o.Programs = filepath.Dir(self)
+		o.ProgramDir = filepath.Dir(self)
 	}
 	for _, name := range d.Trouble {
 		if name == "none" {
 			continue
 		}
-		trouble, err := emulator.ParseTrouble(name)
+		trouble, err := emulator.ParseFault(name)
 		if err != nil {
 			return o, err
 		}
-		o.Troubles = append(o.Troubles, trouble)
+		o.Faults = append(o.Faults, trouble)
 	}
 	return o, nil
 }
 
-// troubles are the names of all troubles.
-func troubles() string {
+// faultNames are the names of all troubles.
+func faultNames() string {
 	var names []string
-	for _, t := range emulator.Troubles() {
+	for _, t := range emulator.Faults() {
 		names = append(names, string(t))
 	}
 	return strings.Join(names, ", ")
 }
 
-func scenarioNamed(name string) *policysim.Scenario {
+func scenarioByName(name string) *policysim.Scenario {
 	if name == "parcels" {
 		return policysim.Parcels()
 	}
--- a/cmd/cinderroad-emulator/main.go
+++ b/cmd/cinderroad-emulator/main.go
@@ -5,13 +5,13 @@
 import "github.com/alecthomas/kong"
 
 type commands struct {
-	Day      day      `cmd:"" default:"withargs" help:"Serve a short day with the real programs on loopback."`
-	Policies policies `cmd:"" help:"Compare placement policies over modelled runners in virtual time."`
+	Day      dayCommand      `cmd:"" default:"withargs" help:"Serve a short day with the real programs on loopback."`
+	Policies policiesCommand `cmd:"" help:"Compare placement policies over modelled runners in virtual time."`
 }
 
 func main() {
 	var c commands
-	context := kong.Parse(&c, kong.Name("cinderroad-emulator"), kong.Vars{"troubles": troubles()},
+	context := kong.Parse(&c, kong.Name("cinderroad-emulator"), kong.Vars{"troubles": faultNames()},
 		kong.Description("Deployments of the system on one machine, with stand-ins for everything outside it."))
 	context.FatalIfErrorf(context.Run())
 }
--- a/cmd/cinderroad-emulator/policies.go
+++ b/cmd/cinderroad-emulator/policies.go
@@ -10,8 +10,8 @@
 	"cinderroad/internal/system/policysim"
 )
 
-// policies compares placement policies.
-type policies struct {
+// policiesCommand compares placement policies.
+type policiesCommand struct {
 	Scenario string        `default:"screening" enum:"screening,parcels" help:"Deployment: ${enum}."`
 	Load     float64       `default:"1" help:"Multiple of every rate."`
 	Length   time.Duration `default:"34s" help:"Of the traffic."`
@@ -33,14 +33,14 @@
 )
 
 // Run implements the command.
-func (p *policies) Run() error {
-	contestants, err := p.contestants()
+func (p *policiesCommand) Run() error {
+	factories, err := p.factories()
 	if err != nil {
 		return err
 	}
 	p.Seeds = max(1, p.Seeds)
 	jobs := make(chan struct{}, p.jobs())
-	results := make([]*policysim.Result, len(contestants)*p.Seeds)
+	results := make([]*policysim.Result, len(factories)*p.Seeds)
 	errs := make([]error, len(results))
 	var group sync.WaitGroup
 	for i := range results {
@@ -49,7 +49,7 @@
 		go func() {
 			defer group.Done()
 			defer func() { <-jobs }()
-			results[i], errs[i] = policysim.Run(p.scenario(), contestants[i/p.Seeds], p.Seed+uint64(i%p.Seeds))
+			results[i], errs[i] = policysim.Run(p.scenario(), factories[i/p.Seeds], p.Seed+uint64(i%p.Seeds))
 		}()
 	}
 	group.Wait()
@@ -58,21 +58,21 @@
 			return err
 		}
 	}
-	means := make([]*policysim.Result, len(contestants))
+	means := make([]*policysim.Result, len(factories))
 	for i := range means {
 		means[i] = policysim.Mean(results[i*p.Seeds : (i+1)*p.Seeds])
 	}
 	return policysim.Print(os.Stdout, means)
 }
 
-func (p *policies) jobs() int {
+func (p *policiesCommand) jobs() int {
 	if p.Jobs > 0 {
 		return p.Jobs
 	}
 	return max(1, runtime.NumCPU()/2)
 }
 
-func (p *policies) contestants() ([]policysim.PolicyFactory, error) {
+func (p *policiesCommand) factories() ([]policysim.PolicyFactory, error) {
 	all := policysim.Policies()
 	if len(p.Only) == 0 {
 		return all, nil
@@ -92,8 +92,8 @@
 	return chosen, nil
 }
 
-func (p *policies) scenario() *policysim.Scenario {
-	s := scenarioNamed(p.Scenario)
+func (p *policiesCommand) scenario() *policysim.Scenario {
+	s := scenarioByName(p.Scenario)
 	s.Duration, s.Load = p.Length, p.Load
 	if p.Burst != "" {
 		s.Bursts = []policysim.Burst{{Class: p.Burst, Factor: burstFactor, Start: burstFrom, Duration: burstFor}}
--- a/internal/system/emulator/day.go
+++ b/internal/system/emulator/day.go
@@ -19,117 +19,117 @@
 
 // Options describe a day.
 type Options struct {
-	Scenario *policysim.Scenario
-	Edges    int       // machines that serve clients
-	Programs string    // folder of the system's programs
-	Folder   string    // for settings, logs and disks; empty: a temporary one that goes after a day without a breach
-	Troubles []Trouble // that come one after the other, evenly over the day
-	Seed     uint64
-	Out      io.Writer // for progress
+	Scenario     *policysim.Scenario
+	EdgeMachines int     // machines that serve clients
+	ProgramDir   string  // folder of the system's programs
+	WorkDir      string  // for settings, logs and disks; empty: a temporary one that goes after a day without a breach
+	Faults       []Fault // that come one after the other, evenly over the day
+	Seed         uint64
+	Out          io.Writer // for progress
 }
 
 // Bounds of waits.
 const (
-	configurationWait = 40 * time.Second
-	readyWait         = 40 * time.Second
-	readWait          = 10 * time.Second
-	pollEvery         = 50 * time.Millisecond
-	progressEvery     = time.Second
-	tenth             = 100 * time.Millisecond
-	firstVersion      = 3
-	cloudIP           = "127.2.0.1:0"
+	configurationTimeout = 40 * time.Second
+	readyTimeout         = 40 * time.Second
+	readTimeout          = 10 * time.Second
+	pollInterval         = 50 * time.Millisecond
+	progressInterval     = time.Second
+	progressPrecision    = 100 * time.Millisecond
+	firstVersion         = 3
+	platformAddress      = "127.2.0.1:0"
 )
 
-// day is a day that is played.
-type day struct {
-	options   Options
-	deploy    *deployment
-	cloud     *fakeplatform.Cloud
-	referee   *checker.Referee
-	runners   *runners
-	processes []*process
-	operator  *operator
-	load      *client.Load
-	routes    map[string]*client.Route // by class
-	document  document                 // that is in force
-	stats     []runner.Stats           // of all runners, once they are closed
-	troubles  sync.WaitGroup
+// emulation is a day that is played.
+type emulation struct {
+	options     Options
+	deployment  *deployment
+	platform    *fakeplatform.Cloud
+	checker     *checker.Referee
+	runners     *runnerFleet
+	processes   []*process
+	operator    *operator
+	clients     *client.Load
+	routes      map[string]*client.Route // by class
+	inForce     configurationDocument    // that is in force
+	runnerStats []runner.Stats           // of all runners, once they are closed
+	faults      sync.WaitGroup
 }
 
 // Run plays a day.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	programs, err := findPrograms(o.Programs)
+	programs, err := findPrograms(o.ProgramDir)
 	if err != nil {
 		return nil, err
 	}
-	temporary := o.Folder == ""
+	temporary := o.WorkDir == ""
 	if temporary {
-		if o.Folder, err = os.MkdirTemp("", "cinderroad-emulator-"); err != nil {
+		if o.WorkDir, err = os.MkdirTemp("", "cinderroad-emulator-"); err != nil {
 			return nil, err
 		}
 	}
-	if err := os.MkdirAll(o.Folder, 0o750); err != nil {
+	if err := os.MkdirAll(o.WorkDir, 0o750); err != nil {
 		return nil, err
 	}
-	d := &day{options: o}
-	d.referee = checker.New(checker.Bounds{Drain: millis(defaultTiming.DrainWithinMS),
-		Evacuate:   millis(defaultTiming.EvacuateMS),
+	e := &emulation{options: o}
+	e.checker = checker.New(checker.Bounds{Drain: milliseconds(defaultTiming.DrainWithinMS),
+		Evacuate:   milliseconds(defaultTiming.EvacuateMS),
 		RetryRatio: defaultTiming.RetryRatio, RetryWindow: time.Duration(defaultTiming.RetryWindowS) * time.Second,
 		RetryExtra: defaultTiming.RetryExtra}, nil)
-	report, err := d.play(ctx, programs)
+	report, err := e.run(ctx, programs)
 	if err != nil {
-		return nil, fmt.Errorf("%w (logs are in %s)", err, o.Folder)
+		return nil, fmt.Errorf("%w (logs are in %s)", err, o.WorkDir)
 	}
 	if temporary && !report.Failed() {
-		return report, os.RemoveAll(o.Folder)
+		return report, os.RemoveAll(o.WorkDir)
 	}
-	report.Folder = o.Folder
+	report.LogDir = o.WorkDir
 	return report, nil
 }
 
-func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-func (d *day) play(ctx context.Context, programs map[program]string) (*Report, error) {
-	defer d.stop()
-	if err := d.start(programs); err != nil {
+func (e *emulation) run(ctx context.Context, programs map[program]string) (*Report, error) {
+	defer e.stopAll()
+	if err := e.startAll(programs); err != nil {
 		return nil, err
 	}
-	if err := d.configure(ctx); err != nil {
+	if err := e.submitConfiguration(ctx); err != nil {
 		return nil, err
 	}
-	if err := d.awaitReady(ctx); err != nil {
+	if err := e.awaitReady(ctx); err != nil {
 		return nil, err
 	}
-	d.serve(ctx)
-	d.checkConfiguration(ctx)
-	d.stop()
-	return d.report(), nil
+	e.runTraffic(ctx)
+	e.verifyConfiguration(ctx)
+	e.stopAll()
+	return e.buildReport(), nil
 }
 
-// start starts the stand-ins and the programs.
-func (d *day) start(programs map[program]string) (err error) {
-	if d.deploy, err = plan(d.options.Scenario, d.options.Edges, d.options.Folder); err != nil {
+// startAll starts the stand-ins and the programs.
+func (e *emulation) startAll(programs map[program]string) (err error) {
+	if e.deployment, err = planDeployment(e.options.Scenario, e.options.EdgeMachines, e.options.WorkDir); err != nil {
 		return err
 	}
-	d.cloud, err = fakeplatform.Start(fakeplatform.Options{Address: cloudIP, Lag: millis(cloudLagMS), Page: cloudPage,
-		RatePerS: cloudRatePerS})
+	e.platform, err = fakeplatform.Start(fakeplatform.Options{Address: platformAddress, Lag: milliseconds(platformLagMS), Page: platformPageSize,
+		RatePerS: platformCallsPerSecond})
 	if err != nil {
 		return err
 	}
-	d.deploy.cloudAddress = d.cloud.Address()
-	if d.runners, err = startRunners(d.options.Scenario, d.deploy.zones, d.cloud, d.referee); err != nil {
+	e.deployment.platformAddress = e.platform.Address()
+	if e.runners, err = startFleet(e.options.Scenario, e.deployment.zones, e.platform, e.checker); err != nil {
 		return err
 	}
-	for _, m := range d.deploy.machines {
+	for _, m := range e.deployment.machines {
 		for _, p := range programsOf(m) {
-			proc, err := d.deploy.startProcess(m, p, programs[p])
+			proc, err := e.deployment.startProcess(m, p, programs[p])
 			if err != nil {
 				return err
 			}
-			d.processes = append(d.processes, proc)
+			e.processes = append(e.processes, proc)
 		}
 	}
-	d.operator = d.deploy.operator()
+	e.operator = e.deployment.operator()
 	return nil
 }
 
@@ -140,51 +140,51 @@
 	return []program{proxy, agent}
 }
 
-// configure sends the first configuration until it is taken.
-func (d *day) configure(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, configurationWait)
+// submitConfiguration sends the first configuration until it is taken.
+func (e *emulation) submitConfiguration(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, configurationTimeout)
 	defer cancel()
-	d.document = documentOf(d.options.Scenario, firstVersion)
+	e.inForce = configurationDocumentOf(e.options.Scenario, firstVersion)
 	began := time.Now()
-	if err := d.operator.replace(ctx, d.document, 0); err != nil {
+	if err := e.operator.replaceConfiguration(ctx, e.inForce, 0); err != nil {
 		return fmt.Errorf("the first configuration was not taken: %w", err)
 	}
-	d.say("configuration taken", "version", firstVersion, "after", time.Since(began).Round(time.Millisecond))
+	e.logEvent("configuration taken", "version", firstVersion, "after", time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
 // awaitReady waits until every edge machine is ready.
-func (d *day) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWait)
+func (e *emulation) awaitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	began := time.Now()
-	for _, m := range d.deploy.of(edgeClass) {
-		if err := poll(ctx, func() bool { return ready(ctx, m.at(d.deploy.ports.ready).String()) }); err != nil {
+	for _, m := range e.deployment.machinesOfClass(edgeClass) {
+		if err := poll(ctx, func() bool { return isReady(ctx, m.addressWithPort(e.deployment.ports.ready).String()) }); err != nil {
 			return fmt.Errorf("%s is not ready after %v: %w", m.name, time.Since(began).Round(time.Second), err)
 		}
 	}
-	d.say("edges ready", "machines", len(d.deploy.of(edgeClass)), "after", time.Since(began).Round(time.Millisecond))
+	e.logEvent("edges ready", "machines", len(e.deployment.machinesOfClass(edgeClass)), "after", time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
-func ready(ctx context.Context, address string) bool {
+func isReady(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/-/ready", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/-/ready", nil)
 	if err != nil {
 		return false
 	}
-	resp, err := http.DefaultClient.Do(q)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return false
 	}
-	resp.Body.Close()
-	return resp.StatusCode == http.StatusOK
+	response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
 
 // poll waits for a state.
 func poll(ctx context.Context, ok func() bool) error {
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for !ok() {
 		select {
@@ -196,27 +196,27 @@
 	return nil
 }
 
-// serve plays the day's traffic and troubles.
-func (d *day) serve(ctx context.Context) {
-	d.routes = make(map[string]*client.Route)
-	for i := range d.options.Scenario.Classes {
-		c := &d.options.Scenario.Classes[i]
-		d.routes[c.Name] = clientRoute(c)
+// runTraffic plays the day's traffic and troubles.
+func (e *emulation) runTraffic(ctx context.Context) {
+	e.routes = make(map[string]*client.Route)
+	for i := range e.options.Scenario.Classes {
+		c := &e.options.Scenario.Classes[i]
+		e.routes[c.Name] = clientRoute(c)
 	}
-	d.load = client.New(client.Options{Zones: d.deploy.zones, Directories: d.deploy.directories,
-		TTLMax: time.Duration(defaultTiming.TTLMaxS) * time.Second, Referee: d.referee, Seed: d.options.Seed})
-	for i, trouble := range d.options.Troubles {
-		d.schedule(ctx, trouble, d.options.Scenario.Duration*time.Duration(i+1)/time.Duration(len(d.options.Troubles)+1))
+	e.clients = client.New(client.Options{Zones: e.deployment.zones, Directories: e.deployment.directories,
+		TTLMax: time.Duration(defaultTiming.TTLMaxS) * time.Second, Referee: e.checker, Seed: e.options.Seed})
+	for i, trouble := range e.options.Faults {
+		e.scheduleFault(ctx, trouble, e.options.Scenario.Duration*time.Duration(i+1)/time.Duration(len(e.options.Faults)+1))
 	}
 	ended := make(chan struct{})
-	go d.progress(ended)
-	d.load.Run(ctx, d.calls())
-	d.troubles.Wait()
+	go e.reportProgress(ended)
+	e.clients.Run(ctx, e.calls())
+	e.faults.Wait()
 	close(ended)
 }
 
 func clientRoute(c *policysim.Class) *client.Route {
-	r := &client.Route{Name: c.Name, Host: host, Path: pathStart(c) + "1", Stream: c.Type == configuration.Streaming,
+	r := &client.Route{Name: c.Name, Host: routeHost, Path: pathPrefix(c) + "1", Stream: c.Type == configuration.Streaming,
 		Resumable: c.Resumable,
 		ReadOnly:  c.Type == configuration.ReadOnly, Target: c.LatencyTarget, Gap: c.EventGapTarget, Deadline: c.Deadline, Retries: c.ClientRetries}
 	r.Referee = &checker.Route{Name: c.Name, Services: []string{c.Service}, Homes: c.HomeRegions, Idempotent: r.ReadOnly ||
@@ -225,29 +225,29 @@
 }
 
 // calls are the day's traffic.
-func (d *day) calls() (calls []*client.Call) {
+func (e *emulation) calls() (calls []*client.Call) {
 	const bytesPerToken = 2
-	for _, drawn := range policysim.GenerateTraffic(d.options.Scenario, d.options.Seed) {
-		one := &client.Call{At: drawn.At, Route: d.routes[drawn.Class.Name], Zone: drawn.Zone, TokensIn: drawn.PromptTokens(),
-			TokensOut: drawn.OutputTokens, Bytes: bytesPerToken * drawn.PromptTokens()}
-		if len(drawn.Chunks) > 0 {
-			one.Model = modelName
+	for _, generated := range policysim.GenerateTraffic(e.options.Scenario, e.options.Seed) {
+		call := &client.Call{At: generated.At, Route: e.routes[generated.Class.Name], Zone: generated.Zone, TokensIn: generated.PromptTokens(),
+			TokensOut: generated.OutputTokens, Bytes: bytesPerToken * generated.PromptTokens()}
+		if len(generated.Chunks) > 0 {
+			call.Model = modelName
 		}
-		for i, part := range drawn.Chunks {
+		for i, part := range generated.Chunks {
 			if i > 0 {
-				one.Prompt += ","
+				call.Prompt += ","
 			}
-			one.Prompt += fmt.Sprintf("%x:%d", part.ID, part.Tokens)
+			call.Prompt += fmt.Sprintf("%x:%d", part.ID, part.Tokens)
 		}
-		calls = append(calls, one)
+		calls = append(calls, call)
 	}
 	return calls
 }
 
-// progress tells how the day goes.
-func (d *day) progress(ended chan struct{}) {
+// reportProgress tells how the day goes.
+func (e *emulation) reportProgress(ended chan struct{}) {
 	began := time.Now()
-	ticker := time.NewTicker(progressEvery)
+	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -255,46 +255,46 @@
 			return
 		case <-ticker.C:
 		}
-		for _, p := range d.processes {
-			p.noteMemory()
+		for _, p := range e.processes {
+			p.samplePeakMemory()
 		}
-		t := d.load.Tally()
+		t := e.clients.Tally()
 		inTime, refused, failed := 0, 0, 0
 		for _, r := range t.Routes {
 			inTime, refused, failed = inTime+r.InTime, refused+r.Refused, failed+r.Failed
 		}
-		d.say("serving", "at", time.Since(began).Round(tenth), "calls", t.Calls, "in_time", inTime, "late", t.Served-inTime,
-			"refused", refused, "failed", failed, "retries", t.Retries, "breaches", len(d.referee.Breaches()))
+		e.logEvent("serving", "at", time.Since(began).Round(progressPrecision), "calls", t.Calls, "in_time", inTime, "late", t.Served-inTime,
+			"refused", refused, "failed", failed, "retries", t.Retries, "breaches", len(e.checker.Breaches()))
 	}
 }
 
-// say writes one line of key=value pairs.
-func (d *day) say(event string, pairs ...any) {
+// logEvent writes one line of key=value pairs.
+func (e *emulation) logEvent(event string, pairs ...any) {
 	line := fmt.Sprintf("event=%q", event)
 	for i := 0; i+1 < len(pairs); i += 2 {
 		line += fmt.Sprintf(" %v=%v", pairs[i], pairs[i+1])
 	}
-	fmt.Fprintln(d.options.Out, line)
+	fmt.Fprintln(e.options.Out, line)
 }
 
-// checkConfiguration reads the configuration back.
-func (d *day) checkConfiguration(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, readWait)
+// verifyConfiguration reads the configuration back.
+func (e *emulation) verifyConfiguration(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	got, err := d.operator.read(ctx)
+	got, err := e.operator.readConfiguration(ctx)
 	switch {
 	case err != nil:
-		d.referee.Break(checker.Configed, "the configuration could not be read back: %v", err)
-	case got.Version != d.document.Version || len(got.Routes) != len(d.document.Routes):
-		d.referee.Break(checker.Configed, "version %d with %d routes was read back, %d with %d was acknowledged",
-			got.Version, len(got.Routes), d.document.Version, len(d.document.Routes))
+		e.checker.Break(checker.Configed, "the configuration could not be read back: %v", err)
+	case got.Version != e.inForce.Version || len(got.Routes) != len(e.inForce.Routes):
+		e.checker.Break(checker.Configed, "version %d with %d routes was read back, %d with %d was acknowledged",
+			got.Version, len(got.Routes), e.inForce.Version, len(e.inForce.Routes))
 	}
 }
 
-// stop ends the programs, all at once.
-func (d *day) stop() {
+// stopAll ends the programs, all at once.
+func (e *emulation) stopAll() {
 	var group sync.WaitGroup
-	for _, p := range d.processes {
+	for _, p := range e.processes {
 		group.Add(1)
 		go func() {
 			defer group.Done()
@@ -302,10 +302,10 @@
 		}()
 	}
 	group.Wait()
-	if d.cloud != nil {
-		d.cloud.Close()
+	if e.platform != nil {
+		e.platform.Close()
 	}
-	if d.runners != nil {
-		d.stats = append(d.stats, d.runners.close()...)
+	if e.runners != nil {
+		e.runnerStats = append(e.runnerStats, e.runners.close()...)
 	}
 }
--- a/internal/system/emulator/deployment.go
+++ b/internal/system/emulator/deployment.go
@@ -23,17 +23,17 @@
 	control program = "cinderroad-control"
 )
 
-// freePorts is how many ports each machine keeps free for the programs.
-const freePorts = 8
+// freePortCount is how many ports each machine keeps free for the programs.
+const freePortCount = 8
 
 // deployment is the machines of a day.
 type deployment struct {
-	folder       string
-	zones        map[string]string // region of each zone
-	zoneNames    []string
-	machines     []*machine
-	ports        ports
-	cloudAddress netip.AddrPort
+	workDir         string
+	zones           map[string]string // region of each zone
+	zoneNames       []string
+	machines        []*machine
+	ports           ports
+	platformAddress netip.AddrPort
 }
 
 // machine is one that programs run on.
@@ -42,10 +42,10 @@
 	ip                netip.Addr
 }
 
-func (m *machine) at(port uint16) netip.AddrPort { return netip.AddrPortFrom(m.ip, port) }
+func (m *machine) addressWithPort(port uint16) netip.AddrPort { return netip.AddrPortFrom(m.ip, port) }
 
 // ports are the same on all machines.
-type ports struct{ front, ready, control, directory, free uint16 }
+type ports struct{ front, ready, control, directory, firstFree uint16 }
 
 // Classes of machines.
 const (
@@ -53,17 +53,17 @@
 	coreClass = "core"
 )
 
-// coreMachines is how many machines the core has.
-const coreMachines = 3
+// coreMachineCount is how many machines the core has.
+const coreMachineCount = 3
 
-// plan lays out machines: a core over the zones in turn, and edges.
-func plan(s *policysim.Scenario, edges int, folder string) (*deployment, error) {
-	d := &deployment{folder: folder, zones: make(map[string]string)}
-	for _, zone := range s.Zones {
+// planDeployment lays out machines: a core over the zones in turn, and edges.
+func planDeployment(scenario *policysim.Scenario, edges int, folder string) (*deployment, error) {
+	d := &deployment{workDir: folder, zones: make(map[string]string)}
+	for _, zone := range scenario.Zones {
 		d.zones[zone.Name] = zone.Region
 		d.zoneNames = append(d.zoneNames, zone.Name)
 	}
-	for i := range coreMachines {
+	for i := range coreMachineCount {
 		d.addMachine(coreClass, i)
 	}
 	for i := range edges {
@@ -83,15 +83,15 @@
 		ip: netip.AddrFrom4([4]byte{127, 0, byte(zone + 1), host})})
 }
 
-// of returns the machines of a class.
-func (d *deployment) of(class string) []*machine {
+// machinesOfClass returns the machines of a class.
+func (d *deployment) machinesOfClass(class string) []*machine {
 	return slices.DeleteFunc(slices.Clone(d.machines), func(m *machine) bool { return m.class != class })
 }
 
-// seeds are the control addresses that every process is told.
-func (d *deployment) seeds() (addresses []string) {
-	for _, m := range d.of(coreClass) {
-		addresses = append(addresses, m.at(d.ports.control).String())
+// seedAddresses are the control addresses that every process is told.
+func (d *deployment) seedAddresses() (addresses []string) {
+	for _, m := range d.machinesOfClass(coreClass) {
+		addresses = append(addresses, m.addressWithPort(d.ports.control).String())
 	}
 	return addresses
 }
@@ -99,11 +99,11 @@
 // directories are the directory addresses, those of a zone first.
 func (d *deployment) directories(zone string) []netip.AddrPort {
 	var near, far []netip.AddrPort
-	for _, m := range d.of(coreClass) {
+	for _, m := range d.machinesOfClass(coreClass) {
 		if m.zone == zone {
-			near = append(near, m.at(d.ports.directory))
+			near = append(near, m.addressWithPort(d.ports.directory))
 		} else {
-			far = append(far, m.at(d.ports.directory))
+			far = append(far, m.addressWithPort(d.ports.directory))
 		}
 	}
 	return append(near, far...)
@@ -113,26 +113,26 @@
 const (
 	firstPort    = 12000
 	lastPort     = 32000
-	portsNeeded  = 4 + freePorts
+	portCount    = 4 + freePortCount
 	portAttempts = 200
 )
 
 // choosePorts finds a range of ports that are free on every machine.
 func (d *deployment) choosePorts() error {
 	for range portAttempts {
-		first := uint16(firstPort + rand.IntN(lastPort-firstPort-portsNeeded))
-		if d.free(first) {
-			d.ports = ports{front: first, ready: first + 1, control: first + 2, directory: first + 3, free: first + 4}
+		first := uint16(firstPort + rand.IntN(lastPort-firstPort-portCount))
+		if d.portsAreFree(first) {
+			d.ports = ports{front: first, ready: first + 1, control: first + 2, directory: first + 3, firstFree: first + 4}
 			return nil
 		}
 	}
-	return fmt.Errorf("emulator: no %d ports in a row are free on loopback", portsNeeded)
+	return fmt.Errorf("emulator: no %d ports in a row are free on loopback", portCount)
 }
 
-func (d *deployment) free(first uint16) bool {
+func (d *deployment) portsAreFree(first uint16) bool {
 	for _, m := range d.machines {
-		for port := first; port < first+portsNeeded; port++ {
-			l, err := net.Listen("tcp", m.at(port).String())
+		for port := first; port < first+portCount; port++ {
+			l, err := net.Listen("tcp", m.addressWithPort(port).String())
 			if err != nil {
 				return false
 			}
--- a/internal/system/emulator/emulator_test.go
+++ b/internal/system/emulator/emulator_test.go
@@ -25,8 +25,8 @@
 	"cinderroad/internal/testkit/checker"
 )
 
-// long bounds what should take little time.
-const long = 60 * time.Second
+// testTimeout bounds what should take little time.
+const testTimeout = 60 * time.Second
 
 // TestMain is also the program that tests of processes start: with settings it waits until it is told to end.
 func TestMain(m *testing.M) {
@@ -40,18 +40,18 @@
 	os.Exit(m.Run())
 }
 
-func planned(t *testing.T, edges int) *deployment {
+func newTestDeployment(t *testing.T, edges int) *deployment {
 	t.Helper()
-	d, err := plan(policysim.Screening(), edges, t.TempDir())
+	d, err := planDeployment(policysim.Screening(), edges, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.cloudAddress = netip.MustParseAddrPort("127.2.0.1:8080")
+	d.platformAddress = netip.MustParseAddrPort("127.2.0.1:8080")
 	return d
 }
 
-func TestMachinesHaveAddressesOfTheirOwn(t *testing.T) {
-	d := planned(t, 7)
+func TestPlanDeploymentAddresses(t *testing.T) {
+	d := newTestDeployment(t, 7)
 	seen := make(map[netip.Addr]string)
 	for _, m := range d.machines {
 		if other := seen[m.ip]; other != "" {
@@ -59,17 +59,17 @@
 		}
 		seen[m.ip] = m.name
 	}
-	if len(d.of(coreClass)) != coreMachines || len(d.of(edgeClass)) != 7 {
-		t.Errorf("%d machines of the core and %d edges", len(d.of(coreClass)), len(d.of(edgeClass)))
+	if len(d.machinesOfClass(coreClass)) != coreMachineCount || len(d.machinesOfClass(edgeClass)) != 7 {
+		t.Errorf("%d machines of the core and %d edges", len(d.machinesOfClass(coreClass)), len(d.machinesOfClass(edgeClass)))
 	}
 	near := d.directories("west-b")
-	if len(near) != coreMachines || near[0].Addr() != d.machines[1].ip {
+	if len(near) != coreMachineCount || near[0].Addr() != d.machines[1].ip {
 		t.Errorf("directories of west-b: %v, machines %+v", near, d.machines[1])
 	}
 }
 
-func TestTheSystemReadsTheSettings(t *testing.T) {
-	d := planned(t, 2)
+func TestSettingsAreParsedBySystem(t *testing.T) {
+	d := newTestDeployment(t, 2)
 	for _, m := range d.machines {
 		for _, p := range programsOf(m) {
 			file, err := d.writeSettings(m, p, true)
@@ -84,8 +84,8 @@
 			if err != nil {
 				t.Fatalf("%s on %s: %v", p, m.name, err)
 			}
-			if s.Node != m.name || s.IP != m.ip || s.Zone != m.zone || len(s.SeedNodes) != coreMachines || !s.FirstBoot ||
-				s.Timing.ConfigWithin != 2500*time.Millisecond || s.CloudAPI.Address != d.cloudAddress {
+			if s.Node != m.name || s.IP != m.ip || s.Zone != m.zone || len(s.SeedNodes) != coreMachineCount || !s.FirstBoot ||
+				s.Timing.ConfigWithin != 2500*time.Millisecond || s.CloudAPI.Address != d.platformAddress {
 				t.Errorf("%s on %s reads %+v", p, m.name, s)
 			}
 			if (s.StateDir != "") != (p == control) || s.ListenOn.Front.IsValid() != (p == proxy) ||
@@ -96,9 +96,9 @@
 	}
 }
 
-func TestTheSystemReadsTheConfiguration(t *testing.T) {
+func TestConfigurationIsAcceptedBySystem(t *testing.T) {
 	for _, scenario := range []*policysim.Scenario{policysim.Screening(), policysim.Parcels()} {
-		body, err := json.Marshal(documentOf(scenario, firstVersion))
+		body, err := json.Marshal(configurationDocumentOf(scenario, firstVersion))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -111,8 +111,8 @@
 		}
 		class := scenario.Classes[0]
 		class.Name = "added"
-		body, err = json.Marshal(change{Version: firstVersion + versionStep,
-			Replace: changeSet{Routes: []routeDocument{routeOf(&class)}}})
+		body, err = json.Marshal(changeDocument{Version: firstVersion + versionStep,
+			Replace: changedItems{Routes: []routeDocument{routeDocumentOf(&class)}}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -122,10 +122,10 @@
 	}
 }
 
-// await waits for a state.
-func await(t *testing.T, ok func() bool) {
+// waitUntil waits for a state.
+func waitUntil(t *testing.T, ok func() bool) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), long)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if err := poll(ctx, ok); err != nil {
 		t.Fatal("the state did not come")
@@ -137,20 +137,20 @@
 	return err == nil
 }
 
-func TestAProcessThatEndsIsStartedAgain(t *testing.T) {
-	d := planned(t, 1)
-	m := d.of(edgeClass)[0]
+func TestProcessIsRestarted(t *testing.T) {
+	d := newTestDeployment(t, 1)
+	m := d.machinesOfClass(edgeClass)[0]
 	p, err := d.startProcess(m, proxy, os.Args[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	up := filepath.Join(d.folder, m.name+"-"+string(proxy)+".json.up")
-	await(t, func() bool { return exists(up) })
+	up := filepath.Join(d.workDir, m.name+"-"+string(proxy)+".json.up")
+	waitUntil(t, func() bool { return exists(up) })
 	os.Remove(up)
 	if err := p.signal(syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
-	await(t, func() bool { return exists(up) })
+	waitUntil(t, func() bool { return exists(up) })
 	text, err := os.ReadFile(strings.TrimSuffix(up, ".up"))
 	if err != nil {
 		t.Fatal(err)
@@ -158,35 +158,35 @@
 	if s, err := processconfig.Parse(text); err != nil || s.FirstBoot {
 		t.Errorf("the settings of a second start: %v, first boot %v", err, s.FirstBoot)
 	}
-	p.stop(long)
-	if p.starts != 2 || p.ownEnds != 0 || p.peakMB() == 0 {
-		t.Errorf("%d starts, %d own ends, %.1f MB", p.starts, p.ownEnds, p.peakMB())
+	p.stop(testTimeout)
+	if p.starts != 2 || p.unexpectedEnds != 0 || p.peakMB() == 0 {
+		t.Errorf("%d starts, %d own ends, %.1f MB", p.starts, p.unexpectedEnds, p.peakMB())
 	}
 }
 
-func TestOwnEndsAreCounted(t *testing.T) {
-	d := planned(t, 1)
+func TestUnexpectedEndsAreCounted(t *testing.T) {
+	d := newTestDeployment(t, 1)
 	ends, err := exec.LookPath("false")
 	if err != nil {
 		t.Skip("there is no program that ends at once")
 	}
-	p, err := d.startProcess(d.of(edgeClass)[0], agent, ends)
+	p, err := d.startProcess(d.machinesOfClass(edgeClass)[0], agent, ends)
 	if err != nil {
 		t.Fatal(err)
 	}
-	await(t, func() bool {
-		p.mutex.Lock()
-		defer p.mutex.Unlock()
-		return p.ownEnds > 1
+	waitUntil(t, func() bool {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		return p.unexpectedEnds > 1
 	})
-	p.stop(long)
-	report := Report{Processes: []ProcessReport{{OwnEnds: p.ownEnds}}}
+	p.stop(testTimeout)
+	report := Report{Processes: []ProcessReport{{UnexpectedEnds: p.unexpectedEnds}}}
 	if !report.Failed() {
 		t.Error("the day has not failed")
 	}
 }
 
-func TestTheOperatorGoesOnUntilAnAnswerIsClear(t *testing.T) {
+func TestOperatorRetriesUntilFinalStatus(t *testing.T) {
 	for _, test := range []struct {
 		statuses []int
 		calls    int32
@@ -200,15 +200,15 @@
 		var calls atomic.Int32
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 			n := calls.Add(1)
-			if q.Header.Get(basedOn) != "5" || q.URL.Path != replacePath {
+			if q.Header.Get(basedOnHeader) != "5" || q.URL.Path != replacePath {
 				t.Errorf("%v %v", q.URL, q.Header)
 			}
 			w.WriteHeader(test.statuses[n-1])
 		}))
 		o := &operator{addresses: []string{strings.TrimPrefix(server.URL, "http://")}}
-		err := o.replace(context.Background(), document{}, 5)
+		err := o.replaceConfiguration(context.Background(), configurationDocument{}, 5)
 		server.Close()
-		var turnedDown *orderError
+		var turnedDown *rejectedError
 		if errors.As(err, &turnedDown) != (test.want != 0) || turnedDown != nil && turnedDown.Status != test.want {
 			t.Errorf("%v: %v", test.statuses, err)
 		}
@@ -218,7 +218,7 @@
 	}
 }
 
-func TestABreachFailsADay(t *testing.T) {
+func TestReportFailedOnBreach(t *testing.T) {
 	r := &Report{Breaches: []checker.Breach{{Rule: checker.Twice, What: "try 1 ran 2 times"}}}
 	if !r.Failed() || (&Report{}).Failed() {
 		t.Error("a day fails by a breach, and only then")
@@ -229,13 +229,13 @@
 	}
 }
 
-func TestTroublesAreReadByName(t *testing.T) {
-	for _, trouble := range Troubles() {
-		if got, err := ParseTrouble(string(trouble)); err != nil || got != trouble {
+func TestParseFault(t *testing.T) {
+	for _, trouble := range Faults() {
+		if got, err := ParseFault(string(trouble)); err != nil || got != trouble {
 			t.Errorf("%s: %v", trouble, err)
 		}
 	}
-	if _, err := ParseTrouble("rain"); err == nil {
+	if _, err := ParseFault("rain"); err == nil {
 		t.Error("a trouble that is none was read")
 	}
 }
@@ -253,17 +253,17 @@
 	return folder
 }
 
-// TestADayIsServed runs the real programs: a short day, over which a runner, a proxy and a control process end. Only
+// TestRun runs the real programs: a short day, over which a runner, a proxy and a control process end. Only
 // rules without bounds in time are at stake, so that a busy machine does not change the verdict.
-func TestADayIsServed(t *testing.T) {
+func TestRun(t *testing.T) {
 	if testing.Short() {
 		t.Skip("the real programs take some seconds")
 	}
 	scenario := policysim.Screening()
 	scenario.Duration, scenario.Load = 6*time.Second, 0.3
-	report, err := Run(context.Background(), Options{Scenario: scenario, Edges: 3, Programs: buildPrograms(t),
-		Folder:   t.TempDir(),
-		Troubles: []Trouble{CrashRunner, KillProxy, KillControl}, Seed: 1, Out: io.Discard})
+	report, err := Run(context.Background(), Options{Scenario: scenario, EdgeMachines: 3, ProgramDir: buildPrograms(t),
+		WorkDir: t.TempDir(),
+		Faults:  []Fault{CrashRunner, KillProxy, KillControl}, Seed: 1, Out: io.Discard})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -274,7 +274,7 @@
 		t.Errorf("nothing was served: %s", report.Clients.String())
 	}
 	for _, p := range report.Processes {
-		if p.OwnEnds > 0 {
+		if p.UnexpectedEnds > 0 {
 			t.Errorf("%s on %s ended by itself", p.Program, p.Machine)
 		}
 	}
--- a/internal/system/emulator/operator.go
+++ b/internal/system/emulator/operator.go
@@ -13,8 +13,8 @@
 	"cinderroad/internal/system/policysim"
 )
 
-// document is a whole configuration.
-type document struct {
+// configurationDocument is a whole configuration.
+type configurationDocument struct {
 	Version  int              `json:"version"`
 	Routes   []routeDocument  `json:"routes"`
 	Services []map[string]any `json:"services"`
@@ -37,20 +37,20 @@
 	HomeRegions []string `json:"home_regions"`
 }
 
-// change alters items by name.
-type change struct {
-	Version int       `json:"version"`
-	Replace changeSet `json:"replace"`
+// changeDocument alters items by name.
+type changeDocument struct {
+	Version int          `json:"version"`
+	Replace changedItems `json:"replace"`
 }
 
-type changeSet struct {
+type changedItems struct {
 	Routes []routeDocument `json:"routes"`
 }
 
-// host is that of all routes.
-const host = "screening.example"
+// routeHost is that of all routes.
+const routeHost = "screening.example"
 
-func pathStart(c *policysim.Class) string { return "/" + c.Name + "/" }
+func pathPrefix(c *policysim.Class) string { return "/" + c.Name + "/" }
 
 // typeName is a route's type on the wire.
 func typeName(t configuration.RouteType) string {
@@ -63,8 +63,8 @@
 	return "streaming"
 }
 
-func routeOf(c *policysim.Class) routeDocument {
-	r := routeDocument{Name: "r-" + c.Name, Host: host, PathStart: pathStart(c), Type: typeName(c.Type),
+func routeDocumentOf(c *policysim.Class) routeDocument {
+	r := routeDocument{Name: "r-" + c.Name, Host: routeHost, PathStart: pathPrefix(c), Type: typeName(c.Type),
 		TimeoutMS: c.Deadline.Milliseconds(),
 		TargetMS:  c.LatencyTarget.Milliseconds(), Rank: c.Rank, Service: c.Service, Tries: c.MaxAttempts, HomeRegions: []string{}}
 	if c.Type == configuration.Streaming {
@@ -74,7 +74,7 @@
 	return r
 }
 
-func serviceOf(s *policysim.Service) map[string]any {
+func serviceDocumentOf(s *policysim.Service) map[string]any {
 	service := map[string]any{"name": s.Name, "health_path": healthPath, "max_conns": s.MaxConnections, "protocol": "h1",
 		"use_tls":    false,
 		"cold_for_s": s.SlowStartDuration.Seconds(), "cold_rate_s": s.SlowStartRate}
@@ -85,67 +85,67 @@
 	return service
 }
 
-func documentOf(s *policysim.Scenario, version int) document {
-	d := document{Version: version, Limits: map[string]int{"max_header_bytes": 16384, "max_body_bytes": 4 << 20,
+func configurationDocumentOf(s *policysim.Scenario, version int) configurationDocument {
+	d := configurationDocument{Version: version, Limits: map[string]int{"max_header_bytes": 16384, "max_body_bytes": 4 << 20,
 		"header_wait_ms": 3000,
 		"idle_limit_ms":  15000}}
 	for i := range s.Classes {
-		d.Routes = append(d.Routes, routeOf(&s.Classes[i]))
+		d.Routes = append(d.Routes, routeDocumentOf(&s.Classes[i]))
 	}
 	for i := range s.Services {
-		d.Services = append(d.Services, serviceOf(&s.Services[i]))
+		d.Services = append(d.Services, serviceDocumentOf(&s.Services[i]))
 	}
 	return d
 }
 
 // Paths of the operator's interface.
 const (
-	replacePath  = "/-/Settings.Replace"
-	changePath   = "/-/Settings.Change"
-	readPath     = "/-/Settings.Read"
-	beginPath    = "/-/DrainZone.Begin/"
-	finishPath   = "/-/DrainZone.Finish/"
-	basedOn      = "X-Based-On"
-	operatorWait = time.Second
-	backoffFirst = 50 * time.Millisecond
-	backoffMost  = time.Second
+	replacePath     = "/-/Settings.Replace"
+	changePath      = "/-/Settings.Change"
+	readPath        = "/-/Settings.Read"
+	beginPath       = "/-/DrainZone.Begin/"
+	finishPath      = "/-/DrainZone.Finish/"
+	basedOnHeader   = "X-Based-On"
+	operatorTimeout = time.Second
+	minBackoff      = 50 * time.Millisecond
+	maxBackoff      = time.Second
 )
 
 // operator sends orders to the control machines.
 type operator struct {
 	addresses []string
 	client    http.Client
-	next      int
+	attempts  int
 }
 
 func (d *deployment) operator() *operator {
-	return &operator{addresses: d.seeds(), client: http.Client{Timeout: operatorWait}}
+	return &operator{addresses: d.seedAddresses(), client: http.Client{Timeout: operatorTimeout}}
 }
 
-// orderError says that an order was turned down.
-type orderError struct {
+// rejectedError says that an order was turned down.
+type rejectedError struct {
 	Path   string
 	Status int
 	Text   string
 }
 
 // Error says what was answered.
-func (e *orderError) Error() string {
+func (e *rejectedError) Error() string {
 	return fmt.Sprintf("operator: %s was answered with %d: %s", e.Path, e.Status, e.Text)
 }
 
-// order sends an order until it has a clear answer.
-func (o *operator) order(ctx context.Context, method, path string, base int, body []byte) ([]byte, error) {
-	wait := backoffFirst
+// send sends an order until it has a clear answer.
+func (o *operator) send(ctx context.Context, method, path string, base int, body []byte) ([]byte, error) {
+	wait := minBackoff
 	for {
-		text, status, err := o.once(ctx, method, path, base, body)
+		text, status, err := o.sendOnce(ctx, method, path, base, body)
 		switch {
 		case err == nil && status >= http.StatusOK && status < http.StatusMultipleChoices:
 			return text, nil
-		case err == nil && clear(status):
-			return nil, &orderError{Path: path, Status: status, Text: string(text)}
+		case err == nil && isFinal(status):
+			return nil, &rejectedError{Path: path, Status: status, Text: string(text)}
 		}
-		o.next++
+		o.attempts++
 		timer := time.NewTimer(wait)
 		select {
 		case <-timer.C:
@@ -153,12 +153,12 @@
 			timer.Stop()
 			return nil, fmt.Errorf("operator: %s got no clear answer: last status %d, %w", path, status, ctx.Err())
 		}
-		wait = min(2*wait, backoffMost)
+		wait = min(2*wait, maxBackoff)
 	}
 }
 
-// clear says whether a status ends an order.
-func clear(status int) bool {
+// isFinal says whether a status ends an order.
+func isFinal(status int) bool {
 	switch status {
 	case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge,
 		http.StatusUnprocessableEntity:
@@ -167,65 +167,65 @@
 	return false
 }
 
-func (o *operator) once(ctx context.Context, method, path string, base int, body []byte) (text []byte, status int,
+func (o *operator) sendOnce(ctx context.Context, method, path string, base int, body []byte) (text []byte, status int,
 	err error) {
-	url := "http://" + o.addresses[o.next%len(o.addresses)] + path
-	q, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
+	url := "http://" + o.addresses[o.attempts%len(o.addresses)] + path
+	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, 0, err
 	}
 	if body != nil {
-		q.Header.Set("Content-Type", "application/json")
-		q.Header.Set(basedOn, fmt.Sprint(base))
+		request.Header.Set("Content-Type", "application/json")
+		request.Header.Set(basedOnHeader, fmt.Sprint(base))
 	}
-	resp, err := o.client.Do(q)
+	response, err := o.client.Do(request)
 	if err != nil {
 		return nil, 0, err
 	}
-	defer resp.Body.Close()
-	text, err = io.ReadAll(resp.Body)
-	return text, resp.StatusCode, err
+	defer response.Body.Close()
+	text, err = io.ReadAll(response.Body)
+	return text, response.StatusCode, err
 }
 
-// replace sends a whole configuration.
-func (o *operator) replace(ctx context.Context, d document, base int) error {
+// replaceConfiguration sends a whole configuration.
+func (o *operator) replaceConfiguration(ctx context.Context, d configurationDocument, base int) error {
 	body, err := json.Marshal(d)
 	if err != nil {
 		return err
 	}
-	_, err = o.order(ctx, http.MethodPost, replacePath, base, body)
+	_, err = o.send(ctx, http.MethodPost, replacePath, base, body)
 	return err
 }
 
-// alter sends a change of items.
-func (o *operator) alter(ctx context.Context, c change, base int) error {
+// changeConfiguration sends a change of items.
+func (o *operator) changeConfiguration(ctx context.Context, c changeDocument, base int) error {
 	body, err := json.Marshal(c)
 	if err != nil {
 		return err
 	}
-	_, err = o.order(ctx, http.MethodPost, changePath, base, body)
+	_, err = o.send(ctx, http.MethodPost, changePath, base, body)
 	return err
 }
 
-// read reads the configuration in force.
-func (o *operator) read(ctx context.Context) (*document, error) {
-	text, err := o.order(ctx, http.MethodGet, readPath, 0, nil)
+// readConfiguration reads the configuration in force.
+func (o *operator) readConfiguration(ctx context.Context) (*configurationDocument, error) {
+	text, err := o.send(ctx, http.MethodGet, readPath, 0, nil)
 	if err != nil {
 		return nil, err
 	}
-	var d document
+	var d configurationDocument
 	if err := json.Unmarshal(text, &d); err != nil {
 		return nil, fmt.Errorf("operator: the configuration that was read: %w", err)
 	}
 	return &d, nil
 }
 
-// evacuate empties a zone, or takes that back.
-func (o *operator) evacuate(ctx context.Context, zone string, begin bool) error {
+// setEvacuation empties a zone, or takes that back.
+func (o *operator) setEvacuation(ctx context.Context, zone string, begin bool) error {
 	path := finishPath
 	if begin {
 		path = beginPath
 	}
-	_, err := o.order(ctx, http.MethodPost, path+zone, 0, nil)
+	_, err := o.send(ctx, http.MethodPost, path+zone, 0, nil)
 	return err
 }
--- a/internal/system/emulator/process.go
+++ b/internal/system/emulator/process.go
@@ -15,8 +15,8 @@
 // settingsVariable tells a process where its settings are.
 const settingsVariable = "CINDERROAD_SETTINGS"
 
-// restartAfter is how long the platform takes to start a process that has ended.
-const restartAfter = 300 * time.Millisecond
+// restartDelay is how long the platform takes to start a process that has ended.
+const restartDelay = 300 * time.Millisecond
 
 // process is one program on one machine. It is started again whenever it ends, until it is stopped.
 type process struct {
@@ -26,35 +26,35 @@
 	path       string
 	log        *os.File
 
-	mutex   sync.Mutex
-	command *exec.Cmd
-	wanted  bool
-	killed  bool          // the next end was asked for
-	ended   chan struct{} // closed when it will not be started again
-	starts  int
-	ownEnds int   // that nobody asked for
-	peak    int64 // kilobytes, as far as it was looked at
+	mu             sync.Mutex
+	command        *exec.Cmd
+	restart        bool
+	endExpected    bool          // the next end was asked for
+	done           chan struct{} // closed when it will not be started again
+	starts         int
+	unexpectedEnds int   // that nobody asked for
+	peakKB         int64 // kilobytes, as far as it was looked at
 }
 
 // startProcess starts a program on a machine.
 func (d *deployment) startProcess(m *machine, p program, path string) (*process, error) {
-	log, err := os.OpenFile(filepath.Join(d.folder, m.name+"-"+string(p)+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY,
+	log, err := os.OpenFile(filepath.Join(d.workDir, m.name+"-"+string(p)+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY,
 		0o640)
 	if err != nil {
 		return nil, err
 	}
-	proc := &process{deployment: d, machine: m, program: p, path: path, log: log, wanted: true, ended: make(chan struct{})}
+	proc := &process{deployment: d, machine: m, program: p, path: path, log: log, restart: true, done: make(chan struct{})}
 	if err := proc.start(); err != nil {
 		log.Close()
 		return nil, fmt.Errorf("%s on %s: %w", p, m.name, err)
 	}
-	go proc.watch()
+	go proc.supervise()
 	return proc, nil
 }
 
 func (p *process) start() error {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	file, err := p.deployment.writeSettings(p.machine, p.program, p.starts == 0)
 	if err != nil {
 		return err
@@ -64,26 +64,26 @@
 	p.command.Stdout, p.command.Stderr = p.log, p.log
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	p.starts++
-	p.killed = false
+	p.endExpected = false
 	return p.command.Start()
 }
 
-// watch starts the process again whenever it ends.
-func (p *process) watch() {
-	defer close(p.ended)
+// supervise starts the process again whenever it ends.
+func (p *process) supervise() {
+	defer close(p.done)
 	defer p.log.Close()
 	for {
 		p.command.Wait() //nolint:errcheck // how it ended does not matter: it is started again
-		p.mutex.Lock()
-		wanted := p.wanted
-		if wanted && !p.killed {
-			p.ownEnds++
+		p.mu.Lock()
+		wanted := p.restart
+		if wanted && !p.endExpected {
+			p.unexpectedEnds++
 		}
-		p.mutex.Unlock()
+		p.mu.Unlock()
 		if !wanted {
 			return
 		}
-		time.Sleep(restartAfter)
+		time.Sleep(restartDelay)
 		if err := p.start(); err != nil {
 			fmt.Fprintf(p.log, "emulator: not started again: %v\n", err)
 			return
@@ -93,9 +93,9 @@
 
 // signal sends the process a signal; an end that follows was asked for.
 func (p *process) signal(signal syscall.Signal) error {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.killed = true
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.endExpected = true
 	err := p.command.Process.Signal(signal)
 	if errors.Is(err, os.ErrProcessDone) {
 		return nil
@@ -105,26 +105,26 @@
 
 // stop ends the process for good: with SIGTERM, and with SIGKILL after the grace period.
 func (p *process) stop(grace time.Duration) {
-	p.mutex.Lock()
-	p.wanted = false
-	p.mutex.Unlock()
-	p.noteMemory()
+	p.mu.Lock()
+	p.restart = false
+	p.mu.Unlock()
+	p.samplePeakMemory()
 	p.signal(syscall.SIGTERM) //nolint:errcheck // SIGKILL follows if it is not heard
 	timer := time.NewTimer(grace)
 	defer timer.Stop()
 	select {
-	case <-p.ended:
+	case <-p.done:
 		return
 	case <-timer.C:
 	}
 	p.signal(syscall.SIGKILL) //nolint:errcheck // no process is left if it fails
-	<-p.ended
+	<-p.done
 }
 
-// noteMemory looks at the most memory that the present life has taken.
-func (p *process) noteMemory() {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+// samplePeakMemory looks at the most memory that the present life has taken.
+func (p *process) samplePeakMemory() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.command.Process.Pid))
 	if err != nil {
 		return // it has ended
@@ -132,17 +132,17 @@
 	for line := range strings.Lines(string(status)) {
 		var kilobytes int64
 		if n, _ := fmt.Sscanf(line, "VmHWM: %d kB", &kilobytes); n == 1 {
-			p.peak = max(p.peak, kilobytes)
+			p.peakKB = max(p.peakKB, kilobytes)
 		}
 	}
 }
 
 // peakMB is the most memory that one of its lives took.
 func (p *process) peakMB() float64 {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	const kilobytes = 1024
-	return float64(p.peak) / kilobytes
+	return float64(p.peakKB) / kilobytes
 }
 
 // findPrograms looks for the programs in a folder.
--- a/internal/system/emulator/report.go
+++ b/internal/system/emulator/report.go
@@ -14,26 +14,26 @@
 
 // Report is what became of a day.
 type Report struct {
-	Clients   client.Tally
-	Runners   []runner.Stats
-	Cloud     fakeplatform.Stats
-	Repeats   int // requests that a runner was sent although another had been
-	Processes []ProcessReport
-	Breaches  []checker.Breach
-	Folder    string // of logs, if it is kept
+	Clients          client.Tally
+	Runners          []runner.Stats
+	Platform         fakeplatform.Stats
+	RepeatedRequests int // requests that a runner was sent although another had been
+	Processes        []ProcessReport
+	Breaches         []checker.Breach
+	LogDir           string // of logs, if it is kept
 }
 
 // ProcessReport is what became of a process.
 type ProcessReport struct {
-	Machine, Program string
-	PeakMB           float64 // resident, of the largest of its lives
-	Starts, OwnEnds  int
+	Machine, Program       string
+	PeakMB                 float64 // resident, of the largest of its lives
+	Starts, UnexpectedEnds int
 }
 
 // Failed says whether a rule was broken or a process has ended by itself.
 func (r *Report) Failed() bool {
 	for _, p := range r.Processes {
-		if p.OwnEnds > 0 {
+		if p.UnexpectedEnds > 0 {
 			return true
 		}
 	}
@@ -42,31 +42,31 @@
 
 // Bounds of requests that may be denied.
 const (
-	deniedMost  = 5
-	deniedShare = 500 // one in so many
+	maxDenied     = 5
+	deniedDivisor = 500 // one in so many
 )
 
-func (d *day) report() *Report {
-	r := &Report{Clients: d.load.Tally(), Runners: d.stats, Cloud: d.cloud.Stats(), Repeats: d.referee.Repeats()}
+func (e *emulation) buildReport() *Report {
+	report := &Report{Clients: e.clients.Tally(), Runners: e.runnerStats, Platform: e.platform.Stats(), RepeatedRequests: e.checker.Repeats()}
 	denied := 0
-	for _, route := range r.Clients.Routes {
+	for _, route := range report.Clients.Routes {
 		denied += route.Denied
 	}
-	if denied > deniedMost+r.Clients.Calls/deniedShare {
-		d.referee.Break(checker.Denied, "%d of %d calls were answered with a 3xx or 4xx", denied, r.Clients.Calls)
+	if denied > maxDenied+report.Clients.Calls/deniedDivisor {
+		e.checker.Break(checker.Denied, "%d of %d calls were answered with a 3xx or 4xx", denied, report.Clients.Calls)
 	}
-	for _, s := range r.Runners {
+	for _, s := range report.Runners {
 		if s.ColdBroken > 0 {
-			d.referee.Break(checker.Failback, "a cold runner was sent %d requests in a second", s.ColdWorst)
+			e.checker.Break(checker.Failback, "a cold runner was sent %d requests in a second", s.ColdWorst)
 		}
 	}
-	for _, p := range d.processes {
-		r.Processes = append(r.Processes, ProcessReport{Machine: p.machine.name, Program: string(p.program),
+	for _, p := range e.processes {
+		report.Processes = append(report.Processes, ProcessReport{Machine: p.machine.name, Program: string(p.program),
 			PeakMB: p.peakMB(),
-			Starts: p.starts, OwnEnds: p.ownEnds})
+			Starts: p.starts, UnexpectedEnds: p.unexpectedEnds})
 	}
-	r.Breaches = d.referee.Close()
-	return r
+	report.Breaches = e.checker.Close()
+	return report
 }
 
 // Print writes the report as tables.
@@ -82,7 +82,7 @@
 	fmt.Fprintln(table, "\t\t\t\t\t\t\t\t\t\t")
 	fmt.Fprintln(table, "machine\tprogram\tpeak MB\tstarts\town ends\t")
 	for _, p := range r.Processes {
-		fmt.Fprintf(table, "%s\t%s\t%.1f\t%d\t%d\t\n", p.Machine, p.Program, p.PeakMB, p.Starts, p.OwnEnds)
+		fmt.Fprintf(table, "%s\t%s\t%.1f\t%d\t%d\t\n", p.Machine, p.Program, p.PeakMB, p.Starts, p.UnexpectedEnds)
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -91,8 +91,8 @@
 	for _, b := range r.Breaches {
 		fmt.Fprintln(out, b)
 	}
-	if r.Folder != "" {
-		fmt.Fprintf(out, "logs=%s\n", r.Folder)
+	if r.LogDir != "" {
+		fmt.Fprintf(out, "logs=%s\n", r.LogDir)
 	}
 	return nil
 }
@@ -118,6 +118,6 @@
 	fmt.Fprintf(out,
 		"retries=%d repeats=%d unreached=%d lookups=%d failed_lookups=%d statuses=%v "+
 			"cloud_calls=%d cloud_refused=%d breaches=%d\n",
-		r.Clients.Retries, r.Repeats, r.Clients.Unreached, r.Clients.Lookups, r.Clients.FailedLookups, r.Clients.Statuses,
-		r.Cloud.Calls, r.Cloud.Refused, len(r.Breaches))
+		r.Clients.Retries, r.RepeatedRequests, r.Clients.Unreached, r.Clients.Lookups, r.Clients.FailedLookups, r.Clients.Statuses,
+		r.Platform.Calls, r.Platform.Refused, len(r.Breaches))
 }
--- a/internal/system/emulator/runners.go
+++ b/internal/system/emulator/runners.go
@@ -16,61 +16,61 @@
 )
 
 const (
-	healthPath   = "/health"
-	modelName    = "m"
-	runnerIdle   = 10 * time.Second
-	closeShare   = 0.01
-	reportLag    = 100 * time.Millisecond
-	plainBytes   = 800
-	listedAfter  = 3 * time.Second // that a runner that has crashed stays on the list
-	drainAndMore = time.Second     // that a draining runner serves for longer than it has to
+	healthPath           = "/health"
+	modelName            = "m"
+	runnerIdleTimeout    = 10 * time.Second
+	connectionCloseShare = 0.01
+	reportLag            = 100 * time.Millisecond
+	plainBodyBytes       = 800
+	delistDelay          = 3 * time.Second // that a runner that has crashed stays on the list
+	extraDrainTime       = time.Second     // that a draining runner serves for longer than it has to
 )
 
-// runners are the runners of all services, and the list that names them.
-type runners struct {
+// runnerFleet are the runners of all services, and the list that names them.
+type runnerFleet struct {
 	scenario *policysim.Scenario
-	cloud    *fakeplatform.Cloud
-	referee  *checker.Referee
+	platform *fakeplatform.Cloud
+	checker  *checker.Referee
 	zones    map[string]string
 
-	mutex   sync.Mutex
-	started int
-	up      []*runner.Runner
-	entries map[string]fakeplatform.Entry
-	service map[string]*policysim.Service // of a runner
-	gone    []runner.Stats
-	closed  bool
+	mu           sync.Mutex
+	count        int
+	running      []*runner.Runner
+	entries      map[string]fakeplatform.Entry
+	services     map[string]*policysim.Service // of a runner
+	stoppedStats []runner.Stats
+	closed       bool
 }
 
-// errClosed says that the day is over.
-var errClosed = errors.New("the runners have been closed")
-
-// startRunners starts the runners of all services.
-func startRunners(s *policysim.Scenario, zones map[string]string, c *fakeplatform.Cloud,
-	r *checker.Referee) (*runners, error) {
-	rs := &runners{scenario: s, cloud: c, referee: r, zones: zones, entries: make(map[string]fakeplatform.Entry),
-		service: make(map[string]*policysim.Service)}
-	for i := range s.Services {
-		for _, zone := range s.Zones {
-			for range s.Services[i].Runners[zone.Name] {
-				if _, err := rs.start(&s.Services[i], zone.Name, 0); err != nil {
-					return rs, err
+// errFleetClosed says that the day is over.
+var errFleetClosed = errors.New("the runners have been closed")
+
+// startFleet starts the runners of all services.
+func startFleet(scenario *policysim.Scenario, zones map[string]string, platform *fakeplatform.Cloud,
+	referee *checker.Referee) (*runnerFleet, error) {
+	f := &runnerFleet{scenario: scenario, platform: platform, checker: referee, zones: zones, entries: make(map[string]fakeplatform.Entry),
+		services: make(map[string]*policysim.Service)}
+	for i := range scenario.Services {
+		for _, zone := range scenario.Zones {
+			for range scenario.Services[i].Runners[zone.Name] {
+				if _, err := f.startRunner(&scenario.Services[i], zone.Name, 0); err != nil {
+					return f, err
 				}
 			}
 		}
 	}
-	return rs, nil
+	return f, nil
 }
 
-// start starts a runner that is cold for a while.
-func (rs *runners) start(s *policysim.Service, zone string, cold time.Duration) (*runner.Runner, error) {
-	rs.mutex.Lock()
-	defer rs.mutex.Unlock()
-	if rs.closed {
-		return nil, errClosed
+// startRunner starts a runner that is cold for a while.
+func (f *runnerFleet) startRunner(service *policysim.Service, zone string, slowStart time.Duration) (*runner.Runner, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.closed {
+		return nil, errFleetClosed
 	}
-	rs.started++
-	o, err := rs.options(s, zone)
+	f.count++
+	o, err := f.runnerOptions(service, zone)
 	if err != nil {
 		return nil, err
 	}
@@ -78,28 +78,28 @@
 	if err != nil {
 		return nil, err
 	}
-	entry := fakeplatform.Entry{ID: o.ID, Service: s.Name, Address: r.Address(), Zone: zone, Capacity: s.Slots}
-	if s.Engine != nil {
-		entry.Capacity, entry.Model = s.Engine.Slots, modelName
+	entry := fakeplatform.Entry{ID: o.ID, Service: service.Name, Address: r.Address(), Zone: zone, Capacity: service.Slots}
+	if service.Engine != nil {
+		entry.Capacity, entry.Model = service.Engine.Slots, modelName
 	}
-	if cold > 0 {
-		r.Chill(cold)
-		entry.ColdUntil = time.Now().Add(cold)
+	if slowStart > 0 {
+		r.Chill(slowStart)
+		entry.ColdUntil = time.Now().Add(slowStart)
 	}
-	rs.up = append(rs.up, r)
-	rs.entries[o.ID], rs.service[o.ID] = entry, s
-	rs.cloud.Set(entry)
+	f.running = append(f.running, r)
+	f.entries[o.ID], f.services[o.ID] = entry, service
+	f.platform.Set(entry)
 	return r, nil
 }
 
-// options describe the next runner; runners are at addresses of their own, beside those of machines.
-func (rs *runners) options(s *policysim.Service, zone string) (o runner.Options, err error) {
+// runnerOptions describe the next runner; runners are at addresses of their own, beside those of machines.
+func (f *runnerFleet) runnerOptions(s *policysim.Service, zone string) (o runner.Options, err error) {
 	o = runner.Options{
-		Runner:  checker.Runner{ID: fmt.Sprintf("i-%04x", rs.started), Service: s.Name, Zone: zone, Region: rs.zones[zone]},
-		Address: fmt.Sprintf("127.1.%d.%d:0", rs.started/250, 1+rs.started%250), HealthPath: healthPath, MaxConns: s.MaxConnections,
-		IdleFor: runnerIdle, CloseShare: closeShare, ReportLag: reportLag, Cold: defaultTiming.cold(s.SlowStartRate),
-		Referee: rs.referee,
-		Seed:    uint64(rs.started), BodyBytes: plainBytes,
+		Runner:  checker.Runner{ID: fmt.Sprintf("i-%04x", f.count), Service: s.Name, Zone: zone, Region: f.zones[zone]},
+		Address: fmt.Sprintf("127.1.%d.%d:0", f.count/250, 1+f.count%250), HealthPath: healthPath, MaxConns: s.MaxConnections,
+		IdleFor: runnerIdleTimeout, CloseShare: connectionCloseShare, ReportLag: reportLag, Cold: defaultTiming.slowStart(s.SlowStartRate),
+		Referee: f.checker,
+		Seed:    uint64(f.count), BodyBytes: plainBodyBytes,
 	}
 	if s.Engine != nil {
 		o.Stride, o.Models = s.Engine.StrideTokens, []runner.Model{{Name: modelName, Version: 1}}
@@ -107,14 +107,14 @@
 		return o, err
 	}
 	o.Machine, err = engine.NewWorkers(s.Slots, s.QueueLength)
-	o.Work = rs.workOf(s.Name)
+	o.Work = f.workSampler(s.Name)
 	return o, err
 }
 
-// workOf draws the work of a plain service's requests.
-func (rs *runners) workOf(service string) func(*rand.Rand) time.Duration {
-	for i := range rs.scenario.Classes {
-		if c := &rs.scenario.Classes[i]; c.Service == service {
+// workSampler draws the work of a plain service's requests.
+func (f *runnerFleet) workSampler(service string) func(*rand.Rand) time.Duration {
+	for i := range f.scenario.Classes {
+		if c := &f.scenario.Classes[i]; c.Service == service {
 			return func(random *rand.Rand) time.Duration {
 				return time.Duration(math.Round(c.WorkMS.Sample(random) * float64(time.Millisecond)))
 			}
@@ -123,12 +123,12 @@
 	return nil
 }
 
-// pick is a running runner of a service.
-func (rs *runners) pick(service string) *runner.Runner {
-	rs.mutex.Lock()
-	defer rs.mutex.Unlock()
-	for _, r := range rs.up {
-		if rs.service[r.ID()].Name == service && !rs.entries[r.ID()].Draining {
+// pickRunner is a running runner of a service.
+func (f *runnerFleet) pickRunner(service string) *runner.Runner {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, r := range f.running {
+		if f.services[r.ID()].Name == service && !f.entries[r.ID()].Draining {
 			return r
 		}
 	}
@@ -136,88 +136,88 @@
 }
 
 // drain lets a runner leave as the platform does: it says so first, serves on for a while, and is replaced.
-func (rs *runners) drain(r *runner.Runner, short time.Duration) {
-	rs.mutex.Lock()
-	entry := rs.entries[r.ID()]
+func (f *runnerFleet) drain(r *runner.Runner, notice time.Duration) {
+	f.mu.Lock()
+	entry := f.entries[r.ID()]
 	entry.Draining = true
-	serves := time.Duration(defaultTiming.DrainWithinMS)*time.Millisecond + drainAndMore
-	if short > 0 {
-		serves = short
-		entry.GoneAt = time.Now().Add(short)
+	serves := time.Duration(defaultTiming.DrainWithinMS)*time.Millisecond + extraDrainTime
+	if notice > 0 {
+		serves = notice
+		entry.GoneAt = time.Now().Add(notice)
 	}
-	rs.entries[r.ID()] = entry
-	rs.mutex.Unlock()
+	f.entries[r.ID()] = entry
+	f.mu.Unlock()
 	r.Drain()
-	shown := rs.cloud.Set(entry)
-	rs.referee.Draining(r.ID(), shown)
+	shown := f.platform.Set(entry)
+	f.checker.Draining(r.ID(), shown)
 	time.AfterFunc(time.Until(shown)+serves, func() {
-		rs.remove(r)
+		f.removeRunning(r)
 		r.Close()
-		rs.cloud.Remove(r.ID())
-		rs.replace(r)
+		f.platform.Remove(r.ID())
+		f.startReplacement(r)
 	})
 }
 
 // crash ends a runner without a word; the list shows it for some time.
-func (rs *runners) crash(r *runner.Runner, dark bool, back time.Duration) {
-	rs.remove(r)
-	if dark {
+func (f *runnerFleet) crash(r *runner.Runner, silent bool, downtime time.Duration) {
+	f.removeRunning(r)
+	if silent {
 		r.GoDark()
 	} else {
 		r.Crash()
 	}
-	time.AfterFunc(listedAfter, func() { rs.cloud.Remove(r.ID()) })
-	time.AfterFunc(back, func() {
+	time.AfterFunc(delistDelay, func() { f.platform.Remove(r.ID()) })
+	time.AfterFunc(downtime, func() {
 		r.Close()
-		rs.replace(r)
+		f.startReplacement(r)
 	})
 }
 
-// spoil has all runners spoil some answers for a while, those of plain services and of engines alike.
-func (rs *runners) spoil(f runner.Faults, span time.Duration) {
-	rs.script(f)
-	time.AfterFunc(span, func() { rs.script(runner.Faults{}) })
+// corruptResponses has all runners spoil some answers for a while, those of plain services and of engines alike.
+func (f *runnerFleet) corruptResponses(faults runner.Faults, duration time.Duration) {
+	f.setFaults(faults)
+	time.AfterFunc(duration, func() { f.setFaults(runner.Faults{}) })
 }
 
-func (rs *runners) script(f runner.Faults) {
-	rs.mutex.Lock()
-	defer rs.mutex.Unlock()
-	for _, r := range rs.up {
-		r.Script(f)
+func (f *runnerFleet) setFaults(faults runner.Faults) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, r := range f.running {
+		r.Script(faults)
 	}
 }
 
-// replace starts another incarnation in place of one that is gone.
-func (rs *runners) replace(r *runner.Runner) {
-	rs.mutex.Lock()
-	s, zone := rs.service[r.ID()], rs.entries[r.ID()].Zone
-	rs.mutex.Unlock()
-	_, _ = rs.start(s, zone, s.SlowStartDuration) // one that does not start is one that is missing
+// startReplacement starts another incarnation in place of one that is gone.
+func (f *runnerFleet) startReplacement(r *runner.Runner) {
+	f.mu.Lock()
+	s, zone := f.services[r.ID()], f.entries[r.ID()].Zone
+	f.mu.Unlock()
+	_, _ = f.startRunner(s, zone, s.SlowStartDuration) // one that does not start is one that is missing
 }
 
-// remove takes a runner from those that run.
-func (rs *runners) remove(r *runner.Runner) {
-	rs.mutex.Lock()
-	defer rs.mutex.Unlock()
-	for i, other := range rs.up {
+// removeRunning takes a runner from those that run.
+func (f *runnerFleet) removeRunning(r *runner.Runner) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for i, other := range f.running {
 		if other == r {
-			rs.up = append(rs.up[:i], rs.up[i+1:]...)
-			rs.gone = append(rs.gone, r.Stats())
+			f.running = append(f.running[:i], f.running[i+1:]...)
+			f.stoppedStats = append(f.stoppedStats, r.Stats())
 			return
 		}
 	}
 }
 
 // close ends all runners and returns what they counted.
-func (rs *runners) close() []runner.Stats {
-	rs.mutex.Lock()
-	defer rs.mutex.Unlock()
-	rs.closed = true
-	stats := rs.gone
-	for _, r := range rs.up {
+func (f *runnerFleet) close() []runner.Stats {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.closed = true
+	stats := f.stoppedStats
+	for _, r := range f.running {
 		stats = append(stats, r.Stats())
 		r.Close()
 	}
-	rs.up, rs.gone = nil, nil
+	f.running, f.stoppedStats = nil, nil
 	return stats
 }
--- a/internal/system/emulator/runners_test.go
+++ b/internal/system/emulator/runners_test.go
@@ -12,15 +12,15 @@
 	"cinderroad/internal/testkit/runner"
 )
 
-// newRunners starts the runners of a scenario, under a referee without any slack.
-func newRunners(t *testing.T) *runners {
+// newTestFleet starts the runners of a scenario, under a referee without any slack.
+func newTestFleet(t *testing.T) *runnerFleet {
 	t.Helper()
 	list, err := fakeplatform.Start(fakeplatform.Options{Address: "127.0.0.1:0"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(list.Close)
-	rs, err := startRunners(policysim.Screening(), map[string]string{"west-a": "west", "west-b": "west",
+	rs, err := startFleet(policysim.Screening(), map[string]string{"west-a": "west", "west-b": "west",
 		"east-a": "east"}, list,
 		checker.New(checker.Bounds{}, nil))
 	if err != nil {
@@ -30,17 +30,17 @@
 	return rs
 }
 
-// ask sends a request with an id straight to a runner.
-func (rs *runners) ask(t *testing.T, r *runner.Runner, id string, route *checker.Route) int {
+// request sends a request with an id straight to a runner.
+func (f *runnerFleet) request(t *testing.T, r *runner.Runner, id string, route *checker.Route) int {
 	t.Helper()
 	q, err := http.NewRequest(http.MethodPost, "http://"+r.Address().String()+"/lookup/1", strings.NewReader("x"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	q.Host = host
+	q.Host = routeHost
 	q.Header.Set(answer.TryID, id)
 	if route != nil {
-		rs.referee.Asked(checker.Try{ID: id, Method: http.MethodPost, Host: host, URI: "/lookup/1",
+		f.checker.Asked(checker.Try{ID: id, Method: http.MethodPost, Host: routeHost, URI: "/lookup/1",
 			Body: checker.Hash([]byte("x")), Route: route})
 	}
 	resp, err := http.DefaultClient.Do(q)
@@ -51,31 +51,33 @@
 	return resp.StatusCode
 }
 
-func TestRunnersReportToTheReferee(t *testing.T) {
+func TestRunnersReportToChecker(t *testing.T) {
 	lookups := &checker.Route{Name: "lookup", Services: []string{"api"}, Homes: []string{"west"}}
 	for _, test := range []struct {
 		name string
-		do   func(t *testing.T, rs *runners, r *runner.Runner)
+		do   func(t *testing.T, rs *runnerFleet, r *runner.Runner)
 		want checker.Rule
 	}{
-		{"a proper request", func(t *testing.T, rs *runners, r *runner.Runner) { rs.ask(t, r, "1", lookups) }, ""},
-		{"one that nobody sent", func(t *testing.T, rs *runners, r *runner.Runner) { rs.ask(t, r, "1", nil) },
+		{"a proper request", func(t *testing.T, rs *runnerFleet, r *runner.Runner) { rs.request(t, r, "1", lookups) }, ""},
+		{"one that nobody sent", func(t *testing.T, rs *runnerFleet, r *runner.Runner) { rs.request(t, r, "1", nil) },
 			checker.Unasked},
-		{"one that runs twice", func(t *testing.T, rs *runners, r *runner.Runner) {
-			rs.ask(t, r, "1", lookups)
-			rs.arriveAgain(t, r, "1")
+		{"one that runs twice", func(t *testing.T, rs *runnerFleet, r *runner.Runner) {
+			rs.request(t, r, "1", lookups)
+			rs.repeatRequest(t, r, "1")
 		}, checker.Twice},
-		{"another service", func(t *testing.T, rs *runners, r *runner.Runner) { rs.ask(t, rs.pick("llm"), "1", lookups) },
+		{"another service", func(t *testing.T, rs *runnerFleet, r *runner.Runner) {
+			rs.request(t, rs.pickRunner("llm"), "1", lookups)
+		},
 			checker.Routed},
-		{"a runner that drains", func(t *testing.T, rs *runners, r *runner.Runner) {
+		{"a runner that drains", func(t *testing.T, rs *runnerFleet, r *runner.Runner) {
 			rs.drain(r, 0)
-			rs.ask(t, r, "1", lookups)
+			rs.request(t, r, "1", lookups)
 		}, checker.Drain},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			rs := newRunners(t)
-			test.do(t, rs, rs.pick("api"))
-			breaches := rs.referee.Breaches()
+			rs := newTestFleet(t)
+			test.do(t, rs, rs.pickRunner("api"))
+			breaches := rs.checker.Breaches()
 			if test.want == "" && len(breaches) == 0 {
 				return
 			}
@@ -86,19 +88,19 @@
 	}
 }
 
-// arriveAgain sends a request with an id that was sent before.
-func (rs *runners) arriveAgain(t *testing.T, r *runner.Runner, id string) {
+// repeatRequest sends a request with an id that was sent before.
+func (f *runnerFleet) repeatRequest(t *testing.T, r *runner.Runner, id string) {
 	t.Helper()
-	if status := rs.ask(t, r, id, nil); status != http.StatusOK {
+	if status := f.request(t, r, id, nil); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
 }
 
-func TestADrainingRunnerIsNotPicked(t *testing.T) {
-	rs := newRunners(t)
-	first := rs.pick("api")
+func TestPickRunnerSkipsDraining(t *testing.T) {
+	rs := newTestFleet(t)
+	first := rs.pickRunner("api")
 	rs.drain(first, 0)
-	if rs.pick("api") == first {
+	if rs.pickRunner("api") == first {
 		t.Error("a runner that drains was picked")
 	}
 }
--- a/internal/system/emulator/settings.go
+++ b/internal/system/emulator/settings.go
@@ -89,21 +89,21 @@
 	RetryWindowS: 10,
 	RetryExtra:   54, ColdExcess: 1.5, ColdSlack: 5, EvacuateMS: 5000, RecoveryS: 12, PassMS: 300, TTLMaxS: 5}
 
-// coldFalls is the multiple of its rate at which an emulated cold runner falls over.
-const coldFalls = 4
+// slowStartFailureFactor is the multiple of its rate at which an emulated cold runner falls over.
+const slowStartFailureFactor = 4
 
-func (t *timing) cold(rate float64) engine.Cold {
-	return engine.Cold{Rate: rate, Excess: t.ColdExcess, Slack: t.ColdSlack, Falls: coldFalls}
+func (t *timing) slowStart(rate float64) engine.Cold {
+	return engine.Cold{Rate: rate, Excess: t.ColdExcess, Slack: t.ColdSlack, Falls: slowStartFailureFactor}
 }
 
 // Limits of the emulated platform.
 const (
-	cloudRatePerS = 42
-	cloudLagMS    = 800
-	cloudPage     = 50
-	ramMB         = 284
-	openFiles     = 4096
-	diskMB        = 128
+	platformCallsPerSecond = 42
+	platformLagMS          = 800
+	platformPageSize       = 50
+	ramMB                  = 284
+	openFiles              = 4096
+	diskMB                 = 128
 )
 
 // settingsOf describes one process of a machine.
@@ -111,23 +111,23 @@
 	s := settings{
 		Node: m.name, Role: string(p), MachineClass: m.class, ServesRoles: []string{}, IP: m.ip, Zone: m.zone,
 		Region: d.zones[m.zone],
-		Zones:  d.zones, ListenOn: map[string]string{}, FreePorts: [2]uint16{d.ports.free, d.ports.free + freePorts - 1},
-		SeedNodes: d.seeds(), FirstBoot: first, FoundVia: "cloud_api", EntryKind: "directory", BeatEvery: 1200,
+		Zones:  d.zones, ListenOn: map[string]string{}, FreePorts: [2]uint16{d.ports.firstFree, d.ports.firstFree + freePortCount - 1},
+		SeedNodes: d.seedAddresses(), FirstBoot: first, FoundVia: "cloud_api", EntryKind: "directory", BeatEvery: 1200,
 		Promises: []string{"base", "drain", "config", "cost", "retry", "recover", "engine", "stream", "places"},
 		Limits:   limits{CPUFraction: 1, CPUCores: 1, RAMMB: ramMB, OpenFiles: openFiles, LinkMbps: 1000},
 		Survive:  survive{MachineLosses: 1, Zones: 1}, Timing: defaultTiming,
-		CloudAPI: cloudAPI{Address: d.cloudAddress.String(), RatePerS: cloudRatePerS, Jobs: []string{}, MaxLagMS: cloudLagMS},
+		CloudAPI: cloudAPI{Address: d.platformAddress.String(), RatePerS: platformCallsPerSecond, Jobs: []string{}, MaxLagMS: platformLagMS},
 	}
 	switch p {
 	case proxy:
 		s.ServesRoles = []string{"edge"}
-		s.ListenOn["front"], s.ListenOn["ready"] = m.at(d.ports.front).String(), m.at(d.ports.ready).String()
+		s.ListenOn["front"], s.ListenOn["ready"] = m.addressWithPort(d.ports.front).String(), m.addressWithPort(d.ports.ready).String()
 	case control:
 		s.ServesRoles = []string{"control_plane", "directory"}
-		s.ListenOn["control"], s.ListenOn["directory"] = m.at(d.ports.control).String(), m.at(d.ports.directory).String()
+		s.ListenOn["control"], s.ListenOn["directory"] = m.addressWithPort(d.ports.control).String(), m.addressWithPort(d.ports.directory).String()
 		s.CountsAsLoss = true
 		s.Limits.StorageMB = diskMB
-		folder := filepath.Join(d.folder, m.name+"-disk")
+		folder := filepath.Join(d.workDir, m.name+"-disk")
 		s.StateDir = &folder
 	}
 	return s
@@ -145,6 +145,6 @@
 	if err != nil {
 		return "", fmt.Errorf("settings of %s: %w", m.name, err)
 	}
-	path = filepath.Join(d.folder, m.name+"-"+string(p)+".json")
+	path = filepath.Join(d.workDir, m.name+"-"+string(p)+".json")
 	return path, os.WriteFile(path, text, 0o640)
 }
--- a/internal/system/emulator/trouble.go
+++ b/internal/system/emulator/trouble.go
@@ -12,57 +12,57 @@
 	"cinderroad/internal/testkit/runner"
 )
 
-// Trouble is something that happens during a day.
-type Trouble string
+// Fault is something that happens during a day.
+type Fault string
 
 // The troubles.
 const (
-	DrainRunner    Trouble = "drain"        // a runner leaves as announced, and is replaced
-	ShortNotice    Trouble = "short-notice" // a runner is taken away two seconds after it is announced
-	CrashRunner    Trouble = "crash"        // a runner ends, and comes back cold
-	DarkRunner     Trouble = "dark"         // a runner says nothing any more, and comes back cold
-	ChangeSettings Trouble = "config"       // a route is added
-	EvacuateZone   Trouble = "evacuate"     // a zone is emptied for some seconds
-	KillControl    Trouble = "kill-control"
-	KillProxy      Trouble = "kill-proxy"
-	KillAgent      Trouble = "kill-agent"
-	StopProxy      Trouble = "stop-proxy" // with SIGTERM
-	SpoilAnswers   Trouble = "spoil"      // runners spoil some of their answers in all ways there are
+	DrainRunner         Fault = "drain"        // a runner leaves as announced, and is replaced
+	DrainAtShortNotice  Fault = "short-notice" // a runner is taken away two seconds after it is announced
+	CrashRunner         Fault = "crash"        // a runner ends, and comes back cold
+	SilenceRunner       Fault = "dark"         // a runner says nothing any more, and comes back cold
+	ChangeConfiguration Fault = "config"       // a route is added
+	EvacuateZone        Fault = "evacuate"     // a zone is emptied for some seconds
+	KillControl         Fault = "kill-control"
+	KillProxy           Fault = "kill-proxy"
+	KillAgent           Fault = "kill-agent"
+	StopProxy           Fault = "stop-proxy" // with SIGTERM
+	CorruptResponses    Fault = "spoil"      // runners spoil some of their answers in all ways there are
 )
 
-// Troubles are all there are.
-func Troubles() []Trouble {
-	return []Trouble{DrainRunner, ShortNotice, CrashRunner, DarkRunner, ChangeSettings, EvacuateZone, KillControl,
+// Faults are all there are.
+func Faults() []Fault {
+	return []Fault{DrainRunner, DrainAtShortNotice, CrashRunner, SilenceRunner, ChangeConfiguration, EvacuateZone, KillControl,
 		KillProxy, KillAgent,
-		StopProxy, SpoilAnswers}
+		StopProxy, CorruptResponses}
 }
 
-// ParseTrouble reads a name.
-func ParseTrouble(name string) (Trouble, error) {
-	if t := Trouble(name); slices.Contains(Troubles(), t) {
+// ParseFault reads a name.
+func ParseFault(name string) (Fault, error) {
+	if t := Fault(name); slices.Contains(Faults(), t) {
 		return t, nil
 	}
-	return "", fmt.Errorf("there is no trouble %q: there are %v", name, Troubles())
+	return "", fmt.Errorf("there is no trouble %q: there are %v", name, Faults())
 }
 
 const (
-	crashedFor   = 4500 * time.Millisecond
-	shortNotice  = 2 * time.Second
-	evacuatedFor = 8 * time.Second
-	versionStep  = 4
-	probeWait    = 5 * time.Second
-	spoiltFor    = 8 * time.Second
+	crashDowntime     = 4500 * time.Millisecond
+	terminationNotice = 2 * time.Second
+	evacuationTime    = 8 * time.Second
+	versionStep       = 4
+	probeTimeout      = 5 * time.Second
+	corruptionTime    = 8 * time.Second
 )
 
-// spoilt are the shares of answers that are spoilt.
-var spoilt = runner.Faults{BreakOff: 0.03, Extra: 0.03, ExtraLate: 0.03, Garbage: 0.02, Silent: 0.01, Reset: 0.03,
+// corruption are the shares of answers that are spoilt.
+var corruption = runner.Faults{BreakOff: 0.03, Extra: 0.03, ExtraLate: 0.03, Garbage: 0.02, Silent: 0.01, Reset: 0.03,
 	Close: 0.03}
 
-// schedule has a trouble come at a time.
-func (d *day) schedule(ctx context.Context, t Trouble, at time.Duration) {
-	d.troubles.Add(1)
+// scheduleFault has a trouble come at a time.
+func (e *emulation) scheduleFault(ctx context.Context, t Fault, at time.Duration) {
+	e.faults.Add(1)
 	go func() {
-		defer d.troubles.Done()
+		defer e.faults.Done()
 		timer := time.NewTimer(at)
 		defer timer.Stop()
 		select {
@@ -70,112 +70,112 @@
 		case <-ctx.Done():
 			return
 		}
-		d.say("trouble", "kind", t)
-		if err := d.cause(ctx, t); err != nil {
-			d.say("trouble failed", "kind", t, "error", err)
+		e.logEvent("trouble", "kind", t)
+		if err := e.injectFault(ctx, t); err != nil {
+			e.logEvent("trouble failed", "kind", t, "error", err)
 		}
 	}()
 }
 
-func (d *day) cause(ctx context.Context, t Trouble) error {
-	engines := d.options.Scenario.Services[0].Name
+func (e *emulation) injectFault(ctx context.Context, t Fault) error {
+	engines := e.options.Scenario.Services[0].Name
 	switch t {
 	case DrainRunner:
-		d.runners.drain(d.runners.pick(engines), 0)
-	case ShortNotice:
-		d.runners.drain(d.runners.pick(engines), shortNotice)
+		e.runners.drain(e.runners.pickRunner(engines), 0)
+	case DrainAtShortNotice:
+		e.runners.drain(e.runners.pickRunner(engines), terminationNotice)
 	case CrashRunner:
-		d.runners.crash(d.runners.pick(engines), false, crashedFor)
-	case DarkRunner:
-		d.runners.crash(d.runners.pick(engines), true, crashedFor)
-	case ChangeSettings:
-		return d.addRoute(ctx)
+		e.runners.crash(e.runners.pickRunner(engines), false, crashDowntime)
+	case SilenceRunner:
+		e.runners.crash(e.runners.pickRunner(engines), true, crashDowntime)
+	case ChangeConfiguration:
+		return e.addRoute(ctx)
 	case EvacuateZone:
-		return d.evacuate(ctx)
+		return e.evacuate(ctx)
 	case KillControl:
-		return d.first(control).signal(syscall.SIGKILL)
+		return e.firstProcess(control).signal(syscall.SIGKILL)
 	case KillProxy:
-		return d.first(proxy).signal(syscall.SIGKILL)
+		return e.firstProcess(proxy).signal(syscall.SIGKILL)
 	case KillAgent:
-		return d.first(agent).signal(syscall.SIGKILL)
-	case SpoilAnswers:
-		d.runners.spoil(spoilt, spoiltFor)
+		return e.firstProcess(agent).signal(syscall.SIGKILL)
+	case CorruptResponses:
+		e.runners.corruptResponses(corruption, corruptionTime)
 	case StopProxy:
-		return d.first(proxy).signal(syscall.SIGTERM)
+		return e.firstProcess(proxy).signal(syscall.SIGTERM)
 	}
 	return nil
 }
 
-// first is the first process of a program.
-func (d *day) first(p program) *process {
-	return d.processes[slices.IndexFunc(d.processes, func(proc *process) bool { return proc.program == p })]
+// firstProcess is the first process of a program.
+func (e *emulation) firstProcess(p program) *process {
+	return e.processes[slices.IndexFunc(e.processes, func(proc *process) bool { return proc.program == p })]
 }
 
 // evacuate empties the last zone for some time.
-func (d *day) evacuate(ctx context.Context) error {
-	zone := d.deploy.zoneNames[len(d.deploy.zoneNames)-1]
-	operator := d.deploy.operator()
-	order, cancel := context.WithTimeout(ctx, millis(defaultTiming.AckWithinMS))
+func (e *emulation) evacuate(ctx context.Context) error {
+	zone := e.deployment.zoneNames[len(e.deployment.zoneNames)-1]
+	operator := e.deployment.operator()
+	order, cancel := context.WithTimeout(ctx, milliseconds(defaultTiming.AckWithinMS))
 	defer cancel()
-	if err := operator.evacuate(order, zone, true); err != nil {
+	if err := operator.setEvacuation(order, zone, true); err != nil {
 		return err
 	}
-	d.referee.Evacuated(zone, time.Now())
-	d.say("evacuation acknowledged", "zone", zone)
-	timer := time.NewTimer(evacuatedFor)
+	e.checker.Evacuated(zone, time.Now())
+	e.logEvent("evacuation acknowledged", "zone", zone)
+	timer := time.NewTimer(evacuationTime)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	d.referee.Restored(zone)
-	order, cancel = context.WithTimeout(ctx, millis(defaultTiming.AckWithinMS))
+	e.checker.Restored(zone)
+	order, cancel = context.WithTimeout(ctx, milliseconds(defaultTiming.AckWithinMS))
 	defer cancel()
-	return operator.evacuate(order, zone, false)
+	return operator.setEvacuation(order, zone, false)
 }
 
 // addRoute adds a route, and asks each edge machine for it once it has to be in force.
-func (d *day) addRoute(ctx context.Context) error {
-	class := d.options.Scenario.Classes[len(d.options.Scenario.Classes)-1]
+func (e *emulation) addRoute(ctx context.Context) error {
+	class := e.options.Scenario.Classes[len(e.options.Scenario.Classes)-1]
 	class.Name = "added"
 	route := clientRoute(&class)
-	operator := d.deploy.operator()
-	order, cancel := context.WithTimeout(ctx, millis(defaultTiming.AckWithinMS))
+	operator := e.deployment.operator()
+	order, cancel := context.WithTimeout(ctx, milliseconds(defaultTiming.AckWithinMS))
 	defer cancel()
-	version := d.document.Version + versionStep
-	item := routeOf(&class)
+	version := e.inForce.Version + versionStep
+	item := routeDocumentOf(&class)
 	began := time.Now()
-	err := operator.alter(order, change{Version: version, Replace: changeSet{Routes: []routeDocument{item}}},
-		d.document.Version)
+	err := operator.changeConfiguration(order, changeDocument{Version: version, Replace: changedItems{Routes: []routeDocument{item}}},
+		e.inForce.Version)
 	if err != nil {
 		return err
 	}
-	d.document.Version = version
-	d.document.Routes = append(d.document.Routes, item)
-	d.say("change acknowledged", "version", version, "after", time.Since(began).Round(time.Millisecond))
-	timer := time.NewTimer(millis(defaultTiming.ConfigWithinMS))
+	e.inForce.Version = version
+	e.inForce.Routes = append(e.inForce.Routes, item)
+	e.logEvent("change acknowledged", "version", version, "after", time.Since(began).Round(time.Millisecond))
+	timer := time.NewTimer(milliseconds(defaultTiming.ConfigWithinMS))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	for _, m := range d.deploy.of(edgeClass) {
-		d.probe(ctx, m, route)
+	for _, m := range e.deployment.machinesOfClass(edgeClass) {
+		e.probe(ctx, m, route)
 	}
 	return nil
 }
 
 // probe asks one edge machine for a route.
-func (d *day) probe(ctx context.Context, m *machine, route *client.Route) {
-	ctx, cancel := context.WithTimeout(ctx, probeWait)
+func (e *emulation) probe(ctx context.Context, m *machine, route *client.Route) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	load := client.New(client.Options{Zones: d.deploy.zones, Clients: 1, Front: m.at(d.deploy.ports.front).String(),
-		Referee: d.referee,
-		Seed:    d.options.Seed + uint64(m.ip.As4()[2])<<8 + uint64(m.ip.As4()[3])})
+	load := client.New(client.Options{Zones: e.deployment.zones, Clients: 1, Front: m.addressWithPort(e.deployment.ports.front).String(),
+		Referee: e.checker,
+		Seed:    e.options.Seed + uint64(m.ip.As4()[2])<<8 + uint64(m.ip.As4()[3])})
 	load.Call(ctx, load.Client(m.zone, 0), &client.Call{Route: route, Zone: m.zone, Bytes: 100})
 	if tally := load.Tally(); tally.Routes[0].Denied > 0 {
-		d.referee.Break(checker.Configed, "%s does not know a route that was acknowledged %d ms before", m.name,
+		e.checker.Break(checker.Configed, "%s does not know a route that was acknowledged %d ms before", m.name,
 			defaultTiming.ConfigWithinMS)
 	}
 }
