--- a/cmd/cinderroad-emulator/day.go
+++ b/cmd/cinderroad-emulator/day.go
@@ -14,7 +14,7 @@
 	"cinderroad/internal/system/policysim"
 )
 
-// dayCommand serves a short day.
+// dayCommand runs the real programs under traffic and faults: see package emulator.
 type dayCommand struct {
 	Programs string        `help:"Folder of the system's programs; that of this program if there is none." type:"path"`
 	Folder   string        `help:"For settings, logs and disks; a temporary one if there is none." type:"path"`
@@ -26,7 +26,7 @@
 	Trouble  []string      `default:"drain,config" help:"What happens, evenly over the day: none, ${troubles}."`
 }
 
-// errDayFailed says that the day has failed, of which the report tells.
+// errDayFailed says that the report, which was printed before, is one of a failure.
 var errDayFailed = errors.New("a rule was broken, or a process ended by itself")
 
 // Run implements the command.
@@ -51,8 +51,8 @@
 }
 
 func (d *dayCommand) options() (o emulator.Options, err error) {
-	o = emulator.Options{Scenario: scenarioByName(d.Scenario), EdgeMachines: d.Edges, ProgramDir: d.Programs, WorkDir: d.Folder,
-		Seed: d.Seed, Out: os.Stdout}
+	o = emulator.Options{Scenario: scenarioByName(d.Scenario), EdgeMachines: d.Edges, ProgramDir: d.Programs,
+		WorkDir: d.Folder, Seed: d.Seed, Out: os.Stdout}
 	o.Scenario.Load, o.Scenario.Duration = d.Load, d.Length
 	if o.ProgramDir == "" {
 		self, err := os.Executable()
@@ -74,7 +74,7 @@
 	return o, nil
 }
 
-// faultNames are the names of all troubles.
+// faultNames returns the names of all faults.
 func faultNames() string {
 	var names []string
 	for _, t := range emulator.Faults() {
--- a/cmd/cinderroad-emulator/main.go
+++ b/cmd/cinderroad-emulator/main.go
@@ -1,5 +1,6 @@
-// Command cinderroad-emulator plays deployments of the system on one machine. It serves a short day with the real
-// programs and stand-ins for everything else, or compares placement policies over modelled runners in virtual time.
+// Command cinderroad-emulator runs deployments of the system on one machine. Its command day serves short traffic with
+// the real programs and fakes of everything else; its command policies compares placement policies over simulated
+// runners in virtual time.
 package main
 
 import "github.com/alecthomas/kong"
--- a/cmd/cinderroad-emulator/policies.go
+++ b/cmd/cinderroad-emulator/policies.go
@@ -10,7 +10,7 @@
 	"cinderroad/internal/system/policysim"
 )
 
-// policiesCommand compares placement policies.
+// policiesCommand compares placement policies: see package policysim.
 type policiesCommand struct {
 	Scenario string        `default:"screening" enum:"screening,parcels" help:"Deployment: ${enum}."`
 	Load     float64       `default:"1" help:"Multiple of every rate."`
@@ -30,6 +30,7 @@
 	burstFor    = 10 * time.Second
 	crashAt     = 12 * time.Second
 	crashFor    = 4500 * time.Millisecond
+	crashStride = 3 // every third runner crashes, so that they are in several zones
 )
 
 // Run implements the command.
@@ -80,9 +81,9 @@
 	var chosen []policysim.PolicyFactory
 	for _, name := range p.Only {
 		found := false
-		for _, c := range all {
-			if c.Name == name {
-				chosen, found = append(chosen, c), true
+		for _, factory := range all {
+			if factory.Name == name {
+				chosen, found = append(chosen, factory), true
 			}
 		}
 		if !found {
@@ -99,8 +100,9 @@
 		s.Bursts = []policysim.Burst{{Class: p.Burst, Factor: burstFactor, Start: burstFrom, Duration: burstFor}}
 	}
 	for i := range p.Crash {
-		s.Crashes = append(s.Crashes, policysim.Crash{Service: "llm", RunnerIndex: i * 3, At: crashAt, Downtime: crashFor,
-			Silent: p.Dark})
+		s.Crashes = append(s.Crashes, policysim.Crash{Service: "llm", RunnerIndex: i * crashStride, At: crashAt,
+			Downtime: crashFor,
+			Silent:   p.Dark})
 	}
 	return s
 }
--- a/internal/system/configuration/parse_test.go
+++ b/internal/system/configuration/parse_test.go
@@ -103,6 +103,7 @@
 	}
 }
 
+// The function is long since it is one table.
 func TestParseAndValidateRejectsInvalidDocuments(t *testing.T) {
 	swap := func(old, replacement string) string {
 		changed := strings.Replace(sampleDocument, old, replacement, 1)
--- a/internal/system/emulator/day.go
+++ b/internal/system/emulator/emulation.go
@@ -9,7 +9,6 @@
 	"sync"
 	"time"
 
-	"cinderroad/internal/system/configuration"
 	"cinderroad/internal/system/policysim"
 	"cinderroad/internal/testkit/checker"
 	"cinderroad/internal/testkit/client"
@@ -17,18 +16,20 @@
 	"cinderroad/internal/testkit/runner"
 )
 
-// Options describe a day.
+// Options are the settings of an emulation.
 type Options struct {
 	Scenario     *policysim.Scenario
-	EdgeMachines int     // machines that serve clients
-	ProgramDir   string  // folder of the system's programs
-	WorkDir      string  // for settings, logs and disks; empty: a temporary one that goes after a day without a breach
-	Faults       []Fault // that come one after the other, evenly over the day
-	Seed         uint64
-	Out          io.Writer // for progress
+	EdgeMachines int    // number of machines that serve clients
+	ProgramDir   string // directory of the system's programs
+	// WorkDir is for settings, logs and disks. If it is empty, a temporary directory is used, which is removed unless
+	// the emulation or its report is a failure.
+	WorkDir string
+	Faults  []Fault // injected one after the other, at equal distances
+	Seed    uint64
+	Out     io.Writer // for progress
 }
 
-// Bounds of waits.
+// Timeouts and intervals, and properties of the platform.
 const (
 	configurationTimeout = 40 * time.Second
 	readyTimeout         = 40 * time.Second
@@ -40,7 +41,7 @@
 	platformAddress      = "127.2.0.1:0"
 )
 
-// emulation is a day that is played.
+// emulation is the state of a run.
 type emulation struct {
 	options     Options
 	deployment  *deployment
@@ -51,12 +52,13 @@
 	operator    *operator
 	clients     *client.Load
 	routes      map[string]*client.Route // by class
-	inForce     configurationDocument    // that is in force
+	inForce     configurationDocument    // the configuration that was acknowledged last
 	runnerStats []runner.Stats           // of all runners, once they are closed
 	faults      sync.WaitGroup
 }
 
-// Run plays a day.
+// Run runs an emulation and returns its report. An error says that the emulation itself failed; faults of the system
+// are in the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	programs, err := findPrograms(o.ProgramDir)
 	if err != nil {
@@ -106,12 +108,13 @@
 	return e.buildReport(), nil
 }
 
-// startAll starts the stand-ins and the programs.
+// startAll starts the fakes and the programs.
 func (e *emulation) startAll(programs map[program]string) (err error) {
 	if e.deployment, err = planDeployment(e.options.Scenario, e.options.EdgeMachines, e.options.WorkDir); err != nil {
 		return err
 	}
-	e.platform, err = fakeplatform.Start(fakeplatform.Options{Address: platformAddress, Lag: milliseconds(platformLagMS), Page: platformPageSize,
+	e.platform, err = fakeplatform.Start(fakeplatform.Options{Address: platformAddress,
+		Lag: milliseconds(platformLagMS), Page: platformPageSize,
 		RatePerS: platformCallsPerSecond})
 	if err != nil {
 		return err
@@ -140,7 +143,7 @@
 	return []program{proxy, agent}
 }
 
-// submitConfiguration sends the first configuration until it is taken.
+// submitConfiguration sends the first configuration until it is acknowledged.
 func (e *emulation) submitConfiguration(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, configurationTimeout)
 	defer cancel()
@@ -159,11 +162,15 @@
 	defer cancel()
 	began := time.Now()
 	for _, m := range e.deployment.machinesOfClass(edgeClass) {
-		if err := poll(ctx, func() bool { return isReady(ctx, m.addressWithPort(e.deployment.ports.ready).String()) }); err != nil {
+		if err := poll(ctx, func() bool {
+			return isReady(ctx,
+				m.addressWithPort(e.deployment.ports.ready).String())
+		}); err != nil {
 			return fmt.Errorf("%s is not ready after %v: %w", m.name, time.Since(began).Round(time.Second), err)
 		}
 	}
-	e.logEvent("edges ready", "machines", len(e.deployment.machinesOfClass(edgeClass)), "after", time.Since(began).Round(time.Millisecond))
+	e.logEvent("edges ready", "machines", len(e.deployment.machinesOfClass(edgeClass)), "after",
+		time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
@@ -182,7 +189,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// poll waits for a state.
+// poll waits until ok returns true, or until the context ends.
 func poll(ctx context.Context, ok func() bool) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -196,78 +203,6 @@
 	return nil
 }
 
-// runTraffic plays the day's traffic and troubles.
-func (e *emulation) runTraffic(ctx context.Context) {
-	e.routes = make(map[string]*client.Route)
-	for i := range e.options.Scenario.Classes {
-		c := &e.options.Scenario.Classes[i]
-		e.routes[c.Name] = clientRoute(c)
-	}
-	e.clients = client.New(client.Options{Zones: e.deployment.zones, Directories: e.deployment.directories,
-		TTLMax: time.Duration(defaultTiming.TTLMaxS) * time.Second, Referee: e.checker, Seed: e.options.Seed})
-	for i, trouble := range e.options.Faults {
-		e.scheduleFault(ctx, trouble, e.options.Scenario.Duration*time.Duration(i+1)/time.Duration(len(e.options.Faults)+1))
-	}
-	ended := make(chan struct{})
-	go e.reportProgress(ended)
-	e.clients.Run(ctx, e.calls())
-	e.faults.Wait()
-	close(ended)
-}
-
-func clientRoute(c *policysim.Class) *client.Route {
-	r := &client.Route{Name: c.Name, Host: routeHost, Path: pathPrefix(c) + "1", Stream: c.Type == configuration.Streaming,
-		Resumable: c.Resumable,
-		ReadOnly:  c.Type == configuration.ReadOnly, Target: c.LatencyTarget, Gap: c.EventGapTarget, Deadline: c.Deadline, Retries: c.ClientRetries}
-	r.Referee = &checker.Route{Name: c.Name, Services: []string{c.Service}, Homes: c.HomeRegions, Idempotent: r.ReadOnly ||
-		r.Stream && r.Resumable}
-	return r
-}
-
-// calls are the day's traffic.
-func (e *emulation) calls() (calls []*client.Call) {
-	const bytesPerToken = 2
-	for _, generated := range policysim.GenerateTraffic(e.options.Scenario, e.options.Seed) {
-		call := &client.Call{At: generated.At, Route: e.routes[generated.Class.Name], Zone: generated.Zone, TokensIn: generated.PromptTokens(),
-			TokensOut: generated.OutputTokens, Bytes: bytesPerToken * generated.PromptTokens()}
-		if len(generated.Chunks) > 0 {
-			call.Model = modelName
-		}
-		for i, part := range generated.Chunks {
-			if i > 0 {
-				call.Prompt += ","
-			}
-			call.Prompt += fmt.Sprintf("%x:%d", part.ID, part.Tokens)
-		}
-		calls = append(calls, call)
-	}
-	return calls
-}
-
-// reportProgress tells how the day goes.
-func (e *emulation) reportProgress(ended chan struct{}) {
-	began := time.Now()
-	ticker := time.NewTicker(progressInterval)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-ended:
-			return
-		case <-ticker.C:
-		}
-		for _, p := range e.processes {
-			p.samplePeakMemory()
-		}
-		t := e.clients.Tally()
-		inTime, refused, failed := 0, 0, 0
-		for _, r := range t.Routes {
-			inTime, refused, failed = inTime+r.InTime, refused+r.Refused, failed+r.Failed
-		}
-		e.logEvent("serving", "at", time.Since(began).Round(progressPrecision), "calls", t.Calls, "in_time", inTime, "late", t.Served-inTime,
-			"refused", refused, "failed", failed, "retries", t.Retries, "breaches", len(e.checker.Breaches()))
-	}
-}
-
 // logEvent writes one line of key=value pairs.
 func (e *emulation) logEvent(event string, pairs ...any) {
 	line := fmt.Sprintf("event=%q", event)
@@ -277,7 +212,7 @@
 	fmt.Fprintln(e.options.Out, line)
 }
 
-// verifyConfiguration reads the configuration back.
+// verifyConfiguration compares the configuration in force with the one that was acknowledged last.
 func (e *emulation) verifyConfiguration(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -291,7 +226,7 @@
 	}
 }
 
-// stopAll ends the programs, all at once.
+// stopAll stops all programs at once, and then the fakes. It may be called again.
 func (e *emulation) stopAll() {
 	var group sync.WaitGroup
 	for _, p := range e.processes {
--- a/internal/system/emulator/trouble.go
+++ b/internal/system/emulator/faults.go
@@ -12,32 +12,33 @@
 	"cinderroad/internal/testkit/runner"
 )
 
-// Fault is something that happens during a day.
+// Fault is a kind of fault, or of planned operation, that can be injected.
 type Fault string
 
-// The troubles.
+// The faults.
 const (
-	DrainRunner         Fault = "drain"        // a runner leaves as announced, and is replaced
-	DrainAtShortNotice  Fault = "short-notice" // a runner is taken away two seconds after it is announced
-	CrashRunner         Fault = "crash"        // a runner ends, and comes back cold
-	SilenceRunner       Fault = "dark"         // a runner says nothing any more, and comes back cold
+	DrainRunner         Fault = "drain"        // a runner is drained as announced, and is replaced
+	DrainAtShortNotice  Fault = "short-notice" // the same, but it ends two seconds after the announcement
+	CrashRunner         Fault = "crash"        // a runner ends, and is replaced by one in slow start
+	SilenceRunner       Fault = "dark"         // a runner stops responding without closing its connections, and is replaced
 	ChangeConfiguration Fault = "config"       // a route is added
-	EvacuateZone        Fault = "evacuate"     // a zone is emptied for some seconds
+	EvacuateZone        Fault = "evacuate"     // a zone is evacuated for some seconds
 	KillControl         Fault = "kill-control"
 	KillProxy           Fault = "kill-proxy"
 	KillAgent           Fault = "kill-agent"
 	StopProxy           Fault = "stop-proxy" // with SIGTERM
-	CorruptResponses    Fault = "spoil"      // runners spoil some of their answers in all ways there are
+	CorruptResponses    Fault = "spoil"      // runners corrupt some of their responses in all ways that the fake knows
 )
 
-// Faults are all there are.
+// Faults returns all faults.
 func Faults() []Fault {
-	return []Fault{DrainRunner, DrainAtShortNotice, CrashRunner, SilenceRunner, ChangeConfiguration, EvacuateZone, KillControl,
+	return []Fault{DrainRunner, DrainAtShortNotice, CrashRunner, SilenceRunner, ChangeConfiguration, EvacuateZone,
+		KillControl,
 		KillProxy, KillAgent,
 		StopProxy, CorruptResponses}
 }
 
-// ParseFault reads a name.
+// ParseFault returns the fault with the name.
 func ParseFault(name string) (Fault, error) {
 	if t := Fault(name); slices.Contains(Faults(), t) {
 		return t, nil
@@ -54,40 +55,40 @@
 	corruptionTime    = 8 * time.Second
 )
 
-// corruption are the shares of answers that are spoilt.
+// corruption holds the shares of responses that are corrupted in each way.
 var corruption = runner.Faults{BreakOff: 0.03, Extra: 0.03, ExtraLate: 0.03, Garbage: 0.02, Silent: 0.01, Reset: 0.03,
 	Close: 0.03}
 
-// scheduleFault has a trouble come at a time.
-func (e *emulation) scheduleFault(ctx context.Context, t Fault, at time.Duration) {
+// scheduleFault injects a fault after a delay; emulation.faults waits for it.
+func (e *emulation) scheduleFault(ctx context.Context, fault Fault, delay time.Duration) {
 	e.faults.Add(1)
 	go func() {
 		defer e.faults.Done()
-		timer := time.NewTimer(at)
+		timer := time.NewTimer(delay)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			return
 		}
-		e.logEvent("trouble", "kind", t)
-		if err := e.injectFault(ctx, t); err != nil {
-			e.logEvent("trouble failed", "kind", t, "error", err)
+		e.logEvent("trouble", "kind", fault)
+		if err := e.injectFault(ctx, fault); err != nil {
+			e.logEvent("trouble failed", "kind", fault, "error", err)
 		}
 	}()
 }
 
-func (e *emulation) injectFault(ctx context.Context, t Fault) error {
-	engines := e.options.Scenario.Services[0].Name
-	switch t {
+func (e *emulation) injectFault(ctx context.Context, fault Fault) error {
+	engineService := e.options.Scenario.Services[0].Name
+	switch fault {
 	case DrainRunner:
-		e.runners.drain(e.runners.pickRunner(engines), 0)
+		e.runners.drain(e.runners.pickRunner(engineService), 0)
 	case DrainAtShortNotice:
-		e.runners.drain(e.runners.pickRunner(engines), terminationNotice)
+		e.runners.drain(e.runners.pickRunner(engineService), terminationNotice)
 	case CrashRunner:
-		e.runners.crash(e.runners.pickRunner(engines), false, crashDowntime)
+		e.runners.crash(e.runners.pickRunner(engineService), false, crashDowntime)
 	case SilenceRunner:
-		e.runners.crash(e.runners.pickRunner(engines), true, crashDowntime)
+		e.runners.crash(e.runners.pickRunner(engineService), true, crashDowntime)
 	case ChangeConfiguration:
 		return e.addRoute(ctx)
 	case EvacuateZone:
@@ -106,18 +107,18 @@
 	return nil
 }
 
-// firstProcess is the first process of a program.
+// firstProcess returns the first process of a program.
 func (e *emulation) firstProcess(p program) *process {
 	return e.processes[slices.IndexFunc(e.processes, func(proc *process) bool { return proc.program == p })]
 }
 
-// evacuate empties the last zone for some time.
+// evacuate evacuates the last zone for some time.
 func (e *emulation) evacuate(ctx context.Context) error {
 	zone := e.deployment.zoneNames[len(e.deployment.zoneNames)-1]
 	operator := e.deployment.operator()
-	order, cancel := context.WithTimeout(ctx, milliseconds(defaultTiming.AckWithinMS))
+	orderCtx, cancel := context.WithTimeout(ctx, milliseconds(defaultTiming.AckWithinMS))
 	defer cancel()
-	if err := operator.setEvacuation(order, zone, true); err != nil {
+	if err := operator.setEvacuation(orderCtx, zone, true); err != nil {
 		return err
 	}
 	e.checker.Evacuated(zone, time.Now())
@@ -129,23 +130,24 @@
 	case <-ctx.Done():
 	}
 	e.checker.Restored(zone)
-	order, cancel = context.WithTimeout(ctx, milliseconds(defaultTiming.AckWithinMS))
+	orderCtx, cancel = context.WithTimeout(ctx, milliseconds(defaultTiming.AckWithinMS))
 	defer cancel()
-	return operator.setEvacuation(order, zone, false)
+	return operator.setEvacuation(orderCtx, zone, false)
 }
 
-// addRoute adds a route, and asks each edge machine for it once it has to be in force.
+// addRoute adds a route, and calls it on each edge machine once it must be in force there.
 func (e *emulation) addRoute(ctx context.Context) error {
 	class := e.options.Scenario.Classes[len(e.options.Scenario.Classes)-1]
 	class.Name = "added"
 	route := clientRoute(&class)
 	operator := e.deployment.operator()
-	order, cancel := context.WithTimeout(ctx, milliseconds(defaultTiming.AckWithinMS))
+	orderCtx, cancel := context.WithTimeout(ctx, milliseconds(defaultTiming.AckWithinMS))
 	defer cancel()
 	version := e.inForce.Version + versionStep
 	item := routeDocumentOf(&class)
 	began := time.Now()
-	err := operator.changeConfiguration(order, changeDocument{Version: version, Replace: changedItems{Routes: []routeDocument{item}}},
+	err := operator.changeConfiguration(orderCtx, changeDocument{Version: version,
+		Replace: changedItems{Routes: []routeDocument{item}}},
 		e.inForce.Version)
 	if err != nil {
 		return err
@@ -166,11 +168,12 @@
 	return nil
 }
 
-// probe asks one edge machine for a route.
+// probe calls a route on one edge machine.
 func (e *emulation) probe(ctx context.Context, m *machine, route *client.Route) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	load := client.New(client.Options{Zones: e.deployment.zones, Clients: 1, Front: m.addressWithPort(e.deployment.ports.front).String(),
+	load := client.New(client.Options{Zones: e.deployment.zones, Clients: 1,
+		Front:   m.addressWithPort(e.deployment.ports.front).String(),
 		Referee: e.checker,
 		Seed:    e.options.Seed + uint64(m.ip.As4()[2])<<8 + uint64(m.ip.As4()[3])})
 	load.Call(ctx, load.Client(m.zone, 0), &client.Call{Route: route, Zone: m.zone, Bytes: 100})
--- a/internal/system/emulator/runners.go
+++ b/internal/system/emulator/fleet.go
@@ -22,11 +22,12 @@
 	connectionCloseShare = 0.01
 	reportLag            = 100 * time.Millisecond
 	plainBodyBytes       = 800
-	delistDelay          = 3 * time.Second // that a runner that has crashed stays on the list
-	extraDrainTime       = time.Second     // that a draining runner serves for longer than it has to
+	delistDelay          = 3 * time.Second // for which a crashed runner stays on the platform's list
+	extraDrainTime       = time.Second     // for which a draining runner serves beyond the required time
 )
 
-// runnerFleet are the runners of all services, and the list that names them.
+// runnerFleet is the runners of all services. It keeps the platform's list in step with them. The timers that it sets
+// may fire after close; they start no runners then.
 type runnerFleet struct {
 	scenario *policysim.Scenario
 	platform *fakeplatform.Cloud
@@ -34,21 +35,22 @@
 	zones    map[string]string
 
 	mu           sync.Mutex
-	count        int
+	count        int // runners that were started
 	running      []*runner.Runner
-	entries      map[string]fakeplatform.Entry
-	services     map[string]*policysim.Service // of a runner
-	stoppedStats []runner.Stats
+	entries      map[string]fakeplatform.Entry // of the platform's list, by the runner's id
+	services     map[string]*policysim.Service // by the runner's id
+	stoppedStats []runner.Stats                // of runners that have ended
 	closed       bool
 }
 
-// errFleetClosed says that the day is over.
+// errFleetClosed says that the emulation has ended.
 var errFleetClosed = errors.New("the runners have been closed")
 
 // startFleet starts the runners of all services.
 func startFleet(scenario *policysim.Scenario, zones map[string]string, platform *fakeplatform.Cloud,
 	referee *checker.Referee) (*runnerFleet, error) {
-	f := &runnerFleet{scenario: scenario, platform: platform, checker: referee, zones: zones, entries: make(map[string]fakeplatform.Entry),
+	f := &runnerFleet{scenario: scenario, platform: platform, checker: referee, zones: zones,
+		entries:  make(map[string]fakeplatform.Entry),
 		services: make(map[string]*policysim.Service)}
 	for i := range scenario.Services {
 		for _, zone := range scenario.Zones {
@@ -62,8 +64,9 @@
 	return f, nil
 }
 
-// startRunner starts a runner that is cold for a while.
-func (f *runnerFleet) startRunner(service *policysim.Service, zone string, slowStart time.Duration) (*runner.Runner, error) {
+// startRunner starts a runner, which is in slow start for the given time.
+func (f *runnerFleet) startRunner(service *policysim.Service, zone string, slowStart time.Duration) (*runner.Runner,
+	error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
@@ -78,7 +81,8 @@
 	if err != nil {
 		return nil, err
 	}
-	entry := fakeplatform.Entry{ID: o.ID, Service: service.Name, Address: r.Address(), Zone: zone, Capacity: service.Slots}
+	entry := fakeplatform.Entry{ID: o.ID, Service: service.Name, Address: r.Address(), Zone: zone,
+		Capacity: service.Slots}
 	if service.Engine != nil {
 		entry.Capacity, entry.Model = service.Engine.Slots, modelName
 	}
@@ -92,12 +96,14 @@
 	return r, nil
 }
 
-// runnerOptions describe the next runner; runners are at addresses of their own, beside those of machines.
+// runnerOptions returns the options of the next runner. Runners have addresses of their own, beside those of the
+// machines.
 func (f *runnerFleet) runnerOptions(s *policysim.Service, zone string) (o runner.Options, err error) {
 	o = runner.Options{
 		Runner:  checker.Runner{ID: fmt.Sprintf("i-%04x", f.count), Service: s.Name, Zone: zone, Region: f.zones[zone]},
-		Address: fmt.Sprintf("127.1.%d.%d:0", f.count/250, 1+f.count%250), HealthPath: healthPath, MaxConns: s.MaxConnections,
-		IdleFor: runnerIdleTimeout, CloseShare: connectionCloseShare, ReportLag: reportLag, Cold: defaultTiming.slowStart(s.SlowStartRate),
+		Address: fmt.Sprintf("127.1.%d.%d:0", f.count/250, 1+f.count%250), HealthPath: healthPath,
+		MaxConns: s.MaxConnections, IdleFor: runnerIdleTimeout, CloseShare: connectionCloseShare, ReportLag: reportLag,
+		Cold:    defaultTiming.slowStart(s.SlowStartRate),
 		Referee: f.checker,
 		Seed:    uint64(f.count), BodyBytes: plainBodyBytes,
 	}
@@ -111,7 +117,7 @@
 	return o, err
 }
 
-// workSampler draws the work of a plain service's requests.
+// workSampler returns a function that draws the work of a request to a service without an engine.
 func (f *runnerFleet) workSampler(service string) func(*rand.Rand) time.Duration {
 	for i := range f.scenario.Classes {
 		if c := &f.scenario.Classes[i]; c.Service == service {
@@ -123,7 +129,7 @@
 	return nil
 }
 
-// pickRunner is a running runner of a service.
+// pickRunner returns a running runner of a service that is not draining.
 func (f *runnerFleet) pickRunner(service string) *runner.Runner {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,7 +141,8 @@
 	return nil
 }
 
-// drain lets a runner leave as the platform does: it says so first, serves on for a while, and is replaced.
+// drain ends a runner as the platform does: it announces the end, lets the runner serve on for a while, or for the
+// given notice if that is above 0, and replaces it.
 func (f *runnerFleet) drain(r *runner.Runner, notice time.Duration) {
 	f.mu.Lock()
 	entry := f.entries[r.ID()]
@@ -158,7 +165,7 @@
 	})
 }
 
-// crash ends a runner without a word; the list shows it for some time.
+// crash ends a runner abruptly; the platform's list shows it for some time. A replacement starts after the downtime.
 func (f *runnerFleet) crash(r *runner.Runner, silent bool, downtime time.Duration) {
 	f.removeRunning(r)
 	if silent {
@@ -173,7 +180,7 @@
 	})
 }
 
-// corruptResponses has all runners spoil some answers for a while, those of plain services and of engines alike.
+// corruptResponses has all runners corrupt some of their responses for a while.
 func (f *runnerFleet) corruptResponses(faults runner.Faults, duration time.Duration) {
 	f.setFaults(faults)
 	time.AfterFunc(duration, func() { f.setFaults(runner.Faults{}) })
@@ -187,15 +194,16 @@
 	}
 }
 
-// startReplacement starts another incarnation in place of one that is gone.
+// startReplacement starts another incarnation in place of a runner that has ended.
 func (f *runnerFleet) startReplacement(r *runner.Runner) {
 	f.mu.Lock()
 	s, zone := f.services[r.ID()], f.entries[r.ID()].Zone
 	f.mu.Unlock()
-	_, _ = f.startRunner(s, zone, s.SlowStartDuration) // one that does not start is one that is missing
+	_, _ = f.startRunner(s, zone,
+		s.SlowStartDuration) // a runner that does not start is missing, which the system has to bear
 }
 
-// removeRunning takes a runner from those that run.
+// removeRunning removes a runner from the running ones.
 func (f *runnerFleet) removeRunning(r *runner.Runner) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -208,7 +216,7 @@
 	}
 }
 
-// close ends all runners and returns what they counted.
+// close ends all runners and returns the statistics of all that ever ran.
 func (f *runnerFleet) close() []runner.Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/system/emulator/runners_test.go
+++ b/internal/system/emulator/fleet_test.go
@@ -12,7 +12,7 @@
 	"cinderroad/internal/testkit/runner"
 )
 
-// newTestFleet starts the runners of a scenario, under a referee without any slack.
+// newTestFleet starts the runners of a scenario, with a checker that allows no slack.
 func newTestFleet(t *testing.T) *runnerFleet {
 	t.Helper()
 	list, err := fakeplatform.Start(fakeplatform.Options{Address: "127.0.0.1:0"})
@@ -30,7 +30,7 @@
 	return rs
 }
 
-// request sends a request with an id straight to a runner.
+// request sends a request with an id directly to a runner.
 func (f *runnerFleet) request(t *testing.T, r *runner.Runner, id string, route *checker.Route) int {
 	t.Helper()
 	q, err := http.NewRequest(http.MethodPost, "http://"+r.Address().String()+"/lookup/1", strings.NewReader("x"))
@@ -58,7 +58,8 @@
 		do   func(t *testing.T, rs *runnerFleet, r *runner.Runner)
 		want checker.Rule
 	}{
-		{"a proper request", func(t *testing.T, rs *runnerFleet, r *runner.Runner) { rs.request(t, r, "1", lookups) }, ""},
+		{"a proper request", func(t *testing.T, rs *runnerFleet, r *runner.Runner) { rs.request(t, r, "1", lookups) },
+			""},
 		{"one that nobody sent", func(t *testing.T, rs *runnerFleet, r *runner.Runner) { rs.request(t, r, "1", nil) },
 			checker.Unasked},
 		{"one that runs twice", func(t *testing.T, rs *runnerFleet, r *runner.Runner) {
--- a/internal/system/emulator/operator.go
+++ b/internal/system/emulator/operator.go
@@ -8,97 +8,9 @@
 	"io"
 	"net/http"
 	"time"
-
-	"cinderroad/internal/system/configuration"
-	"cinderroad/internal/system/policysim"
 )
 
-// configurationDocument is a whole configuration.
-type configurationDocument struct {
-	Version  int              `json:"version"`
-	Routes   []routeDocument  `json:"routes"`
-	Services []map[string]any `json:"services"`
-	Limits   map[string]int   `json:"limits"`
-}
-
-type routeDocument struct {
-	Name        string   `json:"name"`
-	Host        string   `json:"host"`
-	PathStart   string   `json:"path_start"`
-	Type        string   `json:"type"`
-	TimeoutMS   int64    `json:"timeout_ms"`
-	TargetMS    int64    `json:"target_ms"`
-	Rank        int      `json:"rank"`
-	Service     string   `json:"service"`
-	Tries       int      `json:"tries"`
-	PinCache    bool     `json:"pin_cache,omitempty"`
-	Resumable   bool     `json:"resumable,omitempty"`
-	GapAimMS    int64    `json:"gap_aim_ms,omitempty"`
-	HomeRegions []string `json:"home_regions"`
-}
-
-// changeDocument alters items by name.
-type changeDocument struct {
-	Version int          `json:"version"`
-	Replace changedItems `json:"replace"`
-}
-
-type changedItems struct {
-	Routes []routeDocument `json:"routes"`
-}
-
-// routeHost is that of all routes.
-const routeHost = "screening.example"
-
-func pathPrefix(c *policysim.Class) string { return "/" + c.Name + "/" }
-
-// typeName is a route's type on the wire.
-func typeName(t configuration.RouteType) string {
-	switch t {
-	case configuration.ReadOnly:
-		return "read_only"
-	case configuration.ReadWrite:
-		return "writes"
-	}
-	return "streaming"
-}
-
-func routeDocumentOf(c *policysim.Class) routeDocument {
-	r := routeDocument{Name: "r-" + c.Name, Host: routeHost, PathStart: pathPrefix(c), Type: typeName(c.Type),
-		TimeoutMS: c.Deadline.Milliseconds(),
-		TargetMS:  c.LatencyTarget.Milliseconds(), Rank: c.Rank, Service: c.Service, Tries: c.MaxAttempts, HomeRegions: []string{}}
-	if c.Type == configuration.Streaming {
-		r.PinCache, r.Resumable, r.GapAimMS = true, c.Resumable, c.EventGapTarget.Milliseconds()
-	}
-	r.HomeRegions = append(r.HomeRegions, c.HomeRegions...)
-	return r
-}
-
-func serviceDocumentOf(s *policysim.Service) map[string]any {
-	service := map[string]any{"name": s.Name, "health_path": healthPath, "max_conns": s.MaxConnections, "protocol": "h1",
-		"use_tls":    false,
-		"cold_for_s": s.SlowStartDuration.Seconds(), "cold_rate_s": s.SlowStartRate}
-	if e := s.Engine; e != nil {
-		service["backend"] = map[string]any{"capacity": e.Slots, "cache_tokens": e.MemoryTokens, "token_cache_bytes": 327680,
-			"link_mbps": 550000.0, "stride": e.StrideTokens, "models": []map[string]string{{"name": modelName}}}
-	}
-	return service
-}
-
-func configurationDocumentOf(s *policysim.Scenario, version int) configurationDocument {
-	d := configurationDocument{Version: version, Limits: map[string]int{"max_header_bytes": 16384, "max_body_bytes": 4 << 20,
-		"header_wait_ms": 3000,
-		"idle_limit_ms":  15000}}
-	for i := range s.Classes {
-		d.Routes = append(d.Routes, routeDocumentOf(&s.Classes[i]))
-	}
-	for i := range s.Services {
-		d.Services = append(d.Services, serviceDocumentOf(&s.Services[i]))
-	}
-	return d
-}
-
-// Paths of the operator's interface.
+// Paths and headers of the control API, and bounds of calls.
 const (
 	replacePath     = "/-/Settings.Replace"
 	changePath      = "/-/Settings.Change"
@@ -122,19 +34,19 @@
 	return &operator{addresses: d.seedAddresses(), client: http.Client{Timeout: operatorTimeout}}
 }
 
-// rejectedError says that an order was turned down.
+// rejectedError says that an order was rejected for good.
 type rejectedError struct {
 	Path   string
 	Status int
 	Text   string
 }
 
-// Error says what was answered.
+// Error names the order, the status and the response.
 func (e *rejectedError) Error() string {
 	return fmt.Sprintf("operator: %s was answered with %d: %s", e.Path, e.Status, e.Text)
 }
 
-// send sends an order until it has a clear answer.
+// send sends an order, to one control machine after the other and with backoff, until it has a final response.
 func (o *operator) send(ctx context.Context, method, path string, base int, body []byte) ([]byte, error) {
 	wait := minBackoff
 	for {
@@ -157,7 +69,7 @@
 	}
 }
 
-// isFinal says whether a status ends an order.
+// isFinal reports whether an error status ends an order: sent again it would be rejected again.
 func isFinal(status int) bool {
 	switch status {
 	case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge,
@@ -187,7 +99,7 @@
 	return text, response.StatusCode, err
 }
 
-// replaceConfiguration sends a whole configuration.
+// replaceConfiguration sends a whole configuration that is based on the given version.
 func (o *operator) replaceConfiguration(ctx context.Context, d configurationDocument, base int) error {
 	body, err := json.Marshal(d)
 	if err != nil {
@@ -197,7 +109,7 @@
 	return err
 }
 
-// changeConfiguration sends a change of items.
+// changeConfiguration sends a change that is based on the given version.
 func (o *operator) changeConfiguration(ctx context.Context, c changeDocument, base int) error {
 	body, err := json.Marshal(c)
 	if err != nil {
@@ -207,7 +119,7 @@
 	return err
 }
 
-// readConfiguration reads the configuration in force.
+// readConfiguration returns the configuration in force.
 func (o *operator) readConfiguration(ctx context.Context) (*configurationDocument, error) {
 	text, err := o.send(ctx, http.MethodGet, readPath, 0, nil)
 	if err != nil {
@@ -220,7 +132,7 @@
 	return &d, nil
 }
 
-// setEvacuation empties a zone, or takes that back.
+// setEvacuation begins or ends the evacuation of a zone.
 func (o *operator) setEvacuation(ctx context.Context, zone string, begin bool) error {
 	path := finishPath
 	if begin {
--- a/internal/system/emulator/process.go
+++ b/internal/system/emulator/process.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// settingsVariable tells a process where its settings are.
+// settingsVariable is the environment variable with the path of a process's settings file.
 const settingsVariable = "CINDERROAD_SETTINGS"
 
-// restartDelay is how long the platform takes to start a process that has ended.
+// restartDelay is how long the platform takes to restart a process.
 const restartDelay = 300 * time.Millisecond
 
-// process is one program on one machine. It is started again whenever it ends, until it is stopped.
+// process is one program on one machine. It is restarted whenever it ends, until it is stopped.
 type process struct {
 	deployment *deployment
 	machine    *machine
@@ -29,11 +29,11 @@
 	mu             sync.Mutex
 	command        *exec.Cmd
 	restart        bool
-	endExpected    bool          // the next end was asked for
-	done           chan struct{} // closed when it will not be started again
+	endExpected    bool          // a signal was sent that ends it
+	done           chan struct{} // closed when it will not be restarted
 	starts         int
-	unexpectedEnds int   // that nobody asked for
-	peakKB         int64 // kilobytes, as far as it was looked at
+	unexpectedEnds int   // without a signal
+	peakKB         int64 // greatest resident memory of all samples
 }
 
 // startProcess starts a program on a machine.
@@ -43,7 +43,8 @@
 	if err != nil {
 		return nil, err
 	}
-	proc := &process{deployment: d, machine: m, program: p, path: path, log: log, restart: true, done: make(chan struct{})}
+	proc := &process{deployment: d, machine: m, program: p, path: path, log: log, restart: true,
+		done: make(chan struct{})}
 	if err := proc.start(); err != nil {
 		log.Close()
 		return nil, fmt.Errorf("%s on %s: %w", p, m.name, err)
@@ -68,7 +69,7 @@
 	return p.command.Start()
 }
 
-// supervise starts the process again whenever it ends.
+// supervise restarts the process whenever it ends. It is the owner of the log file.
 func (p *process) supervise() {
 	defer close(p.done)
 	defer p.log.Close()
@@ -91,7 +92,7 @@
 	}
 }
 
-// signal sends the process a signal; an end that follows was asked for.
+// signal sends the process a signal. An end that follows is expected.
 func (p *process) signal(signal syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,7 +104,8 @@
 	return err
 }
 
-// stop ends the process for good: with SIGTERM, and with SIGKILL after the grace period.
+// stop ends the process for good: with SIGTERM, and with SIGKILL after the grace period. It returns once the process
+// has ended.
 func (p *process) stop(grace time.Duration) {
 	p.mu.Lock()
 	p.restart = false
@@ -121,7 +123,7 @@
 	<-p.done
 }
 
-// samplePeakMemory looks at the most memory that the present life has taken.
+// samplePeakMemory reads the peak of resident memory of the present incarnation.
 func (p *process) samplePeakMemory() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,7 +139,7 @@
 	}
 }
 
-// peakMB is the most memory that one of its lives took.
+// peakMB returns the peak of resident memory of all incarnations.
 func (p *process) peakMB() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,7 +147,7 @@
 	return float64(p.peakKB) / kilobytes
 }
 
-// findPrograms looks for the programs in a folder.
+// findPrograms returns the paths of the programs in a directory.
 func findPrograms(folder string) (map[program]string, error) {
 	paths := make(map[program]string)
 	for _, p := range []program{proxy, agent, control} {
--- a/internal/system/emulator/report.go
+++ b/internal/system/emulator/report.go
@@ -12,25 +12,25 @@
 	"cinderroad/internal/testkit/runner"
 )
 
-// Report is what became of a day.
+// Report is the result of an emulation.
 type Report struct {
 	Clients          client.Tally
 	Runners          []runner.Stats
 	Platform         fakeplatform.Stats
-	RepeatedRequests int // requests that a runner was sent although another had been
+	RepeatedRequests int // requests that were sent to another runner after a first one
 	Processes        []ProcessReport
 	Breaches         []checker.Breach
-	LogDir           string // of logs, if it is kept
+	LogDir           string // directory of the logs; empty: it was removed
 }
 
-// ProcessReport is what became of a process.
+// ProcessReport is the result of a process.
 type ProcessReport struct {
 	Machine, Program       string
-	PeakMB                 float64 // resident, of the largest of its lives
+	PeakMB                 float64 // resident memory, over all incarnations
 	Starts, UnexpectedEnds int
 }
 
-// Failed says whether a rule was broken or a process has ended by itself.
+// Failed reports whether a rule was broken or a process ended unexpectedly.
 func (r *Report) Failed() bool {
 	for _, p := range r.Processes {
 		if p.UnexpectedEnds > 0 {
@@ -40,14 +40,15 @@
 	return len(r.Breaches) > 0
 }
 
-// Bounds of requests that may be denied.
+// Limits of requests that may be denied: maxDenied, and one in deniedDivisor calls.
 const (
 	maxDenied     = 5
-	deniedDivisor = 500 // one in so many
+	deniedDivisor = 500
 )
 
 func (e *emulation) buildReport() *Report {
-	report := &Report{Clients: e.clients.Tally(), Runners: e.runnerStats, Platform: e.platform.Stats(), RepeatedRequests: e.checker.Repeats()}
+	report := &Report{Clients: e.clients.Tally(), Runners: e.runnerStats, Platform: e.platform.Stats(),
+		RepeatedRequests: e.checker.Repeats()}
 	denied := 0
 	for _, route := range report.Clients.Routes {
 		denied += route.Denied
@@ -69,15 +70,17 @@
 	return report
 }
 
-// Print writes the report as tables.
+// Print writes the report as tables, followed by a line for each broken rule.
 func (r *Report) Print(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "route\tcalls\tin time\tlate\trefused\tfailed\tdenied\tfirst p50\tp95\tp99\t")
 	for i := range r.Clients.Routes {
-		t := &r.Clients.Routes[i]
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t%v\t\n", t.Name, t.Calls, t.InTime, t.Late, t.Refused,
-			t.Failed, t.Denied,
-			t.First(0.5).Round(time.Millisecond), t.First(0.95).Round(time.Millisecond), t.First(0.99).Round(time.Millisecond))
+		tally := &r.Clients.Routes[i]
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t%v\t\n", tally.Name, tally.Calls, tally.InTime,
+			tally.Late, tally.Refused,
+			tally.Failed, tally.Denied,
+			tally.First(0.5).Round(time.Millisecond), tally.First(0.95).Round(time.Millisecond),
+			tally.First(0.99).Round(time.Millisecond))
 	}
 	fmt.Fprintln(table, "\t\t\t\t\t\t\t\t\t\t")
 	fmt.Fprintln(table, "machine\tprogram\tpeak MB\tstarts\town ends\t")
@@ -88,8 +91,8 @@
 		return err
 	}
 	r.printTotals(out)
-	for _, b := range r.Breaches {
-		fmt.Fprintln(out, b)
+	for _, breach := range r.Breaches {
+		fmt.Fprintln(out, breach)
 	}
 	if r.LogDir != "" {
 		fmt.Fprintf(out, "logs=%s\n", r.LogDir)
@@ -98,26 +101,28 @@
 }
 
 func (r *Report) printTotals(out io.Writer) {
-	var s runner.Stats
-	for _, one := range r.Runners {
-		s.Requests += one.Requests
-		s.Rejected += one.Rejected
-		s.Misplaced += one.Misplaced
-		s.Connected += one.Connected
-		s.TurnedAway += one.TurnedAway
-		s.Probes += one.Probes
-		s.Faults += one.Faults
-		s.Machine.Prefilled += one.Machine.Prefilled
-		s.Machine.Preemptions += one.Machine.Preemptions
+	var total runner.Stats
+	for _, stats := range r.Runners {
+		total.Requests += stats.Requests
+		total.Rejected += stats.Rejected
+		total.Misplaced += stats.Misplaced
+		total.Connected += stats.Connected
+		total.TurnedAway += stats.TurnedAway
+		total.Probes += stats.Probes
+		total.Faults += stats.Faults
+		total.Machine.Prefilled += stats.Machine.Prefilled
+		total.Machine.Preemptions += stats.Machine.Preemptions
 	}
 	fmt.Fprintf(out,
 		"runner_requests=%d rejected=%d misplaced=%d connections=%d connections_reset=%d probes=%d "+
 			"faults=%d prefilled=%d preempted=%d\n",
-		s.Requests, s.Rejected, s.Misplaced, s.Connected, s.TurnedAway, s.Probes, s.Faults, s.Machine.Prefilled,
-		s.Machine.Preemptions)
+		total.Requests, total.Rejected, total.Misplaced, total.Connected, total.TurnedAway, total.Probes, total.Faults,
+		total.Machine.Prefilled,
+		total.Machine.Preemptions)
 	fmt.Fprintf(out,
 		"retries=%d repeats=%d unreached=%d lookups=%d failed_lookups=%d statuses=%v "+
 			"cloud_calls=%d cloud_refused=%d breaches=%d\n",
-		r.Clients.Retries, r.RepeatedRequests, r.Clients.Unreached, r.Clients.Lookups, r.Clients.FailedLookups, r.Clients.Statuses,
+		r.Clients.Retries, r.RepeatedRequests, r.Clients.Unreached, r.Clients.Lookups, r.Clients.FailedLookups,
+		r.Clients.Statuses,
 		r.Platform.Calls, r.Platform.Refused, len(r.Breaches))
 }
--- /dev/null
+++ b/internal/system/emulator/report_test.go
@@ -0,0 +1,20 @@
+package emulator
+
+import (
+	"bytes"
+	"strings"
+	"testing"
+
+	"cinderroad/internal/testkit/checker"
+)
+
+func TestReportFailedOnBreach(t *testing.T) {
+	r := &Report{Breaches: []checker.Breach{{Rule: checker.Twice, What: "try 1 ran 2 times"}}}
+	if !r.Failed() || (&Report{}).Failed() {
+		t.Error("a day fails by a breach, and only then")
+	}
+	var out bytes.Buffer
+	if err := r.Print(&out); err != nil || !strings.Contains(out.String(), "rule=TWICE") {
+		t.Errorf("%v: %s", err, out.String())
+	}
+}
--- a/internal/system/emulator/settings.go
+++ b/internal/system/emulator/settings.go
@@ -10,7 +10,7 @@
 	"cinderroad/internal/testkit/engine"
 )
 
-// settings is the settings file of a process.
+// settings is the settings file of a process, in the form that package processconfig reads.
 type settings struct {
 	Node         string            `json:"node"`
 	Role         string            `json:"role"`
@@ -89,7 +89,7 @@
 	RetryWindowS: 10,
 	RetryExtra:   54, ColdExcess: 1.5, ColdSlack: 5, EvacuateMS: 5000, RecoveryS: 12, PassMS: 300, TTLMaxS: 5}
 
-// slowStartFailureFactor is the multiple of its rate at which an emulated cold runner falls over.
+// slowStartFailureFactor is the multiple of its rate at which an emulated runner in slow start crashes.
 const slowStartFailureFactor = 4
 
 func (t *timing) slowStart(rate float64) engine.Cold {
@@ -106,25 +106,30 @@
 	diskMB                 = 128
 )
 
-// settingsOf describes one process of a machine.
-func (d *deployment) settingsOf(m *machine, p program, first bool) settings {
+// settingsOf returns the settings of a process on a machine.
+func (d *deployment) settingsOf(m *machine, p program, firstBoot bool) settings {
 	s := settings{
 		Node: m.name, Role: string(p), MachineClass: m.class, ServesRoles: []string{}, IP: m.ip, Zone: m.zone,
 		Region: d.zones[m.zone],
-		Zones:  d.zones, ListenOn: map[string]string{}, FreePorts: [2]uint16{d.ports.firstFree, d.ports.firstFree + freePortCount - 1},
-		SeedNodes: d.seedAddresses(), FirstBoot: first, FoundVia: "cloud_api", EntryKind: "directory", BeatEvery: 1200,
-		Promises: []string{"base", "drain", "config", "cost", "retry", "recover", "engine", "stream", "places"},
-		Limits:   limits{CPUFraction: 1, CPUCores: 1, RAMMB: ramMB, OpenFiles: openFiles, LinkMbps: 1000},
-		Survive:  survive{MachineLosses: 1, Zones: 1}, Timing: defaultTiming,
-		CloudAPI: cloudAPI{Address: d.platformAddress.String(), RatePerS: platformCallsPerSecond, Jobs: []string{}, MaxLagMS: platformLagMS},
+		Zones:  d.zones, ListenOn: map[string]string{}, FreePorts: [2]uint16{d.ports.firstFree,
+			d.ports.firstFree + freePortCount - 1},
+		SeedNodes: d.seedAddresses(), FirstBoot: firstBoot, FoundVia: "cloud_api", EntryKind: "directory",
+		BeatEvery: 1200,
+		Promises:  []string{"base", "drain", "config", "cost", "retry", "recover", "engine", "stream", "places"},
+		Limits:    limits{CPUFraction: 1, CPUCores: 1, RAMMB: ramMB, OpenFiles: openFiles, LinkMbps: 1000},
+		Survive:   survive{MachineLosses: 1, Zones: 1}, Timing: defaultTiming,
+		CloudAPI: cloudAPI{Address: d.platformAddress.String(), RatePerS: platformCallsPerSecond, Jobs: []string{},
+			MaxLagMS: platformLagMS},
 	}
 	switch p {
 	case proxy:
 		s.ServesRoles = []string{"edge"}
-		s.ListenOn["front"], s.ListenOn["ready"] = m.addressWithPort(d.ports.front).String(), m.addressWithPort(d.ports.ready).String()
+		s.ListenOn["front"], s.ListenOn["ready"] = m.addressWithPort(d.ports.front).String(),
+			m.addressWithPort(d.ports.ready).String()
 	case control:
 		s.ServesRoles = []string{"control_plane", "directory"}
-		s.ListenOn["control"], s.ListenOn["directory"] = m.addressWithPort(d.ports.control).String(), m.addressWithPort(d.ports.directory).String()
+		s.ListenOn["control"], s.ListenOn["directory"] = m.addressWithPort(d.ports.control).String(),
+			m.addressWithPort(d.ports.directory).String()
 		s.CountsAsLoss = true
 		s.Limits.StorageMB = diskMB
 		folder := filepath.Join(d.workDir, m.name+"-disk")
@@ -133,9 +138,9 @@
 	return s
 }
 
-// writeSettings writes the settings file of a process, and makes its folder.
-func (d *deployment) writeSettings(m *machine, p program, first bool) (path string, err error) {
-	s := d.settingsOf(m, p, first)
+// writeSettings writes the settings file of a process, and creates its state directory.
+func (d *deployment) writeSettings(m *machine, p program, firstBoot bool) (path string, err error) {
+	s := d.settingsOf(m, p, firstBoot)
 	if s.StateDir != nil {
 		if err := os.MkdirAll(*s.StateDir, 0o750); err != nil {
 			return "", err
--- /dev/null
+++ b/internal/system/emulator/traffic.go
@@ -0,0 +1,90 @@
+package emulator
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"cinderroad/internal/system/configuration"
+	"cinderroad/internal/system/policysim"
+	"cinderroad/internal/testkit/checker"
+	"cinderroad/internal/testkit/client"
+)
+
+// runTraffic sends the traffic and injects the faults. It returns when all of both have ended.
+func (e *emulation) runTraffic(ctx context.Context) {
+	e.routes = make(map[string]*client.Route)
+	for i := range e.options.Scenario.Classes {
+		c := &e.options.Scenario.Classes[i]
+		e.routes[c.Name] = clientRoute(c)
+	}
+	e.clients = client.New(client.Options{Zones: e.deployment.zones, Directories: e.deployment.directories,
+		TTLMax: time.Duration(defaultTiming.TTLMaxS) * time.Second, Referee: e.checker, Seed: e.options.Seed})
+	for i, fault := range e.options.Faults {
+		e.scheduleFault(ctx, fault,
+			e.options.Scenario.Duration*time.Duration(i+1)/time.Duration(len(e.options.Faults)+1))
+	}
+	ended := make(chan struct{})
+	go e.reportProgress(ended)
+	e.clients.Run(ctx, e.calls())
+	e.faults.Wait()
+	close(ended)
+}
+
+func clientRoute(c *policysim.Class) *client.Route {
+	r := &client.Route{Name: c.Name, Host: routeHost, Path: pathPrefix(c) + "1",
+		Stream:    c.Type == configuration.Streaming,
+		Resumable: c.Resumable,
+		ReadOnly:  c.Type == configuration.ReadOnly, Target: c.LatencyTarget, Gap: c.EventGapTarget,
+		Deadline: c.Deadline, Retries: c.ClientRetries}
+	r.Referee = &checker.Route{Name: c.Name, Services: []string{c.Service}, Homes: c.HomeRegions,
+		Idempotent: r.ReadOnly ||
+			r.Stream && r.Resumable}
+	return r
+}
+
+// calls returns the clients' calls, with the prompts in the form that the runners read.
+func (e *emulation) calls() (calls []*client.Call) {
+	const bytesPerToken = 2
+	for _, generated := range policysim.GenerateTraffic(e.options.Scenario, e.options.Seed) {
+		call := &client.Call{At: generated.At, Route: e.routes[generated.Class.Name], Zone: generated.Zone,
+			TokensIn:  generated.PromptTokens(),
+			TokensOut: generated.OutputTokens, Bytes: bytesPerToken * generated.PromptTokens()}
+		if len(generated.Chunks) > 0 {
+			call.Model = modelName
+		}
+		for i, part := range generated.Chunks {
+			if i > 0 {
+				call.Prompt += ","
+			}
+			call.Prompt += fmt.Sprintf("%x:%d", part.ID, part.Tokens)
+		}
+		calls = append(calls, call)
+	}
+	return calls
+}
+
+// reportProgress writes a line about the progress at intervals, and samples the memory of the processes.
+func (e *emulation) reportProgress(ended chan struct{}) {
+	began := time.Now()
+	ticker := time.NewTicker(progressInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ended:
+			return
+		case <-ticker.C:
+		}
+		for _, p := range e.processes {
+			p.samplePeakMemory()
+		}
+		tally := e.clients.Tally()
+		inTime, refused, failed := 0, 0, 0
+		for _, r := range tally.Routes {
+			inTime, refused, failed = inTime+r.InTime, refused+r.Refused, failed+r.Failed
+		}
+		e.logEvent("serving", "at", time.Since(began).Round(progressPrecision), "calls", tally.Calls, "in_time", inTime,
+			"late", tally.Served-inTime,
+			"refused", refused, "failed", failed, "retries", tally.Retries, "breaches", len(e.checker.Breaches()))
+	}
+}
--- a/internal/system/policysim/attempt.go
+++ b/internal/system/policysim/attempt.go
@@ -10,23 +10,23 @@
 // dispatch sends a call to the runner that the policy chooses, or rejects it.
 func (sim *simulation) dispatch(state *callState) {
 	policy := state.proxy.policy
-	choice, refusal := policy.Place(sim.now, state.request)
-	if refusal != nil {
-		sim.counters.rejections[refusal.Reason]++
-		sim.after(sim.scenario.ClientLatency, func() { sim.handleRejection(state, refusal.RetryAfter) })
+	choice, rejection := policy.Place(sim.now, state.request)
+	if rejection != nil {
+		sim.counters.rejections[rejection.Reason]++
+		sim.after(sim.scenario.ClientLatency, func() { sim.handleRejection(state, rejection.RetryAfter) })
 		return
 	}
 	runner := sim.runnerByID(choice.Runner)
-	s := &attempt{sim: sim, state: state, request: state.request, priority: choice.Priority, runner: runner,
+	a := &attempt{sim: sim, state: state, request: state.request, priority: choice.Priority, runner: runner,
 		sentAt: sim.now, lastEventAt: sim.now}
-	if s.priority < 0 {
-		s.priority = engine.DefaultPriority
+	if a.priority < 0 {
+		a.priority = engine.DefaultPriority
 	}
-	s.placementAttempt = policy.StartAttempt(sim.now, state.request, choice)
+	a.placementAttempt = policy.StartAttempt(sim.now, state.request, choice)
 	state.request.TriedRunners = append(state.request.TriedRunners, choice.Runner)
-	state.active = s
+	state.active = a
 	sim.counters.countAttempt(state, runner)
-	sim.after(s.latency(), func() { runner.handleRequest(s) })
+	sim.after(a.latency(), func() { runner.handleRequest(a) })
 }
 
 func (sim *simulation) runnerByID(id string) *simulatedRunner {
@@ -43,8 +43,8 @@
 	call := a.state.call
 	r := &engine.Request{Model: a.request.Model, Out: call.OutputTokens, Work: call.Work, Priority: a.priority,
 		Deadline: a.request.Deadline}
-	for _, part := range call.Chunks {
-		r.Parts = append(r.Parts, engine.Part{ID: part.ID, Tokens: part.Tokens})
+	for _, chunk := range call.Chunks {
+		r.Parts = append(r.Parts, engine.Part{ID: chunk.ID, Tokens: chunk.Tokens})
 	}
 	if done := a.state.events * a.sim.scenario.tokensPerEvent(call.Class.Service); done > 0 {
 		r.Done = min(done, r.Out-1)
--- a/internal/system/policysim/client.go
+++ b/internal/system/policysim/client.go
@@ -87,17 +87,17 @@
 }
 
 // scheduleTimeout ends an attempt whose client has waited for too long.
-func (sim *simulation) scheduleTimeout(state *callState, try int) {
+func (sim *simulation) scheduleTimeout(state *callState, clientAttempt int) {
 	until := sim.deadline(state)
 	if state.call.Class.Type == configuration.Streaming {
 		until = min(until, state.lastEventAt+state.silenceTimeout())
 	}
 	sim.at(max(until, sim.now), func() {
-		if state.finished || state.clientAttempts != try {
+		if state.finished || state.clientAttempts != clientAttempt {
 			return
 		}
 		if state.lastEventAt+state.silenceTimeout() > sim.now && sim.now < sim.deadline(state) {
-			sim.scheduleTimeout(state, try)
+			sim.scheduleTimeout(state, clientAttempt)
 			return
 		}
 		sim.abandon(state)
@@ -106,14 +106,14 @@
 
 // abandon cancels the call on behalf of its client.
 func (sim *simulation) abandon(state *callState) {
-	if s := state.active; s != nil {
+	if a := state.active; a != nil {
 		state.active = nil
 		outcome := placement.Cancelled
-		if s.progress.Events == 0 && sim.now-s.sentAt >= state.silenceTimeout() {
+		if a.progress.Events == 0 && sim.now-a.sentAt >= state.silenceTimeout() {
 			outcome = placement.TimedOut
 		}
-		s.ended = true
-		sim.after(sim.scenario.ClientLatency, func() { s.closeCancelled(outcome) })
+		a.ended = true
+		sim.after(sim.scenario.ClientLatency, func() { a.closeCancelled(outcome) })
 	}
 	sim.finish(state, Failed)
 }
--- a/internal/system/policysim/result.go
+++ b/internal/system/policysim/result.go
@@ -145,8 +145,8 @@
 }
 
 func servedShares(states []*callState) (served, inTime float64) {
-	for _, v := range states {
-		switch v.outcome {
+	for _, state := range states {
+		switch state.outcome {
 		case InTime:
 			inTime++
 			served++
--- a/internal/system/policysim/traffic.go
+++ b/internal/system/policysim/traffic.go
@@ -94,9 +94,9 @@
 		return
 	}
 	if n := len(class.SharedChunks); n > 0 {
-		subject := sampleSkewed(g.random, class.SharedChunks[n-1].Variants, class.Skew)
-		for level, part := range class.SharedChunks {
-			call.Chunks = append(call.Chunks, sharedChunk(class, level, subject%part.Variants, part.Tokens))
+		variant := sampleSkewed(g.random, class.SharedChunks[n-1].Variants, class.Skew)
+		for level, shared := range class.SharedChunks {
+			call.Chunks = append(call.Chunks, sharedChunk(class, level, variant%shared.Variants, shared.Tokens))
 		}
 	}
 	call.Chunks = append(call.Chunks, placement.Chunk{ID: g.random.Uint64(),
--- a/internal/system/policysim/workload.go
+++ b/internal/system/policysim/workload.go
@@ -81,8 +81,8 @@
 
 // PromptTokens returns the size of the prompt.
 func (c *Call) PromptTokens() (n int) {
-	for _, part := range c.Chunks {
-		n += part.Tokens
+	for _, chunk := range c.Chunks {
+		n += chunk.Tokens
 	}
 	return n
 }
