--- a/internal/system/control/feedserver/followers.go
+++ b/internal/system/control/feedserver/followers.go
@@ -9,31 +9,32 @@
 	"cinderroad/internal/system/feed"
 )
 
-// Bounds of what is kept of followers.
 const (
-	followerExpiry      = MaxWait + 2*time.Second // without a call: it follows another machine, or none
+	// followerExpiry is the time after its last call when a follower counts as departed: it follows another machine.
+	followerExpiry = MaxWait + 2*time.Second
+	// maxTrackedFollowers bounds the memory of the registry.
 	maxTrackedFollowers = 2 * MaxFollowers
 )
 
-// Follower is what is known of a member that follows this machine.
+// Follower describes a member that follows this machine, for operators.
 type Follower struct {
 	Node               string
-	ConfigurationIndex uint64        // index up to which it holds the partition of the configuration
-	SinceLastCall      time.Duration // since its last call
+	ConfigurationIndex uint64        // index that it holds of the configuration partition
+	SinceLastCall      time.Duration // time since its last call began
 }
 
-// followerRegistry keeps the latest call of each follower, for operators.
+// followerRegistry holds the last call of each follower.
 type followerRegistry struct {
 	mutex sync.Mutex
 	calls map[string]lastCall // by node
 }
 
 type lastCall struct {
-	at                 time.Duration
+	at                 time.Duration // steady
 	configurationIndex uint64
 }
 
-// recordCall keeps a call.
+// recordCall stores a call. Anonymous followers are ignored, and new ones while the registry is full.
 func (r *followerRegistry) recordCall(request *feed.FollowRequest, now time.Duration) {
 	if request.Node == "" {
 		return
@@ -58,7 +59,7 @@
 	r.calls[request.Node] = call
 }
 
-// expire drops followers that have not called for long.
+// expire removes followers whose last call is too long ago. The mutex is held.
 func (r *followerRegistry) expire(now time.Duration) {
 	for node, call := range r.calls {
 		if now-call.at > followerExpiry {
@@ -67,7 +68,7 @@
 	}
 }
 
-// Followers returns who follows this machine, or has until a moment ago, by name.
+// Followers returns the followers that have not expired, ordered by node.
 func (s *Server) Followers() []Follower {
 	r, now := &s.registry, s.options.Now()
 	r.mutex.Lock()
--- a/internal/system/control/feedserver/followers_test.go
+++ b/internal/system/control/feedserver/followers_test.go
@@ -21,7 +21,7 @@
 	}
 	now += followerExpiry/2 + 1
 	if got := s.Followers(); len(got) != 1 || got[0].Node != "a" {
-		t.Fatalf("got %+v after b was silent for longer than a call is held", got)
+		t.Fatalf("got %+v after b expired", got)
 	}
 }
 
@@ -31,6 +31,6 @@
 		s.registry.recordCall(&feed.FollowRequest{Node: fmt.Sprint(i)}, 0)
 	}
 	if got := len(s.Followers()); got != maxTrackedFollowers {
-		t.Fatalf("%d followers are kept, want %d", got, maxTrackedFollowers)
+		t.Fatalf("%d followers are tracked, want %d", got, maxTrackedFollowers)
 	}
 }
--- a/internal/system/control/feedserver/notifier.go
+++ b/internal/system/control/feedserver/notifier.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// CoalesceInterval is the shortest time between two wake-ups of all followers: what changes within it travels together.
+// CoalesceInterval is the shortest time between two wake-ups; changes within it are sent together.
 const CoalesceInterval = 10 * time.Millisecond
 
-// Notifier wakes followers after changes. The first change wakes at once, further ones within CoalesceInterval wake together
-// at its end.
+// Notifier wakes all waiting followers after changes. The first change wakes them at once; further ones within
+// CoalesceInterval wake them together at its end. It is safe for concurrent use.
 type Notifier struct {
-	now       func() time.Duration // steady
+	now       func() time.Duration // steady clock
 	afterFunc func(time.Duration, func())
 
 	mu         sync.Mutex
 	wake       chan struct{} // closed at the next wake-up
-	lastWakeup time.Duration
-	everWoken  bool // ever
-	timerArmed bool // a wake-up is due
+	lastWakeup time.Duration // steady; valid if everWoken
+	everWoken  bool
+	timerArmed bool // a wake-up is scheduled
 }
 
-// NewNotifier returns a notifier on the steady clock given; after runs a function later.
+// NewNotifier returns a Notifier. now is the steady clock; after calls a function later, from another goroutine.
 func NewNotifier(now func() time.Duration, after func(time.Duration, func())) *Notifier {
 	return &Notifier{now: now, afterFunc: after, wake: make(chan struct{})}
 }
 
-// Wakeup returns a channel that is closed at the next wake-up. Take it before looking at the state.
+// Wakeup returns a channel that is closed at the next wake-up. Callers take it before they read the state, or they may
+// miss a change.
 func (n *Notifier) Wakeup() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.wake
 }
 
-// Notify says that there is something new. It never blocks.
+// Notify announces a change. It never blocks.
 func (n *Notifier) Notify() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -49,6 +50,7 @@
 	n.afterFunc(CoalesceInterval-since, n.fire)
 }
 
+// fire is the timer's callback.
 func (n *Notifier) fire() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -56,6 +58,7 @@
 	n.broadcast()
 }
 
+// broadcast wakes all waiting followers. The mutex is held.
 func (n *Notifier) broadcast() {
 	n.everWoken = true
 	n.lastWakeup = n.now()
--- a/internal/system/control/feedserver/pacer.go
+++ b/internal/system/control/feedserver/pacer.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// Bounds of the pace of large answers.
 const (
-	minBulkBytes   = 4 << 10                // bytes; smaller answers go at once and count for nothing
-	maxBulkDelay   = 300 * time.Millisecond // that a large answer waits for its turn; beyond it the follower is told to come back
-	burstAllowance = 20 * time.Millisecond  // worth of bytes that go without a wait after a pause
+	// minBulkBytes is the size from which replies are paced; smaller ones are sent at once and do not count.
+	minBulkBytes = 4 << 10
+	// maxBulkDelay is how long a reply waits for its turn; beyond it, the follower is told to call again.
+	maxBulkDelay = 300 * time.Millisecond
+	// burstAllowance is the worth of bytes, at the pacer's rate, that go without delay after an idle period.
+	burstAllowance = 20 * time.Millisecond
 )
 
-// pacer spreads large answers over time, so that what else goes over the machine's link does not stand behind them.
-// Answers have their turns in the order in which they are asked for. It has no clock of its own.
+// pacer spreads large replies over time, so that other traffic on the machine's link does not queue behind them. Replies
+// get their turns in the order of their calls. It has no clock of its own.
 type pacer struct {
-	bytesPerSecond float64 // 0: no bound
+	bytesPerSecond float64 // 0: no limit
 
 	mutex    sync.Mutex
-	nextFree time.Duration // when all that was admitted has been sent at that pace
+	nextFree time.Duration // when all admitted replies have been sent at that rate
 }
 
-// admit says how long an answer of so many bytes is to wait for its turn. Where that is too long it is not admitted, and
-// the time says when to ask again: while those before it are still being sent, so that the link is never idle.
+// admit returns the delay until a reply of so many bytes may be sent. If that is too long, the reply is not admitted and
+// the delay says when to call again: before the replies in the queue have all been sent, so that the link is never idle.
 func (p *pacer) admit(now time.Duration, bytes int) (wait time.Duration, admitted bool) {
 	if p.bytesPerSecond <= 0 || bytes < minBulkBytes {
 		return 0, true
--- a/internal/system/control/feedserver/server.go
+++ b/internal/system/control/feedserver/server.go
@@ -1,5 +1,3 @@
-// Package following serves the feed: followers hold a call open and are answered with what changed since the positions
-// that they name.
 package feedserver
 
 import (
@@ -13,53 +11,60 @@
 	"cinderroad/internal/system/rpc"
 )
 
-// Bounds of a call.
+// Limits of calls.
 const (
-	MaxWait       = 10 * time.Second // that a call is held open
-	MaxReplyBytes = 256 << 10        // bytes of items after which further partitions wait for the next call
-	MaxFollowers  = 2000             // calls held open at once
-
-	staleCheckMargin = 10 * time.Millisecond // beyond the end of a partition's freshness, for it to be over
+	// MaxWait is how long a call is held open.
+	MaxWait = 10 * time.Second
+	// MaxReplyBytes is the size of the items in a reply from which further partitions wait for the next call.
+	MaxReplyBytes = 256 << 10
+	// MaxFollowers is the number of calls that are held open at once.
+	MaxFollowers = 2000
+
+	// staleCheckMargin is added to the time until a partition turns stale, so that it surely is stale then.
+	staleCheckMargin = 10 * time.Millisecond
 )
 
-// ErrTooManyFollowers says that no further call is taken; the follower should ask another control machine.
-var ErrTooManyFollowers = errors.New("following: too many followers; ask another control machine")
+// ErrTooManyFollowers means that MaxFollowers calls are open; the follower should call another machine.
+var ErrTooManyFollowers = errors.New("feedserver: too many followers; ask another control machine")
 
-// Source is a partition's state.
+// Source is the state of a partition. It is safe for concurrent use.
 type Source interface {
-	// Index is that of the newest change.
+	// Index returns the index of the newest change.
 	Index() uint64
-	// Since returns what changed after the index, or a snapshot, with the items' ages as of now; a delta of more than
-	// maxBytes (0: no bound) ends earlier. The batch is empty if nothing changed, or if the caller is ahead.
+	// Since returns the changes after the index, or a snapshot, with the ages of the items as of now. A delta of more
+	// than maxBytes (0: no limit) ends earlier. The batch is empty if nothing changed, or if the caller is ahead.
 	Since(index uint64, maxBytes int) feed.Batch
 }
 
-// Options are a server's.
+// Options configure a Server.
 type Options struct {
-	Sources    []Source // by partition
-	Notifier   *Notifier
-	Now        func() time.Duration // steady
-	ProxyCount func() int           // that may be serving; 0: not known
-
-	// Age is how long ago a partition was last known to be up to date; feed.Never: it never was.
+	// Sources are the partitions, by number; the first one is the configuration.
+	Sources []Source
+	// Notifier is notified of changes of the sources.
+	Notifier *Notifier
+	// Now is the steady clock.
+	Now func() time.Duration
+	// ProxyCount is the number of proxies that may be serving; 0: unknown.
+	ProxyCount func() int
+	// Age is the time since a partition was last known to be current; feed.AgeNever: it never was.
 	Age func(feed.Partition) time.Duration
-
-	// BulkBytesPerSecond is the pace of large answers, all followers together; 0: no bound.
+	// BulkBytesPerSecond bounds the rate of large replies, all followers together; 0: no limit. Replication shares the
+	// link, and a higher rate delays it.
 	BulkBytesPerSecond float64
 }
 
-// Server answers followers.
+// Server serves followers.
 type Server struct {
 	options   Options
-	caches    []deltaCache
+	caches    []deltaCache // by partition
 	pacer     pacer
 	openCalls atomic.Int64
 	registry  followerRegistry
-	stop      chan struct{}
+	stop      chan struct{} // closed by Stop
 	stopOnce  sync.Once
 }
 
-// New returns a server.
+// New returns a Server.
 func New(options Options) *Server {
 	s := &Server{options: options, caches: make([]deltaCache, len(options.Sources)), stop: make(chan struct{})}
 	s.pacer.bytesPerSecond = options.BulkBytesPerSecond
@@ -71,14 +76,15 @@
 	return s
 }
 
-// Stop answers all open calls at once, and later ones without a wait.
+// Stop ends all open calls, and has later ones return at once. It may be called more than once.
 func (s *Server) Stop() { s.stopOnce.Do(func() { close(s.stop) }) }
 
-// FollowMethod is the call that followers make.
+// FollowMethod is the RPC method of followers.
 var FollowMethod = rpc.Declare[feed.FollowRequest, feed.FollowReply]("Feed.Follow")
 
-// Follow answers as soon as anything changed since the request's positions, and after its wait at the latest, or once a
-// partition is stale that the follower takes for up to date. A large answer waits for its turn; if that is far off, the answer says when to ask again.
+// Follow handles a call of FollowMethod. It returns as soon as something has changed since the request's positions, a
+// partition turns stale that the follower takes for current, or the request's wait is over. A large reply waits for its
+// turn; if that is far off, the reply is empty and says when to call again. The error is ErrTooManyFollowers.
 func (s *Server) Follow(ctx context.Context, request *feed.FollowRequest) (*feed.FollowReply, error) {
 	if s.openCalls.Add(1) > MaxFollowers {
 		s.openCalls.Add(-1)
@@ -99,7 +105,7 @@
 	return &feed.FollowReply{Batches: batches, Ages: s.ages(), Proxies: s.options.ProxyCount()}, nil
 }
 
-// ages are those of the partitions, each by itself.
+// ages returns the age of each partition.
 func (s *Server) ages() []time.Duration {
 	ages := make([]time.Duration, len(s.caches))
 	for partition := range ages {
@@ -108,8 +114,8 @@
 	return ages
 }
 
-// untilStale is how long it takes until the first of the partitions, with which a follower takes this machine for up to
-// date, is stale, if nothing is heard of it any more.
+// untilStale returns the time until the first of the partitions, which the follower takes for current, turns stale if
+// nothing more is heard of it.
 func (s *Server) untilStale(current feed.PartitionSet) time.Duration {
 	until := MaxWait
 	for partition, age := range s.ages() {
@@ -120,7 +126,7 @@
 	return until
 }
 
-// pause waits, unless the call or the server ends.
+// pause sleeps, unless the call or the server ends.
 func (s *Server) pause(ctx context.Context, wait time.Duration) {
 	if wait <= 0 {
 		return
@@ -134,7 +140,7 @@
 	}
 }
 
-// await looks again after each wake-up until there is something, or the time is over.
+// await collects after each wake-up until something has changed, or the time is over.
 func (s *Server) await(ctx context.Context, query followQuery, wait time.Duration) []feed.Batch {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -155,13 +161,13 @@
 	}
 }
 
-// followQuery is what a follower asks for: what changed since its positions, by partition.
+// followQuery is what a follower asks for: the changes since its positions.
 type followQuery struct {
-	positions []uint64
-	packed    bool
+	positions []uint64 // by partition
+	packed    bool     // the follower accepts packed batches
 }
 
-// positions is the request's positions by partition.
+// positions returns the request's positions by partition. Partitions that the server does not have are ignored.
 func (s *Server) positions(request *feed.FollowRequest) []uint64 {
 	positions := make([]uint64, len(s.caches))
 	for _, position := range request.Positions {
@@ -172,8 +178,8 @@
 	return positions
 }
 
-// collect returns the batches of the partitions that changed, until the bound is reached. A batch of the configuration is
-// never cut: what is in force together travels together.
+// collect returns the batches of the partitions that have changed, up to MaxReplyBytes. A batch of the configuration is
+// never truncated.
 func (s *Server) collect(query followQuery) []feed.Batch {
 	var batches []feed.Batch
 	total := 0
@@ -191,7 +197,7 @@
 	return batches
 }
 
-// totalSize is about how many bytes batches take on the way.
+// totalSize is the approximate encoded size of batches, in bytes.
 func totalSize(batches []feed.Batch) int {
 	total := 0
 	for i := range batches {
@@ -199,73 +205,3 @@
 	}
 	return total
 }
-
-// Bounds of a cache.
-const (
-	unpackedDeltaTTL = 20 * time.Millisecond // of an unpacked batch: ages of its items may be off by so much
-	maxCachedDeltas  = 8
-)
-
-// deltaCache keeps a partition's latest deltas, since many followers stand at the same position. A large one is packed once
-// for all of them.
-type deltaCache struct {
-	source   Source
-	maxBytes int // of a delta
-
-	mu     sync.Mutex
-	index  uint64 // that the deltas lead to
-	deltas []delta
-}
-
-type delta struct {
-	fromIndex uint64
-	packed    bool // the follower takes packed batches; a small one is not packed all the same
-	createdAt time.Duration
-	batch     feed.Batch
-}
-
-// isUsable says whether the delta may still be sent: the ages of a packed one count on by themselves.
-func (d *delta) isUsable(from uint64, packed bool, now time.Duration) bool {
-	if d.fromIndex != from || d.packed != packed {
-		return false
-	}
-	return len(d.batch.Packed) > 0 || now-d.createdAt <= unpackedDeltaTTL
-}
-
-func (c *deltaCache) since(from uint64, now time.Duration, packed bool) feed.Batch {
-	index := c.source.Index()
-	if index <= from {
-		return feed.Batch{}
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if index != c.index {
-		c.index = index
-		c.reset()
-	}
-	for i := range c.deltas {
-		if d := &c.deltas[i]; d.isUsable(from, packed, now) {
-			batch := d.batch
-			batch.PackedAge = now - d.createdAt
-			return batch
-		}
-	}
-	batch := c.source.Since(from, c.maxBytes)
-	if packed {
-		batch = batch.Pack()
-	}
-	c.add(delta{fromIndex: from, packed: packed, createdAt: now, batch: batch})
-	return batch
-}
-
-func (c *deltaCache) reset() {
-	clear(c.deltas) // lets go of the values
-	c.deltas = c.deltas[:0]
-}
-
-func (c *deltaCache) add(d delta) {
-	if len(c.deltas) == maxCachedDeltas {
-		c.reset()
-	}
-	c.deltas = append(c.deltas, d)
-}
