--- a/internal/system/replica/agent_failover_test.go
+++ b/internal/system/replica/agent_failover_test.go
@@ -10,24 +10,27 @@
 	"cinderroad/internal/system/feed"
 )
 
+// Parameters of TestAgentFailsOverFromFaultyReplica.
 const (
 	followingSeeds     = 12
-	followingLinkDelay = 30 * time.Millisecond // one way, between a follower and any machine
-	// versionTimeout is how long it takes at most until a version that the others put in force is at a follower whose machine
-	// is in trouble: the time until that machine is stale, with an election time in which its leader goes on without a
-	// majority, or until a call to it has been silent; and the questions to others.
+	followingLinkDelay = 30 * time.Millisecond // one way, between an agent and any machine
+	// versionTimeout limits the time from a commit by the others to an agent whose machine is faulty: the time until that
+	// machine is stale, with an election timeout in which its leader goes on without a majority, or until a call to it
+	// times out; and the calls to others.
 	versionTimeout = 3 * time.Second
 )
 
-// followingAgent is an agent that chooses the machine it follows as agents do. Its own links are always there.
+// followingAgent is an agent that selects its upstream machine with upstream.Selector, as real agents do. Its own
+// links never fail.
 type followingAgent struct {
 	sim        *simulation
 	selector   *upstream.Selector
 	table      *feed.Table
-	attempts   uint64                   // calls made
-	receivedAt map[uint64]time.Duration // by index: when it was held
+	attempts   uint64                   // number of calls, of which the last may be in flight
+	receivedAt map[uint64]time.Duration // by index, when the agent had it
 }
 
+// addFollower adds a following agent.
 func (sim *simulation) addFollower() *followingAgent {
 	agent := &followingAgent{sim: sim, selector: upstream.New(upstream.Options{}, sim.now),
 		table: feed.NewTable(feed.ConfigurationPartition), receivedAt: map[uint64]time.Duration{}}
@@ -35,7 +38,7 @@
 	return agent
 }
 
-// nextAttempt makes the next call, or waits for its time.
+// nextAttempt makes the next call, now or when it is due.
 func (f *followingAgent) nextAttempt() {
 	sim := f.sim
 	var candidates []netip.AddrPort
@@ -43,47 +46,47 @@
 		candidates = append(candidates, machine.address())
 	}
 	f.selector.SetCandidates(candidates)
-	question, pause := f.selector.Next(sim.now)
+	request, pause := f.selector.Next(sim.now)
 	if pause > 0 {
 		sim.schedule(pause, f.nextAttempt)
 		return
 	}
-	f.attempt(question)
+	f.attempt(request)
 }
 
-// attempt makes a call. It fails where no answer comes in time.
-func (f *followingAgent) attempt(question upstream.Request) {
+// attempt makes a call, which fails if no reply arrives in time.
+func (f *followingAgent) attempt(request upstream.Request) {
 	sim := f.sim
 	f.attempts++
-	call, machine := f.attempts, sim.byAddress[question.Address]
-	timeout := question.Timeout
+	call, machine := f.attempts, sim.byAddress[request.Address]
+	timeout := request.Timeout
 	if machine.process == nil {
-		timeout = question.DialTimeout
+		timeout = request.DialTimeout
 	}
 	sim.schedule(timeout, func() {
 		if f.attempts == call {
 			f.attempts++
-			f.selector.HandleFailure(sim.now, question.Address)
+			f.selector.HandleFailure(sim.now, request.Address)
 			f.nextAttempt()
 		}
 	})
 	sim.schedule(followingLinkDelay, func() {
 		if process := machine.process; process != nil {
-			process.execute(func() { f.serve(process, question, call) })
+			process.execute(func() { f.serve(process, request, call) })
 		}
 	})
 }
 
-// serve is what following.Server does with a call.
-func (f *followingAgent) serve(process *simProcess, question upstream.Request, call uint64) {
+// serve models the feed server's side of a call.
+func (f *followingAgent) serve(process *simProcess, request upstream.Request, call uint64) {
 	position := f.table.Index()
 	answer := func() {
 		batch := process.state.Since(position, 0)
 		age := elapsedSince(process.group.node.Status().CaughtUpAt, process.clock())
-		f.sim.schedule(followingLinkDelay, func() { f.handleReply(question.Address, call, batch, age) })
+		f.sim.schedule(followingLinkDelay, func() { f.handleReply(request.Address, call, batch, age) })
 	}
-	wait := question.Wait
-	if question.Current.Contains(feed.ConfigurationPartition) {
+	wait := request.Wait
+	if request.Current.Contains(feed.ConfigurationPartition) {
 		age := elapsedSince(process.group.node.Status().CaughtUpAt, process.clock())
 		wait = min(wait, max(0, feed.StaleAfter-age)+10*time.Millisecond)
 	}
@@ -96,7 +99,7 @@
 	}, answer)
 }
 
-// handleReply takes an answer, unless the call has failed meanwhile.
+// handleReply handles a reply unless the call has failed meanwhile.
 func (f *followingAgent) handleReply(from netip.AddrPort, call uint64, batch feed.Batch, age time.Duration) {
 	if f.attempts != call {
 		return
@@ -118,10 +121,10 @@
 	f.nextAttempt()
 }
 
-// measureVersionDelays plays a core of five whose operators change the configuration all the time and avoid one machine, that which an
-// agent follows, when something happens to it for 20 s. It returns how long each version took from its being in force to
-// the agent.
-func measureVersionDelays(t *testing.T, seed uint64, leads bool, happens func(sim *simulation, s *simMachine)) []time.Duration {
+// measureVersionDelays runs a cluster of five whose operators change the configuration all the time, and injects a
+// fault into the machine that an agent follows and that the operators avoid. It returns how long each version took
+// from its commit to the agent.
+func measureVersionDelays(t *testing.T, seed uint64, leads bool, inject func(sim *simulation, s *simMachine)) []time.Duration {
 	t.Helper()
 	sim := newSimulation(seed)
 	sim.profile.Machines, sim.profile.Operators, sim.profile.Loss, sim.profile.SyncTime = 5, 3, 0, 5*time.Millisecond
@@ -139,7 +142,7 @@
 	if !leads {
 		followed = sim.machines[(process.machine.index+1)%len(sim.machines)]
 	}
-	sim.machines[0], sim.machines[followed.index] = sim.machines[followed.index], sim.machines[0] // the nearest to the agent
+	sim.machines[0], sim.machines[followed.index] = sim.machines[followed.index], sim.machines[0] // the agent prefers the first one
 	agent := sim.addFollower()
 	sim.runFor(5 * time.Second)
 	if address, follows := agent.selector.Followed(); !follows || address != followed.address() {
@@ -149,7 +152,7 @@
 		operator.avoid = followed
 	}
 	began := sim.now
-	happens(sim, followed)
+	inject(sim, followed)
 	sim.runFor(partitionDuration + 5*time.Second)
 	until := sim.now - versionTimeout
 	sim.runFor(time.Second)
@@ -170,24 +173,17 @@
 	return delays
 }
 
-// TestAgentFailsOverFromFaultyReplica: an agent whose control machine is cut off from the others, frozen or killed
-// gets what the others agree on from them.
+// TestAgentFailsOverFromFaultyReplica checks that an agent whose control machine is partitioned, paused or killed
+// receives what the others commit from one of them.
 func TestAgentFailsOverFromFaultyReplica(t *testing.T) {
 	cut := func(in, out bool) func(sim *simulation, machine *simMachine) {
 		return func(sim *simulation, machine *simMachine) {
-			for _, other := range sim.machines {
-				if in {
-					sim.block(other, machine, partitionDuration)
-				}
-				if out {
-					sim.block(machine, other, partitionDuration)
-				}
-			}
+			sim.blockAll(machine, in, out, partitionDuration)
 		}
 	}
 	cases := []struct {
-		name    string
-		happens func(sim *simulation, machine *simMachine)
+		name   string
+		inject func(sim *simulation, machine *simMachine)
 	}{
 		{"nothing happens", func(*simulation, *simMachine) {}},
 		{"it is cut off", cut(true, true)},
@@ -202,7 +198,7 @@
 				t.Parallel()
 				var delays []time.Duration
 				for seed := uint64(1); seed <= followingSeeds; seed++ {
-					ofSeed := measureVersionDelays(t, seed, leads, test.happens)
+					ofSeed := measureVersionDelays(t, seed, leads, test.inject)
 					if worst := slices.Max(ofSeed); worst > versionTimeout {
 						t.Errorf("seed %d: a version took %v", seed, worst)
 					}
--- a/internal/system/replica/bulk_transfer_test.go
+++ b/internal/system/replica/bulk_transfer_test.go
@@ -6,8 +6,8 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// TestMessageRouting: large entries have a connection of their own, what follows them keeps its place or overtakes without
-// asking about them, and nothing is sent twice.
+// TestMessageRouting checks that large entries use a connection of their own, that what follows them keeps its order
+// or overtakes without referring to them, and that nothing is sent twice.
 func TestMessageRouting(t *testing.T) {
 	entry := func(index, term uint64, bytes int) consensus.Message {
 		return consensus.Message{Kind: consensus.MessageAppend, Term: term, Index: index - 1, LogTerm: term, Round: 7,
--- a/internal/system/replica/cluster_test.go
+++ b/internal/system/replica/cluster_test.go
@@ -23,12 +23,13 @@
 	"cinderroad/internal/system/rpc"
 )
 
+// Parameters of clusters over real sockets.
 const (
 	testPartitions = 3
 	testTimeout    = 60 * time.Second
 )
 
-// listState is a state machine that keeps all commands in their order.
+// listState is a state machine that keeps all commands in order.
 type listState struct {
 	mutex    sync.Mutex
 	index    uint64
@@ -69,18 +70,18 @@
 	return append([]string(nil), s.commands...)
 }
 
-// testMachine is a control machine of a test.
+// testMachine is a control machine with a Host on a loopback address.
 type testMachine struct {
 	t           *testing.T
 	settings    processconfig.Settings
 	host        *Host
 	states      []*listState
 	stopServing context.CancelFunc
-	disk        *faultyDisk // nil: its disk works
+	disk        *faultyDisk // nil: the real store
 	served      chan struct{}
 }
 
-// testCluster is a set of machines at loopback addresses of their own that share a port.
+// testCluster is a set of machines on loopback addresses that share a port.
 type testCluster struct {
 	t        *testing.T
 	port     uint16
@@ -90,6 +91,8 @@
 
 func loopback(i int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}) }
 
+// newTestCluster returns a cluster that is not started; the first machines are its seeds. It is killed when the test
+// ends.
 func newTestCluster(t *testing.T, size, seeds int) *testCluster {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -113,7 +116,7 @@
 	return cluster
 }
 
-// add makes a machine that is not started.
+// add adds a machine that is not started.
 func (c *testCluster) add(i int, firstBoot bool) *testMachine {
 	machine := &testMachine{t: c.t, settings: processconfig.Settings{Node: fmt.Sprintf("core-%d", i), IP: loopback(i),
 		Zone: fmt.Sprintf("zone-%d", i%3), FreePorts: processconfig.PortRange{First: c.port, Last: c.port + 15},
@@ -123,6 +126,7 @@
 	return machine
 }
 
+// start starts the machine's host and serves its RPCs.
 func (m *testMachine) start() {
 	m.t.Helper()
 	var states []StateMachine
@@ -158,7 +162,7 @@
 	m.host.Start()
 }
 
-// kill ends a machine without handing anything over.
+// kill ends the machine's host without a graceful shutdown.
 func (m *testMachine) kill() {
 	if m.host == nil {
 		return
@@ -171,6 +175,7 @@
 	m.host = nil
 }
 
+// stop shuts the machine's host down gracefully.
 func (m *testMachine) stop() {
 	m.host.Stop(context.Background())
 	m.stopServing()
@@ -180,15 +185,20 @@
 
 // wipe empties the machine's disk.
 func (m *testMachine) wipe() {
+	m.t.Helper()
 	if err := os.RemoveAll(m.settings.StateDir); err != nil {
 		m.t.Fatal(err)
 	}
 	m.settings.FirstBoot = false
 }
 
-// wait returns once a condition holds.
-func (m *testMachine) wait(what string, holds func() error) { waitFor(m.t, what, holds) }
+// wait waits for a condition.
+func (m *testMachine) wait(what string, holds func() error) {
+	m.t.Helper()
+	waitFor(m.t, what, holds)
+}
 
+// waitFor polls a condition until it returns nil, for testTimeout at most.
 func waitFor(t *testing.T, what string, holds func() error) {
 	t.Helper()
 	deadline := time.Now().Add(testTimeout)
@@ -206,6 +216,7 @@
 	}
 }
 
+// propose proposes a command, and again while the outcome is unknown.
 func (m *testMachine) propose(partition feed.Partition, command string) {
 	m.t.Helper()
 	m.wait("proposal of "+command, func() error {
@@ -220,7 +231,7 @@
 	})
 }
 
-// waitForCommand waits until the machine, behind a barrier, has a command.
+// waitForCommand waits until the machine has a command after a barrier.
 func (m *testMachine) waitForCommand(partition feed.Partition, command string) {
 	m.t.Helper()
 	m.wait(m.settings.Node+" holds "+command, func() error {
@@ -239,7 +250,7 @@
 	})
 }
 
-// waitForMembership waits until all machines that run agree that the members are the machines that run, so many of them voters.
+// waitForMembership waits until all running machines agree that they are the members, with so many voters.
 func (c *testCluster) waitForMembership(voters int) {
 	c.t.Helper()
 	waitFor(c.t, fmt.Sprintf("%d voters", voters), func() error {
@@ -295,6 +306,7 @@
 	return false
 }
 
+// leader waits for a leader of the partition and returns it.
 func (c *testCluster) leader(partition feed.Partition) *testMachine {
 	c.t.Helper()
 	var leader *testMachine
@@ -311,6 +323,7 @@
 }
 
 func (c *testCluster) startAll() {
+	c.t.Helper()
 	for _, m := range c.machines {
 		m.start()
 	}
--- a/internal/system/replica/compression_test.go
+++ b/internal/system/replica/compression_test.go
@@ -8,6 +8,8 @@
 	"testing"
 )
 
+// TestDeliverRequestCompression checks that requests are compressed if that saves bytes, and decompress to the same
+// messages.
 func TestDeliverRequestCompression(t *testing.T) {
 	random := rand.NewChaCha8([32]byte{1})
 	noise := make([]byte, 2*bulkThresholdBytes)
@@ -30,7 +32,7 @@
 	}
 }
 
-// TestMalformedDeliverRequests: whatever comes, it is refused or bounded.
+// TestMalformedDeliverRequests checks that malformed or oversized requests are rejected.
 func TestMalformedDeliverRequests(t *testing.T) {
 	whole := newDeliverRequest(make([]byte, 2*bulkThresholdBytes)).Packed
 	huge := append(binary.AppendUvarint(nil, maxDecompressedBytes+1), whole...)
@@ -42,6 +44,7 @@
 	}
 }
 
+// BenchmarkNewDeliverRequest compresses the messages of a configuration of 4 MB.
 func BenchmarkNewDeliverRequest(b *testing.B) {
 	var text []byte
 	for i := 0; len(text) < 4<<20; i++ {
--- a/internal/system/replica/contact_test.go
+++ b/internal/system/replica/contact_test.go
@@ -8,20 +8,21 @@
 	"cinderroad/internal/system/consensus"
 )
 
+// Parameters of TestInContactDuringFaults.
 const (
 	contactSeeds         = 40
 	contactFaultDuration = 20 * time.Second
-	// contactDetectionTime is how long it takes at most until a machine knows that it is cut off, or that it no longer is: an
-	// election time in which a leader goes on without a majority, the time without contact, and the next election.
+	// contactDetectionTime limits the time until InContact reflects a fault or its end: an election timeout in which a
+	// leader goes on without a majority, the time without contact, and the next election.
 	contactDetectionTime = (1 + contactElectionTimeouts + 2) * defaultElectionTimeout
 )
 
-// inContact is what the API of a machine goes by.
+// inContact is the answer of Host.InContact.
 func (p *simProcess) inContact() bool { return p.host.inContact(p.group, p.clock()) }
 
-// checkContact plays a core of five in which something happens for a while, and looks at each machine throughout: lost says
-// which of them can agree on nothing then, by the number of the leader.
-func checkContact(t *testing.T, seed uint64, happens func(sim *simulation, leader *simMachine, lasts time.Duration),
+// checkContact runs a cluster of five with a fault and checks every machine's InContact while it lasts and after it:
+// lost reports which machines cannot have anything committed, given the leader.
+func checkContact(t *testing.T, seed uint64, inject func(sim *simulation, leader *simMachine, duration time.Duration),
 	lost func(sim *simulation, leader, of *simMachine) bool) {
 	t.Helper()
 	sim := newSimulation(seed)
@@ -34,7 +35,7 @@
 		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
 	}
 	leader := process.machine
-	happens(sim, leader, contactFaultDuration)
+	inject(sim, leader, contactFaultDuration)
 	sim.runFor(contactDetectionTime)
 	for end := sim.now + contactFaultDuration - contactDetectionTime - time.Second; sim.now < end; sim.runFor(100 * time.Millisecond) {
 		for _, machine := range sim.machines {
@@ -57,36 +58,31 @@
 	}
 }
 
-// minority are two machines, the leader among them.
+// minority returns two machines, the leader among them.
 func minority(sim *simulation, leader *simMachine) []*simMachine {
 	other := sim.machines[(leader.index+1)%len(sim.machines)]
 	return []*simMachine{leader, other}
 }
 
-// TestInContactDuringFaults has machines that are cut off, or left in a minority, know it, and all others not
-// take themselves for such, whoever leads.
+// TestInContactDuringFaults checks that machines that are partitioned or in a minority report it, and that no other
+// machine does, whichever machine leads.
 func TestInContactDuringFaults(t *testing.T) {
 	nobody := func(*simulation, *simMachine, *simMachine) bool { return false }
 	theLeader := func(_ *simulation, leader, machine *simMachine) bool { return machine == leader }
 	cases := []struct {
-		name    string
-		happens func(sim *simulation, leader *simMachine, lasts time.Duration)
-		lost    func(sim *simulation, leader, machine *simMachine) bool
+		name   string
+		inject func(sim *simulation, leader *simMachine, lasts time.Duration)
+		lost   func(sim *simulation, leader, machine *simMachine) bool
 	}{
 		{"nothing happens", func(*simulation, *simMachine, time.Duration) {}, nobody},
 		{"the leader is killed", func(sim *simulation, leader *simMachine, lasts time.Duration) {
 			sim.restart(leader, lasts)
 		}, nobody},
 		{"the leader is cut off", func(sim *simulation, leader *simMachine, lasts time.Duration) {
-			for _, other := range sim.machines {
-				sim.block(leader, other, lasts)
-				sim.block(other, leader, lasts)
-			}
+			sim.blockAll(leader, true, true, lasts)
 		}, theLeader},
 		{"the leader hears nothing", func(sim *simulation, leader *simMachine, lasts time.Duration) {
-			for _, other := range sim.machines {
-				sim.block(other, leader, lasts)
-			}
+			sim.blockAll(leader, true, false, lasts)
 		}, theLeader},
 		{"a minority with the leader is cut off", func(sim *simulation, leader *simMachine, lasts time.Duration) {
 			few := minority(sim, leader)
@@ -114,21 +110,21 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= contactSeeds; seed++ {
-				checkContact(t, seed, test.happens, test.lost)
+				checkContact(t, seed, test.inject, test.lost)
 			}
 		})
 	}
 }
 
-// TestContactsHeardQuorum has messages of members of all kinds come, and of a replica that is none.
+// TestContactsHeardQuorum records messages from voters, learners and replicas that are not members.
 func TestContactsHeardQuorum(t *testing.T) {
 	var membership consensus.Membership
 	for id := consensus.ReplicaID(1); id <= 6; id++ {
 		membership.Members = append(membership.Members, consensus.Member{ID: id, Voter: id <= 5})
 	}
 	for _, test := range []struct {
-		from []consensus.ReplicaID // one each second, from 1 s on
-		want bool                  // a majority since 2 s, as replica 1 sees it
+		from []consensus.ReplicaID // senders of one message a second, from 1 s on
+		want bool                  // replica 1 heard a majority since 2 s
 	}{
 		{nil, false},
 		{[]consensus.ReplicaID{9, 9, 2}, false},
--- a/internal/system/replica/disk_writer_test.go
+++ b/internal/system/replica/disk_writer_test.go
@@ -12,14 +12,15 @@
 	"cinderroad/internal/system/storage"
 )
 
-// faultyDisk is a disk that stalls or refuses.
+// faultyDisk is a store whose operations fail or hang on demand.
 type faultyDisk struct {
 	store
 	mutex   sync.Mutex
 	failure error
-	stall   chan struct{} // not nil: writes wait until it is closed
+	stall   chan struct{} // not nil: operations hang until it is closed
 }
 
+// open is used as Host.openStore.
 func (f *faultyDisk) open(folder string) (store, error) {
 	if err := f.wait(); err != nil {
 		return nil, err
@@ -43,6 +44,7 @@
 	return f.store.Initialize(replica, writes...)
 }
 
+// wait blocks while the disk hangs, and returns the injected error.
 func (f *faultyDisk) wait() error {
 	f.mutex.Lock()
 	refusal, stall := f.failure, f.stall
@@ -53,13 +55,16 @@
 	return refusal
 }
 
+// set injects an error, a hang, or neither.
 func (f *faultyDisk) set(refusal error, stall chan struct{}) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.failure, f.stall = refusal, stall
 }
 
+// newFaultyDiskCluster returns a started cluster of three with faulty disks that work at first.
 func newFaultyDiskCluster(t *testing.T) *testCluster {
+	t.Helper()
 	cluster := newTestCluster(t, 3, 3)
 	for _, m := range cluster.machines {
 		m.disk = &faultyDisk{}
@@ -69,7 +74,7 @@
 	return cluster
 }
 
-// waitForOtherLeader waits until another machine than the one given leads the partition.
+// waitForOtherLeader waits until another machine than the given one leads the partition.
 func (c *testCluster) waitForOtherLeader(m *testMachine) {
 	c.t.Helper()
 	waitFor(c.t, "another leader", func() error {
@@ -80,6 +85,8 @@
 	})
 }
 
+// TestStalledDiskReleasesLeadership checks that the others take over while the leader's disk hangs, and that it
+// catches up after that.
 func TestStalledDiskReleasesLeadership(t *testing.T) {
 	cluster := newFaultyDiskCluster(t)
 	stalled := cluster.leader(0)
@@ -117,6 +124,8 @@
 	}
 }
 
+// TestFullDiskReleasesLeadership checks that the others take over while the leader's disk is full, and that it can
+// lead again after that.
 func TestFullDiskReleasesLeadership(t *testing.T) {
 	cluster := newFaultyDiskCluster(t)
 	full := cluster.leader(0)
@@ -150,7 +159,7 @@
 	}
 }
 
-// TestDiskFaultAtStart has the store open only once the disk works.
+// TestDiskFaultAtStart checks that hosts start once their disks work.
 func TestDiskFaultAtStart(t *testing.T) {
 	cluster := newTestCluster(t, 3, 3)
 	for _, m := range cluster.machines {
@@ -171,6 +180,7 @@
 	cluster.waitForMembership(3)
 }
 
+// TestCorruptStoreDiscarded checks that a replica with a corrupt store comes back as a new one.
 func TestCorruptStoreDiscarded(t *testing.T) {
 	cluster := newTestCluster(t, 3, 3)
 	cluster.startAll()
--- a/internal/system/replica/elections_test.go
+++ b/internal/system/replica/elections_test.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
+// Parameters of TestPartitionsCauseNoRepeatedElections.
 const (
 	electionSeeds     = 25
 	partitionDuration = 20 * time.Second
-	rejoinedDuration  = 10 * time.Second // that is looked at after a cut
+	rejoinedDuration  = 10 * time.Second // observed after the partition
 )
 
-// newestTerm is the highest term that any machine is in.
+// newestTerm returns the highest term of any machine.
 func (sim *simulation) newestTerm() uint64 {
 	var newest uint64
 	for _, process := range sim.processes() {
@@ -20,8 +21,8 @@
 	return newest
 }
 
-// countTerms plays a core of five with operators in which links are cut for a while, and returns how many terms began from
-// the cut on, and in the time after its end.
+// countTerms runs a cluster of five with operators in which links are blocked for a while. It returns how many terms
+// began from the fault on, and how many after its end.
 func countTerms(t *testing.T, seed uint64, cut func(sim *simulation, leader, other *simMachine)) (all, after uint64) {
 	t.Helper()
 	sim := newSimulation(seed)
@@ -51,29 +52,23 @@
 	return sim.newestTerm() - before, sim.newestTerm() - ended
 }
 
-// TestPartitionsCauseNoRepeatedElections: machines that are cut off, one way or both, leave the leader of the others alone, also
-// when they are joined back; where it is the leader, another one leads soon and stays.
+// TestPartitionsCauseNoRepeatedElections checks that machines that are partitioned, in one direction or both, do not
+// disturb the leader of the others, also when they reconnect; if the leader itself is partitioned, another one is
+// elected soon and stays.
 func TestPartitionsCauseNoRepeatedElections(t *testing.T) {
 	cases := []struct {
-		name string
-		most uint64 // terms that begin from the cut on
-		cut  func(sim *simulation, leader, other *simMachine)
+		name     string
+		maxTerms uint64 // that begin from the partition on
+		inject   func(sim *simulation, leader, other *simMachine)
 	}{
 		{"a follower is cut off", 0, func(sim *simulation, _, other *simMachine) {
-			for _, machine := range sim.machines {
-				sim.block(machine, other, partitionDuration)
-				sim.block(other, machine, partitionDuration)
-			}
+			sim.blockAll(other, true, true, partitionDuration)
 		}},
 		{"a follower hears nothing", 0, func(sim *simulation, _, other *simMachine) {
-			for _, machine := range sim.machines {
-				sim.block(machine, other, partitionDuration)
-			}
+			sim.blockAll(other, true, false, partitionDuration)
 		}},
 		{"a follower is not heard", 0, func(sim *simulation, _, other *simMachine) {
-			for _, machine := range sim.machines {
-				sim.block(other, machine, partitionDuration)
-			}
+			sim.blockAll(other, false, true, partitionDuration)
 		}},
 		{"a follower does not hear the leader", 0, func(sim *simulation, leader, other *simMachine) {
 			sim.block(leader, other, partitionDuration)
@@ -90,20 +85,13 @@
 			}
 		}},
 		{"the leader is cut off", 4, func(sim *simulation, leader, _ *simMachine) {
-			for _, machine := range sim.machines {
-				sim.block(machine, leader, partitionDuration)
-				sim.block(leader, machine, partitionDuration)
-			}
+			sim.blockAll(leader, true, true, partitionDuration)
 		}},
 		{"the leader hears nothing", 4, func(sim *simulation, leader, _ *simMachine) {
-			for _, machine := range sim.machines {
-				sim.block(machine, leader, partitionDuration)
-			}
+			sim.blockAll(leader, true, false, partitionDuration)
 		}},
 		{"the leader is not heard", 4, func(sim *simulation, leader, _ *simMachine) {
-			for _, machine := range sim.machines {
-				sim.block(leader, machine, partitionDuration)
-			}
+			sim.blockAll(leader, false, true, partitionDuration)
 		}},
 	}
 	for _, test := range cases {
@@ -111,9 +99,9 @@
 			t.Parallel()
 			worst := uint64(0)
 			for seed := uint64(1); seed <= electionSeeds; seed++ {
-				all, after := countTerms(t, seed, test.cut)
+				all, after := countTerms(t, seed, test.inject)
 				worst = max(worst, all)
-				if all > test.most || after > 0 {
+				if all > test.maxTerms || after > 0 {
 					t.Errorf("seed %d: %d terms began from the cut on, %d after its end", seed, all, after)
 				}
 			}
--- a/internal/system/replica/group_test.go
+++ b/internal/system/replica/group_test.go
@@ -9,16 +9,18 @@
 	"cinderroad/internal/system/feed"
 )
 
-// scriptedGroup is a group of which a test plays the other members and the disk, which is written at once.
+// scriptedGroup is a group whose other members are played by the test. Its disk writes at once.
 type scriptedGroup struct {
 	t        *testing.T
 	group    *group
 	now      time.Duration
 	jobs     []writeJob
-	lastSent map[consensus.MessageKind]consensus.Message // sent, by kind
+	lastSent map[consensus.MessageKind]consensus.Message // last message sent, by kind
 }
 
+// newScriptedGroup returns replica 1 of three voters.
 func newScriptedGroup(t *testing.T) *scriptedGroup {
+	t.Helper()
 	scripted := &scriptedGroup{t: t, group: newGroup(feed.ConfigurationPartition, &listState{}), now: time.Second,
 		lastSent: map[consensus.MessageKind]consensus.Message{}}
 	var stored consensus.PersistentState
@@ -40,7 +42,7 @@
 
 func (s *scriptedGroup) enqueueWrite(j writeJob) { s.jobs = append(s.jobs, j) }
 
-// processReady does all that the machine wants done.
+// processReady handles all output of the node.
 func (s *scriptedGroup) processReady() {
 	s.t.Helper()
 	for more := true; more; {
@@ -56,6 +58,7 @@
 	}
 }
 
+// step passes a message to the node.
 func (s *scriptedGroup) step(message consensus.Message) {
 	s.t.Helper()
 	message.To = 1
@@ -63,7 +66,7 @@
 	s.processReady()
 }
 
-// elect has the group win an election by the vote of replica 2.
+// elect lets the group win an election with the vote of replica 2.
 func (s *scriptedGroup) elect() {
 	s.t.Helper()
 	s.now = s.group.node.NextTick()
@@ -76,6 +79,7 @@
 	}
 }
 
+// propose proposes a command, which must be accepted.
 func (s *scriptedGroup) propose(command string) *proposal {
 	s.t.Helper()
 	pending := s.group.propose(s.now, []byte(command))
@@ -86,6 +90,7 @@
 	return pending
 }
 
+// receivedOutcome returns the outcome that a proposal was resolved with, if it was.
 func receivedOutcome(p *proposal) (outcome Outcome, told bool) {
 	select {
 	case reply := <-p.done:
@@ -95,9 +100,9 @@
 	}
 }
 
-// TestReplacedProposalOutcomeUnknown: another leader replaces an entry that is not committed, and then this replica
-// leads again and proposes at its place. A member that was not reached meanwhile may still hold the first entry and have it
-// agreed on, so that its outcome is not known.
+// TestReplacedProposalOutcomeUnknown has another leader overwrite an uncommitted entry, after which this replica
+// leads again and proposes at the same index. A member that was not reached meanwhile may still have the first entry
+// and get it committed, so its outcome is unknown.
 func TestReplacedProposalOutcomeUnknown(t *testing.T) {
 	scripted := newScriptedGroup(t)
 	scripted.elect()
@@ -118,8 +123,8 @@
 	}
 }
 
-// TestLargeCommandIsAppendedOnce: a large command that comes again while it is under way waits for the same entry, and all
-// who wait are told, but for those who have given up.
+// TestLargeCommandIsAppendedOnce checks that a large command that is proposed again while it is uncommitted waits for
+// the same entry, and that all who wait are resolved but for those that were abandoned.
 func TestLargeCommandIsAppendedOnce(t *testing.T) {
 	scripted := newScriptedGroup(t)
 	scripted.elect()
@@ -141,7 +146,7 @@
 	}
 }
 
-// TestOverwrittenProposalDropped: another entry is agreed on at its place.
+// TestOverwrittenProposalDropped commits another entry at a proposal's index.
 func TestOverwrittenProposalDropped(t *testing.T) {
 	s := newScriptedGroup(t)
 	s.elect()
@@ -154,7 +159,8 @@
 	}
 }
 
-// TestProposalCommitsOnMajority: its proposer is told what the state machine returned.
+// TestProposalCommitsOnMajority checks that a proposer receives the state machine's result once a majority has the
+// entry.
 func TestProposalCommitsOnMajority(t *testing.T) {
 	scripted := newScriptedGroup(t)
 	scripted.elect()
@@ -173,7 +179,8 @@
 	}
 }
 
-// TestStalledDiskBoundsQueue: while a write does not end, heartbeats go on to be taken, and only so many answers wait.
+// TestStalledDiskBoundsQueue checks that heartbeats are still accepted while a write hangs, and that the number of
+// queued jobs is bounded.
 func TestStalledDiskBoundsQueue(t *testing.T) {
 	scripted := newScriptedGroup(t)
 	beat := consensus.Message{Kind: consensus.MessageAppend, From: 2, To: 1, Term: 1, Round: 1,
--- a/internal/system/replica/host_test.go
+++ b/internal/system/replica/host_test.go
@@ -124,8 +124,8 @@
 	cluster.waitForMembership(3)
 }
 
-// TestRestartWithUnreachableSeeds restarts a machine whose seeds are no more: it finds the others by what it has on disk, and a machine
-// without anything by a hint.
+// TestRestartWithUnreachableSeeds restarts machines whose seeds no longer exist: they find each other by what is on
+// their disks, and a new machine by an address given to it.
 func TestRestartWithUnreachableSeeds(t *testing.T) {
 	cluster := newTestCluster(t, 3, 3)
 	cluster.startAll()
@@ -161,8 +161,8 @@
 	}
 }
 
-// TestJoinRequestedForUnknownLeader has a replica follow a leader that joined the group after all that this replica knows: it can't
-// answer until it has asked where that one is.
+// TestJoinRequestedForUnknownLeader checks that a replica that follows a leader whose address it does not know asks
+// to join until it learns the address.
 func TestJoinRequestedForUnknownLeader(t *testing.T) {
 	const self, founder, joined = 1, 2, 9
 	settings := processconfig.Settings{IP: netip.MustParseAddr("10.0.0.1"), FreePorts: processconfig.PortRange{First: 9000, Last: 9015}}
--- a/internal/system/replica/membership_plan_test.go
+++ b/internal/system/replica/membership_plan_test.go
@@ -11,12 +11,12 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// testLimits is that of a test's situations.
+// testLimits are the absence limits of the tests' views.
 var testLimits = absenceLimits{absentAfter: 2 * time.Second, removeAfter: 20 * time.Second, lostAfter: time.Minute}
 
-// parseMembershipView reads members as name:zone:marks, where the name's letter is the machine and its digit the life of its
-// disk. Marks: v votes, d silent for 10 s, D silent for a minute and a half, b behind, l leaving, ? without particulars yet. The
-// first one leads. After a bar stand the replicas that ask to be taken in.
+// parseMembershipView reads members as name:zone:flags, where the letter of the name is the machine and its digit the
+// generation of its disk. Flags: v voter, d silent for 10 s, D silent for 90 s, b not caught up, l leaving, ?
+// attributes not reported yet. The first member leads. After a bar come the replicas that ask to join.
 func parseMembershipView(text string) *membershipView {
 	view := &membershipView{targetVoters: preferredVoters, leaderFor: time.Hour, limits: testLimits}
 	members, joining, _ := strings.Cut(text, "|")
@@ -44,11 +44,13 @@
 	return view
 }
 
+// testMember returns the member with a name and zone.
 func testMember(name, zone string) consensus.Member {
 	id := consensus.ReplicaID(name[0])<<8 + consensus.ReplicaID(name[1])
 	return consensus.Member{ID: id, Node: "core-" + name[:1], Zone: zone, Address: "10.0.0." + name[:1] + ":1"}
 }
 
+// formatChange formats the result of planChange for comparison.
 func formatChange(change membershipChange, ok bool) string {
 	if !ok {
 		return "none"
@@ -70,6 +72,7 @@
 	return strings.Join(words, " ")
 }
 
+// TestPlanChange checks the planned change for single situations.
 func TestPlanChange(t *testing.T) {
 	tests := []struct{ name, situation, change string }{
 		{"all well", "A0:a:v B0:b:v C0:c:v", "none"},
@@ -121,7 +124,7 @@
 	}
 }
 
-// TestNewLeaderDemotesNobody has a leader that cannot know yet who is gone.
+// TestNewLeaderDemotesNobody checks that a leader takes no votes away before it can know who is absent.
 func TestNewLeaderDemotesNobody(t *testing.T) {
 	view := parseMembershipView("A0:a:v B0:b:v C0:c:v D0:c:v")
 	view.leaderFor = time.Second
@@ -130,8 +133,8 @@
 	}
 }
 
-// TestPlanChangeTerminates draws situations and follows the plan: it comes to an end, each step changes who votes or anything else, and the living
-// voters stay a majority.
+// TestPlanChangeTerminates draws views and applies the planned changes: the plan must end, each step must change
+// either votes or something else, and the available voters must stay a majority.
 func TestPlanChangeTerminates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := drawMembershipView(t)
@@ -146,6 +149,7 @@
 	})
 }
 
+// drawMembershipView draws a view of up to nine machines.
 func drawMembershipView(t *rapid.T) *membershipView {
 	view := &membershipView{targetVoters: preferredVoters, leaderFor: time.Hour, limits: testLimits}
 	silences := []time.Duration{0, 0, 0, 3 * time.Second, 10 * time.Second, 30 * time.Second, 90 * time.Second}
@@ -170,7 +174,7 @@
 	return view
 }
 
-// applyChange carries a change out and checks it.
+// applyChange applies a planned change to the view and checks it.
 func applyChange(t *rapid.T, view *membershipView, change membershipChange) {
 	if change.transferTo != 0 {
 		i := view.indexOf(change.transferTo)
@@ -200,6 +204,7 @@
 	}
 }
 
+// hasMajority reports whether the available voters are a majority.
 func hasMajority(view *membershipView) bool {
 	voters, living := 0, 0
 	for i := range view.members {
--- a/internal/system/replica/messages_test.go
+++ b/internal/system/replica/messages_test.go
@@ -7,7 +7,7 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// FuzzReadMessage reads batches: what is read makes the same batch again.
+// FuzzReadMessage checks that what readMessage reads is encoded to the same bytes again.
 func FuzzReadMessage(f *testing.F) {
 	var batch []byte
 	for i := range 3 {
--- a/internal/system/replica/repair_model_test.go
+++ b/internal/system/replica/repair_model_test.go
@@ -6,7 +6,11 @@
 	"testing"
 )
 
-// replicaSet is a set of replicas, by number. Replica numbers follow from machine and life of its disk, see replicaOf.
+// replicaSet is a set of replicas by number, see replicaOf.
+//
+// The model in this file explores all orders of events in which a voter is lost or silent and a learner takes its
+// vote, for several strategies of changing the membership. It knows nothing of logs and messages, only which disks
+// are intact: a state has failed if no majority of some voter set is left, since nothing can be committed after that.
 type replicaSet uint32
 
 func (s replicaSet) has(r int) bool { return s&(1<<r) != 0 }
@@ -21,6 +25,7 @@
 
 func (s replicaSet) majorities(of ...replicaSet) bool { return all(of, s.majorityIn) }
 
+// all reports whether a property holds for all sets that are not empty.
 func all(sets []replicaSet, holds func(replicaSet) bool) bool {
 	for _, set := range sets {
 		if set != 0 && !holds(set) {
@@ -30,22 +35,23 @@
 	return true
 }
 
-// maxGenerations is how many disks a machine of the model has one after the other.
+// maxGenerations is the number of disks that a machine of the model has, one after the other.
 const maxGenerations = 3
 
+// replicaOf returns the number of the replica on a machine's disk of some generation.
 func replicaOf(machine, life int) int { return machine*maxGenerations + life }
 
-// modelState is what the model distinguishes.
+// modelState is a state of the model.
 type modelState struct {
 	voters, outgoing  replicaSet
-	leaving           int8 // the voter that a change under way replaces, -1: none
-	incoming          int8 // the learner that takes its vote
+	leaving           int8 // the voter that a change in progress replaces, -1: none
+	incoming          int8 // the learner that takes its vote, -1: none
 	intact, learners  replicaSet
-	partitioned, lost uint8 // machines that are cut off, and that count as lost
+	partitioned, lost uint8 // bit sets of machines; lost ones count against toleratedLosses
 	generations       [6]int8
 }
 
-// replacementStrategy is a way of replacing a voter.
+// replacementStrategy is a way of moving a vote from one replica to another.
 type replacementStrategy uint8
 
 const (
@@ -58,15 +64,16 @@
 	return [...]string{"add first", "remove first", "joint"}[w]
 }
 
-// repairModel is a group and what is to be borne.
+// repairModel is a group and the losses that it has to tolerate.
 type repairModel struct {
 	machines, voters int
-	toleratedLosses  int // machines that may count as lost at once
+	toleratedLosses  int // machines that may be lost at the same time
 	strategy         replacementStrategy
-	// stalls: a change may stand still between its steps for as long as a machine that was cut off needs to count again.
+	// stalls permits a change to stop between its steps until a machine that was partitioned counts again.
 	stalls bool
 }
 
+// initialState returns the state in which all machines are well.
 func (m *repairModel) initialState() modelState {
 	state := modelState{leaving: -1, incoming: -1}
 	for machine := range m.machines {
@@ -81,7 +88,7 @@
 	return state
 }
 
-// reachable are the replicas that are intact and not cut off.
+// reachable returns the replicas that are intact and not partitioned.
 func (s *modelState) reachable(m *repairModel) (set replicaSet) {
 	for machine := range m.machines {
 		replica := replicaOf(machine, int(s.generations[machine]))
@@ -92,16 +99,16 @@
 	return set
 }
 
-// hasMajority tells whether something may ever be agreed on again.
+// hasMajority reports whether anything can ever be committed again.
 func (s *modelState) hasMajority() bool { return s.intact.majorities(s.voters, s.outgoing) }
 
-// step is an event and where it leads.
+// modelStep is an event and the state after it.
 type modelStep struct {
 	event string
 	state modelState
 }
 
-// nextSteps are all events that may come next.
+// nextSteps returns all events that may come next.
 func (m *repairModel) nextSteps(state *modelState) (next []modelStep) {
 	for machine := range m.machines {
 		next = append(next, m.faultSteps(state, machine)...)
@@ -109,7 +116,7 @@
 	return append(next, m.membershipSteps(state)...)
 }
 
-// faultSteps are what may befall a machine, or end.
+// faultSteps returns the faults that a machine may have next, and their ends.
 func (m *repairModel) faultSteps(state *modelState, machine int) (next []modelStep) {
 	bit := uint8(1) << machine
 	mayBeLost := state.lost&bit != 0 || bits.OnesCount8(state.lost) < m.toleratedLosses
@@ -142,13 +149,13 @@
 	return next
 }
 
-// repaired tells whether the group is as it should be: a machine counts again only then, since repair takes less than the
-// time that it needs for that.
+// repaired reports whether the group is complete. A machine counts again only then, since a repair takes less time
+// than a machine needs for that.
 func (m *repairModel) repaired(s *modelState) bool {
 	return s.leaving < 0 && s.voters.size() == m.voters && s.voters&^s.intact == 0
 }
 
-// membershipSteps are the steps of membership that may be agreed on.
+// membershipSteps returns the membership changes that may be committed next.
 func (m *repairModel) membershipSteps(state *modelState) (next []modelStep) {
 	reachable := state.reachable(m)
 	take := func(what string, to modelState) {
@@ -170,8 +177,8 @@
 	return next
 }
 
-// isReplaceable tells whether a voter is to be replaced: one whose disk is lost, and only where there is none one that is
-// merely silent.
+// isReplaceable reports whether a voter is to be replaced: one that lost its disk, or if there is none, one that is
+// silent.
 func (s *modelState) isReplaceable(replica int, reachable replicaSet) bool {
 	lost := s.voters &^ s.intact
 	if lost != 0 {
@@ -180,7 +187,7 @@
 	return s.voters.has(replica) && !reachable.has(replica)
 }
 
-// beginReplacement is the first step of giving a silent voter's vote to a learner.
+// beginReplacement is the first step of moving a voter's vote to a learner.
 func (m *repairModel) beginReplacement(s *modelState, old, taking int) (string, modelState) {
 	next := *s
 	next.leaving, next.incoming = int8(old), int8(taking)
@@ -212,8 +219,8 @@
 	return fmt.Sprintf("the change from %d to %d ends", old, taking), next
 }
 
-// search plays all orders of events up to a depth and returns the shortest one that leaves no majority; nil: there is
-// none. States is how many different ones were seen.
+// search explores all orders of events up to a depth. It returns the shortest one after which no majority is left,
+// nil if there is none, and the number of states.
 func (m *repairModel) search(depth int) (trace []string, states int) {
 	type visit struct {
 		from modelState
@@ -244,9 +251,9 @@
 	return nil, len(seen)
 }
 
-// TestVoterReplacementStrategies searches for a counterexample to each way of giving a voter's vote to another. It is what
-// decides for joint consensus: adding first fails where the same machine is lost again, removing first where a change
-// stands still and the machine that was merely cut off comes back.
+// TestVoterReplacementStrategies searches for a counterexample to each strategy. The result is why the package uses
+// joint consensus: adding first fails if the same machine is lost again, removing first if a change stalls and the
+// machine that was merely partitioned comes back.
 func TestVoterReplacementStrategies(t *testing.T) {
 	tests := []struct {
 		model repairModel
--- a/internal/system/replica/repair_test.go
+++ b/internal/system/replica/repair_test.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-var repairSeeds = flag.Int("repair.seeds", 4, "how many chains of losses are played for each case")
+var repairSeeds = flag.Int("repair.seeds", 4, "number of chains of losses for each case")
 
-// repairCase is a core whose repair is measured.
+// repairCase is a cluster whose repair is measured.
 type repairCase struct {
 	machines, losses int
-	delay, sync      time.Duration // of a message between regions and of a write, at most
+	delay, sync      time.Duration // maxima of a message between regions and of a write
 }
 
-// maxPromisedDelay is the distance up to which a core is to keep the time that a deployment sets (CatchUp). Beyond it an election
-// and the five round trips of a replacement alone may take that long; what is reached there is measured and bounded.
+// maxPromisedDelay is the delay between regions up to which a cluster has to meet the deployment's CatchUp time.
+// Beyond it, an election and the five round trips of a replacement alone may take longer; the time is measured and
+// bounded.
 const maxPromisedDelay = 90 * time.Millisecond
 
-// repairDeadline is how long after its start a successor counts.
+// repairDeadline is how long after its start a replacement must count towards fault tolerance.
 func (c repairCase) repairDeadline() time.Duration {
 	if c.delay > maxPromisedDelay {
 		return testCatchUp * 3 / 2
@@ -32,7 +33,7 @@
 	return fmt.Sprintf("%d machines, %d lost, %v, sync %v", c.machines, c.losses, c.delay, c.sync)
 }
 
-// repairCases are cores of the sizes and distances that a system is built for.
+// repairCases are clusters of the sizes and delays that the system is designed for.
 var repairCases = []repairCase{
 	{3, 1, time.Millisecond, time.Millisecond},
 	{3, 1, 20 * time.Millisecond, time.Millisecond},
@@ -45,7 +46,7 @@
 	{9, 2, 90 * time.Millisecond, 12 * time.Millisecond},
 }
 
-// newRepairSimulation is a core of a case that has founded itself and is changed by operators all the time.
+// newRepairSimulation returns a bootstrapped cluster that operators change all the time.
 func newRepairSimulation(seed uint64, setup repairCase) *simulation {
 	sim := newSimulation(seed)
 	sim.profile.Machines, sim.profile.Operators = setup.machines, 3
@@ -61,12 +62,13 @@
 	return sim
 }
 
-// toleratesLossOf tells whether a majority is intact in every membership that may be in force, some machines left out.
+// toleratesLossOf reports whether a majority stays intact in every membership that may be in effect without some
+// machines.
 func (sim *simulation) toleratesLossOf(without ...*simMachine) bool {
 	return sim.majorityIntactInAll(sim.memberships(), func(machine *simMachine) bool { return slices.Contains(without, machine) })
 }
 
-// toleratesAnyLoss tells whether the core bears the loss of any set of so many machines.
+// toleratesAnyLoss reports whether the cluster tolerates the loss of any set of so many machines.
 func (sim *simulation) toleratesAnyLoss(losses int, lost ...*simMachine) bool {
 	if losses == 0 {
 		return sim.toleratesLossOf(lost...)
@@ -79,7 +81,7 @@
 	return true
 }
 
-// replaceMachines takes machines away for good and returns those in their places, which start after a while.
+// replaceMachines ends machines for good and returns their replacements, which start after a while.
 func (sim *simulation) replaceMachines(gone []*simMachine, after time.Duration) (successors []*simMachine) {
 	for _, machine := range gone {
 		if machine.process != nil {
@@ -94,7 +96,7 @@
 	return successors
 }
 
-// wipeDisks takes machines' disks away; they come back empty after a while.
+// wipeDisks kills machines and takes their disks away; they restart with empty ones after a while.
 func (sim *simulation) wipeDisks(lost []*simMachine, after time.Duration) {
 	for _, machine := range lost {
 		if machine.process != nil {
@@ -107,7 +109,7 @@
 	}
 }
 
-// pickMachines draws machines, the leader first half of the time.
+// pickMachines draws machines, half of the time with the leader as the first.
 func (sim *simulation) pickMachines(n int) (machines []*simMachine) {
 	if process := sim.leader(); process != nil && sim.chance(0.5) {
 		machines = append(machines, process.machine)
@@ -120,7 +122,7 @@
 	return machines
 }
 
-// untilTolerant plays until the core bears the loss of any machines it has to bear, and returns how long that took.
+// untilTolerant runs until the cluster tolerates so many losses, and returns how long that took.
 func (sim *simulation) untilTolerant(losses int, atMost time.Duration) (time.Duration, bool) {
 	began := sim.now
 	for sim.now < began+atMost && sim.failure == "" {
@@ -132,8 +134,9 @@
 	return atMost, false
 }
 
-// TestReplacementRestoresFaultTolerance measures how long after the start of successors, or the return of machines with empty disks, the
-// core bears another loss: within CatchUp, for every size, up to the farthest distance for which that is promised.
+// TestReplacementRestoresFaultTolerance measures how long after the start of replacements, or after the return of
+// machines with empty disks, the cluster tolerates another loss: within CatchUp, for every size, up to
+// maxPromisedDelay.
 func TestReplacementRestoresFaultTolerance(t *testing.T) {
 	kinds := []struct {
 		name string
@@ -168,7 +171,7 @@
 	}
 }
 
-// checkTimes reports times and sees that none is above a bound.
+// checkTimes logs times and checks that none exceeds a limit.
 func checkTimes(t *testing.T, times []time.Duration, bound time.Duration) {
 	t.Helper()
 	slices.Sort(times)
@@ -179,7 +182,7 @@
 	}
 }
 
-// chainSeeds are the seeds of chains of losses: only -core.seed, told as it goes, where that is given.
+// chainSeeds returns the seeds of TestRepeatedLosses; only that of -core.seed if it is given.
 func chainSeeds() (seeds []uint64) {
 	if *simSeed != 0 {
 		return []uint64{*simSeed}
@@ -190,8 +193,8 @@
 	return seeds
 }
 
-// TestRepeatedLosses takes machines away again and again, each time once those before count again: the core goes on
-// agreeing after each.
+// TestRepeatedLosses takes machines away again and again, each time once the replacements count. The cluster must go
+// on committing.
 func TestRepeatedLosses(t *testing.T) {
 	for _, setup := range repairCases {
 		t.Run(setup.String(), func(t *testing.T) {
@@ -222,8 +225,9 @@
 	}
 }
 
-// TestPlannedReplacement has a new machine start and the old one told to stop. As the old process ends its vote has moved:
-// all other machines know that as soon as messages under way have come, and a loss at that very moment is borne.
+// TestPlannedReplacement starts a new machine and shuts the old one down. When the old process ends, its vote has
+// moved; all other machines know that as soon as messages in flight have arrived, and a loss at that very moment is
+// tolerated.
 func TestPlannedReplacement(t *testing.T) {
 	for _, setup := range repairCases {
 		t.Run(setup.String(), func(t *testing.T) {
@@ -244,7 +248,7 @@
 	}
 }
 
-// replacePlanned starts a new machine, lets it catch up, and has an old one stop.
+// replacePlanned starts a new machine, lets it catch up, and shuts an old one down.
 func (sim *simulation) replacePlanned() {
 	old := sim.pickMachines(1)[0]
 	sim.boot(sim.addReplacement(old))
@@ -255,7 +259,7 @@
 	old.replaced = true
 }
 
-// checkLossAfterReplacement has as many machines lose their disks as are to be borne, just as a planned replacement ends.
+// checkLossAfterReplacement takes away as many disks as must be tolerated just as a planned replacement ends.
 func checkLossAfterReplacement(t *testing.T, seed uint64, setup repairCase) {
 	t.Helper()
 	sim := newRepairSimulation(seed, setup)
@@ -269,6 +273,7 @@
 	}
 }
 
+// runUntilEnded runs until a process has ended.
 func (sim *simulation) runUntilEnded(process *simProcess, atMost time.Duration) {
 	for end := sim.now + atMost; process.alive && sim.now < end && sim.failure == ""; {
 		sim.runFor(10 * time.Millisecond)
@@ -278,8 +283,8 @@
 	}
 }
 
-// TestPermanentShutdowns has machines of five stop for good with nobody to take their votes, and another lose its disk
-// once the group had time to go on without them.
+// TestPermanentShutdowns shuts two machines of five down for good without learners to take their votes, and then
+// takes away a disk once the group had time to shrink.
 func TestPermanentShutdowns(t *testing.T) {
 	setup := repairCase{machines: 5, losses: 1, delay: 20 * time.Millisecond, sync: 5 * time.Millisecond}
 	for seed := uint64(1); seed <= scenarioSeeds; seed++ {
--- a/internal/system/replica/resource_bounds_test.go
+++ b/internal/system/replica/resource_bounds_test.go
@@ -15,19 +15,21 @@
 	"cinderroad/internal/system/storage"
 )
 
+// Parameters and limits of TestWriteLoadResourceBounds.
 const (
 	boundChanges      = 5000
 	loadRoutes        = 500
 	boundRouteBytes   = 8 << 10 // bytes, 4 MB in all
-	boundFullChanges  = 20      // changes at the start that replace the whole configuration
-	boundFullInterval = 1000    // and every so many, one later
+	boundFullChanges  = 20      // first changes, which replace the whole configuration
+	boundFullInterval = 1000    // of later changes that replace the whole configuration
 	boundBatchChanges = 50      // changes that share a write
 
 	maxDiskBytes = 40 << 20 // of all files of the store
 	maxHeapBytes = 24 << 20 // of state, log and snapshots, between two changes
 )
 
-// singleVoterGroup is a group of one machine over a store on a real disk, and its state machine.
+// singleVoterGroup is a group with a single voter over a store on a real disk, with the configuration as its state
+// machine.
 type singleVoterGroup struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -41,6 +43,7 @@
 }
 
 func newSingleVoterGroup(t *testing.T) *singleVoterGroup {
+	t.Helper()
 	single := &singleVoterGroup{t: t, random: rand.New(rand.NewPCG(1, 1)), folder: t.TempDir()}
 	founders := consensus.Snapshot{Membership: consensus.Membership{
 		Members: []consensus.Member{{ID: 1, Node: "core-0", Zone: "zone-0", Address: "127.0.0.1:1", Voter: true}}}}
@@ -53,6 +56,7 @@
 }
 
 func (s *singleVoterGroup) open() {
+	s.t.Helper()
 	store, err := storage.Open(s.folder)
 	if err != nil {
 		s.t.Fatal(err)
@@ -61,7 +65,7 @@
 	s.t.Cleanup(func() { store.Close() })
 }
 
-// start makes the group of what the store holds, and has it lead.
+// start creates the group from what the store has and lets it become leader.
 func (s *singleVoterGroup) start() {
 	s.t.Helper()
 	stored, _, err := s.store.Load(feed.ConfigurationPartition)
@@ -105,7 +109,7 @@
 	}
 }
 
-// proposeChange proposes the next version, with new values for some routes.
+// proposeChange proposes the next version of the configuration, with new values for some routes.
 func (s *singleVoterGroup) proposeChange(routes int) {
 	s.t.Helper()
 	command := state.CommitConfiguration{BasedOn: s.version, Version: s.version + 1}
@@ -148,8 +152,9 @@
 	return int64(stats.HeapAlloc)
 }
 
-// TestWriteLoadResourceBounds: log, snapshot, disk and memory stay bounded through thousands of changes of a large configuration,
-// the whole of which is replaced now and then. It is not run beside others, whose memory would count.
+// TestWriteLoadResourceBounds checks that log, snapshots, disk and memory stay bounded through thousands of changes
+// of a large configuration, all of which is replaced now and then. It must not run in parallel with tests whose
+// memory would count.
 func TestWriteLoadResourceBounds(t *testing.T) {
 	before := heapBytes()
 	single := newSingleVoterGroup(t)
--- a/internal/system/replica/sim_agent_test.go
+++ b/internal/system/replica/sim_agent_test.go
@@ -6,7 +6,7 @@
 	"cinderroad/internal/system/feed"
 )
 
-// simAgent follows partition 0 at one replica after the other, as agents do.
+// simAgent follows partition 0 at one replica at a time, as agents do.
 type simAgent struct {
 	sim      *simulation
 	table    *feed.Table
@@ -22,7 +22,7 @@
 	sim.schedule(agentPollInterval, agent.follow)
 }
 
-// follow asks the replica for what has changed since; at times another one.
+// follow polls the replica for changes, and switches to another replica at times.
 func (a *simAgent) follow() {
 	sim := a.sim
 	sim.schedule(sim.uniform(agentPollInterval/2, agentPollInterval), a.follow)
--- a/internal/system/replica/sim_checks_test.go
+++ b/internal/system/replica/sim_checks_test.go
@@ -10,7 +10,8 @@
 	"cinderroad/internal/system/feed"
 )
 
-// checkApplied sees that all replicas do the same at an index, and that accepted changes make one chain without repeats.
+// checkApplied checks that all replicas do the same at an index, and that each accepted change builds on the one
+// before and is accepted once.
 func (sim *simulation) checkApplied(process *simProcess, index uint64, command, result []byte) {
 	this := appliedCommand{string(command), string(result)}
 	if have, ok := sim.oracle.appliedCommands[index]; ok {
@@ -48,7 +49,7 @@
 	sim.oracle.versions = append(sim.oracle.versions, committedVersion{sim.now, index, request})
 }
 
-// checkStep holds after each step of a process.
+// checkStep checks the invariants of a process after each of its steps.
 func (sim *simulation) checkStep(process *simProcess) {
 	version := process.state.Version()
 	if version < process.version || process.group.appliedIndex < process.appliedIndex {
@@ -69,7 +70,7 @@
 	}
 }
 
-// checkMajority sees that what is applied first was synced by a majority of the voters.
+// checkMajority checks that an entry was durable on a majority of voters before any replica applied it.
 func (sim *simulation) checkMajority(process *simProcess) {
 	at, ok := process.group.node.CreateSnapshot(process.appliedIndex, nil)
 	if !ok {
@@ -87,8 +88,8 @@
 	}
 }
 
-// majorityOfEach tells whether something is true of a majority of the voters, in both voter sets of a joint membership.
-// It counts by itself, so that the agreement's own counting is checked by it.
+// majorityOfEach reports whether a property holds for a majority of the voters, in both voter sets of a joint
+// membership. It does not use Membership.Quorum, so that the checks cover that, too.
 func majorityOfEach(membership consensus.Membership, holds func(consensus.ReplicaID) bool) bool {
 	var voters, agreeing, outgoing, agreeingOutgoing int
 	for _, member := range membership.Members {
@@ -108,12 +109,12 @@
 	return 2*agreeing > voters && (outgoing == 0 || 2*agreeingOutgoing > outgoing)
 }
 
-// maxStalledLeadership is how long a replica may lead whose disk does not finish a write.
+// maxStalledLeadership is how long a replica may stay leader while its disk does not complete a write.
 const maxStalledLeadership = diskStallTimeout + defaultElectionTimeout + 300*time.Millisecond
 
-// checkLeader sees that there is one leader a term, a voter, whose disk works.
+// checkLeader checks that there is one leader a term, and that its disk is not stalled.
 func (sim *simulation) checkLeader(process *simProcess) {
-	term := process.group.lastHardState.Term // a leader's is on its disk
+	term := process.group.lastHardState.Term // a leader has made its term durable
 	id, ok := sim.oracle.leaders[term]
 	if ok && id != process.host.self.ID {
 		sim.fail("replicas %s and %s both led term %d", formatReplicaID(id), formatReplicaID(process.host.self.ID), term)
@@ -129,7 +130,7 @@
 	}
 }
 
-// checkSent sees that replicas that were not taken in neither vote nor stand for election.
+// checkSent checks that only replicas that were ever voters campaign, and only members vote.
 func (sim *simulation) checkSent(process *simProcess, message *consensus.Message) {
 	id := process.machine.id()
 	switch message.Kind {
@@ -144,13 +145,14 @@
 	}
 }
 
-// membershipDifference counts what differs between two memberships.
+// membershipDifference counts the differences between two memberships.
 type membershipDifference struct {
-	members   int // that come, go or change in any way
-	votes     int // that are given or taken away
+	members   int // added, removed or changed in any way
+	votes     int // given or taken away
 	addsVoter bool
 }
 
+// diffMemberships compares two memberships.
 func diffMemberships(before, after consensus.Membership) (difference membershipDifference) {
 	find := func(in consensus.Membership, id consensus.ReplicaID) consensus.Member {
 		for _, member := range in.Members {
@@ -182,8 +184,8 @@
 	return difference
 }
 
-// allowed tells whether a step is one of those that the agreement may make: one member, anything but votes, or votes
-// alone and then through a joint membership that holds the old votes too.
+// allowed reports whether consensus permits the change: of one member, of anything but votes, or of several votes
+// through a joint membership with the old votes as the outgoing ones.
 func (d membershipDifference) allowed(before, after consensus.Membership) bool {
 	if after.Joint() {
 		kept := slices.EqualFunc(before.Members, after.Members, func(a, b consensus.Member) bool {
@@ -196,12 +198,12 @@
 	return d.votes == 0 || d.members == 1
 }
 
-// checkChange sees that memberships change by allowed steps, that only members become voters, and that no change takes the
-// majority away.
+// checkChange checks that memberships change by permitted steps, that only members become voters, and that no change
+// takes away the majority.
 func (sim *simulation) checkChange(process *simProcess, before, after consensus.Membership) {
 	difference := diffMemberships(before, after)
 	if difference.members == 0 {
-		return // leadership was handed over
+		return // leadership was transferred instead
 	}
 	sim.logf("%d changes the membership to %v", process.machine.index, memberList(after.Members))
 	sim.stats.counters.membershipChanges++
@@ -222,6 +224,7 @@
 	}
 }
 
+// countVoters returns the number of voters of the incoming set.
 func countVoters(membership consensus.Membership) (voters int) {
 	for _, m := range membership.Members {
 		if m.Voter {
@@ -231,7 +234,7 @@
 	return voters
 }
 
-// checkAgent sees that an agent does not go back, and holds what was agreed at its place.
+// checkAgent checks that an agent does not go back and has what was committed at its index.
 func (sim *simulation) checkAgent(agent *simAgent) {
 	value, _ := agent.table.Get(feed.KeyVersion)
 	owner, _ := agent.table.Get(ownerKey)
@@ -249,7 +252,7 @@
 	agent.version = version
 }
 
-// checkEnd sees that all is well some time after the last fault, and looks at the whole history.
+// checkEnd checks that the cluster has recovered some time after the last fault, and the whole history of requests.
 func (sim *simulation) checkEnd() {
 	if sim.failure != "" {
 		return
@@ -275,13 +278,13 @@
 	}
 }
 
-// stalenessSlack is by how much the state of a replica that says that it is up to date may be older than that. Its leader may
-// have lost its majority an election time ago, and messages may have waited while a process stood still for less than what
-// the replica takes for a stand-still, two election times. Messages may also have waited for a thin link, as long as any did.
+// stalenessSlack is by how much a replica may understate its staleness. Its leader may have lost its majority an
+// election timeout ago, and messages may have waited while a process was paused for less than two election timeouts,
+// which the replica does not detect. Waiting for a slow link comes on top.
 const stalenessSlack = 3 * defaultElectionTimeout
 
-// checkStaleness sees that a replica which says that it was up to date a while ago holds what was in force then. Nobody is told
-// that state is current that is older than the last contact with a majority, but for stalenessSlack.
+// checkStaleness checks that a replica has applied everything that was committed before the time up to which it
+// reports to be current, but for stalenessSlack.
 func (sim *simulation) checkStaleness(process *simProcess) {
 	status := process.group.node.Status()
 	age := elapsedSince(status.CaughtUpAt, process.clock())
@@ -290,7 +293,7 @@
 	}
 	slack := stalenessSlack + 4*sim.profile.Delay + sim.longestWait
 	if status.Role == consensus.Leader && status.CaughtUpAt == status.LastLeaderContact {
-		slack = 0 // a round that a majority answered
+		slack = 0 // confirmed by a round that a majority answered
 	}
 	then := sim.now - time.Duration(float64(age)/process.machine.clockRate) - slack
 	for i := len(sim.oracle.versions) - 1; i >= 0; i-- {
--- a/internal/system/replica/sim_convergence_test.go
+++ b/internal/system/replica/sim_convergence_test.go
@@ -7,9 +7,10 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// converged tells whether all is well again; why not, if it is not, is in unsettled.
+// converged reports whether the cluster has recovered from all faults.
 func (sim *simulation) converged() bool { return sim.notConverged() == "" }
 
+// notConverged returns what is missing for converged; empty if nothing is.
 func (sim *simulation) notConverged() string {
 	process := sim.leader()
 	if process == nil {
@@ -46,9 +47,9 @@
 	return ""
 }
 
-// membershipNotConverged tells what is left to do about the membership: the leader's plan has come to its end, all machines are
-// members, and as many may fail as the number of machines allows. A voter that is gone may stay where the group would be no
-// better without it.
+// membershipNotConverged returns why the membership is not final; empty if it is. It is final once the leader plans
+// no change, all machines are members, and as many may fail as the number of machines permits. An absent voter may
+// remain if the group would be no more fault tolerant without it.
 func (sim *simulation) membershipNotConverged(process *simProcess, machines []*simMachine) string {
 	status := process.group.node.Status()
 	text := "the membership is " + memberList(status.Membership.Members).String()
--- a/internal/system/replica/sim_disk_test.go
+++ b/internal/system/replica/sim_disk_test.go
@@ -9,15 +9,15 @@
 	"cinderroad/internal/system/storage"
 )
 
-// storedEntry is an entry as it is stored.
+// storedEntry is a log entry with the commit index stored along with it.
 type storedEntry struct {
 	entry     consensus.Entry
 	committed uint64
 }
 
-// simDisk is what is synced on a machine's disk: a model of storage.Store with one partition.
+// simDisk has what is durable on a machine's disk. It models storage.Store with one partition.
 type simDisk struct {
-	id        consensus.ReplicaID // 0: of no replica yet
+	id        consensus.ReplicaID // 0: no replica yet
 	hardState consensus.HardState
 	snapshot  consensus.Snapshot
 	entries   []storedEntry
@@ -49,7 +49,7 @@
 	d.entries = slices.DeleteFunc(d.entries, func(k storedEntry) bool { return k.entry.Index >= index })
 }
 
-// load is what a process finds.
+// load returns the persistent state that a process finds.
 func (d *simDisk) load() consensus.PersistentState {
 	stored := consensus.PersistentState{HardState: d.hardState, Snapshot: d.snapshot}
 	last := d.snapshot.Index
@@ -64,7 +64,7 @@
 
 var errDiskFull = errors.New("no space left on device")
 
-// enqueueWrite has a job carried out; see outlet.
+// enqueueWrite implements groupOutput.
 func (p *simProcess) enqueueWrite(j writeJob) {
 	p.queuedJobs = append(p.queuedJobs, j)
 	if p.sim.injected.sendsBeforeSync {
@@ -72,7 +72,7 @@
 	}
 }
 
-// startWrite begins a transaction of all that waits, as Host.writeQueued does.
+// startWrite starts a transaction with all queued jobs, as Host.writeQueued does.
 func (p *simProcess) startWrite() {
 	if len(p.activeJobs) > 0 || len(p.queuedJobs) == 0 {
 		return
@@ -88,11 +88,12 @@
 	p.sim.schedule(p.syncTime(), p.finishWrite)
 }
 
+// syncTime returns the duration of a transaction.
 func (p *simProcess) syncTime() time.Duration {
 	return p.sim.uniform(p.sim.profile.SyncTime/4, p.sim.profile.SyncTime)
 }
 
-// finishWrite is the end of a transaction: it succeeds, fails, or hangs for longer.
+// finishWrite ends a transaction: it succeeds, fails and is retried, or hangs.
 func (p *simProcess) finishWrite() {
 	sim, d := p.sim, p.machine.disk
 	switch {
@@ -112,6 +113,7 @@
 	}
 }
 
+// syncWrites makes writes durable.
 func (p *simProcess) syncWrites(writes []storage.Update) {
 	for i := range writes {
 		p.machine.disk.write(&writes[i])
@@ -119,7 +121,7 @@
 	}
 }
 
-// handlePersisted is Host.persisted.
+// handlePersisted models Host.handlePersisted.
 func (p *simProcess) handlePersisted() {
 	jobs := p.activeJobs
 	p.activeJobs = nil
--- a/internal/system/replica/sim_evacuation_test.go
+++ b/internal/system/replica/sim_evacuation_test.go
@@ -7,8 +7,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// evacuationOperator is the only one to order about its zone: one thing after the other, each sent again through any machine
-// until it is acknowledged or given up. What was acknowledged has to hold until it orders something else.
+// evacuationOperator is the only one that orders evacuations of its zone: one order at a time, repeated through any
+// machine until it is acknowledged or abandoned. What was acknowledged must hold until its next order.
 type evacuationOperator struct {
 	sim          *simulation
 	zone         string
@@ -19,13 +19,13 @@
 	acknowledged int
 }
 
-// evacuationOrder is an order however often it is sent.
+// evacuationOrder is an order, however often it is sent.
 type evacuationOrder struct {
 	request      simRequest
 	acknowledged bool
 }
 
-// evacuationRecord is a copy of an order, or a read.
+// evacuationRecord is a request for an order, or a read.
 type evacuationRecord struct {
 	order             *evacuationOrder // nil: a read
 	evacuated         bool             // as it was read
@@ -33,6 +33,7 @@
 	invoked, returned time.Duration
 }
 
+// addEvacuationOperator adds the operator of a zone.
 func (sim *simulation) addEvacuationOperator(zone string) {
 	operator := &evacuationOperator{sim: sim, zone: zone}
 	sim.evacuationOperators = append(sim.evacuationOperators, operator)
@@ -40,7 +41,7 @@
 	sim.schedule(sim.uniform(time.Second, 3*time.Second), operator.startRead)
 }
 
-// recordEvacuation sees that nobody but its operator changes what was acknowledged.
+// recordEvacuation notes a committed evacuation and checks that it does not undo an acknowledged order.
 func (sim *simulation) recordEvacuation(request *simRequest) {
 	for _, operator := range sim.evacuationOperators {
 		if operator.zone != request.zone {
@@ -54,7 +55,7 @@
 	}
 }
 
-// startOrder orders the contrary of the last order, or at times the same again.
+// startOrder starts an order: the opposite of the last one, or at times the same again.
 func (o *evacuationOperator) startOrder() {
 	sim := o.sim
 	on := o.order == nil || !o.order.request.evacuated
@@ -74,7 +75,7 @@
 	})
 }
 
-// send sends the order, and again until it is acknowledged.
+// send sends the order and repeats it until it is acknowledged.
 func (o *evacuationOperator) send(order *evacuationOrder) {
 	sim := o.sim
 	if o.order != order || order.acknowledged {
@@ -91,7 +92,7 @@
 	sim.schedule(sim.uniform(200*time.Millisecond, time.Second), func() { o.send(order) })
 }
 
-// handleAcknowledged notes an acknowledgement.
+// handleAcknowledged handles the first acknowledgement of an order.
 func (o *evacuationOperator) handleAcknowledged(order *evacuationOrder) {
 	sim := o.sim
 	order.acknowledged = true
@@ -106,7 +107,7 @@
 	}
 }
 
-// startRead reads whether the zone is evacuated.
+// startRead reads whether the zone is evacuated, and schedules the next read.
 func (o *evacuationOperator) startRead() {
 	sim := o.sim
 	sim.schedule(sim.uniform(sim.profile.ThinkTime/2, 2*sim.profile.ThinkTime), o.startRead)
@@ -114,7 +115,7 @@
 	o.request(record, &simRequest{read: true, zone: o.zone}, func(simResponse) {})
 }
 
-// request sends a request to any machine and notes the answer, if one comes in time.
+// request sends a request to any machine and records the response if it arrives in time.
 func (o *evacuationOperator) request(record *evacuationRecord, request *simRequest, told func(simResponse)) {
 	sim := o.sim
 	o.history = append(o.history, record)
@@ -141,7 +142,7 @@
 	})
 }
 
-// notConverged tells what is left at the end; empty: nothing.
+// notConverged returns what is missing at the end; empty if nothing is.
 func (o *evacuationOperator) notConverged() string {
 	if o.order == nil || !o.order.acknowledged {
 		return "the operator of zone " + o.zone + " does not know what became of its order"
@@ -154,7 +155,7 @@
 	return ""
 }
 
-// evacuationModel is a zone that is evacuated or not. An order that was given up may have taken effect or not.
+// evacuationModel is the sequential specification of a zone. An abandoned order may have taken effect or not.
 var evacuationModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{false} },
 	Step: func(now, input, _ any) []any {
@@ -171,8 +172,8 @@
 	},
 }
 
-// checkHistory tells whether the history is that of a zone in which each order takes effect at most once, and none that
-// was given up after the next acknowledgement.
+// checkHistory checks that the zone's history is linearizable: each order takes effect at most once, and no abandoned
+// order after the next acknowledgement.
 func (o *evacuationOperator) checkHistory() {
 	var operations []porcupine.Operation
 	seen := map[*evacuationOrder]bool{}
@@ -195,7 +196,7 @@
 	}
 }
 
-// acknowledgedAfter is when the order of an operation, or a later one, was first acknowledged.
+// acknowledgedAfter returns when the order of a record, or a later one, was first acknowledged.
 func (o *evacuationOperator) acknowledgedAfter(i int) time.Duration {
 	at := time.Duration(math.MaxInt64)
 	for _, record := range o.history[i:] {
--- a/internal/system/replica/sim_faults_test.go
+++ b/internal/system/replica/sim_faults_test.go
@@ -7,7 +7,7 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// injectFault does one thing to the core and has it end after a while.
+// injectFault injects one random fault, which ends after a while, and schedules the next one.
 func (sim *simulation) injectFault() {
 	if !sim.faultsEnabled {
 		return
@@ -46,6 +46,7 @@
 	}
 }
 
+// restart kills a process and boots it again.
 func (sim *simulation) restart(machine *simMachine, down time.Duration) {
 	if machine.process == nil {
 		return
@@ -54,7 +55,7 @@
 	sim.schedule(down, func() { sim.boot(machine) })
 }
 
-// restartGracefully tells a process to end, which takes as long as its votes need to move, and starts it again.
+// restartGracefully shuts a process down, which takes as long as its votes need to move, and starts it again.
 func (sim *simulation) restartGracefully(machine *simMachine, down time.Duration) {
 	process := machine.process
 	if process == nil || !sim.canLoseDisk(machine) {
@@ -65,7 +66,7 @@
 	sim.bootAfterExit(machine, process, down)
 }
 
-// bootAfterExit starts a machine some time after a process of it has ended.
+// bootAfterExit starts a machine some time after its process has ended.
 func (sim *simulation) bootAfterExit(machine *simMachine, ending *simProcess, down time.Duration) {
 	sim.schedule(down, func() {
 		if ending.alive {
@@ -86,6 +87,7 @@
 	}
 }
 
+// pause stops a process for a while, as SIGSTOP does.
 func (sim *simulation) pause(machine *simMachine, span time.Duration) {
 	process := machine.process
 	if process == nil || process.paused {
@@ -96,27 +98,33 @@
 	sim.schedule(span, process.resume)
 }
 
+// block drops all messages in one direction between two machines for a while.
 func (sim *simulation) block(from, to *simMachine, span time.Duration) {
 	way := [2]int{from.index, to.index}
 	sim.blockedLinks[way]++
 	sim.schedule(span, func() { sim.blockedLinks[way] = max(sim.blockedLinks[way]-1, 0) })
 }
 
-// isolate takes a machine off the others, one way or both.
-func (sim *simulation) isolate(machine *simMachine, span time.Duration) {
-	ways := 1 + sim.random.IntN(3)
-	sim.logf("%d is cut off (%d) for %v", machine.index, ways, span)
+// blockAll blocks a machine's links to and from all machines for a while, inbound, outbound or both.
+func (sim *simulation) blockAll(machine *simMachine, inbound, outbound bool, span time.Duration) {
 	for _, other := range sim.machines {
-		if ways&1 != 0 {
+		if outbound {
 			sim.block(machine, other, span)
 		}
-		if ways&2 != 0 {
+		if inbound {
 			sim.block(other, machine, span)
 		}
 	}
 }
 
-// partitionNetwork cuts the core in two.
+// isolate partitions a machine from the others, in one direction or both.
+func (sim *simulation) isolate(machine *simMachine, span time.Duration) {
+	ways := 1 + sim.random.IntN(3)
+	sim.logf("%d is cut off (%d) for %v", machine.index, ways, span)
+	sim.blockAll(machine, ways&2 != 0, ways&1 != 0, span)
+}
+
+// partitionNetwork splits the machines at random into two sides that cannot reach each other.
 func (sim *simulation) partitionNetwork(span time.Duration) {
 	var side []bool
 	for range sim.machines {
@@ -132,8 +140,8 @@
 	}
 }
 
-// loseDisk takes a disk away, where a majority of voters outlives that whatever becomes of changes under way. Its machine
-// comes back as a new replica, or another machine at another address takes its place.
+// loseDisk takes a disk away if a majority of voters survives that whatever becomes of changes in progress. The
+// machine comes back as a new replica, or another machine takes its place.
 func (sim *simulation) loseDisk(machine *simMachine, span time.Duration) {
 	if !sim.canLoseDisk(machine) {
 		return
@@ -159,9 +167,9 @@
 	sim.schedule(span, func() { sim.boot(next) })
 }
 
-// canLoseDisk tells whether in each membership that may be in force most voters have their disks without that of s, and without
-// those whose processes are about to end: a machine that stops counts as lost, and its vote may go to one that is lost just
-// now.
+// canLoseDisk reports whether in every membership that may be in effect a majority of voters have their disks without
+// this machine's and without those that are shutting down: a vote may be moving from such a machine to one that is
+// just lost.
 func (sim *simulation) canLoseDisk(machine *simMachine) bool {
 	if len(sim.oracle.versions) == 0 {
 		return false
@@ -170,7 +178,7 @@
 	return sim.majorityIntactInAll(views, func(other *simMachine) bool { return other == machine || other.isLeaving() })
 }
 
-// memberships are those that machines go by, or would after a restart.
+// memberships returns those that machines use, or would use after a restart.
 func (sim *simulation) memberships() (memberships []consensus.Membership) {
 	for _, machine := range sim.activeMachines() {
 		if stored := machine.disk.load(); stored.Validate() == nil {
@@ -183,20 +191,22 @@
 	return memberships
 }
 
+// majorityIntactInAll reports whether majorityIntact holds for all memberships.
 func (sim *simulation) majorityIntactInAll(views []consensus.Membership, without func(*simMachine) bool) bool {
 	return !slices.ContainsFunc(views, func(view consensus.Membership) bool { return !sim.majorityIntact(view, without) })
 }
 
-// isLeaving tells whether a machine's process was told to end and still runs.
+// isLeaving reports whether a machine's process is shutting down.
 func (s *simMachine) isLeaving() bool { return s.process != nil && s.process.host.leaving }
 
-// majorityIntact tells whether most voters have their disks, some machines' left out.
+// majorityIntact reports whether a majority of voters have their disks, without some machines.
 func (sim *simulation) majorityIntact(view consensus.Membership, without func(*simMachine) bool) bool {
 	return len(view.Members) == 0 || majorityOfEach(view, func(id consensus.ReplicaID) bool {
 		return slices.ContainsFunc(sim.activeMachines(), func(machine *simMachine) bool { return !without(machine) && machine.id() == id })
 	})
 }
 
+// newestMembership returns the last membership in a persistent state.
 func newestMembership(stored *consensus.PersistentState) consensus.Membership {
 	newest := stored.Snapshot.Membership
 	for _, e := range stored.Entries {
@@ -207,7 +217,7 @@
 	return newest
 }
 
-// endFaults ends all faults.
+// endFaults ends all faults, boots all machines, and lets the operators finish.
 func (sim *simulation) endFaults() {
 	sim.logf("all faults end")
 	sim.faultsEnabled = false
@@ -215,7 +225,7 @@
 	for _, machine := range sim.activeMachines() {
 		machine.disk.stalledUntil, machine.disk.failsUntil = 0, 0
 		sim.boot(machine)
-		if machine.process != nil { // it may end as it was told to
+		if machine.process != nil { // it may have been shutting down
 			machine.process.resume()
 		}
 	}
--- a/internal/system/replica/sim_linearizability_test.go
+++ b/internal/system/replica/sim_linearizability_test.go
@@ -12,9 +12,10 @@
 	"cinderroad/internal/system/control/state"
 )
 
-// requestHistory is what operators asked and were told.
+// requestHistory has all requests of operators and their responses.
 type requestHistory struct{ operations []*requestRecord }
 
+// requestRecord is a request with the times of its call and its response.
 type requestRecord struct {
 	operator          int
 	request           simRequest
@@ -22,17 +23,19 @@
 	invoked, returned time.Duration
 }
 
+// begin records a request.
 func (h *requestHistory) begin(client int, request *simRequest, now time.Duration) *requestRecord {
 	record := &requestRecord{operator: client, request: *request, invoked: now}
 	h.operations = append(h.operations, record)
 	return record
 }
 
+// complete records the response.
 func (o *requestRecord) complete(response simResponse, now time.Duration) {
 	o.response, o.returned = response, now
 }
 
-// text lists the history.
+// text formats the history.
 func (h *requestHistory) text() string {
 	var b strings.Builder
 	for _, record := range h.operations {
@@ -55,6 +58,7 @@
 	digest   state.Digest
 }
 
+// current returns the current version.
 func (r *register) current() uint64 {
 	if r == nil {
 		return 0
@@ -62,7 +66,7 @@
 	return r.version
 }
 
-// accepted is the version of a change that was accepted.
+// accepted returns the version of a change if it was accepted.
 func (r *register) accepted(digest state.Digest) (uint64, bool) {
 	for ; r != nil; r = r.previous {
 		if r.digest == digest {
@@ -72,6 +76,7 @@
 	return 0, false
 }
 
+// same reports whether two registers have the same changes.
 func (r *register) same(other *register) bool {
 	for r != nil && other != nil && r != other {
 		if r.version != other.version || r.digest != other.digest {
@@ -82,9 +87,9 @@
 	return r == other
 }
 
-// registerModel is what operators may rely on: a change that builds on the version in force is accepted, once however
-// often it is sent, and any other is refused; a read shows what is in force. A change whose outcome is not known may take
-// effect at any time after it was sent.
+// registerModel is the sequential specification: a change that builds on the current version is accepted, once
+// however often it is sent, and any other is rejected; a read returns the current version. A change with an unknown
+// outcome may take effect at any time after it was sent.
 var registerModel = porcupine.Model{
 	Init: func() any { return (*register)(nil) },
 	Step: func(now, input, output any) (bool, any) {
@@ -117,7 +122,7 @@
 	},
 }
 
-// checkHistory tells whether the history is one of a register.
+// checkHistory checks that the operators' history is linearizable.
 func (sim *simulation) checkHistory() {
 	operations := sim.linearizableOperations()
 	switch porcupine.CheckOperationsTimeout(registerModel, operations, linearizabilityTimeout) {
@@ -128,8 +133,8 @@
 	}
 }
 
-// linearizableOperations are the history without what cannot matter: reads without an answer, changes without one that were never put
-// in force, and all but the first of the same change without an answer.
+// linearizableOperations returns the history without what cannot matter: reads without a response, changes without a
+// response that never took effect, and repetitions of a change without a response.
 func (sim *simulation) linearizableOperations() (operations []porcupine.Operation) {
 	unanswered := map[state.Digest]bool{}
 	for _, record := range sim.history.operations {
--- a/internal/system/replica/sim_link_test.go
+++ b/internal/system/replica/sim_link_test.go
@@ -9,16 +9,16 @@
 // linkChunkBytes is what a connection sends before the next one has its turn.
 const linkChunkBytes = 8 << 10
 
-// simLink is a machine's way out, whose bandwidth its connections share. The real one is that of the process: what it
-// has not sent as it ends is lost.
+// simLink is the outgoing link of a machine, whose bandwidth its connections share. What it has not sent when the
+// process ends is lost.
 type simLink struct {
 	sim            *simulation
 	connections    []*simConnection
 	busy           bool
-	nextConnection int // connection whose turn it is
+	nextConnection int // index of the connection whose turn it is
 }
 
-// simConnection sends messages to one machine, one after the other.
+// simConnection sends messages to one machine in order.
 type simConnection struct {
 	receiver    int
 	kind        connectionKind
@@ -26,14 +26,15 @@
 	queuedBytes int
 }
 
-// queuedMessage is a message that goes out. Sent is called at its end.
+// queuedMessage is a message that is queued or being sent.
 type queuedMessage struct {
 	remainingBytes int
-	startedAt      time.Duration // 0: it has not begun
+	startedAt      time.Duration // when sending began; 0: not yet
 	onSent         func()
 	onLost         func()
 }
 
+// connection returns the connection of a kind to a machine.
 func (l *simLink) connection(to int, lane connectionKind) *simConnection {
 	for _, c := range l.connections {
 		if c.receiver == to && c.kind == lane {
@@ -45,7 +46,7 @@
 	return c
 }
 
-// send has a message go out over a connection.
+// send queues a message on a connection.
 func (l *simLink) send(connection *simConnection, bytes int, sent, lost func()) {
 	queued := l.sim.now
 	connection.queue = append(connection.queue, queuedMessage{remainingBytes: bytes, onLost: lost, onSent: func() {
@@ -57,7 +58,7 @@
 	l.sendNext()
 }
 
-// sendNext sends the next chunk.
+// sendNext sends the next chunk unless one is being sent.
 func (l *simLink) sendNext() {
 	if l.busy {
 		return
@@ -72,6 +73,7 @@
 	}
 }
 
+// sendChunk starts sending a chunk of a connection's first message.
 func (l *simLink) sendChunk(connection *simConnection) {
 	first := &connection.queue[0]
 	if first.startedAt == 0 {
@@ -86,6 +88,7 @@
 	})
 }
 
+// finishChunk completes a chunk, and the message if it was its last.
 func (l *simLink) finishChunk(connection *simConnection, chunk int) {
 	first := &connection.queue[0]
 	first.remainingBytes -= chunk
@@ -102,7 +105,7 @@
 	sent()
 }
 
-// reset loses all that the connection was to send.
+// reset closes a connection: all its queued messages are lost.
 func (l *simLink) reset(c *simConnection) {
 	queue := c.queue
 	c.queue, c.queuedBytes = nil, 0
@@ -111,7 +114,7 @@
 	}
 }
 
-// sendOverLink sends a message as peers.send does.
+// sendOverLink models peerSet.send.
 func (p *simProcess) sendOverLink(to *simMachine, message *consensus.Message) {
 	under := p.bulkTransfers[to.index]
 	way, message := under.route(message)
@@ -135,7 +138,7 @@
 	}
 }
 
-// runBulkTransfer is peers.runBulkTransfer.
+// runBulkTransfer models peerSet.runBulkTransfer.
 func (p *simProcess) runBulkTransfer(to *simMachine, t *bulkTransfer) {
 	batch := t.pending
 	t.pending = nil
@@ -152,10 +155,10 @@
 	}, func() { delete(p.bulkTransfers, to.index) })
 }
 
-// snapshotConnection is of the sim's connections only.
+// snapshotConnection is a kind of connection that only the simulation needs to name.
 const snapshotConnection = noConnection
 
-// sendSnapshotOverLink is peers.sendSnapshot.
+// sendSnapshotOverLink models peerSet.sendSnapshot.
 func (p *simProcess) sendSnapshotOverLink(to *simMachine, message *consensus.Message) {
 	done := func() { delete(p.sendingSnapshot, to.index) }
 	size := len(appendMessage(nil, p.group.partition, message))
--- a/internal/system/replica/sim_operator_test.go
+++ b/internal/system/replica/sim_operator_test.go
@@ -5,38 +5,41 @@
 	"time"
 )
 
+// Parameters of operators.
 const (
-	operatorTimeout        = 1200 * time.Millisecond // for an answer
-	maxOperatorRequests    = 24                      // requests that an operator makes up
+	operatorTimeout        = 1200 * time.Millisecond // for a response
+	maxOperatorRequests    = 24                      // different requests of an operator
 	linearizabilityTimeout = 30 * time.Second
 )
 
-// simOperator sends changes and reads through any machine, one after the other, and changes whose outcome it does not
-// know again. It races the others.
+// simOperator sends changes and reads through any machine, one at a time, and repeats changes whose outcome it does
+// not know. It competes with the other operators.
 type simOperator struct {
 	sim         *simulation
 	number      int
-	lastVersion uint64 // that it saw last
+	lastVersion uint64 // the last one it saw
 	created     int
-	lastChange  *simRequest // its last change
-	unresolved  *simRequest // a change whose outcome it does not know
+	lastChange  *simRequest // the last change it sent
+	unresolved  *simRequest // a change whose outcome is unknown
 	waiting     bool
-	// unlimited: it goes on making changes up, and lets those go whose outcome it does not know.
+	// unlimited makes it send changes without end and ignore unknown outcomes.
 	unlimited bool
-	avoid     *simMachine // it does not ask this machine
+	avoid     *simMachine // it sends nothing to this machine
 	finishing bool
 	done      bool
 }
 
+// addOperator adds an operator that starts soon.
 func (sim *simulation) addOperator(number int) {
 	operator := &simOperator{sim: sim, number: number}
 	sim.operators = append(sim.operators, operator)
 	sim.schedule(sim.uniform(time.Second, 3*time.Second), operator.act)
 }
 
-// finish has the operator find out what became of its change, and make one more.
+// finish makes the operator find out the outcome of its last change and send one more.
 func (o *simOperator) finish() { o.finishing = true }
 
+// act sends the next request if none is in flight.
 func (o *simOperator) act() {
 	sim := o.sim
 	sim.schedule(sim.uniform(sim.profile.ThinkTime/4, sim.profile.ThinkTime), o.act)
@@ -49,12 +52,12 @@
 	}
 	o.waiting = true
 	if !request.read && sim.chance(0.15) {
-		o.send(request, func(simResponse) {}) // through two machines at once
+		o.send(request, func(simResponse) {}) // through two machines at the same time
 	}
 	o.send(request, func(response simResponse) { o.handleResponse(request, response) })
 }
 
-// nextRequest is what the operator asks next; nil: nothing.
+// nextRequest returns the next request, nil if there is none.
 func (o *simOperator) nextRequest() *simRequest {
 	sim := o.sim
 	switch {
@@ -79,7 +82,7 @@
 	return o.newChange()
 }
 
-// newChange is a new change, on the version that the operator has seen last or on another.
+// newChange returns a new change, on the version that the operator saw last or on another.
 func (o *simOperator) newChange() *simRequest {
 	sim := o.sim
 	sim.oracle.requests++
@@ -93,7 +96,7 @@
 	return request
 }
 
-// handleResponse takes an answer.
+// handleResponse handles the response to a request.
 func (o *simOperator) handleResponse(request *simRequest, response simResponse) {
 	o.waiting = false
 	if response.kind != responseUnknown {
@@ -113,7 +116,7 @@
 	}
 }
 
-// send sends a request through any machine and notes what becomes of it.
+// send sends a request through any machine and records the response.
 func (o *simOperator) send(request *simRequest, told func(simResponse)) {
 	sim := o.sim
 	record := sim.history.begin(o.number, request, sim.now)
--- a/internal/system/replica/sim_oracle_test.go
+++ b/internal/system/replica/sim_oracle_test.go
@@ -9,33 +9,33 @@
 	"cinderroad/internal/system/storage"
 )
 
-// entryID is where an entry stands, and of which term it is.
+// entryID identifies a log entry by index and term.
 type entryID struct{ index, term uint64 }
 
-// syncedState is what a replica had on its disk at some time, its disk lost or not.
+// syncedState is what a replica ever had on its disk, even if the disk was lost since.
 type syncedState struct {
 	entries  map[entryID]bool
 	snapshot uint64
 }
 
-// committedVersion is a version of the configuration that was put in force.
+// committedVersion is a version of the configuration that was committed.
 type committedVersion struct {
 	committedAt time.Duration
 	index       uint64
 	request     simRequest
 }
 
-// appliedCommand is what all replicas must do alike at an index.
+// appliedCommand is the command at an index and its result, which must be the same on all replicas.
 type appliedCommand struct{ command, result string }
 
-// oracle is what an observer of the whole core knows.
+// oracle knows the whole history of the simulated cluster; the checks compare replicas with it.
 type oracle struct {
 	syncedStates    map[consensus.ReplicaID]*syncedState
 	appliedCommands map[uint64]appliedCommand
 	versions        []committedVersion
 	appliedIndex    uint64 // highest index that any replica has applied
 	leaders         map[uint64]consensus.ReplicaID
-	members         map[consensus.ReplicaID]bool // of any membership
+	members         map[consensus.ReplicaID]bool // ever, of any membership
 	voters          map[consensus.ReplicaID]bool
 	proposed        consensus.Membership
 
@@ -44,12 +44,14 @@
 	salt     int
 }
 
+// newOracle returns an oracle without history.
 func newOracle() oracle {
 	return oracle{syncedStates: map[consensus.ReplicaID]*syncedState{}, appliedCommands: map[uint64]appliedCommand{},
 		leaders: map[uint64]consensus.ReplicaID{}, members: map[consensus.ReplicaID]bool{},
 		voters: map[consensus.ReplicaID]bool{}, commands: map[string]simRequest{}}
 }
 
+// recordMembership notes a membership that a leader proposed.
 func (t *oracle) recordMembership(membership consensus.Membership) {
 	t.proposed = membership
 	for _, m := range membership.Members {
@@ -58,6 +60,7 @@
 	}
 }
 
+// recordSynced notes a durable write of a replica.
 func (t *oracle) recordSynced(id consensus.ReplicaID, write *storage.Update) {
 	state := t.syncedStates[id]
 	if state == nil {
@@ -72,19 +75,20 @@
 	}
 }
 
-// checkBoot sees that what a process finds on its disk leads to what was agreed.
+// checkBoot checks that the state found on a disk is one that was committed.
 func (t *oracle) checkBoot(sim *simulation, process *simProcess, stored *consensus.PersistentState) {
 	if version := t.versionAt(stored.Snapshot.Index); process.state.Version() != version {
 		sim.fail("machine %d begins at version %d, where %d was agreed", process.machine.index, process.state.Version(), version)
 	}
 }
 
-// versionAt is the version in force once the log is applied up to an index.
+// versionAt returns the version of the configuration once the log is applied up to an index.
 func (t *oracle) versionAt(index uint64) uint64 {
 	committed, _ := t.committedAt(index)
 	return committed.request.version
 }
 
+// committedAt returns the last version committed up to an index.
 func (t *oracle) committedAt(index uint64) (l committedVersion, ok bool) {
 	for i := len(t.versions) - 1; i >= 0; i-- {
 		if t.versions[i].index <= index {
@@ -94,7 +98,7 @@
 	return committedVersion{}, false
 }
 
-// everCommitted tells whether a change ever was.
+// everCommitted reports whether a change was ever committed.
 func (t *oracle) everCommitted(digest state.Digest) bool {
 	return slices.ContainsFunc(t.versions, func(committed committedVersion) bool { return committed.request.digest == digest })
 }
--- a/internal/system/replica/sim_process_test.go
+++ b/internal/system/replica/sim_process_test.go
@@ -10,7 +10,7 @@
 	"cinderroad/internal/system/storage"
 )
 
-// simProcess is a control process: a Host without its sockets, its goroutines and its clock.
+// simProcess is a control process: a Host without sockets, goroutines and clock.
 type simProcess struct {
 	sim       *simulation
 	machine   *simMachine
@@ -20,20 +20,20 @@
 	alive     bool
 	paused    bool
 	resumedAt time.Duration
-	// deferred is what came while the process was frozen.
+	// deferred has the actions that came while the process was paused.
 	deferred []func()
 	nextTick time.Duration
 
-	queuedJobs   []writeJob // that wait for the disk
-	activeJobs   []writeJob // under way
+	queuedJobs   []writeJob // not written yet
+	activeJobs   []writeJob // in the current transaction
 	writeStarted time.Duration
 	retryBackoff time.Duration
 
-	sendingSnapshot map[int]bool          // by number of the machine
-	bulkTransfers   map[int]*bulkTransfer // by number of the machine
-	link            *simLink              // nil: its bandwidth has no bound
+	sendingSnapshot map[int]bool          // by index of the machine
+	bulkTransfers   map[int]*bulkTransfer // by index of the machine
+	link            *simLink              // nil: unlimited bandwidth
 	waiters         []func() bool
-	version         uint64 // of the configuration, as it was last seen
+	version         uint64 // of the configuration after the last step
 	appliedIndex    uint64
 }
 
@@ -60,7 +60,7 @@
 	process.host.self.ID = machine.disk.id
 	process.version, process.appliedIndex = process.state.Version(), process.group.appliedIndex
 	sim.oracle.checkBoot(sim, process, &stored)
-	for _, other := range sim.activeMachines() { // as membership gossip tells
+	for _, other := range sim.activeMachines() { // as gossip membership does
 		process.host.addAddress(other.address())
 		if other.process != nil {
 			other.process.host.addAddress(machine.address())
@@ -71,7 +71,7 @@
 	process.execute(func() {})
 }
 
-// initializeDisk makes an empty disk that of a new replica, as Host.establish does.
+// initializeDisk makes an empty disk that of a new replica, as Host.initializeStore does.
 func (sim *simulation) initializeDisk(machine *simMachine) {
 	if machine.disk.id != 0 {
 		return
@@ -85,12 +85,12 @@
 	machine.settings.FirstBoot = false
 }
 
-// clock is the machine's steady time.
+// clock returns the machine's monotonic time.
 func (p *simProcess) clock() time.Duration {
 	return p.machine.clockOffset + time.Duration(float64(p.sim.now)*p.machine.clockRate)
 }
 
-// execute runs something of the process, later if it is frozen.
+// execute runs an action of the process, or defers it while the process is paused.
 func (p *simProcess) execute(what func()) {
 	if !p.alive {
 		return
@@ -105,7 +105,7 @@
 	}
 }
 
-// processReady does what the machine wants done, and what waited for that.
+// processReady handles the output of the consensus node and runs the waiters that can go on.
 func (p *simProcess) processReady() {
 	for more := true; more; more = p.runWaiters() {
 		if err := p.group.processReady(p); err != nil {
@@ -117,7 +117,7 @@
 	p.scheduleTick()
 }
 
-// runWaiters goes on with what waits for something that is now so, and tells whether there was any.
+// runWaiters polls the waiters, removes those that are done, and reports whether there were any.
 func (p *simProcess) runWaiters() (ran bool) {
 	for i := 0; i < len(p.waiters); {
 		if p.waiters[i]() {
@@ -130,7 +130,7 @@
 	return ran
 }
 
-// waitUntil goes on once poll holds, or else with late once the time has come.
+// waitUntil calls poll after each step until it returns true; late if the deadline comes first.
 func (p *simProcess) waitUntil(deadline time.Duration, poll func() bool, late func()) {
 	over := false
 	p.waiters = append(p.waiters, func() bool {
@@ -145,12 +145,12 @@
 	})
 }
 
-// runAt runs something of the process at a time of its clock.
+// runAt runs an action of the process at a time of its clock.
 func (p *simProcess) runAt(due time.Duration, what func()) {
 	p.sim.schedule(time.Duration(float64(due-p.clock())/p.machine.clockRate), func() { p.execute(what) })
 }
 
-// scheduleTick has the process tick when it is due.
+// scheduleTick schedules the next tick.
 func (p *simProcess) scheduleTick() {
 	due := p.host.nextDeadline()
 	at := max(time.Duration(float64(due-p.machine.clockOffset)/p.machine.clockRate)+time.Microsecond, p.sim.now+time.Microsecond)
@@ -165,7 +165,7 @@
 	})
 }
 
-// tick is Host.tick.
+// tick models Host.tick.
 func (p *simProcess) tick() {
 	now := p.clock()
 	if _, stepDown := p.host.disk.checkHealth(now, 2*defaultElectionTimeout); stepDown && !p.sim.injected.leadsWhileStalled {
@@ -180,7 +180,7 @@
 	}
 }
 
-// checkMembership is Host.manage.
+// checkMembership models Host.checkMemberships.
 func (p *simProcess) checkMembership(now time.Duration) {
 	before := p.group.node.Membership()
 	if p.group.node.Role() == consensus.Leader && p.host.changeMembership(now, p.group) {
@@ -193,7 +193,7 @@
 	}
 }
 
-// shutDown is what Host.Leave and Host.Stop do as the process is told to end.
+// shutDown models Host.Leave and Host.Stop.
 func (p *simProcess) shutDown() {
 	p.execute(func() {
 		p.host.leaving = true
@@ -202,6 +202,7 @@
 	})
 }
 
+// announceDeparture models Host.announceDeparture and ends the process once it may end.
 func (p *simProcess) announceDeparture(until time.Duration) {
 	sim, id := p.sim, p.machine.id()
 	p.host.departures.add(id, p.clock())
@@ -221,7 +222,7 @@
 	p.runAt(p.clock()+leaveInterval, func() { p.announceDeparture(until) })
 }
 
-// requestJoin is Host.join.
+// requestJoin models Host.requestJoin.
 func (p *simProcess) requestJoin(now time.Duration) {
 	if now < p.host.nextJoin {
 		return
@@ -239,6 +240,7 @@
 	}
 }
 
+// requestJoinAt models Host.requestJoinAt together with the handler.
 func (p *simProcess) requestJoinAt(to *simMachine) {
 	sim, member := p.sim, p.host.self
 	sim.transmit(p.machine, to, false, func(asked *simProcess) {
@@ -255,7 +257,7 @@
 	})
 }
 
-// send puts messages on their way; see outlet.
+// send implements groupOutput.
 func (p *simProcess) send(g *group, messages []consensus.Message) {
 	for i := range messages {
 		message := messages[i]
@@ -277,7 +279,7 @@
 	}
 }
 
-// sendSnapshot sends one at a time to a machine, as peers.sendSnapshot does.
+// sendSnapshot sends one snapshot at a time to a machine, as peerSet.sendSnapshot does.
 func (p *simProcess) sendSnapshot(to *simMachine, message consensus.Message) {
 	if p.sendingSnapshot[to.index] {
 		return
@@ -297,11 +299,12 @@
 	})
 }
 
+// deliver sends a message that the machine's link does not delay.
 func (p *simProcess) deliver(to *simMachine, message *consensus.Message, ordered bool) {
 	p.deliverEncoded(to, appendMessage(nil, p.group.partition, message), ordered)
 }
 
-// deliverEncoded brings messages to a machine, as a DeliverRequest does.
+// deliverEncoded transmits encoded messages, as a DeliverRequest does.
 func (p *simProcess) deliverEncoded(to *simMachine, encoded []byte, ordered bool) {
 	sim := p.sim
 	sim.transmit(p.machine, to, ordered, func(receiver *simProcess) {
@@ -317,7 +320,8 @@
 	})
 }
 
-// kill ends the process. Of the transaction under way all, nothing or a part is on disk.
+// kill ends the process. A part of the transaction in progress is durable: all writes, some or none, and a prefix of
+// the entries of one.
 func (p *simProcess) kill() {
 	sim := p.sim
 	sim.logf("%d is killed", p.machine.index)
@@ -338,6 +342,7 @@
 	}
 }
 
+// resume ends a pause and runs what was deferred.
 func (p *simProcess) resume() {
 	if !p.alive || !p.paused {
 		return
@@ -346,7 +351,7 @@
 	p.paused, p.resumedAt = false, p.sim.now
 	backlog := p.deferred
 	p.deferred = nil
-	if p.sim.chance(0.5) { // the timer fires first
+	if p.sim.chance(0.5) { // the timer may fire first
 		p.execute(p.tick)
 	}
 	for _, what := range backlog {
@@ -355,13 +360,13 @@
 	p.execute(p.tick)
 }
 
-// observedState is the state machine, looked at as it applies.
+// observedState is the state machine, with a check of each command as it is applied.
 type observedState struct {
 	*state.Configuration
 	process *simProcess
 }
 
-// Apply takes an agreed command.
+// Apply applies a command and checks the result.
 func (s *observedState) Apply(index uint64, command []byte) []byte {
 	result := s.Configuration.Apply(index, command)
 	s.process.sim.checkApplied(s.process, index, command, result)
--- a/internal/system/replica/sim_requests_test.go
+++ b/internal/system/replica/sim_requests_test.go
@@ -6,32 +6,34 @@
 	"cinderroad/internal/system/control/state"
 )
 
+// Timeouts of the operators' API.
 const (
-	apiTimeout               = 800 * time.Millisecond // the API's AnswerWithin
-	apiTimeoutWithoutContact = 100 * time.Millisecond // its CutOffAnswerWithin
+	apiTimeout               = 800 * time.Millisecond // the API's timeout
+	apiTimeoutWithoutContact = 100 * time.Millisecond // its timeout without contact to a majority
 	apiRetryInterval         = 50 * time.Millisecond
 )
 
-// simRequest is a change as an operator sends it, or a read.
+// simRequest is a configuration change, an evacuation, or a read, as an operator sends it.
 type simRequest struct {
 	read          bool
 	base, version uint64
 	digest        state.Digest
 	zone          string // of an evacuation, or of a read of one; empty: the configuration
 	evacuated     bool
-	abandoned     *bool // its sender has given an evacuation up
+	abandoned     *bool // set once the sender of an evacuation no longer waits
 }
 
-// simResponse is what the operator is told.
+// simResponse is the answer to a simRequest.
 type simResponse struct {
 	kind      responseKind
 	version   uint64
 	digest    state.Digest // of the version read
 	evacuated bool         // of the zone read
-	// undecidable: there may be no clear answer ever, since the version that the change builds on is not in force.
+	// undecidable: the outcome may stay unknown because the version that the change builds on is not the current one.
 	undecidable bool
 }
 
+// responseKind tells the outcome of a request.
 type responseKind uint8
 
 const (
@@ -41,7 +43,8 @@
 	responseRead
 )
 
-// handleRequest answers a request within a time, as the API does.
+// handleRequest answers a request within the API's timeout. As in all methods of simProcess that take done,
+// continuations stand in for the goroutines of the real process.
 func (p *simProcess) handleRequest(request *simRequest, done func(simResponse)) {
 	within := apiTimeout
 	if !p.inContact() {
@@ -50,6 +53,7 @@
 	p.attemptRequest(request, p.state.Evacuation(request.zone).Ordered, p.clock()+within, done)
 }
 
+// attemptRequest is one attempt: a barrier, then the read or the change. It retries until the deadline.
 func (p *simProcess) attemptRequest(request *simRequest, ordered uint64, deadline time.Duration, done func(simResponse)) {
 	retry := func() {
 		if p.clock()+apiRetryInterval >= deadline {
@@ -72,6 +76,7 @@
 	})
 }
 
+// readResponse answers a read from the local state machine.
 func (p *simProcess) readResponse(zone string) simResponse {
 	base := p.state.Base()
 	answer := simResponse{kind: responseRead, version: base.Version, evacuated: p.state.Evacuation(zone).On}
@@ -81,7 +86,7 @@
 	return answer
 }
 
-// attemptCommit is an attempt of the API's committer, after its barrier.
+// attemptCommit models an attempt of the API's committer, after its barrier.
 func (p *simProcess) attemptCommit(request *simRequest, deadline time.Duration, done func(simResponse), retry func()) {
 	standing := p.state.Standing(request.base, request.digest)
 	switch standing.Verdict {
@@ -117,7 +122,7 @@
 	})
 }
 
-// attemptEvacuation is an attempt of the API's committer about a zone, after its barrier.
+// attemptEvacuation models an attempt of the API's committer about a zone, after its barrier.
 func (p *simProcess) attemptEvacuation(request *simRequest, ordered uint64, deadline time.Duration, done func(simResponse),
 	retry func()) {
 	evacuation := p.state.Evacuation(request.zone)
@@ -148,10 +153,10 @@
 	})
 }
 
-// ownerKey holds the digest of the change that brought the version in force.
+// ownerKey is the key of the digest of the change that brought the current version.
 const ownerKey = "owner"
 
-// command is the command that a request leads to.
+// command returns the command for a request and records it for the checks.
 func (sim *simulation) command(request *simRequest) []byte {
 	digest := request.digest
 	if sim.injected.changesDigests {
--- a/internal/system/replica/sim_rpc_test.go
+++ b/internal/system/replica/sim_rpc_test.go
@@ -6,7 +6,7 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// propose is Host.Propose; known is false where it is not known whether the command was taken, or it was not.
+// propose models Host.Propose. known is false if the outcome is unknown or the command was not committed.
 func (p *simProcess) propose(command []byte, deadline time.Duration, done func(result []byte, known bool)) {
 	settled := func(reply ProposeReply) {
 		switch reply.Outcome {
@@ -29,7 +29,7 @@
 	}
 }
 
-// retry tries something after a pause, unless the time is up then.
+// retry runs attempt after retryDelay, or late if the deadline comes first.
 func (p *simProcess) retry(deadline time.Duration, try, late func()) {
 	if p.clock()+retryDelay >= deadline {
 		late()
@@ -38,7 +38,7 @@
 	p.runAt(p.clock()+retryDelay, try)
 }
 
-// locateLeader is Host.locateLeader.
+// locateLeader models Host.locateLeader.
 func (p *simProcess) locateLeader() (leader *simMachine, here bool) {
 	machine := p.group.node
 	if machine.Role() == consensus.Leader {
@@ -51,7 +51,7 @@
 	return p.sim.byAddress[address], false
 }
 
-// proposeLocal is Host.proposeLocal.
+// proposeLocal models Host.proposeLocal.
 func (p *simProcess) proposeLocal(command []byte, deadline time.Duration, done func(ProposeReply)) {
 	if p.host.disk.leadershipReleased || len(p.queuedJobs) > maxQueuedJobs {
 		done(ProposeReply{Outcome: OutcomeDropped})
@@ -76,7 +76,7 @@
 	})
 }
 
-// proposeRemote is proposeRemote with the call's handler at its other end.
+// proposeRemote models proposeRemote together with the handler on the leader.
 func (p *simProcess) proposeRemote(leader *simMachine, command []byte, deadline time.Duration, done func(ProposeReply)) {
 	wait := min(deadline-p.clock(), proposeTimeout)
 	if wait < minCallTimeout || leader.process == nil {
@@ -93,8 +93,8 @@
 	})
 }
 
-// call asks another machine's process; came is false where no answer comes in time, or before this replica no longer
-// follows the leader that it does (see withLeaderChange).
+// call makes an RPC to another machine's process. came is false if no reply arrives in time or the leader changes
+// first, see withLeaderChange.
 func call[T any](process *simProcess, to *simMachine, wait time.Duration, handle func(asked *simProcess, answer func(T)),
 	done func(reply T, came bool)) {
 	var reply T
@@ -125,7 +125,7 @@
 	})
 }
 
-// barrier is Host.Barrier.
+// barrier models Host.Barrier.
 func (p *simProcess) barrier(deadline time.Duration, done func(held bool)) {
 	if p.sim.injected.skipsBarrier {
 		done(true)
@@ -155,7 +155,7 @@
 	}
 }
 
-// readIndexLocal is Host.readIndexLocal.
+// readIndexLocal models Host.readIndexLocal.
 func (p *simProcess) readIndexLocal(deadline time.Duration, done func(index uint64, confirmed bool)) {
 	token, answer := p.group.startReadIndex(p.clock())
 	p.waitUntil(deadline, func() bool {
@@ -172,6 +172,7 @@
 	})
 }
 
+// readIndexRemote models readIndexRemote together with the handler on the leader.
 func (p *simProcess) readIndexRemote(leader *simMachine, deadline time.Duration, done func(index uint64, confirmed bool)) {
 	wait := min(deadline-p.clock(), readIndexTimeout)
 	if wait < minCallTimeout || leader.process == nil {
--- a/internal/system/replica/sim_stats_test.go
+++ b/internal/system/replica/sim_stats_test.go
@@ -6,16 +6,18 @@
 	"testing"
 )
 
-// simCounters count what happened.
+// simCounters count the events of a simulation.
 type simCounters struct {
 	steps, versions, accepted, conflicts, unknown, reads, losses, snapshots, membershipChanges, terms, evacuations int
 }
 
+// simStats are counters that several simulations add to.
 type simStats struct {
 	mutex    sync.Mutex
 	counters simCounters
 }
 
+// record counts a response.
 func (c *simStats) record(request *simRequest, response simResponse) {
 	switch {
 	case response.kind == responseAccepted:
@@ -47,7 +49,7 @@
 	}
 }
 
-// String tells the counts.
+// String formats the counters.
 func (c *simStats) String() string {
 	n := &c.counters
 	return fmt.Sprintf("%d steps, %d versions, %d accepted, %d conflicts, %d unknown, %d reads, %d disks lost, %d snapshots "+
@@ -55,7 +57,7 @@
 		n.snapshots, n.membershipChanges, n.terms, n.evacuations)
 }
 
-// checkCoverage sees that what the simulation is for does happen in it.
+// checkCoverage checks that every kind of event occurred.
 func (c *simStats) checkCoverage(t *testing.T) {
 	for i, number := range c.counters.counters() {
 		if *number == 0 {
--- a/internal/system/replica/simulation_run_test.go
+++ b/internal/system/replica/simulation_run_test.go
@@ -7,20 +7,23 @@
 	"time"
 )
 
+// Flags of the simulations.
 var (
-	simSeed   = flag.Uint64("core.seed", 0, "play only this seed of the control core, and tell what happens")
-	loadSeeds = flag.Int("storm.seeds", 4, "how many seeds of each storm of changes are played")
-	simSeeds  = flag.Int("core.seeds", 300, "how many seeds of the control core are played")
+	simSeed   = flag.Uint64("core.seed", 0, "run only this seed and log its events")
+	loadSeeds = flag.Int("storm.seeds", 4, "number of seeds for each case under write load")
+	simSeeds  = flag.Int("core.seeds", 300, "number of simulated clusters")
 )
 
+// Phases of a simulated run.
 const (
 	faultPhase    = 25 * time.Second
-	recoveryPhase = 100 * time.Second // members that are gone are forgotten after a minute
+	recoveryPhase = 100 * time.Second // absent voters count as lost after a minute
 )
 
-// TestSimulatedCluster plays cores in virtual time: the replicas of partition 0 with their state machines, plans and joins over
-// modelled disks and a modelled network, drawn faults, and operators that race each other and send changes again through
-// any replica. What has to hold is checked after each step, and the operators' history for linearizability.
+// TestSimulatedCluster runs clusters in virtual time: the replicas of partition 0 with their state machines,
+// membership plans and joins over modelled disks and a modelled network, with random faults and with operators that
+// compete and repeat changes through any replica. The invariants are checked after each step, and the operators'
+// history for linearizability.
 func TestSimulatedCluster(t *testing.T) {
 	if *simSeed != 0 {
 		runSimulation(t, *simSeed, true)
@@ -41,12 +44,14 @@
 	}
 }
 
+// runSimulation runs one seed and reports its failure.
 func runSimulation(t *testing.T, seed uint64, verbose bool) *simulation {
+	t.Helper()
 	sim := newSimulation(seed)
 	sim.verbose = verbose
 	sim.runSeed()
 	if sim.failure != "" {
-		t.Errorf("%s\nreplay: go test ./internal/system/replica -run TestControlCore -core.seed %d -v", sim.failure, seed)
+		t.Errorf("%s\nreplay: go test ./internal/system/replica -run TestSimulatedCluster -core.seed %d -v", sim.failure, seed)
 	}
 	if verbose {
 		t.Log(&sim.stats)
@@ -54,7 +59,7 @@
 	return sim
 }
 
-// runSeed runs a world from its founding to its end.
+// runSeed runs from the bootstrap through faults and recovery to the final checks.
 func (sim *simulation) runSeed() {
 	defer func() {
 		if r := recover(); r != nil && sim.failure == "" {
@@ -69,7 +74,7 @@
 	sim.checkEnd()
 }
 
-// TestSimulationIsDeterministic: a seed that failed replays.
+// TestSimulationIsDeterministic checks that a failed seed can be replayed.
 func TestSimulationIsDeterministic(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		a, b := runSimulation(t, seed, false), runSimulation(t, seed, false)
@@ -79,7 +84,7 @@
 	}
 }
 
-// TestSimulationDetectsInjectedFaults takes one safeguard out at a time, which has to be found.
+// TestSimulationDetectsInjectedFaults disables one safeguard at a time, which the checks must detect.
 func TestSimulationDetectsInjectedFaults(t *testing.T) {
 	plants := map[string]func(sim *simulation){
 		"messages before their writes":     func(sim *simulation) { sim.injected.sendsBeforeSync = true },
--- a/internal/system/replica/simulation_test.go
+++ b/internal/system/replica/simulation_test.go
@@ -12,10 +12,10 @@
 	"cinderroad/internal/testkit/eventqueue"
 )
 
-// testCatchUp is within what time of its start a machine of the simulated core counts.
+// testCatchUp is the CatchUp time of simulated machines.
 const testCatchUp = 4 * time.Second
 
-// simulation is a control core in virtual time.
+// simulation is a cluster of control machines in virtual time.
 type simulation struct {
 	seed            uint64
 	random          *rand.Rand
@@ -23,21 +23,21 @@
 	events          eventqueue.Agenda
 	verbose         bool
 	failure         string
-	faultsEnabled   bool // they go on
+	faultsEnabled   bool // faults are injected
 	injected        injectedFaults
 	profile         simProfile
-	toleratedLosses int // to be borne at once, 0: 1
+	toleratedLosses int // 0: 1
 
 	machines     []*simMachine
 	seeds        []netip.AddrPort
 	byAddress    map[netip.AddrPort]*simMachine
-	blockedLinks map[[2]int]int // one way each: how many faults cut it
+	blockedLinks map[[2]int]int // by sender and receiver, the number of faults that block it
 	lastArrival  map[[2]int]time.Duration
 	oracle       oracle
 	stats        simStats
-	// sentBytes is what went out over links with a bandwidth.
+	// sentBytes counts what was sent over links with limited bandwidth.
 	sentBytes int
-	// longestWait is how long a message waited for such a link, at most.
+	// longestWait is the longest time that a message waited for such a link.
 	longestWait time.Duration
 
 	operators           []*simOperator
@@ -46,46 +46,47 @@
 	history             requestHistory
 }
 
-// injectedFaults are safeguards that are taken out.
+// injectedFaults are safeguards that are disabled, to check that the simulation detects it.
 type injectedFaults struct {
 	sendsBeforeSync, reusesIdentity, changesDigests, skipsBarrier, leadsWhileStalled bool
-	acceptsLateOrders, skipsNoopOrders                                               bool // of evacuations
-	deadlinePerMessage, singleConnection                                             bool // see simLink
+	acceptsLateOrders, skipsNoopOrders                                               bool // affect evacuations
+	deadlinePerMessage, singleConnection                                             bool // affect simLink
 }
 
-// simProfile is what a seed draws about its core.
+// simProfile has the parameters of a cluster that a seed draws.
 type simProfile struct {
 	Machines      int
-	Delay         time.Duration // of a message, at most
-	RegionalDelay time.Duration // above 0: machines of two regions are Delay apart, those of one as much as this
+	Delay         time.Duration // maximum of a message
+	RegionalDelay time.Duration // if not 0, the maximum within a region; between regions it is Delay
 	Loss          float64
 	SyncTime      time.Duration
-	FaultInterval time.Duration // at most
-	FaultDuration time.Duration // at most
-	ThinkTime     time.Duration // of an operator, at most
+	FaultInterval time.Duration // maximum
+	FaultDuration time.Duration // maximum
+	ThinkTime     time.Duration // maximum of an operator
 	Operators     int
-	EntryWeight   int     // by which entries weigh more towards a snapshot
-	Bandwidth     float64 // of a machine's way out, bytes a second; 0: no bound
-	PaddingBytes  int     // bytes that each change has more
+	EntryWeight   int     // added to the size of entries that triggers snapshots
+	Bandwidth     float64 // of a machine's outgoing link in bytes a second; 0: unlimited
+	PaddingBytes  int     // added to each change
 }
 
-// Every so many seeds machines have thin links, of so many megabits a second, and changes are large.
+// In every thinLinkSeeds-th seed, machines have links of thinLink megabits a second, and changes are large.
 const (
 	thinLinkSeeds = 4
 	thinLink      = 20
 )
 
-// simMachine is a machine: its disk and its process outlive each other.
+// simMachine is a machine. Its disk and its process may each outlive the other.
 type simMachine struct {
 	index       int
 	settings    processconfig.Settings
 	disk        *simDisk
 	process     *simProcess
-	clockOffset time.Duration // of its clock
+	clockOffset time.Duration // of its clock to the virtual time
 	clockRate   float64
-	replaced    bool // replaced by another machine
+	replaced    bool // by another machine, for good
 }
 
+// newSimulation returns a cluster that is not bootstrapped yet.
 func newSimulation(seed uint64) *simulation {
 	sim := &simulation{seed: seed, random: rand.New(rand.NewPCG(seed, 11)), faultsEnabled: true,
 		byAddress: map[netip.AddrPort]*simMachine{}, blockedLinks: map[[2]int]int{}, lastArrival: map[[2]int]time.Duration{}}
@@ -109,23 +110,27 @@
 	return sim
 }
 
+// chance returns true with a probability.
 func (sim *simulation) chance(p float64) bool { return sim.random.Float64() < p }
 
+// uniform draws a duration from a range.
 func (sim *simulation) uniform(least, most time.Duration) time.Duration {
 	return least + time.Duration(sim.random.Int64N(int64(most-least)+1))
 }
 
-// logUniform draws a time whose order of magnitude may be any within a range.
+// logUniform draws a duration from a range with a uniform order of magnitude.
 func (sim *simulation) logUniform(least, most time.Duration) time.Duration {
 	return time.Duration(float64(least) * math.Pow(float64(most)/float64(least), sim.random.Float64()))
 }
 
+// logf prints a line with the virtual time in verbose runs.
 func (sim *simulation) logf(format string, args ...any) {
 	if sim.verbose {
 		fmt.Printf("%10.4f "+format+"\n", append([]any{sim.now.Seconds()}, args...)...)
 	}
 }
 
+// fail records the first failure, which ends the run.
 func (sim *simulation) fail(format string, args ...any) {
 	if sim.failure == "" {
 		sim.failure = fmt.Sprintf("seed %d, at %v: ", sim.seed, sim.now) + fmt.Sprintf(format, args...)
@@ -133,13 +138,15 @@
 	}
 }
 
+// schedule runs an event after a delay.
 func (sim *simulation) schedule(d time.Duration, do func()) {
 	sim.events.At(float64(sim.now+max(d, 0)), do)
 }
 
+// runFor runs for a duration.
 func (sim *simulation) runFor(d time.Duration) { sim.runUntil(d, func() bool { return false }) }
 
-// runUntil plays until something holds, looked at each half second, or a time from now has passed.
+// runUntil runs until a condition holds, which is checked every half second, or for a duration.
 func (sim *simulation) runUntil(d time.Duration, holds func() bool) {
 	end, look := sim.now+d, sim.now+500*time.Millisecond
 	for sim.failure == "" {
@@ -160,7 +167,7 @@
 	sim.now = end
 }
 
-// bootstrap starts the machines of a system for the first time, in any order.
+// bootstrap starts all machines for the first time, in random order, and the clients.
 func (sim *simulation) bootstrap() {
 	for range sim.profile.Machines {
 		sim.addMachine(true)
@@ -190,6 +197,7 @@
 	sim.schedule(3*time.Second, sim.injectFault)
 }
 
+// addMachine adds a machine that is not booted.
 func (sim *simulation) addMachine(first bool) *simMachine {
 	n := len(sim.machines)
 	machine := &simMachine{index: n, disk: &simDisk{}, clockOffset: sim.uniform(0, time.Hour), clockRate: 0.98 + 0.04*sim.random.Float64()}
@@ -202,19 +210,20 @@
 	return machine
 }
 
-// addReplacement adds a machine that takes another one's place.
+// addReplacement adds a machine in the zone of another one.
 func (sim *simulation) addReplacement(machine *simMachine) *simMachine {
 	next := sim.addMachine(false)
 	next.settings.Zone = machine.settings.Zone
 	return next
 }
 
+// address is the address of the machine's control RPC.
 func (s *simMachine) address() netip.AddrPort { return controlAddress(&s.settings, s.settings.IP) }
 
-// id is that of the replica on the slot's disk, 0 before there is one.
+// id returns the ID of the replica on the machine's disk, 0 before there is one.
 func (s *simMachine) id() consensus.ReplicaID { return s.disk.id }
 
-// activeMachines are the machines that have not been replaced.
+// activeMachines returns the machines that have not been replaced.
 func (sim *simulation) activeMachines() (machines []*simMachine) {
 	for _, machine := range sim.machines {
 		if !machine.replaced {
@@ -224,12 +233,13 @@
 	return machines
 }
 
+// randomMachine draws an active machine.
 func (sim *simulation) randomMachine() *simMachine {
 	machines := sim.activeMachines()
 	return machines[sim.random.IntN(len(machines))]
 }
 
-// processes are those that have not ended.
+// processes returns the processes that have not ended.
 func (sim *simulation) processes() (all []*simProcess) {
 	for _, machine := range sim.machines {
 		if machine.process != nil {
@@ -239,7 +249,7 @@
 	return all
 }
 
-// leader is a replica that leads, as far as it knows, and is not frozen; nil: there is none.
+// leader returns a process that is not paused and considers itself leader, nil if there is none.
 func (sim *simulation) leader() *simProcess {
 	for _, process := range sim.processes() {
 		if !process.paused && process.group.node.Role() == consensus.Leader {
@@ -249,7 +259,7 @@
 	return nil
 }
 
-// delay is how long something takes from one machine to another.
+// delay draws the delay of a message between two machines.
 func (sim *simulation) delay(from, to *simMachine) time.Duration {
 	switch {
 	case sim.profile.RegionalDelay == 0:
@@ -261,11 +271,11 @@
 	}
 }
 
-// region is where a machine stands: two zones of three are in one region.
+// region returns the machine's region: one has two zones, the other one.
 func (s *simMachine) region() bool { return s.settings.Zone == "zone-2" }
 
-// transmit takes something from one machine to another over a connection, in order, or loses it. What arrives runs in the
-// process that is there then.
+// transmit carries something from one machine to another, in order if it uses a connection, or loses it. arrive runs
+// in the process that was there when it was sent.
 func (sim *simulation) transmit(from, to *simMachine, ordered bool, arrive func(p *simProcess)) {
 	if sim.faultsEnabled && sim.chance(sim.profile.Loss) {
 		return
--- a/internal/system/replica/unavailability_test.go
+++ b/internal/system/replica/unavailability_test.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
+// Parameters of the measurements of unavailability.
 const (
 	scenarioSeeds    = 12
-	scenarioWarmup   = 14 * time.Second // before what happens
-	scenarioDuration = 5 * time.Second  // after it
+	scenarioWarmup   = 14 * time.Second // before the fault
+	scenarioDuration = 5 * time.Second  // after the fault
 )
 
-// measureUnavailability is the longest time without a change of the configuration in force after something happens, in a core of five
-// machines where operators change it all the time.
-func measureUnavailability(t *testing.T, seed uint64, happens func(sim *simulation, leader *simMachine)) time.Duration {
+// measureUnavailability returns the longest time without a committed version after a fault, in a cluster of five
+// machines that operators change all the time.
+func measureUnavailability(t *testing.T, seed uint64, inject func(sim *simulation, leader *simMachine)) time.Duration {
 	t.Helper()
 	sim := newSimulation(seed)
 	sim.profile.Machines, sim.profile.Operators, sim.profile.Bandwidth, sim.profile.PaddingBytes = 5, 3, 0, 0
@@ -33,7 +34,7 @@
 	for _, operator := range sim.operators {
 		operator.avoid = leader.machine
 	}
-	happens(sim, leader.machine)
+	inject(sim, leader.machine)
 	sim.runFor(scenarioDuration)
 	if sim.failure != "" {
 		t.Fatal(sim.failure)
@@ -53,12 +54,12 @@
 	return max(longest, sim.now-last)
 }
 
-// TestUnavailabilityAfterLeaderFault: what befalls the machine that leads keeps the others from agreeing for a short time only.
+// TestUnavailabilityAfterLeaderFault checks that a fault of the leader's machine stops commits only for a short time.
 func TestUnavailabilityAfterLeaderFault(t *testing.T) {
 	tests := []struct {
-		name    string
-		most    time.Duration
-		happens func(sim *simulation, leader *simMachine)
+		name   string
+		most   time.Duration
+		inject func(sim *simulation, leader *simMachine)
 	}{
 		{"nothing happens", 600 * time.Millisecond, func(*simulation, *simMachine) {}},
 		{"its disk is full", 600 * time.Millisecond, func(sim *simulation, leader *simMachine) {
@@ -77,14 +78,10 @@
 			sim.loseDisk(leader, time.Second)
 		}},
 		{"it is not heard any more", 3 * time.Second, func(sim *simulation, leader *simMachine) {
-			for _, other := range sim.machines {
-				sim.block(leader, other, time.Minute)
-			}
+			sim.blockAll(leader, false, true, time.Minute)
 		}},
 		{"it hears nothing any more", 3 * time.Second, func(sim *simulation, leader *simMachine) {
-			for _, other := range sim.machines {
-				sim.block(other, leader, time.Minute)
-			}
+			sim.blockAll(leader, true, false, time.Minute)
 		}},
 		{"all are killed at once", 4 * time.Second, func(sim *simulation, _ *simMachine) {
 			for _, machine := range sim.machines {
@@ -97,7 +94,7 @@
 			t.Parallel()
 			var pauses []time.Duration
 			for seed := uint64(1); seed <= scenarioSeeds; seed++ {
-				pauses = append(pauses, measureUnavailability(t, seed, test.happens))
+				pauses = append(pauses, measureUnavailability(t, seed, test.inject))
 			}
 			slices.Sort(pauses)
 			worst := pauses[len(pauses)-1]
@@ -109,7 +106,7 @@
 	}
 }
 
-// TestFailoverTimeByLatency measures how long nothing is agreed on after the leader is killed, freezes or is cut off.
+// TestFailoverTimeByLatency measures how long nothing is committed after the leader is killed, paused or partitioned.
 func TestFailoverTimeByLatency(t *testing.T) {
 	bounds := map[time.Duration]time.Duration{20 * time.Millisecond: 1500 * time.Millisecond, 90 * time.Millisecond: 3 * time.Second,
 		200 * time.Millisecond: 5 * time.Second}
@@ -120,10 +117,7 @@
 		{"killed", func(sim *simulation, leader *simMachine) { sim.restart(leader, time.Minute) }},
 		{"frozen", func(sim *simulation, leader *simMachine) { sim.pause(leader, time.Minute) }},
 		{"cut off", func(sim *simulation, leader *simMachine) {
-			for _, other := range sim.machines {
-				sim.block(leader, other, time.Minute)
-				sim.block(other, leader, time.Minute)
-			}
+			sim.blockAll(leader, true, true, time.Minute)
 		}},
 	}
 	for delay, bound := range bounds {
@@ -143,7 +137,7 @@
 	}
 }
 
-// measureFailover is the longest time without a change of the configuration in force after something befalls the leader.
+// measureFailover returns the longest time without a committed version after a fault of the leader.
 func measureFailover(t *testing.T, seed uint64, setup repairCase, inject func(sim *simulation, leader *simMachine)) time.Duration {
 	t.Helper()
 	sim := newRepairSimulation(seed, setup)
--- a/internal/system/replica/unknown_leader_test.go
+++ b/internal/system/replica/unknown_leader_test.go
@@ -10,8 +10,8 @@
 
 const unknownLeaderSeeds = 25
 
-// TestMemberCatchesUpWithUnknownLeader has a machine be cut off while another one is replaced and the successor
-// comes to lead: the machine that is joined back is a member of a membership that does not name its leader.
+// TestMemberCatchesUpWithUnknownLeader partitions a machine while another one is replaced and the replacement becomes
+// leader. When the partition ends, the machine knows a membership that does not include its leader.
 func TestMemberCatchesUpWithUnknownLeader(t *testing.T) {
 	for seed := uint64(1); seed <= unknownLeaderSeeds; seed++ {
 		sim := newSimulation(seed)
@@ -24,10 +24,7 @@
 			t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
 		}
 		away, lost := sim.machines[(process.machine.index+1)%5], sim.machines[(process.machine.index+2)%5]
-		for _, machine := range sim.machines {
-			sim.block(machine, away, time.Hour)
-			sim.block(away, machine, time.Hour)
-		}
+		sim.blockAll(away, true, true, time.Hour)
 		successor := sim.replaceMachine(lost)
 		sim.block(successor, away, time.Hour)
 		sim.block(away, successor, time.Hour)
@@ -53,7 +50,8 @@
 	return next
 }
 
-// transferLeadershipTo has a machine's replica lead once it has a vote; false: it does not come about.
+// transferLeadershipTo makes a machine's replica leader once it is a voter; false if that does not succeed within a
+// minute.
 func (sim *simulation) transferLeadershipTo(machine *simMachine) bool {
 	for range 60 {
 		sim.runFor(time.Second)
--- a/internal/system/replica/write_load_test.go
+++ b/internal/system/replica/write_load_test.go
@@ -10,41 +10,43 @@
 	"cinderroad/internal/system/control/state"
 )
 
+// Parameters of write loads.
 const (
-	loadStart       = 8 * time.Second // after the founding
+	loadStart       = 8 * time.Second // after the bootstrap
 	loadWarmup      = 25 * time.Second
 	loadInterval    = 100 * time.Millisecond // between two changes
-	loadRetryAfter  = 3 * time.Second        // for a change, before the next is tried
-	catchUpDeadline = 40 * time.Second       // after what happens
+	loadRetryAfter  = 3 * time.Second        // of a change that is not committed
+	catchUpDeadline = 40 * time.Second       // after the fault
 
 	megabit = 1e6 / 8 // bytes
 )
 
-// writeLoadCase is a core under a storm of changes.
+// writeLoadCase is a cluster under write load with a fault.
 type writeLoadCase struct {
 	name       string
 	machines   int
 	routeBytes int     // of each of 500 routes
 	bandwidth  float64 // of a machine's link, bytes a second
 	limit      time.Duration
-	happens    func(s *writeLoad)
+	inject     func(s *writeLoad)
 }
 
-// writeLoad changes the configuration all the time, a route at once.
+// writeLoad changes the configuration all the time, one route in each version, and measures a machine that restarts.
 type writeLoad struct {
 	sim             *simulation
 	routeBytes      int // of a route
 	created         uint64
-	proposedVersion uint64        // version that was proposed last
+	proposedVersion uint64        // the last one proposed
 	proposedAt      time.Duration // when
 	proposedCommand []byte        // its command
 
 	restarted     *simMachine
 	bootedAt      time.Duration
-	caughtUpAfter time.Duration // from its boot until it held what the others had agreed on; 0: not yet
-	sentBytes     int           // bytes by then
+	caughtUpAfter time.Duration // from its boot until it had what the others had committed; 0: not yet
+	sentBytes     int           // sent by all links from its boot until then
 }
 
+// newWriteLoad returns a bootstrapped cluster whose load starts after loadStart.
 func newWriteLoad(seed uint64, test *writeLoadCase) *writeLoad {
 	sim := newSimulation(seed)
 	sim.profile.Machines, sim.profile.Operators, sim.profile.Loss, sim.profile.EntryWeight = test.machines, 0, 0, 0
@@ -59,7 +61,7 @@
 	return load
 }
 
-// proposeNext proposes the next change once the one before is in force, and that one again after a while.
+// proposeNext proposes the next change once the one before is committed, and repeats it after loadRetryAfter.
 func (load *writeLoad) proposeNext() {
 	sim := load.sim
 	sim.schedule(loadInterval, load.proposeNext)
@@ -79,6 +81,7 @@
 	process.execute(func() { process.group.propose(process.clock(), load.proposedCommand) })
 }
 
+// command returns a change of some routes.
 func (load *writeLoad) command(base uint64, routes int) []byte {
 	sim := load.sim
 	load.created++
@@ -97,7 +100,7 @@
 	return command
 }
 
-// checkCaughtUp notes when the watched machine holds all but the last changes.
+// checkCaughtUp notes when the restarted machine has all but the last changes.
 func (load *writeLoad) checkCaughtUp() {
 	sim := load.sim
 	if load.restarted == nil || load.restarted.process == nil || load.caughtUpAfter > 0 {
@@ -111,7 +114,7 @@
 	}
 }
 
-// follower is a machine that follows, by the storm's drawing.
+// follower draws a machine that does not lead.
 func (load *writeLoad) follower() *simMachine {
 	sim := load.sim
 	for {
@@ -122,7 +125,7 @@
 	}
 }
 
-// restartAfter boots a machine after a while and watches it.
+// restartAfter boots a machine after a while and starts to measure it.
 func (load *writeLoad) restartAfter(machine *simMachine, down time.Duration) {
 	sim := load.sim
 	sim.schedule(down, func() {
@@ -131,18 +134,20 @@
 	})
 }
 
+// wipe kills a machine, empties its disk and restarts it.
 func (load *writeLoad) wipe(machine *simMachine, down time.Duration) {
 	machine.process.kill()
 	machine.disk = &simDisk{}
 	load.restartAfter(machine, down)
 }
 
+// powerCycle kills a machine and restarts it.
 func (load *writeLoad) powerCycle(machine *simMachine, down time.Duration) {
 	machine.process.kill()
 	load.restartAfter(machine, down)
 }
 
-// play returns how long the machine took to hold what the others had agreed on, and the bytes sent meanwhile.
+// play runs the load and the fault until the restarted machine has caught up, and reports failures.
 func (load *writeLoad) play(t *testing.T, test *writeLoadCase) {
 	t.Helper()
 	sim := load.sim
@@ -151,7 +156,7 @@
 		sim.fail("nobody leads")
 	}
 	if sim.failure == "" {
-		test.happens(load)
+		test.inject(load)
 		sim.runUntil(catchUpDeadline, func() bool { return load.caughtUpAfter > 0 })
 	}
 	if sim.failure == "" && load.caughtUpAfter == 0 {
@@ -162,8 +167,8 @@
 	}
 }
 
-// TestCatchUpUnderWriteLoad: a machine that comes back while the configuration changes ten times a second holds what the
-// others agreed on within catch_up_s, however large the configuration is and whatever happens to the sender.
+// TestCatchUpUnderWriteLoad checks that a machine that comes back while the configuration changes ten times a second
+// catches up within catch_up_s, however large the configuration is and whatever happens to the sender.
 func TestCatchUpUnderWriteLoad(t *testing.T) {
 	wiped := func(load *writeLoad) { load.wipe(load.follower(), time.Second) }
 	away := func(load *writeLoad) { load.powerCycle(load.follower(), 9*time.Second) }
@@ -215,7 +220,8 @@
 	}
 }
 
-// TestSlowLinkDetectsInjectedFaults takes the ways out by which large messages get over thin links, one at a time.
+// TestSlowLinkDetectsInjectedFaults disables the mechanisms by which large messages get over slow links, one at a
+// time, and checks that the simulation notices.
 func TestSlowLinkDetectsInjectedFaults(t *testing.T) {
 	plants := map[string]func(sim *simulation){
 		"a message has to be out within the write time-out": func(sim *simulation) { sim.injected.deadlinePerMessage = true },
