--- a/internal/shared/lease/lease.go
+++ b/internal/shared/lease/lease.go
@@ -107,22 +107,22 @@
 	if in.Self.LastUpdate == 0 || in.Now <= in.Self.LastUpdate+term {
 		return Held, ""
 	}
-	heard, fresher, contact := 0, 0, 0.0
+	connected, fresher, lastContact := 0, 0, 0.0
 	for i := range in.Others {
 		m := &in.Others[i]
-		contact = math.Max(contact, m.LastContact)
+		lastContact = math.Max(lastContact, m.LastContact)
 		if m.LastContact > 0 && in.Now <= m.LastContact+term {
-			heard++
+			connected++
 			if m.State == Held && m.UpdateLead > term/2 {
 				fresher++
 			}
 		}
 	}
 	switch {
-	case contact == 0:
+	case lastContact == 0:
 		return Held, "nobody was ever heard"
-	case heard == 0:
-		return l.evaluateIsolated(in, contact)
+	case connected == 0:
+		return l.evaluateIsolated(in, lastContact)
 	case fresher < minFreshMembers:
 		return Held, "nobody has a fresh word"
 	case l.state == Held, in.Now < l.lapsedAt+lapsedWaitProbes*l.ProbeInterval:
@@ -134,36 +134,36 @@
 }
 
 // evaluateIsolated judges one that hears neither discovery nor anybody.
-func (l *Lease) evaluateIsolated(in *Input, contact float64) (State, string) {
+func (l *Lease) evaluateIsolated(in *Input, lastContact float64) (State, string) {
 	// What was known of the others when they were last heard. In a large fleet few are heard within a term: they stand for the rest.
-	asked, without, dead := 0, 0, 0
+	considered, withoutDiscovery, dead := 0, 0, 0
 	for i := range in.Others {
-		if m := &in.Others[i]; m.DeadSince > 0 && m.DeadSince <= contact { // before: else it is this one that was lost
+		if m := &in.Others[i]; m.DeadSince > 0 && m.DeadSince <= lastContact { // before: else it is this one that was lost
 			dead++
 		}
-		if m := &in.Others[i]; m.LastContact > 0 && m.LastContact >= contact-l.Term {
-			if m.DeadSince > 0 && m.DeadSince <= contact {
+		if m := &in.Others[i]; m.LastContact > 0 && m.LastContact >= lastContact-l.Term {
+			if m.DeadSince > 0 && m.DeadSince <= lastContact {
 				continue
 			}
-			if asked++; m.State != Held || m.Excluded || !m.DirectUpdate || m.LastContact > m.LastUpdate+discoverySilence {
-				without++
+			if considered++; m.State != Held || m.Excluded || !m.DirectUpdate || m.LastContact > m.LastUpdate+discoverySilence {
+				withoutDiscovery++
 			}
 		}
 	}
-	if asked == 0 {
+	if considered == 0 {
 		return Held, "cut off, and nobody is known to be well"
 	}
-	cut := dead + (without*(len(in.Others)-dead)+asked-1)/asked
-	speaking := without < asked
-	n := 1 + len(in.Others)
+	unreachable := dead + (withoutDiscovery*(len(in.Others)-dead)+considered-1)/considered
+	discoveryKnown := withoutDiscovery < considered
+	members := 1 + len(in.Others)
 	switch {
-	case !speaking:
+	case !discoveryKnown:
 		return Held, "cut off, and the others had no discovery either"
 	case l.state == Out:
 		return Out, "cut off"
-	case in.LastDiscovery < contact-2*l.ProbeInterval && cut+1 <= MaxOut(n): // it lost discovery first, as the others saw
+	case in.LastDiscovery < lastContact-2*l.ProbeInterval && unreachable+1 <= MaxOut(members): // it lost discovery first, as the others saw
 		return Out, "cut off, after discovery was lost while others had it"
-	case rank(in) < MaxOut(n)-cut:
+	case rank(in) < MaxOut(members)-unreachable:
 		return Out, "cut off from discovery and all others"
 	}
 	return Held, "cut off, but not among the third that may take it for their own fault"
@@ -181,17 +181,17 @@
 
 // withinQuota says whether this member is among those that the quota has room for: those that are out already go before, then by an order
 // that is the same everywhere.
-func withinQuota(in *Input, wants func(*Member) bool) bool {
-	all := []Member{in.Self}
+func withinQuota(in *Input, candidate func(*Member) bool) bool {
+	candidates := []Member{in.Self}
 	for i := range in.Others {
-		if in.Others[i].DeadSince > 0 || wants(&in.Others[i]) {
-			all = append(all, in.Others[i])
+		if in.Others[i].DeadSince > 0 || candidate(&in.Others[i]) {
+			candidates = append(candidates, in.Others[i])
 		}
 	}
-	slices.SortFunc(all, func(x, y Member) int {
+	slices.SortFunc(candidates, func(x, y Member) int {
 		return cmp.Or(cmp.Compare(outFirst(&y), outFirst(&x)), cmp.Compare(x.Key, y.Key), cmp.Compare(x.Name, y.Name))
 	})
-	return slices.IndexFunc(all, func(m Member) bool { return m.Name == in.Self.Name }) < MaxOut(1+len(in.Others))
+	return slices.IndexFunc(candidates, func(m Member) bool { return m.Name == in.Self.Name }) < MaxOut(1+len(in.Others))
 }
 
 func outFirst(m *Member) int {
--- a/internal/shared/lease/lease_test.go
+++ b/internal/shared/lease/lease_test.go
@@ -20,21 +20,21 @@
 }
 
 func newSimulation(n int) *simulation {
-	w := &simulation{now: 1000, lastDiscovery: make([]float64, n), lastUpdate: make([]float64, n), isolated: make([]bool, n), excluded: make([]bool, n)}
+	sim := &simulation{now: 1000, lastDiscovery: make([]float64, n), lastUpdate: make([]float64, n), isolated: make([]bool, n), excluded: make([]bool, n)}
 	for i := range n {
-		w.members = append(w.members, Member{Name: fmt.Sprint("m", i), Key: uint64(7 * (i + 3) % 101)})
-		w.leases = append(w.leases, &Lease{ProbeInterval: 1, Term: Term(5, 1)})
-		w.lastDiscovery[i], w.lastUpdate[i] = w.now, w.now
+		sim.members = append(sim.members, Member{Name: fmt.Sprint("m", i), Key: uint64(7 * (i + 3) % 101)})
+		sim.leases = append(sim.leases, &Lease{ProbeInterval: 1, Term: Term(5, 1)})
+		sim.lastDiscovery[i], sim.lastUpdate[i] = sim.now, sim.now
 	}
-	return w
+	return sim
 }
 
 // step lets a second pass; speaks are those whose discovery does. Words are passed on among those that hear.
-func (s *simulation) step(speaks func(i int) bool) (out int) {
+func (s *simulation) step(reachable func(i int) bool) (out int) {
 	s.now++
 	anybody := false
 	for i := range s.members {
-		if speaks(i) {
+		if reachable(i) {
 			s.lastDiscovery[i], s.lastUpdate[i] = s.now, s.now
 			anybody = anybody || !s.isolated[i]
 		}
@@ -70,9 +70,9 @@
 	return out
 }
 
-func (s *simulation) run(seconds int, speaks func(i int) bool) (most int) {
+func (s *simulation) run(seconds int, reachable func(i int) bool) (most int) {
 	for range seconds {
-		most = max(most, s.step(speaks))
+		most = max(most, s.step(reachable))
 	}
 	return most
 }
@@ -83,12 +83,12 @@
 // Discovery is down for all, or for all but one that passes its words on: nobody is out.
 func TestNobodyIsOutWithoutFreshUpdates(t *testing.T) {
 	for _, n := range []int{1, 2, 5, 30} {
-		w := newSimulation(n)
-		if out := w.run(300, nobody); out > 0 {
+		sim := newSimulation(n)
+		if out := sim.run(300, nobody); out > 0 {
 			t.Errorf("%d of %d are out", out, n)
 		}
-		w = newSimulation(n)
-		if out := w.run(300, func(i int) bool { return i == 0 }); out > 0 {
+		sim = newSimulation(n)
+		if out := sim.run(300, func(i int) bool { return i == 0 }); out > 0 {
 			t.Errorf("%d of %d are out, though one has a discovery", out, n)
 		}
 	}
@@ -96,25 +96,25 @@
 
 // One of five loses discovery, as the others see, and then everybody: it is out after its term, and in again with the first word.
 func TestIsolatedMemberIsOut(t *testing.T) {
-	w := newSimulation(5)
-	silent := func(i int) bool { return i != 2 }
-	if w.run(60, silent) > 0 {
+	sim := newSimulation(5)
+	reachable := func(i int) bool { return i != 2 }
+	if sim.run(60, reachable) > 0 {
 		t.Error("out though its peers bring it up")
 	}
-	w.isolated[2], w.isolatedAt = true, w.now
-	at := w.now
-	for w.leases[2].State() != Out && w.now < at+60 {
-		w.step(silent)
+	sim.isolated[2], sim.isolatedAt = true, sim.now
+	at := sim.now
+	for sim.leases[2].State() != Out && sim.now < at+60 {
+		sim.step(reachable)
 	}
-	if took := w.now - at; took != Term(5, 1)+1 {
-		t.Errorf("out after %v s, %v", took, w.leases[2].Reason)
+	if took := sim.now - at; took != Term(5, 1)+1 {
+		t.Errorf("out after %v s, %v", took, sim.leases[2].Reason)
 	}
-	if w.run(100, silent) != 1 {
+	if sim.run(100, reachable) != 1 {
 		t.Error("more are out, or it is not any more")
 	}
-	w.isolated[2] = false
-	if w.run(3, silent); w.leases[2].State() != Held {
-		t.Errorf("still %v", w.leases[2].State())
+	sim.isolated[2] = false
+	if sim.run(3, reachable); sim.leases[2].State() != Held {
+		t.Errorf("still %v", sim.leases[2].State())
 	}
 }
 
@@ -122,22 +122,22 @@
 // was lost by all before, nobody does.
 func TestAtMostAThirdIsOutWhenAllAreIsolated(t *testing.T) {
 	for n := 1; n < 40; n++ {
-		w := newSimulation(n)
-		w.run(5, everyone)
-		for i := range w.isolated {
-			w.isolated[i] = true
+		sim := newSimulation(n)
+		sim.run(5, everyone)
+		for i := range sim.isolated {
+			sim.isolated[i] = true
 		}
-		w.isolatedAt = w.now
-		if out := w.run(100, nobody); out > MaxOut(n) {
+		sim.isolatedAt = sim.now
+		if out := sim.run(100, nobody); out > MaxOut(n) {
 			t.Errorf("%d of %d are out", out, n)
 		}
-		w = newSimulation(n)
-		w.run(60, nobody)
-		for i := range w.isolated {
-			w.isolated[i] = true
+		sim = newSimulation(n)
+		sim.run(60, nobody)
+		for i := range sim.isolated {
+			sim.isolated[i] = true
 		}
-		w.isolatedAt = w.now
-		if out := w.run(100, nobody); out > 0 {
+		sim.isolatedAt = sim.now
+		if out := sim.run(100, nobody); out > 0 {
 			t.Errorf("%d of %d are out after discovery was lost by all", out, n)
 		}
 	}
@@ -146,16 +146,16 @@
 // Two thirds are behind and do not catch up, while the rest have a fresh word: a third at most is out.
 func TestAtMostAThirdIsOutWhenMostAreStale(t *testing.T) {
 	for _, n := range []int{6, 9, 30} {
-		w := newSimulation(n)
+		sim := newSimulation(n)
 		most := 0
 		for range 200 {
-			w.now++
-			for i := range w.members {
+			sim.now++
+			for i := range sim.members {
 				if i < n/3 {
-					w.lastDiscovery[i], w.lastUpdate[i] = w.now, w.now
+					sim.lastDiscovery[i], sim.lastUpdate[i] = sim.now, sim.now
 				}
 			}
-			most = max(most, w.updateAll())
+			most = max(most, sim.updateAll())
 		}
 		if most != MaxOut(n) {
 			t.Errorf("%d of %d are out, not %d", most, n, MaxOut(n))
@@ -175,19 +175,19 @@
 
 // By hand: the order binds, but never more than a third.
 func TestExclusion(t *testing.T) {
-	w := newSimulation(5)
-	w.excluded[1] = true
-	if out := w.run(10, everyone); out != 1 || w.leases[1].State() != Out {
-		t.Errorf("%d out, %v", out, w.leases[1].State())
+	sim := newSimulation(5)
+	sim.excluded[1] = true
+	if out := sim.run(10, everyone); out != 1 || sim.leases[1].State() != Out {
+		t.Errorf("%d out, %v", out, sim.leases[1].State())
 	}
-	for i := range w.excluded {
-		w.excluded[i] = true
+	for i := range sim.excluded {
+		sim.excluded[i] = true
 	}
-	if out := w.run(10, everyone); out > MaxOut(5) || w.leases[1].State() != Out {
-		t.Errorf("%d out, %v", out, w.leases[1].State())
+	if out := sim.run(10, everyone); out > MaxOut(5) || sim.leases[1].State() != Out {
+		t.Errorf("%d out, %v", out, sim.leases[1].State())
 	}
-	clear(w.excluded)
-	if out := w.run(2, everyone); out != 0 {
+	clear(sim.excluded)
+	if out := sim.run(2, everyone); out != 0 {
 		t.Errorf("%d out after all were brought back", out)
 	}
 }
@@ -197,30 +197,30 @@
 func TestLeaseInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 16).Draw(t, "members")
-		w := newSimulation(n)
+		sim := newSimulation(n)
 		for range rapid.IntRange(1, 6).Draw(t, "phases") {
-			speaks := rapid.SliceOfN(rapid.Bool(), n, n).Draw(t, "speak")
-			if rapid.Bool().Draw(t, "all deaf") != w.isolated[0] {
-				for i := range w.isolated {
-					w.isolated[i] = !w.isolated[i]
+			reachable := rapid.SliceOfN(rapid.Bool(), n, n).Draw(t, "speak")
+			if rapid.Bool().Draw(t, "all deaf") != sim.isolated[0] {
+				for i := range sim.isolated {
+					sim.isolated[i] = !sim.isolated[i]
 				}
-				w.isolatedAt = w.now
+				sim.isolatedAt = sim.now
 			}
-			for i := range w.excluded {
-				w.excluded[i] = rapid.IntRange(0, 4).Draw(t, "order") == 0
+			for i := range sim.excluded {
+				sim.excluded[i] = rapid.IntRange(0, 4).Draw(t, "order") == 0
 			}
 			for range rapid.IntRange(1, 40).Draw(t, "seconds") {
-				out := w.step(func(i int) bool { return speaks[i] })
+				out := sim.step(func(i int) bool { return reachable[i] })
 				ordered := 0
-				for i, l := range w.leases {
-					if w.excluded[i] {
+				for i, l := range sim.leases {
+					if sim.excluded[i] {
 						ordered++
 					}
-					if l.State() == Out && !w.excluded[i] && w.now <= w.lastUpdate[i]+Term(5, 1) {
+					if l.State() == Out && !sim.excluded[i] && sim.now <= sim.lastUpdate[i]+Term(5, 1) {
 						t.Fatalf("%d is out with a fresh word", i)
 					}
 				}
-				if !w.isolated[0] && out > MaxOut(n) {
+				if !sim.isolated[0] && out > MaxOut(n) {
 					t.Fatalf("%d of %d are out, %d ordered", out, n, ordered)
 				}
 			}
--- /dev/null
+++ b/internal/shared/membership/codec.go
@@ -0,0 +1,68 @@
+package membership
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/fxamacker/cbor/v2"
+)
+
+// Errors of Encode and Decode. ErrCorrupt is wrapped with its cause.
+var (
+	ErrOversized     = errors.New("membership: oversized")
+	ErrCorrupt       = errors.New("membership: broken")
+	ErrUnknownFormat = errors.New("membership: of another format")
+	ErrOtherCluster  = errors.New("membership: of another fleet")
+)
+
+var (
+	encMode = must(cbor.EncOptions{Sort: cbor.SortNone}.EncMode())
+	decMode = StrictDecMode(6, 32)
+)
+
+// Encode returns the datagram of a message: checksum, format version, CBOR. It returns ErrOversized if it does not fit
+// MaxDatagramSize.
+func Encode(m *Message) ([]byte, error) {
+	body, err := encMode.Marshal(m)
+	if err != nil {
+		return nil, fmt.Errorf("membership: %w", err)
+	}
+	b := seal(append(make([]byte, headerSize, headerSize+len(body)), body...))
+	if len(b) > MaxDatagramSize {
+		return nil, ErrOversized
+	}
+	return b, nil
+}
+
+// seal fills in the header of a datagram.
+func seal(b []byte) []byte {
+	b[8] = FormatVersion
+	binary.LittleEndian.PutUint64(b, xxhash.Sum64(b[8:]))
+	return b
+}
+
+// Decode returns the message of a datagram of the given cluster. All its errors but a wrapped ErrCorrupt are the
+// sentinels above.
+func Decode(cluster string, b []byte) (*Message, error) {
+	switch {
+	case len(b) > MaxDatagramSize:
+		return nil, ErrOversized
+	case len(b) < headerSize || binary.LittleEndian.Uint64(b) != xxhash.Sum64(b[8:]):
+		return nil, ErrCorrupt
+	case b[8] != FormatVersion:
+		return nil, ErrUnknownFormat
+	}
+	m := &Message{}
+	if err := decMode.Unmarshal(b[headerSize:], m); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
+	}
+	if m.Cluster != cluster {
+		return nil, ErrOtherCluster
+	}
+	if err := m.validate(); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
+	}
+	return m, nil
+}
--- a/internal/shared/membership/export_test.go
+++ b/internal/shared/membership/export_test.go
@@ -3,20 +3,20 @@
 import "fmt"
 
 // CheckInvariants says what of a machine's books does not add up; empty is nothing.
-func (m *Node) CheckInvariants() string {
+func (n *Node) CheckInvariants() string {
 	alive, suspects, deads := 0, 0, 0
 	var view, names, facts uint64
-	if m.self.State == Alive {
-		view, names, facts = m.self.Record.digest(m.self.key), m.self.key, m.self.digestWithMetadata(m.self.key)
+	if n.self.State == Alive {
+		view, names, facts = n.self.Record.digest(n.self.key), n.self.key, n.self.digestWithMetadata(n.self.key)
 	}
-	for i, o := range m.members {
-		if m.byName[o.Name] != o || i > 0 && m.members[i-1].Name >= o.Name || o.Name == m.self.Name {
+	for i, peer := range n.members {
+		if n.byName[peer.Name] != peer || i > 0 && n.members[i-1].Name >= peer.Name || peer.Name == n.self.Name {
 			return "members are not in order, or not found by their names"
 		}
-		if err := o.Record.validate(); err != nil {
-			return fmt.Sprintf("%s: %v", o.Name, err)
+		if err := peer.Record.validate(); err != nil {
+			return fmt.Sprintf("%s: %v", peer.Name, err)
 		}
-		switch o.State {
+		switch peer.State {
 		case Alive:
 			alive++
 		case Suspect:
@@ -24,25 +24,25 @@
 		case Dead:
 			deads++
 		}
-		if o.State <= Dead {
-			view, facts = view^o.Record.digest(o.key), facts^o.digestWithMetadata(o.key)
+		if peer.State <= Dead {
+			view, facts = view^peer.Record.digest(peer.key), facts^peer.digestWithMetadata(peer.key)
 		}
-		if o.State < Dead {
-			names ^= o.key
+		if peer.State < Dead {
+			names ^= peer.key
 		}
 	}
 	switch {
-	case len(m.byName) != len(m.members):
+	case len(n.byName) != len(n.members):
 		return "names and members differ"
-	case alive != m.alive || suspects != m.suspects || deads != m.dead:
+	case alive != n.alive || suspects != n.suspects || deads != n.dead:
 		return "members by state are counted wrong"
-	case len(m.suspicions) != suspects:
-		return fmt.Sprintf("%d are suspect, %d suspicions run", suspects, len(m.suspicions))
-	case view != m.viewDigest || names != m.namesDigest || facts != m.metadataDigest:
+	case len(n.suspicions) != suspects:
+		return fmt.Sprintf("%d are suspect, %d suspicions run", suspects, len(n.suspicions))
+	case view != n.viewDigest || names != n.namesDigest || facts != n.metadataDigest:
 		return "digests are not those of the view"
-	case !m.left && m.self.State != Alive:
+	case !n.left && n.self.State != Alive:
 		return "it takes others' word on itself"
-	case m.awareness < 0 || m.awareness >= maxAwareness:
+	case n.awareness < 0 || n.awareness >= maxAwareness:
 		return "its own health is beyond its bounds"
 	}
 	return ""
--- a/internal/shared/membership/facts_test.go
+++ b/internal/shared/membership/metadata_test.go
@@ -58,42 +58,42 @@
 
 func TestTicksPerProbe(t *testing.T) {
 	for steps, want := range map[int]float64{0: 0.2, 2: 0.5, 10: 0.1} {
-		m := New(Options{Cluster: "fleet", Name: "one", Addr: netip.MustParseAddrPort("10.0.0.1:1"), ProbeInterval: 1, TicksPerProbe: steps, Generation: 1})
-		m.Start(10)
-		at := m.NextTick()
-		m.Tick(at)
-		if got := m.NextTick() - at; got < want-1e-9 || got > want+1e-9 {
+		node := New(Options{Cluster: "fleet", Name: "one", Addr: netip.MustParseAddrPort("10.0.0.1:1"), ProbeInterval: 1, TicksPerProbe: steps, Generation: 1})
+		node.Start(10)
+		at := node.NextTick()
+		node.Tick(at)
+		if got := node.NextTick() - at; got < want-1e-9 || got > want+1e-9 {
 			t.Errorf("with %d steps in a period of 1 s the next look is after %v s, want %v", steps, got, want)
 		}
 	}
 }
 
 func TestAnnounce(t *testing.T) {
-	m := New(Options{Cluster: "fleet", Name: "one", Addr: netip.MustParseAddrPort("10.0.0.1:1"), ProbeInterval: 1, Generation: 1})
-	m.Start(10)
+	node := New(Options{Cluster: "fleet", Name: "one", Addr: netip.MustParseAddrPort("10.0.0.1:1"), ProbeInterval: 1, Generation: 1})
+	node.Start(10)
 	for i, role := range []string{"control", "edge", "control"} {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(i)}), 1)
 		record := Record{Name: address.String(), Addr: address, Generation: 1, Metadata: &Metadata{Seq: 1, Role: role}}
 		from := record
 		from.Metadata = nil
-		m.HandleMessage(10, &Message{Kind: Update, Cluster: "fleet", From: from, Number: 1, Records: []Record{record}})
+		node.HandleMessage(10, &Message{Kind: Update, Cluster: "fleet", From: from, Number: 1, Records: []Record{record}})
 	}
-	m.TakePackets()
-	before := m.MetadataDigest()
-	m.SetMetadata(11, Metadata{Serving: "stopping"})
-	if m.MetadataDigest() == before {
+	node.TakePackets()
+	before := node.MetadataDigest()
+	node.SetMetadata(11, Metadata{Serving: "stopping"})
+	if node.MetadataDigest() == before {
 		t.Error("other facts have the same digest")
 	}
-	m.Announce(11, func(r *Record) bool { return r.Metadata != nil && r.Metadata.Role == "control" })
-	told := map[netip.Addr]bool{}
-	for _, packet := range m.TakePackets() {
+	node.Announce(11, func(r *Record) bool { return r.Metadata != nil && r.Metadata.Role == "control" })
+	notified := map[netip.Addr]bool{}
+	for _, packet := range node.TakePackets() {
 		for i := range packet.Message.Records {
 			if facts := packet.Message.Records[i].Metadata; facts != nil && facts.Serving == "stopping" {
-				told[packet.To.Addr()] = true
+				notified[packet.To.Addr()] = true
 			}
 		}
 	}
-	if len(told) != 2 || told[netip.AddrFrom4([4]byte{10, 0, 1, 1})] {
-		t.Errorf("told are %v, want the two control members", told)
+	if len(notified) != 2 || notified[netip.AddrFrom4([4]byte{10, 0, 1, 1})] {
+		t.Errorf("told are %v, want the two control members", notified)
 	}
 }
--- a/internal/shared/membership/machine_test.go
+++ b/internal/shared/membership/node_test.go
@@ -35,27 +35,27 @@
 // for dead on the own word of another about oneself.
 func TestAnyMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], Seeds: testAddrs[1:2], ProbeInterval: 1, Generation: 3, RandomSeed: 7,
+		node := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], Seeds: testAddrs[1:2], ProbeInterval: 1, Generation: 3, RandomSeed: 7,
 			DeadTTL: rapid.SampledFrom([]float64{60, 3600}).Draw(t, "forget")})
 		now := 100.0
-		m.Start(now)
+		node.Start(now)
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 12).Draw(t, "what") {
 			case 0, 1, 2, 3:
 				now += rapid.SampledFrom([]float64{0.01, 0.2, 1, 5, 100}).Draw(t, "passes")
-				m.Tick(now)
+				node.Tick(now)
 			case 4:
-				m.SetMetadata(now, membership.Metadata{Zone: fmt.Sprint(i)})
+				node.SetMetadata(now, membership.Metadata{Zone: fmt.Sprint(i)})
 			case 5:
 				if rapid.IntRange(0, 5).Draw(t, "leaves") == 0 {
-					m.Leave(now)
+					node.Leave(now)
 				}
 			case 6:
-				m.Rejoin(now)
+				node.Rejoin(now)
 			case 7:
-				m.HandlePause(now)
+				node.HandlePause(now)
 			case 8:
-				_ = m.DeclareLeft(now, rapid.SampledFrom(testNames).Draw(t, "declared"))
+				_ = node.DeclareLeft(now, rapid.SampledFrom(testNames).Draw(t, "declared"))
 			default:
 				msg := &membership.Message{Kind: membership.Kind(rapid.IntRange(1, 7).Draw(t, "kind")), Cluster: "f", From: drawRecord(t, "from"),
 					Number: rapid.Uint64Range(0, 200).Draw(t, "n"), ViewDigest: rapid.Uint64Range(0, 2).Draw(t, "view"),
@@ -68,12 +68,12 @@
 				for range rapid.IntRange(0, 4).Draw(t, "told") {
 					msg.Records = append(msg.Records, drawRecord(t, "told"))
 				}
-				m.HandleMessage(now, msg)
+				node.HandleMessage(now, msg)
 			}
-			if wrong := m.CheckInvariants(); wrong != "" {
+			if wrong := node.CheckInvariants(); wrong != "" {
 				t.Fatal(wrong)
 			}
-			for _, p := range m.TakePackets() {
+			for _, p := range node.TakePackets() {
 				b, err := membership.Encode(p.Message)
 				if err != nil {
 					t.Fatalf("%+v: %v", p.Message, err)
@@ -82,8 +82,8 @@
 					t.Fatalf("%+v: %v", p.Message, err)
 				}
 			}
-			if m.NextTick() <= now-1 || math.IsNaN(m.NextTick()) {
-				t.Fatalf("due at %v, now %v", m.NextTick(), now)
+			if node.NextTick() <= now-1 || math.IsNaN(node.NextTick()) {
+				t.Fatalf("due at %v, now %v", node.NextTick(), now)
 			}
 		}
 	})
@@ -161,18 +161,18 @@
 	f.Add([]byte{0xa1, 0x01, 0x01})
 	f.Add([]byte{0xbf, 0x01, 0x01, 0xff})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		m, err := membership.Decode("f", membership.Seal(body))
+		message, err := membership.Decode("f", membership.Seal(body))
 		if err != nil {
 			return
 		}
-		if _, err := membership.Encode(m); err != nil {
+		if _, err := membership.Encode(message); err != nil {
 			t.Fatalf("read, and cannot be written: %v", err)
 		}
-		machine := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
-		machine.Start(0)
-		machine.HandleMessage(1, m)
-		machine.Tick(2)
-		if wrong := machine.CheckInvariants(); wrong != "" {
+		node := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
+		node.Start(0)
+		node.HandleMessage(1, message)
+		node.Tick(2)
+		if wrong := node.CheckInvariants(); wrong != "" {
 			t.Fatal(wrong)
 		}
 	})
@@ -181,52 +181,52 @@
 // Word of a later start under one's own name, even as if from it, is not enough to withdraw: only an answer from there is.
 func TestNameClaimIsVerified(t *testing.T) {
 	start := func() *membership.Node {
-		m := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
-		m.Start(0)
-		m.HandleMessage(1, &membership.Message{Kind: membership.Update, Cluster: "f", Number: 1, From: membership.Record{Name: "me", Addr: testAddrs[1], Generation: 9}})
-		return m
+		node := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
+		node.Start(0)
+		node.HandleMessage(1, &membership.Message{Kind: membership.Update, Cluster: "f", Number: 1, From: membership.Record{Name: "me", Addr: testAddrs[1], Generation: 9}})
+		return node
 	}
-	m := start()
-	if m.Withdrawn() {
+	node := start()
+	if node.Withdrawn() {
 		t.Error("it withdrew before a datagram that anybody could have sent")
 	}
 	asked := uint64(0)
-	for _, p := range m.TakePackets() {
+	for _, p := range node.TakePackets() {
 		if p.Message.Kind == membership.Ping && p.To == testAddrs[1] {
 			asked = p.Message.Seq
 		}
 	}
-	m.HandleMessage(1.1, &membership.Message{Kind: membership.Ack, Cluster: "f", Number: 2, Seq: asked, Subject: &membership.Record{Name: "me", Addr: testAddrs[1], Generation: 9},
+	node.HandleMessage(1.1, &membership.Message{Kind: membership.Ack, Cluster: "f", Number: 2, Seq: asked, Subject: &membership.Record{Name: "me", Addr: testAddrs[1], Generation: 9},
 		From: membership.Record{Name: "me", Addr: testAddrs[1], Generation: 9}})
-	if asked == 0 || !m.Withdrawn() {
+	if asked == 0 || !node.Withdrawn() {
 		t.Error("it does not withdraw before one that answers")
 	}
-	m = start()
+	node = start()
 	for now := 1.0; now < 10; now += 0.2 {
-		m.Tick(now)
+		node.Tick(now)
 	}
-	if m.Withdrawn() || m.Generation != 10 {
-		t.Errorf("nobody answers: life %d", m.Generation)
+	if node.Withdrawn() || node.Generation != 10 {
+		t.Errorf("nobody answers: life %d", node.Generation)
 	}
 }
 
 // Names that somebody makes up take a bounded room, and the loop's time stays bounded with it.
 func TestForgedNamesAreBounded(t *testing.T) {
-	m := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
-	m.Start(0)
+	node := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
+	node.Start(0)
 	for i := range uint64(1000) {
 		msg := &membership.Message{Kind: membership.IndirectPing, Cluster: "f", Number: i, From: membership.Record{Name: "liar", Addr: testAddrs[1], Generation: 1},
 			Subject: &membership.Record{Name: "x", Addr: testAddrs[2], Generation: 1}}
 		for j := range 20 {
 			msg.Records = append(msg.Records, membership.Record{Name: fmt.Sprint("made up ", i, j), Addr: testAddrs[2], Generation: 1})
 		}
-		m.HandleMessage(1, msg)
+		node.HandleMessage(1, msg)
 	}
-	if n := len(m.View().Members); n > 4097 || m.RejectedNames < 15000 {
-		t.Errorf("%d members, %d names not taken", n, m.RejectedNames)
+	if n := len(node.View().Members); n > 4097 || node.RejectedNames < 15000 {
+		t.Errorf("%d members, %d names not taken", n, node.RejectedNames)
 	}
 	sent := 0
-	for _, p := range m.TakePackets() {
+	for _, p := range node.TakePackets() {
 		if p.Message.Kind == membership.Ping {
 			sent++
 		}
@@ -238,27 +238,27 @@
 
 // What was heard before is dropped, what comes late by a little is not; an earlier life's is dropped.
 func TestDuplicatesAndReplays(t *testing.T) {
-	m := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
-	m.Start(0)
-	say := func(life, n uint64) {
-		m.HandleMessage(1, &membership.Message{Kind: membership.Update, Cluster: "f", Number: n, From: membership.Record{Name: "a", Addr: testAddrs[1], Generation: life}})
+	node := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
+	node.Start(0)
+	receive := func(life, n uint64) {
+		node.HandleMessage(1, &membership.Message{Kind: membership.Update, Cluster: "f", Number: n, From: membership.Record{Name: "a", Addr: testAddrs[1], Generation: life}})
 	}
 	for _, n := range []uint64{1, 2, 5, 3, 4, 100} {
-		say(7, n)
+		receive(7, n)
 	}
-	if m.Duplicates != 0 {
-		t.Errorf("%d dropped that were new", m.Duplicates)
+	if node.Duplicates != 0 {
+		t.Errorf("%d dropped that were new", node.Duplicates)
 	}
 	for _, n := range []uint64{5, 3, 100, 20} { // the last one is older than what is kept in mind
-		say(7, n)
+		receive(7, n)
 	}
-	if m.Duplicates != 4 {
-		t.Errorf("%d of 4 repeats dropped", m.Duplicates)
+	if node.Duplicates != 4 {
+		t.Errorf("%d of 4 repeats dropped", node.Duplicates)
 	}
-	if say(6, 101); m.Stale != 1 {
-		t.Errorf("%d of 1 of an earlier life dropped", m.Stale)
+	if receive(6, 101); node.Stale != 1 {
+		t.Errorf("%d of 1 of an earlier life dropped", node.Stale)
 	}
-	if say(8, 1); m.Duplicates != 4 || m.Stale != 1 {
+	if receive(8, 1); node.Duplicates != 4 || node.Stale != 1 {
 		t.Error("the next life's first word is dropped")
 	}
 }
--- a/internal/shared/membership/receive.go
+++ b/internal/shared/membership/receive.go
@@ -1,91 +1,116 @@
 package membership
 
+import (
+	"net/netip"
+)
+
 import "math"
 
-// HandleMessage takes a message.
-func (m *Node) HandleMessage(now float64, msg *Message) {
-	m.now = math.Max(m.now, now)
-	if m.left || !m.started {
+// HandleMessage handles a message that Decode returned. It does not change the message.
+func (n *Node) HandleMessage(now float64, msg *Message) {
+	n.now = math.Max(n.now, now)
+	if n.left || !n.started {
 		return
 	}
 	from := &msg.From
-	if from.Name == m.self.Name {
-		if from.Generation == m.self.Generation {
-			m.OwnMessages++
+	if from.Name == n.self.Name {
+		if from.Generation == n.self.Generation {
+			n.OwnMessages++
 			return
 		}
-		m.handleNameClaim(from, msg)
+		n.handleNameClaim(from, msg)
 		return
 	}
-	if m.withdrawn {
+	if n.withdrawn {
 		return
 	}
-	o := m.byName[from.Name]
-	if o != nil && from.Generation < o.Generation {
-		m.Stale++
-		m.send(from.Addr, &Message{Kind: Update, Records: []Record{o.outgoingRecord(now)}}) // it has a namesake that began later
+	peer := n.byName[from.Name]
+	if peer != nil && from.Generation < peer.Generation {
+		n.Stale++
+		// tells the sender of the later generation
+		n.send(from.Addr, &Message{Kind: Update, Records: []Record{peer.outgoingRecord(now)}})
 		return
 	}
-	if o != nil && !o.replay.accept(from.Generation, msg.Number) {
-		m.Duplicates++
+	if peer != nil && !peer.replay.accept(from.Generation, msg.Number) {
+		n.Duplicates++
 		return
 	}
-	m.merge(*from, from.Name)
-	if o = m.byName[from.Name]; o == nil {
+	n.merge(*from, from.Name)
+	if peer = n.byName[from.Name]; peer == nil {
 		return
 	}
-	if o.replay.generation != from.Generation {
-		o.replay.accept(from.Generation, msg.Number)
+	if peer.replay.generation != from.Generation {
+		peer.replay.accept(from.Generation, msg.Number)
 	}
-	o.lastContact = now
-	m.contacted = true
+	peer.lastContact = now
+	n.contacted = true
 	var stale []Record
 	for i := range msg.Records {
-		if known := m.merge(msg.Records[i], from.Name); known != nil && msg.Kind == Records {
+		if known := n.merge(msg.Records[i], from.Name); known != nil && msg.Kind == Records {
 			stale = append(stale, *known)
 		}
 	}
-	if o.State != Alive && from.State == Alive && from.compare(&o.Record) < 0 {
-		stale = append(stale, o.outgoingRecord(now)) // told early that it is suspected, or held to be dead
+	if peer.State != Alive && from.State == Alive && from.compare(&peer.Record) < 0 {
+		stale = append(stale, peer.outgoingRecord(now)) // lets the sender refute its suspicion or death early
 	}
-	m.handleRequest(o, msg)
+	n.handleRequest(peer, msg)
 	if len(stale) > 0 {
-		m.sendRecords(from.Addr, stale)
+		n.sendRecords(from.Addr, stale)
 	}
-	m.compareViews(o, msg)
-	if m.Delegate != nil && len(msg.Payload) > 0 {
-		for _, ride := range m.Delegate.HandlePayload(m.now, o.Name, msg.Payload) {
-			m.send(from.Addr, &Message{Kind: Update, Payload: ride})
+	n.compareViews(peer, msg)
+	if n.Delegate != nil && len(msg.Payload) > 0 {
+		for _, reply := range n.Delegate.HandlePayload(n.now, peer.Name, msg.Payload) {
+			n.send(from.Addr, &Message{Kind: Update, Payload: reply})
 		}
 	}
 }
 
-// handleRequest does what a message asks for.
-func (m *Node) handleRequest(o *member, msg *Message) {
+// handleRequest handles what is specific to the kind of a message.
+func (n *Node) handleRequest(peer *member, msg *Message) {
 	switch msg.Kind {
 	case Ping:
-		if msg.Subject != nil && msg.Subject.Name != m.self.Name {
-			return // whoever was here before
+		if msg.Subject != nil && msg.Subject.Name != n.self.Name {
+			return // the ping is for another member that had this address
 		}
 		if msg.Subject != nil && msg.Subject.State != Alive {
-			m.merge(*msg.Subject, o.Name) // told early
+			n.merge(*msg.Subject, peer.Name) // refutes a suspicion early
 		}
-		self := m.selfRecord()
-		m.send(msg.From.Addr, &Message{Kind: Ack, Seq: msg.Seq, Subject: &self})
+		self := n.selfRecord()
+		n.send(msg.From.Addr, &Message{Kind: Ack, Seq: msg.Seq, Subject: &self})
 	case IndirectPing:
-		if len(m.indirectProbes) == maxIndirectProbes {
+		if len(n.indirectProbes) == maxIndirectProbes {
 			return
 		}
-		m.probeSeq++
-		m.indirectProbes = append(m.indirectProbes, indirectProbe{seq: m.probeSeq, requesterSeq: msg.Seq, requester: msg.From.Addr, target: *msg.Subject, sentAt: m.now})
-		m.send(msg.Subject.Addr, &Message{Kind: Ping, Seq: m.probeSeq, Subject: msg.Subject})
+		n.probeSeq++
+		n.indirectProbes = append(n.indirectProbes, indirectProbe{seq: n.probeSeq, requesterSeq: msg.Seq, requester: msg.From.Addr,
+			target: *msg.Subject, sentAt: n.now})
+		n.send(msg.Subject.Addr, &Message{Kind: Ping, Seq: n.probeSeq, Subject: msg.Subject})
 	case Ack:
-		m.handleAck(msg)
+		n.handleAck(msg)
 	case Nack:
-		if msg.Seq == m.probe.seq && !m.probe.acked {
-			m.probe.nacks++
+		if msg.Seq == n.probe.seq && !n.probe.acked {
+			n.probe.nacks++
 		}
 	case Digests:
-		m.handleDigests(msg)
+		n.handleDigests(msg)
+	}
+}
+
+// send completes a message, with broadcasts and payload as far as they fit, and queues it.
+func (n *Node) send(to netip.AddrPort, msg *Message) {
+	if to == n.self.Addr {
+		return
+	}
+	n.messagesSent++
+	msg.Cluster, msg.Number = n.Cluster, n.messagesSent
+	msg.From = n.self.Record
+	msg.From.Metadata = nil
+	msg.ViewDigest, msg.NamesDigest, msg.MetadataDigest = n.viewDigest, n.namesDigest, n.metadataDigest
+	if msg.Kind != Records && msg.Kind != Digests && msg.Payload == nil {
+		n.appendBroadcasts(msg)
+		if n.Delegate != nil {
+			msg.Payload = n.Delegate.Payload(n.now, payloadBudget)
+		}
 	}
+	n.outbox = append(n.outbox, Packet{to, msg})
 }
--- a/internal/shared/membership/record.go
+++ b/internal/shared/membership/record.go
@@ -1,9 +1,3 @@
-// Package membership is the fleet's own view: which dispatchers there are, judged by SWIM with Lifeguard's additions, and
-// settled by digests. It is pure: time, messages and local facts go in, messages and changes come out. It does no I/O, has
-// no clock of its own, and draws its random numbers from a given seed, so that the same input gives the same output.
-//
-// SWIM: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol", DSN
-// 2002. Lifeguard: Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018.
 package membership
 
 import (
@@ -18,19 +12,19 @@
 	"cinderroad/internal/shared/lease"
 )
 
-// State is what a member is held to be.
+// State is the state of a member.
 type State uint8
 
-// The states. Of one life and incarnation, a later one here wins over an earlier one.
+// The states of a member. Within one generation and incarnation, a later state overrides an earlier one.
 const (
 	Alive   State = iota
-	Suspect       // did not answer; it is given time to say that it does
-	Dead          // did not answer for as long as a suspicion lasts
-	Left          // has said that it leaves
+	Suspect       // failed a probe; it has time to refute
+	Dead          // did not refute a suspicion in time
+	Left          // announced that it leaves
 	states
 )
 
-// String is the state as /api/fleet shows it.
+// String returns the name of the state, as /api/fleet shows it.
 func (s State) String() string {
 	if s >= states {
 		return fmt.Sprintf("state %d", uint8(s))
@@ -38,41 +32,41 @@
 	return [...]string{"alive", "suspect", "dead", "left"}[s]
 }
 
-// Metadata ride along with a member's record. The member alone owns them: of two, the higher Seq is newer.
+// Metadata is what a member publishes of itself. Only the member changes it; the higher Seq is newer.
 type Metadata struct {
 	Seq     uint64 `cbor:"1,keyasint,omitempty"`
 	Zone    string `cbor:"2,keyasint,omitempty"`
-	Version string `cbor:"3,keyasint,omitempty"` // of the program
+	Version string `cbor:"3,keyasint,omitempty"` // version of the program
 	Serving string `cbor:"4,keyasint,omitempty"` // starting, serving, evacuated or stopping
-	Console string `cbor:"5,keyasint,omitempty"` // its second address
+	Console string `cbor:"5,keyasint,omitempty"` // address of its console
 	// Hashes of what is in force, of 8 hexadecimal digits.
 	SettingsHash string `cbor:"6,keyasint,omitempty"`
 	OperatorHash string `cbor:"7,keyasint,omitempty"`
 
-	ExcludedHash string `cbor:"9,keyasint,omitempty"` // of who is out by hand here; empty: nobody
-	// When the last two came into force, Unix seconds; program and settings are as old as the life.
+	ExcludedHash string `cbor:"9,keyasint,omitempty"` // of the members that are excluded by order; empty: none
+	// Unix seconds at which the operator's configuration and the exclusions came into force. Program and settings are as old as the generation.
 	OperatorAt uint32 `cbor:"10,keyasint,omitempty"`
 	ExcludedAt uint32 `cbor:"11,keyasint,omitempty"`
 
-	Lease lease.State `cbor:"8,keyasint,omitempty"` // how it stands to its lease
+	Lease lease.State `cbor:"8,keyasint,omitempty"` // state of the member's lease
 
-	Role  string `cbor:"12,keyasint,omitempty"` // what the member does; empty: a dispatcher that has no roles
-	Front string `cbor:"13,keyasint,omitempty"` // address that clients use; empty: none
+	Role  string `cbor:"12,keyasint,omitempty"` // role in the system; empty: a dispatcher, which has none
+	Front string `cbor:"13,keyasint,omitempty"` // address at which clients reach it; empty: none
 }
 
-// Record is what is told of a member.
+// Record is what members send to each other of a member.
 type Record struct {
 	Name        string         `cbor:"1,keyasint"`
-	Addr        netip.AddrPort `cbor:"2,keyasint"` // where it is reached, as it says itself
-	Generation  uint64         `cbor:"3,keyasint"` // of its process: a later start has a higher one
-	Incarnation uint64         `cbor:"4,keyasint,omitempty"`
+	Addr        netip.AddrPort `cbor:"2,keyasint"`           // at which it is reached, as it states itself
+	Generation  uint64         `cbor:"3,keyasint"`           // number of the process's run: a later start has a higher one
+	Incarnation uint64         `cbor:"4,keyasint,omitempty"` // raised by the member to refute a suspicion
 	State       State          `cbor:"5,keyasint,omitempty"`
-	SuspectedBy string         `cbor:"6,keyasint,omitempty"` // of a suspicion: who met with no answer
-	DeadFor     float32        `cbor:"7,keyasint,omitempty"` // of one that is dead: seconds since the teller held it so
-	Metadata    *Metadata      `cbor:"8,keyasint,omitempty"`
+	SuspectedBy string         `cbor:"6,keyasint,omitempty"` // while Suspect: name of the member whose probe failed
+	DeadFor     float32        `cbor:"7,keyasint,omitempty"` // while Dead: seconds since the sender declared it so
+	Metadata    *Metadata      `cbor:"8,keyasint,omitempty"` // nil: not sent
 }
 
-// The bounds of a record; what is beyond them makes no sense.
+// The bounds of a record, in bytes; records beyond them are rejected.
 const (
 	MaxNameLength    = 64
 	maxZoneLength    = 48
@@ -82,49 +76,50 @@
 	maxHashLength    = 16
 	maxRoleLength    = 16
 	maxFrontLength   = 64
-	maxIncarnation   = 1 << 48 // refuting takes one more than what is told: nobody may drive it to its end
+	maxIncarnation   = 1 << 48 // a refutation takes the next one, and nobody may exhaust them
 )
 
-// validate says why a record makes no sense.
+// validate reports why a record is malformed.
 func (r *Record) validate() error {
 	switch {
 	case r.Name == "" || len(r.Name) > MaxNameLength || len(r.SuspectedBy) > MaxNameLength:
-		return errors.New("membership: a name of no or too many bytes")
+		return errors.New("membership: empty or too long name")
 	case !r.Addr.IsValid() || r.Addr.Port() == 0:
-		return errors.New("membership: no address")
+		return errors.New("membership: no valid address")
 	case r.State >= states:
-		return errors.New("membership: a state that nobody knows")
+		return errors.New("membership: unknown state")
 	case r.Generation == 0 || r.Incarnation >= maxIncarnation:
-		return errors.New("membership: a life or incarnation that makes no sense")
+		return errors.New("membership: generation or incarnation out of range")
 	case !(r.DeadFor >= 0 && r.DeadFor < 1e9):
-		return errors.New("membership: a time that makes no sense")
+		return errors.New("membership: time out of range")
 	}
-	if f := r.Metadata; f != nil && (f.Lease > lease.Out || len(f.Zone) > maxZoneLength || len(f.Version) > maxVersionLength || len(f.Serving) > maxServingLength || len(f.Console) > maxConsoleLength ||
+	if f := r.Metadata; f != nil && (f.Lease > lease.Out || len(f.Zone) > maxZoneLength ||
+		len(f.Version) > maxVersionLength || len(f.Serving) > maxServingLength || len(f.Console) > maxConsoleLength ||
 		len(f.SettingsHash) > maxHashLength || len(f.OperatorHash) > maxHashLength || len(f.ExcludedHash) > maxHashLength ||
 		len(f.Role) > maxRoleLength || len(f.Front) > maxFrontLength) {
-		return errors.New("membership: a fact that is too long or unknown")
+		return errors.New("membership: metadata too long or unknown")
 	}
 	return nil
 }
 
-// compare orders what is told of one member: later lives, then later incarnations, then graver states.
-func (r *Record) compare(o *Record) int {
-	if c := cmp.Compare(r.Generation, o.Generation); c != 0 {
+// compare orders the records of one member: by generation, incarnation and state.
+func (r *Record) compare(other *Record) int {
+	if c := cmp.Compare(r.Generation, other.Generation); c != 0 {
 		return c
 	}
-	if c := cmp.Compare(r.Incarnation, o.Incarnation); c != 0 {
+	if c := cmp.Compare(r.Incarnation, other.Incarnation); c != 0 {
 		return c
 	}
-	return cmp.Compare(r.State, o.State)
+	return cmp.Compare(r.State, other.State)
 }
 
-// OutOfService says whether a member takes no new work, as it says itself.
+// OutOfService reports whether the member takes no new work, because its lease is out.
 func (r *Record) OutOfService() bool { return r.Metadata != nil && r.Metadata.Lease == lease.Out }
 
-// Key is a number drawn from a name alone: dispatchers that share nothing agree on it.
+// Key returns a hash of a name, by which members agree on an order without communication.
 func Key(name string) uint64 { return xxhash.Sum64String(name) }
 
-// digest is a record's part in the view's: it changes with whatever the members must agree on.
+// digest returns a record's share of the view's digest: a hash of all on which members must agree.
 func (r *Record) digest(key uint64) uint64 {
 	var b [25]byte
 	binary.LittleEndian.PutUint64(b[:], key)
@@ -134,7 +129,7 @@
 	return xxhash.Sum64(b[:])
 }
 
-// digestWithMetadata is the same with the member's facts.
+// digestWithMetadata returns the same with the version of the metadata.
 func (r *Record) digestWithMetadata(key uint64) uint64 {
 	sum := r.digest(key)
 	if r.Metadata != nil {
@@ -149,3 +144,19 @@
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return z ^ z>>31
 }
+
+// Bytes of a record and of its metadata beside their strings, at most.
+const (
+	maxRecordOverhead   = 52
+	maxMetadataOverhead = 54
+)
+
+// maxEncodedSize returns the size of a record in a message in bytes, at most.
+func (r *Record) maxEncodedSize() int {
+	n := maxRecordOverhead + len(r.Name) + len(r.SuspectedBy)
+	if f := r.Metadata; f != nil {
+		n += maxMetadataOverhead + len(f.Role) + len(f.Front) + len(f.SettingsHash) + len(f.OperatorHash) + len(f.ExcludedHash) +
+			len(f.Zone) + len(f.Version) + len(f.Serving) + len(f.Console)
+	}
+	return n
+}
--- /dev/null
+++ b/internal/shared/membership/suspicion.go
@@ -0,0 +1,59 @@
+package membership
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+)
+
+// suspectRecord returns the record of a member that did not acknowledge this node's probe.
+func (n *Node) suspectRecord(peer *member) Record {
+	record := peer.Record
+	record.State, record.SuspectedBy = Suspect, n.self.Name
+	return record
+}
+
+// suspicionTimeout returns the duration of a suspicion with the given number of confirmations (Lifeguard, section
+// IV.B).
+func (n *Node) suspicionTimeout(confirmed int) float64 {
+	least := suspicionMultiplier * logScale(len(n.members)) * n.ProbeInterval
+	wanted := min(suspicionConfirmations, len(n.members)-2) // a confirmation takes a third member
+	if n.PlainSWIM || wanted < 1 {
+		return least
+	}
+	most := suspicionMaxMultiplier * least
+	return math.Max(least, most-(most-least)*math.Log(float64(confirmed+1))/math.Log(float64(wanted+1)))
+}
+
+// MaxSuspicionTimeout returns the longest duration of a suspicion in seconds, in a cluster of the given size.
+func MaxSuspicionTimeout(members int, period float64) float64 {
+	return suspicionMaxMultiplier * suspicionMultiplier * logScale(members) * period
+}
+
+// confirmSuspicion records that one more member suspects peer, which shortens the timeout.
+func (n *Node) confirmSuspicion(peer *member, by string) {
+	if n.PlainSWIM || by == "" || slices.Contains(peer.suspectedBy, by) || len(peer.suspectedBy) > suspicionConfirmations {
+		return
+	}
+	peer.suspectedBy = append(peer.suspectedBy, by)
+	peer.SuspectedBy = by
+	peer.suspicionDeadline = peer.suspectedAt + n.suspicionTimeout(len(peer.suspectedBy)-1)
+	n.queueBroadcast(peer.Name)
+}
+
+// expireSuspicions declares the members dead whose suspicion has timed out.
+func (n *Node) expireSuspicions() {
+	for i := len(n.suspicions) - 1; i >= 0; i-- {
+		peer := n.suspicions[i]
+		if n.now < peer.suspicionDeadline {
+			continue
+		}
+		record := peer.Record
+		record.State = Dead
+		n.replaceRecord(peer, record, fmt.Sprintf("suspected for %.2f s, witnesses %s", n.now-peer.suspectedAt, strings.Join(peer.suspectedBy, ", ")))
+	}
+}
+
+// logScale returns the decimal logarithm by which timeouts and retransmissions grow with the cluster, at least 1.
+func logScale(n int) float64 { return math.Max(1, math.Log10(float64(n+1))) }
