--- a/internal/system/control/api/commit.go
+++ b/internal/system/control/api/commit.go
@@ -17,7 +17,7 @@
 
 // stateReader is the local state that the committer consults; state.Configuration implements it.
 type stateReader interface {
-	Standing(basedOn uint64, digest state.Digest) state.Standing
+	CheckRequest(basedOn uint64, digest state.Digest) state.RequestStatus
 	Evacuation(zone string) state.Evacuation
 }
 
@@ -26,7 +26,7 @@
 	replicas replica.Replicas
 	state    stateReader
 	// prepare validates a request; its error is an *apiError or *validation.Error, or says why the body can't be parsed.
-	prepare func(request *changeRequest, base *state.Base) (preparedChange, error)
+	prepare func(request *changeRequest, base *state.View) (preparedChange, error)
 	// sleep reports whether the context is still alive afterwards.
 	sleep func(ctx context.Context, d time.Duration) bool
 }
@@ -52,15 +52,15 @@
 	if err := c.replicas.Barrier(ctx, feed.ConfigurationPartition); err != nil {
 		return 0, err
 	}
-	standing := c.state.Standing(request.basedOn, digest)
-	if standing.Verdict != state.Open {
+	standing := c.state.CheckRequest(request.basedOn, digest)
+	if standing.Verdict != state.VerdictOpen {
 		return verdictResponse(standing, request.basedOn)
 	}
 	change, err := c.prepare(request, &standing.Base)
 	if err != nil {
 		return 0, asAPIError(err)
 	}
-	command := state.CommitConfiguration{BasedOn: request.basedOn, Version: change.version, Digest: digest,
+	command := state.CommitConfiguration{BaseVersion: request.basedOn, Version: change.version, Digest: digest,
 		Writes: change.writes}
 	result, err := propose(ctx, c.replicas, command.Encode())
 	if err != nil {
@@ -71,13 +71,13 @@
 
 // verdictResponse answers a request whose verdict is not Open. It rejects only what can never be accepted any more; for
 // the rest the outcome is unknown, since an earlier copy may still be in flight through another machine.
-func verdictResponse(standing state.Standing, basedOn uint64) (uint64, error) {
+func verdictResponse(standing state.RequestStatus, basedOn uint64) (uint64, error) {
 	switch standing.Verdict {
-	case state.Taken:
+	case state.VerdictAccepted:
 		return standing.Version, nil
-	case state.Superseded:
+	case state.VerdictSuperseded:
 		return 0, versionConflict(standing.Version)
-	case state.Early:
+	case state.VerdictPremature:
 		return 0, unavailableError(fmt.Sprintf("version %d, which the order builds on, is not in force: the newest is %d",
 			basedOn, standing.Version))
 	}
@@ -87,17 +87,17 @@
 // outcomeForgotten answers a request so old that the state no longer holds whether it was accepted.
 func outcomeForgotten() *apiError {
 	return unavailableError(fmt.Sprintf("the order builds on a version from over %d changes ago, so that it is not known "+
-		"whether it was accepted; read the configuration", state.RememberedChanges))
+		"whether it was accepted; read the configuration", state.RetainedChanges))
 }
 
 // commitResponse translates the result of a command that was applied.
 func commitResponse(result state.Result) (uint64, error) {
 	switch result.Outcome {
-	case state.Accepted, state.AlreadyAccepted:
-		return result.Number, nil
-	case state.Conflict:
-		return 0, versionConflict(result.Number)
-	case state.NotRemembered:
+	case state.OutcomeAccepted, state.OutcomeAlreadyAccepted:
+		return result.Revision, nil
+	case state.OutcomeConflict:
+		return 0, versionConflict(result.Revision)
+	case state.OutcomeForgotten:
 		return 0, outcomeForgotten()
 	}
 	return 0, unavailableError("control machines run releases that do not understand each other; update all of them")
--- a/internal/system/control/api/configuration.go
+++ b/internal/system/control/api/configuration.go
@@ -81,7 +81,7 @@
 		a.writeError(w, err)
 		return
 	}
-	base := a.options.State.Base()
+	base := a.options.State.View()
 	document, err := a.documents.currentDocument(&base)
 	if err != nil {
 		a.writeError(w, err)
--- a/internal/system/control/api/configuration_test.go
+++ b/internal/system/control/api/configuration_test.go
@@ -133,7 +133,7 @@
 	fake := newFakeReplica()
 	call(fake.newAPI(), http.MethodPost, PathReplace, "0", documentJSON(3, routeJSON("x", "s")))
 	fake.beforeApply = func() { // another operator's change is applied first
-		command := state.CommitConfiguration{BasedOn: 3, Version: 4, Digest: state.Digest{1}}
+		command := state.CommitConfiguration{BaseVersion: 3, Version: 4, Digest: state.Digest{1}}
 		fake.apply(command.Encode())
 	}
 	response := call(fake.newAPI(), http.MethodPost, PathReplace, "3", documentJSON(5, routeJSON("x", "t")))
@@ -155,8 +155,8 @@
 			t.Errorf("on %s: %d %s", sent[0], response.Code, response.Body)
 		}
 	}
-	for version := uint64(9); version < 9+state.RememberedChanges; version++ {
-		command := state.CommitConfiguration{BasedOn: version, Version: version + 1}
+	for version := uint64(9); version < 9+state.RetainedChanges; version++ {
+		command := state.CommitConfiguration{BaseVersion: version, Version: version + 1}
 		fake.apply(command.Encode())
 	}
 	tests := []struct {
@@ -179,8 +179,8 @@
 func TestChangeForgottenWhileProposed(t *testing.T) {
 	fake := newFakeReplica()
 	fake.beforeApply = func() {
-		for version := uint64(0); version <= state.RememberedChanges; version++ {
-			command := state.CommitConfiguration{BasedOn: version, Version: version + 1}
+		for version := uint64(0); version <= state.RetainedChanges; version++ {
+			command := state.CommitConfiguration{BaseVersion: version, Version: version + 1}
 			fake.apply(command.Encode())
 		}
 	}
--- a/internal/system/control/api/documentcache.go
+++ b/internal/system/control/api/documentcache.go
@@ -29,7 +29,7 @@
 // prepareChange parses and validates a request against the configuration that it builds on. The error is a
 // *validation.Error or an *apiError, or says why the body can't be parsed. The mutex is held while it parses, so that a
 // repeated request waits for the result of the first.
-func (c *documentCache) prepareChange(request *changeRequest, base *state.Base) (preparedChange, error) {
+func (c *documentCache) prepareChange(request *changeRequest, base *state.View) (preparedChange, error) {
 	digest, large := request.digest(), len(request.body) >= largeBodyBytes
 	c.mutex.Lock()
 	defer c.mutex.Unlock() // one that comes again waits for the one before
@@ -53,18 +53,18 @@
 }
 
 // currentDocument returns the configuration in force; nil if there is none.
-func (c *documentCache) currentDocument(base *state.Base) (*configuration.Document, error) {
+func (c *documentCache) currentDocument(base *state.View) (*configuration.Document, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.load(base)
 }
 
 // load returns the document of a base, parsing only what differs from the cached one. The mutex is held.
-func (c *documentCache) load(base *state.Base) (*configuration.Document, error) {
+func (c *documentCache) load(base *state.View) (*configuration.Document, error) {
 	if c.current != nil && c.current.Version() == base.Version {
 		return c.current, nil
 	}
-	document, err := configuration.FromItemsReusing(c.current, base.Values.All(""))
+	document, err := configuration.FromItemsReusing(c.current, base.Values.WithPrefix(""))
 	var missing *configuration.NoDocumentError
 	if errors.As(err, &missing) {
 		return nil, nil
--- a/internal/system/control/api/evacuation.go
+++ b/internal/system/control/api/evacuation.go
@@ -16,7 +16,7 @@
 func (a *API) handleEvacuation(on bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		zone := r.PathValue("zone")
-		if !a.options.ZoneExists(zone) && !a.options.State.Evacuation(zone).On { // a zone removed from the settings can still be restored
+		if !a.options.ZoneExists(zone) && !a.options.State.Evacuation(zone).Evacuated { // a zone removed from the settings can still be restored
 			a.writeError(w, notFoundError("there is no zone "+strconv.Quote(zone)))
 			return
 		}
@@ -38,7 +38,7 @@
 // have given it up and sent the contrary itself. A request that finds the zone as it wants it is committed all the same;
 // that fails contrary requests which are still in flight.
 func (c *committer) setEvacuation(ctx context.Context, zone string, on bool) error {
-	ordered := c.state.Evacuation(zone).Ordered
+	ordered := c.state.Evacuation(zone).LastOrder
 	for {
 		err := c.attemptSetEvacuation(ctx, zone, on, ordered)
 		var apiErr *apiError
@@ -64,15 +64,15 @@
 		return err // the caller disconnected, and may have sent the contrary elsewhere
 	}
 	evacuation := c.state.Evacuation(zone)
-	if evacuation.Ordered != ordered && evacuation.On != on {
+	if evacuation.LastOrder != ordered && evacuation.Evacuated != on {
 		return unavailableError("another order about the zone came first; send this one again if it still stands")
 	}
-	command := state.SetEvacuation{Zone: zone, On: on, Seen: evacuation.Seen}
+	command := state.SetEvacuation{Zone: zone, Evacuated: on, ExpectedRevision: evacuation.Revision}
 	result, err := propose(ctx, c.replicas, command.Encode())
 	if err != nil {
 		return err
 	}
-	if result.Outcome == state.Conflict {
+	if result.Outcome == state.OutcomeConflict {
 		return errConcurrentEvacuation
 	}
 	_, err = commitResponse(result)
--- a/internal/system/control/api/fake_test.go
+++ b/internal/system/control/api/fake_test.go
@@ -102,7 +102,7 @@
 
 // evacuateElsewhere applies an evacuation that was requested through another machine.
 func (r *fakeReplica) evacuateElsewhere(zone string, on bool) {
-	command := state.SetEvacuation{Zone: zone, On: on, Seen: r.state.Evacuation(zone).Seen}
+	command := state.SetEvacuation{Zone: zone, Evacuated: on, ExpectedRevision: r.state.Evacuation(zone).Revision}
 	r.apply(command.Encode())
 }
 
--- a/internal/system/control/api/large_configuration_test.go
+++ b/internal/system/control/api/large_configuration_test.go
@@ -37,12 +37,12 @@
 	fake := newFakeReplica()
 	whole := &changeRequest{kind: kindReplace, body: []byte(documentJSON(1, manyRoutes(largeRoutes)...))}
 	d := &documentCache{}
-	first, err := d.prepareChange(whole, &state.Base{})
+	first, err := d.prepareChange(whole, &state.View{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	again := testing.AllocsPerRun(1, func() {
-		if change, err := d.prepareChange(whole, &state.Base{}); err != nil || len(change.writes) != len(first.writes) {
+		if change, err := d.prepareChange(whole, &state.View{}); err != nil || len(change.writes) != len(first.writes) {
 			t.Error(len(change.writes), err)
 		}
 	})
--- a/internal/system/control/api/simulation_checker_test.go
+++ b/internal/system/control/api/simulation_checker_test.go
@@ -105,7 +105,7 @@
 	}
 	decoded := decodeCommand(command)
 	switch {
-	case outcome.Outcome != state.Accepted:
+	case outcome.Outcome != state.OutcomeAccepted:
 	case decoded.commit != nil:
 		r.handleAcceptedChange(decoded.commit, before)
 	default:
@@ -118,7 +118,7 @@
 // before.
 func (r *checker) handleAcceptedChange(command *state.CommitConfiguration, before uint64) {
 	sim := r.sim
-	change := acceptedChange{basedOn: command.BasedOn, version: command.Version}
+	change := acceptedChange{basedOn: command.BaseVersion, version: command.Version}
 	for _, write := range command.Writes {
 		change.body = string(write.Value)
 	}
@@ -152,9 +152,9 @@
 // handleEvacuation checks that only its sender undoes an evacuation that was acknowledged.
 func (r *checker) handleEvacuation(command *state.SetEvacuation) {
 	r.counts.evacuations++
-	r.sim.logf("zone %s is evacuated: %t", command.Zone, command.On)
-	r.evacuated[command.Zone] = command.On
-	if firm := r.acknowledgedEvacuations[command.Zone]; firm != nil && firm.on != command.On {
+	r.sim.logf("zone %s is evacuated: %t", command.Zone, command.Evacuated)
+	r.evacuated[command.Zone] = command.Evacuated
+	if firm := r.acknowledgedEvacuations[command.Zone]; firm != nil && firm.on != command.Evacuated {
 		r.sim.fail("%v was acknowledged, and is reverted", firm)
 	}
 }
@@ -234,7 +234,7 @@
 			sim.fail("node %d is at version %d of %d", node.number, node.state.Version(), r.currentVersion())
 		}
 		for zone, on := range r.evacuated {
-			if node.state.Evacuation(zone).On != on {
+			if node.state.Evacuation(zone).Evacuated != on {
 				sim.fail("node %d: zone %s is evacuated: %t", node.number, zone, !on)
 			}
 		}
@@ -473,12 +473,12 @@
 		return read
 	}
 	if command[1] == evacuationKind {
-		e := &state.SetEvacuation{Seen: number(), On: b[0] == 1}
+		e := &state.SetEvacuation{ExpectedRevision: number(), Evacuated: b[0] == 1}
 		b = b[1:]
 		e.Zone = text()
 		return decodedCommand{evacuation: e}
 	}
-	c := &state.CommitConfiguration{BasedOn: number(), Version: number()}
+	c := &state.CommitConfiguration{BaseVersion: number(), Version: number()}
 	copy(c.Digest[:], b)
 	b = b[state.DigestSize:]
 	for range number() {
--- a/internal/system/control/api/simulation_clients_test.go
+++ b/internal/system/control/api/simulation_clients_test.go
@@ -53,7 +53,7 @@
 const ownerKey = "owner"
 
 // prepareModelChange parses the bodies that modelRequest.changeRequest writes; it stands for documentCache.
-func prepareModelChange(request *changeRequest, base *state.Base) (preparedChange, error) {
+func prepareModelChange(request *changeRequest, base *state.View) (preparedChange, error) {
 	var invalid validation.Problems
 	version, text, _ := bytes.Cut(request.body, []byte(" "))
 	number, err := strconv.ParseUint(string(version), 10, 64)
@@ -164,9 +164,9 @@
 		if t.committer().replicas.Barrier(ctx, 0) != nil {
 			return modelResponse{}
 		}
-		base := t.node.state.Base()
-		response := modelResponse{status: http.StatusOK, version: base.Version, on: t.node.state.Evacuation(zone).On}
-		for _, value := range base.Values.All(ownerKey) {
+		base := t.node.state.View()
+		response := modelResponse{status: http.StatusOK, version: base.Version, on: t.node.state.Evacuation(zone).Evacuated}
+		for _, value := range base.Values.WithPrefix(ownerKey) {
 			response.text = string(value)
 		}
 		return response
--- a/internal/system/control/api/simulation_cluster_test.go
+++ b/internal/system/control/api/simulation_cluster_test.go
@@ -492,13 +492,13 @@
 		return nil, &replica.UnavailableError{}
 	}
 	if e := decodeCommand(command).evacuation; e != nil && sim.mutation.skipNoopEvacuations {
-		if t.node.state.Evacuation(e.Zone).On == e.On {
-			return state.Result{Outcome: state.AlreadyAccepted}.Encode(), nil
+		if t.node.state.Evacuation(e.Zone).Evacuated == e.Evacuated {
+			return state.Result{Outcome: state.OutcomeAlreadyAccepted}.Encode(), nil
 		}
 	}
 	if sim.mutation.acknowledgeEarly {
 		sim.propose(command, func([]byte) {})
-		return state.Result{Outcome: state.Accepted, Number: sim.checker.versionOf(command)}.Encode(), nil
+		return state.Result{Outcome: state.OutcomeAccepted, Revision: sim.checker.versionOf(command)}.Encode(), nil
 	}
 	var result []byte
 	unknown := sim.faultsActive && sim.chance(sim.profile.UnknownRatio)
@@ -517,7 +517,7 @@
 	case result != nil:
 		return result, nil
 	case sim.mutation.rejectUnknown:
-		return state.Result{Outcome: state.Conflict}.Encode(), nil
+		return state.Result{Outcome: state.OutcomeConflict}.Encode(), nil
 	}
 	return nil, &replica.UnknownOutcomeError{}
 }
@@ -540,24 +540,24 @@
 // simulatedState is a node's state as its committer reads it.
 type simulatedState struct{ task *handlerTask }
 
-// Standing returns the state machine's, with the profile's history limit and the mutations.
-func (o *simulatedState) Standing(basedOn uint64, digest state.Digest) state.Standing {
+// CheckRequest returns the state machine's, with the profile's history limit and the mutations.
+func (o *simulatedState) CheckRequest(basedOn uint64, digest state.Digest) state.RequestStatus {
 	node := o.task.node
 	sim := node.sim
-	standing := node.state.Standing(basedOn, digest)
-	if sim.mutation.splitLookup && standing.Verdict == state.Open {
+	standing := node.state.CheckRequest(basedOn, digest)
+	if sim.mutation.splitLookup && standing.Verdict == state.VerdictOpen {
 		o.task.sleep(sim.durationBetween(0, sim.profile.Delay))
-		if standing = node.state.Standing(basedOn, digest); standing.Verdict != state.Open {
-			standing.Verdict = state.Superseded
+		if standing = node.state.CheckRequest(basedOn, digest); standing.Verdict != state.VerdictOpen {
+			standing.Verdict = state.VerdictSuperseded
 		}
 	}
-	old := standing.Verdict == state.Taken || standing.Verdict == state.Superseded
+	old := standing.Verdict == state.VerdictAccepted || standing.Verdict == state.VerdictSuperseded
 	if old && sim.profile.HistoryLimit > 0 && sim.checker.countChanges(basedOn, node.state.Version()) > sim.profile.HistoryLimit {
-		standing.Verdict = state.Forgotten
+		standing.Verdict = state.VerdictForgotten
 	}
-	if sim.mutation.rejectForgotten && standing.Verdict == state.Forgotten ||
-		sim.mutation.rejectEarly && standing.Verdict == state.Early {
-		standing.Verdict = state.Superseded
+	if sim.mutation.rejectForgotten && standing.Verdict == state.VerdictForgotten ||
+		sim.mutation.rejectEarly && standing.Verdict == state.VerdictPremature {
+		standing.Verdict = state.VerdictSuperseded
 	}
 	return standing
 }
@@ -566,7 +566,7 @@
 func (o *simulatedState) Evacuation(zone string) state.Evacuation {
 	evacuation := o.task.node.state.Evacuation(zone)
 	if o.task.node.sim.mutation.retrySuperseded {
-		evacuation.Ordered = 0
+		evacuation.LastOrder = 0
 	}
 	return evacuation
 }
--- a/internal/system/control/api/simulation_test.go
+++ b/internal/system/control/api/simulation_test.go
@@ -134,13 +134,13 @@
 	decoded := decodeCommand(command)
 	if e := decoded.evacuation; e != nil {
 		if sim.mutation.skipSeenCheck {
-			e.Seen = at.Evacuation(e.Zone).Seen
+			e.ExpectedRevision = at.Evacuation(e.Zone).Revision
 		}
 		return e.Encode()
 	}
 	c := decoded.commit
 	if sim.mutation.skipBaseCheck {
-		c.BasedOn = at.Version()
+		c.BaseVersion = at.Version()
 	}
 	if sim.mutation.uniqueDigests {
 		binary.BigEndian.PutUint64(c.Digest[:], uint64(index))
--- a/internal/system/control/process_test.go
+++ b/internal/system/control/process_test.go
@@ -291,7 +291,7 @@
 	for machine := range 3 {
 		s.waitFor(fmt.Sprintf("machine %d still has it all", machine), func() bool { return s.versionAt(machine) >= 5 })
 	}
-	if !s.processes[0].configuration.Evacuation("a").On {
+	if !s.processes[0].configuration.Evacuation("a").Evacuated {
 		t.Error("an evacuation that was acknowledged is gone")
 	}
 	if status, text := s.call(0, http.MethodGet, api.PathStatus, "", ""); status != 200 || !json.Valid([]byte(text)) {
--- a/internal/system/control/runnersync/sync_test.go
+++ b/internal/system/control/runnersync/sync_test.go
@@ -110,7 +110,7 @@
 		other := newRunner(1)
 		other.Draining = true
 		writes := []state.Write{{Key: feed.KeyPrefixRunner + other.ID, Value: discovery.EncodeRunner(other)}}
-		command := state.WriteRunners{Seen: c.states[partition-1].Changed(), Writes: writes}
+		command := state.WriteRunners{ExpectedRevision: c.states[partition-1].Revision(), Writes: writes}
 		c.apply(partition, command.Encode())
 	}
 	c.step()
--- a/internal/system/control/runnersync/syncer.go
+++ b/internal/system/control/runnersync/syncer.go
@@ -41,8 +41,8 @@
 // Partition is the local state of a runner partition; state.Runners implements it.
 type Partition interface {
 	Since(index uint64, maxBytes int) feed.Batch
-	// Changed returns what a state.WriteRunners that is computed from the state names as Seen.
-	Changed() uint64
+	// Revision returns what a state.WriteRunners that is computed from the state names as Seen.
+	Revision() uint64
 }
 
 // Options configure a Syncer.
--- a/internal/system/control/state/codec_test.go
+++ b/internal/system/control/state/codec_test.go
@@ -33,9 +33,9 @@
 func TestCommandsComeBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		commit := CommitConfiguration{
-			BasedOn: rapid.Uint64().Draw(t, "based"),
-			Version: rapid.Uint64().Draw(t, "version"),
-			Writes:  drawWrites(t),
+			BaseVersion: rapid.Uint64().Draw(t, "based"),
+			Version:     rapid.Uint64().Draw(t, "version"),
+			Writes:      drawWrites(t),
 		}
 		copy(commit.Digest[:], rapid.SliceOfN(rapid.Byte(), DigestSize, DigestSize).Draw(t, "digest"))
 		decoded, err := decode(commit.Encode())
@@ -43,21 +43,21 @@
 			t.Fatal(err)
 		}
 		got := decoded.(*CommitConfiguration)
-		if got.BasedOn != commit.BasedOn || got.Version != commit.Version || got.Digest != commit.Digest ||
+		if got.BaseVersion != commit.BaseVersion || got.Version != commit.Version || got.Digest != commit.Digest ||
 			!sameWrites(got.Writes, commit.Writes) {
 			t.Fatalf("%+v came back as %+v", commit, got)
 		}
-		evacuation := SetEvacuation{Zone: rapid.String().Draw(t, "zone"), On: rapid.Bool().Draw(t, "on"),
-			Seen: rapid.Uint64().Draw(t, "seen")}
+		evacuation := SetEvacuation{Zone: rapid.String().Draw(t, "zone"), Evacuated: rapid.Bool().Draw(t, "on"),
+			ExpectedRevision: rapid.Uint64().Draw(t, "seen")}
 		if decoded, err = decode(evacuation.Encode()); err != nil || !reflect.DeepEqual(decoded, &evacuation) {
 			t.Fatalf("%+v came back as %+v, %v", evacuation, decoded, err)
 		}
-		runners := WriteRunners{Seen: rapid.Uint64().Draw(t, "seen"), Writes: drawWrites(t)}
+		runners := WriteRunners{ExpectedRevision: rapid.Uint64().Draw(t, "seen"), Writes: drawWrites(t)}
 		decoded, err = decode(runners.Encode())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := decoded.(*WriteRunners); got.Seen != runners.Seen || !sameWrites(got.Writes, runners.Writes) {
+		if got := decoded.(*WriteRunners); got.ExpectedRevision != runners.ExpectedRevision || !sameWrites(got.Writes, runners.Writes) {
 			t.Fatalf("%+v came back as %+v", runners, got)
 		}
 	})
@@ -66,8 +66,8 @@
 // FuzzCommand holds that whatever can be read is written as the same bytes, and that no bytes end a replica.
 func FuzzCommand(f *testing.F) {
 	f.Add(commitOf(1, 2, 3, put("route/a", "{}"), Write{Key: "route/b", Deleted: true}))
-	f.Add((&SetEvacuation{Zone: "a", On: true, Seen: 300}).Encode())
-	f.Add((&WriteRunners{Seen: 7, Writes: []Write{put("runner/i-1", "x")}}).Encode())
+	f.Add((&SetEvacuation{Zone: "a", Evacuated: true, ExpectedRevision: 300}).Encode())
+	f.Add((&WriteRunners{ExpectedRevision: 7, Writes: []Write{put("runner/i-1", "x")}}).Encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		newTestConfiguration().Apply(1, data)
 		NewRunners(1, still, ignore).Apply(1, data)
@@ -86,7 +86,7 @@
 func FuzzSnapshot(f *testing.F) {
 	c := newTestConfiguration()
 	c.Apply(1, commitOf(0, 2, 3, put("route/a", "{}"), put("service/b", "{}")))
-	c.Apply(2, (&SetEvacuation{Zone: "a", On: true}).Encode())
+	c.Apply(2, (&SetEvacuation{Zone: "a", Evacuated: true}).Encode())
 	f.Add(c.Snapshot())
 	s := NewRunners(1, still, ignore)
 	s.Apply(1, (&WriteRunners{Writes: []Write{put("runner/i-1", "x")}}).Encode())
@@ -114,7 +114,7 @@
 }
 
 func TestResultsComeBack(t *testing.T) {
-	for _, result := range []Result{{Accepted, 1}, {Conflict, 1 << 63}, {AlreadyAccepted, 0}, {NotRemembered, 5}} {
+	for _, result := range []Result{{OutcomeAccepted, 1}, {OutcomeConflict, 1 << 63}, {OutcomeAlreadyAccepted, 0}, {OutcomeForgotten, 5}} {
 		if got := resultOf(t, result.Encode()); got != result {
 			t.Errorf("%+v came back as %+v", result, got)
 		}
--- a/internal/system/control/state/command.go
+++ b/internal/system/control/state/command.go
@@ -35,24 +35,24 @@
 	Deleted bool
 }
 
-// CommitConfiguration puts a version of the configuration in force, if BasedOn is the one in force.
+// CommitConfiguration puts a version of the configuration in force, if BaseVersion is the one in force.
 type CommitConfiguration struct {
-	BasedOn, Version uint64
-	Digest           Digest
-	Writes           []Write // what differs from BasedOn, without the version itself
+	BaseVersion, Version uint64
+	Digest               Digest
+	Writes               []Write // what differs from BaseVersion, without the version itself
 }
 
 // SetEvacuation empties a zone or takes that back, if no such order was agreed on since the proposer looked.
 type SetEvacuation struct {
-	Zone string
-	On   bool
-	Seen uint64 // Evacuation.Seen as the proposer saw it
+	Zone             string
+	Evacuated        bool
+	ExpectedRevision uint64 // Evacuation.Seen as the proposer saw it
 }
 
 // WriteRunners changes a partition's runners, if none changed since the proposer looked.
 type WriteRunners struct {
-	Seen   uint64 // Runners.Changed as the proposer saw it
-	Writes []Write
+	ExpectedRevision uint64 // Runners.Changed as the proposer saw it
+	Writes           []Write
 }
 
 // FormatError says that a command or snapshot can't be read; a replica of an older release may have met a newer one's.
@@ -70,7 +70,7 @@
 // Encode returns the command's bytes.
 func (c *CommitConfiguration) Encode() []byte {
 	b := commandHead(kindCommit, writesSize(c.Writes)+DigestSize+2*binary.MaxVarintLen64)
-	b = binary.AppendUvarint(b, c.BasedOn)
+	b = binary.AppendUvarint(b, c.BaseVersion)
 	b = binary.AppendUvarint(b, c.Version)
 	b = append(b, c.Digest[:]...)
 	return appendWrites(b, c.Writes)
@@ -79,15 +79,15 @@
 // Encode returns the command's bytes.
 func (c *SetEvacuation) Encode() []byte {
 	b := commandHead(kindEvacuation, len(c.Zone)+2*binary.MaxVarintLen64)
-	b = binary.AppendUvarint(b, c.Seen)
-	b = appendFlag(b, c.On)
+	b = binary.AppendUvarint(b, c.ExpectedRevision)
+	b = appendFlag(b, c.Evacuated)
 	return appendText(b, c.Zone)
 }
 
 // Encode returns the command's bytes.
 func (c *WriteRunners) Encode() []byte {
 	b := commandHead(kindRunners, writesSize(c.Writes)+binary.MaxVarintLen64)
-	b = binary.AppendUvarint(b, c.Seen)
+	b = binary.AppendUvarint(b, c.ExpectedRevision)
 	return appendWrites(b, c.Writes)
 }
 
@@ -107,16 +107,16 @@
 func (r *reader) command(kind commandKind) any {
 	switch kind {
 	case kindCommit:
-		c := &CommitConfiguration{BasedOn: r.number(), Version: r.number()}
+		c := &CommitConfiguration{BaseVersion: r.number(), Version: r.number()}
 		copy(c.Digest[:], r.take(DigestSize))
 		c.Writes = r.writes()
 		return c
 	case kindEvacuation:
-		c := &SetEvacuation{Seen: r.number(), On: r.flag()}
+		c := &SetEvacuation{ExpectedRevision: r.number(), Evacuated: r.flag()}
 		c.Zone = r.text()
 		return c
 	case kindRunners:
-		return &WriteRunners{Seen: r.number(), Writes: r.writes()}
+		return &WriteRunners{ExpectedRevision: r.number(), Writes: r.writes()}
 	}
 	return nil
 }
@@ -130,31 +130,31 @@
 
 // The outcomes.
 const (
-	Unreadable      Outcome = iota // the command was of a format that is not known; nothing changed
-	Accepted                       // it is in force
-	AlreadyAccepted                // the same request was accepted before, or the zone was as wanted
-	Conflict                       // the state had changed since the proposer looked; nothing changed
-	NotRemembered                  // whether the request was accepted before is not known any more; nothing changed
+	OutcomeMalformed       Outcome = iota // the command was of a format that is not known; nothing changed
+	OutcomeAccepted                       // it is in force
+	OutcomeAlreadyAccepted                // the same request was accepted before, or the zone was as wanted
+	OutcomeConflict                       // the state had changed since the proposer looked; nothing changed
+	OutcomeForgotten                      // whether the request was accepted before is not known any more; nothing changed
 )
 
 // Result is what the proposer of a command is told.
 type Result struct {
 	Outcome Outcome
-	// Number is the version that is in force after a commit, and the change that the partition stands at (as in Seen)
+	// Revision is the version that is in force after a commit, and the change that the partition stands at (as in Seen)
 	// after another command.
-	Number uint64
+	Revision uint64
 }
 
 // Encode returns the result's bytes.
 func (r Result) Encode() []byte {
-	return binary.AppendUvarint([]byte{byte(r.Outcome)}, r.Number)
+	return binary.AppendUvarint([]byte{byte(r.Outcome)}, r.Revision)
 }
 
 // DecodeResult reads what Apply returned.
 func DecodeResult(b []byte) (Result, error) {
 	r := reader{bytes: b}
-	result := Result{Outcome: Outcome(r.byte()), Number: r.number()}
-	if !r.done() || result.Outcome > NotRemembered {
+	result := Result{Outcome: Outcome(r.byte()), Revision: r.number()}
+	if !r.done() || result.Outcome > OutcomeForgotten {
 		return Result{}, &FormatError{What: "a command's result", Offset: r.at}
 	}
 	return result, nil
--- a/internal/system/control/state/configuration.go
+++ b/internal/system/control/state/configuration.go
@@ -11,15 +11,15 @@
 	"cinderroad/internal/system/feed"
 )
 
-// RememberedChanges is how many accepted changes are remembered. A request that is sent again is recognized among them;
+// RetainedChanges is how many accepted changes are remembered. A request that is sent again is recognized among them;
 // of one that builds on an older version it is not known any more whether it was accepted, see Forgotten. Each takes 32
 // bytes of memory and about 22 of a snapshot.
-const RememberedChanges = 4096
+const RetainedChanges = 4096
 
 // AcceptedChange is a change of the configuration that was accepted.
 type AcceptedChange struct {
-	BasedOn, Version uint64
-	Digest           Digest
+	BaseVersion, Version uint64
+	Digest               Digest
 }
 
 // Verdict says how a request to change the configuration stands against the changes that were accepted before. Once a
@@ -29,33 +29,33 @@
 
 // The verdicts.
 const (
-	Open       Verdict = iota // its base is in force: the request may be accepted
-	Taken                     // it was accepted
-	Superseded                // its base is not in force any more or never will be: the request is never accepted
-	Early                     // its base is not in force yet; it may come to be, and the request be accepted then
-	Forgotten                 // its base is older than all changes that are remembered: it may have been accepted
+	VerdictOpen       Verdict = iota // its base is in force: the request may be accepted
+	VerdictAccepted                  // it was accepted
+	VerdictSuperseded                // its base is not in force any more or never will be: the request is never accepted
+	VerdictPremature                 // its base is not in force yet; it may come to be, and the request be accepted then
+	VerdictForgotten                 // its base is older than all changes that are remembered: it may have been accepted
 )
 
-// Standing is how a request stands here.
-type Standing struct {
+// RequestStatus is how a request stands here.
+type RequestStatus struct {
 	Verdict Verdict
 	// Version is the one that the request was given if it is Taken, and else the one in force.
 	Version uint64
-	Base    Base // what the request builds on if it is Open
+	Base    View // what the request builds on if it is Open
 }
 
 // Evacuation is what this replica knows of the orders about a zone.
 type Evacuation struct {
-	On bool
-	// Seen is what a SetEvacuation that is decided by this must name: the log's index of the last order about any zone.
-	Seen uint64
-	// Ordered rises with each order about this zone that this replica applies, those that changed nothing included. It
+	Evacuated bool
+	// Revision is what a SetEvacuation that is decided by this must name: the log's index of the last order about any zone.
+	Revision uint64
+	// LastOrder rises with each order about this zone that this replica applies, those that changed nothing included. It
 	// may rise without one, but does not stay where there was one.
-	Ordered uint64
+	LastOrder uint64
 }
 
-// Base is partition 0 at a moment, the evacuations included.
-type Base struct {
+// View is partition 0 at a moment, the evacuations included.
+type View struct {
 	Version uint64 // of the configuration; 0: there is none yet
 	Values  Values
 }
@@ -85,7 +85,7 @@
 func (c *Configuration) Apply(index uint64, command []byte) []byte {
 	decoded, err := decode(command)
 	if err != nil {
-		return Result{Outcome: Unreadable}.Encode()
+		return Result{Outcome: OutcomeMalformed}.Encode()
 	}
 	switch decoded := decoded.(type) {
 	case *CommitConfiguration:
@@ -93,49 +93,49 @@
 	case *SetEvacuation:
 		return c.setEvacuation(index, decoded).Encode()
 	}
-	return Result{Outcome: Unreadable}.Encode()
+	return Result{Outcome: OutcomeMalformed}.Encode()
 }
 
 func (c *Configuration) commit(index uint64, command *CommitConfiguration) Result {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	verdict, version := c.judge(command.BasedOn, command.Digest)
+	verdict, version := c.judge(command.BaseVersion, command.Digest)
 	switch {
-	case verdict == Taken:
-		return Result{Outcome: AlreadyAccepted, Number: version}
-	case verdict == Forgotten:
-		return Result{Outcome: NotRemembered, Number: c.version}
-	case verdict != Open || command.Version <= c.version:
-		return Result{Outcome: Conflict, Number: c.version}
+	case verdict == VerdictAccepted:
+		return Result{Outcome: OutcomeAlreadyAccepted, Revision: version}
+	case verdict == VerdictForgotten:
+		return Result{Outcome: OutcomeForgotten, Revision: c.version}
+	case verdict != VerdictOpen || command.Version <= c.version:
+		return Result{Outcome: OutcomeConflict, Revision: c.version}
 	}
 	c.version = command.Version
-	c.remember(AcceptedChange{BasedOn: command.BasedOn, Version: command.Version, Digest: command.Digest})
+	c.remember(AcceptedChange{BaseVersion: command.BaseVersion, Version: command.Version, Digest: command.Digest})
 	newVersion := Write{Key: feed.KeyVersion, Value: strconv.AppendUint(nil, command.Version, 10)}
 	c.apply(index, append(command.Writes, newVersion))
-	return Result{Outcome: Accepted, Number: command.Version}
+	return Result{Outcome: OutcomeAccepted, Revision: command.Version}
 }
 
 // judge returns how a request stands, and the version that Standing tells with that. The lock is held.
 func (c *Configuration) judge(basedOn uint64, digest Digest) (Verdict, uint64) {
 	switch {
 	case basedOn == c.version:
-		return Open, c.version
+		return VerdictOpen, c.version
 	case basedOn > c.version:
-		return Early, c.version
+		return VerdictPremature, c.version
 	}
 	change, found := c.acceptedOn(basedOn)
 	switch {
 	case found && change.Digest == digest:
-		return Taken, change.Version
-	case found || basedOn > c.acceptedAt(0).BasedOn:
-		return Superseded, c.version
+		return VerdictAccepted, change.Version
+	case found || basedOn > c.acceptedAt(0).BaseVersion:
+		return VerdictSuperseded, c.version
 	}
-	return Forgotten, c.version
+	return VerdictForgotten, c.version
 }
 
 // acceptedOn is the change that was accepted on a base, if it is remembered. The lock is held.
 func (c *Configuration) acceptedOn(basedOn uint64) (AcceptedChange, bool) {
-	place, found := sort.Find(len(c.accepted), func(i int) int { return cmp.Compare(basedOn, c.acceptedAt(i).BasedOn) })
+	place, found := sort.Find(len(c.accepted), func(i int) int { return cmp.Compare(basedOn, c.acceptedAt(i).BaseVersion) })
 	if !found {
 		return AcceptedChange{}, false
 	}
@@ -149,12 +149,12 @@
 
 // remember puts a change into the ring, in place of the oldest one.
 func (c *Configuration) remember(change AcceptedChange) {
-	if len(c.accepted) < RememberedChanges {
+	if len(c.accepted) < RetainedChanges {
 		c.accepted = append(c.accepted, change)
 		return
 	}
 	c.accepted[c.oldest] = change
-	c.oldest = (c.oldest + 1) % RememberedChanges
+	c.oldest = (c.oldest + 1) % RetainedChanges
 }
 
 // setEvacuation takes an order about a zone. One that finds the zone as it wants it counts as an order all the same, so
@@ -162,39 +162,39 @@
 func (c *Configuration) setEvacuation(index uint64, command *SetEvacuation) Result {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if command.Seen != c.evacuationsChanged {
-		return Result{Outcome: Conflict, Number: c.evacuationsChanged}
+	if command.ExpectedRevision != c.evacuationsChanged {
+		return Result{Outcome: OutcomeConflict, Revision: c.evacuationsChanged}
 	}
 	c.evacuationsChanged = index
 	c.zoneOrders[command.Zone] = index
 	key := feed.KeyPrefixEvacuation + command.Zone
-	if c.holds(key) == command.On {
-		return Result{Outcome: AlreadyAccepted, Number: index}
+	if c.holds(key) == command.Evacuated {
+		return Result{Outcome: OutcomeAlreadyAccepted, Revision: index}
 	}
-	c.apply(index, []Write{{Key: key, Value: []byte{}, Deleted: !command.On}})
-	return Result{Outcome: Accepted, Number: index}
+	c.apply(index, []Write{{Key: key, Value: []byte{}, Deleted: !command.Evacuated}})
+	return Result{Outcome: OutcomeAccepted, Revision: index}
 }
 
-// Standing returns how a request with the base and digest stands here.
-func (c *Configuration) Standing(basedOn uint64, digest Digest) Standing {
+// CheckRequest returns how a request with the base and digest stands here.
+func (c *Configuration) CheckRequest(basedOn uint64, digest Digest) RequestStatus {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	verdict, version := c.judge(basedOn, digest)
-	standing := Standing{Verdict: verdict, Version: version}
-	if verdict == Open {
-		standing.Base = c.base()
+	standing := RequestStatus{Verdict: verdict, Version: version}
+	if verdict == VerdictOpen {
+		standing.Base = c.view()
 	}
 	return standing
 }
 
-// Base returns what is in force here.
-func (c *Configuration) Base() Base {
+// View returns what is in force here.
+func (c *Configuration) View() View {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.base()
+	return c.view()
 }
 
-func (c *Configuration) base() Base { return Base{Version: c.version, Values: c.values("")} }
+func (c *Configuration) view() View { return View{Version: c.version, Values: c.values("")} }
 
 // Version returns that of the configuration in force here.
 func (c *Configuration) Version() uint64 {
@@ -208,9 +208,9 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return Evacuation{
-		On:      c.holds(feed.KeyPrefixEvacuation + zone),
-		Seen:    c.evacuationsChanged,
-		Ordered: max(c.zoneOrders[zone], c.ordersFloor),
+		Evacuated: c.holds(feed.KeyPrefixEvacuation + zone),
+		Revision:  c.evacuationsChanged,
+		LastOrder: max(c.zoneOrders[zone], c.ordersFloor),
 	}
 }
 
@@ -238,7 +238,7 @@
 	b = binary.AppendUvarint(b, uint64(len(c.accepted)))
 	for i := range c.accepted {
 		change := c.acceptedAt(i)
-		b = binary.AppendUvarint(b, change.BasedOn)
+		b = binary.AppendUvarint(b, change.BaseVersion)
 		b = binary.AppendUvarint(b, change.Version)
 		b = append(b, change.Digest[:]...)
 	}
@@ -270,15 +270,15 @@
 // acceptedChanges reads the changes that led to a version, each of which builds on the one before.
 func (r *reader) acceptedChanges(version uint64) []AcceptedChange {
 	n := r.length()
-	if n > RememberedChanges {
+	if n > RetainedChanges {
 		r.bad = true
 		return nil
 	}
 	changes := make([]AcceptedChange, 0, n)
 	for i := range n {
-		change := AcceptedChange{BasedOn: r.number(), Version: r.number()}
+		change := AcceptedChange{BaseVersion: r.number(), Version: r.number()}
 		copy(change.Digest[:], r.take(DigestSize))
-		r.bad = r.bad || change.Version <= change.BasedOn || i > 0 && change.BasedOn != changes[i-1].Version
+		r.bad = r.bad || change.Version <= change.BaseVersion || i > 0 && change.BaseVersion != changes[i-1].Version
 		changes = append(changes, change)
 	}
 	last := uint64(0)
--- a/internal/system/control/state/runners.go
+++ b/internal/system/control/state/runners.go
@@ -10,7 +10,7 @@
 // Runners is the state machine of a partition of runners.
 type Runners struct {
 	store
-	changed uint64 // index of the last change
+	revision uint64 // index of the last change
 }
 
 // NewRunners returns an empty state. Changed is called after each change, from Apply or Restore; now is the steady
@@ -23,11 +23,11 @@
 func (s *Runners) Apply(index uint64, command []byte) []byte {
 	decoded, err := decode(command)
 	if err != nil {
-		return Result{Outcome: Unreadable}.Encode()
+		return Result{Outcome: OutcomeMalformed}.Encode()
 	}
 	writes, ok := decoded.(*WriteRunners)
 	if !ok {
-		return Result{Outcome: Unreadable}.Encode()
+		return Result{Outcome: OutcomeMalformed}.Encode()
 	}
 	return s.write(index, writes).Encode()
 }
@@ -35,19 +35,19 @@
 func (s *Runners) write(index uint64, command *WriteRunners) Result {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if command.Seen != s.changed {
-		return Result{Outcome: Conflict, Number: s.changed}
+	if command.ExpectedRevision != s.revision {
+		return Result{Outcome: OutcomeConflict, Revision: s.revision}
 	}
-	s.changed = index
+	s.revision = index
 	s.apply(index, command.Writes)
-	return Result{Outcome: Accepted, Number: index}
+	return Result{Outcome: OutcomeAccepted, Revision: index}
 }
 
-// Changed is the index of the last change, which a WriteRunners must have seen.
-func (s *Runners) Changed() uint64 {
+// Revision is the index of the last change, which a WriteRunners must have seen.
+func (s *Runners) Revision() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.changed
+	return s.revision
 }
 
 // Snapshot encodes the whole state.
@@ -55,7 +55,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	b := []byte{snapshotFormat}
-	b = binary.AppendUvarint(b, s.changed)
+	b = binary.AppendUvarint(b, s.revision)
 	return s.appendTo(b)
 }
 
@@ -72,7 +72,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.changed = changed
+	s.revision = changed
 	s.replace(batch)
 	return nil
 }
--- a/internal/system/control/state/state_test.go
+++ b/internal/system/control/state/state_test.go
@@ -21,7 +21,7 @@
 func digestOf(n int) Digest { return Digest{byte(n), byte(n >> 8), 1} }
 
 func commitOf(based, version uint64, digest int, writes ...Write) []byte {
-	command := CommitConfiguration{BasedOn: based, Version: version, Digest: digestOf(digest), Writes: writes}
+	command := CommitConfiguration{BaseVersion: based, Version: version, Digest: digestOf(digest), Writes: writes}
 	return command.Encode()
 }
 
@@ -42,16 +42,16 @@
 		command []byte
 		want    Result
 	}{
-		{"nothing is in force, a base is named", commitOf(1, 2, 1), Result{Conflict, 0}},
-		{"the first", commitOf(0, 3, 2, put("route/a", "1")), Result{Accepted, 3}},
-		{"the first again", commitOf(0, 3, 2, put("route/a", "1")), Result{AlreadyAccepted, 3}},
-		{"another first", commitOf(0, 4, 3, put("route/a", "2")), Result{Conflict, 3}},
-		{"a version that is not above its base", commitOf(3, 3, 4), Result{Conflict, 3}},
-		{"the next", commitOf(3, 9, 5, put("route/b", "3"), Write{Key: "route/a", Deleted: true}), Result{Accepted, 9}},
-		{"the first again, later", commitOf(0, 3, 2, put("route/a", "1")), Result{AlreadyAccepted, 3}},
-		{"a race on the base before", commitOf(3, 10, 6), Result{Conflict, 9}},
-		{"no command", nil, Result{Unreadable, 0}},
-		{"a command of another kind of partition", (&WriteRunners{}).Encode(), Result{Unreadable, 0}},
+		{"nothing is in force, a base is named", commitOf(1, 2, 1), Result{OutcomeConflict, 0}},
+		{"the first", commitOf(0, 3, 2, put("route/a", "1")), Result{OutcomeAccepted, 3}},
+		{"the first again", commitOf(0, 3, 2, put("route/a", "1")), Result{OutcomeAlreadyAccepted, 3}},
+		{"another first", commitOf(0, 4, 3, put("route/a", "2")), Result{OutcomeConflict, 3}},
+		{"a version that is not above its base", commitOf(3, 3, 4), Result{OutcomeConflict, 3}},
+		{"the next", commitOf(3, 9, 5, put("route/b", "3"), Write{Key: "route/a", Deleted: true}), Result{OutcomeAccepted, 9}},
+		{"the first again, later", commitOf(0, 3, 2, put("route/a", "1")), Result{OutcomeAlreadyAccepted, 3}},
+		{"a race on the base before", commitOf(3, 10, 6), Result{OutcomeConflict, 9}},
+		{"no command", nil, Result{OutcomeMalformed, 0}},
+		{"a command of another kind of partition", (&WriteRunners{}).Encode(), Result{OutcomeMalformed, 0}},
 	}
 	c := newTestConfiguration()
 	for i, step := range steps {
@@ -60,7 +60,7 @@
 		}
 	}
 	var got []string
-	for key, value := range c.Base().Values.All("") {
+	for key, value := range c.View().Values.WithPrefix("") {
 		got = append(got, key+"="+string(value))
 	}
 	if want := []string{"route/b=3", "version=9"}; !reflect.DeepEqual(got, want) {
@@ -70,22 +70,22 @@
 
 // verdictOf is how the change that commitOf(based, based+1, digest) makes stands.
 func verdictOf(c *Configuration, based uint64, digest int) Verdict {
-	return c.Standing(based, digestOf(digest)).Verdict
+	return c.CheckRequest(based, digestOf(digest)).Verdict
 }
 
 // TestWhatIsRemembered holds that each change is recognized while it is remembered, and that one which is not any more is
 // never said to be superseded, before and after a snapshot.
 func TestWhatIsRemembered(t *testing.T) {
 	c := newTestConfiguration()
-	changes := 2*RememberedChanges + 3
+	changes := 2*RetainedChanges + 3
 	for i := range changes {
-		want := Result{Outcome: Accepted, Number: uint64(i + 1)}
+		want := Result{Outcome: OutcomeAccepted, Revision: uint64(i + 1)}
 		if got := resultOf(t, c.Apply(uint64(i+1), commitOf(uint64(i), uint64(i+1), i))); got != want {
 			t.Fatalf("change %d: %+v", i, got)
 		}
 	}
 	copied, again := newTestConfiguration(), newTestConfiguration()
-	for i := range RememberedChanges + 1 { // its ring begins in the middle
+	for i := range RetainedChanges + 1 { // its ring begins in the middle
 		again.Apply(uint64(i+1), commitOf(uint64(i), uint64(i+1), i))
 	}
 	for _, replica := range []*Configuration{copied, again} {
@@ -95,9 +95,9 @@
 	}
 	for _, replica := range []*Configuration{c, copied, again} {
 		for i := range changes {
-			taken, other, late := Taken, Superseded, AlreadyAccepted
-			if i < changes-RememberedChanges {
-				taken, other, late = Forgotten, Forgotten, NotRemembered
+			taken, other, late := VerdictAccepted, VerdictSuperseded, OutcomeAlreadyAccepted
+			if i < changes-RetainedChanges {
+				taken, other, late = VerdictForgotten, VerdictForgotten, OutcomeForgotten
 			}
 			if got := verdictOf(replica, uint64(i), i); got != taken {
 				t.Fatalf("change %d of %d: verdict %d, want %d", i, changes, got, taken)
@@ -119,7 +119,7 @@
 
 func TestVerdicts(t *testing.T) {
 	c := newTestConfiguration()
-	if got := verdictOf(c, 1, 1); got != Early {
+	if got := verdictOf(c, 1, 1); got != VerdictPremature {
 		t.Errorf("a base that is named before there is any: verdict %d", got)
 	}
 	c.Apply(1, commitOf(0, 3, 1))
@@ -128,19 +128,19 @@
 		name   string
 		based  uint64
 		digest int
-		want   Standing
+		want   RequestStatus
 	}{
-		{"the first", 0, 1, Standing{Verdict: Taken, Version: 3}},
-		{"another first", 0, 2, Standing{Verdict: Superseded, Version: 7}},
-		{"a version that never was", 2, 1, Standing{Verdict: Superseded, Version: 7}},
-		{"the second", 3, 2, Standing{Verdict: Taken, Version: 7}},
-		{"the first's text on the second's base", 3, 1, Standing{Verdict: Superseded, Version: 7}},
-		{"on what is in force", 7, 3, Standing{Verdict: Open, Version: 7, Base: c.Base()}},
-		{"a text that was accepted, on what is in force", 7, 2, Standing{Verdict: Open, Version: 7, Base: c.Base()}},
-		{"on what is not in force yet", 8, 3, Standing{Verdict: Early, Version: 7}},
+		{"the first", 0, 1, RequestStatus{Verdict: VerdictAccepted, Version: 3}},
+		{"another first", 0, 2, RequestStatus{Verdict: VerdictSuperseded, Version: 7}},
+		{"a version that never was", 2, 1, RequestStatus{Verdict: VerdictSuperseded, Version: 7}},
+		{"the second", 3, 2, RequestStatus{Verdict: VerdictAccepted, Version: 7}},
+		{"the first's text on the second's base", 3, 1, RequestStatus{Verdict: VerdictSuperseded, Version: 7}},
+		{"on what is in force", 7, 3, RequestStatus{Verdict: VerdictOpen, Version: 7, Base: c.View()}},
+		{"a text that was accepted, on what is in force", 7, 2, RequestStatus{Verdict: VerdictOpen, Version: 7, Base: c.View()}},
+		{"on what is not in force yet", 8, 3, RequestStatus{Verdict: VerdictPremature, Version: 7}},
 	}
 	for _, test := range tests {
-		if got := c.Standing(test.based, digestOf(test.digest)); !reflect.DeepEqual(got, test.want) {
+		if got := c.CheckRequest(test.based, digestOf(test.digest)); !reflect.DeepEqual(got, test.want) {
 			t.Errorf("%s: %+v, want %+v", test.name, got, test.want)
 		}
 	}
@@ -155,10 +155,10 @@
 	}
 	for name, data := range map[string][]byte{
 		"a version without a change":  snapshot(3),
-		"another version":             snapshot(4, AcceptedChange{BasedOn: 0, Version: 3}),
-		"a gap":                       snapshot(9, AcceptedChange{BasedOn: 0, Version: 3}, AcceptedChange{BasedOn: 4, Version: 9}),
-		"a change that goes back":     snapshot(2, AcceptedChange{BasedOn: 3, Version: 2}),
-		"a change that makes nothing": snapshot(2, AcceptedChange{BasedOn: 2, Version: 2}),
+		"another version":             snapshot(4, AcceptedChange{BaseVersion: 0, Version: 3}),
+		"a gap":                       snapshot(9, AcceptedChange{BaseVersion: 0, Version: 3}, AcceptedChange{BaseVersion: 4, Version: 9}),
+		"a change that goes back":     snapshot(2, AcceptedChange{BaseVersion: 3, Version: 2}),
+		"a change that makes nothing": snapshot(2, AcceptedChange{BaseVersion: 2, Version: 2}),
 	} {
 		if newTestConfiguration().Restore(1, data) == nil {
 			t.Errorf("%s is taken", name)
@@ -168,7 +168,7 @@
 
 func TestEvacuations(t *testing.T) {
 	order := func(zone string, on bool, seen uint64) []byte {
-		command := SetEvacuation{Zone: zone, On: on, Seen: seen}
+		command := SetEvacuation{Zone: zone, Evacuated: on, ExpectedRevision: seen}
 		return command.Encode()
 	}
 	steps := []struct {
@@ -176,15 +176,15 @@
 		command []byte
 		want    Result
 	}{
-		{"a zone is emptied", order("a", true, 0), Result{Accepted, 1}},
-		{"the same order comes late", order("a", true, 0), Result{Conflict, 1}},
-		{"it is emptied already", order("a", true, 1), Result{AlreadyAccepted, 3}},
-		{"an order from before that comes late", order("a", false, 1), Result{Conflict, 3}},
-		{"another zone", order("b", true, 3), Result{Accepted, 5}},
-		{"one is taken back", order("a", false, 5), Result{Accepted, 6}},
-		{"an order from before comes late", order("a", true, 5), Result{Conflict, 6}},
-		{"it is taken back already", order("a", false, 6), Result{AlreadyAccepted, 8}},
-		{"an order comes late that was sent before that", order("a", true, 6), Result{Conflict, 8}},
+		{"a zone is emptied", order("a", true, 0), Result{OutcomeAccepted, 1}},
+		{"the same order comes late", order("a", true, 0), Result{OutcomeConflict, 1}},
+		{"it is emptied already", order("a", true, 1), Result{OutcomeAlreadyAccepted, 3}},
+		{"an order from before that comes late", order("a", false, 1), Result{OutcomeConflict, 3}},
+		{"another zone", order("b", true, 3), Result{OutcomeAccepted, 5}},
+		{"one is taken back", order("a", false, 5), Result{OutcomeAccepted, 6}},
+		{"an order from before comes late", order("a", true, 5), Result{OutcomeConflict, 6}},
+		{"it is taken back already", order("a", false, 6), Result{OutcomeAlreadyAccepted, 8}},
+		{"an order comes late that was sent before that", order("a", true, 6), Result{OutcomeConflict, 8}},
 	}
 	c := newTestConfiguration()
 	for i, step := range steps {
@@ -195,8 +195,8 @@
 	if zones := c.EvacuatedZones(); !reflect.DeepEqual(zones, []string{"b"}) {
 		t.Errorf("evacuated: %q", zones)
 	}
-	for zone, want := range map[string]Evacuation{"a": {Seen: 8, Ordered: 8}, "b": {On: true, Seen: 8, Ordered: 5},
-		"c": {Seen: 8}} {
+	for zone, want := range map[string]Evacuation{"a": {Revision: 8, LastOrder: 8}, "b": {Evacuated: true, Revision: 8, LastOrder: 5},
+		"c": {Revision: 8}} {
 		if got := c.Evacuation(zone); got != want {
 			t.Errorf("zone %s: %+v, want %+v", zone, got, want)
 		}
@@ -206,7 +206,7 @@
 		t.Fatal(err)
 	}
 	for _, zone := range []string{"a", "b", "c"} {
-		if before, after := c.Evacuation(zone), restored.Evacuation(zone); after.Seen != 8 || after.Ordered < before.Ordered {
+		if before, after := c.Evacuation(zone), restored.Evacuation(zone); after.Revision != 8 || after.LastOrder < before.LastOrder {
 			t.Errorf("zone %s after a snapshot: %+v, before %+v", zone, after, before)
 		}
 	}
@@ -214,7 +214,7 @@
 
 func TestRunnersAreFenced(t *testing.T) {
 	write := func(seen uint64, writes ...Write) []byte {
-		command := WriteRunners{Seen: seen, Writes: writes}
+		command := WriteRunners{ExpectedRevision: seen, Writes: writes}
 		return command.Encode()
 	}
 	s := NewRunners(1, still, ignore)
@@ -222,11 +222,11 @@
 		command []byte
 		want    Result
 	}{
-		{write(0, put("runner/1", "serving")), Result{Accepted, 1}},
-		{write(1, put("runner/1", "draining")), Result{Accepted, 2}},
-		{write(1, put("runner/1", "serving")), Result{Conflict, 2}}, // was under way while another machine wrote
-		{write(2, Write{Key: "runner/1", Deleted: true}, put("runner/2", "serving")), Result{Accepted, 4}},
-		{commitOf(0, 1, 1), Result{Unreadable, 0}},
+		{write(0, put("runner/1", "serving")), Result{OutcomeAccepted, 1}},
+		{write(1, put("runner/1", "draining")), Result{OutcomeAccepted, 2}},
+		{write(1, put("runner/1", "serving")), Result{OutcomeConflict, 2}}, // was under way while another machine wrote
+		{write(2, Write{Key: "runner/1", Deleted: true}, put("runner/2", "serving")), Result{OutcomeAccepted, 4}},
+		{commitOf(0, 1, 1), Result{OutcomeMalformed, 0}},
 	}
 	for i, step := range steps {
 		if got := resultOf(t, s.Apply(uint64(i+1), step.command)); got != step.want {
@@ -285,7 +285,7 @@
 				sent[digest] = commitOf(based, version, digest, write)
 				result := pair.apply(t, index, sent[digest])
 				want := based == last && version > last
-				if (result.Outcome == Accepted) != want {
+				if (result.Outcome == OutcomeAccepted) != want {
 					t.Fatalf("change on %d as %d while %d is in force: %+v", based, version, last, result)
 				}
 				if want {
@@ -300,9 +300,9 @@
 				}
 				digest := rapid.IntRange(1, len(sent)).Draw(t, "again")
 				result := pair.apply(t, index, sent[digest])
-				if version, taken := takenAs[digest]; taken && result != (Result{Outcome: AlreadyAccepted, Number: version}) {
+				if version, taken := takenAs[digest]; taken && result != (Result{Outcome: OutcomeAlreadyAccepted, Revision: version}) {
 					t.Fatalf("change %d, taken as %d, sent again: %+v", digest, version, result)
-				} else if !taken && result.Outcome == Accepted {
+				} else if !taken && result.Outcome == OutcomeAccepted {
 					// it was refused for its base before, which can't have come back
 					t.Fatalf("change %d was refused and taken later", digest)
 				}
@@ -310,16 +310,16 @@
 				zone := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")
 				on := rapid.Bool().Draw(t, "on")
 				late := rapid.IntRange(0, 3).Draw(t, "late") == 0 && seen > 0
-				command := SetEvacuation{Zone: zone, On: on, Seen: seen}
+				command := SetEvacuation{Zone: zone, Evacuated: on, ExpectedRevision: seen}
 				if late {
-					command.Seen--
+					command.ExpectedRevision--
 				}
 				result := pair.apply(t, index, command.Encode())
-				if late != (result.Outcome == Conflict) {
+				if late != (result.Outcome == OutcomeConflict) {
 					t.Fatalf("evacuation: %+v, late: %t", result, late)
 				}
 				if !late {
-					if (result.Outcome == Accepted) != (evacuated[zone] != on) {
+					if (result.Outcome == OutcomeAccepted) != (evacuated[zone] != on) {
 						t.Fatalf("evacuation of %s, %t before, to %t: %+v", zone, evacuated[zone], on, result)
 					}
 					evacuated[zone], seen = on, index
@@ -335,7 +335,7 @@
 				t.Fatalf("version %d is in force, want %d", version, last)
 			}
 			for zone, on := range evacuated {
-				if got := pair.second.Evacuation(zone).On; got != on {
+				if got := pair.second.Evacuation(zone).Evacuated; got != on {
 					t.Fatalf("zone %s is evacuated: %t", zone, got)
 				}
 			}
@@ -361,7 +361,7 @@
 				if !write.Deleted {
 					write.Value = []byte{byte(len(log))}
 				}
-				command := WriteRunners{Seen: leader.Changed(), Writes: []Write{write}}
+				command := WriteRunners{ExpectedRevision: leader.Revision(), Writes: []Write{write}}
 				log = append(log, command.Encode())
 				leader.Apply(uint64(len(log)), log[len(log)-1])
 			case 1:
@@ -404,7 +404,7 @@
 	c := newTestConfiguration()
 	c.Apply(1, command)
 	clear(command)
-	for _, value := range c.Base().Values.All("route/") {
+	for _, value := range c.View().Values.WithPrefix("route/") {
 		if string(value) != "value" {
 			t.Errorf("the state shares the command's bytes: %q", value)
 		}
--- a/internal/system/control/state/store.go
+++ b/internal/system/control/state/store.go
@@ -106,8 +106,8 @@
 // Values are items at a moment, in the order of their keys. They are shared and not to be changed.
 type Values []feed.Item
 
-// All returns the keys that begin with the prefix, and their values.
-func (v Values) All(prefix string) iter.Seq2[string, []byte] {
+// WithPrefix returns the keys that begin with the prefix, and their values.
+func (v Values) WithPrefix(prefix string) iter.Seq2[string, []byte] {
 	return func(yield func(string, []byte) bool) {
 		for i := range v {
 			if strings.HasPrefix(v[i].Key, prefix) && !yield(v[i].Key, v[i].Value) {
--- a/internal/system/replica/resource_bounds_test.go
+++ b/internal/system/replica/resource_bounds_test.go
@@ -112,7 +112,7 @@
 // proposeChange proposes the next version of the configuration, with new values for some routes.
 func (s *singleVoterGroup) proposeChange(routes int) {
 	s.t.Helper()
-	command := state.CommitConfiguration{BasedOn: s.version, Version: s.version + 1}
+	command := state.CommitConfiguration{BaseVersion: s.version, Version: s.version + 1}
 	for i := range command.Digest {
 		command.Digest[i] = byte(s.random.Uint32())
 	}
--- a/internal/system/replica/sim_checks_test.go
+++ b/internal/system/replica/sim_checks_test.go
@@ -22,10 +22,10 @@
 	}
 	sim.oracle.appliedCommands[index] = this
 	decoded, err := state.DecodeResult(result)
-	if err != nil || decoded.Outcome == state.Unreadable {
+	if err != nil || decoded.Outcome == state.OutcomeMalformed {
 		sim.fail("result at %d: %+v, %v", index, decoded, err)
 	}
-	if decoded.Outcome != state.Accepted {
+	if decoded.Outcome != state.OutcomeAccepted {
 		return
 	}
 	request, known := sim.oracle.commands[this.command]
--- a/internal/system/replica/sim_evacuation_test.go
+++ b/internal/system/replica/sim_evacuation_test.go
@@ -148,7 +148,7 @@
 		return "the operator of zone " + o.zone + " does not know what became of its order"
 	}
 	for _, machine := range o.sim.activeMachines() {
-		if machine.process.state.Evacuation(o.zone).On != o.evacuated {
+		if machine.process.state.Evacuation(o.zone).Evacuated != o.evacuated {
 			return "a machine does not know of zone " + o.zone
 		}
 	}
--- a/internal/system/replica/sim_requests_test.go
+++ b/internal/system/replica/sim_requests_test.go
@@ -50,7 +50,7 @@
 	if !p.inContact() {
 		within = apiTimeoutWithoutContact
 	}
-	p.attemptRequest(request, p.state.Evacuation(request.zone).Ordered, p.clock()+within, done)
+	p.attemptRequest(request, p.state.Evacuation(request.zone).LastOrder, p.clock()+within, done)
 }
 
 // attemptRequest is one attempt: a barrier, then the read or the change. It retries until the deadline.
@@ -78,9 +78,9 @@
 
 // readResponse answers a read from the local state machine.
 func (p *simProcess) readResponse(zone string) simResponse {
-	base := p.state.Base()
-	answer := simResponse{kind: responseRead, version: base.Version, evacuated: p.state.Evacuation(zone).On}
-	for _, value := range base.Values.All(ownerKey) {
+	base := p.state.View()
+	answer := simResponse{kind: responseRead, version: base.Version, evacuated: p.state.Evacuation(zone).Evacuated}
+	for _, value := range base.Values.WithPrefix(ownerKey) {
 		copy(answer.digest[:], value)
 	}
 	return answer
@@ -88,15 +88,15 @@
 
 // attemptCommit models an attempt of the API's committer, after its barrier.
 func (p *simProcess) attemptCommit(request *simRequest, deadline time.Duration, done func(simResponse), retry func()) {
-	standing := p.state.Standing(request.base, request.digest)
+	standing := p.state.CheckRequest(request.base, request.digest)
 	switch standing.Verdict {
-	case state.Taken:
+	case state.VerdictAccepted:
 		done(simResponse{kind: responseAccepted, version: standing.Version})
 		return
-	case state.Superseded:
+	case state.VerdictSuperseded:
 		done(simResponse{kind: responseConflict, version: standing.Version})
 		return
-	case state.Early, state.Forgotten:
+	case state.VerdictPremature, state.VerdictForgotten:
 		done(simResponse{undecidable: true})
 		return
 	}
@@ -112,10 +112,10 @@
 			return
 		}
 		switch decoded.Outcome {
-		case state.Accepted, state.AlreadyAccepted:
-			done(simResponse{kind: responseAccepted, version: decoded.Number})
-		case state.Conflict:
-			done(simResponse{kind: responseConflict, version: decoded.Number})
+		case state.OutcomeAccepted, state.OutcomeAlreadyAccepted:
+			done(simResponse{kind: responseAccepted, version: decoded.Revision})
+		case state.OutcomeConflict:
+			done(simResponse{kind: responseConflict, version: decoded.Revision})
 		default:
 			p.sim.fail("outcome %d of a command", decoded.Outcome)
 		}
@@ -131,21 +131,21 @@
 	case *request.abandoned && !plant.acceptsLateOrders:
 		done(simResponse{})
 		return
-	case evacuation.Ordered != ordered && evacuation.On != request.evacuated && !plant.acceptsLateOrders:
+	case evacuation.LastOrder != ordered && evacuation.Evacuated != request.evacuated && !plant.acceptsLateOrders:
 		done(simResponse{})
 		return
-	case evacuation.On == request.evacuated && plant.skipsNoopOrders:
+	case evacuation.Evacuated == request.evacuated && plant.skipsNoopOrders:
 		done(simResponse{kind: responseAccepted})
 		return
 	}
-	command := (&state.SetEvacuation{Zone: request.zone, On: request.evacuated, Seen: evacuation.Seen}).Encode()
+	command := (&state.SetEvacuation{Zone: request.zone, Evacuated: request.evacuated, ExpectedRevision: evacuation.Revision}).Encode()
 	p.sim.oracle.commands[string(command)] = *request
 	p.propose(command, deadline, func(result []byte, known bool) {
 		decoded, err := state.DecodeResult(result)
 		switch {
-		case !known || err == nil && decoded.Outcome == state.Conflict:
+		case !known || err == nil && decoded.Outcome == state.OutcomeConflict:
 			retry()
-		case err != nil || decoded.Outcome == state.Unreadable:
+		case err != nil || decoded.Outcome == state.OutcomeMalformed:
 			p.sim.fail("result of an evacuation: %+v, %v", decoded, err)
 		default:
 			done(simResponse{kind: responseAccepted})
@@ -164,7 +164,7 @@
 		digest[len(digest)-1] = byte(sim.oracle.salt)
 		digest[len(digest)-2] = byte(sim.oracle.salt >> 8)
 	}
-	commit := state.CommitConfiguration{BasedOn: request.base, Version: request.version, Digest: digest,
+	commit := state.CommitConfiguration{BaseVersion: request.base, Version: request.version, Digest: digest,
 		Writes: []state.Write{{Key: ownerKey, Value: request.digest[:]}}}
 	if sim.profile.PaddingBytes > 0 {
 		commit.Writes = append(commit.Writes, state.Write{Key: "padding", Value: make([]byte, sim.profile.PaddingBytes)})
