--- a/cmd/cinderroad-emulator/main.go
+++ b/cmd/cinderroad-emulator/main.go
@@ -1,17 +1,18 @@
-// Command cinderroad-emulator plays deployments of the system on one machine. It serves a short day with the real
-// programs and stand-ins for everything else, or compares placement policies over modelled runners in virtual time.
+// Command cinderroad-emulator runs deployments of the system on one machine. Its command day serves short traffic with
+// the real programs and fakes of everything else; its command policies compares placement policies over simulated
+// runners in virtual time.
 package main
 
 import "github.com/alecthomas/kong"
 
 type commands struct {
-	Day      day      `cmd:"" name:"day" default:"withargs" help:"Serve a short day with the real programs on loopback."`
-	Policies policies `cmd:"" name:"policies" help:"Compare placement policies over modelled runners in virtual time."`
+	Day      dayCommand      `cmd:"" name:"day" default:"withargs" help:"Serve a short day with the real programs on loopback."`
+	Policies policiesCommand `cmd:"" name:"policies" help:"Compare placement policies over modelled runners in virtual time."`
 }
 
 func main() {
 	var c commands
-	context := kong.Parse(&c, kong.Name("cinderroad-emulator"), kong.Vars{"troubles": troubles()},
+	context := kong.Parse(&c, kong.Name("cinderroad-emulator"), kong.Vars{"troubles": faultNames()},
 		kong.Description("Deployments of the system on one machine, with stand-ins for everything outside it."))
 	context.FatalIfErrorf(context.Run())
 }
--- a/cmd/cinderroad-emulator/policies.go
+++ b/cmd/cinderroad-emulator/policies.go
@@ -10,8 +10,8 @@
 	"cinderroad/internal/system/policysim"
 )
 
-// policies compares placement policies.
-type policies struct {
+// policiesCommand compares placement policies: see package policysim.
+type policiesCommand struct {
 	Scenario string        `name:"scenario" default:"screening" enum:"screening,parcels" help:"Deployment: ${enum}."`
 	Load     float64       `name:"load" default:"1" help:"Multiple of every rate."`
 	Length   time.Duration `name:"length" default:"34s" help:"Of the traffic."`
@@ -30,17 +30,18 @@
 	burstFor    = 10 * time.Second
 	crashAt     = 12 * time.Second
 	crashFor    = 4500 * time.Millisecond
+	crashStride = 3 // every third runner crashes, so that they are in several zones
 )
 
 // Run implements the command.
-func (p *policies) Run() error {
-	contestants, err := p.contestants()
+func (p *policiesCommand) Run() error {
+	factories, err := p.factories()
 	if err != nil {
 		return err
 	}
 	p.Seeds = max(1, p.Seeds)
 	jobs := make(chan struct{}, p.jobs())
-	results := make([]*policysim.Result, len(contestants)*p.Seeds)
+	results := make([]*policysim.Result, len(factories)*p.Seeds)
 	errs := make([]error, len(results))
 	var group sync.WaitGroup
 	for i := range results {
@@ -49,7 +50,7 @@
 		go func() {
 			defer group.Done()
 			defer func() { <-jobs }()
-			results[i], errs[i] = policysim.Run(p.scenario(), contestants[i/p.Seeds], p.Seed+uint64(i%p.Seeds))
+			results[i], errs[i] = policysim.Run(p.scenario(), factories[i/p.Seeds], p.Seed+uint64(i%p.Seeds))
 		}()
 	}
 	group.Wait()
@@ -58,21 +59,21 @@
 			return err
 		}
 	}
-	means := make([]*policysim.Result, len(contestants))
+	means := make([]*policysim.Result, len(factories))
 	for i := range means {
 		means[i] = policysim.Mean(results[i*p.Seeds : (i+1)*p.Seeds])
 	}
 	return policysim.Print(os.Stdout, means)
 }
 
-func (p *policies) jobs() int {
+func (p *policiesCommand) jobs() int {
 	if p.Jobs > 0 {
 		return p.Jobs
 	}
 	return max(1, runtime.NumCPU()/2)
 }
 
-func (p *policies) contestants() ([]policysim.PolicyFactory, error) {
+func (p *policiesCommand) factories() ([]policysim.PolicyFactory, error) {
 	all := policysim.Policies()
 	if len(p.Only) == 0 {
 		return all, nil
@@ -80,9 +81,9 @@
 	var chosen []policysim.PolicyFactory
 	for _, name := range p.Only {
 		found := false
-		for _, c := range all {
-			if c.Name == name {
-				chosen, found = append(chosen, c), true
+		for _, factory := range all {
+			if factory.Name == name {
+				chosen, found = append(chosen, factory), true
 			}
 		}
 		if !found {
@@ -92,15 +93,16 @@
 	return chosen, nil
 }
 
-func (p *policies) scenario() *policysim.Scenario {
-	s := scenarioNamed(p.Scenario)
+func (p *policiesCommand) scenario() *policysim.Scenario {
+	s := scenarioByName(p.Scenario)
 	s.Duration, s.Load = p.Length, p.Load
 	if p.Burst != "" {
 		s.Bursts = []policysim.Burst{{Class: p.Burst, Factor: burstFactor, Start: burstFrom, Duration: burstFor}}
 	}
 	for i := range p.Crash {
-		s.Crashes = append(s.Crashes, policysim.Crash{Service: "llm", RunnerIndex: i * 3, At: crashAt, Downtime: crashFor,
-			Silent: p.Dark})
+		s.Crashes = append(s.Crashes, policysim.Crash{Service: "llm", RunnerIndex: i * crashStride, At: crashAt,
+			Downtime: crashFor,
+			Silent:   p.Dark})
 	}
 	return s
 }
--- a/internal/compatibility/sent_test.go
+++ b/internal/compatibility/sent_test.go
@@ -36,29 +36,29 @@
 
 // TestReadsDatagramsOfMembers: one message of each kind.
 func TestReadsDatagramsOfMembers(t *testing.T) {
-	whole := membership.Record{Name: "edge-1/edge", Addr: netip.MustParseAddrPort("10.0.0.1:7661"), Life: 1_700_000_000_000, Inc: 3,
-		State: membership.Suspect, By: "core-1/control", Ago: 1.5, FactsOf: &membership.Facts{Seq: 4, Zone: "east-a", Version: "r1",
-			Serving: "serving", Console: "10.0.0.1:9000", Settings: "0badcafe", Operator: "0badf00d", Excluded: "01234567",
+	whole := membership.Record{Name: "edge-1/edge", Addr: netip.MustParseAddrPort("10.0.0.1:7661"), Generation: 1_700_000_000_000, Incarnation: 3,
+		State: membership.Suspect, SuspectedBy: "core-1/control", DeadFor: 1.5, Metadata: &membership.Metadata{Seq: 4, Zone: "east-a", Version: "r1",
+			Serving: "serving", Console: "10.0.0.1:9000", SettingsHash: "0badcafe", OperatorHash: "0badf00d", ExcludedHash: "01234567",
 			OperatorAt: 1_700_000_001, ExcludedAt: 1_700_000_002, Lease: lease.Out, Role: "edge", Front: "10.0.0.1:80"}}
-	short := membership.Record{Name: "b", Addr: netip.MustParseAddrPort("[fd00::1]:7661"), Life: 1}
-	dead := membership.Record{Name: "c", Addr: netip.MustParseAddrPort("10.0.0.3:1"), Life: 2, State: membership.Dead, Ago: 7}
-	left := membership.Record{Name: "d", Addr: netip.MustParseAddrPort("10.0.0.4:1"), Life: 2, State: membership.Left}
+	short := membership.Record{Name: "b", Addr: netip.MustParseAddrPort("[fd00::1]:7661"), Generation: 1}
+	dead := membership.Record{Name: "c", Addr: netip.MustParseAddrPort("10.0.0.3:1"), Generation: 2, State: membership.Dead, DeadFor: 7}
+	left := membership.Record{Name: "d", Addr: netip.MustParseAddrPort("10.0.0.4:1"), Generation: 2, State: membership.Left}
 	parts := make([]uint64, 64)
 	for i := range parts {
 		parts[i] = uint64(i) << 50
 	}
 	for name, m := range map[string]*membership.Message{
-		"ping": {Kind: membership.Ping, From: whole, N: 9, View: 1 << 63, Names: 2, Facts: 3, Seq: 4, About: &short,
-			Tell: []membership.Record{dead, left}, Ride: []byte("ride")},
-		"ack":      {Kind: membership.Ack, From: short, N: 1, Seq: 4, About: &whole},
-		"ping-req": {Kind: membership.PingReq, From: short, N: 2, Seq: 5, About: &dead},
-		"nack":     {Kind: membership.Nack, From: short, N: 3, Seq: 5, About: &dead},
-		"news":     {Kind: membership.News, From: short, N: 4, Tell: []membership.Record{whole}},
-		"parts":    {Kind: membership.Parts, From: short, N: 5, Parts: parts, Return: true},
-		"page":     {Kind: membership.Page, From: short, N: 6, Tell: []membership.Record{dead}},
+		"ping": {Kind: membership.Ping, From: whole, Number: 9, ViewDigest: 1 << 63, NamesDigest: 2, MetadataDigest: 3, Seq: 4, Subject: &short,
+			Records: []membership.Record{dead, left}, Payload: []byte("ride")},
+		"ack":      {Kind: membership.Ack, From: short, Number: 1, Seq: 4, Subject: &whole},
+		"ping-req": {Kind: membership.IndirectPing, From: short, Number: 2, Seq: 5, Subject: &dead},
+		"nack":     {Kind: membership.Nack, From: short, Number: 3, Seq: 5, Subject: &dead},
+		"news":     {Kind: membership.Update, From: short, Number: 4, Records: []membership.Record{whole}},
+		"parts":    {Kind: membership.Digests, From: short, Number: 5, ShardDigests: parts, WantsDigests: true},
+		"page":     {Kind: membership.Records, From: short, Number: 6, Records: []membership.Record{dead}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m.Fleet = "cinderroad"
+			m.Cluster = "cinderroad"
 			recorded := compatibility.Here.Check(t, "members/"+name, must(membership.Encode(m))(t))
 			same(t, name, must(membership.Decode("cinderroad", recorded))(t), m)
 		})
@@ -81,15 +81,15 @@
 		facts := toldFacts(t, seed)
 		want := map[gossip.Role]string{gossip.Edge: "edge", gossip.Control: "control"}[role]
 		facts.Seq = 0
-		same(t, "facts", facts, membership.Facts{Zone: "east-a", Version: "r1", Serving: "starting", Role: want,
+		same(t, "facts", facts, membership.Metadata{Zone: "east-a", Version: "r1", Serving: "starting", Role: want,
 			Front: "10.0.0.1:80"})
 	}
 }
 
 // toldFacts are those that a member tells of itself, in the first datagram that has them.
-func toldFacts(t *testing.T, seed *net.UDPConn) membership.Facts {
+func toldFacts(t *testing.T, seed *net.UDPConn) membership.Metadata {
 	t.Helper()
-	datagram := make([]byte, membership.MostBytes)
+	datagram := make([]byte, membership.MaxDatagramSize)
 	for {
 		n, from, err := seed.ReadFromUDPAddrPort(datagram)
 		if err != nil {
@@ -97,10 +97,10 @@
 		}
 		m := must(membership.Decode("cinderroad", datagram[:n]))(t)
 		same(t, "from", m.From.Addr, from)
-		for _, told := range m.Tell {
-			if told.Name == m.From.Name && told.FactsOf != nil {
-				same(t, "name", told.Name, "node-1/"+told.FactsOf.Role)
-				return *told.FactsOf
+		for _, told := range m.Records {
+			if told.Name == m.From.Name && told.Metadata != nil {
+				same(t, "name", told.Name, "node-1/"+told.Metadata.Role)
+				return *told.Metadata
 			}
 		}
 	}
--- a/internal/system/emulator/deployment.go
+++ b/internal/system/emulator/deployment.go
@@ -1,19 +1,14 @@
-// Package emulator plays a deployment of the system on one machine: the real programs as processes on loopback, each
-// machine at an address of its own, and stand-ins within the emulator's own process for runners, the platform's list,
-// the operator and clients. It serves a short day and tells what became of it.
 package emulator
 
 import (
 	"fmt"
-	"math/rand/v2"
-	"net"
 	"net/netip"
 	"slices"
 
 	"cinderroad/internal/system/policysim"
 )
 
-// program is one of the system's programs.
+// program is the file name of one of the system's programs.
 type program string
 
 // The programs.
@@ -23,29 +18,23 @@
 	control program = "cinderroad-control"
 )
 
-// freePorts is how many ports each machine keeps free for the programs.
-const freePorts = 8
-
-// deployment is the machines of a day.
+// deployment is the machines of an emulation.
 type deployment struct {
-	folder       string
-	zones        map[string]string // region of each zone
-	zoneNames    []string
-	machines     []*machine
-	ports        ports
-	cloudAddress netip.AddrPort
+	workDir         string
+	zones           map[string]string // region of each zone
+	zoneNames       []string
+	machines        []*machine
+	ports           ports
+	platformAddress netip.AddrPort
 }
 
-// machine is one that programs run on.
+// machine is an emulated machine.
 type machine struct {
 	name, class, zone string
 	ip                netip.Addr
 }
 
-func (m *machine) at(port uint16) netip.AddrPort { return netip.AddrPortFrom(m.ip, port) }
-
-// ports are the same on all machines.
-type ports struct{ front, ready, control, directory, free uint16 }
+func (m *machine) addressWithPort(port uint16) netip.AddrPort { return netip.AddrPortFrom(m.ip, port) }
 
 // Classes of machines.
 const (
@@ -53,17 +42,17 @@
 	coreClass = "core"
 )
 
-// coreMachines is how many machines the core has.
-const coreMachines = 3
+// coreMachineCount is the number of machines that run control processes.
+const coreMachineCount = 3
 
-// plan lays out machines: a core over the zones in turn, and edges.
-func plan(s *policysim.Scenario, edges int, folder string) (*deployment, error) {
-	d := &deployment{folder: folder, zones: make(map[string]string)}
-	for _, zone := range s.Zones {
+// planDeployment places core machines and edge machines in the zones in turn, and chooses ports for them.
+func planDeployment(scenario *policysim.Scenario, edges int, folder string) (*deployment, error) {
+	d := &deployment{workDir: folder, zones: make(map[string]string)}
+	for _, zone := range scenario.Zones {
 		d.zones[zone.Name] = zone.Region
 		d.zoneNames = append(d.zoneNames, zone.Name)
 	}
-	for i := range coreMachines {
+	for i := range coreMachineCount {
 		d.addMachine(coreClass, i)
 	}
 	for i := range edges {
@@ -72,72 +61,40 @@
 	return d, d.choosePorts()
 }
 
-// addMachine adds the i-th machine of a class; zone n has the addresses 127.0.n.x.
+// addMachine adds the i-th machine of a class. Those of zone n have the addresses 127.0.n.x.
 func (d *deployment) addMachine(class string, i int) {
 	zone := i % len(d.zoneNames)
 	host := byte(1 + 2*(i/len(d.zoneNames)))
 	if class == edgeClass {
 		host++
 	}
-	d.machines = append(d.machines, &machine{name: fmt.Sprintf("%s-%d", class, i+1), class: class, zone: d.zoneNames[zone],
-		ip: netip.AddrFrom4([4]byte{127, 0, byte(zone + 1), host})})
+	d.machines = append(d.machines, &machine{name: fmt.Sprintf("%s-%d", class, i+1), class: class,
+		zone: d.zoneNames[zone],
+		ip:   netip.AddrFrom4([4]byte{127, 0, byte(zone + 1), host})})
 }
 
-// of returns the machines of a class.
-func (d *deployment) of(class string) []*machine {
+// machinesOfClass returns the machines of a class.
+func (d *deployment) machinesOfClass(class string) []*machine {
 	return slices.DeleteFunc(slices.Clone(d.machines), func(m *machine) bool { return m.class != class })
 }
 
-// seeds are the control addresses that every process is told.
-func (d *deployment) seeds() (addresses []string) {
-	for _, m := range d.of(coreClass) {
-		addresses = append(addresses, m.at(d.ports.control).String())
+// seedAddresses returns the control addresses that the settings of every process name.
+func (d *deployment) seedAddresses() (addresses []string) {
+	for _, m := range d.machinesOfClass(coreClass) {
+		addresses = append(addresses, m.addressWithPort(d.ports.control).String())
 	}
 	return addresses
 }
 
-// directories are the directory addresses, those of a zone first.
+// directories returns the directory addresses, those in the given zone first.
 func (d *deployment) directories(zone string) []netip.AddrPort {
 	var near, far []netip.AddrPort
-	for _, m := range d.of(coreClass) {
+	for _, m := range d.machinesOfClass(coreClass) {
 		if m.zone == zone {
-			near = append(near, m.at(d.ports.directory))
+			near = append(near, m.addressWithPort(d.ports.directory))
 		} else {
-			far = append(far, m.at(d.ports.directory))
+			far = append(far, m.addressWithPort(d.ports.directory))
 		}
 	}
 	return append(near, far...)
 }
-
-// Ports are chosen below those that the kernel gives out by itself.
-const (
-	firstPort    = 12000
-	lastPort     = 32000
-	portsNeeded  = 4 + freePorts
-	portAttempts = 200
-)
-
-// choosePorts finds a range of ports that are free on every machine.
-func (d *deployment) choosePorts() error {
-	for range portAttempts {
-		first := uint16(firstPort + rand.IntN(lastPort-firstPort-portsNeeded))
-		if d.free(first) {
-			d.ports = ports{front: first, ready: first + 1, control: first + 2, directory: first + 3, free: first + 4}
-			return nil
-		}
-	}
-	return fmt.Errorf("emulator: no %d ports in a row are free on loopback", portsNeeded)
-}
-
-func (d *deployment) free(first uint16) bool {
-	for _, m := range d.machines {
-		for port := first; port < first+portsNeeded; port++ {
-			l, err := net.Listen("tcp", m.at(port).String())
-			if err != nil {
-				return false
-			}
-			l.Close()
-		}
-	}
-	return true
-}
--- /dev/null
+++ b/internal/system/emulator/emulation.go
@@ -0,0 +1,246 @@
+package emulator
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"sync"
+	"time"
+
+	"cinderroad/internal/system/policysim"
+	"cinderroad/internal/testkit/checker"
+	"cinderroad/internal/testkit/client"
+	"cinderroad/internal/testkit/fakeplatform"
+	"cinderroad/internal/testkit/runner"
+)
+
+// Options are the settings of an emulation.
+type Options struct {
+	Scenario     *policysim.Scenario
+	EdgeMachines int    // number of machines that serve clients
+	ProgramDir   string // directory of the system's programs
+	// WorkDir is for settings, logs and disks. If it is empty, a temporary directory is used, which is removed unless
+	// the emulation or its report is a failure.
+	WorkDir string
+	Faults  []Fault // injected one after the other, at equal distances
+	Seed    uint64
+	Out     io.Writer // for progress
+}
+
+// Timeouts and intervals, and properties of the platform.
+const (
+	configurationTimeout = 40 * time.Second
+	readyTimeout         = 40 * time.Second
+	readTimeout          = 10 * time.Second
+	pollInterval         = 50 * time.Millisecond
+	progressInterval     = time.Second
+	progressPrecision    = 100 * time.Millisecond
+	firstVersion         = 3
+	platformAddress      = "127.2.0.1:0"
+)
+
+// emulation is the state of a run.
+type emulation struct {
+	options     Options
+	deployment  *deployment
+	platform    *fakeplatform.Cloud
+	checker     *checker.Referee
+	runners     *runnerFleet
+	processes   []*process
+	operator    *operator
+	clients     *client.Load
+	routes      map[string]*client.Route // by class
+	inForce     configurationDocument    // the configuration that was acknowledged last
+	runnerStats []runner.Stats           // of all runners, once they are closed
+	faults      sync.WaitGroup
+}
+
+// Run runs an emulation and returns its report. An error says that the emulation itself failed; faults of the system
+// are in the report.
+func Run(ctx context.Context, o Options) (*Report, error) {
+	programs, err := findPrograms(o.ProgramDir)
+	if err != nil {
+		return nil, err
+	}
+	temporary := o.WorkDir == ""
+	if temporary {
+		if o.WorkDir, err = os.MkdirTemp("", "cinderroad-emulator-"); err != nil {
+			return nil, err
+		}
+	}
+	if err := os.MkdirAll(o.WorkDir, 0o750); err != nil {
+		return nil, err
+	}
+	e := &emulation{options: o}
+	e.checker = checker.New(checker.Bounds{Drain: milliseconds(defaultTiming.DrainWithinMS),
+		Evacuate:   milliseconds(defaultTiming.EvacuateMS),
+		RetryRatio: defaultTiming.RetryRatio, RetryWindow: time.Duration(defaultTiming.RetryWindowS) * time.Second,
+		RetryExtra: defaultTiming.RetryExtra}, nil)
+	report, err := e.run(ctx, programs)
+	if err != nil {
+		return nil, fmt.Errorf("%w (logs are in %s)", err, o.WorkDir)
+	}
+	if temporary && !report.Failed() {
+		return report, os.RemoveAll(o.WorkDir)
+	}
+	report.LogDir = o.WorkDir
+	return report, nil
+}
+
+func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+
+func (e *emulation) run(ctx context.Context, programs map[program]string) (*Report, error) {
+	defer e.stopAll()
+	if err := e.startAll(programs); err != nil {
+		return nil, err
+	}
+	if err := e.submitConfiguration(ctx); err != nil {
+		return nil, err
+	}
+	if err := e.awaitReady(ctx); err != nil {
+		return nil, err
+	}
+	e.runTraffic(ctx)
+	e.verifyConfiguration(ctx)
+	e.stopAll()
+	return e.buildReport(), nil
+}
+
+// startAll starts the fakes and the programs.
+func (e *emulation) startAll(programs map[program]string) (err error) {
+	if e.deployment, err = planDeployment(e.options.Scenario, e.options.EdgeMachines, e.options.WorkDir); err != nil {
+		return err
+	}
+	e.platform, err = fakeplatform.Start(fakeplatform.Options{Address: platformAddress,
+		Lag: milliseconds(platformLagMS), Page: platformPageSize,
+		RatePerS: platformCallsPerSecond})
+	if err != nil {
+		return err
+	}
+	e.deployment.platformAddress = e.platform.Address()
+	if e.runners, err = startFleet(e.options.Scenario, e.deployment.zones, e.platform, e.checker); err != nil {
+		return err
+	}
+	for _, m := range e.deployment.machines {
+		for _, p := range programsOf(m) {
+			proc, err := e.deployment.startProcess(m, p, programs[p])
+			if err != nil {
+				return err
+			}
+			e.processes = append(e.processes, proc)
+		}
+	}
+	e.operator = e.deployment.operator()
+	return nil
+}
+
+func programsOf(m *machine) []program {
+	if m.class == coreClass {
+		return []program{control}
+	}
+	return []program{proxy, agent}
+}
+
+// submitConfiguration sends the first configuration until it is acknowledged.
+func (e *emulation) submitConfiguration(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, configurationTimeout)
+	defer cancel()
+	e.inForce = configurationDocumentOf(e.options.Scenario, firstVersion)
+	began := time.Now()
+	if err := e.operator.replaceConfiguration(ctx, e.inForce, 0); err != nil {
+		return fmt.Errorf("the first configuration was not taken: %w", err)
+	}
+	e.logEvent("configuration taken", "version", firstVersion, "after", time.Since(began).Round(time.Millisecond))
+	return nil
+}
+
+// awaitReady waits until every edge machine is ready.
+func (e *emulation) awaitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
+	defer cancel()
+	began := time.Now()
+	for _, m := range e.deployment.machinesOfClass(edgeClass) {
+		if err := poll(ctx, func() bool {
+			return isReady(ctx,
+				m.addressWithPort(e.deployment.ports.ready).String())
+		}); err != nil {
+			return fmt.Errorf("%s is not ready after %v: %w", m.name, time.Since(began).Round(time.Second), err)
+		}
+	}
+	e.logEvent("edges ready", "machines", len(e.deployment.machinesOfClass(edgeClass)), "after",
+		time.Since(began).Round(time.Millisecond))
+	return nil
+}
+
+func isReady(ctx context.Context, address string) bool {
+	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/-/ready", nil)
+	if err != nil {
+		return false
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return false
+	}
+	response.Body.Close()
+	return response.StatusCode == http.StatusOK
+}
+
+// poll waits until ok returns true, or until the context ends.
+func poll(ctx context.Context, ok func() bool) error {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	for !ok() {
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+	return nil
+}
+
+// logEvent writes one line of key=value pairs.
+func (e *emulation) logEvent(event string, pairs ...any) {
+	line := fmt.Sprintf("event=%q", event)
+	for i := 0; i+1 < len(pairs); i += 2 {
+		line += fmt.Sprintf(" %v=%v", pairs[i], pairs[i+1])
+	}
+	fmt.Fprintln(e.options.Out, line)
+}
+
+// verifyConfiguration compares the configuration in force with the one that was acknowledged last.
+func (e *emulation) verifyConfiguration(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	got, err := e.operator.readConfiguration(ctx)
+	switch {
+	case err != nil:
+		e.checker.Break(checker.Configed, "the configuration could not be read back: %v", err)
+	case got.Version != e.inForce.Version || len(got.Routes) != len(e.inForce.Routes):
+		e.checker.Break(checker.Configed, "version %d with %d routes was read back, %d with %d was acknowledged",
+			got.Version, len(got.Routes), e.inForce.Version, len(e.inForce.Routes))
+	}
+}
+
+// stopAll stops all programs at once, and then the fakes. It may be called again.
+func (e *emulation) stopAll() {
+	var group sync.WaitGroup
+	for _, p := range e.processes {
+		group.Add(1)
+		go func() {
+			defer group.Done()
+			p.stop(time.Duration(defaultTiming.GracePeriodS) * time.Second)
+		}()
+	}
+	group.Wait()
+	if e.platform != nil {
+		e.platform.Close()
+	}
+	if e.runners != nil {
+		e.runnerStats = append(e.runnerStats, e.runners.close()...)
+	}
+}
--- a/internal/system/proxy/agentclient/compatibility_test.go
+++ b/internal/system/proxy/agentclient/compatibility_test.go
@@ -31,22 +31,22 @@
 	if of != 2 {
 		t.Errorf("the service is in partition %d", of)
 	}
-	s := newState(feed.RunnerPartitionCount)
-	got := s.take(&feed.FollowReply{Proxies: 3, PeersDigest: 9, Peers: []feed.Peer{{Node: "edge-2"}}, Batches: []feed.Batch{
+	s := newFeedState(feed.RunnerPartitionCount)
+	got := s.apply(&feed.FollowReply{Proxies: 3, PeersDigest: 9, Peers: []feed.Peer{{Node: "edge-2"}}, Batches: []feed.Batch{
 		{Partition: 0, Snapshot: true, To: 5, Items: items},
 		{Partition: of, Snapshot: true, To: 1, Items: []feed.Item{{Key: "runner/r-1", Index: 1, Value: discovery.EncodeRunner(runner)}}},
 	}})
-	s.fill(&got)
-	want := Update{Version: 7, Complete: true, Proxies: 3, Peers: &[]feed.Peer{{Node: "edge-2"}},
+	s.fillSets(&got)
+	want := Update{Version: 7, Complete: true, ProxyCount: 3, Peers: &[]feed.Peer{{Node: "edge-2"}},
 		Routes: []*configuration.Route{{Name: "r", Host: "h", PathPrefix: "/p/", Timeout: time.Second, LatencyTarget: 100 * time.Millisecond, MaxAttempts: 2,
 			Shares: []configuration.Share{{Service: "s", Weight: 1}}}},
-		Services:  &[]*configuration.Service{{Name: "s", HealthPath: "/health", MaxConnections: 4}},
-		Limits:    &configuration.Limits{MaxHeaderBytes: 1, MaxBodyBytes: 2, HeaderTimeout: 3 * time.Millisecond, IdleTimeout: 4 * time.Millisecond},
-		Evacuated: &map[string]bool{"east-a": true}, Runners: &[]Runner{{Runner: runner}}}
+		Services:       &[]*configuration.Service{{Name: "s", HealthPath: "/health", MaxConnections: 4}},
+		Limits:         &configuration.Limits{MaxHeaderBytes: 1, MaxBodyBytes: 2, HeaderTimeout: 3 * time.Millisecond, IdleTimeout: 4 * time.Millisecond},
+		EvacuatedZones: &map[string]bool{"east-a": true}, Runners: &[]Runner{{Runner: runner}}}
 	if d := cmp.Diff(want, got, cmpopts.EquateComparable(netip.Addr{}, netip.AddrPort{})); d != "" {
 		t.Error(d)
 	}
-	if len(s.findings) > 0 {
-		t.Error(s.findings)
+	if len(s.problems) > 0 {
+		t.Error(s.problems)
 	}
 }
