--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -212,11 +212,11 @@
 
 // TestReadsCommands: the commands in the logs of control replicas, their results, and the snapshots that stand for them.
 func TestReadsCommands(t *testing.T) {
-	commit := state.CommitConfiguration{BasedOn: 0, Version: 7, Digest: state.Digest{1, 2, 15: 0xff},
+	commit := state.CommitConfiguration{BaseVersion: 0, Version: 7, Digest: state.Digest{1, 2, 15: 0xff},
 		Writes: []state.Write{{Key: "limits", Value: []byte(`{"max_body_bytes":1}`)}, {Key: "route/old", Deleted: true}}}
-	evacuate := state.SetEvacuation{Zone: "east-a", On: true, Seen: 0}
-	back := state.SetEvacuation{Zone: "east-a", Seen: 11}
-	runners := state.WriteRunners{Seen: 0, Writes: []state.Write{{Key: "runner/r-1", Value: []byte("one")}, {Key: "runner/r-2", Value: []byte{}}}}
+	evacuate := state.SetEvacuation{Zone: "east-a", Evacuated: true, ExpectedRevision: 0}
+	back := state.SetEvacuation{Zone: "east-a", ExpectedRevision: 11}
+	runners := state.WriteRunners{ExpectedRevision: 0, Writes: []state.Write{{Key: "runner/r-1", Value: []byte("one")}, {Key: "runner/r-2", Value: []byte{}}}}
 
 	configuration := state.NewConfiguration(zero, nothing)
 	for _, step := range []struct {
@@ -225,19 +225,19 @@
 		index uint64
 		want  state.Result
 	}{
-		{"commit", commit.Encode(), 10, state.Result{Outcome: state.Accepted, Number: 7}},
-		{"commit", commit.Encode(), 10, state.Result{Outcome: state.AlreadyAccepted, Number: 7}},
-		{"evacuate", evacuate.Encode(), 11, state.Result{Outcome: state.Accepted, Number: 11}},
-		{"evacuate", evacuate.Encode(), 12, state.Result{Outcome: state.Conflict, Number: 11}},
-		{"unreadable", []byte{0}, 13, state.Result{Outcome: state.Unreadable}},
+		{"commit", commit.Encode(), 10, state.Result{Outcome: state.OutcomeAccepted, Revision: 7}},
+		{"commit", commit.Encode(), 10, state.Result{Outcome: state.OutcomeAlreadyAccepted, Revision: 7}},
+		{"evacuate", evacuate.Encode(), 11, state.Result{Outcome: state.OutcomeAccepted, Revision: 11}},
+		{"evacuate", evacuate.Encode(), 12, state.Result{Outcome: state.OutcomeConflict, Revision: 11}},
+		{"unreadable", []byte{0}, 13, state.Result{Outcome: state.OutcomeMalformed}},
 	} {
 		recorded := compatibility.Here.Check(t, "control/command-"+step.name, step.bytes)
 		result := configuration.Apply(step.index, recorded)
 		same(t, step.name, must(state.DecodeResult(result))(t), step.want)
-		compatibility.Here.Check(t, fmt.Sprintf("control/result-%d-%d", step.want.Outcome, step.want.Number), result)
+		compatibility.Here.Check(t, fmt.Sprintf("control/result-%d-%d", step.want.Outcome, step.want.Revision), result)
 	}
 	compatibility.Here.Check(t, "control/command-back", back.Encode())
-	forgotten := state.Result{Outcome: state.NotRemembered, Number: 1 << 40}
+	forgotten := state.Result{Outcome: state.OutcomeForgotten, Revision: 1 << 40}
 	recorded := compatibility.Here.Check(t, "control/result-forgotten", forgotten.Encode())
 	same(t, "result", must(state.DecodeResult(recorded))(t), forgotten)
 
@@ -251,23 +251,23 @@
 	if err := restored.Restore(11, recorded); err != nil {
 		t.Fatal(err)
 	}
-	same(t, "base", restored.Base(), state.Base{Version: 7, Values: wantItems})
-	same(t, "evacuation", restored.Evacuation("east-a"), state.Evacuation{On: true, Seen: 11, Ordered: 11})
-	same(t, "taken", restored.Standing(0, commit.Digest), state.Standing{Verdict: state.Taken, Version: 7})
+	same(t, "base", restored.View(), state.View{Version: 7, Values: wantItems})
+	same(t, "evacuation", restored.Evacuation("east-a"), state.Evacuation{Evacuated: true, Revision: 11, LastOrder: 11})
+	same(t, "taken", restored.CheckRequest(0, commit.Digest), state.RequestStatus{Verdict: state.VerdictAccepted, Version: 7})
 	same(t, "snapshot again", restored.Snapshot(), recorded)
 	result := restored.Apply(14, compatibility.Here.Read(t, "control/command-back"))
-	same(t, "back", must(state.DecodeResult(result))(t), state.Result{Outcome: state.Accepted, Number: 14})
+	same(t, "back", must(state.DecodeResult(result))(t), state.Result{Outcome: state.OutcomeAccepted, Revision: 14})
 	same(t, "zones", len(restored.EvacuatedZones()), 0)
 
 	partition := state.NewRunners(1, zero, nothing)
 	recorded = compatibility.Here.Check(t, "control/command-runners", runners.Encode())
-	same(t, "runners", must(state.DecodeResult(partition.Apply(20, recorded)))(t), state.Result{Outcome: state.Accepted, Number: 20})
+	same(t, "runners", must(state.DecodeResult(partition.Apply(20, recorded)))(t), state.Result{Outcome: state.OutcomeAccepted, Revision: 20})
 	recorded = compatibility.Here.Check(t, "control/snapshot-runners", partition.Snapshot())
 	partition = state.NewRunners(1, zero, nothing)
 	if err := partition.Restore(20, recorded); err != nil {
 		t.Fatal(err)
 	}
-	same(t, "changed", partition.Changed(), 20)
+	same(t, "changed", partition.Revision(), 20)
 	same(t, "batch", partition.Since(0, 0), feed.Batch{Partition: 1, Snapshot: true, To: 20, Items: []feed.Item{
 		{Key: "runner/r-1", Index: 20, Value: []byte("one")}, {Key: "runner/r-2", Index: 20, Value: []byte{}}}})
 }
