--- a/internal/system/configuration/change_test.go
+++ b/internal/system/configuration/change_test.go
@@ -123,7 +123,7 @@
 		if err != nil || !bytes.Equal(read.Encode(), changed.Encode()) {
 			t.Fatalf("%s came back as %v: %v", changed.Encode(), read, err)
 		}
-		if whole, err := ParseAndValidate(changed.Encode(), base.Version()); err != nil || !bytes.Equal(whole.Encode(), changed.Encode()) {
+		if reparsed, err := ParseAndValidate(changed.Encode(), base.Version()); err != nil || !bytes.Equal(reparsed.Encode(), changed.Encode()) {
 			t.Fatalf("%s is not a document: %v", changed.Encode(), err)
 		}
 	})
--- a/internal/system/configuration/diff.go
+++ b/internal/system/configuration/diff.go
@@ -65,7 +65,7 @@
 		delete(remaining, field.name)
 	}
 	for _, field := range old {
-		if _, gone := remaining[field.name]; gone {
+		if _, removed := remaining[field.name]; removed {
 			writes = append(writes, Write{Key: feed.KeyPrefixExtra + field.name, Deleted: true})
 		}
 	}
@@ -86,7 +86,7 @@
 		delete(remaining, item.name)
 	}
 	for _, item := range old {
-		if _, gone := remaining[item.name]; gone {
+		if _, removed := remaining[item.name]; removed {
 			writes = append(writes, Write{Key: key + item.name, Deleted: true})
 		}
 	}
--- a/internal/system/configuration/diff_test.go
+++ b/internal/system/configuration/diff_test.go
@@ -97,11 +97,11 @@
 	for i := range 100 {
 		routes = append(routes, strings.NewReplacer("r-3", fmt.Sprint("r-", i), "three", fmt.Sprint(i)).Replace(sampleRoute))
 	}
-	whole := func(version int, routes []string) *Document {
+	document := func(version int, routes []string) *Document {
 		body := fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":"plain"}]}`, version, strings.Join(routes, ","))
 		return mustParse(t, body, 0)
 	}
-	base := whole(1, routes)
+	base := document(1, routes)
 	for name, change := range map[string]struct {
 		routes []string
 		writes int // beside the version
@@ -113,7 +113,7 @@
 		"another timeout":     {append([]string{strings.Replace(routes[0], ":1,", ":2,", 1)}, routes[1:]...), 1},
 		"only the first half": {routes[:50], 50},
 	} {
-		if writes := Diff(base, whole(2, change.routes)); len(writes) != change.writes+1 {
+		if writes := Diff(base, document(2, change.routes)); len(writes) != change.writes+1 {
 			t.Errorf("%s: %d writes, want %d and the version", name, len(writes), change.writes)
 		}
 	}
--- a/internal/system/configuration/extra_fields.go
+++ b/internal/system/configuration/extra_fields.go
@@ -121,8 +121,8 @@
 
 // setExtra adds or replaces a field that this version does not know.
 func (d *Document) setExtra(field extraField) {
-	position, found := slices.BinarySearchFunc(d.extras, field.name, func(held extraField, name string) int {
-		return strings.Compare(held.name, name)
+	position, found := slices.BinarySearchFunc(d.extras, field.name, func(existing extraField, name string) int {
+		return strings.Compare(existing.name, name)
 	})
 	if found {
 		d.extras[position] = field
--- a/internal/system/configuration/route_parser.go
+++ b/internal/system/configuration/route_parser.go
@@ -42,8 +42,8 @@
 	case "shares":
 		value.ReadArray(r.readShare)
 	case "tries":
-		tries, _ := value.Int()
-		r.route.MaxAttempts = max(tries, 1)
+		attempts, _ := value.Int()
+		r.route.MaxAttempts = max(attempts, 1)
 	case "pin_cache":
 		r.route.PrefixAffinity, _ = value.Bool()
 	case "resumable":
--- a/internal/system/configuration/validate.go
+++ b/internal/system/configuration/validate.go
@@ -79,7 +79,7 @@
 		v.addProblem("path_start", "must begin and end with a slash")
 	}
 	own := routePrefix{host: NormalizeHost(v.route.Host), path: v.route.PathPrefix}
-	if other, taken := prefixes[own]; taken {
+	if other, exists := prefixes[own]; exists {
 		v.addProblem("path_start", "is together with its host that of route "+strconv.Quote(other)+", too")
 		return
 	}
--- a/internal/system/exposition/serve_test.go
+++ b/internal/system/exposition/serve_test.go
@@ -41,13 +41,13 @@
 
 // A port that is in use is logged, and the process goes on; without an address nothing is opened.
 func TestServeWithoutAPort(t *testing.T) {
-	held, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	defer listener.Close()
 	core, logs := observer.New(zapcore.WarnLevel)
-	Serve(t.Context(), zap.New(core), held.Addr().(*net.TCPAddr).AddrPort(), func(*Page) {})
+	Serve(t.Context(), zap.New(core), listener.Addr().(*net.TCPAddr).AddrPort(), func(*Page) {})
 	if logs.Len() != 1 {
 		t.Errorf("%d lines were logged", logs.Len())
 	}
--- a/internal/system/feed/digest.go
+++ b/internal/system/feed/digest.go
@@ -108,8 +108,8 @@
 
 // holdsExactly reports whether the table holds the item with the same index and value.
 func (t *Table) holdsExactly(item Item) bool {
-	held := t.records[item.Key]
-	return held != nil && !held.deleted && held.index == item.Index && bytes.Equal(held.value, item.Value)
+	existing := t.records[item.Key]
+	return existing != nil && !existing.deleted && existing.index == item.Index && bytes.Equal(existing.value, item.Value)
 }
 
 func (t *Table) rangeDigest(keyRange KeyRange) RangeDigest {
@@ -120,12 +120,12 @@
 		if !keyRange.Contains(key) {
 			break
 		}
-		held := t.records[key]
+		item := t.records[key]
 		scratch = codec.AppendBytes(scratch[:0], key)
-		scratch = binary.AppendUvarint(scratch, held.index)
-		scratch = binary.AppendUvarint(scratch, uint64(len(held.value)))
+		scratch = binary.AppendUvarint(scratch, item.index)
+		scratch = binary.AppendUvarint(scratch, uint64(len(item.value)))
 		_, _ = sum.Write(scratch)
-		_, _ = sum.Write(held.value)
+		_, _ = sum.Write(item.value)
 		digest.ItemCount++
 	}
 	digest.Hash = sum.Sum64()
--- a/internal/system/feed/digest_test.go
+++ b/internal/system/feed/digest_test.go
@@ -38,8 +38,8 @@
 
 func corruptItem(t *rapid.T, table *Table) {
 	key := testKey(rapid.IntRange(0, 12).Draw(t, "damaged"))
-	if held := table.records[key]; held != nil && !held.deleted {
-		held.value = []byte(rapid.SampledFrom([]string{"a", "damaged"}).Draw(t, "to"))
+	if existing := table.records[key]; existing != nil && !existing.deleted {
+		existing.value = []byte(rapid.SampledFrom([]string{"a", "damaged"}).Draw(t, "to"))
 		return
 	}
 	table.storeRecord(record{key: key, index: table.index, value: []byte("extra")})
--- a/internal/system/feed/replication.go
+++ b/internal/system/feed/replication.go
@@ -87,15 +87,15 @@
 
 // isNewer reports whether an item is newer than what the table holds under its key.
 func (t *Table) isNewer(item Item) bool {
-	held := t.records[item.Key]
-	return held == nil && item.Index > t.tombstoneHorizon || held != nil && item.Index > held.index
+	existing := t.records[item.Key]
+	return existing == nil && item.Index > t.tombstoneHorizon || existing != nil && item.Index > existing.index
 }
 
 // storeItem stores an item and reports whether this changed the state of its key.
 func (t *Table) storeItem(now time.Duration, item Item) bool {
-	held := t.records[item.Key]
-	same := held != nil && held.deleted == item.Deleted && bytes.Equal(held.value, item.Value)
-	if held == nil && item.Deleted {
+	existing := t.records[item.Key]
+	same := existing != nil && existing.deleted == item.Deleted && bytes.Equal(existing.value, item.Value)
+	if existing == nil && item.Deleted {
 		same = true
 	}
 	t.storeRecord(recordFromItem(now, item))
--- a/internal/system/feed/replication_test.go
+++ b/internal/system/feed/replication_test.go
@@ -85,15 +85,15 @@
 	table.Put(0, 3, "a", []byte("2"))
 	table.Put(0, 3, "c", []byte("2"))
 	table.Delete(0, 4, "b")
-	whole := table.BatchSince(0, 1, 0)
-	if whole.Snapshot || whole.To != 4 || len(whole.Items) != 3 {
-		t.Fatalf("got %+v", whole)
+	complete := table.BatchSince(0, 1, 0)
+	if complete.Snapshot || complete.To != 4 || len(complete.Items) != 3 {
+		t.Fatalf("got %+v", complete)
 	}
-	cut := table.BatchSince(0, 1, 1)
-	if cut.To != 3 || len(cut.Items) != 2 || cut.Items[0].Key != "a" || cut.Items[1].Key != "c" {
-		t.Fatalf("got %+v", cut)
+	limited := table.BatchSince(0, 1, 1)
+	if limited.To != 3 || len(limited.Items) != 2 || limited.Items[0].Key != "a" || limited.Items[1].Key != "c" {
+		t.Fatalf("got %+v", limited)
 	}
-	rest := table.BatchSince(0, cut.To, 1)
+	rest := table.BatchSince(0, limited.To, 1)
 	if rest.To != 4 || len(rest.Items) != 1 || !rest.Items[0].Deleted {
 		t.Fatalf("got %+v", rest)
 	}
@@ -137,8 +137,8 @@
 	if !batch.Snapshot {
 		t.Fatal("no snapshot for a follower that is behind the horizon")
 	}
-	if gone := follower.Apply(0, batch); len(gone) != items || follower.Len() != 0 {
-		t.Fatalf("%d gone, %d left", len(gone), follower.Len())
+	if deleted := follower.Apply(0, batch); len(deleted) != items || follower.Len() != 0 {
+		t.Fatalf("%d gone, %d left", len(deleted), follower.Len())
 	}
 	if len(table.records) > MaxTombstones {
 		t.Fatalf("%d deletions are remembered", len(table.records))
--- a/internal/system/feed/table.go
+++ b/internal/system/feed/table.go
@@ -132,8 +132,8 @@
 		return false
 	}
 	t.index = index
-	held := t.records[key]
-	if held != nil && !held.deleted && bytes.Equal(held.value, value) {
+	existing := t.records[key]
+	if existing != nil && !existing.deleted && bytes.Equal(existing.value, value) {
 		return false
 	}
 	t.storeRecord(record{key: key, index: index, value: value, changedAt: now})
@@ -147,8 +147,8 @@
 		return false
 	}
 	t.index = index
-	held := t.records[key]
-	if held == nil || held.deleted {
+	existing := t.records[key]
+	if existing == nil || existing.deleted {
 		return false
 	}
 	t.storeRecord(record{key: key, index: index, deleted: true, changedAt: now})
@@ -158,9 +158,9 @@
 
 // storeRecord replaces the record of a key and appends the change to the change list.
 func (t *Table) storeRecord(next record) {
-	held := t.records[next.key]
-	wasLive := held != nil && !held.deleted
-	wasDead := held != nil && held.deleted
+	existing := t.records[next.key]
+	wasLive := existing != nil && !existing.deleted
+	wasDead := existing != nil && existing.deleted
 	t.records[next.key] = &next
 	t.changes = append(t.changes, change{index: next.index, record: &next})
 	if wasDead {
--- a/internal/system/feed/table_test.go
+++ b/internal/system/feed/table_test.go
@@ -13,11 +13,11 @@
 type expectedContents map[string]string
 
 func contentsOf(table *Table) expectedContents {
-	held := expectedContents{}
+	contents := expectedContents{}
 	for key, value := range table.Values("") {
-		held[key] = string(value)
+		contents[key] = string(value)
 	}
-	return held
+	return contents
 }
 
 func testKey(n int) string { return fmt.Sprintf("key/%03d", n) }
--- a/internal/system/policysim/runner.go
+++ b/internal/system/policysim/runner.go
@@ -37,8 +37,8 @@
 		a.respond(func() { a.handleEnd(placement.Interrupted) })
 		return
 	}
-	task, taken := r.engine.Submit(r.sim.now, a.engineRequest())
-	if !taken {
+	task, accepted := r.engine.Submit(r.sim.now, a.engineRequest())
+	if !accepted {
 		a.respond(func() { a.handleEnd(placement.Rejected) })
 		return
 	}
--- a/internal/system/routetable/routetable_test.go
+++ b/internal/system/routetable/routetable_test.go
@@ -107,8 +107,8 @@
 
 // isPrefixFree reports whether no other route has the host and prefix.
 func isPrefixFree(routes map[string]*configuration.Route, next *configuration.Route) bool {
-	for name, held := range routes {
-		if name != next.Name && held.Host == next.Host && held.PathPrefix == next.PathPrefix {
+	for name, other := range routes {
+		if name != next.Name && other.Host == next.Host && other.PathPrefix == next.PathPrefix {
 			return false
 		}
 	}
@@ -118,12 +118,12 @@
 func linearSearch(routes map[string]*configuration.Route, host, path string) *configuration.Route {
 	path, _, _ = strings.Cut(path, "?")
 	var best *configuration.Route
-	for _, held := range routes {
-		if !strings.EqualFold(held.Host, host) || !strings.HasPrefix(path, held.PathPrefix) {
+	for _, route := range routes {
+		if !strings.EqualFold(route.Host, host) || !strings.HasPrefix(path, route.PathPrefix) {
 			continue
 		}
-		if best == nil || len(held.PathPrefix) > len(best.PathPrefix) {
-			best = held
+		if best == nil || len(route.PathPrefix) > len(best.PathPrefix) {
+			best = route
 		}
 	}
 	return best
