--- a/internal/system/configuration/items.go
+++ b/internal/system/configuration/items.go
@@ -20,7 +20,7 @@
 
 // Error says what happened.
 func (e *NoDocumentError) Error() string {
-	return "configuration: no configuration has been taken yet"
+	return "configuration: no configuration has been accepted yet"
 }
 
 // MalformedItemError says that a stored item cannot be read.
--- a/internal/system/discovery/client_test.go
+++ b/internal/system/discovery/client_test.go
@@ -121,7 +121,7 @@
 	client.options.OnSkippedEntries = func(skipped *SkippedEntriesError) { skippedEntries += skipped.Skipped }
 	runners, err := client.List(context.Background())
 	if err != nil || len(runners) != 1 || skippedEntries != 1 {
-		t.Fatalf("got %+v, %v, told of %d", runners, err, skippedEntries)
+		t.Fatalf("got %+v, %v, %d entries reported as skipped", runners, err, skippedEntries)
 	}
 }
 
--- a/internal/system/discovery/list_test.go
+++ b/internal/system/discovery/list_test.go
@@ -42,7 +42,7 @@
 	runners, next, err := DecodeList([]byte(body))
 	var skipped *SkippedEntriesError
 	if !errors.As(err, &skipped) || skipped.Skipped != 4 {
-		t.Fatalf("got %v, want four entries left out", err)
+		t.Fatalf("got %v, want four entries skipped", err)
 	}
 	if len(runners) != 1 || runners[0].ID != "d" || next != "" {
 		t.Fatalf("got %+v and %q", runners, next)
--- a/internal/system/exposition/exposition.go
+++ b/internal/system/exposition/exposition.go
@@ -87,7 +87,7 @@
 		fill(&page)
 		w.Header().Set("Content-Type", ContentType)
 		w.Header().Set("Content-Length", strconv.Itoa(len(page.text)))
-		w.Write(page.text) //nolint:errcheck // the caller has gone: nobody is left to tell
+		w.Write(page.text) //nolint:errcheck // the caller has gone: nobody can be notified
 	})
 	return mux
 }
--- a/internal/system/feed/replication_test.go
+++ b/internal/system/feed/replication_test.go
@@ -138,7 +138,7 @@
 		t.Fatal("no snapshot for a follower that is behind the horizon")
 	}
 	if deleted := follower.Apply(0, batch); len(deleted) != items || follower.Len() != 0 {
-		t.Fatalf("%d gone, %d left", len(deleted), follower.Len())
+		t.Fatalf("%d deleted, %d left", len(deleted), follower.Len())
 	}
 	if len(table.records) > MaxTombstones {
 		t.Fatalf("%d deletions are remembered", len(table.records))
--- a/internal/system/feed/table_test.go
+++ b/internal/system/feed/table_test.go
@@ -66,7 +66,7 @@
 		t.Fatalf("last change %d, index %d", table.LastChangeIndex(), table.Index())
 	}
 	if table.Put(0, 1, "a", []byte("y")) || table.Delete(0, 1, "a") {
-		t.Fatal("an older change was taken")
+		t.Fatal("an older change was applied")
 	}
 }
 
--- a/internal/system/startup/startup_test.go
+++ b/internal/system/startup/startup_test.go
@@ -36,7 +36,7 @@
 	for _, arguments := range [][]string{{"--log-level", "loud"}, {"--unknown"}, {"argument"}} {
 		var flags commandLine
 		if _, err := exampleProgram().parser(&flags).Parse(arguments); err == nil {
-			t.Errorf("%q was taken", arguments)
+			t.Errorf("%q was accepted", arguments)
 		}
 	}
 }
