--- a/internal/shared/lease/lease.go
+++ b/internal/shared/lease/lease.go
@@ -1,10 +1,13 @@
-// Package lease decides whether this dispatcher may take new work by what it knows. It is pure.
+// Package lease decides whether this dispatcher may take new work, by what it knows of discovery and of the other
+// members. It is pure: Lease.Update computes the state from an Input.
 //
-// A member renews its lease by a fresh word of discovery: of its own, or one that a peer passes on and that confirms all that is
-// known here. One that gets no such word takes no new work, but only where others do (F9), and never more than a third at once. What
-// it cannot know it takes for the world's trouble and serves on, as it would alone (F1): where nobody has a fresh word, where
-// it never had peers, and where it lost discovery and all peers at once while its name is not among the third that may take that
-// for their own cut-off (F6).
+// A member renews its lease by a fresh update of discovery: its own, or one that a peer forwards and that confirms all
+// that is known here. A member without one takes no new work, but only if others do have a fresh update, and never more
+// than a third of the members at once (MaxOut).
+//
+// A member that cannot tell takes the fault for a general one and keeps its lease, as it would alone: if nobody has a
+// fresh update; if it never had peers; and if it lost discovery and all peers at the same time, unless it is among the
+// third, chosen by Member.Key, that takes this for its own isolation.
 package lease
 
 import (
@@ -13,18 +16,18 @@
 	"slices"
 )
 
-// State is how a member stands to its lease.
+// State is the state of a lease. It is sent between members.
 type State uint8
 
-// The states.
+// The states of a lease.
 const (
 	Held   State = iota
-	Lapsed       // no fresh word, though others have one: it waits to see who else is so
+	Lapsed       // no fresh update, although others have one; still takes work, and waits to learn who else is
 	Out          // takes no new work
 	states
 )
 
-// String is the state as logs show it.
+// String returns the name of the state, as logs and /api/fleet show it.
 func (s State) String() string {
 	if s >= states {
 		return "unknown"
@@ -33,60 +36,61 @@
 }
 
 const (
-	silenceMultiple  = 3.0  // of a watch of discovery, after which it counts as dead, in a term
-	probeMultiple    = 20.0 // and periods of the view: a word passes the fleet in a few, also where much gets lost
-	lapsedWaitProbes = 6.0  // periods that one whose lease has lapsed waits: the others' laments have come by then
-	discoverySilence = 6.0  // seconds after which discovery has said something new to whoever hears it
-	minFreshMembers  = 2    // members that must have a fresh word: one alone may be wrong
+	silenceMultiple  = 3.0  // terms last at least so many timeouts of the watch of discovery
+	probeMultiple    = 20.0 // and so many probe intervals: an update reaches all members in a few, also under loss
+	lapsedWaitProbes = 6.0  // probe intervals that a lapsed member waits to learn of the others that are lapsed
+	discoverySilence = 6.0  // seconds within which a working discovery sends an update
+	minFreshMembers  = 2    // members that must have a fresh update: one alone may be wrong
 )
 
-// Term is how long a lease lasts without a fresh word where nobody says otherwise, in seconds, by the watch's silence and the
-// view's period.
+// Term returns the default term in seconds: how long a lease lasts without a fresh update. silence is the timeout of
+// the watch of discovery, period the probe interval of the membership, both in seconds.
 func Term(silence, period float64) float64 {
 	return math.Max(silenceMultiple*silence, probeMultiple*period)
 }
 
-// MinTerm is how short it may be: discovery's pauses must not end it, nor the way of a word through the fleet.
+// MinTerm returns the shortest allowed term. It must outlast the pauses of discovery and the time that an update takes
+// to all members.
 func MinTerm(silence, period float64) float64 { return math.Max(silence+1, probeMultiple*period) }
 
-// Member is another one as this one knows it.
+// Member is a member as this one knows it. Times are on this member's clock, in seconds.
 type Member struct {
 	Name         string
-	Key          uint64
-	LastContact  float64 // when it was last heard directly; 0: never
-	LastUpdate   float64 // when it last told a new word of discovery that is of the same list as the own; 0: never
-	DirectUpdate bool    // that was of its own discovery
-	UpdateLead   float64 // seconds by which that word is newer than this one's, by the clocks of those that heard them from discovery
-	State        State   // of its lease, as it says
-	Excluded     bool    // shut out by hand
-	DeadSince    float64 // since when it is held dead; 0: it is not. It may be cut off, and out for all that is known
+	Key          uint64  // hash of the name; no member can choose it
+	LastContact  float64 // time of its last message; 0: never
+	LastUpdate   float64 // time when it last sent a new update of the same list as this member's; 0: never
+	DirectUpdate bool    // the update came from its own discovery
+	UpdateLead   float64 // seconds by which the update is newer than this member's, by the clocks of those that received them from discovery
+	State        State   // of its lease, as it states itself
+	Excluded     bool    // excluded by an operator's order
+	DeadSince    float64 // time when it was declared dead; 0: it is not. It may be isolated, and hence out
 }
 
-// Input is what is known at a time. Times are of the own clock, in seconds.
+// Input is what a member knows at a time. Times are on its own clock, in seconds.
 type Input struct {
 	Now           float64
-	Self          Member   // Heard says nothing; Word is the last that confirmed all that is known here
-	LastDiscovery float64  // when the own discovery last spoke; 0: never
-	Others        []Member // all that may be sending
+	Self          Member   // LastContact is not used; LastUpdate is the last that confirmed all that is known here
+	LastDiscovery float64  // time of the last update of the own discovery; 0: never
+	Others        []Member // all other members that may be sending
 }
 
-// Lease is one member's.
+// Lease is one member's lease. The zero state is Held.
 type Lease struct {
-	ProbeInterval float64 // of the view, in seconds
-	Term          float64 // seconds
-	Reason        string  // of the state, for people
+	ProbeInterval float64 // of the membership, in seconds
+	Term          float64 // seconds; see Term and MinTerm
+	Reason        string  // of the state, for operators; set by Update
 
 	state    State
-	lapsedAt float64 // since when
+	lapsedAt float64 // time when the state became Lapsed
 }
 
-// State is how the member stands.
+// State returns the current state.
 func (l *Lease) State() State { return l.state }
 
-// MaxOut is how many of so many members may be out at once.
+// MaxOut returns how many of the given number of members may be out at once.
 func MaxOut(members int) int { return members / 3 }
 
-// Update works the state out.
+// Update computes and returns the state.
 func (l *Lease) Update(in *Input) State {
 	was := l.state
 	l.state, l.Reason = l.evaluate(in)
@@ -96,9 +100,10 @@
 	return l.state
 }
 
+// evaluate returns the state and its reason.
 func (l *Lease) evaluate(in *Input) (State, string) {
 	if in.Self.Excluded {
-		if withinQuota(in, func(m *Member) bool { return m.Excluded || m.State == Out }) {
+		if withinMaxOut(in, func(m *Member) bool { return m.Excluded || m.State == Out }) {
 			return Out, "shut out by hand"
 		}
 		return Held, "shut out by hand, but a third of the members are already"
@@ -127,18 +132,18 @@
 		return Held, "nobody has a fresh word"
 	case l.state == Held, in.Now < l.lapsedAt+lapsedWaitProbes*l.ProbeInterval:
 		return Lapsed, "others have a fresh word"
-	case l.state == Out || withinQuota(in, func(m *Member) bool { return m.State != Held || m.Excluded }):
+	case l.state == Out || withinMaxOut(in, func(m *Member) bool { return m.State != Held || m.Excluded }):
 		return Out, "others have a fresh word"
 	}
 	return Lapsed, "others have a fresh word, and a third of the members are out"
 }
 
-// evaluateIsolated judges one that hears neither discovery nor anybody.
+// evaluateIsolated returns the state of a member that reaches neither discovery nor any peer.
 func (l *Lease) evaluateIsolated(in *Input, lastContact float64) (State, string) {
-	// What was known of the others when they were last heard. In a large fleet few are heard within a term: they stand for the rest.
+	// By what was known of the others at the last contact. In a large cluster few are heard from within a term: they are a sample of the rest.
 	considered, withoutDiscovery, dead := 0, 0, 0
 	for i := range in.Others {
-		if m := &in.Others[i]; m.DeadSince > 0 && m.DeadSince <= lastContact { // before: else it is this one that was lost
+		if m := &in.Others[i]; m.DeadSince > 0 && m.DeadSince <= lastContact { // dead before the last contact: else it is this member that was isolated
 			dead++
 		}
 		if m := &in.Others[i]; m.LastContact > 0 && m.LastContact >= lastContact-l.Term {
@@ -161,7 +166,7 @@
 		return Held, "cut off, and the others had no discovery either"
 	case l.state == Out:
 		return Out, "cut off"
-	case in.LastDiscovery < lastContact-2*l.ProbeInterval && unreachable+1 <= MaxOut(members): // it lost discovery first, as the others saw
+	case in.LastDiscovery < lastContact-2*l.ProbeInterval && unreachable+1 <= MaxOut(members): // it lost discovery first, which the others saw
 		return Out, "cut off, after discovery was lost while others had it"
 	case rank(in) < MaxOut(members)-unreachable:
 		return Out, "cut off from discovery and all others"
@@ -169,7 +174,7 @@
 	return Held, "cut off, but not among the third that may take it for their own fault"
 }
 
-// rank is this member's place in an order of all that none of them can choose.
+// rank returns the position of this member in an order that no member can choose.
 func rank(in *Input) (place int) {
 	for i := range in.Others {
 		if in.Others[i].Key < in.Self.Key {
@@ -179,9 +184,9 @@
 	return place
 }
 
-// withinQuota says whether this member is among those that the quota has room for: those that are out already go before, then by an order
-// that is the same everywhere.
-func withinQuota(in *Input, candidate func(*Member) bool) bool {
+// withinMaxOut reports whether this member is among the first MaxOut of the members that are out or candidates: members
+// that are out come first, the rest in an order that is the same at all members.
+func withinMaxOut(in *Input, candidate func(*Member) bool) bool {
 	candidates := []Member{in.Self}
 	for i := range in.Others {
 		if in.Others[i].DeadSince > 0 || candidate(&in.Others[i]) {
@@ -189,12 +194,13 @@
 		}
 	}
 	slices.SortFunc(candidates, func(x, y Member) int {
-		return cmp.Or(cmp.Compare(outFirst(&y), outFirst(&x)), cmp.Compare(x.Key, y.Key), cmp.Compare(x.Name, y.Name))
+		return cmp.Or(cmp.Compare(outRank(&y), outRank(&x)), cmp.Compare(x.Key, y.Key), cmp.Compare(x.Name, y.Name))
 	})
 	return slices.IndexFunc(candidates, func(m Member) bool { return m.Name == in.Self.Name }) < MaxOut(1+len(in.Others))
 }
 
-func outFirst(m *Member) int {
+// outRank is the sort key of members that are out or may be.
+func outRank(m *Member) int {
 	if m.State == Out || m.DeadSince > 0 {
 		return 1
 	}
--- a/internal/shared/lease/lease_test.go
+++ b/internal/shared/lease/lease_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// simulation is members that all know the same of one another: what each is judged by is made from it.
+// simulation is members that all know the same of each other, from which the input of each is made.
 type simulation struct {
 	now           float64
 	members       []Member
@@ -29,7 +29,8 @@
 	return sim
 }
 
-// step lets a second pass; speaks are those whose discovery does. Words are passed on among those that hear.
+// step advances by a second. reachable returns the members whose discovery works. Updates are forwarded among the
+// members that are not isolated.
 func (s *simulation) step(reachable func(i int) bool) (out int) {
 	s.now++
 	anybody := false
@@ -80,7 +81,8 @@
 func everyone(int) bool { return true }
 func nobody(int) bool   { return false }
 
-// Discovery is down for all, or for all but one that passes its words on: nobody is out.
+// TestNobodyIsOutWithoutFreshUpdates has discovery be down for all, or for all but one that forwards its updates:
+// nobody is out.
 func TestNobodyIsOutWithoutFreshUpdates(t *testing.T) {
 	for _, n := range []int{1, 2, 5, 30} {
 		sim := newSimulation(n)
@@ -94,7 +96,8 @@
 	}
 }
 
-// One of five loses discovery, as the others see, and then everybody: it is out after its term, and in again with the first word.
+// TestIsolatedMemberIsOut has one of five lose discovery, which the others see, and then all peers: it is out after its
+// term, and back with the first update.
 func TestIsolatedMemberIsOut(t *testing.T) {
 	sim := newSimulation(5)
 	reachable := func(i int) bool { return i != 2 }
@@ -118,8 +121,8 @@
 	}
 }
 
-// All lose discovery and each other at once: no more than a third take it for their own fault, and where discovery
-// was lost by all before, nobody does.
+// TestAtMostAThirdIsOutWhenAllAreIsolated has all lose discovery and each other at once: no more than a third take it
+// for their own fault, and nobody does if discovery was lost by all before.
 func TestAtMostAThirdIsOutWhenAllAreIsolated(t *testing.T) {
 	for n := 1; n < 40; n++ {
 		sim := newSimulation(n)
@@ -143,7 +146,8 @@
 	}
 }
 
-// Two thirds are behind and do not catch up, while the rest have a fresh word: a third at most is out.
+// TestAtMostAThirdIsOutWhenMostAreStale has two thirds be stale while the rest have fresh updates: at most a third is
+// out.
 func TestAtMostAThirdIsOutWhenMostAreStale(t *testing.T) {
 	for _, n := range []int{6, 9, 30} {
 		sim := newSimulation(n)
@@ -163,7 +167,7 @@
 	}
 }
 
-// updateAll judges all by words as they are: nothing is passed on.
+// updateAll updates all leases without forwarding updates.
 func (s *simulation) updateAll() int {
 	s.now--
 	word := append([]float64(nil), s.lastUpdate...)
@@ -173,7 +177,7 @@
 	return out
 }
 
-// By hand: the order binds, but never more than a third.
+// TestExclusion checks that an order of exclusion binds, but never for more than a third.
 func TestExclusion(t *testing.T) {
 	sim := newSimulation(5)
 	sim.excluded[1] = true
@@ -192,8 +196,8 @@
 	}
 }
 
-// Whoever speaks, hears and is ordered out in whatever turn: one that has a fresh word and no order is never out, and where all
-// know the same there is never more than a third out.
+// TestLeaseInvariants plays random losses of discovery and peers and random orders: a member with a fresh update and
+// without an order is never out, and while all know the same never more than a third is out.
 func TestLeaseInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 16).Draw(t, "members")
--- a/internal/shared/membership/export_test.go
+++ b/internal/shared/membership/export_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// CheckInvariants says what of a machine's books does not add up; empty is nothing.
+// CheckInvariants returns what is inconsistent in a node's state, empty if nothing is.
 func (n *Node) CheckInvariants() string {
 	alive, suspects, deads := 0, 0, 0
 	var view, names, facts uint64
@@ -48,5 +48,5 @@
 	return ""
 }
 
-// Seal puts checksum and format before a body.
+// Seal returns a datagram with the given body.
 func Seal(body []byte) []byte { return seal(append(make([]byte, headerSize), body...)) }
--- a/internal/shared/membership/measurements_test.go
+++ b/internal/shared/membership/measurements_test.go
@@ -23,7 +23,7 @@
 	losses       = flag.String("fleet.losses", "0,0.05,0.2", "shares of the messages that get lost")
 )
 
-// trial is what one seed shows.
+// trial is the result of one seed.
 type trial struct {
 	join, found     float64 // periods until one view: after a start of all at once; after one in ten was killed
 	wrong           int     // members held dead that ran
@@ -34,7 +34,7 @@
 
 const never = math.MaxInt32
 
-// play plays a fleet of n: all start within a period, run for a while, one in ten is killed.
+// play plays a cluster of n: all start within a probe interval, run for a while, and one in ten is killed.
 func play(seed uint64, n int, loss float64, plain bool) (r trial) {
 	net := virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: loss, Delay: 0.002, Jitter: 0.01, Plain: plain, Bytes: 7}, n)
 	until := func(alive, dead int, limit float64) float64 {
@@ -86,7 +86,7 @@
 	return r
 }
 
-// memory is what a member's machine takes for each other one it knows, in bytes.
+// memory returns the bytes that a node takes for each other member.
 func memory(n int) float64 {
 	net := virtualcluster.New(virtualcluster.Options{Seed: 1}, n)
 	net.StartAll(1)
@@ -107,7 +107,7 @@
 	return float64(before.HeapAlloc-after.HeapAlloc) / float64(n-1) / float64(n)
 }
 
-// row plays all seeds of a row, side by side.
+// row plays all seeds of a row, in parallel.
 func row(n int, loss float64, plain bool) []trial {
 	all := make([]trial, *measureSeeds)
 	if plain {
@@ -204,7 +204,8 @@
 
 type point struct{ x, y float64 }
 
-// plot draws periods to one view over the size of the fleet, both on logarithmic scales. A line ends where there was none.
+// plot draws the probe intervals to one view over the size of the cluster, both on logarithmic scales. A line ends
+// where there was none.
 func plot(lines map[string][]point) string {
 	const width, height, left, top = 640, 400, 60, 20
 	x := func(v float64) float64 { return left + (width-left-180)*(math.Log10(v)-0.5)/3 }
--- a/internal/shared/membership/node_test.go
+++ b/internal/shared/membership/node_test.go
@@ -31,8 +31,8 @@
 	return r
 }
 
-// Whatever comes, in whatever order: the books add up, what goes out fits a datagram and can be read, and nobody is taken
-// for dead on the own word of another about oneself.
+// TestAnyMessages plays random calls and messages: the invariants hold, what is sent fits a datagram and can be
+// decoded, and no message of another member changes this one's own state.
 func TestAnyMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		node := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], Seeds: testAddrs[1:2], ProbeInterval: 1, Generation: 3, RandomSeed: 7,
@@ -89,7 +89,7 @@
 	})
 }
 
-// The same input gives the same output, bit for bit.
+// TestDeterminism checks that the same input gives the same output, bit for bit.
 func TestDeterminism(t *testing.T) {
 	play := func() (out [][]byte) {
 		net := newLossyNet(9, 12)
@@ -150,7 +150,7 @@
 	}
 }
 
-// Nothing that comes by the network ends the reader, and what is taken can be written again.
+// FuzzDecode checks that no datagram makes Decode or a node panic, and that what is decoded can be encoded.
 func FuzzDecode(f *testing.F) {
 	b, err := membership.Encode(exampleMessage())
 	if err != nil {
@@ -178,7 +178,8 @@
 	})
 }
 
-// Word of a later start under one's own name, even as if from it, is not enough to withdraw: only an answer from there is.
+// TestNameClaimIsVerified checks that a record of a later start under one's own name, even as if from there, is not
+// enough to withdraw: only an ack from its address is.
 func TestNameClaimIsVerified(t *testing.T) {
 	start := func() *membership.Node {
 		node := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
@@ -210,7 +211,7 @@
 	}
 }
 
-// Names that somebody makes up take a bounded room, and the loop's time stays bounded with it.
+// TestForgedNamesAreBounded checks that forged names and requests take bounded memory.
 func TestForgedNamesAreBounded(t *testing.T) {
 	node := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
 	node.Start(0)
@@ -236,7 +237,8 @@
 	}
 }
 
-// What was heard before is dropped, what comes late by a little is not; an earlier life's is dropped.
+// TestDuplicatesAndReplays checks that messages received before and messages of an earlier generation are dropped, and
+// that messages out of order by a little are not.
 func TestDuplicatesAndReplays(t *testing.T) {
 	node := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
 	node.Start(0)
@@ -249,7 +251,7 @@
 	if node.Duplicates != 0 {
 		t.Errorf("%d dropped that were new", node.Duplicates)
 	}
-	for _, n := range []uint64{5, 3, 100, 20} { // the last one is older than what is kept in mind
+	for _, n := range []uint64{5, 3, 100, 20} { // the last one is beyond the window
 		receive(7, n)
 	}
 	if node.Duplicates != 4 {
--- a/internal/shared/membership/simulation_test.go
+++ b/internal/shared/membership/simulation_test.go
@@ -12,7 +12,7 @@
 
 var seed = flag.Uint64("fleet.seed", 0, "play this seed alone")
 
-// runSeeds has a test played with several seeds, each named, or with the one of the flag.
+// runSeeds runs a test with n seeds, each a subtest, or with the one of the flag.
 func runSeeds(t *testing.T, n uint64, play func(t *testing.T, seed uint64)) {
 	first := uint64(1)
 	if *seed != 0 {
@@ -23,7 +23,8 @@
 	}
 }
 
-// waitConverged waits for one view that has so many living members.
+// waitConverged waits until all have one view with the given number of alive members. It returns the time in probe
+// intervals.
 func waitConverged(t *testing.T, net *virtualcluster.Net, alive int, periods float64) float64 {
 	t.Helper()
 	took, ok := net.Until(periods*net.Period, net.Period/2, func() bool {
@@ -57,7 +58,7 @@
 	return virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: 0.05, Delay: 0.002, Jitter: 0.01, Repeat: 0.01}, n)
 }
 
-// newConvergedNet is a fleet of so many that holds one view.
+// newConvergedNet returns a cluster of n members that has converged.
 func newConvergedNet(t *testing.T, seed uint64, n int) *virtualcluster.Net {
 	t.Helper()
 	net := newLossyNet(seed, n)
@@ -66,7 +67,7 @@
 	return net
 }
 
-// F3: whatever the size, members that start together find each other by one seed.
+// TestJoin checks that members that start together find each other through one seed, at any size.
 func TestJoin(t *testing.T) {
 	for _, n := range []int{2, 3, 10, 60, 300} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -92,7 +93,7 @@
 	}
 }
 
-// The only seed comes up last: those that wait for it must ask again.
+// TestSeedStartsLast starts the only seed last: members that wait for it must ping it again.
 func TestSeedStartsLast(t *testing.T) {
 	runSeeds(t, 3, func(t *testing.T, seed uint64) {
 		net := newLossyNet(seed, 8)
@@ -105,7 +106,7 @@
 	})
 }
 
-// A process that is killed is found, by all, and its restart under the name is taken as itself.
+// TestKillAndRestart checks that all detect a killed process, and accept its restart under the same name.
 func TestKillAndRestart(t *testing.T) {
 	runSeeds(t, 5, func(t *testing.T, seed uint64) {
 		net := newConvergedNet(t, seed, 12)
@@ -120,7 +121,8 @@
 	})
 }
 
-// Stopped for 2, 8 and 60 s, stopped again while suspected; it comes back as itself, and blames nobody for its sleep.
+// TestPausedProcess pauses a process for 2, 8 and 60 s, and again while it may be suspected: it comes back with its
+// generation, and declares nobody dead because of the pause.
 func TestPausedProcess(t *testing.T) {
 	for _, span := range []float64{2, 8, 60} {
 		t.Run(fmt.Sprint(span), func(t *testing.T) {
@@ -149,7 +151,7 @@
 	}
 }
 
-// One way cut: A hears B, B does not hear A. Neither is lost, since others hear both.
+// TestOneWayPartition drops what A sends to B. Neither is declared dead, since others reach both.
 func TestOneWayPartition(t *testing.T) {
 	runSeeds(t, 5, func(t *testing.T, seed uint64) {
 		net := newConvergedNet(t, seed, 6)
@@ -164,7 +166,7 @@
 	})
 }
 
-// A half-open triangle: of three, A and B do not hear each other at all, C hears both.
+// TestNonTransitiveConnectivity separates A from B, while C reaches both.
 func TestNonTransitiveConnectivity(t *testing.T) {
 	runSeeds(t, 5, func(t *testing.T, seed uint64) {
 		net := virtualcluster.New(virtualcluster.Options{Seed: seed, Delay: 0.002, Jitter: 0.01}, 3)
@@ -186,7 +188,8 @@
 	})
 }
 
-// Three islands that heal in turn, after half an hour: all are one fleet again, by the seeds, and without any by asking the dead.
+// TestPartitionsHeal heals three partitions one after the other, after half an hour: all members are one cluster again,
+// through the seeds, or without any by pings of dead members.
 func TestPartitionsHeal(t *testing.T) {
 	runSeeds(t, 4, func(t *testing.T, seed uint64) {
 		net := newConvergedNet(t, seed, 15)
@@ -218,7 +221,7 @@
 	})
 }
 
-// A flapping link, and 30% loss: nobody that answers is lost for good, and the view settles after it.
+// TestFlappingLinkAndLoss has a flapping link and 30% loss: the view converges afterwards.
 func TestFlappingLinkAndLoss(t *testing.T) {
 	runSeeds(t, 3, func(t *testing.T, seed uint64) {
 		net := virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: 0.3, Delay: 0.002, Jitter: 0.05}, 12)
@@ -233,7 +236,7 @@
 	})
 }
 
-// One member at a hundredth of its CPU: it sees everything 1.5 s late. The others are not blamed by it, and are not lost.
+// TestSlowMember has a member see everything 1.5 s late: it declares nobody dead for it.
 func TestSlowMember(t *testing.T) {
 	runSeeds(t, 5, func(t *testing.T, seed uint64) {
 		net := newConvergedNet(t, seed, 10)
@@ -252,7 +255,7 @@
 	})
 }
 
-// Seven in ten are killed at once, and come back.
+// TestMassFailure kills seven in ten at once, and restarts them.
 func TestMassFailure(t *testing.T) {
 	runSeeds(t, 3, func(t *testing.T, seed uint64) {
 		net := newConvergedNet(t, seed, 50)
@@ -267,7 +270,7 @@
 	})
 }
 
-// Leaving by word: nobody is suspected, and the name is gone within periods.
+// TestLeave checks that nobody suspects a member that left, and that it is gone within a few probe intervals.
 func TestLeave(t *testing.T) {
 	runSeeds(t, 5, func(t *testing.T, seed uint64) {
 		net := newConvergedNet(t, seed, 10)
@@ -283,7 +286,7 @@
 	})
 }
 
-// Two processes under one name: the later start stays, the other says so and takes no part.
+// TestDuplicateName runs two processes with one name: the later start keeps it, the other withdraws.
 func TestDuplicateName(t *testing.T) {
 	runSeeds(t, 5, func(t *testing.T, seed uint64) {
 		net := newConvergedNet(t, seed, 6)
@@ -302,8 +305,8 @@
 	})
 }
 
-// A restart after the clock was put back by a minute: its life is earlier than the one it follows. It stands at the same
-// address, so the other one cannot be there.
+// TestClockStep restarts a process after its clock was set by a minute. Its generation may be lower than before; the
+// address shows that no other process has the name.
 func TestClockStep(t *testing.T) {
 	for _, skew := range []float64{-60, 60} {
 		runSeeds(t, 3, func(t *testing.T, seed uint64) {
@@ -321,7 +324,7 @@
 	}
 }
 
-// The same address under another name: the old name is found to be gone, the new one is there.
+// TestNameChangeAtSameAddress restarts a process under another name: the old name is declared dead.
 func TestNameChangeAtSameAddress(t *testing.T) {
 	runSeeds(t, 3, func(t *testing.T, seed uint64) {
 		net := newConvergedNet(t, seed, 6)
@@ -339,9 +342,9 @@
 	})
 }
 
-// Faults drawn from a seed: processes killed, started, stopped and continued, ways cut one way and both, islands, loss, slow
-// members; all at once and in any order. The books add up all the while, and after the last fault all hold one view within
-// 80 periods, whatever came before.
+// TestRandomFaults plays random faults: processes killed, started, paused and resumed, one-way and full partitions,
+// loss, slow members, all at once and in any order. The invariants hold all the while, and after the last fault all
+// have one view within 80 probe intervals.
 func TestRandomFaults(t *testing.T) {
 	runSeeds(t, 40, func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 99))
@@ -403,8 +406,9 @@
 	})
 }
 
-// F11: once the view has settled a member says as much as in a small fleet. News of a join goes on for n log n records otherwise, told
-// to those who know: 4.5 KB a member and period for 45 periods at 300 members, for 140 at 1,000.
+// TestTrafficWhenConverged checks that once the view has converged a member sends as much as in a small cluster.
+// Otherwise broadcasts of joins, already known to all, would go on for n log n records: 4.5 KB a member and probe
+// interval for 45 intervals at 300 members, for 140 at 1,000.
 func TestTrafficWhenConverged(t *testing.T) {
 	for _, n := range []int{10, 100, 300} {
 		net := virtualcluster.New(virtualcluster.Options{Seed: 3, Delay: 0.002, Jitter: 0.01, Bytes: 1}, n)
