--- a/internal/system/control/metrics.go
+++ b/internal/system/control/metrics.go
@@ -7,7 +7,7 @@
 	"cinderroad/internal/system/exposition"
 )
 
-// writeMetrics writes the process's own figures.
+// writeMetrics writes the process's own metrics.
 func (p *Process) writeMetrics(page *exposition.Page) {
 	p.writeStateMetrics(page)
 	p.writePartitionMetrics(page)
@@ -26,7 +26,7 @@
 	page.Metric(exposition.Counter, "cinderroad_control_discovery_calls_total", "Calls to the platform.", float64(duty.CallCount))
 }
 
-// writePartitionMetrics writes what tells of each replica of the control state.
+// writePartitionMetrics writes the metrics of each local replica.
 func (p *Process) writePartitionMetrics(page *exposition.Page) {
 	partitions := p.host.Status()
 	label := func(i int) exposition.Label {
@@ -51,7 +51,7 @@
 	}
 }
 
-// writeDirectoryMetrics writes which proxies look-ups may name.
+// writeDirectoryMetrics writes the numbers of proxies by state, as the directory sees them.
 func (p *Process) writeDirectoryMetrics(page *exposition.Page) {
 	var usable, stopping, starting, lost int
 	edges := p.Edges()
--- a/internal/system/control/status.go
+++ b/internal/system/control/status.go
@@ -11,18 +11,18 @@
 	"cinderroad/internal/system/replica"
 )
 
-// encodeStatus describes the process for operators, as JSON.
+// encodeStatus returns the body of api.PathStatus.
 func (p *Process) encodeStatus() []byte {
 	body, err := json.Marshal(p.buildStatus())
 	if err != nil {
-		panic("control: a status that can't be encoded: " + err.Error()) // it holds numbers and strings alone
+		panic("control: a status that can't be encoded: " + err.Error()) // it holds numbers and strings only
 	}
 	return body
 }
 
 func (p *Process) buildStatus() *status.Control {
 	members := p.gossip.View()
-	out := &status.Control{
+	description := &status.Control{
 		Node:           p.settings.Load().Node,
 		Release:        p.version,
 		Version:        p.configuration.Version(),
@@ -33,15 +33,15 @@
 		Members:        make([]status.Member, 0, len(members)),
 	}
 	for _, partition := range p.host.Status() {
-		out.Partitions = append(out.Partitions, p.describePartition(&partition))
+		description.Partitions = append(description.Partitions, p.describePartition(&partition))
 	}
 	for i := range members {
 		if members[i].Usable() {
-			out.ReadyProxies++
+			description.ReadyProxies++
 		}
-		out.Members = append(out.Members, describeMember(&members[i]))
+		description.Members = append(description.Members, describeMember(&members[i]))
 	}
-	return out
+	return description
 }
 
 func (p *Process) describeDiscovery() status.Discovery {
@@ -71,7 +71,7 @@
 
 func (p *Process) describePartition(partition *replica.PartitionStatus) status.Partition {
 	group := &partition.Status
-	out := status.Partition{
+	description := status.Partition{
 		Partition:    uint16(partition.Partition),
 		Replica:      replicaName(group.ID),
 		Role:         roleName(group.Role),
@@ -85,16 +85,16 @@
 		Replicas:     make([]status.Replica, 0, len(group.Membership.Members)),
 	}
 	if lease, leads := p.host.LeaderLease(partition.Partition); leads {
-		out.LeaseMS = lease.Milliseconds()
+		description.LeaseMS = lease.Milliseconds()
 	}
 	for _, member := range group.Membership.Members {
-		out.Replicas = append(out.Replicas, status.Replica{Replica: replicaName(member.ID), Node: member.Node,
+		description.Replicas = append(description.Replicas, status.Replica{Replica: replicaName(member.ID), Node: member.Node,
 			Zone: member.Zone, Address: member.Address, Voter: member.Voter})
 	}
-	return out
+	return description
 }
 
-// itemCount is how many items a partition holds here.
+// itemCount returns the number of items that the local replica of a partition holds.
 func (p *Process) itemCount(partition int) int {
 	if partition == 0 {
 		return p.configuration.Len()
@@ -116,9 +116,24 @@
 	}
 }
 
+// replicaName is the ID as operators see it; empty for none.
 func replicaName(id consensus.ReplicaID) string {
 	if id == 0 {
 		return ""
 	}
 	return fmt.Sprintf("%016x", uint64(id))
 }
+
+func roleName(role consensus.Role) string {
+	switch role {
+	case consensus.Follower:
+		return "follower"
+	case consensus.PreCandidate:
+		return "pre-candidate"
+	case consensus.Candidate:
+		return "candidate"
+	case consensus.Leader:
+		return "leader"
+	}
+	return "unknown"
+}
--- a/internal/system/control/stop.go
+++ b/internal/system/control/stop.go
@@ -4,7 +4,6 @@
 	"context"
 	"time"
 
-	"go.uber.org/multierr"
 	"go.uber.org/zap"
 
 	"cinderroad/internal/system/gossip"
@@ -12,29 +11,34 @@
 )
 
 const (
-	announceTime    = 1500 * time.Millisecond // after SIGTERM, while others are told
-	announceDivisor = 4                       // of the grace period, one part in so many, at most
-	exitMargin      = time.Second             // before the end of the grace period
-	drainDivisor    = 2                       // of what is left then, one part in so many, for calls under way; the rest to hand over
-	abortTimeout    = time.Second             // for calls under way when the process can't go on
+	// announceTime is how long the process serves on after the signal while the other members learn of the shutdown; at
+	// most one announceDivisor-th of the grace period.
+	announceTime    = 1500 * time.Millisecond
+	announceDivisor = 4
+	// exitMargin is left of the grace period when the process exits.
+	exitMargin = time.Second
+	// drainDivisor: one part in so many of the rest is for calls in flight, the remainder for handing over.
+	drainDivisor = 2
+	// abortTimeout is for calls in flight when the process can't go on.
+	abortTimeout = time.Second
 )
 
-// stopPlan says how long a process that was told to stop takes for what, one after the other.
+// stopPlan is how long the steps of a shutdown take, one after the other.
 type stopPlan struct {
-	announce time.Duration // it goes on taking calls, while the others are told
-	drain    time.Duration // calls under way end; less if there are none
-	total    time.Duration // all of it, with handing over leadership and votes
+	announce time.Duration // calls are still accepted while the other members are told
+	drain    time.Duration // calls in flight end; less if there are none
+	total    time.Duration // all steps, with handing leadership and votes over
 }
 
-// newStopPlan divides the grace period, from the signal to stop until the process is killed.
+// newStopPlan divides the grace period: the time from the signal until the platform kills the process.
 func newStopPlan(grace time.Duration) stopPlan {
 	within := max(0, grace-exitMargin)
 	serveOn := min(announceTime, within/announceDivisor)
 	return stopPlan{announce: serveOn, drain: (within - serveOn) / drainDivisor, total: within}
 }
 
-// Run returns nil once the context has ended and the process has handed over what it does, or an error if the process
-// can't go on.
+// Run returns nil once the context has ended and the process has shut down gracefully, or an error if the process can't
+// go on.
 func (p *Process) Run(ctx context.Context) error {
 	plan := newStopPlan(p.settings.Load().Timing.GracePeriod)
 	select {
@@ -49,8 +53,8 @@
 	return nil
 }
 
-// stop tells the others, serves on for a while, ends what is under way and hands leadership and votes over, all within a
-// time, also where the disk hangs.
+// stop announces the shutdown, serves on for a while, drains calls and hands leadership and votes over, all within
+// plan.total, even if the disk hangs.
 func (p *Process) stop(plan stopPlan) {
 	ctx, cancel := context.WithTimeout(context.Background(), plan.total)
 	defer cancel()
@@ -68,20 +72,9 @@
 	p.goroutines.Wait()
 }
 
-// leave has the other members know, if this one has joined.
+// leave tells the other members, if this process has joined.
 func (p *Process) leave() {
 	if p.gossip != nil {
 		p.gossip.Leave()
 	}
 }
-
-// closeServers ends the HTTP servers; calls under way have a while to end.
-func (p *Process) closeServers(within time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
-	defer cancel()
-	var err error
-	for _, server := range p.servers {
-		err = multierr.Append(err, server.Shutdown(ctx))
-	}
-	return err
-}
--- a/internal/system/control/stop_test.go
+++ b/internal/system/control/stop_test.go
@@ -16,6 +16,6 @@
 	}
 	plan := newStopPlan(8 * time.Second)
 	if plan.announce != announceTime || plan.drain < 2*api.ResponseTimeout || plan.total-plan.announce-plan.drain < 2*time.Second {
-		t.Errorf("a grace period as in service leaves too little for a part of it: %+v", plan)
+		t.Errorf("a grace period as deployed leaves too little for a part of it: %+v", plan)
 	}
 }
