--- a/internal/shared/httpwire/body.go
+++ b/internal/shared/httpwire/body.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	mostChunkLine = 1024     // bytes
-	mostTrailer   = 16 << 10 // bytes
-	maxChunk      = 1 << 31  // bytes
+	maxChunkLineBytes = 1024     // bytes
+	maxTrailerBytes   = 16 << 10 // bytes
+	maxChunkBytes     = 1 << 31  // bytes
 )
 
 // FramingKind says how the end of a body is told.
@@ -30,8 +30,8 @@
 }
 
 // requestFraming reads how the body of a request is framed.
-func requestFraming(h Header, version string) (Framing, error) {
-	f, err := framing(h)
+func requestFraming(header Header, version string) (Framing, error) {
+	f, err := framing(header)
 	if err != nil {
 		return f, err
 	}
@@ -42,12 +42,12 @@
 }
 
 // responseFraming reads how the body of a response is framed.
-func responseFraming(p *ResponseHead, method string) (Framing, error) {
-	f, err := framing(p.Header)
+func responseFraming(head *ResponseHead, method string) (Framing, error) {
+	f, err := framing(head.Header)
 	switch {
 	case err != nil:
 		return f, err
-	case method == "HEAD" || p.Status == 204 || p.Status == 304:
+	case method == "HEAD" || head.Status == 204 || head.Status == 304:
 		return Framing{Kind: NoBody}, nil
 	case f.Kind == NoBody:
 		return Framing{Kind: UntilClose}, nil
@@ -57,20 +57,20 @@
 
 // framing reads the length that a header announces. One that is told twice, or both ways, could be read differently by
 // the next machine and hide a request in the body: it is not taken.
-func framing(h Header) (Framing, error) {
-	lengths, codings := h.Count("Content-Length"), h.Count("Transfer-Encoding")
+func framing(header Header) (Framing, error) {
+	lengths, codings := header.Count("Content-Length"), header.Count("Transfer-Encoding")
 	switch {
 	case lengths+codings > 1:
 		return Framing{}, NewSyntaxError(400, "two lengths")
 	case codings == 1:
-		if !strings.EqualFold(h.Get("Transfer-Encoding"), "chunked") {
+		if !strings.EqualFold(header.Get("Transfer-Encoding"), "chunked") {
 			return Framing{}, NewSyntaxError(400, "transfer coding")
 		}
 		return Framing{Kind: Chunked}, nil
 	case lengths == 0:
 		return Framing{Kind: NoBody}, nil
 	}
-	size, err := ParseLength(h.Get("Content-Length"))
+	size, err := ParseLength(header.Get("Content-Length"))
 	return Framing{Kind: ByLength, Length: size}, err
 }
 
@@ -86,26 +86,28 @@
 	return size, nil
 }
 
-// chunkPart is what a chunked body goes on with.
-type chunkPart uint8
+// chunkState is what a chunked body goes on with.
+type chunkState uint8
 
 const (
-	chunkLine chunkPart = iota
-	chunkData
-	chunkEnd
-	chunkTrailer
+	chunkStateLine chunkState = iota
+	chunkStateData
+	chunkStateEnd
+	chunkStateTrailer
 )
 
 // BodyReader takes a body apart as it comes. Its zero value, after Start, reads from the body's first byte.
 type BodyReader struct {
-	kind    FramingKind
-	part    chunkPart
-	left    int64 // bytes of the body, or of the chunk at hand
-	trailer int   // bytes of it so far
+	kind         FramingKind
+	state        chunkState
+	remaining    int64 // bytes of the body, or of the chunk at hand
+	trailerBytes int   // bytes of it so far
 }
 
 // Reset makes the reader ready for a body.
-func (r *BodyReader) Reset(f Framing) { *r = BodyReader{kind: f.Kind, left: f.Length} }
+func (r *BodyReader) Reset(framing Framing) {
+	*r = BodyReader{kind: framing.Kind, remaining: framing.Length}
+}
 
 // Next takes the next bytes of the body from the start of b: data is a part of it, a slice of b; n says how many bytes
 // of b it took, those of the framing included. done says that the body is whole. With no data, no error and not done it
@@ -118,30 +120,30 @@
 	case UntilClose:
 		return b, len(b), false, nil
 	case ByLength:
-		data = r.take(b)
-		return data, len(data), r.left == 0, nil
+		data = r.consume(b)
+		return data, len(data), r.remaining == 0, nil
 	}
 	return r.nextChunked(b)
 }
 
-// take takes what belongs to the chunk or body at hand.
-func (r *BodyReader) take(b []byte) []byte {
-	m := min(int64(len(b)), r.left)
-	r.left -= m
+// consume takes what belongs to the chunk or body at hand.
+func (r *BodyReader) consume(b []byte) []byte {
+	m := min(int64(len(b)), r.remaining)
+	r.remaining -= m
 	return b[:m]
 }
 
 func (r *BodyReader) nextChunked(b []byte) (data []byte, n int, done bool, err error) {
 	for {
-		switch r.part {
-		case chunkData:
-			data = r.take(b[n:])
+		switch r.state {
+		case chunkStateData:
+			data = r.consume(b[n:])
 			n += len(data)
-			if r.left == 0 {
-				r.part = chunkEnd
+			if r.remaining == 0 {
+				r.state = chunkStateEnd
 			}
 			return data, n, false, nil
-		case chunkEnd:
+		case chunkStateEnd:
 			if len(b)-n < 2 {
 				return nil, n, false, nil
 			}
@@ -149,20 +151,20 @@
 				return nil, n, false, NewSyntaxError(400, "chunk end")
 			}
 			n += 2
-			r.part = chunkLine
-		case chunkLine:
-			size, m, err := parseChunkLine(b[n:])
-			if err != nil || m == 0 {
+			r.state = chunkStateLine
+		case chunkStateLine:
+			size, consumed, err := parseChunkLine(b[n:])
+			if err != nil || consumed == 0 {
 				return nil, n, false, err
 			}
-			n += m
-			r.left, r.part = size, chunkData
+			n += consumed
+			r.remaining, r.state = size, chunkStateData
 			if size == 0 {
-				r.part = chunkTrailer
+				r.state = chunkStateTrailer
 			}
-		case chunkTrailer:
-			m, done, err := r.skipTrailer(b[n:])
-			return nil, n + m, done, err
+		case chunkStateTrailer:
+			consumed, done, err := r.skipTrailer(b[n:])
+			return nil, n + consumed, done, err
 		}
 	}
 }
@@ -172,7 +174,7 @@
 	for {
 		end := bytes.Index(b[n:], []byte("\r\n"))
 		if end < 0 {
-			if r.trailer+len(b)-n > mostTrailer {
+			if r.trailerBytes+len(b)-n > maxTrailerBytes {
 				return n, false, NewSyntaxError(431, "trailer too large")
 			}
 			return n, false, nil
@@ -184,7 +186,7 @@
 			return n, false, NewSyntaxError(400, "trailer field")
 		}
 		n += end + 2
-		if r.trailer += end + 2; r.trailer > mostTrailer {
+		if r.trailerBytes += end + 2; r.trailerBytes > maxTrailerBytes {
 			return n, false, NewSyntaxError(431, "trailer too large")
 		}
 	}
@@ -194,7 +196,7 @@
 func parseChunkLine(b []byte) (size int64, n int, err error) {
 	end := bytes.Index(b, []byte("\r\n"))
 	if end < 0 {
-		if len(b) > mostChunkLine {
+		if len(b) > maxChunkLineBytes {
 			return 0, 0, NewSyntaxError(400, "chunk line")
 		}
 		return 0, 0, nil
@@ -204,7 +206,7 @@
 	}
 	digits, _, _ := strings.Cut(string(b[:end]), ";")
 	length, err := strconv.ParseUint(strings.Trim(digits, " \t"), 16, 31)
-	if err != nil || length >= maxChunk {
+	if err != nil || length >= maxChunkBytes {
 		return 0, 0, NewSyntaxError(400, "chunk size")
 	}
 	return int64(length), end + 2, nil
@@ -223,14 +225,14 @@
 		return nil, 0, false, NewSyntaxError(413, "chunk too large")
 	case size == 0:
 		var r BodyReader
-		m, done, err := r.skipTrailer(b[n:])
+		trailerBytes, done, err := r.skipTrailer(b[n:])
 		if err == nil && !done {
 			err = ErrIncomplete
 		}
 		if err != nil {
 			return nil, 0, false, err
 		}
-		return nil, n + m, true, nil
+		return nil, n + trailerBytes, true, nil
 	case len(b) < n+int(size)+2:
 		return nil, 0, false, ErrIncomplete
 	case b[n+int(size)] != '\r' || b[n+int(size)+1] != '\n':
--- a/internal/shared/httpwire/head.go
+++ b/internal/shared/httpwire/head.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	mostBlank = 16 // bytes of empty lines before a request
-	fields    = 16 // of a usual message
+	maxBlankBytes     = 16 // bytes of empty lines before a request
+	typicalFieldCount = 16 // of a usual message
 )
 
 // ErrIncomplete says that the message is not whole yet.
@@ -96,7 +96,7 @@
 		return "", nil, 0, NewSyntaxError(400, "start line")
 	}
 	if rest != "" {
-		header = make(Header, 0, fields)
+		header = make(Header, 0, typicalFieldCount)
 	}
 	for rest != "" {
 		var field string
@@ -113,14 +113,14 @@
 // parseField reads one line of a header or a trailer.
 func parseField(line string) (name, value string, ok bool) {
 	name, value, ok = strings.Cut(line, ":")
-	if !ok || !IsToken(name) || strings.ContainsFunc(value, control) {
+	if !ok || !IsToken(name) || strings.ContainsFunc(value, isControl) {
 		return "", "", false
 	}
 	return name, strings.Trim(value, " \t"), true
 }
 
-// control says whether c is a control byte other than the tab: none belongs into a field's value.
-func control(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
+// isControl says whether c is a control byte other than the tab: none belongs into a field's value.
+func isControl(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
 
 // IsToken says whether s is an HTTP token.
 func IsToken(s string) bool {
@@ -166,7 +166,7 @@
 // SkipBlankLines counts the bytes of empty lines before a request, which are ignored.
 func SkipBlankLines(b []byte) (n int, err error) {
 	for bytes.HasPrefix(b[n:], []byte("\r\n")) {
-		if n += 2; n > mostBlank {
+		if n += 2; n > maxBlankBytes {
 			return 0, NewSyntaxError(400, "no request")
 		}
 	}
@@ -174,28 +174,28 @@
 }
 
 // ParseRequestHead reads the head of a request, of at most limit bytes, and tells how many bytes it took.
-func ParseRequestHead(b []byte, limit int) (q RequestHead, n int, err error) {
+func ParseRequestHead(b []byte, limit int) (head RequestHead, n int, err error) {
 	blank, err := SkipBlankLines(b)
 	if err != nil {
-		return q, 0, err
+		return head, 0, err
 	}
 	line, header, n, err := ParseHead(b[blank:], limit)
 	if errors.Is(err, ErrIncomplete) && !IsMessagePrefix(b[blank:]) {
-		return q, 0, NewSyntaxError(400, "request line") // no more bytes can mend it
+		return head, 0, NewSyntaxError(400, "request line") // no more bytes can mend it
 	}
 	if err != nil {
-		return q, 0, err
+		return head, 0, err
 	}
-	if q.Method, q.Target, q.Version, err = ParseRequestLine(line); err != nil {
-		return q, 0, err
+	if head.Method, head.Target, head.Version, err = ParseRequestLine(line); err != nil {
+		return head, 0, err
 	}
-	q.Header = header
-	q.Close = header.ClosesConnection(q.Version)
-	q.ExpectsContinue = q.Version == "HTTP/1.1" && strings.EqualFold(header.Get("Expect"), "100-continue")
-	if q.Body, err = requestFraming(header, q.Version); err != nil {
-		return q, 0, err
+	head.Header = header
+	head.Close = header.ClosesConnection(head.Version)
+	head.ExpectsContinue = head.Version == "HTTP/1.1" && strings.EqualFold(header.Get("Expect"), "100-continue")
+	if head.Body, err = requestFraming(header, head.Version); err != nil {
+		return head, 0, err
 	}
-	return q, blank + n, nil
+	return head, blank + n, nil
 }
 
 // ParseRequestLine reads the first line of a request, whose target must be in origin form.
@@ -223,32 +223,32 @@
 
 // ParseResponseHead reads the head of the response to a request with the given method, of at most limit bytes; interim
 // responses before it are skipped.
-func ParseResponseHead(b []byte, method string, limit int) (p ResponseHead, n int, err error) {
+func ParseResponseHead(b []byte, method string, limit int) (head ResponseHead, n int, err error) {
 	for {
-		line, header, m, err := ParseHead(b[n:], limit)
+		line, header, headBytes, err := ParseHead(b[n:], limit)
 		if errors.Is(err, ErrIncomplete) && !startsResponse(b[n:]) {
-			return p, 0, NewSyntaxError(502, "status line")
+			return head, 0, NewSyntaxError(502, "status line")
 		}
 		if err != nil {
-			return p, 0, err
+			return head, 0, err
 		}
-		n += m
+		n += headBytes
 		version, status, reason, err := ParseStatusLine(line)
 		if err != nil {
-			return p, 0, err
+			return head, 0, err
 		}
 		if status == 101 {
-			return p, 0, NewSyntaxError(502, "change of protocol")
+			return head, 0, NewSyntaxError(502, "change of protocol")
 		}
 		if status < 200 {
 			continue
 		}
-		p = ResponseHead{Status: status, Reason: reason, Header: header, Close: header.ClosesConnection(version)}
-		if p.Body, err = responseFraming(&p, method); err != nil {
+		head = ResponseHead{Status: status, Reason: reason, Header: header, Close: header.ClosesConnection(version)}
+		if head.Body, err = responseFraming(&head, method); err != nil {
 			return ResponseHead{}, 0, err
 		}
-		p.Close = p.Close || p.Body.Kind == UntilClose
-		return p, n, nil
+		head.Close = head.Close || head.Body.Kind == UntilClose
+		return head, n, nil
 	}
 }
 
--- a/internal/shared/httpwire/httpwire_test.go
+++ b/internal/shared/httpwire/httpwire_test.go
@@ -78,9 +78,9 @@
 		{"hexadecimal length", "POST / HTTP/1.1\r\nContent-Length: 0x3\r\n\r\n", 400, Framing{}, false},
 		{"endless length", "POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", 413, Framing{}, false},
 	} {
-		q, _, err := ParseRequestHead([]byte(tc.in), 128)
-		if got := statusOf(t, err); got != tc.status || err == nil && (q.Body != tc.body || q.Close != tc.close) {
-			t.Errorf("%s: status %d (%v), body %v, close %v", tc.name, got, err, q.Body, q.Close)
+		head, _, err := ParseRequestHead([]byte(tc.in), 128)
+		if got := statusOf(t, err); got != tc.status || err == nil && (head.Body != tc.body || head.Close != tc.close) {
+			t.Errorf("%s: status %d (%v), body %v, close %v", tc.name, got, err, head.Body, head.Close)
 		}
 	}
 }
@@ -114,36 +114,36 @@
 		{"two lengths", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", 400, 0,
 			Framing{}, false},
 	} {
-		p, _, err := ParseResponseHead([]byte(tc.in), tc.method, 4096)
-		if got := statusOf(t, err); got != tc.failure || p.Status != tc.status || err == nil && (p.Body != tc.body ||
-			p.Close != tc.close) {
-			t.Errorf("%s: %d (%v), status %d, body %v, close %v", tc.name, got, err, p.Status, p.Body, p.Close)
+		head, _, err := ParseResponseHead([]byte(tc.in), tc.method, 4096)
+		if got := statusOf(t, err); got != tc.failure || head.Status != tc.status || err == nil && (head.Body != tc.body ||
+			head.Close != tc.close) {
+			t.Errorf("%s: %d (%v), status %d, body %v, close %v", tc.name, got, err, head.Status, head.Body, head.Close)
 		}
 	}
 }
 
 // readAll reads a body that comes in pieces of the given size.
-func readAll(f Framing, in string, size int) (body string, taken int, done bool, err error) {
+func readAll(framing Framing, input string, size int) (body string, taken int, done bool, err error) {
 	var r BodyReader
-	r.Reset(f)
-	var held []byte
-	rest := in
+	r.Reset(framing)
+	var buffered []byte
+	rest := input
 	for {
-		data, n, done, err := r.Next(held)
+		data, n, done, err := r.Next(buffered)
 		body += string(data)
 		taken += n
-		held = held[n:]
+		buffered = buffered[n:]
 		if err != nil || done {
 			return body, taken, done, err
 		}
-		if n > 0 && len(held) > 0 {
+		if n > 0 && len(buffered) > 0 {
 			continue
 		}
 		if rest == "" {
 			return body, taken, false, nil
 		}
 		m := min(size, len(rest))
-		held = append(held, rest[:m]...)
+		buffered = append(buffered, rest[:m]...)
 		rest = rest[m:]
 	}
 }
@@ -192,7 +192,7 @@
 	}
 }
 
-func TestEndToEnd(t *testing.T) {
+func TestIsEndToEnd(t *testing.T) {
 	h := Header{{"Connection", "x-one, X-Two"}, {"connection", "x-three"}}
 	for name, want := range map[string]bool{"Host": true, "X-Try-Id": true, "x-ONE": false, "X-Two": false,
 		"X-Three":    false,
@@ -216,21 +216,21 @@
 	} {
 		f.Add([]byte(seed))
 	}
-	f.Fuzz(func(t *testing.T, in []byte) {
-		q, n, err := ParseRequestHead(in, 4096)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		head, n, err := ParseRequestHead(input, 4096)
 		if err != nil {
 			return
 		}
-		body, taken, done, err := readAll(q.Body, string(in[n:]), len(in))
+		body, taken, done, err := readAll(head.Body, string(input[n:]), len(input))
 		if err != nil || !done {
 			return
 		}
 		for size := range 3 {
-			if b, m, d, err := readAll(q.Body, string(in[n:]), size+1); b != body || m != taken || !d || err != nil {
-				t.Fatalf("by %d bytes: %q, %d, %v, %v; whole: %q, %d", size+1, b, m, d, err, body, taken)
+			if b, count, complete, err := readAll(head.Body, string(input[n:]), size+1); b != body || count != taken || !complete || err != nil {
+				t.Fatalf("by %d bytes: %q, %d, %v, %v; whole: %q, %d", size+1, b, count, complete, err, body, taken)
 			}
 		}
-		reader := bufio.NewReader(bytes.NewReader(in[:n+taken]))
+		reader := bufio.NewReader(bytes.NewReader(input[:n+taken]))
 		std, err := http.ReadRequest(reader)
 		if err != nil {
 			return // the standard library refuses more, such as odd hosts
@@ -239,8 +239,8 @@
 		if err != nil {
 			return
 		}
-		if std.Method != q.Method || std.RequestURI != q.Target || string(stdBody) != body || reader.Buffered() > 0 {
-			t.Fatalf("%s %s %q here, %s %s %q there with %d bytes left", q.Method, q.Target, body, std.Method, std.RequestURI,
+		if std.Method != head.Method || std.RequestURI != head.Target || string(stdBody) != body || reader.Buffered() > 0 {
+			t.Fatalf("%s %s %q here, %s %s %q there with %d bytes left", head.Method, head.Target, body, std.Method, std.RequestURI,
 				stdBody, reader.Buffered())
 		}
 	})
@@ -250,16 +250,16 @@
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
-	f.Fuzz(func(t *testing.T, in []byte) {
-		p, n, err := ParseResponseHead(in, "GET", 4096)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		head, n, err := ParseResponseHead(input, "GET", 4096)
 		if err != nil {
 			return
 		}
-		if n > len(in) || p.Status < 200 || p.Status > 999 {
-			t.Fatalf("status %d after %d of %d bytes", p.Status, n, len(in))
+		if n > len(input) || head.Status < 200 || head.Status > 999 {
+			t.Fatalf("status %d after %d of %d bytes", head.Status, n, len(input))
 		}
-		if body, taken, _, _ := readAll(p.Body, string(in[n:]), 7); n+taken > len(in) || len(body) > taken {
-			t.Fatalf("took %d and %d of %d bytes for %d", n, taken, len(in), len(body))
+		if body, taken, _, _ := readAll(head.Body, string(input[n:]), 7); n+taken > len(input) || len(body) > taken {
+			t.Fatalf("took %d and %d of %d bytes for %d", n, taken, len(input), len(body))
 		}
 	})
 }
--- a/internal/shared/httpwire/write.go
+++ b/internal/shared/httpwire/write.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// reasons are the reason phrases of the statuses that the programs answer with.
-var reasons = map[int]string{200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 404: "Not Found",
+// reasonPhrases are the reason phrases of the statuses that the programs answer with.
+var reasonPhrases = map[int]string{200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
 	431: "Request Header Fields Too Large", 500: "Internal Server Error", 502: "Bad Gateway",
 	503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
 
 // ReasonPhrase is the reason phrase of a status; empty for one that the programs never answer with.
-func ReasonPhrase(status int) string { return reasons[status] }
+func ReasonPhrase(status int) string { return reasonPhrases[status] }
 
 // AppendStatusLine writes the first line of a response.
 func AppendStatusLine(b []byte, status int, reason string) []byte {
--- a/internal/shared/invariant/invariant.go
+++ b/internal/shared/invariant/invariant.go
@@ -3,18 +3,18 @@
 
 import "sync/atomic"
 
-var broken atomic.Uint64
+var violations atomic.Uint64
 
 // Check notes a breach of what must hold.
-func Check(holds bool, what string) {
+func Check(holds bool, description string) {
 	if holds {
 		return
 	}
-	broken.Add(1)
+	violations.Add(1)
 	if PanicOnViolation {
-		panic("invariant: " + what)
+		panic("invariant: " + description)
 	}
 }
 
 // Violations is the number of breaches so far.
-func Violations() uint64 { return broken.Load() }
+func Violations() uint64 { return violations.Load() }
--- a/internal/system/proxy/agentclient/client.go
+++ b/internal/system/proxy/agentclient/client.go
@@ -105,8 +105,8 @@
 // logProblems logs the items that could not be decoded.
 func (c *Client) logProblems(state *feedState) {
 	for _, problem := range state.problems {
-		c.log.Warn("feed: item cannot be read, the one before it stays", zap.String("key", problem.Key),
-			zap.Error(problem.Err))
+		c.log.Warn("feed: item cannot be read, the one before it stays", zap.String("key", problem.key),
+			zap.Error(problem.err))
 	}
 	state.problems = nil
 }
--- a/internal/system/proxy/agentclient/feed_state.go
+++ b/internal/system/proxy/agentclient/feed_state.go
@@ -18,7 +18,7 @@
 	services       map[string]*configuration.Service
 	evacuatedZones map[string]bool
 	runners        map[string]Runner
-	problems       []Problem
+	problems       []problem
 	peersDigest    uint64 // of the last peer list; 0: none
 }
 
@@ -94,7 +94,7 @@
 		err = s.applyRunner(update, item)
 	}
 	if err != nil {
-		s.problems = append(s.problems, Problem{Key: item.Key, Err: err})
+		s.problems = append(s.problems, problem{key: item.Key, err: err})
 	}
 }
 
--- a/internal/system/proxy/agentclient/update.go
+++ b/internal/system/proxy/agentclient/update.go
@@ -31,8 +31,8 @@
 	TerminatesAt   time.Time // zero: unknown
 }
 
-// Problem is an item of the feed that could not be decoded; the previous value of its key stays in force.
-type Problem struct {
-	Key string
-	Err error
+// problem is an item of the feed that could not be decoded; the previous value of its key stays in force.
+type problem struct {
+	key string
+	err error
 }
