--- a/internal/dispatcher/httpfront/director_test.go
+++ b/internal/dispatcher/httpfront/director_test.go
@@ -17,7 +17,7 @@
 // Guards against dispatchers that fail together asking together again, against one that asks a discovery without room
 // as fast as one that has lost its connection, and against a wait that it names being passed over.
 func TestPause(t *testing.T) {
-	refused := refusal("503 Service Unavailable", Header{{"retry-after", "3.5"}})
+	refused := refusal("503 Service Unavailable", Header{{Name: "retry-after", Value: "3.5"}})
 	for _, tc := range []struct {
 		name  string
 		err   error
@@ -30,7 +30,7 @@
 		{"lost", errors.New("reset"), 0, []float64{1, 2, 2}, 3},
 		{"no room", refusal("503", nil), 0, []float64{2, 4, 8, 16, 16}, 3},
 		{"no room, told when", refused, 3.5, []float64{2, 4}, 3},
-		{"no room, told nonsense", refusal("429", Header{{"Retry-After", "-1"}}), 0, []float64{2, 4}, 3},
+		{"no room, told nonsense", refusal("429", Header{{Name: "Retry-After", Value: "-1"}}), 0, []float64{2, 4}, 3},
 		{"no list there", refusal("404 Not Found", nil), 0, []float64{1, 2}, 3},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/shared/httpwire/body.go
+++ b/internal/shared/httpwire/body.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	maxChunkLineBytes = 1024     // bytes
-	maxTrailerBytes   = 16 << 10 // bytes
-	maxChunkBytes     = 1 << 31  // bytes
+	maxChunkLineBytes = 1024
+	maxTrailerBytes   = 16 << 10
+	maxChunkBytes     = 1 << 31
 )
 
-// FramingKind says how the end of a body is told.
+// FramingKind is the way in which the end of a body is determined.
 type FramingKind uint8
 
 // The kinds of framing.
@@ -20,43 +20,17 @@
 	NoBody FramingKind = iota
 	ByLength
 	Chunked
-	UntilClose // of responses alone
+	UntilClose // responses only
 )
 
-// Framing says where a body ends.
+// Framing determines where a body ends.
 type Framing struct {
 	Kind   FramingKind
-	Length int64 // of ByLength
+	Length int64 // bytes, for ByLength
 }
 
-// requestFraming reads how the body of a request is framed.
-func requestFraming(header Header, version string) (Framing, error) {
-	f, err := framing(header)
-	if err != nil {
-		return f, err
-	}
-	if f.Kind == Chunked && version != "HTTP/1.1" {
-		return f, NewSyntaxError(400, "transfer coding")
-	}
-	return f, nil
-}
-
-// responseFraming reads how the body of a response is framed.
-func responseFraming(head *ResponseHead, method string) (Framing, error) {
-	f, err := framing(head.Header)
-	switch {
-	case err != nil:
-		return f, err
-	case method == "HEAD" || head.Status == 204 || head.Status == 304:
-		return Framing{Kind: NoBody}, nil
-	case f.Kind == NoBody:
-		return Framing{Kind: UntilClose}, nil
-	}
-	return f, nil
-}
-
-// framing reads the length that a header announces. One that is told twice, or both ways, could be read differently by
-// the next machine and hide a request in the body: it is not taken.
+// framing returns the framing that a header announces. More than one length or coding is an error: the next hop could
+// read it differently, and a request could be smuggled in the body.
 func framing(header Header) (Framing, error) {
 	lengths, codings := header.Count("Content-Length"), header.Count("Transfer-Encoding")
 	switch {
@@ -74,7 +48,7 @@
 	return Framing{Kind: ByLength, Length: size}, err
 }
 
-// ParseLength reads the value of Content-Length. One that is digits but larger than any body is a body too large.
+// ParseLength parses the value of Content-Length. A number too large for any body is a SyntaxError with status 413.
 func ParseLength(value string) (int64, error) {
 	if value == "" || strings.Trim(value, "0123456789") != "" {
 		return 0, NewSyntaxError(400, "content length")
@@ -86,7 +60,7 @@
 	return size, nil
 }
 
-// chunkState is what a chunked body goes on with.
+// chunkState is the next element expected in a chunked body.
 type chunkState uint8
 
 const (
@@ -96,22 +70,22 @@
 	chunkStateTrailer
 )
 
-// BodyReader takes a body apart as it comes. Its zero value, after Start, reads from the body's first byte.
+// BodyReader decodes a body incrementally. Call Reset before the first byte.
 type BodyReader struct {
 	kind         FramingKind
 	state        chunkState
-	remaining    int64 // bytes of the body, or of the chunk at hand
-	trailerBytes int   // bytes of it so far
+	remaining    int64 // bytes of the body, or of the current chunk
+	trailerBytes int   // bytes read
 }
 
-// Reset makes the reader ready for a body.
+// Reset prepares the reader for a new body.
 func (r *BodyReader) Reset(framing Framing) {
 	*r = BodyReader{kind: framing.Kind, remaining: framing.Length}
 }
 
-// Next takes the next bytes of the body from the start of b: data is a part of it, a slice of b; n says how many bytes
-// of b it took, those of the framing included. done says that the body is whole. With no data, no error and not done it
-// needs more bytes; call it again with what is left of b until then. A body that ends with the connection is never
+// Next decodes the next part of the body at the start of b: data is that part, a slice of b; n is the number of bytes
+// consumed, framing included. done reports the end of the body. Without data, done and an error, the reader needs more
+// input: call it again with the bytes that were not consumed and more. A body that ends with the connection is never
 // done.
 func (r *BodyReader) Next(b []byte) (data []byte, n int, done bool, err error) {
 	switch r.kind {
@@ -126,7 +100,7 @@
 	return r.nextChunked(b)
 }
 
-// consume takes what belongs to the chunk or body at hand.
+// consume returns the bytes of b that belong to the current chunk or body.
 func (r *BodyReader) consume(b []byte) []byte {
 	m := min(int64(len(b)), r.remaining)
 	r.remaining -= m
@@ -169,7 +143,7 @@
 	}
 }
 
-// skipTrailer drops the fields after the last chunk.
+// skipTrailer discards the fields after the last chunk.
 func (r *BodyReader) skipTrailer(b []byte) (n int, done bool, err error) {
 	for {
 		end := bytes.Index(b[n:], []byte("\r\n"))
@@ -192,7 +166,7 @@
 	}
 }
 
-// parseChunkLine reads the line before a chunk; n is 0 when it is not whole.
+// parseChunkLine parses the line before a chunk; n is 0 if it is incomplete.
 func parseChunkLine(b []byte) (size int64, n int, err error) {
 	end := bytes.Index(b, []byte("\r\n"))
 	if end < 0 {
@@ -212,8 +186,8 @@
 	return int64(length), end + 2, nil
 }
 
-// ParseChunk reads one whole chunk of a chunked body, of at most limit bytes; last marks the end of the body, its
-// trailer included.
+// ParseChunk parses one complete chunk of a chunked body, of at most limit bytes; last marks the end of the body,
+// including its trailer. It returns ErrIncomplete if more input is needed.
 func ParseChunk(b []byte, limit int) (chunk []byte, n int, last bool, err error) {
 	size, n, err := parseChunkLine(b)
 	switch {
--- a/internal/shared/httpwire/httpwire_test.go
+++ b/internal/shared/httpwire/httpwire_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// statusOf is 0 for success, -1 for bytes that are missing, and the status of a syntax error.
+// statusOf returns 0 for success, -1 for incomplete input, and the status of a syntax error.
 func statusOf(t *testing.T, err error) int {
 	var syntax *SyntaxError
 	switch {
@@ -122,7 +122,7 @@
 	}
 }
 
-// readAll reads a body that comes in pieces of the given size.
+// readAll decodes a body that arrives in pieces of the given size.
 func readAll(framing Framing, input string, size int) (body string, taken int, done bool, err error) {
 	var r BodyReader
 	r.Reset(framing)
@@ -204,8 +204,8 @@
 	}
 }
 
-// FuzzRequest compares with the standard library: whatever is taken here must be the same request there, or a request
-// could hide from one of two readers.
+// FuzzRequest compares with the standard library: what is accepted here must be the same request there, or a request could
+// be smuggled past one of them.
 func FuzzRequest(f *testing.F) {
 	for _, seed := range []string{
 		"GET / HTTP/1.1\r\nHost: h\r\n\r\nGET",
@@ -233,7 +233,7 @@
 		reader := bufio.NewReader(bytes.NewReader(input[:n+taken]))
 		std, err := http.ReadRequest(reader)
 		if err != nil {
-			return // the standard library refuses more, such as odd hosts
+			return // the standard library rejects more, such as odd hosts
 		}
 		stdBody, err := io.ReadAll(std.Body)
 		if err != nil {
@@ -246,7 +246,7 @@
 	})
 }
 
-// FuzzResponse guards against panics and against bytes that are taken twice or beyond the end.
+// FuzzResponse guards against panics and against bytes that are consumed twice or beyond the end.
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
--- a/internal/shared/invariant/debug.go
+++ b/internal/shared/invariant/debug.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// PanicOnViolation says that a breach panics.
+// PanicOnViolation is whether a violation panics.
 const PanicOnViolation = true
--- a/internal/shared/invariant/invariant.go
+++ b/internal/shared/invariant/invariant.go
@@ -1,11 +1,13 @@
-// Package invariant states what must hold: a breach panics in debug builds and is counted in release builds.
+// Package invariant checks conditions that must always hold. A violation panics in builds with the tag debug and is
+// counted in others. It is for bugs in this program, not for invalid input.
 package invariant
 
 import "sync/atomic"
 
 var violations atomic.Uint64
 
-// Check notes a breach of what must hold.
+// Check records a violation if the condition does not hold; description says what should be true. It may be called from
+// any goroutine.
 func Check(holds bool, description string) {
 	if holds {
 		return
@@ -16,5 +18,5 @@
 	}
 }
 
-// Violations is the number of breaches so far.
+// Violations returns the number of violations since the start of the process.
 func Violations() uint64 { return violations.Load() }
--- a/internal/shared/slotmap/slotmap.go
+++ b/internal/shared/slotmap/slotmap.go
@@ -1,11 +1,11 @@
-// Package slots keeps things in numbered slots. A handle holds the slot's number and its generation, so an
-// event meant for something that has left its slot misses whatever sits there now.
+// Package slotmap stores values in numbered slots that are reused. A handle consists of the slot's number and a
+// generation, so that a handle of a removed value never finds the one that took its slot.
 package slotmap
 
-// Handle names one stay of a thing in a slot; 0 names nothing.
+// Handle identifies a value until it is removed; 0 identifies none.
 type Handle uint64
 
-// Map is a set of numbered slots.
+// Map holds values in slots. The zero value is empty and ready to use. It is not safe for concurrent use.
 type Map[T any] struct {
 	slots []slot[T]
 	free  []uint32
@@ -13,11 +13,11 @@
 }
 
 type slot[T any] struct {
-	generation uint32 // odd while the slot is taken
+	generation uint32 // odd while the slot is in use
 	value      T
 }
 
-// Insert takes a free slot.
+// Insert stores a value in a free slot.
 func (m *Map[T]) Insert(value T) Handle {
 	var index uint32
 	if n := len(m.free); n > 0 {
@@ -40,7 +40,7 @@
 	return &m.slots[index]
 }
 
-// Get returns what the handle names, unless it has left.
+// Get returns the value of a handle; ok is false if it was removed.
 func (m *Map[T]) Get(handle Handle) (value T, ok bool) {
 	if s := m.lookup(handle); s != nil {
 		return s.value, true
@@ -48,7 +48,7 @@
 	return value, false
 }
 
-// Remove frees the slot; a handle that has left already is ignored.
+// Remove frees the slot of a value; false if it was removed already.
 func (m *Map[T]) Remove(handle Handle) bool {
 	s := m.lookup(handle)
 	if s == nil {
@@ -61,10 +61,10 @@
 	return true
 }
 
-// Len is the number of slots taken.
+// Len returns the number of values.
 func (m *Map[T]) Len() int { return m.count }
 
-// Each calls f for every slot taken; f may drop the one it is given.
+// Each calls visit for every value; visit may remove the value it is given.
 func (m *Map[T]) Each(visit func(Handle, T)) {
 	for i := range m.slots {
 		if s := &m.slots[i]; s.generation&1 == 1 {
--- a/internal/system/proxy/headers_test.go
+++ b/internal/system/proxy/headers_test.go
@@ -15,7 +15,7 @@
 	} {
 		var header httpwire.Header
 		if value != "" {
-			header = append(header, struct{ Name, Value string }{headerTimeLeft, value})
+			header = append(header, httpwire.Field{Name: headerTimeLeft, Value: value})
 		}
 		if got := parseTimeLeft(header, atMost); got != want {
 			t.Errorf("%q: %v, want %v", value, got, want)
@@ -28,7 +28,7 @@
 		"": 0, "timeout=5": 4800 * time.Millisecond, "max=3, Timeout=1": 800 * time.Millisecond, "timeout=0": 0,
 		"timeout=x": 0, "timeout=-1": 0, "max=5": 0,
 	} {
-		if got := advertisedIdleTimeout(httpwire.Header{{"Keep-Alive", value}}); got != want {
+		if got := advertisedIdleTimeout(httpwire.Header{{Name: "Keep-Alive", Value: value}}); got != want {
 			t.Errorf("%q: %v, want %v", value, got, want)
 		}
 	}
