--- a/internal/shared/httpwire/body.go
+++ b/internal/shared/httpwire/body.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	mostChunkLine = 1024     // bytes
-	mostTrailer   = 16 << 10 // bytes
-	maxChunk      = 1 << 31  // bytes
+	maxChunkLineBytes = 1024
+	maxTrailerBytes   = 16 << 10
+	maxChunkBytes     = 1 << 31
 )
 
-// FramingKind says how the end of a body is told.
+// FramingKind is the way in which the end of a body is determined.
 type FramingKind uint8
 
 // The kinds of framing.
@@ -20,61 +20,35 @@
 	NoBody FramingKind = iota
 	ByLength
 	Chunked
-	UntilClose // of responses alone
+	UntilClose // responses only
 )
 
-// Framing says where a body ends.
+// Framing determines where a body ends.
 type Framing struct {
 	Kind   FramingKind
-	Length int64 // of ByLength
+	Length int64 // bytes, for ByLength
 }
 
-// requestFraming reads how the body of a request is framed.
-func requestFraming(h Header, version string) (Framing, error) {
-	f, err := framing(h)
-	if err != nil {
-		return f, err
-	}
-	if f.Kind == Chunked && version != "HTTP/1.1" {
-		return f, NewSyntaxError(400, "transfer coding")
-	}
-	return f, nil
-}
-
-// responseFraming reads how the body of a response is framed.
-func responseFraming(p *ResponseHead, method string) (Framing, error) {
-	f, err := framing(p.Header)
-	switch {
-	case err != nil:
-		return f, err
-	case method == "HEAD" || p.Status == 204 || p.Status == 304:
-		return Framing{Kind: NoBody}, nil
-	case f.Kind == NoBody:
-		return Framing{Kind: UntilClose}, nil
-	}
-	return f, nil
-}
-
-// framing reads the length that a header announces. One that is told twice, or both ways, could be read differently by
-// the next machine and hide a request in the body: it is not taken.
-func framing(h Header) (Framing, error) {
-	lengths, codings := h.Count("Content-Length"), h.Count("Transfer-Encoding")
+// framing returns the framing that a header announces. More than one length or coding is an error: the next hop could
+// read it differently, and a request could be smuggled in the body.
+func framing(header Header) (Framing, error) {
+	lengths, codings := header.Count("Content-Length"), header.Count("Transfer-Encoding")
 	switch {
 	case lengths+codings > 1:
 		return Framing{}, NewSyntaxError(400, "two lengths")
 	case codings == 1:
-		if !strings.EqualFold(h.Get("Transfer-Encoding"), "chunked") {
+		if !strings.EqualFold(header.Get("Transfer-Encoding"), "chunked") {
 			return Framing{}, NewSyntaxError(400, "transfer coding")
 		}
 		return Framing{Kind: Chunked}, nil
 	case lengths == 0:
 		return Framing{Kind: NoBody}, nil
 	}
-	size, err := ParseLength(h.Get("Content-Length"))
+	size, err := ParseLength(header.Get("Content-Length"))
 	return Framing{Kind: ByLength, Length: size}, err
 }
 
-// ParseLength reads the value of Content-Length. One that is digits but larger than any body is a body too large.
+// ParseLength parses the value of Content-Length. A number too large for any body is a SyntaxError with status 413.
 func ParseLength(value string) (int64, error) {
 	if value == "" || strings.Trim(value, "0123456789") != "" {
 		return 0, NewSyntaxError(400, "content length")
@@ -86,30 +60,32 @@
 	return size, nil
 }
 
-// chunkPart is what a chunked body goes on with.
-type chunkPart uint8
+// chunkState is the next element expected in a chunked body.
+type chunkState uint8
 
 const (
-	chunkLine chunkPart = iota
-	chunkData
-	chunkEnd
-	chunkTrailer
+	chunkStateLine chunkState = iota
+	chunkStateData
+	chunkStateEnd
+	chunkStateTrailer
 )
 
-// BodyReader takes a body apart as it comes. Its zero value, after Start, reads from the body's first byte.
+// BodyReader decodes a body incrementally. Call Reset before the first byte.
 type BodyReader struct {
-	kind    FramingKind
-	part    chunkPart
-	left    int64 // bytes of the body, or of the chunk at hand
-	trailer int   // bytes of it so far
+	kind         FramingKind
+	state        chunkState
+	remaining    int64 // bytes of the body, or of the current chunk
+	trailerBytes int   // bytes read
 }
 
-// Reset makes the reader ready for a body.
-func (r *BodyReader) Reset(f Framing) { *r = BodyReader{kind: f.Kind, left: f.Length} }
+// Reset prepares the reader for a new body.
+func (r *BodyReader) Reset(framing Framing) {
+	*r = BodyReader{kind: framing.Kind, remaining: framing.Length}
+}
 
-// Next takes the next bytes of the body from the start of b: data is a part of it, a slice of b; n says how many bytes
-// of b it took, those of the framing included. done says that the body is whole. With no data, no error and not done it
-// needs more bytes; call it again with what is left of b until then. A body that ends with the connection is never
+// Next decodes the next part of the body at the start of b: data is that part, a slice of b; n is the number of bytes
+// consumed, framing included. done reports the end of the body. Without data, done and an error, the reader needs more
+// input: call it again with the bytes that were not consumed and more. A body that ends with the connection is never
 // done.
 func (r *BodyReader) Next(b []byte) (data []byte, n int, done bool, err error) {
 	switch r.kind {
@@ -118,30 +94,30 @@
 	case UntilClose:
 		return b, len(b), false, nil
 	case ByLength:
-		data = r.take(b)
-		return data, len(data), r.left == 0, nil
+		data = r.consume(b)
+		return data, len(data), r.remaining == 0, nil
 	}
 	return r.nextChunked(b)
 }
 
-// take takes what belongs to the chunk or body at hand.
-func (r *BodyReader) take(b []byte) []byte {
-	m := min(int64(len(b)), r.left)
-	r.left -= m
+// consume returns the bytes of b that belong to the current chunk or body.
+func (r *BodyReader) consume(b []byte) []byte {
+	m := min(int64(len(b)), r.remaining)
+	r.remaining -= m
 	return b[:m]
 }
 
 func (r *BodyReader) nextChunked(b []byte) (data []byte, n int, done bool, err error) {
 	for {
-		switch r.part {
-		case chunkData:
-			data = r.take(b[n:])
+		switch r.state {
+		case chunkStateData:
+			data = r.consume(b[n:])
 			n += len(data)
-			if r.left == 0 {
-				r.part = chunkEnd
+			if r.remaining == 0 {
+				r.state = chunkStateEnd
 			}
 			return data, n, false, nil
-		case chunkEnd:
+		case chunkStateEnd:
 			if len(b)-n < 2 {
 				return nil, n, false, nil
 			}
@@ -149,30 +125,30 @@
 				return nil, n, false, NewSyntaxError(400, "chunk end")
 			}
 			n += 2
-			r.part = chunkLine
-		case chunkLine:
-			size, m, err := parseChunkLine(b[n:])
-			if err != nil || m == 0 {
+			r.state = chunkStateLine
+		case chunkStateLine:
+			size, consumed, err := parseChunkLine(b[n:])
+			if err != nil || consumed == 0 {
 				return nil, n, false, err
 			}
-			n += m
-			r.left, r.part = size, chunkData
+			n += consumed
+			r.remaining, r.state = size, chunkStateData
 			if size == 0 {
-				r.part = chunkTrailer
+				r.state = chunkStateTrailer
 			}
-		case chunkTrailer:
-			m, done, err := r.skipTrailer(b[n:])
-			return nil, n + m, done, err
+		case chunkStateTrailer:
+			consumed, done, err := r.skipTrailer(b[n:])
+			return nil, n + consumed, done, err
 		}
 	}
 }
 
-// skipTrailer drops the fields after the last chunk.
+// skipTrailer discards the fields after the last chunk.
 func (r *BodyReader) skipTrailer(b []byte) (n int, done bool, err error) {
 	for {
 		end := bytes.Index(b[n:], []byte("\r\n"))
 		if end < 0 {
-			if r.trailer+len(b)-n > mostTrailer {
+			if r.trailerBytes+len(b)-n > maxTrailerBytes {
 				return n, false, NewSyntaxError(431, "trailer too large")
 			}
 			return n, false, nil
@@ -184,17 +160,17 @@
 			return n, false, NewSyntaxError(400, "trailer field")
 		}
 		n += end + 2
-		if r.trailer += end + 2; r.trailer > mostTrailer {
+		if r.trailerBytes += end + 2; r.trailerBytes > maxTrailerBytes {
 			return n, false, NewSyntaxError(431, "trailer too large")
 		}
 	}
 }
 
-// parseChunkLine reads the line before a chunk; n is 0 when it is not whole.
+// parseChunkLine parses the line before a chunk; n is 0 if it is incomplete.
 func parseChunkLine(b []byte) (size int64, n int, err error) {
 	end := bytes.Index(b, []byte("\r\n"))
 	if end < 0 {
-		if len(b) > mostChunkLine {
+		if len(b) > maxChunkLineBytes {
 			return 0, 0, NewSyntaxError(400, "chunk line")
 		}
 		return 0, 0, nil
@@ -204,14 +180,14 @@
 	}
 	digits, _, _ := strings.Cut(string(b[:end]), ";")
 	length, err := strconv.ParseUint(strings.Trim(digits, " \t"), 16, 31)
-	if err != nil || length >= maxChunk {
+	if err != nil || length >= maxChunkBytes {
 		return 0, 0, NewSyntaxError(400, "chunk size")
 	}
 	return int64(length), end + 2, nil
 }
 
-// ParseChunk reads one whole chunk of a chunked body, of at most limit bytes; last marks the end of the body, its
-// trailer included.
+// ParseChunk parses one complete chunk of a chunked body, of at most limit bytes; last marks the end of the body,
+// including its trailer. It returns ErrIncomplete if more input is needed.
 func ParseChunk(b []byte, limit int) (chunk []byte, n int, last bool, err error) {
 	size, n, err := parseChunkLine(b)
 	switch {
@@ -223,14 +199,14 @@
 		return nil, 0, false, NewSyntaxError(413, "chunk too large")
 	case size == 0:
 		var r BodyReader
-		m, done, err := r.skipTrailer(b[n:])
+		trailerBytes, done, err := r.skipTrailer(b[n:])
 		if err == nil && !done {
 			err = ErrIncomplete
 		}
 		if err != nil {
 			return nil, 0, false, err
 		}
-		return nil, n + m, true, nil
+		return nil, n + trailerBytes, true, nil
 	case len(b) < n+int(size)+2:
 		return nil, 0, false, ErrIncomplete
 	case b[n+int(size)] != '\r' || b[n+int(size)+1] != '\n':
--- a/internal/shared/invariant/invariant.go
+++ b/internal/shared/invariant/invariant.go
@@ -1,20 +1,22 @@
-// Package invariant states what must hold: a breach panics in debug builds and is counted in release builds.
+// Package invariant checks conditions that must always hold. A violation panics in builds with the tag debug and is
+// counted in others. It is for bugs in this program, not for invalid input.
 package invariant
 
 import "sync/atomic"
 
-var broken atomic.Uint64
+var violations atomic.Uint64
 
-// Check notes a breach of what must hold.
-func Check(holds bool, what string) {
+// Check records a violation if the condition does not hold; description says what should be true. It may be called from
+// any goroutine.
+func Check(holds bool, description string) {
 	if holds {
 		return
 	}
-	broken.Add(1)
+	violations.Add(1)
 	if PanicOnViolation {
-		panic("invariant: " + what)
+		panic("invariant: " + description)
 	}
 }
 
-// Violations is the number of breaches so far.
-func Violations() uint64 { return broken.Load() }
+// Violations returns the number of violations since the start of the process.
+func Violations() uint64 { return violations.Load() }
--- a/internal/system/feed/table_test.go
+++ b/internal/system/feed/table_test.go
@@ -13,11 +13,11 @@
 type expectedContents map[string]string
 
 func contentsOf(table *Table) expectedContents {
-	held := expectedContents{}
+	contents := expectedContents{}
 	for key, value := range table.Values("") {
-		held[key] = string(value)
+		contents[key] = string(value)
 	}
-	return held
+	return contents
 }
 
 func testKey(n int) string { return fmt.Sprintf("key/%03d", n) }
@@ -66,7 +66,7 @@
 		t.Fatalf("last change %d, index %d", table.LastChangeIndex(), table.Index())
 	}
 	if table.Put(0, 1, "a", []byte("y")) || table.Delete(0, 1, "a") {
-		t.Fatal("an older change was taken")
+		t.Fatal("an older change was applied")
 	}
 }
 
