--- a/cmd/cinderroad-dispatcher/fleet.go
+++ b/cmd/cinderroad-dispatcher/fleet.go
@@ -72,11 +72,11 @@
 		return json.NewEncoder(to).Encode(s)
 	}
 	settled := "settled"
-	if !s.Settled {
+	if !s.Converged {
 		settled = "not settled"
 	}
-	fmt.Fprintf(to, "fleet %s as %s holds it: %s, digest %s, %s\n", s.Fleet, s.Me, s.String(), s.Digest, settled)
-	fmt.Fprintf(to, "cold workers are shared among %d (%s, part %v)\n\n", s.Place.Instances, s.Place.Why, s.Place.Part)
+	fmt.Fprintf(to, "fleet %s as %s holds it: %s, digest %s, %s\n", s.Cluster, s.Self, s.String(), s.Digest, settled)
+	fmt.Fprintf(to, "cold workers are shared among %d (%s, part %v)\n\n", s.Share.Instances, s.Share.Reason, s.Share.Fraction)
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "NAME\tSTATE\tFOR\tSERVING\tZONE\tADDRESS\tCONSOLE\tINC\tPROGRAM")
 	for _, m := range s.Members {
@@ -107,23 +107,23 @@
 func byAge(members []cluster.Member) []cluster.Member {
 	out := slices.Clone(members)
 	slices.SortStableFunc(out, func(x, y cluster.Member) int {
-		if x.List == nil || y.List == nil {
+		if x.ListVersion == nil || y.ListVersion == nil {
 			return cmp.Compare(min(1, len(listOf(x))), min(1, len(listOf(y))))
 		}
-		return cmp.Or(cmp.Compare(x.List.Source, y.List.Source), cmp.Compare(x.List.Descent, y.List.Descent), cmp.Compare(x.List.Rev, y.List.Rev))
+		return cmp.Or(cmp.Compare(x.ListVersion.Source, y.ListVersion.Source), cmp.Compare(x.ListVersion.Epoch, y.ListVersion.Epoch), cmp.Compare(x.ListVersion.Revision, y.ListVersion.Revision))
 	})
 	return out
 }
 
 // listOf is a version of the list as shown: source, line of descent where there was more than one, version.
 func listOf(m cluster.Member) string {
-	if m.List == nil {
+	if m.ListVersion == nil {
 		return ""
 	}
-	if m.List.Descent > 0 {
-		return fmt.Sprintf("%s#%d/%d", m.List.Source, m.List.Descent, m.List.Rev)
+	if m.ListVersion.Epoch > 0 {
+		return fmt.Sprintf("%s#%d/%d", m.ListVersion.Source, m.ListVersion.Epoch, m.ListVersion.Revision)
 	}
-	return fmt.Sprintf("%s/%d", m.List.Source, m.List.Rev)
+	return fmt.Sprintf("%s/%d", m.ListVersion.Source, m.ListVersion.Revision)
 }
 
 func printVersions(to io.Writer, s *cluster.Status) error {
@@ -131,22 +131,22 @@
 	fmt.Fprintln(t, "NAME\tSTATE\tLIST\tBEHIND\tSINCE\tSETTINGS\tOPERATOR\tEXCLUDED\tPROGRAM")
 	for _, m := range byAge(s.Members) {
 		behind, since := "-", "-"
-		if m.List != nil {
+		if m.ListVersion != nil {
 			most := int64(0)
 			for _, o := range s.Members {
-				if o.List != nil {
-					if by, ok := m.List.Behind(*o.List); ok {
+				if o.ListVersion != nil {
+					if by, ok := m.ListVersion.Lag(*o.ListVersion); ok {
 						most = max(most, by)
 					}
 				}
 			}
-			behind, since = fmt.Sprint(most), time.Since(time.UnixMilli(m.ListMS)).Round(time.Second).String()
+			behind, since = fmt.Sprint(most), time.Since(time.UnixMilli(m.ListVersionMS)).Round(time.Second).String()
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, cmp.Or(listOf(m), "-"), behind, since, cmp.Or(m.Version["settings"], "-"),
 			cmp.Or(m.Version["operator"], "-"), cmp.Or(m.Version["excluded"], "-"), cmp.Or(m.Version["program"], "-"))
 	}
-	for _, h := range s.Held {
-		fmt.Fprintf(t, "\n%s withholds %s: %s says that it is %s at version %d\n", s.Me, h.Worker, h.From, h.State, h.Rev)
+	for _, h := range s.Restrictions {
+		fmt.Fprintf(t, "\n%s withholds %s: %s says that it is %s at version %d\n", s.Self, h.Worker, h.From, h.State, h.Revision)
 	}
 	return t.Flush()
 }
@@ -196,12 +196,12 @@
 	if err != nil {
 		return nil, err
 	}
-	rows := []row{{Name: first.Me, Digest: first.Digest, View: first.String()}}
-	if !first.Settled {
+	rows := []row{{Name: first.Self, Digest: first.Digest, View: first.String()}}
+	if !first.Converged {
 		rows[0].wrong = "its view is not settled"
 	}
 	for _, m := range first.Members {
-		if m.Name == first.Me || m.State != "alive" && m.State != "suspect" {
+		if m.Name == first.Self || m.State != "alive" && m.State != "suspect" {
 			continue
 		}
 		r := row{Name: m.Name}
@@ -210,8 +210,8 @@
 			r.wrong = "has no second address to be asked at"
 		case err != nil:
 			r.wrong = err.Error()
-		case s.Me != m.Name:
-			r.wrong = "at its address is " + s.Me
+		case s.Self != m.Name:
+			r.wrong = "at its address is " + s.Self
 		default:
 			r.Digest, r.View = s.Digest, s.String()
 			if s.Digest != first.Digest {
--- a/cmd/cinderroad-dispatcher/fleet_audit.go
+++ b/cmd/cinderroad-dispatcher/fleet_audit.go
@@ -50,7 +50,7 @@
 			} else {
 				err = printAudit(c.OutOrStdout(), r)
 			}
-			if err == nil && len(r.Broken) > 0 {
+			if err == nil && len(r.Violations) > 0 {
 				err = errBroken
 			}
 			return err
@@ -58,7 +58,7 @@
 	c.Flags().BoolVar(&asJSON, "json", false, "all that was found, as JSON")
 	c.Flags().StringVar(&plot, "plot", "", "`FILE` for a plot of when each member took each version up, as SVG")
 	c.Flags().Float64Var(&rules.Grace, "grace", rules.Grace, "`SECONDS` after a drain was told for which new work may still start")
-	c.Flags().Float64Var(&rules.Late, "late", rules.Late, "`SECONDS` after the first from which a member that takes a version up counts as late")
+	c.Flags().Float64Var(&rules.StragglerDelay, "late", rules.StragglerDelay, "`SECONDS` after the first from which a member that takes a version up counts as late")
 	return c
 }
 
@@ -70,7 +70,7 @@
 			fmt.Fprintf(warn, "%s: %d lines left out in all\n", file, bad)
 		}
 	}
-	r, err := auditlog.Files(rules, files, func(name string, line int, err error) {
+	r, err := auditlog.AuditFiles(rules, files, func(name string, line int, err error) {
 		if name != file {
 			sum()
 			file, bad = name, 0
@@ -83,7 +83,7 @@
 		}
 	})
 	sum()
-	if errors.Is(err, auditlog.ErrNone) {
+	if errors.Is(err, auditlog.ErrNoEntries) {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	return r, err
@@ -99,9 +99,9 @@
 	row("MEMBER\tCLOCK AHEAD\tWITHIN\t")
 	for _, o := range r.Clocks {
 		if o.Known {
-			row("%s\t%.3f s\t%.3f s\t%s", o.By, o.Ahead, o.Within, o.Why)
+			row("%s\t%.3f s\t%.3f s\t%s", o.Dispatcher, o.Lead, o.Uncertainty, o.Reason)
 		} else {
-			row("%s\t-\t-\t%s", o.By, o.Why)
+			row("%s\t-\t-\t%s", o.Dispatcher, o.Reason)
 		}
 	}
 	row("\nVERSION\tFIRST AT\tBY\tTAKEN UP\tMEDIAN\tLAST\tBY\tNEVER")
@@ -115,14 +115,14 @@
 	}
 	for _, v := range versions {
 		median, last, by := "-", "-", "-"
-		if n := len(v.Taken); n > 0 {
-			median, last, by = seconds(v.Taken[n/2]), seconds(v.Taken[n-1]), v.Taken[n-1].By
+		if n := len(v.Adoptions); n > 0 {
+			median, last, by = seconds(v.Adoptions[n/2]), seconds(v.Adoptions[n-1]), v.Adoptions[n-1].Dispatcher
 		}
-		name := fmt.Sprintf("%s/%d", v.Source, v.Rev)
-		if v.Descent > 0 {
-			name = fmt.Sprintf("%s#%d/%d", v.Source, v.Descent, v.Rev)
+		name := fmt.Sprintf("%s/%d", v.Source, v.Revision)
+		if v.Epoch > 0 {
+			name = fmt.Sprintf("%s#%d/%d", v.Source, v.Epoch, v.Revision)
 		}
-		row("%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d", name, clockOf(v.At), v.First, 1+len(v.Taken), median, last, by, len(v.Never))
+		row("%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d", name, clockOf(v.At), v.First, 1+len(v.Adoptions), median, last, by, len(v.Never))
 	}
 	if n := len(r.Versions) - len(versions); n > 0 {
 		row("and %d versions that took no longer; --json tells all", n)
@@ -131,17 +131,17 @@
 		row("\nLATE\tCAUSE\tVERSIONS\tSINCE\tFOR\tSENDS BY THE OLD LIST")
 	}
 	for _, s := range r.Stragglers {
-		span := fmt.Sprintf("%.3f s", s.For)
+		span := fmt.Sprintf("%.3f s", s.Duration)
 		if s.Never {
 			span += ", to its end"
 		}
-		row("%s\t%s\t%d to %d\t%s\t%s\t%d", s.By, s.Cause, s.Rev, s.To, clockOf(s.From), span, s.Sends)
+		row("%s\t%s\t%d to %d\t%s\t%s\t%d", s.Dispatcher, s.Cause, s.Revision, s.LastRevision, clockOf(s.Since), span, s.Attempts)
 	}
-	if len(r.Broken) > 0 {
+	if len(r.Violations) > 0 {
 		row("\nRULE BROKEN BY\tRULE\tWORKER\tSENDS\tFIRST JOB\tAT\tLATEST AFTER")
 	}
-	for _, b := range r.Broken {
-		row("%s\t%s\t%s\t%d\t%s\t%s\t%.3f s", b.By, b.Rule, b.Node, b.Sends, b.First, clockOf(b.At), b.Latest)
+	for _, b := range r.Violations {
+		row("%s\t%s\t%s\t%d\t%s\t%s\t%.3f s", b.Dispatcher, b.Rule, b.Node, b.Attempts, b.First, clockOf(b.At), b.LatestAfter)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -149,12 +149,12 @@
 	for _, list := range []struct {
 		title string
 		lines []string
-	}{{"missing", r.Holes}, {"cannot be told", r.Untold}} {
+	}{{"missing", r.Gaps}, {"cannot be told", r.Inconclusive}} {
 		for _, line := range list.lines {
 			fmt.Fprintf(to, "%s: %s\n", list.title, line)
 		}
 	}
-	_, err := fmt.Fprintf(to, "\n%d sends, %d judged by their marks, %d rules broken\n", r.Sends, r.Judged, len(r.Broken))
+	_, err := fmt.Fprintf(to, "\n%d sends, %d judged by their marks, %d rules broken\n", r.Attempts, r.Judged, len(r.Violations))
 	return err
 }
 
@@ -163,18 +163,18 @@
 	if len(v.Never) > 0 {
 		return 1 << 30
 	}
-	if n := len(v.Taken); n > 0 {
-		return int(v.Taken[n-1].After * 1000)
+	if n := len(v.Adoptions); n > 0 {
+		return int(v.Adoptions[n-1].After * 1000)
 	}
 	return 0
 }
 
-func seconds(t auditlog.Taken) string {
+func seconds(t auditlog.Adoption) string {
 	text := fmt.Sprintf("%.3f s", t.After)
-	if t.Within >= 0.001 {
-		text += fmt.Sprintf(" ±%.3f", t.Within)
+	if t.Uncertainty >= 0.001 {
+		text += fmt.Sprintf(" ±%.3f", t.Uncertainty)
 	}
-	if t.Peer {
+	if t.ByPeer {
 		text += " by peers"
 	}
 	return text
--- a/cmd/cinderroad-dispatcher/fleet_test.go
+++ b/cmd/cinderroad-dispatcher/fleet_test.go
@@ -17,8 +17,8 @@
 	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		switch r.Method + " " + r.URL.Path {
 		case "GET /api/fleet":
-			_ = json.NewEncoder(rw).Encode(cluster.Status{Fleet: "f", Me: name, Digest: digest, Settled: settled, Members: *members,
-				Place: cluster.StatusPlace{Instances: 3, Part: 1, Why: "full"}})
+			_ = json.NewEncoder(rw).Encode(cluster.Status{Cluster: "f", Self: name, Digest: digest, Converged: settled, Members: *members,
+				Share: cluster.StatusShare{Instances: 3, Fraction: 1, Reason: "full"}})
 		case "PUT /api/fleet/gone":
 			rw.WriteHeader(409)
 			fmt.Fprintln(rw, "membership: a is alive: only one that is dead can be declared gone")
@@ -32,7 +32,7 @@
 func versions(members []cluster.Member, revs ...int64) []cluster.Member {
 	for i, rev := range revs {
 		if rev >= 0 {
-			members[i].List = &list.List{Source: "here", Rev: rev}
+			members[i].ListVersion = &list.Version{Source: "here", Revision: rev}
 		}
 	}
 	return members
--- a/internal/compatibility/sent_test.go
+++ b/internal/compatibility/sent_test.go
@@ -214,20 +214,20 @@
 // TestReadsStatus: what control machines and dispatchers say of themselves.
 func TestReadsStatus(t *testing.T) {
 	sameJSON(t, "status/control.json", seen)
-	sameJSON(t, "status/fleet.json", cluster.Status{Fleet: "f", Me: "n0", Digest: "00ff", Settled: true, Health: 1,
+	sameJSON(t, "status/fleet.json", cluster.Status{Cluster: "f", Self: "n0", Digest: "00ff", Converged: true, TimeoutFactor: 1,
 		Members: []cluster.Member{{Name: "n0", Address: "10.0.0.1:1", Zone: "m", State: "alive", Incarnation: 2, SinceMS: 3, Serving: "serving",
-			Console: "10.0.0.1:2", Life: 4, Version: map[string]string{"program": "p"}, VersionMS: map[string]int64{"program": 5},
-			List: &versions.List{Source: "d", Descent: 1, Rev: 6}, ListMS: 7}},
-		Place: cluster.StatusPlace{Instances: 3, Me: 1, Part: 0.25, Why: "view"}, Drops: map[string]uint64{"broken": 1},
-		Held:   []cluster.StatusHeld{{Worker: "w", State: "gone", Rev: 9, From: "n1"}},
-		Lease:  cluster.StatusLease{State: "held", Why: "word", AgeS: 0.5},
-		Orders: []versions.Order{{Member: "n2", Out: true, N: 1, By: "n0", At: 1.7e9}}})
-	sameJSON(t, "status/audit.json", auditlog.Report{Clocks: []auditlog.Offset{{By: "n0", Ahead: 0.5, Within: 0.25, Why: "w", Known: true}},
-		Versions: []auditlog.Version{{Source: "d", Descent: 1, Rev: 2, First: "n0", At: 3, Taken: []auditlog.Taken{{By: "n1", After: 4, Within: 5, Peer: true}},
+			Console: "10.0.0.1:2", Generation: 4, Version: map[string]string{"program": "p"}, VersionMS: map[string]int64{"program": 5},
+			ListVersion: &versions.Version{Source: "d", Epoch: 1, Revision: 6}, ListVersionMS: 7}},
+		Share: cluster.StatusShare{Instances: 3, Index: 1, Fraction: 0.25, Reason: "view"}, Drops: map[string]uint64{"broken": 1},
+		Restrictions: []cluster.StatusRestriction{{Worker: "w", State: "gone", Revision: 9, From: "n1"}},
+		Lease:        cluster.StatusLease{State: "held", Reason: "word", AgeS: 0.5},
+		Orders:       []versions.Order{{Member: "n2", Out: true, Number: 1, By: "n0", At: 1.7e9}}})
+	sameJSON(t, "status/audit.json", auditlog.Report{Clocks: []auditlog.ClockOffset{{Dispatcher: "n0", Lead: 0.5, Uncertainty: 0.25, Reason: "w", Known: true}},
+		Versions: []auditlog.Version{{Source: "d", Epoch: 1, Revision: 2, First: "n0", At: 3, Adoptions: []auditlog.Adoption{{Dispatcher: "n1", After: 4, Uncertainty: 5, ByPeer: true}},
 			Never: []string{"n2"}}},
-		Broken:     []auditlog.Broken{{By: "n0", Rule: "r", Node: "w", Sends: 6, First: "x", At: 7, Latest: 8}},
-		Stragglers: []auditlog.Straggler{{By: "n1", Cause: "c", Rev: 9, To: 10, From: 11, For: 12, Never: true, Sends: 13}},
-		Holes:      []string{"h"}, Untold: []string{"u"}, Sends: 14, Judged: 15})
+		Violations: []auditlog.Violation{{Dispatcher: "n0", Rule: "r", Node: "w", Attempts: 6, First: "x", At: 7, LatestAfter: 8}},
+		Stragglers: []auditlog.Straggler{{Dispatcher: "n1", Cause: "c", Revision: 9, LastRevision: 10, Since: 11, Duration: 12, Never: true, Attempts: 13}},
+		Gaps:       []string{"h"}, Inconclusive: []string{"u"}, Attempts: 14, Judged: 15})
 	sameJSON(t, "status/receipt.json", client.Acknowledgement{Machine: "10.0.0.9:8080", Attempts: 2, Version: 7})
 	sameJSON(t, "status/problem.json", client.ErrorDetails{Code: "invalid", Message: "no", Problems: []client.Problem{{Path: "p", Message: "q"}}})
 }
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -386,40 +386,40 @@
 		{Time: 100.25, By: "n0", ID: "x", Class: "score", Front: "platform", Verdict: "in_time", TookMs: 250},
 		{Time: 100, By: "n0", ID: "y", Class: "unknown", Front: "gearman", Verdict: "refused", Reason: "no_room"}})
 
-	var sent []auditlog.Send
-	if err := auditlog.Read(bytes.NewReader(recorded), nil, func(s *auditlog.Send) { sent = append(sent, *s) }, bad); err != nil {
+	var sent []auditlog.Attempt
+	if err := auditlog.Read(bytes.NewReader(recorded), nil, func(s *auditlog.Attempt) { sent = append(sent, *s) }, bad); err != nil {
 		t.Fatal(err)
 	}
-	same(t, "sent", sent, []auditlog.Send{{By: "n0", Life: "k3f", ID: "x", Node: "a", At: 100, Mark: 11},
-		{By: "n0", Life: "k3f", ID: "x", Node: "b", At: 100.05}, {By: "n0", Life: "k3f", ID: "x", Node: "c", At: 100.2}})
+	same(t, "sent", sent, []auditlog.Attempt{{Dispatcher: "n0", Generation: "k3f", ID: "x", Node: "a", At: 100, Mark: 11},
+		{Dispatcher: "n0", Generation: "k3f", ID: "x", Node: "b", At: 100.05}, {Dispatcher: "n0", Generation: "k3f", ID: "x", Node: "c", At: 100.2}})
 }
 
 // TestReadsLedgers: each kind of entry.
 func TestReadsLedgers(t *testing.T) {
 	entries := []auditlog.Entry{
-		{What: auditlog.Start, Program: "p1", Settings: "s1", Operator: "o1"},
-		{What: auditlog.List, Source: "d", Descent: 1, Rev: 8, Cached: true, Workers: []auditlog.Worker{{Name: "w", State: "ready", Start: 17, Rev: 7}}, More: 2},
-		{What: auditlog.Told, From: "n1", Source: "d", Rev: 9, Workers: []auditlog.Worker{{Name: "w", State: "gone"}}},
-		{What: auditlog.Knows, From: "n1", Rev: 9},
-		{What: auditlog.Behind, From: "n1", Rev: 10},
-		{What: auditlog.Doubt, Workers: []auditlog.Worker{{Name: "v", State: "draining"}}},
-		{What: auditlog.Mute, Late: 3.5},
-		{What: auditlog.Speaks},
-		{What: auditlog.Clock, From: "n1", Theirs: 1.7e9 + 0.25},
-		{What: auditlog.Order, Member: "n2", Out: true, From: "n1"},
-		{What: auditlog.Lease, Out: true, Why: "no word"},
-		{What: auditlog.Slept, Late: 1.25},
-		{What: auditlog.Looked},
-		{What: auditlog.Settings, Settings: "s2"},
-		{What: auditlog.Excluded, Digest: "d2"},
-		{What: auditlog.View, Digest: "v2", Members: 3},
-		{What: auditlog.Still, Lost: 4},
-		{What: auditlog.End},
+		{Kind: auditlog.Started, Program: "p1", Settings: "s1", Operator: "o1"},
+		{Kind: auditlog.ListApplied, Source: "d", Epoch: 1, Revision: 8, Cached: true, Workers: []auditlog.Worker{{Name: "w", State: "ready", Start: 17, Revision: 7}}, OmittedWorkers: 2},
+		{Kind: auditlog.FactsReceived, From: "n1", Source: "d", Revision: 9, Workers: []auditlog.Worker{{Name: "w", State: "gone"}}},
+		{Kind: auditlog.CaughtUp, From: "n1", Revision: 9},
+		{Kind: auditlog.NewerKnown, From: "n1", Revision: 10},
+		{Kind: auditlog.FactsDoubted, Workers: []auditlog.Worker{{Name: "v", State: "draining"}}},
+		{Kind: auditlog.DiscoverySilent, LateSeconds: 3.5},
+		{Kind: auditlog.DiscoveryResumed},
+		{Kind: auditlog.ClockReceived, From: "n1", PeerClock: 1.7e9 + 0.25},
+		{Kind: auditlog.OrderReceived, Member: "n2", Out: true, From: "n1"},
+		{Kind: auditlog.LeaseChanged, Out: true, Reason: "no word"},
+		{Kind: auditlog.Paused, LateSeconds: 1.25},
+		{Kind: auditlog.Resumed},
+		{Kind: auditlog.SettingsChanged, Settings: "s2"},
+		{Kind: auditlog.ExclusionsChanged, Digest: "d2"},
+		{Kind: auditlog.ViewConverged, Digest: "v2", Members: 3},
+		{Kind: auditlog.KeepAlive, LostLines: 4},
+		{Kind: auditlog.Ended},
 	}
 	path := filepath.Join(t.TempDir(), "ledger")
-	book := must(auditlog.Open(linelog.Options{Path: path}, "n0", auditlog.Life(1_700_000_000)))(t)
+	book := must(auditlog.Open(linelog.Options{Path: path}, "n0", auditlog.GenerationName(1_700_000_000)))(t)
 	for i, e := range entries {
-		book.Add(1_700_000_000+float64(i)/4, e)
+		book.Append(1_700_000_000+float64(i)/4, e)
 	}
 	book.Close()
 	recorded := compatibility.Here.Check(t, "ledger", must(os.ReadFile(path))(t))
@@ -429,7 +429,7 @@
 		t.Fatal(err)
 	}
 	for i := range entries {
-		entries[i].Time, entries[i].By, entries[i].Life, entries[i].N = 1_700_000_000+float64(i)/4, "n0", "gqll7vatq8", uint64(i+1)
+		entries[i].Time, entries[i].Dispatcher, entries[i].Generation, entries[i].Number = 1_700_000_000+float64(i)/4, "n0", "gqll7vatq8", uint64(i+1)
 	}
 	same(t, "entries", got, entries)
 }
--- a/internal/dispatcher/cluster/auditlog/audit_test.go
+++ b/internal/dispatcher/cluster/auditlog/audit_test.go
@@ -12,17 +12,17 @@
 
 const src = "10.0.0.9:8500"
 
-// scene is a run whose truth is known: members that take versions up, send, and hear each other, each with its own clock.
-type scene struct {
+// scenario is a run whose truth is known: members that take versions up, send, and hear each other, each with its own clock.
+type scenario struct {
 	rng     *rand.Rand
-	members []*actor
+	members []*testMember
 	now     float64 // the true time
 	rev     int64
 	state   map[string]string // of workers, as discovery has it
 	sends   int
 }
 
-type actor struct {
+type testMember struct {
 	name  string
 	life  string
 	skew  float64
@@ -33,12 +33,12 @@
 	mute  bool // takes nothing up by itself
 }
 
-func newScene(seed uint64, members int) *scene {
-	s := &scene{rng: rand.New(rand.NewPCG(seed, 3)), now: 1e9, state: map[string]string{}}
+func newScenario(seed uint64, members int) *scenario {
+	s := &scenario{rng: rand.New(rand.NewPCG(seed, 3)), now: 1e9, state: map[string]string{}}
 	for i := range members {
-		a := &actor{name: fmt.Sprintf("d%d", i), life: fmt.Sprint("l", i), skew: 4*s.rng.Float64() - 2, state: map[string]string{}}
+		a := &testMember{name: fmt.Sprintf("d%d", i), life: fmt.Sprint("l", i), skew: 4*s.rng.Float64() - 2, state: map[string]string{}}
 		s.members = append(s.members, a)
-		s.add(a, 0, Entry{What: Start, Program: "p"})
+		s.add(a, 0, Entry{Kind: Started, Program: "p"})
 	}
 	for _, w := range []string{"w0", "w1", "w2", "w3"} {
 		s.state[w] = "ready"
@@ -50,22 +50,22 @@
 }
 
 // add has a member write an entry so long after now.
-func (s *scene) add(a *actor, after float64, e Entry) {
+func (s *scenario) add(a *testMember, after float64, e Entry) {
 	a.n++
-	e.Time, e.By, e.Life, e.N = s.now+after+a.skew, a.name, a.life, a.n
+	e.Time, e.Dispatcher, e.Generation, e.Number = s.now+after+a.skew, a.name, a.life, a.n
 	text, _ := json.Marshal(&e)
 	a.lines = append(a.lines, string(text))
 }
 
 // send has a member answer a job that it sent to a worker a moment ago.
-func (s *scene) send(a *actor, worker string) {
+func (s *scenario) send(a *testMember, worker string) {
 	s.sends++
 	a.lines = append(a.lines, fmt.Sprintf(`{"time":%.6f,"by":%q,"id":"j%d","class":"score","front":"platform","verdict":"in_time","took_ms":12.000,"mark":"%s.%d","tries":[{"node":%q,"sent_ms":1.000,"end_ms":12.000,"result":"ok","won":true,"mark":%d}]}`,
 		s.now+a.skew+0.012, a.name, s.sends, a.life, a.n, worker, a.n))
 }
 
 // tell has discovery tell a version in which a worker changes, to all but those that are mute.
-func (s *scene) tell(worker, state string) {
+func (s *scenario) tell(worker, state string) {
 	s.rev++
 	s.state[worker] = state
 	for _, a := range s.members {
@@ -77,8 +77,8 @@
 }
 
 // take has a member take the newest version up.
-func (s *scene) take(a *actor, after float64, workers ...string) {
-	e := Entry{What: List, Source: src, Rev: s.rev}
+func (s *scenario) take(a *testMember, after float64, workers ...string) {
+	e := Entry{Kind: ListApplied, Source: src, Revision: s.rev}
 	for _, w := range workers {
 		if a.state[w] != s.state[w] {
 			a.state[w] = s.state[w]
@@ -90,7 +90,7 @@
 }
 
 // run lets seconds pass: jobs by what each member knows, and messages by which clocks compare.
-func (s *scene) run(seconds float64, idle ...*actor) {
+func (s *scenario) run(seconds float64, idle ...*testMember) {
 	for end := s.now + seconds; s.now < end; s.now += 0.1 {
 		for _, a := range s.members {
 			if slices.Contains(idle, a) {
@@ -103,20 +103,20 @@
 			}
 			from := s.members[s.rng.IntN(len(s.members))]
 			if from != a && !slices.Contains(idle, from) {
-				s.add(a, 0.001+0.02*s.rng.Float64(), Entry{What: Clock, From: from.name, Theirs: s.now + from.skew})
+				s.add(a, 0.001+0.02*s.rng.Float64(), Entry{Kind: ClockReceived, From: from.name, PeerClock: s.now + from.skew})
 			}
 		}
 	}
 }
 
 // text is a member's files in one.
-func (a *actor) text() string { return strings.Join(a.lines, "\n") + "\n" }
+func (a *testMember) text() string { return strings.Join(a.lines, "\n") + "\n" }
 
 // audit reads the members' files, all but those of the ones left out.
-func (s *scene) audit(t *testing.T, bad func(line int, err error), without ...string) *Report {
+func (s *scenario) audit(t *testing.T, bad func(line int, err error), without ...string) *Report {
 	t.Helper()
-	a := NewAudit(DefaultRules)
-	each := func(entry func(*Entry), send func(*Send)) {
+	a := NewAuditor(DefaultRules)
+	each := func(entry func(*Entry), send func(*Attempt)) {
 		for _, m := range s.members {
 			if !slices.Contains(without, m.name) {
 				if err := Read(strings.NewReader(m.text()), entry, send, bad); err != nil {
@@ -125,26 +125,26 @@
 			}
 		}
 	}
-	each(a.Entry, nil)
-	a.Close()
-	each(nil, a.Send)
+	each(a.AddEntry, nil)
+	a.Finish()
+	each(nil, a.CheckAttempt)
 	return a.Report()
 }
 
-func noneBad(t *testing.T) func(int, error) {
+func failOnBadLine(t *testing.T) func(int, error) {
 	return func(n int, err error) { t.Errorf("line %d: %v", n, err) }
 }
 
 // summary is what a report names, a line each, without times.
 func summary(r *Report) (all []string) {
-	for _, b := range r.Broken {
-		all = append(all, fmt.Sprintf("broken %s: %s %s %d", b.By, b.Rule, b.Node, b.Sends))
+	for _, b := range r.Violations {
+		all = append(all, fmt.Sprintf("broken %s: %s %s %d", b.Dispatcher, b.Rule, b.Node, b.Attempts))
 	}
 	for _, s := range r.Stragglers {
-		all = append(all, fmt.Sprintf("straggler %s: %s %d-%d never=%v sends=%v", s.By, s.Cause, s.Rev, s.To, s.Never, s.Sends > 0))
+		all = append(all, fmt.Sprintf("straggler %s: %s %d-%d never=%v sends=%v", s.Dispatcher, s.Cause, s.Revision, s.LastRevision, s.Never, s.Attempts > 0))
 	}
-	all = append(all, r.Holes...)
-	return append(all, r.Untold...)
+	all = append(all, r.Gaps...)
+	return append(all, r.Inconclusive...)
 }
 
 func expectReport(t *testing.T, r *Report, want ...string) {
@@ -158,37 +158,37 @@
 }
 
 // A run without faults: nothing is told, every send is judged, and clocks are set right within what messages took.
-func TestNothingIsWrong(t *testing.T) {
+func TestRunWithoutFaults(t *testing.T) {
 	for seed := range uint64(20) {
-		s := newScene(seed, 6)
+		s := newScenario(seed, 6)
 		for i := range 12 {
 			s.run(2)
 			s.tell(fmt.Sprint("w", i%4), []string{"draining", "ready"}[i/4%2])
 		}
 		s.run(2)
-		r := s.audit(t, noneBad(t))
+		r := s.audit(t, failOnBadLine(t))
 		expectReport(t, r)
-		if r.Judged != r.Sends || r.Sends != s.sends || len(r.Versions) != 12 {
-			t.Errorf("%d of %d sends judged, %d made; %d versions", r.Judged, r.Sends, s.sends, len(r.Versions))
+		if r.Judged != r.Attempts || r.Attempts != s.sends || len(r.Versions) != 12 {
+			t.Errorf("%d of %d sends judged, %d made; %d versions", r.Judged, r.Attempts, s.sends, len(r.Versions))
 		}
-		var reference *actor
+		var reference *testMember
 		for i, o := range r.Clocks {
-			if o.Why == "the reference" {
+			if o.Reason == "the reference" {
 				reference = s.members[i]
 			}
 		}
 		for i, o := range r.Clocks {
-			if err := o.Ahead - (s.members[i].skew - reference.skew); err > o.Within+1e-6 || err < -o.Within-1e-6 || o.Within > 0.02 {
-				t.Errorf("seed %d: %s: %.4f within %.4f, truly %.4f", seed, o.By, o.Ahead, o.Within, s.members[i].skew-reference.skew)
+			if err := o.Lead - (s.members[i].skew - reference.skew); err > o.Uncertainty+1e-6 || err < -o.Uncertainty-1e-6 || o.Uncertainty > 0.02 {
+				t.Errorf("seed %d: %s: %.4f within %.4f, truly %.4f", seed, o.Dispatcher, o.Lead, o.Uncertainty, s.members[i].skew-reference.skew)
 			}
 		}
 	}
 }
 
 // Every fault that is planted is named, with its cause, and nothing else, though clocks are off by up to two seconds.
-func TestEveryFaultIsNamed(t *testing.T) {
+func TestFaultsAreReported(t *testing.T) {
 	for seed := range uint64(20) {
-		s := newScene(seed, 9)
+		s := newScenario(seed, 9)
 		m := s.members
 		s.run(3)
 		s.tell("w0", "draining") // 1
@@ -199,25 +199,25 @@
 		s.run(1)
 		m[2].mute, m[3].mute, m[4].mute, m[5].mute = true, true, true, true
 		slept := s.now
-		s.add(m[3], 0, Entry{What: Mute})
+		s.add(m[3], 0, Entry{Kind: DiscoverySilent})
 		s.tell("w1", "draining") // 2
 		s.run(4, m[2])
 		s.tell("w2", "draining") // 3
-		s.add(m[5], 0.01, Entry{What: Behind, From: "d0", Source: src, Rev: 3})
+		s.add(m[5], 0.01, Entry{Kind: NewerKnown, From: "d0", Source: src, Revision: 3})
 		s.run(4, m[2])
-		s.add(m[2], 0, Entry{What: Slept, Late: s.now - slept})
-		s.add(m[2], 0.06, Entry{What: Looked})
-		s.add(m[3], 0, Entry{What: Speaks})
+		s.add(m[2], 0, Entry{Kind: Paused, LateSeconds: s.now - slept})
+		s.add(m[2], 0.06, Entry{Kind: Resumed})
+		s.add(m[3], 0, Entry{Kind: DiscoveryResumed})
 		for _, a := range m[2:6] {
 			a.mute = false
 			s.take(a, 0.05, "w1", "w2")
 		}
 		s.now += 0.2
 		s.run(2)
-		s.add(m[7], 0, Entry{What: Lease, Out: true})
+		s.add(m[7], 0, Entry{Kind: LeaseChanged, Out: true})
 		s.run(1, m[7])
 		s.send(m[7], "w3")
-		s.add(m[7], 0, Entry{What: Lease})
+		s.add(m[7], 0, Entry{Kind: LeaseChanged})
 		s.run(1)
 		m[6].lines = slices.DeleteFunc(m[6].lines, func(line string) bool { // d6 has lost some entries, of clocks alone
 			return strings.Contains(line, `"n":12,`) || strings.Contains(line, `"n":13,`)
@@ -245,47 +245,47 @@
 }
 
 // What a peer told binds like the own list; doubted, it binds no more; the own list's newer word lifts it.
-func TestPeersWords(t *testing.T) {
-	s := newScene(1, 2)
+func TestPeerFactsAreBinding(t *testing.T) {
+	s := newScenario(1, 2)
 	a := s.members[0]
 	s.take(a, 0)
-	s.add(a, 0, Entry{What: Told, From: "d1", Source: src, Workers: []Worker{{Name: "w0", State: "draining", Rev: 4}}})
+	s.add(a, 0, Entry{Kind: FactsReceived, From: "d1", Source: src, Workers: []Worker{{Name: "w0", State: "draining", Revision: 4}}})
 	s.now++
 	s.send(a, "w0") // broken
-	s.add(a, 0, Entry{What: Doubt, Workers: []Worker{{Name: "w0", State: "draining", Rev: 4}}})
+	s.add(a, 0, Entry{Kind: FactsDoubted, Workers: []Worker{{Name: "w0", State: "draining", Revision: 4}}})
 	s.now++
 	s.send(a, "w0") // not
-	s.add(a, 0, Entry{What: Told, From: "d1", Source: src, Workers: []Worker{{Name: "w0", State: "gone", Rev: 5}}})
-	s.add(a, 0, Entry{What: Told, From: "d1", Source: "other", Workers: []Worker{{Name: "w1", State: "gone", Rev: 5}}})
+	s.add(a, 0, Entry{Kind: FactsReceived, From: "d1", Source: src, Workers: []Worker{{Name: "w0", State: "gone", Revision: 5}}})
+	s.add(a, 0, Entry{Kind: FactsReceived, From: "d1", Source: "other", Workers: []Worker{{Name: "w1", State: "gone", Revision: 5}}})
 	s.rev = 6
 	s.take(a, 0)
 	s.now++
 	s.send(a, "w0")
 	s.send(a, "w1")
-	r := s.audit(t, noneBad(t))
-	if len(r.Broken) != 1 || r.Broken[0].Sends != 1 || r.Broken[0].Node != "w0" {
-		t.Errorf("%+v", r.Broken)
+	r := s.audit(t, failOnBadLine(t))
+	if len(r.Violations) != 1 || r.Violations[0].Attempts != 1 || r.Violations[0].Node != "w0" {
+		t.Errorf("%+v", r.Violations)
 	}
 }
 
 // A clock that was set while it ran, and one that nobody compares with, are told and taken as they are.
-func TestClocksThatCannotBeSetRight(t *testing.T) {
-	s := newScene(2, 3)
+func TestUnknownClockOffsets(t *testing.T) {
+	s := newScenario(2, 3)
 	s.run(5)
 	s.members[1].skew -= 3
 	s.run(5)
-	lone := &actor{name: "d9", life: "l9", state: map[string]string{}}
+	lone := &testMember{name: "d9", life: "l9", state: map[string]string{}}
 	s.members = append(s.members, lone)
-	s.add(lone, 0, Entry{What: Start})
-	text := strings.Join(summary(s.audit(t, noneBad(t))), "\n")
+	s.add(lone, 0, Entry{Kind: Started})
+	text := strings.Join(summary(s.audit(t, failOnBadLine(t))), "\n")
 	if !strings.Contains(text, "d9: too few messages") || !strings.Contains(text, "was set while it ran") {
 		t.Error(text)
 	}
 }
 
 // Answers without marks, of lives without a ledger and beyond a ledger's end are told, and not judged.
-func TestWhatCannotBeTold(t *testing.T) {
-	s := newScene(3, 2)
+func TestInconclusiveAttempts(t *testing.T) {
+	s := newScenario(3, 2)
 	a := s.members[0]
 	a.lines = append(a.lines, `{"time":1000000001,"by":"d0","id":"x","class":"c","front":"f","verdict":"in_time","took_ms":1,"tries":[{"node":"w0","sent_ms":0,"result":"ok"}]}`)
 	a.life = "later"
@@ -293,23 +293,23 @@
 	a.life, a.n = "l0", 77
 	s.send(a, "w0")
 	r := s.audit(t, func(int, error) {})
-	text := strings.Join(r.Untold, "\n")
-	if r.Judged != 0 || r.Sends != 3 || !strings.Contains(text, "without a mark") || !strings.Contains(text, "of life later") || !strings.Contains(text, "after the last that is there") {
-		t.Errorf("%d of %d judged: %s", r.Judged, r.Sends, text)
+	text := strings.Join(r.Inconclusive, "\n")
+	if r.Judged != 0 || r.Attempts != 3 || !strings.Contains(text, "without a mark") || !strings.Contains(text, "of life later") || !strings.Contains(text, "after the last that is there") {
+		t.Errorf("%d of %d judged: %s", r.Judged, r.Attempts, text)
 	}
 }
 
 // Files given twice, in any order, say the same.
-func TestFilesTwice(t *testing.T) {
-	s := newScene(4, 4)
+func TestDuplicateFiles(t *testing.T) {
+	s := newScenario(4, 4)
 	s.run(2)
 	s.tell("w1", "draining")
 	s.run(2)
-	once := s.audit(t, noneBad(t))
+	once := s.audit(t, failOnBadLine(t))
 	s.members = append(slices.Clone(s.members), s.members[2], s.members[0])
 	slices.Reverse(s.members)
-	twice := s.audit(t, noneBad(t))
-	twice.Sends, twice.Judged = once.Sends, once.Judged
+	twice := s.audit(t, failOnBadLine(t))
+	twice.Attempts, twice.Judged = once.Attempts, once.Judged
 	x, _ := json.Marshal(once)
 	y, _ := json.Marshal(twice)
 	if !bytes.Equal(x, y) {
@@ -319,7 +319,7 @@
 
 // Whatever is read, the reader comes to an end, and so does the audit.
 func FuzzRead(f *testing.F) {
-	s := newScene(5, 3)
+	s := newScenario(5, 3)
 	s.run(0.3)
 	s.tell("w0", "draining")
 	s.run(0.3)
@@ -329,13 +329,13 @@
 	f.Add([]byte(`{"time":1,"by":"a","life":"b","n":18446744073709551615,"what":"list","rev":-1,"workers":[{"name":"","state":"gone"}]}`))
 	f.Add([]byte("{\n\"what\":\"verdict\":\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		a := NewAudit(DefaultRules)
+		a := NewAuditor(DefaultRules)
 		bad := func(int, error) {}
-		if err := Read(bytes.NewReader(text), a.Entry, nil, bad); err != nil {
+		if err := Read(bytes.NewReader(text), a.AddEntry, nil, bad); err != nil {
 			t.Fatal(err)
 		}
-		a.Close()
-		if err := Read(bytes.NewReader(text), nil, a.Send, bad); err != nil {
+		a.Finish()
+		if err := Read(bytes.NewReader(text), nil, a.CheckAttempt, bad); err != nil {
 			t.Fatal(err)
 		}
 		var plot bytes.Buffer
@@ -347,7 +347,7 @@
 
 // How fast five dispatchers' files are read and judged.
 func BenchmarkAudit(b *testing.B) {
-	s := newScene(6, 5)
+	s := newScenario(6, 5)
 	for i := range 40 {
 		s.run(5)
 		s.tell(fmt.Sprint("w", i%4), []string{"draining", "ready"}[i/4%2])
@@ -360,16 +360,16 @@
 	}
 	b.SetBytes(int64(size))
 	for b.Loop() {
-		a := NewAudit(DefaultRules)
+		a := NewAuditor(DefaultRules)
 		for _, text := range texts {
-			_ = Read(strings.NewReader(text), a.Entry, nil, func(int, error) {})
+			_ = Read(strings.NewReader(text), a.AddEntry, nil, func(int, error) {})
 		}
-		a.Close()
+		a.Finish()
 		for _, text := range texts {
-			_ = Read(strings.NewReader(text), nil, a.Send, func(int, error) {})
+			_ = Read(strings.NewReader(text), nil, a.CheckAttempt, func(int, error) {})
 		}
-		if r := a.Report(); len(r.Broken) > 0 {
-			b.Fatal(r.Broken)
+		if r := a.Report(); len(r.Violations) > 0 {
+			b.Fatal(r.Violations)
 		}
 	}
 }
--- a/internal/dispatcher/cluster/auditlog/clocks.go
+++ b/internal/dispatcher/cluster/auditlog/clocks.go
@@ -5,53 +5,53 @@
 	"slices"
 )
 
-// Offset is how far a dispatcher's clock is ahead of the reference's, in seconds.
-type Offset struct {
-	By     string  `json:"by"`
-	Ahead  float64 `json:"ahead_s"`
-	Within float64 `json:"within_s"` // that may be wrong by so much, either way
-	Why    string  `json:"why,omitempty"`
-	Known  bool    `json:"known"` // else the clock is taken as it is
+// ClockOffset is how far a dispatcher's clock is ahead of the reference's, in seconds.
+type ClockOffset struct {
+	Dispatcher  string  `json:"by"`
+	Lead        float64 `json:"ahead_s"`
+	Uncertainty float64 `json:"within_s"` // that may be wrong by so much, either way
+	Reason      string  `json:"why,omitempty"`
+	Known       bool    `json:"known"` // else the clock is taken as it is
 }
 
-// clocks sets clocks right against each other. A message is heard after it was sent: what the hearer's clock said less what the
+// clockSolver sets clocks right against each other. A message is heard after it was sent: what the hearer's clock said less what the
 // sender's did is at most the hearer's lead and the time that the message took. The quickest message of each direction
 // bounds the lead from either side; where two have not spoken, those between them do.
-type clocks struct {
-	names []string
-	most  map[[2]string]float64 // of the first one's lead before the second one, at most
+type clockSolver struct {
+	dispatchers []string
+	maxLead     map[[2]string]float64 // of the first one's lead before the second one, at most
 }
 
-func newClocks() *clocks { return &clocks{most: map[[2]string]float64{}} }
+func newClockSolver() *clockSolver { return &clockSolver{maxLead: map[[2]string]float64{}} }
 
-func (c *clocks) name(by string) {
-	if !slices.Contains(c.names, by) {
-		c.names = append(c.names, by)
+func (c *clockSolver) add(by string) {
+	if !slices.Contains(c.dispatchers, by) {
+		c.dispatchers = append(c.dispatchers, by)
 	}
 }
 
-// heard notes that a member heard at mine, by its clock, what another one sent at theirs.
-func (c *clocks) heard(by string, mine float64, from string, theirs float64) {
-	c.name(by)
-	c.name(from)
+// addMessage notes that a member heard at mine, by its clock, what another one sent at theirs.
+func (c *clockSolver) addMessage(by string, mine float64, from string, theirs float64) {
+	c.add(by)
+	c.add(from)
 	// mine - lead(by) >= theirs - lead(from)
 	if key, lead := [2]string{by, from}, mine-theirs; by != from {
-		if old, known := c.most[key]; !known || lead < old {
-			c.most[key] = lead
+		if old, known := c.maxLead[key]; !known || lead < old {
+			c.maxLead[key] = lead
 		}
 	}
 }
 
 // solve works the leads out, with the first name that most others reach as the reference.
-func (c *clocks) solve() (offsets map[string]Offset) {
-	slices.Sort(c.names)
-	n := len(c.names)
+func (c *clockSolver) solve() (offsets map[string]ClockOffset) {
+	slices.Sort(c.dispatchers)
+	n := len(c.dispatchers)
 	dist := make([][]float64, n)
 	for i := range dist {
 		dist[i] = make([]float64, n)
 		for j := range dist[i] {
 			dist[i][j] = math.Inf(1)
-			if most, known := c.most[[2]string{c.names[i], c.names[j]}]; known {
+			if most, known := c.maxLead[[2]string{c.dispatchers[i], c.dispatchers[j]}]; known {
 				dist[i][j] = most
 			}
 		}
@@ -64,7 +64,7 @@
 			}
 		}
 	}
-	offsets = map[string]Offset{}
+	offsets = map[string]ClockOffset{}
 	reference, reached := 0, -1
 	for i := range dist {
 		both := 0
@@ -77,17 +77,17 @@
 			reference, reached = i, both
 		}
 	}
-	for i, by := range c.names {
-		o := Offset{By: by}
+	for i, by := range c.dispatchers {
+		o := ClockOffset{Dispatcher: by}
 		switch high, low := dist[i][reference], -dist[reference][i]; {
 		case i == reference:
-			o.Known, o.Why = true, "the reference"
+			o.Known, o.Reason = true, "the reference"
 		case math.IsInf(high, 1) || math.IsInf(low, -1):
-			o.Why = "too few messages to set it right by: taken as it is"
+			o.Reason = "too few messages to set it right by: taken as it is"
 		case high < low || dist[i][i] < 0:
-			o.Why = "its clock, or another one's, was set while it ran: taken as it is"
+			o.Reason = "its clock, or another one's, was set while it ran: taken as it is"
 		default:
-			o.Known, o.Ahead, o.Within = true, (high+low)/2, (high-low)/2
+			o.Known, o.Lead, o.Uncertainty = true, (high+low)/2, (high-low)/2
 		}
 		offsets[by] = o
 	}
--- a/internal/dispatcher/cluster/auditlog/lives.go
+++ b/internal/dispatcher/cluster/auditlog/lives.go
@@ -6,216 +6,216 @@
 	"sort"
 )
 
-// line is a line of descent of a source's lists: versions of one compare.
-type line struct {
-	source  string
-	descent uint64
+// listEpoch is a line of descent of a source's lists: versions of one compare.
+type listEpoch struct {
+	source string
+	number uint64
 }
 
-// span is a time between two, by the own clock; to is +Inf where it has no end.
-type span struct{ from, to float64 }
+// interval is a time between two, by the own clock; to is +Inf where it has no end.
+type interval struct{ from, to float64 }
 
-// turn is a change at an entry.
-type turn struct {
-	n   uint64
-	at  float64
-	off bool // gets nothing new from here on
+// transition is a change at an entry.
+type transition struct {
+	entry   uint64
+	at      float64
+	blocked bool // gets nothing new from here on
 }
 
-// rise is a version reached at an entry.
-type rise struct {
-	at    float64
-	line  line
-	knows int64 // all up to it is known, by the own list or peers
-	peer  bool  // by a peer's word
-	n     uint64
+// progress is a version reached at an entry.
+type progress struct {
+	at       float64
+	epoch    listEpoch
+	revision int64 // all up to it is known, by the own list or peers
+	byPeer   bool  // by a peer's word
+	entry    uint64
 }
 
-// life is what one process of a dispatcher has told, put together.
-type life struct {
-	by, name string
-	entries  []*Entry
-	first    float64
-	last     float64 // its last word, or answer
-	ended    bool
-	holes    []hole
-	workers  map[string][]turn // what gets nothing new, by the own list and peers' words
-	held     []turn            // nothing is to be sent at all: out of the lease, or not looked again after a sleep
-	asleep   []span
-	mute     []span
-	rises    []rise
-	behind   []rise // that a version is there was heard, before it was known
-	drains   map[string][]rise
-	lost     uint64
-	ahead    float64 // of its clock; times here are right, but those of entries and turns
+// timeline is what one process of a dispatcher has told, put together.
+type timeline struct {
+	dispatcher, generation string
+	entries                []*Entry
+	first                  float64
+	last                   float64 // its last word, or answer
+	ended                  bool
+	gaps                   []gap
+	blocked                map[string][]transition // what gets nothing new, by the own list and peers' words
+	outOfService           []transition            // nothing is to be sent at all: out of the lease, or not looked again after a sleep
+	pauses                 []interval
+	discoverySilences      []interval
+	progress               []progress
+	newerKnown             []progress // that a version is there was heard, before it was known
+	drains                 map[string][]progress
+	lostLines              uint64
+	clockLead              float64 // of its clock; times here are right, but those of entries and turns
 }
 
-// hole is entries that are not there.
-type hole struct {
-	from, to uint64 // numbers
-	span     span   // the time about them
+// gap is entries that are not there.
+type gap struct {
+	from, to uint64   // numbers
+	interval interval // the time about them
 }
 
-// effect is what a life holds of workers while it is replayed.
-type effect struct {
-	own   map[string]string // by the own list
-	facts map[string]Worker // by peers
-	line  line
-	rev   int64
-	off   map[string]bool
+// replayState is what a life holds of workers while it is replayed.
+type replayState struct {
+	list      map[string]string // by the own list
+	peerFacts map[string]Worker // by peers
+	epoch     listEpoch
+	revision  int64
+	blocked   map[string]bool
 }
 
-func (l *life) replay() {
-	slices.SortFunc(l.entries, func(x, y *Entry) int { return cmp.Compare(x.N, y.N) })
-	l.entries = slices.CompactFunc(l.entries, func(x, y *Entry) bool { return x.N == y.N }) // files given twice
-	l.workers, l.drains = map[string][]turn{}, map[string][]rise{}
+func (l *timeline) replay() {
+	slices.SortFunc(l.entries, func(x, y *Entry) int { return cmp.Compare(x.Number, y.Number) })
+	l.entries = slices.CompactFunc(l.entries, func(x, y *Entry) bool { return x.Number == y.Number }) // files given twice
+	l.blocked, l.drains = map[string][]transition{}, map[string][]progress{}
 	l.first, l.last = l.entries[0].Time, max(l.last, l.entries[len(l.entries)-1].Time)
 	next := uint64(1)
 	before := l.first
-	f := effect{own: map[string]string{}, facts: map[string]Worker{}, off: map[string]bool{}}
+	f := replayState{list: map[string]string{}, peerFacts: map[string]Worker{}, blocked: map[string]bool{}}
 	leaseOut, sleeping := false, false
 	for _, e := range l.entries {
-		if e.N != next {
-			l.holes = append(l.holes, hole{from: next, to: e.N - 1, span: span{before, e.Time}})
+		if e.Number != next {
+			l.gaps = append(l.gaps, gap{from: next, to: e.Number - 1, interval: interval{before, e.Time}})
 		}
-		next, before = e.N+1, e.Time
-		l.lost = max(l.lost, e.Lost)
+		next, before = e.Number+1, e.Time
+		l.lostLines = max(l.lostLines, e.LostLines)
 		was := leaseOut || sleeping
-		switch e.What {
-		case List, Told, Doubt, Knows:
-			f.take(e)
-			l.note(e, &f)
-		case Behind:
-			l.behind = append(l.behind, rise{at: e.Time, line: line{e.Source, e.Descent}, knows: e.Rev, n: e.N})
-		case Mute:
-			l.mute = append(l.mute, span{e.Time - e.Late, inf})
-		case Speaks:
-			if k := len(l.mute); k > 0 {
-				l.mute[k-1].to = e.Time
+		switch e.Kind {
+		case ListApplied, FactsReceived, FactsDoubted, CaughtUp:
+			f.apply(e)
+			l.recordChanges(e, &f)
+		case NewerKnown:
+			l.newerKnown = append(l.newerKnown, progress{at: e.Time, epoch: listEpoch{e.Source, e.Epoch}, revision: e.Revision, entry: e.Number})
+		case DiscoverySilent:
+			l.discoverySilences = append(l.discoverySilences, interval{e.Time - e.LateSeconds, inf})
+		case DiscoveryResumed:
+			if k := len(l.discoverySilences); k > 0 {
+				l.discoverySilences[k-1].to = e.Time
 			}
-		case Lease:
+		case LeaseChanged:
 			leaseOut = e.Out
-		case Slept:
-			l.asleep = append(l.asleep, span{e.Time - e.Late, inf})
+		case Paused:
+			l.pauses = append(l.pauses, interval{e.Time - e.LateSeconds, inf})
 			sleeping = true
-		case Looked:
-			if k := len(l.asleep); k > 0 {
-				l.asleep[k-1].to = e.Time
+		case Resumed:
+			if k := len(l.pauses); k > 0 {
+				l.pauses[k-1].to = e.Time
 			}
 			sleeping = false
-		case End:
+		case Ended:
 			l.ended = true
 		}
 		if is := leaseOut || sleeping; is != was {
-			l.held = append(l.held, turn{e.N, e.Time, is})
+			l.outOfService = append(l.outOfService, transition{e.Number, e.Time, is})
 		}
 	}
 }
 
-// take brings what is held up to an entry.
-func (f *effect) take(e *Entry) {
-	switch e.What {
-	case List:
-		if is := (line{e.Source, e.Descent}); is != f.line || e.Rev < f.rev {
-			f.line = is
-			clear(f.facts)
+// apply brings what is held up to an entry.
+func (f *replayState) apply(e *Entry) {
+	switch e.Kind {
+	case ListApplied:
+		if is := (listEpoch{e.Source, e.Epoch}); is != f.epoch || e.Revision < f.revision {
+			f.epoch = is
+			clear(f.peerFacts)
 		}
-		f.rev = e.Rev
+		f.revision = e.Revision
 		for _, w := range e.Workers {
-			f.own[w.Name] = w.State
+			f.list[w.Name] = w.State
 		}
-		for name, w := range f.facts {
-			if w.Rev <= f.rev {
-				delete(f.facts, name)
+		for name, w := range f.peerFacts {
+			if w.Revision <= f.revision {
+				delete(f.peerFacts, name)
 			}
 		}
-	case Told:
-		if f.line != (line{e.Source, e.Descent}) {
+	case FactsReceived:
+		if f.epoch != (listEpoch{e.Source, e.Epoch}) {
 			return
 		}
 		for _, w := range e.Workers {
-			if was, had := f.facts[w.Name]; w.Rev > f.rev && (!had || w.Rev >= was.Rev) {
-				f.facts[w.Name] = w
+			if was, had := f.peerFacts[w.Name]; w.Revision > f.revision && (!had || w.Revision >= was.Revision) {
+				f.peerFacts[w.Name] = w
 			}
 		}
-	case Doubt:
+	case FactsDoubted:
 		for _, w := range e.Workers {
-			delete(f.facts, w.Name)
+			delete(f.peerFacts, w.Name)
 		}
 	}
 }
 
-// isOff says whether a worker gets nothing new.
-func (f *effect) isOff(name string) bool {
-	own, fact := f.own[name], f.facts[name]
-	return own == "draining" || own == "gone" || fact.Rev > f.rev && (fact.State == "draining" || fact.State == "gone")
+// isBlocked says whether a worker gets nothing new.
+func (f *replayState) isBlocked(name string) bool {
+	own, fact := f.list[name], f.peerFacts[name]
+	return own == "draining" || own == "gone" || fact.Revision > f.revision && (fact.State == "draining" || fact.State == "gone")
 }
 
-// note keeps what an entry has changed.
-func (l *life) note(e *Entry, f *effect) {
+// recordChanges keeps what an entry has changed.
+func (l *timeline) recordChanges(e *Entry, f *replayState) {
 	names := map[string]bool{}
-	for name := range f.off {
+	for name := range f.blocked {
 		names[name] = true
 	}
 	for _, w := range e.Workers {
 		names[w.Name] = true
-		if w.State != "ready" && e.What != Doubt {
-			rev := cmp.Or(w.Rev, e.Rev)
-			l.drains[w.Name] = append(l.drains[w.Name], rise{at: e.Time, line: line{e.Source, e.Descent}, knows: rev, peer: e.What == Told, n: e.N})
+		if w.State != "ready" && e.Kind != FactsDoubted {
+			rev := cmp.Or(w.Revision, e.Revision)
+			l.drains[w.Name] = append(l.drains[w.Name], progress{at: e.Time, epoch: listEpoch{e.Source, e.Epoch}, revision: rev, byPeer: e.Kind == FactsReceived, entry: e.Number})
 		}
 	}
 	for name := range names {
-		if off := f.isOff(name); off != f.off[name] {
-			l.workers[name] = append(l.workers[name], turn{e.N, e.Time, off})
-			if f.off[name] = off; !off {
-				delete(f.off, name)
+		if off := f.isBlocked(name); off != f.blocked[name] {
+			l.blocked[name] = append(l.blocked[name], transition{e.Number, e.Time, off})
+			if f.blocked[name] = off; !off {
+				delete(f.blocked, name)
 			}
 		}
 	}
-	if e.What == List && !e.Cached || e.What == Knows {
-		l.rises = append(l.rises, rise{at: e.Time, line: line{e.Source, e.Descent}, knows: e.Rev, peer: e.What == Knows, n: e.N})
+	if e.Kind == ListApplied && !e.Cached || e.Kind == CaughtUp {
+		l.progress = append(l.progress, progress{at: e.Time, epoch: listEpoch{e.Source, e.Epoch}, revision: e.Revision, byPeer: e.Kind == CaughtUp, entry: e.Number})
 	}
 }
 
-// at is the turn in force at a mark, and since when; false before the first.
-func at(turns []turn, mark uint64) (since float64, off bool) {
-	i := sort.Search(len(turns), func(i int) bool { return turns[i].n > mark })
+// transitionAt is the turn in force at a mark, and since when; false before the first.
+func transitionAt(turns []transition, mark uint64) (since float64, off bool) {
+	i := sort.Search(len(turns), func(i int) bool { return turns[i].entry > mark })
 	if i == 0 {
 		return 0, false
 	}
-	return turns[i-1].at, turns[i-1].off
+	return turns[i-1].at, turns[i-1].blocked
 }
 
 // reached is when a version of a line was known here; a worker's news may be known before the version is.
-func (l *life) reached(of line, rev int64) (r rise, ok bool) {
-	for _, r := range l.rises {
-		if r.line == of && r.knows >= rev {
+func (l *timeline) reached(of listEpoch, rev int64) (r progress, ok bool) {
+	for _, r := range l.progress {
+		if r.epoch == of && r.revision >= rev {
 			return r, true
 		}
 	}
-	return rise{}, false
+	return progress{}, false
 }
 
-// drained is when this life first held that a worker gets nothing new since a version.
-func (l *life) drained(of line, worker string, rev int64) (r rise, ok bool) {
+// drainedAt is when this life first held that a worker gets nothing new since a version.
+func (l *timeline) drainedAt(of listEpoch, worker string, rev int64) (r progress, ok bool) {
 	r, ok = l.reached(of, rev)
 	for _, d := range l.drains[worker] {
-		if d.line == of && d.knows >= rev && (!ok || d.at < r.at) {
+		if d.epoch == of && d.revision >= rev && (!ok || d.at < r.at) {
 			return d, true
 		}
 	}
 	return r, ok
 }
 
-// inHole says whether an entry may be missing in a time.
-func (l *life) inHole(from, to float64) bool {
-	return slices.ContainsFunc(l.holes, func(h hole) bool { return overlap(h.span, from, to) >= 0 })
+// inGap says whether an entry may be missing in a time.
+func (l *timeline) inGap(from, to float64) bool {
+	return slices.ContainsFunc(l.gaps, func(h gap) bool { return overlap(h.interval, from, to) >= 0 })
 }
 
 // overlap is how long a span lasts within a time; below 0 it is outside.
-func overlap(s span, from, to float64) float64 { return min(s.to, to) - max(s.from, from) }
+func overlap(s interval, from, to float64) float64 { return min(s.to, to) - max(s.from, from) }
 
-func longest(spans []span, from, to float64) (most float64) {
+func longestOverlap(spans []interval, from, to float64) (most float64) {
 	for _, s := range spans {
 		most = max(most, overlap(s, from, to))
 	}
--- a/internal/dispatcher/cluster/auditlog/plot.go
+++ b/internal/dispatcher/cluster/auditlog/plot.go
@@ -23,9 +23,9 @@
 	from, to := math.Inf(1), math.Inf(-1)
 	for _, v := range r.Versions {
 		from, to = min(from, v.At), max(to, v.At)
-		for _, t := range v.Taken {
-			if !slices.Contains(members, t.By) {
-				members = append(members, t.By)
+		for _, t := range v.Adoptions {
+			if !slices.Contains(members, t.Dispatcher) {
+				members = append(members, t.Dispatcher)
 			}
 		}
 		for _, by := range v.Never {
@@ -62,13 +62,13 @@
 			put(`<circle cx="%d" cy="%d" r="4" fill="%s"/><text x="%d" y="%d">%s</text>`, plotWide-138, 26+16*i, colour, plotWide-128, 30+16*i, html.EscapeString(by))
 		}
 		for _, v := range r.Versions {
-			for _, t := range v.Taken {
-				if t.By == by {
-					put(`<circle cx="%.1f" cy="%.1f" r="2.5" fill="%s"><title>%s: version %d after %.3f s</title></circle>`, x(v.At), y(t.After), colour, html.EscapeString(by), v.Rev, t.After)
+			for _, t := range v.Adoptions {
+				if t.Dispatcher == by {
+					put(`<circle cx="%.1f" cy="%.1f" r="2.5" fill="%s"><title>%s: version %d after %.3f s</title></circle>`, x(v.At), y(t.After), colour, html.EscapeString(by), v.Revision, t.After)
 				}
 			}
 			if slices.Contains(v.Never, by) {
-				put(`<path d="M%.1f %.1f l6 6 m0 -6 l-6 6" stroke="%s"><title>%s: version %d never</title></path>`, x(v.At)-3, y(plotMost)-3, colour, html.EscapeString(by), v.Rev)
+				put(`<path d="M%.1f %.1f l6 6 m0 -6 l-6 6" stroke="%s"><title>%s: version %d never</title></path>`, x(v.At)-3, y(plotMost)-3, colour, html.EscapeString(by), v.Revision)
 			}
 		}
 	}
--- a/internal/dispatcher/cluster/auditlog/read.go
+++ b/internal/dispatcher/cluster/auditlog/read.go
@@ -13,28 +13,28 @@
 	"strings"
 )
 
-// Send is an attempt as the request log tells it.
-type Send struct {
-	By   string
-	Life string
-	ID   string
-	Node string
-	At   float64 // by the dispatcher's clock
-	Mark uint64  // of the last entry in force; 0: none is told
+// Attempt is an attempt as the request log tells it.
+type Attempt struct {
+	Dispatcher string
+	Generation string
+	ID         string
+	Node       string
+	At         float64 // by the dispatcher's clock
+	Mark       uint64  // of the last entry in force; 0: none is told
 }
 
-const mostLine = 1 << 20 // bytes
+const maxLineLength = 1 << 20 // bytes
 
-// errOther is a line that is neither an entry nor an answer as they are known here.
-var errOther = errors.New("neither an entry nor an answer of a form that is known here")
+// errUnknownForm is a line that is neither an entry nor an answer as they are known here.
+var errUnknownForm = errors.New("neither an entry nor an answer of a form that is known here")
 
 // Read reads a ledger, a request log or both in one file, and has each entry and each attempt told; either may be nil. A line
 // that makes no sense is told to bad with its number, and left out: an earlier life may have died in the midst of it.
-func Read(r io.Reader, entry func(*Entry), send func(*Send), bad func(line int, err error)) error {
+func Read(r io.Reader, entry func(*Entry), send func(*Attempt), bad func(line int, err error)) error {
 	in := bufio.NewReaderSize(r, 64<<10)
 	for n := 1; ; n++ {
 		text, err := readLine(in)
-		if errors.Is(err, errLong) {
+		if errors.Is(err, errLineTooLong) {
 			bad(n, err)
 			continue
 		}
@@ -43,7 +43,7 @@
 			return fmt.Errorf("ledger: line %d: %w", n, err)
 		}
 		if text = bytes.TrimSpace(text); len(text) > 0 {
-			if err := take(text, entry, send); err != nil {
+			if err := parseLine(text, entry, send); err != nil {
 				if !whole {
 					err = fmt.Errorf("cut off: %w", err)
 				}
@@ -56,7 +56,7 @@
 	}
 }
 
-var errLong = errors.New("longer than any line that is written")
+var errLineTooLong = errors.New("longer than any line that is written")
 
 // readLine reads up to a line's end; one that is too long is passed over.
 func readLine(in *bufio.Reader) (line []byte, err error) {
@@ -66,21 +66,21 @@
 		if !long {
 			line = append(line, part...)
 		}
-		if len(line) > mostLine {
+		if len(line) > maxLineLength {
 			line, long = nil, true
 		}
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
 			continue
 		case err == nil && long:
-			return nil, errLong
+			return nil, errLineTooLong
 		}
 		return line, err
 	}
 }
 
-// answer is a line of the request log as far as it is read here.
-type answer struct {
+// requestLogLine is a line of the request log as far as it is read here.
+type requestLogLine struct {
 	Time    float64 `json:"time"`
 	By      string  `json:"by"`
 	ID      string  `json:"id"`
@@ -94,21 +94,21 @@
 	} `json:"tries"`
 }
 
-func take(text []byte, entry func(*Entry), send func(*Send)) error {
+func parseLine(text []byte, entry func(*Entry), send func(*Attempt)) error {
 	if bytes.Contains(text, []byte(`"verdict":`)) && !bytes.Contains(text, []byte(`"what":`)) {
 		if send == nil {
 			return nil
 		}
-		var a answer
+		var a requestLogLine
 		if err := json.Unmarshal(text, &a); err != nil {
 			return err
 		}
 		life, _, marked := strings.Cut(a.Mark, ".")
-		if !sane(a.Time) || a.By == "" || a.Mark != "" && (!marked || life == "") {
-			return errOther
+		if !validTime(a.Time) || a.By == "" || a.Mark != "" && (!marked || life == "") {
+			return errUnknownForm
 		}
 		for _, t := range a.Tries {
-			send(&Send{By: a.By, Life: life, ID: a.ID, Node: t.Node, At: a.Time + (t.Sent-a.Took)/1000, Mark: t.Mark})
+			send(&Attempt{Dispatcher: a.By, Generation: life, ID: a.ID, Node: t.Node, At: a.Time + (t.Sent-a.Took)/1000, Mark: t.Mark})
 		}
 		return nil
 	}
@@ -116,11 +116,11 @@
 	if err := json.Unmarshal(text, e); err != nil {
 		return err
 	}
-	if !sane(e.Time) || e.By == "" || e.Life == "" || e.N == 0 || e.What == "" {
-		return errOther
+	if !validTime(e.Time) || e.Dispatcher == "" || e.Generation == "" || e.Number == 0 || e.Kind == "" {
+		return errUnknownForm
 	}
-	if !whats[e.What] {
-		return fmt.Errorf("an entry of a kind that is not known here: %s", strconv.Quote(e.What))
+	if !kinds[e.Kind] {
+		return fmt.Errorf("an entry of a kind that is not known here: %s", strconv.Quote(e.Kind))
 	}
 	if entry != nil {
 		entry(e)
@@ -128,14 +128,14 @@
 	return nil
 }
 
-// ErrNone is that no file holds an entry.
-var ErrNone = errors.New("no ledger among these files")
+// ErrNoEntries is that no file holds an entry.
+var ErrNoEntries = errors.New("no ledger among these files")
 
-// Files audits ledgers and request logs. Each is read twice: what the members held first, then what they sent by it. left hears,
+// AuditFiles audits ledgers and request logs. Each is read twice: what the members held first, then what they sent by it. left hears,
 // in the first, of each line that is left out, and of each file that cannot be opened as of its line 0: the rest may say enough.
-func Files(rules Rules, files []string, left func(file string, line int, err error)) (*Report, error) {
-	a := NewAudit(rules)
-	pass := func(entry func(*Entry), send func(*Send), left func(file string, line int, err error)) error {
+func AuditFiles(rules Rules, files []string, left func(file string, line int, err error)) (*Report, error) {
+	a := NewAuditor(rules)
+	pass := func(entry func(*Entry), send func(*Attempt), left func(file string, line int, err error)) error {
 		for _, name := range files {
 			f, err := os.Open(name)
 			if err != nil {
@@ -150,17 +150,17 @@
 		}
 		return nil
 	}
-	if err := pass(a.Entry, nil, left); err != nil {
+	if err := pass(a.AddEntry, nil, left); err != nil {
 		return nil, err
 	}
-	if len(a.byName) == 0 {
-		return nil, ErrNone
+	if len(a.byGeneration) == 0 {
+		return nil, ErrNoEntries
 	}
-	a.Close()
-	if err := pass(nil, a.Send, func(string, int, error) {}); err != nil {
+	a.Finish()
+	if err := pass(nil, a.CheckAttempt, func(string, int, error) {}); err != nil {
 		return nil, err
 	}
 	return a.Report(), nil
 }
 
-func sane(t float64) bool { return t > 0 && t < 1e11 && !math.IsNaN(t) }
+func validTime(t float64) bool { return t > 0 && t < 1e11 && !math.IsNaN(t) }
--- a/internal/dispatcher/cluster/fleet.go
+++ b/internal/dispatcher/cluster/fleet.go
@@ -20,70 +20,70 @@
 )
 
 const (
-	bindAgain  = 0.1  // seconds between two tries at an address that the process before this one still holds
-	tellDrops  = 60.0 // seconds between two lines about datagrams that were dropped
-	sleptLeast = 0.5  // seconds of a sleep that counts, at least
-	sleptShare = 2.0  // and periods
+	bindRetryInterval = 0.1  // seconds between two tries at an address that the process before this one still holds
+	dropsLogInterval  = 60.0 // seconds between two lines about datagrams that were dropped
+	minPauseSeconds   = 0.5  // seconds of a sleep that counts, at least
+	minPauseProbes    = 2.0  // and periods
 )
 
 // Options are what a member is told.
 type Options struct {
-	Fleet, Name     string
-	Bind, Advertise netip.AddrPort
-	Seeds           []netip.AddrPort
-	Period, Forget  float64 // seconds
-	Lease           float64 // seconds
-	Seed            uint64
-	Facts           membership.Metadata
-	Rules           quota.Rules
-	Board           *versions.Board            // who holds which list; not nil
-	Leased          func(out bool, why string) // this dispatcher may take new work no more, or again
-	Settled         func(Settled)
-	Slept           func(late float64) // this process has stood still; called before anything else in that turn
+	Cluster, Name          string
+	Bind, Advertise        netip.AddrPort
+	Seeds                  []netip.AddrPort
+	ProbeInterval, DeadTTL float64 // seconds
+	LeaseTerm              float64 // seconds
+	RandomSeed             uint64
+	Metadata               membership.Metadata
+	Quota                  quota.Config
+	Versions               *versions.Table            // who holds which list; not nil
+	OnLease                func(out bool, why string) // this dispatcher may take new work no more, or again
+	OnConverged            func(Convergence)
+	OnPause                func(late float64) // this process has stood still; called before anything else in that turn
 }
 
-// Settled is that the view has settled.
-type Settled struct {
+// Convergence is that the view has settled.
+type Convergence struct {
 	After  float64 // seconds
 	Alive  int
 	Digest string
 }
 
-// Fleet is this dispatcher's part in its fleet.
-type Fleet struct {
+// Cluster is this dispatcher's part in its fleet.
+type Cluster struct {
 	Sent, Received, Unsent uint64
 	BytesSent              uint64
-	Drops                  [drops]uint64
-
-	loop    *eventloop.Loop
-	log     *zap.Logger
-	options Options
-	use     func(quota.Place) // who decides by the place
-	machine *membership.Node
-	divisor *quota.Divisor
-	socket  *eventloop.UDPSocket
-	timer   *eventloop.Timer
-	place   quota.Place
-	placeAt float64
-	counted bool
-	waits   bool // for the address, or for the process that has the name to give it back
-	closed  bool
-	told    [drops]uint64 // of Drops, in the log
-	toldAt  float64
-	settled float64 // how long the last settling took
+	Drops                  [dropReasons]uint64
+
+	loop            *eventloop.Loop
+	log             *zap.Logger
+	options         Options
+	onShare         func(quota.Share) // who decides by the place
+	node            *membership.Node
+	calculator      *quota.Calculator
+	socket          *eventloop.UDPSocket
+	timer           *eventloop.Timer
+	share           quota.Share
+	shareAt         float64
+	recognized      bool
+	waiting         bool // for the address, or for the process that has the name to give it back
+	closed          bool
+	loggedDrops     [dropReasons]uint64 // of Drops, in the log
+	dropsLoggedAt   float64
+	lastConvergence float64 // how long the last settling took
 }
 
 // Reasons for which datagrams are dropped.
 const (
-	dropForeign = iota
-	dropBroken
-	dropFormat
+	dropOtherCluster = iota
+	dropCorrupt
+	dropUnknownFormat
 	dropOversized
-	drops
+	dropReasons
 )
 
 // DropNames name them.
-var DropNames = [drops]string{"foreign", "broken", "format", "oversized"}
+var DropNames = [dropReasons]string{"foreign", "broken", "format", "oversized"}
 
 // Bind opens the socket of a member ahead of its start, so that an address that cannot be had refuses a reload. The
 // address of a process that still runs is waited for: nil without an error.
@@ -99,105 +99,105 @@
 }
 
 // Start begins; socket is of Bind, nil if the address was not to be had yet. use is called at once and with each change.
-func Start(loop *eventloop.Loop, log *zap.Logger, o Options, socket *eventloop.UDPSocket, use func(quota.Place)) *Fleet {
-	f := &Fleet{loop: loop, log: log, options: o, use: use, socket: socket}
-	loop.LateWakeupSeconds = math.Max(sleptLeast, sleptShare*o.Period)
-	loop.OnLateWakeup = f.slept
-	f.begin()
+func Start(loop *eventloop.Loop, log *zap.Logger, o Options, socket *eventloop.UDPSocket, use func(quota.Share)) *Cluster {
+	f := &Cluster{loop: loop, log: log, options: o, onShare: use, socket: socket}
+	loop.LateWakeupSeconds = math.Max(minPauseSeconds, minPauseProbes*o.ProbeInterval)
+	loop.OnLateWakeup = f.handlePause
+	f.startNode()
 	return f
 }
 
-// begin starts a life as a member.
-func (f *Fleet) begin() {
+// startNode starts a life as a member.
+func (f *Cluster) startNode() {
 	o := &f.options
-	f.machine = membership.New(membership.Options{Cluster: o.Fleet, Name: o.Name, Addr: o.Advertise, Seeds: o.Seeds, ProbeInterval: o.Period,
-		DeadTTL: o.Forget, Generation: uint64(f.loop.Now() * 1e6), RandomSeed: o.Seed, Metadata: o.Facts, Delegate: o.Board})
-	o.Board.Near = func(member string) bool { return f.machine.Zone(member) == o.Facts.Zone }
-	f.divisor = quota.New(o.Rules)
-	o.Board.Lease.ProbeInterval, o.Board.Lease.Term = o.Period, o.Lease
-	f.divide()
+	f.node = membership.New(membership.Options{Cluster: o.Cluster, Name: o.Name, Addr: o.Advertise, Seeds: o.Seeds, ProbeInterval: o.ProbeInterval,
+		DeadTTL: o.DeadTTL, Generation: uint64(f.loop.Now() * 1e6), RandomSeed: o.RandomSeed, Metadata: o.Metadata, Delegate: o.Versions})
+	o.Versions.SameZone = func(member string) bool { return f.node.Zone(member) == o.Metadata.Zone }
+	f.calculator = quota.New(o.Quota)
+	o.Versions.Lease.ProbeInterval, o.Versions.Lease.Term = o.ProbeInterval, o.LeaseTerm
+	f.updateShare()
 	if f.socket == nil {
-		f.rebind()
+		f.retryBind()
 		return
 	}
-	f.open()
+	f.join()
 }
 
-// rebind tries for the address until the process that holds it lets go.
-func (f *Fleet) rebind() {
+// retryBind tries for the address until the process that holds it lets go.
+func (f *Cluster) retryBind() {
 	if f.closed {
 		return
 	}
 	socket, err := Bind(f.loop, f.options.Bind)
 	if socket == nil {
-		if !f.waits || err != nil {
+		if !f.waiting || err != nil {
 			f.log.Warn("fleet: the address is taken, waiting for it", zap.Stringer("bind", f.options.Bind), zap.Error(err))
 		}
-		f.waits = true
-		f.timer = f.loop.At(f.loop.Now()+bindAgain, f.rebind)
+		f.waiting = true
+		f.timer = f.loop.At(f.loop.Now()+bindRetryInterval, f.retryBind)
 		return
 	}
-	f.waits, f.socket = false, socket
-	f.open()
+	f.waiting, f.socket = false, socket
+	f.join()
 }
 
-func (f *Fleet) open() {
-	f.socket.SetHandler(f.receive)
-	f.log.Info("fleet: member", zap.String("fleet", f.options.Fleet), zap.String("name", f.options.Name),
-		zap.Stringer("bind", f.options.Bind), zap.Stringer("advertise", f.options.Advertise), zap.Uint64("life", f.machine.Generation))
-	f.machine.Start(f.loop.Now())
-	f.pump()
-	f.arm()
+func (f *Cluster) join() {
+	f.socket.SetHandler(f.handleDatagram)
+	f.log.Info("fleet: member", zap.String("fleet", f.options.Cluster), zap.String("name", f.options.Name),
+		zap.Stringer("bind", f.options.Bind), zap.Stringer("advertise", f.options.Advertise), zap.Uint64("life", f.node.Generation))
+	f.node.Start(f.loop.Now())
+	f.flush()
+	f.scheduleTick()
 }
 
-func (f *Fleet) arm() {
+func (f *Cluster) scheduleTick() {
 	f.timer.Stop()
-	f.timer = f.loop.At(f.machine.NextTick(), func() {
-		f.machine.Tick(f.loop.Now())
-		if f.loop.Now() >= f.placeAt+f.options.Period {
-			f.divide()
+	f.timer = f.loop.At(f.node.NextTick(), func() {
+		f.node.Tick(f.loop.Now())
+		if f.loop.Now() >= f.shareAt+f.options.ProbeInterval {
+			f.updateShare()
 		}
-		f.pump()
-		f.tellDrops()
-		f.arm()
+		f.flush()
+		f.logDrops()
+		f.scheduleTick()
 	})
 }
 
-func (f *Fleet) receive(b []byte) {
+func (f *Cluster) handleDatagram(b []byte) {
 	f.Received++
-	msg, err := membership.Decode(f.options.Fleet, b)
+	msg, err := membership.Decode(f.options.Cluster, b)
 	switch {
 	case err == nil:
-		f.machine.HandleMessage(f.loop.Now(), msg)
-		f.pump()
+		f.node.HandleMessage(f.loop.Now(), msg)
+		f.flush()
 	case errors.Is(err, membership.ErrOtherCluster):
-		f.Drops[dropForeign]++
+		f.Drops[dropOtherCluster]++
 	case errors.Is(err, membership.ErrUnknownFormat):
-		f.Drops[dropFormat]++
+		f.Drops[dropUnknownFormat]++
 	case errors.Is(err, membership.ErrOversized):
 		f.Drops[dropOversized]++
 	default:
-		f.Drops[dropBroken]++
+		f.Drops[dropCorrupt]++
 	}
 }
 
-// slept is told before anything else is done in a turn that comes late.
-func (f *Fleet) slept(late float64) {
-	if f.closed || f.waits {
+// handlePause is told before anything else is done in a turn that comes late.
+func (f *Cluster) handlePause(late float64) {
+	if f.closed || f.waiting {
 		return
 	}
 	f.log.Warn("fleet: this process has stood still; what it knew is looked at again", zap.Float64("late_s", late))
-	if f.options.Slept != nil {
-		f.options.Slept(late)
+	if f.options.OnPause != nil {
+		f.options.OnPause(late)
 	}
-	f.machine.HandlePause(f.loop.Now())
-	f.pump()
-	f.arm()
+	f.node.HandlePause(f.loop.Now())
+	f.flush()
+	f.scheduleTick()
 }
 
-// pump sends what the machine has to send, tells what has changed, and has the decisions know.
-func (f *Fleet) pump() {
-	for _, p := range f.machine.TakePackets() {
+// flush sends what the machine has to send, tells what has changed, and has the decisions know.
+func (f *Cluster) flush() {
+	for _, p := range f.node.TakePackets() {
 		b, err := membership.Encode(p.Message)
 		if err == nil {
 			if err = f.socket.SendTo(p.To, b); err == nil {
@@ -209,23 +209,23 @@
 		f.Unsent++ // a full buffer, no way there: as good as lost on the way
 		f.log.Debug("fleet: not sent", zap.Stringer("to", p.To), zap.Error(err))
 	}
-	changes := f.machine.TakeChanges()
+	changes := f.node.TakeChanges()
 	for _, c := range changes {
-		f.tell(c)
+		f.logChange(c)
 	}
-	for _, s := range f.machine.TakeConvergenceTimes() {
-		f.settled = s
-		alive, suspect, dead := f.machine.CountByState()
-		f.options.Settled(Settled{s, alive, digest(f.machine.Digest())})
+	for _, s := range f.node.TakeConvergenceTimes() {
+		f.lastConvergence = s
+		alive, suspect, dead := f.node.CountByState()
+		f.options.OnConverged(Convergence{s, alive, digest(f.node.Digest())})
 		f.log.Info("fleet: settled", zap.Float64("after_s", s), zap.Int("alive", alive), zap.Int("suspect", suspect), zap.Int("dead", dead),
-			zap.String("digest", digest(f.machine.Digest())))
+			zap.String("digest", digest(f.node.Digest())))
 	}
-	if len(changes) > 0 || f.counted != f.machine.Recognized() {
-		f.divide()
+	if len(changes) > 0 || f.recognized != f.node.Recognized() {
+		f.updateShare()
 	}
 }
 
-func (f *Fleet) tell(c membership.Change) {
+func (f *Cluster) logChange(c membership.Change) {
 	fields := []zap.Field{zap.String("member", c.Name), zap.Stringer("is", c.To), zap.Uint64("incarnation", c.Incarnation), zap.String("cause", c.Cause)}
 	if !c.New {
 		fields = append(fields, zap.Stringer("was", c.From))
@@ -237,80 +237,80 @@
 	f.log.Info("fleet: change", fields...)
 }
 
-// divide works the place out anew.
-func (f *Fleet) divide() {
-	f.placeAt, f.counted = f.loop.Now(), f.machine.Recognized()
-	v := f.machine.View()
-	f.judge(&v)
-	p := f.divisor.Place(f.loop.Now(), &v)
-	if p.Equal(&f.place) {
+// updateShare works the place out anew.
+func (f *Cluster) updateShare() {
+	f.shareAt, f.recognized = f.loop.Now(), f.node.Recognized()
+	v := f.node.View()
+	f.updateLease(&v)
+	p := f.calculator.Share(f.loop.Now(), &v)
+	if p.Equal(&f.share) {
 		return
 	}
-	was := f.place
-	f.place = p
-	f.use(p)
-	if was.Instances == p.Instances && was.Part == p.Part && was.Why == p.Why {
+	was := f.share
+	f.share = p
+	f.onShare(p)
+	if was.Instances == p.Instances && was.Fraction == p.Fraction && was.Reason == p.Reason {
 		return // other names alone
 	}
-	f.log.Info("fleet: cold workers are shared", zap.Int("among", p.Instances), zap.Int("me", p.Me), zap.Float64("part", p.Part), zap.String("why", string(p.Why)))
+	f.log.Info("fleet: cold workers are shared", zap.Int("among", p.Instances), zap.Int("me", p.Index), zap.Float64("part", p.Fraction), zap.String("why", string(p.Reason)))
 }
 
-// Judge has what has changed decided by at once.
-func (f *Fleet) Judge() {
+// Update has what has changed decided by at once.
+func (f *Cluster) Update() {
 	if !f.closed {
-		f.divide()
+		f.updateShare()
 	}
 }
 
-// Met says whether anybody else was heard from.
-func (f *Fleet) Met() bool { return f.machine.Contacted() }
+// Contacted says whether anybody else was heard from.
+func (f *Cluster) Contacted() bool { return f.node.Contacted() }
 
-// Lease is how long a lease lasts without a fresh word, in seconds.
-func (f *Fleet) Lease() float64 { return f.options.Lease }
+// LeaseTerm is how long a lease lasts without a fresh word, in seconds.
+func (f *Cluster) LeaseTerm() float64 { return f.options.LeaseTerm }
 
-// WordAge is how long ago a word of discovery last confirmed what is known here, in seconds; -1: never.
-func (f *Fleet) WordAge() float64 {
-	at := f.options.Board.Word()
+// ConfirmationAge is how long ago a word of discovery last confirmed what is known here, in seconds; -1: never.
+func (f *Cluster) ConfirmationAge() float64 {
+	at := f.options.Versions.LastConfirmed()
 	if at <= 0 {
 		return -1
 	}
 	return f.loop.Now() - at
 }
 
-// judge has the lease judged anew.
-func (f *Fleet) judge(v *membership.View) {
-	l := f.options.Board.Lease
+// updateLease has the lease judged anew.
+func (f *Cluster) updateLease(v *membership.View) {
+	l := f.options.Versions.Lease
 	was := l.State()
-	if !f.options.Board.Judge(f.loop.Now(), v) {
+	if !f.options.Versions.UpdateLease(f.loop.Now(), v) {
 		return
 	}
-	f.SetFacts(f.options.Facts)
+	f.SetMetadata(f.options.Metadata)
 	f.log.Warn("fleet: lease", zap.Stringer("is", l.State()), zap.String("why", l.Reason))
 	if out := l.State() == lease.Out; out != (was == lease.Out) {
-		f.options.Leased(out, l.Reason)
+		f.options.OnLease(out, l.Reason)
 	}
 }
 
-// Order shuts a member out, or brings it back, by whichever way reaches it. More than a third are not shut out at once.
-func (f *Fleet) Order(member string, out bool) error {
+// IssueOrder shuts a member out, or brings it back, by whichever way reaches it. More than a third are not shut out at once.
+func (f *Cluster) IssueOrder(member string, out bool) error {
 	if f.socket == nil {
 		return errors.New("fleet: not joined yet")
 	}
-	v := f.machine.View()
-	if err := f.options.Board.Order(f.loop.Now(), &v, member, out); err != nil {
+	v := f.node.View()
+	if err := f.options.Versions.IssueOrder(f.loop.Now(), &v, member, out); err != nil {
 		return err
 	}
-	f.divide()
-	f.Urge()
+	f.updateShare()
+	f.GossipNow()
 	return nil
 }
 
-// tellDrops says once in a while what was dropped.
-func (f *Fleet) tellDrops() {
-	if f.Drops == f.told || f.loop.Now() < f.toldAt+tellDrops {
+// dropsLogInterval says once in a while what was dropped.
+func (f *Cluster) logDrops() {
+	if f.Drops == f.loggedDrops || f.loop.Now() < f.dropsLoggedAt+dropsLogInterval {
 		return
 	}
-	f.toldAt, f.told = f.loop.Now(), f.Drops
+	f.dropsLoggedAt, f.loggedDrops = f.loop.Now(), f.Drops
 	fields := []zap.Field{}
 	for i, n := range f.Drops {
 		fields = append(fields, zap.Uint64(DropNames[i], n))
@@ -318,91 +318,91 @@
 	f.log.Warn("fleet: datagrams dropped so far", fields...)
 }
 
-// Urge sends what the Board has to tell without waiting for the next step.
-func (f *Fleet) Urge() {
-	if f.socket != nil && !f.waits && f.options.Board.HasUrgent() {
-		f.machine.GossipNow(f.loop.Now())
-		f.pump()
+// GossipNow sends what the Board has to tell without waiting for the next step.
+func (f *Cluster) GossipNow() {
+	if f.socket != nil && !f.waiting && f.options.Versions.HasUrgent() {
+		f.node.GossipNow(f.loop.Now())
+		f.flush()
 	}
 }
 
-// SetFacts sets what is told of this member.
-func (f *Fleet) SetFacts(facts membership.Metadata) {
-	facts.Lease = f.options.Board.Lease.State()
-	f.options.Facts = facts
-	f.machine.SetMetadata(f.loop.Now(), facts)
+// SetMetadata sets what is told of this member.
+func (f *Cluster) SetMetadata(facts membership.Metadata) {
+	facts.Lease = f.options.Versions.Lease.State()
+	f.options.Metadata = facts
+	f.node.SetMetadata(f.loop.Now(), facts)
 }
 
 // Leave tells the others that this dispatcher has stopped sending; Rejoin that it begins again.
-func (f *Fleet) Leave() {
+func (f *Cluster) Leave() {
 	if f.socket == nil {
 		return
 	}
-	f.machine.Leave(f.loop.Now())
-	f.divide()
-	f.pump()
+	f.node.Leave(f.loop.Now())
+	f.updateShare()
+	f.flush()
 }
 
 // Rejoin takes a Leave back.
-func (f *Fleet) Rejoin() {
-	f.machine.Rejoin(f.loop.Now())
-	f.divide()
+func (f *Cluster) Rejoin() {
+	f.node.Rejoin(f.loop.Now())
+	f.updateShare()
 	if f.socket != nil {
-		f.pump()
-		f.arm()
+		f.flush()
+		f.scheduleTick()
 	}
 }
 
-// Declare has a member that is dead count as one that has left, everywhere.
-func (f *Fleet) Declare(name string) error {
+// DeclareLeft has a member that is dead count as one that has left, everywhere.
+func (f *Cluster) DeclareLeft(name string) error {
 	if f.socket == nil {
 		return errors.New("fleet: not joined yet")
 	}
-	err := f.machine.DeclareLeft(f.loop.Now(), name)
-	f.divide()
-	f.pump()
+	err := f.node.DeclareLeft(f.loop.Now(), name)
+	f.updateShare()
+	f.flush()
 	return err
 }
 
 // Yield leaves the name and the address to the process that takes this one's place, without a word; Resume takes both back.
-func (f *Fleet) Yield() {
+func (f *Cluster) Yield() {
 	f.timer.Stop()
 	if f.socket != nil {
 		f.socket.Close()
 		f.socket = nil
 	}
-	f.waits = true
-	f.place.Part, f.place.Why = quota.Cautious, quota.CutOff // the next one has the share
-	f.use(f.place)
+	f.waiting = true
+	f.share.Fraction, f.share.Reason = quota.CautiousFraction, quota.CutOff // the next one has the share
+	f.onShare(f.share)
 }
 
 // Resume begins a new life under the name.
-func (f *Fleet) Resume() { f.begin() }
+func (f *Cluster) Resume() { f.startNode() }
 
-// Same says whether a member started by o would be this one but for seeds and rules, which Change takes.
-func (f *Fleet) Same(o *Options) bool {
+// SameIdentity says whether a member started by o would be this one but for seeds and rules, which Change takes.
+func (f *Cluster) SameIdentity(o *Options) bool {
 	w := &f.options
-	return w.Fleet == o.Fleet && w.Name == o.Name && w.Bind == o.Bind && w.Advertise == o.Advertise && w.Period == o.Period && w.Forget == o.Forget && w.Lease == o.Lease
+	return w.Cluster == o.Cluster && w.Name == o.Name && w.Bind == o.Bind && w.Advertise == o.Advertise && w.ProbeInterval == o.ProbeInterval && w.DeadTTL == o.DeadTTL && w.LeaseTerm == o.LeaseTerm
 }
 
 // SameBind says whether the address is this one's.
-func (f *Fleet) SameBind(o *Options) bool { return f.options.Bind == o.Bind }
+func (f *Cluster) SameBind(o *Options) bool { return f.options.Bind == o.Bind }
 
-// Change takes other seeds and rules.
-func (f *Fleet) Change(o Options) {
-	f.options.Rules, f.divisor.Rules = o.Rules, o.Rules
+// UpdateOptions takes other seeds and rules.
+func (f *Cluster) UpdateOptions(o Options) {
+	f.options.Quota, f.calculator.Config = o.Quota, o.Quota
 	if !slices.Equal(f.options.Seeds, o.Seeds) {
 		f.options.Seeds = o.Seeds
-		f.machine.SetSeeds(f.loop.Now(), o.Seeds)
+		f.node.SetSeeds(f.loop.Now(), o.Seeds)
 		if f.socket != nil {
-			f.pump()
+			f.flush()
 		}
 	}
-	f.divide()
+	f.updateShare()
 }
 
 // Release ends this member by word and gives its socket to whoever has the address next; nil where it had none.
-func (f *Fleet) Release() *eventloop.UDPSocket {
+func (f *Cluster) Release() *eventloop.UDPSocket {
 	f.Leave()
 	socket := f.socket
 	f.socket, f.closed = nil, true
@@ -412,20 +412,20 @@
 }
 
 // Close ends this member by word.
-func (f *Fleet) Close() {
+func (f *Cluster) Close() {
 	if s := f.Release(); s != nil {
 		s.Close()
 	}
 }
 
-// Census counts the members by state, this one among the living.
-func (f *Fleet) Census() (alive, suspect, dead int) { return f.machine.CountByState() }
+// CountByState counts the members by state, this one among the living.
+func (f *Cluster) CountByState() (alive, suspect, dead int) { return f.node.CountByState() }
 
-// Counts are what the membership has counted.
-func (f *Fleet) Counts() membership.Stats { return f.machine.Stats }
+// Stats are what the membership has counted.
+func (f *Cluster) Stats() membership.Stats { return f.node.Stats }
 
-// LastSettling is how long the view took to settle the last time, in seconds; 0: it has not yet.
-func (f *Fleet) LastSettling() float64 { return f.settled }
+// LastConvergence is how long the view took to settle the last time, in seconds; 0: it has not yet.
+func (f *Cluster) LastConvergence() float64 { return f.lastConvergence }
 
-// Place is among whom cold workers are shared.
-func (f *Fleet) Place() quota.Place { return f.place }
+// Share is among whom cold workers are shared.
+func (f *Cluster) Share() quota.Share { return f.share }
--- a/internal/dispatcher/cluster/quota/crowd_test.go
+++ b/internal/dispatcher/cluster/quota/crowd_test.go
@@ -12,8 +12,8 @@
 	"cinderroad/loadbalancer"
 )
 
-// settings are those of one class whose jobs fit a cold worker's share many times over.
-func settings(told, me int) loadbalancer.Settings {
+// testSettings are those of one class whose jobs fit a cold worker's share many times over.
+func testSettings(told, me int) loadbalancer.Settings {
 	return loadbalancer.Settings{Classes: []loadbalancer.Class{{Name: "score", Objective: 0.5, Deadline: 5, Value: 1, RetrySafety: loadbalancer.RetrySafe, Kind: -1}},
 		Zones: 1, Instances: told, Instance: me, ReportFields: []loadbalancer.ReportField{loadbalancer.FieldInFlight, loadbalancer.FieldUtilization, loadbalancer.FieldFreeSlots},
 		MaxAttempts: 4, MaxRetryAfter: 2, Tick: 0.004, AnswerSlack: 0.016, ListRefreshInterval: 10, SlowStartDuration: 9, SlowStartInitialShare: 0.34, OverloadMultiple: 3,
@@ -22,29 +22,29 @@
 
 const work = 0.01 // seconds of a job
 
-// dispatcher is a member's decisions: it gets more jobs than its share of the one worker, which is cold, bears.
-type dispatcher struct {
+// testDispatcher is a member's decisions: it gets more jobs than its share of the one worker, which is cold, bears.
+type testDispatcher struct {
 	node    *virtualcluster.Node
 	bal     *loadbalancer.Balancer
-	div     *quota.Divisor
-	place   quota.Place
+	div     *quota.Calculator
+	place   quota.Share
 	net     *virtualcluster.Net
-	sum     *sum
+	sum     *workerLoad
 	next    loadbalancer.RequestID
-	out     []sent
+	out     []attempt
 	off     bool
 	slept   bool
 	stopped bool    // hands in nothing more
 	wholeAt float64 // since when it takes its whole share
 }
 
-type sent struct {
+type attempt struct {
 	id loadbalancer.RequestID
 	at float64
 }
 
-// sum is what the worker gets from all.
-type sum struct {
+// workerLoad is what the worker gets from all.
+type workerLoad struct {
 	since float64
 	sends []float64
 	worst float64 // of what it bears in a fall time
@@ -53,21 +53,21 @@
 }
 
 // Log and the rest implement brain.Actions.
-func (d *dispatcher) Log(string)                             {}
-func (d *dispatcher) Reject(loadbalancer.RequestID, float64) {}
-func (d *dispatcher) Fail(loadbalancer.RequestID)            {}
-func (d *dispatcher) Cancel(loadbalancer.RequestID, int)     {}
-func (d *dispatcher) Probe(loadbalancer.WorkerID)            {}
-func (d *dispatcher) Watch(bool)                             {}
-func (d *dispatcher) Fetch()                                 {}
-func (d *dispatcher) SetTimer(token uint32, at float64)      {}
-func (d *dispatcher) Send(id loadbalancer.RequestID, _ loadbalancer.WorkerID, _ float64) {
+func (d *testDispatcher) Log(string)                             {}
+func (d *testDispatcher) Reject(loadbalancer.RequestID, float64) {}
+func (d *testDispatcher) Fail(loadbalancer.RequestID)            {}
+func (d *testDispatcher) Cancel(loadbalancer.RequestID, int)     {}
+func (d *testDispatcher) Probe(loadbalancer.WorkerID)            {}
+func (d *testDispatcher) Watch(bool)                             {}
+func (d *testDispatcher) Fetch()                                 {}
+func (d *testDispatcher) SetTimer(token uint32, at float64)      {}
+func (d *testDispatcher) Send(id loadbalancer.RequestID, _ loadbalancer.WorkerID, _ float64) {
 	now := d.net.Now
-	d.out = append(d.out, sent{id, now})
+	d.out = append(d.out, attempt{id, now})
 	d.sum.book(now)
 }
 
-func (s *sum) book(now float64) {
+func (s *workerLoad) book(now float64) {
 	s.all++
 	s.sends = append(s.sends, now)
 	for len(s.sends) > 0 && now-s.sends[0] >= 2 {
@@ -80,22 +80,22 @@
 	}
 }
 
-// fleet is a virtual fleet of dispatchers round one worker that is cold all the time.
-type fleet struct {
+// testCluster is a virtual fleet of dispatchers round one worker that is cold all the time.
+type testCluster struct {
 	t      *testing.T
 	net    *virtualcluster.Net
-	all    map[*virtualcluster.Node]*dispatcher
-	list   []*dispatcher
-	sum    sum
+	all    map[*virtualcluster.Node]*testDispatcher
+	list   []*testDispatcher
+	sum    workerLoad
 	told   int
 	missed int
 	off    bool
 	rng    *rand.Rand
 }
 
-func newFleet(t *testing.T, seed uint64, n, told int, off bool) *fleet {
-	f := &fleet{t: t, net: virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: 0.05, Delay: 0.002, Jitter: 0.02, Period: 0.5}, n), told: told, off: off,
-		all: map[*virtualcluster.Node]*dispatcher{}, rng: rand.New(rand.NewPCG(seed, 3))}
+func newTestCluster(t *testing.T, seed uint64, n, told int, off bool) *testCluster {
+	f := &testCluster{t: t, net: virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: 0.05, Delay: 0.002, Jitter: 0.02, Period: 0.5}, n), told: told, off: off,
+		all: map[*virtualcluster.Node]*testDispatcher{}, rng: rand.New(rand.NewPCG(seed, 3))}
 	f.net.Each = func(node *virtualcluster.Node) {
 		if d := f.all[node]; d != nil {
 			d.divide()
@@ -108,15 +108,15 @@
 	return f
 }
 
-func (f *fleet) start(i int) {
+func (f *testCluster) start(i int) {
 	node := f.net.Nodes[i]
-	d := &dispatcher{node: node, net: f.net, sum: &f.sum, off: f.off}
-	bal, err := loadbalancer.New(settings(f.told, i%f.told), uint64(i), d)
+	d := &testDispatcher{node: node, net: f.net, sum: &f.sum, off: f.off}
+	bal, err := loadbalancer.New(testSettings(f.told, i%f.told), uint64(i), d)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	d.bal = bal
-	d.div = quota.New(quota.Rules{Instances: f.told, Me: i % f.told, Period: f.net.Period, LastSends: 2, Whole: true})
+	d.div = quota.New(quota.Config{Instances: f.told, Index: i % f.told, ProbeInterval: f.net.Period, LoadDecay: 2, AllMembers: true})
 	bal.Start(f.net.Now)
 	bal.UpdateWorkers(f.net.Now, loadbalancer.ListFull, []loadbalancer.Worker{{ID: 7, State: loadbalancer.Ready, StartedAt: f.sum.since}})
 	for j, old := range f.list {
@@ -130,26 +130,26 @@
 	f.net.Start(node, f.net.Nodes[0], f.net.Nodes[1])
 }
 
-func (d *dispatcher) divide() {
+func (d *testDispatcher) divide() {
 	if d.off || d.node.Machine == nil {
 		return
 	}
 	v := d.node.Machine.View()
-	p := d.div.Place(d.net.Now, &v)
+	p := d.div.Share(d.net.Now, &v)
 	if p.Equal(&d.place) {
 		return
 	}
-	if p.Part == 1 && d.place.Part < 1 {
+	if p.Fraction == 1 && d.place.Fraction < 1 {
 		d.wholeAt = d.net.Now
 	}
 	d.place = p
-	if err := d.bal.SetInstanceShare(loadbalancer.InstanceShare{Instances: p.Instances, Instance: p.Me, BudgetShare: p.Part, InstanceKeys: p.Keys}); err != nil {
+	if err := d.bal.SetInstanceShare(loadbalancer.InstanceShare{Instances: p.Instances, Instance: p.Index, BudgetShare: p.Fraction, InstanceKeys: p.Keys}); err != nil {
 		panic(err)
 	}
 }
 
 // step hands jobs in everywhere, and has the worker be cold anew every 9 s.
-func (f *fleet) step() {
+func (f *testCluster) step() {
 	now := f.net.Now
 	if now >= f.sum.since+9 {
 		f.sum.since, f.sum.sends = now, nil
@@ -185,16 +185,16 @@
 }
 
 // unseen counts the pairs of which both take whole shares and one does not count the other.
-func (f *fleet) unseen() {
+func (f *testCluster) unseen() {
 	for _, a := range f.list {
 		for _, b := range f.list {
-			sends := func(d *dispatcher) bool {
-				return d.node.Machine != nil && !d.node.Paused && !d.slept && d.place.Part == 1 && d.place.Keys != nil
+			sends := func(d *testDispatcher) bool {
+				return d.node.Machine != nil && !d.node.Paused && !d.slept && d.place.Fraction == 1 && d.place.Keys != nil
 			}
 			if a != b && sends(a) && sends(b) && !slices.Contains(b.place.Keys, membership.Key(a.node.Name)) {
 				f.missed++
 				f.t.Errorf("at %.2f %s takes its whole share since %.2f (%s of %d), and %s (since %.2f, %s of %d) does not count it", f.net.Now, a.node.Name, a.wholeAt,
-					a.place.Why, a.place.Instances, b.node.Name, b.wholeAt, b.place.Why, b.place.Instances)
+					a.place.Reason, a.place.Instances, b.node.Name, b.wholeAt, b.place.Reason, b.place.Instances)
 			}
 		}
 	}
@@ -203,9 +203,9 @@
 	}
 }
 
-func (f *fleet) run(seconds float64) { f.net.Run(f.net.Now + seconds) }
+func (f *testCluster) run(seconds float64) { f.net.Run(f.net.Now + seconds) }
 
-func (f *fleet) check(what string) {
+func (f *testCluster) check(what string) {
 	f.t.Helper()
 	if f.sum.worst > 1 {
 		f.t.Errorf("%s: a cold worker was sent %.2f of what it bears at %.2f", what, f.sum.worst, f.sum.at)
@@ -217,12 +217,12 @@
 // F4: whatever the members' views, none that takes its whole share is missing from the count of another that does, and what
 // they give a cold worker together stays in what it bears: while they join, one after another and all at once, while some are
 // cut off, stalled, killed, and come back.
-func TestSharesOfDifferingViewsStayUnderTheBound(t *testing.T) {
+func TestCombinedSharesStayBounded(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 12, 62} {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
 			t.Parallel()
 			n := []int{3, 5, 8, 12}[seed%4]
-			f := newFleet(t, seed, n, n, false)
+			f := newTestCluster(t, seed, n, n, false)
 			for i := range n {
 				f.start(i)
 				f.run(0.4 * f.rng.Float64())
@@ -270,10 +270,10 @@
 
 // What the fleet gains: where three in eight have left, the five that stay give a cold worker what the eight did; with the
 // number of the settings alone it gets what five of eight shares are.
-func TestAColdWorkerOfADwindledFleetIsGivenMore(t *testing.T) {
+func TestSharesGrowWhenMembersLeave(t *testing.T) {
 	given := map[bool]int{}
 	for _, off := range []bool{true, false} {
-		f := newFleet(t, 5, 8, 8, off)
+		f := newTestCluster(t, 5, 8, 8, off)
 		for i := range 8 {
 			f.start(i)
 		}
@@ -296,12 +296,12 @@
 }
 
 // F1: one that has heard nobody decides by the settings alone.
-func TestAloneIsAsConfigured(t *testing.T) {
-	d := quota.New(quota.Rules{Instances: 7, Me: 3, Period: 1, LastSends: 2, Whole: true})
+func TestConfiguredShareWhenAlone(t *testing.T) {
+	d := quota.New(quota.Config{Instances: 7, Index: 3, ProbeInterval: 1, LoadDecay: 2, AllMembers: true})
 	m := membership.New(membership.Options{Cluster: "f", Name: "a", Addr: virtualcluster.New(virtualcluster.Options{}, 1).Nodes[0].Addr, ProbeInterval: 1, Generation: 1})
 	m.Start(0)
 	v := m.View()
-	if p := d.Place(0, &v); p.Instances != 7 || p.Me != 3 || p.Part != 1 || p.Keys != nil {
+	if p := d.Share(0, &v); p.Instances != 7 || p.Index != 3 || p.Fraction != 1 || p.Keys != nil {
 		t.Errorf("%+v", p)
 	}
 }
@@ -322,7 +322,7 @@
 }
 
 // Who counts, and by how much, for each kind of view.
-func TestPlaces(t *testing.T) {
+func TestShares(t *testing.T) {
 	const alive, suspect, dead, left = membership.Alive, membership.Suspect, membership.Dead, membership.Left
 	for _, tc := range []struct {
 		name      string
@@ -331,51 +331,51 @@
 		whole     bool
 		instances int
 		part      float64
-		why       quota.Why
+		why       quota.Reason
 	}{
 		{"all alive", seen(true, alive, alive, alive), 9, true, 3, 1, quota.Full},
 		{"one left", seen(true, alive, alive, left), 9, true, 2, 1, quota.Full},
 		{"one suspect", seen(true, alive, alive, suspect), 9, true, 3, 1, quota.Full},
 		{"one dead within the lease", seen(true, alive, alive, dead), 9, true, 3, 1, quota.Full},
 		{"half of two", seen(true, alive, dead), 2, true, 2, 1, quota.Waiting},
-		{"a third", seen(true, alive, dead, dead), 3, true, 3, quota.Cautious, quota.CutOff},
-		{"not counted", seen(false, alive, alive, alive), 3, true, 3, quota.Cautious, quota.Uncounted},
-		{"not counted, and more are told of", seen(false, alive, alive), 8, true, 8, quota.Cautious, quota.Uncounted},
-		{"just begun, and fewer are known than told of", begun(seen(true, alive, alive), 9), 8, true, 8, quota.Cautious, quota.Uncounted},
+		{"a third", seen(true, alive, dead, dead), 3, true, 3, quota.CautiousFraction, quota.CutOff},
+		{"not counted", seen(false, alive, alive, alive), 3, true, 3, quota.CautiousFraction, quota.Unrecognized},
+		{"not counted, and more are told of", seen(false, alive, alive), 8, true, 8, quota.CautiousFraction, quota.Unrecognized},
+		{"just begun, and fewer are known than told of", begun(seen(true, alive, alive), 9), 8, true, 8, quota.CautiousFraction, quota.Unrecognized},
 		{"begun a while ago, and fewer are known than told of", begun(seen(true, alive, alive), -16), 8, true, 2, 1, quota.Full},
 		{"just begun, and those that are missing have left", begun(seen(true, alive, alive, left), 9), 3, true, 2, 1, quota.Full},
 		{"just begun, and as many are known", begun(seen(true, alive, alive), 9), 2, true, 2, 1, quota.Full},
 		{"not all are members", seen(true, alive, alive), 8, false, 8, 1, quota.Partial},
 		{"not all are members, and more than told", seen(true, alive, alive, alive), 2, false, 3, 1, quota.Full},
 	} {
-		d := quota.New(quota.Rules{Instances: tc.told, Me: 1, Period: 1, LastSends: 2, Whole: tc.whole})
+		d := quota.New(quota.Config{Instances: tc.told, Index: 1, ProbeInterval: 1, LoadDecay: 2, AllMembers: tc.whole})
 		if tc.view.JoinedAt == 0 {
 			tc.view.JoinedAt = -100
 		}
-		p := d.Place(10, tc.view)
-		if p.Instances != tc.instances || p.Part != tc.part || p.Why != tc.why || p.Keys != nil && len(p.Keys) != p.Instances {
+		p := d.Share(10, tc.view)
+		if p.Instances != tc.instances || p.Fraction != tc.part || p.Reason != tc.why || p.Keys != nil && len(p.Keys) != p.Instances {
 			t.Errorf("%s: %+v", tc.name, p)
 		}
 	}
-	d := quota.New(quota.Rules{Instances: 1, Period: 1, LastSends: 2, Whole: true})
+	d := quota.New(quota.Config{Instances: 1, ProbeInterval: 1, LoadDecay: 2, AllMembers: true})
 	v := seen(true, alive, alive, dead)
-	lease := d.Lease(3)
-	if p := d.Place(lease, v); p.Instances != 3 { // more than half are heard since now only
+	lease := d.StopTimeout(3)
+	if p := d.Share(lease, v); p.Instances != 3 { // more than half are heard since now only
 		t.Errorf("one that is dead leaves the count as soon as more than half are heard: %+v", p)
 	}
 	v.Members[2].Since = lease + 1
-	if p := d.Place(2*lease+0.9, v); p.Instances != 3 {
+	if p := d.Share(2*lease+0.9, v); p.Instances != 3 {
 		t.Errorf("one that is dead leaves the count before its lease is over: %+v", p)
 	}
-	if p := d.Place(2*lease+1.1, v); p.Instances != 2 {
+	if p := d.Share(2*lease+1.1, v); p.Instances != 2 {
 		t.Errorf("one that is dead stays in the count for ever: %+v", p)
 	}
 	v.Members[1].State, v.Members[1].Since = dead, 10*lease // now it is heard by less than half: who left the count stays out, nobody else leaves it
-	if p := d.Place(10*lease, v); p.Instances != 2 || p.Part != quota.Cautious {
+	if p := d.Share(10*lease, v); p.Instances != 2 || p.Fraction != quota.CautiousFraction {
 		t.Errorf("cut off: %+v", p)
 	}
 	v.Members[2].State = alive
-	if p := d.Place(10*lease, v); p.Instances != 3 {
+	if p := d.Share(10*lease, v); p.Instances != 3 {
 		t.Errorf("one that is back does not count at once: %+v", p)
 	}
 }
--- a/internal/dispatcher/cluster/quota/divisor.go
+++ b/internal/dispatcher/cluster/quota/divisor.go
@@ -26,72 +26,72 @@
 )
 
 const (
-	leaseSuspicions = 2.0  // longest suspicions in a lease: each side of a cut notices it within one
-	leasePeriods    = 10.0 // and periods, for the probes and the news of it
+	stopSuspicions     = 2.0  // longest suspicions in a lease: each side of a cut notices it within one
+	stopProbeIntervals = 10.0 // and periods, for the probes and the news of it
 	// A member that has begun and has known fewer than are configured, those that left among them, may have met only others that have just begun, too. All
 	// that run ask seeds and the dead within 12.5 periods: after twice that somebody would have been heard.
-	joinPeriods = 25.0
-	// Cautious is the part of its share that a member takes which others may not count. A turn's budget is four tenths of
+	joinProbeIntervals = 25.0
+	// CautiousFraction is the part of its share that a member takes which others may not count. A turn's budget is four tenths of
 	// what a worker bears, and two turns may fall into one span: a quarter more would be all that is left, and half of that
 	// is for what is on its way.
-	Cautious = 0.125
+	CautiousFraction = 0.125
 )
 
-// Rules are what the place is worked out by.
-type Rules struct {
-	Instances int     // as configured
-	Me        int     // likewise
-	Period    float64 // of the membership, in seconds
-	LastSends float64 // seconds for which what was sent last still counts: the fall time
-	Whole     bool    // all dispatchers are members; else the configured number is the least
+// Config are what the place is worked out by.
+type Config struct {
+	Instances     int     // as configured
+	Index         int     // likewise
+	ProbeInterval float64 // of the membership, in seconds
+	LoadDecay     float64 // seconds for which what was sent last still counts: the fall time
+	AllMembers    bool    // all dispatchers are members; else the configured number is the least
 }
 
-// Why says what a place rests on.
-type Why string
+// Reason says what a place rests on.
+type Reason string
 
 // The reasons.
 const (
-	Alone     Why = "alone"     // nobody was heard from: the configured numbers
-	Partial   Why = "partial"   // not all dispatchers are members: likewise
-	Full      Why = "full"      // the members that may be sending
-	Waiting   Why = "waiting"   // the same, not lessened: too few are heard to say who has stopped
-	Uncounted Why = "uncounted" // others may not count this one
-	CutOff    Why = "cut off"   // less than half are heard: the others may go on without this one
+	Alone        Reason = "alone"     // nobody was heard from: the configured numbers
+	Partial      Reason = "partial"   // not all dispatchers are members: likewise
+	Full         Reason = "full"      // the members that may be sending
+	Waiting      Reason = "waiting"   // the same, not lessened: too few are heard to say who has stopped
+	Unrecognized Reason = "uncounted" // others may not count this one
+	CutOff       Reason = "cut off"   // less than half are heard: the others may go on without this one
 )
 
-// Place is among whom cold workers are shared.
-type Place struct {
+// Share is among whom cold workers are shared.
+type Share struct {
 	Instances int
-	Me        int
-	Part      float64  // of its share that is taken
+	Index     int
+	Fraction  float64  // of its share that is taken
 	Keys      []uint64 // of all that are counted, this one at Me; nil: places are as configured
-	Why       Why
+	Reason    Reason
 }
 
 // Equal says whether two places decide alike.
-func (p *Place) Equal(o *Place) bool {
-	return p.Instances == o.Instances && p.Me == o.Me && p.Part == o.Part && p.Why == o.Why && slices.Equal(p.Keys, o.Keys)
+func (p *Share) Equal(o *Share) bool {
+	return p.Instances == o.Instances && p.Index == o.Index && p.Fraction == o.Fraction && p.Reason == o.Reason && slices.Equal(p.Keys, o.Keys)
 }
 
-// Divisor remembers who has left the count.
-type Divisor struct {
-	Rules Rules
-	out   map[string]uint64 // found dead, and out of the count; by name, the life that is
-	full  float64           // since when more than half are heard without a break; 0: they are not
+// Calculator remembers who has left the count.
+type Calculator struct {
+	Config        Config
+	removed       map[string]uint64 // found dead, and out of the count; by name, the life that is
+	majoritySince float64           // since when more than half are heard without a break; 0: they are not
 }
 
 // New makes a Divisor.
-func New(r Rules) *Divisor { return &Divisor{Rules: r, out: map[string]uint64{}} }
+func New(r Config) *Calculator { return &Calculator{Config: r, removed: map[string]uint64{}} }
 
-// Lease is how long after one was found dead it has surely stopped, or taken to its cautious part: each side of a cut finds
+// StopTimeout is how long after one was found dead it has surely stopped, or taken to its cautious part: each side of a cut finds
 // the other dead within a suspicion's longest time, and what was sent last lasts for a fall time.
-func (d *Divisor) Lease(known int) float64 {
-	return leaseSuspicions*membership.MaxSuspicionTimeout(known, d.Rules.Period) + leasePeriods*d.Rules.Period + d.Rules.LastSends
+func (d *Calculator) StopTimeout(known int) float64 {
+	return stopSuspicions*membership.MaxSuspicionTimeout(known, d.Config.ProbeInterval) + stopProbeIntervals*d.Config.ProbeInterval + d.Config.LoadDecay
 }
 
-// Place works out the place by a view at a time.
-func (d *Divisor) Place(now float64, v *membership.View) Place {
-	configured := Place{Instances: d.Rules.Instances, Me: d.Rules.Me, Part: 1, Why: Alone}
+// Share works out the place by a view at a time.
+func (d *Calculator) Share(now float64, v *membership.View) Share {
+	configured := Share{Instances: d.Config.Instances, Index: d.Config.Index, Fraction: 1, Reason: Alone}
 	if !v.Contacted {
 		return configured
 	}
@@ -104,43 +104,43 @@
 			known++
 		}
 	}
-	p := Place{Part: 1, Why: Full}
+	p := Share{Fraction: 1, Reason: Full}
 	switch {
 	case v.Withdrawn || v.Left || 2*heard < known:
-		p.Part, p.Why = Cautious, CutOff
-	case !v.Recognized, len(v.Members) < d.Rules.Instances && now < v.JoinedAt+joinPeriods*d.Rules.Period:
-		p.Part, p.Why = Cautious, Uncounted
+		p.Fraction, p.Reason = CautiousFraction, CutOff
+	case !v.Recognized, len(v.Members) < d.Config.Instances && now < v.JoinedAt+joinProbeIntervals*d.Config.ProbeInterval:
+		p.Fraction, p.Reason = CautiousFraction, Unrecognized
 	case 2*heard == known:
-		p.Why = Waiting
+		p.Reason = Waiting
 	}
 	switch {
-	case p.Why != Full:
-		d.full = 0
-	case d.full == 0:
-		d.full = now
+	case p.Reason != Full:
+		d.majoritySince = 0
+	case d.majoritySince == 0:
+		d.majoritySince = now
 	}
 	// Those that are not heard knew that they are the smaller part only once this one was the larger.
-	lease := d.Lease(known)
-	over := p.Why == Full && now >= d.full+lease
+	lease := d.StopTimeout(known)
+	over := p.Reason == Full && now >= d.majoritySince+lease
 	for i := range v.Members {
 		s := &v.Members[i]
 		if s.Self {
-			p.Me = len(p.Keys)
-		} else if !d.counts(now, s, over, lease) {
+			p.Index = len(p.Keys)
+		} else if !d.mayBeSending(now, s, over, lease) {
 			continue
 		}
 		p.Keys = append(p.Keys, s.Key)
 	}
 	p.Instances = len(p.Keys)
-	if p.Instances >= d.Rules.Instances {
+	if p.Instances >= d.Config.Instances {
 		return p
 	}
-	if !d.Rules.Whole { // those that are no members count, too, and know nothing of keys
-		configured.Part, configured.Why = p.Part, Partial
+	if !d.Config.AllMembers { // those that are no members count, too, and know nothing of keys
+		configured.Fraction, configured.Reason = p.Fraction, Partial
 		return configured
 	}
-	if p.Part < 1 { // others that are not known yet may be as many as was configured
-		for i := p.Instances; i < d.Rules.Instances; i++ {
+	if p.Fraction < 1 { // others that are not known yet may be as many as was configured
+		for i := p.Instances; i < d.Config.Instances; i++ {
 			p.Keys = append(p.Keys, membership.Key("\x00"+strconv.Itoa(i)))
 		}
 		p.Instances = len(p.Keys)
@@ -148,22 +148,22 @@
 	return p
 }
 
-// counts says whether a member may be sending; over says whether this part was the larger one for a lease.
-func (d *Divisor) counts(now float64, s *membership.Member, over bool, lease float64) bool {
+// mayBeSending says whether a member may be sending; over says whether this part was the larger one for a lease.
+func (d *Calculator) mayBeSending(now float64, s *membership.Member, over bool, lease float64) bool {
 	switch s.State {
 	case membership.Left:
-		delete(d.out, s.Name)
+		delete(d.removed, s.Name)
 		return false
 	case membership.Dead:
-		if d.out[s.Name] == s.Generation {
+		if d.removed[s.Name] == s.Generation {
 			return false
 		}
 		if over && now >= s.Since+lease {
-			d.out[s.Name] = s.Generation
+			d.removed[s.Name] = s.Generation
 			return false
 		}
 		return true
 	}
-	delete(d.out, s.Name)
+	delete(d.removed, s.Name)
 	return true
 }
--- a/internal/dispatcher/cluster/versions/compatibility_test.go
+++ b/internal/dispatcher/cluster/versions/compatibility_test.go
@@ -10,15 +10,15 @@
 
 // TestReadsRides: what goes along with members' messages.
 func TestReadsRides(t *testing.T) {
-	for name, r := range map[string]*ride{
-		"whole": {List: List{Source: "10.0.0.9:8500", Descent: 2, Rev: 1 << 40}, Ask: true, Knows: 1<<40 + 1, Age: 1.5, Count: 3,
-			Facts: []Fact{{Worker: "w", State: Draining, Start: 1_700_000_000_000, Rev: 9}, {Worker: "v", State: Gone, Rev: 8}},
-			Word:  17_000_000_001, Direct: true, Clock: 1_700_000_000.25, Holds: 1 << 63,
-			Orders: []Order{{Member: "n2", Out: true, N: 1, By: "n0", At: 1_700_000_000.5}, {Member: "n3", N: 2, By: "n1", At: 1}}},
-		"bare": {List: List{Source: "s"}},
+	for name, r := range map[string]*payload{
+		"whole": {Version: Version{Source: "10.0.0.9:8500", Epoch: 2, Revision: 1 << 40}, Request: true, CompleteUpTo: 1<<40 + 1, EpochAge: 1.5, FactCount: 3,
+			Facts:       []Fact{{Worker: "w", State: Draining, Start: 1_700_000_000_000, Revision: 9}, {Worker: "v", State: Gone, Revision: 8}},
+			UpdateStamp: 17_000_000_001, DirectUpdate: true, Clock: 1_700_000_000.25, OrdersDigest: 1 << 63,
+			Orders: []Order{{Member: "n2", Out: true, Number: 1, By: "n0", At: 1_700_000_000.5}, {Member: "n3", Number: 2, By: "n1", At: 1}}},
+		"bare": {Version: Version{Source: "s"}},
 	} {
-		recorded := compatibility.Elsewhere.Check(t, "ride-"+name, New("n0").encode(r))
-		got, err := decode(recorded)
+		recorded := compatibility.Elsewhere.Check(t, "ride-"+name, New("n0").encodePayload(r))
+		got, err := decodePayload(recorded)
 		if err != nil {
 			t.Fatal(name, err)
 		}
@@ -31,7 +31,7 @@
 // TestOrdersKeepTheirDigest: members of two versions compare the digests of the orders that they hold.
 func TestOrdersKeepTheirDigest(t *testing.T) {
 	b := New("n0")
-	if err := b.give(1_700_000_000, "n2", true); err != nil {
+	if err := b.addOrder(1_700_000_000, "n2", true); err != nil {
 		t.Fatal(err)
 	}
 	if b.orders.digest != 12611020688707290867 {
--- a/internal/dispatcher/cluster/versions/fact.go
+++ b/internal/dispatcher/cluster/versions/fact.go
@@ -23,18 +23,18 @@
 
 // Fact is what a version of the list says of a worker.
 type Fact struct {
-	Worker string `cbor:"1,keyasint"`
-	State  State  `cbor:"2,keyasint,omitempty"`
-	Start  int64  `cbor:"3,keyasint,omitempty"` // of its process, Unix milliseconds
-	Rev    int64  `cbor:"4,keyasint"`
+	Worker   string `cbor:"1,keyasint"`
+	State    State  `cbor:"2,keyasint,omitempty"`
+	Start    int64  `cbor:"3,keyasint,omitempty"` // of its process, Unix milliseconds
+	Revision int64  `cbor:"4,keyasint"`
 }
 
-// Held is how a worker is to be taken whatever the own list says.
-type Held struct {
-	State State
-	Start int64
-	From  string // who told it
-	Rev   int64
+// Restriction is how a worker is to be taken whatever the own list says.
+type Restriction struct {
+	State    State
+	Start    int64
+	From     string // who told it
+	Revision int64
 }
 
 // Entry is a worker as the own director tells it.
@@ -47,8 +47,8 @@
 // fact is a Fact and what became of it here.
 type fact struct {
 	Fact
-	from  string // empty: the own director
-	at    float64
-	told  int
-	doubt bool // the own director has had the time to confirm it and did not
+	from       string // empty: the own director
+	receivedAt float64
+	transmits  int
+	doubted    bool // the own director has had the time to confirm it and did not
 }
--- a/internal/dispatcher/cluster/versions/fleet_test.go
+++ b/internal/dispatcher/cluster/versions/fleet_test.go
@@ -15,13 +15,13 @@
 
 const src = "10.0.0.9:8500"
 
-// fleet is members of a virtual fleet that hold one list of some ready workers.
-func fleet(t *testing.T, seed uint64, n int, loss float64) (*virtualcluster.Net, map[*virtualcluster.Node]*versions.Board) {
+// newTestCluster is members of a virtual fleet that hold one list of some ready workers.
+func newTestCluster(t *testing.T, seed uint64, n int, loss float64) (*virtualcluster.Net, map[*virtualcluster.Node]*versions.Table) {
 	net := virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: loss, Delay: 0.002, Jitter: 0.01}, n)
-	boards := map[*virtualcluster.Node]*versions.Board{}
+	boards := map[*virtualcluster.Node]*versions.Table{}
 	net.Rider = func(node *virtualcluster.Node) membership.Delegate {
 		b := versions.New(node.Name)
-		b.Own(net.Now, src, 5, false, []versions.Entry{{Worker: "x"}, {Worker: "y"}})
+		b.ApplyList(net.Now, src, 5, false, []versions.Entry{{Worker: "x"}, {Worker: "y"}})
 		boards[node] = b
 		return b
 	}
@@ -35,7 +35,7 @@
 
 // A drain that one member is told of is known to all in rounds that grow with the fleet's logarithm, also at 20% loss; and
 // those who sleep or are cut off meanwhile know it as soon as they are back.
-func TestADrainReachesAll(t *testing.T) {
+func TestDrainReachesAllMembers(t *testing.T) {
 	sizes, seeds := []int{5, 50}, uint64(5)
 	if *large {
 		sizes, seeds = []int{10, 100, 300, 1000}, 20
@@ -49,16 +49,16 @@
 				var took []float64
 				answered := uint64(0)
 				for seed := uint64(1); seed <= seeds; seed++ {
-					net, boards := fleet(t, seed, n, loss)
+					net, boards := newTestCluster(t, seed, n, loss)
 					sleeper := net.Nodes[n-1]
 					net.Pause(sleeper)
 					first := net.Nodes[seed%uint64(n-1)]
-					boards[first].Own(net.Now, src, 6, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
+					boards[first].ApplyList(net.Now, src, 6, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
 					first.Machine.GossipNow(net.Now)
 					net.Flush(first)
 					known := func(nodes []*virtualcluster.Node) bool {
 						for _, node := range nodes {
-							if node != first && boards[node].Held()["x"].State != versions.Draining {
+							if node != first && boards[node].Restrictions()["x"].State != versions.Draining {
 								return false
 							}
 						}
@@ -77,7 +77,7 @@
 						t.Errorf("seed %d: one that slept knows it after %.2f periods", seed, span)
 					}
 					for _, b := range boards {
-						answered = max(answered, b.Counts.Answered)
+						answered = max(answered, b.Stats.Replies)
 					}
 				}
 				slices.Sort(took)
@@ -91,12 +91,12 @@
 }
 
 // Discovery is down for all: nobody is behind anybody, and nothing is withheld.
-func TestAllAreBehind(t *testing.T) {
-	net, boards := fleet(t, 3, 12, 0.05)
+func TestNothingWithheldWithoutDiscovery(t *testing.T) {
+	net, boards := newTestCluster(t, 3, 12, 0.05)
 	net.Run(net.Now + 300)
 	for node, b := range boards {
-		if len(b.Held()) > 0 || b.BehindBy() != 0 {
-			t.Errorf("%s withholds %v, behind by %d", node.Name, b.Held(), b.BehindBy())
+		if len(b.Restrictions()) > 0 || b.MaxLag() != 0 {
+			t.Errorf("%s withholds %v, behind by %d", node.Name, b.Restrictions(), b.MaxLag())
 		}
 	}
 }
--- a/internal/dispatcher/cluster/versions/hard_test.go
+++ b/internal/dispatcher/cluster/versions/hard_test.go
@@ -13,36 +13,36 @@
 	"cinderroad/internal/testkit/virtualcluster"
 )
 
-// skewed is a Board whose clock is off: of a member whose machine's is.
-type skewed struct {
-	*versions.Board
+// skewedTable is a Board whose clock is off: of a member whose machine's is.
+type skewedTable struct {
+	*versions.Table
 	by float64
 }
 
-func (s skewed) Payload(now float64, room int) []byte { return s.Board.Payload(now+s.by, room) }
-func (s skewed) Tick(now float64)                     { s.Board.Tick(now + s.by) }
-func (s skewed) HandlePayload(now float64, from string, ride []byte) [][]byte {
-	return s.Board.HandlePayload(now+s.by, from, ride)
+func (s skewedTable) Payload(now float64, room int) []byte { return s.Table.Payload(now+s.by, room) }
+func (s skewedTable) Tick(now float64)                     { s.Table.Tick(now + s.by) }
+func (s skewedTable) HandlePayload(now float64, from string, ride []byte) [][]byte {
+	return s.Table.HandlePayload(now+s.by, from, ride)
 }
 
 // Clocks that are up to two seconds off: one that loses discovery is kept in its lease by its peers, whoever's clock is ahead, and
 // what each hears of the others' clocks is never less than the truth, and little more.
-func TestClocksThatAreOff(t *testing.T) {
+func TestClockSkew(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		boards, skews := map[*virtualcluster.Node]*versions.Board{}, map[string]float64{}
+		boards, skews := map[*virtualcluster.Node]*versions.Table{}, map[string]float64{}
 		net := virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: 0.05, Delay: 0.002, Jitter: 0.01}, 8)
 		best := map[[2]string]float64{}
 		net.Rider = func(node *virtualcluster.Node) membership.Delegate {
 			b, by := versions.New(node.Name), 4*rng.Float64()-2
 			boards[node], skews[node.Name] = b, by
-			b.Own(net.Now+by, src, 5, false, nil)
-			b.Note = func(now float64, n *versions.Note) {
-				if n.Kind == versions.ClockHeard {
-					best[[2]string{node.Name, n.From}] = now - n.Theirs
+			b.ApplyList(net.Now+by, src, 5, false, nil)
+			b.OnEvent = func(now float64, n *versions.Event) {
+				if n.Kind == versions.ClockReceived {
+					best[[2]string{node.Name, n.From}] = now - n.PeerClock
 				}
 			}
-			return skewed{b, by}
+			return skewedTable{b, by}
 		}
 		net.StartAll(1)
 		for s := range 90 {
@@ -50,10 +50,10 @@
 			for i, node := range net.Nodes {
 				b, by := boards[node], skews[node.Name]
 				if i > 2 && s%2 == 0 {
-					b.Live(net.Now + by)
+					b.HandleDiscoveryContact(net.Now + by)
 				}
 				v := node.Machine.View()
-				if b.Judge(net.Now+by, &v); s > 20 && b.Lease.State() != lease.Held {
+				if b.UpdateLease(net.Now+by, &v); s > 20 && b.Lease.State() != lease.Held {
 					t.Fatalf("seed %d: %s is %v: %s", seed, node.Name, b.Lease.State(), b.Lease.Reason)
 				}
 			}
@@ -71,7 +71,7 @@
 
 // A list of 10,000 workers of which 900 drain while a hundred members of 120 are stopped: awake, all of them ask at once, are brought up
 // by many peers, and none of these has to answer for all.
-func TestAHundredStragglers(t *testing.T) {
+func TestManyStragglers(t *testing.T) {
 	n, workers, drains := 24, 2000, 300
 	if *large {
 		n, workers, drains = 120, 10000, 900
@@ -84,9 +84,9 @@
 			drained = append(drained, e)
 		}
 	}
-	net, boards := fleet(t, 7, n, 0.05)
+	net, boards := newTestCluster(t, 7, n, 0.05)
 	for node, b := range boards {
-		b.Own(net.Now, src, 6, false, all)
+		b.ApplyList(net.Now, src, 6, false, all)
 		_ = node
 	}
 	awake, asleep := net.Nodes[:n/6], net.Nodes[n/6:]
@@ -94,25 +94,25 @@
 		net.Pause(node)
 	}
 	for _, node := range awake {
-		boards[node].Own(net.Now, src, 7, false, drained)
+		boards[node].ApplyList(net.Now, src, 7, false, drained)
 	}
 	net.Run(net.Now + 60) // news of it goes out by itself no more
 	before := map[*virtualcluster.Node]uint64{}
 	for node, b := range boards {
-		before[node] = b.Counts.Answered
+		before[node] = b.Stats.Replies
 	}
 	for _, node := range asleep {
 		net.Resume(node)
 	}
 	took, ok := net.Until(300, 0.1, func() bool {
-		return !slices.ContainsFunc(asleep, func(node *virtualcluster.Node) bool { return len(boards[node].Held()) < drains })
+		return !slices.ContainsFunc(asleep, func(node *virtualcluster.Node) bool { return len(boards[node].Restrictions()) < drains })
 	})
 	if !ok {
 		t.Fatal("not all were brought up after 300 periods")
 	}
 	most, sum := uint64(0), uint64(0)
 	for node, b := range boards {
-		most, sum = max(most, b.Counts.Answered-before[node]), sum+b.Counts.Answered-before[node]
+		most, sum = max(most, b.Stats.Replies-before[node]), sum+b.Stats.Replies-before[node]
 	}
 	t.Logf("%d stragglers, %d of %d workers: brought up after %.1f periods; %d questions answered, %d by one at most", len(asleep), drains, workers, took, sum, most)
 	if most*4 > sum {
@@ -121,8 +121,8 @@
 }
 
 // Whoever is asked dies in the midst of its answer: others bring the one that asked up.
-func TestAPeerThatDiesInTheMidstOfAPage(t *testing.T) {
-	net, boards := fleet(t, 9, 5, 0)
+func TestPeerDiesWhileReplying(t *testing.T) {
+	net, boards := newTestCluster(t, 9, 5, 0)
 	var drained []versions.Entry
 	var all []versions.Entry
 	for i := range 400 {
@@ -130,40 +130,40 @@
 		all, drained = append(all, versions.Entry{Worker: name}), append(drained, versions.Entry{Worker: name, State: versions.Draining})
 	}
 	for _, b := range boards {
-		b.Own(net.Now, src, 6, false, all)
+		b.ApplyList(net.Now, src, 6, false, all)
 	}
 	straggler := net.Nodes[4]
 	net.Pause(straggler)
 	for _, node := range net.Nodes[:4] {
-		boards[node].Own(net.Now, src, 7, false, drained)
+		boards[node].ApplyList(net.Now, src, 7, false, drained)
 	}
 	net.Run(net.Now + 90)
 	net.Resume(straggler)
 	killed := 0
 	answered := map[*virtualcluster.Node]uint64{}
 	for node, b := range boards {
-		answered[node] = b.Counts.Answered
+		answered[node] = b.Stats.Replies
 	}
 	net.Each = func(node *virtualcluster.Node) { // an answer has gone out, and not all of it
-		if node != straggler && node.Machine != nil && killed < 2 && boards[node].Counts.Answered > answered[node] {
+		if node != straggler && node.Machine != nil && killed < 2 && boards[node].Stats.Replies > answered[node] {
 			killed++
 			net.At(net.Now, func() { net.Kill(node) })
 		}
 	}
-	took, ok := net.Until(120, 0.1, func() bool { return len(boards[straggler].Held()) == 400 })
+	took, ok := net.Until(120, 0.1, func() bool { return len(boards[straggler].Restrictions()) == 400 })
 	if !ok || killed != 2 {
-		t.Fatalf("%d of 400 known after %.0f periods; %d killed", len(boards[straggler].Held()), took, killed)
+		t.Fatalf("%d of 400 known after %.0f periods; %d killed", len(boards[straggler].Restrictions()), took, killed)
 	}
 	t.Logf("all of 400 known after %.1f periods, two that answered having died", took)
 }
 
 // A drain and its lifting that cross on their ways: the newer one stands, whichever comes first, everywhere.
-func TestADrainAndItsLiftingThatCross(t *testing.T) {
+func TestCrossingDrainAndReady(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
-		net, boards := fleet(t, seed, 8, 0.2)
+		net, boards := newTestCluster(t, seed, 8, 0.2)
 		a, b := net.Nodes[1], net.Nodes[5]
-		boards[a].Own(net.Now, src, 6, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
-		boards[b].Own(net.Now, src, 7, false, []versions.Entry{{Worker: "x"}, {Worker: "y", State: versions.Draining}})
+		boards[a].ApplyList(net.Now, src, 6, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
+		boards[b].ApplyList(net.Now, src, 7, false, []versions.Entry{{Worker: "x"}, {Worker: "y", State: versions.Draining}})
 		a.Machine.GossipNow(net.Now)
 		b.Machine.GossipNow(net.Now)
 		net.Flush(b)
@@ -172,7 +172,7 @@
 		for node, board := range boards {
 			want := map[string]versions.State{"y": versions.Draining}
 			got := map[string]versions.State{}
-			for name, h := range board.Held() {
+			for name, h := range board.Restrictions() {
 				got[name] = h.State
 			}
 			if node == b {
@@ -187,28 +187,28 @@
 
 // Two discoveries are moved between while a member is away: what it hears of the other one's versions binds it no more than its own
 // binds them, until it has moved, too.
-func TestMovedWhileOneIsAway(t *testing.T) {
+func TestSourceChangeWhileMemberIsPaused(t *testing.T) {
 	const other = "10.0.0.8:8500"
-	net, boards := fleet(t, 3, 6, 0.05)
+	net, boards := newTestCluster(t, 3, 6, 0.05)
 	away := net.Nodes[2]
 	net.Pause(away)
 	for node, b := range boards {
 		if node != away {
-			b.Own(net.Now, other, 90, false, []versions.Entry{{Worker: "x"}, {Worker: "y"}})
-			b.Own(net.Now, other, 91, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
+			b.ApplyList(net.Now, other, 90, false, []versions.Entry{{Worker: "x"}, {Worker: "y"}})
+			b.ApplyList(net.Now, other, 91, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
 		}
 	}
 	net.Run(net.Now + 40)
 	net.Resume(away)
-	boards[away].Own(net.Now, src, 6, false, []versions.Entry{{Worker: "y", State: versions.Gone}})
+	boards[away].ApplyList(net.Now, src, 6, false, []versions.Entry{{Worker: "y", State: versions.Gone}})
 	net.Run(net.Now + 40)
 	for node, b := range boards {
-		if len(b.Held()) > 0 {
-			t.Errorf("%s withholds %v across sources", node.Name, b.Held())
+		if len(b.Restrictions()) > 0 {
+			t.Errorf("%s withholds %v across sources", node.Name, b.Restrictions())
 		}
 	}
-	boards[away].Own(net.Now, other, 90, false, []versions.Entry{{Worker: "x"}, {Worker: "y"}}) // a little behind
-	if _, ok := net.Until(60, 0.1, func() bool { return boards[away].Held()["x"].State == versions.Draining }); !ok {
+	boards[away].ApplyList(net.Now, other, 90, false, []versions.Entry{{Worker: "x"}, {Worker: "y"}}) // a little behind
+	if _, ok := net.Until(60, 0.1, func() bool { return boards[away].Restrictions()["x"].State == versions.Draining }); !ok {
 		t.Error("moved, and not brought up")
 	}
 }
--- a/internal/dispatcher/cluster/versions/lease_test.go
+++ b/internal/dispatcher/cluster/versions/lease_test.go
@@ -17,64 +17,64 @@
 	sizeSeeds = flag.Int("fleet.sizeseeds", 10, "and so many of them")
 )
 
-// life plays discovery and the leases of a virtual fleet on, a second at a time.
-type life struct {
-	net    *virtualcluster.Net
-	boards map[*virtualcluster.Node]*versions.Board
-	mute   map[*virtualcluster.Node]bool // its discovery says nothing
-	group  map[*virtualcluster.Node]int  // those of another one hear nothing of it
-	most   int
-	wrong  []string
-	well   map[*virtualcluster.Node]float64 // since when it could not but have a fresh word
+// leaseSimulation plays discovery and the leases of a virtual fleet on, a second at a time.
+type leaseSimulation struct {
+	net              *virtualcluster.Net
+	boards           map[*virtualcluster.Node]*versions.Table
+	withoutDiscovery map[*virtualcluster.Node]bool // its discovery says nothing
+	group            map[*virtualcluster.Node]int  // those of another one hear nothing of it
+	maxOut           int
+	violations       []string
+	informedSince    map[*virtualcluster.Node]float64 // since when it could not but have a fresh word
 }
 
-func newLife(t *testing.T, seed uint64, n int, loss float64) *life {
-	net, boards := fleet(t, seed, n, loss)
-	l := &life{net: net, boards: boards, mute: map[*virtualcluster.Node]bool{}, group: map[*virtualcluster.Node]int{}, well: map[*virtualcluster.Node]float64{}}
+func newLeaseSimulation(t *testing.T, seed uint64, n int, loss float64) *leaseSimulation {
+	net, boards := newTestCluster(t, seed, n, loss)
+	l := &leaseSimulation{net: net, boards: boards, withoutDiscovery: map[*virtualcluster.Node]bool{}, group: map[*virtualcluster.Node]int{}, informedSince: map[*virtualcluster.Node]float64{}}
 	net.Cut = func(from, to *virtualcluster.Node) bool { return l.group[from] != l.group[to] }
 	l.run(30)
 	return l
 }
 
-func (l *life) run(seconds int) {
+func (sim *leaseSimulation) run(seconds int) {
 	for s := range seconds {
-		l.net.Run(l.net.Now + 1)
-		for i, node := range l.net.Nodes {
-			if b := l.boards[node]; !node.Paused && !l.mute[node] && (s+i)%2 == 0 {
-				b.Live(l.net.Now)
+		sim.net.Run(sim.net.Now + 1)
+		for i, node := range sim.net.Nodes {
+			if b := sim.boards[node]; !node.Paused && !sim.withoutDiscovery[node] && (s+i)%2 == 0 {
+				b.HandleDiscoveryContact(sim.net.Now)
 			}
 		}
 		out := 0
-		for _, node := range l.net.Nodes {
+		for _, node := range sim.net.Nodes {
 			if node.Paused {
 				continue
 			}
-			b, v := l.boards[node], node.Machine.View()
-			b.Judge(l.net.Now, &v)
-			node.Machine.SetMetadata(l.net.Now, membership.Metadata{Zone: "z", Lease: b.Lease.State()})
+			b, v := sim.boards[node], node.Machine.View()
+			b.UpdateLease(sim.net.Now, &v)
+			node.Machine.SetMetadata(sim.net.Now, membership.Metadata{Zone: "z", Lease: b.Lease.State()})
 			if b.Lease.State() == lease.Out {
 				out++
 			}
-			if !l.informed(node) {
-				l.well[node] = l.net.Now
-			} else if b.Lease.State() == lease.Out && l.net.Now > l.well[node]+healed {
-				l.wrong = append(l.wrong, node.Name+": "+b.Lease.Reason)
+			if !sim.isInformed(node) {
+				sim.informedSince[node] = sim.net.Now
+			} else if b.Lease.State() == lease.Out && sim.net.Now > sim.informedSince[node]+healTime {
+				sim.violations = append(sim.violations, node.Name+": "+b.Lease.Reason)
 			}
 		}
-		l.most = max(l.most, out)
+		sim.maxOut = max(sim.maxOut, out)
 	}
 }
 
-// healed is how long it may take until members that were cut off from each other speak again, in seconds: those held dead are
+// healTime is how long it may take until members that were cut off from each other speak again, in seconds: those held dead are
 // asked every ten periods, and may take a question's loss or two.
-const healed = 30
+const healTime = 30
 
-// informed says whether discovery's words have a way to a member, or to nobody among some others that it reaches.
-func (l *life) informed(node *virtualcluster.Node) bool {
+// isInformed says whether discovery's words have a way to a member, or to nobody among some others that it reaches.
+func (sim *leaseSimulation) isInformed(node *virtualcluster.Node) bool {
 	others := 0
-	for _, o := range l.net.Nodes {
-		if !o.Paused && l.group[o] == l.group[node] {
-			if !l.mute[o] {
+	for _, o := range sim.net.Nodes {
+		if !o.Paused && sim.group[o] == sim.group[node] {
+			if !sim.withoutDiscovery[o] {
 				return true
 			}
 			others++
@@ -85,7 +85,7 @@
 
 // Whatever of discovery, members and ways between them is lost for a while, nobody is shut out to whom discovery's words have a way,
 // nobody who is among others of whom none has one, and never more than a third.
-func TestNobodyIsShutOutWrongly(t *testing.T) {
+func TestNobodyIsOutWrongly(t *testing.T) {
 	seeds, sizes := uint64(24), []int{3, 5, 12, 30}
 	if *large {
 		seeds = 200
@@ -97,11 +97,11 @@
 	for seed := uint64(1); seed <= seeds; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		n := sizes[rng.IntN(len(sizes))]
-		l := newLife(t, seed, n, []float64{0, 0.05, 0.2}[rng.IntN(3)])
+		l := newLeaseSimulation(t, seed, n, []float64{0, 0.05, 0.2}[rng.IntN(3)])
 		for range 4 {
 			few := rng.Float64()
 			for _, node := range l.net.Nodes {
-				l.mute[node] = rng.Float64() < few
+				l.withoutDiscovery[node] = rng.Float64() < few
 				l.group[node] = 0
 			}
 			switch rng.IntN(4) {
@@ -123,43 +123,43 @@
 				l.net.Pause(sleeper)
 				l.run([]int{3, 8, 20}[rng.IntN(3)])
 				l.net.Resume(sleeper)
-				l.boards[sleeper].Forget(l.net.Now)
-				l.well[sleeper] = l.net.Now
+				l.boards[sleeper].ExpireUpdates(l.net.Now)
+				l.informedSince[sleeper] = l.net.Now
 			}
 			l.run(20 + rng.IntN(60))
 		}
 		clear(l.group)
-		clear(l.mute)
+		clear(l.withoutDiscovery)
 		l.run(60)
 		for node, b := range l.boards {
 			if b.Lease.State() != lease.Held {
 				t.Errorf("seed %d: %s is %v (%s) long after all was mended", seed, node.Name, b.Lease.State(), b.Lease.Reason)
 			}
 		}
-		if outs += l.most; l.most > lease.MaxOut(n) {
-			t.Errorf("seed %d: %d of %d were out at once", seed, l.most, n)
+		if outs += l.maxOut; l.maxOut > lease.MaxOut(n) {
+			t.Errorf("seed %d: %d of %d were out at once", seed, l.maxOut, n)
 		}
-		if len(l.wrong) > 0 {
-			slices.Sort(l.wrong)
-			t.Errorf("seed %d of %d: wrongly out: %v", seed, n, slices.Compact(l.wrong))
+		if len(l.violations) > 0 {
+			slices.Sort(l.violations)
+			t.Errorf("seed %d of %d: wrongly out: %v", seed, n, slices.Compact(l.violations))
 		}
 	}
 	t.Logf("%d fleets; %d members were out at one time or another, nobody wrongly", seeds, outs)
 }
 
 // One that loses discovery, then everybody, is out, and the rest go on; back in contact, it is in again within a few periods.
-func TestOneIsShutOutAndBroughtBack(t *testing.T) {
+func TestIsolatedMemberIsOutAndReturns(t *testing.T) {
 	sizes := []int{5, 30}
 	if *large {
 		sizes = []int{5, 30, 300}
 	}
 	for _, n := range sizes {
-		l := newLife(t, 5, n, 0.05)
+		l := newLeaseSimulation(t, 5, n, 0.05)
 		one := l.net.Nodes[1]
-		l.mute[one] = true
+		l.withoutDiscovery[one] = true
 		l.run(60)
-		if b := l.boards[one]; b.Lease.State() != lease.Held || b.Word() < l.net.Now-5 {
-			t.Errorf("%d: not brought up by its peers: %v, a word %.1f s old", n, b.Lease.State(), l.net.Now-b.Word())
+		if b := l.boards[one]; b.Lease.State() != lease.Held || b.LastConfirmed() < l.net.Now-5 {
+			t.Errorf("%d: not brought up by its peers: %v, a word %.1f s old", n, b.Lease.State(), l.net.Now-b.LastConfirmed())
 		}
 		l.group[one] = 1
 		from := l.net.Now
@@ -168,8 +168,8 @@
 		}
 		t.Logf("%s", l.boards[one].Lease.Reason)
 		t.Logf("%d members: out after %.0f periods", n, l.net.Now-from)
-		if l.net.Now > from+lease.Term(5, 1)+5 || l.most != 1 {
-			t.Errorf("%d members: out after %.0f periods, %d at most", n, l.net.Now-from, l.most)
+		if l.net.Now > from+lease.Term(5, 1)+5 || l.maxOut != 1 {
+			t.Errorf("%d members: out after %.0f periods, %d at most", n, l.net.Now-from, l.maxOut)
 		}
 		l.group[one] = 0
 		from = l.net.Now
--- a/internal/dispatcher/cluster/versions/standing.go
+++ b/internal/dispatcher/cluster/versions/standing.go
@@ -7,12 +7,12 @@
 	"cinderroad/internal/shared/membership"
 )
 
-// Judge has the lease judged by what is known here and in the view, and says whether it is another than before.
-func (b *Board) Judge(now float64, v *membership.View) (changed bool) {
-	in := lease.Input{Now: now, LastDiscovery: b.heardAt}
+// UpdateLease has the lease judged by what is known here and in the view, and says whether it is another than before.
+func (b *Table) UpdateLease(now float64, v *membership.View) (changed bool) {
+	in := lease.Input{Now: now, LastDiscovery: b.lastDiscovery}
 	for i := range v.Members {
 		s := &v.Members[i]
-		m := lease.Member{Name: s.Name, Key: s.Key, LastContact: s.LastContact, Excluded: b.Ordered(s.Name)}
+		m := lease.Member{Name: s.Name, Key: s.Key, LastContact: s.LastContact, Excluded: b.Excluded(s.Name)}
 		if s.Metadata != nil {
 			m.State = s.Metadata.Lease
 		}
@@ -21,16 +21,16 @@
 		}
 		switch p, told := b.peers[s.Name]; {
 		case s.Self:
-			m.LastUpdate, m.State = b.wordAt, b.Lease.State()
+			m.LastUpdate, m.State = b.lastConfirmed, b.Lease.State()
 			if m.LastUpdate == 0 { // of an earlier life is the list, and nobody has confirmed it: as old as its taking up
-				m.LastUpdate = b.ownAt
+				m.LastUpdate = b.versionSince
 			}
 			in.Self = m
 			continue
 		case s.State == membership.Left:
 			continue
 		case told:
-			m.LastUpdate, m.DirectUpdate, m.UpdateLead = p.Word, p.Direct, (float64(p.word)-float64(b.word))/wordsASecond
+			m.LastUpdate, m.DirectUpdate, m.UpdateLead = p.LastUpdate, p.DirectUpdate, (float64(p.updateStamp)-float64(b.updateStamp))/stampsPerSecond
 		}
 		in.Others = append(in.Others, m)
 	}
@@ -38,8 +38,8 @@
 	return b.Lease.Update(&in) != was || b.Lease.Reason != why
 }
 
-// Order gives an order at this member. More than a third of the members are not shut out at once.
-func (b *Board) Order(now float64, v *membership.View, member string, out bool) error {
+// IssueOrder gives an order at this member. More than a third of the members are not shut out at once.
+func (b *Table) IssueOrder(now float64, v *membership.View, member string, out bool) error {
 	known, shut, found := 0, 1, false
 	for i := range v.Members {
 		s := &v.Members[i]
@@ -49,7 +49,7 @@
 		known++
 		if s.Name == member {
 			found = true
-		} else if b.Ordered(s.Name) || s.OutOfService() || s.State == membership.Dead {
+		} else if b.Excluded(s.Name) || s.OutOfService() || s.State == membership.Dead {
 			shut++
 		}
 	}
@@ -59,5 +59,5 @@
 	case out && shut > quota:
 		return fmt.Errorf("versions: %d of %d members would be shut out; %d at most", shut, known, quota)
 	}
-	return b.give(now, member, out)
+	return b.addOrder(now, member, out)
 }
--- a/internal/dispatcher/cluster/versions/word.go
+++ b/internal/dispatcher/cluster/versions/word.go
@@ -5,50 +5,52 @@
 // whatever ways it comes: told in circles it renews nothing.
 
 const (
-	wordsASecond = 10
-	wordsAhead   = 10 // seconds that a member's clock may be ahead of this one's: further on its words count for nothing
+	stampsPerSecond = 10
+	maxClockLead    = 10 // seconds that a member's clock may be ahead of this one's: further on its words count for nothing
 )
 
-// Word is when a word of discovery last confirmed all that is known here; 0: never.
-func (b *Board) Word() float64 { return b.wordAt }
+// LastConfirmed is when a word of discovery last confirmed all that is known here; 0: never.
+func (b *Table) LastConfirmed() float64 { return b.lastConfirmed }
 
-// Spoke is when the own discovery last spoke; 0: never.
-func (b *Board) Spoke() float64 { return b.heardAt }
+// LastDiscovery is when the own discovery last spoke; 0: never.
+func (b *Table) LastDiscovery() float64 { return b.lastDiscovery }
 
-// Forget takes it that whatever was heard before now is old.
-func (b *Board) Forget(now float64) { b.wordAt, b.direct = min(b.wordAt, now-forgotten), false }
+// ExpireUpdates takes it that whatever was heard before now is old.
+func (b *Table) ExpireUpdates(now float64) {
+	b.lastConfirmed, b.directUpdate = min(b.lastConfirmed, now-expiredAge), false
+}
 
-// speak takes it that the own discovery has spoken. One that tells an old list confirms nothing.
-func (b *Board) speak(now float64) {
-	if b.direct = b.knows() >= b.issued(); b.direct {
-		b.wordAt, b.word = now, max(b.word, uint64(now*wordsASecond))
+// confirmByDiscovery takes it that the own discovery has spoken. One that tells an old list confirms nothing.
+func (b *Table) confirmByDiscovery(now float64) {
+	if b.directUpdate = b.completeUpTo() >= b.confirmedRevision(); b.directUpdate {
+		b.lastConfirmed, b.updateStamp = now, max(b.updateStamp, uint64(now*stampsPerSecond))
 	}
 }
 
-// passed takes a peer's word of discovery: by it others see that the peer has one, and where all that the peer knows is known here,
+// mergePeerUpdate takes a peer's word of discovery: by it others see that the peer has one, and where all that the peer knows is known here,
 // it counts here, too.
-func (b *Board) passed(now float64, p *Peer, r *ride) {
-	if float64(r.Word) > (now+wordsAhead)*wordsASecond {
+func (b *Table) mergePeerUpdate(now float64, p *Peer, r *payload) {
+	if float64(r.UpdateStamp) > (now+maxClockLead)*stampsPerSecond {
 		return
 	}
-	if r.Word > p.word {
-		p.word, p.Word, p.Direct = r.Word, now, r.Direct
+	if r.UpdateStamp > p.updateStamp {
+		p.updateStamp, p.LastUpdate, p.DirectUpdate = r.UpdateStamp, now, r.DirectUpdate
 	}
-	if _, ok := b.own.Behind(r.List); b.has && ok && r.Word > b.word && max(r.Knows, r.List.Rev) <= b.knows() {
-		b.wordAt, b.word = now, r.Word
+	if _, ok := b.version.Lag(r.Version); b.hasVersion && ok && r.UpdateStamp > b.updateStamp && max(r.CompleteUpTo, r.Version.Revision) <= b.completeUpTo() {
+		b.lastConfirmed, b.updateStamp = now, r.UpdateStamp
 	}
 }
 
-// issued is the newest version of the own line that discovery has surely told: two members at least say that their own lists have
+// confirmedRevision is the newest version of the own line that discovery has surely told: two members at least say that their own lists have
 // it, or the own one does. What one alone says may be wrong.
-func (b *Board) issued() int64 {
-	first, second := b.own.Rev, b.own.Rev
+func (b *Table) confirmedRevision() int64 {
+	first, second := b.version.Revision, b.version.Revision
 	for _, p := range b.peers {
-		if by, ok := b.own.Behind(p.List); ok && by > 0 {
-			if p.List.Rev > first {
-				first, second = p.List.Rev, first
+		if by, ok := b.version.Lag(p.Version); ok && by > 0 {
+			if p.Version.Revision > first {
+				first, second = p.Version.Revision, first
 			} else {
-				second = max(second, p.List.Rev)
+				second = max(second, p.Version.Revision)
 			}
 		}
 	}
--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -48,10 +48,10 @@
 	if z := c.brain.Zone; z < len(c.names.FailureDomains) {
 		zone = c.names.FailureDomains[z]
 	}
-	return &cluster.Options{Fleet: f.Name, Name: c.Name, Bind: f.BindAddr, Advertise: f.AdvertiseAddr, Seeds: f.SeedAddrs,
-		Period: f.Period, Forget: f.Forget, Lease: f.Lease, Seed: c.seed, Facts: membership.Metadata{Zone: zone[:min(len(zone), 48)], Version: version(), Console: c.Console,
+	return &cluster.Options{Cluster: f.Name, Name: c.Name, Bind: f.BindAddr, Advertise: f.AdvertiseAddr, Seeds: f.SeedAddrs,
+		ProbeInterval: f.Period, DeadTTL: f.Forget, LeaseTerm: f.Lease, RandomSeed: c.seed, Metadata: membership.Metadata{Zone: zone[:min(len(zone), 48)], Version: version(), Console: c.Console,
 			SettingsHash: hash(common(c.Settings)), OperatorHash: hash([]byte(c.Operator.Common()))},
-		Rules: quota.Rules{Instances: c.brain.Instances, Me: c.brain.Instance, Period: f.Period, LastSends: c.brain.OverloadWindow, Whole: *f.Whole}}, nil
+		Quota: quota.Config{Instances: c.brain.Instances, Index: c.brain.Instance, ProbeInterval: f.Period, LoadDecay: c.brain.OverloadWindow, AllMembers: *f.Whole}}, nil
 }
 
 // startFleet has this dispatcher be a member, where the operator's file says so.
@@ -72,11 +72,11 @@
 	return nil
 }
 
-func (p *Program) joinFleet(o *cluster.Options, socket *eventloop.UDPSocket, book *auditlog.Book) {
+func (p *Program) joinFleet(o *cluster.Options, socket *eventloop.UDPSocket, book *auditlog.Log) {
 	p.keepVersions()
-	o.Board, o.Slept, o.Leased, o.Settled = p.board, p.slept, p.leased, p.settled
-	o.Facts.Serving, o.Facts.OperatorAt = p.standing(), uint32(p.loop.Now())
-	p.facts = o.Facts
+	o.Versions, o.OnPause, o.OnLease, o.OnConverged = p.board, p.slept, p.leased, p.settled
+	o.Metadata.Serving, o.Metadata.OperatorAt = p.standing(), uint32(p.loop.Now())
+	p.facts = o.Metadata
 	p.keepLedger(book, p.config.Operator)
 	p.fleet = cluster.Start(p.loop, p.log, *o, socket, p.setPlace)
 	if !p.factsOn {
@@ -104,8 +104,8 @@
 func hash(text []byte) string { return fmt.Sprintf("%08x", uint32(xxhash.Sum64(text))) }
 
 // setPlace has all who count the dispatchers know their number.
-func (p *Program) setPlace(place quota.Place) {
-	if err := p.core.SetPlace(loadbalancer.InstanceShare{Instances: place.Instances, Instance: place.Me, BudgetShare: place.Part, InstanceKeys: place.Keys}); err != nil {
+func (p *Program) setPlace(place quota.Share) {
+	if err := p.core.SetPlace(loadbalancer.InstanceShare{Instances: place.Instances, Instance: place.Index, BudgetShare: place.Fraction, InstanceKeys: place.Keys}); err != nil {
 		p.log.Error("program: place not taken", zap.Error(err))
 		return
 	}
@@ -137,9 +137,9 @@
 	p.facts.Serving = p.standing()
 	if out := p.excluded(); out != p.facts.ExcludedHash {
 		p.facts.ExcludedHash, p.facts.ExcludedAt = out, uint32(p.loop.Now())
-		p.record(auditlog.Entry{What: auditlog.Excluded, Digest: out, Members: len(p.core.Exclusions())})
+		p.record(auditlog.Entry{Kind: auditlog.ExclusionsChanged, Digest: out, Members: len(p.core.Exclusions())})
 	}
-	p.fleet.SetFacts(p.facts)
+	p.fleet.SetMetadata(p.facts)
 	p.tendLedger()
 	if out := p.core.Counts(); p.front.Leaving() > 0 && out.OpenReqs == 0 && out.OpenFetches == 0 {
 		if !p.fleetLeft {
--- a/internal/dispatcher/server/fleet_audit_test.go
+++ b/internal/dispatcher/server/fleet_audit_test.go
@@ -76,7 +76,7 @@
 		time.Sleep(time.Second)
 	}
 	r.Eventually("all have heard each other's clocks", func() bool {
-		return !slices.ContainsFunc(r.Audit().Clocks, func(o auditlog.Offset) bool { return !o.Known })
+		return !slices.ContainsFunc(r.Audit().Clocks, func(o auditlog.ClockOffset) bool { return !o.Known })
 	})
 	r.Check()
 	files := r.Files()
@@ -84,7 +84,7 @@
 		t.Fatalf("%v", files)
 	}
 	clean, status := runAudit(t, files...)
-	if status != 0 || len(clean.Broken)+len(clean.Holes)+len(clean.Untold) > 0 || clean.Judged != clean.Sends || clean.Judged == 0 {
+	if status != 0 || len(clean.Violations)+len(clean.Gaps)+len(clean.Inconclusive) > 0 || clean.Judged != clean.Attempts || clean.Judged == 0 {
 		t.Errorf("status %d: %+v", status, clean)
 	}
 
@@ -97,12 +97,12 @@
 		return true
 	})
 	skewed, status := runAudit(t, shifted...)
-	if status != 0 || len(skewed.Broken) > 0 || len(skewed.Untold) > 0 || len(skewed.Stragglers) != len(clean.Stragglers) {
+	if status != 0 || len(skewed.Violations) > 0 || len(skewed.Inconclusive) > 0 || len(skewed.Stragglers) != len(clean.Stragglers) {
 		t.Errorf("status %d, with clocks off: %+v", status, skewed)
 	}
 	ahead := map[string]float64{}
 	for _, o := range skewed.Clocks {
-		ahead[o.By] = o.Ahead
+		ahead[o.Dispatcher] = o.Lead
 	}
 	if got := ahead["d03"] - ahead["d00"]; got < 3.9 || got > 4.1 {
 		t.Errorf("the clocks of d00 and d03 are found to be %.3f s apart, which are 4", got)
@@ -133,12 +133,12 @@
 		t.Fatal("no send of d01 after the last drain to be changed")
 	}
 	report, status := runAudit(t, faulty...)
-	text := fmt.Sprint(report.Broken, report.Holes)
-	if status != 1 || len(report.Broken) != 1 || report.Broken[0].By != "d01" || report.Broken[0].Node != drains.Name || report.Broken[0].Sends != 1 {
+	text := fmt.Sprint(report.Violations, report.Gaps)
+	if status != 1 || len(report.Violations) != 1 || report.Violations[0].Dispatcher != "d01" || report.Violations[0].Node != drains.Name || report.Violations[0].Attempts != 1 {
 		t.Errorf("status %d: %s", status, text)
 	}
-	if !slices.ContainsFunc(report.Holes, func(h string) bool { return strings.HasPrefix(h, "d02: entries 3 to 3") }) || len(report.Holes) != 1 {
-		t.Errorf("holes: %v", report.Holes)
+	if !slices.ContainsFunc(report.Gaps, func(h string) bool { return strings.HasPrefix(h, "d02: entries 3 to 3") }) || len(report.Gaps) != 1 {
+		t.Errorf("holes: %v", report.Gaps)
 	}
 }
 
--- a/internal/dispatcher/server/fleet_console.go
+++ b/internal/dispatcher/server/fleet_console.go
@@ -28,7 +28,7 @@
 		reply(404, "no [fleet] in the operator's file")
 		return
 	}
-	if err := p.fleet.Declare(member); err != nil {
+	if err := p.fleet.DeclareLeft(member); err != nil {
 		reply(409, err.Error())
 		return
 	}
@@ -43,7 +43,7 @@
 			reply(404, "no [fleet] in the operator's file")
 			return
 		}
-		if err := p.fleet.Order(member, out); err != nil {
+		if err := p.fleet.IssueOrder(member, out); err != nil {
 			reply(409, err.Error())
 			return
 		}
--- a/internal/dispatcher/server/fleet_figures.go
+++ b/internal/dispatcher/server/fleet_figures.go
@@ -9,7 +9,7 @@
 
 // addFleet adds the figures of the fleet; none are told while the section is off.
 func addFleet(a adder, p *Program) {
-	read := func(kind telemetry.Kind, name, unit, help string, get func(f *cluster.Fleet) float64) {
+	read := func(kind telemetry.Kind, name, unit, help string, get func(f *cluster.Cluster) float64) {
 		a.set.Read(telemetry.Doc{Pattern: "fleet." + name, Kind: kind, Unit: unit, Help: help + " None without a fleet."}, func() float64 {
 			if p.fleet == nil {
 				return math.NaN()
@@ -17,12 +17,12 @@
 			return get(p.fleet)
 		})
 	}
-	gauge := func(name, unit, help string, get func(f *cluster.Fleet) float64) {
+	gauge := func(name, unit, help string, get func(f *cluster.Cluster) float64) {
 		read(telemetry.Gauge, name, unit, help, get)
 	}
-	counter := func(name, unit, help string, get func(f *cluster.Fleet) uint64) {
+	counter := func(name, unit, help string, get func(f *cluster.Cluster) uint64) {
 		past, last := 0.0, 0.0 // a member that joins anew counts from 0
-		read(telemetry.Counter, name, unit, help, func(f *cluster.Fleet) float64 {
+		read(telemetry.Counter, name, unit, help, func(f *cluster.Cluster) float64 {
 			v := float64(get(f))
 			if v < last {
 				past += last
@@ -31,35 +31,35 @@
 			return past + v
 		})
 	}
-	gauge("members_alive", "members", "Members held alive, this one among them.", func(f *cluster.Fleet) float64 { n, _, _ := f.Census(); return float64(n) })
-	gauge("members_suspect", "members", "Members under suspicion.", func(f *cluster.Fleet) float64 { _, n, _ := f.Census(); return float64(n) })
-	gauge("members_dead", "members", "Members held dead and not forgotten yet.", func(f *cluster.Fleet) float64 { _, _, n := f.Census(); return float64(n) })
-	gauge("instances", "members", "Dispatchers among whom cold workers are shared.", func(f *cluster.Fleet) float64 { return float64(f.Place().Instances) })
-	gauge("part", "", "Part of its share of cold workers that this one takes; below 1 while others may not count it.", func(f *cluster.Fleet) float64 { return f.Place().Part })
-	gauge("settle_s", "s", "How long the view took to settle the last time.", (*cluster.Fleet).LastSettling)
-	counter("suspicions", "suspicions", "Members that came under suspicion.", func(f *cluster.Fleet) uint64 { return f.Counts().Suspicions })
-	counter("suspicions_refuted", "suspicions", "Suspicions that were taken back.", func(f *cluster.Fleet) uint64 { return f.Counts().Refutations })
-	counter("suspected", "suspicions", "Suspicions of this member that it answered.", func(f *cluster.Fleet) uint64 { return f.Counts().SelfRefutations })
-	counter("deaths", "members", "Members found dead.", func(f *cluster.Fleet) uint64 { return f.Counts().Deaths })
-	counter("probes", "questions", "Members asked whether they are there.", func(f *cluster.Fleet) uint64 { return f.Counts().Probes })
-	counter("probes_unanswered", "questions", "Those that ended without an answer.", func(f *cluster.Fleet) uint64 { return f.Counts().FailedProbes })
-	counter("slept", "", "Times that this process stood still.", func(f *cluster.Fleet) uint64 { return f.Counts().Pauses })
-	counter("name_claims", "", "Times that another process was found under this name.", func(f *cluster.Fleet) uint64 { return f.Counts().NameClaims })
-	gauge("list_behind", "versions", "Versions that the own list is behind the newest that a member says it has; none compares: 0.", func(*cluster.Fleet) float64 { return float64(p.board.BehindBy()) })
-	gauge("out_of_lease", "", "1 while this member is out of its lease and takes no new work.", func(f *cluster.Fleet) float64 { return oneIf(p.unleased()) })
-	gauge("word_age_s", "s", "Since a word of discovery last confirmed what is known here; -1: never.", func(f *cluster.Fleet) float64 { return f.WordAge() })
-	gauge("workers_withheld", "nodes", "Workers that get less than the own list says, on peers' words.", func(*cluster.Fleet) float64 { return float64(p.core.Withheld()) })
-	counter("facts_taken", "facts", "What peers told of workers that the own list was too old to know.", func(*cluster.Fleet) uint64 { return p.board.Counts.Taken })
-	counter("facts_doubted", "facts", "Of it, what the own discovery did not tell in time: taken back.", func(*cluster.Fleet) uint64 { return p.board.Counts.Doubted })
-	counter("rides_bad", "", "What came along with members' messages and made no sense.", func(*cluster.Fleet) uint64 { return p.board.Counts.Bad })
-	counter("datagrams_sent", "datagrams", "Datagrams sent.", func(f *cluster.Fleet) uint64 { return f.Sent })
-	counter("datagrams_received", "datagrams", "Datagrams that came.", func(f *cluster.Fleet) uint64 { return f.Received })
-	counter("datagrams_unsent", "datagrams", "Datagrams that the system did not take.", func(f *cluster.Fleet) uint64 { return f.Unsent })
-	counter("bytes_sent", "bytes", "Bytes of the datagrams sent.", func(f *cluster.Fleet) uint64 { return f.BytesSent })
+	gauge("members_alive", "members", "Members held alive, this one among them.", func(f *cluster.Cluster) float64 { n, _, _ := f.CountByState(); return float64(n) })
+	gauge("members_suspect", "members", "Members under suspicion.", func(f *cluster.Cluster) float64 { _, n, _ := f.CountByState(); return float64(n) })
+	gauge("members_dead", "members", "Members held dead and not forgotten yet.", func(f *cluster.Cluster) float64 { _, _, n := f.CountByState(); return float64(n) })
+	gauge("instances", "members", "Dispatchers among whom cold workers are shared.", func(f *cluster.Cluster) float64 { return float64(f.Share().Instances) })
+	gauge("part", "", "Part of its share of cold workers that this one takes; below 1 while others may not count it.", func(f *cluster.Cluster) float64 { return f.Share().Fraction })
+	gauge("settle_s", "s", "How long the view took to settle the last time.", (*cluster.Cluster).LastConvergence)
+	counter("suspicions", "suspicions", "Members that came under suspicion.", func(f *cluster.Cluster) uint64 { return f.Stats().Suspicions })
+	counter("suspicions_refuted", "suspicions", "Suspicions that were taken back.", func(f *cluster.Cluster) uint64 { return f.Stats().Refutations })
+	counter("suspected", "suspicions", "Suspicions of this member that it answered.", func(f *cluster.Cluster) uint64 { return f.Stats().SelfRefutations })
+	counter("deaths", "members", "Members found dead.", func(f *cluster.Cluster) uint64 { return f.Stats().Deaths })
+	counter("probes", "questions", "Members asked whether they are there.", func(f *cluster.Cluster) uint64 { return f.Stats().Probes })
+	counter("probes_unanswered", "questions", "Those that ended without an answer.", func(f *cluster.Cluster) uint64 { return f.Stats().FailedProbes })
+	counter("slept", "", "Times that this process stood still.", func(f *cluster.Cluster) uint64 { return f.Stats().Pauses })
+	counter("name_claims", "", "Times that another process was found under this name.", func(f *cluster.Cluster) uint64 { return f.Stats().NameClaims })
+	gauge("list_behind", "versions", "Versions that the own list is behind the newest that a member says it has; none compares: 0.", func(*cluster.Cluster) float64 { return float64(p.board.MaxLag()) })
+	gauge("out_of_lease", "", "1 while this member is out of its lease and takes no new work.", func(f *cluster.Cluster) float64 { return oneIf(p.unleased()) })
+	gauge("word_age_s", "s", "Since a word of discovery last confirmed what is known here; -1: never.", func(f *cluster.Cluster) float64 { return f.ConfirmationAge() })
+	gauge("workers_withheld", "nodes", "Workers that get less than the own list says, on peers' words.", func(*cluster.Cluster) float64 { return float64(p.core.Withheld()) })
+	counter("facts_taken", "facts", "What peers told of workers that the own list was too old to know.", func(*cluster.Cluster) uint64 { return p.board.Stats.FactsAccepted })
+	counter("facts_doubted", "facts", "Of it, what the own discovery did not tell in time: taken back.", func(*cluster.Cluster) uint64 { return p.board.Stats.Doubted })
+	counter("rides_bad", "", "What came along with members' messages and made no sense.", func(*cluster.Cluster) uint64 { return p.board.Stats.Malformed })
+	counter("datagrams_sent", "datagrams", "Datagrams sent.", func(f *cluster.Cluster) uint64 { return f.Sent })
+	counter("datagrams_received", "datagrams", "Datagrams that came.", func(f *cluster.Cluster) uint64 { return f.Received })
+	counter("datagrams_unsent", "datagrams", "Datagrams that the system did not take.", func(f *cluster.Cluster) uint64 { return f.Unsent })
+	counter("bytes_sent", "bytes", "Bytes of the datagrams sent.", func(f *cluster.Cluster) uint64 { return f.BytesSent })
 	for i, name := range cluster.DropNames {
-		counter("dropped_"+name, "datagrams", "Datagrams dropped: "+name+".", func(f *cluster.Fleet) uint64 { return f.Drops[i] })
+		counter("dropped_"+name, "datagrams", "Datagrams dropped: "+name+".", func(f *cluster.Cluster) uint64 { return f.Drops[i] })
 	}
-	counter("dropped_repeated", "datagrams", "Datagrams dropped: heard before.", func(f *cluster.Fleet) uint64 { return f.Counts().Duplicates })
-	counter("dropped_no_room", "names", "Names not taken in, since 4,096 are known.", func(f *cluster.Fleet) uint64 { return f.Counts().RejectedNames })
-	counter("dropped_stale", "datagrams", "Datagrams dropped: of an earlier life.", func(f *cluster.Fleet) uint64 { return f.Counts().Stale })
+	counter("dropped_repeated", "datagrams", "Datagrams dropped: heard before.", func(f *cluster.Cluster) uint64 { return f.Stats().Duplicates })
+	counter("dropped_no_room", "names", "Names not taken in, since 4,096 are known.", func(f *cluster.Cluster) uint64 { return f.Stats().RejectedNames })
+	counter("dropped_stale", "datagrams", "Datagrams dropped: of an earlier life.", func(f *cluster.Cluster) uint64 { return f.Stats().Stale })
 }
--- a/internal/dispatcher/server/fleet_reload.go
+++ b/internal/dispatcher/server/fleet_reload.go
@@ -11,7 +11,7 @@
 type fleetChange struct {
 	options *cluster.Options
 	socket  *eventloop.UDPSocket // a new address'
-	book    *auditlog.Book       // a new ledger
+	book    *auditlog.Log        // a new ledger
 }
 
 // prepareFleet checks what a reload says of the fleet and opens an address that is new; nothing changes before takeFleet.
@@ -56,21 +56,21 @@
 		p.leaveFleet()
 		p.closeLedger(true)
 		p.dropVersions()
-		p.setPlace(quota.Place{Instances: p.config.brain.Instances, Me: p.config.brain.Instance, Part: 1})
+		p.setPlace(quota.Share{Instances: p.config.brain.Instances, Index: p.config.brain.Instance, Fraction: 1})
 		p.log.Info("program: fleet switched off; places are as configured")
 	case p.fleet == nil:
 		p.joinFleet(o, r.socket, r.book)
-	case p.fleet.Same(o):
-		p.fleet.Change(*o)
-		other := o.Facts.SettingsHash != p.facts.SettingsHash || o.Facts.OperatorHash != p.facts.OperatorHash
-		o.Facts.ExcludedHash, o.Facts.ExcludedAt = p.facts.ExcludedHash, p.facts.ExcludedAt
-		if o.Facts.OperatorAt = uint32(p.loop.Now()); o.Facts.OperatorHash == p.facts.OperatorHash {
-			o.Facts.OperatorAt = p.facts.OperatorAt
+	case p.fleet.SameIdentity(o):
+		p.fleet.UpdateOptions(*o)
+		other := o.Metadata.SettingsHash != p.facts.SettingsHash || o.Metadata.OperatorHash != p.facts.OperatorHash
+		o.Metadata.ExcludedHash, o.Metadata.ExcludedAt = p.facts.ExcludedHash, p.facts.ExcludedAt
+		if o.Metadata.OperatorAt = uint32(p.loop.Now()); o.Metadata.OperatorHash == p.facts.OperatorHash {
+			o.Metadata.OperatorAt = p.facts.OperatorAt
 		}
-		p.facts = o.Facts
+		p.facts = o.Metadata
 		p.keepLedger(r.book, p.config.Operator)
 		if other {
-			p.record(auditlog.Entry{What: auditlog.Settings, Settings: o.Facts.SettingsHash, Operator: o.Facts.OperatorHash})
+			p.record(auditlog.Entry{Kind: auditlog.SettingsChanged, Settings: o.Metadata.SettingsHash, Operator: o.Metadata.OperatorHash})
 		}
 	default:
 		socket := p.fleet.Release()
--- a/internal/dispatcher/server/fleet_sleep.go
+++ b/internal/dispatcher/server/fleet_sleep.go
@@ -18,19 +18,19 @@
 		return
 	}
 	p.woke = p.loop.Now()
-	p.record(auditlog.Entry{What: auditlog.Slept, Late: late})
-	p.board.Forget(p.woke)
+	p.record(auditlog.Entry{Kind: auditlog.Paused, LateSeconds: late})
+	p.board.ExpireUpdates(p.woke)
 	p.pause()
 	p.waking.Stop()
 	p.waking = p.loop.At(p.woke+wakeMost, func() {
-		if p.fleet == nil || !p.fleet.Met() { // nobody will
+		if p.fleet == nil || !p.fleet.Contacted() { // nobody will
 			p.wake()
 			return
 		}
 		p.wakeTimedOut = true
 		p.pause()
 		// Whoever slept alone is heard from by then: if not, the lease has the say.
-		p.waking = p.loop.At(p.woke+p.fleet.Lease(), p.wake)
+		p.waking = p.loop.At(p.woke+p.fleet.LeaseTerm(), p.wake)
 	})
 }
 
@@ -51,7 +51,7 @@
 // leased has new jobs refused while this dispatcher is out of its lease.
 func (p *Program) leased(out bool, why string) {
 	p.log.Warn("program: lease", zap.Bool("out", out), zap.String("why", why))
-	p.record(auditlog.Entry{What: auditlog.Lease, Out: out, Why: why})
+	p.record(auditlog.Entry{Kind: auditlog.LeaseChanged, Out: out, Reason: why})
 	p.pause()
 }
 
@@ -68,7 +68,7 @@
 		p.waking.Stop()
 		p.log.Info("program: looked again after a sleep", zap.Float64("after_s", p.loop.Now()-p.woke))
 		p.woke, p.wakeTimedOut = 0, false
-		p.record(auditlog.Entry{What: auditlog.Looked})
+		p.record(auditlog.Entry{Kind: auditlog.Resumed})
 		p.pause()
 	}
 }
--- a/internal/dispatcher/server/fleet_test.go
+++ b/internal/dispatcher/server/fleet_test.go
@@ -146,7 +146,7 @@
 	if s := m.Status(); s != nil {
 		for _, o := range s.Members {
 			if o.Name == name {
-				return o.Life
+				return o.Generation
 			}
 		}
 	}
@@ -176,7 +176,7 @@
 		t.Errorf("fleet check on an island that agrees: %v\n%s", err, out)
 	}
 	for _, m := range island {
-		if s := m.Status(); s == nil || s.Place.Why != "cut off" || s.Place.Part >= 1 {
+		if s := m.Status(); s == nil || s.Share.Reason != "cut off" || s.Share.Fraction >= 1 {
 			t.Errorf("%s, of fewer than half, shares cold workers as if it were the fleet: %+v", m.Name, s)
 		}
 	}
@@ -184,7 +184,7 @@
 	r.Settled(n)
 	r.Eventually("all count one another", func() bool {
 		for _, m := range r.Members {
-			if s := m.Status(); s == nil || s.Place.Instances != n || s.Place.Part != 1 {
+			if s := m.Status(); s == nil || s.Share.Instances != n || s.Share.Fraction != 1 {
 				return false
 			}
 		}
@@ -377,7 +377,7 @@
 	m.Fleet = "other"
 	m.Configure(m.Operator())
 	m.Reload("program: reloaded")
-	r.Eventually("a fleet of its own", func() bool { s := m.Status(); return s != nil && s.Fleet == "other" && len(s.Members) == 1 })
+	r.Eventually("a fleet of its own", func() bool { s := m.Status(); return s != nil && s.Cluster == "other" && len(s.Members) == 1 })
 	m.Fleet = r.Fleet
 	m.Configure(strings.Replace(m.Operator(), m.Bind, m.Bind+`0"#`, 1)) // a port that makes no sense
 	m.Reload("reload refused")
--- a/internal/dispatcher/server/fleet_versions.go
+++ b/internal/dispatcher/server/fleet_versions.go
@@ -20,13 +20,13 @@
 	b := versions.New(p.config.Name)
 	p.board = b
 	b.Log = func(line string) { p.log.Warn("versions: " + line) }
-	b.Changed = p.withhold
-	b.Note = p.noted
-	b.Ordering = func(o versions.Order) {
-		p.record(auditlog.Entry{What: auditlog.Order, From: o.By, Member: o.Member, Out: o.Out})
+	b.OnChange = p.withhold
+	b.OnEvent = p.noted
+	b.OnOrder = func(o versions.Order) {
+		p.record(auditlog.Entry{Kind: auditlog.OrderReceived, From: o.By, Member: o.Member, Out: o.Out})
 		p.loop.Defer(func() {
 			if p.fleet != nil {
-				p.fleet.Judge()
+				p.fleet.Update()
 			}
 		})
 	}
@@ -35,9 +35,9 @@
 		for _, t := range changed {
 			entries = append(entries, versions.Entry{Worker: t.UID, State: states[t.State], Start: int64(max(t.BootMs, 0))})
 		}
-		b.Own(p.loop.Now(), p.source(addr), rev, cached, entries)
+		b.ApplyList(p.loop.Now(), p.source(addr), rev, cached, entries)
 		if p.fleet != nil {
-			p.fleet.Urge()
+			p.fleet.GossipNow()
 		}
 	}
 	if addr, list := p.director.Held(); list.Rev > 0 {
@@ -45,10 +45,10 @@
 	}
 	p.director.Listed = tell
 	p.director.Heard = func() {
-		b.Live(p.loop.Now())
+		b.HandleDiscoveryContact(p.loop.Now())
 		p.looked()
 	}
-	b.Heard = p.looked
+	b.OnPeerState = p.looked
 }
 
 // dropVersions has nothing withheld any more: the own list alone says.
@@ -73,13 +73,13 @@
 // withhold has the core take workers for what peers know of them.
 func (p *Program) withhold() {
 	held := map[string]dispatch.Held{}
-	for worker, h := range p.board.Held() {
+	for worker, h := range p.board.Restrictions() {
 		state := loadbalancer.Ready
 		if h.State != versions.Ready {
 			state = loadbalancer.Draining
 		}
 		held[worker] = dispatch.Held{State: state, Since: float64(h.Start) / 1000}
-		p.log.Info("versions: withheld on a peer's word", zap.String("worker", worker), zap.Stringer("state", h.State), zap.Int64("rev", h.Rev), zap.String("from", h.From))
+		p.log.Info("versions: withheld on a peer's word", zap.String("worker", worker), zap.Stringer("state", h.State), zap.Int64("rev", h.Revision), zap.String("from", h.From))
 	}
 	if len(held) == 0 {
 		p.log.Info("versions: nothing is withheld any more")
--- a/internal/dispatcher/server/fleet_versions_test.go
+++ b/internal/dispatcher/server/fleet_versions_test.go
@@ -16,7 +16,7 @@
 	if s == nil {
 		return false
 	}
-	for _, h := range s.Held {
+	for _, h := range s.Restrictions {
 		if h.Worker == worker {
 			return true
 		}
@@ -57,7 +57,7 @@
 			cut.ListWay().Set(receivers.Link{})
 			r.Eventually("its own director has told it", func() bool {
 				s := cut.Status()
-				return s != nil && len(s.Held) == 0 && strings.Contains(cut.Text(), "nothing is withheld any more")
+				return s != nil && len(s.Restrictions) == 0 && strings.Contains(cut.Text(), "nothing is withheld any more")
 			})
 			after := drains.Took(cut)
 			time.Sleep(time.Second)
--- a/internal/dispatcher/server/ledger.go
+++ b/internal/dispatcher/server/ledger.go
@@ -32,13 +32,13 @@
 }
 
 // openLedger opens the ledger that an operator's file names, where it is another than the one at hand; nil: it is that one, or none.
-func (p *Program) openLedger(f *operatorconfig.File) (*auditlog.Book, error) {
+func (p *Program) openLedger(f *operatorconfig.File) (*auditlog.Log, error) {
 	o := ledgerFile(f)
 	if o.Path == "" || p.ledger != nil && sameFile(o, p.ledgerAt) {
 		return nil, nil
 	}
 	o.Report = func(err error) { p.log.Warn("fleet: ledger", zap.Error(err)) }
-	b, err := auditlog.Open(o, p.config.Name, auditlog.Life(p.started))
+	b, err := auditlog.Open(o, p.config.Name, auditlog.GenerationName(p.started))
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: fleet.ledger: %w", err)
 	}
@@ -47,7 +47,7 @@
 
 // keepLedger puts a ledger in force in place of the one before. It goes on with the old one's numbers, and begins with all that is
 // held.
-func (p *Program) keepLedger(b *auditlog.Book, f *operatorconfig.File) {
+func (p *Program) keepLedger(b *auditlog.Log, f *operatorconfig.File) {
 	o := ledgerFile(f)
 	if b == nil && p.ledger != nil && sameFile(o, p.ledgerAt) {
 		return
@@ -57,10 +57,10 @@
 		return
 	}
 	p.ledger = b
-	b.After(p.marked)
-	p.record(auditlog.Entry{What: auditlog.Start, Program: version(), Settings: p.facts.SettingsHash, Operator: p.facts.OperatorHash})
-	if list, has := p.board.List(); has {
-		p.record(listEntry(&versions.Note{Kind: versions.ListTaken, List: list, Cached: true, Facts: p.board.Unready()}))
+	b.ContinueAfter(p.marked)
+	p.record(auditlog.Entry{Kind: auditlog.Started, Program: version(), Settings: p.facts.SettingsHash, Operator: p.facts.OperatorHash})
+	if list, has := p.board.Version(); has {
+		p.record(listEntry(&versions.Event{Kind: versions.ListApplied, Version: list, Cached: true, Facts: p.board.NotReady()}))
 	}
 }
 
@@ -69,7 +69,7 @@
 	if p.ledger == nil {
 		return
 	}
-	p.record(auditlog.Entry{What: auditlog.End})
+	p.record(auditlog.Entry{Kind: auditlog.Ended})
 	b := p.ledger
 	p.ledger, p.core.Mark = nil, 0
 	if goesOn {
@@ -82,8 +82,8 @@
 // record writes an entry: what is decided from now on carries its number.
 func (p *Program) record(e auditlog.Entry) {
 	if p.ledger != nil {
-		e.Lost = p.ledger.Lost() + p.reporting.lost()
-		p.marked = p.ledger.Add(p.loop.Now(), e)
+		e.LostLines = p.ledger.LostLines() + p.reporting.lost()
+		p.marked = p.ledger.Append(p.loop.Now(), e)
 		p.core.Mark = p.marked
 	}
 }
@@ -101,8 +101,8 @@
 	if p.ledger == nil {
 		return
 	}
-	if p.ledger.Still(p.loop.Now()) {
-		p.record(auditlog.Entry{What: auditlog.Still})
+	if p.ledger.KeepAliveDue(p.loop.Now()) {
+		p.record(auditlog.Entry{Kind: auditlog.KeepAlive})
 	}
 	p.ledger.Flush()
 }
@@ -116,20 +116,20 @@
 	return hash([]byte(strings.Join(slices.Sorted(maps.Keys(out)), "\x00")))
 }
 
-var noteKinds = map[versions.NoteKind]string{versions.ListTaken: auditlog.List, versions.FactsTold: auditlog.Told, versions.AllKnown: auditlog.Knows,
-	versions.NewerKnown: auditlog.Behind, versions.FactDoubted: auditlog.Doubt, versions.FellSilent: auditlog.Mute, versions.SpeaksAgain: auditlog.Speaks,
-	versions.ClockHeard: auditlog.Clock}
+var noteKinds = map[versions.EventKind]string{versions.ListApplied: auditlog.ListApplied, versions.FactsReceived: auditlog.FactsReceived, versions.CaughtUp: auditlog.CaughtUp,
+	versions.NewerVersionKnown: auditlog.NewerKnown, versions.FactDoubted: auditlog.FactsDoubted, versions.DiscoverySilent: auditlog.DiscoverySilent, versions.DiscoveryResumed: auditlog.DiscoveryResumed,
+	versions.ClockReceived: auditlog.ClockReceived}
 
 // noted keeps what the board took up.
-func (p *Program) noted(_ float64, n *versions.Note) { p.record(listEntry(n)) }
+func (p *Program) noted(_ float64, n *versions.Event) { p.record(listEntry(n)) }
 
-func listEntry(n *versions.Note) auditlog.Entry {
-	e := auditlog.Entry{What: noteKinds[n.Kind], From: n.From, Source: n.List.Source, Descent: n.List.Descent, Rev: n.List.Rev, Cached: n.Cached,
-		Late: n.Late, Theirs: n.Theirs}
+func listEntry(n *versions.Event) auditlog.Entry {
+	e := auditlog.Entry{Kind: noteKinds[n.Kind], From: n.From, Source: n.Version.Source, Epoch: n.Version.Epoch, Revision: n.Version.Revision, Cached: n.Cached,
+		LateSeconds: n.SilentFor, PeerClock: n.PeerClock}
 	for _, f := range n.Facts {
 		w := auditlog.Worker{Name: f.Worker, State: f.State.String(), Start: f.Start}
-		if f.Rev != n.List.Rev {
-			w.Rev = f.Rev
+		if f.Revision != n.Version.Revision {
+			w.Revision = f.Revision
 		}
 		e.Workers = append(e.Workers, w)
 	}
@@ -137,6 +137,6 @@
 }
 
 // settled keeps that the fleet's view has settled.
-func (p *Program) settled(v cluster.Settled) {
-	p.record(auditlog.Entry{What: auditlog.View, Digest: v.Digest, Members: v.Alive, Late: v.After})
+func (p *Program) settled(v cluster.Convergence) {
+	p.record(auditlog.Entry{Kind: auditlog.ViewConverged, Digest: v.Digest, Members: v.Alive, LateSeconds: v.After})
 }
--- a/internal/dispatcher/server/program.go
+++ b/internal/dispatcher/server/program.go
@@ -49,13 +49,13 @@
 	door               *admission.Door
 	console            *admin.Console
 	upgrade            *upgrade
-	fleet              *cluster.Fleet      // nil: no member of one
+	fleet              *cluster.Cluster    // nil: no member of one
 	facts              membership.Metadata // what the fleet is told of this dispatcher
 	woke               float64             // after a sleep, until it has looked again; 0: it has
 	waking             *eventloop.Timer
 	wakeTimedOut       bool            // nobody has spoken for so long after a sleep that new jobs are refused
-	board              *versions.Board // nil while fleet is
-	ledger             *auditlog.Book  // nil: none is kept
+	board              *versions.Table // nil while fleet is
+	ledger             *auditlog.Log   // nil: none is kept
 	marked             uint64          // the last entry's number in this life
 	ledgerAt           linelog.Options // where it stands
 	reporting          *reporting      // nil: no figures leave, and no request log is kept
--- a/internal/dispatcher/server/reporting_reload.go
+++ b/internal/dispatcher/server/reporting_reload.go
@@ -28,7 +28,7 @@
 		}
 	}
 	if l := f.RequestLog; l != nil && (r.log == nil || !sameLog(l, r.file.RequestLog)) {
-		log, err := requestlog.Open(requestlog.Options{Path: l.Path, MaxBytes: l.MaxBytes, Keep: *l.Keep, By: r.p.config.Name, Life: auditlog.Life(r.p.started),
+		log, err := requestlog.Open(requestlog.Options{Path: l.Path, MaxBytes: l.MaxBytes, Keep: *l.Keep, By: r.p.config.Name, Life: auditlog.GenerationName(r.p.started),
 			Classes: r.p.config.classes(), Slot: r.set.Slot, Report: r.report("request log")})
 		if err != nil {
 			return nil, fmt.Errorf("operator's file: request_log.path: %w", err)
--- a/internal/testkit/processcluster/audit.go
+++ b/internal/testkit/processcluster/audit.go
@@ -24,13 +24,13 @@
 // Audit reads what the members have written so far.
 func (r *Rig) Audit() *auditlog.Report {
 	time.Sleep(time.Duration(2 * linelog.FlushEvery * float64(time.Second)))
-	report, err := auditlog.Files(auditlog.DefaultRules, r.Files(), func(file string, line int, err error) {
+	report, err := auditlog.AuditFiles(auditlog.DefaultRules, r.Files(), func(file string, line int, err error) {
 		if line == 0 {
 			r.must(err)
 		}
 		r.Log(file + ": " + err.Error())
 	})
-	if errors.Is(err, auditlog.ErrNone) {
+	if errors.Is(err, auditlog.ErrNoEntries) {
 		return &auditlog.Report{}
 	}
 	r.must(err)
@@ -41,14 +41,14 @@
 func (r *Rig) audit() {
 	r.T.Helper()
 	report := r.Audit()
-	for _, b := range report.Broken {
+	for _, b := range report.Violations {
 		r.T.Errorf("audit: %+v", b)
 	}
 	for _, s := range report.Stragglers {
 		r.T.Logf("audit: late: %+v", s)
 	}
-	if report.Sends > 0 && report.Judged == 0 {
-		r.T.Errorf("audit: none of %d sends could be judged: %v", report.Sends, report.Untold)
+	if report.Attempts > 0 && report.Judged == 0 {
+		r.T.Errorf("audit: none of %d sends could be judged: %v", report.Attempts, report.Inconclusive)
 	}
-	r.T.Logf("audit: %d versions, %d of %d sends judged, %d late", len(report.Versions), report.Judged, report.Sends, len(report.Stragglers))
+	r.T.Logf("audit: %d versions, %d of %d sends judged, %d late", len(report.Versions), report.Judged, report.Attempts, len(report.Stragglers))
 }
--- a/internal/testkit/processcluster/rig.go
+++ b/internal/testkit/processcluster/rig.go
@@ -209,7 +209,7 @@
 	digest := ""
 	for _, m := range members {
 		s := m.Status()
-		if s == nil || !s.Settled || digest != "" && s.Digest != digest {
+		if s == nil || !s.Converged || digest != "" && s.Digest != digest {
 			return false
 		}
 		digest = s.Digest
