--- a/internal/system/control/state/codec_test.go
+++ b/internal/system/control/state/encoding_test.go
@@ -38,7 +38,7 @@
 			Writes:      drawWrites(t),
 		}
 		copy(commit.Digest[:], rapid.SliceOfN(rapid.Byte(), DigestSize, DigestSize).Draw(t, "digest"))
-		decoded, err := decode(commit.Encode())
+		decoded, err := decodeCommand(commit.Encode())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -49,11 +49,11 @@
 		}
 		evacuation := SetEvacuation{Zone: rapid.String().Draw(t, "zone"), Evacuated: rapid.Bool().Draw(t, "on"),
 			ExpectedRevision: rapid.Uint64().Draw(t, "seen")}
-		if decoded, err = decode(evacuation.Encode()); err != nil || !reflect.DeepEqual(decoded, &evacuation) {
+		if decoded, err = decodeCommand(evacuation.Encode()); err != nil || !reflect.DeepEqual(decoded, &evacuation) {
 			t.Fatalf("%+v came back as %+v, %v", evacuation, decoded, err)
 		}
 		runners := WriteRunners{ExpectedRevision: rapid.Uint64().Draw(t, "seen"), Writes: drawWrites(t)}
-		decoded, err = decode(runners.Encode())
+		decoded, err = decodeCommand(runners.Encode())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,7 +71,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		newTestConfiguration().Apply(1, data)
 		NewRunners(1, still, ignore).Apply(1, data)
-		decoded, err := decode(data)
+		decoded, err := decodeCommand(data)
 		if err != nil {
 			return
 		}
--- a/internal/system/control/state/runners.go
+++ b/internal/system/control/state/runners.go
@@ -4,24 +4,25 @@
 	"encoding/binary"
 	"time"
 
+	"cinderroad/internal/system/codec"
 	"cinderroad/internal/system/feed"
 )
 
-// Runners is the state machine of a partition of runners.
+// Runners is the state machine of a partition of runners. Its methods may be called concurrently.
 type Runners struct {
 	store
-	revision uint64 // index of the last change
+	revision uint64 // log index of the last accepted command
 }
 
-// NewRunners returns an empty state. Changed is called after each change, from Apply or Restore; now is the steady
-// clock.
+// NewRunners returns an empty state. changed is called after each change, with a lock held: it must neither block nor
+// call the state. now is a monotonic clock, from which the age of items in the feed is computed.
 func NewRunners(partition feed.Partition, now func() time.Duration, changed func()) *Runners {
 	return &Runners{store: newStore(partition, now, changed)}
 }
 
-// Apply takes an agreed command and returns an encoded Result.
-func (s *Runners) Apply(index uint64, command []byte) []byte {
-	decoded, err := decode(command)
+// Apply applies a committed command and returns an encoded Result; see replica.StateMachine.
+func (r *Runners) Apply(index uint64, command []byte) []byte {
+	decoded, err := decodeCommand(command)
 	if err != nil {
 		return Result{Outcome: OutcomeMalformed}.Encode()
 	}
@@ -29,50 +30,54 @@
 	if !ok {
 		return Result{Outcome: OutcomeMalformed}.Encode()
 	}
-	return s.write(index, writes).Encode()
+	return r.applyWrites(index, writes).Encode()
 }
 
-func (s *Runners) write(index uint64, command *WriteRunners) Result {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if command.ExpectedRevision != s.revision {
-		return Result{Outcome: OutcomeConflict, Revision: s.revision}
+// applyWrites accepts a command whose proposer has seen the last one.
+func (r *Runners) applyWrites(index uint64, command *WriteRunners) Result {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if command.ExpectedRevision != r.revision {
+		return Result{Outcome: OutcomeConflict, Revision: r.revision}
 	}
-	s.revision = index
-	s.apply(index, command.Writes)
+	r.revision = index
+	r.apply(index, command.Writes)
 	return Result{Outcome: OutcomeAccepted, Revision: index}
 }
 
-// Revision is the index of the last change, which a WriteRunners must have seen.
-func (s *Runners) Revision() uint64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.revision
+// Revision returns what a WriteRunners that is based on the present state must expect.
+func (r *Runners) Revision() uint64 {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.revision
 }
 
+// whatRunnersSnapshot names a snapshot in a FormatError.
+const whatRunnersSnapshot = "a snapshot of runners"
+
 // Snapshot encodes the whole state.
-func (s *Runners) Snapshot() []byte {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+func (r *Runners) Snapshot() []byte {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	b := []byte{snapshotFormat}
-	b = binary.AppendUvarint(b, s.revision)
-	return s.appendTo(b)
+	b = binary.AppendUvarint(b, r.revision)
+	return r.appendItems(b)
 }
 
-// Restore replaces the state by a snapshot's.
-func (s *Runners) Restore(_ uint64, snapshot []byte) error {
-	r := reader{bytes: snapshot}
-	if r.byte() != snapshotFormat {
-		return &FormatError{What: "a snapshot of runners", Offset: 0}
+// Restore replaces the state by that of a snapshot. A malformed one is a *FormatError and changes nothing.
+func (r *Runners) Restore(_ uint64, snapshot []byte) error {
+	reader := codec.NewCanonicalReader(snapshot)
+	if reader.Byte("format") != snapshotFormat {
+		return &FormatError{What: whatRunnersSnapshot, Offset: 0}
 	}
-	changed := r.number()
-	batch, ok := r.table()
-	if !ok {
-		return &FormatError{What: "a snapshot of runners", Offset: r.at}
+	revision := reader.Uvarint("revision")
+	batch := readItems(&reader)
+	if err := checkDecoded(&reader, whatRunnersSnapshot); err != nil {
+		return err
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.revision = changed
-	s.replace(batch)
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.revision = revision
+	r.replace(batch)
 	return nil
 }
--- a/internal/system/control/state/store.go
+++ b/internal/system/control/state/store.go
@@ -8,23 +8,29 @@
 	"sync"
 	"time"
 
+	"cinderroad/internal/system/codec"
 	"cinderroad/internal/system/feed"
 )
 
-// store is a partition's table behind a lock, as both state machines have it.
+// maxPreallocatedItems limits the memory that is allocated on the word of a count that was read.
+const maxPreallocatedItems = 4096
+
+// store is the table of a partition behind a lock. Both state machines embed it, and it is their source for the feed.
 type store struct {
-	now     func() time.Duration // steady
-	changed func()
+	now     func() time.Duration // monotonic
+	changed func()               // called after each change, with the lock held
 
-	mutex sync.Mutex
+	mutex sync.Mutex // guards the table and the fields of the state machine
 	table *feed.Table
 }
 
+// newStore returns the empty table of a partition.
 func newStore(partition feed.Partition, now func() time.Duration, changed func()) store {
 	return store{now: now, changed: changed, table: feed.NewTable(partition)}
 }
 
-// apply puts writes in force under an index. The values are copied: they are part of a longer command. The lock is held.
+// apply applies writes at a log index. The values are cloned since they share the memory of a longer command. The lock
+// is held.
 func (s *store) apply(index uint64, writes []Write) {
 	now := s.now()
 	for _, write := range writes {
@@ -38,75 +44,78 @@
 	s.changed()
 }
 
-// replace brings the table to a snapshot. The lock is held.
+// replace replaces the items by those of a snapshot. The lock is held.
 func (s *store) replace(batch feed.Batch) {
 	batch.Partition = s.table.Partition()
 	s.table.Apply(s.now(), batch)
 	s.changed()
 }
 
-func (s *store) holds(key string) bool {
+// has reports whether there is a key. The lock is held.
+func (s *store) has(key string) bool {
 	_, found := s.table.Get(key)
 	return found
 }
 
-// Index is that of the newest change.
+// Index returns the log index of the last change of a key.
 func (s *store) Index() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.table.LastChangeIndex()
 }
 
-// Len is how many items the partition has.
+// Len returns the number of keys.
 func (s *store) Len() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.table.Len()
 }
 
-// Since returns what changed after the index, or a snapshot, with the items' ages. A delta of more than maxBytes
-// (0: no bound) ends earlier, between two changes. The batch is empty if nothing changed, or if the caller is ahead.
+// Since returns the changes after a log index, or a snapshot, with the ages of the items. A delta of more than maxBytes
+// (0: unlimited) ends earlier, between two changes. The batch is empty if nothing changed or the caller is ahead.
 func (s *store) Since(index uint64, maxBytes int) feed.Batch {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.table.BatchSince(s.now(), index, maxBytes)
 }
 
-// appendTo appends the table. The lock is held.
-func (s *store) appendTo(b []byte) []byte {
+// appendItems appends the items with their log indexes. The lock is held.
+func (s *store) appendItems(b []byte) []byte {
 	batch := s.table.Snapshot(0)
 	b = binary.AppendUvarint(b, batch.To)
 	b = binary.AppendUvarint(b, uint64(len(batch.Items)))
 	for i := range batch.Items {
 		item := &batch.Items[i]
-		b = appendText(b, item.Key)
+		b = codec.AppendBytes(b, item.Key)
 		b = binary.AppendUvarint(b, item.Index)
-		b = binary.AppendUvarint(b, uint64(len(item.Value)))
-		b = append(b, item.Value...)
+		b = codec.AppendBytes(b, item.Value)
 	}
 	return b
 }
 
-// table reads what appendTo wrote, to the end of the snapshot. Its values are copies.
-func (r *reader) table() (batch feed.Batch, ok bool) {
-	batch = feed.Batch{Snapshot: true, To: r.number()}
-	count := r.length()
-	batch.Items = make([]feed.Item, 0, min(count, 4096))
+// readItems reads what appendItems wrote. The values are copies. An item from after the snapshot is malformed.
+func readItems(reader *codec.Reader) feed.Batch {
+	batch := feed.Batch{Snapshot: true, To: reader.Uvarint("index")}
+	count := reader.Count("items")
+	batch.Items = make([]feed.Item, 0, min(count, maxPreallocatedItems))
 	for range count {
-		item := feed.Item{Key: r.text(), Index: r.number()}
-		item.Value = append([]byte{}, r.data()...)
-		if r.bad || item.Index > batch.To {
-			return feed.Batch{}, false
+		item := feed.Item{Key: reader.String("key"), Index: reader.Uvarint("item's index")}
+		item.Value = append([]byte{}, reader.Bytes("value")...)
+		if item.Index > batch.To {
+			reader.Fail("item's index")
+		}
+		if _, failed := reader.Malformed(); failed {
+			return feed.Batch{}
 		}
 		batch.Items = append(batch.Items, item)
 	}
-	return batch, r.done()
+	return batch
 }
 
-// Values are items at a moment, in the order of their keys. They are shared and not to be changed.
+// Values are the items of a partition at a moment, sorted by key. They are shared and must not be changed.
 type Values []feed.Item
 
-// WithPrefix returns the keys that begin with the prefix, and their values.
+// WithPrefix returns the keys that begin with a prefix, and their values.
 func (v Values) WithPrefix(prefix string) iter.Seq2[string, []byte] {
 	return func(yield func(string, []byte) bool) {
 		for i := range v {
@@ -117,7 +126,7 @@
 	}
 }
 
-// values returns the table's items whose keys begin with the prefix. The lock is held.
+// values returns the items whose keys begin with a prefix. The lock is held.
 func (s *store) values(prefix string) Values {
 	values := make(Values, 0, s.table.Len())
 	for item := range s.table.Items(s.now(), prefix) {
