--- a/internal/system/control/state/encoding_test.go
+++ b/internal/system/control/state/encoding_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 )
 
+// drawWrites draws up to eight writes.
 func drawWrites(t *rapid.T) []Write {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Write {
 		write := Write{Key: rapid.String().Draw(t, "key"), Deleted: rapid.Bool().Draw(t, "deleted")}
@@ -18,6 +19,7 @@
 	}), 0, 8).Draw(t, "writes")
 }
 
+// sameWrites reports whether two lists of writes are equal.
 func sameWrites(a, b []Write) bool {
 	if len(a) != len(b) {
 		return false
@@ -30,7 +32,8 @@
 	return true
 }
 
-func TestCommandsComeBack(t *testing.T) {
+// TestCommandRoundTrip checks that drawn commands decode to what was encoded.
+func TestCommandRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		commit := CommitConfiguration{
 			BaseVersion: rapid.Uint64().Draw(t, "based"),
@@ -63,14 +66,14 @@
 	})
 }
 
-// FuzzCommand holds that whatever can be read is written as the same bytes, and that no bytes end a replica.
-func FuzzCommand(f *testing.F) {
-	f.Add(commitOf(1, 2, 3, put("route/a", "{}"), Write{Key: "route/b", Deleted: true}))
+// FuzzDecodeCommand checks that whatever decodes is encoded to the same bytes, and that no input makes Apply panic.
+func FuzzDecodeCommand(f *testing.F) {
+	f.Add(encodeCommit(1, 2, 3, put("route/a", "{}"), Write{Key: "route/b", Deleted: true}))
 	f.Add((&SetEvacuation{Zone: "a", Evacuated: true, ExpectedRevision: 300}).Encode())
 	f.Add((&WriteRunners{ExpectedRevision: 7, Writes: []Write{put("runner/i-1", "x")}}).Encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		newTestConfiguration().Apply(1, data)
-		NewRunners(1, still, ignore).Apply(1, data)
+		NewRunners(1, zeroClock, noop).Apply(1, data)
 		decoded, err := decodeCommand(data)
 		if err != nil {
 			return
@@ -82,15 +85,15 @@
 	})
 }
 
-// FuzzSnapshot holds that a snapshot is taken whole or not at all.
-func FuzzSnapshot(f *testing.F) {
-	c := newTestConfiguration()
-	c.Apply(1, commitOf(0, 2, 3, put("route/a", "{}"), put("service/b", "{}")))
-	c.Apply(2, (&SetEvacuation{Zone: "a", Evacuated: true}).Encode())
-	f.Add(c.Snapshot())
-	s := NewRunners(1, still, ignore)
-	s.Apply(1, (&WriteRunners{Writes: []Write{put("runner/i-1", "x")}}).Encode())
-	f.Add(s.Snapshot())
+// FuzzRestore checks that a snapshot is restored as a whole or changes nothing.
+func FuzzRestore(f *testing.F) {
+	configuration := newTestConfiguration()
+	configuration.Apply(1, encodeCommit(0, 2, 3, put("route/a", "{}"), put("service/b", "{}")))
+	configuration.Apply(2, (&SetEvacuation{Zone: "a", Evacuated: true}).Encode())
+	f.Add(configuration.Snapshot())
+	seed := NewRunners(1, zeroClock, noop)
+	seed.Apply(1, (&WriteRunners{Writes: []Write{put("runner/i-1", "x")}}).Encode())
+	f.Add(seed.Snapshot())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		configuration := newTestConfiguration()
 		empty := configuration.Snapshot()
@@ -104,18 +107,19 @@
 				t.Errorf("its own snapshot can't be read: %v", err)
 			}
 		}
-		runners := NewRunners(1, still, ignore)
+		runners := NewRunners(1, zeroClock, noop)
 		if runners.Restore(1, data) == nil {
-			if err := NewRunners(1, still, ignore).Restore(1, runners.Snapshot()); err != nil {
+			if err := NewRunners(1, zeroClock, noop).Restore(1, runners.Snapshot()); err != nil {
 				t.Errorf("its own snapshot can't be read: %v", err)
 			}
 		}
 	})
 }
 
-func TestResultsComeBack(t *testing.T) {
+// TestResultRoundTrip checks that results decode to what was encoded, and that malformed ones are rejected.
+func TestResultRoundTrip(t *testing.T) {
 	for _, result := range []Result{{OutcomeAccepted, 1}, {OutcomeConflict, 1 << 63}, {OutcomeAlreadyAccepted, 0}, {OutcomeForgotten, 5}} {
-		if got := resultOf(t, result.Encode()); got != result {
+		if got := decodeResult(t, result.Encode()); got != result {
 			t.Errorf("%+v came back as %+v", result, got)
 		}
 	}
