--- a/internal/system/storage/errors.go
+++ b/internal/system/storage/errors.go
@@ -69,8 +69,8 @@
 // Error says what happened.
 func (e *ClosedError) Error() string { return "storage: the store is closed" }
 
-// typed turns an error of SQLite into one of this package's.
-func (s *Store) typed(operation string, err error) error {
+// wrapError turns an error of SQLite into one of this package's.
+func (s *Store) wrapError(operation string, err error) error {
 	var failure sqlite3.Error
 	if err == nil || !errors.As(err, &failure) {
 		return err
--- a/internal/system/storage/folder.go
+++ b/internal/system/storage/folder.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	fileName    = "consensus.db"
-	logSuffix   = "-wal"
-	asideSuffix = ".corrupt" // of a file that was moved aside; an earlier one is replaced
+	databaseName     = "consensus.db"
+	walSuffix        = "-wal"
+	quarantineSuffix = ".corrupt" // of a file that was moved aside; an earlier one is replaced
 )
 
 // sideFiles are the suffixes of the files that SQLite keeps beside its own.
-var sideFiles = []string{logSuffix, "-journal", "-shm"}
+var sideFiles = []string{walSuffix, "-journal", "-shm"}
 
 // syncPath has a file's content, or a folder's names, outlast a loss of power.
 func syncPath(name string) error {
@@ -24,9 +24,9 @@
 	return errors.Join(opened.Sync(), opened.Close())
 }
 
-// exists tells whether there is a file or folder. What can't be told is an error: the file of a disk in trouble is not
+// pathExists tells whether there is a file or folder. What can't be told is an error: the file of a disk in trouble is not
 // gone.
-func exists(name string) (bool, error) {
+func pathExists(name string) (bool, error) {
 	_, err := os.Lstat(name)
 	if err == nil || errors.Is(err, os.ErrNotExist) {
 		return err == nil, nil
@@ -34,9 +34,9 @@
 	return false, &DiskError{Operation: "look for " + name, Cause: err}
 }
 
-// makeFolder makes the state folder if need be.
-func makeFolder(folder string) error {
-	found, err := exists(folder)
+// makeStateFolder makes the state folder if need be.
+func makeStateFolder(folder string) error {
+	found, err := pathExists(folder)
 	if found || err != nil {
 		return err
 	}
@@ -53,18 +53,18 @@
 // was killed in the middle of a write leaves frames that are complete and yet not on the disk, and what is read once
 // must not be lost by a loss of power. What stands beside a file that is not there belongs to a life that is over.
 func (s *Store) prepare() error {
-	found, err := exists(s.path)
+	found, err := pathExists(s.path)
 	if err != nil {
 		return err
 	}
 	if !found {
 		return s.removeSideFiles()
 	}
-	found, err = exists(s.path + logSuffix)
+	found, err = pathExists(s.path + walSuffix)
 	if !found || err != nil {
 		return err
 	}
-	if err := s.sync(s.path + logSuffix); err != nil {
+	if err := s.syncPath(s.path + walSuffix); err != nil {
 		return &DiskError{Operation: "sync the log of " + s.path, Cause: err}
 	}
 	return nil
@@ -83,14 +83,14 @@
 	if !removed {
 		return nil
 	}
-	s.succeeds = true
+	s.hasPredecessor = true
 	return s.syncFolder()
 }
 
-// moveAside renames the file and then those beside it. The file's new name is on the disk before they go: with the
+// quarantine renames the file and then those beside it. The file's new name is on the disk before they go: with the
 // file alone, without the log's last writes, an old state would come back under the replica's identity.
-func (s *Store) moveAside() error {
-	err := os.Rename(s.path, s.path+asideSuffix)
+func (s *Store) quarantine() error {
+	err := os.Rename(s.path, s.path+quarantineSuffix)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return &DiskError{Operation: "move " + s.path + " aside", Cause: err}
 	}
@@ -98,7 +98,7 @@
 		return err
 	}
 	for _, suffix := range sideFiles {
-		err := os.Rename(s.path+suffix, s.path+asideSuffix+suffix)
+		err := os.Rename(s.path+suffix, s.path+quarantineSuffix+suffix)
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
 			return &DiskError{Operation: "move " + s.path + suffix + " aside", Cause: err}
 		}
@@ -107,7 +107,7 @@
 }
 
 func (s *Store) syncFolder() error {
-	if err := s.sync(filepath.Dir(s.path)); err != nil {
+	if err := s.syncPath(filepath.Dir(s.path)); err != nil {
 		return &DiskError{Operation: "sync the state folder", Cause: err}
 	}
 	return nil
--- a/internal/system/storage/schema.go
+++ b/internal/system/storage/schema.go
@@ -3,7 +3,7 @@
 // schemaVersion is raised with every change of the tables that earlier programs cannot read.
 const schemaVersion = 1
 
-// schema makes the tables. An entry's key is its partition, times keySpan, plus its index, so that the table is in the
+// schema makes the tables. An entry's key is its partition, times keysPerPartition, plus its index, so that the table is in the
 // order of the logs and a log is one range of keys. An entry also holds the commit index that was known when it was
 // written: a commit index of its own would cost a page more with each write.
 const schema = `
@@ -33,7 +33,7 @@
 	data       BLOB
 );`
 
-// pragmas set a connection up, beside the locking mode (see openFile). With a write-ahead log and full synchronisation a
+// pragmas set a connection up, beside the locking mode (see openDatabase). With a write-ahead log and full synchronisation a
 // commit costs one sync.
 var pragmas = []string{
 	"PRAGMA page_size=4096",
@@ -47,14 +47,14 @@
 }
 
 const (
-	selectMeta      = "SELECT schema, replica FROM meta WHERE id=1"
-	insertMeta      = "INSERT INTO meta (id, schema, replica) VALUES (1, ?, ?)"
-	selectHard      = "SELECT term, vote, committed FROM hard_state WHERE partition=?"
-	replaceHard     = "INSERT OR REPLACE INTO hard_state (partition, term, vote, committed) VALUES (?, ?, ?, ?)"
-	selectEntries   = "SELECT key, term, kind, committed, data FROM entries WHERE key>=? AND key<? ORDER BY key"
-	insertEntry     = "INSERT INTO entries (key, term, kind, committed, data) VALUES (?, ?, ?, ?, ?)"
-	deleteEntries   = "DELETE FROM entries WHERE key>=? AND key<?"
-	selectSnapshot  = "SELECT position, term, membership, data FROM snapshots WHERE partition=?"
-	replaceSnapshot = "INSERT OR REPLACE INTO snapshots (partition, position, term, membership, data) " +
+	selectMeta       = "SELECT schema, replica FROM meta WHERE id=1"
+	insertMeta       = "INSERT INTO meta (id, schema, replica) VALUES (1, ?, ?)"
+	selectHardState  = "SELECT term, vote, committed FROM hard_state WHERE partition=?"
+	replaceHardState = "INSERT OR REPLACE INTO hard_state (partition, term, vote, committed) VALUES (?, ?, ?, ?)"
+	selectEntries    = "SELECT key, term, kind, committed, data FROM entries WHERE key>=? AND key<? ORDER BY key"
+	insertEntry      = "INSERT INTO entries (key, term, kind, committed, data) VALUES (?, ?, ?, ?, ?)"
+	deleteEntries    = "DELETE FROM entries WHERE key>=? AND key<?"
+	selectSnapshot   = "SELECT position, term, membership, data FROM snapshots WHERE partition=?"
+	replaceSnapshot  = "INSERT OR REPLACE INTO snapshots (partition, position, term, membership, data) " +
 		"VALUES (?, ?, ?, ?, ?)"
 )
--- a/internal/system/storage/storage.go
+++ b/internal/system/storage/storage.go
@@ -12,8 +12,8 @@
 	"cinderroad/internal/system/feed"
 )
 
-// queueLength is how many writes may wait for the writer without holding their callers' sends up.
-const queueLength = 64
+// maxQueuedRequests is how many writes may wait for the writer without holding their callers' sends up.
+const maxQueuedRequests = 64
 
 // Update is what one partition's replica wants kept. It is carried out in the order of the fields.
 type Update struct {
@@ -27,118 +27,118 @@
 
 // Store is an open state folder.
 type Store struct {
-	path     string
-	file     *file
-	replica  consensus.ReplicaID
-	existed  bool
-	succeeds bool                    // another replica's file was in the folder before
-	sync     func(name string) error // syncPath
-	requests chan *request
-	closing  chan struct{}
-	once     sync.Once
-	done     chan struct{}
+	path           string
+	database       *database
+	replica        consensus.ReplicaID
+	initialized    bool
+	hasPredecessor bool                    // another replica's file was in the folder before
+	syncPath       func(name string) error // syncPath
+	requests       chan *request
+	closing        chan struct{}
+	closeOnce      sync.Once
+	writerDone     chan struct{}
 }
 
 // request is a step in a transaction; its answer comes once the transaction is on the disk, or failed.
 type request struct {
-	name string
-	step func(*file) error
-	done chan error
+	operation string
+	step      func(*database) error
+	result    chan error
 }
 
 // Open opens the state folder, which it makes if need be. A corrupt file is moved aside and reported as a *CorruptError
 // together with a usable, empty store.
-func Open(folder string) (*Store, error) { return openWith(folder, syncPath) }
+func Open(folder string) (*Store, error) { return openWithSync(folder, syncPath) }
 
-// openWith is Open with a way of its own to sync a file or folder.
-func openWith(folder string, syncName func(string) error) (*Store, error) {
-	if err := makeFolder(folder); err != nil {
+// openWithSync is Open with a way of its own to sync a file or folder.
+func openWithSync(folder string, syncFunc func(string) error) (*Store, error) {
+	if err := makeStateFolder(folder); err != nil {
 		return nil, err
 	}
-	s := &Store{path: filepath.Join(folder, fileName), sync: syncName, requests: make(chan *request, queueLength),
-		closing: make(chan struct{}), done: make(chan struct{})}
-	err := s.open()
+	store := &Store{path: filepath.Join(folder, databaseName), syncPath: syncFunc, requests: make(chan *request, maxQueuedRequests),
+		closing: make(chan struct{}), writerDone: make(chan struct{})}
+	err := store.open()
 	var corrupt *CorruptError
 	if errors.As(err, &corrupt) {
-		if err := s.reopenEmpty(corrupt); err != nil {
+		if err := store.replaceCorrupt(corrupt); err != nil {
 			return nil, err
 		}
 	} else if err != nil {
 		return nil, err
 	}
-	go s.run()
+	go store.runWriter()
 	if corrupt != nil {
-		return s, corrupt
+		return store, corrupt
 	}
-	return s, nil
+	return store, nil
 }
 
 // open opens the file and reads whose it is.
 func (s *Store) open() error {
-	aside, err := exists(s.path + asideSuffix)
+	aside, err := pathExists(s.path + quarantineSuffix)
 	if err != nil {
 		return err
 	}
-	s.succeeds = s.succeeds || aside
+	s.hasPredecessor = s.hasPredecessor || aside
 	if err := s.prepare(); err != nil {
 		return err
 	}
-	f, err := openFile(s.path)
+	db, err := openDatabase(s.path)
 	if err != nil {
-		return s.typed("open "+s.path, err)
+		return s.wrapError("open "+s.path, err)
 	}
-	s.replica, s.existed, err = f.identity()
+	s.replica, s.initialized, err = db.readIdentity()
 	if err != nil {
-		f.close()
-		return s.typed("read "+s.path, err)
+		db.close()
+		return s.wrapError("read "+s.path, err)
 	}
-	s.file = f
+	s.database = db
 	return nil
 }
 
-// reopenEmpty moves the corrupt file aside and starts a new one.
-func (s *Store) reopenEmpty(corrupt *CorruptError) error {
-	if err := s.moveAside(); err != nil {
+// replaceCorrupt moves the corrupt file aside and starts a new one.
+func (s *Store) replaceCorrupt(corrupt *CorruptError) error {
+	if err := s.quarantine(); err != nil {
 		return err
 	}
-	corrupt.MovedTo = s.path + asideSuffix
-	s.succeeds = true
+	corrupt.MovedTo = s.path + quarantineSuffix
+	s.hasPredecessor = true
 	return s.open()
 }
 
 // Identity is the replica that the folder belongs to; false: to none yet (see Establish).
-func (s *Store) Identity() (consensus.ReplicaID, bool) { return s.replica, s.existed }
+func (s *Store) Identity() (consensus.ReplicaID, bool) { return s.replica, s.initialized }
 
 // HasPredecessor tells whether the folder has held another replica's file, which was lost or moved aside.
-func (s *Store) HasPredecessor() bool { return s.succeeds }
+func (s *Store) HasPredecessor() bool { return s.hasPredecessor }
 
 // Initialize makes the empty folder that of the replica, with first writes, all in one transaction. It is not to be
 // called concurrently with Identity.
-func (s *Store) Initialize(replica consensus.ReplicaID, writes ...Update) error {
-	err := s.do("establish a replica", func(f *file) error {
-		if err := f.insertIdentity(replica); err != nil {
+func (s *Store) Initialize(replica consensus.ReplicaID, updates ...Update) error {
+	err := s.submit("establish a replica", func(db *database) error {
+		if err := db.insertIdentity(replica); err != nil {
 			return err
 		}
-		return f.writeAll(writes)
+		return db.applyAll(updates)
 	})
 	if err == nil {
-		s.replica, s.existed = replica, true
+		s.replica, s.initialized = replica, true
 	}
 	return err
 }
 
 // Load returns what a partition's replica left; false: nothing.
-func (s *Store) Load(partition feed.Partition) (stored consensus.PersistentState, found bool, err error) {
-	err = s.do("load a partition", func(f *file) (err error) {
-		stored, found, err = f.load(partition)
+func (s *Store) Load(partition feed.Partition) (state consensus.PersistentState, found bool, err error) {
+	err = s.submit("load a partition", func(db *database) (err error) {
+		state, found, err = db.load(partition)
 		return err
 	})
-	return stored, found, err
+	return state, found, err
 }
 
 // Write has all of the writes on the disk, or none, when it returns. Writes of concurrent calls share a sync.
-func (s *Store) Write(writes ...Update) error {
-	return s.do("write", func(f *file) error { return f.writeAll(writes) })
+func (s *Store) Write(updates ...Update) error {
+	return s.submit("write", func(db *database) error { return db.applyAll(updates) })
 }
 
 // Compact replaces a partition's snapshot and cuts its log up to the snapshot's index; entries beyond stay.
@@ -148,32 +148,32 @@
 
 // Close writes what is queued and closes the file.
 func (s *Store) Close() error {
-	s.once.Do(func() { close(s.closing) })
-	<-s.done
+	s.closeOnce.Do(func() { close(s.closing) })
+	<-s.writerDone
 	return nil
 }
 
 // Discard closes the store and moves its file aside, because what it holds makes no sense.
 func (s *Store) Discard() error {
 	s.Close()
-	return s.moveAside()
+	return s.quarantine()
 }
 
-// do has the writer take a step and returns once its transaction has ended.
-func (s *Store) do(name string, step func(*file) error) error {
-	r := &request{name: name, step: step, done: make(chan error, 1)}
+// submit has the writer take a step and returns once its transaction has ended.
+func (s *Store) submit(operation string, step func(*database) error) error {
+	queued := &request{operation: operation, step: step, result: make(chan error, 1)}
 	select {
-	case s.requests <- r:
+	case s.requests <- queued:
 	case <-s.closing:
 		return &ClosedError{}
 	}
 	select {
-	case err := <-r.done:
+	case err := <-queued.result:
 		return err
-	case <-s.done:
+	case <-s.writerDone:
 	}
 	select {
-	case err := <-r.done:
+	case err := <-queued.result:
 		return err
 	default:
 		return &ClosedError{}
--- a/internal/system/storage/writer.go
+++ b/internal/system/storage/writer.go
@@ -2,52 +2,52 @@
 
 import "errors"
 
-// reopenAfter is how many transactions in a row may fail before the file is opened anew.
-const reopenAfter = 3
+// failuresBeforeReopen is how many transactions in a row may fail before the file is opened anew.
+const failuresBeforeReopen = 3
 
-// run is the writer: it owns the file.
-func (s *Store) run() {
-	defer close(s.done)
+// runWriter is the writer: it owns the file.
+func (s *Store) runWriter() {
+	defer close(s.writerDone)
 	defer func() {
-		if s.file != nil {
-			s.file.close()
+		if s.database != nil {
+			s.database.close()
 		}
 	}()
 	failures := 0
 	for {
 		select {
-		case r := <-s.requests:
-			failures = s.serve(s.gather(r), failures)
+		case queued := <-s.requests:
+			failures = s.processBatch(s.collectBatch(queued), failures)
 		case <-s.closing:
-			for batch := s.gather(nil); len(batch) > 0; batch = s.gather(nil) {
-				failures = s.serve(batch, failures)
+			for batch := s.collectBatch(nil); len(batch) > 0; batch = s.collectBatch(nil) {
+				failures = s.processBatch(batch, failures)
 			}
 			return
 		}
 	}
 }
 
-// gather adds the requests that wait to the first one, if there is one.
-func (s *Store) gather(first *request) []*request {
+// collectBatch adds the requests that wait to the first one, if there is one.
+func (s *Store) collectBatch(first *request) []*request {
 	var batch []*request
 	if first != nil {
 		batch = append(batch, first)
 	}
 	for {
 		select {
-		case r := <-s.requests:
-			batch = append(batch, r)
+		case queued := <-s.requests:
+			batch = append(batch, queued)
 		default:
 			return batch
 		}
 	}
 }
 
-// serve carries a batch out, answers it and returns how many batches have now failed in a row.
-func (s *Store) serve(batch []*request, failures int) int {
-	err := s.typed(batch[0].name, s.commit(batch, failures))
-	for _, r := range batch {
-		r.done <- err
+// processBatch carries a batch out, answers it and returns how many batches have now failed in a row.
+func (s *Store) processBatch(batch []*request, failures int) int {
+	err := s.wrapError(batch[0].operation, s.commitBatch(batch, failures))
+	for _, queued := range batch {
+		queued.result <- err
 	}
 	if err == nil {
 		return 0
@@ -55,23 +55,23 @@
 	return failures + 1
 }
 
-// commit runs a batch as one transaction.
-func (s *Store) commit(batch []*request, failures int) error {
-	if failures >= reopenAfter || s.file == nil {
+// commitBatch runs a batch as one transaction.
+func (s *Store) commitBatch(batch []*request, failures int) error {
+	if failures >= failuresBeforeReopen || s.database == nil {
 		if err := s.reopen(); err != nil {
 			return err
 		}
 	}
-	if err := s.file.run(begin); err != nil {
+	if err := s.database.exec(beginTransaction); err != nil {
 		return err
 	}
-	for _, r := range batch {
-		if err := r.step(s.file); err != nil {
-			return errors.Join(err, s.file.rollback())
+	for _, queued := range batch {
+		if err := queued.step(s.database); err != nil {
+			return errors.Join(err, s.database.rollback())
 		}
 	}
-	if err := s.file.run(commit); err != nil {
-		return errors.Join(err, s.file.rollback())
+	if err := s.database.exec(commitTransaction); err != nil {
+		return errors.Join(err, s.database.rollback())
 	}
 	return nil
 }
@@ -79,26 +79,26 @@
 // reopen closes the file and opens it again. The store's identity must be the same: another one's file, or an empty one
 // in its place, means that the disk was changed under the process.
 func (s *Store) reopen() error {
-	if s.file != nil {
-		s.file.close()
-		s.file = nil
+	if s.database != nil {
+		s.database.close()
+		s.database = nil
 	}
 	if err := s.prepare(); err != nil {
 		return err
 	}
-	f, err := openFile(s.path)
+	db, err := openDatabase(s.path)
 	if err != nil {
 		return err
 	}
-	replica, existed, err := f.identity()
+	replica, existed, err := db.readIdentity()
 	if err != nil {
-		f.close()
+		db.close()
 		return err
 	}
-	if existed != s.existed || replica != s.replica {
-		f.close()
+	if existed != s.initialized || replica != s.replica {
+		db.close()
 		return &CorruptError{Path: s.path, Cause: errors.New("it is another replica's than when it was opened")}
 	}
-	s.file = f
+	s.database = db
 	return nil
 }
