--- /dev/null
+++ b/internal/system/storage/load.go
@@ -0,0 +1,82 @@
+package storage
+
+import (
+	"database/sql/driver"
+	"fmt"
+
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
+)
+
+func (db *database) readIdentity() (replica consensus.ReplicaID, existed bool, err error) {
+	err = db.query(selectMeta, func(row []driver.Value) error {
+		if row[0].(int64) != schemaVersion {
+			return &SchemaError{row[0].(int64), schemaVersion}
+		}
+		replica, existed = consensus.ReplicaID(row[1].(int64)), true
+		return nil
+	})
+	return replica, existed, err
+}
+
+// load reads what stands of a partition.
+func (db *database) load(partition feed.Partition) (state consensus.PersistentState, found bool, err error) {
+	if err = db.loadHardState(partition, &state, &found); err != nil {
+		return state, found, err
+	}
+	if err = db.loadSnapshot(partition, &state, &found); err != nil {
+		return state, found, err
+	}
+	err = db.loadEntries(partition, &state, &found)
+	return state, found, err
+}
+
+func (db *database) loadHardState(partition feed.Partition, state *consensus.PersistentState, found *bool) error {
+	return db.query(selectHardState, func(row []driver.Value) error {
+		*found = true
+		state.HardState = consensus.HardState{Term: uint64(row[0].(int64)), Vote: consensus.ReplicaID(row[1].(int64)),
+			Commit: uint64(row[2].(int64))}
+		return nil
+	}, int64(partition))
+}
+
+func (db *database) loadSnapshot(partition feed.Partition, state *consensus.PersistentState, found *bool) error {
+	return db.query(selectSnapshot, func(row []driver.Value) error {
+		*found = true
+		membership, err := consensus.DecodeMembership(copyBlob(row[2]))
+		if err != nil {
+			return &CorruptError{Cause: fmt.Errorf("membership of partition %d: %w", partition, err)}
+		}
+		state.Snapshot = consensus.Snapshot{Index: uint64(row[0].(int64)), Term: uint64(row[1].(int64)),
+			Membership: membership, Data: copyBlob(row[3])}
+		return nil
+	}, int64(partition))
+}
+
+func (db *database) loadEntries(partition feed.Partition, state *consensus.PersistentState, found *bool) error {
+	next := state.Snapshot.Index + 1
+	err := db.query(selectEntries, func(row []driver.Value) error {
+		*found = true
+		index := uint64(row[0].(int64)) % keysPerPartition
+		if index != next {
+			cause := fmt.Errorf("log of partition %d: entry %d stands where %d belongs", partition, index, next)
+			return &CorruptError{Cause: cause}
+		}
+		next++
+		state.Entries = append(state.Entries, consensus.Entry{Index: index, Term: uint64(row[1].(int64)),
+			Kind: consensus.EntryKind(row[2].(int64)), Data: copyBlob(row[4])})
+		state.HardState.Commit = max(state.HardState.Commit, uint64(row[3].(int64)))
+		return nil
+	}, entryKey(partition, 0), entryKey(partition+1, 0))
+	state.HardState.Commit = min(max(state.HardState.Commit, state.Snapshot.Index), next-1)
+	return err
+}
+
+// copyBlob is a copy of a value of bytes; the driver's may be its own memory.
+func copyBlob(value driver.Value) []byte {
+	data, _ := value.([]byte)
+	if len(data) == 0 {
+		return nil
+	}
+	return append([]byte(nil), data...)
+}
--- a/internal/system/storage/storage.go
+++ b/internal/system/storage/store.go
@@ -12,19 +12,6 @@
 	"cinderroad/internal/system/feed"
 )
 
-// maxQueuedRequests is how many writes may wait for the writer without holding their callers' sends up.
-const maxQueuedRequests = 64
-
-// Update is what one partition's replica wants kept. It is carried out in the order of the fields.
-type Update struct {
-	Partition          feed.Partition
-	InstalledSnapshot  *consensus.Snapshot  // replaces the snapshot and the whole log
-	HardState          *consensus.HardState // nil: as it was
-	Entries            []consensus.Entry    // contiguous; they replace whatever stands at their indexes and beyond
-	CommitIndex        uint64               // commit index to keep with the entries; Hard's is kept with Hard
-	CompactionSnapshot *consensus.Snapshot  // replaces the snapshot and cuts the log up to its index
-}
-
 // Store is an open state folder.
 type Store struct {
 	path           string
@@ -39,13 +26,6 @@
 	writerDone     chan struct{}
 }
 
-// request is a step in a transaction; its answer comes once the transaction is on the disk, or failed.
-type request struct {
-	operation string
-	step      func(*database) error
-	result    chan error
-}
-
 // Open opens the state folder, which it makes if need be. A corrupt file is moved aside and reported as a *CorruptError
 // together with a usable, empty store.
 func Open(folder string) (*Store, error) { return openWithSync(folder, syncPath) }
@@ -158,24 +138,3 @@
 	s.Close()
 	return s.quarantine()
 }
-
-// submit has the writer take a step and returns once its transaction has ended.
-func (s *Store) submit(operation string, step func(*database) error) error {
-	queued := &request{operation: operation, step: step, result: make(chan error, 1)}
-	select {
-	case s.requests <- queued:
-	case <-s.closing:
-		return &ClosedError{}
-	}
-	select {
-	case err := <-queued.result:
-		return err
-	case <-s.writerDone:
-	}
-	select {
-	case err := <-queued.result:
-		return err
-	default:
-		return &ClosedError{}
-	}
-}
--- /dev/null
+++ b/internal/system/storage/update.go
@@ -0,0 +1,100 @@
+package storage
+
+import (
+	"cinderroad/internal/system/consensus"
+	"cinderroad/internal/system/feed"
+)
+
+// Update is what one partition's replica wants kept. It is carried out in the order of the fields.
+type Update struct {
+	Partition          feed.Partition
+	InstalledSnapshot  *consensus.Snapshot  // replaces the snapshot and the whole log
+	HardState          *consensus.HardState // nil: as it was
+	Entries            []consensus.Entry    // contiguous; they replace whatever stands at their indexes and beyond
+	CommitIndex        uint64               // commit index to keep with the entries; Hard's is kept with Hard
+	CompactionSnapshot *consensus.Snapshot  // replaces the snapshot and cuts the log up to its index
+}
+
+func (db *database) insertIdentity(replica consensus.ReplicaID) error {
+	return db.exec(insertMeta, int64(schemaVersion), int64(replica))
+}
+
+func (db *database) applyAll(updates []Update) error {
+	for i := range updates {
+		if err := db.apply(&updates[i]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (db *database) apply(update *Update) error {
+	if update.InstalledSnapshot != nil {
+		if err := db.installSnapshot(update.Partition, update.InstalledSnapshot); err != nil {
+			return err
+		}
+	}
+	if update.HardState != nil {
+		if err := db.putHardState(update.Partition, update.HardState); err != nil {
+			return err
+		}
+	}
+	if err := db.appendEntries(update.Partition, update.Entries, update.CommitIndex); err != nil {
+		return err
+	}
+	if update.CompactionSnapshot == nil {
+		return nil
+	}
+	return db.compact(update.Partition, update.CompactionSnapshot)
+}
+
+// installSnapshot replaces snapshot and log.
+func (db *database) installSnapshot(partition feed.Partition, snapshot *consensus.Snapshot) error {
+	if err := db.exec(deleteEntries, entryKey(partition, 0), entryKey(partition+1, 0)); err != nil {
+		return err
+	}
+	return db.putSnapshot(partition, snapshot)
+}
+
+// compact replaces the snapshot and cuts the log up to it.
+func (db *database) compact(partition feed.Partition, snapshot *consensus.Snapshot) error {
+	if err := db.exec(deleteEntries, entryKey(partition, 0), entryKey(partition, snapshot.Index+1)); err != nil {
+		return err
+	}
+	return db.putSnapshot(partition, snapshot)
+}
+
+func (db *database) putSnapshot(partition feed.Partition, snapshot *consensus.Snapshot) error {
+	return db.exec(replaceSnapshot, int64(partition), int64(snapshot.Index), int64(snapshot.Term),
+		consensus.EncodeMembership(snapshot.Membership), snapshot.Data)
+}
+
+func (db *database) putHardState(partition feed.Partition, hardState *consensus.HardState) error {
+	return db.exec(replaceHardState, int64(partition), int64(hardState.Term), int64(hardState.Vote), int64(hardState.Commit))
+}
+
+// appendEntries writes entries in place of all from their first index on.
+func (db *database) appendEntries(partition feed.Partition, entries []consensus.Entry, committed uint64) error {
+	if len(entries) == 0 {
+		return nil
+	}
+	if err := db.exec(deleteEntries, entryKey(partition, entries[0].Index), entryKey(partition+1, 0)); err != nil {
+		return err
+	}
+	for i := range entries {
+		entry := &entries[i]
+		err := db.exec(insertEntry, entryKey(partition, entry.Index), int64(entry.Term), int64(entry.Kind), int64(committed), entry.Data)
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// keysPerPartition is how many keys of the table of entries a partition has.
+const keysPerPartition = 1 << 44
+
+// entryKey is an entry's place in its table.
+func entryKey(partition feed.Partition, index uint64) int64 {
+	return int64(partition)*keysPerPartition + int64(index)
+}
--- a/internal/system/storage/writer.go
+++ b/internal/system/storage/writer.go
@@ -102,3 +102,34 @@
 	s.database = db
 	return nil
 }
+
+// maxQueuedRequests is how many writes may wait for the writer without holding their callers' sends up.
+const maxQueuedRequests = 64
+
+// request is a step in a transaction; its answer comes once the transaction is on the disk, or failed.
+type request struct {
+	operation string
+	step      func(*database) error
+	result    chan error
+}
+
+// submit has the writer take a step and returns once its transaction has ended.
+func (s *Store) submit(operation string, step func(*database) error) error {
+	queued := &request{operation: operation, step: step, result: make(chan error, 1)}
+	select {
+	case s.requests <- queued:
+	case <-s.closing:
+		return &ClosedError{}
+	}
+	select {
+	case err := <-queued.result:
+		return err
+	case <-s.writerDone:
+	}
+	select {
+	case err := <-queued.result:
+		return err
+	default:
+		return &ClosedError{}
+	}
+}
