--- a/internal/system/storage/database.go
+++ b/internal/system/storage/database.go
@@ -9,21 +9,22 @@
 	"github.com/mattn/go-sqlite3"
 )
 
+// Statements that begin and end a transaction.
 const (
 	beginTransaction    = "BEGIN IMMEDIATE"
 	commitTransaction   = "COMMIT"
 	rollbackTransaction = "ROLLBACK"
 )
 
-// database is an open connection to SQLite. It belongs to one goroutine. The driver's connection is used without
+// database is an open SQLite connection. It belongs to one goroutine. The driver's connection is used without
 // database/sql, whose pool and goroutines have no use here.
 type database struct {
 	connection *sqlite3.SQLiteConn
-	statements map[string]*sqlite3.SQLiteStmt
+	statements map[string]*sqlite3.SQLiteStmt // prepared, by their text
 }
 
-// openDatabase opens or makes the file. The driver reads it before it returns, so the locking mode has to be set there: with
-// another one the index of the write-ahead log becomes a file in shared memory.
+// openDatabase opens the database or creates it. The driver reads the file before it returns, so that the locking mode
+// has to be part of the location: in the default mode the index of the write-ahead log is a file in shared memory.
 func openDatabase(path string) (*database, error) {
 	location := url.URL{Scheme: "file", OmitHost: true, Path: path,
 		RawQuery: "_busy_timeout=0&_mutex=no&_locking_mode=EXCLUSIVE"}
@@ -39,6 +40,7 @@
 	return db, nil
 }
 
+// configure sets the connection up and creates the tables if they are missing.
 func (db *database) configure() error {
 	for _, pragma := range pragmas {
 		if _, err := db.connection.Exec(pragma, nil); err != nil {
@@ -73,7 +75,7 @@
 	db.connection.Close()
 }
 
-// rollback ends a transaction, unless SQLite has ended it itself.
+// rollback ends a transaction, unless SQLite has already ended it.
 func (db *database) rollback() error {
 	if db.connection.AutoCommit() {
 		return nil
@@ -81,6 +83,7 @@
 	return db.exec(rollbackTransaction)
 }
 
+// statement returns a prepared statement, which it prepares on first use.
 func (db *database) statement(text string) (*sqlite3.SQLiteStmt, error) {
 	if statement := db.statements[text]; statement != nil {
 		return statement, nil
@@ -93,7 +96,7 @@
 	return db.statements[text], nil
 }
 
-// exec executes a statement without a result.
+// exec runs a statement without a result.
 func (db *database) exec(text string, arguments ...driver.Value) error {
 	statement, err := db.statement(text)
 	if err != nil {
@@ -103,7 +106,7 @@
 	return err
 }
 
-// query passes each row of a result to a function; the row is valid until it returns.
+// query passes each row of a result to a function. The row is valid until that returns.
 func (db *database) query(text string, row func([]driver.Value) error, arguments ...driver.Value) error {
 	statement, err := db.statement(text)
 	if err != nil {
--- a/internal/system/storage/errors.go
+++ b/internal/system/storage/errors.go
@@ -8,15 +8,15 @@
 	"github.com/mattn/go-sqlite3"
 )
 
-// DiskError says that the disk refused or failed an operation. Nothing of the operation's writes is kept; it may be
-// tried again, and succeeds once the disk works.
+// DiskError reports that the disk refused or failed an operation, none of whose updates were applied. The operation may be
+// repeated; it succeeds once the disk works again.
 type DiskError struct {
 	Operation string
-	Full      bool // there is no room on the disk
+	Full      bool // no space is left on the disk
 	Cause     error
 }
 
-// Error says what happened and what to do.
+// Error implements error.
 func (e *DiskError) Error() string {
 	if e.Full {
 		return fmt.Sprintf("storage: cannot %s: the disk is full; make room for the state folder", e.Operation)
@@ -24,17 +24,18 @@
 	return fmt.Sprintf("storage: cannot %s: %v; check the disk of the state folder", e.Operation, e.Cause)
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *DiskError) Unwrap() error { return e.Cause }
 
-// CorruptError says that what stands on the disk cannot be this package's. The file is kept under MovedTo, where that is
-// not empty, and the replica has to start anew as one without a disk.
+// CorruptError reports that the database can't have been written by this package. The replica has to start anew, as one
+// without a disk.
 type CorruptError struct {
-	Path, MovedTo string
-	Cause         error
+	Path    string
+	MovedTo string // where the file is kept; empty: it was not moved
+	Cause   error
 }
 
-// Error says what happened and what to do.
+// Error implements error.
 func (e *CorruptError) Error() string {
 	if e.MovedTo == "" {
 		return fmt.Sprintf("storage: %s is corrupt: %v", e.Path, e.Cause)
@@ -43,33 +44,30 @@
 		e.Cause, e.MovedTo)
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *CorruptError) Unwrap() error { return e.Cause }
 
-// InUseError says that another process holds the folder.
+// InUseError reports that another process holds the state folder.
 type InUseError struct{ Path string }
 
-// Error says what happened and what to do.
+// Error implements error.
 func (e *InUseError) Error() string {
 	return fmt.Sprintf("storage: %s is held by another process; one process only may run on a state folder", e.Path)
 }
 
-// SchemaError says that the file was written by a program of another version.
+// SchemaError reports that the file was written by a program of another version.
 type SchemaError struct{ Found, Known int64 }
 
-// Error says what happened and what to do.
+// Error implements error.
 func (e *SchemaError) Error() string {
 	return fmt.Sprintf("storage: the tables have schema %d and this program knows %d; run the program that wrote them",
 		e.Found, e.Known)
 }
 
-// ClosedError says that the store was closed.
-type ClosedError struct{}
+// ErrClosed is returned for operations on a closed Store.
+var ErrClosed = errors.New("storage: the store is closed")
 
-// Error says what happened.
-func (e *ClosedError) Error() string { return "storage: the store is closed" }
-
-// wrapError turns an error of SQLite into one of this package's.
+// wrapError turns an error of SQLite into an error of this package.
 func (s *Store) wrapError(operation string, err error) error {
 	var failure sqlite3.Error
 	if err == nil || !errors.As(err, &failure) {
--- a/internal/system/storage/folder.go
+++ b/internal/system/storage/folder.go
@@ -8,14 +8,14 @@
 
 const (
 	databaseName     = "consensus.db"
-	walSuffix        = "-wal"
-	quarantineSuffix = ".corrupt" // of a file that was moved aside; an earlier one is replaced
+	walSuffix        = "-wal"     // of SQLite's write-ahead log
+	quarantineSuffix = ".corrupt" // of a quarantined file; an earlier one is replaced
 )
 
-// sideFiles are the suffixes of the files that SQLite keeps beside its own.
+// sideFiles are the suffixes of the files that SQLite keeps beside the database.
 var sideFiles = []string{walSuffix, "-journal", "-shm"}
 
-// syncPath has a file's content, or a folder's names, outlast a loss of power.
+// syncPath makes the content of a file, or the names in a folder, survive a power loss.
 func syncPath(name string) error {
 	opened, err := os.Open(name)
 	if err != nil {
@@ -24,8 +24,8 @@
 	return errors.Join(opened.Sync(), opened.Close())
 }
 
-// pathExists tells whether there is a file or folder. What can't be told is an error: the file of a disk in trouble is not
-// gone.
+// pathExists reports whether a file or folder exists. Any failure other than its absence is an error: a file on a
+// failing disk is not absent.
 func pathExists(name string) (bool, error) {
 	_, err := os.Lstat(name)
 	if err == nil || errors.Is(err, os.ErrNotExist) {
@@ -34,7 +34,7 @@
 	return false, &DiskError{Operation: "look for " + name, Cause: err}
 }
 
-// makeStateFolder makes the state folder if need be.
+// makeStateFolder creates the state folder if it is missing.
 func makeStateFolder(folder string) error {
 	found, err := pathExists(folder)
 	if found || err != nil {
@@ -49,9 +49,10 @@
 	return nil
 }
 
-// prepare makes what an earlier process left fit to be read. The log of a file that is there is synced: a process that
-// was killed in the middle of a write leaves frames that are complete and yet not on the disk, and what is read once
-// must not be lost by a loss of power. What stands beside a file that is not there belongs to a life that is over.
+// prepare makes the files of an earlier process fit to be read. It syncs the write-ahead log of an existing database: a
+// process that was killed during a write leaves complete frames that are not on the disk yet, and what is read once
+// must not be lost by a later power loss. Side files without a database belong to an earlier incarnation and are
+// removed.
 func (s *Store) prepare() error {
 	found, err := pathExists(s.path)
 	if err != nil {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// removeSideFiles removes what stands beside a file that is gone.
+// removeSideFiles removes the side files of a database that is gone.
 func (s *Store) removeSideFiles() error {
 	removed := false
 	for _, suffix := range sideFiles {
@@ -87,8 +88,9 @@
 	return s.syncFolder()
 }
 
-// quarantine renames the file and then those beside it. The file's new name is on the disk before they go: with the
-// file alone, without the log's last writes, an old state would come back under the replica's identity.
+// quarantine renames the database and then its side files. The new name of the database is synced before the others are
+// renamed: the database alone, without the last writes in its log, would bring an old state back under the replica's
+// identity.
 func (s *Store) quarantine() error {
 	err := os.Rename(s.path, s.path+quarantineSuffix)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
--- a/internal/system/storage/load.go
+++ b/internal/system/storage/load.go
@@ -8,6 +8,8 @@
 	"cinderroad/internal/system/feed"
 )
 
+// readIdentity returns the replica that the database belongs to, if it was initialized. The error is a *SchemaError if
+// the tables have another version.
 func (db *database) readIdentity() (replica consensus.ReplicaID, existed bool, err error) {
 	err = db.query(selectMeta, func(row []driver.Value) error {
 		if row[0].(int64) != schemaVersion {
@@ -19,7 +21,7 @@
 	return replica, existed, err
 }
 
-// load reads what stands of a partition.
+// load reads the persisted state of a partition.
 func (db *database) load(partition feed.Partition) (state consensus.PersistentState, found bool, err error) {
 	if err = db.loadHardState(partition, &state, &found); err != nil {
 		return state, found, err
@@ -59,7 +61,7 @@
 		*found = true
 		index := uint64(row[0].(int64)) % keysPerPartition
 		if index != next {
-			cause := fmt.Errorf("log of partition %d: entry %d stands where %d belongs", partition, index, next)
+			cause := fmt.Errorf("log of partition %d: entry %d in place of entry %d", partition, index, next)
 			return &CorruptError{Cause: cause}
 		}
 		next++
@@ -72,7 +74,7 @@
 	return err
 }
 
-// copyBlob is a copy of a value of bytes; the driver's may be its own memory.
+// copyBlob copies a blob: the driver may reuse its memory. An empty blob is nil.
 func copyBlob(value driver.Value) []byte {
 	data, _ := value.([]byte)
 	if len(data) == 0 {
--- a/internal/system/storage/powerloss_test.go
+++ b/internal/system/storage/power_loss_test.go
@@ -15,21 +15,21 @@
 )
 
 var (
-	lossSeed  = flag.Uint64("loss.seed", 0, "play only this seed of losses of power")
-	lossSeeds = flag.Int("loss.seeds", 40, "how many seeds of losses of power are played")
+	lossSeed  = flag.Uint64("loss.seed", 0, "run only this seed of power losses")
+	lossSeeds = flag.Int("loss.seeds", 40, "number of seeds of power losses to run")
 )
 
 const (
 	sectorBytes    = 512
-	walHeaderBytes = 32        // bytes of the write-ahead log's header, which is synced before any frame after it
-	largeDataBytes = 300 << 10 // of an entry; a few have SQLite copy its log into the file
+	walHeaderBytes = 32        // of the header of the write-ahead log
+	largeDataBytes = 300 << 10 // of an entry; a few of these make SQLite checkpoint its log
 	testReplica    = consensus.ReplicaID(77)
 )
 
 // allFiles are the suffixes of the files of a store.
 var allFiles = append([]string{""}, sideFiles...)
 
-// diskImage is the content of a store's files by their suffix; one that is not there has no entry.
+// diskImage is the content of a store's files by suffix; a missing file has no entry.
 type diskImage map[string][]byte
 
 func readImage(t testing.TB, folder string) diskImage {
@@ -48,7 +48,7 @@
 	return image
 }
 
-// writeFolder writes the image into a folder of its own.
+// writeFolder writes the image into a new folder.
 func (i diskImage) writeFolder(t testing.TB) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -60,59 +60,60 @@
 	return folder
 }
 
-// powerLossTest is a store whose machine loses power and whose process is killed at any step of a write. SQLite's order of
-// writes and syncs is modelled: frames go to the log and are synced; pages go to the file, only then, and are synced; the
-// log begins anew, only then, with a header that is synced before the first frame. What lies between two syncs is kept
-// or lost by the sector.
+// powerLossTest is a store whose machine loses power, or whose process is killed, at any step of a write. It models
+// SQLite's order of writes and syncs: frames are written to the log and synced; only then are pages written to the database
+// and synced; only then does the log start over, with a header that is synced before the first frame. What is written
+// between two syncs survives or is lost sector by sector.
 type powerLossTest struct {
 	t         testing.TB
 	random    *rand.Rand
 	folder    string
 	store     *Store
-	model     consensus.PersistentState
-	durable   diskImage // what a loss of power leaves if nothing happens meanwhile
-	skipsSync bool      // a planted fault: what an earlier process left is not synced
-	failure   string
+	model     consensus.PersistentState // what the store must hold
+	durable   diskImage                 // what a power loss now would leave
+	skipsSync bool                      // a planted fault: files of an earlier process are not synced
+	failure   string                    // empty: none found
 }
 
 func newPowerLossTest(t testing.TB, seed uint64) *powerLossTest {
-	w := &powerLossTest{t: t, random: rand.New(rand.NewPCG(seed, 5))}
-	w.start(t.TempDir())
-	if err := w.store.Initialize(testReplica); err != nil {
+	t.Helper()
+	test := &powerLossTest{t: t, random: rand.New(rand.NewPCG(seed, 5))}
+	test.start(t.TempDir())
+	if err := test.store.Initialize(testReplica); err != nil {
 		t.Fatal(err)
 	}
-	w.durable = readImage(t, w.folder)
-	return w
+	test.durable = readImage(t, test.folder)
+	return test
 }
 
-// start opens the store of a folder. A sync of its own is noted: it makes the log as it stands durable.
-func (w *powerLossTest) start(folder string) {
-	w.t.Helper()
+// start opens the store of a folder. Its sync of the write-ahead log makes that log durable.
+func (p *powerLossTest) start(folder string) {
+	p.t.Helper()
 	store, err := openWithSync(folder, func(name string) error {
-		if !w.skipsSync && filepath.Base(name) == databaseName+walSuffix {
+		if !p.skipsSync && filepath.Base(name) == databaseName+walSuffix {
 			content, err := os.ReadFile(name)
-			w.durable[walSuffix] = content
+			p.durable[walSuffix] = content
 			return err
 		}
 		return nil
 	})
 	if err != nil {
-		w.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	w.store, w.folder = store, folder
-	w.t.Cleanup(func() { store.Close() })
+	p.store, p.folder = store, folder
+	p.t.Cleanup(func() { store.Close() })
 }
 
-// loseSectors draws what is left of a file that was one thing at its last sync and is another now.
-func (w *powerLossTest) loseSectors(synced, now []byte) []byte {
-	if w.random.IntN(4) == 0 {
-		return slices.Clone(synced) // all later writes are gone
+// loseSectors draws what a power loss leaves of a file, from its content at the last sync and now.
+func (p *powerLossTest) loseSectors(synced, now []byte) []byte {
+	if p.random.IntN(4) == 0 {
+		return slices.Clone(synced) // all later writes are lost
 	}
 	left := slices.Clone(synced)
-	kept := w.random.Float64()
+	kept := p.random.Float64()
 	for at := 0; at < len(now); at += sectorBytes {
 		end := min(at+sectorBytes, len(now))
-		if w.random.Float64() >= kept || at < len(left) && bytes.Equal(now[at:end], left[at:min(end, len(left))]) {
+		if p.random.Float64() >= kept || at < len(left) && bytes.Equal(now[at:end], left[at:min(end, len(left))]) {
 			continue
 		}
 		if len(left) < end {
@@ -123,78 +124,78 @@
 	return left
 }
 
-// loseWAL is lose for the log, whose new header is on the disk before any new frame.
-func (w *powerLossTest) loseWAL(synced, now []byte) []byte {
+// loseWAL is loseSectors for the write-ahead log, whose new header is synced before any new frame.
+func (p *powerLossTest) loseWAL(synced, now []byte) []byte {
 	if len(synced) >= walHeaderBytes && len(now) >= walHeaderBytes && !bytes.Equal(synced[:walHeaderBytes], now[:walHeaderBytes]) {
-		if w.random.IntN(4) == 0 {
+		if p.random.IntN(4) == 0 {
 			return slices.Clone(synced)
 		}
 		headed := slices.Clone(synced)
 		copy(headed[:walHeaderBytes], now)
 		synced = headed
 	}
-	return w.loseSectors(synced, now)
+	return p.loseSectors(synced, now)
 }
 
-// tornWrite is what a loss of power leaves in the middle of a write, and whether the write is surely there.
-func (w *powerLossTest) tornWrite(before, after diskImage) (left diskImage, written bool) {
+// tornWrite draws what a power loss during a write leaves, and whether the write is surely complete.
+func (p *powerLossTest) tornWrite(before, after diskImage) (left diskImage, written bool) {
 	copying := !bytes.Equal(before[""], after[""])
-	if copying && w.random.IntN(2) == 0 {
-		return diskImage{"": w.loseSectors(before[""], after[""]), walSuffix: after[walSuffix]}, true
+	if copying && p.random.IntN(2) == 0 {
+		return diskImage{"": p.loseSectors(before[""], after[""]), walSuffix: after[walSuffix]}, true
 	}
-	return diskImage{"": before[""], walSuffix: w.loseWAL(before[walSuffix], after[walSuffix])}, false
+	return diskImage{"": before[""], walSuffix: p.loseWAL(before[walSuffix], after[walSuffix])}, false
 }
 
-// nextUpdate draws a write and what the store holds after it.
-func (w *powerLossTest) nextUpdate() (Update, consensus.PersistentState) {
-	next := w.model
+// nextUpdate draws an update, and what the store must hold after it.
+func (p *powerLossTest) nextUpdate() (Update, consensus.PersistentState) {
+	next := p.model
 	last := next.Snapshot.Index + uint64(len(next.Entries))
 	write := Update{Partition: 1}
-	if w.random.IntN(3) == 0 {
-		hard := consensus.HardState{Term: next.HardState.Term + 1, Vote: consensus.ReplicaID(w.random.Uint64())}
+	if p.random.IntN(3) == 0 {
+		hard := consensus.HardState{Term: next.HardState.Term + 1, Vote: consensus.ReplicaID(p.random.Uint64())}
 		write.HardState, next.HardState = &hard, hard
 	}
 	switch {
-	case w.random.IntN(6) == 0 && len(next.Entries) > 1:
-		cut := 1 + w.random.IntN(len(next.Entries)-1)
+	case p.random.IntN(6) == 0 && len(next.Entries) > 1:
+		cut := 1 + p.random.IntN(len(next.Entries)-1)
 		at := next.Entries[cut-1]
 		write.CompactionSnapshot = &consensus.Snapshot{Index: at.Index, Term: at.Term, Membership: newMembership(1),
-			Data: w.data(w.random.IntN(2) == 0)}
+			Data: p.data(p.random.IntN(2) == 0)}
 		next.Snapshot, next.Entries = *write.CompactionSnapshot, next.Entries[cut:]
-	case w.random.IntN(10) == 0:
+	case p.random.IntN(10) == 0:
 		write.InstalledSnapshot = &consensus.Snapshot{Index: last + 5, Term: next.HardState.Term + 1, Membership: newMembership(1, 2),
-			Data: w.data(w.random.IntN(2) == 0)}
+			Data: p.data(p.random.IntN(2) == 0)}
 		next.Snapshot, next.Entries = *write.InstalledSnapshot, nil
 	default:
-		keep := len(next.Entries) - min(w.random.IntN(3), len(next.Entries))
+		keep := len(next.Entries) - min(p.random.IntN(3), len(next.Entries))
 		from := next.Snapshot.Index + uint64(keep) + 1
-		write.Entries = newEntries(next.HardState.Term+1, from, from+w.random.Uint64N(4))
-		write.Entries[0].Data = w.data(w.random.IntN(4) == 0)
+		write.Entries = newEntries(next.HardState.Term+1, from, from+p.random.Uint64N(4))
+		write.Entries[0].Data = p.data(p.random.IntN(4) == 0)
 		next.Entries = append(slices.Clone(next.Entries[:keep]), write.Entries...)
 	}
 	next.HardState.Commit = next.Snapshot.Index
 	return write, next
 }
 
-func (w *powerLossTest) data(large bool) []byte {
-	size := 1 + w.random.IntN(2000)
+func (p *powerLossTest) data(large bool) []byte {
+	size := 1 + p.random.IntN(2000)
 	if large {
 		size = largeDataBytes
 	}
 	data := make([]byte, size)
 	for i := range data {
-		data[i] = byte(w.random.Uint32())
+		data[i] = byte(p.random.Uint32())
 	}
 	return data
 }
 
-// storeHolds tells whether the store holds something, under its identity.
-func (w *powerLossTest) storeHolds(want consensus.PersistentState) bool {
-	w.t.Helper()
-	if id, existed := w.store.Identity(); !existed || id != testReplica {
-		w.t.Fatalf("the store is replica %d's, %v", id, existed)
+// storeHolds reports whether the store holds a state, under its identity.
+func (p *powerLossTest) storeHolds(want consensus.PersistentState) bool {
+	p.t.Helper()
+	if id, existed := p.store.Identity(); !existed || id != testReplica {
+		p.t.Fatalf("the store is replica %d's, %v", id, existed)
 	}
-	got := loadState(w.t, w.store, 1)
+	got := loadState(p.t, p.store, 1)
 	sameSnapshot := got.Snapshot.Index == want.Snapshot.Index && bytes.Equal(got.Snapshot.Data, want.Snapshot.Data)
 	return got.HardState == want.HardState && sameSnapshot && slices.EqualFunc(got.Entries, want.Entries, sameEntry)
 }
@@ -203,82 +204,82 @@
 	return a.Index == b.Index && a.Term == b.Term && bytes.Equal(a.Data, b.Data)
 }
 
-// step makes a write, and may end the process or the power in its middle.
-func (w *powerLossTest) step() {
-	w.t.Helper()
-	before := readImage(w.t, w.folder)
-	made, next := w.nextUpdate()
-	writeUpdates(w.t, w.store, made)
-	after := readImage(w.t, w.folder)
-	switch w.random.IntN(4) {
+// step writes an update, and may end the process or the power during it.
+func (p *powerLossTest) step() {
+	p.t.Helper()
+	before := readImage(p.t, p.folder)
+	made, next := p.nextUpdate()
+	writeUpdates(p.t, p.store, made)
+	after := readImage(p.t, p.folder)
+	switch p.random.IntN(4) {
 	case 0:
-		left, written := w.tornWrite(before, after)
-		w.resume(left, left, next, written)
+		left, written := p.tornWrite(before, after)
+		p.resume(left, left, next, written)
 	case 1:
-		// The process is killed: its writes up to some place stand, and are on the disk or not.
-		visible, written := w.tornWrite(before, after)
+		// The process is killed: its writes up to some point are visible, and durable or not.
+		visible, written := p.tornWrite(before, after)
 		left := visible
 		if !written {
-			left = diskImage{"": before[""], walSuffix: w.loseWAL(before[walSuffix], visible[walSuffix])}
+			left = diskImage{"": before[""], walSuffix: p.loseWAL(before[walSuffix], visible[walSuffix])}
 		}
-		w.resume(visible, left, next, written)
+		p.resume(visible, left, next, written)
 	default:
-		w.model, w.durable = next, after
+		p.model, p.durable = next, after
 	}
 }
 
-// resume starts the store with what a process finds, and what of it is on the disk. It holds what was there before the
-// write that was under way or what is there after it, and what it is found to hold is not lost any more.
-func (w *powerLossTest) resume(visible, durable diskImage, next consensus.PersistentState, written bool) {
-	w.t.Helper()
-	w.store.Close()
-	w.durable = durable
-	w.start(visible.writeFolder(w.t))
+// resume starts the store with the files that a process finds, of which some content is durable. The store must hold
+// the state before or after the write in flight, and must not lose what it was found to hold.
+func (p *powerLossTest) resume(visible, durable diskImage, next consensus.PersistentState, written bool) {
+	p.t.Helper()
+	p.store.Close()
+	p.durable = durable
+	p.start(visible.writeFolder(p.t))
 	switch {
-	case w.storeHolds(next):
-		w.model = next
-	case written || !w.storeHolds(w.model):
-		w.failure = "the store holds neither what it held before a write nor what the write made"
-	}
-	if w.random.IntN(2) == 0 {
-		w.store.Close()
-		w.start(w.durable.writeFolder(w.t))
-		if !w.storeHolds(w.model) {
-			w.failure = "what a process had read is gone after a loss of power"
+	case p.storeHolds(next):
+		p.model = next
+	case written || !p.storeHolds(p.model):
+		p.failure = "the store holds neither the state before a write nor the state after it"
+	}
+	if p.random.IntN(2) == 0 {
+		p.store.Close()
+		p.start(p.durable.writeFolder(p.t))
+		if !p.storeHolds(p.model) {
+			p.failure = "what a process had read is lost after a power loss"
 		}
 	}
-	w.durable = readImage(w.t, w.folder)
+	p.durable = readImage(p.t, p.folder)
 }
 
-// restart ends the process as it should, with a loss of power on the way now and then. The log's removal is kept or not.
-func (w *powerLossTest) restart() {
-	w.t.Helper()
-	before := readImage(w.t, w.folder)
-	w.store.Close()
-	left := readImage(w.t, w.folder)
-	if w.random.IntN(2) == 0 {
+// restart ends the process in order, sometimes with a power loss. The removal of the log survives or not.
+func (p *powerLossTest) restart() {
+	p.t.Helper()
+	before := readImage(p.t, p.folder)
+	p.store.Close()
+	left := readImage(p.t, p.folder)
+	if p.random.IntN(2) == 0 {
 		left[walSuffix] = before[walSuffix]
-		if w.random.IntN(2) == 0 {
-			left[""] = w.loseSectors(before[""], left[""])
+		if p.random.IntN(2) == 0 {
+			left[""] = p.loseSectors(before[""], left[""])
 		}
 	}
-	w.resume(left, left, w.model, true)
+	p.resume(left, left, p.model, true)
 }
 
-// run returns what went wrong.
-func (w *powerLossTest) run() string {
-	w.t.Helper()
-	for step := 0; step < 12 && w.failure == ""; step++ {
-		w.step()
-		if w.failure == "" && w.random.IntN(8) == 0 {
-			w.restart()
+// run returns the first failure.
+func (p *powerLossTest) run() string {
+	p.t.Helper()
+	for step := 0; step < 12 && p.failure == ""; step++ {
+		p.step()
+		if p.failure == "" && p.random.IntN(8) == 0 {
+			p.restart()
 		}
 	}
-	return w.failure
+	return p.failure
 }
 
-// TestPowerLoss: whatever step of a write a loss of power or a kill meets, the store holds the state before or after it,
-// under its identity, and what a process has read since does not go.
+// TestPowerLoss: at whatever step of a write a power loss or a kill occurs, the store holds the state before or after
+// it, under its identity, and keeps what a process has read since.
 func TestPowerLoss(t *testing.T) {
 	run := func(t *testing.T, seed uint64) {
 		if failure := newPowerLossTest(t, seed).run(); failure != "" {
@@ -297,12 +298,12 @@
 	}
 }
 
-// TestPlantedPowerLoss leaves the sync of an earlier process's log out, which has to be found.
+// TestPlantedPowerLoss omits the sync of an earlier process's log, which the test has to detect.
 func TestPlantedPowerLoss(t *testing.T) {
 	for seed := uint64(1); seed <= 100; seed++ {
-		w := newPowerLossTest(t, seed)
-		w.skipsSync = true
-		if failure := w.run(); failure != "" {
+		test := newPowerLossTest(t, seed)
+		test.skipsSync = true
+		if failure := test.run(); failure != "" {
 			t.Logf("seed %d: %s", seed, failure)
 			return
 		}
@@ -310,8 +311,8 @@
 	t.Error("not found in 100 seeds")
 }
 
-// TestPowerLossDuringQuarantine has a loss of power keep or lose each rename by itself, up to the sync of the folder. The identity
-// never comes back without the log's last writes, and a folder that has had a replica says so.
+// TestPowerLossDuringQuarantine has a power loss keep or undo each rename since the last sync of the folder. The
+// identity never returns without the log's last writes, and a folder that has held a replica says so.
 func TestPowerLossDuringQuarantine(t *testing.T) {
 	folder := t.TempDir()
 	store := openStore(t, folder)
@@ -319,7 +320,7 @@
 		t.Fatal(err)
 	}
 	voted := consensus.PersistentState{HardState: consensus.HardState{Term: 4, Vote: 9}}
-	for range 2 { // the identity is in the file, the vote in the log alone
+	for range 2 { // the identity is in the database, the vote only in its log
 		writeUpdates(t, store, Update{Partition: 2, Entries: []consensus.Entry{{Index: 1, Term: 1, Data: make([]byte, 2<<20)}}})
 	}
 	writeUpdates(t, store, Update{Partition: 1, HardState: &voted.HardState})
@@ -349,7 +350,7 @@
 	}
 }
 
-// tornRenames are all the ways in which the changes of names between two syncs of a folder may be kept or lost.
+// tornRenames returns all outcomes of the renames between two syncs of a folder.
 func tornRenames(before, after diskImage) (all []diskImage) {
 	var changed []string
 	for suffix := range before {
@@ -375,7 +376,8 @@
 	return all
 }
 
-// TestDatabaseFileLost: the file is gone and its log is there, as where a file's name was never synced. A new life begins.
+// TestDatabaseFileLost: the database is missing and its log exists, as after a power loss before the database's name
+// was synced. The replica starts anew.
 func TestDatabaseFileLost(t *testing.T) {
 	folder := t.TempDir()
 	store := openStore(t, folder)
@@ -393,7 +395,7 @@
 	}
 }
 
-// TestNoSharedMemory: the index of the log is in the process's own memory, after a restart as well.
+// TestNoSharedMemory: the index of the log is in the memory of the process, after a restart as well.
 func TestNoSharedMemory(t *testing.T) {
 	folder := t.TempDir()
 	for range 2 {
--- a/internal/system/storage/schema.go
+++ b/internal/system/storage/schema.go
@@ -1,11 +1,11 @@
 package storage
 
-// schemaVersion is raised with every change of the tables that earlier programs cannot read.
+// schemaVersion is raised with every change of the tables that earlier programs can't read.
 const schemaVersion = 1
 
-// schema makes the tables. An entry's key is its partition, times keysPerPartition, plus its index, so that the table is in the
-// order of the logs and a log is one range of keys. An entry also holds the commit index that was known when it was
-// written: a commit index of its own would cost a page more with each write.
+// schema creates the tables. The key of an entry is its partition times keysPerPartition plus its index: the table is
+// in the order of the logs, and a log is one range of keys. Each entry also holds the commit index that was known when
+// it was written: a row of its own would cost one more page per write.
 const schema = `
 CREATE TABLE IF NOT EXISTS meta (
 	id      INTEGER PRIMARY KEY CHECK (id = 1),
@@ -33,8 +33,8 @@
 	data       BLOB
 );`
 
-// pragmas set a connection up, beside the locking mode (see openDatabase). With a write-ahead log and full synchronisation a
-// commit costs one sync.
+// pragmas configure a connection, beside the locking mode (see openDatabase). With a write-ahead log and full
+// synchronisation a commit costs one sync.
 var pragmas = []string{
 	"PRAGMA page_size=4096",
 	"PRAGMA journal_mode=WAL",
--- a/internal/system/storage/store.go
+++ b/internal/system/storage/store.go
@@ -1,6 +1,3 @@
-// Package storage keeps the agreed state of a machine's replicas, of all partitions, in one SQLite file of the state
-// folder. One goroutine owns the file; writes that wait at the same time are committed together, with one sync. After a
-// failure of the disk nothing is half written, and later writes succeed as soon as the disk works again.
 package storage
 
 import (
@@ -12,25 +9,25 @@
 	"cinderroad/internal/system/feed"
 )
 
-// Store is an open state folder.
+// Store is an open state folder. Its methods may be called concurrently, except as they say.
 type Store struct {
-	path           string
+	path           string // of the database file
 	database       *database
 	replica        consensus.ReplicaID
-	initialized    bool
-	hasPredecessor bool                    // another replica's file was in the folder before
-	syncPath       func(name string) error // syncPath
+	initialized    bool                    // replica is set
+	hasPredecessor bool                    // the folder has held another replica's file
+	syncPath       func(name string) error // replaced by tests
 	requests       chan *request
-	closing        chan struct{}
+	closing        chan struct{} // closed by Close
 	closeOnce      sync.Once
-	writerDone     chan struct{}
+	writerDone     chan struct{} // closed once the writer has ended
 }
 
-// Open opens the state folder, which it makes if need be. A corrupt file is moved aside and reported as a *CorruptError
-// together with a usable, empty store.
+// Open opens a state folder, which it creates if need be. A corrupt file is quarantined and reported as a *CorruptError
+// together with a usable, empty store. Other errors are a *DiskError, an *InUseError or a *SchemaError.
 func Open(folder string) (*Store, error) { return openWithSync(folder, syncPath) }
 
-// openWithSync is Open with a way of its own to sync a file or folder.
+// openWithSync is Open with another function to sync a file or folder.
 func openWithSync(folder string, syncFunc func(string) error) (*Store, error) {
 	if err := makeStateFolder(folder); err != nil {
 		return nil, err
@@ -53,7 +50,7 @@
 	return store, nil
 }
 
-// open opens the file and reads whose it is.
+// open opens the database and reads its identity.
 func (s *Store) open() error {
 	aside, err := pathExists(s.path + quarantineSuffix)
 	if err != nil {
@@ -76,7 +73,7 @@
 	return nil
 }
 
-// replaceCorrupt moves the corrupt file aside and starts a new one.
+// replaceCorrupt quarantines the corrupt file and creates a new one.
 func (s *Store) replaceCorrupt(corrupt *CorruptError) error {
 	if err := s.quarantine(); err != nil {
 		return err
@@ -86,16 +83,17 @@
 	return s.open()
 }
 
-// Identity is the replica that the folder belongs to; false: to none yet (see Establish).
+// Identity returns the replica that the folder belongs to; false before Initialize.
 func (s *Store) Identity() (consensus.ReplicaID, bool) { return s.replica, s.initialized }
 
-// HasPredecessor tells whether the folder has held another replica's file, which was lost or moved aside.
+// HasPredecessor reports whether the folder has held another replica's file, which was lost or quarantined. Such a
+// machine must not found a group: it may have been a member of one.
 func (s *Store) HasPredecessor() bool { return s.hasPredecessor }
 
-// Initialize makes the empty folder that of the replica, with first writes, all in one transaction. It is not to be
+// Initialize makes an empty folder that of a replica and applies its first updates, in one transaction. It must not be
 // called concurrently with Identity.
 func (s *Store) Initialize(replica consensus.ReplicaID, updates ...Update) error {
-	err := s.submit("establish a replica", func(db *database) error {
+	err := s.submit("initialize the state folder", func(db *database) error {
 		if err := db.insertIdentity(replica); err != nil {
 			return err
 		}
@@ -107,7 +105,7 @@
 	return err
 }
 
-// Load returns what a partition's replica left; false: nothing.
+// Load returns the persisted state of a partition's replica; false if there is none.
 func (s *Store) Load(partition feed.Partition) (state consensus.PersistentState, found bool, err error) {
 	err = s.submit("load a partition", func(db *database) (err error) {
 		state, found, err = db.load(partition)
@@ -116,24 +114,25 @@
 	return state, found, err
 }
 
-// Write has all of the writes on the disk, or none, when it returns. Writes of concurrent calls share a sync.
+// Write applies updates. When it returns nil all of them are synced; after an error none is applied. Updates of
+// concurrent calls share a transaction and its sync.
 func (s *Store) Write(updates ...Update) error {
 	return s.submit("write", func(db *database) error { return db.applyAll(updates) })
 }
 
-// Compact replaces a partition's snapshot and cuts its log up to the snapshot's index; entries beyond stay.
+// Compact replaces a partition's snapshot and drops its log up to the snapshot's index; later entries remain.
 func (s *Store) Compact(partition feed.Partition, snapshot *consensus.Snapshot) error {
 	return s.Write(Update{Partition: partition, CompactionSnapshot: snapshot})
 }
 
-// Close writes what is queued and closes the file.
+// Close writes what is queued and closes the file. Later calls return ErrClosed.
 func (s *Store) Close() error {
 	s.closeOnce.Do(func() { close(s.closing) })
 	<-s.writerDone
 	return nil
 }
 
-// Discard closes the store and moves its file aside, because what it holds makes no sense.
+// Discard closes the store and quarantines its file, because its content is invalid.
 func (s *Store) Discard() error {
 	s.Close()
 	return s.quarantine()
--- a/internal/system/storage/storage_test.go
+++ b/internal/system/storage/store_test.go
@@ -100,7 +100,7 @@
 	expectState(t, loadState(t, store, 2), consensus.PersistentState{Entries: newEntries(1, 1, 1)})
 }
 
-// TestKilledProcess copies the files as they stand while the store is open, as a kill leaves them.
+// TestKilledProcess copies the files while the store is open, as a kill leaves them.
 func TestKilledProcess(t *testing.T) {
 	folder := t.TempDir()
 	store := openStore(t, folder)
@@ -126,7 +126,7 @@
 	}
 }
 
-// TestTornWAL cuts and spoils what was written after the last sync: everything up to it is still there.
+// TestTornWAL truncates and corrupts what was written after the last sync: everything before is still there.
 func TestTornWAL(t *testing.T) {
 	folder := t.TempDir()
 	store := openStore(t, folder)
@@ -186,7 +186,7 @@
 	expectState(t, loadState(t, store, 1), consensus.PersistentState{HardState: hard, Snapshot: installed, Entries: newEntries(2, 21, 22)})
 }
 
-// TestGroupCommit has many write at once: the writer carries out all that wait in one transaction.
+// TestGroupCommit writes from many goroutines: the writer commits all waiting requests in one transaction.
 func TestGroupCommit(t *testing.T) {
 	store := openStore(t, t.TempDir())
 	const writers = 3 * maxQueuedRequests
@@ -232,7 +232,7 @@
 	}
 }
 
-// TestFullDisk bounds the file's size, as a full disk does, and has it work again.
+// TestFullDisk bounds the file's size, as a full disk does, and lifts the bound again.
 func TestFullDisk(t *testing.T) {
 	store := openStore(t, t.TempDir())
 	writeUpdates(t, store, Update{Partition: 1, Entries: newEntries(1, 1, 2)})
@@ -301,13 +301,12 @@
 func TestWriteAfterClose(t *testing.T) {
 	store := openStore(t, t.TempDir())
 	store.Close()
-	var closed *ClosedError
-	if err := store.Write(Update{}); !errors.As(err, &closed) {
+	if err := store.Write(Update{}); !errors.Is(err, ErrClosed) {
 		t.Fatal(err)
 	}
 }
 
-// TestAgainstModel draws writes, reopening now and then, and compares with a model in memory.
+// TestAgainstModel draws updates, reopens the store at times and compares it with a model in memory.
 func TestAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		folder, err := os.MkdirTemp(t.TempDir(), "")
@@ -333,7 +332,7 @@
 	})
 }
 
-// drawUpdate draws a write that a replica might make and carries it out on the model.
+// drawUpdate draws an update that a replica might write, and applies it to the model.
 func drawUpdate(t *rapid.T, model *consensus.PersistentState) (update Update) {
 	last := model.Snapshot.Index + uint64(len(model.Entries))
 	term := model.HardState.Term + rapid.Uint64Range(0, 2).Draw(t, "term")
--- a/internal/system/storage/update.go
+++ b/internal/system/storage/update.go
@@ -5,14 +5,14 @@
 	"cinderroad/internal/system/feed"
 )
 
-// Update is what one partition's replica wants kept. It is carried out in the order of the fields.
+// Update is a change of one partition's persisted state. Its parts are applied in the order of the fields.
 type Update struct {
 	Partition          feed.Partition
 	InstalledSnapshot  *consensus.Snapshot  // replaces the snapshot and the whole log
-	HardState          *consensus.HardState // nil: as it was
-	Entries            []consensus.Entry    // contiguous; they replace whatever stands at their indexes and beyond
-	CommitIndex        uint64               // commit index to keep with the entries; Hard's is kept with Hard
-	CompactionSnapshot *consensus.Snapshot  // replaces the snapshot and cuts the log up to its index
+	HardState          *consensus.HardState // nil: unchanged
+	Entries            []consensus.Entry    // contiguous; they replace the entries from their first index on
+	CommitIndex        uint64               // stored with Entries; HardState has its own
+	CompactionSnapshot *consensus.Snapshot  // replaces the snapshot and the log up to its index
 }
 
 func (db *database) insertIdentity(replica consensus.ReplicaID) error {
@@ -48,7 +48,7 @@
 	return db.compact(update.Partition, update.CompactionSnapshot)
 }
 
-// installSnapshot replaces snapshot and log.
+// installSnapshot replaces the snapshot and the whole log.
 func (db *database) installSnapshot(partition feed.Partition, snapshot *consensus.Snapshot) error {
 	if err := db.exec(deleteEntries, entryKey(partition, 0), entryKey(partition+1, 0)); err != nil {
 		return err
@@ -56,7 +56,7 @@
 	return db.putSnapshot(partition, snapshot)
 }
 
-// compact replaces the snapshot and cuts the log up to it.
+// compact replaces the snapshot and drops the log up to it.
 func (db *database) compact(partition feed.Partition, snapshot *consensus.Snapshot) error {
 	if err := db.exec(deleteEntries, entryKey(partition, 0), entryKey(partition, snapshot.Index+1)); err != nil {
 		return err
@@ -73,7 +73,7 @@
 	return db.exec(replaceHardState, int64(partition), int64(hardState.Term), int64(hardState.Vote), int64(hardState.Commit))
 }
 
-// appendEntries writes entries in place of all from their first index on.
+// appendEntries replaces all entries from the index of the first one on.
 func (db *database) appendEntries(partition feed.Partition, entries []consensus.Entry, committed uint64) error {
 	if len(entries) == 0 {
 		return nil
@@ -91,10 +91,10 @@
 	return nil
 }
 
-// keysPerPartition is how many keys of the table of entries a partition has.
+// keysPerPartition is the size of a partition's range of keys in the table of entries.
 const keysPerPartition = 1 << 44
 
-// entryKey is an entry's place in its table.
+// entryKey returns the primary key of an entry.
 func entryKey(partition feed.Partition, index uint64) int64 {
 	return int64(partition)*keysPerPartition + int64(index)
 }
--- a/internal/system/storage/writer.go
+++ b/internal/system/storage/writer.go
@@ -2,10 +2,10 @@
 
 import "errors"
 
-// failuresBeforeReopen is how many transactions in a row may fail before the file is opened anew.
+// failuresBeforeReopen is the number of transactions in a row that may fail before the file is reopened.
 const failuresBeforeReopen = 3
 
-// runWriter is the writer: it owns the file.
+// runWriter is the writer goroutine, which owns the database. It ends after Close once the queue is empty.
 func (s *Store) runWriter() {
 	defer close(s.writerDone)
 	defer func() {
@@ -27,7 +27,7 @@
 	}
 }
 
-// collectBatch adds the requests that wait to the first one, if there is one.
+// collectBatch adds all queued requests to the first one, if any.
 func (s *Store) collectBatch(first *request) []*request {
 	var batch []*request
 	if first != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// processBatch carries a batch out, answers it and returns how many batches have now failed in a row.
+// processBatch commits a batch, answers its requests and returns how many batches in a row have now failed.
 func (s *Store) processBatch(batch []*request, failures int) int {
 	err := s.wrapError(batch[0].operation, s.commitBatch(batch, failures))
 	for _, queued := range batch {
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// reopen closes the file and opens it again. The store's identity must be the same: another one's file, or an empty one
-// in its place, means that the disk was changed under the process.
+// reopen closes the file and opens it again. It must still have the identity of this store: otherwise the disk was
+// replaced under the running process.
 func (s *Store) reopen() error {
 	if s.database != nil {
 		s.database.close()
@@ -97,29 +97,29 @@
 	}
 	if existed != s.initialized || replica != s.replica {
 		db.close()
-		return &CorruptError{Path: s.path, Cause: errors.New("it is another replica's than when it was opened")}
+		return &CorruptError{Path: s.path, Cause: errors.New("it belongs to another replica than when it was opened")}
 	}
 	s.database = db
 	return nil
 }
 
-// maxQueuedRequests is how many writes may wait for the writer without holding their callers' sends up.
+// maxQueuedRequests is the number of requests that may wait for the writer before their callers block.
 const maxQueuedRequests = 64
 
-// request is a step in a transaction; its answer comes once the transaction is on the disk, or failed.
+// request is a step of a transaction.
 type request struct {
-	operation string
+	operation string // for errors
 	step      func(*database) error
-	result    chan error
+	result    chan error // receives one value once the transaction is synced or has failed
 }
 
-// submit has the writer take a step and returns once its transaction has ended.
+// submit has the writer run a step and returns once its transaction has ended.
 func (s *Store) submit(operation string, step func(*database) error) error {
 	queued := &request{operation: operation, step: step, result: make(chan error, 1)}
 	select {
 	case s.requests <- queued:
 	case <-s.closing:
-		return &ClosedError{}
+		return ErrClosed
 	}
 	select {
 	case err := <-queued.result:
@@ -130,6 +130,6 @@
 	case err := <-queued.result:
 		return err
 	default:
-		return &ClosedError{}
+		return ErrClosed
 	}
 }
