--- a/internal/system/control/client/orders.go
+++ b/internal/system/control/client/calls.go
@@ -12,37 +12,13 @@
 	"cinderroad/internal/system/control/status"
 )
 
-// ErrorDetails is what an answer other than success says.
-type ErrorDetails struct {
-	Code     string    `json:"code"`
-	Message  string    `json:"message"`
-	Problems []Problem `json:"findings"`
-}
-
-// Problem is one thing that is wrong with a configuration.
-type Problem struct {
-	Path    string `json:"place"`
-	Message string `json:"problem"`
-}
-
-// ParseError returns what an answer says; of one that is not of the API, its status alone.
-func ParseError(response *Response) ErrorDetails {
-	var body struct {
-		Error ErrorDetails `json:"error"`
-	}
-	if json.Unmarshal(response.Body, &body) != nil || body.Error.Message == "" {
-		return ErrorDetails{Message: http.StatusText(response.Status)}
-	}
-	return body.Error
-}
-
-// Document is a configuration as it is in force.
+// Document is the configuration in force.
 type Document struct {
-	Version uint64
+	Version uint64 // 0: there is none yet
 	Body    []byte
 }
 
-// Read returns the newest configuration; of a system without one, version 0 and no body.
+// Read returns the configuration in force; version 0 and no body if there is none yet.
 func (c *Client) Read(ctx context.Context) (*Document, error) {
 	response, err := c.Do(ctx, Call{Method: http.MethodGet, Path: api.PathRead})
 	var rejected *RejectedError
@@ -54,24 +30,24 @@
 	}
 	version, err := strconv.ParseUint(response.Header.Get(api.HeaderVersion), 10, 64)
 	if err != nil {
-		return nil, errors.Wrapf(err, "answer of %s without a version", response.Machine)
+		return nil, errors.Wrapf(err, "response of %s without a version", response.Machine)
 	}
 	return &Document{Version: version, Body: response.Body}, nil
 }
 
-// Acknowledgement is the acknowledgement of an order.
+// Acknowledgement is the response to a change that is in force.
 type Acknowledgement struct {
 	Machine  string `json:"machine"`
 	Attempts int    `json:"attempts"`
-	Version  uint64 `json:"version,omitempty"`
+	Version  uint64 `json:"version,omitempty"` // of the configuration; 0 for an evacuation
 }
 
-// Replace has a whole configuration put in force on top of the version that is named.
+// Replace replaces the whole configuration, based on the version given.
 func (c *Client) Replace(ctx context.Context, basedOn uint64, body []byte) (*Acknowledgement, error) {
 	return c.change(ctx, api.PathReplace, basedOn, body)
 }
 
-// Change has items altered on top of the version that is named.
+// Change replaces and removes single items, based on the version given.
 func (c *Client) Change(ctx context.Context, basedOn uint64, body []byte) (*Acknowledgement, error) {
 	return c.change(ctx, api.PathChange, basedOn, body)
 }
@@ -83,7 +59,7 @@
 	return c.submit(ctx, Call{Method: http.MethodPost, Path: path, Header: header, Body: body})
 }
 
-// Drain has a zone's runners left, or taken back.
+// Drain evacuates a zone (begin), or ends its evacuation.
 func (c *Client) Drain(ctx context.Context, zone string, begin bool) (*Acknowledgement, error) {
 	path := api.PathDrainFinish
 	if begin {
@@ -99,12 +75,12 @@
 	}
 	acknowledgement := Acknowledgement{Machine: response.Machine, Attempts: response.Attempts}
 	if err := json.Unmarshal(response.Body, &acknowledgement); err != nil {
-		return nil, errors.Wrapf(err, "answer of %s", response.Machine)
+		return nil, errors.Wrapf(err, "response of %s", response.Machine)
 	}
 	return &acknowledgement, nil
 }
 
-// Status returns how the first machine that answers sees the system, and its address.
+// Status returns the status of the first machine that responds, and its address.
 func (c *Client) Status(ctx context.Context) (machine string, seen *status.Control, err error) {
 	response, err := c.Do(ctx, Call{Method: http.MethodGet, Path: api.PathStatus})
 	if err != nil {
--- a/internal/system/control/client/client.go
+++ b/internal/system/control/client/client.go
@@ -1,6 +1,3 @@
-// Package client calls the operator's API of the control machines as any caller has to: it follows redirections, moves on
-// to another machine after a failure, and sends an order whose outcome is not known again, unchanged, which the API takes
-// for the same order.
 package client
 
 import (
@@ -16,34 +13,39 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Bounds of calls.
 const (
-	maxRedirects     = 2
-	maxRejections    = 3 // of 4xx answers that do not end a call at once
+	// maxRedirects is the number of redirects that an attempt follows.
+	maxRedirects = 2
+	// maxRejections is the number of responses with an unspecific 4xx status after which a call ends.
+	maxRejections = 3
+	// maxResponseBytes is the size up to which a response body is read.
 	maxResponseBytes = 64 << 20
 
-	callTimeout       = time.Second             // without an answer, for a call without a body
-	callTimeoutPerMiB = time.Second             // on top of it, for what the call carries
-	initialBackoff    = 50 * time.Millisecond   // between two attempts
-	maxBackoff        = 1500 * time.Millisecond // that pauses grow to
+	// callTimeout bounds a request to one machine; callTimeoutPerMiB is added for the size of its body.
+	callTimeout       = time.Second
+	callTimeoutPerMiB = time.Second
+
+	// The pause between attempts doubles from initialBackoff up to maxBackoff.
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 1500 * time.Millisecond
 )
 
-// DefaultTimeout is how long a call is tried for.
+// DefaultTimeout is the value of a zero Client.Timeout.
 const DefaultTimeout = 15 * time.Second
 
 // Client calls control machines. It is not safe for concurrent use.
 type Client struct {
-	// Addresses are the addresses of the operator's API, host:port; they are asked in turn, from the first one.
+	// Addresses are the addresses of the operator's API, host:port. They are tried in turn, from the first one.
 	Addresses []string
-	// Timeout is how long a call is tried for; 0: DefaultTimeout.
+	// Timeout bounds a call with all its attempts; 0: DefaultTimeout.
 	Timeout time.Duration
-	// MaxAttempts is how often a call is tried; 0: as often as there is time for.
+	// MaxAttempts bounds the attempts of a call; 0: only Timeout does.
 	MaxAttempts int
-	// Sleep waits between two attempts; nil: for the time given, or until the context ends.
+	// Sleep waits between two attempts, no longer than the context lasts; nil: by the clock.
 	Sleep func(ctx context.Context, d time.Duration)
 
 	http        http.Client
-	nextAddress int // machine that is asked next
+	nextAddress int // index modulo the number of addresses
 }
 
 // Call is a call of the operator's API.
@@ -54,45 +56,17 @@
 	Body   []byte
 }
 
-// Response is a machine's answer to a call.
+// Response is a machine's response to a call.
 type Response struct {
-	Machine  string // that gave it
-	Status   int
+	Machine  string // host:port of the machine that responded
+	Status   int    // HTTP status
 	Header   http.Header
 	Body     []byte
-	Attempts int // that it took
-}
-
-// RejectedError says that the call was answered, and refused for good.
-type RejectedError struct {
-	Response Response
-	Details  ErrorDetails
+	Attempts int // that the call took
 }
 
-// Error is the answer's message.
-func (e *RejectedError) Error() string {
-	return "refused by " + e.Response.Machine + " with " + strconv.Itoa(e.Response.Status) + ": " + e.Details.Message
-}
-
-// UnavailableError says that no machine gave a clear answer. An order may still have been taken: send it again unchanged.
-type UnavailableError struct {
-	Attempts  int
-	LastError error
-}
-
-// Error says what to do.
-func (e *UnavailableError) Error() string {
-	return "no clear answer after " + strconv.Itoa(e.Attempts) + " attempts; an order may have been taken: send the same " +
-		"one again, and check with status that a majority of the control machines runs; last: " + e.LastError.Error()
-}
-
-// Unwrap is what the last attempt came to.
-func (e *UnavailableError) Unwrap() error { return e.LastError }
-
-// ErrNoAddresses says that there is nobody to ask.
-var ErrNoAddresses = errors.New("no control machine is known: name one with --seed, or a settings file with --settings")
-
-// Do calls until there is a clear answer. Its error is a *RejectedError, an *UnavailableError or ErrNoAddresses.
+// Do repeats the call until there is a definite response. Its error is a *RejectedError, an *UnavailableError or
+// ErrNoAddresses.
 func (c *Client) Do(ctx context.Context, call Call) (*Response, error) {
 	if len(c.Addresses) == 0 {
 		return nil, ErrNoAddresses
@@ -118,7 +92,7 @@
 			case outcome == outcomeRejected, rejections >= maxRejections:
 				return nil, &RejectedError{Response: *response, Details: ParseError(response)}
 			}
-			err = errors.Newf("%s answered %d: %s", response.Machine, response.Status, ParseError(response).Message)
+			err = errors.Newf("%s responded %d: %s", response.Machine, response.Status, ParseError(response).Message)
 		}
 		c.nextAddress++
 		if attempts == c.MaxAttempts {
@@ -132,16 +106,17 @@
 	}
 }
 
-// outcome is what an answer means for the call.
+// outcome is what a response means for the call.
 type outcome uint8
 
 const (
-	outcomeAccepted outcome = iota
-	outcomeRejected
-	outcomeRejectedOnce // other refusals: the call ends with the third one
-	outcomeUnknown      // another machine may do better
+	outcomeAccepted     outcome = iota
+	outcomeRejected             // for good
+	outcomeRejectedOnce         // the call ends after maxRejections
+	outcomeUnknown              // another machine may succeed
 )
 
+// classify returns the outcome of a response with the HTTP status.
 func classify(status int) outcome {
 	switch {
 	case status >= 200 && status < 300:
@@ -157,7 +132,7 @@
 	return outcomeRejectedOnce
 }
 
-// attempt asks one machine, and those that it refers to.
+// attempt calls one machine, and those that it redirects to.
 func (c *Client) attempt(ctx context.Context, call *Call) (*Response, error) {
 	machine := c.Addresses[c.nextAddress%len(c.Addresses)]
 	target := url.URL{Scheme: "http", Host: machine, Path: call.Path}
@@ -168,10 +143,10 @@
 		}
 		location, err := target.Parse(response.Header.Get("Location"))
 		if err != nil {
-			return nil, errors.Wrapf(err, "%s refers to a place that makes no sense", target.Host)
+			return nil, errors.Wrapf(err, "%s redirects to an invalid location", target.Host)
 		}
 		if redirects == maxRedirects {
-			return nil, errors.Newf("%s refers to another machine for the third time; no machine may lead now", target.Host)
+			return nil, errors.Newf("%s redirects once more than is followed; no machine may lead now", target.Host)
 		}
 		target = *location
 	}
@@ -195,7 +170,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err := errors.CombineErrors(err, response.Body.Close()); err != nil {
-		return nil, errors.Wrapf(err, "answer of %s", target.Host)
+		return nil, errors.Wrapf(err, "response of %s", target.Host)
 	}
 	return &Response{Machine: target.Host, Status: response.StatusCode, Header: response.Header, Body: body}, nil
 }
@@ -213,10 +188,10 @@
 	}
 }
 
-// withJitter is a pause between half and the whole of the time, so that callers do not come in step.
+// withJitter returns a pause between half and the whole of d, so that callers do not synchronize.
 func withJitter(d time.Duration) time.Duration { return d/2 + rand.N(d/2+1) }
 
-// retryAfter is the wait that an answer asks for, if there is one.
+// retryAfter is the pause that a response asks for, at most maxBackoff; 0 for none.
 func retryAfter(response *Response) time.Duration {
 	if response == nil {
 		return 0
--- a/internal/system/control/client/client_test.go
+++ b/internal/system/control/client/client_test.go
@@ -15,15 +15,15 @@
 	"cinderroad/internal/system/control/api"
 )
 
-// scriptedResponse is what a scripted machine answers a call with.
+// scriptedResponse is a response of a scriptedMachine.
 type scriptedResponse struct {
 	status   int
-	location string // machine that it refers to
+	location string // URL of the machine that it redirects to
 	retry    string // Retry-After
 	body     string
 }
 
-// scriptedMachine answers calls in the order of its script, and with the last answer for ever.
+// scriptedMachine responds to calls in the order of its script, and with the last response from then on.
 type scriptedMachine struct {
 	script []scriptedResponse
 	calls  []string
@@ -34,19 +34,19 @@
 	body, _ := io.ReadAll(r.Body)
 	m.calls = append(m.calls, r.Method+" "+r.URL.Path+" "+r.Header.Get(api.HeaderBasedOn))
 	m.bodies = append(m.bodies, string(body))
-	next := m.script[min(len(m.calls), len(m.script))-1]
-	if next.location != "" {
-		w.Header().Set("Location", next.location+r.URL.Path)
+	response := m.script[min(len(m.calls), len(m.script))-1]
+	if response.location != "" {
+		w.Header().Set("Location", response.location+r.URL.Path)
 	}
-	if next.retry != "" {
-		w.Header().Set("Retry-After", next.retry)
+	if response.retry != "" {
+		w.Header().Set("Retry-After", response.retry)
 	}
 	w.Header().Set(api.HeaderVersion, "9")
-	w.WriteHeader(next.status)
-	fmt.Fprint(w, next.body)
+	w.WriteHeader(response.status)
+	fmt.Fprint(w, response.body)
 }
 
-// serve returns the machine's address.
+// serve returns the address of a machine that runs until the test ends.
 func serve(t *testing.T, m *scriptedMachine) string {
 	t.Helper()
 	server := httptest.NewServer(m)
@@ -54,9 +54,9 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// newClient returns a client that notes its pauses and makes none.
-func newClient(pauses *[]time.Duration, machines ...string) *Client {
-	return &Client{Addresses: machines, Timeout: time.Minute,
+// newClient returns a client that records its pauses instead of sleeping.
+func newClient(pauses *[]time.Duration, addresses ...string) *Client {
+	return &Client{Addresses: addresses, Timeout: time.Minute,
 		Sleep: func(_ context.Context, d time.Duration) { *pauses = append(*pauses, d) }}
 }
 
@@ -65,9 +65,9 @@
 	first := &scriptedMachine{script: []scriptedResponse{{status: 503, retry: "0.3"}}}
 	second := &scriptedMachine{script: []scriptedResponse{{status: 200, body: `{"version":9}`}}}
 	client := newClient(&pauses, serve(t, first), serve(t, second))
-	receipt, err := client.Replace(t.Context(), 5, []byte("{}"))
-	if err != nil || receipt.Version != 9 || receipt.Attempts != 2 || receipt.Machine != client.Addresses[1] {
-		t.Fatalf("%+v, %v", receipt, err)
+	acknowledgement, err := client.Replace(t.Context(), 5, []byte("{}"))
+	if err != nil || acknowledgement.Version != 9 || acknowledgement.Attempts != 2 || acknowledgement.Machine != client.Addresses[1] {
+		t.Fatalf("%+v, %v", acknowledgement, err)
 	}
 	want := []string{"POST " + api.PathReplace + " 5"}
 	if !slices.Equal(first.calls, want) || !slices.Equal(second.calls, want) || !slices.Equal(first.bodies, second.bodies) {
@@ -84,9 +84,9 @@
 	leaderURL := "http://" + serve(t, leader)
 	second := &scriptedMachine{script: []scriptedResponse{{status: 307, location: leaderURL}}}
 	first := &scriptedMachine{script: []scriptedResponse{{status: 307, location: "http://" + serve(t, second)}}}
-	receipt, err := newClient(&pauses, serve(t, first)).Change(t.Context(), 8, []byte(`{"version":9}`))
-	if err != nil || receipt.Attempts != 1 || len(pauses) != 0 || leader.bodies[0] != `{"version":9}` {
-		t.Fatalf("%+v, %v, pauses %v, %q", receipt, err, pauses, leader.bodies)
+	acknowledgement, err := newClient(&pauses, serve(t, first)).Change(t.Context(), 8, []byte(`{"version":9}`))
+	if err != nil || acknowledgement.Attempts != 1 || len(pauses) != 0 || leader.bodies[0] != `{"version":9}` {
+		t.Fatalf("%+v, %v, pauses %v, %q", acknowledgement, err, pauses, leader.bodies)
 	}
 }
 
@@ -96,9 +96,9 @@
 	address := serve(t, first)
 	first.script = []scriptedResponse{{status: 307, location: "http://" + address}}
 	second := &scriptedMachine{script: []scriptedResponse{{status: 200, body: `{}`}}}
-	receipt, err := newClient(&pauses, address, serve(t, second)).Drain(t.Context(), "zone-a", true)
-	if err != nil || receipt.Attempts != 2 || len(first.calls) != 1+maxRedirects {
-		t.Fatalf("%+v, %v, calls %q", receipt, err, first.calls)
+	acknowledgement, err := newClient(&pauses, address, serve(t, second)).Drain(t.Context(), "zone-a", true)
+	if err != nil || acknowledgement.Attempts != 2 || len(first.calls) != 1+maxRedirects {
+		t.Fatalf("%+v, %v, calls %q", acknowledgement, err, first.calls)
 	}
 	if second.calls[0] != "POST "+api.PathDrainBegin+"zone-a " {
 		t.Fatalf("calls %q", second.calls)
@@ -111,12 +111,12 @@
 		m := &scriptedMachine{script: []scriptedResponse{{status: status,
 			body: `{"error":{"code":"c","message":"m","findings":[{"place":"routes[0]","problem":"p"}]}}`}}}
 		_, err := newClient(&pauses, serve(t, m)).Replace(t.Context(), 0, nil)
-		var refused *RejectedError
-		if !errors.As(err, &refused) || len(m.calls) != 1 {
+		var rejected *RejectedError
+		if !errors.As(err, &rejected) || len(m.calls) != 1 {
 			t.Fatalf("%d: %v after %d calls", status, err, len(m.calls))
 		}
-		if refused.Details.Code != "c" || refused.Details.Problems[0] != (Problem{"routes[0]", "p"}) {
-			t.Fatalf("%d: %+v", status, refused.Details)
+		if rejected.Details.Code != "c" || rejected.Details.Problems[0] != (Problem{"routes[0]", "p"}) {
+			t.Fatalf("%d: %+v", status, rejected.Details)
 		}
 	}
 }
@@ -125,8 +125,8 @@
 	var pauses []time.Duration
 	m := &scriptedMachine{script: []scriptedResponse{{status: 405}}}
 	_, err := newClient(&pauses, serve(t, m)).Drain(t.Context(), "a", false)
-	var refused *RejectedError
-	if !errors.As(err, &refused) || len(m.calls) != maxRejections {
+	var rejected *RejectedError
+	if !errors.As(err, &rejected) || len(m.calls) != maxRejections {
 		t.Fatalf("%v after %d calls", err, len(m.calls))
 	}
 }
@@ -134,20 +134,20 @@
 func TestUnansweredCallEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	m := &scriptedMachine{script: []scriptedResponse{{status: 503}}}
-	tries := 0
+	attempts := 0
 	client := &Client{Addresses: []string{serve(t, m), closedAddress(t)}, Sleep: func(context.Context, time.Duration) {
-		if tries++; tries == 6 {
+		if attempts++; attempts == 6 {
 			cancel()
 		}
 	}}
 	_, err := client.Read(ctx)
-	var unanswered *UnavailableError
-	if !errors.As(err, &unanswered) || unanswered.Attempts != 6 || len(m.calls) != 3 {
+	var unavailable *UnavailableError
+	if !errors.As(err, &unavailable) || unavailable.Attempts != 6 || len(m.calls) != 3 {
 		t.Fatalf("%v after %d calls", err, len(m.calls))
 	}
 }
 
-// closedAddress returns an address that nobody listens on.
+// closedAddress returns an address on which nobody listens.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(http.NotFoundHandler())
--- /dev/null
+++ b/internal/system/control/client/errors.go
@@ -0,0 +1,63 @@
+package client
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+
+	"github.com/cockroachdb/errors"
+)
+
+// ErrNoAddresses means that the client has no address to call.
+var ErrNoAddresses = errors.New("no control machine is known: name one with --seed, or a settings file with --settings")
+
+// RejectedError means that the call was rejected for good.
+type RejectedError struct {
+	Response Response
+	Details  ErrorDetails
+}
+
+// Error returns the machine, the status and the message of the response.
+func (e *RejectedError) Error() string {
+	return "refused by " + e.Response.Machine + " with " + strconv.Itoa(e.Response.Status) + ": " + e.Details.Message
+}
+
+// UnavailableError means that no machine gave a definite response. A change may be in force all the same: send it again
+// unchanged.
+type UnavailableError struct {
+	Attempts  int
+	LastError error // of the last attempt
+}
+
+// Error says what the operator can do.
+func (e *UnavailableError) Error() string {
+	return "no clear answer after " + strconv.Itoa(e.Attempts) + " attempts; an order may have been taken: send the same " +
+		"one again, and check with status that a majority of the control machines runs; last: " + e.LastError.Error()
+}
+
+// Unwrap returns the error of the last attempt.
+func (e *UnavailableError) Unwrap() error { return e.LastError }
+
+// ErrorDetails is the body of a response other than success.
+type ErrorDetails struct {
+	Code     string    `json:"code"`
+	Message  string    `json:"message"`
+	Problems []Problem `json:"findings"`
+}
+
+// Problem is one thing that is wrong with a configuration.
+type Problem struct {
+	Path    string `json:"place"` // such as routes[3].timeout_ms
+	Message string `json:"problem"`
+}
+
+// ParseError returns the details of a response; only the text of its status if the body is not the API's.
+func ParseError(response *Response) ErrorDetails {
+	var body struct {
+		Error ErrorDetails `json:"error"`
+	}
+	if json.Unmarshal(response.Body, &body) != nil || body.Error.Message == "" {
+		return ErrorDetails{Message: http.StatusText(response.Status)}
+	}
+	return body.Error
+}
--- a/internal/system/control/status/status.go
+++ b/internal/system/control/status/status.go
@@ -1,48 +1,48 @@
-// Package status describes a control machine to operators: what it holds, what it leads, and which members it sees. It
-// is the body of GET /-/status, as JSON.
+// Package status defines the status of a control machine as operators read it: the JSON body of GET /-/status. cinderctl
+// and operators' scripts parse it: fields are added over time, and never renamed or removed.
 package status
 
-// Control is a control machine's view of itself and of the system. Fields are added over time, never changed.
+// Control is a control machine's view of itself and of the system.
 type Control struct {
 	Node           string      `json:"node"`
 	Release        string      `json:"release"`    // of the program
 	Version        uint64      `json:"version"`    // of the configuration that this machine holds; 0: none yet
-	EvacuatedZones []string    `json:"evacuated"`  // zones
-	ActiveProxies  int         `json:"proxies"`    // that may be sending, as budgets are divided among them
-	ReadyProxies   int         `json:"ready"`      // proxies that the directory may give to clients
+	EvacuatedZones []string    `json:"evacuated"`  // ordered by name
+	ActiveProxies  int         `json:"proxies"`    // that may be sending; budgets are divided by this number
+	ReadyProxies   int         `json:"ready"`      // that the directory may return to clients
 	Discovery      Discovery   `json:"discovery"`  // of runners
-	Partitions     []Partition `json:"partitions"` // replicas of this machine
+	Partitions     []Partition `json:"partitions"` // local replicas
 	Followers      []Follower  `json:"followers"`  // of this machine's feed
-	Members        []Member    `json:"members"`
+	Members        []Member    `json:"members"`    // all processes of the system
 }
 
-// Discovery is how the platform's list of runners is read. The leader of partition 0 reads it.
+// Discovery describes the polling of the platform's list of runners, which the leader of partition 0 does.
 type Discovery struct {
-	Holder       bool   `json:"holder"`      // this machine reads the list
-	ListReceived bool   `json:"answered"`    // the platform has answered since this machine became the holder
-	ListAgeMS    int64  `json:"list_age_ms"` // since the platform's last answer; means something on the holder that was answered
+	Holder       bool   `json:"holder"`      // this machine polls the list
+	ListReceived bool   `json:"answered"`    // the platform has responded since this machine became the holder
+	ListAgeMS    int64  `json:"list_age_ms"` // since the platform's last response; valid if Holder and ListReceived
 	CallCount    uint64 `json:"calls"`       // to the platform since the process started
 }
 
-// Partition is a replica of a partition of the control state.
+// Partition describes the local replica of a partition of the control state.
 type Partition struct {
 	Partition    uint16    `json:"partition"`
-	Replica      string    `json:"replica"` // of this machine
+	Replica      string    `json:"replica"` // ID of the local replica
 	Role         string    `json:"role"`
 	Term         uint64    `json:"term"`
-	Leader       string    `json:"leader"` // replica; empty: none known
+	Leader       string    `json:"leader"` // replica ID; empty: unknown
 	CommitIndex  uint64    `json:"commit"`
 	AppliedIndex uint64    `json:"applied"`
-	LastIndex    uint64    `json:"last"`
+	LastIndex    uint64    `json:"last"` // of the log
 	ItemCount    int       `json:"items"`
-	StalenessMS  int64     `json:"fresh_ms"`           // since a leader that a majority follows was heard
-	LeaseMS      int64     `json:"lease_ms,omitempty"` // of a leader: for which no other can lead
-	Replicas     []Replica `json:"replicas"`
+	StalenessMS  int64     `json:"fresh_ms"`           // since the last contact with a leader that a majority follows
+	LeaseMS      int64     `json:"lease_ms,omitempty"` // remaining lease of a leader
+	Replicas     []Replica `json:"replicas"`           // of the group
 }
 
 // Replica is a member of a partition's group.
 type Replica struct {
-	Replica string `json:"replica"`
+	Replica string `json:"replica"` // ID
 	Node    string `json:"node"`
 	Zone    string `json:"zone"`
 	Address string `json:"address"`
@@ -52,20 +52,20 @@
 // Follower is a member that follows this machine's feed.
 type Follower struct {
 	Node               string `json:"node"`
-	ConfigurationIndex uint64 `json:"configuration"` // index up to which it holds partition 0
-	Behind             bool   `json:"behind"`        // there are changes of the configuration or of evacuations that it has not got
-	SinceLastCallMS    int64  `json:"asked_ms"`      // since its last call
+	ConfigurationIndex uint64 `json:"configuration"` // index that it holds of partition 0
+	Behind             bool   `json:"behind"`        // it lacks changes of the configuration or of evacuations
+	SinceLastCallMS    int64  `json:"asked_ms"`
 }
 
-// Member is a process as the membership has it. Role and what follows it are empty until the member has told them.
+// Member is a process as membership knows it. Role and the fields after it are empty until the member has announced them.
 type Member struct {
 	Node         string `json:"node"`
-	Address      string `json:"address"` // of its machine
-	State        string `json:"state"`
-	StateAgeMS   int64  `json:"since_ms"` // for which it has had that state here
+	Address      string `json:"address"`
+	State        string `json:"state"`    // alive, suspect, dead or left
+	StateAgeMS   int64  `json:"since_ms"` // since this machine has seen it in that state
 	Role         string `json:"role"`
 	Zone         string `json:"zone"`
 	Serving      string `json:"serving"`
-	FrontAddress string `json:"front"`
+	FrontAddress string `json:"front"` // for clients, of a proxy
 	Release      string `json:"release"`
 }
