--- a/internal/dispatcher/cluster/jobreplica/copies_test.go
+++ b/internal/dispatcher/cluster/jobreplica/copies_test.go
@@ -199,11 +199,11 @@
 func TestAnyOneMessageMayBeSpoilt(t *testing.T) {
 	for name, scenario := range scenarios {
 		t.Run(name, func(t *testing.T) {
-			o := mutate.Options{Late: []float64{0.3, 1.5, 9}, Slice: 37, Jobs: 6, Others: []uint64{1, 2, 3, 4}, Forge: jobreplica.Forge}
+			o := mutate.Options{Delays: []float64{0.3, 1.5, 9}, Stride: 37, Parallelism: 6, OtherMembers: []uint64{1, 2, 3, 4}, Variants: jobreplica.Forge}
 			if *mutateAll {
-				o.Slice = 1
+				o.Stride = 1
 			}
-			report, err := mutate.All(func(tamper mutate.Tamper) (string, error) {
+			report, err := mutate.RunAll(func(tamper mutate.Tamper) (string, error) {
 				w := newWorld(1, 4, 3)
 				w.tamper = tamper
 				w.dispatch()
@@ -216,7 +216,7 @@
 				t.Fatal(err)
 			}
 			t.Log(report)
-			for _, b := range report.Broke {
+			for _, b := range report.Violations {
 				if lies[b.Mutation] {
 					t.Logf("message %d %s: %v", b.Message, b.Mutation, b.Err)
 					continue
--- a/internal/dispatcher/cluster/jobreplica/world_test.go
+++ b/internal/dispatcher/cluster/jobreplica/world_test.go
@@ -18,7 +18,7 @@
 // any member; members send what waits, under agreed fences, and workers keep their own books.
 type world struct {
 	now      float64
-	agenda   eventqueue.Agenda
+	agenda   eventqueue.Queue
 	rng      *rand.Rand
 	places   []*place
 	sent     int
@@ -60,13 +60,13 @@
 	asked  map[string]jobstate.Command
 }
 
-func (w *world) at(at float64, do func()) { w.agenda.At(at, do) }
+func (w *world) at(at float64, do func()) { w.agenda.Schedule(at, do) }
 
 var bounds = jobstate.Bounds{Bytes: 1 << 20, TenantBytes: 1 << 20, JobBytes: 8 << 10, ResultMS: 600_000}
 
 // newWorld is a fleet of n members of which the first so many found the state.
 func newWorld(seed uint64, n, many int) *world {
-	w := &world{now: 1000, rng: rand.New(rand.NewPCG(seed, 5)), tamper: mutate.Plain, copies: many, acked: map[string]uint64{},
+	w := &world{now: 1000, rng: rand.New(rand.NewPCG(seed, 5)), tamper: mutate.DeliverUnchanged, copies: many, acked: map[string]uint64{},
 		told: map[uint64]jobstate.JobState{}, books: map[uint64][]work{}, agreed: map[uint64]uint64{}, held: map[uint64]string{}}
 	for i := range n {
 		p := &place{i: i}
@@ -206,7 +206,7 @@
 }
 
 func (w *world) carry(from *place, d mutate.Delivery) {
-	late := d.Late + 0.001 + 0.002*w.rng.Float64()
+	late := d.Delay + 0.001 + 0.002*w.rng.Float64()
 	for _, to := range w.places {
 		if to.member.ID != d.To || to.copy == nil || w.rng.Float64() < w.drop || w.cut != nil && w.cut(from.i, to.i) {
 			continue
@@ -373,7 +373,7 @@
 
 func (w *world) run1(until float64) {
 	for w.breach == nil {
-		at, do, is := w.agenda.Next(until)
+		at, do, is := w.agenda.PopUntil(until)
 		if !is {
 			break
 		}
--- a/internal/dispatcher/cluster/quota/crowd_test.go
+++ b/internal/dispatcher/cluster/quota/crowd_test.go
@@ -28,7 +28,7 @@
 	bal     *loadbalancer.Balancer
 	div     *quota.Calculator
 	place   quota.Share
-	net     *virtualcluster.Net
+	net     *virtualcluster.Network
 	sum     *workerLoad
 	next    loadbalancer.RequestID
 	out     []attempt
@@ -83,7 +83,7 @@
 // testCluster is a virtual fleet of dispatchers round one worker that is cold all the time.
 type testCluster struct {
 	t      *testing.T
-	net    *virtualcluster.Net
+	net    *virtualcluster.Network
 	all    map[*virtualcluster.Node]*testDispatcher
 	list   []*testDispatcher
 	sum    workerLoad
@@ -94,16 +94,16 @@
 }
 
 func newTestCluster(t *testing.T, seed uint64, n, told int, off bool) *testCluster {
-	f := &testCluster{t: t, net: virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: 0.05, Delay: 0.002, Jitter: 0.02, Period: 0.5}, n), told: told, off: off,
+	f := &testCluster{t: t, net: virtualcluster.New(virtualcluster.Options{Seed: seed, LossRate: 0.05, Delay: 0.002, Jitter: 0.02, ProbeInterval: 0.5}, n), told: told, off: off,
 		all: map[*virtualcluster.Node]*testDispatcher{}, rng: rand.New(rand.NewPCG(seed, 3))}
-	f.net.Each = func(node *virtualcluster.Node) {
+	f.net.AfterEvent = func(node *virtualcluster.Node) {
 		if d := f.all[node]; d != nil {
 			d.divide()
 		}
 	}
 	f.sum.since = f.net.Now
 	for at := f.net.Now; at < f.net.Now+400; at += 0.005 {
-		f.net.At(at, f.step)
+		f.net.Schedule(at, f.step)
 	}
 	return f
 }
@@ -116,7 +116,7 @@
 		f.t.Fatal(err)
 	}
 	d.bal = bal
-	d.div = quota.New(quota.Config{Instances: f.told, Index: i % f.told, ProbeInterval: f.net.Period, LoadDecay: 2, AllMembers: true})
+	d.div = quota.New(quota.Config{Instances: f.told, Index: i % f.told, ProbeInterval: f.net.ProbeInterval, LoadDecay: 2, AllMembers: true})
 	bal.Start(f.net.Now)
 	bal.UpdateWorkers(f.net.Now, loadbalancer.ListFull, []loadbalancer.Worker{{ID: 7, State: loadbalancer.Ready, StartedAt: f.sum.since}})
 	for j, old := range f.list {
@@ -131,10 +131,10 @@
 }
 
 func (d *testDispatcher) divide() {
-	if d.off || d.node.Machine == nil {
+	if d.off || d.node.Membership == nil {
 		return
 	}
-	v := d.node.Machine.View()
+	v := d.node.Membership.View()
 	p := d.div.Share(d.net.Now, &v)
 	if p.Equal(&d.place) {
 		return
@@ -154,19 +154,19 @@
 	if now >= f.sum.since+9 {
 		f.sum.since, f.sum.sends = now, nil
 		for _, d := range f.list {
-			if d.node.Machine != nil {
+			if d.node.Membership != nil {
 				d.bal.UpdateWorkers(now, loadbalancer.ListDelta, []loadbalancer.Worker{{ID: 7, State: loadbalancer.Ready, StartedAt: now}})
 			}
 		}
 	}
 	f.unseen()
 	for _, d := range f.list {
-		if d.node.Machine == nil || d.node.Paused || d.stopped {
+		if d.node.Membership == nil || d.node.Paused || d.stopped {
 			continue
 		}
 		if d.slept { // the loop tells it before anything else
 			d.slept = false
-			d.node.Machine.HandlePause(now)
+			d.node.Membership.HandlePause(now)
 			d.divide()
 			f.net.Flush(d.node)
 		}
@@ -189,7 +189,7 @@
 	for _, a := range f.list {
 		for _, b := range f.list {
 			sends := func(d *testDispatcher) bool {
-				return d.node.Machine != nil && !d.node.Paused && !d.slept && d.place.Fraction == 1 && d.place.Keys != nil
+				return d.node.Membership != nil && !d.node.Paused && !d.slept && d.place.Fraction == 1 && d.place.Keys != nil
 			}
 			if a != b && sends(a) && sends(b) && !slices.Contains(b.place.Keys, membership.Key(a.node.Name)) {
 				f.missed++
@@ -238,10 +238,10 @@
 				}
 				return false
 			}
-			f.net.Cut = func(a, b *virtualcluster.Node) bool { return in(a) != in(b) }
+			f.net.Partitioned = func(a, b *virtualcluster.Node) bool { return in(a) != in(b) }
 			f.run(90)
 			f.check(fmt.Sprintf("cut %d to %d", side, n-side))
-			f.net.Cut = nil
+			f.net.Partitioned = nil
 			f.run(30)
 			f.check("healed")
 			stalled := f.all[f.net.Nodes[f.rng.IntN(n)]]
@@ -258,7 +258,7 @@
 			}
 			f.run(20)
 			for i := range n {
-				if f.net.Nodes[i].Machine == nil {
+				if f.net.Nodes[i].Membership == nil {
 					f.start(i)
 				}
 			}
@@ -280,7 +280,7 @@
 		f.run(20)
 		for _, node := range f.net.Nodes[5:] {
 			f.all[node].stopped = true
-			node.Machine.Leave(f.net.Now)
+			node.Membership.Leave(f.net.Now)
 			f.net.Flush(node)
 		}
 		f.run(20)
--- a/internal/dispatcher/cluster/versions/fleet_test.go
+++ b/internal/dispatcher/cluster/versions/fleet_test.go
@@ -16,17 +16,17 @@
 const src = "10.0.0.9:8500"
 
 // newTestCluster is members of a virtual fleet that hold one list of some ready workers.
-func newTestCluster(t *testing.T, seed uint64, n int, loss float64) (*virtualcluster.Net, map[*virtualcluster.Node]*versions.Table) {
-	net := virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: loss, Delay: 0.002, Jitter: 0.01}, n)
+func newTestCluster(t *testing.T, seed uint64, n int, loss float64) (*virtualcluster.Network, map[*virtualcluster.Node]*versions.Table) {
+	net := virtualcluster.New(virtualcluster.Options{Seed: seed, LossRate: loss, Delay: 0.002, Jitter: 0.01}, n)
 	boards := map[*virtualcluster.Node]*versions.Table{}
-	net.Rider = func(node *virtualcluster.Node) membership.Delegate {
+	net.NewDelegate = func(node *virtualcluster.Node) membership.Delegate {
 		b := versions.New(node.Name)
 		b.ApplyList(net.Now, src, 5, false, []versions.Entry{{Worker: "x"}, {Worker: "y"}})
 		boards[node] = b
 		return b
 	}
 	net.StartAll(1)
-	if _, ok := net.Until(120, 0.5, func() bool { one, alive := net.Agreed(); return loss > 0.1 || one && alive == n }); !ok {
+	if _, ok := net.RunUntil(120, 0.5, func() bool { one, alive := net.Converged(); return loss > 0.1 || one && alive == n }); !ok {
 		t.Fatal("no fleet")
 	}
 	net.Run(net.Now + 15)
@@ -54,7 +54,7 @@
 					net.Pause(sleeper)
 					first := net.Nodes[seed%uint64(n-1)]
 					boards[first].ApplyList(net.Now, src, 6, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
-					first.Machine.GossipNow(net.Now)
+					first.Membership.GossipNow(net.Now)
 					net.Flush(first)
 					known := func(nodes []*virtualcluster.Node) bool {
 						for _, node := range nodes {
@@ -64,14 +64,14 @@
 						}
 						return true
 					}
-					span, ok := net.Until(60, 0.02, func() bool { return known(net.Nodes[:n-1]) })
+					span, ok := net.RunUntil(60, 0.02, func() bool { return known(net.Nodes[:n-1]) })
 					if !ok {
 						t.Fatalf("seed %d: not known to all after 60 periods", seed)
 					}
 					took = append(took, span)
 					net.Run(net.Now + 30)
 					net.Resume(sleeper)
-					if span, ok := net.Until(30, 0.02, func() bool { return known(net.Nodes) }); !ok {
+					if span, ok := net.RunUntil(30, 0.02, func() bool { return known(net.Nodes) }); !ok {
 						t.Errorf("seed %d: one that slept does not know it after 30 periods", seed)
 					} else if loss == 0 && span > 3 {
 						t.Errorf("seed %d: one that slept knows it after %.2f periods", seed, span)
--- a/internal/dispatcher/cluster/versions/hard_test.go
+++ b/internal/dispatcher/cluster/versions/hard_test.go
@@ -31,9 +31,9 @@
 	for seed := uint64(1); seed <= 5; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		boards, skews := map[*virtualcluster.Node]*versions.Table{}, map[string]float64{}
-		net := virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: 0.05, Delay: 0.002, Jitter: 0.01}, 8)
+		net := virtualcluster.New(virtualcluster.Options{Seed: seed, LossRate: 0.05, Delay: 0.002, Jitter: 0.01}, 8)
 		best := map[[2]string]float64{}
-		net.Rider = func(node *virtualcluster.Node) membership.Delegate {
+		net.NewDelegate = func(node *virtualcluster.Node) membership.Delegate {
 			b, by := versions.New(node.Name), 4*rng.Float64()-2
 			boards[node], skews[node.Name] = b, by
 			b.ApplyList(net.Now+by, src, 5, false, nil)
@@ -52,7 +52,7 @@
 				if i > 2 && s%2 == 0 {
 					b.HandleDiscoveryContact(net.Now + by)
 				}
-				v := node.Machine.View()
+				v := node.Membership.View()
 				if b.UpdateLease(net.Now+by, &v); s > 20 && b.Lease.State() != lease.Held {
 					t.Fatalf("seed %d: %s is %v: %s", seed, node.Name, b.Lease.State(), b.Lease.Reason)
 				}
@@ -104,7 +104,7 @@
 	for _, node := range asleep {
 		net.Resume(node)
 	}
-	took, ok := net.Until(300, 0.1, func() bool {
+	took, ok := net.RunUntil(300, 0.1, func() bool {
 		return !slices.ContainsFunc(asleep, func(node *virtualcluster.Node) bool { return len(boards[node].Restrictions()) < drains })
 	})
 	if !ok {
@@ -144,13 +144,13 @@
 	for node, b := range boards {
 		answered[node] = b.Stats.Replies
 	}
-	net.Each = func(node *virtualcluster.Node) { // an answer has gone out, and not all of it
-		if node != straggler && node.Machine != nil && killed < 2 && boards[node].Stats.Replies > answered[node] {
+	net.AfterEvent = func(node *virtualcluster.Node) { // an answer has gone out, and not all of it
+		if node != straggler && node.Membership != nil && killed < 2 && boards[node].Stats.Replies > answered[node] {
 			killed++
-			net.At(net.Now, func() { net.Kill(node) })
+			net.Schedule(net.Now, func() { net.Kill(node) })
 		}
 	}
-	took, ok := net.Until(120, 0.1, func() bool { return len(boards[straggler].Restrictions()) == 400 })
+	took, ok := net.RunUntil(120, 0.1, func() bool { return len(boards[straggler].Restrictions()) == 400 })
 	if !ok || killed != 2 {
 		t.Fatalf("%d of 400 known after %.0f periods; %d killed", len(boards[straggler].Restrictions()), took, killed)
 	}
@@ -164,8 +164,8 @@
 		a, b := net.Nodes[1], net.Nodes[5]
 		boards[a].ApplyList(net.Now, src, 6, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
 		boards[b].ApplyList(net.Now, src, 7, false, []versions.Entry{{Worker: "x"}, {Worker: "y", State: versions.Draining}})
-		a.Machine.GossipNow(net.Now)
-		b.Machine.GossipNow(net.Now)
+		a.Membership.GossipNow(net.Now)
+		b.Membership.GossipNow(net.Now)
 		net.Flush(b)
 		net.Flush(a)
 		net.Run(net.Now + 60)
@@ -208,7 +208,7 @@
 		}
 	}
 	boards[away].ApplyList(net.Now, other, 90, false, []versions.Entry{{Worker: "x"}, {Worker: "y"}}) // a little behind
-	if _, ok := net.Until(60, 0.1, func() bool { return boards[away].Restrictions()["x"].State == versions.Draining }); !ok {
+	if _, ok := net.RunUntil(60, 0.1, func() bool { return boards[away].Restrictions()["x"].State == versions.Draining }); !ok {
 		t.Error("moved, and not brought up")
 	}
 }
--- a/internal/dispatcher/cluster/versions/lease_test.go
+++ b/internal/dispatcher/cluster/versions/lease_test.go
@@ -19,7 +19,7 @@
 
 // leaseSimulation plays discovery and the leases of a virtual fleet on, a second at a time.
 type leaseSimulation struct {
-	net              *virtualcluster.Net
+	net              *virtualcluster.Network
 	boards           map[*virtualcluster.Node]*versions.Table
 	withoutDiscovery map[*virtualcluster.Node]bool // its discovery says nothing
 	group            map[*virtualcluster.Node]int  // those of another one hear nothing of it
@@ -31,7 +31,7 @@
 func newLeaseSimulation(t *testing.T, seed uint64, n int, loss float64) *leaseSimulation {
 	net, boards := newTestCluster(t, seed, n, loss)
 	l := &leaseSimulation{net: net, boards: boards, withoutDiscovery: map[*virtualcluster.Node]bool{}, group: map[*virtualcluster.Node]int{}, informedSince: map[*virtualcluster.Node]float64{}}
-	net.Cut = func(from, to *virtualcluster.Node) bool { return l.group[from] != l.group[to] }
+	net.Partitioned = func(from, to *virtualcluster.Node) bool { return l.group[from] != l.group[to] }
 	l.run(30)
 	return l
 }
@@ -49,9 +49,9 @@
 			if node.Paused {
 				continue
 			}
-			b, v := sim.boards[node], node.Machine.View()
+			b, v := sim.boards[node], node.Membership.View()
 			b.UpdateLease(sim.net.Now, &v)
-			node.Machine.SetMetadata(sim.net.Now, membership.Metadata{Zone: "z", Lease: b.Lease.State()})
+			node.Membership.SetMetadata(sim.net.Now, membership.Metadata{Zone: "z", Lease: b.Lease.State()})
 			if b.Lease.State() == lease.Out {
 				out++
 			}
--- a/internal/dispatcher/exporter/metrics_test.go
+++ b/internal/dispatcher/exporter/metrics_test.go
@@ -82,18 +82,18 @@
 // has waits until a receiver has every period of n, once each by its stamp, with the right total in each.
 func (b *bench) has(s *receivers.Store, series string, n int) {
 	b.t.Helper()
-	b.eventually(fmt.Sprintf("%d periods of %s", n, series), func() bool { return len(s.Stamps(series)) >= n })
+	b.eventually(fmt.Sprintf("%d periods of %s", n, series), func() bool { return len(s.Timestamps(series)) >= n })
 	var want []float64
 	for i := range n {
 		want = append(want, float64(1_700_000_000+10*(i+1)))
 	}
-	if d := cmp.Diff(want, s.Stamps(series)); d != "" {
+	if d := cmp.Diff(want, s.Timestamps(series)); d != "" {
 		b.t.Error(d)
 	}
-	if got := s.Growth(series); got != float64(n) {
+	if got := s.CounterIncrease(series); got != float64(n) {
 		b.t.Errorf("%v answers at the receiver, %d given", got, n)
 	}
-	if bad := s.Bad(); len(bad) > 0 {
+	if bad := s.Malformed(); len(bad) > 0 {
 		b.t.Errorf("%d things made no sense, such as %s", len(bad), bad[0])
 	}
 	if _, _, moved := s.Counts(); moved > 0 {
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.Away)
+	t.Cleanup(c.Stop)
 	return c, GraphiteOptions{Address: netip.MustParseAddrPort(c.Addr()), Prefix: "cinderroad", Pickle: pickle, Confirm: true, Patience: 0.4}
 }
 
@@ -118,40 +118,45 @@
 			"away": func(b *bench, c *receivers.Carbon, n func(int)) {
 				n(3)
 				b.eventually("the word that it has them", func() bool { return b.held() == 0 })
-				c.Away()
+				c.Stop()
 				n(40)
-				if err := c.Back(); err != nil {
+				if err := c.Restart(); err != nil {
 					b.t.Fatal(err)
 				}
 				n(2)
 			},
 			"stalled": func(b *bench, c *receivers.Carbon, n func(int)) { // its kernel takes what it never reads
 				n(1)
-				c.Stall(true)
+				c.SetStalled(true)
 				n(20)
 				b.eventually("a try given up", func() bool { return b.state(0).Breaks > 1 })
-				c.Stall(false)
+				c.SetStalled(false)
 				n(1)
 			},
 			"dies with bytes unread": func(b *bench, c *receivers.Carbon, n func(int)) {
-				c.Stall(true)
+				c.SetStalled(true)
 				n(5)
 				b.eventually("bytes in its kernel", func() bool { return b.state(0).Points > 0 && c.Accepted() > 0 })
-				c.Away()
-				c.Stall(false)
-				if err := c.Back(); err != nil {
+				c.Stop()
+				c.SetStalled(false)
+				if err := c.Restart(); err != nil {
 					b.t.Fatal(err)
 				}
 			},
 			"cut in the midst of a line, again and again": func(b *bench, c *receivers.Carbon, n func(int)) {
 				for i := range 4 {
-					c.Cut(1 + 333*i*i)
+					c.ResetAfter(1 + 333*i*i)
 					n(2)
 					b.eventually("the cut", func() bool { return b.state(0).Breaks > uint64(i) })
 					b.eventually("all of it", func() bool { return b.held() == 0 })
 				}
 			},
-			"slow": func(_ *bench, c *receivers.Carbon, n func(int)) { c.Slow(2000); n(3); c.Slow(20000); n(3) },
+			"slow": func(_ *bench, c *receivers.Carbon, n func(int)) {
+				c.SetReadSize(2000)
+				n(3)
+				c.SetReadSize(20000)
+				n(3)
+			},
 		} {
 			t.Run(fmt.Sprintf("%s, pickle %v", name, pickle), func(t *testing.T) {
 				t.Parallel()
@@ -188,14 +193,14 @@
 	b := start(t, 1<<20, NewGraphite(o))
 	b.periods(3)
 	b.eventually("the word that it has them", func() bool { return b.held() == 0 })
-	c.Away()
-	c.Forget()
+	c.Stop()
+	c.Reset()
 	b.periods(2)
-	if err := c.Back(); err != nil {
+	if err := c.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	b.periods(1)
-	b.eventually("three periods", func() bool { return len(c.Stamps(served)) == 3 })
+	b.eventually("three periods", func() bool { return len(c.Timestamps(served)) == 3 })
 	if v, _ := c.Last(served); v != 6 {
 		t.Errorf("total %v of 6", v)
 	}
@@ -214,8 +219,8 @@
 		b.wall = b.wall.Add(10 * time.Second)
 		b.feed.CloseNow()
 	})
-	b.eventually("both periods", func() bool { return b.held() == 0 && len(c.Stamps(served)) == 2 })
-	if v, _ := c.Last(served); v != 2 || c.Growth(served) != 2 {
+	b.eventually("both periods", func() bool { return b.held() == 0 && len(c.Timestamps(served)) == 2 })
+	if v, _ := c.Last(served); v != 2 || c.CounterIncrease(served) != 2 {
 		t.Errorf("total %v of 2", v)
 	}
 }
@@ -223,16 +228,16 @@
 // A relay that never closes is served on a connection that stays, if the operator says so.
 func TestARelayThatNeverCloses(t *testing.T) {
 	c, o := carbon(t, false)
-	c.Keep(true)
+	c.KeepOpen(true)
 	o.Confirm = false
 	b := start(t, 1<<20, NewGraphite(o))
 	b.periods(3)
 	b.has(&c.Store, served, 3)
 	b.periods(3)
 	b.has(&c.Store, served, 6)
-	c.Away()
+	c.Stop()
 	b.periods(2)
-	if err := c.Back(); err != nil {
+	if err := c.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	b.periods(2)
@@ -246,20 +251,20 @@
 func TestTwoReceiversOfWhichOneIsDown(t *testing.T) {
 	c, o := carbon(t, false)
 	away, p := carbon(t, false)
-	away.Away()
+	away.Stop()
 	b := start(t, 4000, NewGraphite(o), NewGraphite(p))
 	for i := range 20 { // no faster than a receiver can take them: the ring is small
 		b.periods(3)
 		b.has(&c.Store, served, 3*(i+1))
 	}
-	if err := away.Back(); err != nil {
+	if err := away.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	b.eventually("the last period", func() bool { v, _ := away.Last(served); return v == 60 })
 	var dropped uint64
 	b.do(func() { dropped = b.feed.Ring().Dropped })
-	if got := len(away.Stamps(served)); dropped == 0 || got+int(dropped) != 60 || away.Growth(served) != 60 {
-		t.Errorf("%d periods came and %d were dropped of 60; total %v", got, dropped, away.Growth(served))
+	if got := len(away.Timestamps(served)); dropped == 0 || got+int(dropped) != 60 || away.CounterIncrease(served) != 60 {
+		t.Errorf("%d periods came and %d were dropped of 60; total %v", got, dropped, away.CounterIncrease(served))
 	}
 }
 
@@ -272,11 +277,11 @@
 	b.periods(2)
 	b.has(&old.Store, served, 2)
 	b.eventually("the word that it has them", func() bool { return b.held() == 0 })
-	old.Away()
+	old.Stop()
 	b.periods(5)
 	b.do(func() { b.feed.Replace(was, NewGraphite(p)) })
 	b.periods(1)
-	b.eventually("six periods", func() bool { return len(fresh.Stamps(served)) == 6 })
+	b.eventually("six periods", func() bool { return len(fresh.Timestamps(served)) == 6 })
 	if v, _ := fresh.Last(served); v != 8 {
 		t.Errorf("total %v", v)
 	}
@@ -296,9 +301,9 @@
 	b.periods(3)
 	b.do(func() { b.wall = b.wall.Add(time.Hour) })
 	b.periods(1)
-	b.eventually("all periods", func() bool { return len(c.Stamps(served)) == 6 })
+	b.eventually("all periods", func() bool { return len(c.Timestamps(served)) == 6 })
 	want := []float64{1_700_000_010, 1_700_000_020, 1_700_000_021, 1_700_000_022, 1_700_000_023, 1_700_000_060}
-	if d := cmp.Diff(want, c.Stamps(served)); d != "" {
+	if d := cmp.Diff(want, c.Timestamps(served)); d != "" {
 		t.Error(d)
 	}
 }
@@ -312,24 +317,24 @@
 		"away": func(b *bench, c *receivers.Collectd, n func(int)) {
 			n(2)
 			b.has(&c.Store, servedThere, 2)
-			c.Away()
+			c.Stop()
 			n(20)
-			if err := c.Back(); err != nil {
+			if err := c.Restart(); err != nil {
 				b.t.Fatal(err)
 			}
 			n(2)
 		},
 		"silent": func(b *bench, c *receivers.Collectd, n func(int)) {
-			c.Stall(true)
+			c.SetStalled(true)
 			n(10)
 			b.eventually("a try given up", func() bool { return b.state(0).Breaks > 1 })
-			c.Stall(false)
+			c.SetStalled(false)
 		},
 		"cut": func(b *bench, c *receivers.Collectd, n func(int)) {
 			for i := range 4 {
-				c.Away()
-				c.Cut(1 + 333*i*i)
-				if err := c.Back(); err != nil {
+				c.Stop()
+				c.ResetAfter(1 + 333*i*i)
+				if err := c.Restart(); err != nil {
 					b.t.Fatal(err)
 				}
 				b.eventually("the end of the connection", func() bool { return b.state(0).Breaks >= uint64(i) })
@@ -338,7 +343,7 @@
 				b.eventually("all of it", func() bool { return b.held() == 0 })
 			}
 		},
-		"slow": func(_ *bench, c *receivers.Collectd, n func(int)) { c.Slow(3000); n(4) },
+		"slow": func(_ *bench, c *receivers.Collectd, n func(int)) { c.SetReadSize(3000); n(4) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -360,20 +365,20 @@
 func TestCollectdNetwork(t *testing.T) {
 	for name, security := range map[string]Security{"none": None, "sign": Sign, "encrypt": Encrypt} {
 		t.Run(name, func(t *testing.T) {
-			n, err := receivers.NewNetwork("127.0.0.1:0", name, map[string]string{"cinder": "geheim"})
+			n, err := receivers.NewCollectdNetwork("127.0.0.1:0", name, map[string]string{"cinder": "geheim"})
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer n.Away()
+			defer n.Stop()
 			o := NetworkOptions{Address: netip.MustParseAddrPort(n.Addr()), Security: security, Username: "cinder", Password: "geheim"}
 			b := start(t, 1<<20, NewNetwork(o))
 			b.periods(3)
 			b.has(&n.Store, servedThere, 3)
 			b.eventually("nothing held", func() bool { return b.held() == 0 })
-			n.Away()
+			n.Stop()
 			b.periods(4)
 			b.eventually("a refusal", func() bool { return b.state(0).Breaks > 0 })
-			if err := n.Back(); err != nil {
+			if err := n.Restart(); err != nil {
 				t.Fatal(err)
 			}
 			b.periods(1)
@@ -390,7 +395,7 @@
 			w := start(t, 1<<20, NewNetwork(wrong))
 			before, _, _ := n.Counts()
 			w.periods(1)
-			w.eventually("packets turned away", func() bool { return len(n.Bad()) > 0 })
+			w.eventually("packets turned away", func() bool { return len(n.Malformed()) > 0 })
 			if after, _, _ := n.Counts(); after != before {
 				t.Errorf("%d points with a wrong password", after-before)
 			}
@@ -429,18 +434,18 @@
 				var store *receivers.Store
 				switch form {
 				case "network":
-					n, err := receivers.NewNetwork("127.0.0.1:0", "encrypt", map[string]string{"u": "p"})
+					n, err := receivers.NewCollectdNetwork("127.0.0.1:0", "encrypt", map[string]string{"u": "p"})
 					if err != nil {
 						b.Fatal(err)
 					}
-					defer n.Away()
+					defer n.Stop()
 					out, store = NewNetwork(NetworkOptions{Address: netip.MustParseAddrPort(n.Addr()), Security: Encrypt, Username: "u", Password: "p"}), &n.Store
 				case "socket":
 					c, err := receivers.NewCollectd(filepath.Join(b.TempDir(), "c"))
 					if err != nil {
 						b.Fatal(err)
 					}
-					defer c.Away()
+					defer c.Stop()
 					out, store = NewCollectd(c.Addr(), 20), &c.Store
 				default:
 					c, o := carbon(b, form == "pickle")
@@ -460,7 +465,7 @@
 						l := w.loop.TakeIterationStats().Longest
 						longest, sum, n = max(longest, l), sum+l, n+1
 					})
-					store.Forget()
+					store.Reset()
 				}
 				b.ReportMetric(1000*longest, "ms-longest-turn")
 				b.ReportMetric(1000*sum/float64(n), "ms-mean-longest")
--- a/internal/dispatcher/exporter/packet_test.go
+++ b/internal/dispatcher/exporter/packet_test.go
@@ -67,12 +67,12 @@
 			}
 			got = append(got, value{l.Identifier.String(), l.Time.Round(time.Second), v})
 		}
-		points, err := receivers.Decode(b, map[Security]string{None: "none", Sign: "sign", Encrypt: "encrypt"}[security], map[string]string{user: "geheim"})
+		points, err := receivers.DecodePacket(b, map[Security]string{None: "none", Sign: "sign", Encrypt: "encrypt"}[security], map[string]string{user: "geheim"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, q := range points {
-			there = append(there, value{q.Series, time.UnixMilli(int64(q.At*1000 + 0.5)).Round(time.Second), q.V})
+			there = append(there, value{q.Series, time.UnixMilli(int64(q.Time*1000 + 0.5)).Round(time.Second), q.Value})
 		}
 		if d := cmp.Diff(want, got); d != "" {
 			t.Fatalf("the library: %s", d)
@@ -97,9 +97,9 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for i := range len(b) {
-			_, _ = receivers.Decode(b[:i], "none", map[string]string{"u": "p"})
+			_, _ = receivers.DecodePacket(b[:i], "none", map[string]string{"u": "p"})
 		}
-		if points, err := receivers.Decode(b, "encrypt", map[string]string{"u": "other"}); len(points) > 0 {
+		if points, err := receivers.DecodePacket(b, "encrypt", map[string]string{"u": "other"}); len(points) > 0 {
 			t.Fatalf("%d points without the key: %v", len(points), err)
 		}
 	})
@@ -108,5 +108,5 @@
 func FuzzUnpickle(f *testing.F) {
 	f.Add([]byte("(lp0\n(Va\np1\n(I5\nF1.5\ntta."))
 	f.Add([]byte{0x80, 2, ']', '(', 'X', 1, 0, 0, 0, 'a', 'K', 1, 'K', 2, 0x86, 0x86, 'e', '.'})
-	f.Fuzz(func(t *testing.T, b []byte) { _, _ = receivers.Unpickle(b) })
+	f.Fuzz(func(t *testing.T, b []byte) { _, _ = receivers.DecodePickle(b) })
 }
--- a/internal/dispatcher/server/cost_test.go
+++ b/internal/dispatcher/server/cost_test.go
@@ -88,8 +88,8 @@
 		c.spans(2000, 6)
 		crews[name] = c
 	}
-	stalled.carbon.Stall(true)
-	stalled.collectd.Stall(true)
+	stalled.carbon.SetStalled(true)
+	stalled.collectd.SetStalled(true)
 	const jobs = 6000
 	perJob, slowest := map[string][]float64{}, map[string][]float64{}
 	for range rounds {
@@ -101,8 +101,8 @@
 			slowest[name] = append(slowest[name], 1e3*spans[len(spans)*99/100])
 		}
 	}
-	stalled.carbon.Stall(false)
-	stalled.collectd.Stall(false)
+	stalled.carbon.SetStalled(false)
+	stalled.collectd.SetStalled(false)
 	var b strings.Builder
 	for _, name := range names {
 		x, y := perJob[name], slowest[name]
--- a/internal/dispatcher/server/fleet_audit_test.go
+++ b/internal/dispatcher/server/fleet_audit_test.go
@@ -64,14 +64,14 @@
 // The files of a run: nothing is wrong with them, also where one member's clock was two seconds behind and another's two ahead; a send
 // against what its sender knew, and entries that are taken out, are named, and nothing else.
 func TestFleetAudit(t *testing.T) {
-	r := fleetOf(t, processcluster.Options{Jobs: 40})
+	r := fleetOf(t, processcluster.Options{JobsPerSecond: 40})
 	n := len(r.Members)
-	r.Settled(n)
+	r.WaitConverged(n)
 	slow, drains := r.Members[1], r.Runners[2]
-	slow.ListWay().Set(receivers.Link{Silent: true}) // its peers tell it
+	slow.DiscoveryLink().SetLink(receivers.Link{Blackhole: true}) // its peers tell it
 	for _, state := range []string{"draining", "ready", "draining"} {
-		drains.Set(state)
-		r.Discovery.Tell()
+		drains.SetState(state)
+		r.Discovery.Publish()
 		r.Eventually("it is told by peers", func() bool { return withholds(slow, drains.Name) == (state == "draining") })
 		time.Sleep(time.Second)
 	}
@@ -79,7 +79,7 @@
 		return !slices.ContainsFunc(r.Audit().Clocks, func(o auditlog.ClockOffset) bool { return !o.Known })
 	})
 	r.Check()
-	files := r.Files()
+	files := r.AuditFiles()
 	if len(files) != 2*n {
 		t.Fatalf("%v", files)
 	}
--- a/internal/dispatcher/server/fleet_cost_test.go
+++ b/internal/dispatcher/server/fleet_cost_test.go
@@ -23,15 +23,15 @@
 	costs := map[string][]float64{}
 	turn := func(name, path string, members int, off bool) {
 		t.Run(name, func(t *testing.T) {
-			r := processcluster.Start(t, processcluster.Options{Program: path, Members: members, Runners: 4, Jobs: 400, WorkS: 0.002, SlotsOf: 16, Off: off, Period: 1})
+			r := processcluster.Start(t, processcluster.Options{Program: path, Members: members, Runners: 4, JobsPerSecond: 400, JobSeconds: 0.002, RunnerSlots: 16, Standalone: off, ProbeIntervalSeconds: 1})
 			m := r.Members[0]
 			for _, o := range r.Members[1:] { // they are there, and idle
-				o.Rest()
+				o.StopClients()
 			}
 			time.Sleep(time.Second)
-			before, served := cpuOf(t, m.Pid()), r.Served()
+			before, served := cpuOf(t, m.PID()), r.ServedJobs()
 			time.Sleep(5 * time.Second)
-			spent, jobs := cpuOf(t, m.Pid())-before, r.Served()-served
+			spent, jobs := cpuOf(t, m.PID())-before, r.ServedJobs()-served
 			costs[name] = append(costs[name], 1e6*spent/float64(jobs))
 			r.Check()
 		})
--- a/internal/dispatcher/server/fleet_lease_test.go
+++ b/internal/dispatcher/server/fleet_lease_test.go
@@ -12,13 +12,13 @@
 
 // fleetCommand runs an operators' command at a member.
 func fleetCommand(m *processcluster.Member, args ...string) (string, error) {
-	out, err := exec.Command(program, append([]string{"fleet", "--console", m.Console}, args...)...).CombinedOutput()
+	out, err := exec.Command(program, append([]string{"fleet", "--console", m.AdminAddress}, args...)...).CombinedOutput()
 	return string(out), err
 }
 
 // shutOut counts the members that take no new work.
-func shutOut(r *processcluster.Rig) (n int) {
-	for _, m := range r.Running() {
+func shutOut(r *processcluster.Cluster) (n int) {
+	for _, m := range r.RunningMembers() {
 		if health(m) == 503 {
 			n++
 		}
@@ -29,12 +29,12 @@
 // A member is shut out by hand through one that has no way to it, ends with every answer given, refuses with a wait, is seen so by
 // all, and is brought back; no more than a third can be; one that starts anew is still out.
 func TestFleetShutOutByHand(t *testing.T) {
-	r := fleetOf(t, processcluster.Options{Jobs: 40})
+	r := fleetOf(t, processcluster.Options{JobsPerSecond: 40})
 	n := len(r.Members)
-	r.Settled(n)
+	r.WaitConverged(n)
 	caller, one, other := r.Members[0], r.Members[n-1], r.Members[1]
-	r.Link(caller, one, receivers.Link{Silent: true})
-	r.Link(one, caller, receivers.Link{Silent: true})
+	r.SetLink(caller, one, receivers.Link{Blackhole: true})
+	r.SetLink(one, caller, receivers.Link{Blackhole: true})
 	if out, err := fleetCommand(caller, "shut-out", one.Name); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
@@ -57,30 +57,30 @@
 	if out, err := fleetCommand(caller, "shut-out", "nobody"); err == nil || !strings.Contains(out, "nobody") {
 		t.Errorf("a name that nobody has: %v: %s", err, out)
 	}
-	one.Rest()
+	one.StopClients()
 	one.Kill()
 	one.Start() // what it was told is the fleet's to remember
 	r.Eventually("it is out again", func() bool { return health(one) == 503 })
 	if out, err := fleetCommand(caller, "bring-back", one.Name); err != nil {
 		t.Errorf("%v: %s", err, out)
 	}
-	one.Serves()
-	r.Heal()
+	one.WaitServing()
+	r.ClearLinks()
 	for i := 1; i < n/3; i++ {
 		if out, err := fleetCommand(caller, "bring-back", r.Members[i+1].Name); err != nil {
 			t.Errorf("%v: %s", err, out)
 		}
 	}
-	r.Settled(n)
+	r.WaitConverged(n)
 	at := took(r, one)
 	r.Eventually("it has work again", func() bool { return took(r, one) > at+5 })
 	r.Check()
 }
 
 // took is how many jobs a member has sent to any runner.
-func took(r *processcluster.Rig, m *processcluster.Member) (n int) {
+func took(r *processcluster.Cluster, m *processcluster.Member) (n int) {
 	for _, u := range r.Runners {
-		n += u.Took(m)
+		n += u.JobsFrom(m)
 	}
 	return n
 }
@@ -95,49 +95,49 @@
 }
 
 func cutOffIsShutOut(t *testing.T, n, which int) {
-	r := fleetOf(t, processcluster.Options{Members: n, Jobs: 40})
-	r.Settled(n)
+	r := fleetOf(t, processcluster.Options{Members: n, JobsPerSecond: 40})
+	r.WaitConverged(n)
 	cut, drains := r.Members[which], r.Runners[2]
-	cut.ListWay().Set(receivers.Link{Silent: true})
-	time.Sleep(processcluster.LeaseS*time.Second + 4*time.Second) // longer than a lease: the peers' words renew it
+	cut.DiscoveryLink().SetLink(receivers.Link{Blackhole: true})
+	time.Sleep(processcluster.LeaseSeconds*time.Second + 4*time.Second) // longer than a lease: the peers' words renew it
 	if out := shutOut(r); out > 0 {
 		t.Errorf("%d are out while their peers have discovery's word", out)
 	}
-	r.Island(cut)
-	drains.Set("draining")
-	r.Discovery.Tell()
+	r.Partition(cut)
+	drains.SetState("draining")
+	r.Discovery.Publish()
 	took := r.Eventually("its health fails", func() bool { return health(cut) == 503 })
 	time.Sleep(500 * time.Millisecond) // what was on its way has come; the audit at the end judges by what was known
-	before := drains.Took(cut)
+	before := drains.JobsFrom(cut)
 	time.Sleep(2 * time.Second)
-	if sent := drains.Took(cut) - before; sent > 0 {
+	if sent := drains.JobsFrom(cut) - before; sent > 0 {
 		t.Errorf("%d jobs were sent out of lease", sent)
 	}
 	if out := shutOut(r); out != 1 {
 		t.Errorf("%d are out", out)
 	}
-	r.Heal()
+	r.ClearLinks()
 	back := r.Eventually("it is in again", func() bool { return health(cut) == 200 })
 	t.Logf("out %.1f s after the cut, in again %.1f s after it was healed", took.Seconds(), back.Seconds())
 	r.Eventually("it is brought up", func() bool { return withholds(cut, drains.Name) })
-	after := drains.Took(cut)
-	cut.ListWay().Set(receivers.Link{})
+	after := drains.JobsFrom(cut)
+	cut.DiscoveryLink().SetLink(receivers.Link{})
 	time.Sleep(time.Second)
-	if sent := drains.Took(cut) - after; sent > 1 {
+	if sent := drains.JobsFrom(cut) - after; sent > 1 {
 		t.Errorf("%d jobs were sent to the worker that drains", sent)
 	}
-	r.Settled(n)
+	r.WaitConverged(n)
 	r.Check()
 }
 
 // Discovery is lost by four of five, then by all: nobody is shut out, and each serves on by the last list.
 func TestFleetDiscoveryLostByMost(t *testing.T) {
-	r := fleetOf(t, processcluster.Options{Jobs: 20})
+	r := fleetOf(t, processcluster.Options{JobsPerSecond: 20})
 	n := len(r.Members)
-	r.Settled(n)
+	r.WaitConverged(n)
 	served := func() {
 		t.Helper()
-		for end := time.Now().Add(processcluster.LeaseS*time.Second + 4*time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
+		for end := time.Now().Add(processcluster.LeaseSeconds*time.Second + 4*time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 			if out := shutOut(r); out > 0 {
 				t.Fatalf("%d are out", out)
 			}
@@ -156,13 +156,13 @@
 		})
 	}
 	for _, m := range r.Members[1:] {
-		m.ListWay().Set(receivers.Link{Silent: true})
+		m.DiscoveryLink().SetLink(receivers.Link{Blackhole: true})
 	}
 	served()
-	r.Members[0].ListWay().Set(receivers.Link{Resets: true})
+	r.Members[0].DiscoveryLink().SetLink(receivers.Link{Resets: true})
 	served()
 	for _, m := range r.Members {
-		m.ListWay().Set(receivers.Link{})
+		m.DiscoveryLink().SetLink(receivers.Link{})
 	}
 	r.Check()
 }
@@ -171,45 +171,45 @@
 // discovery goes on telling an old list, for as long as it does.
 func TestFleetBroughtUpByOne(t *testing.T) {
 	t.Parallel()
-	for name, fault := range map[string]func(r *processcluster.Rig, m *processcluster.Member){
-		"one peer": func(r *processcluster.Rig, m *processcluster.Member) {
-			m.ListWay().Set(receivers.Link{Silent: true})
-			r.Island(m)
+	for name, fault := range map[string]func(r *processcluster.Cluster, m *processcluster.Member){
+		"one peer": func(r *processcluster.Cluster, m *processcluster.Member) {
+			m.DiscoveryLink().SetLink(receivers.Link{Blackhole: true})
+			r.Partition(m)
 			for _, way := range [][2]*processcluster.Member{{m, r.Members[1]}, {r.Members[1], m}} {
-				r.Link(way[0], way[1], receivers.Link{Delay: 20 * time.Millisecond})
+				r.SetLink(way[0], way[1], receivers.Link{Delay: 20 * time.Millisecond})
 			}
 		},
-		"old list": func(r *processcluster.Rig, m *processcluster.Member) { r.Discovery.Freeze(m, true) },
-		"slow": func(r *processcluster.Rig, m *processcluster.Member) {
-			m.ListWay().Set(receivers.Link{Delay: 4 * time.Second})
+		"old list": func(r *processcluster.Cluster, m *processcluster.Member) { r.Discovery.Freeze(m, true) },
+		"slow": func(r *processcluster.Cluster, m *processcluster.Member) {
+			m.DiscoveryLink().SetLink(receivers.Link{Delay: 4 * time.Second})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := fleetOf(t, processcluster.Options{Jobs: 60})
-			r.Settled(len(r.Members))
+			r := fleetOf(t, processcluster.Options{JobsPerSecond: 60})
+			r.WaitConverged(len(r.Members))
 			m, drains := r.Members[0], r.Runners[2]
-			at := drains.Took(m)
-			r.Eventually("it gets jobs", func() bool { return drains.Took(m) > at+5 })
+			at := drains.JobsFrom(m)
+			r.Eventually("it gets jobs", func() bool { return drains.JobsFrom(m) > at+5 })
 			fault(r, m)
-			drains.Set("draining")
-			r.Discovery.Tell()
+			drains.SetState("draining")
+			r.Discovery.Publish()
 			r.Eventually("it is withheld", func() bool { return withholds(m, drains.Name) || name == "slow" && drains.Idle() })
-			within := drains.Took(m)
+			within := drains.JobsFrom(m)
 			if name != "slow" {
 				time.Sleep(34 * time.Second) // longer than one alone is believed against the own discovery, and than a lease
 				if !withholds(m, drains.Name) {
 					t.Error("it is not withheld any more")
 				}
 			}
-			if sent := drains.Took(m) - within; sent > 1 {
+			if sent := drains.JobsFrom(m) - within; sent > 1 {
 				t.Errorf("%d jobs were sent to a worker that peers know to drain", sent)
 			}
 			if health(m) != 200 {
 				t.Error("one that is brought up is out")
 			}
 			r.Discovery.Freeze(m, false)
-			m.ListWay().Set(receivers.Link{})
-			r.Heal()
+			m.DiscoveryLink().SetLink(receivers.Link{})
+			r.ClearLinks()
 			r.Check()
 		})
 	}
@@ -218,30 +218,30 @@
 // The next process of an upgrade is stopped in the midst of it, while a worker drains: awake, it sends nothing there, and the upgrade
 // comes to its end.
 func TestFleetStoppedDuringAnUpgrade(t *testing.T) {
-	r := fleetOf(t, processcluster.Options{Members: 3, Inherit: true, Jobs: 40})
+	r := fleetOf(t, processcluster.Options{Members: 3, InheritSocket: true, JobsPerSecond: 40})
 	n := len(r.Members)
-	r.Settled(n)
+	r.WaitConverged(n)
 	m, drains := r.Members[0], r.Runners[2]
 	for _, after := range []time.Duration{0, 30 * time.Millisecond, 100 * time.Millisecond} {
-		at := drains.Took(m)
-		r.Eventually("it gets jobs", func() bool { return drains.Took(m) > at+5 })
+		at := drains.JobsFrom(m)
+		r.Eventually("it gets jobs", func() bool { return drains.JobsFrom(m) > at+5 })
 		before := 0
 		m.Upgrade(func() {
 			time.Sleep(after)
 			m.Pause()
-			drains.Set("draining")
-			r.Discovery.Tell()
+			drains.SetState("draining")
+			r.Discovery.Publish()
 			r.Eventually("the others have nothing there any more", drains.Idle)
 			time.Sleep(3 * time.Second)
-			before = drains.Took(m)
+			before = drains.JobsFrom(m)
 			m.Continue()
 		})
-		if sent := drains.Took(m) - before; sent > 0 {
+		if sent := drains.JobsFrom(m) - before; sent > 0 {
 			t.Errorf("%d jobs were sent to a worker that drains", sent)
 		}
-		r.Settled(n)
-		drains.Set("ready")
-		r.Discovery.Tell()
+		r.WaitConverged(n)
+		drains.SetState("ready")
+		r.Discovery.Publish()
 	}
 	r.Check()
 }
@@ -250,7 +250,7 @@
 func TestFleetFilesThatDiffer(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{Members: 3})
 	n := len(r.Members)
-	r.Settled(n)
+	r.WaitConverged(n)
 	marks := func(m *processcluster.Member, what string) map[string]bool {
 		all := map[string]bool{}
 		if s := m.Status(); s != nil {
@@ -268,12 +268,12 @@
 			t.Errorf("%s sees %d kinds of the same settings", m.Name, len(kinds))
 		}
 	}
-	r.Told++ // of the settings, for whoever starts from now on
+	r.InstanceCount++ // of the settings, for whoever starts from now on
 	first := r.Members[0]
 	first.Terminate()
 	first.Start()
-	first.Serves()
-	r.Settled(n)
+	first.WaitServing()
+	r.WaitConverged(n)
 	for _, m := range r.Members {
 		r.Eventually("two kinds of settings are seen", func() bool { return len(marks(m, "settings")) == 2 })
 		if kinds := marks(m, "operator"); len(kinds) != 1 {
@@ -292,7 +292,7 @@
 		return ""
 	}
 	before := mark(reloaded)
-	reloaded.Configure(reloaded.Operator() + "[telemetry]\nevery_s = 5\n")
+	reloaded.WriteConfig(reloaded.OperatorConfig() + "[telemetry]\nevery_s = 5\n")
 	reloaded.Reload("program: reloaded")
 	for _, m := range r.Members {
 		r.Eventually("another operator's file is seen", func() bool { return mark(m) != "" && mark(m) != before })
@@ -300,6 +300,6 @@
 	if out := shutOut(r); out > 0 {
 		t.Errorf("%d are out", out)
 	}
-	r.Settled(n)
+	r.WaitConverged(n)
 	r.Check()
 }
--- a/internal/dispatcher/server/fleet_test.go
+++ b/internal/dispatcher/server/fleet_test.go
@@ -22,7 +22,7 @@
 
 var fleetN = flag.Int("fleet.n", 5, "processes of a fleet test")
 
-func fleetOf(t *testing.T, o processcluster.Options) *processcluster.Rig {
+func fleetOf(t *testing.T, o processcluster.Options) *processcluster.Cluster {
 	t.Parallel()
 	o.Program = program
 	if o.Members == 0 {
@@ -38,13 +38,13 @@
 
 // wronglyDead names who held whom for dead though its process ran. One that got no processor for so long that it says so itself
 // was rightly found.
-func wronglyDead(r *processcluster.Rig) (all []string) {
+func wronglyDead(r *processcluster.Cluster) (all []string) {
 	stalled := map[string]bool{}
 	for _, m := range r.Members {
-		stalled[m.Name] = stalled[m.Name] || strings.Contains(m.Text(), "this process has stood still")
+		stalled[m.Name] = stalled[m.Name] || strings.Contains(m.LogText(), "this process has stood still")
 	}
 	for _, m := range r.Members {
-		for _, found := range foundDead.FindAllStringSubmatch(m.Text(), -1) {
+		for _, found := range foundDead.FindAllStringSubmatch(m.LogText(), -1) {
 			if !stalled[found[1]] {
 				all = append(all, fmt.Sprintf("%s gave up %s", m.Name, found[1]))
 			}
@@ -54,10 +54,10 @@
 }
 
 // holdAll says whether all members that run hold one in a state.
-func holdAll(r *processcluster.Rig, name, state string) func() bool {
+func holdAll(r *processcluster.Cluster, name, state string) func() bool {
 	return func() bool {
-		for _, m := range r.Running() {
-			if m.Name != name && m.Holds(name) != state {
+		for _, m := range r.RunningMembers() {
+			if m.Name != name && m.StateOf(name) != state {
 				return false
 			}
 		}
@@ -69,36 +69,36 @@
 func TestFleetJoinKillLeave(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
-	r.Settled(n)
+	r.WaitConverged(n)
 	if out, err := checkFleet(r.Members[0]); err != nil || strings.Count(out, "agrees") != n {
 		t.Errorf("fleet check: %v\n%s", err, out)
 	}
 	killed := r.Members[1]
 	killed.Kill()
 	t.Logf("found dead by all after %v", r.Eventually("found dead", holdAll(r, killed.Name, "dead")))
-	r.Settled(n - 1)
+	r.WaitConverged(n - 1)
 	killed.Start()
-	killed.Serves()
-	r.Settled(n)
+	killed.WaitServing()
+	r.WaitConverged(n)
 	killed.Kill() // and again within a period
 	killed.Start()
-	killed.Serves()
-	r.Settled(n)
+	killed.WaitServing()
+	r.WaitConverged(n)
 	leaver := r.Members[2]
 	leaver.Terminate()
 	t.Logf("held to have left by all after %v", r.Eventually("left", holdAll(r, leaver.Name, "left")))
-	for _, m := range r.Running() {
-		if text := m.Text(); strings.Contains(text, fmt.Sprintf(`"member": %q, "is": "dead"`, leaver.Name)) {
+	for _, m := range r.RunningMembers() {
+		if text := m.LogText(); strings.Contains(text, fmt.Sprintf(`"member": %q, "is": "dead"`, leaver.Name)) {
 			t.Errorf("%s held %s for dead, which had said that it leaves", m.Name, leaver.Name)
 		}
 	}
-	r.Settled(n - 1)
+	r.WaitConverged(n - 1)
 	r.Check()
 }
 
 // checkFleet runs the operators' command.
 func checkFleet(m *processcluster.Member) (string, error) {
-	out, err := exec.Command(program, "fleet", "check", "--console", m.Console, "--patience", "10s").CombinedOutput()
+	out, err := exec.Command(program, "fleet", "check", "--console", m.AdminAddress, "--patience", "10s").CombinedOutput()
 	return string(out), err
 }
 
@@ -106,21 +106,21 @@
 func TestFleetStopAndContinue(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
-	r.Settled(n)
+	r.WaitConverged(n)
 	m := r.Members[3]
 	life := lifeOf(m, m.Name)
 	m.Pause()
 	others := []*processcluster.Member{r.Members[0], r.Members[1], r.Members[2]}
 	r.Eventually("found dead", func() bool {
 		for _, o := range others {
-			if o.Holds(m.Name) != "dead" {
+			if o.StateOf(m.Name) != "dead" {
 				return false
 			}
 		}
 		return true
 	})
 	// its socket's buffer is full when it wakes, of what is no word for it
-	flood, err := net.Dial("udp", m.Bind)
+	flood, err := net.Dial("udp", m.BindAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,11 +129,11 @@
 		_, _ = flood.Write(make([]byte, 700))
 	}
 	m.Continue()
-	r.Settled(n)
+	r.WaitConverged(n)
 	if got := lifeOf(m, m.Name); got != life || life == 0 {
 		t.Errorf("it came back as another: life %d, not %d", got, life)
 	}
-	if !strings.Contains(m.Text(), "this process has stood still") {
+	if !strings.Contains(m.LogText(), "this process has stood still") {
 		t.Error("the sleeper did not know that it slept")
 	}
 	for _, wrong := range wronglyDead(r) { // the sleeper itself was rightly found
@@ -157,20 +157,20 @@
 func TestFleetOneWayCutAndIsland(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
-	r.Settled(n)
+	r.WaitConverged(n)
 	a, b := r.Members[0], r.Members[1]
-	r.Link(a, b, receivers.Link{Silent: true})
-	r.Link(b, a, receivers.Link{Delay: 20 * time.Millisecond})
+	r.SetLink(a, b, receivers.Link{Blackhole: true})
+	r.SetLink(b, a, receivers.Link{Delay: 20 * time.Millisecond})
 	time.Sleep(10 * time.Second) // 50 periods: what must never happen would have
 	for _, wrong := range wronglyDead(r) {
 		t.Errorf("%s, whom others heard", wrong)
 	}
-	r.Heal()
-	r.Settled(n)
+	r.ClearLinks()
+	r.WaitConverged(n)
 	island := []*processcluster.Member{a, b}
-	r.Island(island...)
+	r.Partition(island...)
 	r.Eventually("two fleets", func() bool {
-		return r.Agree(island, 2) && r.Agree(r.Members[2:], n-2)
+		return r.Converged(island, 2) && r.Converged(r.Members[2:], n-2)
 	})
 	if out, err := checkFleet(a); err != nil { // those that it holds dead are not asked
 		t.Errorf("fleet check on an island that agrees: %v\n%s", err, out)
@@ -180,8 +180,8 @@
 			t.Errorf("%s, of fewer than half, shares cold workers as if it were the fleet: %+v", m.Name, s)
 		}
 	}
-	r.Heal()
-	r.Settled(n)
+	r.ClearLinks()
+	r.WaitConverged(n)
 	r.Eventually("all count one another", func() bool {
 		for _, m := range r.Members {
 			if s := m.Status(); s == nil || s.Share.Instances != n || s.Share.Fraction != 1 {
@@ -198,19 +198,19 @@
 func TestFleetLossAndDelay(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
-	r.Settled(n)
-	r.Everywhere(receivers.Link{Drop: 0.2, Delay: 5 * time.Millisecond, Jitter: 20 * time.Millisecond, Repeat: 0.05, Reorder: 0.05})
+	r.WaitConverged(n)
+	r.SetAllLinks(receivers.Link{LossRate: 0.2, Delay: 5 * time.Millisecond, Jitter: 20 * time.Millisecond, DuplicateRate: 0.05, ReorderRate: 0.05})
 	time.Sleep(15 * time.Second)
 	refuted := 0
 	for _, m := range r.Members {
-		refuted += strings.Count(m.Text(), `"is": "alive"`)
+		refuted += strings.Count(m.LogText(), `"is": "alive"`)
 	}
 	t.Logf("under loss: %d records of life at %d members in 75 periods", refuted, n)
 	for _, wrong := range wronglyDead(r) {
 		t.Errorf("%s, which answers", wrong)
 	}
-	r.Heal()
-	r.Settled(n)
+	r.ClearLinks()
+	r.WaitConverged(n)
 	repeated := uint64(0)
 	for _, m := range r.Members {
 		repeated += m.Status().Drops["repeated"]
@@ -225,48 +225,48 @@
 func TestFleetRollingRestart(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
-	r.Settled(n)
+	r.WaitConverged(n)
 	for i, m := range r.Members {
 		m.Terminate()
 		m.Start()
-		m.Serves()
+		m.WaitServing()
 		u := r.Runners[i%len(r.Runners)] // and a runner drains meanwhile: the rig looks whether anybody sends it anything
-		u.Set("draining")
-		r.Discovery.Tell()
+		u.SetState("draining")
+		r.Discovery.Publish()
 		r.Eventually("it drains", u.Idle)
-		u.Set("ready")
-		r.Discovery.Tell()
+		u.SetState("ready")
+		r.Discovery.Publish()
 	}
-	r.Settled(n)
+	r.WaitConverged(n)
 	r.Check()
 }
 
 // One that is evacuated leaves once nothing of it is out any more, and is back when it is called.
 func TestFleetEvacuation(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{Members: 3})
-	r.Settled(3)
+	r.WaitConverged(3)
 	m := r.Members[2]
-	m.Rest()
-	if code, text := m.Call("PUT", "/api/evacuate", ""); code != 200 {
+	m.StopClients()
+	if code, text := m.CallAdmin("PUT", "/api/evacuate", ""); code != 200 {
 		t.Fatal(code, text)
 	}
 	r.Eventually("it has left", holdAll(r, m.Name, "left"))
-	if code, text := m.Call("PUT", "/api/rejoin", ""); code != 200 {
+	if code, text := m.CallAdmin("PUT", "/api/rejoin", ""); code != 200 {
 		t.Fatal(code, text)
 	}
-	r.Settled(3)
-	m.Serves()
+	r.WaitConverged(3)
+	m.WaitServing()
 	r.Check()
 }
 
 // An upgrade: two processes under one name and one address. The newer one is the member from then on.
 func TestFleetUpgrade(t *testing.T) {
-	r := fleetOf(t, processcluster.Options{Members: 3, Inherit: true})
-	r.Settled(3)
+	r := fleetOf(t, processcluster.Options{Members: 3, InheritSocket: true})
+	r.WaitConverged(3)
 	m := r.Members[1]
 	life := lifeOf(m, m.Name)
 	m.Upgrade()
-	r.Settled(3)
+	r.WaitConverged(3)
 	for _, o := range r.Members {
 		if got := lifeOf(o, m.Name); got <= life {
 			t.Errorf("%s holds life %d of %s, which was %d before the upgrade", o.Name, got, m.Name, life)
@@ -281,18 +281,18 @@
 // Two processes that share a name by mistake: the one that began later stays, the other says so and serves on by itself.
 func TestFleetTwoUnderOneName(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{Members: 3})
-	r.Settled(3)
+	r.WaitConverged(3)
 	first := r.Members[2]
-	twin := r.Add()
+	twin := r.AddMember()
 	twin.Name = first.Name
-	r.Discovery.Tell()
+	r.Discovery.Publish()
 	twin.Start()
-	twin.Serves()
+	twin.WaitServing()
 	r.Eventually("the earlier start says that it withdraws", func() bool {
-		return strings.Contains(first.Text(), "another process has this name")
+		return strings.Contains(first.LogText(), "another process has this name")
 	})
 	r.Eventually("the later one is the member", func() bool {
-		return r.Agree([]*processcluster.Member{r.Members[0], r.Members[1], twin}, 3) && lifeOf(r.Members[0], twin.Name) == lifeOf(twin, twin.Name)
+		return r.Converged([]*processcluster.Member{r.Members[0], r.Members[1], twin}, 3) && lifeOf(r.Members[0], twin.Name) == lifeOf(twin, twin.Name)
 	})
 	r.Check()
 }
@@ -303,17 +303,17 @@
 	t.Parallel()
 	for _, off := range []bool{true, false} {
 		t.Run(fmt.Sprint("off=", off), func(t *testing.T) {
-			r := fleetOf(t, processcluster.Options{Members: 8, Runners: 1, Jobs: 60, WorkS: 0.02, SlotsOf: 2, Off: off})
+			r := fleetOf(t, processcluster.Options{Members: 8, Runners: 1, JobsPerSecond: 60, JobSeconds: 0.02, RunnerSlots: 2, Standalone: off})
 			cold := r.Runners[0]
 			time.Sleep(2 * time.Second) // while it is warm they learn what a job is
 			span := func(what string) {
-				cold.Set("gone")
-				r.Discovery.Tell()
+				cold.SetState("gone")
+				r.Discovery.Publish()
 				r.Eventually("it has nothing to do any more", cold.Idle)
-				cold.Boot()
-				r.Discovery.Tell()
+				cold.Restart()
+				r.Discovery.Publish()
 				time.Sleep(9 * time.Second)
-				worst, work, fell := cold.Borne()
+				worst, work, fell := cold.LoadSinceStart()
 				t.Logf("%s: at most %.2f of what it bears, %.2f s of work in 9 s", what, worst, work)
 				if fell {
 					t.Errorf("%s: a cold runner fell over", what)
@@ -321,21 +321,21 @@
 			}
 			span("all start")
 			if !off {
-				r.Settled(8)
-				r.Island(r.Members[:3]...)
+				r.WaitConverged(8)
+				r.Partition(r.Members[:3]...)
 				span("three are cut off")
 				r.Members[4].Pause()
 				span("and one is stopped")
 				r.Members[4].Continue()
-				r.Heal()
+				r.ClearLinks()
 				span("and all are back")
-				r.Settled(8)
+				r.WaitConverged(8)
 			}
 			for _, m := range r.Members[5:] {
 				m.Terminate()
 			}
 			if !off {
-				r.Settled(5)
+				r.WaitConverged(5)
 			}
 			span("three have left")
 		})
@@ -345,45 +345,45 @@
 // A reload switches the fleet off, on, to another address, to other seeds, and to another name; a bad one changes nothing.
 func TestFleetReload(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{Members: 3})
-	r.Settled(3)
+	r.WaitConverged(3)
 	m := r.Members[2]
-	with := m.Operator()
-	m.Configure("")
+	with := m.OperatorConfig()
+	m.WriteConfig("")
 	m.Reload("fleet switched off")
 	r.Eventually("the others know that it has left", func() bool {
-		return r.Members[0].Holds(m.Name) == "left" && r.Members[1].Holds(m.Name) == "left"
+		return r.Members[0].StateOf(m.Name) == "left" && r.Members[1].StateOf(m.Name) == "left"
 	})
-	if code, _ := m.Call("GET", "/api/fleet", ""); code != 404 {
+	if code, _ := m.CallAdmin("GET", "/api/fleet", ""); code != 404 {
 		t.Errorf("/api/fleet answers %d though the section is off", code)
 	}
-	m.Configure(with)
+	m.WriteConfig(with)
 	m.Reload("program: reloaded")
-	r.Settled(3)
-	m.Configure(strings.Replace(with, "period_s", "priod_s", 1))
+	r.WaitConverged(3)
+	m.WriteConfig(strings.Replace(with, "period_s", "priod_s", 1))
 	m.Reload("reload refused")
-	if !strings.Contains(m.Text(), "fleet.priod_s: unknown key") {
+	if !strings.Contains(m.LogText(), "fleet.priod_s: unknown key") {
 		t.Error("the bad key is not named")
 	}
-	m.Configure(strings.Replace(with, m.Bind, "203.0.113.9:7946", 1))
+	m.WriteConfig(strings.Replace(with, m.BindAddress, "203.0.113.9:7946", 1))
 	m.Reload("cannot assign requested address")
-	r.Settled(3)
-	moved := m.Move()
-	m.Configure(moved)
+	r.WaitConverged(3)
+	moved := m.ChangeBindAddress()
+	m.WriteConfig(moved)
 	m.Reload("program: reloaded")
-	r.Settled(3)
-	if !strings.Contains(moved, m.Bind) || m.Status().Members[2].Address != m.Relay.Addr() {
+	r.WaitConverged(3)
+	if !strings.Contains(moved, m.BindAddress) || m.Status().Members[2].Address != m.Relay.Addr() {
 		t.Errorf("it did not move: %+v", m.Status().Members[2])
 	}
-	m.Fleet = "other"
-	m.Configure(m.Operator())
+	m.ClusterName = "other"
+	m.WriteConfig(m.OperatorConfig())
 	m.Reload("program: reloaded")
 	r.Eventually("a fleet of its own", func() bool { s := m.Status(); return s != nil && s.Cluster == "other" && len(s.Members) == 1 })
-	m.Fleet = r.Fleet
-	m.Configure(strings.Replace(m.Operator(), m.Bind, m.Bind+`0"#`, 1)) // a port that makes no sense
+	m.ClusterName = r.ClusterName
+	m.WriteConfig(strings.Replace(m.OperatorConfig(), m.BindAddress, m.BindAddress+`0"#`, 1)) // a port that makes no sense
 	m.Reload("reload refused")
-	m.Configure(m.Operator())
+	m.WriteConfig(m.OperatorConfig())
 	m.Reload("program: reloaded")
-	r.Settled(3)
+	r.WaitConverged(3)
 	r.Check()
 }
 
@@ -391,16 +391,16 @@
 // change nothing.
 func TestFleetNonsense(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{Members: 3})
-	r.Settled(3)
+	r.WaitConverged(3)
 	m := r.Members[0]
-	conn, err := net.Dial("udp", m.Bind)
+	conn, err := net.Dial("udp", m.BindAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	rng := rand.New(rand.NewPCG(1, 2))
 	foreign := datagram(t, "elsewhere", "x")
-	newer := datagram(t, r.Fleet, "x")
+	newer := datagram(t, r.ClusterName, "x")
 	newer[8]++
 	binary.LittleEndian.PutUint64(newer, xxhash.Sum64(newer[8:]))
 	for range 200 {
@@ -419,8 +419,8 @@
 		s := m.Status()
 		return s != nil && s.Drops["foreign"] > 0 && s.Drops["format"] > 0 && s.Drops["broken"] > 0 && s.Drops["oversized"] > 0
 	})
-	r.Settled(3)
-	if text := m.Text(); strings.Count(text, "datagrams dropped so far") > 2 {
+	r.WaitConverged(3)
+	if text := m.LogText(); strings.Count(text, "datagrams dropped so far") > 2 {
 		t.Error("what is dropped is told more than once a minute")
 	}
 	r.Check()
@@ -442,7 +442,7 @@
 func TestFleetLies(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
-	r.Settled(n)
+	r.WaitConverged(n)
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -459,13 +459,13 @@
 			}
 			lies = append(lies, victim)
 		}
-		b, err := membership.Encode(&membership.Message{Kind: membership.Update, Cluster: r.Fleet, Number: uint64(i + 1), Records: lies,
+		b, err := membership.Encode(&membership.Message{Kind: membership.Update, Cluster: r.ClusterName, Number: uint64(i + 1), Records: lies,
 			From: membership.Record{Name: "liar", Generation: life, Addr: here}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, m := range r.Members {
-			_, _ = conn.WriteTo(b, net.UDPAddrFromAddrPort(addrOf(m.Bind)))
+			_, _ = conn.WriteTo(b, net.UDPAddrFromAddrPort(addrOf(m.BindAddress)))
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -476,6 +476,6 @@
 		}
 	}
 	r.Eventually("the liar is found dead", holdAll(r, "liar", "dead"))
-	r.Settled(n)
+	r.WaitConverged(n)
 	r.Check()
 }
--- a/internal/dispatcher/server/fleet_versions_test.go
+++ b/internal/dispatcher/server/fleet_versions_test.go
@@ -28,40 +28,40 @@
 // own director is back the two agree.
 func TestFleetDrainReachesOneThatLostDiscovery(t *testing.T) {
 	t.Parallel()
-	for name, fault := range map[string]receivers.Link{"silent": {Silent: true}, "reset": {Resets: true}} {
+	for name, fault := range map[string]receivers.Link{"silent": {Blackhole: true}, "reset": {Resets: true}} {
 		t.Run(name, func(t *testing.T) {
-			r := fleetOf(t, processcluster.Options{Jobs: 60})
+			r := fleetOf(t, processcluster.Options{JobsPerSecond: 60})
 			n := len(r.Members)
-			r.Settled(n)
+			r.WaitConverged(n)
 			cut, drains := r.Members[n-1], r.Runners[2]
-			r.Eventually("it gets jobs", func() bool { return drains.Took(cut) > 5 })
-			cut.ListWay().Set(fault)
-			before := drains.Took(cut)
+			r.Eventually("it gets jobs", func() bool { return drains.JobsFrom(cut) > 5 })
+			cut.DiscoveryLink().SetLink(fault)
+			before := drains.JobsFrom(cut)
 			from := time.Now()
-			drains.Set("draining")
-			r.Discovery.Tell()
+			drains.SetState("draining")
+			r.Discovery.Publish()
 			r.Eventually("it is withheld", func() bool { return withholds(cut, drains.Name) })
 			told := time.Since(from)
-			within := drains.Took(cut)
-			time.Sleep(3 * time.Second)                  // 180 jobs at that member: what must never happen would have
-			if got := drains.Took(cut); got > within+1 { // one may have been on its way
+			within := drains.JobsFrom(cut)
+			time.Sleep(3 * time.Second)                      // 180 jobs at that member: what must never happen would have
+			if got := drains.JobsFrom(cut); got > within+1 { // one may have been on its way
 				t.Errorf("%d jobs were sent to a worker that peers know to drain", got-within)
 			}
 			t.Logf("withheld after %v; %d jobs until then", told, within-before)
-			drains.Set("ready")
-			r.Discovery.Tell()
-			r.Eventually("the lifting is told, too", func() bool { return !withholds(cut, drains.Name) && drains.Took(cut) > within+3 })
-			drains.Set("draining")
-			r.Discovery.Tell()
+			drains.SetState("ready")
+			r.Discovery.Publish()
+			r.Eventually("the lifting is told, too", func() bool { return !withholds(cut, drains.Name) && drains.JobsFrom(cut) > within+3 })
+			drains.SetState("draining")
+			r.Discovery.Publish()
 			r.Eventually("it is withheld again", func() bool { return withholds(cut, drains.Name) })
-			cut.ListWay().Set(receivers.Link{})
+			cut.DiscoveryLink().SetLink(receivers.Link{})
 			r.Eventually("its own director has told it", func() bool {
 				s := cut.Status()
-				return s != nil && len(s.Restrictions) == 0 && strings.Contains(cut.Text(), "nothing is withheld any more")
+				return s != nil && len(s.Restrictions) == 0 && strings.Contains(cut.LogText(), "nothing is withheld any more")
 			})
-			after := drains.Took(cut)
+			after := drains.JobsFrom(cut)
 			time.Sleep(time.Second)
-			if got := drains.Took(cut); got > after+1 {
+			if got := drains.JobsFrom(cut); got > after+1 {
 				t.Errorf("%d jobs were sent to it when the own director was back", got-after)
 			}
 			r.Check()
@@ -75,39 +75,39 @@
 	t.Parallel()
 	for _, span := range []time.Duration{3 * time.Second, 8 * time.Second, 20 * time.Second} {
 		t.Run(span.String(), func(t *testing.T) {
-			r := fleetOf(t, processcluster.Options{Jobs: 60})
+			r := fleetOf(t, processcluster.Options{JobsPerSecond: 60})
 			n := len(r.Members)
-			r.Settled(n)
+			r.WaitConverged(n)
 			sleeper, drains := r.Members[0], r.Runners[2] // of its zone
-			at := drains.Took(sleeper)
-			r.Eventually("it gets jobs", func() bool { return drains.Took(sleeper) > at+5 })
+			at := drains.JobsFrom(sleeper)
+			r.Eventually("it gets jobs", func() bool { return drains.JobsFrom(sleeper) > at+5 })
 			sleeper.Pause()
-			sleeper.ListWay().Set(receivers.Link{Silent: true})
-			r.Island(sleeper) // nothing of it waits in a buffer when it wakes
-			drains.Set("draining")
-			r.Discovery.Tell()
+			sleeper.DiscoveryLink().SetLink(receivers.Link{Blackhole: true})
+			r.Partition(sleeper) // nothing of it waits in a buffer when it wakes
+			drains.SetState("draining")
+			r.Discovery.Publish()
 			r.Eventually("the others have nothing there any more", drains.Idle)
 			time.Sleep(span)
-			before, woke := drains.Took(sleeper), strings.Count(sleeper.Text(), lookedAgain)
+			before, woke := drains.JobsFrom(sleeper), strings.Count(sleeper.LogText(), lookedAgain)
 			sleeper.Continue()
 			time.Sleep(2 * time.Second) // nobody speaks: longer than jobs wait
-			if strings.Count(sleeper.Text(), lookedAgain) == woke && health(sleeper) != 503 {
+			if strings.Count(sleeper.LogText(), lookedAgain) == woke && health(sleeper) != 503 {
 				t.Error("it knows nothing new, and its health is well")
 			}
-			r.Heal()
-			sleeper.Relay.Set("", receivers.Link{Delay: 100 * time.Millisecond})
-			r.Eventually("it has looked again", func() bool { return strings.Count(sleeper.Text(), lookedAgain) > woke })
+			r.ClearLinks()
+			sleeper.Relay.SetLink("", receivers.Link{Delay: 100 * time.Millisecond})
+			r.Eventually("it has looked again", func() bool { return strings.Count(sleeper.LogText(), lookedAgain) > woke })
 			r.Eventually("it is withheld", func() bool { return withholds(sleeper, drains.Name) })
 			r.Eventually("it serves again", func() bool { return health(sleeper) == 200 })
 			time.Sleep(time.Second)
-			if sent := drains.Took(sleeper) - before; sent > 0 {
+			if sent := drains.JobsFrom(sleeper) - before; sent > 0 {
 				t.Errorf("after %v: %d jobs were sent by the old list", span, sent)
 			}
-			r.Heal()
-			sleeper.ListWay().Set(receivers.Link{})
-			drains.Set("ready")
-			r.Discovery.Tell()
-			r.Settled(n)
+			r.ClearLinks()
+			sleeper.DiscoveryLink().SetLink(receivers.Link{})
+			drains.SetState("ready")
+			r.Discovery.Publish()
+			r.WaitConverged(n)
 			r.Check()
 		})
 	}
@@ -117,7 +117,7 @@
 
 // health is what a member answers to the check of health; 0 is nothing.
 func health(m *processcluster.Member) int {
-	a, err := http.Get("http://" + m.Listen + "/_health")
+	a, err := http.Get("http://" + m.ListenAddress + "/_health")
 	if err != nil {
 		return 0
 	}
--- a/internal/dispatcher/server/metrics_test.go
+++ b/internal/dispatcher/server/metrics_test.go
@@ -38,7 +38,7 @@
 		w.eventually(tc.series, func() bool { v, ok := tc.of.Last(tc.series); return ok && v == 1 })
 	}
 	for _, s := range []*receivers.Store{&graphite.Store, &collectd.Store} {
-		if bad := s.Bad(); len(bad) > 0 {
+		if bad := s.Malformed(); len(bad) > 0 {
 			t.Error(bad)
 		}
 	}
--- a/internal/dispatcher/server/reporting_test.go
+++ b/internal/dispatcher/server/reporting_test.go
@@ -40,7 +40,7 @@
 	if s.collectd, err = receivers.NewCollectd(filepath.Join(s.dir, "collectd.sock")); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.carbon.Away(); s.collectd.Away() })
+	t.Cleanup(func() { s.carbon.Stop(); s.collectd.Stop() })
 	return s
 }
 
@@ -253,8 +253,8 @@
 		wg.Wait()
 	}
 	parts(5)
-	s.carbon.Away()
-	s.collectd.Stall(true)
+	s.carbon.Stop()
+	s.collectd.SetStalled(true)
 	parts(5)
 	for _, c := range crews {
 		c.rename()
@@ -270,7 +270,7 @@
 	for _, c := range crews {
 		c.rename()
 	}
-	s.collectd.Stall(false)
+	s.collectd.SetStalled(false)
 	parts(5)
 	for i, c := range crews { // clients that leave
 		conn, err := net.Dial("tcp", c.w.addr)
@@ -281,7 +281,7 @@
 		conn.Close()
 		gone.Add(1)
 	}
-	if err := s.carbon.Back(); err != nil {
+	if err := s.carbon.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	parts(5)
@@ -313,7 +313,7 @@
 		if err != nil || answers(store) != float64(total) {
 			t.Errorf("%s: %v, %v answers of %d\n%s", name, err, answers(store), total, out)
 		}
-		if bad := store.Bad(); len(bad) > 0 {
+		if bad := store.Malformed(); len(bad) > 0 {
 			t.Errorf("%s: %d things made no sense, such as %s", name, len(bad), bad[0])
 		}
 	}
@@ -321,11 +321,11 @@
 
 	// Every period that n1 closed is at collectd, and each second of them at carbon.
 	const periods = "n1/cinderroad/derive-telemetry_periods"
-	stamps := s.collectd.Stamps(periods)
+	stamps := s.collectd.Timestamps(periods)
 	if last, _ := s.collectd.Last(periods); last != float64(len(stamps)) {
 		t.Errorf("%v periods closed, %d at collectd", last, len(stamps))
 	}
-	at := s.carbon.Stamps("cinderroad.n1.telemetry.periods")
+	at := s.carbon.Timestamps("cinderroad.n1.telemetry.periods")
 	for _, stamp := range stamps[:len(stamps)-5] {
 		if _, there := slices.BinarySearch(at, float64(int64(stamp))); !there {
 			t.Errorf("nothing of second %d at carbon", int64(stamp))
@@ -389,12 +389,12 @@
 	c.ask(50, 4, &tally)
 	c.w.eventually("100 answers", func() bool { return answers(&s.carbon.Store) == 100 })
 	// Away while periods end and the process is killed: the next life delivers them.
-	s.carbon.Away()
+	s.carbon.Stop()
 	c.ask(50, 4, &tally)
 	c.w.eventually("150 answers at the other receiver", func() bool { return answers(&s.collectd.Store) == 150 })
 	c.w.cmd.Process.Kill()
 	c.w.cmd.Wait()
-	if err := s.carbon.Back(); err != nil {
+	if err := s.carbon.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	c.w.start(o)
@@ -404,8 +404,8 @@
 		t.Errorf("%v\n%s", err, out)
 	}
 	const series = "cinderroad.n0.classes.score.answers.in_time"
-	if got, _ := s.carbon.Last(series); got != s.carbon.Growth(series) {
-		t.Errorf("a total that fell: last %v, growth %v", got, s.carbon.Growth(series))
+	if got, _ := s.carbon.Last(series); got != s.carbon.CounterIncrease(series) {
+		t.Errorf("a total that fell: last %v, growth %v", got, s.carbon.CounterIncrease(series))
 	}
 }
 
@@ -422,7 +422,7 @@
 		if err := <-c.w.terminate(); err != nil {
 			t.Fatal(err)
 		}
-		if len(s.carbon.Stamps("cinderroad.n0.program.started")) == 0 {
+		if len(s.carbon.Timestamps("cinderroad.n0.program.started")) == 0 {
 			t.Error("no word of the start")
 		}
 		time.Sleep(1100 * time.Millisecond) // Graphite's stamps are seconds: the next life's must not meet this one's
@@ -430,7 +430,7 @@
 		c.w.eventually("a new start", func() bool { return answers(&s.carbon.Store) == 0 })
 		time.Sleep(1100 * time.Millisecond) // nor what it counts its own beginning
 	}
-	if got := s.carbon.Growth("cinderroad.n0.classes.score.answers.in_time") + s.carbon.Growth("cinderroad.n0.classes.score.answers.late"); got != 20 {
+	if got := s.carbon.CounterIncrease("cinderroad.n0.classes.score.answers.in_time") + s.carbon.CounterIncrease("cinderroad.n0.classes.score.answers.late"); got != 20 {
 		t.Errorf("growth %v of 20 answers", got)
 	}
 }
@@ -458,13 +458,13 @@
 	if !strings.Contains(c.w.log.String(), "request_log.colour: unknown key") {
 		t.Error("no word of what was wrong")
 	}
-	s.carbon.Away()
+	s.carbon.Stop()
 	c.ask(20, 2, &tally)
 	fresh, err := receivers.NewCarbon("127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(fresh.Away)
+	t.Cleanup(fresh.Stop)
 	moved := strings.ReplaceAll(strings.ReplaceAll(string(text), s.carbon.Addr(), fresh.Addr()), "n0.log", "moved.log")
 	write(moved)
 	c.w.reload("program: reloaded")
@@ -491,8 +491,8 @@
 		t.Skip(err)
 	}
 	c.w = begin(t, options{args: []string{"-operator", path, "-metrics-every", "0.2"}, cold: 0.001}, c.targets()...)
-	s.carbon.Stall(true)
-	s.collectd.Stall(true)
+	s.carbon.SetStalled(true)
+	s.collectd.SetStalled(true)
 	var tally [600]atomic.Int64
 	c.ask(2000, 4, &tally)
 	if got := tally[200].Load() + tally[500].Load(); got != 2000 || tally[500].Load() == 0 {
@@ -504,8 +504,8 @@
 	}
 	defer f.Close()
 	go io.Copy(io.Discard, f)
-	s.carbon.Stall(false)
-	s.collectd.Stall(false)
+	s.carbon.SetStalled(false)
+	s.collectd.SetStalled(false)
 	c.w.eventually("2000 answers", func() bool {
 		return answers(&s.carbon.Store) == 2000 && answers(&s.collectd.Store) == 2000
 	})
--- a/internal/dispatcher/server/world_test.go
+++ b/internal/dispatcher/server/world_test.go
@@ -230,7 +230,7 @@
 
 // freeAddr finds an address for the program.
 func freeAddr(t *testing.T) string {
-	addr, err := receivers.FreePort()
+	addr, err := receivers.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/shared/membership/measurements_test.go
+++ b/internal/shared/membership/measurements_test.go
@@ -36,15 +36,15 @@
 
 // play plays a cluster of n: all start within a probe interval, run for a while, and one in ten is killed.
 func play(seed uint64, n int, loss float64, plain bool) (r trial) {
-	net := virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: loss, Delay: 0.002, Jitter: 0.01, Plain: plain, Bytes: 7}, n)
+	net := virtualcluster.New(virtualcluster.Options{Seed: seed, LossRate: loss, Delay: 0.002, Jitter: 0.01, PlainSWIM: plain, EncodeEvery: 7}, n)
 	until := func(alive, dead int, limit float64) float64 {
-		took, ok := net.Until(limit, 0.5, func() bool {
+		took, ok := net.RunUntil(limit, 0.5, func() bool {
 			for _, node := range net.Nodes {
-				if node.Machine == nil {
+				if node.Membership == nil {
 					continue
 				}
-				a, s, d := node.Machine.CountByState()
-				if node.Machine.NamesDigest() != net.Nodes[0].Machine.NamesDigest() || a+s != alive || d != dead {
+				a, s, d := node.Membership.CountByState()
+				if node.Membership.NamesDigest() != net.Nodes[0].Membership.NamesDigest() || a+s != alive || d != dead {
 					return false
 				}
 			}
@@ -60,7 +60,7 @@
 	net.Run(net.Now + 20)
 	wrong := func() (n int) {
 		for _, node := range net.Nodes {
-			n += int(node.Machine.Deaths)
+			n += int(node.Membership.Deaths)
 		}
 		return n
 	}
@@ -94,7 +94,7 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := net.Nodes[1].Machine
+	kept := net.Nodes[1].Membership
 	for i, node := range net.Nodes {
 		if i != 1 {
 			net.Kill(node)
--- a/internal/shared/membership/node_test.go
+++ b/internal/shared/membership/node_test.go
@@ -93,8 +93,8 @@
 func TestDeterminism(t *testing.T) {
 	play := func() (out [][]byte) {
 		net := newLossyNet(9, 12)
-		net.Each = func(n *virtualcluster.Node) {
-			b := []byte(fmt.Sprintf("%v %s %x", net.Now, n.Name, n.Machine.Digest()))
+		net.AfterEvent = func(n *virtualcluster.Node) {
+			b := []byte(fmt.Sprintf("%v %s %x", net.Now, n.Name, n.Membership.Digest()))
 			out = append(out, b)
 		}
 		net.StartAll(1)
--- a/internal/shared/membership/simulation_test.go
+++ b/internal/shared/membership/simulation_test.go
@@ -25,25 +25,25 @@
 
 // waitConverged waits until all have one view with the given number of alive members. It returns the time in probe
 // intervals.
-func waitConverged(t *testing.T, net *virtualcluster.Net, alive int, periods float64) float64 {
+func waitConverged(t *testing.T, net *virtualcluster.Network, alive int, periods float64) float64 {
 	t.Helper()
-	took, ok := net.Until(periods*net.Period, net.Period/2, func() bool {
-		one, n := net.Agreed()
+	took, ok := net.RunUntil(periods*net.ProbeInterval, net.ProbeInterval/2, func() bool {
+		one, n := net.Converged()
 		return one && n == alive
 	})
 	if !ok {
 		for _, n := range net.Nodes {
-			if n.Machine != nil {
-				a, s, d := n.Machine.CountByState()
-				t.Logf("%s: digest %x, %d alive, %d suspect, %d dead, %+v", n.Name, n.Machine.Digest(), a, s, d, n.Machine.Stats)
+			if n.Membership != nil {
+				a, s, d := n.Membership.CountByState()
+				t.Logf("%s: digest %x, %d alive, %d suspect, %d dead, %+v", n.Name, n.Membership.Digest(), a, s, d, n.Membership.Stats)
 			}
 		}
 		t.Fatalf("no one view of %d after %v periods", alive, periods)
 	}
-	return took / net.Period
+	return took / net.ProbeInterval
 }
 
-func deaths(net *virtualcluster.Net, name string) (n int) {
+func deaths(net *virtualcluster.Network, name string) (n int) {
 	for _, node := range net.Nodes {
 		for _, c := range node.Changes {
 			if c.To == membership.Dead && (name == "" || c.Name == name) {
@@ -54,12 +54,12 @@
 	return n
 }
 
-func newLossyNet(seed uint64, n int) *virtualcluster.Net {
-	return virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: 0.05, Delay: 0.002, Jitter: 0.01, Repeat: 0.01}, n)
+func newLossyNet(seed uint64, n int) *virtualcluster.Network {
+	return virtualcluster.New(virtualcluster.Options{Seed: seed, LossRate: 0.05, Delay: 0.002, Jitter: 0.01, DuplicateRate: 0.01}, n)
 }
 
 // newConvergedNet returns a cluster of n members that has converged.
-func newConvergedNet(t *testing.T, seed uint64, n int) *virtualcluster.Net {
+func newConvergedNet(t *testing.T, seed uint64, n int) *virtualcluster.Network {
 	t.Helper()
 	net := newLossyNet(seed, n)
 	net.StartAll(1)
@@ -75,9 +75,9 @@
 				net := newLossyNet(seed, n)
 				net.StartAll(1)
 				t.Logf("one view after %.1f periods", waitConverged(t, net, n, 60))
-				if _, ok := net.Until(60, 0.5, func() bool {
+				if _, ok := net.RunUntil(60, 0.5, func() bool {
 					for _, node := range net.Nodes {
-						if v := node.Machine.View(); !v.Converged || !v.Recognized {
+						if v := node.Membership.View(); !v.Converged || !v.Recognized {
 							return false
 						}
 					}
@@ -129,7 +129,7 @@
 			runSeeds(t, 5, func(t *testing.T, seed uint64) {
 				net := newConvergedNet(t, seed, 9)
 				sleeper := net.Nodes[4]
-				life := sleeper.Machine.Generation
+				life := sleeper.Membership.Generation
 				net.Pause(sleeper)
 				net.Run(net.Now + span)
 				net.Resume(sleeper)
@@ -138,7 +138,7 @@
 				net.Run(net.Now + 2)
 				net.Resume(sleeper)
 				waitConverged(t, net, 9, 60)
-				if sleeper.Machine.Generation != life {
+				if sleeper.Membership.Generation != life {
 					t.Error("it came back as another")
 				}
 				for _, c := range sleeper.Changes {
@@ -156,12 +156,12 @@
 	runSeeds(t, 5, func(t *testing.T, seed uint64) {
 		net := newConvergedNet(t, seed, 6)
 		a, b := net.Nodes[1], net.Nodes[2]
-		net.Cut = func(from, to *virtualcluster.Node) bool { return from == a && to == b }
+		net.Partitioned = func(from, to *virtualcluster.Node) bool { return from == a && to == b }
 		net.Run(net.Now + 300)
 		if d := deaths(net, ""); d > 0 {
 			t.Errorf("%d times one was given up that others heard", d)
 		}
-		net.Cut = nil
+		net.Partitioned = nil
 		waitConverged(t, net, 6, 30)
 	})
 }
@@ -173,17 +173,17 @@
 		net.StartAll(1)
 		waitConverged(t, net, 3, 40)
 		a, b := net.Nodes[0], net.Nodes[1]
-		net.Cut = func(from, to *virtualcluster.Node) bool { return from == a && to == b || from == b && to == a }
+		net.Partitioned = func(from, to *virtualcluster.Node) bool { return from == a && to == b || from == b && to == a }
 		net.Run(net.Now + 120)
 		if d := deaths(net, ""); d > 0 {
 			t.Errorf("%d times one was given up that another heard", d)
 		}
 		for _, n := range net.Nodes { // the third one asks in their place
-			if n.Machine.Suspicions > 0 {
-				t.Errorf("%s met with %d suspicions", n.Name, n.Machine.Suspicions)
+			if n.Membership.Suspicions > 0 {
+				t.Errorf("%s met with %d suspicions", n.Name, n.Membership.Suspicions)
 			}
 		}
-		net.Cut = nil
+		net.Partitioned = nil
 		waitConverged(t, net, 3, 30)
 	})
 }
@@ -195,7 +195,7 @@
 		net := newConvergedNet(t, seed, 15)
 		if seed%2 == 0 {
 			for _, n := range net.Nodes {
-				n.Machine.SetSeeds(net.Now, nil)
+				n.Membership.SetSeeds(net.Now, nil)
 			}
 		}
 		bridged := 0
@@ -207,10 +207,10 @@
 			}
 			return -1
 		}
-		net.Cut = func(from, to *virtualcluster.Node) bool { return island(from) != island(to) }
+		net.Partitioned = func(from, to *virtualcluster.Node) bool { return island(from) != island(to) }
 		net.Run(net.Now + 1800)
 		for _, n := range net.Nodes {
-			if a, _, _ := n.Machine.CountByState(); a != 5 {
+			if a, _, _ := n.Membership.CountByState(); a != 5 {
 				t.Fatalf("%s holds %d of its 5 alive", n.Name, a)
 			}
 		}
@@ -224,14 +224,14 @@
 // TestFlappingLinkAndLoss has a flapping link and 30% loss: the view converges afterwards.
 func TestFlappingLinkAndLoss(t *testing.T) {
 	runSeeds(t, 3, func(t *testing.T, seed uint64) {
-		net := virtualcluster.New(virtualcluster.Options{Seed: seed, Drop: 0.3, Delay: 0.002, Jitter: 0.05}, 12)
+		net := virtualcluster.New(virtualcluster.Options{Seed: seed, LossRate: 0.3, Delay: 0.002, Jitter: 0.05}, 12)
 		net.StartAll(1)
 		waitConverged(t, net, 12, 120)
-		net.Cut = func(from, to *virtualcluster.Node) bool {
+		net.Partitioned = func(from, to *virtualcluster.Node) bool {
 			return int(net.Now/3)%2 == 0 && (from == net.Nodes[2]) != (to == net.Nodes[2])
 		}
 		net.Run(net.Now + 120)
-		net.Cut, net.Drop = nil, 0
+		net.Partitioned, net.LossRate = nil, 0
 		waitConverged(t, net, 12, 60)
 	})
 }
@@ -241,7 +241,7 @@
 	runSeeds(t, 5, func(t *testing.T, seed uint64) {
 		net := newConvergedNet(t, seed, 10)
 		slow := net.Nodes[6]
-		slow.Slow = 1.5
+		slow.ProcessingDelay = 1.5
 		net.Run(net.Now + 120)
 		for _, n := range net.Nodes {
 			for _, c := range n.Changes {
@@ -250,7 +250,7 @@
 				}
 			}
 		}
-		slow.Slow = 0
+		slow.ProcessingDelay = 0
 		waitConverged(t, net, 10, 60)
 	})
 }
@@ -275,7 +275,7 @@
 	runSeeds(t, 5, func(t *testing.T, seed uint64) {
 		net := newConvergedNet(t, seed, 10)
 		n := net.Nodes[7]
-		n.Machine.Leave(net.Now)
+		n.Membership.Leave(net.Now)
 		net.Flush(n)
 		net.Kill(n)
 		waitConverged(t, net, 9, 15)
@@ -290,15 +290,15 @@
 func TestDuplicateName(t *testing.T) {
 	runSeeds(t, 5, func(t *testing.T, seed uint64) {
 		net := newConvergedNet(t, seed, 6)
-		twin := net.Add("m0002")
+		twin := net.AddNode("m0002")
 		net.Start(twin, net.Nodes[0])
 		first := net.Nodes[2]
-		if _, ok := net.Until(20, 0.5, first.Machine.Withdrawn); !ok || twin.Machine.Withdrawn() {
+		if _, ok := net.RunUntil(20, 0.5, first.Membership.Withdrawn); !ok || twin.Membership.Withdrawn() {
 			t.Fatal("the earlier start does not withdraw")
 		}
 		waitConverged(t, net, 6, 30)
 		net.Kill(twin) // the name is free again
-		if _, ok := net.Until(60, 0.5, func() bool { return !first.Machine.Withdrawn() }); !ok {
+		if _, ok := net.RunUntil(60, 0.5, func() bool { return !first.Membership.Withdrawn() }); !ok {
 			t.Fatal("it does not come back")
 		}
 		waitConverged(t, net, 6, 60)
@@ -312,12 +312,12 @@
 		runSeeds(t, 3, func(t *testing.T, seed uint64) {
 			net := newConvergedNet(t, seed, 6)
 			net.Kill(net.Nodes[1])
-			net.Nodes[1].Skew = skew
+			net.Nodes[1].ClockSkew = skew
 			net.Start(net.Nodes[1], net.Nodes[0])
 			if took := waitConverged(t, net, 6, 30); took > 5 { // it need not ask whether somebody stands at its own address
 				t.Errorf("it took %.1f periods", took)
 			}
-			if net.Nodes[1].Machine.Withdrawn() {
+			if net.Nodes[1].Membership.Withdrawn() {
 				t.Error("it withdrew before itself")
 			}
 		})
@@ -332,9 +332,9 @@
 		net.Kill(n)
 		n.Name = "renamed"
 		net.Start(n, net.Nodes[0])
-		if _, ok := net.Until(60, 0.5, func() bool {
-			alive, suspect, dead := net.Nodes[0].Machine.CountByState()
-			one, _ := net.Agreed()
+		if _, ok := net.RunUntil(60, 0.5, func() bool {
+			alive, suspect, dead := net.Nodes[0].Membership.CountByState()
+			one, _ := net.Converged()
 			return one && alive == 6 && suspect == 0 && dead == 1
 		}); !ok {
 			t.Error("the old name lives on")
@@ -352,11 +352,11 @@
 		net := newLossyNet(seed, n)
 		cuts := map[[2]*virtualcluster.Node]bool{}
 		var island map[*virtualcluster.Node]bool
-		net.Cut = func(a, b *virtualcluster.Node) bool {
+		net.Partitioned = func(a, b *virtualcluster.Node) bool {
 			return cuts[[2]*virtualcluster.Node{a, b}] || island[a] != island[b]
 		}
-		net.Each = func(node *virtualcluster.Node) {
-			if wrong := node.Machine.CheckInvariants(); wrong != "" {
+		net.AfterEvent = func(node *virtualcluster.Node) {
+			if wrong := node.Membership.CheckInvariants(); wrong != "" {
 				t.Fatalf("at %.2f %s: %s", net.Now, node.Name, wrong)
 			}
 		}
@@ -367,15 +367,15 @@
 			case 0, 1:
 				net.Kill(a)
 			case 2, 3:
-				if a.Machine == nil {
+				if a.Membership == nil {
 					net.Start(a, net.Nodes[0], net.Nodes[n-1])
 				}
 			case 4, 5:
-				if a.Machine != nil && !a.Paused {
+				if a.Membership != nil && !a.Paused {
 					net.Pause(a)
 				}
 			case 6:
-				if a.Machine != nil && a.Paused {
+				if a.Membership != nil && a.Paused {
 					net.Resume(a)
 				}
 			case 7:
@@ -385,20 +385,20 @@
 					island = map[*virtualcluster.Node]bool{a: true, b: true}
 				}
 			case 9:
-				net.Drop = rng.Float64() * 0.4
+				net.LossRate = rng.Float64() * 0.4
 			case 10:
-				a.Slow = rng.Float64() * 2
+				a.ProcessingDelay = rng.Float64() * 2
 			}
 			net.Run(net.Now + 8*rng.Float64())
 		}
 		clear(cuts)
-		island, net.Drop = nil, 0
+		island, net.LossRate = nil, 0
 		for _, node := range net.Nodes {
-			node.Slow = 0
-			if node.Machine != nil && node.Paused {
+			node.ProcessingDelay = 0
+			if node.Membership != nil && node.Paused {
 				net.Resume(node)
 			}
-			if node.Machine == nil {
+			if node.Membership == nil {
 				net.Start(node, net.Nodes[0], net.Nodes[n-1])
 			}
 		}
@@ -411,9 +411,9 @@
 // interval for 45 intervals at 300 members, for 140 at 1,000.
 func TestTrafficWhenConverged(t *testing.T) {
 	for _, n := range []int{10, 100, 300} {
-		net := virtualcluster.New(virtualcluster.Options{Seed: 3, Delay: 0.002, Jitter: 0.01, Bytes: 1}, n)
+		net := virtualcluster.New(virtualcluster.Options{Seed: 3, Delay: 0.002, Jitter: 0.01, EncodeEvery: 1}, n)
 		net.StartAll(1)
-		if _, ok := net.Until(100, 0.5, func() bool { one, alive := net.Agreed(); return one && alive == n }); !ok {
+		if _, ok := net.RunUntil(100, 0.5, func() bool { one, alive := net.Converged(); return one && alive == n }); !ok {
 			t.Fatal("no fleet")
 		}
 		net.Run(net.Now + 10)
--- a/internal/system/control/api/simulation_cluster_test.go
+++ b/internal/system/control/api/simulation_cluster_test.go
@@ -23,7 +23,7 @@
 	seed         uint64
 	random       *rand.Rand
 	now          time.Duration
-	events       eventqueue.Agenda
+	events       eventqueue.Queue
 	verbose      bool
 	failure      string
 	faultsActive bool // false once recovery begins
@@ -150,14 +150,14 @@
 }
 
 func (sim *simulation) after(d time.Duration, do func()) {
-	sim.events.At(float64(sim.now+max(d, 0)), do)
+	sim.events.Schedule(float64(sim.now+max(d, 0)), do)
 }
 
 // run processes events for a span of virtual time.
 func (sim *simulation) run(d time.Duration) {
 	end := sim.now + d
 	for sim.failure == "" {
-		at, do, is := sim.events.Next(float64(end))
+		at, do, is := sim.events.PopUntil(float64(end))
 		if !is {
 			break
 		}
--- a/internal/system/emulator/configuration.go
+++ b/internal/system/emulator/configuration.go
@@ -73,9 +73,9 @@
 		"use_tls":    false,
 		"cold_for_s": s.SlowStartDuration.Seconds(), "cold_rate_s": s.SlowStartRate}
 	if e := s.Engine; e != nil {
-		service["backend"] = map[string]any{"capacity": e.Slots, "cache_tokens": e.MemoryTokens,
+		service["backend"] = map[string]any{"capacity": e.MaxRunning, "cache_tokens": e.MemoryTokens,
 			"token_cache_bytes": 327680,
-			"link_mbps":         550000.0, "stride": e.StrideTokens, "models": []map[string]string{{"name": modelName}}}
+			"link_mbps":         550000.0, "stride": e.EventTokens, "models": []map[string]string{{"name": modelName}}}
 	}
 	return service
 }
--- a/internal/system/emulator/emulation.go
+++ b/internal/system/emulator/emulation.go
@@ -45,12 +45,12 @@
 type emulation struct {
 	options     Options
 	deployment  *deployment
-	platform    *fakeplatform.Cloud
-	checker     *checker.Referee
+	platform    *fakeplatform.Platform
+	checker     *checker.Checker
 	runners     *runnerFleet
 	processes   []*process
 	operator    *operator
-	clients     *client.Load
+	clients     *client.LoadGenerator
 	routes      map[string]*client.Route // by class
 	inForce     configurationDocument    // the configuration that was acknowledged last
 	runnerStats []runner.Stats           // of all runners, once they are closed
@@ -74,10 +74,10 @@
 		return nil, err
 	}
 	e := &emulation{options: o}
-	e.checker = checker.New(checker.Bounds{Drain: milliseconds(defaultTiming.DrainWithinMS),
-		Evacuate:   milliseconds(defaultTiming.EvacuateMS),
-		RetryRatio: defaultTiming.RetryRatio, RetryWindow: time.Duration(defaultTiming.RetryWindowS) * time.Second,
-		RetryExtra: defaultTiming.RetryExtra}, nil)
+	e.checker = checker.New(checker.Limits{DrainGrace: milliseconds(defaultTiming.DrainWithinMS),
+		EvacuationGrace: milliseconds(defaultTiming.EvacuateMS),
+		RetryRatio:      defaultTiming.RetryRatio, RetryWindow: time.Duration(defaultTiming.RetryWindowS) * time.Second,
+		RetryAllowance: defaultTiming.RetryExtra}, nil)
 	report, err := e.run(ctx, programs)
 	if err != nil {
 		return nil, fmt.Errorf("%w (logs are in %s)", err, o.WorkDir)
@@ -114,8 +114,8 @@
 		return err
 	}
 	e.platform, err = fakeplatform.Start(fakeplatform.Options{Address: platformAddress,
-		Lag: milliseconds(platformLagMS), Page: platformPageSize,
-		RatePerS: platformCallsPerSecond})
+		PropagationDelay: milliseconds(platformLagMS), PageSize: platformPageSize,
+		CallsPerSecond: platformCallsPerSecond})
 	if err != nil {
 		return err
 	}
@@ -219,9 +219,9 @@
 	got, err := e.operator.readConfiguration(ctx)
 	switch {
 	case err != nil:
-		e.checker.Break(checker.Configed, "the configuration could not be read back: %v", err)
+		e.checker.Report(checker.ConfigurationMismatch, "the configuration could not be read back: %v", err)
 	case got.Version != e.inForce.Version || len(got.Routes) != len(e.inForce.Routes):
-		e.checker.Break(checker.Configed, "version %d with %d routes was read back, %d with %d was acknowledged",
+		e.checker.Report(checker.ConfigurationMismatch, "version %d with %d routes was read back, %d with %d was acknowledged",
 			got.Version, len(got.Routes), e.inForce.Version, len(e.inForce.Routes))
 	}
 }
--- a/internal/system/emulator/faults.go
+++ b/internal/system/emulator/faults.go
@@ -56,7 +56,7 @@
 )
 
 // corruption holds the shares of responses that are corrupted in each way.
-var corruption = runner.Faults{BreakOff: 0.03, Extra: 0.03, ExtraLate: 0.03, Garbage: 0.02, Silent: 0.01, Reset: 0.03,
+var corruption = runner.Faults{Truncate: 0.03, ExtraBytes: 0.03, StaleAnswer: 0.03, Garbage: 0.02, NoAnswer: 0.01, Reset: 0.03,
 	Close: 0.03}
 
 // scheduleFault injects a fault after a delay; emulation.faults waits for it.
@@ -121,7 +121,7 @@
 	if err := operator.setEvacuation(orderCtx, zone, true); err != nil {
 		return err
 	}
-	e.checker.Evacuated(zone, time.Now())
+	e.checker.ZoneEvacuated(zone, time.Now())
 	e.logEvent("evacuation acknowledged", "zone", zone)
 	timer := time.NewTimer(evacuationTime)
 	defer timer.Stop()
@@ -129,7 +129,7 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	e.checker.Restored(zone)
+	e.checker.ZoneRestored(zone)
 	orderCtx, cancel = context.WithTimeout(ctx, milliseconds(defaultTiming.AckWithinMS))
 	defer cancel()
 	return operator.setEvacuation(orderCtx, zone, false)
@@ -172,13 +172,13 @@
 func (e *emulation) probe(ctx context.Context, m *machine, route *client.Route) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	load := client.New(client.Options{Zones: e.deployment.zones, Clients: 1,
-		Front:   m.addressWithPort(e.deployment.ports.front).String(),
-		Referee: e.checker,
-		Seed:    e.options.Seed + uint64(m.ip.As4()[2])<<8 + uint64(m.ip.As4()[3])})
-	load.Call(ctx, load.Client(m.zone, 0), &client.Call{Route: route, Zone: m.zone, Bytes: 100})
-	if tally := load.Tally(); tally.Routes[0].Denied > 0 {
-		e.checker.Break(checker.Configed, "%s does not know a route that was acknowledged %d ms before", m.name,
+	load := client.New(client.Options{RegionOfZone: e.deployment.zones, ClientsPerZone: 1,
+		FixedAddress: m.addressWithPort(e.deployment.ports.front).String(),
+		Checker:      e.checker,
+		Seed:         e.options.Seed + uint64(m.ip.As4()[2])<<8 + uint64(m.ip.As4()[3])})
+	load.Do(ctx, load.Client(m.zone, 0), &client.Call{Route: route, Zone: m.zone, BodyBytes: 100})
+	if tally := load.Stats(); tally.Routes[0].ClientErrors > 0 {
+		e.checker.Report(checker.ConfigurationMismatch, "%s does not know a route that was acknowledged %d ms before", m.name,
 			defaultTiming.ConfigWithinMS)
 	}
 }
--- a/internal/system/emulator/fleet.go
+++ b/internal/system/emulator/fleet.go
@@ -30,8 +30,8 @@
 // may fire after close; they start no runners then.
 type runnerFleet struct {
 	scenario *policysim.Scenario
-	platform *fakeplatform.Cloud
-	checker  *checker.Referee
+	platform *fakeplatform.Platform
+	checker  *checker.Checker
 	zones    map[string]string
 
 	mu           sync.Mutex
@@ -47,8 +47,8 @@
 var errFleetClosed = errors.New("the runners have been closed")
 
 // startFleet starts the runners of all services.
-func startFleet(scenario *policysim.Scenario, zones map[string]string, platform *fakeplatform.Cloud,
-	referee *checker.Referee) (*runnerFleet, error) {
+func startFleet(scenario *policysim.Scenario, zones map[string]string, platform *fakeplatform.Platform,
+	referee *checker.Checker) (*runnerFleet, error) {
 	f := &runnerFleet{scenario: scenario, platform: platform, checker: referee, zones: zones,
 		entries:  make(map[string]fakeplatform.Entry),
 		services: make(map[string]*policysim.Service)}
@@ -84,11 +84,11 @@
 	entry := fakeplatform.Entry{ID: o.ID, Service: service.Name, Address: r.Address(), Zone: zone,
 		Capacity: service.Slots}
 	if service.Engine != nil {
-		entry.Capacity, entry.Model = service.Engine.Slots, modelName
+		entry.Capacity, entry.Model = service.Engine.MaxRunning, modelName
 	}
 	if slowStart > 0 {
-		r.Chill(slowStart)
-		entry.ColdUntil = time.Now().Add(slowStart)
+		r.BeginSlowStart(slowStart)
+		entry.SlowStartUntil = time.Now().Add(slowStart)
 	}
 	f.running = append(f.running, r)
 	f.entries[o.ID], f.services[o.ID] = entry, service
@@ -102,18 +102,18 @@
 	o = runner.Options{
 		Runner:  checker.Runner{ID: fmt.Sprintf("i-%04x", f.count), Service: s.Name, Zone: zone, Region: f.zones[zone]},
 		Address: fmt.Sprintf("127.1.%d.%d:0", f.count/250, 1+f.count%250), HealthPath: healthPath,
-		MaxConns: s.MaxConnections, IdleFor: runnerIdleTimeout, CloseShare: connectionCloseShare, ReportLag: reportLag,
-		Cold:    defaultTiming.slowStart(s.SlowStartRate),
-		Referee: f.checker,
-		Seed:    uint64(f.count), BodyBytes: plainBodyBytes,
+		MaxConns: s.MaxConnections, IdleTimeout: runnerIdleTimeout, CloseShare: connectionCloseShare, ReportDelay: reportLag,
+		SlowStart: defaultTiming.slowStart(s.SlowStartRate),
+		Checker:   f.checker,
+		Seed:      uint64(f.count), BodyBytes: plainBodyBytes,
 	}
 	if s.Engine != nil {
-		o.Stride, o.Models = s.Engine.StrideTokens, []runner.Model{{Name: modelName, Version: 1}}
-		o.Machine, err = engine.New(*s.Engine)
+		o.EventTokens, o.Models = s.Engine.EventTokens, []runner.Model{{Name: modelName, Version: 1}}
+		o.Engine, err = engine.New(*s.Engine)
 		return o, err
 	}
-	o.Machine, err = engine.NewWorkers(s.Slots, s.QueueLength)
-	o.Work = f.workSampler(s.Name)
+	o.Engine, err = engine.NewWorkers(s.Slots, s.QueueLength)
+	o.ServiceTime = f.workSampler(s.Name)
 	return o, err
 }
 
@@ -150,13 +150,13 @@
 	serves := time.Duration(defaultTiming.DrainWithinMS)*time.Millisecond + extraDrainTime
 	if notice > 0 {
 		serves = notice
-		entry.GoneAt = time.Now().Add(notice)
+		entry.TerminatesAt = time.Now().Add(notice)
 	}
 	f.entries[r.ID()] = entry
 	f.mu.Unlock()
 	r.Drain()
 	shown := f.platform.Set(entry)
-	f.checker.Draining(r.ID(), shown)
+	f.checker.RunnerDraining(r.ID(), shown)
 	time.AfterFunc(time.Until(shown)+serves, func() {
 		f.removeRunning(r)
 		r.Close()
@@ -169,7 +169,7 @@
 func (f *runnerFleet) crash(r *runner.Runner, silent bool, downtime time.Duration) {
 	f.removeRunning(r)
 	if silent {
-		r.GoDark()
+		r.Hang()
 	} else {
 		r.Crash()
 	}
@@ -190,7 +190,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.running {
-		r.Script(faults)
+		r.SetFaults(faults)
 	}
 }
 
--- a/internal/system/emulator/fleet_test.go
+++ b/internal/system/emulator/fleet_test.go
@@ -22,7 +22,7 @@
 	t.Cleanup(list.Close)
 	rs, err := startFleet(policysim.Screening(), map[string]string{"west-a": "west", "west-b": "west",
 		"east-a": "east"}, list,
-		checker.New(checker.Bounds{}, nil))
+		checker.New(checker.Limits{}, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,9 +38,9 @@
 		t.Fatal(err)
 	}
 	q.Host = routeHost
-	q.Header.Set(answer.TryID, id)
+	q.Header.Set(answer.HeaderAttemptID, id)
 	if route != nil {
-		f.checker.Asked(checker.Try{ID: id, Method: http.MethodPost, Host: routeHost, URI: "/lookup/1",
+		f.checker.RequestSent(checker.Attempt{ID: id, Method: http.MethodPost, Host: routeHost, URI: "/lookup/1",
 			Body: checker.Hash([]byte("x")), Route: route})
 	}
 	resp, err := http.DefaultClient.Do(q)
@@ -52,7 +52,7 @@
 }
 
 func TestRunnersReportToChecker(t *testing.T) {
-	lookups := &checker.Route{Name: "lookup", Services: []string{"api"}, Homes: []string{"west"}}
+	lookups := &checker.Route{Name: "lookup", Services: []string{"api"}, HomeRegions: []string{"west"}}
 	for _, test := range []struct {
 		name string
 		do   func(t *testing.T, rs *runnerFleet, r *runner.Runner)
@@ -61,24 +61,24 @@
 		{"a proper request", func(t *testing.T, rs *runnerFleet, r *runner.Runner) { rs.request(t, r, "1", lookups) },
 			""},
 		{"one that nobody sent", func(t *testing.T, rs *runnerFleet, r *runner.Runner) { rs.request(t, r, "1", nil) },
-			checker.Unasked},
+			checker.UnexpectedRequest},
 		{"one that runs twice", func(t *testing.T, rs *runnerFleet, r *runner.Runner) {
 			rs.request(t, r, "1", lookups)
 			rs.repeatRequest(t, r, "1")
-		}, checker.Twice},
+		}, checker.DuplicateExecution},
 		{"another service", func(t *testing.T, rs *runnerFleet, r *runner.Runner) {
 			rs.request(t, rs.pickRunner("llm"), "1", lookups)
 		},
-			checker.Routed},
+			checker.WrongService},
 		{"a runner that drains", func(t *testing.T, rs *runnerFleet, r *runner.Runner) {
 			rs.drain(r, 0)
 			rs.request(t, r, "1", lookups)
-		}, checker.Drain},
+		}, checker.SentToDraining},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			rs := newTestFleet(t)
 			test.do(t, rs, rs.pickRunner("api"))
-			breaches := rs.checker.Breaches()
+			breaches := rs.checker.Violations()
 			if test.want == "" && len(breaches) == 0 {
 				return
 			}
--- a/internal/system/emulator/report.go
+++ b/internal/system/emulator/report.go
@@ -14,12 +14,12 @@
 
 // Report is the result of an emulation.
 type Report struct {
-	Clients          client.Tally
+	Clients          client.Stats
 	Runners          []runner.Stats
 	Platform         fakeplatform.Stats
 	RepeatedRequests int // requests that were sent to another runner after a first one
 	Processes        []ProcessReport
-	Breaches         []checker.Breach
+	Breaches         []checker.Violation
 	LogDir           string // directory of the logs; empty: it was removed
 }
 
@@ -47,18 +47,18 @@
 )
 
 func (e *emulation) buildReport() *Report {
-	report := &Report{Clients: e.clients.Tally(), Runners: e.runnerStats, Platform: e.platform.Stats(),
-		RepeatedRequests: e.checker.Repeats()}
+	report := &Report{Clients: e.clients.Stats(), Runners: e.runnerStats, Platform: e.platform.Stats(),
+		RepeatedRequests: e.checker.Retries()}
 	denied := 0
 	for _, route := range report.Clients.Routes {
-		denied += route.Denied
+		denied += route.ClientErrors
 	}
 	if denied > maxDenied+report.Clients.Calls/deniedDivisor {
-		e.checker.Break(checker.Denied, "%d of %d calls were answered with a 3xx or 4xx", denied, report.Clients.Calls)
+		e.checker.Report(checker.ValidRequestDenied, "%d of %d calls were answered with a 3xx or 4xx", denied, report.Clients.Calls)
 	}
 	for _, s := range report.Runners {
-		if s.ColdBroken > 0 {
-			e.checker.Break(checker.Failback, "a cold runner was sent %d requests in a second", s.ColdWorst)
+		if s.SlowStartViolations > 0 {
+			e.checker.Report(checker.SlowStartOverload, "a cold runner was sent %d requests in a second", s.SlowStartPeak)
 		}
 	}
 	for _, p := range e.processes {
@@ -66,7 +66,7 @@
 			PeakMB: p.peakMB(),
 			Starts: p.starts, UnexpectedEnds: p.unexpectedEnds})
 	}
-	report.Breaches = e.checker.Close()
+	report.Breaches = e.checker.Finish()
 	return report
 }
 
@@ -77,10 +77,10 @@
 	for i := range r.Clients.Routes {
 		tally := &r.Clients.Routes[i]
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t%v\t\n", tally.Name, tally.Calls, tally.InTime,
-			tally.Late, tally.Refused,
-			tally.Failed, tally.Denied,
-			tally.First(0.5).Round(time.Millisecond), tally.First(0.95).Round(time.Millisecond),
-			tally.First(0.99).Round(time.Millisecond))
+			tally.Late, tally.Rejected,
+			tally.Failed, tally.ClientErrors,
+			tally.LatencyQuantile(0.5).Round(time.Millisecond), tally.LatencyQuantile(0.95).Round(time.Millisecond),
+			tally.LatencyQuantile(0.99).Round(time.Millisecond))
 	}
 	fmt.Fprintln(table, "\t\t\t\t\t\t\t\t\t\t")
 	fmt.Fprintln(table, "machine\tprogram\tpeak MB\tstarts\town ends\t")
@@ -105,24 +105,24 @@
 	for _, stats := range r.Runners {
 		total.Requests += stats.Requests
 		total.Rejected += stats.Rejected
-		total.Misplaced += stats.Misplaced
-		total.Connected += stats.Connected
-		total.TurnedAway += stats.TurnedAway
-		total.Probes += stats.Probes
-		total.Faults += stats.Faults
-		total.Machine.Prefilled += stats.Machine.Prefilled
-		total.Machine.Preemptions += stats.Machine.Preemptions
+		total.Misdirected += stats.Misdirected
+		total.ConnectionsAccepted += stats.ConnectionsAccepted
+		total.ConnectionsReset += stats.ConnectionsReset
+		total.HealthChecks += stats.HealthChecks
+		total.FaultsInjected += stats.FaultsInjected
+		total.Engine.PrefilledTokens += stats.Engine.PrefilledTokens
+		total.Engine.Preemptions += stats.Engine.Preemptions
 	}
 	fmt.Fprintf(out,
 		"runner_requests=%d rejected=%d misplaced=%d connections=%d connections_reset=%d probes=%d "+
 			"faults=%d prefilled=%d preempted=%d\n",
-		total.Requests, total.Rejected, total.Misplaced, total.Connected, total.TurnedAway, total.Probes, total.Faults,
-		total.Machine.Prefilled,
-		total.Machine.Preemptions)
+		total.Requests, total.Rejected, total.Misdirected, total.ConnectionsAccepted, total.ConnectionsReset, total.HealthChecks, total.FaultsInjected,
+		total.Engine.PrefilledTokens,
+		total.Engine.Preemptions)
 	fmt.Fprintf(out,
 		"retries=%d repeats=%d unreached=%d lookups=%d failed_lookups=%d statuses=%v "+
 			"cloud_calls=%d cloud_refused=%d breaches=%d\n",
-		r.Clients.Retries, r.RepeatedRequests, r.Clients.Unreached, r.Clients.Lookups, r.Clients.FailedLookups,
+		r.Clients.Retries, r.RepeatedRequests, r.Clients.ConnectFailures, r.Clients.Lookups, r.Clients.FailedLookups,
 		r.Clients.Statuses,
-		r.Platform.Calls, r.Platform.Refused, len(r.Breaches))
+		r.Platform.Calls, r.Platform.Throttled, len(r.Breaches))
 }
--- a/internal/system/emulator/report_test.go
+++ b/internal/system/emulator/report_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestReportFailedOnBreach(t *testing.T) {
-	r := &Report{Breaches: []checker.Breach{{Rule: checker.Twice, What: "try 1 ran 2 times"}}}
+	r := &Report{Breaches: []checker.Violation{{Rule: checker.DuplicateExecution, Description: "try 1 ran 2 times"}}}
 	if !r.Failed() || (&Report{}).Failed() {
 		t.Error("a day fails by a breach, and only then")
 	}
--- a/internal/system/emulator/settings.go
+++ b/internal/system/emulator/settings.go
@@ -92,8 +92,8 @@
 // slowStartFailureFactor is the multiple of its rate at which an emulated runner in slow start crashes.
 const slowStartFailureFactor = 4
 
-func (t *timing) slowStart(rate float64) engine.Cold {
-	return engine.Cold{Rate: rate, Excess: t.ColdExcess, Slack: t.ColdSlack, Falls: slowStartFailureFactor}
+func (t *timing) slowStart(rate float64) engine.SlowStart {
+	return engine.SlowStart{Rate: rate, MaxMultiple: t.ColdExcess, Allowance: t.ColdSlack, CrashMultiple: slowStartFailureFactor}
 }
 
 // Limits of the emulated platform.
--- a/internal/system/emulator/traffic.go
+++ b/internal/system/emulator/traffic.go
@@ -18,8 +18,8 @@
 		c := &e.options.Scenario.Classes[i]
 		e.routes[c.Name] = clientRoute(c)
 	}
-	e.clients = client.New(client.Options{Zones: e.deployment.zones, Directories: e.deployment.directories,
-		TTLMax: time.Duration(defaultTiming.TTLMaxS) * time.Second, Referee: e.checker, Seed: e.options.Seed})
+	e.clients = client.New(client.Options{RegionOfZone: e.deployment.zones, Directories: e.deployment.directories,
+		MaxTTL: time.Duration(defaultTiming.TTLMaxS) * time.Second, Checker: e.checker, Seed: e.options.Seed})
 	for i, fault := range e.options.Faults {
 		e.scheduleFault(ctx, fault,
 			e.options.Scenario.Duration*time.Duration(i+1)/time.Duration(len(e.options.Faults)+1))
@@ -35,9 +35,9 @@
 	r := &client.Route{Name: c.Name, Host: routeHost, Path: pathPrefix(c) + "1",
 		Stream:    c.Type == configuration.Streaming,
 		Resumable: c.Resumable,
-		ReadOnly:  c.Type == configuration.ReadOnly, Target: c.LatencyTarget, Gap: c.EventGapTarget,
-		Deadline: c.Deadline, Retries: c.ClientRetries}
-	r.Referee = &checker.Route{Name: c.Name, Services: []string{c.Service}, Homes: c.HomeRegions,
+		ReadOnly:  c.Type == configuration.ReadOnly, LatencyTarget: c.LatencyTarget, MaxEventGap: c.EventGapTarget,
+		Deadline: c.Deadline, MaxRetries: c.ClientRetries}
+	r.CheckerRoute = &checker.Route{Name: c.Name, Services: []string{c.Service}, HomeRegions: c.HomeRegions,
 		Idempotent: r.ReadOnly ||
 			r.Stream && r.Resumable}
 	return r
@@ -47,17 +47,17 @@
 func (e *emulation) calls() (calls []*client.Call) {
 	const bytesPerToken = 2
 	for _, generated := range policysim.GenerateTraffic(e.options.Scenario, e.options.Seed) {
-		call := &client.Call{At: generated.At, Route: e.routes[generated.Class.Name], Zone: generated.Zone,
-			TokensIn:  generated.PromptTokens(),
-			TokensOut: generated.OutputTokens, Bytes: bytesPerToken * generated.PromptTokens()}
+		call := &client.Call{Start: generated.At, Route: e.routes[generated.Class.Name], Zone: generated.Zone,
+			PromptTokens:    generated.PromptTokens(),
+			MaxOutputTokens: generated.OutputTokens, BodyBytes: bytesPerToken * generated.PromptTokens()}
 		if len(generated.Chunks) > 0 {
 			call.Model = modelName
 		}
 		for i, part := range generated.Chunks {
 			if i > 0 {
-				call.Prompt += ","
+				call.PromptChunks += ","
 			}
-			call.Prompt += fmt.Sprintf("%x:%d", part.ID, part.Tokens)
+			call.PromptChunks += fmt.Sprintf("%x:%d", part.ID, part.Tokens)
 		}
 		calls = append(calls, call)
 	}
@@ -78,13 +78,13 @@
 		for _, p := range e.processes {
 			p.samplePeakMemory()
 		}
-		tally := e.clients.Tally()
+		tally := e.clients.Stats()
 		inTime, refused, failed := 0, 0, 0
 		for _, r := range tally.Routes {
-			inTime, refused, failed = inTime+r.InTime, refused+r.Refused, failed+r.Failed
+			inTime, refused, failed = inTime+r.InTime, refused+r.Rejected, failed+r.Failed
 		}
 		e.logEvent("serving", "at", time.Since(began).Round(progressPrecision), "calls", tally.Calls, "in_time", inTime,
 			"late", tally.Served-inTime,
-			"refused", refused, "failed", failed, "retries", tally.Retries, "breaches", len(e.checker.Breaches()))
+			"refused", refused, "failed", failed, "retries", tally.Retries, "breaches", len(e.checker.Violations()))
 	}
 }
--- a/internal/system/placement/simulation_test.go
+++ b/internal/system/placement/simulation_test.go
@@ -17,7 +17,7 @@
 type simulation struct {
 	t                 testing.TB
 	now               time.Duration
-	events            eventqueue.Agenda
+	events            eventqueue.Queue
 	random            *rand.Rand
 	service           configuration.Service
 	kinds             []*requestKind
@@ -157,12 +157,12 @@
 
 func (sim *simulation) scheduleTick(proxy *simulatedProxy) {
 	next := proxy.placer.Tick(sim.now)
-	sim.events.At(max(next, sim.now+time.Millisecond).Seconds(), func() { sim.scheduleTick(proxy) })
+	sim.events.Schedule(max(next, sim.now+time.Millisecond).Seconds(), func() { sim.scheduleTick(proxy) })
 }
 
 func (sim *simulation) scheduleArrival(proxy *simulatedProxy, kind *requestKind) {
 	gap := time.Duration(sim.random.ExpFloat64() / kind.rate * float64(time.Second))
-	sim.events.At((sim.now + gap).Seconds(), func() {
+	sim.events.Schedule((sim.now + gap).Seconds(), func() {
 		sim.arrive(proxy, kind)
 		sim.scheduleArrival(proxy, kind)
 	})
@@ -200,7 +200,9 @@
 	return 20 * time.Millisecond
 }
 
-func (sim *simulation) after(d time.Duration, do func()) { sim.events.At((sim.now + d).Seconds(), do) }
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.events.Schedule((sim.now + d).Seconds(), do)
+}
 
 func (e *simulatedEngine) enqueue(job *simulatedJob) {
 	at := len(e.queue)
@@ -293,7 +295,7 @@
 // run plays the events up to a time.
 func (sim *simulation) run(until time.Duration) {
 	for {
-		at, do, is := sim.events.Next(until.Seconds())
+		at, do, is := sim.events.PopUntil(until.Seconds())
 		if !is {
 			return
 		}
--- a/internal/system/policysim/attempt.go
+++ b/internal/system/policysim/attempt.go
@@ -41,13 +41,13 @@
 // engineRequest returns the work for the engine. Events that the client has already received are not generated again.
 func (a *attempt) engineRequest() *engine.Request {
 	call := a.state.call
-	r := &engine.Request{Model: a.request.Model, Out: call.OutputTokens, Work: call.Work, Priority: a.priority,
+	r := &engine.Request{Model: a.request.Model, OutputTokens: call.OutputTokens, Work: call.Work, Priority: a.priority,
 		Deadline: a.request.Deadline}
 	for _, chunk := range call.Chunks {
-		r.Parts = append(r.Parts, engine.Part{ID: chunk.ID, Tokens: chunk.Tokens})
+		r.Chunks = append(r.Chunks, engine.Chunk{ID: chunk.ID, Tokens: chunk.Tokens})
 	}
 	if done := a.state.events * a.sim.scenario.tokensPerEvent(call.Class.Service); done > 0 {
-		r.Done = min(done, r.Out-1)
+		r.ResumedTokens = min(done, r.OutputTokens-1)
 	}
 	return r
 }
--- a/internal/system/policysim/counters.go
+++ b/internal/system/policysim/counters.go
@@ -24,8 +24,8 @@
 
 // countPrefill counts a chunk of a prompt that a runner has prefilled. The last chunk is the request's own.
 func (c *counters) countPrefill(task *engine.Task, index int) {
-	part := task.Request.Parts[index]
-	if index == len(task.Request.Parts)-1 {
+	part := task.Request.Chunks[index]
+	if index == len(task.Request.Chunks)-1 {
 		c.ownPrefilled += int64(part.Tokens)
 		return
 	}
--- a/internal/system/policysim/result.go
+++ b/internal/system/policysim/result.go
@@ -62,8 +62,8 @@
 		state := runner.engine.State()
 		result.Preemptions += state.Preemptions
 		result.RejectedByRunners += state.Rejected
-		result.SlowStartWorstRate = max(result.SlowStartWorstRate, runner.slowStart.Worst())
-		result.SlowStartExcess += runner.slowStart.Broken()
+		result.SlowStartWorstRate = max(result.SlowStartWorstRate, runner.slowStart.PeakArrivals())
+		result.SlowStartExcess += runner.slowStart.Violations()
 	}
 	earned, due := 0.0, 0.0
 	earnedValues := make(map[*callState]float64)
--- a/internal/system/policysim/runner.go
+++ b/internal/system/policysim/runner.go
@@ -12,8 +12,8 @@
 	sim        *simulation
 	service    *Service
 	info       placement.Runner
-	engine     engine.Machine
-	slowStart  engine.Cold
+	engine     engine.Server
+	slowStart  engine.SlowStart
 	attempts   map[*engine.Task]*attempt
 	up         bool
 	silent     bool // down without closing its connections
@@ -32,7 +32,7 @@
 	if a.ended { // its client has cancelled it
 		return
 	}
-	if r.slowStart.Arrive(r.sim.now) {
+	if r.slowStart.RecordArrival(r.sim.now) {
 		r.stop(false)
 		a.respond(func() { a.handleEnd(placement.Interrupted) })
 		return
@@ -87,7 +87,7 @@
 
 func (r *simulatedRunner) handleEvent(event engine.Event) {
 	a := r.attempts[event.Task]
-	if event.Kind == engine.PartRead {
+	if event.Kind == engine.ChunkPrefilled {
 		r.sim.counters.countPrefill(event.Task, event.Index)
 		return
 	}
@@ -103,7 +103,7 @@
 	case engine.Expired:
 		delete(r.attempts, event.Task)
 		a.respond(func() { a.handleEnd(placement.Rejected) })
-	case engine.CutOff:
+	case engine.TimedOut:
 		delete(r.attempts, event.Task)
 		a.respond(func() { a.handleEnd(placement.Failed) })
 	case engine.Lost:
--- a/internal/system/policysim/scenario.go
+++ b/internal/system/policysim/scenario.go
@@ -69,7 +69,7 @@
 
 func (s *Scenario) tokensPerEvent(service string) int {
 	if found := s.serviceByName(service); found != nil && found.Engine != nil {
-		return found.Engine.StrideTokens
+		return found.Engine.EventTokens
 	}
 	return 1
 }
--- a/internal/system/policysim/scenarios.go
+++ b/internal/system/policysim/scenarios.go
@@ -55,9 +55,9 @@
 }
 
 func engineOptions(stepMS, prefillPerMS float64, memory int) *engine.Options {
-	return &engine.Options{Slots: 64, Queue: 179, MemoryTokens: memory, BlockTokens: 16, Step: milliseconds(stepMS),
-		StepPerSlot: milliseconds(0.0121), StepPerKilo: milliseconds(0.023), PrefillPerMS: prefillPerMS,
-		PairsPerMega: milliseconds(0.737), ChunkTokens: 2048, StrideTokens: 4}
+	return &engine.Options{MaxRunning: 64, MaxQueued: 179, MemoryTokens: memory, BlockTokens: 16, StepTime: milliseconds(stepMS),
+		StepTimePerRequest: milliseconds(0.0121), StepTimePerKilotoken: milliseconds(0.023), PrefillTokensPerMS: prefillPerMS,
+		StepTimePerMegapair: milliseconds(0.737), PrefillTokensPerStep: 2048, EventTokens: 4}
 }
 
 func classes(perS [4]float64, workMS float64, lookupTarget, lookupDeadline time.Duration) []Class {
--- a/internal/system/policysim/simulation.go
+++ b/internal/system/policysim/simulation.go
@@ -34,7 +34,7 @@
 // simulation is a run.
 type simulation struct {
 	scenario     *Scenario
-	eventQueue   eventqueue.Agenda
+	eventQueue   eventqueue.Queue
 	now          time.Duration
 	routes       map[string]*configuration.Route // by class
 	services     []*configuration.Service
@@ -70,13 +70,13 @@
 	return sim.result(factory.Name), nil
 }
 
-func (sim *simulation) at(at time.Duration, do func()) { sim.eventQueue.At(at.Seconds(), do) }
+func (sim *simulation) at(at time.Duration, do func()) { sim.eventQueue.Schedule(at.Seconds(), do) }
 
 func (sim *simulation) after(wait time.Duration, do func()) { sim.at(sim.now+wait, do) }
 
 func (sim *simulation) runUntil(until time.Duration) {
 	for {
-		at, do, is := sim.eventQueue.Next(until.Seconds())
+		at, do, is := sim.eventQueue.PopUntil(until.Seconds())
 		if !is {
 			return
 		}
@@ -141,8 +141,8 @@
 		service := &configuration.Service{Name: s.Name, HealthPath: "/health", MaxConnections: s.MaxConnections,
 			SlowStartDuration: s.SlowStartDuration, SlowStartRate: s.SlowStartRate}
 		if s.Engine != nil {
-			service.Backend = &configuration.Backend{Capacity: s.Engine.Slots, CacheTokens: s.Engine.MemoryTokens,
-				CacheBytesPerToken: cacheBytesPerToken, LinkMbps: linkMbps, TokensPerEvent: s.Engine.StrideTokens,
+			service.Backend = &configuration.Backend{Capacity: s.Engine.MaxRunning, CacheTokens: s.Engine.MemoryTokens,
+				CacheBytesPerToken: cacheBytesPerToken, LinkMbps: linkMbps, TokensPerEvent: s.Engine.EventTokens,
 				Models: []string{modelName}}
 		}
 		sim.services = append(sim.services, service)
@@ -172,15 +172,15 @@
 	sim.incarnations++
 	runner := &simulatedRunner{sim: sim, up: true, listed: true, service: service,
 		attempts: make(map[*engine.Task]*attempt)}
-	runner.slowStart = engine.Cold{Rate: service.SlowStartRate, Excess: slowStartFactor, Slack: slowStartAllowance,
-		Falls: slowStartFailureFactor}
+	runner.slowStart = engine.SlowStart{Rate: service.SlowStartRate, MaxMultiple: slowStartFactor, Allowance: slowStartAllowance,
+		CrashMultiple: slowStartFailureFactor}
 	runner.info = placement.Runner{ID: fmt.Sprintf("i-%04x", sim.incarnations), Service: service.Name, Zone: zone,
 		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(sim.incarnations >> 8),
 			byte(sim.incarnations)}), 8080),
 		Region: sim.scenario.regionOf(zone), Capacity: service.Slots}
 	var err error
 	if service.Engine != nil {
-		runner.info.Capacity, runner.info.Models = service.Engine.Slots, []string{modelName}
+		runner.info.Capacity, runner.info.Models = service.Engine.MaxRunning, []string{modelName}
 		runner.engine, err = engine.New(*service.Engine)
 	} else {
 		runner.engine, err = engine.NewWorkers(service.Slots, service.QueueLength)
--- a/internal/system/replica/simulation_test.go
+++ b/internal/system/replica/simulation_test.go
@@ -20,7 +20,7 @@
 	seed            uint64
 	random          *rand.Rand
 	now             time.Duration
-	events          eventqueue.Agenda
+	events          eventqueue.Queue
 	verbose         bool
 	failure         string
 	faultsEnabled   bool // faults are injected
@@ -140,7 +140,7 @@
 
 // schedule runs an event after a delay.
 func (sim *simulation) schedule(d time.Duration, do func()) {
-	sim.events.At(float64(sim.now+max(d, 0)), do)
+	sim.events.Schedule(float64(sim.now+max(d, 0)), do)
 }
 
 // runFor runs for a duration.
@@ -150,7 +150,7 @@
 func (sim *simulation) runUntil(d time.Duration, holds func() bool) {
 	end, look := sim.now+d, sim.now+500*time.Millisecond
 	for sim.failure == "" {
-		at, do, ok := sim.events.Next(float64(end))
+		at, do, ok := sim.events.PopUntil(float64(end))
 		if !ok {
 			break
 		}
--- a/internal/testkit/answer/answer.go
+++ b/internal/testkit/answer/answer.go
@@ -11,29 +11,29 @@
 
 // Names of headers of the protocol.
 const (
-	TryID        = "X-Try-Id"
-	SealHeader   = "X-Server-Seal"
-	WantedServer = "X-Wanted-Server"
-	ServerID     = "X-Server-Id"
-	NotRun       = "X-Not-Run"
-	TimeLeft     = "X-Time-Left-Ms"
-	ColdLeft     = "X-Cold-Ms"
-	Model        = "X-Model"
-	TokenCounts  = "X-Token-Counts"
-	PromptStart  = "X-Prompt-Start"
-	Priority     = "Priority"
-	LastEventID  = "Last-Event-Id"
-	Versions     = "Versions"
-	Version      = "Expect-Version"
+	HeaderAttemptID     = "X-Try-Id"
+	HeaderSeal          = "X-Server-Seal"
+	HeaderWantedServer  = "X-Wanted-Server"
+	HeaderServerID      = "X-Server-Id"
+	HeaderNotRun        = "X-Not-Run"
+	HeaderTimeLeft      = "X-Time-Left-Ms"
+	HeaderSlowStart     = "X-Cold-Ms"
+	HeaderModel         = "X-Model"
+	HeaderTokenCounts   = "X-Token-Counts"
+	HeaderPromptChunks  = "X-Prompt-Start"
+	HeaderPriority      = "Priority"
+	HeaderLastEventID   = "Last-Event-Id"
+	HeaderVersions      = "Versions"
+	HeaderExpectVersion = "Expect-Version"
 )
 
 // Seal vouches for an answer.
 type Seal struct {
-	Stream bool
-	Size   int    // bytes of the body, or events of the stream
-	Sum    uint32 // of a body that is not a stream
-	Try    string
-	Run    string // that the answer comes from
+	Stream      bool
+	Size        int    // bytes of the body, or events of the stream
+	Checksum    uint32 // of a body that is not a stream
+	AttemptID   string
+	ExecutionID string // that the answer comes from
 }
 
 // String is the seal as it stands in the header.
@@ -42,7 +42,7 @@
 	if s.Stream {
 		kind = "s"
 	}
-	return fmt.Sprintf("%s.%d.%08x.%s.%s", kind, s.Size, s.Sum, s.Try, s.Run)
+	return fmt.Sprintf("%s.%d.%08x.%s.%s", kind, s.Size, s.Checksum, s.AttemptID, s.ExecutionID)
 }
 
 const sealFields = 5
@@ -61,22 +61,22 @@
 	if err != nil {
 		return Seal{}, fmt.Errorf("seal %q: sum: %w", text, err)
 	}
-	return Seal{Stream: fields[0] == "s", Size: size, Sum: uint32(sum), Try: fields[3], Run: fields[4]}, nil
+	return Seal{Stream: fields[0] == "s", Size: size, Checksum: uint32(sum), AttemptID: fields[3], ExecutionID: fields[4]}, nil
 }
 
-// Sum is the sum of a body.
-func Sum(body []byte) uint32 { return crc32.ChecksumIEEE(body) }
+// Checksum is the sum of a body.
+func Checksum(body []byte) uint32 { return crc32.ChecksumIEEE(body) }
 
 // CheckBody says what is wrong with a whole body.
 func (s Seal) CheckBody(try string, body []byte) error {
 	switch {
-	case s.Try != try:
-		return fmt.Errorf("the answer of try %s came for try %s", s.Try, try)
+	case s.AttemptID != try:
+		return fmt.Errorf("the answer of try %s came for try %s", s.AttemptID, try)
 	case s.Stream:
 		return fmt.Errorf("the seal of a stream came with a body of try %s", try)
 	case len(body) != s.Size:
 		return fmt.Errorf("the body of try %s has %d bytes of %d", try, len(body), s.Size)
-	case Sum(body) != s.Sum:
+	case Checksum(body) != s.Checksum:
 		return fmt.Errorf("the body of try %s was changed", try)
 	}
 	return nil
@@ -84,17 +84,17 @@
 
 // Event is a piece of a stream.
 type Event struct {
-	Index, Of int // from 1
-	Run       string
+	Index, Total int // from 1
+	ExecutionID  string
 }
 
 // Data is what stands in the event's data line.
-func (e Event) Data() string { return fmt.Sprintf("%s %d %d", e.Run, e.Index, e.Of) }
+func (e Event) Data() string { return fmt.Sprintf("%s %d %d", e.ExecutionID, e.Index, e.Total) }
 
 // ParseEvent reads an event by its id and data lines.
 func ParseEvent(id, data string) (Event, error) {
 	var e Event
-	if _, err := fmt.Sscanf(data, "%s %d %d", &e.Run, &e.Index, &e.Of); err != nil {
+	if _, err := fmt.Sscanf(data, "%s %d %d", &e.ExecutionID, &e.Index, &e.Total); err != nil {
 		return Event{}, fmt.Errorf("event data %q is not a runner's: %w", data, err)
 	}
 	if id != strconv.Itoa(e.Index) {
--- a/internal/testkit/answer/answer_test.go
+++ b/internal/testkit/answer/answer_test.go
@@ -11,12 +11,12 @@
 	word := rapid.StringMatching(`[0-9a-z-]{1,16}`)
 	rapid.Check(t, func(t *rapid.T) {
 		seal := Seal{Stream: rapid.Bool().Draw(t, "stream"), Size: rapid.IntRange(0, 1<<20).Draw(t, "size"),
-			Sum: rapid.Uint32().Draw(t, "sum"), Try: word.Draw(t, "try"), Run: word.Draw(t, "run")}
+			Checksum: rapid.Uint32().Draw(t, "sum"), AttemptID: word.Draw(t, "try"), ExecutionID: word.Draw(t, "run")}
 		if got, err := ParseSeal(seal.String()); err != nil || got != seal {
 			t.Fatalf("%+v read as %+v: %v", seal, got, err)
 		}
-		event := Event{Index: rapid.IntRange(1, 999).Draw(t, "index"), Of: rapid.IntRange(1, 999).Draw(t, "of"),
-			Run: word.Draw(t, "run")}
+		event := Event{Index: rapid.IntRange(1, 999).Draw(t, "index"), Total: rapid.IntRange(1, 999).Draw(t, "of"),
+			ExecutionID: word.Draw(t, "run")}
 		if got, err := ParseEvent(strconv.Itoa(event.Index), event.Data()); err != nil || got != event {
 			t.Fatalf("%+v read as %+v: %v", event, got, err)
 		}
@@ -25,7 +25,7 @@
 
 func TestABodyIsCheckedAgainstItsSeal(t *testing.T) {
 	body := []byte("found")
-	seal := Seal{Size: len(body), Sum: Sum(body), Try: "1", Run: "r"}
+	seal := Seal{Size: len(body), Checksum: Checksum(body), AttemptID: "1", ExecutionID: "r"}
 	if err := seal.CheckBody("1", body); err != nil {
 		t.Error(err)
 	}
@@ -33,7 +33,7 @@
 		"another try": seal.CheckBody("2", body),
 		"cut short":   seal.CheckBody("1", body[:3]),
 		"changed":     seal.CheckBody("1", []byte("fount")),
-		"a stream":    Seal{Stream: true, Size: len(body), Sum: Sum(body), Try: "1"}.CheckBody("1", body),
+		"a stream":    Seal{Stream: true, Size: len(body), Checksum: Checksum(body), AttemptID: "1"}.CheckBody("1", body),
 	} {
 		if err == nil {
 			t.Errorf("%s: nothing was found", name)
--- a/internal/testkit/checker/referee.go
+++ b/internal/testkit/checker/referee.go
@@ -15,43 +15,43 @@
 
 // The rules that are checked.
 const (
-	Mixed    Rule = "MIXED"    // a client got something other than its own request's answer
-	Unasked  Rule = "UNASKED"  // a runner got a request that no client sent, or a changed one
-	Twice    Rule = "TWICE"    // a request that is not idempotent ran more than once
-	Refused  Rule = "REFUSED"  // a request ran though its client was promised that it would not
-	Routed   Rule = "ROUTE"    // a service ran a request that no configuration lets go to it
-	Drain    Rule = "DRAIN"    // a runner that drains was sent a request too late
-	Home     Rule = "HOME"     // a request with homes arrived elsewhere
-	Evacuate Rule = "EVAC"     // an evacuated zone was sent a request too late
-	Failback Rule = "FAILBACK" // a cold runner was sent more than it bears
-	Order    Rule = "ORDER"    // a stream lacked a piece, had it twice, or was joined from two runs
-	Budget   Rule = "BUDGET"   // requests were repeated more often than is allowed
-	Denied   Rule = "DENIED"   // a proper request was answered with a 3xx or 4xx
-	Configed Rule = "CONFIG"   // what was read back is not what was acknowledged
+	MisdeliveredAnswer     Rule = "MIXED"    // a client got something other than its own request's answer
+	UnexpectedRequest      Rule = "UNASKED"  // a runner got a request that no client sent, or a changed one
+	DuplicateExecution     Rule = "TWICE"    // a request that is not idempotent ran more than once
+	ExecutedAfterRejection Rule = "REFUSED"  // a request ran though its client was promised that it would not
+	WrongService           Rule = "ROUTE"    // a service ran a request that no configuration lets go to it
+	SentToDraining         Rule = "DRAIN"    // a runner that drains was sent a request too late
+	WrongRegion            Rule = "HOME"     // a request with homes arrived elsewhere
+	SentToEvacuatedZone    Rule = "EVAC"     // an evacuated zone was sent a request too late
+	SlowStartOverload      Rule = "FAILBACK" // a cold runner was sent more than it bears
+	StreamOrder            Rule = "ORDER"    // a stream lacked a piece, had it twice, or was joined from two runs
+	RetryBudgetExceeded    Rule = "BUDGET"   // requests were repeated more often than is allowed
+	ValidRequestDenied     Rule = "DENIED"   // a proper request was answered with a 3xx or 4xx
+	ConfigurationMismatch  Rule = "CONFIG"   // what was read back is not what was acknowledged
 )
 
-// Breach is a rule that was broken.
-type Breach struct {
-	At   time.Time
-	Rule Rule
-	What string
+// Violation is a rule that was broken.
+type Violation struct {
+	At          time.Time
+	Rule        Rule
+	Description string
 }
 
 // String is the breach on one line.
-func (b Breach) String() string {
-	return fmt.Sprintf("rule=%s at=%s what=%q", b.Rule, b.At.Format("15:04:05.000"), b.What)
+func (b Violation) String() string {
+	return fmt.Sprintf("rule=%s at=%s what=%q", b.Rule, b.At.Format("15:04:05.000"), b.Description)
 }
 
 // Route is what a configuration says of a route, as far as the referee needs it.
 type Route struct {
-	Name       string
-	Services   []string // that any configuration lets it go to
-	Homes      []string // regions; empty: anywhere
-	Idempotent bool
+	Name        string
+	Services    []string // that any configuration lets it go to
+	HomeRegions []string // regions; empty: anywhere
+	Idempotent  bool
 }
 
-// Try is what a client sends.
-type Try struct {
+// Attempt is what a client sends.
+type Attempt struct {
 	ID, Method, Host, URI string
 	Body                  uint64 // by Hash
 	Route                 *Route // nil: no configuration has one
@@ -62,24 +62,24 @@
 	ID, Service, Zone, Region string
 }
 
-// Arrival is a request as a runner got it.
-type Arrival struct {
+// ReceivedRequest is a request as a runner got it.
+type ReceivedRequest struct {
 	Runner                *Runner
 	ID, Method, Host, URI string
 	Body                  uint64
 }
 
-// Bounds are the times and shares that rules hold from.
-type Bounds struct {
-	Drain, Evacuate time.Duration
-	RetryRatio      float64
-	RetryWindow     time.Duration
-	RetryExtra      float64
+// Limits are the times and shares that rules hold from.
+type Limits struct {
+	DrainGrace, EvacuationGrace time.Duration
+	RetryRatio                  float64
+	RetryWindow                 time.Duration
+	RetryAllowance              float64
 }
 
-// Referee collects. Its methods may be called from any goroutine.
-type Referee struct {
-	bounds Bounds
+// Checker collects. Its methods may be called from any goroutine.
+type Checker struct {
+	bounds Limits
 	now    func() time.Time
 
 	mutex     sync.Mutex
@@ -88,22 +88,22 @@
 	evacuated map[string]time.Time // zones, since when it is acknowledged
 	asked     map[string][]time.Time
 	repeated  map[string][]time.Time // of a service
-	breaches  []Breach
+	breaches  []Violation
 }
 
 type try struct {
-	Try
+	Attempt
 	arrivals int
 	runs     int
 	refused  bool
 }
 
 // New makes a referee; now nil is the clock of the machine.
-func New(b Bounds, now func() time.Time) *Referee {
+func New(b Limits, now func() time.Time) *Checker {
 	if now == nil {
 		now = time.Now
 	}
-	return &Referee{bounds: b, now: now, tries: make(map[string]*try), draining: make(map[string]time.Time),
+	return &Checker{bounds: b, now: now, tries: make(map[string]*try), draining: make(map[string]time.Time),
 		evacuated: make(map[string]time.Time), asked: make(map[string][]time.Time), repeated: make(map[string][]time.Time)}
 }
 
@@ -112,22 +112,22 @@
 // Hash tells bodies apart within this process.
 func Hash(body []byte) uint64 { return maphash.Bytes(seed, body) }
 
-// Break notes a breach that somebody else found.
-func (r *Referee) Break(rule Rule, format string, args ...any) {
+// Report notes a breach that somebody else found.
+func (r *Checker) Report(rule Rule, format string, args ...any) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.note(rule, format, args...)
 }
 
-func (r *Referee) note(rule Rule, format string, args ...any) {
-	r.breaches = append(r.breaches, Breach{At: r.now(), Rule: rule, What: fmt.Sprintf(format, args...)})
+func (r *Checker) note(rule Rule, format string, args ...any) {
+	r.breaches = append(r.breaches, Violation{At: r.now(), Rule: rule, Description: fmt.Sprintf(format, args...)})
 }
 
-// Asked notes a try before its client sends it.
-func (r *Referee) Asked(t Try) {
+// RequestSent notes a try before its client sends it.
+func (r *Checker) RequestSent(t Attempt) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.tries[t.ID] = &try{Try: t}
+	r.tries[t.ID] = &try{Attempt: t}
 	if t.Route == nil {
 		return
 	}
@@ -136,13 +136,13 @@
 	}
 }
 
-// Arrived notes a request that a runner got and did not answer with 421.
-func (r *Referee) Arrived(a Arrival) {
+// RequestReceived notes a request that a runner got and did not answer with 421.
+func (r *Checker) RequestReceived(a ReceivedRequest) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	t := r.tries[a.ID]
 	if t == nil {
-		r.note(Unasked, "runner %s got try %q, which no client sent", a.Runner.ID, a.ID)
+		r.note(UnexpectedRequest, "runner %s got try %q, which no client sent", a.Runner.ID, a.ID)
 		return
 	}
 	t.arrivals++
@@ -153,30 +153,30 @@
 	r.checkPlace(t, a.Runner)
 }
 
-func (r *Referee) checkSame(t *try, a Arrival) {
+func (r *Checker) checkSame(t *try, a ReceivedRequest) {
 	if a.Method != t.Method || a.URI != t.URI || a.Host != t.Host {
-		r.note(Unasked, "try %s was sent as %s %s%s and arrived as %s %s%s", t.ID, t.Method, t.Host, t.URI, a.Method,
+		r.note(UnexpectedRequest, "try %s was sent as %s %s%s and arrived as %s %s%s", t.ID, t.Method, t.Host, t.URI, a.Method,
 			a.Host, a.URI)
 	}
 	if a.Body != t.Body {
-		r.note(Unasked, "the body of try %s was changed", t.ID)
+		r.note(UnexpectedRequest, "the body of try %s was changed", t.ID)
 	}
 }
 
-func (r *Referee) checkPlace(t *try, runner *Runner) {
+func (r *Checker) checkPlace(t *try, runner *Runner) {
 	now := r.now()
 	if t.Route == nil || !slices.Contains(t.Route.Services, runner.Service) {
-		r.note(Routed, "try %s of %s arrived at service %s", t.ID, routeName(t.Route), runner.Service)
+		r.note(WrongService, "try %s of %s arrived at service %s", t.ID, routeName(t.Route), runner.Service)
 		return
 	}
-	if len(t.Route.Homes) > 0 && !slices.Contains(t.Route.Homes, runner.Region) {
-		r.note(Home, "try %s of %s arrived in region %s", t.ID, t.Route.Name, runner.Region)
+	if len(t.Route.HomeRegions) > 0 && !slices.Contains(t.Route.HomeRegions, runner.Region) {
+		r.note(WrongRegion, "try %s of %s arrived in region %s", t.ID, t.Route.Name, runner.Region)
 	}
-	if since, is := r.draining[runner.ID]; is && now.Sub(since) > r.bounds.Drain {
-		r.note(Drain, "runner %s got try %s %v after the list showed it as draining", runner.ID, t.ID, now.Sub(since))
+	if since, is := r.draining[runner.ID]; is && now.Sub(since) > r.bounds.DrainGrace {
+		r.note(SentToDraining, "runner %s got try %s %v after the list showed it as draining", runner.ID, t.ID, now.Sub(since))
 	}
-	if since, is := r.evacuated[runner.Zone]; is && now.Sub(since) > r.bounds.Evacuate {
-		r.note(Evacuate, "zone %s got try %s %v after its evacuation", runner.Zone, t.ID, now.Sub(since))
+	if since, is := r.evacuated[runner.Zone]; is && now.Sub(since) > r.bounds.EvacuationGrace {
+		r.note(SentToEvacuatedZone, "zone %s got try %s %v after its evacuation", runner.Zone, t.ID, now.Sub(since))
 	}
 }
 
@@ -187,8 +187,8 @@
 	return route.Name
 }
 
-// Ran notes that a runner has begun work on a try.
-func (r *Referee) Ran(runner *Runner, id string) {
+// ExecutionStarted notes that a runner has begun work on a try.
+func (r *Checker) ExecutionStarted(runner *Runner, id string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	t := r.tries[id]
@@ -200,15 +200,15 @@
 		return
 	}
 	if t.runs > 1 {
-		r.note(Twice, "try %s of %s ran %d times", id, t.Route.Name, t.runs)
+		r.note(DuplicateExecution, "try %s of %s ran %d times", id, t.Route.Name, t.runs)
 	}
 	if t.refused {
-		r.note(Refused, "try %s of %s ran at %s after it was refused", id, t.Route.Name, runner.ID)
+		r.note(ExecutedAfterRejection, "try %s of %s ran at %s after it was refused", id, t.Route.Name, runner.ID)
 	}
 }
 
-// TurnedAway notes an answer to a client that promises that the try has not run and will not.
-func (r *Referee) TurnedAway(id string, status int) {
+// RequestRejected notes an answer to a client that promises that the try has not run and will not.
+func (r *Checker) RequestRejected(id string, status int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	t := r.tries[id]
@@ -217,33 +217,33 @@
 	}
 	t.refused = true
 	if t.runs > 0 {
-		r.note(Refused, "try %s of %s was answered with %d though it ran", id, t.Route.Name, status)
+		r.note(ExecutedAfterRejection, "try %s of %s was answered with %d though it ran", id, t.Route.Name, status)
 	}
 }
 
-// Draining notes when the platform's list shows a runner as draining.
-func (r *Referee) Draining(runner string, since time.Time) {
+// RunnerDraining notes when the platform's list shows a runner as draining.
+func (r *Checker) RunnerDraining(runner string, since time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.draining[runner] = since
 }
 
-// Evacuated notes an acknowledged evacuation.
-func (r *Referee) Evacuated(zone string, since time.Time) {
+// ZoneEvacuated notes an acknowledged evacuation.
+func (r *Checker) ZoneEvacuated(zone string, since time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.evacuated[zone] = since
 }
 
-// Restored notes that an evacuation is taken back.
-func (r *Referee) Restored(zone string) {
+// ZoneRestored notes that an evacuation is taken back.
+func (r *Checker) ZoneRestored(zone string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.evacuated, zone)
 }
 
-// Repeats is how often services were sent a try again.
-func (r *Referee) Repeats() (n int) {
+// Retries is how often services were sent a try again.
+func (r *Checker) Retries() (n int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, times := range r.repeated {
@@ -252,8 +252,8 @@
 	return n
 }
 
-// Close checks what only the whole run shows, and returns all breaches.
-func (r *Referee) Close() []Breach {
+// Finish checks what only the whole run shows, and returns all breaches.
+func (r *Checker) Finish() []Violation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for service, times := range r.repeated {
@@ -262,15 +262,15 @@
 	return slices.Clone(r.breaches)
 }
 
-// Breaches are the breaches so far.
-func (r *Referee) Breaches() []Breach {
+// Violations are the breaches so far.
+func (r *Checker) Violations() []Violation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return slices.Clone(r.breaches)
 }
 
 // checkBudget looks at the window that ends with each repeat.
-func (r *Referee) checkBudget(service string, repeats []time.Time) {
+func (r *Checker) checkBudget(service string, repeats []time.Time) {
 	window := r.bounds.RetryWindow
 	if window <= 0 {
 		return
@@ -280,14 +280,14 @@
 		requests := max(r.askedBetween(service, end.Add(-window), end), r.askedBetween(service, end.Add(-2*window),
 			end.Add(-window)),
 			r.askedBetween(service, end.Add(-3*window/2), end.Add(-window/2)))
-		if most := r.bounds.RetryRatio*float64(requests) + r.bounds.RetryExtra; float64(i+1-first) > most {
-			r.note(Budget, "service %s was sent %d repeats in %v, at most %.1f are allowed", service, i+1-first, window, most)
+		if most := r.bounds.RetryRatio*float64(requests) + r.bounds.RetryAllowance; float64(i+1-first) > most {
+			r.note(RetryBudgetExceeded, "service %s was sent %d repeats in %v, at most %.1f are allowed", service, i+1-first, window, most)
 			return
 		}
 	}
 }
 
-func (r *Referee) askedBetween(service string, from, to time.Time) int {
+func (r *Checker) askedBetween(service string, from, to time.Time) int {
 	times := r.asked[service]
 	first, _ := slices.BinarySearchFunc(times, from, time.Time.Compare)
 	end, _ := slices.BinarySearchFunc(times, to, time.Time.Compare)
--- a/internal/testkit/client/call.go
+++ b/internal/testkit/client/call.go
@@ -42,8 +42,8 @@
 	wait     time.Duration // that the last answer asked for
 }
 
-// Call makes one call and counts what becomes of it.
-func (l *Load) Call(ctx context.Context, c *client, wanted *Call) Outcome {
+// Do makes one call and counts what becomes of it.
+func (l *LoadGenerator) Do(ctx context.Context, c *client, wanted *Call) Outcome {
 	now := time.Now()
 	one := &call{Call: wanted, client: c, began: now, deadline: now.Add(wanted.Route.Deadline)}
 	ctx, cancel := context.WithDeadline(ctx, one.deadline)
@@ -51,7 +51,7 @@
 	var last verdict
 	for try := 0; ; try++ {
 		last = one.try(ctx, try > 0)
-		if last == served || try >= wanted.Route.Retries || !one.mayRetry(last) || !one.pause(ctx, last) {
+		if last == served || try >= wanted.Route.MaxRetries || !one.mayRetry(last) || !one.pause(ctx, last) {
 			break
 		}
 		l.tally.retried()
@@ -91,12 +91,12 @@
 func (c *call) outcome(v verdict) Outcome {
 	switch v {
 	case served:
-		if c.first > c.Route.Target || c.Route.Gap > 0 && c.gap > c.Route.Gap {
+		if c.first > c.Route.LatencyTarget || c.Route.MaxEventGap > 0 && c.gap > c.Route.MaxEventGap {
 			return Late
 		}
 		return InTime
 	case promised:
-		return Refused
+		return Rejected
 	}
 	return Failed
 }
@@ -106,7 +106,7 @@
 	if !c.Route.Stream {
 		return c.deadline
 	}
-	until := time.Now().Add(max(leastPatience, targetPatience*c.Route.Target, gapPatience*c.Route.Gap))
+	until := time.Now().Add(max(leastPatience, targetPatience*c.Route.LatencyTarget, gapPatience*c.Route.MaxEventGap))
 	if until.Before(c.deadline) {
 		return until
 	}
--- a/internal/testkit/client/client.go
+++ b/internal/testkit/client/client.go
@@ -15,40 +15,40 @@
 
 // Route is a kind of request.
 type Route struct {
-	Name      string
-	Host      string
-	Path      string // of its requests
-	Stream    bool
-	Resumable bool
-	ReadOnly  bool
-	Target    time.Duration // to the first event, or to the whole answer
-	Gap       time.Duration // longest pause between events that is in time; 0: any
-	Deadline  time.Duration
-	Retries   int
-	Referee   *checker.Route
+	Name          string
+	Host          string
+	Path          string // of its requests
+	Stream        bool
+	Resumable     bool
+	ReadOnly      bool
+	LatencyTarget time.Duration // to the first event, or to the whole answer
+	MaxEventGap   time.Duration // longest pause between events that is in time; 0: any
+	Deadline      time.Duration
+	MaxRetries    int
+	CheckerRoute  *checker.Route
 }
 
 // Call is one request that a client wants answered.
 type Call struct {
-	At        time.Duration // from the start of the load
-	Route     *Route
-	Zone      string
-	Model     string
-	Prompt    string // parts as ID:TOKENS; empty: none
-	TokensIn  int
-	TokensOut int // the most
-	Bytes     int // of its body
+	Start           time.Duration // from the start of the load
+	Route           *Route
+	Zone            string
+	Model           string
+	PromptChunks    string // parts as ID:TOKENS; empty: none
+	PromptTokens    int
+	MaxOutputTokens int // the most
+	BodyBytes       int // of its body
 }
 
 // Options describe clients.
 type Options struct {
-	Zones       map[string]string // region of each zone
-	Directories func(zone string) []netip.AddrPort
-	Front       string        // address of the dispatcher that all calls go to; empty: the directory tells
-	Clients     int           // in each zone; 0: 10
-	TTLMax      time.Duration // longest that an answer of the directory counts
-	Referee     *checker.Referee
-	Seed        uint64
+	RegionOfZone   map[string]string // region of each zone
+	Directories    func(zone string) []netip.AddrPort
+	FixedAddress   string        // address of the dispatcher that all calls go to; empty: the directory tells
+	ClientsPerZone int           // in each zone; 0: 10
+	MaxTTL         time.Duration // longest that an answer of the directory counts
+	Checker        *checker.Checker
+	Seed           uint64
 }
 
 const (
@@ -62,8 +62,8 @@
 	chunks         = 5 // one in so many bodies comes in chunks
 )
 
-// Load is clients at work.
-type Load struct {
+// LoadGenerator is clients at work.
+type LoadGenerator struct {
 	options Options
 	clients map[string][]*client // by zone
 	tally   tally
@@ -74,14 +74,14 @@
 }
 
 // New makes clients.
-func New(o Options) *Load {
-	if o.Clients == 0 {
-		o.Clients = defaultClients
+func New(o Options) *LoadGenerator {
+	if o.ClientsPerZone == 0 {
+		o.ClientsPerZone = defaultClients
 	}
-	l := &Load{options: o, clients: make(map[string][]*client), random: rand.New(rand.NewPCG(o.Seed, 5))}
-	l.tally.routes = make(map[string]*RouteTally)
-	for zone, region := range o.Zones {
-		for i := range o.Clients {
+	l := &LoadGenerator{options: o, clients: make(map[string][]*client), random: rand.New(rand.NewPCG(o.Seed, 5))}
+	l.tally.routes = make(map[string]*RouteStats)
+	for zone, region := range o.RegionOfZone {
+		for i := range o.ClientsPerZone {
 			c := &client{load: l, zone: zone, region: region, keeps: i%keeps == 0, hold: 1}
 			if i%holdsLonger == holdsLonger-1 {
 				c.hold = longerHold
@@ -93,13 +93,13 @@
 }
 
 // Run makes calls, each at its time, and returns when all have an end. The calls are in order of time.
-func (l *Load) Run(ctx context.Context, calls []*Call) {
+func (l *LoadGenerator) Run(ctx context.Context, calls []*Call) {
 	start := time.Now()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var group sync.WaitGroup
 	for i, call := range calls {
-		timer.Reset(max(0, call.At-time.Since(start)))
+		timer.Reset(max(0, call.Start-time.Since(start)))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -110,7 +110,7 @@
 		clients := l.clients[call.Zone]
 		go func() {
 			defer group.Done()
-			l.Call(ctx, clients[i%len(clients)], call)
+			l.Do(ctx, clients[i%len(clients)], call)
 		}()
 	}
 	group.Wait()
@@ -118,7 +118,7 @@
 
 // client is one user of the system: it has its own answers of the directory and its own connections.
 type client struct {
-	load         *Load
+	load         *LoadGenerator
 	zone, region string
 	keeps        bool
 	hold         int // multiple of the time that an answer of the directory counts
@@ -131,17 +131,19 @@
 }
 
 // Client is a client of a zone, for calls that are made one by one.
-func (l *Load) Client(zone string, i int) *client { return l.clients[zone][i%len(l.clients[zone])] }
+func (l *LoadGenerator) Client(zone string, i int) *client {
+	return l.clients[zone][i%len(l.clients[zone])]
+}
 
 // number draws from 0 to n-1.
-func (l *Load) number(n int) int {
+func (l *LoadGenerator) number(n int) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.random.IntN(n)
 }
 
 // newTry names a try.
-func (l *Load) newTry() string {
+func (l *LoadGenerator) newTry() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.tries++
@@ -149,8 +151,8 @@
 }
 
 // breach notes a broken rule.
-func (l *Load) breach(rule checker.Rule, format string, args ...any) {
-	if l.options.Referee != nil {
-		l.options.Referee.Break(rule, format, args...)
+func (l *LoadGenerator) breach(rule checker.Rule, format string, args ...any) {
+	if l.options.Checker != nil {
+		l.options.Checker.Report(rule, format, args...)
 	}
 }
--- a/internal/testkit/client/client_test.go
+++ b/internal/testkit/client/client_test.go
@@ -22,14 +22,14 @@
 
 // world is a directory that names one address, and clients.
 type world struct {
-	load    *Load
-	referee *checker.Referee
+	load    *LoadGenerator
+	referee *checker.Checker
 	lookups atomic.Int32
 }
 
 func newWorld(t *testing.T, front string) *world {
 	t.Helper()
-	w := &world{referee: checker.New(checker.Bounds{}, nil)}
+	w := &world{referee: checker.New(checker.Limits{}, nil)}
 	directory := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, q *http.Request) {
 		w.lookups.Add(1)
 		if q.URL.Query().Get("zone") != "a" || q.URL.Query().Get("region") != "r" ||
@@ -40,44 +40,44 @@
 	}))
 	t.Cleanup(directory.Close)
 	address := netip.MustParseAddrPort(directory.Listener.Addr().String())
-	w.load = New(Options{Zones: map[string]string{"a": "r"}, Clients: 1, Referee: w.referee,
+	w.load = New(Options{RegionOfZone: map[string]string{"a": "r"}, ClientsPerZone: 1, Checker: w.referee,
 		Directories: func(string) []netip.AddrPort { return []netip.AddrPort{address} }})
 	return w
 }
 
 func streams() *Route {
-	return &Route{Name: "streams", Host: "h.example", Path: "/s/1", Stream: true, Target: 10 * time.Second,
-		Deadline: 20 * time.Second,
-		Referee:  &checker.Route{Name: "streams", Services: []string{"llm"}}}
+	return &Route{Name: "streams", Host: "h.example", Path: "/s/1", Stream: true, LatencyTarget: 10 * time.Second,
+		Deadline:     20 * time.Second,
+		CheckerRoute: &checker.Route{Name: "streams", Services: []string{"llm"}}}
 }
 
 func bodies() *Route {
-	return &Route{Name: "bodies", Host: "h.example", Path: "/b/1", ReadOnly: true, Target: 10 * time.Second,
-		Deadline: 20 * time.Second,
-		Referee:  &checker.Route{Name: "bodies", Services: []string{"llm", "api"}, Idempotent: true}}
+	return &Route{Name: "bodies", Host: "h.example", Path: "/b/1", ReadOnly: true, LatencyTarget: 10 * time.Second,
+		Deadline:     20 * time.Second,
+		CheckerRoute: &checker.Route{Name: "bodies", Services: []string{"llm", "api"}, Idempotent: true}}
 }
 
 func callOf(route *Route) *Call {
-	c := &Call{Route: route, Zone: "a", Bytes: 300}
+	c := &Call{Route: route, Zone: "a", BodyBytes: 300}
 	if route.Stream {
-		c.Model, c.Prompt, c.TokensIn, c.TokensOut = "m", "a:20,b:10", 30, 12
+		c.Model, c.PromptChunks, c.PromptTokens, c.MaxOutputTokens = "m", "a:20,b:10", 30, 12
 	}
 	return c
 }
 
 func (w *world) call(route *Route) Outcome {
-	return w.load.Call(context.Background(), w.load.Client("a", 0), callOf(route))
+	return w.load.Do(context.Background(), w.load.Client("a", 0), callOf(route))
 }
 
 func startRunner(t *testing.T, w *world, service string) *runner.Runner {
 	t.Helper()
 	o := runner.Options{Runner: checker.Runner{ID: "i-1", Service: service}, Address: "127.0.0.1:0", BodyBytes: 100,
-		Referee: w.referee}
-	o.Machine, _ = engine.NewWorkers(2, 2)
+		Checker: w.referee}
+	o.Engine, _ = engine.NewWorkers(2, 2)
 	if service == "llm" {
-		o.Stride = 2
-		o.Machine, _ = engine.New(engine.Options{Slots: 4, Queue: 4, MemoryTokens: 1000, Step: time.Millisecond,
-			PrefillPerMS: 100, StrideTokens: 2})
+		o.EventTokens = 2
+		o.Engine, _ = engine.New(engine.Options{MaxRunning: 4, MaxQueued: 4, MemoryTokens: 1000, StepTime: time.Millisecond,
+			PrefillTokensPerMS: 100, EventTokens: 2})
 	}
 	r, err := runner.Start(o)
 	if err != nil {
@@ -124,7 +124,7 @@
 }
 
 func (w *world) rules() (rules []checker.Rule) {
-	for _, b := range w.referee.Close() {
+	for _, b := range w.referee.Finish() {
 		rules = append(rules, b.Rule)
 	}
 	return rules
@@ -142,12 +142,12 @@
 			}
 		}
 		if rules := w.rules(); len(rules) > 0 {
-			t.Errorf("%s: %v", test.route.Name, w.referee.Breaches())
+			t.Errorf("%s: %v", test.route.Name, w.referee.Violations())
 		}
 		if n := w.lookups.Load(); n != 1 {
 			t.Errorf("the directory was asked %d times", n)
 		}
-		if tally := w.load.Tally(); tally.Served != 5 || tally.Routes[0].InTime != 5 || tally.Routes[0].First(0.5) == 0 {
+		if tally := w.load.Stats(); tally.Served != 5 || tally.Routes[0].InTime != 5 || tally.Routes[0].LatencyQuantile(0.5) == 0 {
 			t.Errorf("%+v", tally)
 		}
 	}
@@ -156,28 +156,28 @@
 func TestAResumableStreamGoesOnAfterACut(t *testing.T) {
 	w, r := withRunner(t, "llm")
 	route := streams()
-	route.Resumable, route.Retries, route.Referee.Idempotent = true, 1, true
-	r.Script(runner.Faults{BreakOff: 1, Most: 1})
+	route.Resumable, route.MaxRetries, route.CheckerRoute.Idempotent = true, 1, true
+	r.SetFaults(runner.Faults{Truncate: 1, MaxFaults: 1})
 	if got := w.call(route); got != InTime {
 		t.Errorf("outcome %d", got)
 	}
-	if s := r.Stats(); s.Faults != 1 || s.Requests != 2 {
+	if s := r.Stats(); s.FaultsInjected != 1 || s.Requests != 2 {
 		t.Errorf("%+v", s)
 	}
 	if rules := w.rules(); len(rules) > 0 {
-		t.Errorf("%v", w.referee.Breaches())
+		t.Errorf("%v", w.referee.Violations())
 	}
 }
 
 func TestExtraBytesAreFound(t *testing.T) {
-	for name, faults := range map[string]runner.Faults{"extra": {Extra: 1}, "extra late": {ExtraLate: 1},
+	for name, faults := range map[string]runner.Faults{"extra": {ExtraBytes: 1}, "extra late": {StaleAnswer: 1},
 		"garbage": {Garbage: 1}} {
 		w, r := withRunner(t, "api")
-		r.Script(faults)
+		r.SetFaults(faults)
 		for range 20 { // extra bytes come a moment after the answer
 			w.call(bodies())
 		}
-		if rules := w.rules(); len(rules) == 0 || rules[0] != checker.Mixed {
+		if rules := w.rules(); len(rules) == 0 || rules[0] != checker.MisdeliveredAnswer {
 			t.Errorf("%s: %v", name, rules)
 		}
 	}
@@ -193,14 +193,14 @@
 	return newWorld(t, server.Listener.Addr().String())
 }
 
-func seal(w http.ResponseWriter, s answer.Seal) { w.Header().Set(answer.SealHeader, s.String()) }
+func seal(w http.ResponseWriter, s answer.Seal) { w.Header().Set(answer.HeaderSeal, s.String()) }
 
 // pieces answers with a stream of pieces of one run.
 func pieces(of int, indices ...int) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
-		seal(w, answer.Seal{Stream: true, Size: of, Try: q.Header.Get(answer.TryID), Run: "r"})
+		seal(w, answer.Seal{Stream: true, Size: of, AttemptID: q.Header.Get(answer.HeaderAttemptID), ExecutionID: "r"})
 		for _, i := range indices {
-			fmt.Fprintf(w, "id: %d\ndata: %s\n\n", i, answer.Event{Index: i, Of: of, Run: "r"}.Data())
+			fmt.Fprintf(w, "id: %d\ndata: %s\n\n", i, answer.Event{Index: i, Total: of, ExecutionID: "r"}.Data())
 		}
 	}
 }
@@ -208,15 +208,15 @@
 func TestWrongAnswersAreFound(t *testing.T) {
 	other := func(w http.ResponseWriter, q *http.Request) {
 		body := []byte("x")
-		seal(w, answer.Seal{Size: 1, Sum: answer.Sum(body), Try: "another", Run: "r"})
+		seal(w, answer.Seal{Size: 1, Checksum: answer.Checksum(body), AttemptID: "another", ExecutionID: "r"})
 		w.Write(body)
 	}
 	changed := func(w http.ResponseWriter, q *http.Request) {
-		seal(w, answer.Seal{Size: 1, Sum: answer.Sum([]byte("x")), Try: q.Header.Get(answer.TryID), Run: "r"})
+		seal(w, answer.Seal{Size: 1, Checksum: answer.Checksum([]byte("x")), AttemptID: q.Header.Get(answer.HeaderAttemptID), ExecutionID: "r"})
 		w.Write([]byte("y"))
 	}
 	twoRuns := func(w http.ResponseWriter, q *http.Request) {
-		seal(w, answer.Seal{Stream: true, Size: 2, Try: q.Header.Get(answer.TryID), Run: "r"})
+		seal(w, answer.Seal{Stream: true, Size: 2, AttemptID: q.Header.Get(answer.HeaderAttemptID), ExecutionID: "r"})
 		fmt.Fprintf(w, "id: 1\ndata: r 1 2\n\nid: 2\ndata: s 2 2\n\n")
 	}
 	for _, test := range []struct {
@@ -225,14 +225,14 @@
 		handler http.HandlerFunc
 		want    checker.Rule
 	}{
-		{"no seal", bodies(), func(w http.ResponseWriter, q *http.Request) {}, checker.Mixed},
-		{"another's answer", bodies(), other, checker.Mixed},
-		{"a changed body", bodies(), changed, checker.Mixed},
+		{"no seal", bodies(), func(w http.ResponseWriter, q *http.Request) {}, checker.MisdeliveredAnswer},
+		{"another's answer", bodies(), other, checker.MisdeliveredAnswer},
+		{"a changed body", bodies(), changed, checker.MisdeliveredAnswer},
 		{"a whole stream", streams(), pieces(2, 1, 2), ""},
-		{"a missing piece", streams(), pieces(3, 1, 3), checker.Order},
-		{"a piece twice", streams(), pieces(2, 1, 1, 2), checker.Order},
-		{"an end before the last piece", streams(), pieces(3, 1, 2), checker.Order},
-		{"two runs in one", streams(), twoRuns, checker.Order},
+		{"a missing piece", streams(), pieces(3, 1, 3), checker.StreamOrder},
+		{"a piece twice", streams(), pieces(2, 1, 1, 2), checker.StreamOrder},
+		{"an end before the last piece", streams(), pieces(3, 1, 2), checker.StreamOrder},
+		{"two runs in one", streams(), twoRuns, checker.StreamOrder},
 	} {
 		w := edge(t, test.handler)
 		got := w.call(test.route)
@@ -268,7 +268,7 @@
 			w.Header().Set("Retry-After", "0.001")
 			w.WriteHeader(test.status)
 		})
-		test.route.Retries = 1
+		test.route.MaxRetries = 1
 		w.call(test.route)
 		if n := tries.Load(); n != test.tries {
 			t.Errorf("%s: %d tries, want %d", test.name, n, test.tries)
@@ -285,9 +285,9 @@
 		w.WriteHeader(503)
 	})
 	route := bodies()
-	route.Retries, route.Deadline = 1, 300*time.Millisecond
+	route.MaxRetries, route.Deadline = 1, 300*time.Millisecond
 	began := time.Now()
-	if got := w.call(route); got != Refused {
+	if got := w.call(route); got != Rejected {
 		t.Errorf("outcome %d", got)
 	}
 	if took := time.Since(began); took < 90*time.Millisecond {
@@ -300,11 +300,11 @@
 	var calls []*Call
 	for i := range 20 {
 		c := callOf(bodies())
-		c.At = time.Duration(i) * time.Millisecond
+		c.Start = time.Duration(i) * time.Millisecond
 		calls = append(calls, c)
 	}
 	w.load.Run(context.Background(), calls)
-	if tally := w.load.Tally(); tally.Calls != 20 {
+	if tally := w.load.Stats(); tally.Calls != 20 {
 		t.Errorf("%s", tally.String())
 	}
 }
--- a/internal/testkit/client/conn.go
+++ b/internal/testkit/client/conn.go
@@ -71,7 +71,7 @@
 		})
 	}
 	if n > 0 {
-		c.load.breach(checker.Mixed, "bytes came on an idle connection to %s", idle.address)
+		c.load.breach(checker.MisdeliveredAnswer, "bytes came on an idle connection to %s", idle.address)
 		return false
 	}
 	return open
@@ -80,7 +80,7 @@
 // keep puts a connection by after a whole answer, if it may be used again.
 func (c *client) keep(used *conn, head *http.Response) {
 	if used.reader.Buffered() > 0 {
-		c.load.breach(checker.Mixed, "bytes came after a whole answer from %s", used.address)
+		c.load.breach(checker.MisdeliveredAnswer, "bytes came after a whole answer from %s", used.address)
 		used.Close()
 		return
 	}
--- a/internal/testkit/client/lookup.go
+++ b/internal/testkit/client/lookup.go
@@ -25,7 +25,7 @@
 
 // address picks where a new connection goes.
 func (c *client) address(ctx context.Context, host string) (string, error) {
-	if front := c.load.options.Front; front != "" {
+	if front := c.load.options.FixedAddress; front != "" {
 		return front, nil
 	}
 	c.refresh(ctx, host)
@@ -91,7 +91,7 @@
 // learn takes an answer; connections to addresses that it lacks are not used again.
 func (c *client) learn(found *lookupAnswer) {
 	ttl := time.Duration(found.TTL * float64(time.Second))
-	if most := c.load.options.TTLMax; most > 0 {
+	if most := c.load.options.MaxTTL; most > 0 {
 		ttl = min(ttl, most)
 	}
 	c.mutex.Lock()
--- a/internal/testkit/client/tally.go
+++ b/internal/testkit/client/tally.go
@@ -14,20 +14,20 @@
 const (
 	InTime Outcome = iota
 	Late
-	Refused
+	Rejected
 	Failed
 )
 
-// RouteTally counts the calls of a route.
-type RouteTally struct {
-	Name                                 string
-	Calls, InTime, Late, Refused, Failed int
-	Denied                               int
-	firsts                               []time.Duration
+// RouteStats counts the calls of a route.
+type RouteStats struct {
+	Name                                  string
+	Calls, InTime, Late, Rejected, Failed int
+	ClientErrors                          int
+	firsts                                []time.Duration
 }
 
-// First is a quantile of the times to the first event.
-func (t *RouteTally) First(q float64) time.Duration {
+// LatencyQuantile is a quantile of the times to the first event.
+func (t *RouteStats) LatencyQuantile(q float64) time.Duration {
 	if len(t.firsts) == 0 {
 		return 0
 	}
@@ -35,28 +35,28 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// Tally counts over all calls.
-type Tally struct {
-	Routes        []RouteTally // in order of their names
-	Calls, Served int
-	Retries       int
-	Unreached     int // connections that did not come up
-	Lookups       int
-	FailedLookups int
-	Statuses      map[int]int // of answers that were no success
+// Stats counts over all calls.
+type Stats struct {
+	Routes          []RouteStats // in order of their names
+	Calls, Served   int
+	Retries         int
+	ConnectFailures int // connections that did not come up
+	Lookups         int
+	FailedLookups   int
+	Statuses        map[int]int // of answers that were no success
 }
 
 // tally is where clients count.
 type tally struct {
 	mutex  sync.Mutex
-	routes map[string]*RouteTally
-	total  Tally
+	routes map[string]*RouteStats
+	total  Stats
 }
 
-func (t *tally) route(name string) *RouteTally {
+func (t *tally) route(name string) *RouteStats {
 	r := t.routes[name]
 	if r == nil {
-		r = &RouteTally{Name: name}
+		r = &RouteStats{Name: name}
 		t.routes[name] = r
 	}
 	return r
@@ -78,24 +78,24 @@
 	case Late:
 		r.Late++
 		t.total.Served++
-	case Refused:
-		r.Refused++
+	case Rejected:
+		r.Rejected++
 	default:
 		r.Failed++
 	}
 }
 
-func (t *tally) change(alter func(*Tally)) {
+func (t *tally) change(alter func(*Stats)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	alter(&t.total)
 }
 
-func (t *tally) retried()   { t.change(func(total *Tally) { total.Retries++ }) }
-func (t *tally) unreached() { t.change(func(total *Tally) { total.Unreached++ }) }
+func (t *tally) retried()   { t.change(func(total *Stats) { total.Retries++ }) }
+func (t *tally) unreached() { t.change(func(total *Stats) { total.ConnectFailures++ }) }
 
 func (t *tally) lookup(err error) {
-	t.change(func(total *Tally) {
+	t.change(func(total *Stats) {
 		total.Lookups++
 		if err != nil {
 			total.FailedLookups++
@@ -104,7 +104,7 @@
 }
 
 func (t *tally) status(status int) {
-	t.change(func(total *Tally) {
+	t.change(func(total *Stats) {
 		if total.Statuses == nil {
 			total.Statuses = make(map[int]int)
 		}
@@ -115,11 +115,11 @@
 func (t *tally) deny(route string, _ int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.route(route).Denied++
+	t.route(route).ClientErrors++
 }
 
-// Tally returns the counts so far.
-func (l *Load) Tally() Tally {
+// Stats returns the counts so far.
+func (l *LoadGenerator) Stats() Stats {
 	l.tally.mutex.Lock()
 	defer l.tally.mutex.Unlock()
 	total := l.tally.total
@@ -132,7 +132,7 @@
 		one.firsts = slices.Clone(r.firsts)
 		total.Routes = append(total.Routes, one)
 	}
-	slices.SortFunc(total.Routes, func(a, b RouteTally) int {
+	slices.SortFunc(total.Routes, func(a, b RouteStats) int {
 		if a.Name < b.Name {
 			return -1
 		}
@@ -142,6 +142,6 @@
 }
 
 // String is the counts on one line.
-func (t *Tally) String() string {
-	return fmt.Sprintf("calls=%d served=%d retries=%d unreached=%d", t.Calls, t.Served, t.Retries, t.Unreached)
+func (t *Stats) String() string {
+	return fmt.Sprintf("calls=%d served=%d retries=%d unreached=%d", t.Calls, t.Served, t.Retries, t.ConnectFailures)
 }
--- a/internal/testkit/client/try.go
+++ b/internal/testkit/client/try.go
@@ -31,9 +31,9 @@
 	}
 	id := c.client.load.newTry()
 	body := c.body(id)
-	if r := c.client.load.options.Referee; r != nil {
-		r.Asked(checker.Try{ID: id, Method: method, Host: c.Route.Host, URI: c.Route.Path, Body: checker.Hash(body),
-			Route: c.Route.Referee})
+	if r := c.client.load.options.Checker; r != nil {
+		r.RequestSent(checker.Attempt{ID: id, Method: method, Host: c.Route.Host, URI: c.Route.Path, Body: checker.Hash(body),
+			Route: c.Route.CheckerRoute})
 	}
 	conn.SetDeadline(c.patience())
 	if _, err := conn.Write(c.request(id, body)); err != nil {
@@ -63,7 +63,7 @@
 	if ended || errors.As(err, &network) {
 		return
 	}
-	c.client.load.breach(checker.Mixed, "bytes that are not an answer came for try %s: %v", id, err)
+	c.client.load.breach(checker.MisdeliveredAnswer, "bytes that are not an answer came for try %s: %v", id, err)
 }
 
 // broken is the verdict on a try whose connection broke.
@@ -77,7 +77,7 @@
 
 // body is the request's body; no two are the same.
 func (c *call) body(id string) []byte {
-	body := bytes.Repeat([]byte{'.'}, max(len(id), c.Bytes))
+	body := bytes.Repeat([]byte{'.'}, max(len(id), c.BodyBytes))
 	copy(body, id)
 	return body
 }
@@ -85,15 +85,15 @@
 // request is the whole request on the wire.
 func (c *call) request(id string, body []byte) []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n", method, c.Route.Path, c.Route.Host, answer.TryID, id)
-	fmt.Fprintf(&b, "%s: %d\r\n", answer.TimeLeft, max(1, time.Until(c.deadline).Milliseconds()))
-	if c.Prompt != "" {
-		fmt.Fprintf(&b, "%s: %s\r\n%s: %d,%d\r\n%s: %s\r\n", answer.Model, c.Model, answer.TokenCounts, c.TokensIn,
-			c.TokensOut,
-			answer.PromptStart, c.Prompt)
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n", method, c.Route.Path, c.Route.Host, answer.HeaderAttemptID, id)
+	fmt.Fprintf(&b, "%s: %d\r\n", answer.HeaderTimeLeft, max(1, time.Until(c.deadline).Milliseconds()))
+	if c.PromptChunks != "" {
+		fmt.Fprintf(&b, "%s: %s\r\n%s: %d,%d\r\n%s: %s\r\n", answer.HeaderModel, c.Model, answer.HeaderTokenCounts, c.PromptTokens,
+			c.MaxOutputTokens,
+			answer.HeaderPromptChunks, c.PromptChunks)
 	}
 	if c.events > 0 {
-		fmt.Fprintf(&b, "%s: %d\r\n", answer.LastEventID, c.events)
+		fmt.Fprintf(&b, "%s: %d\r\n", answer.HeaderLastEventID, c.events)
 	}
 	if c.client.load.number(chunks) == 0 {
 		half := len(body) / 2
@@ -108,8 +108,8 @@
 
 // read reads an answer from its head on.
 func (c *call) read(conn *conn, head *http.Response, id string) verdict {
-	if got := head.Header.Get(answer.TryID); got != "" && got != id {
-		c.client.load.breach(checker.Mixed, "an answer to try %s came for try %s", got, id)
+	if got := head.Header.Get(answer.HeaderAttemptID); got != "" && got != id {
+		c.client.load.breach(checker.MisdeliveredAnswer, "an answer to try %s came for try %s", got, id)
 	}
 	if head.StatusCode >= http.StatusOK && head.StatusCode < http.StatusMultipleChoices {
 		return c.readSuccess(conn, head, id)
@@ -125,8 +125,8 @@
 	switch head.StatusCode {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
 		http.StatusServiceUnavailable:
-		if r := c.client.load.options.Referee; r != nil {
-			r.TurnedAway(id, head.StatusCode)
+		if r := c.client.load.options.Checker; r != nil {
+			r.RequestRejected(id, head.StatusCode)
 		}
 		c.wait = 0
 		if s, err := strconv.ParseFloat(head.Header.Get("Retry-After"), 64); err == nil && s > 0 {
@@ -142,9 +142,9 @@
 }
 
 func (c *call) readSuccess(conn *conn, head *http.Response, id string) verdict {
-	seal, err := answer.ParseSeal(head.Header.Get(answer.SealHeader))
+	seal, err := answer.ParseSeal(head.Header.Get(answer.HeaderSeal))
 	if err != nil {
-		c.client.load.breach(checker.Mixed, "a success came for try %s: %v", id, err)
+		c.client.load.breach(checker.MisdeliveredAnswer, "a success came for try %s: %v", id, err)
 		io.Copy(io.Discard, head.Body)
 		return failed
 	}
@@ -156,7 +156,7 @@
 		return c.broken(conn, err)
 	}
 	if err := seal.CheckBody(id, body); err != nil {
-		c.client.load.breach(checker.Mixed, "%v", err)
+		c.client.load.breach(checker.MisdeliveredAnswer, "%v", err)
 		return failed
 	}
 	c.first = time.Since(c.began)
--- a/internal/testkit/engine/engine.go
+++ b/internal/testkit/engine/engine.go
@@ -15,27 +15,27 @@
 	LowestPriority  = 9
 )
 
-// Part is a part of a prompt. Parts with the same id after the same parts before it are shared between requests.
-type Part struct {
+// Chunk is a part of a prompt. Parts with the same id after the same parts before it are shared between requests.
+type Chunk struct {
 	ID     uint64
 	Tokens int
 }
 
 // Request is what a runner is asked to do. Parts, Out and Done are of generations, Work of plain requests.
 type Request struct {
-	Model    string
-	Parts    []Part
-	Out      int           // tokens to generate, in all
-	Done     int           // of them, what another runner has generated already: read as a prompt, not sent again
-	Work     time.Duration // of a plain request
-	Priority int           // 0 to 9, 0 first
-	Deadline time.Duration // of the caller's clock; 0: none
+	Model         string
+	Chunks        []Chunk
+	OutputTokens  int           // tokens to generate, in all
+	ResumedTokens int           // of them, what another runner has generated already: read as a prompt, not sent again
+	Work          time.Duration // of a plain request
+	Priority      int           // 0 to 9, 0 first
+	Deadline      time.Duration // of the caller's clock; 0: none
 }
 
 // PromptTokens is the size of the whole prompt.
 func (r *Request) PromptTokens() int {
-	n := r.Done
-	for _, part := range r.Parts {
+	n := r.ResumedTokens
+	for _, part := range r.Chunks {
 		n += part.Tokens
 	}
 	return n
@@ -43,18 +43,18 @@
 
 // Task is a request that a machine has taken. Its fields are the machine's to change.
 type Task struct {
-	Request    *Request
-	Began      bool // it holds a slot, or has held one
-	Ran        bool // it has shown its first token, or its work has begun if it is a plain one
-	Ended      bool
-	Generated  int // tokens, those done elsewhere included
-	Sent       int // events, those of other runners included
-	Cached     int // prompt tokens that were kept when it was admitted for the first time
-	Preempted  int // times
-	sequence   uint64
-	plan       plan
-	holds      holding
-	admissions int // times that it got a place
+	Request         *Request
+	Admitted        bool // it holds a slot, or has held one
+	Executed        bool // it has shown its first token, or its work has begun if it is a plain one
+	Ended           bool
+	GeneratedTokens int // tokens, those done elsewhere included
+	EventsSent      int // events, those of other runners included
+	CachedTokens    int // prompt tokens that were kept when it was admitted for the first time
+	Preemptions     int // times
+	sequence        uint64
+	plan            plan
+	holds           holding
+	admissions      int // times that it got a place
 }
 
 // Kind says what an event is.
@@ -62,14 +62,14 @@
 
 // The kinds of events.
 const (
-	Started   Kind = iota // the first token has come, or the work has begun
-	Emitted               // an event of the stream is complete; Event.Index is its number, from 1
-	Finished              // the answer is whole
-	Expired               // the deadline passed before it ran: it has not run
-	CutOff                // the deadline passed while it ran
-	Preempted             // it lost its place and waits again
-	PartRead              // a part of its prompt has been prefilled; Event.Index is the part's place, from 0
-	Lost                  // the machine was stopped
+	Started        Kind = iota // the first token has come, or the work has begun
+	Emitted                    // an event of the stream is complete; Event.Index is its number, from 1
+	Finished                   // the answer is whole
+	Expired                    // the deadline passed before it ran: it has not run
+	TimedOut                   // the deadline passed while it ran
+	Preempted                  // it lost its place and waits again
+	ChunkPrefilled             // a part of its prompt has been prefilled; Event.Index is the part's place, from 0
+	Lost                       // the machine was stopped
 )
 
 var kindNames = [...]string{"started", "emitted", "finished", "expired", "cut-off", "preempted", "part-read", "lost"}
@@ -93,16 +93,16 @@
 // State is what a machine says about itself.
 type State struct {
 	Queued, Running       int
-	MemoryUsed            int // tokens that cannot give way
-	MemoryKept            int // tokens of parts that nobody uses just now
+	MemoryPinned          int // tokens that cannot give way
+	MemoryCached          int // tokens of parts that nobody uses just now
 	MemorySize            int
-	Prefilled             int64 // prompt tokens read since the start
+	PrefilledTokens       int64 // prompt tokens read since the start
 	Preemptions, Rejected int64
 	Steps                 int64
 }
 
-// Machine is what Engine and Workers have in common.
-type Machine interface {
+// Server is what Engine and Workers have in common.
+type Server interface {
 	// Submit hands a request over; false: the machine is full and has not run it.
 	Submit(now time.Duration, r *Request) (*Task, bool)
 	// Cancel ends a task whose caller has left.
@@ -118,18 +118,18 @@
 
 // Options describe an engine.
 type Options struct {
-	Slots         int           // requests that run at once
-	Queue         int           // requests that may wait
-	MemoryTokens  int           // shared by running requests and kept parts
-	BlockTokens   int           // in which memory is given out; 0: 16
-	Step          time.Duration // shortest step
-	StepPerSlot   time.Duration // more, for each running request
-	StepPerKilo   time.Duration // more, for each thousand tokens of context of running requests
-	PrefillPerMS  float64       // prompt tokens read in a millisecond
-	PairsPerMega  time.Duration // more, for each million pairs of a token read and one before it
-	ChunkTokens   int           // prompt tokens read in a step at most; 0: 2048
-	StrideTokens  int           // in an event of a stream; 0: 1
-	StrictPrefill bool          // a step reads for one request only, as simple servers do
+	MaxRunning           int           // requests that run at once
+	MaxQueued            int           // requests that may wait
+	MemoryTokens         int           // shared by running requests and kept parts
+	BlockTokens          int           // in which memory is given out; 0: 16
+	StepTime             time.Duration // shortest step
+	StepTimePerRequest   time.Duration // more, for each running request
+	StepTimePerKilotoken time.Duration // more, for each thousand tokens of context of running requests
+	PrefillTokensPerMS   float64       // prompt tokens read in a millisecond
+	StepTimePerMegapair  time.Duration // more, for each million pairs of a token read and one before it
+	PrefillTokensPerStep int           // prompt tokens read in a step at most; 0: 2048
+	EventTokens          int           // in an event of a stream; 0: 1
+	ExclusivePrefill     bool          // a step reads for one request only, as simple servers do
 }
 
 const (
@@ -139,19 +139,19 @@
 	mega         = 1e6
 )
 
-// Check says what is wrong with the options.
-func (o *Options) Check() error {
+// Validate says what is wrong with the options.
+func (o *Options) Validate() error {
 	switch {
-	case o.Slots < 1:
-		return fmt.Errorf("engine: %d slots: at least 1 is needed", o.Slots)
-	case o.Queue < 0:
-		return fmt.Errorf("engine: a queue of %d: it cannot be negative", o.Queue)
+	case o.MaxRunning < 1:
+		return fmt.Errorf("engine: %d slots: at least 1 is needed", o.MaxRunning)
+	case o.MaxQueued < 0:
+		return fmt.Errorf("engine: a queue of %d: it cannot be negative", o.MaxQueued)
 	case o.MemoryTokens < 1:
 		return fmt.Errorf("engine: memory for %d tokens: at least 1 is needed", o.MemoryTokens)
-	case o.Step <= 0:
-		return fmt.Errorf("engine: a step of %v: it has to take time", o.Step)
-	case o.PrefillPerMS <= 0:
-		return fmt.Errorf("engine: %v prompt tokens a millisecond: it has to read some", o.PrefillPerMS)
+	case o.StepTime <= 0:
+		return fmt.Errorf("engine: a step of %v: it has to take time", o.StepTime)
+	case o.PrefillTokensPerMS <= 0:
+		return fmt.Errorf("engine: %v prompt tokens a millisecond: it has to read some", o.PrefillTokensPerMS)
 	}
 	return nil
 }
@@ -160,11 +160,11 @@
 	if o.BlockTokens == 0 {
 		o.BlockTokens = defaultBlock
 	}
-	if o.ChunkTokens == 0 {
-		o.ChunkTokens = defaultChunk
+	if o.PrefillTokensPerStep == 0 {
+		o.PrefillTokensPerStep = defaultChunk
 	}
-	if o.StrideTokens == 0 {
-		o.StrideTokens = 1
+	if o.EventTokens == 0 {
+		o.EventTokens = 1
 	}
 }
 
@@ -185,30 +185,30 @@
 	state    State
 }
 
-var _ Machine = (*Engine)(nil)
+var _ Server = (*Engine)(nil)
 
 // New makes an engine with nothing kept.
 func New(o Options) (*Engine, error) {
-	if err := o.Check(); err != nil {
+	if err := o.Validate(); err != nil {
 		return nil, err
 	}
 	o.fill()
 	return &Engine{options: o, slow: 1, memory: newMemory(o.MemoryTokens, o.BlockTokens)}, nil
 }
 
-// Slow makes each step take so many times as long from the next one on, as just after a start.
-func (e *Engine) Slow(factor float64) { e.slow = factor }
+// SetSlowdown makes each step take so many times as long from the next one on, as just after a start.
+func (e *Engine) SetSlowdown(factor float64) { e.slow = factor }
 
 // Submit implements Machine. A request larger than the memory is rejected as though the engine were full.
 func (e *Engine) Submit(now time.Duration, r *Request) (*Task, bool) {
 	e.step(now)
-	full := len(e.waiting)+len(e.running) >= e.options.Slots+e.options.Queue
+	full := len(e.waiting)+len(e.running) >= e.options.MaxRunning+e.options.MaxQueued
 	if full || e.need(r) > e.memory.size {
 		e.state.Rejected++
 		return nil, false
 	}
 	e.sequence++
-	task := &Task{Request: r, Generated: r.Done, Sent: e.eventsIn(r.Done), sequence: e.sequence}
+	task := &Task{Request: r, GeneratedTokens: r.ResumedTokens, EventsSent: e.eventsIn(r.ResumedTokens), sequence: e.sequence}
 	e.waiting = insert(e.waiting, task)
 	if !e.stepping {
 		e.begin(now)
@@ -218,19 +218,19 @@
 
 // need is the room that a request takes when it is nearly done.
 func (e *Engine) need(r *Request) int {
-	room := e.memory.blocks(max(r.Out, r.Done+1))
-	for _, part := range r.Parts {
+	room := e.memory.blocks(max(r.OutputTokens, r.ResumedTokens+1))
+	for _, part := range r.Chunks {
 		room += e.memory.blocks(part.Tokens)
 	}
 	return room
 }
 
 // eventsIn is how many whole events so many tokens make.
-func (e *Engine) eventsIn(tokens int) int { return tokens / e.options.StrideTokens }
+func (e *Engine) eventsIn(tokens int) int { return tokens / e.options.EventTokens }
 
-// EventsOf is how many events an answer of so many tokens has.
-func (e *Engine) EventsOf(tokens int) int {
-	return (tokens + e.options.StrideTokens - 1) / e.options.StrideTokens
+// EventCount is how many events an answer of so many tokens has.
+func (e *Engine) EventCount(tokens int) int {
+	return (tokens + e.options.EventTokens - 1) / e.options.EventTokens
 }
 
 // Cancel implements Machine.
@@ -283,7 +283,7 @@
 func (e *Engine) State() State {
 	s := e.state
 	s.Queued, s.Running = len(e.waiting), len(e.running)
-	s.MemoryUsed, s.MemoryKept, s.MemorySize = e.memory.pinned, e.memory.kept, e.memory.size
+	s.MemoryPinned, s.MemoryCached, s.MemorySize = e.memory.pinned, e.memory.kept, e.memory.size
 	return s
 }
 
--- a/internal/testkit/engine/engine_test.go
+++ b/internal/testkit/engine/engine_test.go
@@ -9,8 +9,8 @@
 
 // small is an engine whose times are easy to reckon: a step of 10 ms, and 10 prompt tokens a millisecond.
 func small() Options {
-	return Options{Slots: 2, Queue: 2, MemoryTokens: 1000, BlockTokens: 10, Step: 10 * time.Millisecond,
-		PrefillPerMS: 10, ChunkTokens: 100, StrideTokens: 2}
+	return Options{MaxRunning: 2, MaxQueued: 2, MemoryTokens: 1000, BlockTokens: 10, StepTime: 10 * time.Millisecond,
+		PrefillTokensPerMS: 10, PrefillTokensPerStep: 100, EventTokens: 2}
 }
 
 func newEngine(t *testing.T, o Options) *Engine {
@@ -22,7 +22,7 @@
 	return e
 }
 
-func submit(t *testing.T, m Machine, at time.Duration, r *Request) *Task {
+func submit(t *testing.T, m Server, at time.Duration, r *Request) *Task {
 	t.Helper()
 	task, taken := m.Submit(at, r)
 	if !taken {
@@ -32,7 +32,7 @@
 }
 
 // play runs a machine until nothing is left to happen.
-func play(m Machine) (events []Event) {
+func play(m Server) (events []Event) {
 	for {
 		at, is := m.Next()
 		if !is {
@@ -65,7 +65,7 @@
 
 func TestARequestAloneReadsItsPromptAndGenerates(t *testing.T) {
 	e := newEngine(t, small())
-	task := submit(t, e, 0, &Request{Parts: []Part{{1, 100}, {2, 50}}, Out: 5, Priority: 5})
+	task := submit(t, e, 0, &Request{Chunks: []Chunk{{1, 100}, {2, 50}}, OutputTokens: 5, Priority: 5})
 	events := play(e)
 	// 100 tokens: 10 + 10 ms; 50 tokens: 10 + 5 ms and the first token; then 4 steps.
 	if at := when(events, task, Started); at != ms(35) {
@@ -81,31 +81,31 @@
 
 func TestKeptPartsAreNotReadAgain(t *testing.T) {
 	e := newEngine(t, small())
-	submit(t, e, 0, &Request{Parts: []Part{{1, 100}, {2, 50}}, Out: 1})
+	submit(t, e, 0, &Request{Chunks: []Chunk{{1, 100}, {2, 50}}, OutputTokens: 1})
 	play(e)
-	second := submit(t, e, ms(100), &Request{Parts: []Part{{1, 100}, {3, 20}}, Out: 1})
+	second := submit(t, e, ms(100), &Request{Chunks: []Chunk{{1, 100}, {3, 20}}, OutputTokens: 1})
 	events := play(e)
-	if second.Cached != 100 {
-		t.Errorf("%d tokens were kept, want 100", second.Cached)
+	if second.CachedTokens != 100 {
+		t.Errorf("%d tokens were kept, want 100", second.CachedTokens)
 	}
 	if at := when(events, second, Started); at != ms(112) {
 		t.Errorf("started at %v, want 112 ms", at)
 	}
-	other := submit(t, e, ms(200), &Request{Model: "other", Parts: []Part{{1, 100}}, Out: 1})
+	other := submit(t, e, ms(200), &Request{Model: "other", Chunks: []Chunk{{1, 100}}, OutputTokens: 1})
 	play(e)
-	if other.Cached != 0 {
+	if other.CachedTokens != 0 {
 		t.Errorf("a part kept for another model was used")
 	}
 }
 
 func TestAPartIsOfUseOnlyBehindTheSameParts(t *testing.T) {
 	e := newEngine(t, small())
-	submit(t, e, 0, &Request{Parts: []Part{{1, 100}, {2, 50}}, Out: 1})
+	submit(t, e, 0, &Request{Chunks: []Chunk{{1, 100}, {2, 50}}, OutputTokens: 1})
 	play(e)
-	task := submit(t, e, ms(100), &Request{Parts: []Part{{2, 50}}, Out: 1})
+	task := submit(t, e, ms(100), &Request{Chunks: []Chunk{{2, 50}}, OutputTokens: 1})
 	play(e)
-	if task.Cached != 0 {
-		t.Errorf("%d tokens were kept, want none", task.Cached)
+	if task.CachedTokens != 0 {
+		t.Errorf("%d tokens were kept, want none", task.CachedTokens)
 	}
 }
 
@@ -115,7 +115,7 @@
 	e := newEngine(t, o)
 	at := time.Duration(0)
 	for _, id := range []uint64{1, 2, 1, 3} { // 3 needs the room of 2
-		submit(t, e, at, &Request{Parts: []Part{{id, 100}}, Out: 1})
+		submit(t, e, at, &Request{Chunks: []Chunk{{id, 100}}, OutputTokens: 1})
 		play(e)
 		at += time.Second
 	}
@@ -123,10 +123,10 @@
 		id     uint64
 		cached int
 	}{{1, 100}, {3, 100}, {2, 0}} {
-		task := submit(t, e, at, &Request{Parts: []Part{{want.id, 100}}, Out: 1})
+		task := submit(t, e, at, &Request{Chunks: []Chunk{{want.id, 100}}, OutputTokens: 1})
 		play(e)
-		if task.Cached != want.cached {
-			t.Errorf("part %d: %d tokens were kept, want %d", want.id, task.Cached, want.cached)
+		if task.CachedTokens != want.cached {
+			t.Errorf("part %d: %d tokens were kept, want %d", want.id, task.CachedTokens, want.cached)
 		}
 		at += time.Second
 	}
@@ -134,14 +134,14 @@
 
 func TestTheNewestOfTheLeastUrgentIsPreemptedWhenMemoryRunsOut(t *testing.T) {
 	o := small()
-	o.Slots, o.MemoryTokens = 3, 240
+	o.MaxRunning, o.MemoryTokens = 3, 240
 	e := newEngine(t, o)
-	urgent := submit(t, e, 0, &Request{Parts: []Part{{1, 50}}, Out: 60, Priority: 1})
-	older := submit(t, e, 0, &Request{Parts: []Part{{2, 50}}, Out: 60, Priority: 5})
-	newest := submit(t, e, 0, &Request{Parts: []Part{{3, 50}}, Out: 60, Priority: 5})
+	urgent := submit(t, e, 0, &Request{Chunks: []Chunk{{1, 50}}, OutputTokens: 60, Priority: 1})
+	older := submit(t, e, 0, &Request{Chunks: []Chunk{{2, 50}}, OutputTokens: 60, Priority: 5})
+	newest := submit(t, e, 0, &Request{Chunks: []Chunk{{3, 50}}, OutputTokens: 60, Priority: 5})
 	events := play(e)
-	if urgent.Preempted != 0 || older.Preempted != 0 || newest.Preempted == 0 {
-		t.Errorf("preempted %d, %d and %d times, want only the last", urgent.Preempted, older.Preempted, newest.Preempted)
+	if urgent.Preemptions != 0 || older.Preemptions != 0 || newest.Preemptions == 0 {
+		t.Errorf("preempted %d, %d and %d times, want only the last", urgent.Preemptions, older.Preemptions, newest.Preemptions)
 	}
 	for _, task := range []*Task{urgent, older, newest} {
 		if n := count(events, task, Emitted); n != 30 {
@@ -152,13 +152,13 @@
 
 func TestAnUrgentRequestTakesThePlaceOfALessUrgentOne(t *testing.T) {
 	e := newEngine(t, small())
-	a := submit(t, e, 0, &Request{Parts: []Part{{1, 10}}, Out: 50, Priority: 5})
-	b := submit(t, e, 0, &Request{Parts: []Part{{2, 10}}, Out: 50, Priority: 5})
-	urgent := submit(t, e, ms(100), &Request{Parts: []Part{{3, 10}}, Out: 1, Priority: 0})
-	same := submit(t, e, ms(100), &Request{Parts: []Part{{4, 10}}, Out: 1, Priority: 5})
+	a := submit(t, e, 0, &Request{Chunks: []Chunk{{1, 10}}, OutputTokens: 50, Priority: 5})
+	b := submit(t, e, 0, &Request{Chunks: []Chunk{{2, 10}}, OutputTokens: 50, Priority: 5})
+	urgent := submit(t, e, ms(100), &Request{Chunks: []Chunk{{3, 10}}, OutputTokens: 1, Priority: 0})
+	same := submit(t, e, ms(100), &Request{Chunks: []Chunk{{4, 10}}, OutputTokens: 1, Priority: 5})
 	events := play(e)
-	if a.Preempted != 0 || b.Preempted != 1 {
-		t.Errorf("preempted %d and %d times, want the newer once", a.Preempted, b.Preempted)
+	if a.Preemptions != 0 || b.Preemptions != 1 {
+		t.Errorf("preempted %d and %d times, want the newer once", a.Preemptions, b.Preemptions)
 	}
 	if at := when(events, urgent, Finished); at > ms(150) {
 		t.Errorf("the urgent one finished at %v", at)
@@ -171,15 +171,15 @@
 func TestDeadlines(t *testing.T) {
 	e := newEngine(t, small())
 	for range 2 {
-		submit(t, e, 0, &Request{Parts: []Part{{1, 10}}, Out: 20})
+		submit(t, e, 0, &Request{Chunks: []Chunk{{1, 10}}, OutputTokens: 20})
 	}
-	waits := submit(t, e, 0, &Request{Parts: []Part{{3, 10}}, Out: 1, Deadline: ms(50)})
-	runs := submit(t, e, 0, &Request{Parts: []Part{{4, 10}}, Out: 500, Deadline: ms(700)})
+	waits := submit(t, e, 0, &Request{Chunks: []Chunk{{3, 10}}, OutputTokens: 1, Deadline: ms(50)})
+	runs := submit(t, e, 0, &Request{Chunks: []Chunk{{4, 10}}, OutputTokens: 500, Deadline: ms(700)})
 	events := play(e)
-	if when(events, waits, Expired) < 0 || waits.Ran {
+	if when(events, waits, Expired) < 0 || waits.Executed {
 		t.Errorf("the one that waited has not expired")
 	}
-	if when(events, runs, CutOff) < 0 || !runs.Ran {
+	if when(events, runs, TimedOut) < 0 || !runs.Executed {
 		t.Errorf("the one that ran was not cut off")
 	}
 }
@@ -187,20 +187,20 @@
 func TestFullEngineRejects(t *testing.T) {
 	e := newEngine(t, small())
 	for i := range 4 {
-		submit(t, e, 0, &Request{Parts: []Part{{uint64(i), 10}}, Out: 5})
+		submit(t, e, 0, &Request{Chunks: []Chunk{{uint64(i), 10}}, OutputTokens: 5})
 	}
-	if _, taken := e.Submit(0, &Request{Parts: []Part{{9, 10}}, Out: 5}); taken {
+	if _, taken := e.Submit(0, &Request{Chunks: []Chunk{{9, 10}}, OutputTokens: 5}); taken {
 		t.Error("one more than the places was taken")
 	}
 	play(e)
-	if _, taken := e.Submit(time.Second, &Request{Parts: []Part{{9, 2000}}, Out: 5}); taken {
+	if _, taken := e.Submit(time.Second, &Request{Chunks: []Chunk{{9, 2000}}, OutputTokens: 5}); taken {
 		t.Error("a request larger than the memory was taken")
 	}
 }
 
 func TestAContinuedRequestSendsOnlyTheRest(t *testing.T) {
 	e := newEngine(t, small())
-	task := submit(t, e, 0, &Request{Parts: []Part{{1, 10}}, Out: 10, Done: 6})
+	task := submit(t, e, 0, &Request{Chunks: []Chunk{{1, 10}}, OutputTokens: 10, ResumedTokens: 6})
 	events := play(e)
 	if n := count(events, task, Emitted); n != 2 {
 		t.Errorf("%d events, want 2", n)
@@ -214,7 +214,7 @@
 
 func TestStopLosesEverything(t *testing.T) {
 	e := newEngine(t, small())
-	task := submit(t, e, 0, &Request{Parts: []Part{{1, 10}}, Out: 10})
+	task := submit(t, e, 0, &Request{Chunks: []Chunk{{1, 10}}, OutputTokens: 10})
 	events := e.Stop(ms(30))
 	if when(events, task, Lost) != ms(30) {
 		t.Error("the task was not lost")
@@ -229,9 +229,9 @@
 func TestEngineKeepsItsBooks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := small()
-		o.Slots = rapid.IntRange(1, 5).Draw(t, "slots")
+		o.MaxRunning = rapid.IntRange(1, 5).Draw(t, "slots")
 		o.MemoryTokens = rapid.IntRange(150, 600).Draw(t, "memory")
-		o.StepPerSlot, o.StepPerKilo, o.PairsPerMega = ms(1), ms(1), ms(1)
+		o.StepTimePerRequest, o.StepTimePerKilotoken, o.StepTimePerMegapair = ms(1), ms(1), ms(1)
 		e, err := New(o)
 		if err != nil {
 			t.Fatal(err)
@@ -268,16 +268,16 @@
 }
 
 func drawRequest(t *rapid.T, now time.Duration) *Request {
-	r := &Request{Out: rapid.IntRange(1, 40).Draw(t, "out"), Priority: rapid.IntRange(0, 9).Draw(t, "priority")}
+	r := &Request{OutputTokens: rapid.IntRange(1, 40).Draw(t, "out"), Priority: rapid.IntRange(0, 9).Draw(t, "priority")}
 	for range rapid.IntRange(1, 3).Draw(t, "parts") {
 		id := rapid.Uint64Range(1, 4).Draw(t, "part")
-		r.Parts = append(r.Parts, Part{id, int(id) * 17})
+		r.Chunks = append(r.Chunks, Chunk{id, int(id) * 17})
 	}
 	if rapid.Bool().Draw(t, "deadline") {
 		r.Deadline = now + ms(rapid.IntRange(1, 500).Draw(t, "left"))
 	}
-	r.Done = min(r.Out-1, rapid.IntRange(0, 3).Draw(t, "done")*2)
-	r.Done -= r.Done % 2
+	r.ResumedTokens = min(r.OutputTokens-1, rapid.IntRange(0, 3).Draw(t, "done")*2)
+	r.ResumedTokens -= r.ResumedTokens % 2
 	return r
 }
 
@@ -307,8 +307,8 @@
 	if kept+pinned+own > e.memory.size {
 		t.Fatalf("%d tokens in a memory of %d", kept+pinned+own, e.memory.size)
 	}
-	if len(e.running) > e.options.Slots {
-		t.Fatalf("%d tasks run in %d slots", len(e.running), e.options.Slots)
+	if len(e.running) > e.options.MaxRunning {
+		t.Fatalf("%d tasks run in %d slots", len(e.running), e.options.MaxRunning)
 	}
 }
 
@@ -316,7 +316,7 @@
 	if !task.Ended {
 		t.Fatalf("a task has not ended: %+v", task.Request)
 	}
-	next := task.Request.Done/e.options.StrideTokens + 1
+	next := task.Request.ResumedTokens/e.options.EventTokens + 1
 	finished := false
 	for _, event := range events {
 		if event.Task != task {
@@ -333,13 +333,13 @@
 			next++
 		case Finished:
 			finished = true
-			if next != e.EventsOf(task.Request.Out)+1 {
-				t.Fatalf("finished before event %d of %d", next, e.EventsOf(task.Request.Out))
+			if next != e.EventCount(task.Request.OutputTokens)+1 {
+				t.Fatalf("finished before event %d of %d", next, e.EventCount(task.Request.OutputTokens))
 			}
-		case Expired, CutOff:
+		case Expired, TimedOut:
 			finished = true
-			if (event.Kind == CutOff) != task.Ran {
-				t.Fatalf("%v, though ran is %v", event.Kind, task.Ran)
+			if (event.Kind == TimedOut) != task.Executed {
+				t.Fatalf("%v, though ran is %v", event.Kind, task.Executed)
 			}
 		}
 	}
@@ -356,30 +356,30 @@
 		t.Error("a third was taken")
 	}
 	events := play(w)
-	if when(events, first, Finished) != ms(10) || when(events, second, CutOff) != ms(15) {
+	if when(events, first, Finished) != ms(10) || when(events, second, TimedOut) != ms(15) {
 		t.Errorf("events: %+v", events)
 	}
 	third := submit(t, w, ms(20), &Request{Work: ms(10)})
 	late := submit(t, w, ms(20), &Request{Work: ms(10), Deadline: ms(25)})
 	events = play(w)
-	if when(events, third, Finished) != ms(30) || when(events, late, Expired) != ms(30) || late.Ran {
+	if when(events, third, Finished) != ms(30) || when(events, late, Expired) != ms(30) || late.Executed {
 		t.Errorf("events: %+v", events)
 	}
 }
 
 func TestColdRunnerCountsWhatComes(t *testing.T) {
-	c := Cold{Rate: 2, Excess: 1.5, Slack: 1, Falls: 4}
+	c := SlowStart{Rate: 2, MaxMultiple: 1.5, Allowance: 1, CrashMultiple: 4}
 	c.Begin(10 * time.Second)
 	fell := 0
 	for i := range 9 {
-		if c.Arrive(ms(i)) {
+		if c.RecordArrival(ms(i)) {
 			fell++
 		}
 	}
-	if c.Worst() != 9 || c.Broken() != 5 || fell != 1 {
-		t.Errorf("worst %d, broken %d, fell %d; want 9, 5 and 1", c.Worst(), c.Broken(), fell)
+	if c.PeakArrivals() != 9 || c.Violations() != 5 || fell != 1 {
+		t.Errorf("worst %d, broken %d, fell %d; want 9, 5 and 1", c.PeakArrivals(), c.Violations(), fell)
 	}
-	if c.Arrive(11 * time.Second); c.Worst() != 9 {
+	if c.RecordArrival(11 * time.Second); c.PeakArrivals() != 9 {
 		t.Error("counted while warm")
 	}
 }
--- a/internal/testkit/engine/memory.go
+++ b/internal/testkit/engine/memory.go
@@ -14,11 +14,11 @@
 
 // node is a kept part.
 type node struct {
-	part       Part
+	part       Chunk
 	room       int // tokens of memory that it takes
 	users      int // running tasks
 	parent     *node
-	children   map[Part]*node
+	children   map[Chunk]*node
 	prev, next *node // in the ring, while nobody uses it
 }
 
@@ -47,7 +47,7 @@
 }
 
 // find walks down from a node along parts; it returns the deepest one and how many parts it found.
-func find(from *node, parts []Part) (*node, int) {
+func find(from *node, parts []Chunk) (*node, int) {
 	for i, part := range parts {
 		child := from.children[part]
 		if child == nil {
@@ -126,7 +126,7 @@
 }
 
 // publish makes a part that a task has read one of the tree, unless another task was first.
-func (m *memory) publish(t *Task, part Part) {
+func (m *memory) publish(t *Task, part Chunk) {
 	parent := t.holds.shared
 	room := m.blocks(part.Tokens)
 	t.holds.own -= room
@@ -135,7 +135,7 @@
 	if n == nil {
 		n = &node{part: part, room: room, parent: parent}
 		if parent.children == nil {
-			parent.children = make(map[Part]*node)
+			parent.children = make(map[Chunk]*node)
 		}
 		parent.children[part] = n
 		n.users = 1
--- a/internal/testkit/engine/step.go
+++ b/internal/testkit/engine/step.go
@@ -15,7 +15,7 @@
 
 // reading says whether the prompt is not read whole yet.
 func (t *Task) reading() bool {
-	return t.plan.part < len(t.Request.Parts) || t.plan.again > 0
+	return t.plan.part < len(t.Request.Chunks) || t.plan.again > 0
 }
 
 // step plays all steps that end until a time.
@@ -51,8 +51,8 @@
 			}
 			e.drop(t)
 			kind := Expired
-			if t.Ran {
-				kind = CutOff
+			if t.Executed {
+				kind = TimedOut
 			}
 			e.tell(at, kind, t, 0)
 		}
@@ -89,13 +89,13 @@
 }
 
 func (e *Engine) fits(chain *node, missing int) bool {
-	return len(e.running) < e.options.Slots && missing <= e.memory.available(chain)
+	return len(e.running) < e.options.MaxRunning && missing <= e.memory.available(chain)
 }
 
 // couldFit says whether a task gets in once all running tasks that are less urgent have left.
 func (e *Engine) couldFit(t *Task, chain *node, missing int) bool {
 	room := e.memory.available(chain)
-	slots := e.options.Slots - len(e.running)
+	slots := e.options.MaxRunning - len(e.running)
 	for _, other := range e.running {
 		if other.Request.Priority > t.Request.Priority {
 			slots++
@@ -107,16 +107,16 @@
 
 // missing is the deepest kept part of a task's prompt, and the room that the rest of it takes, with its first tokens.
 func (e *Engine) missing(t *Task) (chain *node, room int) {
-	chain, found := find(e.memory.root(t.Request.Model), t.Request.Parts)
-	for _, part := range t.Request.Parts[found:] {
+	chain, found := find(e.memory.root(t.Request.Model), t.Request.Chunks)
+	for _, part := range t.Request.Chunks[found:] {
 		room += e.memory.blocks(part.Tokens)
 	}
-	return chain, room + e.memory.blocks(t.Generated+1)
+	return chain, room + e.memory.blocks(t.GeneratedTokens+1)
 }
 
 // place lets a task run.
 func (e *Engine) place(t *Task) {
-	chain, found := find(e.memory.root(t.Request.Model), t.Request.Parts)
+	chain, found := find(e.memory.root(t.Request.Model), t.Request.Chunks)
 	_, room := e.missing(t)
 	e.memory.pin(chain)
 	t.holds.shared = chain
@@ -124,15 +124,15 @@
 		panic("engine: a task was placed without memory")
 	}
 	context := 0
-	for _, part := range t.Request.Parts[:found] {
+	for _, part := range t.Request.Chunks[:found] {
 		context += part.Tokens
 	}
 	if t.admissions == 0 {
-		t.Cached = context
+		t.CachedTokens = context
 	}
 	t.admissions++
-	t.Began = true
-	t.plan = plan{part: found, again: t.Generated, context: context, room: e.memory.blocks(t.Generated + 1)}
+	t.Admitted = true
+	t.plan = plan{part: found, again: t.GeneratedTokens, context: context, room: e.memory.blocks(t.GeneratedTokens + 1)}
 	e.running = insert(e.running, t)
 }
 
@@ -141,7 +141,7 @@
 	e.memory.release(t)
 	e.running = remove(e.running, t)
 	e.waiting = insert(e.waiting, t)
-	t.Preempted++
+	t.Preemptions++
 	e.state.Preemptions++
 	e.tell(at, Preempted, t, 0)
 }
@@ -151,7 +151,7 @@
 func (e *Engine) grow(at time.Duration) {
 	for i := 0; i < len(e.running); i++ {
 		t := e.running[i]
-		if t.Generated < t.plan.room {
+		if t.GeneratedTokens < t.plan.room {
 			continue
 		}
 		for !e.memory.take(t, e.memory.block) {
@@ -169,7 +169,7 @@
 
 // schedule decides what the next step does, and how long that takes.
 func (e *Engine) schedule() time.Duration {
-	budget := e.options.ChunkTokens
+	budget := e.options.PrefillTokensPerStep
 	context, read := 0, 0
 	pairs := 0.0
 	for _, t := range e.running {
@@ -189,21 +189,21 @@
 		budget -= t.plan.now
 		read += t.plan.now
 		pairs += float64(t.plan.now) * (float64(t.plan.context) + float64(t.plan.now)/2)
-		if e.options.StrictPrefill {
+		if e.options.ExclusivePrefill {
 			break
 		}
 	}
-	took := e.options.Step + time.Duration(len(e.running))*e.options.StepPerSlot
-	took += time.Duration(float64(context) / kilo * float64(e.options.StepPerKilo))
-	took += time.Duration(float64(read) / e.options.PrefillPerMS * float64(time.Millisecond))
-	took += time.Duration(pairs / mega * float64(e.options.PairsPerMega))
+	took := e.options.StepTime + time.Duration(len(e.running))*e.options.StepTimePerRequest
+	took += time.Duration(float64(context) / kilo * float64(e.options.StepTimePerKilotoken))
+	took += time.Duration(float64(read) / e.options.PrefillTokensPerMS * float64(time.Millisecond))
+	took += time.Duration(pairs / mega * float64(e.options.StepTimePerMegapair))
 	return time.Duration(float64(took) * e.slow)
 }
 
 // skipKept passes over parts that another task has read meanwhile.
 func (e *Engine) skipKept(t *Task) {
-	for t.plan.read == 0 && t.plan.part < len(t.Request.Parts) {
-		part := t.Request.Parts[t.plan.part]
+	for t.plan.read == 0 && t.plan.part < len(t.Request.Chunks) {
+		part := t.Request.Chunks[t.plan.part]
 		kept := t.holds.shared.children[part]
 		if kept == nil {
 			return
@@ -218,7 +218,7 @@
 // unread is how many tokens of the prompt are still to be read.
 func (t *Task) unread() int {
 	n := t.plan.again - t.plan.read
-	for _, part := range t.Request.Parts[t.plan.part:] {
+	for _, part := range t.Request.Chunks[t.plan.part:] {
 		n += part.Tokens
 	}
 	return n
@@ -242,9 +242,9 @@
 	left := t.plan.now
 	t.plan.now = 0
 	t.plan.context += left
-	e.state.Prefilled += int64(left)
-	for left > 0 && t.plan.part < len(t.Request.Parts) {
-		part := t.Request.Parts[t.plan.part]
+	e.state.PrefilledTokens += int64(left)
+	for left > 0 && t.plan.part < len(t.Request.Chunks) {
+		part := t.Request.Chunks[t.plan.part]
 		n := min(left, part.Tokens-t.plan.read)
 		left -= n
 		t.plan.read += n
@@ -252,7 +252,7 @@
 			return
 		}
 		e.memory.publish(t, part)
-		e.tell(at, PartRead, t, t.plan.part)
+		e.tell(at, ChunkPrefilled, t, t.plan.part)
 		t.plan.part++
 		t.plan.read = 0
 	}
@@ -261,17 +261,17 @@
 
 // generate gives a task its next token.
 func (e *Engine) generate(at time.Duration, t *Task) {
-	if !t.Ran {
-		t.Ran = true
+	if !t.Executed {
+		t.Executed = true
 		e.tell(at, Started, t, 0)
 	}
-	t.Generated++
+	t.GeneratedTokens++
 	t.plan.context++
-	if t.Generated%e.options.StrideTokens == 0 || t.Generated >= t.Request.Out {
-		t.Sent++
-		e.tell(at, Emitted, t, t.Sent)
+	if t.GeneratedTokens%e.options.EventTokens == 0 || t.GeneratedTokens >= t.Request.OutputTokens {
+		t.EventsSent++
+		e.tell(at, Emitted, t, t.EventsSent)
 	}
-	if t.Generated >= t.Request.Out {
+	if t.GeneratedTokens >= t.Request.OutputTokens {
 		e.drop(t)
 		e.tell(at, Finished, t, 0)
 	}
--- a/internal/testkit/engine/workers.go
+++ b/internal/testkit/engine/workers.go
@@ -17,7 +17,7 @@
 	rejected     int64
 }
 
-var _ Machine = (*Workers)(nil)
+var _ Server = (*Workers)(nil)
 
 // NewWorkers makes a server with so many slots and places to wait.
 func NewWorkers(slots, queue int) (*Workers, error) {
@@ -27,8 +27,8 @@
 	return &Workers{slots: slots, queue: queue, slow: 1}, nil
 }
 
-// Slow makes work that begins from now on take so many times as long.
-func (w *Workers) Slow(factor float64) { w.slow = factor }
+// SetSlowdown makes work that begins from now on take so many times as long.
+func (w *Workers) SetSlowdown(factor float64) { w.slow = factor }
 
 // Submit implements Machine.
 func (w *Workers) Submit(now time.Duration, r *Request) (*Task, bool) {
@@ -132,7 +132,7 @@
 		t, at := w.running[i], w.due(i)
 		kind := Finished
 		if at < w.ends[i] {
-			kind = CutOff
+			kind = TimedOut
 		}
 		w.drop(t)
 		w.tell(at, kind, t)
@@ -150,7 +150,7 @@
 			w.tell(at, Expired, t)
 			continue
 		}
-		t.Began, t.Ran = true, true
+		t.Admitted, t.Executed = true, true
 		w.running = append(w.running, t)
 		w.ends = append(w.ends, at+time.Duration(float64(t.Request.Work)*w.slow))
 		w.tell(at, Started, t)
--- a/internal/testkit/eventqueue/agenda.go
+++ b/internal/testkit/eventqueue/agenda.go
@@ -3,8 +3,8 @@
 
 import "container/heap"
 
-// Agenda is what is to happen; the zero one is empty.
-type Agenda struct {
+// Queue is what is to happen; the zero one is empty.
+type Queue struct {
 	items items
 	seq   int
 }
@@ -31,14 +31,14 @@
 	return last
 }
 
-// At has something happen at a time, seconds.
-func (a *Agenda) At(at float64, do func()) {
+// Schedule has something happen at a time, seconds.
+func (a *Queue) Schedule(at float64, do func()) {
 	a.seq++
 	heap.Push(&a.items, item{at, a.seq, do})
 }
 
-// Next takes what comes first, if that is until a time.
-func (a *Agenda) Next(until float64) (at float64, do func(), is bool) {
+// PopUntil takes what comes first, if that is until a time.
+func (a *Queue) PopUntil(until float64) (at float64, do func(), is bool) {
 	if len(a.items) == 0 || a.items[0].at > until {
 		return 0, nil, false
 	}
