--- a/internal/testkit/fakeplatform/cloud.go
+++ b/internal/testkit/fakeplatform/cloud.go
@@ -28,27 +28,27 @@
 
 // Entry is a runner as it stands on the list.
 type Entry struct {
-	ID, Service string
-	Address     netip.AddrPort
-	Zone        string
-	Capacity    int
-	Draining    bool
-	ColdUntil   time.Time // zero: warm
-	GoneAt      time.Time // of one that is taken away at short notice; zero: not told
-	Model       string    // empty: none
+	ID, Service    string
+	Address        netip.AddrPort
+	Zone           string
+	Capacity       int
+	Draining       bool
+	SlowStartUntil time.Time // zero: warm
+	TerminatesAt   time.Time // of one that is taken away at short notice; zero: not told
+	Model          string    // empty: none
 }
 
 // Options describe the list.
 type Options struct {
-	Address  string        // to listen on
-	Lag      time.Duration // how old the list is
-	Page     int           // entries on a page; 0: all
-	RatePerS float64       // calls a second; 0: no bound
-	Now      func() time.Time
+	Address          string        // to listen on
+	PropagationDelay time.Duration // how old the list is
+	PageSize         int           // entries on a page; 0: all
+	CallsPerSecond   float64       // calls a second; 0: no bound
+	Now              func() time.Time
 }
 
-// Cloud serves the list. Its methods may be called from any goroutine.
-type Cloud struct {
+// Platform serves the list. Its methods may be called from any goroutine.
+type Platform struct {
 	options Options
 	server  *http.Server
 	address netip.AddrPort
@@ -69,10 +69,10 @@
 }
 
 // Stats count calls.
-type Stats struct{ Calls, Refused int }
+type Stats struct{ Calls, Throttled int }
 
 // Start starts the list.
-func Start(o Options) (*Cloud, error) {
+func Start(o Options) (*Platform, error) {
 	if o.Now == nil {
 		o.Now = time.Now
 	}
@@ -80,42 +80,44 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Cloud{options: o, address: l.Addr().(*net.TCPAddr).AddrPort(), entries: make(map[string]Entry)}
+	c := &Platform{options: o, address: l.Addr().(*net.TCPAddr).AddrPort(), entries: make(map[string]Entry)}
 	c.server = &http.Server{Handler: c, ErrorLog: log.New(io.Discard, "", 0)}
 	go c.server.Serve(l)
 	return c, nil
 }
 
 // Address is where the list is served.
-func (c *Cloud) Address() netip.AddrPort { return c.address }
+func (c *Platform) Address() netip.AddrPort { return c.address }
 
 // Close ends it.
-func (c *Cloud) Close() { c.server.Close() }
+func (c *Platform) Close() { c.server.Close() }
 
 // Stats returns the counts.
-func (c *Cloud) Stats() Stats {
+func (c *Platform) Stats() Stats {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.stats
 }
 
-// SetDown has every call fail, or ends that.
-func (c *Cloud) SetDown(down bool) {
+// SetFailing has every call fail, or ends that.
+func (c *Platform) SetFailing(down bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.down = down
 }
 
 // Set adds or alters an entry; it returns when that comes into sight.
-func (c *Cloud) Set(e Entry) time.Time { return c.add(change{entry: e}) }
+func (c *Platform) Set(e Entry) time.Time { return c.add(change{entry: e}) }
 
 // Remove takes an entry off; it returns when that comes into sight.
-func (c *Cloud) Remove(id string) time.Time { return c.add(change{entry: Entry{ID: id}, gone: true}) }
+func (c *Platform) Remove(id string) time.Time {
+	return c.add(change{entry: Entry{ID: id}, gone: true})
+}
 
-func (c *Cloud) add(ch change) time.Time {
+func (c *Platform) add(ch change) time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	ch.at = c.options.Now().Add(c.options.Lag)
+	ch.at = c.options.Now().Add(c.options.PropagationDelay)
 	c.changes = append(c.changes, ch)
 	return ch.at
 }
@@ -148,7 +150,7 @@
 }
 
 // ServeHTTP answers calls.
-func (c *Cloud) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (c *Platform) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	if q.URL.Path != Path || q.Method != http.MethodGet {
 		http.NotFound(w, q)
 		return
@@ -172,7 +174,7 @@
 }
 
 // list makes a page.
-func (c *Cloud) list(zone string, first int) (*page, int) {
+func (c *Platform) list(zone string, first int) (*page, int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
@@ -189,8 +191,8 @@
 	slices.SortFunc(chosen, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
 	end := len(chosen)
 	p := &page{Instances: []instance{}}
-	if c.options.Page > 0 && first+c.options.Page < end {
-		end = first + c.options.Page
+	if c.options.PageSize > 0 && first+c.options.PageSize < end {
+		end = first + c.options.PageSize
 		next := pagePrefix + strconv.Itoa(end)
 		p.NextToken = &next
 	}
@@ -201,7 +203,7 @@
 }
 
 // admit counts a call.
-func (c *Cloud) admit(now time.Time) int {
+func (c *Platform) admit(now time.Time) int {
 	c.stats.Calls++
 	for len(c.calls) > 0 && now.Sub(c.calls[0]) >= callWindow {
 		c.calls = c.calls[1:]
@@ -209,8 +211,8 @@
 	switch {
 	case c.down:
 		return http.StatusInternalServerError
-	case c.options.RatePerS > 0 && float64(len(c.calls)+1) > c.options.RatePerS:
-		c.stats.Refused++
+	case c.options.CallsPerSecond > 0 && float64(len(c.calls)+1) > c.options.CallsPerSecond:
+		c.stats.Throttled++
 		return http.StatusTooManyRequests
 	}
 	c.calls = append(c.calls, now)
@@ -218,7 +220,7 @@
 }
 
 // catchUp brings into sight what is old enough.
-func (c *Cloud) catchUp(now time.Time) {
+func (c *Platform) catchUp(now time.Time) {
 	for len(c.changes) > 0 && !c.changes[0].at.After(now) {
 		ch := c.changes[0]
 		c.changes = c.changes[1:]
@@ -233,12 +235,12 @@
 func (e *Entry) instance(now time.Time) instance {
 	i := instance{Service: e.Service, Address: e.Address.String(), Zone: e.Zone, Version: "v1", Capacity: e.Capacity,
 		State: "serving",
-		ID:    e.ID, ColdLeft: max(0, e.ColdUntil.Sub(now).Milliseconds())}
+		ID:    e.ID, ColdLeft: max(0, e.SlowStartUntil.Sub(now).Milliseconds())}
 	if e.Draining {
 		i.State = "draining"
 	}
-	if !e.GoneAt.IsZero() {
-		left := max(0, e.GoneAt.Sub(now).Milliseconds())
+	if !e.TerminatesAt.IsZero() {
+		left := max(0, e.TerminatesAt.Sub(now).Milliseconds())
 		i.TimeLeft = &left
 	}
 	if e.Model != "" {
--- a/internal/testkit/fakeplatform/cloud_test.go
+++ b/internal/testkit/fakeplatform/cloud_test.go
@@ -28,7 +28,7 @@
 	c.now = c.now.Add(d)
 }
 
-func start(t *testing.T, o Options) (*Cloud, *clock) {
+func start(t *testing.T, o Options) (*Platform, *clock) {
 	t.Helper()
 	time := &clock{now: time.Unix(1000, 0)}
 	o.Address, o.Now = "127.0.0.1:0", time.read
@@ -40,7 +40,7 @@
 	return c, time
 }
 
-func get(t *testing.T, c *Cloud, query string) (p page, status int) {
+func get(t *testing.T, c *Platform, query string) (p page, status int) {
 	t.Helper()
 	resp, err := http.Get("http://" + c.Address().String() + Path + query)
 	if err != nil {
@@ -61,7 +61,7 @@
 }
 
 func TestTheListIsBehind(t *testing.T) {
-	c, time := start(t, Options{Lag: 800e6})
+	c, time := start(t, Options{PropagationDelay: 800e6})
 	c.Set(entry(1, "a"))
 	if p, _ := get(t, c, ""); len(p.Instances) != 0 {
 		t.Errorf("there is %+v already", p)
@@ -78,7 +78,7 @@
 }
 
 func TestPagesAndZones(t *testing.T) {
-	c, _ := start(t, Options{Page: 2})
+	c, _ := start(t, Options{PageSize: 2})
 	for i := range 5 {
 		c.Set(entry(i, string(rune('a'+i%2))))
 	}
@@ -112,7 +112,7 @@
 	c, time := start(t, Options{})
 	e := entry(1, "a")
 	e.Draining = true
-	e.ColdUntil, e.GoneAt = time.read().Add(2e9), time.read().Add(3e9)
+	e.SlowStartUntil, e.TerminatesAt = time.read().Add(2e9), time.read().Add(3e9)
 	c.Set(e)
 	time.advance(1e9)
 	p, _ := get(t, c, "")
@@ -123,7 +123,7 @@
 }
 
 func TestCallsBeyondTheRateAreRefused(t *testing.T) {
-	c, time := start(t, Options{RatePerS: 3})
+	c, time := start(t, Options{CallsPerSecond: 3})
 	for i := range 5 {
 		_, status := get(t, c, "")
 		if want := map[bool]int{true: http.StatusOK, false: http.StatusTooManyRequests}[i < 3]; status != want {
@@ -134,10 +134,10 @@
 	if _, status := get(t, c, ""); status != http.StatusOK {
 		t.Errorf("after a second: %d", status)
 	}
-	if s := c.Stats(); s.Calls != 6 || s.Refused != 2 {
+	if s := c.Stats(); s.Calls != 6 || s.Throttled != 2 {
 		t.Errorf("%+v", s)
 	}
-	c.SetDown(true)
+	c.SetFailing(true)
 	if _, status := get(t, c, ""); status != http.StatusInternalServerError {
 		t.Errorf("while down: %d", status)
 	}
--- a/internal/testkit/mutate/mutate.go
+++ b/internal/testkit/mutate/mutate.go
@@ -19,9 +19,9 @@
 
 // Delivery is what comes of a message.
 type Delivery struct {
-	To   uint64
-	Data []byte
-	Late float64 // seconds beside the way's own
+	To    uint64
+	Data  []byte
+	Delay float64 // seconds beside the way's own
 }
 
 // Tamper decides what comes of the n-th message.
@@ -30,29 +30,29 @@
 // Run plays the run with a tamper. The outcome names what it ended in; an error is that something did not hold.
 type Run func(tamper Tamper) (outcome string, err error)
 
-// Plain delivers messages as they are.
-func Plain(n int, m Message) []Delivery { return []Delivery{{m.To, m.Data, 0}} }
+// DeliverUnchanged delivers messages as they are.
+func DeliverUnchanged(n int, m Message) []Delivery { return []Delivery{{m.To, m.Data, 0}} }
 
 // Options are what is played.
 type Options struct {
-	Late   []float64                           // seconds past each time-out that a message touches
-	Forge  func(data []byte) map[string][]byte // other valid messages, their checksums right, by what was changed
-	Slice  int                                 // every so many-th pair of message and mutation; 1 is all
-	Jobs   int                                 // runs side by side
-	Others []uint64                            // members that a message may be led to
+	Delays       []float64                           // seconds past each time-out that a message touches
+	Variants     func(data []byte) map[string][]byte // other valid messages, their checksums right, by what was changed
+	Stride       int                                 // every so many-th pair of message and mutation; 1 is all
+	Parallelism  int                                 // runs side by side
+	OtherMembers []uint64                            // members that a message may be led to
 }
 
 // Report counts what the runs came to, by kind of mutation.
 type Report struct {
-	Messages int
-	Runs     map[string]int
-	Same     map[string]int // ended as without
-	Other    map[string]int // ended otherwise, and all held
-	Broke    []Breach
+	Messages     int
+	Runs         map[string]int
+	SameOutcome  map[string]int // ended as without
+	OtherOutcome map[string]int // ended otherwise, and all held
+	Violations   []Violation
 }
 
-// Breach is a run in which something did not hold.
-type Breach struct {
+// Violation is a run in which something did not hold.
+type Violation struct {
 	Message  int
 	Mutation string
 	Err      error
@@ -67,11 +67,11 @@
 	}
 	sort.Strings(kinds)
 	broke := map[string]int{}
-	for _, x := range r.Broke {
+	for _, x := range r.Violations {
 		broke[kindOf(x.Mutation)]++
 	}
 	for _, kind := range kinds {
-		fmt.Fprintf(&b, "%-12s %5d runs, %5d as without, %4d otherwise, %4d broke\n", kind, r.Runs[kind], r.Same[kind], r.Other[kind], broke[kind])
+		fmt.Fprintf(&b, "%-12s %5d runs, %5d as without, %4d otherwise, %4d broke\n", kind, r.Runs[kind], r.SameOutcome[kind], r.OtherOutcome[kind], broke[kind])
 	}
 	return b.String()
 }
@@ -84,13 +84,13 @@
 	tamper   Tamper
 }
 
-// All records the run and plays all its mutations, or a slice of them.
-func All(run Run, o Options) (*Report, error) {
+// RunAll records the run and plays all its mutations, or a slice of them.
+func RunAll(run Run, o Options) (*Report, error) {
 	var seen []Message
 	clean, err := run(func(n int, m Message) []Delivery {
 		m.Data = append([]byte(nil), m.Data...)
 		seen = append(seen, m)
-		return Plain(n, m)
+		return DeliverUnchanged(n, m)
 	})
 	if err != nil {
 		return nil, fmt.Errorf("the run does not hold by itself: %w", err)
@@ -99,11 +99,11 @@
 	for n := range seen {
 		plays = append(plays, mutations(seen, n, o)...)
 	}
-	r := &Report{Messages: len(seen), Runs: map[string]int{}, Same: map[string]int{}, Other: map[string]int{}}
+	r := &Report{Messages: len(seen), Runs: map[string]int{}, SameOutcome: map[string]int{}, OtherOutcome: map[string]int{}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	todo := make(chan play)
-	for range max(o.Jobs, 1) {
+	for range max(o.Parallelism, 1) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -114,24 +114,24 @@
 				r.Runs[kind]++
 				switch {
 				case err != nil:
-					r.Broke = append(r.Broke, Breach{p.n, p.mutation, err})
+					r.Violations = append(r.Violations, Violation{p.n, p.mutation, err})
 				case outcome == clean:
-					r.Same[kind]++
+					r.SameOutcome[kind]++
 				default:
-					r.Other[kind]++
+					r.OtherOutcome[kind]++
 				}
 				mu.Unlock()
 			}
 		}()
 	}
 	for i, p := range plays {
-		if i%max(o.Slice, 1) == 0 {
+		if i%max(o.Stride, 1) == 0 {
 			todo <- p
 		}
 	}
 	close(todo)
 	wg.Wait()
-	sort.Slice(r.Broke, func(i, j int) bool { return r.Broke[i].Message < r.Broke[j].Message })
+	sort.Slice(r.Violations, func(i, j int) bool { return r.Violations[i].Message < r.Violations[j].Message })
 	return r, nil
 }
 
@@ -143,12 +143,12 @@
 			if i == n {
 				return what(m)
 			}
-			return Plain(i, m)
+			return DeliverUnchanged(i, m)
 		}})
 	}
 	at("lost", func(m Message) []Delivery { return nil })
 	at("twice", func(m Message) []Delivery { return []Delivery{{m.To, m.Data, 0}, {m.To, m.Data, 0.01}} })
-	for _, late := range o.Late {
+	for _, late := range o.Delays {
 		at(fmt.Sprintf("late %v", late), func(m Message) []Delivery { return []Delivery{{m.To, m.Data, late}} })
 	}
 	next, older := -1, -1
@@ -170,19 +170,19 @@
 				kept = nil
 			}
 			if i == n {
-				kept = Plain(i, m)
+				kept = DeliverUnchanged(i, m)
 				return nil
 			}
 			if i == next {
-				return append(Plain(i, m), kept...)
+				return append(DeliverUnchanged(i, m), kept...)
 			}
-			return Plain(i, m)
+			return DeliverUnchanged(i, m)
 		}
 	}
 	if older >= 0 {
 		at("older", func(m Message) []Delivery { return []Delivery{{m.To, seen[older].Data, 0}} })
 	}
-	for _, other := range o.Others {
+	for _, other := range o.OtherMembers {
 		if other != m.To {
 			at("elsewhere", func(m Message) []Delivery { return []Delivery{{other, m.Data, 0}} })
 		}
@@ -197,8 +197,8 @@
 			return []Delivery{{m.To, data, 0}}
 		})
 	}
-	if o.Forge != nil {
-		forged := o.Forge(m.Data)
+	if o.Variants != nil {
+		forged := o.Variants(m.Data)
 		for _, what := range slices.Sorted(maps.Keys(forged)) {
 			at("forged "+what, func(m Message) []Delivery { return []Delivery{{m.To, forged[what], 0}} })
 		}
--- a/internal/testkit/processcluster/audit.go
+++ b/internal/testkit/processcluster/audit.go
@@ -9,8 +9,8 @@
 	"cinderroad/internal/dispatcher/linelog"
 )
 
-// Files are the ledgers and request logs of all members.
-func (r *Rig) Files() (files []string) {
+// AuditFiles are the ledgers and request logs of all members.
+func (r *Cluster) AuditFiles() (files []string) {
 	for _, m := range r.Members {
 		for _, path := range []string{m.path + ".requests.ledger", m.path + ".requests"} {
 			if _, err := os.Stat(path); err == nil {
@@ -22,9 +22,9 @@
 }
 
 // Audit reads what the members have written so far.
-func (r *Rig) Audit() *auditlog.Report {
+func (r *Cluster) Audit() *auditlog.Report {
 	time.Sleep(time.Duration(2 * linelog.FlushEvery * float64(time.Second)))
-	report, err := auditlog.AuditFiles(auditlog.DefaultRules, r.Files(), func(file string, line int, err error) {
+	report, err := auditlog.AuditFiles(auditlog.DefaultRules, r.AuditFiles(), func(file string, line int, err error) {
 		if line == 0 {
 			r.must(err)
 		}
@@ -38,17 +38,17 @@
 }
 
 // audit has every test's run audited: no member may have acted against what it knew.
-func (r *Rig) audit() {
-	r.T.Helper()
+func (r *Cluster) audit() {
+	r.TB.Helper()
 	report := r.Audit()
 	for _, b := range report.Violations {
-		r.T.Errorf("audit: %+v", b)
+		r.TB.Errorf("audit: %+v", b)
 	}
 	for _, s := range report.Stragglers {
-		r.T.Logf("audit: late: %+v", s)
+		r.TB.Logf("audit: late: %+v", s)
 	}
 	if report.Attempts > 0 && report.Judged == 0 {
-		r.T.Errorf("audit: none of %d sends could be judged: %v", report.Attempts, report.Inconclusive)
+		r.TB.Errorf("audit: none of %d sends could be judged: %v", report.Attempts, report.Inconclusive)
 	}
-	r.T.Logf("audit: %d versions, %d of %d sends judged, %d late", len(report.Versions), report.Judged, report.Attempts, len(report.Stragglers))
+	r.TB.Logf("audit: %d versions, %d of %d sends judged, %d late", len(report.Versions), report.Judged, report.Attempts, len(report.Stragglers))
 }
--- a/internal/testkit/processcluster/discovery.go
+++ b/internal/testkit/processcluster/discovery.go
@@ -12,7 +12,7 @@
 
 // Discovery tells each member the runners by its own ways to them.
 type Discovery struct {
-	rig     *Rig
+	rig     *Cluster
 	mu      sync.Mutex
 	rev     int64
 	changed chan struct{}
@@ -27,7 +27,7 @@
 	targets []map[string]any
 }
 
-func newDiscovery(r *Rig) *Discovery {
+func newDiscovery(r *Cluster) *Discovery {
 	return &Discovery{rig: r, changed: make(chan struct{}), told: map[string]time.Time{}, old: map[*Member]*listed{}}
 }
 
@@ -46,8 +46,8 @@
 	}
 }
 
-// Tell tells the list anew to all who watch.
-func (d *Discovery) Tell() {
+// Publish tells the list anew to all who watch.
+func (d *Discovery) Publish() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.rev++
@@ -78,7 +78,7 @@
 				way := m.list.Link()
 				if key := m.Name + " " + u.Name; entry["state"] != "draining" {
 					delete(d.told, key)
-				} else if _, had := d.told[key]; !had && !way.Silent && !way.Resets { // else it is not told
+				} else if _, had := d.told[key]; !had && !way.Blackhole && !way.Resets { // else it is not told
 					d.told[key] = time.Now().Add(way.Delay + way.Jitter)
 				}
 			}
--- a/internal/testkit/processcluster/jobs.go
+++ b/internal/testkit/processcluster/jobs.go
@@ -65,7 +65,7 @@
 	defer jobs.Wait()
 	open := make(chan bool, mostOpen)
 	for n := 0; !m.out.Load(); n++ {
-		time.Sleep(time.Duration(rng.ExpFloat64() / r.Jobs * float64(time.Second)))
+		time.Sleep(time.Duration(rng.ExpFloat64() / r.JobsPerSecond * float64(time.Second)))
 		if m.out.Load() {
 			return
 		}
@@ -87,7 +87,7 @@
 func (m *Member) ask(id, class string) {
 	b, deaths := &m.rig.books, m.deaths.Load()
 	from := time.Now()
-	q, err := http.NewRequest("POST", "http://"+m.Listen+"/"+class+"/7f3a", bytes.NewReader([]byte("payload")))
+	q, err := http.NewRequest("POST", "http://"+m.ListenAddress+"/"+class+"/7f3a", bytes.NewReader([]byte("payload")))
 	m.rig.must(err)
 	for name, value := range map[string]string{"X-Call-Id": id, "X-Call-Class": class, "X-Budget-Ms": fmt.Sprint(budgetMS),
 		"Idempotency-Key": id, "X-Call-Info": "slots=1,memory=0.5"} {
@@ -117,8 +117,8 @@
 	}
 }
 
-// Served is how many jobs were served so far.
-func (r *Rig) Served() int {
+// ServedJobs is how many jobs were served so far.
+func (r *Cluster) ServedJobs() int {
 	r.books.mu.Lock()
 	defer r.books.mu.Unlock()
 	return r.books.ends["served"]
@@ -126,8 +126,8 @@
 
 // Check has the clients leave and looks at what became of their jobs: one final answer each, no rule broken, and a share of
 // them served that says the fleet did work.
-func (r *Rig) Check() {
-	r.T.Helper()
+func (r *Cluster) Check() {
+	r.TB.Helper()
 	for _, m := range r.Members {
 		m.out.Store(true)
 	}
@@ -136,20 +136,20 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, f := range b.faults {
-		r.T.Error(f)
+		r.TB.Error(f)
 	}
 	all := b.ends["served"] + b.ends["refused"] + b.ends["failed"]
-	r.T.Logf("jobs: %d served, %d refused, %d failed; %d were at a dispatcher that was killed or stopped", b.ends["served"], b.ends["refused"], b.ends["failed"], b.unknown)
+	r.TB.Logf("jobs: %d served, %d refused, %d failed; %d were at a dispatcher that was killed or stopped", b.ends["served"], b.ends["refused"], b.ends["failed"], b.unknown)
 	if all == 0 || b.ends["served"]*2 < all {
-		r.T.Errorf("%d of %d jobs were served", b.ends["served"], all)
+		r.TB.Errorf("%d of %d jobs were served", b.ends["served"], all)
 	}
-	if !r.Off {
+	if !r.Standalone {
 		r.audit()
 	}
 	for _, m := range r.Members {
 		for _, sign := range []string{"panic:", "goroutine ", "DATA RACE"} {
-			if text := m.Text(); strings.Contains(text, sign) {
-				r.T.Errorf("%s: %q in its log", m.Name, sign)
+			if text := m.LogText(); strings.Contains(text, sign) {
+				r.TB.Errorf("%s: %q in its log", m.Name, sign)
 			}
 		}
 	}
--- a/internal/testkit/processcluster/member.go
+++ b/internal/testkit/processcluster/member.go
@@ -21,48 +21,48 @@
 
 // Member is one dispatcher and the ways that lead to it.
 type Member struct {
-	Name    string
-	Index   int
-	Listen  string
-	Console string
-	Bind    string
-	Relay   *receivers.Datagrams // others' way to it
-	Fleet   string               // name of its fleet
-
-	rig     *Rig
+	Name          string
+	Index         int
+	ListenAddress string
+	AdminAddress  string
+	BindAddress   string
+	Relay         *receivers.UDPRelay // others' way to it
+	ClusterName   string              // name of its fleet
+
+	rig     *Cluster
 	cmd     *exec.Cmd
 	exited  chan struct{}
 	path    string // of its files, without the ending
 	logPath string
 	out     atomic.Bool // clients do not come
 	deaths  atomic.Int64
-	runners []*receivers.Stream // its ways to the runners
-	list    *receivers.Stream   // its way to discovery
+	runners []*receivers.TCPRelay // its ways to the runners
+	list    *receivers.TCPRelay   // its way to discovery
 	client  *http.Client
 	socket  *os.File  // of the clients, where it is inherited
 	before  *exec.Cmd // the process whose place this one's takes
 	gone    chan struct{}
 }
 
-// Add adds a member that is not started yet.
-func (r *Rig) Add() *Member {
+// AddMember adds a member that is not started yet.
+func (r *Cluster) AddMember() *Member {
 	i := len(r.Members)
-	m := &Member{Name: fmt.Sprintf("d%02d", i), Index: i, rig: r, Listen: r.freePort(), Console: r.freePort(), Bind: r.freePort(), Fleet: r.Fleet}
+	m := &Member{Name: fmt.Sprintf("d%02d", i), Index: i, rig: r, ListenAddress: r.freePort(), AdminAddress: r.freePort(), BindAddress: r.freePort(), ClusterName: r.ClusterName}
 	m.path = filepath.Join(r.dir, m.Name)
 	m.client = &http.Client{Timeout: 90 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	m.out.Store(true)
 	var err error
-	if r.Inherit {
-		l, err := net.Listen("tcp", m.Listen)
+	if r.InheritSocket {
+		l, err := net.Listen("tcp", m.ListenAddress)
 		r.must(err)
 		m.socket, err = l.(*net.TCPListener).File()
 		r.must(err)
 		l.Close()
 	}
-	m.Relay, err = receivers.NewDatagrams(m.Name, netip.MustParseAddrPort(m.Bind), r.Seed+uint64(i), r.Log)
+	m.Relay, err = receivers.NewUDPRelay(m.Name, netip.MustParseAddrPort(m.BindAddress), r.Seed+uint64(i), r.Log)
 	r.must(err)
-	m.Relay.From = r.sender
-	m.list, err = receivers.NewStream(m.Name+" -> discovery", "127.0.0.1:0", r.Discovery.listen(m), r.Log)
+	m.Relay.SenderOf = r.sender
+	m.list, err = receivers.NewTCPRelay(m.Name+" -> discovery", "127.0.0.1:0", r.Discovery.listen(m), r.Log)
 	r.must(err)
 	for _, u := range r.Runners {
 		m.reach(u)
@@ -72,14 +72,14 @@
 }
 
 func (m *Member) reach(u *Runner) {
-	s, err := receivers.NewStream(m.Name+" -> "+u.Name, "127.0.0.2:0", u.listen(m), m.rig.Log)
+	s, err := receivers.NewTCPRelay(m.Name+" -> "+u.Name, "127.0.0.2:0", u.listen(m), m.rig.Log)
 	m.rig.must(err)
 	m.runners = append(m.runners, s)
 }
 
 // sender reads who sent a datagram, for the relays.
-func (r *Rig) sender(b []byte) string {
-	for _, fleet := range []string{r.Fleet, "other"} {
+func (r *Cluster) sender(b []byte) string {
+	for _, fleet := range []string{r.ClusterName, "other"} {
 		if msg, err := membership.Decode(fleet, b); err == nil {
 			return msg.From.Name
 		}
@@ -88,34 +88,34 @@
 }
 
 // Seeds are where a member asks first: the first two that are not itself.
-func (r *Rig) seeds(m *Member) (seeds []string) {
+func (r *Cluster) seeds(m *Member) (seeds []string) {
 	for _, o := range r.Members {
-		if o != m && o.Fleet == m.Fleet && len(seeds) < 2 && !r.NoSeeds {
+		if o != m && o.ClusterName == m.ClusterName && len(seeds) < 2 && !r.NoSeeds {
 			seeds = append(seeds, o.Relay.Addr())
 		}
 	}
 	return seeds
 }
 
-// Operator is the text of a member's operator's file.
-func (m *Member) Operator() string {
-	if m.rig.Off {
+// OperatorConfig is the text of a member's operator's file.
+func (m *Member) OperatorConfig() string {
+	if m.rig.Standalone {
 		return ""
 	}
-	return fmt.Sprintf("[fleet]\nname = %q\nbind = %q\nadvertise = %q\nseeds = [%s]\nperiod_s = %v\ndiscovery = \"rig\"\nlease_s = %v\n[request_log]\npath = %q\n", m.Fleet, m.Bind, m.Relay.Addr(),
-		quoted(m.rig.seeds(m)), m.rig.Period, LeaseS, m.path+".requests")
+	return fmt.Sprintf("[fleet]\nname = %q\nbind = %q\nadvertise = %q\nseeds = [%s]\nperiod_s = %v\ndiscovery = \"rig\"\nlease_s = %v\n[request_log]\npath = %q\n", m.ClusterName, m.BindAddress, m.Relay.Addr(),
+		quoted(m.rig.seeds(m)), m.rig.ProbeIntervalSeconds, LeaseSeconds, m.path+".requests")
 }
 
-// Move gives the member another address to bind, with a relay of its own, and returns the text of the operator's file that
+// ChangeBindAddress gives the member another address to bind, with a relay of its own, and returns the text of the operator's file that
 // names both.
-func (m *Member) Move() string {
-	m.Bind = m.rig.freePort()
+func (m *Member) ChangeBindAddress() string {
+	m.BindAddress = m.rig.freePort()
 	m.Relay.Close()
 	var err error
-	m.Relay, err = receivers.NewDatagrams(m.Name, netip.MustParseAddrPort(m.Bind), m.rig.Seed, m.rig.Log)
+	m.Relay, err = receivers.NewUDPRelay(m.Name, netip.MustParseAddrPort(m.BindAddress), m.rig.Seed, m.rig.Log)
 	m.rig.must(err)
-	m.Relay.From = m.rig.sender
-	return m.Operator()
+	m.Relay.SenderOf = m.rig.sender
+	return m.OperatorConfig()
 }
 
 func quoted(list []string) string {
@@ -126,8 +126,8 @@
 	return strings.Join(out, ", ")
 }
 
-// Configure writes a member's files; operator is the text of the operator's file.
-func (m *Member) Configure(operator string) {
+// WriteConfig writes a member's files; operator is the text of the operator's file.
+func (m *Member) WriteConfig(operator string) {
 	r := m.rig
 	settings := map[string]any{
 		"categories": []map[string]any{
@@ -139,10 +139,10 @@
 			"fallMultiple": fallMultiple, "fallS": fallTime},
 		"limits": map[string]any{"attemptsCap": 4, "connIdleS": 60, "connectTimeoutS": 0.25, "mayCancel": true, "mayProbe": true,
 			"parallelTries": true, "retryAfter": true, "maxRetryAfterS": 2},
-		"me": m.Index % r.Told, "nInstances": r.Told, "membershipMode": "pushed",
+		"me": m.Index % r.InstanceCount, "nInstances": r.InstanceCount, "membershipMode": "pushed",
 		"report": map[string]any{"fields": []string{"utilization", "backlog", "outstanding", "x0"}, "via": "piggyback"},
 		"tickS":  0.004, "zone": m.Index % 2}
-	config := map[string]any{"name": m.Name, "listen": m.Listen, "console": m.Console, "discovery": m.list.Addr(),
+	config := map[string]any{"name": m.Name, "listen": m.ListenAddress, "console": m.AdminAddress, "discovery": m.list.Addr(),
 		"seed": fmt.Sprintf("%x", 77+m.Index), "limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": 512},
 		"known": map[string]any{"rev": 0, "all": true, "targets": []any{}}, "settings": settings}
 	text, err := json.Marshal(config)
@@ -153,12 +153,12 @@
 
 // Start starts the member's process, anew if there was one.
 func (m *Member) Start() {
-	m.Configure(m.Operator())
-	m.Launch()
+	m.WriteConfig(m.OperatorConfig())
+	m.StartProcess()
 }
 
-// Launch starts the process with the files as they are.
-func (m *Member) Launch() {
+// StartProcess starts the process with the files as they are.
+func (m *Member) StartProcess() {
 	r := m.rig
 	m.logPath = m.path + ".log"
 	log, err := os.OpenFile(m.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -180,11 +180,11 @@
 	}(m.exited)
 }
 
-// Serves waits until the member serves, and has clients come to it.
-func (m *Member) Serves() {
-	m.rig.T.Helper()
+// WaitServing waits until the member serves, and has clients come to it.
+func (m *Member) WaitServing() {
+	m.rig.TB.Helper()
 	m.rig.Eventually(m.Name+" serves", func() bool {
-		answer, err := m.client.Get("http://" + m.Listen + "/_health")
+		answer, err := m.client.Get("http://" + m.ListenAddress + "/_health")
 		if err != nil {
 			return false
 		}
@@ -200,16 +200,16 @@
 // Upgrade starts another process that takes the place of the member's, waits until it has, and has the older one end. Between the
 // start and the wait comes what is to happen meanwhile.
 func (m *Member) Upgrade(meanwhile ...func()) {
-	m.rig.T.Helper()
+	m.rig.TB.Helper()
 	old, exited := m.cmd, m.exited
 	m.before, m.gone = old, exited
-	m.Console = m.rig.freePort()
+	m.AdminAddress = m.rig.freePort()
 	m.Start()
 	for _, do := range meanwhile {
 		do()
 	}
 	m.rig.Eventually(m.Name+": the next process has the clients", func() bool {
-		code, _ := m.Call("GET", "/api/ready", "")
+		code, _ := m.CallAdmin("GET", "/api/ready", "")
 		return code == 200
 	})
 	if len(meanwhile) > 0 { // it may have failed, and the one before have gone on: then it ends as one that is stopped, without clients
@@ -218,12 +218,12 @@
 	m.rig.must(old.Process.Signal(syscall.SIGTERM))
 	select {
 	case <-exited:
-	case <-time.After(m.rig.Patience):
-		m.rig.T.Fatalf("%s: the process before did not end", m.Name)
+	case <-time.After(m.rig.Timeout):
+		m.rig.TB.Fatalf("%s: the process before did not end", m.Name)
 	}
 	m.before = nil
 	if len(meanwhile) > 0 {
-		m.Serves()
+		m.WaitServing()
 	}
 }
 
@@ -280,34 +280,34 @@
 	m.signal(syscall.SIGTERM)
 	select {
 	case <-m.exited:
-	case <-time.After(m.rig.Patience):
-		m.rig.T.Fatalf("%s did not end", m.Name)
+	case <-time.After(m.rig.Timeout):
+		m.rig.TB.Fatalf("%s did not end", m.Name)
 	}
 }
 
 // Reload has the member read its files again and waits for its word.
 func (m *Member) Reload(word string) {
-	m.rig.T.Helper()
-	before := strings.Count(m.Text(), word)
+	m.rig.TB.Helper()
+	before := strings.Count(m.LogText(), word)
 	m.signal(syscall.SIGHUP)
-	m.rig.Eventually(m.Name+": "+word, func() bool { return strings.Count(m.Text(), word) > before })
+	m.rig.Eventually(m.Name+": "+word, func() bool { return strings.Count(m.LogText(), word) > before })
 }
 
-// Rest has the clients leave the member.
-func (m *Member) Rest() { m.out.Store(true) }
+// StopClients has the clients leave the member.
+func (m *Member) StopClients() { m.out.Store(true) }
 
-// Pid is the number of the member's process.
-func (m *Member) Pid() int { return m.cmd.Process.Pid }
+// PID is the number of the member's process.
+func (m *Member) PID() int { return m.cmd.Process.Pid }
 
-// Text is the member's log.
-func (m *Member) Text() string {
+// LogText is the member's log.
+func (m *Member) LogText() string {
 	text, _ := os.ReadFile(m.logPath)
 	return string(text)
 }
 
-// Call makes a call at the second address.
-func (m *Member) Call(method, path, body string) (status int, text string) {
-	q, err := http.NewRequest(method, "http://"+m.Console+path, strings.NewReader(body))
+// CallAdmin makes a call at the second address.
+func (m *Member) CallAdmin(method, path, body string) (status int, text string) {
+	q, err := http.NewRequest(method, "http://"+m.AdminAddress+path, strings.NewReader(body))
 	m.rig.must(err)
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	a, err := client.Do(q)
@@ -328,7 +328,7 @@
 
 // Status is what the member holds of the fleet; nil if it does not answer.
 func (m *Member) Status() *cluster.Status {
-	code, text := m.Call("GET", "/api/fleet", "")
+	code, text := m.CallAdmin("GET", "/api/fleet", "")
 	s := &cluster.Status{}
 	if code != 200 || json.Unmarshal([]byte(text), s) != nil {
 		return nil
@@ -336,8 +336,8 @@
 	return s
 }
 
-// Holds is the state that this member holds another one to be in.
-func (m *Member) Holds(name string) string {
+// StateOf is the state that this member holds another one to be in.
+func (m *Member) StateOf(name string) string {
 	if s := m.Status(); s != nil {
 		for _, o := range s.Members {
 			if o.Name == name {
@@ -348,8 +348,8 @@
 	return ""
 }
 
-// RunnerWay is a member's way to a runner, ListWay its way to discovery.
-func (m *Member) RunnerWay(i int) *receivers.Stream { return m.runners[i] }
+// RunnerLink is a member's way to a runner, DiscoveryLink its way to discovery.
+func (m *Member) RunnerLink(i int) *receivers.TCPRelay { return m.runners[i] }
 
-// ListWay is the member's way to discovery.
-func (m *Member) ListWay() *receivers.Stream { return m.list }
+// DiscoveryLink is the member's way to discovery.
+func (m *Member) DiscoveryLink() *receivers.TCPRelay { return m.list }
--- a/internal/testkit/processcluster/rig.go
+++ b/internal/testkit/processcluster/rig.go
@@ -23,33 +23,33 @@
 	"cinderroad/internal/testkit/receivers"
 )
 
-// LeaseS is how long members hold a lease, in seconds: the shortest that may be.
-const LeaseS = 6.0
+// LeaseSeconds is how long members hold a lease, in seconds: the shortest that may be.
+const LeaseSeconds = 6.0
 
 // Options are a rig's.
 type Options struct {
-	Program  string
-	Members  int
-	Runners  int
-	Jobs     float64 // a second at each member; 0: 20
-	Period   float64 // of the membership, in seconds; 0: 0.2
-	Fleet    string  // its name; empty: "rig"
-	Seed     uint64  // of the relays; 0: 1
-	Off      bool    // no [fleet] section: what the tree before did
-	NoSeeds  bool    // members know nobody
-	Loose    bool    // members are added, none is started
-	Inherit  bool    // members get their clients' socket, so that an upgrade can take their place
-	Told     int     // nInstances in the settings; 0: the number of members
-	ColdS    float64 // seconds that a runner is cold; 0: they are warm from the start
-	SlotsOf  float64 // of a runner; 0: 4
-	WorkS    float64 // seconds that a job runs; 0: 0.02
-	Patience time.Duration
+	Program              string
+	Members              int
+	Runners              int
+	JobsPerSecond        float64 // a second at each member; 0: 20
+	ProbeIntervalSeconds float64 // of the membership, in seconds; 0: 0.2
+	ClusterName          string  // its name; empty: "rig"
+	Seed                 uint64  // of the relays; 0: 1
+	Standalone           bool    // no [fleet] section: what the tree before did
+	NoSeeds              bool    // members know nobody
+	StartNone            bool    // members are added, none is started
+	InheritSocket        bool    // members get their clients' socket, so that an upgrade can take their place
+	InstanceCount        int     // nInstances in the settings; 0: the number of members
+	SlowStartSeconds     float64 // seconds that a runner is cold; 0: they are warm from the start
+	RunnerSlots          float64 // of a runner; 0: 4
+	JobSeconds           float64 // seconds that a job runs; 0: 0.02
+	Timeout              time.Duration
 }
 
-// Rig is a fleet and its world.
-type Rig struct {
+// Cluster is a fleet and its world.
+type Cluster struct {
 	Options
-	T         testing.TB
+	TB        testing.TB
 	Members   []*Member
 	Runners   []*Runner
 	Discovery *Discovery
@@ -65,14 +65,14 @@
 }
 
 // Start starts a rig; the test's end ends it.
-func Start(t testing.TB, o Options) *Rig {
+func Start(t testing.TB, o Options) *Cluster {
 	t.Helper()
 	o.defaults()
 	dir, err := os.MkdirTemp("", "rig-")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Rig{Options: o, T: t, dir: dir, start: time.Now()}
+	r := &Cluster{Options: o, TB: t, dir: dir, start: time.Now()}
 	if r.log, err = os.Create(filepath.Join(dir, "rig.log")); err != nil {
 		t.Fatal(err)
 	}
@@ -83,15 +83,15 @@
 		r.Runners = append(r.Runners, newRunner(r, i))
 	}
 	for range o.Members {
-		r.Add()
+		r.AddMember()
 	}
-	r.Discovery.Tell()
-	if !o.Loose {
+	r.Discovery.Publish()
+	if !o.StartNone {
 		for _, m := range r.Members {
 			m.Start()
 		}
 		for _, m := range r.Members {
-			m.Serves()
+			m.WaitServing()
 		}
 	}
 	return r
@@ -103,32 +103,32 @@
 			*v = to
 		}
 	}
-	set(&o.Jobs, 20)
-	set(&o.Period, 0.2)
-	set(&o.SlotsOf, 4)
-	set(&o.WorkS, 0.02)
-	if o.Fleet == "" {
-		o.Fleet = "rig"
+	set(&o.JobsPerSecond, 20)
+	set(&o.ProbeIntervalSeconds, 0.2)
+	set(&o.RunnerSlots, 4)
+	set(&o.JobSeconds, 0.02)
+	if o.ClusterName == "" {
+		o.ClusterName = "rig"
 	}
 	if o.Seed == 0 {
 		o.Seed = 1
 	}
-	if o.Told == 0 {
-		o.Told = o.Members
+	if o.InstanceCount == 0 {
+		o.InstanceCount = o.Members
 	}
-	if o.Patience == 0 {
-		o.Patience = 120 * time.Second
+	if o.Timeout == 0 {
+		o.Timeout = 120 * time.Second
 	}
 }
 
 // Log writes a line of what the rig did.
-func (r *Rig) Log(line string) {
+func (r *Cluster) Log(line string) {
 	r.logMu.Lock()
 	defer r.logMu.Unlock()
 	fmt.Fprintf(r.log, "%8.3f %s\n", time.Since(r.start).Seconds(), line)
 }
 
-func (r *Rig) end() {
+func (r *Cluster) end() {
 	r.ending.Store(true)
 	for _, m := range r.Members {
 		m.out.Store(true)
@@ -150,52 +150,52 @@
 	}
 	r.Discovery.close()
 	r.log.Close()
-	if r.T.Failed() {
-		r.T.Logf("all logs are in %s", r.dir)
+	if r.TB.Failed() {
+		r.TB.Logf("all logs are in %s", r.dir)
 		return
 	}
 	os.RemoveAll(r.dir)
 }
 
 // must ends the test where something of the rig's own went wrong.
-func (r *Rig) must(err error) {
+func (r *Cluster) must(err error) {
 	if err != nil {
-		r.T.Helper()
-		r.T.Fatal(err)
+		r.TB.Helper()
+		r.TB.Fatal(err)
 	}
 }
 
 // freePort is a port for TCP and UDP.
-func (r *Rig) freePort() string {
-	addr, err := receivers.FreePort()
+func (r *Cluster) freePort() string {
+	addr, err := receivers.FreeAddress()
 	r.must(err)
 	return addr
 }
 
 // Eventually waits for as long as a slow machine may need.
-func (r *Rig) Eventually(what string, ok func() bool) time.Duration {
-	r.T.Helper()
+func (r *Cluster) Eventually(what string, ok func() bool) time.Duration {
+	r.TB.Helper()
 	from := time.Now()
 	for !ok() {
-		if time.Since(from) > r.Patience {
-			r.T.Fatalf("never came: %s", what)
+		if time.Since(from) > r.Timeout {
+			r.TB.Fatalf("never came: %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	return time.Since(from)
 }
 
-// Settled waits until all processes that run hold one view, by digest, that has so many living members and nobody under
+// WaitConverged waits until all processes that run hold one view, by digest, that has so many living members and nobody under
 // suspicion, and know that it is everybody's.
-func (r *Rig) Settled(alive int) {
-	r.T.Helper()
-	took := r.Eventually(fmt.Sprintf("one view of %d", alive), func() bool { return r.Agree(r.Running(), alive) })
-	r.T.Logf("one view of %d after %.2f s", alive, took.Seconds())
+func (r *Cluster) WaitConverged(alive int) {
+	r.TB.Helper()
+	took := r.Eventually(fmt.Sprintf("one view of %d", alive), func() bool { return r.Converged(r.RunningMembers(), alive) })
+	r.TB.Logf("one view of %d after %.2f s", alive, took.Seconds())
 	r.Log(fmt.Sprintf("one view of %d", alive))
 }
 
-// Running are the members whose processes run.
-func (r *Rig) Running() (running []*Member) {
+// RunningMembers are the members whose processes run.
+func (r *Cluster) RunningMembers() (running []*Member) {
 	for _, m := range r.Members {
 		if m.Running() {
 			running = append(running, m)
@@ -204,8 +204,8 @@
 	return running
 }
 
-// Agree says whether members hold one settled view of so many alive and nobody suspect.
-func (r *Rig) Agree(members []*Member, alive int) bool {
+// Converged says whether members hold one settled view of so many alive and nobody suspect.
+func (r *Cluster) Converged(members []*Member, alive int) bool {
 	digest := ""
 	for _, m := range members {
 		s := m.Status()
@@ -229,11 +229,11 @@
 	return true
 }
 
-// Link sets the way of datagrams from one member to another.
-func (r *Rig) Link(from, to *Member, l receivers.Link) { to.Relay.Set(from.Name, l) }
+// SetLink sets the way of datagrams from one member to another.
+func (r *Cluster) SetLink(from, to *Member, l receivers.Link) { to.Relay.SetLink(from.Name, l) }
 
-// Island cuts members off from all others, both ways.
-func (r *Rig) Island(members ...*Member) {
+// Partition cuts members off from all others, both ways.
+func (r *Cluster) Partition(members ...*Member) {
 	in := map[*Member]bool{}
 	for _, m := range members {
 		in[m] = true
@@ -241,23 +241,23 @@
 	for _, a := range r.Members {
 		for _, b := range r.Members {
 			if in[a] != in[b] {
-				r.Link(a, b, receivers.Link{Silent: true})
+				r.SetLink(a, b, receivers.Link{Blackhole: true})
 			}
 		}
 	}
 }
 
-// Everywhere sets all ways of datagrams.
-func (r *Rig) Everywhere(l receivers.Link) {
+// SetAllLinks sets all ways of datagrams.
+func (r *Cluster) SetAllLinks(l receivers.Link) {
 	for _, m := range r.Members {
-		m.Relay.Clear()
-		m.Relay.Set("", l)
+		m.Relay.ClearLinks()
+		m.Relay.SetLink("", l)
 	}
 }
 
-// Heal clears all ways of datagrams.
-func (r *Rig) Heal() {
+// ClearLinks clears all ways of datagrams.
+func (r *Cluster) ClearLinks() {
 	for _, m := range r.Members {
-		m.Relay.Clear()
+		m.Relay.ClearLinks()
 	}
 }
--- a/internal/testkit/processcluster/runner.go
+++ b/internal/testkit/processcluster/runner.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-func (r *Rig) coldTime() float64 {
-	if r.ColdS > 0 {
-		return r.ColdS
+func (r *Cluster) coldTime() float64 {
+	if r.SlowStartSeconds > 0 {
+		return r.SlowStartSeconds
 	}
 	return 9
 }
@@ -22,27 +22,27 @@
 type Runner struct {
 	Name string
 
-	rig     *Rig
-	cell    int
-	mu      sync.Mutex
-	state   string // ready, draining or gone
-	boot    time.Time
-	last    time.Time // a job came
-	cold    bool
-	running int
-	waiting int
-	slots   chan bool
-	servers []*http.Server
-	client  *http.Client
-	sends   []send // within a fall time
-	fallen  bool
-	worst   float64            // share of what it bears that it was sent in the worst fall time since its start
-	Jobs    int                // taken
-	Work    float64            // seconds of work taken since its start
-	By      map[string]float64 // of it, by member
-	busy    sync.WaitGroup
-	ctx     context.Context
-	cancel  func()
+	rig          *Cluster
+	cell         int
+	mu           sync.Mutex
+	state        string // ready, draining or gone
+	boot         time.Time
+	last         time.Time // a job came
+	cold         bool
+	running      int
+	waiting      int
+	slots        chan bool
+	servers      []*http.Server
+	client       *http.Client
+	sends        []send // within a fall time
+	fallen       bool
+	worst        float64            // share of what it bears that it was sent in the worst fall time since its start
+	JobCount     int                // taken
+	WorkSeconds  float64            // seconds of work taken since its start
+	WorkByMember map[string]float64 // of it, by member
+	busy         sync.WaitGroup
+	ctx          context.Context
+	cancel       func()
 }
 
 type send struct {
@@ -50,11 +50,11 @@
 	work float64
 }
 
-func newRunner(r *Rig, i int) *Runner {
-	u := &Runner{Name: fmt.Sprintf("s-%02d", i), rig: r, cell: i % 2, state: "ready", slots: make(chan bool, int(r.SlotsOf)), By: map[string]float64{},
+func newRunner(r *Cluster, i int) *Runner {
+	u := &Runner{Name: fmt.Sprintf("s-%02d", i), rig: r, cell: i % 2, state: "ready", slots: make(chan bool, int(r.RunnerSlots)), WorkByMember: map[string]float64{},
 		client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	u.ctx, u.cancel = context.WithCancel(context.Background())
-	if r.ColdS > 0 {
+	if r.SlowStartSeconds > 0 {
 		u.boot, u.cold = time.Now(), true
 	}
 	return u
@@ -78,18 +78,18 @@
 	u.busy.Wait()
 }
 
-// Set sets the state that discovery tells; Tell tells it.
-func (u *Runner) Set(state string) {
+// SetState sets the state that discovery tells; Tell tells it.
+func (u *Runner) SetState(state string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.state = state
 }
 
-// Took is how many jobs of a member the runner has taken since its start.
-func (u *Runner) Took(m *Member) int {
+// JobsFrom is how many jobs of a member the runner has taken since its start.
+func (u *Runner) JobsFrom(m *Member) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return int(u.By[m.Name]/u.rig.WorkS + 0.5)
+	return int(u.WorkByMember[m.Name]/u.rig.JobSeconds + 0.5)
 }
 
 // Idle says whether no job is there, and none has come for half a second.
@@ -99,20 +99,20 @@
 	return u.running+u.waiting == 0 && time.Since(u.last) > 500*time.Millisecond
 }
 
-// Boot has the runner start anew, cold and ready.
-func (u *Runner) Boot() {
+// Restart has the runner start anew, cold and ready.
+func (u *Runner) Restart() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.state, u.boot, u.cold, u.fallen, u.worst, u.Work, u.sends = "ready", time.Now(), true, false, 0, 0, nil
-	clear(u.By)
+	u.state, u.boot, u.cold, u.fallen, u.worst, u.WorkSeconds, u.sends = "ready", time.Now(), true, false, 0, 0, nil
+	clear(u.WorkByMember)
 }
 
-// Borne is the largest share of what it bears that the runner was sent within a fall time since its start, the work that it
+// LoadSinceStart is the largest share of what it bears that the runner was sent within a fall time since its start, the work that it
 // was given since, in seconds, and whether it fell over.
-func (u *Runner) Borne() (worst, work float64, fallen bool) {
+func (u *Runner) LoadSinceStart() (worst, work float64, fallen bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.worst, u.Work, u.fallen
+	return u.worst, u.WorkSeconds, u.fallen
 }
 
 func (u *Runner) entry(endpoint string) (entry map[string]any, listed bool) {
@@ -133,11 +133,11 @@
 	if u.fallen {
 		return false
 	}
-	u.Jobs++
-	now, work := time.Now(), u.rig.WorkS
+	u.JobCount++
+	now, work := time.Now(), u.rig.JobSeconds
 	u.last = now
-	u.Work += work
-	u.By[m.Name] += work
+	u.WorkSeconds += work
+	u.WorkByMember[m.Name] += work
 	age := now.Sub(u.boot).Seconds()
 	if !u.cold || age >= u.rig.coldTime() {
 		return true
@@ -152,19 +152,19 @@
 		}
 	}
 	u.sends = keep
-	capacity := u.rig.SlotsOf * (coldShare + (1-coldShare)*age/u.rig.coldTime())
+	capacity := u.rig.RunnerSlots * (coldShare + (1-coldShare)*age/u.rig.coldTime())
 	u.worst = max(u.worst, sum/(fallMultiple*capacity*fallTime))
 	if u.worst > 1 {
 		u.fallen = true
-		u.rig.Log(fmt.Sprintf("%s: falls over %.3f s after its start; work by member: %v", u.Name, age, u.By))
+		u.rig.Log(fmt.Sprintf("%s: falls over %.3f s after its start; work by member: %v", u.Name, age, u.WorkByMember))
 		return false
 	}
 	return true
 }
 
 func (u *Runner) load() string {
-	return fmt.Sprintf(`"load":{"util":%.2f,"inflight":%d,"queue":%d,"x0":%d}`, float64(u.running)/u.rig.SlotsOf, u.running+u.waiting, u.waiting,
-		int(u.rig.SlotsOf)-u.running)
+	return fmt.Sprintf(`"load":{"util":%.2f,"inflight":%d,"queue":%d,"x0":%d}`, float64(u.running)/u.rig.RunnerSlots, u.running+u.waiting, u.waiting,
+		int(u.rig.RunnerSlots)-u.running)
 }
 
 func (u *Runner) serve(m *Member, rw http.ResponseWriter, q *http.Request) {
@@ -181,7 +181,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	u.mu.Lock()
-	if u.waiting >= 2*int(u.rig.SlotsOf) {
+	if u.waiting >= 2*int(u.rig.RunnerSlots) {
 		load := u.load()
 		u.mu.Unlock()
 		rw.Header().Set("X-Rejected", "1")
@@ -206,7 +206,7 @@
 	u.mu.Unlock()
 	u.news(m, id, `"state":"started"`)
 	select {
-	case <-time.After(time.Duration(u.rig.WorkS * float64(time.Second))):
+	case <-time.After(time.Duration(u.rig.JobSeconds * float64(time.Second))):
 	case <-u.ctx.Done():
 	}
 	<-u.slots
@@ -219,7 +219,7 @@
 
 // news calls back; a dispatcher that has gone does not hear it.
 func (u *Runner) news(m *Member, id, rest string) {
-	q, err := http.NewRequestWithContext(u.ctx, "POST", "http://"+m.Listen+"/_jobs/news",
+	q, err := http.NewRequestWithContext(u.ctx, "POST", "http://"+m.ListenAddress+"/_jobs/news",
 		strings.NewReader(fmt.Sprintf(`{"id":%q,"from":%q,%s}`, id, u.Name, rest)))
 	if err != nil {
 		return
--- a/internal/testkit/receivers/carbon.go
+++ b/internal/testkit/receivers/carbon.go
@@ -71,7 +71,7 @@
 		if _, err := io.ReadFull(in, body); err != nil {
 			return
 		}
-		points, err := Unpickle(body)
+		points, err := DecodePickle(body)
 		if err != nil {
 			c.wrong("%v", err)
 			continue
@@ -84,9 +84,9 @@
 
 type mark struct{}
 
-// Unpickle reads a pickle of a list of (path, (time, value)): the opcodes of Python's protocols 0 to 3 that such lists
+// DecodePickle reads a pickle of a list of (path, (time, value)): the opcodes of Python's protocols 0 to 3 that such lists
 // are written with (Lib/pickletools.py describes each).
-func Unpickle(b []byte) ([]Point, error) {
+func DecodePickle(b []byte) ([]Point, error) {
 	var stack []any
 	bad := func(what string) ([]Point, error) { return nil, fmt.Errorf("standin: pickle: %s", what) }
 	pop := func() (v any) {
--- a/internal/testkit/receivers/collectd.go
+++ b/internal/testkit/receivers/collectd.go
@@ -90,8 +90,8 @@
 	partEncrypt        = 0x0210
 )
 
-// Network is a stand-in for collectd's network plug-in as a server: UDP, with the securities none, sign and encrypt.
-type Network struct {
+// CollectdNetwork is a stand-in for collectd's network plug-in as a server: UDP, with the securities none, sign and encrypt.
+type CollectdNetwork struct {
 	Store
 	security  string
 	passwords map[string]string
@@ -103,14 +103,14 @@
 	packets int
 }
 
-// NewNetwork starts one at an address. It takes packets of at least a security: a user's password is told by name.
-func NewNetwork(addr, security string, passwords map[string]string) (*Network, error) {
-	n := &Network{addr: addr, security: security, passwords: passwords}
-	return n, n.Back()
+// NewCollectdNetwork starts one at an address. It takes packets of at least a security: a user's password is told by name.
+func NewCollectdNetwork(addr, security string, passwords map[string]string) (*CollectdNetwork, error) {
+	n := &CollectdNetwork{addr: addr, security: security, passwords: passwords}
+	return n, n.Restart()
 }
 
-// Back listens, again at the same address.
-func (n *Network) Back() error {
+// Restart listens, again at the same address.
+func (n *CollectdNetwork) Restart() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	addr, err := net.ResolveUDPAddr("udp", n.addr)
@@ -126,28 +126,28 @@
 	return nil
 }
 
-// Away listens no more until Back: the system refuses what comes.
-func (n *Network) Away() {
+// Stop listens no more until Back: the system refuses what comes.
+func (n *CollectdNetwork) Stop() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.socket.Close()
 }
 
 // Addr is where it listens.
-func (n *Network) Addr() string {
+func (n *CollectdNetwork) Addr() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.addr
 }
 
 // Packets is how many packets came, and the size of the largest.
-func (n *Network) Packets() (count, largest int) {
+func (n *CollectdNetwork) Packets() (count, largest int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.packets, n.largest
 }
 
-func (n *Network) serve(socket *net.UDPConn) {
+func (n *CollectdNetwork) serve(socket *net.UDPConn) {
 	b := make([]byte, 65536)
 	for {
 		size, _, err := socket.ReadFromUDP(b)
@@ -158,7 +158,7 @@
 		n.packets++
 		n.largest = max(n.largest, size)
 		n.mu.Unlock()
-		points, err := Decode(b[:size], n.security, n.passwords)
+		points, err := DecodePacket(b[:size], n.security, n.passwords)
 		if err != nil {
 			n.wrong("%v", err)
 			continue
@@ -175,9 +175,9 @@
 	errKey      = errors.New("standin: wrong user or password")
 )
 
-// Decode reads a packet that must have at least a security: none, sign or encrypt. What was unprotected is not taken where
+// DecodePacket reads a packet that must have at least a security: none, sign or encrypt. What was unprotected is not taken where
 // it must be.
-func Decode(b []byte, security string, passwords map[string]string) ([]Point, error) {
+func DecodePacket(b []byte, security string, passwords map[string]string) ([]Point, error) {
 	return decode(b, map[string]int{"none": 0, "sign": 1, "encrypt": 2}[security], 0, passwords)
 }
 
--- a/internal/testkit/receivers/ports.go
+++ b/internal/testkit/receivers/ports.go
@@ -20,9 +20,9 @@
 	next  int
 }
 
-// FreePort is an address on the loopback whose port nobody has, for TCP and for UDP. Two calls, in this process or in another
+// FreeAddress is an address on the loopback whose port nobody has, for TCP and for UDP. Two calls, in this process or in another
 // that calls it, never get the same one within a block's length.
-func FreePort() (string, error) {
+func FreeAddress() (string, error) {
 	ports.Lock()
 	defer ports.Unlock()
 	if ports.guard == nil {
--- a/internal/testkit/receivers/relay.go
+++ b/internal/testkit/receivers/relay.go
@@ -12,24 +12,24 @@
 
 // Link is what one directed way does to what goes over it. The zero Link passes everything on at once.
 type Link struct {
-	Drop    float64       // share of the datagrams that get lost
-	Delay   time.Duration // that everything takes
-	Jitter  time.Duration // and more, drawn evenly: datagrams may pass one another
-	Repeat  float64       // share of the datagrams that come twice
-	Silent  bool          // nothing gets over, and nobody is told: datagrams are lost, connections hang
-	Resets  bool          // connections are reset, and new ones at once
-	Reorder float64       // share of the datagrams that wait for the next one to pass
+	LossRate      float64       // share of the datagrams that get lost
+	Delay         time.Duration // that everything takes
+	Jitter        time.Duration // and more, drawn evenly: datagrams may pass one another
+	DuplicateRate float64       // share of the datagrams that come twice
+	Blackhole     bool          // nothing gets over, and nobody is told: datagrams are lost, connections hang
+	Resets        bool          // connections are reset, and new ones at once
+	ReorderRate   float64       // share of the datagrams that wait for the next one to pass
 }
 
 // Log takes what a relay did, a line each; it may be called from several goroutines.
 type Log func(line string)
 
-// Datagrams is a relay for UDP with a port of its own: what comes there goes on to a member. Who sent it is told by the
+// UDPRelay is a relay for UDP with a port of its own: what comes there goes on to a member. Who sent it is told by the
 // first bytes, which From reads; each directed way has a Link of its own.
-type Datagrams struct {
+type UDPRelay struct {
 	Name string
-	// From says who sent a datagram; "" is not known.
-	From func(b []byte) string
+	// SenderOf says who sent a datagram; "" is not known.
+	SenderOf func(b []byte) string
 
 	conn *net.UDPConn
 	out  *net.UDPConn
@@ -43,8 +43,8 @@
 	counts struct{ Passed, Dropped, Repeated, Held int }
 }
 
-// NewDatagrams opens a relay to an address, which need not exist yet.
-func NewDatagrams(name string, to netip.AddrPort, seed uint64, log Log) (*Datagrams, error) {
+// NewUDPRelay opens a relay to an address, which need not exist yet.
+func NewUDPRelay(name string, to netip.AddrPort, seed uint64, log Log) (*UDPRelay, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, fmt.Errorf("standin: %w", err)
@@ -54,25 +54,25 @@
 		conn.Close()
 		return nil, fmt.Errorf("standin: %w", err)
 	}
-	d := &Datagrams{Name: name, conn: conn, out: out, to: net.UDPAddrFromAddrPort(to), log: log, rng: rand.New(rand.NewPCG(seed, 0)),
+	d := &UDPRelay{Name: name, conn: conn, out: out, to: net.UDPAddrFromAddrPort(to), log: log, rng: rand.New(rand.NewPCG(seed, 0)),
 		links: map[string]Link{}}
 	go d.run()
 	return d, nil
 }
 
 // Addr is the relay's port: what the member advertises.
-func (d *Datagrams) Addr() string { return d.conn.LocalAddr().String() }
+func (d *UDPRelay) Addr() string { return d.conn.LocalAddr().String() }
 
-// Set sets the way from a sender; "" sets that of all who have none of their own.
-func (d *Datagrams) Set(from string, l Link) {
+// SetLink sets the way from a sender; "" sets that of all who have none of their own.
+func (d *UDPRelay) SetLink(from string, l Link) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.links[from] = l
 	d.log(fmt.Sprintf("link %s -> %s: %+v", from, d.Name, l))
 }
 
-// Clear has every way pass everything again.
-func (d *Datagrams) Clear() {
+// ClearLinks has every way pass everything again.
+func (d *UDPRelay) ClearLinks() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	clear(d.links)
@@ -80,7 +80,7 @@
 }
 
 // Close ends the relay and tells the log what it did.
-func (d *Datagrams) Close() {
+func (d *UDPRelay) Close() {
 	d.conn.Close()
 	d.out.Close()
 	d.mu.Lock()
@@ -88,7 +88,7 @@
 	d.log(fmt.Sprintf("datagrams -> %s: %+v", d.Name, d.counts))
 }
 
-func (d *Datagrams) run() {
+func (d *UDPRelay) run() {
 	buf := make([]byte, 65536)
 	for {
 		n, _, err := d.conn.ReadFromUDP(buf)
@@ -99,27 +99,27 @@
 	}
 }
 
-func (d *Datagrams) pass(b []byte) {
+func (d *UDPRelay) pass(b []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	from := ""
-	if d.From != nil {
-		from = d.From(b)
+	if d.SenderOf != nil {
+		from = d.SenderOf(b)
 	}
 	l, own := d.links[from]
 	if !own {
 		l = d.links[""]
 	}
-	if l.Silent || l.Resets || l.Drop > 0 && d.rng.Float64() < l.Drop {
+	if l.Blackhole || l.Resets || l.LossRate > 0 && d.rng.Float64() < l.LossRate {
 		d.counts.Dropped++
 		return
 	}
 	times := 1
-	if l.Repeat > 0 && d.rng.Float64() < l.Repeat {
+	if l.DuplicateRate > 0 && d.rng.Float64() < l.DuplicateRate {
 		times = 2
 		d.counts.Repeated++
 	}
-	if l.Reorder > 0 && d.held == nil && d.rng.Float64() < l.Reorder {
+	if l.ReorderRate > 0 && d.held == nil && d.rng.Float64() < l.ReorderRate {
 		d.held = b
 		d.counts.Held++
 		return
@@ -144,8 +144,8 @@
 	}
 }
 
-// Stream is a relay for TCP: each connection to its port goes on to an address, both ways over one Link.
-type Stream struct {
+// TCPRelay is a relay for TCP: each connection to its port goes on to an address, both ways over one Link.
+type TCPRelay struct {
 	Name string
 
 	listener net.Listener
@@ -160,30 +160,30 @@
 	reset  int
 }
 
-// NewStream opens a relay to an address. The port is on an address of its own where one is given: peers may bound what
+// NewTCPRelay opens a relay to an address. The port is on an address of its own where one is given: peers may bound what
 // comes from one.
-func NewStream(name, on, to string, log Log) (*Stream, error) {
+func NewTCPRelay(name, on, to string, log Log) (*TCPRelay, error) {
 	l, err := net.Listen("tcp", on)
 	if err != nil {
 		return nil, fmt.Errorf("standin: %w", err)
 	}
-	s := &Stream{Name: name, listener: l, to: to, log: log, open: map[net.Conn]net.Conn{}, change: make(chan struct{})}
+	s := &TCPRelay{Name: name, listener: l, to: to, log: log, open: map[net.Conn]net.Conn{}, change: make(chan struct{})}
 	go s.run()
 	return s, nil
 }
 
 // Addr is the relay's port.
-func (s *Stream) Addr() string { return s.listener.Addr().String() }
+func (s *TCPRelay) Addr() string { return s.listener.Addr().String() }
 
-// Aim has new connections go to another address.
-func (s *Stream) Aim(to string) {
+// SetTarget has new connections go to another address.
+func (s *TCPRelay) SetTarget(to string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.to = to
 }
 
-// Set sets the link; with Resets all open connections are reset at once.
-func (s *Stream) Set(l Link) {
+// SetLink sets the link; with Resets all open connections are reset at once.
+func (s *TCPRelay) SetLink(l Link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.link = l
@@ -207,7 +207,7 @@
 }
 
 // Close ends the relay and its connections.
-func (s *Stream) Close() {
+func (s *TCPRelay) Close() {
 	s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -219,19 +219,19 @@
 }
 
 // Link is the link as it is set.
-func (s *Stream) Link() Link {
+func (s *TCPRelay) Link() Link {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.link
 }
 
-func (s *Stream) state() (Link, string, chan struct{}) {
+func (s *TCPRelay) state() (Link, string, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.link, s.to, s.change
 }
 
-func (s *Stream) run() {
+func (s *TCPRelay) run() {
 	for {
 		a, err := s.listener.Accept()
 		if err != nil {
@@ -246,7 +246,7 @@
 	}
 }
 
-func (s *Stream) serve(a net.Conn, to string) {
+func (s *TCPRelay) serve(a net.Conn, to string) {
 	b, err := net.Dial("tcp", to)
 	if err != nil {
 		abort(a)
@@ -269,13 +269,13 @@
 }
 
 // copy passes bytes on, and the end of them; while the link is silent they wait, as in a network that sends them again.
-func (s *Stream) copy(to, from net.Conn) {
+func (s *TCPRelay) copy(to, from net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		for {
 			link, _, change := s.state()
-			if !link.Silent {
+			if !link.Blackhole {
 				time.Sleep(link.Delay)
 				break
 			}
--- a/internal/testkit/receivers/relay_test.go
+++ b/internal/testkit/receivers/relay_test.go
@@ -37,11 +37,11 @@
 	}
 	defer to.Close()
 	log := &lines{}
-	d, err := NewDatagrams("b", netip.MustParseAddrPort(to.LocalAddr().String()), 7, log.add)
+	d, err := NewUDPRelay("b", netip.MustParseAddrPort(to.LocalAddr().String()), 7, log.add)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.From = func(b []byte) string { return string(b[:1]) }
+	d.SenderOf = func(b []byte) string { return string(b[:1]) }
 	from, err := net.Dial("udp4", d.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -70,22 +70,22 @@
 	if got := pass("a", 50); len(got) != 50 {
 		t.Errorf("a clear way passed %d of 50", len(got))
 	}
-	d.Set("a", Link{Silent: true})
+	d.SetLink("a", Link{Blackhole: true})
 	if got := pass("a", 20); len(got) != 0 {
 		t.Errorf("a way that is cut passed %v", got)
 	}
 	if got := pass("c", 20); len(got) != 20 {
 		t.Errorf("another one's way passed %d of 20", len(got))
 	}
-	d.Set("a", Link{Drop: 0.5})
+	d.SetLink("a", Link{LossRate: 0.5})
 	if got := pass("a", 200); len(got) < 60 || len(got) > 140 {
 		t.Errorf("half lost: %d of 200", len(got))
 	}
-	d.Set("a", Link{Repeat: 1})
+	d.SetLink("a", Link{DuplicateRate: 1})
 	if got := pass("a", 20); len(got) != 40 {
 		t.Errorf("repeated: %d of 20", len(got))
 	}
-	d.Set("a", Link{Reorder: 0.5})
+	d.SetLink("a", Link{ReorderRate: 0.5})
 	order := pass("a", 100)
 	ordered := true
 	for i := 1; i < len(order); i++ {
@@ -94,7 +94,7 @@
 	if ordered || len(order) < 99 {
 		t.Errorf("out of order: %d of 100, in order %v", len(order), ordered)
 	}
-	d.Clear()
+	d.ClearLinks()
 	if got := pass("a", 20); len(got) < 20 || len(got) > 21 { // one may have been held back
 		t.Errorf("cleared: %d of 20", len(got))
 	}
@@ -121,7 +121,7 @@
 		}
 	}()
 	log := &lines{}
-	s, err := NewStream("way", "127.0.0.1:0", l.Addr().String(), log.add)
+	s, err := NewTCPRelay("way", "127.0.0.1:0", l.Addr().String(), log.add)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,18 +141,18 @@
 	if got, err := echo("one"); got != "one" || err != nil {
 		t.Fatalf("%q %v", got, err)
 	}
-	s.Set(Link{Silent: true})
+	s.SetLink(Link{Blackhole: true})
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if got, err := echo("two"); err == nil {
 		t.Errorf("a silent way passed %q", got)
 	}
-	s.Set(Link{})
+	s.SetLink(Link{})
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	buf := make([]byte, 3)
 	if _, err := io.ReadFull(c, buf); err != nil || string(buf) != "two" {
 		t.Errorf("after the silence: %q %v", buf, err)
 	}
-	s.Set(Link{Resets: true})
+	s.SetLink(Link{Resets: true})
 	if _, err := c.Read(buf); err == nil || err == io.EOF {
 		t.Errorf("a reset connection reads %v", err)
 	}
--- a/internal/testkit/receivers/store.go
+++ b/internal/testkit/receivers/store.go
@@ -19,8 +19,8 @@
 // Point is one value of a series.
 type Point struct {
 	Series string
-	At     float64 // Unix time in seconds
-	V      float64
+	Time   float64 // Unix time in seconds
+	Value  float64
 }
 
 // Store keeps what a stand-in got. It is safe for use by several goroutines.
@@ -44,12 +44,12 @@
 		at = map[float64]float64{}
 		s.series[p.Series] = at
 	}
-	if was, there := at[p.At]; there && was == p.V {
+	if was, there := at[p.Time]; there && was == p.Value {
 		s.again++
 	} else if there {
 		s.moved++
 	}
-	at[p.At] = p.V
+	at[p.Time] = p.Value
 	s.points = append(s.points, p)
 }
 
@@ -59,8 +59,8 @@
 	s.bad = append(s.bad, fmt.Sprintf(format, a...))
 }
 
-// Forget loses all that was kept, as a receiver does whose disk is new.
-func (s *Store) Forget() {
+// Reset loses all that was kept, as a receiver does whose disk is new.
+func (s *Store) Reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.points, s.series, s.again, s.moved, s.bad = nil, nil, 0, 0, nil
@@ -101,8 +101,8 @@
 	return names
 }
 
-// Stamps are the times of a series, sorted.
-func (s *Store) Stamps(series string) (stamps []float64) {
+// Timestamps are the times of a series, sorted.
+func (s *Store) Timestamps(series string) (stamps []float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for at := range s.series[series] {
@@ -119,8 +119,8 @@
 	return len(s.points), s.again, s.moved
 }
 
-// Bad is what made no sense.
-func (s *Store) Bad() []string {
+// Malformed is what made no sense.
+func (s *Store) Malformed() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.bad)
@@ -133,10 +133,10 @@
 	var b strings.Builder
 	for _, p := range s.points {
 		if strings.Contains(p.Series, "/") {
-			fmt.Fprintf(&b, "PUTVAL %q interval=1 %.3f:%v\n", p.Series, p.At, p.V)
+			fmt.Fprintf(&b, "PUTVAL %q interval=1 %.3f:%v\n", p.Series, p.Time, p.Value)
 			continue
 		}
-		fmt.Fprintf(&b, "%s %v %v\n", p.Series, p.V, int64(p.At))
+		fmt.Fprintf(&b, "%s %v %v\n", p.Series, p.Value, int64(p.Time))
 	}
 	return os.WriteFile(path, []byte(b.String()), 0o600)
 }
@@ -203,8 +203,8 @@
 	return s.addr
 }
 
-// Away ends all connections, with bytes unread, and listens no more until Back.
-func (s *server) Away() {
+// Stop ends all connections, with bytes unread, and listens no more until Back.
+func (s *server) Stop() {
 	s.cue.Lock()
 	defer s.cue.Unlock()
 	if s.listener != nil {
@@ -219,11 +219,11 @@
 	}
 }
 
-// Back listens at the same address again.
-func (s *server) Back() error { return s.start() }
+// Restart listens at the same address again.
+func (s *server) Restart() error { return s.start() }
 
-// Stall accepts and reads nothing, or reads again.
-func (s *server) Stall(on bool) {
+// SetStalled accepts and reads nothing, or reads again.
+func (s *server) SetStalled(on bool) {
 	s.cue.Lock()
 	defer s.cue.Unlock()
 	switch {
@@ -235,22 +235,22 @@
 	s.stalled = on
 }
 
-// Cut resets the next connection after so many bytes were read.
-func (s *server) Cut(after int) {
+// ResetAfter resets the next connection after so many bytes were read.
+func (s *server) ResetAfter(after int) {
 	s.cue.Lock()
 	defer s.cue.Unlock()
 	s.cut = after
 }
 
-// Slow reads so many bytes at a time, a millisecond apart; 0 is as they come.
-func (s *server) Slow(bytes int) {
+// SetReadSize reads so many bytes at a time, a millisecond apart; 0 is as they come.
+func (s *server) SetReadSize(bytes int) {
 	s.cue.Lock()
 	defer s.cue.Unlock()
 	s.pace = bytes
 }
 
-// Keep has connections stay open when the peer has closed its side.
-func (s *server) Keep(on bool) {
+// KeepOpen has connections stay open when the peer has closed its side.
+func (s *server) KeepOpen(on bool) {
 	s.cue.Lock()
 	defer s.cue.Unlock()
 	s.keeps = on
@@ -307,8 +307,8 @@
 	return n, err
 }
 
-// Growth is by how much a total has grown over all stamps, from 0 on; one that falls has begun anew.
-func (s *Store) Growth(series string) (sum float64) {
+// CounterIncrease is by how much a total has grown over all stamps, from 0 on; one that falls has begun anew.
+func (s *Store) CounterIncrease(series string) (sum float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	type at struct{ at, v float64 }
--- a/internal/testkit/runner/faults.go
+++ b/internal/testkit/runner/faults.go
@@ -4,14 +4,14 @@
 
 // Faults are the shares of requests that a runner spoils, each in its own way.
 type Faults struct {
-	BreakOff  float64 // the answer ends in the middle
-	Extra     float64 // bytes come after the whole answer, that nobody asked for
-	ExtraLate float64 // another answer with the same id comes in place of the next one on that connection
-	Garbage   float64 // bytes that are not an answer
-	Silent    float64 // no answer comes
-	Reset     float64 // the connection is reset before an answer, and after the work
-	Close     float64 // the connection is closed before an answer, and without work
-	Most      int     // requests that are spoilt at most; 0: any number
+	Truncate    float64 // the answer ends in the middle
+	ExtraBytes  float64 // bytes come after the whole answer, that nobody asked for
+	StaleAnswer float64 // another answer with the same id comes in place of the next one on that connection
+	Garbage     float64 // bytes that are not an answer
+	NoAnswer    float64 // no answer comes
+	Reset       float64 // the connection is reset before an answer, and after the work
+	Close       float64 // the connection is closed before an answer, and without work
+	MaxFaults   int     // requests that are spoilt at most; 0: any number
 }
 
 // fault is a way to spoil a request.
@@ -31,7 +31,7 @@
 // draw draws what happens to a request.
 func (f *Faults) draw(random *rand.Rand) fault {
 	left := random.Float64()
-	for i, share := range []float64{f.BreakOff, f.Extra, f.ExtraLate, f.Garbage, f.Silent, f.Reset, f.Close} {
+	for i, share := range []float64{f.Truncate, f.ExtraBytes, f.StaleAnswer, f.Garbage, f.NoAnswer, f.Reset, f.Close} {
 		if left -= share; left < 0 {
 			return fault(i + 1)
 		}
--- a/internal/testkit/runner/order.go
+++ b/internal/testkit/runner/order.go
@@ -57,34 +57,34 @@
 
 // request reads what a caller asks for.
 func (r *Runner) request(q *http.Request) (*engine.Request, error) {
-	request := &engine.Request{Model: q.Header.Get(answer.Model), Priority: engine.DefaultPriority}
-	if n, err := strconv.Atoi(q.Header.Get(answer.Priority)); err == nil && n >= 0 && n <= engine.LowestPriority {
+	request := &engine.Request{Model: q.Header.Get(answer.HeaderModel), Priority: engine.DefaultPriority}
+	if n, err := strconv.Atoi(q.Header.Get(answer.HeaderPriority)); err == nil && n >= 0 && n <= engine.LowestPriority {
 		request.Priority = n
 	}
-	if r.options.Stride == 0 {
+	if r.options.EventTokens == 0 {
 		return request, nil
 	}
 	var err error
-	if request.Parts, err = parseParts(q.Header.Get(answer.PromptStart)); err != nil {
+	if request.Chunks, err = parseParts(q.Header.Get(answer.HeaderPromptChunks)); err != nil {
 		return nil, err
 	}
 	most := 1
-	if _, out, found := strings.Cut(q.Header.Get(answer.TokenCounts), ","); found {
+	if _, out, found := strings.Cut(q.Header.Get(answer.HeaderTokenCounts), ","); found {
 		most, _ = strconv.Atoi(out)
 	}
-	request.Out = outOf(request.Parts, most)
-	if last := q.Header.Get(answer.LastEventID); last != "" {
+	request.OutputTokens = outOf(request.Chunks, most)
+	if last := q.Header.Get(answer.HeaderLastEventID); last != "" {
 		done, err := strconv.Atoi(last)
 		if err != nil || done < 0 {
-			return nil, fmt.Errorf("%s %q is not a number", answer.LastEventID, last)
+			return nil, fmt.Errorf("%s %q is not a number", answer.HeaderLastEventID, last)
 		}
-		request.Done = min(done*r.options.Stride, request.Out-1)
+		request.ResumedTokens = min(done*r.options.EventTokens, request.OutputTokens-1)
 	}
 	return request, nil
 }
 
 // parseParts reads the parts of a prompt.
-func parseParts(text string) (parts []engine.Part, err error) {
+func parseParts(text string) (parts []engine.Chunk, err error) {
 	if text == "" {
 		return nil, nil
 	}
@@ -93,7 +93,7 @@
 		if !found {
 			return nil, fmt.Errorf("part %q of a prompt has no size", field)
 		}
-		var part engine.Part
+		var part engine.Chunk
 		if part.ID, err = strconv.ParseUint(id, 16, 64); err != nil {
 			return nil, fmt.Errorf("part %q of a prompt: %w", field, err)
 		}
@@ -107,7 +107,7 @@
 
 // outOf is how many tokens a prompt is answered with: the same at every runner, and between a quarter of the most and
 // all.
-func outOf(parts []engine.Part, most int) int {
+func outOf(parts []engine.Chunk, most int) int {
 	most = max(1, most)
 	if len(parts) == 0 {
 		return most
@@ -140,7 +140,7 @@
 	if o.task == nil {
 		return
 	}
-	r.options.Machine.Cancel(r.now(), o.task)
+	r.options.Engine.Cancel(r.now(), o.task)
 	delete(r.orders, o.task)
 	r.poke()
 }
@@ -158,7 +158,7 @@
 	case engine.Expired:
 		r.turnAway(o.w, http.StatusServiceUnavailable)
 		return true
-	case engine.CutOff:
+	case engine.TimedOut:
 		if o.sent > 0 {
 			panic(http.ErrAbortHandler)
 		}
@@ -186,10 +186,10 @@
 	case faultReset:
 		reset(o.conn.Conn)
 	case faultBreakOff:
-		if o.request.Out > 0 && o.sent < 1 {
+		if o.request.OutputTokens > 0 && o.sent < 1 {
 			return false // not before the first event
 		}
-		if o.request.Out == 0 {
+		if o.request.OutputTokens == 0 {
 			r.sendHalf(o)
 		}
 		r.played()
@@ -201,23 +201,23 @@
 	return true
 }
 
-func (r *Runner) played() { r.count(func(s *Stats) { s.Faults++ }) }
+func (r *Runner) played() { r.count(func(s *Stats) { s.FaultsInjected++ }) }
 
 // total is how many events the whole stream has.
 func (o *order) total() int {
-	stride := max(1, o.runner.options.Stride)
-	return (o.request.Out + stride - 1) / stride
+	stride := max(1, o.runner.options.EventTokens)
+	return (o.request.OutputTokens + stride - 1) / stride
 }
 
 func (r *Runner) sendEvent(o *order, index int) bool {
 	if o.sent == 0 {
-		seal := answer.Seal{Stream: true, Size: o.total(), Try: o.try, Run: o.run}
-		o.w.Header().Set(answer.SealHeader, seal.String())
+		seal := answer.Seal{Stream: true, Size: o.total(), AttemptID: o.try, ExecutionID: o.run}
+		o.w.Header().Set(answer.HeaderSeal, seal.String())
 		o.w.Header().Set("Content-Type", "text/event-stream")
 		o.w.WriteHeader(http.StatusOK)
 	}
 	o.sent++
-	event := answer.Event{Index: index, Of: o.total(), Run: o.run}
+	event := answer.Event{Index: index, Total: o.total(), ExecutionID: o.run}
 	fmt.Fprintf(o.w, "id: %d\ndata: %s\n\n", index, event.Data())
 	return http.NewResponseController(o.w).Flush() != nil
 }
@@ -247,8 +247,8 @@
 }
 
 func (r *Runner) bodyHead(o *order, body []byte) {
-	seal := answer.Seal{Size: len(body), Sum: answer.Sum(body), Try: o.try, Run: o.run}
-	o.w.Header().Set(answer.SealHeader, seal.String())
+	seal := answer.Seal{Size: len(body), Checksum: answer.Checksum(body), AttemptID: o.try, ExecutionID: o.run}
+	o.w.Header().Set(answer.HeaderSeal, seal.String())
 	o.w.Header().Set("Content-Type", "application/octet-stream")
 	o.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	o.w.WriteHeader(http.StatusOK)
--- a/internal/testkit/runner/runner.go
+++ b/internal/testkit/runner/runner.go
@@ -22,20 +22,20 @@
 // Options describe a runner.
 type Options struct {
 	checker.Runner
-	Address    string         // to listen on
-	Machine    engine.Machine // that does the work
-	Stride     int            // tokens in an event; 0: the service has no streams
-	Models     []Model
-	HealthPath string
-	MaxConns   int           // connections from all callers; 0: no bound
-	IdleFor    time.Duration // after which an idle connection is closed; 0: never
-	CloseShare float64       // of answers that end their connection
-	ReportLag  time.Duration
-	Cold       engine.Cold
-	Work       func(random *rand.Rand) time.Duration // of a plain request; nil: none
-	BodyBytes  int                                   // of a plain answer
-	Referee    *checker.Referee                      // nil: none
-	Seed       uint64
+	Address     string        // to listen on
+	Engine      engine.Server // that does the work
+	EventTokens int           // tokens in an event; 0: the service has no streams
+	Models      []Model
+	HealthPath  string
+	MaxConns    int           // connections from all callers; 0: no bound
+	IdleTimeout time.Duration // after which an idle connection is closed; 0: never
+	CloseShare  float64       // of answers that end their connection
+	ReportDelay time.Duration
+	SlowStart   engine.SlowStart
+	ServiceTime func(random *rand.Rand) time.Duration // of a plain request; nil: none
+	BodyBytes   int                                   // of a plain answer
+	Checker     *checker.Checker                      // nil: none
+	Seed        uint64
 }
 
 // Model is what a runner serves.
@@ -44,7 +44,7 @@
 	Version int    `json:"version"`
 }
 
-// Runner is one incarnation of a server, from Start until Close, Crash or GoDark.
+// Runner is one incarnation of a server, from Start until Close, Crash or Hang.
 type Runner struct {
 	options  Options
 	address  netip.AddrPort
@@ -68,19 +68,19 @@
 
 // Stats count what a runner has seen.
 type Stats struct {
-	Requests   int // that got in, health checks and reports apart
-	Misplaced  int // answered with 421
-	Rejected   int
-	Finished   int
-	Connected  int // connections that were taken
-	TurnedAway int // connections that were reset for being too many
-	Probes     int // health checks and reports
-	Faults     int // played
-	Unanswered int // requests that came while it was dark
-	Fell       bool
-	ColdWorst  int
-	ColdBroken int
-	Machine    engine.State
+	Requests            int // that got in, health checks and reports apart
+	Misdirected         int // answered with 421
+	Rejected            int
+	Finished            int
+	ConnectionsAccepted int // connections that were taken
+	ConnectionsReset    int // connections that were reset for being too many
+	HealthChecks        int // health checks and reports
+	FaultsInjected      int // played
+	Unanswered          int // requests that came while it was dark
+	Overloaded          bool
+	SlowStartPeak       int
+	SlowStartViolations int
+	Engine              engine.State
 }
 
 // Start starts a runner.
@@ -93,7 +93,7 @@
 		wake: make(chan struct{}, 1), done: make(chan struct{}), random: rand.New(rand.NewPCG(o.Seed, 4)),
 		orders: make(map[*engine.Task]*order)}
 	r.listener = &listener{Listener: inner, most: o.MaxConns, conns: make(map[*conn]struct{})}
-	r.server = &http.Server{Handler: http.HandlerFunc(r.serve), IdleTimeout: o.IdleFor,
+	r.server = &http.Server{Handler: http.HandlerFunc(r.serve), IdleTimeout: o.IdleTimeout,
 		ErrorLog: log.New(io.Discard, "", 0), ConnState: r.connState,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
 	go r.server.Serve(r.listener)
@@ -120,29 +120,29 @@
 	r.draining = true
 }
 
-// Chill makes it cold for a while.
-func (r *Runner) Chill(span time.Duration) {
+// BeginSlowStart makes it cold for a while.
+func (r *Runner) BeginSlowStart(span time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.options.Cold.Begin(r.now() + span)
+	r.options.SlowStart.Begin(r.now() + span)
 }
 
-// ColdLeft is how much longer it stays cold.
-func (r *Runner) ColdLeft() time.Duration {
+// SlowStartRemaining is how much longer it stays cold.
+func (r *Runner) SlowStartRemaining() time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.options.Cold.Left(r.now())
+	return r.options.SlowStart.Remaining(r.now())
 }
 
-// Script sets the faults that it plays from now on.
-func (r *Runner) Script(f Faults) {
+// SetFaults sets the faults that it plays from now on.
+func (r *Runner) SetFaults(f Faults) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.faults, r.spoilt = f, 0
 }
 
-// GoDark makes it say nothing any more: its work stops, its connections stay and new ones come up unanswered.
-func (r *Runner) GoDark() {
+// Hang makes it say nothing any more: its work stops, its connections stay and new ones come up unanswered.
+func (r *Runner) Hang() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.dark = true
@@ -173,7 +173,7 @@
 
 // machineStop loses all work.
 func (r *Runner) machineStop() {
-	for _, event := range r.options.Machine.Stop(r.now()) {
+	for _, event := range r.options.Engine.Stop(r.now()) {
 		r.handle(event)
 	}
 }
@@ -183,9 +183,9 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	s := r.stats
-	s.Machine = r.options.Machine.State()
-	s.ColdWorst, s.ColdBroken = r.options.Cold.Worst(), r.options.Cold.Broken()
-	s.Connected, s.TurnedAway = r.listener.counts()
+	s.Engine = r.options.Engine.State()
+	s.SlowStartPeak, s.SlowStartViolations = r.options.SlowStart.PeakArrivals(), r.options.SlowStart.Violations()
+	s.ConnectionsAccepted, s.ConnectionsReset = r.listener.counts()
 	return s
 }
 
@@ -210,11 +210,11 @@
 func (r *Runner) play() (next time.Duration, is bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, event := range r.options.Machine.Advance(r.now()) {
+	for _, event := range r.options.Engine.Advance(r.now()) {
 		r.handle(event)
 	}
 	r.noteReport()
-	return r.options.Machine.Next()
+	return r.options.Engine.Next()
 }
 
 // poke has run look at the machine again.
@@ -234,9 +234,9 @@
 	switch event.Kind {
 	case engine.Started:
 		r.ran(o)
-	case engine.Preempted, engine.PartRead:
+	case engine.Preempted, engine.ChunkPrefilled:
 		return
-	case engine.Finished, engine.Expired, engine.CutOff, engine.Lost:
+	case engine.Finished, engine.Expired, engine.TimedOut, engine.Lost:
 		delete(r.orders, event.Task)
 	}
 	o.push(event)
@@ -244,7 +244,7 @@
 
 // ran notes that work on a request has begun.
 func (r *Runner) ran(o *order) {
-	if r.options.Referee != nil {
-		r.options.Referee.Ran(&r.options.Runner, o.try)
+	if r.options.Checker != nil {
+		r.options.Checker.ExecutionStarted(&r.options.Runner, o.try)
 	}
 }
--- a/internal/testkit/runner/runner_test.go
+++ b/internal/testkit/runner/runner_test.go
@@ -22,8 +22,8 @@
 const long = 20 * time.Second
 
 func engineOptions() engine.Options {
-	return engine.Options{Slots: 4, Queue: 4, MemoryTokens: 1000, Step: time.Millisecond, PrefillPerMS: 100,
-		StrideTokens: 2}
+	return engine.Options{MaxRunning: 4, MaxQueued: 4, MemoryTokens: 1000, StepTime: time.Millisecond, PrefillTokensPerMS: 100,
+		EventTokens: 2}
 }
 
 func start(t *testing.T, alter func(*Options)) *Runner {
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	o := Options{Runner: checker.Runner{ID: "i-1", Service: "llm", Zone: "a", Region: "r"}, Address: "127.0.0.1:0",
-		Machine: machine, Stride: 2, Models: []Model{{Name: "m", Version: 3}}, HealthPath: "/health"}
+		Engine: machine, EventTokens: 2, Models: []Model{{Name: "m", Version: 3}}, HealthPath: "/health"}
 	if alter != nil {
 		alter(&o)
 	}
@@ -46,8 +46,8 @@
 }
 
 func plain(o *Options) {
-	o.Machine, _ = engine.NewWorkers(1, 1)
-	o.Stride, o.BodyBytes = 0, 100
+	o.Engine, _ = engine.NewWorkers(1, 1)
+	o.EventTokens, o.BodyBytes = 0, 100
 }
 
 // caller is a connection to a runner.
@@ -114,11 +114,11 @@
 func TestAStreamIsWholeAndInOrder(t *testing.T) {
 	r := start(t, nil)
 	resp := dial(t, r).mustAsk(t, "X-Try-Id: 1", prompt, "X-Wanted-Server: i-1")
-	seal, err := answer.ParseSeal(resp.Header.Get(answer.SealHeader))
-	if err != nil || seal.Try != "1" || !seal.Stream {
+	seal, err := answer.ParseSeal(resp.Header.Get(answer.HeaderSeal))
+	if err != nil || seal.AttemptID != "1" || !seal.Stream {
 		t.Fatalf("seal %+v: %v", seal, err)
 	}
-	if resp.Header.Get(answer.TryID) != "1" || resp.Header.Get(answer.Versions) != "3" {
+	if resp.Header.Get(answer.HeaderAttemptID) != "1" || resp.Header.Get(answer.HeaderVersions) != "3" {
 		t.Errorf("head: %v", resp.Header)
 	}
 	list, err := events(t, resp.Body)
@@ -126,7 +126,7 @@
 		t.Fatalf("%d events of %d: %v", len(list), seal.Size, err)
 	}
 	for i, event := range list {
-		if event.Index != i+1 || event.Of != seal.Size || event.Run != seal.Run {
+		if event.Index != i+1 || event.Total != seal.Size || event.ExecutionID != seal.ExecutionID {
 			t.Errorf("event %d is %+v", i+1, event)
 		}
 	}
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	rest, err := events(t, dial(t, r).mustAsk(t, "X-Try-Id: 2", prompt, "Last-Event-Id: 2").Body)
-	if err != nil || len(rest) != len(whole)-2 || rest[0].Index != 3 || rest[0].Of != len(whole) {
+	if err != nil || len(rest) != len(whole)-2 || rest[0].Index != 3 || rest[0].Total != len(whole) {
 		t.Errorf("after 2 of %d events came %+v: %v", len(whole), rest, err)
 	}
 }
@@ -158,8 +158,8 @@
 		{"too late", "X-Try-Id: 3\r\nX-Time-Left-Ms: 0\r\n" + prompt, 503, "1"},
 	} {
 		resp := dial(t, r).mustAsk(t, test.headers)
-		if resp.StatusCode != test.status || resp.Header.Get(answer.NotRun) != test.notRun {
-			t.Errorf("%s: %d, not run %q", test.name, resp.StatusCode, resp.Header.Get(answer.NotRun))
+		if resp.StatusCode != test.status || resp.Header.Get(answer.HeaderNotRun) != test.notRun {
+			t.Errorf("%s: %d, not run %q", test.name, resp.StatusCode, resp.Header.Get(answer.HeaderNotRun))
 		}
 	}
 }
@@ -171,7 +171,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	seal, err := answer.ParseSeal(resp.Header.Get(answer.SealHeader))
+	seal, err := answer.ParseSeal(resp.Header.Get(answer.HeaderSeal))
 	if err != nil || seal.CheckBody("7", body) != nil {
 		t.Errorf("seal: %v, %v", err, seal.CheckBody("7", body))
 	}
@@ -179,11 +179,11 @@
 
 func TestHealthAndReport(t *testing.T) {
 	r := start(t, nil)
-	r.Chill(long)
+	r.BeginSlowStart(long)
 	c := dial(t, r)
 	resp, err := c.ask("GET", "/health")
-	if err != nil || resp.StatusCode != 200 || resp.Header.Get(answer.ServerID) != "i-1" ||
-		resp.Header.Get(answer.ColdLeft) == "" {
+	if err != nil || resp.StatusCode != 200 || resp.Header.Get(answer.HeaderServerID) != "i-1" ||
+		resp.Header.Get(answer.HeaderSlowStart) == "" {
 		t.Fatalf("health: %v %+v", err, resp)
 	}
 	resp, err = c.ask("GET", "/-/report")
@@ -209,7 +209,7 @@
 		alter  func(*Options)
 		check  func(t *testing.T, c *caller, resp *http.Response, err error)
 	}{
-		{"broken off stream", Faults{BreakOff: 1}, nil, func(t *testing.T, c *caller, resp *http.Response, err error) {
+		{"broken off stream", Faults{Truncate: 1}, nil, func(t *testing.T, c *caller, resp *http.Response, err error) {
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -217,7 +217,7 @@
 				t.Errorf("%d events, %v", len(list), err)
 			}
 		}},
-		{"broken off body", Faults{BreakOff: 1}, plain, func(t *testing.T, c *caller, resp *http.Response, err error) {
+		{"broken off body", Faults{Truncate: 1}, plain, func(t *testing.T, c *caller, resp *http.Response, err error) {
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -225,22 +225,22 @@
 				t.Errorf("body ended with %v", err)
 			}
 		}},
-		{"extra", Faults{Extra: 1}, plain, func(t *testing.T, c *caller, resp *http.Response, err error) {
+		{"extra", Faults{ExtraBytes: 1}, plain, func(t *testing.T, c *caller, resp *http.Response, err error) {
 			if err != nil {
 				t.Fatal(err)
 			}
 			io.Copy(io.Discard, resp.Body)
-			if extra, err := http.ReadResponse(c.reader, nil); err != nil || extra.Header.Get(answer.TryID) != "1" {
+			if extra, err := http.ReadResponse(c.reader, nil); err != nil || extra.Header.Get(answer.HeaderAttemptID) != "1" {
 				t.Errorf("extra: %v", err)
 			}
 		}},
-		{"extra late", Faults{ExtraLate: 1}, plain, func(t *testing.T, c *caller, resp *http.Response, err error) {
+		{"extra late", Faults{StaleAnswer: 1}, plain, func(t *testing.T, c *caller, resp *http.Response, err error) {
 			if err != nil {
 				t.Fatal(err)
 			}
 			io.Copy(io.Discard, resp.Body)
 			next, err := c.ask("POST", "/a/b", "X-Try-Id: 2")
-			if err != nil || next.Header.Get(answer.TryID) != "1" {
+			if err != nil || next.Header.Get(answer.HeaderAttemptID) != "1" {
 				t.Errorf("the next answer: %v", err)
 			}
 		}},
@@ -262,7 +262,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := start(t, test.alter)
-			r.Script(test.faults)
+			r.SetFaults(test.faults)
 			c := dial(t, r)
 			resp, err := c.ask("POST", "/a/b", "X-Try-Id: 1", prompt)
 			test.check(t, c, resp, err)
@@ -272,10 +272,10 @@
 
 func TestSilence(t *testing.T) {
 	r := start(t, plain)
-	r.Script(Faults{Silent: 1})
+	r.SetFaults(Faults{NoAnswer: 1})
 	c := dial(t, r)
 	fmt.Fprint(c, "POST /a HTTP/1.1\r\nHost: h\r\nX-Try-Id: 1\r\nContent-Length: 0\r\n\r\n")
-	await(t, func() bool { return r.Stats().Machine.Running == 0 && r.Stats().Requests == 1 })
+	await(t, func() bool { return r.Stats().Engine.Running == 0 && r.Stats().Requests == 1 })
 	c.Close()
 }
 
@@ -294,13 +294,13 @@
 func TestACallerThatLeavesEndsTheWork(t *testing.T) {
 	r := start(t, func(o *Options) {
 		options := engineOptions()
-		options.MemoryTokens, options.Step = 1<<30, 10*time.Millisecond
-		o.Machine, _ = engine.New(options)
+		options.MemoryTokens, options.StepTime = 1<<30, 10*time.Millisecond
+		o.Engine, _ = engine.New(options)
 	})
 	c := dial(t, r)
 	c.mustAsk(t, "X-Try-Id: 1", "X-Token-Counts: 10,1000000", "X-Prompt-Start: a:10")
 	c.Close()
-	await(t, func() bool { return r.Stats().Machine.Running == 0 })
+	await(t, func() bool { return r.Stats().Engine.Running == 0 })
 }
 
 func TestConnectionsBeyondTheMostAreReset(t *testing.T) {
@@ -315,7 +315,7 @@
 			t.Error("a second connection was served")
 		}
 	}
-	if r.Stats().TurnedAway != 1 {
+	if r.Stats().ConnectionsReset != 1 {
 		t.Errorf("%+v", r.Stats())
 	}
 }
@@ -332,7 +332,7 @@
 	}
 	dark := start(t, nil)
 	c = dial(t, dark)
-	dark.GoDark()
+	dark.Hang()
 	fmt.Fprint(c, "GET /health HTTP/1.1\r\nHost: h\r\n\r\n")
 	await(t, func() bool { return dark.Stats().Unanswered == 1 })
 	dark.Close()
@@ -342,8 +342,8 @@
 }
 
 func TestAColdRunnerFallsOver(t *testing.T) {
-	r := start(t, func(o *Options) { o.Cold = engine.Cold{Rate: 1, Falls: 2} })
-	r.Chill(long)
+	r := start(t, func(o *Options) { o.SlowStart = engine.SlowStart{Rate: 1, CrashMultiple: 2} })
+	r.BeginSlowStart(long)
 	for i := range 3 {
 		resp, err := dial(t, r).ask("POST", "/a/b", fmt.Sprintf("X-Try-Id: %d", i), prompt)
 		if (err == nil) != (i < 2) {
@@ -353,7 +353,7 @@
 			io.Copy(io.Discard, resp.Body)
 		}
 	}
-	if !r.Stats().Fell {
+	if !r.Stats().Overloaded {
 		t.Error("it has not fallen over")
 	}
 }
@@ -365,7 +365,7 @@
 		}
 	}
 	parts, err := parseParts("5c1e07a2:800,91bd3f06:410")
-	if err != nil || len(parts) != 2 || parts[0] != (engine.Part{ID: 0x5c1e07a2, Tokens: 800}) {
+	if err != nil || len(parts) != 2 || parts[0] != (engine.Chunk{ID: 0x5c1e07a2, Tokens: 800}) {
 		t.Errorf("%+v, %v", parts, err)
 	}
 	if !bytes.Contains(spare("7"), []byte("X-Try-Id: 7\r\n")) {
--- a/internal/testkit/runner/serve.go
+++ b/internal/testkit/runner/serve.go
@@ -45,11 +45,11 @@
 // noteReport keeps the state, for reports that come late.
 func (r *Runner) noteReport() {
 	const most = 64
-	s := r.options.Machine.State()
+	s := r.options.Engine.State()
 	now := r.now()
-	r.reports = append(r.reports, report{at: now, queued: s.Queued, running: s.Running, memoryUsed: s.MemoryUsed,
+	r.reports = append(r.reports, report{at: now, queued: s.Queued, running: s.Running, memoryUsed: s.MemoryPinned,
 		memoryAll: s.MemorySize})
-	for len(r.reports) > 1 && r.reports[1].at <= now-r.options.ReportLag || len(r.reports) > most {
+	for len(r.reports) > 1 && r.reports[1].at <= now-r.options.ReportDelay || len(r.reports) > most {
 		r.reports = r.reports[1:]
 	}
 }
@@ -86,20 +86,20 @@
 	ends := r.draining || r.random.Float64() < r.options.CloseShare
 	r.mutex.Unlock()
 	for _, model := range r.options.Models {
-		w.Header().Set(answer.Versions, strconv.Itoa(model.Version))
+		w.Header().Set(answer.HeaderVersions, strconv.Itoa(model.Version))
 	}
 	if ends {
 		w.Header().Set("Connection", "close")
 		return
 	}
-	if r.options.IdleFor > 0 {
-		w.Header().Set("Keep-Alive", "timeout="+strconv.Itoa(int(r.options.IdleFor/time.Second)))
+	if r.options.IdleTimeout > 0 {
+		w.Header().Set("Keep-Alive", "timeout="+strconv.Itoa(int(r.options.IdleTimeout/time.Second)))
 	}
 }
 
 func (r *Runner) serveReport(w http.ResponseWriter) {
 	r.mutex.Lock()
-	r.stats.Probes++
+	r.stats.HealthChecks++
 	r.noteReport()
 	old := r.reports[0]
 	body := reportBody{Phase: "both", Models: []reportModel{}, Queued: old.queued, Running: old.running,
@@ -114,15 +114,15 @@
 
 func (r *Runner) serveHealth(w http.ResponseWriter) {
 	r.mutex.Lock()
-	r.stats.Probes++
-	s := r.options.Machine.State()
+	r.stats.HealthChecks++
+	s := r.options.Engine.State()
 	full := s.Queued > 0 && s.Running+s.Queued >= r.options.MaxConns && r.options.MaxConns > 0
-	cold := r.options.Cold.Left(r.now())
+	cold := r.options.SlowStart.Remaining(r.now())
 	draining := r.draining
 	r.mutex.Unlock()
-	w.Header().Set(answer.ServerID, r.options.ID)
+	w.Header().Set(answer.HeaderServerID, r.options.ID)
 	if cold > 0 {
-		w.Header().Set(answer.ColdLeft, strconv.FormatInt(cold.Milliseconds(), 10))
+		w.Header().Set(answer.HeaderSlowStart, strconv.FormatInt(cold.Milliseconds(), 10))
 	}
 	switch {
 	case draining:
@@ -134,18 +134,18 @@
 
 // turnAway says that a request has not run.
 func (r *Runner) turnAway(w http.ResponseWriter, status int) {
-	w.Header().Set(answer.NotRun, "1")
+	w.Header().Set(answer.HeaderNotRun, "1")
 	w.WriteHeader(status)
 }
 
 func (r *Runner) serveRequest(w http.ResponseWriter, q *http.Request, c *conn) {
-	try := q.Header.Get(answer.TryID)
+	try := q.Header.Get(answer.HeaderAttemptID)
 	if try != "" {
-		w.Header().Set(answer.TryID, try)
+		w.Header().Set(answer.HeaderAttemptID, try)
 	}
-	if wanted := q.Header.Get(answer.WantedServer); wanted != "" && wanted != r.options.ID || !r.hasVersion(q) {
-		r.count(func(s *Stats) { s.Misplaced++ })
-		w.Header().Set(answer.ServerID, r.options.ID)
+	if wanted := q.Header.Get(answer.HeaderWantedServer); wanted != "" && wanted != r.options.ID || !r.hasVersion(q) {
+		r.count(func(s *Stats) { s.Misdirected++ })
+		w.Header().Set(answer.HeaderServerID, r.options.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -157,8 +157,8 @@
 		r.turnAway(w, http.StatusBadRequest)
 		return
 	}
-	if r.options.Referee != nil {
-		r.options.Referee.Arrived(checker.Arrival{Runner: &r.options.Runner, ID: try, Method: q.Method, Host: q.Host,
+	if r.options.Checker != nil {
+		r.options.Checker.RequestReceived(checker.ReceivedRequest{Runner: &r.options.Runner, ID: try, Method: q.Method, Host: q.Host,
 			URI: q.RequestURI, Body: checker.Hash(body)})
 	}
 	o, ok := r.submit(q, try)
@@ -175,7 +175,7 @@
 }
 
 func (r *Runner) hasVersion(q *http.Request) bool {
-	expected := q.Header.Get(answer.Version)
+	expected := q.Header.Get(answer.HeaderExpectVersion)
 	if expected == "" {
 		return true
 	}
@@ -202,8 +202,8 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.now()
-	if r.options.Cold.Arrive(now) {
-		r.stats.Fell = true
+	if r.options.SlowStart.RecordArrival(now) {
+		r.stats.Overloaded = true
 		go r.Crash()
 		return nil, true
 	}
@@ -213,13 +213,13 @@
 		o.push(engine.Event{Kind: engine.Lost})
 		return o, true
 	}
-	if request.Work == 0 && r.options.Work != nil {
-		request.Work = r.options.Work(r.random)
+	if request.Work == 0 && r.options.ServiceTime != nil {
+		request.Work = r.options.ServiceTime(r.random)
 	}
-	if left, err := strconv.Atoi(q.Header.Get(answer.TimeLeft)); err == nil {
+	if left, err := strconv.Atoi(q.Header.Get(answer.HeaderTimeLeft)); err == nil {
 		request.Deadline = now + time.Duration(left)*time.Millisecond
 	}
-	task, taken := r.options.Machine.Submit(now, request)
+	task, taken := r.options.Engine.Submit(now, request)
 	if !taken {
 		r.stats.Rejected++
 		return nil, false
@@ -233,7 +233,7 @@
 
 // drawFault draws what happens to a request, as the script says.
 func (r *Runner) drawFault() fault {
-	if r.faults.Most > 0 && r.spoilt >= r.faults.Most {
+	if r.faults.MaxFaults > 0 && r.spoilt >= r.faults.MaxFaults {
 		return faultNone
 	}
 	drawn := r.faults.draw(r.random)
@@ -265,5 +265,5 @@
 // spare is an answer that nobody asked for.
 func spare(try string) []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: b.0.00000000.%s.spare\r\nContent-Length: 0\r\n\r\n",
-		answer.TryID, try, answer.SealHeader, try)
+		answer.HeaderAttemptID, try, answer.HeaderSeal, try)
 }
--- a/internal/testkit/virtualcluster/virtual.go
+++ b/internal/testkit/virtualcluster/virtual.go
@@ -13,29 +13,29 @@
 
 // Options are a network's.
 type Options struct {
-	Seed   uint64
-	Drop   float64 // share of the messages that get lost
-	Delay  float64 // seconds that a message takes, at least
-	Jitter float64 // and more, drawn evenly
-	Repeat float64 // share that come twice
-	Period float64 // of the members; 0: 1 s
-	Plain  bool    // SWIM as first published
-	Bytes  int     // every so many messages one is encoded and its bytes counted for all; 0: none is
+	Seed          uint64
+	LossRate      float64 // share of the messages that get lost
+	Delay         float64 // seconds that a message takes, at least
+	Jitter        float64 // and more, drawn evenly
+	DuplicateRate float64 // share that come twice
+	ProbeInterval float64 // of the members; 0: 1 s
+	PlainSWIM     bool    // SWIM as first published
+	EncodeEvery   int     // every so many messages one is encoded and its bytes counted for all; 0: none is
 }
 
 // Node is one member's place: its process may be stopped, killed and started again.
 type Node struct {
-	Name    string
-	Addr    netip.AddrPort
-	Machine *membership.Node // nil: no process
-	Paused  bool
-	Slow    float64 // seconds that the process takes longer to see a message or a deadline
-	Skew    float64 // seconds that its clock is ahead, for lives
-	Sent    int
-	Bytes   float64
-	Changes []Change
-	epoch   int // of its ticks
-	held    []*membership.Message
+	Name            string
+	Addr            netip.AddrPort
+	Membership      *membership.Node // nil: no process
+	Paused          bool
+	ProcessingDelay float64 // seconds that the process takes longer to see a message or a deadline
+	ClockSkew       float64 // seconds that its clock is ahead, for lives
+	Sent            int
+	Bytes           float64
+	Changes         []Change
+	epoch           int // of its ticks
+	held            []*membership.Message
 }
 
 // Change is a change that a member saw.
@@ -44,19 +44,19 @@
 	membership.Change
 }
 
-// Net is the network and its members.
-type Net struct {
+// Network is the network and its members.
+type Network struct {
 	Options
 	Now   float64
 	Nodes []*Node
-	// Cut says whether nothing gets from one member to another just now.
-	Cut func(from, to *Node) bool
-	// Loss is the share that gets lost from one to another; nil: Drop everywhere.
-	Loss func(from, to *Node) float64
-	// Rider makes what rides along with a member's messages, for each of its processes; nil: nothing does.
-	Rider func(n *Node) membership.Delegate
-	// Each is called after each thing that a member did.
-	Each func(n *Node)
+	// Partitioned says whether nothing gets from one member to another just now.
+	Partitioned func(from, to *Node) bool
+	// LossRateBetween is the share that gets lost from one to another; nil: Drop everywhere.
+	LossRateBetween func(from, to *Node) float64
+	// NewDelegate makes what rides along with a member's messages, for each of its processes; nil: nothing does.
+	NewDelegate func(n *Node) membership.Delegate
+	// AfterEvent is called after each thing that a member did.
+	AfterEvent func(n *Node)
 
 	rng    *rand.Rand
 	events events
@@ -92,19 +92,19 @@
 }
 
 // New makes a network of n places without processes.
-func New(o Options, n int) *Net {
-	if o.Period == 0 {
-		o.Period = 1
+func New(o Options, n int) *Network {
+	if o.ProbeInterval == 0 {
+		o.ProbeInterval = 1
 	}
-	net := &Net{Options: o, Now: 1000, rng: rand.New(rand.NewPCG(o.Seed, 1)), byAddr: map[netip.AddrPort]*Node{}}
+	net := &Network{Options: o, Now: 1000, rng: rand.New(rand.NewPCG(o.Seed, 1)), byAddr: map[netip.AddrPort]*Node{}}
 	for i := range n {
-		net.Add(fmt.Sprintf("m%04d", i))
+		net.AddNode(fmt.Sprintf("m%04d", i))
 	}
 	return net
 }
 
-// Add adds a place.
-func (net *Net) Add(name string) *Node {
+// AddNode adds a place.
+func (net *Network) AddNode(name string) *Node {
 	i := len(net.Nodes)
 	node := &Node{Name: name, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7946)}
 	net.Nodes = append(net.Nodes, node)
@@ -112,52 +112,52 @@
 	return node
 }
 
-func (net *Net) push(e event) {
+func (net *Network) push(e event) {
 	net.seq++
 	e.seq = net.seq
 	heap.Push(&net.events, e)
 }
 
-// At does something at a time.
-func (net *Net) At(at float64, do func()) { net.push(event{at: at, do: do}) }
+// Schedule does something at a time.
+func (net *Network) Schedule(at float64, do func()) { net.push(event{at: at, do: do}) }
 
 // Start starts a process at a place; seeds are places.
-func (net *Net) Start(node *Node, seeds ...*Node) {
-	o := membership.Options{Cluster: "virtual", Name: node.Name, Addr: node.Addr, ProbeInterval: net.Period, Generation: uint64((net.Now + node.Skew) * 1e6),
-		RandomSeed: net.rng.Uint64(), PlainSWIM: net.Plain, Metadata: membership.Metadata{Zone: "z", Version: "v1", Serving: "serving"}}
-	if net.Rider != nil {
-		o.Delegate = net.Rider(node)
+func (net *Network) Start(node *Node, seeds ...*Node) {
+	o := membership.Options{Cluster: "virtual", Name: node.Name, Addr: node.Addr, ProbeInterval: net.ProbeInterval, Generation: uint64((net.Now + node.ClockSkew) * 1e6),
+		RandomSeed: net.rng.Uint64(), PlainSWIM: net.PlainSWIM, Metadata: membership.Metadata{Zone: "z", Version: "v1", Serving: "serving"}}
+	if net.NewDelegate != nil {
+		o.Delegate = net.NewDelegate(node)
 	}
 	for _, s := range seeds {
 		o.Seeds = append(o.Seeds, s.Addr)
 	}
-	node.Machine = membership.New(o)
+	node.Membership = membership.New(o)
 	node.Paused, node.held = false, nil
 	node.epoch++
-	node.Machine.Start(net.Now)
+	node.Membership.Start(net.Now)
 	net.after(node)
 	net.tick(node)
 }
 
 // StartAll starts a process at each place, all within a span, with the first place as their seed.
-func (net *Net) StartAll(within float64) {
+func (net *Network) StartAll(within float64) {
 	for _, node := range net.Nodes {
-		net.At(net.Now+within*net.rng.Float64(), func() { net.Start(node, net.Nodes[0]) })
+		net.Schedule(net.Now+within*net.rng.Float64(), func() { net.Start(node, net.Nodes[0]) })
 	}
 	net.Run(net.Now + within)
 }
 
 // Kill ends the process of a place without a word.
-func (net *Net) Kill(node *Node) {
-	node.Machine, node.held = nil, nil
+func (net *Network) Kill(node *Node) {
+	node.Membership, node.held = nil, nil
 	node.epoch++
 }
 
 // Pause stops a process; what comes meanwhile waits, as in a socket's buffer.
-func (net *Net) Pause(node *Node) { node.Paused = true }
+func (net *Network) Pause(node *Node) { node.Paused = true }
 
 // Resume has it go on.
-func (net *Net) Resume(node *Node) {
+func (net *Network) Resume(node *Node) {
 	node.Paused = false
 	held := node.held
 	node.held = nil
@@ -167,16 +167,16 @@
 	net.tick(node)
 }
 
-func (net *Net) tick(node *Node) {
+func (net *Network) tick(node *Node) {
 	node.epoch++
-	net.push(event{at: max(net.Now, node.Machine.NextTick()+node.Slow), node: node, epoch: node.epoch})
+	net.push(event{at: max(net.Now, node.Membership.NextTick()+node.ProcessingDelay), node: node, epoch: node.epoch})
 }
 
 // mostHeld is how many messages a socket's buffer holds.
 const mostHeld = 200
 
 // Run plays until a time.
-func (net *Net) Run(until float64) {
+func (net *Network) Run(until float64) {
 	for len(net.events) > 0 && net.events[0].at <= until {
 		e := heap.Pop(&net.events).(event)
 		net.Now = max(net.Now, e.at)
@@ -184,7 +184,7 @@
 		case e.do != nil:
 			e.do()
 			continue
-		case e.node.Machine == nil:
+		case e.node.Membership == nil:
 			continue
 		case e.msg != nil && e.node.Paused:
 			if len(e.node.held) < mostHeld {
@@ -192,20 +192,20 @@
 			}
 			continue
 		case e.msg != nil:
-			e.node.Machine.HandleMessage(net.Now, e.msg)
+			e.node.Membership.HandleMessage(net.Now, e.msg)
 		case e.epoch != e.node.epoch || e.node.Paused:
 			continue
 		default:
-			e.node.Machine.Tick(net.Now)
-			net.push(event{at: max(net.Now+1e-3, e.node.Machine.NextTick()+e.node.Slow), node: e.node, epoch: e.node.epoch})
+			e.node.Membership.Tick(net.Now)
+			net.push(event{at: max(net.Now+1e-3, e.node.Membership.NextTick()+e.node.ProcessingDelay), node: e.node, epoch: e.node.epoch})
 		}
 		net.after(e.node)
 	}
 	net.Now = until
 }
 
-// Until plays in steps until something holds, or a time has passed; it says whether it does.
-func (net *Net) Until(limit, step float64, ok func() bool) (took float64, held bool) {
+// RunUntil plays in steps until something holds, or a time has passed; it says whether it does.
+func (net *Network) RunUntil(limit, step float64, ok func() bool) (took float64, held bool) {
 	for from := net.Now; ; {
 		if ok() {
 			return net.Now - from, true
@@ -218,24 +218,24 @@
 }
 
 // Flush sends what a member has to send, after a call of its own.
-func (net *Net) Flush(node *Node) { net.after(node) }
+func (net *Network) Flush(node *Node) { net.after(node) }
 
-func (net *Net) after(node *Node) {
-	for _, c := range node.Machine.TakeChanges() {
+func (net *Network) after(node *Node) {
+	for _, c := range node.Membership.TakeChanges() {
 		node.Changes = append(node.Changes, Change{net.Now, c})
 	}
-	for _, p := range node.Machine.TakePackets() {
+	for _, p := range node.Membership.TakePackets() {
 		net.deliver(node, p)
 	}
-	if net.Each != nil {
-		net.Each(node)
+	if net.AfterEvent != nil {
+		net.AfterEvent(node)
 	}
 }
 
-func (net *Net) deliver(from *Node, p membership.Packet) {
+func (net *Network) deliver(from *Node, p membership.Packet) {
 	from.Sent++
-	if net.Bytes > 0 {
-		if net.count%net.Bytes == 0 {
+	if net.EncodeEvery > 0 {
+		if net.count%net.EncodeEvery == 0 {
 			b, err := membership.Encode(p.Message)
 			if err != nil {
 				panic(fmt.Sprintf("seed %d: %v: %+v", net.Seed, err, p.Message))
@@ -246,45 +246,45 @@
 		from.Bytes += net.size
 	}
 	to := net.byAddr[p.To]
-	if to == nil || net.Cut != nil && net.Cut(from, to) {
+	if to == nil || net.Partitioned != nil && net.Partitioned(from, to) {
 		return
 	}
-	drop := net.Drop
-	if net.Loss != nil {
-		drop = net.Loss(from, to)
+	drop := net.LossRate
+	if net.LossRateBetween != nil {
+		drop = net.LossRateBetween(from, to)
 	}
 	for range 2 {
 		if drop == 0 || net.rng.Float64() >= drop {
-			net.push(event{at: net.Now + net.Delay + net.Jitter*net.rng.Float64() + to.Slow, node: to, msg: p.Message})
+			net.push(event{at: net.Now + net.Delay + net.Jitter*net.rng.Float64() + to.ProcessingDelay, node: to, msg: p.Message})
 		}
-		if net.Repeat == 0 || net.rng.Float64() >= net.Repeat {
+		if net.DuplicateRate == 0 || net.rng.Float64() >= net.DuplicateRate {
 			break
 		}
 	}
 }
 
-// Agreed says whether all members that run hold one view, and which number of living members it has.
-func (net *Net) Agreed() (one bool, alive int) {
+// Converged says whether all members that run hold one view, and which number of living members it has.
+func (net *Network) Converged() (one bool, alive int) {
 	var digest uint64
 	first := true
 	for _, n := range net.Nodes {
-		if n.Machine == nil || n.Paused || n.Machine.Withdrawn() {
+		if n.Membership == nil || n.Paused || n.Membership.Withdrawn() {
 			continue
 		}
-		a, _, _ := n.Machine.CountByState()
+		a, _, _ := n.Membership.CountByState()
 		if first {
-			digest, alive, first = n.Machine.Digest(), a, false
-		} else if n.Machine.Digest() != digest {
+			digest, alive, first = n.Membership.Digest(), a, false
+		} else if n.Membership.Digest() != digest {
 			return false, alive
 		}
 	}
 	return true, alive
 }
 
-// Running is how many processes run.
-func (net *Net) Running() (n int) {
+// RunningCount is how many processes run.
+func (net *Network) RunningCount() (n int) {
 	for _, node := range net.Nodes {
-		if node.Machine != nil && !node.Paused {
+		if node.Membership != nil && !node.Paused {
 			n++
 		}
 	}
--- a/loadbalancer/world_test.go
+++ b/loadbalancer/world_test.go
@@ -12,7 +12,7 @@
 type simulation struct {
 	plan    simulationPlan
 	now     float64
-	agenda  eventqueue.Agenda
+	agenda  eventqueue.Queue
 	rng     *rand.Rand
 	workers []*simWorker
 	nodes   []*simInstance
@@ -115,7 +115,7 @@
 	HandleDisconnect(now float64, id RequestID)
 }
 
-func (w *simulation) at(at float64, do func()) { w.agenda.At(max(at, w.now), do) }
+func (w *simulation) at(at float64, do func()) { w.agenda.Schedule(max(at, w.now), do) }
 
 // newSimulation draws a day. The same plan and seed draw the same day whoever decides: decisions have no part in these numbers.
 func newSimulation(plan simulationPlan, seed uint64, decide func(s Settings, seed uint64, act Actions) decider) *simulation {
@@ -431,7 +431,7 @@
 // run plays the day out and tells the share of the worth that was earned, in all and by class.
 func (w *simulation) run() (share float64, byClass []float64) {
 	for {
-		at, do, is := w.agenda.Next(1000 + w.plan.length + 60)
+		at, do, is := w.agenda.PopUntil(1000 + w.plan.length + 60)
 		if !is {
 			break
 		}
