--- a/internal/compatibility/sent_test.go
+++ b/internal/compatibility/sent_test.go
@@ -293,9 +293,9 @@
 // TestAnswersLookUps: where clients ask for proxies.
 func TestAnswersLookUps(t *testing.T) {
 	same(t, "path", directory.Path, "/-/lookup")
-	handler := &directory.Handler{TTLMax: 1500 * time.Millisecond, Members: edges{
-		{Node: "edge-1", Front: netip.MustParseAddrPort("10.0.0.1:80"), Zone: "east-a", Region: "east", Ready: true},
-		{Node: "edge-2", Front: netip.MustParseAddrPort("10.0.0.2:80"), Zone: "west-a", Region: "west", Ready: true}}}
+	handler := &directory.Handler{MaxTTL: 1500 * time.Millisecond, Source: edges{
+		{Node: "edge-1", Address: netip.MustParseAddrPort("10.0.0.1:80"), Zone: "east-a", Region: "east", Ready: true},
+		{Node: "edge-2", Address: netip.MustParseAddrPort("10.0.0.2:80"), Zone: "west-a", Region: "west", Ready: true}}}
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/-/lookup?region=east&zone=east-a", nil))
 	same(t, "answer", recorder.Body.String(), `{"addresses":["10.0.0.1:80"],"cache_ttl_s":1.5}`)
--- a/internal/system/control/directory.go
+++ b/internal/system/control/directory.go
@@ -25,7 +25,7 @@
 	front, _ := netip.ParseAddrPort(member.Front) // invalid until the member has announced it; the directory skips it then
 	return directory.Edge{
 		Node:     member.Node,
-		Front:    front,
+		Address:  front,
 		Zone:     member.Zone,
 		Region:   zones[member.Zone],
 		Health:   healthOf(member.State),
--- a/internal/system/control/directory/directory.go
+++ b/internal/system/control/directory/directory.go
@@ -21,7 +21,7 @@
 // Edge is an edge machine's proxy as the membership view has it.
 type Edge struct {
 	Node     string
-	Front    netip.AddrPort // where clients connect to
+	Address  netip.AddrPort // where clients connect to
 	Zone     string
 	Region   string
 	Health   Health
@@ -29,81 +29,81 @@
 	Stopping bool // it says that it will end
 }
 
-// Members is the membership view.
-type Members interface {
+// EdgeSource is the membership view.
+type EdgeSource interface {
 	// Edges returns the edge machines that are known, dead ones that are not yet forgotten included.
 	Edges() []Edge
 }
 
 // Bounds of an answer.
 const (
-	MostAddresses = 64 // that one answer holds
-	enoughInZone  = 2  // proxies: with fewer, a zone's clients are sent to the region's others, too
+	MaxAddresses = 64 // that one answer holds
+	minZoneEdges = 2  // proxies: with fewer, a zone's clients are sent to the region's others, too
 )
 
 // grades of a proxy: only those of the best grade that is present are given to clients.
 const (
-	gradeServing  = iota // alive, ready, not stopping
-	gradeSuspect         // the same, but it did not answer
-	gradeNotReady        // alive or suspect, but it says that it does not serve or will stop
-	gradeDead
-	grades
+	tierServing  = iota // alive, ready, not stopping
+	tierSuspect         // the same, but it did not answer
+	tierNotReady        // alive or suspect, but it says that it does not serve or will stop
+	tierDead
+	tierCount
 )
 
-func (e *Edge) grade() int {
+func (e *Edge) tier() int {
 	switch {
 	case e.Health == Dead:
-		return gradeDead
+		return tierDead
 	case !e.Ready || e.Stopping:
-		return gradeNotReady
+		return tierNotReady
 	case e.Health == Suspect:
-		return gradeSuspect
+		return tierSuspect
 	}
-	return gradeServing
+	return tierServing
 }
 
 // Choice is what a client is told.
 type Choice struct {
-	Addresses []netip.AddrPort // in the order in which to try them; empty only if no proxy is known
-	Away      bool             // all of them are in other regions than the client's, which has proxies
+	Addresses   []netip.AddrPort // in the order in which to try them; empty only if no proxy is known
+	OutOfRegion bool             // all of them are in other regions than the client's, which has proxies
 }
 
 // Choose returns the addresses for a client that stands in the region and zone, in an order drawn from rng within equal
 // distance.
 func Choose(edges []Edge, region, zone string, rng *rand.Rand) Choice {
-	near := nearest(bestGrade(edges), region, zone)
-	here := func(e *Edge) bool { return e.Region == region || e.Zone == zone }
-	home := slices.ContainsFunc(edges, func(e Edge) bool { return here(&e) })
-	return Choice{Addresses: shuffled(near, zone, rng), Away: home && !slices.ContainsFunc(near, here)}
+	near := nearest(bestTier(edges), region, zone)
+	inRegion := func(edge *Edge) bool { return edge.Region == region || edge.Zone == zone }
+	regionHasEdges := slices.ContainsFunc(edges, func(edge Edge) bool { return inRegion(&edge) })
+	return Choice{Addresses: shuffledAddresses(near, zone, rng), OutOfRegion: regionHasEdges && !slices.ContainsFunc(near, inRegion)}
 }
 
-// shuffled returns the addresses of edges, those of the zone first.
-func shuffled(near []*Edge, zone string, rng *rand.Rand) []netip.AddrPort {
-	rng.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
-	inZone := make([]netip.AddrPort, 0, min(len(near), MostAddresses))
+// shuffledAddresses returns the addresses of edges, those of the zone first.
+func shuffledAddresses(edges []*Edge, zone string, rng *rand.Rand) []netip.AddrPort {
+	rng.Shuffle(len(edges), func(i, j int) { edges[i], edges[j] = edges[j], edges[i] })
+	inZone := make([]netip.AddrPort, 0, min(len(edges), MaxAddresses))
 	var others []netip.AddrPort
-	for _, e := range near {
-		if e.Zone == zone {
-			inZone = append(inZone, e.Front)
+	for _, edge := range edges {
+		if edge.Zone == zone {
+			inZone = append(inZone, edge.Address)
 		} else {
-			others = append(others, e.Front)
+			others = append(others, edge.Address)
 		}
 	}
-	out := append(inZone, others...)
-	return out[:min(len(out), MostAddresses)]
+	addresses := append(inZone, others...)
+	return addresses[:min(len(addresses), MaxAddresses)]
 }
 
-// bestGrade returns the edges of the best grade that any has.
-func bestGrade(edges []Edge) []*Edge {
-	var byGrade [grades][]*Edge
+// bestTier returns the edges of the best grade that any has.
+func bestTier(edges []Edge) []*Edge {
+	var byTier [tierCount][]*Edge
 	for i := range edges {
-		if !edges[i].Front.IsValid() {
+		if !edges[i].Address.IsValid() {
 			continue
 		}
-		grade := edges[i].grade()
-		byGrade[grade] = append(byGrade[grade], &edges[i])
+		tier := edges[i].tier()
+		byTier[tier] = append(byTier[tier], &edges[i])
 	}
-	for _, found := range byGrade {
+	for _, found := range byTier {
 		if len(found) > 0 {
 			return found
 		}
@@ -114,7 +114,7 @@
 // nearest returns the zone's edges if there are enough, else the region's, else all.
 func nearest(edges []*Edge, region, zone string) []*Edge {
 	inZone := filter(edges, func(e *Edge) bool { return e.Zone == zone })
-	if len(inZone) >= enoughInZone {
+	if len(inZone) >= minZoneEdges {
 		return inZone
 	}
 	inRegion := filter(edges, func(e *Edge) bool { return e.Region == region || e.Zone == zone })
@@ -125,11 +125,11 @@
 }
 
 func filter(edges []*Edge, keep func(*Edge) bool) []*Edge {
-	var out []*Edge
+	var filtered []*Edge
 	for _, e := range edges {
 		if keep(e) {
-			out = append(out, e)
+			filtered = append(filtered, e)
 		}
 	}
-	return out
+	return filtered
 }
--- a/internal/system/control/directory/directory_test.go
+++ b/internal/system/control/directory/directory_test.go
@@ -14,28 +14,28 @@
 	"pgregory.net/rapid"
 )
 
-func edgeAt(n int, zone, region string) Edge {
-	return Edge{Node: fmt.Sprint("edge-", n), Front: front(n), Zone: zone, Region: region, Ready: true}
+func newEdge(n int, zone, region string) Edge {
+	return Edge{Node: fmt.Sprint("edge-", n), Address: edgeAddress(n), Zone: zone, Region: region, Ready: true}
 }
 
-func front(n int) netip.AddrPort {
+func edgeAddress(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(n >> 8), byte(n)}), 80)
 }
 
-func alter(e Edge, change func(*Edge)) Edge {
+func modified(e Edge, change func(*Edge)) Edge {
 	change(&e)
 	return e
 }
 
-func suspected(e Edge) Edge { return alter(e, func(e *Edge) { e.Health = Suspect }) }
-func dead(e Edge) Edge      { return alter(e, func(e *Edge) { e.Health = Dead }) }
-func stopping(e Edge) Edge  { return alter(e, func(e *Edge) { e.Stopping = true }) }
-func notReady(e Edge) Edge  { return alter(e, func(e *Edge) { e.Ready = false }) }
-func unknown(e Edge) Edge   { return alter(e, func(e *Edge) { e.Front = netip.AddrPort{} }) }
+func suspect(e Edge) Edge        { return modified(e, func(e *Edge) { e.Health = Suspect }) }
+func dead(e Edge) Edge           { return modified(e, func(e *Edge) { e.Health = Dead }) }
+func stopping(e Edge) Edge       { return modified(e, func(e *Edge) { e.Stopping = true }) }
+func notReady(e Edge) Edge       { return modified(e, func(e *Edge) { e.Ready = false }) }
+func withoutAddress(e Edge) Edge { return modified(e, func(e *Edge) { e.Address = netip.AddrPort{} }) }
 
-func TestChoices(t *testing.T) {
-	a1, a2, a3 := edgeAt(1, "a", "east"), edgeAt(2, "a", "east"), edgeAt(3, "a", "east")
-	b4, c5, c6 := edgeAt(4, "b", "east"), edgeAt(5, "c", "west"), edgeAt(6, "c", "west")
+func TestChoose(t *testing.T) {
+	a1, a2, a3 := newEdge(1, "a", "east"), newEdge(2, "a", "east"), newEdge(3, "a", "east")
+	b4, c5, c6 := newEdge(4, "b", "east"), newEdge(5, "c", "west"), newEdge(6, "c", "west")
 	cases := []struct {
 		name         string
 		edges        []Edge
@@ -48,89 +48,89 @@
 		{"the region has others only", []Edge{a1, b4, c5}, "east", "x", []int{1, 4}},
 		{"the region has none", []Edge{a1, b4, c5}, "south", "x", []int{1, 4, 5}},
 		{"the client does not say where it is", []Edge{a1, c5}, "", "", []int{1, 5}},
-		{"a suspected one is left out", []Edge{a1, suspected(a2), b4, c5}, "east", "a", []int{1, 4}},
+		{"a suspected one is left out", []Edge{a1, suspect(a2), b4, c5}, "east", "a", []int{1, 4}},
 		{"one that stops is left out", []Edge{a1, a2, stopping(a3)}, "east", "a", []int{1, 2}},
 		{"one that is not ready is left out", []Edge{notReady(a1), a2, a3}, "east", "a", []int{2, 3}},
-		{"all here are suspected: others before them", []Edge{suspected(a1), suspected(a2), c5}, "east", "a", []int{5}},
-		{"all are suspected", []Edge{suspected(a1), suspected(a2), suspected(c5)}, "east", "a", []int{1, 2}},
-		{"suspected before starting", []Edge{suspected(c5), notReady(a1), dead(a2)}, "east", "a", []int{5}},
+		{"all here are suspected: others before them", []Edge{suspect(a1), suspect(a2), c5}, "east", "a", []int{5}},
+		{"all are suspected", []Edge{suspect(a1), suspect(a2), suspect(c5)}, "east", "a", []int{1, 2}},
+		{"suspected before starting", []Edge{suspect(c5), notReady(a1), dead(a2)}, "east", "a", []int{5}},
 		{"starting before dead", []Edge{notReady(c6), dead(a1)}, "east", "a", []int{6}},
 		{"all are dead", []Edge{dead(a1), dead(c5)}, "east", "a", []int{1}},
-		{"an address is not known", []Edge{unknown(a1), a2, b4}, "east", "a", []int{2, 4}},
+		{"an address is not known", []Edge{withoutAddress(a1), a2, b4}, "east", "a", []int{2, 4}},
 	}
-	for _, c := range cases {
-		got := Choose(c.edges, c.region, c.zone, rand.New(rand.NewPCG(1, 2))).Addresses
+	for _, test := range cases {
+		got := Choose(test.edges, test.region, test.zone, rand.New(rand.NewPCG(1, 2))).Addresses
 		var want []netip.AddrPort
-		for _, n := range c.want {
-			want = append(want, front(n))
+		for _, n := range test.want {
+			want = append(want, edgeAddress(n))
 		}
 		slices.SortFunc(got, netip.AddrPort.Compare)
 		slices.SortFunc(want, netip.AddrPort.Compare)
 		if !slices.Equal(got, want) {
-			t.Errorf("%s: %v, want %v", c.name, got, want)
+			t.Errorf("%s: %v, want %v", test.name, got, want)
 		}
 	}
 }
 
-func TestZoneComesFirst(t *testing.T) {
-	edges := []Edge{edgeAt(1, "a", "east"), edgeAt(2, "b", "east"), edgeAt(3, "b", "east")}
+func TestChooseZoneFirst(t *testing.T) {
+	edges := []Edge{newEdge(1, "a", "east"), newEdge(2, "b", "east"), newEdge(3, "b", "east")}
 	for seed := range uint64(50) {
-		if got := Choose(edges, "east", "a", rand.New(rand.NewPCG(seed, 0))).Addresses; got[0] != front(1) {
+		if got := Choose(edges, "east", "a", rand.New(rand.NewPCG(seed, 0))).Addresses; got[0] != edgeAddress(1) {
 			t.Fatalf("%v: the zone's own does not come first", got)
 		}
 	}
 }
 
-// TestManyProxiesShareTheLoad holds that each of more proxies than an answer has room for is given to someone.
-func TestManyProxiesShareTheLoad(t *testing.T) {
+// TestChooseSpreadsLoad holds that each of more proxies than an answer has room for is given to someone.
+func TestChooseSpreadsLoad(t *testing.T) {
 	var edges []Edge
 	for i := range 200 {
-		edges = append(edges, edgeAt(i+1, "a", "east"))
+		edges = append(edges, newEdge(i+1, "a", "east"))
 	}
-	given := map[netip.AddrPort]int{}
+	count := map[netip.AddrPort]int{}
 	for seed := range uint64(200) {
 		got := Choose(edges, "east", "a", rand.New(rand.NewPCG(seed, 0))).Addresses
-		if len(got) != MostAddresses {
+		if len(got) != MaxAddresses {
 			t.Fatalf("%d addresses", len(got))
 		}
 		for _, address := range got {
-			given[address]++
+			count[address]++
 		}
 	}
 	for i := range 200 {
-		if n := given[front(i+1)]; n < 30 || n > 110 { // 64 expected, five standard deviations about 33
-			t.Errorf("proxy %d was given %d times of 200", i+1, n)
+		if times := count[edgeAddress(i+1)]; times < 30 || times > 110 { // 64 expected, five standard deviations about 33
+			t.Errorf("proxy %d was given %d times of 200", i+1, times)
 		}
 	}
 }
 
-// TestAnswersOfAnyView holds that an answer is empty only if nobody is known, and never names a worse proxy beside one
+// TestChooseBestTierOnly holds that an answer is empty only if nobody is known, and never names a worse proxy beside one
 // that serves.
-func TestAnswersOfAnyView(t *testing.T) {
+func TestChooseBestTierOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []string{"a", "b", "c"}
 		regions := map[string]string{"a": "east", "b": "east", "c": "west"}
 		var edges []Edge
 		for i := range rapid.IntRange(0, 80).Draw(t, "edges") {
 			zone := rapid.SampledFrom(zones).Draw(t, "zone")
-			edges = append(edges, Edge{Front: front(i + 1), Zone: zone, Region: regions[zone],
+			edges = append(edges, Edge{Address: edgeAddress(i + 1), Zone: zone, Region: regions[zone],
 				Health: Health(rapid.IntRange(0, 2).Draw(t, "health")), Ready: rapid.Bool().Draw(t, "ready"),
 				Stopping: rapid.Bool().Draw(t, "stopping")})
 		}
 		got := Choose(edges, "east", rapid.SampledFrom(zones).Draw(t, "from"), rand.New(rand.NewPCG(1, 1))).Addresses
-		if (len(got) == 0) != (len(edges) == 0) || len(got) > MostAddresses {
+		if (len(got) == 0) != (len(edges) == 0) || len(got) > MaxAddresses {
 			t.Fatalf("%d addresses of %d proxies", len(got), len(edges))
 		}
-		best := grades
+		best := tierCount
 		byFront := map[netip.AddrPort]*Edge{}
 		for i := range edges {
-			best = min(best, edges[i].grade())
-			byFront[edges[i].Front] = &edges[i]
+			best = min(best, edges[i].tier())
+			byFront[edges[i].Address] = &edges[i]
 		}
 		seen := map[netip.AddrPort]bool{}
 		for _, address := range got {
-			if e := byFront[address]; e == nil || e.grade() != best || seen[address] {
-				t.Fatalf("%v is given: %+v", address, e)
+			if edge := byFront[address]; edge == nil || edge.tier() != best || seen[address] {
+				t.Fatalf("%v is given: %+v", address, edge)
 			}
 			seen[address] = true
 		}
@@ -138,9 +138,9 @@
 }
 
 // An answer that leads out of the client's region is held for a short time only: the region's proxies may be back soon.
-func TestAnswersThatLeadAway(t *testing.T) {
-	here, there := edgeAt(1, "a", "east"), edgeAt(2, "c", "west")
-	for _, c := range []struct {
+func TestOutOfRegionTTL(t *testing.T) {
+	here, there := newEdge(1, "a", "east"), newEdge(2, "c", "west")
+	for _, test := range []struct {
 		name  string
 		edges []Edge
 		away  bool
@@ -151,57 +151,57 @@
 		{"nobody serves", []Edge{stopping(here), stopping(there)}, false},
 		{"the region never had any", []Edge{there}, false},
 	} {
-		if got := Choose(c.edges, "east", "a", rand.New(rand.NewPCG(1, 1))); got.Away != c.away {
-			t.Errorf("%s: %+v", c.name, got)
+		if got := Choose(test.edges, "east", "a", rand.New(rand.NewPCG(1, 1))); got.OutOfRegion != test.away {
+			t.Errorf("%s: %+v", test.name, got)
 		}
-		h := &Handler{Members: fixedMembers(c.edges), TTLMax: 5 * time.Second}
-		want := usualTTL
-		if c.away {
-			want = awayTTL
+		handler := &Handler{Source: fixedEdges(test.edges), MaxTTL: 5 * time.Second}
+		want := defaultTTL
+		if test.away {
+			want = outOfRegionTTL
 		}
 		recorder := httptest.NewRecorder()
-		h.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, Path+"?region=east&zone=a", nil))
+		handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, Path+"?region=east&zone=a", nil))
 		var body struct {
 			TTL float64 `json:"cache_ttl_s"`
 		}
 		if err := json.Unmarshal(recorder.Body.Bytes(), &body); err != nil || body.TTL != want.Seconds() {
-			t.Errorf("%s: held for %v s, want %v (%v)", c.name, body.TTL, want, err)
+			t.Errorf("%s: held for %v s, want %v (%v)", test.name, body.TTL, want, err)
 		}
 	}
 }
 
-type fixedMembers []Edge
+type fixedEdges []Edge
 
-func (m fixedMembers) Edges() []Edge { return m }
+func (m fixedEdges) Edges() []Edge { return m }
 
-func TestHandler(t *testing.T) {
-	get := func(h *Handler, method string) *httptest.ResponseRecorder {
+func TestServeHTTP(t *testing.T) {
+	get := func(handler *Handler, method string) *httptest.ResponseRecorder {
 		recorder := httptest.NewRecorder()
 		request := httptest.NewRequest(method, Path+"?name=h.example&region=east&zone=a", nil)
-		h.ServeHTTP(recorder, request)
+		handler.ServeHTTP(recorder, request)
 		return recorder
 	}
-	h := &Handler{Members: fixedMembers{edgeAt(1, "a", "east"), edgeAt(2, "c", "west")}, TTLMax: 5 * time.Second}
-	answer := get(h, http.MethodGet)
+	handler := &Handler{Source: fixedEdges{newEdge(1, "a", "east"), newEdge(2, "c", "west")}, MaxTTL: 5 * time.Second}
+	reply := get(handler, http.MethodGet)
 	var body struct {
 		Addresses []string `json:"addresses"`
 		TTL       float64  `json:"cache_ttl_s"`
 	}
-	if err := json.Unmarshal(answer.Body.Bytes(), &body); err != nil || answer.Code != http.StatusOK {
-		t.Fatalf("%d %s: %v", answer.Code, answer.Body, err)
+	if err := json.Unmarshal(reply.Body.Bytes(), &body); err != nil || reply.Code != http.StatusOK {
+		t.Fatalf("%d %s: %v", reply.Code, reply.Body, err)
 	}
 	if len(body.Addresses) != 1 || body.Addresses[0] != "10.0.0.1:80" || body.TTL != 2 {
-		t.Errorf("%s", answer.Body)
+		t.Errorf("%s", reply.Body)
 	}
-	h.TTLMax = 500 * time.Millisecond
-	if err := json.Unmarshal(get(h, http.MethodGet).Body.Bytes(), &body); err != nil || body.TTL != 0.5 {
+	handler.MaxTTL = 500 * time.Millisecond
+	if err := json.Unmarshal(get(handler, http.MethodGet).Body.Bytes(), &body); err != nil || body.TTL != 0.5 {
 		t.Errorf("answers are held for %v s, %v", body.TTL, err)
 	}
-	if answer := get(h, http.MethodPost); answer.Code != http.StatusMethodNotAllowed {
-		t.Errorf("POST: %d", answer.Code)
+	if reply := get(handler, http.MethodPost); reply.Code != http.StatusMethodNotAllowed {
+		t.Errorf("POST: %d", reply.Code)
 	}
-	answer = get(&Handler{Members: fixedMembers{}}, http.MethodGet)
-	if answer.Code != http.StatusServiceUnavailable || answer.Header().Get("Retry-After") == "" {
-		t.Errorf("nobody is known: %d", answer.Code)
+	reply = get(&Handler{Source: fixedEdges{}}, http.MethodGet)
+	if reply.Code != http.StatusServiceUnavailable || reply.Header().Get("Retry-After") == "" {
+		t.Errorf("nobody is known: %d", reply.Code)
 	}
 }
--- a/internal/system/control/listeners.go
+++ b/internal/system/control/listeners.go
@@ -53,7 +53,7 @@
 	if err = p.serveHTTP(ctx, settings.ListenOn.Control, p.operatorAPI()); err != nil {
 		return err
 	}
-	lookups := &directory.Handler{Members: p, TTLMax: settings.Timing.TTLMax}
+	lookups := &directory.Handler{Source: p, MaxTTL: settings.Timing.TTLMax}
 	return p.serveHTTP(ctx, settings.ListenOn.Directory, newDirectoryMux(lookups))
 }
 
