--- a/internal/shared/eventloop/hold_test.go
+++ b/internal/shared/eventloop/backpressure_test.go
@@ -11,30 +11,30 @@
 // Guards against bytes that are lost when a peer closes while it is held back, and against its close being told before
 // them.
 func TestStalledPeerCloses(t *testing.T) {
-	l := newLoop(t, 100)
+	loop := newLoop(t, 100)
 	var heard []string
 
-	listener, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) Handler {
+	listener, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) Handler {
 		c.Write([]byte("pong"))
-		l.Defer(c.Close)
-		return side{&heard, "server", nil}
+		loop.Defer(c.Close)
+		return recordingHandler{&heard, "server", nil}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Connect(listener.Addr(), side{&heard, "client", func(what string, c *Conn) {
+	loop.Connect(listener.Addr(), recordingHandler{&heard, "client", func(what string, c *Conn) {
 		switch what {
 		case "opened":
 			c.SetStalled(true)
-			l.At(l.Now()+0.05, func() {
+			loop.At(loop.Now()+0.05, func() {
 				heard = append(heard, "read on")
 				c.SetStalled(false)
 			})
 		case "closed":
-			l.Stop()
+			loop.Stop()
 		}
 	}})
-	if err := l.Run(); err != nil {
+	if err := loop.Run(); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff([]string{"client opened", "read on", "client data pong", "client closed"}, heard); diff != "" {
@@ -42,31 +42,31 @@
 	}
 }
 
-// drainer hears when all has gone out.
-type drainer struct {
-	side
+// drainRecorder hears when all has gone out.
+type drainRecorder struct {
+	recordingHandler
 	drained int
 }
 
-func (d *drainer) Drained(*Conn) { d.drained++ }
+func (d *drainRecorder) Drained(*Conn) { d.drained++ }
 
 // A writer that had to wait hears when the peer has taken all; what was read is lent only until it is consumed.
-func TestDrained(t *testing.T) {
-	l := newLoop(t, 100)
-	l.ZeroCopyReads = true
+func TestDrainedAfterBlockedWrite(t *testing.T) {
+	loop := newLoop(t, 100)
+	loop.ZeroCopyReads = true
 	const size = 16 << 20
 	var heard []string
-	d := &drainer{side: side{&heard, "server", nil}}
-	listener, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) Handler {
+	d := &drainRecorder{recordingHandler: recordingHandler{&heard, "server", nil}}
+	listener, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) Handler {
 		c.Write([]byte(strings.Repeat("x", size)))
 		return d
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	reader := &keeper{want: size, done: l.Stop}
-	l.Connect(listener.Addr(), reader)
-	if err := l.Run(); err != nil {
+	reader := &partialReader{want: size, done: loop.Stop}
+	loop.Connect(listener.Addr(), reader)
+	if err := loop.Run(); err != nil {
 		t.Fatal(err)
 	}
 	if d.drained != 1 || reader.got != size || reader.wrong {
@@ -74,16 +74,16 @@
 	}
 }
 
-// keeper consumes all but a few bytes, which it looks at again with the next ones.
-type keeper struct {
+// partialReader consumes all but a few bytes, which it looks at again with the next ones.
+type partialReader struct {
 	want, got int
 	wrong     bool
 	done      func()
 }
 
-func (k *keeper) Opened(*Conn)        {}
-func (k *keeper) Closed(*Conn, error) {}
-func (k *keeper) Data(c *Conn) {
+func (k *partialReader) Opened(*Conn)        {}
+func (k *partialReader) Closed(*Conn, error) {}
+func (k *partialReader) Data(c *Conn) {
 	b := c.Bytes()
 	k.wrong = k.wrong || strings.Trim(string(b), "x") != ""
 	n := max(0, len(b)-3)
@@ -97,8 +97,8 @@
 }
 
 // Guards against an answer that is lost because its sender reset the connection while the request was still being written.
-func TestAnswerBeforeReset(t *testing.T) {
-	l := newLoop(t, 100)
+func TestResponseBeforeReset(t *testing.T) {
+	loop := newLoop(t, 100)
 	var heard []string
 	var server, client *Conn
 	both := func() {
@@ -109,25 +109,25 @@
 		server.Reset()
 		client.Write([]byte("more")) // meets the reset
 	}
-	listener, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) Handler {
+	listener, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) Handler {
 		server = c
-		l.Defer(both)
-		return side{&heard, "server", nil}
+		loop.Defer(both)
+		return recordingHandler{&heard, "server", nil}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	client = l.Connect(listener.Addr(), side{&heard, "client", func(what string, c *Conn) {
+	client = loop.Connect(listener.Addr(), recordingHandler{&heard, "client", func(what string, c *Conn) {
 		switch what {
 		case "opened":
 			c.ReadBeforeReset()
 			c.SetStalled(true)
-			l.Defer(both)
+			loop.Defer(both)
 		case "closed":
-			l.Stop()
+			loop.Stop()
 		}
 	}})
-	if err := l.Run(); err != nil {
+	if err := loop.Run(); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff([]string{"client opened", "client data answer", "client closed"}, heard); diff != "" {
--- a/internal/shared/eventloop/conn.go
+++ b/internal/shared/eventloop/conn.go
@@ -14,76 +14,78 @@
 
 // Conn is one connection.
 type Conn struct {
-	loop       *Loop
-	h          slotmap.Handle
-	fd         int
-	handler    Handler
-	in, out    []byte
-	written    uint64 // bytes that have gone out
-	connecting bool
-	urgent     bool
-	writing    bool // waits for room to write
-	paused     bool // is not read
-	stalled    bool // is not read, and the peer's close waits until it is
-	unwatched  bool // has ended while it was stalled
-	closing    bool // closes once all is written and the peer has closed too
-	lingers    bool // all is written
-	finishing  bool // closes this side once all is written
-	finished   bool // has
-	whole      bool // and the peer has read all of it
-	discarded  int  // bytes thrown away meanwhile
-	limit      *Timer
-	broken     bool      // has failed; Closed is on its way
-	readsLast  bool      // what came before a failed write is read
-	hungUp     bool      // the peer has closed its side or reset the connection
-	home       *Listener // that accepted it, of one that stands apart
-	rights     *rights   // of one that descriptors pass along
+	loop                *Loop
+	handle              slotmap.Handle
+	fd                  int
+	handler             Handler
+	received, unsent    []byte
+	writtenBytes        uint64 // bytes that have gone out
+	connecting          bool
+	readFirst           bool
+	awaitsWritable      bool // waits for room to write
+	paused              bool // is not read
+	stalled             bool // is not read, and the peer's close waits until it is
+	unwatched           bool // has ended while it was stalled
+	closeAfterFlush     bool // closes once all is written and the peer has closed too
+	lingering           bool // all is written
+	closeWriteRequested bool // closes this side once all is written
+	writeClosed         bool // has
+	peerReadAll         bool // and the peer has read all of it
+	discardedBytes      int  // bytes thrown away meanwhile
+	lingerTimer         *Timer
+	failed              bool             // has failed; Closed is on its way
+	readBeforeReset     bool             // what came before a failed write is read
+	hungUp              bool             // the peer has closed its side or reset the connection
+	reservedBy          *Listener        // that accepted it, of one that stands apart
+	descriptors         *descriptorQueue // of one that descriptors pass along
 }
 
 // ErrNoDescriptor says that no descriptor was to be had.
 var ErrNoDescriptor = errors.New("transport: no descriptor to spare")
 
 // Connect opens a connection to addr. What goes wrong at once is told like all else: by Closed, later.
-func (l *Loop) Connect(addr netip.AddrPort, h Handler) *Conn {
-	return l.connect(func() (int, error) { return l.system.Connect(addr) }, h)
+func (l *Loop) Connect(addr netip.AddrPort, handler Handler) *Conn {
+	return l.connect(func() (int, error) { return l.system.Connect(addr) }, handler)
 }
 
 // ConnectUnix opens a connection to a unix socket.
-func (l *Loop) ConnectUnix(path string, h Handler) *Conn {
-	return l.connect(func() (int, error) { return connectSocket(unix.AF_UNIX, &unix.SockaddrUnix{Name: path}) }, h)
+func (l *Loop) ConnectUnix(path string, handler Handler) *Conn {
+	return l.connect(func() (int, error) { return connectSocket(unix.AF_UNIX, &unix.SockaddrUnix{Name: path}) }, handler)
 }
 
-func (l *Loop) connect(begin func() (fd int, err error), h Handler) *Conn {
-	c := &Conn{loop: l, fd: -1, handler: h, connecting: true}
-	if !l.room() {
-		c.breakLater(ErrNoDescriptor)
-		return c
+func (l *Loop) connect(begin func() (fd int, err error), handler Handler) *Conn {
+	conn := &Conn{loop: l, fd: -1, handler: handler, connecting: true}
+	if !l.makeRoom() {
+		conn.failLater(ErrNoDescriptor)
+		return conn
 	}
 	fd, err := begin()
-	if noDescriptor(err) && l.spare() {
+	if isDescriptorLimit(err) && l.freeDescriptor() {
 		fd, err = begin()
 	}
-	if noDescriptor(err) {
+	if isDescriptorLimit(err) {
 		err = fmt.Errorf("transport: socket: %w", ErrNoDescriptor)
 	}
 	if err != nil {
-		c.breakLater(err)
-		return c
+		conn.failLater(err)
+		return conn
 	}
-	c.fd = fd
-	if err := c.register(unix.EPOLLIN | unix.EPOLLOUT | unix.EPOLLRDHUP); err != nil {
-		c.breakLater(err)
+	conn.fd = fd
+	if err := conn.register(unix.EPOLLIN | unix.EPOLLOUT | unix.EPOLLRDHUP); err != nil {
+		conn.failLater(err)
 	}
-	return c
+	return conn
 }
 
-// noDescriptor says whether an error is the want of a descriptor.
-func noDescriptor(err error) bool { return errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE) }
+// isDescriptorLimit says whether an error is the want of a descriptor.
+func isDescriptorLimit(err error) bool {
+	return errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE)
+}
 
 func (c *Conn) register(events uint32) error {
 	_ = unix.SetsockoptInt(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	c.h = c.loop.conns.Insert(c)
-	if err := c.loop.control(unix.EPOLL_CTL_ADD, c.fd, c.h, events); err != nil {
+	c.handle = c.loop.conns.Insert(c)
+	if err := c.loop.watch(unix.EPOLL_CTL_ADD, c.fd, c.handle, events); err != nil {
 		c.Close()
 		return err
 	}
@@ -94,36 +96,36 @@
 func (c *Conn) Open() bool { return c.fd >= 0 }
 
 // Peer is the address of the other side.
-func (c *Conn) Peer() netip.AddrPort { return address(unix.Getpeername(c.fd)) }
+func (c *Conn) Peer() netip.AddrPort { return addrPortOf(unix.Getpeername(c.fd)) }
 
 // ReadFirst has the connection read first in every turn.
 func (c *Conn) ReadFirst() {
-	c.urgent = true
-	c.loop.urgent = append(c.loop.urgent, c)
+	c.readFirst = true
+	c.loop.readFirst = append(c.loop.readFirst, c)
 }
 
 // Bytes is what has come and was not consumed.
-func (c *Conn) Bytes() []byte { return c.in }
+func (c *Conn) Bytes() []byte { return c.received }
 
 // Consume drops the first n bytes of what has come.
 func (c *Conn) Consume(n int) {
 	if c.fd >= 0 {
-		c.loop.held -= n
+		c.loop.bufferedBytes -= n
 	}
-	if c.in = c.in[n:]; len(c.in) == 0 {
-		c.in = nil
+	if c.received = c.received[n:]; len(c.received) == 0 {
+		c.received = nil
 	}
 }
 
 // Unsent is how many bytes given to Write have not gone out.
-func (c *Conn) Unsent() int { return len(c.out) }
+func (c *Conn) Unsent() int { return len(c.unsent) }
 
 // Written is how many bytes have gone out since the connection came up.
-func (c *Conn) Written() uint64 { return c.written }
+func (c *Conn) Written() uint64 { return c.writtenBytes }
 
 // Alive looks whether the peer still holds an idle connection: one it has closed must not carry a request.
 func (c *Conn) Alive() bool {
-	if c.fd < 0 || c.broken || c.connecting {
+	if c.fd < 0 || c.failed || c.connecting {
 		return false
 	}
 	_, err := c.loop.system.Peek(c.fd)
@@ -132,30 +134,30 @@
 
 // Write sends b, now or as the peer takes it. A failure is told by Closed, later.
 func (c *Conn) Write(b []byte) {
-	if c.fd < 0 || c.broken || c.closing || c.finishing {
+	if c.fd < 0 || c.failed || c.closeAfterFlush || c.closeWriteRequested {
 		return
 	}
-	if len(c.out) == 0 && !c.connecting {
-		n, err := c.push(b)
-		c.written += uint64(n)
+	if len(c.unsent) == 0 && !c.connecting {
+		n, err := c.send(b)
+		c.writtenBytes += uint64(n)
 		if err != nil {
-			c.out = append(c.out, b[n:]...)
-			c.breakLater(err)
+			c.unsent = append(c.unsent, b[n:]...)
+			c.failLater(err)
 			return
 		}
 		b = b[n:]
 	}
-	if c.out = append(c.out, b...); len(c.out) > 0 {
-		c.arm()
+	if c.unsent = append(c.unsent, b...); len(c.unsent) > 0 {
+		c.updateWriteInterest()
 	}
 }
 
-// write sends what the socket takes.
-func (c *Conn) write(b []byte) (n int, err error) {
+// writeSocket sends what the socket takes.
+func (c *Conn) writeSocket(b []byte) (n int, err error) {
 	for n < len(b) {
-		m, err := c.loop.system.Write(c.fd, b[n:])
-		if m > 0 {
-			n += m
+		count, err := c.loop.system.Write(c.fd, b[n:])
+		if count > 0 {
+			n += count
 		}
 		if errors.Is(err, unix.EINTR) {
 			continue
@@ -170,76 +172,76 @@
 	return n, nil
 }
 
-// arm keeps the events waited for in step with whether there is something to write and whether to read.
-func (c *Conn) arm() {
+// updateWriteInterest keeps the events waited for in step with whether there is something to write and whether to read.
+func (c *Conn) updateWriteInterest() {
 	if c.fd < 0 || c.connecting {
 		return
 	}
-	want := len(c.out) > 0
-	if want == c.writing {
+	want := len(c.unsent) > 0
+	if want == c.awaitsWritable {
 		return
 	}
-	c.writing = want
-	c.wait()
+	c.awaitsWritable = want
+	c.updateEvents()
 }
 
-func (c *Conn) wait() {
+func (c *Conn) updateEvents() {
 	events := uint32(unix.EPOLLRDHUP)
 	if !c.paused && !c.stalled {
 		events |= unix.EPOLLIN
 	}
-	if c.writing {
+	if c.awaitsWritable {
 		events |= unix.EPOLLOUT
 	}
-	_ = c.loop.control(unix.EPOLL_CTL_MOD, c.fd, c.h, events)
+	_ = c.loop.watch(unix.EPOLL_CTL_MOD, c.fd, c.handle, events)
 }
 
 // SetPaused leaves what comes to the system's buffers, so that a peer which sends ahead is held back; Resume reads
 // on. The peer's close is told all the same.
-func (c *Conn) SetPaused(on bool) {
-	if c.paused != on && c.fd >= 0 && !c.connecting && !c.broken {
-		c.paused = on
-		c.wait()
+func (c *Conn) SetPaused(paused bool) {
+	if c.paused != paused && c.fd >= 0 && !c.connecting && !c.failed {
+		c.paused = paused
+		c.updateEvents()
 	}
 }
 
 // CloseAfterFlush closes once all that was given to Write has gone out and the peer has closed its side, or has
 // had the time for it; nothing more is told. What the peer still sends is thrown away.
 func (c *Conn) CloseAfterFlush() {
-	if c.fd < 0 || c.broken || c.closing {
+	if c.fd < 0 || c.failed || c.closeAfterFlush {
 		return
 	}
-	c.closing = true
-	c.loop.held -= len(c.in)
-	c.in = nil
-	c.limit = c.loop.At(c.loop.now+lingerTime, c.Close)
-	if len(c.out) == 0 {
-		c.linger()
+	c.closeAfterFlush = true
+	c.loop.bufferedBytes -= len(c.received)
+	c.received = nil
+	c.lingerTimer = c.loop.At(c.loop.now+lingerSeconds, c.Close)
+	if len(c.unsent) == 0 {
+		c.startLinger()
 	}
 }
 
-// linger says that nothing more comes from here and waits for the peer to have read it.
-func (c *Conn) linger() {
-	c.lingers = true
+// startLinger says that nothing more comes from here and waits for the peer to have read it.
+func (c *Conn) startLinger() {
+	c.lingering = true
 	c.SetPaused(false)
 	if err := c.loop.system.ShutdownWrite(c.fd); err != nil {
 		c.Close()
 		return
 	}
 	c.loop.lingering = append(c.loop.lingering, c)
-	if len(c.loop.lingering) > mostLinger {
+	if len(c.loop.lingering) > maxLingering {
 		c.loop.lingering[0].Close()
 	}
 }
 
-// discard throws away what has come.
-func (c *Conn) discard() {
-	for i := 0; i < readRounds && c.fd >= 0; i++ {
-		n, err := c.loop.system.Discard(c.fd, c.loop.scratch)
+// discardReceived throws away what has come.
+func (c *Conn) discardReceived() {
+	for i := 0; i < maxReadsPerIteration && c.fd >= 0; i++ {
+		n, err := c.loop.system.Discard(c.fd, c.loop.readBuffer)
 		if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) {
 			return
 		}
-		if c.discarded += n; err != nil || n == 0 || c.discarded > lingerBytes {
+		if c.discardedBytes += n; err != nil || n == 0 || c.discardedBytes > maxLingerDiscardBytes {
 			c.Close()
 		}
 	}
@@ -247,50 +249,50 @@
 
 // Close ends the connection without a word to its owner.
 func (c *Conn) Close() {
-	if c.urgent {
-		c.urgent = false
-		for i, u := range c.loop.urgent {
+	if c.readFirst {
+		c.readFirst = false
+		for i, u := range c.loop.readFirst {
 			if u == c {
-				c.loop.urgent = append(append([]*Conn(nil), c.loop.urgent[:i]...), c.loop.urgent[i+1:]...)
+				c.loop.readFirst = append(append([]*Conn(nil), c.loop.readFirst[:i]...), c.loop.readFirst[i+1:]...)
 				break
 			}
 		}
 	}
-	c.limit.Stop()
-	c.rights.drop()
-	if c.lingers {
-		c.lingers = false
+	c.lingerTimer.Stop()
+	c.descriptors.closeAll()
+	if c.lingering {
+		c.lingering = false
 		c.loop.lingering = slices.DeleteFunc(c.loop.lingering, func(o *Conn) bool { return o == c })
 	}
-	c.loop.conns.Remove(c.h)
-	if c.home != nil {
-		c.home.open--
-		c.loop.apart--
-		c.home = nil
+	c.loop.conns.Remove(c.handle)
+	if c.reservedBy != nil {
+		c.reservedBy.reservedOpen--
+		c.loop.reservedSockets--
+		c.reservedBy = nil
 	}
 	if c.fd >= 0 {
 		c.loop.system.Close(c.fd)
 		c.fd = -1
-		c.loop.held -= len(c.in) // the owner may still look at them
+		c.loop.bufferedBytes -= len(c.received) // the owner may still look at them
 	}
-	c.handler, c.broken = nil, true
+	c.handler, c.failed = nil, true
 }
 
-// breakLater tells the owner of a failure once the event at hand is over.
-func (c *Conn) breakLater(err error) {
-	if c.broken {
+// failLater tells the owner of a failure once the event at hand is over.
+func (c *Conn) failLater(err error) {
+	if c.failed {
 		return
 	}
-	c.broken = true
+	c.failed = true
 	c.loop.Defer(func() {
-		c.readLast()
+		c.readRemaining()
 		c.fail(err)
 	})
 }
 
 // ReadBeforeReset has what the peer sent before it reset the connection shown to the owner also when a write meets the reset:
 // without it those bytes are lost, and with them an answer that came while its request was still being written.
-func (c *Conn) ReadBeforeReset() { c.readsLast = true }
+func (c *Conn) ReadBeforeReset() { c.readBeforeReset = true }
 
 // HungUp says whether the peer is known to have closed its side or to have reset the connection, though what it sent
 // before may not have been read.
@@ -303,8 +305,8 @@
 	}
 }
 
-func (c *Conn) event(events uint32) {
-	if c.broken {
+func (c *Conn) handleEvent(events uint32) {
+	if c.failed {
 		return
 	}
 	if c.connecting {
@@ -315,9 +317,9 @@
 		if events&(unix.EPOLLOUT|unix.EPOLLIN) == 0 {
 			return
 		}
-		c.connecting, c.writing = false, true
+		c.connecting, c.awaitsWritable = false, true
 		c.handler.Opened(c)
-		if c.fd >= 0 && !c.broken {
+		if c.fd >= 0 && !c.failed {
 			c.flush()
 		}
 	} else if events&unix.EPOLLOUT != 0 {
@@ -326,82 +328,82 @@
 	ended := events&(unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0
 	c.hungUp = c.hungUp || ended
 	switch {
-	case c.fd < 0 || c.broken:
+	case c.fd < 0 || c.failed:
 	case c.stalled && ended:
 		c.unwatch()
 	case c.paused && ended: // what it sent ahead is not looked at any more
 		c.fail(io.EOF)
 	case ended || events&unix.EPOLLIN != 0:
-		c.readable()
+		c.handleReadable()
 	}
 }
 
 func (c *Conn) flush() {
-	n, err := c.push(c.out)
-	c.written += uint64(n)
-	c.out = c.out[n:]
+	n, err := c.send(c.unsent)
+	c.writtenBytes += uint64(n)
+	c.unsent = c.unsent[n:]
 	if err != nil {
-		if c.closing {
+		if c.closeAfterFlush {
 			c.Close()
 			return
 		}
-		c.broken = true
-		c.readLast()
+		c.failed = true
+		c.readRemaining()
 		c.fail(err)
 		return
 	}
-	drained := len(c.out) == 0 && c.out != nil
-	if len(c.out) == 0 {
-		c.out = nil
+	drained := len(c.unsent) == 0 && c.unsent != nil
+	if len(c.unsent) == 0 {
+		c.unsent = nil
 	}
-	c.arm()
-	if d, ok := c.handler.(Drainer); ok && drained && !c.closing {
+	c.updateWriteInterest()
+	if d, ok := c.handler.(Drainer); ok && drained && !c.closeAfterFlush {
 		d.Drained(c)
-		if c.fd < 0 || c.broken {
+		if c.fd < 0 || c.failed {
 			return
 		}
 	}
-	if c.closing && len(c.out) == 0 {
-		c.linger()
+	if c.closeAfterFlush && len(c.unsent) == 0 {
+		c.startLinger()
 	}
-	if c.finishing && !c.finished && len(c.out) == 0 {
-		c.finish()
+	if c.closeWriteRequested && !c.writeClosed && len(c.unsent) == 0 {
+		c.shutdownWrite()
 	}
 }
 
-// take shows the owner the n bytes that were read.
-func (c *Conn) take(n int) {
-	c.loop.held += n
-	lent := c.loop.ZeroCopyReads && len(c.in) == 0
+// deliver shows the owner the n bytes that were read.
+func (c *Conn) deliver(n int) {
+	c.loop.bufferedBytes += n
+	lent := c.loop.ZeroCopyReads && len(c.received) == 0
 	if lent {
-		c.in = c.loop.scratch[:n:n]
+		c.received = c.loop.readBuffer[:n:n]
 	} else {
-		c.in = append(c.in, c.loop.scratch[:n]...)
+		c.received = append(c.received, c.loop.readBuffer[:n]...)
 	}
 	c.handler.Data(c)
-	if lent && len(c.in) > 0 {
-		c.in = append([]byte(nil), c.in...)
+	if lent && len(c.received) > 0 {
+		c.received = append([]byte(nil), c.received...)
 	}
 }
 
-func (c *Conn) readable() {
-	for i := 0; i < readRounds && c.fd >= 0 && !c.broken && !c.paused && !c.stalled; i++ {
-		if c.closing { // the last answer is going out, or has gone: what comes now is nobody's
-			c.discard()
+func (c *Conn) handleReadable() {
+	for i := 0; i < maxReadsPerIteration && c.fd >= 0 && !c.failed && !c.paused && !c.stalled; i++ {
+		if c.closeAfterFlush { // the last answer is going out, or has gone: what comes now is nobody's
+			c.discardReceived()
 			return
 		}
-		n, err := c.pull()
+		n, err := c.receive()
 		switch {
 		case n > 0:
-			c.take(n)
-			if n < len(c.loop.scratch) {
+			c.deliver(n)
+			if n < len(c.loop.readBuffer) {
 				return // a hang-up, if any, shows in the next turn
 			}
 		case errors.Is(err, unix.EINTR):
 		case errors.Is(err, unix.EAGAIN):
 			return
 		case err == nil:
-			c.ended()
+			c.notePeerClose()
 			c.fail(io.EOF)
 		default:
 			c.fail(fmt.Errorf("transport: read: %w", err))
--- a/internal/shared/eventloop/hold.go
+++ b/internal/shared/eventloop/hold.go
@@ -8,25 +8,25 @@
 
 // SetStalled leaves what comes to the system's buffers, as Pause does, and keeps it also when the peer closes or resets
 // meanwhile: the end is told once all has been read.
-func (c *Conn) SetStalled(on bool) {
-	if c.stalled == on || c.fd < 0 || c.connecting || c.broken {
+func (c *Conn) SetStalled(stalled bool) {
+	if c.stalled == stalled || c.fd < 0 || c.connecting || c.failed {
 		return
 	}
-	c.stalled = on
+	c.stalled = stalled
 	if !c.unwatched {
-		c.wait()
+		c.updateEvents()
 		return
 	}
 	c.unwatched = false
-	if err := c.loop.control(unix.EPOLL_CTL_ADD, c.fd, c.h, unix.EPOLLIN|unix.EPOLLRDHUP); err != nil {
-		c.breakLater(err)
+	if err := c.loop.watch(unix.EPOLL_CTL_ADD, c.fd, c.handle, unix.EPOLLIN|unix.EPOLLRDHUP); err != nil {
+		c.failLater(err)
 	}
 }
 
 // unwatch ends the events of a stalled connection that has ended: they would come in every turn.
 func (c *Conn) unwatch() {
 	c.unwatched = true
-	_ = c.loop.control(unix.EPOLL_CTL_DEL, c.fd, 0, 0)
+	_ = c.loop.watch(unix.EPOLL_CTL_DEL, c.fd, 0, 0)
 }
 
 // Reset closes at once and tells the peer by a reset: what was written must not look like the whole of it.
--- a/internal/shared/eventloop/listener.go
+++ b/internal/shared/eventloop/listener.go
@@ -12,33 +12,33 @@
 
 // Listener accepts connections.
 type Listener struct {
-	loop   *Loop
-	h      slotmap.Handle
-	fd     int
-	take   func(c *Conn) Handler
-	paused bool
+	loop       *Loop
+	handle     slotmap.Handle
+	fd         int
+	newHandler func(c *Conn) Handler
+	paused     bool
 
 	suspended bool // others accept
 	shared    bool // others hold the socket, too
 
-	most int         // connections that may be open of one that stands apart; 0 is one that does not
-	open int         // of them
-	give func() bool // closes one of them
+	reservedLimit int         // connections that may be open of one that stands apart; 0 is one that does not
+	reservedOpen  int         // of them
+	closeOne      func() bool // closes one of them
 }
 
 // Listen accepts connections at addr; take names the owner of each.
-func (l *Loop) Listen(addr netip.AddrPort, take func(c *Conn) Handler) (*Listener, error) {
+func (l *Loop) Listen(addr netip.AddrPort, newHandler func(c *Conn) Handler) (*Listener, error) {
 	fd, err := l.system.Listen(addr)
 	if err != nil {
 		return nil, err
 	}
-	return l.listen(fd, take)
+	return l.listen(fd, newHandler)
 }
 
-func (l *Loop) listen(fd int, take func(c *Conn) Handler) (*Listener, error) {
-	ln := &Listener{loop: l, fd: fd, take: take}
-	ln.h = l.listeners.Insert(ln)
-	if err := l.control(unix.EPOLL_CTL_ADD, fd, ln.h|1<<63, unix.EPOLLIN); err != nil {
+func (l *Loop) listen(fd int, newHandler func(c *Conn) Handler) (*Listener, error) {
+	ln := &Listener{loop: l, fd: fd, newHandler: newHandler}
+	ln.handle = l.listeners.Insert(ln)
+	if err := l.watch(unix.EPOLL_CTL_ADD, fd, ln.handle|1<<63, unix.EPOLLIN); err != nil {
 		ln.Close()
 		return nil, err
 	}
@@ -47,28 +47,28 @@
 
 // ListenReserved accepts connections at addr whatever others hold: at most so many are open, give closes one of them
 // that can be spared, and what happens on them is handled first in each turn.
-func (l *Loop) ListenReserved(addr netip.AddrPort, most int, give func() bool, take func(c *Conn) Handler) (*Listener, error) {
-	ln, err := l.Listen(addr, take)
+func (l *Loop) ListenReserved(addr netip.AddrPort, limit int, closeOne func() bool, newHandler func(c *Conn) Handler) (*Listener, error) {
+	ln, err := l.Listen(addr, newHandler)
 	if err != nil {
 		return nil, err
 	}
-	ln.most, ln.give = most, give
-	l.apart++
+	ln.reservedLimit, ln.closeOne = limit, closeOne
+	l.reservedSockets++
 	return ln, nil
 }
 
 // InheritListener accepts connections on a socket that was handed to this process and that others listen on, too.
-func (l *Loop) InheritListener(fd int, take func(c *Conn) Handler) (*Listener, error) {
-	if on, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil {
+func (l *Loop) InheritListener(fd int, newHandler func(c *Conn) Handler) (*Listener, error) {
+	if listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil {
 		return nil, fmt.Errorf("transport: descriptor %d: %w", fd, err)
-	} else if on == 0 {
+	} else if listening == 0 {
 		return nil, fmt.Errorf("transport: descriptor %d does not listen", fd)
 	}
 	unix.CloseOnExec(fd)
 	if err := unix.SetNonblock(fd, true); err != nil {
 		return nil, fmt.Errorf("transport: descriptor %d: %w", fd, err)
 	}
-	ln, err := l.listen(fd, take)
+	ln, err := l.listen(fd, newHandler)
 	if err == nil {
 		ln.shared = true
 	}
@@ -78,7 +78,7 @@
 // Addr is the address the listener has.
 func (ln *Listener) Addr() netip.AddrPort { return ln.loop.system.Address(ln.fd) }
 
-func address(sa unix.Sockaddr, err error) netip.AddrPort {
+func addrPortOf(sa unix.Sockaddr, err error) netip.AddrPort {
 	if err != nil {
 		return netip.AddrPort{}
 	}
@@ -93,27 +93,27 @@
 
 // Close stops accepting.
 func (ln *Listener) Close() {
-	if ln.loop.listeners.Remove(ln.h) {
-		if ln.most > 0 {
-			ln.loop.apart--
+	if ln.loop.listeners.Remove(ln.handle) {
+		if ln.reservedLimit > 0 {
+			ln.loop.reservedSockets--
 		}
 		// Closing alone would not end the events of a socket that others hold, too.
-		_ = ln.loop.control(unix.EPOLL_CTL_DEL, ln.fd, 0, 0)
+		_ = ln.loop.watch(unix.EPOLL_CTL_DEL, ln.fd, 0, 0)
 		ln.loop.system.Close(ln.fd)
 	}
 }
 
 // SetSuspended leaves the callers to others who listen on the same socket, until Resume.
-func (ln *Listener) SetSuspended(on bool) {
-	if _, open := ln.loop.listeners.Get(ln.h); !open || ln.suspended == on {
+func (ln *Listener) SetSuspended(suspended bool) {
+	if _, open := ln.loop.listeners.Get(ln.handle); !open || ln.suspended == suspended {
 		return
 	}
-	ln.suspended = on
+	ln.suspended = suspended
 	events := uint32(unix.EPOLLIN)
-	if on || ln.paused {
+	if suspended || ln.paused {
 		events = 0
 	}
-	_ = ln.loop.control(unix.EPOLL_CTL_MOD, ln.fd, ln.h|1<<63, events)
+	_ = ln.loop.watch(unix.EPOLL_CTL_MOD, ln.fd, ln.handle|1<<63, events)
 }
 
 // Dup is another descriptor of the socket, to be handed to another process.
@@ -125,18 +125,18 @@
 	return fd, nil
 }
 
-// room makes room for one more connection.
-func (ln *Listener) room() bool {
-	if ln.most == 0 {
-		return ln.loop.room()
+// makeRoom makes room for one more connection.
+func (ln *Listener) makeRoom() bool {
+	if ln.reservedLimit == 0 {
+		return ln.loop.makeRoom()
 	}
-	return ln.open < ln.most || ln.give()
+	return ln.reservedOpen < ln.reservedLimit || ln.closeOne()
 }
 
-func (ln *Listener) accept() {
+func (ln *Listener) acceptPending() {
 	for i := 0; i < 64 && !ln.suspended; i++ {
-		if !ln.room() {
-			ln.pause()
+		if !ln.makeRoom() {
+			ln.pauseAccepting()
 			return
 		}
 		if ln.shared {
@@ -148,18 +148,18 @@
 		switch {
 		case err == nil:
 			c := &Conn{loop: ln.loop, fd: fd}
-			if ln.most > 0 {
-				c.home = ln
-				ln.open++
-				ln.loop.apart++
+			if ln.reservedLimit > 0 {
+				c.reservedBy = ln
+				ln.reservedOpen++
+				ln.loop.reservedSockets++
 			}
 			if c.register(unix.EPOLLIN|unix.EPOLLRDHUP) != nil {
 				continue
 			}
-			c.handler = ln.take(c)
+			c.handler = ln.newHandler(c)
 		case errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE) || errors.Is(err, unix.ENOBUFS) || errors.Is(err, unix.ENOMEM):
-			if !ln.loop.spare() {
-				ln.pause()
+			if !ln.loop.freeDescriptor() {
+				ln.pauseAccepting()
 				return
 			}
 		case errors.Is(err, unix.EINTR) || errors.Is(err, unix.ECONNABORTED):
@@ -169,17 +169,17 @@
 	}
 }
 
-// pause leaves callers in the backlog for a moment: with no descriptor to spare the loop would only spin.
-func (ln *Listener) pause() {
+// pauseAccepting leaves callers in the backlog for a moment: with no descriptor to spare the loop would only spin.
+func (ln *Listener) pauseAccepting() {
 	if ln.paused {
 		return
 	}
 	ln.paused = true
-	_ = ln.loop.control(unix.EPOLL_CTL_MOD, ln.fd, ln.h|1<<63, 0)
+	_ = ln.loop.watch(unix.EPOLL_CTL_MOD, ln.fd, ln.handle|1<<63, 0)
 	ln.loop.At(ln.loop.now+0.01, func() {
 		ln.paused = false
-		if _, open := ln.loop.listeners.Get(ln.h); open && !ln.suspended {
-			_ = ln.loop.control(unix.EPOLL_CTL_MOD, ln.fd, ln.h|1<<63, unix.EPOLLIN)
+		if _, open := ln.loop.listeners.Get(ln.handle); open && !ln.suspended {
+			_ = ln.loop.watch(unix.EPOLL_CTL_MOD, ln.fd, ln.handle|1<<63, unix.EPOLLIN)
 		}
 	})
 }
--- a/internal/shared/eventloop/loop.go
+++ b/internal/shared/eventloop/loop.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	wakeHandle = 0 // epoll data of the wake-up descriptor; no slot handle is 0
-	readSize   = 64 << 10
-	readRounds = 4 // reads of one connection in a turn: a fast peer must not hold up the others
+	wakeHandle           = 0 // epoll data of the wake-up descriptor; no slot handle is 0
+	readBufferBytes      = 64 << 10
+	maxReadsPerIteration = 4 // reads of one connection in a turn: a fast peer must not hold up the others
 
 	// What a peer still sends after its last answer is thrown away within these bounds: a close at once would
 	// reset the connection, and the reset may reach the peer before it has read the answer.
-	lingerTime  = 2.0
-	lingerBytes = 64 << 20
-	mostLinger  = 64 // connections that linger; beyond that the oldest goes
+	lingerSeconds         = 2.0
+	maxLingerDiscardBytes = 64 << 20
+	maxLingering          = 64 // connections that linger; beyond that the oldest goes
 )
 
 // Handler is what a connection tells its owner. After a Close of its own the owner hears nothing more.
@@ -48,24 +48,24 @@
 	OnLateWakeup      func(late float64)
 	LateWakeupSeconds float64
 
-	system     System
-	limit      int // sockets that may be open at once
-	conns      slotmap.Map[*Conn]
-	listeners  slotmap.Map[*Listener]
-	sockets    map[uint32]*UDPSocket // of datagrams
-	lastSocket uint32
-	urgent     []*Conn
-	lingering  []*Conn // the oldest first
-	held       int     // bytes that have come and were not consumed, over all connections
-	apart      int     // sockets of listeners that stand apart
-	now, start float64
-	anchor     time.Time
-	scratch    []byte
-	later      []func()
-	stopped    bool
-	turns      IterationStats
-
-	mu     sync.Mutex
+	system            System
+	socketLimit       int // sockets that may be open at once
+	conns             slotmap.Map[*Conn]
+	listeners         slotmap.Map[*Listener]
+	udpSockets        map[uint32]*UDPSocket // of datagrams
+	lastUDPSocket     uint32
+	readFirst         []*Conn
+	lingering         []*Conn // the oldest first
+	bufferedBytes     int     // bytes that have come and were not consumed, over all connections
+	reservedSockets   int     // sockets of listeners that stand apart
+	now, startSeconds float64
+	startTime         time.Time
+	readBuffer        []byte
+	deferred          []func()
+	stopped           bool
+	iterations        IterationStats
+
+	mutex  sync.Mutex
 	posted []func()
 }
 
@@ -80,41 +80,41 @@
 
 // NewLoopWithSystem makes a loop over a system other than the kernel, which tests simulate.
 func NewLoopWithSystem(system System, limit int) *Loop {
-	l := &Loop{system: system, limit: limit, scratch: make([]byte, readSize), sockets: map[uint32]*UDPSocket{}}
+	l := &Loop{system: system, socketLimit: limit, readBuffer: make([]byte, readBufferBytes), udpSockets: map[uint32]*UDPSocket{}}
 	// Unix time at the start, then the monotonic clock: boot_ms compares, and time never goes back.
-	l.anchor = system.Now()
-	l.start = float64(l.anchor.UnixMicro()) / 1e6
-	l.tick()
+	l.startTime = system.Now()
+	l.startSeconds = float64(l.startTime.UnixMicro()) / 1e6
+	l.updateTime()
 	return l
 }
 
 // Now is the time of this turn: monotonic seconds, anchored to Unix time at the start.
 func (l *Loop) Now() float64 { return l.now }
 
-func (l *Loop) tick() { l.now = l.start + l.system.Now().Sub(l.anchor).Seconds() }
+func (l *Loop) updateTime() { l.now = l.startSeconds + l.system.Now().Sub(l.startTime).Seconds() }
 
 // OpenSockets is the number of sockets open, without those of listeners that stand apart.
-func (l *Loop) OpenSockets() int { return l.conns.Len() + l.listeners.Len() - l.apart }
+func (l *Loop) OpenSockets() int { return l.conns.Len() + l.listeners.Len() - l.reservedSockets }
 
 // SetSocketLimit changes how many sockets may be open; what is open beyond it stays.
-func (l *Loop) SetSocketLimit(limit int) { l.limit = limit }
+func (l *Loop) SetSocketLimit(limit int) { l.socketLimit = limit }
 
 // SocketLimit is how many sockets may be open.
-func (l *Loop) SocketLimit() int { return l.limit }
+func (l *Loop) SocketLimit() int { return l.socketLimit }
 
 // BufferedBytes is how many bytes have come and were not consumed, over all connections.
-func (l *Loop) BufferedBytes() int { return l.held }
+func (l *Loop) BufferedBytes() int { return l.bufferedBytes }
 
 // Post runs do on the loop's goroutine; it may be called from any other.
 func (l *Loop) Post(do func()) {
-	l.mu.Lock()
+	l.mutex.Lock()
 	l.posted = append(l.posted, do)
-	l.mu.Unlock()
+	l.mutex.Unlock()
 	l.system.Wake()
 }
 
 // Defer runs do after the event at hand, so that it re-enters nobody.
-func (l *Loop) Defer(do func()) { l.later = append(l.later, do) }
+func (l *Loop) Defer(do func()) { l.deferred = append(l.deferred, do) }
 
 // Stop ends Run after the turn at hand.
 func (l *Loop) Stop() { l.stopped = true }
@@ -126,123 +126,123 @@
 	began := l.now // the turn at hand
 	for !l.stopped {
 		wait, before := -1, began
-		if len(l.later) > 0 {
+		if len(l.deferred) > 0 {
 			wait = 0
-		} else if at, any := l.next(); any {
-			l.tick()
+		} else if at, pending := l.nextDue(); pending {
+			l.updateTime()
 			wait = max(0, int((at-l.now)*1000+0.999))
 		}
 		n, err := l.system.Wait(events, wait)
 		if err != nil {
 			return err
 		}
-		l.tick()
+		l.updateTime()
 		began = l.now
 		// the turn before counts, too: a process may be stopped at any place
 		if late := l.now - before - float64(wait)/1000; wait >= 0 && l.OnLateWakeup != nil && late > l.LateWakeupSeconds {
 			l.OnLateWakeup(late)
 		}
-		for _, c := range l.urgent { // whatever the director has written counts as told: read it before anything can send
+		for _, c := range l.readFirst { // whatever the director has written counts as told: read it before anything can send
 			if !c.connecting {
-				c.readable()
+				c.handleReadable()
 			}
 		}
-		l.runLater()
-		if l.apart > 0 {
+		l.runDeferred()
+		if l.reservedSockets > 0 {
 			for i := range events[:n] {
-				if l.isApart(&events[i]) {
-					l.event(events[i])
-					l.runLater()
+				if l.isReserved(&events[i]) {
+					l.dispatch(events[i])
+					l.runDeferred()
 					events[i].Events = 0
 				}
 			}
 		}
-		for _, e := range events[:n] {
-			if e.Events != 0 {
-				l.event(e)
-				l.runLater()
+		for _, event := range events[:n] {
+			if event.Events != 0 {
+				l.dispatch(event)
+				l.runDeferred()
 			}
 		}
-		l.run(l.now)
-		l.runLater()
-		l.turned()
+		l.runDue(l.now)
+		l.runDeferred()
+		l.endIteration()
 	}
 	return nil
 }
 
-func (l *Loop) runLater() {
-	for len(l.later) > 0 {
-		do := l.later[0]
-		l.later = l.later[1:]
+func (l *Loop) runDeferred() {
+	for len(l.deferred) > 0 {
+		do := l.deferred[0]
+		l.deferred = l.deferred[1:]
 		do()
 	}
 }
 
-// socketHandle names a socket of datagrams in events: slots have a generation in the upper half, which is never 0.
-func socketHandle(id uint32) slotmap.Handle { return slotmap.Handle(id) }
+// udpHandle names a socket of datagrams in events: slots have a generation in the upper half, which is never 0.
+func udpHandle(id uint32) slotmap.Handle { return slotmap.Handle(id) }
 
-func handleOf(e *unix.EpollEvent) slotmap.Handle {
-	return slotmap.Handle(uint64(uint32(e.Pad))<<32 | uint64(uint32(e.Fd)))
+func eventHandle(event *unix.EpollEvent) slotmap.Handle {
+	return slotmap.Handle(uint64(uint32(event.Pad))<<32 | uint64(uint32(event.Fd)))
 }
 
-// isApart says whether an event is of a listener that stands apart, or of one of its connections.
-func (l *Loop) isApart(e *unix.EpollEvent) bool {
-	h := handleOf(e)
+// isReserved says whether an event is of a listener that stands apart, or of one of its connections.
+func (l *Loop) isReserved(event *unix.EpollEvent) bool {
+	h := eventHandle(event)
 	if h>>63 == 1 {
 		ln, ok := l.listeners.Get(h &^ (1 << 63))
-		return ok && ln.most > 0
+		return ok && ln.reservedLimit > 0
 	}
 	c, ok := l.conns.Get(h)
-	return ok && c.home != nil
+	return ok && c.reservedBy != nil
 }
 
-func (l *Loop) event(e unix.EpollEvent) {
-	h := handleOf(&e)
-	if h == wakeHandle {
+func (l *Loop) dispatch(event unix.EpollEvent) {
+	handle := eventHandle(&event)
+	if handle == wakeHandle {
 		l.system.ClearWake()
-		l.mu.Lock()
+		l.mutex.Lock()
 		posted := l.posted
 		l.posted = nil
-		l.mu.Unlock()
+		l.mutex.Unlock()
 		for _, do := range posted {
 			do()
 		}
 		return
 	}
-	if h>>63 == 1 {
-		if ln, ok := l.listeners.Get(h &^ (1 << 63)); ok {
-			ln.accept()
+	if handle>>63 == 1 {
+		if ln, ok := l.listeners.Get(handle &^ (1 << 63)); ok {
+			ln.acceptPending()
 		}
 		return
 	}
-	if h>>32 == 0 {
-		if s := l.sockets[uint32(h)]; s != nil {
-			s.readable()
+	if handle>>32 == 0 {
+		if s := l.udpSockets[uint32(handle)]; s != nil {
+			s.handleReadable()
 		}
 		return
 	}
-	if c, ok := l.conns.Get(h); ok {
-		c.event(e.Events)
+	if c, ok := l.conns.Get(handle); ok {
+		c.handleEvent(event.Events)
 	}
 }
 
-func (l *Loop) control(op, fd int, h slotmap.Handle, events uint32) error {
-	return l.system.Watch(op, fd, unix.EpollEvent{Events: events, Fd: int32(uint32(h)), Pad: int32(uint32(h >> 32))})
+func (l *Loop) watch(operation, fd int, handle slotmap.Handle, events uint32) error {
+	return l.system.Watch(operation, fd, unix.EpollEvent{Events: events, Fd: int32(uint32(handle)), Pad: int32(uint32(handle >> 32))})
 }
 
 func (l *Loop) closeAll() {
 	l.conns.Each(func(_ slotmap.Handle, c *Conn) { c.Close() })
 	l.listeners.Each(func(_ slotmap.Handle, ln *Listener) { ln.Close() })
-	for _, s := range l.sockets {
+	for _, s := range l.udpSockets {
 		s.Close()
 	}
 	l.system.Release()
 }
 
-// room frees a descriptor when all are taken: first that of a peer which has had its last answer.
-func (l *Loop) room() bool { return l.OpenSockets() < l.limit || l.spare() }
+// makeRoom frees a descriptor when all are taken: first that of a peer which has had its last answer.
+func (l *Loop) makeRoom() bool { return l.OpenSockets() < l.socketLimit || l.freeDescriptor() }
 
-func (l *Loop) spare() bool {
+func (l *Loop) freeDescriptor() bool {
 	if len(l.lingering) > 0 {
 		l.lingering[0].Close()
 		return true
--- a/internal/shared/eventloop/loop_test.go
+++ b/internal/shared/eventloop/loop_test.go
@@ -11,22 +11,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// side is one end of a connection: it keeps what it heard.
-type side struct {
+// recordingHandler is one end of a connection: it keeps what it heard.
+type recordingHandler struct {
 	heard *[]string
 	name  string
 	on    func(what string, c *Conn)
 }
 
-func (s side) tell(what string, c *Conn) {
+func (s recordingHandler) record(what string, c *Conn) {
 	*s.heard = append(*s.heard, s.name+" "+what)
 	if s.on != nil {
 		s.on(what, c)
 	}
 }
-func (s side) Opened(c *Conn)          { s.tell("opened", c) }
-func (s side) Data(c *Conn)            { s.tell("data "+string(c.Bytes()), c); c.Consume(len(c.Bytes())) }
-func (s side) Closed(c *Conn, _ error) { s.tell("closed", c) }
+func (s recordingHandler) Opened(c *Conn) { s.record("opened", c) }
+func (s recordingHandler) Data(c *Conn) {
+	s.record("data "+string(c.Bytes()), c)
+	c.Consume(len(c.Bytes()))
+}
+func (s recordingHandler) Closed(c *Conn, _ error) { s.record("closed", c) }
 
 func newLoop(t *testing.T, limit int) *Loop {
 	l, err := NewLoop(limit)
@@ -45,7 +48,7 @@
 	var server *Conn
 	listener, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) Handler {
 		server = c
-		return side{&heard, "server", func(what string, c *Conn) {
+		return recordingHandler{&heard, "server", func(what string, c *Conn) {
 			if strings.HasPrefix(what, "data") {
 				c.Write([]byte("pong"))
 			}
@@ -54,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := l.Connect(listener.Addr(), side{&heard, "client", func(what string, c *Conn) {
+	client := l.Connect(listener.Addr(), recordingHandler{&heard, "client", func(what string, c *Conn) {
 		switch what {
 		case "opened":
 			c.Write([]byte("ping"))
@@ -69,7 +72,7 @@
 		case "closed":
 			listener.Close()
 			calling := true
-			l.ConnectUnix("/nobody/here", side{&heard, "absent", func(string, *Conn) {
+			l.ConnectUnix("/nobody/here", recordingHandler{&heard, "absent", func(string, *Conn) {
 				if calling {
 					t.Error("told of the failure within the call")
 				}
@@ -88,23 +91,23 @@
 }
 
 // Guards against descriptors beyond the limit, and against a loop that spins or stops when none is to be had.
-func TestNoRoom(t *testing.T) {
-	l := newLoop(t, 2)
+func TestDescriptorLimit(t *testing.T) {
+	loop := newLoop(t, 2)
 	var heard []string
-	listener, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(*Conn) Handler { return side{&heard, "server", nil} })
+	listener, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(*Conn) Handler { return recordingHandler{&heard, "server", nil} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := l.Connect(listener.Addr(), side{&heard, "first", nil})
-	l.Connect(listener.Addr(), side{&heard, "second", nil})
-	l.At(l.Now()+0.05, func() { // the first waits in the backlog: the listener has no room to accept it
-		l.Connect(listener.Addr(), side{&heard, "third", nil})
+	first := loop.Connect(listener.Addr(), recordingHandler{&heard, "first", nil})
+	loop.Connect(listener.Addr(), recordingHandler{&heard, "second", nil})
+	loop.At(loop.Now()+0.05, func() { // the first waits in the backlog: the listener has no room to accept it
+		loop.Connect(listener.Addr(), recordingHandler{&heard, "third", nil})
 		first.Write([]byte("a"))
-		l.limit = 3
+		loop.socketLimit = 3
 	})
-	server := side{&heard, "server", func(string, *Conn) { l.Stop() }}
-	listener.take = func(*Conn) Handler { return server }
-	if err := l.Run(); err != nil {
+	server := recordingHandler{&heard, "server", func(string, *Conn) { loop.Stop() }}
+	listener.newHandler = func(*Conn) Handler { return server }
+	if err := loop.Run(); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff([]string{"second closed", "first opened", "third closed", "server data a"}, heard); diff != "" {
@@ -114,7 +117,7 @@
 
 // Guards against deadlines out of order, one stopped in time that runs all the same, and one that is past
 // already when it is set keeping the loop from its sockets.
-func TestDeadlines(t *testing.T) {
+func TestTimers(t *testing.T) {
 	var d Timers
 	var got []string
 	note := func(name string) func() { return func() { got = append(got, name) } }
@@ -126,34 +129,34 @@
 	stopped.Stop()
 	stopped.Stop()
 	(*Timer)(nil).Stop()
-	d.run(2)
+	d.runDue(2)
 	got = append(got, "|")
-	d.run(2)
-	if at, any := d.next(); !any || at != 3 {
+	d.runDue(2)
+	if at, any := d.nextDue(); !any || at != 3 {
 		t.Errorf("next at %v, %v", at, any)
 	}
-	d.run(9)
+	d.runDue(9)
 	if diff := cmp.Diff([]string{"a", "b", "again", "|", "next turn", "c"}, got); diff != "" || d.Len() != 0 {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 }
 
-// teller counts what comes along a connection between two processes, and answers each word.
-type teller struct {
+// replyingHandler counts what comes along a connection between two processes, and answers each word.
+type replyingHandler struct {
 	loop   *Loop
 	got    int
 	closed error
 }
 
-func (h *teller) Opened(*Conn) {}
-func (h *teller) Data(c *Conn) {
+func (h *replyingHandler) Opened(*Conn) {}
+func (h *replyingHandler) Data(c *Conn) {
 	h.got += len(c.Bytes())
 	c.Consume(len(c.Bytes()))
 }
-func (h *teller) Closed(_ *Conn, err error) { h.closed = err; h.loop.Stop() }
+func (h *replyingHandler) Closed(_ *Conn, err error) { h.closed = err; h.loop.Stop() }
 
 // What a process told before it went is heard, although a write of ours finds it gone first.
-func TestLastWordsAreHeard(t *testing.T) {
+func TestReadsBytesSentBeforePeerExit(t *testing.T) {
 	loop, err := NewLoop(10)
 	if err != nil {
 		t.Fatal(err)
@@ -162,7 +165,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &teller{loop: loop}
+	h := &replyingHandler{loop: loop}
 	var conn *Conn
 	if err := loop.Adopt(pair[0], nil, func(c *Conn) Handler {
 		c.EnableDescriptorPassing()
@@ -194,7 +197,7 @@
 }
 
 // A listening socket that another process has made to block holds nobody up, although the caller is gone.
-func TestASharedListenerThatBlocks(t *testing.T) {
+func TestSharedBlockingListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -213,7 +216,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := loop.InheritListener(fd, func(*Conn) Handler { return nil })
+	listener, err := loop.InheritListener(fd, func(*Conn) Handler { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -221,7 +224,7 @@
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
-	go func() { ln.accept(); close(done) }() // a caller was told of, and another process has taken it
+	go func() { listener.acceptPending(); close(done) }() // a caller was told of, and another process has taken it
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
--- a/internal/shared/eventloop/system.go
+++ b/internal/shared/eventloop/system.go
@@ -47,11 +47,11 @@
 	Close(fd int)
 }
 
-// backlog is how many connections wait to be accepted.
-const backlog = 1024
+// acceptBacklog is how many connections wait to be accepted.
+const acceptBacklog = 1024
 
 // kernel is the operating system.
-type kernel struct{ epoll, wake int }
+type kernel struct{ epollFD, wakeFD int }
 
 func newKernel() (*kernel, error) {
 	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
@@ -63,7 +63,7 @@
 		unix.Close(epoll)
 		return nil, fmt.Errorf("transport: eventfd: %w", err)
 	}
-	k := &kernel{epoll: epoll, wake: wake}
+	k := &kernel{epollFD: epoll, wakeFD: wake}
 	if err := k.Watch(unix.EPOLL_CTL_ADD, wake, unix.EpollEvent{Events: unix.EPOLLIN, Fd: wakeHandle}); err != nil {
 		k.Release()
 		return nil, err
@@ -74,7 +74,7 @@
 func (k *kernel) Now() time.Time { return time.Now() }
 
 func (k *kernel) Wait(events []unix.EpollEvent, timeout int) (int, error) {
-	n, err := unix.EpollWait(k.epoll, events, timeout)
+	n, err := unix.EpollWait(k.epollFD, events, timeout)
 	if err != nil && !errors.Is(err, unix.EINTR) {
 		return 0, fmt.Errorf("transport: epoll wait: %w", err)
 	}
@@ -83,24 +83,24 @@
 
 func (k *kernel) Wake() {
 	one := [8]byte{1}
-	_, _ = unix.Write(k.wake, one[:])
+	_, _ = unix.Write(k.wakeFD, one[:])
 }
 
 func (k *kernel) ClearWake() {
 	var count [8]byte
-	_, _ = unix.Read(k.wake, count[:])
+	_, _ = unix.Read(k.wakeFD, count[:])
 }
 
 func (k *kernel) Watch(operation, fd int, event unix.EpollEvent) error {
-	if err := unix.EpollCtl(k.epoll, operation, fd, &event); err != nil {
+	if err := unix.EpollCtl(k.epollFD, operation, fd, &event); err != nil {
 		return fmt.Errorf("transport: epoll ctl: %w", err)
 	}
 	return nil
 }
 
 func (k *kernel) Release() {
-	unix.Close(k.wake)
-	unix.Close(k.epoll)
+	unix.Close(k.wakeFD)
+	unix.Close(k.epollFD)
 }
 
 func (k *kernel) Listen(addr netip.AddrPort) (int, error) {
@@ -115,7 +115,7 @@
 		unix.Close(fd)
 		return -1, fmt.Errorf("transport: bind %s: %w", addr, err)
 	}
-	if err := unix.Listen(fd, backlog); err != nil {
+	if err := unix.Listen(fd, acceptBacklog); err != nil {
 		unix.Close(fd)
 		return -1, fmt.Errorf("transport: listen %s: %w", addr, err)
 	}
@@ -145,7 +145,7 @@
 	return fd, nil
 }
 
-func (k *kernel) Address(fd int) netip.AddrPort { return address(unix.Getsockname(fd)) }
+func (k *kernel) Address(fd int) netip.AddrPort { return addrPortOf(unix.Getsockname(fd)) }
 
 func (k *kernel) Read(fd int, b []byte) (int, error) { return unix.Read(fd, b) }
 
--- a/internal/shared/eventloop/socket.go
+++ b/internal/shared/eventloop/udp_socket.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	datagramSize   = 2048 // bytes that are read of one; a longer one arrives cut to this, which is more than anybody may send
-	datagramRounds = 64   // read in a turn: the jobs must not wait for more
+	maxDatagramBytes         = 2048 // bytes that are read of one; a longer one arrives cut to this, which is more than anybody may send
+	maxDatagramsPerIteration = 64   // read in a turn: the jobs must not wait for more
 )
 
 // UDPSocket is a bound UDP socket: datagrams come from anybody and go to anybody. It counts as none of the loop's sockets.
 type UDPSocket struct {
-	loop *Loop
-	id   uint32
-	fd   int
-	take func(b []byte)
+	loop    *Loop
+	id      uint32
+	fd      int
+	handler func(b []byte)
 }
 
 // ListenUDP binds a UDP socket; take gets each datagram and keeps nothing of b. What several sockets of one process
 // would share, the address, is refused to the second: errors wrap the system's.
-func (l *Loop) ListenUDP(addr netip.AddrPort, take func(b []byte)) (*UDPSocket, error) {
+func (l *Loop) ListenUDP(addr netip.AddrPort, handler func(b []byte)) (*UDPSocket, error) {
 	family, sa := sockaddr(addr)
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -33,21 +33,21 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("transport: bind %s: %w", addr, err)
 	}
-	l.lastSocket++ // handles of slots are above these numbers
-	s := &UDPSocket{loop: l, id: l.lastSocket, fd: fd, take: take}
-	if err := l.control(unix.EPOLL_CTL_ADD, fd, socketHandle(s.id), unix.EPOLLIN); err != nil {
+	l.lastUDPSocket++ // handles of slots are above these numbers
+	socket := &UDPSocket{loop: l, id: l.lastUDPSocket, fd: fd, handler: handler}
+	if err := l.watch(unix.EPOLL_CTL_ADD, fd, udpHandle(socket.id), unix.EPOLLIN); err != nil {
 		unix.Close(fd)
 		return nil, err
 	}
-	l.sockets[s.id] = s
-	return s, nil
+	l.udpSockets[socket.id] = socket
+	return socket, nil
 }
 
 // Addr is the address the socket has.
-func (s *UDPSocket) Addr() netip.AddrPort { return address(unix.Getsockname(s.fd)) }
+func (s *UDPSocket) Addr() netip.AddrPort { return addrPortOf(unix.Getsockname(s.fd)) }
 
 // SetHandler changes who gets the datagrams.
-func (s *UDPSocket) SetHandler(take func(b []byte)) { s.take = take }
+func (s *UDPSocket) SetHandler(handler func(b []byte)) { s.handler = handler }
 
 // SendTo sends one datagram. With no room for it in the system it is dropped, and the error says so.
 func (s *UDPSocket) SendTo(addr netip.AddrPort, b []byte) error {
@@ -60,16 +60,16 @@
 
 // Close closes the socket; closing it again does nothing.
 func (s *UDPSocket) Close() {
-	if s.loop.sockets[s.id] == s {
-		delete(s.loop.sockets, s.id)
+	if s.loop.udpSockets[s.id] == s {
+		delete(s.loop.udpSockets, s.id)
 		unix.Close(s.fd)
 	}
 }
 
-func (s *UDPSocket) readable() {
-	var b [datagramSize]byte
-	for range datagramRounds {
-		if s.loop.sockets[s.id] != s {
+func (s *UDPSocket) handleReadable() {
+	var b [maxDatagramBytes]byte
+	for range maxDatagramsPerIteration {
+		if s.loop.udpSockets[s.id] != s {
 			return // closed by what it took
 		}
 		n, _, err := unix.Recvfrom(s.fd, b[:], unix.MSG_DONTWAIT)
@@ -79,7 +79,7 @@
 		case err != nil:
 			return
 		default:
-			s.take(b[:n])
+			s.handler(b[:n])
 		}
 	}
 }
