--- a/internal/shared/eventloop/backpressure_test.go
+++ b/internal/shared/eventloop/backpressure_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Guards against bytes that are lost when a peer closes while it is held back, and against its close being told before
-// them.
+// Guards against bytes that are lost when a peer closes while reading is stalled, and against its close being reported
+// before them.
 func TestStalledPeerCloses(t *testing.T) {
 	loop := newLoop(t, 100)
 	var heard []string
@@ -42,7 +42,7 @@
 	}
 }
 
-// drainRecorder hears when all has gone out.
+// drainRecorder counts the Drained callbacks.
 type drainRecorder struct {
 	recordingHandler
 	drained int
@@ -50,7 +50,7 @@
 
 func (d *drainRecorder) Drained(*Conn) { d.drained++ }
 
-// A writer that had to wait hears when the peer has taken all; what was read is lent only until it is consumed.
+// A writer that had to wait is told when everything was written; received bytes are valid only until they are consumed.
 func TestDrainedAfterBlockedWrite(t *testing.T) {
 	loop := newLoop(t, 100)
 	loop.ZeroCopyReads = true
@@ -74,7 +74,7 @@
 	}
 }
 
-// partialReader consumes all but a few bytes, which it looks at again with the next ones.
+// partialReader leaves a few bytes unconsumed, which it gets again with the next ones.
 type partialReader struct {
 	want, got int
 	wrong     bool
@@ -96,7 +96,8 @@
 	}
 }
 
-// Guards against an answer that is lost because its sender reset the connection while the request was still being written.
+// Guards against a response that is lost because its sender reset the connection while the request was still being
+// written.
 func TestResponseBeforeReset(t *testing.T) {
 	loop := newLoop(t, 100)
 	var heard []string
@@ -107,7 +108,7 @@
 		}
 		server.Write([]byte("answer"))
 		server.Reset()
-		client.Write([]byte("more")) // meets the reset
+		client.Write([]byte("more")) // the connection is reset by now
 	}
 	listener, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) Handler {
 		server = c
--- a/internal/shared/eventloop/conn.go
+++ b/internal/shared/eventloop/conn.go
@@ -5,54 +5,49 @@
 	"fmt"
 	"io"
 	"net/netip"
-	"slices"
+	"time"
 
 	"golang.org/x/sys/unix"
 
 	"cinderroad/internal/shared/slotmap"
 )
 
-// Conn is one connection.
+// Conn is a stream connection. Its methods may only be called on the loop's goroutine.
 type Conn struct {
 	loop                *Loop
 	handle              slotmap.Handle
 	fd                  int
 	handler             Handler
 	received, unsent    []byte
-	writtenBytes        uint64 // bytes that have gone out
+	writtenBytes        uint64 // since the connection was established
 	connecting          bool
 	readFirst           bool
-	awaitsWritable      bool // waits for room to write
-	paused              bool // is not read
-	stalled             bool // is not read, and the peer's close waits until it is
-	unwatched           bool // has ended while it was stalled
-	closeAfterFlush     bool // closes once all is written and the peer has closed too
-	lingering           bool // all is written
-	closeWriteRequested bool // closes this side once all is written
-	writeClosed         bool // has
-	peerReadAll         bool // and the peer has read all of it
-	discardedBytes      int  // bytes thrown away meanwhile
+	awaitsWritable      bool // EPOLLOUT is watched
+	paused              bool // see SetPaused
+	stalled             bool // see SetStalled
+	unwatched           bool // the peer closed while stalled; no events are watched
+	closeAfterFlush     bool // close once everything is written and the peer has closed too
+	lingering           bool // everything is written and the write side is closed
+	closeWriteRequested bool // close the write side once everything is written
+	writeClosed         bool // done so
+	peerReadAll         bool // see PeerReadAll
+	discardedBytes      int  // while lingering
 	lingerTimer         *Timer
-	failed              bool             // has failed; Closed is on its way
-	readBeforeReset     bool             // what came before a failed write is read
-	hungUp              bool             // the peer has closed its side or reset the connection
-	reservedBy          *Listener        // that accepted it, of one that stands apart
-	descriptors         *descriptorQueue // of one that descriptors pass along
+	failed              bool             // Closed is due
+	readBeforeReset     bool             // see ReadBeforeReset
+	hungUp              bool             // see HungUp
+	reservedBy          *Listener        // the reserved listener that accepted it; nil: none
+	descriptors         *descriptorQueue // nil: the connection passes none
 }
 
-// ErrNoDescriptor says that no descriptor was to be had.
-var ErrNoDescriptor = errors.New("transport: no descriptor to spare")
+// ErrNoDescriptor means that no file descriptor was available for a connection.
+var ErrNoDescriptor = errors.New("eventloop: no descriptor to spare")
 
-// Connect opens a connection to addr. What goes wrong at once is told like all else: by Closed, later.
+// Connect starts a connection to addr. All errors are reported by Closed, later.
 func (l *Loop) Connect(addr netip.AddrPort, handler Handler) *Conn {
 	return l.connect(func() (int, error) { return l.system.Connect(addr) }, handler)
 }
 
-// ConnectUnix opens a connection to a unix socket.
-func (l *Loop) ConnectUnix(path string, handler Handler) *Conn {
-	return l.connect(func() (int, error) { return connectSocket(unix.AF_UNIX, &unix.SockaddrUnix{Name: path}) }, handler)
-}
-
 func (l *Loop) connect(begin func() (fd int, err error), handler Handler) *Conn {
 	conn := &Conn{loop: l, fd: -1, handler: handler, connecting: true}
 	if !l.makeRoom() {
@@ -64,7 +59,7 @@
 		fd, err = begin()
 	}
 	if isDescriptorLimit(err) {
-		err = fmt.Errorf("transport: socket: %w", ErrNoDescriptor)
+		err = fmt.Errorf("eventloop: socket: %w", ErrNoDescriptor)
 	}
 	if err != nil {
 		conn.failLater(err)
@@ -77,7 +72,7 @@
 	return conn
 }
 
-// isDescriptorLimit says whether an error is the want of a descriptor.
+// isDescriptorLimit reports whether an error means that the process or the system has no free descriptor.
 func isDescriptorLimit(err error) bool {
 	return errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE)
 }
@@ -92,38 +87,20 @@
 	return nil
 }
 
-// Open says whether the connection still holds its socket.
+// Open reports whether the connection still has its socket.
 func (c *Conn) Open() bool { return c.fd >= 0 }
 
-// Peer is the address of the other side.
+// Peer returns the remote address.
 func (c *Conn) Peer() netip.AddrPort { return addrPortOf(unix.Getpeername(c.fd)) }
 
-// ReadFirst has the connection read first in every turn.
+// ReadFirst reads the connection at the start of every iteration, before any event.
 func (c *Conn) ReadFirst() {
 	c.readFirst = true
 	c.loop.readFirst = append(c.loop.readFirst, c)
 }
 
-// Bytes is what has come and was not consumed.
-func (c *Conn) Bytes() []byte { return c.received }
-
-// Consume drops the first n bytes of what has come.
-func (c *Conn) Consume(n int) {
-	if c.fd >= 0 {
-		c.loop.bufferedBytes -= n
-	}
-	if c.received = c.received[n:]; len(c.received) == 0 {
-		c.received = nil
-	}
-}
-
-// Unsent is how many bytes given to Write have not gone out.
-func (c *Conn) Unsent() int { return len(c.unsent) }
-
-// Written is how many bytes have gone out since the connection came up.
-func (c *Conn) Written() uint64 { return c.writtenBytes }
-
-// Alive looks whether the peer still holds an idle connection: one it has closed must not carry a request.
+// Alive reports whether an idle connection is still open on the peer's side. One that the peer has closed, or on which
+// it has sent bytes, must not carry a request.
 func (c *Conn) Alive() bool {
 	if c.fd < 0 || c.failed || c.connecting {
 		return false
@@ -132,59 +109,6 @@
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// Write sends b, now or as the peer takes it. A failure is told by Closed, later.
-func (c *Conn) Write(b []byte) {
-	if c.fd < 0 || c.failed || c.closeAfterFlush || c.closeWriteRequested {
-		return
-	}
-	if len(c.unsent) == 0 && !c.connecting {
-		n, err := c.send(b)
-		c.writtenBytes += uint64(n)
-		if err != nil {
-			c.unsent = append(c.unsent, b[n:]...)
-			c.failLater(err)
-			return
-		}
-		b = b[n:]
-	}
-	if c.unsent = append(c.unsent, b...); len(c.unsent) > 0 {
-		c.updateWriteInterest()
-	}
-}
-
-// writeSocket sends what the socket takes.
-func (c *Conn) writeSocket(b []byte) (n int, err error) {
-	for n < len(b) {
-		count, err := c.loop.system.Write(c.fd, b[n:])
-		if count > 0 {
-			n += count
-		}
-		if errors.Is(err, unix.EINTR) {
-			continue
-		}
-		if errors.Is(err, unix.EAGAIN) {
-			return n, nil
-		}
-		if err != nil {
-			return n, fmt.Errorf("transport: write: %w", err)
-		}
-	}
-	return n, nil
-}
-
-// updateWriteInterest keeps the events waited for in step with whether there is something to write and whether to read.
-func (c *Conn) updateWriteInterest() {
-	if c.fd < 0 || c.connecting {
-		return
-	}
-	want := len(c.unsent) > 0
-	if want == c.awaitsWritable {
-		return
-	}
-	c.awaitsWritable = want
-	c.updateEvents()
-}
-
 func (c *Conn) updateEvents() {
 	events := uint32(unix.EPOLLRDHUP)
 	if !c.paused && !c.stalled {
@@ -196,89 +120,7 @@
 	_ = c.loop.watch(unix.EPOLL_CTL_MOD, c.fd, c.handle, events)
 }
 
-// SetPaused leaves what comes to the system's buffers, so that a peer which sends ahead is held back; Resume reads
-// on. The peer's close is told all the same.
-func (c *Conn) SetPaused(paused bool) {
-	if c.paused != paused && c.fd >= 0 && !c.connecting && !c.failed {
-		c.paused = paused
-		c.updateEvents()
-	}
-}
-
-// CloseAfterFlush closes once all that was given to Write has gone out and the peer has closed its side, or has
-// had the time for it; nothing more is told. What the peer still sends is thrown away.
-func (c *Conn) CloseAfterFlush() {
-	if c.fd < 0 || c.failed || c.closeAfterFlush {
-		return
-	}
-	c.closeAfterFlush = true
-	c.loop.bufferedBytes -= len(c.received)
-	c.received = nil
-	c.lingerTimer = c.loop.At(c.loop.now+lingerSeconds, c.Close)
-	if len(c.unsent) == 0 {
-		c.startLinger()
-	}
-}
-
-// startLinger says that nothing more comes from here and waits for the peer to have read it.
-func (c *Conn) startLinger() {
-	c.lingering = true
-	c.SetPaused(false)
-	if err := c.loop.system.ShutdownWrite(c.fd); err != nil {
-		c.Close()
-		return
-	}
-	c.loop.lingering = append(c.loop.lingering, c)
-	if len(c.loop.lingering) > maxLingering {
-		c.loop.lingering[0].Close()
-	}
-}
-
-// discardReceived throws away what has come.
-func (c *Conn) discardReceived() {
-	for i := 0; i < maxReadsPerIteration && c.fd >= 0; i++ {
-		n, err := c.loop.system.Discard(c.fd, c.loop.readBuffer)
-		if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) {
-			return
-		}
-		if c.discardedBytes += n; err != nil || n == 0 || c.discardedBytes > maxLingerDiscardBytes {
-			c.Close()
-		}
-	}
-}
-
-// Close ends the connection without a word to its owner.
-func (c *Conn) Close() {
-	if c.readFirst {
-		c.readFirst = false
-		for i, u := range c.loop.readFirst {
-			if u == c {
-				c.loop.readFirst = append(append([]*Conn(nil), c.loop.readFirst[:i]...), c.loop.readFirst[i+1:]...)
-				break
-			}
-		}
-	}
-	c.lingerTimer.Stop()
-	c.descriptors.closeAll()
-	if c.lingering {
-		c.lingering = false
-		c.loop.lingering = slices.DeleteFunc(c.loop.lingering, func(o *Conn) bool { return o == c })
-	}
-	c.loop.conns.Remove(c.handle)
-	if c.reservedBy != nil {
-		c.reservedBy.reservedOpen--
-		c.loop.reservedSockets--
-		c.reservedBy = nil
-	}
-	if c.fd >= 0 {
-		c.loop.system.Close(c.fd)
-		c.fd = -1
-		c.loop.bufferedBytes -= len(c.received) // the owner may still look at them
-	}
-	c.handler, c.failed = nil, true
-}
-
-// failLater tells the owner of a failure once the event at hand is over.
+// failLater reports a failure once the current event has been handled.
 func (c *Conn) failLater(err error) {
 	if c.failed {
 		return
@@ -290,12 +132,8 @@
 	})
 }
 
-// ReadBeforeReset has what the peer sent before it reset the connection shown to the owner also when a write meets the reset:
-// without it those bytes are lost, and with them an answer that came while its request was still being written.
-func (c *Conn) ReadBeforeReset() { c.readBeforeReset = true }
-
-// HungUp says whether the peer is known to have closed its side or to have reset the connection, though what it sent
-// before may not have been read.
+// HungUp reports whether the peer is known to have closed its side or reset the connection. What it sent before may
+// still be unread.
 func (c *Conn) HungUp() bool { return c.hungUp }
 
 func (c *Conn) fail(err error) {
@@ -311,7 +149,7 @@
 	}
 	if c.connecting {
 		if err := c.loop.system.SocketError(c.fd); err != nil {
-			c.fail(fmt.Errorf("transport: connect: %w", err))
+			c.fail(fmt.Errorf("eventloop: connect: %w", err))
 			return
 		}
 		if events&(unix.EPOLLOUT|unix.EPOLLIN) == 0 {
@@ -331,82 +169,24 @@
 	case c.fd < 0 || c.failed:
 	case c.stalled && ended:
 		c.unwatch()
-	case c.paused && ended: // what it sent ahead is not looked at any more
+	case c.paused && ended: // what it sent ahead is no longer of interest
 		c.fail(io.EOF)
 	case ended || events&unix.EPOLLIN != 0:
 		c.handleReadable()
 	}
 }
 
-func (c *Conn) flush() {
-	n, err := c.send(c.unsent)
-	c.writtenBytes += uint64(n)
-	c.unsent = c.unsent[n:]
-	if err != nil {
-		if c.closeAfterFlush {
-			c.Close()
-			return
-		}
-		c.failed = true
-		c.readRemaining()
-		c.fail(err)
+// SetKeepAlive lets the kernel detect an unreachable peer: unsent is how long sent bytes may stay unacknowledged, in
+// milliseconds, silent how long the peer may be silent before it is probed, in whole seconds.
+func (c *Conn) SetKeepAlive(unsent, silent time.Duration) {
+	if c.fd < 0 {
 		return
 	}
-	drained := len(c.unsent) == 0 && c.unsent != nil
-	if len(c.unsent) == 0 {
-		c.unsent = nil
-	}
-	c.updateWriteInterest()
-	if d, ok := c.handler.(Drainer); ok && drained && !c.closeAfterFlush {
-		d.Drained(c)
-		if c.fd < 0 || c.failed {
-			return
-		}
-	}
-	if c.closeAfterFlush && len(c.unsent) == 0 {
-		c.startLinger()
-	}
-	if c.closeWriteRequested && !c.writeClosed && len(c.unsent) == 0 {
-		c.shutdownWrite()
-	}
-}
-
-// deliver shows the owner the n bytes that were read.
-func (c *Conn) deliver(n int) {
-	c.loop.bufferedBytes += n
-	lent := c.loop.ZeroCopyReads && len(c.received) == 0
-	if lent {
-		c.received = c.loop.readBuffer[:n:n]
-	} else {
-		c.received = append(c.received, c.loop.readBuffer[:n]...)
-	}
-	c.handler.Data(c)
-	if lent && len(c.received) > 0 {
-		c.received = append([]byte(nil), c.received...)
-	}
-}
-
-func (c *Conn) handleReadable() {
-	for i := 0; i < maxReadsPerIteration && c.fd >= 0 && !c.failed && !c.paused && !c.stalled; i++ {
-		if c.closeAfterFlush { // the last answer is going out, or has gone: what comes now is nobody's
-			c.discardReceived()
-			return
-		}
-		n, err := c.receive()
-		switch {
-		case n > 0:
-			c.deliver(n)
-			if n < len(c.loop.readBuffer) {
-				return // a hang-up, if any, shows in the next turn
-			}
-		case errors.Is(err, unix.EINTR):
-		case errors.Is(err, unix.EAGAIN):
-			return
-		case err == nil:
-			c.notePeerClose()
-			c.fail(io.EOF)
-		default:
-			c.fail(fmt.Errorf("transport: read: %w", err))
-		}
-	}
+	set := func(level, option, value int) { _ = unix.SetsockoptInt(c.fd, level, option, value) }
+	seconds := max(1, int(silent/time.Second))
+	set(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unsent/time.Millisecond))
+	set(unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1)
+	set(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, seconds)
+	set(unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, seconds)
+	set(unix.IPPROTO_TCP, unix.TCP_KEEPCNT, keepAliveProbes)
 }
--- /dev/null
+++ b/internal/shared/eventloop/iteration_stats.go
@@ -0,0 +1,22 @@
+package eventloop
+
+// IterationStats are statistics of the loop's iterations. While one runs, everything else waits.
+type IterationStats struct {
+	Count   uint64
+	Longest float64 // in seconds, since the statistics were last taken
+}
+
+// TakeIterationStats returns the statistics and restarts the measurement of the longest iteration.
+func (l *Loop) TakeIterationStats() IterationStats {
+	t := l.iterations
+	l.iterations.Longest = 0
+	return t
+}
+
+// endIteration records the duration of an iteration.
+func (l *Loop) endIteration() {
+	began := l.now
+	l.updateTime()
+	l.iterations.Count++
+	l.iterations.Longest = max(l.iterations.Longest, l.now-began)
+}
--- /dev/null
+++ b/internal/shared/eventloop/kernel.go
@@ -0,0 +1,146 @@
+package eventloop
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// Connections that wait to be accepted, per listener.
+const (
+	acceptBacklog = 1024
+	unixBacklog   = 8
+)
+
+// kernel is the System of programs.
+type kernel struct{ epollFD, wakeFD int }
+
+func newKernel() (*kernel, error) {
+	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+	if err != nil {
+		return nil, fmt.Errorf("eventloop: epoll: %w", err)
+	}
+	wake, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
+	if err != nil {
+		unix.Close(epoll)
+		return nil, fmt.Errorf("eventloop: eventfd: %w", err)
+	}
+	k := &kernel{epollFD: epoll, wakeFD: wake}
+	if err := k.Watch(unix.EPOLL_CTL_ADD, wake, unix.EpollEvent{Events: unix.EPOLLIN, Fd: wakeHandle}); err != nil {
+		k.Release()
+		return nil, err
+	}
+	return k, nil
+}
+
+func (k *kernel) Now() time.Time { return time.Now() }
+
+func (k *kernel) Wait(events []unix.EpollEvent, timeout int) (int, error) {
+	n, err := unix.EpollWait(k.epollFD, events, timeout)
+	if err != nil && !errors.Is(err, unix.EINTR) {
+		return 0, fmt.Errorf("eventloop: epoll wait: %w", err)
+	}
+	return max(n, 0), nil
+}
+
+func (k *kernel) Wake() {
+	one := [8]byte{1}
+	_, _ = unix.Write(k.wakeFD, one[:])
+}
+
+func (k *kernel) ClearWake() {
+	var count [8]byte
+	_, _ = unix.Read(k.wakeFD, count[:])
+}
+
+func (k *kernel) Watch(operation, fd int, event unix.EpollEvent) error {
+	if err := unix.EpollCtl(k.epollFD, operation, fd, &event); err != nil {
+		return fmt.Errorf("eventloop: epoll ctl: %w", err)
+	}
+	return nil
+}
+
+func (k *kernel) Release() {
+	unix.Close(k.wakeFD)
+	unix.Close(k.epollFD)
+}
+
+func (k *kernel) Listen(addr netip.AddrPort) (int, error) {
+	family, sa := sockaddr(addr)
+	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return -1, fmt.Errorf("eventloop: socket: %w", err)
+	}
+	// a restarted process must get its address although connections of the previous one linger
+	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+	if err := unix.Bind(fd, sa); err != nil {
+		unix.Close(fd)
+		return -1, fmt.Errorf("eventloop: bind %s: %w", addr, err)
+	}
+	if err := unix.Listen(fd, acceptBacklog); err != nil {
+		unix.Close(fd)
+		return -1, fmt.Errorf("eventloop: listen %s: %w", addr, err)
+	}
+	return fd, nil
+}
+
+func (k *kernel) Accept(fd int) (int, error) {
+	accepted, _, err := unix.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+	return accepted, err
+}
+
+func (k *kernel) Connect(addr netip.AddrPort) (int, error) {
+	family, sa := sockaddr(addr)
+	return connectSocket(family, sa)
+}
+
+// connectSocket starts a connection.
+func connectSocket(family int, sa unix.Sockaddr) (int, error) {
+	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return -1, fmt.Errorf("eventloop: socket: %w", err)
+	}
+	if err := unix.Connect(fd, sa); err != nil && !errors.Is(err, unix.EINPROGRESS) {
+		unix.Close(fd)
+		return -1, fmt.Errorf("eventloop: connect: %w", err)
+	}
+	return fd, nil
+}
+
+func (k *kernel) Address(fd int) netip.AddrPort { return addrPortOf(unix.Getsockname(fd)) }
+
+func (k *kernel) Read(fd int, b []byte) (int, error) { return unix.Read(fd, b) }
+
+func (k *kernel) Peek(fd int) (int, error) {
+	var b [1]byte
+	n, _, err := unix.Recvfrom(fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	return n, err
+}
+
+func (k *kernel) Discard(fd int, b []byte) (int, error) {
+	n, _, err := unix.Recvfrom(fd, b, unix.MSG_TRUNC|unix.MSG_DONTWAIT) // nothing is copied
+	return n, err
+}
+
+func (k *kernel) Write(fd int, b []byte) (int, error) { return unix.Write(fd, b) }
+
+func (k *kernel) ShutdownWrite(fd int) error { return unix.Shutdown(fd, unix.SHUT_WR) }
+
+func (k *kernel) SetResetOnClose(fd int) {
+	_ = unix.SetsockoptLinger(fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
+}
+
+func (k *kernel) SocketError(fd int) error {
+	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
+	if err == nil && code != 0 {
+		err = unix.Errno(code)
+	}
+	return err
+}
+
+func (k *kernel) Unacknowledged(fd int) (int, error) { return unix.IoctlGetInt(fd, unix.SIOCOUTQ) }
+
+func (k *kernel) Close(fd int) { unix.Close(fd) }
--- a/internal/shared/eventloop/listener.go
+++ b/internal/shared/eventloop/listener.go
@@ -18,15 +18,15 @@
 	newHandler func(c *Conn) Handler
 	paused     bool
 
-	suspended bool // others accept
-	shared    bool // others hold the socket, too
+	suspended bool // see SetSuspended
+	shared    bool // other processes have the socket too
 
-	reservedLimit int         // connections that may be open of one that stands apart; 0 is one that does not
-	reservedOpen  int         // of them
-	closeOne      func() bool // closes one of them
+	reservedLimit int         // maximum of open connections of a reserved listener; 0: not reserved
+	reservedOpen  int         // open connections of a reserved listener
+	closeOne      func() bool // closes one of them; false if none can be closed
 }
 
-// Listen accepts connections at addr; take names the owner of each.
+// Listen accepts connections at addr; newHandler returns the handler of each.
 func (l *Loop) Listen(addr netip.AddrPort, newHandler func(c *Conn) Handler) (*Listener, error) {
 	fd, err := l.system.Listen(addr)
 	if err != nil {
@@ -38,15 +38,15 @@
 func (l *Loop) listen(fd int, newHandler func(c *Conn) Handler) (*Listener, error) {
 	ln := &Listener{loop: l, fd: fd, newHandler: newHandler}
 	ln.handle = l.listeners.Insert(ln)
-	if err := l.watch(unix.EPOLL_CTL_ADD, fd, ln.handle|1<<63, unix.EPOLLIN); err != nil {
+	if err := l.watch(unix.EPOLL_CTL_ADD, fd, ln.handle|listenerFlag, unix.EPOLLIN); err != nil {
 		ln.Close()
 		return nil, err
 	}
 	return ln, nil
 }
 
-// ListenReserved accepts connections at addr whatever others hold: at most so many are open, give closes one of them
-// that can be spared, and what happens on them is handled first in each turn.
+// ListenReserved accepts connections at addr independently of the loop's socket limit. At most limit of them are open;
+// beyond that closeOne closes one. Their events are handled before all others.
 func (l *Loop) ListenReserved(addr netip.AddrPort, limit int, closeOne func() bool, newHandler func(c *Conn) Handler) (*Listener, error) {
 	ln, err := l.Listen(addr, newHandler)
 	if err != nil {
@@ -57,16 +57,16 @@
 	return ln, nil
 }
 
-// InheritListener accepts connections on a socket that was handed to this process and that others listen on, too.
+// InheritListener accepts connections on a listening socket that this process has received and may share with others.
 func (l *Loop) InheritListener(fd int, newHandler func(c *Conn) Handler) (*Listener, error) {
 	if listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil {
-		return nil, fmt.Errorf("transport: descriptor %d: %w", fd, err)
+		return nil, fmt.Errorf("eventloop: descriptor %d: %w", fd, err)
 	} else if listening == 0 {
-		return nil, fmt.Errorf("transport: descriptor %d does not listen", fd)
+		return nil, fmt.Errorf("eventloop: descriptor %d does not listen", fd)
 	}
 	unix.CloseOnExec(fd)
 	if err := unix.SetNonblock(fd, true); err != nil {
-		return nil, fmt.Errorf("transport: descriptor %d: %w", fd, err)
+		return nil, fmt.Errorf("eventloop: descriptor %d: %w", fd, err)
 	}
 	ln, err := l.listen(fd, newHandler)
 	if err == nil {
@@ -75,35 +75,22 @@
 	return ln, err
 }
 
-// Addr is the address the listener has.
+// Addr returns the listener's address.
 func (ln *Listener) Addr() netip.AddrPort { return ln.loop.system.Address(ln.fd) }
 
-func addrPortOf(sa unix.Sockaddr, err error) netip.AddrPort {
-	if err != nil {
-		return netip.AddrPort{}
-	}
-	switch a := sa.(type) {
-	case *unix.SockaddrInet4:
-		return netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port))
-	case *unix.SockaddrInet6:
-		return netip.AddrPortFrom(netip.AddrFrom16(a.Addr), uint16(a.Port))
-	}
-	return netip.AddrPort{}
-}
-
-// Close stops accepting.
+// Close stops accepting. Closing it again has no effect.
 func (ln *Listener) Close() {
 	if ln.loop.listeners.Remove(ln.handle) {
 		if ln.reservedLimit > 0 {
 			ln.loop.reservedSockets--
 		}
-		// Closing alone would not end the events of a socket that others hold, too.
+		// closing alone does not end the events of a shared socket
 		_ = ln.loop.watch(unix.EPOLL_CTL_DEL, ln.fd, 0, 0)
 		ln.loop.system.Close(ln.fd)
 	}
 }
 
-// SetSuspended leaves the callers to others who listen on the same socket, until Resume.
+// SetSuspended suspends or resumes accepting, so that others who listen on the same socket get the connections.
 func (ln *Listener) SetSuspended(suspended bool) {
 	if _, open := ln.loop.listeners.Get(ln.handle); !open || ln.suspended == suspended {
 		return
@@ -113,19 +100,19 @@
 	if suspended || ln.paused {
 		events = 0
 	}
-	_ = ln.loop.watch(unix.EPOLL_CTL_MOD, ln.fd, ln.handle|1<<63, events)
+	_ = ln.loop.watch(unix.EPOLL_CTL_MOD, ln.fd, ln.handle|listenerFlag, events)
 }
 
-// Dup is another descriptor of the socket, to be handed to another process.
+// Dup returns another descriptor of the socket, to be passed to another process.
 func (ln *Listener) Dup() (int, error) {
 	fd, err := unix.FcntlInt(uintptr(ln.fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
-		return -1, fmt.Errorf("transport: dup: %w", err)
+		return -1, fmt.Errorf("eventloop: dup: %w", err)
 	}
 	return fd, nil
 }
 
-// makeRoom makes room for one more connection.
+// makeRoom makes room for one more connection; false if that is impossible.
 func (ln *Listener) makeRoom() bool {
 	if ln.reservedLimit == 0 {
 		return ln.loop.makeRoom()
@@ -134,14 +121,14 @@
 }
 
 func (ln *Listener) acceptPending() {
-	for i := 0; i < 64 && !ln.suspended; i++ {
+	for i := 0; i < maxAcceptsPerIteration && !ln.suspended; i++ {
 		if !ln.makeRoom() {
 			ln.pauseAccepting()
 			return
 		}
 		if ln.shared {
-			// Whoever else holds the socket may have it block again (Go's os.File.Fd does), and may take the caller first:
-			// then the accept would hold up everybody until the next one calls.
+			// Another process that has the socket may have made it blocking (as Go's os.File.Fd does) and may accept
+			// the connection first. Then accept would block the loop until the next client connects.
 			_ = unix.SetNonblock(ln.fd, true)
 		}
 		fd, err := ln.loop.system.Accept(ln.fd)
@@ -169,17 +156,18 @@
 	}
 }
 
-// pauseAccepting leaves callers in the backlog for a moment: with no descriptor to spare the loop would only spin.
+// pauseAccepting leaves connections in the backlog for acceptPauseSeconds. Without a free descriptor the loop would
+// only spin.
 func (ln *Listener) pauseAccepting() {
 	if ln.paused {
 		return
 	}
 	ln.paused = true
-	_ = ln.loop.watch(unix.EPOLL_CTL_MOD, ln.fd, ln.handle|1<<63, 0)
-	ln.loop.At(ln.loop.now+0.01, func() {
+	_ = ln.loop.watch(unix.EPOLL_CTL_MOD, ln.fd, ln.handle|listenerFlag, 0)
+	ln.loop.At(ln.loop.now+acceptPauseSeconds, func() {
 		ln.paused = false
 		if _, open := ln.loop.listeners.Get(ln.handle); open && !ln.suspended {
-			_ = ln.loop.watch(unix.EPOLL_CTL_MOD, ln.fd, ln.handle|1<<63, unix.EPOLLIN)
+			_ = ln.loop.watch(unix.EPOLL_CTL_MOD, ln.fd, ln.handle|listenerFlag, unix.EPOLLIN)
 		}
 	})
 }
--- a/internal/shared/eventloop/loop.go
+++ b/internal/shared/eventloop/loop.go
@@ -1,9 +1,6 @@
-// Package transport is the one epoll loop of the process: sockets, their slots, and every deadline. All of
-// it belongs to the goroutine that calls Run; Post alone may be called from another.
 package eventloop
 
 import (
-	"net/netip"
 	"sync"
 	"time"
 
@@ -13,51 +10,67 @@
 )
 
 const (
-	wakeHandle           = 0 // epoll data of the wake-up descriptor; no slot handle is 0
-	readBufferBytes      = 64 << 10
-	maxReadsPerIteration = 4 // reads of one connection in a turn: a fast peer must not hold up the others
+	readBufferBytes  = 64 << 10
+	maxEventsPerWait = 256
 
-	// What a peer still sends after its last answer is thrown away within these bounds: a close at once would
-	// reset the connection, and the reset may reach the peer before it has read the answer.
+	// Per iteration, so that a fast peer or a burst of clients does not delay the others.
+	maxReadsPerIteration   = 4 // of one connection
+	maxAcceptsPerIteration = 64
+
+	// acceptPauseSeconds is how long a listener rests when no descriptor is available.
+	acceptPauseSeconds = 0.01
+
+	// keepAliveProbes is how many unanswered keep-alive probes end a connection.
+	keepAliveProbes = 3
+
+	// Bounds of a lingering close: what a peer sends after its last response is discarded. Closing at once would reset
+	// the connection, and the reset may reach the peer before it has read the response.
 	lingerSeconds         = 2.0
 	maxLingerDiscardBytes = 64 << 20
-	maxLingering          = 64 // connections that linger; beyond that the oldest goes
+	maxLingering          = 64 // connections; beyond that the oldest is closed
 )
 
-// Handler is what a connection tells its owner. After a Close of its own the owner hears nothing more.
+// Handles of epoll events. Handles of connections and listeners are those of their slots, listeners with listenerFlag.
+// Slots have a generation in the upper half, which is never 0; smaller numbers are UDP sockets.
+const (
+	wakeHandle   = 0
+	listenerFlag = 1 << 63
+)
+
+// Handler receives the events of a connection. After its owner has closed the connection there are none.
 type Handler interface {
-	Opened(c *Conn)            // an outgoing connection is up
-	Data(c *Conn)              // bytes were added to what Bytes returns
-	Closed(c *Conn, err error) // the connection ended or never came up
+	Opened(c *Conn)            // an outgoing connection is established
+	Data(c *Conn)              // bytes were added to those that Bytes returns
+	Closed(c *Conn, err error) // the connection has ended or was never established
 }
 
-// Drainer is an owner that wants to hear when all that was given to Write has gone out, after some of it had to wait.
+// Drainer is a Handler that is also told when everything given to Write has been sent after some of it had to wait.
 type Drainer interface{ Drained(c *Conn) }
 
-// Loop owns the sockets and the deadlines.
+// Loop owns the sockets and timers. Set the exported fields before Run.
 type Loop struct {
 	Timers
-	FreeDescriptor func() bool // frees a descriptor that can be spared; false when there is none
+	FreeDescriptor func() bool // closes a connection that can be spared; false if there is none
 
-	// ZeroCopyReads has what comes shown to owners where it was read, without a copy, as long as they consume it within Data:
-	// nothing of Bytes may be kept beyond that.
+	// ZeroCopyReads passes received bytes to handlers without copying them, as long as they consume them within Data.
+	// Nothing that Bytes returns may be kept beyond that.
 	ZeroCopyReads bool
 
-	// OnLateWakeup is told when a turn comes so many seconds later than it was due, before anything else is done in it: the
-	// process was stopped, or got no processor. LateWakeupSeconds is how late that is.
+	// OnLateWakeup is called when an iteration starts more than LateWakeupSeconds late, before anything else in it: the
+	// process was stopped or got no CPU.
 	OnLateWakeup      func(late float64)
 	LateWakeupSeconds float64
 
 	system            System
-	socketLimit       int // sockets that may be open at once
+	socketLimit       int
 	conns             slotmap.Map[*Conn]
 	listeners         slotmap.Map[*Listener]
-	udpSockets        map[uint32]*UDPSocket // of datagrams
+	udpSockets        map[uint32]*UDPSocket // by the number in their handle
 	lastUDPSocket     uint32
 	readFirst         []*Conn
-	lingering         []*Conn // the oldest first
-	bufferedBytes     int     // bytes that have come and were not consumed, over all connections
-	reservedSockets   int     // sockets of listeners that stand apart
+	lingering         []*Conn // oldest first
+	bufferedBytes     int     // received and not consumed, over all connections
+	reservedSockets   int     // reserved listeners and their connections
 	now, startSeconds float64
 	startTime         time.Time
 	readBuffer        []byte
@@ -69,7 +82,7 @@
 	posted []func()
 }
 
-// NewLoop makes a loop that opens at most limit sockets.
+// NewLoop creates a loop that has at most limit sockets open.
 func NewLoop(limit int) (*Loop, error) {
 	kernel, err := newKernel()
 	if err != nil {
@@ -78,34 +91,34 @@
 	return NewLoopWithSystem(kernel, limit), nil
 }
 
-// NewLoopWithSystem makes a loop over a system other than the kernel, which tests simulate.
+// NewLoopWithSystem creates a loop over another System than the kernel, for simulations.
 func NewLoopWithSystem(system System, limit int) *Loop {
 	l := &Loop{system: system, socketLimit: limit, readBuffer: make([]byte, readBufferBytes), udpSockets: map[uint32]*UDPSocket{}}
-	// Unix time at the start, then the monotonic clock: boot_ms compares, and time never goes back.
+	// Unix time at the start plus the monotonic clock: times are comparable with boot_ms and never go back.
 	l.startTime = system.Now()
 	l.startSeconds = float64(l.startTime.UnixMicro()) / 1e6
 	l.updateTime()
 	return l
 }
 
-// Now is the time of this turn: monotonic seconds, anchored to Unix time at the start.
+// Now returns the time of this iteration: monotonic seconds, anchored to Unix time at the start.
 func (l *Loop) Now() float64 { return l.now }
 
 func (l *Loop) updateTime() { l.now = l.startSeconds + l.system.Now().Sub(l.startTime).Seconds() }
 
-// OpenSockets is the number of sockets open, without those of listeners that stand apart.
+// OpenSockets returns the number of open sockets, without those of reserved listeners.
 func (l *Loop) OpenSockets() int { return l.conns.Len() + l.listeners.Len() - l.reservedSockets }
 
-// SetSocketLimit changes how many sockets may be open; what is open beyond it stays.
+// SetSocketLimit changes the limit of open sockets. Sockets beyond it stay open.
 func (l *Loop) SetSocketLimit(limit int) { l.socketLimit = limit }
 
-// SocketLimit is how many sockets may be open.
+// SocketLimit returns the limit of open sockets.
 func (l *Loop) SocketLimit() int { return l.socketLimit }
 
-// BufferedBytes is how many bytes have come and were not consumed, over all connections.
+// BufferedBytes returns how many received bytes were not consumed, over all connections.
 func (l *Loop) BufferedBytes() int { return l.bufferedBytes }
 
-// Post runs do on the loop's goroutine; it may be called from any other.
+// Post runs do on the loop's goroutine. It may be called from any goroutine.
 func (l *Loop) Post(do func()) {
 	l.mutex.Lock()
 	l.posted = append(l.posted, do)
@@ -113,17 +126,17 @@
 	l.system.Wake()
 }
 
-// Defer runs do after the event at hand, so that it re-enters nobody.
+// Defer runs do after the current event has been handled, so that it does not re-enter its caller.
 func (l *Loop) Defer(do func()) { l.deferred = append(l.deferred, do) }
 
-// Stop ends Run after the turn at hand.
+// Stop ends Run after the current iteration.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run serves until Stop.
+// Run serves until Stop, then closes all sockets.
 func (l *Loop) Run() error {
 	defer l.closeAll()
-	events := make([]unix.EpollEvent, 256)
-	began := l.now // the turn at hand
+	events := make([]unix.EpollEvent, maxEventsPerWait)
+	began := l.now // start of the current iteration
 	for !l.stopped {
 		wait, before := -1, began
 		if len(l.deferred) > 0 {
@@ -138,11 +151,11 @@
 		}
 		l.updateTime()
 		began = l.now
-		// the turn before counts, too: a process may be stopped at any place
+		// the previous iteration counts too: a process may be stopped anywhere
 		if late := l.now - before - float64(wait)/1000; wait >= 0 && l.OnLateWakeup != nil && late > l.LateWakeupSeconds {
 			l.OnLateWakeup(late)
 		}
-		for _, c := range l.readFirst { // whatever the director has written counts as told: read it before anything can send
+		for _, c := range l.readFirst { // what such a peer has sent takes effect before anything else can be sent
 			if !c.connecting {
 				c.handleReadable()
 			}
@@ -178,18 +191,18 @@
 	}
 }
 
-// udpHandle names a socket of datagrams in events: slots have a generation in the upper half, which is never 0.
+// udpHandle returns the handle of a UDP socket.
 func udpHandle(id uint32) slotmap.Handle { return slotmap.Handle(id) }
 
 func eventHandle(event *unix.EpollEvent) slotmap.Handle {
 	return slotmap.Handle(uint64(uint32(event.Pad))<<32 | uint64(uint32(event.Fd)))
 }
 
-// isReserved says whether an event is of a listener that stands apart, or of one of its connections.
+// isReserved reports whether an event concerns a reserved listener or one of its connections.
 func (l *Loop) isReserved(event *unix.EpollEvent) bool {
 	h := eventHandle(event)
-	if h>>63 == 1 {
-		ln, ok := l.listeners.Get(h &^ (1 << 63))
+	if h&listenerFlag != 0 {
+		ln, ok := l.listeners.Get(h &^ listenerFlag)
 		return ok && ln.reservedLimit > 0
 	}
 	c, ok := l.conns.Get(h)
@@ -209,8 +222,8 @@
 		}
 		return
 	}
-	if handle>>63 == 1 {
-		if ln, ok := l.listeners.Get(handle &^ (1 << 63)); ok {
+	if handle&listenerFlag != 0 {
+		if ln, ok := l.listeners.Get(handle &^ listenerFlag); ok {
 			ln.acceptPending()
 		}
 		return
@@ -239,7 +252,7 @@
 	l.system.Release()
 }
 
-// makeRoom frees a descriptor when all are taken: first that of a peer which has had its last answer.
+// makeRoom makes sure that one more socket may be opened; false if no connection can be closed for it.
 func (l *Loop) makeRoom() bool { return l.OpenSockets() < l.socketLimit || l.freeDescriptor() }
 
 func (l *Loop) freeDescriptor() bool {
@@ -249,11 +262,3 @@
 	}
 	return l.FreeDescriptor != nil && l.FreeDescriptor()
 }
-
-// sockaddr turns an address into the system's form.
-func sockaddr(addr netip.AddrPort) (family int, sa unix.Sockaddr) {
-	if ip := addr.Addr().Unmap(); ip.Is4() {
-		return unix.AF_INET, &unix.SockaddrInet4{Port: int(addr.Port()), Addr: ip.As4()}
-	}
-	return unix.AF_INET6, &unix.SockaddrInet6{Port: int(addr.Port()), Addr: addr.Addr().As16()}
-}
--- a/internal/shared/eventloop/loop_test.go
+++ b/internal/shared/eventloop/loop_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// recordingHandler is one end of a connection: it keeps what it heard.
+// recordingHandler records the events of one end of a connection.
 type recordingHandler struct {
 	heard *[]string
 	name  string
@@ -40,8 +40,8 @@
 	return l
 }
 
-// Guards against a connection that its peer has closed passing for a live one before its hang-up was handled,
-// against a connect that fails at once re-entering its caller, and against words after an own Close.
+// Guards against a connection that its peer has closed passing for a live one before its hang-up was handled, against a
+// connect that fails at once re-entering its caller, and against callbacks after Close.
 func TestConnections(t *testing.T) {
 	l := newLoop(t, 100)
 	var heard []string
@@ -90,7 +90,7 @@
 	}
 }
 
-// Guards against descriptors beyond the limit, and against a loop that spins or stops when none is to be had.
+// Guards against descriptors beyond the limit, and against a loop that spins or stops when none is available.
 func TestDescriptorLimit(t *testing.T) {
 	loop := newLoop(t, 2)
 	var heard []string
@@ -115,8 +115,8 @@
 	}
 }
 
-// Guards against deadlines out of order, one stopped in time that runs all the same, and one that is past
-// already when it is set keeping the loop from its sockets.
+// Guards against timers out of order, one that runs although it was stopped, and one set in the past that keeps the
+// loop from its sockets.
 func TestTimers(t *testing.T) {
 	var d Timers
 	var got []string
@@ -141,7 +141,7 @@
 	}
 }
 
-// replyingHandler counts what comes along a connection between two processes, and answers each word.
+// replyingHandler counts the bytes received on a connection between two processes, and answers each read.
 type replyingHandler struct {
 	loop   *Loop
 	got    int
@@ -155,7 +155,7 @@
 }
 func (h *replyingHandler) Closed(_ *Conn, err error) { h.closed = err; h.loop.Stop() }
 
-// What a process told before it went is heard, although a write of ours finds it gone first.
+// What a process sent before it exited is read although a write fails first.
 func TestReadsBytesSentBeforePeerExit(t *testing.T) {
 	loop, err := NewLoop(10)
 	if err != nil {
@@ -182,7 +182,7 @@
 	for said < words {
 		n, err := unix.SendmsgN(pair[1], make([]byte, 4<<10), nil, nil, unix.MSG_DONTWAIT)
 		if err != nil {
-			break // the system's buffers hold no more
+			break // the kernel's buffers are full
 		}
 		said += n
 	}
@@ -196,7 +196,7 @@
 	}
 }
 
-// A listening socket that another process has made to block holds nobody up, although the caller is gone.
+// A listening socket that another process has made blocking does not block the loop when the client is gone.
 func TestSharedBlockingListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -220,14 +220,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := unix.SetNonblock(fd, false); err != nil { // as whoever holds it, too, may do
+	if err := unix.SetNonblock(fd, false); err != nil { // as another process that has the socket may do
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
-	go func() { listener.acceptPending(); close(done) }() // a caller was told of, and another process has taken it
+	go func() { listener.acceptPending(); close(done) }() // as if another process had accepted the connection
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
 		t.Fatal("held up")
 	}
 }
+
+// A late iteration is reported before anything else in it: posted functions, received bytes, timers.
+func TestLateWakeup(t *testing.T) {
+	loop := newLoop(t, 10)
+	loop.LateWakeupSeconds = 0.2
+	var order []string
+	loop.OnLateWakeup = func(late float64) {
+		if late < 0.2 || late > 25 {
+			t.Errorf("%v s late", late)
+		}
+		order = append(order, "slept")
+	}
+	loop.At(loop.Now()+0.01, func() {
+		loop.Post(func() { order = append(order, "posted") })
+		loop.At(loop.Now()+0.01, func() {
+			order = append(order, "deadline")
+			loop.Stop()
+		})
+		time.Sleep(400 * time.Millisecond) // as if the process had been stopped
+	})
+	if err := loop.Run(); err != nil {
+		t.Fatal(err)
+	}
+	if len(order) < 3 || order[0] != "slept" {
+		t.Errorf("order %v", order)
+	}
+}
--- a/internal/shared/eventloop/system.go
+++ b/internal/shared/eventloop/system.go
@@ -1,181 +1,46 @@
 package eventloop
 
 import (
-	"errors"
-	"fmt"
 	"net/netip"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// System is what a loop asks of the operating system for its TCP connections and its time. Programs use the kernel;
-// tests simulate one, with a network and a clock of their own. Errors are those of the system calls, wrapped or not.
+// System is the part of the operating system that a loop uses for TCP connections and time. Programs use the kernel;
+// simulations provide a network and a clock of their own. Errors are those of the system calls, possibly wrapped.
 type System interface {
-	// Now is the time by a clock that never goes back.
+	// Now returns the time of a monotonic clock.
 	Now() time.Time
-	// Wait fills in events and returns how many there are, after at most timeout milliseconds; -1: without end.
+	// Wait fills in events and returns their number, after at most timeout milliseconds; -1: no timeout.
 	Wait(events []unix.EpollEvent, timeout int) (int, error)
-	// Wake ends a Wait from another goroutine; Woken takes its event.
+	// Wake ends a Wait from another goroutine; ClearWake consumes its event.
 	Wake()
 	ClearWake()
-	// Watch changes the events that are waited for, by an operation of epoll_ctl.
+	// Watch changes the watched events by an operation of epoll_ctl.
 	Watch(operation, fd int, event unix.EpollEvent) error
-	// Release lets go of what Wait holds.
+	// Release frees what Wait uses.
 	Release()
 
 	Listen(addr netip.AddrPort) (fd int, err error)
 	Accept(fd int) (int, error)
-	// Connect begins a connection; it is up, or has failed, with its first event.
+	// Connect starts a connection; it is established, or has failed, with its first event.
 	Connect(addr netip.AddrPort) (fd int, err error)
-	// Address is the socket's own address; the zero value where it has none.
+	// Address returns the socket's own address; the zero value if it has none.
 	Address(fd int) netip.AddrPort
 	Read(fd int, b []byte) (int, error)
-	// Peek reads a byte and leaves it.
+	// Peek reads a byte without consuming it.
 	Peek(fd int) (int, error)
-	// Discard reads bytes into b, which is not kept, and says how many there were, if more than b holds.
+	// Discard consumes received bytes and returns their number, which may exceed len(b). The content of b is undefined.
 	Discard(fd int, b []byte) (int, error)
 	Write(fd int, b []byte) (int, error)
-	// ShutdownWrite closes the direction of writing.
+	// ShutdownWrite closes the write side.
 	ShutdownWrite(fd int) error
-	// SetResetOnClose has Close drop what was written and reset the connection.
+	// SetResetOnClose makes Close discard what was not sent and reset the connection.
 	SetResetOnClose(fd int)
-	// SocketError takes the error that a socket holds.
+	// SocketError returns and clears the pending error of a socket.
 	SocketError(fd int) error
-	// Unacknowledged is how many bytes written the peer's system has not confirmed.
+	// Unacknowledged returns the number of sent bytes that the peer's kernel has not acknowledged.
 	Unacknowledged(fd int) (int, error)
 	Close(fd int)
 }
-
-// acceptBacklog is how many connections wait to be accepted.
-const acceptBacklog = 1024
-
-// kernel is the operating system.
-type kernel struct{ epollFD, wakeFD int }
-
-func newKernel() (*kernel, error) {
-	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
-	if err != nil {
-		return nil, fmt.Errorf("transport: epoll: %w", err)
-	}
-	wake, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
-	if err != nil {
-		unix.Close(epoll)
-		return nil, fmt.Errorf("transport: eventfd: %w", err)
-	}
-	k := &kernel{epollFD: epoll, wakeFD: wake}
-	if err := k.Watch(unix.EPOLL_CTL_ADD, wake, unix.EpollEvent{Events: unix.EPOLLIN, Fd: wakeHandle}); err != nil {
-		k.Release()
-		return nil, err
-	}
-	return k, nil
-}
-
-func (k *kernel) Now() time.Time { return time.Now() }
-
-func (k *kernel) Wait(events []unix.EpollEvent, timeout int) (int, error) {
-	n, err := unix.EpollWait(k.epollFD, events, timeout)
-	if err != nil && !errors.Is(err, unix.EINTR) {
-		return 0, fmt.Errorf("transport: epoll wait: %w", err)
-	}
-	return max(n, 0), nil
-}
-
-func (k *kernel) Wake() {
-	one := [8]byte{1}
-	_, _ = unix.Write(k.wakeFD, one[:])
-}
-
-func (k *kernel) ClearWake() {
-	var count [8]byte
-	_, _ = unix.Read(k.wakeFD, count[:])
-}
-
-func (k *kernel) Watch(operation, fd int, event unix.EpollEvent) error {
-	if err := unix.EpollCtl(k.epollFD, operation, fd, &event); err != nil {
-		return fmt.Errorf("transport: epoll ctl: %w", err)
-	}
-	return nil
-}
-
-func (k *kernel) Release() {
-	unix.Close(k.wakeFD)
-	unix.Close(k.epollFD)
-}
-
-func (k *kernel) Listen(addr netip.AddrPort) (int, error) {
-	family, sa := sockaddr(addr)
-	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		return -1, fmt.Errorf("transport: socket: %w", err)
-	}
-	// A restart must get its old address although the last life's connections linger.
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err := unix.Bind(fd, sa); err != nil {
-		unix.Close(fd)
-		return -1, fmt.Errorf("transport: bind %s: %w", addr, err)
-	}
-	if err := unix.Listen(fd, acceptBacklog); err != nil {
-		unix.Close(fd)
-		return -1, fmt.Errorf("transport: listen %s: %w", addr, err)
-	}
-	return fd, nil
-}
-
-func (k *kernel) Accept(fd int) (int, error) {
-	accepted, _, err := unix.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-	return accepted, err
-}
-
-func (k *kernel) Connect(addr netip.AddrPort) (int, error) {
-	family, sa := sockaddr(addr)
-	return connectSocket(family, sa)
-}
-
-// connectSocket begins a connection.
-func connectSocket(family int, sa unix.Sockaddr) (int, error) {
-	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		return -1, fmt.Errorf("transport: socket: %w", err)
-	}
-	if err := unix.Connect(fd, sa); err != nil && !errors.Is(err, unix.EINPROGRESS) {
-		unix.Close(fd)
-		return -1, fmt.Errorf("transport: connect: %w", err)
-	}
-	return fd, nil
-}
-
-func (k *kernel) Address(fd int) netip.AddrPort { return addrPortOf(unix.Getsockname(fd)) }
-
-func (k *kernel) Read(fd int, b []byte) (int, error) { return unix.Read(fd, b) }
-
-func (k *kernel) Peek(fd int) (int, error) {
-	var b [1]byte
-	n, _, err := unix.Recvfrom(fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-	return n, err
-}
-
-func (k *kernel) Discard(fd int, b []byte) (int, error) {
-	n, _, err := unix.Recvfrom(fd, b, unix.MSG_TRUNC|unix.MSG_DONTWAIT) // nothing is copied
-	return n, err
-}
-
-func (k *kernel) Write(fd int, b []byte) (int, error) { return unix.Write(fd, b) }
-
-func (k *kernel) ShutdownWrite(fd int) error { return unix.Shutdown(fd, unix.SHUT_WR) }
-
-func (k *kernel) SetResetOnClose(fd int) {
-	_ = unix.SetsockoptLinger(fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
-}
-
-func (k *kernel) SocketError(fd int) error {
-	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
-	if err == nil && code != 0 {
-		err = unix.Errno(code)
-	}
-	return err
-}
-
-func (k *kernel) Unacknowledged(fd int) (int, error) { return unix.IoctlGetInt(fd, unix.SIOCOUTQ) }
-
-func (k *kernel) Close(fd int) { unix.Close(fd) }
--- a/internal/shared/eventloop/timers.go
+++ b/internal/shared/eventloop/timers.go
@@ -2,22 +2,22 @@
 
 import "container/heap"
 
-// Timer is one entry of Deadlines.
+// Timer is a function to be called at a time.
 type Timer struct {
 	due      float64
-	sequence uint64 // entries due at one time run in the order they were set
+	sequence uint64 // timers due at the same time run in the order in which they were set
 	callback func()
 	timers   *Timers
 	index    int // -1 once it has run or was stopped
 }
 
-// Timers is the one ordered structure that every deadline of the process hangs in.
+// Timers holds all timers of a loop, ordered by time. It implements heap.Interface.
 type Timers struct {
 	entries  []*Timer
 	sequence uint64
 }
 
-// At runs do at a time of the loop's clock.
+// At calls do at a time of the loop's clock, in seconds.
 func (d *Timers) At(at float64, do func()) *Timer {
 	d.sequence++
 	e := &Timer{due: at, sequence: d.sequence, callback: do, timers: d}
@@ -25,14 +25,14 @@
 	return e
 }
 
-// Stop withdraws the deadline; one that has run, or nil, is ignored.
+// Stop cancels the timer. A nil timer, and one that has run, are ignored.
 func (t *Timer) Stop() {
 	if t != nil && t.index >= 0 {
 		heap.Remove(t.timers, t.index)
 	}
 }
 
-// nextDue is when the first deadline falls due.
+// nextDue returns when the first timer is due; pending is false if there is none.
 func (d *Timers) nextDue() (at float64, pending bool) {
 	if len(d.entries) == 0 {
 		return 0, false
@@ -40,7 +40,8 @@
 	return d.entries[0].due, true
 }
 
-// runDue runs what is due. What that sets anew waits for the next turn, or a past deadline could spin here.
+// runDue runs the timers that are due. Timers set meanwhile wait for the next iteration, because one set in the past
+// could keep the loop here forever.
 func (d *Timers) runDue(now float64) {
 	last := d.sequence
 	for len(d.entries) > 0 && d.entries[0].due <= now && d.entries[0].sequence <= last {
--- a/internal/shared/eventloop/udp_socket.go
+++ b/internal/shared/eventloop/udp_socket.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	maxDatagramBytes         = 2048 // bytes that are read of one; a longer one arrives cut to this, which is more than anybody may send
-	maxDatagramsPerIteration = 64   // read in a turn: the jobs must not wait for more
+	maxDatagramBytes         = 2048 // longer datagrams are truncated to this; no sender exceeds it
+	maxDatagramsPerIteration = 64   // so that the rest of the loop does not wait for more
 )
 
-// UDPSocket is a bound UDP socket: datagrams come from anybody and go to anybody. It counts as none of the loop's sockets.
+// UDPSocket is a bound UDP socket. It does not count toward the socket limit.
 type UDPSocket struct {
 	loop    *Loop
 	id      uint32
@@ -21,17 +21,17 @@
 	handler func(b []byte)
 }
 
-// ListenUDP binds a UDP socket; take gets each datagram and keeps nothing of b. What several sockets of one process
-// would share, the address, is refused to the second: errors wrap the system's.
+// ListenUDP binds a UDP socket; handler gets each datagram and must not keep b. An address in use is an error that
+// wraps the system's.
 func (l *Loop) ListenUDP(addr netip.AddrPort, handler func(b []byte)) (*UDPSocket, error) {
 	family, sa := sockaddr(addr)
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return nil, fmt.Errorf("transport: socket: %w", err)
+		return nil, fmt.Errorf("eventloop: socket: %w", err)
 	}
 	if err := unix.Bind(fd, sa); err != nil {
 		unix.Close(fd)
-		return nil, fmt.Errorf("transport: bind %s: %w", addr, err)
+		return nil, fmt.Errorf("eventloop: bind %s: %w", addr, err)
 	}
 	l.lastUDPSocket++ // handles of slots are above these numbers
 	socket := &UDPSocket{loop: l, id: l.lastUDPSocket, fd: fd, handler: handler}
@@ -43,22 +43,22 @@
 	return socket, nil
 }
 
-// Addr is the address the socket has.
+// Addr returns the socket's address.
 func (s *UDPSocket) Addr() netip.AddrPort { return addrPortOf(unix.Getsockname(s.fd)) }
 
-// SetHandler changes who gets the datagrams.
+// SetHandler replaces the handler of datagrams.
 func (s *UDPSocket) SetHandler(handler func(b []byte)) { s.handler = handler }
 
-// SendTo sends one datagram. With no room for it in the system it is dropped, and the error says so.
+// SendTo sends one datagram. If the socket buffer is full it is dropped and the error says so.
 func (s *UDPSocket) SendTo(addr netip.AddrPort, b []byte) error {
 	_, sa := sockaddr(addr)
 	if err := unix.Sendto(s.fd, b, unix.MSG_DONTWAIT, sa); err != nil {
-		return fmt.Errorf("transport: send: %w", err)
+		return fmt.Errorf("eventloop: send: %w", err)
 	}
 	return nil
 }
 
-// Close closes the socket; closing it again does nothing.
+// Close closes the socket. Closing it again has no effect.
 func (s *UDPSocket) Close() {
 	if s.loop.udpSockets[s.id] == s {
 		delete(s.loop.udpSockets, s.id)
@@ -70,12 +70,12 @@
 	var b [maxDatagramBytes]byte
 	for range maxDatagramsPerIteration {
 		if s.loop.udpSockets[s.id] != s {
-			return // closed by what it took
+			return // closed by the handler
 		}
 		n, _, err := unix.Recvfrom(s.fd, b[:], unix.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, unix.EINTR):
-		case errors.Is(err, unix.ECONNREFUSED): // what was sent to one that has gone
+		case errors.Is(err, unix.ECONNREFUSED): // an earlier datagram had no recipient
 		case err != nil:
 			return
 		default:
