--- a/grpcbalancer/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -125,14 +125,14 @@
 			listed[a.Addr] = true
 			w := d.workers[a.Addr]
 			if w == nil {
-				w = &worker{d: d, addr: a.Addr, fetches: map[dispatch.FetchID]*fetch{}, link: link{changed: make(chan struct{})}}
+				w = &worker{d: d, addr: a.Addr, fetches: map[dispatch.AttemptID]*fetch{}, link: link{changed: make(chan struct{})}}
 				d.workers[a.Addr] = w
 			}
 			if w.link.sub == nil {
 				missing = append(missing, fresh{w, a})
 			}
 			at, _ := a.BalancerAttributes.Value(serverKey{}).(Server)
-			w.member = loadbalancer.Worker{ID: d.core.Number(a.Addr), Zone: at.Zone, Kind: at.Kind, Cell: at.Cell, State: loadbalancer.Ready, Weight: 1}
+			w.member = loadbalancer.Worker{ID: d.core.WorkerID(a.Addr), Zone: at.Zone, Kind: at.Kind, Cell: at.Cell, State: loadbalancer.Ready, Weight: 1}
 			if at.Draining {
 				w.member.State = loadbalancer.Draining
 			}
@@ -148,7 +148,7 @@
 				delete(d.workers, addr)
 			}
 		}
-		d.core.List(loadbalancer.ListFull, members)
+		d.core.UpdateMembers(loadbalancer.ListFull, members)
 	})
 	for _, m := range missing {
 		var sub balancer.SubConn
@@ -198,7 +198,7 @@
 		for _, w := range b.d.workers {
 			w.link.sub, w.link.ready = nil, false
 		}
-		b.d.core.List(loadbalancer.ListFull, nil)
+		b.d.core.UpdateMembers(loadbalancer.ListFull, nil)
 	})
 }
 
--- a/grpcbalancer/figures.go
+++ b/grpcbalancer/figures.go
@@ -55,6 +55,6 @@
 		zones = append(zones[:len(zones):len(zones)], strconv.Itoa(len(zones)))
 	}
 	d.figures = telemetry.New(telemetry.Options{Settings: *set, Classes: classes, Zones: zones, Kinds: kinds, Nodes: o.Nodes,
-		Standing: d.core.Standing, Now: d.Now})
+		Standing: d.core.WorkerStatus, Now: d.Now})
 	d.core.Observer = d.figures
 }
--- a/grpcbalancer/rpcplugin.go
+++ b/grpcbalancer/rpcplugin.go
@@ -57,7 +57,7 @@
 	start   float64
 
 	mu      sync.Mutex // the core belongs to whoever holds it
-	core    *dispatch.Core
+	core    *dispatch.Dispatcher
 	workers map[string]*worker // by address
 	timers  map[*timer]bool
 	closed  bool
@@ -115,11 +115,11 @@
 // Include calls a server back: it is cold, since it was restarted meanwhile.
 func (d *Dispatcher) Include(addr string) (known bool) { return d.change(d.core.Include, addr) }
 
-func (d *Dispatcher) change(what func(string) dispatch.Change, addr string) (known bool) {
+func (d *Dispatcher) change(what func(string) dispatch.ExclusionChange, addr string) (known bool) {
 	d.locked(func() {
 		ch := what(addr)
-		if known = ch.Known && !ch.Full; known {
-			d.core.Apply(ch.Out)
+		if known = ch.Known && !ch.LimitReached; known {
+			d.core.ApplyExclusions(ch.Exclusions)
 		}
 	})
 	return known
@@ -148,7 +148,7 @@
 }
 
 // At implements routing.Clock; the lock is held.
-func (d *Dispatcher) At(at float64, do func()) dispatch.Stop {
+func (d *Dispatcher) At(at float64, do func()) dispatch.Timer {
 	t := &timer{d: d}
 	if d.closed {
 		t.t = time.NewTimer(time.Hour)
@@ -195,18 +195,18 @@
 	cc.Connect() // the list comes from the resolver, which an idle ClientConn does not ask
 	c := &call{ctx: ctx, method: method, request: request, reply: reflect.TypeOf(reply).Elem(), cc: cc, invoke: invoke,
 		options: options, answer: make(chan dispatch.Answer, 1)}
-	job := dispatch.Job{Class: class, Slots: 1, Deadline: d.Now() + d.options.Settings.Classes[class].Deadline, Load: c, ID: method,
+	job := dispatch.Job{Class: class, Slots: 1, Deadline: d.Now() + d.options.Settings.Classes[class].Deadline, Payload: c, ID: method,
 		Front: "grpc"}
 	if at, ok := ctx.Deadline(); ok {
 		job.Deadline = math.Min(job.Deadline, d.Now()+time.Until(at).Seconds())
 	}
-	var id dispatch.ReqID
-	d.locked(func() { id = d.core.Take(job, c) })
+	var id dispatch.RequestID
+	d.locked(func() { id = d.core.Submit(job, c) })
 	var a dispatch.Answer
 	select {
 	case a = <-c.answer:
 	case <-ctx.Done():
-		d.locked(func() { d.core.Gone(id) })
+		d.locked(func() { d.core.HandleDisconnect(id) })
 		select {
 		case a = <-c.answer: // it had come by then
 		default:
@@ -228,9 +228,9 @@
 			reflect.ValueOf(reply).Elem().Set(reflect.ValueOf(served).Elem())
 		}
 		return nil
-	case dispatch.Refused:
+	case dispatch.Rejected:
 		s := status.New(codes.Unavailable, "refused: a retry is harmless")
-		if with, err := s.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(a.Wait * float64(time.Second)))}); err == nil {
+		if with, err := s.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(a.RetryAfter * float64(time.Second)))}); err == nil {
 			s = with
 		}
 		return s.Err()
@@ -247,12 +247,12 @@
 	addr    string
 	member  loadbalancer.Worker
 	link    link
-	fetches map[dispatch.FetchID]*fetch
+	fetches map[dispatch.AttemptID]*fetch
 }
 
 // fetch is one attempt. What the picker needs of it travels in its context.
 type fetch struct {
-	id     dispatch.FetchID
+	id     dispatch.AttemptID
 	w      *worker
 	cancel context.CancelFunc
 	begun  bool // handed to the library
@@ -262,17 +262,17 @@
 
 type fetchKey struct{}
 
-// Begin implements routing.Backend; the lock is held.
-func (w *worker) Begin(f dispatch.Fetch) {
-	c := f.Load.(*call)
+// Start implements routing.Backend; the lock is held.
+func (w *worker) Start(f dispatch.Attempt) {
+	c := f.Payload.(*call)
 	ctx, cancel := context.WithTimeout(c.ctx, time.Duration((f.Deadline-w.d.Now())*float64(time.Second)))
 	t := &fetch{id: f.ID, w: w, cancel: cancel}
 	w.fetches[f.ID] = t
 	go w.run(context.WithValue(ctx, fetchKey{}, t), t, c)
 }
 
-// Drop implements routing.Backend; the lock is held.
-func (w *worker) Drop(id dispatch.FetchID) bool {
+// Cancel implements routing.Backend; the lock is held.
+func (w *worker) Cancel(id dispatch.AttemptID) bool {
 	t := w.fetches[id]
 	if t == nil {
 		return true
@@ -282,8 +282,8 @@
 	return t.begun && !t.unsent
 }
 
-// Renew implements routing.Backend: grpc finds out by itself which connections still stand.
-func (w *worker) Renew() {}
+// ResetConnections implements routing.Backend: grpc finds out by itself which connections still stand.
+func (w *worker) ResetConnections() {}
 
 // Probe implements routing.Backend: the state of the connection is all that costs the server nothing.
 func (w *worker) Probe(done func(loadbalancer.Result, []float32)) {
@@ -299,13 +299,13 @@
 	defer t.cancel()
 	up := w.d.await(ctx, w)
 	w.d.mu.Lock()
-	result, clear := w.d.core.Clear(t.id)
+	result, clear := w.d.core.ConfirmSend(t.id)
 	if clear && !up {
 		result, clear = loadbalancer.ConnectFailed, false
 	}
 	if t.begun = clear; !clear {
 		delete(w.fetches, t.id)
-		w.d.core.Ended(t.id, dispatch.End{Result: result})
+		w.d.core.HandleOutcome(t.id, dispatch.Outcome{Result: result})
 		w.d.mu.Unlock()
 		return
 	}
@@ -321,13 +321,13 @@
 		return // given up: its status is of our own making and must not reach the caller
 	}
 	delete(w.fetches, t.id)
-	e := dispatch.End{Result: outcome(err, trailer, t.unsent), Report: w.d.report(trailer)}
+	e := dispatch.Outcome{Result: outcome(err, trailer, t.unsent), Report: w.d.report(trailer)}
 	if e.Result == loadbalancer.OK && c.served == nil {
 		c.served, c.servedErr = reply, err
 	} else if e.Result != loadbalancer.OK {
 		c.failed = err
 	}
-	w.d.core.Ended(t.id, e)
+	w.d.core.HandleOutcome(t.id, e)
 }
 
 // outcome maps a status. Whatever the service itself said to the caller is an answer, not a failure.
--- a/grpcbalancer/rpcplugin_test.go
+++ b/grpcbalancer/rpcplugin_test.go
@@ -156,7 +156,7 @@
 			if tc.effect == loadbalancer.RetryDeduplicated && r.calls[0] != r.calls[1] {
 				t.Errorf("a keyed repeat left its cell: %v", r.calls)
 			}
-			if n := r.d.Counts(); n.Reqs != 1 || n.Served+n.Refused+n.Failed != 1 || int(n.Fetches) != tc.calls {
+			if n := r.d.Counts(); n.Requests != 1 || n.Served+n.Rejected+n.Failed != 1 || int(n.Attempts) != tc.calls {
 				t.Errorf("counts %+v", n)
 			}
 		})
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -357,13 +357,13 @@
 	path := filepath.Join(t.TempDir(), "log")
 	log := must(requestlog.Open(requestlog.Options{Path: path, By: "n0", Life: "k3f", Classes: []string{"score"},
 		Slot: func(w loadbalancer.WorkerID) string { return fmt.Sprintf("m.k.0.%d", w) }}))(t)
-	log.Answered(&dispatch.Final{ID: "x", Front: "platform", Verdict: dispatch.Served, Arrived: 100, Answered: 100.25, Aim: 101,
-		Started: 100.1, Won: 1, Mark: 12, Tries: []dispatch.Try{
-			{Worker: 1, Node: "a", Sent: 100, Ended: 100.05, Result: loadbalancer.Rejected, Mark: 11},
-			{Worker: 2, Attempt: 1, Node: "b", Sent: 100.05, Started: 100.1, Ended: 100.25, Copy: true},
-			{Worker: 3, Attempt: 2, Node: "c", Sent: 100.2}}})
-	log.Answered(&dispatch.Final{ID: "y", Front: "gearman", Class: -1, Verdict: dispatch.Refused, Reason: dispatch.NoRoom, Arrived: 100,
-		Answered: 100, Wait: 0.5, Won: -1})
+	log.Answered(&dispatch.AnswerRecord{ID: "x", Front: "platform", Verdict: dispatch.Served, ArrivedAt: 100, AnsweredAt: 100.25, TargetAt: 101,
+		StartedAt: 100.1, WinningAttempt: 1, AuditMark: 12, Attempts: []dispatch.AttemptRecord{
+			{Worker: 1, MemberName: "a", SentAt: 100, EndedAt: 100.05, Result: loadbalancer.Rejected, AuditMark: 11},
+			{Worker: 2, Attempt: 1, MemberName: "b", SentAt: 100.05, StartedAt: 100.1, EndedAt: 100.25, Hedged: true},
+			{Worker: 3, Attempt: 2, MemberName: "c", SentAt: 100.2}}})
+	log.Answered(&dispatch.AnswerRecord{ID: "y", Front: "gearman", Class: -1, Verdict: dispatch.Rejected, Reason: dispatch.ReasonNoCapacity, ArrivedAt: 100,
+		AnsweredAt: 100, RetryAfter: 0.5, WinningAttempt: -1})
 	log.Close()
 	recorded := compatibility.Here.Check(t, "request-log", must(os.ReadFile(path))(t))
 
--- a/internal/dispatcher/dispatch/observe.go
+++ b/internal/dispatcher/dispatch/observe.go
@@ -10,17 +10,17 @@
 // Observer keeps books. It is called on the core's goroutine, within events: it must be quick, must not call the core,
 // and may keep nothing it is passed beyond the call.
 type Observer interface {
-	// Answered hears each final answer, and each req whose client has left before one.
-	Answered(f *Final)
-	// Tried hears the end of each attempt.
-	Tried(t *Try)
-	// Listed hears the members of a list event as their front lists them.
-	Listed(kind loadbalancer.ListKind, members []Member)
-	// Reported hears a load report, in the order of the settings' fields; probed says that a probe brought it.
-	Reported(worker loadbalancer.WorkerID, at float64, report []float32, probed bool)
-	// Drained hears, drainGrace after a drain was told, how much of that time was left when the last job started: all
+	// ObserveAnswer hears each final answer, and each req whose client has left before one.
+	ObserveAnswer(f *AnswerRecord)
+	// ObserveAttempt hears the end of each attempt.
+	ObserveAttempt(t *AttemptRecord)
+	// ObserveMembers hears the members of a list event as their front lists them.
+	ObserveMembers(kind loadbalancer.ListKind, members []Member)
+	// ObserveLoadReport hears a load report, in the order of the settings' fields; probed says that a probe brought it.
+	ObserveLoadReport(worker loadbalancer.WorkerID, at float64, report []float32, probed bool)
+	// ObserveDrain hears, drainGrace after a drain was told, how much of that time was left when the last job started: all
 	// of it if none has started since, below 0 if one started too late.
-	Drained(worker loadbalancer.WorkerID, margin float64)
+	ObserveDrain(worker loadbalancer.WorkerID, margin float64)
 }
 
 // Reason says why a req was not served.
@@ -28,161 +28,161 @@
 
 // The reasons. Those from Evacuated on are given by a front without the core.
 const (
-	NoReason     Reason = iota
-	NoMember            // the list holds nobody who is ready
-	NoRoom              // everybody is too full for it to start in time
-	Full                // the last attempt was turned away
-	Unreachable         // the last attempt found nobody
-	Withdrawn           // the last attempt was called off before its first byte
-	TooLate             // its time was over
-	BackendError        // the last attempt failed at the backend
-	Broken              // the last attempt's connection broke
-	Silent              // the last attempt was never answered
-	Cancelled           // the last attempt was cancelled
-	Unusable            // backends could do nothing with it
-	UnknownClass        // nobody knows what a repeat of it may do
-	Overdue             // the decisions had forgotten it
-	Evacuated           // the front is emptied
-	NoMemory            // nowhere to hold its body
-	OutOfLease          // what this dispatcher knows is too old to send by
-	Reasons             // how many there are
+	ReasonNone             Reason = iota
+	ReasonNoReadyMember           // the list holds nobody who is ready
+	ReasonNoCapacity              // everybody is too full for it to start in time
+	ReasonRejected                // the last attempt was turned away
+	ReasonUnreachable             // the last attempt found nobody
+	ReasonWithdrawn               // the last attempt was called off before its first byte
+	ReasonDeadlineExceeded        // its time was over
+	ReasonBackendError            // the last attempt failed at the backend
+	ReasonConnectionLost          // the last attempt's connection broke
+	ReasonTimeout                 // the last attempt was never answered
+	ReasonCancelled               // the last attempt was cancelled
+	ReasonInvalidJob              // backends could do nothing with it
+	ReasonUnknownClass            // nobody knows what a repeat of it may do
+	ReasonOverdue                 // the decisions had forgotten it
+	ReasonEvacuated               // the front is emptied
+	ReasonNoMemory                // nowhere to hold its body
+	ReasonLeaseExpired            // what this dispatcher knows is too old to send by
+	ReasonCount                   // how many there are
 )
 
-var reasonNames = [Reasons]string{"", "no_member", "no_room", "full", "unreachable", "withdrawn", "too_late", "backend_error",
+var reasonNames = [ReasonCount]string{"", "no_member", "no_room", "full", "unreachable", "withdrawn", "too_late", "backend_error",
 	"broken", "silent", "cancelled", "unusable", "unknown_class", "overdue", "evacuated", "no_memory",
 	"out_of_lease"}
 
 // String is the reason as figures and logs name it; empty for none.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Final is what became of a req. Times are of the core's clock.
-type Final struct {
-	ID, Front string
-	Class     int // -1 is one that nobody knows
-	Verdict   Verdict
-	Reason    Reason
-	Arrived   float64
-	Aim       float64 // an answer until then is in time, by the class's objective and the hinted work
-	Answered  float64
-	Started   float64 // when the first attempt's job started, as far as was told; 0 is never
-	Wait      float64 // of a refusal: when to come back
-	Won       int     // the attempt that served it; -1 is none
-	Tries     []Try   // those that are out have no end yet
-	Mark      uint64  // the core's when it was answered
+// AnswerRecord is what became of a req. Times are of the core's clock.
+type AnswerRecord struct {
+	ID, Front      string
+	Class          int // -1 is one that nobody knows
+	Verdict        Verdict
+	Reason         Reason
+	ArrivedAt      float64
+	TargetAt       float64 // an answer until then is in time, by the class's objective and the hinted work
+	AnsweredAt     float64
+	StartedAt      float64         // when the first attempt's job started, as far as was told; 0 is never
+	RetryAfter     float64         // of a refusal: when to come back
+	WinningAttempt int             // the attempt that served it; -1 is none
+	Attempts       []AttemptRecord // those that are out have no end yet
+	AuditMark      uint64          // the core's when it was answered
 }
 
 // Late says whether the answer came after the class's objective.
-func (f *Final) Late() bool { return f.Answered > f.Aim }
-
-// Try is one attempt.
-type Try struct {
-	Worker  loadbalancer.WorkerID
-	Node    string // the member's name
-	Class   int
-	Attempt int
-	Copy    bool // sent while another was out
-	Sent    float64
-	Started float64 // 0: not told
-	Ended   float64 // 0: still out
-	Result  loadbalancer.Result
-	Mark    uint64 // the core's when it was sent
+func (f *AnswerRecord) Late() bool { return f.AnsweredAt > f.TargetAt }
+
+// AttemptRecord is one attempt.
+type AttemptRecord struct {
+	Worker     loadbalancer.WorkerID
+	MemberName string // the member's name
+	Class      int
+	Attempt    int
+	Hedged     bool // sent while another was out
+	SentAt     float64
+	StartedAt  float64 // 0: not told
+	EndedAt    float64 // 0: still out
+	Result     loadbalancer.Result
+	AuditMark  uint64 // the core's when it was sent
 }
 
-// Returner is an Asker that may take a refusal for itself and hand the job in again, instead of telling anybody.
-type Returner interface {
-	// Returned says whether the last answer was taken so.
-	Returned() bool
+// Requeuer is an Asker that may take a refusal for itself and hand the job in again, instead of telling anybody.
+type Requeuer interface {
+	// Requeued says whether the last answer was taken so.
+	Requeued() bool
 }
 
-// book is what is noted of a member beside what its list says.
-type book struct {
-	started float64 // when a fetch to it last began
-	drained float64 // when a drain was last told; 0 is not
+// drainTimes is what is noted of a member beside what its list says.
+type drainTimes struct {
+	lastStart  float64 // when a fetch to it last began
+	drainStart float64 // when a drain was last told; 0 is not
 }
 
-// observe tells the books what became of a req.
-func (c *Core) observe(r *req, v Verdict, reason Reason, wait float64, won int) {
+// recordAnswer tells the books what became of a req.
+func (c *Dispatcher) recordAnswer(r *request, v Verdict, reason Reason, wait float64, won int) {
 	if c.Observer == nil {
 		return
 	}
-	f := &c.last
-	*f = Final{ID: r.job.ID, Front: r.job.Front, Class: r.job.Class, Verdict: v, Reason: reason, Arrived: r.arrived,
-		Answered: c.clock.Now(), Wait: wait, Won: won, Mark: c.Mark, Tries: f.Tries[:0]}
-	f.Aim = c.aim(&r.job, r.arrived)
-	if f.Class < 0 || f.Class >= len(c.set.Classes) {
+	f := &c.answerRecord
+	*f = AnswerRecord{ID: r.job.ID, Front: r.job.Front, Class: r.job.Class, Verdict: v, Reason: reason, ArrivedAt: r.arrivedAt,
+		AnsweredAt: c.clock.Now(), RetryAfter: wait, WinningAttempt: won, AuditMark: c.AuditMark, Attempts: f.Attempts[:0]}
+	f.TargetAt = c.targetTime(&r.job, r.arrivedAt)
+	if f.Class < 0 || f.Class >= len(c.settings.Classes) {
 		f.Class = -1
 	}
-	for _, t := range r.fetches {
-		f.Tries = append(f.Tries, t.try())
-		if t.started > 0 && (f.Started == 0 || t.started < f.Started) {
-			f.Started = t.started
+	for _, t := range r.attempts {
+		f.Attempts = append(f.Attempts, t.record())
+		if t.startedAt > 0 && (f.StartedAt == 0 || t.startedAt < f.StartedAt) {
+			f.StartedAt = t.startedAt
 		}
 	}
-	c.Observer.Answered(f)
+	c.Observer.ObserveAnswer(f)
 }
 
-// aim is until when an answer is in time.
-func (c *Core) aim(job *Job, arrived float64) float64 {
-	if job.Class < 0 || job.Class >= len(c.set.Classes) {
+// targetTime is until when an answer is in time.
+func (c *Dispatcher) targetTime(job *Job, arrived float64) float64 {
+	if job.Class < 0 || job.Class >= len(c.settings.Classes) {
 		return job.Deadline
 	}
-	class := &c.set.Classes[job.Class]
+	class := &c.settings.Classes[job.Class]
 	return min(arrived+class.Objective+class.Stretch*job.Work, job.Deadline)
 }
 
-func (f *fetch) try() Try {
-	return Try{Worker: f.member.ID, Node: f.member.Name, Class: f.r.job.Class, Attempt: f.attempt, Copy: f.copy, Sent: f.sent,
-		Started: f.started, Ended: f.ended, Result: f.result, Mark: f.mark}
+func (f *attempt) record() AttemptRecord {
+	return AttemptRecord{Worker: f.member.ID, MemberName: f.member.Name, Class: f.request.job.Class, Attempt: f.index, Hedged: f.hedged, SentAt: f.sentAt,
+		StartedAt: f.startedAt, EndedAt: f.endedAt, Result: f.result, AuditMark: f.auditMark}
 }
 
-// Turn notes a job that a front has answered without the core.
-func (c *Core) Turn(job Job, v Verdict, reason Reason, wait float64) {
+// RecordAnswer notes a job that a front has answered without the core.
+func (c *Dispatcher) RecordAnswer(job Job, v Verdict, reason Reason, wait float64) {
 	now := c.clock.Now()
-	c.do(func() { c.observe(&req{job: job, arrived: now}, v, reason, wait, -1) })
+	c.handle(func() { c.recordAnswer(&request{job: job, arrivedAt: now}, v, reason, wait, -1) })
 }
 
-// why works out why the decisions did not have a req served: they do not say.
-func (c *Core) why(r *req) Reason {
-	if r.job.Class < 0 || r.job.Class >= len(c.set.Classes) {
-		return UnknownClass
+// rejectionReason works out why the decisions did not have a req served: they do not say.
+func (c *Dispatcher) rejectionReason(r *request) Reason {
+	if r.job.Class < 0 || r.job.Class >= len(c.settings.Classes) {
+		return ReasonUnknownClass
 	}
-	late := c.clock.Now() >= r.job.Deadline-3*max(c.set.Tick, overdueAfter)
-	if n := len(r.fetches); n > 0 && !(late && r.live > 0) {
-		if why := ends[r.fetches[n-1].result]; why != NoReason && r.fetches[n-1].over {
+	late := c.clock.Now() >= r.job.Deadline-3*max(c.settings.Tick, overdueGrace)
+	if n := len(r.attempts); n > 0 && !(late && r.running > 0) {
+		if why := attemptReasons[r.attempts[n-1].result]; why != ReasonNone && r.attempts[n-1].ended {
 			return why
 		}
 	}
 	switch {
 	case late:
-		return TooLate
-	case c.ready == 0:
-		return NoMember
+		return ReasonDeadlineExceeded
+	case c.readyMembers == 0:
+		return ReasonNoReadyMember
 	}
-	return NoRoom
+	return ReasonNoCapacity
 }
 
-// ends are the reasons that the end of an attempt gives.
-var ends = [loadbalancer.Withdrawn + 1]Reason{loadbalancer.Error: BackendError, loadbalancer.Rejected: Full, loadbalancer.Timeout: Silent,
-	loadbalancer.ConnectFailed: Unreachable, loadbalancer.Reset: Broken, loadbalancer.Cancelled: Cancelled, loadbalancer.Withdrawn: Withdrawn}
+// attemptReasons are the reasons that the end of an attempt gives.
+var attemptReasons = [loadbalancer.Withdrawn + 1]Reason{loadbalancer.Error: ReasonBackendError, loadbalancer.Rejected: ReasonRejected, loadbalancer.Timeout: ReasonTimeout,
+	loadbalancer.ConnectFailed: ReasonUnreachable, loadbalancer.Reset: ReasonConnectionLost, loadbalancer.Cancelled: ReasonCancelled, loadbalancer.Withdrawn: ReasonWithdrawn}
 
-// drained notes that a member no longer wants new work; it was ready before.
-func (c *Core) drained(m *Member) {
+// trackDrain notes that a member no longer wants new work; it was ready before.
+func (c *Dispatcher) trackDrain(m *Member) {
 	now := c.clock.Now()
-	m.drained = now
+	m.drainStart = now
 	if c.Observer == nil {
 		return
 	}
 	id := m.ID
 	c.clock.At(now+drainGrace, func() {
-		c.do(func() {
-			if m.drained == now {
-				c.Observer.Drained(id, drainGrace-max(0, m.started-now))
+		c.handle(func() {
+			if m.drainStart == now {
+				c.Observer.ObserveDrain(id, drainGrace-max(0, m.lastStart-now))
 			}
 		})
 	})
 }
 
-// Standing is what the decisions hold of a worker.
-func (c *Core) Standing(worker loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
-	return c.bal.WorkerStatus(c.clock.Now(), worker)
+// WorkerStatus is what the decisions hold of a worker.
+func (c *Dispatcher) WorkerStatus(worker loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
+	return c.balancer.WorkerStatus(c.clock.Now(), worker)
 }
--- a/internal/dispatcher/dispatch/routing.go
+++ b/internal/dispatcher/dispatch/routing.go
@@ -14,13 +14,13 @@
 	"cinderroad/loadbalancer"
 )
 
-// Stop withdraws a deadline.
-type Stop interface{ Stop() }
+// Timer withdraws a deadline.
+type Timer interface{ Stop() }
 
 // Clock is the time, and the one structure that deadlines hang in.
 type Clock interface {
 	Now() float64
-	At(at float64, do func()) Stop
+	At(at float64, do func()) Timer
 }
 
 // Verdict is the kind of a final answer.
@@ -28,29 +28,29 @@
 
 // The final answers.
 const (
-	Served   Verdict = iota
-	Refused          // it did not run, a retry is harmless
-	Failed           // nothing is promised
-	Left             // to the books alone: the client has gone before an answer
-	Returned         // to the books alone: a refusal that the front took for itself
+	Served       Verdict = iota
+	Rejected             // it did not run, a retry is harmless
+	Failed               // nothing is promised
+	Disconnected         // to the books alone: the client has gone before an answer
+	Requeued             // to the books alone: a refusal that the front took for itself
 )
 
 // Answer is the one final answer of a req.
 type Answer struct {
-	Verdict Verdict
-	Body    []byte  // of Served
-	Wait    float64 // of Refused: when to come back, in seconds; 0 names no wait
+	Verdict    Verdict
+	Body       []byte  // of Served
+	RetryAfter float64 // of Refused: when to come back, in seconds; 0 names no wait
 }
 
-// Asker is the front's side of a req.
-type Asker interface {
+// Requester is the front's side of a req.
+type Requester interface {
 	Answer(a Answer)
 }
 
-// ReqID names a req, FetchID a fetch; either misses once what it named is over.
+// RequestID names a req, AttemptID a fetch; either misses once what it named is over.
 type (
-	ReqID   slotmap.Handle
-	FetchID slotmap.Handle
+	RequestID slotmap.Handle
+	AttemptID slotmap.Handle
 )
 
 // Job is what a front hands in.
@@ -60,36 +60,36 @@
 	Slots, Memory float64
 	Work          float64 // hinted, 0 is no hint
 	Deadline      float64 // clock time at which the client gives up
-	Load          any     // the front's own form of the job, for the backends that understand it
+	Payload       any     // the front's own form of the job, for the backends that understand it
 	ID, Front     string  // how the front names the job and itself, for the books
 }
 
-// Fetch is one attempt as a backend sees it.
-type Fetch struct {
-	ID       FetchID
+// Attempt is one attempt as a backend sees it.
+type Attempt struct {
+	ID       AttemptID
 	Worker   loadbalancer.WorkerID
 	Deadline float64 // when the core stops waiting
-	Load     any
+	Payload  any
 }
 
-// End is how a fetch ended.
-type End struct {
-	Result   loadbalancer.Result
-	Unusable bool // the backend says that the job itself is bad
-	Worn     bool // a connection that had rested was found dead: no word on the backend
-	Body     []byte
-	Report   []float32
+// Outcome is how a fetch ended.
+type Outcome struct {
+	Result          loadbalancer.Result
+	InvalidJob      bool // the backend says that the job itself is bad
+	StaleConnection bool // a connection that had rested was found dead: no word on the backend
+	Body            []byte
+	Report          []float32
 }
 
 // Backend carries fetches to one worker. A call may come from within an action: what it causes is told to
 // the core by Started, Progress and Ended, which may be called at any time.
 type Backend interface {
-	// Begin carries out a fetch.
-	Begin(f Fetch)
-	// Drop gives up a fetch, of which nothing more is to be told; it says whether the fetch may have run.
-	Drop(id FetchID) (mayHaveRun bool)
-	// Renew drops connections that rest, and those at work once they are done: the worker was restarted.
-	Renew()
+	// Start carries out a fetch.
+	Start(f Attempt)
+	// Cancel gives up a fetch, of which nothing more is to be told; it says whether the fetch may have run.
+	Cancel(id AttemptID) (mayHaveRun bool)
+	// ResetConnections drops connections that rest, and those at work once they are done: the worker was restarted.
+	ResetConnections()
 	// Probe asks for health and load; done is called once.
 	Probe(done func(result loadbalancer.Result, report []float32))
 }
@@ -100,177 +100,177 @@
 	Backend Backend
 	Name    string // as given to Number
 
-	told loadbalancer.Worker // as its front listed it; Worker is what the decisions see
-	book
+	listed loadbalancer.Worker // as its front listed it; Worker is what the decisions see
+	drainTimes
 }
 
-// Director asks for the list where it does not come by itself.
-type Director interface {
+// Discovery asks for the list where it does not come by itself.
+type Discovery interface {
 	Watch(on bool)
 	Fetch()
 }
 
 // Counts are the core's figures since the start.
 type Counts struct {
-	Reqs        uint64                             `json:"Reqs"`
-	Served      uint64                             `json:"Served"`
-	Refused     uint64                             `json:"Refused"`
-	Failed      uint64                             `json:"Failed"`
-	Gone        uint64                             `json:"Gone"`
-	Fetches     uint64                             `json:"Fetches"`
-	Repeats     uint64                             `json:"Repeats"`
-	Cancels     uint64                             `json:"Cancels"`
-	Probes      uint64                             `json:"Probes"`
-	Results     [loadbalancer.Withdrawn + 1]uint64 `json:"Results"`  // ends of fetches by result
-	Unusable    uint64                             `json:"Unusable"` // failed since backends could do nothing with them
-	Overdue     uint64                             `json:"Overdue"`  // answered by the core because the decisions had not
-	OpenReqs    int                                `json:"OpenReqs"`
-	OpenFetches int                                `json:"OpenFetches"`
-}
-
-// Core is the dispatcher between its fronts and its backends.
-type Core struct {
-	Director Director
-	Observer Observer // keeps books; nil is nobody
-	Mark     uint64   // of what is in force, for the books: answers and sends carry it; 0 is none
-	Log      func(line string)
-
-	clock   Clock
-	bal     *loadbalancer.Balancer
-	reqs    slotmap.Map[*req]
-	fetches slotmap.Map[*fetch]
-	byID    map[loadbalancer.RequestID]*req
-	nextID  loadbalancer.RequestID
-	members map[loadbalancer.WorkerID]*Member
-	byName  map[string]loadbalancer.WorkerID
-	out     map[string]Exclusion
-	held    map[string]Held // by what others know
-	paused  bool            // nobody gets anything new
-	set     loadbalancer.Settings
-	ready   int   // members that are ready
-	last    Final // for the observer, made anew for each req
-	queue   []func()
-	busy    bool
-	counts  Counts
-}
-
-type req struct {
-	h        slotmap.Handle
-	id       loadbalancer.RequestID
-	job      Job
-	asker    Asker
-	fetches  []*fetch // by attempt
-	live     int
-	answered bool
-	unusable int // backends that say so
-	guard    Stop
-	arrived  float64
-}
-
-type fetch struct {
-	h        slotmap.Handle
-	r        *req
-	attempt  int
-	member   *Member
-	deadline Stop
-	ends     float64
-	over     bool
-
-	sent, started, ended float64
-	copy                 bool   // another was out when it was sent
-	mark                 uint64 // of the core when it was sent
-	result               loadbalancer.Result
-}
-
-// overdueAfter is how long after a client's deadline the core itself answers, should the decisions not have.
-const overdueAfter = 0.005
+	Requests      uint64                             `json:"Reqs"`
+	Served        uint64                             `json:"Served"`
+	Rejected      uint64                             `json:"Refused"`
+	Failed        uint64                             `json:"Failed"`
+	Disconnected  uint64                             `json:"Gone"`
+	Attempts      uint64                             `json:"Fetches"`
+	Retries       uint64                             `json:"Repeats"`
+	Cancellations uint64                             `json:"Cancels"`
+	Probes        uint64                             `json:"Probes"`
+	Results       [loadbalancer.Withdrawn + 1]uint64 `json:"Results"`  // ends of fetches by result
+	InvalidJobs   uint64                             `json:"Unusable"` // failed since backends could do nothing with them
+	Overdue       uint64                             `json:"Overdue"`  // answered by the core because the decisions had not
+	OpenRequests  int                                `json:"OpenReqs"`
+	OpenAttempts  int                                `json:"OpenFetches"`
+}
+
+// Dispatcher is the dispatcher between its fronts and its backends.
+type Dispatcher struct {
+	Discovery Discovery
+	Observer  Observer // keeps books; nil is nobody
+	AuditMark uint64   // of what is in force, for the books: answers and sends carry it; 0 is none
+	Log       func(line string)
+
+	clock         Clock
+	balancer      *loadbalancer.Balancer
+	requests      slotmap.Map[*request]
+	attempts      slotmap.Map[*attempt]
+	requestsByID  map[loadbalancer.RequestID]*request
+	lastID        loadbalancer.RequestID
+	members       map[loadbalancer.WorkerID]*Member
+	workerIDs     map[string]loadbalancer.WorkerID
+	exclusions    map[string]Exclusion
+	restrictions  map[string]Restriction // by what others know
+	paused        bool                   // nobody gets anything new
+	settings      loadbalancer.Settings
+	readyMembers  int          // members that are ready
+	answerRecord  AnswerRecord // for the observer, made anew for each req
+	events        []func()
+	handlingEvent bool
+	counts        Counts
+}
+
+type request struct {
+	handle        slotmap.Handle
+	id            loadbalancer.RequestID
+	job           Job
+	requester     Requester
+	attempts      []*attempt // by attempt
+	running       int
+	answered      bool
+	invalidVotes  int // backends that say so
+	deadlineGuard Timer
+	arrivedAt     float64
+}
+
+type attempt struct {
+	handle     slotmap.Handle
+	request    *request
+	index      int
+	member     *Member
+	timer      Timer
+	deadlineAt float64
+	ended      bool
+
+	sentAt, startedAt, endedAt float64
+	hedged                     bool   // another was out when it was sent
+	auditMark                  uint64 // of the core when it was sent
+	result                     loadbalancer.Result
+}
+
+// overdueGrace is how long after a client's deadline the core itself answers, should the decisions not have.
+const overdueGrace = 0.005
 
 // New makes a core; Start begins its life.
-func New(set loadbalancer.Settings, seed uint64, clock Clock) (*Core, error) {
-	c := &Core{clock: clock, byID: map[loadbalancer.RequestID]*req{}, members: map[loadbalancer.WorkerID]*Member{},
-		byName: map[string]loadbalancer.WorkerID{}, out: map[string]Exclusion{}, set: set,
+func New(set loadbalancer.Settings, seed uint64, clock Clock) (*Dispatcher, error) {
+	c := &Dispatcher{clock: clock, requestsByID: map[loadbalancer.RequestID]*request{}, members: map[loadbalancer.WorkerID]*Member{},
+		workerIDs: map[string]loadbalancer.WorkerID{}, exclusions: map[string]Exclusion{}, settings: set,
 		Log: func(string) {}}
 	bal, err := loadbalancer.New(set, seed, actions{c})
 	if err != nil {
 		return nil, err
 	}
-	c.bal = bal
+	c.balancer = bal
 	return c, nil
 }
 
 // Start begins the decisions' life.
-func (c *Core) Start() { c.do(func() { c.bal.Start(c.clock.Now()) }) }
+func (c *Dispatcher) Start() { c.handle(func() { c.balancer.Start(c.clock.Now()) }) }
 
 // Counts returns the figures so far.
-func (c *Core) Counts() Counts {
+func (c *Dispatcher) Counts() Counts {
 	n := c.counts
-	n.OpenReqs, n.OpenFetches = c.reqs.Len(), c.fetches.Len()
+	n.OpenRequests, n.OpenAttempts = c.requests.Len(), c.attempts.Len()
 	return n
 }
 
-// do runs an event after those before it: one event at a time reaches the Balancer.
-func (c *Core) do(event func()) {
-	c.queue = append(c.queue, event)
-	if c.busy {
+// handle runs an event after those before it: one event at a time reaches the Balancer.
+func (c *Dispatcher) handle(event func()) {
+	c.events = append(c.events, event)
+	if c.handlingEvent {
 		return
 	}
-	c.busy = true
-	for len(c.queue) > 0 {
-		next := c.queue[0]
-		c.queue = c.queue[1:]
+	c.handlingEvent = true
+	for len(c.events) > 0 {
+		next := c.events[0]
+		c.events = c.events[1:]
 		next()
 	}
-	c.queue, c.busy = nil, false
+	c.events, c.handlingEvent = nil, false
 }
 
-// Take accepts a job; its one answer goes to asker, perhaps before Take returns.
-func (c *Core) Take(job Job, asker Asker) ReqID {
-	r := &req{job: job, asker: asker, arrived: c.clock.Now()}
-	r.h = c.reqs.Insert(r)
-	for r.id = c.nextID + 1; r.id == 0 || r.id == math.MaxUint32 || c.byID[r.id] != nil; r.id++ {
+// Submit accepts a job; its one answer goes to asker, perhaps before Take returns.
+func (c *Dispatcher) Submit(job Job, asker Requester) RequestID {
+	r := &request{job: job, requester: asker, arrivedAt: c.clock.Now()}
+	r.handle = c.requests.Insert(r)
+	for r.id = c.lastID + 1; r.id == 0 || r.id == math.MaxUint32 || c.requestsByID[r.id] != nil; r.id++ {
 	} // the last number is the sweep's timer
-	c.nextID = r.id
-	c.byID[r.id] = r
-	c.counts.Reqs++
-	r.guard = c.clock.At(job.Deadline+overdueAfter, func() { c.do(func() { c.overdue(r) }) })
-	c.do(func() {
+	c.lastID = r.id
+	c.requestsByID[r.id] = r
+	c.counts.Requests++
+	r.deadlineGuard = c.clock.At(job.Deadline+overdueGrace, func() { c.handle(func() { c.answerOverdue(r) }) })
+	c.handle(func() {
 		if r.answered {
 			return
 		}
-		c.bal.HandleRequest(c.clock.Now(), &loadbalancer.Request{ID: r.id, Class: job.Class, Skill: job.Skill, Slots: job.Slots,
+		c.balancer.HandleRequest(c.clock.Now(), &loadbalancer.Request{ID: r.id, Class: job.Class, Skill: job.Skill, Slots: job.Slots,
 			Memory: job.Memory, Work: job.Work, Deadline: job.Deadline})
 	})
-	return ReqID(r.h)
+	return RequestID(r.handle)
 }
 
-// Gone tells that the client has left: nothing is owed any more.
-func (c *Core) Gone(id ReqID) {
-	c.do(func() {
-		r, ok := c.reqs.Get(slotmap.Handle(id))
+// HandleDisconnect tells that the client has left: nothing is owed any more.
+func (c *Dispatcher) HandleDisconnect(id RequestID) {
+	c.handle(func() {
+		r, ok := c.requests.Get(slotmap.Handle(id))
 		if !ok || r.answered {
 			return
 		}
-		c.counts.Gone++
-		c.settle(r)
-		c.observe(r, Left, NoReason, 0, -1)
-		c.bal.HandleDisconnect(c.clock.Now(), r.id)
+		c.counts.Disconnected++
+		c.markAnswered(r)
+		c.recordAnswer(r, Disconnected, ReasonNone, 0, -1)
+		c.balancer.HandleDisconnect(c.clock.Now(), r.id)
 		c.forget(r)
 	})
 }
 
-// overdue guards the promise of one final answer against decisions that forgot a req.
-func (c *Core) overdue(r *req) {
+// answerOverdue guards the promise of one final answer against decisions that forgot a req.
+func (c *Dispatcher) answerOverdue(r *request) {
 	if r.answered {
 		return
 	}
 	c.counts.Overdue++
-	c.answer(r, Answer{Verdict: Failed}, Overdue, -1)
-	c.bal.HandleDisconnect(c.clock.Now(), r.id)
+	c.answer(r, Answer{Verdict: Failed}, ReasonOverdue, -1)
+	c.balancer.HandleDisconnect(c.clock.Now(), r.id)
 	c.forget(r)
 }
 
 // answer gives the one final answer; won is the attempt that served it.
-func (c *Core) answer(r *req, a Answer, why Reason, won int) {
+func (c *Dispatcher) answer(r *request, a Answer, why Reason, won int) {
 	invariant.Check(!r.answered, "a req is answered once")
 	if r.answered {
 		return
@@ -278,50 +278,50 @@
 	switch a.Verdict {
 	case Served:
 		c.counts.Served++
-	case Refused:
-		c.counts.Refused++
+	case Rejected:
+		c.counts.Rejected++
 	default:
 		c.counts.Failed++
 	}
-	c.settle(r)
-	r.asker.Answer(a)
+	c.markAnswered(r)
+	r.requester.Answer(a)
 	v := a.Verdict
-	if by, ok := r.asker.(Returner); ok && v == Refused && by.Returned() {
-		v = Returned
+	if by, ok := r.requester.(Requeuer); ok && v == Rejected && by.Requeued() {
+		v = Requeued
 	}
-	c.observe(r, v, why, a.Wait, won)
+	c.recordAnswer(r, v, why, a.RetryAfter, won)
 }
 
-func (c *Core) settle(r *req) {
+func (c *Dispatcher) markAnswered(r *request) {
 	r.answered = true
-	r.guard.Stop()
+	r.deadlineGuard.Stop()
 }
 
 // forget lets go of a req that has its answer and no fetch out.
-func (c *Core) forget(r *req) {
-	if r.answered && r.live == 0 && c.reqs.Remove(r.h) {
-		delete(c.byID, r.id)
+func (c *Dispatcher) forget(r *request) {
+	if r.answered && r.running == 0 && c.requests.Remove(r.handle) {
+		delete(c.requestsByID, r.id)
 	}
 }
 
-// Clear says whether a fetch whose first byte has not gone out may still be sent: its req must be open, its
+// ConfirmSend says whether a fetch whose first byte has not gone out may still be sent: its req must be open, its
 // time not over, and its worker must still want new work. If not, result is what it ended as.
-func (c *Core) Clear(id FetchID) (result loadbalancer.Result, clear bool) {
-	f, ok := c.fetches.Get(slotmap.Handle(id))
+func (c *Dispatcher) ConfirmSend(id AttemptID) (result loadbalancer.Result, clear bool) {
+	f, ok := c.attempts.Get(slotmap.Handle(id))
 	switch {
-	case !ok || f.over || f.r.answered || c.clock.Now() >= f.ends:
+	case !ok || f.ended || f.request.answered || c.clock.Now() >= f.deadlineAt:
 		return loadbalancer.Withdrawn, false
 	case f.member.State != loadbalancer.Ready:
 		return loadbalancer.ConnectFailed, false
 	}
-	f.member.started = c.clock.Now()
+	f.member.lastStart = c.clock.Now()
 	return loadbalancer.OK, true
 }
 
-// Number numbers the worker of a name. The number is drawn from the name alone, since dispatchers that share
+// WorkerID numbers the worker of a name. The number is drawn from the name alone, since dispatchers that share
 // nothing must agree on a worker's place in the turns of cold starts.
-func (c *Core) Number(name string) loadbalancer.WorkerID {
-	if id, ok := c.byName[name]; ok {
+func (c *Dispatcher) WorkerID(name string) loadbalancer.WorkerID {
+	if id, ok := c.workerIDs[name]; ok {
 		return id
 	}
 	h := fnv.New32a()
@@ -330,87 +330,87 @@
 	for c.members[id] != nil {
 		id++
 	}
-	c.byName[name], c.members[id] = id, &Member{}
+	c.workerIDs[name], c.members[id] = id, &Member{}
 	return id
 }
 
-// Started tells that a fetch's job has begun.
-func (c *Core) Started(id FetchID) {
-	if f, ok := c.fetches.Get(slotmap.Handle(id)); ok && f.started == 0 {
-		f.started = c.clock.Now()
+// HandleStarted tells that a fetch's job has begun.
+func (c *Dispatcher) HandleStarted(id AttemptID) {
+	if f, ok := c.attempts.Get(slotmap.Handle(id)); ok && f.startedAt == 0 {
+		f.startedAt = c.clock.Now()
 	}
-	c.note(id, loadbalancer.ProgressUpdate{Started: true})
+	c.reportProgress(id, loadbalancer.ProgressUpdate{Started: true})
 }
 
-// Progress tells the share of a fetch's job that is done.
-func (c *Core) Progress(id FetchID, share float64) {
-	c.note(id, loadbalancer.ProgressUpdate{Fraction: share})
+// HandleProgress tells the share of a fetch's job that is done.
+func (c *Dispatcher) HandleProgress(id AttemptID, share float64) {
+	c.reportProgress(id, loadbalancer.ProgressUpdate{Fraction: share})
 }
 
-func (c *Core) note(id FetchID, n loadbalancer.ProgressUpdate) {
-	c.do(func() {
-		if f, ok := c.fetches.Get(slotmap.Handle(id)); ok && !f.over {
-			n.Request, n.Attempt = f.r.id, f.attempt
-			c.bal.HandleProgress(c.clock.Now(), &n)
+func (c *Dispatcher) reportProgress(id AttemptID, n loadbalancer.ProgressUpdate) {
+	c.handle(func() {
+		if f, ok := c.attempts.Get(slotmap.Handle(id)); ok && !f.ended {
+			n.Request, n.Attempt = f.request.id, f.index
+			c.balancer.HandleProgress(c.clock.Now(), &n)
 		}
 	})
 }
 
-// Ended tells how a fetch ended; only the first word on a fetch counts.
-func (c *Core) Ended(id FetchID, e End) {
-	c.do(func() {
-		if f, ok := c.fetches.Get(slotmap.Handle(id)); ok && !f.over {
-			c.end(f, e)
+// HandleOutcome tells how a fetch ended; only the first word on a fetch counts.
+func (c *Dispatcher) HandleOutcome(id AttemptID, e Outcome) {
+	c.handle(func() {
+		if f, ok := c.attempts.Get(slotmap.Handle(id)); ok && !f.ended {
+			c.endAttempt(f, e)
 		}
 	})
 }
 
-// end turns the end of a fetch into the Balancer's one Outcome for the Send.
-func (c *Core) end(f *fetch, e End) {
-	invariant.Check(!f.over, "a fetch ends once")
-	f.over, f.ended, f.result = true, c.clock.Now(), e.Result
-	f.deadline.Stop()
-	c.fetches.Remove(f.h)
-	r := f.r
-	r.live--
+// endAttempt turns the end of a fetch into the Balancer's one Outcome for the Send.
+func (c *Dispatcher) endAttempt(f *attempt, e Outcome) {
+	invariant.Check(!f.ended, "a fetch ends once")
+	f.ended, f.endedAt, f.result = true, c.clock.Now(), e.Result
+	f.timer.Stop()
+	c.attempts.Remove(f.handle)
+	r := f.request
+	r.running--
 	switch {
 	case e.Result == loadbalancer.OK && !r.answered:
-		c.answer(r, Answer{Verdict: Served, Body: e.Body}, NoReason, f.attempt)
-	case e.Unusable: // no blame for the backend; a second one that says so settles it, and the client is told
+		c.answer(r, Answer{Verdict: Served, Body: e.Body}, ReasonNone, f.index)
+	case e.InvalidJob: // no blame for the backend; a second one that says so settles it, and the client is told
 		e.Result = loadbalancer.Cancelled
 		f.result = e.Result
-		if r.unusable++; r.unusable > 1 && !r.answered {
-			c.counts.Unusable++
-			c.answer(r, Answer{Verdict: Failed}, Unusable, -1)
+		if r.invalidVotes++; r.invalidVotes > 1 && !r.answered {
+			c.counts.InvalidJobs++
+			c.answer(r, Answer{Verdict: Failed}, ReasonInvalidJob, -1)
 		}
 	}
 	if c.Observer != nil {
-		t := f.try()
-		c.Observer.Tried(&t)
+		t := f.record()
+		c.Observer.ObserveAttempt(&t)
 		if len(e.Report) > 0 {
-			c.Observer.Reported(t.Worker, f.ended, e.Report, false)
+			c.Observer.ObserveLoadReport(t.Worker, f.endedAt, e.Report, false)
 		}
 	}
 	c.counts.Results[e.Result]++
-	c.bal.HandleOutcome(c.clock.Now(), &loadbalancer.Outcome{Request: r.id, Attempt: f.attempt, Worker: f.member.ID,
-		Result: e.Result, ClientAnswered: r.answered, StaleConnection: e.Worn, Report: e.Report})
+	c.balancer.HandleOutcome(c.clock.Now(), &loadbalancer.Outcome{Request: r.id, Attempt: f.index, Worker: f.member.ID,
+		Result: e.Result, ClientAnswered: r.answered, StaleConnection: e.StaleConnection, Report: e.Report})
 	c.forget(r)
 }
 
-// List takes the director's news. What has left the list stays known: a fetch may still be out there.
-func (c *Core) List(kind loadbalancer.ListKind, members []Member) {
-	c.do(func() {
+// UpdateMembers takes the director's news. What has left the list stays known: a fetch may still be out there.
+func (c *Dispatcher) UpdateMembers(kind loadbalancer.ListKind, members []Member) {
+	c.handle(func() {
 		if kind == loadbalancer.ListFull || kind == loadbalancer.ListCached {
 			named := make(map[loadbalancer.WorkerID]bool, len(members))
 			for i := range members {
 				named[members[i].ID] = true
 			}
 			for id, m := range c.members {
-				m.told.State = loadbalancer.Departed
+				m.listed.State = loadbalancer.Departed
 				if !named[id] {
 					was := m.State
 					m.State = loadbalancer.Departed
-					c.became(m, was)
+					c.trackState(m, was)
 				}
 			}
 		}
@@ -422,52 +422,52 @@
 				c.members[members[i].ID] = m
 			}
 			was := m.State
-			members[i].book = m.book
+			members[i].drainTimes = m.drainTimes
 			*m = members[i]
-			m.told = m.Worker
-			c.overlay(m)
-			c.became(m, was)
+			m.listed = m.Worker
+			c.applyOverrides(m)
+			c.trackState(m, was)
 			workers = append(workers, m.Worker)
 		}
 		if c.Observer != nil {
-			c.Observer.Listed(kind, members)
+			c.Observer.ObserveMembers(kind, members)
 		}
-		c.bal.UpdateWorkers(c.clock.Now(), kind, workers)
-		c.prune()
+		c.balancer.UpdateWorkers(c.clock.Now(), kind, workers)
+		c.forgetDeparted()
 	})
 }
 
-// became notes that the decisions see a member in another state than before.
-func (c *Core) became(m *Member, was loadbalancer.WorkerState) {
+// trackState notes that the decisions see a member in another state than before.
+func (c *Dispatcher) trackState(m *Member, was loadbalancer.WorkerState) {
 	switch {
 	case was == m.State:
 	case m.State == loadbalancer.Ready:
-		c.ready++
+		c.readyMembers++
 	case was == loadbalancer.Ready:
-		c.ready--
-		c.drained(m)
+		c.readyMembers--
+		c.trackDrain(m)
 	}
 }
 
-// manyGone is how many members that left may be kept before all of them are forgotten.
-const manyGone = 64
+// maxDeparted is how many members that left may be kept before all of them are forgotten.
+const maxDeparted = 64
 
-// prune forgets members that have left the list, once there are many: machines come and go for as long as the
+// forgetDeparted forgets members that have left the list, once there are many: machines come and go for as long as the
 // process runs. A fetch that is still out keeps its own hold of its member.
-func (c *Core) prune() {
+func (c *Dispatcher) forgetDeparted() {
 	gone := 0
 	for _, m := range c.members {
 		if m.State == loadbalancer.Departed {
 			gone++
 		}
 	}
-	if gone <= manyGone {
+	if gone <= maxDeparted {
 		return
 	}
 	for id, m := range c.members {
 		if m.State == loadbalancer.Departed {
 			delete(c.members, id)
-			delete(c.byName, m.Name)
+			delete(c.workerIDs, m.Name)
 		}
 	}
 }
--- a/internal/dispatcher/dispatch/routing_test.go
+++ b/internal/dispatcher/dispatch/routing_test.go
@@ -9,93 +9,93 @@
 	"cinderroad/loadbalancer"
 )
 
-// bench is a core with a scripted clock, one asker and scripted backends.
-type bench struct {
-	renewed int
-	t       *testing.T
-	c       *Core
-	now     float64
-	due     []*entry
-	begun   []Fetch
-	dropped int
-	ran     bool // what Drop says
-	answers []Answer
-	instant func(f Fetch) // what a backend does from within Begin
+// testbed is a core with a scripted clock, one asker and scripted backends.
+type testbed struct {
+	connectionResets int
+	t                *testing.T
+	dispatcher       *Dispatcher
+	now              float64
+	timers           []*fakeTimer
+	started          []Attempt
+	cancelled        int
+	mayHaveRun       bool // what Drop says
+	answers          []Answer
+	onStart          func(f Attempt) // what a backend does from within Begin
 }
 
-type entry struct {
-	at float64
-	do func()
+type fakeTimer struct {
+	at       float64
+	callback func()
 }
 
-func (e *entry) Stop()           { e.do = nil }
-func (b *bench) Now() float64    { return b.now }
-func (b *bench) Answer(a Answer) { b.answers = append(b.answers, a) }
-func (b *bench) At(at float64, do func()) Stop {
-	e := &entry{at, do}
-	b.due = append(b.due, e)
+func (e *fakeTimer) Stop()         { e.callback = nil }
+func (b *testbed) Now() float64    { return b.now }
+func (b *testbed) Answer(a Answer) { b.answers = append(b.answers, a) }
+func (b *testbed) At(at float64, do func()) Timer {
+	e := &fakeTimer{at, do}
+	b.timers = append(b.timers, e)
 	return e
 }
-func (b *bench) Begin(f Fetch) {
-	b.begun = append(b.begun, f)
-	if b.instant != nil {
-		b.instant(f)
+func (b *testbed) Start(f Attempt) {
+	b.started = append(b.started, f)
+	if b.onStart != nil {
+		b.onStart(f)
 	}
 }
-func (b *bench) Drop(FetchID) bool                               { b.dropped++; return b.ran }
-func (b *bench) Renew()                                          { b.renewed++ }
-func (b *bench) Probe(done func(loadbalancer.Result, []float32)) { done(loadbalancer.OK, nil) }
+func (b *testbed) Cancel(AttemptID) bool                           { b.cancelled++; return b.mayHaveRun }
+func (b *testbed) ResetConnections()                               { b.connectionResets++ }
+func (b *testbed) Probe(done func(loadbalancer.Result, []float32)) { done(loadbalancer.OK, nil) }
 
 // run moves the clock a millisecond at a time.
-func (b *bench) run(until float64) {
+func (b *testbed) run(until float64) {
 	for b.now < until {
 		b.now += 0.001
-		due := b.due
-		b.due = nil
+		due := b.timers
+		b.timers = nil
 		for _, e := range due {
-			if e.do == nil {
+			if e.callback == nil {
 			} else if e.at <= b.now {
-				do := e.do
-				e.do = nil
+				do := e.callback
+				e.callback = nil
 				do()
 			} else {
-				b.due = append(b.due, e)
+				b.timers = append(b.timers, e)
 			}
 		}
 	}
 }
 
-func start(t *testing.T) *bench {
-	b := &bench{t: t, now: 1000, ran: true}
+func newTestbed(t *testing.T) *testbed {
+	b := &testbed{t: t, now: 1000, mayHaveRun: true}
 	class := func(e loadbalancer.RetrySafety) loadbalancer.Class {
 		return loadbalancer.Class{Name: "c", Objective: 0.1, Deadline: 2, DedupWindow: 5, Value: 1, RetrySafety: e, DedupScope: loadbalancer.DedupCell, Kind: -1}
 	}
 	var err error
-	b.c, err = New(loadbalancer.Settings{Classes: []loadbalancer.Class{class(loadbalancer.RetrySafe), class(loadbalancer.RetryDeduplicated), class(loadbalancer.RetryUnsafe)}, Zones: 1,
+	b.dispatcher, err = New(loadbalancer.Settings{Classes: []loadbalancer.Class{class(loadbalancer.RetrySafe), class(loadbalancer.RetryDeduplicated), class(loadbalancer.RetryUnsafe)}, Zones: 1,
 		Instances: 1, MaxAttempts: 3, Tick: 0.004, SlowStartInitialShare: 0.3, OverloadMultiple: 3, OverloadWindow: 2, AnswerSlack: 0.01, MayCancel: true,
 		ReportsStart: true}, 1, b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.c.Start()
-	b.list(loadbalancer.Ready, loadbalancer.Ready)
+	b.dispatcher.Start()
+	b.updateMembers(loadbalancer.Ready, loadbalancer.Ready)
 	return b
 }
 
-func (b *bench) list(states ...loadbalancer.WorkerState) {
+func (b *testbed) updateMembers(states ...loadbalancer.WorkerState) {
 	var members []Member
 	for i, s := range states {
 		members = append(members, Member{Worker: loadbalancer.Worker{ID: loadbalancer.WorkerID(i + 1), Cell: i, State: s}, Backend: b})
 	}
-	b.c.List(loadbalancer.ListFull, members)
+	b.dispatcher.UpdateMembers(loadbalancer.ListFull, members)
 }
 
-func (b *bench) take(class int, wait float64) ReqID {
-	return b.c.Take(Job{Class: class, Slots: 1, Deadline: b.now + wait}, b)
+func (b *testbed) submit(class int, wait float64) RequestID {
+	return b.dispatcher.Submit(Job{Class: class, Slots: 1, Deadline: b.now + wait}, b)
 }
 
 // Guards the promises of the core: one final answer, repeats as the class allows, one end for each fetch.
-func TestEveryReqGetsOneAnswer(t *testing.T) {
+func TestEveryRequestGetsOneAnswer(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		class   int
@@ -108,33 +108,33 @@
 		{"keyed stays in its cell", 1, []loadbalancer.Result{loadbalancer.Reset, loadbalancer.OK}, []Verdict{Served}, 2},
 		{"unsafe that may have run", 2, []loadbalancer.Result{loadbalancer.Reset}, []Verdict{Failed}, 1},
 		{"unsafe that never ran", 2, []loadbalancer.Result{loadbalancer.ConnectFailed, loadbalancer.OK}, []Verdict{Served}, 2},
-		{"attempts run out", 0, []loadbalancer.Result{loadbalancer.Error, loadbalancer.Error, loadbalancer.Error}, []Verdict{Refused}, 3},
-		{"silence, safe", 0, nil, []Verdict{Refused}, 1},
+		{"attempts run out", 0, []loadbalancer.Result{loadbalancer.Error, loadbalancer.Error, loadbalancer.Error}, []Verdict{Rejected}, 3},
+		{"silence, safe", 0, nil, []Verdict{Rejected}, 1},
 		{"silence, unsafe", 2, nil, []Verdict{Failed}, 1},
 		{"unknown class", 9, nil, []Verdict{Failed}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := start(t)
-			b.instant = func(f Fetch) { // an end from within the Send must not re-enter the decisions
-				if n := len(b.begun); n <= len(tc.ends) {
-					open := b.c.Counts().OpenFetches
-					b.c.Ended(f.ID, End{Result: tc.ends[n-1]})
-					if b.c.Counts().OpenFetches != open {
+			b := newTestbed(t)
+			b.onStart = func(f Attempt) { // an end from within the Send must not re-enter the decisions
+				if n := len(b.started); n <= len(tc.ends) {
+					open := b.dispatcher.Counts().OpenAttempts
+					b.dispatcher.HandleOutcome(f.ID, Outcome{Result: tc.ends[n-1]})
+					if b.dispatcher.Counts().OpenAttempts != open {
 						t.Error("an end was handled within the Send")
 					}
-					b.c.Ended(f.ID, End{Result: loadbalancer.OK}) // a second word on a fetch that is over
+					b.dispatcher.HandleOutcome(f.ID, Outcome{Result: loadbalancer.OK}) // a second word on a fetch that is over
 				}
 			}
-			b.take(tc.class, 1)
+			b.submit(tc.class, 1)
 			b.run(b.now + 3)
 			var got []Verdict
 			for _, a := range b.answers {
 				got = append(got, a.Verdict)
 			}
-			if diff := cmp.Diff(tc.want, got); diff != "" || len(b.begun) != tc.fetches {
-				t.Errorf("%d fetches, want %d; answers (-want +got):\n%s", len(b.begun), tc.fetches, diff)
+			if diff := cmp.Diff(tc.want, got); diff != "" || len(b.started) != tc.fetches {
+				t.Errorf("%d fetches, want %d; answers (-want +got):\n%s", len(b.started), tc.fetches, diff)
 			}
-			if n := b.c.Counts(); n.OpenReqs != 0 || n.OpenFetches != 0 || n.Overdue != 0 {
+			if n := b.dispatcher.Counts(); n.OpenRequests != 0 || n.OpenAttempts != 0 || n.Overdue != 0 {
 				t.Errorf("left over: %+v", n)
 			}
 		})
@@ -143,53 +143,53 @@
 
 // Guards against work for a backend that has begun to drain, for a client that is gone, and after the deadline,
 // while the fetch still waits for its connection.
-func TestAFetchNotYetWrittenIsLookedAtAgain(t *testing.T) {
+func TestConfirmSendRechecksUnsentAttempt(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		happen func(b *bench, id ReqID)
+		happen func(b *testbed, id RequestID)
 		want   loadbalancer.Result
 	}{
-		{"nothing", func(*bench, ReqID) {}, loadbalancer.OK},
-		{"drain", func(b *bench, _ ReqID) { b.list(loadbalancer.Draining, loadbalancer.Draining) }, loadbalancer.ConnectFailed},
-		{"left the list", func(b *bench, _ ReqID) { b.c.List(loadbalancer.ListFull, nil) }, loadbalancer.ConnectFailed},
-		{"client gone", func(b *bench, id ReqID) { b.c.Gone(id) }, loadbalancer.Withdrawn},
-		{"deadline", func(b *bench, _ ReqID) { b.run(b.now + 2.1) }, loadbalancer.Withdrawn},
+		{"nothing", func(*testbed, RequestID) {}, loadbalancer.OK},
+		{"drain", func(b *testbed, _ RequestID) { b.updateMembers(loadbalancer.Draining, loadbalancer.Draining) }, loadbalancer.ConnectFailed},
+		{"left the list", func(b *testbed, _ RequestID) { b.dispatcher.UpdateMembers(loadbalancer.ListFull, nil) }, loadbalancer.ConnectFailed},
+		{"client gone", func(b *testbed, id RequestID) { b.dispatcher.HandleDisconnect(id) }, loadbalancer.Withdrawn},
+		{"deadline", func(b *testbed, _ RequestID) { b.run(b.now + 2.1) }, loadbalancer.Withdrawn},
 	} {
-		b := start(t)
-		id := b.take(2, 2)
+		b := newTestbed(t)
+		id := b.submit(2, 2)
 		tc.happen(b, id)
-		if got, _ := b.c.Clear(b.begun[0].ID); got != tc.want {
+		if got, _ := b.dispatcher.ConfirmSend(b.started[0].ID); got != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
 // Guards against a deadline that the decisions forgot: the core answers by itself, once.
-func TestTheCoreAnswersWhatTheDecisionsForgot(t *testing.T) {
-	b := start(t)
-	b.take(2, 0.5)
-	b.due = b.due[:0] // every timer of the decisions is lost
-	r, _ := b.c.reqs.Get(1 << 32)
-	b.c.do(func() { b.c.overdue(r) })
-	b.c.Ended(b.begun[0].ID, End{Result: loadbalancer.OK})
-	if len(b.answers) != 1 || b.answers[0].Verdict != Failed || b.c.Counts().Overdue != 1 {
-		t.Errorf("answers %+v, counts %+v", b.answers, b.c.Counts())
+func TestOverdueRequestIsAnswered(t *testing.T) {
+	b := newTestbed(t)
+	b.submit(2, 0.5)
+	b.timers = b.timers[:0] // every timer of the decisions is lost
+	r, _ := b.dispatcher.requests.Get(1 << 32)
+	b.dispatcher.handle(func() { b.dispatcher.answerOverdue(r) })
+	b.dispatcher.HandleOutcome(b.started[0].ID, Outcome{Result: loadbalancer.OK})
+	if len(b.answers) != 1 || b.answers[0].Verdict != Failed || b.dispatcher.Counts().Overdue != 1 {
+		t.Errorf("answers %+v, counts %+v", b.answers, b.dispatcher.Counts())
 	}
 }
 
 // Guards against a process that swells with every machine that was ever replaced.
-func TestMembersThatLeftAreForgotten(t *testing.T) {
-	b := start(t)
+func TestDepartedMembersAreForgotten(t *testing.T) {
+	b := newTestbed(t)
 	for i := range 500 {
 		name := fmt.Sprint("s-", i)
-		b.c.List(loadbalancer.ListFull, []Member{{Worker: loadbalancer.Worker{ID: b.c.Number(name), State: loadbalancer.Ready}, Backend: b, Name: name}})
-		b.take(0, 1)
+		b.dispatcher.UpdateMembers(loadbalancer.ListFull, []Member{{Worker: loadbalancer.Worker{ID: b.dispatcher.WorkerID(name), State: loadbalancer.Ready}, Backend: b, Name: name}})
+		b.submit(0, 1)
 	}
-	if n, m := len(b.c.members), len(b.c.byName); n > 2*manyGone || m > 2*manyGone {
+	if n, m := len(b.dispatcher.members), len(b.dispatcher.workerIDs); n > 2*maxDeparted || m > 2*maxDeparted {
 		t.Errorf("%d members and %d names kept", n, m)
 	}
-	for _, f := range b.begun { // what was out there still ends
-		b.c.Ended(f.ID, End{Result: loadbalancer.OK})
+	for _, f := range b.started { // what was out there still ends
+		b.dispatcher.HandleOutcome(f.ID, Outcome{Result: loadbalancer.OK})
 	}
 	if len(b.answers) != 500 {
 		t.Errorf("%d answers", len(b.answers))
@@ -199,34 +199,34 @@
 // Guards against an exclusion that a list, a restart or a reconnect lifts, that sends what is on its way, or from
 // which a worker comes back as the one it was.
 func TestExclusion(t *testing.T) {
-	b := start(t)
-	id := b.c.Number("w")
+	b := newTestbed(t)
+	id := b.dispatcher.WorkerID("w")
 	list := func(kind loadbalancer.ListKind, state loadbalancer.WorkerState, since float64) {
-		b.c.List(kind, []Member{{Worker: loadbalancer.Worker{ID: id, State: state, StartedAt: since}, Backend: b, Name: "w"}})
+		b.dispatcher.UpdateMembers(kind, []Member{{Worker: loadbalancer.Worker{ID: id, State: state, StartedAt: since}, Backend: b, Name: "w"}})
 	}
 	seen := func(want loadbalancer.WorkerState, since float64) {
 		t.Helper()
-		m := b.c.members[id]
+		m := b.dispatcher.members[id]
 		if diff := cmp.Diff([]any{want, since}, []any{m.State, m.StartedAt}); diff != "" {
 			t.Errorf("the decisions see (-want +got):\n%s", diff)
 		}
 	}
-	change := func(ch Change, known bool) {
+	change := func(ch ExclusionChange, known bool) {
 		t.Helper()
-		if b.c.Apply(ch.Out); ch.Known != known || ch.Full {
+		if b.dispatcher.ApplyExclusions(ch.Exclusions); ch.Known != known || ch.LimitReached {
 			t.Errorf("change %+v", ch)
 		}
 	}
 	list(loadbalancer.ListFull, loadbalancer.Ready, 100)
-	change(b.c.Exclude("nobody"), false)
-	change(b.c.Include("nobody"), false)
-	change(b.c.Include("w"), true) // nothing to do
-	b.take(0, 1)
-	if _, clear := b.c.Clear(b.begun[0].ID); !clear {
+	change(b.dispatcher.Exclude("nobody"), false)
+	change(b.dispatcher.Include("nobody"), false)
+	change(b.dispatcher.Include("w"), true) // nothing to do
+	b.submit(0, 1)
+	if _, clear := b.dispatcher.ConfirmSend(b.started[0].ID); !clear {
 		t.Fatal("a fetch is held up for nothing")
 	}
-	change(b.c.Exclude("w"), true)
-	if result, clear := b.c.Clear(b.begun[0].ID); clear || result != loadbalancer.ConnectFailed {
+	change(b.dispatcher.Exclude("w"), true)
+	if result, clear := b.dispatcher.ConfirmSend(b.started[0].ID); clear || result != loadbalancer.ConnectFailed {
 		t.Errorf("a fetch on its way to a member that is out: %v, %v", result, clear)
 	}
 	for _, since := range []float64{100, b.now + 1} { // the second is a restart
@@ -235,26 +235,26 @@
 	}
 	list(loadbalancer.ListDelta, loadbalancer.Departed, 0)
 	seen(loadbalancer.Departed, 100)
-	change(b.c.Exclude("w"), true)
+	change(b.dispatcher.Exclude("w"), true)
 	list(loadbalancer.ListFull, loadbalancer.Ready, b.now+1)
 	seen(loadbalancer.Draining, 100)
-	other := start(t) // the next process
-	other.c.Apply(b.c.Exclusions())
-	other.c.Number("w")
-	other.c.List(loadbalancer.ListFull, []Member{{Worker: loadbalancer.Worker{ID: id, State: loadbalancer.Ready, StartedAt: 100}, Backend: other, Name: "w"}})
-	if got := other.c.members[id].State; got != loadbalancer.Draining {
+	other := newTestbed(t) // the next process
+	other.dispatcher.ApplyExclusions(b.dispatcher.Exclusions())
+	other.dispatcher.WorkerID("w")
+	other.dispatcher.UpdateMembers(loadbalancer.ListFull, []Member{{Worker: loadbalancer.Worker{ID: id, State: loadbalancer.Ready, StartedAt: 100}, Backend: other, Name: "w"}})
+	if got := other.dispatcher.members[id].State; got != loadbalancer.Draining {
 		t.Errorf("in the next process: %v", got)
 	}
 	b.now += 2
-	change(b.c.Include("w"), true)
+	change(b.dispatcher.Include("w"), true)
 	seen(loadbalancer.Ready, b.now-1)
-	if b.renewed != 1 {
-		t.Errorf("connections dropped %d times", b.renewed)
+	if b.connectionResets != 1 {
+		t.Errorf("connections dropped %d times", b.connectionResets)
 	}
 	list(loadbalancer.ListDelta, loadbalancer.Ready, 100) // late news of before
 	seen(loadbalancer.Ready, 100)
-	change(b.c.Exclude("w"), true)
-	change(b.c.Include("w"), true)
+	change(b.dispatcher.Exclude("w"), true)
+	change(b.dispatcher.Include("w"), true)
 	seen(loadbalancer.Ready, b.now) // nobody has told of its restart
 	list(loadbalancer.ListDelta, loadbalancer.Ready, 100)
 	seen(loadbalancer.Ready, b.now)
--- a/internal/dispatcher/exporter/metrics_test.go
+++ b/internal/dispatcher/exporter/metrics_test.go
@@ -61,7 +61,7 @@
 func (b *bench) periods(n int) {
 	for range n {
 		b.do(func() {
-			b.set.Answered(&dispatch.Final{Verdict: dispatch.Served, Won: -1})
+			b.set.ObserveAnswer(&dispatch.AnswerRecord{Verdict: dispatch.Served, WinningAttempt: -1})
 			b.wall = b.wall.Add(10 * time.Second)
 			b.feed.CloseNow()
 		})
@@ -212,10 +212,10 @@
 	b := start(t, 1<<20, NewGraphite(o))
 	b.do(func() { fleet(b.set, 5000) })
 	b.do(func() {
-		b.set.Answered(&dispatch.Final{Verdict: dispatch.Served, Won: -1})
+		b.set.ObserveAnswer(&dispatch.AnswerRecord{Verdict: dispatch.Served, WinningAttempt: -1})
 		b.feed.freeze()
 		b.feed.encode() // some of it
-		b.set.Answered(&dispatch.Final{Verdict: dispatch.Served, Won: -1})
+		b.set.ObserveAnswer(&dispatch.AnswerRecord{Verdict: dispatch.Served, WinningAttempt: -1})
 		b.wall = b.wall.Add(10 * time.Second)
 		b.feed.CloseNow()
 	})
@@ -419,9 +419,9 @@
 	for i := range n {
 		members = append(members, dispatch.Member{Name: fmt.Sprint("node-", i), Worker: loadbalancer.Worker{ID: loadbalancer.WorkerID(i + 1), State: loadbalancer.Ready}})
 	}
-	set.Listed(loadbalancer.ListFull, members)
+	set.ObserveMembers(loadbalancer.ListFull, members)
 	for i := range n {
-		set.Reported(loadbalancer.WorkerID(i+1), 1, []float32{0.5}, false)
+		set.ObserveLoadReport(loadbalancer.WorkerID(i+1), 1, []float32{0.5}, false)
 	}
 }
 
--- a/internal/dispatcher/gearman/job.go
+++ b/internal/dispatcher/gearman/job.go
@@ -17,7 +17,7 @@
 	background     bool
 	priority       int // 0 is high
 	waiters        []*peer
-	req            dispatch.ReqID
+	req            dispatch.RequestID
 	queued         bool // the core has it
 	running        int
 	num, den       string
@@ -51,8 +51,8 @@
 		}
 	}
 	j.queued = true
-	j.req = j.s.core.Take(dispatch.Job{Class: j.f.class, Skill: j.f.skill, Slots: 1,
-		Deadline: min(j.ends, now+j.f.deadline), Load: j, ID: j.handle, Front: "gearman"}, j)
+	j.req = j.s.core.Submit(dispatch.Job{Class: j.f.class, Skill: j.f.skill, Slots: 1,
+		Deadline: min(j.ends, now+j.f.deadline), Payload: j, ID: j.handle, Front: "gearman"}, j)
 }
 
 // returns has a refused job in the background come back when the core said. A caller would; this one is not
@@ -80,7 +80,7 @@
 	j.close()
 	j.start.Stop()
 	if j.queued {
-		j.s.core.Gone(j.req)
+		j.s.core.HandleDisconnect(j.req)
 	}
 }
 
@@ -90,7 +90,7 @@
 	if j.over {
 		return
 	}
-	if j.returned = a.Verdict == dispatch.Refused && j.returns(a.Wait); j.returned {
+	if j.returned = a.Verdict == dispatch.Rejected && j.returns(a.RetryAfter); j.returned {
 		return
 	}
 	var last packet
@@ -98,9 +98,9 @@
 	case dispatch.Served:
 		j.s.Counts.Served++
 		last = packet{WorkComplete, string(a.Body)}
-	case dispatch.Refused:
+	case dispatch.Rejected:
 		j.s.Counts.Refused++
-		j.output = []packet{{WorkWarning, fmt.Sprintf("refused retry-after=%.3f", a.Wait)}}
+		j.output = []packet{{WorkWarning, fmt.Sprintf("refused retry-after=%.3f", a.RetryAfter)}}
 		last.kind = WorkFail
 	default:
 		j.s.Counts.Failed++
@@ -129,8 +129,8 @@
 	}
 }
 
-// Returned implements routing.Returner.
-func (j *job) Returned() bool { return j.returned }
+// Requeued implements routing.Returner.
+func (j *job) Requeued() bool { return j.returned }
 
 func (j *job) close() {
 	invariant.Check(!j.over, "a Gearman job ends once")
--- a/internal/dispatcher/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -36,7 +36,7 @@
 
 	loop      *eventloop.Loop
 	log       *zap.Logger
-	core      *dispatch.Core
+	core      *dispatch.Dispatcher
 	door      *admission.Door
 	config    *Config
 	report    []loadbalancer.ReportField
@@ -75,7 +75,7 @@
 }
 
 // New makes the front; Start opens its port.
-func New(loop *eventloop.Loop, log *zap.Logger, core *dispatch.Core, door *admission.Door, config *Config, name string, report []loadbalancer.ReportField) *Server {
+func New(loop *eventloop.Loop, log *zap.Logger, core *dispatch.Dispatcher, door *admission.Door, config *Config, name string, report []loadbalancer.ReportField) *Server {
 	s := &Server{loop: loop, log: log, core: core, door: door, config: config, report: report, functions: map[string]*function{},
 		jobs: map[string]*job{}, unique: map[uniqueKey]*job{}, prefix: "H:" + name + ":"}
 	for i, f := range config.Functions {
--- a/internal/dispatcher/gearman/worker.go
+++ b/internal/dispatcher/gearman/worker.go
@@ -30,7 +30,7 @@
 
 // fetch is one attempt at a job.
 type fetch struct {
-	id      dispatch.FetchID
+	id      dispatch.AttemptID
 	job     *job
 	w       *worker
 	limit   *eventloop.Timer
@@ -59,7 +59,7 @@
 			member: loadbalancer.Worker{Zone: place.zone,
 				Kind: place.kind, Cell: place.Cell, Weight: 1, StartedAt: p.connected}}
 	}
-	p.worker.member.ID = p.s.core.Number(p.worker.name)
+	p.worker.member.ID = p.s.core.WorkerID(p.worker.name)
 	if was, had := p.worker.can[name]; !had || was != limit {
 		p.worker.can[name] = limit
 		p.worker.list()
@@ -74,7 +74,7 @@
 		w.member.Skills = append(w.member.Skills, w.p.s.functions[name].skill)
 	}
 	slices.Sort(w.member.Skills)
-	w.p.s.core.List(loadbalancer.ListDelta, []dispatch.Member{{Worker: w.member, Backend: w, Name: w.name}})
+	w.p.s.core.UpdateMembers(loadbalancer.ListDelta, []dispatch.Member{{Worker: w.member, Backend: w, Name: w.name}})
 }
 
 // lose takes abilities away, the named one or all: that is a drain. What waits for a grab never ran and goes
@@ -103,14 +103,14 @@
 		return !can
 	})
 	for _, t := range back {
-		w.p.s.core.Ended(t.id, dispatch.End{Result: loadbalancer.ConnectFailed})
+		w.p.s.core.HandleOutcome(t.id, dispatch.Outcome{Result: loadbalancer.ConnectFailed})
 	}
 }
 
 // leave ends what the worker had: what it was assigned may have run, whatever it told before.
 func (w *worker) leave() {
 	w.member.State = loadbalancer.Departed
-	w.p.s.core.List(loadbalancer.ListDelta, []dispatch.Member{{Worker: w.member, Backend: w, Name: w.name}})
+	w.p.s.core.UpdateMembers(loadbalancer.ListDelta, []dispatch.Member{{Worker: w.member, Backend: w, Name: w.name}})
 	clear(w.can)
 	w.sweep()
 	handles := make([]string, 0, len(w.running))
@@ -123,15 +123,15 @@
 		if w.p.conn.Written() < w.running[handle].mark { // never went out whole: no worker can have begun it
 			result = loadbalancer.ConnectFailed
 		}
-		w.running[handle].end(dispatch.End{Result: result})
+		w.running[handle].end(dispatch.Outcome{Result: result})
 	}
 }
 
-// Begin implements routing.Backend: the job waits until the worker grabs it.
-func (w *worker) Begin(f dispatch.Fetch) {
-	j, ok := f.Load.(*job)
+// Start implements routing.Backend: the job waits until the worker grabs it.
+func (w *worker) Start(f dispatch.Attempt) {
+	j, ok := f.Payload.(*job)
 	if _, can := w.can[jobName(j)]; !ok || !can {
-		w.p.s.core.Ended(f.ID, dispatch.End{Result: loadbalancer.ConnectFailed})
+		w.p.s.core.HandleOutcome(f.ID, dispatch.Outcome{Result: loadbalancer.ConnectFailed})
 		return
 	}
 	t := &fetch{id: f.ID, job: j, w: w}
@@ -155,8 +155,8 @@
 	return j.f.Name
 }
 
-// Drop implements routing.Backend. Gearman has no word to call a running job off: its result is dropped.
-func (w *worker) Drop(id dispatch.FetchID) bool {
+// Cancel implements routing.Backend. Gearman has no word to call a running job off: its result is dropped.
+func (w *worker) Cancel(id dispatch.AttemptID) bool {
 	for i, t := range w.waiting {
 		if t.id == id {
 			w.waiting = slices.Delete(w.waiting, i, i+1)
@@ -171,8 +171,8 @@
 	return true
 }
 
-// Renew implements routing.Backend: a worker is its one connection, and a new process would have a new one.
-func (w *worker) Renew() {}
+// ResetConnections implements routing.Backend: a worker is its one connection, and a new process would have a new one.
+func (w *worker) ResetConnections() {}
 
 // Probe implements routing.Backend: a connection that is open is all there is to know.
 func (w *worker) Probe(done func(loadbalancer.Result, []float32)) { done(loadbalancer.OK, w.load()) }
@@ -243,12 +243,12 @@
 		t := w.waiting[0]
 		w.waiting = w.waiting[1:]
 		j := t.job
-		result, clear := s.core.Clear(t.id)
+		result, clear := s.core.ConfirmSend(t.id)
 		if clear && w.running[j.handle] != nil { // still at an attempt that was given up: two could not be told apart
 			result, clear = loadbalancer.ConnectFailed, false
 		}
 		if !clear {
-			s.core.Ended(t.id, dispatch.End{Result: result})
+			s.core.HandleOutcome(t.id, dispatch.Outcome{Result: result})
 			continue
 		}
 		w.running[j.handle] = t
@@ -266,9 +266,9 @@
 		}
 		t.mark = w.p.conn.Written() + uint64(w.p.conn.Unsent())
 		if limit := w.can[j.f.Name]; limit > 0 {
-			t.limit = s.loop.At(s.loop.Now()+limit, func() { t.end(dispatch.End{Result: loadbalancer.Timeout}) })
+			t.limit = s.loop.At(s.loop.Now()+limit, func() { t.end(dispatch.Outcome{Result: loadbalancer.Timeout}) })
 		}
-		s.core.Started(t.id)
+		s.core.HandleStarted(t.id)
 		return true
 	}
 	return false
@@ -288,11 +288,11 @@
 		num, err1 := strconv.ParseFloat(j.num, 64)
 		den, err2 := strconv.ParseFloat(j.den, 64)
 		if err1 == nil && err2 == nil && den > 0 && num > 0 && num <= den {
-			t.w.p.s.core.Progress(t.id, num/den)
+			t.w.p.s.core.HandleProgress(t.id, num/den)
 		}
 	case WorkData, WorkWarning:
 		if t.size += len(q.Args[1]); t.size > maxData {
-			t.end(dispatch.End{Result: loadbalancer.Error, Report: t.w.load()})
+			t.end(dispatch.Outcome{Result: loadbalancer.Error, Report: t.w.load()})
 			return
 		}
 		t.output = append(t.output, packet{q.Kind, q.Args[1]})
@@ -300,19 +300,19 @@
 		if !j.over && !t.stopped {
 			j.output = t.output
 		}
-		t.end(dispatch.End{Result: loadbalancer.OK, Body: []byte(q.Args[1]), Report: t.w.load()})
+		t.end(dispatch.Outcome{Result: loadbalancer.OK, Body: []byte(q.Args[1]), Report: t.w.load()})
 	case WorkException:
 		if !j.over && !t.stopped {
 			j.exception = q.Args[1]
 		}
-		t.end(dispatch.End{Result: loadbalancer.Error, Report: t.w.load()})
+		t.end(dispatch.Outcome{Result: loadbalancer.Error, Report: t.w.load()})
 	case WorkFail:
-		t.end(dispatch.End{Result: loadbalancer.Error, Report: t.w.load()})
+		t.end(dispatch.Outcome{Result: loadbalancer.Error, Report: t.w.load()})
 	}
 }
 
 // end takes the fetch off the worker and tells the core how it ended.
-func (t *fetch) end(e dispatch.End) {
+func (t *fetch) end(e dispatch.Outcome) {
 	if t.w.running[t.job.handle] != t {
 		return
 	}
@@ -323,7 +323,7 @@
 	}
 	if !t.stopped {
 		t.stopped = true
-		t.w.p.s.core.Ended(t.id, e)
+		t.w.p.s.core.HandleOutcome(t.id, e)
 	}
 }
 
--- a/internal/dispatcher/httpfront/backend.go
+++ b/internal/dispatcher/httpfront/backend.go
@@ -30,26 +30,26 @@
 	life uint64 // grows when the runner was restarted: links of an earlier one are not kept
 }
 
-// Begin implements routing.Backend.
-func (b *backend) Begin(f dispatch.Fetch) {
+// Start implements routing.Backend.
+func (b *backend) Start(f dispatch.Attempt) {
 	p := b.pool
-	call, ok := f.Load.(*Call)
+	call, ok := f.Payload.(*Call)
 	a := &attempt{id: f.ID, call: call, ends: f.Deadline}
 	if ok {
 		a.key = newsKey{call.ID, b.uid}
 	}
 	if !ok || p.live[a.key] != nil {
 		// A second fetch of a req on one backend could not be told from the first by its call-backs.
-		p.core.Ended(f.ID, dispatch.End{Result: loadbalancer.Withdrawn})
+		p.core.HandleOutcome(f.ID, dispatch.Outcome{Result: loadbalancer.Withdrawn})
 		return
 	}
 	p.live[a.key], p.byFetch[a.id] = a, a
 	b.carry(&exchange{attempt: a})
 }
 
-// Drop implements routing.Backend: what is not written is not sent, what waits for its 202 loses its
+// Cancel implements routing.Backend: what is not written is not sent, what waits for its 202 loses its
 // connection, what was taken is called off by a request of its own.
-func (b *backend) Drop(id dispatch.FetchID) bool {
+func (b *backend) Cancel(id dispatch.AttemptID) bool {
 	a := b.pool.byFetch[id]
 	if a == nil {
 		return true
@@ -66,8 +66,8 @@
 	return true
 }
 
-// Renew implements routing.Backend.
-func (b *backend) Renew() {
+// ResetConnections implements routing.Backend.
+func (b *backend) ResetConnections() {
 	b.life++
 	b.closeIdle()
 }
--- a/internal/dispatcher/httpfront/director.go
+++ b/internal/dispatcher/httpfront/director.go
@@ -80,7 +80,7 @@
 	loop  *eventloop.Loop
 	log   *zap.Logger
 	addr  netip.AddrPort // where discovery is by the latest configuration
-	core  *dispatch.Core
+	core  *dispatch.Dispatcher
 	pool  *Pool
 	zones []string
 	kinds []string
@@ -101,7 +101,7 @@
 func (d *Director) Last() float64 { return d.last }
 
 // NewDirector makes a director; Start begins the watch.
-func NewDirector(loop *eventloop.Loop, log *zap.Logger, addr netip.AddrPort, core *dispatch.Core, pool *Pool, zones, kinds []string, seed uint64) *Director {
+func NewDirector(loop *eventloop.Loop, log *zap.Logger, addr netip.AddrPort, core *dispatch.Dispatcher, pool *Pool, zones, kinds []string, seed uint64) *Director {
 	return &Director{loop: loop, log: log, addr: addr, core: core, pool: pool, zones: zones, kinds: kinds,
 		known: map[string]Target{}, rng: rand.New(rand.NewPCG(seed, uint64(os.Getpid())))}
 }
@@ -410,7 +410,7 @@
 			// It leaves as what it was, whatever its last entry lacks: what may have run there is bound to its cell.
 			t, t.State = was, "gone"
 		}
-		w := loadbalancer.Worker{ID: d.core.Number(t.UID), Zone: place(d.zones, t.Zone), Kind: place(d.kinds, t.Kind),
+		w := loadbalancer.Worker{ID: d.core.WorkerID(t.UID), Zone: place(d.zones, t.Zone), Kind: place(d.kinds, t.Kind),
 			Cell: t.Cell, State: states[t.State], Weight: t.Weight, StartedAt: t.BootMs / 1000}
 		addr, _ := netip.ParseAddrPort(t.Endpoint)
 		members = append(members, dispatch.Member{Worker: w, Backend: d.pool.backend(w.ID, t.UID, addr), Name: t.UID})
@@ -421,7 +421,7 @@
 		}
 	}
 	d.log.Info("director: list", zap.Int64("rev", list.Rev), zap.Bool("all", list.All), zap.Int("entries", len(members)))
-	d.core.List(kind, members)
+	d.core.UpdateMembers(kind, members)
 	if d.Listed != nil {
 		d.Listed(addr, list.Rev, cached, list.Targets)
 	}
--- a/internal/dispatcher/httpfront/director_test.go
+++ b/internal/dispatcher/httpfront/director_test.go
@@ -61,7 +61,7 @@
 
 type clock struct{ *eventloop.Loop }
 
-func (c clock) At(at float64, do func()) dispatch.Stop { return c.Loop.At(at, do) }
+func (c clock) At(at float64, do func()) dispatch.Timer { return c.Loop.At(at, do) }
 
 // Guards against a dispatcher that bides its time at the start: what discovery has to tell binds from there on, and a
 // list of an earlier life may name backends that have drained since.
--- a/internal/dispatcher/httpfront/front.go
+++ b/internal/dispatcher/httpfront/front.go
@@ -46,7 +46,7 @@
 
 	loop      *eventloop.Loop
 	log       *zap.Logger
-	core      *dispatch.Core
+	core      *dispatch.Dispatcher
 	pool      *Pool
 	door      *admission.Door
 	classes   map[string]class
@@ -74,7 +74,7 @@
 }
 
 // NewFront makes the front.
-func NewFront(loop *eventloop.Loop, log *zap.Logger, core *dispatch.Core, pool *Pool, door *admission.Door, set *loadbalancer.Settings) *Front {
+func NewFront(loop *eventloop.Loop, log *zap.Logger, core *dispatch.Dispatcher, pool *Pool, door *admission.Door, set *loadbalancer.Settings) *Front {
 	f := &Front{loop: loop, log: log, core: core, pool: pool, door: door, classes: map[string]class{}, calls: map[string]bool{},
 		noted: map[string]float64{}}
 	for i, c := range set.Classes {
--- a/internal/dispatcher/httpfront/link.go
+++ b/internal/dispatcher/httpfront/link.go
@@ -34,8 +34,8 @@
 	switch a := x.attempt; {
 	case a != nil:
 		a.link = l
-		if result, clear := p.core.Clear(a.id); !clear { // drained or overdue while the connection came up: no byte of it goes out
-			p.end(a, dispatch.End{Result: result})
+		if result, clear := p.core.ConfirmSend(a.id); !clear { // drained or overdue while the connection came up: no byte of it goes out
+			p.end(a, dispatch.Outcome{Result: result})
 			l.rest()
 			return
 		}
@@ -212,6 +212,6 @@
 		}
 		a.link = nil
 		l.b.pool.log.Debug("fetch: connection lost", zap.String("backend", l.b.uid), zap.Error(err))
-		l.b.pool.end(a, dispatch.End{Result: result, Worn: l.worn})
+		l.b.pool.end(a, dispatch.Outcome{Result: result, StaleConnection: l.worn})
 	}
 }
--- a/internal/dispatcher/httpfront/pool.go
+++ b/internal/dispatcher/httpfront/pool.go
@@ -30,11 +30,11 @@
 
 	loop     *eventloop.Loop
 	log      *zap.Logger
-	core     *dispatch.Core
+	core     *dispatch.Dispatcher
 	limits   Limits
 	backends map[loadbalancer.WorkerID]*backend
 	live     map[newsKey]*attempt // by what a call-back names
-	byFetch  map[dispatch.FetchID]*attempt
+	byFetch  map[dispatch.AttemptID]*attempt
 	dropping bool // no idle connections are kept any more
 }
 
@@ -44,11 +44,11 @@
 // NewPool makes an empty pool; Core must be set before the first list.
 func NewPool(loop *eventloop.Loop, log *zap.Logger, limits Limits) *Pool {
 	return &Pool{loop: loop, log: log, limits: limits,
-		backends: map[loadbalancer.WorkerID]*backend{}, live: map[newsKey]*attempt{}, byFetch: map[dispatch.FetchID]*attempt{}}
+		backends: map[loadbalancer.WorkerID]*backend{}, live: map[newsKey]*attempt{}, byFetch: map[dispatch.AttemptID]*attempt{}}
 }
 
 // Serve names the core that the pool reports to.
-func (p *Pool) Serve(core *dispatch.Core) { p.core = core }
+func (p *Pool) Serve(core *dispatch.Dispatcher) { p.core = core }
 
 // backend finds a backend or makes it; one that has moved loses its idle connections.
 func (p *Pool) backend(id loadbalancer.WorkerID, uid string, addr netip.AddrPort) *backend {
@@ -101,7 +101,7 @@
 
 // attempt is a fetch on its way.
 type attempt struct {
-	id   dispatch.FetchID
+	id   dispatch.AttemptID
 	key  newsKey
 	call *Call
 	ends float64
@@ -110,9 +110,9 @@
 }
 
 // end ends the attempt here and tells the core.
-func (p *Pool) end(a *attempt, e dispatch.End) {
+func (p *Pool) end(a *attempt, e dispatch.Outcome) {
 	p.forget(a)
-	p.core.Ended(a.id, e)
+	p.core.HandleOutcome(a.id, e)
 }
 
 func (p *Pool) forget(a *attempt) {
@@ -132,12 +132,12 @@
 	if r.Status == 202 {
 		return // call-backs tell the rest
 	}
-	e := dispatch.End{Result: loadbalancer.Error, Report: ParseLoad(r.Header.Get("X-Load-Report")).Values(p.limits.Fields)}
+	e := dispatch.Outcome{Result: loadbalancer.Error, Report: ParseLoad(r.Header.Get("X-Load-Report")).Values(p.limits.Fields)}
 	switch {
 	case (r.Status == 503 || r.Status == 504) && r.Header.Get("X-Rejected") == "1":
 		e.Result = loadbalancer.Rejected
 	case r.Status >= 400 && r.Status < 500 && r.Status != 408 && r.Status != 429:
-		e.Unusable = true // it is the request that is bad: another backend would say so too
+		e.InvalidJob = true // it is the request that is bad: another backend would say so too
 	}
 	p.end(a, e)
 }
@@ -153,13 +153,13 @@
 		p.StrayNews++
 		return
 	}
-	e := dispatch.End{Report: n.Load.Values(p.limits.Fields)}
+	e := dispatch.Outcome{Report: n.Load.Values(p.limits.Fields)}
 	switch n.State {
 	case "started":
-		p.core.Started(a.id)
+		p.core.HandleStarted(a.id)
 		return
 	case "running":
-		p.core.Progress(a.id, n.Share)
+		p.core.HandleProgress(a.id, n.Share)
 		return
 	case "done":
 		e.Result, e.Body = loadbalancer.OK, []byte(n.Result)
--- a/internal/dispatcher/httpfront/session.go
+++ b/internal/dispatcher/httpfront/session.go
@@ -20,7 +20,7 @@
 	f       *Front
 	h       slotmap.Handle
 	conn    *eventloop.Conn
-	req     dispatch.ReqID
+	req     dispatch.RequestID
 	call    string // id of the open req, if any
 	held    int    // bytes of the open req
 	last    bool   // closes after the answer
@@ -133,7 +133,7 @@
 	open := s.call != ""
 	s.leave()
 	if open {
-		s.f.core.Gone(s.req)
+		s.f.core.HandleDisconnect(s.req)
 	}
 }
 
@@ -314,13 +314,13 @@
 		return
 	case s.f.leaving > 0 && s.f.loop.Now() >= s.f.leaving+lastTake:
 		s.last = true
-		s.refuse(&call, class, dispatch.Evacuated, "evacuated\n")
+		s.refuse(&call, class, dispatch.ReasonEvacuated, "evacuated\n")
 		return
 	case s.f.shut:
-		s.refuse(&call, class, dispatch.OutOfLease, "out of lease\n")
+		s.refuse(&call, class, dispatch.ReasonLeaseExpired, "out of lease\n")
 		return
 	case !s.f.door.Hold(len(call.Body)):
-		s.refuse(&call, class, dispatch.NoMemory, "")
+		s.refuse(&call, class, dispatch.ReasonNoMemory, "")
 		return
 	}
 	hint, _ := strconv.ParseFloat(q.Header.Get("X-Call-Cost"), 64)
@@ -329,14 +329,14 @@
 	}
 	s.call, s.held = call.ID, len(call.Body)
 	s.f.calls[call.ID] = true
-	s.req = s.f.core.Take(dispatch.Job{Class: class.place, Slots: pick("coresNeeded", "slots"), Memory: pick("memory"), Work: hint,
-		Deadline: s.f.loop.Now() + min(budget, class.deadline) - budgetMargin, Load: &call, ID: call.ID, Front: frontName},
+	s.req = s.f.core.Submit(dispatch.Job{Class: class.place, Slots: pick("coresNeeded", "slots"), Memory: pick("memory"), Work: hint,
+		Deadline: s.f.loop.Now() + min(budget, class.deadline) - budgetMargin, Payload: &call, ID: call.ID, Front: frontName},
 		&asker{s: s, call: call.ID})
 }
 
 // refuse turns a call away without the core, which notes it all the same.
 func (s *session) refuse(call *Call, class class, reason dispatch.Reason, body string) {
-	s.f.core.Turn(dispatch.Job{ID: call.ID, Front: frontName, Class: class.place}, dispatch.Refused, reason, s.f.comeBackIn)
+	s.f.core.RecordAnswer(dispatch.Job{ID: call.ID, Front: frontName, Class: class.place}, dispatch.Rejected, reason, s.f.comeBackIn)
 	s.reply(503, s.f.comeBack, []byte(body))
 }
 
@@ -359,10 +359,10 @@
 	switch answer.Verdict {
 	case dispatch.Served:
 		s.reply(200, "", answer.Body)
-	case dispatch.Refused:
+	case dispatch.Rejected:
 		extra := ""
-		if answer.Wait > 0 {
-			extra = retryAfter(answer.Wait)
+		if answer.RetryAfter > 0 {
+			extra = retryAfter(answer.RetryAfter)
 		}
 		s.reply(503, extra, nil)
 	default:
--- a/internal/dispatcher/requestlog/requestlog.go
+++ b/internal/dispatcher/requestlog/requestlog.go
@@ -57,69 +57,69 @@
 }
 
 // Answered adds a line.
-func (l *Log) Answered(f *dispatch.Final) {
+func (l *Log) Answered(f *dispatch.AnswerRecord) {
 	b := l.Begin()
 	class := len(l.classes) - 1
 	if f.Class >= 0 && f.Class < class {
 		class = f.Class
 	}
-	b = linelog.AppendFixed(append(b, `{"time":`...), f.Answered, 6)
+	b = linelog.AppendFixed(append(b, `{"time":`...), f.AnsweredAt, 6)
 	b = linelog.AppendString(append(b, l.prefix...), f.ID)
 	b = append(append(b, `,"class":`...), l.classes[class]...)
 	b = append(append(b, `,"front":"`...), f.Front...)
 	b = append(append(b, `","verdict":"`...), telemetry.VerdictOf(f).String()...)
 	b = append(b, '"')
-	if f.Reason != dispatch.NoReason {
+	if f.Reason != dispatch.ReasonNone {
 		b = append(append(append(b, `,"reason":"`...), f.Reason.String()...), '"')
 	}
-	b = linelog.AppendFixed(append(b, `,"took_ms":`...), (f.Answered-f.Arrived)*1000, 3)
-	if f.Started > 0 {
-		b = linelog.AppendFixed(append(b, `,"start_ms":`...), (f.Started-f.Arrived)*1000, 3)
+	b = linelog.AppendFixed(append(b, `,"took_ms":`...), (f.AnsweredAt-f.ArrivedAt)*1000, 3)
+	if f.StartedAt > 0 {
+		b = linelog.AppendFixed(append(b, `,"start_ms":`...), (f.StartedAt-f.ArrivedAt)*1000, 3)
 	}
-	if f.Wait > 0 {
-		b = linelog.AppendFixed(append(b, `,"come_back_s":`...), f.Wait, 3)
+	if f.RetryAfter > 0 {
+		b = linelog.AppendFixed(append(b, `,"come_back_s":`...), f.RetryAfter, 3)
 	}
-	if f.Mark > 0 {
-		b = append(strconv.AppendUint(append(b, l.mark...), f.Mark, 10), '"')
+	if f.AuditMark > 0 {
+		b = append(strconv.AppendUint(append(b, l.mark...), f.AuditMark, 10), '"')
 	}
-	if len(f.Tries) > 0 {
+	if len(f.Attempts) > 0 {
 		b = append(b, `,"tries":[`...)
-		for i := range f.Tries {
+		for i := range f.Attempts {
 			if i > 0 {
 				b = append(b, ',')
 			}
-			b = l.try(b, f, &f.Tries[i])
+			b = l.try(b, f, &f.Attempts[i])
 		}
 		b = append(b, ']')
 	}
 	l.End(append(b, '}', '\n'))
 }
 
-func (l *Log) try(b []byte, f *dispatch.Final, t *dispatch.Try) []byte {
-	b = linelog.AppendString(append(b, `{"node":`...), t.Node)
+func (l *Log) try(b []byte, f *dispatch.AnswerRecord, t *dispatch.AttemptRecord) []byte {
+	b = linelog.AppendString(append(b, `{"node":`...), t.MemberName)
 	if l.options.Slot != nil {
 		if slot := l.options.Slot(t.Worker); slot != "" {
 			b = linelog.AppendString(append(b, `,"slot":`...), slot)
 		}
 	}
-	b = linelog.AppendFixed(append(b, `,"sent_ms":`...), (t.Sent-f.Arrived)*1000, 3)
-	if t.Started > 0 {
-		b = linelog.AppendFixed(append(b, `,"start_ms":`...), (t.Started-f.Arrived)*1000, 3)
+	b = linelog.AppendFixed(append(b, `,"sent_ms":`...), (t.SentAt-f.ArrivedAt)*1000, 3)
+	if t.StartedAt > 0 {
+		b = linelog.AppendFixed(append(b, `,"start_ms":`...), (t.StartedAt-f.ArrivedAt)*1000, 3)
 	}
 	switch {
-	case t.Ended > 0:
-		b = linelog.AppendFixed(append(b, `,"end_ms":`...), (t.Ended-f.Arrived)*1000, 3)
+	case t.EndedAt > 0:
+		b = linelog.AppendFixed(append(b, `,"end_ms":`...), (t.EndedAt-f.ArrivedAt)*1000, 3)
 		b = append(append(append(b, `,"result":"`...), telemetry.ResultNames[t.Result]...), '"')
 	default:
 		b = append(b, `,"result":"out"`...)
 	}
-	if t.Copy {
+	if t.Hedged {
 		b = append(b, `,"copy":true`...)
 	}
-	if t.Mark > 0 {
-		b = strconv.AppendUint(append(b, `,"mark":`...), t.Mark, 10)
+	if t.AuditMark > 0 {
+		b = strconv.AppendUint(append(b, `,"mark":`...), t.AuditMark, 10)
 	}
-	if t.Attempt == f.Won {
+	if t.Attempt == f.WinningAttempt {
 		b = append(b, `,"won":true`...)
 	}
 	return append(b, '}')
--- a/internal/dispatcher/requestlog/requestlog_test.go
+++ b/internal/dispatcher/requestlog/requestlog_test.go
@@ -18,9 +18,9 @@
 	"cinderroad/loadbalancer"
 )
 
-func final(id string) *dispatch.Final {
-	return &dispatch.Final{ID: id, Front: "platform", Class: 0, Verdict: dispatch.Served, Arrived: 100, Answered: 100.25, Aim: 101, Started: 100.1, Won: 1,
-		Tries: []dispatch.Try{{Node: "a", Sent: 100, Ended: 100.05, Result: loadbalancer.Rejected}, {Attempt: 1, Node: "b", Sent: 100.05, Started: 100.1, Ended: 100.25, Copy: true}, {Attempt: 2, Node: "c", Sent: 100.2}}}
+func final(id string) *dispatch.AnswerRecord {
+	return &dispatch.AnswerRecord{ID: id, Front: "platform", Class: 0, Verdict: dispatch.Served, ArrivedAt: 100, AnsweredAt: 100.25, TargetAt: 101, StartedAt: 100.1, WinningAttempt: 1,
+		Attempts: []dispatch.AttemptRecord{{MemberName: "a", SentAt: 100, EndedAt: 100.05, Result: loadbalancer.Rejected}, {Attempt: 1, MemberName: "b", SentAt: 100.05, StartedAt: 100.1, EndedAt: 100.25, Hedged: true}, {Attempt: 2, MemberName: "c", SentAt: 100.2}}}
 }
 
 func open(t *testing.T, o Options) *Log {
@@ -37,7 +37,7 @@
 	path := filepath.Join(t.TempDir(), "log")
 	l := open(t, Options{Path: path, Slot: func(loadbalancer.WorkerID) string { return "m.k.0.1" }})
 	l.Answered(final("x"))
-	l.Answered(&dispatch.Final{ID: "y", Front: "gearman", Class: -1, Verdict: dispatch.Refused, Reason: dispatch.NoRoom, Arrived: 100, Answered: 100, Wait: 0.5, Won: -1})
+	l.Answered(&dispatch.AnswerRecord{ID: "y", Front: "gearman", Class: -1, Verdict: dispatch.Rejected, Reason: dispatch.ReasonNoCapacity, ArrivedAt: 100, AnsweredAt: 100, RetryAfter: 0.5, WinningAttempt: -1})
 	l.Close()
 	want := `{"time":100.250000,"by":"n0","id":"x","class":"score","front":"platform","verdict":"in_time","took_ms":250.000,"start_ms":100.000,"tries":[` +
 		`{"node":"a","slot":"m.k.0.1","sent_ms":0.000,"end_ms":50.000,"result":"full"},` +
--- a/internal/dispatcher/server/compatibility_test.go
+++ b/internal/dispatcher/server/compatibility_test.go
@@ -34,7 +34,7 @@
 }
 
 var (
-	excluded = map[string]dispatch.Exclusion{"w-1": {At: 100, Since: 90, Back: 120}, "w-2": {At: 101}}
+	excluded = map[string]dispatch.Exclusion{"w-1": {ExcludedAt: 100, StartedAt: 90, IncludedAt: 120}, "w-2": {ExcludedAt: 101}}
 	counted  = map[string]float64{"classes.score.answers.in_time": 40}
 	measured = telemetry.Spans{"classes.score.latency": {{1500, 3}, {2000, 1}}}
 )
@@ -83,8 +83,8 @@
 
 // TestCountsKeepTheirNames: the counts in the events that end a program.
 func TestCountsKeepTheirNames(t *testing.T) {
-	readsJSON(t, "counts.json", dispatch.Counts{Reqs: 1, Served: 2, Refused: 3, Failed: 4, Gone: 5, Fetches: 6, Repeats: 7, Cancels: 8, Probes: 9,
-		Results: [8]uint64{10, 11, 12, 13, 14, 15, 16, 17}, Unusable: 18, Overdue: 19, OpenReqs: 20, OpenFetches: 21})
+	readsJSON(t, "counts.json", dispatch.Counts{Requests: 1, Served: 2, Rejected: 3, Failed: 4, Disconnected: 5, Attempts: 6, Retries: 7, Cancellations: 8, Probes: 9,
+		Results: [8]uint64{10, 11, 12, 13, 14, 15, 16, 17}, InvalidJobs: 18, Overdue: 19, OpenRequests: 20, OpenAttempts: 21})
 	readsJSON(t, "counts-gearman.json", gearman.Counts{Jobs: 1, Background: 2, Coalesced: 3, Served: 4, Refused: 5, Failed: 6, Gone: 7,
 		BackgroundEnded: 8, Returned: 9, BadPackets: 10, StrayWork: 11, Slow: 12})
 }
--- a/internal/dispatcher/server/figures.go
+++ b/internal/dispatcher/server/figures.go
@@ -28,18 +28,18 @@
 	core := func(get func(*dispatch.Counts) uint64) func() uint64 {
 		return func() uint64 { n := p.core.Counts(); return get(&n) }
 	}
-	a.counter("reqs.taken", "jobs", "Jobs that the core took.", core(func(n *dispatch.Counts) uint64 { return n.Reqs }))
+	a.counter("reqs.taken", "jobs", "Jobs that the core took.", core(func(n *dispatch.Counts) uint64 { return n.Requests }))
 	a.counter("reqs.served", "jobs", "Jobs served.", core(func(n *dispatch.Counts) uint64 { return n.Served }))
-	a.counter("reqs.refused", "jobs", "Jobs refused: they did not run.", core(func(n *dispatch.Counts) uint64 { return n.Refused }))
+	a.counter("reqs.refused", "jobs", "Jobs refused: they did not run.", core(func(n *dispatch.Counts) uint64 { return n.Rejected }))
 	a.counter("reqs.failed", "jobs", "Jobs failed.", core(func(n *dispatch.Counts) uint64 { return n.Failed }))
-	a.counter("reqs.client_gone", "jobs", "Jobs whose client left before an answer.", core(func(n *dispatch.Counts) uint64 { return n.Gone }))
+	a.counter("reqs.client_gone", "jobs", "Jobs whose client left before an answer.", core(func(n *dispatch.Counts) uint64 { return n.Disconnected }))
 	a.counter("reqs.overdue", "jobs", "Jobs that the decisions had forgotten and the core failed: must stay 0.", core(func(n *dispatch.Counts) uint64 { return n.Overdue }))
-	a.counter("reqs.unusable", "jobs", "Jobs failed since two backends could do nothing with them.", core(func(n *dispatch.Counts) uint64 { return n.Unusable }))
-	a.gauge("reqs.open", "jobs", "Jobs without an answer yet.", func() float64 { return float64(p.core.Counts().OpenReqs) })
-	a.counter("fetches.sent", "attempts", "Attempts begun.", core(func(n *dispatch.Counts) uint64 { return n.Fetches }))
-	a.counter("fetches.repeats", "attempts", "Those that were not a job's first.", core(func(n *dispatch.Counts) uint64 { return n.Repeats }))
-	a.counter("fetches.cancels", "attempts", "Attempts called off.", core(func(n *dispatch.Counts) uint64 { return n.Cancels }))
-	a.gauge("fetches.open", "attempts", "Attempts that are out.", func() float64 { return float64(p.core.Counts().OpenFetches) })
+	a.counter("reqs.unusable", "jobs", "Jobs failed since two backends could do nothing with them.", core(func(n *dispatch.Counts) uint64 { return n.InvalidJobs }))
+	a.gauge("reqs.open", "jobs", "Jobs without an answer yet.", func() float64 { return float64(p.core.Counts().OpenRequests) })
+	a.counter("fetches.sent", "attempts", "Attempts begun.", core(func(n *dispatch.Counts) uint64 { return n.Attempts }))
+	a.counter("fetches.repeats", "attempts", "Those that were not a job's first.", core(func(n *dispatch.Counts) uint64 { return n.Retries }))
+	a.counter("fetches.cancels", "attempts", "Attempts called off.", core(func(n *dispatch.Counts) uint64 { return n.Cancellations }))
+	a.gauge("fetches.open", "attempts", "Attempts that are out.", func() float64 { return float64(p.core.Counts().OpenAttempts) })
 	for result, name := range telemetry.ResultNames {
 		a.counter("fetches.end_"+name, "attempts", "Attempts that ended as "+name+".", core(func(n *dispatch.Counts) uint64 { return n.Results[result] }))
 	}
@@ -59,7 +59,7 @@
 	a.counter("upgrade.sessions_passed", "sessions", "Client sessions passed to the next process.", func() uint64 { return p.upgrade.Passed })
 	a.counter("upgrade.sessions_adopted", "sessions", "Client sessions taken over from the process before.", func() uint64 { return p.upgrade.Adopted })
 	a.counter("upgrade.news_asked", "call-backs", "Call-backs asked of the other process.", func() uint64 { return p.upgrade.Asks })
-	a.gauge("members.excluded", "nodes", "Members taken out by hand.", func() float64 { return float64(p.core.Excluded()) })
+	a.gauge("members.excluded", "nodes", "Members taken out by hand.", func() float64 { return float64(p.core.ExcludedCount()) })
 	a.counter("director.watches", "watches", "Watches opened at discovery.", func() uint64 { return p.director.Watches })
 	a.counter("director.refused", "watches", "Watches that a discovery without room refused.", func() uint64 { return p.director.Refused })
 	a.counter("director.bad_lines", "lines", "Lines of discovery that made no sense: the old list was kept.", func() uint64 { return p.director.Rejected })
--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -105,7 +105,7 @@
 
 // setPlace has all who count the dispatchers know their number.
 func (p *Program) setPlace(place quota.Share) {
-	if err := p.core.SetPlace(loadbalancer.InstanceShare{Instances: place.Instances, Instance: place.Index, BudgetShare: place.Fraction, InstanceKeys: place.Keys}); err != nil {
+	if err := p.core.SetInstanceShare(loadbalancer.InstanceShare{Instances: place.Instances, Instance: place.Index, BudgetShare: place.Fraction, InstanceKeys: place.Keys}); err != nil {
 		p.log.Error("program: place not taken", zap.Error(err))
 		return
 	}
@@ -141,7 +141,7 @@
 	}
 	p.fleet.SetMetadata(p.facts)
 	p.tendLedger()
-	if out := p.core.Counts(); p.front.Leaving() > 0 && out.OpenReqs == 0 && out.OpenFetches == 0 {
+	if out := p.core.Counts(); p.front.Leaving() > 0 && out.OpenRequests == 0 && out.OpenAttempts == 0 {
 		if !p.fleetLeft {
 			p.fleetLeft = true
 			p.fleet.Leave()
--- a/internal/dispatcher/server/fleet_figures.go
+++ b/internal/dispatcher/server/fleet_figures.go
@@ -48,7 +48,7 @@
 	gauge("list_behind", "versions", "Versions that the own list is behind the newest that a member says it has; none compares: 0.", func(*cluster.Cluster) float64 { return float64(p.board.MaxLag()) })
 	gauge("out_of_lease", "", "1 while this member is out of its lease and takes no new work.", func(f *cluster.Cluster) float64 { return oneIf(p.unleased()) })
 	gauge("word_age_s", "s", "Since a word of discovery last confirmed what is known here; -1: never.", func(f *cluster.Cluster) float64 { return f.ConfirmationAge() })
-	gauge("workers_withheld", "nodes", "Workers that get less than the own list says, on peers' words.", func(*cluster.Cluster) float64 { return float64(p.core.Withheld()) })
+	gauge("workers_withheld", "nodes", "Workers that get less than the own list says, on peers' words.", func(*cluster.Cluster) float64 { return float64(p.core.RestrictedCount()) })
 	counter("facts_taken", "facts", "What peers told of workers that the own list was too old to know.", func(*cluster.Cluster) uint64 { return p.board.Stats.FactsAccepted })
 	counter("facts_doubted", "facts", "Of it, what the own discovery did not tell in time: taken back.", func(*cluster.Cluster) uint64 { return p.board.Stats.Doubted })
 	counter("rides_bad", "", "What came along with members' messages and made no sense.", func(*cluster.Cluster) uint64 { return p.board.Stats.Malformed })
--- a/internal/dispatcher/server/fleet_sleep.go
+++ b/internal/dispatcher/server/fleet_sleep.go
@@ -37,7 +37,7 @@
 // pause has nothing new sent while this dispatcher looks again or is out of its lease, and new jobs refused where that
 // takes longer than jobs may wait. What is out ends as it would.
 func (p *Program) pause() {
-	p.core.Pause(p.woke > 0 || p.unleased())
+	p.core.SetPaused(p.woke > 0 || p.unleased())
 	shut := p.wakeTimedOut || p.unleased()
 	p.front.Shut(shut)
 	if p.gearman != nil {
--- a/internal/dispatcher/server/fleet_versions.go
+++ b/internal/dispatcher/server/fleet_versions.go
@@ -54,7 +54,7 @@
 // dropVersions has nothing withheld any more: the own list alone says.
 func (p *Program) dropVersions() {
 	p.board, p.director.Listed, p.director.Heard = nil, nil, nil
-	p.core.Withhold(nil)
+	p.core.SetRestrictions(nil)
 	p.wake()
 	p.pause()
 }
@@ -72,17 +72,17 @@
 
 // withhold has the core take workers for what peers know of them.
 func (p *Program) withhold() {
-	held := map[string]dispatch.Held{}
+	held := map[string]dispatch.Restriction{}
 	for worker, h := range p.board.Restrictions() {
 		state := loadbalancer.Ready
 		if h.State != versions.Ready {
 			state = loadbalancer.Draining
 		}
-		held[worker] = dispatch.Held{State: state, Since: float64(h.Start) / 1000}
+		held[worker] = dispatch.Restriction{State: state, StartedAt: float64(h.Start) / 1000}
 		p.log.Info("versions: withheld on a peer's word", zap.String("worker", worker), zap.Stringer("state", h.State), zap.Int64("rev", h.Revision), zap.String("from", h.From))
 	}
 	if len(held) == 0 {
 		p.log.Info("versions: nothing is withheld any more")
 	}
-	p.core.Withhold(held)
+	p.core.SetRestrictions(held)
 }
--- a/internal/dispatcher/server/ledger.go
+++ b/internal/dispatcher/server/ledger.go
@@ -71,7 +71,7 @@
 	}
 	p.record(auditlog.Entry{Kind: auditlog.Ended})
 	b := p.ledger
-	p.ledger, p.core.Mark = nil, 0
+	p.ledger, p.core.AuditMark = nil, 0
 	if goesOn {
 		go b.Close()
 	} else {
@@ -84,7 +84,7 @@
 	if p.ledger != nil {
 		e.LostLines = p.ledger.LostLines() + p.reporting.lost()
 		p.marked = p.ledger.Append(p.loop.Now(), e)
-		p.core.Mark = p.marked
+		p.core.AuditMark = p.marked
 	}
 }
 
--- a/internal/dispatcher/server/operate.go
+++ b/internal/dispatcher/server/operate.go
@@ -73,14 +73,14 @@
 }
 
 // change carries out a change of who is out.
-func (p *Program) change(what, member string, ch dispatch.Change, reply admin.Reply) {
+func (p *Program) change(what, member string, ch dispatch.ExclusionChange, reply admin.Reply) {
 	switch {
 	case !ch.Known && p.serving:
 		reply(404, "nobody has member "+member)
-	case ch.Full:
+	case ch.LimitReached:
 		reply(507, "too many members are out")
 	default:
-		p.order(order{What: what, Member: member, Exclusion: ch.Out[member]}, reply)
+		p.order(order{What: what, Member: member, Exclusion: ch.Exclusions[member]}, reply)
 	}
 }
 
@@ -113,7 +113,7 @@
 	if err := p.keep(out); err != nil {
 		return err
 	}
-	p.core.Apply(out)
+	p.core.ApplyExclusions(out)
 	return nil
 }
 
@@ -181,7 +181,7 @@
 		p.log.Error("program: kept exclusions make no sense, none taken", zap.String("file", path), zap.Error(err))
 		return
 	}
-	p.core.Apply(k.Out)
+	p.core.ApplyExclusions(k.Out)
 	p.log.Info("program: exclusions restored", zap.Int("members", len(k.Out)))
 }
 
@@ -196,7 +196,7 @@
 		return k, fmt.Errorf("program: exclusions: version %d", k.Version)
 	}
 	for name, x := range k.Out {
-		if name == "" || !(x.At > 0) || x.Since < 0 || x.Back < 0 || math.IsInf(x.At+x.Since+x.Back, 0) {
+		if name == "" || !(x.ExcludedAt > 0) || x.StartedAt < 0 || x.IncludedAt < 0 || math.IsInf(x.ExcludedAt+x.StartedAt+x.IncludedAt, 0) {
 			return k, fmt.Errorf("program: exclusions: bad entry %q", name)
 		}
 	}
--- a/internal/dispatcher/server/program.go
+++ b/internal/dispatcher/server/program.go
@@ -32,15 +32,15 @@
 // clock lets the core hang its deadlines in the loop's structure.
 type clock struct{ loop *eventloop.Loop }
 
-func (c clock) Now() float64                           { return c.loop.Now() }
-func (c clock) At(at float64, do func()) dispatch.Stop { return c.loop.At(at, do) }
+func (c clock) Now() float64                            { return c.loop.Now() }
+func (c clock) At(at float64, do func()) dispatch.Timer { return c.loop.At(at, do) }
 
 // Program is one dispatcher.
 type Program struct {
 	config             *Config
 	log                *zap.Logger
 	loop               *eventloop.Loop
-	core               *dispatch.Core
+	core               *dispatch.Dispatcher
 	pool               *httpfront.Pool
 	front              *httpfront.Front
 	director           *httpfront.Director
@@ -141,7 +141,7 @@
 	}
 	p.director = httpfront.NewDirector(loop, log, config.discovery, p.core, p.pool, n.FailureDomains, n.Kinds, config.seed)
 	p.director.Fleet = config.brain.Instances
-	p.core.Director = p.director
+	p.core.Discovery = p.director
 	if p.reporting, err = newReporting(p); err != nil {
 		return nil, err
 	}
@@ -209,7 +209,7 @@
 		return
 	}
 	p.stopping = true
-	p.log.Info("program: stopping", zap.String("signal", signal), zap.Int("open", p.core.Counts().OpenReqs))
+	p.log.Info("program: stopping", zap.String("signal", signal), zap.Int("open", p.core.Counts().OpenRequests))
 	if p.upgrade.left() { // nobody comes any more, and who is here is passed on
 		p.exitWhenDone()
 		return
@@ -228,7 +228,7 @@
 }
 
 func (p *Program) exitWhenDone() {
-	if n := p.core.Counts(); n.OpenReqs == 0 && p.front.Quiet() && (p.gearman == nil || p.gearman.Quiet()) &&
+	if n := p.core.Counts(); n.OpenRequests == 0 && p.front.Quiet() && (p.gearman == nil || p.gearman.Quiet()) &&
 		p.upgrade.done() && (p.console == nil || p.console.Open() == 0) && p.reporting.finished() {
 		p.leaveFleet()
 		p.loop.Stop()
--- a/internal/dispatcher/server/reporting.go
+++ b/internal/dispatcher/server/reporting.go
@@ -50,7 +50,7 @@
 	}
 	r := &reporting{p: p, file: f, outputs: map[string]exporter.Output{}}
 	r.set = telemetry.New(telemetry.Options{Settings: p.config.brain, Classes: p.config.classes(), Zones: p.config.names.FailureDomains,
-		Kinds: p.config.names.Kinds, Nodes: *f.Telemetry.NodeSeries, Standing: p.core.Standing, Now: p.loop.Now,
+		Kinds: p.config.names.Kinds, Nodes: *f.Telemetry.NodeSeries, Standing: p.core.WorkerStatus, Now: p.loop.Now,
 		Log: func(line string) { p.log.Info("telemetry: " + line) }})
 	r.feed = exporter.NewFeed(p.loop, p.log, r.set, exporter.Options{Host: p.config.Name, Every: f.Telemetry.Every, Bytes: f.Telemetry.MemoryBytes})
 	next, err := r.prepare(f)
@@ -70,30 +70,30 @@
 	return r != nil && (len(r.outputs) > 0 || r.file.Telemetry.SpoolDir != "")
 }
 
-// Answered implements routing.Observer, and so do the next ones.
-func (r *reporting) Answered(f *dispatch.Final) {
-	r.set.Answered(f)
+// ObserveAnswer implements routing.Observer, and so do the next ones.
+func (r *reporting) ObserveAnswer(f *dispatch.AnswerRecord) {
+	r.set.ObserveAnswer(f)
 	if r.log != nil {
 		r.log.Answered(f)
 	}
 }
 
-// Tried implements routing.Observer.
-func (r *reporting) Tried(t *dispatch.Try) { r.set.Tried(t) }
+// ObserveAttempt implements routing.Observer.
+func (r *reporting) ObserveAttempt(t *dispatch.AttemptRecord) { r.set.ObserveAttempt(t) }
 
-// Listed implements routing.Observer.
-func (r *reporting) Listed(kind loadbalancer.ListKind, members []dispatch.Member) {
-	r.set.Listed(kind, members)
+// ObserveMembers implements routing.Observer.
+func (r *reporting) ObserveMembers(kind loadbalancer.ListKind, members []dispatch.Member) {
+	r.set.ObserveMembers(kind, members)
 }
 
-// Reported implements routing.Observer.
-func (r *reporting) Reported(worker loadbalancer.WorkerID, at float64, report []float32, probed bool) {
-	r.set.Reported(worker, at, report, probed)
+// ObserveLoadReport implements routing.Observer.
+func (r *reporting) ObserveLoadReport(worker loadbalancer.WorkerID, at float64, report []float32, probed bool) {
+	r.set.ObserveLoadReport(worker, at, report, probed)
 }
 
-// Drained implements routing.Observer.
-func (r *reporting) Drained(worker loadbalancer.WorkerID, margin float64) {
-	r.set.Drained(worker, margin)
+// ObserveDrain implements routing.Observer.
+func (r *reporting) ObserveDrain(worker loadbalancer.WorkerID, margin float64) {
+	r.set.ObserveDrain(worker, margin)
 }
 
 func (r *reporting) flushLog() {
--- a/internal/dispatcher/server/upgrade.go
+++ b/internal/dispatcher/server/upgrade.go
@@ -206,7 +206,7 @@
 func (u *upgrade) tell() error {
 	p := u.p
 	addr, list := p.director.Held()
-	s := state{Discovery: addr.String(), List: list, Out: p.core.Exclusions(), Evacuated: p.front.Leaving(), Learnt: p.core.Learnt(), Figures: u.figures}
+	s := state{Discovery: addr.String(), List: list, Out: p.core.Exclusions(), Evacuated: p.front.Leaving(), Learnt: p.core.Snapshot(), Figures: u.figures}
 	p.log.Info("program: telling the next process", zap.Int64("rev", list.Rev), zap.Int("members", len(list.Targets)))
 	if p.gearman == nil || !p.serving {
 		return u.next.Tell(handover.State, s)
@@ -222,7 +222,7 @@
 // leave leaves the clients to the next process.
 func (u *upgrade) leave() {
 	p := u.p
-	p.log.Info("program: the next process takes the clients", zap.Int("sessions", p.front.Left()), zap.Int("open", p.core.Counts().OpenReqs))
+	p.log.Info("program: the next process takes the clients", zap.Int("sessions", p.front.Left()), zap.Int("open", p.core.Counts().OpenRequests))
 	u.took = true
 	if u.door != nil { // the path is the next one's
 		u.door.Close()
@@ -282,13 +282,13 @@
 	u.deadline.Stop()
 	u.heard = true
 	p.limit()
-	p.core.Apply(s.Out)
-	p.log.Info("program: told by the process before", zap.Int64("rev", s.List.Rev), zap.Int("members_out", p.core.Excluded()))
+	p.core.ApplyExclusions(s.Out)
+	p.log.Info("program: told by the process before", zap.Int64("rev", s.List.Rev), zap.Int("members_out", p.core.ExcludedCount()))
 	if s.Evacuated > 0 {
 		p.evacuate(true, min(s.Evacuated, p.loop.Now()))
 	}
 	p.reporting.awaitPredecessor(s.Figures)
-	if err := p.core.Recall(s.Learnt); err != nil {
+	if err := p.core.Restore(s.Learnt); err != nil {
 		p.log.Warn("program: what the process before has learnt is of no use", zap.Error(err))
 	}
 	if p.config.discovery.IsValid() {
--- a/internal/dispatcher/spool/spool_test.go
+++ b/internal/dispatcher/spool/spool_test.go
@@ -46,8 +46,8 @@
 // period ends one in which a node of its own came and a job was answered.
 func (l *life) period() {
 	l.stamp++
-	l.set.Listed(loadbalancer.ListFull, []dispatch.Member{{Name: fmt.Sprint("node-", l.stamp), Worker: loadbalancer.Worker{ID: loadbalancer.WorkerID(l.stamp), State: loadbalancer.Ready}}})
-	l.set.Answered(&dispatch.Final{Verdict: dispatch.Served, Won: -1})
+	l.set.ObserveMembers(loadbalancer.ListFull, []dispatch.Member{{Name: fmt.Sprint("node-", l.stamp), Worker: loadbalancer.Worker{ID: loadbalancer.WorkerID(l.stamp), State: loadbalancer.Ready}}})
+	l.set.ObserveAnswer(&dispatch.AnswerRecord{Verdict: dispatch.Served, WinningAttempt: -1})
 	l.spool.Period(l.set.Close(l.stamp, 10), l.set.Held(), func() {})
 }
 
--- a/internal/dispatcher/telemetry/classes.go
+++ b/internal/dispatcher/telemetry/classes.go
@@ -44,18 +44,18 @@
 }
 
 // VerdictOf is the verdict of a final answer.
-func VerdictOf(f *dispatch.Final) Verdict {
+func VerdictOf(f *dispatch.AnswerRecord) Verdict {
 	switch f.Verdict {
 	case dispatch.Served:
 		if f.Late() {
 			return Late
 		}
 		return InTime
-	case dispatch.Refused:
+	case dispatch.Rejected:
 		return Refused
-	case dispatch.Left:
+	case dispatch.Disconnected:
 		return Gone
-	case dispatch.Returned:
+	case dispatch.Requeued:
 		return Returned
 	}
 	return Failed
@@ -96,10 +96,10 @@
 		for v := range Verdicts {
 			first(&c.answers, add("answers."+v.String(), Doc{Unit: "jobs", Help: verdictHelp[v]}), int(v))
 		}
-		for r := range dispatch.Reasons {
+		for r := range dispatch.ReasonCount {
 			first(&c.refused, add("refused."+reasonName(r), Doc{Unit: "jobs", Help: "Jobs refused or returned because: " + reasonHelp[r] + "."}), int(r))
 		}
-		for r := range dispatch.Reasons {
+		for r := range dispatch.ReasonCount {
 			first(&c.failed, add("failed."+reasonName(r), Doc{Unit: "jobs", Help: "Jobs failed because: " + reasonHelp[r] + "."}), int(r))
 		}
 		for i, d := range []Doc{{Pattern: "first", Help: "First attempts that have ended."},
@@ -129,13 +129,13 @@
 
 // reasonName names a reason in a series; one that was not worked out is "other".
 func reasonName(r dispatch.Reason) string {
-	if r == dispatch.NoReason {
+	if r == dispatch.ReasonNone {
 		return "other"
 	}
 	return r.String()
 }
 
-var reasonHelp = [dispatch.Reasons]string{"no reason was worked out", "the list holds nobody who is ready",
+var reasonHelp = [dispatch.ReasonCount]string{"no reason was worked out", "the list holds nobody who is ready",
 	"everybody is too full for it to start in time", "the last attempt was turned away", "the last attempt found nobody",
 	"the last attempt was called off before its first byte", "its time was over", "the last attempt failed at the backend",
 	"the last attempt's connection broke", "the last attempt was never answered", "the last attempt was cancelled",
@@ -149,8 +149,8 @@
 	return &s.classes[i]
 }
 
-// Answered implements routing.Observer.
-func (s *Set) Answered(f *dispatch.Final) {
+// ObserveAnswer implements routing.Observer.
+func (s *Set) ObserveAnswer(f *dispatch.AnswerRecord) {
 	c, v := s.class(f.Class), VerdictOf(f)
 	s.values[c.answers+int(v)]++
 	switch v {
@@ -159,23 +159,23 @@
 	case Failed:
 		s.values[c.failed+int(f.Reason)]++
 	case InTime, Late:
-		c.latency.record(f.Answered - f.Arrived)
-		if f.Started > 0 {
-			c.start.record(f.Started - f.Arrived)
+		c.latency.record(f.AnsweredAt - f.ArrivedAt)
+		if f.StartedAt > 0 {
+			c.start.record(f.StartedAt - f.ArrivedAt)
 		}
-		if f.Won >= 0 && f.Won < len(f.Tries) && f.Tries[f.Won].Copy {
+		if f.WinningAttempt >= 0 && f.WinningAttempt < len(f.Attempts) && f.Attempts[f.WinningAttempt].Hedged {
 			s.values[c.sent+3]++
 		}
 	}
 }
 
-// Tried implements routing.Observer.
-func (s *Set) Tried(t *dispatch.Try) {
+// ObserveAttempt implements routing.Observer.
+func (s *Set) ObserveAttempt(t *dispatch.AttemptRecord) {
 	c := s.class(t.Class)
 	switch {
 	case t.Attempt == 0:
 		s.values[c.sent]++
-	case t.Copy:
+	case t.Hedged:
 		s.values[c.sent+2]++
 	default:
 		s.values[c.sent+1]++
@@ -195,8 +195,8 @@
 	s.drains.margin = add(Doc{"drains.margin_least_ms", Gauge, "ms", "What the drains that ended in the period had left of the 300 ms when the last job started, at least. None without a drain."})
 }
 
-// Drained implements routing.Observer.
-func (s *Set) Drained(_ loadbalancer.WorkerID, margin float64) {
+// ObserveDrain implements routing.Observer.
+func (s *Set) ObserveDrain(_ loadbalancer.WorkerID, margin float64) {
 	s.values[s.drains.told]++
 	if margin >= 0 {
 		s.values[s.drains.honoured]++
--- a/internal/dispatcher/telemetry/nodes.go
+++ b/internal/dispatcher/telemetry/nodes.go
@@ -119,8 +119,8 @@
 	return fmt.Sprintf("%s.%s.%d", nameOf(p.zone, n.zones), nameOf(p.kind, n.kinds), p.cell)
 }
 
-// Listed implements routing.Observer. Those who leave free their slots before those who come take some.
-func (s *Set) Listed(kind loadbalancer.ListKind, members []dispatch.Member) {
+// ObserveMembers implements routing.Observer. Those who leave free their slots before those who come take some.
+func (s *Set) ObserveMembers(kind loadbalancer.ListKind, members []dispatch.Member) {
 	n := &s.nodes
 	if s.options.Nodes == 0 {
 		return
@@ -205,12 +205,12 @@
 	sl.state = m.State
 }
 
-func (n *nodes) tried(s *Set, t *dispatch.Try) {
+func (n *nodes) tried(s *Set, t *dispatch.AttemptRecord) {
 	if s.options.Nodes == 0 {
 		return
 	}
 	sl := n.byWorker[t.Worker]
-	if sl == nil || sl.node != t.Node {
+	if sl == nil || sl.node != t.MemberName {
 		s.values[n.unplaced]++
 		return
 	}
@@ -228,8 +228,8 @@
 	return ""
 }
 
-// Reported implements routing.Observer.
-func (s *Set) Reported(worker loadbalancer.WorkerID, at float64, report []float32, probed bool) {
+// ObserveLoadReport implements routing.Observer.
+func (s *Set) ObserveLoadReport(worker loadbalancer.WorkerID, at float64, report []float32, probed bool) {
 	n := &s.nodes
 	sl := n.byWorker[worker]
 	if sl == nil {
--- a/internal/dispatcher/telemetry/telemetry_test.go
+++ b/internal/dispatcher/telemetry/telemetry_test.go
@@ -147,8 +147,8 @@
 	return dispatch.Member{Name: name, Worker: loadbalancer.Worker{ID: id, Zone: zone, State: state}}
 }
 
-func try(node string, id loadbalancer.WorkerID, result loadbalancer.Result) *dispatch.Try {
-	return &dispatch.Try{Worker: id, Node: node, Result: result}
+func try(node string, id loadbalancer.WorkerID, result loadbalancer.Result) *dispatch.AttemptRecord {
+	return &dispatch.AttemptRecord{Worker: id, MemberName: node, Result: result}
 }
 
 func (s *Set) total(name string) float64 { return s.Totals()[name] }
@@ -162,9 +162,9 @@
 		for i, name := range names {
 			members = append(members, member(name, loadbalancer.WorkerID(100*len(name)+i+int(name[0])), 0, loadbalancer.Ready))
 		}
-		s.Listed(kind, members)
+		s.ObserveMembers(kind, members)
 		for _, m := range members {
-			s.Tried(try(m.Name, m.ID, loadbalancer.OK))
+			s.ObserveAttempt(try(m.Name, m.ID, loadbalancer.OK))
 		}
 	}
 	list(loadbalancer.ListFull, "a", "b", "c", "d")
@@ -184,7 +184,7 @@
 	if sum != 12 {
 		t.Error(sum)
 	}
-	s.Tried(try("c", 99, loadbalancer.OK)) // comes late, of a node whose slot another has
+	s.ObserveAttempt(try("c", 99, loadbalancer.OK)) // comes late, of a node whose slot another has
 	if got := s.total("nodes_unplaced.ended"); got != 1 {
 		t.Errorf("%v attempts without a slot", got)
 	}
@@ -193,8 +193,8 @@
 // More nodes than may have series: the rest has none and is counted, and the totals of classes are whole.
 func TestTooManyNodes(t *testing.T) {
 	s := newSet(Options{Nodes: 2})
-	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready), member("b", 2, 0, loadbalancer.Ready), member("c", 3, 0, loadbalancer.Ready)})
-	s.Tried(try("c", 3, loadbalancer.OK))
+	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready), member("b", 2, 0, loadbalancer.Ready), member("c", 3, 0, loadbalancer.Ready)})
+	s.ObserveAttempt(try("c", 3, loadbalancer.OK))
 	s.Close(1, 1)
 	if got := s.values[s.nodes.without]; got != 1 {
 		t.Errorf("%v nodes without series", got)
@@ -208,12 +208,12 @@
 func TestMergedLatencies(t *testing.T) {
 	whole, older, newer := newSet(Options{}), newSet(Options{}), newSet(Options{})
 	for i := range 1000 {
-		f := &dispatch.Final{Class: 0, Verdict: dispatch.Served, Aim: 10, Answered: float64(i) / 1000, Won: -1}
-		whole.Answered(f)
+		f := &dispatch.AnswerRecord{Class: 0, Verdict: dispatch.Served, TargetAt: 10, AnsweredAt: float64(i) / 1000, WinningAttempt: -1}
+		whole.ObserveAnswer(f)
 		if i%3 == 0 {
-			older.Answered(f)
+			older.ObserveAnswer(f)
 		} else {
-			newer.Answered(f)
+			newer.ObserveAnswer(f)
 		}
 	}
 	counts, spans := older.Delta()
@@ -246,10 +246,10 @@
 // Recording on the loop must not feed the collector.
 func TestRecordingAllocatesNothing(t *testing.T) {
 	s := newSet(Options{Nodes: 10})
-	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
-	f := &dispatch.Final{Verdict: dispatch.Served, Answered: 0.2, Started: 0.1, Tries: make([]dispatch.Try, 1)}
+	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
+	f := &dispatch.AnswerRecord{Verdict: dispatch.Served, AnsweredAt: 0.2, StartedAt: 0.1, Attempts: make([]dispatch.AttemptRecord, 1)}
 	tr, report := try("a", 1, loadbalancer.OK), []float32{0.5, 3}
-	if n := testing.AllocsPerRun(1000, func() { s.Answered(f); s.Tried(tr); s.Reported(1, 1, report, false) }); n > 0 {
+	if n := testing.AllocsPerRun(1000, func() { s.ObserveAnswer(f); s.ObserveAttempt(tr); s.ObserveLoadReport(1, 1, report, false) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
@@ -327,13 +327,13 @@
 		c.begin()
 		t.Repeat(map[string]func(*rapid.T){
 			"answer": func(t *rapid.T) {
-				v := rapid.SampledFrom([]dispatch.Verdict{dispatch.Served, dispatch.Refused, dispatch.Failed, dispatch.Left, dispatch.Returned}).Draw(t, "verdict")
-				c.set.Answered(&dispatch.Final{Verdict: v, Answered: 1, Aim: rapid.Float64Range(0, 2).Draw(t, "aim"), Won: -1})
+				v := rapid.SampledFrom([]dispatch.Verdict{dispatch.Served, dispatch.Rejected, dispatch.Failed, dispatch.Disconnected, dispatch.Requeued}).Draw(t, "verdict")
+				c.set.ObserveAnswer(&dispatch.AnswerRecord{Verdict: v, AnsweredAt: 1, TargetAt: rapid.Float64Range(0, 2).Draw(t, "aim"), WinningAttempt: -1})
 				c.open++
 			},
 			"rename": func(t *rapid.T) {
 				c.names++
-				c.set.Listed(loadbalancer.ListFull, []dispatch.Member{member("stays", 1, 0, loadbalancer.Ready), member(fmt.Sprint("n", c.names), loadbalancer.WorkerID(c.names+1), 0, loadbalancer.Ready)})
+				c.set.ObserveMembers(loadbalancer.ListFull, []dispatch.Member{member("stays", 1, 0, loadbalancer.Ready), member(fmt.Sprint("n", c.names), loadbalancer.WorkerID(c.names+1), 0, loadbalancer.Ready)})
 			},
 			"away": func(t *rapid.T) { i := rapid.IntRange(0, 1).Draw(t, "receiver"); c.up[i] = !c.up[i] },
 			"deliver": func(t *rapid.T) {
@@ -405,9 +405,9 @@
 
 func TestDrains(t *testing.T) {
 	s := newSet(Options{})
-	s.Drained(1, 0.3)
-	s.Drained(2, 0.125)
-	s.Drained(3, -0.01)
+	s.ObserveDrain(1, 0.3)
+	s.ObserveDrain(2, 0.125)
+	s.ObserveDrain(3, -0.01)
 	got := readAll(t, s.Close(1, 1))
 	if got["drains.told"] != 3 || got["drains.honoured"] != 2 || got["drains.broken"] != 1 || got["drains.margin_least_ms"] != -10 {
 		t.Error(got["drains.told"], got["drains.honoured"], got["drains.broken"], got["drains.margin_least_ms"])
@@ -420,12 +420,12 @@
 // What a restart is told of slots gives nodes theirs back, whatever the order of the uids; nonsense is passed over.
 func TestSlotsOutliveTheProcess(t *testing.T) {
 	s := newSet(Options{Nodes: 10})
-	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("z", 1, 0, loadbalancer.Ready)})
-	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("a", 2, 0, loadbalancer.Ready), member("b", 3, 1, loadbalancer.Draining)})
+	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("z", 1, 0, loadbalancer.Ready)})
+	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 2, 0, loadbalancer.Ready), member("b", 3, 1, loadbalancer.Draining)})
 	held := s.Held()
 	n := newSet(Options{Nodes: 10})
 	n.Remember(append(held, Held{"nowhere.x.1", 3, "q"}, Held{"milano.two-core.0", -1, "a"}, Held{"milano.two-core.x", 1 << 40, "a"}))
-	n.Listed(loadbalancer.ListFull, []dispatch.Member{member("b", 3, 1, loadbalancer.Ready), member("a", 2, 0, loadbalancer.Ready), member("z", 1, 0, loadbalancer.Ready)})
+	n.ObserveMembers(loadbalancer.ListFull, []dispatch.Member{member("b", 3, 1, loadbalancer.Ready), member("a", 2, 0, loadbalancer.Ready), member("z", 1, 0, loadbalancer.Ready)})
 	if d := cmp.Diff(held, n.Held(), cmp.Transformer("sorted", func(h []Held) []Held {
 		slices.SortFunc(h, func(x, y Held) int { return len(x.Node) - len(y.Node) + int(x.Node[0]) - int(y.Node[0]) })
 		return h
@@ -440,9 +440,9 @@
 	s := newSet(Options{Nodes: 10, Now: func() float64 { return now }, Standing: func(id loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
 		return loadbalancer.WorkerStatus{SpareCapacity: -1.5, LoadLimit: 4, Ejected: true}, id == 1
 	}})
-	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
-	s.Reported(1, 98, []float32{0.5, 3}, false)
-	s.Reported(1, 99, []float32{0.5, 7}, true)
+	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
+	s.ObserveLoadReport(1, 98, []float32{0.5, 3}, false)
+	s.ObserveLoadReport(1, 99, []float32{0.5, 7}, true)
 	got := readAll(t, s.Close(1, 1))
 	for name, want := range map[string]float64{"state": 1, "reported_in_flight": 3, "reported_utilization": 0.5, "report_age_s": 2,
 		"probed_in_flight": 7, "probe_age_s": 1, "room": -1.5, "ceiling": 4, "set_aside": 1} {
@@ -450,7 +450,7 @@
 			t.Errorf("%s is %v, want %v", name, v, want)
 		}
 	}
-	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Departed)})
+	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Departed)})
 	if v, there := readAll(t, s.Close(2, 1))["nodes.milano.two-core.0.0.state"]; there {
 		t.Errorf("a slot that nobody holds has state %v", v)
 	}
@@ -467,7 +467,7 @@
 			for i := range n {
 				members = append(members, member(fmt.Sprint("node-", i), loadbalancer.WorkerID(i), i%2, loadbalancer.Ready))
 			}
-			s.Listed(loadbalancer.ListFull, members)
+			s.ObserveMembers(loadbalancer.ListFull, members)
 			size := 0
 			for b.Loop() {
 				size = len(s.Close(1, 1).Body)
@@ -480,12 +480,12 @@
 // BenchmarkAnswered is what recording costs a job: its attempt, its report, its answer.
 func BenchmarkAnswered(b *testing.B) {
 	s := newSet(Options{Nodes: 10})
-	s.Listed(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
-	f := &dispatch.Final{Verdict: dispatch.Served, Answered: 0.2, Started: 0.1, Tries: make([]dispatch.Try, 1)}
+	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
+	f := &dispatch.AnswerRecord{Verdict: dispatch.Served, AnsweredAt: 0.2, StartedAt: 0.1, Attempts: make([]dispatch.AttemptRecord, 1)}
 	tr, report := try("a", 1, loadbalancer.OK), []float32{0.5, 3}
 	for b.Loop() {
-		s.Tried(tr)
-		s.Reported(1, 1, report, false)
-		s.Answered(f)
+		s.ObserveAttempt(tr)
+		s.ObserveLoadReport(1, 1, report, false)
+		s.ObserveAnswer(f)
 	}
 }
