--- a/loadbalancer/api.go
+++ b/loadbalancer/api.go
@@ -199,38 +199,38 @@
 	Log(line string)
 }
 
-func isFinite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
+func isFinite(value float64) bool { return !math.IsNaN(value) && !math.IsInf(value, 0) }
 
 // validate names the first field that is missing or makes no sense.
 func (s *Settings) validate() error {
-	bad := func(field string, v any) error { return fmt.Errorf("brain: settings: bad %s: %v", field, v) }
+	invalid := func(field string, v any) error { return fmt.Errorf("brain: settings: bad %s: %v", field, v) }
 	if len(s.Classes) == 0 {
-		return bad("Classes", "none given")
+		return invalid("Classes", "none given")
 	}
 	for i := range s.Classes {
 		if err := s.Classes[i].validate(i); err != nil {
 			return err
 		}
 	}
-	for i, t := range s.Tenants {
-		if !isFinite(t.QuotaPerSec) || t.QuotaPerSec < 0 {
-			return bad(fmt.Sprintf("Tenants[%d].QuotaPerSec", i), t.QuotaPerSec)
+	for i, tenant := range s.Tenants {
+		if !isFinite(tenant.QuotaPerSec) || tenant.QuotaPerSec < 0 {
+			return invalid(fmt.Sprintf("Tenants[%d].QuotaPerSec", i), tenant.QuotaPerSec)
 		}
 	}
 	if s.Zones < 1 {
-		return bad("Zones", s.Zones)
+		return invalid("Zones", s.Zones)
 	}
 	if s.Zone < 0 || s.Zone >= s.Zones {
-		return bad("Zone", s.Zone)
+		return invalid("Zone", s.Zone)
 	}
 	if s.Instances < 1 {
-		return bad("Instances", s.Instances)
+		return invalid("Instances", s.Instances)
 	}
 	if s.Instance < 0 || s.Instance >= s.Instances {
-		return bad("Me", s.Instance)
+		return invalid("Me", s.Instance)
 	}
 	if s.MaxAttempts < 1 {
-		return bad("MaxAttempts", s.MaxAttempts)
+		return invalid("MaxAttempts", s.MaxAttempts)
 	}
 	for _, field := range []struct {
 		name     string
@@ -243,17 +243,17 @@
 		{"OverShareWorth", s.OverQuotaValue, false},
 	} {
 		if !isFinite(field.v) || field.v < 0 || field.positive && field.v == 0 {
-			return bad(field.name, field.v)
+			return invalid(field.name, field.v)
 		}
 	}
 	if !(s.SlowStartInitialShare > 0 && s.SlowStartInitialShare <= 1) {
-		return bad("ColdShare", s.SlowStartInitialShare)
+		return invalid("ColdShare", s.SlowStartInitialShare)
 	}
 	return nil
 }
 
 func (c *Class) validate(index int) error {
-	bad := func(field string, v any) error {
+	invalid := func(field string, v any) error {
 		return fmt.Errorf("brain: settings: bad Classes[%d].%s: %v", index, field, v)
 	}
 	for _, field := range []struct {
@@ -265,17 +265,17 @@
 		{"Window", c.DedupWindow, c.RetrySafety == RetryDeduplicated}, {"Worth", c.Value, false}, {"LateShare", c.LateValueShare, false},
 	} {
 		if !isFinite(field.v) || field.v < 0 || field.positive && field.v == 0 {
-			return bad(field.name, field.v)
+			return invalid(field.name, field.v)
 		}
 	}
 	if c.RetrySafety > RetryUnsafe {
-		return bad("Effect", c.RetrySafety)
+		return invalid("Effect", c.RetrySafety)
 	}
 	if c.DedupScope > DedupCell {
-		return bad("Scope", c.DedupScope)
+		return invalid("Scope", c.DedupScope)
 	}
 	if c.Kind < -1 {
-		return bad("Kind", c.Kind)
+		return invalid("Kind", c.Kind)
 	}
 	return nil
 }
--- a/loadbalancer/events.go
+++ b/loadbalancer/events.go
@@ -54,7 +54,7 @@
 }
 
 // finishRequest notes that the client has its answer; what is still out, but for the stream it owns, is withdrawn.
-func (b *Balancer) finishRequest(request *request, stream *attempt) {
+func (b *Balancer) finishRequest(request *requestState, stream *attemptState) {
 	if request.answered {
 		return
 	}
--- a/loadbalancer/learnt.go
+++ b/loadbalancer/learnt.go
@@ -49,8 +49,8 @@
 func (b *Balancer) Snapshot() Snapshot {
 	snapshot := Snapshot{WorkByClass: append([]float64(nil), b.meanWork...), ZoneLatencies: append([]float64(nil), b.zoneLatencies...), Pace: b.meanPace, RunTime: b.meanRunTime,
 		SlotsPerJob: b.slotsPerJob, ReportPeriod: b.reportPeriod, PlannedAt: b.plannedAt, Kinds: map[int]KindSnapshot{}, Workers: map[WorkerID]*WorkerSnapshot{}}
-	for number, k := range b.kinds {
-		snapshot.Kinds[number] = KindSnapshot{k.pace, k.slots}
+	for number, kind := range b.kinds {
+		snapshot.Kinds[number] = KindSnapshot{kind.pace, kind.slots}
 	}
 	for _, worker := range b.workers {
 		if worker.State != Departed {
@@ -72,31 +72,31 @@
 	copy(b.meanWork, snapshot.WorkByClass)
 	copy(b.zoneLatencies, snapshot.ZoneLatencies)
 	b.meanPace, b.meanRunTime, b.slotsPerJob, b.reportPeriod, b.plannedAt = snapshot.Pace, snapshot.RunTime, snapshot.SlotsPerJob, snapshot.ReportPeriod, snapshot.PlannedAt
-	for number, k := range snapshot.Kinds {
-		b.kinds[number] = &machineKind{pace: k.Pace, slots: k.Slots}
+	for number, kind := range snapshot.Kinds {
+		b.kinds[number] = &machineKind{pace: kind.Pace, slots: kind.Slots}
 	}
 	b.restored = snapshot.Workers
 	return nil
 }
 
 // restoreWorker gives a worker that is new to the list what is known of it, if it is still the same process.
-func (b *Balancer) restoreWorker(worker *worker, since float64) {
-	snapshot := b.restored[worker.ID]
+func (b *Balancer) restoreWorker(worker *workerState, startedAt float64) {
+	saved := b.restored[worker.ID]
 	delete(b.restored, worker.ID)
-	if snapshot == nil || snapshot.StartedAt != since {
+	if saved == nil || saved.StartedAt != startedAt {
 		return
 	}
-	worker.reported, worker.inFlight, worker.utilization, worker.reportedAt = snapshot.Reported, snapshot.InFlight, snapshot.Utilization, snapshot.ReportedAt
-	worker.otherJobs, worker.slots, worker.limits.Load, worker.limits.Utilization = snapshot.OtherJobs, snapshot.Slots, snapshot.LoadLimit, snapshot.UtilizationLimit
-	worker.pace, worker.runTime, worker.ejection.ErrorRate, worker.ejection.Observed = snapshot.Pace, snapshot.RunTime, snapshot.ErrorRate, snapshot.Observed
-	worker.ejection.EjectedUntil, worker.ejection.LastDuration, worker.sentSpan = snapshot.EjectedUntil, snapshot.EjectionDuration, snapshot.SentSpan
-	copy(worker.sentWork[:], snapshot.SentWork)
+	worker.reported, worker.inFlight, worker.utilization, worker.reportedAt = saved.Reported, saved.InFlight, saved.Utilization, saved.ReportedAt
+	worker.otherJobs, worker.slots, worker.limits.Load, worker.limits.Utilization = saved.OtherJobs, saved.Slots, saved.LoadLimit, saved.UtilizationLimit
+	worker.pace, worker.runTime, worker.ejection.ErrorRate, worker.ejection.Observed = saved.Pace, saved.RunTime, saved.ErrorRate, saved.Observed
+	worker.ejection.EjectedUntil, worker.ejection.LastDuration, worker.sentSpan = saved.EjectedUntil, saved.EjectionDuration, saved.SentSpan
+	copy(worker.sentWork[:], saved.SentWork)
 }
 
 // validateSnapshot names the first thing learnt that makes no sense.
 func (b *Balancer) validateSnapshot(now float64, snapshot *Snapshot) error {
-	bad := func(what string) error { return fmt.Errorf("brain: learnt: bad %s", what) }
-	fine := func(values ...float64) bool {
+	invalid := func(what string) error { return fmt.Errorf("brain: learnt: bad %s", what) }
+	valid := func(values ...float64) bool {
 		for _, v := range values {
 			if !isFinite(v) || v < 0 {
 				return false
@@ -105,29 +105,29 @@
 		return true
 	}
 	switch {
-	case len(snapshot.WorkByClass) != len(b.meanWork) || !fine(snapshot.WorkByClass...):
-		return bad("work")
+	case len(snapshot.WorkByClass) != len(b.meanWork) || !valid(snapshot.WorkByClass...):
+		return invalid("work")
 	case snapshot.PlannedAt > now:
-		return bad("time")
-	case len(snapshot.ZoneLatencies) != len(b.zoneLatencies) || !fine(snapshot.ZoneLatencies...):
-		return bad("far")
-	case !fine(snapshot.RunTime) || !(snapshot.Pace > 0 && snapshot.SlotsPerJob > 0 && snapshot.ReportPeriod > 0) || !fine(snapshot.Pace, snapshot.SlotsPerJob, snapshot.ReportPeriod, snapshot.PlannedAt):
-		return bad("means")
+		return invalid("time")
+	case len(snapshot.ZoneLatencies) != len(b.zoneLatencies) || !valid(snapshot.ZoneLatencies...):
+		return invalid("far")
+	case !valid(snapshot.RunTime) || !(snapshot.Pace > 0 && snapshot.SlotsPerJob > 0 && snapshot.ReportPeriod > 0) || !valid(snapshot.Pace, snapshot.SlotsPerJob, snapshot.ReportPeriod, snapshot.PlannedAt):
+		return invalid("means")
 	}
-	for _, worker := range snapshot.WorkByClass {
-		if worker == 0 {
-			return bad("work")
+	for _, saved := range snapshot.WorkByClass {
+		if saved == 0 {
+			return invalid("work")
 		}
 	}
-	for number, k := range snapshot.Kinds {
-		if !fine(k.Pace, k.Slots) || k.Pace == 0 {
-			return bad(fmt.Sprint("kind ", number))
+	for number, kind := range snapshot.Kinds {
+		if !valid(kind.Pace, kind.Slots) || kind.Pace == 0 {
+			return invalid(fmt.Sprint("kind ", number))
 		}
 	}
-	for id, worker := range snapshot.Workers {
-		if worker == nil || worker.Pace == 0 || len(worker.SentWork) != 4 || !fine(worker.SentWork...) || worker.SentSpan < 0 || !fine(worker.StartedAt, worker.InFlight, worker.Utilization,
-			worker.ReportedAt, worker.OtherJobs, worker.Slots, worker.LoadLimit, worker.UtilizationLimit, worker.Pace, worker.RunTime, worker.ErrorRate, worker.EjectedUntil, worker.EjectionDuration) {
-			return bad(fmt.Sprint("worker ", id))
+	for id, saved := range snapshot.Workers {
+		if saved == nil || saved.Pace == 0 || len(saved.SentWork) != 4 || !valid(saved.SentWork...) || saved.SentSpan < 0 || !valid(saved.StartedAt, saved.InFlight, saved.Utilization,
+			saved.ReportedAt, saved.OtherJobs, saved.Slots, saved.LoadLimit, saved.UtilizationLimit, saved.Pace, saved.RunTime, saved.ErrorRate, saved.EjectedUntil, saved.EjectionDuration) {
+			return invalid(fmt.Sprint("worker ", id))
 		}
 	}
 	return nil
--- a/loadbalancer/list.go
+++ b/loadbalancer/list.go
@@ -25,7 +25,7 @@
 	for _, entry := range entries {
 		known := b.workersByID[entry.ID]
 		if known == nil {
-			known = &worker{pace: b.meanPace, limits: capacity.InitialLimits(0)}
+			known = &workerState{pace: b.meanPace, limits: capacity.InitialLimits(0)}
 			b.workersByID[entry.ID] = known
 			b.workers = append(b.workers, known)
 			known.ID = entry.ID
--- a/loadbalancer/place_test.go
+++ b/loadbalancer/place_test.go
@@ -44,7 +44,7 @@
 			for j := range b.meanWork {
 				b.meanWork[j] = work
 			}
-			w := &worker{Worker: Worker{ID: 5, State: Ready, StartedAt: 999}, pace: 1}
+			w := &workerState{Worker: Worker{ID: 5, State: Ready, StartedAt: 999}, pace: 1}
 			sum += b.slowStartBudgetLeft(now, w)
 			budget = b.slowStartBudget(now, w)
 		}
--- a/loadbalancer/repeats.go
+++ b/loadbalancer/repeats.go
@@ -4,7 +4,7 @@
 // send.
 
 // isEligible says whether the four rules allow this send.
-func (b *Balancer) isEligible(now float64, request *request, worker *worker) bool {
+func (b *Balancer) isEligible(now float64, request *requestState, worker *workerState) bool {
 	if request.answered || now >= request.Deadline || len(request.attempts) >= b.MaxAttempts || request.inFlight > 0 && !b.ParallelAttempts ||
 		worker.State != Ready || !worker.canRun(request) {
 		return false
@@ -13,7 +13,7 @@
 }
 
 // mayRepeatOn says whether every attempt that may have run may also be sent to w.
-func (r *request) mayRepeatOn(now float64, worker *worker) bool {
+func (r *requestState) mayRepeatOn(now float64, worker *workerState) bool {
 	for i := range r.attempts {
 		if attempt := &r.attempts[i]; attempt.mayHaveRun && !mayRepeat(now, r.class, attempt, worker) {
 			return false
@@ -23,7 +23,7 @@
 }
 
 // mayRepeat says whether a job that may have run as a may also be sent to w.
-func mayRepeat(now float64, class *Class, attempt *attempt, worker *worker) bool {
+func mayRepeat(now float64, class *Class, attempt *attemptState, worker *workerState) bool {
 	switch {
 	case class.RetrySafety == RetrySafe:
 		return true
@@ -38,7 +38,7 @@
 }
 
 // send is the one gate.
-func (b *Balancer) send(now float64, request *request, worker *worker) {
+func (b *Balancer) send(now float64, request *requestState, worker *workerState) {
 	if !b.isEligible(now, request, worker) {
 		return
 	}
--- a/loadbalancer/sight.go
+++ b/loadbalancer/sight.go
@@ -14,8 +14,8 @@
 	width := max(minViewWidth, int(b.arrivals*b.reportPeriod/math.Max(now-b.viewChosenAt, b.sweepInterval)))
 	b.arrivals, b.viewChosenAt = 0, now
 	for _, ring := range b.viewRings() {
-		_, place := math.Modf(float64(b.Instance) * math.Phi) // the golden ratio spreads any run of numbers evenly
-		first := int(place * float64(len(ring)))
+		_, fraction := math.Modf(float64(b.Instance) * math.Phi) // the golden ratio spreads any run of numbers evenly
+		first := int(fraction * float64(len(ring)))
 		for i, worker := range ring {
 			worker.inView = (i-first+len(ring))%len(ring) < width
 		}
@@ -29,18 +29,18 @@
 		return
 	}
 	for b.probeBudget >= 1 {
-		var next *worker
+		var oldest *workerState
 		for _, worker := range b.workers {
 			if worker.State == Ready && worker.inView && now-worker.probedAt >= b.reportPeriod/2 &&
-				(next == nil || worker.probedAt < next.probedAt) {
-				next = worker
+				(oldest == nil || worker.probedAt < oldest.probedAt) {
+				oldest = worker
 			}
 		}
-		if next == nil {
+		if oldest == nil {
 			return
 		}
 		b.probeBudget--
-		next.probedAt = now
-		b.actions.Probe(next.ID)
+		oldest.probedAt = now
+		b.actions.Probe(oldest.ID)
 	}
 }
--- a/loadbalancer/state.go
+++ b/loadbalancer/state.go
@@ -11,8 +11,8 @@
 
 // This file holds what the decisions remember and how it is kept; the decisions are in the files that deploy/balancer.toml names.
 
-// worker is what this balancer knows of one worker.
-type worker struct {
+// workerState is what this balancer knows of one worker.
+type workerState struct {
 	Worker
 	reported              bool    // a load report has come since its last start
 	inFlight, utilization float64 // as last reported
@@ -43,7 +43,7 @@
 type machineKind struct{ pace, slots, slotsAt, meanWait float64 }
 
 // kindOf finds the worker's kind; one not seen before is taken to be like the rest.
-func (b *Balancer) kindOf(worker *worker) *machineKind {
+func (b *Balancer) kindOf(worker *workerState) *machineKind {
 	known := b.kinds[worker.Kind]
 	if known == nil {
 		known = &machineKind{pace: math.Max(b.meanPace, worker.pace)}
@@ -52,23 +52,23 @@
 	return known
 }
 
-// attempt is one send of a request.
-type attempt struct {
-	worker            *worker
+// attemptState is one send of a request.
+type attemptState struct {
+	worker            *workerState
 	sentAt, startedAt float64
 	fraction, load    float64 // share done as told; load of the worker when it was sent
 	inFlight          bool
 	mayHaveRun        bool // in flight, or ended without proof that it never ran
 }
 
-// request is held until it has its answer and all its attempts have ended.
-type request struct {
+// requestState is held until it has its answer and all its attempts have ended.
+type requestState struct {
 	Request
 	class             *Class
 	arrivedAt, target float64
 	cost              float64 // expected work: the hint, or the mean of the class
 	slotsNeeded       float64 // slots
-	attempts          []attempt
+	attempts          []attemptState
 	inFlight          int
 	answered          bool
 	unansweredIndex   int // in Balancer.open
@@ -84,11 +84,11 @@
 	recoveryTime          float64 // time constant in which ceilings recover: the longest deadline
 	nextSweepAt           float64
 	plannedAt             float64 // when the plan was last made
-	workers               []*worker
-	workersByID           map[WorkerID]*worker
-	requests              map[RequestID]*request
-	unanswered            []*request // not answered yet
-	freeRequests          []*request
+	workers               []*workerState
+	workersByID           map[WorkerID]*workerState
+	requests              map[RequestID]*requestState
+	unanswered            []*requestState // not answered yet
+	freeRequests          []*requestState
 	meanWork              []float64 // mean work by class: hinted, or running time where there are no hints
 	zoneLatencies         []float64 // shortest time to a start seen by zone
 	kinds                 map[int]*machineKind
@@ -122,8 +122,8 @@
 	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{Settings: settings, actions: actions, random: capacity.Random(seed), workersByID: map[WorkerID]*worker{}, meanPace: 1, slotsPerJob: 1,
-		requests: map[RequestID]*request{}, meanWork: make([]float64, len(settings.Classes)), tightestObjective: math.Inf(1),
+	b := &Balancer{Settings: settings, actions: actions, random: capacity.Random(seed), workersByID: map[WorkerID]*workerState{}, meanPace: 1, slotsPerJob: 1,
+		requests: map[RequestID]*requestState{}, meanWork: make([]float64, len(settings.Classes)), tightestObjective: math.Inf(1),
 		zoneLatencies: make([]float64, settings.Zones), kinds: map[int]*machineKind{}, maxHedgeBudget: maxHedges(settings.Instances), budgetShare: 1, minSlots: 1, meanSlots: 1}
 	b.hedgeBudget = b.maxHedgeBudget / 2
 	for i := range settings.Classes {
@@ -148,30 +148,30 @@
 }
 
 // SetInstanceShare sets the place; it is called between events, and decides nothing itself. One that makes no sense changes nothing.
-func (b *Balancer) SetInstanceShare(p InstanceShare) error {
-	if p.Instances < 1 || p.Instance < 0 || p.Instance >= p.Instances || !(p.BudgetShare > 0 && p.BudgetShare <= 1) || p.InstanceKeys != nil && len(p.InstanceKeys) != p.Instances {
-		return fmt.Errorf("brain: bad place: %d of %d, part %v, %d keys", p.Instance, p.Instances, p.BudgetShare, len(p.InstanceKeys))
+func (b *Balancer) SetInstanceShare(share InstanceShare) error {
+	if share.Instances < 1 || share.Instance < 0 || share.Instance >= share.Instances || !(share.BudgetShare > 0 && share.BudgetShare <= 1) || share.InstanceKeys != nil && len(share.InstanceKeys) != share.Instances {
+		return fmt.Errorf("brain: bad place: %d of %d, part %v, %d keys", share.Instance, share.Instances, share.BudgetShare, len(share.InstanceKeys))
 	}
-	b.Instances, b.Instance, b.budgetShare, b.instanceKeys = p.Instances, p.Instance, p.BudgetShare, p.InstanceKeys
+	b.Instances, b.Instance, b.budgetShare, b.instanceKeys = share.Instances, share.Instance, share.BudgetShare, share.InstanceKeys
 	b.instanceKeysVersion++
-	b.maxHedgeBudget = maxHedges(p.Instances)
+	b.maxHedgeBudget = maxHedges(share.Instances)
 	b.hedgeBudget = math.Min(b.hedgeBudget, b.maxHedgeBudget)
 	return nil
 }
 
 // turnOrder is this instance's place, from 0 on, in the order of a worker's turn. By the keys, whoever knows of more
 // instances comes no earlier: so the holders by views that differ are never more than by one view.
-func (b *Balancer) turnOrder(worker *worker, turn uint64) int {
-	draw := capacity.Hash(uint64(worker.ID) + capacity.Hash(turn))
+func (b *Balancer) turnOrder(worker *workerState, turn uint64) int {
+	hash := capacity.Hash(uint64(worker.ID) + capacity.Hash(turn))
 	if b.instanceKeys == nil {
-		first := int(draw % uint64(b.Instances))
+		first := int(hash % uint64(b.Instances))
 		return (b.Instance + b.Instances - first) % b.Instances
 	}
 	if worker.orderKeysVersion != b.instanceKeysVersion || worker.orderTurn != turn {
 		worker.orderKeysVersion, worker.orderTurn, worker.order = b.instanceKeysVersion, turn, 0
-		mine := capacity.Hash(draw ^ b.instanceKeys[b.Instance])
+		own := capacity.Hash(hash ^ b.instanceKeys[b.Instance])
 		for _, key := range b.instanceKeys {
-			if capacity.Hash(draw^key) < mine {
+			if capacity.Hash(hash^key) < own {
 				worker.order++
 			}
 		}
@@ -183,33 +183,33 @@
 type loadReport struct{ inFlight, utilization, freeSlots, queued float64 }
 
 // parseReport sorts a report by the settings' fields; a value that makes no sense counts as not told.
-func (b *Balancer) parseReport(worker *worker, report []float32) loadReport {
+func (b *Balancer) parseReport(worker *workerState, report []float32) loadReport {
 	parsed := loadReport{-1, -1, -1, -1}
-	for i, f := range b.ReportFields {
+	for i, field := range b.ReportFields {
 		if i >= len(report) || !isFinite(float64(report[i])) || report[i] < 0 {
 			continue
 		}
-		switch v := float64(report[i]); f {
+		switch value := float64(report[i]); field {
 		case FieldInFlight:
-			parsed.inFlight = v
+			parsed.inFlight = value
 		case FieldUtilization:
-			parsed.utilization = v
+			parsed.utilization = value
 		case FieldFreeSlots:
-			parsed.freeSlots = v
+			parsed.freeSlots = value
 		case FieldQueued:
-			parsed.queued = v
+			parsed.queued = value
 		}
 	}
 	if parsed.inFlight >= 0 || parsed.utilization < 0 && parsed.freeSlots < 0 && parsed.queued <= 0 {
 		return parsed
 	}
 	// The jobs held in other words: by the slots not taken or the cores that are busy, and by what waits.
-	size := b.slotsOf(worker)
-	parsed.inFlight = size
+	slots := b.slotsOf(worker)
+	parsed.inFlight = slots
 	if parsed.freeSlots >= 0 {
-		parsed.inFlight = math.Max(size-parsed.freeSlots, worker.ownJobs)
+		parsed.inFlight = math.Max(slots-parsed.freeSlots, worker.ownJobs)
 	} else if parsed.utilization >= 0 {
-		parsed.inFlight = size * math.Min(parsed.utilization, 1)
+		parsed.inFlight = slots * math.Min(parsed.utilization, 1)
 	}
 	parsed.inFlight += math.Max(parsed.queued, 0)
 	return parsed
@@ -217,35 +217,35 @@
 
 // updateMeans counts the own jobs that wait to start on each worker, the workers' sizes and their mean failures; fade is the
 // share of the longest deadline that has gone since the last time.
-func (b *Balancer) updateMeans(now, fade float64) {
-	slots, sized, least, failing, judged, weight, weighed := 0.0, 0.0, math.Inf(1), 0.0, 0.0, 0.0, 0.0
+func (b *Balancer) updateMeans(now, decay float64) {
+	slots, reporting, fewest, errors, observed, weight, weights := 0.0, 0.0, math.Inf(1), 0.0, 0.0, 0.0, 0.0
 	b.totalSlots = 0
 	for _, worker := range b.workers {
 		worker.longestWait, worker.queuedSlots = 0, 0
 		if worker.State == Ready {
 			b.totalSlots += b.slotsOf(worker) * b.warmth(now, worker)
 			if worker.Weight > 0 && isFinite(worker.Weight) {
-				weight, weighed = weight+worker.Weight, weighed+1
+				weight, weights = weight+worker.Weight, weights+1
 			}
 		}
 		if worker.ejection.Observed && worker.State == Ready {
-			failing, judged = failing+worker.ejection.ErrorRate, judged+1
+			errors, observed = errors+worker.ejection.ErrorRate, observed+1
 		}
 		if worker.slots > 0 {
-			slots, sized, least = slots+worker.slots, sized+1, math.Min(least, worker.slots)
-			if k := b.kindOf(worker); k.slotsAt != now {
-				k.slots, k.slotsAt = worker.slots, now
+			slots, reporting, fewest = slots+worker.slots, reporting+1, math.Min(fewest, worker.slots)
+			if kind := b.kindOf(worker); kind.slotsAt != now {
+				kind.slots, kind.slotsAt = worker.slots, now
 			} else { // a worker that held more than it runs may look larger than it is
-				k.slots = math.Min(k.slots, worker.slots)
+				kind.slots = math.Min(kind.slots, worker.slots)
 			}
 		}
 	}
-	for _, k := range b.kinds {
-		capacity.UpdateMean(&k.meanWait, 0, fade) // who sends nothing is told nothing new
+	for _, kind := range b.kinds {
+		capacity.UpdateMean(&kind.meanWait, 0, decay) // who sends nothing is told nothing new
 	}
-	b.meanErrorRate, b.meanWeight = failing/math.Max(judged, 1), weight/math.Max(weighed, 1)
-	if sized > 0 {
-		b.minSlots, b.meanSlots = least, slots/sized
+	b.meanErrorRate, b.meanWeight = errors/math.Max(observed, 1), weight/math.Max(weights, 1)
+	if reporting > 0 {
+		b.minSlots, b.meanSlots = fewest, slots/reporting
 	} else { // as jobs began to wait; of what is only guessed a cold worker is trusted with half
 		b.minSlots = math.Max(1, b.meanSlots/2)
 	}
@@ -263,7 +263,7 @@
 }
 
 // learnReport takes a load report. Reports lag: what is ours in it is subtracted as of when it was taken.
-func (b *Balancer) learnReport(now float64, worker *worker, report []float32) {
+func (b *Balancer) learnReport(now float64, worker *workerState, report []float32) {
 	parsed := b.parseReport(worker, report)
 	if parsed.inFlight < 0 {
 		return // nothing told
@@ -272,19 +272,19 @@
 		worker.reportRepeated = true // told before
 		return
 	}
-	others := parsed.inFlight - worker.meanOwnJobs
+	otherJobs := parsed.inFlight - worker.meanOwnJobs
 	if worker.reportRepeated { // else the time between reports is how seldom this balancer asked
 		capacity.UpdateMean(&b.reportPeriod, math.Min(now-worker.reportedAt, 8*b.reportPeriod), learningRate)
 	}
 	worker.reportRepeated = false
 	if worker.reported { // where reports are rare, each says all the more
-		capacity.UpdateMean(&worker.otherJobs, others, 1-math.Pow(1-otherJobsRate, math.Max(1, (now-worker.reportedAt)/b.reportPeriod)))
+		capacity.UpdateMean(&worker.otherJobs, otherJobs, 1-math.Pow(1-otherJobsRate, math.Max(1, (now-worker.reportedAt)/b.reportPeriod)))
 	} else {
-		worker.otherJobs = others
+		worker.otherJobs = otherJobs
 	}
-	size := math.Round(parsed.inFlight + math.Max(parsed.freeSlots, 0)) // too much where a queue waits behind a wide job
+	slots := math.Round(parsed.inFlight + math.Max(parsed.freeSlots, 0)) // too much where a queue waits behind a wide job
 	if parsed.freeSlots >= 0 && 2*parsed.freeSlots >= parsed.inFlight {
-		worker.slots = math.Max(worker.slots, size)
+		worker.slots = math.Max(worker.slots, slots)
 	}
 	if worker.limits.Load == 0 {
 		worker.limits.Load = initialMargin * worker.slots
@@ -293,19 +293,19 @@
 }
 
 // learnPace takes a running time for an amount of work.
-func (b *Balancer) learnPace(worker *worker, run, cost float64) {
-	if cost <= 0 || run <= 0 {
+func (b *Balancer) learnPace(worker *workerState, runTime, cost float64) {
+	if cost <= 0 || runTime <= 0 {
 		return
 	}
-	capacity.UpdateMean(&worker.pace, math.Min(run/cost, 2*peerFactor*b.meanPace), learningRate) // one heavy job convicts no worker
-	capacity.UpdateMean(&b.meanPace, math.Min(run/cost, 2*b.meanPace), fleetLearningRate)
+	capacity.UpdateMean(&worker.pace, math.Min(runTime/cost, 2*peerFactor*b.meanPace), learningRate) // one heavy job convicts no worker
+	capacity.UpdateMean(&b.meanPace, math.Min(runTime/cost, 2*b.meanPace), fleetLearningRate)
 	kind := b.kindOf(worker)
-	capacity.UpdateMean(&kind.pace, math.Min(run/cost, 2*kind.pace), fleetLearningRate)
+	capacity.UpdateMean(&kind.pace, math.Min(runTime/cost, 2*kind.pace), fleetLearningRate)
 }
 
 // learnWait draws on the wait of a job on a worker that does not tell its load: how long its kind has jobs wait, and the
 // load at which they begin to. Where no start is told, ends say it: atStart is what the wait was seen at.
-func (b *Balancer) learnWait(atStart bool, worker *worker, load, wait float64) {
+func (b *Balancer) learnWait(atStart bool, worker *workerState, load, wait float64) {
 	if worker.slots > 0 || atStart != b.ReportsStart {
 		return
 	}
@@ -316,7 +316,7 @@
 }
 
 // markDeparted notes that the worker is not listed, and since when.
-func (w *worker) markDeparted(now float64) {
+func (w *workerState) markDeparted(now float64) {
 	if w.State != Departed || w.departedAt == 0 {
 		w.State, w.departedAt = Departed, now
 	}
@@ -324,29 +324,29 @@
 
 // pruneDeparted forgets workers that left the list long ago: machines come and go for as long as the process runs.
 func (b *Balancer) pruneDeparted(now float64) {
-	b.workers = slices.DeleteFunc(b.workers, func(worker *worker) bool {
-		old := worker.State == Departed && worker.ownJobs == 0 && now-worker.departedAt > pruneAfter*b.recoveryTime
-		if old {
+	b.workers = slices.DeleteFunc(b.workers, func(worker *workerState) bool {
+		expired := worker.State == Departed && worker.ownJobs == 0 && now-worker.departedAt > pruneAfter*b.recoveryTime
+		if expired {
 			delete(b.workersByID, worker.ID)
 		}
-		return old
+		return expired
 	})
 }
 
 // slotsOf is the slots a worker has shown, or else those of its kind, or of all.
-func (b *Balancer) slotsOf(worker *worker) float64 {
+func (b *Balancer) slotsOf(worker *workerState) float64 {
 	if worker.slots > 0 {
 		return worker.slots
 	}
-	if s := b.kindOf(worker).slots; s > 0 {
-		return s
+	if slots := b.kindOf(worker).slots; slots > 0 {
+		return slots
 	}
 	return b.meanSlots
 }
 
 // viewRings are the ready workers of the own zone and the others, each in an order that all instances share.
-func (b *Balancer) viewRings() [2][]*worker {
-	var rings [2][]*worker
+func (b *Balancer) viewRings() [2][]*workerState {
+	var rings [2][]*workerState
 	for _, worker := range b.workers {
 		if worker.State == Ready && b.zoneOf(worker) == b.Zone {
 			rings[0] = append(rings[0], worker)
@@ -355,7 +355,7 @@
 		}
 	}
 	for _, ring := range rings {
-		slices.SortFunc(ring, func(x, y *worker) int {
+		slices.SortFunc(ring, func(x, y *workerState) int {
 			return cmp.Compare(capacity.Hash(uint64(x.ID)), capacity.Hash(uint64(y.ID)))
 		})
 	}
@@ -363,28 +363,28 @@
 }
 
 // recordSend books a send.
-func (b *Balancer) recordSend(now float64, request *request, worker *worker) {
+func (b *Balancer) recordSend(now float64, request *requestState, worker *workerState) {
 	b.slowStartSpent(now, worker)
 	worker.sentWork[worker.sentSpan&3] += b.slowStartCost(request)
-	request.attempts = append(request.attempts, attempt{worker: worker, sentAt: now, inFlight: true, mayHaveRun: true,
+	request.attempts = append(request.attempts, attemptState{worker: worker, sentAt: now, inFlight: true, mayHaveRun: true,
 		load: worker.otherJobs*b.slotsPerJob + worker.ownSlots + request.slotsNeeded})
 	request.inFlight++
 	worker.ownSlots, worker.ownJobs, worker.spareSlots = worker.ownSlots+request.slotsNeeded, worker.ownJobs+1, worker.spareSlots-request.slotsNeeded
 }
 
 // slowStartCost is the work a request counts against a cold budget: a hint below its class's mean is not trusted.
-func (b *Balancer) slowStartCost(request *request) float64 {
+func (b *Balancer) slowStartCost(request *requestState) float64 {
 	return math.Max(request.cost, b.meanWork[request.Class])
 }
 
 // endAttempt books the end of an attempt.
-func (r *request) endAttempt(attempt *attempt) {
+func (r *requestState) endAttempt(attempt *attemptState) {
 	attempt.inFlight, r.inFlight = false, r.inFlight-1
 	attempt.worker.ownSlots, attempt.worker.ownJobs, attempt.worker.spareSlots = attempt.worker.ownSlots-r.slotsNeeded, attempt.worker.ownJobs-1, attempt.worker.spareSlots+r.slotsNeeded
 }
 
 // lastInFlight is the last attempt in flight, or the last.
-func (r *request) lastInFlight() *attempt {
+func (r *requestState) lastInFlight() *attemptState {
 	for i := len(r.attempts) - 1; i > 0; i-- {
 		if r.attempts[i].inFlight {
 			return &r.attempts[i]
@@ -394,18 +394,18 @@
 }
 
 // newRequest returns an empty request, reusing a released one.
-func (b *Balancer) newRequest() *request {
-	if update := len(b.freeRequests); update > 0 {
-		recycled := b.freeRequests[update-1]
-		b.freeRequests = b.freeRequests[:update-1]
-		*recycled = request{attempts: recycled.attempts[:0]}
+func (b *Balancer) newRequest() *requestState {
+	if free := len(b.freeRequests); free > 0 {
+		recycled := b.freeRequests[free-1]
+		b.freeRequests = b.freeRequests[:free-1]
+		*recycled = requestState{attempts: recycled.attempts[:0]}
 		return recycled
 	}
-	return &request{}
+	return &requestState{}
 }
 
 // admit books an arrival; a deadline, hint or size that makes no sense counts as not told.
-func (b *Balancer) admit(now float64, arrival *Request) *request {
+func (b *Balancer) admit(now float64, arrival *Request) *requestState {
 	request := b.newRequest()
 	request.Request, request.arrivedAt, request.class = *arrival, now, &b.Classes[arrival.Class]
 	if !isFinite(request.Deadline) || request.Deadline > now+request.class.Deadline {
@@ -431,7 +431,7 @@
 }
 
 // closeRequest takes an answered request from the open ones.
-func (b *Balancer) closeRequest(request *request) {
+func (b *Balancer) closeRequest(request *requestState) {
 	request.answered = true
 	last := len(b.unanswered) - 1
 	b.unanswered[request.unansweredIndex] = b.unanswered[last]
@@ -440,7 +440,7 @@
 }
 
 // release forgets a request that is answered and has nothing in flight.
-func (b *Balancer) release(request *request) {
+func (b *Balancer) release(request *requestState) {
 	if request.answered && request.inFlight == 0 && b.requests[request.ID] == request {
 		delete(b.requests, request.ID)
 		b.freeRequests = append(b.freeRequests, request)
@@ -448,22 +448,22 @@
 }
 
 // findAttempt finds an attempt still in flight; nil when there is no such one.
-func (b *Balancer) findAttempt(id RequestID, update int) (*attempt, *request) {
+func (b *Balancer) findAttempt(id RequestID, index int) (*attemptState, *requestState) {
 	request := b.requests[id]
-	if request == nil || update < 0 || update >= len(request.attempts) || !request.attempts[update].inFlight {
+	if request == nil || index < 0 || index >= len(request.attempts) || !request.attempts[index].inFlight {
 		return nil, nil
 	}
-	return &request.attempts[update], request
+	return &request.attempts[index], request
 }
 
 // canRun says whether the worker is of the request's kind and can do what it needs.
-func (w *worker) canRun(request *request) bool {
+func (w *workerState) canRun(request *requestState) bool {
 	return (request.class.Kind < 0 || w.Kind == request.class.Kind) &&
 		(request.Skill == 0 && len(w.Skills) == 0 || slices.Contains(w.Skills, request.Skill))
 }
 
 // hasTried says whether an attempt went to the worker.
-func (r *request) hasTried(worker *worker) bool {
+func (r *requestState) hasTried(worker *workerState) bool {
 	for i := range r.attempts {
 		if r.attempts[i].worker == worker {
 			return true
@@ -473,7 +473,7 @@
 }
 
 // mayHaveRun says whether an attempt may have run.
-func (r *request) mayHaveRun() bool {
+func (r *requestState) mayHaveRun() bool {
 	for i := range r.attempts {
 		if r.attempts[i].mayHaveRun {
 			return true
@@ -483,7 +483,7 @@
 }
 
 // zoneOf is the worker's zone, or the own one where the list names none that exists.
-func (b *Balancer) zoneOf(worker *worker) int {
+func (b *Balancer) zoneOf(worker *workerState) int {
 	if worker.Zone < 0 || worker.Zone >= b.Zones {
 		return b.Zone
 	}
@@ -491,7 +491,7 @@
 }
 
 // slowStartSpent is the work sent to a worker within the fall time, rounded up to four spans of a third of it.
-func (b *Balancer) slowStartSpent(now float64, worker *worker) float64 {
+func (b *Balancer) slowStartSpent(now float64, worker *workerState) float64 {
 	span := int64(math.Floor(now / (b.OverloadWindow / 3)))
 	if span-worker.sentSpan >= int64(len(worker.sentWork)) {
 		worker.sentWork, worker.sentSpan = [4]float64{}, span
@@ -504,13 +504,13 @@
 }
 
 // cancel withdraws an attempt that is still in flight, where that is allowed.
-func (b *Balancer) cancel(request *request, update int) {
-	if b.MayCancel && request.attempts[update].inFlight {
-		b.actions.Cancel(request.ID, update)
+func (b *Balancer) cancel(request *requestState, index int) {
+	if b.MayCancel && request.attempts[index].inFlight {
+		b.actions.Cancel(request.ID, index)
 	}
 }
 
 // logWorker reports a change of a worker's standing and how long it holds.
-func (b *Balancer) logWorker(worker *worker, what string, span float64) {
-	b.actions.Log(fmt.Sprintf("worker %d %s (%.1f s)", worker.ID, what, span))
+func (b *Balancer) logWorker(worker *workerState, event string, duration float64) {
+	b.actions.Log(fmt.Sprintf("worker %d %s (%.1f s)", worker.ID, event, duration))
 }
