--- a/loadbalancer/repeats.go
+++ b/loadbalancer/eligibility.go
@@ -1,18 +1,18 @@
 package loadbalancer
 
-// This file holds the rules that bind each send: repeat safety, drains and cold budgets; every send passes
-// send.
+// This file holds the rules that bind each send: retry safety, drains and slow start budgets. Every send
+// passes send.
 
-// isEligible says whether the four rules allow this send.
+// isEligible reports whether the rules allow this send.
 func (b *Balancer) isEligible(now float64, request *requestState, worker *workerState) bool {
-	if request.answered || now >= request.Deadline || len(request.attempts) >= b.MaxAttempts || request.inFlight > 0 && !b.ParallelAttempts ||
-		worker.State != Ready || !worker.canRun(request) {
+	if request.answered || now >= request.Deadline || len(request.attempts) >= b.MaxAttempts ||
+		request.inFlight > 0 && !b.ParallelAttempts || worker.State != Ready || !worker.canRun(request) {
 		return false
 	}
 	return request.mayRepeatOn(now, worker) && b.slowStartBudgetLeft(now, worker) >= b.slowStartCost(request)
 }
 
-// mayRepeatOn says whether every attempt that may have run may also be sent to w.
+// mayRepeatOn reports whether every attempt that may have run may also be sent to the worker.
 func (r *requestState) mayRepeatOn(now float64, worker *workerState) bool {
 	for i := range r.attempts {
 		if attempt := &r.attempts[i]; attempt.mayHaveRun && !mayRepeat(now, r.class, attempt, worker) {
@@ -22,7 +22,7 @@
 	return true
 }
 
-// mayRepeat says whether a job that may have run as a may also be sent to w.
+// mayRepeat reports whether a job that may have run as an attempt may also be sent to the worker.
 func mayRepeat(now float64, class *Class, attempt *attemptState, worker *workerState) bool {
 	switch {
 	case class.RetrySafety == RetrySafe:
@@ -30,14 +30,14 @@
 	case class.RetrySafety == RetryUnsafe || now >= attempt.sentAt+class.DedupWindow:
 		return false
 	case class.DedupScope == DedupZone:
-		return worker.Zone == attempt.worker.Zone && worker.Zone >= 0 // two zones that nobody knows are not known to be the same
+		return worker.Zone == attempt.worker.Zone && worker.Zone >= 0 // two unknown zones may differ
 	case class.DedupScope == DedupCell:
 		return worker.Cell == attempt.worker.Cell
 	}
 	return true
 }
 
-// send is the one gate.
+// send is the only place that sends.
 func (b *Balancer) send(now float64, request *requestState, worker *workerState) {
 	if !b.isEligible(now, request, worker) {
 		return
--- a/loadbalancer/events.go
+++ b/loadbalancer/events.go
@@ -1,8 +1,8 @@
 package loadbalancer
 
-// This file holds the events that tell of attempts and of clients; what they lead to is decided elsewhere.
+// This file holds the events of attempts and clients; what they lead to is decided in the policy files.
 
-// HandleProgress takes news of a running attempt.
+// HandleProgress applies news of a running attempt. News of attempts that are not in flight is ignored.
 func (b *Balancer) HandleProgress(now float64, update *ProgressUpdate) {
 	attempt, request := b.findAttempt(update.Request, update.Attempt)
 	switch {
@@ -11,13 +11,13 @@
 		b.handleJobStart(now, request, attempt)
 	case !update.Started && attempt.startedAt > 0 && update.Fraction > attempt.fraction && update.Fraction <= 1:
 		attempt.fraction = update.Fraction
-		if request.Work > 0 { // else one long job would speak for the worker again and again
+		if request.Work > 0 { // else one long job would count for the worker again and again
 			b.learnPace(attempt.worker, (now-attempt.startedAt)/update.Fraction, request.cost)
 		}
 	}
 }
 
-// HandleOutcome takes the end of an attempt.
+// HandleOutcome applies the end of an attempt. A second outcome of an attempt is ignored.
 func (b *Balancer) HandleOutcome(now float64, outcome *Outcome) {
 	attempt, request := b.findAttempt(outcome.Request, outcome.Attempt)
 	if attempt == nil {
@@ -38,30 +38,18 @@
 	b.release(request)
 }
 
-// HandleFirstByte marks a streamed answer that has begun: the client owns it now.
+// HandleFirstByte records that a streamed answer has begun: from now on it is the client's, and is not
+// retried.
 func (b *Balancer) HandleFirstByte(now float64, id RequestID, attempt int) {
 	if attempt, request := b.findAttempt(id, attempt); attempt != nil {
 		b.finishRequest(request, attempt)
 	}
 }
 
-// HandleDisconnect takes a client that has left.
+// HandleDisconnect records that a client has disconnected. It gets no answer.
 func (b *Balancer) HandleDisconnect(now float64, id RequestID) {
 	if request := b.requests[id]; request != nil {
 		b.finishRequest(request, nil)
 		b.release(request)
 	}
 }
-
-// finishRequest notes that the client has its answer; what is still out, but for the stream it owns, is withdrawn.
-func (b *Balancer) finishRequest(request *requestState, stream *attemptState) {
-	if request.answered {
-		return
-	}
-	b.closeRequest(request)
-	for i := range request.attempts {
-		if &request.attempts[i] != stream {
-			b.cancel(request, i)
-		}
-	}
-}
--- /dev/null
+++ b/loadbalancer/learning.go
@@ -0,0 +1,78 @@
+package loadbalancer
+
+import (
+	"math"
+
+	"cinderroad/internal/shared/capacity"
+)
+
+// updateMeans computes the own jobs that wait to start on each worker, the workers' slots and their mean
+// error rate; decay is the share of the longest deadline that has passed since the last time.
+func (b *Balancer) updateMeans(now, decay float64) {
+	slots, reporting, fewest, errors, observed, weight, weights := 0.0, 0.0, math.Inf(1), 0.0, 0.0, 0.0, 0.0
+	b.totalSlots = 0
+	for _, worker := range b.workers {
+		worker.longestWait, worker.queuedSlots = 0, 0
+		if worker.State == Ready {
+			b.totalSlots += b.slotsOf(worker) * b.warmth(now, worker)
+			if worker.Weight > 0 && isFinite(worker.Weight) {
+				weight, weights = weight+worker.Weight, weights+1
+			}
+		}
+		if worker.ejection.Observed && worker.State == Ready {
+			errors, observed = errors+worker.ejection.ErrorRate, observed+1
+		}
+		if worker.slots > 0 {
+			slots, reporting, fewest = slots+worker.slots, reporting+1, math.Min(fewest, worker.slots)
+			if kind := b.kindOf(worker); kind.slotsAt != now {
+				kind.slots, kind.slotsAt = worker.slots, now
+			} else { // a worker that queued more than it runs may look larger than it is
+				kind.slots = math.Min(kind.slots, worker.slots)
+			}
+		}
+	}
+	for _, kind := range b.kinds {
+		capacity.UpdateMean(&kind.meanWait, 0, decay) // without sends there are no new samples
+	}
+	b.meanErrorRate, b.meanWeight = errors/math.Max(observed, 1), weight/math.Max(weights, 1)
+	if reporting > 0 {
+		b.minSlots, b.meanSlots = fewest, slots/reporting
+	} else { // meanSlots is only an estimate: slow start trusts half of it
+		b.minSlots = math.Max(1, b.meanSlots/2)
+	}
+	for _, request := range b.unanswered {
+		for j := range request.attempts {
+			attempt := &request.attempts[j]
+			if !b.ReportsStart || !attempt.inFlight || attempt.startedAt > 0 {
+				continue
+			}
+			if wait := now - attempt.sentAt; wait > b.zoneLatencies[b.zoneOf(attempt.worker)]+b.sweepInterval { // more than the latency of the progress update
+				attempt.worker.longestWait, attempt.worker.queuedSlots = math.Max(attempt.worker.longestWait, wait), attempt.worker.queuedSlots+request.slotsNeeded
+			}
+		}
+	}
+}
+
+// learnPace learns from the running time for an amount of work.
+func (b *Balancer) learnPace(worker *workerState, runTime, cost float64) {
+	if cost <= 0 || runTime <= 0 {
+		return
+	}
+	capacity.UpdateMean(&worker.pace, math.Min(runTime/cost, 2*peerFactor*b.meanPace), learningRate) // bounded: one heavy job does not make a worker slow
+	capacity.UpdateMean(&b.meanPace, math.Min(runTime/cost, 2*b.meanPace), fleetLearningRate)
+	kind := b.kindOf(worker)
+	capacity.UpdateMean(&kind.pace, math.Min(runTime/cost, 2*kind.pace), fleetLearningRate)
+}
+
+// learnWait learns from the wait of a job on a worker that reports no load: how long jobs wait on its
+// kind, and the load at which they begin to. Where starts are not reported, ends tell; atStart says which
+// of the two the wait was seen at.
+func (b *Balancer) learnWait(atStart bool, worker *workerState, load, wait float64) {
+	if worker.slots > 0 || atStart != b.ReportsStart {
+		return
+	}
+	capacity.UpdateMean(&b.kindOf(worker).meanWait, wait, learningRate)
+	if (wait == 0) == (load > b.meanSlots) {
+		capacity.UpdateMean(&b.meanSlots, load, learningRate)
+	}
+}
--- a/loadbalancer/learnt.go
+++ b/loadbalancer/snapshot.go
@@ -5,7 +5,8 @@
 	"math"
 )
 
-// Snapshot is what a Balancer has learnt, for the one that takes its place in a new process of the same dispatcher.
+// Snapshot is what a Balancer has learnt, for its successor in a new process of the same dispatcher. The
+// JSON names are read by processes of other versions.
 type Snapshot struct {
 	WorkByClass   []float64                    `json:"work"`
 	ZoneLatencies []float64                    `json:"far"`
@@ -13,7 +14,7 @@
 	RunTime       float64                      `json:"run"`
 	SlotsPerJob   float64                      `json:"per_job"`
 	ReportPeriod  float64                      `json:"period"`
-	PlannedAt     float64                      `json:"plan_at"` // ceilings and paces recover from here on, not from the first day
+	PlannedAt     float64                      `json:"plan_at"` // limits and paces recover from here on, not from the first day
 	Kinds         map[int]KindSnapshot         `json:"kinds"`
 	Workers       map[WorkerID]*WorkerSnapshot `json:"workers"`
 }
@@ -31,7 +32,7 @@
 	InFlight         float64   `json:"in_flight"`
 	Utilization      float64   `json:"util"`
 	ReportedAt       float64   `json:"report_at"`
-	OtherJobs        float64   `json:"others"` // the older Balancer's own jobs among them: they are others' to the newer
+	OtherJobs        float64   `json:"others"` // with the older Balancer's own jobs, which the newer one does not own
 	Slots            float64   `json:"slots"`
 	LoadLimit        float64   `json:"load_ceil"`
 	UtilizationLimit float64   `json:"util_ceil"`
@@ -41,11 +42,11 @@
 	Observed         bool      `json:"judged"`
 	EjectedUntil     float64   `json:"shun_until"`
 	EjectionDuration float64   `json:"shun_for"`
-	SentWork         []float64 `json:"sent"` // the budget of a cold worker goes on: to it both are one dispatcher
+	SentWork         []float64 `json:"sent"` // the slow start budget continues: to the worker both are one dispatcher
 	SentSpan         int64     `json:"span"`
 }
 
-// Snapshot tells what was learnt so far.
+// Snapshot returns what was learnt so far.
 func (b *Balancer) Snapshot() Snapshot {
 	snapshot := Snapshot{WorkByClass: append([]float64(nil), b.meanWork...), ZoneLatencies: append([]float64(nil), b.zoneLatencies...), Pace: b.meanPace, RunTime: b.meanRunTime,
 		SlotsPerJob: b.slotsPerJob, ReportPeriod: b.reportPeriod, PlannedAt: b.plannedAt, Kinds: map[int]KindSnapshot{}, Workers: map[WorkerID]*WorkerSnapshot{}}
@@ -63,8 +64,8 @@
 	return snapshot
 }
 
-// Restore takes what another Balancer of the same settings has learnt, all or nothing. What it says of a worker counts
-// once the list names that worker, with the same start.
+// Restore takes over the snapshot of another Balancer of the same settings, all or nothing. What it says
+// of a worker applies once the list names that worker with the same start.
 func (b *Balancer) Restore(now float64, snapshot Snapshot) error {
 	if err := b.validateSnapshot(now, &snapshot); err != nil {
 		return err
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// restoreWorker gives a worker that is new to the list what is known of it, if it is still the same process.
+// restoreWorker applies a snapshot to a worker that is new to the list, if it is still the same process.
 func (b *Balancer) restoreWorker(worker *workerState, startedAt float64) {
 	saved := b.restored[worker.ID]
 	delete(b.restored, worker.ID)
@@ -93,7 +94,7 @@
 	copy(worker.sentWork[:], saved.SentWork)
 }
 
-// validateSnapshot names the first thing learnt that makes no sense.
+// validateSnapshot returns an error for the first value that makes no sense.
 func (b *Balancer) validateSnapshot(now float64, snapshot *Snapshot) error {
 	invalid := func(what string) error { return fmt.Errorf("brain: learnt: bad %s", what) }
 	valid := func(values ...float64) bool {
--- a/loadbalancer/list.go
+++ b/loadbalancer/workers.go
@@ -1,14 +1,15 @@
 package loadbalancer
 
 import (
+	"fmt"
 	"math"
 
 	"cinderroad/internal/shared/capacity"
 )
 
-// This file takes the list's news and the results of probes.
+// This file holds the events of the worker list and of probes.
 
-// UpdateWorkers takes the list's news; what is not ready gets nothing from here on.
+// UpdateWorkers applies a list event. Workers that are not ready get nothing from here on.
 func (b *Balancer) UpdateWorkers(now float64, kind ListKind, entries []Worker) {
 	if kind == ListFailed { // it does not say which call failed: the watch may be broken
 		b.watching = false
@@ -16,7 +17,7 @@
 		b.actions.Log("list: a call failed or the watch broke; asking again")
 		return
 	}
-	b.watching, b.watchInterval = kind != ListCached, b.ListRefreshInterval/8
+	b.watching, b.watchInterval = kind != ListCached, b.ListRefreshInterval/watchesPerRefresh
 	if kind != ListDelta {
 		for _, known := range b.workers {
 			known.markDeparted(now)
@@ -47,7 +48,8 @@
 	b.rebuildPlan(now)
 }
 
-// renewWatch asks again for a watch that failed, less often after each failure but within the allowed time.
+// renewWatch asks again for a watch that failed, less often after each failure but within
+// ListRefreshInterval.
 func (b *Balancer) renewWatch(now float64) {
 	if b.ListOnRequest && !b.watching && now-b.lastWatchAt >= b.watchInterval {
 		b.lastWatchAt = now
@@ -55,15 +57,18 @@
 	}
 }
 
-// pollsReports says whether reports are to be had by probes, and by nothing else.
-func (b *Balancer) pollsReports() bool { return b.MayProbe && b.ReportsByProbe }
-
-// HandleProbeResult takes a probe's result.
+// HandleProbeResult applies the result of a probe; a report of another shape than the settings say is
+// ignored.
 func (b *Balancer) HandleProbeResult(now float64, id WorkerID, result Result, report []float32) {
 	worker := b.workersByID[id]
 	if worker != nil && result == OK {
 		b.learnReport(now, worker, report)
-	} else if worker != nil && (result == ConnectFailed || result == Timeout) { // found dead, no job lost
+	} else if worker != nil && (result == ConnectFailed || result == Timeout) { // found dead without losing a job
 		b.recordOutcome(now, worker, 1)
 	}
 }
+
+// logWorker logs a change of a worker's status and how long it holds.
+func (b *Balancer) logWorker(worker *workerState, event string, duration float64) {
+	b.actions.Log(fmt.Sprintf("worker %d %s (%.1f s)", worker.ID, event, duration))
+}
