--- a/loadbalancer/api.go
+++ b/loadbalancer/api.go
@@ -11,10 +11,10 @@
 // Request is an arrival.
 type Request struct {
 	ID       RequestID
-	Class    int
-	Skill    uint32 // the skill that a worker must have; 0 is what workers without Skills have
-	Tenant   int
-	Slots    float64
+	Class    int     // index in Settings.Classes
+	Skill    uint32  // the skill that a worker must have; 0 is what workers without Skills have
+	Tenant   int     // index in Settings.Tenants
+	Slots    float64 // that the job takes; not above 0: one
 	Memory   float64 // not used by the decisions: capacity is counted in slots alone, see docs/architecture.md
 	Work     float64 // hinted work in seconds on a standard core; 0 is no hint
 	Deadline float64 // clock time at which the client gives up
@@ -25,9 +25,9 @@
 
 // The states of a worker in the list.
 const (
-	Departed WorkerState = iota
+	Departed WorkerState = iota // not listed
 	Ready
-	Draining
+	Draining // finishes its jobs and gets no new ones
 )
 
 // Worker is one entry of the worker list.
@@ -58,14 +58,14 @@
 
 // The results; Rejected, ConnectFailed and Withdrawn prove that the job never ran.
 const (
-	OK Result = iota
-	Error
-	Rejected
-	Timeout
-	ConnectFailed
-	Reset
-	Cancelled
-	Withdrawn
+	OK            Result = iota
+	Error                // the worker answered with an error
+	Rejected             // the worker did not take the job: at capacity, or draining
+	Timeout              // no answer in time
+	ConnectFailed        // no connection was established
+	Reset                // the connection broke
+	Cancelled            // by Actions.Cancel
+	Withdrawn            // by the caller, before the job was sent
 )
 
 // Outcome ends one attempt. The attempts of a request count from 0 in the order of their sends.
@@ -96,11 +96,16 @@
 	Reject(id RequestID, wait float64)
 	// Fail is a final answer that promises nothing.
 	Fail(id RequestID)
+	// Cancel withdraws an attempt in flight; its outcome still comes.
 	Cancel(id RequestID, attempt int)
+	// Probe asks a worker for a load report; HandleProbeResult gets it.
 	Probe(worker WorkerID)
+	// SetTimer has HandleTimer called with the token at a time.
 	SetTimer(token uint32, at float64)
-	// Watch subscribes to list changes; Fetch asks for the whole list once.
+	// Watch subscribes to list changes, or ends that.
 	Watch(on bool)
+	// Fetch asks for the whole list once.
 	Fetch()
+	// Log writes a line for operators.
 	Log(line string)
 }
--- a/loadbalancer/balancer_test.go
+++ b/loadbalancer/balancer_test.go
@@ -22,7 +22,7 @@
 	at     float64
 }
 
-// recorder carries out nothing: it keeps what the balancer asked for and checks the four rules.
+// recorder carries out no action: it records them and checks the rules that bind each send.
 type recorder struct {
 	t       testing.TB
 	s       Settings
@@ -249,7 +249,7 @@
 	r.b.HandleProgress(r.now, &ProgressUpdate{Request: id, Attempt: n, Started: true})
 }
 
-// reportFree has workers 1 to n report no load and four free slots.
+// reportFree reports no load and four free slots of workers 1 to n.
 func (r *recorder) reportFree(n int) {
 	for i := 1; i <= n; i++ {
 		r.b.learnReport(r.now, r.b.workersByID[WorkerID(i)], []float32{0, 0, 4})
@@ -265,7 +265,7 @@
 	return ws
 }
 
-// Each class and outcome: what may follow. The recorder checks that nothing forbidden does.
+// For each class and outcome, what may follow. The recorder checks that nothing forbidden does.
 func TestRetrySafetyByClassAndOutcome(t *testing.T) {
 	const again, refuse, fail = "again", "refused", "failed"
 	for _, c := range []struct {
@@ -328,7 +328,7 @@
 	}
 }
 
-// Guards against a process that slows down and swells with every machine that was ever replaced.
+// Guards against a process that slows down and grows with every machine that was ever replaced.
 func TestDepartedWorkersArePruned(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	for i := range 200 {
@@ -342,7 +342,7 @@
 	}
 }
 
-// Guards against a client that is told to come back at once, into the same jam, or later than it would obey.
+// Guards against a wait of 0, which sends the client back into the same overload, and one longer than clients obey.
 func TestRejectionCarriesRetryAfter(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		s := testSettings()
@@ -369,7 +369,7 @@
 	}
 }
 
-// Guards against holding a request to its deadline when nobody is left who could serve it under the rules.
+// Guards against holding a request to its deadline when no worker is left that may serve it.
 func TestUnservableRequestFailsAtOnce(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, Worker{ID: 1, State: Ready, Cell: 1}, Worker{ID: 2, State: Ready, Cell: 2})
@@ -408,7 +408,7 @@
 	}
 }
 
-// The sweep once stopped for good when its timer came a rounding before the time asked for.
+// Guards against a sweep that stops for good when its timer comes a rounding before its time.
 func TestSweepSurvivesARoundedClock(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(1)...)
@@ -455,7 +455,7 @@
 	return s.SlowStartInitialShare + (1-s.SlowStartInitialShare)*(at-1000)/s.SlowStartDuration
 }
 
-// worstSpan is the most work sent within a fall time, as a share of what the capacity at its start allows.
+// worstSpan is the most work sent within an overload window, as a share of what the capacity at its start allows.
 func worstSpan(s Settings, sends []recordedSend, work func(RequestID) float64, capacity func(from float64) float64) float64 {
 	worst := 0.0
 	for _, from := range sends {
@@ -470,7 +470,7 @@
 	return worst
 }
 
-// An instance keeps to its part of the cold budget, whatever the others know.
+// An instance keeps to its share of the slow start budget, whatever the others know.
 func TestSlowStartBudgetIsKept(t *testing.T) {
 	s := testSettings()
 	r := newRecorder(t, s, 1)
@@ -490,8 +490,8 @@
 	}
 }
 
-// Many instances, of which only the first few ever had a turn: the worker stayed unused until it was warm. All
-// together must use it and stay within the rule, restarts and a job larger than an equal part included.
+// Guards against turns that only the first few of many instances ever get, so that the worker stays unused until it is
+// warm. All together must use it and stay within the budget, with restarts and with a job larger than an equal share.
 func TestSlowStartBudgetHoldsOverAllInstances(t *testing.T) {
 	s := testSettings()
 	s.Instances = 100
@@ -553,7 +553,7 @@
 	}
 }
 
-// A restarted balancer has an old list and no ceilings: it serves at once and survives what is wrong in it.
+// A restarted balancer with a cached list and no learnt limits serves at once and survives what is wrong in the list.
 func TestRestartWithCachedList(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListCached, ready(3)...)
@@ -592,7 +592,7 @@
 	}
 }
 
-// A worker that fails fast looks empty; a ceiling floor alone would let it draw every job.
+// A worker that fails fast looks empty; the lower bound of its limits alone would let it attract every job.
 func TestFailingWorkerDoesNotAttractJobs(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(4)...)
@@ -620,8 +620,7 @@
 	}
 }
 
-// What hits all workers alike must set none aside.
-// With 434 dispatchers and 283 workers the plans of each period alone took more CPU than there was.
+// Guards against plans that take all of the CPU: with 434 dispatchers and 283 workers those of each period did.
 func TestLargeClusterIsPlannedLessOften(t *testing.T) {
 	for _, c := range []struct{ workers, least, most int }{{16, 95, 101}, {320, 18, 26}} {
 		r := newRecorder(t, testSettings(), 1)
@@ -638,7 +637,7 @@
 	}
 }
 
-// A zone of dead workers drew attempt after attempt: the many failed connects made failing look common to all.
+// Guards against a zone of dead workers that attracts attempts: many failed connects make failures look common to all.
 func TestManyDeadWorkersAreEjected(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	fleet := ready(12)
@@ -666,7 +665,7 @@
 	}
 }
 
-// At size a job lost to learn that a worker is dead is lost by each of hundreds: the probes find it out.
+// In a large cluster each of hundreds of instances would lose a job to learn that a worker is dead; probes find it out.
 func TestFailedProbeEjectsWorker(t *testing.T) {
 	s := testSettings()
 	s.MayProbe, s.ReportsByProbe = true, true
@@ -684,7 +683,7 @@
 	}
 }
 
-// In a jam a worker not heard from has the others' mean room, far below none, but looked idle to the refusals.
+// Under overload a worker without reports has the others' mean spare capacity, far below 0; rejections must see that.
 func TestQueueIsSeenOnWorkersWithoutReports(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(2)...)
@@ -719,7 +718,7 @@
 	}
 }
 
-// A report that shows a worker full once kept it without room for good where reports come with answers only.
+// Guards against a report of a full worker that keeps it without spare capacity for good where reports come with answers only.
 func TestOldReportDoesNotExcludeWorker(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(2)...)
@@ -746,7 +745,7 @@
 	}
 }
 
-// Asked once in ten seconds, a worker's report was taken to hold for forty, and drew every job meanwhile.
+// Guards against a worker polled once in ten seconds whose report counts for forty, and attracts every job meanwhile.
 func TestRarelyPolledReportExpires(t *testing.T) {
 	s := testSettings()
 	s.MayProbe, s.ReportsByProbe = true, true
@@ -771,8 +770,8 @@
 	}
 }
 
-// Hundreds of instances that each look at all workers see none of them in time. The few that each keeps in
-// sight are spread evenly, stay as they are while others leave, and are all of them in a small fleet.
+// Hundreds of instances that each poll all workers poll none of them in time. The few in view of each are spread evenly,
+// stay as they are while others depart, and are all of them in a small cluster.
 func TestViewIsAnEvenStableSubset(t *testing.T) {
 	s := testSettings()
 	s.MayProbe, s.ReportsByProbe, s.Instances = true, true, 200
@@ -845,7 +844,7 @@
 	}
 }
 
-// A queue behind a wide job once made a worker of four slots look as if it had 28, and drew the jobs there.
+// Guards against a queue behind a wide job that makes a worker of four slots look as if it had 28, and attracts jobs.
 func TestQueueBehindWideJobDoesNotCountAsSlots(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(1)...)
@@ -857,7 +856,7 @@
 	}
 }
 
-// Idle workers were once held to be slow for good on the word of one long job's progress notes.
+// Guards against idle workers that count as slow for good after the progress updates of one long job.
 func TestOneLongJobDoesNotMarkWorkerSlow(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(1)...)
@@ -914,7 +913,7 @@
 	}
 }
 
-// Copies of jobs that ran cost their whole work again and fed every jam.
+// A hedged request of a running job costs its whole work again and feeds an overload.
 func TestRunningJobIsNotHedged(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(3)...)
@@ -1072,7 +1071,7 @@
 	}
 }
 
-// discardActions carries out nothing.
+// discardActions carries out no action.
 type discardActions struct{}
 
 func (discardActions) Send(RequestID, WorkerID, float64) {}
@@ -1085,12 +1084,12 @@
 func (discardActions) Fetch()                            {}
 func (discardActions) Log(string)                        {}
 
-// arrivals returns a step that takes one arrival, its start, its outcome and a sweep.
+// arrivals returns a step that handles one arrival, its start, its outcome and a sweep.
 func arrivals(t testing.TB, workers int) func() {
 	return arrivalsThat(t, workers, []float32{1, 0.2, 3})
 }
 
-// arrivalsThat come to workers that tell the report with each answer, or nothing.
+// arrivalsThat is like arrivals with workers that send the report with each answer, or none.
 func arrivalsThat(t testing.TB, workers int, report []float32) func() {
 	s := testSettings()
 	if report == nil {
@@ -1196,7 +1195,7 @@
 	return lines
 }
 
-// A send, a refusal or a failure is decided in a policy file: no other file of the module calls for one.
+// A send, a rejection or a failure is decided in a policy file: no other file of the package calls for one.
 func TestDecisionsStandInPolicyFiles(t *testing.T) {
 	var deploy struct{ Policy []string }
 	if _, err := toml.DecodeFile("../deploy/balancer.toml", &deploy); err != nil {
--- a/loadbalancer/baseline_test.go
+++ b/loadbalancer/baseline_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// planWithoutReports is a deployment whose workers tell nothing but starts, with work of seconds.
+// planWithoutReports is a deployment whose workers report nothing but starts, with work of seconds.
 func planWithoutReports() simulationPlan {
 	return simulationPlan{
-		s: Settings{Classes: []Class{
+		settings: Settings{Classes: []Class{
 			{Name: "view", Objective: 0.25, Stretch: 2, Deadline: 6, Value: 5, LateValueShare: 0.5, RetrySafety: RetrySafe, Kind: -1},
 			{Name: "record", Objective: 1.5, Stretch: 2.5, Deadline: 25, Value: 10, LateValueShare: 0.5, RetrySafety: RetryDeduplicated, DedupScope: DedupCell, DedupWindow: 40, Kind: -1},
 			{Name: "plan", Objective: 2.5, Stretch: 2.5, Deadline: 25, Value: 5, LateValueShare: 0.5, RetrySafety: RetryDeduplicated, DedupScope: DedupCell, DedupWindow: 40, Kind: -1}},
@@ -18,10 +18,10 @@
 	}
 }
 
-// planWithReports is a deployment whose workers tell everything, with work of a tenth of a second.
+// planWithReports is a deployment whose workers report everything, with work of a tenth of a second.
 func planWithReports() simulationPlan {
 	return simulationPlan{
-		s: Settings{Classes: []Class{
+		settings: Settings{Classes: []Class{
 			{Name: "report", Objective: 0.08, Stretch: 2, Deadline: 5, Value: 3, RetrySafety: RetrySafe, Kind: -1},
 			{Name: "score", Objective: 0.05, Stretch: 1.75, Deadline: 5, Value: 3, RetrySafety: RetrySafe, Kind: -1},
 			{Name: "check", Objective: 0.2, Stretch: 2.5, Deadline: 6, Value: 2, RetrySafety: RetryDeduplicated, DedupScope: DedupZone, DedupWindow: 10, Kind: -1},
@@ -43,37 +43,37 @@
 	return b
 }
 
-// omittedPlans is what settings may leave out, one at a time, of either deployment.
+// omittedPlans are the two deployments, each with one optional setting omitted.
 func omittedPlans() map[string]simulationPlan {
 	plans := map[string]simulationPlan{"nothing told": planWithoutReports(), "all told": planWithReports()}
 	with := func(name string, base simulationPlan, change func(p *simulationPlan)) {
 		change(&base)
 		plans[name] = base
 	}
-	with("no starts told", planWithoutReports(), func(p *simulationPlan) { p.s.ReportsStart = false })
+	with("no starts told", planWithoutReports(), func(p *simulationPlan) { p.settings.ReportsStart = false })
 	for name, f := range map[string]ReportField{"jobs held alone": FieldInFlight, "use alone": FieldUtilization, "free slots alone": FieldFreeSlots,
 		"queue alone": FieldQueued} {
-		with(name, planWithoutReports(), func(p *simulationPlan) { p.s.ReportFields, p.reportAge = []ReportField{f}, 0.5 })
+		with(name, planWithoutReports(), func(p *simulationPlan) { p.settings.ReportFields, p.reportAge = []ReportField{f}, 0.5 })
 	}
-	with("reports by probes", planWithReports(), func(p *simulationPlan) { p.s.ReportsByProbe = true })
-	with("no copies", planWithReports(), func(p *simulationPlan) { p.s.ParallelAttempts = false })
+	with("reports by probes", planWithReports(), func(p *simulationPlan) { p.settings.ReportsByProbe = true })
+	with("no copies", planWithReports(), func(p *simulationPlan) { p.settings.ParallelAttempts = false })
 	with("no hints", planWithReports(), func(p *simulationPlan) { p.hints = false })
-	with("no hints, no reports", planWithReports(), func(p *simulationPlan) { p.hints, p.s.ReportFields = false, nil })
+	with("no hints, no reports", planWithReports(), func(p *simulationPlan) { p.hints, p.settings.ReportFields = false, nil })
 	with("no weights", planWithoutReports(), func(p *simulationPlan) { p.weights = false })
-	with("one zone", planWithoutReports(), func(p *simulationPlan) { p.s.Zones = 1 })
+	with("one zone", planWithoutReports(), func(p *simulationPlan) { p.settings.Zones = 1 })
 	with("one kind", planWithoutReports(), func(p *simulationPlan) { p.kinds = p.kinds[1:2]; p.kinds[0].share = 1 })
-	with("no cancelling", planWithoutReports(), func(p *simulationPlan) { p.s.MayCancel = false })
-	with("no wait at refusals", planWithoutReports(), func(p *simulationPlan) { p.s.MayRetryAfter = false })
-	with("list on request", planWithoutReports(), func(p *simulationPlan) { p.s.ListOnRequest = true })
-	with("tenants", planWithoutReports(), func(p *simulationPlan) { p.s.Tenants = []Tenant{{Name: "a", QuotaPerSec: 1}} })
+	with("no cancelling", planWithoutReports(), func(p *simulationPlan) { p.settings.MayCancel = false })
+	with("no wait at refusals", planWithoutReports(), func(p *simulationPlan) { p.settings.MayRetryAfter = false })
+	with("list on request", planWithoutReports(), func(p *simulationPlan) { p.settings.ListOnRequest = true })
+	with("tenants", planWithoutReports(), func(p *simulationPlan) { p.settings.Tenants = []Tenant{{Name: "a", QuotaPerSec: 1}} })
 	with("unsafe classes", planWithoutReports(), func(p *simulationPlan) {
-		p.s.Classes = append([]Class(nil), p.s.Classes...)
-		p.s.Classes[1].RetrySafety, p.s.Classes[2].RetrySafety = RetryUnsafe, RetryUnsafe
+		p.settings.Classes = append([]Class(nil), p.settings.Classes...)
+		p.settings.Classes[1].RetrySafety, p.settings.Classes[2].RetrySafety = RetryUnsafe, RetryUnsafe
 	})
 	with("late is worth nothing", planWithoutReports(), func(p *simulationPlan) {
-		p.s.Classes = append([]Class(nil), p.s.Classes...)
-		for i := range p.s.Classes {
-			p.s.Classes[i].LateValueShare = 0
+		p.settings.Classes = append([]Class(nil), p.settings.Classes...)
+		for i := range p.settings.Classes {
+			p.settings.Classes[i].LateValueShare = 0
 		}
 	})
 	with("36 instances, uneven", planWithoutReports(), func(p *simulationPlan) {
@@ -85,8 +85,8 @@
 	return plans
 }
 
-// Whatever a deployment leaves out, we serve at least what the plainest policy does: nearest zone, fewest own jobs out. On the calmest
-// days both serve nearly all, and one job of a thousand that nobody could know to be long may go either way.
+// Whatever a deployment omits, a Balancer serves at least what the baseline does: nearest zone, fewest own jobs in flight. On the
+// calmest plans both serve nearly all, and one job of a thousand that nobody could know to be long may go either way.
 func TestServesNoLessThanBaseline(t *testing.T) {
 	const seeds, oneJob = 20, 0.002
 	for name, plan := range omittedPlans() {
@@ -108,7 +108,7 @@
 						if len(w.breach) > 0 {
 							t.Fatalf("seed %d: %s", seed, w.breach[0])
 						}
-						refused += float64(i*w.refused) / float64(w.asked) / seeds
+						refused += float64(i*w.rejected) / float64(w.requests) / seeds
 					}
 				}
 				t.Logf("load %.1f: %.3f served, %.3f by the plainest; %.3f refused", load, share[1], share[0], refused)
--- a/loadbalancer/instances.go
+++ b/loadbalancer/instances.go
@@ -10,8 +10,8 @@
 // InstanceShare is an instance's position among those that share the workers, where it is not fixed by
 // the settings.
 type InstanceShare struct {
-	Instances    int
-	Instance     int
+	Instances    int      // that share the workers
+	Instance     int      // the number of this one, from 0
 	BudgetShare  float64  // of slow start budgets, above 0; below 1 while others may not count this one
 	InstanceKeys []uint64 // of all instances in the order of their numbers; nil: turns go by numbers
 }
@@ -19,10 +19,14 @@
 // SetInstanceShare sets the position; call it between events. It decides nothing itself. An invalid one
 // changes nothing.
 func (b *Balancer) SetInstanceShare(share InstanceShare) error {
-	if share.Instances < 1 || share.Instance < 0 || share.Instance >= share.Instances || !(share.BudgetShare > 0 && share.BudgetShare <= 1) || share.InstanceKeys != nil && len(share.InstanceKeys) != share.Instances {
-		return fmt.Errorf("brain: bad place: %d of %d, part %v, %d keys", share.Instance, share.Instances, share.BudgetShare, len(share.InstanceKeys))
+	if share.Instances < 1 || share.Instance < 0 || share.Instance >= share.Instances ||
+		!(share.BudgetShare > 0 && share.BudgetShare <= 1) ||
+		share.InstanceKeys != nil && len(share.InstanceKeys) != share.Instances {
+		return fmt.Errorf("loadbalancer: invalid instance share: %d of %d, budget share %v, %d keys",
+			share.Instance, share.Instances, share.BudgetShare, len(share.InstanceKeys))
 	}
-	b.Instances, b.Instance, b.budgetShare, b.instanceKeys = share.Instances, share.Instance, share.BudgetShare, share.InstanceKeys
+	b.Instances, b.Instance = share.Instances, share.Instance
+	b.budgetShare, b.instanceKeys = share.BudgetShare, share.InstanceKeys
 	b.instanceKeysVersion++
 	b.maxHedgeBudget = maxHedges(share.Instances)
 	b.hedgeBudget = math.Min(b.hedgeBudget, b.maxHedgeBudget)
--- a/loadbalancer/instances_simulation_test.go
+++ b/loadbalancer/instances_simulation_test.go
@@ -47,56 +47,56 @@
 	return c
 }
 
-func (c *instanceGroup) list(entries ...Worker) {
-	for _, r := range c.r {
+func (group *instanceGroup) list(entries ...Worker) {
+	for _, r := range group.r {
 		r.list(ListDelta, entries...)
 	}
 }
 
 // run plays on until a time, with jobs that keep busy slots of all workers on average.
-func (c *instanceGroup) run(to, busy, work float64, rng *rand.Rand, id *RequestID) {
+func (group *instanceGroup) run(to, busy, work float64, rng *rand.Rand, id *RequestID) {
 	const step = 0.01
-	for ; c.now < to; c.now += step {
-		if c.past = append(c.past, maps.Clone(c.held)); float64(len(c.past)) > c.late/step {
-			c.past = c.past[1:]
+	for ; group.now < to; group.now += step {
+		if group.past = append(group.past, maps.Clone(group.held)); float64(len(group.past)) > group.late/step {
+			group.past = group.past[1:]
 		}
-		for len(c.ends) > 0 && c.ends[0].at <= c.now {
-			e := c.ends[0]
-			c.ends = c.ends[1:]
-			c.held[e.w]--
-			c.r[e.me].runTo(c.now)
-			held := c.held[e.w]
-			if c.late > 0 {
-				held = c.past[0][e.w]
+		for len(group.ends) > 0 && group.ends[0].at <= group.now {
+			e := group.ends[0]
+			group.ends = group.ends[1:]
+			group.held[e.w]--
+			group.r[e.me].runTo(group.now)
+			held := group.held[e.w]
+			if group.late > 0 {
+				held = group.past[0][e.w]
 			}
-			c.r[e.me].outcome(e.id, e.try, OK, float32(held), float32(min(1, held/c.size)), float32(max(0, c.size-held)))
+			group.r[e.me].outcome(e.id, e.try, OK, float32(held), float32(min(1, held/group.size)), float32(max(0, group.size-held)))
 		}
-		for me, r := range c.r {
-			r.runTo(c.now)
-			rate := busy / work * step / float64(len(c.r))
-			if c.share != nil {
-				rate *= c.share(me)
+		for me, r := range group.r {
+			r.runTo(group.now)
+			rate := busy / work * step / float64(len(group.r))
+			if group.share != nil {
+				rate *= group.share(me)
 			}
 			if rng.Float64() < rate {
 				*id++
 				r.request(*id, 0, work)
 			}
-			for _, x := range r.sends[c.seen[me]:] {
-				if c.all++; c.held[x.worker] >= c.size {
-					c.full++
+			for _, x := range r.sends[group.seen[me]:] {
+				if group.all++; group.held[x.worker] >= group.size {
+					group.full++
 				}
-				c.held[x.worker]++
-				c.sent[x.worker] = append(c.sent[x.worker], x)
+				group.held[x.worker]++
+				group.sent[x.worker] = append(group.sent[x.worker], x)
 				try := len(r.tries[x.id]) - 1
 				r.start(x.id, try)
-				c.ends = append(c.ends, groupAttempt{c.now + work, me, x.id, try, x.worker}) // all run alike: in order
+				group.ends = append(group.ends, groupAttempt{group.now + work, me, x.id, try, x.worker}) // all run alike: in order
 			}
-			c.seen[me] = len(r.sends)
+			group.seen[me] = len(r.sends)
 		}
 	}
 }
 
-// replaceHalf is the news that half of the workers have gone, and that as many cold ones have come at a time.
+// replaceHalf is a list event: half of the workers have departed, and as many have started at a time.
 func replaceHalf(workers int, at float64) (news []Worker, colds []WorkerID) {
 	for i := 1; i <= workers/2; i++ {
 		colds = append(colds, WorkerID(1000+i))
@@ -105,14 +105,14 @@
 	return news, colds
 }
 
-// worst is the most work that a worker which came cold at a time was sent within a fall time, as a share of what it bears.
-func (c *instanceGroup) worst(s Settings, cold WorkerID, at, work float64) float64 {
-	return worstSpan(s, c.sent[cold], func(RequestID) float64 { return work },
-		func(from float64) float64 { return c.size * warmAt(s, from-(at-1000)) })
+// worst is the most work that a worker which started at a time was sent within an overload window, as a share of what it bears.
+func (group *instanceGroup) worst(s Settings, cold WorkerID, at, work float64) float64 {
+	return worstSpan(s, group.sent[cold], func(RequestID) float64 { return work },
+		func(from float64) float64 { return group.size * warmAt(s, from-(at-1000)) })
 }
 
-// Guards against a cold worker that many instances leave idle while the warm ones are full: each knows little of it, and
-// what the turns leave to each is less than a slot. However many there are, all together must use it well and keep the rule.
+// Guards against a worker in slow start that many instances leave idle while the warm ones are full: each knows little of it,
+// and its share of a turn is less than a slot. Any number of instances must together use it well and keep its budget.
 func TestSlowStartWorkerGetsWorkFromManyInstances(t *testing.T) {
 	for _, instances := range []int{1, 3, 36, 80} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
@@ -147,8 +147,8 @@
 	}
 }
 
-// Guards against all instances believing the same late report and choosing alike: a worker that was idle a while ago is
-// full before anyone hears of it, and idle ones stand beside it.
+// Guards against all instances trusting the same late report and choosing alike: a worker that was idle is full before
+// anyone learns of it, beside idle ones.
 func TestManyInstancesSpreadOnLateReports(t *testing.T) {
 	for _, instances := range []int{3, 36, 80} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
@@ -169,11 +169,11 @@
 	}
 }
 
-// mostFull is a little more than what was measured with reports counting as they do; seeds and clock are fixed.
+// mostFull is a little more than was measured with the present weight of reports; seeds and clock are fixed.
 var mostFull = map[int]float64{3: 0.02, 36: 0.325, 80: 0.32} // without the share: 0.032, 0.345, 0.332
 
-// Guards against a worker that drains before the list says so, and answers 'full' at once: with no job there it looks
-// like the emptiest, and every instance would try it with job after job.
+// Guards against a worker that drains before the list shows it, and rejects at once: without a job it looks the emptiest,
+// and every instance would send it job after job.
 func TestRejectingWorkerIsNotTriedRepeatedly(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(6)...)
@@ -197,8 +197,8 @@
 	}
 }
 
-// Guards against second copies saved up by each of many instances: where a part of the workers stands still all see it at
-// the same time, and what is a few copies for each was hundreds on the workers that are left.
+// Guards against hedged requests saved up by each of many instances: if some of the workers hang, all see it at the same
+// time, and a few for each are hundreds on the remaining workers.
 func TestHedgeBudgetIsShared(t *testing.T) {
 	for _, instances := range []int{3, 60, 300} {
 		s := testSettings()
@@ -227,8 +227,8 @@
 	}
 }
 
-// Guards against cold budgets that hold only where traffic is even and all hear of a start together: a tenth has six times
-// the mean, and a third hears of the starts a second late, when the others have spent their turns.
+// Guards against slow start budgets that hold only if traffic is even and all learn of a start together: a tenth has six
+// times the mean, and a third learns of the starts a second late, when the others have spent their turns.
 func TestSlowStartHoldsUnderUnevenTraffic(t *testing.T) {
 	for _, tc := range []struct {
 		instances int
--- a/loadbalancer/instances_test.go
+++ b/loadbalancer/instances_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// balancerWithShare makes the balancer of one of several instances.
+// balancerWithShare returns the balancer of one of several instances.
 func balancerWithShare(t *testing.T, p InstanceShare) *Balancer {
 	b := newRecorder(t, testSettings(), 1).b
 	if err := b.SetInstanceShare(p); err != nil {
@@ -18,7 +18,7 @@
 	return b
 }
 
-// Whoever counts all that send gets, with all of them together, no more than one turn's budget, whatever else each counts.
+// As long as each instance counts at least all that send, all of them together get no more than one turn's budget.
 func TestInstancesWithDifferentViewsShareOneBudget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
@@ -54,7 +54,7 @@
 	})
 }
 
-// F1: a place that is the settings' own changes no decision, whatever places were set in between.
+// An InstanceShare equal to the settings changes no decision, whatever shares were set in between.
 func TestInstanceOfSettingsDecidesAsInstanceShare(t *testing.T) {
 	play := func(set bool) (sends []string) {
 		s := testSettings()
--- a/loadbalancer/learning.go
+++ b/loadbalancer/learning.go
@@ -9,7 +9,9 @@
 // updateMeans computes the own jobs that wait to start on each worker, the workers' slots and their mean
 // error rate; decay is the share of the longest deadline that has passed since the last time.
 func (b *Balancer) updateMeans(now, decay float64) {
-	slots, reporting, fewest, errors, observed, weight, weights := 0.0, 0.0, math.Inf(1), 0.0, 0.0, 0.0, 0.0
+	slots, reporting, fewest := 0.0, 0.0, math.Inf(1)
+	errors, observed := 0.0, 0.0
+	weight, weights := 0.0, 0.0
 	b.totalSlots = 0
 	for _, worker := range b.workers {
 		worker.longestWait, worker.queuedSlots = 0, 0
@@ -46,8 +48,11 @@
 			if !b.ReportsStart || !attempt.inFlight || attempt.startedAt > 0 {
 				continue
 			}
-			if wait := now - attempt.sentAt; wait > b.zoneLatencies[b.zoneOf(attempt.worker)]+b.sweepInterval { // more than the latency of the progress update
-				attempt.worker.longestWait, attempt.worker.queuedSlots = math.Max(attempt.worker.longestWait, wait), attempt.worker.queuedSlots+request.slotsNeeded
+			// A shorter wait may be the latency of the progress update.
+			worker, wait := attempt.worker, now-attempt.sentAt
+			if wait > b.zoneLatencies[b.zoneOf(worker)]+b.sweepInterval {
+				worker.longestWait = math.Max(worker.longestWait, wait)
+				worker.queuedSlots += request.slotsNeeded
 			}
 		}
 	}
@@ -58,7 +63,8 @@
 	if cost <= 0 || runTime <= 0 {
 		return
 	}
-	capacity.UpdateMean(&worker.pace, math.Min(runTime/cost, 2*peerFactor*b.meanPace), learningRate) // bounded: one heavy job does not make a worker slow
+	// The samples are bounded: one heavy job does not make a worker slow.
+	capacity.UpdateMean(&worker.pace, math.Min(runTime/cost, 2*peerFactor*b.meanPace), learningRate)
 	capacity.UpdateMean(&b.meanPace, math.Min(runTime/cost, 2*b.meanPace), fleetLearningRate)
 	kind := b.kindOf(worker)
 	capacity.UpdateMean(&kind.pace, math.Min(runTime/cost, 2*kind.pace), fleetLearningRate)
--- a/loadbalancer/replay_test.go
+++ b/loadbalancer/replay_test.go
@@ -14,7 +14,7 @@
 	"testing"
 )
 
-// hashingActions notes all actions of a Balancer on their way, in their order and with all bits of their numbers.
+// hashingActions hashes all actions of a Balancer in their order and with all bits of their numbers, and passes them on.
 type hashingActions struct {
 	Actions
 	sum   hash.Hash64
@@ -71,7 +71,7 @@
 	h.Actions.Log(line)
 }
 
-// replayed plays a day and tells the hash of all actions, of all that was learnt and of what is held of each worker.
+// replayed runs a simulation and returns the hash of all actions, of all snapshots and of the status of each worker.
 func replayed(t *testing.T, plan simulationPlan, seed uint64, place bool) (sum uint64, actions int) {
 	h := &hashingActions{sum: fnv.New64a()}
 	var all []*Balancer
@@ -94,7 +94,7 @@
 	}
 	w := newSimulation(plan, seed, decide)
 	share, byClass := w.run()
-	h.note("%x %x %d %d %d", math.Float64bits(share), byClass, w.refused, w.failed, w.late)
+	h.note("%x %x %d %d %d", math.Float64bits(share), byClass, w.rejected, w.failed, w.late)
 	for _, b := range all {
 		actions += b.actions.(*hashingActions).count
 		learnt, err := json.Marshal(b.Snapshot())
@@ -112,8 +112,8 @@
 	return h.sum.Sum64(), actions
 }
 
-// What a Balancer does is recorded in testdata/replay.txt, event for event: a change that is meant to change no decision
-// leaves every hash as it is. One that is meant to writes the file anew with REPLAY_RECORD=1, and its commit says why.
+// The actions of a Balancer are recorded in testdata/replay.txt: a change that should change no decision leaves every hash as
+// it is. One that should writes the file anew with REPLAY_RECORD=1, and its commit says why.
 func TestRecordedRunsAreReplayed(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
 		t.Skip("recorded on amd64; other processors round products that are added differently")
--- a/loadbalancer/reports.go
+++ b/loadbalancer/reports.go
@@ -7,7 +7,15 @@
 )
 
 // loadReport is a load report by field; -1 is not reported.
-type loadReport struct{ inFlight, utilization, freeSlots, queued float64 }
+type loadReport struct {
+	inFlight    float64 // jobs
+	utilization float64 // share of the cores
+	freeSlots   float64
+	queued      float64 // jobs
+}
+
+// maxPeriodGrowth bounds a sample of the report period as a multiple of the mean.
+const maxPeriodGrowth = 8
 
 // parseReport sorts a report by the settings' fields; a value that makes no sense counts as not reported.
 func (b *Balancer) parseReport(worker *workerState, report []float32) loadReport {
@@ -55,20 +63,23 @@
 	}
 	otherJobs := parsed.inFlight - worker.meanOwnJobs
 	if worker.reportRepeated { // else the time between reports is how rarely this balancer polled
-		capacity.UpdateMean(&b.reportPeriod, math.Min(now-worker.reportedAt, 8*b.reportPeriod), learningRate)
+		capacity.UpdateMean(&b.reportPeriod, math.Min(now-worker.reportedAt, maxPeriodGrowth*b.reportPeriod), learningRate)
 	}
 	worker.reportRepeated = false
 	if worker.reported { // where reports are rare, each counts for more
-		capacity.UpdateMean(&worker.otherJobs, otherJobs, 1-math.Pow(1-otherJobsRate, math.Max(1, (now-worker.reportedAt)/b.reportPeriod)))
+		periods := math.Max(1, (now-worker.reportedAt)/b.reportPeriod)
+		capacity.UpdateMean(&worker.otherJobs, otherJobs, 1-math.Pow(1-otherJobsRate, periods))
 	} else {
 		worker.otherJobs = otherJobs
 	}
-	slots := math.Round(parsed.inFlight + math.Max(parsed.freeSlots, 0)) // too high if a queue waits behind a wide job
+	// With few free slots the sum would be too high: a queue may wait behind a wide job.
+	slots := math.Round(parsed.inFlight + math.Max(parsed.freeSlots, 0))
 	if parsed.freeSlots >= 0 && 2*parsed.freeSlots >= parsed.inFlight {
 		worker.slots = math.Max(worker.slots, slots)
 	}
 	if worker.limits.Load == 0 {
 		worker.limits.Load = initialMargin * worker.slots
 	}
-	worker.reported, worker.inFlight, worker.utilization, worker.reportedAt = true, parsed.inFlight, math.Max(parsed.utilization, 0), now
+	worker.reported, worker.reportedAt = true, now
+	worker.inFlight, worker.utilization = parsed.inFlight, math.Max(parsed.utilization, 0)
 }
--- a/loadbalancer/request.go
+++ b/loadbalancer/request.go
@@ -98,16 +98,22 @@
 func (b *Balancer) recordSend(now float64, request *requestState, worker *workerState) {
 	b.slowStartSpent(now, worker)
 	worker.sentWork[worker.sentSpan&3] += b.slowStartCost(request)
-	request.attempts = append(request.attempts, attemptState{worker: worker, sentAt: now, inFlight: true, mayHaveRun: true,
-		load: worker.otherJobs*b.slotsPerJob + worker.ownSlots + request.slotsNeeded})
+	request.attempts = append(request.attempts, attemptState{worker: worker, sentAt: now, inFlight: true,
+		mayHaveRun: true, load: worker.otherJobs*b.slotsPerJob + worker.ownSlots + request.slotsNeeded})
 	request.inFlight++
-	worker.ownSlots, worker.ownJobs, worker.spareSlots = worker.ownSlots+request.slotsNeeded, worker.ownJobs+1, worker.spareSlots-request.slotsNeeded
+	worker.ownSlots += request.slotsNeeded
+	worker.ownJobs++
+	worker.spareSlots -= request.slotsNeeded
 }
 
 // endAttempt releases the slots of an attempt.
 func (r *requestState) endAttempt(attempt *attemptState) {
-	attempt.inFlight, r.inFlight = false, r.inFlight-1
-	attempt.worker.ownSlots, attempt.worker.ownJobs, attempt.worker.spareSlots = attempt.worker.ownSlots-r.slotsNeeded, attempt.worker.ownJobs-1, attempt.worker.spareSlots+r.slotsNeeded
+	attempt.inFlight = false
+	r.inFlight--
+	worker := attempt.worker
+	worker.ownSlots -= r.slotsNeeded
+	worker.ownJobs--
+	worker.spareSlots += r.slotsNeeded
 }
 
 // lastInFlight is the last attempt in flight; if there is none, the first attempt.
--- a/loadbalancer/settings.go
+++ b/loadbalancer/settings.go
@@ -8,12 +8,11 @@
 // RetrySafety says what running a request of a class twice may do.
 type RetrySafety uint8
 
-// The kinds of retry safety: a second run is harmless, dropped by the workers of a group for a while, or
-// harmful.
+// The kinds of retry safety.
 const (
-	RetrySafe RetrySafety = iota
-	RetryDeduplicated
-	RetryUnsafe
+	RetrySafe         RetrySafety = iota // harmless
+	RetryDeduplicated                    // the workers of DedupScope drop duplicates within DedupWindow
+	RetryUnsafe                          // harmful
 )
 
 // DedupScope is the group of workers that drops duplicates of a RetryDeduplicated request.
@@ -21,9 +20,9 @@
 
 // The scopes of a deduplicated class.
 const (
-	DedupAll DedupScope = iota
-	DedupZone
-	DedupCell
+	DedupAll  DedupScope = iota // all workers
+	DedupZone                   // those of a zone
+	DedupCell                   // those of a cell
 )
 
 // ReportField is the meaning of one value of a load report.
@@ -46,7 +45,7 @@
 	Stretch        float64 // the objective grows by this multiple of the job's own work
 	Deadline       float64 // the client waits this long for all attempts together
 	DedupWindow    float64 // RetryDeduplicated: how long the group drops duplicates
-	Value          float64
+	Value          float64 // of an answer in time, relative to other classes
 	LateValueShare float64 // share of the value that an answer after the objective has
 	RetrySafety    RetrySafety
 	DedupScope     DedupScope
@@ -63,34 +62,34 @@
 type Settings struct {
 	Classes               []Class
 	Tenants               []Tenant
-	Zones                 int // number of zones
-	Zone                  int // of this dispatcher
-	Instances             int // dispatchers that share the workers
-	Instance              int // the number of this dispatcher among them, from 0
-	ReportFields          []ReportField
-	ReportsByProbe        bool // load reports come with probe results only
-	ListOnRequest         bool // the worker list must be watched or fetched, it does not come by itself
-	MayProbe              bool
-	MayCancel             bool
-	ParallelAttempts      bool // two attempts of a request may be in flight together
-	MayRetryAfter         bool // a rejection may carry a wait
-	MaxAttempts           int
-	MaxRetryAfter         float64
-	ReportsStart          bool    // workers report when a job starts
-	Tick                  float64 // events come in batches at least this far apart
-	AnswerSlack           float64 // a final answer still counts this long after the deadline
-	ListRefreshInterval   float64 // ListOnRequest: without a watch the list must be refreshed this often
-	SlowStartDuration     float64 // slow start of a worker ends this long after its start
-	SlowStartInitialShare float64 // share of its capacity that a worker starts with, at least
-	OverloadMultiple      float64 // a worker in slow start that is sent more than this multiple of its present capacity
-	OverloadWindow        float64 // within this span fails
-	OverQuotaValue        float64 // value of a request beyond its tenant's quota, as a fraction
+	Zones                 int           // number of zones
+	Zone                  int           // of this dispatcher
+	Instances             int           // dispatchers that share the workers
+	Instance              int           // the number of this dispatcher among them, from 0
+	ReportFields          []ReportField // of a load report, in order
+	ReportsByProbe        bool          // load reports come with probe results only
+	ListOnRequest         bool          // the worker list must be watched or fetched, it does not come by itself
+	MayProbe              bool          // load reports may be polled
+	MayCancel             bool          // attempts in flight may be cancelled
+	ParallelAttempts      bool          // two attempts of a request may be in flight together
+	MayRetryAfter         bool          // a rejection may carry a wait
+	MaxAttempts           int           // of one request
+	MaxRetryAfter         float64       // longest wait that a rejection may carry
+	ReportsStart          bool          // workers report when a job starts
+	Tick                  float64       // events come in batches at least this far apart
+	AnswerSlack           float64       // a final answer still counts this long after the deadline
+	ListRefreshInterval   float64       // ListOnRequest: without a watch the list must be refreshed this often
+	SlowStartDuration     float64       // slow start of a worker ends this long after its start
+	SlowStartInitialShare float64       // share of its capacity that a worker starts with, at least
+	OverloadMultiple      float64       // a worker in slow start fails if it is sent more than this multiple of its present
+	OverloadWindow        float64       // capacity within this window
+	OverQuotaValue        float64       // value of a request beyond its tenant's quota, as a fraction
 }
 
 // validate returns an error for the first field that is missing or makes no sense. Errors name the fields
 // in the words of the settings file, which operators know.
 func (s *Settings) validate() error {
-	invalid := func(field string, v any) error { return fmt.Errorf("brain: settings: bad %s: %v", field, v) }
+	invalid := func(field string, v any) error { return fmt.Errorf("loadbalancer: settings: bad %s: %v", field, v) }
 	if len(s.Classes) == 0 {
 		return invalid("Classes", "none given")
 	}
@@ -121,7 +120,7 @@
 	}
 	for _, field := range []struct {
 		name     string
-		v        float64
+		value    float64
 		positive bool
 	}{
 		{"MaxRetryAfter", s.MaxRetryAfter, false}, {"Tick", s.Tick, true}, {"AnswerSlack", s.AnswerSlack, false},
@@ -129,8 +128,8 @@
 		{"FallMultiple", s.OverloadMultiple, true}, {"FallTime", s.OverloadWindow, true},
 		{"OverShareWorth", s.OverQuotaValue, false},
 	} {
-		if !isFinite(field.v) || field.v < 0 || field.positive && field.v == 0 {
-			return invalid(field.name, field.v)
+		if !isFinite(field.value) || field.value < 0 || field.positive && field.value == 0 {
+			return invalid(field.name, field.value)
 		}
 	}
 	if !(s.SlowStartInitialShare > 0 && s.SlowStartInitialShare <= 1) {
@@ -142,18 +141,19 @@
 // validate returns an error for the first field that makes no sense.
 func (c *Class) validate(index int) error {
 	invalid := func(field string, v any) error {
-		return fmt.Errorf("brain: settings: bad Classes[%d].%s: %v", index, field, v)
+		return fmt.Errorf("loadbalancer: settings: bad Classes[%d].%s: %v", index, field, v)
 	}
 	for _, field := range []struct {
 		name     string
-		v        float64
+		value    float64
 		positive bool
 	}{
 		{"Objective", c.Objective, true}, {"Deadline", c.Deadline, true}, {"Stretch", c.Stretch, false},
-		{"Window", c.DedupWindow, c.RetrySafety == RetryDeduplicated}, {"Worth", c.Value, false}, {"LateShare", c.LateValueShare, false},
+		{"Window", c.DedupWindow, c.RetrySafety == RetryDeduplicated}, {"Worth", c.Value, false},
+		{"LateShare", c.LateValueShare, false},
 	} {
-		if !isFinite(field.v) || field.v < 0 || field.positive && field.v == 0 {
-			return invalid(field.name, field.v)
+		if !isFinite(field.value) || field.value < 0 || field.positive && field.value == 0 {
+			return invalid(field.name, field.value)
 		}
 	}
 	if c.RetrySafety > RetryUnsafe {
--- a/loadbalancer/simulation_test.go
+++ b/loadbalancer/simulation_test.go
@@ -7,28 +7,28 @@
 	"cinderroad/internal/testkit/eventqueue"
 )
 
-// simulation plays a small fleet over virtual time: clients, instances that share nothing, workers with cores and a queue. What a deployment's
-// settings leave out is left out here, so that the same decisions can be measured on all of them beside a policy without any thought.
+// simulation plays a small cluster over virtual time: clients, instances that share nothing, workers with cores and a queue. It omits
+// what a deployment's settings omit, so that the same decisions can be measured on all deployments beside a simple baseline.
 type simulation struct {
-	plan    simulationPlan
-	now     float64
-	agenda  eventqueue.Queue
-	rng     *rand.Rand
-	workers []*simWorker
-	nodes   []*simInstance
-	nextID  RequestID
-	worth   []float64 // asked for, by class
-	earned  []float64
-	refused int
-	failed  int
-	late    int
-	asked   int
-	breach  []string
-}
-
-// simulationPlan is what a deployment is like; times are in seconds.
+	plan      simulationPlan
+	now       float64
+	events    eventqueue.Queue
+	random    *rand.Rand
+	workers   []*simWorker
+	instances []*simInstance
+	nextID    RequestID
+	value     []float64 // asked for, by class
+	earned    []float64
+	rejected  int
+	failed    int
+	late      int
+	requests  int
+	breach    []string
+}
+
+// simulationPlan describes a deployment; times are in seconds.
 type simulationPlan struct {
-	s         Settings
+	settings  Settings
 	load      float64 // jobs' work asked for, as a share of what the workers can do when warm
 	swing     float64 // the load rises and falls by this share, over the day
 	surge     float64 // and is so many times as much from a third to a half of the day
@@ -56,7 +56,7 @@
 	cores, queue int
 }
 
-// simWorker is a worker: it runs as many jobs as it has cores, in order, and turns away what its queue does not hold.
+// simWorker runs as many jobs as it has cores, in order, and rejects what its queue does not hold.
 type simWorker struct {
 	Worker
 	speed   float64
@@ -73,22 +73,22 @@
 }
 
 type simAttempt struct {
-	n       *simInstance
-	q       *simRequest
-	attempt int
-	m       *simWorker
-	over    bool // its outcome has been told
-	started bool
+	instance *simInstance
+	request  *simRequest
+	attempt  int
+	worker   *simWorker
+	over     bool // its outcome has been told
+	started  bool
 }
 
-// simRequest is one try of a client.
+// simRequest is one request of a client.
 type simRequest struct {
 	id       RequestID
 	class    int
 	work     float64
-	first    float64 // when the client asked for the first time
+	firstAt  float64 // when the client asked for the first time
 	deadline float64
-	again    float64 // retries the client has left
+	retries  float64 // retries the client has left
 	attempts []*simAttempt
 	done     bool
 	out      int
@@ -96,14 +96,14 @@
 
 // simInstance is one dispatcher.
 type simInstance struct {
-	w      *simulation
-	me     int
-	policy decider
-	asks   map[RequestID]*simRequest
-	s      Settings
+	sim      *simulation
+	number   int
+	decider  decider
+	requests map[RequestID]*simRequest
+	settings Settings
 }
 
-// decider is what decides: a Balancer, or what it is measured against.
+// decider is a Balancer, or the baseline that it is measured against.
 type decider interface {
 	Start(now float64)
 	HandleTimer(now float64, token uint32)
@@ -115,39 +115,39 @@
 	HandleDisconnect(now float64, id RequestID)
 }
 
-func (w *simulation) at(at float64, do func()) { w.agenda.Schedule(max(at, w.now), do) }
+func (sim *simulation) at(at float64, do func()) { sim.events.Schedule(max(at, sim.now), do) }
 
-// newSimulation draws a day. The same plan and seed draw the same day whoever decides: decisions have no part in these numbers.
+// newSimulation draws the arrivals and workers. The same plan and seed draw the same ones for any decider.
 func newSimulation(plan simulationPlan, seed uint64, decide func(s Settings, seed uint64, act Actions) decider) *simulation {
-	classes := len(plan.s.Classes)
-	w := &simulation{plan: plan, now: 1000, rng: rand.New(rand.NewPCG(seed, 7)), worth: make([]float64, classes), earned: make([]float64, classes)}
+	classes := len(plan.settings.Classes)
+	sim := &simulation{plan: plan, now: 1000, random: rand.New(rand.NewPCG(seed, 7)), value: make([]float64, classes), earned: make([]float64, classes)}
 	day := rand.New(rand.NewPCG(seed, 1))
 	power := 0.0
 	for i := range plan.workers {
-		k := plan.kinds[0]
+		machine := plan.kinds[0]
 		kind := 0
 		for mark, sum := (float64(i)+0.5)/float64(plan.workers), 0.0; kind < len(plan.kinds); kind++ {
-			if k = plan.kinds[kind]; mark < sum+k.share {
+			if machine = plan.kinds[kind]; mark < sum+machine.share {
 				break
 			}
-			sum += k.share
+			sum += machine.share
 		}
-		m := &simWorker{speed: k.speed * math.Exp(0.12*day.NormFloat64()), cores: k.cores, queue: k.queue}
-		m.Worker = Worker{ID: WorkerID(1 + i), Zone: i % plan.s.Zones, Kind: kind, Cell: i / 6, State: Ready, Weight: 1}
+		worker := &simWorker{speed: machine.speed * math.Exp(0.12*day.NormFloat64()), cores: machine.cores, queue: machine.queue}
+		worker.Worker = Worker{ID: WorkerID(1 + i), Zone: i % plan.settings.Zones, Kind: kind, Cell: i / 6, State: Ready, Weight: 1}
 		if plan.weights {
-			m.Weight = m.speed * float64(m.cores) * math.Exp(0.2*day.NormFloat64())
+			worker.Weight = worker.speed * float64(worker.cores) * math.Exp(0.2*day.NormFloat64())
 		}
-		power += m.speed * float64(m.cores)
-		w.workers = append(w.workers, m)
+		power += worker.speed * float64(worker.cores)
+		sim.workers = append(sim.workers, worker)
 	}
 	for me := range plan.instances {
-		n := &simInstance{w: w, me: me, asks: map[RequestID]*simRequest{}, s: plan.s}
-		n.s.Instances, n.s.Instance, n.s.Zone = plan.instances, me, me%plan.s.Zones
-		n.policy = decide(n.s, uint64(me)+100*seed, n)
-		w.nodes = append(w.nodes, n)
-		w.at(w.now, func() {
-			n.policy.Start(w.now)
-			n.policy.UpdateWorkers(w.now, ListFull, w.list())
+		instance := &simInstance{sim: sim, number: me, requests: map[RequestID]*simRequest{}, settings: plan.settings}
+		instance.settings.Instances, instance.settings.Instance, instance.settings.Zone = plan.instances, me, me%plan.settings.Zones
+		instance.decider = decide(instance.settings, uint64(me)+100*seed, instance)
+		sim.instances = append(sim.instances, instance)
+		sim.at(sim.now, func() {
+			instance.decider.Start(sim.now)
+			instance.decider.UpdateWorkers(sim.now, ListFull, sim.list())
 		})
 	}
 	mean := 0.0
@@ -155,7 +155,7 @@
 		mean += share * plan.work[c]
 	}
 	rate := plan.load * power / mean
-	start := w.now
+	start := sim.now
 	for t := start; ; {
 		t += day.ExpFloat64() / (rate * (1 + plan.swing) * max(plan.surge, 1))
 		if t > start+plan.length {
@@ -189,161 +189,161 @@
 		if day.Float64() < plan.retries {
 			again = 1
 		}
-		w.at(t, func() { w.arrive(w.nodes[me], c, work, w.now, again, true) })
+		sim.at(t, func() { sim.arrive(sim.instances[me], c, work, sim.now, again, true) })
 	}
 	if plan.slow > 0 {
-		w.at(start+plan.length/3, func() {
-			for i := 0; i < len(w.workers); i += 6 {
-				w.workers[i].speed /= plan.slow
+		sim.at(start+plan.length/3, func() {
+			for i := 0; i < len(sim.workers); i += 6 {
+				sim.workers[i].speed /= plan.slow
 			}
 		})
 	}
 	if plan.replace {
-		w.at(start+plan.length/2, func() {
-			for i := 0; i < len(w.workers); i += 3 {
-				w.workers[i].StartedAt = w.now
-				for _, x := range append(append([]*simAttempt(nil), w.workers[i].running...), w.workers[i].waiting...) {
-					w.end(x, Reset, nil)
+		sim.at(start+plan.length/2, func() {
+			for i := 0; i < len(sim.workers); i += 3 {
+				sim.workers[i].StartedAt = sim.now
+				for _, x := range append(append([]*simAttempt(nil), sim.workers[i].running...), sim.workers[i].waiting...) {
+					sim.end(x, Reset, nil)
 				}
-				w.workers[i].running, w.workers[i].waiting = nil, nil
+				sim.workers[i].running, sim.workers[i].waiting = nil, nil
 			}
-			for _, n := range w.nodes {
-				n.policy.UpdateWorkers(w.now, ListFull, w.list())
+			for _, instance := range sim.instances {
+				instance.decider.UpdateWorkers(sim.now, ListFull, sim.list())
 			}
 		})
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) list() (entries []Worker) {
-	for _, m := range w.workers {
-		entries = append(entries, m.Worker)
+func (sim *simulation) list() (entries []Worker) {
+	for _, worker := range sim.workers {
+		entries = append(entries, worker.Worker)
 	}
 	return entries
 }
 
-func (w *simulation) arrive(n *simInstance, class int, work, first, again float64, fresh bool) {
-	c := &w.plan.s.Classes[class]
-	w.nextID++
-	q := &simRequest{id: w.nextID, class: class, work: work, first: first, deadline: first + c.Deadline, again: again}
+func (sim *simulation) arrive(instance *simInstance, class int, work, first, again float64, fresh bool) {
+	c := &sim.plan.settings.Classes[class]
+	sim.nextID++
+	request := &simRequest{id: sim.nextID, class: class, work: work, firstAt: first, deadline: first + c.Deadline, retries: again}
 	if fresh {
-		w.worth[class] += c.Value * work
-		w.asked++
+		sim.value[class] += c.Value * work
+		sim.requests++
 	}
-	n.asks[q.id] = q
-	r := &Request{ID: q.id, Class: class, Slots: 1, Deadline: q.deadline}
-	if w.plan.hints {
-		r.Work = work * math.Exp(0.2*w.rng.NormFloat64())
+	instance.requests[request.id] = request
+	r := &Request{ID: request.id, Class: class, Slots: 1, Deadline: request.deadline}
+	if sim.plan.hints {
+		r.Work = work * math.Exp(0.2*sim.random.NormFloat64())
 	}
-	n.policy.HandleRequest(w.now, r)
+	instance.decider.HandleRequest(sim.now, r)
 }
 
-// way is one way between a node and a worker.
-func (w *simulation) way(n *simInstance, m *simWorker) float64 {
-	if n.s.Zone == m.Zone {
-		return w.plan.same
+// latency is the one-way latency between an instance and a worker.
+func (sim *simulation) latency(instance *simInstance, worker *simWorker) float64 {
+	if instance.settings.Zone == worker.Zone {
+		return sim.plan.same
 	}
-	return w.plan.cross
+	return sim.plan.cross
 }
 
-func (n *simInstance) Send(id RequestID, worker WorkerID, timeout float64) {
-	w, q := n.w, n.asks[id]
+func (instance *simInstance) Send(id RequestID, worker WorkerID, timeout float64) {
+	w, q := instance.sim, instance.requests[id]
 	if q == nil || q.done {
 		w.breach = append(w.breach, "sent what is answered")
 		return
 	}
 	m := w.workers[worker-1]
-	x := &simAttempt{n: n, q: q, attempt: len(q.attempts), m: m}
-	c := &w.plan.s.Classes[q.class]
+	x := &simAttempt{instance: instance, request: q, attempt: len(q.attempts), worker: m}
+	c := &w.plan.settings.Classes[q.class]
 	for _, y := range q.attempts {
-		if !y.over && !n.s.ParallelAttempts || y.started && c.RetrySafety == RetryUnsafe {
+		if !y.over && !instance.settings.ParallelAttempts || y.started && c.RetrySafety == RetryUnsafe {
 			w.breach = append(w.breach, "a second attempt that is not allowed")
 		}
 	}
 	q.attempts = append(q.attempts, x)
 	q.out++
-	w.at(w.now+w.way(n, m), func() { w.take(x) })
+	w.at(w.now+w.latency(instance, m), func() { w.take(x) })
 	w.at(q.deadline, func() { w.end(x, Timeout, nil) })
 }
 
-func (w *simulation) take(x *simAttempt) {
-	m := x.m
+func (sim *simulation) take(attempt *simAttempt) {
+	worker := attempt.worker
 	switch {
-	case x.over:
-	case m.State != Ready || len(m.waiting) >= m.queue:
-		w.end(x, Rejected, w.report(m))
+	case attempt.over:
+	case worker.State != Ready || len(worker.waiting) >= worker.queue:
+		sim.end(attempt, Rejected, sim.report(worker))
 	default:
-		m.waiting = append(m.waiting, x)
-		w.serve(m)
+		worker.waiting = append(worker.waiting, attempt)
+		sim.serve(worker)
 	}
 }
 
-func (w *simulation) serve(m *simWorker) {
-	for len(m.running) < m.cores && len(m.waiting) > 0 {
-		x := m.waiting[0]
-		m.waiting = m.waiting[1:]
-		m.running = append(m.running, x)
-		x.started = true
+func (sim *simulation) serve(worker *simWorker) {
+	for len(worker.running) < worker.cores && len(worker.waiting) > 0 {
+		attempt := worker.waiting[0]
+		worker.waiting = worker.waiting[1:]
+		worker.running = append(worker.running, attempt)
+		attempt.started = true
 		warm := 1.0
-		if m.StartedAt > 0 && w.now < m.StartedAt+w.plan.s.SlowStartDuration {
-			warm = w.plan.s.SlowStartInitialShare + (1-w.plan.s.SlowStartInitialShare)*(w.now-m.StartedAt)/w.plan.s.SlowStartDuration
+		if worker.StartedAt > 0 && sim.now < worker.StartedAt+sim.plan.settings.SlowStartDuration {
+			warm = sim.plan.settings.SlowStartInitialShare + (1-sim.plan.settings.SlowStartInitialShare)*(sim.now-worker.StartedAt)/sim.plan.settings.SlowStartDuration
 		}
-		since := m.StartedAt
-		w.at(w.now+x.q.work/(m.speed*warm), func() {
-			if m.StartedAt != since {
+		since := worker.StartedAt
+		sim.at(sim.now+attempt.request.work/(worker.speed*warm), func() {
+			if worker.StartedAt != since {
 				return
 			}
-			for i, y := range m.running {
-				if y == x {
-					m.running = append(m.running[:i], m.running[i+1:]...)
+			for i, y := range worker.running {
+				if y == attempt {
+					worker.running = append(worker.running[:i], worker.running[i+1:]...)
 					break
 				}
 			}
-			report := w.report(m)
-			w.at(w.now+w.way(x.n, m), func() { w.end(x, OK, report) })
-			w.serve(m)
+			report := sim.report(worker)
+			sim.at(sim.now+sim.latency(attempt.instance, worker), func() { sim.end(attempt, OK, report) })
+			sim.serve(worker)
 		})
-		if x.n.s.ReportsStart {
-			w.at(w.now+w.way(x.n, m), func() {
-				if !x.over {
-					x.n.policy.HandleProgress(w.now, &ProgressUpdate{Request: x.q.id, Attempt: x.attempt, Started: true})
+		if attempt.instance.settings.ReportsStart {
+			sim.at(sim.now+sim.latency(attempt.instance, worker), func() {
+				if !attempt.over {
+					attempt.instance.decider.HandleProgress(sim.now, &ProgressUpdate{Request: attempt.request.id, Attempt: attempt.attempt, Started: true})
 				}
 			})
 		}
 	}
-	m.reports = append(m.reports, timedReport{w.now, w.fields(m)})
+	worker.reports = append(worker.reports, timedReport{sim.now, sim.fields(worker)})
 }
 
-func (w *simulation) fields(m *simWorker) (fields []float32) {
-	for _, f := range w.plan.s.ReportFields {
+func (sim *simulation) fields(worker *simWorker) (fields []float32) {
+	for _, f := range sim.plan.settings.ReportFields {
 		v := 0.0
 		switch f {
 		case FieldInFlight:
-			v = float64(len(m.running) + len(m.waiting))
+			v = float64(len(worker.running) + len(worker.waiting))
 		case FieldUtilization:
-			v = float64(len(m.running)) / float64(m.cores)
+			v = float64(len(worker.running)) / float64(worker.cores)
 		case FieldQueued:
-			v = float64(len(m.waiting))
+			v = float64(len(worker.waiting))
 		case FieldFreeSlots:
-			v = float64(m.cores - len(m.running))
+			v = float64(worker.cores - len(worker.running))
 		}
 		fields = append(fields, float32(v))
 	}
 	return fields
 }
 
-// report is what the worker told of itself a while ago.
-func (w *simulation) report(m *simWorker) (fields []float32) {
-	if len(w.plan.s.ReportFields) == 0 || w.plan.s.ReportsByProbe {
+// report is the delayed load report of the worker.
+func (sim *simulation) report(worker *simWorker) (fields []float32) {
+	if len(sim.plan.settings.ReportFields) == 0 || sim.plan.settings.ReportsByProbe {
 		return nil
 	}
-	return w.aged(m)
+	return sim.aged(worker)
 }
 
-func (w *simulation) aged(m *simWorker) (fields []float32) {
-	for i, r := range m.reports {
-		if r.at > w.now-w.plan.reportAge {
-			m.reports = m.reports[max(i-1, 0):]
+func (sim *simulation) aged(worker *simWorker) (fields []float32) {
+	for i, r := range worker.reports {
+		if r.at > sim.now-sim.plan.reportAge {
+			worker.reports = worker.reports[max(i-1, 0):]
 			break
 		}
 		fields = r.fields
@@ -351,102 +351,102 @@
 	return fields
 }
 
-// end tells the outcome of an attempt, once.
-func (w *simulation) end(x *simAttempt, result Result, report []float32) {
-	if x.over {
+// end delivers the outcome of an attempt, once.
+func (sim *simulation) end(attempt *simAttempt, result Result, report []float32) {
+	if attempt.over {
 		return
 	}
-	x.over = true
-	x.q.out--
-	for i, y := range x.m.waiting { // a client that has gone leaves the queue
-		if y == x {
-			x.m.waiting = append(x.m.waiting[:i:i], x.m.waiting[i+1:]...)
+	attempt.over = true
+	attempt.request.out--
+	for i, y := range attempt.worker.waiting { // a client that has gone leaves the queue
+		if y == attempt {
+			attempt.worker.waiting = append(attempt.worker.waiting[:i:i], attempt.worker.waiting[i+1:]...)
 			break
 		}
 	}
-	q := x.q
-	if result == OK && !q.done {
-		q.done = true
-		c := &w.plan.s.Classes[q.class]
-		switch took := w.now - q.first; {
-		case took <= math.Min(c.Objective+c.Stretch*q.work, c.Deadline):
-			w.earned[q.class] += c.Value * q.work
+	request := attempt.request
+	if result == OK && !request.done {
+		request.done = true
+		c := &sim.plan.settings.Classes[request.class]
+		switch took := sim.now - request.firstAt; {
+		case took <= math.Min(c.Objective+c.Stretch*request.work, c.Deadline):
+			sim.earned[request.class] += c.Value * request.work
 		case took <= c.Deadline:
-			w.earned[q.class] += c.Value * q.work * c.LateValueShare
-			w.late++
+			sim.earned[request.class] += c.Value * request.work * c.LateValueShare
+			sim.late++
 		}
 	}
-	x.n.policy.HandleOutcome(w.now, &Outcome{Request: q.id, Attempt: x.attempt, Worker: x.m.ID, Result: result, ClientAnswered: q.done, Report: report})
+	attempt.instance.decider.HandleOutcome(sim.now, &Outcome{Request: request.id, Attempt: attempt.attempt, Worker: attempt.worker.ID, Result: result, ClientAnswered: request.done, Report: report})
 }
 
-// again has the client come back, if it has not used up its patience.
-func (n *simInstance) again(q *simRequest, wait float64) {
-	w := n.w
-	pause := math.Max(0.05, math.Min(wait, 2)*float64(w.rng.IntN(2)))
-	if q.again >= 1 && w.now+pause < q.deadline {
-		at := w.nodes[w.rng.IntN(len(w.nodes))]
-		w.at(w.now+pause, func() { w.arrive(at, q.class, q.work, q.first, q.again-1, false) })
+// again has the client retry, if it has time left.
+func (instance *simInstance) again(q *simRequest, wait float64) {
+	w := instance.sim
+	pause := math.Max(0.05, math.Min(wait, 2)*float64(w.random.IntN(2)))
+	if q.retries >= 1 && w.now+pause < q.deadline {
+		at := w.instances[w.random.IntN(len(w.instances))]
+		w.at(w.now+pause, func() { w.arrive(at, q.class, q.work, q.firstAt, q.retries-1, false) })
 	}
 }
 
-func (n *simInstance) Reject(id RequestID, wait float64) {
-	if q := n.asks[id]; q != nil && !q.done {
+func (instance *simInstance) Reject(id RequestID, wait float64) {
+	if q := instance.requests[id]; q != nil && !q.done {
 		q.done = true
-		n.w.refused++
-		n.again(q, wait)
+		instance.sim.rejected++
+		instance.again(q, wait)
 	}
 }
 
-func (n *simInstance) Fail(id RequestID) {
-	if q := n.asks[id]; q != nil && !q.done {
+func (instance *simInstance) Fail(id RequestID) {
+	if q := instance.requests[id]; q != nil && !q.done {
 		q.done = true
-		n.w.failed++
-		if n.w.plan.s.Classes[q.class].RetrySafety == RetrySafe {
-			n.again(q, 0)
+		instance.sim.failed++
+		if instance.sim.plan.settings.Classes[q.class].RetrySafety == RetrySafe {
+			instance.again(q, 0)
 		}
 	}
 }
 
-func (n *simInstance) Cancel(id RequestID, attempt int) {
-	x := n.asks[id].attempts[attempt]
-	n.w.at(n.w.now, func() { n.w.end(x, Cancelled, nil) })
+func (instance *simInstance) Cancel(id RequestID, attempt int) {
+	x := instance.requests[id].attempts[attempt]
+	instance.sim.at(instance.sim.now, func() { instance.sim.end(x, Cancelled, nil) })
 }
 
-func (n *simInstance) Probe(worker WorkerID) {
-	w, m := n.w, n.w.workers[worker-1]
-	w.at(w.now+2*w.way(n, m), func() { n.policy.HandleProbeResult(w.now, worker, OK, w.aged(m)) })
+func (instance *simInstance) Probe(worker WorkerID) {
+	w, m := instance.sim, instance.sim.workers[worker-1]
+	w.at(w.now+2*w.latency(instance, m), func() { instance.decider.HandleProbeResult(w.now, worker, OK, w.aged(m)) })
 }
 
-func (n *simInstance) SetTimer(token uint32, at float64) {
-	n.w.at(math.Max(at, n.w.now+n.s.Tick), func() { n.policy.HandleTimer(n.w.now, token) })
+func (instance *simInstance) SetTimer(token uint32, at float64) {
+	instance.sim.at(math.Max(at, instance.sim.now+instance.settings.Tick), func() { instance.decider.HandleTimer(instance.sim.now, token) })
 }
-func (n *simInstance) Watch(on bool) {
+func (instance *simInstance) Watch(on bool) {
 	if on {
-		n.w.at(n.w.now+0.01, func() { n.policy.UpdateWorkers(n.w.now, ListFull, n.w.list()) })
+		instance.sim.at(instance.sim.now+0.01, func() { instance.decider.UpdateWorkers(instance.sim.now, ListFull, instance.sim.list()) })
 	}
 }
-func (n *simInstance) Fetch()     { n.Watch(true) }
-func (n *simInstance) Log(string) {}
+func (instance *simInstance) Fetch()     { instance.Watch(true) }
+func (instance *simInstance) Log(string) {}
 
-// run plays the day out and tells the share of the worth that was earned, in all and by class.
-func (w *simulation) run() (share float64, byClass []float64) {
+// run plays all events and returns the share of the value that was earned, in all and by class.
+func (sim *simulation) run() (share float64, byClass []float64) {
 	for {
-		at, do, is := w.agenda.PopUntil(1000 + w.plan.length + 60)
+		at, do, is := sim.events.PopUntil(1000 + sim.plan.length + 60)
 		if !is {
 			break
 		}
-		w.now = at
+		sim.now = at
 		do()
 	}
 	asked, earned := 0.0, 0.0
-	for c := range w.worth {
-		asked, earned = asked+w.worth[c], earned+w.earned[c]
-		byClass = append(byClass, w.earned[c]/math.Max(w.worth[c], math.SmallestNonzeroFloat32))
+	for c := range sim.value {
+		asked, earned = asked+sim.value[c], earned+sim.earned[c]
+		byClass = append(byClass, sim.earned[c]/math.Max(sim.value[c], math.SmallestNonzeroFloat32))
 	}
 	return earned / asked, byClass
 }
 
-// baseline sends to the worker with fewest own jobs out in the nearest zone, and elsewhere where it is turned away.
+// baseline sends to the worker with the fewest own jobs in the nearest zone, and elsewhere if it is rejected.
 type baseline struct {
 	s    Settings
 	act  Actions
--- a/loadbalancer/snapshot.go
+++ b/loadbalancer/snapshot.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 )
 
 // Snapshot is what a Balancer has learnt, for its successor in a new process of the same dispatcher. The
@@ -48,22 +49,44 @@
 
 // Snapshot returns what was learnt so far.
 func (b *Balancer) Snapshot() Snapshot {
-	snapshot := Snapshot{WorkByClass: append([]float64(nil), b.meanWork...), ZoneLatencies: append([]float64(nil), b.zoneLatencies...), Pace: b.meanPace, RunTime: b.meanRunTime,
-		SlotsPerJob: b.slotsPerJob, ReportPeriod: b.reportPeriod, PlannedAt: b.plannedAt, Kinds: map[int]KindSnapshot{}, Workers: map[WorkerID]*WorkerSnapshot{}}
+	snapshot := Snapshot{WorkByClass: append([]float64(nil), b.meanWork...),
+		ZoneLatencies: append([]float64(nil), b.zoneLatencies...), Pace: b.meanPace, RunTime: b.meanRunTime,
+		SlotsPerJob: b.slotsPerJob, ReportPeriod: b.reportPeriod, PlannedAt: b.plannedAt,
+		Kinds: map[int]KindSnapshot{}, Workers: map[WorkerID]*WorkerSnapshot{}}
 	for number, kind := range b.kinds {
 		snapshot.Kinds[number] = KindSnapshot{kind.pace, kind.slots}
 	}
 	for _, worker := range b.workers {
 		if worker.State != Departed {
-			snapshot.Workers[worker.ID] = &WorkerSnapshot{StartedAt: worker.StartedAt, Reported: worker.reported, InFlight: worker.inFlight, Utilization: worker.utilization,
-				ReportedAt: worker.reportedAt, OtherJobs: math.Max(0, worker.otherJobs) + worker.ownJobs, Slots: worker.slots, LoadLimit: worker.limits.Load, UtilizationLimit: worker.limits.Utilization,
-				Pace: worker.pace, RunTime: worker.runTime, ErrorRate: worker.ejection.ErrorRate, Observed: worker.ejection.Observed, EjectedUntil: worker.ejection.EjectedUntil, EjectionDuration: worker.ejection.LastDuration,
-				SentWork: append([]float64(nil), worker.sentWork[:]...), SentSpan: worker.sentSpan}
+			snapshot.Workers[worker.ID] = worker.snapshot()
 		}
 	}
 	return snapshot
 }
 
+// snapshot returns what was learnt of the worker.
+func (w *workerState) snapshot() *WorkerSnapshot {
+	return &WorkerSnapshot{
+		StartedAt:        w.StartedAt,
+		Reported:         w.reported,
+		InFlight:         w.inFlight,
+		Utilization:      w.utilization,
+		ReportedAt:       w.reportedAt,
+		OtherJobs:        math.Max(0, w.otherJobs) + w.ownJobs,
+		Slots:            w.slots,
+		LoadLimit:        w.limits.Load,
+		UtilizationLimit: w.limits.Utilization,
+		Pace:             w.pace,
+		RunTime:          w.runTime,
+		ErrorRate:        w.ejection.ErrorRate,
+		Observed:         w.ejection.Observed,
+		EjectedUntil:     w.ejection.EjectedUntil,
+		EjectionDuration: w.ejection.LastDuration,
+		SentWork:         append([]float64(nil), w.sentWork[:]...),
+		SentSpan:         w.sentSpan,
+	}
+}
+
 // Restore takes over the snapshot of another Balancer of the same settings, all or nothing. What it says
 // of a worker applies once the list names that worker with the same start.
 func (b *Balancer) Restore(now float64, snapshot Snapshot) error {
@@ -72,7 +95,9 @@
 	}
 	copy(b.meanWork, snapshot.WorkByClass)
 	copy(b.zoneLatencies, snapshot.ZoneLatencies)
-	b.meanPace, b.meanRunTime, b.slotsPerJob, b.reportPeriod, b.plannedAt = snapshot.Pace, snapshot.RunTime, snapshot.SlotsPerJob, snapshot.ReportPeriod, snapshot.PlannedAt
+	b.meanPace, b.meanRunTime = snapshot.Pace, snapshot.RunTime
+	b.slotsPerJob, b.reportPeriod = snapshot.SlotsPerJob, snapshot.ReportPeriod
+	b.plannedAt = snapshot.PlannedAt
 	for number, kind := range snapshot.Kinds {
 		b.kinds[number] = &machineKind{pace: kind.Pace, slots: kind.Slots}
 	}
@@ -87,49 +112,57 @@
 	if saved == nil || saved.StartedAt != startedAt {
 		return
 	}
-	worker.reported, worker.inFlight, worker.utilization, worker.reportedAt = saved.Reported, saved.InFlight, saved.Utilization, saved.ReportedAt
-	worker.otherJobs, worker.slots, worker.limits.Load, worker.limits.Utilization = saved.OtherJobs, saved.Slots, saved.LoadLimit, saved.UtilizationLimit
-	worker.pace, worker.runTime, worker.ejection.ErrorRate, worker.ejection.Observed = saved.Pace, saved.RunTime, saved.ErrorRate, saved.Observed
-	worker.ejection.EjectedUntil, worker.ejection.LastDuration, worker.sentSpan = saved.EjectedUntil, saved.EjectionDuration, saved.SentSpan
+	worker.reported, worker.reportedAt = saved.Reported, saved.ReportedAt
+	worker.inFlight, worker.utilization = saved.InFlight, saved.Utilization
+	worker.otherJobs, worker.slots = saved.OtherJobs, saved.Slots
+	worker.limits.Load, worker.limits.Utilization = saved.LoadLimit, saved.UtilizationLimit
+	worker.pace, worker.runTime = saved.Pace, saved.RunTime
+	worker.ejection.ErrorRate, worker.ejection.Observed = saved.ErrorRate, saved.Observed
+	worker.ejection.EjectedUntil, worker.ejection.LastDuration = saved.EjectedUntil, saved.EjectionDuration
+	worker.sentSpan = saved.SentSpan
 	copy(worker.sentWork[:], saved.SentWork)
 }
 
-// validateSnapshot returns an error for the first value that makes no sense.
+// validateSnapshot returns an error for the first value that makes no sense. It names values as their JSON.
 func (b *Balancer) validateSnapshot(now float64, snapshot *Snapshot) error {
-	invalid := func(what string) error { return fmt.Errorf("brain: learnt: bad %s", what) }
-	valid := func(values ...float64) bool {
-		for _, v := range values {
-			if !isFinite(v) || v < 0 {
-				return false
-			}
-		}
-		return true
-	}
+	invalid := func(what string) error { return fmt.Errorf("loadbalancer: snapshot: bad %s", what) }
+	means := []float64{snapshot.Pace, snapshot.SlotsPerJob, snapshot.ReportPeriod}
 	switch {
-	case len(snapshot.WorkByClass) != len(b.meanWork) || !valid(snapshot.WorkByClass...):
+	case len(snapshot.WorkByClass) != len(b.meanWork) || !arePositive(snapshot.WorkByClass):
 		return invalid("work")
 	case snapshot.PlannedAt > now:
 		return invalid("time")
-	case len(snapshot.ZoneLatencies) != len(b.zoneLatencies) || !valid(snapshot.ZoneLatencies...):
+	case len(snapshot.ZoneLatencies) != len(b.zoneLatencies) || !areValid(snapshot.ZoneLatencies):
 		return invalid("far")
-	case !valid(snapshot.RunTime) || !(snapshot.Pace > 0 && snapshot.SlotsPerJob > 0 && snapshot.ReportPeriod > 0) || !valid(snapshot.Pace, snapshot.SlotsPerJob, snapshot.ReportPeriod, snapshot.PlannedAt):
+	case !arePositive(means) || !areValid([]float64{snapshot.RunTime, snapshot.PlannedAt}):
 		return invalid("means")
 	}
-	for _, saved := range snapshot.WorkByClass {
-		if saved == 0 {
-			return invalid("work")
-		}
-	}
 	for number, kind := range snapshot.Kinds {
-		if !valid(kind.Pace, kind.Slots) || kind.Pace == 0 {
+		if !areValid([]float64{kind.Pace, kind.Slots}) || kind.Pace == 0 {
 			return invalid(fmt.Sprint("kind ", number))
 		}
 	}
 	for id, saved := range snapshot.Workers {
-		if saved == nil || saved.Pace == 0 || len(saved.SentWork) != 4 || !valid(saved.SentWork...) || saved.SentSpan < 0 || !valid(saved.StartedAt, saved.InFlight, saved.Utilization,
-			saved.ReportedAt, saved.OtherJobs, saved.Slots, saved.LoadLimit, saved.UtilizationLimit, saved.Pace, saved.RunTime, saved.ErrorRate, saved.EjectedUntil, saved.EjectionDuration) {
+		if saved == nil || !saved.isValid() {
 			return invalid(fmt.Sprint("worker ", id))
 		}
 	}
 	return nil
 }
+
+// isValid reports whether all values make sense.
+func (s *WorkerSnapshot) isValid() bool {
+	return s.Pace != 0 && len(s.SentWork) == len(workerState{}.sentWork) && areValid(s.SentWork) && s.SentSpan >= 0 &&
+		areValid([]float64{s.StartedAt, s.InFlight, s.Utilization, s.ReportedAt, s.OtherJobs, s.Slots, s.LoadLimit,
+			s.UtilizationLimit, s.Pace, s.RunTime, s.ErrorRate, s.EjectedUntil, s.EjectionDuration})
+}
+
+// areValid reports whether all values are finite and not below 0.
+func areValid(values []float64) bool {
+	return !slices.ContainsFunc(values, func(value float64) bool { return !isFinite(value) || value < 0 })
+}
+
+// arePositive reports whether all values are finite and above 0.
+func arePositive(values []float64) bool {
+	return !slices.ContainsFunc(values, func(value float64) bool { return !isFinite(value) || value <= 0 })
+}
--- a/loadbalancer/snapshot_test.go
+++ b/loadbalancer/snapshot_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Guards against a process that takes another's place and knows nothing, believes what it was told of a worker that
-// was restarted since, spends a cold worker's budget anew, or takes in what makes no sense.
+// Guards against a successor that knows nothing, trusts what was learnt of a worker that has restarted since, spends a slow
+// start budget anew, or accepts values that make no sense.
 func TestSnapshotIsRestored(t *testing.T) {
 	old := newRecorder(t, testSettings(), 1)
 	old.list(ListFull, append(ready(3), Worker{ID: 4, State: Ready, StartedAt: old.now - 1})...)
@@ -79,8 +79,8 @@
 	}
 }
 
-// Guards against a cold worker of a large kind that gets what the smallest of all could bear, and against one that
-// looks larger than its kind, since it held a queue when it reported, raising what its kind is given.
+// Guards against a worker of a large kind that gets the budget of the smallest of all, and against one that looks larger
+// than its kind, since it had a queue when it reported, raising the budget of its kind.
 func TestSlowStartBudgetFollowsKind(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, Worker{ID: 1, State: Ready}, Worker{ID: 2, State: Ready, Kind: 1}, Worker{ID: 3, State: Ready, Kind: 1},
@@ -95,7 +95,7 @@
 	}
 }
 
-// Guards against a job refused for one slow worker: it has a little more room than the others, and would start it last.
+// Guards against a job rejected because of one slow worker with a little more spare capacity, which would start it last.
 func TestSlowWorkerCausesNoRejection(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(2)...)
@@ -113,9 +113,9 @@
 	}
 }
 
-// Guards against a few long queues, known from reports that are old by now, having a balancer of a large fleet refuse all
-// that comes: the mean which stands in for what is not known of the others was of the queues, the reports that it was
-// weighed with grew old together, and who refuses everything is told nothing new.
+// Guards against a few long queues, known from old reports, that have a balancer of a large cluster reject everything: the
+// mean that stands in for unknown workers is of the queues, the reports that weigh it grow old together, and who rejects
+// everything gets no new reports.
 func TestFewLongQueuesDoNotRejectEverything(t *testing.T) {
 	s := testSettings()
 	s.Instances = 60
@@ -137,8 +137,7 @@
 	}
 }
 
-// Guards against workers of zones that the settings don't know being taken for one zone: a job that may have run in one
-// must not be repeated in the other.
+// Guards against unknown zones that count as one zone: a job that may have run in one must not be retried in the other.
 func TestUnknownZonesAreDistinct(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, Worker{ID: 1, Zone: -1, State: Ready}, Worker{ID: 2, Zone: -1, State: Ready})
--- a/loadbalancer/state.go
+++ b/loadbalancer/state.go
@@ -62,10 +62,23 @@
 	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{Settings: settings, actions: actions, random: capacity.Random(seed),
-		workersByID: map[WorkerID]*workerState{}, meanPace: 1, slotsPerJob: 1,
-		requests: map[RequestID]*requestState{}, meanWork: make([]float64, len(settings.Classes)), tightestObjective: math.Inf(1),
-		zoneLatencies: make([]float64, settings.Zones), kinds: map[int]*machineKind{}, maxHedgeBudget: maxHedges(settings.Instances), budgetShare: 1, minSlots: 1, meanSlots: 1}
+	b := &Balancer{
+		Settings:          settings,
+		actions:           actions,
+		random:            capacity.Random(seed),
+		workersByID:       map[WorkerID]*workerState{},
+		kinds:             map[int]*machineKind{},
+		requests:          map[RequestID]*requestState{},
+		meanWork:          make([]float64, len(settings.Classes)),
+		zoneLatencies:     make([]float64, settings.Zones),
+		tightestObjective: math.Inf(1),
+		meanPace:          1,
+		slotsPerJob:       1,
+		minSlots:          1,
+		meanSlots:         1,
+		maxHedgeBudget:    maxHedges(settings.Instances),
+		budgetShare:       1,
+	}
 	b.hedgeBudget = b.maxHedgeBudget / 2
 	for i := range settings.Classes {
 		b.tightestObjective = math.Min(b.tightestObjective, settings.Classes[i].Objective)
--- a/loadbalancer/worker_status.go
+++ b/loadbalancer/worker_status.go
@@ -22,7 +22,17 @@
 	if worker == nil {
 		return WorkerStatus{}, false
 	}
-	status := WorkerStatus{SpareCapacity: worker.spareSlots, LoadLimit: worker.limits.Load, UtilizationLimit: worker.limits.Utilization, OwnSlots: worker.ownSlots, OtherJobs: math.Max(0, worker.otherJobs), Pace: worker.pace,
-		ErrorRate: worker.ejection.ErrorRate, Ejected: worker.ejection.IsEjected(now), Warmth: b.warmth(now, worker), SlowStartWork: b.slowStartSpent(now, worker)}
+	status := WorkerStatus{
+		SpareCapacity:    worker.spareSlots,
+		LoadLimit:        worker.limits.Load,
+		UtilizationLimit: worker.limits.Utilization,
+		OwnSlots:         worker.ownSlots,
+		OtherJobs:        math.Max(0, worker.otherJobs),
+		Pace:             worker.pace,
+		ErrorRate:        worker.ejection.ErrorRate,
+		Ejected:          worker.ejection.IsEjected(now),
+		Warmth:           b.warmth(now, worker),
+		SlowStartWork:    b.slowStartSpent(now, worker),
+	}
 	return status, true
 }
--- a/loadbalancer/workers.go
+++ b/loadbalancer/workers.go
@@ -31,7 +31,8 @@
 			b.workers = append(b.workers, known)
 			known.ID = entry.ID
 			b.restoreWorker(known, entry.StartedAt)
-		} else if entry.State == Ready && entry.StartedAt > known.StartedAt { // restarted: what was learnt of its load is void
+		} else if entry.State == Ready && entry.StartedAt > known.StartedAt {
+			// Restarted: what was learnt of its load is void.
 			known.reported, known.otherJobs, known.limits.Overloads = false, 0, 0
 			known.ejection.ErrorRate, known.ejection.EjectedUntil = 0, 0
 		}
@@ -57,8 +58,8 @@
 	}
 }
 
-// HandleProbeResult applies the result of a probe; a report of another shape than the settings say is
-// ignored.
+// HandleProbeResult applies the result of a probe: a load report, or a failure of the worker if it can't be
+// reached.
 func (b *Balancer) HandleProbeResult(now float64, id WorkerID, result Result, report []float32) {
 	worker := b.workersByID[id]
 	if worker != nil && result == OK {
