--- a/cmd/cinderctl/check.go
+++ b/cmd/cinderctl/check.go
@@ -26,7 +26,7 @@
 	Kind  string   `name:"kind" help:"Take all files for this kind." enum:"auto,configuration,change,settings" default:"auto"`
 }
 
-// fileReport is what was found in a file.
+// fileReport is the result for a file.
 type fileReport struct {
 	File     string          `json:"file"`
 	Kind     string          `json:"kind"`
@@ -34,10 +34,10 @@
 	Routes   int             `json:"routes,omitempty"`
 	Services int             `json:"services,omitempty"`
 	Problems []problemReport `json:"findings"`
-	Omitted  int             `json:"omitted,omitempty"` // findings that are not listed
+	Omitted  int             `json:"omitted,omitempty"` // number of problems that are not listed
 }
 
-// problemReport is a finding with the line and column where its value begins, if it has one.
+// problemReport is a problem with the line and column where its value begins, counted from 1; 0: unknown.
 type problemReport struct {
 	Path    string `json:"place"`
 	Line    int    `json:"line,omitempty"`
@@ -45,7 +45,7 @@
 	Message string `json:"problem"`
 }
 
-// Run checks all files and prints what was found.
+// Run checks all files and prints the reports.
 func (c *checkCommand) Run(s *session) error {
 	base, err := c.base()
 	if err != nil {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// base is the configuration that changes are checked on, nil for none.
+// base returns the configuration that changes are applied to; nil for none.
 func (c *checkCommand) base() (*configuration.Document, error) {
 	if c.On == "" {
 		return nil, nil
@@ -86,6 +86,7 @@
 	return document, errors.Wrapf(err, "configuration in %s", c.On)
 }
 
+// kindOf returns the kind of a file, which its top-level fields show.
 func (c *checkCommand) kindOf(body []byte) string {
 	if c.Kind != "auto" {
 		return c.Kind
@@ -106,6 +107,7 @@
 	return kind
 }
 
+// checkFile validates a file; base is nil unless changes are to be applied to it.
 func checkFile(file, kind string, body []byte, base *configuration.Document) *fileReport {
 	report := &fileReport{File: file, Kind: kind, Problems: []problemReport{}}
 	switch kind {
@@ -143,6 +145,7 @@
 	r.Version, r.Routes, r.Services = document.Version(), len(document.Routes()), len(document.Services())
 }
 
+// addError adds the problems of a *validation.Error.
 func (r *fileReport) addError(err error, body []byte) {
 	var list validation.Problems
 	list.AddError(err)
@@ -158,7 +161,7 @@
 	}
 }
 
-// position returns the line and column, counted from 1, of an offset; 0 for none.
+// position returns the line and column, counted from 1, of a byte offset; 0 for none.
 func position(body []byte, offset int) (line, column int) {
 	if offset < 0 || offset > len(body) {
 		return 0, 0
@@ -201,6 +204,7 @@
 	return nil
 }
 
+// summary describes a file without problems.
 func (r *fileReport) summary() string {
 	switch {
 	case r.Kind == kindSettings:
--- a/cmd/cinderctl/orders.go
+++ b/cmd/cinderctl/config.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"os"
-	"runtime/debug"
 
 	"github.com/cockroachdb/errors"
 
@@ -24,7 +23,7 @@
 	Configuration json.RawMessage `json:"configuration"`
 }
 
-// Run prints the configuration: the document itself as text, and beside its version as JSON.
+// Run prints the configuration: the document itself as text, or with its version as JSON.
 func (c *readCommand) Run(s *session) error {
 	caller, err := s.client()
 	if err != nil {
@@ -43,7 +42,7 @@
 	return s.printLine("%s", document.Body)
 }
 
-// sendFlags are those of orders that send a file.
+// sendFlags are the flags of the commands that send a file.
 type sendFlags struct {
 	File    string  `arg:"" name:"file" help:"File to send."`
 	BasedOn *uint64 `name:"based-on" help:"Version that it builds on, 0 for the first; without it, the newest is asked for."`
@@ -64,6 +63,7 @@
 // Run sends a change.
 func (c *changeCommand) Run(s *session) error { return c.send(s, kindChange) }
 
+// send checks the file, unless told not to, and sends it.
 func (f *sendFlags) send(s *session, kind string) error {
 	body, err := os.ReadFile(f.File)
 	if err != nil {
@@ -97,7 +97,7 @@
 	return s.printLine("version %d is acknowledged by %s (attempt %d)", acknowledgement.Version, acknowledgement.Machine, acknowledgement.Attempts)
 }
 
-// baseVersion is the version that an order builds on.
+// baseVersion returns the version that the file builds on: the flag's, or the one in force.
 func (f *sendFlags) baseVersion(s *session, caller *client.Client) (uint64, error) {
 	if f.BasedOn != nil {
 		return *f.BasedOn, nil
@@ -109,7 +109,7 @@
 	return document.Version, nil
 }
 
-// printProblems prints what a refusal holds besides its message.
+// printProblems prints the problems that a rejection lists, and returns the error.
 func (s *session) printProblems(err error) error {
 	var rejected *client.RejectedError
 	if !errors.As(err, &rejected) {
@@ -125,73 +125,3 @@
 	}
 	return err
 }
-
-type drainCommand struct {
-	Begin  beginCommand  `cmd:"" name:"begin" help:"Have nothing more sent to the runners of a zone."`
-	Finish finishCommand `cmd:"" name:"finish" help:"Take the runners of a zone back."`
-}
-
-type beginCommand struct {
-	Zone string `arg:"" name:"zone" help:"Zone to empty."`
-}
-
-// Run begins the evacuation of a zone.
-func (c *beginCommand) Run(s *session) error { return s.drain(c.Zone, true) }
-
-type finishCommand struct {
-	Zone string `arg:"" name:"zone" help:"Zone to take back."`
-}
-
-// Run ends the evacuation of a zone.
-func (c *finishCommand) Run(s *session) error { return s.drain(c.Zone, false) }
-
-// drainReport is the acknowledgement of an evacuation or of its end.
-type drainReport struct {
-	Zone      string `json:"zone"`
-	Evacuated bool   `json:"evacuated"`
-	client.Acknowledgement
-}
-
-func (s *session) drain(zone string, begin bool) error {
-	caller, err := s.client()
-	if err != nil {
-		return err
-	}
-	acknowledgement, err := caller.Drain(s.context, zone, begin)
-	if err != nil {
-		return s.printProblems(err)
-	}
-	if s.flags.JSON {
-		return s.printJSON(&drainReport{Zone: zone, Evacuated: begin, Acknowledgement: *acknowledgement})
-	}
-	state := "taken back"
-	if begin {
-		state = "evacuated"
-	}
-	return s.printLine("zone %s is %s, acknowledged by %s (attempt %d)", zone, state, acknowledgement.Machine, acknowledgement.Attempts)
-}
-
-type versionCommand struct{}
-
-// versionReport is the version of this program.
-type versionReport struct {
-	Version string `json:"version"`
-	Go      string `json:"go"`
-}
-
-// Run prints the version that the build noted.
-func (c *versionCommand) Run(s *session) error {
-	report := versionReport{Version: "unknown"}
-	if info, known := debug.ReadBuildInfo(); known {
-		report = versionReport{Version: info.Main.Version, Go: info.GoVersion}
-		for _, setting := range info.Settings {
-			if setting.Key == "vcs.revision" {
-				report.Version = setting.Value
-			}
-		}
-	}
-	if s.flags.JSON {
-		return s.printJSON(&report)
-	}
-	return s.printLine("cinderctl %s (%s)", report.Version, report.Go)
-}
--- /dev/null
+++ b/cmd/cinderctl/drain.go
@@ -0,0 +1,48 @@
+package main
+
+import "cinderroad/internal/system/control/client"
+
+type drainCommand struct {
+	Begin  beginCommand  `cmd:"" name:"begin" help:"Have nothing more sent to the runners of a zone."`
+	Finish finishCommand `cmd:"" name:"finish" help:"Take the runners of a zone back."`
+}
+
+type beginCommand struct {
+	Zone string `arg:"" name:"zone" help:"Zone to empty."`
+}
+
+// Run begins the evacuation of a zone.
+func (c *beginCommand) Run(s *session) error { return s.drain(c.Zone, true) }
+
+type finishCommand struct {
+	Zone string `arg:"" name:"zone" help:"Zone to take back."`
+}
+
+// Run ends the evacuation of a zone.
+func (c *finishCommand) Run(s *session) error { return s.drain(c.Zone, false) }
+
+// drainReport is the acknowledgement of an evacuation or of its end.
+type drainReport struct {
+	Zone      string `json:"zone"`
+	Evacuated bool   `json:"evacuated"`
+	client.Acknowledgement
+}
+
+func (s *session) drain(zone string, begin bool) error {
+	caller, err := s.client()
+	if err != nil {
+		return err
+	}
+	acknowledgement, err := caller.Drain(s.context, zone, begin)
+	if err != nil {
+		return s.printProblems(err)
+	}
+	if s.flags.JSON {
+		return s.printJSON(&drainReport{Zone: zone, Evacuated: begin, Acknowledgement: *acknowledgement})
+	}
+	state := "taken back"
+	if begin {
+		state = "evacuated"
+	}
+	return s.printLine("zone %s is %s, acknowledged by %s (attempt %d)", zone, state, acknowledgement.Machine, acknowledgement.Attempts)
+}
--- a/cmd/cinderctl/main.go
+++ b/cmd/cinderctl/main.go
@@ -1,6 +1,7 @@
-// Command cinderctl is the operator's tool: it checks files, reads the state of a running system, and sends orders.
-// It exits with status 0 on success, 1 if something is wrong with what was checked or an order was refused, and 2 if it
-// could not do what it was asked: a mistake in its use, a file that can't be read, no control machine that answers.
+// Command cinderctl is the operator's tool: it checks files, reads the state of a running system, and sends changes.
+//
+// It exits with status 0 on success; 1 if a checked file is invalid or a request was rejected; and 2 if it could not do
+// what it was asked: wrong usage, an unreadable file, no control machine that responds.
 package main
 
 import (
@@ -22,11 +23,11 @@
 // Exit statuses.
 const (
 	exitOK       = 0
-	exitRejected = 1 // findings, or a refusal
+	exitRejected = 1 // invalid files, or a rejection
 	exitFailed   = 2
 )
 
-// commandLine are the commands and the flags that all of them take.
+// commandLine is what kong parses: the commands, and the flags that all of them take. Flags are named after the fields.
 type commandLine struct {
 	JSON     bool          `name:"json" help:"Print JSON in place of text."`
 	Seed     []string      `name:"seed" help:"Operator's address of a control machine, host:port; several are tried in turn." placeholder:"ADDR"`
@@ -48,10 +49,10 @@
 	sleep   func(ctx context.Context, d time.Duration) // nil: the client's own
 }
 
-// rejectedError says that the command worked and that its answer is no: it is printed already.
+// rejectedError means that the command worked and that its result is negative: exit status 1.
 type rejectedError struct{ message string }
 
-// Error is what was refused.
+// Error returns the message.
 func (e *rejectedError) Error() string { return e.message }
 
 func main() {
@@ -60,7 +61,7 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr, nil))
 }
 
-// run is the program. It returns its exit status.
+// run is the program without its process: it returns the exit status. Tests replace sleep, which is nil otherwise.
 func run(ctx context.Context, arguments []string, output, errOutput io.Writer,
 	sleep func(context.Context, time.Duration)) (status int) {
 	var flags commandLine
@@ -91,12 +92,13 @@
 	return fail(errOutput, err)
 }
 
+// fail prints an error and returns exitFailed.
 func fail(errOutput io.Writer, err error) int {
 	fmt.Fprintf(errOutput, "cinderctl: %v\n", err) //nolint:errcheck // there is nobody left to tell
 	return exitFailed
 }
 
-// client returns one that knows the seeds.
+// client returns a client for the seeds that the flags or the settings file name.
 func (s *session) client() (*client.Client, error) {
 	machines := s.flags.Seed
 	if len(machines) == 0 && s.flags.Settings != "" {
--- a/cmd/cinderctl/print.go
+++ b/cmd/cinderctl/print.go
@@ -24,10 +24,9 @@
 	return errors.Wrap(err, "print")
 }
 
-// table is text in columns.
+// table is text in columns; the first row is the heading.
 type table struct{ rows [][]string }
 
-// add adds a row.
 func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
 
 // print prints the rows with their columns aligned.
@@ -42,7 +41,7 @@
 	return errors.Wrap(writer.Flush(), "print")
 }
 
-// orDash is the text, or a dash for none.
+// orDash returns the text, or a dash if it is empty.
 func orDash(text string) string {
 	if text == "" {
 		return "-"
