--- a/cmd/cinderroad-agent/main.go
+++ b/cmd/cinderroad-agent/main.go
@@ -1,4 +1,5 @@
-// Command cinderroad-agent runs beside the proxy of an edge machine: it links the machine to the control replicas.
+// Command cinderroad-agent runs on edge machines beside the proxy: it follows the feed of a control machine and passes
+// configuration, runners and peers on to the proxy over loopback.
 package main
 
 import (
@@ -18,7 +19,7 @@
 		Description: "Links the proxy of an edge machine to the control replicas.",
 		Version:     startup.BuildVersion(),
 		LogLevel:    zapcore.InfoLevel,
-		GCPercent:   20, // little is allocated in a second, and memory is dear
+		GCPercent:   20, // memory is scarce, and the rate of allocations low
 	}
 	log := program.Init()
 	startup.Exit(log, run(&program, log))
--- a/cmd/cinderroad-control/main.go
+++ b/cmd/cinderroad-control/main.go
@@ -1,5 +1,5 @@
-// Command cinderroad-control runs on core machines: it agrees with its peers on the control state, serves the
-// operator's API and the directory, and feeds the agents.
+// Command cinderroad-control runs on core machines: it replicates the control state with its peers, and serves the
+// operator's API, the directory and the feed for agents.
 package main
 
 import (
@@ -19,7 +19,7 @@
 		Description: "Control replica of a core machine: operator's API, directory and feed.",
 		Version:     startup.BuildVersion(),
 		LogLevel:    zapcore.InfoLevel,
-		GCPercent:   25, // little is allocated in a second, and memory is dear
+		GCPercent:   25, // memory is scarce, and the rate of allocations low
 	}
 	log := program.Init()
 	startup.Exit(log, run(&program, log))
--- a/cmd/cinderroad-control/main_test.go
+++ b/cmd/cinderroad-control/main_test.go
@@ -10,12 +10,12 @@
 	"cinderroad/internal/system/startup"
 )
 
-// TestSignalDuringTheStart has the platform say that the settings have changed while the process still reads them: the
-// signal must not end it. Without a handler it ends this test's process.
-func TestSignalDuringTheStart(t *testing.T) {
+// TestSIGHUPDuringStart sends SIGHUP (settings have changed) while the process still reads its settings: the signal must not
+// end it. Without a handler it would end this test's process.
+func TestSIGHUPDuringStart(t *testing.T) {
 	t.Setenv("CINDERROAD_SETTINGS", filepath.Join(t.TempDir(), "missing.json"))
 	if err := run(&startup.Program{Name: "cinderroad-control"}, zap.NewNop()); err == nil {
-		t.Error("it ran without settings")
+		t.Error("run succeeded without settings")
 	}
 	if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
