--- a/internal/system/control/directory/handler.go
+++ b/internal/system/control/directory/handler.go
@@ -10,24 +10,28 @@
 	"github.com/go-faster/jx"
 )
 
-// Path is where clients look up.
+// Path is the URL path of look-ups.
 const Path = "/-/lookup"
 
-// defaultTTL is how long clients are to hold an answer. Some hold it up to three times as long: it bounds how long a
-// proxy that is gone is still chosen.
-const defaultTTL = 2 * time.Second
+const (
+	// defaultTTL is how long clients should cache a reply.
+	defaultTTL = 2 * time.Second
+	// outOfRegionTTL is the same for a reply that leads clients out of their region because all proxies there are
+	// stopping or dead. It is short: the round trips are long, requests with affinity may be served elsewhere, and the
+	// region's proxies may be back soon.
+	outOfRegionTTL = 400 * time.Millisecond
+)
 
-// outOfRegionTTL is the same for an answer that leads clients out of their region, since all proxies there stop or are lost:
-// the way is long, requests with homes may be bound elsewhere, and the region's proxies may be back soon.
-const outOfRegionTTL = 400 * time.Millisecond
+// retryAfterSeconds is the Retry-After of a reply without addresses.
+const retryAfterSeconds = "1"
 
-// Handler answers look-ups.
+// Handler serves look-ups. Its fields must not change while it serves.
 type Handler struct {
 	Source EdgeSource
-	MaxTTL time.Duration // longest that clients hold an answer by the deployment's sheet; 0: not told
+	MaxTTL time.Duration // limit of the TTL by the deployment's settings; 0: none
 }
 
-// ServeHTTP answers GET Path with the query's region and zone.
+// ServeHTTP answers GET and HEAD requests for Path. The query parameters region and zone tell where the client is.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		http.Error(w, "directory: look-ups are GET requests", http.StatusMethodNotAllowed)
@@ -37,17 +41,17 @@
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	choice := Choose(h.Source.Edges(), query.Get("region"), query.Get("zone"), rng)
 	if len(choice.Addresses) == 0 {
-		w.Header().Set("Retry-After", "1")
+		w.Header().Set("Retry-After", retryAfterSeconds)
 		http.Error(w, "directory: no edge proxy is known yet", http.StatusServiceUnavailable)
 		return
 	}
 	body := encodeReply(choice.Addresses, h.ttl(choice.OutOfRegion))
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	w.Write(body) //nolint:errcheck // the client has gone: nobody is left to tell
+	w.Write(body) //nolint:errcheck // the client has disconnected; there is nobody to report it to
 }
 
-// ttl is how long a client is to hold an answer; away says that the answer leads out of its region.
+// ttl returns how long a client should cache a reply.
 func (h *Handler) ttl(outOfRegion bool) time.Duration {
 	ttl := defaultTTL
 	if outOfRegion {
@@ -59,6 +63,7 @@
 	return ttl
 }
 
+// encodeReply returns the JSON of a reply.
 func encodeReply(addresses []netip.AddrPort, ttl time.Duration) []byte {
 	var encoder jx.Encoder
 	encoder.ObjStart()
