--- a/internal/shared/eventloop/conn.go
+++ b/internal/shared/eventloop/conn.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// SetKeepAlive lets the kernel detect an unreachable peer: unsent is how long sent bytes may stay unacknowledged, in
-// milliseconds, silent how long the peer may be silent before it is probed, in whole seconds.
+// SetKeepAlive lets the kernel detect an unreachable peer. unsent is how long sent bytes may stay unacknowledged, with a
+// resolution of a millisecond; silent is how long the peer may be silent before it is probed, in whole seconds.
 func (c *Conn) SetKeepAlive(unsent, silent time.Duration) {
 	if c.fd < 0 {
 		return
--- a/internal/shared/eventloop/timers.go
+++ b/internal/shared/eventloop/timers.go
@@ -18,11 +18,11 @@
 }
 
 // At calls do at a time of the loop's clock, in seconds.
-func (d *Timers) At(at float64, do func()) *Timer {
-	d.sequence++
-	e := &Timer{due: at, sequence: d.sequence, callback: do, timers: d}
-	heap.Push(d, e)
-	return e
+func (t *Timers) At(at float64, do func()) *Timer {
+	t.sequence++
+	timer := &Timer{due: at, sequence: t.sequence, callback: do, timers: t}
+	heap.Push(t, timer)
+	return timer
 }
 
 // Stop cancels the timer. A nil timer, and one that has run, are ignored.
@@ -33,40 +33,40 @@
 }
 
 // nextDue returns when the first timer is due; pending is false if there is none.
-func (d *Timers) nextDue() (at float64, pending bool) {
-	if len(d.entries) == 0 {
+func (t *Timers) nextDue() (at float64, pending bool) {
+	if len(t.entries) == 0 {
 		return 0, false
 	}
-	return d.entries[0].due, true
+	return t.entries[0].due, true
 }
 
 // runDue runs the timers that are due. Timers set meanwhile wait for the next iteration, because one set in the past
 // could keep the loop here forever.
-func (d *Timers) runDue(now float64) {
-	last := d.sequence
-	for len(d.entries) > 0 && d.entries[0].due <= now && d.entries[0].sequence <= last {
-		heap.Pop(d).(*Timer).callback()
+func (t *Timers) runDue(now float64) {
+	last := t.sequence
+	for len(t.entries) > 0 && t.entries[0].due <= now && t.entries[0].sequence <= last {
+		heap.Pop(t).(*Timer).callback()
 	}
 }
 
-func (d *Timers) Len() int { return len(d.entries) }
-func (d *Timers) Less(i, j int) bool {
-	x, y := d.entries[i], d.entries[j]
+func (t *Timers) Len() int { return len(t.entries) }
+func (t *Timers) Less(i, j int) bool {
+	x, y := t.entries[i], t.entries[j]
 	return x.due < y.due || x.due == y.due && x.sequence < y.sequence
 }
-func (d *Timers) Swap(i, j int) {
-	d.entries[i], d.entries[j] = d.entries[j], d.entries[i]
-	d.entries[i].index, d.entries[j].index = i, j
+func (t *Timers) Swap(i, j int) {
+	t.entries[i], t.entries[j] = t.entries[j], t.entries[i]
+	t.entries[i].index, t.entries[j].index = i, j
 }
-func (d *Timers) Push(x any) {
+func (t *Timers) Push(x any) {
 	e := x.(*Timer)
-	e.index = len(d.entries)
-	d.entries = append(d.entries, e)
+	e.index = len(t.entries)
+	t.entries = append(t.entries, e)
 }
-func (d *Timers) Pop() any {
-	n := len(d.entries) - 1
-	e := d.entries[n]
-	d.entries[n] = nil
-	d.entries, e.index = d.entries[:n], -1
+func (t *Timers) Pop() any {
+	n := len(t.entries) - 1
+	e := t.entries[n]
+	t.entries[n] = nil
+	t.entries, e.index = t.entries[:n], -1
 	return e
 }
--- a/internal/system/proxy/exchange_placement.go
+++ b/internal/system/proxy/exchange_placement.go
@@ -10,19 +10,19 @@
 
 // place chooses a runner and sends the request to it, or gives up.
 func (x *exchange) place() {
-	choice, refusal := x.chooseRunner()
-	if refusal != nil {
-		x.giveUp(refusal.RetryAfter)
+	choice, rejection := x.chooseRunner()
+	if rejection != nil {
+		x.giveUp(rejection.RetryAfter)
 		return
 	}
 	x.startAttempt(choice)
 }
 
-// logRefusal logs why the placer chose no runner.
-func (x *exchange) logRefusal(refusal *placement.Rejection) {
-	if e := x.proxy.log.Check(zap.DebugLevel, "refused"); e != nil {
-		e.Write(zap.String("try", x.tryID), zap.String("route", x.request.Route.Name), zap.String("reason", refusal.Reason),
-			zap.Duration("retry_after", refusal.RetryAfter), zap.Strings("tried", x.request.TriedRunners))
+// logRejection logs why the placer chose no runner.
+func (x *exchange) logRejection(rejection *placement.Rejection) {
+	if entry := x.proxy.log.Check(zap.DebugLevel, "refused"); entry != nil {
+		entry.Write(zap.String("try", x.tryID), zap.String("route", x.request.Route.Name), zap.String("reason", rejection.Reason),
+			zap.Duration("retry_after", rejection.RetryAfter), zap.Strings("tried", x.request.TriedRunners))
 	}
 }
 
@@ -32,10 +32,10 @@
 	defer func() { x.request.TriedRunners = tried }()
 	x.request.TriedRunners = tried[:len(tried):len(tried)]
 	for range maxPlacementTries {
-		choice, refusal := x.proxy.placer.Place(x.proxy.now(), &x.request)
-		if refusal != nil {
-			x.logRefusal(refusal)
-			return choice, refusal
+		choice, rejection := x.proxy.placer.Place(x.proxy.now(), &x.request)
+		if rejection != nil {
+			x.logRejection(rejection)
+			return choice, rejection
 		}
 		if x.proxy.pool.canAccept(choice) {
 			return choice, nil
@@ -85,9 +85,9 @@
 	if !x.mayRetry() {
 		return false, 0
 	}
-	choice, refusal := x.chooseRunner()
-	if refusal != nil {
-		return false, refusal.RetryAfter
+	choice, rejection := x.chooseRunner()
+	if rejection != nil {
+		return false, rejection.RetryAfter
 	}
 	if x.response.started {
 		x.eventReader.resume()
@@ -99,13 +99,13 @@
 
 // retryOrGiveUp sends the request to another runner after an attempt without a usable response, or gives up.
 func (x *exchange) retryOrGiveUp(pause time.Duration) {
-	if sent, refused := x.retry(); !sent {
-		x.giveUp(max(pause, refused))
+	if sent, retryAfter := x.retry(); !sent {
+		x.giveUp(max(pause, retryAfter))
 	}
 }
 
 // noteTried excludes the attempt's runner from further placement and records whether it may have executed the request.
-func (x *exchange) noteTried(a *attempt, mayHaveRun bool) {
-	x.request.TriedRunners = append(x.request.TriedRunners, a.choice.Runner)
+func (x *exchange) noteTried(attempt *attempt, mayHaveRun bool) {
+	x.request.TriedRunners = append(x.request.TriedRunners, attempt.choice.Runner)
 	x.request.MayHaveRun = x.request.MayHaveRun || mayHaveRun
 }
--- a/internal/system/proxy/harness_test.go
+++ b/internal/system/proxy/harness_test.go
@@ -93,7 +93,7 @@
 func (h *harness) startRunners(names ...string) []*testRunner {
 	h.t.Helper()
 	var all []*testRunner
-	var known []placement.Runner
+	var listed []placement.Runner
 	for _, name := range names {
 		r := &testRunner{t: h.t, id: name}
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -103,12 +103,12 @@
 		r.listener = listener.(*net.TCPListener)
 		h.t.Cleanup(func() { listener.Close() })
 		all = append(all, r)
-		known = append(known, placement.Runner{ID: name, Service: "s",
+		listed = append(listed, placement.Runner{ID: name, Service: "s",
 			Address: netip.MustParseAddrPort(listener.Addr().String())})
 	}
 	h.onLoop(func() {
-		h.placer.runners = known
-		h.proxy.SetRunners(known)
+		h.placer.runners = listed
+		h.proxy.SetRunners(listed)
 	})
 	return all
 }
--- a/internal/system/proxy/idle_timeout.go
+++ b/internal/system/proxy/idle_timeout.go
@@ -48,38 +48,38 @@
 }
 
 // makeIdle makes the connection available for the next request.
-func (l *runnerConn) makeIdle() {
-	p := l.runner.pool.proxy
-	if !l.runner.listed || l.runner.draining || p.shutdown.active && p.openExchanges == 0 {
-		l.close()
+func (c *runnerConn) makeIdle() {
+	p := c.runner.pool.proxy
+	if !c.runner.listed || c.runner.draining || p.shutdown.active && p.openExchanges == 0 {
+		c.close()
 		return
 	}
-	l.socket.SetStalled(false)
-	l.transition(connIdle)
-	l.requestEnd = 0
-	l.idleSince = p.now()
-	l.runner.idle = append(l.runner.idle, l)
+	c.socket.SetStalled(false)
+	c.transition(connIdle)
+	c.requestEnd = 0
+	c.idleSince = p.now()
+	c.runner.idle = append(c.runner.idle, c)
 	most := maxIdleTime
-	if l.advertisedIdle > 0 {
-		most = l.advertisedIdle
+	if c.advertisedIdle > 0 {
+		most = c.advertisedIdle
 	}
-	l.timer = p.runAt(l.idleSince+most, l.close)
+	c.timer = p.runAt(c.idleSince+most, c.close)
 }
 
 // idleTrustLimit returns how long the connection may have been idle and still be used for a request.
-func (l *runnerConn) idleTrustLimit() time.Duration {
-	if l.advertisedIdle > 0 {
-		return l.advertisedIdle
+func (c *runnerConn) idleTrustLimit() time.Duration {
+	if c.advertisedIdle > 0 {
+		return c.advertisedIdle
 	}
-	return l.runner.pool.idleTimeoutOf(l.runner.service).estimate()
+	return c.runner.pool.idleTimeoutOf(c.runner.service).estimate()
 }
 
 // learnIdleTimeout records the close of an idle connection by its runner. Closes in quick succession mean that the
 // runner itself stops, and are not recorded.
-func (l *runnerConn) learnIdleTimeout() {
-	now := l.runner.pool.proxy.now()
-	if now-l.runner.lastIdleCloseAt > sharedCloseWindow && l.advertisedIdle == 0 {
-		l.runner.pool.idleTimeoutOf(l.runner.service).observe(now - l.idleSince)
+func (c *runnerConn) learnIdleTimeout() {
+	now := c.runner.pool.proxy.now()
+	if now-c.runner.lastIdleCloseAt > sharedCloseWindow && c.advertisedIdle == 0 {
+		c.runner.pool.idleTimeoutOf(c.runner.service).observe(now - c.idleSince)
 	}
-	l.runner.lastIdleCloseAt = now
+	c.runner.lastIdleCloseAt = now
 }
--- a/internal/system/proxy/peer_notifier.go
+++ b/internal/system/proxy/peer_notifier.go
@@ -43,17 +43,17 @@
 }
 
 // listen opens the socket. The proxy serves without it if that fails.
-func (s *peerNotifier) listen() {
-	address := s.proxy.options.NoticeAddr
-	if !address.IsValid() || s.socket != nil {
+func (n *peerNotifier) listen() {
+	address := n.proxy.options.NoticeAddr
+	if !address.IsValid() || n.socket != nil {
 		return
 	}
-	socket, err := s.proxy.loop.ListenUDP(address, s.handleDatagram)
+	socket, err := n.proxy.loop.ListenUDP(address, n.handleDatagram)
 	if err != nil {
-		s.proxy.log.Warn("other proxies are not heard, check that no other process holds the port", zap.Error(err))
+		n.proxy.log.Warn("other proxies are not heard, check that no other process holds the port", zap.Error(err))
 		return
 	}
-	s.socket = socket
+	n.socket = socket
 }
 
 // applyPeers replaces the peer list.
@@ -72,96 +72,96 @@
 }
 
 // add adds a peer to be notified; one whose zone is unknown gets no notices.
-func (s *peerNotifier) add(zone string, machine netip.Addr) {
+func (n *peerNotifier) add(zone string, machine netip.Addr) {
 	if zone == "" || !machine.IsValid() {
 		return
 	}
-	address := netip.AddrPortFrom(machine, s.proxy.options.NoticeAddr.Port())
+	address := netip.AddrPortFrom(machine, n.proxy.options.NoticeAddr.Port())
 	switch {
-	case zone != s.proxy.options.Zone:
-		s.otherZones[zone] = append(s.otherZones[zone], address)
-	case len(s.ownZone) < maxOwnZonePeers:
-		s.ownZone = append(s.ownZone, address)
+	case zone != n.proxy.options.Zone:
+		n.otherZones[zone] = append(n.otherZones[zone], address)
+	case len(n.ownZone) < maxOwnZonePeers:
+		n.ownZone = append(n.ownZone, address)
 	}
 }
 
 // notifyPrefill tells the peers which prompt the attempt's runner is prefilling.
-func (s *peerNotifier) notifyPrefill(a *placement.Attempt) {
-	if notice, worth := a.PrefillNotice(); worth {
-		s.broadcast(notice)
+func (n *peerNotifier) notifyPrefill(attempt *placement.Attempt) {
+	if notice, useful := attempt.PrefillNotice(); useful {
+		n.broadcast(notice)
 	}
 }
 
 // notifyResponding tells the peers that the attempt's runner responds again.
-func (s *peerNotifier) notifyResponding(a *placement.Attempt) {
-	if notice, worth := a.RecoveryNotice(); worth {
-		s.broadcast(notice)
+func (n *peerNotifier) notifyResponding(attempt *placement.Attempt) {
+	if notice, useful := attempt.RecoveryNotice(); useful {
+		n.broadcast(notice)
 	}
 }
 
 // broadcast sends a notice to all peers if the bandwidth budget allows it.
-func (s *peerNotifier) broadcast(notice placement.Notice) {
-	if s.socket == nil {
+func (n *peerNotifier) broadcast(notice placement.Notice) {
+	if n.socket == nil {
 		return
 	}
-	s.datagram = appendNotice(s.datagram[:0], notice)
-	if !s.spendBudget((len(s.ownZone) + len(s.otherZones)) * (datagramHeaderBytes + len(s.datagram))) {
+	n.datagram = appendNotice(n.datagram[:0], notice)
+	if !n.spendBudget((len(n.ownZone) + len(n.otherZones)) * (datagramHeaderBytes + len(n.datagram))) {
 		return
 	}
-	s.proxy.Counters.NoticesSent++
-	s.send(s.ownZone)
-	s.datagram[0] |= noticeRelayFlag
-	for _, listeners := range s.otherZones {
-		chosen := s.random.IntN(len(listeners))
-		s.send(listeners[chosen : chosen+1])
+	n.proxy.Counters.NoticesSent++
+	n.send(n.ownZone)
+	n.datagram[0] |= noticeRelayFlag
+	for _, peers := range n.otherZones {
+		chosen := n.random.IntN(len(peers))
+		n.send(peers[chosen : chosen+1])
 	}
 }
 
 // forward sends a notice from another zone to the peers of the own zone.
-func (s *peerNotifier) forward(datagram []byte) {
-	s.datagram = append(s.datagram[:0], datagram...)
-	s.datagram[0] &^= noticeRelayFlag
-	if s.spendBudget(len(s.ownZone) * (datagramHeaderBytes + len(datagram))) {
-		s.send(s.ownZone)
+func (n *peerNotifier) forward(datagram []byte) {
+	n.datagram = append(n.datagram[:0], datagram...)
+	n.datagram[0] &^= noticeRelayFlag
+	if n.spendBudget(len(n.ownZone) * (datagramHeaderBytes + len(datagram))) {
+		n.send(n.ownZone)
 	}
 }
 
 // send sends the current datagram. It stops at the first error: the socket buffer is full or there is no route.
-func (s *peerNotifier) send(listeners []netip.AddrPort) {
-	for _, listener := range listeners {
-		if s.socket.SendTo(listener, s.datagram) != nil {
+func (n *peerNotifier) send(peers []netip.AddrPort) {
+	for _, peer := range peers {
+		if n.socket.SendTo(peer, n.datagram) != nil {
 			return
 		}
 	}
 }
 
 // spendBudget takes size bytes from the bandwidth budget; false if it is used up.
-func (s *peerNotifier) spendBudget(size int) bool {
-	link := s.proxy.options.LinkBytesPerSecond
-	if link <= 0 {
-		link = defaultLinkBytesPerSecond
-	}
-	now, rate := s.proxy.loop.Now(), noticeLinkFraction*link
-	s.budgetBytes = min(s.budgetBytes+rate*(now-s.refilledAt), rate*noticeBurstSeconds)
-	s.refilledAt = now
+func (n *peerNotifier) spendBudget(size int) bool {
+	bandwidth := n.proxy.options.LinkBytesPerSecond
+	if bandwidth <= 0 {
+		bandwidth = defaultLinkBytesPerSecond
+	}
+	now, rate := n.proxy.loop.Now(), noticeLinkFraction*bandwidth
+	n.budgetBytes = min(n.budgetBytes+rate*(now-n.refilledAt), rate*noticeBurstSeconds)
+	n.refilledAt = now
 	bytes := float64(size)
-	if bytes > s.budgetBytes {
-		s.proxy.Counters.NoticesSuppressed++
+	if bytes > n.budgetBytes {
+		n.proxy.Counters.NoticesSuppressed++
 		return false
 	}
-	s.budgetBytes -= bytes
+	n.budgetBytes -= bytes
 	return true
 }
 
 // handleDatagram processes a datagram; malformed ones are ignored.
-func (s *peerNotifier) handleDatagram(datagram []byte) {
+func (n *peerNotifier) handleDatagram(datagram []byte) {
 	notice, relayed, ok := parseNotice(datagram)
 	if !ok {
 		return
 	}
 	if relayed {
-		s.forward(datagram)
+		n.forward(datagram)
 	}
-	s.proxy.Counters.NoticesReceived++
-	s.proxy.placer.HandleNotice(s.proxy.now(), notice)
+	n.proxy.Counters.NoticesReceived++
+	n.proxy.placer.HandleNotice(n.proxy.now(), notice)
 }
--- a/internal/system/proxy/pool.go
+++ b/internal/system/proxy/pool.go
@@ -59,16 +59,16 @@
 	}
 }
 
-func (p *pool) upsert(known *placement.Runner) {
-	r := p.runners[known.ID]
+func (p *pool) upsert(listed *placement.Runner) {
+	r := p.runners[listed.ID]
 	if r == nil {
-		r = &runner{pool: p, id: known.ID}
-		p.runners[known.ID] = r
+		r = &runner{pool: p, id: listed.ID}
+		p.runners[listed.ID] = r
 	}
-	if r.address != known.Address {
+	if r.address != listed.Address {
 		r.closeIdle()
 	}
-	r.service, r.address, r.draining, r.listed = known.Service, known.Address, known.Draining, true
+	r.service, r.address, r.draining, r.listed = listed.Service, listed.Address, listed.Draining, true
 }
 
 // removeIfUnused removes a runner that is neither listed nor connected.
@@ -104,17 +104,17 @@
 }
 
 // send sends an attempt on an idle connection or on a new one.
-func (p *pool) send(a *attempt) {
-	r := p.runners[a.choice.Runner]
+func (p *pool) send(attempt *attempt) {
+	r := p.runners[attempt.choice.Runner]
 	if r == nil {
-		r = &runner{pool: p, id: a.choice.Runner, address: a.choice.Address}
+		r = &runner{pool: p, id: attempt.choice.Runner, address: attempt.choice.Address}
 		p.runners[r.id] = r
 	}
-	if l := r.takeIdle(); l != nil {
-		l.sendRequest(a)
+	if conn := r.takeIdle(); conn != nil {
+		conn.sendRequest(attempt)
 		return
 	}
-	r.dial(a)
+	r.dial(attempt)
 }
 
 // closeOldestIdle closes the connection that has been idle longest; false if none is idle.
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -32,8 +32,7 @@
 
 // Options configure a Proxy.
 type Options struct {
-	// Address for clients.
-	FrontAddr          netip.AddrPort
+	FrontAddr          netip.AddrPort // for clients
 	ReadyAddr          netip.AddrPort // zero: no readiness endpoint
 	MetricsAddr        netip.AddrPort // zero: no metrics endpoint
 	MemoryBytes        int            // of the process; 0: unknown
@@ -47,8 +46,8 @@
 
 // Counters count events since the start of the process.
 type Counters struct {
-	Requests, Served, Rejected, Failed, Aborted uint64 // Aborted: responses broken off and clients that disconnected
-	Attempts, Resumed, Dials                    uint64
+	Requests, Served, Rejected, Failed, Aborted uint64 // Aborted: responses cut off and clients that disconnected
+	Attempts, Resumed, Dials                    uint64 // Resumed: streams continued at another runner
 	InvalidResponses                            uint64 // runner connections closed for bytes that belong to no request
 	NoticesSent, NoticesReceived                uint64
 	NoticesSuppressed                           uint64 // beyond the bandwidth budget
--- a/internal/system/proxy/response.go
+++ b/internal/system/proxy/response.go
@@ -16,12 +16,12 @@
 }
 
 // isDelimited reports whether the client can distinguish a truncated response from a complete one.
-func (a *response) isDelimited() bool {
-	return a.framing == httpwire.ByLength || a.framing == httpwire.Chunked
+func (r *response) isDelimited() bool {
+	return r.framing == httpwire.ByLength || r.framing == httpwire.Chunked
 }
 
 // canContinueWith reports whether another runner's response can continue the one that has begun.
-func (a *response) canContinueWith(head *httpwire.ResponseHead) bool {
+func (r *response) canContinueWith(head *httpwire.ResponseHead) bool {
 	return head.Status == 200 && hasEventStream(head)
 }
 
--- a/internal/system/proxy/runner.go
+++ b/internal/system/proxy/runner.go
@@ -26,18 +26,18 @@
 func (r *runner) takeIdle() *runnerConn {
 	now := r.pool.proxy.now()
 	for len(r.idle) > 0 {
-		l := r.idle[len(r.idle)-1]
-		if !l.socket.Alive() {
-			l.close()
+		conn := r.idle[len(r.idle)-1]
+		if !conn.socket.Alive() {
+			conn.close()
 			continue
 		}
-		if now-l.idleSince > l.idleTrustLimit() { // the others have been idle longer
+		if now-conn.idleSince > conn.idleTrustLimit() { // the others have been idle longer
 			r.closeStaleIdle()
 			return nil
 		}
 		r.idle = r.idle[:len(r.idle)-1]
-		l.timer.Stop()
-		return l
+		conn.timer.Stop()
+		return conn
 	}
 	return nil
 }
@@ -56,21 +56,21 @@
 }
 
 // dial opens a connection for an attempt.
-func (r *runner) dial(a *attempt) {
+func (r *runner) dial(attempt *attempt) {
 	p := r.pool.proxy
-	l := r.open()
-	l.attempt, a.conn = a, l
-	l.timer = p.runAt(p.now()+r.connectTimeout(), func() { l.fail(errConnectTimeout) })
+	conn := r.open()
+	conn.attempt, attempt.conn = attempt, conn
+	conn.timer = p.runAt(p.now()+r.connectTimeout(), func() { conn.fail(errConnectTimeout) })
 }
 
 // open opens a connection.
 func (r *runner) open() *runnerConn {
 	p := r.pool.proxy
 	p.Counters.Dials++
-	l := &runnerConn{runner: r, dialedAt: p.now(), state: connDialing}
-	r.conns = append(r.conns, l)
-	l.socket = p.loop.Connect(r.address, l)
-	return l
+	conn := &runnerConn{runner: r, dialedAt: p.now(), state: connDialing}
+	r.conns = append(r.conns, conn)
+	conn.socket = p.loop.Connect(r.address, conn)
+	return conn
 }
 
 // connectTimeout returns how long establishing a connection may take.
--- a/internal/system/proxy/runner_conn.go
+++ b/internal/system/proxy/runner_conn.go
@@ -81,106 +81,106 @@
 }
 
 // transition is the only place that changes the state.
-func (l *runnerConn) transition(next connState) {
-	invariant.Check(slices.Contains(connTransitions[l.state], next), "proxy: a connection changes its state as it may")
-	l.state = next
+func (c *runnerConn) transition(next connState) {
+	invariant.Check(slices.Contains(connTransitions[c.state], next), "proxy: a connection changes its state as it may")
+	c.state = next
 }
 
 // requestSent reports whether the kernel has accepted all bytes of the request.
-func (l *runnerConn) requestSent() bool {
-	return l.state != connDialing && l.requestEnd > 0 && l.socket.Written() >= l.requestEnd
+func (c *runnerConn) requestSent() bool {
+	return c.state != connDialing && c.requestEnd > 0 && c.socket.Written() >= c.requestEnd
 }
 
 // mayHaveRun reports whether the runner may have executed the request: once it may have received the last byte, or once
 // it has responded, since it may then have executed what it had received.
-func (l *runnerConn) mayHaveRun() bool {
-	return l.requestSent() || l.responseStarted && l.requestEnd > 0
+func (c *runnerConn) mayHaveRun() bool {
+	return c.requestSent() || c.responseStarted && c.requestEnd > 0
 }
 
 // Opened implements eventloop.Handler.
-func (l *runnerConn) Opened(conn *eventloop.Conn) {
-	p := l.runner.pool.proxy
-	l.timer.Stop()
-	l.runner.noteConnected(p.now() - l.dialedAt)
+func (c *runnerConn) Opened(conn *eventloop.Conn) {
+	p := c.runner.pool.proxy
+	c.timer.Stop()
+	c.runner.noteConnected(p.now() - c.dialedAt)
 	conn.SetKeepAlive(unackedTimeout, keepAliveInterval)
 	conn.ReadBeforeReset()
-	l.reportProbe(true)
-	a := l.attempt
+	c.reportProbe(true)
+	a := c.attempt
 	if a == nil {
-		l.makeIdle()
+		c.makeIdle()
 		return
 	}
 	switch {
 	case !conn.Alive(): // the runner accepts no more connections and has reset this one
-		l.fail(errClosedBeforeRequest)
-	case !l.runner.listed || l.runner.draining: // changed while connecting
-		l.fail(errDraining)
+		c.fail(errClosedBeforeRequest)
+	case !c.runner.listed || c.runner.draining: // changed while connecting
+		c.fail(errDraining)
 	default:
-		l.sendRequest(a)
+		c.sendRequest(a)
 	}
 }
 
 // reportProbe ends the probe of the runner's machine if the connection was opened as one.
-func (l *runnerConn) reportProbe(there bool) {
-	if l.isProbe {
-		l.isProbe = false
-		l.runner.finishProbe(there)
+func (c *runnerConn) reportProbe(reachable bool) {
+	if c.isProbe {
+		c.isProbe = false
+		c.runner.finishProbe(reachable)
 	}
 }
 
 // sendRequest writes the request of an attempt.
-func (l *runnerConn) sendRequest(attempt *attempt) {
+func (c *runnerConn) sendRequest(attempt *attempt) {
 	x := attempt.exchange
-	l.attempt, attempt.conn = attempt, l
-	l.transition(connAwaitingHead)
-	l.skippedPrevious, l.closeAfterResponse, l.responseStarted = false, false, false
-	l.previousTryID, l.tryID, l.method = l.tryID, x.tryID, x.head.Method
+	c.attempt, attempt.conn = attempt, c
+	c.transition(connAwaitingHead)
+	c.skippedPrevious, c.closeAfterResponse, c.responseStarted = false, false, false
+	c.previousTryID, c.tryID, c.method = c.tryID, x.tryID, x.head.Method
 	attempt.noteSent()
 	head := x.appendRequest(x.proxy.scratch[:0], attempt.choice)
-	l.requestEnd = l.socket.Written() + uint64(len(head)+len(x.body))
+	c.requestEnd = c.socket.Written() + uint64(len(head)+len(x.body))
 	if len(x.body) <= singleWriteBodyBytes {
 		head = append(head, x.body...)
-		l.socket.Write(head)
+		c.socket.Write(head)
 	} else {
-		l.socket.Write(head)
-		l.socket.Write(x.body)
+		c.socket.Write(head)
+		c.socket.Write(x.body)
 	}
 	x.proxy.scratch = head
 	if x.stalled {
-		l.socket.SetStalled(true)
+		c.socket.SetStalled(true)
 	}
-	l.startWatchdog(ackTimeout)
+	c.startWatchdog(ackTimeout)
 }
 
 // Closed implements eventloop.Handler.
-func (l *runnerConn) Closed(_ *eventloop.Conn, err error) {
-	if l.state == connIdle && errors.Is(err, io.EOF) {
-		l.learnIdleTimeout()
+func (c *runnerConn) Closed(_ *eventloop.Conn, err error) {
+	if c.state == connIdle && errors.Is(err, io.EOF) {
+		c.learnIdleTimeout()
 	}
-	if l.state == connReadingBody && l.framing == httpwire.UntilClose && errors.Is(err, io.EOF) && !l.attempt.endedMidEvent() {
-		l.closeAfterResponse = true
-		l.finishResponse(l.socket)
+	if c.state == connReadingBody && c.framing == httpwire.UntilClose && errors.Is(err, io.EOF) && !c.attempt.endedMidEvent() {
+		c.closeAfterResponse = true
+		c.finishResponse(c.socket)
 		return
 	}
-	l.fail(err)
+	c.fail(err)
 }
 
 // failProtocol closes a connection that received bytes which belong to no request.
-func (l *runnerConn) failProtocol(err error) {
-	l.runner.pool.proxy.Counters.InvalidResponses++
-	l.fail(err)
+func (c *runnerConn) failProtocol(err error) {
+	c.runner.pool.proxy.Counters.InvalidResponses++
+	c.fail(err)
 }
 
 // fail closes the connection and ends its attempt.
-func (l *runnerConn) fail(err error) {
-	p := l.runner.pool.proxy
-	a, mayHaveRun := l.attempt, l.mayHaveRun()
-	if l.state != connIdle {
-		p.log.Debug("runner connection lost", zap.String("runner", l.runner.id), zap.Error(err))
+func (c *runnerConn) fail(err error) {
+	p := c.runner.pool.proxy
+	a, mayHaveRun := c.attempt, c.mayHaveRun()
+	if c.state != connIdle {
+		p.log.Debug("runner connection lost", zap.String("runner", c.runner.id), zap.Error(err))
 	}
-	l.attempt = nil
-	l.close()
-	l.reportProbe(errors.Is(err, eventloop.ErrNoDescriptor)) // a lack of descriptors is local and says nothing about the runner
+	c.attempt = nil
+	c.close()
+	c.reportProbe(errors.Is(err, eventloop.ErrNoDescriptor)) // a lack of descriptors is local and says nothing about the runner
 	if a != nil {
 		a.conn = nil
 		a.handleConnFailure(mayHaveRun)
@@ -188,35 +188,35 @@
 }
 
 // close closes the connection. Calling it again has no effect.
-func (l *runnerConn) close() {
-	if l.state == connClosed {
+func (c *runnerConn) close() {
+	if c.state == connClosed {
 		return
 	}
-	l.timer.Stop()
-	l.watchdog.Stop()
-	l.removeFromIdle()
-	l.transition(connClosed)
-	if l.requestEnd > 0 && !l.responseStarted && l.socket.Unacknowledged() > 0 {
-		l.socket.Reset() // an orderly close would keep the kernel sending a request that nobody waits for
+	c.timer.Stop()
+	c.watchdog.Stop()
+	c.removeFromIdle()
+	c.transition(connClosed)
+	if c.requestEnd > 0 && !c.responseStarted && c.socket.Unacknowledged() > 0 {
+		c.socket.Reset() // an orderly close would keep the kernel sending a request that nobody waits for
 	} else {
-		l.socket.Close()
+		c.socket.Close()
 	}
-	r := l.runner
-	r.conns = removeConn(r.conns, l)
+	r := c.runner
+	r.conns = removeConn(r.conns, c)
 	r.pool.removeIfUnused(r)
 }
 
 // removeFromIdle removes the connection from the runner's idle ones.
-func (l *runnerConn) removeFromIdle() {
-	if l.state == connIdle {
-		l.runner.idle = removeConn(l.runner.idle, l)
+func (c *runnerConn) removeFromIdle() {
+	if c.state == connIdle {
+		c.runner.idle = removeConn(c.runner.idle, c)
 	}
 }
 
 // removeConn returns a list without one connection, in the same order.
-func removeConn(list []*runnerConn, l *runnerConn) []*runnerConn {
-	if i := slices.Index(list, l); i >= 0 {
-		return slices.Delete(list, i, i+1)
+func removeConn(conns []*runnerConn, conn *runnerConn) []*runnerConn {
+	if i := slices.Index(conns, conn); i >= 0 {
+		return slices.Delete(conns, i, i+1)
 	}
-	return list
+	return conns
 }
--- a/internal/system/proxy/runner_response.go
+++ b/internal/system/proxy/runner_response.go
@@ -8,123 +8,123 @@
 )
 
 // Data implements eventloop.Handler.
-func (l *runnerConn) Data(conn *eventloop.Conn) {
-	l.dataSinceCheck, l.responseStarted = true, true
-	l.runner.lastDataAt = l.runner.pool.proxy.now()
-	for l.state != connClosed {
-		if !l.advance(conn) {
+func (c *runnerConn) Data(conn *eventloop.Conn) {
+	c.dataSinceCheck, c.responseStarted = true, true
+	c.runner.lastDataAt = c.runner.pool.proxy.now()
+	for c.state != connClosed {
+		if !c.advance(conn) {
 			return
 		}
 	}
 }
 
 // advance processes the next part of the received bytes; false if it needs more.
-func (l *runnerConn) advance(conn *eventloop.Conn) bool {
-	switch l.state {
+func (c *runnerConn) advance(conn *eventloop.Conn) bool {
+	switch c.state {
 	case connAwaitingHead:
-		return l.readHead(conn)
+		return c.readHead(conn)
 	case connReadingBody, connSkippingBody:
-		return l.readBody(conn)
+		return c.readBody(conn)
 	}
-	l.failProtocol(errUnexpectedBytes)
+	c.failProtocol(errUnexpectedBytes)
 	return false
 }
 
 // readHead processes the head of a response.
-func (l *runnerConn) readHead(conn *eventloop.Conn) bool {
+func (c *runnerConn) readHead(conn *eventloop.Conn) bool {
 	if len(conn.Bytes()) == 0 {
 		return false
 	}
-	head, n, err := httpwire.ParseResponseHead(conn.Bytes(), l.method, maxResponseHeadBytes)
+	head, n, err := httpwire.ParseResponseHead(conn.Bytes(), c.method, maxResponseHeadBytes)
 	if errors.Is(err, httpwire.ErrIncomplete) {
 		return false
 	}
 	if err != nil {
-		l.failProtocol(err)
+		c.failProtocol(err)
 		return false
 	}
 	conn.Consume(n)
-	l.bodyReader.Reset(head.Body)
-	l.framing = head.Body.Kind
-	l.closeAfterResponse = l.closeAfterResponse || head.Close || !l.requestSent()
-	l.advertisedIdle = advertisedIdleTimeout(head.Header)
+	c.bodyReader.Reset(head.Body)
+	c.framing = head.Body.Kind
+	c.closeAfterResponse = c.closeAfterResponse || head.Close || !c.requestSent()
+	c.advertisedIdle = advertisedIdleTimeout(head.Header)
 	switch {
-	case l.matchesCurrent(&head):
-	case l.matchesPrevious(&head):
-		l.transition(connSkippingBody)
-		l.skippedPrevious, l.closeAfterResponse = true, true
+	case c.matchesCurrent(&head):
+	case c.matchesPrevious(&head):
+		c.transition(connSkippingBody)
+		c.skippedPrevious, c.closeAfterResponse = true, true
 		return true
 	default:
-		l.failProtocol(errMismatchedResponse)
+		c.failProtocol(errMismatchedResponse)
 		return false
 	}
-	l.transition(connReadingBody)
-	if a := l.attempt; a != nil {
-		a.handleHead(&head)
+	c.transition(connReadingBody)
+	if attempt := c.attempt; attempt != nil {
+		attempt.handleHead(&head)
 	}
-	if l.state == connReadingBody && l.attempt == nil {
-		l.discardResponse()
+	if c.state == connReadingBody && c.attempt == nil {
+		c.discardResponse()
 	}
-	return l.state != connClosed
+	return c.state != connClosed
 }
 
 // matchesCurrent reports whether a response belongs to the current request, which its id shows. A response that only
 // says that nothing was executed may lack the id on a connection that carried no request before: it can belong to no
 // other.
-func (l *runnerConn) matchesCurrent(head *httpwire.ResponseHead) bool {
+func (c *runnerConn) matchesCurrent(head *httpwire.ResponseHead) bool {
 	id, once := head.Header.GetUnique(headerTryID)
 	if id != "" {
-		return once && id == l.tryID
+		return once && id == c.tryID
 	}
-	return l.previousTryID == "" && classify(head).saysNotRun()
+	return c.previousTryID == "" && classify(head).saysNotRun()
 }
 
 // matchesPrevious reports whether a response is an extra one to the previous request of this connection. It may be
 // discarded because the response to the current request follows.
-func (l *runnerConn) matchesPrevious(head *httpwire.ResponseHead) bool {
+func (c *runnerConn) matchesPrevious(head *httpwire.ResponseHead) bool {
 	id, once := head.Header.GetUnique(headerTryID)
-	return once && !l.skippedPrevious && id != "" && id == l.previousTryID && head.Body.Kind != httpwire.UntilClose
+	return once && !c.skippedPrevious && id != "" && id == c.previousTryID && head.Body.Kind != httpwire.UntilClose
 }
 
 // readBody processes a part of the body.
-func (l *runnerConn) readBody(conn *eventloop.Conn) bool {
-	data, n, done, err := l.bodyReader.Next(conn.Bytes())
+func (c *runnerConn) readBody(conn *eventloop.Conn) bool {
+	data, n, done, err := c.bodyReader.Next(conn.Bytes())
 	if err != nil {
-		l.failProtocol(err)
+		c.failProtocol(err)
 		return false
 	}
-	if a := l.attempt; a != nil && l.state == connReadingBody {
+	if a := c.attempt; a != nil && c.state == connReadingBody {
 		a.relayBody(data)
 	}
 	conn.Consume(n)
 	switch {
-	case done && l.state == connSkippingBody:
-		l.transition(connAwaitingHead)
+	case done && c.state == connSkippingBody:
+		c.transition(connAwaitingHead)
 		return true
 	case done:
-		l.finishResponse(conn)
+		c.finishResponse(conn)
 		return false
 	}
 	return n > 0 && len(conn.Bytes()) > 0
 }
 
 // finishResponse makes the connection idle or closes it, and completes the attempt.
-func (l *runnerConn) finishResponse(conn *eventloop.Conn) {
-	a := l.attempt
-	l.attempt = nil
+func (c *runnerConn) finishResponse(conn *eventloop.Conn) {
+	a := c.attempt
+	c.attempt = nil
 	if a != nil {
 		a.conn = nil
 	}
-	l.timer.Stop()
-	l.watchdog.Stop()
+	c.timer.Stop()
+	c.watchdog.Stop()
 	switch {
 	case len(conn.Bytes()) > 0:
-		l.runner.pool.proxy.Counters.InvalidResponses++
-		l.close()
-	case l.closeAfterResponse:
-		l.close()
+		c.runner.pool.proxy.Counters.InvalidResponses++
+		c.close()
+	case c.closeAfterResponse:
+		c.close()
 	default:
-		l.makeIdle()
+		c.makeIdle()
 	}
 	if a != nil {
 		a.complete()
@@ -132,13 +132,13 @@
 }
 
 // discardResponse reads the rest of a response that nobody waits for, so that the connection can be reused.
-func (l *runnerConn) discardResponse() {
-	if l.closeAfterResponse || l.framing == httpwire.UntilClose {
-		l.close()
+func (c *runnerConn) discardResponse() {
+	if c.closeAfterResponse || c.framing == httpwire.UntilClose {
+		c.close()
 		return
 	}
-	p := l.runner.pool.proxy
-	l.socket.SetStalled(false)
-	l.timer.Stop()
-	l.timer = p.runAt(p.now()+discardTimeout, func() { l.fail(errDiscardTimeout) })
+	p := c.runner.pool.proxy
+	c.socket.SetStalled(false)
+	c.timer.Stop()
+	c.timer = p.runAt(p.now()+discardTimeout, func() { c.fail(errDiscardTimeout) })
 }
--- a/internal/system/proxy/watchdog.go
+++ b/internal/system/proxy/watchdog.go
@@ -20,35 +20,35 @@
 
 // startWatchdog schedules a check of the attempt. The checks repeat until the attempt ends if the request is idempotent;
 // other requests are checked once.
-func (l *runnerConn) startWatchdog(after time.Duration) {
-	p := l.runner.pool.proxy
-	l.watchdog.Stop()
-	l.dataSinceCheck, l.checkInterval = false, after
-	l.watchdog = p.runAt(p.now()+after, l.checkProgress)
+func (c *runnerConn) startWatchdog(after time.Duration) {
+	p := c.runner.pool.proxy
+	c.watchdog.Stop()
+	c.dataSinceCheck, c.checkInterval = false, after
+	c.watchdog = p.runAt(p.now()+after, c.checkProgress)
 }
 
 // checkProgress finds out whether the runner's machine is reachable if nothing has arrived from it since the last
 // check.
-func (l *runnerConn) checkProgress() {
-	a := l.attempt
-	if a == nil || l.state != connAwaitingHead && l.state != connReadingBody {
+func (c *runnerConn) checkProgress() {
+	a := c.attempt
+	if a == nil || c.state != connAwaitingHead && c.state != connReadingBody {
 		return
 	}
 	mayMove := a.exchange.request.Route.IsIdempotent()
 	next := a.silenceTimeout()
 	switch {
-	case l.dataSinceCheck || a.exchange.stalled:
-	case l.socket.Unacknowledged() > 0:
-		l.runner.markSuspect()
+	case c.dataSinceCheck || a.exchange.stalled:
+	case c.socket.Unacknowledged() > 0:
+		c.runner.markSuspect()
 		if mayMove {
 			a.moveToAnotherRunner()
 		}
-	case mayMove && l.runner.pool.proxy.now()-l.runner.lastDataAt >= l.checkInterval:
-		l.runner.probe()
-		next = max(next, 2*l.checkInterval)
+	case mayMove && c.runner.pool.proxy.now()-c.runner.lastDataAt >= c.checkInterval:
+		c.runner.probe()
+		next = max(next, 2*c.checkInterval)
 	}
-	if mayMove && l.attempt == a {
-		l.startWatchdog(next)
+	if mayMove && c.attempt == a {
+		c.startWatchdog(next)
 	}
 }
 
@@ -90,20 +90,20 @@
 		return
 	}
 	r.probing = true
-	l := r.open()
-	l.isProbe = true
-	l.timer = p.runAt(p.now()+probeTimeoutFactor*r.connectTimeout(), func() { l.fail(errConnectTimeout) })
+	conn := r.open()
+	conn.isProbe = true
+	conn.timer = p.runAt(p.now()+probeTimeoutFactor*r.connectTimeout(), func() { conn.fail(errConnectTimeout) })
 }
 
 // finishProbe handles the result of a probe.
-func (r *runner) finishProbe(there bool) {
+func (r *runner) finishProbe(reachable bool) {
 	r.probing = false
-	if there {
+	if reachable {
 		return
 	}
 	r.markSuspect()
-	for _, l := range slices.Clone(r.conns) {
-		if a := l.attempt; a != nil && l.state != connDialing && a.exchange.request.Route.IsIdempotent() {
+	for _, conn := range slices.Clone(r.conns) {
+		if a := conn.attempt; a != nil && conn.state != connDialing && a.exchange.request.Route.IsIdempotent() {
 			a.moveToAnotherRunner()
 		}
 	}
