--- a/internal/system/rpc/call.go
+++ b/internal/system/rpc/call.go
@@ -29,8 +29,8 @@
 func (c Call[Argument, Reply]) Name() string { return c.name }
 
 // Handle has the registry answer the call. It panics where the name is taken or a type is not exported.
-func (c Call[Argument, Reply]) Handle(r *Registry, handler Handler[Argument, Reply]) {
-	r.register(c.name, &service[Argument, Reply]{registry: r, handler: handler})
+func (c Call[Argument, Reply]) Handle(registry *Registry, handler Handler[Argument, Reply]) {
+	registry.register(c.name, &service[Argument, Reply]{registry: registry, handler: handler})
 }
 
 // Invoke calls and returns by the end of the context, or after the client's Options.Call where the context has no end.
@@ -51,9 +51,9 @@
 	return client.send(ctx, c.name, argument, new(Reply))
 }
 
-func (c Call[Argument, Reply]) invoke(ctx context.Context, client *Client, atMost time.Duration,
+func (c Call[Argument, Reply]) invoke(ctx context.Context, client *Client, timeout time.Duration,
 	argument *Argument) (*Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, atMost)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	reply := new(Reply)
 	if err := client.call(ctx, c.name, argument, reply); err != nil {
@@ -71,8 +71,8 @@
 // What a caller is told where a handler gives neither an answer nor the text of an error: net/rpc takes an empty text for
 // success.
 var (
-	errUnnamed  = errors.New("the handler failed and does not say why")
-	errNoAnswer = errors.New("the handler gave no answer")
+	errNoErrorText = errors.New("the handler failed and does not say why")
+	errNoReply     = errors.New("the handler gave no answer")
 )
 
 // serviceMethod is the name of the one method of each service; it is not sent.
@@ -80,15 +80,15 @@
 
 // Call runs the handler.
 func (s *service[Argument, Reply]) Call(argument *Argument, reply *Reply) error {
-	answer, err := s.handler(s.registry.context, argument)
+	result, err := s.handler(s.registry.handlerContext, argument)
 	switch {
 	case err != nil && err.Error() == "":
-		return errUnnamed
+		return errNoErrorText
 	case err != nil:
 		return err
-	case answer == nil:
-		return errNoAnswer
+	case result == nil:
+		return errNoReply
 	}
-	*reply = *answer
+	*reply = *result
 	return nil
 }
--- a/internal/system/rpc/client.go
+++ b/internal/system/rpc/client.go
@@ -21,25 +21,25 @@
 }
 
 const (
-	defaultDial         = time.Second
-	defaultCall         = 3 * time.Second
-	defaultUserTimeout  = 3 * time.Second
-	defaultRetry        = 100 * time.Millisecond
-	defaultWindow       = 16
-	defaultMessageBytes = 64 << 20
-	mostRetries         = 8 // longest pause between dials, in Options.Retry
+	defaultDialTimeout     = time.Second
+	defaultCallTimeout     = 3 * time.Second
+	defaultTCPUserTimeout  = 3 * time.Second
+	defaultDialBackoff     = 100 * time.Millisecond
+	defaultMaxPendingSends = 16
+	defaultMaxReplyBytes   = 64 << 20
+	maxDialBackoffFactor   = 8 // longest pause between dials, in Options.Retry
 )
 
-func (o *ClientOptions) complete() {
-	defaultTo(&o.DialTimeout, defaultDial)
-	defaultTo(&o.CallTimeout, defaultCall)
-	defaultTo(&o.TCPUserTimeout, defaultUserTimeout)
-	defaultTo(&o.DialBackoff, defaultRetry)
-	defaultTo(&o.MaxPendingSends, defaultWindow)
-	defaultTo(&o.MaxReplyBytes, defaultMessageBytes)
+func (o *ClientOptions) setDefaults() {
+	setDefault(&o.DialTimeout, defaultDialTimeout)
+	setDefault(&o.CallTimeout, defaultCallTimeout)
+	setDefault(&o.TCPUserTimeout, defaultTCPUserTimeout)
+	setDefault(&o.DialBackoff, defaultDialBackoff)
+	setDefault(&o.MaxPendingSends, defaultMaxPendingSends)
+	setDefault(&o.MaxReplyBytes, defaultMaxReplyBytes)
 }
 
-func defaultTo[T comparable](field *T, value T) {
+func setDefault[T comparable](field *T, value T) {
 	var unset T
 	if *field == unset {
 		*field = value
@@ -48,32 +48,32 @@
 
 // Client calls one process over one connection, which it sets up when it is needed. It is safe for concurrent use.
 type Client struct {
-	address netip.AddrPort
-	options ClientOptions
-	ended   context.Context
-	end     context.CancelFunc
-	open    func(ctx context.Context) (net.Conn, error) // a connection to the process
+	address       netip.AddrPort
+	options       ClientOptions
+	closed        context.Context
+	close         context.CancelFunc
+	dialTransport func(ctx context.Context) (net.Conn, error) // a connection to the process
 
-	mutex   sync.Mutex
-	live    *connection
-	dialing *dialing
-	pause   time.Duration // before the next dial; 0: the last one succeeded
-	retryAt time.Time
-	failure error // of the last dial
+	mutex         sync.Mutex
+	connection    *connection
+	pendingDial   *dialAttempt
+	dialBackoff   time.Duration // before the next dial; 0: the last one succeeded
+	nextDialAt    time.Time
+	lastDialError error // of the last dial
 }
 
 // connection is one that stands. Its unanswered sends belong to whoever holds sending.
 type connection struct {
-	socket   net.Conn
-	rpc      *netrpc.Client
-	codec    *clientCodec
-	sending  chan struct{} // holds one token: the right to send
-	answered chan *netrpc.Call
-	waiting  int // sends that are not answered
+	socket       net.Conn
+	client       *netrpc.Client
+	codec        *clientCodec
+	sendToken    chan struct{} // holds one token: the right to send
+	sendReplies  chan *netrpc.Call
+	pendingSends int // sends that are not answered
 }
 
-// dialing is an attempt that all who need the connection wait for.
-type dialing struct {
+// dialAttempt is an attempt that all who need the connection wait for.
+type dialAttempt struct {
 	done       chan struct{}
 	connection *connection
 	err        error
@@ -81,15 +81,15 @@
 
 // NewClient returns a client of the process at the address. It dials with the first call.
 func NewClient(address netip.AddrPort, options ClientOptions) *Client {
-	options.complete()
+	options.setDefaults()
 	ended, end := context.WithCancel(context.Background())
-	c := &Client{address: address, options: options, ended: ended, end: end}
-	c.open = c.openSocket
+	c := &Client{address: address, options: options, closed: ended, close: end}
+	c.dialTransport = c.dialTCP
 	return c
 }
 
-// openSocket opens a TCP connection.
-func (c *Client) openSocket(ctx context.Context) (net.Conn, error) {
+// dialTCP opens a TCP connection.
+func (c *Client) dialTCP(ctx context.Context) (net.Conn, error) {
 	dialer := net.Dialer{Control: controlSocket(c.options.TCPUserTimeout), KeepAliveConfig: keepAlive}
 	return dialer.DialContext(ctx, "tcp4", c.address.String())
 }
@@ -99,13 +99,13 @@
 
 // Close ends the connection and all calls.
 func (c *Client) Close() {
-	c.end()
+	c.close()
 	c.mutex.Lock()
-	live := c.live
-	c.live = nil
+	live := c.connection
+	c.connection = nil
 	c.mutex.Unlock()
 	if live != nil {
-		live.rpc.Close()
+		live.client.Close()
 	}
 }
 
@@ -115,28 +115,28 @@
 	if err != nil {
 		return &UnreachableError{c.address, err}
 	}
-	heard := conn.codec.heard.Load()
-	call := conn.rpc.Go(name, argument, reply, make(chan *netrpc.Call, 1))
+	heard := conn.codec.replies.Load()
+	call := conn.client.Go(name, argument, reply, make(chan *netrpc.Call, 1))
 	select {
 	case <-call.Done:
-		return c.outcome(conn, call)
+		return c.finish(conn, call)
 	case <-ctx.Done():
-		return c.unanswered(conn, name, heard, ctx.Err())
+		return c.abandon(conn, name, heard, ctx.Err())
 	}
 }
 
-// unanswered is the error of a call that is given up. A connection that has been silent since ends if the call ran out of
+// abandon is the error of a call that is given up. A connection that has been silent since ends if the call ran out of
 // time.
-func (c *Client) unanswered(conn *connection, name string, heard uint64, cause error) error {
-	silent := conn.codec.heard.Load() == heard
+func (c *Client) abandon(conn *connection, name string, heard uint64, cause error) error {
+	silent := conn.codec.replies.Load() == heard
 	if silent && errors.Is(cause, context.DeadlineExceeded) {
-		c.drop(conn)
+		c.dropConnection(conn)
 	}
 	return &NoReplyError{c.address, name, cause}
 }
 
-// outcome is the error of a finished call. Any other than the handler's own ends the connection.
-func (c *Client) outcome(conn *connection, call *netrpc.Call) error {
+// finish is the error of a finished call. Any other than the handler's own ends the connection.
+func (c *Client) finish(conn *connection, call *netrpc.Call) error {
 	if call.Error == nil {
 		return nil
 	}
@@ -144,7 +144,7 @@
 	if errors.As(call.Error, &remote) {
 		return &RemoteError{c.address, call.ServiceMethod, call.Error.Error()}
 	}
-	c.drop(conn)
+	c.dropConnection(conn)
 	return &NoReplyError{c.address, call.ServiceMethod, call.Error}
 }
 
@@ -157,37 +157,37 @@
 		return &UnreachableError{c.address, err}
 	}
 	select {
-	case <-conn.sending:
-		defer func() { conn.sending <- struct{}{} }()
+	case <-conn.sendToken:
+		defer func() { conn.sendToken <- struct{}{} }()
 	case <-ctx.Done():
 		return &NoReplyError{c.address, name, ctx.Err()}
 	}
-	if err := conn.settle(ctx, c.options.MaxPendingSends); err != nil {
-		c.drop(conn)
+	if err := conn.collectReplies(ctx, c.options.MaxPendingSends); err != nil {
+		c.dropConnection(conn)
 		return &NoReplyError{c.address, name, err}
 	}
-	conn.waiting++
-	conn.rpc.Go(name, argument, reply, conn.answered)
+	conn.pendingSends++
+	conn.client.Go(name, argument, reply, conn.sendReplies)
 	return nil
 }
 
-// settle takes the answers that came and waits until fewer than window are outstanding.
-func (conn *connection) settle(ctx context.Context, window int) error {
-	for conn.waiting > 0 {
+// collectReplies takes the answers that came and waits until fewer than window are outstanding.
+func (conn *connection) collectReplies(ctx context.Context, window int) error {
+	for conn.pendingSends > 0 {
 		var call *netrpc.Call
 		select {
-		case call = <-conn.answered:
+		case call = <-conn.sendReplies:
 		default:
-			if conn.waiting < window {
+			if conn.pendingSends < window {
 				return nil
 			}
 			select {
-			case call = <-conn.answered:
+			case call = <-conn.sendReplies:
 			case <-ctx.Done():
 				return ctx.Err()
 			}
 		}
-		conn.waiting--
+		conn.pendingSends--
 		var remote netrpc.ServerError
 		if call.Error != nil && !errors.As(call.Error, &remote) {
 			return call.Error
@@ -196,40 +196,40 @@
 	return nil
 }
 
-// drop ends a connection, so that the next call sets up another.
-func (c *Client) drop(conn *connection) {
+// dropConnection ends a connection, so that the next call sets up another.
+func (c *Client) dropConnection(conn *connection) {
 	c.mutex.Lock()
-	if c.live == conn {
-		c.live = nil
+	if c.connection == conn {
+		c.connection = nil
 	}
 	c.mutex.Unlock()
-	conn.rpc.Close()
+	conn.client.Close()
 }
 
 // connect returns the connection, set up if need be, after the pause that a failed dial asks for.
 func (c *Client) connect(ctx context.Context) (*connection, error) {
 	for {
 		c.mutex.Lock()
-		if c.ended.Err() != nil {
+		if c.closed.Err() != nil {
 			c.mutex.Unlock()
 			return nil, closedError{}
 		}
-		if c.live != nil && c.live.codec.ended.Load() {
-			c.live = nil
+		if c.connection != nil && c.connection.codec.ended.Load() {
+			c.connection = nil
 		}
-		if c.live != nil {
+		if c.connection != nil {
 			defer c.mutex.Unlock()
-			return c.live, nil
+			return c.connection, nil
 		}
-		attempt, wait, failure := c.dialing, time.Until(c.retryAt), c.failure
-		if attempt == nil && (c.pause == 0 || wait <= 0) {
-			attempt = &dialing{done: make(chan struct{})}
-			c.dialing = attempt
+		attempt, wait, failure := c.pendingDial, time.Until(c.nextDialAt), c.lastDialError
+		if attempt == nil && (c.dialBackoff == 0 || wait <= 0) {
+			attempt = &dialAttempt{done: make(chan struct{})}
+			c.pendingDial = attempt
 			go c.dial(attempt)
 		}
 		c.mutex.Unlock()
 		if attempt == nil {
-			if err := c.sleep(ctx, wait, failure); err != nil {
+			if err := c.waitForNextDial(ctx, wait, failure); err != nil {
 				return nil, err
 			}
 			continue
@@ -243,8 +243,8 @@
 	}
 }
 
-// sleep waits out the pause between dials; it gives up at once where the context ends sooner.
-func (c *Client) sleep(ctx context.Context, wait time.Duration, failure error) error {
+// waitForNextDial waits out the pause between dials; it gives up at once where the context ends sooner.
+func (c *Client) waitForNextDial(ctx context.Context, wait time.Duration, failure error) error {
 	if deadline, bound := ctx.Deadline(); bound && time.Until(deadline) < wait {
 		return failure
 	}
@@ -255,40 +255,40 @@
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-c.ended.Done():
+	case <-c.closed.Done():
 		return closedError{}
 	}
 }
 
 // dial makes an attempt and tells those who wait for it.
-func (c *Client) dial(attempt *dialing) {
-	ctx, cancel := context.WithTimeout(c.ended, c.options.DialTimeout)
+func (c *Client) dial(attempt *dialAttempt) {
+	ctx, cancel := context.WithTimeout(c.closed, c.options.DialTimeout)
 	defer cancel()
-	socket, err := c.open(ctx)
+	socket, err := c.dialTransport(ctx)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	defer close(attempt.done)
-	c.dialing = nil
-	if err == nil && c.ended.Err() != nil {
+	c.pendingDial = nil
+	if err == nil && c.closed.Err() != nil {
 		socket.Close()
 		err = closedError{}
 	}
 	if err != nil {
-		c.pause = min(max(2*c.pause, c.options.DialBackoff), mostRetries*c.options.DialBackoff)
-		c.retryAt = time.Now().Add(c.pause)
-		c.failure = err
+		c.dialBackoff = min(max(2*c.dialBackoff, c.options.DialBackoff), maxDialBackoffFactor*c.options.DialBackoff)
+		c.nextDialAt = time.Now().Add(c.dialBackoff)
+		c.lastDialError = err
 		attempt.err = err
 		return
 	}
-	c.pause = 0
-	c.live = newConnection(socket, &c.options)
-	attempt.connection = c.live
+	c.dialBackoff = 0
+	c.connection = newConnection(socket, &c.options)
+	attempt.connection = c.connection
 }
 
-func newConnection(socket net.Conn, o *ClientOptions) *connection {
-	codec := newClientCodec(socket, o)
-	conn := &connection{socket: socket, codec: codec, rpc: netrpc.NewClientWithCodec(codec),
-		sending: make(chan struct{}, 1), answered: make(chan *netrpc.Call, o.MaxPendingSends)}
-	conn.sending <- struct{}{}
+func newConnection(socket net.Conn, options *ClientOptions) *connection {
+	codec := newClientCodec(socket, options)
+	conn := &connection{socket: socket, codec: codec, client: netrpc.NewClientWithCodec(codec),
+		sendToken: make(chan struct{}, 1), sendReplies: make(chan *netrpc.Call, options.MaxPendingSends)}
+	conn.sendToken <- struct{}{}
 	return conn
 }
--- a/internal/system/rpc/codec.go
+++ b/internal/system/rpc/codec.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	bufferBytes = 4 << 10  // of each direction of a connection
-	writeBytes  = 32 << 10 // that have the write time-out to go out, of a larger message
+	bufferSize   = 4 << 10  // of each direction of a connection
+	maxWriteSize = 32 << 10 // that have the write time-out to go out, of a larger message
 )
 
-// bounded reads from a connection and fails once more than the bound came since the last renewal.
-type bounded struct {
-	source io.Reader
-	limit  int64
-	left   int64
-	total  atomic.Uint64 // bytes that have come
+// limitedReader reads from a connection and fails once more than the bound came since the last renewal.
+type limitedReader struct {
+	source    io.Reader
+	limit     int64
+	remaining int64
+	received  atomic.Uint64 // bytes that have come
 }
 
-func (b *bounded) renew() { b.left = b.limit }
+func (b *limitedReader) reset() { b.remaining = b.limit }
 
 // Read reads what the bound leaves.
-func (b *bounded) Read(p []byte) (int, error) {
-	if b.left <= 0 {
+func (b *limitedReader) Read(p []byte) (int, error) {
+	if b.remaining <= 0 {
 		return 0, &MessageTooLargeError{b.limit}
 	}
-	n, err := b.source.Read(p[:min(int64(len(p)), b.left)])
-	b.left -= int64(n)
-	b.total.Add(uint64(n))
+	n, err := b.source.Read(p[:min(int64(len(p)), b.remaining)])
+	b.remaining -= int64(n)
+	b.received.Add(uint64(n))
 	return n, err
 }
 
@@ -51,7 +51,7 @@
 		if err := w.socket.SetWriteDeadline(time.Now().Add(w.timeout)); err != nil {
 			return written, err
 		}
-		n, err := w.socket.Write(p[written:min(written+writeBytes, len(p))])
+		n, err := w.socket.Write(p[written:min(written+maxWriteSize, len(p))])
 		written += n
 		if err != nil {
 			return written, err
@@ -63,17 +63,17 @@
 // stream is one connection's gob stream in both directions.
 type stream struct {
 	socket  net.Conn
-	input   *bounded
+	reader  *limitedReader
 	decoder *gob.Decoder
-	output  *bufio.Writer
+	writer  *bufio.Writer
 	encoder *gob.Encoder
 }
 
 func newStream(socket net.Conn, limit int64, writeTimeout time.Duration) *stream {
-	input := &bounded{source: socket, limit: limit, left: limit}
-	output := bufio.NewWriterSize(&timedWriter{socket, writeTimeout}, bufferBytes)
-	return &stream{socket: socket, input: input, output: output,
-		decoder: gob.NewDecoder(bufio.NewReaderSize(input, bufferBytes)), encoder: gob.NewEncoder(output)}
+	input := &limitedReader{source: socket, limit: limit, remaining: limit}
+	output := bufio.NewWriterSize(&timedWriter{socket, writeTimeout}, bufferSize)
+	return &stream{socket: socket, reader: input, writer: output,
+		decoder: gob.NewDecoder(bufio.NewReaderSize(input, bufferSize)), encoder: gob.NewEncoder(output)}
 }
 
 // write sends a header and a body. After an error the stream is of no more use.
@@ -84,18 +84,18 @@
 	if err := s.encoder.Encode(body); err != nil {
 		return err
 	}
-	return s.output.Flush()
+	return s.writer.Flush()
 }
 
 // clientCodec is net/rpc's codec of a client.
 type clientCodec struct {
-	stream *stream
-	heard  atomic.Uint64 // answers that came
-	ended  atomic.Bool   // nothing comes any more
+	stream  *stream
+	replies atomic.Uint64 // answers that came
+	ended   atomic.Bool   // nothing comes any more
 }
 
-func newClientCodec(socket net.Conn, o *ClientOptions) *clientCodec {
-	return &clientCodec{stream: newStream(socket, o.MaxReplyBytes, o.TCPUserTimeout)}
+func newClientCodec(socket net.Conn, options *ClientOptions) *clientCodec {
+	return &clientCodec{stream: newStream(socket, options.MaxReplyBytes, options.TCPUserTimeout)}
 }
 
 // WriteRequest sends a call; net/rpc calls it for one call at a time.
@@ -109,13 +109,13 @@
 
 // ReadResponseHeader waits for the next answer.
 func (c *clientCodec) ReadResponseHeader(response *netrpc.Response) error {
-	c.stream.input.renew()
+	c.stream.reader.reset()
 	err := c.stream.decoder.Decode(response)
 	if err != nil {
 		c.ended.Store(true)
 		return err
 	}
-	c.heard.Add(1)
+	c.replies.Add(1)
 	return nil
 }
 
@@ -130,18 +130,18 @@
 
 // serverCodec is net/rpc's codec of a server's connection. It takes a request only once a place for it is free.
 type serverCodec struct {
-	stream *stream
-	places chan struct{}
-	once   sync.Once
-	closed func()
+	stream    *stream
+	slots     chan struct{}
+	closeOnce sync.Once
+	onClose   func()
 }
 
 // ReadRequestHeader waits for a free place and the next request.
 func (c *serverCodec) ReadRequestHeader(request *netrpc.Request) error {
-	c.places <- struct{}{}
-	c.stream.input.renew()
+	c.slots <- struct{}{}
+	c.stream.reader.reset()
 	if err := c.stream.decoder.Decode(request); err != nil {
-		c.shut()
+		c.shutdown()
 		return err
 	}
 	request.ServiceMethod += serviceMethod
@@ -152,35 +152,35 @@
 func (c *serverCodec) ReadRequestBody(body any) error {
 	err := c.stream.decoder.Decode(body)
 	if err != nil {
-		c.shut()
+		c.shutdown()
 	}
 	return err
 }
 
 // WriteResponse sends an answer, and frees its place; net/rpc calls it for one answer at a time.
 func (c *serverCodec) WriteResponse(response *netrpc.Response, body any) error {
-	defer func() { <-c.places }()
+	defer func() { <-c.slots }()
 	if response.Error != "" {
 		response.Error = strings.ReplaceAll(response.Error, serviceMethod, "")
 	}
 	response.ServiceMethod = "" // the caller knows it by the sequence number
 	err := c.stream.write(response, body)
 	if err != nil {
-		c.shut()
+		c.shutdown()
 	}
 	return err
 }
 
 // Close ends the connection.
 func (c *serverCodec) Close() error {
-	c.shut()
+	c.shutdown()
 	return nil
 }
 
-// shut ends the connection at once, whatever calls are still running.
-func (c *serverCodec) shut() {
-	c.once.Do(func() {
+// shutdown ends the connection at once, whatever calls are still running.
+func (c *serverCodec) shutdown() {
+	c.closeOnce.Do(func() {
 		c.stream.socket.Close()
-		c.closed()
+		c.onClose()
 	})
 }
--- a/internal/system/rpc/model_test.go
+++ b/internal/system/rpc/model_test.go
@@ -19,51 +19,53 @@
 )
 
 const (
-	modelSeeds   = 60
-	modelCallers = 6
-	modelCalls   = 20 // of each caller
-	longestCall  = 400 * time.Millisecond
-	noSequence   = 1 << 40
-	modelSlack   = time.Millisecond // past its deadline, in which a call has to return
+	simulationSeeds  = 60
+	simulatedCallers = 6
+	callsPerCaller   = 20 // of each caller
+	maxCallTimeout   = 400 * time.Millisecond
+	noSequence       = 1 << 40
+	deadlineSlack    = time.Millisecond // past its deadline, in which a call has to return
 )
 
-// callModel holds what must be true of calls whatever the other side does: an answer belongs to its call, nothing is sent
+// callSimulation holds what must be true of calls whatever the other side does: an answer belongs to its call, nothing is sent
 // twice, what is said not to have been sent was not, and every call returns by its deadline.
-type callModel struct {
-	mutex    sync.Mutex
-	random   *rand.Rand
-	received map[string]int
-	refused  map[string]bool // that the server answered by an error
-	unsent   []string        // that the client says it has not sent
-	outcomes map[string]int
-	broken   []string
+type callSimulation struct {
+	mutex      sync.Mutex
+	random     *rand.Rand
+	received   map[string]int
+	rejected   map[string]bool // that the server answered by an error
+	unsent     []string        // that the client says it has not sent
+	outcomes   map[string]int
+	violations []string
 }
 
-func (m *callModel) breaks(format string, args ...any) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	m.broken = append(m.broken, fmt.Sprintf(format, args...))
+func (sim *callSimulation) recordViolation(format string, args ...any) {
+	sim.mutex.Lock()
+	defer sim.mutex.Unlock()
+	sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
 }
 
-func (m *callModel) draw(n int) int {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	return m.random.IntN(n)
+func (sim *callSimulation) draw(n int) int {
+	sim.mutex.Lock()
+	defer sim.mutex.Unlock()
+	return sim.random.IntN(n)
 }
 
-func (m *callModel) upTo(most time.Duration) time.Duration { return time.Duration(m.draw(int(most))) }
+func (sim *callSimulation) durationUpTo(most time.Duration) time.Duration {
+	return time.Duration(sim.draw(int(most)))
+}
 
-// scriptedServer serves one connection as a process in trouble does.
-type scriptedServer struct {
-	model   *callModel
-	socket  net.Conn
-	decoder *gob.Decoder
-	mutex   sync.Mutex
-	encoder *gob.Encoder
-	last    uint64 // sequence number of a call that was answered
+// faultyServer serves one connection as a process in trouble does.
+type faultyServer struct {
+	sim         *callSimulation
+	socket      net.Conn
+	decoder     *gob.Decoder
+	mutex       sync.Mutex
+	encoder     *gob.Encoder
+	lastReplied uint64 // sequence number of a call that was answered
 }
 
-func (s *scriptedServer) serve() {
+func (s *faultyServer) serve() {
 	defer s.socket.Close()
 	for {
 		var request netrpc.Request
@@ -71,17 +73,17 @@
 		if s.decoder.Decode(&request) != nil || s.decoder.Decode(&argument) != nil {
 			return
 		}
-		s.model.mutex.Lock()
-		s.model.received[argument.Text]++
-		s.model.mutex.Unlock()
-		if !s.react(&request, argument.Text) {
+		s.sim.mutex.Lock()
+		s.sim.received[argument.Text]++
+		s.sim.mutex.Unlock()
+		if !s.respond(&request, argument.Text) {
 			return
 		}
 	}
 }
 
-// answer sends an answer to a sequence number.
-func (s *scriptedServer) answer(sequence uint64, failure, text string) {
+// reply sends an answer to a sequence number.
+func (s *faultyServer) reply(sequence uint64, failure, text string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	_ = s.encoder.Encode(&netrpc.Response{Seq: sequence, Error: failure})
@@ -90,25 +92,25 @@
 		return
 	}
 	_ = s.encoder.Encode(&EchoReply{Text: text})
-	s.last = sequence
+	s.lastReplied = sequence
 }
 
-// react draws what the server does with a call; false: it ends the connection.
-func (s *scriptedServer) react(request *netrpc.Request, text string) bool {
+// respond draws what the server does with a call; false: it ends the connection.
+func (s *faultyServer) respond(request *netrpc.Request, text string) bool {
 	whole := "echo " + text
-	switch s.model.draw(16) {
+	switch s.sim.draw(16) {
 	case 0: // silence
 	case 1:
-		s.answer(request.Seq, "", whole)
-		s.answer(request.Seq, "", "a second answer")
+		s.reply(request.Seq, "", whole)
+		s.reply(request.Seq, "", "a second answer")
 	case 2:
-		s.answer(request.Seq+1000, "", "an answer to nobody")
-		s.answer(request.Seq, "", whole)
+		s.reply(request.Seq+1000, "", "an answer to nobody")
+		s.reply(request.Seq, "", whole)
 	case 3:
-		s.model.mutex.Lock()
-		s.model.refused[text] = true
-		s.model.mutex.Unlock()
-		s.answer(request.Seq, "refused "+text, "")
+		s.sim.mutex.Lock()
+		s.sim.rejected[text] = true
+		s.sim.mutex.Unlock()
+		s.reply(request.Seq, "refused "+text, "")
 	case 4:
 		return false
 	case 5:
@@ -118,47 +120,47 @@
 		return false
 	case 6:
 		s.mutex.Lock()
-		last := s.last
+		last := s.lastReplied
 		s.mutex.Unlock()
-		s.answer(last, "", "a late second answer")
-		s.answer(request.Seq, "", whole)
+		s.reply(last, "", "a late second answer")
+		s.reply(request.Seq, "", whole)
 	case 7: // read slowly
-		time.Sleep(s.model.upTo(longestCall / 4))
-		s.answer(request.Seq, "", whole)
+		time.Sleep(s.sim.durationUpTo(maxCallTimeout / 4))
+		s.reply(request.Seq, "", whole)
 	default: // in any order, many too late
 		go func() {
-			time.Sleep(s.model.upTo(longestCall * 3 / 2))
-			s.answer(request.Seq, "", whole)
+			time.Sleep(s.sim.durationUpTo(maxCallTimeout * 3 / 2))
+			s.reply(request.Seq, "", whole)
 		}()
 	}
 	return true
 }
 
-// modelConn is one end of a connection in memory. Its writes do not wait: in a bubble time stands still while a goroutine
+// pipeConn is one end of a connection in memory. Its writes do not wait: in a bubble time stands still while a goroutine
 // waits for a mutex, as those of net/rpc do behind a write.
-type modelConn struct{ in, out *modelBuffer }
-
-// modelBuffer is one direction, for one reader.
-type modelBuffer struct {
-	mutex sync.Mutex
-	bytes []byte
-	ended bool
-	more  chan struct{}
+type pipeConn struct{ in, out *pipeBuffer }
+
+// pipeBuffer is one direction, for one reader.
+type pipeBuffer struct {
+	mutex     sync.Mutex
+	bytes     []byte
+	ended     bool
+	available chan struct{}
 }
 
-func newModelPipe() (near, far net.Conn) {
-	there, back := &modelBuffer{more: make(chan struct{}, 1)}, &modelBuffer{more: make(chan struct{}, 1)}
-	return &modelConn{in: back, out: there}, &modelConn{in: there, out: back}
+func newPipe() (near, far net.Conn) {
+	there, back := &pipeBuffer{available: make(chan struct{}, 1)}, &pipeBuffer{available: make(chan struct{}, 1)}
+	return &pipeConn{in: back, out: there}, &pipeConn{in: there, out: back}
 }
 
-func (b *modelBuffer) wake() {
+func (b *pipeBuffer) wake() {
 	select {
-	case b.more <- struct{}{}:
+	case b.available <- struct{}{}:
 	default:
 	}
 }
 
-func (b *modelBuffer) end() {
+func (b *pipeBuffer) end() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.ended = true
@@ -166,7 +168,7 @@
 }
 
 // Read waits for bytes or the end.
-func (c *modelConn) Read(p []byte) (int, error) {
+func (c *pipeConn) Read(p []byte) (int, error) {
 	for {
 		c.in.mutex.Lock()
 		n := copy(p, c.in.bytes)
@@ -180,12 +182,12 @@
 			c.in.wake()
 			return 0, io.EOF
 		}
-		<-c.in.more
+		<-c.in.available
 	}
 }
 
 // Write adds bytes.
-func (c *modelConn) Write(p []byte) (int, error) {
+func (c *pipeConn) Write(p []byte) (int, error) {
 	c.out.mutex.Lock()
 	defer c.out.mutex.Unlock()
 	if c.out.ended {
@@ -197,86 +199,86 @@
 }
 
 // Close ends both directions.
-func (c *modelConn) Close() error {
+func (c *pipeConn) Close() error {
 	c.in.end()
 	c.out.end()
 	return nil
 }
 
 // LocalAddr is of no use.
-func (c *modelConn) LocalAddr() net.Addr { return &net.TCPAddr{} }
+func (c *pipeConn) LocalAddr() net.Addr { return &net.TCPAddr{} }
 
 // RemoteAddr is of no use.
-func (c *modelConn) RemoteAddr() net.Addr { return &net.TCPAddr{} }
+func (c *pipeConn) RemoteAddr() net.Addr { return &net.TCPAddr{} }
 
 // SetDeadline is of no use.
-func (c *modelConn) SetDeadline(time.Time) error { return nil }
+func (c *pipeConn) SetDeadline(time.Time) error { return nil }
 
 // SetReadDeadline is of no use.
-func (c *modelConn) SetReadDeadline(time.Time) error { return nil }
+func (c *pipeConn) SetReadDeadline(time.Time) error { return nil }
 
 // SetWriteDeadline is of no use: writes do not wait.
-func (c *modelConn) SetWriteDeadline(time.Time) error { return nil }
+func (c *pipeConn) SetWriteDeadline(time.Time) error { return nil }
 
 // handle answers calls of a real server's connection.
-func (m *callModel) handle(ctx context.Context, request *EchoRequest) (*EchoReply, error) {
-	m.mutex.Lock()
-	m.received[request.Text]++
-	m.mutex.Unlock()
-	timer := time.NewTimer(m.upTo(longestCall * 3 / 2))
+func (sim *callSimulation) handle(ctx context.Context, request *EchoRequest) (*EchoReply, error) {
+	sim.mutex.Lock()
+	sim.received[request.Text]++
+	sim.mutex.Unlock()
+	timer := time.NewTimer(sim.durationUpTo(maxCallTimeout * 3 / 2))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	if m.draw(8) == 0 {
-		m.mutex.Lock()
-		m.refused[request.Text] = true
-		m.mutex.Unlock()
+	if sim.draw(8) == 0 {
+		sim.mutex.Lock()
+		sim.rejected[request.Text] = true
+		sim.mutex.Unlock()
 		return nil, errors.New("refused " + request.Text)
 	}
 	return &EchoReply{Text: "echo " + request.Text}, nil
 }
 
 // open makes a connection to a process in trouble, or to a server of this package; or none comes up.
-func (m *callModel) open(ctx context.Context, s *server) (net.Conn, error) {
-	time.Sleep(m.upTo(20 * time.Millisecond))
-	if m.draw(6) == 0 {
+func (sim *callSimulation) open(ctx context.Context, s *server) (net.Conn, error) {
+	time.Sleep(sim.durationUpTo(20 * time.Millisecond))
+	if sim.draw(6) == 0 {
 		return nil, io.ErrClosedPipe
 	}
-	near, far := newModelPipe()
-	if m.draw(3) == 0 {
-		s.admit(far)
-		if m.draw(2) == 0 {
-			time.AfterFunc(m.upTo(2*longestCall), func() { far.Close() })
+	near, far := newPipe()
+	if sim.draw(3) == 0 {
+		s.serveConnection(far)
+		if sim.draw(2) == 0 {
+			time.AfterFunc(sim.durationUpTo(2*maxCallTimeout), func() { far.Close() })
 		}
 		return near, ctx.Err()
 	}
-	scripted := &scriptedServer{model: m, socket: far, decoder: gob.NewDecoder(far), encoder: gob.NewEncoder(far),
-		last: noSequence}
+	scripted := &faultyServer{sim: sim, socket: far, decoder: gob.NewDecoder(far), encoder: gob.NewEncoder(far),
+		lastReplied: noSequence}
 	go scripted.serve()
 	return near, ctx.Err()
 }
 
 // call makes one call and looks at how it ends.
-func (m *callModel) call(client *Client, text string) {
-	span := time.Millisecond + m.upTo(longestCall)
+func (sim *callSimulation) call(client *Client, text string) {
+	span := time.Millisecond + sim.durationUpTo(maxCallTimeout)
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
-	if m.draw(8) == 0 { // the caller loses interest
-		time.AfterFunc(m.upTo(span), cancel)
+	if sim.draw(8) == 0 { // the caller loses interest
+		time.AfterFunc(sim.durationUpTo(span), cancel)
 	}
 	began := time.Now()
-	reply, err := m.make(ctx, client, &EchoRequest{Text: text}, span)
-	if took := time.Since(began); took > span+modelSlack {
-		m.breaks("%s returns after %v, its bound is %v", text, took, span)
+	reply, err := sim.invoke(ctx, client, &EchoRequest{Text: text}, span)
+	if took := time.Since(began); took > span+deadlineSlack {
+		sim.recordViolation("%s returns after %v, its bound is %v", text, took, span)
 	}
-	m.check(text, reply, err)
+	sim.check(text, reply, err)
 }
 
-// make makes a call in one of the ways.
-func (m *callModel) make(ctx context.Context, client *Client, request *EchoRequest, span time.Duration) (*EchoReply, error) {
-	switch m.draw(3) {
+// invoke makes a call in one of the ways.
+func (sim *callSimulation) invoke(ctx context.Context, client *Client, request *EchoRequest, span time.Duration) (*EchoReply, error) {
+	switch sim.draw(3) {
 	case 0:
 		return echoCall.LongPoll(ctx, client, span, request)
 	case 1:
@@ -286,7 +288,7 @@
 	return echoCall.Invoke(ctx, client, request)
 }
 
-func (m *callModel) check(text string, reply *EchoReply, err error) {
+func (sim *callSimulation) check(text string, reply *EchoReply, err error) {
 	var remote *RemoteError
 	var unreachable *UnreachableError
 	var lost *NoReplyError
@@ -295,74 +297,74 @@
 	case err == nil:
 		outcome = "answered"
 		if reply.Text != "echo "+text {
-			m.breaks("%s is answered by %q", text, reply.Text)
+			sim.recordViolation("%s is answered by %q", text, reply.Text)
 		}
 	case errors.As(err, &remote):
 		outcome = "refused"
 		if remote.Message != "refused "+text {
-			m.breaks("%s fails by %q", text, remote.Message)
+			sim.recordViolation("%s fails by %q", text, remote.Message)
 		}
 	case errors.As(err, &unreachable):
 		outcome = "unsent"
 	case errors.As(err, &lost):
 		outcome = "broken"
 	default:
-		m.breaks("%s fails by %v", text, err)
+		sim.recordViolation("%s fails by %v", text, err)
 	}
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	m.outcomes[outcome]++
-	if outcome == "refused" && !m.refused[text] {
-		m.broken = append(m.broken, text+" fails though nobody refused it")
+	sim.mutex.Lock()
+	defer sim.mutex.Unlock()
+	sim.outcomes[outcome]++
+	if outcome == "refused" && !sim.rejected[text] {
+		sim.violations = append(sim.violations, text+" fails though nobody refused it")
 	}
 	if outcome == "unsent" {
-		m.unsent = append(m.unsent, text)
+		sim.unsent = append(sim.unsent, text)
 	}
 }
 
-// settle checks what must be true in the end.
-func (m *callModel) settle() {
-	for text, count := range m.received {
+// checkEnd checks what must be true in the end.
+func (sim *callSimulation) checkEnd() {
+	for text, count := range sim.received {
 		if count > 1 {
-			m.broken = append(m.broken, fmt.Sprintf("%s arrives %d times", text, count))
+			sim.violations = append(sim.violations, fmt.Sprintf("%s arrives %d times", text, count))
 		}
 	}
-	for _, text := range m.unsent {
-		if m.received[text] > 0 {
-			m.broken = append(m.broken, text+" arrives though it is said not to have been sent")
+	for _, text := range sim.unsent {
+		if sim.received[text] > 0 {
+			sim.violations = append(sim.violations, text+" arrives though it is said not to have been sent")
 		}
 	}
 }
 
-// play runs the model over one seed.
-func (m *callModel) play() {
+// run runs the model over one seed.
+func (sim *callSimulation) run() {
 	registry := NewRegistry()
-	echoCall.Handle(registry, m.handle)
+	echoCall.Handle(registry, sim.handle)
 	limits := ServerLimits{}
-	limits.complete()
-	s := &server{registry: registry, limits: limits, open: make(map[*serverCodec]struct{})}
+	limits.setDefaults()
+	s := &server{registry: registry, limits: limits, connections: make(map[*serverCodec]struct{})}
 	client := NewClient(netip.AddrPort{}, ClientOptions{DialBackoff: 10 * time.Millisecond})
-	client.open = func(ctx context.Context) (net.Conn, error) { return m.open(ctx, s) }
+	client.dialTransport = func(ctx context.Context) (net.Conn, error) { return sim.open(ctx, s) }
 	var callers sync.WaitGroup
-	for caller := range modelCallers {
+	for caller := range simulatedCallers {
 		callers.Go(func() {
-			for call := range modelCalls {
-				m.call(client, fmt.Sprintf("%d-%d", caller, call))
-				time.Sleep(m.upTo(longestCall / 4))
+			for call := range callsPerCaller {
+				sim.call(client, fmt.Sprintf("%d-%d", caller, call))
+				time.Sleep(sim.durationUpTo(maxCallTimeout / 4))
 			}
 		})
 	}
 	callers.Wait()
 	client.Close()
-	registry.cancel()
+	registry.cancelHandlers()
 	s.closeAll()
-	time.Sleep(4 * longestCall) // late answers find nobody
+	time.Sleep(4 * maxCallTimeout) // late answers find nobody
 }
 
 // TestCallModel plays scripted processes in virtual time; MODEL_SEED=N plays one seed. What runs at the same virtual time
 // may run in any order.
 func TestCallModel(t *testing.T) {
-	first, count := uint64(0), uint64(modelSeeds)
+	first, count := uint64(0), uint64(simulationSeeds)
 	if text := os.Getenv("MODEL_SEED"); text != "" {
 		seed, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
@@ -373,13 +375,13 @@
 	outcomes := map[string]int{}
 	for seed := first; seed < first+count; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			m := &callModel{random: rand.New(rand.NewPCG(seed, 6)), received: map[string]int{}, refused: map[string]bool{},
+			m := &callSimulation{random: rand.New(rand.NewPCG(seed, 6)), received: map[string]int{}, rejected: map[string]bool{},
 				outcomes: map[string]int{}}
-			m.play()
+			m.run()
 			m.mutex.Lock()
 			defer m.mutex.Unlock()
-			m.settle()
-			for _, text := range m.broken {
+			m.checkEnd()
+			for _, text := range m.violations {
 				t.Errorf("MODEL_SEED=%d: %s", seed, text)
 			}
 			for outcome, n := range m.outcomes {
@@ -394,7 +396,7 @@
 }
 
 // A handler that fails without a text, or gives nothing, must not look like one that has answered.
-func TestHandlerWithoutAnswer(t *testing.T) {
+func TestHandlerWithoutReply(t *testing.T) {
 	registry := NewRegistry()
 	for _, s := range []*service[EchoRequest, EchoReply]{
 		{registry: registry, handler: func(context.Context, *EchoRequest) (*EchoReply, error) { return nil, errors.New("") }},
--- a/internal/system/rpc/patience.go
+++ b/internal/system/rpc/patience.go
@@ -16,66 +16,66 @@
 
 // InvokeWhileReceiving calls and returns by the end of the context, or once the patience is at its end. Only a client
 // whose calls do not overlap tells one answer's bytes from another's.
-func (c Call[Argument, Reply]) InvokeWhileReceiving(ctx context.Context, client *Client, patience ReceiveTimeouts,
+func (c Call[Argument, Reply]) InvokeWhileReceiving(ctx context.Context, client *Client, timeouts ReceiveTimeouts,
 	argument *Argument) (*Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience.Total)
+	ctx, cancel := context.WithTimeout(ctx, timeouts.Total)
 	defer cancel()
 	reply := new(Reply)
-	if err := client.callPatiently(ctx, &patience, c.name, argument, reply); err != nil {
+	if err := client.callWhileReceiving(ctx, &timeouts, c.name, argument, reply); err != nil {
 		return nil, err
 	}
 	return reply, nil
 }
 
-// progress is how far an answer is. It has no clock of its own.
-type progress struct {
-	patience *ReceiveTimeouts
+// receiveProgress is how far an answer is. It has no clock of its own.
+type receiveProgress struct {
+	timeouts *ReceiveTimeouts
 	received uint64        // bytes, when it was last looked at
-	due      time.Duration // when it is to be looked at
+	deadline time.Duration // when it is to be looked at
 }
 
-func newProgress(patience *ReceiveTimeouts, now time.Duration, received uint64) progress {
-	return progress{patience: patience, received: received, due: now + patience.FirstByte}
+func newReceiveProgress(timeouts *ReceiveTimeouts, now time.Duration, received uint64) receiveProgress {
+	return receiveProgress{timeouts: timeouts, received: received, deadline: now + timeouts.FirstByte}
 }
 
-// look takes how many bytes have come and returns how long to wait until the next look; 0: nothing more has come in time.
-func (p *progress) look(now time.Duration, received uint64) time.Duration {
-	if now >= p.due && received != p.received {
+// check takes how many bytes have come and returns how long to wait until the next look; 0: nothing more has come in time.
+func (p *receiveProgress) check(now time.Duration, received uint64) time.Duration {
+	if now >= p.deadline && received != p.received {
 		p.received = received
-		p.due = now + p.patience.Idle
+		p.deadline = now + p.timeouts.Idle
 	}
-	return max(0, p.due-now)
+	return max(0, p.deadline-now)
 }
 
-// callPatiently is call, bounded by a patience beside the context.
-func (c *Client) callPatiently(ctx context.Context, patience *ReceiveTimeouts, name string, argument, reply any) error {
-	connecting, connected := context.WithTimeout(ctx, patience.FirstByte)
+// callWhileReceiving is call, bounded by a patience beside the context.
+func (c *Client) callWhileReceiving(ctx context.Context, timeouts *ReceiveTimeouts, name string, argument, reply any) error {
+	connecting, connected := context.WithTimeout(ctx, timeouts.FirstByte)
 	defer connected()
 	conn, err := c.connect(connecting)
 	if err != nil {
 		return &UnreachableError{c.address, err}
 	}
-	began, heard := time.Now(), conn.codec.heard.Load()
-	progress := newProgress(patience, 0, conn.received())
-	call := conn.rpc.Go(name, argument, reply, make(chan *netrpc.Call, 1))
-	look := time.NewTimer(patience.FirstByte)
-	defer look.Stop()
+	began, heard := time.Now(), conn.codec.replies.Load()
+	progress := newReceiveProgress(timeouts, 0, conn.receivedBytes())
+	call := conn.client.Go(name, argument, reply, make(chan *netrpc.Call, 1))
+	timer := time.NewTimer(timeouts.FirstByte)
+	defer timer.Stop()
 	for {
 		select {
 		case <-call.Done:
-			return c.outcome(conn, call)
+			return c.finish(conn, call)
 		case <-ctx.Done():
-			return c.unanswered(conn, name, heard, ctx.Err())
-		case <-look.C:
+			return c.abandon(conn, name, heard, ctx.Err())
+		case <-timer.C:
 		}
-		wait := progress.look(time.Since(began), conn.received())
+		wait := progress.check(time.Since(began), conn.receivedBytes())
 		if wait == 0 {
-			c.drop(conn) // the rest of an answer may be stuck in it
+			c.dropConnection(conn) // the rest of an answer may be stuck in it
 			return &NoReplyError{c.address, name, context.DeadlineExceeded}
 		}
-		look.Reset(wait)
+		timer.Reset(wait)
 	}
 }
 
-// received is how many bytes have come.
-func (conn *connection) received() uint64 { return conn.codec.stream.input.total.Load() }
+// receivedBytes is how many bytes have come.
+func (conn *connection) receivedBytes() uint64 { return conn.codec.stream.reader.received.Load() }
--- a/internal/system/rpc/patience_test.go
+++ b/internal/system/rpc/patience_test.go
@@ -14,10 +14,10 @@
 	"pgregory.net/rapid"
 )
 
-func TestAnswerThatGoesOnIsNotGivenUp(t *testing.T) {
+func TestReceiveProgress(t *testing.T) {
 	patience := ReceiveTimeouts{FirstByte: time.Second, Idle: 200 * time.Millisecond, Total: time.Minute}
 	const ms = time.Millisecond
-	p := newProgress(&patience, 0, 500)
+	progress := newReceiveProgress(&patience, 0, 500)
 	steps := []struct {
 		at       time.Duration
 		received uint64
@@ -30,21 +30,21 @@
 		{1400 * ms, 900, 0},
 	}
 	for _, step := range steps {
-		if wait := p.look(step.at, step.received); wait != step.wait {
+		if wait := progress.check(step.at, step.received); wait != step.wait {
 			t.Fatalf("at %v with %d bytes it waits for %v, want %v", step.at, step.received, wait, step.wait)
 		}
 	}
 }
 
-// TestProgress draws when bytes come, and checks that a call ends neither soon after some came nor long after the last.
-func TestProgress(t *testing.T) {
+// TestReceiveProgressBounds draws when bytes come, and checks that a call ends neither soon after some came nor long after the last.
+func TestReceiveProgressBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		patience := ReceiveTimeouts{
 			FirstByte: time.Duration(rapid.IntRange(1, 50).Draw(t, "first")),
 			Idle:      time.Duration(rapid.IntRange(1, 50).Draw(t, "between")),
 		}
 		times := rapid.SliceOfN(rapid.IntRange(1, 300), 0, 20).Draw(t, "times of bytes")
-		p := newProgress(&patience, 0, 0)
+		progress := newReceiveProgress(&patience, 0, 0)
 		now, wait := time.Duration(0), patience.FirstByte
 		for wait > 0 {
 			now += wait
@@ -54,7 +54,7 @@
 					received++
 				}
 			}
-			wait = p.look(now, uint64(received))
+			wait = progress.check(now, uint64(received))
 		}
 		last, any := time.Duration(0), false
 		for _, at := range times {
@@ -73,8 +73,8 @@
 	})
 }
 
-// serveSlowly answers one call in pieces, each once the test lets it, and keeps the connection open.
-func serveSlowly(t *testing.T, text string, next <-chan int) netip.AddrPort {
+// serveInPieces answers one call in pieces, each once the test lets it, and keeps the connection open.
+func serveInPieces(t *testing.T, text string, next <-chan int) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -107,50 +107,50 @@
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-func TestSlowAnswerComes(t *testing.T) {
+func TestSlowReplyIsReceived(t *testing.T) {
 	text := strings.Repeat("x", 10000)
 	next := make(chan int, 1)
 	defer close(next)
-	c := newTestClient(t, serveSlowly(t, text, next), ClientOptions{})
-	patience := ReceiveTimeouts{FirstByte: time.Second, Idle: longBound, Total: longBound} // long enough for a busy machine
+	client := newTestClient(t, serveInPieces(t, text, next), ClientOptions{})
+	patience := ReceiveTimeouts{FirstByte: time.Second, Idle: testTimeout, Total: testTimeout} // long enough for a busy machine
 	next <- 100
 	began := time.Now()
 	go func() {
-		waitFor(t, "the time for the first bytes", func() bool { return time.Since(began) > 3*patience.FirstByte })
+		waitUntil(t, "the time for the first bytes", func() bool { return time.Since(began) > 3*patience.FirstByte })
 		next <- len(text) + 1000
 	}()
-	reply, err := echoCall.InvokeWhileReceiving(context.Background(), c, patience, &EchoRequest{})
+	reply, err := echoCall.InvokeWhileReceiving(context.Background(), client, patience, &EchoRequest{})
 	if err != nil || reply.Text != text {
 		t.Fatal(err)
 	}
 }
 
-func TestAnswerThatStopsIsGivenUp(t *testing.T) {
+func TestStalledReplyIsAbandoned(t *testing.T) {
 	for name, first := range map[string]int{"before it began": 0, "in the middle": 100} {
 		t.Run(name, func(t *testing.T) {
 			next := make(chan int, 1)
 			defer close(next)
-			c := newTestClient(t, serveSlowly(t, "text of some length", next), ClientOptions{})
-			patience := ReceiveTimeouts{FirstByte: 50 * time.Millisecond, Idle: 50 * time.Millisecond, Total: longBound}
+			client := newTestClient(t, serveInPieces(t, "text of some length", next), ClientOptions{})
+			patience := ReceiveTimeouts{FirstByte: 50 * time.Millisecond, Idle: 50 * time.Millisecond, Total: testTimeout}
 			next <- first
-			_, err := echoCall.InvokeWhileReceiving(context.Background(), c, patience, &EchoRequest{})
+			_, err := echoCall.InvokeWhileReceiving(context.Background(), client, patience, &EchoRequest{})
 			var broken *NoReplyError
 			if !errors.As(err, &broken) || !errors.Is(err, context.DeadlineExceeded) {
 				t.Fatal(err)
 			}
-			if c.live != nil {
+			if client.connection != nil {
 				t.Error("the silent connection is kept")
 			}
 		})
 	}
 }
 
-func TestAnswerHasToEndSomeTime(t *testing.T) {
+func TestReplyIsBoundedByTotal(t *testing.T) {
 	next := make(chan int, 1)
 	defer close(next)
-	c := newTestClient(t, serveSlowly(t, "text", next), ClientOptions{})
-	patience := ReceiveTimeouts{FirstByte: longBound, Idle: longBound, Total: 50 * time.Millisecond}
-	_, err := echoCall.InvokeWhileReceiving(context.Background(), c, patience, &EchoRequest{})
+	client := newTestClient(t, serveInPieces(t, "text", next), ClientOptions{})
+	patience := ReceiveTimeouts{FirstByte: testTimeout, Idle: testTimeout, Total: 50 * time.Millisecond}
+	_, err := echoCall.InvokeWhileReceiving(context.Background(), client, patience, &EchoRequest{})
 	if !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatal(err)
 	}
--- a/internal/system/rpc/rpc_test.go
+++ b/internal/system/rpc/rpc_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-const longBound = 60 * time.Second
+const testTimeout = 60 * time.Second
 
 // EchoRequest is the argument of the tests' calls.
 type EchoRequest struct {
@@ -27,10 +27,10 @@
 
 // echoServer answers echoCall.
 type echoServer struct {
-	address netip.AddrPort
-	calls   atomic.Int64
-	release chan struct{}
-	stop    func()
+	address  netip.AddrPort
+	calls    atomic.Int64
+	released chan struct{}
+	stop     func()
 }
 
 func newEchoServer(t *testing.T, address string, limits ServerLimits) *echoServer {
@@ -39,9 +39,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &echoServer{address: netip.MustParseAddrPort(listener.Addr().String()), release: make(chan struct{})}
+	server := &echoServer{address: netip.MustParseAddrPort(listener.Addr().String()), released: make(chan struct{})}
 	registry := NewRegistry()
-	echoCall.Handle(registry, s.echo)
+	echoCall.Handle(registry, server.echo)
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan struct{})
 	go func() {
@@ -50,12 +50,12 @@
 			t.Error(err)
 		}
 	}()
-	s.stop = sync.OnceFunc(func() {
+	server.stop = sync.OnceFunc(func() {
 		cancel()
 		<-served
 	})
-	t.Cleanup(s.stop)
-	return s
+	t.Cleanup(server.stop)
+	return server
 }
 
 func (s *echoServer) echo(ctx context.Context, request *EchoRequest) (*EchoReply, error) {
@@ -65,7 +65,7 @@
 	}
 	if request.Wait {
 		select {
-		case <-s.release:
+		case <-s.released:
 		case <-ctx.Done():
 		}
 	}
@@ -75,16 +75,16 @@
 func newTestClient(t *testing.T, address netip.AddrPort, options ClientOptions) *Client {
 	t.Helper()
 	if options.CallTimeout == 0 {
-		options.CallTimeout = longBound
+		options.CallTimeout = testTimeout
 	}
-	c := NewClient(address, options)
-	t.Cleanup(c.Close)
-	return c
+	client := NewClient(address, options)
+	t.Cleanup(client.Close)
+	return client
 }
 
-func waitFor(t *testing.T, what string, holds func() bool) {
+func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(longBound)
+	deadline := time.Now().Add(testTimeout)
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
 	for !holds() {
@@ -96,76 +96,76 @@
 }
 
 func TestInvoke(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
-	c := newTestClient(t, s.address, ClientOptions{})
+	server := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
+	client := newTestClient(t, server.address, ClientOptions{})
 	for _, text := range []string{"a", "", "b"} {
-		reply, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: text})
+		reply, err := echoCall.Invoke(context.Background(), client, &EchoRequest{Text: text})
 		if err != nil || reply.Text != text {
 			t.Fatal(reply, err)
 		}
 	}
-	_, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: "fail"})
+	_, err := echoCall.Invoke(context.Background(), client, &EchoRequest{Text: "fail"})
 	var remote *RemoteError
 	if !errors.As(err, &remote) || remote.Message != "failed as asked" {
 		t.Fatal(err)
 	}
-	if _, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: "after"}); err != nil {
+	if _, err := echoCall.Invoke(context.Background(), client, &EchoRequest{Text: "after"}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestPlainClient has net/rpc's own client call: the wire is its wire.
-func TestPlainClient(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
-	c, err := netrpc.Dial("tcp", s.address.String())
+// TestNetRPCClient has net/rpc's own client call: the wire is its wire.
+func TestNetRPCClient(t *testing.T) {
+	server := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
+	client, err := netrpc.Dial("tcp", server.address.String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer client.Close()
 	var reply EchoReply
-	if err := c.Call("Test.Echo", &EchoRequest{Text: "a"}, &reply); err != nil || reply.Text != "a" {
+	if err := client.Call("Test.Echo", &EchoRequest{Text: "a"}, &reply); err != nil || reply.Text != "a" {
 		t.Fatal(reply, err)
 	}
-	if err := c.Call("Test.Missing", &EchoRequest{}, &reply); err == nil {
+	if err := client.Call("Test.Missing", &EchoRequest{}, &reply); err == nil {
 		t.Fatal("a missing call was answered")
 	}
 }
 
-func TestCallsDoNotWaitForOneAnother(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
-	c := newTestClient(t, s.address, ClientOptions{})
+func TestConcurrentCalls(t *testing.T) {
+	server := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
+	client := newTestClient(t, server.address, ClientOptions{})
 	held := make(chan error, 1)
 	go func() {
-		_, err := echoCall.LongPoll(context.Background(), c, longBound, &EchoRequest{Text: "held", Wait: true})
+		_, err := echoCall.LongPoll(context.Background(), client, testTimeout, &EchoRequest{Text: "held", Wait: true})
 		held <- err
 	}()
-	waitFor(t, "the first call", func() bool { return s.calls.Load() == 1 })
-	if _, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: "a"}); err != nil {
+	waitUntil(t, "the first call", func() bool { return server.calls.Load() == 1 })
+	if _, err := echoCall.Invoke(context.Background(), client, &EchoRequest{Text: "a"}); err != nil {
 		t.Fatal(err)
 	}
-	close(s.release)
+	close(server.released)
 	if err := <-held; err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestCallEndsByItsDeadlineAndRedials(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
-	c := newTestClient(t, s.address, ClientOptions{})
+func TestCallTimeoutDropsSilentConnection(t *testing.T) {
+	server := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
+	client := newTestClient(t, server.address, ClientOptions{})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	_, err := echoCall.Invoke(ctx, c, &EchoRequest{Wait: true})
+	_, err := echoCall.Invoke(ctx, client, &EchoRequest{Wait: true})
 	var broken *NoReplyError
 	if !errors.As(err, &broken) || !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatal(err)
 	}
-	c.mutex.Lock()
-	live := c.live
-	c.mutex.Unlock()
+	client.mutex.Lock()
+	live := client.connection
+	client.mutex.Unlock()
 	if live != nil {
 		t.Error("a silent connection was kept")
 	}
-	if _, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: "a"}); err != nil {
+	if _, err := echoCall.Invoke(context.Background(), client, &EchoRequest{Text: "a"}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -177,93 +177,93 @@
 	}
 	address := netip.MustParseAddrPort(listener.Addr().String())
 	listener.Close()
-	c := newTestClient(t, address, ClientOptions{DialBackoff: time.Millisecond})
+	client := newTestClient(t, address, ClientOptions{DialBackoff: time.Millisecond})
 	var unreachable *UnreachableError
-	if _, err := echoCall.Invoke(context.Background(), c, &EchoRequest{}); !errors.As(err, &unreachable) {
+	if _, err := echoCall.Invoke(context.Background(), client, &EchoRequest{}); !errors.As(err, &unreachable) {
 		t.Fatal(err)
 	}
-	if err := echoCall.Send(context.Background(), c, &EchoRequest{}); !errors.As(err, &unreachable) {
+	if err := echoCall.Send(context.Background(), client, &EchoRequest{}); !errors.As(err, &unreachable) {
 		t.Fatal(err)
 	}
 }
 
-func TestServerRestarts(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
-	c := newTestClient(t, s.address, ClientOptions{DialBackoff: time.Millisecond})
-	if _, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: "a"}); err != nil {
+func TestRedialAfterServerRestart(t *testing.T) {
+	server := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
+	client := newTestClient(t, server.address, ClientOptions{DialBackoff: time.Millisecond})
+	if _, err := echoCall.Invoke(context.Background(), client, &EchoRequest{Text: "a"}); err != nil {
 		t.Fatal(err)
 	}
-	s.stop()
-	if _, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: "a"}); err == nil {
+	server.stop()
+	if _, err := echoCall.Invoke(context.Background(), client, &EchoRequest{Text: "a"}); err == nil {
 		t.Fatal("a stopped server answered")
 	}
-	newEchoServer(t, s.address.String(), ServerLimits{})
-	waitFor(t, "an answer of the new server", func() bool {
-		_, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: "a"})
+	newEchoServer(t, server.address.String(), ServerLimits{})
+	waitUntil(t, "an answer of the new server", func() bool {
+		_, err := echoCall.Invoke(context.Background(), client, &EchoRequest{Text: "a"})
 		return err == nil
 	})
 }
 
-func TestSendIsBoundedByItsWindow(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
-	c := newTestClient(t, s.address, ClientOptions{MaxPendingSends: 3})
+func TestMaxPendingSends(t *testing.T) {
+	server := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
+	client := newTestClient(t, server.address, ClientOptions{MaxPendingSends: 3})
 	for range 3 {
-		if err := echoCall.Send(context.Background(), c, &EchoRequest{Wait: true}); err != nil {
+		if err := echoCall.Send(context.Background(), client, &EchoRequest{Wait: true}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	if err := echoCall.Send(ctx, c, &EchoRequest{}); !errors.Is(err, context.DeadlineExceeded) {
+	if err := echoCall.Send(ctx, client, &EchoRequest{}); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatal(err)
 	}
-	close(s.release)
+	close(server.released)
 	for range 20 {
-		if err := echoCall.Send(context.Background(), c, &EchoRequest{}); err != nil {
+		if err := echoCall.Send(context.Background(), client, &EchoRequest{}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	waitFor(t, "all sends", func() bool { return s.calls.Load() == 23 })
+	waitUntil(t, "all sends", func() bool { return server.calls.Load() == 23 })
 }
 
-func TestCallsOfAConnectionAreBounded(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{MaxCallsPerConnection: 2})
-	c := newTestClient(t, s.address, ClientOptions{})
+func TestMaxCallsPerConnection(t *testing.T) {
+	server := newEchoServer(t, "127.0.0.1:0", ServerLimits{MaxCallsPerConnection: 2})
+	client := newTestClient(t, server.address, ClientOptions{})
 	var all sync.WaitGroup
 	for range 5 {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if _, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Wait: true}); err != nil {
+			if _, err := echoCall.Invoke(context.Background(), client, &EchoRequest{Wait: true}); err != nil {
 				t.Error(err)
 			}
 		}()
 	}
-	waitFor(t, "two calls", func() bool { return s.calls.Load() == 2 })
-	close(s.release)
+	waitUntil(t, "two calls", func() bool { return server.calls.Load() == 2 })
+	close(server.released)
 	all.Wait()
 }
 
-func TestLargeRequestEndsItsConnection(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{MaxRequestBytes: 64 << 10})
-	c := newTestClient(t, s.address, ClientOptions{})
+func TestMaxRequestBytes(t *testing.T) {
+	server := newEchoServer(t, "127.0.0.1:0", ServerLimits{MaxRequestBytes: 64 << 10})
+	client := newTestClient(t, server.address, ClientOptions{})
 	var broken *NoReplyError
-	_, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: string(make([]byte, 1<<20))})
-	if !errors.As(err, &broken) || s.calls.Load() != 0 {
-		t.Fatal(err, s.calls.Load())
+	_, err := echoCall.Invoke(context.Background(), client, &EchoRequest{Text: string(make([]byte, 1<<20))})
+	if !errors.As(err, &broken) || server.calls.Load() != 0 {
+		t.Fatal(err, server.calls.Load())
 	}
 	for range 10 { // each bound is for one request
 		request := EchoRequest{Text: string(make([]byte, 32<<10))}
-		if _, err := echoCall.Invoke(context.Background(), c, &request); err != nil {
+		if _, err := echoCall.Invoke(context.Background(), client, &request); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func TestConnectionsAreBounded(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{MaxConnections: 1})
-	first := newTestClient(t, s.address, ClientOptions{})
-	second := newTestClient(t, s.address, ClientOptions{DialBackoff: time.Millisecond})
+func TestMaxConnections(t *testing.T) {
+	server := newEchoServer(t, "127.0.0.1:0", ServerLimits{MaxConnections: 1})
+	first := newTestClient(t, server.address, ClientOptions{})
+	second := newTestClient(t, server.address, ClientOptions{DialBackoff: time.Millisecond})
 	if _, err := echoCall.Invoke(context.Background(), first, &EchoRequest{}); err != nil {
 		t.Fatal(err)
 	}
@@ -271,21 +271,21 @@
 		t.Fatal("a second connection was served")
 	}
 	first.Close()
-	waitFor(t, "a free place", func() bool {
+	waitUntil(t, "a free place", func() bool {
 		_, err := echoCall.Invoke(context.Background(), second, &EchoRequest{})
 		return err == nil
 	})
 }
 
-// TestReaderThatStops reads nothing: its connection ends, and others are served meanwhile.
-func TestReaderThatStops(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{WriteTimeout: 50 * time.Millisecond})
-	socket, err := net.Dial("tcp4", s.address.String())
+// TestWriteTimeout reads nothing: its connection ends, and others are served meanwhile.
+func TestWriteTimeout(t *testing.T) {
+	server := newEchoServer(t, "127.0.0.1:0", ServerLimits{WriteTimeout: 50 * time.Millisecond})
+	socket, err := net.Dial("tcp4", server.address.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer socket.Close()
-	stopped := newStream(socket, 1<<30, longBound)
+	stopped := newStream(socket, 1<<30, testTimeout)
 	large := string(make([]byte, 1<<20))
 	served := make(chan struct{})
 	go func() {
@@ -296,27 +296,27 @@
 			}
 		}
 	}()
-	c := newTestClient(t, s.address, ClientOptions{})
-	if _, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Text: "a"}); err != nil {
+	client := newTestClient(t, server.address, ClientOptions{})
+	if _, err := echoCall.Invoke(context.Background(), client, &EchoRequest{Text: "a"}); err != nil {
 		t.Fatal(err)
 	}
 	<-served
 }
 
 func TestClose(t *testing.T) {
-	s := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
-	c := newTestClient(t, s.address, ClientOptions{})
+	server := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
+	client := newTestClient(t, server.address, ClientOptions{})
 	held := make(chan error, 1)
 	go func() {
-		_, err := echoCall.Invoke(context.Background(), c, &EchoRequest{Wait: true})
+		_, err := echoCall.Invoke(context.Background(), client, &EchoRequest{Wait: true})
 		held <- err
 	}()
-	waitFor(t, "the call", func() bool { return s.calls.Load() == 1 })
-	c.Close()
+	waitUntil(t, "the call", func() bool { return server.calls.Load() == 1 })
+	client.Close()
 	if err := <-held; err == nil {
 		t.Fatal("the call of a closed client succeeded")
 	}
-	if _, err := echoCall.Invoke(context.Background(), c, &EchoRequest{}); err == nil {
+	if _, err := echoCall.Invoke(context.Background(), client, &EchoRequest{}); err == nil {
 		t.Fatal("a closed client called")
 	}
 }
@@ -333,12 +333,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go Serve(ctx, listener, registry, ServerLimits{})
-	c := NewClient(netip.MustParseAddrPort(listener.Addr().String()), ClientOptions{})
-	defer c.Close()
+	client := NewClient(netip.MustParseAddrPort(listener.Addr().String()), ClientOptions{})
+	defer client.Close()
 	request := EchoRequest{Text: string(make([]byte, 200))}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := echoCall.Invoke(context.Background(), c, &request); err != nil {
+		if _, err := echoCall.Invoke(context.Background(), client, &request); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/system/rpc/server.go
+++ b/internal/system/rpc/server.go
@@ -23,34 +23,34 @@
 }
 
 const (
-	defaultConnections  = 256
-	defaultCalls        = 32
-	defaultRequestBytes = 64 << 20
-	defaultWrite        = 3 * time.Second
-	acceptPause         = 50 * time.Millisecond // after an error that may pass, as when descriptors run out
+	defaultMaxConnections        = 256
+	defaultMaxCallsPerConnection = 32
+	defaultMaxRequestBytes       = 64 << 20
+	defaultWriteTimeout          = 3 * time.Second
+	acceptRetryDelay             = 50 * time.Millisecond // after an error that may pass, as when descriptors run out
 )
 
 // keepAlive has a connection on which nothing is sent end a few seconds after its peer went silent.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 3 * time.Second, Interval: time.Second, Count: 3}
 
-func (l *ServerLimits) complete() {
-	defaultTo(&l.MaxConnections, defaultConnections)
-	defaultTo(&l.MaxCallsPerConnection, defaultCalls)
-	defaultTo(&l.MaxRequestBytes, defaultRequestBytes)
-	defaultTo(&l.WriteTimeout, defaultWrite)
+func (l *ServerLimits) setDefaults() {
+	setDefault(&l.MaxConnections, defaultMaxConnections)
+	setDefault(&l.MaxCallsPerConnection, defaultMaxCallsPerConnection)
+	setDefault(&l.MaxRequestBytes, defaultMaxRequestBytes)
+	setDefault(&l.WriteTimeout, defaultWriteTimeout)
 }
 
 // Registry holds the handlers of a server.
 type Registry struct {
-	server  *netrpc.Server
-	context context.Context
-	cancel  context.CancelFunc
+	server         *netrpc.Server
+	handlerContext context.Context
+	cancelHandlers context.CancelFunc
 }
 
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Registry{server: netrpc.NewServer(), context: ctx, cancel: cancel}
+	return &Registry{server: netrpc.NewServer(), handlerContext: ctx, cancelHandlers: cancel}
 }
 
 func (r *Registry) register(name string, receiver any) {
@@ -61,40 +61,40 @@
 
 // server is one listener's connections.
 type server struct {
-	registry *Registry
-	limits   ServerLimits
-	mutex    sync.Mutex
-	open     map[*serverCodec]struct{}
+	registry    *Registry
+	limits      ServerLimits
+	mutex       sync.Mutex
+	connections map[*serverCodec]struct{}
 }
 
 // Serve answers calls that come to the listener until it is closed or the context ends, which also ends the contexts of
 // all handlers of the registry, and returns once all connections are closed. It returns nil then.
 func Serve(ctx context.Context, listener net.Listener, registry *Registry, limits ServerLimits) error {
-	limits.complete()
-	s := &server{registry: registry, limits: limits, open: make(map[*serverCodec]struct{})}
+	limits.setDefaults()
+	s := &server{registry: registry, limits: limits, connections: make(map[*serverCodec]struct{})}
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
 	defer s.closeAll()
-	defer registry.cancel()
+	defer registry.cancelHandlers()
 	for {
 		socket, err := listener.Accept()
 		switch {
 		case err == nil:
-			s.admit(socket)
+			s.serveConnection(socket)
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case ctx.Err() != nil:
 			return nil
-		case !mayPass(err):
+		case !isTemporary(err):
 			return err
 		default:
-			retry.Sleep(ctx, acceptPause)
+			retry.Sleep(ctx, acceptRetryDelay)
 		}
 	}
 }
 
-// mayPass says whether accepting may succeed again later.
-func mayPass(err error) bool {
+// isTemporary says whether accepting may succeed again later.
+func isTemporary(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
 		return false
@@ -102,45 +102,45 @@
 	return errno.Temporary() || errno == syscall.ENOBUFS || errno == syscall.ENOMEM
 }
 
-// admit serves a connection, or closes it where there are too many.
-func (s *server) admit(socket net.Conn) {
+// serveConnection serves a connection, or closes it where there are too many.
+func (s *server) serveConnection(socket net.Conn) {
 	codec := &serverCodec{stream: newStream(socket, s.limits.MaxRequestBytes, s.limits.WriteTimeout),
-		places: make(chan struct{}, s.limits.MaxCallsPerConnection)}
-	codec.closed = func() { s.forget(codec) }
+		slots: make(chan struct{}, s.limits.MaxCallsPerConnection)}
+	codec.onClose = func() { s.removeConnection(codec) }
 	s.mutex.Lock()
-	full := len(s.open) >= s.limits.MaxConnections
+	full := len(s.connections) >= s.limits.MaxConnections
 	if !full {
-		s.open[codec] = struct{}{}
+		s.connections[codec] = struct{}{}
 	}
 	s.mutex.Unlock()
 	if full {
 		socket.Close()
 		return
 	}
-	tune(socket, s.limits.WriteTimeout)
+	configureSocket(socket, s.limits.WriteTimeout)
 	go s.registry.server.ServeCodec(codec)
 }
 
-func (s *server) forget(codec *serverCodec) {
+func (s *server) removeConnection(codec *serverCodec) {
 	s.mutex.Lock()
-	delete(s.open, codec)
+	delete(s.connections, codec)
 	s.mutex.Unlock()
 }
 
 func (s *server) closeAll() {
 	s.mutex.Lock()
-	codecs := make([]*serverCodec, 0, len(s.open))
-	for codec := range s.open {
+	codecs := make([]*serverCodec, 0, len(s.connections))
+	for codec := range s.connections {
 		codecs = append(codecs, codec)
 	}
 	s.mutex.Unlock()
 	for _, codec := range codecs {
-		codec.shut()
+		codec.shutdown()
 	}
 }
 
-// tune sets the options of an accepted connection; one that does not take them is served all the same.
-func tune(socket net.Conn, userTimeout time.Duration) {
+// configureSocket sets the options of an accepted connection; one that does not take them is served all the same.
+func configureSocket(socket net.Conn, userTimeout time.Duration) {
 	tcp, isTCP := socket.(*net.TCPConn)
 	if !isTCP {
 		return
