--- a/internal/system/rpc/call.go
+++ b/internal/system/rpc/call.go
@@ -1,10 +1,3 @@
-// Package rpc carries calls between the system's own processes: net/rpc with gob over TCP, with what net/rpc leaves to
-// its users. A client dials when it is needed, ends every call by its deadline and drops a connection that a call ran
-// into; a server bounds connections, calls and the size of requests. A call is declared in one value beside its handler:
-//
-//	var FollowCall = rpc.Declare[feed.FollowRequest, feed.FollowReply]("Feed.Follow")
-//	FollowCall.Handle(registry, follower.follow)
-//	reply, err := FollowCall.Invoke(ctx, client, &request)
 package rpc
 
 import (
@@ -13,40 +6,45 @@
 	"time"
 )
 
-// Call declares a remote call by its name and by the types of its argument and its reply, which are exported ones.
+// Call declares a remote call by its name and by the types of its argument and its reply, which must be exported. One
+// value is declared beside the handler and used by both sides.
 type Call[Argument, Reply any] struct{ name string }
 
-// Handler answers a call. Its error reaches the caller as a *RemoteError with the same text; outcomes that a caller
-// tells apart belong into the reply. The context ends with the server.
+// Handler answers a call. Its error reaches the caller as a *RemoteError with the same text; outcomes that a caller has
+// to tell apart belong into the reply. The context ends with the server. The argument belongs to the handler, the reply
+// must not be changed afterwards.
 type Handler[Argument, Reply any] func(ctx context.Context, argument *Argument) (*Reply, error)
 
-// Declare declares a call under a name of the form Service.Method.
+// Declare declares a call. The name has the form Service.Method and travels on the wire: it must not change.
 func Declare[Argument, Reply any](name string) Call[Argument, Reply] {
 	return Call[Argument, Reply]{name: name}
 }
 
-// Name is what the call is known by on the wire.
+// Name returns the name of the call on the wire.
 func (c Call[Argument, Reply]) Name() string { return c.name }
 
-// Handle has the registry answer the call. It panics where the name is taken or a type is not exported.
+// Handle registers the handler of the call. It panics if the name is taken or a type is not exported.
 func (c Call[Argument, Reply]) Handle(registry *Registry, handler Handler[Argument, Reply]) {
 	registry.register(c.name, &service[Argument, Reply]{registry: registry, handler: handler})
 }
 
-// Invoke calls and returns by the end of the context, or after the client's Options.Call where the context has no end.
-// A call that runs out of time on a connection that is silent takes the connection with it.
+// Invoke calls and waits for the reply until the context ends, or for ClientOptions.CallTimeout if that is shorter. A
+// call that times out on a connection from which nothing was received meanwhile closes the connection. The error is an
+// *UnreachableError, a *NoReplyError or a *RemoteError; nothing is sent twice.
 func (c Call[Argument, Reply]) Invoke(ctx context.Context, client *Client, argument *Argument) (*Reply, error) {
 	return c.invoke(ctx, client, client.options.CallTimeout, argument)
 }
 
-// LongPoll makes a call that its handler may hold open for wait; it ends after that and the client's Options.Call.
+// LongPoll is like Invoke for a call that its handler may hold open for wait: it ends after that and
+// ClientOptions.CallTimeout.
 func (c Call[Argument, Reply]) LongPoll(ctx context.Context, client *Client, wait time.Duration,
 	argument *Argument) (*Reply, error) {
 	return c.invoke(ctx, client, wait+client.options.CallTimeout, argument)
 }
 
-// Send makes a call without waiting for its reply, which is dropped. It waits while Options.Window earlier ones are
-// unanswered, for Options.Call at most. An error says that the argument may not have arrived; nothing is sent again.
+// Send calls without waiting for the reply, which is dropped. It blocks while ClientOptions.MaxPendingSends earlier
+// ones are unanswered, for ClientOptions.CallTimeout at most. An error means that the argument may not have arrived;
+// nothing is sent again.
 func (c Call[Argument, Reply]) Send(ctx context.Context, client *Client, argument *Argument) error {
 	return client.send(ctx, c.name, argument, new(Reply))
 }
@@ -62,20 +60,20 @@
 	return reply, nil
 }
 
-// service is what net/rpc's server finds a handler's method on.
+// service is the receiver whose method net/rpc calls by reflection.
 type service[Argument, Reply any] struct {
 	registry *Registry
 	handler  Handler[Argument, Reply]
 }
 
-// What a caller is told where a handler gives neither an answer nor the text of an error: net/rpc takes an empty text for
-// success.
+// What a caller gets if a handler returns neither a reply nor an error with a text: net/rpc takes an empty text for success.
 var (
-	errNoErrorText = errors.New("the handler failed and does not say why")
-	errNoReply     = errors.New("the handler gave no answer")
+	errNoErrorText = errors.New("the handler failed without an error text")
+	errNoReply     = errors.New("the handler returned no reply")
 )
 
-// serviceMethod is the name of the one method of each service; it is not sent.
+// serviceMethod is the name of the only method of each service. It is appended to the names of received calls and never
+// sent.
 const serviceMethod = ".Call"
 
 // Call runs the handler.
--- a/internal/system/rpc/model_test.go
+++ b/internal/system/rpc/call_simulation_test.go
@@ -24,17 +24,17 @@
 	callsPerCaller   = 20 // of each caller
 	maxCallTimeout   = 400 * time.Millisecond
 	noSequence       = 1 << 40
-	deadlineSlack    = time.Millisecond // past its deadline, in which a call has to return
+	deadlineSlack    = time.Millisecond // within which a call must return after its deadline
 )
 
-// callSimulation holds what must be true of calls whatever the other side does: an answer belongs to its call, nothing is sent
-// twice, what is said not to have been sent was not, and every call returns by its deadline.
+// callSimulation checks what must hold for calls whatever the peer does: a reply belongs to its call, nothing is sent twice,
+// a call reported as not sent did not arrive, and every call returns by its deadline.
 type callSimulation struct {
 	mutex      sync.Mutex
 	random     *rand.Rand
-	received   map[string]int
-	rejected   map[string]bool // that the server answered by an error
-	unsent     []string        // that the client says it has not sent
+	received   map[string]int  // by text: how often it arrived
+	rejected   map[string]bool // texts that the server answered by an error
+	unsent     []string        // texts that the client reports as not sent
 	outcomes   map[string]int
 	violations []string
 }
@@ -55,14 +55,14 @@
 	return time.Duration(sim.draw(int(most)))
 }
 
-// faultyServer serves one connection as a process in trouble does.
+// faultyServer serves one connection as a faulty process does.
 type faultyServer struct {
 	sim         *callSimulation
 	socket      net.Conn
 	decoder     *gob.Decoder
 	mutex       sync.Mutex
 	encoder     *gob.Encoder
-	lastReplied uint64 // sequence number of a call that was answered
+	lastReplied uint64 // sequence number of a call
 }
 
 func (s *faultyServer) serve() {
@@ -82,7 +82,7 @@
 	}
 }
 
-// reply sends an answer to a sequence number.
+// reply sends a reply for a sequence number.
 func (s *faultyServer) reply(sequence uint64, failure, text string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -95,11 +95,11 @@
 	s.lastReplied = sequence
 }
 
-// respond draws what the server does with a call; false: it ends the connection.
+// respond draws how the server responds to a call; false: it closes the connection.
 func (s *faultyServer) respond(request *netrpc.Request, text string) bool {
 	whole := "echo " + text
 	switch s.sim.draw(16) {
-	case 0: // silence
+	case 0: // no reply
 	case 1:
 		s.reply(request.Seq, "", whole)
 		s.reply(request.Seq, "", "a second answer")
@@ -124,10 +124,10 @@
 		s.mutex.Unlock()
 		s.reply(last, "", "a late second answer")
 		s.reply(request.Seq, "", whole)
-	case 7: // read slowly
+	case 7: // the server reads slowly
 		time.Sleep(s.sim.durationUpTo(maxCallTimeout / 4))
 		s.reply(request.Seq, "", whole)
-	default: // in any order, many too late
+	default: // replies in any order, many too late
 		go func() {
 			time.Sleep(s.sim.durationUpTo(maxCallTimeout * 3 / 2))
 			s.reply(request.Seq, "", whole)
@@ -136,11 +136,11 @@
 	return true
 }
 
-// pipeConn is one end of a connection in memory. Its writes do not wait: in a bubble time stands still while a goroutine
-// waits for a mutex, as those of net/rpc do behind a write.
+// pipeConn is one end of a connection in memory. Its writes never block: in a synctest bubble time stops while a
+// goroutine waits for a mutex, as those of net/rpc do behind a write.
 type pipeConn struct{ in, out *pipeBuffer }
 
-// pipeBuffer is one direction, for one reader.
+// pipeBuffer is one direction of a connection, for one reader.
 type pipeBuffer struct {
 	mutex     sync.Mutex
 	bytes     []byte
@@ -205,22 +205,22 @@
 	return nil
 }
 
-// LocalAddr is of no use.
+// LocalAddr implements net.Conn and is not used.
 func (c *pipeConn) LocalAddr() net.Addr { return &net.TCPAddr{} }
 
-// RemoteAddr is of no use.
+// RemoteAddr implements net.Conn and is not used.
 func (c *pipeConn) RemoteAddr() net.Addr { return &net.TCPAddr{} }
 
-// SetDeadline is of no use.
+// SetDeadline implements net.Conn and does nothing.
 func (c *pipeConn) SetDeadline(time.Time) error { return nil }
 
-// SetReadDeadline is of no use.
+// SetReadDeadline implements net.Conn and does nothing.
 func (c *pipeConn) SetReadDeadline(time.Time) error { return nil }
 
-// SetWriteDeadline is of no use: writes do not wait.
+// SetWriteDeadline implements net.Conn and does nothing: writes never block.
 func (c *pipeConn) SetWriteDeadline(time.Time) error { return nil }
 
-// handle answers calls of a real server's connection.
+// handle answers the calls of a real server's connection.
 func (sim *callSimulation) handle(ctx context.Context, request *EchoRequest) (*EchoReply, error) {
 	sim.mutex.Lock()
 	sim.received[request.Text]++
@@ -240,7 +240,7 @@
 	return &EchoReply{Text: "echo " + request.Text}, nil
 }
 
-// open makes a connection to a process in trouble, or to a server of this package; or none comes up.
+// open connects to a faulty server or to one of this package, or fails.
 func (sim *callSimulation) open(ctx context.Context, s *server) (net.Conn, error) {
 	time.Sleep(sim.durationUpTo(20 * time.Millisecond))
 	if sim.draw(6) == 0 {
@@ -260,12 +260,12 @@
 	return near, ctx.Err()
 }
 
-// call makes one call and looks at how it ends.
+// call makes one call and checks its outcome.
 func (sim *callSimulation) call(client *Client, text string) {
 	span := time.Millisecond + sim.durationUpTo(maxCallTimeout)
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
-	if sim.draw(8) == 0 { // the caller loses interest
+	if sim.draw(8) == 0 { // the caller cancels
 		time.AfterFunc(sim.durationUpTo(span), cancel)
 	}
 	began := time.Now()
@@ -300,7 +300,7 @@
 			sim.recordViolation("%s is answered by %q", text, reply.Text)
 		}
 	case errors.As(err, &remote):
-		outcome = "refused"
+		outcome = "rejected"
 		if remote.Message != "refused "+text {
 			sim.recordViolation("%s fails by %q", text, remote.Message)
 		}
@@ -314,7 +314,7 @@
 	sim.mutex.Lock()
 	defer sim.mutex.Unlock()
 	sim.outcomes[outcome]++
-	if outcome == "refused" && !sim.rejected[text] {
+	if outcome == "rejected" && !sim.rejected[text] {
 		sim.violations = append(sim.violations, text+" fails though nobody refused it")
 	}
 	if outcome == "unsent" {
@@ -322,7 +322,7 @@
 	}
 }
 
-// checkEnd checks what must be true in the end.
+// checkEnd checks what must hold in the end.
 func (sim *callSimulation) checkEnd() {
 	for text, count := range sim.received {
 		if count > 1 {
@@ -336,7 +336,7 @@
 	}
 }
 
-// run runs the model over one seed.
+// run runs the simulation.
 func (sim *callSimulation) run() {
 	registry := NewRegistry()
 	echoCall.Handle(registry, sim.handle)
@@ -358,11 +358,11 @@
 	client.Close()
 	registry.cancelHandlers()
 	s.closeAll()
-	time.Sleep(4 * maxCallTimeout) // late answers find nobody
+	time.Sleep(4 * maxCallTimeout) // late replies find no caller
 }
 
-// TestCallModel plays scripted processes in virtual time; MODEL_SEED=N plays one seed. What runs at the same virtual time
-// may run in any order.
+// TestCallModel runs faulty servers in virtual time; MODEL_SEED=N runs one seed. Events of the same virtual time may
+// run in any order.
 func TestCallModel(t *testing.T) {
 	first, count := uint64(0), uint64(simulationSeeds)
 	if text := os.Getenv("MODEL_SEED"); text != "" {
@@ -390,12 +390,13 @@
 		})
 	}
 	t.Log(outcomes)
-	if count > 1 && (outcomes["answered"] == 0 || outcomes["refused"] == 0 || outcomes["unsent"] == 0 || outcomes["broken"] == 0) {
-		t.Error("nothing was shown")
+	if count > 1 && (outcomes["answered"] == 0 || outcomes["rejected"] == 0 || outcomes["unsent"] == 0 || outcomes["broken"] == 0) {
+		t.Errorf("some outcome never occurred: %v", outcomes)
 	}
 }
 
-// A handler that fails without a text, or gives nothing, must not look like one that has answered.
+// TestHandlerWithoutReply: a handler that fails without a text, or returns nothing, must not look like one that has
+// replied.
 func TestHandlerWithoutReply(t *testing.T) {
 	registry := NewRegistry()
 	for _, s := range []*service[EchoRequest, EchoReply]{
--- a/internal/system/rpc/errors.go
+++ b/internal/system/rpc/errors.go
@@ -1,61 +1,62 @@
 package rpc
 
 import (
+	"errors"
 	"fmt"
 	"net/netip"
 )
 
-// UnreachableError says that no connection to a process could be had: the call was not sent.
+// UnreachableError reports that no connection to a process was possible: the call was not sent.
 type UnreachableError struct {
 	Address netip.AddrPort
 	Cause   error
 }
 
-// Error says what happened and what to do.
+// Error implements error.
 func (e *UnreachableError) Error() string {
-	return fmt.Sprintf("rpc: %v is not reached: %v; check that its process runs and the network between", e.Address,
+	return fmt.Sprintf("rpc: %v is unreachable: %v; check that its process runs and the network between", e.Address,
 		e.Cause)
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// NoReplyError says that a call got no answer: it may have been carried out or not.
+// NoReplyError reports that a call was sent, or may have been, and got no reply: the handler may have run or not.
 type NoReplyError struct {
 	Address netip.AddrPort
 	Call    string
 	Cause   error
 }
 
-// Error says what happened.
+// Error implements error.
 func (e *NoReplyError) Error() string {
-	return fmt.Sprintf("rpc: %s at %v got no answer: %v", e.Call, e.Address, e.Cause)
+	return fmt.Sprintf("rpc: %s at %v got no reply: %v", e.Call, e.Address, e.Cause)
 }
 
-// Unwrap is the cause; it is the context's error where the call ran out of time.
+// Unwrap returns the cause, which is the context's error if the call timed out.
 func (e *NoReplyError) Unwrap() error { return e.Cause }
 
-// RemoteError is the error that a handler returned, or the server for it.
+// RemoteError reports the error that the handler returned, or the server in its place.
 type RemoteError struct {
 	Address netip.AddrPort
 	Call    string
 	Message string
 }
 
-// Error says what the handler said.
+// Error implements error.
 func (e *RemoteError) Error() string {
 	return fmt.Sprintf("rpc: %s at %v: %s", e.Call, e.Address, e.Message)
 }
 
-// MessageTooLargeError says that a message exceeds the bound of its receiver, which ends the connection.
-type MessageTooLargeError struct{ Limit int64 }
+// MessageTooLargeError reports that a message exceeds the limit of its receiver, which closes the connection.
+type MessageTooLargeError struct {
+	Limit int64 // in bytes
+}
 
-// Error says what happened.
+// Error implements error.
 func (e *MessageTooLargeError) Error() string {
-	return fmt.Sprintf("rpc: a message of more than %d bytes came", e.Limit)
+	return fmt.Sprintf("rpc: received a message of more than %d bytes", e.Limit)
 }
 
-// closedError says that the client was closed.
-type closedError struct{}
-
-func (closedError) Error() string { return "the client is closed" }
+// errClosed is the cause of the errors of a closed client.
+var errClosed = errors.New("the client is closed")
--- a/internal/system/rpc/patience.go
+++ b/internal/system/rpc/receive_timeouts.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// ReceiveTimeouts bounds a call by what comes from the other side: an answer that is on its way is not given up because it is
-// large or the network slow.
+// ReceiveTimeouts bounds a call by the progress of its reply: a reply that is being received is not abandoned because it
+// is large or the network slow.
 type ReceiveTimeouts struct {
-	FirstByte time.Duration // in which the answer has to begin
-	Idle      time.Duration // in which more has to come once it has begun
-	Total     time.Duration // in which it has to end, whatever comes
+	FirstByte time.Duration // until the reply begins, the set-up of the connection included
+	Idle      time.Duration // between two receptions once the reply has begun
+	Total     time.Duration // until the reply is complete
 }
 
-// InvokeWhileReceiving calls and returns by the end of the context, or once the patience is at its end. Only a client
-// whose calls do not overlap tells one answer's bytes from another's.
+// InvokeWhileReceiving is like Invoke, bounded by the progress of the reply. The client's calls must not overlap: the
+// bytes of different replies can't be told apart.
 func (c Call[Argument, Reply]) InvokeWhileReceiving(ctx context.Context, client *Client, timeouts ReceiveTimeouts,
 	argument *Argument) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeouts.Total)
@@ -27,18 +27,19 @@
 	return reply, nil
 }
 
-// receiveProgress is how far an answer is. It has no clock of its own.
+// receiveProgress tracks the progress of a reply. It has no clock of its own.
 type receiveProgress struct {
 	timeouts *ReceiveTimeouts
-	received uint64        // bytes, when it was last looked at
-	deadline time.Duration // when it is to be looked at
+	received uint64        // bytes at the last check
+	deadline time.Duration // of the next check
 }
 
 func newReceiveProgress(timeouts *ReceiveTimeouts, now time.Duration, received uint64) receiveProgress {
 	return receiveProgress{timeouts: timeouts, received: received, deadline: now + timeouts.FirstByte}
 }
 
-// check takes how many bytes have come and returns how long to wait until the next look; 0: nothing more has come in time.
+// check takes the number of bytes received so far and returns the time until the next check; 0: nothing was received in
+// time.
 func (p *receiveProgress) check(now time.Duration, received uint64) time.Duration {
 	if now >= p.deadline && received != p.received {
 		p.received = received
@@ -47,7 +48,7 @@
 	return max(0, p.deadline-now)
 }
 
-// callWhileReceiving is call, bounded by a patience beside the context.
+// callWhileReceiving is call, bounded by the progress of the reply as well as by the context.
 func (c *Client) callWhileReceiving(ctx context.Context, timeouts *ReceiveTimeouts, name string, argument, reply any) error {
 	connecting, connected := context.WithTimeout(ctx, timeouts.FirstByte)
 	defer connected()
@@ -76,6 +77,3 @@
 		timer.Reset(wait)
 	}
 }
-
-// receivedBytes is how many bytes have come.
-func (conn *connection) receivedBytes() uint64 { return conn.codec.stream.reader.received.Load() }
--- a/internal/system/rpc/patience_test.go
+++ b/internal/system/rpc/receive_timeouts_test.go
@@ -15,9 +15,9 @@
 )
 
 func TestReceiveProgress(t *testing.T) {
-	patience := ReceiveTimeouts{FirstByte: time.Second, Idle: 200 * time.Millisecond, Total: time.Minute}
+	timeouts := ReceiveTimeouts{FirstByte: time.Second, Idle: 200 * time.Millisecond, Total: time.Minute}
 	const ms = time.Millisecond
-	progress := newReceiveProgress(&patience, 0, 500)
+	progress := newReceiveProgress(&timeouts, 0, 500)
 	steps := []struct {
 		at       time.Duration
 		received uint64
@@ -36,16 +36,17 @@
 	}
 }
 
-// TestReceiveProgressBounds draws when bytes come, and checks that a call ends neither soon after some came nor long after the last.
+// TestReceiveProgressBounds draws when bytes are received, and checks that a call ends neither soon after some nor long
+// after the last.
 func TestReceiveProgressBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		patience := ReceiveTimeouts{
+		timeouts := ReceiveTimeouts{
 			FirstByte: time.Duration(rapid.IntRange(1, 50).Draw(t, "first")),
 			Idle:      time.Duration(rapid.IntRange(1, 50).Draw(t, "between")),
 		}
 		times := rapid.SliceOfN(rapid.IntRange(1, 300), 0, 20).Draw(t, "times of bytes")
-		progress := newReceiveProgress(&patience, 0, 0)
-		now, wait := time.Duration(0), patience.FirstByte
+		progress := newReceiveProgress(&timeouts, 0, 0)
+		now, wait := time.Duration(0), timeouts.FirstByte
 		for wait > 0 {
 			now += wait
 			received := 0
@@ -63,17 +64,17 @@
 			}
 		}
 		switch {
-		case !any && now != patience.FirstByte:
+		case !any && now != timeouts.FirstByte:
 			t.Fatalf("it ends at %d though nothing came", now)
-		case any && now-last < patience.Idle:
+		case any && now-last < timeouts.Idle:
 			t.Fatalf("it ends at %d, only %d after bytes came", now, now-last)
-		case any && now > max(last+2*patience.Idle, patience.FirstByte+patience.Idle):
+		case any && now > max(last+2*timeouts.Idle, timeouts.FirstByte+timeouts.Idle):
 			t.Fatalf("it ends at %d, the last bytes came at %d", now, last)
 		}
 	})
 }
 
-// serveInPieces answers one call in pieces, each once the test lets it, and keeps the connection open.
+// serveInPieces answers one call in pieces, each when the test releases it, and keeps the connection open.
 func serveInPieces(t *testing.T, text string, next <-chan int) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -112,14 +113,14 @@
 	next := make(chan int, 1)
 	defer close(next)
 	client := newTestClient(t, serveInPieces(t, text, next), ClientOptions{})
-	patience := ReceiveTimeouts{FirstByte: time.Second, Idle: testTimeout, Total: testTimeout} // long enough for a busy machine
+	timeouts := ReceiveTimeouts{FirstByte: time.Second, Idle: testTimeout, Total: testTimeout} // long enough for a busy machine
 	next <- 100
 	began := time.Now()
 	go func() {
-		waitUntil(t, "the time for the first bytes", func() bool { return time.Since(began) > 3*patience.FirstByte })
+		waitUntil(t, "the time for the first bytes", func() bool { return time.Since(began) > 3*timeouts.FirstByte })
 		next <- len(text) + 1000
 	}()
-	reply, err := echoCall.InvokeWhileReceiving(context.Background(), client, patience, &EchoRequest{})
+	reply, err := echoCall.InvokeWhileReceiving(context.Background(), client, timeouts, &EchoRequest{})
 	if err != nil || reply.Text != text {
 		t.Fatal(err)
 	}
@@ -131,9 +132,9 @@
 			next := make(chan int, 1)
 			defer close(next)
 			client := newTestClient(t, serveInPieces(t, "text of some length", next), ClientOptions{})
-			patience := ReceiveTimeouts{FirstByte: 50 * time.Millisecond, Idle: 50 * time.Millisecond, Total: testTimeout}
+			timeouts := ReceiveTimeouts{FirstByte: 50 * time.Millisecond, Idle: 50 * time.Millisecond, Total: testTimeout}
 			next <- first
-			_, err := echoCall.InvokeWhileReceiving(context.Background(), client, patience, &EchoRequest{})
+			_, err := echoCall.InvokeWhileReceiving(context.Background(), client, timeouts, &EchoRequest{})
 			var broken *NoReplyError
 			if !errors.As(err, &broken) || !errors.Is(err, context.DeadlineExceeded) {
 				t.Fatal(err)
@@ -149,8 +150,8 @@
 	next := make(chan int, 1)
 	defer close(next)
 	client := newTestClient(t, serveInPieces(t, "text", next), ClientOptions{})
-	patience := ReceiveTimeouts{FirstByte: testTimeout, Idle: testTimeout, Total: 50 * time.Millisecond}
-	_, err := echoCall.InvokeWhileReceiving(context.Background(), client, patience, &EchoRequest{})
+	timeouts := ReceiveTimeouts{FirstByte: testTimeout, Idle: testTimeout, Total: 50 * time.Millisecond}
+	_, err := echoCall.InvokeWhileReceiving(context.Background(), client, timeouts, &EchoRequest{})
 	if !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatal(err)
 	}
--- a/internal/system/rpc/rpc_test.go
+++ b/internal/system/rpc/rpc_test.go
@@ -17,7 +17,7 @@
 // EchoRequest is the argument of the tests' calls.
 type EchoRequest struct {
 	Text string
-	Wait bool // until the test lets go
+	Wait bool // until the test releases it
 }
 
 // EchoReply is the reply of the tests' calls.
@@ -114,7 +114,7 @@
 	}
 }
 
-// TestNetRPCClient has net/rpc's own client call: the wire is its wire.
+// TestNetRPCClient calls with net/rpc's own client: the protocol on the wire is that of net/rpc.
 func TestNetRPCClient(t *testing.T) {
 	server := newEchoServer(t, "127.0.0.1:0", ServerLimits{})
 	client, err := netrpc.Dial("tcp", server.address.String())
@@ -252,7 +252,7 @@
 	if !errors.As(err, &broken) || server.calls.Load() != 0 {
 		t.Fatal(err, server.calls.Load())
 	}
-	for range 10 { // each bound is for one request
+	for range 10 { // the limit applies to each request
 		request := EchoRequest{Text: string(make([]byte, 32<<10))}
 		if _, err := echoCall.Invoke(context.Background(), client, &request); err != nil {
 			t.Fatal(err)
@@ -277,7 +277,7 @@
 	})
 }
 
-// TestWriteTimeout reads nothing: its connection ends, and others are served meanwhile.
+// TestWriteTimeout reads no replies: the connection is closed, and others are served meanwhile.
 func TestWriteTimeout(t *testing.T) {
 	server := newEchoServer(t, "127.0.0.1:0", ServerLimits{WriteTimeout: 50 * time.Millisecond})
 	socket, err := net.Dial("tcp4", server.address.String())
--- a/internal/system/rpc/codec_test.go
+++ b/internal/system/rpc/stream_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// slowLink is the sending side of a connection in time of its own: each byte takes a while to go out, and what is not out
-// by the deadline of its write fails it.
+// slowLink is the sending side of a connection in virtual time: each byte takes a while, and a write fails that is not
+// complete by its deadline.
 type slowLink struct {
 	net.Conn
 	perByte  time.Duration
 	now      time.Duration
-	deadline time.Duration // 0: no deadline
+	deadline time.Duration // 0: none
 	sent     bytes.Buffer
-	stalled  bool // nothing goes out any more
+	stalled  bool // no byte is accepted any more
 }
 
 func (l *slowLink) SetWriteDeadline(deadline time.Time) error {
@@ -38,8 +38,8 @@
 	return l.sent.Write(p)
 }
 
-// TestLargeMessageOverSlowLink: a message that takes longer than the write time-out goes out as long as it moves on, and
-// one that does not move on ends its connection after that time.
+// TestLargeMessageOverSlowLink: a message that takes longer than the write timeout is sent as long as it makes
+// progress; one without progress closes its connection after the timeout.
 func TestLargeMessageOverSlowLink(t *testing.T) {
 	const timeout, size = 1500 * time.Millisecond, 4 << 20
 	link := &slowLink{perByte: time.Second / (10e6 / 8 / 4)} // a quarter of 10 Mbit/s
