--- a/internal/dispatcher/cluster/fleet.go
+++ b/internal/dispatcher/cluster/cluster.go
@@ -108,324 +108,324 @@
 }
 
 // startNode starts a life as a member.
-func (f *Cluster) startNode() {
-	o := &f.options
-	f.node = membership.New(membership.Options{Cluster: o.Cluster, Name: o.Name, Addr: o.Advertise, Seeds: o.Seeds, ProbeInterval: o.ProbeInterval,
-		DeadTTL: o.DeadTTL, Generation: uint64(f.loop.Now() * 1e6), RandomSeed: o.RandomSeed, Metadata: o.Metadata, Delegate: o.Versions})
-	o.Versions.SameZone = func(member string) bool { return f.node.Zone(member) == o.Metadata.Zone }
-	f.calculator = quota.New(o.Quota)
+func (c *Cluster) startNode() {
+	o := &c.options
+	c.node = membership.New(membership.Options{Cluster: o.Cluster, Name: o.Name, Addr: o.Advertise, Seeds: o.Seeds, ProbeInterval: o.ProbeInterval,
+		DeadTTL: o.DeadTTL, Generation: uint64(c.loop.Now() * 1e6), RandomSeed: o.RandomSeed, Metadata: o.Metadata, Delegate: o.Versions})
+	o.Versions.SameZone = func(member string) bool { return c.node.Zone(member) == o.Metadata.Zone }
+	c.calculator = quota.New(o.Quota)
 	o.Versions.Lease.ProbeInterval, o.Versions.Lease.Term = o.ProbeInterval, o.LeaseTerm
-	f.updateShare()
-	if f.socket == nil {
-		f.retryBind()
+	c.updateShare()
+	if c.socket == nil {
+		c.retryBind()
 		return
 	}
-	f.join()
+	c.join()
 }
 
 // retryBind tries for the address until the process that holds it lets go.
-func (f *Cluster) retryBind() {
-	if f.closed {
+func (c *Cluster) retryBind() {
+	if c.closed {
 		return
 	}
-	socket, err := Bind(f.loop, f.options.Bind)
+	socket, err := Bind(c.loop, c.options.Bind)
 	if socket == nil {
-		if !f.waiting || err != nil {
-			f.log.Warn("fleet: the address is taken, waiting for it", zap.Stringer("bind", f.options.Bind), zap.Error(err))
+		if !c.waiting || err != nil {
+			c.log.Warn("fleet: the address is taken, waiting for it", zap.Stringer("bind", c.options.Bind), zap.Error(err))
 		}
-		f.waiting = true
-		f.timer = f.loop.At(f.loop.Now()+bindRetryInterval, f.retryBind)
+		c.waiting = true
+		c.timer = c.loop.At(c.loop.Now()+bindRetryInterval, c.retryBind)
 		return
 	}
-	f.waiting, f.socket = false, socket
-	f.join()
+	c.waiting, c.socket = false, socket
+	c.join()
 }
 
-func (f *Cluster) join() {
-	f.socket.SetHandler(f.handleDatagram)
-	f.log.Info("fleet: member", zap.String("fleet", f.options.Cluster), zap.String("name", f.options.Name),
-		zap.Stringer("bind", f.options.Bind), zap.Stringer("advertise", f.options.Advertise), zap.Uint64("life", f.node.Generation))
-	f.node.Start(f.loop.Now())
-	f.flush()
-	f.scheduleTick()
+func (c *Cluster) join() {
+	c.socket.SetHandler(c.handleDatagram)
+	c.log.Info("fleet: member", zap.String("fleet", c.options.Cluster), zap.String("name", c.options.Name),
+		zap.Stringer("bind", c.options.Bind), zap.Stringer("advertise", c.options.Advertise), zap.Uint64("life", c.node.Generation))
+	c.node.Start(c.loop.Now())
+	c.flush()
+	c.scheduleTick()
 }
 
-func (f *Cluster) scheduleTick() {
-	f.timer.Stop()
-	f.timer = f.loop.At(f.node.NextTick(), func() {
-		f.node.Tick(f.loop.Now())
-		if f.loop.Now() >= f.shareAt+f.options.ProbeInterval {
-			f.updateShare()
+func (c *Cluster) scheduleTick() {
+	c.timer.Stop()
+	c.timer = c.loop.At(c.node.NextTick(), func() {
+		c.node.Tick(c.loop.Now())
+		if c.loop.Now() >= c.shareAt+c.options.ProbeInterval {
+			c.updateShare()
 		}
-		f.flush()
-		f.logDrops()
-		f.scheduleTick()
+		c.flush()
+		c.logDrops()
+		c.scheduleTick()
 	})
 }
 
-func (f *Cluster) handleDatagram(b []byte) {
-	f.Received++
-	msg, err := membership.Decode(f.options.Cluster, b)
+func (c *Cluster) handleDatagram(b []byte) {
+	c.Received++
+	msg, err := membership.Decode(c.options.Cluster, b)
 	switch {
 	case err == nil:
-		f.node.HandleMessage(f.loop.Now(), msg)
-		f.flush()
+		c.node.HandleMessage(c.loop.Now(), msg)
+		c.flush()
 	case errors.Is(err, membership.ErrOtherCluster):
-		f.Drops[dropOtherCluster]++
+		c.Drops[dropOtherCluster]++
 	case errors.Is(err, membership.ErrUnknownFormat):
-		f.Drops[dropUnknownFormat]++
+		c.Drops[dropUnknownFormat]++
 	case errors.Is(err, membership.ErrOversized):
-		f.Drops[dropOversized]++
+		c.Drops[dropOversized]++
 	default:
-		f.Drops[dropCorrupt]++
+		c.Drops[dropCorrupt]++
 	}
 }
 
 // handlePause is told before anything else is done in a turn that comes late.
-func (f *Cluster) handlePause(late float64) {
-	if f.closed || f.waiting {
+func (c *Cluster) handlePause(late float64) {
+	if c.closed || c.waiting {
 		return
 	}
-	f.log.Warn("fleet: this process has stood still; what it knew is looked at again", zap.Float64("late_s", late))
-	if f.options.OnPause != nil {
-		f.options.OnPause(late)
+	c.log.Warn("fleet: this process has stood still; what it knew is looked at again", zap.Float64("late_s", late))
+	if c.options.OnPause != nil {
+		c.options.OnPause(late)
 	}
-	f.node.HandlePause(f.loop.Now())
-	f.flush()
-	f.scheduleTick()
+	c.node.HandlePause(c.loop.Now())
+	c.flush()
+	c.scheduleTick()
 }
 
 // flush sends what the machine has to send, tells what has changed, and has the decisions know.
-func (f *Cluster) flush() {
-	for _, p := range f.node.TakePackets() {
+func (c *Cluster) flush() {
+	for _, p := range c.node.TakePackets() {
 		b, err := membership.Encode(p.Message)
 		if err == nil {
-			if err = f.socket.SendTo(p.To, b); err == nil {
-				f.Sent++
-				f.BytesSent += uint64(len(b))
+			if err = c.socket.SendTo(p.To, b); err == nil {
+				c.Sent++
+				c.BytesSent += uint64(len(b))
 				continue
 			}
 		}
-		f.Unsent++ // a full buffer, no way there: as good as lost on the way
-		f.log.Debug("fleet: not sent", zap.Stringer("to", p.To), zap.Error(err))
+		c.Unsent++ // a full buffer, no way there: as good as lost on the way
+		c.log.Debug("fleet: not sent", zap.Stringer("to", p.To), zap.Error(err))
 	}
-	changes := f.node.TakeChanges()
-	for _, c := range changes {
-		f.logChange(c)
+	changes := c.node.TakeChanges()
+	for _, change := range changes {
+		c.logChange(change)
 	}
-	for _, s := range f.node.TakeConvergenceTimes() {
-		f.lastConvergence = s
-		alive, suspect, dead := f.node.CountByState()
-		f.options.OnConverged(Convergence{s, alive, digest(f.node.Digest())})
-		f.log.Info("fleet: settled", zap.Float64("after_s", s), zap.Int("alive", alive), zap.Int("suspect", suspect), zap.Int("dead", dead),
-			zap.String("digest", digest(f.node.Digest())))
+	for _, s := range c.node.TakeConvergenceTimes() {
+		c.lastConvergence = s
+		alive, suspect, dead := c.node.CountByState()
+		c.options.OnConverged(Convergence{s, alive, digest(c.node.Digest())})
+		c.log.Info("fleet: settled", zap.Float64("after_s", s), zap.Int("alive", alive), zap.Int("suspect", suspect), zap.Int("dead", dead),
+			zap.String("digest", digest(c.node.Digest())))
 	}
-	if len(changes) > 0 || f.recognized != f.node.Recognized() {
-		f.updateShare()
+	if len(changes) > 0 || c.recognized != c.node.Recognized() {
+		c.updateShare()
 	}
 }
 
-func (f *Cluster) logChange(c membership.Change) {
-	fields := []zap.Field{zap.String("member", c.Name), zap.Stringer("is", c.To), zap.Uint64("incarnation", c.Incarnation), zap.String("cause", c.Cause)}
-	if !c.New {
-		fields = append(fields, zap.Stringer("was", c.From))
+func (c *Cluster) logChange(change membership.Change) {
+	fields := []zap.Field{zap.String("member", change.Name), zap.Stringer("is", change.To), zap.Uint64("incarnation", change.Incarnation), zap.String("cause", change.Cause)}
+	if !change.New {
+		fields = append(fields, zap.Stringer("was", change.From))
 	}
-	if c.Name == f.options.Name {
-		f.log.Error("fleet: "+c.Cause, zap.String("member", c.Name))
+	if change.Name == c.options.Name {
+		c.log.Error("fleet: "+change.Cause, zap.String("member", change.Name))
 		return
 	}
-	f.log.Info("fleet: change", fields...)
+	c.log.Info("fleet: change", fields...)
 }
 
 // updateShare works the place out anew.
-func (f *Cluster) updateShare() {
-	f.shareAt, f.recognized = f.loop.Now(), f.node.Recognized()
-	v := f.node.View()
-	f.updateLease(&v)
-	p := f.calculator.Share(f.loop.Now(), &v)
-	if p.Equal(&f.share) {
+func (c *Cluster) updateShare() {
+	c.shareAt, c.recognized = c.loop.Now(), c.node.Recognized()
+	view := c.node.View()
+	c.updateLease(&view)
+	p := c.calculator.Share(c.loop.Now(), &view)
+	if p.Equal(&c.share) {
 		return
 	}
-	was := f.share
-	f.share = p
-	f.onShare(p)
+	was := c.share
+	c.share = p
+	c.onShare(p)
 	if was.Instances == p.Instances && was.Fraction == p.Fraction && was.Reason == p.Reason {
 		return // other names alone
 	}
-	f.log.Info("fleet: cold workers are shared", zap.Int("among", p.Instances), zap.Int("me", p.Index), zap.Float64("part", p.Fraction), zap.String("why", string(p.Reason)))
+	c.log.Info("fleet: cold workers are shared", zap.Int("among", p.Instances), zap.Int("me", p.Index), zap.Float64("part", p.Fraction), zap.String("why", string(p.Reason)))
 }
 
 // Update has what has changed decided by at once.
-func (f *Cluster) Update() {
-	if !f.closed {
-		f.updateShare()
+func (c *Cluster) Update() {
+	if !c.closed {
+		c.updateShare()
 	}
 }
 
 // Contacted says whether anybody else was heard from.
-func (f *Cluster) Contacted() bool { return f.node.Contacted() }
+func (c *Cluster) Contacted() bool { return c.node.Contacted() }
 
 // LeaseTerm is how long a lease lasts without a fresh word, in seconds.
-func (f *Cluster) LeaseTerm() float64 { return f.options.LeaseTerm }
+func (c *Cluster) LeaseTerm() float64 { return c.options.LeaseTerm }
 
 // ConfirmationAge is how long ago a word of discovery last confirmed what is known here, in seconds; -1: never.
-func (f *Cluster) ConfirmationAge() float64 {
-	at := f.options.Versions.LastConfirmed()
+func (c *Cluster) ConfirmationAge() float64 {
+	at := c.options.Versions.LastConfirmed()
 	if at <= 0 {
 		return -1
 	}
-	return f.loop.Now() - at
+	return c.loop.Now() - at
 }
 
 // updateLease has the lease judged anew.
-func (f *Cluster) updateLease(v *membership.View) {
-	l := f.options.Versions.Lease
+func (c *Cluster) updateLease(view *membership.View) {
+	l := c.options.Versions.Lease
 	was := l.State()
-	if !f.options.Versions.UpdateLease(f.loop.Now(), v) {
+	if !c.options.Versions.UpdateLease(c.loop.Now(), view) {
 		return
 	}
-	f.SetMetadata(f.options.Metadata)
-	f.log.Warn("fleet: lease", zap.Stringer("is", l.State()), zap.String("why", l.Reason))
+	c.SetMetadata(c.options.Metadata)
+	c.log.Warn("fleet: lease", zap.Stringer("is", l.State()), zap.String("why", l.Reason))
 	if out := l.State() == lease.Out; out != (was == lease.Out) {
-		f.options.OnLease(out, l.Reason)
+		c.options.OnLease(out, l.Reason)
 	}
 }
 
 // IssueOrder shuts a member out, or brings it back, by whichever way reaches it. More than a third are not shut out at once.
-func (f *Cluster) IssueOrder(member string, out bool) error {
-	if f.socket == nil {
+func (c *Cluster) IssueOrder(member string, out bool) error {
+	if c.socket == nil {
 		return errors.New("fleet: not joined yet")
 	}
-	v := f.node.View()
-	if err := f.options.Versions.IssueOrder(f.loop.Now(), &v, member, out); err != nil {
+	view := c.node.View()
+	if err := c.options.Versions.IssueOrder(c.loop.Now(), &view, member, out); err != nil {
 		return err
 	}
-	f.updateShare()
-	f.GossipNow()
+	c.updateShare()
+	c.GossipNow()
 	return nil
 }
 
 // dropsLogInterval says once in a while what was dropped.
-func (f *Cluster) logDrops() {
-	if f.Drops == f.loggedDrops || f.loop.Now() < f.dropsLoggedAt+dropsLogInterval {
+func (c *Cluster) logDrops() {
+	if c.Drops == c.loggedDrops || c.loop.Now() < c.dropsLoggedAt+dropsLogInterval {
 		return
 	}
-	f.dropsLoggedAt, f.loggedDrops = f.loop.Now(), f.Drops
+	c.dropsLoggedAt, c.loggedDrops = c.loop.Now(), c.Drops
 	fields := []zap.Field{}
-	for i, n := range f.Drops {
+	for i, n := range c.Drops {
 		fields = append(fields, zap.Uint64(DropNames[i], n))
 	}
-	f.log.Warn("fleet: datagrams dropped so far", fields...)
+	c.log.Warn("fleet: datagrams dropped so far", fields...)
 }
 
 // GossipNow sends what the Board has to tell without waiting for the next step.
-func (f *Cluster) GossipNow() {
-	if f.socket != nil && !f.waiting && f.options.Versions.HasUrgent() {
-		f.node.GossipNow(f.loop.Now())
-		f.flush()
+func (c *Cluster) GossipNow() {
+	if c.socket != nil && !c.waiting && c.options.Versions.HasUrgent() {
+		c.node.GossipNow(c.loop.Now())
+		c.flush()
 	}
 }
 
 // SetMetadata sets what is told of this member.
-func (f *Cluster) SetMetadata(facts membership.Metadata) {
-	facts.Lease = f.options.Versions.Lease.State()
-	f.options.Metadata = facts
-	f.node.SetMetadata(f.loop.Now(), facts)
+func (c *Cluster) SetMetadata(facts membership.Metadata) {
+	facts.Lease = c.options.Versions.Lease.State()
+	c.options.Metadata = facts
+	c.node.SetMetadata(c.loop.Now(), facts)
 }
 
 // Leave tells the others that this dispatcher has stopped sending; Rejoin that it begins again.
-func (f *Cluster) Leave() {
-	if f.socket == nil {
+func (c *Cluster) Leave() {
+	if c.socket == nil {
 		return
 	}
-	f.node.Leave(f.loop.Now())
-	f.updateShare()
-	f.flush()
+	c.node.Leave(c.loop.Now())
+	c.updateShare()
+	c.flush()
 }
 
 // Rejoin takes a Leave back.
-func (f *Cluster) Rejoin() {
-	f.node.Rejoin(f.loop.Now())
-	f.updateShare()
-	if f.socket != nil {
-		f.flush()
-		f.scheduleTick()
+func (c *Cluster) Rejoin() {
+	c.node.Rejoin(c.loop.Now())
+	c.updateShare()
+	if c.socket != nil {
+		c.flush()
+		c.scheduleTick()
 	}
 }
 
 // DeclareLeft has a member that is dead count as one that has left, everywhere.
-func (f *Cluster) DeclareLeft(name string) error {
-	if f.socket == nil {
+func (c *Cluster) DeclareLeft(name string) error {
+	if c.socket == nil {
 		return errors.New("fleet: not joined yet")
 	}
-	err := f.node.DeclareLeft(f.loop.Now(), name)
-	f.updateShare()
-	f.flush()
+	err := c.node.DeclareLeft(c.loop.Now(), name)
+	c.updateShare()
+	c.flush()
 	return err
 }
 
 // Yield leaves the name and the address to the process that takes this one's place, without a word; Resume takes both back.
-func (f *Cluster) Yield() {
-	f.timer.Stop()
-	if f.socket != nil {
-		f.socket.Close()
-		f.socket = nil
+func (c *Cluster) Yield() {
+	c.timer.Stop()
+	if c.socket != nil {
+		c.socket.Close()
+		c.socket = nil
 	}
-	f.waiting = true
-	f.share.Fraction, f.share.Reason = quota.CautiousFraction, quota.CutOff // the next one has the share
-	f.onShare(f.share)
+	c.waiting = true
+	c.share.Fraction, c.share.Reason = quota.CautiousFraction, quota.CutOff // the next one has the share
+	c.onShare(c.share)
 }
 
 // Resume begins a new life under the name.
-func (f *Cluster) Resume() { f.startNode() }
+func (c *Cluster) Resume() { c.startNode() }
 
 // SameIdentity says whether a member started by o would be this one but for seeds and rules, which Change takes.
-func (f *Cluster) SameIdentity(o *Options) bool {
-	w := &f.options
+func (c *Cluster) SameIdentity(o *Options) bool {
+	w := &c.options
 	return w.Cluster == o.Cluster && w.Name == o.Name && w.Bind == o.Bind && w.Advertise == o.Advertise && w.ProbeInterval == o.ProbeInterval && w.DeadTTL == o.DeadTTL && w.LeaseTerm == o.LeaseTerm
 }
 
 // SameBind says whether the address is this one's.
-func (f *Cluster) SameBind(o *Options) bool { return f.options.Bind == o.Bind }
+func (c *Cluster) SameBind(o *Options) bool { return c.options.Bind == o.Bind }
 
 // UpdateOptions takes other seeds and rules.
-func (f *Cluster) UpdateOptions(o Options) {
-	f.options.Quota, f.calculator.Config = o.Quota, o.Quota
-	if !slices.Equal(f.options.Seeds, o.Seeds) {
-		f.options.Seeds = o.Seeds
-		f.node.SetSeeds(f.loop.Now(), o.Seeds)
-		if f.socket != nil {
-			f.flush()
+func (c *Cluster) UpdateOptions(o Options) {
+	c.options.Quota, c.calculator.Config = o.Quota, o.Quota
+	if !slices.Equal(c.options.Seeds, o.Seeds) {
+		c.options.Seeds = o.Seeds
+		c.node.SetSeeds(c.loop.Now(), o.Seeds)
+		if c.socket != nil {
+			c.flush()
 		}
 	}
-	f.updateShare()
+	c.updateShare()
 }
 
 // Release ends this member by word and gives its socket to whoever has the address next; nil where it had none.
-func (f *Cluster) Release() *eventloop.UDPSocket {
-	f.Leave()
-	socket := f.socket
-	f.socket, f.closed = nil, true
-	f.timer.Stop()
-	f.loop.OnLateWakeup = nil
+func (c *Cluster) Release() *eventloop.UDPSocket {
+	c.Leave()
+	socket := c.socket
+	c.socket, c.closed = nil, true
+	c.timer.Stop()
+	c.loop.OnLateWakeup = nil
 	return socket
 }
 
 // Close ends this member by word.
-func (f *Cluster) Close() {
-	if s := f.Release(); s != nil {
+func (c *Cluster) Close() {
+	if s := c.Release(); s != nil {
 		s.Close()
 	}
 }
 
 // CountByState counts the members by state, this one among the living.
-func (f *Cluster) CountByState() (alive, suspect, dead int) { return f.node.CountByState() }
+func (c *Cluster) CountByState() (alive, suspect, dead int) { return c.node.CountByState() }
 
 // Stats are what the membership has counted.
-func (f *Cluster) Stats() membership.Stats { return f.node.Stats }
+func (c *Cluster) Stats() membership.Stats { return c.node.Stats }
 
 // LastConvergence is how long the view took to settle the last time, in seconds; 0: it has not yet.
-func (f *Cluster) LastConvergence() float64 { return f.lastConvergence }
+func (c *Cluster) LastConvergence() float64 { return c.lastConvergence }
 
 // Share is among whom cold workers are shared.
-func (f *Cluster) Share() quota.Share { return f.share }
+func (c *Cluster) Share() quota.Share { return c.share }
--- a/internal/dispatcher/cluster/quota/divisor.go
+++ b/internal/dispatcher/cluster/quota/calculator.go
@@ -69,8 +69,8 @@
 }
 
 // Equal says whether two places decide alike.
-func (p *Share) Equal(o *Share) bool {
-	return p.Instances == o.Instances && p.Index == o.Index && p.Fraction == o.Fraction && p.Reason == o.Reason && slices.Equal(p.Keys, o.Keys)
+func (p *Share) Equal(other *Share) bool {
+	return p.Instances == other.Instances && p.Index == other.Index && p.Fraction == other.Fraction && p.Reason == other.Reason && slices.Equal(p.Keys, other.Keys)
 }
 
 // Calculator remembers who has left the count.
@@ -81,89 +81,89 @@
 }
 
 // New makes a Divisor.
-func New(r Config) *Calculator { return &Calculator{Config: r, removed: map[string]uint64{}} }
+func New(config Config) *Calculator { return &Calculator{Config: config, removed: map[string]uint64{}} }
 
 // StopTimeout is how long after one was found dead it has surely stopped, or taken to its cautious part: each side of a cut finds
 // the other dead within a suspicion's longest time, and what was sent last lasts for a fall time.
-func (d *Calculator) StopTimeout(known int) float64 {
-	return stopSuspicions*membership.MaxSuspicionTimeout(known, d.Config.ProbeInterval) + stopProbeIntervals*d.Config.ProbeInterval + d.Config.LoadDecay
+func (c *Calculator) StopTimeout(known int) float64 {
+	return stopSuspicions*membership.MaxSuspicionTimeout(known, c.Config.ProbeInterval) + stopProbeIntervals*c.Config.ProbeInterval + c.Config.LoadDecay
 }
 
 // Share works out the place by a view at a time.
-func (d *Calculator) Share(now float64, v *membership.View) Share {
-	configured := Share{Instances: d.Config.Instances, Index: d.Config.Index, Fraction: 1, Reason: Alone}
-	if !v.Contacted {
+func (c *Calculator) Share(now float64, view *membership.View) Share {
+	configured := Share{Instances: c.Config.Instances, Index: c.Config.Index, Fraction: 1, Reason: Alone}
+	if !view.Contacted {
 		return configured
 	}
-	known, heard := 0, 0
-	for i := range v.Members {
-		switch s := &v.Members[i]; s.State {
+	known, alive := 0, 0
+	for i := range view.Members {
+		switch member := &view.Members[i]; member.State {
 		case membership.Alive:
-			known, heard = known+1, heard+1
+			known, alive = known+1, alive+1
 		case membership.Suspect, membership.Dead:
 			known++
 		}
 	}
-	p := Share{Fraction: 1, Reason: Full}
+	share := Share{Fraction: 1, Reason: Full}
 	switch {
-	case v.Withdrawn || v.Left || 2*heard < known:
-		p.Fraction, p.Reason = CautiousFraction, CutOff
-	case !v.Recognized, len(v.Members) < d.Config.Instances && now < v.JoinedAt+joinProbeIntervals*d.Config.ProbeInterval:
-		p.Fraction, p.Reason = CautiousFraction, Unrecognized
-	case 2*heard == known:
-		p.Reason = Waiting
+	case view.Withdrawn || view.Left || 2*alive < known:
+		share.Fraction, share.Reason = CautiousFraction, CutOff
+	case !view.Recognized, len(view.Members) < c.Config.Instances && now < view.JoinedAt+joinProbeIntervals*c.Config.ProbeInterval:
+		share.Fraction, share.Reason = CautiousFraction, Unrecognized
+	case 2*alive == known:
+		share.Reason = Waiting
 	}
 	switch {
-	case p.Reason != Full:
-		d.majoritySince = 0
-	case d.majoritySince == 0:
-		d.majoritySince = now
+	case share.Reason != Full:
+		c.majoritySince = 0
+	case c.majoritySince == 0:
+		c.majoritySince = now
 	}
 	// Those that are not heard knew that they are the smaller part only once this one was the larger.
-	lease := d.StopTimeout(known)
-	over := p.Reason == Full && now >= d.majoritySince+lease
-	for i := range v.Members {
-		s := &v.Members[i]
-		if s.Self {
-			p.Index = len(p.Keys)
-		} else if !d.mayBeSending(now, s, over, lease) {
+	stopTimeout := c.StopTimeout(known)
+	established := share.Reason == Full && now >= c.majoritySince+stopTimeout
+	for i := range view.Members {
+		member := &view.Members[i]
+		if member.Self {
+			share.Index = len(share.Keys)
+		} else if !c.mayBeSending(now, member, established, stopTimeout) {
 			continue
 		}
-		p.Keys = append(p.Keys, s.Key)
+		share.Keys = append(share.Keys, member.Key)
 	}
-	p.Instances = len(p.Keys)
-	if p.Instances >= d.Config.Instances {
-		return p
+	share.Instances = len(share.Keys)
+	if share.Instances >= c.Config.Instances {
+		return share
 	}
-	if !d.Config.AllMembers { // those that are no members count, too, and know nothing of keys
-		configured.Fraction, configured.Reason = p.Fraction, Partial
+	if !c.Config.AllMembers { // those that are no members count, too, and know nothing of keys
+		configured.Fraction, configured.Reason = share.Fraction, Partial
 		return configured
 	}
-	if p.Fraction < 1 { // others that are not known yet may be as many as was configured
-		for i := p.Instances; i < d.Config.Instances; i++ {
-			p.Keys = append(p.Keys, membership.Key("\x00"+strconv.Itoa(i)))
+	if share.Fraction < 1 { // others that are not known yet may be as many as was configured
+		for i := share.Instances; i < c.Config.Instances; i++ {
+			share.Keys = append(share.Keys, membership.Key("\x00"+strconv.Itoa(i)))
 		}
-		p.Instances = len(p.Keys)
+		share.Instances = len(share.Keys)
 	}
-	return p
+	return share
 }
 
 // mayBeSending says whether a member may be sending; over says whether this part was the larger one for a lease.
-func (d *Calculator) mayBeSending(now float64, s *membership.Member, over bool, lease float64) bool {
-	switch s.State {
+func (c *Calculator) mayBeSending(now float64, member *membership.Member, majorityEstablished bool, stopTimeout float64) bool {
+	switch member.State {
 	case membership.Left:
-		delete(d.removed, s.Name)
+		delete(c.removed, member.Name)
 		return false
 	case membership.Dead:
-		if d.removed[s.Name] == s.Generation {
+		if c.removed[member.Name] == member.Generation {
 			return false
 		}
-		if over && now >= s.Since+lease {
-			d.removed[s.Name] = s.Generation
+		if majorityEstablished && now >= member.Since+stopTimeout {
+			c.removed[member.Name] = member.Generation
 			return false
 		}
 		return true
 	}
-	delete(d.removed, s.Name)
+	delete(c.removed, member.Name)
 	return true
 }
--- a/internal/dispatcher/cluster/status.go
+++ b/internal/dispatcher/cluster/status.go
@@ -68,33 +68,33 @@
 }
 
 // Status tells all that is shown.
-func (f *Cluster) Status() Status {
-	v := f.node.View()
-	s := Status{Cluster: f.options.Cluster, Self: f.options.Name, Digest: digest(v.Digest), Converged: v.Converged && !v.Withdrawn && !f.waiting, TimeoutFactor: v.TimeoutFactor,
-		Share: StatusShare{f.share.Instances, f.share.Index, f.share.Fraction, string(f.share.Reason)}, Drops: map[string]uint64{}, Members: []Member{}, Restrictions: []StatusRestriction{},
+func (c *Cluster) Status() Status {
+	view := c.node.View()
+	s := Status{Cluster: c.options.Cluster, Self: c.options.Name, Digest: digest(view.Digest), Converged: view.Converged && !view.Withdrawn && !c.waiting, TimeoutFactor: view.TimeoutFactor,
+		Share: StatusShare{c.share.Instances, c.share.Index, c.share.Fraction, string(c.share.Reason)}, Drops: map[string]uint64{}, Members: []Member{}, Restrictions: []StatusRestriction{},
 		Orders: []versions.Order{}}
-	held := f.options.Versions.Restrictions()
+	held := c.options.Versions.Restrictions()
 	for _, worker := range slices.Sorted(maps.Keys(held)) {
 		s.Restrictions = append(s.Restrictions, StatusRestriction{worker, held[worker].State.String(), held[worker].Revision, held[worker].From})
 	}
-	s.Lease = StatusLease{f.options.Versions.Lease.State().String(), f.options.Versions.Lease.Reason, f.ConfirmationAge()}
-	orders := f.options.Versions.Orders()
+	s.Lease = StatusLease{c.options.Versions.Lease.State().String(), c.options.Versions.Lease.Reason, c.ConfirmationAge()}
+	orders := c.options.Versions.Orders()
 	for _, name := range slices.Sorted(maps.Keys(orders)) {
 		s.Orders = append(s.Orders, orders[name])
 	}
-	for i, n := range f.Drops {
+	for i, n := range c.Drops {
 		s.Drops[DropNames[i]] = n
 	}
-	c := f.node.Stats
-	maps.Copy(s.Drops, map[string]uint64{"repeated": c.Duplicates, "stale": c.Stale, "own": c.OwnMessages})
-	for _, m := range v.Members {
+	stats := c.node.Stats
+	maps.Copy(s.Drops, map[string]uint64{"repeated": stats.Duplicates, "stale": stats.Stale, "own": stats.OwnMessages})
+	for _, m := range view.Members {
 		out := Member{Name: m.Name, Address: m.Addr.String(), State: m.State.String(), Incarnation: m.Incarnation, SinceMS: int64(m.Since * 1000),
 			Generation: m.Generation, Version: map[string]string{}, VersionMS: map[string]int64{}}
 		if k := m.Metadata; k != nil {
 			out.Zone, out.Serving, out.Console = k.Zone, k.Serving, k.Console
-			for name, v := range map[string]string{"program": k.Version, "settings": k.SettingsHash, "operator": k.OperatorHash, "excluded": k.ExcludedHash} {
-				if v != "" {
-					out.Version[name] = v
+			for name, view := range map[string]string{"program": k.Version, "settings": k.SettingsHash, "operator": k.OperatorHash, "excluded": k.ExcludedHash} {
+				if view != "" {
+					out.Version[name] = view
 				}
 			}
 			started := int64(m.Generation / 1000) // a life is its start in microseconds
@@ -107,10 +107,10 @@
 		if m.State == membership.Alive && m.OutOfService() {
 			out.State = excludedState
 		}
-		if p, told := f.options.Versions.Peers()[m.Name]; told && m.State != membership.Left {
+		if p, told := c.options.Versions.Peers()[m.Name]; told && m.State != membership.Left {
 			out.ListVersion, out.ListVersionMS = &p.Version, int64(p.VersionSince*1000)
-		} else if own, has := f.options.Versions.Version(); has && m.Self {
-			out.ListVersion, out.ListVersionMS = &own, int64(f.options.Versions.VersionSince()*1000)
+		} else if own, has := c.options.Versions.Version(); has && m.Self {
+			out.ListVersion, out.ListVersionMS = &own, int64(c.options.Versions.VersionSince()*1000)
 		}
 		s.Members = append(s.Members, out)
 	}
--- a/internal/dispatcher/cluster/versions/compatibility_test.go
+++ b/internal/dispatcher/cluster/versions/compatibility_test.go
@@ -30,11 +30,11 @@
 
 // TestOrdersKeepTheirDigest: members of two versions compare the digests of the orders that they hold.
 func TestOrdersKeepTheirDigest(t *testing.T) {
-	b := New("n0")
-	if err := b.addOrder(1_700_000_000, "n2", true); err != nil {
+	table := New("n0")
+	if err := table.addOrder(1_700_000_000, "n2", true); err != nil {
 		t.Fatal(err)
 	}
-	if b.orders.digest != 12611020688707290867 {
-		t.Errorf("digest %d", b.orders.digest)
+	if table.orders.digest != 12611020688707290867 {
+		t.Errorf("digest %d", table.orders.digest)
 	}
 }
--- a/internal/dispatcher/cluster/versions/word.go
+++ b/internal/dispatcher/cluster/versions/confirmation.go
@@ -10,43 +10,43 @@
 )
 
 // LastConfirmed is when a word of discovery last confirmed all that is known here; 0: never.
-func (b *Table) LastConfirmed() float64 { return b.lastConfirmed }
+func (t *Table) LastConfirmed() float64 { return t.lastConfirmed }
 
 // LastDiscovery is when the own discovery last spoke; 0: never.
-func (b *Table) LastDiscovery() float64 { return b.lastDiscovery }
+func (t *Table) LastDiscovery() float64 { return t.lastDiscovery }
 
 // ExpireUpdates takes it that whatever was heard before now is old.
-func (b *Table) ExpireUpdates(now float64) {
-	b.lastConfirmed, b.directUpdate = min(b.lastConfirmed, now-expiredAge), false
+func (t *Table) ExpireUpdates(now float64) {
+	t.lastConfirmed, t.directUpdate = min(t.lastConfirmed, now-expiredAge), false
 }
 
 // confirmByDiscovery takes it that the own discovery has spoken. One that tells an old list confirms nothing.
-func (b *Table) confirmByDiscovery(now float64) {
-	if b.directUpdate = b.completeUpTo() >= b.confirmedRevision(); b.directUpdate {
-		b.lastConfirmed, b.updateStamp = now, max(b.updateStamp, uint64(now*stampsPerSecond))
+func (t *Table) confirmByDiscovery(now float64) {
+	if t.directUpdate = t.completeUpTo() >= t.confirmedRevision(); t.directUpdate {
+		t.lastConfirmed, t.updateStamp = now, max(t.updateStamp, uint64(now*stampsPerSecond))
 	}
 }
 
 // mergePeerUpdate takes a peer's word of discovery: by it others see that the peer has one, and where all that the peer knows is known here,
 // it counts here, too.
-func (b *Table) mergePeerUpdate(now float64, p *Peer, r *payload) {
-	if float64(r.UpdateStamp) > (now+maxClockLead)*stampsPerSecond {
+func (t *Table) mergePeerUpdate(now float64, p *Peer, msg *payload) {
+	if float64(msg.UpdateStamp) > (now+maxClockLead)*stampsPerSecond {
 		return
 	}
-	if r.UpdateStamp > p.updateStamp {
-		p.updateStamp, p.LastUpdate, p.DirectUpdate = r.UpdateStamp, now, r.DirectUpdate
+	if msg.UpdateStamp > p.updateStamp {
+		p.updateStamp, p.LastUpdate, p.DirectUpdate = msg.UpdateStamp, now, msg.DirectUpdate
 	}
-	if _, ok := b.version.Lag(r.Version); b.hasVersion && ok && r.UpdateStamp > b.updateStamp && max(r.CompleteUpTo, r.Version.Revision) <= b.completeUpTo() {
-		b.lastConfirmed, b.updateStamp = now, r.UpdateStamp
+	if _, ok := t.version.Lag(msg.Version); t.hasVersion && ok && msg.UpdateStamp > t.updateStamp && max(msg.CompleteUpTo, msg.Version.Revision) <= t.completeUpTo() {
+		t.lastConfirmed, t.updateStamp = now, msg.UpdateStamp
 	}
 }
 
 // confirmedRevision is the newest version of the own line that discovery has surely told: two members at least say that their own lists have
 // it, or the own one does. What one alone says may be wrong.
-func (b *Table) confirmedRevision() int64 {
-	first, second := b.version.Revision, b.version.Revision
-	for _, p := range b.peers {
-		if by, ok := b.version.Lag(p.Version); ok && by > 0 {
+func (t *Table) confirmedRevision() int64 {
+	first, second := t.version.Revision, t.version.Revision
+	for _, p := range t.peers {
+		if by, ok := t.version.Lag(p.Version); ok && by > 0 {
 			if p.Version.Revision > first {
 				first, second = p.Version.Revision, first
 			} else {
--- a/internal/dispatcher/cluster/versions/word_test.go
+++ b/internal/dispatcher/cluster/versions/confirmation_test.go
@@ -12,43 +12,43 @@
 
 // A word of discovery counts once, at its first coming: told in circles for ever it renews nothing.
 func TestUpdateCountsOnce(t *testing.T) {
-	a, b, c := newTestTable("a", 5, "x"), newTestTable("b", 5, "x"), newTestTable("c", 5, "x")
+	a, table, c := newTestTable("a", 5, "x"), newTestTable("b", 5, "x"), newTestTable("c", 5, "x")
 	a.HandleDiscoveryContact(100)
-	exchange(100, a, b)
-	if b.LastConfirmed() != 100 {
-		t.Fatalf("b's word is of %v", b.LastConfirmed())
+	exchange(100, a, table)
+	if table.LastConfirmed() != 100 {
+		t.Fatalf("b's word is of %v", table.LastConfirmed())
 	}
 	for at := 101.0; at < 200; at++ {
-		exchange(at, b, c)
-		exchange(at, c, b)
+		exchange(at, table, c)
+		exchange(at, c, table)
 		exchange(at, a, c)
-		exchange(at, a, b)
+		exchange(at, a, table)
 	}
-	if b.LastConfirmed() != 100 || c.LastConfirmed() > 101 {
-		t.Errorf("words of %v and %v", b.LastConfirmed(), c.LastConfirmed())
+	if table.LastConfirmed() != 100 || c.LastConfirmed() > 101 {
+		t.Errorf("words of %v and %v", table.LastConfirmed(), c.LastConfirmed())
 	}
 	a.HandleDiscoveryContact(200)
 	exchange(200, a, c)
-	exchange(201, c, b)
-	if b.LastConfirmed() != 201 {
-		t.Errorf("passed on: %v", b.LastConfirmed())
+	exchange(201, c, table)
+	if table.LastConfirmed() != 201 {
+		t.Errorf("passed on: %v", table.LastConfirmed())
 	}
 }
 
 // A word counts where all that its teller knows is known: one that lacks a version gets it first. And a discovery that tells an old
 // list confirms nothing to one that two others have told better.
 func TestUpdateConfirmsCompleteState(t *testing.T) {
-	a, b, c := newTestTable("a", 5, "x", "y"), newTestTable("b", 5, "x", "y"), newTestTable("c", 5, "x", "y")
+	a, table, c := newTestTable("a", 5, "x", "y"), newTestTable("b", 5, "x", "y"), newTestTable("c", 5, "x", "y")
 	a.ApplyList(20, src, 6, false, entries(Draining, "x"))
-	b.HandlePayload(20, "a", b.encodePayload(a.newPayload(20))) // without the fact
-	if b.LastConfirmed() >= 20 {
+	table.HandlePayload(20, "a", table.encodePayload(a.newPayload(20))) // without the fact
+	if table.LastConfirmed() >= 20 {
 		t.Error("confirmed by one that knows more")
 	}
-	exchange(21, a, b)
+	exchange(21, a, table)
 	a.HandleDiscoveryContact(22)
-	exchange(22, a, b)
-	if b.LastConfirmed() != 22 {
-		t.Errorf("not confirmed: %v", b.LastConfirmed())
+	exchange(22, a, table)
+	if table.LastConfirmed() != 22 {
+		t.Errorf("not confirmed: %v", table.LastConfirmed())
 	}
 	c.HandlePayload(30, "a", c.encodePayload(&payload{Version: Version{src, 0, 6}}))
 	c.HandlePayload(30, "b", c.encodePayload(&payload{Version: Version{src, 0, 6}}))
@@ -65,29 +65,29 @@
 
 // A discovery that tells an old list does not make one doubt what two others have of theirs.
 func TestStaleDiscoveryDoesNotOverridePeers(t *testing.T) {
-	a, c, b := newTestTable("a", 5, "x"), newTestTable("c", 5, "x"), newTestTable("b", 5, "x")
+	a, c, table := newTestTable("a", 5, "x"), newTestTable("c", 5, "x"), newTestTable("b", 5, "x")
 	a.ApplyList(20, src, 6, false, entries(Draining, "x"))
 	c.ApplyList(20, src, 6, false, entries(Draining, "x"))
-	exchange(20, a, b)
-	exchange(20, c, b)
+	exchange(20, a, table)
+	exchange(20, c, table)
 	for at := 20.0; at < 200; at++ {
-		b.ApplyList(at, src, 5, false, entries(Ready, "x"))
-		b.Tick(at)
+		table.ApplyList(at, src, 5, false, entries(Ready, "x"))
+		table.Tick(at)
 	}
-	expectRestrictions(t, "two say so", b, "x draining 0")
+	expectRestrictions(t, "two say so", table, "x draining 0")
 }
 
 // Words from far ahead count for nothing; those a little ahead hold up no lease of one whose own discovery speaks.
 func TestForgedUpdates(t *testing.T) {
-	a, b, c := newTestTable("a", 5, "x"), newTestTable("b", 5, "x"), newTestTable("c", 5, "x")
-	b.HandlePayload(100, "liar", b.encodePayload(&payload{Version: Version{src, 0, 5}, UpdateStamp: math.MaxUint64 / 2}))
+	a, table, c := newTestTable("a", 5, "x"), newTestTable("b", 5, "x"), newTestTable("c", 5, "x")
+	table.HandlePayload(100, "liar", table.encodePayload(&payload{Version: Version{src, 0, 5}, UpdateStamp: math.MaxUint64 / 2}))
 	a.HandleDiscoveryContact(101)
-	exchange(101, a, b)
-	if b.LastConfirmed() != 101 {
+	exchange(101, a, table)
+	if table.LastConfirmed() != 101 {
 		t.Error("a's words count no more")
 	}
-	b.HandlePayload(102, "liar", b.encodePayload(&payload{Version: Version{src, 0, 5}, UpdateStamp: 111 * stampsPerSecond}))
-	if b.HandleDiscoveryContact(103); b.LastConfirmed() != 103 {
+	table.HandlePayload(102, "liar", table.encodePayload(&payload{Version: Version{src, 0, 5}, UpdateStamp: 111 * stampsPerSecond}))
+	if table.HandleDiscoveryContact(103); table.LastConfirmed() != 103 {
 		t.Error("the own discovery's words count no more")
 	}
 	c.HandlePayload(100, "liar", c.encodePayload(&payload{Version: Version{src, 0, 5}, Orders: []Order{{Member: "c", Number: 0}}}))
@@ -108,7 +108,7 @@
 // An order goes by any way, the newer one wins whatever comes first, and one who was away learns of it by the digest.
 func TestOrders(t *testing.T) {
 	names := []string{"a", "b", "c"}
-	a, b, c := New("a"), newTestTable("b", 5), newTestTable("c", 5)
+	a, table, c := New("a"), newTestTable("b", 5), newTestTable("c", 5)
 	if err := a.IssueOrder(10, viewOf("a", names...), "nobody", true); err == nil {
 		t.Error("an order for nobody")
 	}
@@ -123,23 +123,23 @@
 	}
 	heard := 0
 	c.OnOrder = func(Order) { heard++ }
-	exchange(10, a, b)
-	exchange(11, b, c)
+	exchange(10, a, table)
+	exchange(11, table, c)
 	if c.UpdateLease(12, viewOf("c", names...)); c.Lease.State() != lease.Out || heard != 1 {
 		t.Errorf("%v, heard %d", c.Lease.State(), heard)
 	}
 	old := c.newPayload(13)
 	old.Orders = []Order{{Member: "c", Out: true, Number: 1, By: "a", At: 10}}
-	if err := b.IssueOrder(14, viewOf("b", names...), "c", false); err != nil {
+	if err := table.IssueOrder(14, viewOf("b", names...), "c", false); err != nil {
 		t.Fatal(err)
 	}
 	for range 5 * maxTransmits { // told to others
-		b.Payload(15, 300)
+		table.Payload(15, 300)
 	}
-	if b.HasUrgent() {
+	if table.HasUrgent() {
 		t.Error("it goes on for ever")
 	}
-	exchange(16, c, b) // another digest
+	exchange(16, c, table) // another digest
 	c.HandlePayload(17, "x", c.encodePayload(old))
 	if c.UpdateLease(18, viewOf("c", names...)); c.Lease.State() != lease.Held {
 		t.Errorf("%v after it was brought back", c.Lease.State())
@@ -151,19 +151,19 @@
 
 // Orders that somebody makes up take no more room than there is, and shut out no more than a third.
 func TestForgedOrders(t *testing.T) {
-	b := newTestTable("b", 5)
+	table := newTestTable("b", 5)
 	for i := range 2 * maxOrders {
-		b.HandlePayload(20, "liar", b.encodePayload(&payload{Version: Version{src, 0, 5}, Orders: []Order{{Member: fmt.Sprint("m", i), Out: true, Number: 1, By: "liar"}}}))
+		table.HandlePayload(20, "liar", table.encodePayload(&payload{Version: Version{src, 0, 5}, Orders: []Order{{Member: fmt.Sprint("m", i), Out: true, Number: 1, By: "liar"}}}))
 	}
-	if len(b.Orders()) != maxOrders {
-		t.Errorf("%d orders", len(b.Orders()))
+	if len(table.Orders()) != maxOrders {
+		t.Errorf("%d orders", len(table.Orders()))
 	}
-	if err := b.IssueOrder(21, viewOf("b", "b", "new", "x", "y"), "new", true); !errors.Is(err, ErrTooManyOrders) {
+	if err := table.IssueOrder(21, viewOf("b", "b", "new", "x", "y"), "new", true); !errors.Is(err, ErrTooManyOrders) {
 		t.Error(err)
 	}
 	var names []string
 	out := 0
-	boards := map[string]*Table{}
+	tables := map[string]*Table{}
 	for i := range 9 {
 		names = append(names, fmt.Sprint("m", i))
 	}
@@ -172,23 +172,23 @@
 		for _, o := range names {
 			x.HandlePayload(20, "liar", x.encodePayload(&payload{Version: Version{src, 0, 5}, Orders: []Order{{Member: o, Out: true, Number: 1, By: "liar"}}}))
 		}
-		boards[name] = x
+		tables[name] = x
 	}
 	for range 5 {
 		out = 0
 		for _, name := range names {
 			v := viewOf(name, names...)
 			for i := range v.Members {
-				v.Members[i].Metadata = &membership.Metadata{Lease: boards[names[i]].Lease.State()}
+				v.Members[i].Metadata = &membership.Metadata{Lease: tables[names[i]].Lease.State()}
 			}
-			if boards[name].UpdateLease(21, v); boards[name].Lease.State() == lease.Out {
+			if tables[name].UpdateLease(21, v); tables[name].Lease.State() == lease.Out {
 				out++
 			}
 		}
 		for _, x := range names {
 			for _, y := range names {
 				if x != y {
-					exchange(22, boards[x], boards[y])
+					exchange(22, tables[x], tables[y])
 				}
 			}
 		}
--- a/internal/dispatcher/cluster/versions/note.go
+++ b/internal/dispatcher/cluster/versions/event.go
@@ -32,17 +32,17 @@
 )
 
 // recordClock notes a member's clock where its message was quicker than those before.
-func (b *Table) recordClock(now float64, from string, p *Peer, theirs float64) {
-	if lead := now - theirs; theirs > 0 && (p.clockLeadAt == 0 || lead < p.clockLead-minClockImprovement || now > p.clockLeadAt+clockLeadTTL) {
+func (t *Table) recordClock(now float64, from string, p *Peer, peerClock float64) {
+	if lead := now - peerClock; peerClock > 0 && (p.clockLeadAt == 0 || lead < p.clockLead-minClockImprovement || now > p.clockLeadAt+clockLeadTTL) {
 		p.clockLead, p.clockLeadAt = lead, now
-		b.OnEvent(now, &Event{Kind: ClockReceived, From: from, PeerClock: theirs})
+		t.OnEvent(now, &Event{Kind: ClockReceived, From: from, PeerClock: peerClock})
 	}
 }
 
 // checkDiscovery notes when the own discovery falls silent; it speaks again with Live.
-func (b *Table) checkDiscovery(now float64) {
-	if b.lastDiscovery > 0 && !b.discoverySilent && now > b.lastDiscovery+discoveryTimeout {
-		b.discoverySilent = true
-		b.OnEvent(now, &Event{Kind: DiscoverySilent, SilentFor: now - b.lastDiscovery})
+func (t *Table) checkDiscovery(now float64) {
+	if t.lastDiscovery > 0 && !t.discoverySilent && now > t.lastDiscovery+discoveryTimeout {
+		t.discoverySilent = true
+		t.OnEvent(now, &Event{Kind: DiscoverySilent, SilentFor: now - t.lastDiscovery})
 	}
 }
--- a/internal/dispatcher/cluster/versions/hard_test.go
+++ b/internal/dispatcher/cluster/versions/faults_test.go
@@ -30,31 +30,31 @@
 func TestClockSkew(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		boards, skews := map[*virtualcluster.Node]*versions.Table{}, map[string]float64{}
+		tables, skews := map[*virtualcluster.Node]*versions.Table{}, map[string]float64{}
 		net := virtualcluster.New(virtualcluster.Options{Seed: seed, LossRate: 0.05, Delay: 0.002, Jitter: 0.01}, 8)
 		best := map[[2]string]float64{}
 		net.NewDelegate = func(node *virtualcluster.Node) membership.Delegate {
-			b, by := versions.New(node.Name), 4*rng.Float64()-2
-			boards[node], skews[node.Name] = b, by
-			b.ApplyList(net.Now+by, src, 5, false, nil)
-			b.OnEvent = func(now float64, n *versions.Event) {
+			table, by := versions.New(node.Name), 4*rng.Float64()-2
+			tables[node], skews[node.Name] = table, by
+			table.ApplyList(net.Now+by, src, 5, false, nil)
+			table.OnEvent = func(now float64, n *versions.Event) {
 				if n.Kind == versions.ClockReceived {
 					best[[2]string{node.Name, n.From}] = now - n.PeerClock
 				}
 			}
-			return skewedTable{b, by}
+			return skewedTable{table, by}
 		}
 		net.StartAll(1)
 		for s := range 90 {
 			net.Run(net.Now + 1)
 			for i, node := range net.Nodes {
-				b, by := boards[node], skews[node.Name]
+				table, by := tables[node], skews[node.Name]
 				if i > 2 && s%2 == 0 {
-					b.HandleDiscoveryContact(net.Now + by)
+					table.HandleDiscoveryContact(net.Now + by)
 				}
 				v := node.Membership.View()
-				if b.UpdateLease(net.Now+by, &v); s > 20 && b.Lease.State() != lease.Held {
-					t.Fatalf("seed %d: %s is %v: %s", seed, node.Name, b.Lease.State(), b.Lease.Reason)
+				if table.UpdateLease(net.Now+by, &v); s > 20 && table.Lease.State() != lease.Held {
+					t.Fatalf("seed %d: %s is %v: %s", seed, node.Name, table.Lease.State(), table.Lease.Reason)
 				}
 			}
 		}
@@ -84,9 +84,9 @@
 			drained = append(drained, e)
 		}
 	}
-	net, boards := newTestCluster(t, 7, n, 0.05)
-	for node, b := range boards {
-		b.ApplyList(net.Now, src, 6, false, all)
+	net, tables := newTestCluster(t, 7, n, 0.05)
+	for node, table := range tables {
+		table.ApplyList(net.Now, src, 6, false, all)
 		_ = node
 	}
 	awake, asleep := net.Nodes[:n/6], net.Nodes[n/6:]
@@ -94,25 +94,25 @@
 		net.Pause(node)
 	}
 	for _, node := range awake {
-		boards[node].ApplyList(net.Now, src, 7, false, drained)
+		tables[node].ApplyList(net.Now, src, 7, false, drained)
 	}
 	net.Run(net.Now + 60) // news of it goes out by itself no more
 	before := map[*virtualcluster.Node]uint64{}
-	for node, b := range boards {
-		before[node] = b.Stats.Replies
+	for node, table := range tables {
+		before[node] = table.Stats.Replies
 	}
 	for _, node := range asleep {
 		net.Resume(node)
 	}
 	took, ok := net.RunUntil(300, 0.1, func() bool {
-		return !slices.ContainsFunc(asleep, func(node *virtualcluster.Node) bool { return len(boards[node].Restrictions()) < drains })
+		return !slices.ContainsFunc(asleep, func(node *virtualcluster.Node) bool { return len(tables[node].Restrictions()) < drains })
 	})
 	if !ok {
 		t.Fatal("not all were brought up after 300 periods")
 	}
 	most, sum := uint64(0), uint64(0)
-	for node, b := range boards {
-		most, sum = max(most, b.Stats.Replies-before[node]), sum+b.Stats.Replies-before[node]
+	for node, table := range tables {
+		most, sum = max(most, table.Stats.Replies-before[node]), sum+table.Stats.Replies-before[node]
 	}
 	t.Logf("%d stragglers, %d of %d workers: brought up after %.1f periods; %d questions answered, %d by one at most", len(asleep), drains, workers, took, sum, most)
 	if most*4 > sum {
@@ -122,37 +122,37 @@
 
 // Whoever is asked dies in the midst of its answer: others bring the one that asked up.
 func TestPeerDiesWhileReplying(t *testing.T) {
-	net, boards := newTestCluster(t, 9, 5, 0)
+	net, tables := newTestCluster(t, 9, 5, 0)
 	var drained []versions.Entry
 	var all []versions.Entry
 	for i := range 400 {
 		name := fmt.Sprintf("worker-%04d", i)
 		all, drained = append(all, versions.Entry{Worker: name}), append(drained, versions.Entry{Worker: name, State: versions.Draining})
 	}
-	for _, b := range boards {
-		b.ApplyList(net.Now, src, 6, false, all)
+	for _, table := range tables {
+		table.ApplyList(net.Now, src, 6, false, all)
 	}
 	straggler := net.Nodes[4]
 	net.Pause(straggler)
 	for _, node := range net.Nodes[:4] {
-		boards[node].ApplyList(net.Now, src, 7, false, drained)
+		tables[node].ApplyList(net.Now, src, 7, false, drained)
 	}
 	net.Run(net.Now + 90)
 	net.Resume(straggler)
 	killed := 0
 	answered := map[*virtualcluster.Node]uint64{}
-	for node, b := range boards {
-		answered[node] = b.Stats.Replies
+	for node, table := range tables {
+		answered[node] = table.Stats.Replies
 	}
 	net.AfterEvent = func(node *virtualcluster.Node) { // an answer has gone out, and not all of it
-		if node != straggler && node.Membership != nil && killed < 2 && boards[node].Stats.Replies > answered[node] {
+		if node != straggler && node.Membership != nil && killed < 2 && tables[node].Stats.Replies > answered[node] {
 			killed++
 			net.Schedule(net.Now, func() { net.Kill(node) })
 		}
 	}
-	took, ok := net.RunUntil(120, 0.1, func() bool { return len(boards[straggler].Restrictions()) == 400 })
+	took, ok := net.RunUntil(120, 0.1, func() bool { return len(tables[straggler].Restrictions()) == 400 })
 	if !ok || killed != 2 {
-		t.Fatalf("%d of 400 known after %.0f periods; %d killed", len(boards[straggler].Restrictions()), took, killed)
+		t.Fatalf("%d of 400 known after %.0f periods; %d killed", len(tables[straggler].Restrictions()), took, killed)
 	}
 	t.Logf("all of 400 known after %.1f periods, two that answered having died", took)
 }
@@ -160,22 +160,22 @@
 // A drain and its lifting that cross on their ways: the newer one stands, whichever comes first, everywhere.
 func TestCrossingDrainAndReady(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
-		net, boards := newTestCluster(t, seed, 8, 0.2)
-		a, b := net.Nodes[1], net.Nodes[5]
-		boards[a].ApplyList(net.Now, src, 6, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
-		boards[b].ApplyList(net.Now, src, 7, false, []versions.Entry{{Worker: "x"}, {Worker: "y", State: versions.Draining}})
+		net, tables := newTestCluster(t, seed, 8, 0.2)
+		a, table := net.Nodes[1], net.Nodes[5]
+		tables[a].ApplyList(net.Now, src, 6, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
+		tables[table].ApplyList(net.Now, src, 7, false, []versions.Entry{{Worker: "x"}, {Worker: "y", State: versions.Draining}})
 		a.Membership.GossipNow(net.Now)
-		b.Membership.GossipNow(net.Now)
-		net.Flush(b)
+		table.Membership.GossipNow(net.Now)
+		net.Flush(table)
 		net.Flush(a)
 		net.Run(net.Now + 60)
-		for node, board := range boards {
+		for node, board := range tables {
 			want := map[string]versions.State{"y": versions.Draining}
 			got := map[string]versions.State{}
 			for name, h := range board.Restrictions() {
 				got[name] = h.State
 			}
-			if node == b {
+			if node == table {
 				want = map[string]versions.State{}
 			}
 			if !maps.Equal(got, want) {
@@ -189,26 +189,26 @@
 // binds them, until it has moved, too.
 func TestSourceChangeWhileMemberIsPaused(t *testing.T) {
 	const other = "10.0.0.8:8500"
-	net, boards := newTestCluster(t, 3, 6, 0.05)
+	net, tables := newTestCluster(t, 3, 6, 0.05)
 	away := net.Nodes[2]
 	net.Pause(away)
-	for node, b := range boards {
+	for node, table := range tables {
 		if node != away {
-			b.ApplyList(net.Now, other, 90, false, []versions.Entry{{Worker: "x"}, {Worker: "y"}})
-			b.ApplyList(net.Now, other, 91, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
+			table.ApplyList(net.Now, other, 90, false, []versions.Entry{{Worker: "x"}, {Worker: "y"}})
+			table.ApplyList(net.Now, other, 91, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
 		}
 	}
 	net.Run(net.Now + 40)
 	net.Resume(away)
-	boards[away].ApplyList(net.Now, src, 6, false, []versions.Entry{{Worker: "y", State: versions.Gone}})
+	tables[away].ApplyList(net.Now, src, 6, false, []versions.Entry{{Worker: "y", State: versions.Gone}})
 	net.Run(net.Now + 40)
-	for node, b := range boards {
-		if len(b.Restrictions()) > 0 {
-			t.Errorf("%s withholds %v across sources", node.Name, b.Restrictions())
+	for node, table := range tables {
+		if len(table.Restrictions()) > 0 {
+			t.Errorf("%s withholds %v across sources", node.Name, table.Restrictions())
 		}
 	}
-	boards[away].ApplyList(net.Now, other, 90, false, []versions.Entry{{Worker: "x"}, {Worker: "y"}}) // a little behind
-	if _, ok := net.RunUntil(60, 0.1, func() bool { return boards[away].Restrictions()["x"].State == versions.Draining }); !ok {
+	tables[away].ApplyList(net.Now, other, 90, false, []versions.Entry{{Worker: "x"}, {Worker: "y"}}) // a little behind
+	if _, ok := net.RunUntil(60, 0.1, func() bool { return tables[away].Restrictions()["x"].State == versions.Draining }); !ok {
 		t.Error("moved, and not brought up")
 	}
 }
--- a/internal/dispatcher/cluster/versions/lease_test.go
+++ b/internal/dispatcher/cluster/versions/lease_test.go
@@ -29,8 +29,8 @@
 }
 
 func newLeaseSimulation(t *testing.T, seed uint64, n int, loss float64) *leaseSimulation {
-	net, boards := newTestCluster(t, seed, n, loss)
-	l := &leaseSimulation{net: net, boards: boards, withoutDiscovery: map[*virtualcluster.Node]bool{}, group: map[*virtualcluster.Node]int{}, informedSince: map[*virtualcluster.Node]float64{}}
+	net, tables := newTestCluster(t, seed, n, loss)
+	l := &leaseSimulation{net: net, boards: tables, withoutDiscovery: map[*virtualcluster.Node]bool{}, group: map[*virtualcluster.Node]int{}, informedSince: map[*virtualcluster.Node]float64{}}
 	net.Partitioned = func(from, to *virtualcluster.Node) bool { return l.group[from] != l.group[to] }
 	l.run(30)
 	return l
@@ -40,8 +40,8 @@
 	for s := range seconds {
 		sim.net.Run(sim.net.Now + 1)
 		for i, node := range sim.net.Nodes {
-			if b := sim.boards[node]; !node.Paused && !sim.withoutDiscovery[node] && (s+i)%2 == 0 {
-				b.HandleDiscoveryContact(sim.net.Now)
+			if table := sim.boards[node]; !node.Paused && !sim.withoutDiscovery[node] && (s+i)%2 == 0 {
+				table.HandleDiscoveryContact(sim.net.Now)
 			}
 		}
 		out := 0
@@ -49,16 +49,16 @@
 			if node.Paused {
 				continue
 			}
-			b, v := sim.boards[node], node.Membership.View()
-			b.UpdateLease(sim.net.Now, &v)
-			node.Membership.SetMetadata(sim.net.Now, membership.Metadata{Zone: "z", Lease: b.Lease.State()})
-			if b.Lease.State() == lease.Out {
+			table, v := sim.boards[node], node.Membership.View()
+			table.UpdateLease(sim.net.Now, &v)
+			node.Membership.SetMetadata(sim.net.Now, membership.Metadata{Zone: "z", Lease: table.Lease.State()})
+			if table.Lease.State() == lease.Out {
 				out++
 			}
 			if !sim.isInformed(node) {
 				sim.informedSince[node] = sim.net.Now
-			} else if b.Lease.State() == lease.Out && sim.net.Now > sim.informedSince[node]+healTime {
-				sim.violations = append(sim.violations, node.Name+": "+b.Lease.Reason)
+			} else if table.Lease.State() == lease.Out && sim.net.Now > sim.informedSince[node]+healTime {
+				sim.violations = append(sim.violations, node.Name+": "+table.Lease.Reason)
 			}
 		}
 		sim.maxOut = max(sim.maxOut, out)
@@ -131,9 +131,9 @@
 		clear(l.group)
 		clear(l.withoutDiscovery)
 		l.run(60)
-		for node, b := range l.boards {
-			if b.Lease.State() != lease.Held {
-				t.Errorf("seed %d: %s is %v (%s) long after all was mended", seed, node.Name, b.Lease.State(), b.Lease.Reason)
+		for node, table := range l.boards {
+			if table.Lease.State() != lease.Held {
+				t.Errorf("seed %d: %s is %v (%s) long after all was mended", seed, node.Name, table.Lease.State(), table.Lease.Reason)
 			}
 		}
 		if outs += l.maxOut; l.maxOut > lease.MaxOut(n) {
@@ -158,8 +158,8 @@
 		one := l.net.Nodes[1]
 		l.withoutDiscovery[one] = true
 		l.run(60)
-		if b := l.boards[one]; b.Lease.State() != lease.Held || b.LastConfirmed() < l.net.Now-5 {
-			t.Errorf("%d: not brought up by its peers: %v, a word %.1f s old", n, b.Lease.State(), l.net.Now-b.LastConfirmed())
+		if table := l.boards[one]; table.Lease.State() != lease.Held || table.LastConfirmed() < l.net.Now-5 {
+			t.Errorf("%d: not brought up by its peers: %v, a word %.1f s old", n, table.Lease.State(), l.net.Now-table.LastConfirmed())
 		}
 		l.group[one] = 1
 		from := l.net.Now
--- a/internal/dispatcher/cluster/versions/orders.go
+++ b/internal/dispatcher/cluster/versions/orders.go
@@ -69,55 +69,55 @@
 }
 
 // addOrder gives an order at this member.
-func (b *Table) addOrder(now float64, member string, out bool) error {
-	o := Order{Member: member, Out: out, Number: 1, By: b.self, At: now}
-	if was := b.orders.byMember[member]; was != nil {
-		if was.Out == out {
+func (t *Table) addOrder(now float64, member string, exclude bool) error {
+	o := Order{Member: member, Out: exclude, Number: 1, By: t.self, At: now}
+	if before := t.orders.byMember[member]; before != nil {
+		if before.Out == exclude {
 			return nil
 		}
-		o.Number = was.Number + 1
+		o.Number = before.Number + 1
 	}
 	if err := o.validate(); err != nil {
 		return err
 	}
-	if !b.applyOrder(o) {
+	if !t.applyOrder(o) {
 		return ErrTooManyOrders
 	}
 	return nil
 }
 
 // Orders are the orders known, by the member that they name.
-func (b *Table) Orders() map[string]Order {
-	all := make(map[string]Order, len(b.orders.byMember))
-	for name, o := range b.orders.byMember {
+func (t *Table) Orders() map[string]Order {
+	all := make(map[string]Order, len(t.orders.byMember))
+	for name, o := range t.orders.byMember {
 		all[name] = o.Order
 	}
 	return all
 }
 
 // Excluded says whether a member is shut out by hand.
-func (b *Table) Excluded(member string) bool {
-	o := b.orders.byMember[member]
+func (t *Table) Excluded(member string) bool {
+	o := t.orders.byMember[member]
 	return o != nil && o.Out
 }
 
 // applyOrder keeps an order that is newer than what is known; false where there is no room.
-func (b *Table) applyOrder(o Order) bool {
-	was := b.orders.byMember[o.Member]
+func (t *Table) applyOrder(o Order) bool {
+	before := t.orders.byMember[o.Member]
 	switch {
-	case was != nil && o.compare(&was.Order) <= 0:
+	case before != nil && o.compare(&before.Order) <= 0:
 		return true
-	case was == nil && len(b.orders.byMember) >= maxOrders:
+	case before == nil && len(t.orders.byMember) >= maxOrders:
 		return false
 	}
-	b.orders.byMember[o.Member] = &order{Order: o}
-	b.orders.digest = 0
-	for _, name := range slices.Sorted(maps.Keys(b.orders.byMember)) {
-		p := b.orders.byMember[name]
-		b.orders.digest = xxhash.Sum64String(fmt.Sprint(b.orders.digest, p.Member, p.Out, p.Number, p.By))
+	t.orders.byMember[o.Member] = &order{Order: o}
+	t.orders.digest = 0
+	for _, name := range slices.Sorted(maps.Keys(t.orders.byMember)) {
+		p := t.orders.byMember[name]
+		t.orders.digest = xxhash.Sum64String(fmt.Sprint(t.orders.digest, p.Member, p.Out, p.Number, p.By))
 	}
-	b.Log(fmt.Sprintf("order %d of %s: %s", o.Number, o.By, o.String()))
-	b.OnOrder(o)
+	t.Log(fmt.Sprintf("order %d of %s: %s", o.Number, o.By, o.String()))
+	t.OnOrder(o)
 	return true
 }
 
@@ -130,9 +130,9 @@
 }
 
 // pendingOrders are orders that still go out by themselves, as many as have room.
-func (b *Table) pendingOrders(room int) (told []Order) {
-	for _, name := range slices.Sorted(maps.Keys(b.orders.byMember)) {
-		o := b.orders.byMember[name]
+func (t *Table) pendingOrders(room int) (pending []Order) {
+	for _, name := range slices.Sorted(maps.Keys(t.orders.byMember)) {
+		o := t.orders.byMember[name]
 		if o.transmits >= maxTransmits {
 			continue
 		}
@@ -140,14 +140,14 @@
 			break
 		}
 		o.transmits++
-		told = append(told, o.Order)
+		pending = append(pending, o.Order)
 	}
-	return told
+	return pending
 }
 
 // hasPendingOrders says whether an order still goes out by itself.
-func (b *Table) hasPendingOrders() bool {
-	for _, o := range b.orders.byMember {
+func (t *Table) hasPendingOrders() bool {
+	for _, o := range t.orders.byMember {
 		if o.transmits < maxTransmits {
 			return true
 		}
@@ -156,19 +156,19 @@
 }
 
 // ordersPage is a page of the orders for one that holds others; the next one goes on where it ends.
-func (b *Table) ordersPage(now float64) (page []Order) {
-	if now < b.orders.lastReplyAt+ordersReplyInterval || len(b.orders.byMember) == 0 {
+func (t *Table) ordersPage(now float64) (page []Order) {
+	if now < t.orders.lastReplyAt+ordersReplyInterval || len(t.orders.byMember) == 0 {
 		return nil
 	}
-	b.orders.lastReplyAt = now
-	names := slices.Sorted(maps.Keys(b.orders.byMember))
-	room := b.replyRoom()
+	t.orders.lastReplyAt = now
+	names := slices.Sorted(maps.Keys(t.orders.byMember))
+	room := t.replyRoom()
 	for range names {
-		o := b.orders.byMember[names[b.orders.cursor%len(names)]]
+		o := t.orders.byMember[names[t.orders.cursor%len(names)]]
 		if room -= o.maxEncodedSize(); room < 0 {
 			break
 		}
-		b.orders.cursor++
+		t.orders.cursor++
 		page = append(page, o.Order)
 	}
 	return page
--- a/internal/dispatcher/cluster/versions/ride.go
+++ b/internal/dispatcher/cluster/versions/payload.go
@@ -29,14 +29,14 @@
 }
 
 // newPayload is one without facts.
-func (b *Table) newPayload(now float64) *payload {
-	return &payload{Version: b.version, CompleteUpTo: b.completeUpTo(), EpochAge: b.epochAge(now), UpdateStamp: b.updateStamp, DirectUpdate: b.directUpdate && now <= b.lastDiscovery+discoveryTimeout, OrdersDigest: b.orders.digest}
+func (t *Table) newPayload(now float64) *payload {
+	return &payload{Version: t.version, CompleteUpTo: t.completeUpTo(), EpochAge: t.epochAge(now), UpdateStamp: t.updateStamp, DirectUpdate: t.directUpdate && now <= t.lastDiscovery+discoveryTimeout, OrdersDigest: t.orders.digest}
 }
 
 // fitFacts is how many of some facts have room in a ride.
-func fitFacts(all []Fact, room int) (n int) {
-	for n < min(len(all), maxFactsPerPayload) {
-		if room -= 24 + len(all[n].Worker); room < 0 {
+func fitFacts(facts []Fact, room int) (n int) {
+	for n < min(len(facts), maxFactsPerPayload) {
+		if room -= 24 + len(facts[n].Worker); room < 0 {
 			break
 		}
 		n++
@@ -45,16 +45,16 @@
 }
 
 // replyRoom is how many bytes of an answer facts and orders may take.
-func (b *Table) replyRoom() int {
-	return maxReplySize - payloadOverhead - len(b.version.Source)
+func (t *Table) replyRoom() int {
+	return maxReplySize - payloadOverhead - len(t.version.Source)
 }
 
-func (b *Table) encodePayload(r *payload) []byte {
-	out, err := cbor.Marshal(r)
+func (t *Table) encodePayload(msg *payload) []byte {
+	out, err := cbor.Marshal(msg)
 	if err != nil {
 		return nil // of numbers and strings: it cannot fail
 	}
-	b.Stats.FactsSent += uint64(len(r.Facts))
+	t.Stats.FactsSent += uint64(len(msg.Facts))
 	return out
 }
 
--- a/internal/dispatcher/cluster/versions/fleet_test.go
+++ b/internal/dispatcher/cluster/versions/simulation_test.go
@@ -18,19 +18,19 @@
 // newTestCluster is members of a virtual fleet that hold one list of some ready workers.
 func newTestCluster(t *testing.T, seed uint64, n int, loss float64) (*virtualcluster.Network, map[*virtualcluster.Node]*versions.Table) {
 	net := virtualcluster.New(virtualcluster.Options{Seed: seed, LossRate: loss, Delay: 0.002, Jitter: 0.01}, n)
-	boards := map[*virtualcluster.Node]*versions.Table{}
+	tables := map[*virtualcluster.Node]*versions.Table{}
 	net.NewDelegate = func(node *virtualcluster.Node) membership.Delegate {
-		b := versions.New(node.Name)
-		b.ApplyList(net.Now, src, 5, false, []versions.Entry{{Worker: "x"}, {Worker: "y"}})
-		boards[node] = b
-		return b
+		table := versions.New(node.Name)
+		table.ApplyList(net.Now, src, 5, false, []versions.Entry{{Worker: "x"}, {Worker: "y"}})
+		tables[node] = table
+		return table
 	}
 	net.StartAll(1)
 	if _, ok := net.RunUntil(120, 0.5, func() bool { one, alive := net.Converged(); return loss > 0.1 || one && alive == n }); !ok {
 		t.Fatal("no fleet")
 	}
 	net.Run(net.Now + 15)
-	return net, boards
+	return net, tables
 }
 
 // A drain that one member is told of is known to all in rounds that grow with the fleet's logarithm, also at 20% loss; and
@@ -49,16 +49,16 @@
 				var took []float64
 				answered := uint64(0)
 				for seed := uint64(1); seed <= seeds; seed++ {
-					net, boards := newTestCluster(t, seed, n, loss)
+					net, tables := newTestCluster(t, seed, n, loss)
 					sleeper := net.Nodes[n-1]
 					net.Pause(sleeper)
 					first := net.Nodes[seed%uint64(n-1)]
-					boards[first].ApplyList(net.Now, src, 6, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
+					tables[first].ApplyList(net.Now, src, 6, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
 					first.Membership.GossipNow(net.Now)
 					net.Flush(first)
 					known := func(nodes []*virtualcluster.Node) bool {
 						for _, node := range nodes {
-							if node != first && boards[node].Restrictions()["x"].State != versions.Draining {
+							if node != first && tables[node].Restrictions()["x"].State != versions.Draining {
 								return false
 							}
 						}
@@ -76,8 +76,8 @@
 					} else if loss == 0 && span > 3 {
 						t.Errorf("seed %d: one that slept knows it after %.2f periods", seed, span)
 					}
-					for _, b := range boards {
-						answered = max(answered, b.Stats.Replies)
+					for _, table := range tables {
+						answered = max(answered, table.Stats.Replies)
 					}
 				}
 				slices.Sort(took)
@@ -92,11 +92,11 @@
 
 // Discovery is down for all: nobody is behind anybody, and nothing is withheld.
 func TestNothingWithheldWithoutDiscovery(t *testing.T) {
-	net, boards := newTestCluster(t, 3, 12, 0.05)
+	net, tables := newTestCluster(t, 3, 12, 0.05)
 	net.Run(net.Now + 300)
-	for node, b := range boards {
-		if len(b.Restrictions()) > 0 || b.MaxLag() != 0 {
-			t.Errorf("%s withholds %v, behind by %d", node.Name, b.Restrictions(), b.MaxLag())
+	for node, table := range tables {
+		if len(table.Restrictions()) > 0 || table.MaxLag() != 0 {
+			t.Errorf("%s withholds %v, behind by %d", node.Name, table.Restrictions(), table.MaxLag())
 		}
 	}
 }
--- a/internal/dispatcher/cluster/versions/versions.go
+++ b/internal/dispatcher/cluster/versions/table.go
@@ -107,19 +107,19 @@
 type Stats struct{ FactsSent, FactsAccepted, Malformed, Requests, Replies, Doubted uint64 }
 
 // New makes a Board.
-func New(me string) *Table {
-	return &Table{OnChange: func() {}, OnPeerState: func() {}, Log: func(string) {}, OnOrder: func(Order) {}, OnEvent: func(float64, *Event) {}, SameZone: func(string) bool { return true }, self: me, workers: map[string]Entry{},
+func New(self string) *Table {
+	return &Table{OnChange: func() {}, OnPeerState: func() {}, Log: func(string) {}, OnOrder: func(Order) {}, OnEvent: func(float64, *Event) {}, SameZone: func(string) bool { return true }, self: self, workers: map[string]Entry{},
 		facts: map[string]*fact{}, peers: map[string]Peer{}, epochs: map[string]uint64{}, restrictions: map[string]Restriction{},
 		Lease: &lease.Lease{ProbeInterval: 1, Term: lease.Term(discoveryTimeout, 1)}, orders: orders{byMember: map[string]*order{}}}
 }
 
 // Version is the version that the own list has; false before there is one.
-func (b *Table) Version() (Version, bool) { return b.version, b.hasVersion }
+func (t *Table) Version() (Version, bool) { return t.version, t.hasVersion }
 
 // MaxLag is by how many versions the own list is behind the newest that somebody says it has.
-func (b *Table) MaxLag() (most int64) {
-	for _, p := range b.peers {
-		if by, ok := b.version.Lag(p.Version); ok {
+func (t *Table) MaxLag() (most int64) {
+	for _, p := range t.peers {
+		if by, ok := t.version.Lag(p.Version); ok {
 			most = max(most, by)
 		}
 	}
@@ -127,154 +127,154 @@
 }
 
 // VersionSince is when the own list came to have its version.
-func (b *Table) VersionSince() float64 { return b.versionSince }
+func (t *Table) VersionSince() float64 { return t.versionSince }
 
 // NotReady are the workers that the own list names and does not call ready.
-func (b *Table) NotReady() (all []Fact) {
-	for _, name := range slices.Sorted(maps.Keys(b.workers)) {
-		if e := b.workers[name]; e.State != Ready {
-			all = append(all, Fact{e.Worker, e.State, e.Start, b.version.Revision})
+func (t *Table) NotReady() (all []Fact) {
+	for _, name := range slices.Sorted(maps.Keys(t.workers)) {
+		if e := t.workers[name]; e.State != Ready {
+			all = append(all, Fact{e.Worker, e.State, e.Start, t.version.Revision})
 		}
 	}
 	return all
 }
 
 // Peers are what the others hold, by name.
-func (b *Table) Peers() map[string]Peer { return b.peers }
+func (t *Table) Peers() map[string]Peer { return t.peers }
 
 // Restrictions is what is withheld here on peers' words, by worker. It is not to be changed.
-func (b *Table) Restrictions() map[string]Restriction { return b.restrictions }
+func (t *Table) Restrictions() map[string]Restriction { return t.restrictions }
 
 // HandleDiscoveryContact tells that the own director has said something, if only that nothing has changed.
-func (b *Table) HandleDiscoveryContact(now float64) {
-	if now > b.lastDiscovery+discoveryTimeout {
-		b.discoveryLiveSince = now
+func (t *Table) HandleDiscoveryContact(now float64) {
+	if now > t.lastDiscovery+discoveryTimeout {
+		t.discoveryLiveSince = now
 	}
-	b.lastDiscovery = now
-	if b.discoverySilent {
-		b.discoverySilent = false
-		b.OnEvent(now, &Event{Kind: DiscoveryResumed})
+	t.lastDiscovery = now
+	if t.discoverySilent {
+		t.discoverySilent = false
+		t.OnEvent(now, &Event{Kind: DiscoveryResumed})
 	}
-	b.confirmByDiscovery(now)
+	t.confirmByDiscovery(now)
 }
 
 // ApplyList takes a version of the own list: the entries that it changes, with those that it no longer names as gone. One that is cached
 // is of an earlier life.
-func (b *Table) ApplyList(now float64, source string, rev int64, cached bool, entries []Entry) {
+func (t *Table) ApplyList(now float64, source string, revision int64, cached bool, entries []Entry) {
 	switch {
-	case !b.hasVersion || source != b.version.Source:
-		b.version = Version{Source: source, Epoch: b.epochs[source], Revision: rev}
-		b.firstLiveAt, b.epochStart = 0, 0
-		b.dropFacts()
-	case rev < b.version.Revision && b.cached: // of an earlier life, perhaps of an earlier line: it says nothing
-		b.version.Revision = rev
-		b.dropFacts()
-	case rev < b.version.Revision: // a new line of descent: others may have met it before
-		b.version.Epoch = max(b.version.Epoch+1, b.epochs[source])
-		b.version.Revision = rev
-		b.epochStart = now
-		b.dropFacts()
-		b.Log(fmt.Sprintf("the list's version has gone back to %d: line of descent %d", rev, b.version.Epoch))
+	case !t.hasVersion || source != t.version.Source:
+		t.version = Version{Source: source, Epoch: t.epochs[source], Revision: revision}
+		t.firstLiveAt, t.epochStart = 0, 0
+		t.dropFacts()
+	case revision < t.version.Revision && t.cached: // of an earlier life, perhaps of an earlier line: it says nothing
+		t.version.Revision = revision
+		t.dropFacts()
+	case revision < t.version.Revision: // a new line of descent: others may have met it before
+		t.version.Epoch = max(t.version.Epoch+1, t.epochs[source])
+		t.version.Revision = revision
+		t.epochStart = now
+		t.dropFacts()
+		t.Log(fmt.Sprintf("the list's version has gone back to %d: line of descent %d", revision, t.version.Epoch))
 	default:
-		b.version.Revision = rev
+		t.version.Revision = revision
 	}
-	b.hasVersion, b.versionSince, b.cached = true, now, cached
-	if !cached && b.firstLiveAt == 0 {
-		b.firstLiveAt = now
+	t.hasVersion, t.versionSince, t.cached = true, now, cached
+	if !cached && t.firstLiveAt == 0 {
+		t.firstLiveAt = now
 	}
-	b.epochs[source] = max(b.epochs[source], b.version.Epoch)
+	t.epochs[source] = max(t.epochs[source], t.version.Epoch)
 	if !cached {
-		b.HandleDiscoveryContact(now)
+		t.HandleDiscoveryContact(now)
 	}
 	var changed []Fact
 	for _, e := range entries {
-		before, known := b.workers[e.Worker]
+		before, known := t.workers[e.Worker]
 		if e.State == Gone {
-			delete(b.workers, e.Worker)
+			delete(t.workers, e.Worker)
 		} else {
-			b.workers[e.Worker] = e
+			t.workers[e.Worker] = e
 		}
-		f := b.facts[e.Worker]
+		f := t.facts[e.Worker]
 		isNews := e.State != Ready && (!known || before.State != e.State) || e.State == Ready && (known && (before.State != Ready || before.Start != e.Start) || f != nil)
 		if isNews {
-			changed = append(changed, Fact{e.Worker, e.State, e.Start, rev})
+			changed = append(changed, Fact{e.Worker, e.State, e.Start, revision})
 		}
-		if f != nil && f.Revision > rev { // a peer's word is newer: nothing is ready meanwhile that it calls draining
+		if f != nil && f.Revision > revision { // a peer's word is newer: nothing is ready meanwhile that it calls draining
 			continue
 		}
 		if isNews && !cached {
-			b.addFact(&fact{Fact: Fact{e.Worker, e.State, e.Start, rev}, receivedAt: now})
+			t.addFact(&fact{Fact: Fact{e.Worker, e.State, e.Start, revision}, receivedAt: now})
 		}
 	}
-	b.OnEvent(now, &Event{Kind: ListApplied, Version: b.version, Cached: cached, Facts: changed})
-	b.updateRestrictions()
+	t.OnEvent(now, &Event{Kind: ListApplied, Version: t.version, Cached: cached, Facts: changed})
+	t.updateRestrictions()
 }
 
 // completeUpTo is the newest version of which all facts are known here.
-func (b *Table) completeUpTo() int64 { return max(b.version.Revision, b.caughtUpTo) }
+func (t *Table) completeUpTo() int64 { return max(t.version.Revision, t.caughtUpTo) }
 
 // dropFacts drops what compares with the own list no longer.
-func (b *Table) dropFacts() {
-	b.caughtUpTo, b.newestKnown = 0, 0
-	clear(b.facts)
-	b.pendingFacts = 0
+func (t *Table) dropFacts() {
+	t.caughtUpTo, t.newestKnown = 0, 0
+	clear(t.facts)
+	t.pendingFacts = 0
 }
 
 // addFact keeps a fact in place of an older one; with no room the oldest goes.
-func (b *Table) addFact(f *fact) {
-	if b.facts[f.Worker] == nil && len(b.facts) >= maxFacts {
+func (t *Table) addFact(f *fact) {
+	if t.facts[f.Worker] == nil && len(t.facts) >= maxFacts {
 		var oldest *fact
-		for _, name := range slices.Sorted(maps.Keys(b.facts)) {
-			if o := b.facts[name]; oldest == nil || o.Revision < oldest.Revision {
+		for _, name := range slices.Sorted(maps.Keys(t.facts)) {
+			if o := t.facts[name]; oldest == nil || o.Revision < oldest.Revision {
 				oldest = o
 			}
 		}
 		if oldest.Revision >= f.Revision {
 			return
 		}
-		delete(b.facts, oldest.Worker)
+		delete(t.facts, oldest.Worker)
 	}
-	b.facts[f.Worker] = f
-	b.pendingFacts++
+	t.facts[f.Worker] = f
+	t.pendingFacts++
 }
 
 // Tick drops what is old, and doubts what a director that speaks does not confirm.
-func (b *Table) Tick(now float64) {
-	if b.caughtUpTo > b.version.Revision && now > b.caughtUpAt+confirmTimeout { // it may have been said by one that knows nothing: ask again
-		b.caughtUpTo = 0
+func (t *Table) Tick(now float64) {
+	if t.caughtUpTo > t.version.Revision && now > t.caughtUpAt+confirmTimeout { // it may have been said by one that knows nothing: ask again
+		t.caughtUpTo = 0
 	}
-	b.checkDiscovery(now)
-	live, issued := now <= b.lastDiscovery+discoveryTimeout, b.confirmedRevision()
+	t.checkDiscovery(now)
+	live, issued := now <= t.lastDiscovery+discoveryTimeout, t.confirmedRevision()
 	changed := false
-	for _, name := range slices.Sorted(maps.Keys(b.facts)) {
-		f := b.facts[name]
+	for _, name := range slices.Sorted(maps.Keys(t.facts)) {
+		f := t.facts[name]
 		switch {
-		case now > f.receivedAt+factTTL && f.Revision <= b.version.Revision:
-			delete(b.facts, name)
-		case live && !f.doubted && f.from != "" && f.Revision > b.version.Revision && f.Revision > issued && now > max(f.receivedAt, b.discoveryLiveSince)+confirmTimeout:
+		case now > f.receivedAt+factTTL && f.Revision <= t.version.Revision:
+			delete(t.facts, name)
+		case live && !f.doubted && f.from != "" && f.Revision > t.version.Revision && f.Revision > issued && now > max(f.receivedAt, t.discoveryLiveSince)+confirmTimeout:
 			f.doubted, changed = true, true
-			b.Stats.Doubted++
-			b.OnEvent(now, &Event{Kind: FactDoubted, From: f.from, Version: b.version, Facts: []Fact{f.Fact}})
-			b.Log(fmt.Sprintf("%s told that %s is %s at version %d, which discovery has not told for %.0f s: taken back", f.from, name, f.State, f.Revision, confirmTimeout))
+			t.Stats.Doubted++
+			t.OnEvent(now, &Event{Kind: FactDoubted, From: f.from, Version: t.version, Facts: []Fact{f.Fact}})
+			t.Log(fmt.Sprintf("%s told that %s is %s at version %d, which discovery has not told for %.0f s: taken back", f.from, name, f.State, f.Revision, confirmTimeout))
 		}
 	}
 	if changed {
-		b.updateRestrictions()
+		t.updateRestrictions()
 	}
 }
 
 // updateRestrictions works out what is withheld.
-func (b *Table) updateRestrictions() {
+func (t *Table) updateRestrictions() {
 	held := map[string]Restriction{}
-	for name, f := range b.facts {
-		own, listed := b.workers[name]
-		if f.Revision > b.version.Revision && !f.doubted && listed && (f.State > own.State || f.Start > own.Start) {
+	for name, f := range t.facts {
+		own, listed := t.workers[name]
+		if f.Revision > t.version.Revision && !f.doubted && listed && (f.State > own.State || f.Start > own.Start) {
 			held[name] = Restriction{f.State, max(f.Start, own.Start), f.from, f.Revision}
 		}
 	}
-	if maps.Equal(held, b.restrictions) {
+	if maps.Equal(held, t.restrictions) {
 		return
 	}
-	b.restrictions = held
-	b.OnChange()
+	t.restrictions = held
+	t.OnChange()
 }
--- a/internal/dispatcher/cluster/versions/versions_test.go
+++ b/internal/dispatcher/cluster/versions/table_test.go
@@ -20,45 +20,45 @@
 
 // newTestTable is a member that holds a list of ready workers at a version.
 func newTestTable(me string, rev int64, workers ...string) *Table {
-	b := New(me)
-	b.ApplyList(10, src, rev, false, entries(Ready, workers...))
-	return b
+	table := New(me)
+	table.ApplyList(10, src, rev, false, entries(Ready, workers...))
+	return table
 }
 
 // exchange has b hear what a has to tell along with a message, and a what b answers, until nobody answers any more.
-func exchange(now float64, a, b *Table) {
-	ride := a.Payload(now, 300)
-	if ride == nil {
+func exchange(now float64, a, table *Table) {
+	payload := a.Payload(now, 300)
+	if payload == nil {
 		return
 	}
-	type letter struct {
+	type message struct {
 		from, to *Table
 		text     []byte
 	}
-	queue := []letter{{a, b, ride}}
+	queue := []message{{a, table, payload}}
 	for range 50 {
 		if len(queue) == 0 {
 			return
 		}
-		l := queue[0]
+		m := queue[0]
 		queue = queue[1:]
-		for _, answer := range l.to.HandlePayload(now, l.from.self, l.text) {
-			queue = append(queue, letter{l.to, l.from, answer})
+		for _, answer := range m.to.HandlePayload(now, m.from.self, m.text) {
+			queue = append(queue, message{m.to, m.from, answer})
 		}
 	}
 }
 
-func restrictionsOf(b *Table) (names []string) {
-	for name, h := range b.Restrictions() {
+func restrictionsOf(table *Table) (names []string) {
+	for name, h := range table.Restrictions() {
 		names = append(names, fmt.Sprint(name, " ", h.State, " ", h.Start))
 	}
 	slices.Sort(names)
 	return names
 }
 
-func expectRestrictions(t *testing.T, what string, b *Table, want ...string) {
+func expectRestrictions(t *testing.T, what string, table *Table, want ...string) {
 	t.Helper()
-	if d := cmp.Diff(want, restrictionsOf(b)); d != "" {
+	if d := cmp.Diff(want, restrictionsOf(table)); d != "" {
 		t.Errorf("%s: %s", what, d)
 	}
 }
@@ -66,23 +66,23 @@
 // A drain that one was told of binds another whose list is older, until its own director speaks; its lifting lifts it, and a
 // worker that the own list does not name stays unknown.
 func TestPeerDrainRestricts(t *testing.T) {
-	a, b := newTestTable("a", 5, "x", "y"), newTestTable("b", 5, "x", "y")
+	a, table := newTestTable("a", 5, "x", "y"), newTestTable("b", 5, "x", "y")
 	a.ApplyList(20, src, 6, false, append(entries(Draining, "x"), entries(Ready, "new")...))
-	exchange(20, a, b)
-	expectRestrictions(t, "a drain", b, "x draining 0")
+	exchange(20, a, table)
+	expectRestrictions(t, "a drain", table, "x draining 0")
 	a.ApplyList(21, src, 7, false, entries(Draining, "new"))
-	exchange(21, a, b)
-	expectRestrictions(t, "a worker that the own list does not name", b, "x draining 0")
+	exchange(21, a, table)
+	expectRestrictions(t, "a worker that the own list does not name", table, "x draining 0")
 	a.ApplyList(22, src, 8, false, entries(Ready, "x"))
-	exchange(22, a, b)
-	expectRestrictions(t, "lifted", b)
+	exchange(22, a, table)
+	expectRestrictions(t, "lifted", table)
 	a.ApplyList(23, src, 9, false, entries(Gone, "y"))
-	exchange(23, a, b)
-	expectRestrictions(t, "gone", b, "y gone 0")
-	b.ApplyList(24, src, 9, false, entries(Gone, "y"))
-	expectRestrictions(t, "the own director has said it", b)
-	b.ApplyList(25, src, 10, false, entries(Ready, "y"))
-	a.HandlePayload(25, "b", b.Payload(25, 300))
+	exchange(23, a, table)
+	expectRestrictions(t, "gone", table, "y gone 0")
+	table.ApplyList(24, src, 9, false, entries(Gone, "y"))
+	expectRestrictions(t, "the own director has said it", table)
+	table.ApplyList(25, src, 10, false, entries(Ready, "y"))
+	a.HandlePayload(25, "b", table.Payload(25, 300))
 	expectRestrictions(t, "nothing that is heard makes a worker ready or known", a)
 	if _, known := a.workers["y"]; known {
 		t.Error("a worker became known by a peer's word")
@@ -92,48 +92,48 @@
 // The own director's newer word wins over any peer's, an older one does not: what a peer knows stays withheld until the own
 // director is as far.
 func TestOwnDiscoveryOverrides(t *testing.T) {
-	a, b := newTestTable("a", 5, "x", "y"), newTestTable("b", 5, "x", "y")
+	a, table := newTestTable("a", 5, "x", "y"), newTestTable("b", 5, "x", "y")
 	a.ApplyList(20, src, 8, false, entries(Draining, "x"))
-	exchange(20, a, b)
-	b.ApplyList(21, src, 7, false, entries(Ready, "x", "y")) // late, and on its way to 8
-	expectRestrictions(t, "an older word of the own director", b, "x draining 0")
-	b.ApplyList(22, src, 8, false, entries(Draining, "x"))
-	expectRestrictions(t, "as new", b)
-	b.ApplyList(23, src, 9, false, entries(Ready, "x"))
-	b.HandlePayload(23, "a", a.Payload(23, 300))
-	expectRestrictions(t, "newer", b)
+	exchange(20, a, table)
+	table.ApplyList(21, src, 7, false, entries(Ready, "x", "y")) // late, and on its way to 8
+	expectRestrictions(t, "an older word of the own director", table, "x draining 0")
+	table.ApplyList(22, src, 8, false, entries(Draining, "x"))
+	expectRestrictions(t, "as new", table)
+	table.ApplyList(23, src, 9, false, entries(Ready, "x"))
+	table.HandlePayload(23, "a", a.Payload(23, 300))
+	expectRestrictions(t, "newer", table)
 }
 
 // A worker that left and came back with a new start is cold to one that slept meanwhile.
 func TestNewStartOfWorker(t *testing.T) {
-	a, b := newTestTable("a", 5, "x"), newTestTable("b", 5, "x")
+	a, table := newTestTable("a", 5, "x"), newTestTable("b", 5, "x")
 	a.ApplyList(20, src, 6, false, entries(Gone, "x"))
 	a.ApplyList(21, src, 7, false, []Entry{{"x", Ready, 77000}})
-	exchange(21, a, b)
-	expectRestrictions(t, "a new start", b, "x ready 77000")
+	exchange(21, a, table)
+	expectRestrictions(t, "a new start", table, "x ready 77000")
 }
 
 // Versions of two sources and of two lines of descent do not compare: neither binds the other.
 func TestIncomparableVersions(t *testing.T) {
-	a, b := newTestTable("a", 5, "x"), newTestTable("b", 5, "x")
+	a, table := newTestTable("a", 5, "x"), newTestTable("b", 5, "x")
 	a.ApplyList(20, "10.0.0.8:8500", 90, false, entries(Draining, "x"))
-	exchange(20, a, b)
-	expectRestrictions(t, "another source", b)
-	a, b = newTestTable("a", 50, "x"), newTestTable("b", 50, "x")
+	exchange(20, a, table)
+	expectRestrictions(t, "another source", table)
+	a, table = newTestTable("a", 50, "x"), newTestTable("b", 50, "x")
 	a.ApplyList(20, src, 3, false, entries(Draining, "x")) // discovery was restarted
-	exchange(20, a, b)
-	expectRestrictions(t, "another line of descent", b)
+	exchange(20, a, table)
+	expectRestrictions(t, "another line of descent", table)
 	if l, _ := a.Version(); l.Epoch != 1 {
 		t.Errorf("descent %d", l.Epoch)
 	}
-	b.ApplyList(21, src, 2, false, nil) // it hears it, too, a little behind
-	exchange(21, a, b)
-	exchange(22, b, a) // it is behind, asks, and is told
-	exchange(23, a, b)
-	if l, _ := b.Version(); l.Epoch != 1 {
+	table.ApplyList(21, src, 2, false, nil) // it hears it, too, a little behind
+	exchange(21, a, table)
+	exchange(22, table, a) // it is behind, asks, and is told
+	exchange(23, a, table)
+	if l, _ := table.Version(); l.Epoch != 1 {
 		t.Errorf("descent %d", l.Epoch)
 	}
-	expectRestrictions(t, "the same line of descent", b, "x draining 0")
+	expectRestrictions(t, "the same line of descent", table, "x draining 0")
 }
 
 // One that begins after discovery was restarted takes the fleet's number for the line of descent; one whose list is older than the
@@ -161,7 +161,7 @@
 	for i := range 200 {
 		workers = append(workers, fmt.Sprintf("worker-%03d", i))
 	}
-	a, b := newTestTable("a", 5, workers...), newTestTable("b", 5, workers...)
+	a, table := newTestTable("a", 5, workers...), newTestTable("b", 5, workers...)
 	a.ApplyList(20, src, 6, false, entries(Draining, workers...))
 	for range 5000 { // told to others
 		a.Payload(20, 300)
@@ -170,34 +170,34 @@
 		t.Fatal("it goes on for ever")
 	}
 	rounds := 0
-	for ; len(b.Restrictions()) < 200 && rounds < 100; rounds++ {
-		exchange(30+2*float64(rounds), a, b)
+	for ; len(table.Restrictions()) < 200 && rounds < 100; rounds++ {
+		exchange(30+2*float64(rounds), a, table)
 	}
 	t.Logf("%d rounds", rounds)
-	if len(b.Restrictions()) != 200 {
-		t.Errorf("%d of 200 are known after %d rounds", len(b.Restrictions()), rounds)
+	if len(table.Restrictions()) != 200 {
+		t.Errorf("%d of 200 are known after %d rounds", len(table.Restrictions()), rounds)
 	}
 }
 
 // A version that nobody issued: where the own director speaks it is doubted after a while; where it is silent it withholds.
 func TestForgedVersionIsDoubted(t *testing.T) {
-	b := newTestTable("b", 5, "x", "y")
+	table := newTestTable("b", 5, "x", "y")
 	liar := newTestTable("liar", 5, "x", "y")
 	liar.ApplyList(20, src, 1<<40, false, entries(Draining, "x", "y"))
-	exchange(20, liar, b)
-	expectRestrictions(t, "at first", b, "x draining 0", "y draining 0")
+	exchange(20, liar, table)
+	expectRestrictions(t, "at first", table, "x draining 0", "y draining 0")
 	for at := 20.0; at < 49; at++ {
-		b.HandleDiscoveryContact(at)
-		b.Tick(at)
+		table.HandleDiscoveryContact(at)
+		table.Tick(at)
 	}
-	expectRestrictions(t, "for a while", b, "x draining 0", "y draining 0")
+	expectRestrictions(t, "for a while", table, "x draining 0", "y draining 0")
 	for at := 49.0; at < 52; at++ {
-		b.HandleDiscoveryContact(at)
-		b.Tick(at)
+		table.HandleDiscoveryContact(at)
+		table.Tick(at)
 	}
-	expectRestrictions(t, "the own director speaks and does not confirm it", b)
-	exchange(53, liar, b)
-	expectRestrictions(t, "told again", b)
+	expectRestrictions(t, "the own director speaks and does not confirm it", table)
+	exchange(53, liar, table)
+	expectRestrictions(t, "told again", table)
 	c := newTestTable("c", 5, "x")
 	exchange(20, liar, c)
 	c.Tick(500)
@@ -206,17 +206,17 @@
 
 // One that says it knows all of a version nobody issued does not keep another from asking for good.
 func TestForgedCompletenessExpires(t *testing.T) {
-	a, b := newTestTable("a", 5, "x"), newTestTable("b", 5, "x")
-	b.HandlePayload(20, "liar", b.encodePayload(&payload{Version: Version{src, 0, 5}, CompleteUpTo: 1 << 40, FactCount: 1}))
+	a, table := newTestTable("a", 5, "x"), newTestTable("b", 5, "x")
+	table.HandlePayload(20, "liar", table.encodePayload(&payload{Version: Version{src, 0, 5}, CompleteUpTo: 1 << 40, FactCount: 1}))
 	a.ApplyList(20, src, 6, false, entries(Draining, "x"))
 	for range 50 { // told to others
 		a.Payload(20, 300)
 	}
-	for at := 21.0; at < 60 && len(b.Restrictions()) == 0; at += 2 {
-		b.Tick(at)
-		exchange(at, a, b)
+	for at := 21.0; at < 60 && len(table.Restrictions()) == 0; at += 2 {
+		table.Tick(at)
+		exchange(at, a, table)
 	}
-	expectRestrictions(t, "asked in the end", b, "x draining 0")
+	expectRestrictions(t, "asked in the end", table, "x draining 0")
 }
 
 // F2, whatever comes: only what the own list names and calls more than the fact is withheld, only by newer versions of its own
@@ -224,9 +224,9 @@
 func TestArbitraryPayloads(t *testing.T) {
 	names := []string{"u", "v", "w", "x", "y", "z"}
 	rapid.Check(t, func(t *rapid.T) {
-		b := New("me")
+		table := New("me")
 		changed := 0
-		b.OnChange = func() { changed++ }
+		table.OnChange = func() { changed++ }
 		now, rev := 10.0, int64(3)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += rapid.SampledFrom([]float64{0, 0.1, 1, 40}).Draw(t, "passes")
@@ -237,31 +237,31 @@
 				for range rapid.IntRange(0, 4).Draw(t, "entries") {
 					list = append(list, Entry{rapid.SampledFrom(names).Draw(t, "worker"), State(rapid.IntRange(0, 2).Draw(t, "state")), int64(rapid.IntRange(0, 2).Draw(t, "start"))})
 				}
-				b.ApplyList(now, src, max(rev, 0), rapid.Bool().Draw(t, "cached"), list)
+				table.ApplyList(now, src, max(rev, 0), rapid.Bool().Draw(t, "cached"), list)
 			case 1:
-				b.Tick(now)
-				b.HandleDiscoveryContact(now)
+				table.Tick(now)
+				table.HandleDiscoveryContact(now)
 			case 2:
-				b.Payload(now, 300)
+				table.Payload(now, 300)
 			default:
 				r := &payload{Version: Version{src, uint64(rapid.IntRange(0, 2).Draw(t, "descent")), int64(rapid.IntRange(0, 12).Draw(t, "peer's rev"))}, Request: rapid.Bool().Draw(t, "asks")}
 				for range rapid.IntRange(0, 5).Draw(t, "facts") {
 					r.Facts = append(r.Facts, Fact{rapid.SampledFrom(names).Draw(t, "worker"), State(rapid.IntRange(0, 2).Draw(t, "state")),
 						int64(rapid.IntRange(0, 3).Draw(t, "start")), int64(rapid.IntRange(0, 12).Draw(t, "fact's rev"))})
 				}
-				for _, answer := range b.HandlePayload(now, rapid.SampledFrom([]string{"p", "q"}).Draw(t, "from"), b.encodePayload(r)) {
+				for _, answer := range table.HandlePayload(now, rapid.SampledFrom([]string{"p", "q"}).Draw(t, "from"), table.encodePayload(r)) {
 					if len(answer) > 1100 {
 						t.Fatalf("an answer of %d bytes", len(answer))
 					}
 				}
 			}
-			for name, h := range b.Restrictions() {
-				own, listed := b.workers[name]
-				if !listed || h.Revision <= b.version.Revision || h.State <= own.State && h.Start <= own.Start {
-					t.Fatalf("%s is withheld by %+v, own %+v at %+v", name, h, own, b.version)
+			for name, h := range table.Restrictions() {
+				own, listed := table.workers[name]
+				if !listed || h.Revision <= table.version.Revision || h.State <= own.State && h.Start <= own.Start {
+					t.Fatalf("%s is withheld by %+v, own %+v at %+v", name, h, own, table.version)
 				}
 			}
-			if len(b.facts) > maxFacts || b.pendingFacts < 0 {
+			if len(table.facts) > maxFacts || table.pendingFacts < 0 {
 				t.Fatal("it grows")
 			}
 		}
@@ -276,24 +276,24 @@
 	f.Add([]byte{})
 	f.Add([]byte{0xa1, 0x01, 0xa0})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		b := newTestTable("b", 5, "x")
-		for _, answer := range b.HandlePayload(21, "a", text) {
+		table := newTestTable("b", 5, "x")
+		for _, answer := range table.HandlePayload(21, "a", text) {
 			if _, err := decodePayload(answer); err != nil {
 				t.Fatal(err)
 			}
 		}
-		b.Tick(22)
+		table.Tick(22)
 	})
 }
 
 // Facts beyond the bound give way to newer ones.
 func TestFactsAreBounded(t *testing.T) {
-	b := newTestTable("b", 5)
+	table := newTestTable("b", 5)
 	for i := range 3 * maxFacts {
-		b.HandlePayload(20, "a", b.encodePayload(&payload{Version: Version{src, 0, int64(i + 10)}, Facts: []Fact{{fmt.Sprint("w", i), Draining, 0, int64(i + 10)}}}))
+		table.HandlePayload(20, "a", table.encodePayload(&payload{Version: Version{src, 0, int64(i + 10)}, Facts: []Fact{{fmt.Sprint("w", i), Draining, 0, int64(i + 10)}}}))
 	}
-	if len(b.facts) != maxFacts || b.facts[fmt.Sprint("w", 3*maxFacts-1)] == nil || b.facts["w0"] != nil {
-		t.Errorf("%d facts", len(b.facts))
+	if len(table.facts) != maxFacts || table.facts[fmt.Sprint("w", 3*maxFacts-1)] == nil || table.facts["w0"] != nil {
+		t.Errorf("%d facts", len(table.facts))
 	}
 }
 
@@ -301,27 +301,27 @@
 // asked by many answers some, and the rest ask others.
 func TestRequestTargets(t *testing.T) {
 	ahead := &payload{Version: Version{src, 0, 9}, CompleteUpTo: 9}
-	asks := func(b *Table, now float64, from string) bool {
-		before := b.Stats.Requests
-		b.HandlePayload(now, from, b.encodePayload(ahead))
-		return b.Stats.Requests > before
+	asks := func(table *Table, now float64, from string) bool {
+		before := table.Stats.Requests
+		table.HandlePayload(now, from, table.encodePayload(ahead))
+		return table.Stats.Requests > before
 	}
-	b := newTestTable("b", 5, "x")
-	b.SameZone = func(member string) bool { return member == "near" }
-	b.HandleDiscoveryContact(19.5)
-	if asks(b, 20, "far") || !asks(b, 20.5, "near") {
+	table := newTestTable("b", 5, "x")
+	table.SameZone = func(member string) bool { return member == "near" }
+	table.HandleDiscoveryContact(19.5)
+	if asks(table, 20, "far") || !asks(table, 20.5, "near") {
 		t.Error("the near one is not asked first")
 	}
-	b = newTestTable("b", 5, "x")
-	b.SameZone = func(member string) bool { return member == "near" }
-	b.HandleDiscoveryContact(19.5)
-	if asks(b, 20, "far"); !asks(b, 21.5, "far") {
+	table = newTestTable("b", 5, "x")
+	table.SameZone = func(member string) bool { return member == "near" }
+	table.HandleDiscoveryContact(19.5)
+	if asks(table, 20, "far"); !asks(table, 21.5, "far") {
 		t.Error("nobody near has told, and nobody is asked")
 	}
-	b = newTestTable("b", 5, "x")
-	b.SameZone = func(member string) bool { return false }
-	b.ExpireUpdates(20)
-	if !asks(b, 20, "far") {
+	table = newTestTable("b", 5, "x")
+	table.SameZone = func(member string) bool { return false }
+	table.ExpireUpdates(20)
+	if !asks(table, 20, "far") {
 		t.Error("one that slept waits")
 	}
 	a := newTestTable("a", 9, "x")
