--- a/internal/testkit/answer/answer.go
+++ b/internal/testkit/answer/answer.go
@@ -68,16 +68,16 @@
 func Checksum(body []byte) uint32 { return crc32.ChecksumIEEE(body) }
 
 // CheckBody says what is wrong with a whole body.
-func (s Seal) CheckBody(try string, body []byte) error {
+func (s Seal) CheckBody(attemptID string, body []byte) error {
 	switch {
-	case s.AttemptID != try:
-		return fmt.Errorf("the answer of try %s came for try %s", s.AttemptID, try)
+	case s.AttemptID != attemptID:
+		return fmt.Errorf("the answer of try %s came for try %s", s.AttemptID, attemptID)
 	case s.Stream:
-		return fmt.Errorf("the seal of a stream came with a body of try %s", try)
+		return fmt.Errorf("the seal of a stream came with a body of try %s", attemptID)
 	case len(body) != s.Size:
-		return fmt.Errorf("the body of try %s has %d bytes of %d", try, len(body), s.Size)
+		return fmt.Errorf("the body of try %s has %d bytes of %d", attemptID, len(body), s.Size)
 	case Checksum(body) != s.Checksum:
-		return fmt.Errorf("the body of try %s was changed", try)
+		return fmt.Errorf("the body of try %s was changed", attemptID)
 	}
 	return nil
 }
--- a/internal/testkit/answer/answer_test.go
+++ b/internal/testkit/answer/answer_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestSealsAndEventsReadAsWritten(t *testing.T) {
+func TestSealAndEventRoundTrip(t *testing.T) {
 	word := rapid.StringMatching(`[0-9a-z-]{1,16}`)
 	rapid.Check(t, func(t *rapid.T) {
 		seal := Seal{Stream: rapid.Bool().Draw(t, "stream"), Size: rapid.IntRange(0, 1<<20).Draw(t, "size"),
@@ -23,7 +23,7 @@
 	})
 }
 
-func TestABodyIsCheckedAgainstItsSeal(t *testing.T) {
+func TestSealCheckBody(t *testing.T) {
 	body := []byte("found")
 	seal := Seal{Size: len(body), Checksum: Checksum(body), AttemptID: "1", ExecutionID: "r"}
 	if err := seal.CheckBody("1", body); err != nil {
--- a/internal/testkit/checker/referee.go
+++ b/internal/testkit/checker/referee.go
@@ -79,32 +79,32 @@
 
 // Checker collects. Its methods may be called from any goroutine.
 type Checker struct {
-	bounds Limits
+	limits Limits
 	now    func() time.Time
 
-	mutex     sync.Mutex
-	tries     map[string]*try
-	draining  map[string]time.Time // runners, since when the list shows it
-	evacuated map[string]time.Time // zones, since when it is acknowledged
-	asked     map[string][]time.Time
-	repeated  map[string][]time.Time // of a service
-	breaches  []Violation
+	mutex        sync.Mutex
+	attempts     map[string]*attemptRecord
+	draining     map[string]time.Time // runners, since when the list shows it
+	evacuated    map[string]time.Time // zones, since when it is acknowledged
+	requestTimes map[string][]time.Time
+	retryTimes   map[string][]time.Time // of a service
+	violations   []Violation
 }
 
-type try struct {
+type attemptRecord struct {
 	Attempt
 	arrivals int
 	runs     int
-	refused  bool
+	rejected bool
 }
 
 // New makes a referee; now nil is the clock of the machine.
-func New(b Limits, now func() time.Time) *Checker {
+func New(limits Limits, now func() time.Time) *Checker {
 	if now == nil {
 		now = time.Now
 	}
-	return &Checker{bounds: b, now: now, tries: make(map[string]*try), draining: make(map[string]time.Time),
-		evacuated: make(map[string]time.Time), asked: make(map[string][]time.Time), repeated: make(map[string][]time.Time)}
+	return &Checker{limits: limits, now: now, attempts: make(map[string]*attemptRecord), draining: make(map[string]time.Time),
+		evacuated: make(map[string]time.Time), requestTimes: make(map[string][]time.Time), retryTimes: make(map[string][]time.Time)}
 }
 
 var seed = maphash.MakeSeed()
@@ -113,70 +113,70 @@
 func Hash(body []byte) uint64 { return maphash.Bytes(seed, body) }
 
 // Report notes a breach that somebody else found.
-func (r *Checker) Report(rule Rule, format string, args ...any) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.note(rule, format, args...)
+func (c *Checker) Report(rule Rule, format string, args ...any) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.addViolation(rule, format, args...)
 }
 
-func (r *Checker) note(rule Rule, format string, args ...any) {
-	r.breaches = append(r.breaches, Violation{At: r.now(), Rule: rule, Description: fmt.Sprintf(format, args...)})
+func (c *Checker) addViolation(rule Rule, format string, args ...any) {
+	c.violations = append(c.violations, Violation{At: c.now(), Rule: rule, Description: fmt.Sprintf(format, args...)})
 }
 
 // RequestSent notes a try before its client sends it.
-func (r *Checker) RequestSent(t Attempt) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.tries[t.ID] = &try{Attempt: t}
-	if t.Route == nil {
+func (c *Checker) RequestSent(attempt Attempt) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.attempts[attempt.ID] = &attemptRecord{Attempt: attempt}
+	if attempt.Route == nil {
 		return
 	}
-	for _, service := range t.Route.Services {
-		r.asked[service] = append(r.asked[service], r.now())
+	for _, service := range attempt.Route.Services {
+		c.requestTimes[service] = append(c.requestTimes[service], c.now())
 	}
 }
 
 // RequestReceived notes a request that a runner got and did not answer with 421.
-func (r *Checker) RequestReceived(a ReceivedRequest) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	t := r.tries[a.ID]
-	if t == nil {
-		r.note(UnexpectedRequest, "runner %s got try %q, which no client sent", a.Runner.ID, a.ID)
+func (c *Checker) RequestReceived(received ReceivedRequest) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	attempt := c.attempts[received.ID]
+	if attempt == nil {
+		c.addViolation(UnexpectedRequest, "runner %s got try %q, which no client sent", received.Runner.ID, received.ID)
 		return
 	}
-	t.arrivals++
-	if t.arrivals > 1 {
-		r.repeated[a.Runner.Service] = append(r.repeated[a.Runner.Service], r.now())
+	attempt.arrivals++
+	if attempt.arrivals > 1 {
+		c.retryTimes[received.Runner.Service] = append(c.retryTimes[received.Runner.Service], c.now())
 	}
-	r.checkSame(t, a)
-	r.checkPlace(t, a.Runner)
+	c.checkUnchanged(attempt, received)
+	c.checkDestination(attempt, received.Runner)
 }
 
-func (r *Checker) checkSame(t *try, a ReceivedRequest) {
-	if a.Method != t.Method || a.URI != t.URI || a.Host != t.Host {
-		r.note(UnexpectedRequest, "try %s was sent as %s %s%s and arrived as %s %s%s", t.ID, t.Method, t.Host, t.URI, a.Method,
-			a.Host, a.URI)
+func (c *Checker) checkUnchanged(attempt *attemptRecord, received ReceivedRequest) {
+	if received.Method != attempt.Method || received.URI != attempt.URI || received.Host != attempt.Host {
+		c.addViolation(UnexpectedRequest, "try %s was sent as %s %s%s and arrived as %s %s%s", attempt.ID, attempt.Method, attempt.Host, attempt.URI, received.Method,
+			received.Host, received.URI)
 	}
-	if a.Body != t.Body {
-		r.note(UnexpectedRequest, "the body of try %s was changed", t.ID)
+	if received.Body != attempt.Body {
+		c.addViolation(UnexpectedRequest, "the body of try %s was changed", attempt.ID)
 	}
 }
 
-func (r *Checker) checkPlace(t *try, runner *Runner) {
-	now := r.now()
-	if t.Route == nil || !slices.Contains(t.Route.Services, runner.Service) {
-		r.note(WrongService, "try %s of %s arrived at service %s", t.ID, routeName(t.Route), runner.Service)
+func (c *Checker) checkDestination(attempt *attemptRecord, runner *Runner) {
+	now := c.now()
+	if attempt.Route == nil || !slices.Contains(attempt.Route.Services, runner.Service) {
+		c.addViolation(WrongService, "try %s of %s arrived at service %s", attempt.ID, routeName(attempt.Route), runner.Service)
 		return
 	}
-	if len(t.Route.HomeRegions) > 0 && !slices.Contains(t.Route.HomeRegions, runner.Region) {
-		r.note(WrongRegion, "try %s of %s arrived in region %s", t.ID, t.Route.Name, runner.Region)
+	if len(attempt.Route.HomeRegions) > 0 && !slices.Contains(attempt.Route.HomeRegions, runner.Region) {
+		c.addViolation(WrongRegion, "try %s of %s arrived in region %s", attempt.ID, attempt.Route.Name, runner.Region)
 	}
-	if since, is := r.draining[runner.ID]; is && now.Sub(since) > r.bounds.DrainGrace {
-		r.note(SentToDraining, "runner %s got try %s %v after the list showed it as draining", runner.ID, t.ID, now.Sub(since))
+	if since, is := c.draining[runner.ID]; is && now.Sub(since) > c.limits.DrainGrace {
+		c.addViolation(SentToDraining, "runner %s got try %s %v after the list showed it as draining", runner.ID, attempt.ID, now.Sub(since))
 	}
-	if since, is := r.evacuated[runner.Zone]; is && now.Sub(since) > r.bounds.EvacuationGrace {
-		r.note(SentToEvacuatedZone, "zone %s got try %s %v after its evacuation", runner.Zone, t.ID, now.Sub(since))
+	if since, is := c.evacuated[runner.Zone]; is && now.Sub(since) > c.limits.EvacuationGrace {
+		c.addViolation(SentToEvacuatedZone, "zone %s got try %s %v after its evacuation", runner.Zone, attempt.ID, now.Sub(since))
 	}
 }
 
@@ -188,107 +188,107 @@
 }
 
 // ExecutionStarted notes that a runner has begun work on a try.
-func (r *Checker) ExecutionStarted(runner *Runner, id string) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	t := r.tries[id]
-	if t == nil {
+func (c *Checker) ExecutionStarted(runner *Runner, id string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	attempt := c.attempts[id]
+	if attempt == nil {
 		return // noted when it arrived
 	}
-	t.runs++
-	if t.Route == nil || t.Route.Idempotent {
+	attempt.runs++
+	if attempt.Route == nil || attempt.Route.Idempotent {
 		return
 	}
-	if t.runs > 1 {
-		r.note(DuplicateExecution, "try %s of %s ran %d times", id, t.Route.Name, t.runs)
+	if attempt.runs > 1 {
+		c.addViolation(DuplicateExecution, "try %s of %s ran %d times", id, attempt.Route.Name, attempt.runs)
 	}
-	if t.refused {
-		r.note(ExecutedAfterRejection, "try %s of %s ran at %s after it was refused", id, t.Route.Name, runner.ID)
+	if attempt.rejected {
+		c.addViolation(ExecutedAfterRejection, "try %s of %s ran at %s after it was refused", id, attempt.Route.Name, runner.ID)
 	}
 }
 
 // RequestRejected notes an answer to a client that promises that the try has not run and will not.
-func (r *Checker) RequestRejected(id string, status int) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	t := r.tries[id]
-	if t == nil || t.Route == nil || t.Route.Idempotent {
+func (c *Checker) RequestRejected(id string, status int) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	attempt := c.attempts[id]
+	if attempt == nil || attempt.Route == nil || attempt.Route.Idempotent {
 		return
 	}
-	t.refused = true
-	if t.runs > 0 {
-		r.note(ExecutedAfterRejection, "try %s of %s was answered with %d though it ran", id, t.Route.Name, status)
+	attempt.rejected = true
+	if attempt.runs > 0 {
+		c.addViolation(ExecutedAfterRejection, "try %s of %s was answered with %d though it ran", id, attempt.Route.Name, status)
 	}
 }
 
 // RunnerDraining notes when the platform's list shows a runner as draining.
-func (r *Checker) RunnerDraining(runner string, since time.Time) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.draining[runner] = since
+func (c *Checker) RunnerDraining(runner string, since time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.draining[runner] = since
 }
 
 // ZoneEvacuated notes an acknowledged evacuation.
-func (r *Checker) ZoneEvacuated(zone string, since time.Time) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.evacuated[zone] = since
+func (c *Checker) ZoneEvacuated(zone string, since time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.evacuated[zone] = since
 }
 
 // ZoneRestored notes that an evacuation is taken back.
-func (r *Checker) ZoneRestored(zone string) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	delete(r.evacuated, zone)
+func (c *Checker) ZoneRestored(zone string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	delete(c.evacuated, zone)
 }
 
 // Retries is how often services were sent a try again.
-func (r *Checker) Retries() (n int) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	for _, times := range r.repeated {
+func (c *Checker) Retries() (n int) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for _, times := range c.retryTimes {
 		n += len(times)
 	}
 	return n
 }
 
 // Finish checks what only the whole run shows, and returns all breaches.
-func (r *Checker) Finish() []Violation {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	for service, times := range r.repeated {
-		r.checkBudget(service, times)
+func (c *Checker) Finish() []Violation {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for service, times := range c.retryTimes {
+		c.checkRetryBudget(service, times)
 	}
-	return slices.Clone(r.breaches)
+	return slices.Clone(c.violations)
 }
 
 // Violations are the breaches so far.
-func (r *Checker) Violations() []Violation {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return slices.Clone(r.breaches)
+func (c *Checker) Violations() []Violation {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return slices.Clone(c.violations)
 }
 
-// checkBudget looks at the window that ends with each repeat.
-func (r *Checker) checkBudget(service string, repeats []time.Time) {
-	window := r.bounds.RetryWindow
+// checkRetryBudget looks at the window that ends with each repeat.
+func (c *Checker) checkRetryBudget(service string, retryTimes []time.Time) {
+	window := c.limits.RetryWindow
 	if window <= 0 {
 		return
 	}
-	for i, end := range repeats {
-		first, _ := slices.BinarySearchFunc(repeats, end.Add(-window), time.Time.Compare)
-		requests := max(r.askedBetween(service, end.Add(-window), end), r.askedBetween(service, end.Add(-2*window),
+	for i, end := range retryTimes {
+		first, _ := slices.BinarySearchFunc(retryTimes, end.Add(-window), time.Time.Compare)
+		requests := max(c.requestsBetween(service, end.Add(-window), end), c.requestsBetween(service, end.Add(-2*window),
 			end.Add(-window)),
-			r.askedBetween(service, end.Add(-3*window/2), end.Add(-window/2)))
-		if most := r.bounds.RetryRatio*float64(requests) + r.bounds.RetryAllowance; float64(i+1-first) > most {
-			r.note(RetryBudgetExceeded, "service %s was sent %d repeats in %v, at most %.1f are allowed", service, i+1-first, window, most)
+			c.requestsBetween(service, end.Add(-3*window/2), end.Add(-window/2)))
+		if allowed := c.limits.RetryRatio*float64(requests) + c.limits.RetryAllowance; float64(i+1-first) > allowed {
+			c.addViolation(RetryBudgetExceeded, "service %s was sent %d repeats in %v, at most %.1f are allowed", service, i+1-first, window, allowed)
 			return
 		}
 	}
 }
 
-func (r *Checker) askedBetween(service string, from, to time.Time) int {
-	times := r.asked[service]
+func (c *Checker) requestsBetween(service string, from, to time.Time) int {
+	times := c.requestTimes[service]
 	first, _ := slices.BinarySearchFunc(times, from, time.Time.Compare)
 	end, _ := slices.BinarySearchFunc(times, to, time.Time.Compare)
 	return end - first
--- a/internal/testkit/client/call.go
+++ b/internal/testkit/client/call.go
@@ -7,78 +7,78 @@
 
 // Patience with streams: one is given up after a silence of the longest of these.
 const (
-	leastPatience  = 2 * time.Second
-	targetPatience = 4 // multiple of the target
-	gapPatience    = 8 // multiple of the longest pause in time
+	minReadTimeout        = 2 * time.Second
+	latencyTargetMultiple = 4 // multiple of the target
+	eventGapMultiple      = 8 // multiple of the longest pause in time
 )
 
-// waitShare is the part of the time left that a client waits at most when it is told to.
-const waitShare = 3
+// retryWaitDivisor is the part of the time left that a client waits at most when it is told to.
+const retryWaitDivisor = 3
 
-// verdict is how a try ended.
-type verdict uint8
+// attemptResult is how a try ended.
+type attemptResult uint8
 
 const (
-	served    verdict = iota
-	promised          // it has not run and will not: 408, 421, 429 or 503
-	unsent            // the dispatcher has not read it
-	failed            // 5xx, or no whole answer
-	denied            // 3xx or 4xx
-	abandoned         // the deadline has passed, or the client has lost its patience
+	succeeded     attemptResult = iota
+	notExecuted                 // it has not run and will not: 408, 421, 429 or 503
+	notSent                     // the dispatcher has not read it
+	attemptFailed               // 5xx, or no whole answer
+	clientError                 // 3xx or 4xx
+	timedOut                    // the deadline has passed, or the client has lost its patience
 )
 
-// call is a call with what has come of it so far.
-type call struct {
+// callState is a call with what has come of it so far.
+type callState struct {
 	*Call
-	client   *client
-	began    time.Time
-	deadline time.Time
-	events   int // that have come, over all tries
-	run      string
-	of       int
-	first    time.Duration // from the begin to the first event, or to the whole answer
-	gap      time.Duration
-	heard    time.Time
-	wait     time.Duration // that the last answer asked for
+	client       *client
+	started      time.Time
+	deadline     time.Time
+	events       int // that have come, over all tries
+	executionID  string
+	totalEvents  int
+	firstLatency time.Duration // from the begin to the first event, or to the whole answer
+	longestGap   time.Duration
+	lastEventAt  time.Time
+	retryAfter   time.Duration // that the last answer asked for
 }
 
 // Do makes one call and counts what becomes of it.
-func (l *LoadGenerator) Do(ctx context.Context, c *client, wanted *Call) Outcome {
+func (g *LoadGenerator) Do(ctx context.Context, sender *client, wanted *Call) Outcome {
 	now := time.Now()
-	one := &call{Call: wanted, client: c, began: now, deadline: now.Add(wanted.Route.Deadline)}
-	ctx, cancel := context.WithDeadline(ctx, one.deadline)
+	c := &callState{Call: wanted, client: sender, started: now, deadline: now.Add(wanted.Route.Deadline)}
+	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
-	var last verdict
-	for try := 0; ; try++ {
-		last = one.try(ctx, try > 0)
-		if last == served || try >= wanted.Route.MaxRetries || !one.mayRetry(last) || !one.pause(ctx, last) {
+	var last attemptResult
+	for attempt := 0; ; attempt++ {
+		last = c.attempt(ctx, attempt > 0)
+		if last == succeeded || attempt >= wanted.Route.MaxRetries || !c.mayRetry(last) || !c.waitBeforeRetry(ctx, last) {
 			break
 		}
-		l.tally.retried()
+		g.stats.recordRetry()
 	}
-	outcome := one.outcome(last)
-	l.tally.add(wanted.Route, outcome, one.first)
+	outcome := c.outcome(last)
+	g.stats.recordOutcome(wanted.Route, outcome, c.firstLatency)
 	return outcome
 }
 
 // mayRetry says whether the protocol lets a client ask again.
-func (c *call) mayRetry(v verdict) bool {
-	switch v {
-	case promised, unsent:
+func (c *callState) mayRetry(result attemptResult) bool {
+	switch result {
+	case notExecuted, notSent:
 		return true
-	case failed:
+	case attemptFailed:
 		return c.Route.ReadOnly || c.Route.Stream && c.Route.Resumable
 	}
 	return false
 }
 
-// pause waits as the last answer asked; it says whether there is time left.
-func (c *call) pause(ctx context.Context, v verdict) bool {
+// waitBeforeRetry waits as the last answer asked; it says whether there is time left.
+func (c *callState) waitBeforeRetry(ctx context.Context, result attemptResult) bool {
 	left := time.Until(c.deadline)
-	if v != promised || c.wait <= 0 {
+	if result != notExecuted || c.retryAfter <= 0 {
 		return left > 0
 	}
-	timer := time.NewTimer(min(c.wait, left/waitShare))
+	timer := time.NewTimer(min(c.retryAfter, left/retryWaitDivisor))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -88,25 +88,25 @@
 	}
 }
 
-func (c *call) outcome(v verdict) Outcome {
-	switch v {
-	case served:
-		if c.first > c.Route.LatencyTarget || c.Route.MaxEventGap > 0 && c.gap > c.Route.MaxEventGap {
+func (c *callState) outcome(result attemptResult) Outcome {
+	switch result {
+	case succeeded:
+		if c.firstLatency > c.Route.LatencyTarget || c.Route.MaxEventGap > 0 && c.longestGap > c.Route.MaxEventGap {
 			return Late
 		}
 		return InTime
-	case promised:
+	case notExecuted:
 		return Rejected
 	}
 	return Failed
 }
 
-// patience is how long the client bears silence from now on.
-func (c *call) patience() time.Time {
+// readDeadline is how long the client bears silence from now on.
+func (c *callState) readDeadline() time.Time {
 	if !c.Route.Stream {
 		return c.deadline
 	}
-	until := time.Now().Add(max(leastPatience, targetPatience*c.Route.LatencyTarget, gapPatience*c.Route.MaxEventGap))
+	until := time.Now().Add(max(minReadTimeout, latencyTargetMultiple*c.Route.LatencyTarget, eventGapMultiple*c.Route.MaxEventGap))
 	if until.Before(c.deadline) {
 		return until
 	}
--- a/internal/testkit/client/client.go
+++ b/internal/testkit/client/client.go
@@ -52,48 +52,48 @@
 }
 
 const (
-	defaultClients = 10
-	lookups        = 3           // directories that are tried
-	lookupWait     = time.Second // for each
-	connectWait    = time.Second
-	holdsLonger    = 4 // one in so many clients holds an answer of the directory for longer
-	longerHold     = 3 // times as long
-	keeps          = 2 // one in so many clients keeps connections
-	chunks         = 5 // one in so many bodies comes in chunks
+	defaultClients  = 10
+	maxLookups      = 3           // directories that are tried
+	lookupTimeout   = time.Second // for each
+	connectTimeout  = time.Second
+	longTTLOneIn    = 4 // one in so many clients holds an answer of the directory for longer
+	longTTLMultiple = 3 // times as long
+	keepAliveOneIn  = 2 // one in so many clients keeps connections
+	chunkedOneIn    = 5 // one in so many bodies comes in chunks
 )
 
 // LoadGenerator is clients at work.
 type LoadGenerator struct {
 	options Options
 	clients map[string][]*client // by zone
-	tally   tally
+	stats   statsRecorder
 
-	mutex  sync.Mutex
-	random *rand.Rand
-	tries  uint64
+	mutex    sync.Mutex
+	random   *rand.Rand
+	attempts uint64
 }
 
 // New makes clients.
-func New(o Options) *LoadGenerator {
-	if o.ClientsPerZone == 0 {
-		o.ClientsPerZone = defaultClients
+func New(options Options) *LoadGenerator {
+	if options.ClientsPerZone == 0 {
+		options.ClientsPerZone = defaultClients
 	}
-	l := &LoadGenerator{options: o, clients: make(map[string][]*client), random: rand.New(rand.NewPCG(o.Seed, 5))}
-	l.tally.routes = make(map[string]*RouteStats)
-	for zone, region := range o.RegionOfZone {
-		for i := range o.ClientsPerZone {
-			c := &client{load: l, zone: zone, region: region, keeps: i%keeps == 0, hold: 1}
-			if i%holdsLonger == holdsLonger-1 {
-				c.hold = longerHold
+	g := &LoadGenerator{options: options, clients: make(map[string][]*client), random: rand.New(rand.NewPCG(options.Seed, 5))}
+	g.stats.routes = make(map[string]*RouteStats)
+	for zone, region := range options.RegionOfZone {
+		for i := range options.ClientsPerZone {
+			c := &client{load: g, zone: zone, region: region, keepsConnections: i%keepAliveOneIn == 0, ttlMultiple: 1}
+			if i%longTTLOneIn == longTTLOneIn-1 {
+				c.ttlMultiple = longTTLMultiple
 			}
-			l.clients[zone] = append(l.clients[zone], c)
+			g.clients[zone] = append(g.clients[zone], c)
 		}
 	}
-	return l
+	return g
 }
 
 // Run makes calls, each at its time, and returns when all have an end. The calls are in order of time.
-func (l *LoadGenerator) Run(ctx context.Context, calls []*Call) {
+func (g *LoadGenerator) Run(ctx context.Context, calls []*Call) {
 	start := time.Now()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -107,10 +107,10 @@
 			return
 		}
 		group.Add(1)
-		clients := l.clients[call.Zone]
+		clients := g.clients[call.Zone]
 		go func() {
 			defer group.Done()
-			l.Do(ctx, clients[i%len(clients)], call)
+			g.Do(ctx, clients[i%len(clients)], call)
 		}()
 	}
 	group.Wait()
@@ -118,41 +118,41 @@
 
 // client is one user of the system: it has its own answers of the directory and its own connections.
 type client struct {
-	load         *LoadGenerator
-	zone, region string
-	keeps        bool
-	hold         int // multiple of the time that an answer of the directory counts
-
-	mutex     sync.Mutex
-	addresses []string
-	until     time.Time
-	failed    map[string]bool
-	idle      []*conn
+	load             *LoadGenerator
+	zone, region     string
+	keepsConnections bool
+	ttlMultiple      int // multiple of the time that an answer of the directory counts
+
+	mutex             sync.Mutex
+	addresses         []string
+	addressesExpireAt time.Time
+	failedAddresses   map[string]bool
+	idle              []*conn
 }
 
 // Client is a client of a zone, for calls that are made one by one.
-func (l *LoadGenerator) Client(zone string, i int) *client {
-	return l.clients[zone][i%len(l.clients[zone])]
+func (g *LoadGenerator) Client(zone string, i int) *client {
+	return g.clients[zone][i%len(g.clients[zone])]
 }
 
-// number draws from 0 to n-1.
-func (l *LoadGenerator) number(n int) int {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.random.IntN(n)
+// randomBelow draws from 0 to n-1.
+func (g *LoadGenerator) randomBelow(n int) int {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	return g.random.IntN(n)
 }
 
-// newTry names a try.
-func (l *LoadGenerator) newTry() string {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.tries++
-	return fmt.Sprintf("%08x%08x", l.random.Uint32(), l.tries)
+// newAttemptID names a try.
+func (g *LoadGenerator) newAttemptID() string {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	g.attempts++
+	return fmt.Sprintf("%08x%08x", g.random.Uint32(), g.attempts)
 }
 
-// breach notes a broken rule.
-func (l *LoadGenerator) breach(rule checker.Rule, format string, args ...any) {
-	if l.options.Checker != nil {
-		l.options.Checker.Report(rule, format, args...)
+// report notes a broken rule.
+func (g *LoadGenerator) report(rule checker.Rule, format string, args ...any) {
+	if g.options.Checker != nil {
+		g.options.Checker.Report(rule, format, args...)
 	}
 }
--- a/internal/testkit/client/client_test.go
+++ b/internal/testkit/client/client_test.go
@@ -20,38 +20,38 @@
 	"cinderroad/internal/testkit/runner"
 )
 
-// world is a directory that names one address, and clients.
-type world struct {
-	load    *LoadGenerator
-	referee *checker.Checker
-	lookups atomic.Int32
+// testbed is a directory that names one address, and clients.
+type testbed struct {
+	generator *LoadGenerator
+	checker   *checker.Checker
+	lookups   atomic.Int32
 }
 
-func newWorld(t *testing.T, front string) *world {
+func newTestbed(t *testing.T, dispatcherAddress string) *testbed {
 	t.Helper()
-	w := &world{referee: checker.New(checker.Limits{}, nil)}
+	w := &testbed{checker: checker.New(checker.Limits{}, nil)}
 	directory := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, q *http.Request) {
 		w.lookups.Add(1)
 		if q.URL.Query().Get("zone") != "a" || q.URL.Query().Get("region") != "r" ||
 			q.URL.Query().Get("name") != "h.example" {
 			t.Errorf("the directory was asked for %v", q.URL)
 		}
-		json.NewEncoder(out).Encode(lookupAnswer{Addresses: []string{front}, TTL: 60})
+		json.NewEncoder(out).Encode(lookupAnswer{Addresses: []string{dispatcherAddress}, TTL: 60})
 	}))
 	t.Cleanup(directory.Close)
 	address := netip.MustParseAddrPort(directory.Listener.Addr().String())
-	w.load = New(Options{RegionOfZone: map[string]string{"a": "r"}, ClientsPerZone: 1, Checker: w.referee,
+	w.generator = New(Options{RegionOfZone: map[string]string{"a": "r"}, ClientsPerZone: 1, Checker: w.checker,
 		Directories: func(string) []netip.AddrPort { return []netip.AddrPort{address} }})
 	return w
 }
 
-func streams() *Route {
+func streamRoute() *Route {
 	return &Route{Name: "streams", Host: "h.example", Path: "/s/1", Stream: true, LatencyTarget: 10 * time.Second,
 		Deadline:     20 * time.Second,
 		CheckerRoute: &checker.Route{Name: "streams", Services: []string{"llm"}}}
 }
 
-func bodies() *Route {
+func bodyRoute() *Route {
 	return &Route{Name: "bodies", Host: "h.example", Path: "/b/1", ReadOnly: true, LatencyTarget: 10 * time.Second,
 		Deadline:     20 * time.Second,
 		CheckerRoute: &checker.Route{Name: "bodies", Services: []string{"llm", "api"}, Idempotent: true}}
@@ -65,14 +65,14 @@
 	return c
 }
 
-func (w *world) call(route *Route) Outcome {
-	return w.load.Do(context.Background(), w.load.Client("a", 0), callOf(route))
+func (w *testbed) call(route *Route) Outcome {
+	return w.generator.Do(context.Background(), w.generator.Client("a", 0), callOf(route))
 }
 
-func startRunner(t *testing.T, w *world, service string) *runner.Runner {
+func startRunner(t *testing.T, bed *testbed, service string) *runner.Runner {
 	t.Helper()
 	o := runner.Options{Runner: checker.Runner{ID: "i-1", Service: service}, Address: "127.0.0.1:0", BodyBytes: 100,
-		Checker: w.referee}
+		Checker: bed.checker}
 	o.Engine, _ = engine.NewWorkers(2, 2)
 	if service == "llm" {
 		o.EventTokens = 2
@@ -87,15 +87,15 @@
 	return r
 }
 
-// withRunner is a world whose dispatcher passes everything on to one runner.
-func withRunner(t *testing.T, service string) (*world, *runner.Runner) {
+// newTestbedWithRunner is a world whose dispatcher passes everything on to one runner.
+func newTestbedWithRunner(t *testing.T, service string) (*testbed, *runner.Runner) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	w := newWorld(t, l.Addr().String())
+	w := newTestbed(t, l.Addr().String())
 	r := startRunner(t, w, service)
 	go func() {
 		for {
@@ -103,13 +103,13 @@
 			if err != nil {
 				return
 			}
-			go pass(c, r.Address().String())
+			go relayConnection(c, r.Address().String())
 		}
 	}()
 	return w, r
 }
 
-func pass(c net.Conn, to string) {
+func relayConnection(c net.Conn, to string) {
 	other, err := net.Dial("tcp", to)
 	if err != nil {
 		c.Close()
@@ -123,39 +123,39 @@
 	c.Close()
 }
 
-func (w *world) rules() (rules []checker.Rule) {
-	for _, b := range w.referee.Finish() {
+func (w *testbed) rules() (rules []checker.Rule) {
+	for _, b := range w.checker.Finish() {
 		rules = append(rules, b.Rule)
 	}
 	return rules
 }
 
-func TestCallsAreServed(t *testing.T) {
+func TestLoadGeneratorDo(t *testing.T) {
 	for _, test := range []struct {
 		service string
 		route   *Route
-	}{{"llm", streams()}, {"api", bodies()}} {
-		w, _ := withRunner(t, test.service)
+	}{{"llm", streamRoute()}, {"api", bodyRoute()}} {
+		w, _ := newTestbedWithRunner(t, test.service)
 		for range 5 {
 			if got := w.call(test.route); got != InTime {
 				t.Errorf("%s: outcome %d", test.route.Name, got)
 			}
 		}
 		if rules := w.rules(); len(rules) > 0 {
-			t.Errorf("%s: %v", test.route.Name, w.referee.Violations())
+			t.Errorf("%s: %v", test.route.Name, w.checker.Violations())
 		}
 		if n := w.lookups.Load(); n != 1 {
 			t.Errorf("the directory was asked %d times", n)
 		}
-		if tally := w.load.Stats(); tally.Served != 5 || tally.Routes[0].InTime != 5 || tally.Routes[0].LatencyQuantile(0.5) == 0 {
+		if tally := w.generator.Stats(); tally.Served != 5 || tally.Routes[0].InTime != 5 || tally.Routes[0].LatencyQuantile(0.5) == 0 {
 			t.Errorf("%+v", tally)
 		}
 	}
 }
 
-func TestAResumableStreamGoesOnAfterACut(t *testing.T) {
-	w, r := withRunner(t, "llm")
-	route := streams()
+func TestResumableStreamRetriesAfterTruncation(t *testing.T) {
+	w, r := newTestbedWithRunner(t, "llm")
+	route := streamRoute()
 	route.Resumable, route.MaxRetries, route.CheckerRoute.Idempotent = true, 1, true
 	r.SetFaults(runner.Faults{Truncate: 1, MaxFaults: 1})
 	if got := w.call(route); got != InTime {
@@ -165,17 +165,17 @@
 		t.Errorf("%+v", s)
 	}
 	if rules := w.rules(); len(rules) > 0 {
-		t.Errorf("%v", w.referee.Violations())
+		t.Errorf("%v", w.checker.Violations())
 	}
 }
 
-func TestExtraBytesAreFound(t *testing.T) {
+func TestInvalidBytesAreReported(t *testing.T) {
 	for name, faults := range map[string]runner.Faults{"extra": {ExtraBytes: 1}, "extra late": {StaleAnswer: 1},
 		"garbage": {Garbage: 1}} {
-		w, r := withRunner(t, "api")
+		w, r := newTestbedWithRunner(t, "api")
 		r.SetFaults(faults)
 		for range 20 { // extra bytes come a moment after the answer
-			w.call(bodies())
+			w.call(bodyRoute())
 		}
 		if rules := w.rules(); len(rules) == 0 || rules[0] != checker.MisdeliveredAnswer {
 			t.Errorf("%s: %v", name, rules)
@@ -183,20 +183,20 @@
 	}
 }
 
-// edge is a dispatcher that answers as a test wants.
-func edge(t *testing.T, handler http.HandlerFunc) *world {
+// newTestbedWithHandler is a dispatcher that answers as a test wants.
+func newTestbedWithHandler(t *testing.T, handler http.HandlerFunc) *testbed {
 	t.Helper()
 	server := httptest.NewUnstartedServer(handler)
 	server.Config.ErrorLog = log.New(io.Discard, "", 0)
 	server.Start()
 	t.Cleanup(server.Close)
-	return newWorld(t, server.Listener.Addr().String())
+	return newTestbed(t, server.Listener.Addr().String())
 }
 
 func seal(w http.ResponseWriter, s answer.Seal) { w.Header().Set(answer.HeaderSeal, s.String()) }
 
-// pieces answers with a stream of pieces of one run.
-func pieces(of int, indices ...int) http.HandlerFunc {
+// streamEvents answers with a stream of pieces of one run.
+func streamEvents(of int, indices ...int) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
 		seal(w, answer.Seal{Stream: true, Size: of, AttemptID: q.Header.Get(answer.HeaderAttemptID), ExecutionID: "r"})
 		for _, i := range indices {
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestWrongAnswersAreFound(t *testing.T) {
+func TestInvalidAnswersAreReported(t *testing.T) {
 	other := func(w http.ResponseWriter, q *http.Request) {
 		body := []byte("x")
 		seal(w, answer.Seal{Size: 1, Checksum: answer.Checksum(body), AttemptID: "another", ExecutionID: "r"})
@@ -225,16 +225,16 @@
 		handler http.HandlerFunc
 		want    checker.Rule
 	}{
-		{"no seal", bodies(), func(w http.ResponseWriter, q *http.Request) {}, checker.MisdeliveredAnswer},
-		{"another's answer", bodies(), other, checker.MisdeliveredAnswer},
-		{"a changed body", bodies(), changed, checker.MisdeliveredAnswer},
-		{"a whole stream", streams(), pieces(2, 1, 2), ""},
-		{"a missing piece", streams(), pieces(3, 1, 3), checker.StreamOrder},
-		{"a piece twice", streams(), pieces(2, 1, 1, 2), checker.StreamOrder},
-		{"an end before the last piece", streams(), pieces(3, 1, 2), checker.StreamOrder},
-		{"two runs in one", streams(), twoRuns, checker.StreamOrder},
+		{"no seal", bodyRoute(), func(w http.ResponseWriter, q *http.Request) {}, checker.MisdeliveredAnswer},
+		{"another's answer", bodyRoute(), other, checker.MisdeliveredAnswer},
+		{"a changed body", bodyRoute(), changed, checker.MisdeliveredAnswer},
+		{"a whole stream", streamRoute(), streamEvents(2, 1, 2), ""},
+		{"a missing piece", streamRoute(), streamEvents(3, 1, 3), checker.StreamOrder},
+		{"a piece twice", streamRoute(), streamEvents(2, 1, 1, 2), checker.StreamOrder},
+		{"an end before the last piece", streamRoute(), streamEvents(3, 1, 2), checker.StreamOrder},
+		{"two runs in one", streamRoute(), twoRuns, checker.StreamOrder},
 	} {
-		w := edge(t, test.handler)
+		w := newTestbedWithHandler(t, test.handler)
 		got := w.call(test.route)
 		rules := w.rules()
 		if test.want == "" {
@@ -256,14 +256,14 @@
 		status int
 		tries  int32
 	}{
-		{"a refused stream", streams(), 503, 2},
-		{"a refused body", bodies(), 429, 2},
-		{"a failed body", bodies(), 502, 2},
-		{"a failed stream", streams(), 502, 1},
-		{"an unknown path", bodies(), 404, 1},
+		{"a refused stream", streamRoute(), 503, 2},
+		{"a refused body", bodyRoute(), 429, 2},
+		{"a failed body", bodyRoute(), 502, 2},
+		{"a failed stream", streamRoute(), 502, 1},
+		{"an unknown path", bodyRoute(), 404, 1},
 	} {
 		var tries atomic.Int32
-		w := edge(t, func(w http.ResponseWriter, q *http.Request) {
+		w := newTestbedWithHandler(t, func(w http.ResponseWriter, q *http.Request) {
 			tries.Add(1)
 			w.Header().Set("Retry-After", "0.001")
 			w.WriteHeader(test.status)
@@ -279,12 +279,12 @@
 	}
 }
 
-func TestRetryAfterIsHonouredUpToAThirdOfTheTimeLeft(t *testing.T) {
-	w := edge(t, func(w http.ResponseWriter, q *http.Request) {
+func TestRetryAfterIsCappedAtAThirdOfRemainingTime(t *testing.T) {
+	w := newTestbedWithHandler(t, func(w http.ResponseWriter, q *http.Request) {
 		w.Header().Set("Retry-After", "60")
 		w.WriteHeader(503)
 	})
-	route := bodies()
+	route := bodyRoute()
 	route.MaxRetries, route.Deadline = 1, 300*time.Millisecond
 	began := time.Now()
 	if got := w.call(route); got != Rejected {
@@ -295,16 +295,16 @@
 	}
 }
 
-func TestRunMakesEveryCall(t *testing.T) {
-	w, _ := withRunner(t, "api")
+func TestLoadGeneratorRun(t *testing.T) {
+	w, _ := newTestbedWithRunner(t, "api")
 	var calls []*Call
 	for i := range 20 {
-		c := callOf(bodies())
+		c := callOf(bodyRoute())
 		c.Start = time.Duration(i) * time.Millisecond
 		calls = append(calls, c)
 	}
-	w.load.Run(context.Background(), calls)
-	if tally := w.load.Stats(); tally.Calls != 20 {
+	w.generator.Run(context.Background(), calls)
+	if tally := w.generator.Stats(); tally.Calls != 20 {
 		t.Errorf("%s", tally.String())
 	}
 }
--- a/internal/testkit/client/conn.go
+++ b/internal/testkit/client/conn.go
@@ -17,27 +17,27 @@
 // conn is a connection to a dispatcher.
 type conn struct {
 	net.Conn
-	reader  *bufio.Reader
-	address string
-	until   time.Time // of an idle one; zero: no end is known
-	used    bool
+	reader    *bufio.Reader
+	address   string
+	idleUntil time.Time // of an idle one; zero: no end is known
+	used      bool
 }
 
 // connect takes an idle connection, or opens one.
-func (c *client) connect(ctx context.Context, host string, fresh bool) (*conn, error) {
-	if !fresh && c.keeps {
+func (c *client) connect(ctx context.Context, host string, newConnection bool) (*conn, error) {
+	if !newConnection && c.keepsConnections {
 		if idle := c.takeIdle(); idle != nil {
 			return idle, nil
 		}
 	}
-	address, err := c.address(ctx, host)
+	address, err := c.pickAddress(ctx, host)
 	if err != nil {
 		return nil, err
 	}
-	dialer := net.Dialer{Timeout: connectWait}
+	dialer := net.Dialer{Timeout: connectTimeout}
 	inner, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		c.avoid(address)
+		c.markFailed(address)
 		return nil, err
 	}
 	return &conn{Conn: inner, reader: bufio.NewReader(inner), address: address}, nil
@@ -50,7 +50,7 @@
 	for len(c.idle) > 0 {
 		idle := c.idle[len(c.idle)-1]
 		c.idle = c.idle[:len(c.idle)-1]
-		if !idle.until.IsZero() && time.Now().After(idle.until) || !c.quiet(idle) {
+		if !idle.idleUntil.IsZero() && time.Now().After(idle.idleUntil) || !c.checkIdle(idle) {
 			idle.Close()
 			continue
 		}
@@ -59,40 +59,40 @@
 	return nil
 }
 
-// quiet says whether nothing has come on an idle connection, and it is open.
-func (c *client) quiet(idle *conn) bool {
-	n, open := idle.reader.Buffered(), true
-	if raw, err := idle.Conn.(*net.TCPConn).SyscallConn(); err == nil && n == 0 {
+// checkIdle says whether nothing has come on an idle connection, and it is open.
+func (c *client) checkIdle(idle *conn) bool {
+	unread, open := idle.reader.Buffered(), true
+	if raw, err := idle.Conn.(*net.TCPConn).SyscallConn(); err == nil && unread == 0 {
 		err = raw.Control(func(fd uintptr) {
 			var peeked int
 			peeked, _, err = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
-			n = max(0, peeked)
+			unread = max(0, peeked)
 			open = err == unix.EAGAIN
 		})
 	}
-	if n > 0 {
-		c.load.breach(checker.MisdeliveredAnswer, "bytes came on an idle connection to %s", idle.address)
+	if unread > 0 {
+		c.load.report(checker.MisdeliveredAnswer, "bytes came on an idle connection to %s", idle.address)
 		return false
 	}
 	return open
 }
 
-// keep puts a connection by after a whole answer, if it may be used again.
-func (c *client) keep(used *conn, head *http.Response) {
+// putIdle puts a connection by after a whole answer, if it may be used again.
+func (c *client) putIdle(used *conn, head *http.Response) {
 	if used.reader.Buffered() > 0 {
-		c.load.breach(checker.MisdeliveredAnswer, "bytes came after a whole answer from %s", used.address)
+		c.load.report(checker.MisdeliveredAnswer, "bytes came after a whole answer from %s", used.address)
 		used.Close()
 		return
 	}
-	if head.Close || !c.keeps {
+	if head.Close || !c.keepsConnections {
 		used.Close()
 		return
 	}
-	used.until = time.Time{}
+	used.idleUntil = time.Time{}
 	for field := range strings.SplitSeq(head.Header.Get("Keep-Alive"), ",") {
 		if text, is := strings.CutPrefix(strings.TrimSpace(field), "timeout="); is {
 			if s, err := strconv.Atoi(text); err == nil {
-				used.until = time.Now().Add(time.Duration(s) * time.Second)
+				used.idleUntil = time.Now().Add(time.Duration(s) * time.Second)
 			}
 		}
 	}
--- a/internal/testkit/client/lookup.go
+++ b/internal/testkit/client/lookup.go
@@ -23,47 +23,47 @@
 // errNoAddress says that no address is known.
 var errNoAddress = errors.New("no directory answers, and no address is known from before")
 
-// address picks where a new connection goes.
-func (c *client) address(ctx context.Context, host string) (string, error) {
+// pickAddress picks where a new connection goes.
+func (c *client) pickAddress(ctx context.Context, host string) (string, error) {
 	if front := c.load.options.FixedAddress; front != "" {
 		return front, nil
 	}
-	c.refresh(ctx, host)
+	c.refreshAddresses(ctx, host)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if len(c.addresses) == 0 {
 		return "", errNoAddress
 	}
-	good := slices.DeleteFunc(slices.Clone(c.addresses), func(a string) bool { return c.failed[a] })
+	good := slices.DeleteFunc(slices.Clone(c.addresses), func(a string) bool { return c.failedAddresses[a] })
 	if len(good) == 0 {
 		good = c.addresses
-		c.failed = nil
+		c.failedAddresses = nil
 	}
-	return good[c.load.number(len(good))], nil
+	return good[c.load.randomBelow(len(good))], nil
 }
 
-// refresh asks the directory if the last answer is too old. Without a new one, the old one goes on.
-func (c *client) refresh(ctx context.Context, host string) {
+// refreshAddresses asks the directory if the last answer is too old. Without a new one, the old one goes on.
+func (c *client) refreshAddresses(ctx context.Context, host string) {
 	c.mutex.Lock()
-	fresh := time.Now().Before(c.until)
+	fresh := time.Now().Before(c.addressesExpireAt)
 	c.mutex.Unlock()
 	if fresh {
 		return
 	}
 	directories := c.load.options.Directories(c.zone)
-	for i := range min(lookups, len(directories)) {
+	for i := range min(maxLookups, len(directories)) {
 		found, err := c.lookup(ctx, directories[i].String(), host)
-		c.load.tally.lookup(err)
+		c.load.stats.recordLookup(err)
 		if err != nil {
 			continue
 		}
-		c.learn(found)
+		c.storeAddresses(found)
 		return
 	}
 }
 
 func (c *client) lookup(ctx context.Context, directory, host string) (*lookupAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, lookupWait)
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	query := url.Values{"name": {host}, "region": {c.region}, "zone": {c.zone}}
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+directory+lookupPath+"?"+query.Encode(), nil)
@@ -88,16 +88,16 @@
 	return &found, nil
 }
 
-// learn takes an answer; connections to addresses that it lacks are not used again.
-func (c *client) learn(found *lookupAnswer) {
+// storeAddresses takes an answer; connections to addresses that it lacks are not used again.
+func (c *client) storeAddresses(found *lookupAnswer) {
 	ttl := time.Duration(found.TTL * float64(time.Second))
 	if most := c.load.options.MaxTTL; most > 0 {
 		ttl = min(ttl, most)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.addresses, c.failed = found.Addresses, nil
-	c.until = time.Now().Add(ttl * time.Duration(c.hold))
+	c.addresses, c.failedAddresses = found.Addresses, nil
+	c.addressesExpireAt = time.Now().Add(ttl * time.Duration(c.ttlMultiple))
 	c.idle = slices.DeleteFunc(c.idle, func(idle *conn) bool {
 		gone := !slices.Contains(found.Addresses, idle.address)
 		if gone {
@@ -107,12 +107,12 @@
 	})
 }
 
-// avoid remembers an address that has failed.
-func (c *client) avoid(address string) {
+// markFailed remembers an address that has failed.
+func (c *client) markFailed(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.failed == nil {
-		c.failed = make(map[string]bool)
+	if c.failedAddresses == nil {
+		c.failedAddresses = make(map[string]bool)
 	}
-	c.failed[address] = true
+	c.failedAddresses[address] = true
 }
--- a/internal/testkit/client/stream.go
+++ b/internal/testkit/client/stream.go
@@ -13,34 +13,34 @@
 	"cinderroad/internal/testkit/checker"
 )
 
-// errOrder says that a piece is missing, comes twice or is of another run.
-var errOrder = errors.New("order")
+// errStreamOrder says that a piece is missing, comes twice or is of another run.
+var errStreamOrder = errors.New("order")
 
 // readStream reads events until the stream ends.
-func (c *call) readStream(conn *conn, head *http.Response, seal answer.Seal, id string) verdict {
+func (c *callState) readStream(conn *conn, head *http.Response, seal answer.Seal, id string) attemptResult {
 	if !seal.Stream || seal.AttemptID != id {
-		c.client.load.breach(checker.MisdeliveredAnswer, "the seal of try %s came for try %s", seal.AttemptID, id)
+		c.client.load.report(checker.MisdeliveredAnswer, "the seal of try %s came for try %s", seal.AttemptID, id)
 	}
-	if c.of != 0 && seal.Size != c.of {
-		c.client.load.breach(checker.StreamOrder, "try %s goes on with %d pieces where there were %d", id, seal.Size, c.of)
+	if c.totalEvents != 0 && seal.Size != c.totalEvents {
+		c.client.load.report(checker.StreamOrder, "try %s goes on with %d pieces where there were %d", id, seal.Size, c.totalEvents)
 	}
-	c.of = seal.Size
-	c.run = ""
+	c.totalEvents = seal.Size
+	c.executionID = ""
 	err := c.readEvents(conn, bufio.NewReader(head.Body), id)
 	switch {
-	case errors.Is(err, errOrder):
-		c.client.load.breach(checker.StreamOrder, "%v", err)
-		return failed
+	case errors.Is(err, errStreamOrder):
+		c.client.load.report(checker.StreamOrder, "%v", err)
+		return attemptFailed
 	case err != nil:
-		return c.broken(conn, err)
-	case c.events < c.of:
-		c.client.load.breach(checker.StreamOrder, "the stream of try %s ended as complete after piece %d of %d", id, c.events, c.of)
-		return failed
+		return c.connectionFailed(conn, err)
+	case c.events < c.totalEvents:
+		c.client.load.report(checker.StreamOrder, "the stream of try %s ended as complete after piece %d of %d", id, c.events, c.totalEvents)
+		return attemptFailed
 	}
-	return served
+	return succeeded
 }
 
-func (c *call) readEvents(conn *conn, lines *bufio.Reader, id string) error {
+func (c *callState) readEvents(conn *conn, lines *bufio.Reader, id string) error {
 	eventID := ""
 	for {
 		line, err := lines.ReadString('\n')
@@ -58,32 +58,32 @@
 		if !is {
 			continue
 		}
-		if err := c.event(eventID, data, id); err != nil {
+		if err := c.handleEvent(eventID, data, id); err != nil {
 			return err
 		}
-		conn.SetDeadline(c.patience())
+		conn.SetDeadline(c.readDeadline())
 	}
 }
 
-// event takes a piece.
-func (c *call) event(eventID, data, id string) error {
+// handleEvent takes a piece.
+func (c *callState) handleEvent(eventID, data, id string) error {
 	event, err := answer.ParseEvent(eventID, data)
 	if err != nil {
-		return fmt.Errorf("%w: try %s: %w", errOrder, id, err)
+		return fmt.Errorf("%w: try %s: %w", errStreamOrder, id, err)
 	}
-	if event.Index != c.events+1 || event.Total != c.of {
-		return fmt.Errorf("%w: try %s: piece %d of %d came after %d of %d", errOrder, id, event.Index, event.Total, c.events,
-			c.of)
+	if event.Index != c.events+1 || event.Total != c.totalEvents {
+		return fmt.Errorf("%w: try %s: piece %d of %d came after %d of %d", errStreamOrder, id, event.Index, event.Total, c.events,
+			c.totalEvents)
 	}
-	if c.run != "" && event.ExecutionID != c.run && !c.Route.Resumable {
-		return fmt.Errorf("%w: try %s: a piece of run %s came after one of run %s", errOrder, id, event.ExecutionID, c.run)
+	if c.executionID != "" && event.ExecutionID != c.executionID && !c.Route.Resumable {
+		return fmt.Errorf("%w: try %s: a piece of run %s came after one of run %s", errStreamOrder, id, event.ExecutionID, c.executionID)
 	}
 	now := time.Now()
 	if c.events == 0 {
-		c.first = now.Sub(c.began)
+		c.firstLatency = now.Sub(c.started)
 	} else {
-		c.gap = max(c.gap, now.Sub(c.heard))
+		c.longestGap = max(c.longestGap, now.Sub(c.lastEventAt))
 	}
-	c.events, c.run, c.heard = event.Index, event.ExecutionID, now
+	c.events, c.executionID, c.lastEventAt = event.Index, event.ExecutionID, now
 	return nil
 }
--- a/internal/testkit/client/tally.go
+++ b/internal/testkit/client/tally.go
@@ -23,16 +23,16 @@
 	Name                                  string
 	Calls, InTime, Late, Rejected, Failed int
 	ClientErrors                          int
-	firsts                                []time.Duration
+	latencies                             []time.Duration
 }
 
 // LatencyQuantile is a quantile of the times to the first event.
-func (t *RouteStats) LatencyQuantile(q float64) time.Duration {
-	if len(t.firsts) == 0 {
+func (t *RouteStats) LatencyQuantile(quantile float64) time.Duration {
+	if len(t.latencies) == 0 {
 		return 0
 	}
-	sorted := slices.Sorted(slices.Values(t.firsts))
-	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
+	sorted := slices.Sorted(slices.Values(t.latencies))
+	return sorted[min(len(sorted)-1, int(quantile*float64(len(sorted))))]
 }
 
 // Stats counts over all calls.
@@ -46,38 +46,38 @@
 	Statuses        map[int]int // of answers that were no success
 }
 
-// tally is where clients count.
-type tally struct {
+// statsRecorder is where clients count.
+type statsRecorder struct {
 	mutex  sync.Mutex
 	routes map[string]*RouteStats
 	total  Stats
 }
 
-func (t *tally) route(name string) *RouteStats {
-	r := t.routes[name]
+func (s *statsRecorder) route(name string) *RouteStats {
+	r := s.routes[name]
 	if r == nil {
 		r = &RouteStats{Name: name}
-		t.routes[name] = r
+		s.routes[name] = r
 	}
 	return r
 }
 
-func (t *tally) add(route *Route, o Outcome, first time.Duration) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	r := t.route(route.Name)
+func (s *statsRecorder) recordOutcome(route *Route, o Outcome, first time.Duration) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	r := s.route(route.Name)
 	r.Calls++
-	t.total.Calls++
+	s.total.Calls++
 	if first > 0 {
-		r.firsts = append(r.firsts, first)
+		r.latencies = append(r.latencies, first)
 	}
 	switch o {
 	case InTime:
 		r.InTime++
-		t.total.Served++
+		s.total.Served++
 	case Late:
 		r.Late++
-		t.total.Served++
+		s.total.Served++
 	case Rejected:
 		r.Rejected++
 	default:
@@ -85,17 +85,19 @@
 	}
 }
 
-func (t *tally) change(alter func(*Stats)) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	alter(&t.total)
+func (s *statsRecorder) update(alter func(*Stats)) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	alter(&s.total)
 }
 
-func (t *tally) retried()   { t.change(func(total *Stats) { total.Retries++ }) }
-func (t *tally) unreached() { t.change(func(total *Stats) { total.ConnectFailures++ }) }
+func (s *statsRecorder) recordRetry() { s.update(func(total *Stats) { total.Retries++ }) }
+func (s *statsRecorder) recordConnectFailure() {
+	s.update(func(total *Stats) { total.ConnectFailures++ })
+}
 
-func (t *tally) lookup(err error) {
-	t.change(func(total *Stats) {
+func (s *statsRecorder) recordLookup(err error) {
+	s.update(func(total *Stats) {
 		total.Lookups++
 		if err != nil {
 			total.FailedLookups++
@@ -103,8 +105,8 @@
 	})
 }
 
-func (t *tally) status(status int) {
-	t.change(func(total *Stats) {
+func (s *statsRecorder) recordStatus(status int) {
+	s.update(func(total *Stats) {
 		if total.Statuses == nil {
 			total.Statuses = make(map[int]int)
 		}
@@ -112,24 +114,24 @@
 	})
 }
 
-func (t *tally) deny(route string, _ int) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.route(route).ClientErrors++
+func (s *statsRecorder) recordClientError(route string, _ int) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.route(route).ClientErrors++
 }
 
 // Stats returns the counts so far.
-func (l *LoadGenerator) Stats() Stats {
-	l.tally.mutex.Lock()
-	defer l.tally.mutex.Unlock()
-	total := l.tally.total
+func (g *LoadGenerator) Stats() Stats {
+	g.stats.mutex.Lock()
+	defer g.stats.mutex.Unlock()
+	total := g.stats.total
 	total.Statuses = make(map[int]int)
-	for status, n := range l.tally.total.Statuses {
+	for status, n := range g.stats.total.Statuses {
 		total.Statuses[status] = n
 	}
-	for _, r := range l.tally.routes {
+	for _, r := range g.stats.routes {
 		one := *r
-		one.firsts = slices.Clone(r.firsts)
+		one.latencies = slices.Clone(r.latencies)
 		total.Routes = append(total.Routes, one)
 	}
 	slices.SortFunc(total.Routes, func(a, b RouteStats) int {
@@ -142,6 +144,6 @@
 }
 
 // String is the counts on one line.
-func (t *Stats) String() string {
-	return fmt.Sprintf("calls=%d served=%d retries=%d unreached=%d", t.Calls, t.Served, t.Retries, t.ConnectFailures)
+func (s *Stats) String() string {
+	return fmt.Sprintf("calls=%d served=%d retries=%d unreached=%d", s.Calls, s.Served, s.Retries, s.ConnectFailures)
 }
--- a/internal/testkit/engine/cold.go
+++ b/internal/testkit/engine/cold.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// coldWindow is the span in which the requests of a cold runner are counted.
-const coldWindow = time.Second
+// slowStartWindow is the span in which the requests of a cold runner are counted.
+const slowStartWindow = time.Second
 
 // SlowStart watches how a runner that is cold is treated: it bears some requests a second, and falls over well above that.
 type SlowStart struct {
@@ -12,10 +12,10 @@
 	Allowance     float64 // requests beyond that
 	CrashMultiple float64 // multiple of Rate at which it falls over; 0: it does not
 
-	until    time.Duration
-	arrivals []time.Duration // within the window, the oldest first
-	worst    int
-	broken   int
+	until        time.Duration
+	arrivals     []time.Duration // within the window, the oldest first
+	peakArrivals int
+	violations   int
 }
 
 // Begin makes it cold until a time.
@@ -28,25 +28,25 @@
 func (c *SlowStart) Remaining(now time.Duration) time.Duration { return max(0, c.until-now) }
 
 // RecordArrival counts a request; it says whether the runner falls over.
-func (c *SlowStart) RecordArrival(now time.Duration) (fell bool) {
+func (c *SlowStart) RecordArrival(now time.Duration) (crashes bool) {
 	if c.Remaining(now) == 0 || c.Rate <= 0 {
 		return false
 	}
 	first := 0
-	for first < len(c.arrivals) && c.arrivals[first] <= now-coldWindow {
+	for first < len(c.arrivals) && c.arrivals[first] <= now-slowStartWindow {
 		first++
 	}
 	c.arrivals = append(c.arrivals[:copy(c.arrivals, c.arrivals[first:])], now)
 	n := len(c.arrivals)
-	c.worst = max(c.worst, n)
+	c.peakArrivals = max(c.peakArrivals, n)
 	if float64(n) > c.Rate*c.MaxMultiple+c.Allowance {
-		c.broken++
+		c.violations++
 	}
 	return c.CrashMultiple > 0 && float64(n) > c.Rate*c.CrashMultiple
 }
 
 // PeakArrivals is the largest number of requests that came within a second while it was cold.
-func (c *SlowStart) PeakArrivals() int { return c.worst }
+func (c *SlowStart) PeakArrivals() int { return c.peakArrivals }
 
 // Violations counts the requests above what callers may send.
-func (c *SlowStart) Violations() int { return c.broken }
+func (c *SlowStart) Violations() int { return c.violations }
--- a/internal/testkit/engine/engine.go
+++ b/internal/testkit/engine/engine.go
@@ -52,8 +52,8 @@
 	CachedTokens    int // prompt tokens that were kept when it was admitted for the first time
 	Preemptions     int // times
 	sequence        uint64
-	plan            plan
-	holds           holding
+	progress        taskProgress
+	memory          taskMemory
 	admissions      int // times that it got a place
 }
 
@@ -133,10 +133,10 @@
 }
 
 const (
-	defaultBlock = 16
-	defaultChunk = 2048
-	kilo         = 1000
-	mega         = 1e6
+	defaultBlockTokens          = 16
+	defaultPrefillTokensPerStep = 2048
+	tokensPerKilotoken          = 1000
+	pairsPerMegapair            = 1e6
 )
 
 // Validate says what is wrong with the options.
@@ -156,12 +156,12 @@
 	return nil
 }
 
-func (o *Options) fill() {
+func (o *Options) setDefaults() {
 	if o.BlockTokens == 0 {
-		o.BlockTokens = defaultBlock
+		o.BlockTokens = defaultBlockTokens
 	}
 	if o.PrefillTokensPerStep == 0 {
-		o.PrefillTokensPerStep = defaultChunk
+		o.PrefillTokensPerStep = defaultPrefillTokensPerStep
 	}
 	if o.EventTokens == 0 {
 		o.EventTokens = 1
@@ -172,7 +172,7 @@
 // by piece within the same steps. Parts of prompts stay in memory until others need the room.
 type Engine struct {
 	options  Options
-	slow     float64 // multiple of every step's time
+	slowdown float64 // multiple of every step's time
 	memory   *memory
 	running  []*Task // by urgency, then by age
 	waiting  []*Task // the same
@@ -181,7 +181,7 @@
 	stepEnd  time.Duration
 	sequence uint64
 	events   []Event
-	told     []Event // what the last call of Advance returned
+	returned []Event // what the last call of Advance returned
 	state    State
 }
 
@@ -192,41 +192,41 @@
 	if err := o.Validate(); err != nil {
 		return nil, err
 	}
-	o.fill()
-	return &Engine{options: o, slow: 1, memory: newMemory(o.MemoryTokens, o.BlockTokens)}, nil
+	o.setDefaults()
+	return &Engine{options: o, slowdown: 1, memory: newMemory(o.MemoryTokens, o.BlockTokens)}, nil
 }
 
 // SetSlowdown makes each step take so many times as long from the next one on, as just after a start.
-func (e *Engine) SetSlowdown(factor float64) { e.slow = factor }
+func (e *Engine) SetSlowdown(factor float64) { e.slowdown = factor }
 
 // Submit implements Machine. A request larger than the memory is rejected as though the engine were full.
 func (e *Engine) Submit(now time.Duration, r *Request) (*Task, bool) {
-	e.step(now)
+	e.runSteps(now)
 	full := len(e.waiting)+len(e.running) >= e.options.MaxRunning+e.options.MaxQueued
-	if full || e.need(r) > e.memory.size {
+	if full || e.memoryNeed(r) > e.memory.size {
 		e.state.Rejected++
 		return nil, false
 	}
 	e.sequence++
-	task := &Task{Request: r, GeneratedTokens: r.ResumedTokens, EventsSent: e.eventsIn(r.ResumedTokens), sequence: e.sequence}
+	task := &Task{Request: r, GeneratedTokens: r.ResumedTokens, EventsSent: e.completeEvents(r.ResumedTokens), sequence: e.sequence}
 	e.waiting = insert(e.waiting, task)
 	if !e.stepping {
-		e.begin(now)
+		e.beginStep(now)
 	}
 	return task, true
 }
 
-// need is the room that a request takes when it is nearly done.
-func (e *Engine) need(r *Request) int {
-	room := e.memory.blocks(max(r.OutputTokens, r.ResumedTokens+1))
+// memoryNeed is the room that a request takes when it is nearly done.
+func (e *Engine) memoryNeed(r *Request) int {
+	room := e.memory.roundUp(max(r.OutputTokens, r.ResumedTokens+1))
 	for _, part := range r.Chunks {
-		room += e.memory.blocks(part.Tokens)
+		room += e.memory.roundUp(part.Tokens)
 	}
 	return room
 }
 
-// eventsIn is how many whole events so many tokens make.
-func (e *Engine) eventsIn(tokens int) int { return tokens / e.options.EventTokens }
+// completeEvents is how many whole events so many tokens make.
+func (e *Engine) completeEvents(tokens int) int { return tokens / e.options.EventTokens }
 
 // EventCount is how many events an answer of so many tokens has.
 func (e *Engine) EventCount(tokens int) int {
@@ -235,15 +235,15 @@
 
 // Cancel implements Machine.
 func (e *Engine) Cancel(now time.Duration, t *Task) {
-	e.step(now)
+	e.runSteps(now)
 	if t.Ended {
 		return
 	}
-	e.drop(t)
+	e.removeTask(t)
 }
 
-// drop takes a task out of wherever it is.
-func (e *Engine) drop(t *Task) {
+// removeTask takes a task out of wherever it is.
+func (e *Engine) removeTask(t *Task) {
 	t.Ended = true
 	e.memory.release(t)
 	e.running = remove(e.running, t)
@@ -252,9 +252,9 @@
 
 // Advance implements Machine.
 func (e *Engine) Advance(now time.Duration) []Event {
-	e.step(now)
-	e.told, e.events = e.events, e.told[:0]
-	return e.told
+	e.runSteps(now)
+	e.returned, e.events = e.events, e.returned[:0]
+	return e.returned
 }
 
 // Next implements Machine.
@@ -267,11 +267,11 @@
 
 // Stop implements Machine. What was kept is gone.
 func (e *Engine) Stop(now time.Duration) []Event {
-	e.step(now)
+	e.runSteps(now)
 	for _, tasks := range [][]*Task{e.running, e.waiting} {
 		for _, t := range tasks {
 			t.Ended = true
-			e.tell(now, Lost, t, 0)
+			e.addEvent(now, Lost, t, 0)
 		}
 	}
 	e.running, e.waiting, e.stepping = nil, nil, false
@@ -283,10 +283,10 @@
 func (e *Engine) State() State {
 	s := e.state
 	s.Queued, s.Running = len(e.waiting), len(e.running)
-	s.MemoryPinned, s.MemoryCached, s.MemorySize = e.memory.pinned, e.memory.kept, e.memory.size
+	s.MemoryPinned, s.MemoryCached, s.MemorySize = e.memory.pinned, e.memory.cached, e.memory.size
 	return s
 }
 
-func (e *Engine) tell(at time.Duration, kind Kind, t *Task, index int) {
+func (e *Engine) addEvent(at time.Duration, kind Kind, t *Task, index int) {
 	e.events = append(e.events, Event{At: at, Kind: kind, Task: t, Index: index})
 }
--- a/internal/testkit/engine/engine_test.go
+++ b/internal/testkit/engine/engine_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// small is an engine whose times are easy to reckon: a step of 10 ms, and 10 prompt tokens a millisecond.
-func small() Options {
+// smallOptions is an engine whose times are easy to reckon: a step of 10 ms, and 10 prompt tokens a millisecond.
+func smallOptions() Options {
 	return Options{MaxRunning: 2, MaxQueued: 2, MemoryTokens: 1000, BlockTokens: 10, StepTime: 10 * time.Millisecond,
 		PrefillTokensPerMS: 10, PrefillTokensPerStep: 100, EventTokens: 2}
 }
@@ -31,8 +31,8 @@
 	return task
 }
 
-// play runs a machine until nothing is left to happen.
-func play(m Server) (events []Event) {
+// runToEnd runs a machine until nothing is left to happen.
+func runToEnd(m Server) (events []Event) {
 	for {
 		at, is := m.Next()
 		if !is {
@@ -63,10 +63,10 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-func TestARequestAloneReadsItsPromptAndGenerates(t *testing.T) {
-	e := newEngine(t, small())
+func TestSingleRequestPrefillAndDecode(t *testing.T) {
+	e := newEngine(t, smallOptions())
 	task := submit(t, e, 0, &Request{Chunks: []Chunk{{1, 100}, {2, 50}}, OutputTokens: 5, Priority: 5})
-	events := play(e)
+	events := runToEnd(e)
 	// 100 tokens: 10 + 10 ms; 50 tokens: 10 + 5 ms and the first token; then 4 steps.
 	if at := when(events, task, Started); at != ms(35) {
 		t.Errorf("started at %v, want 35 ms", at)
@@ -79,12 +79,12 @@
 	}
 }
 
-func TestKeptPartsAreNotReadAgain(t *testing.T) {
-	e := newEngine(t, small())
+func TestCachedChunksAreNotPrefilledAgain(t *testing.T) {
+	e := newEngine(t, smallOptions())
 	submit(t, e, 0, &Request{Chunks: []Chunk{{1, 100}, {2, 50}}, OutputTokens: 1})
-	play(e)
+	runToEnd(e)
 	second := submit(t, e, ms(100), &Request{Chunks: []Chunk{{1, 100}, {3, 20}}, OutputTokens: 1})
-	events := play(e)
+	events := runToEnd(e)
 	if second.CachedTokens != 100 {
 		t.Errorf("%d tokens were kept, want 100", second.CachedTokens)
 	}
@@ -92,31 +92,31 @@
 		t.Errorf("started at %v, want 112 ms", at)
 	}
 	other := submit(t, e, ms(200), &Request{Model: "other", Chunks: []Chunk{{1, 100}}, OutputTokens: 1})
-	play(e)
+	runToEnd(e)
 	if other.CachedTokens != 0 {
 		t.Errorf("a part kept for another model was used")
 	}
 }
 
-func TestAPartIsOfUseOnlyBehindTheSameParts(t *testing.T) {
-	e := newEngine(t, small())
+func TestCacheMatchesPrefixesOnly(t *testing.T) {
+	e := newEngine(t, smallOptions())
 	submit(t, e, 0, &Request{Chunks: []Chunk{{1, 100}, {2, 50}}, OutputTokens: 1})
-	play(e)
+	runToEnd(e)
 	task := submit(t, e, ms(100), &Request{Chunks: []Chunk{{2, 50}}, OutputTokens: 1})
-	play(e)
+	runToEnd(e)
 	if task.CachedTokens != 0 {
 		t.Errorf("%d tokens were kept, want none", task.CachedTokens)
 	}
 }
 
-func TestPartsUnusedForLongestGiveWay(t *testing.T) {
-	o := small()
+func TestLeastRecentlyUsedChunksAreEvicted(t *testing.T) {
+	o := smallOptions()
 	o.MemoryTokens = 300
 	e := newEngine(t, o)
 	at := time.Duration(0)
 	for _, id := range []uint64{1, 2, 1, 3} { // 3 needs the room of 2
 		submit(t, e, at, &Request{Chunks: []Chunk{{id, 100}}, OutputTokens: 1})
-		play(e)
+		runToEnd(e)
 		at += time.Second
 	}
 	for _, want := range []struct {
@@ -124,7 +124,7 @@
 		cached int
 	}{{1, 100}, {3, 100}, {2, 0}} {
 		task := submit(t, e, at, &Request{Chunks: []Chunk{{want.id, 100}}, OutputTokens: 1})
-		play(e)
+		runToEnd(e)
 		if task.CachedTokens != want.cached {
 			t.Errorf("part %d: %d tokens were kept, want %d", want.id, task.CachedTokens, want.cached)
 		}
@@ -132,14 +132,14 @@
 	}
 }
 
-func TestTheNewestOfTheLeastUrgentIsPreemptedWhenMemoryRunsOut(t *testing.T) {
-	o := small()
+func TestMemoryPressurePreemptsNewestOfLowestPriority(t *testing.T) {
+	o := smallOptions()
 	o.MaxRunning, o.MemoryTokens = 3, 240
 	e := newEngine(t, o)
 	urgent := submit(t, e, 0, &Request{Chunks: []Chunk{{1, 50}}, OutputTokens: 60, Priority: 1})
 	older := submit(t, e, 0, &Request{Chunks: []Chunk{{2, 50}}, OutputTokens: 60, Priority: 5})
 	newest := submit(t, e, 0, &Request{Chunks: []Chunk{{3, 50}}, OutputTokens: 60, Priority: 5})
-	events := play(e)
+	events := runToEnd(e)
 	if urgent.Preemptions != 0 || older.Preemptions != 0 || newest.Preemptions == 0 {
 		t.Errorf("preempted %d, %d and %d times, want only the last", urgent.Preemptions, older.Preemptions, newest.Preemptions)
 	}
@@ -150,13 +150,13 @@
 	}
 }
 
-func TestAnUrgentRequestTakesThePlaceOfALessUrgentOne(t *testing.T) {
-	e := newEngine(t, small())
+func TestHigherPriorityPreemptsLower(t *testing.T) {
+	e := newEngine(t, smallOptions())
 	a := submit(t, e, 0, &Request{Chunks: []Chunk{{1, 10}}, OutputTokens: 50, Priority: 5})
 	b := submit(t, e, 0, &Request{Chunks: []Chunk{{2, 10}}, OutputTokens: 50, Priority: 5})
 	urgent := submit(t, e, ms(100), &Request{Chunks: []Chunk{{3, 10}}, OutputTokens: 1, Priority: 0})
 	same := submit(t, e, ms(100), &Request{Chunks: []Chunk{{4, 10}}, OutputTokens: 1, Priority: 5})
-	events := play(e)
+	events := runToEnd(e)
 	if a.Preemptions != 0 || b.Preemptions != 1 {
 		t.Errorf("preempted %d and %d times, want the newer once", a.Preemptions, b.Preemptions)
 	}
@@ -169,13 +169,13 @@
 }
 
 func TestDeadlines(t *testing.T) {
-	e := newEngine(t, small())
+	e := newEngine(t, smallOptions())
 	for range 2 {
 		submit(t, e, 0, &Request{Chunks: []Chunk{{1, 10}}, OutputTokens: 20})
 	}
 	waits := submit(t, e, 0, &Request{Chunks: []Chunk{{3, 10}}, OutputTokens: 1, Deadline: ms(50)})
 	runs := submit(t, e, 0, &Request{Chunks: []Chunk{{4, 10}}, OutputTokens: 500, Deadline: ms(700)})
-	events := play(e)
+	events := runToEnd(e)
 	if when(events, waits, Expired) < 0 || waits.Executed {
 		t.Errorf("the one that waited has not expired")
 	}
@@ -185,23 +185,23 @@
 }
 
 func TestFullEngineRejects(t *testing.T) {
-	e := newEngine(t, small())
+	e := newEngine(t, smallOptions())
 	for i := range 4 {
 		submit(t, e, 0, &Request{Chunks: []Chunk{{uint64(i), 10}}, OutputTokens: 5})
 	}
 	if _, taken := e.Submit(0, &Request{Chunks: []Chunk{{9, 10}}, OutputTokens: 5}); taken {
 		t.Error("one more than the places was taken")
 	}
-	play(e)
+	runToEnd(e)
 	if _, taken := e.Submit(time.Second, &Request{Chunks: []Chunk{{9, 2000}}, OutputTokens: 5}); taken {
 		t.Error("a request larger than the memory was taken")
 	}
 }
 
-func TestAContinuedRequestSendsOnlyTheRest(t *testing.T) {
-	e := newEngine(t, small())
+func TestResumedRequestEmitsRemainingEvents(t *testing.T) {
+	e := newEngine(t, smallOptions())
 	task := submit(t, e, 0, &Request{Chunks: []Chunk{{1, 10}}, OutputTokens: 10, ResumedTokens: 6})
-	events := play(e)
+	events := runToEnd(e)
 	if n := count(events, task, Emitted); n != 2 {
 		t.Errorf("%d events, want 2", n)
 	}
@@ -212,8 +212,8 @@
 	}
 }
 
-func TestStopLosesEverything(t *testing.T) {
-	e := newEngine(t, small())
+func TestStopEndsAllTasksAsLost(t *testing.T) {
+	e := newEngine(t, smallOptions())
 	task := submit(t, e, 0, &Request{Chunks: []Chunk{{1, 10}}, OutputTokens: 10})
 	events := e.Stop(ms(30))
 	if when(events, task, Lost) != ms(30) {
@@ -224,11 +224,11 @@
 	}
 }
 
-// TestEngineKeepsItsBooks submits, cancels and lets time pass at random: memory never exceeds its size and comes back
+// TestEngineInvariants submits, cancels and lets time pass at random: memory never exceeds its size and comes back
 // whole, every task ends, and the events of each are complete and in order.
-func TestEngineKeepsItsBooks(t *testing.T) {
+func TestEngineInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := small()
+		o := smallOptions()
 		o.MaxRunning = rapid.IntRange(1, 5).Draw(t, "slots")
 		o.MemoryTokens = rapid.IntRange(150, 600).Draw(t, "memory")
 		o.StepTimePerRequest, o.StepTimePerKilotoken, o.StepTimePerMegapair = ms(1), ms(1), ms(1)
@@ -256,7 +256,7 @@
 			events = append(events, e.Advance(now)...)
 			checkMemory(t, e)
 		}
-		events = append(events, play(e)...)
+		events = append(events, runToEnd(e)...)
 		checkMemory(t, e)
 		if e.memory.pinned != 0 {
 			t.Fatalf("%d tokens are held by nobody", e.memory.pinned)
@@ -284,15 +284,15 @@
 func checkMemory(t *rapid.T, e *Engine) {
 	own, kept, pinned := 0, 0, 0
 	for _, task := range e.running {
-		own += task.holds.own
+		own += task.memory.ownTokens
 	}
-	var walk func(n *node)
-	walk = func(n *node) {
+	var walk func(n *cacheNode)
+	walk = func(n *cacheNode) {
 		for _, child := range n.children {
 			if child.users == 0 {
-				kept += child.room
+				kept += child.tokens
 			} else {
-				pinned += child.room
+				pinned += child.tokens
 			}
 			walk(child)
 		}
@@ -300,8 +300,8 @@
 	for _, root := range e.memory.models {
 		walk(root)
 	}
-	if e.memory.kept != kept || e.memory.pinned != pinned+own {
-		t.Fatalf("kept %d and pinned %d, but the tree has %d and %d, and tasks %d", e.memory.kept, e.memory.pinned, kept,
+	if e.memory.cached != kept || e.memory.pinned != pinned+own {
+		t.Fatalf("kept %d and pinned %d, but the tree has %d and %d, and tasks %d", e.memory.cached, e.memory.pinned, kept,
 			pinned, own)
 	}
 	if kept+pinned+own > e.memory.size {
@@ -355,19 +355,19 @@
 	if _, taken := w.Submit(ms(2), &Request{Work: ms(10)}); taken {
 		t.Error("a third was taken")
 	}
-	events := play(w)
+	events := runToEnd(w)
 	if when(events, first, Finished) != ms(10) || when(events, second, TimedOut) != ms(15) {
 		t.Errorf("events: %+v", events)
 	}
 	third := submit(t, w, ms(20), &Request{Work: ms(10)})
 	late := submit(t, w, ms(20), &Request{Work: ms(10), Deadline: ms(25)})
-	events = play(w)
+	events = runToEnd(w)
 	if when(events, third, Finished) != ms(30) || when(events, late, Expired) != ms(30) || late.Executed {
 		t.Errorf("events: %+v", events)
 	}
 }
 
-func TestColdRunnerCountsWhatComes(t *testing.T) {
+func TestSlowStartArrivals(t *testing.T) {
 	c := SlowStart{Rate: 2, MaxMultiple: 1.5, Allowance: 1, CrashMultiple: 4}
 	c.Begin(10 * time.Second)
 	fell := 0
--- a/internal/testkit/engine/order.go
+++ b/internal/testkit/engine/order.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// before says whether a task goes before another: the more urgent first, then the older.
-func before(a, b *Task) bool {
+// runsBefore says whether a task goes before another: the more urgent first, then the older.
+func runsBefore(a, b *Task) bool {
 	if a.Request.Priority != b.Request.Priority {
 		return a.Request.Priority < b.Request.Priority
 	}
@@ -13,7 +13,7 @@
 // insert puts a task in its place among others.
 func insert(tasks []*Task, t *Task) []*Task {
 	i := len(tasks)
-	for i > 0 && before(t, tasks[i-1]) {
+	for i > 0 && runsBefore(t, tasks[i-1]) {
 		i--
 	}
 	return slices.Insert(tasks, i, t)
--- a/internal/testkit/engine/step.go
+++ b/internal/testkit/engine/step.go
@@ -2,125 +2,125 @@
 
 import "time"
 
-// plan is how far a running task has got.
-type plan struct {
-	part    int  // of the prompt, that is read next
-	read    int  // tokens of that part
-	again   int  // generated tokens that are still to be read again
-	context int  // tokens that are in memory
-	room    int  // tokens that the generated ones may take in what is held
-	now     int  // prompt tokens that the current step reads
-	decodes bool // it had its whole prompt when the step began
+// taskProgress is how far a running task has got.
+type taskProgress struct {
+	nextChunk       int  // of the prompt, that is read next
+	chunkTokensRead int  // tokens of that part
+	tokensToReread  int  // generated tokens that are still to be read again
+	contextTokens   int  // tokens that are in memory
+	generationRoom  int  // tokens that the generated ones may take in what is held
+	stepPrefill     int  // prompt tokens that the current step reads
+	decoding        bool // it had its whole prompt when the step began
 }
 
-// reading says whether the prompt is not read whole yet.
-func (t *Task) reading() bool {
-	return t.plan.part < len(t.Request.Chunks) || t.plan.again > 0
+// prefilling says whether the prompt is not read whole yet.
+func (t *Task) prefilling() bool {
+	return t.progress.nextChunk < len(t.Request.Chunks) || t.progress.tokensToReread > 0
 }
 
-// step plays all steps that end until a time.
-func (e *Engine) step(now time.Duration) {
+// runSteps plays all steps that end until a time.
+func (e *Engine) runSteps(now time.Duration) {
 	for e.stepping && e.stepEnd <= now {
 		at := e.stepEnd
 		e.stepping = false
-		e.finish(at)
-		e.begin(at)
+		e.finishStep(at)
+		e.beginStep(at)
 	}
 }
 
-// begin admits what it can and starts a step, if there is anything to do.
-func (e *Engine) begin(at time.Duration) {
-	e.expire(at)
-	e.admit(at)
-	e.grow(at)
+// beginStep admits what it can and starts a step, if there is anything to do.
+func (e *Engine) beginStep(at time.Duration) {
+	e.expireTasks(at)
+	e.admitTasks(at)
+	e.growMemory(at)
 	if len(e.running) == 0 {
 		return
 	}
 	e.stepping = true
-	e.stepEnd = at + e.schedule()
+	e.stepEnd = at + e.planStep()
 	e.state.Steps++
 }
 
-// expire ends what has passed its deadline.
-func (e *Engine) expire(at time.Duration) {
+// expireTasks ends what has passed its deadline.
+func (e *Engine) expireTasks(at time.Duration) {
 	for _, tasks := range [][]*Task{e.waiting, e.running} {
 		for i := len(tasks) - 1; i >= 0; i-- {
 			t := tasks[i]
 			if t.Request.Deadline == 0 || t.Request.Deadline > at {
 				continue
 			}
-			e.drop(t)
+			e.removeTask(t)
 			kind := Expired
 			if t.Executed {
 				kind = TimedOut
 			}
-			e.tell(at, kind, t, 0)
+			e.addEvent(at, kind, t, 0)
 		}
 	}
 }
 
-// admit gives places to those that wait, the most urgent first. One that is more urgent than a running task takes the
+// admitTasks gives places to those that wait, the most urgent first. One that is more urgent than a running task takes the
 // place of that, or its memory.
-func (e *Engine) admit(at time.Duration) {
+func (e *Engine) admitTasks(at time.Duration) {
 	for len(e.waiting) > 0 {
 		t := e.waiting[0]
-		if !e.makeRoom(at, t) {
+		if !e.preemptFor(at, t) {
 			return
 		}
 		e.waiting = remove(e.waiting, t)
-		e.place(t)
+		e.startTask(t)
 	}
 }
 
-// makeRoom preempts less urgent tasks until there is a place and memory for a task, if that can be.
-func (e *Engine) makeRoom(at time.Duration, t *Task) bool {
-	chain, missing := e.missing(t)
+// preemptFor preempts less urgent tasks until there is a place and memory for a task, if that can be.
+func (e *Engine) preemptFor(at time.Duration, t *Task) bool {
+	chain, missing := e.missingMemory(t)
 	if e.fits(chain, missing) {
 		return true
 	}
-	if !e.couldFit(t, chain, missing) {
+	if !e.fitsAfterPreemption(t, chain, missing) {
 		return false
 	}
 	for !e.fits(chain, missing) {
 		e.preempt(at, e.running[len(e.running)-1])
-		chain, missing = e.missing(t)
+		chain, missing = e.missingMemory(t)
 	}
 	return true
 }
 
-func (e *Engine) fits(chain *node, missing int) bool {
+func (e *Engine) fits(chain *cacheNode, missing int) bool {
 	return len(e.running) < e.options.MaxRunning && missing <= e.memory.available(chain)
 }
 
-// couldFit says whether a task gets in once all running tasks that are less urgent have left.
-func (e *Engine) couldFit(t *Task, chain *node, missing int) bool {
+// fitsAfterPreemption says whether a task gets in once all running tasks that are less urgent have left.
+func (e *Engine) fitsAfterPreemption(t *Task, chain *cacheNode, missing int) bool {
 	room := e.memory.available(chain)
 	slots := e.options.MaxRunning - len(e.running)
 	for _, other := range e.running {
 		if other.Request.Priority > t.Request.Priority {
 			slots++
-			room += other.holds.own
+			room += other.memory.ownTokens
 		}
 	}
 	return slots > 0 && missing <= room
 }
 
-// missing is the deepest kept part of a task's prompt, and the room that the rest of it takes, with its first tokens.
-func (e *Engine) missing(t *Task) (chain *node, room int) {
-	chain, found := find(e.memory.root(t.Request.Model), t.Request.Chunks)
+// missingMemory is the deepest kept part of a task's prompt, and the room that the rest of it takes, with its first tokens.
+func (e *Engine) missingMemory(t *Task) (chain *cacheNode, room int) {
+	chain, found := longestPrefix(e.memory.root(t.Request.Model), t.Request.Chunks)
 	for _, part := range t.Request.Chunks[found:] {
-		room += e.memory.blocks(part.Tokens)
+		room += e.memory.roundUp(part.Tokens)
 	}
-	return chain, room + e.memory.blocks(t.GeneratedTokens+1)
+	return chain, room + e.memory.roundUp(t.GeneratedTokens+1)
 }
 
-// place lets a task run.
-func (e *Engine) place(t *Task) {
-	chain, found := find(e.memory.root(t.Request.Model), t.Request.Chunks)
-	_, room := e.missing(t)
+// startTask lets a task run.
+func (e *Engine) startTask(t *Task) {
+	chain, found := longestPrefix(e.memory.root(t.Request.Model), t.Request.Chunks)
+	_, room := e.missingMemory(t)
 	e.memory.pin(chain)
-	t.holds.shared = chain
-	if !e.memory.take(t, room) {
+	t.memory.cachedPrefix = chain
+	if !e.memory.reserve(t, room) {
 		panic("engine: a task was placed without memory")
 	}
 	context := 0
@@ -132,7 +132,7 @@
 	}
 	t.admissions++
 	t.Admitted = true
-	t.plan = plan{part: found, again: t.GeneratedTokens, context: context, room: e.memory.blocks(t.GeneratedTokens + 1)}
+	t.progress = taskProgress{nextChunk: found, tokensToReread: t.GeneratedTokens, contextTokens: context, generationRoom: e.memory.roundUp(t.GeneratedTokens + 1)}
 	e.running = insert(e.running, t)
 }
 
@@ -143,18 +143,18 @@
 	e.waiting = insert(e.waiting, t)
 	t.Preemptions++
 	e.state.Preemptions++
-	e.tell(at, Preempted, t, 0)
+	e.addEvent(at, Preempted, t, 0)
 }
 
-// grow gives memory to the tasks whose next token needs a block more. If there is none, the newest of the least urgent
+// growMemory gives memory to the tasks whose next token needs a block more. If there is none, the newest of the least urgent
 // tasks is preempted, be it the one that needs it.
-func (e *Engine) grow(at time.Duration) {
+func (e *Engine) growMemory(at time.Duration) {
 	for i := 0; i < len(e.running); i++ {
 		t := e.running[i]
-		if t.GeneratedTokens < t.plan.room {
+		if t.GeneratedTokens < t.progress.generationRoom {
 			continue
 		}
-		for !e.memory.take(t, e.memory.block) {
+		for !e.memory.reserve(t, e.memory.blockTokens) {
 			last := e.running[len(e.running)-1]
 			e.preempt(at, last)
 			if last == t {
@@ -162,117 +162,117 @@
 			}
 		}
 		if i < len(e.running) && e.running[i] == t {
-			t.plan.room += e.memory.block
+			t.progress.generationRoom += e.memory.blockTokens
 		}
 	}
 }
 
-// schedule decides what the next step does, and how long that takes.
-func (e *Engine) schedule() time.Duration {
+// planStep decides what the next step does, and how long that takes.
+func (e *Engine) planStep() time.Duration {
 	budget := e.options.PrefillTokensPerStep
 	context, read := 0, 0
 	pairs := 0.0
 	for _, t := range e.running {
-		context += t.plan.context
-		t.plan.now = 0
-		t.plan.decodes = !t.reading()
-		if t.plan.decodes {
+		context += t.progress.contextTokens
+		t.progress.stepPrefill = 0
+		t.progress.decoding = !t.prefilling()
+		if t.progress.decoding {
 			budget--
 		}
 	}
 	for _, t := range e.running {
-		if t.plan.decodes || budget <= 0 {
+		if t.progress.decoding || budget <= 0 {
 			continue
 		}
-		e.skipKept(t)
-		t.plan.now = min(budget, t.unread())
-		budget -= t.plan.now
-		read += t.plan.now
-		pairs += float64(t.plan.now) * (float64(t.plan.context) + float64(t.plan.now)/2)
+		e.skipCached(t)
+		t.progress.stepPrefill = min(budget, t.unreadTokens())
+		budget -= t.progress.stepPrefill
+		read += t.progress.stepPrefill
+		pairs += float64(t.progress.stepPrefill) * (float64(t.progress.contextTokens) + float64(t.progress.stepPrefill)/2)
 		if e.options.ExclusivePrefill {
 			break
 		}
 	}
 	took := e.options.StepTime + time.Duration(len(e.running))*e.options.StepTimePerRequest
-	took += time.Duration(float64(context) / kilo * float64(e.options.StepTimePerKilotoken))
+	took += time.Duration(float64(context) / tokensPerKilotoken * float64(e.options.StepTimePerKilotoken))
 	took += time.Duration(float64(read) / e.options.PrefillTokensPerMS * float64(time.Millisecond))
-	took += time.Duration(pairs / mega * float64(e.options.StepTimePerMegapair))
-	return time.Duration(float64(took) * e.slow)
+	took += time.Duration(pairs / pairsPerMegapair * float64(e.options.StepTimePerMegapair))
+	return time.Duration(float64(took) * e.slowdown)
 }
 
-// skipKept passes over parts that another task has read meanwhile.
-func (e *Engine) skipKept(t *Task) {
-	for t.plan.read == 0 && t.plan.part < len(t.Request.Chunks) {
-		part := t.Request.Chunks[t.plan.part]
-		kept := t.holds.shared.children[part]
+// skipCached passes over parts that another task has read meanwhile.
+func (e *Engine) skipCached(t *Task) {
+	for t.progress.chunkTokensRead == 0 && t.progress.nextChunk < len(t.Request.Chunks) {
+		part := t.Request.Chunks[t.progress.nextChunk]
+		kept := t.memory.cachedPrefix.children[part]
 		if kept == nil {
 			return
 		}
-		e.memory.giveBack(t, e.memory.blocks(part.Tokens))
-		e.memory.use(t, kept)
-		t.plan.part++
-		t.plan.context += part.Tokens
+		e.memory.free(t, e.memory.roundUp(part.Tokens))
+		e.memory.attach(t, kept)
+		t.progress.nextChunk++
+		t.progress.contextTokens += part.Tokens
 	}
 }
 
-// unread is how many tokens of the prompt are still to be read.
-func (t *Task) unread() int {
-	n := t.plan.again - t.plan.read
-	for _, part := range t.Request.Chunks[t.plan.part:] {
+// unreadTokens is how many tokens of the prompt are still to be read.
+func (t *Task) unreadTokens() int {
+	n := t.progress.tokensToReread - t.progress.chunkTokensRead
+	for _, part := range t.Request.Chunks[t.progress.nextChunk:] {
 		n += part.Tokens
 	}
 	return n
 }
 
-// finish ends a step: prompts have been read a piece further, and each task whose prompt is whole has a token more.
-func (e *Engine) finish(at time.Duration) {
+// finishStep ends a step: prompts have been read a piece further, and each task whose prompt is whole has a token more.
+func (e *Engine) finishStep(at time.Duration) {
 	e.batch = append(e.batch[:0], e.running...)
 	for _, t := range e.batch {
-		if t.plan.now > 0 {
-			e.readOn(at, t)
+		if t.progress.stepPrefill > 0 {
+			e.advancePrefill(at, t)
 		}
-		if !t.reading() {
-			e.generate(at, t)
+		if !t.prefilling() {
+			e.generateToken(at, t)
 		}
 	}
 }
 
-// readOn counts the prompt tokens that a step has read.
-func (e *Engine) readOn(at time.Duration, t *Task) {
-	left := t.plan.now
-	t.plan.now = 0
-	t.plan.context += left
+// advancePrefill counts the prompt tokens that a step has read.
+func (e *Engine) advancePrefill(at time.Duration, t *Task) {
+	left := t.progress.stepPrefill
+	t.progress.stepPrefill = 0
+	t.progress.contextTokens += left
 	e.state.PrefilledTokens += int64(left)
-	for left > 0 && t.plan.part < len(t.Request.Chunks) {
-		part := t.Request.Chunks[t.plan.part]
-		n := min(left, part.Tokens-t.plan.read)
+	for left > 0 && t.progress.nextChunk < len(t.Request.Chunks) {
+		part := t.Request.Chunks[t.progress.nextChunk]
+		n := min(left, part.Tokens-t.progress.chunkTokensRead)
 		left -= n
-		t.plan.read += n
-		if t.plan.read < part.Tokens {
+		t.progress.chunkTokensRead += n
+		if t.progress.chunkTokensRead < part.Tokens {
 			return
 		}
 		e.memory.publish(t, part)
-		e.tell(at, ChunkPrefilled, t, t.plan.part)
-		t.plan.part++
-		t.plan.read = 0
+		e.addEvent(at, ChunkPrefilled, t, t.progress.nextChunk)
+		t.progress.nextChunk++
+		t.progress.chunkTokensRead = 0
 	}
-	t.plan.again -= left
+	t.progress.tokensToReread -= left
 }
 
-// generate gives a task its next token.
-func (e *Engine) generate(at time.Duration, t *Task) {
+// generateToken gives a task its next token.
+func (e *Engine) generateToken(at time.Duration, t *Task) {
 	if !t.Executed {
 		t.Executed = true
-		e.tell(at, Started, t, 0)
+		e.addEvent(at, Started, t, 0)
 	}
 	t.GeneratedTokens++
-	t.plan.context++
+	t.progress.contextTokens++
 	if t.GeneratedTokens%e.options.EventTokens == 0 || t.GeneratedTokens >= t.Request.OutputTokens {
 		t.EventsSent++
-		e.tell(at, Emitted, t, t.EventsSent)
+		e.addEvent(at, Emitted, t, t.EventsSent)
 	}
 	if t.GeneratedTokens >= t.Request.OutputTokens {
-		e.drop(t)
-		e.tell(at, Finished, t, 0)
+		e.removeTask(t)
+		e.addEvent(at, Finished, t, 0)
 	}
 }
--- a/internal/testkit/eventqueue/agenda.go
+++ b/internal/testkit/eventqueue/agenda.go
@@ -5,43 +5,43 @@
 
 // Queue is what is to happen; the zero one is empty.
 type Queue struct {
-	items items
-	seq   int
+	events       eventHeap
+	lastSequence int
 }
 
-type item struct {
-	at  float64
-	seq int
-	do  func()
+type event struct {
+	at       float64
+	sequence int
+	run      func()
 }
 
-type items []item
+type eventHeap []event
 
-func (x items) Len() int { return len(x) }
-func (x items) Less(i, j int) bool {
-	return x[i].at < x[j].at || x[i].at == x[j].at && x[i].seq < x[j].seq
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
-func (x items) Swap(i, j int) { x[i], x[j] = x[j], x[i] }
-func (x *items) Push(v any)   { *x = append(*x, v.(item)) }
-func (x *items) Pop() any {
-	old := *x
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(v any)   { *h = append(*h, v.(event)) }
+func (h *eventHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = item{} // what it holds goes
-	*x = old[:len(old)-1]
+	old[len(old)-1] = event{} // what it holds goes
+	*h = old[:len(old)-1]
 	return last
 }
 
 // Schedule has something happen at a time, seconds.
-func (a *Queue) Schedule(at float64, do func()) {
-	a.seq++
-	heap.Push(&a.items, item{at, a.seq, do})
+func (q *Queue) Schedule(at float64, run func()) {
+	q.lastSequence++
+	heap.Push(&q.events, event{at, q.lastSequence, run})
 }
 
 // PopUntil takes what comes first, if that is until a time.
-func (a *Queue) PopUntil(until float64) (at float64, do func(), is bool) {
-	if len(a.items) == 0 || a.items[0].at > until {
+func (q *Queue) PopUntil(until float64) (at float64, run func(), ok bool) {
+	if len(q.events) == 0 || q.events[0].at > until {
 		return 0, nil, false
 	}
-	first := heap.Pop(&a.items).(item)
-	return first.at, first.do, true
+	first := heap.Pop(&q.events).(event)
+	return first.at, first.run, true
 }
--- a/internal/testkit/fakeplatform/cloud.go
+++ b/internal/testkit/fakeplatform/cloud.go
@@ -23,8 +23,8 @@
 // pagePrefix begins the name of a page, that its first entry's number follows.
 const pagePrefix = "p-"
 
-// callWindow is the span in which calls are counted.
-const callWindow = time.Second
+// rateWindow is the span in which calls are counted.
+const rateWindow = time.Second
 
 // Entry is a runner as it stands on the list.
 type Entry struct {
@@ -58,105 +58,105 @@
 	changes []change // that have not come into sight yet, the oldest first
 	calls   []time.Time
 	stats   Stats
-	down    bool
+	failing bool
 }
 
 // change is an entry that is new, altered or gone.
 type change struct {
-	at    time.Time // when it comes into sight
-	entry Entry
-	gone  bool
+	at      time.Time // when it comes into sight
+	entry   Entry
+	removed bool
 }
 
 // Stats count calls.
 type Stats struct{ Calls, Throttled int }
 
 // Start starts the list.
-func Start(o Options) (*Platform, error) {
-	if o.Now == nil {
-		o.Now = time.Now
+func Start(options Options) (*Platform, error) {
+	if options.Now == nil {
+		options.Now = time.Now
 	}
-	l, err := net.Listen("tcp", o.Address)
+	l, err := net.Listen("tcp", options.Address)
 	if err != nil {
 		return nil, err
 	}
-	c := &Platform{options: o, address: l.Addr().(*net.TCPAddr).AddrPort(), entries: make(map[string]Entry)}
-	c.server = &http.Server{Handler: c, ErrorLog: log.New(io.Discard, "", 0)}
-	go c.server.Serve(l)
-	return c, nil
+	p := &Platform{options: options, address: l.Addr().(*net.TCPAddr).AddrPort(), entries: make(map[string]Entry)}
+	p.server = &http.Server{Handler: p, ErrorLog: log.New(io.Discard, "", 0)}
+	go p.server.Serve(l)
+	return p, nil
 }
 
 // Address is where the list is served.
-func (c *Platform) Address() netip.AddrPort { return c.address }
+func (p *Platform) Address() netip.AddrPort { return p.address }
 
 // Close ends it.
-func (c *Platform) Close() { c.server.Close() }
+func (p *Platform) Close() { p.server.Close() }
 
 // Stats returns the counts.
-func (c *Platform) Stats() Stats {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.stats
+func (p *Platform) Stats() Stats {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.stats
 }
 
 // SetFailing has every call fail, or ends that.
-func (c *Platform) SetFailing(down bool) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.down = down
+func (p *Platform) SetFailing(down bool) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.failing = down
 }
 
 // Set adds or alters an entry; it returns when that comes into sight.
-func (c *Platform) Set(e Entry) time.Time { return c.add(change{entry: e}) }
+func (p *Platform) Set(e Entry) time.Time { return p.addChange(change{entry: e}) }
 
 // Remove takes an entry off; it returns when that comes into sight.
-func (c *Platform) Remove(id string) time.Time {
-	return c.add(change{entry: Entry{ID: id}, gone: true})
+func (p *Platform) Remove(id string) time.Time {
+	return p.addChange(change{entry: Entry{ID: id}, removed: true})
 }
 
-func (c *Platform) add(ch change) time.Time {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	ch.at = c.options.Now().Add(c.options.PropagationDelay)
-	c.changes = append(c.changes, ch)
+func (p *Platform) addChange(ch change) time.Time {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	ch.at = p.options.Now().Add(p.options.PropagationDelay)
+	p.changes = append(p.changes, ch)
 	return ch.at
 }
 
-// instance is an entry on the wire.
-type instance struct {
-	Service  string  `json:"service"`
-	Address  string  `json:"address"`
-	Zone     string  `json:"zone"`
-	Version  string  `json:"version"`
-	Capacity int     `json:"capacity"`
-	State    string  `json:"state"`
-	ColdLeft int64   `json:"cold_left_ms"`
-	TimeLeft *int64  `json:"time_left_ms,omitempty"`
-	Phase    string  `json:"phase,omitempty"`
-	Models   []model `json:"models,omitempty"`
-	ID       string  `json:"id"`
+// instanceDocument is an entry on the wire.
+type instanceDocument struct {
+	Service            string          `json:"service"`
+	Address            string          `json:"address"`
+	Zone               string          `json:"zone"`
+	Version            string          `json:"version"`
+	Capacity           int             `json:"capacity"`
+	State              string          `json:"state"`
+	SlowStartRemaining int64           `json:"cold_left_ms"`
+	TimeToTermination  *int64          `json:"time_left_ms,omitempty"`
+	Phase              string          `json:"phase,omitempty"`
+	Models             []modelDocument `json:"models,omitempty"`
+	ID                 string          `json:"id"`
 }
 
-type model struct {
+type modelDocument struct {
 	Name     string   `json:"name"`
 	Version  int      `json:"version"`
 	Adapters []string `json:"adapters"`
 }
 
-// page is an answer.
-type page struct {
-	Instances []instance `json:"instances"`
-	NextToken *string    `json:"next_token"`
+// pageDocument is an answer.
+type pageDocument struct {
+	Instances []instanceDocument `json:"instances"`
+	NextToken *string            `json:"next_token"`
 }
 
 // ServeHTTP answers calls.
-func (c *Platform) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	if q.URL.Path != Path || q.Method != http.MethodGet {
-		http.NotFound(w, q)
+func (p *Platform) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	if request.URL.Path != Path || request.Method != http.MethodGet {
+		http.NotFound(w, request)
 		return
 	}
 	first := 0
-	if token := q.URL.Query().Get("page_token"); token != "" {
+	if token := request.URL.Query().Get("page_token"); token != "" {
 		n, err := strconv.Atoi(strings.TrimPrefix(token, pagePrefix))
 		if err != nil || n < 0 || !strings.HasPrefix(token, pagePrefix) {
 			http.Error(w, "page_token is none of ours", http.StatusBadRequest)
@@ -164,7 +164,7 @@
 		}
 		first = n
 	}
-	answer, status := c.list(q.URL.Query().Get("zone"), first)
+	answer, status := p.makePage(request.URL.Query().Get("zone"), first)
 	if status != http.StatusOK {
 		w.WriteHeader(status)
 		return
@@ -173,79 +173,79 @@
 	json.NewEncoder(w).Encode(answer)
 }
 
-// list makes a page.
-func (c *Platform) list(zone string, first int) (*page, int) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	now := c.options.Now()
-	if status := c.admit(now); status != http.StatusOK {
+// makePage makes a page.
+func (p *Platform) makePage(zone string, first int) (*pageDocument, int) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	now := p.options.Now()
+	if status := p.countCall(now); status != http.StatusOK {
 		return nil, status
 	}
-	c.catchUp(now)
+	p.applyChanges(now)
 	var chosen []Entry
-	for _, e := range c.entries {
+	for _, e := range p.entries {
 		if zone == "" || e.Zone == zone {
 			chosen = append(chosen, e)
 		}
 	}
 	slices.SortFunc(chosen, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
 	end := len(chosen)
-	p := &page{Instances: []instance{}}
-	if c.options.PageSize > 0 && first+c.options.PageSize < end {
-		end = first + c.options.PageSize
+	answer := &pageDocument{Instances: []instanceDocument{}}
+	if p.options.PageSize > 0 && first+p.options.PageSize < end {
+		end = first + p.options.PageSize
 		next := pagePrefix + strconv.Itoa(end)
-		p.NextToken = &next
+		answer.NextToken = &next
 	}
 	for _, e := range chosen[min(first, end):end] {
-		p.Instances = append(p.Instances, e.instance(now))
+		answer.Instances = append(answer.Instances, e.instance(now))
 	}
-	return p, http.StatusOK
+	return answer, http.StatusOK
 }
 
-// admit counts a call.
-func (c *Platform) admit(now time.Time) int {
-	c.stats.Calls++
-	for len(c.calls) > 0 && now.Sub(c.calls[0]) >= callWindow {
-		c.calls = c.calls[1:]
+// countCall counts a call.
+func (p *Platform) countCall(now time.Time) int {
+	p.stats.Calls++
+	for len(p.calls) > 0 && now.Sub(p.calls[0]) >= rateWindow {
+		p.calls = p.calls[1:]
 	}
 	switch {
-	case c.down:
+	case p.failing:
 		return http.StatusInternalServerError
-	case c.options.CallsPerSecond > 0 && float64(len(c.calls)+1) > c.options.CallsPerSecond:
-		c.stats.Throttled++
+	case p.options.CallsPerSecond > 0 && float64(len(p.calls)+1) > p.options.CallsPerSecond:
+		p.stats.Throttled++
 		return http.StatusTooManyRequests
 	}
-	c.calls = append(c.calls, now)
+	p.calls = append(p.calls, now)
 	return http.StatusOK
 }
 
-// catchUp brings into sight what is old enough.
-func (c *Platform) catchUp(now time.Time) {
-	for len(c.changes) > 0 && !c.changes[0].at.After(now) {
-		ch := c.changes[0]
-		c.changes = c.changes[1:]
-		if ch.gone {
-			delete(c.entries, ch.entry.ID)
+// applyChanges brings into sight what is old enough.
+func (p *Platform) applyChanges(now time.Time) {
+	for len(p.changes) > 0 && !p.changes[0].at.After(now) {
+		ch := p.changes[0]
+		p.changes = p.changes[1:]
+		if ch.removed {
+			delete(p.entries, ch.entry.ID)
 		} else {
-			c.entries[ch.entry.ID] = ch.entry
+			p.entries[ch.entry.ID] = ch.entry
 		}
 	}
 }
 
-func (e *Entry) instance(now time.Time) instance {
-	i := instance{Service: e.Service, Address: e.Address.String(), Zone: e.Zone, Version: "v1", Capacity: e.Capacity,
+func (e *Entry) instance(now time.Time) instanceDocument {
+	i := instanceDocument{Service: e.Service, Address: e.Address.String(), Zone: e.Zone, Version: "v1", Capacity: e.Capacity,
 		State: "serving",
-		ID:    e.ID, ColdLeft: max(0, e.SlowStartUntil.Sub(now).Milliseconds())}
+		ID:    e.ID, SlowStartRemaining: max(0, e.SlowStartUntil.Sub(now).Milliseconds())}
 	if e.Draining {
 		i.State = "draining"
 	}
 	if !e.TerminatesAt.IsZero() {
 		left := max(0, e.TerminatesAt.Sub(now).Milliseconds())
-		i.TimeLeft = &left
+		i.TimeToTermination = &left
 	}
 	if e.Model != "" {
 		i.Phase = "both"
-		i.Models = []model{{Name: e.Model, Version: 1, Adapters: []string{}}}
+		i.Models = []modelDocument{{Name: e.Model, Version: 1, Adapters: []string{}}}
 	}
 	return i
 }
--- a/internal/testkit/fakeplatform/cloud_test.go
+++ b/internal/testkit/fakeplatform/cloud_test.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// clock is a clock that is set by hand.
-type clock struct {
+// fakeClock is a clock that is set by hand.
+type fakeClock struct {
 	mutex sync.Mutex
 	now   time.Time
 }
 
-func (c *clock) read() time.Time {
+func (c *fakeClock) read() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.now
 }
 
-func (c *clock) advance(d time.Duration) {
+func (c *fakeClock) advance(d time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.now = c.now.Add(d)
 }
 
-func start(t *testing.T, o Options) (*Platform, *clock) {
+func startPlatform(t *testing.T, o Options) (*Platform, *fakeClock) {
 	t.Helper()
-	time := &clock{now: time.Unix(1000, 0)}
+	time := &fakeClock{now: time.Unix(1000, 0)}
 	o.Address, o.Now = "127.0.0.1:0", time.read
 	c, err := Start(o)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return c, time
 }
 
-func get(t *testing.T, c *Platform, query string) (p page, status int) {
+func get(t *testing.T, c *Platform, query string) (p pageDocument, status int) {
 	t.Helper()
 	resp, err := http.Get("http://" + c.Address().String() + Path + query)
 	if err != nil {
@@ -60,8 +60,8 @@
 		Address: netip.MustParseAddrPort("127.0.1.9:8080")}
 }
 
-func TestTheListIsBehind(t *testing.T) {
-	c, time := start(t, Options{PropagationDelay: 800e6})
+func TestChangesAppearAfterPropagationDelay(t *testing.T) {
+	c, time := startPlatform(t, Options{PropagationDelay: 800e6})
 	c.Set(entry(1, "a"))
 	if p, _ := get(t, c, ""); len(p.Instances) != 0 {
 		t.Errorf("there is %+v already", p)
@@ -77,8 +77,8 @@
 	}
 }
 
-func TestPagesAndZones(t *testing.T) {
-	c, _ := start(t, Options{PageSize: 2})
+func TestPagingAndZoneFilter(t *testing.T) {
+	c, _ := startPlatform(t, Options{PageSize: 2})
 	for i := range 5 {
 		c.Set(entry(i, string(rune('a'+i%2))))
 	}
@@ -108,8 +108,8 @@
 	}
 }
 
-func TestStates(t *testing.T) {
-	c, time := start(t, Options{})
+func TestInstanceDocument(t *testing.T) {
+	c, time := startPlatform(t, Options{})
 	e := entry(1, "a")
 	e.Draining = true
 	e.SlowStartUntil, e.TerminatesAt = time.read().Add(2e9), time.read().Add(3e9)
@@ -117,13 +117,13 @@
 	time.advance(1e9)
 	p, _ := get(t, c, "")
 	i := p.Instances[0]
-	if i.State != "draining" || i.ColdLeft != 1000 || i.TimeLeft == nil || *i.TimeLeft != 2000 || i.Models[0].Name != "m" {
+	if i.State != "draining" || i.SlowStartRemaining != 1000 || i.TimeToTermination == nil || *i.TimeToTermination != 2000 || i.Models[0].Name != "m" {
 		t.Errorf("the entry is %+v", i)
 	}
 }
 
-func TestCallsBeyondTheRateAreRefused(t *testing.T) {
-	c, time := start(t, Options{CallsPerSecond: 3})
+func TestRateLimit(t *testing.T) {
+	c, time := startPlatform(t, Options{CallsPerSecond: 3})
 	for i := range 5 {
 		_, status := get(t, c, "")
 		if want := map[bool]int{true: http.StatusOK, false: http.StatusTooManyRequests}[i < 3]; status != want {
--- a/internal/testkit/mutate/mutate.go
+++ b/internal/testkit/mutate/mutate.go
@@ -66,81 +66,81 @@
 		kinds = append(kinds, kind)
 	}
 	sort.Strings(kinds)
-	broke := map[string]int{}
+	violations := map[string]int{}
 	for _, x := range r.Violations {
-		broke[kindOf(x.Mutation)]++
+		violations[kindOf(x.Mutation)]++
 	}
 	for _, kind := range kinds {
-		fmt.Fprintf(&b, "%-12s %5d runs, %5d as without, %4d otherwise, %4d broke\n", kind, r.Runs[kind], r.SameOutcome[kind], r.OtherOutcome[kind], broke[kind])
+		fmt.Fprintf(&b, "%-12s %5d runs, %5d as without, %4d otherwise, %4d broke\n", kind, r.Runs[kind], r.SameOutcome[kind], r.OtherOutcome[kind], violations[kind])
 	}
 	return b.String()
 }
 
 func kindOf(mutation string) string { return strings.SplitN(mutation, " ", 2)[0] }
 
-type play struct {
-	n        int
+type mutatedRun struct {
+	message  int
 	mutation string
 	tamper   Tamper
 }
 
 // RunAll records the run and plays all its mutations, or a slice of them.
-func RunAll(run Run, o Options) (*Report, error) {
-	var seen []Message
-	clean, err := run(func(n int, m Message) []Delivery {
+func RunAll(run Run, options Options) (*Report, error) {
+	var messages []Message
+	baseline, err := run(func(n int, m Message) []Delivery {
 		m.Data = append([]byte(nil), m.Data...)
-		seen = append(seen, m)
+		messages = append(messages, m)
 		return DeliverUnchanged(n, m)
 	})
 	if err != nil {
 		return nil, fmt.Errorf("the run does not hold by itself: %w", err)
 	}
-	var plays []play
-	for n := range seen {
-		plays = append(plays, mutations(seen, n, o)...)
+	var runs []mutatedRun
+	for n := range messages {
+		runs = append(runs, mutations(messages, n, options)...)
 	}
-	r := &Report{Messages: len(seen), Runs: map[string]int{}, SameOutcome: map[string]int{}, OtherOutcome: map[string]int{}}
+	report := &Report{Messages: len(messages), Runs: map[string]int{}, SameOutcome: map[string]int{}, OtherOutcome: map[string]int{}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	todo := make(chan play)
-	for range max(o.Parallelism, 1) {
+	queue := make(chan mutatedRun)
+	for range max(options.Parallelism, 1) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for p := range todo {
+			for p := range queue {
 				outcome, err := run(p.tamper)
 				kind := kindOf(p.mutation)
 				mu.Lock()
-				r.Runs[kind]++
+				report.Runs[kind]++
 				switch {
 				case err != nil:
-					r.Violations = append(r.Violations, Violation{p.n, p.mutation, err})
-				case outcome == clean:
-					r.SameOutcome[kind]++
+					report.Violations = append(report.Violations, Violation{p.message, p.mutation, err})
+				case outcome == baseline:
+					report.SameOutcome[kind]++
 				default:
-					r.OtherOutcome[kind]++
+					report.OtherOutcome[kind]++
 				}
 				mu.Unlock()
 			}
 		}()
 	}
-	for i, p := range plays {
-		if i%max(o.Stride, 1) == 0 {
-			todo <- p
+	for i, p := range runs {
+		if i%max(options.Stride, 1) == 0 {
+			queue <- p
 		}
 	}
-	close(todo)
+	close(queue)
 	wg.Wait()
-	sort.Slice(r.Violations, func(i, j int) bool { return r.Violations[i].Message < r.Violations[j].Message })
-	return r, nil
+	sort.Slice(report.Violations, func(i, j int) bool { return report.Violations[i].Message < report.Violations[j].Message })
+	return report, nil
 }
 
 // mutations are the ways to spoil the n-th message.
-func mutations(seen []Message, n int, o Options) (plays []play) {
-	m := seen[n]
+func mutations(messages []Message, index int, options Options) (runs []mutatedRun) {
+	m := messages[index]
 	at := func(mutation string, what func(m Message) []Delivery) {
-		plays = append(plays, play{n, mutation, func(i int, m Message) []Delivery {
-			if i == n {
+		runs = append(runs, mutatedRun{index, mutation, func(i int, m Message) []Delivery {
+			if i == index {
 				return what(m)
 			}
 			return DeliverUnchanged(i, m)
@@ -148,13 +148,13 @@
 	}
 	at("lost", func(m Message) []Delivery { return nil })
 	at("twice", func(m Message) []Delivery { return []Delivery{{m.To, m.Data, 0}, {m.To, m.Data, 0.01}} })
-	for _, late := range o.Delays {
+	for _, late := range options.Delays {
 		at(fmt.Sprintf("late %v", late), func(m Message) []Delivery { return []Delivery{{m.To, m.Data, late}} })
 	}
 	next, older := -1, -1
-	for i, other := range seen {
-		if other.From == m.From && other.To == m.To && i != n {
-			if i < n {
+	for i, other := range messages {
+		if other.From == m.From && other.To == m.To && i != index {
+			if i < index {
 				older = i
 			} else if next < 0 {
 				next = i
@@ -163,13 +163,13 @@
 	}
 	if next >= 0 { // the next of the same way goes first
 		var kept []Delivery
-		plays = append(plays, play{n, "swapped", nil})
-		plays[len(plays)-1].tamper = func(i int, m Message) []Delivery {
+		runs = append(runs, mutatedRun{index, "swapped", nil})
+		runs[len(runs)-1].tamper = func(i int, m Message) []Delivery {
 			switch i {
 			case 0:
 				kept = nil
 			}
-			if i == n {
+			if i == index {
 				kept = DeliverUnchanged(i, m)
 				return nil
 			}
@@ -180,9 +180,9 @@
 		}
 	}
 	if older >= 0 {
-		at("older", func(m Message) []Delivery { return []Delivery{{m.To, seen[older].Data, 0}} })
+		at("older", func(m Message) []Delivery { return []Delivery{{m.To, messages[older].Data, 0}} })
 	}
-	for _, other := range o.OtherMembers {
+	for _, other := range options.OtherMembers {
 		if other != m.To {
 			at("elsewhere", func(m Message) []Delivery { return []Delivery{{other, m.Data, 0}} })
 		}
@@ -197,11 +197,11 @@
 			return []Delivery{{m.To, data, 0}}
 		})
 	}
-	if o.Variants != nil {
-		forged := o.Variants(m.Data)
+	if options.Variants != nil {
+		forged := options.Variants(m.Data)
 		for _, what := range slices.Sorted(maps.Keys(forged)) {
 			at("forged "+what, func(m Message) []Delivery { return []Delivery{{m.To, forged[what], 0}} })
 		}
 	}
-	return plays
+	return runs
 }
--- a/internal/testkit/processcluster/audit.go
+++ b/internal/testkit/processcluster/audit.go
@@ -10,8 +10,8 @@
 )
 
 // AuditFiles are the ledgers and request logs of all members.
-func (r *Cluster) AuditFiles() (files []string) {
-	for _, m := range r.Members {
+func (c *Cluster) AuditFiles() (files []string) {
+	for _, m := range c.Members {
 		for _, path := range []string{m.path + ".requests.ledger", m.path + ".requests"} {
 			if _, err := os.Stat(path); err == nil {
 				files = append(files, path)
@@ -22,33 +22,33 @@
 }
 
 // Audit reads what the members have written so far.
-func (r *Cluster) Audit() *auditlog.Report {
+func (c *Cluster) Audit() *auditlog.Report {
 	time.Sleep(time.Duration(2 * linelog.FlushEvery * float64(time.Second)))
-	report, err := auditlog.AuditFiles(auditlog.DefaultRules, r.AuditFiles(), func(file string, line int, err error) {
+	report, err := auditlog.AuditFiles(auditlog.DefaultRules, c.AuditFiles(), func(file string, line int, err error) {
 		if line == 0 {
-			r.must(err)
+			c.must(err)
 		}
-		r.Log(file + ": " + err.Error())
+		c.Log(file + ": " + err.Error())
 	})
 	if errors.Is(err, auditlog.ErrNoEntries) {
 		return &auditlog.Report{}
 	}
-	r.must(err)
+	c.must(err)
 	return report
 }
 
-// audit has every test's run audited: no member may have acted against what it knew.
-func (r *Cluster) audit() {
-	r.TB.Helper()
-	report := r.Audit()
-	for _, b := range report.Violations {
-		r.TB.Errorf("audit: %+v", b)
+// checkAudit has every test's run audited: no member may have acted against what it knew.
+func (c *Cluster) checkAudit() {
+	c.TB.Helper()
+	report := c.Audit()
+	for _, violation := range report.Violations {
+		c.TB.Errorf("audit: %+v", violation)
 	}
-	for _, s := range report.Stragglers {
-		r.TB.Logf("audit: late: %+v", s)
+	for _, straggler := range report.Stragglers {
+		c.TB.Logf("audit: late: %+v", straggler)
 	}
 	if report.Attempts > 0 && report.Judged == 0 {
-		r.TB.Errorf("audit: none of %d sends could be judged: %v", report.Attempts, report.Inconclusive)
+		c.TB.Errorf("audit: none of %d sends could be judged: %v", report.Attempts, report.Inconclusive)
 	}
-	r.TB.Logf("audit: %d versions, %d of %d sends judged, %d late", len(report.Versions), report.Judged, report.Attempts, len(report.Stragglers))
+	c.TB.Logf("audit: %d versions, %d of %d sends judged, %d late", len(report.Versions), report.Judged, report.Attempts, len(report.Stragglers))
 }
--- a/internal/testkit/processcluster/discovery.go
+++ b/internal/testkit/processcluster/discovery.go
@@ -12,29 +12,29 @@
 
 // Discovery tells each member the runners by its own ways to them.
 type Discovery struct {
-	rig     *Cluster
-	mu      sync.Mutex
-	rev     int64
-	changed chan struct{}
-	servers []*http.Server
-	told    map[string]time.Time // member and runner that drains: when it was told
-	old     map[*Member]*listed  // what some are told whatever has changed since
+	cluster      *Cluster
+	mutex        sync.Mutex
+	revision     int64
+	changed      chan struct{}
+	servers      []*http.Server
+	drainNotices map[string]time.Time    // member and runner that drains: when it was told
+	frozen       map[*Member]*frozenList // what some are told whatever has changed since
 }
 
-// listed is the list at a version.
-type listed struct {
-	rev     int64
-	targets []map[string]any
+// frozenList is the list at a version.
+type frozenList struct {
+	revision int64
+	targets  []map[string]any
 }
 
-func newDiscovery(r *Cluster) *Discovery {
-	return &Discovery{rig: r, changed: make(chan struct{}), told: map[string]time.Time{}, old: map[*Member]*listed{}}
+func newDiscovery(c *Cluster) *Discovery {
+	return &Discovery{cluster: c, changed: make(chan struct{}), drainNotices: map[string]time.Time{}, frozen: map[*Member]*frozenList{}}
 }
 
-func (d *Discovery) listen(m *Member) string {
+func (d *Discovery) listen(member *Member) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
-	d.rig.must(err)
-	s := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, q *http.Request) { d.watch(m, rw, q) })}
+	d.cluster.must(err)
+	s := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, q *http.Request) { d.watch(member, rw, q) })}
 	d.servers = append(d.servers, s)
 	go func() { _ = s.Serve(l) }()
 	return l.Addr().String()
@@ -48,57 +48,57 @@
 
 // Publish tells the list anew to all who watch.
 func (d *Discovery) Publish() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.rev++
-	for _, u := range d.rig.Runners { // what is lifted is lifted for all, whoever has heard of it
-		if entry, listed := u.entry(""); !listed || entry["state"] != "draining" {
-			for _, m := range d.rig.Members {
-				delete(d.told, m.Name+" "+u.Name)
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.revision++
+	for _, runner := range d.cluster.Runners { // what is lifted is lifted for all, whoever has heard of it
+		if entry, listed := runner.entry(""); !listed || entry["state"] != "draining" {
+			for _, m := range d.cluster.Members {
+				delete(d.drainNotices, m.Name+" "+runner.Name)
 			}
 		}
 	}
 	close(d.changed)
 	d.changed = make(chan struct{})
-	d.rig.Log(fmt.Sprintf("discovery: version %d", d.rev))
+	d.cluster.Log(fmt.Sprintf("discovery: version %d", d.revision))
 }
 
-func (d *Discovery) watch(m *Member, rw http.ResponseWriter, q *http.Request) {
+func (d *Discovery) watch(member *Member, writer http.ResponseWriter, request *http.Request) {
 	for {
-		d.mu.Lock()
-		rev, changed := d.rev, d.changed
+		d.mutex.Lock()
+		revision, changed := d.revision, d.changed
 		var targets []map[string]any
-		old := d.old[m]
+		old := d.frozen[member]
 		if old != nil {
-			rev, targets = old.rev, old.targets
+			revision, targets = old.revision, old.targets
 		}
-		for i, u := range d.rig.Runners {
-			if entry, listed := u.entry(m.runners[i].Addr()); listed && old == nil {
+		for i, runner := range d.cluster.Runners {
+			if entry, listed := runner.entry(member.runnerRelays[i].Addr()); listed && old == nil {
 				targets = append(targets, entry)
-				way := m.list.Link()
-				if key := m.Name + " " + u.Name; entry["state"] != "draining" {
-					delete(d.told, key)
-				} else if _, had := d.told[key]; !had && !way.Blackhole && !way.Resets { // else it is not told
-					d.told[key] = time.Now().Add(way.Delay + way.Jitter)
+				link := member.discoveryRelay.Link()
+				if key := member.Name + " " + runner.Name; entry["state"] != "draining" {
+					delete(d.drainNotices, key)
+				} else if _, had := d.drainNotices[key]; !had && !link.Blackhole && !link.Resets { // else it is not told
+					d.drainNotices[key] = time.Now().Add(link.Delay + link.Jitter)
 				}
 			}
 		}
-		d.mu.Unlock()
-		line, _ := json.Marshal(map[string]any{"rev": rev, "all": true, "targets": targets})
-		if _, err := rw.Write(append(line, '\n')); err != nil {
+		d.mutex.Unlock()
+		line, _ := json.Marshal(map[string]any{"rev": revision, "all": true, "targets": targets})
+		if _, err := writer.Write(append(line, '\n')); err != nil {
 			return
 		}
-		rw.(http.Flusher).Flush()
-		for waits := true; waits; {
+		writer.(http.Flusher).Flush()
+		for unchanged := true; unchanged; {
 			select {
 			case <-changed:
-				waits = false
+				unchanged = false
 			case <-time.After(time.Second):
-				if _, err := io.WriteString(rw, "\n"); err != nil {
+				if _, err := io.WriteString(writer, "\n"); err != nil {
 					return
 				}
-				rw.(http.Flusher).Flush()
-			case <-q.Context().Done():
+				writer.(http.Flusher).Flush()
+			case <-request.Context().Done():
 				return
 			}
 		}
@@ -106,26 +106,26 @@
 }
 
 // Freeze has a member told the list as it is now for as long as it is on, whatever changes.
-func (d *Discovery) Freeze(m *Member, on bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.old[m] = nil
+func (d *Discovery) Freeze(member *Member, on bool) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.frozen[member] = nil
 	if !on {
 		return
 	}
-	was := &listed{rev: d.rev}
-	for i, u := range d.rig.Runners {
-		if entry, is := u.entry(m.runners[i].Addr()); is {
-			was.targets = append(was.targets, entry)
+	snapshot := &frozenList{revision: d.revision}
+	for i, runner := range d.cluster.Runners {
+		if entry, is := runner.entry(member.runnerRelays[i].Addr()); is {
+			snapshot.targets = append(snapshot.targets, entry)
 		}
 	}
-	d.old[m] = was
+	d.frozen[member] = snapshot
 }
 
-// late says whether a job that a member sends to a runner now comes after a drain that it was told in time.
-func (d *Discovery) late(m *Member, u *Runner) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	at, told := d.told[m.Name+" "+u.Name]
-	return told && time.Since(at).Seconds() > drainGrace
+// violatesDrain says whether a job that a member sends to a runner now comes after a drain that it was told in time.
+func (d *Discovery) violatesDrain(member *Member, runner *Runner) bool {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	at, told := d.drainNotices[member.Name+" "+runner.Name]
+	return told && time.Since(at).Seconds() > drainGraceSeconds
 }
--- a/internal/testkit/processcluster/jobs.go
+++ b/internal/testkit/processcluster/jobs.go
@@ -12,144 +12,144 @@
 )
 
 const (
-	fallMultiple = 3.0 // a cold runner that is sent more than this multiple of its present capacity
-	fallTime     = 2.0 // within this many seconds falls over
-	coldShare    = 0.34
-	budgetMS     = 4000
+	overloadMultiple      = 3.0 // a cold runner that is sent more than this multiple of its present capacity
+	overloadWindowSeconds = 2.0 // within this many seconds falls over
+	slowStartShare        = 0.34
+	jobBudgetMS           = 4000
 	// Jobs that wait at one member, at most: more than half of its sockets from one address are the door's business, whose
 	// refusals under a flood of new connections are tested elsewhere.
-	mostOpen = 100
+	maxOpenJobs = 100
 	// Drains are told 0.3 s ahead by the protocol; the rest is for a runner of ours that got no processor just then.
-	drainGrace = 0.3 + 1.0
+	drainGraceSeconds = 0.3 + 1.0
 )
 
-// books are what became of each job.
-type books struct {
-	mu      sync.Mutex
-	ends    map[string]int
-	runs    map[string]int
-	faults  []string
-	unknown int // jobs whose dispatcher was killed or stopped under them
+// jobLog are what became of each job.
+type jobLog struct {
+	mutex      sync.Mutex
+	outcomes   map[string]int
+	executions map[string]int
+	violations []string
+	unknown    int // jobs whose dispatcher was killed or stopped under them
 }
 
-func (b *books) init() { b.ends, b.runs = map[string]int{}, map[string]int{} }
+func (b *jobLog) init() { b.outcomes, b.executions = map[string]int{}, map[string]int{} }
 
-func (b *books) broken(format string, a ...any) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.faults) < 20 {
-		b.faults = append(b.faults, fmt.Sprintf(format, a...))
+func (b *jobLog) addViolation(format string, a ...any) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if len(b.violations) < 20 {
+		b.violations = append(b.violations, fmt.Sprintf(format, a...))
 	}
 }
 
-func (b *books) ran(id, class string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.runs[id]++; b.runs[id] > 1 && class == "once" && len(b.faults) < 20 {
-		b.faults = append(b.faults, id+", which must not be repeated, was run again")
+func (b *jobLog) recordExecution(id, class string) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if b.executions[id]++; b.executions[id] > 1 && class == "once" && len(b.violations) < 20 {
+		b.violations = append(b.violations, id+", which must not be repeated, was run again")
 	}
 }
 
-func (b *books) end(how string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.ends[how]++
+func (b *jobLog) recordOutcome(how string) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.outcomes[how]++
 }
 
-// handIn hands jobs in at a member for as long as clients come to it.
-func (m *Member) handIn() {
-	r := m.rig
-	defer r.wait.Done()
-	rng := rand.New(rand.NewPCG(r.Seed, uint64(m.Index)))
+// submitJobs hands jobs in at a member for as long as clients come to it.
+func (m *Member) submitJobs() {
+	c := m.cluster
+	defer c.submitters.Done()
+	rng := rand.New(rand.NewPCG(c.Seed, uint64(m.Index)))
 	var jobs sync.WaitGroup
 	defer jobs.Wait()
-	open := make(chan bool, mostOpen)
-	for n := 0; !m.out.Load(); n++ {
-		time.Sleep(time.Duration(rng.ExpFloat64() / r.JobsPerSecond * float64(time.Second)))
-		if m.out.Load() {
+	open := make(chan bool, maxOpenJobs)
+	for n := 0; !m.clientsStopped.Load(); n++ {
+		time.Sleep(time.Duration(rng.ExpFloat64() / c.JobsPerSecond * float64(time.Second)))
+		if m.clientsStopped.Load() {
 			return
 		}
 		class := "score"
 		if n%4 == 0 {
 			class = "once"
 		}
-		id := fmt.Sprintf("%016x", r.ids.Add(1))
+		id := fmt.Sprintf("%016x", c.lastJobID.Add(1))
 		jobs.Add(1)
 		open <- true
 		go func() {
 			defer jobs.Done()
 			defer func() { <-open }()
-			m.ask(id, class)
+			m.submitJob(id, class)
 		}()
 	}
 }
 
-func (m *Member) ask(id, class string) {
-	b, deaths := &m.rig.books, m.deaths.Load()
-	from := time.Now()
-	q, err := http.NewRequest("POST", "http://"+m.ListenAddress+"/"+class+"/7f3a", bytes.NewReader([]byte("payload")))
-	m.rig.must(err)
-	for name, value := range map[string]string{"X-Call-Id": id, "X-Call-Class": class, "X-Budget-Ms": fmt.Sprint(budgetMS),
+func (m *Member) submitJob(id, class string) {
+	jobs, deaths := &m.cluster.jobs, m.interruptions.Load()
+	started := time.Now()
+	request, err := http.NewRequest("POST", "http://"+m.ListenAddress+"/"+class+"/7f3a", bytes.NewReader([]byte("payload")))
+	m.cluster.must(err)
+	for name, value := range map[string]string{"X-Call-Id": id, "X-Call-Class": class, "X-Budget-Ms": fmt.Sprint(jobBudgetMS),
 		"Idempotency-Key": id, "X-Call-Info": "slots=1,memory=0.5"} {
-		q.Header.Set(name, value)
+		request.Header.Set(name, value)
 	}
-	a, err := m.client.Do(q)
+	answer, err := m.client.Do(request)
 	var body []byte
 	if err == nil {
-		body, err = io.ReadAll(a.Body)
-		a.Body.Close()
+		body, err = io.ReadAll(answer.Body)
+		answer.Body.Close()
 	}
 	switch {
-	case err != nil && (m.deaths.Load() != deaths || m.rig.ending.Load()):
-		b.mu.Lock()
-		b.unknown++
-		b.mu.Unlock()
+	case err != nil && (m.interruptions.Load() != deaths || m.cluster.ending.Load()):
+		jobs.mutex.Lock()
+		jobs.unknown++
+		jobs.mutex.Unlock()
 	case err != nil:
-		b.broken("%s: job %s got no answer after %.2f s: %v", m.Name, id, time.Since(from).Seconds(), err)
-	case a.StatusCode == 200 && string(body) != id:
-		b.broken("%s: job %s was answered with %q", m.Name, id, body)
-	case a.StatusCode == 200:
-		b.end("served")
-	case a.StatusCode == 429 || a.StatusCode == 503:
-		b.end("refused")
+		jobs.addViolation("%s: job %s got no answer after %.2f s: %v", m.Name, id, time.Since(started).Seconds(), err)
+	case answer.StatusCode == 200 && string(body) != id:
+		jobs.addViolation("%s: job %s was answered with %q", m.Name, id, body)
+	case answer.StatusCode == 200:
+		jobs.recordOutcome("served")
+	case answer.StatusCode == 429 || answer.StatusCode == 503:
+		jobs.recordOutcome("refused")
 	default:
-		b.end("failed")
+		jobs.recordOutcome("failed")
 	}
 }
 
 // ServedJobs is how many jobs were served so far.
-func (r *Cluster) ServedJobs() int {
-	r.books.mu.Lock()
-	defer r.books.mu.Unlock()
-	return r.books.ends["served"]
+func (c *Cluster) ServedJobs() int {
+	c.jobs.mutex.Lock()
+	defer c.jobs.mutex.Unlock()
+	return c.jobs.outcomes["served"]
 }
 
 // Check has the clients leave and looks at what became of their jobs: one final answer each, no rule broken, and a share of
 // them served that says the fleet did work.
-func (r *Cluster) Check() {
-	r.TB.Helper()
-	for _, m := range r.Members {
-		m.out.Store(true)
+func (c *Cluster) Check() {
+	c.TB.Helper()
+	for _, m := range c.Members {
+		m.clientsStopped.Store(true)
 	}
-	r.wait.Wait()
-	b := &r.books
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, f := range b.faults {
-		r.TB.Error(f)
+	c.submitters.Wait()
+	b := &c.jobs
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	for _, f := range b.violations {
+		c.TB.Error(f)
 	}
-	all := b.ends["served"] + b.ends["refused"] + b.ends["failed"]
-	r.TB.Logf("jobs: %d served, %d refused, %d failed; %d were at a dispatcher that was killed or stopped", b.ends["served"], b.ends["refused"], b.ends["failed"], b.unknown)
-	if all == 0 || b.ends["served"]*2 < all {
-		r.TB.Errorf("%d of %d jobs were served", b.ends["served"], all)
+	all := b.outcomes["served"] + b.outcomes["refused"] + b.outcomes["failed"]
+	c.TB.Logf("jobs: %d served, %d refused, %d failed; %d were at a dispatcher that was killed or stopped", b.outcomes["served"], b.outcomes["refused"], b.outcomes["failed"], b.unknown)
+	if all == 0 || b.outcomes["served"]*2 < all {
+		c.TB.Errorf("%d of %d jobs were served", b.outcomes["served"], all)
 	}
-	if !r.Standalone {
-		r.audit()
+	if !c.Standalone {
+		c.checkAudit()
 	}
-	for _, m := range r.Members {
+	for _, m := range c.Members {
 		for _, sign := range []string{"panic:", "goroutine ", "DATA RACE"} {
 			if text := m.LogText(); strings.Contains(text, sign) {
-				r.TB.Errorf("%s: %q in its log", m.Name, sign)
+				c.TB.Errorf("%s: %q in its log", m.Name, sign)
 			}
 		}
 	}
--- a/internal/testkit/processcluster/member.go
+++ b/internal/testkit/processcluster/member.go
@@ -29,57 +29,57 @@
 	Relay         *receivers.UDPRelay // others' way to it
 	ClusterName   string              // name of its fleet
 
-	rig     *Cluster
-	cmd     *exec.Cmd
-	exited  chan struct{}
-	path    string // of its files, without the ending
-	logPath string
-	out     atomic.Bool // clients do not come
-	deaths  atomic.Int64
-	runners []*receivers.TCPRelay // its ways to the runners
-	list    *receivers.TCPRelay   // its way to discovery
-	client  *http.Client
-	socket  *os.File  // of the clients, where it is inherited
-	before  *exec.Cmd // the process whose place this one's takes
-	gone    chan struct{}
+	cluster         *Cluster
+	cmd             *exec.Cmd
+	exited          chan struct{}
+	path            string // of its files, without the ending
+	logPath         string
+	clientsStopped  atomic.Bool // clients do not come
+	interruptions   atomic.Int64
+	runnerRelays    []*receivers.TCPRelay // its ways to the runners
+	discoveryRelay  *receivers.TCPRelay   // its way to discovery
+	client          *http.Client
+	inheritedSocket *os.File  // of the clients, where it is inherited
+	previousProcess *exec.Cmd // the process whose place this one's takes
+	previousExited  chan struct{}
 }
 
 // AddMember adds a member that is not started yet.
-func (r *Cluster) AddMember() *Member {
-	i := len(r.Members)
-	m := &Member{Name: fmt.Sprintf("d%02d", i), Index: i, rig: r, ListenAddress: r.freePort(), AdminAddress: r.freePort(), BindAddress: r.freePort(), ClusterName: r.ClusterName}
-	m.path = filepath.Join(r.dir, m.Name)
+func (c *Cluster) AddMember() *Member {
+	i := len(c.Members)
+	m := &Member{Name: fmt.Sprintf("d%02d", i), Index: i, cluster: c, ListenAddress: c.freePort(), AdminAddress: c.freePort(), BindAddress: c.freePort(), ClusterName: c.ClusterName}
+	m.path = filepath.Join(c.dir, m.Name)
 	m.client = &http.Client{Timeout: 90 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	m.out.Store(true)
+	m.clientsStopped.Store(true)
 	var err error
-	if r.InheritSocket {
+	if c.InheritSocket {
 		l, err := net.Listen("tcp", m.ListenAddress)
-		r.must(err)
-		m.socket, err = l.(*net.TCPListener).File()
-		r.must(err)
+		c.must(err)
+		m.inheritedSocket, err = l.(*net.TCPListener).File()
+		c.must(err)
 		l.Close()
 	}
-	m.Relay, err = receivers.NewUDPRelay(m.Name, netip.MustParseAddrPort(m.BindAddress), r.Seed+uint64(i), r.Log)
-	r.must(err)
-	m.Relay.SenderOf = r.sender
-	m.list, err = receivers.NewTCPRelay(m.Name+" -> discovery", "127.0.0.1:0", r.Discovery.listen(m), r.Log)
-	r.must(err)
-	for _, u := range r.Runners {
-		m.reach(u)
+	m.Relay, err = receivers.NewUDPRelay(m.Name, netip.MustParseAddrPort(m.BindAddress), c.Seed+uint64(i), c.Log)
+	c.must(err)
+	m.Relay.SenderOf = c.senderName
+	m.discoveryRelay, err = receivers.NewTCPRelay(m.Name+" -> discovery", "127.0.0.1:0", c.Discovery.listen(m), c.Log)
+	c.must(err)
+	for _, runner := range c.Runners {
+		m.connectRunner(runner)
 	}
-	r.Members = append(r.Members, m)
+	c.Members = append(c.Members, m)
 	return m
 }
 
-func (m *Member) reach(u *Runner) {
-	s, err := receivers.NewTCPRelay(m.Name+" -> "+u.Name, "127.0.0.2:0", u.listen(m), m.rig.Log)
-	m.rig.must(err)
-	m.runners = append(m.runners, s)
+func (m *Member) connectRunner(runner *Runner) {
+	relay, err := receivers.NewTCPRelay(m.Name+" -> "+runner.Name, "127.0.0.2:0", runner.listen(m), m.cluster.Log)
+	m.cluster.must(err)
+	m.runnerRelays = append(m.runnerRelays, relay)
 }
 
-// sender reads who sent a datagram, for the relays.
-func (r *Cluster) sender(b []byte) string {
-	for _, fleet := range []string{r.ClusterName, "other"} {
+// senderName reads who sent a datagram, for the relays.
+func (c *Cluster) senderName(b []byte) string {
+	for _, fleet := range []string{c.ClusterName, "other"} {
 		if msg, err := membership.Decode(fleet, b); err == nil {
 			return msg.From.Name
 		}
@@ -88,9 +88,9 @@
 }
 
 // Seeds are where a member asks first: the first two that are not itself.
-func (r *Cluster) seeds(m *Member) (seeds []string) {
-	for _, o := range r.Members {
-		if o != m && o.ClusterName == m.ClusterName && len(seeds) < 2 && !r.NoSeeds {
+func (c *Cluster) seedAddresses(m *Member) (seeds []string) {
+	for _, o := range c.Members {
+		if o != m && o.ClusterName == m.ClusterName && len(seeds) < 2 && !c.NoSeeds {
 			seeds = append(seeds, o.Relay.Addr())
 		}
 	}
@@ -99,26 +99,26 @@
 
 // OperatorConfig is the text of a member's operator's file.
 func (m *Member) OperatorConfig() string {
-	if m.rig.Standalone {
+	if m.cluster.Standalone {
 		return ""
 	}
 	return fmt.Sprintf("[fleet]\nname = %q\nbind = %q\nadvertise = %q\nseeds = [%s]\nperiod_s = %v\ndiscovery = \"rig\"\nlease_s = %v\n[request_log]\npath = %q\n", m.ClusterName, m.BindAddress, m.Relay.Addr(),
-		quoted(m.rig.seeds(m)), m.rig.ProbeIntervalSeconds, LeaseSeconds, m.path+".requests")
+		quoteAll(m.cluster.seedAddresses(m)), m.cluster.ProbeIntervalSeconds, LeaseSeconds, m.path+".requests")
 }
 
 // ChangeBindAddress gives the member another address to bind, with a relay of its own, and returns the text of the operator's file that
 // names both.
 func (m *Member) ChangeBindAddress() string {
-	m.BindAddress = m.rig.freePort()
+	m.BindAddress = m.cluster.freePort()
 	m.Relay.Close()
 	var err error
-	m.Relay, err = receivers.NewUDPRelay(m.Name, netip.MustParseAddrPort(m.BindAddress), m.rig.Seed, m.rig.Log)
-	m.rig.must(err)
-	m.Relay.SenderOf = m.rig.sender
+	m.Relay, err = receivers.NewUDPRelay(m.Name, netip.MustParseAddrPort(m.BindAddress), m.cluster.Seed, m.cluster.Log)
+	m.cluster.must(err)
+	m.Relay.SenderOf = m.cluster.senderName
 	return m.OperatorConfig()
 }
 
-func quoted(list []string) string {
+func quoteAll(list []string) string {
 	out := make([]string, len(list))
 	for i, s := range list {
 		out[i] = fmt.Sprintf("%q", s)
@@ -128,27 +128,27 @@
 
 // WriteConfig writes a member's files; operator is the text of the operator's file.
 func (m *Member) WriteConfig(operator string) {
-	r := m.rig
+	c := m.cluster
 	settings := map[string]any{
 		"categories": []map[string]any{
 			{"name": "score", "deadlineS": 5, "objectiveS": 0.5, "repeat": "retryable", "windowS": 5, "worth": 3},
 			{"name": "once", "deadlineS": 5, "objectiveS": 0.5, "repeat": "fragile", "worth": 10}},
 		"failureDomains": []string{"milano", "torino"}, "kinds": []string{"two-core"},
 		"familyInfo": map[string]any{"tellsStart": true, "reportX0": "free slots"},
-		"guarantees": map[string]any{"answerSlackS": 0.016, "askWithinS": 10, "coldS": r.coldTime(), "coldShare": 0.34, "drainGraceS": 0.3,
-			"fallMultiple": fallMultiple, "fallS": fallTime},
+		"guarantees": map[string]any{"answerSlackS": 0.016, "askWithinS": 10, "coldS": c.slowStartSeconds(), "coldShare": 0.34, "drainGraceS": 0.3,
+			"fallMultiple": overloadMultiple, "fallS": overloadWindowSeconds},
 		"limits": map[string]any{"attemptsCap": 4, "connIdleS": 60, "connectTimeoutS": 0.25, "mayCancel": true, "mayProbe": true,
 			"parallelTries": true, "retryAfter": true, "maxRetryAfterS": 2},
-		"me": m.Index % r.InstanceCount, "nInstances": r.InstanceCount, "membershipMode": "pushed",
+		"me": m.Index % c.InstanceCount, "nInstances": c.InstanceCount, "membershipMode": "pushed",
 		"report": map[string]any{"fields": []string{"utilization", "backlog", "outstanding", "x0"}, "via": "piggyback"},
 		"tickS":  0.004, "zone": m.Index % 2}
-	config := map[string]any{"name": m.Name, "listen": m.ListenAddress, "console": m.AdminAddress, "discovery": m.list.Addr(),
+	config := map[string]any{"name": m.Name, "listen": m.ListenAddress, "console": m.AdminAddress, "discovery": m.discoveryRelay.Addr(),
 		"seed": fmt.Sprintf("%x", 77+m.Index), "limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": 512},
 		"known": map[string]any{"rev": 0, "all": true, "targets": []any{}}, "settings": settings}
 	text, err := json.Marshal(config)
-	r.must(err)
-	r.must(os.WriteFile(m.path+".json", text, 0o600))
-	r.must(os.WriteFile(m.path+".toml", []byte(operator), 0o600))
+	c.must(err)
+	c.must(os.WriteFile(m.path+".json", text, 0o600))
+	c.must(os.WriteFile(m.path+".toml", []byte(operator), 0o600))
 }
 
 // Start starts the member's process, anew if there was one.
@@ -159,20 +159,20 @@
 
 // StartProcess starts the process with the files as they are.
 func (m *Member) StartProcess() {
-	r := m.rig
+	c := m.cluster
 	m.logPath = m.path + ".log"
 	log, err := os.OpenFile(m.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	r.must(err)
-	cmd := exec.Command(r.Program, "--config", m.path+".json", "--operator", m.path+".toml", "--log", "debug")
+	c.must(err)
+	cmd := exec.Command(c.Program, "--config", m.path+".json", "--operator", m.path+".toml", "--log", "debug")
 	cmd.Stderr = log
-	cmd.Env = append(os.Environ(), "TMPDIR="+r.dir, "ROUTER_CONFIG=", "ROUTER_CONSOLE=", "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=")
-	if m.socket != nil {
-		cmd.ExtraFiles = []*os.File{m.socket}
+	cmd.Env = append(os.Environ(), "TMPDIR="+c.dir, "ROUTER_CONFIG=", "ROUTER_CONSOLE=", "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=")
+	if m.inheritedSocket != nil {
+		cmd.ExtraFiles = []*os.File{m.inheritedSocket}
 		cmd.Env = append(cmd.Env, "ROUTER_FD=3")
 	}
-	r.must(cmd.Start())
+	c.must(cmd.Start())
 	log.Close()
-	r.Log(fmt.Sprintf("%s: process %d", m.Name, cmd.Process.Pid))
+	c.Log(fmt.Sprintf("%s: process %d", m.Name, cmd.Process.Pid))
 	m.cmd, m.exited = cmd, make(chan struct{})
 	go func(exited chan struct{}) {
 		_ = cmd.Wait()
@@ -182,8 +182,8 @@
 
 // WaitServing waits until the member serves, and has clients come to it.
 func (m *Member) WaitServing() {
-	m.rig.TB.Helper()
-	m.rig.Eventually(m.Name+" serves", func() bool {
+	m.cluster.TB.Helper()
+	m.cluster.Eventually(m.Name+" serves", func() bool {
 		answer, err := m.client.Get("http://" + m.ListenAddress + "/_health")
 		if err != nil {
 			return false
@@ -191,37 +191,37 @@
 		answer.Body.Close()
 		return answer.StatusCode == 200
 	})
-	if m.out.CompareAndSwap(true, false) {
-		m.rig.wait.Add(1)
-		go m.handIn()
+	if m.clientsStopped.CompareAndSwap(true, false) {
+		m.cluster.submitters.Add(1)
+		go m.submitJobs()
 	}
 }
 
 // Upgrade starts another process that takes the place of the member's, waits until it has, and has the older one end. Between the
 // start and the wait comes what is to happen meanwhile.
 func (m *Member) Upgrade(meanwhile ...func()) {
-	m.rig.TB.Helper()
+	m.cluster.TB.Helper()
 	old, exited := m.cmd, m.exited
-	m.before, m.gone = old, exited
-	m.AdminAddress = m.rig.freePort()
+	m.previousProcess, m.previousExited = old, exited
+	m.AdminAddress = m.cluster.freePort()
 	m.Start()
 	for _, do := range meanwhile {
 		do()
 	}
-	m.rig.Eventually(m.Name+": the next process has the clients", func() bool {
+	m.cluster.Eventually(m.Name+": the next process has the clients", func() bool {
 		code, _ := m.CallAdmin("GET", "/api/ready", "")
 		return code == 200
 	})
 	if len(meanwhile) > 0 { // it may have failed, and the one before have gone on: then it ends as one that is stopped, without clients
-		m.out.Store(true)
+		m.clientsStopped.Store(true)
 	}
-	m.rig.must(old.Process.Signal(syscall.SIGTERM))
+	m.cluster.must(old.Process.Signal(syscall.SIGTERM))
 	select {
 	case <-exited:
-	case <-time.After(m.rig.Timeout):
-		m.rig.TB.Fatalf("%s: the process before did not end", m.Name)
+	case <-time.After(m.cluster.Timeout):
+		m.cluster.TB.Fatalf("%s: the process before did not end", m.Name)
 	}
-	m.before = nil
+	m.previousProcess = nil
 	if len(meanwhile) > 0 {
 		m.WaitServing()
 	}
@@ -242,15 +242,15 @@
 
 func (m *Member) signal(s syscall.Signal) {
 	if m.Running() {
-		m.rig.Log(fmt.Sprintf("%s: %v", m.Name, s))
-		m.rig.must(m.cmd.Process.Signal(s))
+		m.cluster.Log(fmt.Sprintf("%s: %v", m.Name, s))
+		m.cluster.must(m.cmd.Process.Signal(s))
 	}
 }
 
 func (m *Member) kill() {
-	if m.before != nil {
-		_ = m.before.Process.Kill()
-		<-m.gone
+	if m.previousProcess != nil {
+		_ = m.previousProcess.Process.Kill()
+		<-m.previousExited
 	}
 	if m.Running() {
 		_ = m.cmd.Process.Signal(syscall.SIGCONT)
@@ -261,40 +261,40 @@
 
 // Kill ends the process without a word.
 func (m *Member) Kill() {
-	m.deaths.Add(1)
-	m.out.Store(true)
-	m.rig.Log(m.Name + ": killed")
+	m.interruptions.Add(1)
+	m.clientsStopped.Store(true)
+	m.cluster.Log(m.Name + ": killed")
 	m.kill()
 }
 
 // Pause stops the process (SIGSTOP), Continue has it go on. Its clients wait, as they would.
-func (m *Member) Pause() { m.deaths.Add(1); m.signal(syscall.SIGSTOP) }
+func (m *Member) Pause() { m.interruptions.Add(1); m.signal(syscall.SIGSTOP) }
 
 // Continue has a process that was stopped go on. Jobs that came meanwhile count as those that were there: more may wait at the
 // door than one address may have open.
-func (m *Member) Continue() { m.deaths.Add(1); m.signal(syscall.SIGCONT) }
+func (m *Member) Continue() { m.interruptions.Add(1); m.signal(syscall.SIGCONT) }
 
 // Terminate takes the member from the clients, tells it to stop, and waits until it has ended.
 func (m *Member) Terminate() {
-	m.out.Store(true)
+	m.clientsStopped.Store(true)
 	m.signal(syscall.SIGTERM)
 	select {
 	case <-m.exited:
-	case <-time.After(m.rig.Timeout):
-		m.rig.TB.Fatalf("%s did not end", m.Name)
+	case <-time.After(m.cluster.Timeout):
+		m.cluster.TB.Fatalf("%s did not end", m.Name)
 	}
 }
 
 // Reload has the member read its files again and waits for its word.
-func (m *Member) Reload(word string) {
-	m.rig.TB.Helper()
-	before := strings.Count(m.LogText(), word)
+func (m *Member) Reload(logLine string) {
+	m.cluster.TB.Helper()
+	before := strings.Count(m.LogText(), logLine)
 	m.signal(syscall.SIGHUP)
-	m.rig.Eventually(m.Name+": "+word, func() bool { return strings.Count(m.LogText(), word) > before })
+	m.cluster.Eventually(m.Name+": "+logLine, func() bool { return strings.Count(m.LogText(), logLine) > before })
 }
 
 // StopClients has the clients leave the member.
-func (m *Member) StopClients() { m.out.Store(true) }
+func (m *Member) StopClients() { m.clientsStopped.Store(true) }
 
 // PID is the number of the member's process.
 func (m *Member) PID() int { return m.cmd.Process.Pid }
@@ -307,21 +307,21 @@
 
 // CallAdmin makes a call at the second address.
 func (m *Member) CallAdmin(method, path, body string) (status int, text string) {
-	q, err := http.NewRequest(method, "http://"+m.AdminAddress+path, strings.NewReader(body))
-	m.rig.must(err)
+	request, err := http.NewRequest(method, "http://"+m.AdminAddress+path, strings.NewReader(body))
+	m.cluster.must(err)
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	a, err := client.Do(q)
+	answer, err := client.Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer a.Body.Close()
-	var b strings.Builder
+	defer answer.Body.Close()
+	var content strings.Builder
 	buf := make([]byte, 4096)
 	for {
-		n, err := a.Body.Read(buf)
-		b.Write(buf[:n])
+		n, err := answer.Body.Read(buf)
+		content.Write(buf[:n])
 		if err != nil {
-			return a.StatusCode, b.String()
+			return answer.StatusCode, content.String()
 		}
 	}
 }
@@ -349,7 +349,7 @@
 }
 
 // RunnerLink is a member's way to a runner, DiscoveryLink its way to discovery.
-func (m *Member) RunnerLink(i int) *receivers.TCPRelay { return m.runners[i] }
+func (m *Member) RunnerLink(i int) *receivers.TCPRelay { return m.runnerRelays[i] }
 
 // DiscoveryLink is the member's way to discovery.
-func (m *Member) DiscoveryLink() *receivers.TCPRelay { return m.list }
+func (m *Member) DiscoveryLink() *receivers.TCPRelay { return m.discoveryRelay }
--- a/internal/testkit/processcluster/rig.go
+++ b/internal/testkit/processcluster/rig.go
@@ -54,20 +54,20 @@
 	Runners   []*Runner
 	Discovery *Discovery
 
-	dir    string
-	log    *os.File
-	logMu  sync.Mutex
-	start  time.Time
-	wait   sync.WaitGroup
-	ids    atomic.Int64 // of jobs
-	ending atomic.Bool
-	books  books
+	dir        string
+	log        *os.File
+	logMutex   sync.Mutex
+	start      time.Time
+	submitters sync.WaitGroup
+	lastJobID  atomic.Int64 // of jobs
+	ending     atomic.Bool
+	jobs       jobLog
 }
 
 // Start starts a rig; the test's end ends it.
 func Start(t testing.TB, o Options) *Cluster {
 	t.Helper()
-	o.defaults()
+	o.setDefaults()
 	dir, err := os.MkdirTemp("", "rig-")
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 	if r.log, err = os.Create(filepath.Join(dir, "rig.log")); err != nil {
 		t.Fatal(err)
 	}
-	r.books.init()
+	r.jobs.init()
 	t.Cleanup(r.end)
 	r.Discovery = newDiscovery(r)
 	for i := range o.Runners {
@@ -97,7 +97,7 @@
 	return r
 }
 
-func (o *Options) defaults() {
+func (o *Options) setDefaults() {
 	set := func(v *float64, to float64) {
 		if *v == 0 {
 			*v = to
@@ -122,63 +122,63 @@
 }
 
 // Log writes a line of what the rig did.
-func (r *Cluster) Log(line string) {
-	r.logMu.Lock()
-	defer r.logMu.Unlock()
-	fmt.Fprintf(r.log, "%8.3f %s\n", time.Since(r.start).Seconds(), line)
+func (c *Cluster) Log(line string) {
+	c.logMutex.Lock()
+	defer c.logMutex.Unlock()
+	fmt.Fprintf(c.log, "%8.3f %s\n", time.Since(c.start).Seconds(), line)
 }
 
-func (r *Cluster) end() {
-	r.ending.Store(true)
-	for _, m := range r.Members {
-		m.out.Store(true)
+func (c *Cluster) end() {
+	c.ending.Store(true)
+	for _, m := range c.Members {
+		m.clientsStopped.Store(true)
 	}
-	r.wait.Wait()
-	for _, m := range r.Members {
+	c.submitters.Wait()
+	for _, m := range c.Members {
 		m.kill()
 		m.Relay.Close()
-		m.list.Close()
-		if m.socket != nil {
-			m.socket.Close()
+		m.discoveryRelay.Close()
+		if m.inheritedSocket != nil {
+			m.inheritedSocket.Close()
 		}
-		for _, s := range m.runners {
+		for _, s := range m.runnerRelays {
 			s.Close()
 		}
 	}
-	for _, u := range r.Runners {
+	for _, u := range c.Runners {
 		u.close()
 	}
-	r.Discovery.close()
-	r.log.Close()
-	if r.TB.Failed() {
-		r.TB.Logf("all logs are in %s", r.dir)
+	c.Discovery.close()
+	c.log.Close()
+	if c.TB.Failed() {
+		c.TB.Logf("all logs are in %s", c.dir)
 		return
 	}
-	os.RemoveAll(r.dir)
+	os.RemoveAll(c.dir)
 }
 
 // must ends the test where something of the rig's own went wrong.
-func (r *Cluster) must(err error) {
+func (c *Cluster) must(err error) {
 	if err != nil {
-		r.TB.Helper()
-		r.TB.Fatal(err)
+		c.TB.Helper()
+		c.TB.Fatal(err)
 	}
 }
 
 // freePort is a port for TCP and UDP.
-func (r *Cluster) freePort() string {
+func (c *Cluster) freePort() string {
 	addr, err := receivers.FreeAddress()
-	r.must(err)
+	c.must(err)
 	return addr
 }
 
 // Eventually waits for as long as a slow machine may need.
-func (r *Cluster) Eventually(what string, ok func() bool) time.Duration {
-	r.TB.Helper()
+func (c *Cluster) Eventually(what string, ok func() bool) time.Duration {
+	c.TB.Helper()
 	from := time.Now()
 	for !ok() {
-		if time.Since(from) > r.Timeout {
-			r.TB.Fatalf("never came: %s", what)
+		if time.Since(from) > c.Timeout {
+			c.TB.Fatalf("never came: %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -187,16 +187,16 @@
 
 // WaitConverged waits until all processes that run hold one view, by digest, that has so many living members and nobody under
 // suspicion, and know that it is everybody's.
-func (r *Cluster) WaitConverged(alive int) {
-	r.TB.Helper()
-	took := r.Eventually(fmt.Sprintf("one view of %d", alive), func() bool { return r.Converged(r.RunningMembers(), alive) })
-	r.TB.Logf("one view of %d after %.2f s", alive, took.Seconds())
-	r.Log(fmt.Sprintf("one view of %d", alive))
+func (c *Cluster) WaitConverged(alive int) {
+	c.TB.Helper()
+	took := c.Eventually(fmt.Sprintf("one view of %d", alive), func() bool { return c.Converged(c.RunningMembers(), alive) })
+	c.TB.Logf("one view of %d after %.2f s", alive, took.Seconds())
+	c.Log(fmt.Sprintf("one view of %d", alive))
 }
 
 // RunningMembers are the members whose processes run.
-func (r *Cluster) RunningMembers() (running []*Member) {
-	for _, m := range r.Members {
+func (c *Cluster) RunningMembers() (running []*Member) {
+	for _, m := range c.Members {
 		if m.Running() {
 			running = append(running, m)
 		}
@@ -205,7 +205,7 @@
 }
 
 // Converged says whether members hold one settled view of so many alive and nobody suspect.
-func (r *Cluster) Converged(members []*Member, alive int) bool {
+func (c *Cluster) Converged(members []*Member, alive int) bool {
 	digest := ""
 	for _, m := range members {
 		s := m.Status()
@@ -230,34 +230,34 @@
 }
 
 // SetLink sets the way of datagrams from one member to another.
-func (r *Cluster) SetLink(from, to *Member, l receivers.Link) { to.Relay.SetLink(from.Name, l) }
+func (c *Cluster) SetLink(from, to *Member, link receivers.Link) { to.Relay.SetLink(from.Name, link) }
 
 // Partition cuts members off from all others, both ways.
-func (r *Cluster) Partition(members ...*Member) {
+func (c *Cluster) Partition(members ...*Member) {
 	in := map[*Member]bool{}
 	for _, m := range members {
 		in[m] = true
 	}
-	for _, a := range r.Members {
-		for _, b := range r.Members {
+	for _, a := range c.Members {
+		for _, b := range c.Members {
 			if in[a] != in[b] {
-				r.SetLink(a, b, receivers.Link{Blackhole: true})
+				c.SetLink(a, b, receivers.Link{Blackhole: true})
 			}
 		}
 	}
 }
 
 // SetAllLinks sets all ways of datagrams.
-func (r *Cluster) SetAllLinks(l receivers.Link) {
-	for _, m := range r.Members {
+func (c *Cluster) SetAllLinks(link receivers.Link) {
+	for _, m := range c.Members {
 		m.Relay.ClearLinks()
-		m.Relay.SetLink("", l)
+		m.Relay.SetLink("", link)
 	}
 }
 
 // ClearLinks clears all ways of datagrams.
-func (r *Cluster) ClearLinks() {
-	for _, m := range r.Members {
+func (c *Cluster) ClearLinks() {
+	for _, m := range c.Members {
 		m.Relay.ClearLinks()
 	}
 }
--- a/internal/testkit/processcluster/runner.go
+++ b/internal/testkit/processcluster/runner.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-func (r *Cluster) coldTime() float64 {
-	if r.SlowStartSeconds > 0 {
-		return r.SlowStartSeconds
+func (c *Cluster) slowStartSeconds() float64 {
+	if c.SlowStartSeconds > 0 {
+		return c.SlowStartSeconds
 	}
 	return 9
 }
@@ -22,210 +22,210 @@
 type Runner struct {
 	Name string
 
-	rig          *Cluster
-	cell         int
-	mu           sync.Mutex
-	state        string // ready, draining or gone
-	boot         time.Time
-	last         time.Time // a job came
-	cold         bool
-	running      int
-	waiting      int
-	slots        chan bool
-	servers      []*http.Server
-	client       *http.Client
-	sends        []send // within a fall time
-	fallen       bool
-	worst        float64            // share of what it bears that it was sent in the worst fall time since its start
-	JobCount     int                // taken
-	WorkSeconds  float64            // seconds of work taken since its start
-	WorkByMember map[string]float64 // of it, by member
-	busy         sync.WaitGroup
-	ctx          context.Context
-	cancel       func()
-}
-
-type send struct {
+	cluster       *Cluster
+	failureDomain int
+	mutex         sync.Mutex
+	state         string // ready, draining or gone
+	startedAt     time.Time
+	lastJobAt     time.Time // a job came
+	slowStart     bool
+	running       int
+	waiting       int
+	slots         chan bool
+	servers       []*http.Server
+	client        *http.Client
+	recentWork    []workItem // within a fall time
+	overloaded    bool
+	peakShare     float64            // share of what it bears that it was sent in the worst fall time since its start
+	JobCount      int                // taken
+	WorkSeconds   float64            // seconds of work taken since its start
+	WorkByMember  map[string]float64 // of it, by member
+	jobs          sync.WaitGroup
+	ctx           context.Context
+	cancel        func()
+}
+
+type workItem struct {
 	at   time.Time
 	work float64
 }
 
-func newRunner(r *Cluster, i int) *Runner {
-	u := &Runner{Name: fmt.Sprintf("s-%02d", i), rig: r, cell: i % 2, state: "ready", slots: make(chan bool, int(r.RunnerSlots)), WorkByMember: map[string]float64{},
+func newRunner(c *Cluster, index int) *Runner {
+	runner := &Runner{Name: fmt.Sprintf("s-%02d", index), cluster: c, failureDomain: index % 2, state: "ready", slots: make(chan bool, int(c.RunnerSlots)), WorkByMember: map[string]float64{},
 		client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
-	u.ctx, u.cancel = context.WithCancel(context.Background())
-	if r.SlowStartSeconds > 0 {
-		u.boot, u.cold = time.Now(), true
+	runner.ctx, runner.cancel = context.WithCancel(context.Background())
+	if c.SlowStartSeconds > 0 {
+		runner.startedAt, runner.slowStart = time.Now(), true
 	}
-	return u
+	return runner
 }
 
 // listen opens a port for a member's jobs.
-func (u *Runner) listen(m *Member) string {
+func (r *Runner) listen(member *Member) string {
 	l, err := net.Listen("tcp", "127.0.0.2:0")
-	u.rig.must(err)
-	s := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, q *http.Request) { u.serve(m, rw, q) })}
-	u.servers = append(u.servers, s)
+	r.cluster.must(err)
+	s := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, q *http.Request) { r.serve(member, rw, q) })}
+	r.servers = append(r.servers, s)
 	go func() { _ = s.Serve(l) }()
 	return l.Addr().String()
 }
 
-func (u *Runner) close() {
-	u.cancel()
-	for _, s := range u.servers {
+func (r *Runner) close() {
+	r.cancel()
+	for _, s := range r.servers {
 		s.Close()
 	}
-	u.busy.Wait()
+	r.jobs.Wait()
 }
 
 // SetState sets the state that discovery tells; Tell tells it.
-func (u *Runner) SetState(state string) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.state = state
+func (r *Runner) SetState(state string) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.state = state
 }
 
 // JobsFrom is how many jobs of a member the runner has taken since its start.
-func (u *Runner) JobsFrom(m *Member) int {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return int(u.WorkByMember[m.Name]/u.rig.JobSeconds + 0.5)
+func (r *Runner) JobsFrom(member *Member) int {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return int(r.WorkByMember[member.Name]/r.cluster.JobSeconds + 0.5)
 }
 
 // Idle says whether no job is there, and none has come for half a second.
-func (u *Runner) Idle() bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.running+u.waiting == 0 && time.Since(u.last) > 500*time.Millisecond
+func (r *Runner) Idle() bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.running+r.waiting == 0 && time.Since(r.lastJobAt) > 500*time.Millisecond
 }
 
 // Restart has the runner start anew, cold and ready.
-func (u *Runner) Restart() {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.state, u.boot, u.cold, u.fallen, u.worst, u.WorkSeconds, u.sends = "ready", time.Now(), true, false, 0, 0, nil
-	clear(u.WorkByMember)
+func (r *Runner) Restart() {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.state, r.startedAt, r.slowStart, r.overloaded, r.peakShare, r.WorkSeconds, r.recentWork = "ready", time.Now(), true, false, 0, 0, nil
+	clear(r.WorkByMember)
 }
 
 // LoadSinceStart is the largest share of what it bears that the runner was sent within a fall time since its start, the work that it
 // was given since, in seconds, and whether it fell over.
-func (u *Runner) LoadSinceStart() (worst, work float64, fallen bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.worst, u.WorkSeconds, u.fallen
+func (r *Runner) LoadSinceStart() (worst, work float64, fallen bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.peakShare, r.WorkSeconds, r.overloaded
 }
 
-func (u *Runner) entry(endpoint string) (entry map[string]any, listed bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (r *Runner) entry(endpoint string) (entry map[string]any, listed bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	boot := int64(0)
-	if u.cold {
-		boot = u.boot.UnixMilli()
+	if r.slowStart {
+		boot = r.startedAt.UnixMilli()
 	}
-	return map[string]any{"uid": u.Name, "endpoint": endpoint, "az": []string{"milano", "torino"}[u.cell], "model": "two-core", "pod_group": u.cell,
-		"state": u.state, "capacity_hint": 1, "boot_ms": boot}, u.state != "gone"
+	return map[string]any{"uid": r.Name, "endpoint": endpoint, "az": []string{"milano", "torino"}[r.failureDomain], "model": "two-core", "pod_group": r.failureDomain,
+		"state": r.state, "capacity_hint": 1, "boot_ms": boot}, r.state != "gone"
 }
 
-// take books a job and says whether the runner stands it.
-func (u *Runner) take(m *Member) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.fallen {
+// accept books a job and says whether the runner stands it.
+func (r *Runner) accept(member *Member) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.overloaded {
 		return false
 	}
-	u.JobCount++
-	now, work := time.Now(), u.rig.JobSeconds
-	u.last = now
-	u.WorkSeconds += work
-	u.WorkByMember[m.Name] += work
-	age := now.Sub(u.boot).Seconds()
-	if !u.cold || age >= u.rig.coldTime() {
+	r.JobCount++
+	now, work := time.Now(), r.cluster.JobSeconds
+	r.lastJobAt = now
+	r.WorkSeconds += work
+	r.WorkByMember[member.Name] += work
+	age := now.Sub(r.startedAt).Seconds()
+	if !r.slowStart || age >= r.cluster.slowStartSeconds() {
 		return true
 	}
-	u.sends = append(u.sends, send{now, work})
+	r.recentWork = append(r.recentWork, workItem{now, work})
 	sum := 0.0
-	keep := u.sends[:0]
-	for _, s := range u.sends {
-		if now.Sub(s.at).Seconds() < fallTime {
+	keep := r.recentWork[:0]
+	for _, s := range r.recentWork {
+		if now.Sub(s.at).Seconds() < overloadWindowSeconds {
 			keep = append(keep, s)
 			sum += s.work
 		}
 	}
-	u.sends = keep
-	capacity := u.rig.RunnerSlots * (coldShare + (1-coldShare)*age/u.rig.coldTime())
-	u.worst = max(u.worst, sum/(fallMultiple*capacity*fallTime))
-	if u.worst > 1 {
-		u.fallen = true
-		u.rig.Log(fmt.Sprintf("%s: falls over %.3f s after its start; work by member: %v", u.Name, age, u.WorkByMember))
+	r.recentWork = keep
+	capacity := r.cluster.RunnerSlots * (slowStartShare + (1-slowStartShare)*age/r.cluster.slowStartSeconds())
+	r.peakShare = max(r.peakShare, sum/(overloadMultiple*capacity*overloadWindowSeconds))
+	if r.peakShare > 1 {
+		r.overloaded = true
+		r.cluster.Log(fmt.Sprintf("%s: falls over %.3f s after its start; work by member: %v", r.Name, age, r.WorkByMember))
 		return false
 	}
 	return true
 }
 
-func (u *Runner) load() string {
-	return fmt.Sprintf(`"load":{"util":%.2f,"inflight":%d,"queue":%d,"x0":%d}`, float64(u.running)/u.rig.RunnerSlots, u.running+u.waiting, u.waiting,
-		int(u.rig.RunnerSlots)-u.running)
+func (r *Runner) loadReport() string {
+	return fmt.Sprintf(`"load":{"util":%.2f,"inflight":%d,"queue":%d,"x0":%d}`, float64(r.running)/r.cluster.RunnerSlots, r.running+r.waiting, r.waiting,
+		int(r.cluster.RunnerSlots)-r.running)
 }
 
-func (u *Runner) serve(m *Member, rw http.ResponseWriter, q *http.Request) {
-	_, _ = io.Copy(io.Discard, q.Body)
-	if q.Method != "POST" {
-		rw.WriteHeader(204)
+func (r *Runner) serve(member *Member, writer http.ResponseWriter, request *http.Request) {
+	_, _ = io.Copy(io.Discard, request.Body)
+	if request.Method != "POST" {
+		writer.WriteHeader(204)
 		return
 	}
-	id, class := q.Header.Get("X-Call-Id"), q.Header.Get("X-Call-Class")
-	if u.rig.Discovery.late(m, u) {
-		u.rig.books.broken("%s sent %s to %s, of which it was told that it drains", m.Name, id, u.Name)
+	id, class := request.Header.Get("X-Call-Id"), request.Header.Get("X-Call-Class")
+	if r.cluster.Discovery.violatesDrain(member, r) {
+		r.cluster.jobs.addViolation("%s sent %s to %s, of which it was told that it drains", member.Name, id, r.Name)
 	}
-	if !u.take(m) {
+	if !r.accept(member) {
 		panic(http.ErrAbortHandler)
 	}
-	u.mu.Lock()
-	if u.waiting >= 2*int(u.rig.RunnerSlots) {
-		load := u.load()
-		u.mu.Unlock()
-		rw.Header().Set("X-Rejected", "1")
-		rw.Header().Set("X-Load", load)
-		rw.WriteHeader(503)
+	r.mutex.Lock()
+	if r.waiting >= 2*int(r.cluster.RunnerSlots) {
+		load := r.loadReport()
+		r.mutex.Unlock()
+		writer.Header().Set("X-Rejected", "1")
+		writer.Header().Set("X-Load", load)
+		writer.WriteHeader(503)
 		return
 	}
-	u.waiting++
-	u.mu.Unlock()
-	u.rig.books.ran(id, class)
-	rw.WriteHeader(202)
-	u.busy.Add(1)
-	go u.run(m, id)
-}
-
-func (u *Runner) run(m *Member, id string) {
-	defer u.busy.Done()
-	u.slots <- true
-	u.mu.Lock()
-	u.waiting--
-	u.running++
-	u.mu.Unlock()
-	u.news(m, id, `"state":"started"`)
+	r.waiting++
+	r.mutex.Unlock()
+	r.cluster.jobs.recordExecution(id, class)
+	writer.WriteHeader(202)
+	r.jobs.Add(1)
+	go r.run(member, id)
+}
+
+func (r *Runner) run(member *Member, id string) {
+	defer r.jobs.Done()
+	r.slots <- true
+	r.mutex.Lock()
+	r.waiting--
+	r.running++
+	r.mutex.Unlock()
+	r.notify(member, id, `"state":"started"`)
 	select {
-	case <-time.After(time.Duration(u.rig.JobSeconds * float64(time.Second))):
-	case <-u.ctx.Done():
+	case <-time.After(time.Duration(r.cluster.JobSeconds * float64(time.Second))):
+	case <-r.ctx.Done():
 	}
-	<-u.slots
-	u.mu.Lock()
-	u.running--
-	load := u.load()
-	u.mu.Unlock()
-	u.news(m, id, `"state":"done","result":"`+id+`",`+load)
-}
-
-// news calls back; a dispatcher that has gone does not hear it.
-func (u *Runner) news(m *Member, id, rest string) {
-	q, err := http.NewRequestWithContext(u.ctx, "POST", "http://"+m.ListenAddress+"/_jobs/news",
-		strings.NewReader(fmt.Sprintf(`{"id":%q,"from":%q,%s}`, id, u.Name, rest)))
+	<-r.slots
+	r.mutex.Lock()
+	r.running--
+	load := r.loadReport()
+	r.mutex.Unlock()
+	r.notify(member, id, `"state":"done","result":"`+id+`",`+load)
+}
+
+// notify calls back; a dispatcher that has gone does not hear it.
+func (r *Runner) notify(member *Member, id, rest string) {
+	request, err := http.NewRequestWithContext(r.ctx, "POST", "http://"+member.ListenAddress+"/_jobs/news",
+		strings.NewReader(fmt.Sprintf(`{"id":%q,"from":%q,%s}`, id, r.Name, rest)))
 	if err != nil {
 		return
 	}
-	if a, err := u.client.Do(q); err == nil {
-		_, _ = io.Copy(io.Discard, a.Body)
-		a.Body.Close()
+	if answer, err := r.client.Do(request); err == nil {
+		_, _ = io.Copy(io.Discard, answer.Body)
+		answer.Body.Close()
 	}
 }
--- a/internal/testkit/receivers/carbon.go
+++ b/internal/testkit/receivers/carbon.go
@@ -19,13 +19,13 @@
 
 // NewCarbon starts one at an address, such as 127.0.0.1:0.
 func NewCarbon(addr string, pickle bool) (*Carbon, error) {
-	c := &Carbon{pickle: pickle, server: server{network: "tcp", addr: addr}}
+	c := &Carbon{pickle: pickle, server: server{network: "tcp", address: addr}}
 	c.serve = func(conn net.Conn) {
 		in := c.reader(conn)
 		if c.pickle {
-			c.pickles(in)
+			c.readPickles(in)
 		} else {
-			c.lines(in)
+			c.readLines(in)
 		}
 	}
 	if err := c.start(); err != nil {
@@ -34,8 +34,8 @@
 	return c, nil
 }
 
-// lines reads lines. What comes before an end without a line's end is no line: carbon throws it away.
-func (c *Carbon) lines(in *bufio.Reader) {
+// readLines reads lines. What comes before an end without a line's end is no line: carbon throws it away.
+func (c *Carbon) readLines(in *bufio.Reader) {
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
@@ -43,20 +43,20 @@
 		}
 		f := strings.Fields(line)
 		if len(f) != 3 {
-			c.wrong("line %q", line)
+			c.addMalformed("line %q", line)
 			continue
 		}
 		v, err1 := strconv.ParseFloat(f[1], 64)
 		at, err2 := strconv.ParseFloat(f[2], 64)
 		if err1 != nil || err2 != nil {
-			c.wrong("line %q", line)
+			c.addMalformed("line %q", line)
 			continue
 		}
-		c.add(Point{f[0], at, v})
+		c.addPoint(Point{f[0], at, v})
 	}
 }
 
-func (c *Carbon) pickles(in *bufio.Reader) {
+func (c *Carbon) readPickles(in *bufio.Reader) {
 	for {
 		var head [4]byte
 		if _, err := io.ReadFull(in, head[:]); err != nil {
@@ -64,7 +64,7 @@
 		}
 		n := binary.BigEndian.Uint32(head[:])
 		if n > 1<<20 { // carbon's own bound
-			c.wrong("pickle of %d bytes", n)
+			c.addMalformed("pickle of %d bytes", n)
 			return
 		}
 		body := make([]byte, n)
@@ -73,16 +73,16 @@
 		}
 		points, err := DecodePickle(body)
 		if err != nil {
-			c.wrong("%v", err)
+			c.addMalformed("%v", err)
 			continue
 		}
 		for _, p := range points {
-			c.add(p)
+			c.addPoint(p)
 		}
 	}
 }
 
-type mark struct{}
+type pickleMark struct{}
 
 // DecodePickle reads a pickle of a list of (path, (time, value)): the opcodes of Python's protocols 0 to 3 that such lists
 // are written with (Lib/pickletools.py describes each).
@@ -97,7 +97,7 @@
 	}
 	cut := func() (items []any, ok bool) { // what stands above the last mark
 		for i := len(stack) - 1; i >= 0; i-- {
-			if stack[i] == (mark{}) {
+			if stack[i] == (pickleMark{}) {
 				items = append([]any(nil), stack[i+1:]...)
 				stack = stack[:i]
 				return items, true
@@ -121,7 +121,7 @@
 		case 0x80: // PROTO
 			take(1)
 		case '(':
-			stack = append(stack, mark{})
+			stack = append(stack, pickleMark{})
 		case ']':
 			stack = append(stack, &list{})
 		case 'l':
@@ -196,7 +196,7 @@
 			if v == nil {
 				return bad("cut short")
 			}
-			stack = append(stack, floatOf(binary.BigEndian.Uint64(v)))
+			stack = append(stack, floatFromBits(binary.BigEndian.Uint64(v)))
 		case 'I', 'L', 'F': // a number as text, to the line's end
 			line, rest, ok := strings.Cut(string(b), "\n")
 			if !ok {
--- a/internal/testkit/receivers/collectd.go
+++ b/internal/testkit/receivers/collectd.go
@@ -18,7 +18,7 @@
 	"sync"
 )
 
-func floatOf(bits uint64) float64 { return math.Float64frombits(bits) }
+func floatFromBits(bits uint64) float64 { return math.Float64frombits(bits) }
 
 // Collectd is a stand-in for collectd's unixsock plug-in (collectd-unixsock(5)): PUTVAL lines, each of which is answered.
 type Collectd struct {
@@ -27,15 +27,15 @@
 
 // NewCollectd starts one at a path.
 func NewCollectd(path string) (*Collectd, error) {
-	c := &Collectd{server: server{network: "unix", addr: path}}
-	c.serve = func(conn net.Conn) { c.lines(conn, c.reader(conn)) }
+	c := &Collectd{server: server{network: "unix", address: path}}
+	c.serve = func(conn net.Conn) { c.readLines(conn, c.reader(conn)) }
 	if err := c.start(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-func (c *Collectd) lines(conn net.Conn, in *bufio.Reader) {
+func (c *Collectd) readLines(conn net.Conn, in *bufio.Reader) {
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
@@ -43,10 +43,10 @@
 		}
 		answer := "0 Success: 1 value has been dispatched.\n"
 		if p, err := parsePutval(line); err != nil {
-			c.wrong("%v", err)
+			c.addMalformed("%v", err)
 			answer = "-1 " + err.Error() + "\n"
 		} else {
-			c.add(p)
+			c.addPoint(p)
 		}
 		if _, err := conn.Write([]byte(answer)); err != nil {
 			return
@@ -96,24 +96,24 @@
 	security  string
 	passwords map[string]string
 
-	mu      sync.Mutex
+	mutex   sync.Mutex
 	socket  *net.UDPConn
-	addr    string
+	address string
 	largest int
 	packets int
 }
 
 // NewCollectdNetwork starts one at an address. It takes packets of at least a security: a user's password is told by name.
 func NewCollectdNetwork(addr, security string, passwords map[string]string) (*CollectdNetwork, error) {
-	n := &CollectdNetwork{addr: addr, security: security, passwords: passwords}
+	n := &CollectdNetwork{address: addr, security: security, passwords: passwords}
 	return n, n.Restart()
 }
 
 // Restart listens, again at the same address.
 func (n *CollectdNetwork) Restart() error {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	addr, err := net.ResolveUDPAddr("udp", n.addr)
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	addr, err := net.ResolveUDPAddr("udp", n.address)
 	if err != nil {
 		return fmt.Errorf("standin: %w", err)
 	}
@@ -121,29 +121,29 @@
 		return fmt.Errorf("standin: %w", err)
 	}
 	_ = n.socket.SetReadBuffer(4 << 20)
-	n.addr = n.socket.LocalAddr().String()
+	n.address = n.socket.LocalAddr().String()
 	go n.serve(n.socket)
 	return nil
 }
 
 // Stop listens no more until Back: the system refuses what comes.
 func (n *CollectdNetwork) Stop() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
 	n.socket.Close()
 }
 
 // Addr is where it listens.
 func (n *CollectdNetwork) Addr() string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.addr
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	return n.address
 }
 
 // Packets is how many packets came, and the size of the largest.
 func (n *CollectdNetwork) Packets() (count, largest int) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
 	return n.packets, n.largest
 }
 
@@ -154,17 +154,17 @@
 		if err != nil {
 			return
 		}
-		n.mu.Lock()
+		n.mutex.Lock()
 		n.packets++
 		n.largest = max(n.largest, size)
-		n.mu.Unlock()
+		n.mutex.Unlock()
 		points, err := DecodePacket(b[:size], n.security, n.passwords)
 		if err != nil {
-			n.wrong("%v", err)
+			n.addMalformed("%v", err)
 			continue
 		}
 		for _, p := range points {
-			n.add(p)
+			n.addPoint(p)
 		}
 	}
 }
@@ -178,12 +178,12 @@
 // DecodePacket reads a packet that must have at least a security: none, sign or encrypt. What was unprotected is not taken where
 // it must be.
 func DecodePacket(b []byte, security string, passwords map[string]string) ([]Point, error) {
-	return decode(b, map[string]int{"none": 0, "sign": 1, "encrypt": 2}[security], 0, passwords)
+	return decodeParts(b, map[string]int{"none": 0, "sign": 1, "encrypt": 2}[security], 0, passwords)
 }
 
-func decode(b []byte, want, have int, passwords map[string]string) (points []Point, err error) {
+func decodeParts(b []byte, required, protection int, passwords map[string]string) (points []Point, err error) {
 	var host, plugin, pluginInstance, kind, instance string
-	at := 0.0
+	time := 0.0
 	for len(b) > 0 {
 		if len(b) < 4 {
 			return points, errShort
@@ -194,7 +194,7 @@
 		}
 		body := b[4:size]
 		b = b[size:]
-		if have < want && part != partSign && part != partEncrypt {
+		if protection < required && part != partSign && part != partEncrypt {
 			return points, errSecurity
 		}
 		switch part {
@@ -214,7 +214,7 @@
 				v /= 1 << 30
 			}
 			if part == partTime || part == partTimeHR {
-				at = v
+				time = v
 			}
 		case partValues:
 			values, err := decodeValues(body)
@@ -226,7 +226,7 @@
 				name += "-" + pluginInstance
 			}
 			for _, v := range values {
-				points = append(points, Point{name + "/" + kind + "-" + instance, at, v})
+				points = append(points, Point{name + "/" + kind + "-" + instance, time, v})
 			}
 		case partSign:
 			if len(body) < 32 {
@@ -239,7 +239,7 @@
 			if !known || !hmac.Equal(mac.Sum(nil), body[:32]) {
 				return points, errKey
 			}
-			more, err := decode(b, want, max(have, 1), passwords)
+			more, err := decodeParts(b, required, max(protection, 1), passwords)
 			return append(points, more...), err
 		case partEncrypt:
 			if len(body) < 2 || len(body) < 2+int(binary.BigEndian.Uint16(body))+16+20 {
@@ -257,7 +257,7 @@
 			if sum := sha1.Sum(plain[20:]); !known || !bytes.Equal(sum[:], plain[:20]) {
 				return points, errKey
 			}
-			more, err := decode(plain[20:], want, 2, passwords)
+			more, err := decodeParts(plain[20:], required, 2, passwords)
 			if points = append(points, more...); err != nil {
 				return points, err
 			}
@@ -282,7 +282,7 @@
 		case 0, 3: // COUNTER, ABSOLUTE
 			values = append(values, float64(binary.BigEndian.Uint64(v)))
 		case 1: // GAUGE, which alone is little-endian
-			values = append(values, floatOf(binary.LittleEndian.Uint64(v)))
+			values = append(values, floatFromBits(binary.LittleEndian.Uint64(v)))
 		case 2: // DERIVE
 			values = append(values, float64(int64(binary.BigEndian.Uint64(v))))
 		default:
--- a/internal/testkit/receivers/relay.go
+++ b/internal/testkit/receivers/relay.go
@@ -31,20 +31,20 @@
 	// SenderOf says who sent a datagram; "" is not known.
 	SenderOf func(b []byte) string
 
-	conn *net.UDPConn
-	out  *net.UDPConn
-	to   *net.UDPAddr
-	log  Log
+	socket *net.UDPConn
+	output *net.UDPConn
+	target *net.UDPAddr
+	log    Log
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	links  map[string]Link // by sender; "" for all that have none of their own
-	held   []byte          // waits for the next one to pass
-	counts struct{ Passed, Dropped, Repeated, Held int }
+	mutex     sync.Mutex
+	random    *rand.Rand
+	links     map[string]Link // by sender; "" for all that have none of their own
+	reordered []byte          // waits for the next one to pass
+	counts    struct{ Passed, Dropped, Repeated, Held int }
 }
 
 // NewUDPRelay opens a relay to an address, which need not exist yet.
-func NewUDPRelay(name string, to netip.AddrPort, seed uint64, log Log) (*UDPRelay, error) {
+func NewUDPRelay(name string, target netip.AddrPort, seed uint64, log Log) (*UDPRelay, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, fmt.Errorf("standin: %w", err)
@@ -54,91 +54,91 @@
 		conn.Close()
 		return nil, fmt.Errorf("standin: %w", err)
 	}
-	d := &UDPRelay{Name: name, conn: conn, out: out, to: net.UDPAddrFromAddrPort(to), log: log, rng: rand.New(rand.NewPCG(seed, 0)),
+	d := &UDPRelay{Name: name, socket: conn, output: out, target: net.UDPAddrFromAddrPort(target), log: log, random: rand.New(rand.NewPCG(seed, 0)),
 		links: map[string]Link{}}
 	go d.run()
 	return d, nil
 }
 
 // Addr is the relay's port: what the member advertises.
-func (d *UDPRelay) Addr() string { return d.conn.LocalAddr().String() }
+func (d *UDPRelay) Addr() string { return d.socket.LocalAddr().String() }
 
 // SetLink sets the way from a sender; "" sets that of all who have none of their own.
-func (d *UDPRelay) SetLink(from string, l Link) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.links[from] = l
-	d.log(fmt.Sprintf("link %s -> %s: %+v", from, d.Name, l))
+func (d *UDPRelay) SetLink(from string, link Link) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.links[from] = link
+	d.log(fmt.Sprintf("link %s -> %s: %+v", from, d.Name, link))
 }
 
 // ClearLinks has every way pass everything again.
 func (d *UDPRelay) ClearLinks() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	clear(d.links)
 	d.log("links -> " + d.Name + ": clear")
 }
 
 // Close ends the relay and tells the log what it did.
 func (d *UDPRelay) Close() {
-	d.conn.Close()
-	d.out.Close()
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	d.socket.Close()
+	d.output.Close()
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	d.log(fmt.Sprintf("datagrams -> %s: %+v", d.Name, d.counts))
 }
 
 func (d *UDPRelay) run() {
 	buf := make([]byte, 65536)
 	for {
-		n, _, err := d.conn.ReadFromUDP(buf)
+		n, _, err := d.socket.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
-		d.pass(append([]byte(nil), buf[:n]...))
+		d.forward(append([]byte(nil), buf[:n]...))
 	}
 }
 
-func (d *UDPRelay) pass(b []byte) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (d *UDPRelay) forward(b []byte) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	from := ""
 	if d.SenderOf != nil {
 		from = d.SenderOf(b)
 	}
-	l, own := d.links[from]
+	link, own := d.links[from]
 	if !own {
-		l = d.links[""]
+		link = d.links[""]
 	}
-	if l.Blackhole || l.Resets || l.LossRate > 0 && d.rng.Float64() < l.LossRate {
+	if link.Blackhole || link.Resets || link.LossRate > 0 && d.random.Float64() < link.LossRate {
 		d.counts.Dropped++
 		return
 	}
 	times := 1
-	if l.DuplicateRate > 0 && d.rng.Float64() < l.DuplicateRate {
+	if link.DuplicateRate > 0 && d.random.Float64() < link.DuplicateRate {
 		times = 2
 		d.counts.Repeated++
 	}
-	if l.ReorderRate > 0 && d.held == nil && d.rng.Float64() < l.ReorderRate {
-		d.held = b
+	if link.ReorderRate > 0 && d.reordered == nil && d.random.Float64() < link.ReorderRate {
+		d.reordered = b
 		d.counts.Held++
 		return
 	}
 	queue := [][]byte{b}
-	if d.held != nil {
-		queue, d.held = append(queue, d.held), nil
+	if d.reordered != nil {
+		queue, d.reordered = append(queue, d.reordered), nil
 	}
 	for range times {
-		wait := l.Delay
-		if l.Jitter > 0 {
-			wait += time.Duration(d.rng.Int64N(int64(l.Jitter)))
+		wait := link.Delay
+		if link.Jitter > 0 {
+			wait += time.Duration(d.random.Int64N(int64(link.Jitter)))
 		}
 		for _, b := range queue {
 			d.counts.Passed++
 			if wait == 0 {
-				_, _ = d.out.WriteToUDP(b, d.to)
+				_, _ = d.output.WriteToUDP(b, d.target)
 			} else {
-				time.AfterFunc(wait, func() { _, _ = d.out.WriteToUDP(b, d.to) })
+				time.AfterFunc(wait, func() { _, _ = d.output.WriteToUDP(b, d.target) })
 			}
 		}
 	}
@@ -151,23 +151,23 @@
 	listener net.Listener
 	log      Log
 
-	mu     sync.Mutex
-	to     string
-	link   Link
-	open   map[net.Conn]net.Conn // by the caller's side
-	change chan struct{}         // closed when the link changes
-	total  int
-	reset  int
+	mutex       sync.Mutex
+	target      string
+	link        Link
+	connections map[net.Conn]net.Conn // by the caller's side
+	changed     chan struct{}         // closed when the link changes
+	accepted    int
+	resets      int
 }
 
 // NewTCPRelay opens a relay to an address. The port is on an address of its own where one is given: peers may bound what
 // comes from one.
-func NewTCPRelay(name, on, to string, log Log) (*TCPRelay, error) {
-	l, err := net.Listen("tcp", on)
+func NewTCPRelay(name, listenAddress, target string, log Log) (*TCPRelay, error) {
+	l, err := net.Listen("tcp", listenAddress)
 	if err != nil {
 		return nil, fmt.Errorf("standin: %w", err)
 	}
-	s := &TCPRelay{Name: name, listener: l, to: to, log: log, open: map[net.Conn]net.Conn{}, change: make(chan struct{})}
+	s := &TCPRelay{Name: name, listener: l, target: target, log: log, connections: map[net.Conn]net.Conn{}, changed: make(chan struct{})}
 	go s.run()
 	return s, nil
 }
@@ -177,24 +177,24 @@
 
 // SetTarget has new connections go to another address.
 func (s *TCPRelay) SetTarget(to string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.to = to
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.target = to
 }
 
 // SetLink sets the link; with Resets all open connections are reset at once.
-func (s *TCPRelay) SetLink(l Link) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.link = l
-	close(s.change)
-	s.change = make(chan struct{})
-	s.log(fmt.Sprintf("stream %s: %+v", s.Name, l))
-	if l.Resets {
-		for a, b := range s.open {
+func (s *TCPRelay) SetLink(link Link) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.link = link
+	close(s.changed)
+	s.changed = make(chan struct{})
+	s.log(fmt.Sprintf("stream %s: %+v", s.Name, link))
+	if link.Resets {
+		for a, b := range s.connections {
 			abort(a)
 			abort(b)
-			s.reset++
+			s.resets++
 		}
 	}
 }
@@ -209,26 +209,26 @@
 // Close ends the relay and its connections.
 func (s *TCPRelay) Close() {
 	s.listener.Close()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for a, b := range s.open {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for a, b := range s.connections {
 		a.Close()
 		b.Close()
 	}
-	s.log(fmt.Sprintf("stream %s: %d connections, %d reset", s.Name, s.total, s.reset))
+	s.log(fmt.Sprintf("stream %s: %d connections, %d reset", s.Name, s.accepted, s.resets))
 }
 
 // Link is the link as it is set.
 func (s *TCPRelay) Link() Link {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	return s.link
 }
 
 func (s *TCPRelay) state() (Link, string, chan struct{}) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.link, s.to, s.change
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.link, s.target, s.changed
 }
 
 func (s *TCPRelay) run() {
@@ -246,30 +246,30 @@
 	}
 }
 
-func (s *TCPRelay) serve(a net.Conn, to string) {
-	b, err := net.Dial("tcp", to)
+func (s *TCPRelay) serve(caller net.Conn, to string) {
+	target, err := net.Dial("tcp", to)
 	if err != nil {
-		abort(a)
+		abort(caller)
 		return
 	}
-	s.mu.Lock()
-	s.open[a] = b
-	s.total++
-	s.mu.Unlock()
+	s.mutex.Lock()
+	s.connections[caller] = target
+	s.accepted++
+	s.mutex.Unlock()
 	var both sync.WaitGroup
 	both.Add(2)
-	go func() { defer both.Done(); s.copy(b, a) }()
-	go func() { defer both.Done(); s.copy(a, b) }()
+	go func() { defer both.Done(); s.forward(target, caller) }()
+	go func() { defer both.Done(); s.forward(caller, target) }()
 	both.Wait()
-	s.mu.Lock()
-	delete(s.open, a)
-	s.mu.Unlock()
-	a.Close()
-	b.Close()
+	s.mutex.Lock()
+	delete(s.connections, caller)
+	s.mutex.Unlock()
+	caller.Close()
+	target.Close()
 }
 
-// copy passes bytes on, and the end of them; while the link is silent they wait, as in a network that sends them again.
-func (s *TCPRelay) copy(to, from net.Conn) {
+// forward passes bytes on, and the end of them; while the link is silent they wait, as in a network that sends them again.
+func (s *TCPRelay) forward(to, from net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
--- a/internal/testkit/receivers/relay_test.go
+++ b/internal/testkit/receivers/relay_test.go
@@ -11,32 +11,32 @@
 	"time"
 )
 
-// lines keeps what relays log.
-type lines struct {
+// logLines keeps what relays log.
+type logLines struct {
 	mu  sync.Mutex
 	all []string
 }
 
-func (l *lines) add(line string) {
+func (l *logLines) add(line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.all = append(l.all, line)
 }
 
-func (l *lines) String() string {
+func (l *logLines) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Join(l.all, "\n")
 }
 
 // Each directed way does what its link says, and to nobody else's datagrams.
-func TestDatagramRelay(t *testing.T) {
+func TestUDPRelay(t *testing.T) {
 	to, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer to.Close()
-	log := &lines{}
+	log := &logLines{}
 	d, err := NewUDPRelay("b", netip.MustParseAddrPort(to.LocalAddr().String()), 7, log.add)
 	if err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 }
 
 // A relayed connection is passed on, hangs while its way is silent and goes on after, and is reset on cue.
-func TestStreamRelay(t *testing.T) {
+func TestTCPRelay(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -120,7 +120,7 @@
 			go func() { _, _ = io.Copy(c, c); c.Close() }()
 		}
 	}()
-	log := &lines{}
+	log := &logLines{}
 	s, err := NewTCPRelay("way", "127.0.0.1:0", l.Addr().String(), log.add)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testkit/receivers/store.go
+++ b/internal/testkit/receivers/store.go
@@ -25,51 +25,51 @@
 
 // Store keeps what a stand-in got. It is safe for use by several goroutines.
 type Store struct {
-	mu     sync.Mutex
-	points []Point
-	series map[string]map[float64]float64
-	again  int // points that were there already, with the same value
-	moved  int // and with another one
-	bad    []string
+	mutex      sync.Mutex
+	points     []Point
+	series     map[string]map[float64]float64
+	duplicates int // points that were there already, with the same value
+	conflicts  int // and with another one
+	malformed  []string
 }
 
-func (s *Store) add(p Point) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (s *Store) addPoint(point Point) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	if s.series == nil {
 		s.series = map[string]map[float64]float64{}
 	}
-	at := s.series[p.Series]
+	at := s.series[point.Series]
 	if at == nil {
 		at = map[float64]float64{}
-		s.series[p.Series] = at
+		s.series[point.Series] = at
 	}
-	if was, there := at[p.Time]; there && was == p.Value {
-		s.again++
+	if was, there := at[point.Time]; there && was == point.Value {
+		s.duplicates++
 	} else if there {
-		s.moved++
+		s.conflicts++
 	}
-	at[p.Time] = p.Value
-	s.points = append(s.points, p)
+	at[point.Time] = point.Value
+	s.points = append(s.points, point)
 }
 
-func (s *Store) wrong(format string, a ...any) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.bad = append(s.bad, fmt.Sprintf(format, a...))
+func (s *Store) addMalformed(format string, a ...any) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.malformed = append(s.malformed, fmt.Sprintf(format, a...))
 }
 
 // Reset loses all that was kept, as a receiver does whose disk is new.
 func (s *Store) Reset() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.points, s.series, s.again, s.moved, s.bad = nil, nil, 0, 0, nil
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.points, s.series, s.duplicates, s.conflicts, s.malformed = nil, nil, 0, 0, nil
 }
 
 // Last is the newest value of a series.
 func (s *Store) Last(series string) (v float64, ok bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	newest := 0.0
 	for at, value := range s.series[series] {
 		if at >= newest {
@@ -92,8 +92,8 @@
 
 // Names are the series, sorted.
 func (s *Store) Names() (names []string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	for name := range s.series {
 		names = append(names, name)
 	}
@@ -103,8 +103,8 @@
 
 // Timestamps are the times of a series, sorted.
 func (s *Store) Timestamps(series string) (stamps []float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	for at := range s.series[series] {
 		stamps = append(stamps, at)
 	}
@@ -114,22 +114,22 @@
 
 // Counts tells how many points came, how many of them again, and how many again with another value.
 func (s *Store) Counts() (points, again, moved int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.points), s.again, s.moved
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return len(s.points), s.duplicates, s.conflicts
 }
 
 // Malformed is what made no sense.
 func (s *Store) Malformed() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return slices.Clone(s.bad)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return slices.Clone(s.malformed)
 }
 
 // WriteLines writes all points in the order in which they came, as lines PATH VALUE TIME, or PUTVAL lines if they came so.
 func (s *Store) WriteLines(path string) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	var b strings.Builder
 	for _, p := range s.points {
 		if strings.Contains(p.Series, "/") {
@@ -144,49 +144,49 @@
 // server is a listener that comes and goes, with what its connections are to do.
 type server struct {
 	Store
-	network, addr string
-	serve         func(c net.Conn)
+	network, address string
+	serve            func(c net.Conn)
 
-	cue      sync.Mutex
-	listener net.Listener
-	conns    map[net.Conn]bool
-	stalled  bool
-	unstall  chan struct{}
-	cut      int // bytes after which the next connection is reset; 0: none
-	pace     int // bytes a read, with a pause between two; 0 is as they come
-	accepted int
-	keeps    bool // does not close in answer to a peer's close, as some relays
+	mutex      sync.Mutex
+	listener   net.Listener
+	conns      map[net.Conn]bool
+	stalled    bool
+	resume     chan struct{}
+	resetAfter int // bytes after which the next connection is reset; 0: none
+	readSize   int // bytes a read, with a pause between two; 0 is as they come
+	accepted   int
+	keepOpen   bool // does not close in answer to a peer's close, as some relays
 }
 
 func (s *server) start() error {
-	s.cue.Lock()
-	defer s.cue.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	if s.conns == nil {
 		s.conns = map[net.Conn]bool{}
 	}
 	if s.network == "unix" {
-		os.Remove(s.addr)
+		os.Remove(s.address)
 	}
-	l, err := net.Listen(s.network, s.addr)
+	l, err := net.Listen(s.network, s.address)
 	if err != nil {
 		return fmt.Errorf("standin: %w", err)
 	}
-	s.listener, s.addr = l, l.Addr().String()
+	s.listener, s.address = l, l.Addr().String()
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			s.cue.Lock()
+			s.mutex.Lock()
 			s.conns[c] = true
 			s.accepted++
-			s.cue.Unlock()
+			s.mutex.Unlock()
 			go func() {
 				s.serve(c)
-				s.cue.Lock()
-				defer s.cue.Unlock()
-				if !s.keeps {
+				s.mutex.Lock()
+				defer s.mutex.Unlock()
+				if !s.keepOpen {
 					delete(s.conns, c)
 					c.Close()
 				}
@@ -198,15 +198,15 @@
 
 // Addr is where the stand-in listens.
 func (s *server) Addr() string {
-	s.cue.Lock()
-	defer s.cue.Unlock()
-	return s.addr
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.address
 }
 
 // Stop ends all connections, with bytes unread, and listens no more until Back.
 func (s *server) Stop() {
-	s.cue.Lock()
-	defer s.cue.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	if s.listener != nil {
 		s.listener.Close()
 		s.listener = nil
@@ -223,67 +223,67 @@
 func (s *server) Restart() error { return s.start() }
 
 // SetStalled accepts and reads nothing, or reads again.
-func (s *server) SetStalled(on bool) {
-	s.cue.Lock()
-	defer s.cue.Unlock()
+func (s *server) SetStalled(stalled bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	switch {
-	case on && !s.stalled:
-		s.unstall = make(chan struct{})
-	case !on && s.stalled:
-		close(s.unstall)
+	case stalled && !s.stalled:
+		s.resume = make(chan struct{})
+	case !stalled && s.stalled:
+		close(s.resume)
 	}
-	s.stalled = on
+	s.stalled = stalled
 }
 
 // ResetAfter resets the next connection after so many bytes were read.
 func (s *server) ResetAfter(after int) {
-	s.cue.Lock()
-	defer s.cue.Unlock()
-	s.cut = after
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.resetAfter = after
 }
 
 // SetReadSize reads so many bytes at a time, a millisecond apart; 0 is as they come.
 func (s *server) SetReadSize(bytes int) {
-	s.cue.Lock()
-	defer s.cue.Unlock()
-	s.pace = bytes
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.readSize = bytes
 }
 
 // KeepOpen has connections stay open when the peer has closed its side.
-func (s *server) KeepOpen(on bool) {
-	s.cue.Lock()
-	defer s.cue.Unlock()
-	s.keeps = on
+func (s *server) KeepOpen(keepOpen bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.keepOpen = keepOpen
 }
 
 // Accepted is how many connections there were.
 func (s *server) Accepted() int {
-	s.cue.Lock()
-	defer s.cue.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	return s.accepted
 }
 
-// reader reads a connection as the cues say.
-type reader struct {
-	s    *server
-	c    net.Conn
-	left int // until it is reset; 0: never
+// cueReader reads a connection as the cues say.
+type cueReader struct {
+	server     *server
+	conn       net.Conn
+	untilReset int // until it is reset; 0: never
 }
 
 func (s *server) reader(c net.Conn) *bufio.Reader {
-	s.cue.Lock()
-	defer s.cue.Unlock()
-	r := &reader{s: s, c: c, left: s.cut}
-	s.cut = 0
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	r := &cueReader{server: s, conn: c, untilReset: s.resetAfter}
+	s.resetAfter = 0
 	return bufio.NewReaderSize(r, 4096)
 }
 
 // Read implements io.Reader.
-func (r *reader) Read(b []byte) (int, error) {
-	r.s.cue.Lock()
-	wait, pace := r.s.unstall, r.s.pace
-	stalled := r.s.stalled
-	r.s.cue.Unlock()
+func (r *cueReader) Read(b []byte) (int, error) {
+	r.server.mutex.Lock()
+	wait, pace := r.server.resume, r.server.readSize
+	stalled := r.server.stalled
+	r.server.mutex.Unlock()
 	if stalled {
 		<-wait
 	}
@@ -291,16 +291,16 @@
 		time.Sleep(time.Millisecond)
 		b = b[:min(len(b), pace)]
 	}
-	if r.left > 0 {
-		b = b[:min(len(b), r.left)]
+	if r.untilReset > 0 {
+		b = b[:min(len(b), r.untilReset)]
 	}
-	n, err := r.c.Read(b)
-	if r.left > 0 && err == nil {
-		if r.left -= n; r.left == 0 {
-			if tcp, ok := r.c.(*net.TCPConn); ok {
+	n, err := r.conn.Read(b)
+	if r.untilReset > 0 && err == nil {
+		if r.untilReset -= n; r.untilReset == 0 {
+			if tcp, ok := r.conn.(*net.TCPConn); ok {
 				_ = tcp.SetLinger(0)
 			}
-			r.c.Close()
+			r.conn.Close()
 			return n, io.ErrUnexpectedEOF
 		}
 	}
@@ -309,8 +309,8 @@
 
 // CounterIncrease is by how much a total has grown over all stamps, from 0 on; one that falls has begun anew.
 func (s *Store) CounterIncrease(series string) (sum float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	type at struct{ at, v float64 }
 	var all []at
 	for t, v := range s.series[series] {
--- a/internal/testkit/runner/faults.go
+++ b/internal/testkit/runner/faults.go
@@ -14,26 +14,26 @@
 	MaxFaults   int     // requests that are spoilt at most; 0: any number
 }
 
-// fault is a way to spoil a request.
-type fault uint8
+// faultKind is a way to spoil a request.
+type faultKind uint8
 
 const (
-	faultNone fault = iota
-	faultBreakOff
-	faultExtra
-	faultExtraLate
+	faultNone faultKind = iota
+	faultTruncate
+	faultExtraBytes
+	faultStaleAnswer
 	faultGarbage
-	faultSilent
+	faultNoAnswer
 	faultReset
 	faultClose
 )
 
 // draw draws what happens to a request.
-func (f *Faults) draw(random *rand.Rand) fault {
+func (f *Faults) draw(random *rand.Rand) faultKind {
 	left := random.Float64()
 	for i, share := range []float64{f.Truncate, f.ExtraBytes, f.StaleAnswer, f.Garbage, f.NoAnswer, f.Reset, f.Close} {
 		if left -= share; left < 0 {
-			return fault(i + 1)
+			return faultKind(i + 1)
 		}
 	}
 	return faultNone
--- a/internal/testkit/runner/listener.go
+++ b/internal/testkit/runner/listener.go
@@ -8,19 +8,19 @@
 // listener resets connections beyond a number, and keeps those that are open.
 type listener struct {
 	net.Listener
-	most int
+	maxConns int
 
-	mutex             sync.Mutex
-	conns             map[*conn]struct{}
-	taken, turnedAway int
+	mutex              sync.Mutex
+	conns              map[*conn]struct{}
+	accepted, rejected int
 }
 
 // conn is a connection of a caller.
 type conn struct {
 	net.Conn
-	listener *listener
-	extra    []byte // that is sent once the connection is idle
-	late     []byte // that is sent before the next answer
+	listener    *listener
+	afterAnswer []byte // that is sent once the connection is idle
+	beforeNext  []byte // that is sent before the next answer
 }
 
 // Accept implements net.Listener.
@@ -30,21 +30,21 @@
 		if err != nil {
 			return nil, err
 		}
-		if c := l.take(inner); c != nil {
+		if c := l.register(inner); c != nil {
 			return c, nil
 		}
 		reset(inner)
 	}
 }
 
-func (l *listener) take(inner net.Conn) *conn {
+func (l *listener) register(inner net.Conn) *conn {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.most > 0 && len(l.conns) >= l.most {
-		l.turnedAway++
+	if l.maxConns > 0 && len(l.conns) >= l.maxConns {
+		l.rejected++
 		return nil
 	}
-	l.taken++
+	l.accepted++
 	c := &conn{Conn: inner, listener: l}
 	l.conns[c] = struct{}{}
 	return c
@@ -53,7 +53,7 @@
 func (l *listener) counts() (taken, turnedAway int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.taken, l.turnedAway
+	return l.accepted, l.rejected
 }
 
 func (l *listener) resetAll() {
--- a/internal/testkit/runner/runner.go
+++ b/internal/testkit/runner/runner.go
@@ -54,16 +54,16 @@
 	wake     chan struct{}
 	done     chan struct{}
 
-	mutex    sync.Mutex
-	random   *rand.Rand
-	faults   Faults
-	spoilt   int // requests, under the present script
-	draining bool
-	dark     bool
-	ended    bool
-	orders   map[*engine.Task]*order
-	reports  []report
-	stats    Stats
+	mutex      sync.Mutex
+	random     *rand.Rand
+	faults     Faults
+	faultCount int // requests, under the present script
+	draining   bool
+	hung       bool
+	ended      bool
+	executions map[*engine.Task]*execution
+	reports    []report
+	stats      Stats
 }
 
 // Stats count what a runner has seen.
@@ -91,8 +91,8 @@
 	}
 	r := &Runner{options: o, address: inner.Addr().(*net.TCPAddr).AddrPort(), epoch: time.Now(),
 		wake: make(chan struct{}, 1), done: make(chan struct{}), random: rand.New(rand.NewPCG(o.Seed, 4)),
-		orders: make(map[*engine.Task]*order)}
-	r.listener = &listener{Listener: inner, most: o.MaxConns, conns: make(map[*conn]struct{})}
+		executions: make(map[*engine.Task]*execution)}
+	r.listener = &listener{Listener: inner, maxConns: o.MaxConns, conns: make(map[*conn]struct{})}
 	r.server = &http.Server{Handler: http.HandlerFunc(r.serve), IdleTimeout: o.IdleTimeout,
 		ErrorLog: log.New(io.Discard, "", 0), ConnState: r.connState,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
@@ -138,31 +138,31 @@
 func (r *Runner) SetFaults(f Faults) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.faults, r.spoilt = f, 0
+	r.faults, r.faultCount = f, 0
 }
 
 // Hang makes it say nothing any more: its work stops, its connections stay and new ones come up unanswered.
 func (r *Runner) Hang() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.dark = true
-	r.machineStop()
+	r.hung = true
+	r.stopEngine()
 }
 
 // Crash ends it: connections are reset, its work is lost.
-func (r *Runner) Crash() { r.end(true) }
+func (r *Runner) Crash() { r.shutDown(true) }
 
 // Close ends it; connections are closed.
-func (r *Runner) Close() { r.end(false) }
+func (r *Runner) Close() { r.shutDown(false) }
 
-func (r *Runner) end(reset bool) {
+func (r *Runner) shutDown(reset bool) {
 	r.mutex.Lock()
 	if r.ended {
 		r.mutex.Unlock()
 		return
 	}
 	r.ended = true
-	r.machineStop()
+	r.stopEngine()
 	r.mutex.Unlock()
 	close(r.done)
 	if reset {
@@ -171,10 +171,10 @@
 	r.server.Close()
 }
 
-// machineStop loses all work.
-func (r *Runner) machineStop() {
+// stopEngine loses all work.
+func (r *Runner) stopEngine() {
 	for _, event := range r.options.Engine.Stop(r.now()) {
-		r.handle(event)
+		r.dispatchEvent(event)
 	}
 }
 
@@ -194,7 +194,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		if next, is := r.play(); is {
+		if next, is := r.advance(); is {
 			timer.Reset(max(0, next-r.now()))
 		}
 		select {
@@ -206,45 +206,45 @@
 	}
 }
 
-// play lets everything happen that is due.
-func (r *Runner) play() (next time.Duration, is bool) {
+// advance lets everything happen that is due.
+func (r *Runner) advance() (next time.Duration, is bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, event := range r.options.Engine.Advance(r.now()) {
-		r.handle(event)
+		r.dispatchEvent(event)
 	}
-	r.noteReport()
+	r.recordReport()
 	return r.options.Engine.Next()
 }
 
-// poke has run look at the machine again.
-func (r *Runner) poke() {
+// wakeUp has run look at the machine again.
+func (r *Runner) wakeUp() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// handle passes an event of the machine on to the request that waits for it.
-func (r *Runner) handle(event engine.Event) {
-	o := r.orders[event.Task]
-	if o == nil {
+// dispatchEvent passes an event of the machine on to the request that waits for it.
+func (r *Runner) dispatchEvent(event engine.Event) {
+	execution := r.executions[event.Task]
+	if execution == nil {
 		return
 	}
 	switch event.Kind {
 	case engine.Started:
-		r.ran(o)
+		r.reportStarted(execution)
 	case engine.Preempted, engine.ChunkPrefilled:
 		return
 	case engine.Finished, engine.Expired, engine.TimedOut, engine.Lost:
-		delete(r.orders, event.Task)
+		delete(r.executions, event.Task)
 	}
-	o.push(event)
+	execution.addEvent(event)
 }
 
-// ran notes that work on a request has begun.
-func (r *Runner) ran(o *order) {
+// reportStarted notes that work on a request has begun.
+func (r *Runner) reportStarted(execution *execution) {
 	if r.options.Checker != nil {
-		r.options.Checker.ExecutionStarted(&r.options.Runner, o.try)
+		r.options.Checker.ExecutionStarted(&r.options.Runner, execution.attemptID)
 	}
 }
