--- a/internal/testkit/runner/runner_test.go
+++ b/internal/testkit/runner/runner_test.go
@@ -18,15 +18,15 @@
 	"cinderroad/internal/testkit/engine"
 )
 
-// long bounds what should take milliseconds.
-const long = 20 * time.Second
+// testTimeout bounds what should take milliseconds.
+const testTimeout = 20 * time.Second
 
 func engineOptions() engine.Options {
 	return engine.Options{MaxRunning: 4, MaxQueued: 4, MemoryTokens: 1000, StepTime: time.Millisecond, PrefillTokensPerMS: 100,
 		EventTokens: 2}
 }
 
-func start(t *testing.T, alter func(*Options)) *Runner {
+func startRunner(t *testing.T, alter func(*Options)) *Runner {
 	t.Helper()
 	machine, err := engine.New(engineOptions())
 	if err != nil {
@@ -45,7 +45,7 @@
 	return r
 }
 
-func plain(o *Options) {
+func plainServer(o *Options) {
 	o.Engine, _ = engine.NewWorkers(1, 1)
 	o.EventTokens, o.BodyBytes = 0, 100
 }
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(long))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return &caller{c, bufio.NewReader(c)}
 }
 
@@ -111,8 +111,8 @@
 
 const prompt = "X-Model: m\r\nX-Token-Counts: 30,12\r\nX-Prompt-Start: a:20,b:10"
 
-func TestAStreamIsWholeAndInOrder(t *testing.T) {
-	r := start(t, nil)
+func TestStreamAnswer(t *testing.T) {
+	r := startRunner(t, nil)
 	resp := dial(t, r).mustAsk(t, "X-Try-Id: 1", prompt, "X-Wanted-Server: i-1")
 	seal, err := answer.ParseSeal(resp.Header.Get(answer.HeaderSeal))
 	if err != nil || seal.AttemptID != "1" || !seal.Stream {
@@ -132,8 +132,8 @@
 	}
 }
 
-func TestAStreamGoesOnWhereItWasCut(t *testing.T) {
-	r := start(t, nil)
+func TestStreamResumption(t *testing.T) {
+	r := startRunner(t, nil)
 	whole, err := events(t, dial(t, r).mustAsk(t, "X-Try-Id: 1", prompt).Body)
 	if err != nil {
 		t.Fatal(err)
@@ -144,8 +144,8 @@
 	}
 }
 
-func TestWhatARunnerDoesNotRun(t *testing.T) {
-	r := start(t, nil)
+func TestRejectedRequests(t *testing.T) {
+	r := startRunner(t, nil)
 	for _, test := range []struct {
 		name, headers string
 		status        int
@@ -164,8 +164,8 @@
 	}
 }
 
-func TestAPlainAnswerIsSealed(t *testing.T) {
-	r := start(t, plain)
+func TestPlainAnswer(t *testing.T) {
+	r := startRunner(t, plainServer)
 	resp := dial(t, r).mustAsk(t, "X-Try-Id: 7")
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
@@ -178,8 +178,8 @@
 }
 
 func TestHealthAndReport(t *testing.T) {
-	r := start(t, nil)
-	r.BeginSlowStart(long)
+	r := startRunner(t, nil)
+	r.BeginSlowStart(testTimeout)
 	c := dial(t, r)
 	resp, err := c.ask("GET", "/health")
 	if err != nil || resp.StatusCode != 200 || resp.Header.Get(answer.HeaderServerID) != "i-1" ||
@@ -217,7 +217,7 @@
 				t.Errorf("%d events, %v", len(list), err)
 			}
 		}},
-		{"broken off body", Faults{Truncate: 1}, plain, func(t *testing.T, c *caller, resp *http.Response, err error) {
+		{"broken off body", Faults{Truncate: 1}, plainServer, func(t *testing.T, c *caller, resp *http.Response, err error) {
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -225,7 +225,7 @@
 				t.Errorf("body ended with %v", err)
 			}
 		}},
-		{"extra", Faults{ExtraBytes: 1}, plain, func(t *testing.T, c *caller, resp *http.Response, err error) {
+		{"extra", Faults{ExtraBytes: 1}, plainServer, func(t *testing.T, c *caller, resp *http.Response, err error) {
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -234,7 +234,7 @@
 				t.Errorf("extra: %v", err)
 			}
 		}},
-		{"extra late", Faults{StaleAnswer: 1}, plain, func(t *testing.T, c *caller, resp *http.Response, err error) {
+		{"extra late", Faults{StaleAnswer: 1}, plainServer, func(t *testing.T, c *caller, resp *http.Response, err error) {
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -244,24 +244,24 @@
 				t.Errorf("the next answer: %v", err)
 			}
 		}},
-		{"garbage", Faults{Garbage: 1}, plain, func(t *testing.T, c *caller, resp *http.Response, err error) {
+		{"garbage", Faults{Garbage: 1}, plainServer, func(t *testing.T, c *caller, resp *http.Response, err error) {
 			if err == nil {
 				t.Error("garbage was an answer")
 			}
 		}},
-		{"reset", Faults{Reset: 1}, plain, func(t *testing.T, c *caller, resp *http.Response, err error) {
+		{"reset", Faults{Reset: 1}, plainServer, func(t *testing.T, c *caller, resp *http.Response, err error) {
 			if err == nil {
 				t.Error("an answer came")
 			}
 		}},
-		{"close", Faults{Close: 1}, plain, func(t *testing.T, c *caller, resp *http.Response, err error) {
+		{"close", Faults{Close: 1}, plainServer, func(t *testing.T, c *caller, resp *http.Response, err error) {
 			if err == nil {
 				t.Error("an answer came")
 			}
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := start(t, test.alter)
+			r := startRunner(t, test.alter)
 			r.SetFaults(test.faults)
 			c := dial(t, r)
 			resp, err := c.ask("POST", "/a/b", "X-Try-Id: 1", prompt)
@@ -270,29 +270,29 @@
 	}
 }
 
-func TestSilence(t *testing.T) {
-	r := start(t, plain)
+func TestNoAnswerFault(t *testing.T) {
+	r := startRunner(t, plainServer)
 	r.SetFaults(Faults{NoAnswer: 1})
 	c := dial(t, r)
 	fmt.Fprint(c, "POST /a HTTP/1.1\r\nHost: h\r\nX-Try-Id: 1\r\nContent-Length: 0\r\n\r\n")
-	await(t, func() bool { return r.Stats().Engine.Running == 0 && r.Stats().Requests == 1 })
+	waitFor(t, func() bool { return r.Stats().Engine.Running == 0 && r.Stats().Requests == 1 })
 	c.Close()
 }
 
-// await waits for a state.
-func await(t *testing.T, ok func() bool) {
+// waitFor waits for a state.
+func waitFor(t *testing.T, ok func() bool) {
 	t.Helper()
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
-	for end := time.Now().Add(long); !ok(); <-tick.C {
+	for end := time.Now().Add(testTimeout); !ok(); <-tick.C {
 		if time.Now().After(end) {
 			t.Fatal("the state did not come")
 		}
 	}
 }
 
-func TestACallerThatLeavesEndsTheWork(t *testing.T) {
-	r := start(t, func(o *Options) {
+func TestDisconnectCancelsTask(t *testing.T) {
+	r := startRunner(t, func(o *Options) {
 		options := engineOptions()
 		options.MemoryTokens, options.StepTime = 1<<30, 10*time.Millisecond
 		o.Engine, _ = engine.New(options)
@@ -300,17 +300,17 @@
 	c := dial(t, r)
 	c.mustAsk(t, "X-Try-Id: 1", "X-Token-Counts: 10,1000000", "X-Prompt-Start: a:10")
 	c.Close()
-	await(t, func() bool { return r.Stats().Engine.Running == 0 })
+	waitFor(t, func() bool { return r.Stats().Engine.Running == 0 })
 }
 
-func TestConnectionsBeyondTheMostAreReset(t *testing.T) {
-	r := start(t, func(o *Options) { o.MaxConns = 1 })
+func TestMaxConns(t *testing.T) {
+	r := startRunner(t, func(o *Options) { o.MaxConns = 1 })
 	if _, err := dial(t, r).ask("GET", "/health"); err != nil {
 		t.Fatal(err)
 	}
 	if c, err := net.Dial("tcp", r.Address().String()); err == nil { // else the reset came at once
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(long))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		if _, err := (&caller{c, bufio.NewReader(c)}).ask("GET", "/health"); err == nil {
 			t.Error("a second connection was served")
 		}
@@ -320,8 +320,8 @@
 	}
 }
 
-func TestCrashAndDark(t *testing.T) {
-	r := start(t, nil)
+func TestCrashAndHang(t *testing.T) {
+	r := startRunner(t, nil)
 	c := dial(t, r)
 	if _, err := c.ask("GET", "/health"); err != nil {
 		t.Fatal(err)
@@ -330,20 +330,20 @@
 	if _, err := c.ask("GET", "/health"); err == nil {
 		t.Error("a crashed runner answers")
 	}
-	dark := start(t, nil)
+	dark := startRunner(t, nil)
 	c = dial(t, dark)
 	dark.Hang()
 	fmt.Fprint(c, "GET /health HTTP/1.1\r\nHost: h\r\n\r\n")
-	await(t, func() bool { return dark.Stats().Unanswered == 1 })
+	waitFor(t, func() bool { return dark.Stats().Unanswered == 1 })
 	dark.Close()
 	if _, err := http.ReadResponse(c.reader, nil); err == nil {
 		t.Error("a dark runner answers")
 	}
 }
 
-func TestAColdRunnerFallsOver(t *testing.T) {
-	r := start(t, func(o *Options) { o.SlowStart = engine.SlowStart{Rate: 1, CrashMultiple: 2} })
-	r.BeginSlowStart(long)
+func TestSlowStartOverloadCrashes(t *testing.T) {
+	r := startRunner(t, func(o *Options) { o.SlowStart = engine.SlowStart{Rate: 1, CrashMultiple: 2} })
+	r.BeginSlowStart(testTimeout)
 	for i := range 3 {
 		resp, err := dial(t, r).ask("POST", "/a/b", fmt.Sprintf("X-Try-Id: %d", i), prompt)
 		if (err == nil) != (i < 2) {
@@ -358,17 +358,17 @@
 	}
 }
 
-func TestPartsThatAreNone(t *testing.T) {
+func TestParseChunks(t *testing.T) {
 	for _, text := range []string{"a", "x:1", "a:", "a:-1", "a:1,,"} {
-		if _, err := parseParts(text); err == nil {
+		if _, err := parseChunks(text); err == nil {
 			t.Errorf("%q was read", text)
 		}
 	}
-	parts, err := parseParts("5c1e07a2:800,91bd3f06:410")
+	parts, err := parseChunks("5c1e07a2:800,91bd3f06:410")
 	if err != nil || len(parts) != 2 || parts[0] != (engine.Chunk{ID: 0x5c1e07a2, Tokens: 800}) {
 		t.Errorf("%+v, %v", parts, err)
 	}
-	if !bytes.Contains(spare("7"), []byte("X-Try-Id: 7\r\n")) {
+	if !bytes.Contains(unsolicitedAnswer("7"), []byte("X-Try-Id: 7\r\n")) {
 		t.Error("the spare answer has no id")
 	}
 }
--- a/internal/testkit/runner/serve.go
+++ b/internal/testkit/runner/serve.go
@@ -42,8 +42,8 @@
 	Adapters []string `json:"adapters"`
 }
 
-// noteReport keeps the state, for reports that come late.
-func (r *Runner) noteReport() {
+// recordReport keeps the state, for reports that come late.
+func (r *Runner) recordReport() {
 	const most = 64
 	s := r.options.Engine.State()
 	now := r.now()
@@ -55,33 +55,33 @@
 }
 
 // serve answers one request.
-func (r *Runner) serve(w http.ResponseWriter, q *http.Request) {
-	c := q.Context().Value(connKey{}).(*conn)
-	r.sendLate(c)
-	if r.isDark() {
-		r.count(func(s *Stats) { s.Unanswered++ })
-		<-q.Context().Done()
+func (r *Runner) serve(w http.ResponseWriter, request *http.Request) {
+	connection := request.Context().Value(connKey{}).(*conn)
+	r.sendStale(connection)
+	if r.isHung() {
+		r.updateStats(func(s *Stats) { s.Unanswered++ })
+		<-request.Context().Done()
 		return
 	}
-	r.head(w)
+	r.setCommonHeaders(w)
 	switch {
-	case q.Method == http.MethodGet && q.URL.Path == reportPath:
+	case request.Method == http.MethodGet && request.URL.Path == reportPath:
 		r.serveReport(w)
-	case q.Method == http.MethodGet && q.URL.Path == r.options.HealthPath:
+	case request.Method == http.MethodGet && request.URL.Path == r.options.HealthPath:
 		r.serveHealth(w)
 	default:
-		r.serveRequest(w, q, c)
+		r.serveRequest(w, request, connection)
 	}
 }
 
-func (r *Runner) isDark() bool {
+func (r *Runner) isHung() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.dark
+	return r.hung
 }
 
-// head sets the headers that every answer has.
-func (r *Runner) head(w http.ResponseWriter) {
+// setCommonHeaders sets the headers that every answer has.
+func (r *Runner) setCommonHeaders(w http.ResponseWriter) {
 	r.mutex.Lock()
 	ends := r.draining || r.random.Float64() < r.options.CloseShare
 	r.mutex.Unlock()
@@ -100,7 +100,7 @@
 func (r *Runner) serveReport(w http.ResponseWriter) {
 	r.mutex.Lock()
 	r.stats.HealthChecks++
-	r.noteReport()
+	r.recordReport()
 	old := r.reports[0]
 	body := reportBody{Phase: "both", Models: []reportModel{}, Queued: old.queued, Running: old.running,
 		CacheUsed: old.memoryUsed, CacheSize: old.memoryAll}
@@ -128,54 +128,54 @@
 	case draining:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case full:
-		r.turnAway(w, http.StatusServiceUnavailable)
+		r.sendNotExecuted(w, http.StatusServiceUnavailable)
 	}
 }
 
-// turnAway says that a request has not run.
-func (r *Runner) turnAway(w http.ResponseWriter, status int) {
+// sendNotExecuted says that a request has not run.
+func (r *Runner) sendNotExecuted(w http.ResponseWriter, status int) {
 	w.Header().Set(answer.HeaderNotRun, "1")
 	w.WriteHeader(status)
 }
 
-func (r *Runner) serveRequest(w http.ResponseWriter, q *http.Request, c *conn) {
-	try := q.Header.Get(answer.HeaderAttemptID)
-	if try != "" {
-		w.Header().Set(answer.HeaderAttemptID, try)
+func (r *Runner) serveRequest(w http.ResponseWriter, request *http.Request, connection *conn) {
+	attemptID := request.Header.Get(answer.HeaderAttemptID)
+	if attemptID != "" {
+		w.Header().Set(answer.HeaderAttemptID, attemptID)
 	}
-	if wanted := q.Header.Get(answer.HeaderWantedServer); wanted != "" && wanted != r.options.ID || !r.hasVersion(q) {
-		r.count(func(s *Stats) { s.Misdirected++ })
+	if wanted := request.Header.Get(answer.HeaderWantedServer); wanted != "" && wanted != r.options.ID || !r.hasVersion(request) {
+		r.updateStats(func(s *Stats) { s.Misdirected++ })
 		w.Header().Set(answer.HeaderServerID, r.options.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	body, err := io.ReadAll(q.Body)
+	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return // the caller broke off
 	}
-	if try == "" {
-		r.turnAway(w, http.StatusBadRequest)
+	if attemptID == "" {
+		r.sendNotExecuted(w, http.StatusBadRequest)
 		return
 	}
 	if r.options.Checker != nil {
-		r.options.Checker.RequestReceived(checker.ReceivedRequest{Runner: &r.options.Runner, ID: try, Method: q.Method, Host: q.Host,
-			URI: q.RequestURI, Body: checker.Hash(body)})
+		r.options.Checker.RequestReceived(checker.ReceivedRequest{Runner: &r.options.Runner, ID: attemptID, Method: request.Method, Host: request.Host,
+			URI: request.RequestURI, Body: checker.Hash(body)})
 	}
-	o, ok := r.submit(q, try)
+	execution, ok := r.submit(request, attemptID)
 	if !ok {
-		r.turnAway(w, http.StatusServiceUnavailable)
+		r.sendNotExecuted(w, http.StatusServiceUnavailable)
 		return
 	}
-	if o == nil { // it fell over
-		reset(c.Conn)
+	if execution == nil { // it fell over
+		reset(connection.Conn)
 		return
 	}
-	o.w, o.conn = w, c
-	r.follow(o, q)
+	execution.writer, execution.conn = w, connection
+	r.sendAnswer(execution, request)
 }
 
-func (r *Runner) hasVersion(q *http.Request) bool {
-	expected := q.Header.Get(answer.HeaderExpectVersion)
+func (r *Runner) hasVersion(request *http.Request) bool {
+	expected := request.Header.Get(answer.HeaderExpectVersion)
 	if expected == "" {
 		return true
 	}
@@ -187,15 +187,15 @@
 	return false
 }
 
-func (r *Runner) count(alter func(*Stats)) {
+func (r *Runner) updateStats(alter func(*Stats)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	alter(&r.stats)
 }
 
 // submit hands a request to the machine; false: it is full. No order: the runner has fallen over.
-func (r *Runner) submit(q *http.Request, try string) (*order, bool) {
-	request, err := r.request(q)
+func (r *Runner) submit(request *http.Request, attemptID string) (*execution, bool) {
+	engineRequest, err := r.parseRequest(request)
 	if err != nil {
 		return nil, false
 	}
@@ -207,47 +207,47 @@
 		go r.Crash()
 		return nil, true
 	}
-	o := newOrder(r, try, request)
-	o.fault = r.drawFault()
-	if o.fault == faultClose {
-		o.push(engine.Event{Kind: engine.Lost})
-		return o, true
+	execution := newExecution(r, attemptID, engineRequest)
+	execution.fault = r.drawFault()
+	if execution.fault == faultClose {
+		execution.addEvent(engine.Event{Kind: engine.Lost})
+		return execution, true
 	}
-	if request.Work == 0 && r.options.ServiceTime != nil {
-		request.Work = r.options.ServiceTime(r.random)
+	if engineRequest.Work == 0 && r.options.ServiceTime != nil {
+		engineRequest.Work = r.options.ServiceTime(r.random)
 	}
-	if left, err := strconv.Atoi(q.Header.Get(answer.HeaderTimeLeft)); err == nil {
-		request.Deadline = now + time.Duration(left)*time.Millisecond
+	if left, err := strconv.Atoi(request.Header.Get(answer.HeaderTimeLeft)); err == nil {
+		engineRequest.Deadline = now + time.Duration(left)*time.Millisecond
 	}
-	task, taken := r.options.Engine.Submit(now, request)
+	task, taken := r.options.Engine.Submit(now, engineRequest)
 	if !taken {
 		r.stats.Rejected++
 		return nil, false
 	}
 	r.stats.Requests++
-	o.task = task
-	r.orders[task] = o
-	r.poke()
-	return o, true
+	execution.task = task
+	r.executions[task] = execution
+	r.wakeUp()
+	return execution, true
 }
 
 // drawFault draws what happens to a request, as the script says.
-func (r *Runner) drawFault() fault {
-	if r.faults.MaxFaults > 0 && r.spoilt >= r.faults.MaxFaults {
+func (r *Runner) drawFault() faultKind {
+	if r.faults.MaxFaults > 0 && r.faultCount >= r.faults.MaxFaults {
 		return faultNone
 	}
 	drawn := r.faults.draw(r.random)
 	if drawn != faultNone {
-		r.spoilt++
+		r.faultCount++
 	}
 	return drawn
 }
 
-// sendLate sends an extra answer that was held back for the next request of a connection.
-func (r *Runner) sendLate(c *conn) {
-	if c.late != nil {
-		c.Conn.Write(c.late)
-		c.late = nil
+// sendStale sends an extra answer that was held back for the next request of a connection.
+func (r *Runner) sendStale(c *conn) {
+	if c.beforeNext != nil {
+		c.Conn.Write(c.beforeNext)
+		c.beforeNext = nil
 	}
 }
 
@@ -256,14 +256,14 @@
 	if state != http.StateIdle {
 		return
 	}
-	if c, is := c.(*conn); is && c.extra != nil {
-		c.Conn.Write(c.extra)
-		c.extra = nil
+	if c, is := c.(*conn); is && c.afterAnswer != nil {
+		c.Conn.Write(c.afterAnswer)
+		c.afterAnswer = nil
 	}
 }
 
-// spare is an answer that nobody asked for.
-func spare(try string) []byte {
+// unsolicitedAnswer is an answer that nobody asked for.
+func unsolicitedAnswer(attemptID string) []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: b.0.00000000.%s.spare\r\nContent-Length: 0\r\n\r\n",
-		answer.HeaderAttemptID, try, answer.HeaderSeal, try)
+		answer.HeaderAttemptID, attemptID, answer.HeaderSeal, attemptID)
 }
--- a/internal/testkit/virtualcluster/virtual.go
+++ b/internal/testkit/virtualcluster/virtual.go
@@ -34,8 +34,8 @@
 	Sent            int
 	Bytes           float64
 	Changes         []Change
-	epoch           int // of its ticks
-	held            []*membership.Message
+	tickEpoch       int // of its ticks
+	buffered        []*membership.Message
 }
 
 // Change is a change that a member saw.
@@ -58,32 +58,32 @@
 	// AfterEvent is called after each thing that a member did.
 	AfterEvent func(n *Node)
 
-	rng    *rand.Rand
-	events events
-	seq    uint64
-	byAddr map[netip.AddrPort]*Node
-	size   float64 // bytes of the last message that was encoded
-	count  int
+	random          *rand.Rand
+	events          eventHeap
+	lastSequence    uint64
+	nodesByAddress  map[netip.AddrPort]*Node
+	lastMessageSize float64 // bytes of the last message that was encoded
+	messageCount    int
 }
 
 type event struct {
-	at    float64
-	seq   uint64
-	node  *Node
-	msg   *membership.Message // nil: a tick, or do
-	epoch int
-	do    func()
+	at        float64
+	sequence  uint64
+	node      *Node
+	message   *membership.Message // nil: a tick, or do
+	tickEpoch int
+	run       func()
 }
 
-type events []event
+type eventHeap []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+func (e eventHeap) Len() int { return len(e) }
+func (e eventHeap) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventHeap) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventHeap) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	old[len(old)-1] = event{}
@@ -92,182 +92,182 @@
 }
 
 // New makes a network of n places without processes.
-func New(o Options, n int) *Network {
-	if o.ProbeInterval == 0 {
-		o.ProbeInterval = 1
+func New(options Options, n int) *Network {
+	if options.ProbeInterval == 0 {
+		options.ProbeInterval = 1
 	}
-	net := &Network{Options: o, Now: 1000, rng: rand.New(rand.NewPCG(o.Seed, 1)), byAddr: map[netip.AddrPort]*Node{}}
+	network := &Network{Options: options, Now: 1000, random: rand.New(rand.NewPCG(options.Seed, 1)), nodesByAddress: map[netip.AddrPort]*Node{}}
 	for i := range n {
-		net.AddNode(fmt.Sprintf("m%04d", i))
+		network.AddNode(fmt.Sprintf("m%04d", i))
 	}
-	return net
+	return network
 }
 
 // AddNode adds a place.
-func (net *Network) AddNode(name string) *Node {
-	i := len(net.Nodes)
+func (network *Network) AddNode(name string) *Node {
+	i := len(network.Nodes)
 	node := &Node{Name: name, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7946)}
-	net.Nodes = append(net.Nodes, node)
-	net.byAddr[node.Addr] = node
+	network.Nodes = append(network.Nodes, node)
+	network.nodesByAddress[node.Addr] = node
 	return node
 }
 
-func (net *Network) push(e event) {
-	net.seq++
-	e.seq = net.seq
-	heap.Push(&net.events, e)
+func (network *Network) pushEvent(e event) {
+	network.lastSequence++
+	e.sequence = network.lastSequence
+	heap.Push(&network.events, e)
 }
 
 // Schedule does something at a time.
-func (net *Network) Schedule(at float64, do func()) { net.push(event{at: at, do: do}) }
+func (network *Network) Schedule(at float64, do func()) { network.pushEvent(event{at: at, run: do}) }
 
 // Start starts a process at a place; seeds are places.
-func (net *Network) Start(node *Node, seeds ...*Node) {
-	o := membership.Options{Cluster: "virtual", Name: node.Name, Addr: node.Addr, ProbeInterval: net.ProbeInterval, Generation: uint64((net.Now + node.ClockSkew) * 1e6),
-		RandomSeed: net.rng.Uint64(), PlainSWIM: net.PlainSWIM, Metadata: membership.Metadata{Zone: "z", Version: "v1", Serving: "serving"}}
-	if net.NewDelegate != nil {
-		o.Delegate = net.NewDelegate(node)
+func (network *Network) Start(node *Node, seeds ...*Node) {
+	o := membership.Options{Cluster: "virtual", Name: node.Name, Addr: node.Addr, ProbeInterval: network.ProbeInterval, Generation: uint64((network.Now + node.ClockSkew) * 1e6),
+		RandomSeed: network.random.Uint64(), PlainSWIM: network.PlainSWIM, Metadata: membership.Metadata{Zone: "z", Version: "v1", Serving: "serving"}}
+	if network.NewDelegate != nil {
+		o.Delegate = network.NewDelegate(node)
 	}
 	for _, s := range seeds {
 		o.Seeds = append(o.Seeds, s.Addr)
 	}
 	node.Membership = membership.New(o)
-	node.Paused, node.held = false, nil
-	node.epoch++
-	node.Membership.Start(net.Now)
-	net.after(node)
-	net.tick(node)
+	node.Paused, node.buffered = false, nil
+	node.tickEpoch++
+	node.Membership.Start(network.Now)
+	network.collectOutput(node)
+	network.scheduleTick(node)
 }
 
 // StartAll starts a process at each place, all within a span, with the first place as their seed.
-func (net *Network) StartAll(within float64) {
-	for _, node := range net.Nodes {
-		net.Schedule(net.Now+within*net.rng.Float64(), func() { net.Start(node, net.Nodes[0]) })
+func (network *Network) StartAll(within float64) {
+	for _, node := range network.Nodes {
+		network.Schedule(network.Now+within*network.random.Float64(), func() { network.Start(node, network.Nodes[0]) })
 	}
-	net.Run(net.Now + within)
+	network.Run(network.Now + within)
 }
 
 // Kill ends the process of a place without a word.
-func (net *Network) Kill(node *Node) {
-	node.Membership, node.held = nil, nil
-	node.epoch++
+func (network *Network) Kill(node *Node) {
+	node.Membership, node.buffered = nil, nil
+	node.tickEpoch++
 }
 
 // Pause stops a process; what comes meanwhile waits, as in a socket's buffer.
-func (net *Network) Pause(node *Node) { node.Paused = true }
+func (network *Network) Pause(node *Node) { node.Paused = true }
 
 // Resume has it go on.
-func (net *Network) Resume(node *Node) {
+func (network *Network) Resume(node *Node) {
 	node.Paused = false
-	held := node.held
-	node.held = nil
+	held := node.buffered
+	node.buffered = nil
 	for _, msg := range held {
-		net.push(event{at: net.Now, node: node, msg: msg, epoch: node.epoch})
+		network.pushEvent(event{at: network.Now, node: node, message: msg, tickEpoch: node.tickEpoch})
 	}
-	net.tick(node)
+	network.scheduleTick(node)
 }
 
-func (net *Network) tick(node *Node) {
-	node.epoch++
-	net.push(event{at: max(net.Now, node.Membership.NextTick()+node.ProcessingDelay), node: node, epoch: node.epoch})
+func (network *Network) scheduleTick(node *Node) {
+	node.tickEpoch++
+	network.pushEvent(event{at: max(network.Now, node.Membership.NextTick()+node.ProcessingDelay), node: node, tickEpoch: node.tickEpoch})
 }
 
-// mostHeld is how many messages a socket's buffer holds.
-const mostHeld = 200
+// maxBuffered is how many messages a socket's buffer holds.
+const maxBuffered = 200
 
 // Run plays until a time.
-func (net *Network) Run(until float64) {
-	for len(net.events) > 0 && net.events[0].at <= until {
-		e := heap.Pop(&net.events).(event)
-		net.Now = max(net.Now, e.at)
+func (network *Network) Run(until float64) {
+	for len(network.events) > 0 && network.events[0].at <= until {
+		e := heap.Pop(&network.events).(event)
+		network.Now = max(network.Now, e.at)
 		switch {
-		case e.do != nil:
-			e.do()
+		case e.run != nil:
+			e.run()
 			continue
 		case e.node.Membership == nil:
 			continue
-		case e.msg != nil && e.node.Paused:
-			if len(e.node.held) < mostHeld {
-				e.node.held = append(e.node.held, e.msg)
+		case e.message != nil && e.node.Paused:
+			if len(e.node.buffered) < maxBuffered {
+				e.node.buffered = append(e.node.buffered, e.message)
 			}
 			continue
-		case e.msg != nil:
-			e.node.Membership.HandleMessage(net.Now, e.msg)
-		case e.epoch != e.node.epoch || e.node.Paused:
+		case e.message != nil:
+			e.node.Membership.HandleMessage(network.Now, e.message)
+		case e.tickEpoch != e.node.tickEpoch || e.node.Paused:
 			continue
 		default:
-			e.node.Membership.Tick(net.Now)
-			net.push(event{at: max(net.Now+1e-3, e.node.Membership.NextTick()+e.node.ProcessingDelay), node: e.node, epoch: e.node.epoch})
+			e.node.Membership.Tick(network.Now)
+			network.pushEvent(event{at: max(network.Now+1e-3, e.node.Membership.NextTick()+e.node.ProcessingDelay), node: e.node, tickEpoch: e.node.tickEpoch})
 		}
-		net.after(e.node)
+		network.collectOutput(e.node)
 	}
-	net.Now = until
+	network.Now = until
 }
 
 // RunUntil plays in steps until something holds, or a time has passed; it says whether it does.
-func (net *Network) RunUntil(limit, step float64, ok func() bool) (took float64, held bool) {
-	for from := net.Now; ; {
-		if ok() {
-			return net.Now - from, true
+func (network *Network) RunUntil(limit, step float64, condition func() bool) (took float64, ok bool) {
+	for from := network.Now; ; {
+		if condition() {
+			return network.Now - from, true
 		}
-		if net.Now >= from+limit {
-			return net.Now - from, false
+		if network.Now >= from+limit {
+			return network.Now - from, false
 		}
-		net.Run(net.Now + step)
+		network.Run(network.Now + step)
 	}
 }
 
 // Flush sends what a member has to send, after a call of its own.
-func (net *Network) Flush(node *Node) { net.after(node) }
+func (network *Network) Flush(node *Node) { network.collectOutput(node) }
 
-func (net *Network) after(node *Node) {
-	for _, c := range node.Membership.TakeChanges() {
-		node.Changes = append(node.Changes, Change{net.Now, c})
+func (network *Network) collectOutput(node *Node) {
+	for _, change := range node.Membership.TakeChanges() {
+		node.Changes = append(node.Changes, Change{network.Now, change})
 	}
-	for _, p := range node.Membership.TakePackets() {
-		net.deliver(node, p)
+	for _, packet := range node.Membership.TakePackets() {
+		network.send(node, packet)
 	}
-	if net.AfterEvent != nil {
-		net.AfterEvent(node)
+	if network.AfterEvent != nil {
+		network.AfterEvent(node)
 	}
 }
 
-func (net *Network) deliver(from *Node, p membership.Packet) {
+func (network *Network) send(from *Node, p membership.Packet) {
 	from.Sent++
-	if net.EncodeEvery > 0 {
-		if net.count%net.EncodeEvery == 0 {
+	if network.EncodeEvery > 0 {
+		if network.messageCount%network.EncodeEvery == 0 {
 			b, err := membership.Encode(p.Message)
 			if err != nil {
-				panic(fmt.Sprintf("seed %d: %v: %+v", net.Seed, err, p.Message))
+				panic(fmt.Sprintf("seed %d: %v: %+v", network.Seed, err, p.Message))
 			}
-			net.size = float64(len(b))
+			network.lastMessageSize = float64(len(b))
 		}
-		net.count++
-		from.Bytes += net.size
+		network.messageCount++
+		from.Bytes += network.lastMessageSize
 	}
-	to := net.byAddr[p.To]
-	if to == nil || net.Partitioned != nil && net.Partitioned(from, to) {
+	to := network.nodesByAddress[p.To]
+	if to == nil || network.Partitioned != nil && network.Partitioned(from, to) {
 		return
 	}
-	drop := net.LossRate
-	if net.LossRateBetween != nil {
-		drop = net.LossRateBetween(from, to)
+	drop := network.LossRate
+	if network.LossRateBetween != nil {
+		drop = network.LossRateBetween(from, to)
 	}
 	for range 2 {
-		if drop == 0 || net.rng.Float64() >= drop {
-			net.push(event{at: net.Now + net.Delay + net.Jitter*net.rng.Float64() + to.ProcessingDelay, node: to, msg: p.Message})
+		if drop == 0 || network.random.Float64() >= drop {
+			network.pushEvent(event{at: network.Now + network.Delay + network.Jitter*network.random.Float64() + to.ProcessingDelay, node: to, message: p.Message})
 		}
-		if net.DuplicateRate == 0 || net.rng.Float64() >= net.DuplicateRate {
+		if network.DuplicateRate == 0 || network.random.Float64() >= network.DuplicateRate {
 			break
 		}
 	}
 }
 
 // Converged says whether all members that run hold one view, and which number of living members it has.
-func (net *Network) Converged() (one bool, alive int) {
+func (network *Network) Converged() (one bool, alive int) {
 	var digest uint64
 	first := true
-	for _, n := range net.Nodes {
+	for _, n := range network.Nodes {
 		if n.Membership == nil || n.Paused || n.Membership.Withdrawn() {
 			continue
 		}
@@ -282,8 +282,8 @@
 }
 
 // RunningCount is how many processes run.
-func (net *Network) RunningCount() (n int) {
-	for _, node := range net.Nodes {
+func (network *Network) RunningCount() (n int) {
+	for _, node := range network.Nodes {
 		if node.Membership != nil && !node.Paused {
 			n++
 		}
