--- a/internal/system/proxy/shutdown.go
+++ b/internal/system/proxy/shutdown.go
@@ -44,8 +44,8 @@
 	now, plan := p.now(), p.shutdown.plan
 	p.runAt(now+plan.sweepIdle, p.sweepIdleSessions)
 	p.runAt(now+plan.closeListener, p.closeListener)
-	p.runAt(now+plan.lastResponses, p.endUnansweredExchanges)
-	p.runAt(now+plan.exit, p.terminate)
+	p.runAt(now+plan.LastResponses, p.endUnansweredExchanges)
+	p.runAt(now+plan.ProxyEnd, p.terminate)
 }
 
 // outlivesProcess reports whether a request that is complete now may still be in progress when the process exits.
--- a/internal/system/proxy/shutdown_plan.go
+++ b/internal/system/proxy/shutdown_plan.go
@@ -19,12 +19,12 @@
 	idleSweepDelay    = 1500 * time.Millisecond // clients' cached lookups have expired by then
 )
 
-// shutdownPlan gives the times of the steps of a shutdown, counted from the signal.
+// shutdownPlan gives the times of the steps of a shutdown, counted from the signal: the proxy's own ones and those that
+// all programs of the machine agree on.
 type shutdownPlan struct {
+	shutdown.Schedule
 	sweepIdle     time.Duration // idle sessions are closed from then on
 	closeListener time.Duration // the process exits afterwards once nothing is in progress
-	lastResponses time.Duration // requests without a response are answered
-	exit          time.Duration // the process exits with whatever is in progress
 }
 
 // planShutdown divides the grace period, which runs from the signal until the process is killed.
@@ -32,18 +32,16 @@
 	if grace <= 0 {
 		grace = shutdown.DefaultGracePeriod
 	}
-	times := shutdown.Plan(grace)
-	shut := min(time.Duration(float64(grace)*acceptAnyFraction), mustCompleteAfter-acceptAnyMargin)
+	closeListener := min(time.Duration(float64(grace)*acceptAnyFraction), mustCompleteAfter-acceptAnyMargin)
 	return shutdownPlan{
-		sweepIdle:     min(idleSweepDelay, grace/idleSweepDivisor, shut),
-		closeListener: shut,
-		lastResponses: times.LastResponses,
-		exit:          times.ProxyEnd,
+		Schedule:      shutdown.Plan(grace),
+		sweepIdle:     min(idleSweepDelay, grace/idleSweepDivisor, closeListener),
+		closeListener: closeListener,
 	}
 }
 
 // accepts reports whether a request may be forwarded that is complete at after and has its deadline at deadline, both
 // counted from the signal. Late in a shutdown only requests that end before the process are accepted.
 func (p *shutdownPlan) accepts(after, deadline time.Duration) bool {
-	return after < p.closeListener || deadline+deadlineGrace <= p.lastResponses
+	return after < p.closeListener || deadline+deadlineGrace <= p.LastResponses
 }
--- a/internal/system/proxy/shutdown_test.go
+++ b/internal/system/proxy/shutdown_test.go
@@ -4,12 +4,18 @@
 	"strings"
 	"testing"
 	"time"
+
+	"cinderroad/internal/system/shutdown"
 )
 
+// manualPlan keeps the steps of a shutdown from running by themselves: the test runs them.
+var manualPlan = shutdownPlan{sweepIdle: time.Hour, closeListener: time.Hour,
+	Schedule: shutdown.Schedule{LastResponses: time.Hour, ProxyEnd: time.Hour}}
+
 // A proxy that is told to stop serves what still arrives and exits afterwards.
 func TestShutdownDrains(t *testing.T) {
 	h := newHarness(t)
-	h.onLoop(func() { h.proxy.shutdown.plan = shutdownPlan{time.Hour, time.Hour, time.Hour, time.Hour} }) // the test runs the steps itself
+	h.onLoop(func() { h.proxy.shutdown.plan = manualPlan })
 	runner := h.startRunners("a")[0]
 	idle, busy, late := h.connect(), h.connect(), h.connect()
 	h.waitFor("three sessions", func() bool { return h.proxy.sessions.count == 3 })
@@ -43,7 +49,7 @@
 // Requests without a response when the proxy must exit are answered, and the status says whether they may have run.
 func TestShutdownAnswersPendingRequests(t *testing.T) {
 	h := newHarness(t)
-	h.onLoop(func() { h.proxy.shutdown.plan = shutdownPlan{time.Hour, time.Hour, time.Hour, time.Hour} }) // the test runs the steps itself
+	h.onLoop(func() { h.proxy.shutdown.plan = manualPlan })
 	runner := h.startRunners("a")[0]
 	half, sent, begun := h.connect(), h.connect(), h.connect()
 	begun.send(requestText("/stream/x", "t1", "", ""))
@@ -79,7 +85,8 @@
 	h.waitFor("two sessions", func() bool { return h.proxy.sessions.count == 2 })
 	h.onLoop(func() {
 		h.proxy.shutdown.active, h.proxy.shutdown.signalAt = true, h.proxy.now()-3*time.Second
-		h.proxy.shutdown.plan = shutdownPlan{closeListener: 2 * time.Second, lastResponses: 6 * time.Second, exit: 7 * time.Second}
+		h.proxy.shutdown.plan = shutdownPlan{closeListener: 2 * time.Second,
+			Schedule: shutdown.Schedule{LastResponses: 6 * time.Second, ProxyEnd: 7 * time.Second}}
 	})
 	long.send(requestText("/stream/x", "t1", "", "")) // its deadline is 10 s away
 	if got := long.expectResponse(503, ""); got.Header.Get("Retry-After") == "" || !got.Close {
