--- a/internal/system/retry/retry.go
+++ b/internal/system/retry/retry.go
@@ -1,4 +1,5 @@
-// Package retry waits, and tries again what may succeed a little later.
+// Package retry waits until a context ends and repeats operations that may succeed a little later. Backoff between attempts
+// to reach a peer is the business of the packages that call the peer.
 package retry
 
 import (
@@ -8,15 +9,15 @@
 	"time"
 )
 
-// An address may still be held by an earlier life of the process, which is about to end.
+// A restarted process may find its address still in use by its predecessor, which is about to end.
 const (
-	AddressInUseTimeout  = 5 * time.Second // for which an address is tried
-	AddressInUseInterval = 100 * time.Millisecond
+	AddressInUseTimeout  = 5 * time.Second        // how long WhileAddressInUse tries
+	AddressInUseInterval = 100 * time.Millisecond // between two attempts
 )
 
-// Sleep waits, or until the context ends, and says whether the context goes on.
-func Sleep(ctx context.Context, wait time.Duration) bool {
-	timer := time.NewTimer(wait)
+// Sleep waits for a duration or until the context ends, and reports whether the context goes on.
+func Sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -26,7 +27,8 @@
 	}
 }
 
-// WhileAddressInUse calls open until it succeeds, AddressInUseTimeout has passed or the context ends, and returns its last error.
+// WhileAddressInUse calls open, which binds an address, until it succeeds, AddressInUseTimeout has passed or the
+// context ends, and returns its last error. It calls open at least once, and repeats it after any error.
 func WhileAddressInUse(ctx context.Context, open func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, AddressInUseTimeout)
 	defer cancel()
@@ -38,7 +40,7 @@
 	}
 }
 
-// Listen opens a TCP listener at an address that may still be held.
+// Listen opens a TCP listener at an IPv4 address that may still be in use by a process which is about to end.
 func Listen(ctx context.Context, address netip.AddrPort) (net.Listener, error) {
 	var listener net.Listener
 	err := WhileAddressInUse(ctx, func() (err error) {
--- a/internal/system/retry/retry_test.go
+++ b/internal/system/retry/retry_test.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-func TestPause(t *testing.T) {
+func TestSleep(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	if !Sleep(ctx, time.Nanosecond) {
-		t.Error("a pause that is over says that the context has ended")
+		t.Error("a complete sleep reports an ended context")
 	}
 	cancel()
 	if Sleep(ctx, time.Hour) {
-		t.Error("a context that has ended goes on")
+		t.Error("an interrupted sleep reports that the context goes on")
 	}
 }
 
-func TestWhileHeld(t *testing.T) {
-	errHeld := errors.New("held")
-	tries := 0
+func TestWhileAddressInUse(t *testing.T) {
+	errInUse := errors.New("address in use")
+	attempts := 0
 	err := WhileAddressInUse(context.Background(), func() error {
-		if tries++; tries < 3 {
-			return errHeld
+		if attempts++; attempts < 3 {
+			return errInUse
 		}
 		return nil
 	})
-	if err != nil || tries != 3 {
-		t.Errorf("%v after %d tries", err, tries)
+	if err != nil || attempts != 3 {
+		t.Errorf("%v after %d attempts", err, attempts)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := WhileAddressInUse(ctx, func() error { return errHeld }); !errors.Is(err, errHeld) {
+	if err := WhileAddressInUse(ctx, func() error { return errInUse }); !errors.Is(err, errInUse) {
 		t.Errorf("the last error is lost: %v", err)
 	}
 }
 
-func TestListenOnceTheAddressIsFree(t *testing.T) {
+func TestListenAfterAddressIsReleased(t *testing.T) {
 	first, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
