--- a/cmd/cinderctl/config_test.go
+++ b/cmd/cinderctl/config_test.go
@@ -13,7 +13,7 @@
 	call(seed, "config", "replace", writeFile(t, "c.json", validDocument)).expect(t, exitOK, "version 3 is acknowledged")
 	call(seed, "config", "change", writeFile(t, "d.json", validChange)).expect(t, exitOK, "version 4 is acknowledged")
 	if len(c.bodies) != 2 || c.bodies[0] != validDocument || c.bodies[1] != validChange {
-		t.Errorf("orders %q", c.bodies)
+		t.Errorf("accepted bodies %q", c.bodies)
 	}
 	call(seed, "config", "read").expect(t, exitOK, `{"version":4}`)
 	call(seed, "--json", "config", "read").expect(t, exitOK, `"version": 4`, `"configuration": {`)
@@ -27,7 +27,7 @@
 	bad := writeFile(t, "c.json", unknownService)
 	call(seed, "config", "replace", bad).expect(t, exitRejected, "was not sent", "routes[0].service")
 	if len(c.bodies) != 0 {
-		t.Fatalf("orders %q", c.bodies)
+		t.Fatalf("accepted bodies %q", c.bodies)
 	}
 	call(seed, "config", "replace", "--no-check", bad).expect(t, exitOK)
 }
--- a/cmd/cinderctl/main.go
+++ b/cmd/cinderctl/main.go
@@ -74,7 +74,7 @@
 	}
 	parsed, err := parser.Parse(arguments)
 	if ended >= 0 {
-		return ended // help was asked for, and printed
+		return ended // --help was given, and printed
 	}
 	if err != nil {
 		return fail(errOutput, err)
@@ -94,7 +94,7 @@
 
 // fail prints an error and returns exitFailed.
 func fail(errOutput io.Writer, err error) int {
-	fmt.Fprintf(errOutput, "cinderctl: %v\n", err) //nolint:errcheck // there is nobody left to tell
+	fmt.Fprintf(errOutput, "cinderctl: %v\n", err) //nolint:errcheck // there is no other output
 	return exitFailed
 }
 
--- a/internal/system/control/api/commit.go
+++ b/internal/system/control/api/commit.go
@@ -52,11 +52,11 @@
 	if err := c.replicas.Barrier(ctx, feed.ConfigurationPartition); err != nil {
 		return 0, err
 	}
-	standing := c.state.CheckRequest(request.basedOn, digest)
-	if standing.Verdict != state.VerdictOpen {
-		return verdictResponse(standing, request.basedOn)
+	status := c.state.CheckRequest(request.basedOn, digest)
+	if status.Verdict != state.VerdictOpen {
+		return verdictResponse(status, request.basedOn)
 	}
-	change, err := c.prepare(request, &standing.Base)
+	change, err := c.prepare(request, &status.Base)
 	if err != nil {
 		return 0, asAPIError(err)
 	}
@@ -69,22 +69,22 @@
 	return commitResponse(result)
 }
 
-// verdictResponse answers a request whose verdict is not Open. It rejects only what can never be accepted any more; for
+// verdictResponse responds to a request whose verdict is not state.VerdictOpen. It rejects only what can never be accepted any more; for
 // the rest the outcome is unknown, since an earlier copy may still be in flight through another machine.
-func verdictResponse(standing state.RequestStatus, basedOn uint64) (uint64, error) {
-	switch standing.Verdict {
+func verdictResponse(status state.RequestStatus, basedOn uint64) (uint64, error) {
+	switch status.Verdict {
 	case state.VerdictAccepted:
-		return standing.Version, nil
+		return status.Version, nil
 	case state.VerdictSuperseded:
-		return 0, versionConflict(standing.Version)
+		return 0, versionConflict(status.Version)
 	case state.VerdictPremature:
 		return 0, unavailableError(fmt.Sprintf("version %d, which the order builds on, is not in force: the newest is %d",
-			basedOn, standing.Version))
+			basedOn, status.Version))
 	}
 	return 0, outcomeForgotten()
 }
 
-// outcomeForgotten answers a request so old that the state no longer holds whether it was accepted.
+// outcomeForgotten is the response to a request so old that the state no longer holds whether it was accepted.
 func outcomeForgotten() *apiError {
 	return unavailableError(fmt.Sprintf("the order builds on a version from over %d changes ago, so that it is not known "+
 		"whether it was accepted; read the configuration", state.RetainedChanges))
--- a/internal/system/control/api/configuration_test.go
+++ b/internal/system/control/api/configuration_test.go
@@ -210,7 +210,7 @@
 	acknowledged := map[int]int{} // index in requests, by base
 	for range rapid.IntRange(1, 25).Draw(t, "steps") {
 		fake.lostResponses = rapid.IntRange(0, 1).Draw(t, "lose")
-		index := rapid.IntRange(0, len(requests)).Draw(t, "order")
+		index := rapid.IntRange(0, len(requests)).Draw(t, "request")
 		if index == len(requests) {
 			basedOn := int(fake.state.Version())
 			if basedOn > 0 && rapid.IntRange(0, 3).Draw(t, "stale") == 0 {
--- a/internal/system/control/api/documentcache.go
+++ b/internal/system/control/api/documentcache.go
@@ -32,7 +32,7 @@
 func (c *documentCache) prepareChange(request *changeRequest, base *state.View) (preparedChange, error) {
 	digest, large := request.digest(), len(request.body) >= largeBodyBytes
 	c.mutex.Lock()
-	defer c.mutex.Unlock() // one that comes again waits for the one before
+	defer c.mutex.Unlock()
 	if large && c.preparedChange != nil && c.digest == digest && c.baseVersion == base.Version {
 		return *c.preparedChange, nil
 	}
--- a/internal/system/control/api/interleavings_test.go
+++ b/internal/system/control/api/interleavings_test.go
@@ -110,7 +110,7 @@
 		ctx := taskContext{context.Background(), t}
 		var response modelResponse
 		if request.zone != "" {
-			response = responseOf(0, committer.setEvacuation(ctx, request.zone, request.on))
+			response = responseOf(0, committer.setEvacuation(ctx, request.zone, request.evacuate))
 		} else {
 			response = responseOf(committer.commit(ctx, request.changeRequest()))
 		}
@@ -186,8 +186,8 @@
 	send(1, rival)
 }
 
-// earlyChangeScenario sends to both nodes a change that builds on one which is not committed yet.
-func earlyChangeScenario(e *exploration) {
+// prematureChangeScenario sends to both nodes a change that builds on one which is not committed yet.
+func prematureChangeScenario(e *exploration) {
 	first := &modelRequest{number: 1, version: 2, text: "first"}
 	later := &modelRequest{number: 2, basedOn: 2, version: 3, text: "later"}
 	for _, request := range []*modelRequest{first, later} {
@@ -202,7 +202,7 @@
 // evacuationScenario sends an evacuation to both nodes and reverts it through one, whether there was a response or not.
 // Copies that arrive after their sender has given them up are known to be cancelled.
 func evacuationScenario(e *exploration) {
-	begin := &modelRequest{number: 1, zone: "a", on: true}
+	begin := &modelRequest{number: 1, zone: "a", evacuate: true}
 	finish := &modelRequest{number: 2, zone: "a"}
 	cancelled := false
 	onResponse := func(request *modelRequest) func(modelResponse) {
@@ -228,9 +228,9 @@
 // each request (-orders.retries 1) it takes minutes.
 func TestAllInterleavings(t *testing.T) {
 	scenarios := map[string]func(*exploration){
-		"changes":       changeScenario,
-		"early changes": earlyChangeScenario,
-		"evacuations":   evacuationScenario,
+		"changes":           changeScenario,
+		"premature changes": prematureChangeScenario,
+		"evacuations":       evacuationScenario,
 	}
 	for name, scenario := range scenarios {
 		t.Run(name, func(t *testing.T) {
@@ -273,8 +273,8 @@
 	}{
 		{"changes are applied on any base", changeScenario, mutation{skipBaseCheck: true}},
 		{"copies of a request have different digests", changeScenario, mutation{uniqueDigests: true}},
-		{"early changes are rejected", earlyChangeScenario, mutation{rejectEarly: true}},
-		{"evacuations are applied unconditionally", evacuationScenario, mutation{skipSeenCheck: true}},
+		{"premature changes are rejected", prematureChangeScenario, mutation{rejectPremature: true}},
+		{"evacuations are applied unconditionally", evacuationScenario, mutation{skipRevisionCheck: true}},
 		{"superseded evacuations are repeated", evacuationScenario, mutation{retrySuperseded: true}},
 		{"disconnected callers are served", evacuationScenario, mutation{ignoreCancellation: true}},
 	}
--- a/internal/system/control/api/large_configuration_test.go
+++ b/internal/system/control/api/large_configuration_test.go
@@ -36,13 +36,13 @@
 func TestLargeConfigurationIsParsedOnce(t *testing.T) {
 	fake := newFakeReplica()
 	whole := &changeRequest{kind: kindReplace, body: []byte(documentJSON(1, manyRoutes(largeRoutes)...))}
-	d := &documentCache{}
-	first, err := d.prepareChange(whole, &state.View{})
+	cache := &documentCache{}
+	first, err := cache.prepareChange(whole, &state.View{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := testing.AllocsPerRun(1, func() {
-		if change, err := d.prepareChange(whole, &state.View{}); err != nil || len(change.writes) != len(first.writes) {
+	repeated := testing.AllocsPerRun(1, func() {
+		if change, err := cache.prepareChange(whole, &state.View{}); err != nil || len(change.writes) != len(first.writes) {
 			t.Error(len(change.writes), err)
 		}
 	})
@@ -59,8 +59,8 @@
 		version++
 	}
 	change()
-	if changed := testing.AllocsPerRun(1, change); again > 100 || changed > 5*largeRoutes {
-		t.Errorf("%v allocations for a repeated change, %v for a change of one route", again, changed)
+	if changed := testing.AllocsPerRun(1, change); repeated > 100 || changed > 5*largeRoutes {
+		t.Errorf("%v allocations for a repeated change, %v for a change of one route", repeated, changed)
 	}
 }
 
--- a/internal/system/control/api/simulation_checker_test.go
+++ b/internal/system/control/api/simulation_checker_test.go
@@ -49,26 +49,26 @@
 		evacuated: map[string]bool{}, acknowledgedEvacuations: map[string]*modelRequest{}}
 }
 
-func (r *checker) newRequest() *modelRequest {
-	r.requestCount++
-	return &modelRequest{number: r.requestCount}
+func (c *checker) newRequest() *modelRequest {
+	c.requestCount++
+	return &modelRequest{number: c.requestCount}
 }
 
 // currentVersion returns the version in force.
-func (r *checker) currentVersion() uint64 {
-	if len(r.history) == 0 {
+func (c *checker) currentVersion() uint64 {
+	if len(c.history) == 0 {
 		return 0
 	}
-	return r.history[len(r.history)-1].version
+	return c.history[len(c.history)-1].version
 }
 
 // findAccepted returns the accepted change that a request became.
-func (r *checker) findAccepted(request *modelRequest) (acceptedChange, bool) {
-	i := slices.IndexFunc(r.history, func(a acceptedChange) bool { return a.matches(request) })
+func (c *checker) findAccepted(request *modelRequest) (acceptedChange, bool) {
+	i := slices.IndexFunc(c.history, func(a acceptedChange) bool { return a.matches(request) })
 	if i < 0 {
 		return acceptedChange{}, false
 	}
-	return r.history[i], true
+	return c.history[i], true
 }
 
 func (a *acceptedChange) matches(request *modelRequest) bool {
@@ -76,8 +76,8 @@
 }
 
 // countChanges returns the number of changes that were accepted between a base and a version.
-func (r *checker) countChanges(base, version uint64) (n int) {
-	for _, a := range r.history {
+func (c *checker) countChanges(base, version uint64) (n int) {
+	for _, a := range c.history {
 		if a.basedOn >= base && a.version <= version {
 			n++
 		}
@@ -86,7 +86,7 @@
 }
 
 // versionOf returns the version that a command puts in force; 0 for an evacuation.
-func (r *checker) versionOf(command []byte) uint64 {
+func (c *checker) versionOf(command []byte) uint64 {
 	if decoded := decodeCommand(command); decoded.commit != nil {
 		return decoded.commit.Version
 	}
@@ -94,11 +94,11 @@
 }
 
 // apply applies a command at its log index and returns its result.
-func (r *checker) apply(index int, command []byte) []byte {
-	sim := r.sim
-	r.counts.committed++
-	before := r.state.Version()
-	result := r.state.Apply(uint64(index), sim.mutateCommand(r.state, index, command))
+func (c *checker) apply(index int, command []byte) []byte {
+	sim := c.sim
+	c.counts.committed++
+	previousVersion := c.state.Version()
+	result := c.state.Apply(uint64(index), sim.mutateCommand(c.state, index, command))
 	outcome, err := state.DecodeResult(result)
 	if err != nil {
 		sim.fail("the result at %d can't be read: %v", index, err)
@@ -107,27 +107,27 @@
 	switch {
 	case outcome.Outcome != state.OutcomeAccepted:
 	case decoded.commit != nil:
-		r.handleAcceptedChange(decoded.commit, before)
+		c.handleAcceptedChange(decoded.commit, previousVersion)
 	default:
-		r.handleEvacuation(decoded.evacuation)
+		c.handleEvacuation(decoded.evacuation)
 	}
 	return result
 }
 
 // handleAcceptedChange checks that accepted changes form one chain, and that none was invalid, rejected or accepted
 // before.
-func (r *checker) handleAcceptedChange(command *state.CommitConfiguration, before uint64) {
-	sim := r.sim
+func (c *checker) handleAcceptedChange(command *state.CommitConfiguration, previousVersion uint64) {
+	sim := c.sim
 	change := acceptedChange{basedOn: command.BaseVersion, version: command.Version}
 	for _, write := range command.Writes {
 		change.body = string(write.Value)
 	}
-	r.counts.accepted++
+	c.counts.accepted++
 	sim.logf("version %d on %d is in force: %q", change.version, change.basedOn, change.body)
-	if change.basedOn != before || before != r.currentVersion() || change.version <= before {
-		sim.fail("version %d on %d is put in force over %d", change.version, change.basedOn, before)
+	if change.basedOn != previousVersion || previousVersion != c.currentVersion() || change.version <= previousVersion {
+		sim.fail("version %d on %d is put in force over %d", change.version, change.basedOn, previousVersion)
 	}
-	if slices.ContainsFunc(r.history, func(other acceptedChange) bool {
+	if slices.ContainsFunc(c.history, func(other acceptedChange) bool {
 		return other.basedOn == change.basedOn || other.version == change.version
 	}) {
 		sim.fail("two changes are in force as version %d on %d", change.version, change.basedOn)
@@ -135,7 +135,7 @@
 	if strings.HasSuffix(change.body, " invalid") {
 		sim.fail("an invalid change is in force: %q", change.body)
 	}
-	for _, op := range r.operations {
+	for _, op := range c.operations {
 		if op.request != nil && op.request.zone == "" && change.matches(op.request) {
 			change.request = op.request
 			if op.wasRejected {
@@ -146,47 +146,47 @@
 	if change.request == nil {
 		sim.fail("a change is in force that nobody sent: %q", change.body)
 	}
-	r.history = append(r.history, change)
+	c.history = append(c.history, change)
 }
 
 // handleEvacuation checks that only its sender undoes an evacuation that was acknowledged.
-func (r *checker) handleEvacuation(command *state.SetEvacuation) {
-	r.counts.evacuations++
-	r.sim.logf("zone %s is evacuated: %t", command.Zone, command.Evacuated)
-	r.evacuated[command.Zone] = command.Evacuated
-	if firm := r.acknowledgedEvacuations[command.Zone]; firm != nil && firm.on != command.Evacuated {
-		r.sim.fail("%v was acknowledged, and is reverted", firm)
+func (c *checker) handleEvacuation(command *state.SetEvacuation) {
+	c.counts.evacuations++
+	c.sim.logf("zone %s is evacuated: %t", command.Zone, command.Evacuated)
+	c.evacuated[command.Zone] = command.Evacuated
+	if acknowledged := c.acknowledgedEvacuations[command.Zone]; acknowledged != nil && acknowledged.evacuate != command.Evacuated {
+		c.sim.fail("%v was acknowledged, and is reverted", acknowledged)
 	}
 }
 
 // handleAcknowledgedEvacuation records an evacuation that was acknowledged to its sender, which has sent no other
 // request since.
-func (r *checker) handleAcknowledgedEvacuation(request *modelRequest) {
-	r.acknowledgedEvacuations[request.zone] = request
-	if r.evacuated[request.zone] != request.on {
-		r.sim.fail("%v is acknowledged, but not in force", request)
+func (c *checker) handleAcknowledgedEvacuation(request *modelRequest) {
+	c.acknowledgedEvacuations[request.zone] = request
+	if c.evacuated[request.zone] != request.evacuate {
+		c.sim.fail("%v is acknowledged, but not in force", request)
 	}
 }
 
 // handleResponse checks a response as it leaves its node.
-func (r *checker) handleResponse(request *modelRequest, response modelResponse) {
-	sim := r.sim
+func (c *checker) handleResponse(request *modelRequest, response modelResponse) {
+	sim := c.sim
 	rejected := response.status >= 400 && response.status < 500
 	if request.zone != "" {
 		if rejected {
 			sim.fail("%v is rejected", request)
 		}
 		if response.status != http.StatusOK {
-			r.counts.superseded++
+			c.counts.superseded++
 		}
 		return
 	}
-	change, accepted := r.findAccepted(request)
+	change, accepted := c.findAccepted(request)
 	switch {
 	case response.status == http.StatusOK:
-		r.counts.acknowledged++
+		c.counts.acknowledged++
 		if request.acknowledged {
-			r.counts.reacknowledged++
+			c.counts.reacknowledged++
 		}
 		if !accepted || change.version != response.version {
 			sim.fail("%v is acknowledged as %d, and was not committed", request, response.version)
@@ -194,19 +194,19 @@
 	case rejected && accepted:
 		sim.fail("%v is rejected with %d, and is in force", request, response.status)
 	case rejected:
-		r.handleRejection(request, response)
+		c.handleRejection(request, response)
 	default:
-		r.counts.indefinite++
+		c.counts.indefinite++
 	}
 }
 
-func (r *checker) handleRejection(request *modelRequest, response modelResponse) {
+func (c *checker) handleRejection(request *modelRequest, response modelResponse) {
 	if response.status == http.StatusPreconditionFailed {
-		r.counts.conflicts++
+		c.counts.conflicts++
 	} else {
-		r.counts.invalid++
+		c.counts.invalid++
 	}
-	for _, op := range r.operations {
+	for _, op := range c.operations {
 		if op.request != nil && op.request.zone == "" && op.request.basedOn == request.basedOn &&
 			string(op.request.changeRequest().body) == string(request.changeRequest().body) {
 			op.wasRejected = true
@@ -216,31 +216,31 @@
 
 // unanswerable reports whether a request may get no definite response: its base is not in force yet, or it is older
 // than the history limit.
-func (r *checker) unanswerable(request *modelRequest) bool {
-	limit := r.sim.profile.HistoryLimit
-	return request.basedOn > r.currentVersion() || limit > 0 && r.countChanges(request.basedOn, r.currentVersion()) > limit
+func (c *checker) unanswerable(request *modelRequest) bool {
+	limit := c.sim.profile.HistoryLimit
+	return request.basedOn > c.currentVersion() || limit > 0 && c.countChanges(request.basedOn, c.currentVersion()) > limit
 }
 
 // checkFinalState checks clients, nodes and the history after recovery.
-func (r *checker) checkFinalState() {
-	sim := r.sim
+func (c *checker) checkFinalState() {
+	sim := c.sim
 	for i, client := range sim.clients {
 		if !client.done() {
 			sim.fail("client %d has requests without a definite response", i)
 		}
 	}
 	for _, node := range sim.nodes {
-		if node.state.Version() != r.currentVersion() {
-			sim.fail("node %d is at version %d of %d", node.number, node.state.Version(), r.currentVersion())
+		if node.state.Version() != c.currentVersion() {
+			sim.fail("node %d is at version %d of %d", node.number, node.state.Version(), c.currentVersion())
 		}
-		for zone, on := range r.evacuated {
-			if node.state.Evacuation(zone).Evacuated != on {
-				sim.fail("node %d: zone %s is evacuated: %t", node.number, zone, !on)
+		for zone, evacuated := range c.evacuated {
+			if node.state.Evacuation(zone).Evacuated != evacuated {
+				sim.fail("node %d: zone %s is evacuated: %t", node.number, zone, !evacuated)
 			}
 		}
 	}
 	if sim.failure == "" {
-		r.checkHistory()
+		c.checkHistory()
 	}
 }
 
@@ -254,17 +254,17 @@
 	wasRejected        bool // some delivery of the request was
 }
 
-func (r *checker) beginOperation(client int, request *modelRequest, zone string) *operation {
-	op := &operation{client: client, request: request, zone: zone, startedAt: r.sim.now}
+func (c *checker) beginOperation(client int, request *modelRequest, zone string) *operation {
+	op := &operation{client: client, request: request, zone: zone, startedAt: c.sim.now}
 	if request != nil {
-		op.wasRejected = slices.ContainsFunc(r.operations, func(other *operation) bool {
+		op.wasRejected = slices.ContainsFunc(c.operations, func(other *operation) bool {
 			return other.wasRejected && other.request == request
 		})
-		if request.zone != "" && r.acknowledgedEvacuations[request.zone] != request {
-			delete(r.acknowledgedEvacuations, request.zone)
+		if request.zone != "" && c.acknowledgedEvacuations[request.zone] != request {
+			delete(c.acknowledgedEvacuations, request.zone)
 		}
 	}
-	r.operations = append(r.operations, op)
+	c.operations = append(c.operations, op)
 	return op
 }
 
@@ -293,27 +293,27 @@
 }
 
 // checkHistory checks that what the clients observed is linearizable: the configuration and each zone by itself.
-func (r *checker) checkHistory() {
-	r.checkOperations("the configuration", configurationModel, r.configurationHistory())
+func (c *checker) checkHistory() {
+	c.checkOperations("the configuration", configurationModel, c.configurationHistory())
 	for _, zone := range simulatedZones {
-		r.checkOperations("zone "+zone, zoneModel.ToModel(), r.zoneHistory(zone))
+		c.checkOperations("zone "+zone, zoneModel.ToModel(), c.zoneHistory(zone))
 	}
 }
 
-func (r *checker) checkOperations(subject string, model porcupine.Model, operations []porcupine.Operation) {
+func (c *checker) checkOperations(subject string, model porcupine.Model, operations []porcupine.Operation) {
 	switch porcupine.CheckOperationsTimeout(model, operations, linearizabilityTimeout) {
 	case porcupine.Illegal:
-		r.sim.fail("the history of %s is not linearizable: %s", subject, historyText(operations))
+		c.sim.fail("the history of %s is not linearizable: %s", subject, historyText(operations))
 	case porcupine.Unknown:
-		r.sim.fail("the history of %s with %d operations took too long to check", subject, len(operations))
+		c.sim.fail("the history of %s with %d operations took too long to check", subject, len(operations))
 	}
 }
 
 // configurationHistory returns the operations on the configuration, without those that can't matter: reads without a
 // response, and of the unanswered deliveries those of requests never accepted and all but the first of a request.
-func (r *checker) configurationHistory() (operations []porcupine.Operation) {
+func (c *checker) configurationHistory() (operations []porcupine.Operation) {
 	seen := map[*modelRequest]bool{}
-	for _, op := range r.operations {
+	for _, op := range c.operations {
 		if op.zone != "" {
 			continue
 		}
@@ -322,7 +322,7 @@
 			if op.request == nil || seen[op.request] {
 				continue
 			}
-			if _, accepted := r.findAccepted(op.request); !accepted {
+			if _, accepted := c.findAccepted(op.request); !accepted {
 				continue
 			}
 			seen[op.request] = true
@@ -335,16 +335,16 @@
 
 // zoneHistory returns the operations on a zone, one for each request however often it was sent. A request that was
 // given up may have taken effect, but not after the next acknowledgement.
-func (r *checker) zoneHistory(zone string) (operations []porcupine.Operation) {
+func (c *checker) zoneHistory(zone string) (operations []porcupine.Operation) {
 	first := map[*modelRequest]bool{}
-	for i, op := range r.operations {
+	for i, op := range c.operations {
 		switch {
 		case op.zone != zone || op.request == nil && !op.response.isDefinite():
 		case op.request == nil:
 			operations = append(operations, op.toPorcupine(op.endedAt))
 		case !first[op.request]:
 			first[op.request] = true
-			operations = append(operations, op.toPorcupine(r.firstAcknowledgement(i, zone)))
+			operations = append(operations, op.toPorcupine(c.firstAcknowledgement(i, zone)))
 		}
 	}
 	return operations
@@ -352,9 +352,9 @@
 
 // firstAcknowledgement returns when a request about the zone, that of operation i or a later one, was first
 // acknowledged.
-func (r *checker) firstAcknowledgement(i int, zone string) time.Duration {
+func (c *checker) firstAcknowledgement(i int, zone string) time.Duration {
 	at := time.Duration(math.MaxInt64)
-	for _, op := range r.operations[i:] {
+	for _, op := range c.operations[i:] {
 		if op.zone == zone && op.request != nil && op.response.status == http.StatusOK {
 			at = min(at, op.endedAt)
 		}
@@ -441,14 +441,14 @@
 	Step: func(now, input, output any) []any {
 		op := input.(*operation)
 		switch {
-		case op.request == nil && now.(bool) != output.(modelResponse).on:
+		case op.request == nil && now.(bool) != output.(modelResponse).evacuated:
 			return nil
 		case op.request == nil:
 			return []any{now}
 		case op.request.acknowledged:
-			return []any{op.request.on}
+			return []any{op.request.evacuate}
 		}
-		return []any{now, op.request.on}
+		return []any{now, op.request.evacuate}
 	},
 }
 
--- a/internal/system/control/api/simulation_clients_test.go
+++ b/internal/system/control/api/simulation_clients_test.go
@@ -24,7 +24,7 @@
 type modelRequest struct {
 	number       int
 	zone         string // of an evacuation; empty for a change of the configuration
-	on           bool
+	evacuate     bool
 	basedOn      uint64
 	version      uint64
 	text         string // several requests may share it
@@ -35,7 +35,7 @@
 
 func (o *modelRequest) String() string {
 	if o.zone != "" {
-		return fmt.Sprintf("request %d (evacuation of %s: %t)", o.number, o.zone, o.on)
+		return fmt.Sprintf("request %d (evacuation of %s: %t)", o.number, o.zone, o.evacuate)
 	}
 	return fmt.Sprintf("request %d (%d on %d, %q)", o.number, o.version, o.basedOn, o.text)
 }
@@ -66,10 +66,10 @@
 
 // modelResponse is what a client receives; the zero value stands for none.
 type modelResponse struct {
-	status  int
-	version uint64
-	text    string // of the version that was read
-	on      bool   // whether the zone that was read is evacuated
+	status    int
+	version   uint64
+	text      string // of the version that was read
+	evacuated bool   // whether the zone that was read is evacuated
 }
 
 // isDefinite reports whether the response says what became of a request.
@@ -96,11 +96,11 @@
 }
 
 // cancel closes the sender's end. The node learns of it unless that message is lost.
-func (c *delivery) cancel() {
-	c.cancelled = true
-	sim := c.sim
-	if c.task != nil && !(sim.faultsActive && sim.chance(0.3)) {
-		sim.after(sim.networkDelay(), func() { c.task.cancelled = true })
+func (d *delivery) cancel() {
+	d.cancelled = true
+	sim := d.sim
+	if d.task != nil && !(sim.faultsActive && sim.chance(0.3)) {
+		sim.after(sim.networkDelay(), func() { d.task.cancelled = true })
 	}
 }
 
@@ -108,12 +108,12 @@
 // callTimeout is dropped.
 func (sim *simulation) send(client int, request *modelRequest, zone string, handle func(t *handlerTask) modelResponse,
 	onResponse func(modelResponse)) *delivery {
-	c := &delivery{sim: sim}
+	d := &delivery{sim: sim}
 	op := sim.checker.beginOperation(client, request, zone)
 	end := func(response modelResponse) {
-		if !c.cancelled {
+		if !d.cancelled {
 			op.complete(response, sim.now)
-			c.cancel()
+			d.cancel()
 			onResponse(response)
 		}
 	}
@@ -125,7 +125,7 @@
 			return
 		}
 		node.whenRunning(func() {
-			c.task = node.runHandler(c.cancelled, func(t *handlerTask) {
+			d.task = node.runHandler(d.cancelled, func(t *handlerTask) {
 				response := handle(t)
 				if t.ended {
 					return
@@ -140,7 +140,7 @@
 			})
 		})
 	})
-	return c
+	return d
 }
 
 func (sim *simulation) sendChange(client int, request *modelRequest, onResponse func(modelResponse)) *delivery {
@@ -153,7 +153,7 @@
 func (sim *simulation) sendEvacuation(client int, request *modelRequest, onResponse func(modelResponse)) *delivery {
 	return sim.send(client, request, request.zone, func(t *handlerTask) modelResponse {
 		ctx := taskContext{context.Background(), t}
-		return responseOf(0, t.committer().setEvacuation(ctx, request.zone, request.on))
+		return responseOf(0, t.committer().setEvacuation(ctx, request.zone, request.evacuate))
 	}, onResponse)
 }
 
@@ -165,7 +165,7 @@
 			return modelResponse{}
 		}
 		base := t.node.state.View()
-		response := modelResponse{status: http.StatusOK, version: base.Version, on: t.node.state.Evacuation(zone).Evacuated}
+		response := modelResponse{status: http.StatusOK, version: base.Version, evacuated: t.node.state.Evacuation(zone).Evacuated}
 		for _, value := range base.Values.WithPrefix(ownerKey) {
 			response.text = string(value)
 		}
@@ -322,9 +322,9 @@
 	}
 	c.requestCount++
 	request := sim.checker.newRequest()
-	request.zone, request.on = c.zone, c.current == nil || !c.current.on
+	request.zone, request.evacuate = c.zone, c.current == nil || !c.current.evacuate
 	if sim.chance(0.2) {
-		request.on = !request.on
+		request.evacuate = !request.evacuate
 	}
 	c.current = request
 	c.cancelDeliveries()
--- a/internal/system/control/api/simulation_cluster_test.go
+++ b/internal/system/control/api/simulation_cluster_test.go
@@ -22,7 +22,7 @@
 type simulation struct {
 	seed         uint64
 	random       *rand.Rand
-	now          time.Duration
+	now          time.Duration // virtual
 	events       eventqueue.Queue
 	verbose      bool
 	failure      string
@@ -33,7 +33,7 @@
 	nodes         []*simulatedNode
 	log           []logEntry
 	inFlight      []*pendingProposal
-	noQuorumUntil time.Duration // in virtual time
+	noQuorumUntil time.Duration
 	checker       *checker
 	clients       []simulatedClient
 }
@@ -41,16 +41,16 @@
 // mutation is a set of safeguards that are disabled.
 type mutation struct {
 	rejectForgotten     bool // a forgotten request counts as superseded
-	rejectEarly         bool // a request whose base is not in force yet counts as superseded
+	rejectPremature     bool // a request whose base is not in force yet counts as superseded
 	splitLookup         bool // verdict and base are read at two moments
 	skipBaseCheck       bool // changes are applied on any base
 	uniqueDigests       bool // copies of a request have different digests
-	skipSeenCheck       bool // evacuations are applied whatever was applied before
+	skipRevisionCheck   bool // evacuations are applied whatever was applied before
 	skipNoopEvacuations bool // an evacuation that changes nothing is not committed
 	retrySuperseded     bool // a superseded evacuation is attempted again
 	ignoreCancellation  bool // requests of disconnected callers are served
 	staleReads          bool // reads skip the barrier
-	acknowledgeEarly    bool // before the command is committed
+	acknowledgeEarly    bool // changes are acknowledged before they are committed
 	rejectUnknown       bool // an unknown outcome is reported as a conflict
 	lossySnapshots      bool // snapshots lose the accepted changes
 }
@@ -65,13 +65,13 @@
 	UnknownRatio  float64 // of proposals whose outcome stays unknown
 	FaultInterval time.Duration
 	ThinkTime     time.Duration
-	HistoryLimit  int // changes after which one counts as forgotten; 0: state.RememberedChanges
+	HistoryLimit  int // changes after which one counts as forgotten; 0: state.RetainedChanges
 }
 
 // logEntry is an entry of the replicated log; its log index is its slice index plus one.
 type logEntry struct {
 	command []byte
-	result  string
+	result  string // that every node has to compute
 }
 
 // pendingProposal is a command that may still be committed.
@@ -544,22 +544,22 @@
 func (o *simulatedState) CheckRequest(basedOn uint64, digest state.Digest) state.RequestStatus {
 	node := o.task.node
 	sim := node.sim
-	standing := node.state.CheckRequest(basedOn, digest)
-	if sim.mutation.splitLookup && standing.Verdict == state.VerdictOpen {
+	status := node.state.CheckRequest(basedOn, digest)
+	if sim.mutation.splitLookup && status.Verdict == state.VerdictOpen {
 		o.task.sleep(sim.durationBetween(0, sim.profile.Delay))
-		if standing = node.state.CheckRequest(basedOn, digest); standing.Verdict != state.VerdictOpen {
-			standing.Verdict = state.VerdictSuperseded
+		if status = node.state.CheckRequest(basedOn, digest); status.Verdict != state.VerdictOpen {
+			status.Verdict = state.VerdictSuperseded
 		}
 	}
-	old := standing.Verdict == state.VerdictAccepted || standing.Verdict == state.VerdictSuperseded
+	old := status.Verdict == state.VerdictAccepted || status.Verdict == state.VerdictSuperseded
 	if old && sim.profile.HistoryLimit > 0 && sim.checker.countChanges(basedOn, node.state.Version()) > sim.profile.HistoryLimit {
-		standing.Verdict = state.VerdictForgotten
+		status.Verdict = state.VerdictForgotten
 	}
-	if sim.mutation.rejectForgotten && standing.Verdict == state.VerdictForgotten ||
-		sim.mutation.rejectEarly && standing.Verdict == state.VerdictPremature {
-		standing.Verdict = state.VerdictSuperseded
+	if sim.mutation.rejectForgotten && status.Verdict == state.VerdictForgotten ||
+		sim.mutation.rejectPremature && status.Verdict == state.VerdictPremature {
+		status.Verdict = state.VerdictSuperseded
 	}
-	return standing
+	return status
 }
 
 // Evacuation returns the state machine's, with the mutations.
--- a/internal/system/control/api/simulation_test.go
+++ b/internal/system/control/api/simulation_test.go
@@ -96,11 +96,11 @@
 func TestSimulationFindsMutations(t *testing.T) {
 	mutants := map[string]mutation{
 		"forgotten changes are rejected":               {rejectForgotten: true},
-		"early changes are rejected":                   {rejectEarly: true},
+		"premature changes are rejected":               {rejectPremature: true},
 		"verdict and base are read separately":         {splitLookup: true},
 		"changes are applied on any base":              {skipBaseCheck: true},
 		"copies of a request have different digests":   {uniqueDigests: true},
-		"evacuations are applied unconditionally":      {skipSeenCheck: true},
+		"evacuations are applied unconditionally":      {skipRevisionCheck: true},
 		"evacuations without effect are not committed": {skipNoopEvacuations: true},
 		"superseded evacuations are repeated":          {retrySuperseded: true},
 		"disconnected callers are served":              {ignoreCancellation: true},
@@ -128,12 +128,12 @@
 
 // mutateCommand returns the command as a state machine without the disabled safeguards would apply it.
 func (sim *simulation) mutateCommand(at *state.Configuration, index int, command []byte) []byte {
-	if !sim.mutation.skipBaseCheck && !sim.mutation.uniqueDigests && !sim.mutation.skipSeenCheck {
+	if !sim.mutation.skipBaseCheck && !sim.mutation.uniqueDigests && !sim.mutation.skipRevisionCheck {
 		return command
 	}
 	decoded := decodeCommand(command)
 	if e := decoded.evacuation; e != nil {
-		if sim.mutation.skipSeenCheck {
+		if sim.mutation.skipRevisionCheck {
 			e.ExpectedRevision = at.Evacuation(e.Zone).Revision
 		}
 		return e.Encode()
--- a/internal/system/control/feedserver/pacer_test.go
+++ b/internal/system/control/feedserver/pacer_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestPacerRate draws followers that call at any time, and checks that the rate is kept in each span and that nobody who
-// calls again when told waits for ever.
+// TestPacerRate draws followers that call at any time, and checks that the rate is kept in each span and that a follower
+// which calls again when told to is served.
 func TestPacerRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const rate = 1 << 20
--- a/internal/system/control/runnersync/ownership.go
+++ b/internal/system/control/runnersync/ownership.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// leaseCheckInterval is the time between two looks at the lease while this machine owns nothing.
+	// leaseCheckInterval is the time between two checks of the lease while this machine owns nothing.
 	leaseCheckInterval = 200 * time.Millisecond
 	// minLeaseRemaining must be left of a lease when a call begins.
 	minLeaseRemaining = 100 * time.Millisecond
--- a/internal/system/control/runnersync/status_test.go
+++ b/internal/system/control/runnersync/status_test.go
@@ -17,7 +17,7 @@
 	if got := c.syncer.Status(); got != want {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
-	c.listError = errors.New("no answer")
+	c.listError = errors.New("no response")
 	c.step()
 	c.now += time.Second
 	want = Status{Holder: true, ListReceived: true, ListAge: 1300 * time.Millisecond, CallCount: 2}
--- a/internal/system/control/runnersync/sync_test.go
+++ b/internal/system/control/runnersync/sync_test.go
@@ -76,7 +76,7 @@
 		t.Error("another slow start is not written")
 	}
 	pass(time.Second)
-	runner.SlowStartRemaining = 3 * time.Second // again, by the same value as the one that stands
+	runner.SlowStartRemaining = 3 * time.Second // anew, with the value that is stored
 	c.step()
 	item := c.states[feed.PartitionOf(runner.Service, partitions)-1].Since(0, 0).Items[0]
 	if c.proposals != 4 || item.Age != 0 {
@@ -203,7 +203,7 @@
 				c.list = append(c.list, newRunner(int(c.index)+len(c.list)+100))
 			case 2:
 				if len(c.list) > 0 {
-					i := rapid.IntRange(0, len(c.list)-1).Draw(t, "gone")
+					i := rapid.IntRange(0, len(c.list)-1).Draw(t, "removed")
 					c.list = append(append([]discovery.Runner(nil), c.list[:i]...), c.list[i+1:]...)
 				}
 			case 3:
@@ -256,7 +256,7 @@
 				c.list = append(c.list, newRunner(int(c.index)+len(c.list)+100))
 			case 1:
 				if len(c.list) > 0 {
-					i := rapid.IntRange(0, len(c.list)-1).Draw(t, "gone")
+					i := rapid.IntRange(0, len(c.list)-1).Draw(t, "removed")
 					c.list = append(append([]discovery.Runner(nil), c.list[:i]...), c.list[i+1:]...)
 				}
 			case 2:
--- a/internal/system/control/runnersync/syncer.go
+++ b/internal/system/control/runnersync/syncer.go
@@ -40,8 +40,9 @@
 
 // Partition is the local state of a runner partition; state.Runners implements it.
 type Partition interface {
+	// Since returns the changes after an index, or a snapshot; maxBytes 0 means no limit.
 	Since(index uint64, maxBytes int) feed.Batch
-	// Revision returns what a state.WriteRunners that is computed from the state names as Seen.
+	// Revision returns the state.WriteRunners.ExpectedRevision of writes that are computed from the state.
 	Revision() uint64
 }
 
