--- a/grpcbalancer/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -21,101 +21,101 @@
 
 const balancerName = "cinderroad"
 
-// Server is what a resolver tells of an address beside the address.
-type Server struct {
+// ServerInfo is what a resolver tells of an address beside the address.
+type ServerInfo struct {
 	Zone, Kind, Cell int
 	Draining         bool      // wants nothing new
 	Started          time.Time // of its process; the zero time is long ago
 }
 
-type serverKey struct{}
+type serverInfoKey struct{}
 
-// WithServer attaches what is known of a server to its address.
-func WithServer(a resolver.Address, s Server) resolver.Address {
-	a.BalancerAttributes = attributes.New(serverKey{}, s)
+// WithServerInfo attaches what is known of a server to its address.
+func WithServerInfo(a resolver.Address, s ServerInfo) resolver.Address {
+	a.BalancerAttributes = attributes.New(serverInfoKey{}, s)
 	return a
 }
 
 // Equal lets grpc compare attributes.
-func (s Server) Equal(o any) bool { other, ok := o.(Server); return ok && s == other }
+func (s ServerInfo) Equal(o any) bool { other, ok := o.(ServerInfo); return ok && s == other }
 
 var (
 	registryMu sync.Mutex
 	registry   = map[string]*Dispatcher{}
-	serial     int
+	lastName   int
 )
 
-func register(d *Dispatcher) string {
+func registerDispatcher(d *Dispatcher) string {
 	registryMu.Lock()
 	defer registryMu.Unlock()
-	serial++
-	name := fmt.Sprint(serial)
+	lastName++
+	name := fmt.Sprint(lastName)
 	registry[name] = d
 	return name
 }
 
-func unregister(name string) {
+func unregisterDispatcher(name string) {
 	registryMu.Lock()
 	defer registryMu.Unlock()
 	delete(registry, name)
 }
 
-func init() { balancer.Register(builder{}) }
+func init() { balancer.Register(balancerBuilder{}) }
 
-type builder struct{}
+type balancerBuilder struct{}
 
-type lbConfig struct {
+type balancerConfig struct {
 	serviceconfig.LoadBalancingConfig
 	Dispatcher string `json:"dispatcher"`
 }
 
-func (builder) Name() string { return balancerName }
-func (builder) Build(cc balancer.ClientConn, _ balancer.BuildOptions) balancer.Balancer {
-	return &lb{cc: cc}
+func (balancerBuilder) Name() string { return balancerName }
+func (balancerBuilder) Build(cc balancer.ClientConn, _ balancer.BuildOptions) balancer.Balancer {
+	return &subConnBalancer{clientConn: cc}
 }
 
 // ParseConfig implements balancer.ConfigParser.
-func (builder) ParseConfig(text json.RawMessage) (serviceconfig.LoadBalancingConfig, error) {
-	var c lbConfig
+func (balancerBuilder) ParseConfig(text json.RawMessage) (serviceconfig.LoadBalancingConfig, error) {
+	var c balancerConfig
 	if err := json.Unmarshal(text, &c); err != nil {
 		return nil, fmt.Errorf("rpcplugin: balancer config: %w", err)
 	}
 	return &c, nil
 }
 
-// lb keeps a connection to every server of the list. The library calls it from one goroutine at a time.
-type lb struct {
-	cc balancer.ClientConn
-	d  *Dispatcher
+// subConnBalancer keeps a connection to every server of the list. The library calls it from one goroutine at a time.
+type subConnBalancer struct {
+	clientConn balancer.ClientConn
+	dispatcher *Dispatcher
 }
 
-// link is a worker's connection, guarded by the dispatcher's lock.
-type link struct {
-	sub     balancer.SubConn
+// connection is a worker's connection, guarded by the dispatcher's lock.
+type connection struct {
+	subConn balancer.SubConn
 	ready   bool
 	changed chan struct{} // closed when ready changes
 }
 
 // UpdateClientConnState takes the resolver's list and hands it to the core.
-func (b *lb) UpdateClientConnState(s balancer.ClientConnState) error {
-	c, ok := s.BalancerConfig.(*lbConfig)
+func (b *subConnBalancer) UpdateClientConnState(s balancer.ClientConnState) error {
+	c, ok := s.BalancerConfig.(*balancerConfig)
 	if !ok {
 		return fmt.Errorf("rpcplugin: the balancer needs the options of a Dispatcher")
 	}
 	registryMu.Lock()
-	b.d = registry[c.Dispatcher]
+	b.dispatcher = registry[c.Dispatcher]
 	registryMu.Unlock()
-	if b.d == nil {
+	if b.dispatcher == nil {
 		return fmt.Errorf("rpcplugin: no such Dispatcher, or closed")
 	}
-	d := b.d
+	d := b.dispatcher
 	type fresh struct {
-		w    *worker
+		w    *backend
 		addr resolver.Address
 	}
 	var missing []fresh
 	var gone []balancer.SubConn
-	d.locked(func() {
+	d.withLock(func() {
 		listed := map[string]bool{}
 		var members []dispatch.Member
 		for _, a := range s.ResolverState.Addresses {
@@ -125,13 +125,13 @@
 			listed[a.Addr] = true
 			w := d.workers[a.Addr]
 			if w == nil {
-				w = &worker{d: d, addr: a.Addr, fetches: map[dispatch.AttemptID]*fetch{}, link: link{changed: make(chan struct{})}}
+				w = &backend{dispatcher: d, address: a.Addr, attempts: map[dispatch.AttemptID]*callAttempt{}, connection: connection{changed: make(chan struct{})}}
 				d.workers[a.Addr] = w
 			}
-			if w.link.sub == nil {
+			if w.connection.subConn == nil {
 				missing = append(missing, fresh{w, a})
 			}
-			at, _ := a.BalancerAttributes.Value(serverKey{}).(Server)
+			at, _ := a.BalancerAttributes.Value(serverInfoKey{}).(ServerInfo)
 			w.member = loadbalancer.Worker{ID: d.core.WorkerID(a.Addr), Zone: at.Zone, Kind: at.Kind, Cell: at.Cell, State: loadbalancer.Ready, Weight: 1}
 			if at.Draining {
 				w.member.State = loadbalancer.Draining
@@ -142,9 +142,9 @@
 			members = append(members, dispatch.Member{Worker: w.member, Backend: w, Name: a.Addr})
 		}
 		for addr, w := range d.workers {
-			if !listed[addr] && w.link.sub != nil {
-				gone = append(gone, w.link.sub)
-				w.link.sub, w.link.ready = nil, false
+			if !listed[addr] && w.connection.subConn != nil {
+				gone = append(gone, w.connection.subConn)
+				w.connection.subConn, w.connection.ready = nil, false
 				delete(d.workers, addr)
 			}
 		}
@@ -152,27 +152,27 @@
 	})
 	for _, m := range missing {
 		var sub balancer.SubConn
-		sub, err := b.cc.NewSubConn([]resolver.Address{m.addr}, balancer.NewSubConnOptions{
-			StateListener: func(s balancer.SubConnState) { b.state(m.w, sub, s) }})
+		sub, err := b.clientConn.NewSubConn([]resolver.Address{m.addr}, balancer.NewSubConnOptions{
+			StateListener: func(s balancer.SubConnState) { b.handleSubConnState(m.w, sub, s) }})
 		if err != nil {
 			return fmt.Errorf("rpcplugin: connection to %s: %w", m.addr.Addr, err)
 		}
-		d.locked(func() { m.w.link.sub = sub })
+		d.withLock(func() { m.w.connection.subConn = sub })
 		sub.Connect()
 	}
 	for _, sub := range gone { // calls that are out finish: the library closes the connection after them
 		sub.Shutdown()
 	}
-	b.cc.UpdateState(balancer.State{ConnectivityState: connectivity.Ready, Picker: picker{d}})
+	b.clientConn.UpdateState(balancer.State{ConnectivityState: connectivity.Ready, Picker: picker{d}})
 	return nil
 }
 
-func (b *lb) state(w *worker, sub balancer.SubConn, s balancer.SubConnState) {
-	w.d.locked(func() {
-		if w.link.sub == sub && w.link.ready != (s.ConnectivityState == connectivity.Ready) {
-			w.link.ready = !w.link.ready
-			close(w.link.changed)
-			w.link.changed = make(chan struct{})
+func (b *subConnBalancer) handleSubConnState(w *backend, sub balancer.SubConn, s balancer.SubConnState) {
+	w.dispatcher.withLock(func() {
+		if w.connection.subConn == sub && w.connection.ready != (s.ConnectivityState == connectivity.Ready) {
+			w.connection.ready = !w.connection.ready
+			close(w.connection.changed)
+			w.connection.changed = make(chan struct{})
 		}
 	})
 	if s.ConnectivityState == connectivity.Idle {
@@ -181,34 +181,34 @@
 }
 
 // ResolverError keeps the old list.
-func (b *lb) ResolverError(error) {}
+func (b *subConnBalancer) ResolverError(error) {}
 
 // UpdateSubConnState is not used by the library any more where there is a StateListener.
-func (b *lb) UpdateSubConnState(balancer.SubConn, balancer.SubConnState) {}
+func (b *subConnBalancer) UpdateSubConnState(balancer.SubConn, balancer.SubConnState) {}
 
 // ExitIdle implements balancer.Balancer: every server is connected already.
-func (b *lb) ExitIdle() {}
+func (b *subConnBalancer) ExitIdle() {}
 
 // Close implements balancer.Balancer.
-func (b *lb) Close() {
-	if b.d == nil {
+func (b *subConnBalancer) Close() {
+	if b.dispatcher == nil {
 		return
 	}
-	b.d.locked(func() {
-		for _, w := range b.d.workers {
-			w.link.sub, w.link.ready = nil, false
+	b.dispatcher.withLock(func() {
+		for _, w := range b.dispatcher.workers {
+			w.connection.subConn, w.connection.ready = nil, false
 		}
-		b.d.core.UpdateMembers(loadbalancer.ListFull, nil)
+		b.dispatcher.core.UpdateMembers(loadbalancer.ListFull, nil)
 	})
 }
 
-// await waits for the worker's connection, no longer than a connect may take.
-func (d *Dispatcher) await(ctx context.Context, w *worker) bool {
+// waitConnected waits for the worker's connection, no longer than a connect may take.
+func (d *Dispatcher) waitConnected(ctx context.Context, w *backend) bool {
 	limit := time.NewTimer(d.options.ConnectTimeout)
 	defer limit.Stop()
 	for {
 		d.mu.Lock()
-		ready, changed := w.link.ready, w.link.changed
+		ready, changed := w.connection.ready, w.connection.changed
 		d.mu.Unlock()
 		if ready {
 			return true
@@ -225,19 +225,19 @@
 
 // picker sends a fetch where the decisions said, once. The library asks again when it wants to repeat a call
 // behind our back, which it does only with one that no server has seen: that is told to the core instead.
-type picker struct{ d *Dispatcher }
+type picker struct{ dispatcher *Dispatcher }
 
 // Pick implements balancer.Picker.
 func (p picker) Pick(info balancer.PickInfo) (balancer.PickResult, error) {
-	t, _ := info.Ctx.Value(fetchKey{}).(*fetch)
+	t, _ := info.Ctx.Value(attemptKey{}).(*callAttempt)
 	if t == nil {
 		return balancer.PickResult{}, status.Error(codes.Unimplemented, "rpcplugin: unary calls only")
 	}
-	p.d.mu.Lock()
-	defer p.d.mu.Unlock()
-	if t.picks++; t.picks > 1 || t.w.link.sub == nil || !t.w.link.ready {
-		t.unsent = true
+	p.dispatcher.mu.Lock()
+	defer p.dispatcher.mu.Unlock()
+	if t.picks++; t.picks > 1 || t.backend.connection.subConn == nil || !t.backend.connection.ready {
+		t.notSent = true
 		return balancer.PickResult{}, status.Error(codes.Unavailable, "rpcplugin: not sent")
 	}
-	return balancer.PickResult{SubConn: t.w.link.sub}, nil
+	return balancer.PickResult{SubConn: t.backend.connection.subConn}, nil
 }
--- a/grpcbalancer/figures.go
+++ b/grpcbalancer/figures.go
@@ -6,39 +6,39 @@
 	"cinderroad/internal/dispatcher/telemetry"
 )
 
-// FigureOptions turn a Dispatcher's figures on.
-type FigureOptions struct {
+// MetricOptions turn a Dispatcher's figures on.
+type MetricOptions struct {
 	// Zones and Kinds name them by the numbers that Server has; those without a name go by their number.
 	Zones, Kinds []string
-	// Nodes is how many servers have figures of their own at one time, at most.
-	Nodes int
+	// MaxServers is how many servers have figures of their own at one time, at most.
+	MaxServers int
 }
 
-// Figure is one figure of a Dispatcher, under the name that the daemon has for it, such as classes.charge.answers.in_time.
-type Figure struct {
+// Metric is one figure of a Dispatcher, under the name that the daemon has for it, such as classes.charge.answers.in_time.
+type Metric struct {
 	Name    string
 	Counter bool // a total since New that only grows; else the value of now, or over the time since the last Figures
 	Value   float64
 }
 
-// Figures returns all figures that have a value, and begins a new period: latencies are of the time since the call before.
+// Metrics returns all figures that have a value, and begins a new period: latencies are of the time since the call before.
 // None without Options.Figures. Whoever sends them on keeps the time.
-func (d *Dispatcher) Figures() (figures []Figure) {
-	d.locked(func() {
-		if d.figures == nil {
+func (d *Dispatcher) Metrics() (figures []Metric) {
+	d.withLock(func() {
+		if d.metrics == nil {
 			return
 		}
-		p := d.figures.Close(0, 0)
+		p := d.metrics.Close(0, 0)
 		r := p.Read()
 		for s, v, ok := r.Next(); ok; s, v, ok = r.Next() {
-			figures = append(figures, Figure{s.Name, s.Kind == telemetry.Counter, v})
+			figures = append(figures, Metric{s.Name, s.Kind == telemetry.Counter, v})
 		}
 	})
 	return figures
 }
 
-// observe has the core's books kept.
-func (d *Dispatcher) observe(o *FigureOptions) {
+// enableMetrics has the core's books kept.
+func (d *Dispatcher) enableMetrics(o *MetricOptions) {
 	set := &d.options.Settings
 	var classes []string
 	for _, c := range set.Classes {
@@ -54,7 +54,7 @@
 	for len(zones) < set.Zones {
 		zones = append(zones[:len(zones):len(zones)], strconv.Itoa(len(zones)))
 	}
-	d.figures = telemetry.New(telemetry.Options{Settings: *set, Classes: classes, Zones: zones, Kinds: kinds, Nodes: o.Nodes,
+	d.metrics = telemetry.New(telemetry.Options{Settings: *set, Classes: classes, Zones: zones, Kinds: kinds, Nodes: o.MaxServers,
 		Standing: d.core.WorkerStatus, Now: d.Now})
-	d.core.Observer = d.figures
+	d.core.Observer = d.metrics
 }
--- a/grpcbalancer/figures_test.go
+++ b/grpcbalancer/figures_test.go
@@ -12,7 +12,7 @@
 )
 
 // The plug-in's figures are the daemon's, under the same names, for its own traffic; totals go on, latencies begin anew.
-func TestFigures(t *testing.T) {
+func TestMetrics(t *testing.T) {
 	r := newRig(t, loadbalancer.RetrySafe, 2)
 	r.script = func(n int, _ *server, _ context.Context) error {
 		if n == 1 {
@@ -25,9 +25,9 @@
 			t.Fatal(err)
 		}
 	}
-	read := func() map[string]Figure {
-		all := map[string]Figure{}
-		for _, f := range r.d.Figures() {
+	read := func() map[string]Metric {
+		all := map[string]Metric{}
+		for _, f := range r.d.Metrics() {
 			all[f.Name] = f
 		}
 		return all
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	defer off.Close()
-	if f := off.Figures(); f != nil {
+	if f := off.Metrics(); f != nil {
 		t.Errorf("%d figures, and none wanted", len(f))
 	}
 }
--- a/grpcbalancer/rpcplugin.go
+++ b/grpcbalancer/rpcplugin.go
@@ -45,23 +45,23 @@
 	Fields []string
 	// ConnectTimeout is how long a fetch waits for its server's connection; 0 is 250 ms.
 	ConnectTimeout time.Duration
-	// Figures has figures kept, for Dispatcher.Figures to tell; nil is none.
-	Figures *FigureOptions
+	// Metrics has figures kept, for Dispatcher.Figures to tell; nil is none.
+	Metrics *MetricOptions
 }
 
 // Dispatcher serves one ClientConn.
 type Dispatcher struct {
-	options Options
-	name    string
-	anchor  time.Time
-	start   float64
+	options   Options
+	name      string
+	startedAt time.Time
+	startTime float64
 
 	mu      sync.Mutex // the core belongs to whoever holds it
 	core    *dispatch.Dispatcher
-	workers map[string]*worker // by address
+	workers map[string]*backend // by address
 	timers  map[*timer]bool
 	closed  bool
-	figures *telemetry.Set // nil: none
+	metrics *telemetry.Set // nil: none
 }
 
 // New makes a Dispatcher; pass what DialOptions returns to grpc.NewClient.
@@ -73,16 +73,16 @@
 		o.ConnectTimeout = 250 * time.Millisecond
 	}
 	now := time.Now()
-	d := &Dispatcher{options: o, anchor: now, start: float64(now.UnixMicro()) / 1e6, workers: map[string]*worker{}, timers: map[*timer]bool{}}
+	d := &Dispatcher{options: o, startedAt: now, startTime: float64(now.UnixMicro()) / 1e6, workers: map[string]*backend{}, timers: map[*timer]bool{}}
 	var err error
 	if d.core, err = dispatch.New(o.Settings, o.Seed, d); err != nil {
 		return nil, fmt.Errorf("rpcplugin: %w", err)
 	}
-	if o.Figures != nil {
-		d.observe(o.Figures)
+	if o.Metrics != nil {
+		d.enableMetrics(o.Metrics)
 	}
-	d.name = register(d)
-	d.locked(d.core.Start)
+	d.name = registerDispatcher(d)
+	d.withLock(d.core.Start)
 	return d, nil
 }
 
@@ -94,29 +94,29 @@
 
 // Close ends the timers; calls that are out end by their own deadlines.
 func (d *Dispatcher) Close() {
-	unregister(d.name)
+	unregisterDispatcher(d.name)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.closed = true
 	for t := range d.timers {
-		t.t.Stop()
+		t.timer.Stop()
 	}
 }
 
 // Counts returns the core's figures so far.
 func (d *Dispatcher) Counts() (n dispatch.Counts) {
-	d.locked(func() { n = d.core.Counts() })
+	d.withLock(func() { n = d.core.Counts() })
 	return n
 }
 
 // Exclude takes a server out by its address, whatever the resolver says, until Include; false if nobody has it.
-func (d *Dispatcher) Exclude(addr string) (known bool) { return d.change(d.core.Exclude, addr) }
+func (d *Dispatcher) Exclude(addr string) (known bool) { return d.exclude(d.core.Exclude, addr) }
 
 // Include calls a server back: it is cold, since it was restarted meanwhile.
-func (d *Dispatcher) Include(addr string) (known bool) { return d.change(d.core.Include, addr) }
+func (d *Dispatcher) Include(addr string) (known bool) { return d.exclude(d.core.Include, addr) }
 
-func (d *Dispatcher) change(what func(string) dispatch.ExclusionChange, addr string) (known bool) {
-	d.locked(func() {
+func (d *Dispatcher) exclude(what func(string) dispatch.ExclusionChange, addr string) (known bool) {
+	d.withLock(func() {
 		ch := what(addr)
 		if known = ch.Known && !ch.LimitReached; known {
 			d.core.ApplyExclusions(ch.Exclusions)
@@ -125,42 +125,42 @@
 	return known
 }
 
-func (d *Dispatcher) locked(do func()) {
+func (d *Dispatcher) withLock(do func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	do()
 }
 
 // Now implements routing.Clock.
-func (d *Dispatcher) Now() float64 { return d.start + time.Since(d.anchor).Seconds() }
+func (d *Dispatcher) Now() float64 { return d.startTime + time.Since(d.startedAt).Seconds() }
 
 type timer struct {
-	d    *Dispatcher
-	t    *time.Timer
-	over bool
+	dispatcher *Dispatcher
+	timer      *time.Timer
+	stopped    bool
 }
 
 // Stop implements routing.Stop; the lock is held.
 func (t *timer) Stop() {
-	t.over = true
-	t.t.Stop()
-	delete(t.d.timers, t)
+	t.stopped = true
+	t.timer.Stop()
+	delete(t.dispatcher.timers, t)
 }
 
 // At implements routing.Clock; the lock is held.
 func (d *Dispatcher) At(at float64, do func()) dispatch.Timer {
-	t := &timer{d: d}
+	t := &timer{dispatcher: d}
 	if d.closed {
-		t.t = time.NewTimer(time.Hour)
-		t.t.Stop()
+		t.timer = time.NewTimer(time.Hour)
+		t.timer.Stop()
 		return t
 	}
 	d.timers[t] = true
-	t.t = time.AfterFunc(time.Duration((at-d.Now())*float64(time.Second)), func() {
-		d.locked(func() {
-			if !t.over && !d.closed {
+	t.timer = time.AfterFunc(time.Duration((at-d.Now())*float64(time.Second)), func() {
+		d.withLock(func() {
+			if !t.stopped && !d.closed {
 				delete(d.timers, t)
-				t.over = true
+				t.stopped = true
 				do()
 			}
 		})
@@ -170,17 +170,17 @@
 
 // call is a req as the interceptor holds it.
 type call struct {
-	ctx       context.Context
-	method    string
-	request   any
-	reply     reflect.Type
-	cc        *grpc.ClientConn
-	invoke    grpc.UnaryInvoker
-	options   []grpc.CallOption
-	answer    chan dispatch.Answer
-	served    any   // the reply of the fetch that won, and
-	servedErr error // the status that its server gave it
-	failed    error // of the last fetch that failed
+	ctx         context.Context
+	method      string
+	request     any
+	reply       reflect.Type
+	clientConn  *grpc.ClientConn
+	invoke      grpc.UnaryInvoker
+	options     []grpc.CallOption
+	answer      chan dispatch.Answer
+	servedReply any   // the reply of the fetch that won, and
+	servedErr   error // the status that its server gave it
+	lastErr     error // of the last fetch that failed
 }
 
 // Answer implements routing.Asker; the lock is held.
@@ -193,7 +193,7 @@
 		return status.Errorf(codes.FailedPrecondition, "rpcplugin: no class for %s", method)
 	}
 	cc.Connect() // the list comes from the resolver, which an idle ClientConn does not ask
-	c := &call{ctx: ctx, method: method, request: request, reply: reflect.TypeOf(reply).Elem(), cc: cc, invoke: invoke,
+	c := &call{ctx: ctx, method: method, request: request, reply: reflect.TypeOf(reply).Elem(), clientConn: cc, invoke: invoke,
 		options: options, answer: make(chan dispatch.Answer, 1)}
 	job := dispatch.Job{Class: class, Slots: 1, Deadline: d.Now() + d.options.Settings.Classes[class].Deadline, Payload: c, ID: method,
 		Front: "grpc"}
@@ -201,12 +201,12 @@
 		job.Deadline = math.Min(job.Deadline, d.Now()+time.Until(at).Seconds())
 	}
 	var id dispatch.RequestID
-	d.locked(func() { id = d.core.Submit(job, c) })
+	d.withLock(func() { id = d.core.Submit(job, c) })
 	var a dispatch.Answer
 	select {
 	case a = <-c.answer:
 	case <-ctx.Done():
-		d.locked(func() { d.core.HandleDisconnect(id) })
+		d.withLock(func() { d.core.HandleDisconnect(id) })
 		select {
 		case a = <-c.answer: // it had come by then
 		default:
@@ -214,7 +214,7 @@
 		}
 	}
 	d.mu.Lock() // copies that are still out may write here
-	served, servedErr, failed := c.served, c.servedErr, c.failed
+	served, servedErr, failed := c.servedReply, c.servedErr, c.lastErr
 	d.mu.Unlock()
 	switch a.Verdict {
 	case dispatch.Served:
@@ -241,97 +241,97 @@
 	return status.Error(codes.DeadlineExceeded, "failed: no answer in time")
 }
 
-// worker is a server: a backend of the core.
-type worker struct {
-	d       *Dispatcher
-	addr    string
-	member  loadbalancer.Worker
-	link    link
-	fetches map[dispatch.AttemptID]*fetch
+// backend is a server: a backend of the core.
+type backend struct {
+	dispatcher *Dispatcher
+	address    string
+	member     loadbalancer.Worker
+	connection connection
+	attempts   map[dispatch.AttemptID]*callAttempt
 }
 
-// fetch is one attempt. What the picker needs of it travels in its context.
-type fetch struct {
-	id     dispatch.AttemptID
-	w      *worker
-	cancel context.CancelFunc
-	begun  bool // handed to the library
-	picks  int  // guarded by the dispatcher's lock, like the rest
-	unsent bool // the library asked where to send it and was told not to, or to stop
+// callAttempt is one attempt. What the picker needs of it travels in its context.
+type callAttempt struct {
+	id      dispatch.AttemptID
+	backend *backend
+	cancel  context.CancelFunc
+	started bool // handed to the library
+	picks   int  // guarded by the dispatcher's lock, like the rest
+	notSent bool // the library asked where to send it and was told not to, or to stop
 }
 
-type fetchKey struct{}
+type attemptKey struct{}
 
 // Start implements routing.Backend; the lock is held.
-func (w *worker) Start(f dispatch.Attempt) {
+func (w *backend) Start(f dispatch.Attempt) {
 	c := f.Payload.(*call)
-	ctx, cancel := context.WithTimeout(c.ctx, time.Duration((f.Deadline-w.d.Now())*float64(time.Second)))
-	t := &fetch{id: f.ID, w: w, cancel: cancel}
-	w.fetches[f.ID] = t
-	go w.run(context.WithValue(ctx, fetchKey{}, t), t, c)
+	ctx, cancel := context.WithTimeout(c.ctx, time.Duration((f.Deadline-w.dispatcher.Now())*float64(time.Second)))
+	t := &callAttempt{id: f.ID, backend: w, cancel: cancel}
+	w.attempts[f.ID] = t
+	go w.runAttempt(context.WithValue(ctx, attemptKey{}, t), t, c)
 }
 
 // Cancel implements routing.Backend; the lock is held.
-func (w *worker) Cancel(id dispatch.AttemptID) bool {
-	t := w.fetches[id]
+func (w *backend) Cancel(id dispatch.AttemptID) bool {
+	t := w.attempts[id]
 	if t == nil {
 		return true
 	}
-	delete(w.fetches, id)
+	delete(w.attempts, id)
 	t.cancel()
-	return t.begun && !t.unsent
+	return t.started && !t.notSent
 }
 
 // ResetConnections implements routing.Backend: grpc finds out by itself which connections still stand.
-func (w *worker) ResetConnections() {}
+func (w *backend) ResetConnections() {}
 
 // Probe implements routing.Backend: the state of the connection is all that costs the server nothing.
-func (w *worker) Probe(done func(loadbalancer.Result, []float32)) {
+func (w *backend) Probe(done func(loadbalancer.Result, []float32)) {
 	result := loadbalancer.OK
-	if w.link.sub == nil || !w.link.ready {
+	if w.connection.subConn == nil || !w.connection.ready {
 		result = loadbalancer.ConnectFailed
 	}
 	done(result, nil)
 }
 
-// run waits for the connection, looks again whether the server still wants work, and makes the call.
-func (w *worker) run(ctx context.Context, t *fetch, c *call) {
+// runAttempt waits for the connection, looks again whether the server still wants work, and makes the call.
+func (w *backend) runAttempt(ctx context.Context, t *callAttempt, c *call) {
 	defer t.cancel()
-	up := w.d.await(ctx, w)
-	w.d.mu.Lock()
-	result, clear := w.d.core.ConfirmSend(t.id)
+	up := w.dispatcher.waitConnected(ctx, w)
+	w.dispatcher.mu.Lock()
+	result, clear := w.dispatcher.core.ConfirmSend(t.id)
 	if clear && !up {
 		result, clear = loadbalancer.ConnectFailed, false
 	}
-	if t.begun = clear; !clear {
-		delete(w.fetches, t.id)
-		w.d.core.HandleOutcome(t.id, dispatch.Outcome{Result: result})
-		w.d.mu.Unlock()
+	if t.started = clear; !clear {
+		delete(w.attempts, t.id)
+		w.dispatcher.core.HandleOutcome(t.id, dispatch.Outcome{Result: result})
+		w.dispatcher.mu.Unlock()
 		return
 	}
-	w.d.mu.Unlock()
+	w.dispatcher.mu.Unlock()
 
 	reply := reflect.New(c.reply).Interface() // copies of a req must not write into one reply
 	var trailer metadata.MD
-	err := c.invoke(ctx, c.method, c.request, reply, c.cc, append(c.options[:len(c.options):len(c.options)], grpc.Trailer(&trailer))...)
+	err := c.invoke(ctx, c.method, c.request, reply, c.clientConn, append(c.options[:len(c.options):len(c.options)], grpc.Trailer(&trailer))...)
 
-	w.d.mu.Lock()
-	defer w.d.mu.Unlock()
-	if w.fetches[t.id] == nil {
+	w.dispatcher.mu.Lock()
+	defer w.dispatcher.mu.Unlock()
+	if w.attempts[t.id] == nil {
 		return // given up: its status is of our own making and must not reach the caller
 	}
-	delete(w.fetches, t.id)
-	e := dispatch.Outcome{Result: outcome(err, trailer, t.unsent), Report: w.d.report(trailer)}
-	if e.Result == loadbalancer.OK && c.served == nil {
-		c.served, c.servedErr = reply, err
+	delete(w.attempts, t.id)
+	e := dispatch.Outcome{Result: resultOf(err, trailer, t.notSent), Report: w.dispatcher.parseReport(trailer)}
+	if e.Result == loadbalancer.OK && c.servedReply == nil {
+		c.servedReply, c.servedErr = reply, err
 	} else if e.Result != loadbalancer.OK {
-		c.failed = err
+		c.lastErr = err
 	}
-	w.d.core.HandleOutcome(t.id, e)
+	w.dispatcher.core.HandleOutcome(t.id, e)
 }
 
-// outcome maps a status. Whatever the service itself said to the caller is an answer, not a failure.
-func outcome(err error, trailer metadata.MD, unsent bool) loadbalancer.Result {
+// resultOf maps a status. Whatever the service itself said to the caller is an answer, not a failure.
+func resultOf(err error, trailer metadata.MD, unsent bool) loadbalancer.Result {
 	if unsent {
 		return loadbalancer.ConnectFailed
 	}
@@ -351,8 +351,8 @@
 	return loadbalancer.OK
 }
 
-// report reads a load report into the settings' order.
-func (d *Dispatcher) report(trailer metadata.MD) []float32 {
+// parseReport reads a load report into the settings' order.
+func (d *Dispatcher) parseReport(trailer metadata.MD) []float32 {
 	var named map[string]float64
 	if v := trailer.Get(LoadTrailer); len(v) != 1 || json.Unmarshal([]byte(v[0]), &named) != nil {
 		return nil
--- a/grpcbalancer/rpcplugin_test.go
+++ b/grpcbalancer/rpcplugin_test.go
@@ -66,7 +66,7 @@
 		Classes: []loadbalancer.Class{{Name: "check", Objective: 0.1, Deadline: 5, DedupWindow: 5, Value: 1, RetrySafety: effect, DedupScope: loadbalancer.DedupCell, Kind: -1}},
 		Zones:   1, Instances: 1, MaxAttempts: 4, Tick: 0.004, SlowStartDuration: 9, SlowStartInitialShare: 0.34, OverloadMultiple: 3, OverloadWindow: 2,
 		AnswerSlack: 0.016, MayCancel: true, MayRetryAfter: true, MaxRetryAfter: 2, ParallelAttempts: true,
-	}, Class: func(m string) (int, bool) { return 0, m == method }, Figures: &FigureOptions{Zones: []string{"here"}, Nodes: 10}})
+	}, Class: func(m string) (int, bool) { return 0, m == method }, Metrics: &MetricOptions{Zones: []string{"here"}, MaxServers: 10}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 		t.Cleanup(g.Stop)
 		r.servers = append(r.servers, s)
 	}
-	r.list.InitialState(r.state(Server{}, Server{}, Server{}))
+	r.list.InitialState(r.state(ServerInfo{}, ServerInfo{}, ServerInfo{}))
 	cc, err := grpc.NewClient("test:///", append(r.d.DialOptions(), grpc.WithResolvers(r.list),
 		grpc.WithTransportCredentials(insecure.NewCredentials()))...)
 	if err != nil {
@@ -96,10 +96,10 @@
 }
 
 // state is a list of the first servers, each with what is told of it.
-func (r *rig) state(told ...Server) (s resolver.State) {
+func (r *rig) state(told ...ServerInfo) (s resolver.State) {
 	for i, server := range r.servers[:min(len(told), len(r.servers))] {
 		told[i].Cell = i
-		s.Addresses = append(s.Addresses, WithServer(resolver.Address{Addr: server.addr}, told[i]))
+		s.Addresses = append(s.Addresses, WithServerInfo(resolver.Address{Addr: server.addr}, told[i]))
 	}
 	return s
 }
@@ -115,7 +115,7 @@
 }
 
 // How each end is repeated by class, what the caller is told, and that the library repeats nothing by itself.
-func TestEndsAndRepeats(t *testing.T) {
+func TestOutcomesAndRetries(t *testing.T) {
 	broken := func(code codes.Code) func(int, *server, context.Context) error {
 		return func(n int, _ *server, _ context.Context) error {
 			if n == 0 {
@@ -164,12 +164,12 @@
 }
 
 // Guards against calls to a server that drains or has left the list, and against a refusal without a wait.
-func TestDrainAndRefusal(t *testing.T) {
+func TestDrainAndRejection(t *testing.T) {
 	r := newRig(t, loadbalancer.RetrySafe, 2)
 	if err := r.check(5 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	r.list.UpdateState(r.state(Server{Draining: true}, Server{}))
+	r.list.UpdateState(r.state(ServerInfo{Draining: true}, ServerInfo{}))
 	r.mu.Lock()
 	r.calls = nil
 	r.mu.Unlock()
@@ -181,7 +181,7 @@
 	if diff := cmp.Diff(fmt.Sprint(r.servers[1].addr, r.servers[1].addr, r.servers[1].addr, r.servers[1].addr), fmt.Sprint(r.calls[0], r.calls[1], r.calls[2], r.calls[3])); diff != "" {
 		t.Errorf("calls while one drains (-want +got):\n%s", diff)
 	}
-	r.list.UpdateState(r.state(Server{Draining: true}, Server{Draining: true}))
+	r.list.UpdateState(r.state(ServerInfo{Draining: true}, ServerInfo{Draining: true}))
 	err := r.check(300 * time.Millisecond)
 	var wait time.Duration
 	for _, detail := range status.Convert(err).Details() {
@@ -195,7 +195,7 @@
 }
 
 // Guards against a server that is down: the call never ran there, so even an unsafe one goes elsewhere.
-func TestAServerThatIsDown(t *testing.T) {
+func TestServerThatIsDown(t *testing.T) {
 	r := newRig(t, loadbalancer.RetryUnsafe, 2)
 	r.servers[0].stop()
 	for range 4 {
@@ -211,7 +211,7 @@
 }
 
 // Guards against methods nobody has classed being sent, and against silence outliving the caller's deadline.
-func TestUnknownMethodAndSilence(t *testing.T) {
+func TestUnknownMethodAndTimeout(t *testing.T) {
 	r := newRig(t, loadbalancer.RetryUnsafe, 1)
 	r.script = func(_ int, _ *server, ctx context.Context) error { <-ctx.Done(); return ctx.Err() }
 	if err := r.check(300 * time.Millisecond); status.Code(err) != codes.DeadlineExceeded {
@@ -224,15 +224,15 @@
 
 // Guards against the library repeating a call by itself: its second question for one fetch is refused, and the
 // fetch then counts as one that never ran.
-func TestTheLibraryRepeatsNothing(t *testing.T) {
+func TestLibraryDoesNotRetry(t *testing.T) {
 	d := &Dispatcher{}
-	f := &fetch{w: &worker{d: d, link: link{sub: struct{ balancer.SubConn }{}, ready: true}}}
-	ask := balancer.PickInfo{Ctx: context.WithValue(context.Background(), fetchKey{}, f)}
-	if _, err := (picker{d}).Pick(ask); err != nil || f.unsent {
+	f := &callAttempt{backend: &backend{dispatcher: d, connection: connection{subConn: struct{ balancer.SubConn }{}, ready: true}}}
+	ask := balancer.PickInfo{Ctx: context.WithValue(context.Background(), attemptKey{}, f)}
+	if _, err := (picker{d}).Pick(ask); err != nil || f.notSent {
 		t.Fatalf("first pick: %v", err)
 	}
 	_, err := picker{d}.Pick(ask)
-	if got := outcome(err, nil, f.unsent); err == nil || got != loadbalancer.ConnectFailed {
+	if got := resultOf(err, nil, f.notSent); err == nil || got != loadbalancer.ConnectFailed {
 		t.Errorf("second pick: %v, which counts as %v", err, got)
 	}
 }
@@ -258,7 +258,7 @@
 		return n
 	}
 	before := count()
-	r.list.UpdateState(r.state(Server{}, Server{})) // a list that knows nothing of it
+	r.list.UpdateState(r.state(ServerInfo{}, ServerInfo{})) // a list that knows nothing of it
 	for range 5 {
 		if err := r.check(20 * time.Second); err != nil {
 			t.Error(err)
