--- a/grpcbalancer/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -97,13 +97,13 @@
 }
 
 // UpdateClientConnState takes the resolver's list and hands it to the core.
-func (b *subConnBalancer) UpdateClientConnState(s balancer.ClientConnState) error {
-	c, ok := s.BalancerConfig.(*balancerConfig)
+func (b *subConnBalancer) UpdateClientConnState(state balancer.ClientConnState) error {
+	config, ok := state.BalancerConfig.(*balancerConfig)
 	if !ok {
 		return fmt.Errorf("rpcplugin: the balancer needs the options of a Dispatcher")
 	}
 	registryMu.Lock()
-	b.dispatcher = registry[c.Dispatcher]
+	b.dispatcher = registry[config.Dispatcher]
 	registryMu.Unlock()
 	if b.dispatcher == nil {
 		return fmt.Errorf("rpcplugin: no such Dispatcher, or closed")
@@ -114,11 +114,11 @@
 		addr resolver.Address
 	}
 	var missing []fresh
-	var gone []balancer.SubConn
+	var departed []balancer.SubConn
 	d.withLock(func() {
 		listed := map[string]bool{}
 		var members []dispatch.Member
-		for _, a := range s.ResolverState.Addresses {
+		for _, a := range state.ResolverState.Addresses {
 			if listed[a.Addr] {
 				continue
 			}
@@ -143,7 +143,7 @@
 		}
 		for addr, w := range d.workers {
 			if !listed[addr] && w.connection.subConn != nil {
-				gone = append(gone, w.connection.subConn)
+				departed = append(departed, w.connection.subConn)
 				w.connection.subConn, w.connection.ready = nil, false
 				delete(d.workers, addr)
 			}
@@ -153,29 +153,29 @@
 	for _, m := range missing {
 		var sub balancer.SubConn
 		sub, err := b.clientConn.NewSubConn([]resolver.Address{m.addr}, balancer.NewSubConnOptions{
-			StateListener: func(s balancer.SubConnState) { b.handleSubConnState(m.w, sub, s) }})
+			StateListener: func(state balancer.SubConnState) { b.handleSubConnState(m.w, sub, state) }})
 		if err != nil {
 			return fmt.Errorf("rpcplugin: connection to %s: %w", m.addr.Addr, err)
 		}
 		d.withLock(func() { m.w.connection.subConn = sub })
 		sub.Connect()
 	}
-	for _, sub := range gone { // calls that are out finish: the library closes the connection after them
+	for _, sub := range departed { // calls that are out finish: the library closes the connection after them
 		sub.Shutdown()
 	}
 	b.clientConn.UpdateState(balancer.State{ConnectivityState: connectivity.Ready, Picker: picker{d}})
 	return nil
 }
 
-func (b *subConnBalancer) handleSubConnState(w *backend, sub balancer.SubConn, s balancer.SubConnState) {
-	w.dispatcher.withLock(func() {
-		if w.connection.subConn == sub && w.connection.ready != (s.ConnectivityState == connectivity.Ready) {
-			w.connection.ready = !w.connection.ready
-			close(w.connection.changed)
-			w.connection.changed = make(chan struct{})
+func (b *subConnBalancer) handleSubConnState(server *backend, sub balancer.SubConn, state balancer.SubConnState) {
+	server.dispatcher.withLock(func() {
+		if server.connection.subConn == sub && server.connection.ready != (state.ConnectivityState == connectivity.Ready) {
+			server.connection.ready = !server.connection.ready
+			close(server.connection.changed)
+			server.connection.changed = make(chan struct{})
 		}
 	})
-	if s.ConnectivityState == connectivity.Idle {
+	if state.ConnectivityState == connectivity.Idle {
 		sub.Connect() // each server stays connected: a fetch should not pay for it
 	}
 }
@@ -203,19 +203,19 @@
 }
 
 // waitConnected waits for the worker's connection, no longer than a connect may take.
-func (d *Dispatcher) waitConnected(ctx context.Context, w *backend) bool {
-	limit := time.NewTimer(d.options.ConnectTimeout)
-	defer limit.Stop()
+func (d *Dispatcher) waitConnected(ctx context.Context, target *backend) bool {
+	timeout := time.NewTimer(d.options.ConnectTimeout)
+	defer timeout.Stop()
 	for {
 		d.mu.Lock()
-		ready, changed := w.connection.ready, w.connection.changed
+		ready, changed := target.connection.ready, target.connection.changed
 		d.mu.Unlock()
 		if ready {
 			return true
 		}
 		select {
 		case <-changed:
-		case <-limit.C:
+		case <-timeout.C:
 			return false
 		case <-ctx.Done():
 			return false
@@ -229,15 +229,15 @@
 
 // Pick implements balancer.Picker.
 func (p picker) Pick(info balancer.PickInfo) (balancer.PickResult, error) {
-	t, _ := info.Ctx.Value(attemptKey{}).(*callAttempt)
-	if t == nil {
+	attempt, _ := info.Ctx.Value(attemptKey{}).(*callAttempt)
+	if attempt == nil {
 		return balancer.PickResult{}, status.Error(codes.Unimplemented, "rpcplugin: unary calls only")
 	}
 	p.dispatcher.mu.Lock()
 	defer p.dispatcher.mu.Unlock()
-	if t.picks++; t.picks > 1 || t.backend.connection.subConn == nil || !t.backend.connection.ready {
-		t.notSent = true
+	if attempt.picks++; attempt.picks > 1 || attempt.backend.connection.subConn == nil || !attempt.backend.connection.ready {
+		attempt.notSent = true
 		return balancer.PickResult{}, status.Error(codes.Unavailable, "rpcplugin: not sent")
 	}
-	return balancer.PickResult{SubConn: t.backend.connection.subConn}, nil
+	return balancer.PickResult{SubConn: attempt.backend.connection.subConn}, nil
 }
--- a/grpcbalancer/figures.go
+++ b/grpcbalancer/figures.go
@@ -23,38 +23,38 @@
 
 // Metrics returns all figures that have a value, and begins a new period: latencies are of the time since the call before.
 // None without Options.Figures. Whoever sends them on keeps the time.
-func (d *Dispatcher) Metrics() (figures []Metric) {
+func (d *Dispatcher) Metrics() (metrics []Metric) {
 	d.withLock(func() {
 		if d.metrics == nil {
 			return
 		}
-		p := d.metrics.Close(0, 0)
-		r := p.Read()
-		for s, v, ok := r.Next(); ok; s, v, ok = r.Next() {
-			figures = append(figures, Metric{s.Name, s.Kind == telemetry.Counter, v})
+		period := d.metrics.Close(0, 0)
+		reader := period.Read()
+		for series, value, ok := reader.Next(); ok; series, value, ok = reader.Next() {
+			metrics = append(metrics, Metric{series.Name, series.Kind == telemetry.Counter, value})
 		}
 	})
-	return figures
+	return metrics
 }
 
 // enableMetrics has the core's books kept.
-func (d *Dispatcher) enableMetrics(o *MetricOptions) {
-	set := &d.options.Settings
+func (d *Dispatcher) enableMetrics(options *MetricOptions) {
+	settings := &d.options.Settings
 	var classes []string
-	for _, c := range set.Classes {
-		classes = append(classes, c.Name)
+	for _, class := range settings.Classes {
+		classes = append(classes, class.Name)
 	}
-	kinds := o.Kinds
-	for _, c := range set.Classes {
-		for len(kinds) <= c.Kind {
+	kinds := options.Kinds
+	for _, class := range settings.Classes {
+		for len(kinds) <= class.Kind {
 			kinds = append(kinds[:len(kinds):len(kinds)], strconv.Itoa(len(kinds)))
 		}
 	}
-	zones := o.Zones
-	for len(zones) < set.Zones {
+	zones := options.Zones
+	for len(zones) < settings.Zones {
 		zones = append(zones[:len(zones):len(zones)], strconv.Itoa(len(zones)))
 	}
-	d.metrics = telemetry.New(telemetry.Options{Settings: *set, Classes: classes, Zones: zones, Kinds: kinds, Nodes: o.MaxServers,
+	d.metrics = telemetry.New(telemetry.Options{Settings: *settings, Classes: classes, Zones: zones, Kinds: kinds, Nodes: options.MaxServers,
 		Standing: d.core.WorkerStatus, Now: d.Now})
 	d.core.Observer = d.metrics
 }
--- a/grpcbalancer/rpcplugin.go
+++ b/grpcbalancer/rpcplugin.go
@@ -65,21 +65,21 @@
 }
 
 // New makes a Dispatcher; pass what DialOptions returns to grpc.NewClient.
-func New(o Options) (*Dispatcher, error) {
-	if o.Class == nil {
+func New(options Options) (*Dispatcher, error) {
+	if options.Class == nil {
 		return nil, errors.New("rpcplugin: no Class function")
 	}
-	if o.ConnectTimeout == 0 {
-		o.ConnectTimeout = 250 * time.Millisecond
+	if options.ConnectTimeout == 0 {
+		options.ConnectTimeout = 250 * time.Millisecond
 	}
 	now := time.Now()
-	d := &Dispatcher{options: o, startedAt: now, startTime: float64(now.UnixMicro()) / 1e6, workers: map[string]*backend{}, timers: map[*timer]bool{}}
+	d := &Dispatcher{options: options, startedAt: now, startTime: float64(now.UnixMicro()) / 1e6, workers: map[string]*backend{}, timers: map[*timer]bool{}}
 	var err error
-	if d.core, err = dispatch.New(o.Settings, o.Seed, d); err != nil {
+	if d.core, err = dispatch.New(options.Settings, options.Seed, d); err != nil {
 		return nil, fmt.Errorf("rpcplugin: %w", err)
 	}
-	if o.Metrics != nil {
-		d.enableMetrics(o.Metrics)
+	if options.Metrics != nil {
+		d.enableMetrics(options.Metrics)
 	}
 	d.name = registerDispatcher(d)
 	d.withLock(d.core.Start)
@@ -110,16 +110,16 @@
 }
 
 // Exclude takes a server out by its address, whatever the resolver says, until Include; false if nobody has it.
-func (d *Dispatcher) Exclude(addr string) (known bool) { return d.exclude(d.core.Exclude, addr) }
+func (d *Dispatcher) Exclude(address string) (known bool) { return d.exclude(d.core.Exclude, address) }
 
 // Include calls a server back: it is cold, since it was restarted meanwhile.
-func (d *Dispatcher) Include(addr string) (known bool) { return d.exclude(d.core.Include, addr) }
+func (d *Dispatcher) Include(address string) (known bool) { return d.exclude(d.core.Include, address) }
 
-func (d *Dispatcher) exclude(what func(string) dispatch.ExclusionChange, addr string) (known bool) {
+func (d *Dispatcher) exclude(operation func(string) dispatch.ExclusionChange, address string) (known bool) {
 	d.withLock(func() {
-		ch := what(addr)
-		if known = ch.Known && !ch.LimitReached; known {
-			d.core.ApplyExclusions(ch.Exclusions)
+		change := operation(address)
+		if known = change.Known && !change.LimitReached; known {
+			d.core.ApplyExclusions(change.Exclusions)
 		}
 	})
 	return known
@@ -168,13 +168,13 @@
 	return t
 }
 
-// call is a req as the interceptor holds it.
-type call struct {
+// unaryCall is a req as the interceptor holds it.
+type unaryCall struct {
 	ctx         context.Context
 	method      string
 	request     any
 	reply       reflect.Type
-	clientConn  *grpc.ClientConn
+	conn        *grpc.ClientConn
 	invoke      grpc.UnaryInvoker
 	options     []grpc.CallOption
 	answer      chan dispatch.Answer
@@ -184,39 +184,39 @@
 }
 
 // Answer implements routing.Asker; the lock is held.
-func (c *call) Answer(a dispatch.Answer) { c.answer <- a }
+func (c *unaryCall) Answer(a dispatch.Answer) { c.answer <- a }
 
 // intercept owns a unary call from its start to its one answer.
-func (d *Dispatcher) intercept(ctx context.Context, method string, request, reply any, cc *grpc.ClientConn, invoke grpc.UnaryInvoker, options ...grpc.CallOption) error {
+func (d *Dispatcher) intercept(ctx context.Context, method string, request, reply any, conn *grpc.ClientConn, invoke grpc.UnaryInvoker, options ...grpc.CallOption) error {
 	class, known := d.options.Class(method)
 	if !known || class < 0 || class >= len(d.options.Settings.Classes) {
 		return status.Errorf(codes.FailedPrecondition, "rpcplugin: no class for %s", method)
 	}
-	cc.Connect() // the list comes from the resolver, which an idle ClientConn does not ask
-	c := &call{ctx: ctx, method: method, request: request, reply: reflect.TypeOf(reply).Elem(), clientConn: cc, invoke: invoke,
+	conn.Connect() // the list comes from the resolver, which an idle ClientConn does not ask
+	call := &unaryCall{ctx: ctx, method: method, request: request, reply: reflect.TypeOf(reply).Elem(), conn: conn, invoke: invoke,
 		options: options, answer: make(chan dispatch.Answer, 1)}
-	job := dispatch.Job{Class: class, Slots: 1, Deadline: d.Now() + d.options.Settings.Classes[class].Deadline, Payload: c, ID: method,
+	job := dispatch.Job{Class: class, Slots: 1, Deadline: d.Now() + d.options.Settings.Classes[class].Deadline, Payload: call, ID: method,
 		Front: "grpc"}
 	if at, ok := ctx.Deadline(); ok {
 		job.Deadline = math.Min(job.Deadline, d.Now()+time.Until(at).Seconds())
 	}
 	var id dispatch.RequestID
-	d.withLock(func() { id = d.core.Submit(job, c) })
-	var a dispatch.Answer
+	d.withLock(func() { id = d.core.Submit(job, call) })
+	var answer dispatch.Answer
 	select {
-	case a = <-c.answer:
+	case answer = <-call.answer:
 	case <-ctx.Done():
 		d.withLock(func() { d.core.HandleDisconnect(id) })
 		select {
-		case a = <-c.answer: // it had come by then
+		case answer = <-call.answer: // it had come by then
 		default:
 			return status.FromContextError(ctx.Err()).Err()
 		}
 	}
 	d.mu.Lock() // copies that are still out may write here
-	served, servedErr, failed := c.servedReply, c.servedErr, c.lastErr
+	served, servedErr, failed := call.servedReply, call.servedErr, call.lastErr
 	d.mu.Unlock()
-	switch a.Verdict {
+	switch answer.Verdict {
 	case dispatch.Served:
 		if servedErr != nil {
 			return servedErr
@@ -229,11 +229,11 @@
 		}
 		return nil
 	case dispatch.Rejected:
-		s := status.New(codes.Unavailable, "refused: a retry is harmless")
-		if with, err := s.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(a.RetryAfter * float64(time.Second)))}); err == nil {
-			s = with
+		rejected := status.New(codes.Unavailable, "refused: a retry is harmless")
+		if with, err := rejected.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(answer.RetryAfter * float64(time.Second)))}); err == nil {
+			rejected = with
 		}
-		return s.Err()
+		return rejected.Err()
 	}
 	if failed != nil {
 		return failed
@@ -263,71 +263,71 @@
 type attemptKey struct{}
 
 // Start implements routing.Backend; the lock is held.
-func (w *backend) Start(f dispatch.Attempt) {
-	c := f.Payload.(*call)
-	ctx, cancel := context.WithTimeout(c.ctx, time.Duration((f.Deadline-w.dispatcher.Now())*float64(time.Second)))
-	t := &callAttempt{id: f.ID, backend: w, cancel: cancel}
-	w.attempts[f.ID] = t
-	go w.runAttempt(context.WithValue(ctx, attemptKey{}, t), t, c)
+func (b *backend) Start(assigned dispatch.Attempt) {
+	call := assigned.Payload.(*unaryCall)
+	ctx, cancel := context.WithTimeout(call.ctx, time.Duration((assigned.Deadline-b.dispatcher.Now())*float64(time.Second)))
+	attempt := &callAttempt{id: assigned.ID, backend: b, cancel: cancel}
+	b.attempts[assigned.ID] = attempt
+	go b.runAttempt(context.WithValue(ctx, attemptKey{}, attempt), attempt, call)
 }
 
 // Cancel implements routing.Backend; the lock is held.
-func (w *backend) Cancel(id dispatch.AttemptID) bool {
-	t := w.attempts[id]
-	if t == nil {
+func (b *backend) Cancel(id dispatch.AttemptID) bool {
+	attempt := b.attempts[id]
+	if attempt == nil {
 		return true
 	}
-	delete(w.attempts, id)
-	t.cancel()
-	return t.started && !t.notSent
+	delete(b.attempts, id)
+	attempt.cancel()
+	return attempt.started && !attempt.notSent
 }
 
 // ResetConnections implements routing.Backend: grpc finds out by itself which connections still stand.
-func (w *backend) ResetConnections() {}
+func (b *backend) ResetConnections() {}
 
 // Probe implements routing.Backend: the state of the connection is all that costs the server nothing.
-func (w *backend) Probe(done func(loadbalancer.Result, []float32)) {
+func (b *backend) Probe(done func(loadbalancer.Result, []float32)) {
 	result := loadbalancer.OK
-	if w.connection.subConn == nil || !w.connection.ready {
+	if b.connection.subConn == nil || !b.connection.ready {
 		result = loadbalancer.ConnectFailed
 	}
 	done(result, nil)
 }
 
 // runAttempt waits for the connection, looks again whether the server still wants work, and makes the call.
-func (w *backend) runAttempt(ctx context.Context, t *callAttempt, c *call) {
-	defer t.cancel()
-	up := w.dispatcher.waitConnected(ctx, w)
-	w.dispatcher.mu.Lock()
-	result, clear := w.dispatcher.core.ConfirmSend(t.id)
+func (b *backend) runAttempt(ctx context.Context, attempt *callAttempt, call *unaryCall) {
+	defer attempt.cancel()
+	up := b.dispatcher.waitConnected(ctx, b)
+	b.dispatcher.mu.Lock()
+	result, clear := b.dispatcher.core.ConfirmSend(attempt.id)
 	if clear && !up {
 		result, clear = loadbalancer.ConnectFailed, false
 	}
-	if t.started = clear; !clear {
-		delete(w.attempts, t.id)
-		w.dispatcher.core.HandleOutcome(t.id, dispatch.Outcome{Result: result})
-		w.dispatcher.mu.Unlock()
+	if attempt.started = clear; !clear {
+		delete(b.attempts, attempt.id)
+		b.dispatcher.core.HandleOutcome(attempt.id, dispatch.Outcome{Result: result})
+		b.dispatcher.mu.Unlock()
 		return
 	}
-	w.dispatcher.mu.Unlock()
+	b.dispatcher.mu.Unlock()
 
-	reply := reflect.New(c.reply).Interface() // copies of a req must not write into one reply
+	reply := reflect.New(call.reply).Interface() // copies of a req must not write into one reply
 	var trailer metadata.MD
-	err := c.invoke(ctx, c.method, c.request, reply, c.clientConn, append(c.options[:len(c.options):len(c.options)], grpc.Trailer(&trailer))...)
+	err := call.invoke(ctx, call.method, call.request, reply, call.conn, append(call.options[:len(call.options):len(call.options)], grpc.Trailer(&trailer))...)
 
-	w.dispatcher.mu.Lock()
-	defer w.dispatcher.mu.Unlock()
-	if w.attempts[t.id] == nil {
+	b.dispatcher.mu.Lock()
+	defer b.dispatcher.mu.Unlock()
+	if b.attempts[attempt.id] == nil {
 		return // given up: its status is of our own making and must not reach the caller
 	}
-	delete(w.attempts, t.id)
-	e := dispatch.Outcome{Result: resultOf(err, trailer, t.notSent), Report: w.dispatcher.parseReport(trailer)}
-	if e.Result == loadbalancer.OK && c.servedReply == nil {
-		c.servedReply, c.servedErr = reply, err
-	} else if e.Result != loadbalancer.OK {
-		c.lastErr = err
+	delete(b.attempts, attempt.id)
+	outcome := dispatch.Outcome{Result: resultOf(err, trailer, attempt.notSent), Report: b.dispatcher.parseReport(trailer)}
+	if outcome.Result == loadbalancer.OK && call.servedReply == nil {
+		call.servedReply, call.servedErr = reply, err
+	} else if outcome.Result != loadbalancer.OK {
+		call.lastErr = err
 	}
-	w.dispatcher.core.HandleOutcome(t.id, e)
+	b.dispatcher.core.HandleOutcome(attempt.id, outcome)
 }
 
 // resultOf maps a status. Whatever the service itself said to the caller is an answer, not a failure.
@@ -335,7 +335,7 @@
 	if unsent {
 		return loadbalancer.ConnectFailed
 	}
-	if v := trailer.Get(RejectedTrailer); err != nil && len(v) == 1 && v[0] == "1" {
+	if values := trailer.Get(RejectedTrailer); err != nil && len(values) == 1 && values[0] == "1" {
 		return loadbalancer.Rejected
 	}
 	switch status.Code(err) {
@@ -354,13 +354,13 @@
 // parseReport reads a load report into the settings' order.
 func (d *Dispatcher) parseReport(trailer metadata.MD) []float32 {
 	var named map[string]float64
-	if v := trailer.Get(LoadTrailer); len(v) != 1 || json.Unmarshal([]byte(v[0]), &named) != nil {
+	if trailerValues := trailer.Get(LoadTrailer); len(trailerValues) != 1 || json.Unmarshal([]byte(trailerValues[0]), &named) != nil {
 		return nil
 	}
 	values := make([]float32, len(d.options.Fields))
 	for i, name := range d.options.Fields {
-		if v, ok := named[name]; ok {
-			values[i] = float32(v)
+		if trailerValues, ok := named[name]; ok {
+			values[i] = float32(trailerValues)
 		} else {
 			values[i] = -1
 		}
