--- /dev/null
+++ b/grpcbalancer/backend.go
@@ -0,0 +1,172 @@
+package grpcbalancer
+
+import (
+	"context"
+	"encoding/json"
+	"reflect"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/balancer"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/metadata"
+	"google.golang.org/grpc/status"
+
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/loadbalancer"
+)
+
+// backend is a server, as the core sees it. The dispatcher's lock guards it.
+type backend struct {
+	dispatcher *Dispatcher
+	address    string
+	member     loadbalancer.Worker
+	connection connection
+	attempts   map[dispatch.AttemptID]*callAttempt
+}
+
+// connection is a server's connection, guarded by the dispatcher's lock.
+type connection struct {
+	subConn balancer.SubConn
+	ready   bool
+	changed chan struct{} // closed when ready changes
+}
+
+// callAttempt is one attempt. Its context carries it to the picker.
+type callAttempt struct {
+	id      dispatch.AttemptID
+	backend *backend
+	cancel  context.CancelFunc
+	started bool // handed to the library
+	picks   int  // guarded by the dispatcher's lock, like the rest
+	notSent bool // the library asked where to send it and was told not to, or to stop
+}
+
+type attemptKey struct{}
+
+// Start implements dispatch.Backend; the lock is held.
+func (b *backend) Start(assigned dispatch.Attempt) {
+	call := assigned.Payload.(*unaryCall)
+	ctx, cancel := context.WithTimeout(call.ctx, time.Duration((assigned.Deadline-b.dispatcher.Now())*float64(time.Second)))
+	attempt := &callAttempt{id: assigned.ID, backend: b, cancel: cancel}
+	b.attempts[assigned.ID] = attempt
+	go b.runAttempt(context.WithValue(ctx, attemptKey{}, attempt), attempt, call)
+}
+
+// Cancel implements dispatch.Backend; the lock is held. It reports whether the attempt may have reached the server.
+func (b *backend) Cancel(id dispatch.AttemptID) bool {
+	attempt := b.attempts[id]
+	if attempt == nil {
+		return true
+	}
+	delete(b.attempts, id)
+	attempt.cancel()
+	return attempt.started && !attempt.notSent
+}
+
+// ResetConnections implements dispatch.Backend: grpc finds out by itself which connections still stand.
+func (b *backend) ResetConnections() {}
+
+// Probe implements dispatch.Backend: it reports the state of the connection, which costs the server nothing.
+func (b *backend) Probe(done func(loadbalancer.Result, []float32)) {
+	result := loadbalancer.OK
+	if b.connection.subConn == nil || !b.connection.ready {
+		result = loadbalancer.ConnectFailed
+	}
+	done(result, nil)
+}
+
+// runAttempt waits for the connection, confirms that the server is still to be used, and makes the call.
+func (b *backend) runAttempt(ctx context.Context, attempt *callAttempt, call *unaryCall) {
+	defer attempt.cancel()
+	up := b.dispatcher.waitConnected(ctx, b)
+	b.dispatcher.mu.Lock()
+	result, clear := b.dispatcher.core.ConfirmSend(attempt.id)
+	if clear && !up {
+		result, clear = loadbalancer.ConnectFailed, false
+	}
+	if attempt.started = clear; !clear {
+		delete(b.attempts, attempt.id)
+		b.dispatcher.core.HandleOutcome(attempt.id, dispatch.Outcome{Result: result})
+		b.dispatcher.mu.Unlock()
+		return
+	}
+	b.dispatcher.mu.Unlock()
+
+	reply := reflect.New(call.reply).Interface() // copies of a req must not write into one reply
+	var trailer metadata.MD
+	err := call.invoke(ctx, call.method, call.request, reply, call.conn, append(call.options[:len(call.options):len(call.options)], grpc.Trailer(&trailer))...)
+
+	b.dispatcher.mu.Lock()
+	defer b.dispatcher.mu.Unlock()
+	if b.attempts[attempt.id] == nil {
+		return // given up: its status is of our own making and must not reach the caller
+	}
+	delete(b.attempts, attempt.id)
+	outcome := dispatch.Outcome{Result: resultOf(err, trailer, attempt.notSent), Report: b.dispatcher.parseReport(trailer)}
+	if outcome.Result == loadbalancer.OK && call.servedReply == nil {
+		call.servedReply, call.servedErr = reply, err
+	} else if outcome.Result != loadbalancer.OK {
+		call.lastErr = err
+	}
+	b.dispatcher.core.HandleOutcome(attempt.id, outcome)
+}
+
+// waitConnected waits for the server's connection, no longer than ConnectTimeout.
+func (d *Dispatcher) waitConnected(ctx context.Context, target *backend) bool {
+	timeout := time.NewTimer(d.options.ConnectTimeout)
+	defer timeout.Stop()
+	for {
+		d.mu.Lock()
+		ready, changed := target.connection.ready, target.connection.changed
+		d.mu.Unlock()
+		if ready {
+			return true
+		}
+		select {
+		case <-changed:
+		case <-timeout.C:
+			return false
+		case <-ctx.Done():
+			return false
+		}
+	}
+}
+
+// resultOf maps a status. Whatever the service itself said to the caller is an answer, not a failure.
+func resultOf(err error, trailer metadata.MD, unsent bool) loadbalancer.Result {
+	if unsent {
+		return loadbalancer.ConnectFailed
+	}
+	if values := trailer.Get(RejectedTrailer); err != nil && len(values) == 1 && values[0] == "1" {
+		return loadbalancer.Rejected
+	}
+	switch status.Code(err) {
+	case codes.Unavailable:
+		return loadbalancer.Reset // the connection broke, or so the server says: it may have run
+	case codes.DeadlineExceeded:
+		return loadbalancer.Timeout
+	case codes.Canceled:
+		return loadbalancer.Cancelled
+	case codes.Unknown, codes.Internal, codes.DataLoss, codes.ResourceExhausted:
+		return loadbalancer.Error
+	}
+	return loadbalancer.OK
+}
+
+// parseReport returns a load report in the order of Settings.ReportFields; nil if there is none. -1 is not reported.
+func (d *Dispatcher) parseReport(trailer metadata.MD) []float32 {
+	var named map[string]float64
+	if trailerValues := trailer.Get(LoadTrailer); len(trailerValues) != 1 || json.Unmarshal([]byte(trailerValues[0]), &named) != nil {
+		return nil
+	}
+	values := make([]float32, len(d.options.Fields))
+	for i, name := range d.options.Fields {
+		if trailerValues, ok := named[name]; ok {
+			values[i] = float32(trailerValues)
+		} else {
+			values[i] = -1
+		}
+	}
+	return values
+}
--- a/grpcbalancer/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -1,19 +1,14 @@
 package grpcbalancer
 
 import (
-	"context"
 	"encoding/json"
 	"fmt"
 	"sync"
-	"time"
 
-	"google.golang.org/grpc/attributes"
 	"google.golang.org/grpc/balancer"
-	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/connectivity"
 	"google.golang.org/grpc/resolver"
 	"google.golang.org/grpc/serviceconfig"
-	"google.golang.org/grpc/status"
 
 	"cinderroad/internal/dispatcher/dispatch"
 	"cinderroad/loadbalancer"
@@ -21,30 +16,13 @@
 
 const balancerName = "cinderroad"
 
-// ServerInfo is what a resolver tells of an address beside the address.
-type ServerInfo struct {
-	Zone, Kind, Cell int
-	Draining         bool      // wants nothing new
-	Started          time.Time // of its process; the zero time is long ago
-}
-
-type serverInfoKey struct{}
-
-// WithServerInfo attaches what is known of a server to its address.
-func WithServerInfo(a resolver.Address, s ServerInfo) resolver.Address {
-	a.BalancerAttributes = attributes.New(serverInfoKey{}, s)
-	return a
-}
-
-// Equal lets grpc compare attributes.
-func (s ServerInfo) Equal(o any) bool { other, ok := o.(ServerInfo); return ok && s == other }
-
 var (
 	registryMu sync.Mutex
 	registry   = map[string]*Dispatcher{}
 	lastName   int
 )
 
+// registerDispatcher returns the name under which the service configuration refers to the Dispatcher.
 func registerDispatcher(d *Dispatcher) string {
 	registryMu.Lock()
 	defer registryMu.Unlock()
@@ -70,6 +48,7 @@
 }
 
 func (balancerBuilder) Name() string { return balancerName }
+
 func (balancerBuilder) Build(cc balancer.ClientConn, _ balancer.BuildOptions) balancer.Balancer {
 	return &subConnBalancer{clientConn: cc}
 }
@@ -83,19 +62,12 @@
 	return &c, nil
 }
 
-// subConnBalancer keeps a connection to every server of the list. The library calls it from one goroutine at a time.
+// subConnBalancer keeps a connection to every listed server. The library calls it from one goroutine at a time.
 type subConnBalancer struct {
 	clientConn balancer.ClientConn
 	dispatcher *Dispatcher
 }
 
-// connection is a worker's connection, guarded by the dispatcher's lock.
-type connection struct {
-	subConn balancer.SubConn
-	ready   bool
-	changed chan struct{} // closed when ready changes
-}
-
 // UpdateClientConnState takes the resolver's list and hands it to the core.
 func (b *subConnBalancer) UpdateClientConnState(state balancer.ClientConnState) error {
 	config, ok := state.BalancerConfig.(*balancerConfig)
@@ -123,10 +95,10 @@
 				continue
 			}
 			listed[a.Addr] = true
-			w := d.workers[a.Addr]
+			w := d.backends[a.Addr]
 			if w == nil {
 				w = &backend{dispatcher: d, address: a.Addr, attempts: map[dispatch.AttemptID]*callAttempt{}, connection: connection{changed: make(chan struct{})}}
-				d.workers[a.Addr] = w
+				d.backends[a.Addr] = w
 			}
 			if w.connection.subConn == nil {
 				missing = append(missing, fresh{w, a})
@@ -141,11 +113,11 @@
 			}
 			members = append(members, dispatch.Member{Worker: w.member, Backend: w, Name: a.Addr})
 		}
-		for addr, w := range d.workers {
+		for addr, w := range d.backends {
 			if !listed[addr] && w.connection.subConn != nil {
 				departed = append(departed, w.connection.subConn)
 				w.connection.subConn, w.connection.ready = nil, false
-				delete(d.workers, addr)
+				delete(d.backends, addr)
 			}
 		}
 		d.core.UpdateMembers(loadbalancer.ListFull, members)
@@ -167,6 +139,7 @@
 	return nil
 }
 
+// handleSubConnState records whether the server is connected.
 func (b *subConnBalancer) handleSubConnState(server *backend, sub balancer.SubConn, state balancer.SubConnState) {
 	server.dispatcher.withLock(func() {
 		if server.connection.subConn == sub && server.connection.ready != (state.ConnectivityState == connectivity.Ready) {
@@ -180,10 +153,10 @@
 	}
 }
 
-// ResolverError keeps the old list.
+// ResolverError implements balancer.Balancer: the old list stays.
 func (b *subConnBalancer) ResolverError(error) {}
 
-// UpdateSubConnState is not used by the library any more where there is a StateListener.
+// UpdateSubConnState implements balancer.Balancer; the library does not call it where there is a StateListener.
 func (b *subConnBalancer) UpdateSubConnState(balancer.SubConn, balancer.SubConnState) {}
 
 // ExitIdle implements balancer.Balancer: every server is connected already.
@@ -195,49 +168,9 @@
 		return
 	}
 	b.dispatcher.withLock(func() {
-		for _, w := range b.dispatcher.workers {
+		for _, w := range b.dispatcher.backends {
 			w.connection.subConn, w.connection.ready = nil, false
 		}
 		b.dispatcher.core.UpdateMembers(loadbalancer.ListFull, nil)
 	})
 }
-
-// waitConnected waits for the worker's connection, no longer than a connect may take.
-func (d *Dispatcher) waitConnected(ctx context.Context, target *backend) bool {
-	timeout := time.NewTimer(d.options.ConnectTimeout)
-	defer timeout.Stop()
-	for {
-		d.mu.Lock()
-		ready, changed := target.connection.ready, target.connection.changed
-		d.mu.Unlock()
-		if ready {
-			return true
-		}
-		select {
-		case <-changed:
-		case <-timeout.C:
-			return false
-		case <-ctx.Done():
-			return false
-		}
-	}
-}
-
-// picker sends a fetch where the decisions said, once. The library asks again when it wants to repeat a call
-// behind our back, which it does only with one that no server has seen: that is told to the core instead.
-type picker struct{ dispatcher *Dispatcher }
-
-// Pick implements balancer.Picker.
-func (p picker) Pick(info balancer.PickInfo) (balancer.PickResult, error) {
-	attempt, _ := info.Ctx.Value(attemptKey{}).(*callAttempt)
-	if attempt == nil {
-		return balancer.PickResult{}, status.Error(codes.Unimplemented, "rpcplugin: unary calls only")
-	}
-	p.dispatcher.mu.Lock()
-	defer p.dispatcher.mu.Unlock()
-	if attempt.picks++; attempt.picks > 1 || attempt.backend.connection.subConn == nil || !attempt.backend.connection.ready {
-		attempt.notSent = true
-		return balancer.PickResult{}, status.Error(codes.Unavailable, "rpcplugin: not sent")
-	}
-	return balancer.PickResult{SubConn: attempt.backend.connection.subConn}, nil
-}
--- /dev/null
+++ b/grpcbalancer/dispatcher.go
@@ -0,0 +1,121 @@
+package grpcbalancer
+
+import (
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	"google.golang.org/grpc"
+
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/dispatcher/telemetry"
+	"cinderroad/loadbalancer"
+)
+
+// Trailers that a server may set.
+const (
+	// RejectedTrailer, set to 1, says that the server turned the call away unseen.
+	RejectedTrailer = "x-rejected"
+	// LoadTrailer holds a load report, a JSON object by the names in Options.Fields.
+	LoadTrailer = "x-load-report"
+)
+
+// Options configure a Dispatcher.
+type Options struct {
+	Settings loadbalancer.Settings
+	Seed     uint64
+	// Class tells a method's place in Settings.Classes. A method that it does not know is never sent.
+	Class func(method string) (class int, known bool)
+	// Fields names the values of load reports, in the order of Settings.Report.
+	Fields []string
+	// ConnectTimeout is how long a fetch waits for its server's connection; 0 is 250 ms.
+	ConnectTimeout time.Duration
+	// Metrics has figures kept, for Dispatcher.Figures to tell; nil is none.
+	Metrics *MetricOptions
+}
+
+// Dispatcher serves one ClientConn.
+type Dispatcher struct {
+	options   Options
+	name      string
+	startedAt time.Time
+	startTime float64
+
+	mu       sync.Mutex // the core belongs to whoever holds it
+	core     *dispatch.Dispatcher
+	backends map[string]*backend // by address
+	timers   map[*timer]bool
+	closed   bool
+	metrics  *telemetry.Set // nil: none
+}
+
+// New makes a Dispatcher. Pass what DialOptions returns to grpc.NewClient; call Close when the ClientConn is closed.
+func New(options Options) (*Dispatcher, error) {
+	if options.Class == nil {
+		return nil, errors.New("rpcplugin: no Class function")
+	}
+	if options.ConnectTimeout == 0 {
+		options.ConnectTimeout = 250 * time.Millisecond
+	}
+	now := time.Now()
+	d := &Dispatcher{options: options, startedAt: now, startTime: float64(now.UnixMicro()) / 1e6, backends: map[string]*backend{}, timers: map[*timer]bool{}}
+	var err error
+	if d.core, err = dispatch.New(options.Settings, options.Seed, d); err != nil {
+		return nil, fmt.Errorf("rpcplugin: %w", err)
+	}
+	if options.Metrics != nil {
+		d.enableMetrics(options.Metrics)
+	}
+	d.name = registerDispatcher(d)
+	d.withLock(d.core.Start)
+	return d, nil
+}
+
+// DialOptions returns what a ClientConn needs: the interceptor, the balancer, and no retries of the library's own.
+func (d *Dispatcher) DialOptions() []grpc.DialOption {
+	return []grpc.DialOption{grpc.WithUnaryInterceptor(d.intercept), grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(),
+		grpc.WithDefaultServiceConfig(fmt.Sprintf(`{"loadBalancingConfig":[{%q:{"dispatcher":%q}}]}`, balancerName, d.name))}
+}
+
+// Close stops the timers. Calls in flight end by their own deadlines; Close does not wait for them.
+func (d *Dispatcher) Close() {
+	unregisterDispatcher(d.name)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.closed = true
+	for t := range d.timers {
+		t.timer.Stop()
+	}
+}
+
+// Counts returns the totals of the core.
+func (d *Dispatcher) Counts() (n dispatch.Counts) {
+	d.withLock(func() { n = d.core.Counts() })
+	return n
+}
+
+// Exclude takes a server out of use by its address, whatever the resolver says, until Include. It returns false if no server
+// has the address.
+func (d *Dispatcher) Exclude(address string) (known bool) { return d.exclude(d.core.Exclude, address) }
+
+// Include returns a server to use, in slow start, since it was probably restarted. It returns false if no server has the address.
+func (d *Dispatcher) Include(address string) (known bool) { return d.exclude(d.core.Include, address) }
+
+// exclude applies Exclude or Include of the core.
+func (d *Dispatcher) exclude(operation func(string) dispatch.ExclusionChange, address string) (known bool) {
+	d.withLock(func() {
+		change := operation(address)
+		if known = change.Known && !change.LimitReached; known {
+			d.core.ApplyExclusions(change.Exclusions)
+		}
+	})
+	return known
+}
+
+// withLock calls do with the lock held.
+func (d *Dispatcher) withLock(do func()) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	do()
+}
--- a/grpcbalancer/figures.go
+++ b/grpcbalancer/metrics.go
@@ -6,7 +6,7 @@
 	"cinderroad/internal/dispatcher/telemetry"
 )
 
-// MetricOptions turn a Dispatcher's figures on.
+// MetricOptions turn a Dispatcher's metrics on.
 type MetricOptions struct {
 	// Zones and Kinds name them by the numbers that Server has; those without a name go by their number.
 	Zones, Kinds []string
@@ -14,15 +14,16 @@
 	MaxServers int
 }
 
-// Metric is one figure of a Dispatcher, under the name that the daemon has for it, such as classes.charge.answers.in_time.
+// Metric is one metric of a Dispatcher, under the name that the dispatcher has for it, such as
+// classes.charge.answers.in_time.
 type Metric struct {
 	Name    string
 	Counter bool // a total since New that only grows; else the value of now, or over the time since the last Figures
 	Value   float64
 }
 
-// Metrics returns all figures that have a value, and begins a new period: latencies are of the time since the call before.
-// None without Options.Figures. Whoever sends them on keeps the time.
+// Metrics returns all metrics that have a value, and begins a new period: latencies are of the time since the call before.
+// Without Options.Metrics there are none. The caller chooses the period.
 func (d *Dispatcher) Metrics() (metrics []Metric) {
 	d.withLock(func() {
 		if d.metrics == nil {
@@ -37,7 +38,7 @@
 	return metrics
 }
 
-// enableMetrics has the core's books kept.
+// enableMetrics has the core observed.
 func (d *Dispatcher) enableMetrics(options *MetricOptions) {
 	settings := &d.options.Settings
 	var classes []string
--- /dev/null
+++ b/grpcbalancer/picker.go
@@ -0,0 +1,26 @@
+package grpcbalancer
+
+import (
+	"google.golang.org/grpc/balancer"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+)
+
+// picker sends an attempt where the decisions said, once. The library asks again when it wants to repeat a call by itself, which
+// it does only if no server has seen the call: the core is told that it was not sent instead.
+type picker struct{ dispatcher *Dispatcher }
+
+// Pick implements balancer.Picker.
+func (p picker) Pick(info balancer.PickInfo) (balancer.PickResult, error) {
+	attempt, _ := info.Ctx.Value(attemptKey{}).(*callAttempt)
+	if attempt == nil {
+		return balancer.PickResult{}, status.Error(codes.Unimplemented, "rpcplugin: unary calls only")
+	}
+	p.dispatcher.mu.Lock()
+	defer p.dispatcher.mu.Unlock()
+	if attempt.picks++; attempt.picks > 1 || attempt.backend.connection.subConn == nil || !attempt.backend.connection.ready {
+		attempt.notSent = true
+		return balancer.PickResult{}, status.Error(codes.Unavailable, "rpcplugin: not sent")
+	}
+	return balancer.PickResult{SubConn: attempt.backend.connection.subConn}, nil
+}
