--- a/grpcbalancer/backend.go
+++ b/grpcbalancer/backend.go
@@ -32,22 +32,24 @@
 	changed chan struct{} // closed when ready changes
 }
 
-// callAttempt is one attempt. Its context carries it to the picker.
+// callAttempt is one attempt, guarded by the dispatcher's lock. Its context carries it to the picker.
 type callAttempt struct {
 	id      dispatch.AttemptID
 	backend *backend
 	cancel  context.CancelFunc
 	started bool // handed to the library
-	picks   int  // guarded by the dispatcher's lock, like the rest
-	notSent bool // the library asked where to send it and was told not to, or to stop
+	picks   int  // how often the library asked where to send it
+	notSent bool // the picker refused it
 }
 
+// attemptKey is the key of a callAttempt in its context.
 type attemptKey struct{}
 
 // Start implements dispatch.Backend; the lock is held.
 func (b *backend) Start(assigned dispatch.Attempt) {
 	call := assigned.Payload.(*unaryCall)
-	ctx, cancel := context.WithTimeout(call.ctx, time.Duration((assigned.Deadline-b.dispatcher.Now())*float64(time.Second)))
+	remaining := time.Duration((assigned.Deadline - b.dispatcher.Now()) * float64(time.Second))
+	ctx, cancel := context.WithTimeout(call.ctx, remaining)
 	attempt := &callAttempt{id: assigned.ID, backend: b, cancel: cancel}
 	b.attempts[assigned.ID] = attempt
 	go b.runAttempt(context.WithValue(ctx, attemptKey{}, attempt), attempt, call)
@@ -79,13 +81,13 @@
 // runAttempt waits for the connection, confirms that the server is still to be used, and makes the call.
 func (b *backend) runAttempt(ctx context.Context, attempt *callAttempt, call *unaryCall) {
 	defer attempt.cancel()
-	up := b.dispatcher.waitConnected(ctx, b)
+	connected := b.dispatcher.waitConnected(ctx, b)
 	b.dispatcher.mu.Lock()
-	result, clear := b.dispatcher.core.ConfirmSend(attempt.id)
-	if clear && !up {
-		result, clear = loadbalancer.ConnectFailed, false
+	result, confirmed := b.dispatcher.core.ConfirmSend(attempt.id)
+	if confirmed && !connected {
+		result, confirmed = loadbalancer.ConnectFailed, false
 	}
-	if attempt.started = clear; !clear {
+	if attempt.started = confirmed; !confirmed {
 		delete(b.attempts, attempt.id)
 		b.dispatcher.core.HandleOutcome(attempt.id, dispatch.Outcome{Result: result})
 		b.dispatcher.mu.Unlock()
@@ -93,14 +95,15 @@
 	}
 	b.dispatcher.mu.Unlock()
 
-	reply := reflect.New(call.reply).Interface() // copies of a req must not write into one reply
+	reply := reflect.New(call.reply).Interface() // attempts of a call must not write into one reply
 	var trailer metadata.MD
-	err := call.invoke(ctx, call.method, call.request, reply, call.conn, append(call.options[:len(call.options):len(call.options)], grpc.Trailer(&trailer))...)
+	options := append(call.options[:len(call.options):len(call.options)], grpc.Trailer(&trailer))
+	err := call.invoke(ctx, call.method, call.request, reply, call.conn, options...)
 
 	b.dispatcher.mu.Lock()
 	defer b.dispatcher.mu.Unlock()
 	if b.attempts[attempt.id] == nil {
-		return // given up: its status is of our own making and must not reach the caller
+		return // cancelled: its status is not the server's and must not reach the caller
 	}
 	delete(b.attempts, attempt.id)
 	outcome := dispatch.Outcome{Result: resultOf(err, trailer, attempt.notSent), Report: b.dispatcher.parseReport(trailer)}
@@ -134,8 +137,8 @@
 }
 
 // resultOf maps a status. Whatever the service itself said to the caller is an answer, not a failure.
-func resultOf(err error, trailer metadata.MD, unsent bool) loadbalancer.Result {
-	if unsent {
+func resultOf(err error, trailer metadata.MD, notSent bool) loadbalancer.Result {
+	if notSent {
 		return loadbalancer.ConnectFailed
 	}
 	if values := trailer.Get(RejectedTrailer); err != nil && len(values) == 1 && values[0] == "1" {
@@ -157,13 +160,13 @@
 // parseReport returns a load report in the order of Settings.ReportFields; nil if there is none. -1 is not reported.
 func (d *Dispatcher) parseReport(trailer metadata.MD) []float32 {
 	var named map[string]float64
-	if trailerValues := trailer.Get(LoadTrailer); len(trailerValues) != 1 || json.Unmarshal([]byte(trailerValues[0]), &named) != nil {
+	if texts := trailer.Get(LoadTrailer); len(texts) != 1 || json.Unmarshal([]byte(texts[0]), &named) != nil {
 		return nil
 	}
 	values := make([]float32, len(d.options.Fields))
 	for i, name := range d.options.Fields {
-		if trailerValues, ok := named[name]; ok {
-			values[i] = float32(trailerValues)
+		if value, ok := named[name]; ok {
+			values[i] = float32(value)
 		} else {
 			values[i] = -1
 		}
--- a/grpcbalancer/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"sync"
 
@@ -14,8 +15,10 @@
 	"cinderroad/loadbalancer"
 )
 
+// balancerName is the name of the policy in service configurations.
 const balancerName = "cinderroad"
 
+// The registry holds the open Dispatchers by name: a service configuration is text, and can refer to one by its name only.
 var (
 	registryMu sync.Mutex
 	registry   = map[string]*Dispatcher{}
@@ -32,6 +35,7 @@
 	return name
 }
 
+// unregisterDispatcher removes a Dispatcher, whose ClientConn then gets no further lists.
 func unregisterDispatcher(name string) {
 	registryMu.Lock()
 	defer registryMu.Unlock()
@@ -40,26 +44,30 @@
 
 func init() { balancer.Register(balancerBuilder{}) }
 
+// balancerBuilder implements balancer.Builder.
 type balancerBuilder struct{}
 
+// balancerConfig is the configuration of the policy in the service configuration.
 type balancerConfig struct {
 	serviceconfig.LoadBalancingConfig
 	Dispatcher string `json:"dispatcher"`
 }
 
+// Name implements balancer.Builder.
 func (balancerBuilder) Name() string { return balancerName }
 
-func (balancerBuilder) Build(cc balancer.ClientConn, _ balancer.BuildOptions) balancer.Balancer {
-	return &subConnBalancer{clientConn: cc}
+// Build implements balancer.Builder.
+func (balancerBuilder) Build(clientConn balancer.ClientConn, _ balancer.BuildOptions) balancer.Balancer {
+	return &subConnBalancer{clientConn: clientConn}
 }
 
 // ParseConfig implements balancer.ConfigParser.
 func (balancerBuilder) ParseConfig(text json.RawMessage) (serviceconfig.LoadBalancingConfig, error) {
-	var c balancerConfig
-	if err := json.Unmarshal(text, &c); err != nil {
-		return nil, fmt.Errorf("rpcplugin: balancer config: %w", err)
+	var config balancerConfig
+	if err := json.Unmarshal(text, &config); err != nil {
+		return nil, fmt.Errorf("grpcbalancer: balancer config: %w", err)
 	}
-	return &c, nil
+	return &config, nil
 }
 
 // subConnBalancer keeps a connection to every listed server. The library calls it from one goroutine at a time.
@@ -68,74 +76,85 @@
 	dispatcher *Dispatcher
 }
 
-// UpdateClientConnState takes the resolver's list and hands it to the core.
+// UpdateClientConnState implements balancer.Balancer: it hands the resolver's list to the core, connects new servers and closes
+// the connections of those that are no longer listed.
 func (b *subConnBalancer) UpdateClientConnState(state balancer.ClientConnState) error {
 	config, ok := state.BalancerConfig.(*balancerConfig)
 	if !ok {
-		return fmt.Errorf("rpcplugin: the balancer needs the options of a Dispatcher")
+		return errors.New("grpcbalancer: the balancer needs the options of a Dispatcher")
 	}
 	registryMu.Lock()
 	b.dispatcher = registry[config.Dispatcher]
 	registryMu.Unlock()
 	if b.dispatcher == nil {
-		return fmt.Errorf("rpcplugin: no such Dispatcher, or closed")
+		return errors.New("grpcbalancer: no such Dispatcher, or closed")
 	}
 	d := b.dispatcher
-	type fresh struct {
-		w    *backend
-		addr resolver.Address
-	}
-	var missing []fresh
+	var unconnected []unconnectedBackend
 	var departed []balancer.SubConn
-	d.withLock(func() {
-		listed := map[string]bool{}
-		var members []dispatch.Member
-		for _, a := range state.ResolverState.Addresses {
-			if listed[a.Addr] {
-				continue
-			}
-			listed[a.Addr] = true
-			w := d.backends[a.Addr]
-			if w == nil {
-				w = &backend{dispatcher: d, address: a.Addr, attempts: map[dispatch.AttemptID]*callAttempt{}, connection: connection{changed: make(chan struct{})}}
-				d.backends[a.Addr] = w
-			}
-			if w.connection.subConn == nil {
-				missing = append(missing, fresh{w, a})
-			}
-			at, _ := a.BalancerAttributes.Value(serverInfoKey{}).(ServerInfo)
-			w.member = loadbalancer.Worker{ID: d.core.WorkerID(a.Addr), Zone: at.Zone, Kind: at.Kind, Cell: at.Cell, State: loadbalancer.Ready, Weight: 1}
-			if at.Draining {
-				w.member.State = loadbalancer.Draining
-			}
-			if !at.Started.IsZero() {
-				w.member.StartedAt = float64(at.Started.UnixMicro()) / 1e6
-			}
-			members = append(members, dispatch.Member{Worker: w.member, Backend: w, Name: a.Addr})
+	d.withLock(func() { unconnected, departed = d.updateBackends(state.ResolverState.Addresses) })
+	for _, server := range unconnected {
+		if err := b.connect(server); err != nil {
+			return err
+		}
+	}
+	for _, subConn := range departed { // calls in flight finish: the library closes the connection after them
+		subConn.Shutdown()
+	}
+	b.clientConn.UpdateState(balancer.State{ConnectivityState: connectivity.Ready, Picker: picker{d}})
+	return nil
+}
+
+// unconnectedBackend is a server without a connection, and where to connect.
+type unconnectedBackend struct {
+	backend *backend
+	address resolver.Address
+}
+
+// updateBackends makes the servers those of the list and updates the core; the lock is held. It returns the servers without a
+// connection and the connections of the servers that departed.
+func (d *Dispatcher) updateBackends(list []resolver.Address) (unconnected []unconnectedBackend, departed []balancer.SubConn) {
+	listed := map[string]bool{}
+	var members []dispatch.Member
+	for _, address := range list {
+		if listed[address.Addr] {
+			continue
 		}
-		for addr, w := range d.backends {
-			if !listed[addr] && w.connection.subConn != nil {
-				departed = append(departed, w.connection.subConn)
-				w.connection.subConn, w.connection.ready = nil, false
-				delete(d.backends, addr)
-			}
+		listed[address.Addr] = true
+		server := d.backends[address.Addr]
+		if server == nil {
+			server = &backend{dispatcher: d, address: address.Addr, attempts: map[dispatch.AttemptID]*callAttempt{},
+				connection: connection{changed: make(chan struct{})}}
+			d.backends[address.Addr] = server
 		}
-		d.core.UpdateMembers(loadbalancer.ListFull, members)
-	})
-	for _, m := range missing {
-		var sub balancer.SubConn
-		sub, err := b.clientConn.NewSubConn([]resolver.Address{m.addr}, balancer.NewSubConnOptions{
-			StateListener: func(state balancer.SubConnState) { b.handleSubConnState(m.w, sub, state) }})
-		if err != nil {
-			return fmt.Errorf("rpcplugin: connection to %s: %w", m.addr.Addr, err)
+		if server.connection.subConn == nil {
+			unconnected = append(unconnected, unconnectedBackend{server, address})
+		}
+		info, _ := address.BalancerAttributes.Value(serverInfoKey{}).(ServerInfo)
+		server.member = info.worker(d.core.WorkerID(address.Addr))
+		members = append(members, dispatch.Member{Worker: server.member, Backend: server, Name: address.Addr})
+	}
+	for address, server := range d.backends {
+		if !listed[address] && server.connection.subConn != nil {
+			departed = append(departed, server.connection.subConn)
+			server.connection.subConn, server.connection.ready = nil, false
+			delete(d.backends, address)
 		}
-		d.withLock(func() { m.w.connection.subConn = sub })
-		sub.Connect()
 	}
-	for _, sub := range departed { // calls that are out finish: the library closes the connection after them
-		sub.Shutdown()
+	d.core.UpdateMembers(loadbalancer.ListFull, members)
+	return unconnected, departed
+}
+
+// connect makes a server's connection.
+func (b *subConnBalancer) connect(server unconnectedBackend) error {
+	var subConn balancer.SubConn
+	subConn, err := b.clientConn.NewSubConn([]resolver.Address{server.address}, balancer.NewSubConnOptions{
+		StateListener: func(state balancer.SubConnState) { b.handleSubConnState(server.backend, subConn, state) }})
+	if err != nil {
+		return fmt.Errorf("grpcbalancer: connection to %s: %w", server.address.Addr, err)
 	}
-	b.clientConn.UpdateState(balancer.State{ConnectivityState: connectivity.Ready, Picker: picker{d}})
+	b.dispatcher.withLock(func() { server.backend.connection.subConn = subConn })
+	subConn.Connect()
 	return nil
 }
 
@@ -149,7 +168,7 @@
 		}
 	})
 	if state.ConnectivityState == connectivity.Idle {
-		sub.Connect() // each server stays connected: a fetch should not pay for it
+		sub.Connect() // each server stays connected: an attempt should not pay for it
 	}
 }
 
@@ -168,8 +187,8 @@
 		return
 	}
 	b.dispatcher.withLock(func() {
-		for _, w := range b.dispatcher.backends {
-			w.connection.subConn, w.connection.ready = nil, false
+		for _, server := range b.dispatcher.backends {
+			server.connection.subConn, server.connection.ready = nil, false
 		}
 		b.dispatcher.core.UpdateMembers(loadbalancer.ListFull, nil)
 	})
--- a/grpcbalancer/dispatcher.go
+++ b/grpcbalancer/dispatcher.go
@@ -15,37 +15,44 @@
 
 // Trailers that a server may set.
 const (
-	// RejectedTrailer, set to 1, says that the server turned the call away unseen.
+	// RejectedTrailer, set to 1, says that the server rejected the call without running it.
 	RejectedTrailer = "x-rejected"
 	// LoadTrailer holds a load report, a JSON object by the names in Options.Fields.
 	LoadTrailer = "x-load-report"
 )
 
+const (
+	defaultConnectTimeout = 250 * time.Millisecond
+	microsPerSecond       = 1e6
+)
+
 // Options configure a Dispatcher.
 type Options struct {
+	// Settings are those of the load balancer.
 	Settings loadbalancer.Settings
-	Seed     uint64
-	// Class tells a method's place in Settings.Classes. A method that it does not know is never sent.
+	// Seed decides how ties between servers are broken; clients of the same servers should have different ones.
+	Seed uint64
+	// Class returns a method's index in Settings.Classes. Calls of unknown methods fail and are not sent.
 	Class func(method string) (class int, known bool)
-	// Fields names the values of load reports, in the order of Settings.Report.
+	// Fields names the values of load reports, in the order of Settings.ReportFields.
 	Fields []string
-	// ConnectTimeout is how long a fetch waits for its server's connection; 0 is 250 ms.
+	// ConnectTimeout is how long an attempt waits for its server's connection; 0 is defaultConnectTimeout.
 	ConnectTimeout time.Duration
-	// Metrics has figures kept, for Dispatcher.Figures to tell; nil is none.
+	// Metrics turns on Dispatcher.Metrics; nil is none.
 	Metrics *MetricOptions
 }
 
 // Dispatcher serves one ClientConn.
 type Dispatcher struct {
 	options   Options
-	name      string
-	startedAt time.Time
-	startTime float64
+	name      string    // in the registry
+	startedAt time.Time // with the steady clock
+	startTime float64   // the same, in seconds since 1970
 
-	mu       sync.Mutex // the core belongs to whoever holds it
+	mu       sync.Mutex // guards all that follows, and every call of the core
 	core     *dispatch.Dispatcher
 	backends map[string]*backend // by address
-	timers   map[*timer]bool
+	timers   map[*timer]bool     // that have not fired
 	closed   bool
 	metrics  *telemetry.Set // nil: none
 }
@@ -53,16 +60,17 @@
 // New makes a Dispatcher. Pass what DialOptions returns to grpc.NewClient; call Close when the ClientConn is closed.
 func New(options Options) (*Dispatcher, error) {
 	if options.Class == nil {
-		return nil, errors.New("rpcplugin: no Class function")
+		return nil, errors.New("grpcbalancer: no Class function")
 	}
 	if options.ConnectTimeout == 0 {
-		options.ConnectTimeout = 250 * time.Millisecond
+		options.ConnectTimeout = defaultConnectTimeout
 	}
 	now := time.Now()
-	d := &Dispatcher{options: options, startedAt: now, startTime: float64(now.UnixMicro()) / 1e6, backends: map[string]*backend{}, timers: map[*timer]bool{}}
+	d := &Dispatcher{options: options, startedAt: now, startTime: float64(now.UnixMicro()) / microsPerSecond,
+		backends: map[string]*backend{}, timers: map[*timer]bool{}}
 	var err error
 	if d.core, err = dispatch.New(options.Settings, options.Seed, d); err != nil {
-		return nil, fmt.Errorf("rpcplugin: %w", err)
+		return nil, fmt.Errorf("grpcbalancer: %w", err)
 	}
 	if options.Metrics != nil {
 		d.enableMetrics(options.Metrics)
@@ -90,9 +98,9 @@
 }
 
 // Counts returns the totals of the core.
-func (d *Dispatcher) Counts() (n dispatch.Counts) {
-	d.withLock(func() { n = d.core.Counts() })
-	return n
+func (d *Dispatcher) Counts() (counts dispatch.Counts) {
+	d.withLock(func() { counts = d.core.Counts() })
+	return counts
 }
 
 // Exclude takes a server out of use by its address, whatever the resolver says, until Include. It returns false if no server
--- a/grpcbalancer/dispatcher_test.go
+++ b/grpcbalancer/dispatcher_test.go
@@ -33,16 +33,16 @@
 	stop func()
 }
 
-// rig is a ClientConn with the plug-in and its servers.
+// rig is a ClientConn with a Dispatcher, and its servers.
 type rig struct {
-	t       *testing.T
-	d       *Dispatcher
-	client  grpc_health_v1.HealthClient
-	list    *manual.Resolver
-	servers []*server
-	mu      sync.Mutex
-	calls   []string // addresses, in the order of the calls
-	script  func(n int, s *server, ctx context.Context) error
+	t          *testing.T
+	dispatcher *Dispatcher
+	client     grpc_health_v1.HealthClient
+	list       *manual.Resolver
+	servers    []*server
+	mu         sync.Mutex
+	calls      []string // addresses, in the order of the calls
+	script     func(n int, s *server, ctx context.Context) error
 }
 
 func (s *server) Check(ctx context.Context, q *grpc_health_v1.HealthCheckRequest) (*grpc_health_v1.HealthCheckResponse, error) {
@@ -59,49 +59,50 @@
 	return &grpc_health_v1.HealthCheckResponse{Status: grpc_health_v1.HealthCheckResponse_SERVING}, nil
 }
 
-func newRig(t *testing.T, effect loadbalancer.RetrySafety, servers int) *rig {
+func newRig(t *testing.T, safety loadbalancer.RetrySafety, servers int) *rig {
+	t.Helper()
 	r := &rig{t: t, list: manual.NewBuilderWithScheme("test")}
 	var err error
-	r.d, err = New(Options{Settings: loadbalancer.Settings{
-		Classes: []loadbalancer.Class{{Name: "check", Objective: 0.1, Deadline: 5, DedupWindow: 5, Value: 1, RetrySafety: effect, DedupScope: loadbalancer.DedupCell, Kind: -1}},
+	r.dispatcher, err = New(Options{Settings: loadbalancer.Settings{
+		Classes: []loadbalancer.Class{{Name: "check", Objective: 0.1, Deadline: 5, DedupWindow: 5, Value: 1, RetrySafety: safety, DedupScope: loadbalancer.DedupCell, Kind: -1}},
 		Zones:   1, Instances: 1, MaxAttempts: 4, Tick: 0.004, SlowStartDuration: 9, SlowStartInitialShare: 0.34, OverloadMultiple: 3, OverloadWindow: 2,
 		AnswerSlack: 0.016, MayCancel: true, MayRetryAfter: true, MaxRetryAfter: 2, ParallelAttempts: true,
 	}, Class: func(m string) (int, bool) { return 0, m == method }, Metrics: &MetricOptions{Zones: []string{"here"}, MaxServers: 10}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.d.Close)
+	t.Cleanup(r.dispatcher.Close)
 	for range servers {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &server{addr: l.Addr().String(), rig: r}
+		s := &server{addr: listener.Addr().String(), rig: r}
 		g := grpc.NewServer()
 		grpc_health_v1.RegisterHealthServer(g, s)
-		go g.Serve(l)
+		go g.Serve(listener)
 		s.stop = g.Stop
 		t.Cleanup(g.Stop)
 		r.servers = append(r.servers, s)
 	}
 	r.list.InitialState(r.state(ServerInfo{}, ServerInfo{}, ServerInfo{}))
-	cc, err := grpc.NewClient("test:///", append(r.d.DialOptions(), grpc.WithResolvers(r.list),
+	conn, err := grpc.NewClient("test:///", append(r.dispatcher.DialOptions(), grpc.WithResolvers(r.list),
 		grpc.WithTransportCredentials(insecure.NewCredentials()))...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { cc.Close() })
-	r.client = grpc_health_v1.NewHealthClient(cc)
+	t.Cleanup(func() { conn.Close() })
+	r.client = grpc_health_v1.NewHealthClient(conn)
 	return r
 }
 
-// state is a list of the first servers, each with what is told of it.
-func (r *rig) state(told ...ServerInfo) (s resolver.State) {
-	for i, server := range r.servers[:min(len(told), len(r.servers))] {
-		told[i].Cell = i
-		s.Addresses = append(s.Addresses, WithServerInfo(resolver.Address{Addr: server.addr}, told[i]))
+// state is a resolver state of the first servers with their infos.
+func (r *rig) state(infos ...ServerInfo) (state resolver.State) {
+	for i, server := range r.servers[:min(len(infos), len(r.servers))] {
+		infos[i].Cell = i
+		state.Addresses = append(state.Addresses, WithServerInfo(resolver.Address{Addr: server.addr}, infos[i]))
 	}
-	return s
+	return state
 }
 
 func (r *rig) check(wait time.Duration) error {
@@ -114,7 +115,7 @@
 	return err
 }
 
-// How each end is repeated by class, what the caller is told, and that the library repeats nothing by itself.
+// How each outcome is retried by class, what the caller gets, and that the library retries nothing by itself.
 func TestOutcomesAndRetries(t *testing.T) {
 	broken := func(code codes.Code) func(int, *server, context.Context) error {
 		return func(n int, _ *server, _ context.Context) error {
@@ -156,7 +157,7 @@
 			if tc.effect == loadbalancer.RetryDeduplicated && r.calls[0] != r.calls[1] {
 				t.Errorf("a keyed repeat left its cell: %v", r.calls)
 			}
-			if n := r.d.Counts(); n.Requests != 1 || n.Served+n.Rejected+n.Failed != 1 || int(n.Attempts) != tc.calls {
+			if n := r.dispatcher.Counts(); n.Requests != 1 || n.Served+n.Rejected+n.Failed != 1 || int(n.Attempts) != tc.calls {
 				t.Errorf("counts %+v", n)
 			}
 		})
@@ -222,8 +223,8 @@
 	}
 }
 
-// Guards against the library repeating a call by itself: its second question for one fetch is refused, and the
-// fetch then counts as one that never ran.
+// Guards against the library retrying a call by itself: its second pick for one attempt is refused, and the attempt then
+// counts as one that never ran.
 func TestLibraryDoesNotRetry(t *testing.T) {
 	d := &Dispatcher{}
 	f := &callAttempt{backend: &backend{dispatcher: d, connection: connection{subConn: struct{ balancer.SubConn }{}, ready: true}}}
@@ -244,7 +245,7 @@
 		t.Fatal(err)
 	}
 	out := r.servers[0].addr
-	if r.d.Exclude("127.0.0.1:1") || !r.d.Exclude(out) || !r.d.Exclude(out) {
+	if r.dispatcher.Exclude("127.0.0.1:1") || !r.dispatcher.Exclude(out) || !r.dispatcher.Exclude(out) {
 		t.Error("exclude: yes for nobody, or no for a server")
 	}
 	count := func() (n int) {
@@ -267,7 +268,7 @@
 	if n := count() - before; n != 0 {
 		t.Errorf("%d calls at the server that is out", n)
 	}
-	if !r.d.Include(out) {
+	if !r.dispatcher.Include(out) {
 		t.Error("include: no")
 	}
 	for end := time.Now().Add(30 * time.Second); count() == before; {
--- a/grpcbalancer/interceptor.go
+++ b/grpcbalancer/interceptor.go
@@ -21,30 +21,31 @@
 	ctx         context.Context
 	method      string
 	request     any
-	reply       reflect.Type
+	reply       reflect.Type // of the message, not of its pointer
 	conn        *grpc.ClientConn
 	invoke      grpc.UnaryInvoker
 	options     []grpc.CallOption
 	answer      chan dispatch.Answer
-	servedReply any   // the reply of the fetch that won, and
-	servedErr   error // the status that its server gave it
-	lastErr     error // of the last fetch that failed
+	servedReply any   // of the attempt that won
+	servedErr   error // its status, as the server gave it
+	lastErr     error // of the last attempt that failed
 }
 
 // Answer implements dispatch.Requester; the lock is held.
-func (c *unaryCall) Answer(a dispatch.Answer) { c.answer <- a }
+func (c *unaryCall) Answer(answer dispatch.Answer) { c.answer <- answer }
 
 // intercept owns a unary call from its start to its one answer.
-func (d *Dispatcher) intercept(ctx context.Context, method string, request, reply any, conn *grpc.ClientConn, invoke grpc.UnaryInvoker, options ...grpc.CallOption) error {
+func (d *Dispatcher) intercept(ctx context.Context, method string, request, reply any, conn *grpc.ClientConn,
+	invoke grpc.UnaryInvoker, options ...grpc.CallOption) error {
 	class, known := d.options.Class(method)
 	if !known || class < 0 || class >= len(d.options.Settings.Classes) {
-		return status.Errorf(codes.FailedPrecondition, "rpcplugin: no class for %s", method)
+		return status.Errorf(codes.FailedPrecondition, "grpcbalancer: no class for %s", method)
 	}
 	conn.Connect() // the list comes from the resolver, which an idle ClientConn does not ask
-	call := &unaryCall{ctx: ctx, method: method, request: request, reply: reflect.TypeOf(reply).Elem(), conn: conn, invoke: invoke,
-		options: options, answer: make(chan dispatch.Answer, 1)}
-	job := dispatch.Job{Class: class, Slots: 1, Deadline: d.Now() + d.options.Settings.Classes[class].Deadline, Payload: call, ID: method,
-		Front: "grpc"}
+	call := &unaryCall{ctx: ctx, method: method, request: request, reply: reflect.TypeOf(reply).Elem(), conn: conn,
+		invoke: invoke, options: options, answer: make(chan dispatch.Answer, 1)}
+	job := dispatch.Job{Class: class, Slots: 1, Deadline: d.Now() + d.options.Settings.Classes[class].Deadline,
+		Payload: call, ID: method, Front: "grpc"}
 	if at, ok := ctx.Deadline(); ok {
 		job.Deadline = math.Min(job.Deadline, d.Now()+time.Until(at).Seconds())
 	}
@@ -61,8 +62,13 @@
 			return status.FromContextError(ctx.Err()).Err()
 		}
 	}
-	d.mu.Lock() // copies that are still out may write here
-	served, servedErr, failed := call.servedReply, call.servedErr, call.lastErr
+	return d.deliver(call, answer, reply)
+}
+
+// deliver turns the core's answer into the call's: it fills the reply or returns the status.
+func (d *Dispatcher) deliver(call *unaryCall, answer dispatch.Answer, reply any) error {
+	d.mu.Lock() // attempts that are still in flight may write here
+	served, servedErr, lastErr := call.servedReply, call.servedErr, call.lastErr
 	d.mu.Unlock()
 	switch answer.Verdict {
 	case dispatch.Served:
@@ -78,13 +84,14 @@
 		return nil
 	case dispatch.Rejected:
 		rejected := status.New(codes.Unavailable, "refused: a retry is harmless")
-		if with, err := rejected.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(answer.RetryAfter * float64(time.Second)))}); err == nil {
+		delay := durationpb.New(time.Duration(answer.RetryAfter * float64(time.Second)))
+		if with, err := rejected.WithDetails(&errdetails.RetryInfo{RetryDelay: delay}); err == nil {
 			rejected = with
 		}
 		return rejected.Err()
 	}
-	if failed != nil {
-		return failed
+	if lastErr != nil {
+		return lastErr
 	}
 	return status.Error(codes.DeadlineExceeded, "failed: no answer in time")
 }
--- a/grpcbalancer/metrics.go
+++ b/grpcbalancer/metrics.go
@@ -8,9 +8,9 @@
 
 // MetricOptions turn a Dispatcher's metrics on.
 type MetricOptions struct {
-	// Zones and Kinds name them by the numbers that Server has; those without a name go by their number.
+	// Zones and Kinds are names by the numbers in ServerInfo; those without a name go by their number.
 	Zones, Kinds []string
-	// MaxServers is how many servers have figures of their own at one time, at most.
+	// MaxServers is how many servers have metrics of their own at one time, at most.
 	MaxServers int
 }
 
@@ -18,7 +18,7 @@
 // classes.charge.answers.in_time.
 type Metric struct {
 	Name    string
-	Counter bool // a total since New that only grows; else the value of now, or over the time since the last Figures
+	Counter bool // a total since New; else a present value, or one over the period
 	Value   float64
 }
 
@@ -55,7 +55,7 @@
 	for len(zones) < settings.Zones {
 		zones = append(zones[:len(zones):len(zones)], strconv.Itoa(len(zones)))
 	}
-	d.metrics = telemetry.New(telemetry.Options{Settings: *settings, Classes: classes, Zones: zones, Kinds: kinds, Nodes: options.MaxServers,
-		Standing: d.core.WorkerStatus, Now: d.Now})
+	d.metrics = telemetry.New(telemetry.Options{Settings: *settings, Classes: classes, Zones: zones, Kinds: kinds,
+		Nodes: options.MaxServers, Standing: d.core.WorkerStatus, Now: d.Now})
 	d.core.Observer = d.metrics
 }
--- a/grpcbalancer/metrics_test.go
+++ b/grpcbalancer/metrics_test.go
@@ -11,7 +11,7 @@
 	"cinderroad/loadbalancer"
 )
 
-// The plug-in's figures are the daemon's, under the same names, for its own traffic; totals go on, latencies begin anew.
+// The metrics are those of the dispatcher, under the same names; totals continue, latencies begin a new period.
 func TestMetrics(t *testing.T) {
 	r := newRig(t, loadbalancer.RetrySafe, 2)
 	r.script = func(n int, _ *server, _ context.Context) error {
@@ -27,7 +27,7 @@
 	}
 	read := func() map[string]Metric {
 		all := map[string]Metric{}
-		for _, f := range r.d.Metrics() {
+		for _, f := range r.dispatcher.Metrics() {
 			all[f.Name] = f
 		}
 		return all
@@ -46,7 +46,7 @@
 	if _, there := again["classes.check.latency.p50_ms"]; there || again["classes.check.fetches.end_ok"].Value != 3 {
 		t.Error("a latency without answers, or a total that did not go on")
 	}
-	off, err := New(Options{Settings: r.d.options.Settings, Class: r.d.options.Class})
+	off, err := New(Options{Settings: r.dispatcher.options.Settings, Class: r.dispatcher.options.Class})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/grpcbalancer/picker.go
+++ b/grpcbalancer/picker.go
@@ -14,13 +14,13 @@
 func (p picker) Pick(info balancer.PickInfo) (balancer.PickResult, error) {
 	attempt, _ := info.Ctx.Value(attemptKey{}).(*callAttempt)
 	if attempt == nil {
-		return balancer.PickResult{}, status.Error(codes.Unimplemented, "rpcplugin: unary calls only")
+		return balancer.PickResult{}, status.Error(codes.Unimplemented, "grpcbalancer: unary calls only")
 	}
 	p.dispatcher.mu.Lock()
 	defer p.dispatcher.mu.Unlock()
 	if attempt.picks++; attempt.picks > 1 || attempt.backend.connection.subConn == nil || !attempt.backend.connection.ready {
 		attempt.notSent = true
-		return balancer.PickResult{}, status.Error(codes.Unavailable, "rpcplugin: not sent")
+		return balancer.PickResult{}, status.Error(codes.Unavailable, "grpcbalancer: not sent")
 	}
 	return balancer.PickResult{SubConn: attempt.backend.connection.subConn}, nil
 }
