--- a/internal/dispatcher/cluster/versions/confirmation.go
+++ b/internal/dispatcher/cluster/versions/confirmation.go
@@ -1,34 +1,34 @@
 package versions
 
-// This file is what renews a member's lease: words of discovery, one's own or passed on. A word is the time at which discovery
-// spoke, by the clock of the member that heard it; one that is newer than all before it counts, once, however often and by
-// whatever ways it comes: told in circles it renews nothing.
+// A lease is renewed by updates of discovery, the own one's or those that peers forward. The stamp of an update is the time
+// at which discovery sent it, by the clock of the member that received it. An update counts once, when its stamp is newer
+// than all before: forwarded in circles it renews nothing.
 
 const (
 	stampsPerSecond = 10
-	maxClockLead    = 10 // seconds that a member's clock may be ahead of this one's: further on its words count for nothing
+	maxClockLead    = 10 // seconds that a member's clock may be ahead of this one's; its updates are ignored beyond
 )
 
-// LastConfirmed is when a word of discovery last confirmed all that is known here; 0: never.
+// LastConfirmed returns when an update of discovery last confirmed all that is known here, 0 if never.
 func (t *Table) LastConfirmed() float64 { return t.lastConfirmed }
 
-// LastDiscovery is when the own discovery last spoke; 0: never.
+// LastDiscovery returns the time of the last contact with the own discovery, 0 if never.
 func (t *Table) LastDiscovery() float64 { return t.lastDiscovery }
 
-// ExpireUpdates takes it that whatever was heard before now is old.
+// ExpireUpdates records that all updates received before now are outdated, because the process was paused.
 func (t *Table) ExpireUpdates(now float64) {
 	t.lastConfirmed, t.directUpdate = min(t.lastConfirmed, now-expiredAge), false
 }
 
-// confirmByDiscovery takes it that the own discovery has spoken. One that tells an old list confirms nothing.
+// confirmByDiscovery records a contact with the own discovery. A stale list confirms nothing.
 func (t *Table) confirmByDiscovery(now float64) {
 	if t.directUpdate = t.completeUpTo() >= t.confirmedRevision(); t.directUpdate {
 		t.lastConfirmed, t.updateStamp = now, max(t.updateStamp, uint64(now*stampsPerSecond))
 	}
 }
 
-// mergePeerUpdate takes a peer's word of discovery: by it others see that the peer has one, and where all that the peer knows is known here,
-// it counts here, too.
+// mergePeerUpdate records the update of discovery that a peer forwards. If all that the peer knows is known here, the
+// update confirms it here as well.
 func (t *Table) mergePeerUpdate(now float64, p *Peer, msg *payload) {
 	if float64(msg.UpdateStamp) > (now+maxClockLead)*stampsPerSecond {
 		return
@@ -41,8 +41,8 @@
 	}
 }
 
-// confirmedRevision is the newest version of the own line that discovery has surely told: two members at least say that their own lists have
-// it, or the own one does. What one alone says may be wrong.
+// confirmedRevision returns the newest revision of the own epoch that discovery has certainly issued: the own list has
+// it, or at least two members say that theirs do. One member alone may be wrong.
 func (t *Table) confirmedRevision() int64 {
 	first, second := t.version.Revision, t.version.Revision
 	for _, p := range t.peers {
--- a/internal/dispatcher/cluster/versions/confirmation_test.go
+++ b/internal/dispatcher/cluster/versions/confirmation_test.go
@@ -10,7 +10,7 @@
 	"cinderroad/internal/shared/membership"
 )
 
-// A word of discovery counts once, at its first coming: told in circles for ever it renews nothing.
+// TestUpdateCountsOnce checks that an update of discovery that is forwarded in circles renews nothing.
 func TestUpdateCountsOnce(t *testing.T) {
 	a, table, c := newTestTable("a", 5, "x"), newTestTable("b", 5, "x"), newTestTable("c", 5, "x")
 	a.HandleDiscoveryContact(100)
@@ -35,8 +35,8 @@
 	}
 }
 
-// A word counts where all that its teller knows is known: one that lacks a version gets it first. And a discovery that tells an old
-// list confirms nothing to one that two others have told better.
+// TestUpdateConfirmsCompleteState checks that an update counts only if all that its sender knows is known here, and
+// that a stale discovery confirms nothing to a member that two others have told better.
 func TestUpdateConfirmsCompleteState(t *testing.T) {
 	a, table, c := newTestTable("a", 5, "x", "y"), newTestTable("b", 5, "x", "y"), newTestTable("c", 5, "x", "y")
 	a.ApplyList(20, src, 6, false, entries(Draining, "x"))
@@ -63,7 +63,8 @@
 	}
 }
 
-// A discovery that tells an old list does not make one doubt what two others have of theirs.
+// TestStaleDiscoveryDoesNotOverridePeers checks that a stale discovery does not cast doubt on what two others' lists
+// have.
 func TestStaleDiscoveryDoesNotOverridePeers(t *testing.T) {
 	a, c, table := newTestTable("a", 5, "x"), newTestTable("c", 5, "x"), newTestTable("b", 5, "x")
 	a.ApplyList(20, src, 6, false, entries(Draining, "x"))
@@ -77,7 +78,8 @@
 	expectRestrictions(t, "two say so", table, "x draining 0")
 }
 
-// Words from far ahead count for nothing; those a little ahead hold up no lease of one whose own discovery speaks.
+// TestForgedUpdates checks that stamps far ahead are ignored, and that stamps a little ahead do not keep the own
+// discovery from renewing the lease.
 func TestForgedUpdates(t *testing.T) {
 	a, table, c := newTestTable("a", 5, "x"), newTestTable("b", 5, "x"), newTestTable("c", 5, "x")
 	table.HandlePayload(100, "liar", table.encodePayload(&payload{Version: Version{src, 0, 5}, UpdateStamp: math.MaxUint64 / 2}))
@@ -96,7 +98,7 @@
 	}
 }
 
-// viewOf is one of members that are alive.
+// viewOf returns a view of alive members.
 func viewOf(me string, names ...string) *membership.View {
 	v := &membership.View{Contacted: true}
 	for _, name := range names {
@@ -105,7 +107,8 @@
 	return v
 }
 
-// An order goes by any way, the newer one wins whatever comes first, and one who was away learns of it by the digest.
+// TestOrders checks that an order reaches its member through any other, that the newer one holds whichever arrives
+// first, and that a member that missed it learns of it by the digest.
 func TestOrders(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	a, table, c := New("a"), newTestTable("b", 5), newTestTable("c", 5)
@@ -149,7 +152,7 @@
 	}
 }
 
-// Orders that somebody makes up take no more room than there is, and shut out no more than a third.
+// TestForgedOrders checks that forged orders take bounded memory and exclude at most a third.
 func TestForgedOrders(t *testing.T) {
 	table := newTestTable("b", 5)
 	for i := range 2 * maxOrders {
--- a/internal/dispatcher/cluster/versions/event.go
+++ b/internal/dispatcher/cluster/versions/event.go
@@ -1,37 +1,37 @@
 package versions
 
-// EventKind is what a Note tells.
+// EventKind is the kind of an event.
 type EventKind uint8
 
-// The kinds.
+// The kinds of events.
 const (
-	ListApplied       EventKind = iota // the own discovery told a version; Facts are workers that it changes
-	FactsReceived                      // a member told what it knows of workers
-	CaughtUp                           // a member has told all that it knows up to List.Rev
-	NewerVersionKnown                  // a member knows of a newer version, for the first time
-	FactDoubted                        // what a member told counts no more
-	DiscoverySilent                    // the own discovery says nothing, for Late seconds so far
-	DiscoveryResumed                   // it speaks again
-	ClockReceived                      // a member's clock was Theirs, at most so long ago as its message took
+	ListApplied       EventKind = iota // the own discovery sent a version; Facts are the workers that changed
+	FactsReceived                      // a member sent facts
+	CaughtUp                           // a member has sent all facts up to Version.Revision
+	NewerVersionKnown                  // a member knows a newer version, which was not known here
+	FactDoubted                        // a member's fact is no longer used
+	DiscoverySilent                    // the own discovery has been silent, for SilentFor so far
+	DiscoveryResumed                   // it replies again
+	ClockReceived                      // a member's clock was PeerClock when it sent its message
 )
 
-// Event is something that a Board took up, for whoever keeps books.
+// Event is something that a Table learned, for the audit log.
 type Event struct {
 	Kind                 EventKind
-	From                 string // who told it; empty: the own discovery
+	From                 string // the member that sent it; empty: the own discovery
 	Version              Version
 	Cached               bool
 	Facts                []Fact
-	SilentFor, PeerClock float64
+	SilentFor, PeerClock float64 // seconds; Unix time
 }
 
 const (
-	clockInterval       = 1.0   // seconds between two times that a member tells its clock
-	minClockImprovement = 0.001 // seconds by which a message must have been quicker than those before to be noted
-	clockLeadTTL        = 600.0 // seconds after which those before count no more: clocks drift
+	clockInterval       = 1.0   // seconds between two payloads with the own clock
+	minClockImprovement = 0.001 // seconds by which a message must be quicker than those before to be reported
+	clockLeadTTL        = 600.0 // seconds after which those before expire, since clocks drift
 )
 
-// recordClock notes a member's clock where its message was quicker than those before.
+// recordClock reports a member's clock if the message was quicker than those before.
 func (t *Table) recordClock(now float64, from string, p *Peer, peerClock float64) {
 	if lead := now - peerClock; peerClock > 0 && (p.clockLeadAt == 0 || lead < p.clockLead-minClockImprovement || now > p.clockLeadAt+clockLeadTTL) {
 		p.clockLead, p.clockLeadAt = lead, now
@@ -39,7 +39,7 @@
 	}
 }
 
-// checkDiscovery notes when the own discovery falls silent; it speaks again with Live.
+// checkDiscovery reports when the own discovery becomes silent; HandleDiscoveryContact ends that.
 func (t *Table) checkDiscovery(now float64) {
 	if t.lastDiscovery > 0 && !t.discoverySilent && now > t.lastDiscovery+discoveryTimeout {
 		t.discoverySilent = true
--- a/internal/dispatcher/cluster/versions/exchange.go
+++ b/internal/dispatcher/cluster/versions/exchange.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// HasUrgent says whether there is something that should not wait for a message to ride on.
+// HasUrgent reports whether facts or orders are still to be transmitted. It implements membership.Delegate.
 func (t *Table) HasUrgent() bool { return t.pendingFacts > 0 || t.hasPendingOrders() }
 
-// Payload is what goes along with a message; nil is nothing.
+// Payload returns what goes along with a message, nil if there is nothing.
 func (t *Table) Payload(now float64, room int) []byte {
 	if !t.hasVersion && len(t.orders.byMember) == 0 {
 		return nil
@@ -38,7 +38,8 @@
 	return t.encodePayload(msg)
 }
 
-// selectFacts orders facts: drains before the rest, those told least often first.
+// selectFacts returns the facts that match: those of draining and gone workers first, then those transmitted least
+// often.
 func (t *Table) selectFacts(matches func(*fact) bool) (selected []Fact) {
 	var all []*fact
 	for _, f := range t.facts {
@@ -55,38 +56,74 @@
 	return selected
 }
 
-// HandlePayload takes what came along with a member's message, and returns what is to be answered.
+// HandlePayload handles the payload of another member's message, and returns the payloads to reply.
 func (t *Table) HandlePayload(now float64, from string, text []byte) (replies [][]byte) {
 	msg, err := decodePayload(text)
 	if err != nil {
 		t.Stats.Malformed++
 		return nil
 	}
-	if p, known := t.peers[from]; known || len(t.peers) < maxPeers {
-		if p.Version != msg.Version {
-			p.VersionSince = now
-		}
-		p.Version = msg.Version
-		t.mergePeerUpdate(now, &p, msg)
-		t.recordClock(now, from, &p, msg.Clock)
-		t.peers[from] = p
-	}
-	for _, o := range msg.Orders {
-		t.applyOrder(o)
-	}
-	if msg.OrdersDigest != t.orders.digest {
-		if page := t.ordersPage(now); len(page) > 0 {
-			o := t.newPayload(now)
-			o.Orders = page
-			replies = append(replies, t.encodePayload(o))
-		}
-	}
+	t.updatePeer(now, from, msg)
+	replies = t.handleOrders(now, msg)
 	t.epochs[msg.Version.Source] = max(t.epochs[msg.Version.Source], min(msg.Version.Epoch, t.epochs[msg.Version.Source]+1))
 	t.adoptEpoch(now, msg)
 	if _, ok := t.version.Lag(msg.Version); !t.hasVersion || !ok {
 		return replies
 	}
 	theirs := max(msg.CompleteUpTo, msg.Version.Revision)
+	t.handleFacts(now, from, theirs, msg)
+	if theirs <= t.completeUpTo() || len(msg.Facts) > 0 {
+		t.OnPeerState()
+	}
+	if msg.Request && t.allowReply(now) {
+		replies = append(replies, t.replyPages(now, msg.Version.Revision)...)
+	}
+	// The request goes to whoever announces more. Members send to each other at random, so the requests are spread.
+	if theirs > t.completeUpTo() && now >= t.nextRequestAt &&
+		(t.SameZone(from) || now >= t.newerSince+sameZoneGrace || t.lastConfirmed < now-t.Lease.Term) {
+		t.nextRequestAt = now + requestInterval
+		t.Stats.Requests++
+		request := t.newPayload(now)
+		request.Request = true
+		replies = append(replies, t.encodePayload(request))
+	}
+	return replies
+}
+
+// updatePeer records what a member has, by its payload.
+func (t *Table) updatePeer(now float64, from string, msg *payload) {
+	p, known := t.peers[from]
+	if !known && len(t.peers) >= maxPeers {
+		return
+	}
+	if p.Version != msg.Version {
+		p.VersionSince = now
+	}
+	p.Version = msg.Version
+	t.mergePeerUpdate(now, &p, msg)
+	t.recordClock(now, from, &p, msg.Clock)
+	t.peers[from] = p
+}
+
+// handleOrders applies a payload's orders. To a member that has other orders it replies a page of the own ones.
+func (t *Table) handleOrders(now float64, msg *payload) (replies [][]byte) {
+	for _, o := range msg.Orders {
+		t.applyOrder(o)
+	}
+	if msg.OrdersDigest == t.orders.digest {
+		return nil
+	}
+	page := t.ordersPage(now)
+	if len(page) == 0 {
+		return nil
+	}
+	reply := t.newPayload(now)
+	reply.Orders = page
+	return append(replies, t.encodePayload(reply))
+}
+
+// handleFacts applies a payload's facts. theirs is the revision up to which the sender knows all facts.
+func (t *Table) handleFacts(now float64, from string, theirs int64, msg *payload) {
 	if theirs > max(t.completeUpTo(), t.newestKnown) {
 		if t.newestKnown <= t.completeUpTo() {
 			t.newerSince = now
@@ -101,33 +138,19 @@
 		}
 	}
 	if len(accepted) > 0 {
-		t.OnEvent(now, &Event{Kind: FactsReceived, From: from, Version: Version{Source: t.version.Source, Epoch: t.version.Epoch}, Facts: accepted})
+		t.OnEvent(now, &Event{Kind: FactsReceived, From: from, Version: Version{Source: t.version.Source, Epoch: t.version.Epoch},
+			Facts: accepted})
 		t.updateRestrictions()
 	}
-	if msg.FactCount > 0 && t.countNewerFacts() >= msg.FactCount-1 { // every page of it has come
+	if msg.FactCount > 0 && t.countNewerFacts() >= msg.FactCount-1 { // all pages of the reply have come
 		if theirs > t.completeUpTo() {
 			t.OnEvent(now, &Event{Kind: CaughtUp, From: from, Version: Version{t.version.Source, t.version.Epoch, theirs}})
 		}
 		t.caughtUpTo, t.caughtUpAt = max(t.caughtUpTo, theirs), now
 	}
-	if theirs <= t.completeUpTo() || len(msg.Facts) > 0 {
-		t.OnPeerState()
-	}
-	if msg.Request && t.allowReply(now) {
-		replies = append(replies, t.replyPages(now, msg.Version.Revision)...)
-	}
-	// Whoever tells of more is asked, and members speak to each other at random: so questions are spread, and the near come soon.
-	if theirs > t.completeUpTo() && now >= t.nextRequestAt && (t.SameZone(from) || now >= t.newerSince+sameZoneGrace || t.lastConfirmed < now-t.Lease.Term) {
-		t.nextRequestAt = now + requestInterval
-		t.Stats.Requests++
-		request := t.newPayload(now)
-		request.Request = true
-		replies = append(replies, t.encodePayload(request))
-	}
-	return replies
 }
 
-// allowReply says whether there is room for an answer.
+// allowReply counts a request, and reports whether it is to be answered.
 func (t *Table) allowReply(now float64) bool {
 	if now >= t.replyWindowStart+replyWindow {
 		t.replyWindowStart, t.repliesInWindow = now, 0
@@ -136,7 +159,7 @@
 	return t.repliesInWindow <= maxRepliesPerWindow
 }
 
-// epochAge is how long ago the own line of descent began, in seconds; 0 is not known.
+// epochAge returns the seconds since the own epoch began, 0 if that is not known.
 func (t *Table) epochAge(now float64) float32 {
 	if t.epochStart == 0 {
 		return 0
@@ -144,11 +167,12 @@
 	return float32(now - t.epochStart)
 }
 
-// adoptEpoch takes the fleet's number for a line of descent that began before the own source spoke in this life: the own list is of
-// that line, though this member was not there to see it begin.
+// adoptEpoch adopts the cluster's number of an epoch that began before the own source first sent a list: then the own
+// list is of that epoch, although this member did not see it begin.
 func (t *Table) adoptEpoch(now float64, msg *payload) {
 	began := now - float64(msg.EpochAge)
-	if t.hasVersion && msg.Version.Source == t.version.Source && msg.Version.Epoch > t.version.Epoch && t.firstLiveAt > began+1 && msg.EpochAge > 0 {
+	if t.hasVersion && msg.Version.Source == t.version.Source && msg.Version.Epoch > t.version.Epoch &&
+		t.firstLiveAt > began+1 && msg.EpochAge > 0 {
 		t.version.Epoch, t.epochStart = msg.Version.Epoch, began
 		t.epochs[t.version.Source] = max(t.epochs[t.version.Source], t.version.Epoch)
 		t.dropFacts()
@@ -156,7 +180,7 @@
 	}
 }
 
-// countNewerFacts counts the facts that are newer than the own list.
+// countNewerFacts returns the number of facts that are newer than the own list.
 func (t *Table) countNewerFacts() (n int) {
 	for _, f := range t.facts {
 		if f.Revision > t.version.Revision {
@@ -166,18 +190,19 @@
 	return n
 }
 
-// refute has others know that the own list calls a worker ready which an older version did not: it may never have held that one, and
-// has told nobody that it is lifted.
+// refute transmits that the own list calls a worker ready that a peer's older fact does not. This member may have
+// skipped the older version, and so never have transmitted the change.
 func (t *Table) refute(now float64, f Fact) {
 	own, listed := t.workers[f.Worker]
-	if before := t.facts[f.Worker]; listed && own.State == Ready && f.State != Ready && f.Revision < t.version.Revision && !t.cached && (before == nil || before.Revision < t.version.Revision) {
+	if before := t.facts[f.Worker]; listed && own.State == Ready && f.State != Ready && f.Revision < t.version.Revision &&
+		!t.cached && (before == nil || before.Revision < t.version.Revision) {
 		t.addFact(&fact{Fact: Fact{f.Worker, Ready, own.Start, t.version.Revision}, receivedAt: now})
 	}
 }
 
-// acceptFact keeps a peer's fact that is newer than what is known.
+// acceptFact stores a peer's fact that is newer than what is known. It reports whether it did.
 func (t *Table) acceptFact(now float64, from string, f Fact) bool {
-	if f.Revision <= t.version.Revision { // the own director has had its say
+	if f.Revision <= t.version.Revision { // the own list is as new
 		t.refute(now, f)
 		return false
 	}
@@ -189,7 +214,8 @@
 	return true
 }
 
-// replyPages is what is newer than a version, in pages; where they do not hold all, the next question begins further on.
+// replyPages returns all facts newer than a revision, in pages. If they do not fit, the next reply starts where this
+// one ends.
 func (t *Table) replyPages(now float64, revision int64) (pages [][]byte) {
 	t.Stats.Replies++
 	all := t.selectFacts(func(f *fact) bool { return f.Revision > revision && !f.doubted })
--- a/internal/dispatcher/cluster/versions/faults_test.go
+++ b/internal/dispatcher/cluster/versions/faults_test.go
@@ -13,7 +13,7 @@
 	"cinderroad/internal/testkit/virtualcluster"
 )
 
-// skewedTable is a Board whose clock is off: of a member whose machine's is.
+// skewedTable is a Table whose clock is off.
 type skewedTable struct {
 	*versions.Table
 	by float64
@@ -25,8 +25,8 @@
 	return s.Table.HandlePayload(now+s.by, from, ride)
 }
 
-// Clocks that are up to two seconds off: one that loses discovery is kept in its lease by its peers, whoever's clock is ahead, and
-// what each hears of the others' clocks is never less than the truth, and little more.
+// TestClockSkew has clocks be up to two seconds off: a member that loses discovery keeps its lease through its peers,
+// and the clock differences that members report are never less than the true ones, and little more.
 func TestClockSkew(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -69,8 +69,8 @@
 	}
 }
 
-// A list of 10,000 workers of which 900 drain while a hundred members of 120 are stopped: awake, all of them ask at once, are brought up
-// by many peers, and none of these has to answer for all.
+// TestManyStragglers has most members be paused while workers of a large list drain. Afterwards all of them send
+// requests at once, are answered by many peers, and none of these has to answer all.
 func TestManyStragglers(t *testing.T) {
 	n, workers, drains := 24, 2000, 300
 	if *large {
@@ -120,7 +120,7 @@
 	}
 }
 
-// Whoever is asked dies in the midst of its answer: others bring the one that asked up.
+// TestPeerDiesWhileReplying kills members in the middle of a reply: others answer.
 func TestPeerDiesWhileReplying(t *testing.T) {
 	net, tables := newTestCluster(t, 9, 5, 0)
 	var drained []versions.Entry
@@ -157,7 +157,8 @@
 	t.Logf("all of 400 known after %.1f periods, two that answered having died", took)
 }
 
-// A drain and its lifting that cross on their ways: the newer one stands, whichever comes first, everywhere.
+// TestCrossingDrainAndReady checks that of a drain and a later readiness that cross on their ways the newer one holds
+// everywhere, whichever arrives first.
 func TestCrossingDrainAndReady(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		net, tables := newTestCluster(t, seed, 8, 0.2)
@@ -185,8 +186,8 @@
 	}
 }
 
-// Two discoveries are moved between while a member is away: what it hears of the other one's versions binds it no more than its own
-// binds them, until it has moved, too.
+// TestSourceChangeWhileMemberIsPaused moves the cluster to another discovery while a member is paused: versions of the
+// two sources restrict nothing across, until the member has moved as well.
 func TestSourceChangeWhileMemberIsPaused(t *testing.T) {
 	const other = "10.0.0.8:8500"
 	net, tables := newTestCluster(t, 3, 6, 0.05)
--- a/internal/dispatcher/cluster/versions/lease.go
+++ b/internal/dispatcher/cluster/versions/lease.go
@@ -7,7 +7,8 @@
 	"cinderroad/internal/shared/membership"
 )
 
-// UpdateLease has the lease judged by what is known here and in the view, and says whether it is another than before.
+// UpdateLease computes the lease by the view and by what is known here. It reports whether the lease or its reason
+// changed.
 func (t *Table) UpdateLease(now float64, view *membership.View) (changed bool) {
 	in := lease.Input{Now: now, LastDiscovery: t.lastDiscovery}
 	for i := range view.Members {
@@ -22,7 +23,7 @@
 		switch p, known := t.peers[s.Name]; {
 		case s.Self:
 			m.LastUpdate, m.State = t.lastConfirmed, t.Lease.State()
-			if m.LastUpdate == 0 { // of an earlier life is the list, and nobody has confirmed it: as old as its taking up
+			if m.LastUpdate == 0 { // the list is cached and unconfirmed: it counts from its loading
 				m.LastUpdate = t.versionSince
 			}
 			in.Self = m
@@ -38,7 +39,8 @@
 	return t.Lease.Update(&in) != before || t.Lease.Reason != reason
 }
 
-// IssueOrder gives an order at this member. More than a third of the members are not shut out at once.
+// IssueOrder issues an order at this member: out excludes the member, else it is readmitted. At most a third of the
+// members may be out.
 func (t *Table) IssueOrder(now float64, view *membership.View, member string, out bool) error {
 	known, shut, found := 0, 1, false
 	for i := range view.Members {
--- a/internal/dispatcher/cluster/versions/lease_test.go
+++ b/internal/dispatcher/cluster/versions/lease_test.go
@@ -17,15 +17,15 @@
 	sizeSeeds = flag.Int("fleet.sizeseeds", 10, "and so many of them")
 )
 
-// leaseSimulation plays discovery and the leases of a virtual fleet on, a second at a time.
+// leaseSimulation plays discovery and the leases of a virtual cluster, a second at a time.
 type leaseSimulation struct {
 	net              *virtualcluster.Network
 	boards           map[*virtualcluster.Node]*versions.Table
-	withoutDiscovery map[*virtualcluster.Node]bool // its discovery says nothing
-	group            map[*virtualcluster.Node]int  // those of another one hear nothing of it
+	withoutDiscovery map[*virtualcluster.Node]bool // its discovery is silent
+	group            map[*virtualcluster.Node]int  // members of different groups are separated
 	maxOut           int
 	violations       []string
-	informedSince    map[*virtualcluster.Node]float64 // since when it could not but have a fresh word
+	informedSince    map[*virtualcluster.Node]float64 // time since when it must have a fresh update
 }
 
 func newLeaseSimulation(t *testing.T, seed uint64, n int, loss float64) *leaseSimulation {
@@ -65,11 +65,11 @@
 	}
 }
 
-// healTime is how long it may take until members that were cut off from each other speak again, in seconds: those held dead are
-// asked every ten periods, and may take a question's loss or two.
+// healTime is how long it may take until members that were separated reach each other again, in seconds: dead members
+// are pinged every ten probe intervals, and a ping or two may be lost.
 const healTime = 30
 
-// isInformed says whether discovery's words have a way to a member, or to nobody among some others that it reaches.
+// isInformed reports whether updates of discovery can reach a member, or cannot reach some others in its group either.
 func (sim *leaseSimulation) isInformed(node *virtualcluster.Node) bool {
 	others := 0
 	for _, o := range sim.net.Nodes {
@@ -83,8 +83,8 @@
 	return others > 1
 }
 
-// Whatever of discovery, members and ways between them is lost for a while, nobody is shut out to whom discovery's words have a way,
-// nobody who is among others of whom none has one, and never more than a third.
+// TestNobodyIsOutWrongly plays random losses of discovery, members and links. Nobody is out whom updates of discovery
+// can reach, nobody in a group that none can reach, and never more than a third.
 func TestNobodyIsOutWrongly(t *testing.T) {
 	seeds, sizes := uint64(24), []int{3, 5, 12, 30}
 	if *large {
@@ -147,7 +147,8 @@
 	t.Logf("%d fleets; %d members were out at one time or another, nobody wrongly", seeds, outs)
 }
 
-// One that loses discovery, then everybody, is out, and the rest go on; back in contact, it is in again within a few periods.
+// TestIsolatedMemberIsOutAndReturns has a member lose discovery and then all peers: it is out while the rest go on, and
+// back within a few probe intervals after contact.
 func TestIsolatedMemberIsOutAndReturns(t *testing.T) {
 	sizes := []int{5, 30}
 	if *large {
--- a/internal/dispatcher/cluster/versions/orders.go
+++ b/internal/dispatcher/cluster/versions/orders.go
@@ -10,27 +10,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Order shuts a member out or brings it back. It reaches whom it names by any member. Of two for one member the one with the higher
-// number is newer.
+// Order excludes a member or readmits it. Any member can forward it. Of two orders for one member the one with the
+// higher number is newer.
 type Order struct {
 	Member string  `cbor:"1,keyasint" json:"member"`
 	Out    bool    `cbor:"2,keyasint,omitempty" json:"out"`
 	Number uint64  `cbor:"3,keyasint" json:"n"`
-	By     string  `cbor:"4,keyasint" json:"by"` // the member at which it was given
-	At     float64 `cbor:"5,keyasint" json:"at"` // Unix time there
+	By     string  `cbor:"4,keyasint" json:"by"` // the member at which it was issued
+	At     float64 `cbor:"5,keyasint" json:"at"` // Unix time of the issue
 }
 
 const (
 	maxOrders           = 256
 	maxMemberLength     = 64
 	maxOrderNumber      = 1 << 53
-	ordersReplyInterval = 1.0 // seconds between two answers to those that hold other orders
+	ordersReplyInterval = 1.0 // seconds between replies to members that have other orders
 )
 
 // ErrTooManyOrders says that too many members have orders.
 var ErrTooManyOrders = errors.New("versions: too many members have orders")
 
-// compare orders what is told of one member; where two were given at once, shutting out is the graver.
+// compare orders the orders for one member. Of two issued at once, the exclusion is newer.
 func (o *Order) compare(other *Order) int {
 	return cmp.Or(cmp.Compare(o.Number, other.Number), compareBool(o.Out, other.Out), cmp.Compare(o.By, other.By))
 }
@@ -54,21 +54,21 @@
 
 func (o *Order) maxEncodedSize() int { return 32 + len(o.Member) + len(o.By) }
 
-// order is an Order and how often it was told.
+// order is an Order and how often it was transmitted.
 type order struct {
 	Order
 	transmits int
 }
 
-// orders are those known, by member.
+// orders are all orders known.
 type orders struct {
 	byMember    map[string]*order
-	digest      uint64
-	lastReplyAt float64 // when one that holds others was last told
-	cursor      int
+	digest      uint64  // of all orders
+	lastReplyAt float64 // time of the last reply to a member that has other orders
+	cursor      int     // position at which the next page starts
 }
 
-// addOrder gives an order at this member.
+// addOrder issues an order at this member, unless it is in force already.
 func (t *Table) addOrder(now float64, member string, exclude bool) error {
 	o := Order{Member: member, Out: exclude, Number: 1, By: t.self, At: now}
 	if before := t.orders.byMember[member]; before != nil {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// Orders are the orders known, by the member that they name.
+// Orders returns the orders known, by the member that they name.
 func (t *Table) Orders() map[string]Order {
 	all := make(map[string]Order, len(t.orders.byMember))
 	for name, o := range t.orders.byMember {
@@ -95,13 +95,13 @@
 	return all
 }
 
-// Excluded says whether a member is shut out by hand.
+// Excluded reports whether an order excludes a member.
 func (t *Table) Excluded(member string) bool {
 	o := t.orders.byMember[member]
 	return o != nil && o.Out
 }
 
-// applyOrder keeps an order that is newer than what is known; false where there is no room.
+// applyOrder stores an order that is newer than the one known. It returns false if there is no room.
 func (t *Table) applyOrder(o Order) bool {
 	before := t.orders.byMember[o.Member]
 	switch {
@@ -121,7 +121,7 @@
 	return true
 }
 
-// String is an order in words.
+// String describes the order.
 func (o *Order) String() string {
 	if o.Out {
 		return o.Member + " is shut out"
@@ -129,7 +129,7 @@
 	return o.Member + " is brought back"
 }
 
-// pendingOrders are orders that still go out by themselves, as many as have room.
+// pendingOrders returns the orders that are still to be transmitted, as many as fit, and counts the transmission.
 func (t *Table) pendingOrders(room int) (pending []Order) {
 	for _, name := range slices.Sorted(maps.Keys(t.orders.byMember)) {
 		o := t.orders.byMember[name]
@@ -145,7 +145,7 @@
 	return pending
 }
 
-// hasPendingOrders says whether an order still goes out by itself.
+// hasPendingOrders reports whether an order is still to be transmitted.
 func (t *Table) hasPendingOrders() bool {
 	for _, o := range t.orders.byMember {
 		if o.transmits < maxTransmits {
@@ -155,7 +155,7 @@
 	return false
 }
 
-// ordersPage is a page of the orders for one that holds others; the next one goes on where it ends.
+// ordersPage returns a page of the orders for a member that has other ones. The next page starts where it ends.
 func (t *Table) ordersPage(now float64) (page []Order) {
 	if now < t.orders.lastReplyAt+ordersReplyInterval || len(t.orders.byMember) == 0 {
 		return nil
--- a/internal/dispatcher/cluster/versions/payload.go
+++ b/internal/dispatcher/cluster/versions/payload.go
@@ -10,30 +10,28 @@
 	"cinderroad/internal/shared/membership"
 )
 
-// This file is what goes along with the membership's messages, and how it is read.
-
 // payload is what goes along with a member's messages.
 type payload struct {
 	Version      Version `cbor:"1,keyasint"`
-	Request      bool    `cbor:"2,keyasint,omitempty"` // what do you know that is newer than my list?
+	Request      bool    `cbor:"2,keyasint,omitempty"` // requests the facts that are newer than Version
 	Facts        []Fact  `cbor:"3,keyasint,omitempty"`
-	CompleteUpTo int64   `cbor:"4,keyasint,omitempty"` // the newest version of which I know all facts, if that is more than my list
-	EpochAge     float32 `cbor:"6,keyasint,omitempty"` // seconds since the list's line of descent began
-	FactCount    int     `cbor:"5,keyasint,omitempty"` // of an answer: so many facts are newer than your list, and one more
+	CompleteUpTo int64   `cbor:"4,keyasint,omitempty"` // newest revision of which the sender knows all facts
+	EpochAge     float32 `cbor:"6,keyasint,omitempty"` // seconds since the epoch began; 0: not known
+	FactCount    int     `cbor:"5,keyasint,omitempty"` // of a reply: number of facts in all its pages, plus one
 
-	UpdateStamp  uint64  `cbor:"7,keyasint,omitempty"` // when discovery spoke last, in tenths of a second of Unix time
-	DirectUpdate bool    `cbor:"8,keyasint,omitempty"` // the sender's own discovery has said it
+	UpdateStamp  uint64  `cbor:"7,keyasint,omitempty"` // stamp of the newest update of discovery, in tenths of a second of Unix time
+	DirectUpdate bool    `cbor:"8,keyasint,omitempty"` // the update came from the sender's own discovery
 	Orders       []Order `cbor:"10,keyasint,omitempty"`
-	Clock        float64 `cbor:"9,keyasint,omitempty"`  // the sender's, Unix time; now and then
-	OrdersDigest uint64  `cbor:"11,keyasint,omitempty"` // digest of the orders known
+	Clock        float64 `cbor:"9,keyasint,omitempty"`  // of the sender, Unix time; not in all payloads
+	OrdersDigest uint64  `cbor:"11,keyasint,omitempty"` // digest of the orders that the sender has
 }
 
-// newPayload is one without facts.
+// newPayload returns a payload without facts and orders.
 func (t *Table) newPayload(now float64) *payload {
 	return &payload{Version: t.version, CompleteUpTo: t.completeUpTo(), EpochAge: t.epochAge(now), UpdateStamp: t.updateStamp, DirectUpdate: t.directUpdate && now <= t.lastDiscovery+discoveryTimeout, OrdersDigest: t.orders.digest}
 }
 
-// fitFacts is how many of some facts have room in a ride.
+// fitFacts returns how many of the facts fit into room bytes.
 func fitFacts(facts []Fact, room int) (n int) {
 	for n < min(len(facts), maxFactsPerPayload) {
 		if room -= 24 + len(facts[n].Worker); room < 0 {
@@ -44,7 +42,7 @@
 	return n
 }
 
-// replyRoom is how many bytes of an answer facts and orders may take.
+// replyRoom returns how many bytes facts and orders may take in a page of a reply.
 func (t *Table) replyRoom() int {
 	return maxReplySize - payloadOverhead - len(t.version.Source)
 }
@@ -52,7 +50,7 @@
 func (t *Table) encodePayload(msg *payload) []byte {
 	out, err := cbor.Marshal(msg)
 	if err != nil {
-		return nil // of numbers and strings: it cannot fail
+		return nil // numbers and strings: it cannot fail
 	}
 	t.Stats.FactsSent += uint64(len(msg.Facts))
 	return out
--- a/internal/dispatcher/cluster/versions/simulation_test.go
+++ b/internal/dispatcher/cluster/versions/simulation_test.go
@@ -15,7 +15,7 @@
 
 const src = "10.0.0.9:8500"
 
-// newTestCluster is members of a virtual fleet that hold one list of some ready workers.
+// newTestCluster returns members of a virtual cluster that have one list of ready workers.
 func newTestCluster(t *testing.T, seed uint64, n int, loss float64) (*virtualcluster.Network, map[*virtualcluster.Node]*versions.Table) {
 	net := virtualcluster.New(virtualcluster.Options{Seed: seed, LossRate: loss, Delay: 0.002, Jitter: 0.01}, n)
 	tables := map[*virtualcluster.Node]*versions.Table{}
@@ -33,8 +33,9 @@
 	return net, tables
 }
 
-// A drain that one member is told of is known to all in rounds that grow with the fleet's logarithm, also at 20% loss; and
-// those who sleep or are cut off meanwhile know it as soon as they are back.
+// TestDrainReachesAllMembers checks that a drain that discovery sends to one member is known to all within a time that
+// grows with the logarithm of the cluster size, also at 20% loss, and to a member that was paused as soon as it is
+// back.
 func TestDrainReachesAllMembers(t *testing.T) {
 	sizes, seeds := []int{5, 50}, uint64(5)
 	if *large {
@@ -90,7 +91,7 @@
 	}
 }
 
-// Discovery is down for all: nobody is behind anybody, and nothing is withheld.
+// TestNothingWithheldWithoutDiscovery has discovery be down for all: nobody lags, and nothing is restricted.
 func TestNothingWithheldWithoutDiscovery(t *testing.T) {
 	net, tables := newTestCluster(t, 3, 12, 0.05)
 	net.Run(net.Now + 300)
--- a/internal/dispatcher/cluster/versions/table.go
+++ b/internal/dispatcher/cluster/versions/table.go
@@ -1,10 +1,3 @@
-// Package versions keeps who holds which version of discovery's list, and what peers know of workers that this dispatcher's own
-// list is too old to know. It is pure.
-//
-// Peers' words only ever withhold (F2). What they tell of a worker binds here where it is newer than the own list, of the same
-// source and line of descent: a worker that drains or has gone gets nothing new, and one that has started anew counts as cold. The
-// next word of the own director that is as new wins over all of it. Nothing that is heard makes a worker ready that the own
-// list does not call so, and a worker that the own list does not name stays unknown: addresses are never taken from a peer.
 package versions
 
 import (
@@ -15,27 +8,28 @@
 	"cinderroad/internal/shared/lease"
 )
 
-// Version is a version of the list. Versions of two sources, or of two lines of descent of one, do not compare.
+// Version is a version of discovery's list. Versions of different sources, or of different epochs of one source, do not
+// compare.
 type Version struct {
 	Source   string `cbor:"1,keyasint" json:"source"`
-	Epoch    uint64 `cbor:"2,keyasint,omitempty" json:"descent"` // how often its versions have gone back
+	Epoch    uint64 `cbor:"2,keyasint,omitempty" json:"descent"` // number of times that the source's revisions went back
 	Revision int64  `cbor:"3,keyasint" json:"rev"`
 }
 
-// Lag says by how many versions a list is behind another one; ok is false where they do not compare.
+// Lag returns by how many revisions a version is behind another one. ok is false if they do not compare.
 func (l Version) Lag(other Version) (by int64, ok bool) {
 	return other.Revision - l.Revision, l.Source == other.Source && l.Epoch == other.Epoch
 }
 
-// Peer is what another member holds.
+// Peer is what another member has, by its payloads. Times are on this member's clock.
 type Peer struct {
 	Version      Version
-	VersionSince float64 // when it came to hold the list, as seen from here
-	LastUpdate   float64 // when it last told a new word of discovery; 0: never
-	DirectUpdate bool    // which was its own discovery's
+	VersionSince float64 // time when it first sent this version
+	LastUpdate   float64 // time when it last sent a new update of discovery; 0: never
+	DirectUpdate bool    // the update came from its own discovery
 
-	updateStamp            uint64  // its number
-	clockLead, clockLeadAt float64 // of the own clock before its, by the quickest message; when that was heard
+	updateStamp            uint64  // stamp of LastUpdate
+	clockLead, clockLeadAt float64 // seconds that the own clock is ahead of its at most, by the quickest message; time of that message
 }
 
 const (
@@ -46,77 +40,84 @@
 	maxWorkerLength    = 256
 	maxRevision        = 1 << 53
 
-	maxTransmits        = 12   // that a fact goes out by itself: more than a fleet's logarithm
-	payloadOverhead     = 130  // bytes of a ride without facts, orders and names
-	maxReplySize        = 1090 // of an answer to one that asks
-	maxReplyPages       = 4    // of them for one question
-	requestInterval     = 1.0  // seconds between two questions of one that is behind
-	sameZoneGrace       = 1.0  // seconds for which it waits for a member of its own zone to tell of more, before it asks any
-	replyWindow         = 1.0  // seconds in which one answers so many questions at most: who gets no answer asks another
+	maxTransmits        = 12   // transmissions of a fact without a request: more than the logarithm of the cluster size
+	payloadOverhead     = 130  // bytes of a payload without facts, orders and names
+	maxReplySize        = 1090 // bytes of a page of a reply
+	maxReplyPages       = 4    // pages of a reply
+	requestInterval     = 1.0  // seconds between requests of a member that lags
+	sameZoneGrace       = 1.0  // seconds for which it waits for a member of its own zone that knows more
+	replyWindow         = 1.0  // seconds in which maxRepliesPerWindow requests are answered; whoever gets no reply asks another member
 	maxRepliesPerWindow = 8
-	expiredAge          = 1e6  // seconds by which all words are old to one that slept
-	discoveryTimeout    = 5.0  // seconds without a word of the director after which it counts as silent
-	confirmTimeout      = 30.0 // seconds for which a director that speaks may lag behind what peers tell; then that is no version of its
+	expiredAge          = 1e6  // seconds by which ExpireUpdates dates the last update back
+	discoveryTimeout    = 5.0  // seconds without contact after which discovery counts as silent
+	confirmTimeout      = 30.0 // seconds for which a live discovery may lag behind a peer's fact before the fact is doubted
 	factTTL             = 3600 // seconds
 )
 
-// Table is one member's.
+// Table is one member's table. The function fields may be replaced before use; all are called synchronously and must
+// not call the Table.
 type Table struct {
-	OnChange    func() // what is withheld may have changed
-	OnPeerState func() // a peer has told what it knows: nothing that is newer than the own list, or facts
+	OnChange    func() // Restrictions has changed
+	OnPeerState func() // a peer sent facts, or has none that are newer than what is known here
 	Log         func(line string)
-	// OnOrder hears each order that is new here.
+	// OnOrder is called for each order that is new here.
 	OnOrder  func(o Order)
-	SameZone func(member string) bool    // is of the own zone
-	OnEvent  func(now float64, n *Event) // hears what is taken up
-	Lease    *lease.Lease                // the own
+	SameZone func(member string) bool    // reports whether a member is in the own zone
+	OnEvent  func(now float64, n *Event) // called for each event, for the audit log
+	Lease    *lease.Lease                // of this member
 
 	self               string
 	version            Version
-	versionSince       float64 // since when it has it
+	versionSince       float64 // time when the own list got this version
 	hasVersion         bool
-	workers            map[string]Entry // by the own list
-	facts              map[string]*fact
+	workers            map[string]Entry // by name, as the own list has them
+	facts              map[string]*fact // by worker
 	peers              map[string]Peer
-	epochs             map[string]uint64 // the latest that was heard of, by source
+	epochs             map[string]uint64 // latest epoch known, by source
 	restrictions       map[string]Restriction
 	nextRequestAt      float64
-	cached             bool    // the own list is of an earlier life: nobody has told it in this one
-	firstLiveAt        float64 // when the own source first told a list in this life
-	epochStart         float64 // when the line of descent began; 0 is not known
+	cached             bool    // the own list was read from disk: discovery has not sent it since the start
+	firstLiveAt        float64 // time when the own source first sent a list since the start
+	epochStart         float64 // time when the epoch began; 0: not known
 	caughtUpAt         float64
-	caughtUpTo         int64   // the version up to which a peer has told all that it knows
-	lastDiscovery      float64 // the own director
-	discoveryLiveSince float64 // since when it has been speaking without a gap
-	replyCursor        int
-	pendingFacts       int     // facts that still go out by themselves
-	lastConfirmed      float64 // when a word of discovery last confirmed all that is known here
-	updateStamp        uint64  // the newest
-	directUpdate       bool    // the own discovery has said so
+	caughtUpTo         int64   // revision up to which a peer has sent all facts that it knows
+	lastDiscovery      float64 // time of the last contact with the own discovery
+	discoveryLiveSince float64 // time since when the contact has had no gap of discoveryTimeout
+	replyCursor        int     // position at which the next reply starts
+	pendingFacts       int     // facts that are still to be transmitted without a request, or more
+	lastConfirmed      float64 // time when an update of discovery last confirmed all that is known here
+	updateStamp        uint64  // stamp of the newest update known
+	directUpdate       bool    // the own discovery confirms all that is known here
 	orders             orders
-	clockSentAt        float64 // when the own clock was last told
-	newestKnown        int64   // version of the own line that was noted as newer
-	newerSince         float64 // since when one is known
-	replyWindowStart   float64 // when the time began for which answers are counted
+	clockSentAt        float64 // time when the own clock was last sent
+	newestKnown        int64   // newest revision of the own epoch that a peer has announced
+	newerSince         float64 // time since when a newer revision is known
+	replyWindowStart   float64 // start of the current window of replies
 	repliesInWindow    int
-	discoverySilent    bool // that the own discovery is silent was noted
+	discoverySilent    bool // DiscoverySilent was reported
 	Stats              Stats
 }
 
-// Stats are what a Board has counted.
-type Stats struct{ FactsSent, FactsAccepted, Malformed, Requests, Replies, Doubted uint64 }
+// Stats count events since the table was created.
+type Stats struct {
+	FactsSent, FactsAccepted uint64
+	Malformed                uint64 // payloads that were rejected
+	Requests, Replies        uint64 // for the facts that a member lacks
+	Doubted                  uint64 // facts of peers that the own discovery did not confirm
+}
 
-// New makes a Board.
+// New returns an empty table of the member with the given name.
 func New(self string) *Table {
-	return &Table{OnChange: func() {}, OnPeerState: func() {}, Log: func(string) {}, OnOrder: func(Order) {}, OnEvent: func(float64, *Event) {}, SameZone: func(string) bool { return true }, self: self, workers: map[string]Entry{},
+	return &Table{OnChange: func() {}, OnPeerState: func() {}, Log: func(string) {}, OnOrder: func(Order) {},
+		OnEvent: func(float64, *Event) {}, SameZone: func(string) bool { return true }, self: self, workers: map[string]Entry{},
 		facts: map[string]*fact{}, peers: map[string]Peer{}, epochs: map[string]uint64{}, restrictions: map[string]Restriction{},
 		Lease: &lease.Lease{ProbeInterval: 1, Term: lease.Term(discoveryTimeout, 1)}, orders: orders{byMember: map[string]*order{}}}
 }
 
-// Version is the version that the own list has; false before there is one.
+// Version returns the version of the own list; false if there is none yet.
 func (t *Table) Version() (Version, bool) { return t.version, t.hasVersion }
 
-// MaxLag is by how many versions the own list is behind the newest that somebody says it has.
+// MaxLag returns by how many revisions the own list is behind the newest that a peer has.
 func (t *Table) MaxLag() (most int64) {
 	for _, p := range t.peers {
 		if by, ok := t.version.Lag(p.Version); ok {
@@ -126,10 +127,10 @@
 	return most
 }
 
-// VersionSince is when the own list came to have its version.
+// VersionSince returns when the own list got its version.
 func (t *Table) VersionSince() float64 { return t.versionSince }
 
-// NotReady are the workers that the own list names and does not call ready.
+// NotReady returns the workers of the own list that are not ready.
 func (t *Table) NotReady() (all []Fact) {
 	for _, name := range slices.Sorted(maps.Keys(t.workers)) {
 		if e := t.workers[name]; e.State != Ready {
@@ -139,13 +140,13 @@
 	return all
 }
 
-// Peers are what the others hold, by name.
+// Peers returns what other members have, by name. The caller must not change it.
 func (t *Table) Peers() map[string]Peer { return t.peers }
 
-// Restrictions is what is withheld here on peers' words, by worker. It is not to be changed.
+// Restrictions returns the restrictions on workers because of peers' facts, by worker. The caller must not change it.
 func (t *Table) Restrictions() map[string]Restriction { return t.restrictions }
 
-// HandleDiscoveryContact tells that the own director has said something, if only that nothing has changed.
+// HandleDiscoveryContact records that the own discovery replied, if only that nothing has changed.
 func (t *Table) HandleDiscoveryContact(now float64) {
 	if now > t.lastDiscovery+discoveryTimeout {
 		t.discoveryLiveSince = now
@@ -158,18 +159,18 @@
 	t.confirmByDiscovery(now)
 }
 
-// ApplyList takes a version of the own list: the entries that it changes, with those that it no longer names as gone. One that is cached
-// is of an earlier life.
+// ApplyList applies a version of the own list: the entries that changed, with State Gone for those that are no longer
+// in it. cached says that the list was read from disk.
 func (t *Table) ApplyList(now float64, source string, revision int64, cached bool, entries []Entry) {
 	switch {
 	case !t.hasVersion || source != t.version.Source:
 		t.version = Version{Source: source, Epoch: t.epochs[source], Revision: revision}
 		t.firstLiveAt, t.epochStart = 0, 0
 		t.dropFacts()
-	case revision < t.version.Revision && t.cached: // of an earlier life, perhaps of an earlier line: it says nothing
+	case revision < t.version.Revision && t.cached: // the cached list may be of an earlier epoch: it tells nothing
 		t.version.Revision = revision
 		t.dropFacts()
-	case revision < t.version.Revision: // a new line of descent: others may have met it before
+	case revision < t.version.Revision: // a new epoch, which others may know already
 		t.version.Epoch = max(t.version.Epoch+1, t.epochs[source])
 		t.version.Revision = revision
 		t.epochStart = now
@@ -195,11 +196,12 @@
 			t.workers[e.Worker] = e
 		}
 		f := t.facts[e.Worker]
-		isNews := e.State != Ready && (!known || before.State != e.State) || e.State == Ready && (known && (before.State != Ready || before.Start != e.Start) || f != nil)
+		isNews := e.State != Ready && (!known || before.State != e.State) ||
+			e.State == Ready && (known && (before.State != Ready || before.Start != e.Start) || f != nil)
 		if isNews {
 			changed = append(changed, Fact{e.Worker, e.State, e.Start, revision})
 		}
-		if f != nil && f.Revision > revision { // a peer's word is newer: nothing is ready meanwhile that it calls draining
+		if f != nil && f.Revision > revision { // a peer's fact is newer: the worker stays restricted meanwhile
 			continue
 		}
 		if isNews && !cached {
@@ -210,17 +212,17 @@
 	t.updateRestrictions()
 }
 
-// completeUpTo is the newest version of which all facts are known here.
+// completeUpTo returns the newest revision of which all facts are known here.
 func (t *Table) completeUpTo() int64 { return max(t.version.Revision, t.caughtUpTo) }
 
-// dropFacts drops what compares with the own list no longer.
+// dropFacts drops all that no longer compares with the own list.
 func (t *Table) dropFacts() {
 	t.caughtUpTo, t.newestKnown = 0, 0
 	clear(t.facts)
 	t.pendingFacts = 0
 }
 
-// addFact keeps a fact in place of an older one; with no room the oldest goes.
+// addFact replaces a worker's fact. If there is no room the oldest fact is dropped, which may be this one.
 func (t *Table) addFact(f *fact) {
 	if t.facts[f.Worker] == nil && len(t.facts) >= maxFacts {
 		var oldest *fact
@@ -238,9 +240,9 @@
 	t.pendingFacts++
 }
 
-// Tick drops what is old, and doubts what a director that speaks does not confirm.
+// Tick drops what has expired, and doubts facts that a live discovery has not confirmed in time.
 func (t *Table) Tick(now float64) {
-	if t.caughtUpTo > t.version.Revision && now > t.caughtUpAt+confirmTimeout { // it may have been said by one that knows nothing: ask again
+	if t.caughtUpTo > t.version.Revision && now > t.caughtUpAt+confirmTimeout { // the claim may have been false: request again
 		t.caughtUpTo = 0
 	}
 	t.checkDiscovery(now)
@@ -251,11 +253,13 @@
 		switch {
 		case now > f.receivedAt+factTTL && f.Revision <= t.version.Revision:
 			delete(t.facts, name)
-		case live && !f.doubted && f.from != "" && f.Revision > t.version.Revision && f.Revision > issued && now > max(f.receivedAt, t.discoveryLiveSince)+confirmTimeout:
+		case live && !f.doubted && f.from != "" && f.Revision > t.version.Revision && f.Revision > issued &&
+			now > max(f.receivedAt, t.discoveryLiveSince)+confirmTimeout:
 			f.doubted, changed = true, true
 			t.Stats.Doubted++
 			t.OnEvent(now, &Event{Kind: FactDoubted, From: f.from, Version: t.version, Facts: []Fact{f.Fact}})
-			t.Log(fmt.Sprintf("%s told that %s is %s at version %d, which discovery has not told for %.0f s: taken back", f.from, name, f.State, f.Revision, confirmTimeout))
+			t.Log(fmt.Sprintf("%s told that %s is %s at version %d, which discovery has not told for %.0f s: taken back",
+				f.from, name, f.State, f.Revision, confirmTimeout))
 		}
 	}
 	if changed {
@@ -263,7 +267,7 @@
 	}
 }
 
-// updateRestrictions works out what is withheld.
+// updateRestrictions computes the restrictions.
 func (t *Table) updateRestrictions() {
 	held := map[string]Restriction{}
 	for name, f := range t.facts {
--- a/internal/dispatcher/cluster/versions/table_test.go
+++ b/internal/dispatcher/cluster/versions/table_test.go
@@ -18,14 +18,14 @@
 	return all
 }
 
-// newTestTable is a member that holds a list of ready workers at a version.
+// newTestTable returns the table of a member that has a list of ready workers.
 func newTestTable(me string, rev int64, workers ...string) *Table {
 	table := New(me)
 	table.ApplyList(10, src, rev, false, entries(Ready, workers...))
 	return table
 }
 
-// exchange has b hear what a has to tell along with a message, and a what b answers, until nobody answers any more.
+// exchange delivers a's payload to b, and all replies, until there are none.
 func exchange(now float64, a, table *Table) {
 	payload := a.Payload(now, 300)
 	if payload == nil {
@@ -63,8 +63,9 @@
 	}
 }
 
-// A drain that one was told of binds another whose list is older, until its own director speaks; its lifting lifts it, and a
-// worker that the own list does not name stays unknown.
+// TestPeerDrainRestricts checks that a drain sent to one member restricts another whose list is older, until its own
+// discovery has sent it; that a later readiness lifts it; and that a worker that the own list does not name stays
+// unknown.
 func TestPeerDrainRestricts(t *testing.T) {
 	a, table := newTestTable("a", 5, "x", "y"), newTestTable("b", 5, "x", "y")
 	a.ApplyList(20, src, 6, false, append(entries(Draining, "x"), entries(Ready, "new")...))
@@ -89,8 +90,8 @@
 	}
 }
 
-// The own director's newer word wins over any peer's, an older one does not: what a peer knows stays withheld until the own
-// director is as far.
+// TestOwnDiscoveryOverrides checks that a newer list of the own discovery overrides all facts of peers, and an older
+// one does not.
 func TestOwnDiscoveryOverrides(t *testing.T) {
 	a, table := newTestTable("a", 5, "x", "y"), newTestTable("b", 5, "x", "y")
 	a.ApplyList(20, src, 8, false, entries(Draining, "x"))
@@ -104,7 +105,7 @@
 	expectRestrictions(t, "newer", table)
 }
 
-// A worker that left and came back with a new start is cold to one that slept meanwhile.
+// TestNewStartOfWorker checks that a worker that left and returned with a new start is cold to a member that missed it.
 func TestNewStartOfWorker(t *testing.T) {
 	a, table := newTestTable("a", 5, "x"), newTestTable("b", 5, "x")
 	a.ApplyList(20, src, 6, false, entries(Gone, "x"))
@@ -113,7 +114,7 @@
 	expectRestrictions(t, "a new start", table, "x ready 77000")
 }
 
-// Versions of two sources and of two lines of descent do not compare: neither binds the other.
+// TestIncomparableVersions checks that versions of two sources, or of two epochs, restrict nothing across.
 func TestIncomparableVersions(t *testing.T) {
 	a, table := newTestTable("a", 5, "x"), newTestTable("b", 5, "x")
 	a.ApplyList(20, "10.0.0.8:8500", 90, false, entries(Draining, "x"))
@@ -136,8 +137,8 @@
 	expectRestrictions(t, "the same line of descent", table, "x draining 0")
 }
 
-// One that begins after discovery was restarted takes the fleet's number for the line of descent; one whose list is older than the
-// line does not. A list of an earlier life says nothing of a line.
+// TestLateStarterAdoptsEpoch checks that a member that starts after discovery was restarted adopts the cluster's number
+// of the epoch, and one whose list is older does not. A cached list tells nothing of an epoch.
 func TestLateStarterAdoptsEpoch(t *testing.T) {
 	a := newTestTable("a", 50, "x")
 	a.ApplyList(20, src, 3, false, nil)
@@ -154,8 +155,8 @@
 	expectRestrictions(t, "of the line before", before)
 }
 
-// One that comes late to a page of news asks for what it lacks, again and again, until it has all of it, though news of it
-// goes out by itself no more.
+// TestLaggingMemberCatchesUp checks that a member requests what it lacks until it has all, although the facts are no
+// longer transmitted without a request.
 func TestLaggingMemberCatchesUp(t *testing.T) {
 	var workers []string
 	for i := range 200 {
@@ -179,7 +180,8 @@
 	}
 }
 
-// A version that nobody issued: where the own director speaks it is doubted after a while; where it is silent it withholds.
+// TestForgedVersionIsDoubted sends facts of a version that discovery never issued: they are doubted after a while if
+// the own discovery is live, and restrict if it is silent.
 func TestForgedVersionIsDoubted(t *testing.T) {
 	table := newTestTable("b", 5, "x", "y")
 	liar := newTestTable("liar", 5, "x", "y")
@@ -204,7 +206,7 @@
 	expectRestrictions(t, "the own director is silent", c, "x draining 0")
 }
 
-// One that says it knows all of a version nobody issued does not keep another from asking for good.
+// TestForgedCompletenessExpires checks that a false claim to know all facts does not stop requests for good.
 func TestForgedCompletenessExpires(t *testing.T) {
 	a, table := newTestTable("a", 5, "x"), newTestTable("b", 5, "x")
 	table.HandlePayload(20, "liar", table.encodePayload(&payload{Version: Version{src, 0, 5}, CompleteUpTo: 1 << 40, FactCount: 1}))
@@ -219,8 +221,8 @@
 	expectRestrictions(t, "asked in the end", table, "x draining 0")
 }
 
-// F2, whatever comes: only what the own list names and calls more than the fact is withheld, only by newer versions of its own
-// line, and nothing grows without bounds.
+// TestArbitraryPayloads plays random lists and payloads: only workers of the own list are restricted, only by newer
+// versions of its own epoch, and all state is bounded.
 func TestArbitraryPayloads(t *testing.T) {
 	names := []string{"u", "v", "w", "x", "y", "z"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -268,7 +270,7 @@
 	})
 }
 
-// Nothing that comes by the network ends the reader.
+// FuzzHandlePayload checks that no payload causes a panic or a malformed reply.
 func FuzzHandlePayload(f *testing.F) {
 	a := newTestTable("a", 5, "x")
 	a.ApplyList(20, src, 6, false, entries(Draining, "x"))
@@ -286,7 +288,7 @@
 	})
 }
 
-// Facts beyond the bound give way to newer ones.
+// TestFactsAreBounded checks that facts beyond the bound replace older ones.
 func TestFactsAreBounded(t *testing.T) {
 	table := newTestTable("b", 5)
 	for i := range 3 * maxFacts {
@@ -297,8 +299,8 @@
 	}
 }
 
-// One that is behind waits a moment for a member of its zone to tell of more, then asks any; one that has slept asks the first. Who is
-// asked by many answers some, and the rest ask others.
+// TestRequestTargets checks that a lagging member waits a moment for a member of its zone, then sends its request to
+// any; that one that was paused does not wait; and that a member answers a bounded number of requests.
 func TestRequestTargets(t *testing.T) {
 	ahead := &payload{Version: Version{src, 0, 9}, CompleteUpTo: 9}
 	asks := func(table *Table, now float64, from string) bool {
