--- a/internal/shared/eventloop/backpressure_test.go
+++ b/internal/shared/eventloop/backpressure_test.go
@@ -69,15 +69,15 @@
 	if err := loop.Run(); err != nil {
 		t.Fatal(err)
 	}
-	if d.drained != 1 || reader.got != size || reader.wrong {
-		t.Errorf("drained %d times, %d bytes read, spoilt %v", d.drained, reader.got, reader.wrong)
+	if d.drained != 1 || reader.got != size || reader.corrupted {
+		t.Errorf("drained %d times, %d bytes read, corrupted %v", d.drained, reader.got, reader.corrupted)
 	}
 }
 
 // partialReader leaves a few bytes unconsumed, which it gets again with the next ones.
 type partialReader struct {
 	want, got int
-	wrong     bool
+	corrupted bool
 	done      func()
 }
 
@@ -85,7 +85,7 @@
 func (k *partialReader) Closed(*Conn, error) {}
 func (k *partialReader) Data(c *Conn) {
 	b := c.Bytes()
-	k.wrong = k.wrong || strings.Trim(string(b), "x") != ""
+	k.corrupted = k.corrupted || strings.Trim(string(b), "x") != ""
 	n := max(0, len(b)-3)
 	if k.got+len(b) == k.want {
 		n = len(b)
--- a/internal/shared/eventloop/loop_test.go
+++ b/internal/shared/eventloop/loop_test.go
@@ -74,7 +74,7 @@
 			calling := true
 			l.ConnectUnix("/nobody/here", recordingHandler{&heard, "absent", func(string, *Conn) {
 				if calling {
-					t.Error("told of the failure within the call")
+					t.Error("the failure is reported within the call")
 				}
 				l.Stop()
 			}})
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff([]string{"second closed", "first opened", "third closed", "server data a"}, heard); diff != "" {
-		t.Errorf("heard (-want +got):\n%s", diff)
+		t.Errorf("events (-want +got):\n%s", diff)
 	}
 }
 
@@ -178,21 +178,21 @@
 	if err := unix.SetsockoptInt(pair[1], unix.SOL_SOCKET, unix.SO_SNDBUF, 4*words); err != nil {
 		t.Fatal(err)
 	}
-	said := 0
-	for said < words {
+	sent := 0
+	for sent < words {
 		n, err := unix.SendmsgN(pair[1], make([]byte, 4<<10), nil, nil, unix.MSG_DONTWAIT)
 		if err != nil {
 			break // the kernel's buffers are full
 		}
-		said += n
+		sent += n
 	}
 	unix.Close(pair[1])
 	loop.Defer(func() { conn.Write([]byte("too late")) })
 	if err := loop.Run(); err != nil {
 		t.Fatal(err)
 	}
-	if h.got != said || h.closed == nil {
-		t.Errorf("%d of %d bytes heard, closed by %v", h.got, said, h.closed)
+	if h.got != sent || h.closed == nil {
+		t.Errorf("%d of %d bytes received, closed by %v", h.got, sent, h.closed)
 	}
 }
 
@@ -228,7 +228,7 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("held up")
+		t.Fatal("the loop is blocked")
 	}
 }
 
--- a/internal/shared/eventloop/udp_socket_test.go
+++ b/internal/shared/eventloop/udp_socket_test.go
@@ -25,11 +25,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b, err = loop.ListenUDP(any, func([]byte) { t.Error("nobody sent it") }); err != nil {
+	if b, err = loop.ListenUDP(any, func([]byte) { t.Error("unexpected datagram") }); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := loop.ListenUDP(a.Addr(), func([]byte) {}); !errors.Is(err, unix.EADDRINUSE) {
-		t.Errorf("an address that is taken: %v", err)
+		t.Errorf("an address in use: %v", err)
 	}
 	loop.Defer(func() {
 		for _, n := range []int{0, 100, 5000, 7} { // nobody receives the last one
@@ -42,9 +42,9 @@
 		t.Fatal(err)
 	}
 	if len(got) != 3 || got[0] != 0 || got[1] != 100 || got[2] != maxDatagramBytes {
-		t.Errorf("took datagrams of %v bytes", got)
+		t.Errorf("received datagrams of %v bytes", got)
 	}
 	if loop.OpenSockets() != 0 {
-		t.Errorf("%d sockets count as clients'", loop.OpenSockets())
+		t.Errorf("%d sockets count toward the limit", loop.OpenSockets())
 	}
 }
--- a/internal/system/proxy/agentclient/client_test.go
+++ b/internal/system/proxy/agentclient/client_test.go
@@ -73,7 +73,7 @@
 	case v := <-channel:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("timeout")
 	}
 	panic("unreachable")
 }
@@ -122,7 +122,7 @@
 	address, stop := agent.serve("127.0.0.1:0")
 	_, updates, _ := startClient(t, address)
 	if request := receive(t, agent.requests); len(request.Positions) != 3 || request.Positions[0].Index != 0 || request.Node != "n" {
-		t.Errorf("first asked with %+v", request)
+		t.Errorf("first request is %+v", request)
 	}
 	runner := discovery.Runner{ID: "i", Service: "s", Address: netip.MustParseAddrPort("10.0.0.1:80"), Zone: "z",
 		Capacity: 4, SlowStartRemaining: 5 * time.Second}
@@ -136,14 +136,14 @@
 	update := receive(t, updates)
 	if update.Version != 7 || len(update.Routes) != 2 || len(*update.Services) != 1 || !(*update.EvacuatedZones)["z9"] || update.Complete ||
 		update.ProxyCount != 3 || update.Peers == nil || len(*update.Peers) != 1 || (*update.Peers)[0].Node != "p" {
-		t.Errorf("snapshot came as %+v", update)
+		t.Errorf("snapshot arrived as %+v", update)
 	}
 	if runner := (*update.Runners)[0]; runner.ID != "i" || !runner.TerminatesAt.IsZero() || time.Until(runner.SlowStartUntil) > 4*time.Second ||
 		time.Until(runner.SlowStartUntil) < -testTimeout {
-		t.Errorf("runner came as %+v", runner)
+		t.Errorf("runner arrived as %+v", runner)
 	}
 	if request := receive(t, agent.requests); request.Positions[0].Index != 10 || request.Positions[1].Index != 4 || request.Peers != 5 {
-		t.Errorf("then asked with %+v", request)
+		t.Errorf("next request is %+v", request)
 	}
 	agent.replies <- &feed.FollowReply{Batches: []feed.Batch{
 		{Partition: 0, From: 10, To: 12, Items: []feed.Item{versionItem("8", 12), {Key: feed.KeyPrefixRoute + "a", Index: 11,
@@ -153,7 +153,7 @@
 	update = receive(t, updates)
 	if update.Version != 8 || len(update.Routes) != 0 || len(update.RemovedRoutes) != 1 || update.RemovedRoutes[0] != "a" || update.Services != nil ||
 		update.Runners != nil || !update.Complete {
-		t.Errorf("delta came as %+v", update)
+		t.Errorf("delta arrived as %+v", update)
 	}
 	receive(t, agent.requests)
 	stop()
@@ -161,10 +161,10 @@
 		{Partition: 0, Snapshot: true, To: 11, Items: []feed.Item{versionItem("7", 9), routeItem("a", "s", 5)}}}}
 	agent.serve(address.String())
 	if request := receive(t, agent.requests); request.Positions[0].Index != 12 {
-		t.Errorf("asked the agent's next life with %+v", request)
+		t.Errorf("request to the restarted agent is %+v", request)
 	}
 	if update = receive(t, updates); update.Version != 8 || len(update.Routes) != 0 {
-		t.Errorf("an older state came as %+v", update)
+		t.Errorf("an older state arrived as %+v", update)
 	}
 }
 
@@ -178,7 +178,7 @@
 		t.Errorf("first report is %+v", report)
 	}
 	if got := receive(t, recalled); string(got) != "ceilings" {
-		t.Errorf("recalled %q", got)
+		t.Errorf("restored %q", got)
 	}
 	link.Report(feed.ProxyReport{Ready: true, Front: "10.0.0.1:80", Learnt: []byte("more")})
 	for report := receive(t, agent.reports); ; report = receive(t, agent.reports) {
--- a/internal/system/proxy/chaos_test.go
+++ b/internal/system/proxy/chaos_test.go
@@ -33,13 +33,13 @@
 	}
 	for _, id := range log.rejected {
 		if log.count[id] > 0 {
-			t.Errorf("%s was promised not to run and ran %d times", id, log.count[id])
+			t.Errorf("%s was rejected and ran %d times", id, log.count[id])
 		}
 	}
 	if log.served == 0 || len(log.rejected) == 0 {
-		t.Errorf("%d served, %d refused: nothing was shown", log.served, len(log.rejected))
+		t.Errorf("%d served, %d rejected: the test shows nothing", log.served, len(log.rejected))
 	}
-	t.Logf("%d served, %d refused", log.served, len(log.rejected))
+	t.Logf("%d served, %d rejected", log.served, len(log.rejected))
 }
 
 func (log *executionLog) add(id string) {
@@ -180,7 +180,7 @@
 				})
 			}
 			all.Wait()
-			h.waitFor("nothing is held", func() bool {
+			h.waitFor("all resources released", func() bool {
 				return h.proxy.openExchanges == 0 && h.proxy.bufferedBodyBytes == 0 && h.proxy.sessions.count == 0
 			})
 			ran.check(t)
--- a/internal/system/proxy/control_state_test.go
+++ b/internal/system/proxy/control_state_test.go
@@ -64,14 +64,14 @@
 		h.proxy.ApplyUpdate(agentclient.Update{Version: 4, Runners: &none})
 		h.proxy.RestoreSnapshot([]byte("learnt before"))
 		if string(h.placer.restored) != "learnt before" {
-			t.Errorf("recalled %q", h.placer.restored)
+			t.Errorf("restored %q", h.placer.restored)
 		}
 	})
 	upstream.readToClose() // idle connections to a runner that is no longer listed are closed
 	h.onLoop(func() {
 		h.proxy.Stop()
 		if last := agent.last(); last.Ready || !last.Stopping || string(last.Learnt) != "learnt" {
-			t.Errorf("when stopping the agent hears %+v", last)
+			t.Errorf("during shutdown the agent gets %+v", last)
 		}
 	})
 }
--- a/internal/system/proxy/event_stream_test.go
+++ b/internal/system/proxy/event_stream_test.go
@@ -31,8 +31,8 @@
 		{"versions first", "", "versions: 3\nid: 1\ndata: x\n\n", false, "versions: 3\nid: 1\ndata: x\n\n", "", "1", 1, true},
 		{"comments", "", ": hello\n\n" + eventText(1) + "\n", false, ": hello\n\n" + eventText(1) + "\n", "", "1", 3, true},
 		{"events without ids", "", eventText(1) + "data: x\n\n", false, eventText(1) + "data: x\n\n", "", "1", 2, false},
-		{"an id that is none", "", "id: a\x01b\ndata: x\n\n", false, "id: a\x01b\ndata: x\n\n", "", "a\x01b", 1, false},
-		{"first runner after a client's cut", "7", eventText(7) + eventText(8), false, eventText(7) + eventText(8), "", "8", 2, true},
+		{"invalid id", "", "id: a\x01b\ndata: x\n\n", false, "id: a\x01b\ndata: x\n\n", "", "a\x01b", 1, false},
+		{"first runner, client resumes", "7", eventText(7) + eventText(8), false, eventText(7) + eventText(8), "", "8", 2, true},
 		{"duplicates of a second runner", "7", eventText(6) + eventText(7) + eventText(8), true, eventText(8), "", "8", 1, true},
 		{"more digits", "9", eventText(9) + eventText(10), true, eventText(10), "", "10", 1, true},
 		{"ids that are no numbers", "a", "id: a\ndata: x\n\nid: b\ndata: y\n\n", true, "id: b\ndata: y\n\n", "", "b", 1,
@@ -47,7 +47,7 @@
 			out, events := pushAll(&r, tc.in, size)
 			if out != tc.out || string(r.remainder()) != tc.rest || r.lastID != tc.lastID || events != tc.events ||
 				r.canResume() != tc.mayRestart {
-				t.Errorf("%s by %d: %q, rest %q, last id %q, %d events, may restart %v", tc.name, size, out, r.remainder(), r.lastID,
+				t.Errorf("%s by %d: %q, rest %q, last id %q, %d events, can resume %v", tc.name, size, out, r.remainder(), r.lastID,
 					events, r.canResume())
 			}
 		}
@@ -61,7 +61,7 @@
 	in := eventText(1) + "data: " + strings.Repeat("x", maxEventBytes+8192) + "\n\n" + eventText(2)
 	out, _ := pushAll(&r, in, 4096)
 	if out+string(r.remainder()) != in || r.canResume() {
-		t.Errorf("got %d of %d bytes, may restart %v", len(out), len(in), r.canResume())
+		t.Errorf("got %d of %d bytes, can resume %v", len(out), len(in), r.canResume())
 	}
 }
 
@@ -79,7 +79,7 @@
 		parts, counted := pushAll(&cut, string(in), int(size)+1)
 		if string(all) != parts || string(whole.remainder()) != string(cut.remainder()) || whole.lastID != cut.lastID ||
 			events != counted {
-			t.Fatalf("whole %q rest %q, cut %q rest %q", all, whole.remainder(), parts, cut.remainder())
+			t.Fatalf("in one piece %q rest %q, split %q rest %q", all, whole.remainder(), parts, cut.remainder())
 		}
 		if !again && string(all)+string(whole.remainder()) != string(in) {
 			t.Fatalf("%q came out of %q", string(all)+string(whole.remainder()), in)
--- a/internal/system/proxy/harness_test.go
+++ b/internal/system/proxy/harness_test.go
@@ -72,7 +72,7 @@
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
-		h.t.Fatal("the loop does not answer")
+		h.t.Fatal("the loop does not respond")
 	}
 }
 
@@ -86,7 +86,7 @@
 			return
 		}
 	}
-	h.t.Fatal("never came: " + what)
+	h.t.Fatal("timeout waiting for: " + what)
 }
 
 // startRunners starts scripted runners and announces them to the proxy; the fake placer prefers them in this order.
--- a/internal/system/proxy/idle_timeout_test.go
+++ b/internal/system/proxy/idle_timeout_test.go
@@ -12,13 +12,13 @@
 		ends []float64
 		want float64
 	}{
-		{"nothing seen", nil, 1},
-		{"one long rest is not trusted yet", []float64{10}, 1},
-		{"one short rest is", []float64{0.5}, 0.4},
+		{"no observations", nil, 1},
+		{"one long idle time is not trusted yet", []float64{10}, 1},
+		{"one short idle time is", []float64{0.5}, 0.4},
 		{"several", []float64{10, 10.1, 10}, 8},
-		{"a crash among them", []float64{10, 10, 0.1, 10, 10}, 8},
-		{"never below the least", []float64{0.01, 0.01, 0.01, 0.01}, 0.2},
-		{"the latest count", []float64{10, 10, 10, 2, 2, 2, 2, 2, 2, 2, 2}, 1.6},
+		{"one close by a crash", []float64{10, 10, 0.1, 10, 10}, 8},
+		{"never below the minimum", []float64{0.01, 0.01, 0.01, 0.01}, 0.2},
+		{"only the latest count", []float64{10, 10, 10, 2, 2, 2, 2, 2, 2, 2, 2}, 1.6},
 	} {
 		var b idleTimeoutEstimator
 		for _, end := range tc.ends {
--- a/internal/system/proxy/notice_test.go
+++ b/internal/system/proxy/notice_test.go
@@ -11,7 +11,7 @@
 		{Kind: placement.NoticePrefill, RunnerKey: 1<<64 - 1, Tokens: maxNoticeTokens}, {Kind: placement.NoticePrefill, RunnerKey: 5},
 		{Kind: placement.NoticeRecovery, RunnerKey: 9}} {
 		if got, relayed, ok := parseNotice(appendNotice(nil, notice)); !ok || relayed || got != notice {
-			t.Errorf("%+v was read as %+v, %v, %v", notice, got, relayed, ok)
+			t.Errorf("%+v was parsed as %+v, %v, %v", notice, got, relayed, ok)
 		}
 	}
 }
@@ -29,7 +29,7 @@
 		}
 		again, _, ok := parseNotice(appendNotice(nil, notice))
 		if !ok || again != notice || notice.Tokens < 0 || notice.Tokens > maxNoticeTokens {
-			t.Errorf("%x was read as %+v, then as %+v", b, notice, again)
+			t.Errorf("%x was parsed as %+v, then as %+v", b, notice, again)
 		}
 	})
 }
--- a/internal/system/proxy/peer_notifier_test.go
+++ b/internal/system/proxy/peer_notifier_test.go
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	if !until() {
-		t.Fatal("nothing came")
+		t.Fatal("timeout")
 	}
 }
 
@@ -81,21 +81,21 @@
 	relay.options.Zone, relay.options.NoticeAddr = "c", last.peers.socket.Addr()
 	relay.applyPeers([]feed.Peer{{Node: "five", Address: machine, Zone: "c"}})
 	if known := teller.placer.(*recordingPlacer).peers; len(known) != 4 {
-		t.Errorf("the placer was told of %d proxies", len(known))
+		t.Errorf("the placer got %d peers", len(known))
 	}
 	if p := teller.peers; len(p.ownZone) != 0 || len(p.otherZones) != 1 || len(p.otherZones["c"]) != 2 {
-		t.Errorf("told are %v, %v", p.ownZone, p.otherZones)
+		t.Errorf("peers are %v, %v", p.ownZone, p.otherZones)
 	}
 	notice := placement.Notice{Kind: placement.NoticePrefill, RunnerKey: 7, Tokens: 3000}
 	teller.peers.broadcast(notice)
 	relayPlacer.runUntil(t, relay, func() bool { return len(relayPlacer.notices) == 1 })
 	lastPlacer.runUntil(t, last, func() bool { return len(lastPlacer.notices) == 1 })
 	if relayPlacer.notices[0] != notice || lastPlacer.notices[0] != notice {
-		t.Errorf("heard %+v, %+v", relayPlacer.notices, lastPlacer.notices)
+		t.Errorf("received %+v, %+v", relayPlacer.notices, lastPlacer.notices)
 	}
 	last.peers.handleDatagram([]byte("nonsense"))
 	if len(lastPlacer.notices) != 1 {
-		t.Errorf("nonsense was taken for %+v", lastPlacer.notices[1:])
+		t.Errorf("a malformed datagram was accepted as %+v", lastPlacer.notices[1:])
 	}
 }
 
@@ -105,12 +105,12 @@
 	p, _ := newNotifiedProxy(t, link)
 	p.peers.refilledAt -= 10
 	size := 10 * (datagramHeaderBytes + len(appendNotice(nil, placement.Notice{Kind: placement.NoticePrefill, Tokens: 3000})))
-	told := 0
+	sent := 0
 	for p.peers.spendBudget(size) {
-		told++
+		sent++
 	}
-	if most := int(noticeLinkFraction * link * noticeBurstSeconds / float64(size)); told != most {
-		t.Errorf("%d notices were sent at once, want %d", told, most)
+	if want := int(noticeLinkFraction * link * noticeBurstSeconds / float64(size)); sent != want {
+		t.Errorf("%d notices were sent at once, want %d", sent, want)
 	}
 }
 
@@ -123,9 +123,9 @@
 	p.ApplyUpdate(agentclient.Update{ProxyCount: 4, Peers: &peers})
 	p.ApplyUpdate(agentclient.Update{ProxyCount: 3})
 	if placer.setProxiesCalls != 0 {
-		t.Errorf("the placer was told %d times of a number alone", placer.setProxiesCalls)
+		t.Errorf("SetProxyCount was called %d times", placer.setProxiesCalls)
 	}
 	if p.pool.proxies != 3 || p.control.proxies != 3 {
-		t.Errorf("connections are shared among %d, figures tell %d; want 3", p.pool.proxies, p.control.proxies)
+		t.Errorf("connections are shared among %d, metrics say %d; want 3", p.pool.proxies, p.control.proxies)
 	}
 }
--- a/internal/system/proxy/pipelining_test.go
+++ b/internal/system/proxy/pipelining_test.go
@@ -10,7 +10,7 @@
 func TestTimeLeftOfPipelinedRequest(t *testing.T) {
 	const work, left = 700 * time.Millisecond, 1000 * time.Millisecond
 	sim := newSimulation(1)
-	told := map[string]time.Duration{}
+	timeLeft := map[string]time.Duration{}
 	for _, r := range sim.runners {
 		r.peer.accept = func(end *remoteEnd) {
 			end.onEnd = func(bool) { end.close() }
@@ -18,7 +18,7 @@
 				head := parseHead(string(b))
 				id := head.header.Get(headerTryID)
 				millis, _ := strconv.Atoi(head.header.Get(headerTimeLeft))
-				told[id] = time.Duration(millis) * time.Millisecond
+				timeLeft[id] = time.Duration(millis) * time.Millisecond
 				sim.network.after(work, func() { end.send(successText(id, "x")) })
 			}
 		}
@@ -36,7 +36,7 @@
 	if err := sim.loop.Run(); err != nil {
 		t.Fatal(err)
 	}
-	if told["first"] <= left/2 || told["second"] <= 0 || told["second"] > left-work {
-		t.Errorf("the runners are given %v", told)
+	if timeLeft["first"] <= left/2 || timeLeft["second"] <= 0 || timeLeft["second"] > left-work {
+		t.Errorf("time left as sent to the runners: %v", timeLeft)
 	}
 }
--- a/internal/system/proxy/proxy_test.go
+++ b/internal/system/proxy/proxy_test.go
@@ -47,7 +47,7 @@
 	}
 	upstream.send(successText("t2", "second"))
 	if got, body := client.readResponse(); got.StatusCode != 200 || body != "second" {
-		t.Errorf("second answer is %d %q", got.StatusCode, body)
+		t.Errorf("second response is %d %q", got.StatusCode, body)
 	}
 }
 
@@ -77,7 +77,7 @@
 	h.expectOutcomes("a served")
 	h.onLoop(func() {
 		if h.placer.events != 3 {
-			t.Errorf("placer heard of %d events", h.placer.events)
+			t.Errorf("placer got %d events", h.placer.events)
 		}
 	})
 }
--- a/internal/system/proxy/retry_test.go
+++ b/internal/system/proxy/retry_test.go
@@ -21,7 +21,7 @@
 	}{
 		{"not run, read only", "/reads/x", func(p *testConn) { p.send(notRunWithoutID) }, "a not run", true, 0},
 		{"not run, writes", "/writes/x", func(p *testConn) { p.send(notRunWithoutID) }, "a not run", true, 0},
-		{"not run, with an own failure's status", "/writes/x", func(p *testConn) {
+		{"not run, with the status of a failure", "/writes/x", func(p *testConn) {
 			p.send("HTTP/1.1 429 Busy\r\nX-Not-Run: 1\r\nX-Try-Id: t1\r\nContent-Length: 0\r\n\r\n")
 		}, "a not run", true, 0},
 		{"another incarnation, writes", "/writes/x", func(p *testConn) {
@@ -33,31 +33,31 @@
 		{"reset, writes", "/writes/x", func(p *testConn) { p.reset() }, "a broken", false, 502},
 		{"reset, stream", "/stream/x", func(p *testConn) { p.reset() }, "a broken", false, 502},
 		{"reset, resumable stream", "/resumable/x", func(p *testConn) { p.reset() }, "a broken", true, 0},
-		{"spoilt bytes, read only", "/reads/x", func(p *testConn) { p.send("\x00\x01garbage") }, "a broken", true, 0},
-		{"spoilt bytes, writes", "/writes/x", func(p *testConn) { p.send("HTTP/9 x\r\n\r\n") }, "a broken", false, 502},
-		{"another request's answer, read only", "/reads/x", func(p *testConn) { p.send(successText("other", "x")) }, "a broken",
+		{"invalid bytes, read only", "/reads/x", func(p *testConn) { p.send("\x00\x01garbage") }, "a broken", true, 0},
+		{"invalid bytes, writes", "/writes/x", func(p *testConn) { p.send("HTTP/9 x\r\n\r\n") }, "a broken", false, 502},
+		{"another request's response, read only", "/reads/x", func(p *testConn) { p.send(successText("other", "x")) }, "a broken",
 			true, 0},
-		{"another request's answer, writes", "/writes/x", func(p *testConn) { p.send(successText("other", "x")) }, "a broken",
+		{"another request's response, writes", "/writes/x", func(p *testConn) { p.send(successText("other", "x")) }, "a broken",
 			false, 502},
 		{"no id, read only", "/reads/x", func(p *testConn) {
 			p.send("HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 1\r\n\r\nx")
 		}, "a broken", true, 0},
-		{"no stamp, read only", "/reads/x", func(p *testConn) {
+		{"no seal, read only", "/reads/x", func(p *testConn) {
 			p.send("HTTP/1.1 200 OK\r\nX-Try-Id: t1\r\nContent-Length: 1\r\n\r\nx")
 		}, "a broken", true, 0},
-		{"no stamp, writes", "/writes/x", func(p *testConn) {
+		{"no seal, writes", "/writes/x", func(p *testConn) {
 			p.send("HTTP/1.1 200 OK\r\nX-Try-Id: t1\r\nContent-Length: 1\r\n\r\nx")
 		}, "a broken", false, 502},
-		{"own failure, read only", "/reads/x", func(p *testConn) {
+		{"failure of the runner, read only", "/reads/x", func(p *testConn) {
 			p.send("HTTP/1.1 500 Oops\r\nX-Try-Id: t1\r\nContent-Length: 4\r\n\r\noops")
 		}, "a failed", true, 0},
-		{"own failure, writes", "/writes/x", func(p *testConn) {
+		{"failure of the runner, writes", "/writes/x", func(p *testConn) {
 			p.send("HTTP/1.1 500 Oops\r\nX-Try-Id: t1\r\nContent-Length: 4\r\n\r\noops")
 		}, "a failed", false, 500},
-		{"a promise that is none, writes", "/writes/x", func(p *testConn) {
+		{"503 without X-Not-Run, writes", "/writes/x", func(p *testConn) {
 			p.send("HTTP/1.1 503 Oops\r\nX-Try-Id: t1\r\nContent-Length: 4\r\n\r\noops")
 		}, "a failed", false, 502},
-		{"error of the client's, writes", "/writes/x", func(p *testConn) {
+		{"client error, writes", "/writes/x", func(p *testConn) {
 			p.send("HTTP/1.1 422 Oops\r\nX-Try-Id: t1\r\nContent-Length: 4\r\n\r\noops")
 		}, "a served", false, 422},
 	} {
@@ -97,10 +97,10 @@
 		retryAfter         string
 	}{
 		{"not run", "/reads/x", notRunWithoutID, 503, "0.200"},
-		{"not run, told when", "/writes/x",
+		{"not run, with Retry-After", "/writes/x",
 			"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n", 503, "0.750"},
 		{"failed", "/reads/x", "HTTP/1.1 500 Oops\r\nX-Try-Id: t1\r\nContent-Length: 4\r\n\r\noops", 500, ""},
-		{"spoilt", "/reads/x", "nonsense", 502, ""},
+		{"invalid", "/reads/x", "nonsense", 502, ""},
 		{"another incarnation", "/writes/x", "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n", 503, "0.200"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -129,7 +129,7 @@
 		c.send(requestText("/writes/x", id, "", "body"))
 		got := c.expectResponse(503, "")
 		if got.Header.Get("Retry-After") != "0.250" || got.Header.Get("X-Try-Id") != id {
-			t.Errorf("refused with %v", got.Header)
+			t.Errorf("rejected with %v", got.Header)
 		}
 	}
 }
@@ -175,7 +175,7 @@
 		name  string
 		spoil func(p *testConn)
 	}{
-		{"unasked bytes", func(p *testConn) { p.send(successText("t0", "late")) }},
+		{"unexpected bytes", func(p *testConn) { p.send(successText("t0", "late")) }},
 		{"closed", func(p *testConn) { p.conn.Close() }},
 		{"reset", func(p *testConn) { p.reset() }},
 	} {
--- a/internal/system/proxy/service_splitter_test.go
+++ b/internal/system/proxy/service_splitter_test.go
@@ -49,7 +49,7 @@
 	draws := newServiceSplitter(rand.New(rand.NewPCG(1, 1)))
 	for range 100 {
 		if got := draws.nextService(weightedRoute(0, 5, 0)); got != "b" {
-			t.Fatalf("service %q gets a request without a weight", got)
+			t.Fatalf("service %q without a weight gets a request", got)
 		}
 		if got := draws.nextService(weightedRoute(1)); got != "a" {
 			t.Fatalf("service %q", got)
@@ -57,6 +57,6 @@
 	}
 	draws.remove("r")
 	if len(draws.points) > 0 {
-		t.Error("a route that is no more is kept")
+		t.Error("a removed route is kept")
 	}
 }
--- a/internal/system/proxy/session_test.go
+++ b/internal/system/proxy/session_test.go
@@ -16,7 +16,7 @@
 		closes   bool
 	}{
 		{"no route", requestText("/none/x", "t1", "", ""), 404, false},
-		{"no route, with a body to come",
+		{"no route, body not sent yet",
 			"POST /none/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: t1\r\nContent-Length: 5\r\n\r\n", 404, true},
 		{"other host", "GET /reads/x HTTP/1.1\r\nHost: other\r\nX-Try-Id: t1\r\n\r\n", 404, false},
 		{"no id", "GET /reads/x HTTP/1.1\r\nHost: h.example\r\n\r\n", 400, false},
@@ -116,7 +116,7 @@
 			t.Errorf("runner got %q, want %q", body, want)
 		}
 		if upstream.reader.Buffered() > 0 {
-			t.Error("the next request came before the answer")
+			t.Error("the next request was sent before the response")
 		}
 		upstream.send(successText(request.Header.Get("X-Try-Id"), "answer "+want))
 	}
@@ -142,7 +142,7 @@
 			client.conn.Close()
 			upstream.readToClose()
 			h.expectOutcomes("a abandoned")
-			h.waitFor("nothing is held", func() bool {
+			h.waitFor("all resources released", func() bool {
 				return h.proxy.openExchanges == 0 && h.proxy.bufferedBodyBytes == 0 &&
 					h.proxy.sessions.count == 0
 			})
--- a/internal/system/proxy/shutdown_simulation_test.go
+++ b/internal/system/proxy/shutdown_simulation_test.go
@@ -44,7 +44,7 @@
 	grace        time.Duration
 	requestCount int
 	complete     int
-	refused      int
+	rejected     int
 	cut          int // as the guarantee allows
 	forwarded    map[string]bool
 	violations   []string
@@ -71,7 +71,7 @@
 // Whatever clients send after the shutdown signal, and however long the responses take, no response is lost.
 func TestShutdownUnderTraffic(t *testing.T) {
 	for _, grace := range []time.Duration{2 * time.Second, 5 * time.Second, 8 * time.Second, 20 * time.Second} {
-		var made, whole, refused, cut int
+		var requests, complete, rejected, cut int
 		for seed := range uint64(shutdownSeeds) {
 			sim := newShutdownSimulation(seed, grace)
 			if err := sim.run(); err != nil {
@@ -80,11 +80,11 @@
 			if len(sim.violations) > 0 {
 				t.Errorf("grace period %v, seed %d:\n%s", grace, seed, strings.Join(sim.violations, "\n"))
 			}
-			made, whole, refused, cut = made+sim.requestCount, whole+sim.complete, refused+sim.refused, cut+sim.cut
+			requests, complete, rejected, cut = requests+sim.requestCount, complete+sim.complete, rejected+sim.rejected, cut+sim.cut
 		}
-		t.Logf("grace period %v: %d requests, %d whole, %d refused, %d cut as allowed", grace, made, whole, refused, cut)
-		if whole < minComplete {
-			t.Errorf("grace period %v: %d of %d requests answered whole, which shows nothing", grace, whole, made)
+		t.Logf("grace period %v: %d requests, %d complete, %d rejected, %d cut off as allowed", grace, requests, complete, rejected, cut)
+		if complete < minComplete {
+			t.Errorf("grace period %v: %d of %d responses complete, which shows nothing", grace, complete, requests)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 	ended := false
 	sim.network.at(signalAt+sim.grace, func() {
 		if !ended {
-			sim.violation("the process has not ended by the end of the grace period")
+			sim.violation("the process has not exited by the end of the grace period")
 			sim.proxy.loop.Stop()
 		}
 	})
@@ -179,7 +179,7 @@
 	c.received += b
 	response, whole, valid := parseResponse(c.received, false)
 	if !valid {
-		c.simulation.violation("bytes that are no answer: %.60q", c.received)
+		c.simulation.violation("not a response: %.60q", c.received)
 	}
 	if !whole || c.request == nil {
 		return
@@ -205,12 +205,12 @@
 	case response.status == 200:
 		sim.complete++
 	case response.status == 503:
-		sim.refused++
+		sim.rejected++
 		if sim.forwarded[request.id] {
-			sim.violation("%s was passed on and is refused", request.id)
+			sim.violation("%s was forwarded and is rejected", request.id)
 		}
 		if response.head.header.Get(headerRetryAfter) == "" {
-			sim.violation("%s is refused without Retry-After", request.id)
+			sim.violation("%s is rejected without Retry-After", request.id)
 		}
 	case response.status == 502 && sim.mayBeCut(request):
 		sim.cut++
@@ -230,13 +230,13 @@
 	}
 	switch sent := request.sentAt - signalAt; {
 	case sim.forwarded[request.id] && len(c.received) == 0:
-		sim.violation("%s, sent %v after the signal and passed on, gets no word", request.id, sent)
+		sim.violation("%s, sent %v after the signal and forwarded, gets no response", request.id, sent)
 	case sim.forwarded[request.id] && sim.mayBeCut(request):
 		sim.cut++
 	case sim.forwarded[request.id]:
-		sim.violation("%s, sent %v after the signal and passed on, is cut", request.id, sent)
+		sim.violation("%s, sent %v after the signal and forwarded, is cut off", request.id, sent)
 	case sim.network.now-request.sentAt > lostSlack && len(c.received) > 0:
-		sim.violation("%s, sent %v after the signal, is dropped without an answer", request.id, sent)
+		sim.violation("%s, sent %v after the signal, is dropped without a response", request.id, sent)
 	}
 }
 
--- a/internal/system/proxy/shutdown_test.go
+++ b/internal/system/proxy/shutdown_test.go
@@ -30,7 +30,7 @@
 	second.readRequest()
 	second.send(successText("t2", "late"))
 	if got := late.expectResponse(200, "late"); !got.Close {
-		t.Error("the answer does not end the connection")
+		t.Error("the response does not close the connection")
 	}
 	late.conn.Close()
 	h.onLoop(h.proxy.sweepIdleSessions)
@@ -42,7 +42,7 @@
 	select {
 	case <-h.done:
 	case <-time.After(testTimeout):
-		t.Fatal("the proxy does not end")
+		t.Fatal("the proxy does not exit")
 	}
 }
 
@@ -64,15 +64,15 @@
 	h.onLoop(h.proxy.Stop)
 	h.onLoop(h.proxy.endUnansweredExchanges)
 	if got := half.expectResponse(503, ""); got.Header.Get("Retry-After") == "" || !got.Close {
-		t.Error("a request that was not whole is not asked to come again elsewhere")
+		t.Error("an incomplete request is not sent elsewhere")
 	}
 	if got := sent.expectResponse(502, ""); !got.Close {
-		t.Error("the connection of a request that may have run stays")
+		t.Error("the connection of a request that may have run stays open")
 	}
 	begun.expect(chunkText(eventText(1)))
 	h.onLoop(h.proxy.terminate)
 	if rest := begun.readToClose(); strings.Contains(rest, lastChunk) {
-		t.Errorf("a cut answer looks whole: %q", rest)
+		t.Errorf("a truncated response looks complete: %q", rest)
 	}
 	<-h.done
 }
--- a/internal/system/proxy/simulation_checker_test.go
+++ b/internal/system/proxy/simulation_checker_test.go
@@ -23,7 +23,7 @@
 	violations          []string
 	suspectedViolations []suspectedViolation // count unless the request met a fault
 	served              int
-	refused             int
+	rejected            int
 	resumed             int
 	timedOut            int
 }
@@ -112,7 +112,7 @@
 	request.faulted = request.faulted || conn.wasDelayed()
 	r.checkTimeLeft(conn, request, got.header.Get(headerTimeLeft))
 	if request.cancelledAt > 0 && r.network.now > request.cancelledAt+cancelWithin {
-		r.violation("GONE", "%s arrives at %s %v after its client left", request.id, runner.id, r.network.now-request.cancelledAt)
+		r.violation("GONE", "%s arrives at %s %v after its client disconnected", request.id, runner.id, r.network.now-request.cancelledAt)
 	}
 	return request
 }
@@ -121,7 +121,7 @@
 func (r *checker) checkTimeLeft(conn *simulatedRunnerConn, request *simulatedRequest, value string) {
 	left, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || left <= 0 {
-		r.violation("BUDGET", "%s is told %q to be left", request.id, value)
+		r.violation("BUDGET", "%s has a time left of %q", request.id, value)
 		return
 	}
 	if conn.wasDelayed() {
@@ -129,7 +129,7 @@
 	}
 	end := r.network.now + time.Duration(left)*time.Millisecond
 	if end > min(request.deadline, request.routeEnd)+timeSlack {
-		r.violation("BUDGET", "%s is given %v beyond its client's time", request.id, end-min(request.deadline, request.routeEnd))
+		r.violation("BUDGET", "%s gets %v more than its client has", request.id, end-min(request.deadline, request.routeEnd))
 	}
 }
 
@@ -142,7 +142,7 @@
 		r.violation("TWICE", "%s runs for the %d. time, at %s", request.id, len(request.executions), runner)
 	}
 	if request.rejected {
-		r.violation("REFUSED", "%s runs at %s after it was refused", request.id, runner)
+		r.violation("REFUSED", "%s runs at %s after it was rejected", request.id, runner)
 	}
 	if len(request.executions) > simulationAttempts {
 		r.violation("BUDGET", "%s runs on %d runners", request.id, len(request.executions))
@@ -164,7 +164,7 @@
 	request.completed = true
 	over := r.network.now+timeSlack >= min(request.deadline, request.routeEnd)
 	if !over {
-		r.suspect(request, "LOST", fmt.Sprintf("sees its connection end without a complete answer; some of it: %v", some))
+		r.suspect(request, "LOST", fmt.Sprintf("sees its connection end without a complete response; a part of it: %v", some))
 	}
 }
 
@@ -174,7 +174,7 @@
 	seal := response.head.header.Get(headerSeal)
 	id := response.head.header.Get(headerTryID)
 	if id != "" && id != request.id {
-		r.violation("MIXED", "%s gets the answer to %s", request.id, id)
+		r.violation("MIXED", "%s gets the response to %s", request.id, id)
 	}
 	if seal == "" {
 		r.checkLocalResponse(request, response)
@@ -182,14 +182,14 @@
 	}
 	made := r.executions[seal]
 	if made == nil || made.request != request {
-		r.violation("MIXED", "%s gets an answer with the stamp %q", request.id, seal)
+		r.violation("MIXED", "%s gets a response with the seal %q", request.id, seal)
 		return
 	}
 	if meansNotRun(response.status) {
 		r.violation("REFUSED", "%s gets the %d of %s, which ran it", request.id, response.status, made.runner)
 	}
 	if response.status != made.status {
-		r.violation("MIXED", "%s gets %d where the runner answered %d", request.id, response.status, made.status)
+		r.violation("MIXED", "%s gets %d where the runner responded %d", request.id, response.status, made.status)
 	}
 	want := made.body
 	if response.status == 200 && request.kind == "resumable" {
@@ -216,7 +216,7 @@
 	over := r.network.now+timeSlack >= min(request.deadline, request.routeEnd)
 	switch {
 	case meansNotRun(response.status):
-		r.refused++
+		r.rejected++
 		request.rejected = true
 		if len(request.executions) > 0 {
 			r.violation("REFUSED", "%s gets %d and has run at %s", request.id, response.status, request.executions[0].runner)
@@ -227,19 +227,19 @@
 	case response.status == 504:
 		r.timedOut++
 		if !over {
-			r.violation("LOST", "%s gets a 504 %v before its time is over", request.id, min(request.deadline, request.routeEnd)-r.network.now)
+			r.violation("LOST", "%s gets a 504 %v before its deadline", request.id, min(request.deadline, request.routeEnd)-r.network.now)
 		}
 	case response.status == 502:
 		r.suspect(request, "LOST", "gets a 502 though no runner failed it")
 	default:
-		r.violation("MIXED", "%s gets %d without a stamp: %v", request.id, response.status, response.head.header)
+		r.violation("MIXED", "%s gets %d without a seal: %v", request.id, response.status, response.head.header)
 	}
 }
 
 // checkCompleted is called completeWithin after a route's timeout.
 func (r *checker) checkCompleted(request *simulatedRequest) {
 	if !request.completed && request.cancelledAt == 0 && !request.slow {
-		r.violation("CONFIG", "%s has no final answer %v after its route's time", request.id, completeWithin)
+		r.violation("CONFIG", "%s has no complete response %v after its route's timeout", request.id, completeWithin)
 	}
 }
 
@@ -252,7 +252,7 @@
 		if slices.ContainsFunc(runner.conns, func(conn *simulatedRunnerConn) bool {
 			return conn.request == request && conn.running && !conn.end.localClosed
 		}) {
-			r.violation("GONE", "%s is still worked on at %s", request.id, runner.id)
+			r.violation("GONE", "%s is still being executed at %s", request.id, runner.id)
 		}
 	}
 }
--- a/internal/system/proxy/simulation_client_test.go
+++ b/internal/system/proxy/simulation_client_test.go
@@ -151,22 +151,22 @@
 
 // checkResponse checks whether the response is complete.
 func (c *simulatedClient) checkResponse(ended bool) {
-	referee := c.sim.checker
+	checker := c.sim.checker
 	if c.request == nil {
 		if c.received != "" {
-			referee.violation("MIXED", "client %d gets %.60q without a question", c.index, c.received)
+			checker.violation("MIXED", "client %d gets %.60q without a request", c.index, c.received)
 		}
 		return
 	}
 	response, whole, valid := parseResponse(c.received, ended)
 	switch {
 	case !valid:
-		referee.violation("MIXED", "%s gets %.60q", c.request.id, c.received)
+		checker.violation("MIXED", "%s gets %.60q", c.request.id, c.received)
 		c.disconnect()
 		c.finishRequest()
 	case whole:
 		c.received = c.received[response.bytes:]
-		referee.responseComplete(c.request, response)
+		checker.responseComplete(c.request, response)
 		if response.closes {
 			c.disconnect()
 		}
--- a/internal/system/proxy/simulation_runner_test.go
+++ b/internal/system/proxy/simulation_runner_test.go
@@ -120,7 +120,7 @@
 		case c.pendingBody != "":
 			n := min(len(c.pendingBody), len(c.received))
 			if c.received[:n] != c.pendingBody[:n] {
-				c.runner.sim.checker.violation("UNASKED", "%s gets %.40q where %.40q of %s is due", c.runner.id, c.received, c.pendingBody,
+				c.runner.sim.checker.violation("UNASKED", "%s gets %.40q where %.40q of %s is expected", c.runner.id, c.received, c.pendingBody,
 					c.request.id)
 				c.closeWith(c.end.abort)
 				return
@@ -130,7 +130,7 @@
 				c.handleBody()
 			}
 		case c.request != nil:
-			c.runner.sim.checker.violation("UNASKED", "%s gets %.60q while it works on %s", c.runner.id, c.received, c.request.id)
+			c.runner.sim.checker.violation("UNASKED", "%s gets %.60q while it executes %s", c.runner.id, c.received, c.request.id)
 			c.closeWith(c.end.abort)
 		default:
 			if !c.readHead() {
--- a/internal/system/proxy/simulation_test.go
+++ b/internal/system/proxy/simulation_test.go
@@ -69,21 +69,21 @@
 // Whatever runners, networks and clients do, the rules for requests hold.
 func TestRequestModel(t *testing.T) {
 	seeds := simulationSeeds(t)
-	var served, refused, resumed, late, requests int
+	var served, rejected, resumed, timedOut, requests int
 	for _, seed := range seeds {
 		sim := newSimulation(seed)
 		if err := sim.run(); err != nil {
 			t.Fatal(err)
 		}
-		served, refused = served+sim.checker.served, refused+sim.checker.refused
-		resumed, late, requests = resumed+sim.checker.resumed, late+sim.checker.timedOut, requests+sim.requestCount
+		served, rejected = served+sim.checker.served, rejected+sim.checker.rejected
+		resumed, timedOut, requests = resumed+sim.checker.resumed, timedOut+sim.checker.timedOut, requests+sim.requestCount
 		if len(sim.checker.violations) > 0 {
 			t.Errorf("seed %d (MODEL_SEED=%d):\n%s", seed, seed, strings.Join(sim.checker.violations, "\n"))
 		}
 	}
-	t.Logf("%d requests, %d served, %d resumed, %d refused, %d out of time", requests, served, resumed, refused, late)
-	if len(seeds) > 1 && (served < requests/4 || refused == 0 || resumed == 0 || late == 0) {
-		t.Error("nothing was shown")
+	t.Logf("%d requests, %d served, %d resumed, %d rejected, %d timed out", requests, served, resumed, rejected, timedOut)
+	if len(seeds) > 1 && (served < requests/4 || rejected == 0 || resumed == 0 || timedOut == 0) {
+		t.Error("the test shows nothing")
 	}
 }
 
--- a/internal/system/proxy/stream_test.go
+++ b/internal/system/proxy/stream_test.go
@@ -101,7 +101,7 @@
 			client.readHead()
 			upstream.conn.Close()
 			if rest := client.readToClose(); strings.HasSuffix(rest, lastChunk) {
-				t.Errorf("the answer ends as complete: %q", rest)
+				t.Errorf("the response ends as complete: %q", rest)
 			}
 			h.expectOutcomes("a broken")
 		})
@@ -156,7 +156,7 @@
 		upstream.conn.Close()
 		written <- err
 	}()
-	h.waitFor("the runner is held back", func() bool {
+	h.waitFor("the runner is paused", func() bool {
 		for s := h.proxy.sessions.first; s != nil; s = s.next {
 			if s.exchange != nil && s.exchange.stalled {
 				return true
@@ -171,7 +171,7 @@
 	fast.expectResponse(200, "quick")
 	select {
 	case err := <-written:
-		t.Errorf("the runner was not held back: %v", err)
+		t.Errorf("the runner was not paused: %v", err)
 	default:
 	}
 	if got, body := slow.readResponse(); got.StatusCode != 200 || len(body) != size {
--- a/internal/system/proxy/test_conn_test.go
+++ b/internal/system/proxy/test_conn_test.go
@@ -99,7 +99,7 @@
 	c.t.Helper()
 	got, text := c.readResponse()
 	if got.StatusCode != status || status == 200 && text != body {
-		c.t.Fatalf("answer is %d %q, want %d %q", got.StatusCode, text, status, body)
+		c.t.Fatalf("response is %d %q, want %d %q", got.StatusCode, text, status, body)
 	}
 	return got
 }
--- a/internal/system/proxy/watchdog_test.go
+++ b/internal/system/proxy/watchdog_test.go
@@ -93,7 +93,7 @@
 	h.expectOutcomes("a served")
 	h.onLoop(func() {
 		if h.proxy.pool.canAccept(placement.Choice{Runner: "a"}) && h.proxy.now() < h.proxy.pool.runners["a"].suspectUntil {
-			t.Error("a runner in doubt is given requests")
+			t.Error("a suspect runner gets requests")
 		}
 	})
 }
