--- a/internal/dispatcher/dispatch/actions.go
+++ b/internal/dispatcher/dispatch/actions.go
@@ -12,119 +12,119 @@
 
 // Send implements brain.Actions.
 func (a actions) Send(id loadbalancer.RequestID, worker loadbalancer.WorkerID, timeout float64) {
-	c := a.dispatcher
-	r, m := c.requestsByID[id], c.members[worker]
-	invariant.Check(r != nil && !r.answered && m != nil, "a send names an open req and a listed worker")
-	if r == nil {
+	d := a.dispatcher
+	request, member := d.requestsByID[id], d.members[worker]
+	invariant.Check(request != nil && !request.answered && member != nil, "a send names an open req and a listed worker")
+	if request == nil {
 		return
 	}
-	f := &attempt{request: r, index: len(r.attempts), member: m, deadlineAt: r.job.Deadline, sentAt: c.clock.Now(), hedged: r.running > 0, auditMark: c.AuditMark}
+	attempt := &attempt{request: request, index: len(request.attempts), member: member, deadlineAt: request.job.Deadline, sentAt: d.clock.Now(), hedged: request.running > 0, auditMark: d.AuditMark}
 	if timeout > 0 {
-		f.deadlineAt = math.Min(f.deadlineAt, c.clock.Now()+timeout)
+		attempt.deadlineAt = math.Min(attempt.deadlineAt, d.clock.Now()+timeout)
 	}
-	r.attempts = append(r.attempts, f)
-	r.running++
-	f.handle = c.attempts.Insert(f)
-	c.counts.Attempts++
-	if f.index > 0 {
-		c.counts.Retries++
+	request.attempts = append(request.attempts, attempt)
+	request.running++
+	attempt.handle = d.attempts.Insert(attempt)
+	d.counts.Attempts++
+	if attempt.index > 0 {
+		d.counts.Retries++
 	}
-	f.timer = c.clock.At(f.deadlineAt, func() { c.handle(func() { c.expireAttempt(f) }) })
-	if r.answered || m == nil || m.Backend == nil {
-		c.handle(func() { c.endAttemptAs(f, loadbalancer.Withdrawn) })
+	attempt.timer = d.clock.At(attempt.deadlineAt, func() { d.handle(func() { d.expireAttempt(attempt) }) })
+	if request.answered || member == nil || member.Backend == nil {
+		d.handle(func() { d.endAttemptAs(attempt, loadbalancer.Withdrawn) })
 		return
 	}
-	m.Backend.Start(Attempt{ID: AttemptID(f.handle), Worker: worker, Deadline: f.deadlineAt, Payload: r.job.Payload})
+	member.Backend.Start(Attempt{ID: AttemptID(attempt.handle), Worker: worker, Deadline: attempt.deadlineAt, Payload: request.job.Payload})
 }
 
-func (c *Dispatcher) endAttemptAs(f *attempt, result loadbalancer.Result) {
-	if !f.ended {
-		c.endAttempt(f, Outcome{Result: result})
+func (d *Dispatcher) endAttemptAs(attempt *attempt, result loadbalancer.Result) {
+	if !attempt.ended {
+		d.endAttempt(attempt, Outcome{Result: result})
 	}
 }
 
 // expireAttempt produces the time-out: nothing else would, of a worker that has fallen silent.
-func (c *Dispatcher) expireAttempt(f *attempt) {
-	if !f.ended {
+func (d *Dispatcher) expireAttempt(attempt *attempt) {
+	if !attempt.ended {
 		result := loadbalancer.ConnectFailed // its first byte never went out
-		if f.member.Backend.Cancel(AttemptID(f.handle)) {
+		if attempt.member.Backend.Cancel(AttemptID(attempt.handle)) {
 			result = loadbalancer.Timeout
 		}
-		c.endAttempt(f, Outcome{Result: result})
+		d.endAttempt(attempt, Outcome{Result: result})
 	}
 }
 
 // Cancel implements brain.Actions.
-func (a actions) Cancel(id loadbalancer.RequestID, attempt int) {
-	c := a.dispatcher
-	r := c.requestsByID[id]
-	if r == nil || attempt < 0 || attempt >= len(r.attempts) || r.attempts[attempt].ended {
+func (a actions) Cancel(id loadbalancer.RequestID, index int) {
+	d := a.dispatcher
+	request := d.requestsByID[id]
+	if request == nil || index < 0 || index >= len(request.attempts) || request.attempts[index].ended {
 		return
 	}
-	f := r.attempts[attempt]
-	c.counts.Cancellations++
-	c.handle(func() {
-		if f.ended {
+	attempt := request.attempts[index]
+	d.counts.Cancellations++
+	d.handle(func() {
+		if attempt.ended {
 			return // its end was on the way
 		}
 		result := loadbalancer.Withdrawn
-		if f.member.Backend.Cancel(AttemptID(f.handle)) {
+		if attempt.member.Backend.Cancel(AttemptID(attempt.handle)) {
 			result = loadbalancer.Cancelled
 		}
-		c.endAttemptAs(f, result)
+		d.endAttemptAs(attempt, result)
 	})
 }
 
 // Reject implements brain.Actions.
-func (a actions) Reject(id loadbalancer.RequestID, wait float64) {
-	a.dispatcher.finish(id, Answer{Verdict: Rejected, RetryAfter: wait})
+func (a actions) Reject(id loadbalancer.RequestID, retryAfter float64) {
+	a.dispatcher.finish(id, Answer{Verdict: Rejected, RetryAfter: retryAfter})
 }
 
 // Fail implements brain.Actions.
 func (a actions) Fail(id loadbalancer.RequestID) { a.dispatcher.finish(id, Answer{Verdict: Failed}) }
 
-func (c *Dispatcher) finish(id loadbalancer.RequestID, answer Answer) {
-	if r := c.requestsByID[id]; r != nil && !r.answered {
-		c.answer(r, answer, c.rejectionReason(r), -1)
-		c.handle(func() { c.forget(r) })
+func (d *Dispatcher) finish(id loadbalancer.RequestID, answer Answer) {
+	if request := d.requestsByID[id]; request != nil && !request.answered {
+		d.answer(request, answer, d.rejectionReason(request), -1)
+		d.handle(func() { d.forget(request) })
 	}
 }
 
 // Probe implements brain.Actions.
 func (a actions) Probe(worker loadbalancer.WorkerID) {
-	c := a.dispatcher
-	m := c.members[worker]
-	if m == nil || m.Backend == nil {
+	d := a.dispatcher
+	member := d.members[worker]
+	if member == nil || member.Backend == nil {
 		return
 	}
-	c.counts.Probes++
-	m.Backend.Probe(func(result loadbalancer.Result, report []float32) {
-		c.handle(func() {
-			if c.Observer != nil && len(report) > 0 {
-				c.Observer.ObserveLoadReport(worker, c.clock.Now(), report, true)
+	d.counts.Probes++
+	member.Backend.Probe(func(result loadbalancer.Result, report []float32) {
+		d.handle(func() {
+			if d.Observer != nil && len(report) > 0 {
+				d.Observer.ObserveLoadReport(worker, d.clock.Now(), report, true)
 			}
-			c.balancer.HandleProbeResult(c.clock.Now(), worker, result, report)
+			d.balancer.HandleProbeResult(d.clock.Now(), worker, result, report)
 		})
 	})
 }
 
 // SetTimer implements brain.Actions.
 func (a actions) SetTimer(token uint32, at float64) {
-	c := a.dispatcher
-	c.clock.At(at, func() { c.handle(func() { c.balancer.HandleTimer(c.clock.Now(), token) }) })
+	d := a.dispatcher
+	d.clock.At(at, func() { d.handle(func() { d.balancer.HandleTimer(d.clock.Now(), token) }) })
 }
 
 // Watch implements brain.Actions.
 func (a actions) Watch(on bool) {
-	if c := a.dispatcher; c.Discovery != nil {
-		c.Discovery.Watch(on)
+	if d := a.dispatcher; d.Discovery != nil {
+		d.Discovery.Watch(on)
 	}
 }
 
 // Fetch implements brain.Actions.
 func (a actions) Fetch() {
-	if c := a.dispatcher; c.Discovery != nil {
-		c.Discovery.Fetch()
+	if d := a.dispatcher; d.Discovery != nil {
+		d.Discovery.Fetch()
 	}
 }
 
--- a/internal/dispatcher/dispatch/exclude.go
+++ b/internal/dispatcher/dispatch/exclude.go
@@ -25,130 +25,130 @@
 }
 
 // Exclusions are those in force, and those from which members came back not long ago.
-func (c *Dispatcher) Exclusions() map[string]Exclusion { return maps.Clone(c.exclusions) }
+func (d *Dispatcher) Exclusions() map[string]Exclusion { return maps.Clone(d.exclusions) }
 
 // ExcludedCount is how many members are out.
-func (c *Dispatcher) ExcludedCount() (n int) {
-	for _, x := range c.exclusions {
-		if x.IncludedAt == 0 {
-			n++
+func (d *Dispatcher) ExcludedCount() (count int) {
+	for _, exclusion := range d.exclusions {
+		if exclusion.IncludedAt == 0 {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // Exclude works out what taking a member out changes; Apply does it. Taking it out twice is as good as once.
-func (c *Dispatcher) Exclude(name string) ExclusionChange {
-	was, had := c.exclusions[name]
-	id, known := c.workerIDs[name]
-	ch := ExclusionChange{Known: known || had, Exclusions: maps.Clone(c.exclusions)}
+func (d *Dispatcher) Exclude(name string) ExclusionChange {
+	current, found := d.exclusions[name]
+	id, known := d.workerIDs[name]
+	change := ExclusionChange{Known: known || found, Exclusions: maps.Clone(d.exclusions)}
 	switch {
-	case !ch.Known || had && was.IncludedAt == 0:
-	case len(c.exclusions) >= maxExclusions:
-		ch.LimitReached = true
+	case !change.Known || found && current.IncludedAt == 0:
+	case len(d.exclusions) >= maxExclusions:
+		change.LimitReached = true
 	default:
-		x := Exclusion{ExcludedAt: c.clock.Now()}
-		if m := c.members[id]; known && m != nil {
-			x.StartedAt = m.StartedAt
+		exclusion := Exclusion{ExcludedAt: d.clock.Now()}
+		if member := d.members[id]; known && member != nil {
+			exclusion.StartedAt = member.StartedAt
 		}
-		ch.Exclusions[name] = x
+		change.Exclusions[name] = exclusion
 	}
-	return ch
+	return change
 }
 
 // Include works out what calling a member back changes.
-func (c *Dispatcher) Include(name string) ExclusionChange {
-	x, had := c.exclusions[name]
-	_, known := c.workerIDs[name]
-	ch := ExclusionChange{Known: known || had, Exclusions: maps.Clone(c.exclusions)}
-	if had && x.IncludedAt == 0 {
-		x.IncludedAt = c.clock.Now()
-		ch.Exclusions[name] = x
+func (d *Dispatcher) Include(name string) ExclusionChange {
+	exclusion, found := d.exclusions[name]
+	_, known := d.workerIDs[name]
+	change := ExclusionChange{Known: known || found, Exclusions: maps.Clone(d.exclusions)}
+	if found && exclusion.IncludedAt == 0 {
+		exclusion.IncludedAt = d.clock.Now()
+		change.Exclusions[name] = exclusion
 	}
-	return ch
+	return change
 }
 
 // ApplyExclusions puts exclusions in force in place of those there were: the decisions see them before anything else is sent.
-func (c *Dispatcher) ApplyExclusions(out map[string]Exclusion) {
-	c.handle(func() {
-		old := c.exclusions
-		c.exclusions = maps.Clone(out)
-		c.refreshMembers(changedKeys(old, c.exclusions), func(m *Member, _ loadbalancer.Worker) {
-			if out[m.Name].IncludedAt > 0 { // whatever it is now, it is not the process those connections led to
-				m.Backend.ResetConnections()
+func (d *Dispatcher) ApplyExclusions(exclusions map[string]Exclusion) {
+	d.handle(func() {
+		old := d.exclusions
+		d.exclusions = maps.Clone(exclusions)
+		d.refreshMembers(changedKeys(old, d.exclusions), func(member *Member, _ loadbalancer.Worker) {
+			if exclusions[member.Name].IncludedAt > 0 { // whatever it is now, it is not the process those connections led to
+				member.Backend.ResetConnections()
 			}
 		})
 	})
 }
 
 // changedKeys names, in order, what two maps do not say alike.
-func changedKeys[V comparable](old, new map[string]V) (names []string) {
-	for name, v := range old {
-		if w, still := new[name]; !still || v != w {
-			names = append(names, name)
+func changedKeys[V comparable](old, new map[string]V) (keys []string) {
+	for key, value := range old {
+		if newValue, ok := new[key]; !ok || value != newValue {
+			keys = append(keys, key)
 		}
 	}
-	for name := range new {
-		if _, had := old[name]; !had {
-			names = append(names, name)
+	for key := range new {
+		if _, ok := old[key]; !ok {
+			keys = append(keys, key)
 		}
 	}
-	slices.Sort(names)
-	return names
+	slices.Sort(keys)
+	return keys
 }
 
 // refreshMembers has the decisions see members as what lies over their lists' word says now; after hears of each what it was.
-func (c *Dispatcher) refreshMembers(names []string, after func(m *Member, was loadbalancer.Worker)) {
+func (d *Dispatcher) refreshMembers(names []string, after func(member *Member, old loadbalancer.Worker)) {
 	var workers []loadbalancer.Worker
 	for _, name := range names {
-		id, known := c.workerIDs[name]
-		m := c.members[id]
-		if !known || m == nil || m.Backend == nil {
+		id, known := d.workerIDs[name]
+		member := d.members[id]
+		if !known || member == nil || member.Backend == nil {
 			continue
 		}
-		was := m.Worker
-		c.applyOverrides(m)
-		c.trackState(m, was.State)
-		after(m, was)
-		workers = append(workers, m.Worker)
+		old := member.Worker
+		d.applyOverrides(member)
+		d.trackState(member, old.State)
+		after(member, old)
+		workers = append(workers, member.Worker)
 	}
 	if len(workers) > 0 {
-		c.balancer.UpdateWorkers(c.clock.Now(), loadbalancer.ListDelta, workers)
+		d.balancer.UpdateWorkers(d.clock.Now(), loadbalancer.ListDelta, workers)
 	}
 }
 
 // applyOverrides works out what the decisions see of a member. One that is out drains and keeps its start, so that the start
 // it comes back with is news to them: its own if it has been told since, else the call back.
-func (c *Dispatcher) applyOverrides(m *Member) {
-	m.Worker = m.listed
-	c.restrict(m)
-	x, had := c.exclusions[m.Name]
+func (d *Dispatcher) applyOverrides(member *Member) {
+	member.Worker = member.listed
+	d.restrict(member)
+	exclusion, excluded := d.exclusions[member.Name]
 	switch {
-	case !had:
-	case x.IncludedAt == 0:
-		m.StartedAt = x.StartedAt
-		if m.State == loadbalancer.Ready {
-			m.State = loadbalancer.Draining
+	case !excluded:
+	case exclusion.IncludedAt == 0:
+		member.StartedAt = exclusion.StartedAt
+		if member.State == loadbalancer.Ready {
+			member.State = loadbalancer.Draining
 		}
-	case m.StartedAt >= x.ExcludedAt || c.clock.Now() > x.IncludedAt+c.settings.SlowStartDuration+1:
-		delete(c.exclusions, m.Name) // discovery has caught up, or it is warm
+	case member.StartedAt >= exclusion.ExcludedAt || d.clock.Now() > exclusion.IncludedAt+d.settings.SlowStartDuration+1:
+		delete(d.exclusions, member.Name) // discovery has caught up, or it is warm
 	default:
-		m.StartedAt = x.IncludedAt
+		member.StartedAt = exclusion.IncludedAt
 	}
 }
 
 // Snapshot is what the decisions have learnt, for the process that takes this one's place.
-func (c *Dispatcher) Snapshot() loadbalancer.Snapshot { return c.balancer.Snapshot() }
+func (d *Dispatcher) Snapshot() loadbalancer.Snapshot { return d.balancer.Snapshot() }
 
 // Restore takes what another process has learnt, before the first list; it says why it is of no use.
-func (c *Dispatcher) Restore(l loadbalancer.Snapshot) (err error) {
-	c.handle(func() { err = c.balancer.Restore(c.clock.Now(), l) })
+func (d *Dispatcher) Restore(snapshot loadbalancer.Snapshot) (err error) {
+	d.handle(func() { err = d.balancer.Restore(d.clock.Now(), snapshot) })
 	return err
 }
 
 // SetInstanceShare has the decisions know their place among the dispatchers that share the workers; one that makes no sense changes
 // nothing.
-func (c *Dispatcher) SetInstanceShare(p loadbalancer.InstanceShare) (err error) {
-	c.handle(func() { err = c.balancer.SetInstanceShare(p) })
+func (d *Dispatcher) SetInstanceShare(share loadbalancer.InstanceShare) (err error) {
+	d.handle(func() { err = d.balancer.SetInstanceShare(share) })
 	return err
 }
--- a/internal/dispatcher/dispatch/observe.go
+++ b/internal/dispatcher/dispatch/observe.go
@@ -72,7 +72,7 @@
 }
 
 // Late says whether the answer came after the class's objective.
-func (f *AnswerRecord) Late() bool { return f.AnsweredAt > f.TargetAt }
+func (r *AnswerRecord) Late() bool { return r.AnsweredAt > r.TargetAt }
 
 // AttemptRecord is one attempt.
 type AttemptRecord struct {
@@ -101,61 +101,61 @@
 }
 
 // recordAnswer tells the books what became of a req.
-func (c *Dispatcher) recordAnswer(r *request, v Verdict, reason Reason, wait float64, won int) {
-	if c.Observer == nil {
+func (d *Dispatcher) recordAnswer(request *request, verdict Verdict, reason Reason, retryAfter float64, winner int) {
+	if d.Observer == nil {
 		return
 	}
-	f := &c.answerRecord
-	*f = AnswerRecord{ID: r.job.ID, Front: r.job.Front, Class: r.job.Class, Verdict: v, Reason: reason, ArrivedAt: r.arrivedAt,
-		AnsweredAt: c.clock.Now(), RetryAfter: wait, WinningAttempt: won, AuditMark: c.AuditMark, Attempts: f.Attempts[:0]}
-	f.TargetAt = c.targetTime(&r.job, r.arrivedAt)
-	if f.Class < 0 || f.Class >= len(c.settings.Classes) {
-		f.Class = -1
+	record := &d.answerRecord
+	*record = AnswerRecord{ID: request.job.ID, Front: request.job.Front, Class: request.job.Class, Verdict: verdict, Reason: reason, ArrivedAt: request.arrivedAt,
+		AnsweredAt: d.clock.Now(), RetryAfter: retryAfter, WinningAttempt: winner, AuditMark: d.AuditMark, Attempts: record.Attempts[:0]}
+	record.TargetAt = d.targetTime(&request.job, request.arrivedAt)
+	if record.Class < 0 || record.Class >= len(d.settings.Classes) {
+		record.Class = -1
 	}
-	for _, t := range r.attempts {
-		f.Attempts = append(f.Attempts, t.record())
-		if t.startedAt > 0 && (f.StartedAt == 0 || t.startedAt < f.StartedAt) {
-			f.StartedAt = t.startedAt
+	for _, attempt := range request.attempts {
+		record.Attempts = append(record.Attempts, attempt.record())
+		if attempt.startedAt > 0 && (record.StartedAt == 0 || attempt.startedAt < record.StartedAt) {
+			record.StartedAt = attempt.startedAt
 		}
 	}
-	c.Observer.ObserveAnswer(f)
+	d.Observer.ObserveAnswer(record)
 }
 
 // targetTime is until when an answer is in time.
-func (c *Dispatcher) targetTime(job *Job, arrived float64) float64 {
-	if job.Class < 0 || job.Class >= len(c.settings.Classes) {
+func (d *Dispatcher) targetTime(job *Job, arrivedAt float64) float64 {
+	if job.Class < 0 || job.Class >= len(d.settings.Classes) {
 		return job.Deadline
 	}
-	class := &c.settings.Classes[job.Class]
-	return min(arrived+class.Objective+class.Stretch*job.Work, job.Deadline)
+	class := &d.settings.Classes[job.Class]
+	return min(arrivedAt+class.Objective+class.Stretch*job.Work, job.Deadline)
 }
 
-func (f *attempt) record() AttemptRecord {
-	return AttemptRecord{Worker: f.member.ID, MemberName: f.member.Name, Class: f.request.job.Class, Attempt: f.index, Hedged: f.hedged, SentAt: f.sentAt,
-		StartedAt: f.startedAt, EndedAt: f.endedAt, Result: f.result, AuditMark: f.auditMark}
+func (a *attempt) record() AttemptRecord {
+	return AttemptRecord{Worker: a.member.ID, MemberName: a.member.Name, Class: a.request.job.Class, Attempt: a.index, Hedged: a.hedged, SentAt: a.sentAt,
+		StartedAt: a.startedAt, EndedAt: a.endedAt, Result: a.result, AuditMark: a.auditMark}
 }
 
 // RecordAnswer notes a job that a front has answered without the core.
-func (c *Dispatcher) RecordAnswer(job Job, v Verdict, reason Reason, wait float64) {
-	now := c.clock.Now()
-	c.handle(func() { c.recordAnswer(&request{job: job, arrivedAt: now}, v, reason, wait, -1) })
+func (d *Dispatcher) RecordAnswer(job Job, verdict Verdict, reason Reason, retryAfter float64) {
+	now := d.clock.Now()
+	d.handle(func() { d.recordAnswer(&request{job: job, arrivedAt: now}, verdict, reason, retryAfter, -1) })
 }
 
 // rejectionReason works out why the decisions did not have a req served: they do not say.
-func (c *Dispatcher) rejectionReason(r *request) Reason {
-	if r.job.Class < 0 || r.job.Class >= len(c.settings.Classes) {
+func (d *Dispatcher) rejectionReason(request *request) Reason {
+	if request.job.Class < 0 || request.job.Class >= len(d.settings.Classes) {
 		return ReasonUnknownClass
 	}
-	late := c.clock.Now() >= r.job.Deadline-3*max(c.settings.Tick, overdueGrace)
-	if n := len(r.attempts); n > 0 && !(late && r.running > 0) {
-		if why := attemptReasons[r.attempts[n-1].result]; why != ReasonNone && r.attempts[n-1].ended {
-			return why
+	late := d.clock.Now() >= request.job.Deadline-3*max(d.settings.Tick, overdueGrace)
+	if n := len(request.attempts); n > 0 && !(late && request.running > 0) {
+		if reason := attemptReasons[request.attempts[n-1].result]; reason != ReasonNone && request.attempts[n-1].ended {
+			return reason
 		}
 	}
 	switch {
 	case late:
 		return ReasonDeadlineExceeded
-	case c.readyMembers == 0:
+	case d.readyMembers == 0:
 		return ReasonNoReadyMember
 	}
 	return ReasonNoCapacity
@@ -166,23 +166,23 @@
 	loadbalancer.ConnectFailed: ReasonUnreachable, loadbalancer.Reset: ReasonConnectionLost, loadbalancer.Cancelled: ReasonCancelled, loadbalancer.Withdrawn: ReasonWithdrawn}
 
 // trackDrain notes that a member no longer wants new work; it was ready before.
-func (c *Dispatcher) trackDrain(m *Member) {
-	now := c.clock.Now()
-	m.drainStart = now
-	if c.Observer == nil {
+func (d *Dispatcher) trackDrain(member *Member) {
+	now := d.clock.Now()
+	member.drainStart = now
+	if d.Observer == nil {
 		return
 	}
-	id := m.ID
-	c.clock.At(now+drainGrace, func() {
-		c.handle(func() {
-			if m.drainStart == now {
-				c.Observer.ObserveDrain(id, drainGrace-max(0, m.lastStart-now))
+	id := member.ID
+	d.clock.At(now+drainGrace, func() {
+		d.handle(func() {
+			if member.drainStart == now {
+				d.Observer.ObserveDrain(id, drainGrace-max(0, member.lastStart-now))
 			}
 		})
 	})
 }
 
 // WorkerStatus is what the decisions hold of a worker.
-func (c *Dispatcher) WorkerStatus(worker loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
-	return c.balancer.WorkerStatus(c.clock.Now(), worker)
+func (d *Dispatcher) WorkerStatus(worker loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
+	return d.balancer.WorkerStatus(d.clock.Now(), worker)
 }
--- a/internal/dispatcher/dispatch/observe_test.go
+++ b/internal/dispatcher/dispatch/observe_test.go
@@ -17,22 +17,22 @@
 	reports  int
 }
 
-func (n *recorder) ObserveAnswer(f *AnswerRecord) {
-	g := *f
-	g.Attempts = append([]AttemptRecord(nil), f.Attempts...)
-	n.answers = append(n.answers, g)
+func (r *recorder) ObserveAnswer(answer *AnswerRecord) {
+	clone := *answer
+	clone.Attempts = append([]AttemptRecord(nil), answer.Attempts...)
+	r.answers = append(r.answers, clone)
 }
-func (n *recorder) ObserveAttempt(t *AttemptRecord)                                   { n.attempts = append(n.attempts, *t) }
-func (n *recorder) ObserveMembers(loadbalancer.ListKind, []Member)                    {}
-func (n *recorder) ObserveLoadReport(loadbalancer.WorkerID, float64, []float32, bool) { n.reports++ }
-func (n *recorder) ObserveDrain(_ loadbalancer.WorkerID, margin float64) {
-	n.margins = append(n.margins, margin)
+func (r *recorder) ObserveAttempt(attempt *AttemptRecord)                             { r.attempts = append(r.attempts, *attempt) }
+func (r *recorder) ObserveMembers(loadbalancer.ListKind, []Member)                    {}
+func (r *recorder) ObserveLoadReport(loadbalancer.WorkerID, float64, []float32, bool) { r.reports++ }
+func (r *recorder) ObserveDrain(_ loadbalancer.WorkerID, margin float64) {
+	r.margins = append(r.margins, margin)
 }
 
 func newRecordedTestbed(t *testing.T) (*testbed, *recorder) {
-	b, n := newTestbed(t), &recorder{}
-	b.dispatcher.Observer = n
-	return b, n
+	b, observer := newTestbed(t), &recorder{}
+	b.dispatcher.Observer = observer
+	return b, observer
 }
 
 // The books have one final for each req and one end for each attempt, with the reason that a person would give.
@@ -57,29 +57,29 @@
 		{"unknown class", 9, nil, false, Failed, ReasonUnknownClass, -1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, n := newRecordedTestbed(t)
+			b, recorder := newRecordedTestbed(t)
 			if tc.nobody {
 				b.updateMembers()
 			}
-			b.onStart = func(f Attempt) {
+			b.onStart = func(answer Attempt) {
 				if i := len(b.started); i <= len(tc.ends) {
-					b.dispatcher.HandleOutcome(f.ID, Outcome{Result: tc.ends[i-1], Report: []float32{1}})
+					b.dispatcher.HandleOutcome(answer.ID, Outcome{Result: tc.ends[i-1], Report: []float32{1}})
 				}
 			}
 			b.submit(tc.class, 1)
 			b.run(b.now + 3)
-			if len(n.answers) != 1 {
-				t.Fatalf("%d finals", len(n.answers))
+			if len(recorder.answers) != 1 {
+				t.Fatalf("%d finals", len(recorder.answers))
 			}
-			f := n.answers[0]
-			if f.Verdict != tc.verdict || f.Reason != tc.reason || f.WinningAttempt != tc.won {
-				t.Errorf("verdict %v for %s, won by %d; want %v for %s by %d", f.Verdict, f.Reason, f.WinningAttempt, tc.verdict, tc.reason, tc.won)
+			answer := recorder.answers[0]
+			if answer.Verdict != tc.verdict || answer.Reason != tc.reason || answer.WinningAttempt != tc.won {
+				t.Errorf("verdict %v for %s, won by %d; want %v for %s by %d", answer.Verdict, answer.Reason, answer.WinningAttempt, tc.verdict, tc.reason, tc.won)
 			}
-			if len(n.attempts) != len(b.started) || n.reports != len(tc.ends) || len(f.Attempts) != len(b.started) {
-				t.Errorf("%d attempts begun, %d ended in the books, %d in the final; %d reports", len(b.started), len(n.attempts), len(f.Attempts), n.reports)
+			if len(recorder.attempts) != len(b.started) || recorder.reports != len(tc.ends) || len(answer.Attempts) != len(b.started) {
+				t.Errorf("%d attempts begun, %d ended in the books, %d in the final; %d reports", len(b.started), len(recorder.attempts), len(answer.Attempts), recorder.reports)
 			}
 			var results []loadbalancer.Result
-			for _, a := range n.attempts {
+			for _, a := range recorder.attempts {
 				results = append(results, a.Result)
 			}
 			if d := cmp.Diff(tc.ends, results); len(tc.ends) > 0 && d != "" {
@@ -91,26 +91,26 @@
 
 // A client that leaves is in the books once, and what its attempts come to later is noted without another final.
 func TestDisconnectIsRecordedOnce(t *testing.T) {
-	b, n := newRecordedTestbed(t)
+	b, recorder := newRecordedTestbed(t)
 	id := b.submit(0, 1)
 	b.dispatcher.HandleDisconnect(id)
 	b.dispatcher.HandleDisconnect(id)
 	b.run(b.now + 3)
-	if len(n.answers) != 1 || n.answers[0].Verdict != Disconnected || len(n.attempts) != 1 {
-		t.Errorf("%+v, %d attempts", n.answers, len(n.attempts))
+	if len(recorder.answers) != 1 || recorder.answers[0].Verdict != Disconnected || len(recorder.attempts) != 1 {
+		t.Errorf("%+v, %d attempts", recorder.answers, len(recorder.attempts))
 	}
 }
 
 // Answers that come after the class's objective are late; the hinted work stretches it.
 func TestLateAnswers(t *testing.T) {
-	b, n := newRecordedTestbed(t)
+	b, recorder := newRecordedTestbed(t)
 	for _, wait := range []float64{0.05, 0.15} {
 		b.submit(0, 1)
 		b.run(b.now + wait)
 		b.dispatcher.HandleOutcome(b.started[len(b.started)-1].ID, Outcome{Result: loadbalancer.OK})
 	}
-	if len(n.answers) != 2 || n.answers[0].Late() || !n.answers[1].Late() {
-		t.Errorf("%+v", n.answers)
+	if len(recorder.answers) != 2 || recorder.answers[0].Late() || !recorder.answers[1].Late() {
+		t.Errorf("%+v", recorder.answers)
 	}
 	b.dispatcher.settings.Classes[0].Stretch = 2
 	if got := b.dispatcher.targetTime(&Job{Class: 0, Work: 0.3, Deadline: 1e9}, 100); math.Abs(got-100.7) > 1e-9 {
@@ -121,46 +121,46 @@
 // A drain is told of once, with what was left of the grace: all of it, since nothing starts after it; a job that does
 // start after it, which the core never lets happen, would show.
 func TestDrainMargin(t *testing.T) {
-	b, n := newRecordedTestbed(t)
+	b, recorder := newRecordedTestbed(t)
 	b.submit(0, 1)
-	if _, clear := b.dispatcher.ConfirmSend(b.started[0].ID); !clear {
+	if _, confirmed := b.dispatcher.ConfirmSend(b.started[0].ID); !confirmed {
 		t.Fatal("not clear")
 	}
 	b.run(b.now + 0.1)
 	b.updateMembers(loadbalancer.Draining, loadbalancer.Draining)
 	b.updateMembers(loadbalancer.Draining, loadbalancer.Draining)
 	b.run(b.now + 0.1)
-	if len(n.margins) > 0 {
+	if len(recorder.margins) > 0 {
 		t.Error("told before the grace was over")
 	}
 	b.run(b.now + 0.3)
-	if d := cmp.Diff([]float64{drainGrace, drainGrace}, n.margins); d != "" {
+	if d := cmp.Diff([]float64{drainGrace, drainGrace}, recorder.margins); d != "" {
 		t.Error(d)
 	}
 	b.updateMembers(loadbalancer.Ready, loadbalancer.Ready)
 	b.updateMembers(loadbalancer.Ready) // left the list altogether
 	b.dispatcher.members[2].lastStart = b.now + 0.2
 	b.run(b.now + 0.4)
-	if len(n.margins) != 3 || math.Abs(n.margins[2]-0.1) > 1e-9 {
-		t.Error(n.margins)
+	if len(recorder.margins) != 3 || math.Abs(recorder.margins[2]-0.1) > 1e-9 {
+		t.Error(recorder.margins)
 	}
 }
 
 // A copy is told from a repeat, and a front's own refusal is in the books like any other.
 func TestHedgedAttemptsAndDirectRejections(t *testing.T) {
-	b, n := newRecordedTestbed(t)
+	b, recorder := newRecordedTestbed(t)
 	b.dispatcher.RecordAnswer(Job{ID: "x", Front: "f", Class: 0}, Rejected, ReasonEvacuated, 0.5)
-	if d := cmp.Diff([]AnswerRecord{{ID: "x", Front: "f", Verdict: Rejected, Reason: ReasonEvacuated, ArrivedAt: b.now, TargetAt: b.now, AnsweredAt: b.now, RetryAfter: 0.5, WinningAttempt: -1}}, n.answers,
+	if d := cmp.Diff([]AnswerRecord{{ID: "x", Front: "f", Verdict: Rejected, Reason: ReasonEvacuated, ArrivedAt: b.now, TargetAt: b.now, AnsweredAt: b.now, RetryAfter: 0.5, WinningAttempt: -1}}, recorder.answers,
 		cmp.Transformer("aim", func(f AnswerRecord) AnswerRecord { f.TargetAt, f.Attempts = f.ArrivedAt, nil; return f })); d != "" {
 		t.Error(d)
 	}
 	id := b.submit(0, 1)
-	for _, q := range b.dispatcher.requestsByID {
-		actions{b.dispatcher}.Send(q.id, 2, 0)
+	for _, request := range b.dispatcher.requestsByID {
+		actions{b.dispatcher}.Send(request.id, 2, 0)
 	}
 	b.dispatcher.HandleOutcome(b.started[1].ID, Outcome{Result: loadbalancer.OK})
 	b.run(b.now + 2)
-	f := n.answers[1]
+	f := recorder.answers[1]
 	if f.WinningAttempt != 1 || !f.Attempts[1].Hedged || f.Attempts[0].Hedged {
 		t.Errorf("%v: %+v", id, f)
 	}
--- a/internal/dispatcher/dispatch/routing.go
+++ b/internal/dispatcher/dispatch/routing.go
@@ -186,266 +186,266 @@
 const overdueGrace = 0.005
 
 // New makes a core; Start begins its life.
-func New(set loadbalancer.Settings, seed uint64, clock Clock) (*Dispatcher, error) {
-	c := &Dispatcher{clock: clock, requestsByID: map[loadbalancer.RequestID]*request{}, members: map[loadbalancer.WorkerID]*Member{},
-		workerIDs: map[string]loadbalancer.WorkerID{}, exclusions: map[string]Exclusion{}, settings: set,
+func New(settings loadbalancer.Settings, seed uint64, clock Clock) (*Dispatcher, error) {
+	d := &Dispatcher{clock: clock, requestsByID: map[loadbalancer.RequestID]*request{}, members: map[loadbalancer.WorkerID]*Member{},
+		workerIDs: map[string]loadbalancer.WorkerID{}, exclusions: map[string]Exclusion{}, settings: settings,
 		Log: func(string) {}}
-	bal, err := loadbalancer.New(set, seed, actions{c})
+	balancer, err := loadbalancer.New(settings, seed, actions{d})
 	if err != nil {
 		return nil, err
 	}
-	c.balancer = bal
-	return c, nil
+	d.balancer = balancer
+	return d, nil
 }
 
 // Start begins the decisions' life.
-func (c *Dispatcher) Start() { c.handle(func() { c.balancer.Start(c.clock.Now()) }) }
+func (d *Dispatcher) Start() { d.handle(func() { d.balancer.Start(d.clock.Now()) }) }
 
 // Counts returns the figures so far.
-func (c *Dispatcher) Counts() Counts {
-	n := c.counts
-	n.OpenRequests, n.OpenAttempts = c.requests.Len(), c.attempts.Len()
-	return n
+func (d *Dispatcher) Counts() Counts {
+	counts := d.counts
+	counts.OpenRequests, counts.OpenAttempts = d.requests.Len(), d.attempts.Len()
+	return counts
 }
 
 // handle runs an event after those before it: one event at a time reaches the Balancer.
-func (c *Dispatcher) handle(event func()) {
-	c.events = append(c.events, event)
-	if c.handlingEvent {
+func (d *Dispatcher) handle(event func()) {
+	d.events = append(d.events, event)
+	if d.handlingEvent {
 		return
 	}
-	c.handlingEvent = true
-	for len(c.events) > 0 {
-		next := c.events[0]
-		c.events = c.events[1:]
+	d.handlingEvent = true
+	for len(d.events) > 0 {
+		next := d.events[0]
+		d.events = d.events[1:]
 		next()
 	}
-	c.events, c.handlingEvent = nil, false
+	d.events, d.handlingEvent = nil, false
 }
 
 // Submit accepts a job; its one answer goes to asker, perhaps before Take returns.
-func (c *Dispatcher) Submit(job Job, asker Requester) RequestID {
-	r := &request{job: job, requester: asker, arrivedAt: c.clock.Now()}
-	r.handle = c.requests.Insert(r)
-	for r.id = c.lastID + 1; r.id == 0 || r.id == math.MaxUint32 || c.requestsByID[r.id] != nil; r.id++ {
+func (d *Dispatcher) Submit(job Job, requester Requester) RequestID {
+	request := &request{job: job, requester: requester, arrivedAt: d.clock.Now()}
+	request.handle = d.requests.Insert(request)
+	for request.id = d.lastID + 1; request.id == 0 || request.id == math.MaxUint32 || d.requestsByID[request.id] != nil; request.id++ {
 	} // the last number is the sweep's timer
-	c.lastID = r.id
-	c.requestsByID[r.id] = r
-	c.counts.Requests++
-	r.deadlineGuard = c.clock.At(job.Deadline+overdueGrace, func() { c.handle(func() { c.answerOverdue(r) }) })
-	c.handle(func() {
-		if r.answered {
+	d.lastID = request.id
+	d.requestsByID[request.id] = request
+	d.counts.Requests++
+	request.deadlineGuard = d.clock.At(job.Deadline+overdueGrace, func() { d.handle(func() { d.answerOverdue(request) }) })
+	d.handle(func() {
+		if request.answered {
 			return
 		}
-		c.balancer.HandleRequest(c.clock.Now(), &loadbalancer.Request{ID: r.id, Class: job.Class, Skill: job.Skill, Slots: job.Slots,
+		d.balancer.HandleRequest(d.clock.Now(), &loadbalancer.Request{ID: request.id, Class: job.Class, Skill: job.Skill, Slots: job.Slots,
 			Memory: job.Memory, Work: job.Work, Deadline: job.Deadline})
 	})
-	return RequestID(r.handle)
+	return RequestID(request.handle)
 }
 
 // HandleDisconnect tells that the client has left: nothing is owed any more.
-func (c *Dispatcher) HandleDisconnect(id RequestID) {
-	c.handle(func() {
-		r, ok := c.requests.Get(slotmap.Handle(id))
-		if !ok || r.answered {
+func (d *Dispatcher) HandleDisconnect(id RequestID) {
+	d.handle(func() {
+		request, ok := d.requests.Get(slotmap.Handle(id))
+		if !ok || request.answered {
 			return
 		}
-		c.counts.Disconnected++
-		c.markAnswered(r)
-		c.recordAnswer(r, Disconnected, ReasonNone, 0, -1)
-		c.balancer.HandleDisconnect(c.clock.Now(), r.id)
-		c.forget(r)
+		d.counts.Disconnected++
+		d.markAnswered(request)
+		d.recordAnswer(request, Disconnected, ReasonNone, 0, -1)
+		d.balancer.HandleDisconnect(d.clock.Now(), request.id)
+		d.forget(request)
 	})
 }
 
 // answerOverdue guards the promise of one final answer against decisions that forgot a req.
-func (c *Dispatcher) answerOverdue(r *request) {
-	if r.answered {
+func (d *Dispatcher) answerOverdue(request *request) {
+	if request.answered {
 		return
 	}
-	c.counts.Overdue++
-	c.answer(r, Answer{Verdict: Failed}, ReasonOverdue, -1)
-	c.balancer.HandleDisconnect(c.clock.Now(), r.id)
-	c.forget(r)
+	d.counts.Overdue++
+	d.answer(request, Answer{Verdict: Failed}, ReasonOverdue, -1)
+	d.balancer.HandleDisconnect(d.clock.Now(), request.id)
+	d.forget(request)
 }
 
 // answer gives the one final answer; won is the attempt that served it.
-func (c *Dispatcher) answer(r *request, a Answer, why Reason, won int) {
-	invariant.Check(!r.answered, "a req is answered once")
-	if r.answered {
+func (d *Dispatcher) answer(request *request, answer Answer, reason Reason, winner int) {
+	invariant.Check(!request.answered, "a req is answered once")
+	if request.answered {
 		return
 	}
-	switch a.Verdict {
+	switch answer.Verdict {
 	case Served:
-		c.counts.Served++
+		d.counts.Served++
 	case Rejected:
-		c.counts.Rejected++
+		d.counts.Rejected++
 	default:
-		c.counts.Failed++
+		d.counts.Failed++
 	}
-	c.markAnswered(r)
-	r.requester.Answer(a)
-	v := a.Verdict
-	if by, ok := r.requester.(Requeuer); ok && v == Rejected && by.Requeued() {
-		v = Requeued
+	d.markAnswered(request)
+	request.requester.Answer(answer)
+	verdict := answer.Verdict
+	if requeuer, ok := request.requester.(Requeuer); ok && verdict == Rejected && requeuer.Requeued() {
+		verdict = Requeued
 	}
-	c.recordAnswer(r, v, why, a.RetryAfter, won)
+	d.recordAnswer(request, verdict, reason, answer.RetryAfter, winner)
 }
 
-func (c *Dispatcher) markAnswered(r *request) {
-	r.answered = true
-	r.deadlineGuard.Stop()
+func (d *Dispatcher) markAnswered(request *request) {
+	request.answered = true
+	request.deadlineGuard.Stop()
 }
 
 // forget lets go of a req that has its answer and no fetch out.
-func (c *Dispatcher) forget(r *request) {
-	if r.answered && r.running == 0 && c.requests.Remove(r.handle) {
-		delete(c.requestsByID, r.id)
+func (d *Dispatcher) forget(request *request) {
+	if request.answered && request.running == 0 && d.requests.Remove(request.handle) {
+		delete(d.requestsByID, request.id)
 	}
 }
 
 // ConfirmSend says whether a fetch whose first byte has not gone out may still be sent: its req must be open, its
 // time not over, and its worker must still want new work. If not, result is what it ended as.
-func (c *Dispatcher) ConfirmSend(id AttemptID) (result loadbalancer.Result, clear bool) {
-	f, ok := c.attempts.Get(slotmap.Handle(id))
+func (d *Dispatcher) ConfirmSend(id AttemptID) (result loadbalancer.Result, confirmed bool) {
+	attempt, ok := d.attempts.Get(slotmap.Handle(id))
 	switch {
-	case !ok || f.ended || f.request.answered || c.clock.Now() >= f.deadlineAt:
+	case !ok || attempt.ended || attempt.request.answered || d.clock.Now() >= attempt.deadlineAt:
 		return loadbalancer.Withdrawn, false
-	case f.member.State != loadbalancer.Ready:
+	case attempt.member.State != loadbalancer.Ready:
 		return loadbalancer.ConnectFailed, false
 	}
-	f.member.lastStart = c.clock.Now()
+	attempt.member.lastStart = d.clock.Now()
 	return loadbalancer.OK, true
 }
 
 // WorkerID numbers the worker of a name. The number is drawn from the name alone, since dispatchers that share
 // nothing must agree on a worker's place in the turns of cold starts.
-func (c *Dispatcher) WorkerID(name string) loadbalancer.WorkerID {
-	if id, ok := c.workerIDs[name]; ok {
+func (d *Dispatcher) WorkerID(name string) loadbalancer.WorkerID {
+	if id, ok := d.workerIDs[name]; ok {
 		return id
 	}
-	h := fnv.New32a()
-	h.Write([]byte(name))
-	id := loadbalancer.WorkerID(h.Sum32())
-	for c.members[id] != nil {
+	hash := fnv.New32a()
+	hash.Write([]byte(name))
+	id := loadbalancer.WorkerID(hash.Sum32())
+	for d.members[id] != nil {
 		id++
 	}
-	c.workerIDs[name], c.members[id] = id, &Member{}
+	d.workerIDs[name], d.members[id] = id, &Member{}
 	return id
 }
 
 // HandleStarted tells that a fetch's job has begun.
-func (c *Dispatcher) HandleStarted(id AttemptID) {
-	if f, ok := c.attempts.Get(slotmap.Handle(id)); ok && f.startedAt == 0 {
-		f.startedAt = c.clock.Now()
+func (d *Dispatcher) HandleStarted(id AttemptID) {
+	if attempt, ok := d.attempts.Get(slotmap.Handle(id)); ok && attempt.startedAt == 0 {
+		attempt.startedAt = d.clock.Now()
 	}
-	c.reportProgress(id, loadbalancer.ProgressUpdate{Started: true})
+	d.reportProgress(id, loadbalancer.ProgressUpdate{Started: true})
 }
 
 // HandleProgress tells the share of a fetch's job that is done.
-func (c *Dispatcher) HandleProgress(id AttemptID, share float64) {
-	c.reportProgress(id, loadbalancer.ProgressUpdate{Fraction: share})
+func (d *Dispatcher) HandleProgress(id AttemptID, fraction float64) {
+	d.reportProgress(id, loadbalancer.ProgressUpdate{Fraction: fraction})
 }
 
-func (c *Dispatcher) reportProgress(id AttemptID, n loadbalancer.ProgressUpdate) {
-	c.handle(func() {
-		if f, ok := c.attempts.Get(slotmap.Handle(id)); ok && !f.ended {
-			n.Request, n.Attempt = f.request.id, f.index
-			c.balancer.HandleProgress(c.clock.Now(), &n)
+func (d *Dispatcher) reportProgress(id AttemptID, update loadbalancer.ProgressUpdate) {
+	d.handle(func() {
+		if attempt, ok := d.attempts.Get(slotmap.Handle(id)); ok && !attempt.ended {
+			update.Request, update.Attempt = attempt.request.id, attempt.index
+			d.balancer.HandleProgress(d.clock.Now(), &update)
 		}
 	})
 }
 
 // HandleOutcome tells how a fetch ended; only the first word on a fetch counts.
-func (c *Dispatcher) HandleOutcome(id AttemptID, e Outcome) {
-	c.handle(func() {
-		if f, ok := c.attempts.Get(slotmap.Handle(id)); ok && !f.ended {
-			c.endAttempt(f, e)
+func (d *Dispatcher) HandleOutcome(id AttemptID, outcome Outcome) {
+	d.handle(func() {
+		if attempt, ok := d.attempts.Get(slotmap.Handle(id)); ok && !attempt.ended {
+			d.endAttempt(attempt, outcome)
 		}
 	})
 }
 
 // endAttempt turns the end of a fetch into the Balancer's one Outcome for the Send.
-func (c *Dispatcher) endAttempt(f *attempt, e Outcome) {
-	invariant.Check(!f.ended, "a fetch ends once")
-	f.ended, f.endedAt, f.result = true, c.clock.Now(), e.Result
-	f.timer.Stop()
-	c.attempts.Remove(f.handle)
-	r := f.request
-	r.running--
+func (d *Dispatcher) endAttempt(attempt *attempt, outcome Outcome) {
+	invariant.Check(!attempt.ended, "a fetch ends once")
+	attempt.ended, attempt.endedAt, attempt.result = true, d.clock.Now(), outcome.Result
+	attempt.timer.Stop()
+	d.attempts.Remove(attempt.handle)
+	request := attempt.request
+	request.running--
 	switch {
-	case e.Result == loadbalancer.OK && !r.answered:
-		c.answer(r, Answer{Verdict: Served, Body: e.Body}, ReasonNone, f.index)
-	case e.InvalidJob: // no blame for the backend; a second one that says so settles it, and the client is told
-		e.Result = loadbalancer.Cancelled
-		f.result = e.Result
-		if r.invalidVotes++; r.invalidVotes > 1 && !r.answered {
-			c.counts.InvalidJobs++
-			c.answer(r, Answer{Verdict: Failed}, ReasonInvalidJob, -1)
+	case outcome.Result == loadbalancer.OK && !request.answered:
+		d.answer(request, Answer{Verdict: Served, Body: outcome.Body}, ReasonNone, attempt.index)
+	case outcome.InvalidJob: // no blame for the backend; a second one that says so settles it, and the client is told
+		outcome.Result = loadbalancer.Cancelled
+		attempt.result = outcome.Result
+		if request.invalidVotes++; request.invalidVotes > 1 && !request.answered {
+			d.counts.InvalidJobs++
+			d.answer(request, Answer{Verdict: Failed}, ReasonInvalidJob, -1)
 		}
 	}
-	if c.Observer != nil {
-		t := f.record()
-		c.Observer.ObserveAttempt(&t)
-		if len(e.Report) > 0 {
-			c.Observer.ObserveLoadReport(t.Worker, f.endedAt, e.Report, false)
+	if d.Observer != nil {
+		record := attempt.record()
+		d.Observer.ObserveAttempt(&record)
+		if len(outcome.Report) > 0 {
+			d.Observer.ObserveLoadReport(record.Worker, attempt.endedAt, outcome.Report, false)
 		}
 	}
-	c.counts.Results[e.Result]++
-	c.balancer.HandleOutcome(c.clock.Now(), &loadbalancer.Outcome{Request: r.id, Attempt: f.index, Worker: f.member.ID,
-		Result: e.Result, ClientAnswered: r.answered, StaleConnection: e.StaleConnection, Report: e.Report})
-	c.forget(r)
+	d.counts.Results[outcome.Result]++
+	d.balancer.HandleOutcome(d.clock.Now(), &loadbalancer.Outcome{Request: request.id, Attempt: attempt.index, Worker: attempt.member.ID,
+		Result: outcome.Result, ClientAnswered: request.answered, StaleConnection: outcome.StaleConnection, Report: outcome.Report})
+	d.forget(request)
 }
 
 // UpdateMembers takes the director's news. What has left the list stays known: a fetch may still be out there.
-func (c *Dispatcher) UpdateMembers(kind loadbalancer.ListKind, members []Member) {
-	c.handle(func() {
+func (d *Dispatcher) UpdateMembers(kind loadbalancer.ListKind, members []Member) {
+	d.handle(func() {
 		if kind == loadbalancer.ListFull || kind == loadbalancer.ListCached {
-			named := make(map[loadbalancer.WorkerID]bool, len(members))
+			listed := make(map[loadbalancer.WorkerID]bool, len(members))
 			for i := range members {
-				named[members[i].ID] = true
+				listed[members[i].ID] = true
 			}
-			for id, m := range c.members {
-				m.listed.State = loadbalancer.Departed
-				if !named[id] {
-					was := m.State
-					m.State = loadbalancer.Departed
-					c.trackState(m, was)
+			for id, member := range d.members {
+				member.listed.State = loadbalancer.Departed
+				if !listed[id] {
+					oldState := member.State
+					member.State = loadbalancer.Departed
+					d.trackState(member, oldState)
 				}
 			}
 		}
 		workers := make([]loadbalancer.Worker, 0, len(members))
 		for i := range members {
-			m := c.members[members[i].ID]
-			if m == nil {
-				m = &Member{}
-				c.members[members[i].ID] = m
+			member := d.members[members[i].ID]
+			if member == nil {
+				member = &Member{}
+				d.members[members[i].ID] = member
 			}
-			was := m.State
-			members[i].drainTimes = m.drainTimes
-			*m = members[i]
-			m.listed = m.Worker
-			c.applyOverrides(m)
-			c.trackState(m, was)
-			workers = append(workers, m.Worker)
+			oldState := member.State
+			members[i].drainTimes = member.drainTimes
+			*member = members[i]
+			member.listed = member.Worker
+			d.applyOverrides(member)
+			d.trackState(member, oldState)
+			workers = append(workers, member.Worker)
 		}
-		if c.Observer != nil {
-			c.Observer.ObserveMembers(kind, members)
+		if d.Observer != nil {
+			d.Observer.ObserveMembers(kind, members)
 		}
-		c.balancer.UpdateWorkers(c.clock.Now(), kind, workers)
-		c.forgetDeparted()
+		d.balancer.UpdateWorkers(d.clock.Now(), kind, workers)
+		d.forgetDeparted()
 	})
 }
 
 // trackState notes that the decisions see a member in another state than before.
-func (c *Dispatcher) trackState(m *Member, was loadbalancer.WorkerState) {
+func (d *Dispatcher) trackState(member *Member, oldState loadbalancer.WorkerState) {
 	switch {
-	case was == m.State:
-	case m.State == loadbalancer.Ready:
-		c.readyMembers++
-	case was == loadbalancer.Ready:
-		c.readyMembers--
-		c.trackDrain(m)
+	case oldState == member.State:
+	case member.State == loadbalancer.Ready:
+		d.readyMembers++
+	case oldState == loadbalancer.Ready:
+		d.readyMembers--
+		d.trackDrain(member)
 	}
 }
 
@@ -454,20 +454,20 @@
 
 // forgetDeparted forgets members that have left the list, once there are many: machines come and go for as long as the
 // process runs. A fetch that is still out keeps its own hold of its member.
-func (c *Dispatcher) forgetDeparted() {
-	gone := 0
-	for _, m := range c.members {
-		if m.State == loadbalancer.Departed {
-			gone++
+func (d *Dispatcher) forgetDeparted() {
+	departed := 0
+	for _, member := range d.members {
+		if member.State == loadbalancer.Departed {
+			departed++
 		}
 	}
-	if gone <= maxDeparted {
+	if departed <= maxDeparted {
 		return
 	}
-	for id, m := range c.members {
-		if m.State == loadbalancer.Departed {
-			delete(c.members, id)
-			delete(c.workerIDs, m.Name)
+	for id, member := range d.members {
+		if member.State == loadbalancer.Departed {
+			delete(d.members, id)
+			delete(d.workerIDs, member.Name)
 		}
 	}
 }
--- a/internal/dispatcher/dispatch/routing_test.go
+++ b/internal/dispatcher/dispatch/routing_test.go
@@ -28,7 +28,7 @@
 	callback func()
 }
 
-func (e *fakeTimer) Stop()         { e.callback = nil }
+func (t *fakeTimer) Stop()         { t.callback = nil }
 func (b *testbed) Now() float64    { return b.now }
 func (b *testbed) Answer(a Answer) { b.answers = append(b.answers, a) }
 func (b *testbed) At(at float64, do func()) Timer {
@@ -67,8 +67,8 @@
 
 func newTestbed(t *testing.T) *testbed {
 	b := &testbed{t: t, now: 1000, mayHaveRun: true}
-	class := func(e loadbalancer.RetrySafety) loadbalancer.Class {
-		return loadbalancer.Class{Name: "c", Objective: 0.1, Deadline: 2, DedupWindow: 5, Value: 1, RetrySafety: e, DedupScope: loadbalancer.DedupCell, Kind: -1}
+	class := func(safety loadbalancer.RetrySafety) loadbalancer.Class {
+		return loadbalancer.Class{Name: "c", Objective: 0.1, Deadline: 2, DedupWindow: 5, Value: 1, RetrySafety: safety, DedupScope: loadbalancer.DedupCell, Kind: -1}
 	}
 	var err error
 	b.dispatcher, err = New(loadbalancer.Settings{Classes: []loadbalancer.Class{class(loadbalancer.RetrySafe), class(loadbalancer.RetryDeduplicated), class(loadbalancer.RetryUnsafe)}, Zones: 1,
@@ -204,40 +204,40 @@
 	list := func(kind loadbalancer.ListKind, state loadbalancer.WorkerState, since float64) {
 		b.dispatcher.UpdateMembers(kind, []Member{{Worker: loadbalancer.Worker{ID: id, State: state, StartedAt: since}, Backend: b, Name: "w"}})
 	}
-	seen := func(want loadbalancer.WorkerState, since float64) {
+	wantVisible := func(want loadbalancer.WorkerState, since float64) {
 		t.Helper()
 		m := b.dispatcher.members[id]
 		if diff := cmp.Diff([]any{want, since}, []any{m.State, m.StartedAt}); diff != "" {
 			t.Errorf("the decisions see (-want +got):\n%s", diff)
 		}
 	}
-	change := func(ch ExclusionChange, known bool) {
+	apply := func(change ExclusionChange, known bool) {
 		t.Helper()
-		if b.dispatcher.ApplyExclusions(ch.Exclusions); ch.Known != known || ch.LimitReached {
-			t.Errorf("change %+v", ch)
+		if b.dispatcher.ApplyExclusions(change.Exclusions); change.Known != known || change.LimitReached {
+			t.Errorf("change %+v", change)
 		}
 	}
 	list(loadbalancer.ListFull, loadbalancer.Ready, 100)
-	change(b.dispatcher.Exclude("nobody"), false)
-	change(b.dispatcher.Include("nobody"), false)
-	change(b.dispatcher.Include("w"), true) // nothing to do
+	apply(b.dispatcher.Exclude("nobody"), false)
+	apply(b.dispatcher.Include("nobody"), false)
+	apply(b.dispatcher.Include("w"), true) // nothing to do
 	b.submit(0, 1)
-	if _, clear := b.dispatcher.ConfirmSend(b.started[0].ID); !clear {
+	if _, confirmed := b.dispatcher.ConfirmSend(b.started[0].ID); !confirmed {
 		t.Fatal("a fetch is held up for nothing")
 	}
-	change(b.dispatcher.Exclude("w"), true)
-	if result, clear := b.dispatcher.ConfirmSend(b.started[0].ID); clear || result != loadbalancer.ConnectFailed {
-		t.Errorf("a fetch on its way to a member that is out: %v, %v", result, clear)
+	apply(b.dispatcher.Exclude("w"), true)
+	if result, confirmed := b.dispatcher.ConfirmSend(b.started[0].ID); confirmed || result != loadbalancer.ConnectFailed {
+		t.Errorf("a fetch on its way to a member that is out: %v, %v", result, confirmed)
 	}
 	for _, since := range []float64{100, b.now + 1} { // the second is a restart
 		list(loadbalancer.ListDelta, loadbalancer.Ready, since)
-		seen(loadbalancer.Draining, 100)
+		wantVisible(loadbalancer.Draining, 100)
 	}
 	list(loadbalancer.ListDelta, loadbalancer.Departed, 0)
-	seen(loadbalancer.Departed, 100)
-	change(b.dispatcher.Exclude("w"), true)
+	wantVisible(loadbalancer.Departed, 100)
+	apply(b.dispatcher.Exclude("w"), true)
 	list(loadbalancer.ListFull, loadbalancer.Ready, b.now+1)
-	seen(loadbalancer.Draining, 100)
+	wantVisible(loadbalancer.Draining, 100)
 	other := newTestbed(t) // the next process
 	other.dispatcher.ApplyExclusions(b.dispatcher.Exclusions())
 	other.dispatcher.WorkerID("w")
@@ -246,19 +246,19 @@
 		t.Errorf("in the next process: %v", got)
 	}
 	b.now += 2
-	change(b.dispatcher.Include("w"), true)
-	seen(loadbalancer.Ready, b.now-1)
+	apply(b.dispatcher.Include("w"), true)
+	wantVisible(loadbalancer.Ready, b.now-1)
 	if b.connectionResets != 1 {
 		t.Errorf("connections dropped %d times", b.connectionResets)
 	}
 	list(loadbalancer.ListDelta, loadbalancer.Ready, 100) // late news of before
-	seen(loadbalancer.Ready, 100)
-	change(b.dispatcher.Exclude("w"), true)
-	change(b.dispatcher.Include("w"), true)
-	seen(loadbalancer.Ready, b.now) // nobody has told of its restart
+	wantVisible(loadbalancer.Ready, 100)
+	apply(b.dispatcher.Exclude("w"), true)
+	apply(b.dispatcher.Include("w"), true)
+	wantVisible(loadbalancer.Ready, b.now) // nobody has told of its restart
 	list(loadbalancer.ListDelta, loadbalancer.Ready, 100)
-	seen(loadbalancer.Ready, b.now)
+	wantVisible(loadbalancer.Ready, b.now)
 	b.now++
 	list(loadbalancer.ListDelta, loadbalancer.Ready, b.now-0.5)
-	seen(loadbalancer.Ready, b.now-0.5)
+	wantVisible(loadbalancer.Ready, b.now-0.5)
 }
--- a/internal/dispatcher/dispatch/withhold.go
+++ b/internal/dispatcher/dispatch/withhold.go
@@ -15,13 +15,13 @@
 
 // SetRestrictions puts in force what others know of members, in place of what was: the decisions see it before anything else is sent.
 // It never makes a member ready, nor anybody known that the list does not name.
-func (c *Dispatcher) SetRestrictions(held map[string]Restriction) {
-	c.handle(func() {
-		old := c.restrictions
-		c.restrictions = maps.Clone(held)
-		c.refreshMembers(changedKeys(old, held), func(m *Member, was loadbalancer.Worker) {
-			if m.StartedAt > was.StartedAt {
-				m.Backend.ResetConnections() // another process has its place
+func (d *Dispatcher) SetRestrictions(restrictions map[string]Restriction) {
+	d.handle(func() {
+		old := d.restrictions
+		d.restrictions = maps.Clone(restrictions)
+		d.refreshMembers(changedKeys(old, restrictions), func(member *Member, old loadbalancer.Worker) {
+			if member.StartedAt > old.StartedAt {
+				member.Backend.ResetConnections() // another process has its place
 			}
 		})
 	})
@@ -29,36 +29,36 @@
 
 // SetPaused has no member get anything new until it is lifted: jobs wait, as they do where nobody may be sent to. For a process that
 // slept and has to look again first.
-func (c *Dispatcher) SetPaused(on bool) {
-	c.handle(func() {
-		if c.paused == on {
+func (d *Dispatcher) SetPaused(paused bool) {
+	d.handle(func() {
+		if d.paused == paused {
 			return
 		}
-		c.paused = on
+		d.paused = paused
 		var names []string
-		for _, name := range slices.Sorted(maps.Keys(c.workerIDs)) {
-			if m := c.members[c.workerIDs[name]]; m != nil && m.listed.State == loadbalancer.Ready {
+		for _, name := range slices.Sorted(maps.Keys(d.workerIDs)) {
+			if member := d.members[d.workerIDs[name]]; member != nil && member.listed.State == loadbalancer.Ready {
 				names = append(names, name)
 			}
 		}
-		c.refreshMembers(names, func(*Member, loadbalancer.Worker) {})
+		d.refreshMembers(names, func(*Member, loadbalancer.Worker) {})
 	})
 }
 
 // RestrictedCount is how many members are taken for less than the own list says.
-func (c *Dispatcher) RestrictedCount() int { return len(c.restrictions) }
+func (d *Dispatcher) RestrictedCount() int { return len(d.restrictions) }
 
 // restrict works what others know into what the decisions see of a member.
-func (c *Dispatcher) restrict(m *Member) {
-	if c.paused && m.State == loadbalancer.Ready {
-		m.State = loadbalancer.Draining
+func (d *Dispatcher) restrict(member *Member) {
+	if d.paused && member.State == loadbalancer.Ready {
+		member.State = loadbalancer.Draining
 	}
-	h, had := c.restrictions[m.Name]
-	if !had {
+	restriction, restricted := d.restrictions[member.Name]
+	if !restricted {
 		return
 	}
-	if h.State != loadbalancer.Ready && m.State == loadbalancer.Ready {
-		m.State = loadbalancer.Draining
+	if restriction.State != loadbalancer.Ready && member.State == loadbalancer.Ready {
+		member.State = loadbalancer.Draining
 	}
-	m.StartedAt = max(m.StartedAt, h.StartedAt)
+	member.StartedAt = max(member.StartedAt, restriction.StartedAt)
 }
