--- a/internal/dispatcher/admin/console.go
+++ b/internal/dispatcher/admin/console.go
@@ -102,17 +102,17 @@
 	return false
 }
 
-// Opened implements transport.Handler.
+// Opened implements eventloop.Handler.
 func (k *caller) Opened(*eventloop.Conn) {}
 
-// Closed implements transport.Handler. A call that was whole is carried out all the same.
+// Closed implements eventloop.Handler. A call that was whole is carried out all the same.
 func (k *caller) Closed(*eventloop.Conn, error) {
 	k.timeout.Stop()
 	k.answered = true
 	k.c.callers = slices.DeleteFunc(k.c.callers, func(o *caller) bool { return o == k })
 }
 
-// Data implements transport.Handler.
+// Data implements eventloop.Handler.
 func (k *caller) Data(conn *eventloop.Conn) {
 	if k.called {
 		return
--- a/internal/dispatcher/dispatch/actions.go
+++ b/internal/dispatcher/dispatch/actions.go
@@ -7,18 +7,19 @@
 	"cinderroad/loadbalancer"
 )
 
-// actions carries out the Balancer's decisions.
+// actions implements loadbalancer.Actions. The balancer calls it from within its events.
 type actions struct{ dispatcher *Dispatcher }
 
-// Send implements brain.Actions.
+// Send implements loadbalancer.Actions.
 func (a actions) Send(id loadbalancer.RequestID, worker loadbalancer.WorkerID, timeout float64) {
 	d := a.dispatcher
 	request, member := d.requestsByID[id], d.members[worker]
-	invariant.Check(request != nil && !request.answered && member != nil, "a send names an open req and a listed worker")
+	invariant.Check(request != nil && !request.answered && member != nil, "a send names an open request and a listed worker")
 	if request == nil {
 		return
 	}
-	attempt := &attempt{request: request, index: len(request.attempts), member: member, deadlineAt: request.job.Deadline, sentAt: d.clock.Now(), hedged: request.running > 0, auditMark: d.AuditMark}
+	attempt := &attempt{request: request, index: len(request.attempts), member: member, deadlineAt: request.job.Deadline,
+		sentAt: d.clock.Now(), hedged: request.running > 0, auditMark: d.AuditMark}
 	if timeout > 0 {
 		attempt.deadlineAt = math.Min(attempt.deadlineAt, d.clock.Now()+timeout)
 	}
@@ -37,24 +38,7 @@
 	member.Backend.Start(Attempt{ID: AttemptID(attempt.handle), Worker: worker, Deadline: attempt.deadlineAt, Payload: request.job.Payload})
 }
 
-func (d *Dispatcher) endAttemptAs(attempt *attempt, result loadbalancer.Result) {
-	if !attempt.ended {
-		d.endAttempt(attempt, Outcome{Result: result})
-	}
-}
-
-// expireAttempt produces the time-out: nothing else would, of a worker that has fallen silent.
-func (d *Dispatcher) expireAttempt(attempt *attempt) {
-	if !attempt.ended {
-		result := loadbalancer.ConnectFailed // its first byte never went out
-		if attempt.member.Backend.Cancel(AttemptID(attempt.handle)) {
-			result = loadbalancer.Timeout
-		}
-		d.endAttempt(attempt, Outcome{Result: result})
-	}
-}
-
-// Cancel implements brain.Actions.
+// Cancel implements loadbalancer.Actions.
 func (a actions) Cancel(id loadbalancer.RequestID, index int) {
 	d := a.dispatcher
 	request := d.requestsByID[id]
@@ -65,7 +49,7 @@
 	d.counts.Cancellations++
 	d.handle(func() {
 		if attempt.ended {
-			return // its end was on the way
+			return // its end was queued before this event
 		}
 		result := loadbalancer.Withdrawn
 		if attempt.member.Backend.Cancel(AttemptID(attempt.handle)) {
@@ -75,22 +59,15 @@
 	})
 }
 
-// Reject implements brain.Actions.
+// Reject implements loadbalancer.Actions.
 func (a actions) Reject(id loadbalancer.RequestID, retryAfter float64) {
 	a.dispatcher.finish(id, Answer{Verdict: Rejected, RetryAfter: retryAfter})
 }
 
-// Fail implements brain.Actions.
+// Fail implements loadbalancer.Actions.
 func (a actions) Fail(id loadbalancer.RequestID) { a.dispatcher.finish(id, Answer{Verdict: Failed}) }
 
-func (d *Dispatcher) finish(id loadbalancer.RequestID, answer Answer) {
-	if request := d.requestsByID[id]; request != nil && !request.answered {
-		d.answer(request, answer, d.rejectionReason(request), -1)
-		d.handle(func() { d.forget(request) })
-	}
-}
-
-// Probe implements brain.Actions.
+// Probe implements loadbalancer.Actions.
 func (a actions) Probe(worker loadbalancer.WorkerID) {
 	d := a.dispatcher
 	member := d.members[worker]
@@ -108,25 +85,25 @@
 	})
 }
 
-// SetTimer implements brain.Actions.
+// SetTimer implements loadbalancer.Actions.
 func (a actions) SetTimer(token uint32, at float64) {
 	d := a.dispatcher
 	d.clock.At(at, func() { d.handle(func() { d.balancer.HandleTimer(d.clock.Now(), token) }) })
 }
 
-// Watch implements brain.Actions.
+// Watch implements loadbalancer.Actions.
 func (a actions) Watch(on bool) {
 	if d := a.dispatcher; d.Discovery != nil {
 		d.Discovery.Watch(on)
 	}
 }
 
-// Fetch implements brain.Actions.
+// Fetch implements loadbalancer.Actions.
 func (a actions) Fetch() {
 	if d := a.dispatcher; d.Discovery != nil {
 		d.Discovery.Fetch()
 	}
 }
 
-// Log implements brain.Actions.
+// Log implements loadbalancer.Actions.
 func (a actions) Log(line string) { a.dispatcher.Log(line) }
--- a/internal/dispatcher/dispatch/routing_test.go
+++ b/internal/dispatcher/dispatch/dispatcher_test.go
@@ -9,7 +9,7 @@
 	"cinderroad/loadbalancer"
 )
 
-// testbed is a core with a scripted clock, one asker and scripted backends.
+// testbed is a Dispatcher with a scripted clock, and is itself the one requester and the backend of all members.
 type testbed struct {
 	connectionResets int
 	t                *testing.T
@@ -18,9 +18,9 @@
 	timers           []*fakeTimer
 	started          []Attempt
 	cancelled        int
-	mayHaveRun       bool // what Drop says
+	mayHaveRun       bool // result of Cancel
 	answers          []Answer
-	onStart          func(f Attempt) // what a backend does from within Begin
+	onStart          func(f Attempt) // called from within Start
 }
 
 type fakeTimer struct {
@@ -46,7 +46,7 @@
 func (b *testbed) ResetConnections()                               { b.connectionResets++ }
 func (b *testbed) Probe(done func(loadbalancer.Result, []float32)) { done(loadbalancer.OK, nil) }
 
-// run moves the clock a millisecond at a time.
+// run advances the clock by a millisecond at a time.
 func (b *testbed) run(until float64) {
 	for b.now < until {
 		b.now += 0.001
@@ -66,6 +66,7 @@
 }
 
 func newTestbed(t *testing.T) *testbed {
+	t.Helper()
 	b := &testbed{t: t, now: 1000, mayHaveRun: true}
 	class := func(safety loadbalancer.RetrySafety) loadbalancer.Class {
 		return loadbalancer.Class{Name: "c", Objective: 0.1, Deadline: 2, DedupWindow: 5, Value: 1, RetrySafety: safety, DedupScope: loadbalancer.DedupCell, Kind: -1}
@@ -94,35 +95,35 @@
 	return b.dispatcher.Submit(Job{Class: class, Slots: 1, Deadline: b.now + wait}, b)
 }
 
-// Guards the promises of the core: one final answer, repeats as the class allows, one end for each fetch.
+// A request gets one final answer, retries as its class allows, and one end for each attempt.
 func TestEveryRequestGetsOneAnswer(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		class   int
-		ends    []loadbalancer.Result // of the fetches in turn; none is silence
-		want    []Verdict
-		fetches int
+		name     string
+		class    int
+		ends     []loadbalancer.Result // of the attempts in turn; none: no outcome
+		want     []Verdict
+		attempts int
 	}{
 		{"served", 0, []loadbalancer.Result{loadbalancer.OK, loadbalancer.OK}, []Verdict{Served}, 1},
-		{"safe is repeated", 0, []loadbalancer.Result{loadbalancer.Error, loadbalancer.OK}, []Verdict{Served}, 2},
-		{"keyed stays in its cell", 1, []loadbalancer.Result{loadbalancer.Reset, loadbalancer.OK}, []Verdict{Served}, 2},
+		{"safe is retried", 0, []loadbalancer.Result{loadbalancer.Error, loadbalancer.OK}, []Verdict{Served}, 2},
+		{"deduplicated stays in its cell", 1, []loadbalancer.Result{loadbalancer.Reset, loadbalancer.OK}, []Verdict{Served}, 2},
 		{"unsafe that may have run", 2, []loadbalancer.Result{loadbalancer.Reset}, []Verdict{Failed}, 1},
 		{"unsafe that never ran", 2, []loadbalancer.Result{loadbalancer.ConnectFailed, loadbalancer.OK}, []Verdict{Served}, 2},
 		{"attempts run out", 0, []loadbalancer.Result{loadbalancer.Error, loadbalancer.Error, loadbalancer.Error}, []Verdict{Rejected}, 3},
-		{"silence, safe", 0, nil, []Verdict{Rejected}, 1},
-		{"silence, unsafe", 2, nil, []Verdict{Failed}, 1},
+		{"timeout, safe", 0, nil, []Verdict{Rejected}, 1},
+		{"timeout, unsafe", 2, nil, []Verdict{Failed}, 1},
 		{"unknown class", 9, nil, []Verdict{Failed}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b := newTestbed(t)
-			b.onStart = func(f Attempt) { // an end from within the Send must not re-enter the decisions
+			b.onStart = func(f Attempt) { // an outcome from within Send must not re-enter the balancer
 				if n := len(b.started); n <= len(tc.ends) {
 					open := b.dispatcher.Counts().OpenAttempts
 					b.dispatcher.HandleOutcome(f.ID, Outcome{Result: tc.ends[n-1]})
 					if b.dispatcher.Counts().OpenAttempts != open {
-						t.Error("an end was handled within the Send")
+						t.Error("an outcome was handled within Send")
 					}
-					b.dispatcher.HandleOutcome(f.ID, Outcome{Result: loadbalancer.OK}) // a second word on a fetch that is over
+					b.dispatcher.HandleOutcome(f.ID, Outcome{Result: loadbalancer.OK}) // a second outcome has no effect
 				}
 			}
 			b.submit(tc.class, 1)
@@ -131,8 +132,8 @@
 			for _, a := range b.answers {
 				got = append(got, a.Verdict)
 			}
-			if diff := cmp.Diff(tc.want, got); diff != "" || len(b.started) != tc.fetches {
-				t.Errorf("%d fetches, want %d; answers (-want +got):\n%s", len(b.started), tc.fetches, diff)
+			if diff := cmp.Diff(tc.want, got); diff != "" || len(b.started) != tc.attempts {
+				t.Errorf("%d attempts, want %d; answers (-want +got):\n%s", len(b.started), tc.attempts, diff)
 			}
 			if n := b.dispatcher.Counts(); n.OpenRequests != 0 || n.OpenAttempts != 0 || n.Overdue != 0 {
 				t.Errorf("left over: %+v", n)
@@ -141,8 +142,8 @@
 	}
 }
 
-// Guards against work for a backend that has begun to drain, for a client that is gone, and after the deadline,
-// while the fetch still waits for its connection.
+// An attempt that still waits for its connection is not sent to a backend that has begun to drain, for a client that has
+// disconnected, or after the deadline.
 func TestConfirmSendRechecksUnsentAttempt(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -151,8 +152,8 @@
 	}{
 		{"nothing", func(*testbed, RequestID) {}, loadbalancer.OK},
 		{"drain", func(b *testbed, _ RequestID) { b.updateMembers(loadbalancer.Draining, loadbalancer.Draining) }, loadbalancer.ConnectFailed},
-		{"left the list", func(b *testbed, _ RequestID) { b.dispatcher.UpdateMembers(loadbalancer.ListFull, nil) }, loadbalancer.ConnectFailed},
-		{"client gone", func(b *testbed, id RequestID) { b.dispatcher.HandleDisconnect(id) }, loadbalancer.Withdrawn},
+		{"departed", func(b *testbed, _ RequestID) { b.dispatcher.UpdateMembers(loadbalancer.ListFull, nil) }, loadbalancer.ConnectFailed},
+		{"client disconnected", func(b *testbed, id RequestID) { b.dispatcher.HandleDisconnect(id) }, loadbalancer.Withdrawn},
 		{"deadline", func(b *testbed, _ RequestID) { b.run(b.now + 2.1) }, loadbalancer.Withdrawn},
 	} {
 		b := newTestbed(t)
@@ -164,11 +165,11 @@
 	}
 }
 
-// Guards against a deadline that the decisions forgot: the core answers by itself, once.
+// A request that the balancer has lost is answered by the Dispatcher, once.
 func TestOverdueRequestIsAnswered(t *testing.T) {
 	b := newTestbed(t)
 	b.submit(2, 0.5)
-	b.timers = b.timers[:0] // every timer of the decisions is lost
+	b.timers = b.timers[:0] // the balancer's timers are lost
 	r, _ := b.dispatcher.requests.Get(1 << 32)
 	b.dispatcher.handle(func() { b.dispatcher.answerOverdue(r) })
 	b.dispatcher.HandleOutcome(b.started[0].ID, Outcome{Result: loadbalancer.OK})
@@ -177,7 +178,7 @@
 	}
 }
 
-// Guards against a process that swells with every machine that was ever replaced.
+// The memory of departed members is bounded.
 func TestDepartedMembersAreForgotten(t *testing.T) {
 	b := newTestbed(t)
 	for i := range 500 {
@@ -188,7 +189,7 @@
 	if n, m := len(b.dispatcher.members), len(b.dispatcher.workerIDs); n > 2*maxDeparted || m > 2*maxDeparted {
 		t.Errorf("%d members and %d names kept", n, m)
 	}
-	for _, f := range b.started { // what was out there still ends
+	for _, f := range b.started { // attempts at departed members still end
 		b.dispatcher.HandleOutcome(f.ID, Outcome{Result: loadbalancer.OK})
 	}
 	if len(b.answers) != 500 {
@@ -196,8 +197,8 @@
 	}
 }
 
-// Guards against an exclusion that a list, a restart or a reconnect lifts, that sends what is on its way, or from
-// which a worker comes back as the one it was.
+// An exclusion outlasts lists, restarts and reconnects, holds back attempts that are not sent yet, and makes the member
+// start anew when it ends.
 func TestExclusion(t *testing.T) {
 	b := newTestbed(t)
 	id := b.dispatcher.WorkerID("w")
@@ -208,7 +209,7 @@
 		t.Helper()
 		m := b.dispatcher.members[id]
 		if diff := cmp.Diff([]any{want, since}, []any{m.State, m.StartedAt}); diff != "" {
-			t.Errorf("the decisions see (-want +got):\n%s", diff)
+			t.Errorf("the balancer sees (-want +got):\n%s", diff)
 		}
 	}
 	apply := func(change ExclusionChange, known bool) {
@@ -223,11 +224,11 @@
 	apply(b.dispatcher.Include("w"), true) // nothing to do
 	b.submit(0, 1)
 	if _, confirmed := b.dispatcher.ConfirmSend(b.started[0].ID); !confirmed {
-		t.Fatal("a fetch is held up for nothing")
+		t.Fatal("an attempt is held back without reason")
 	}
 	apply(b.dispatcher.Exclude("w"), true)
 	if result, confirmed := b.dispatcher.ConfirmSend(b.started[0].ID); confirmed || result != loadbalancer.ConnectFailed {
-		t.Errorf("a fetch on its way to a member that is out: %v, %v", result, confirmed)
+		t.Errorf("an unsent attempt at an excluded member: %v, %v", result, confirmed)
 	}
 	for _, since := range []float64{100, b.now + 1} { // the second is a restart
 		list(loadbalancer.ListDelta, loadbalancer.Ready, since)
@@ -249,13 +250,13 @@
 	apply(b.dispatcher.Include("w"), true)
 	wantVisible(loadbalancer.Ready, b.now-1)
 	if b.connectionResets != 1 {
-		t.Errorf("connections dropped %d times", b.connectionResets)
+		t.Errorf("connections reset %d times", b.connectionResets)
 	}
-	list(loadbalancer.ListDelta, loadbalancer.Ready, 100) // late news of before
+	list(loadbalancer.ListDelta, loadbalancer.Ready, 100) // an outdated list
 	wantVisible(loadbalancer.Ready, 100)
 	apply(b.dispatcher.Exclude("w"), true)
 	apply(b.dispatcher.Include("w"), true)
-	wantVisible(loadbalancer.Ready, b.now) // nobody has told of its restart
+	wantVisible(loadbalancer.Ready, b.now) // its restart was never listed
 	list(loadbalancer.ListDelta, loadbalancer.Ready, 100)
 	wantVisible(loadbalancer.Ready, b.now)
 	b.now++
--- a/internal/dispatcher/dispatch/observe_test.go
+++ b/internal/dispatcher/dispatch/observer_test.go
@@ -9,7 +9,7 @@
 	"cinderroad/loadbalancer"
 )
 
-// recorder is an observer that keeps all it hears.
+// recorder is an Observer that retains what it is told.
 type recorder struct {
 	answers  []AnswerRecord
 	attempts []AttemptRecord
@@ -30,53 +30,54 @@
 }
 
 func newRecordedTestbed(t *testing.T) (*testbed, *recorder) {
+	t.Helper()
 	b, observer := newTestbed(t), &recorder{}
 	b.dispatcher.Observer = observer
 	return b, observer
 }
 
-// The books have one final for each req and one end for each attempt, with the reason that a person would give.
+// The Observer gets one record for each request and one for each attempt, with the reason that an operator would give.
 func TestAnswerRecordReason(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		class   int
-		ends    []loadbalancer.Result // of the attempts in turn; none is silence
-		nobody  bool                  // is ready
+		ends    []loadbalancer.Result // of the attempts in turn; none: no outcome
+		noReady bool                  // no member is ready
 		verdict Verdict
 		reason  Reason
 		won     int
 	}{
 		{"served", 0, []loadbalancer.Result{loadbalancer.OK}, false, Served, ReasonNone, 0},
-		{"served by the second", 0, []loadbalancer.Result{loadbalancer.Rejected, loadbalancer.OK}, false, Served, ReasonNone, 1},
+		{"served by the second attempt", 0, []loadbalancer.Result{loadbalancer.Rejected, loadbalancer.OK}, false, Served, ReasonNone, 1},
 		{"errors", 0, []loadbalancer.Result{loadbalancer.Error, loadbalancer.Error, loadbalancer.Error}, false, Rejected, ReasonBackendError, -1},
-		{"broken and not repeatable", 2, []loadbalancer.Result{loadbalancer.Reset}, false, Failed, ReasonConnectionLost, -1},
-		{"silence", 2, nil, false, Failed, ReasonDeadlineExceeded, -1},
-		{"turned away", 0, []loadbalancer.Result{loadbalancer.Rejected, loadbalancer.Rejected, loadbalancer.Rejected}, false, Rejected, ReasonRejected, -1},
-		{"nobody there", 0, []loadbalancer.Result{loadbalancer.ConnectFailed, loadbalancer.ConnectFailed, loadbalancer.ConnectFailed}, false, Rejected, ReasonUnreachable, -1},
-		{"nobody listed", 0, nil, true, Rejected, ReasonDeadlineExceeded, -1}, // held until its time is over
+		{"connection lost, not idempotent", 2, []loadbalancer.Result{loadbalancer.Reset}, false, Failed, ReasonConnectionLost, -1},
+		{"timeout", 2, nil, false, Failed, ReasonDeadlineExceeded, -1},
+		{"rejected", 0, []loadbalancer.Result{loadbalancer.Rejected, loadbalancer.Rejected, loadbalancer.Rejected}, false, Rejected, ReasonRejected, -1},
+		{"unreachable", 0, []loadbalancer.Result{loadbalancer.ConnectFailed, loadbalancer.ConnectFailed, loadbalancer.ConnectFailed}, false, Rejected, ReasonUnreachable, -1},
+		{"no ready member", 0, nil, true, Rejected, ReasonDeadlineExceeded, -1}, // queued until its deadline
 		{"unknown class", 9, nil, false, Failed, ReasonUnknownClass, -1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b, recorder := newRecordedTestbed(t)
-			if tc.nobody {
+			if tc.noReady {
 				b.updateMembers()
 			}
-			b.onStart = func(answer Attempt) {
+			b.onStart = func(attempt Attempt) {
 				if i := len(b.started); i <= len(tc.ends) {
-					b.dispatcher.HandleOutcome(answer.ID, Outcome{Result: tc.ends[i-1], Report: []float32{1}})
+					b.dispatcher.HandleOutcome(attempt.ID, Outcome{Result: tc.ends[i-1], Report: []float32{1}})
 				}
 			}
 			b.submit(tc.class, 1)
 			b.run(b.now + 3)
 			if len(recorder.answers) != 1 {
-				t.Fatalf("%d finals", len(recorder.answers))
+				t.Fatalf("%d answer records", len(recorder.answers))
 			}
 			answer := recorder.answers[0]
 			if answer.Verdict != tc.verdict || answer.Reason != tc.reason || answer.WinningAttempt != tc.won {
-				t.Errorf("verdict %v for %s, won by %d; want %v for %s by %d", answer.Verdict, answer.Reason, answer.WinningAttempt, tc.verdict, tc.reason, tc.won)
+				t.Errorf("verdict %v for %s, served by %d; want %v for %s by %d", answer.Verdict, answer.Reason, answer.WinningAttempt, tc.verdict, tc.reason, tc.won)
 			}
 			if len(recorder.attempts) != len(b.started) || recorder.reports != len(tc.ends) || len(answer.Attempts) != len(b.started) {
-				t.Errorf("%d attempts begun, %d ended in the books, %d in the final; %d reports", len(b.started), len(recorder.attempts), len(answer.Attempts), recorder.reports)
+				t.Errorf("%d attempts started, %d recorded, %d in the answer record; %d reports", len(b.started), len(recorder.attempts), len(answer.Attempts), recorder.reports)
 			}
 			var results []loadbalancer.Result
 			for _, a := range recorder.attempts {
@@ -89,7 +90,7 @@
 	}
 }
 
-// A client that leaves is in the books once, and what its attempts come to later is noted without another final.
+// A disconnect is recorded once; the ends of its attempts are recorded later without another answer record.
 func TestDisconnectIsRecordedOnce(t *testing.T) {
 	b, recorder := newRecordedTestbed(t)
 	id := b.submit(0, 1)
@@ -101,7 +102,7 @@
 	}
 }
 
-// Answers that come after the class's objective are late; the hinted work stretches it.
+// Answers after the class's latency target are late; expected work extends the target.
 func TestLateAnswers(t *testing.T) {
 	b, recorder := newRecordedTestbed(t)
 	for _, wait := range []float64{0.05, 0.15} {
@@ -114,31 +115,31 @@
 	}
 	b.dispatcher.settings.Classes[0].Stretch = 2
 	if got := b.dispatcher.targetTime(&Job{Class: 0, Work: 0.3, Deadline: 1e9}, 100); math.Abs(got-100.7) > 1e-9 {
-		t.Errorf("aim %v", got)
+		t.Errorf("target %v", got)
 	}
 }
 
-// A drain is told of once, with what was left of the grace: all of it, since nothing starts after it; a job that does
-// start after it, which the core never lets happen, would show.
+// A drain is observed once, with what was left of the grace: all of it, since nothing starts after it. A job that does
+// start after it, which the Dispatcher prevents, would show.
 func TestDrainMargin(t *testing.T) {
 	b, recorder := newRecordedTestbed(t)
 	b.submit(0, 1)
 	if _, confirmed := b.dispatcher.ConfirmSend(b.started[0].ID); !confirmed {
-		t.Fatal("not clear")
+		t.Fatal("not confirmed")
 	}
 	b.run(b.now + 0.1)
 	b.updateMembers(loadbalancer.Draining, loadbalancer.Draining)
 	b.updateMembers(loadbalancer.Draining, loadbalancer.Draining)
 	b.run(b.now + 0.1)
 	if len(recorder.margins) > 0 {
-		t.Error("told before the grace was over")
+		t.Error("observed before the grace was over")
 	}
 	b.run(b.now + 0.3)
 	if d := cmp.Diff([]float64{drainGrace, drainGrace}, recorder.margins); d != "" {
 		t.Error(d)
 	}
 	b.updateMembers(loadbalancer.Ready, loadbalancer.Ready)
-	b.updateMembers(loadbalancer.Ready) // left the list altogether
+	b.updateMembers(loadbalancer.Ready) // the other one departs
 	b.dispatcher.members[2].lastStart = b.now + 0.2
 	b.run(b.now + 0.4)
 	if len(recorder.margins) != 3 || math.Abs(recorder.margins[2]-0.1) > 1e-9 {
@@ -146,12 +147,12 @@
 	}
 }
 
-// A copy is told from a repeat, and a front's own refusal is in the books like any other.
+// Hedged attempts are told from retries, and a front's own rejection is recorded like any other.
 func TestHedgedAttemptsAndDirectRejections(t *testing.T) {
 	b, recorder := newRecordedTestbed(t)
 	b.dispatcher.RecordAnswer(Job{ID: "x", Front: "f", Class: 0}, Rejected, ReasonEvacuated, 0.5)
 	if d := cmp.Diff([]AnswerRecord{{ID: "x", Front: "f", Verdict: Rejected, Reason: ReasonEvacuated, ArrivedAt: b.now, TargetAt: b.now, AnsweredAt: b.now, RetryAfter: 0.5, WinningAttempt: -1}}, recorder.answers,
-		cmp.Transformer("aim", func(f AnswerRecord) AnswerRecord { f.TargetAt, f.Attempts = f.ArrivedAt, nil; return f })); d != "" {
+		cmp.Transformer("target", func(f AnswerRecord) AnswerRecord { f.TargetAt, f.Attempts = f.ArrivedAt, nil; return f })); d != "" {
 		t.Error(d)
 	}
 	id := b.submit(0, 1)
@@ -170,7 +171,7 @@
 	seen := map[string]bool{}
 	for r := range ReasonCount {
 		if seen[r.String()] {
-			t.Errorf("reason %d has the name of another: %q", r, r)
+			t.Errorf("reason %d shares its name: %q", r, r)
 		}
 		seen[r.String()] = true
 	}
--- /dev/null
+++ b/internal/dispatcher/dispatch/reason.go
@@ -0,0 +1,60 @@
+package dispatch
+
+import "cinderroad/loadbalancer"
+
+// Reason is why a request was not served.
+type Reason uint8
+
+// The reasons. ReasonEvacuated and the ones after it come from fronts that answer by themselves.
+const (
+	ReasonNone             Reason = iota
+	ReasonNoReadyMember           // no member was ready
+	ReasonNoCapacity              // no member had capacity in time
+	ReasonRejected                // the last attempt was rejected by the backend
+	ReasonUnreachable             // the last attempt found no connection
+	ReasonWithdrawn               // the last attempt was withdrawn before its first byte
+	ReasonDeadlineExceeded        // the deadline had passed
+	ReasonBackendError            // the last attempt failed at the backend
+	ReasonConnectionLost          // the last attempt's connection broke
+	ReasonTimeout                 // the last attempt was never answered
+	ReasonCancelled               // the last attempt was cancelled
+	ReasonInvalidJob              // backends called the job itself invalid
+	ReasonUnknownClass            // the class has no settings: whether a retry is safe is unknown
+	ReasonOverdue                 // the balancer had lost the request
+	ReasonEvacuated               // the front is evacuated
+	ReasonNoMemory                // there was no memory for the body
+	ReasonLeaseExpired            // this dispatcher is out of its lease
+	ReasonCount                   // the number of reasons
+)
+
+// reasonNames are the names in metrics and logs.
+var reasonNames = [ReasonCount]string{"", "no_member", "no_room", "full", "unreachable", "withdrawn", "too_late", "backend_error",
+	"broken", "silent", "cancelled", "unusable", "unknown_class", "overdue", "evacuated", "no_memory",
+	"out_of_lease"}
+
+// String returns the reason's name in metrics and logs; it is empty for ReasonNone.
+func (r Reason) String() string { return reasonNames[r] }
+
+// rejectionReason derives the reason of the balancer's own answer, which gives none.
+func (d *Dispatcher) rejectionReason(request *request) Reason {
+	if request.job.Class < 0 || request.job.Class >= len(d.settings.Classes) {
+		return ReasonUnknownClass
+	}
+	deadlinePassed := d.clock.Now() >= request.job.Deadline-3*max(d.settings.Tick, overdueGrace)
+	if n := len(request.attempts); n > 0 && !(deadlinePassed && request.running > 0) {
+		if reason := attemptReasons[request.attempts[n-1].result]; reason != ReasonNone && request.attempts[n-1].ended {
+			return reason
+		}
+	}
+	switch {
+	case deadlinePassed:
+		return ReasonDeadlineExceeded
+	case d.readyMembers == 0:
+		return ReasonNoReadyMember
+	}
+	return ReasonNoCapacity
+}
+
+// attemptReasons are the reasons that follow from the result of the last attempt.
+var attemptReasons = [loadbalancer.Withdrawn + 1]Reason{loadbalancer.Error: ReasonBackendError, loadbalancer.Rejected: ReasonRejected, loadbalancer.Timeout: ReasonTimeout,
+	loadbalancer.ConnectFailed: ReasonUnreachable, loadbalancer.Reset: ReasonConnectionLost, loadbalancer.Cancelled: ReasonCancelled, loadbalancer.Withdrawn: ReasonWithdrawn}
--- a/internal/dispatcher/dispatch/withhold.go
+++ b/internal/dispatcher/dispatch/restriction.go
@@ -7,48 +7,31 @@
 	"cinderroad/loadbalancer"
 )
 
-// Restriction says how a member is to be taken although its own list says more of it: others know a newer version.
+// Restriction limits what the balancer sees of a member, since other dispatchers know a newer version of the member
+// list than this one.
 type Restriction struct {
-	State     loadbalancer.WorkerState // Ready where its start alone is news
-	StartedAt float64                  // its start; 0 is not told
+	State     loadbalancer.WorkerState // anything but Ready: the member gets nothing new
+	StartedAt float64                  // start time that others know; 0: none
 }
 
-// SetRestrictions puts in force what others know of members, in place of what was: the decisions see it before anything else is sent.
-// It never makes a member ready, nor anybody known that the list does not name.
+// SetRestrictions replaces the restrictions, which are by the member's name. The balancer sees the change before
+// anything else is sent. A restriction never makes a member ready, and none adds a member that is not listed.
 func (d *Dispatcher) SetRestrictions(restrictions map[string]Restriction) {
 	d.handle(func() {
 		old := d.restrictions
 		d.restrictions = maps.Clone(restrictions)
 		d.refreshMembers(changedKeys(old, restrictions), func(member *Member, old loadbalancer.Worker) {
 			if member.StartedAt > old.StartedAt {
-				member.Backend.ResetConnections() // another process has its place
+				member.Backend.ResetConnections() // a newer process listens at its address
 			}
 		})
 	})
 }
 
-// SetPaused has no member get anything new until it is lifted: jobs wait, as they do where nobody may be sent to. For a process that
-// slept and has to look again first.
-func (d *Dispatcher) SetPaused(paused bool) {
-	d.handle(func() {
-		if d.paused == paused {
-			return
-		}
-		d.paused = paused
-		var names []string
-		for _, name := range slices.Sorted(maps.Keys(d.workerIDs)) {
-			if member := d.members[d.workerIDs[name]]; member != nil && member.listed.State == loadbalancer.Ready {
-				names = append(names, name)
-			}
-		}
-		d.refreshMembers(names, func(*Member, loadbalancer.Worker) {})
-	})
-}
-
-// RestrictedCount is how many members are taken for less than the own list says.
+// RestrictedCount returns the number of restricted members.
 func (d *Dispatcher) RestrictedCount() int { return len(d.restrictions) }
 
-// restrict works what others know into what the decisions see of a member.
+// restrict applies pause and restriction to what the balancer sees of a member.
 func (d *Dispatcher) restrict(member *Member) {
 	if d.paused && member.State == loadbalancer.Ready {
 		member.State = loadbalancer.Draining
@@ -62,3 +45,21 @@
 	}
 	member.StartedAt = max(member.StartedAt, restriction.StartedAt)
 }
+
+// SetPaused stops new attempts to all members, or allows them again. Requests wait meanwhile, as they do while no
+// member is ready. It is for a process that was suspended, or whose lease has expired.
+func (d *Dispatcher) SetPaused(paused bool) {
+	d.handle(func() {
+		if d.paused == paused {
+			return
+		}
+		d.paused = paused
+		var names []string
+		for _, name := range slices.Sorted(maps.Keys(d.workerIDs)) {
+			if member := d.members[d.workerIDs[name]]; member != nil && member.listed.State == loadbalancer.Ready {
+				names = append(names, name)
+			}
+		}
+		d.refreshMembers(names, func(*Member, loadbalancer.Worker) {})
+	})
+}
--- a/internal/dispatcher/exporter/collectd.go
+++ b/internal/dispatcher/exporter/collectd.go
@@ -112,7 +112,7 @@
 	o.limit = o.feed.loop.At(now+o.patience/8, o.watch)
 }
 
-// Opened implements transport.Handler.
+// Opened implements eventloop.Handler.
 func (o *Collectd) Opened(*eventloop.Conn) {
 	o.up = true
 	o.pump()
@@ -157,7 +157,7 @@
 	o.feed.loop.Defer(o.wake)
 }
 
-// Data implements transport.Handler: `0 Success...` or `-1 why not`, a line each. A point that collectd will not have, it
+// Data implements eventloop.Handler: `0 Success...` or `-1 why not`, a line each. A point that collectd will not have, it
 // will not have later either: it is counted and left.
 func (o *Collectd) Data(c *eventloop.Conn) {
 	for {
@@ -185,7 +185,7 @@
 	}
 }
 
-// Closed implements transport.Handler: what has no answer goes again, from the beginning of its period.
+// Closed implements eventloop.Handler: what has no answer goes again, from the beginning of its period.
 func (o *Collectd) Closed(_ *eventloop.Conn, err error) {
 	o.feed.log.Debug("metrics: collectd", zap.String("path", o.path), zap.Error(err))
 	idle := o.period == nil
--- a/internal/dispatcher/exporter/graphite.go
+++ b/internal/dispatcher/exporter/graphite.go
@@ -134,7 +134,7 @@
 // idle says that nothing is owed on a connection that stays.
 func (g *Graphite) idle() bool { return !g.options.Confirm && g.finished && !g.any }
 
-// Opened implements transport.Handler.
+// Opened implements eventloop.Handler.
 func (g *Graphite) Opened(*eventloop.Conn) {
 	g.up = true
 	g.pump()
@@ -245,10 +245,10 @@
 	g.feed.took(g, g.whole, g.stamp)
 }
 
-// Data implements transport.Handler: Graphite says nothing.
+// Data implements eventloop.Handler: Graphite says nothing.
 func (g *Graphite) Data(c *eventloop.Conn) { c.Consume(len(c.Bytes())) }
 
-// Closed implements transport.Handler.
+// Closed implements eventloop.Handler.
 func (g *Graphite) Closed(c *eventloop.Conn, err error) {
 	if g.options.Confirm && g.finished && g.any && c.PeerReadAll() {
 		g.got()
--- a/internal/dispatcher/gearman/job.go
+++ b/internal/dispatcher/gearman/job.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// Answer implements routing.Asker: the job's one end goes to all who wait for it. Gearman knows no refusal:
+// Answer implements dispatch.Requester: the job's one end goes to all who wait for it. Gearman knows no refusal:
 // it is a failure with a warning before it that says when to come back.
 func (j *job) Answer(a dispatch.Answer) {
 	if j.over {
@@ -129,7 +129,7 @@
 	}
 }
 
-// Requeued implements routing.Returner.
+// Requeued implements dispatch.Requeuer.
 func (j *job) Requeued() bool { return j.returned }
 
 func (j *job) close() {
--- a/internal/dispatcher/gearman/peer.go
+++ b/internal/dispatcher/gearman/peer.go
@@ -48,10 +48,10 @@
 	p.conn.CloseAfterFlush()
 }
 
-// Opened implements transport.Handler.
+// Opened implements eventloop.Handler.
 func (p *peer) Opened(*eventloop.Conn) {}
 
-// Closed implements transport.Handler.
+// Closed implements eventloop.Handler.
 func (p *peer) Closed(*eventloop.Conn, error) { p.leave() }
 
 func (p *peer) end() {
@@ -96,7 +96,7 @@
 	}
 }
 
-// Data implements transport.Handler.
+// Data implements eventloop.Handler.
 func (p *peer) Data(c *eventloop.Conn) {
 	for len(c.Bytes()) > 0 {
 		if _, open := p.s.peers.Get(p.h); !open {
--- a/internal/dispatcher/gearman/worker.go
+++ b/internal/dispatcher/gearman/worker.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// Start implements routing.Backend: the job waits until the worker grabs it.
+// Start implements dispatch.Backend: the job waits until the worker grabs it.
 func (w *worker) Start(f dispatch.Attempt) {
 	j, ok := f.Payload.(*job)
 	if _, can := w.can[jobName(j)]; !ok || !can {
@@ -155,7 +155,7 @@
 	return j.f.Name
 }
 
-// Cancel implements routing.Backend. Gearman has no word to call a running job off: its result is dropped.
+// Cancel implements dispatch.Backend. Gearman has no word to call a running job off: its result is dropped.
 func (w *worker) Cancel(id dispatch.AttemptID) bool {
 	for i, t := range w.waiting {
 		if t.id == id {
@@ -171,10 +171,10 @@
 	return true
 }
 
-// ResetConnections implements routing.Backend: a worker is its one connection, and a new process would have a new one.
+// ResetConnections implements dispatch.Backend: a worker is its one connection, and a new process would have a new one.
 func (w *worker) ResetConnections() {}
 
-// Probe implements routing.Backend: a connection that is open is all there is to know.
+// Probe implements dispatch.Backend: a connection that is open is all there is to know.
 func (w *worker) Probe(done func(loadbalancer.Result, []float32)) { done(loadbalancer.OK, w.load()) }
 
 // load is the worker's load report: it tells none itself, but does one job at a time and has just ended one.
--- a/internal/dispatcher/handover/handover.go
+++ b/internal/dispatcher/handover/handover.go
@@ -174,16 +174,16 @@
 	}
 }
 
-// Opened implements transport.Handler.
+// Opened implements eventloop.Handler.
 func (l *Link) Opened(*eventloop.Conn) { l.owner.Up(l) }
 
-// Closed implements transport.Handler.
+// Closed implements eventloop.Handler.
 func (l *Link) Closed(_ *eventloop.Conn, err error) {
 	l.end()
 	l.owner.Down(l, err)
 }
 
-// Data implements transport.Handler.
+// Data implements eventloop.Handler.
 func (l *Link) Data(c *eventloop.Conn) {
 	for !l.down {
 		kind, body, n, err := Parse(c.Bytes())
--- a/internal/dispatcher/httpfront/backend.go
+++ b/internal/dispatcher/httpfront/backend.go
@@ -30,7 +30,7 @@
 	life uint64 // grows when the runner was restarted: links of an earlier one are not kept
 }
 
-// Start implements routing.Backend.
+// Start implements dispatch.Backend.
 func (b *backend) Start(f dispatch.Attempt) {
 	p := b.pool
 	call, ok := f.Payload.(*Call)
@@ -47,7 +47,7 @@
 	b.carry(&exchange{attempt: a})
 }
 
-// Cancel implements routing.Backend: what is not written is not sent, what waits for its 202 loses its
+// Cancel implements dispatch.Backend: what is not written is not sent, what waits for its 202 loses its
 // connection, what was taken is called off by a request of its own.
 func (b *backend) Cancel(id dispatch.AttemptID) bool {
 	a := b.pool.byFetch[id]
@@ -66,13 +66,13 @@
 	return true
 }
 
-// ResetConnections implements routing.Backend.
+// ResetConnections implements dispatch.Backend.
 func (b *backend) ResetConnections() {
 	b.life++
 	b.closeIdle()
 }
 
-// Probe implements routing.Backend.
+// Probe implements dispatch.Backend.
 func (b *backend) Probe(done func(loadbalancer.Result, []float32)) { b.carry(&exchange{probe: done}) }
 
 // exchange is one request to a backend and its answer.
--- a/internal/dispatcher/httpfront/director.go
+++ b/internal/dispatcher/httpfront/director.go
@@ -229,7 +229,7 @@
 	return after + span*d.rng.Float64()
 }
 
-// Opened implements transport.Handler.
+// Opened implements eventloop.Handler.
 func (w *watch) Opened(c *eventloop.Conn) { w.ask() }
 
 func (w *watch) ask() {
@@ -240,7 +240,7 @@
 	w.conn.Write(fmt.Appendf(nil, "GET /catalog/members%s HTTP/1.1\r\nHost: %s\r\n\r\n", query, w.addr))
 }
 
-// Closed implements transport.Handler.
+// Closed implements eventloop.Handler.
 func (w *watch) Closed(c *eventloop.Conn, err error) {
 	if w.whole && len(c.Bytes()) > 0 && w.list(true) == nil {
 		return
@@ -248,7 +248,7 @@
 	w.fail(err)
 }
 
-// Data implements transport.Handler.
+// Data implements eventloop.Handler.
 func (w *watch) Data(*eventloop.Conn) {
 	w.heard()
 	w.d.last = w.d.loop.Now()
--- a/internal/dispatcher/httpfront/link.go
+++ b/internal/dispatcher/httpfront/link.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// Opened implements transport.Handler.
+// Opened implements eventloop.Handler.
 func (l *link) Opened(*eventloop.Conn) {
 	l.timeout.Stop()
 	l.up = true
@@ -113,7 +113,7 @@
 	l.start(l.job)
 }
 
-// Data implements transport.Handler.
+// Data implements eventloop.Handler.
 func (l *link) Data(c *eventloop.Conn) {
 	if !l.busy {
 		l.end() // an answer that nobody asked for
@@ -163,7 +163,7 @@
 	return true
 }
 
-// Closed implements transport.Handler.
+// Closed implements eventloop.Handler.
 func (l *link) Closed(c *eventloop.Conn, err error) {
 	l.timeout.Stop()
 	l.unlist()
--- a/internal/dispatcher/httpfront/session.go
+++ b/internal/dispatcher/httpfront/session.go
@@ -125,10 +125,10 @@
 	}
 }
 
-// Opened implements transport.Handler.
+// Opened implements eventloop.Handler.
 func (s *session) Opened(*eventloop.Conn) {}
 
-// Closed implements transport.Handler: the client has gone away.
+// Closed implements eventloop.Handler: the client has gone away.
 func (s *session) Closed(*eventloop.Conn, error) {
 	open := s.call != ""
 	s.leave()
@@ -137,7 +137,7 @@
 	}
 }
 
-// Data implements transport.Handler.
+// Data implements eventloop.Handler.
 func (s *session) Data(c *eventloop.Conn) {
 	s.f.lastNews = s.f.loop.Now()
 	if s.call == "" && !s.waits && s.offer() { // the successor reads it
@@ -348,7 +348,7 @@
 	call string
 }
 
-// Answer implements routing.Asker.
+// Answer implements dispatch.Requester.
 func (a *asker) Answer(answer dispatch.Answer) {
 	s := a.s
 	if _, open := s.f.sessions.Get(s.h); !open || s.call != a.call {
--- a/internal/dispatcher/server/reporting.go
+++ b/internal/dispatcher/server/reporting.go
@@ -70,7 +70,7 @@
 	return r != nil && (len(r.outputs) > 0 || r.file.Telemetry.SpoolDir != "")
 }
 
-// ObserveAnswer implements routing.Observer, and so do the next ones.
+// ObserveAnswer implements dispatch.Observer, and so do the next ones.
 func (r *reporting) ObserveAnswer(f *dispatch.AnswerRecord) {
 	r.set.ObserveAnswer(f)
 	if r.log != nil {
@@ -78,20 +78,20 @@
 	}
 }
 
-// ObserveAttempt implements routing.Observer.
+// ObserveAttempt implements dispatch.Observer.
 func (r *reporting) ObserveAttempt(t *dispatch.AttemptRecord) { r.set.ObserveAttempt(t) }
 
-// ObserveMembers implements routing.Observer.
+// ObserveMembers implements dispatch.Observer.
 func (r *reporting) ObserveMembers(kind loadbalancer.ListKind, members []dispatch.Member) {
 	r.set.ObserveMembers(kind, members)
 }
 
-// ObserveLoadReport implements routing.Observer.
+// ObserveLoadReport implements dispatch.Observer.
 func (r *reporting) ObserveLoadReport(worker loadbalancer.WorkerID, at float64, report []float32, probed bool) {
 	r.set.ObserveLoadReport(worker, at, report, probed)
 }
 
-// ObserveDrain implements routing.Observer.
+// ObserveDrain implements dispatch.Observer.
 func (r *reporting) ObserveDrain(worker loadbalancer.WorkerID, margin float64) {
 	r.set.ObserveDrain(worker, margin)
 }
--- a/internal/dispatcher/simwire/wire.go
+++ b/internal/dispatcher/simwire/wire.go
@@ -123,7 +123,7 @@
 	list      []loadbalancer.Worker
 }
 
-// instance is one Balancer and the number it answers under; it implements brain.Actions.
+// instance is one Balancer and the number it answers under; it implements loadbalancer.Actions.
 type instance struct {
 	host *Host
 	who  uint32
@@ -401,7 +401,7 @@
 	in.host.out = append(in.host.out, s...)
 }
 
-// Send implements brain.Actions.
+// Send implements loadbalancer.Actions.
 func (in *instance) Send(id loadbalancer.RequestID, w loadbalancer.WorkerID, timeout float64) {
 	in.begin(actSend)
 	in.u32(uint32(id))
@@ -409,34 +409,34 @@
 	in.f64(timeout)
 }
 
-// Reject implements brain.Actions.
+// Reject implements loadbalancer.Actions.
 func (in *instance) Reject(id loadbalancer.RequestID, wait float64) {
 	in.begin(actRefuse)
 	in.u32(uint32(id))
 	in.f64(wait)
 }
 
-// Fail implements brain.Actions.
+// Fail implements loadbalancer.Actions.
 func (in *instance) Fail(id loadbalancer.RequestID) { in.begin(actFail); in.u32(uint32(id)) }
 
-// Cancel implements brain.Actions.
+// Cancel implements loadbalancer.Actions.
 func (in *instance) Cancel(id loadbalancer.RequestID, attempt int) {
 	in.begin(actCancel)
 	in.u32(uint32(id))
 	in.u8(uint8(attempt))
 }
 
-// Probe implements brain.Actions.
+// Probe implements loadbalancer.Actions.
 func (in *instance) Probe(w loadbalancer.WorkerID) { in.begin(actProbe); in.u32(uint32(w)) }
 
-// SetTimer implements brain.Actions.
+// SetTimer implements loadbalancer.Actions.
 func (in *instance) SetTimer(token uint32, at float64) {
 	in.begin(actTimer)
 	in.u32(token)
 	in.f64(at)
 }
 
-// Watch implements brain.Actions.
+// Watch implements loadbalancer.Actions.
 func (in *instance) Watch(on bool) {
 	in.begin(actWatch)
 	if on {
@@ -446,8 +446,8 @@
 	}
 }
 
-// Fetch implements brain.Actions.
+// Fetch implements loadbalancer.Actions.
 func (in *instance) Fetch() { in.begin(actFetch) }
 
-// Log implements brain.Actions.
+// Log implements loadbalancer.Actions.
 func (in *instance) Log(line string) { in.text(actLog, line) }
--- a/internal/dispatcher/telemetry/classes.go
+++ b/internal/dispatcher/telemetry/classes.go
@@ -149,7 +149,7 @@
 	return &s.classes[i]
 }
 
-// ObserveAnswer implements routing.Observer.
+// ObserveAnswer implements dispatch.Observer.
 func (s *Set) ObserveAnswer(f *dispatch.AnswerRecord) {
 	c, v := s.class(f.Class), VerdictOf(f)
 	s.values[c.answers+int(v)]++
@@ -169,7 +169,7 @@
 	}
 }
 
-// ObserveAttempt implements routing.Observer.
+// ObserveAttempt implements dispatch.Observer.
 func (s *Set) ObserveAttempt(t *dispatch.AttemptRecord) {
 	c := s.class(t.Class)
 	switch {
@@ -195,7 +195,7 @@
 	s.drains.margin = add(Doc{"drains.margin_least_ms", Gauge, "ms", "What the drains that ended in the period had left of the 300 ms when the last job started, at least. None without a drain."})
 }
 
-// ObserveDrain implements routing.Observer.
+// ObserveDrain implements dispatch.Observer.
 func (s *Set) ObserveDrain(_ loadbalancer.WorkerID, margin float64) {
 	s.values[s.drains.told]++
 	if margin >= 0 {
--- a/internal/dispatcher/telemetry/nodes.go
+++ b/internal/dispatcher/telemetry/nodes.go
@@ -119,7 +119,7 @@
 	return fmt.Sprintf("%s.%s.%d", nameOf(p.zone, n.zones), nameOf(p.kind, n.kinds), p.cell)
 }
 
-// ObserveMembers implements routing.Observer. Those who leave free their slots before those who come take some.
+// ObserveMembers implements dispatch.Observer. Those who leave free their slots before those who come take some.
 func (s *Set) ObserveMembers(kind loadbalancer.ListKind, members []dispatch.Member) {
 	n := &s.nodes
 	if s.options.Nodes == 0 {
@@ -228,7 +228,7 @@
 	return ""
 }
 
-// ObserveLoadReport implements routing.Observer.
+// ObserveLoadReport implements dispatch.Observer.
 func (s *Set) ObserveLoadReport(worker loadbalancer.WorkerID, at float64, report []float32, probed bool) {
 	n := &s.nodes
 	sl := n.byWorker[worker]
--- a/internal/dispatcher/telemetry/set.go
+++ b/internal/dispatcher/telemetry/set.go
@@ -20,7 +20,7 @@
 	Log      func(line string)
 }
 
-// Set is the figures of one dispatcher. It implements routing.Observer.
+// Set is the figures of one dispatcher. It implements dispatch.Observer.
 type Set struct {
 	options Options
 	table   *Table
