--- a/internal/system/codec/codec_test.go
+++ b/internal/system/codec/codec_test.go
@@ -30,10 +30,10 @@
 		}
 		if reader.Byte("octet") != octet || reader.Uvarint("unsigned") != unsigned || reader.Varint("signed") != signed ||
 			reader.String("text") != text || !bytes.Equal(reader.Bytes("content"), content) {
-			t.Fatal("a field came back as another")
+			t.Fatal("a field was decoded to another value")
 		}
 		if reader.Bool("flag") != flag || reader.Float32("number") != number {
-			t.Fatal("a flag or a number came back as another")
+			t.Fatal("a flag or a number was decoded to another value")
 		}
 		reader.ExpectEnd("end")
 		if field, failed := reader.Malformed(); failed {
--- a/internal/system/consensus/cluster_test.go
+++ b/internal/system/consensus/cluster_test.go
@@ -50,7 +50,7 @@
 			t.Logf("%d: %+v due %v now %v queue %d frozen %v offset %d", p.id, node.Status(), node.NextTick(), p.clock(), len(p.pendingReadies),
 				p.frozen, node.log.offset)
 		}
-		t.Logf("%d steps, %d committed, %d terms, %d reads, %+v", sim.steps, len(sim.oracle.committed), len(sim.oracle.leadersByTerm),
-			sim.oracle.completedReads, sim.profile)
+		t.Logf("%d steps, %d committed, %d terms, %d reads, %+v", sim.steps, len(sim.observed.committed), len(sim.observed.leadersByTerm),
+			sim.observed.completedReads, sim.profile)
 	}
 }
--- a/internal/system/consensus/election.go
+++ b/internal/system/consensus/election.go
@@ -19,11 +19,11 @@
 }
 
 // randomDuration draws a duration from a range.
-func (n *Node) randomDuration(least, most time.Duration) time.Duration {
-	if most <= least {
-		return least
+func (n *Node) randomDuration(low, high time.Duration) time.Duration {
+	if high <= low {
+		return low
 	}
-	return least + time.Duration(n.random.Int64N(int64(most-least)))
+	return low + time.Duration(n.random.Int64N(int64(high-low)))
 }
 
 // resetElectionTimer postpones the next election by an election timeout or more. Replicas whose timers fire at about
@@ -34,13 +34,13 @@
 
 // setCampaignDeadline sets when an election that has just started is given up and the next one starts. After several
 // failures in a row that is a whole election timeout.
-func (n *Node) setCampaignDeadline(least, most time.Duration) {
+func (n *Node) setCampaignDeadline(shortest, longest time.Duration) {
 	n.failedElections++
 	if n.failedElections > maxQuickElections {
 		n.resetElectionTimer()
 		return
 	}
-	n.electionDeadline = n.now + n.randomDuration(least, most)
+	n.electionDeadline = n.now + n.randomDuration(shortest, longest)
 }
 
 // campaignDeadline returns when this replica starts an election.
@@ -94,8 +94,8 @@
 	n.term++
 	n.vote = n.config.ID
 	n.grantedBy = nil // its own vote counts once it is persisted
-	least := max(n.config.ElectionTimeout/2, 2*n.preVoteDuration)
-	n.setCampaignDeadline(least, least+n.config.ElectionTimeout/2)
+	shortest := max(n.config.ElectionTimeout/2, 2*n.preVoteDuration)
+	n.setCampaignDeadline(shortest, shortest+n.config.ElectionTimeout/2)
 	n.requestVotes(Message{Kind: MessageVote, Term: n.term, Force: force})
 }
 
--- a/internal/system/consensus/encoding_test.go
+++ b/internal/system/consensus/encoding_test.go
@@ -23,13 +23,13 @@
 	return data
 }
 
-func drawMembership(t *rapid.T) (s Membership) {
+func drawMembership(t *rapid.T) (membership Membership) {
 	for range rapid.IntRange(0, 5).Draw(t, "members") {
-		s.Members = append(s.Members, Member{ID: ReplicaID(drawUint(t, "id")),
+		membership.Members = append(membership.Members, Member{ID: ReplicaID(drawUint(t, "id")),
 			Node: rapid.StringN(0, 20, -1).Draw(t, "node"), Zone: rapid.StringN(0, 20, -1).Draw(t, "zone"),
 			Address: rapid.StringN(0, 200, -1).Draw(t, "address"), Voter: rapid.Bool().Draw(t, "voter")})
 	}
-	return s
+	return membership
 }
 
 func drawEntry(t *rapid.T) Entry {
@@ -43,19 +43,19 @@
 }
 
 func drawMessage(t *rapid.T) Message {
-	m := Message{Kind: MessageKind(rapid.IntRange(0, int(MessageTimeoutNow)).Draw(t, "kind")),
+	message := Message{Kind: MessageKind(rapid.IntRange(0, int(MessageTimeoutNow)).Draw(t, "kind")),
 		From: ReplicaID(drawUint(t, "from")), To: ReplicaID(drawUint(t, "to")), Term: drawUint(t, "term"),
 		Index: drawUint(t, "index"), LogTerm: drawUint(t, "log term"), Commit: drawUint(t, "commit"),
 		RejectHint: drawUint(t, "hint"), Round: drawUint(t, "round"), Reject: rapid.Bool().Draw(t, "reject"),
 		Force: rapid.Bool().Draw(t, "force")}
 	for range rapid.IntRange(0, 5).Draw(t, "entries") {
-		m.Entries = append(m.Entries, drawEntry(t))
+		message.Entries = append(message.Entries, drawEntry(t))
 	}
 	if rapid.Bool().Draw(t, "with snapshot") {
 		s := drawSnapshot(t)
-		m.Snapshot = &s
+		message.Snapshot = &s
 	}
-	return m
+	return message
 }
 
 // encodingCase is one of the encodings.
--- a/internal/system/consensus/membership.go
+++ b/internal/system/consensus/membership.go
@@ -135,15 +135,15 @@
 }
 
 // changedMembers returns the IDs of members that are in one membership only or differ between the two.
-func changedMembers(a, b Membership) (ids []ReplicaID) {
-	for _, member := range a.Members {
-		other, found := b.find(member.ID)
+func changedMembers(before, after Membership) (ids []ReplicaID) {
+	for _, member := range before.Members {
+		other, found := after.find(member.ID)
 		if !found || other != member {
 			ids = append(ids, member.ID)
 		}
 	}
-	for _, member := range b.Members {
-		if !a.has(member.ID) {
+	for _, member := range after.Members {
+		if !before.has(member.ID) {
 			ids = append(ids, member.ID)
 		}
 	}
@@ -151,20 +151,20 @@
 }
 
 // sameVoters reports whether two memberships have the same voters. Learners may differ.
-func sameVoters(a, b Membership) bool {
+func sameVoters(before, after Membership) bool {
 	everyVoter := func(of, in Membership) bool {
 		return !slices.ContainsFunc(of.Members, func(member Member) bool { return member.Voter && !in.isVoter(member.ID) })
 	}
-	return everyVoter(a, b) && everyVoter(b, a)
+	return everyVoter(before, after) && everyVoter(after, before)
 }
 
 // differOnlyInVotes reports whether two memberships differ in nothing but who votes.
-func differOnlyInVotes(a, b Membership) bool {
-	if len(a.Members) != len(b.Members) {
+func differOnlyInVotes(before, after Membership) bool {
+	if len(before.Members) != len(after.Members) {
 		return false
 	}
-	for _, member := range a.Members {
-		other, found := b.find(member.ID)
+	for _, member := range before.Members {
+		other, found := after.find(member.ID)
 		other.Voter = member.Voter
 		if !found || other != member {
 			return false
--- a/internal/system/consensus/scripted_node_test.go
+++ b/internal/system/consensus/scripted_node_test.go
@@ -27,15 +27,15 @@
 	restoredSnapshot *Snapshot
 }
 
-func voters(ids ...ReplicaID) (s Membership) {
+func voters(ids ...ReplicaID) (membership Membership) {
 	for _, id := range ids {
-		s.Members = append(s.Members, Member{ID: id, Voter: true})
+		membership.Members = append(membership.Members, Member{ID: id, Voter: true})
 	}
-	return s
+	return membership
 }
 
-func withMembers(s Membership, members ...Member) Membership {
-	return Membership{Members: append(slices.Clone(s.Members), members...)}
+func withMembers(membership Membership, members ...Member) Membership {
+	return Membership{Members: append(slices.Clone(membership.Members), members...)}
 }
 
 // entries returns one entry for each term, from an index on.
@@ -46,8 +46,8 @@
 	return all
 }
 
-func membershipEntry(index, term uint64, s Membership) Entry {
-	return Entry{Index: index, Term: term, Kind: EntryMembership, Data: EncodeMembership(s)}
+func membershipEntry(index, term uint64, membership Membership) Entry {
+	return Entry{Index: index, Term: term, Kind: EntryMembership, Data: EncodeMembership(membership)}
 }
 
 // newScriptedNode starts replica 1 from a persistent state. No lease from before the start can still last.
@@ -68,30 +68,30 @@
 func (s *scriptedNode) process() []Message {
 	s.t.Helper()
 	s.sent = nil
-	for r := s.node.Ready(); !r.Empty(); r = s.node.Ready() {
-		s.record(r)
-		s.node.MarkPersisted(r)
+	for ready := s.node.Ready(); !ready.Empty(); ready = s.node.Ready() {
+		s.record(ready)
+		s.node.MarkPersisted(ready)
 	}
 	return s.sent
 }
 
-func (s *scriptedNode) record(r Ready) {
-	s.sent = append(s.sent, r.EarlyMessages...)
-	s.sent = append(s.sent, r.Messages...)
-	if r.Snapshot != nil {
-		s.restoredSnapshot = r.Snapshot
+func (s *scriptedNode) record(ready Ready) {
+	s.sent = append(s.sent, ready.EarlyMessages...)
+	s.sent = append(s.sent, ready.Messages...)
+	if ready.Snapshot != nil {
+		s.restoredSnapshot = ready.Snapshot
 		s.log = nil
 	}
-	if len(r.Entries) > 0 {
-		s.log = slices.DeleteFunc(s.log, func(e Entry) bool { return e.Index >= r.Entries[0].Index })
-		s.log = append(s.log, r.Entries...)
+	if len(ready.Entries) > 0 {
+		s.log = slices.DeleteFunc(s.log, func(e Entry) bool { return e.Index >= ready.Entries[0].Index })
+		s.log = append(s.log, ready.Entries...)
 	}
-	if r.HardState != nil {
-		s.hardState = *r.HardState
+	if ready.HardState != nil {
+		s.hardState = *ready.HardState
 	}
-	s.committedEntries = append(s.committedEntries, r.CommittedEntries...)
-	s.readStates = append(s.readStates, r.ReadStates...)
-	s.compactIndex = max(s.compactIndex, r.CompactIndex)
+	s.committedEntries = append(s.committedEntries, ready.CommittedEntries...)
+	s.readStates = append(s.readStates, ready.ReadStates...)
+	s.compactIndex = max(s.compactIndex, ready.CompactIndex)
 }
 
 func (s *scriptedNode) step(msg Message) []Message {
--- a/internal/system/consensus/simulation_check_test.go
+++ b/internal/system/consensus/simulation_check_test.go
@@ -42,25 +42,25 @@
 		syncedLogs: map[ReplicaID]*syncedLog{}, pendingReads: map[uint64]int{}}
 }
 
-func (t *observations) recordSync(id ReplicaID, r Ready) {
-	log := t.syncedLogs[id]
+func (o *observations) recordSync(id ReplicaID, ready Ready) {
+	log := o.syncedLogs[id]
 	if log == nil {
 		log = &syncedLog{entries: map[entryID]bool{}}
-		t.syncedLogs[id] = log
+		o.syncedLogs[id] = log
 	}
-	for _, entry := range r.Entries {
+	for _, entry := range ready.Entries {
 		log.entries[entryID{entry.Index, entry.Term}] = true
 	}
-	if r.Snapshot != nil {
-		log.snapshot = max(log.snapshot, r.Snapshot.Index)
+	if ready.Snapshot != nil {
+		log.snapshot = max(log.snapshot, ready.Snapshot.Index)
 	}
 }
 
 func nextState(state uint64, entry Entry) uint64 {
-	h := fnv.New64a()
-	h.Write(binary.BigEndian.AppendUint64(nil, state))
-	h.Write(EncodeEntry(entry))
-	return h.Sum64()
+	hash := fnv.New64a()
+	hash.Write(binary.BigEndian.AppendUint64(nil, state))
+	hash.Write(EncodeEntry(entry))
+	return hash.Sum64()
 }
 
 func decodeState(data []byte) uint64 {
@@ -72,65 +72,65 @@
 
 // check checks the invariants that hold after each step.
 func (sim *simulation) check() {
-	for _, p := range sim.processes() {
-		sim.checkCommit(p)
+	for _, process := range sim.processes() {
+		sim.checkCommit(process)
 	}
-	for _, p := range sim.processes() {
-		if p.node.role == Leader {
-			sim.checkLeader(p)
+	for _, process := range sim.processes() {
+		if process.node.role == Leader {
+			sim.checkLeader(process)
 		}
-		sim.checkLease(p)
+		sim.checkLease(process)
 	}
 }
 
 // checkCommit checks that committed entries never change and that a majority had synced them before.
-func (sim *simulation) checkCommit(p *simulatedProcess) {
-	log := &p.node.log
-	if log.commit < p.commit {
-		sim.fail("replica %d: commit went back from %d to %d", p.id, p.commit, log.commit)
+func (sim *simulation) checkCommit(process *simulatedProcess) {
+	log := &process.node.log
+	if log.commit < process.commit {
+		sim.fail("replica %d: commit index decreased from %d to %d", process.id, process.commit, log.commit)
 	}
-	for index := max(p.commit, log.offset) + 1; index <= log.commit; index++ {
+	for index := max(process.commit, log.offset) + 1; index <= log.commit; index++ {
 		entry := log.entries[index-log.offset-1]
-		if index <= uint64(len(sim.oracle.committed)) {
-			if !sameEntry(sim.oracle.committed[index-1], entry) {
-				sim.fail("replica %d: committed entry %d differs: %v, was %v", p.id, index, entry, sim.oracle.committed[index-1])
+		if index <= uint64(len(sim.observed.committed)) {
+			if !sameEntry(sim.observed.committed[index-1], entry) {
+				sim.fail("replica %d: committed entry %d differs: %v, was %v", process.id, index, entry, sim.observed.committed[index-1])
 			}
 			continue
 		}
-		sim.checkNewCommit(p, entry)
+		sim.checkNewCommit(process, entry)
 	}
-	p.commit = log.commit
+	process.commit = log.commit
 }
 
 func sameEntry(a, b Entry) bool {
 	return a.Index == b.Index && a.Term == b.Term && a.Kind == b.Kind && bytes.Equal(a.Data, b.Data)
 }
 
-func (sim *simulation) checkNewCommit(p *simulatedProcess, entry Entry) {
-	if entry.Index != uint64(len(sim.oracle.committed))+1 {
-		sim.fail("replica %d commits %d, the last known one is %d", p.id, entry.Index, len(sim.oracle.committed))
+func (sim *simulation) checkNewCommit(process *simulatedProcess, entry Entry) {
+	if entry.Index != uint64(len(sim.observed.committed))+1 {
+		sim.fail("replica %d commits %d, the last known one is %d", process.id, entry.Index, len(sim.observed.committed))
 		return
 	}
-	if p.node.role == Leader || p.node.role == Follower && p.node.leaderID == 0 { // or has just stepped down
-		sim.checkMajority(p, entry)
+	if process.node.role == Leader || process.node.role == Follower && process.node.leaderID == 0 { // or has just stepped down
+		sim.checkMajority(process, entry)
 	} else {
-		sim.fail("replica %d commits %d first, and does not lead", p.id, entry.Index)
+		sim.fail("replica %d commits %d first, and does not lead", process.id, entry.Index)
 	}
-	sim.oracle.committed = append(sim.oracle.committed, entry)
-	sim.oracle.commitTerms = append(sim.oracle.commitTerms, p.node.term)
+	sim.observed.committed = append(sim.observed.committed, entry)
+	sim.observed.commitTerms = append(sim.observed.commitTerms, process.node.term)
 	if entry.Kind == EntryMembership {
-		sim.oracle.membership, _ = DecodeMembership(entry.Data)
+		sim.observed.membership, _ = DecodeMembership(entry.Data)
 	}
 }
 
 // checkMajority checks that a majority of the voters has synced a committed entry.
-func (sim *simulation) checkMajority(p *simulatedProcess, entry Entry) {
+func (sim *simulation) checkMajority(process *simulatedProcess, entry Entry) {
 	have := map[ReplicaID]bool{}
-	for _, member := range p.node.membership().Members {
-		log := sim.oracle.syncedLogs[member.ID]
+	for _, member := range process.node.membership().Members {
+		log := sim.observed.syncedLogs[member.ID]
 		have[member.ID] = log != nil && (log.entries[entryID{entry.Index, entry.Term}] || log.snapshot >= entry.Index)
 	}
-	for _, voters := range voterSets(p.node.membership()) {
+	for _, voters := range voterSets(process.node.membership()) {
 		synced := 0
 		for _, id := range voters {
 			if have[id] {
@@ -138,7 +138,7 @@
 			}
 		}
 		if synced <= len(voters)/2 {
-			sim.fail("replica %d commits %d, which %d of the voters %v have synced", p.id, entry.Index, synced, voters)
+			sim.fail("replica %d commits %d, which %d of the voters %v have synced", process.id, entry.Index, synced, voters)
 		}
 	}
 }
@@ -163,123 +163,123 @@
 
 // checkLeader checks that a term has one leader, that the leader holds all committed entries, and that at most one
 // membership change is in progress.
-func (sim *simulation) checkLeader(p *simulatedProcess) {
-	node := p.node
-	first := sim.oracle.leadersByTerm[node.term]
-	if first != nil && first != p {
-		sim.fail("replicas %d and %d both led term %d (equal IDs: before and after a restart)", first.id, p.id, node.term)
+func (sim *simulation) checkLeader(process *simulatedProcess) {
+	node := process.node
+	first := sim.observed.leadersByTerm[node.term]
+	if first != nil && first != process {
+		sim.fail("replicas %d and %d both led term %d (equal IDs: before and after a restart)", first.id, process.id, node.term)
 	}
 	if node.persistedTerm != node.term {
-		sim.fail("replica %d leads term %d, which is not on its disk", p.id, node.term)
+		sim.fail("replica %d leads term %d, which is not on its disk", process.id, node.term)
 	}
 	if first == nil {
-		sim.logf("%d leads term %d", p.id, node.term)
-		sim.oracle.leadersByTerm[node.term] = p
-		for i, entry := range sim.oracle.committed {
+		sim.logf("%d leads term %d", process.id, node.term)
+		sim.observed.leadersByTerm[node.term] = process
+		for i, entry := range sim.observed.committed {
 			// Votes that were delayed for long may still elect a leader of a past term.
-			if sim.oracle.commitTerms[i] < node.term && entry.Index > node.log.offset && !node.log.matchTerm(entry.Index, entry.Term) {
-				sim.fail("replica %d leads term %d without committed entry %v", p.id, node.term, entry)
+			if sim.observed.commitTerms[i] < node.term && entry.Index > node.log.offset && !node.log.matchTerm(entry.Index, entry.Term) {
+				sim.fail("replica %d leads term %d without committed entry %v", process.id, node.term, entry)
 			}
 		}
 	}
 	changes := 0
-	for _, at := range node.log.memberships {
-		if at.index > uint64(len(sim.oracle.committed)) {
+	for _, entry := range node.log.memberships {
+		if entry.index > uint64(len(sim.observed.committed)) {
 			changes++
 		}
 	}
 	if changes > 1 {
-		sim.fail("replica %d leads with %d membership changes in progress", p.id, changes)
+		sim.fail("replica %d leads with %d membership changes in progress", process.id, changes)
 	}
 }
 
 // checkLease checks that no other replica leads a later term while a lease lasts.
-func (sim *simulation) checkLease(p *simulatedProcess) {
-	until := p.node.LeaseExpiry()
-	if until <= p.clock() {
+func (sim *simulation) checkLease(process *simulatedProcess) {
+	until := process.node.LeaseExpiry()
+	if until <= process.clock() {
 		return
 	}
 	for _, other := range sim.processes() {
-		if other == p || other.node.role != Leader {
+		if other == process || other.node.role != Leader {
 			continue
 		}
-		if other.node.term > p.node.term || other.node.LeaseExpiry() > other.clock() {
-			sim.fail("replica %d leads term %d while %d, of term %d, has a lease for %v", other.id, other.node.term, p.id,
-				p.node.term, until-p.clock())
+		if other.node.term > process.node.term || other.node.LeaseExpiry() > other.clock() {
+			sim.fail("replica %d leads term %d while %d, of term %d, has a lease for %v", other.id, other.node.term, process.id,
+				process.node.term, until-process.clock())
 		}
 	}
 }
 
 // checkReady checks that logs which agree in an entry agree in the preceding one.
-func (sim *simulation) checkReady(p *simulatedProcess, r Ready) {
-	for _, entry := range r.Entries {
-		before, _ := p.node.log.term(entry.Index - 1)
+func (sim *simulation) checkReady(process *simulatedProcess, ready Ready) {
+	for _, entry := range ready.Entries {
+		before, _ := process.node.log.term(entry.Index - 1)
 		id := entryID{entry.Index, entry.Term}
-		have, found := sim.oracle.entriesByID[id]
+		have, found := sim.observed.entriesByID[id]
 		if !found {
-			sim.oracle.entriesByID[id] = entryContent{before, entry.Kind, entry.Data}
+			sim.observed.entriesByID[id] = entryContent{before, entry.Kind, entry.Data}
 			continue
 		}
 		if have.previousTerm != before || have.kind != entry.Kind || !bytes.Equal(have.data, entry.Data) {
-			sim.fail("replica %d: entry %v after term %d differs from another log's", p.id, entry, before)
+			sim.fail("replica %d: entry %v after term %d differs from another log's", process.id, entry, before)
 		}
 	}
-	if r.MustSync != (r.Snapshot != nil || len(r.Entries) > 0 || r.HardState != nil && r.sequence > 0) {
-		sim.fail("replica %d: MustSync is %v of %+v", p.id, r.MustSync, r)
+	if ready.MustSync != (ready.Snapshot != nil || len(ready.Entries) > 0 || ready.HardState != nil && ready.sequence > 0) {
+		sim.fail("replica %d: MustSync is %v of %+v", process.id, ready.MustSync, ready)
 	}
 }
 
 // checkState checks that all state machines go through the same states.
-func (sim *simulation) checkState(p *simulatedProcess) {
-	have, found := sim.oracle.statesByIndex[p.applied]
-	if found && have != p.state {
-		sim.fail("replica %d is in another state at %d", p.id, p.applied)
+func (sim *simulation) checkState(process *simulatedProcess) {
+	have, found := sim.observed.statesByIndex[process.applied]
+	if found && have != process.state {
+		sim.fail("replica %d is in another state at %d", process.id, process.applied)
 	}
-	sim.oracle.statesByIndex[p.applied] = p.state
+	sim.observed.statesByIndex[process.applied] = process.state
 }
 
 // checkSent checks that replicas send nothing before they are members, and that only voters start elections.
-func (sim *simulation) checkSent(p *simulatedProcess, msg Message) {
-	member := p.node.membership().has(p.id)
+func (sim *simulation) checkSent(process *simulatedProcess, msg Message) {
+	member := process.node.membership().has(process.id)
 	switch msg.Kind {
 	case MessagePreVote, MessageVote:
-		if !sim.knownAsVoter(p) {
-			sim.fail("replica %d starts an election and is no voter", p.id)
+		if !sim.knownAsVoter(process) {
+			sim.fail("replica %d starts an election and is no voter", process.id)
 		}
 	case MessagePreVoteReply, MessageVoteReply:
-		if !member && !msg.Reject && !p.hasMembership {
-			sim.fail("replica %d votes and is no member", p.id)
+		if !member && !msg.Reject && !process.hasMembership {
+			sim.fail("replica %d votes and is no member", process.id)
 		}
 	default:
-		if !p.hasMembership {
-			sim.fail("replica %d sends message kind %d before it is a member", p.id, msg.Kind)
+		if !process.hasMembership {
+			sim.fail("replica %d sends message kind %d before it is a member", process.id, msg.Kind)
 		}
 	}
 }
 
 // knownAsVoter reports whether a replica votes by any membership in its log, or by the committed one.
-func (sim *simulation) knownAsVoter(p *simulatedProcess) bool {
-	for _, at := range p.node.log.memberships {
-		if at.membership.hasVote(p.id) {
+func (sim *simulation) knownAsVoter(process *simulatedProcess) bool {
+	for _, entry := range process.node.log.memberships {
+		if entry.membership.hasVote(process.id) {
 			return true
 		}
 	}
-	return sim.oracle.membership.hasVote(p.id)
+	return sim.observed.membership.hasVote(process.id)
 }
 
 // checkRead checks that a read shows everything that was committed anywhere when it was requested.
-func (sim *simulation) checkRead(p *simulatedProcess, read ReadState) {
-	asked, found := sim.oracle.pendingReads[read.Token]
+func (sim *simulation) checkRead(process *simulatedProcess, read ReadState) {
+	committed, found := sim.observed.pendingReads[read.Token]
 	if !found {
-		sim.fail("replica %d completes read %d twice, or one that nobody requested", p.id, read.Token)
+		sim.fail("replica %d completes read %d twice, or one that nobody requested", process.id, read.Token)
 	}
-	delete(sim.oracle.pendingReads, read.Token)
+	delete(sim.observed.pendingReads, read.Token)
 	if read.Err != nil {
 		return
 	}
-	sim.oracle.completedReads++
-	if read.Index < uint64(asked) {
-		sim.fail("replica %d reads at %d what was requested at %d", p.id, read.Index, asked)
+	sim.observed.completedReads++
+	if read.Index < uint64(committed) {
+		sim.fail("replica %d reads at %d what was requested at %d", process.id, read.Index, committed)
 	}
 }
 
@@ -289,16 +289,16 @@
 		return
 	}
 	if !sim.membershipRestored() {
-		sim.fail("the membership is not complete again: %v", sim.oracle.membership)
+		sim.fail("the membership is not complete again: %v", sim.observed.membership)
 	}
-	for _, p := range sim.processes() {
-		if p.applied+1000 < uint64(len(sim.oracle.committed)) {
-			sim.fail("replica %d is at %d of %d", p.id, p.applied, len(sim.oracle.committed))
+	for _, process := range sim.processes() {
+		if process.applied+1000 < uint64(len(sim.observed.committed)) {
+			sim.fail("replica %d is at %d of %d", process.id, process.applied, len(sim.observed.committed))
 		}
 	}
-	before := len(sim.oracle.committed)
+	before := len(sim.observed.committed)
 	sim.run(2 * time.Second)
-	if len(sim.oracle.committed) == before {
+	if len(sim.observed.committed) == before {
 		sim.fail("nothing is committed any more")
 	}
 }
--- a/internal/system/consensus/simulation_faults_test.go
+++ b/internal/system/consensus/simulation_faults_test.go
@@ -148,7 +148,7 @@
 // fullyReplicated reports whether the hosts' replicas, and no others, are voters, whatever becomes of changes in
 // progress.
 func (sim *simulation) fullyReplicated() bool {
-	views := []Membership{sim.oracle.membership, sim.oracle.proposedMembership}
+	views := []Membership{sim.observed.membership, sim.observed.proposedMembership}
 	for _, host := range sim.hosts {
 		log := newLog(host.disk.stored.normalized())
 		views = append(views, log.lastMembership().membership)
@@ -159,9 +159,9 @@
 // membershipRestored reports whether the hosts' replicas, and no others, are voters, in the view of every running
 // replica and in the committed membership.
 func (sim *simulation) membershipRestored() bool {
-	views := []Membership{sim.oracle.membership}
-	for _, p := range sim.processes() {
-		views = append(views, p.node.membership())
+	views := []Membership{sim.observed.membership}
+	for _, process := range sim.processes() {
+		views = append(views, process.node.membership())
 	}
 	return sim.allVoters(views)
 }
@@ -181,11 +181,11 @@
 }
 
 // withRandomLeader calls a function with a replica that considers itself leader.
-func (sim *simulation) withRandomLeader(do func(p *simulatedProcess)) {
+func (sim *simulation) withRandomLeader(do func(process *simulatedProcess)) {
 	var leaders []*simulatedProcess
-	for _, p := range sim.processes() {
-		if p.node.role == Leader && !p.frozen {
-			leaders = append(leaders, p)
+	for _, process := range sim.processes() {
+		if process.node.role == Leader && !process.frozen {
+			leaders = append(leaders, process)
 		}
 	}
 	if len(leaders) > 0 {
@@ -203,15 +203,15 @@
 	if sim.now < sim.proposalsPausedUntil {
 		return
 	}
-	sim.withRandomLeader(func(p *simulatedProcess) {
-		if p.node.log.lastIndex()-p.node.log.commit > 50 || !sim.faults && sim.anyReplicaBehind() {
+	sim.withRandomLeader(func(process *simulatedProcess) {
+		if process.node.log.lastIndex()-process.node.log.commit > 50 || !sim.faults && sim.anyReplicaBehind() {
 			return
 		}
-		p.run(func(node *Node) {
+		process.run(func(node *Node) {
 			for range 1 + sim.random.IntN(3) {
 				sim.lastToken++
 				data := binary.BigEndian.AppendUint64(nil, sim.lastToken)
-				_, _, err := node.Propose(p.clock(), append(data, make([]byte, sim.random.IntN(40))...))
+				_, _, err := node.Propose(process.clock(), append(data, make([]byte, sim.random.IntN(40))...))
 				if err != nil && !errors.As(err, new(*NotLeaderError)) {
 					sim.fail("propose: %v", err)
 				}
@@ -221,13 +221,13 @@
 	if !sim.chance(0.3) {
 		return
 	}
-	for _, p := range sim.processes() {
-		if p.node.role == Leader || sim.chance(0.05) {
+	for _, process := range sim.processes() {
+		if process.node.role == Leader || sim.chance(0.05) {
 			sim.lastToken++
 			token := sim.lastToken
-			p.run(func(node *Node) {
-				sim.oracle.pendingReads[token] = len(sim.oracle.committed)
-				node.ReadIndex(p.clock(), token)
+			process.run(func(node *Node) {
+				sim.observed.pendingReads[token] = len(sim.observed.committed)
+				node.ReadIndex(process.clock(), token)
 			})
 		}
 	}
@@ -235,28 +235,28 @@
 
 // anyReplicaBehind reports whether a replica has to catch up, for which the profile's rates may be too slow under load.
 func (sim *simulation) anyReplicaBehind() bool {
-	return slices.ContainsFunc(sim.processes(), func(p *simulatedProcess) bool {
-		return p.applied+200 < uint64(len(sim.oracle.committed))
+	return slices.ContainsFunc(sim.processes(), func(process *simulatedProcess) bool {
+		return process.applied+200 < uint64(len(sim.observed.committed))
 	})
 }
 
 // repairMembership changes the membership as an operator would, sometimes without need.
 func (sim *simulation) repairMembership() {
 	sim.schedule(sim.randomDuration(50*time.Millisecond, 300*time.Millisecond), sim.repairMembership)
-	sim.withRandomLeader(func(p *simulatedProcess) {
-		p.run(func(node *Node) {
+	sim.withRandomLeader(func(process *simulatedProcess) {
+		process.run(func(node *Node) {
 			to, ok := sim.nextMembership(node.membership())
 			if sim.faults && sim.chance(sim.profile.NeedlessChangeRate) {
-				to, ok = sim.needlessChange(p)
+				to, ok = sim.needlessChange(process)
 			}
 			if !ok {
 				return
 			}
-			err := node.ChangeMembership(p.clock(), to)
+			err := node.ChangeMembership(process.clock(), to)
 			if err == nil {
-				sim.oracle.proposedMembership = to
+				sim.observed.proposedMembership = to
 			}
-			sim.logf("%d changes the membership to %v: %v", p.id, to, err)
+			sim.logf("%d changes the membership to %v: %v", process.id, to, err)
 			if errors.As(err, new(*InvalidMembershipError)) {
 				sim.fail("change of membership from %v to %v: %v", node.membership(), to, err)
 			}
@@ -310,8 +310,8 @@
 }
 
 // needlessChange returns a membership change without need, or transfers the leadership.
-func (sim *simulation) needlessChange(p *simulatedProcess) (Membership, bool) {
-	now := p.node.membership()
+func (sim *simulation) needlessChange(process *simulatedProcess) (Membership, bool) {
+	now := process.node.membership()
 	to := Membership{Members: slices.Clone(now.Members)}
 	i := sim.random.IntN(len(to.Members))
 	voters := 0
@@ -322,12 +322,12 @@
 	}
 	switch sim.random.IntN(6) {
 	case 0:
-		sim.logf("%d transfers its leadership", p.id)
-		p.node.TransferLeadership(p.clock(), to.Members[i].ID*ReplicaID(sim.random.IntN(2)))
+		sim.logf("%d transfers its leadership", process.id)
+		process.node.TransferLeadership(process.clock(), to.Members[i].ID*ReplicaID(sim.random.IntN(2)))
 		return to, false
 	case 1:
-		sim.logf("%d steps down", p.id)
-		p.node.StepDown(p.clock())
+		sim.logf("%d steps down", process.id)
+		process.node.StepDown(process.clock())
 		return to, false
 	case 2:
 		to.Members[i].Address += "'"
--- a/internal/system/consensus/simulation_process_test.go
+++ b/internal/system/consensus/simulation_process_test.go
@@ -63,22 +63,22 @@
 	if host.process != nil {
 		return
 	}
-	stored := host.disk.stored
-	stored.Entries = slices.Clone(stored.Entries)
+	state := host.disk.stored
+	state.Entries = slices.Clone(state.Entries)
 	started := &simulatedProcess{sim: sim, host: host, id: host.id, alive: true}
 	host.process = started
-	started.hasMembership = len(stored.Snapshot.Membership.Members) > 0 || len(stored.Entries) > 0
+	started.hasMembership = len(state.Snapshot.Membership.Members) > 0 || len(state.Entries) > 0
 	config := Config{ID: host.id, HeartbeatInterval: 150 * time.Millisecond, ElectionTimeout: 700 * time.Millisecond,
 		Seed: sim.random.Uint64(), MaxAppendBytes: sim.profile.MaxAppendBytes, MaxInflightAppends: sim.profile.MaxInflightAppends, SnapshotThreshold: 30}
-	started.applied = stored.Snapshot.Index
-	started.state = decodeState(stored.Snapshot.Data)
-	started.node = New(started.clock(), config, stored)
+	started.applied = state.Snapshot.Index
+	started.state = decodeState(state.Snapshot.Data)
+	started.node = New(started.clock(), config, state)
 	if started.node.disabled {
-		sim.fail("replica %d finds its persistent state invalid: %v", host.id, stored.Validate())
+		sim.fail("replica %d finds its persistent state invalid: %v", host.id, state.Validate())
 		return
 	}
-	sim.oracle.recordSync(host.id, Ready{Entries: stored.Entries})
-	sim.logf("%d boots: %+v, snapshot %d, log to %d", host.id, stored.HardState, stored.Snapshot.Index, started.node.log.lastIndex())
+	sim.observed.recordSync(host.id, Ready{Entries: state.Entries})
+	sim.logf("%d boots: %+v, snapshot %d, log to %d", host.id, state.HardState, state.Snapshot.Index, started.node.log.lastIndex())
 	started.run(func(node *Node) {})
 }
 
@@ -87,15 +87,15 @@
 }
 
 // run runs a function of the process, deferred while the process is frozen.
-func (p *simulatedProcess) run(what func(node *Node)) {
+func (p *simulatedProcess) run(function func(node *Node)) {
 	if !p.alive {
 		return
 	}
 	if p.frozen {
-		p.deferred = append(p.deferred, what)
+		p.deferred = append(p.deferred, function)
 		return
 	}
-	what(p.node)
+	function(p.node)
 	p.takeReadies()
 	p.schedule()
 }
@@ -180,7 +180,7 @@
 	p.pendingReadies = p.pendingReadies[1:]
 	p.writing = false
 	p.host.disk.write(ready)
-	p.sim.oracle.recordSync(p.id, ready)
+	p.sim.observed.recordSync(p.id, ready)
 	p.node.MarkPersisted(ready)
 	p.processReady(ready)
 	p.processQueue()
@@ -247,7 +247,7 @@
 			return
 		}
 		p.host.disk.write(ready)
-		sim.oracle.recordSync(p.id, ready)
+		sim.observed.recordSync(p.id, ready)
 	}
 }
 
--- a/internal/system/consensus/simulation_test.go
+++ b/internal/system/consensus/simulation_test.go
@@ -29,7 +29,7 @@
 	faults       bool
 
 	proposalsPausedUntil time.Duration
-	oracle               observations
+	observed             observations
 	lastToken            uint64
 }
 
@@ -89,7 +89,7 @@
 	sim := &simulation{seed: seed, random: rand.New(rand.NewPCG(seed, 7)), cutLinks: map[[2]int]bool{},
 		lastDelivery: map[[2]ReplicaID]time.Duration{}, faults: true}
 	sim.profile = sim.drawProfile()
-	sim.oracle = newObservations()
+	sim.observed = newObservations()
 	return sim
 }
 
@@ -117,13 +117,13 @@
 
 func (sim *simulation) chance(probability float64) bool { return sim.random.Float64() < probability }
 
-func (sim *simulation) randomDuration(least, most time.Duration) time.Duration {
-	return least + time.Duration(sim.random.Int64N(int64(most-least)+1))
+func (sim *simulation) randomDuration(low, high time.Duration) time.Duration {
+	return low + time.Duration(sim.random.Int64N(int64(high-low)+1))
 }
 
 // randomMagnitude draws a duration whose order of magnitude is uniform within a range.
-func (sim *simulation) randomMagnitude(least, most time.Duration) time.Duration {
-	return time.Duration(float64(least) * math.Pow(float64(most)/float64(least), sim.random.Float64()))
+func (sim *simulation) randomMagnitude(low, high time.Duration) time.Duration {
+	return time.Duration(float64(low) * math.Pow(float64(high)/float64(low), sim.random.Float64()))
 }
 
 func (sim *simulation) logf(format string, args ...any) {
@@ -154,7 +154,7 @@
 		sim.hosts = append(sim.hosts, host)
 		founders.Members = append(founders.Members, Member{ID: host.id, Node: fmt.Sprint(i), Voter: true})
 	}
-	sim.oracle.membership, sim.oracle.proposedMembership = founders, founders
+	sim.observed.membership, sim.observed.proposedMembership = founders, founders
 	for _, host := range sim.hosts {
 		host.disk.stored.Snapshot.Membership = founders
 		sim.schedule(sim.randomDuration(0, 300*time.Millisecond), func() { sim.boot(host) })
@@ -275,7 +275,7 @@
 	return data
 }
 
-func describeMessage(m Message) string {
-	return fmt.Sprintf("%d kind %d term %d index %d/%d commit %d entries %d reject %v hint %d round %d", m.From, m.Kind,
-		m.Term, m.Index, m.LogTerm, m.Commit, len(m.Entries), m.Reject, m.RejectHint, m.Round)
+func describeMessage(message Message) string {
+	return fmt.Sprintf("%d kind %d term %d index %d/%d commit %d entries %d reject %v hint %d round %d", message.From, message.Kind,
+		message.Term, message.Index, message.LogTerm, message.Commit, len(message.Entries), message.Reject, message.RejectHint, message.Round)
 }
--- a/internal/system/rpc/call_simulation_test.go
+++ b/internal/system/rpc/call_simulation_test.go
@@ -271,7 +271,7 @@
 	began := time.Now()
 	reply, err := sim.invoke(ctx, client, &EchoRequest{Text: text}, span)
 	if took := time.Since(began); took > span+deadlineSlack {
-		sim.recordViolation("%s returns after %v, its bound is %v", text, took, span)
+		sim.recordViolation("%s returned after %v, its bound is %v", text, took, span)
 	}
 	sim.check(text, reply, err)
 }
@@ -315,7 +315,7 @@
 	defer sim.mutex.Unlock()
 	sim.outcomes[outcome]++
 	if outcome == "rejected" && !sim.rejected[text] {
-		sim.violations = append(sim.violations, text+" fails though nobody refused it")
+		sim.violations = append(sim.violations, text+" failed though no handler rejected it")
 	}
 	if outcome == "unsent" {
 		sim.unsent = append(sim.unsent, text)
@@ -326,12 +326,12 @@
 func (sim *callSimulation) checkEnd() {
 	for text, count := range sim.received {
 		if count > 1 {
-			sim.violations = append(sim.violations, fmt.Sprintf("%s arrives %d times", text, count))
+			sim.violations = append(sim.violations, fmt.Sprintf("%s arrived %d times", text, count))
 		}
 	}
 	for _, text := range sim.unsent {
 		if sim.received[text] > 0 {
-			sim.violations = append(sim.violations, text+" arrives though it is said not to have been sent")
+			sim.violations = append(sim.violations, text+" arrived though it was reported as not sent")
 		}
 	}
 }
--- a/internal/system/rpc/client.go
+++ b/internal/system/rpc/client.go
@@ -30,8 +30,8 @@
 // end.
 func NewClient(address netip.AddrPort, options ClientOptions) *Client {
 	options.setDefaults()
-	ended, end := context.WithCancel(context.Background())
-	c := &Client{address: address, options: options, closed: ended, close: end}
+	closed, closeContext := context.WithCancel(context.Background())
+	c := &Client{address: address, options: options, closed: closed, close: closeContext}
 	c.dialTransport = c.dialTCP
 	return c
 }
@@ -43,11 +43,11 @@
 func (c *Client) Close() {
 	c.close()
 	c.mutex.Lock()
-	live := c.connection
+	connection := c.connection
 	c.connection = nil
 	c.mutex.Unlock()
-	if live != nil {
-		live.client.Close()
+	if connection != nil {
+		connection.client.Close()
 	}
 }
 
@@ -57,20 +57,20 @@
 	if err != nil {
 		return &UnreachableError{c.address, err}
 	}
-	heard := conn.codec.replies.Load()
+	repliesBefore := conn.codec.replies.Load()
 	call := conn.client.Go(name, argument, reply, make(chan *netrpc.Call, 1))
 	select {
 	case <-call.Done:
 		return c.finish(conn, call)
 	case <-ctx.Done():
-		return c.abandon(conn, name, heard, ctx.Err())
+		return c.abandon(conn, name, repliesBefore, ctx.Err())
 	}
 }
 
 // abandon gives up a call and returns its error. A connection from which nothing was received since the call began is
 // closed if the call timed out.
-func (c *Client) abandon(conn *connection, name string, heard uint64, cause error) error {
-	silent := conn.codec.replies.Load() == heard
+func (c *Client) abandon(conn *connection, name string, repliesBefore uint64, cause error) error {
+	silent := conn.codec.replies.Load() == repliesBefore
 	if silent && errors.Is(cause, context.DeadlineExceeded) {
 		c.dropConnection(conn)
 	}
--- a/internal/system/rpc/receive_timeouts.go
+++ b/internal/system/rpc/receive_timeouts.go
@@ -50,13 +50,13 @@
 
 // callWhileReceiving is call, bounded by the progress of the reply as well as by the context.
 func (c *Client) callWhileReceiving(ctx context.Context, timeouts *ReceiveTimeouts, name string, argument, reply any) error {
-	connecting, connected := context.WithTimeout(ctx, timeouts.FirstByte)
-	defer connected()
-	conn, err := c.connect(connecting)
+	dialContext, cancelDial := context.WithTimeout(ctx, timeouts.FirstByte)
+	defer cancelDial()
+	conn, err := c.connect(dialContext)
 	if err != nil {
 		return &UnreachableError{c.address, err}
 	}
-	began, heard := time.Now(), conn.codec.replies.Load()
+	start, repliesBefore := time.Now(), conn.codec.replies.Load()
 	progress := newReceiveProgress(timeouts, 0, conn.receivedBytes())
 	call := conn.client.Go(name, argument, reply, make(chan *netrpc.Call, 1))
 	timer := time.NewTimer(timeouts.FirstByte)
@@ -66,12 +66,12 @@
 		case <-call.Done:
 			return c.finish(conn, call)
 		case <-ctx.Done():
-			return c.abandon(conn, name, heard, ctx.Err())
+			return c.abandon(conn, name, repliesBefore, ctx.Err())
 		case <-timer.C:
 		}
-		wait := progress.check(time.Since(began), conn.receivedBytes())
+		wait := progress.check(time.Since(start), conn.receivedBytes())
 		if wait == 0 {
-			c.dropConnection(conn) // the rest of an answer may be stuck in it
+			c.dropConnection(conn) // the rest of the reply may still arrive on it
 			return &NoReplyError{c.address, name, context.DeadlineExceeded}
 		}
 		timer.Reset(wait)
--- a/internal/system/rpc/receive_timeouts_test.go
+++ b/internal/system/rpc/receive_timeouts_test.go
@@ -31,7 +31,7 @@
 	}
 	for _, step := range steps {
 		if wait := progress.check(step.at, step.received); wait != step.wait {
-			t.Fatalf("at %v with %d bytes it waits for %v, want %v", step.at, step.received, wait, step.wait)
+			t.Fatalf("at %v with %d bytes: next check in %v, want %v", step.at, step.received, wait, step.wait)
 		}
 	}
 }
@@ -65,11 +65,11 @@
 		}
 		switch {
 		case !any && now != timeouts.FirstByte:
-			t.Fatalf("it ends at %d though nothing came", now)
+			t.Fatalf("it ends at %d though nothing was received", now)
 		case any && now-last < timeouts.Idle:
-			t.Fatalf("it ends at %d, only %d after bytes came", now, now-last)
+			t.Fatalf("it ends at %d, only %d after the last bytes", now, now-last)
 		case any && now > max(last+2*timeouts.Idle, timeouts.FirstByte+timeouts.Idle):
-			t.Fatalf("it ends at %d, the last bytes came at %d", now, last)
+			t.Fatalf("it ends at %d, the last bytes were received at %d", now, last)
 		}
 	})
 }
@@ -140,7 +140,7 @@
 				t.Fatal(err)
 			}
 			if client.connection != nil {
-				t.Error("the silent connection is kept")
+				t.Error("the silent connection was kept")
 			}
 		})
 	}
--- a/internal/system/rpc/rpc_test.go
+++ b/internal/system/rpc/rpc_test.go
@@ -89,7 +89,7 @@
 	defer ticker.Stop()
 	for !holds() {
 		if time.Now().After(deadline) {
-			t.Fatal("not reached: " + what)
+			t.Fatal("timed out waiting for " + what)
 		}
 		<-ticker.C
 	}
--- a/internal/system/storage/load.go
+++ b/internal/system/storage/load.go
@@ -10,15 +10,15 @@
 
 // readIdentity returns the replica that the database belongs to, if it was initialized. The error is a *SchemaError if
 // the tables have another version.
-func (db *database) readIdentity() (replica consensus.ReplicaID, existed bool, err error) {
+func (db *database) readIdentity() (replica consensus.ReplicaID, initialized bool, err error) {
 	err = db.query(selectMeta, func(row []driver.Value) error {
 		if row[0].(int64) != schemaVersion {
 			return &SchemaError{row[0].(int64), schemaVersion}
 		}
-		replica, existed = consensus.ReplicaID(row[1].(int64)), true
+		replica, initialized = consensus.ReplicaID(row[1].(int64)), true
 		return nil
 	})
-	return replica, existed, err
+	return replica, initialized, err
 }
 
 // load reads the persisted state of a partition.
--- a/internal/system/storage/power_loss_test.go
+++ b/internal/system/storage/power_loss_test.go
@@ -343,7 +343,7 @@
 			if _, existed := store.Identity(); existed {
 				expectState(t, loadState(t, store, 1), voted)
 			} else if !store.HasPredecessor() {
-				t.Errorf("the folder counts as one that has had no replica: %d files", len(left))
+				t.Errorf("the folder counts as one without a predecessor: %d files", len(left))
 			}
 			store.Close()
 		}
@@ -388,7 +388,7 @@
 	delete(image, "")
 	store = openStore(t, image.writeFolder(t))
 	if id, existed := store.Identity(); existed || !store.HasPredecessor() {
-		t.Errorf("replica %d, %v; succeeds another: %v", id, existed, store.HasPredecessor())
+		t.Errorf("replica %d, %v; has a predecessor: %v", id, existed, store.HasPredecessor())
 	}
 	if _, found, err := store.Load(1); found || err != nil {
 		t.Error(found, err)
@@ -402,7 +402,7 @@
 		store := openStore(t, folder)
 		writeUpdates(t, store, Update{Partition: 1, Entries: newEntries(1, 1, 2)})
 		if found, err := pathExists(filepath.Join(folder, databaseName+"-shm")); found || err != nil {
-			t.Error("there is a file in shared memory", err)
+			t.Error("a shared memory file exists", err)
 		}
 		store.Close()
 	}
--- a/internal/system/storage/store.go
+++ b/internal/system/storage/store.go
@@ -52,11 +52,11 @@
 
 // open opens the database and reads its identity.
 func (s *Store) open() error {
-	aside, err := pathExists(s.path + quarantineSuffix)
+	quarantined, err := pathExists(s.path + quarantineSuffix)
 	if err != nil {
 		return err
 	}
-	s.hasPredecessor = s.hasPredecessor || aside
+	s.hasPredecessor = s.hasPredecessor || quarantined
 	if err := s.prepare(); err != nil {
 		return err
 	}
--- a/internal/system/storage/writer.go
+++ b/internal/system/storage/writer.go
@@ -90,12 +90,12 @@
 	if err != nil {
 		return err
 	}
-	replica, existed, err := db.readIdentity()
+	replica, initialized, err := db.readIdentity()
 	if err != nil {
 		db.close()
 		return err
 	}
-	if existed != s.initialized || replica != s.replica {
+	if initialized != s.initialized || replica != s.replica {
 		db.close()
 		return &CorruptError{Path: s.path, Cause: errors.New("it belongs to another replica than when it was opened")}
 	}
