--- a/internal/dispatcher/cluster/quota/calculator.go
+++ b/internal/dispatcher/cluster/quota/calculator.go
@@ -1,21 +1,17 @@
-// Package divisor works out, from the fleet's view, among whom cold workers are shared: the place that the decisions take
-// for nInstances and me. It is pure, and errs to one side: members whose views differ never give out more together than
-// the rule allows.
+// Package quota computes, from the cluster's view, the share of a cold worker's budget that this dispatcher may use. It
+// is pure, and errs on the safe side: members whose views differ never use more together than the budget.
 //
-// The rule (F4). Of the members that a dispatcher counts, the holders of a cold worker's turn are those that come first in an
-// order drawn from the worker, the turn and the names alone. Whoever counts more members than another comes no earlier in
-// its own order. So as long as everybody counts all that may be sending, the holders' shares sum to one budget at most, however
-// the views differ beyond that. Hence
+// Of the members that a dispatcher counts, the holders of a cold worker's turn are the first in an order that depends
+// on the worker, the turn and the names alone. A dispatcher that counts more members than another comes no earlier in
+// its own order. So as long as every dispatcher counts all that may be sending, the shares of the holders sum to at
+// most one budget, however their views differ otherwise. Hence
 //
-//   - a member that leaves by word leaves the count at once: it says so when it has stopped;
-//   - one that is found dead may be cut off and sending. It leaves the count after the lease, and only at members that hear
-//     more than half of all that are known, those that were found dead among them, and have for as long;
-//   - one that hears less than half, for which a half that hears each other may stand in, takes an eighth of its share:
-//     all such together take an eighth of a budget;
-//   - one that joins, comes back or has slept takes an eighth of its share until enough others have told that they count it,
-//     and, while it knows fewer than are configured, until all others would have found it.
+//   - a member that leaves is not counted from then on: it announces that once it has stopped;
+//   - a dead member may be isolated and sending. It is counted until StopTimeout has passed, and longer at members that have not been in contact with more than half of all known members, dead ones included, for as long;
+//   - a member in contact with less than half, or with half if the other half may be connected as well, uses CautiousFraction of its share: all such members together use that fraction of a budget;
+//   - a member that joins, returns or was paused uses CautiousFraction of its share until enough other members have confirmed that they count it and, while it knows fewer than are configured, until all others would have found it.
 //
-// One that has heard nobody since its start decides by the configured numbers.
+// A member that has been in contact with nobody since its start uses the configured numbers.
 package quota
 
 import (
@@ -26,70 +22,73 @@
 )
 
 const (
-	stopSuspicions     = 2.0  // longest suspicions in a lease: each side of a cut notices it within one
-	stopProbeIntervals = 10.0 // and periods, for the probes and the news of it
-	// A member that has begun and has known fewer than are configured, those that left among them, may have met only others that have just begun, too. All
-	// that run ask seeds and the dead within 12.5 periods: after twice that somebody would have been heard.
+	stopSuspicions     = 2.0  // longest suspicions in StopTimeout: each side of a partition detects it within one
+	stopProbeIntervals = 10.0 // and probe intervals, for the probes and the broadcasts
+	// joinProbeIntervals is how long a member that knows fewer members than are configured, those that left included,
+	// is cautious after it joined: it may have met only others that have just joined. All members ping seeds and dead
+	// members within 12.5 probe intervals; after twice that it would have been contacted.
 	joinProbeIntervals = 25.0
-	// CautiousFraction is the part of its share that a member takes which others may not count. A turn's budget is four tenths of
-	// what a worker bears, and two turns may fall into one span: a quarter more would be all that is left, and half of that
-	// is for what is on its way.
+	// CautiousFraction is the fraction of its share that a member uses whom others may not count. A turn's budget is
+	// four tenths of a worker's capacity, and two turns may fall into one span, so a quarter more would be all that is
+	// left; half of that is for requests in flight.
 	CautiousFraction = 0.125
 )
 
-// Config are what the place is worked out by.
+// Config is what a share is computed by.
 type Config struct {
-	Instances     int     // as configured
-	Index         int     // likewise
+	Instances     int     // configured number of dispatchers
+	Index         int     // configured index of this one
 	ProbeInterval float64 // of the membership, in seconds
-	LoadDecay     float64 // seconds for which what was sent last still counts: the fall time
-	AllMembers    bool    // all dispatchers are members; else the configured number is the least
+	LoadDecay     float64 // seconds for which a worker's load lasts after the last request
+	AllMembers    bool    // all dispatchers are members; else at least Instances are counted
 }
 
-// Reason says what a place rests on.
+// Reason says what a share is based on. /api/fleet shows it.
 type Reason string
 
-// The reasons.
+// The reasons for a share.
 const (
-	Alone        Reason = "alone"     // nobody was heard from: the configured numbers
-	Partial      Reason = "partial"   // not all dispatchers are members: likewise
+	Alone        Reason = "alone"     // no contact with any member: the configured numbers
+	Partial      Reason = "partial"   // not all dispatchers are members: the configured numbers
 	Full         Reason = "full"      // the members that may be sending
-	Waiting      Reason = "waiting"   // the same, not lessened: too few are heard to say who has stopped
-	Unrecognized Reason = "uncounted" // others may not count this one
-	CutOff       Reason = "cut off"   // less than half are heard: the others may go on without this one
+	Waiting      Reason = "waiting"   // the same; contact with half only, so no dead member is discounted
+	Unrecognized Reason = "uncounted" // others may not count this member
+	CutOff       Reason = "cut off"   // contact with less than half: the others may continue without this member
 )
 
-// Share is among whom cold workers are shared.
+// Share is this dispatcher's share of a cold worker's budget.
 type Share struct {
-	Instances int
-	Index     int
-	Fraction  float64  // of its share that is taken
-	Keys      []uint64 // of all that are counted, this one at Me; nil: places are as configured
+	Instances int      // dispatchers among whom the budget is divided
+	Index     int      // of this one
+	Fraction  float64  // of the share that this one may use
+	Keys      []uint64 // of all that are counted, this one's at Index; nil: the order is as configured
 	Reason    Reason
 }
 
-// Equal says whether two places decide alike.
-func (p *Share) Equal(other *Share) bool {
-	return p.Instances == other.Instances && p.Index == other.Index && p.Fraction == other.Fraction && p.Reason == other.Reason && slices.Equal(p.Keys, other.Keys)
+// Equal reports whether two shares lead to the same decisions.
+func (s *Share) Equal(other *Share) bool {
+	return s.Instances == other.Instances && s.Index == other.Index && s.Fraction == other.Fraction &&
+		s.Reason == other.Reason && slices.Equal(s.Keys, other.Keys)
 }
 
-// Calculator remembers who has left the count.
+// Calculator computes shares. It remembers which dead members are no longer counted.
 type Calculator struct {
 	Config        Config
-	removed       map[string]uint64 // found dead, and out of the count; by name, the life that is
-	majoritySince float64           // since when more than half are heard without a break; 0: they are not
+	removed       map[string]uint64 // generation of each dead member that is no longer counted, by name
+	majoritySince float64           // time since when contact with more than half has not been interrupted; 0: there is none
 }
 
-// New makes a Divisor.
+// New returns a Calculator.
 func New(config Config) *Calculator { return &Calculator{Config: config, removed: map[string]uint64{}} }
 
-// StopTimeout is how long after one was found dead it has surely stopped, or taken to its cautious part: each side of a cut finds
-// the other dead within a suspicion's longest time, and what was sent last lasts for a fall time.
+// StopTimeout returns the seconds after which a dead member has certainly stopped, or reduced its use to
+// CautiousFraction: each side of a partition detects it within the longest suspicion, and the load of its last requests
+// lasts for LoadDecay.
 func (c *Calculator) StopTimeout(known int) float64 {
 	return stopSuspicions*membership.MaxSuspicionTimeout(known, c.Config.ProbeInterval) + stopProbeIntervals*c.Config.ProbeInterval + c.Config.LoadDecay
 }
 
-// Share works out the place by a view at a time.
+// Share computes the share by a view.
 func (c *Calculator) Share(now float64, view *membership.View) Share {
 	configured := Share{Instances: c.Config.Instances, Index: c.Config.Index, Fraction: 1, Reason: Alone}
 	if !view.Contacted {
@@ -119,7 +118,7 @@
 	case c.majoritySince == 0:
 		c.majoritySince = now
 	}
-	// Those that are not heard knew that they are the smaller part only once this one was the larger.
+	// Members out of contact knew to be the minority only once this side was the majority.
 	stopTimeout := c.StopTimeout(known)
 	established := share.Reason == Full && now >= c.majoritySince+stopTimeout
 	for i := range view.Members {
@@ -135,11 +134,11 @@
 	if share.Instances >= c.Config.Instances {
 		return share
 	}
-	if !c.Config.AllMembers { // those that are no members count, too, and know nothing of keys
+	if !c.Config.AllMembers { // dispatchers that are no members count as well, and do not use keys
 		configured.Fraction, configured.Reason = share.Fraction, Partial
 		return configured
 	}
-	if share.Fraction < 1 { // others that are not known yet may be as many as was configured
+	if share.Fraction < 1 { // there may be as many unknown members as are configured
 		for i := share.Instances; i < c.Config.Instances; i++ {
 			share.Keys = append(share.Keys, membership.Key("\x00"+strconv.Itoa(i)))
 		}
@@ -148,7 +147,8 @@
 	return share
 }
 
-// mayBeSending says whether a member may be sending; over says whether this part was the larger one for a lease.
+// mayBeSending reports whether a member may be sending. majorityEstablished says whether this side has been the
+// majority for StopTimeout.
 func (c *Calculator) mayBeSending(now float64, member *membership.Member, majorityEstablished bool, stopTimeout float64) bool {
 	switch member.State {
 	case membership.Left:
--- a/internal/dispatcher/cluster/versions/table.go
+++ b/internal/dispatcher/cluster/versions/table.go
@@ -54,8 +54,8 @@
 	factTTL             = 3600 // seconds
 )
 
-// Table is one member's table. The function fields may be replaced before use; all are called synchronously and must
-// not call the Table.
+// Table is one member's table. The function fields may be replaced before use; all are called synchronously, and may
+// read the Table but not change it.
 type Table struct {
 	OnChange    func() // Restrictions has changed
 	OnPeerState func() // a peer sent facts, or has none that are newer than what is known here
