--- a/internal/system/control/client/client.go
+++ b/internal/system/control/client/client.go
@@ -11,6 +11,8 @@
 	"time"
 
 	"github.com/cockroachdb/errors"
+
+	"cinderroad/internal/system/retry"
 )
 
 const (
@@ -180,12 +182,7 @@
 		c.Sleep(ctx, d)
 		return
 	}
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
+	retry.Sleep(ctx, d)
 }
 
 // withJitter returns a pause between half and the whole of d, so that callers do not synchronize.
--- a/internal/system/control/listeners.go
+++ b/internal/system/control/listeners.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -34,8 +35,8 @@
 	maxRPCCallsPerConnection = 64
 )
 
-// openListeners joins the membership, opens the addresses that the settings name and serves them. After an error nothing
-// is left open.
+// openListeners joins the membership, opens the addresses that the settings name and serves them. After an error it has
+// left the membership and closed the HTTP servers; the caller cancels p.context, which ends the RPC server.
 func (p *Process) openListeners(ctx context.Context, options Options) (err error) {
 	settings := options.Settings
 	defer func() {
@@ -121,7 +122,7 @@
 	server := newServer(handler)
 	p.servers = append(p.servers, server)
 	p.goroutines.Go(func() {
-		if err := server.Serve(listener); err != http.ErrServerClosed {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			p.reportFailure(fmt.Errorf("control: HTTP at %v ended: %w", listener.Addr(), err))
 		}
 	})
--- a/internal/system/control/stop.go
+++ b/internal/system/control/stop.go
@@ -32,9 +32,9 @@
 
 // newStopPlan divides the grace period: the time from the signal until the platform kills the process.
 func newStopPlan(grace time.Duration) stopPlan {
-	within := max(0, grace-exitMargin)
-	serveOn := min(announceTime, within/announceDivisor)
-	return stopPlan{announce: serveOn, drain: (within - serveOn) / drainDivisor, total: within}
+	total := max(0, grace-exitMargin)
+	announce := min(announceTime, total/announceDivisor)
+	return stopPlan{announce: announce, drain: (total - announce) / drainDivisor, total: total}
 }
 
 // Run returns nil once the context has ended and the process has shut down gracefully, or an error if the process can't
