--- a/cmd/cinderroad-simserver/main.go
+++ b/cmd/cinderroad-simserver/main.go
@@ -30,7 +30,7 @@
 		if err != nil {
 			return err
 		}
-		reply, err := host.Answer(frame)
+		reply, err := host.HandleFrame(frame)
 		if err != nil {
 			return err
 		}
--- a/internal/compatibility/sent_test.go
+++ b/internal/compatibility/sent_test.go
@@ -308,7 +308,7 @@
 	for number := range 4 {
 		frame := must(reader.Next())(t)
 		same(t, "number", frame.Batch, uint32(number+1))
-		reply := must(host.Answer(frame))(t)
+		reply := must(host.HandleFrame(frame))(t)
 		compatibility.Here.Check(t, "bench/reply-"+strconv.Itoa(number+1), reply)
 	}
 	if _, err := reader.Next(); !errors.Is(err, io.EOF) {
--- a/internal/dispatcher/simwire/wire_test.go
+++ b/internal/dispatcher/simwire/wire_test.go
@@ -38,13 +38,13 @@
 	return append(h.b, b.b...)
 }
 
-func boot(text string) *batch {
-	b := (&batch{}).u16(evInstance).u32(3).u16(evBoot).u64(42).text(text)
-	b.u16(evList).u8(2).u64(1).u32(1)
+func bootBatch(text string) *batch {
+	b := (&batch{}).u16(eventInstance).u32(3).u16(eventBoot).u64(42).text(text)
+	b.u16(eventList).u8(2).u64(1).u32(1)
 	return b.u32(77).u8(1).u16(0).u16(4).u8(1).f32(1).f64(0) // one ready worker
 }
 
-func answerAll(t *testing.T, in []byte) ([][]byte, error) {
+func handleAll(t *testing.T, in []byte) ([][]byte, error) {
 	t.Helper()
 	r, h := NewReader(bytes.NewReader(in)), NewHost()
 	var replies [][]byte
@@ -56,7 +56,7 @@
 		if err != nil {
 			return replies, err
 		}
-		reply, err := h.Answer(f)
+		reply, err := h.HandleFrame(f)
 		if err != nil {
 			return replies, err
 		}
@@ -64,18 +64,18 @@
 	}
 }
 
-func TestRequestBecomesASendAndItsOutcomeIsTaken(t *testing.T) {
-	in := boot(settingsText).frame(1, 3, 100)
-	req := (&batch{}).u16(evInstance).u32(3).u16(evRequest).u32(9).f32(1).f32(1).f64(0.05).u32(0).u16(1).u64(5)
+func TestRequestIsSentAndOutcomeHandled(t *testing.T) {
+	in := bootBatch(settingsText).frame(1, 3, 100)
+	req := (&batch{}).u16(eventInstance).u32(3).u16(eventRequest).u32(9).f32(1).f32(1).f64(0.05).u32(0).u16(1).u64(5)
 	in = append(in, req.f64(105).u8(0).frame(2, 2, 100.01)...)
-	end := (&batch{}).u16(evInstance).u32(3).u16(evNote).u32(9).u8(0).u32(77).u8(1).f32(0)
-	end.u16(evOutcome).u32(9).u8(0).u32(77).u16(5).f64(0.1).u8(0).u8(0).u8(3).f32(1).f32(2).f32(3)
+	end := (&batch{}).u16(eventInstance).u32(3).u16(eventProgress).u32(9).u8(0).u32(77).u8(1).f32(0)
+	end.u16(eventOutcome).u32(9).u8(0).u32(77).u16(5).f64(0.1).u8(0).u8(0).u8(3).f32(1).f32(2).f32(3)
 	in = append(in, end.frame(3, 3, 100.1)...)
-	replies, err := answerAll(t, in)
+	replies, err := handleAll(t, in)
 	if err != nil || len(replies) != 3 {
 		t.Fatalf("%d replies, %v", len(replies), err)
 	}
-	send := (&batch{}).u16(actSend).u32(9).u32(77).f64(0)
+	send := (&batch{}).u16(actionSend).u32(9).u32(77).f64(0)
 	if !bytes.Contains(replies[1], send.b) {
 		t.Errorf("no send of the request in % x", replies[1])
 	}
@@ -93,7 +93,7 @@
 }
 
 func TestEmptyBatch(t *testing.T) {
-	replies, err := answerAll(t, (&batch{}).frame(1, 0, 5))
+	replies, err := handleAll(t, (&batch{}).frame(1, 0, 5))
 	if err != nil || len(replies) != 1 || !bytes.Equal(replies[0], []byte{1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}) {
 		t.Errorf("got % x, %v", replies, err)
 	}
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestBadSettingsGiveInAndNameTheField(t *testing.T) {
+func TestInvalidSettingsNameTheField(t *testing.T) {
 	for from, to := range map[string][2]string{
 		`"repeat":"dedup"`:              {`"repeat":"often"`, "repeat"},
 		`"dedupScope":"cell"`:           {`"dedupScope":"town"`, "dedupScope"},
@@ -132,19 +132,19 @@
 		`"via":"piggyback"`:             {`"via":"pigeon"`, "via"},
 	} {
 		text := strings.Replace(settingsText, from, to[0], 1)
-		replies, err := answerAll(t, boot(text).frame(1, 3, 100))
+		replies, err := handleAll(t, bootBatch(text).frame(1, 3, 100))
 		if err != nil || len(replies) != 1 {
 			t.Fatalf("%s: %v", to[0], err)
 		}
 		body := replies[0][12:]
-		if binary.LittleEndian.Uint16(body[6:]) != actFault || !strings.Contains(string(body), to[1]) {
+		if binary.LittleEndian.Uint16(body[6:]) != actionFault || !strings.Contains(string(body), to[1]) {
 			t.Errorf("%s: reply %q", to[0], body)
 		}
 	}
 }
 
-func TestBrokenFrames(t *testing.T) {
-	good := boot(settingsText).frame(7, 3, 100)
+func TestMalformedFrames(t *testing.T) {
+	good := bootBatch(settingsText).frame(7, 3, 100)
 	huge := append([]byte(nil), good...)
 	binary.LittleEndian.PutUint32(huge[8:], 1<<31)
 	count := append([]byte(nil), good...)
@@ -157,14 +157,14 @@
 		"cut body":     {good[:len(good)-3], "batch 7"},
 		"huge length":  {huge, "batch 7"},
 		"record count": {count, "after the last record"},
-		"unknown code": {(&batch{}).u16(evInstance).u32(1).u16(999).frame(8, 2, 1), "batch 8, byte 26, code 999"},
-		"no instance":  {(&batch{}).u16(evTimer).u32(1).frame(8, 1, 1), "before any instance"},
-		"cut record":   {(&batch{}).u16(evInstance).u32(1).u16(evTimer).u16(1).frame(8, 2, 1), "code 262"},
-		"list count": {(&batch{}).u16(evInstance).u32(1).u16(evList).u8(1).u64(1).u32(1<<31).frame(8, 2, 1),
+		"unknown code": {(&batch{}).u16(eventInstance).u32(1).u16(999).frame(8, 2, 1), "batch 8, byte 26, code 999"},
+		"no instance":  {(&batch{}).u16(eventTimer).u32(1).frame(8, 1, 1), "before any instance"},
+		"cut record":   {(&batch{}).u16(eventInstance).u32(1).u16(eventTimer).u16(1).frame(8, 2, 1), "code 262"},
+		"list count": {(&batch{}).u16(eventInstance).u32(1).u16(eventList).u8(1).u64(1).u32(1<<31).frame(8, 2, 1),
 			"code 257"},
 		"clock": {(&batch{}).frame(8, 0, math.NaN()), "clock"},
 	} {
-		_, err := answerAll(t, c.in)
+		_, err := handleAll(t, c.in)
 		var fe *FrameError
 		if !errors.As(err, &fe) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want %q", name, err, c.want)
@@ -172,21 +172,21 @@
 	}
 }
 
-func TestAHaltedInstanceIsSilent(t *testing.T) {
-	in := boot(settingsText).u16(evHalt).u16(evTimer).u32(math.MaxUint32).frame(1, 5, 100)
-	in = append(in, (&batch{}).u16(evInstance).u32(3).u16(evTimer).u32(math.MaxUint32).frame(2, 2, 101)...)
-	replies, err := answerAll(t, in)
+func TestHaltedInstanceIsSilent(t *testing.T) {
+	in := bootBatch(settingsText).u16(eventHalt).u16(eventTimer).u32(math.MaxUint32).frame(1, 5, 100)
+	in = append(in, (&batch{}).u16(eventInstance).u32(3).u16(eventTimer).u32(math.MaxUint32).frame(2, 2, 101)...)
+	replies, err := handleAll(t, in)
 	if err != nil || len(replies[1]) != 12 {
 		t.Errorf("got % x, %v", replies[1], err)
 	}
 }
 
 func FuzzFrames(f *testing.F) {
-	f.Add(boot(settingsText).frame(1, 3, 100))
+	f.Add(bootBatch(settingsText).frame(1, 3, 100))
 	f.Add((&batch{}).frame(1, 0, 5))
-	f.Add((&batch{}).u16(evInstance).u32(1).u16(evPeer).u16(1).u16(9).frame(8, 2, 1))
+	f.Add((&batch{}).u16(eventInstance).u32(1).u16(eventPeer).u16(1).u16(9).frame(8, 2, 1))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		replies, err := answerAll(t, in)
+		replies, err := handleAll(t, in)
 		for _, r := range replies {
 			if int(binary.LittleEndian.Uint32(r[4:])) != len(r)-12 {
 				t.Errorf("reply % x does not bear its length", r)
