--- a/cmd/cinderroad-simserver/main.go
+++ b/cmd/cinderroad-simserver/main.go
@@ -1,5 +1,6 @@
-// Command benchlink runs the decisions of package brain on the simulator's wire: batches on standard
-// input, one reply each on standard output.
+// Command cinderroad-simserver runs the dispatcher's load balancers for a simulator: it reads batches of events from standard
+// input and writes one reply for each to standard output (package simwire). It ends with its input; on a malformed batch it
+// reports where on standard error and exits with status 1.
 package main
 
 import (
@@ -12,6 +13,9 @@
 	"cinderroad/internal/dispatcher/simwire"
 )
 
+// outputBuffer is the size in bytes of the buffer of a reply.
+const outputBuffer = 1 << 16
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -20,8 +24,8 @@
 }
 
 // run answers batches until the input ends.
-func run(in io.Reader, out io.Writer) error {
-	reader, host, w := simwire.NewReader(in), simwire.NewHost(), bufio.NewWriterSize(out, 1<<16)
+func run(input io.Reader, output io.Writer) error {
+	reader, host, writer := simwire.NewReader(input), simwire.NewHost(), bufio.NewWriterSize(output, outputBuffer)
 	for {
 		frame, err := reader.Next()
 		if errors.Is(err, io.EOF) {
@@ -34,11 +38,11 @@
 		if err != nil {
 			return err
 		}
-		if _, err := w.Write(reply); err != nil {
-			return fmt.Errorf("benchlink: write reply: %w", err)
+		if _, err := writer.Write(reply); err != nil {
+			return fmt.Errorf("cinderroad-simserver: write reply: %w", err)
 		}
-		if err := w.Flush(); err != nil {
-			return fmt.Errorf("benchlink: flush reply: %w", err)
+		if err := writer.Flush(); err != nil {
+			return fmt.Errorf("cinderroad-simserver: flush reply: %w", err)
 		}
 	}
 }
--- a/internal/dispatcher/simwire/actions.go
+++ b/internal/dispatcher/simwire/actions.go
@@ -9,35 +9,35 @@
 
 // beginAction begins an action record, after an instance record if the last action was of another instance.
 func (in *instance) beginAction(code uint16) {
-	h := in.host
-	if h.lastInstance != int64(in.id) {
-		h.lastInstance = int64(in.id)
-		h.out = binary.LittleEndian.AppendUint16(h.out, actionInstance)
-		h.out = binary.LittleEndian.AppendUint32(h.out, in.id)
-		h.records++
+	host := in.host
+	if host.lastInstance != int64(in.id) {
+		host.lastInstance = int64(in.id)
+		host.out = binary.LittleEndian.AppendUint16(host.out, actionInstance)
+		host.out = binary.LittleEndian.AppendUint32(host.out, in.id)
+		host.records++
 	}
-	h.out = binary.LittleEndian.AppendUint16(h.out, code)
-	h.records++
+	host.out = binary.LittleEndian.AppendUint16(host.out, code)
+	host.records++
 }
 
-func (in *instance) appendUint32(v uint32) {
-	in.host.out = binary.LittleEndian.AppendUint32(in.host.out, v)
+func (in *instance) appendUint32(value uint32) {
+	in.host.out = binary.LittleEndian.AppendUint32(in.host.out, value)
 }
 
-func (in *instance) appendUint8(v uint8) { in.host.out = append(in.host.out, v) }
+func (in *instance) appendUint8(value uint8) { in.host.out = append(in.host.out, value) }
 
-func (in *instance) appendFloat64(v float64) {
-	in.host.out = binary.LittleEndian.AppendUint64(in.host.out, math.Float64bits(v))
+func (in *instance) appendFloat64(value float64) {
+	in.host.out = binary.LittleEndian.AppendUint64(in.host.out, math.Float64bits(value))
 }
 
 // appendText appends a record of a text, cut to maxTextSize.
-func (in *instance) appendText(code uint16, s string) {
-	if len(s) > maxTextSize {
-		s = s[:maxTextSize]
+func (in *instance) appendText(code uint16, text string) {
+	if len(text) > maxTextSize {
+		text = text[:maxTextSize]
 	}
 	in.beginAction(code)
-	in.host.out = binary.LittleEndian.AppendUint16(in.host.out, uint16(len(s)))
-	in.host.out = append(in.host.out, s...)
+	in.host.out = binary.LittleEndian.AppendUint16(in.host.out, uint16(len(text)))
+	in.host.out = append(in.host.out, text...)
 }
 
 // Send implements loadbalancer.Actions.
--- a/internal/dispatcher/simwire/cursor.go
+++ b/internal/dispatcher/simwire/cursor.go
@@ -10,18 +10,18 @@
 // cursor reads the fields of a frame; after the first one that does not fit all are zero.
 type cursor struct {
 	data   []byte
-	offset int
-	failed bool
+	offset int  // of the next field
+	failed bool // a field did not fit
 }
 
 // take returns the next bytes, or nil.
-func (c *cursor) take(n int) []byte {
-	if c.failed || n < 0 || n > len(c.data)-c.offset {
+func (c *cursor) take(count int) []byte {
+	if c.failed || count < 0 || count > len(c.data)-c.offset {
 		c.failed = true
 		return nil
 	}
-	c.offset += n
-	return c.data[c.offset-n : c.offset]
+	c.offset += count
+	return c.data[c.offset-count : c.offset]
 }
 
 func (c *cursor) uint8() uint8 {
@@ -56,35 +56,40 @@
 
 func (c *cursor) float64() float64 { return math.Float64frombits(c.uint64()) }
 
+// optionWork is the bit of a request's options that says that its work is a hint.
+const optionWork = 1
+
 // readRequest reads the fields of a request record.
 func readRequest(fields *cursor) loadbalancer.Request {
-	request := loadbalancer.Request{ID: loadbalancer.RequestID(fields.uint32()), Memory: float64(fields.float32()), Slots: float64(fields.float32()), Work: fields.float64()}
+	request := loadbalancer.Request{ID: loadbalancer.RequestID(fields.uint32()), Memory: float64(fields.float32()),
+		Slots: float64(fields.float32()), Work: fields.float64()}
 	request.Tenant = int(fields.uint32())
-	if options := fields.uint16(); options&1 == 0 {
+	if options := fields.uint16(); options&optionWork == 0 {
 		request.Work = 0
 	}
-	fields.uint64()
+	fields.uint64() // not used
 	request.Deadline = fields.float64()
 	request.Class = int(fields.uint8())
 	return request
 }
 
 // readWorkers reads the entries of a list record into h.workers.
-func (h *Host) readWorkers(fields *cursor, n int) {
+func (h *Host) readWorkers(fields *cursor, count int) {
 	h.workers = h.workers[:0]
-	for i := 0; i < n; i++ {
-		w := loadbalancer.Worker{ID: loadbalancer.WorkerID(fields.uint32()), Zone: int(fields.uint8()), Kind: int(fields.uint16()), Cell: int(fields.uint16())}
-		w.State = loadbalancer.WorkerState(fields.uint8())
-		w.Weight, w.StartedAt = float64(fields.float32()), fields.float64()
-		h.workers = append(h.workers, w)
+	for range count {
+		worker := loadbalancer.Worker{ID: loadbalancer.WorkerID(fields.uint32()), Zone: int(fields.uint8()),
+			Kind: int(fields.uint16()), Cell: int(fields.uint16())}
+		worker.State = loadbalancer.WorkerState(fields.uint8())
+		worker.Weight, worker.StartedAt = float64(fields.float32()), fields.float64()
+		h.workers = append(h.workers, worker)
 	}
 }
 
 // readReport reads a load report, which is valid until the next one.
 func (h *Host) readReport(fields *cursor) []float32 {
-	n := int(fields.uint8())
+	count := int(fields.uint8())
 	h.report = h.report[:0]
-	for i := 0; i < n; i++ {
+	for range count {
 		h.report = append(h.report, fields.float32())
 	}
 	return h.report
--- a/internal/dispatcher/simwire/host.go
+++ b/internal/dispatcher/simwire/host.go
@@ -10,11 +10,11 @@
 
 // Host keeps the instances of one process and answers batches.
 type Host struct {
-	instances    map[uint32]*instance
-	out          []byte
-	records      uint32
-	lastInstance int64 // the instance named by the last `for` record, -1 for none
-	report       []float32
+	instances    map[uint32]*instance // by the simulator's number
+	out          []byte               // the reply frame
+	records      uint32               // in out
+	lastInstance int64                // of the last instance record in out; -1: none
+	report       []float32            // buffer of readReport
 	workers      []loadbalancer.Worker
 }
 
@@ -22,48 +22,48 @@
 type instance struct {
 	host     *Host
 	id       uint32
-	balancer *loadbalancer.Balancer
+	balancer *loadbalancer.Balancer // nil: the instance has a fault
 }
 
 // NewHost returns a Host without instances.
 func NewHost() *Host { return &Host{instances: map[uint32]*instance{}} }
 
 // HandleFrame applies a batch to the instances and returns the reply frame, which is valid until the next call.
-func (h *Host) HandleFrame(f Frame) ([]byte, error) {
-	h.out = append(h.out[:0], make([]byte, 12)...)
+func (h *Host) HandleFrame(frame Frame) ([]byte, error) {
+	h.out = append(h.out[:0], make([]byte, replyHeaderSize)...)
 	h.records, h.lastInstance = 0, -1
-	fields := &cursor{data: f.Body}
+	fields := &cursor{data: frame.Body}
 	id := int64(-1)
-	for i := uint32(0); i < f.Records; i++ {
+	for i := uint32(0); i < frame.Records; i++ {
 		start := fields.offset
 		code := fields.uint16()
 		fault := func(reason string) error {
-			return &FrameError{Batch: f.Batch, Offset: headerSize + start, Code: int(code), Reason: reason}
+			return &FrameError{Batch: frame.Batch, Offset: headerSize + start, Code: int(code), Reason: reason}
 		}
 		if code == eventInstance {
 			id = int64(fields.uint32())
 		} else if id < 0 {
 			return nil, fault("record before any instance was named")
-		} else if !h.handleRecord(code, fields, uint32(id), f.Now) {
+		} else if !h.handleRecord(code, fields, uint32(id), frame.Now) {
 			return nil, fault("unknown event code")
 		}
 		if fields.failed {
 			return nil, fault("record does not fit the frame")
 		}
 	}
-	if fields.offset != len(f.Body) {
-		return nil, &FrameError{Batch: f.Batch, Offset: headerSize + fields.offset, Code: -1, Reason: "bytes after the last record"}
+	if fields.offset != len(frame.Body) {
+		return nil, &FrameError{Batch: frame.Batch, Offset: headerSize + fields.offset, Code: noCode, Reason: "bytes after the last record"}
 	}
-	binary.LittleEndian.PutUint32(h.out, f.Batch)
-	binary.LittleEndian.PutUint32(h.out[4:], uint32(len(h.out)-12))
-	binary.LittleEndian.PutUint32(h.out[8:], h.records)
+	binary.LittleEndian.PutUint32(h.out, frame.Batch)
+	binary.LittleEndian.PutUint32(h.out[replySizeOffset:], uint32(len(h.out)-replyHeaderSize))
+	binary.LittleEndian.PutUint32(h.out[replyRecordsOffset:], h.records)
 	return h.out, nil
 }
 
-// handleRecord reads one record whole before the decisions see it; false means the code is unknown.
+// handleRecord reads one record and applies it to its instance; false means that the code is unknown. Records of instances
+// that are not ready are read and dropped.
 func (h *Host) handleRecord(code uint16, fields *cursor, id uint32, now float64) bool {
 	target := h.instances[id]
-	ready := target != nil && target.balancer != nil
 	switch code {
 	case eventBoot:
 		seed := fields.uint64()
@@ -74,64 +74,35 @@
 	case eventHalt:
 		delete(h.instances, id)
 	case eventList:
-		kind := loadbalancer.ListKind(min(fields.uint8(), uint8(loadbalancer.ListFailed)))
-		fields.uint64()
-		n := int(fields.uint32())
-		if n < 0 || n > (len(fields.data)-fields.offset)/listEntrySize {
-			fields.failed = true
-			return true
-		}
-		h.readWorkers(fields, n)
-		if ready {
-			target.guard(func() { target.balancer.UpdateWorkers(now, kind, h.workers) })
-		}
+		h.handleList(target, fields, now)
 	case eventRequest:
-		r := readRequest(fields)
-		if ready && !fields.failed {
-			target.guard(func() { target.balancer.HandleRequest(now, &r) })
+		request := readRequest(fields)
+		if target.isReady() && !fields.failed {
+			target.guard(func() { target.balancer.HandleRequest(now, &request) })
 		}
 	case eventFirstByte:
-		id, try := fields.uint32(), fields.uint8()
-		fields.take(12)
-		if ready && !fields.failed {
-			target.guard(func() { target.balancer.HandleFirstByte(now, loadbalancer.RequestID(id), int(try)) })
+		request, attempt := loadbalancer.RequestID(fields.uint32()), int(fields.uint8())
+		fields.take(firstByteRest)
+		if target.isReady() && !fields.failed {
+			target.guard(func() { target.balancer.HandleFirstByte(now, request, attempt) })
 		}
 	case eventProgress:
-		n := loadbalancer.ProgressUpdate{Request: loadbalancer.RequestID(fields.uint32()), Attempt: int(fields.uint8())}
-		fields.uint32()
-		n.Started = fields.uint8() == 1
-		n.Fraction = float64(fields.float32())
-		if ready && !fields.failed {
-			target.guard(func() { target.balancer.HandleProgress(now, &n) })
-		}
+		handleProgress(target, fields, now)
 	case eventOutcome:
-		o := loadbalancer.Outcome{Request: loadbalancer.RequestID(fields.uint32()), Attempt: int(fields.uint8()), Worker: loadbalancer.WorkerID(fields.uint32())}
-		o.Result = resultOf(fields.uint16())
-		fields.float64()
-		o.ClientAnswered = fields.uint8() != 0
-		fields.uint8()
-		o.Report = h.readReport(fields)
-		if ready && !fields.failed {
-			target.guard(func() { target.balancer.HandleOutcome(now, &o) })
-		}
+		h.handleOutcome(target, fields, now)
 	case eventProbeResult:
-		w, res := loadbalancer.WorkerID(fields.uint32()), resultOf(fields.uint16())
-		fields.float64()
-		report := h.readReport(fields)
-		if ready && !fields.failed {
-			target.guard(func() { target.balancer.HandleProbeResult(now, w, res, report) })
-		}
+		h.handleProbeResult(target, fields, now)
 	case eventDisconnect:
-		id := fields.uint32()
-		if ready && !fields.failed {
-			target.guard(func() { target.balancer.HandleDisconnect(now, loadbalancer.RequestID(id)) })
+		request := loadbalancer.RequestID(fields.uint32())
+		if target.isReady() && !fields.failed {
+			target.guard(func() { target.balancer.HandleDisconnect(now, request) })
 		}
 	case eventTimer:
 		token := fields.uint32()
-		if ready && !fields.failed {
+		if target.isReady() && !fields.failed {
 			target.guard(func() { target.balancer.HandleTimer(now, token) })
 		}
-	case eventPeer:
+	case eventPeer: // not used
 		fields.uint16()
 		fields.take(int(fields.uint16()))
 	default:
@@ -140,23 +111,76 @@
 	return true
 }
 
+// handleList reads and applies a list record.
+func (h *Host) handleList(target *instance, fields *cursor, now float64) {
+	kind := loadbalancer.ListKind(min(fields.uint8(), uint8(loadbalancer.ListFailed)))
+	fields.uint64() // not used
+	count := int(fields.uint32())
+	if count < 0 || count > (len(fields.data)-fields.offset)/listEntrySize {
+		fields.failed = true
+		return
+	}
+	h.readWorkers(fields, count)
+	if target.isReady() {
+		target.guard(func() { target.balancer.UpdateWorkers(now, kind, h.workers) })
+	}
+}
+
+// handleProgress reads and applies a progress record.
+func handleProgress(target *instance, fields *cursor, now float64) {
+	update := loadbalancer.ProgressUpdate{Request: loadbalancer.RequestID(fields.uint32()), Attempt: int(fields.uint8())}
+	fields.uint32() // not used
+	update.Started = fields.uint8() == 1
+	update.Fraction = float64(fields.float32())
+	if target.isReady() && !fields.failed {
+		target.guard(func() { target.balancer.HandleProgress(now, &update) })
+	}
+}
+
+// handleOutcome reads and applies an outcome record.
+func (h *Host) handleOutcome(target *instance, fields *cursor, now float64) {
+	outcome := loadbalancer.Outcome{Request: loadbalancer.RequestID(fields.uint32()), Attempt: int(fields.uint8()),
+		Worker: loadbalancer.WorkerID(fields.uint32())}
+	outcome.Result = resultOf(fields.uint16())
+	fields.float64() // not used
+	outcome.ClientAnswered = fields.uint8() != 0
+	fields.uint8() // not used
+	outcome.Report = h.readReport(fields)
+	if target.isReady() && !fields.failed {
+		target.guard(func() { target.balancer.HandleOutcome(now, &outcome) })
+	}
+}
+
+// handleProbeResult reads and applies a probe's result.
+func (h *Host) handleProbeResult(target *instance, fields *cursor, now float64) {
+	worker, result := loadbalancer.WorkerID(fields.uint32()), resultOf(fields.uint16())
+	fields.float64() // not used
+	report := h.readReport(fields)
+	if target.isReady() && !fields.failed {
+		target.guard(func() { target.balancer.HandleProbeResult(now, worker, result, report) })
+	}
+}
+
+// isReady reports whether the instance has been booted and has no fault.
+func (in *instance) isReady() bool { return in != nil && in.balancer != nil }
+
 // boot starts an instance; one that ran under the same number is dropped.
 func (h *Host) boot(id uint32, seed uint64, text []byte, now float64) {
 	target := &instance{host: h, id: id}
 	h.instances[id] = target
-	set, err := settings.Parse(text)
+	parsed, err := settings.Parse(text)
 	if err != nil {
 		target.appendText(actionFault, err.Error())
 		return
 	}
 	target.guard(func() {
-		bal, err := loadbalancer.New(set, seed, target)
+		balancer, err := loadbalancer.New(parsed, seed, target)
 		if err != nil {
 			target.appendText(actionFault, err.Error())
 			return
 		}
-		target.balancer = bal
-		bal.Start(now)
+		target.balancer = balancer
+		balancer.Start(now)
 	})
 }
 
--- a/internal/dispatcher/simwire/protocol.go
+++ b/internal/dispatcher/simwire/protocol.go
@@ -6,7 +6,7 @@
 	"cinderroad/loadbalancer"
 )
 
-// Codes of event records.
+// Codes of event records. The numbers are the simulator's.
 const (
 	eventBoot        = 256
 	eventList        = 257
@@ -22,7 +22,7 @@
 	eventInstance    = 267
 )
 
-// Codes of action records.
+// Codes of action records. The numbers are the simulator's.
 const (
 	actionSend     = 256
 	actionReject   = 257
@@ -39,27 +39,52 @@
 
 // Sizes in bytes.
 const (
-	headerSize    = 20
-	listEntrySize = 22
-	maxTextSize   = math.MaxUint16
+	headerSize      = 20 // of a batch
+	replyHeaderSize = 12
+	listEntrySize   = 22
+	firstByteRest   = 12 // of a first-byte record after the attempt; not used
+	maxTextSize     = math.MaxUint16
+	minRecordSize   = 2 // its code
 )
 
+// Offsets in the header of a batch, which begins with its number, and in that of a reply.
+const (
+	recordsOffset = 4
+	sizeOffset    = 8
+	clockOffset   = 12
+
+	replySizeOffset    = 4
+	replyRecordsOffset = 8
+)
+
+// Codes of results: the numbers of Linux errors.
+const (
+	resultOK            = 0
+	resultFull          = 11  // EAGAIN
+	resultReset         = 104 // ECONNRESET
+	resultTimeout       = 110 // ETIMEDOUT
+	resultConnectFailed = 111 // ECONNREFUSED
+	resultWithdrawn     = 114 // EALREADY
+	resultCancelled     = 125 // ECANCELED
+)
+
+// resultOf maps the code of a result.
 func resultOf(code uint16) loadbalancer.Result {
 	switch code {
-	case 0:
+	case resultOK:
 		return loadbalancer.OK
-	case 11:
+	case resultFull:
 		return loadbalancer.Rejected
-	case 110:
+	case resultTimeout:
 		return loadbalancer.Timeout
-	case 111:
+	case resultConnectFailed:
 		return loadbalancer.ConnectFailed
-	case 104:
+	case resultReset:
 		return loadbalancer.Reset
-	case 125:
+	case resultCancelled:
 		return loadbalancer.Cancelled
-	case 114:
+	case resultWithdrawn:
 		return loadbalancer.Withdrawn
 	}
-	return loadbalancer.Error // 5, and a code not known: the job may have run
+	return loadbalancer.Error // 5 (EIO) and unknown codes: the job may have run
 }
--- a/internal/dispatcher/simwire/simwire_test.go
+++ b/internal/dispatcher/simwire/simwire_test.go
@@ -79,8 +79,8 @@
 	if !bytes.Contains(replies[1], send.b) {
 		t.Errorf("no send of the request in % x", replies[1])
 	}
-	if !bytes.Contains(replies[2], send.b) { // a safe request that ended in an error is tried again
-		t.Errorf("no second try in % x", replies[2])
+	if !bytes.Contains(replies[2], send.b) { // a safe request that ended in an error is retried
+		t.Errorf("no second attempt in % x", replies[2])
 	}
 	for i, reply := range replies {
 		if got := binary.LittleEndian.Uint32(reply); got != uint32(i+1) {
