--- a/cmd/cinderroad-dispatcher/figures.go
+++ b/cmd/cinderroad-dispatcher/figures.go
@@ -14,10 +14,10 @@
 	c := &cobra.Command{Use: "figures", Short: "List every series: name, kind, unit and meaning", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if page {
-				return server.WriteFigures(c.OutOrStdout())
+				return server.WriteMetricsPage(c.OutOrStdout())
 			}
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
-			for _, d := range server.Docs() {
+			for _, d := range server.MetricDocs() {
 				fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", d.Pattern, d.Kind, d.Unit, d.Help)
 			}
 			return t.Flush()
--- a/cmd/cinderroad-dispatcher/serve.go
+++ b/cmd/cinderroad-dispatcher/serve.go
@@ -19,7 +19,7 @@
 // serving is what serve and check are told.
 type serving struct {
 	config, gearman, log string
-	short                server.Short
+	short                server.Shorthand
 }
 
 func newServing() *serving { return &serving{} }
@@ -32,7 +32,7 @@
 	f.StringVar(&s.gearman, "gearman", "", "`FILE` (TOML) that turns the Gearman front on, of the form of deploy/gearman.toml")
 	f.StringVar(&s.short.Graphite, "graphite", "", "`ADDRESS` of a Graphite receiver, besides the operator's file")
 	f.StringVar(&s.short.Collectd, "collectd", "", "`PATH` of collectd's unix socket, besides the operator's file")
-	f.Float64Var(&s.short.Every, "metrics-every", 0, "`SECONDS` between figures; the operator's file says 10 if it says nothing")
+	f.Float64Var(&s.short.Interval, "metrics-every", 0, "`SECONDS` between figures; the operator's file says 10 if it says nothing")
 	f.StringVar(&s.log, "log", "info", "log `LEVEL`: debug, info, warn or error")
 }
 
--- a/internal/compatibility/configured_test.go
+++ b/internal/compatibility/configured_test.go
@@ -142,10 +142,10 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	got := must(gearman.ReadConfig(path, gearman.Names{Classes: []string{"score"}, Zones: []string{"milano"}, Kinds: []string{"five-core"},
+	got := must(gearman.ReadConfig(path, gearman.SettingsNames{Classes: []string{"score"}, Zones: []string{"milano"}, Kinds: []string{"five-core"},
 		Deadlines: []float64{5}}))(t)
 	same(t, "front", []any{got.Listen, got.AllowShutdown, got.MaxJobs, got.MaxBytes}, []any{"127.0.0.1:4730", true, 10001, 33554433})
 	function, place := got.Functions[0], got.Workers[0]
-	same(t, "function", []any{function.Name, function.Class, function.Deadline, function.Background}, []any{"f", "score", 4.0, 61.0})
+	same(t, "function", []any{function.Name, function.Class, function.Deadline, function.BackgroundDeadline}, []any{"f", "score", 4.0, 61.0})
 	same(t, "place", []any{place.Network, place.Zone, place.Kind, place.Cell}, []any{"127.0.0.0/8", "milano", "five-core", 1000})
 }
--- a/internal/compatibility/sent_test.go
+++ b/internal/compatibility/sent_test.go
@@ -331,14 +331,14 @@
 // TestReadsFramesOfHandovers: frames between two processes of a dispatcher. Package program's own test has their bodies.
 func TestReadsFramesOfHandovers(t *testing.T) {
 	var frames []byte
-	kinds := []handover.Kind{handover.Hello, handover.State, handover.Took, handover.Session, handover.Taken, handover.News,
-		handover.Order, handover.Answer, handover.Figures}
+	kinds := []handover.Kind{handover.Hello, handover.State, handover.Takeover, handover.Session, handover.SessionReceived, handover.CallbackQuery,
+		handover.Order, handover.Answer, handover.Metrics}
 	for i, kind := range kinds {
-		frames = handover.Append(frames, kind, []byte(strings.Repeat("x", i)))
+		frames = handover.AppendFrame(frames, kind, []byte(strings.Repeat("x", i)))
 	}
 	rest := compatibility.Here.Check(t, "handover", frames)
 	for i, want := range kinds {
-		kind, body, n, err := handover.Parse(rest)
+		kind, body, n, err := handover.ParseFrame(rest)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -347,7 +347,7 @@
 		rest = rest[n:]
 	}
 	same(t, "rest", len(rest), 0)
-	sameJSON(t, "handover-session.json", httpfront.State{Asked: true, Whole: true, Told: true, Entered: 12.5})
+	sameJSON(t, "handover-session.json", httpfront.SessionState{HasRequested: true, HasSent: true, HasCallback: true, AcceptedAt: 12.5})
 	sameJSON(t, "handover-learnt.json", loadbalancer.Snapshot{WorkByClass: []float64{1}, ZoneLatencies: []float64{2}, Pace: 3, RunTime: 4, SlotsPerJob: 5, ReportPeriod: 6, PlannedAt: 7,
 		Kinds: map[int]loadbalancer.KindSnapshot{1: {Pace: 0.5, Slots: 8}},
 		Workers: map[loadbalancer.WorkerID]*loadbalancer.WorkerSnapshot{9: {StartedAt: 1, Reported: true, InFlight: 2, Utilization: 0.5, ReportedAt: 3, OtherJobs: 4, Slots: 5,
@@ -362,10 +362,10 @@
 	if err != nil || len(bad) > 0 {
 		t.Fatal(err, bad)
 	}
-	same(t, "rev", []any{list.Rev, list.All}, []any{int64(12), true})
-	same(t, "targets", list.Targets, []httpfront.Target{{UID: "u", Endpoint: "10.0.0.1:80", Zone: "m", Kind: "k", Cell: 2, State: "ready",
-		Weight: 1.5, BootMs: 1700000000000}})
+	same(t, "rev", []any{list.Revision, list.Full}, []any{int64(12), true})
+	same(t, "targets", list.Entries, []httpfront.Entry{{UID: "u", Endpoint: "10.0.0.1:80", Zone: "m", Kind: "k", Cell: 2, State: "ready",
+		Weight: 1.5, StartedAtMs: 1700000000000}})
 	same(t, "list again", string(must(json.Marshal(list))(t)), text)
-	news := must(httpfront.ParseNews([]byte(`{"id":"x","from":"u","state":"ended","share":0.5,"result":"ok","load":{"util":0.25}}`)))(t)
-	same(t, "news", news, httpfront.News{ID: "x", From: "u", State: "ended", Share: 0.5, Result: "ok", Load: httpfront.Load{"util": 0.25}})
+	news := must(httpfront.ParseCallback([]byte(`{"id":"x","from":"u","state":"ended","share":0.5,"result":"ok","load":{"util":0.25}}`)))(t)
+	same(t, "news", news, httpfront.Callback{ID: "x", Runner: "u", State: "ended", Progress: 0.5, Result: "ok", Load: httpfront.LoadReport{"util": 0.25}})
 }
--- a/internal/dispatcher/admin/console.go
+++ b/internal/dispatcher/admin/console.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	mostCallers = 8       // open at once; the oldest that has not made its call gives way
-	mostBytes   = 4 << 10 // of a call
-	patience    = 3.0     // seconds for a call to be whole
-	mostMember  = 256     // bytes of a member's id
+	maxConnections = 8       // open at once; the oldest that has not made its call gives way
+	maxCallBytes   = 4 << 10 // of a call
+	callTimeout    = 3.0     // seconds for a call to be whole
+	maxMemberBytes = 256     // bytes of a member's id
 )
 
 // Reply answers a call, once; a status of 2xx is a yes.
@@ -29,26 +29,26 @@
 
 // Call is what one path does. It may answer later.
 type Call struct {
-	Method string
-	Member bool // the call names a member
-	Do     func(member string, reply Reply)
+	Method      string
+	TakesMember bool // the call names a member
+	Handle      func(member string, reply Reply)
 }
 
-// Console serves the calls.
-type Console struct {
-	Calls, Refused, GaveWay uint64
+// Server serves the calls.
+type Server struct {
+	Calls, Rejected, Evicted uint64
 
-	loop     *eventloop.Loop
-	log      *zap.Logger
-	paths    map[string]Call
-	callers  []*caller // the oldest first
-	listener *eventloop.Listener
+	loop        *eventloop.Loop
+	log         *zap.Logger
+	calls       map[string]Call
+	connections []*connection // the oldest first
+	listener    *eventloop.Listener
 }
 
 // Start opens the address.
-func Start(loop *eventloop.Loop, log *zap.Logger, addr netip.AddrPort, paths map[string]Call) (*Console, error) {
-	c := &Console{loop: loop, log: log, paths: paths}
-	ln, err := loop.ListenReserved(addr, mostCallers, c.give, c.accept)
+func Start(loop *eventloop.Loop, log *zap.Logger, addr netip.AddrPort, paths map[string]Call) (*Server, error) {
+	c := &Server{loop: loop, log: log, calls: paths}
+	ln, err := loop.ListenReserved(addr, maxConnections, c.evict, c.accept)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
@@ -56,46 +56,46 @@
 	return c, nil
 }
 
-// Open is how many calls wait for their answer.
-func (c *Console) Open() (n int) {
-	for _, k := range c.callers {
-		if k.called && !k.answered {
+// OpenCalls is how many calls wait for their answer.
+func (c *Server) OpenCalls() (n int) {
+	for _, k := range c.connections {
+		if k.complete && !k.answered {
 			n++
 		}
 	}
 	return n
 }
 
-// caller is one connection.
-type caller struct {
-	c        *Console
+// connection is one connection.
+type connection struct {
+	server   *Server
 	conn     *eventloop.Conn
-	called   bool // its call is whole
+	complete bool // its call is whole
 	answered bool
 	timeout  *eventloop.Timer
 }
 
-func (c *Console) accept(conn *eventloop.Conn) eventloop.Handler {
-	k := &caller{c: c, conn: conn}
-	c.callers = append(c.callers, k)
-	k.timeout = c.loop.At(c.loop.Now()+patience, func() { k.reply(408, "no whole call came in time") })
+func (c *Server) accept(conn *eventloop.Conn) eventloop.Handler {
+	k := &connection{server: c, conn: conn}
+	c.connections = append(c.connections, k)
+	k.timeout = c.loop.At(c.loop.Now()+callTimeout, func() { k.reply(408, "no whole call came in time") })
 	return k
 }
 
-// give closes the caller that can best be spared: one that has its answer, or the oldest that has not made its call.
-func (c *Console) give() bool {
-	c.callers = slices.DeleteFunc(c.callers, func(k *caller) bool { return !k.conn.Open() })
-	for _, spare := range []func(*caller) bool{
-		func(k *caller) bool { return k.answered },
-		func(k *caller) bool { return !k.called },
+// evict closes the caller that can best be spared: one that has its answer, or the oldest that has not made its call.
+func (c *Server) evict() bool {
+	c.connections = slices.DeleteFunc(c.connections, func(k *connection) bool { return !k.conn.Open() })
+	for _, spare := range []func(*connection) bool{
+		func(k *connection) bool { return k.answered },
+		func(k *connection) bool { return !k.complete },
 	} {
-		if i := slices.IndexFunc(c.callers, spare); i >= 0 {
-			if k := c.callers[i]; !k.answered {
-				c.GaveWay++
+		if i := slices.IndexFunc(c.connections, spare); i >= 0 {
+			if k := c.connections[i]; !k.answered {
+				c.Evicted++
 				k.reply(503, "too many callers")
 			}
-			c.callers[i].conn.Close()
-			c.callers = slices.Delete(c.callers, i, i+1)
+			c.connections[i].conn.Close()
+			c.connections = slices.Delete(c.connections, i, i+1)
 			return true
 		}
 	}
@@ -103,28 +103,28 @@
 }
 
 // Opened implements eventloop.Handler.
-func (k *caller) Opened(*eventloop.Conn) {}
+func (k *connection) Opened(*eventloop.Conn) {}
 
 // Closed implements eventloop.Handler. A call that was whole is carried out all the same.
-func (k *caller) Closed(*eventloop.Conn, error) {
+func (k *connection) Closed(*eventloop.Conn, error) {
 	k.timeout.Stop()
 	k.answered = true
-	k.c.callers = slices.DeleteFunc(k.c.callers, func(o *caller) bool { return o == k })
+	k.server.connections = slices.DeleteFunc(k.server.connections, func(o *connection) bool { return o == k })
 }
 
 // Data implements eventloop.Handler.
-func (k *caller) Data(conn *eventloop.Conn) {
-	if k.called {
+func (k *connection) Data(conn *eventloop.Conn) {
+	if k.complete {
 		return
 	}
 	q, _, err := httpfront.ParseRequest(conn.Bytes())
 	var syntax *httpfront.SyntaxError
 	switch {
-	case errors.Is(err, httpfront.ErrMore) && len(conn.Bytes()) > mostBytes:
+	case errors.Is(err, httpfront.ErrIncomplete) && len(conn.Bytes()) > maxCallBytes:
 		k.reply(413, "call too large")
 		return
-	case errors.Is(err, httpfront.ErrMore):
-		if httpfront.AwaitsContinue(conn.Bytes()) {
+	case errors.Is(err, httpfront.ErrIncomplete):
+		if httpfront.ExpectsContinue(conn.Bytes()) {
 			conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
 		return
@@ -135,33 +135,33 @@
 		k.reply(400, err.Error())
 		return
 	}
-	k.called = true
+	k.complete = true
 	k.timeout.Stop()
 	k.serve(&q)
 }
 
-func (k *caller) serve(q *httpfront.Request) {
+func (k *connection) serve(q *httpfront.Request) {
 	path, _, _ := strings.Cut(q.Target, "?")
-	call, known := k.c.paths[path]
+	call, known := k.server.calls[path]
 	switch {
 	case !known:
 		k.reply(404, "no such call")
 	case q.Method != call.Method:
 		k.reply(405, call.Method+" only")
-	case !call.Member:
-		call.Do("", k.reply)
+	case !call.TakesMember:
+		call.Handle("", k.reply)
 	default:
-		member, reason := member(q.Body)
+		member, reason := parseMember(q.Body)
 		if reason != "" {
 			k.reply(400, reason)
 			return
 		}
-		call.Do(member, k.reply)
+		call.Handle(member, k.reply)
 	}
 }
 
-// member reads the body of a call that names one; reason says why it does not.
-func member(body []byte) (id, reason string) {
+// parseMember reads the body of a call that names one; reason says why it does not.
+func parseMember(body []byte) (id, reason string) {
 	var call map[string]json.RawMessage
 	if err := json.Unmarshal(body, &call); err != nil || call == nil {
 		return "", `the body must be a JSON object like {"member":"ID"}`
@@ -173,23 +173,23 @@
 	if !bytes.HasPrefix(text, []byte(`"`)) || json.Unmarshal(text, &id) != nil {
 		return "", "member must be a string"
 	}
-	if id == "" || len(id) > mostMember {
-		return "", fmt.Sprintf("member must have 1 to %d bytes", mostMember)
+	if id == "" || len(id) > maxMemberBytes {
+		return "", fmt.Sprintf("member must have 1 to %d bytes", maxMemberBytes)
 	}
 	return id, ""
 }
 
 // reply answers the call and closes.
-func (k *caller) reply(status int, reason string) {
+func (k *connection) reply(status int, reason string) {
 	if k.answered {
 		return
 	}
 	k.answered = true
 	k.timeout.Stop()
-	k.c.Calls++
+	k.server.Calls++
 	if status >= 300 {
-		k.c.Refused++
-		k.c.log.Warn("console: no", zap.Int("status", status), zap.String("reason", reason))
+		k.server.Rejected++
+		k.server.log.Warn("console: no", zap.Int("status", status), zap.String("reason", reason))
 	}
 	k.conn.Write(httpfront.AppendResponse(nil, status, "", []byte(reason+"\n"), true))
 	k.conn.CloseAfterFlush()
--- a/internal/dispatcher/gearman/config.go
+++ b/internal/dispatcher/gearman/config.go
@@ -10,12 +10,12 @@
 
 // Config is the operator's file, deploy/gearman.toml.
 type Config struct {
-	Listen        string     `toml:"listen"`
-	AllowShutdown bool       `toml:"allow_shutdown"` // the text command `shutdown` stops the program
-	MaxJobs       int        `toml:"max_jobs"`       // jobs held at once
-	MaxBytes      int        `toml:"max_bytes"`      // of their data
-	Functions     []Function `toml:"function"`
-	Workers       []Place    `toml:"worker"` // the first that matches a worker's address counts
+	Listen        string          `toml:"listen"`
+	AllowShutdown bool            `toml:"allow_shutdown"` // the text command `shutdown` stops the program
+	MaxJobs       int             `toml:"max_jobs"`       // jobs held at once
+	MaxBytes      int             `toml:"max_bytes"`      // of their data
+	Functions     []Function      `toml:"function"`
+	Workers       []WorkerNetwork `toml:"worker"` // the first that matches a worker's address counts
 
 	listen netip.AddrPort
 }
@@ -25,15 +25,15 @@
 	Name     string  `toml:"name"`
 	Class    string  `toml:"class"`
 	Deadline float64 `toml:"deadline_s"` // a job is answered within this; 0 is the class's deadline
-	// Background is how long a job in the background may come back after refusals; 0 is ten deadlines.
-	Background float64 `toml:"background_deadline_s"`
+	// BackgroundDeadline is how long a job in the background may come back after refusals; 0 is ten deadlines.
+	BackgroundDeadline float64 `toml:"background_deadline_s"`
 
 	class                int
 	deadline, background float64
 }
 
-// Place says where the workers of a network stand.
-type Place struct {
+// WorkerNetwork says where the workers of a network stand.
+type WorkerNetwork struct {
 	Network string `toml:"network"`
 	Zone    string `toml:"zone"`
 	Kind    string `toml:"kind"`
@@ -43,14 +43,14 @@
 	zone, kind int
 }
 
-// Names are the settings' names that a file is checked against.
-type Names struct {
+// SettingsNames are the settings' names that a file is checked against.
+type SettingsNames struct {
 	Classes, Zones, Kinds []string
 	Deadlines             []float64 // by class
 }
 
 // ReadConfig reads and checks the operator's file.
-func ReadConfig(path string, names Names) (*Config, error) {
+func ReadConfig(path string, names SettingsNames) (*Config, error) {
 	var c Config
 	meta, err := toml.DecodeFile(path, &c)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return &c, nil
 }
 
-func (c *Config) check(names Names) (err error) {
+func (c *Config) check(names SettingsNames) (err error) {
 	if c.listen, err = netip.ParseAddrPort(c.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -91,7 +91,7 @@
 		if f.deadline = f.Deadline; f.deadline == 0 {
 			f.deadline = names.Deadlines[f.class]
 		}
-		if f.background = f.Background; f.background <= 0 {
+		if f.background = f.BackgroundDeadline; f.background <= 0 {
 			f.background = 10 * f.deadline
 		}
 	}
@@ -111,11 +111,11 @@
 }
 
 // place finds where a worker stands; one from elsewhere may not work here.
-func (c *Config) place(from netip.Addr) (Place, bool) {
+func (c *Config) place(from netip.Addr) (WorkerNetwork, bool) {
 	for _, p := range c.Workers {
 		if p.network.Contains(from.Unmap()) {
 			return p, true
 		}
 	}
-	return Place{}, false
+	return WorkerNetwork{}, false
 }
--- a/internal/dispatcher/gearman/job.go
+++ b/internal/dispatcher/gearman/job.go
@@ -62,7 +62,7 @@
 	if !j.background || len(j.waiters) > 0 || j.s.stopping || at >= j.ends {
 		return false
 	}
-	j.s.Counts.Returned++
+	j.s.Counts.Requeued++
 	j.queued = false
 	j.start = j.s.loop.At(at, j.enter)
 	return true
@@ -73,7 +73,7 @@
 	if j.over {
 		return
 	}
-	j.s.Counts.Gone++
+	j.s.Counts.Abandoned++
 	if j.background {
 		j.s.Counts.BackgroundEnded++
 	}
@@ -99,7 +99,7 @@
 		j.s.Counts.Served++
 		last = packet{WorkComplete, string(a.Body)}
 	case dispatch.Rejected:
-		j.s.Counts.Refused++
+		j.s.Counts.Rejected++
 		j.output = []packet{{WorkWarning, fmt.Sprintf("refused retry-after=%.3f", a.RetryAfter)}}
 		last.kind = WorkFail
 	default:
@@ -147,7 +147,7 @@
 	}
 	j.f.jobs--
 	j.s.held -= len(j.data)
-	j.s.door.Release(len(j.data))
+	j.s.door.ReleaseJob(len(j.data))
 }
 
 // tell passes news on to all who wait for the job.
--- a/internal/dispatcher/gearman/packet.go
+++ b/internal/dispatcher/gearman/packet.go
@@ -84,8 +84,8 @@
 	GrabJobUniq: 0, SubmitJobHighBg: 3, SubmitJobLow: 3, SubmitJobLowBg: 3, SubmitJobSched: 8, SubmitJobEpoch: 4,
 	SubmitReduce: 4, SubmitReduceBg: 4, GrabJobAll: 0, GetStatusUnique: 1}
 
-// ErrMore says that the packet is not whole yet.
-var ErrMore = errors.New("gearman: packet not whole")
+// ErrIncomplete says that the packet is not whole yet.
+var ErrIncomplete = errors.New("gearman: packet not whole")
 
 // Packet is one request to the server.
 type Packet struct {
@@ -93,14 +93,14 @@
 	Args []string
 }
 
-// Parse reads one request packet from the start of b and tells how many bytes it took; ErrMore asks for more.
+// Parse reads one request packet from the start of b and tells how many bytes it took; ErrIncomplete asks for more.
 // Any other error is final: after it the stream cannot be read on.
 func Parse(b []byte) (p Packet, n int, err error) {
 	if len(b) < headerSize {
 		if !bytes.HasPrefix([]byte(requestMagic), b[:min(len(b), 4)]) && !bytes.HasPrefix(b, []byte(requestMagic)) {
 			return p, 0, errors.New("gearman: bad magic")
 		}
-		return p, 0, ErrMore
+		return p, 0, ErrIncomplete
 	}
 	if string(b[:4]) != requestMagic {
 		return p, 0, errors.New("gearman: bad magic")
@@ -116,7 +116,7 @@
 	}
 	n = headerSize + int(size)
 	if len(b) < n {
-		return p, 0, ErrMore
+		return p, 0, ErrIncomplete
 	}
 	body := string(b[headerSize:n])
 	if want == 0 {
@@ -168,14 +168,14 @@
 	return append(b, strings.Join(args, "\x00")...)
 }
 
-// ParseLine reads one text command of an administrator; ErrMore asks for more.
+// ParseLine reads one text command of an administrator; ErrIncomplete asks for more.
 func ParseLine(b []byte) (words []string, n int, err error) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
 		if len(b) > maxLine {
 			return nil, 0, errors.New("gearman: line too long")
 		}
-		return nil, 0, ErrMore
+		return nil, 0, ErrIncomplete
 	}
 	return strings.Fields(string(b[:end])), end + 1, nil
 }
--- a/internal/dispatcher/gearman/packet_test.go
+++ b/internal/dispatcher/gearman/packet_test.go
@@ -31,7 +31,7 @@
 		{"too large", "\x00REQ\x00\x00\x00\x07\x7f\xff\xff\xff", nil, false},
 	} {
 		got, n, err := Parse([]byte(tc.in))
-		if errors.Is(err, ErrMore) != tc.more || (err == nil) != (tc.want != nil) {
+		if errors.Is(err, ErrIncomplete) != tc.more || (err == nil) != (tc.want != nil) {
 			t.Errorf("%s: %v", tc.name, err)
 		} else if tc.want != nil {
 			if diff := cmp.Diff(*tc.want, got); diff != "" || n > len(tc.in) {
@@ -58,12 +58,12 @@
 func TestCutAnywhere(t *testing.T) {
 	packet := AppendRequest(nil, SubmitJob, "f", "u", "some\x00data")
 	for n := range packet {
-		if _, _, err := Parse(packet[:n]); !errors.Is(err, ErrMore) {
+		if _, _, err := Parse(packet[:n]); !errors.Is(err, ErrIncomplete) {
 			t.Errorf("packet cut at %d: %v", n, err)
 		}
 	}
 	for n, line := 0, []byte("show jobs\r\n"); n < len(line); n++ {
-		if _, _, err := ParseLine(line[:n]); !errors.Is(err, ErrMore) {
+		if _, _, err := ParseLine(line[:n]); !errors.Is(err, ErrIncomplete) {
 			t.Errorf("line cut at %d: %v", n, err)
 		}
 	}
--- a/internal/dispatcher/gearman/peer.go
+++ b/internal/dispatcher/gearman/peer.go
@@ -36,7 +36,7 @@
 func (p *peer) expect(wait float64) {
 	p.timeout.Stop()
 	p.timeout = p.s.loop.At(p.s.loop.Now()+wait, func() {
-		p.s.Counts.Slow++
+		p.s.Counts.TimedOut++
 		p.turn(errPacket, "message not whole in time")
 	})
 }
@@ -66,7 +66,7 @@
 		return
 	}
 	p.timeout.Stop()
-	p.s.door.Leave(p.from)
+	p.s.door.Unregister(p.from)
 	if p.worker != nil {
 		p.worker.leave()
 	}
@@ -121,13 +121,13 @@
 				continue
 			}
 		}
-		if errors.Is(err, ErrMore) {
+		if errors.Is(err, ErrIncomplete) {
 			switch {
-			case p.s.door.Crowded():
+			case p.s.door.BuffersFull():
 				p.turn(errQueue, "no memory to wait for the rest")
 			case p.whole && !p.began:
 				p.began = true
-				p.expect(admission.WholeTime)
+				p.expect(admission.MessageTimeout)
 			}
 			return
 		}
@@ -226,7 +226,7 @@
 		at = float64(seconds)
 	}
 	if f.maxQueue > 0 && f.jobs-f.running >= f.maxQueue || len(s.jobs) >= s.config.MaxJobs ||
-		s.held+len(data) > s.config.MaxBytes || !s.door.Hold(len(data)) {
+		s.held+len(data) > s.config.MaxBytes || !s.door.ReserveJob(len(data)) {
 		p.send(Error, errQueue, "job queue is full")
 		return
 	}
--- a/internal/dispatcher/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -19,14 +19,14 @@
 	Background      uint64 `json:"Background"`
 	Coalesced       uint64 `json:"Coalesced"`
 	Served          uint64 `json:"Served"`
-	Refused         uint64 `json:"Refused"`
+	Rejected        uint64 `json:"Refused"`
 	Failed          uint64 `json:"Failed"`
-	Gone            uint64 `json:"Gone"`
+	Abandoned       uint64 `json:"Gone"`
 	BackgroundEnded uint64 `json:"BackgroundEnded"`
-	Returned        uint64 `json:"Returned"` // refusals after which a job in the background came back
+	Requeued        uint64 `json:"Returned"` // refusals after which a job in the background came back
 	BadPackets      uint64 `json:"BadPackets"`
 	StrayWork       uint64 `json:"StrayWork"`
-	Slow            uint64 `json:"Slow"`
+	TimedOut        uint64 `json:"Slow"`
 }
 
 // Server is the Gearman front: clients and workers come by the same port.
@@ -37,7 +37,7 @@
 	loop      *eventloop.Loop
 	log       *zap.Logger
 	core      *dispatch.Dispatcher
-	door      *admission.Door
+	door      *admission.Limiter
 	config    *Config
 	report    []loadbalancer.ReportField
 	functions map[string]*function
@@ -75,7 +75,7 @@
 }
 
 // New makes the front; Start opens its port.
-func New(loop *eventloop.Loop, log *zap.Logger, core *dispatch.Dispatcher, door *admission.Door, config *Config, name string, report []loadbalancer.ReportField) *Server {
+func New(loop *eventloop.Loop, log *zap.Logger, core *dispatch.Dispatcher, door *admission.Limiter, config *Config, name string, report []loadbalancer.ReportField) *Server {
 	s := &Server{loop: loop, log: log, core: core, door: door, config: config, report: report, functions: map[string]*function{},
 		jobs: map[string]*job{}, unique: map[uniqueKey]*job{}, prefix: "H:" + name + ":"}
 	for i, f := range config.Functions {
@@ -94,9 +94,9 @@
 	return err
 }
 
-// Retire leaves the port to the next process, or takes it back. Its own jobs are served first, by the workers that are
+// SetRetired leaves the port to the next process, or takes it back. Its own jobs are served first, by the workers that are
 // here; then clients and workers are sent to the next one, as they would be by a restart.
-func (s *Server) Retire(on bool) {
+func (s *Server) SetRetired(on bool) {
 	s.listener.SetSuspended(on)
 	s.retiring.Stop()
 	if s.stopping = on; !on {
@@ -142,18 +142,18 @@
 	})
 }
 
-// Shut has new jobs turned away, or takes them again; clients stay.
-func (s *Server) Shut(on bool) { s.shut = on }
+// SetRejecting has new jobs turned away, or takes them again; clients stay.
+func (s *Server) SetRejecting(on bool) { s.shut = on }
 
-// Quiet says whether every job has had its end and every answer has gone out.
-func (s *Server) Quiet() bool {
+// Idle says whether every job has had its end and every answer has gone out.
+func (s *Server) Idle() bool {
 	quiet := len(s.jobs) == 0
 	s.peers.Each(func(_ slotmap.Handle, p *peer) { quiet = quiet && (p.worker != nil || p.conn.Unsent() == 0) })
 	return quiet
 }
 
-// ShedIdle closes a client that can be spared, a worker never.
-func (s *Server) ShedIdle() bool { return s.shed(func(*peer) bool { return true }) }
+// EvictIdle closes a client that can be spared, a worker never.
+func (s *Server) EvictIdle() bool { return s.shed(func(*peer) bool { return true }) }
 
 // shed closes one of the clients that may be closed: first one that has handed in nothing yet, then the one that
 // has been idle longest.
@@ -188,15 +188,15 @@
 	return restart
 }
 
-// Counted returns the figures so far.
-func (s *Server) Counted() Counts { return s.Counts }
+// Totals returns the figures so far.
+func (s *Server) Totals() Counts { return s.Counts }
 
 func (s *Server) accept(c *eventloop.Conn) eventloop.Handler {
 	s.rests++
 	p := &peer{s: s, conn: c, connected: s.loop.Now(), idleSince: s.rests, clientID: "-", from: c.Peer().Addr().Unmap()}
 	p.h = s.peers.Insert(p)
-	p.expect(admission.FreshTime)
-	if !s.door.Enter(p.from, func(may func(netip.Addr) bool) bool {
+	p.expect(admission.FirstMessageTimeout)
+	if !s.door.Admit(p.from, func(may func(netip.Addr) bool) bool {
 		return s.shed(func(o *peer) bool { return o != p && may(o.from) })
 	}) {
 		p.turn(errQueue, "too many connections")
--- a/internal/dispatcher/handover/handover.go
+++ b/internal/dispatcher/handover/handover.go
@@ -15,10 +15,10 @@
 const Version = 1
 
 const (
-	magic    = 'R'
-	headSize = 7       // magic, version, kind, length
-	maxBody  = 9 << 20 // the state holds the whole list
-	mostAsks = 4096    // that wait for their answer
+	magic      = 'R'
+	headerSize = 7       // magic, version, kind, length
+	maxBody    = 9 << 20 // the state holds the whole list
+	maxQueries = 4096    // that wait for their answer
 )
 
 // Kind is the kind of a frame.
@@ -26,40 +26,40 @@
 
 // The kinds. Questions are answered by Answer, once.
 const (
-	Hello   Kind = iota + 1 // the newer process asks for the state
-	State                   // and gets it, with the descriptors that it names
-	Took                    // the newer one takes the clients
-	Session                 // a client session, with its descriptor
-	Taken                   // one session has arrived
-	News                    // a question: whose is this call-back
-	Order                   // a question: carry out what the staff ask
+	Hello           Kind = iota + 1 // the newer process asks for the state
+	State                           // and gets it, with the descriptors that it names
+	Takeover                        // the newer one takes the clients
+	Session                         // a client session, with its descriptor
+	SessionReceived                 // one session has arrived
+	CallbackQuery                   // a question: whose is this call-back
+	Order                           // a question: carry out what the staff ask
 	Answer
-	Figures // what the older one has counted, for a newer one that said in Hello that it takes this
+	Metrics // what the older one has counted, for a newer one that said in Hello that it takes this
 	lastKind
 )
 
 var (
-	errMore    = errors.New("handover: frame not whole")
-	errVersion = errors.New("handover: another version")
+	errIncomplete = errors.New("handover: frame not whole")
+	errVersion    = errors.New("handover: another version")
 )
 
-// Append writes a frame.
-func Append(b []byte, kind Kind, body []byte) []byte {
+// AppendFrame writes a frame.
+func AppendFrame(b []byte, kind Kind, body []byte) []byte {
 	b = append(b, magic, Version, byte(kind))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	return append(b, body...)
 }
 
-// Parse reads one frame from the start of b and tells how many bytes it took; the body is a part of b.
-func Parse(b []byte) (kind Kind, body []byte, n int, err error) {
+// ParseFrame reads one frame from the start of b and tells how many bytes it took; the body is a part of b.
+func ParseFrame(b []byte) (kind Kind, body []byte, n int, err error) {
 	if len(b) > 0 && b[0] != magic {
 		return 0, nil, 0, errors.New("handover: no frame")
 	}
 	if len(b) > 1 && b[1] != Version {
 		return 0, nil, 0, errVersion
 	}
-	if len(b) < headSize {
-		return 0, nil, 0, errMore
+	if len(b) < headerSize {
+		return 0, nil, 0, errIncomplete
 	}
 	kind = Kind(b[2])
 	size := binary.BigEndian.Uint32(b[3:])
@@ -68,66 +68,66 @@
 		return 0, nil, 0, fmt.Errorf("handover: kind %d", kind)
 	case size > maxBody:
 		return 0, nil, 0, fmt.Errorf("handover: frame of %d bytes", size)
-	case len(b)-headSize < int(size):
-		return 0, nil, 0, errMore
+	case len(b)-headerSize < int(size):
+		return 0, nil, 0, errIncomplete
 	}
-	n = headSize + int(size)
-	return kind, b[headSize:n], n, nil
+	n = headerSize + int(size)
+	return kind, b[headerSize:n], n, nil
 }
 
-// Owner hears what comes along a link.
-type Owner interface {
-	Up(l *Link)
-	Message(l *Link, kind Kind, body []byte) error
-	Asked(l *Link, kind Kind, body []byte, answer func(yes bool))
-	Down(l *Link, err error)
+// Handler hears what comes along a link.
+type Handler interface {
+	HandleUp(l *Link)
+	HandleMessage(l *Link, kind Kind, body []byte) error
+	HandleQuery(l *Link, kind Kind, body []byte, answer func(yes bool))
+	HandleDown(l *Link, err error)
 }
 
 // Link is the connection to the other process.
 type Link struct {
-	conn  *eventloop.Conn
-	owner Owner
-	asks  map[uint64]func(yes bool)
-	last  uint64
-	down  bool
+	conn      *eventloop.Conn
+	handler   Handler
+	queries   map[uint64]func(yes bool)
+	lastQuery uint64
+	closed    bool
 }
 
 // Connect looks for the process that serves at path; Down tells if there is none.
-func Connect(loop *eventloop.Loop, path string, owner Owner) *Link {
-	l := &Link{owner: owner, asks: map[uint64]func(bool){}}
+func Connect(loop *eventloop.Loop, path string, owner Handler) *Link {
+	l := &Link{handler: owner, queries: map[uint64]func(bool){}}
 	l.conn = loop.ConnectUnixWithDescriptors(path, l)
 	return l
 }
 
 // Accept owns a connection from a newer process.
-func Accept(conn *eventloop.Conn, owner Owner) *Link {
+func Accept(conn *eventloop.Conn, owner Handler) *Link {
 	conn.EnableDescriptorPassing()
-	return &Link{conn: conn, owner: owner, asks: map[uint64]func(bool){}}
+	return &Link{conn: conn, handler: owner, queries: map[uint64]func(bool){}}
 }
 
-// Tell sends a frame whose body is v as JSON.
-func (l *Link) Tell(kind Kind, v any) error {
+// Send sends a frame whose body is v as JSON.
+func (l *Link) Send(kind Kind, v any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	l.conn.Write(Append(nil, kind, body))
+	l.conn.Write(AppendFrame(nil, kind, body))
 	return nil
 }
 
-// Pass sends a frame with a descriptor, which is the other's from now on. It holds a head, as JSON, and bytes.
-func (l *Link) Pass(kind Kind, head any, bytes []byte, fd int) error {
+// SendDescriptor sends a frame with a descriptor, which is the other's from now on. It holds a head, as JSON, and bytes.
+func (l *Link) SendDescriptor(kind Kind, head any, bytes []byte, fd int) error {
 	text, err := json.Marshal(head)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
 	body := binary.BigEndian.AppendUint32(nil, uint32(len(text)))
-	l.conn.WriteWithDescriptor(Append(nil, kind, append(append(body, text...), bytes...)), fd)
+	l.conn.WriteWithDescriptor(AppendFrame(nil, kind, append(append(body, text...), bytes...)), fd)
 	return nil
 }
 
-// Passed reads what Pass has sent.
-func (l *Link) Passed(body []byte, head any) (bytes []byte, fd int, err error) {
+// DecodeDescriptorFrame reads what Pass has sent.
+func (l *Link) DecodeDescriptorFrame(body []byte, head any) (bytes []byte, fd int, err error) {
 	fd, ok := l.conn.NextDescriptor()
 	if !ok {
 		return nil, -1, errors.New("handover: no descriptor came")
@@ -142,90 +142,90 @@
 	return bytes, fd, nil
 }
 
-// Descriptor is the next one that came along.
-func (l *Link) Descriptor() (fd int, ok bool) { return l.conn.NextDescriptor() }
+// NextDescriptor is the next one that came along.
+func (l *Link) NextDescriptor() (fd int, ok bool) { return l.conn.NextDescriptor() }
 
-// Ask sends a question; done gets the answer, or a no when the link ends before it has come. False when too many wait.
-func (l *Link) Ask(kind Kind, body []byte, done func(yes bool)) bool {
-	if l.down || len(l.asks) >= mostAsks {
+// Query sends a question; done gets the answer, or a no when the link ends before it has come. False when too many wait.
+func (l *Link) Query(kind Kind, body []byte, done func(yes bool)) bool {
+	if l.closed || len(l.queries) >= maxQueries {
 		return false
 	}
-	l.last++
-	l.asks[l.last] = done
-	l.conn.Write(Append(nil, kind, append(binary.BigEndian.AppendUint64(nil, l.last), body...)))
+	l.lastQuery++
+	l.queries[l.lastQuery] = done
+	l.conn.Write(AppendFrame(nil, kind, append(binary.BigEndian.AppendUint64(nil, l.lastQuery), body...)))
 	return true
 }
 
 // Idle says whether nothing that was sent waits to go out or for its answer.
-func (l *Link) Idle() bool { return l.down || len(l.asks) == 0 && l.conn.Unsent() == 0 }
+func (l *Link) Idle() bool { return l.closed || len(l.queries) == 0 && l.conn.Unsent() == 0 }
 
 // Close ends the link; its owner hears nothing more, its questions have a no.
 func (l *Link) Close() {
 	l.conn.Close()
-	l.end()
+	l.failQueries()
 }
 
-func (l *Link) end() {
-	l.down = true
-	asks := l.asks
-	l.asks = nil
+func (l *Link) failQueries() {
+	l.closed = true
+	asks := l.queries
+	l.queries = nil
 	for _, done := range asks {
 		done(false)
 	}
 }
 
 // Opened implements eventloop.Handler.
-func (l *Link) Opened(*eventloop.Conn) { l.owner.Up(l) }
+func (l *Link) Opened(*eventloop.Conn) { l.handler.HandleUp(l) }
 
 // Closed implements eventloop.Handler.
 func (l *Link) Closed(_ *eventloop.Conn, err error) {
-	l.end()
-	l.owner.Down(l, err)
+	l.failQueries()
+	l.handler.HandleDown(l, err)
 }
 
 // Data implements eventloop.Handler.
 func (l *Link) Data(c *eventloop.Conn) {
-	for !l.down {
-		kind, body, n, err := Parse(c.Bytes())
-		if errors.Is(err, errMore) {
+	for !l.closed {
+		kind, body, n, err := ParseFrame(c.Bytes())
+		if errors.Is(err, errIncomplete) {
 			return
 		}
 		if err == nil {
-			err = l.take(kind, body)
+			err = l.handleFrame(kind, body)
 			c.Consume(min(n, len(c.Bytes())))
 		}
 		if err != nil {
-			if !l.down {
+			if !l.closed {
 				l.Close()
-				l.owner.Down(l, err)
+				l.handler.HandleDown(l, err)
 			}
 			return
 		}
 	}
 }
 
-func (l *Link) take(kind Kind, body []byte) error {
+func (l *Link) handleFrame(kind Kind, body []byte) error {
 	switch kind {
-	case News, Order, Answer:
+	case CallbackQuery, Order, Answer:
 	default:
-		return l.owner.Message(l, kind, body)
+		return l.handler.HandleMessage(l, kind, body)
 	}
 	if len(body) < 8 {
 		return errors.New("handover: short frame")
 	}
 	seq, rest := binary.BigEndian.Uint64(body), body[8:]
 	if kind != Answer {
-		l.owner.Asked(l, kind, rest, func(yes bool) {
+		l.handler.HandleQuery(l, kind, rest, func(yes bool) {
 			answer := binary.BigEndian.AppendUint64(nil, seq)
 			if yes {
 				answer = append(answer, 1)
 			}
-			l.conn.Write(Append(nil, Answer, answer))
+			l.conn.Write(AppendFrame(nil, Answer, answer))
 		})
 		return nil
 	}
-	if done := l.asks[seq]; done != nil {
-		delete(l.asks, seq)
+	if done := l.queries[seq]; done != nil {
+		delete(l.queries, seq)
 		done(len(rest) > 0)
 	}
 	return nil
--- a/internal/dispatcher/handover/handover_test.go
+++ b/internal/dispatcher/handover/handover_test.go
@@ -10,16 +10,16 @@
 
 // Guards against a frame that is taken before all of it has come, and against one of another version, of no kind or
 // without bound.
-func TestFrames(t *testing.T) {
-	good := Append(Append(nil, News, []byte("body")), Took, nil)
-	first := headSize + len("body")
+func TestParseFrame(t *testing.T) {
+	good := AppendFrame(AppendFrame(nil, CallbackQuery, []byte("body")), Takeover, nil)
+	first := headerSize + len("body")
 	for n := range first {
-		if _, _, _, err := Parse(good[:n]); !errors.Is(err, errMore) {
+		if _, _, _, err := ParseFrame(good[:n]); !errors.Is(err, errIncomplete) {
 			t.Errorf("cut at %d: %v", n, err)
 		}
 	}
-	kind, body, n, err := Parse(good)
-	if diff := cmp.Diff([]any{News, "body", first, error(nil)}, []any{kind, string(body), n, err}); diff != "" {
+	kind, body, n, err := ParseFrame(good)
+	if diff := cmp.Diff([]any{CallbackQuery, "body", first, error(nil)}, []any{kind, string(body), n, err}); diff != "" {
 		t.Errorf("whole (-want +got):\n%s", diff)
 	}
 	for text, want := range map[string]string{
@@ -30,16 +30,16 @@
 		"R\x01\x01\xff\x00\x00\x00":      "frame of",
 		"R\x01\x01\x01\x00\x00\x00short": "frame of",
 	} {
-		if _, _, _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, _, _, err := ParseFrame([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 	}
 }
 
-func FuzzParse(f *testing.F) {
-	f.Add(Append(nil, State, []byte("{}")))
+func FuzzParseFrame(f *testing.F) {
+	f.Add(AppendFrame(nil, State, []byte("{}")))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if kind, body, n, err := Parse(b); err == nil && string(Append(nil, kind, body)) != string(b[:n]) {
+		if kind, body, n, err := ParseFrame(b); err == nil && string(AppendFrame(nil, kind, body)) != string(b[:n]) {
 			t.Errorf("frame of %d bytes reads as another", n)
 		}
 	})
--- a/internal/dispatcher/httpfront/backend.go
+++ b/internal/dispatcher/httpfront/backend.go
@@ -97,7 +97,7 @@
 		l.start(x)
 		return
 	}
-	b.pool.Dialed++
+	b.pool.Connects++
 	l := &link{b: b, life: b.life, job: x, busy: true}
 	if x.attempt != nil {
 		x.attempt.link = l
--- a/internal/dispatcher/httpfront/bodies.go
+++ b/internal/dispatcher/httpfront/bodies.go
@@ -11,34 +11,34 @@
 	"cinderroad/loadbalancer"
 )
 
-// News is a call-back of a runner.
-type News struct {
-	ID     string  `json:"id"`
-	From   string  `json:"from"`
-	State  string  `json:"state"`
-	Share  float64 `json:"share"`
-	Result string  `json:"result"`
-	Load   Load    `json:"load"`
+// Callback is a call-back of a runner.
+type Callback struct {
+	ID       string     `json:"id"`
+	Runner   string     `json:"from"`
+	State    string     `json:"state"`
+	Progress float64    `json:"share"`
+	Result   string     `json:"result"`
+	Load     LoadReport `json:"load"`
 }
 
-// Load is a load report by its fields' names.
-type Load map[string]float64
+// LoadReport is a load report by its fields' names.
+type LoadReport map[string]float64
 
-// ParseNews reads a call-back.
-func ParseNews(body []byte) (News, error) {
-	var n News
+// ParseCallback reads a call-back.
+func ParseCallback(body []byte) (Callback, error) {
+	var n Callback
 	if err := json.Unmarshal(body, &n); err != nil {
 		return n, fmt.Errorf("platform: call-back: %w", err)
 	}
-	if n.ID == "" || n.From == "" || n.State == "" {
+	if n.ID == "" || n.Runner == "" || n.State == "" {
 		return n, fmt.Errorf("platform: call-back without id, from or state")
 	}
 	return n, nil
 }
 
-// ParseLoad reads the header form of a load report; nothing, or what makes no sense, is no report.
-func ParseLoad(text string) Load {
-	var l Load
+// ParseLoadReport reads the header form of a load report; nothing, or what makes no sense, is no report.
+func ParseLoadReport(text string) LoadReport {
+	var l LoadReport
 	if text == "" || json.Unmarshal([]byte(text), &l) != nil {
 		return nil
 	}
@@ -50,7 +50,7 @@
 	"recent_ms": "latency_ms", "throughput": "qps", "errors_per_s": "eps"}
 
 // Values puts a report into the settings' order; a report that lacks a field tells -1 there.
-func (l Load) Values(fields []string) []float32 {
+func (l LoadReport) Values(fields []string) []float32 {
 	if len(l) == 0 {
 		return nil
 	}
@@ -70,23 +70,23 @@
 
 // List is what the director says.
 type List struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []Target `json:"targets"`
+	Revision int64   `json:"rev"`
+	Full     bool    `json:"all"`
+	Entries  []Entry `json:"targets"`
 
 	dropped []string // uids of entries that made no sense
 }
 
-// Target is one backend in the director's list.
-type Target struct {
-	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	Zone     string  `json:"az"`
-	Kind     string  `json:"model"`
-	Cell     int     `json:"pod_group"`
-	State    string  `json:"state"`
-	Weight   float64 `json:"capacity_hint"`
-	BootMs   float64 `json:"boot_ms"`
+// Entry is one backend in the director's list.
+type Entry struct {
+	UID         string  `json:"uid"`
+	Endpoint    string  `json:"endpoint"`
+	Zone        string  `json:"az"`
+	Kind        string  `json:"model"`
+	Cell        int     `json:"pod_group"`
+	State       string  `json:"state"`
+	Weight      float64 `json:"capacity_hint"`
+	StartedAtMs float64 `json:"boot_ms"`
 }
 
 // ParseList reads a list or a line of changes. An entry that makes no sense is dropped and named in bad, and the rest is
@@ -98,7 +98,7 @@
 			return List{}, nil, err
 		}
 	}
-	if bad = append(bad, l.sift()...); l.All && len(l.Targets) == 0 && len(bad) > 0 {
+	if bad = append(bad, l.sift()...); l.Full && len(l.Entries) == 0 && len(bad) > 0 {
 		return List{}, nil, fmt.Errorf("platform: list: no entry of a whole list makes sense: %w", bad[0]) // else all would be gone
 	}
 	return l, bad, nil
@@ -114,15 +114,15 @@
 	if json.Unmarshal(text, &each) != nil {
 		return l, nil, fmt.Errorf("platform: list: %w", whole)
 	}
-	l.Rev, l.All = each.Rev, each.All
+	l.Revision, l.Full = each.Rev, each.All
 	for _, raw := range each.Targets {
-		var t Target
+		var t Entry
 		if err := json.Unmarshal(raw, &t); err != nil {
 			bad = append(bad, fmt.Errorf("platform: list: entry %q: %w", t.UID, err))
 			l.dropped = append(l.dropped, t.UID)
 			continue
 		}
-		l.Targets = append(l.Targets, t)
+		l.Entries = append(l.Entries, t)
 	}
 	return l, bad, nil
 }
@@ -130,8 +130,8 @@
 // sift drops the entries that make no sense and says why of each. Of two that name the same backend the one that sends it
 // less counts: work that is not sent is lost to nobody, work sent to one that drains breaks a promise.
 func (l *List) sift() (bad []error) {
-	at, kept := make(map[string]int, len(l.Targets)), l.Targets[:0]
-	for _, t := range l.Targets {
+	at, kept := make(map[string]int, len(l.Entries)), l.Entries[:0]
+	for _, t := range l.Entries {
 		if err := t.check(); err != nil {
 			bad, l.dropped = append(bad, err), append(l.dropped, t.UID)
 			continue
@@ -147,28 +147,28 @@
 			kept[i] = t
 		}
 	}
-	l.Targets = kept
+	l.Entries = kept
 	return bad
 }
 
-// Check names the first entry that makes no sense.
-func (l *List) Check() error {
-	for i := range l.Targets {
-		if err := l.Targets[i].check(); err != nil {
+// Validate names the first entry that makes no sense.
+func (l *List) Validate() error {
+	for i := range l.Entries {
+		if err := l.Entries[i].check(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (t *Target) check() error {
+func (t *Entry) check() error {
 	if t.UID == "" || states[t.State] == 0 && t.State != "gone" {
 		return fmt.Errorf("platform: list: bad entry %q with state %q", t.UID, t.State)
 	}
 	if _, err := netip.ParseAddrPort(t.Endpoint); err != nil && t.State != "gone" {
 		return fmt.Errorf("platform: list: %s: %w", t.UID, err)
 	}
-	if math.IsNaN(t.BootMs) || t.BootMs < 0 {
+	if math.IsNaN(t.StartedAtMs) || t.StartedAtMs < 0 {
 		return fmt.Errorf("platform: list: %s: bad boot_ms", t.UID)
 	}
 	return nil
--- a/internal/dispatcher/httpfront/director.go
+++ b/internal/dispatcher/httpfront/director.go
@@ -66,16 +66,16 @@
 
 const retryMost = 60 // seconds of a Retry-After that are heeded
 
-// Director watches discovery's list for ever and hands every change to the core at once.
-type Director struct {
-	Rejected   uint64 // lines that made no sense: the old list was kept
-	BadEntries uint64 // entries of a line that made no sense: the rest was taken
-	Watches    uint64
-	Refused    uint64                                                              // tries that a discovery without room answered so
-	Fleet      int                                                                 // dispatchers that ask the same discovery
-	Listed     func(addr netip.AddrPort, rev int64, cached bool, changed []Target) // a version was taken; nil: nobody asks
-	Heard      func()                                                              // discovery has said something, if only that nothing has changed; nil: nobody asks
-	Spoke      func()                                                              // discovery has spoken for the first time since the start
+// DiscoveryClient watches discovery's list for ever and hands every change to the core at once.
+type DiscoveryClient struct {
+	BadLines       uint64 // lines that made no sense: the old list was kept
+	BadEntries     uint64 // entries of a line that made no sense: the rest was taken
+	Watches        uint64
+	Rejections     uint64                                                             // tries that a discovery without room answered so
+	Instances      int                                                                // dispatchers that ask the same discovery
+	OnVersion      func(addr netip.AddrPort, rev int64, cached bool, changed []Entry) // a version was taken; nil: nobody asks
+	OnContact      func()                                                             // discovery has said something, if only that nothing has changed; nil: nobody asks
+	OnFirstContact func()                                                             // discovery has spoken for the first time since the start
 
 	loop  *eventloop.Loop
 	log   *zap.Logger
@@ -85,43 +85,43 @@
 	zones []string
 	kinds []string
 	rev   int64
-	known map[string]Target // what discovery lists, by uid
-	on    *watch            // the one that has told the list held now; nil before there was one, or between two tries
-	next  *watch            // one at a new address, which has not spoken yet
+	known map[string]Entry // what discovery lists, by uid
+	on    *watch           // the one that has told the list held now; nil before there was one, or between two tries
+	next  *watch           // one at a new address, which has not spoken yet
 	retry *eventloop.Timer
 	fails int // in a row
 	rng   *rand.Rand
 	last  float64 // when discovery last said anything; 0 is not yet
 }
 
-// Rev is the version of the list held.
-func (d *Director) Rev() int64 { return d.rev }
+// Revision is the version of the list held.
+func (d *DiscoveryClient) Revision() int64 { return d.rev }
 
-// Last is when discovery last said anything, if only that nothing has changed; 0 is not yet.
-func (d *Director) Last() float64 { return d.last }
+// LastContact is when discovery last said anything, if only that nothing has changed; 0 is not yet.
+func (d *DiscoveryClient) LastContact() float64 { return d.last }
 
-// NewDirector makes a director; Start begins the watch.
-func NewDirector(loop *eventloop.Loop, log *zap.Logger, addr netip.AddrPort, core *dispatch.Dispatcher, pool *Pool, zones, kinds []string, seed uint64) *Director {
-	return &Director{loop: loop, log: log, addr: addr, core: core, pool: pool, zones: zones, kinds: kinds,
-		known: map[string]Target{}, rng: rand.New(rand.NewPCG(seed, uint64(os.Getpid())))}
+// NewDiscoveryClient makes a director; Start begins the watch.
+func NewDiscoveryClient(loop *eventloop.Loop, log *zap.Logger, addr netip.AddrPort, core *dispatch.Dispatcher, pool *Pool, zones, kinds []string, seed uint64) *DiscoveryClient {
+	return &DiscoveryClient{loop: loop, log: log, addr: addr, core: core, pool: pool, zones: zones, kinds: kinds,
+		known: map[string]Entry{}, rng: rand.New(rand.NewPCG(seed, uint64(os.Getpid())))}
 }
 
 // Start hands over the list of an earlier life, which may be out of date, and asks at once: what discovery has to tell
 // binds from the start on, and one that bides its time sends to backends that have gone. Where all start together
 // discovery takes their questions in turn; those it has no room for draw a pause, as after any refusal.
-func (d *Director) Start(known List) { d.StartFrom(d.addr, known) }
+func (d *DiscoveryClient) Start(known List) { d.StartWithList(d.addr, known) }
 
-// Held is the list as it is held now, for the process that takes this one's place.
-func (d *Director) Held() (addr netip.AddrPort, list List) {
-	list = List{Rev: d.rev, All: true}
+// List is the list as it is held now, for the process that takes this one's place.
+func (d *DiscoveryClient) List() (addr netip.AddrPort, list List) {
+	list = List{Revision: d.rev, Full: true}
 	for _, uid := range slices.Sorted(maps.Keys(d.known)) {
-		list.Targets = append(list.Targets, d.known[uid])
+		list.Entries = append(list.Entries, d.known[uid])
 	}
 	return d.addr, list
 }
 
-// StartFrom is Start with a list that another process was told by addr.
-func (d *Director) StartFrom(addr netip.AddrPort, known List) {
+// StartWithList is Start with a list that another process was told by addr.
+func (d *DiscoveryClient) StartWithList(addr netip.AddrPort, known List) {
 	d.apply(addr, known, loadbalancer.ListCached)
 	if addr == d.addr { // at once: the upgrade waits for it
 		d.on = d.open(false)
@@ -130,16 +130,16 @@
 	}
 }
 
-func (d *Director) spoke() {
-	if d.Spoke != nil {
-		d.Spoke()
-		d.Spoke = nil
+func (d *DiscoveryClient) spoke() {
+	if d.OnFirstContact != nil {
+		d.OnFirstContact()
+		d.OnFirstContact = nil
 	}
 }
 
-// Move watches another address, at once. The list held, and the watch that told it, stay until the new address
+// SetAddress watches another address, at once. The list held, and the watch that told it, stay until the new address
 // has spoken: it may never do so, or for a while know of nothing.
-func (d *Director) Move(addr netip.AddrPort) {
+func (d *DiscoveryClient) SetAddress(addr netip.AddrPort) {
 	if addr == d.addr {
 		return
 	}
@@ -155,14 +155,14 @@
 }
 
 // Watch and Fetch implement routing.Director: the watch runs by itself, for ever.
-func (d *Director) Watch(bool) {}
+func (d *DiscoveryClient) Watch(bool) {}
 
 // Fetch asks for nothing more: the watch brings the whole list where it must.
-func (d *Director) Fetch() {}
+func (d *DiscoveryClient) Fetch() {}
 
 // watch is one connection to discovery.
 type watch struct {
-	d       *Director
+	d       *DiscoveryClient
 	addr    netip.AddrPort
 	conn    *eventloop.Conn
 	whole   bool // asks for the whole list first: versions of another address mean nothing here
@@ -172,7 +172,7 @@
 	silence *eventloop.Timer
 }
 
-func (d *Director) open(whole bool) *watch {
+func (d *DiscoveryClient) open(whole bool) *watch {
 	d.Watches++
 	w := &watch{d: d, addr: d.addr, whole: whole}
 	w.conn = d.loop.Connect(d.addr, w)
@@ -215,12 +215,12 @@
 }
 
 // pause is how long to wait after a failure, which is one more.
-func (d *Director) pause(err error) float64 {
+func (d *DiscoveryClient) pause(err error) float64 {
 	back, after := afterLoss, 0.0
 	var refused *refusedError
 	if errors.As(err, &refused) {
-		back, after = afterRefusal(d.Fleet), refused.after
-		d.Refused++
+		back, after = afterRefusal(d.Instances), refused.after
+		d.Rejections++
 	}
 	span := min(math.Ldexp(back.first, d.fails), back.most)
 	if d.fails < 16 {
@@ -252,8 +252,8 @@
 func (w *watch) Data(*eventloop.Conn) {
 	w.heard()
 	w.d.last = w.d.loop.Now()
-	if w.d.Heard != nil {
-		w.d.Heard()
+	if w.d.OnContact != nil {
+		w.d.OnContact()
 	}
 	read := w.read
 	if w.whole {
@@ -268,7 +268,7 @@
 func (w *watch) list(ended bool) error {
 	d := w.d
 	r, n, err := parseResponse(w.conn.Bytes(), ended, MaxList)
-	if errors.Is(err, ErrMore) && !ended {
+	if errors.Is(err, ErrIncomplete) && !ended {
 		return nil
 	}
 	if err != nil {
@@ -278,11 +278,11 @@
 		return refusal(strconv.Itoa(r.Status), r.Header)
 	}
 	list, bad, err := ParseList(r.Body)
-	if err == nil && !list.All {
+	if err == nil && !list.Full {
 		err = errors.New("platform: list is not whole")
 	}
 	if err != nil {
-		d.Rejected++
+		d.BadLines++
 		return err
 	}
 	w.conn.Consume(n)
@@ -291,7 +291,7 @@
 	}
 	d.on, d.next, d.fails = w, nil, 0
 	w.whole = false
-	d.log.Info("director: moved", zap.Stringer("discovery", w.addr), zap.Int64("rev", list.Rev))
+	d.log.Info("director: moved", zap.Stringer("discovery", w.addr), zap.Int64("rev", list.Revision))
 	d.drop(bad)
 	d.apply(w.addr, list, loadbalancer.ListFull)
 	d.spoke()
@@ -308,7 +308,7 @@
 	c := w.conn
 	if !w.head {
 		line, header, n, err := parseHead(c.Bytes())
-		if errors.Is(err, ErrMore) {
+		if errors.Is(err, ErrIncomplete) {
 			return nil
 		}
 		if err != nil {
@@ -321,8 +321,8 @@
 		w.head = true
 	}
 	for {
-		chunk, n, last, err := NextChunk(c.Bytes(), MaxList)
-		if errors.Is(err, ErrMore) {
+		chunk, n, last, err := ParseChunk(c.Bytes(), MaxList)
+		if errors.Is(err, ErrIncomplete) {
 			return nil
 		}
 		if err != nil {
@@ -356,18 +356,18 @@
 func (w *watch) take(line []byte) error {
 	d := w.d
 	list, bad, err := ParseList(line)
-	if err == nil && list.Rev < w.rev {
-		err = fmt.Errorf("platform: list: version %d after %d", list.Rev, w.rev)
+	if err == nil && list.Revision < w.rev {
+		err = fmt.Errorf("platform: list: version %d after %d", list.Revision, w.rev)
 	}
 	if err != nil {
-		d.Rejected++
+		d.BadLines++
 		d.log.Warn("director: bad line, old list kept", zap.Error(err), zap.Int("bytes", len(line)))
 		return err
 	}
 	d.drop(bad)
-	w.rev, d.fails = list.Rev, 0
+	w.rev, d.fails = list.Revision, 0
 	kind := loadbalancer.ListDelta
-	if list.All {
+	if list.Full {
 		kind = loadbalancer.ListFull
 	}
 	d.apply(w.addr, list, kind)
@@ -376,7 +376,7 @@
 }
 
 // drop counts entries that made no sense, and names the first: one line of the log for a line of discovery.
-func (d *Director) drop(bad []error) {
+func (d *DiscoveryClient) drop(bad []error) {
 	if len(bad) == 0 {
 		return
 	}
@@ -387,31 +387,31 @@
 
 // apply hands a version of the list over, which addr has told. Whoever asks for versions hears of it last: what it withheld on
 // others' word stays so until what this version says is in force.
-func (d *Director) apply(addr netip.AddrPort, list List, kind loadbalancer.ListKind) {
-	d.rev = list.Rev
+func (d *DiscoveryClient) apply(addr netip.AddrPort, list List, kind loadbalancer.ListKind) {
+	d.rev = list.Revision
 	cached := kind == loadbalancer.ListCached
 	if kind == loadbalancer.ListFull {
 		// Whole as far as discovery goes: workers that another front lists stay, so what is missing is named.
 		missing := maps.Clone(d.known)
-		for _, t := range list.Targets {
+		for _, t := range list.Entries {
 			delete(missing, t.UID)
 		}
 		for _, uid := range list.dropped { // named, though nobody knows as what: it stays as it was
 			delete(missing, uid)
 		}
 		for _, uid := range slices.Sorted(maps.Keys(missing)) {
-			list.Targets = append(list.Targets, Target{UID: uid, State: "gone"})
+			list.Entries = append(list.Entries, Entry{UID: uid, State: "gone"})
 		}
 		kind = loadbalancer.ListDelta
 	}
-	members, listed := make([]dispatch.Member, 0, len(list.Targets)), map[loadbalancer.WorkerID]bool{}
-	for _, t := range list.Targets {
+	members, listed := make([]dispatch.Member, 0, len(list.Entries)), map[loadbalancer.WorkerID]bool{}
+	for _, t := range list.Entries {
 		if was, ok := d.known[t.UID]; ok && t.State == "gone" {
 			// It leaves as what it was, whatever its last entry lacks: what may have run there is bound to its cell.
 			t, t.State = was, "gone"
 		}
 		w := loadbalancer.Worker{ID: d.core.WorkerID(t.UID), Zone: place(d.zones, t.Zone), Kind: place(d.kinds, t.Kind),
-			Cell: t.Cell, State: states[t.State], Weight: t.Weight, StartedAt: t.BootMs / 1000}
+			Cell: t.Cell, State: states[t.State], Weight: t.Weight, StartedAt: t.StartedAtMs / 1000}
 		addr, _ := netip.ParseAddrPort(t.Endpoint)
 		members = append(members, dispatch.Member{Worker: w, Backend: d.pool.backend(w.ID, t.UID, addr), Name: t.UID})
 		if listed[w.ID] = w.State != loadbalancer.Departed; listed[w.ID] {
@@ -420,10 +420,10 @@
 			delete(d.known, t.UID)
 		}
 	}
-	d.log.Info("director: list", zap.Int64("rev", list.Rev), zap.Bool("all", list.All), zap.Int("entries", len(members)))
+	d.log.Info("director: list", zap.Int64("rev", list.Revision), zap.Bool("all", list.Full), zap.Int("entries", len(members)))
 	d.core.UpdateMembers(kind, members)
-	if d.Listed != nil {
-		d.Listed(addr, list.Rev, cached, list.Targets)
+	if d.OnVersion != nil {
+		d.OnVersion(addr, list.Revision, cached, list.Entries)
 	}
 	d.pool.keep(listed)
 }
--- a/internal/dispatcher/httpfront/director_test.go
+++ b/internal/dispatcher/httpfront/director_test.go
@@ -36,7 +36,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			least, most := make([]float64, len(tc.spans)), make([]float64, len(tc.spans))
 			for seed := range uint64(400) {
-				d := &Director{Fleet: tc.fleet, rng: rand.New(rand.NewPCG(seed, 0))}
+				d := &DiscoveryClient{Instances: tc.fleet, rng: rand.New(rand.NewPCG(seed, 0))}
 				for i, span := range tc.spans {
 					p := d.pause(tc.err)
 					if p < tc.after || p > tc.after+span {
@@ -67,16 +67,16 @@
 // list of an earlier life may name backends that have drained since.
 func TestWhoAsksAtOnce(t *testing.T) {
 	addr := netip.MustParseAddrPort("127.0.0.1:1")
-	known := List{Rev: 7, All: true, Targets: []Target{{UID: "a", Endpoint: "127.0.0.1:1", State: "ready"}}}
+	known := List{Revision: 7, Full: true, Entries: []Entry{{UID: "a", Endpoint: "127.0.0.1:1", State: "ready"}}}
 	for _, tc := range []struct {
 		name  string
-		start func(d *Director)
+		start func(d *DiscoveryClient)
 		want  uint64
 	}{
-		{"with a list", func(d *Director) { d.Start(known) }, 1},
-		{"with none", func(d *Director) { d.Start(List{}) }, 1},
-		{"in an upgrade", func(d *Director) { d.StartFrom(addr, known) }, 1},
-		{"moved meanwhile", func(d *Director) { d.Start(known); d.Move(netip.MustParseAddrPort("127.0.0.1:2")) }, 2},
+		{"with a list", func(d *DiscoveryClient) { d.Start(known) }, 1},
+		{"with none", func(d *DiscoveryClient) { d.Start(List{}) }, 1},
+		{"in an upgrade", func(d *DiscoveryClient) { d.StartWithList(addr, known) }, 1},
+		{"moved meanwhile", func(d *DiscoveryClient) { d.Start(known); d.SetAddress(netip.MustParseAddrPort("127.0.0.1:2")) }, 2},
 	} {
 		loop, err := eventloop.NewLoop(9)
 		if err != nil {
@@ -87,9 +87,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		pool := NewPool(loop, zap.NewNop(), Limits{})
-		pool.Serve(core)
-		d := NewDirector(loop, zap.NewNop(), addr, core, pool, []string{"z"}, []string{"k"}, 1)
+		pool := NewPool(loop, zap.NewNop(), PoolOptions{})
+		pool.SetDispatcher(core)
+		d := NewDiscoveryClient(loop, zap.NewNop(), addr, core, pool, []string{"z"}, []string{"k"}, 1)
 		if tc.start(d); d.Watches != tc.want || d.rev != 7 && tc.name != "with none" {
 			t.Errorf("%s: asked %d times at once, want %d; holds version %d", tc.name, d.Watches, tc.want, d.rev)
 		}
@@ -105,9 +105,9 @@
 			type question struct{ at, who int }
 			due := map[int][]int{} // by tick of 1/perSecond: who asks then
 			var queue []question
-			directors := make([]*Director, fleet)
+			directors := make([]*DiscoveryClient, fleet)
 			for i := range directors {
-				directors[i] = &Director{Fleet: fleet, rng: rand.New(rand.NewPCG(seed, uint64(i)))}
+				directors[i] = &DiscoveryClient{Instances: fleet, rng: rand.New(rand.NewPCG(seed, uint64(i)))}
 				due[0] = append(due[0], i)
 			}
 			informed, tick := 0, 0
--- a/internal/dispatcher/httpfront/front.go
+++ b/internal/dispatcher/httpfront/front.go
@@ -39,16 +39,16 @@
 
 // Front serves the clients' side of the platform's protocol, and the runners' call-backs at the same port.
 type Front struct {
-	Malformed, BadNews, Sessions, Slow uint64
+	Malformed, BadCallbacks, SessionsAccepted, TimedOut uint64
 
-	// Elsewhere asks the dispatcher's other process about a call-back that is not known here; false when there is none.
-	Elsewhere func(body []byte, done func()) bool
+	// ForwardCallback asks the dispatcher's other process about a call-back that is not known here; false when there is none.
+	ForwardCallback func(body []byte, done func()) bool
 
 	loop      *eventloop.Loop
 	log       *zap.Logger
 	core      *dispatch.Dispatcher
 	pool      *Pool
-	door      *admission.Door
+	door      *admission.Limiter
 	classes   map[string]class
 	sessions  slotmap.Map[*session]
 	calls     map[string]bool // ids of calls that are open
@@ -61,7 +61,7 @@
 	rests     uint64
 	lastNews  float64            // when bytes last came from any session
 	noted     map[string]float64 // when a kind of bad input was last logged
-	successor func(State, *eventloop.Conn) bool
+	successor func(SessionState, *eventloop.Conn) bool
 	comeBack  string // of a refusal that the decisions had no part in
 
 	comeBackIn float64 // the same, in seconds
@@ -74,7 +74,7 @@
 }
 
 // NewFront makes the front.
-func NewFront(loop *eventloop.Loop, log *zap.Logger, core *dispatch.Dispatcher, pool *Pool, door *admission.Door, set *loadbalancer.Settings) *Front {
+func NewFront(loop *eventloop.Loop, log *zap.Logger, core *dispatch.Dispatcher, pool *Pool, door *admission.Limiter, set *loadbalancer.Settings) *Front {
 	f := &Front{loop: loop, log: log, core: core, pool: pool, door: door, classes: map[string]class{}, calls: map[string]bool{},
 		noted: map[string]float64{}}
 	for i, c := range set.Classes {
@@ -88,12 +88,12 @@
 
 // Accept owns a new connection. One for which there is no room takes the place of a session that has shown less.
 func (f *Front) Accept(c *eventloop.Conn) eventloop.Handler {
-	f.Sessions++
+	f.SessionsAccepted++
 	s := &session{f: f, conn: c, from: c.Peer().Addr().Unmap(), entered: f.loop.Now()}
 	s.backend = f.pool.at(s.from)
 	s.h = f.sessions.Insert(s)
 	s.rest()
-	if !f.door.Enter(s.from, func(may func(netip.Addr) bool) bool {
+	if !f.door.Admit(s.from, func(may func(netip.Addr) bool) bool {
 		return f.shed(func(o *session) bool { return o != s && may(o.from) })
 	}) && !s.backend { // what is out can end by call-backs alone: they are never turned away
 		s.turn("too many connections")
@@ -101,8 +101,8 @@
 	return s
 }
 
-// ShedIdle closes the client session that can best be spared; false when there is none.
-func (f *Front) ShedIdle() bool { return f.shed(func(*session) bool { return true }) }
+// EvictIdle closes the client session that can best be spared; false when there is none.
+func (f *Front) EvictIdle() bool { return f.shed(func(*session) bool { return true }) }
 
 // shed closes one of the sessions that may be closed: first one that has never handed in anything, then one that
 // never came to the end of its first request, and only then one that rests between requests, those with call-backs
@@ -158,12 +158,12 @@
 	}
 }
 
-// Shut has new jobs refused, with when to come back, and fails the check of health; or takes them again. Unlike Evacuate it closes
+// SetRejecting has new jobs refused, with when to come back, and fails the check of health; or takes them again. Unlike Evacuate it closes
 // no session: what is open ends here, and clients see by the check where else to go.
-func (f *Front) Shut(on bool) { f.shut = on }
+func (f *Front) SetRejecting(on bool) { f.shut = on }
 
-// Leaving is since when the front is evacuated; 0 is not.
-func (f *Front) Leaving() float64 { return f.leaving }
+// EvacuatedSince is since when the front is evacuated; 0 is not.
+func (f *Front) EvacuatedSince() float64 { return f.leaving }
 
 func (f *Front) sweep() {
 	f.emptying = true
@@ -178,9 +178,9 @@
 	f.sweeping = f.loop.At(now+sweepEvery, f.sweep)
 }
 
-// Quiet says whether no client waits for an answer or for the rest of one, and none has spoken for a moment:
+// Idle says whether no client waits for an answer or for the rest of one, and none has spoken for a moment:
 // a request that is just arriving counts as taken.
-func (f *Front) Quiet() bool {
+func (f *Front) Idle() bool {
 	quiet := f.loop.Now() >= f.lastNews+quietTime
 	f.sessions.Each(func(_ slotmap.Handle, s *session) {
 		quiet = quiet && (s.idle() || !s.asked && s.call == "" && !s.waits)
@@ -197,13 +197,13 @@
 	return false
 }
 
-// Told takes a call-back that the other process got; false when nobody here knows it.
-func (f *Front) Told(body []byte) bool {
-	n, err := ParseNews(body)
+// HandleForwardedCallback takes a call-back that the other process got; false when nobody here knows it.
+func (f *Front) HandleForwardedCallback(body []byte) bool {
+	n, err := ParseCallback(body)
 	if err != nil || !f.pool.Knows(&n) {
 		return false
 	}
-	f.pool.News(n)
+	f.pool.HandleCallback(n)
 	return true
 }
 
--- a/internal/dispatcher/httpfront/handover.go
+++ b/internal/dispatcher/httpfront/handover.go
@@ -5,17 +5,17 @@
 	"cinderroad/internal/shared/slotmap"
 )
 
-// State is what a client session has shown, for the process that takes it over.
-type State struct {
-	Asked   bool    `json:"asked,omitempty"`
-	Whole   bool    `json:"whole,omitempty"`
-	Told    bool    `json:"told,omitempty"`
-	Entered float64 `json:"entered"`
+// SessionState is what a client session has shown, for the process that takes it over.
+type SessionState struct {
+	HasRequested bool    `json:"asked,omitempty"`
+	HasSent      bool    `json:"whole,omitempty"`
+	HasCallback  bool    `json:"told,omitempty"`
+	AcceptedAt   float64 `json:"entered"`
 }
 
-// HandOver has the successor take each session as it comes to rest, with what has come and was not read; a session that it
+// SetSuccessor has the successor take each session as it comes to rest, with what has come and was not read; a session that it
 // does not take stays for now. Without a successor (nil) they stay for good.
-func (f *Front) HandOver(successor func(State, *eventloop.Conn) bool) {
+func (f *Front) SetSuccessor(successor func(SessionState, *eventloop.Conn) bool) {
 	if f.successor = successor; successor != nil {
 		f.OfferSessions()
 	}
@@ -26,15 +26,15 @@
 	f.sessions.Each(func(_ slotmap.Handle, s *session) { s.offer() })
 }
 
-// Left is how many sessions are still here.
-func (f *Front) Left() int { return f.sessions.Len() }
+// SessionCount is how many sessions are still here.
+func (f *Front) SessionCount() int { return f.sessions.Len() }
 
 // offer gives the session to the successor, if it rests and there is one that takes it.
 func (s *session) offer() bool {
 	if s.f.successor == nil || s.call != "" || s.waits || s.conn.Unsent() > 0 || !s.conn.Open() {
 		return false
 	}
-	if !s.f.successor(State{s.asked, s.whole, s.told, s.entered}, s.conn) {
+	if !s.f.successor(SessionState{s.asked, s.whole, s.told, s.entered}, s.conn) {
 		return false
 	}
 	s.leave()
@@ -42,12 +42,12 @@
 }
 
 // Adopt owns a session of the process before this one.
-func (f *Front) Adopt(state State, c *eventloop.Conn) eventloop.Handler {
-	s := &session{f: f, conn: c, from: c.Peer().Addr().Unmap(), entered: state.Entered, asked: state.Asked,
-		whole: state.Whole, told: state.Told}
+func (f *Front) Adopt(state SessionState, c *eventloop.Conn) eventloop.Handler {
+	s := &session{f: f, conn: c, from: c.Peer().Addr().Unmap(), entered: state.AcceptedAt, asked: state.HasRequested,
+		whole: state.HasSent, told: state.HasCallback}
 	s.backend = f.pool.at(s.from)
 	s.h = f.sessions.Insert(s)
-	f.door.Book(s.from)
+	f.door.Register(s.from)
 	if s.asked {
 		f.asking++
 	}
--- a/internal/dispatcher/httpfront/http.go
+++ b/internal/dispatcher/httpfront/http.go
@@ -17,8 +17,8 @@
 	MaxBody = 64 << 10
 )
 
-// ErrMore says that the message is not whole yet.
-var ErrMore = httpwire.ErrIncomplete
+// ErrIncomplete says that the message is not whole yet.
+var ErrIncomplete = httpwire.ErrIncomplete
 
 // SyntaxError is a message that breaks HTTP or the bounds; Status is what a server answers to it.
 type SyntaxError = httpwire.SyntaxError
@@ -42,13 +42,13 @@
 	Close  bool
 }
 
-// ParseRequest reads one request from the start of b and tells how many bytes it took; ErrMore asks for more.
+// ParseRequest reads one request from the start of b and tells how many bytes it took; ErrIncomplete asks for more.
 func ParseRequest(b []byte) (q Request, n int, err error) {
 	if n, err = httpwire.SkipBlankLines(b); err != nil {
 		return q, 0, err
 	}
 	line, header, head, err := parseHead(b[n:])
-	if errors.Is(err, ErrMore) && !httpwire.IsMessagePrefix(b[n:]) {
+	if errors.Is(err, ErrIncomplete) && !httpwire.IsMessagePrefix(b[n:]) {
 		return q, 0, httpwire.NewSyntaxError(400, "request line") // no more bytes can mend it
 	}
 	if err != nil {
@@ -101,7 +101,7 @@
 			return p, 0, httpwire.NewSyntaxError(502, "body too large")
 		}
 		if !ended {
-			return p, 0, ErrMore
+			return p, 0, ErrIncomplete
 		}
 		p.Body = bytes.Clone(b[n:])
 		return p, len(b), nil
@@ -119,8 +119,8 @@
 	return httpwire.ParseHead(b, MaxHead)
 }
 
-// AwaitsContinue says whether b holds a whole head whose sender waits for a word before it sends the body.
-func AwaitsContinue(b []byte) bool {
+// ExpectsContinue says whether b holds a whole head whose sender waits for a word before it sends the body.
+func ExpectsContinue(b []byte) bool {
 	_, header, n, err := parseHead(b)
 	return err == nil && n == len(b) && strings.EqualFold(header.Get("Expect"), "100-continue")
 }
@@ -148,7 +148,7 @@
 		return nil, 0, httpwire.NewSyntaxError(413, "body too large")
 	}
 	if int64(len(b)) < size {
-		return nil, 0, ErrMore
+		return nil, 0, ErrIncomplete
 	}
 	return bytes.Clone(b[:size]), int(size), nil
 }
@@ -156,8 +156,8 @@
 // parseChunks reads a chunked body. What frames the chunks is bounded too, or it would be held without end.
 func parseChunks(b []byte, limit int) (body []byte, n int, err error) {
 	for {
-		chunk, m, last, err := NextChunk(b[n:], limit)
-		if errors.Is(err, ErrMore) && len(b) > 2*limit+MaxHead {
+		chunk, m, last, err := ParseChunk(b[n:], limit)
+		if errors.Is(err, ErrIncomplete) && len(b) > 2*limit+MaxHead {
 			return nil, 0, httpwire.NewSyntaxError(413, "body too large")
 		}
 		if err != nil {
@@ -173,8 +173,8 @@
 	}
 }
 
-// NextChunk reads one chunk of a chunked body, of at most limit bytes; last marks the end of the body, its trailer included.
-func NextChunk(b []byte, limit int) (chunk []byte, n int, last bool, err error) {
+// ParseChunk reads one chunk of a chunked body, of at most limit bytes; last marks the end of the body, its trailer included.
+func ParseChunk(b []byte, limit int) (chunk []byte, n int, last bool, err error) {
 	return httpwire.ParseChunk(b, limit)
 }
 
--- a/internal/dispatcher/httpfront/link.go
+++ b/internal/dispatcher/httpfront/link.go
@@ -82,8 +82,8 @@
 	}
 	l.since = l.b.pool.loop.Now()
 	l.b.idle = append(l.b.idle, l)
-	// The backend closes at ConnIdle at the latest, and a request that crosses the close is lost: be first.
-	l.timeout = l.b.pool.loop.At(l.since+0.8*l.b.pool.limits.ConnIdle, l.end)
+	// The backend closes at IdleTimeout at the latest, and a request that crosses the close is lost: be first.
+	l.timeout = l.b.pool.loop.At(l.since+0.8*l.b.pool.limits.IdleTimeout, l.end)
 }
 
 // end closes the link from our side.
@@ -125,7 +125,7 @@
 // answer takes the whole answer, if it has come; ended says that no more will.
 func (l *link) answer(ended bool) (took bool) {
 	r, n, err := ParseResponse(l.conn.Bytes(), ended)
-	if errors.Is(err, ErrMore) {
+	if errors.Is(err, ErrIncomplete) {
 		return false
 	}
 	if err != nil {
@@ -150,13 +150,13 @@
 	switch {
 	case x == nil: // given up, or ended by a call-back that came before the answer
 	case x.probe != nil:
-		result, load := loadbalancer.OK, Load(nil)
+		result, load := loadbalancer.OK, LoadReport(nil)
 		if r.Status != 200 {
 			result = loadbalancer.Error
-		} else if load = ParseLoad(string(r.Body)); load == nil {
-			load = ParseLoad(r.Header.Get("X-Load-Report"))
+		} else if load = ParseLoadReport(string(r.Body)); load == nil {
+			load = ParseLoadReport(r.Header.Get("X-Load-Report"))
 		}
-		x.probe(result, load.Values(l.b.pool.limits.Fields))
+		x.probe(result, load.Values(l.b.pool.limits.ReportFields))
 	case x.attempt != nil:
 		l.b.pool.replied(x.attempt, &r)
 	}
@@ -174,7 +174,7 @@
 		// Dead at the request after a rest: the connection's end, not the backend's. Those that have rested
 		// longer are as dead.
 		l.b.wear.saw(l.b.pool.loop.Now(), l.rested, 1)
-		l.b.pool.Worn++
+		l.b.pool.StaleConnections++
 		l.b.closeIdle()
 		if x := l.job; x != nil && x.attempt == nil { // harmless to repeat
 			l.job, l.busy = nil, false
--- a/internal/dispatcher/httpfront/parse_test.go
+++ b/internal/dispatcher/httpfront/parse_test.go
@@ -45,7 +45,7 @@
 		var syntax *SyntaxError
 		if errors.As(err, &syntax) {
 			status = syntax.Status
-		} else if errors.Is(err, ErrMore) {
+		} else if errors.Is(err, ErrIncomplete) {
 			status = -1
 		}
 		if status != tc.status || err == nil && (string(q.Body) != tc.body || tc.in[n:] != tc.rest || q.Close != tc.close) {
@@ -104,14 +104,14 @@
 	} {
 		l, bad, err := ParseList(fmt.Appendf(nil, `{"rev":1,"all":%v,"targets":[%s]}`, tc.all, tc.targets))
 		var got []string
-		for _, e := range l.Targets {
+		for _, e := range l.Entries {
 			got = append(got, e.UID+" "+e.State)
 		}
 		if (err == nil) != tc.ok || strings.Join(got, ",") != tc.want || len(bad) != tc.bad {
 			t.Errorf("list %s: %v, bad %v, taken %v", tc.name, err, bad, got)
 		}
 	}
-	n, err := ParseNews([]byte(`{"id":"a","from":"b","state":"done","result":"q\"\u00e9\n","load":{"util":0.5,"inflight":3,"x0":2}}`))
+	n, err := ParseCallback([]byte(`{"id":"a","from":"b","state":"done","result":"q\"\u00e9\n","load":{"util":0.5,"inflight":3,"x0":2}}`))
 	if err != nil || n.Result != "q\"é\n" {
 		t.Errorf("result %q, %v", n.Result, err)
 	}
@@ -120,7 +120,7 @@
 		t.Errorf("load (-want +got):\n%s", diff)
 	}
 	for _, text := range []string{`{}`, `{"id":"a","from":"b"}`, `[]`, `{"id":"a","from":"b","state":7}`} {
-		if _, err := ParseNews([]byte(text)); err == nil {
+		if _, err := ParseCallback([]byte(text)); err == nil {
 			t.Errorf("call-back %s was taken", text)
 		}
 	}
@@ -146,7 +146,7 @@
 func TestCutAnywhere(t *testing.T) {
 	request := func(b []byte) error { _, _, err := ParseRequest(b); return err }
 	response := func(b []byte) error { _, _, err := ParseResponse(b, false); return err }
-	chunk := func(b []byte) error { _, _, _, err := NextChunk(b, MaxList); return err }
+	chunk := func(b []byte) error { _, _, _, err := ParseChunk(b, MaxList); return err }
 	for _, tc := range []struct {
 		text  string
 		parse func([]byte) error
@@ -159,7 +159,7 @@
 		{"0\r\nA: b\r\n\r\n", chunk},
 	} {
 		for n := range len(tc.text) {
-			if err := tc.parse([]byte(tc.text[:n])); !errors.Is(err, ErrMore) {
+			if err := tc.parse([]byte(tc.text[:n])); !errors.Is(err, ErrIncomplete) {
 				t.Errorf("%q, cut at %d: %v", tc.text, n, err)
 			}
 		}
--- a/internal/dispatcher/httpfront/pool.go
+++ b/internal/dispatcher/httpfront/pool.go
@@ -16,22 +16,22 @@
 	Body                                      []byte
 }
 
-// Limits are the settings that bind connections to backends.
-type Limits struct {
+// PoolOptions are the settings that bind connections to backends.
+type PoolOptions struct {
 	ConnectTimeout float64
-	ConnIdle       float64
+	IdleTimeout    float64
 	ProbeTimeout   float64
-	Fields         []string // of load reports
+	ReportFields   []string // of load reports
 }
 
 // Pool is all backends of the platform: their connections and the fetches that are out.
 type Pool struct {
-	StrayNews, Dialed, Worn uint64
+	StrayCallbacks, Connects, StaleConnections uint64
 
 	loop     *eventloop.Loop
 	log      *zap.Logger
 	core     *dispatch.Dispatcher
-	limits   Limits
+	limits   PoolOptions
 	backends map[loadbalancer.WorkerID]*backend
 	live     map[newsKey]*attempt // by what a call-back names
 	byFetch  map[dispatch.AttemptID]*attempt
@@ -42,13 +42,13 @@
 type newsKey struct{ id, from string }
 
 // NewPool makes an empty pool; Core must be set before the first list.
-func NewPool(loop *eventloop.Loop, log *zap.Logger, limits Limits) *Pool {
+func NewPool(loop *eventloop.Loop, log *zap.Logger, limits PoolOptions) *Pool {
 	return &Pool{loop: loop, log: log, limits: limits,
 		backends: map[loadbalancer.WorkerID]*backend{}, live: map[newsKey]*attempt{}, byFetch: map[dispatch.AttemptID]*attempt{}}
 }
 
-// Serve names the core that the pool reports to.
-func (p *Pool) Serve(core *dispatch.Dispatcher) { p.core = core }
+// SetDispatcher names the core that the pool reports to.
+func (p *Pool) SetDispatcher(core *dispatch.Dispatcher) { p.core = core }
 
 // backend finds a backend or makes it; one that has moved loses its idle connections.
 func (p *Pool) backend(id loadbalancer.WorkerID, uid string, addr netip.AddrPort) *backend {
@@ -85,8 +85,8 @@
 	return false
 }
 
-// ShedIdle closes the connection that has been idle longest; false when none is idle.
-func (p *Pool) ShedIdle() bool {
+// EvictIdle closes the connection that has been idle longest; false when none is idle.
+func (p *Pool) EvictIdle() bool {
 	var oldest *link
 	for _, b := range p.backends {
 		if len(b.idle) > 0 && (oldest == nil || b.idle[0].since < oldest.since) {
@@ -132,7 +132,7 @@
 	if r.Status == 202 {
 		return // call-backs tell the rest
 	}
-	e := dispatch.Outcome{Result: loadbalancer.Error, Report: ParseLoad(r.Header.Get("X-Load-Report")).Values(p.limits.Fields)}
+	e := dispatch.Outcome{Result: loadbalancer.Error, Report: ParseLoadReport(r.Header.Get("X-Load-Report")).Values(p.limits.ReportFields)}
 	switch {
 	case (r.Status == 503 || r.Status == 504) && r.Header.Get("X-Rejected") == "1":
 		e.Result = loadbalancer.Rejected
@@ -143,23 +143,23 @@
 }
 
 // Knows says whether a call-back names a fetch that is out.
-func (p *Pool) Knows(n *News) bool { return p.live[newsKey{n.ID, n.From}] != nil }
+func (p *Pool) Knows(n *Callback) bool { return p.live[newsKey{n.ID, n.Runner}] != nil }
 
-// News takes a call-back. It may repeat one that was taken, or speak of a fetch that is over or of an
+// HandleCallback takes a call-back. It may repeat one that was taken, or speak of a fetch that is over or of an
 // earlier life's: those find nothing and change nothing.
-func (p *Pool) News(n News) {
-	a := p.live[newsKey{n.ID, n.From}]
+func (p *Pool) HandleCallback(n Callback) {
+	a := p.live[newsKey{n.ID, n.Runner}]
 	if a == nil || !a.written() {
-		p.StrayNews++
+		p.StrayCallbacks++
 		return
 	}
-	e := dispatch.Outcome{Report: n.Load.Values(p.limits.Fields)}
+	e := dispatch.Outcome{Report: n.Load.Values(p.limits.ReportFields)}
 	switch n.State {
 	case "started":
 		p.core.HandleStarted(a.id)
 		return
 	case "running":
-		p.core.HandleProgress(a.id, n.Share)
+		p.core.HandleProgress(a.id, n.Progress)
 		return
 	case "done":
 		e.Result, e.Body = loadbalancer.OK, []byte(n.Result)
--- a/internal/dispatcher/httpfront/session.go
+++ b/internal/dispatcher/httpfront/session.go
@@ -77,13 +77,13 @@
 	}
 	if s.whole {
 		s.expect(s.f.loop.Now()+idleTimeout, s.end)
-		if s.asked && s.f.asking > s.f.door.Resting() {
+		if s.asked && s.f.asking > s.f.door.IdleThreshold() {
 			s.f.shed(func(o *session) bool { return o.asked && o != s })
 		}
 		return
 	}
-	s.expect(s.entered+admission.FreshTime, func() {
-		s.f.Slow++
+	s.expect(s.entered+admission.FirstMessageTimeout, func() {
+		s.f.TimedOut++
 		s.turn("no request came in time")
 	})
 }
@@ -108,7 +108,7 @@
 func (s *session) leave() {
 	s.timeout.Stop()
 	if s.f.sessions.Remove(s.h) {
-		s.f.door.Leave(s.from)
+		s.f.door.Unregister(s.from)
 		if s.asked {
 			s.f.asking--
 		}
@@ -120,7 +120,7 @@
 func (s *session) free() {
 	if s.call != "" {
 		delete(s.f.calls, s.call)
-		s.f.door.Release(s.held)
+		s.f.door.ReleaseJob(s.held)
 		s.call = ""
 	}
 }
@@ -161,10 +161,10 @@
 		}
 		q, n, err := ParseRequest(s.conn.Bytes())
 		switch {
-		case errors.Is(err, ErrMore) && s.f.door.Crowded():
+		case errors.Is(err, ErrIncomplete) && s.f.door.BuffersFull():
 			s.reject(503, "no memory to wait for the rest")
 			return
-		case errors.Is(err, ErrMore):
+		case errors.Is(err, ErrIncomplete):
 			s.wait()
 			return
 		case err != nil:
@@ -190,19 +190,19 @@
 // wait bounds how long the rest of a request may take, from its first byte: bytes that come now and then must
 // not hold the session for ever.
 func (s *session) wait() {
-	if AwaitsContinue(s.conn.Bytes()) {
+	if ExpectsContinue(s.conn.Bytes()) {
 		s.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	if s.began > 0 {
 		return
 	}
 	s.began = s.f.loop.Now()
-	ends := s.began + admission.WholeTime
+	ends := s.began + admission.MessageTimeout
 	if !s.whole {
-		ends = min(ends, s.entered+admission.FreshTime)
+		ends = min(ends, s.entered+admission.FirstMessageTimeout)
 	}
 	s.expect(ends, func() {
-		s.f.Slow++
+		s.f.TimedOut++
 		s.reject(408, "request not whole in time")
 	})
 }
@@ -254,17 +254,17 @@
 // news takes a call-back; whatever it says it has been heard, so that the runner does not try again. One that is not
 // known here may be of a fetch of the other process: it has been heard once that has it, or nobody does.
 func (s *session) news(q *Request) {
-	n, err := ParseNews(q.Body)
+	n, err := ParseCallback(q.Body)
 	if err != nil || q.Method != "POST" {
-		s.f.BadNews++
+		s.f.BadCallbacks++
 		if s.f.rare("news") {
-			s.f.log.Warn("backend: bad call-back", zap.Error(err), zap.Uint64("so_far", s.f.BadNews))
+			s.f.log.Warn("backend: bad call-back", zap.Error(err), zap.Uint64("so_far", s.f.BadCallbacks))
 		}
 		s.reply(400, "", nil)
 		return
 	}
 	s.told = true
-	if h := s.h; s.f.Elsewhere != nil && !s.f.pool.Knows(&n) && s.f.Elsewhere(q.Body, func() {
+	if h := s.h; s.f.ForwardCallback != nil && !s.f.pool.Knows(&n) && s.f.ForwardCallback(q.Body, func() {
 		if _, open := s.f.sessions.Get(h); open && s.waits {
 			s.waits = false
 			s.reply(204, "", nil)
@@ -279,7 +279,7 @@
 		return
 	}
 	s.reply(204, "", nil)
-	s.f.pool.News(n)
+	s.f.pool.HandleCallback(n)
 }
 
 // take hands a client's job to the core.
@@ -319,7 +319,7 @@
 	case s.f.shut:
 		s.refuse(&call, class, dispatch.ReasonLeaseExpired, "out of lease\n")
 		return
-	case !s.f.door.Hold(len(call.Body)):
+	case !s.f.door.ReserveJob(len(call.Body)):
 		s.refuse(&call, class, dispatch.ReasonNoMemory, "")
 		return
 	}
--- a/internal/dispatcher/server/compatibility_test.go
+++ b/internal/dispatcher/server/compatibility_test.go
@@ -42,8 +42,8 @@
 // TestReadsHandovers: the bodies of the frames by which a process takes another one's place, and the file of its socket.
 func TestReadsHandovers(t *testing.T) {
 	readsJSON(t, "hello.json", hello{Figures: true})
-	list := httpfront.List{Rev: 12, All: true, Targets: []httpfront.Target{{UID: "u", Endpoint: "10.0.0.1:80", Zone: "m", Kind: "k", Cell: 2,
-		State: "ready", Weight: 1.5, BootMs: 1700000000000}}}
+	list := httpfront.List{Revision: 12, Full: true, Entries: []httpfront.Entry{{UID: "u", Endpoint: "10.0.0.1:80", Zone: "m", Kind: "k", Cell: 2,
+		State: "ready", Weight: 1.5, StartedAtMs: 1700000000000}}}
 	readsJSON(t, "state.json", state{Discovery: "10.0.0.9:8500", List: list, Out: excluded, Evacuated: 12.5,
 		Learnt: loadbalancer.Snapshot{WorkByClass: []float64{1}, ZoneLatencies: []float64{2}, Pace: 3, RunTime: 4, SlotsPerJob: 5, ReportPeriod: 6, PlannedAt: 7,
 			Kinds: map[int]loadbalancer.KindSnapshot{1: {Pace: 0.5, Slots: 8}}, Workers: map[loadbalancer.WorkerID]*loadbalancer.WorkerSnapshot{9: {StartedAt: 1}}},
@@ -85,8 +85,8 @@
 func TestCountsKeepTheirNames(t *testing.T) {
 	readsJSON(t, "counts.json", dispatch.Counts{Requests: 1, Served: 2, Rejected: 3, Failed: 4, Disconnected: 5, Attempts: 6, Retries: 7, Cancellations: 8, Probes: 9,
 		Results: [8]uint64{10, 11, 12, 13, 14, 15, 16, 17}, InvalidJobs: 18, Overdue: 19, OpenRequests: 20, OpenAttempts: 21})
-	readsJSON(t, "counts-gearman.json", gearman.Counts{Jobs: 1, Background: 2, Coalesced: 3, Served: 4, Refused: 5, Failed: 6, Gone: 7,
-		BackgroundEnded: 8, Returned: 9, BadPackets: 10, StrayWork: 11, Slow: 12})
+	readsJSON(t, "counts-gearman.json", gearman.Counts{Jobs: 1, Background: 2, Coalesced: 3, Served: 4, Rejected: 5, Failed: 6, Abandoned: 7,
+		BackgroundEnded: 8, Requeued: 9, BadPackets: 10, StrayWork: 11, TimedOut: 12})
 }
 
 // TestReadsConfigs: the file that a dispatcher is started with, and the environment that goes before it.
@@ -118,7 +118,7 @@
 		if d := cmp.Diff(c.want, got); d != "" {
 			t.Error(d)
 		}
-		numbers := []any{read.seed, read.Limits.Cores, read.Limits.MemoryMB, read.Limits.Sockets, read.Known.Rev, read.Known.Targets[0].UID,
+		numbers := []any{read.seed, read.Limits.Cores, read.Limits.MemoryMB, read.Limits.Sockets, read.Known.Revision, read.Known.Entries[0].UID,
 			read.names.Limits.ConnIdleS, read.names.Limits.ConnectTimeoutS}
 		if d := cmp.Diff([]any{uint64(255), 0.5, 64, 2048, int64(3), "u", 7.0, 0.25}, numbers); d != "" {
 			t.Error(d)
--- a/internal/dispatcher/server/config.go
+++ b/internal/dispatcher/server/config.go
@@ -31,7 +31,7 @@
 	Settings json.RawMessage `json:"settings"`
 
 	Operator *operatorconfig.File `json:"-"` // never nil
-	short    Short
+	short    Shorthand
 
 	path, gearmanPath string // where it was read from
 	tmp               string // where files of its own may stand; empty: nowhere
@@ -62,7 +62,7 @@
 
 // ReadGearman reads the operator's file that turns the Gearman front on.
 func (c *Config) ReadGearman(path string) (err error) {
-	n := gearman.Names{Classes: c.classes(), Zones: c.names.FailureDomains, Kinds: c.names.Kinds}
+	n := gearman.SettingsNames{Classes: c.classes(), Zones: c.names.FailureDomains, Kinds: c.names.Kinds}
 	for _, class := range c.brain.Classes {
 		n.Deadlines = append(n.Deadlines, class.Deadline)
 	}
@@ -71,16 +71,16 @@
 	return err
 }
 
-// Short are the command line's short forms for what the operator's file says at length.
-type Short struct {
+// Shorthand are the command line's short forms for what the operator's file says at length.
+type Shorthand struct {
 	Operator string  // path of the file; empty: none
 	Graphite string  // address of a Graphite receiver, besides those of the file
 	Collectd string  // path of a collectd's unix socket, likewise
-	Every    float64 // seconds that a period lasts; 0: as the file says
+	Interval float64 // seconds that a period lasts; 0: as the file says
 }
 
 // ReadOperator reads the operator's file and adds the short forms.
-func (c *Config) ReadOperator(s Short) (err error) {
+func (c *Config) ReadOperator(s Shorthand) (err error) {
 	f := operatorconfig.Default()
 	if s.Operator != "" {
 		if f, err = operatorconfig.Read(s.Operator); err != nil {
@@ -98,8 +98,8 @@
 	if s.Collectd != "" {
 		f.Collectd = append(f.Collectd, operatorconfig.Collectd{Socket: s.Collectd, Security: "none", Patience: operatorconfig.DefaultPatience})
 	}
-	if s.Every > 0 {
-		f.Telemetry.Every = s.Every
+	if s.Interval > 0 {
+		f.Telemetry.Every = s.Interval
 	}
 	c.Operator, c.short = f, s
 	return nil
--- a/internal/dispatcher/server/describe.go
+++ b/internal/dispatcher/server/describe.go
@@ -62,7 +62,7 @@
 	line("limits", "%d sockets, %d MB", c.Limits.Sockets, c.Limits.MemoryMB)
 	line("classes", "%s", strings.Join(c.classes(), ", "))
 	line("data centres", "%s", strings.Join(c.names.FailureDomains, ", "))
-	line("known nodes", "%d", len(c.Known.Targets))
+	line("known nodes", "%d", len(c.Known.Entries))
 	if c.gearman != nil {
 		line("gearman", "%s, %d functions", c.gearman.Listen, len(c.gearman.Functions))
 	} else {
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// WriteFigures writes the page of all series, docs/figures.md.
-func WriteFigures(w io.Writer) error {
+// WriteMetricsPage writes the page of all series, docs/figures.md.
+func WriteMetricsPage(w io.Writer) error {
 	var b strings.Builder
 	b.WriteString(`# Figures
 
@@ -123,7 +123,7 @@
 | name | kind | unit | meaning |
 |---|---|---|---|
 `)
-	for _, d := range Docs() {
+	for _, d := range MetricDocs() {
 		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", d.Pattern, d.Kind, d.Unit, d.Help)
 	}
 	_, err := io.WriteString(w, b.String())
--- a/internal/dispatcher/server/figures.go
+++ b/internal/dispatcher/server/figures.go
@@ -23,7 +23,7 @@
 }
 
 // addFigures adds what the parts of the program count themselves. Nothing is asked of p before the end of a period.
-func addFigures(p *Program, set *telemetry.Set) {
+func addFigures(p *Server, set *telemetry.Set) {
 	a := adder{set}
 	core := func(get func(*dispatch.Counts) uint64) func() uint64 {
 		return func() uint64 { n := p.core.Counts(); return get(&n) }
@@ -44,32 +44,32 @@
 		a.counter("fetches.end_"+name, "attempts", "Attempts that ended as "+name+".", core(func(n *dispatch.Counts) uint64 { return n.Results[result] }))
 	}
 	a.counter("fetches.probes", "probes", "Nodes asked for health and load.", core(func(n *dispatch.Counts) uint64 { return n.Probes }))
-	a.counter("backends.connections_opened", "connections", "Connections opened to backends.", func() uint64 { return p.pool.Dialed })
-	a.counter("backends.worn_connections", "connections", "Connections that had rested and were found dead.", func() uint64 { return p.pool.Worn })
-	a.counter("backends.stray_news", "call-backs", "Call-backs that matched nothing that is out.", func() uint64 { return p.pool.StrayNews })
-	a.counter("backends.bad_news", "call-backs", "Call-backs that made no sense.", func() uint64 { return p.front.BadNews })
-	a.counter("clients.sessions_opened", "sessions", "Connections accepted from clients.", func() uint64 { return p.front.Sessions })
+	a.counter("backends.connections_opened", "connections", "Connections opened to backends.", func() uint64 { return p.pool.Connects })
+	a.counter("backends.worn_connections", "connections", "Connections that had rested and were found dead.", func() uint64 { return p.pool.StaleConnections })
+	a.counter("backends.stray_news", "call-backs", "Call-backs that matched nothing that is out.", func() uint64 { return p.pool.StrayCallbacks })
+	a.counter("backends.bad_news", "call-backs", "Call-backs that made no sense.", func() uint64 { return p.front.BadCallbacks })
+	a.counter("clients.sessions_opened", "sessions", "Connections accepted from clients.", func() uint64 { return p.front.SessionsAccepted })
 	a.counter("clients.malformed", "requests", "Requests answered 4xx.", func() uint64 { return p.front.Malformed })
-	a.counter("clients.slow", "sessions", "Sessions closed since a request was not whole in time.", func() uint64 { return p.front.Slow })
-	a.counter("clients.turned_away", "sessions", "Sessions turned away for want of room.", func() uint64 { return p.door.Turned })
-	a.counter("program.reloads", "reloads", "Reloads taken.", func() uint64 { return p.Reloads.Taken })
-	a.counter("program.reloads_refused", "reloads", "Reloads refused, the old configuration kept.", func() uint64 { return p.Reloads.Refused })
+	a.counter("clients.slow", "sessions", "Sessions closed since a request was not whole in time.", func() uint64 { return p.front.TimedOut })
+	a.counter("clients.turned_away", "sessions", "Sessions turned away for want of room.", func() uint64 { return p.door.Rejected })
+	a.counter("program.reloads", "reloads", "Reloads taken.", func() uint64 { return p.Reloads.Applied })
+	a.counter("program.reloads_refused", "reloads", "Reloads refused, the old configuration kept.", func() uint64 { return p.Reloads.Rejected })
 	a.gauge("program.started", "s", "Unix time of the start: where it changes, totals may begin anew.", func() float64 { return math.Floor(p.started) })
-	a.gauge("program.evacuated", "", "1 while the dispatcher is evacuated.", func() float64 { return oneIf(p.front.Leaving() > 0) })
+	a.gauge("program.evacuated", "", "1 while the dispatcher is evacuated.", func() float64 { return oneIf(p.front.EvacuatedSince() > 0) })
 	a.counter("upgrade.sessions_passed", "sessions", "Client sessions passed to the next process.", func() uint64 { return p.upgrade.Passed })
 	a.counter("upgrade.sessions_adopted", "sessions", "Client sessions taken over from the process before.", func() uint64 { return p.upgrade.Adopted })
 	a.counter("upgrade.news_asked", "call-backs", "Call-backs asked of the other process.", func() uint64 { return p.upgrade.Asks })
 	a.gauge("members.excluded", "nodes", "Members taken out by hand.", func() float64 { return float64(p.core.ExcludedCount()) })
 	a.counter("director.watches", "watches", "Watches opened at discovery.", func() uint64 { return p.director.Watches })
-	a.counter("director.refused", "watches", "Watches that a discovery without room refused.", func() uint64 { return p.director.Refused })
-	a.counter("director.bad_lines", "lines", "Lines of discovery that made no sense: the old list was kept.", func() uint64 { return p.director.Rejected })
+	a.counter("director.refused", "watches", "Watches that a discovery without room refused.", func() uint64 { return p.director.Rejections })
+	a.counter("director.bad_lines", "lines", "Lines of discovery that made no sense: the old list was kept.", func() uint64 { return p.director.BadLines })
 	a.counter("director.bad_entries", "entries", "Entries of the list that made no sense: the rest was taken.", func() uint64 { return p.director.BadEntries })
-	a.gauge("director.list_revision", "", "Version of the list held.", func() float64 { return float64(p.director.Rev()) })
+	a.gauge("director.list_revision", "", "Version of the list held.", func() float64 { return float64(p.director.Revision()) })
 	a.gauge("director.silent_s", "s", "Since discovery last said anything: its lag, at most. None before the first word.", func() float64 {
-		if p.director.Last() == 0 {
+		if p.director.LastContact() == 0 {
 			return math.NaN()
 		}
-		return p.loop.Now() - p.director.Last()
+		return p.loop.Now() - p.director.LastContact()
 	})
 	a.gauge("sockets.open", "sockets", "Sockets open.", func() float64 { return float64(p.loop.OpenSockets()) })
 	a.gauge("sockets.limit", "sockets", "Sockets that may be open.", func() float64 { return float64(p.loop.SocketLimit()) })
@@ -101,7 +101,7 @@
 	return 0
 }
 
-func addConsole(a adder, p *Program) {
+func addConsole(a adder, p *Server) {
 	part := func(name, unit, help string, get func() uint64) {
 		a.set.Read(telemetry.Doc{Pattern: name, Kind: telemetry.Counter, Unit: unit, Help: help + " None without a second address."}, func() float64 {
 			if p.console == nil {
@@ -111,17 +111,17 @@
 		})
 	}
 	part("console.calls", "calls", "Calls at the second address.", func() uint64 { return p.console.Calls })
-	part("console.refused", "calls", "Those that were refused.", func() uint64 { return p.console.Refused })
-	part("console.gave_way", "calls", "Callers who gave way to newer ones.", func() uint64 { return p.console.GaveWay })
+	part("console.refused", "calls", "Those that were refused.", func() uint64 { return p.console.Rejected })
+	part("console.gave_way", "calls", "Callers who gave way to newer ones.", func() uint64 { return p.console.Evicted })
 }
 
-func addGearman(a adder, p *Program) {
+func addGearman(a adder, p *Server) {
 	part := func(name, unit, help string, get func(gearman.Counts) uint64) {
 		a.set.Read(telemetry.Doc{Pattern: "gearman." + name, Kind: telemetry.Counter, Unit: unit, Help: help + " None without a Gearman front."}, func() float64 {
 			if p.gearman == nil {
 				return math.NaN()
 			}
-			return float64(get(p.gearman.Counted()))
+			return float64(get(p.gearman.Totals()))
 		})
 	}
 	part("jobs", "jobs", "Jobs created.", func(n gearman.Counts) uint64 { return n.Jobs })
@@ -129,17 +129,17 @@
 	part("background_ended", "jobs", "Jobs in the background that have ended.", func(n gearman.Counts) uint64 { return n.BackgroundEnded })
 	part("coalesced", "submissions", "Submissions that joined a job.", func(n gearman.Counts) uint64 { return n.Coalesced })
 	part("served", "jobs", "Jobs served.", func(n gearman.Counts) uint64 { return n.Served })
-	part("refused", "jobs", "Jobs refused.", func(n gearman.Counts) uint64 { return n.Refused })
-	part("returned", "refusals", "Refusals after which a job in the background came back.", func(n gearman.Counts) uint64 { return n.Returned })
+	part("refused", "jobs", "Jobs refused.", func(n gearman.Counts) uint64 { return n.Rejected })
+	part("returned", "refusals", "Refusals after which a job in the background came back.", func(n gearman.Counts) uint64 { return n.Requeued })
 	part("failed", "jobs", "Jobs failed.", func(n gearman.Counts) uint64 { return n.Failed })
-	part("gone", "jobs", "Jobs that nobody waited for any more.", func(n gearman.Counts) uint64 { return n.Gone })
+	part("gone", "jobs", "Jobs that nobody waited for any more.", func(n gearman.Counts) uint64 { return n.Abandoned })
 	part("bad_packets", "packets", "Packets that made no sense.", func(n gearman.Counts) uint64 { return n.BadPackets })
 	part("stray_work", "packets", "Results of jobs that are over.", func(n gearman.Counts) uint64 { return n.StrayWork })
-	part("slow", "peers", "Peers closed since a message was not whole in time.", func(n gearman.Counts) uint64 { return n.Slow })
+	part("slow", "peers", "Peers closed since a message was not whole in time.", func(n gearman.Counts) uint64 { return n.TimedOut })
 }
 
-// Docs are all series that there can be.
-func Docs() []telemetry.Doc {
+// MetricDocs are all series that there can be.
+func MetricDocs() []telemetry.Doc {
 	set := telemetry.New(telemetry.Options{Settings: loadbalancer.Settings{}, Nodes: 1})
 	addFigures(nil, set)
 	addReportingFigures(nil, set)
--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -55,7 +55,7 @@
 }
 
 // startFleet has this dispatcher be a member, where the operator's file says so.
-func (p *Program) startFleet() error {
+func (p *Server) startFleet() error {
 	o, err := p.config.fleetOptions()
 	if err != nil || o == nil {
 		return err
@@ -72,7 +72,7 @@
 	return nil
 }
 
-func (p *Program) joinFleet(o *cluster.Options, socket *eventloop.UDPSocket, book *auditlog.Log) {
+func (p *Server) joinFleet(o *cluster.Options, socket *eventloop.UDPSocket, book *auditlog.Log) {
 	p.keepVersions()
 	o.Versions, o.OnPause, o.OnLease, o.OnConverged = p.board, p.slept, p.leased, p.settled
 	o.Metadata.Serving, o.Metadata.OperatorAt = p.standing(), uint32(p.loop.Now())
@@ -104,22 +104,22 @@
 func hash(text []byte) string { return fmt.Sprintf("%08x", uint32(xxhash.Sum64(text))) }
 
 // setPlace has all who count the dispatchers know their number.
-func (p *Program) setPlace(place quota.Share) {
+func (p *Server) setPlace(place quota.Share) {
 	if err := p.core.SetInstanceShare(loadbalancer.InstanceShare{Instances: place.Instances, Instance: place.Index, BudgetShare: place.Fraction, InstanceKeys: place.Keys}); err != nil {
 		p.log.Error("program: place not taken", zap.Error(err))
 		return
 	}
-	p.director.Fleet = place.Instances
+	p.director.Instances = place.Instances
 }
 
 // standing is how this dispatcher serves, for the others to see.
-func (p *Program) standing() string {
+func (p *Server) standing() string {
 	switch {
 	case p.stopping || p.upgrade != nil && p.upgrade.left():
 		return "stopping"
 	case !p.serving:
 		return "starting"
-	case p.front.Leaving() > 0:
+	case p.front.EvacuatedSince() > 0:
 		return "evacuated"
 	case p.unleased():
 		return "out of lease"
@@ -129,7 +129,7 @@
 
 // tellFacts has the fleet know how this dispatcher serves. One that is evacuated leaves once it has nothing out any more,
 // and joins again when it is called back.
-func (p *Program) tellFacts() {
+func (p *Server) tellFacts() {
 	if p.fleet == nil {
 		p.factsOn = false
 		return
@@ -141,12 +141,12 @@
 	}
 	p.fleet.SetMetadata(p.facts)
 	p.tendLedger()
-	if out := p.core.Counts(); p.front.Leaving() > 0 && out.OpenRequests == 0 && out.OpenAttempts == 0 {
+	if out := p.core.Counts(); p.front.EvacuatedSince() > 0 && out.OpenRequests == 0 && out.OpenAttempts == 0 {
 		if !p.fleetLeft {
 			p.fleetLeft = true
 			p.fleet.Leave()
 		}
-	} else if p.fleetLeft && p.front.Leaving() == 0 {
+	} else if p.fleetLeft && p.front.EvacuatedSince() == 0 {
 		p.fleetLeft = false
 		p.fleet.Rejoin()
 	}
@@ -154,7 +154,7 @@
 }
 
 // leaveFleet says that this dispatcher has stopped: it is called when nothing is out any more.
-func (p *Program) leaveFleet() {
+func (p *Server) leaveFleet() {
 	if p.fleet != nil {
 		p.fleet.Close()
 		p.fleet = nil
@@ -162,13 +162,13 @@
 }
 
 // yieldFleet leaves the name to the process that takes this one's place; resumeFleet takes it back.
-func (p *Program) yieldFleet() {
+func (p *Server) yieldFleet() {
 	if p.fleet != nil {
 		p.fleet.Yield()
 	}
 }
 
-func (p *Program) resumeFleet() {
+func (p *Server) resumeFleet() {
 	if p.fleet != nil {
 		p.fleet.Resume()
 	}
--- a/internal/dispatcher/server/fleet_console.go
+++ b/internal/dispatcher/server/fleet_console.go
@@ -9,7 +9,7 @@
 )
 
 // showFleet answers GET /api/fleet.
-func (p *Program) showFleet(reply admin.Reply) {
+func (p *Server) showFleet(reply admin.Reply) {
 	if p.fleet == nil {
 		reply(404, "no [fleet] in the operator's file")
 		return
@@ -23,7 +23,7 @@
 }
 
 // goneFromFleet has a member that is dead count as one that has left.
-func (p *Program) goneFromFleet(member string, reply admin.Reply) {
+func (p *Server) goneFromFleet(member string, reply admin.Reply) {
 	if p.fleet == nil {
 		reply(404, "no [fleet] in the operator's file")
 		return
@@ -37,7 +37,7 @@
 }
 
 // orderFleet shuts a member out, or brings it back, wherever it is.
-func (p *Program) orderFleet(out bool) func(member string, reply admin.Reply) {
+func (p *Server) orderFleet(out bool) func(member string, reply admin.Reply) {
 	return func(member string, reply admin.Reply) {
 		if p.fleet == nil {
 			reply(404, "no [fleet] in the operator's file")
--- a/internal/dispatcher/server/fleet_reload.go
+++ b/internal/dispatcher/server/fleet_reload.go
@@ -15,7 +15,7 @@
 }
 
 // prepareFleet checks what a reload says of the fleet and opens an address that is new; nothing changes before takeFleet.
-func (p *Program) prepareFleet(next *Config) (*fleetChange, error) {
+func (p *Server) prepareFleet(next *Config) (*fleetChange, error) {
 	running := *next
 	running.Name, running.brain = p.config.Name, p.config.brain // what needs a restart
 	o, err := running.fleetOptions()
@@ -46,7 +46,7 @@
 }
 
 // takeFleet carries a reload's change out: the fleet is joined, left, or joined anew.
-func (p *Program) takeFleet(r *fleetChange) {
+func (p *Server) takeFleet(r *fleetChange) {
 	o := r.options
 	switch {
 	case p.upgrade.left(): // the name is the next process's, which reads the files itself
--- a/internal/dispatcher/server/fleet_sleep.go
+++ b/internal/dispatcher/server/fleet_sleep.go
@@ -13,7 +13,7 @@
 )
 
 // slept has a process that stood still send nothing by what it knew before: director, then peers, then sends.
-func (p *Program) slept(late float64) {
+func (p *Server) slept(late float64) {
 	if !p.serving {
 		return
 	}
@@ -36,34 +36,34 @@
 
 // pause has nothing new sent while this dispatcher looks again or is out of its lease, and new jobs refused where that
 // takes longer than jobs may wait. What is out ends as it would.
-func (p *Program) pause() {
+func (p *Server) pause() {
 	p.core.SetPaused(p.woke > 0 || p.unleased())
 	shut := p.wakeTimedOut || p.unleased()
-	p.front.Shut(shut)
+	p.front.SetRejecting(shut)
 	if p.gearman != nil {
-		p.gearman.Shut(shut)
+		p.gearman.SetRejecting(shut)
 	}
 }
 
 // unleased says whether this dispatcher is out of its lease.
-func (p *Program) unleased() bool { return p.board != nil && p.board.Lease.State() == lease.Out }
+func (p *Server) unleased() bool { return p.board != nil && p.board.Lease.State() == lease.Out }
 
 // leased has new jobs refused while this dispatcher is out of its lease.
-func (p *Program) leased(out bool, why string) {
+func (p *Server) leased(out bool, why string) {
 	p.log.Warn("program: lease", zap.Bool("out", out), zap.String("why", why))
 	p.record(auditlog.Entry{Kind: auditlog.LeaseChanged, Out: out, Reason: why})
 	p.pause()
 }
 
 // looked tells that the director or a peer has spoken. What it says is in force before anything is sent.
-func (p *Program) looked() {
+func (p *Server) looked() {
 	if p.woke > 0 && p.loop.Now() >= p.woke+wakeLeast {
 		p.loop.Defer(p.wake)
 	}
 }
 
 // wake has a process that slept send again.
-func (p *Program) wake() {
+func (p *Server) wake() {
 	if p.woke > 0 {
 		p.waking.Stop()
 		p.log.Info("program: looked again after a sleep", zap.Float64("after_s", p.loop.Now()-p.woke))
--- a/internal/dispatcher/server/fleet_versions.go
+++ b/internal/dispatcher/server/fleet_versions.go
@@ -13,7 +13,7 @@
 )
 
 // keepVersions has what discovery tells kept for the fleet, from the list held now on.
-func (p *Program) keepVersions() {
+func (p *Server) keepVersions() {
 	if p.board != nil {
 		return
 	}
@@ -30,21 +30,21 @@
 			}
 		})
 	}
-	tell := func(addr netip.AddrPort, rev int64, cached bool, changed []httpfront.Target) {
+	tell := func(addr netip.AddrPort, rev int64, cached bool, changed []httpfront.Entry) {
 		entries := make([]versions.Entry, 0, len(changed))
 		for _, t := range changed {
-			entries = append(entries, versions.Entry{Worker: t.UID, State: states[t.State], Start: int64(max(t.BootMs, 0))})
+			entries = append(entries, versions.Entry{Worker: t.UID, State: states[t.State], Start: int64(max(t.StartedAtMs, 0))})
 		}
 		b.ApplyList(p.loop.Now(), p.source(addr), rev, cached, entries)
 		if p.fleet != nil {
 			p.fleet.GossipNow()
 		}
 	}
-	if addr, list := p.director.Held(); list.Rev > 0 {
-		tell(addr, list.Rev, true, list.Targets)
+	if addr, list := p.director.List(); list.Revision > 0 {
+		tell(addr, list.Revision, true, list.Entries)
 	}
-	p.director.Listed = tell
-	p.director.Heard = func() {
+	p.director.OnVersion = tell
+	p.director.OnContact = func() {
 		b.HandleDiscoveryContact(p.loop.Now())
 		p.looked()
 	}
@@ -52,8 +52,8 @@
 }
 
 // dropVersions has nothing withheld any more: the own list alone says.
-func (p *Program) dropVersions() {
-	p.board, p.director.Listed, p.director.Heard = nil, nil, nil
+func (p *Server) dropVersions() {
+	p.board, p.director.OnVersion, p.director.OnContact = nil, nil, nil
 	p.core.SetRestrictions(nil)
 	p.wake()
 	p.pause()
@@ -63,7 +63,7 @@
 var states = map[string]versions.State{"ready": versions.Ready, "draining": versions.Draining, "gone": versions.Gone}
 
 // source is what the fleet calls a discovery.
-func (p *Program) source(addr netip.AddrPort) string {
+func (p *Server) source(addr netip.AddrPort) string {
 	if f := p.config.Operator.Fleet; f != nil && f.Discovery != "" {
 		return f.Discovery
 	}
@@ -71,7 +71,7 @@
 }
 
 // withhold has the core take workers for what peers know of them.
-func (p *Program) withhold() {
+func (p *Server) withhold() {
 	held := map[string]dispatch.Restriction{}
 	for worker, h := range p.board.Restrictions() {
 		state := loadbalancer.Ready
--- a/internal/dispatcher/server/ledger.go
+++ b/internal/dispatcher/server/ledger.go
@@ -32,7 +32,7 @@
 }
 
 // openLedger opens the ledger that an operator's file names, where it is another than the one at hand; nil: it is that one, or none.
-func (p *Program) openLedger(f *operatorconfig.File) (*auditlog.Log, error) {
+func (p *Server) openLedger(f *operatorconfig.File) (*auditlog.Log, error) {
 	o := ledgerFile(f)
 	if o.Path == "" || p.ledger != nil && sameFile(o, p.ledgerAt) {
 		return nil, nil
@@ -47,7 +47,7 @@
 
 // keepLedger puts a ledger in force in place of the one before. It goes on with the old one's numbers, and begins with all that is
 // held.
-func (p *Program) keepLedger(b *auditlog.Log, f *operatorconfig.File) {
+func (p *Server) keepLedger(b *auditlog.Log, f *operatorconfig.File) {
 	o := ledgerFile(f)
 	if b == nil && p.ledger != nil && sameFile(o, p.ledgerAt) {
 		return
@@ -65,7 +65,7 @@
 }
 
 // closeLedger ends the ledger; off the loop, where that goes on.
-func (p *Program) closeLedger(goesOn bool) {
+func (p *Server) closeLedger(goesOn bool) {
 	if p.ledger == nil {
 		return
 	}
@@ -80,7 +80,7 @@
 }
 
 // record writes an entry: what is decided from now on carries its number.
-func (p *Program) record(e auditlog.Entry) {
+func (p *Server) record(e auditlog.Entry) {
 	if p.ledger != nil {
 		e.LostLines = p.ledger.LostLines() + p.reporting.lost()
 		p.marked = p.ledger.Append(p.loop.Now(), e)
@@ -97,7 +97,7 @@
 }
 
 // tendLedger hands lines to the writer, and says that the ledger goes on where nothing else does.
-func (p *Program) tendLedger() {
+func (p *Server) tendLedger() {
 	if p.ledger == nil {
 		return
 	}
@@ -108,7 +108,7 @@
 }
 
 // excluded is a mark of who is out by hand; empty: nobody.
-func (p *Program) excluded() string {
+func (p *Server) excluded() string {
 	out := p.core.Exclusions()
 	if len(out) == 0 {
 		return ""
@@ -121,7 +121,7 @@
 	versions.ClockReceived: auditlog.ClockReceived}
 
 // noted keeps what the board took up.
-func (p *Program) noted(_ float64, n *versions.Event) { p.record(listEntry(n)) }
+func (p *Server) noted(_ float64, n *versions.Event) { p.record(listEntry(n)) }
 
 func listEntry(n *versions.Event) auditlog.Entry {
 	e := auditlog.Entry{Kind: noteKinds[n.Kind], From: n.From, Source: n.Version.Source, Epoch: n.Version.Epoch, Revision: n.Version.Revision, Cached: n.Cached,
@@ -137,6 +137,6 @@
 }
 
 // settled keeps that the fleet's view has settled.
-func (p *Program) settled(v cluster.Convergence) {
+func (p *Server) settled(v cluster.Convergence) {
 	p.record(auditlog.Entry{Kind: auditlog.ViewConverged, Digest: v.Digest, Members: v.Alive, LateSeconds: v.After})
 }
--- a/internal/dispatcher/server/operate.go
+++ b/internal/dispatcher/server/operate.go
@@ -18,23 +18,23 @@
 )
 
 // calls are what the staff can ask for at the second address.
-func (p *Program) calls() map[string]admin.Call {
+func (p *Server) calls() map[string]admin.Call {
 	return map[string]admin.Call{
-		"/api/ready":            {Method: "GET", Do: func(_ string, reply admin.Reply) { p.ready(reply) }},
-		"/api/fleet":            {Method: "GET", Do: func(_ string, reply admin.Reply) { p.showFleet(reply) }},
-		"/api/fleet/gone":       {Method: "PUT", Member: true, Do: p.goneFromFleet},
-		"/api/fleet/shut-out":   {Method: "PUT", Member: true, Do: p.orderFleet(true)},
-		"/api/fleet/bring-back": {Method: "PUT", Member: true, Do: p.orderFleet(false)},
-		"/api/exclude":          {Method: "PUT", Member: true, Do: p.exclude},
-		"/api/include":          {Method: "PUT", Member: true, Do: p.include},
-		"/api/evacuate":         {Method: "PUT", Do: func(_ string, reply admin.Reply) { p.order(order{What: "evacuate"}, reply) }},
-		"/api/rejoin":           {Method: "PUT", Do: func(_ string, reply admin.Reply) { p.order(order{What: "rejoin"}, reply) }},
+		"/api/ready":            {Method: "GET", Handle: func(_ string, reply admin.Reply) { p.ready(reply) }},
+		"/api/fleet":            {Method: "GET", Handle: func(_ string, reply admin.Reply) { p.showFleet(reply) }},
+		"/api/fleet/gone":       {Method: "PUT", TakesMember: true, Handle: p.goneFromFleet},
+		"/api/fleet/shut-out":   {Method: "PUT", TakesMember: true, Handle: p.orderFleet(true)},
+		"/api/fleet/bring-back": {Method: "PUT", TakesMember: true, Handle: p.orderFleet(false)},
+		"/api/exclude":          {Method: "PUT", TakesMember: true, Handle: p.exclude},
+		"/api/include":          {Method: "PUT", TakesMember: true, Handle: p.include},
+		"/api/evacuate":         {Method: "PUT", Handle: func(_ string, reply admin.Reply) { p.order(order{What: "evacuate"}, reply) }},
+		"/api/rejoin":           {Method: "PUT", Handle: func(_ string, reply admin.Reply) { p.order(order{What: "rejoin"}, reply) }},
 	}
 }
 
 // ready says whether this process takes clients, as far as it is up to the process: one that was evacuated by hand
 // could.
-func (p *Program) ready(reply admin.Reply) {
+func (p *Server) ready(reply admin.Reply) {
 	switch {
 	case !p.serving:
 		reply(503, "starting")
@@ -50,7 +50,7 @@
 }
 
 // evacuate empties the dispatcher from a time on, or has it take clients again.
-func (p *Program) evacuate(on bool, began float64) {
+func (p *Server) evacuate(on bool, began float64) {
 	p.front.Evacuate(on, began)
 	if p.gearman != nil {
 		p.gearman.Evacuate(on)
@@ -64,16 +64,16 @@
 	Exclusion dispatch.Exclusion `json:"exclusion"`
 }
 
-func (p *Program) exclude(member string, reply admin.Reply) {
+func (p *Server) exclude(member string, reply admin.Reply) {
 	p.change("exclude", member, p.core.Exclude(member), reply)
 }
 
-func (p *Program) include(member string, reply admin.Reply) {
+func (p *Server) include(member string, reply admin.Reply) {
 	p.change("include", member, p.core.Include(member), reply)
 }
 
 // change carries out a change of who is out.
-func (p *Program) change(what, member string, ch dispatch.ExclusionChange, reply admin.Reply) {
+func (p *Server) change(what, member string, ch dispatch.ExclusionChange, reply admin.Reply) {
 	switch {
 	case !ch.Known && p.serving:
 		reply(404, "nobody has member "+member)
@@ -85,7 +85,7 @@
 }
 
 // order carries an order out, here and in the other process, and says yes once both have.
-func (p *Program) order(o order, reply admin.Reply) {
+func (p *Server) order(o order, reply admin.Reply) {
 	if !p.serving { // what the process before has been told is on its way
 		reply(503, "starting")
 		return
@@ -99,7 +99,7 @@
 }
 
 // obey carries an order out in this process. Who is out is kept first: a yes must outlive it.
-func (p *Program) obey(o order) error {
+func (p *Server) obey(o order) error {
 	p.log.Info("program: "+o.What, zap.String("member", o.Member))
 	switch o.What {
 	case "evacuate", "rejoin":
@@ -145,7 +145,7 @@
 }
 
 // keep writes the exclusions to disk, all or nothing.
-func (p *Program) keep(out map[string]dispatch.Exclusion) error {
+func (p *Server) keep(out map[string]dispatch.Exclusion) error {
 	path := p.config.file(".exclusions")
 	if path == "" {
 		return nil // nowhere to keep them: they last as long as the process
@@ -164,7 +164,7 @@
 }
 
 // restore puts in force what an earlier process kept.
-func (p *Program) restore() {
+func (p *Server) restore() {
 	path := p.config.file(".exclusions")
 	if path == "" {
 		return
--- a/internal/dispatcher/server/program.go
+++ b/internal/dispatcher/server/program.go
@@ -35,19 +35,19 @@
 func (c clock) Now() float64                            { return c.loop.Now() }
 func (c clock) At(at float64, do func()) dispatch.Timer { return c.loop.At(at, do) }
 
-// Program is one dispatcher.
-type Program struct {
+// Server is one dispatcher.
+type Server struct {
 	config             *Config
 	log                *zap.Logger
 	loop               *eventloop.Loop
 	core               *dispatch.Dispatcher
 	pool               *httpfront.Pool
 	front              *httpfront.Front
-	director           *httpfront.Director
+	director           *httpfront.DiscoveryClient
 	listener           *eventloop.Listener
 	gearman            *gearman.Server
-	door               *admission.Door
-	console            *admin.Console
+	door               *admission.Limiter
+	console            *admin.Server
 	upgrade            *upgrade
 	fleet              *cluster.Cluster    // nil: no member of one
 	facts              membership.Metadata // what the fleet is told of this dispatcher
@@ -65,7 +65,7 @@
 	stopping           bool
 	factsOn, fleetLeft bool  // the fleet is told how it serves; and that it does not any more
 	err                error // why it ends, if something went wrong
-	Reloads            struct{ Taken, Refused uint64 }
+	Reloads            struct{ Applied, Rejected uint64 }
 }
 
 // Run serves until it is told to stop.
@@ -99,14 +99,14 @@
 	}
 	log.Info("program: ended", zap.Any("counts", p.core.Counts()))
 	if p.gearman != nil {
-		log.Info("program: gearman ended", zap.Any("counts", p.gearman.Counted()))
+		log.Info("program: gearman ended", zap.Any("counts", p.gearman.Totals()))
 	}
 	return nil
 }
 
 // limit keeps the process within the deployment's limits, of which it has half while there are two of them: one core,
 // and collecting early rather than killed.
-func (p *Program) limit() {
+func (p *Server) limit() {
 	runtime.GOMAXPROCS(1)
 	limits, kept := p.config.Limits, reserve
 	if p.upgrade.two() {
@@ -119,28 +119,28 @@
 	}
 }
 
-func build(config *Config, log *zap.Logger) (*Program, error) {
+func build(config *Config, log *zap.Logger) (*Server, error) {
 	loop, err := eventloop.NewLoop(config.Limits.Sockets - reserve)
 	if err != nil {
 		return nil, err
 	}
-	p := &Program{config: config, log: log, loop: loop, started: loop.Now()}
+	p := &Server{config: config, log: log, loop: loop, started: loop.Now()}
 	if p.core, err = dispatch.New(config.brain, config.seed, clock{loop}); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	p.core.Log = func(line string) { log.Info("brain: " + line) }
 	n := &config.names
-	p.pool = httpfront.NewPool(loop, log, httpfront.Limits{ConnectTimeout: n.Limits.ConnectTimeoutS,
-		ConnIdle: n.Limits.ConnIdleS, ProbeTimeout: 2 * n.Limits.ConnectTimeoutS, Fields: n.Report.Fields})
-	p.pool.Serve(p.core)
+	p.pool = httpfront.NewPool(loop, log, httpfront.PoolOptions{ConnectTimeout: n.Limits.ConnectTimeoutS,
+		IdleTimeout: n.Limits.ConnIdleS, ProbeTimeout: 2 * n.Limits.ConnectTimeoutS, ReportFields: n.Report.Fields})
+	p.pool.SetDispatcher(p.core)
 	p.door = admission.New(loop, config.Limits.MemoryMB)
 	p.front = httpfront.NewFront(loop, log, p.core, p.pool, p.door, &config.brain)
 	// A descriptor is freed where it costs least: an idle client session first, then an idle backend connection.
 	loop.FreeDescriptor = func() bool {
-		return p.front.ShedIdle() || p.pool.ShedIdle() || p.gearman != nil && p.gearman.ShedIdle()
+		return p.front.EvictIdle() || p.pool.EvictIdle() || p.gearman != nil && p.gearman.EvictIdle()
 	}
-	p.director = httpfront.NewDirector(loop, log, config.discovery, p.core, p.pool, n.FailureDomains, n.Kinds, config.seed)
-	p.director.Fleet = config.brain.Instances
+	p.director = httpfront.NewDiscoveryClient(loop, log, config.discovery, p.core, p.pool, n.FailureDomains, n.Kinds, config.seed)
+	p.director.Instances = config.brain.Instances
 	p.core.Discovery = p.director
 	if p.reporting, err = newReporting(p); err != nil {
 		return nil, err
@@ -167,7 +167,7 @@
 }
 
 // alone begins with what the configuration and the disk tell.
-func (p *Program) alone() error {
+func (p *Server) alone() error {
 	p.restore()
 	p.reporting.begin()
 	if p.config.discovery.IsValid() {
@@ -177,7 +177,7 @@
 }
 
 // serve takes clients.
-func (p *Program) serve(gearmanFD int) (err error) {
+func (p *Server) serve(gearmanFD int) (err error) {
 	switch {
 	case p.config.inherited > 0:
 		p.listener, err = p.loop.InheritListener(p.config.inherited, p.front.Accept)
@@ -197,14 +197,14 @@
 }
 
 // fail ends the program.
-func (p *Program) fail(err error) {
+func (p *Server) fail(err error) {
 	p.err = err
 	p.loop.Stop()
 }
 
 // stop serves on for a moment, then closes what is idle and ends once all that was taken is answered. The
 // listener stays open to the end: call-backs come by it.
-func (p *Program) stop(signal string) {
+func (p *Server) stop(signal string) {
 	if p.stopping {
 		return
 	}
@@ -217,7 +217,7 @@
 	p.loop.At(p.loop.Now()+lingerTime, p.drain)
 }
 
-func (p *Program) drain() {
+func (p *Server) drain() {
 	if !p.upgrade.left() {
 		p.front.Drain()
 		if p.gearman != nil {
@@ -227,9 +227,9 @@
 	p.exitWhenDone()
 }
 
-func (p *Program) exitWhenDone() {
-	if n := p.core.Counts(); n.OpenRequests == 0 && p.front.Quiet() && (p.gearman == nil || p.gearman.Quiet()) &&
-		p.upgrade.done() && (p.console == nil || p.console.Open() == 0) && p.reporting.finished() {
+func (p *Server) exitWhenDone() {
+	if n := p.core.Counts(); n.OpenRequests == 0 && p.front.Idle() && (p.gearman == nil || p.gearman.Idle()) &&
+		p.upgrade.done() && (p.console == nil || p.console.OpenCalls() == 0) && p.reporting.finished() {
 		p.leaveFleet()
 		p.loop.Stop()
 		return
--- a/internal/dispatcher/server/reload.go
+++ b/internal/dispatcher/server/reload.go
@@ -12,7 +12,7 @@
 
 // reload reads the configuration anew and takes all of a good one that can change while the program runs, or
 // none of a bad one. It takes the place of nothing that is open: reqs, fetches and the list go on.
-func (p *Program) reload() {
+func (p *Server) reload() {
 	next, err := p.reread()
 	var members *fleetChange
 	if err == nil {
@@ -24,11 +24,11 @@
 	}
 	if err != nil {
 		members.drop()
-		p.Reloads.Refused++
+		p.Reloads.Rejected++
 		p.log.Error("program: reload refused, old configuration kept", zap.Error(err))
 		return
 	}
-	p.Reloads.Taken++
+	p.Reloads.Applied++
 	was := p.config
 	restart := was.fixed(next)
 	// What needs a restart stays as it runs, so that the next reload names it again.
@@ -46,7 +46,7 @@
 	p.takeFleet(members)
 	p.limit()
 	if config.discovery.IsValid() {
-		p.director.Move(config.discovery)
+		p.director.SetAddress(config.discovery)
 	}
 	p.log.Info("program: reloaded", zap.String("discovery", config.Discovery), zap.Int("sockets", config.Limits.Sockets),
 		zap.Int("memory_mb", config.Limits.MemoryMB), zap.Strings("needs_restart", restart))
@@ -54,7 +54,7 @@
 
 // reread reads the files again. The environment of the start named the discovery of the start: a file that names
 // one has the newer word.
-func (p *Program) reread() (*Config, error) {
+func (p *Server) reread() (*Config, error) {
 	next, err := ReadConfig(p.config.path, func(name string) string {
 		if name == "ROUTER_DISCOVERY" {
 			return ""
--- a/internal/dispatcher/server/reporting.go
+++ b/internal/dispatcher/server/reporting.go
@@ -27,7 +27,7 @@
 // reporting is the figures and the request log of a dispatcher, and their way through reloads and upgrades. A nil *reporting
 // keeps none: every method takes that.
 type reporting struct {
-	p     *Program
+	p     *Server
 	set   *telemetry.Set
 	feed  *exporter.Feed
 	log   *requestlog.Log
@@ -43,7 +43,7 @@
 }
 
 // newReporting opens the outputs and the request log; nil where the operator wants none.
-func newReporting(p *Program) (*reporting, error) {
+func newReporting(p *Server) (*reporting, error) {
 	f := p.config.Operator
 	if len(f.Graphite)+len(f.Collectd) == 0 && f.Telemetry.SpoolDir == "" && f.RequestLog == nil {
 		return nil, nil
--- a/internal/dispatcher/server/reporting_figures.go
+++ b/internal/dispatcher/server/reporting_figures.go
@@ -8,7 +8,7 @@
 )
 
 // addReportingFigures adds the figures of the figures themselves.
-func addReportingFigures(p *Program, set *telemetry.Set) {
+func addReportingFigures(p *Server, set *telemetry.Set) {
 	a := adder{set}
 	a.counter("telemetry.periods", "periods", "Periods closed.", func() uint64 { return p.reporting.feed.Periods })
 	a.gauge("telemetry.periods_held", "periods", "Periods that wait for a receiver.", func() float64 {
--- a/internal/dispatcher/server/reporting_handover.go
+++ b/internal/dispatcher/server/reporting_handover.go
@@ -75,7 +75,7 @@
 }
 
 func (r *reporting) send(t figuresMessage) {
-	if err := r.successor.Tell(handover.Figures, t); err != nil {
+	if err := r.successor.Send(handover.Metrics, t); err != nil {
 		r.p.log.Error("telemetry: totals not handed on", zap.Error(err))
 	}
 }
--- a/internal/dispatcher/server/upgrade.go
+++ b/internal/dispatcher/server/upgrade.go
@@ -44,7 +44,7 @@
 type upgrade struct {
 	Passed, Adopted, Asks uint64
 
-	p        *Program
+	p        *Server
 	path     string
 	door     *eventloop.Listener // where the next process comes
 	prev     *handover.Link      // the process before this one, while it lives
@@ -57,13 +57,13 @@
 	deadline *eventloop.Timer
 }
 
-func newUpgrade(p *Program) *upgrade {
+func newUpgrade(p *Server) *upgrade {
 	u := &upgrade{p: p}
 	if p.config.inherited > 0 {
 		u.path = p.config.file(".upgrade")
 	}
-	p.front.Elsewhere = func(body []byte, done func()) bool {
-		if !u.ask(handover.News, body, nil, func(bool) { done() }) {
+	p.front.ForwardCallback = func(body []byte, done func()) bool {
+		if !u.ask(handover.CallbackQuery, body, nil, func(bool) { done() }) {
 			return false
 		}
 		u.Asks++
@@ -80,7 +80,7 @@
 	u.prev = handover.Connect(u.p.loop, u.path, u)
 	u.deadline = u.p.loop.At(u.p.loop.Now()+stateWait, func() {
 		u.prev.Close()
-		u.Down(u.prev, fmt.Errorf("program: no state within %.0f s", stateWait))
+		u.HandleDown(u.prev, fmt.Errorf("program: no state within %.0f s", stateWait))
 	})
 	return true
 }
@@ -96,16 +96,16 @@
 	if u.took && !u.p.reporting.handedOver() {
 		return false
 	}
-	return (u.prev == nil || u.prev.Idle()) && (u.next == nil || u.next.Idle()) && (!u.took || u.moves == 0 && u.p.front.Left() == 0)
+	return (u.prev == nil || u.prev.Idle()) && (u.next == nil || u.next.Idle()) && (!u.took || u.moves == 0 && u.p.front.SessionCount() == 0)
 }
 
-// Up implements handover.Owner.
-func (u *upgrade) Up(l *handover.Link) {
-	_ = l.Tell(handover.Hello, hello{Figures: u.p.reporting.delivers()})
+// HandleUp implements handover.Owner.
+func (u *upgrade) HandleUp(l *handover.Link) {
+	_ = l.Send(handover.Hello, hello{Figures: u.p.reporting.delivers()})
 }
 
-// Down implements handover.Owner. Whichever process is left has everything again.
-func (u *upgrade) Down(l *handover.Link, err error) {
+// HandleDown implements handover.Owner. Whichever process is left has everything again.
+func (u *upgrade) HandleDown(l *handover.Link, err error) {
 	switch l {
 	case u.prev:
 		u.prev = nil
@@ -124,12 +124,12 @@
 		}
 		u.p.log.Warn("program: the next process has gone, taking back", zap.Error(err))
 		u.took, u.moves = false, 0
-		u.p.front.HandOver(nil)
+		u.p.front.SetSuccessor(nil)
 		u.p.listener.SetSuspended(false)
 		u.p.reporting.resume()
 		u.p.resumeFleet()
 		if u.p.gearman != nil {
-			u.p.gearman.Retire(false)
+			u.p.gearman.SetRetired(false)
 		}
 		if u.p.stopping {
 			u.p.loop.At(u.p.loop.Now()+lingerTime, u.p.drain)
@@ -174,8 +174,8 @@
 	return l
 }
 
-// Message implements handover.Owner.
-func (u *upgrade) Message(l *handover.Link, kind handover.Kind, body []byte) error {
+// HandleMessage implements handover.Owner.
+func (u *upgrade) HandleMessage(l *handover.Link, kind handover.Kind, body []byte) error {
 	switch {
 	case l == u.next && kind == handover.Hello:
 		var h hello
@@ -184,11 +184,11 @@
 		}
 		u.figures = h.Figures && u.p.reporting.delivers()
 		return u.tell()
-	case l == u.prev && kind == handover.Figures && u.heard:
+	case l == u.prev && kind == handover.Metrics && u.heard:
 		return u.p.reporting.receive(body)
-	case l == u.next && kind == handover.Took && !u.took:
+	case l == u.next && kind == handover.Takeover && !u.took:
 		u.leave()
-	case l == u.next && kind == handover.Taken && u.took:
+	case l == u.next && kind == handover.SessionReceived && u.took:
 		if u.moves--; u.moves <= mostMoves/2 {
 			u.p.front.OfferSessions()
 		}
@@ -205,24 +205,24 @@
 // tell tells the next process all it needs.
 func (u *upgrade) tell() error {
 	p := u.p
-	addr, list := p.director.Held()
-	s := state{Discovery: addr.String(), List: list, Out: p.core.Exclusions(), Evacuated: p.front.Leaving(), Learnt: p.core.Snapshot(), Figures: u.figures}
-	p.log.Info("program: telling the next process", zap.Int64("rev", list.Rev), zap.Int("members", len(list.Targets)))
+	addr, list := p.director.List()
+	s := state{Discovery: addr.String(), List: list, Out: p.core.Exclusions(), Evacuated: p.front.EvacuatedSince(), Learnt: p.core.Snapshot(), Figures: u.figures}
+	p.log.Info("program: telling the next process", zap.Int64("rev", list.Revision), zap.Int("members", len(list.Entries)))
 	if p.gearman == nil || !p.serving {
-		return u.next.Tell(handover.State, s)
+		return u.next.Send(handover.State, s)
 	}
 	fd, err := p.gearman.Listener().Dup()
 	if err != nil {
 		return err
 	}
 	s.Gearman, s.GearmanFor = true, p.gearman.Listener().Addr().String()
-	return u.next.Pass(handover.State, s, nil, fd)
+	return u.next.SendDescriptor(handover.State, s, nil, fd)
 }
 
 // leave leaves the clients to the next process.
 func (u *upgrade) leave() {
 	p := u.p
-	p.log.Info("program: the next process takes the clients", zap.Int("sessions", p.front.Left()), zap.Int("open", p.core.Counts().OpenRequests))
+	p.log.Info("program: the next process takes the clients", zap.Int("sessions", p.front.SessionCount()), zap.Int("open", p.core.Counts().OpenRequests))
 	u.took = true
 	if u.door != nil { // the path is the next one's
 		u.door.Close()
@@ -231,23 +231,23 @@
 	p.listener.SetSuspended(true)
 	p.yieldFleet()
 	if p.gearman != nil {
-		p.gearman.Retire(true)
+		p.gearman.SetRetired(true)
 	}
-	p.front.HandOver(u.move)
+	p.front.SetSuccessor(u.move)
 	if u.figures {
 		p.reporting.handOver(u.next)
 	}
 }
 
 // move sends a session that rests to the next process.
-func (u *upgrade) move(s httpfront.State, c *eventloop.Conn) bool {
+func (u *upgrade) move(s httpfront.SessionState, c *eventloop.Conn) bool {
 	if u.next == nil || u.moves >= mostMoves {
 		return false
 	}
 	fd, in := c.Detach()
 	u.moves++
 	u.Passed++
-	if err := u.next.Pass(handover.Session, s, in, fd); err != nil {
+	if err := u.next.SendDescriptor(handover.Session, s, in, fd); err != nil {
 		u.p.log.Error("program: a session could not be passed on", zap.Error(err))
 	}
 	return true
@@ -255,8 +255,8 @@
 
 // adopt takes a session over.
 func (u *upgrade) adopt(body []byte) error {
-	var s httpfront.State
-	in, fd, err := u.prev.Passed(body, &s)
+	var s httpfront.SessionState
+	in, fd, err := u.prev.DecodeDescriptorFrame(body, &s)
 	if err != nil {
 		if fd >= 0 {
 			unix.Close(fd)
@@ -269,7 +269,7 @@
 	}); err != nil {
 		u.p.log.Warn("program: a session could not be taken over", zap.Error(err))
 	}
-	return u.prev.Tell(handover.Taken, struct{}{})
+	return u.prev.Send(handover.SessionReceived, struct{}{})
 }
 
 // hear takes the state of the process before this one, and waits for discovery to say what has changed since.
@@ -283,7 +283,7 @@
 	u.heard = true
 	p.limit()
 	p.core.ApplyExclusions(s.Out)
-	p.log.Info("program: told by the process before", zap.Int64("rev", s.List.Rev), zap.Int("members_out", p.core.ExcludedCount()))
+	p.log.Info("program: told by the process before", zap.Int64("rev", s.List.Revision), zap.Int("members_out", p.core.ExcludedCount()))
 	if s.Evacuated > 0 {
 		p.evacuate(true, min(s.Evacuated, p.loop.Now()))
 	}
@@ -293,9 +293,9 @@
 	}
 	if p.config.discovery.IsValid() {
 		addr, _ := netip.ParseAddrPort(s.Discovery)
-		p.director.Spoke = u.take
+		p.director.OnFirstContact = u.take
 		u.deadline = p.loop.At(p.loop.Now()+spokeWait, u.take)
-		p.director.StartFrom(addr, s.List)
+		p.director.StartWithList(addr, s.List)
 		return nil
 	}
 	u.take()
@@ -307,7 +307,7 @@
 	err := json.Unmarshal(body, s)
 	if err != nil { // with a descriptor, it has the other form
 		var fd int
-		if _, fd, err = u.prev.Passed(body, s); err == nil && s.Gearman && u.p.gearman != nil && s.GearmanFor == u.p.config.gearman.Listen {
+		if _, fd, err = u.prev.DecodeDescriptorFrame(body, s); err == nil && s.Gearman && u.p.gearman != nil && s.GearmanFor == u.p.config.gearman.Listen {
 			u.gearman = fd
 		} else if fd >= 0 {
 			unix.Close(fd)
@@ -316,7 +316,7 @@
 	if err != nil {
 		return fmt.Errorf("program: state: %w", err)
 	}
-	if err := s.List.Check(); err != nil {
+	if err := s.List.Validate(); err != nil {
 		return fmt.Errorf("program: state: %w", err)
 	}
 	text, err := json.Marshal(kept{keptVersion, s.Out})
@@ -335,18 +335,18 @@
 	}
 	u.open(u.p.serve(u.gearman))
 	if u.prev != nil && u.p.serving {
-		_ = u.prev.Tell(handover.Took, struct{}{})
+		_ = u.prev.Send(handover.Takeover, struct{}{})
 	}
 }
 
-// Asked implements handover.Owner.
-func (u *upgrade) Asked(l *handover.Link, kind handover.Kind, body []byte, answer func(yes bool)) {
+// HandleQuery implements handover.Owner.
+func (u *upgrade) HandleQuery(l *handover.Link, kind handover.Kind, body []byte, answer func(yes bool)) {
 	body = bytes.Clone(body)
 	switch kind {
-	case handover.News:
-		if u.p.front.Told(body) {
+	case handover.CallbackQuery:
+		if u.p.front.HandleForwardedCallback(body) {
 			answer(true)
-		} else if !u.ask(handover.News, body, l, answer) {
+		} else if !u.ask(handover.CallbackQuery, body, l, answer) {
 			answer(false)
 		}
 	case handover.Order:
@@ -369,11 +369,11 @@
 func (u *upgrade) ask(kind handover.Kind, body []byte, but *handover.Link, done func(yes bool)) bool {
 	waits, over := 0, false
 	for _, l := range []*handover.Link{u.prev, u.next} {
-		if l == nil || l == but || l == u.prev && !u.heard || l == u.next && kind == handover.News && !u.took {
+		if l == nil || l == but || l == u.prev && !u.heard || l == u.next && kind == handover.CallbackQuery && !u.took {
 			continue
 		}
-		if l.Ask(kind, body, func(yes bool) {
-			if waits--; !over && (yes && kind == handover.News || waits == 0) {
+		if l.Query(kind, body, func(yes bool) {
+			if waits--; !over && (yes && kind == handover.CallbackQuery || waits == 0) {
 				over = true
 				done(yes)
 			}
--- a/internal/dispatcher/server/upgrade_test.go
+++ b/internal/dispatcher/server/upgrade_test.go
@@ -164,9 +164,9 @@
 		})
 	}
 	for _, tc := range []struct{ frames, word string }{
-		{string(handover.Append(nil, handover.Hello, []byte("{}"))), "gone before it took over"},
-		{string(handover.Append(nil, handover.Took, []byte("{}"))), "gone, taking back"},
-		{string(handover.Append(nil, handover.State, []byte("{}"))), "out of turn"},
+		{string(handover.AppendFrame(nil, handover.Hello, []byte("{}"))), "gone before it took over"},
+		{string(handover.AppendFrame(nil, handover.Takeover, []byte("{}"))), "gone, taking back"},
+		{string(handover.AppendFrame(nil, handover.State, []byte("{}"))), "out of turn"},
 		{"R\x09", "another version"},
 	} {
 		c, err := net.Dial("unix", upgradePath(o))
@@ -201,7 +201,7 @@
 // Guards against a start that waits for ever: for a process that holds the path and says nothing or what makes no
 // sense, or for a discovery that is silent.
 func TestUpgradeFromSilence(t *testing.T) {
-	for _, says := range []string{"", "R\x09", "nonsense", string(handover.Append(nil, handover.State, []byte(`{"out":{"a":{"at":-1}}}`)))} {
+	for _, says := range []string{"", "R\x09", "nonsense", string(handover.AppendFrame(nil, handover.State, []byte(`{"out":{"a":{"at":-1}}}`)))} {
 		o := options{console: true, tmp: filepath.Join(t.TempDir(), strings.Repeat("long", 50))} // longer than a socket's path may be
 		os.MkdirAll(o.tmp, 0o700)
 		o.listen, o.inherit = held(t)
@@ -236,7 +236,7 @@
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	var got []byte
 	for b := make([]byte, 64<<10); ; {
-		kind, body, n, err := handover.Parse(got)
+		kind, body, n, err := handover.ParseFrame(got)
 		if err == nil {
 			if got = got[n:]; kind == want {
 				return body
@@ -271,20 +271,20 @@
 		t.Fatal(err)
 	}
 	defer successor.Close()
-	successor.Write(handover.Append(handover.Append(nil, handover.Hello, []byte("{}")), handover.Took, []byte("{}")))
+	successor.Write(handover.AppendFrame(handover.AppendFrame(nil, handover.Hello, []byte("{}")), handover.Takeover, []byte("{}")))
 	w.eventually("it leaves", func() bool { return strings.Contains(w.log.String(), "takes the clients") })
 	for _, c := range back { // those of the successor's stay unread
 		body := `{"id":"x","from":"s-1","state":"started"}`
 		fmt.Fprintf(c, "POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
-	asked := frames(t, successor, handover.News)
+	asked := frames(t, successor, handover.CallbackQuery)
 	for _, c := range back {
 		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		if got, _ := io.ReadAll(c); strings.Contains(string(got), "204") {
 			t.Fatalf("answered before the other process was: %q", got)
 		}
 	}
-	successor.Write(handover.Append(nil, handover.Answer, append(asked[:8:8], 1)))
+	successor.Write(handover.AppendFrame(nil, handover.Answer, append(asked[:8:8], 1)))
 	w.eventually("the call-back is answered", func() bool {
 		for _, c := range back {
 			c.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
