--- a/internal/system/consensus/election_test.go
+++ b/internal/system/consensus/election_test.go
@@ -20,7 +20,7 @@
 		{"shorter log of the same term", 4, 1, 3, false, false},
 		{"longer log of an older term", 4, 9, 2, false, false},
 		{"shorter log of a newer term", 5, 1, 4, true, true},
-		{"present term", 3, 2, 3, false, true},
+		{"same term", 3, 2, 3, false, true},
 		{"old term", 2, 9, 2, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -33,18 +33,18 @@
 			got = script.step(Message{Kind: MessageVote, From: 2, Term: test.term, Index: test.index, LogTerm: test.last})
 			granted := len(got) == 1 && !got[0].Reject
 			script.expect("vote", granted, test.vote)
-			script.expect("vote on disk", script.hardState.Vote == 2, test.vote)
+			script.expect("persisted vote", script.hardState.Vote == 2, test.vote)
 		})
 	}
 }
 
 func TestOneVotePerTerm(t *testing.T) {
 	script := newScriptedNode(t, foundingState(1, 2, 3))
-	script.expect("first", script.onlyMessage(MessageVoteReply, 2, script.step(Message{Kind: MessageVote, From: 2, Term: 1})).Reject, false)
-	script.expect("another", script.onlyMessage(MessageVoteReply, 3, script.step(Message{Kind: MessageVote, From: 3, Term: 1})).Reject, true)
-	script.expect("the same again", script.onlyMessage(MessageVoteReply, 2, script.step(Message{Kind: MessageVote, From: 2, Term: 1})).Reject, false)
+	script.expect("first candidate", script.onlyMessage(MessageVoteReply, 2, script.step(Message{Kind: MessageVote, From: 2, Term: 1})).Reject, false)
+	script.expect("another candidate", script.onlyMessage(MessageVoteReply, 3, script.step(Message{Kind: MessageVote, From: 3, Term: 1})).Reject, true)
+	script.expect("the same candidate again", script.onlyMessage(MessageVoteReply, 2, script.step(Message{Kind: MessageVote, From: 2, Term: 1})).Reject, false)
 	script = newScriptedNode(t, PersistentState{HardState: script.hardState, Snapshot: foundingState(1, 2, 3).Snapshot})
-	script.expect("another after a restart", script.onlyMessage(MessageVoteReply, 3, script.step(Message{Kind: MessageVote, From: 3, Term: 1})).Reject, true)
+	script.expect("another candidate after a restart", script.onlyMessage(MessageVoteReply, 3, script.step(Message{Kind: MessageVote, From: 3, Term: 1})).Reject, true)
 }
 
 func TestElection(t *testing.T) {
@@ -60,7 +60,7 @@
 			}
 			script := newScriptedNode(t, foundingState(ids...))
 			asked := script.tickWhenDue()
-			script.expect("asked", len(asked), test.voters-1)
+			script.expect("vote requests", len(asked), test.voters-1)
 			script.expect("term before the pre-vote is won", script.node.term, map[bool]int{true: 1, false: 0}[test.voters == 1])
 			for _, id := range ids[1:] {
 				script.step(Message{Kind: MessagePreVoteReply, From: id, Term: 1})
@@ -124,10 +124,10 @@
 	ahead := newScriptedNode(t, foundingState(1, 2, 3))
 	ahead.tickWhenDue()
 	ahead.step(ask(2))
-	ahead.expect("role of the lower id", ahead.node.role, Follower)
+	ahead.expect("role of the replica with the lower ID", ahead.node.role, Follower)
 	due := ahead.node.electionDeadline
 	ahead.step(ask(2))
-	ahead.expect("due after it is asked again", ahead.node.electionDeadline, due)
+	ahead.expect("deadline after a second request", ahead.node.electionDeadline, due)
 	if due < ahead.now+testElection*3/4 {
 		t.Errorf("its election is due %v after it yielded", due-ahead.now)
 	}
@@ -143,8 +143,8 @@
 	script.step(Message{Kind: MessagePreVoteReply, From: 2, Term: 2})
 	script.step(Message{Kind: MessageVoteReply, From: 2, Term: 2})
 	script.expect("role", script.node.role, Leader)
-	script.expect("last word of the leader before", script.node.Status().LastContact[3], heard)
-	script.expect("last word of the voter", script.node.Status().LastContact[2], script.now)
+	script.expect("last contact of the preceding leader", script.node.Status().LastContact[3], heard)
+	script.expect("last contact of the voter", script.node.Status().LastContact[2], script.now)
 }
 
 func TestLeaderStepsDownOnNewerTerm(t *testing.T) {
@@ -152,7 +152,7 @@
 	script.becomeLeader()
 	script.step(Message{Kind: MessageAppendReply, From: 3, Term: 7, Reject: true})
 	script.expect("role", script.node.role, Follower)
-	script.expect("term on disk", script.hardState.Term, 7)
+	script.expect("persisted term", script.hardState.Term, 7)
 }
 
 func TestLeaderWithoutQuorumStepsDown(t *testing.T) {
@@ -168,7 +168,7 @@
 // TestJointElectionNeedsBothMajorities: neither voter set of a joint membership elects a leader alone.
 func TestJointElectionNeedsBothMajorities(t *testing.T) {
 	script := newScriptedNode(t, PersistentState{Snapshot: Snapshot{Membership: jointTestMembership()}})
-	script.expect("asked", len(script.tickWhenDue()), 4)
+	script.expect("vote requests", len(script.tickWhenDue()), 4)
 	for _, id := range []ReplicaID{4, 5} {
 		script.step(Message{Kind: MessagePreVoteReply, From: id, Term: 1})
 	}
--- a/internal/system/consensus/membership_change_test.go
+++ b/internal/system/consensus/membership_change_test.go
@@ -12,14 +12,14 @@
 		name string
 		to   Membership
 	}{
-		{"the same", voters(1, 2, 3)},
+		{"no change", voters(1, 2, 3)},
 		{"a voter that was no learner", voters(1, 2, 3, 4)},
 		{"two at once", voters(1)},
-		{"swap", voters(1, 2, 4)},
-		{"nobody", Membership{}},
+		{"voter replaced by a new one", voters(1, 2, 4)},
+		{"no member", Membership{}},
 		{"no voter", Membership{Members: []Member{{ID: 1}, {ID: 2}, {ID: 3}}}},
-		{"twice", withMembers(voters(1, 2, 3), learner, learner)},
-		{"no id", withMembers(voters(1, 2, 3), Member{})},
+		{"duplicate member", withMembers(voters(1, 2, 3), learner, learner)},
+		{"member without ID", withMembers(voters(1, 2, 3), Member{})},
 	} {
 		if err := script.node.ChangeMembership(script.now, test.to); !errors.As(err, new(*InvalidMembershipError)) {
 			t.Errorf("%s: %v", test.name, err)
@@ -53,7 +53,7 @@
 	}
 	joined := withMembers(voters(1, 2, 3), Member{ID: 4, Address: "a"})
 	sent := script.changeMembership(joined)
-	script.expect("holds at once", script.node.membership(), joined)
+	script.expect("in effect at once", script.node.membership(), joined)
 	probe := script.onlyMessage(MessageAppend, 4, sent)
 	promoted := withMembers(voters(1, 2, 3), Member{ID: 4, Address: "a", Voter: true})
 	if err := script.node.ChangeMembership(script.now, promoted); !errors.Is(err, ErrMembershipChangePending) {
@@ -81,7 +81,7 @@
 	stored := PersistentState{Snapshot: Snapshot{Membership: withMembers(voters(1, 2), Member{ID: 3}, Member{ID: 4})}}
 	script := newScriptedNode(t, stored)
 	asked := script.tickWhenDue()
-	script.expect("asked", len(asked), 1)
+	script.expect("vote requests", len(asked), 1)
 	script.step(Message{Kind: MessagePreVoteReply, From: 3, Term: 1})
 	script.expect("term", script.node.term, 0)
 	script.step(Message{Kind: MessagePreVoteReply, From: 2, Term: 1})
@@ -97,10 +97,10 @@
 	script := newLeader(t)
 	sent := script.changeMembership(voters(2, 3))
 	script.step(acknowledge(script.onlyMessage(MessageAppend, 2, sent)))
-	script.expect("role while one of two has it", script.node.role, Leader)
-	told := script.step(acknowledge(script.onlyMessage(MessageAppend, 3, sent)))
+	script.expect("role while one of two voters holds it", script.node.role, Leader)
+	followUp := script.step(acknowledge(script.onlyMessage(MessageAppend, 3, sent)))
 	script.expect("role after", script.node.role, Follower)
-	script.expect("told to take over", told[len(told)-1].Kind, MessageTimeoutNow)
+	script.expect("message to the successor", followUp[len(followUp)-1].Kind, MessageTimeoutNow)
 	script.expect("due", script.node.NextTick(), Never)
 }
 
@@ -109,12 +109,12 @@
 	sent := script.changeMembership(voters(1, 2))
 	for _, msg := range sent {
 		if msg.To == 3 {
-			t.Errorf("told before: %+v", msg)
+			t.Errorf("notified before the commit: %+v", msg)
 		}
 	}
-	told := script.onlyMessage(MessageAppend, 3, script.step(acknowledge(script.onlyMessage(MessageAppend, 2, sent))))
-	script.expect("commit", told.Commit, 2)
-	script.expect("entries", len(told.Entries), 1)
+	notice := script.onlyMessage(MessageAppend, 3, script.step(acknowledge(script.onlyMessage(MessageAppend, 2, sent))))
+	script.expect("commit", notice.Commit, 2)
+	script.expect("entries", len(notice.Entries), 1)
 }
 
 func TestLeaderWithUncommittedRemovalIsPromotable(t *testing.T) {
@@ -123,7 +123,7 @@
 	stored.Entries = append(entries(1, 1), membershipEntry(2, 1, voters(2)))
 	script := newScriptedNode(t, stored)
 	asked := script.tickWhenDue()
-	script.expect("asked", script.onlyMessage(MessagePreVote, 2, asked).Index, 2)
+	script.expect("vote requests", script.onlyMessage(MessagePreVote, 2, asked).Index, 2)
 	script.step(Message{Kind: MessagePreVoteReply, From: 2, Term: 2})
 	sent := script.step(Message{Kind: MessageVoteReply, From: 2, Term: 2})
 	script.expect("role", script.node.role, Leader)
@@ -148,7 +148,7 @@
 	for _, msg := range []Message{{Kind: MessagePreVote, Term: 5}, {Kind: MessageVote, Term: 5}, {Kind: MessageVote, Term: 5, Force: true},
 		{Kind: MessageTimeoutNow, Term: 5}, {Kind: MessageVoteReply, Term: 5}, {Kind: MessageAppendReply, Term: 5}} {
 		msg.From = 2
-		script.expect("answers", len(script.step(msg)), 0)
+		script.expect("replies", len(script.step(msg)), 0)
 	}
 	script.expect("term", script.node.term, 0)
 	taken := Message{Kind: MessageAppend, From: 2, Term: 1, Round: 1,
@@ -157,7 +157,7 @@
 	script.expect("due as a learner", script.node.NextTick(), Never)
 	script.now += 2 * testElection
 	vote := Message{Kind: MessageVote, From: 3, Term: 2, Index: 9, LogTerm: 1}
-	script.expect("vote as a learner whom the candidate counts", script.onlyMessage(MessageVoteReply, 3, script.step(vote)).Reject, false)
+	script.expect("vote of a learner for a candidate that considers it a voter", script.onlyMessage(MessageVoteReply, 3, script.step(vote)).Reject, false)
 	script.step(Message{Kind: MessageAppend, From: 3, Term: 2, Index: 2, LogTerm: 1, Round: 1,
 		Entries: []Entry{membershipEntry(3, 2, voters(1, 2))}})
 	script.expect("due as a voter", script.node.NextTick() < Never, true)
@@ -179,8 +179,8 @@
 	script.step(acknowledge(script.onlyMessage(MessageAppend, 3, sent)))
 	script.expect("commit with both", script.node.log.commit, 1)
 	script.expect("joint after", script.node.membership().Joint(), false)
-	script.expect("voter before", script.node.membership().isVoter(2), false)
-	script.expect("voter now", script.node.membership().isVoter(5), true)
+	script.expect("outgoing voter", script.node.membership().isVoter(2), false)
+	script.expect("incoming voter", script.node.membership().isVoter(5), true)
 }
 
 // TestChangeVotersThroughJointMembership: a change of several votes goes through a joint membership; the next change
--- a/internal/system/consensus/read_index_test.go
+++ b/internal/system/consensus/read_index_test.go
@@ -19,7 +19,7 @@
 	script.node.ReadIndex(script.now, 2)
 	script.process()
 	script.step(acknowledge(first))
-	script.expect("a round from before the read does not do", len(script.readStates), 1)
+	script.expect("reads after a reply to an earlier round", len(script.readStates), 1)
 	script.step(Message{Kind: MessageAppendReply, From: 3, Term: 5, Reject: true})
 	script.expect("reads", len(script.readStates), 2)
 	if !errors.As(script.readStates[1].Err, new(*NotLeaderError)) {
@@ -35,7 +35,7 @@
 func TestLeaseStartsWithConfirmedRound(t *testing.T) {
 	script := newScriptedNode(t, foundingState(1, 2, 3))
 	sent := script.becomeLeader()
-	script.expect("lease before an answer", script.node.Status().LeaseExpiry, time.Duration(0))
+	script.expect("lease before a reply", script.node.Status().LeaseExpiry, time.Duration(0))
 	began := script.now
 	script.now += 100 * time.Millisecond
 	script.step(acknowledge(script.onlyMessage(MessageAppend, 3, sent)))
--- a/internal/system/consensus/replication_test.go
+++ b/internal/system/consensus/replication_test.go
@@ -17,7 +17,7 @@
 	}{
 		{"to an empty log", nil, 0, 0, 0, entries(1, 1, 2), 1, false, 2, []uint64{1, 2}, 1},
 		{"heartbeat", []uint64{1, 2}, 0, 2, 2, nil, 9, false, 2, []uint64{1, 2}, 2},
-		{"heartbeat in the midst", []uint64{1, 2, 2}, 0, 2, 2, nil, 9, false, 2, []uint64{1, 2, 2}, 2},
+		{"heartbeat before the end", []uint64{1, 2, 2}, 0, 2, 2, nil, 9, false, 2, []uint64{1, 2, 2}, 2},
 		{"at the end", []uint64{1, 2}, 1, 2, 2, entries(3, 4), 3, false, 3, []uint64{1, 2, 4}, 3},
 		{"known entries", []uint64{1, 2, 2}, 0, 1, 1, entries(2, 2), 2, false, 2, []uint64{1, 2, 2}, 2},
 		{"conflict", []uint64{1, 2, 2}, 1, 1, 1, entries(2, 4), 1, false, 2, []uint64{1, 4}, 1},
@@ -140,7 +140,7 @@
 	}
 	sent := script.process()
 	script.expect("sent", len(sent), 2)
-	script.expect("sent after an answer", len(messagesWithEntries(script.step(acknowledge(sent[0])))), 1)
+	script.expect("sent after a reply", len(messagesWithEntries(script.step(acknowledge(sent[0])))), 1)
 	// The others are lost, which the next heartbeat reveals.
 	beat := script.onlyMessage(MessageAppend, 2, script.tickWhenDue())
 	script.expect("heartbeat", []uint64{beat.Index, uint64(len(beat.Entries))}, []uint64{4, 0})
--- a/internal/system/consensus/snapshot_test.go
+++ b/internal/system/consensus/snapshot_test.go
@@ -5,7 +5,7 @@
 func TestInstallSnapshot(t *testing.T) {
 	snapshot := &Snapshot{Index: 9, Term: 2, Membership: voters(1, 2, 3), Data: []byte("state")}
 	install := Message{Kind: MessageInstallSnapshot, From: 2, Term: 3, Round: 4, Snapshot: snapshot}
-	t.Run("on a log without it", func(t *testing.T) {
+	t.Run("log without its entries", func(t *testing.T) {
 		stored := foundingState(1, 2)
 		stored.Entries = entries(1, 1, 1)
 		script := newScriptedNode(t, stored)
@@ -16,7 +16,7 @@
 		script.step(Message{Kind: MessageAppend, From: 2, Term: 3, Index: 9, LogTerm: 2, Entries: entries(10, 3), Commit: 10, Round: 5})
 		script.expect("applied", script.committedEntries, entries(10, 3))
 	})
-	t.Run("on a log with it", func(t *testing.T) {
+	t.Run("log with its entries", func(t *testing.T) {
 		stored := foundingState(1, 2)
 		stored.HardState = HardState{Term: 2}
 		stored.Entries = entries(1, 1, 1, 1, 1, 1, 1, 1, 1, 2, 2)
@@ -26,7 +26,7 @@
 		script.expect("commit", script.node.log.commit, 9)
 		script.expect("last", script.node.log.lastIndex(), 10)
 	})
-	t.Run("of old", func(t *testing.T) {
+	t.Run("older than the log", func(t *testing.T) {
 		stored := PersistentState{HardState: HardState{Term: 2}, Snapshot: Snapshot{Index: 20, Term: 2, Membership: voters(1, 2)}}
 		script := newScriptedNode(t, stored)
 		script.expect("reply", script.onlyMessage(MessageInstallSnapshotReply, 2, script.step(install)).Index, 20)
@@ -42,7 +42,7 @@
 		}
 		script.catchUp(script.process(), 3)
 	}
-	script.expect("wanted at", script.compactIndex, 8)
+	script.expect("compaction index", script.compactIndex, 8)
 	snapshot, is := script.node.CreateSnapshot(8, []byte("state"))
 	script.expect("snapshot", []any{is, snapshot.Index, snapshot.Term, snapshot.Membership}, []any{true, 8, 1, voters(1, 2, 3)})
 	script.node.Compact(8, []byte("state"), 0)
@@ -51,10 +51,10 @@
 	sent := script.step(Message{Kind: MessageAppendReply, From: 3, Term: 1, Index: 7, Reject: true, RejectHint: 1, LogTerm: 1})
 	install := script.onlyMessage(MessageInstallSnapshot, 3, sent)
 	script.expect("snapshot", []any{install.Snapshot.Index, string(install.Snapshot.Data)}, []any{8, "state"})
-	script.expect("nothing more meanwhile", len(script.process()), 0)
+	script.expect("messages while the snapshot is in flight", len(script.process()), 0)
 	next := script.step(Message{Kind: MessageInstallSnapshotReply, From: 3, Term: 1, Index: 8, Round: install.Round})
 	for _, msg := range next {
-		script.expect("goes on at", msg.Index, 8)
+		script.expect("continues at", msg.Index, 8)
 	}
 }
 
--- a/internal/system/consensus/status_test.go
+++ b/internal/system/consensus/status_test.go
@@ -11,20 +11,20 @@
 	script := newScriptedNode(t, foundingState(1, 2, 3))
 	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Entries: entries(1, 1), Commit: 1, Round: 1})
 	current := script.now
-	script.expect("current with all that is committed", script.node.Status().CaughtUpAt, current)
+	script.expect("caught up with all committed entries", script.node.Status().CaughtUpAt, current)
 
 	script.now += testHeartbeat
 	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Index: 1, LogTerm: 1, Commit: 3, Round: 2})
-	script.expect("heard", script.node.Status().LastLeaderContact, script.now)
-	script.expect("not current while entries are missing", script.node.Status().CaughtUpAt, current)
+	script.expect("leader contact", script.node.Status().LastLeaderContact, script.now)
+	script.expect("not caught up while entries are missing", script.node.Status().CaughtUpAt, current)
 
 	script.now += testHeartbeat
 	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Index: 9, LogTerm: 1, Commit: 3, Round: 3})
-	script.expect("not current after a rejected append", script.node.Status().CaughtUpAt, current)
+	script.expect("not caught up after a rejected append", script.node.Status().CaughtUpAt, current)
 
 	script.now += testHeartbeat
 	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Index: 1, LogTerm: 1, Entries: entries(2, 1, 1), Commit: 3, Round: 4})
-	script.expect("current again", script.node.Status().CaughtUpAt, script.now)
+	script.expect("caught up again", script.node.Status().CaughtUpAt, script.now)
 }
 
 // TestCaughtUpAtOfLeaderBeforeCommitInItsTerm: until then entries may be committed that the leader does not know to be.
@@ -33,25 +33,25 @@
 	first := script.becomeLeader()[0]
 	script.now += time.Millisecond
 	script.step(Message{Kind: MessageAppendReply, From: 2, Term: first.Term, Reject: true, Index: first.Index, Round: first.Round})
-	script.expect("not current before", script.node.Status().CaughtUpAt, time.Duration(0))
+	script.expect("not caught up before", script.node.Status().CaughtUpAt, time.Duration(0))
 	script.step(acknowledge(first))
 	current := script.node.Status().CaughtUpAt
-	script.expect("current since a confirmed round", current, script.node.Status().LastLeaderContact)
+	script.expect("caught up since a confirmed round", current, script.node.Status().LastLeaderContact)
 	if current == 0 {
 		t.Error("not current although an entry of the term is committed")
 	}
 	script.now += time.Second
 	script.step(Message{Kind: MessageAppend, From: 3, Term: first.Term + 1, Commit: 9, Round: 1})
-	script.expect("what it knew while it led counts on", script.node.Status().CaughtUpAt, current)
+	script.expect("unchanged after the leadership", script.node.Status().CaughtUpAt, current)
 }
 
 // TestCaughtUpAtBeforeLeaderCommitsInItsTerm: until then the leader does not know the commit index of the group.
 func TestCaughtUpAtBeforeLeaderCommitsInItsTerm(t *testing.T) {
 	script := newScriptedNode(t, foundingState(1, 2, 3))
 	script.step(Message{Kind: MessageAppend, From: 2, Term: 2, Entries: entries(1, 1), Commit: 1, Round: 1})
-	script.expect("not current by an entry of an earlier term", script.node.Status().CaughtUpAt, time.Duration(0))
+	script.expect("not caught up by an entry of an earlier term", script.node.Status().CaughtUpAt, time.Duration(0))
 	script.step(Message{Kind: MessageAppend, From: 2, Term: 2, Index: 1, LogTerm: 1, Entries: entries(2, 2), Commit: 2, Round: 2})
-	script.expect("current by one of its term", script.node.Status().CaughtUpAt, script.now)
+	script.expect("caught up by an entry of its term", script.node.Status().CaughtUpAt, script.now)
 }
 
 // TestStaleInputAfterProcessPause: messages queue in the socket during the pause.
@@ -62,8 +62,8 @@
 	current := script.now
 	script.now += 20 * time.Second
 	script.step(beat)
-	script.expect("not current by what waited", script.node.Status().CaughtUpAt, current)
+	script.expect("not caught up by a queued message", script.node.Status().CaughtUpAt, current)
 	script.now += staleInputHeartbeats * testHeartbeat
 	script.step(beat)
-	script.expect("current by what came after", script.node.Status().CaughtUpAt, script.now)
+	script.expect("caught up by a message after the pause", script.node.Status().CaughtUpAt, script.now)
 }
--- a/internal/system/consensus/transfer_test.go
+++ b/internal/system/consensus/transfer_test.go
@@ -10,27 +10,27 @@
 	sent := script.becomeLeader()
 	script.step(acknowledge(script.onlyMessage(MessageAppend, 3, sent)))
 	script.node.TransferLeadership(script.now, 2)
-	script.expect("told before it has caught up", len(script.process()), 0)
+	script.expect("messages before the transferee has caught up", len(script.process()), 0)
 	if _, _, err := script.node.Propose(script.now, nil); err == nil {
 		t.Error("a proposal was taken during the transfer")
 	}
 	script.expect("lease before", script.node.Status().LeaseExpiry > script.now, true)
-	told := script.onlyMessage(MessageTimeoutNow, 2, script.step(acknowledge(script.onlyMessage(MessageAppend, 2, sent))))
-	script.expect("term", told.Term, 1)
+	request := script.onlyMessage(MessageTimeoutNow, 2, script.step(acknowledge(script.onlyMessage(MessageAppend, 2, sent))))
+	script.expect("term", request.Term, 1)
 	script.expect("lease after", script.node.Status().LeaseExpiry, time.Duration(0))
 	script.now += testElection / 2
 	script.step(acknowledge(script.onlyMessage(MessageAppend, 3, sent)))
 	script.now = script.node.leaderState.transferDeadline
 	script.node.Tick(script.now)
 	vote := script.onlyMessage(MessageVote, 2, script.process())
-	script.expect("election of its own when the other does not take over", vote.Force, true)
+	script.expect("forced election when the transfer timed out", vote.Force, true)
 }
 
 func TestTimeoutNow(t *testing.T) {
 	script := newScriptedNode(t, foundingState(1, 2, 3))
-	script.expect("of a stranger", len(script.step(Message{Kind: MessageTimeoutNow, From: 2, Term: 1})), 0)
+	script.expect("reply to a stranger's timeout-now message", len(script.step(Message{Kind: MessageTimeoutNow, From: 2, Term: 1})), 0)
 	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Round: 1})
-	script.expect("of an old term", len(script.step(Message{Kind: MessageTimeoutNow, From: 2, Term: 0})), 0)
+	script.expect("reply to a timeout-now message of an old term", len(script.step(Message{Kind: MessageTimeoutNow, From: 2, Term: 0})), 0)
 	sent := script.step(Message{Kind: MessageTimeoutNow, From: 2, Term: 1})
 	script.expect("vote", script.onlyMessage(MessageVote, 3, sent).Force, true)
 	script.expect("term", script.onlyMessage(MessageVote, 2, sent).Term, 2)
@@ -43,9 +43,9 @@
 	}
 	script.node.StepDown(script.now)
 	sent := script.process()
-	script.expect("told", sent[0].Kind, MessageTimeoutNow)
+	script.expect("message to the transferee", sent[0].Kind, MessageTimeoutNow)
 	script.now = script.node.leaderState.transferDeadline
 	script.node.Tick(script.now)
-	script.expect("role once nobody took over", script.node.role, Follower)
-	script.expect("stands for election again", script.node.NextTick() >= script.now+(stepDownElectionTimeouts-1)*testElection, true)
+	script.expect("role after the transfer timed out", script.node.role, Follower)
+	script.expect("next election", script.node.NextTick() >= script.now+(stepDownElectionTimeouts-1)*testElection, true)
 }
