--- a/internal/system/control/api/large_configuration_test.go
+++ b/internal/system/control/api/large_configuration_test.go
@@ -77,6 +77,7 @@
 func BenchmarkRead(b *testing.B) { benchmarkRead(b, commonRoutes) }
 
 func benchmarkChange(b *testing.B, routes int) {
+	b.Helper()
 	a := newAPIWithRoutes(b, routes)
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -89,6 +90,7 @@
 }
 
 func benchmarkRead(b *testing.B, routes int) {
+	b.Helper()
 	a := newAPIWithRoutes(b, routes)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/system/control/api/simulation_test.go
+++ b/internal/system/control/api/simulation_test.go
@@ -49,6 +49,7 @@
 }
 
 func runSimulation(t *testing.T, sim *simulation) {
+	t.Helper()
 	sim.play()
 	if sim.failure != "" {
 		t.Errorf("%s\nreplay: go test ./internal/system/control/api -run TestSimulation -orders.seed %d -v", sim.failure, sim.seed)
@@ -191,6 +192,7 @@
 
 // checkCoverage checks that everything the test is meant to cover did occur.
 func (n *simulationTotals) checkCoverage(t *testing.T) {
+	t.Helper()
 	c := n.counts
 	for name, count := range map[string]int{"accepted": c.accepted, "acknowledged": c.acknowledged,
 		"conflicts": c.conflicts, "invalid": c.invalid, "indefinite": c.indefinite, "reacknowledged": c.reacknowledged,
