--- a/internal/dispatcher/cluster/auditlog/auditor.go
+++ b/internal/dispatcher/cluster/auditlog/auditor.go
@@ -11,23 +11,24 @@
 
 var inf = math.Inf(1)
 
-// Rules are what is judged by, in seconds.
+// Rules are the bounds by which an audit judges, in seconds.
 type Rules struct {
-	Grace          float64 // after a drain was told new work may still start
-	StragglerDelay float64 // after the first member one that takes a version up counts as a straggler
+	Grace          float64 // time after a drain was received in which new work may still start
+	StragglerDelay float64 // delay after the first dispatcher from which one that learns a version is a straggler
 }
 
-// DefaultRules are the protocol's grace, and a second: some rounds of the view.
+// DefaultRules are the protocol's grace, and a second: some rounds of gossip.
 var DefaultRules = Rules{Grace: 0.3, StragglerDelay: 1}
 
-// Auditor puts the ledgers of many dispatchers together. Entries are taken first, then Close, then the sends.
+// Auditor combines the logs of many dispatchers. Call AddEntry for all entries, then Finish, then CheckAttempt for all
+// attempts, then Report.
 type Auditor struct {
 	Rules Rules
 
 	timelines    map[string][]*timeline // by dispatcher, in order of their starts
-	byGeneration map[[2]string]*timeline
+	byGeneration map[generationKey]*timeline
 	clocks       *clockSolver
-	mentioned    map[string]bool // by others' entries
+	mentioned    map[string]bool // dispatchers that others' entries mention and that have no log
 	report       Report
 	drains       map[string][]*drain // by worker
 	violations   map[string]*Violation
@@ -35,61 +36,62 @@
 	stragglers []*Straggler
 }
 
-// Report is what came of an audit. Times are the reference's, but where a clock could not be set right.
+// Report is the result of an audit. Times are the reference's, except for clocks that could not be corrected. Its JSON
+// is a public format.
 type Report struct {
 	Clocks       []ClockOffset `json:"clocks"`
 	Versions     []Version     `json:"versions"`
 	Violations   []Violation   `json:"broken"`
 	Stragglers   []Straggler   `json:"stragglers"`
 	Gaps         []string      `json:"holes"`
-	Inconclusive []string      `json:"untold"` // what cannot be told, and why
+	Inconclusive []string      `json:"untold"` // what could not be judged, and why
 	Attempts     int           `json:"sends"`
-	Judged       int           `json:"judged"` // of them, by their marks
+	Judged       int           `json:"judged"` // attempts that were judged by their marks
 }
 
-// Version is when each member took a version up.
+// Version is when each dispatcher learned a version.
 type Version struct {
 	Source    string     `json:"source"`
 	Epoch     uint64     `json:"descent,omitempty"`
 	Revision  int64      `json:"rev"`
-	First     string     `json:"first"` // who knew it first
+	First     string     `json:"first"` // the dispatcher that knew it first
 	At        float64    `json:"at"`
-	Adoptions []Adoption `json:"taken"`           // by all others, the first first
-	Never     []string   `json:"never,omitempty"` // ran, and did not
+	Adoptions []Adoption `json:"taken"`           // by the others, in order of time
+	Never     []string   `json:"never,omitempty"` // dispatchers that ran and did not learn it
 }
 
-// Adoption is a member that took a version up.
+// Adoption is when a dispatcher learned a version.
 type Adoption struct {
 	Dispatcher  string  `json:"by"`
-	After       float64 `json:"after_s"` // the first member
+	After       float64 `json:"after_s"` // seconds after the first dispatcher
 	Uncertainty float64 `json:"within_s"`
-	ByPeer      bool    `json:"peer,omitempty"` // brought up by peers
+	ByPeer      bool    `json:"peer,omitempty"` // learned from peers
 }
 
-// Violation is a rule that was broken, once or more.
+// Violation is a rule that a dispatcher broke, once or more.
 type Violation struct {
 	Dispatcher  string  `json:"by"`
 	Rule        string  `json:"rule"`
 	Node        string  `json:"node,omitempty"`
 	Attempts    int     `json:"sends"`
-	First       string  `json:"first"` // the id of its job
+	First       string  `json:"first"` // ID of the first such request
 	At          float64 `json:"at"`
-	LatestAfter float64 `json:"latest_s"` // how long after it was told the last of them was sent
+	LatestAfter float64 `json:"latest_s"` // greatest delay of such an attempt after the rule applied
 }
 
-// Straggler is a member that took versions up late.
+// Straggler is a dispatcher that learned versions late.
 type Straggler struct {
 	Dispatcher   string  `json:"by"`
 	Cause        string  `json:"cause"`
 	Revision     int64   `json:"rev"` // the first that it lacked
-	LastRevision int64   `json:"to"`  // and the last
+	LastRevision int64   `json:"to"`  // the last that it lacked
 	Since        float64 `json:"from"`
 	Duration     float64 `json:"for_s"`
-	Never        bool    `json:"never,omitempty"` // it had not caught up when its ledger ends
-	Attempts     int     `json:"sends"`           // meanwhile, to workers of which others knew that they get nothing new
+	Never        bool    `json:"never,omitempty"` // it had not caught up when its log ends
+	Attempts     int     `json:"sends"`           // attempts meanwhile at workers that others knew to get no new work
 }
 
-// The causes.
+// The causes of a late version.
 const (
 	CausePaused      = "asleep"
 	CauseIsolated    = "cut off"
@@ -98,49 +100,53 @@
 	CauseUnclear     = "cannot be told: entries are missing"
 )
 
-// drain is a worker that gets nothing new from a version on.
+// drain is a worker that gets no new work from a revision on.
 type drain struct {
 	epoch       listEpoch
 	worker      string
 	revision    int64
-	at          float64 // when the first member knew it
+	at          float64 // when the first dispatcher knew
 	uncertainty float64
-	liftedAt    float64 // when the first member knew that it is ready again
+	liftedAt    float64 // when the first dispatcher knew that the worker is ready again
 }
 
-// NewAuditor begins an audit.
+// generationKey identifies one run of a dispatcher's process.
+type generationKey struct{ dispatcher, generation string }
+
+// NewAuditor returns an auditor without entries.
 func NewAuditor(r Rules) *Auditor {
-	return &Auditor{Rules: r, timelines: map[string][]*timeline{}, byGeneration: map[[2]string]*timeline{}, clocks: newClockSolver(), mentioned: map[string]bool{},
+	return &Auditor{Rules: r, timelines: map[string][]*timeline{},
+		byGeneration: map[generationKey]*timeline{}, clocks: newClockSolver(), mentioned: map[string]bool{},
 		drains: map[string][]*drain{}, violations: map[string]*Violation{}}
 }
 
-func (a *Auditor) timeline(by, name string) *timeline {
-	l := a.byGeneration[[2]string{by, name}]
-	if l == nil {
-		l = &timeline{dispatcher: by, generation: name}
-		a.byGeneration[[2]string{by, name}] = l
+func (a *Auditor) timeline(dispatcher, generation string) *timeline {
+	t := a.byGeneration[generationKey{dispatcher, generation}]
+	if t == nil {
+		t = &timeline{dispatcher: dispatcher, generation: generation}
+		a.byGeneration[generationKey{dispatcher, generation}] = t
 	}
-	return l
+	return t
 }
 
-// AddEntry takes an entry.
-func (a *Auditor) AddEntry(e *Entry) {
-	l := a.timeline(e.Dispatcher, e.Generation)
-	l.entries = append(l.entries, e)
-	a.clocks.add(e.Dispatcher)
-	if e.From != "" {
-		a.mentioned[e.From] = true
+// AddEntry adds an entry.
+func (a *Auditor) AddEntry(entry *Entry) {
+	t := a.timeline(entry.Dispatcher, entry.Generation)
+	t.entries = append(t.entries, entry)
+	a.clocks.add(entry.Dispatcher)
+	if entry.From != "" {
+		a.mentioned[entry.From] = true
 	}
-	if e.Kind == ClockReceived && validTime(e.PeerClock) {
-		a.clocks.addMessage(e.Dispatcher, e.Time, e.From, e.PeerClock)
+	if entry.Kind == ClockReceived && validTime(entry.PeerClock) {
+		a.clocks.addMessage(entry.Dispatcher, entry.Time, entry.From, entry.PeerClock)
 	}
 }
 
-// Finish puts the entries together: clocks, versions, drains.
+// Finish combines the entries: clocks, versions, drains.
 func (a *Auditor) Finish() {
-	for _, l := range a.byGeneration {
-		l.replay()
-		a.timelines[l.dispatcher] = append(a.timelines[l.dispatcher], l)
+	for _, t := range a.byGeneration {
+		t.replay()
+		a.timelines[t.dispatcher] = append(a.timelines[t.dispatcher], t)
 	}
 	for by, lives := range a.timelines {
 		slices.SortFunc(lives, func(x, y *timeline) int { return cmp.Compare(x.first, y.first) })
@@ -155,13 +161,13 @@
 			}
 		}
 	}
-	for _, l := range a.allTimelines() {
-		l.correctClock(offsets[l.dispatcher].Lead)
-		for _, h := range l.gaps {
-			a.report.Gaps = append(a.report.Gaps, fmt.Sprintf("%s: entries %d to %d of life %s are missing", l.dispatcher, h.from, h.to, l.generation))
+	for _, t := range a.allTimelines() {
+		t.correctClock(offsets[t.dispatcher].Lead)
+		for _, h := range t.gaps {
+			a.report.Gaps = append(a.report.Gaps, fmt.Sprintf("%s: entries %d to %d of life %s are missing", t.dispatcher, h.from, h.to, t.generation))
 		}
-		if l.lostLines > 0 {
-			a.report.Gaps = append(a.report.Gaps, fmt.Sprintf("%s: life %s lost %d lines by itself: its disk was slow or full", l.dispatcher, l.generation, l.lostLines))
+		if t.lostLines > 0 {
+			a.report.Gaps = append(a.report.Gaps, fmt.Sprintf("%s: life %s lost %d lines by itself: its disk was slow or full", t.dispatcher, t.generation, t.lostLines))
 		}
 	}
 	for _, by := range slices.Sorted(maps.Keys(a.mentioned)) {
@@ -171,7 +177,7 @@
 	a.findDrains(offsets)
 }
 
-// allTimelines are the lives, in an order that is the same every time.
+// allTimelines returns the timelines in a fixed order.
 func (a *Auditor) allTimelines() (all []*timeline) {
 	for _, by := range slices.Sorted(maps.Keys(a.timelines)) {
 		all = append(all, a.timelines[by]...)
@@ -179,23 +185,23 @@
 	return all
 }
 
-// correctClock sets a life's times right; marks and what hangs on its own clock alone stay.
-func (l *timeline) correctClock(ahead float64) {
-	l.clockLead = ahead
-	l.first -= ahead
-	l.last -= ahead
-	for _, spans := range [][]interval{l.pauses, l.discoverySilences} {
+// correctClock corrects the timeline's times. Those that only compare with the own clock stay.
+func (t *timeline) correctClock(ahead float64) {
+	t.clockLead = ahead
+	t.first -= ahead
+	t.last -= ahead
+	for _, spans := range [][]interval{t.pauses, t.discoverySilences} {
 		for i := range spans {
 			spans[i].from -= ahead
 			spans[i].to -= ahead
 		}
 	}
-	for i := range l.gaps {
-		l.gaps[i].interval.from -= ahead
-		l.gaps[i].interval.to -= ahead
+	for i := range t.gaps {
+		t.gaps[i].interval.from -= ahead
+		t.gaps[i].interval.to -= ahead
 	}
-	rises := [][]progress{l.progress, l.newerKnown}
-	for _, d := range l.drains {
+	rises := [][]progress{t.progress, t.newerKnown}
+	for _, d := range t.drains {
 		rises = append(rises, d)
 	}
 	for _, r := range rises {
@@ -211,7 +217,7 @@
 	}
 }
 
-// analyzeVersions works out when each member took each version up, and who was late.
+// analyzeVersions computes when each dispatcher learned each version, and who was late.
 func (a *Auditor) analyzeVersions(offsets map[string]ClockOffset) {
 	type key struct {
 		line listEpoch
@@ -219,11 +225,11 @@
 	}
 	first := map[key]*timeline{}
 	when := map[key]float64{}
-	for _, l := range a.allTimelines() {
-		for _, r := range l.progress {
+	for _, t := range a.allTimelines() {
+		for _, r := range t.progress {
 			k := key{r.epoch, r.revision}
 			if at, known := when[k]; !known || r.at < at {
-				when[k], first[k] = r.at, l
+				when[k], first[k] = r.at, t
 			}
 		}
 	}
@@ -232,30 +238,30 @@
 	})
 	open := map[string]*Straggler{}
 	for _, k := range keys {
-		at, l0 := when[k], first[k]
-		v := Version{Source: k.line.source, Epoch: k.line.number, Revision: k.rev, First: l0.dispatcher, At: at}
-		for _, l := range a.allTimelines() {
-			if l == l0 || l.dispatcher == l0.dispatcher || l.first > at || l.last <= at || !l.followsEpoch(k.line, at) {
-				continue // it did not run, or looked elsewhere
+		at, firstTimeline := when[k], first[k]
+		v := Version{Source: k.line.source, Epoch: k.line.number, Revision: k.rev, First: firstTimeline.dispatcher, At: at}
+		for _, t := range a.allTimelines() {
+			if t == firstTimeline || t.dispatcher == firstTimeline.dispatcher || t.first > at || t.last <= at || !t.followsEpoch(k.line, at) {
+				continue // it did not run, or followed another source
 			}
-			within := offsets[l.dispatcher].Uncertainty + offsets[l0.dispatcher].Uncertainty
-			r, ok := l.reached(k.line, k.rev)
-			until := l.last
+			within := offsets[t.dispatcher].Uncertainty + offsets[firstTimeline.dispatcher].Uncertainty
+			r, ok := t.reached(k.line, k.rev)
+			until := t.last
 			if ok {
 				until = r.at
-				v.Adoptions = append(v.Adoptions, Adoption{l.dispatcher, r.at - at, within, r.byPeer})
+				v.Adoptions = append(v.Adoptions, Adoption{t.dispatcher, r.at - at, within, r.byPeer})
 			} else {
-				v.Never = append(v.Never, l.dispatcher)
+				v.Never = append(v.Never, t.dispatcher)
 			}
 			if until-at <= a.Rules.StragglerDelay+within {
 				continue
 			}
-			if s := open[l.dispatcher]; s != nil && at <= s.Since+s.Duration { // the same trouble
+			if s := open[t.dispatcher]; s != nil && at <= s.Since+s.Duration { // the same fault
 				s.LastRevision, s.Duration, s.Never = k.rev, max(s.Duration, until-s.Since), s.Never || !ok
 				continue
 			}
-			open[l.dispatcher] = &Straggler{Dispatcher: l.dispatcher, Cause: a.stragglerCause(l, k.line, k.rev, at, until), Revision: k.rev, LastRevision: k.rev, Since: at, Duration: until - at, Never: !ok}
-			a.stragglers = append(a.stragglers, open[l.dispatcher])
+			open[t.dispatcher] = &Straggler{Dispatcher: t.dispatcher, Cause: a.stragglerCause(t, k.line, k.rev, at, until), Revision: k.rev, LastRevision: k.rev, Since: at, Duration: until - at, Never: !ok}
+			a.stragglers = append(a.stragglers, open[t.dispatcher])
 		}
 		slices.SortFunc(v.Adoptions, func(x, y Adoption) int {
 			return cmp.Or(cmp.Compare(x.After, y.After), cmp.Compare(x.Dispatcher, y.Dispatcher))
@@ -264,43 +270,43 @@
 	}
 }
 
-// followsEpoch says whether a life was on a line of descent, or had not said where it is, at a time.
-func (l *timeline) followsEpoch(of listEpoch, at float64) bool {
-	is := true
-	for _, r := range l.progress {
+// followsEpoch reports whether a timeline was in an epoch at a time, or had no list yet.
+func (t *timeline) followsEpoch(epoch listEpoch, at float64) bool {
+	follows := true
+	for _, r := range t.progress {
 		if r.at > at {
-			return is || r.epoch == of
+			return follows || r.epoch == epoch
 		}
-		is = r.epoch == of
+		follows = r.epoch == epoch
 	}
-	return is
+	return follows
 }
 
-// stragglerCause is why a life took a version up late.
-func (a *Auditor) stragglerCause(l *timeline, of listEpoch, rev int64, from, to float64) string {
+// stragglerCause returns why a dispatcher learned a version late.
+func (a *Auditor) stragglerCause(t *timeline, epoch listEpoch, rev int64, from, to float64) string {
 	half := a.Rules.StragglerDelay / 2
 	switch {
-	case l.inGap(from, to):
+	case t.inGap(from, to):
 		return CauseUnclear
-	case longestOverlap(l.pauses, from, to) > half:
+	case longestOverlap(t.pauses, from, to) > half:
 		return CausePaused
 	}
-	heard := to // of a newer version
-	for _, b := range l.newerKnown {
-		if b.epoch == of && b.revision >= rev {
-			heard = min(heard, max(b.at, from))
+	informed := to // when it knew that there is a newer version
+	for _, b := range t.newerKnown {
+		if b.epoch == epoch && b.revision >= rev {
+			informed = min(informed, max(b.at, from))
 		}
 	}
-	switch mute := longestOverlap(l.discoverySilences, from, heard); { // what lasted longer
-	case to-heard > half && to-heard >= mute:
+	switch silent := longestOverlap(t.discoverySilences, from, informed); { // the cause is what lasted longer
+	case to-informed > half && to-informed >= silent:
 		return CauseSlow
-	case mute > half:
+	case silent > half:
 		return CauseIsolated
 	}
 	return CauseNotInformed
 }
 
-// findDrains finds the workers that get nothing new, and from when to when that was known.
+// findDrains finds the workers that got no new work, and from when to when that was known.
 func (a *Auditor) findDrains(offsets map[string]ClockOffset) {
 	type key struct {
 		line   listEpoch
@@ -308,12 +314,12 @@
 		rev    int64
 	}
 	found := map[key]*drain{}
-	for _, l := range a.allTimelines() {
-		for worker, rises := range l.drains {
-			for _, r := range rises {
+	for _, t := range a.allTimelines() {
+		for worker, reports := range t.drains {
+			for _, r := range reports {
 				k := key{r.epoch, worker, r.revision}
 				if d := found[k]; d == nil || r.at < d.at {
-					found[k] = &drain{epoch: r.epoch, worker: worker, revision: r.revision, at: r.at, uncertainty: offsets[l.dispatcher].Uncertainty, liftedAt: inf}
+					found[k] = &drain{epoch: r.epoch, worker: worker, revision: r.revision, at: r.at, uncertainty: offsets[t.dispatcher].Uncertainty, liftedAt: inf}
 				}
 			}
 		}
@@ -323,9 +329,9 @@
 	}
 	for worker, all := range a.drains {
 		slices.SortFunc(all, func(x, y *drain) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.revision, y.revision)) })
-		for _, l := range a.allTimelines() {
-			for _, t := range l.blocked[worker] {
-				if at := t.at - l.clockLead; !t.blocked { // lifted
+		for _, t := range a.allTimelines() {
+			for _, change := range t.blocked[worker] {
+				if at := change.at - t.clockLead; !change.blocked { // lifted
 					for _, d := range all {
 						if d.at < at {
 							d.liftedAt = min(d.liftedAt, at)
@@ -337,47 +343,47 @@
 	}
 }
 
-// CheckAttempt judges an attempt. Entries have been closed.
-func (a *Auditor) CheckAttempt(s *Attempt) {
+// CheckAttempt judges an attempt. Finish must have been called.
+func (a *Auditor) CheckAttempt(attempt *Attempt) {
 	a.report.Attempts++
-	l := a.byGeneration[[2]string{s.Dispatcher, s.Generation}]
+	t := a.byGeneration[generationKey{attempt.Dispatcher, attempt.Generation}]
 	switch {
-	case s.Mark == 0:
-		a.addInconclusive("%s: sends without a mark: made with the fleet off, or by an older form", s.Dispatcher)
+	case attempt.Mark == 0:
+		a.addInconclusive("%s: sends without a mark: made with the fleet off, or by an older form", attempt.Dispatcher)
 		return
-	case l == nil:
-		a.addInconclusive("%s: sends of life %s, of which there is no ledger", s.Dispatcher, s.Generation)
+	case t == nil:
+		a.addInconclusive("%s: sends of life %s, of which there is no ledger", attempt.Dispatcher, attempt.Generation)
 		return
-	case s.Mark > l.entries[len(l.entries)-1].Number:
-		a.addInconclusive("%s: sends by entries after the last that is there of life %s (%d)", s.Dispatcher, l.generation, l.entries[len(l.entries)-1].Number)
+	case attempt.Mark > t.entries[len(t.entries)-1].Number:
+		a.addInconclusive("%s: sends by entries after the last that is there of life %s (%d)", attempt.Dispatcher, t.generation, t.entries[len(t.entries)-1].Number)
 		return
 	}
-	if i := sort.Search(len(l.gaps), func(i int) bool { return l.gaps[i].from > s.Mark }); i > 0 {
-		a.addInconclusive("%s: sends after a hole in life %s are judged by what is there", s.Dispatcher, l.generation)
+	if i := sort.Search(len(t.gaps), func(i int) bool { return t.gaps[i].from > attempt.Mark }); i > 0 {
+		a.addInconclusive("%s: sends after a hole in life %s are judged by what is there", attempt.Dispatcher, t.generation)
 	}
 	a.report.Judged++
-	l.last = max(l.last, s.At-l.clockLead)
-	if since, off := transitionAt(l.outOfService, s.Mark); off && s.At > since+a.Rules.Grace {
-		a.addViolation(s, "sent out of its lease, or before it looked again after a sleep", "", s.At-since)
+	t.last = max(t.last, attempt.At-t.clockLead)
+	if since, off := transitionAt(t.outOfService, attempt.Mark); off && attempt.At > since+a.Rules.Grace {
+		a.addViolation(attempt, "sent out of its lease, or before it looked again after a sleep", "", attempt.At-since)
 		return
 	}
-	if since, off := transitionAt(l.blocked[s.Node], s.Mark); off {
-		if s.At > since+a.Rules.Grace {
-			a.addViolation(s, "sent to a worker after it was told that it gets nothing new", s.Node, s.At-since)
+	if since, off := transitionAt(t.blocked[attempt.Node], attempt.Mark); off {
+		if attempt.At > since+a.Rules.Grace {
+			a.addViolation(attempt, "sent to a worker after it was told that it gets nothing new", attempt.Node, attempt.At-since)
 		}
 		return
 	}
 	// By an old version, while others knew a newer one.
-	when := s.At - l.clockLead
-	for _, d := range a.drains[s.Node] {
-		if when <= d.at+d.uncertainty+a.Rules.Grace || when >= d.liftedAt || !l.followsEpoch(d.epoch, when) {
+	when := attempt.At - t.clockLead
+	for _, d := range a.drains[attempt.Node] {
+		if when <= d.at+d.uncertainty+a.Rules.Grace || when >= d.liftedAt || !t.followsEpoch(d.epoch, when) {
 			continue
 		}
-		if r, told := l.drainedAt(d.epoch, d.worker, d.revision); told && r.at <= when {
+		if r, told := t.drainedAt(d.epoch, d.worker, d.revision); told && r.at <= when {
 			continue
 		}
 		for _, st := range a.stragglers {
-			if st.Dispatcher == s.Dispatcher && when >= st.Since && when <= st.Since+st.Duration {
+			if st.Dispatcher == attempt.Dispatcher && when >= st.Since && when <= st.Since+st.Duration {
 				st.Attempts++
 				return
 			}
@@ -385,19 +391,19 @@
 	}
 }
 
-// addViolation notes a rule that was broken.
-func (a *Auditor) addViolation(s *Attempt, rule, node string, after float64) {
-	key := s.Dispatcher + "\x00" + rule + "\x00" + node
-	b := a.violations[key]
-	if b == nil {
-		b = &Violation{Dispatcher: s.Dispatcher, Rule: rule, Node: node, First: s.ID, At: s.At}
-		a.violations[key] = b
-	}
-	b.Attempts++
-	b.LatestAfter = max(b.LatestAfter, after)
+// addViolation records that an attempt broke a rule.
+func (a *Auditor) addViolation(attempt *Attempt, rule, node string, after float64) {
+	key := attempt.Dispatcher + "\x00" + rule + "\x00" + node
+	violation := a.violations[key]
+	if violation == nil {
+		violation = &Violation{Dispatcher: attempt.Dispatcher, Rule: rule, Node: node, First: attempt.ID, At: attempt.At}
+		a.violations[key] = violation
+	}
+	violation.Attempts++
+	violation.LatestAfter = max(violation.LatestAfter, after)
 }
 
-// Report is what came of it.
+// Report returns the result.
 func (a *Auditor) Report() *Report {
 	r := a.report
 	for _, key := range slices.Sorted(maps.Keys(a.violations)) {
--- a/internal/dispatcher/cluster/auditlog/auditor_test.go
+++ b/internal/dispatcher/cluster/auditlog/auditor_test.go
@@ -12,31 +12,32 @@
 
 const src = "10.0.0.9:8500"
 
-// scenario is a run whose truth is known: members that take versions up, send, and hear each other, each with its own clock.
+// scenario is a run whose truth is known: dispatchers that learn versions, make attempts and send messages to each
+// other, each with a clock of its own.
 type scenario struct {
-	rng     *rand.Rand
-	members []*testMember
-	now     float64 // the true time
-	rev     int64
-	state   map[string]string // of workers, as discovery has it
-	sends   int
+	rng      *rand.Rand
+	members  []*testMember
+	now      float64 // the true time
+	revision int64
+	state    map[string]string // of workers, as discovery has it
+	attempts int
 }
 
 type testMember struct {
-	name  string
-	life  string
-	skew  float64
-	n     uint64
-	lines []string
-	state map[string]string
-	rev   int64
-	mute  bool // takes nothing up by itself
+	name             string
+	generation       string
+	skew             float64
+	number           uint64
+	lines            []string
+	state            map[string]string
+	revision         int64
+	withoutDiscovery bool // learns nothing from its own discovery
 }
 
 func newScenario(seed uint64, members int) *scenario {
 	s := &scenario{rng: rand.New(rand.NewPCG(seed, 3)), now: 1e9, state: map[string]string{}}
 	for i := range members {
-		a := &testMember{name: fmt.Sprintf("d%d", i), life: fmt.Sprint("l", i), skew: 4*s.rng.Float64() - 2, state: map[string]string{}}
+		a := &testMember{name: fmt.Sprintf("d%d", i), generation: fmt.Sprint("l", i), skew: 4*s.rng.Float64() - 2, state: map[string]string{}}
 		s.members = append(s.members, a)
 		s.add(a, 0, Entry{Kind: Started, Program: "p"})
 	}
@@ -49,47 +50,47 @@
 	return s
 }
 
-// add has a member write an entry so long after now.
+// add has a dispatcher write an entry some time after now.
 func (s *scenario) add(a *testMember, after float64, e Entry) {
-	a.n++
-	e.Time, e.Dispatcher, e.Generation, e.Number = s.now+after+a.skew, a.name, a.life, a.n
+	a.number++
+	e.Time, e.Dispatcher, e.Generation, e.Number = s.now+after+a.skew, a.name, a.generation, a.number
 	text, _ := json.Marshal(&e)
 	a.lines = append(a.lines, string(text))
 }
 
 // send has a member answer a job that it sent to a worker a moment ago.
 func (s *scenario) send(a *testMember, worker string) {
-	s.sends++
+	s.attempts++
 	a.lines = append(a.lines, fmt.Sprintf(`{"time":%.6f,"by":%q,"id":"j%d","class":"score","front":"platform","verdict":"in_time","took_ms":12.000,"mark":"%s.%d","tries":[{"node":%q,"sent_ms":1.000,"end_ms":12.000,"result":"ok","won":true,"mark":%d}]}`,
-		s.now+a.skew+0.012, a.name, s.sends, a.life, a.n, worker, a.n))
+		s.now+a.skew+0.012, a.name, s.attempts, a.generation, a.number, worker, a.number))
 }
 
-// tell has discovery tell a version in which a worker changes, to all but those that are mute.
-func (s *scenario) tell(worker, state string) {
-	s.rev++
+// sendList has discovery send a version in which a worker changes to all dispatchers with discovery.
+func (s *scenario) sendList(worker, state string) {
+	s.revision++
 	s.state[worker] = state
 	for _, a := range s.members {
-		if !a.mute {
-			s.take(a, 0.002+0.02*s.rng.Float64(), worker)
+		if !a.withoutDiscovery {
+			s.applyList(a, 0.002+0.02*s.rng.Float64(), worker)
 		}
 	}
 	s.now += 0.05
 }
 
-// take has a member take the newest version up.
-func (s *scenario) take(a *testMember, after float64, workers ...string) {
-	e := Entry{Kind: ListApplied, Source: src, Revision: s.rev}
+// applyList has a dispatcher learn the newest version.
+func (s *scenario) applyList(a *testMember, after float64, workers ...string) {
+	e := Entry{Kind: ListApplied, Source: src, Revision: s.revision}
 	for _, w := range workers {
 		if a.state[w] != s.state[w] {
 			a.state[w] = s.state[w]
 			e.Workers = append(e.Workers, Worker{Name: w, State: s.state[w]})
 		}
 	}
-	a.rev = s.rev
+	a.revision = s.revision
 	s.add(a, after, e)
 }
 
-// run lets seconds pass: jobs by what each member knows, and messages by which clocks compare.
+// run lets seconds pass, with attempts by what each dispatcher knows, and messages by which clocks compare.
 func (s *scenario) run(seconds float64, idle ...*testMember) {
 	for end := s.now + seconds; s.now < end; s.now += 0.1 {
 		for _, a := range s.members {
@@ -109,10 +110,10 @@
 	}
 }
 
-// text is a member's files in one.
+// text returns a dispatcher's files as one.
 func (a *testMember) text() string { return strings.Join(a.lines, "\n") + "\n" }
 
-// audit reads the members' files, all but those of the ones left out.
+// audit audits the files of all dispatchers but those named.
 func (s *scenario) audit(t *testing.T, bad func(line int, err error), without ...string) *Report {
 	t.Helper()
 	a := NewAuditor(DefaultRules)
@@ -135,7 +136,7 @@
 	return func(n int, err error) { t.Errorf("line %d: %v", n, err) }
 }
 
-// summary is what a report names, a line each, without times.
+// summary returns what a report names, a line each, without times.
 func summary(r *Report) (all []string) {
 	for _, b := range r.Violations {
 		all = append(all, fmt.Sprintf("broken %s: %s %s %d", b.Dispatcher, b.Rule, b.Node, b.Attempts))
@@ -157,19 +158,20 @@
 	}
 }
 
-// A run without faults: nothing is told, every send is judged, and clocks are set right within what messages took.
+// TestRunWithoutFaults checks that nothing is reported, every attempt is judged, and clocks are corrected within the
+// time that messages took.
 func TestRunWithoutFaults(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newScenario(seed, 6)
 		for i := range 12 {
 			s.run(2)
-			s.tell(fmt.Sprint("w", i%4), []string{"draining", "ready"}[i/4%2])
+			s.sendList(fmt.Sprint("w", i%4), []string{"draining", "ready"}[i/4%2])
 		}
 		s.run(2)
 		r := s.audit(t, failOnBadLine(t))
 		expectReport(t, r)
-		if r.Judged != r.Attempts || r.Attempts != s.sends || len(r.Versions) != 12 {
-			t.Errorf("%d of %d sends judged, %d made; %d versions", r.Judged, r.Attempts, s.sends, len(r.Versions))
+		if r.Judged != r.Attempts || r.Attempts != s.attempts || len(r.Versions) != 12 {
+			t.Errorf("%d of %d sends judged, %d made; %d versions", r.Judged, r.Attempts, s.attempts, len(r.Versions))
 		}
 		var reference *testMember
 		for i, o := range r.Clocks {
@@ -185,32 +187,33 @@
 	}
 }
 
-// Every fault that is planted is named, with its cause, and nothing else, though clocks are off by up to two seconds.
+// TestFaultsAreReported checks that every fault is reported with its cause, and nothing else, although clocks are off
+// by up to two seconds.
 func TestFaultsAreReported(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newScenario(seed, 9)
 		m := s.members
 		s.run(3)
-		s.tell("w0", "draining") // 1
+		s.sendList("w0", "draining") // 1
 		s.run(2)
-		for range 3 { // d1 goes on by what it does not hold any more
+		for range 3 { // d1 goes on by an old list
 			s.send(m[1], "w0")
 		}
 		s.run(1)
-		m[2].mute, m[3].mute, m[4].mute, m[5].mute = true, true, true, true
+		m[2].withoutDiscovery, m[3].withoutDiscovery, m[4].withoutDiscovery, m[5].withoutDiscovery = true, true, true, true
 		slept := s.now
 		s.add(m[3], 0, Entry{Kind: DiscoverySilent})
-		s.tell("w1", "draining") // 2
+		s.sendList("w1", "draining") // 2
 		s.run(4, m[2])
-		s.tell("w2", "draining") // 3
+		s.sendList("w2", "draining") // 3
 		s.add(m[5], 0.01, Entry{Kind: NewerKnown, From: "d0", Source: src, Revision: 3})
 		s.run(4, m[2])
 		s.add(m[2], 0, Entry{Kind: Paused, LateSeconds: s.now - slept})
 		s.add(m[2], 0.06, Entry{Kind: Resumed})
 		s.add(m[3], 0, Entry{Kind: DiscoveryResumed})
 		for _, a := range m[2:6] {
-			a.mute = false
-			s.take(a, 0.05, "w1", "w2")
+			a.withoutDiscovery = false
+			s.applyList(a, 0.05, "w1", "w2")
 		}
 		s.now += 0.2
 		s.run(2)
@@ -219,13 +222,13 @@
 		s.send(m[7], "w3")
 		s.add(m[7], 0, Entry{Kind: LeaseChanged})
 		s.run(1)
-		m[6].lines = slices.DeleteFunc(m[6].lines, func(line string) bool { // d6 has lost some entries, of clocks alone
+		m[6].lines = slices.DeleteFunc(m[6].lines, func(line string) bool { // d6 lacks some entries, all of clocks
 			return strings.Contains(line, `"n":12,`) || strings.Contains(line, `"n":13,`)
 		})
-		m[0].lines = append(m[0].lines, `{"time":1000000050.1,"by":"d0","life":"l0","n":9999,"wh`) // it died in the midst of a line
+		m[0].lines = append(m[0].lines, `{"time":1000000050.1,"by":"d0","life":"l0","n":9999,"wh`) // it died while writing a line
 		cut := 0
 		r := s.audit(t, func(int, error) { cut++ }, "d8")
-		if cut != 2 { // each pass meets it
+		if cut != 2 { // once in each pass
 			t.Errorf("%d bad lines", cut)
 		}
 		expectReport(t, r,
@@ -244,11 +247,12 @@
 	}
 }
 
-// What a peer told binds like the own list; doubted, it binds no more; the own list's newer word lifts it.
+// TestPeerFactsAreBinding checks that a peer's fact binds like the own list, that it does not once doubted, and that a
+// newer own list lifts it.
 func TestPeerFactsAreBinding(t *testing.T) {
 	s := newScenario(1, 2)
 	a := s.members[0]
-	s.take(a, 0)
+	s.applyList(a, 0)
 	s.add(a, 0, Entry{Kind: FactsReceived, From: "d1", Source: src, Workers: []Worker{{Name: "w0", State: "draining", Revision: 4}}})
 	s.now++
 	s.send(a, "w0") // broken
@@ -257,8 +261,8 @@
 	s.send(a, "w0") // not
 	s.add(a, 0, Entry{Kind: FactsReceived, From: "d1", Source: src, Workers: []Worker{{Name: "w0", State: "gone", Revision: 5}}})
 	s.add(a, 0, Entry{Kind: FactsReceived, From: "d1", Source: "other", Workers: []Worker{{Name: "w1", State: "gone", Revision: 5}}})
-	s.rev = 6
-	s.take(a, 0)
+	s.revision = 6
+	s.applyList(a, 0)
 	s.now++
 	s.send(a, "w0")
 	s.send(a, "w1")
@@ -268,13 +272,14 @@
 	}
 }
 
-// A clock that was set while it ran, and one that nobody compares with, are told and taken as they are.
+// TestUnknownClockOffsets checks that a clock that was set during the run, and one without messages, are reported and
+// taken as they are.
 func TestUnknownClockOffsets(t *testing.T) {
 	s := newScenario(2, 3)
 	s.run(5)
 	s.members[1].skew -= 3
 	s.run(5)
-	lone := &testMember{name: "d9", life: "l9", state: map[string]string{}}
+	lone := &testMember{name: "d9", generation: "l9", state: map[string]string{}}
 	s.members = append(s.members, lone)
 	s.add(lone, 0, Entry{Kind: Started})
 	text := strings.Join(summary(s.audit(t, failOnBadLine(t))), "\n")
@@ -283,14 +288,15 @@
 	}
 }
 
-// Answers without marks, of lives without a ledger and beyond a ledger's end are told, and not judged.
+// TestInconclusiveAttempts checks that attempts without marks, of generations without a log and beyond a log's end are
+// reported and not judged.
 func TestInconclusiveAttempts(t *testing.T) {
 	s := newScenario(3, 2)
 	a := s.members[0]
 	a.lines = append(a.lines, `{"time":1000000001,"by":"d0","id":"x","class":"c","front":"f","verdict":"in_time","took_ms":1,"tries":[{"node":"w0","sent_ms":0,"result":"ok"}]}`)
-	a.life = "later"
+	a.generation = "later"
 	s.send(a, "w0")
-	a.life, a.n = "l0", 77
+	a.generation, a.number = "l0", 77
 	s.send(a, "w0")
 	r := s.audit(t, func(int, error) {})
 	text := strings.Join(r.Inconclusive, "\n")
@@ -299,11 +305,11 @@
 	}
 }
 
-// Files given twice, in any order, say the same.
+// TestDuplicateFiles checks that files given twice, in any order, have the same result.
 func TestDuplicateFiles(t *testing.T) {
 	s := newScenario(4, 4)
 	s.run(2)
-	s.tell("w1", "draining")
+	s.sendList("w1", "draining")
 	s.run(2)
 	once := s.audit(t, failOnBadLine(t))
 	s.members = append(slices.Clone(s.members), s.members[2], s.members[0])
@@ -317,11 +323,11 @@
 	}
 }
 
-// Whatever is read, the reader comes to an end, and so does the audit.
+// FuzzRead checks that reading and auditing end whatever the input.
 func FuzzRead(f *testing.F) {
 	s := newScenario(5, 3)
 	s.run(0.3)
-	s.tell("w0", "draining")
+	s.sendList("w0", "draining")
 	s.run(0.3)
 	for _, m := range s.members {
 		f.Add([]byte(m.text()))
@@ -345,12 +351,12 @@
 	})
 }
 
-// How fast five dispatchers' files are read and judged.
+// BenchmarkAudit measures how fast five dispatchers' files are read and judged.
 func BenchmarkAudit(b *testing.B) {
 	s := newScenario(6, 5)
 	for i := range 40 {
 		s.run(5)
-		s.tell(fmt.Sprint("w", i%4), []string{"draining", "ready"}[i/4%2])
+		s.sendList(fmt.Sprint("w", i%4), []string{"draining", "ready"}[i/4%2])
 	}
 	var texts []string
 	size := 0
--- a/internal/dispatcher/cluster/auditlog/clocks.go
+++ b/internal/dispatcher/cluster/auditlog/clocks.go
@@ -9,67 +9,75 @@
 type ClockOffset struct {
 	Dispatcher  string  `json:"by"`
 	Lead        float64 `json:"ahead_s"`
-	Uncertainty float64 `json:"within_s"` // that may be wrong by so much, either way
+	Uncertainty float64 `json:"within_s"` // bound of the error of Lead, either way
 	Reason      string  `json:"why,omitempty"`
-	Known       bool    `json:"known"` // else the clock is taken as it is
+	Known       bool    `json:"known"` // false: the clock is taken as it is
 }
 
-// clockSolver sets clocks right against each other. A message is heard after it was sent: what the hearer's clock said less what the
-// sender's did is at most the hearer's lead and the time that the message took. The quickest message of each direction
-// bounds the lead from either side; where two have not spoken, those between them do.
+// clockSolver corrects clocks against each other. A message is received after it was sent, so the receiver's clock less
+// the sender's is at most the receiver's lead plus the time that the message took. The quickest message of each
+// direction bounds the lead from either side; bounds of dispatchers without messages between them follow from those in
+// between.
 type clockSolver struct {
 	dispatchers []string
-	maxLead     map[[2]string]float64 // of the first one's lead before the second one, at most
+	maxLead     map[clockPair]float64 // upper bound of the first one's lead over the second
 }
 
-func newClockSolver() *clockSolver { return &clockSolver{maxLead: map[[2]string]float64{}} }
+// clockPair is an ordered pair of dispatchers.
+type clockPair struct{ first, second string }
 
-func (c *clockSolver) add(by string) {
-	if !slices.Contains(c.dispatchers, by) {
-		c.dispatchers = append(c.dispatchers, by)
+func newClockSolver() *clockSolver { return &clockSolver{maxLead: map[clockPair]float64{}} }
+
+// add adds a dispatcher, once.
+func (c *clockSolver) add(dispatcher string) {
+	if !slices.Contains(c.dispatchers, dispatcher) {
+		c.dispatchers = append(c.dispatchers, dispatcher)
 	}
 }
 
-// addMessage notes that a member heard at mine, by its clock, what another one sent at theirs.
-func (c *clockSolver) addMessage(by string, mine float64, from string, theirs float64) {
-	c.add(by)
-	c.add(from)
-	// mine - lead(by) >= theirs - lead(from)
-	if key, lead := [2]string{by, from}, mine-theirs; by != from {
-		if old, known := c.maxLead[key]; !known || lead < old {
-			c.maxLead[key] = lead
-		}
+// addMessage records that receiver received, at a time of its clock, what sender had sent at a time of its own.
+func (c *clockSolver) addMessage(receiver string, received float64, sender string, sent float64) {
+	c.add(receiver)
+	c.add(sender)
+	if receiver == sender {
+		return
+	}
+	// received - lead(receiver) >= sent - lead(sender)
+	pair, lead := clockPair{receiver, sender}, received-sent
+	if known, has := c.maxLead[pair]; !has || lead < known {
+		c.maxLead[pair] = lead
 	}
 }
 
-// solve works the leads out, with the first name that most others reach as the reference.
+// solve computes the offsets. The reference is the first dispatcher by name that is connected to most others.
 func (c *clockSolver) solve() (offsets map[string]ClockOffset) {
 	slices.Sort(c.dispatchers)
 	n := len(c.dispatchers)
-	dist := make([][]float64, n)
-	for i := range dist {
-		dist[i] = make([]float64, n)
-		for j := range dist[i] {
-			dist[i][j] = math.Inf(1)
-			if most, known := c.maxLead[[2]string{c.dispatchers[i], c.dispatchers[j]}]; known {
-				dist[i][j] = most
+	maxLead := make([][]float64, n)
+	for i := range maxLead {
+		maxLead[i] = make([]float64, n)
+		for j := range maxLead[i] {
+			maxLead[i][j] = math.Inf(1)
+			pair := clockPair{c.dispatchers[i], c.dispatchers[j]}
+			if most, known := c.maxLead[pair]; known {
+				maxLead[i][j] = most
 			}
 		}
-		dist[i][i] = 0
+		maxLead[i][i] = 0
 	}
-	for k := range dist { // shortest ways: a lead is at most the sum of the leads between
-		for i := range dist {
-			for j := range dist {
-				dist[i][j] = min(dist[i][j], dist[i][k]+dist[k][j])
+	for k := range maxLead { // shortest paths: a lead is at most the sum of the leads in between
+		for i := range maxLead {
+			for j := range maxLead {
+				maxLead[i][j] = min(maxLead[i][j], maxLead[i][k]+maxLead[k][j])
 			}
 		}
 	}
 	offsets = map[string]ClockOffset{}
 	reference, reached := 0, -1
-	for i := range dist {
+	for i := range maxLead {
 		both := 0
-		for j := range dist {
-			if !math.IsInf(dist[i][j]+dist[j][i], 1) {
+		for j := range maxLead {
+			if !math.IsInf(maxLead[i][j]+maxLead[j][i], 1) {
 				both++
 			}
 		}
@@ -77,19 +85,19 @@
 			reference, reached = i, both
 		}
 	}
-	for i, by := range c.dispatchers {
-		o := ClockOffset{Dispatcher: by}
-		switch high, low := dist[i][reference], -dist[reference][i]; {
+	for i, dispatcher := range c.dispatchers {
+		offset := ClockOffset{Dispatcher: dispatcher}
+		switch high, low := maxLead[i][reference], -maxLead[reference][i]; {
 		case i == reference:
-			o.Known, o.Reason = true, "the reference"
+			offset.Known, offset.Reason = true, "the reference"
 		case math.IsInf(high, 1) || math.IsInf(low, -1):
-			o.Reason = "too few messages to set it right by: taken as it is"
-		case high < low || dist[i][i] < 0:
-			o.Reason = "its clock, or another one's, was set while it ran: taken as it is"
+			offset.Reason = "too few messages to set it right by: taken as it is"
+		case high < low || maxLead[i][i] < 0:
+			offset.Reason = "its clock, or another one's, was set while it ran: taken as it is"
 		default:
-			o.Known, o.Lead, o.Uncertainty = true, (high+low)/2, (high-low)/2
+			offset.Known, offset.Lead, offset.Uncertainty = true, (high+low)/2, (high-low)/2
 		}
-		offsets[by] = o
+		offsets[dispatcher] = offset
 	}
 	return offsets
 }
--- a/internal/dispatcher/cluster/auditlog/log.go
+++ b/internal/dispatcher/cluster/auditlog/log.go
@@ -1,5 +1,12 @@
-// Package ledger keeps what a dispatcher took up, when and from whom, beside its request log, and audits the ledgers and request
-// logs of many. An answer and a send carry a mark: the number of the last entry that was in force when they were decided.
+// Package auditlog records what a dispatcher learned, when and from whom, and audits the logs of many dispatchers
+// together with their request logs.
+//
+// Log is open for writing in a dispatcher. Each answer and each attempt in the request log carries a mark: the number
+// of the last entry that was in force when it was decided. Auditor reads the logs of many dispatchers, corrects their
+// clocks against each other, and reports when each learned which version of the list, who was late and why, and which
+// attempts broke a rule.
+//
+// The names of the JSON fields and the kinds of entries are a stored format: they must not change.
 package auditlog
 
 import (
@@ -9,55 +16,55 @@
 	"cinderroad/internal/dispatcher/linelog"
 )
 
-// What an entry tells.
+// The kinds of entries.
 const (
-	Started           = "start"    // a life begins, by this program, these settings and this operator's file
-	ListApplied       = "list"     // the own discovery told a version; workers that it changes to or from ready
-	FactsReceived     = "told"     // a member told what it knows of workers
-	CaughtUp          = "knows"    // a member has told all that it knows up to a version
-	NewerKnown        = "behind"   // a member knows of a newer version, for the first time
-	FactsDoubted      = "doubt"    // what a member told of workers counts no more
-	DiscoverySilent   = "mute"     // the own discovery says nothing
-	DiscoveryResumed  = "speaks"   // and speaks again
-	ClockReceived     = "clock"    // what a member's clock was, at most so long ago as its message took
-	OrderReceived     = "order"    // a member is shut out, or brought back, by hand
-	LeaseChanged      = "lease"    // may new work be taken
-	Paused            = "slept"    // the process stood still
-	Resumed           = "looked"   // and has looked again since
+	Started           = "start"    // the process started, with this program, these settings and this operator's file
+	ListApplied       = "list"     // the own discovery sent a version; workers that change to or from ready
+	FactsReceived     = "told"     // a member sent facts of workers
+	CaughtUp          = "knows"    // a member has sent all facts up to a version
+	NewerKnown        = "behind"   // a member knows a newer version, which was not known here
+	FactsDoubted      = "doubt"    // a member's facts are no longer used
+	DiscoverySilent   = "mute"     // the own discovery became silent
+	DiscoveryResumed  = "speaks"   // the own discovery replies again
+	ClockReceived     = "clock"    // a member's clock when it sent its message
+	OrderReceived     = "order"    // an order excludes or readmits a member
+	LeaseChanged      = "lease"    // the lease began or ended to allow new work
+	Paused            = "slept"    // the process was paused
+	Resumed           = "looked"   // what it knew has been confirmed again since
 	SettingsChanged   = "settings" // other settings or another operator's file are in force
-	ExclusionsChanged = "excluded" // other workers are out by hand
-	ViewConverged     = "view"     // the fleet's view has settled
-	KeepAlive         = "still"    // nothing else to tell, but the ledger goes on
-	Ended             = "end"      // the life ends as it should
+	ExclusionsChanged = "excluded" // other workers are excluded by hand
+	ViewConverged     = "view"     // the membership's view has converged
+	KeepAlive         = "still"    // no other entry for KeepAliveInterval
+	Ended             = "end"      // the process ended in order
 )
 
 var kinds = map[string]bool{Started: true, ListApplied: true, FactsReceived: true, CaughtUp: true, NewerKnown: true, FactsDoubted: true, DiscoverySilent: true, DiscoveryResumed: true, ClockReceived: true,
 	OrderReceived: true, LeaseChanged: true, Paused: true, Resumed: true, SettingsChanged: true, ExclusionsChanged: true, ViewConverged: true, KeepAlive: true, Ended: true}
 
-// Worker is what an entry tells of one.
+// Worker is what an entry tells of a worker.
 type Worker struct {
 	Name     string `json:"name"`
 	State    string `json:"state"` // ready, draining or gone
 	Start    int64  `json:"start,omitempty"`
-	Revision int64  `json:"rev,omitempty"` // where it is not the entry's
+	Revision int64  `json:"rev,omitempty"` // if it is not the entry's
 }
 
-// Entry is one line.
+// Entry is a line of the log.
 type Entry struct {
 	Time       float64 `json:"time"` // Unix time, by the dispatcher's clock
-	Dispatcher string  `json:"by"`
-	Generation string  `json:"life"` // of its process
-	Number     uint64  `json:"n"`    // 1, 2 and so on within a life
+	Dispatcher string  `json:"by"`   // that wrote it
+	Generation string  `json:"life"` // of its process; see GenerationName
+	Number     uint64  `json:"n"`    // 1, 2 and so on within a generation
 	Kind       string  `json:"what"`
 
-	From           string   `json:"from,omitempty"` // the member that told it; empty: the own discovery, or nobody
+	From           string   `json:"from,omitempty"` // the member that sent it; empty: the own discovery, or none
 	Source         string   `json:"source,omitempty"`
 	Epoch          uint64   `json:"descent,omitempty"`
 	Revision       int64    `json:"rev,omitempty"`
-	Cached         bool     `json:"cached,omitempty"` // the list is of an earlier life
+	Cached         bool     `json:"cached,omitempty"` // the list was read from disk
 	Workers        []Worker `json:"workers,omitempty"`
-	OmittedWorkers int      `json:"more,omitempty"`   // workers that found no room in the line
-	PeerClock      float64  `json:"theirs,omitempty"` // the other one's clock
+	OmittedWorkers int      `json:"more,omitempty"`   // number of workers beyond maxWorkers
+	PeerClock      float64  `json:"theirs,omitempty"` // the member's clock, Unix time
 	Member         string   `json:"member,omitempty"`
 	Out            bool     `json:"out,omitempty"`
 	Reason         string   `json:"why,omitempty"`
@@ -65,18 +72,18 @@
 	Program        string   `json:"program,omitempty"`
 	Settings       string   `json:"settings,omitempty"`
 	Operator       string   `json:"operator,omitempty"`
-	Digest         string   `json:"digest,omitempty"` // of the view, or of what is excluded
+	Digest         string   `json:"digest,omitempty"` // of the view, or of the excluded workers
 	Members        int      `json:"members,omitempty"`
-	LostLines      uint64   `json:"lost,omitempty"` // lines of ledger and request log that were lost so far
+	LostLines      uint64   `json:"lost,omitempty"` // lines of this log and of the request log that were lost so far
 }
 
 const (
-	maxWorkers = 512 // in a line
-	// KeepAliveInterval is how long a ledger says nothing before it says that it goes on, in seconds.
+	maxWorkers = 512 // in an entry
+	// KeepAliveInterval is the time without an entry after which a KeepAlive is due, in seconds.
 	KeepAliveInterval = 30.0
 )
 
-// Log is a dispatcher's ledger, open for writing. It belongs to one goroutine.
+// Log is a dispatcher's audit log, open for writing. It is not safe for concurrent use.
 type Log struct {
 	log        *linelog.Log
 	dispatcher string
@@ -85,7 +92,7 @@
 	lastAppend float64
 }
 
-// Open opens a ledger for a life.
+// Open opens the log of a generation of a dispatcher.
 func Open(o linelog.Options, by, life string) (*Log, error) {
 	o.What = "ledger"
 	log, err := linelog.Open(o)
@@ -95,35 +102,35 @@
 	return &Log{log: log, dispatcher: by, generation: life}, nil
 }
 
-// GenerationName is a life's name, by the start of its process in Unix time.
+// GenerationName names a run of a process by its start, in Unix time.
 func GenerationName(started float64) string { return strconv.FormatUint(uint64(started*1e6), 36) }
 
-// Append writes an entry and returns its number: the mark of what is decided from now on.
-func (b *Log) Append(now float64, e Entry) uint64 {
-	b.number++
-	b.lastAppend = now
-	e.Time, e.Dispatcher, e.Generation, e.Number = now, b.dispatcher, b.generation, b.number
-	if len(e.Workers) > maxWorkers {
-		e.Workers, e.OmittedWorkers = e.Workers[:maxWorkers], len(e.Workers)-maxWorkers
+// Append writes an entry and returns its number, which is the mark of what is decided from now on.
+func (l *Log) Append(now float64, entry Entry) uint64 {
+	l.number++
+	l.lastAppend = now
+	entry.Time, entry.Dispatcher, entry.Generation, entry.Number = now, l.dispatcher, l.generation, l.number
+	if len(entry.Workers) > maxWorkers {
+		entry.Workers, entry.OmittedWorkers = entry.Workers[:maxWorkers], len(entry.Workers)-maxWorkers
 	}
-	text, err := json.Marshal(&e)
-	if err == nil { // of numbers and strings: it cannot fail
-		b.log.End(append(append(b.log.Begin(), text...), '\n'))
+	text, err := json.Marshal(&entry)
+	if err == nil { // numbers and strings: it cannot fail
+		l.log.End(append(append(l.log.Begin(), text...), '\n'))
 	}
-	return b.number
+	return l.number
 }
 
-// ContinueAfter has entries numbered on from those of an earlier file of the same life.
-func (b *Log) ContinueAfter(n uint64) { b.number = n }
+// ContinueAfter sets the number of the last entry, if an earlier file of the same generation has it.
+func (l *Log) ContinueAfter(n uint64) { l.number = n }
 
-// KeepAliveDue is due where nothing was added for a while.
-func (b *Log) KeepAliveDue(now float64) bool { return now >= b.lastAppend+KeepAliveInterval }
+// KeepAliveDue reports whether a KeepAlive is due.
+func (l *Log) KeepAliveDue(now float64) bool { return now >= l.lastAppend+KeepAliveInterval }
 
-// LostLines is how many lines did not get to the disk.
-func (b *Log) LostLines() uint64 { return b.log.Lost() + b.log.Failed() }
+// LostLines returns how many lines did not get to the disk.
+func (l *Log) LostLines() uint64 { return l.log.Lost() + l.log.Failed() }
 
-// Flush hands what there is to the writer.
-func (b *Log) Flush() { b.log.Flush() }
+// Flush hands the pending lines to the writer.
+func (l *Log) Flush() { l.log.Flush() }
 
-// Close writes what there is and closes the file; it waits for the disk.
-func (b *Log) Close() { b.log.Close() }
+// Close writes all lines and closes the file. It waits for the disk.
+func (l *Log) Close() { l.log.Close() }
--- a/internal/dispatcher/cluster/auditlog/plot.go
+++ b/internal/dispatcher/cluster/auditlog/plot.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// The plot's measures, in pixels; delays stand on a logarithmic scale between these, in seconds.
+// Sizes of the plot in pixels, and the bounds in seconds of its logarithmic scale of delays.
 const (
 	plotWide, plotHigh   = 960, 420
 	plotLeft, plotBottom = 70, 40
@@ -17,7 +17,8 @@
 
 var plotColours = []string{"#1b6ca8", "#d1495b", "#66a182", "#edae49", "#8d5a97", "#3c3c3c", "#00798c", "#a44200"}
 
-// Plot draws when each member took each version up, as SVG: the time of the version across, the delay after the first member up.
+// Plot draws when each dispatcher learned each version, as SVG: the time of the version across, the delay after the
+// first dispatcher upwards.
 func (r *Report) Plot(w io.Writer) error {
 	var members []string
 	from, to := math.Inf(1), math.Inf(-1)
--- a/internal/dispatcher/cluster/auditlog/read.go
+++ b/internal/dispatcher/cluster/auditlog/read.go
@@ -13,44 +13,45 @@
 	"strings"
 )
 
-// Attempt is an attempt as the request log tells it.
+// Attempt is an attempt of a request, from the request log.
 type Attempt struct {
 	Dispatcher string
 	Generation string
 	ID         string
 	Node       string
 	At         float64 // by the dispatcher's clock
-	Mark       uint64  // of the last entry in force; 0: none is told
+	Mark       uint64  // number of the last entry in force; 0: none given
 }
 
 const maxLineLength = 1 << 20 // bytes
 
-// errUnknownForm is a line that is neither an entry nor an answer as they are known here.
+// errUnknownForm is returned for a line that is neither an entry nor an answer.
 var errUnknownForm = errors.New("neither an entry nor an answer of a form that is known here")
 
-// Read reads a ledger, a request log or both in one file, and has each entry and each attempt told; either may be nil. A line
-// that makes no sense is told to bad with its number, and left out: an earlier life may have died in the midst of it.
+// Read reads an audit log, a request log, or both in one file, and calls entry and send for each entry and attempt;
+// either may be nil. A malformed line is reported to bad with its number and skipped: an earlier process may have died
+// while writing it.
 func Read(r io.Reader, entry func(*Entry), send func(*Attempt), bad func(line int, err error)) error {
-	in := bufio.NewReaderSize(r, 64<<10)
-	for n := 1; ; n++ {
-		text, err := readLine(in)
+	reader := bufio.NewReaderSize(r, 64<<10)
+	for number := 1; ; number++ {
+		text, err := readLine(reader)
 		if errors.Is(err, errLineTooLong) {
-			bad(n, err)
+			bad(number, err)
 			continue
 		}
-		whole := err == nil
+		complete := err == nil
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("ledger: line %d: %w", n, err)
+			return fmt.Errorf("ledger: line %d: %w", number, err)
 		}
 		if text = bytes.TrimSpace(text); len(text) > 0 {
 			if err := parseLine(text, entry, send); err != nil {
-				if !whole {
+				if !complete {
 					err = fmt.Errorf("cut off: %w", err)
 				}
-				bad(n, err)
+				bad(number, err)
 			}
 		}
-		if !whole {
+		if !complete {
 			return nil
 		}
 	}
@@ -58,13 +59,13 @@
 
 var errLineTooLong = errors.New("longer than any line that is written")
 
-// readLine reads up to a line's end; one that is too long is passed over.
-func readLine(in *bufio.Reader) (line []byte, err error) {
+// readLine reads a line. One that is too long is skipped.
+func readLine(reader *bufio.Reader) (line []byte, err error) {
 	long := false
 	for {
-		part, err := in.ReadSlice('\n')
+		chunk, err := reader.ReadSlice('\n')
 		if !long {
-			line = append(line, part...)
+			line = append(line, chunk...)
 		}
 		if len(line) > maxLineLength {
 			line, long = nil, true
@@ -79,7 +80,7 @@
 	}
 }
 
-// requestLogLine is a line of the request log as far as it is read here.
+// requestLogLine is a line of the request log, as far as it is read here.
 type requestLogLine struct {
 	Time    float64 `json:"time"`
 	By      string  `json:"by"`
@@ -99,16 +100,16 @@
 		if send == nil {
 			return nil
 		}
-		var a requestLogLine
-		if err := json.Unmarshal(text, &a); err != nil {
+		var answer requestLogLine
+		if err := json.Unmarshal(text, &answer); err != nil {
 			return err
 		}
-		life, _, marked := strings.Cut(a.Mark, ".")
-		if !validTime(a.Time) || a.By == "" || a.Mark != "" && (!marked || life == "") {
+		life, _, marked := strings.Cut(answer.Mark, ".")
+		if !validTime(answer.Time) || answer.By == "" || answer.Mark != "" && (!marked || life == "") {
 			return errUnknownForm
 		}
-		for _, t := range a.Tries {
-			send(&Attempt{Dispatcher: a.By, Generation: life, ID: a.ID, Node: t.Node, At: a.Time + (t.Sent-a.Took)/1000, Mark: t.Mark})
+		for _, t := range answer.Tries {
+			send(&Attempt{Dispatcher: answer.By, Generation: life, ID: answer.ID, Node: t.Node, At: answer.Time + (t.Sent-answer.Took)/1000, Mark: t.Mark})
 		}
 		return nil
 	}
@@ -128,21 +129,22 @@
 	return nil
 }
 
-// ErrNoEntries is that no file holds an entry.
+// ErrNoEntries is returned if no file holds an entry.
 var ErrNoEntries = errors.New("no ledger among these files")
 
-// AuditFiles audits ledgers and request logs. Each is read twice: what the members held first, then what they sent by it. left hears,
-// in the first, of each line that is left out, and of each file that cannot be opened as of its line 0: the rest may say enough.
-func AuditFiles(rules Rules, files []string, left func(file string, line int, err error)) (*Report, error) {
-	a := NewAuditor(rules)
-	pass := func(entry func(*Entry), send func(*Attempt), left func(file string, line int, err error)) error {
+// AuditFiles audits audit logs and request logs. Each file is read twice: for what the dispatchers knew, then for the
+// attempts. skip is called in the first pass for each line that is skipped, and with line 0 for each file that cannot
+// be opened: the rest may suffice.
+func AuditFiles(rules Rules, files []string, skip func(file string, line int, err error)) (*Report, error) {
+	auditor := NewAuditor(rules)
+	pass := func(entry func(*Entry), send func(*Attempt), skip func(file string, line int, err error)) error {
 		for _, name := range files {
 			f, err := os.Open(name)
 			if err != nil {
-				left(name, 0, err)
+				skip(name, 0, err)
 				continue
 			}
-			err = Read(f, entry, send, func(line int, err error) { left(name, line, err) })
+			err = Read(f, entry, send, func(line int, err error) { skip(name, line, err) })
 			f.Close()
 			if err != nil {
 				return fmt.Errorf("%s: %w", name, err)
@@ -150,17 +152,17 @@
 		}
 		return nil
 	}
-	if err := pass(a.AddEntry, nil, left); err != nil {
+	if err := pass(auditor.AddEntry, nil, skip); err != nil {
 		return nil, err
 	}
-	if len(a.byGeneration) == 0 {
+	if len(auditor.byGeneration) == 0 {
 		return nil, ErrNoEntries
 	}
-	a.Finish()
-	if err := pass(nil, a.CheckAttempt, func(string, int, error) {}); err != nil {
+	auditor.Finish()
+	if err := pass(nil, auditor.CheckAttempt, func(string, int, error) {}); err != nil {
 		return nil, err
 	}
-	return a.Report(), nil
+	return auditor.Report(), nil
 }
 
 func validTime(t float64) bool { return t > 0 && t < 1e11 && !math.IsNaN(t) }
--- a/internal/dispatcher/cluster/auditlog/timeline.go
+++ b/internal/dispatcher/cluster/auditlog/timeline.go
@@ -6,57 +6,58 @@
 	"sort"
 )
 
-// listEpoch is a line of descent of a source's lists: versions of one compare.
+// listEpoch is an epoch of a source's lists. Versions of one epoch compare.
 type listEpoch struct {
 	source string
 	number uint64
 }
 
-// interval is a time between two, by the own clock; to is +Inf where it has no end.
+// interval is a time interval. to is +Inf if it has no end.
 type interval struct{ from, to float64 }
 
-// transition is a change at an entry.
+// transition is a change of state at an entry.
 type transition struct {
 	entry   uint64
 	at      float64
-	blocked bool // gets nothing new from here on
+	blocked bool // no new work from this entry on
 }
 
 // progress is a version reached at an entry.
 type progress struct {
 	at       float64
 	epoch    listEpoch
-	revision int64 // all up to it is known, by the own list or peers
-	byPeer   bool  // by a peer's word
+	revision int64 // all up to it is known, from the own list or from peers
+	byPeer   bool  // from peers
 	entry    uint64
 }
 
-// timeline is what one process of a dispatcher has told, put together.
+// timeline is what one run of a dispatcher's process recorded, in order. Times are corrected by correctClock, except
+// those of entries and transitions.
 type timeline struct {
 	dispatcher, generation string
 	entries                []*Entry
 	first                  float64
-	last                   float64 // its last word, or answer
+	last                   float64 // time of its last entry or answer
 	ended                  bool
 	gaps                   []gap
-	blocked                map[string][]transition // what gets nothing new, by the own list and peers' words
-	outOfService           []transition            // nothing is to be sent at all: out of the lease, or not looked again after a sleep
+	blocked                map[string][]transition // workers that get no new work, by the own list and peers' facts
+	outOfService           []transition            // no attempt may be made: the lease is out, or nothing was confirmed since a pause
 	pauses                 []interval
 	discoverySilences      []interval
 	progress               []progress
-	newerKnown             []progress // that a version is there was heard, before it was known
+	newerKnown             []progress // versions known to exist, before their facts were known
 	drains                 map[string][]progress
 	lostLines              uint64
-	clockLead              float64 // of its clock; times here are right, but those of entries and turns
+	clockLead              float64 // seconds that its clock is ahead of the reference
 }
 
-// gap is entries that are not there.
+// gap is a run of missing entries.
 type gap struct {
-	from, to uint64   // numbers
-	interval interval // the time about them
+	from, to uint64   // numbers of the first and the last missing entry
+	interval interval // the time between the entries around
 }
 
-// replayState is what a life holds of workers while it is replayed.
+// replayState is what a dispatcher knows of workers during the replay.
 type replayState struct {
 	list      map[string]string // by the own list
 	peerFacts map[string]Worker // by peers
@@ -65,156 +66,160 @@
 	blocked   map[string]bool
 }
 
-func (l *timeline) replay() {
-	slices.SortFunc(l.entries, func(x, y *Entry) int { return cmp.Compare(x.Number, y.Number) })
-	l.entries = slices.CompactFunc(l.entries, func(x, y *Entry) bool { return x.Number == y.Number }) // files given twice
-	l.blocked, l.drains = map[string][]transition{}, map[string][]progress{}
-	l.first, l.last = l.entries[0].Time, max(l.last, l.entries[len(l.entries)-1].Time)
+// replay derives the timeline from its entries.
+func (t *timeline) replay() {
+	slices.SortFunc(t.entries, func(x, y *Entry) int { return cmp.Compare(x.Number, y.Number) })
+	t.entries = slices.CompactFunc(t.entries, func(x, y *Entry) bool { return x.Number == y.Number }) // a file may be given twice
+	t.blocked, t.drains = map[string][]transition{}, map[string][]progress{}
+	t.first, t.last = t.entries[0].Time, max(t.last, t.entries[len(t.entries)-1].Time)
 	next := uint64(1)
-	before := l.first
-	f := replayState{list: map[string]string{}, peerFacts: map[string]Worker{}, blocked: map[string]bool{}}
-	leaseOut, sleeping := false, false
-	for _, e := range l.entries {
-		if e.Number != next {
-			l.gaps = append(l.gaps, gap{from: next, to: e.Number - 1, interval: interval{before, e.Time}})
+	before := t.first
+	state := replayState{list: map[string]string{}, peerFacts: map[string]Worker{}, blocked: map[string]bool{}}
+	leaseOut, paused := false, false
+	for _, entry := range t.entries {
+		if entry.Number != next {
+			t.gaps = append(t.gaps, gap{from: next, to: entry.Number - 1, interval: interval{before, entry.Time}})
 		}
-		next, before = e.Number+1, e.Time
-		l.lostLines = max(l.lostLines, e.LostLines)
-		was := leaseOut || sleeping
-		switch e.Kind {
+		next, before = entry.Number+1, entry.Time
+		t.lostLines = max(t.lostLines, entry.LostLines)
+		wasOut := leaseOut || paused
+		switch entry.Kind {
 		case ListApplied, FactsReceived, FactsDoubted, CaughtUp:
-			f.apply(e)
-			l.recordChanges(e, &f)
+			state.apply(entry)
+			t.recordChanges(entry, &state)
 		case NewerKnown:
-			l.newerKnown = append(l.newerKnown, progress{at: e.Time, epoch: listEpoch{e.Source, e.Epoch}, revision: e.Revision, entry: e.Number})
+			t.newerKnown = append(t.newerKnown, progress{at: entry.Time,
+				epoch: listEpoch{entry.Source, entry.Epoch}, revision: entry.Revision, entry: entry.Number})
 		case DiscoverySilent:
-			l.discoverySilences = append(l.discoverySilences, interval{e.Time - e.LateSeconds, inf})
+			t.discoverySilences = append(t.discoverySilences, interval{entry.Time - entry.LateSeconds, inf})
 		case DiscoveryResumed:
-			if k := len(l.discoverySilences); k > 0 {
-				l.discoverySilences[k-1].to = e.Time
+			if k := len(t.discoverySilences); k > 0 {
+				t.discoverySilences[k-1].to = entry.Time
 			}
 		case LeaseChanged:
-			leaseOut = e.Out
+			leaseOut = entry.Out
 		case Paused:
-			l.pauses = append(l.pauses, interval{e.Time - e.LateSeconds, inf})
-			sleeping = true
+			t.pauses = append(t.pauses, interval{entry.Time - entry.LateSeconds, inf})
+			paused = true
 		case Resumed:
-			if k := len(l.pauses); k > 0 {
-				l.pauses[k-1].to = e.Time
+			if k := len(t.pauses); k > 0 {
+				t.pauses[k-1].to = entry.Time
 			}
-			sleeping = false
+			paused = false
 		case Ended:
-			l.ended = true
+			t.ended = true
 		}
-		if is := leaseOut || sleeping; is != was {
-			l.outOfService = append(l.outOfService, transition{e.Number, e.Time, is})
+		if out := leaseOut || paused; out != wasOut {
+			t.outOfService = append(t.outOfService, transition{entry: entry.Number, at: entry.Time, blocked: out})
 		}
 	}
 }
 
-// apply brings what is held up to an entry.
-func (f *replayState) apply(e *Entry) {
-	switch e.Kind {
+// apply applies an entry.
+func (s *replayState) apply(entry *Entry) {
+	switch entry.Kind {
 	case ListApplied:
-		if is := (listEpoch{e.Source, e.Epoch}); is != f.epoch || e.Revision < f.revision {
-			f.epoch = is
-			clear(f.peerFacts)
+		if is := (listEpoch{entry.Source, entry.Epoch}); is != s.epoch || entry.Revision < s.revision {
+			s.epoch = is
+			clear(s.peerFacts)
 		}
-		f.revision = e.Revision
-		for _, w := range e.Workers {
-			f.list[w.Name] = w.State
+		s.revision = entry.Revision
+		for _, worker := range entry.Workers {
+			s.list[worker.Name] = worker.State
 		}
-		for name, w := range f.peerFacts {
-			if w.Revision <= f.revision {
-				delete(f.peerFacts, name)
+		for name, worker := range s.peerFacts {
+			if worker.Revision <= s.revision {
+				delete(s.peerFacts, name)
 			}
 		}
 	case FactsReceived:
-		if f.epoch != (listEpoch{e.Source, e.Epoch}) {
+		if s.epoch != (listEpoch{entry.Source, entry.Epoch}) {
 			return
 		}
-		for _, w := range e.Workers {
-			if was, had := f.peerFacts[w.Name]; w.Revision > f.revision && (!had || w.Revision >= was.Revision) {
-				f.peerFacts[w.Name] = w
+		for _, worker := range entry.Workers {
+			if was, had := s.peerFacts[worker.Name]; worker.Revision > s.revision && (!had || worker.Revision >= was.Revision) {
+				s.peerFacts[worker.Name] = worker
 			}
 		}
 	case FactsDoubted:
-		for _, w := range e.Workers {
-			delete(f.peerFacts, w.Name)
+		for _, worker := range entry.Workers {
+			delete(s.peerFacts, worker.Name)
 		}
 	}
 }
 
-// isBlocked says whether a worker gets nothing new.
-func (f *replayState) isBlocked(name string) bool {
-	own, fact := f.list[name], f.peerFacts[name]
-	return own == "draining" || own == "gone" || fact.Revision > f.revision && (fact.State == "draining" || fact.State == "gone")
+// isBlocked reports whether a worker gets no new work.
+func (s *replayState) isBlocked(name string) bool {
+	own, fact := s.list[name], s.peerFacts[name]
+	return own == "draining" || own == "gone" || fact.Revision > s.revision && (fact.State == "draining" || fact.State == "gone")
 }
 
-// recordChanges keeps what an entry has changed.
-func (l *timeline) recordChanges(e *Entry, f *replayState) {
+// recordChanges records what an entry changed.
+func (t *timeline) recordChanges(entry *Entry, state *replayState) {
 	names := map[string]bool{}
-	for name := range f.blocked {
+	for name := range state.blocked {
 		names[name] = true
 	}
-	for _, w := range e.Workers {
+	for _, w := range entry.Workers {
 		names[w.Name] = true
-		if w.State != "ready" && e.Kind != FactsDoubted {
-			rev := cmp.Or(w.Revision, e.Revision)
-			l.drains[w.Name] = append(l.drains[w.Name], progress{at: e.Time, epoch: listEpoch{e.Source, e.Epoch}, revision: rev, byPeer: e.Kind == FactsReceived, entry: e.Number})
+		if w.State != "ready" && entry.Kind != FactsDoubted {
+			rev := cmp.Or(w.Revision, entry.Revision)
+			t.drains[w.Name] = append(t.drains[w.Name], progress{at: entry.Time, epoch: listEpoch{entry.Source, entry.Epoch}, revision: rev, byPeer: entry.Kind == FactsReceived, entry: entry.Number})
 		}
 	}
 	for name := range names {
-		if off := f.isBlocked(name); off != f.blocked[name] {
-			l.blocked[name] = append(l.blocked[name], transition{e.Number, e.Time, off})
-			if f.blocked[name] = off; !off {
-				delete(f.blocked, name)
+		if off := state.isBlocked(name); off != state.blocked[name] {
+			t.blocked[name] = append(t.blocked[name], transition{entry.Number, entry.Time, off})
+			if state.blocked[name] = off; !off {
+				delete(state.blocked, name)
 			}
 		}
 	}
-	if e.Kind == ListApplied && !e.Cached || e.Kind == CaughtUp {
-		l.progress = append(l.progress, progress{at: e.Time, epoch: listEpoch{e.Source, e.Epoch}, revision: e.Revision, byPeer: e.Kind == CaughtUp, entry: e.Number})
+	if entry.Kind == ListApplied && !entry.Cached || entry.Kind == CaughtUp {
+		t.progress = append(t.progress, progress{at: entry.Time, epoch: listEpoch{entry.Source, entry.Epoch}, revision: entry.Revision, byPeer: entry.Kind == CaughtUp, entry: entry.Number})
 	}
 }
 
-// transitionAt is the turn in force at a mark, and since when; false before the first.
-func transitionAt(turns []transition, mark uint64) (since float64, off bool) {
-	i := sort.Search(len(turns), func(i int) bool { return turns[i].entry > mark })
+// transitionAt returns the transition in force at a mark, and since when; false before the first.
+func transitionAt(transitions []transition, mark uint64) (since float64, off bool) {
+	i := sort.Search(len(transitions), func(i int) bool { return transitions[i].entry > mark })
 	if i == 0 {
 		return 0, false
 	}
-	return turns[i-1].at, turns[i-1].blocked
+	return transitions[i-1].at, transitions[i-1].blocked
 }
 
-// reached is when a version of a line was known here; a worker's news may be known before the version is.
-func (l *timeline) reached(of listEpoch, rev int64) (r progress, ok bool) {
-	for _, r := range l.progress {
-		if r.epoch == of && r.revision >= rev {
+// reached returns when a revision of an epoch was known here.
+func (t *timeline) reached(epoch listEpoch, rev int64) (r progress, ok bool) {
+	for _, r := range t.progress {
+		if r.epoch == epoch && r.revision >= rev {
 			return r, true
 		}
 	}
 	return progress{}, false
 }
 
-// drainedAt is when this life first held that a worker gets nothing new since a version.
-func (l *timeline) drainedAt(of listEpoch, worker string, rev int64) (r progress, ok bool) {
-	r, ok = l.reached(of, rev)
-	for _, d := range l.drains[worker] {
-		if d.epoch == of && d.revision >= rev && (!ok || d.at < r.at) {
+// drainedAt returns when this timeline first had a worker get no new work since a revision. A worker's fact may be
+// known before the revision is complete.
+func (t *timeline) drainedAt(epoch listEpoch, worker string, rev int64) (r progress, ok bool) {
+	r, ok = t.reached(epoch, rev)
+	for _, d := range t.drains[worker] {
+		if d.epoch == epoch && d.revision >= rev && (!ok || d.at < r.at) {
 			return d, true
 		}
 	}
 	return r, ok
 }
 
-// inGap says whether an entry may be missing in a time.
-func (l *timeline) inGap(from, to float64) bool {
-	return slices.ContainsFunc(l.gaps, func(h gap) bool { return overlap(h.interval, from, to) >= 0 })
+// inGap reports whether an entry may be missing in a time.
+func (t *timeline) inGap(from, to float64) bool {
+	return slices.ContainsFunc(t.gaps, func(h gap) bool { return overlap(h.interval, from, to) >= 0 })
 }
 
-// overlap is how long a span lasts within a time; below 0 it is outside.
+// overlap returns the length of an interval's part within a time; below 0 it is outside.
 func overlap(s interval, from, to float64) float64 { return min(s.to, to) - max(s.from, from) }
 
+// longestOverlap returns the longest overlap of any interval with a time.
 func longestOverlap(spans []interval, from, to float64) (most float64) {
 	for _, s := range spans {
 		most = max(most, overlap(s, from, to))
