--- /dev/null
+++ b/internal/testkit/processcluster/links.go
@@ -0,0 +1,36 @@
+package processcluster
+
+import "cinderroad/internal/testkit/receivers"
+
+// SetLink sets the way of datagrams from one member to another.
+func (c *Cluster) SetLink(from, to *Member, link receivers.Link) { to.Relay.SetLink(from.Name, link) }
+
+// Partition cuts members off from all others, both ways.
+func (c *Cluster) Partition(members ...*Member) {
+	in := map[*Member]bool{}
+	for _, m := range members {
+		in[m] = true
+	}
+	for _, a := range c.Members {
+		for _, b := range c.Members {
+			if in[a] != in[b] {
+				c.SetLink(a, b, receivers.Link{Blackhole: true})
+			}
+		}
+	}
+}
+
+// SetAllLinks sets all ways of datagrams.
+func (c *Cluster) SetAllLinks(link receivers.Link) {
+	for _, m := range c.Members {
+		m.Relay.ClearLinks()
+		m.Relay.SetLink("", link)
+	}
+}
+
+// ClearLinks clears all ways of datagrams.
+func (c *Cluster) ClearLinks() {
+	for _, m := range c.Members {
+		m.Relay.ClearLinks()
+	}
+}
--- /dev/null
+++ b/internal/testkit/processcluster/process.go
@@ -0,0 +1,158 @@
+package processcluster
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"strings"
+	"syscall"
+	"time"
+)
+
+// Start starts the member's process, anew if there was one.
+func (m *Member) Start() {
+	m.WriteConfig(m.OperatorConfig())
+	m.StartProcess()
+}
+
+// StartProcess starts the process with the files as they are.
+func (m *Member) StartProcess() {
+	c := m.cluster
+	m.logPath = m.path + ".log"
+	log, err := os.OpenFile(m.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	c.must(err)
+	cmd := exec.Command(c.Program, "--config", m.path+".json", "--operator", m.path+".toml", "--log", "debug")
+	cmd.Stderr = log
+	cmd.Env = append(os.Environ(), "TMPDIR="+c.dir, "ROUTER_CONFIG=", "ROUTER_CONSOLE=", "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=")
+	if m.inheritedSocket != nil {
+		cmd.ExtraFiles = []*os.File{m.inheritedSocket}
+		cmd.Env = append(cmd.Env, "ROUTER_FD=3")
+	}
+	c.must(cmd.Start())
+	log.Close()
+	c.Log(fmt.Sprintf("%s: process %d", m.Name, cmd.Process.Pid))
+	m.cmd, m.exited = cmd, make(chan struct{})
+	go func(exited chan struct{}) {
+		_ = cmd.Wait()
+		close(exited)
+	}(m.exited)
+}
+
+// WaitServing waits until the member serves, and has clients come to it.
+func (m *Member) WaitServing() {
+	m.cluster.TB.Helper()
+	m.cluster.Eventually(m.Name+" serves", func() bool {
+		answer, err := m.client.Get("http://" + m.ListenAddress + "/_health")
+		if err != nil {
+			return false
+		}
+		answer.Body.Close()
+		return answer.StatusCode == 200
+	})
+	if m.clientsStopped.CompareAndSwap(true, false) {
+		m.cluster.submitters.Add(1)
+		go m.submitJobs()
+	}
+}
+
+// Upgrade starts another process that takes the place of the member's, waits until it has, and has the older one end. Between the
+// start and the wait comes what is to happen meanwhile.
+func (m *Member) Upgrade(meanwhile ...func()) {
+	m.cluster.TB.Helper()
+	old, exited := m.cmd, m.exited
+	m.previousProcess, m.previousExited = old, exited
+	m.AdminAddress = m.cluster.freePort()
+	m.Start()
+	for _, do := range meanwhile {
+		do()
+	}
+	m.cluster.Eventually(m.Name+": the next process has the clients", func() bool {
+		code, _ := m.CallAdmin("GET", "/api/ready", "")
+		return code == 200
+	})
+	if len(meanwhile) > 0 { // it may have failed, and the one before have gone on: then it ends as one that is stopped, without clients
+		m.clientsStopped.Store(true)
+	}
+	m.cluster.must(old.Process.Signal(syscall.SIGTERM))
+	select {
+	case <-exited:
+	case <-time.After(m.cluster.Timeout):
+		m.cluster.TB.Fatalf("%s: the process before did not end", m.Name)
+	}
+	m.previousProcess = nil
+	if len(meanwhile) > 0 {
+		m.WaitServing()
+	}
+}
+
+// Running says whether the process runs.
+func (m *Member) Running() bool {
+	if m.cmd == nil {
+		return false
+	}
+	select {
+	case <-m.exited:
+		return false
+	default:
+		return true
+	}
+}
+
+func (m *Member) signal(s syscall.Signal) {
+	if m.Running() {
+		m.cluster.Log(fmt.Sprintf("%s: %v", m.Name, s))
+		m.cluster.must(m.cmd.Process.Signal(s))
+	}
+}
+
+func (m *Member) kill() {
+	if m.previousProcess != nil {
+		_ = m.previousProcess.Process.Kill()
+		<-m.previousExited
+	}
+	if m.Running() {
+		_ = m.cmd.Process.Signal(syscall.SIGCONT)
+		_ = m.cmd.Process.Kill()
+		<-m.exited
+	}
+}
+
+// Kill ends the process without a word.
+func (m *Member) Kill() {
+	m.interruptions.Add(1)
+	m.clientsStopped.Store(true)
+	m.cluster.Log(m.Name + ": killed")
+	m.kill()
+}
+
+// Pause stops the process (SIGSTOP), Continue has it go on. Its clients wait, as they would.
+func (m *Member) Pause() { m.interruptions.Add(1); m.signal(syscall.SIGSTOP) }
+
+// Continue has a process that was stopped go on. Jobs that came meanwhile count as those that were there: more may wait at the
+// door than one address may have open.
+func (m *Member) Continue() { m.interruptions.Add(1); m.signal(syscall.SIGCONT) }
+
+// Terminate takes the member from the clients, tells it to stop, and waits until it has ended.
+func (m *Member) Terminate() {
+	m.clientsStopped.Store(true)
+	m.signal(syscall.SIGTERM)
+	select {
+	case <-m.exited:
+	case <-time.After(m.cluster.Timeout):
+		m.cluster.TB.Fatalf("%s did not end", m.Name)
+	}
+}
+
+// Reload has the member read its files again and waits for its word.
+func (m *Member) Reload(logLine string) {
+	m.cluster.TB.Helper()
+	before := strings.Count(m.LogText(), logLine)
+	m.signal(syscall.SIGHUP)
+	m.cluster.Eventually(m.Name+": "+logLine, func() bool { return strings.Count(m.LogText(), logLine) > before })
+}
+
+// StopClients has the clients leave the member.
+func (m *Member) StopClients() { m.clientsStopped.Store(true) }
+
+// PID is the number of the member's process.
+func (m *Member) PID() int { return m.cmd.Process.Pid }
--- /dev/null
+++ b/internal/testkit/runner/report.go
@@ -0,0 +1,85 @@
+package runner
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+	"time"
+
+	"cinderroad/internal/testkit/answer"
+)
+
+// reportPath is where a runner tells its state.
+const reportPath = "/-/report"
+
+// report is the state that a runner tells, some time ago.
+type report struct {
+	at                    time.Duration
+	queued, running       int
+	memoryUsed, memoryAll int
+}
+
+// reportBody is a report on the wire.
+type reportBody struct {
+	Phase       string        `json:"phase"`
+	Models      []reportModel `json:"models"`
+	IsBusy      bool          `json:"is_busy"`
+	CallCount   int           `json:"call_count"`
+	Queued      int           `json:"queued"`
+	Running     int           `json:"running"`
+	CacheUsed   int           `json:"cache_used"`
+	CacheSize   int           `json:"cache_size"`
+	OpenHandles int           `json:"open_handles"`
+}
+
+type reportModel struct {
+	Model
+	Adapters []string `json:"adapters"`
+}
+
+// recordReport keeps the state, for reports that come late.
+func (r *Runner) recordReport() {
+	const most = 64
+	s := r.options.Engine.State()
+	now := r.now()
+	r.reports = append(r.reports, report{at: now, queued: s.Queued, running: s.Running, memoryUsed: s.MemoryPinned,
+		memoryAll: s.MemorySize})
+	for len(r.reports) > 1 && r.reports[1].at <= now-r.options.ReportDelay || len(r.reports) > most {
+		r.reports = r.reports[1:]
+	}
+}
+
+func (r *Runner) serveReport(w http.ResponseWriter) {
+	r.mutex.Lock()
+	r.stats.HealthChecks++
+	r.recordReport()
+	old := r.reports[0]
+	body := reportBody{Phase: "both", Models: []reportModel{}, Queued: old.queued, Running: old.running,
+		CacheUsed: old.memoryUsed, CacheSize: old.memoryAll}
+	r.mutex.Unlock()
+	for _, model := range r.options.Models {
+		body.Models = append(body.Models, reportModel{Model: model, Adapters: []string{}})
+	}
+	w.Header().Set("Content-Type", "application/json")
+	json.NewEncoder(w).Encode(body)
+}
+
+func (r *Runner) serveHealth(w http.ResponseWriter) {
+	r.mutex.Lock()
+	r.stats.HealthChecks++
+	s := r.options.Engine.State()
+	full := s.Queued > 0 && s.Running+s.Queued >= r.options.MaxConns && r.options.MaxConns > 0
+	cold := r.options.SlowStart.Remaining(r.now())
+	draining := r.draining
+	r.mutex.Unlock()
+	w.Header().Set(answer.HeaderServerID, r.options.ID)
+	if cold > 0 {
+		w.Header().Set(answer.HeaderSlowStart, strconv.FormatInt(cold.Milliseconds(), 10))
+	}
+	switch {
+	case draining:
+		w.WriteHeader(http.StatusServiceUnavailable)
+	case full:
+		r.sendNotExecuted(w, http.StatusServiceUnavailable)
+	}
+}
--- a/internal/testkit/runner/serve.go
+++ b/internal/testkit/runner/serve.go
@@ -1,10 +1,7 @@
 package runner
 
 import (
-	"encoding/json"
-	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"strconv"
 	"time"
@@ -14,46 +11,6 @@
 	"cinderroad/internal/testkit/engine"
 )
 
-// reportPath is where a runner tells its state.
-const reportPath = "/-/report"
-
-// report is the state that a runner tells, some time ago.
-type report struct {
-	at                    time.Duration
-	queued, running       int
-	memoryUsed, memoryAll int
-}
-
-// reportBody is a report on the wire.
-type reportBody struct {
-	Phase       string        `json:"phase"`
-	Models      []reportModel `json:"models"`
-	IsBusy      bool          `json:"is_busy"`
-	CallCount   int           `json:"call_count"`
-	Queued      int           `json:"queued"`
-	Running     int           `json:"running"`
-	CacheUsed   int           `json:"cache_used"`
-	CacheSize   int           `json:"cache_size"`
-	OpenHandles int           `json:"open_handles"`
-}
-
-type reportModel struct {
-	Model
-	Adapters []string `json:"adapters"`
-}
-
-// recordReport keeps the state, for reports that come late.
-func (r *Runner) recordReport() {
-	const most = 64
-	s := r.options.Engine.State()
-	now := r.now()
-	r.reports = append(r.reports, report{at: now, queued: s.Queued, running: s.Running, memoryUsed: s.MemoryPinned,
-		memoryAll: s.MemorySize})
-	for len(r.reports) > 1 && r.reports[1].at <= now-r.options.ReportDelay || len(r.reports) > most {
-		r.reports = r.reports[1:]
-	}
-}
-
 // serve answers one request.
 func (r *Runner) serve(w http.ResponseWriter, request *http.Request) {
 	connection := request.Context().Value(connKey{}).(*conn)
@@ -97,41 +54,6 @@
 	}
 }
 
-func (r *Runner) serveReport(w http.ResponseWriter) {
-	r.mutex.Lock()
-	r.stats.HealthChecks++
-	r.recordReport()
-	old := r.reports[0]
-	body := reportBody{Phase: "both", Models: []reportModel{}, Queued: old.queued, Running: old.running,
-		CacheUsed: old.memoryUsed, CacheSize: old.memoryAll}
-	r.mutex.Unlock()
-	for _, model := range r.options.Models {
-		body.Models = append(body.Models, reportModel{Model: model, Adapters: []string{}})
-	}
-	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(body)
-}
-
-func (r *Runner) serveHealth(w http.ResponseWriter) {
-	r.mutex.Lock()
-	r.stats.HealthChecks++
-	s := r.options.Engine.State()
-	full := s.Queued > 0 && s.Running+s.Queued >= r.options.MaxConns && r.options.MaxConns > 0
-	cold := r.options.SlowStart.Remaining(r.now())
-	draining := r.draining
-	r.mutex.Unlock()
-	w.Header().Set(answer.HeaderServerID, r.options.ID)
-	if cold > 0 {
-		w.Header().Set(answer.HeaderSlowStart, strconv.FormatInt(cold.Milliseconds(), 10))
-	}
-	switch {
-	case draining:
-		w.WriteHeader(http.StatusServiceUnavailable)
-	case full:
-		r.sendNotExecuted(w, http.StatusServiceUnavailable)
-	}
-}
-
 // sendNotExecuted says that a request has not run.
 func (r *Runner) sendNotExecuted(w http.ResponseWriter, status int) {
 	w.Header().Set(answer.HeaderNotRun, "1")
@@ -230,40 +152,3 @@
 	r.wakeUp()
 	return execution, true
 }
-
-// drawFault draws what happens to a request, as the script says.
-func (r *Runner) drawFault() faultKind {
-	if r.faults.MaxFaults > 0 && r.faultCount >= r.faults.MaxFaults {
-		return faultNone
-	}
-	drawn := r.faults.draw(r.random)
-	if drawn != faultNone {
-		r.faultCount++
-	}
-	return drawn
-}
-
-// sendStale sends an extra answer that was held back for the next request of a connection.
-func (r *Runner) sendStale(c *conn) {
-	if c.beforeNext != nil {
-		c.Conn.Write(c.beforeNext)
-		c.beforeNext = nil
-	}
-}
-
-// connState sends extra bytes when a connection has sent a whole answer.
-func (r *Runner) connState(c net.Conn, state http.ConnState) {
-	if state != http.StateIdle {
-		return
-	}
-	if c, is := c.(*conn); is && c.afterAnswer != nil {
-		c.Conn.Write(c.afterAnswer)
-		c.afterAnswer = nil
-	}
-}
-
-// unsolicitedAnswer is an answer that nobody asked for.
-func unsolicitedAnswer(attemptID string) []byte {
-	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: b.0.00000000.%s.spare\r\nContent-Length: 0\r\n\r\n",
-		answer.HeaderAttemptID, attemptID, answer.HeaderSeal, attemptID)
-}
