--- a/internal/testkit/receivers/collectd.go
+++ b/internal/testkit/receivers/collectd.go
@@ -118,115 +118,182 @@
 	errKey      = errors.New("standin: wrong user or password")
 )
 
-// DecodePacket reads a packet that must have at least a security: none, sign or encrypt. What was unprotected is not taken where
-// it must be.
+// The protections of a packet, the stronger ones greater.
+const (
+	protectionNone = iota
+	protectionSigned
+	protectionEncrypted
+)
+
+// Sizes in the protocol, in bytes.
+const (
+	partHeaderSize = 4 // type and length, two bytes each
+	numberSize     = 8
+	valueSize      = 1 + numberSize // a value's kind and the value
+)
+
+// DecodePacket reads a packet that must have at least a protection: none, sign or encrypt. Parts with less protection are
+// rejected. The points before the first fault are returned with the error.
 func DecodePacket(b []byte, security string, passwords map[string]string) ([]Point, error) {
-	return decodeParts(b, map[string]int{"none": 0, "sign": 1, "encrypt": 2}[security], 0, passwords)
+	required := map[string]int{"none": protectionNone, "sign": protectionSigned, "encrypt": protectionEncrypted}[security]
+	d := packetDecoder{required: required, passwords: passwords}
+	err := d.decode(b, protectionNone)
+	return d.points, err
 }
 
-func decodeParts(b []byte, required, protection int, passwords map[string]string) (points []Point, err error) {
-	var host, plugin, pluginInstance, kind, instance string
-	time := 0.0
+// packetDecoder reads one packet.
+type packetDecoder struct {
+	required  int
+	passwords map[string]string // by user
+	points    []Point
+}
+
+// valueIdentity is what the parts before a value say about it.
+type valueIdentity struct {
+	host, plugin, pluginInstance, typeName, typeInstance string
+	time                                                 float64 // Unix time in seconds
+}
+
+// decode reads parts that have a protection. What is inside a signed or encrypted part has an identity of its own.
+func (d *packetDecoder) decode(b []byte, protection int) error {
+	var identity valueIdentity
 	for len(b) > 0 {
-		if len(b) < 4 {
-			return points, errShort
+		if len(b) < partHeaderSize {
+			return errShort
 		}
 		part, size := binary.BigEndian.Uint16(b), int(binary.BigEndian.Uint16(b[2:]))
-		if size < 4 || size > len(b) {
-			return points, errShort
+		if size < partHeaderSize || size > len(b) {
+			return errShort
 		}
-		body := b[4:size]
+		body := b[partHeaderSize:size]
 		b = b[size:]
-		if protection < required && part != partSign && part != partEncrypt {
-			return points, errSecurity
+		if protection < d.required && part != partSign && part != partEncrypt {
+			return errSecurity
 		}
 		switch part {
-		case partHost, partPlugin, partPluginInstance, partType, partTypeInstance:
-			text, ok := bytes.CutSuffix(body, []byte{0})
-			if !ok {
-				return points, errShort
-			}
-			*map[uint16]*string{partHost: &host, partPlugin: &plugin, partPluginInstance: &pluginInstance, partType: &kind,
-				partTypeInstance: &instance}[part] = string(text)
-		case partTime, partTimeHR, partInterval, partIntervalHR:
-			if len(body) != 8 {
-				return points, errShort
-			}
-			v := float64(binary.BigEndian.Uint64(body))
-			if part == partTimeHR {
-				v /= 1 << 30
-			}
-			if part == partTime || part == partTimeHR {
-				time = v
-			}
-		case partValues:
-			values, err := decodeValues(body)
-			if err != nil {
-				return points, err
-			}
-			name := host + "/" + plugin
-			if pluginInstance != "" {
-				name += "-" + pluginInstance
-			}
-			for _, v := range values {
-				points = append(points, Point{name + "/" + kind + "-" + instance, time, v})
-			}
 		case partSign:
-			if len(body) < 32 {
-				return points, errShort
-			}
-			password, known := passwords[string(body[32:])]
-			mac := hmac.New(sha256.New, []byte(password))
-			mac.Write(body[32:])
-			mac.Write(b)
-			if !known || !hmac.Equal(mac.Sum(nil), body[:32]) {
-				return points, errKey
-			}
-			more, err := decodeParts(b, required, max(protection, 1), passwords)
-			return append(points, more...), err
+			return d.decodeSigned(body, b, protection)
 		case partEncrypt:
-			if len(body) < 2 || len(body) < 2+int(binary.BigEndian.Uint16(body))+16+20 {
-				return points, errShort
+			if err := d.decodeEncrypted(body); err != nil {
+				return err
 			}
-			n := int(binary.BigEndian.Uint16(body))
-			password, known := passwords[string(body[2:2+n])]
-			key := sha256.Sum256([]byte(password))
-			block, err := aes.NewCipher(key[:])
-			if err != nil {
-				return points, err
-			}
-			plain := make([]byte, len(body)-2-n-16)
-			cipher.NewOFB(block, body[2+n:2+n+16]).XORKeyStream(plain, body[2+n+16:])
-			if sum := sha1.Sum(plain[20:]); !known || !bytes.Equal(sum[:], plain[:20]) {
-				return points, errKey
+		case partValues:
+			if err := d.addValues(&identity, body); err != nil {
+				return err
 			}
-			more, err := decodeParts(plain[20:], required, 2, passwords)
-			if points = append(points, more...); err != nil {
-				return points, err
+		default:
+			if err := identity.set(part, body); err != nil {
+				return err
 			}
-		default: // parts that are not known are passed over
 		}
 	}
-	return points, nil
+	return nil
+}
+
+// set reads a part that says something about the values after it; unknown parts are skipped.
+func (v *valueIdentity) set(part uint16, body []byte) error {
+	switch part {
+	case partHost, partPlugin, partPluginInstance, partType, partTypeInstance:
+		text, ok := bytes.CutSuffix(body, []byte{0})
+		if !ok {
+			return errShort
+		}
+		*map[uint16]*string{partHost: &v.host, partPlugin: &v.plugin, partPluginInstance: &v.pluginInstance,
+			partType: &v.typeName, partTypeInstance: &v.typeInstance}[part] = string(text)
+	case partTime, partTimeHR, partInterval, partIntervalHR:
+		if len(body) != numberSize {
+			return errShort
+		}
+		number := float64(binary.BigEndian.Uint64(body))
+		switch part {
+		case partTime:
+			v.time = number
+		case partTimeHR: // in 2^-30 s
+			v.time = number / (1 << 30)
+		}
+	}
+	return nil
+}
+
+// addValues adds a part's values as points.
+func (d *packetDecoder) addValues(identity *valueIdentity, body []byte) error {
+	values, err := decodeValues(body)
+	if err != nil {
+		return err
+	}
+	name := identity.host + "/" + identity.plugin
+	if identity.pluginInstance != "" {
+		name += "-" + identity.pluginInstance
+	}
+	for _, v := range values {
+		d.points = append(d.points, Point{name + "/" + identity.typeName + "-" + identity.typeInstance, identity.time, v})
+	}
+	return nil
+}
+
+// decodeSigned checks the signature of the rest of the packet, and reads that.
+func (d *packetDecoder) decodeSigned(body, rest []byte, protection int) error {
+	if len(body) < sha256.Size {
+		return errShort
+	}
+	sum, user := body[:sha256.Size], body[sha256.Size:]
+	password, known := d.passwords[string(user)]
+	mac := hmac.New(sha256.New, []byte(password))
+	mac.Write(user)
+	mac.Write(rest)
+	if !known || !hmac.Equal(mac.Sum(nil), sum) {
+		return errKey
+	}
+	return d.decode(rest, max(protection, protectionSigned))
 }
 
+// decodeEncrypted decrypts a part, checks the checksum inside, and reads the parts behind that.
+func (d *packetDecoder) decodeEncrypted(body []byte) error {
+	if len(body) < 2 || len(body) < 2+int(binary.BigEndian.Uint16(body))+aes.BlockSize+sha1.Size {
+		return errShort
+	}
+	userEnd := 2 + int(binary.BigEndian.Uint16(body))
+	password, known := d.passwords[string(body[2:userEnd])]
+	key := sha256.Sum256([]byte(password))
+	block, err := aes.NewCipher(key[:])
+	if err != nil {
+		return err
+	}
+	iv, secret := body[userEnd:userEnd+aes.BlockSize], body[userEnd+aes.BlockSize:]
+	plain := make([]byte, len(secret))
+	cipher.NewOFB(block, iv).XORKeyStream(plain, secret)
+	if sum := sha1.Sum(plain[sha1.Size:]); !known || !bytes.Equal(sum[:], plain[:sha1.Size]) {
+		return errKey
+	}
+	return d.decode(plain[sha1.Size:], protectionEncrypted)
+}
+
+// The kinds of values.
+const (
+	valueCounter  = 0
+	valueGauge    = 1 // the only little-endian number of the protocol
+	valueDerive   = 2
+	valueAbsolute = 3
+)
+
+// decodeValues reads the body of a values part: the count, the kinds, and the numbers.
 func decodeValues(body []byte) (values []float64, err error) {
 	if len(body) < 2 {
 		return nil, errShort
 	}
-	n := int(binary.BigEndian.Uint16(body))
-	if len(body) != 2+9*n {
+	count := int(binary.BigEndian.Uint16(body))
+	if len(body) != 2+valueSize*count {
 		return nil, errShort
 	}
-	kinds, numbers := body[2:2+n], body[2+n:]
+	kinds, numbers := body[2:2+count], body[2+count:]
 	for i, kind := range kinds {
-		v := numbers[8*i : 8*i+8]
+		v := numbers[numberSize*i : numberSize*(i+1)]
 		switch kind {
-		case 0, 3: // COUNTER, ABSOLUTE
+		case valueCounter, valueAbsolute:
 			values = append(values, float64(binary.BigEndian.Uint64(v)))
-		case 1: // GAUGE, which alone is little-endian
+		case valueGauge:
 			values = append(values, floatFromBits(binary.LittleEndian.Uint64(v)))
-		case 2: // DERIVE
+		case valueDerive:
 			values = append(values, float64(int64(binary.BigEndian.Uint64(v))))
 		default:
 			return nil, fmt.Errorf("standin: value of kind %d", kind)
