--- a/internal/testkit/answer/answer.go
+++ b/internal/testkit/answer/answer.go
@@ -1,5 +1,6 @@
-// Package answer is what stand-ins for runners put into their answers so that stand-ins for clients can tell whether
-// they got them whole, unchanged and in order: a seal in a header, and the data of events.
+// Package answer is the contract between fake runners and fake clients: a checksum ("seal") in a header and numbered
+// events, by which a client verifies that it received its own answer complete, unchanged and in order. It also names
+// the headers of the protocol.
 package answer
 
 import (
@@ -9,7 +10,7 @@
 	"strings"
 )
 
-// Names of headers of the protocol.
+// Headers of the protocol.
 const (
 	HeaderAttemptID     = "X-Try-Id"
 	HeaderSeal          = "X-Server-Seal"
@@ -27,16 +28,16 @@
 	HeaderExpectVersion = "Expect-Version"
 )
 
-// Seal vouches for an answer.
+// Seal is the checksum header of an answer.
 type Seal struct {
 	Stream      bool
-	Size        int    // bytes of the body, or events of the stream
-	Checksum    uint32 // of a body that is not a stream
+	Size        int    // bytes of a body, or events of a stream
+	Checksum    uint32 // CRC-32 of a body; 0 of a stream
 	AttemptID   string
-	ExecutionID string // that the answer comes from
+	ExecutionID string // of the execution that produced the answer
 }
 
-// String is the seal as it stands in the header.
+// String formats the seal as the header's value.
 func (s Seal) String() string {
 	kind := "b"
 	if s.Stream {
@@ -47,7 +48,7 @@
 
 const sealFields = 5
 
-// ParseSeal reads a seal.
+// ParseSeal parses the header's value.
 func ParseSeal(text string) (Seal, error) {
 	fields := strings.Split(text, ".")
 	if len(fields) != sealFields || fields[0] != "b" && fields[0] != "s" {
@@ -64,34 +65,34 @@
 	return Seal{Stream: fields[0] == "s", Size: size, Checksum: uint32(sum), AttemptID: fields[3], ExecutionID: fields[4]}, nil
 }
 
-// Checksum is the sum of a body.
+// Checksum returns the CRC-32 (IEEE) of a body.
 func Checksum(body []byte) uint32 { return crc32.ChecksumIEEE(body) }
 
-// CheckBody says what is wrong with a whole body.
+// CheckBody returns an error if the complete body isn't the sealed answer to the attempt.
 func (s Seal) CheckBody(attemptID string, body []byte) error {
 	switch {
 	case s.AttemptID != attemptID:
-		return fmt.Errorf("the answer of try %s came for try %s", s.AttemptID, attemptID)
+		return fmt.Errorf("the answer of attempt %s came for attempt %s", s.AttemptID, attemptID)
 	case s.Stream:
-		return fmt.Errorf("the seal of a stream came with a body of try %s", attemptID)
+		return fmt.Errorf("the seal of a stream came with a body of attempt %s", attemptID)
 	case len(body) != s.Size:
-		return fmt.Errorf("the body of try %s has %d bytes of %d", attemptID, len(body), s.Size)
+		return fmt.Errorf("the body of attempt %s has %d bytes of %d", attemptID, len(body), s.Size)
 	case Checksum(body) != s.Checksum:
-		return fmt.Errorf("the body of try %s was changed", attemptID)
+		return fmt.Errorf("the body of attempt %s was changed", attemptID)
 	}
 	return nil
 }
 
-// Event is a piece of a stream.
+// Event is one event of a stream.
 type Event struct {
-	Index, Total int // from 1
+	Index, Total int // both count from 1
 	ExecutionID  string
 }
 
-// Data is what stands in the event's data line.
+// Data formats the event's data line.
 func (e Event) Data() string { return fmt.Sprintf("%s %d %d", e.ExecutionID, e.Index, e.Total) }
 
-// ParseEvent reads an event by its id and data lines.
+// ParseEvent parses an event's id and data lines.
 func ParseEvent(id, data string) (Event, error) {
 	var e Event
 	if _, err := fmt.Sscanf(data, "%s %d %d", &e.ExecutionID, &e.Index, &e.Total); err != nil {
--- a/internal/testkit/checker/checker.go
+++ b/internal/testkit/checker/checker.go
@@ -1,5 +1,6 @@
-// Package referee holds what clients asked for against what runners were sent and what came back, and notes each rule
-// of the protocol that was broken. Stand-ins for clients, runners and the platform report to one referee.
+// Package checker compares what clients sent with what runners received and with the answers that came back, and
+// records each violation of the protocol's rules. Fake clients, runners and the platform of a run report to one
+// Checker.
 package checker
 
 import (
@@ -10,66 +11,66 @@
 	"time"
 )
 
-// Rule names a rule of the protocol.
+// Rule identifies a rule of the protocol; its value stands in reports.
 type Rule string
 
 // The rules that are checked.
 const (
-	MisdeliveredAnswer     Rule = "MIXED"    // a client got something other than its own request's answer
-	UnexpectedRequest      Rule = "UNASKED"  // a runner got a request that no client sent, or a changed one
-	DuplicateExecution     Rule = "TWICE"    // a request that is not idempotent ran more than once
-	ExecutedAfterRejection Rule = "REFUSED"  // a request ran though its client was promised that it would not
-	WrongService           Rule = "ROUTE"    // a service ran a request that no configuration lets go to it
-	SentToDraining         Rule = "DRAIN"    // a runner that drains was sent a request too late
-	WrongRegion            Rule = "HOME"     // a request with homes arrived elsewhere
-	SentToEvacuatedZone    Rule = "EVAC"     // an evacuated zone was sent a request too late
-	SlowStartOverload      Rule = "FAILBACK" // a cold runner was sent more than it bears
-	StreamOrder            Rule = "ORDER"    // a stream lacked a piece, had it twice, or was joined from two runs
-	RetryBudgetExceeded    Rule = "BUDGET"   // requests were repeated more often than is allowed
-	ValidRequestDenied     Rule = "DENIED"   // a proper request was answered with a 3xx or 4xx
-	ConfigurationMismatch  Rule = "CONFIG"   // what was read back is not what was acknowledged
+	MisdeliveredAnswer     Rule = "MIXED"    // a client received something other than the answer to its own request
+	UnexpectedRequest      Rule = "UNASKED"  // a runner received a request that no client sent, or an altered one
+	DuplicateExecution     Rule = "TWICE"    // a request that isn't idempotent was executed more than once
+	ExecutedAfterRejection Rule = "REFUSED"  // a request was executed though its client had been told that it was not and won't be
+	WrongService           Rule = "ROUTE"    // a request reached a service that no configuration routes it to
+	SentToDraining         Rule = "DRAIN"    // a draining runner was sent a request after the grace period
+	WrongRegion            Rule = "HOME"     // a request reached a region other than its home regions
+	SentToEvacuatedZone    Rule = "EVAC"     // an evacuated zone was sent a request after the grace period
+	SlowStartOverload      Rule = "FAILBACK" // a runner in slow start was sent more than its limit
+	StreamOrder            Rule = "ORDER"    // a stream lacked an event, repeated one, or mixed two executions
+	RetryBudgetExceeded    Rule = "BUDGET"   // requests were retried more often than the budget allows
+	ValidRequestDenied     Rule = "DENIED"   // a valid request was answered with a 3xx or 4xx
+	ConfigurationMismatch  Rule = "CONFIG"   // a configuration that was read isn't the acknowledged one
 )
 
-// Violation is a rule that was broken.
+// Violation is one recorded violation of a rule.
 type Violation struct {
 	At          time.Time
 	Rule        Rule
 	Description string
 }
 
-// String is the breach on one line.
+// String formats the violation on one line.
 func (b Violation) String() string {
 	return fmt.Sprintf("rule=%s at=%s what=%q", b.Rule, b.At.Format("15:04:05.000"), b.Description)
 }
 
-// Route is what a configuration says of a route, as far as the referee needs it.
+// Route is the part of a configured route that the checker needs.
 type Route struct {
 	Name        string
-	Services    []string // that any configuration lets it go to
-	HomeRegions []string // regions; empty: anywhere
+	Services    []string // all that any version of the configuration routes it to
+	HomeRegions []string // empty: any region
 	Idempotent  bool
 }
 
-// Attempt is what a client sends.
+// Attempt is one request as a client sends it. An answer that asks for a retry leads to another attempt.
 type Attempt struct {
 	ID, Method, Host, URI string
-	Body                  uint64 // by Hash
-	Route                 *Route // nil: no configuration has one
+	Body                  uint64 // from Hash
+	Route                 *Route // nil: no configuration has a route for it
 }
 
-// Runner is who a request arrives at.
+// Runner identifies the receiver of a request.
 type Runner struct {
 	ID, Service, Zone, Region string
 }
 
-// ReceivedRequest is a request as a runner got it.
+// ReceivedRequest is a request as a runner received it.
 type ReceivedRequest struct {
 	Runner                *Runner
 	ID, Method, Host, URI string
 	Body                  uint64
 }
 
-// Limits are the times and shares that rules hold from.
+// Limits are the grace periods and the retry budget of the rules.
 type Limits struct {
 	DrainGrace, EvacuationGrace time.Duration
 	RetryRatio                  float64
@@ -77,17 +78,17 @@
 	RetryAllowance              float64
 }
 
-// Checker collects. Its methods may be called from any goroutine.
+// Checker records requests and violations. Its methods may be called from any goroutine.
 type Checker struct {
 	limits Limits
 	now    func() time.Time
 
 	mutex        sync.Mutex
 	attempts     map[string]*attemptRecord
-	draining     map[string]time.Time // runners, since when the list shows it
-	evacuated    map[string]time.Time // zones, since when it is acknowledged
+	draining     map[string]time.Time // by runner ID: when the platform's list first shows it as draining
+	evacuated    map[string]time.Time // by zone: when the evacuation was acknowledged
 	requestTimes map[string][]time.Time
-	retryTimes   map[string][]time.Time // of a service
+	retryTimes   map[string][]time.Time // by service
 	violations   []Violation
 }
 
@@ -98,7 +99,7 @@
 	rejected bool
 }
 
-// New makes a referee; now nil is the clock of the machine.
+// New returns a checker; a nil now stands for time.Now.
 func New(limits Limits, now func() time.Time) *Checker {
 	if now == nil {
 		now = time.Now
@@ -109,10 +110,10 @@
 
 var seed = maphash.MakeSeed()
 
-// Hash tells bodies apart within this process.
+// Hash identifies a body within this process; hashes of two processes can't be compared.
 func Hash(body []byte) uint64 { return maphash.Bytes(seed, body) }
 
-// Report notes a breach that somebody else found.
+// Report records a violation that the caller detected.
 func (c *Checker) Report(rule Rule, format string, args ...any) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -123,7 +124,7 @@
 	c.violations = append(c.violations, Violation{At: c.now(), Rule: rule, Description: fmt.Sprintf(format, args...)})
 }
 
-// RequestSent notes a try before its client sends it.
+// RequestSent records an attempt; call it before the request is sent.
 func (c *Checker) RequestSent(attempt Attempt) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -136,13 +137,13 @@
 	}
 }
 
-// RequestReceived notes a request that a runner got and did not answer with 421.
+// RequestReceived records a request that a runner received; one that it answers with 421 must not be reported.
 func (c *Checker) RequestReceived(received ReceivedRequest) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	attempt := c.attempts[received.ID]
 	if attempt == nil {
-		c.addViolation(UnexpectedRequest, "runner %s got try %q, which no client sent", received.Runner.ID, received.ID)
+		c.addViolation(UnexpectedRequest, "runner %s got attempt %q, which no client sent", received.Runner.ID, received.ID)
 		return
 	}
 	attempt.arrivals++
@@ -155,28 +156,28 @@
 
 func (c *Checker) checkUnchanged(attempt *attemptRecord, received ReceivedRequest) {
 	if received.Method != attempt.Method || received.URI != attempt.URI || received.Host != attempt.Host {
-		c.addViolation(UnexpectedRequest, "try %s was sent as %s %s%s and arrived as %s %s%s", attempt.ID, attempt.Method, attempt.Host, attempt.URI, received.Method,
+		c.addViolation(UnexpectedRequest, "attempt %s was sent as %s %s%s and arrived as %s %s%s", attempt.ID, attempt.Method, attempt.Host, attempt.URI, received.Method,
 			received.Host, received.URI)
 	}
 	if received.Body != attempt.Body {
-		c.addViolation(UnexpectedRequest, "the body of try %s was changed", attempt.ID)
+		c.addViolation(UnexpectedRequest, "the body of attempt %s was changed", attempt.ID)
 	}
 }
 
 func (c *Checker) checkDestination(attempt *attemptRecord, runner *Runner) {
 	now := c.now()
 	if attempt.Route == nil || !slices.Contains(attempt.Route.Services, runner.Service) {
-		c.addViolation(WrongService, "try %s of %s arrived at service %s", attempt.ID, routeName(attempt.Route), runner.Service)
+		c.addViolation(WrongService, "attempt %s of %s arrived at service %s", attempt.ID, routeName(attempt.Route), runner.Service)
 		return
 	}
 	if len(attempt.Route.HomeRegions) > 0 && !slices.Contains(attempt.Route.HomeRegions, runner.Region) {
-		c.addViolation(WrongRegion, "try %s of %s arrived in region %s", attempt.ID, attempt.Route.Name, runner.Region)
+		c.addViolation(WrongRegion, "attempt %s of %s arrived in region %s", attempt.ID, attempt.Route.Name, runner.Region)
 	}
 	if since, is := c.draining[runner.ID]; is && now.Sub(since) > c.limits.DrainGrace {
-		c.addViolation(SentToDraining, "runner %s got try %s %v after the list showed it as draining", runner.ID, attempt.ID, now.Sub(since))
+		c.addViolation(SentToDraining, "runner %s got attempt %s %v after the list showed it as draining", runner.ID, attempt.ID, now.Sub(since))
 	}
 	if since, is := c.evacuated[runner.Zone]; is && now.Sub(since) > c.limits.EvacuationGrace {
-		c.addViolation(SentToEvacuatedZone, "zone %s got try %s %v after its evacuation", runner.Zone, attempt.ID, now.Sub(since))
+		c.addViolation(SentToEvacuatedZone, "zone %s got attempt %s %v after its evacuation", runner.Zone, attempt.ID, now.Sub(since))
 	}
 }
 
@@ -187,27 +188,27 @@
 	return route.Name
 }
 
-// ExecutionStarted notes that a runner has begun work on a try.
+// ExecutionStarted records that a runner has started to execute an attempt.
 func (c *Checker) ExecutionStarted(runner *Runner, id string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	attempt := c.attempts[id]
 	if attempt == nil {
-		return // noted when it arrived
+		return // RequestReceived has reported it
 	}
 	attempt.runs++
 	if attempt.Route == nil || attempt.Route.Idempotent {
 		return
 	}
 	if attempt.runs > 1 {
-		c.addViolation(DuplicateExecution, "try %s of %s ran %d times", id, attempt.Route.Name, attempt.runs)
+		c.addViolation(DuplicateExecution, "attempt %s of %s ran %d times", id, attempt.Route.Name, attempt.runs)
 	}
 	if attempt.rejected {
-		c.addViolation(ExecutedAfterRejection, "try %s of %s ran at %s after it was refused", id, attempt.Route.Name, runner.ID)
+		c.addViolation(ExecutedAfterRejection, "attempt %s of %s ran at %s after it was rejected", id, attempt.Route.Name, runner.ID)
 	}
 }
 
-// RequestRejected notes an answer to a client that promises that the try has not run and will not.
+// RequestRejected records an answer that tells the client that the attempt wasn't executed and won't be.
 func (c *Checker) RequestRejected(id string, status int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -217,32 +218,32 @@
 	}
 	attempt.rejected = true
 	if attempt.runs > 0 {
-		c.addViolation(ExecutedAfterRejection, "try %s of %s was answered with %d though it ran", id, attempt.Route.Name, status)
+		c.addViolation(ExecutedAfterRejection, "attempt %s of %s was answered with %d though it ran", id, attempt.Route.Name, status)
 	}
 }
 
-// RunnerDraining notes when the platform's list shows a runner as draining.
+// RunnerDraining records when the platform's list first shows a runner as draining.
 func (c *Checker) RunnerDraining(runner string, since time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.draining[runner] = since
 }
 
-// ZoneEvacuated notes an acknowledged evacuation.
+// ZoneEvacuated records an acknowledged evacuation.
 func (c *Checker) ZoneEvacuated(zone string, since time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.evacuated[zone] = since
 }
 
-// ZoneRestored notes that an evacuation is taken back.
+// ZoneRestored records the end of an evacuation.
 func (c *Checker) ZoneRestored(zone string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.evacuated, zone)
 }
 
-// Retries is how often services were sent a try again.
+// Retries counts the repeated arrivals of attempts at services.
 func (c *Checker) Retries() (n int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -252,7 +253,7 @@
 	return n
 }
 
-// Finish checks what only the whole run shows, and returns all breaches.
+// Finish checks the rules that need the complete run, and returns all violations.
 func (c *Checker) Finish() []Violation {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -262,14 +263,15 @@
 	return slices.Clone(c.violations)
 }
 
-// Violations are the breaches so far.
+// Violations returns the violations recorded so far.
 func (c *Checker) Violations() []Violation {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return slices.Clone(c.violations)
 }
 
-// checkRetryBudget looks at the window that ends with each repeat.
+// checkRetryBudget checks the window before each retry against the requests of the busiest of three windows: that one,
+// the one before it, and the one halfway between. At most one violation is reported for a service.
 func (c *Checker) checkRetryBudget(service string, retryTimes []time.Time) {
 	window := c.limits.RetryWindow
 	if window <= 0 {
@@ -281,7 +283,7 @@
 			end.Add(-window)),
 			c.requestsBetween(service, end.Add(-3*window/2), end.Add(-window/2)))
 		if allowed := c.limits.RetryRatio*float64(requests) + c.limits.RetryAllowance; float64(i+1-first) > allowed {
-			c.addViolation(RetryBudgetExceeded, "service %s was sent %d repeats in %v, at most %.1f are allowed", service, i+1-first, window, allowed)
+			c.addViolation(RetryBudgetExceeded, "service %s was sent %d retries in %v, at most %.1f are allowed", service, i+1-first, window, allowed)
 			return
 		}
 	}
--- a/internal/testkit/checker/checker_test.go
+++ b/internal/testkit/checker/checker_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// world is a referee with a clock of its own.
-type world struct {
+// testbed is a checker with a manual clock.
+type testbed struct {
 	*Checker
 	now time.Time
 }
 
-func newWorld() *world {
-	w := &world{now: time.Unix(1000, 0)}
+func newTestbed() *testbed {
+	w := &testbed{now: time.Unix(1000, 0)}
 	w.Checker = New(Limits{DrainGrace: 4 * time.Second, EvacuationGrace: 5 * time.Second, RetryRatio: 0.5,
 		RetryWindow:    10 * time.Second,
 		RetryAllowance: 1}, func() time.Time { return w.now })
@@ -27,67 +27,87 @@
 	api         = &Runner{ID: "i-3", Service: "api", Zone: "west-a", Region: "west"}
 )
 
-func (w *world) ask(id string, route *Route) {
-	w.RequestSent(Attempt{ID: id, Method: "POST", Host: "h", URI: "/a", Body: Hash([]byte("x")), Route: route})
+func (bed *testbed) sendRequest(id string, route *Route) {
+	bed.RequestSent(Attempt{ID: id, Method: "POST", Host: "h", URI: "/a", Body: Hash([]byte("x")), Route: route})
 }
 
-func (w *world) arrive(id string, runner *Runner) {
-	w.RequestReceived(ReceivedRequest{Runner: runner, ID: id, Method: "POST", Host: "h", URI: "/a", Body: Hash([]byte("x"))})
+func (bed *testbed) receiveRequest(id string, runner *Runner) {
+	bed.RequestReceived(ReceivedRequest{Runner: runner, ID: id, Method: "POST", Host: "h", URI: "/a", Body: Hash([]byte("x"))})
 }
 
-func TestBreaches(t *testing.T) {
+func TestRules(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		do   func(w *world)
+		do   func(w *testbed)
 		want []Rule
 	}{
-		{"a proper request", func(w *world) { w.ask("1", generations); w.arrive("1", west); w.ExecutionStarted(west, "1") }, nil},
-		{"an id that nobody sent", func(w *world) { w.arrive("1", west) }, []Rule{UnexpectedRequest}},
-		{"a changed path", func(w *world) {
-			w.ask("1", generations)
+		{"a valid request", func(w *testbed) {
+			w.sendRequest("1", generations)
+			w.receiveRequest("1", west)
+			w.ExecutionStarted(west, "1")
+		}, nil},
+		{"an unknown ID", func(w *testbed) { w.receiveRequest("1", west) }, []Rule{UnexpectedRequest}},
+		{"a changed path", func(w *testbed) {
+			w.sendRequest("1", generations)
 			w.RequestReceived(ReceivedRequest{Runner: west, ID: "1", Method: "POST", Host: "h", URI: "/b", Body: Hash([]byte("x"))})
 		}, []Rule{UnexpectedRequest}},
-		{"a changed body", func(w *world) {
-			w.ask("1", generations)
+		{"a changed body", func(w *testbed) {
+			w.sendRequest("1", generations)
 			w.RequestReceived(ReceivedRequest{Runner: west, ID: "1", Method: "POST", Host: "h", URI: "/a", Body: Hash([]byte("y"))})
 		}, []Rule{UnexpectedRequest}},
-		{"run twice", func(w *world) { w.ask("1", generations); w.ExecutionStarted(west, "1"); w.ExecutionStarted(west, "1") }, []Rule{DuplicateExecution}},
-		{"an idempotent one run twice", func(w *world) { w.ask("1", lookups); w.ExecutionStarted(api, "1"); w.ExecutionStarted(api, "1") }, nil},
-		{"refused after it ran", func(w *world) { w.ask("1", generations); w.ExecutionStarted(west, "1"); w.RequestRejected("1", 503) },
+		{"executed twice", func(w *testbed) {
+			w.sendRequest("1", generations)
+			w.ExecutionStarted(west, "1")
+			w.ExecutionStarted(west, "1")
+		}, []Rule{DuplicateExecution}},
+		{"an idempotent request executed twice", func(w *testbed) {
+			w.sendRequest("1", lookups)
+			w.ExecutionStarted(api, "1")
+			w.ExecutionStarted(api, "1")
+		}, nil},
+		{"rejected after its execution", func(w *testbed) {
+			w.sendRequest("1", generations)
+			w.ExecutionStarted(west, "1")
+			w.RequestRejected("1", 503)
+		},
 			[]Rule{ExecutedAfterRejection}},
-		{"run after it was refused", func(w *world) { w.ask("1", generations); w.RequestRejected("1", 429); w.ExecutionStarted(west, "1") },
+		{"executed after a rejection", func(w *testbed) {
+			w.sendRequest("1", generations)
+			w.RequestRejected("1", 429)
+			w.ExecutionStarted(west, "1")
+		},
 			[]Rule{ExecutedAfterRejection}},
-		{"another service", func(w *world) { w.ask("1", lookups); w.arrive("1", west) }, []Rule{WrongService}},
-		{"another region", func(w *world) { w.ask("1", generations); w.arrive("1", east) }, []Rule{WrongRegion}},
-		{"a draining runner in time", func(w *world) {
+		{"another service", func(w *testbed) { w.sendRequest("1", lookups); w.receiveRequest("1", west) }, []Rule{WrongService}},
+		{"another region", func(w *testbed) { w.sendRequest("1", generations); w.receiveRequest("1", east) }, []Rule{WrongRegion}},
+		{"a draining runner in time", func(w *testbed) {
 			w.RunnerDraining("i-1", w.now)
 			w.now = w.now.Add(4 * time.Second)
-			w.ask("1", generations)
-			w.arrive("1", west)
+			w.sendRequest("1", generations)
+			w.receiveRequest("1", west)
 		}, nil},
-		{"a draining runner too late", func(w *world) {
+		{"a draining runner too late", func(w *testbed) {
 			w.RunnerDraining("i-1", w.now)
 			w.now = w.now.Add(4*time.Second + 1)
-			w.ask("1", generations)
-			w.arrive("1", west)
+			w.sendRequest("1", generations)
+			w.receiveRequest("1", west)
 		}, []Rule{SentToDraining}},
-		{"an evacuated zone too late", func(w *world) {
+		{"an evacuated zone too late", func(w *testbed) {
 			w.ZoneEvacuated("west-a", w.now)
 			w.now = w.now.Add(6 * time.Second)
-			w.ask("1", generations)
-			w.arrive("1", west)
+			w.sendRequest("1", generations)
+			w.receiveRequest("1", west)
 		}, []Rule{SentToEvacuatedZone}},
-		{"an evacuated zone that was taken back", func(w *world) {
+		{"a restored zone", func(w *testbed) {
 			w.ZoneEvacuated("west-a", w.now)
 			w.ZoneRestored("west-a")
 			w.now = w.now.Add(6 * time.Second)
-			w.ask("1", generations)
-			w.arrive("1", west)
+			w.sendRequest("1", generations)
+			w.receiveRequest("1", west)
 		}, nil},
-		{"repeats within the budget", func(w *world) { w.repeat(2, 2) }, nil},
-		{"repeats beyond the budget", func(w *world) { w.repeat(2, 3) }, []Rule{RetryBudgetExceeded}},
+		{"retries within the budget", func(w *testbed) { w.retryRequest(2, 2) }, nil},
+		{"retries beyond the budget", func(w *testbed) { w.retryRequest(2, 3) }, []Rule{RetryBudgetExceeded}},
 	} {
-		w := newWorld()
+		w := newTestbed()
 		test.do(w)
 		var got []Rule
 		for _, b := range w.Finish() {
@@ -99,13 +119,13 @@
 	}
 }
 
-// repeat asks so many times, and sends the first one so many times again.
-func (w *world) repeat(asked, repeats int) {
-	for i := range asked {
-		w.ask(string(rune('a'+i)), lookups)
+// retryRequest sends requests, and delivers the first of them again for each retry.
+func (bed *testbed) retryRequest(requests, retries int) {
+	for i := range requests {
+		bed.sendRequest(string(rune('a'+i)), lookups)
 	}
-	w.now = w.now.Add(time.Second)
-	for range repeats + 1 {
-		w.arrive("a", api)
+	bed.now = bed.now.Add(time.Second)
+	for range retries + 1 {
+		bed.receiveRequest("a", api)
 	}
 }
--- a/internal/testkit/client/attempt.go
+++ b/internal/testkit/client/attempt.go
@@ -16,22 +16,22 @@
 	"cinderroad/internal/testkit/checker"
 )
 
-// requestMethod is that of all requests.
+// requestMethod is the method of all requests.
 const requestMethod = http.MethodPost
 
 // attempt sends the request once and reads the answer.
 func (c *callState) attempt(ctx context.Context, newConnection bool) attemptResult {
 	conn, err := c.client.connect(ctx, c.Route.Host, newConnection)
 	if err != nil {
-		c.client.load.stats.recordConnectFailure()
+		c.client.generator.stats.recordConnectFailure()
 		if ctx.Err() != nil {
 			return timedOut
 		}
 		return notSent
 	}
-	id := c.client.load.newAttemptID()
+	id := c.client.generator.newAttemptID()
 	body := c.makeBody(id)
-	if r := c.client.load.options.Checker; r != nil {
+	if r := c.client.generator.options.Checker; r != nil {
 		r.RequestSent(checker.Attempt{ID: id, Method: requestMethod, Host: c.Route.Host, URI: c.Route.Path, Body: checker.Hash(body),
 			Route: c.Route.CheckerRoute})
 	}
@@ -56,17 +56,18 @@
 	return v
 }
 
-// reportInvalidBytes notes bytes that are no answer. An answer that ends early is none of those.
+// reportInvalidBytes reports bytes that aren't an HTTP answer. A connection that breaks in the middle of an answer is
+// no violation.
 func (c *callState) reportInvalidBytes(id string, err error) {
 	var network net.Error
 	ended := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed)
 	if ended || errors.As(err, &network) {
 		return
 	}
-	c.client.load.report(checker.MisdeliveredAnswer, "bytes that are not an answer came for try %s: %v", id, err)
+	c.client.generator.report(checker.MisdeliveredAnswer, "bytes that are not an answer came for attempt %s: %v", id, err)
 }
 
-// connectionFailed is the verdict on a try whose connection broke.
+// connectionFailed classifies an attempt whose connection failed.
 func (c *callState) connectionFailed(conn *conn, err error) attemptResult {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return timedOut
@@ -75,14 +76,14 @@
 	return attemptFailed
 }
 
-// makeBody is the request's body; no two are the same.
+// makeBody returns the request's body, which contains the attempt's ID and so is unique.
 func (c *callState) makeBody(id string) []byte {
 	body := bytes.Repeat([]byte{'.'}, max(len(id), c.BodyBytes))
 	copy(body, id)
 	return body
 }
 
-// encodeRequest is the whole request on the wire.
+// encodeRequest returns the complete request as sent; a share of the bodies is chunked.
 func (c *callState) encodeRequest(id string, body []byte) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n", requestMethod, c.Route.Path, c.Route.Host, answer.HeaderAttemptID, id)
@@ -95,7 +96,7 @@
 	if c.events > 0 {
 		fmt.Fprintf(&b, "%s: %d\r\n", answer.HeaderLastEventID, c.events)
 	}
-	if c.client.load.randomBelow(chunkedOneIn) == 0 {
+	if c.client.generator.randomBelow(chunkedOneIn) == 0 {
 		half := len(body) / 2
 		fmt.Fprintf(&b, "Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", half, body[:half],
 			len(body)-half, body[half:])
@@ -106,10 +107,10 @@
 	return b.Bytes()
 }
 
-// readAnswer reads an answer from its head on.
+// readAnswer reads the rest of an answer whose head has been read.
 func (c *callState) readAnswer(conn *conn, head *http.Response, id string) attemptResult {
 	if got := head.Header.Get(answer.HeaderAttemptID); got != "" && got != id {
-		c.client.load.report(checker.MisdeliveredAnswer, "an answer to try %s came for try %s", got, id)
+		c.client.generator.report(checker.MisdeliveredAnswer, "an answer to attempt %s came for attempt %s", got, id)
 	}
 	if head.StatusCode >= http.StatusOK && head.StatusCode < http.StatusMultipleChoices {
 		return c.readSuccess(conn, head, id)
@@ -117,7 +118,7 @@
 	if _, err := io.Copy(io.Discard, head.Body); err != nil {
 		return c.connectionFailed(conn, err)
 	}
-	c.client.load.stats.recordStatus(head.StatusCode)
+	c.client.generator.stats.recordStatus(head.StatusCode)
 	return c.readNonSuccess(head, id)
 }
 
@@ -125,7 +126,7 @@
 	switch head.StatusCode {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
 		http.StatusServiceUnavailable:
-		if r := c.client.load.options.Checker; r != nil {
+		if r := c.client.generator.options.Checker; r != nil {
 			r.RequestRejected(id, head.StatusCode)
 		}
 		c.retryAfter = 0
@@ -135,7 +136,7 @@
 		return notExecuted
 	}
 	if head.StatusCode < http.StatusInternalServerError {
-		c.client.load.stats.recordClientError(c.Route.Name, head.StatusCode)
+		c.client.generator.stats.recordClientError(c.Route.Name, head.StatusCode)
 		return clientError
 	}
 	return attemptFailed
@@ -144,7 +145,7 @@
 func (c *callState) readSuccess(conn *conn, head *http.Response, id string) attemptResult {
 	seal, err := answer.ParseSeal(head.Header.Get(answer.HeaderSeal))
 	if err != nil {
-		c.client.load.report(checker.MisdeliveredAnswer, "a success came for try %s: %v", id, err)
+		c.client.generator.report(checker.MisdeliveredAnswer, "a success came for attempt %s: %v", id, err)
 		io.Copy(io.Discard, head.Body)
 		return attemptFailed
 	}
@@ -156,7 +157,7 @@
 		return c.connectionFailed(conn, err)
 	}
 	if err := seal.CheckBody(id, body); err != nil {
-		c.client.load.report(checker.MisdeliveredAnswer, "%v", err)
+		c.client.generator.report(checker.MisdeliveredAnswer, "%v", err)
 		return attemptFailed
 	}
 	c.firstLatency = time.Since(c.started)
--- a/internal/testkit/client/call.go
+++ b/internal/testkit/client/call.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// Patience with streams: one is given up after a silence of the longest of these.
+// The read timeout of a stream is the longest of these.
 const (
 	minReadTimeout        = 2 * time.Second
-	latencyTargetMultiple = 4 // multiple of the target
-	eventGapMultiple      = 8 // multiple of the longest pause in time
+	latencyTargetMultiple = 4 // multiple of the route's latency target
+	eventGapMultiple      = 8 // multiple of the route's longest event gap
 )
 
-// retryWaitDivisor is the part of the time left that a client waits at most when it is told to.
+// retryWaitDivisor bounds a Retry-After: a client waits at most this fraction of the remaining time.
 const retryWaitDivisor = 3
 
-// attemptResult is how a try ended.
+// attemptResult is the result of one attempt.
 type attemptResult uint8
 
 const (
 	succeeded     attemptResult = iota
-	notExecuted                 // it has not run and will not: 408, 421, 429 or 503
-	notSent                     // the dispatcher has not read it
-	attemptFailed               // 5xx, or no whole answer
+	notExecuted                 // the answer says that it wasn't and won't be executed: 408, 421, 429 or 503
+	notSent                     // no connection: the dispatcher hasn't received it
+	attemptFailed               // 5xx, or an incomplete answer
 	clientError                 // 3xx or 4xx
-	timedOut                    // the deadline has passed, or the client has lost its patience
+	timedOut                    // deadline or read timeout
 )
 
-// callState is a call with what has come of it so far.
+// callState is a call and the state of its attempts.
 type callState struct {
 	*Call
 	client       *client
 	started      time.Time
 	deadline     time.Time
-	events       int // that have come, over all tries
+	events       int // received over all attempts
 	executionID  string
 	totalEvents  int
-	firstLatency time.Duration // from the begin to the first event, or to the whole answer
+	firstLatency time.Duration // from the start to the first event, or to the complete answer
 	longestGap   time.Duration
 	lastEventAt  time.Time
-	retryAfter   time.Duration // that the last answer asked for
+	retryAfter   time.Duration // from the last answer; 0: none
 }
 
-// Do makes one call and counts what becomes of it.
+// Do makes one call, with retries, and records its outcome.
 func (g *LoadGenerator) Do(ctx context.Context, sender *client, wanted *Call) Outcome {
 	now := time.Now()
 	c := &callState{Call: wanted, client: sender, started: now, deadline: now.Add(wanted.Route.Deadline)}
@@ -61,7 +61,7 @@
 	return outcome
 }
 
-// mayRetry says whether the protocol lets a client ask again.
+// mayRetry reports whether the protocol allows a retry.
 func (c *callState) mayRetry(result attemptResult) bool {
 	switch result {
 	case notExecuted, notSent:
@@ -72,7 +72,7 @@
 	return false
 }
 
-// waitBeforeRetry waits as the last answer asked; it says whether there is time left.
+// waitBeforeRetry waits for Retry-After; false if no time is left.
 func (c *callState) waitBeforeRetry(ctx context.Context, result attemptResult) bool {
 	left := time.Until(c.deadline)
 	if result != notExecuted || c.retryAfter <= 0 {
@@ -101,7 +101,7 @@
 	return Failed
 }
 
-// readDeadline is how long the client bears silence from now on.
+// readDeadline returns when the client stops waiting for the next bytes.
 func (c *callState) readDeadline() time.Time {
 	if !c.Route.Stream {
 		return c.deadline
--- a/internal/testkit/client/client.go
+++ b/internal/testkit/client/client.go
@@ -1,5 +1,8 @@
-// Package client stands in for the clients of the system. It asks the directory where to go, sends requests as the
-// protocol tells clients to, retries as they may, checks every answer, and counts what became of each call.
+// Package client is a fake of the system's clients and a load generator. Clients look up addresses in a directory,
+// send requests as the protocol requires, retry only where it allows, verify every answer, and record the outcome of
+// each call.
+//
+// Violations go to a checker.Checker; outcomes are returned by Stats. A LoadGenerator may be used from any goroutine.
 package client
 
 import (
@@ -13,56 +16,56 @@
 	"cinderroad/internal/testkit/checker"
 )
 
-// Route is a kind of request.
+// Route describes a kind of request.
 type Route struct {
 	Name          string
 	Host          string
-	Path          string // of its requests
+	Path          string // request path
 	Stream        bool
 	Resumable     bool
 	ReadOnly      bool
-	LatencyTarget time.Duration // to the first event, or to the whole answer
-	MaxEventGap   time.Duration // longest pause between events that is in time; 0: any
+	LatencyTarget time.Duration // time to the first event, or to the complete answer
+	MaxEventGap   time.Duration // longest time between events that counts as in time; 0: no limit
 	Deadline      time.Duration
 	MaxRetries    int
 	CheckerRoute  *checker.Route
 }
 
-// Call is one request that a client wants answered.
+// Call is one request of the load.
 type Call struct {
-	Start           time.Duration // from the start of the load
+	Start           time.Duration // relative to the start of Run
 	Route           *Route
 	Zone            string
 	Model           string
-	PromptChunks    string // parts as ID:TOKENS; empty: none
+	PromptChunks    string // ID:TOKENS, separated by commas; empty: no prompt
 	PromptTokens    int
-	MaxOutputTokens int // the most
-	BodyBytes       int // of its body
+	MaxOutputTokens int
+	BodyBytes       int // size of the request's body
 }
 
-// Options describe clients.
+// Options configure a load generator.
 type Options struct {
-	RegionOfZone   map[string]string // region of each zone
+	RegionOfZone   map[string]string // by zone
 	Directories    func(zone string) []netip.AddrPort
-	FixedAddress   string        // address of the dispatcher that all calls go to; empty: the directory tells
-	ClientsPerZone int           // in each zone; 0: 10
-	MaxTTL         time.Duration // longest that an answer of the directory counts
+	FixedAddress   string        // host:port that all calls go to; empty: looked up in a directory
+	ClientsPerZone int           // 0: 10
+	MaxTTL         time.Duration // upper bound for the lifetime of a lookup; 0: none
 	Checker        *checker.Checker
 	Seed           uint64
 }
 
 const (
 	defaultClients  = 10
-	maxLookups      = 3           // directories that are tried
-	lookupTimeout   = time.Second // for each
+	maxLookups      = 3           // directories tried for a lookup
+	lookupTimeout   = time.Second // of each try
 	connectTimeout  = time.Second
-	longTTLOneIn    = 4 // one in so many clients holds an answer of the directory for longer
-	longTTLMultiple = 3 // times as long
-	keepAliveOneIn  = 2 // one in so many clients keeps connections
-	chunkedOneIn    = 5 // one in so many bodies comes in chunks
+	longTTLOneIn    = 4 // one in so many clients keeps a lookup for longer than its TTL
+	longTTLMultiple = 3 // by this factor
+	keepAliveOneIn  = 2 // one in so many clients reuses connections
+	chunkedOneIn    = 5 // one in so many bodies is chunked
 )
 
-// LoadGenerator is clients at work.
+// LoadGenerator owns the clients of all zones and their statistics.
 type LoadGenerator struct {
 	options Options
 	clients map[string][]*client // by zone
@@ -73,7 +76,7 @@
 	attempts uint64
 }
 
-// New makes clients.
+// New creates the clients; it opens no connection.
 func New(options Options) *LoadGenerator {
 	if options.ClientsPerZone == 0 {
 		options.ClientsPerZone = defaultClients
@@ -82,7 +85,7 @@
 	g.stats.routes = make(map[string]*RouteStats)
 	for zone, region := range options.RegionOfZone {
 		for i := range options.ClientsPerZone {
-			c := &client{load: g, zone: zone, region: region, keepsConnections: i%keepAliveOneIn == 0, ttlMultiple: 1}
+			c := &client{generator: g, zone: zone, region: region, keepsConnections: i%keepAliveOneIn == 0, ttlMultiple: 1}
 			if i%longTTLOneIn == longTTLOneIn-1 {
 				c.ttlMultiple = longTTLMultiple
 			}
@@ -92,7 +95,8 @@
 	return g
 }
 
-// Run makes calls, each at its time, and returns when all have an end. The calls are in order of time.
+// Run makes each call at its time and returns when all have ended. The calls must be sorted by Start. When ctx ends,
+// no further call is started.
 func (g *LoadGenerator) Run(ctx context.Context, calls []*Call) {
 	start := time.Now()
 	timer := time.NewTimer(0)
@@ -116,12 +120,12 @@
 	group.Wait()
 }
 
-// client is one user of the system: it has its own answers of the directory and its own connections.
+// client is one user of the system, with its own lookups and connections.
 type client struct {
-	load             *LoadGenerator
+	generator        *LoadGenerator
 	zone, region     string
 	keepsConnections bool
-	ttlMultiple      int // multiple of the time that an answer of the directory counts
+	ttlMultiple      int // of a lookup's lifetime
 
 	mutex             sync.Mutex
 	addresses         []string
@@ -130,19 +134,19 @@
 	idle              []*conn
 }
 
-// Client is a client of a zone, for calls that are made one by one.
+// Client returns a client of a zone for use with Do; i selects one, modulo their number.
 func (g *LoadGenerator) Client(zone string, i int) *client {
 	return g.clients[zone][i%len(g.clients[zone])]
 }
 
-// randomBelow draws from 0 to n-1.
+// randomBelow returns a random number in [0, n).
 func (g *LoadGenerator) randomBelow(n int) int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.random.IntN(n)
 }
 
-// newAttemptID names a try.
+// newAttemptID returns a unique ID.
 func (g *LoadGenerator) newAttemptID() string {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -150,7 +154,7 @@
 	return fmt.Sprintf("%08x%08x", g.random.Uint32(), g.attempts)
 }
 
-// report notes a broken rule.
+// report records a violation, if there is a checker.
 func (g *LoadGenerator) report(rule checker.Rule, format string, args ...any) {
 	if g.options.Checker != nil {
 		g.options.Checker.Report(rule, format, args...)
--- a/internal/testkit/client/client_test.go
+++ b/internal/testkit/client/client_test.go
@@ -29,9 +29,9 @@
 
 func newTestbed(t *testing.T, dispatcherAddress string) *testbed {
 	t.Helper()
-	w := &testbed{checker: checker.New(checker.Limits{}, nil)}
+	bed := &testbed{checker: checker.New(checker.Limits{}, nil)}
 	directory := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, q *http.Request) {
-		w.lookups.Add(1)
+		bed.lookups.Add(1)
 		if q.URL.Query().Get("zone") != "a" || q.URL.Query().Get("region") != "r" ||
 			q.URL.Query().Get("name") != "h.example" {
 			t.Errorf("the directory was asked for %v", q.URL)
@@ -40,9 +40,9 @@
 	}))
 	t.Cleanup(directory.Close)
 	address := netip.MustParseAddrPort(directory.Listener.Addr().String())
-	w.generator = New(Options{RegionOfZone: map[string]string{"a": "r"}, ClientsPerZone: 1, Checker: w.checker,
+	bed.generator = New(Options{RegionOfZone: map[string]string{"a": "r"}, ClientsPerZone: 1, Checker: bed.checker,
 		Directories: func(string) []netip.AddrPort { return []netip.AddrPort{address} }})
-	return w
+	return bed
 }
 
 func streamRoute() *Route {
@@ -57,7 +57,7 @@
 		CheckerRoute: &checker.Route{Name: "bodies", Services: []string{"llm", "api"}, Idempotent: true}}
 }
 
-func callOf(route *Route) *Call {
+func newCall(route *Route) *Call {
 	c := &Call{Route: route, Zone: "a", BodyBytes: 300}
 	if route.Stream {
 		c.Model, c.PromptChunks, c.PromptTokens, c.MaxOutputTokens = "m", "a:20,b:10", 30, 12
@@ -65,8 +65,8 @@
 	return c
 }
 
-func (w *testbed) call(route *Route) Outcome {
-	return w.generator.Do(context.Background(), w.generator.Client("a", 0), callOf(route))
+func (bed *testbed) call(route *Route) Outcome {
+	return bed.generator.Do(context.Background(), bed.generator.Client("a", 0), newCall(route))
 }
 
 func startRunner(t *testing.T, bed *testbed, service string) *runner.Runner {
@@ -87,7 +87,7 @@
 	return r
 }
 
-// newTestbedWithRunner is a world whose dispatcher passes everything on to one runner.
+// newTestbedWithRunner returns a testbed whose dispatcher forwards everything to one runner.
 func newTestbedWithRunner(t *testing.T, service string) (*testbed, *runner.Runner) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -95,18 +95,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	w := newTestbed(t, l.Addr().String())
-	r := startRunner(t, w, service)
+	bed := newTestbed(t, l.Addr().String())
+	server := startRunner(t, bed, service)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go relayConnection(c, r.Address().String())
+			go relayConnection(c, server.Address().String())
 		}
 	}()
-	return w, r
+	return bed, server
 }
 
 func relayConnection(c net.Conn, to string) {
@@ -123,8 +123,8 @@
 	c.Close()
 }
 
-func (w *testbed) rules() (rules []checker.Rule) {
-	for _, b := range w.checker.Finish() {
+func (bed *testbed) rules() (rules []checker.Rule) {
+	for _, b := range bed.checker.Finish() {
 		rules = append(rules, b.Rule)
 	}
 	return rules
@@ -135,19 +135,19 @@
 		service string
 		route   *Route
 	}{{"llm", streamRoute()}, {"api", bodyRoute()}} {
-		w, _ := newTestbedWithRunner(t, test.service)
+		bed, _ := newTestbedWithRunner(t, test.service)
 		for range 5 {
-			if got := w.call(test.route); got != InTime {
+			if got := bed.call(test.route); got != InTime {
 				t.Errorf("%s: outcome %d", test.route.Name, got)
 			}
 		}
-		if rules := w.rules(); len(rules) > 0 {
-			t.Errorf("%s: %v", test.route.Name, w.checker.Violations())
+		if rules := bed.rules(); len(rules) > 0 {
+			t.Errorf("%s: %v", test.route.Name, bed.checker.Violations())
 		}
-		if n := w.lookups.Load(); n != 1 {
+		if n := bed.lookups.Load(); n != 1 {
 			t.Errorf("the directory was asked %d times", n)
 		}
-		if tally := w.generator.Stats(); tally.Served != 5 || tally.Routes[0].InTime != 5 || tally.Routes[0].LatencyQuantile(0.5) == 0 {
+		if tally := bed.generator.Stats(); tally.Served != 5 || tally.Routes[0].InTime != 5 || tally.Routes[0].LatencyQuantile(0.5) == 0 {
 			t.Errorf("%+v", tally)
 		}
 	}
@@ -263,17 +263,17 @@
 		{"an unknown path", bodyRoute(), 404, 1},
 	} {
 		var tries atomic.Int32
-		w := newTestbedWithHandler(t, func(w http.ResponseWriter, q *http.Request) {
+		bed := newTestbedWithHandler(t, func(bed http.ResponseWriter, q *http.Request) {
 			tries.Add(1)
-			w.Header().Set("Retry-After", "0.001")
-			w.WriteHeader(test.status)
+			bed.Header().Set("Retry-After", "0.001")
+			bed.WriteHeader(test.status)
 		})
 		test.route.MaxRetries = 1
-		w.call(test.route)
+		bed.call(test.route)
 		if n := tries.Load(); n != test.tries {
 			t.Errorf("%s: %d tries, want %d", test.name, n, test.tries)
 		}
-		if rules := w.rules(); len(rules) > 0 {
+		if rules := bed.rules(); len(rules) > 0 {
 			t.Errorf("%s: %v", test.name, rules)
 		}
 	}
@@ -299,7 +299,7 @@
 	w, _ := newTestbedWithRunner(t, "api")
 	var calls []*Call
 	for i := range 20 {
-		c := callOf(bodyRoute())
+		c := newCall(bodyRoute())
 		c.Start = time.Duration(i) * time.Millisecond
 		calls = append(calls, c)
 	}
--- a/internal/testkit/client/conn.go
+++ b/internal/testkit/client/conn.go
@@ -19,11 +19,11 @@
 	net.Conn
 	reader    *bufio.Reader
 	address   string
-	idleUntil time.Time // of an idle one; zero: no end is known
+	idleUntil time.Time // Keep-Alive timeout of an idle connection; zero: unknown
 	used      bool
 }
 
-// connect takes an idle connection, or opens one.
+// connect returns an idle connection, or opens one. newConnection forces the latter.
 func (c *client) connect(ctx context.Context, host string, newConnection bool) (*conn, error) {
 	if !newConnection && c.keepsConnections {
 		if idle := c.takeIdle(); idle != nil {
@@ -43,7 +43,7 @@
 	return &conn{Conn: inner, reader: bufio.NewReader(inner), address: address}, nil
 }
 
-// takeIdle takes a connection that was kept, if it still may be used.
+// takeIdle removes a usable connection from the idle list; nil if there is none.
 func (c *client) takeIdle() *conn {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// checkIdle says whether nothing has come on an idle connection, and it is open.
+// checkIdle reports whether an idle connection is open and has received nothing; bytes that nobody asked for are a
+// violation.
 func (c *client) checkIdle(idle *conn) bool {
 	unread, open := idle.reader.Buffered(), true
 	if raw, err := idle.Conn.(*net.TCPConn).SyscallConn(); err == nil && unread == 0 {
@@ -71,16 +72,16 @@
 		})
 	}
 	if unread > 0 {
-		c.load.report(checker.MisdeliveredAnswer, "bytes came on an idle connection to %s", idle.address)
+		c.generator.report(checker.MisdeliveredAnswer, "bytes came on an idle connection to %s", idle.address)
 		return false
 	}
 	return open
 }
 
-// putIdle puts a connection by after a whole answer, if it may be used again.
+// putIdle keeps a connection after a complete answer, if it may be reused.
 func (c *client) putIdle(used *conn, head *http.Response) {
 	if used.reader.Buffered() > 0 {
-		c.load.report(checker.MisdeliveredAnswer, "bytes came after a whole answer from %s", used.address)
+		c.generator.report(checker.MisdeliveredAnswer, "bytes came after a complete answer from %s", used.address)
 		used.Close()
 		return
 	}
--- a/internal/testkit/client/lookup.go
+++ b/internal/testkit/client/lookup.go
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// lookupPath is where a directory tells where to go.
+// lookupPath is a directory's lookup endpoint.
 const lookupPath = "/-/lookup"
 
-// lookupAnswer is what it tells.
+// lookupAnswer is the endpoint's answer.
 type lookupAnswer struct {
 	Addresses []string `json:"addresses"`
 	TTL       float64  `json:"cache_ttl_s"`
 }
 
-// errNoAddress says that no address is known.
+// errNoAddress: no directory answers, and no earlier lookup is known.
 var errNoAddress = errors.New("no directory answers, and no address is known from before")
 
-// pickAddress picks where a new connection goes.
+// pickAddress returns a random address of those that haven't failed since the last lookup.
 func (c *client) pickAddress(ctx context.Context, host string) (string, error) {
-	if front := c.load.options.FixedAddress; front != "" {
+	if front := c.generator.options.FixedAddress; front != "" {
 		return front, nil
 	}
 	c.refreshAddresses(ctx, host)
@@ -39,10 +39,11 @@
 		good = c.addresses
 		c.failedAddresses = nil
 	}
-	return good[c.load.randomBelow(len(good))], nil
+	return good[c.generator.randomBelow(len(good))], nil
 }
 
-// refreshAddresses asks the directory if the last answer is too old. Without a new one, the old one goes on.
+// refreshAddresses makes a lookup if the last one has expired. If all directories fail, the expired addresses stay in
+// use.
 func (c *client) refreshAddresses(ctx context.Context, host string) {
 	c.mutex.Lock()
 	fresh := time.Now().Before(c.addressesExpireAt)
@@ -50,10 +51,10 @@
 	if fresh {
 		return
 	}
-	directories := c.load.options.Directories(c.zone)
+	directories := c.generator.options.Directories(c.zone)
 	for i := range min(maxLookups, len(directories)) {
 		found, err := c.lookup(ctx, directories[i].String(), host)
-		c.load.stats.recordLookup(err)
+		c.generator.stats.recordLookup(err)
 		if err != nil {
 			continue
 		}
@@ -83,15 +84,15 @@
 		return nil, err
 	}
 	if len(found.Addresses) == 0 || found.TTL <= 0 {
-		return nil, fmt.Errorf("directory %s told no addresses or no time to keep them", directory)
+		return nil, fmt.Errorf("directory %s answered without addresses or without a TTL", directory)
 	}
 	return &found, nil
 }
 
-// storeAddresses takes an answer; connections to addresses that it lacks are not used again.
+// storeAddresses stores a lookup and closes idle connections to addresses that it no longer has.
 func (c *client) storeAddresses(found *lookupAnswer) {
 	ttl := time.Duration(found.TTL * float64(time.Second))
-	if most := c.load.options.MaxTTL; most > 0 {
+	if most := c.generator.options.MaxTTL; most > 0 {
 		ttl = min(ttl, most)
 	}
 	c.mutex.Lock()
@@ -107,7 +108,7 @@
 	})
 }
 
-// markFailed remembers an address that has failed.
+// markFailed excludes an address until the next lookup.
 func (c *client) markFailed(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/testkit/client/stats.go
+++ b/internal/testkit/client/stats.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Outcome is what became of a call.
+// Outcome is the final outcome of a call.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes; Late calls were answered, but not within the route's target or event gap.
 const (
 	InTime Outcome = iota
 	Late
@@ -26,7 +26,7 @@
 	latencies                             []time.Duration
 }
 
-// LatencyQuantile is a quantile of the times to the first event.
+// LatencyQuantile returns a quantile (0 to 1) of the time to the first event or complete answer; 0 without answers.
 func (t *RouteStats) LatencyQuantile(quantile float64) time.Duration {
 	if len(t.latencies) == 0 {
 		return 0
@@ -35,18 +35,18 @@
 	return sorted[min(len(sorted)-1, int(quantile*float64(len(sorted))))]
 }
 
-// Stats counts over all calls.
+// Stats counts over all calls of a load generator.
 type Stats struct {
-	Routes          []RouteStats // in order of their names
+	Routes          []RouteStats // sorted by name
 	Calls, Served   int
 	Retries         int
-	ConnectFailures int // connections that did not come up
+	ConnectFailures int
 	Lookups         int
 	FailedLookups   int
-	Statuses        map[int]int // of answers that were no success
+	Statuses        map[int]int // answers by status, successes excluded
 }
 
-// statsRecorder is where clients count.
+// statsRecorder collects the statistics of all clients.
 type statsRecorder struct {
 	mutex  sync.Mutex
 	routes map[string]*RouteStats
@@ -143,7 +143,7 @@
 	return total
 }
 
-// String is the counts on one line.
+// String formats the totals on one line.
 func (s *Stats) String() string {
 	return fmt.Sprintf("calls=%d served=%d retries=%d unreached=%d", s.Calls, s.Served, s.Retries, s.ConnectFailures)
 }
--- a/internal/testkit/client/stream.go
+++ b/internal/testkit/client/stream.go
@@ -13,28 +13,28 @@
 	"cinderroad/internal/testkit/checker"
 )
 
-// errStreamOrder says that a piece is missing, comes twice or is of another run.
+// errStreamOrder: an event is missing, repeated, or of another execution.
 var errStreamOrder = errors.New("order")
 
 // readStream reads events until the stream ends.
 func (c *callState) readStream(conn *conn, head *http.Response, seal answer.Seal, id string) attemptResult {
 	if !seal.Stream || seal.AttemptID != id {
-		c.client.load.report(checker.MisdeliveredAnswer, "the seal of try %s came for try %s", seal.AttemptID, id)
+		c.client.generator.report(checker.MisdeliveredAnswer, "the seal of attempt %s came for attempt %s", seal.AttemptID, id)
 	}
 	if c.totalEvents != 0 && seal.Size != c.totalEvents {
-		c.client.load.report(checker.StreamOrder, "try %s goes on with %d pieces where there were %d", id, seal.Size, c.totalEvents)
+		c.client.generator.report(checker.StreamOrder, "attempt %s goes on with %d events where there were %d", id, seal.Size, c.totalEvents)
 	}
 	c.totalEvents = seal.Size
 	c.executionID = ""
 	err := c.readEvents(conn, bufio.NewReader(head.Body), id)
 	switch {
 	case errors.Is(err, errStreamOrder):
-		c.client.load.report(checker.StreamOrder, "%v", err)
+		c.client.generator.report(checker.StreamOrder, "%v", err)
 		return attemptFailed
 	case err != nil:
 		return c.connectionFailed(conn, err)
 	case c.events < c.totalEvents:
-		c.client.load.report(checker.StreamOrder, "the stream of try %s ended as complete after piece %d of %d", id, c.events, c.totalEvents)
+		c.client.generator.report(checker.StreamOrder, "the stream of attempt %s ended as complete after event %d of %d", id, c.events, c.totalEvents)
 		return attemptFailed
 	}
 	return succeeded
@@ -65,18 +65,18 @@
 	}
 }
 
-// handleEvent takes a piece.
+// handleEvent verifies and records one event.
 func (c *callState) handleEvent(eventID, data, id string) error {
 	event, err := answer.ParseEvent(eventID, data)
 	if err != nil {
-		return fmt.Errorf("%w: try %s: %w", errStreamOrder, id, err)
+		return fmt.Errorf("%w: attempt %s: %w", errStreamOrder, id, err)
 	}
 	if event.Index != c.events+1 || event.Total != c.totalEvents {
-		return fmt.Errorf("%w: try %s: piece %d of %d came after %d of %d", errStreamOrder, id, event.Index, event.Total, c.events,
+		return fmt.Errorf("%w: attempt %s: event %d of %d came after %d of %d", errStreamOrder, id, event.Index, event.Total, c.events,
 			c.totalEvents)
 	}
 	if c.executionID != "" && event.ExecutionID != c.executionID && !c.Route.Resumable {
-		return fmt.Errorf("%w: try %s: a piece of run %s came after one of run %s", errStreamOrder, id, event.ExecutionID, c.executionID)
+		return fmt.Errorf("%w: attempt %s: an event of execution %s came after one of execution %s", errStreamOrder, id, event.ExecutionID, c.executionID)
 	}
 	now := time.Now()
 	if c.events == 0 {
--- a/internal/testkit/engine/engine_test.go
+++ b/internal/testkit/engine/engine_test.go
@@ -31,7 +31,7 @@
 	return task
 }
 
-// runToEnd runs a machine until nothing is left to happen.
+// runToEnd advances a server until nothing more is due.
 func runToEnd(m Server) (events []Event) {
 	for {
 		at, is := m.Next()
@@ -86,7 +86,7 @@
 	second := submit(t, e, ms(100), &Request{Chunks: []Chunk{{1, 100}, {3, 20}}, OutputTokens: 1})
 	events := runToEnd(e)
 	if second.CachedTokens != 100 {
-		t.Errorf("%d tokens were kept, want 100", second.CachedTokens)
+		t.Errorf("%d tokens were cached, want 100", second.CachedTokens)
 	}
 	if at := when(events, second, Started); at != ms(112) {
 		t.Errorf("started at %v, want 112 ms", at)
@@ -94,7 +94,7 @@
 	other := submit(t, e, ms(200), &Request{Model: "other", Chunks: []Chunk{{1, 100}}, OutputTokens: 1})
 	runToEnd(e)
 	if other.CachedTokens != 0 {
-		t.Errorf("a part kept for another model was used")
+		t.Errorf("a chunk cached for another model was used")
 	}
 }
 
@@ -105,7 +105,7 @@
 	task := submit(t, e, ms(100), &Request{Chunks: []Chunk{{2, 50}}, OutputTokens: 1})
 	runToEnd(e)
 	if task.CachedTokens != 0 {
-		t.Errorf("%d tokens were kept, want none", task.CachedTokens)
+		t.Errorf("%d tokens were cached, want none", task.CachedTokens)
 	}
 }
 
@@ -126,7 +126,7 @@
 		task := submit(t, e, at, &Request{Chunks: []Chunk{{want.id, 100}}, OutputTokens: 1})
 		runToEnd(e)
 		if task.CachedTokens != want.cached {
-			t.Errorf("part %d: %d tokens were kept, want %d", want.id, task.CachedTokens, want.cached)
+			t.Errorf("chunk %d: %d tokens were cached, want %d", want.id, task.CachedTokens, want.cached)
 		}
 		at += time.Second
 	}
@@ -282,15 +282,15 @@
 }
 
 func checkMemory(t *rapid.T, e *Engine) {
-	own, kept, pinned := 0, 0, 0
+	ownTokens, cached, pinned := 0, 0, 0
 	for _, task := range e.running {
-		own += task.memory.ownTokens
+		ownTokens += task.memory.ownTokens
 	}
 	var walk func(n *cacheNode)
 	walk = func(n *cacheNode) {
 		for _, child := range n.children {
 			if child.users == 0 {
-				kept += child.tokens
+				cached += child.tokens
 			} else {
 				pinned += child.tokens
 			}
@@ -300,12 +300,12 @@
 	for _, root := range e.memory.models {
 		walk(root)
 	}
-	if e.memory.cached != kept || e.memory.pinned != pinned+own {
-		t.Fatalf("kept %d and pinned %d, but the tree has %d and %d, and tasks %d", e.memory.cached, e.memory.pinned, kept,
-			pinned, own)
+	if e.memory.cached != cached || e.memory.pinned != pinned+ownTokens {
+		t.Fatalf("kept %d and pinned %d, but the tree has %d and %d, and tasks %d", e.memory.cached, e.memory.pinned, cached,
+			pinned, ownTokens)
 	}
-	if kept+pinned+own > e.memory.size {
-		t.Fatalf("%d tokens in a memory of %d", kept+pinned+own, e.memory.size)
+	if cached+pinned+ownTokens > e.memory.size {
+		t.Fatalf("%d tokens in a memory of %d", cached+pinned+ownTokens, e.memory.size)
 	}
 	if len(e.running) > e.options.MaxRunning {
 		t.Fatalf("%d tasks run in %d slots", len(e.running), e.options.MaxRunning)
--- a/internal/testkit/engine/memory.go
+++ b/internal/testkit/engine/memory.go
@@ -1,31 +1,31 @@
 package engine
 
-// memory is the token memory of an engine: what running tasks hold, and parts of prompts that are kept for later. Parts
-// form a tree for each model, as a part is of use only after the same parts before it. Kept parts that nobody uses give
-// way when room is needed, those unused for longest first.
+// memory is an engine's KV cache: the tokens of running tasks, and cached prompt chunks. Chunks form a tree for each
+// model (a radix cache), since a chunk can be reused only after the same chunks before it. Unused chunks are evicted
+// when memory is needed, the least recently used first. All sizes are in tokens.
 type memory struct {
-	size        int // tokens
+	size        int
 	blockTokens int
-	pinned      int // tokens that cannot give way
-	cached      int // tokens that can
+	pinned      int // in use, can't be evicted
+	cached      int // can be evicted
 	models      map[string]*cacheNode
-	evictable   cacheNode // head of the ring of nodes that can give way, the oldest at oldest.next
+	evictable   cacheNode // sentinel of the ring of unused nodes; the least recently used is next
 }
 
-// cacheNode is a kept part.
+// cacheNode is a cached chunk.
 type cacheNode struct {
 	chunk      Chunk
-	tokens     int // tokens of memory that it takes
-	users      int // running tasks
+	tokens     int // memory that it takes, whole blocks
+	users      int // running tasks that use it
 	parent     *cacheNode
 	children   map[Chunk]*cacheNode
-	prev, next *cacheNode // in the ring, while nobody uses it
+	prev, next *cacheNode // in the ring while users is 0
 }
 
-// taskMemory is what a task has of the memory.
+// taskMemory is the memory of a task.
 type taskMemory struct {
-	cachedPrefix *cacheNode // the deepest part of its prompt in the tree
-	ownTokens    int        // tokens besides
+	cachedPrefix *cacheNode // deepest chunk of its prompt in the tree
+	ownTokens    int        // beside the cached prefix
 }
 
 func newMemory(size, block int) *memory {
@@ -34,7 +34,7 @@
 	return m
 }
 
-// roundUp is the room that so many tokens take.
+// roundUp returns the memory that so many tokens take: whole blocks.
 func (m *memory) roundUp(tokens int) int {
 	return (tokens + m.blockTokens - 1) / m.blockTokens * m.blockTokens
 }
@@ -48,7 +48,8 @@
 	return root
 }
 
-// longestPrefix walks down from a node along parts; it returns the deepest one and how many parts it found.
+// longestPrefix walks down from a node along chunks and returns the deepest cached one and the number of chunks
+// found.
 func longestPrefix(from *cacheNode, parts []Chunk) (*cacheNode, int) {
 	for i, part := range parts {
 		child := from.children[part]
@@ -60,8 +61,8 @@
 	return from, len(parts)
 }
 
-// available is how much room there is for a task that would use a chain of nodes: what is free, and what can give way
-// but for that chain.
+// available returns the memory that a task using the chain of nodes could get: what is free and what can be evicted,
+// the chain excepted.
 func (m *memory) available(chain *cacheNode) int {
 	room := m.size - m.pinned
 	for n := chain; n != nil; n = n.parent {
@@ -72,7 +73,7 @@
 	return room
 }
 
-// pin counts a task as a user of a node and of all before it.
+// pin counts a task as a user of a node and its ancestors.
 func (m *memory) pin(chain *cacheNode) {
 	for n := chain; n != nil && n.parent != nil; n = n.parent {
 		if n.users == 0 {
@@ -84,7 +85,7 @@
 	}
 }
 
-// unpin is the reverse. Parents come to be younger than their children, so that these give way first.
+// unpin reverses pin. Ancestors enter the ring behind their descendants, so that these are evicted first.
 func (m *memory) unpin(chain *cacheNode) {
 	for n := chain; n != nil && n.parent != nil; n = n.parent {
 		n.users--
@@ -107,7 +108,7 @@
 	head.prev.next, head.prev = n, n
 }
 
-// reserve gives a task room of its own, if there is any; kept parts give way.
+// reserve gives a task memory of its own and evicts unused chunks for it; false if there isn't enough.
 func (m *memory) reserve(t *Task, room int) bool {
 	if m.pinned+room > m.size {
 		return false
@@ -120,14 +121,15 @@
 	return true
 }
 
-// evict drops a kept part.
+// evict removes an unused chunk.
 func (m *memory) evict(n *cacheNode) {
 	n.removeFromRing()
 	m.cached -= n.tokens
 	delete(n.parent.children, n.chunk)
 }
 
-// publish makes a part that a task has read one of the tree, unless another task was first.
+// publish moves a prefilled chunk from the task's own memory into the tree, unless another task has published it
+// first.
 func (m *memory) publish(t *Task, part Chunk) {
 	parent := t.memory.cachedPrefix
 	room := m.roundUp(part.Tokens)
@@ -148,7 +150,7 @@
 	m.attach(t, n)
 }
 
-// attach lets a task go on from a part that is kept behind the one that it uses.
+// attach extends a task's cached prefix by one chunk.
 func (m *memory) attach(t *Task, n *cacheNode) {
 	if n.users == 0 {
 		m.cached -= n.tokens
@@ -159,13 +161,13 @@
 	t.memory.cachedPrefix = n
 }
 
-// free returns room of the task's own.
+// free returns memory of the task's own.
 func (m *memory) free(t *Task, room int) {
 	t.memory.ownTokens -= room
 	m.pinned -= room
 }
 
-// release ends all that a task holds.
+// release returns all memory of a task.
 func (m *memory) release(t *Task) {
 	m.unpin(t.memory.cachedPrefix)
 	m.pinned -= t.memory.ownTokens
--- a/internal/testkit/engine/slowstart.go
+++ b/internal/testkit/engine/slowstart.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// slowStartWindow is the span in which the requests of a cold runner are counted.
+// slowStartWindow is the window in which arrivals are counted.
 const slowStartWindow = time.Second
 
-// SlowStart watches how a runner that is cold is treated: it bears some requests a second, and falls over well above that.
+// SlowStart checks the load on a runner during slow start, when it bears only a limited rate of requests and crashes
+// well above that.
 type SlowStart struct {
-	Rate          float64 // requests a second that it bears
-	MaxMultiple   float64 // multiple of Rate that callers may send at most
-	Allowance     float64 // requests beyond that
-	CrashMultiple float64 // multiple of Rate at which it falls over; 0: it does not
+	Rate          float64 // requests per second that it bears
+	MaxMultiple   float64 // multiple of Rate that callers may send
+	Allowance     float64 // requests allowed on top of that
+	CrashMultiple float64 // multiple of Rate at which it crashes; 0: never
 
 	until        time.Duration
-	arrivals     []time.Duration // within the window, the oldest first
+	arrivals     []time.Duration // within the window, oldest first
 	peakArrivals int
 	violations   int
 }
 
-// Begin makes it cold until a time.
+// Begin starts slow start, until a time.
 func (c *SlowStart) Begin(until time.Duration) {
 	c.until = until
 	c.arrivals = c.arrivals[:0]
 }
 
-// Remaining is how much longer it stays cold.
+// Remaining returns how much longer slow start lasts; 0 if it is over.
 func (c *SlowStart) Remaining(now time.Duration) time.Duration { return max(0, c.until-now) }
 
-// RecordArrival counts a request; it says whether the runner falls over.
+// RecordArrival counts a request and reports whether the runner crashes.
 func (c *SlowStart) RecordArrival(now time.Duration) (crashes bool) {
 	if c.Remaining(now) == 0 || c.Rate <= 0 {
 		return false
@@ -45,8 +46,8 @@
 	return c.CrashMultiple > 0 && float64(n) > c.Rate*c.CrashMultiple
 }
 
-// PeakArrivals is the largest number of requests that came within a second while it was cold.
+// PeakArrivals returns the largest number of requests within a second of slow start.
 func (c *SlowStart) PeakArrivals() int { return c.peakArrivals }
 
-// Violations counts the requests above what callers may send.
+// Violations counts the requests beyond what callers may send.
 func (c *SlowStart) Violations() int { return c.violations }
--- a/internal/testkit/engine/step.go
+++ b/internal/testkit/engine/step.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// taskProgress is how far a running task has got.
+// taskProgress is the progress of a running task.
 type taskProgress struct {
-	nextChunk       int  // of the prompt, that is read next
-	chunkTokensRead int  // tokens of that part
-	tokensToReread  int  // generated tokens that are still to be read again
-	contextTokens   int  // tokens that are in memory
-	generationRoom  int  // tokens that the generated ones may take in what is held
-	stepPrefill     int  // prompt tokens that the current step reads
-	decoding        bool // it had its whole prompt when the step began
+	nextChunk       int  // index of the prompt chunk being prefilled
+	chunkTokensRead int  // of that chunk
+	tokensToReread  int  // generated before a preemption, to be prefilled again
+	contextTokens   int  // tokens in the KV cache
+	generationRoom  int  // tokens that the reserved memory has room for in all
+	stepPrefill     int  // prompt tokens of the current step
+	decoding        bool // its prompt was complete when the step began
 }
 
-// prefilling says whether the prompt is not read whole yet.
+// prefilling reports whether the prompt is incomplete.
 func (t *Task) prefilling() bool {
 	return t.progress.nextChunk < len(t.Request.Chunks) || t.progress.tokensToReread > 0
 }
 
-// runSteps plays all steps that end until a time.
+// runSteps ends all steps that are due.
 func (e *Engine) runSteps(now time.Duration) {
 	for e.stepping && e.stepEnd <= now {
 		at := e.stepEnd
@@ -28,7 +28,7 @@
 	}
 }
 
-// beginStep admits what it can and starts a step, if there is anything to do.
+// beginStep admits tasks and starts a step, if there is anything to do.
 func (e *Engine) beginStep(at time.Duration) {
 	e.expireTasks(at)
 	e.admitTasks(at)
@@ -41,7 +41,7 @@
 	e.state.Steps++
 }
 
-// expireTasks ends what has passed its deadline.
+// expireTasks ends the tasks whose deadline has passed.
 func (e *Engine) expireTasks(at time.Duration) {
 	for _, tasks := range [][]*Task{e.waiting, e.running} {
 		for i := len(tasks) - 1; i >= 0; i-- {
@@ -59,8 +59,8 @@
 	}
 }
 
-// admitTasks gives places to those that wait, the most urgent first. One that is more urgent than a running task takes the
-// place of that, or its memory.
+// admitTasks gives slots to queued tasks in order of priority. A task may preempt running ones with a lower priority
+// for their slot or memory.
 func (e *Engine) admitTasks(at time.Duration) {
 	for len(e.waiting) > 0 {
 		t := e.waiting[0]
@@ -72,7 +72,8 @@
 	}
 }
 
-// preemptFor preempts less urgent tasks until there is a place and memory for a task, if that can be.
+// preemptFor preempts lower-priority tasks until the task has a slot and memory; false, and none is preempted, if
+// that can't succeed.
 func (e *Engine) preemptFor(at time.Duration, t *Task) bool {
 	chain, missing := e.missingMemory(t)
 	if e.fits(chain, missing) {
@@ -92,7 +93,7 @@
 	return len(e.running) < e.options.MaxRunning && missing <= e.memory.available(chain)
 }
 
-// fitsAfterPreemption says whether a task gets in once all running tasks that are less urgent have left.
+// fitsAfterPreemption reports whether the task fits once all running tasks with a lower priority are preempted.
 func (e *Engine) fitsAfterPreemption(t *Task, chain *cacheNode, missing int) bool {
 	room := e.memory.available(chain)
 	slots := e.options.MaxRunning - len(e.running)
@@ -105,7 +106,8 @@
 	return slots > 0 && missing <= room
 }
 
-// missingMemory is the deepest kept part of a task's prompt, and the room that the rest of it takes, with its first tokens.
+// missingMemory returns the deepest cached chunk of a task's prompt, and the memory for the rest of it and its next
+// token.
 func (e *Engine) missingMemory(t *Task) (chain *cacheNode, room int) {
 	chain, found := longestPrefix(e.memory.root(t.Request.Model), t.Request.Chunks)
 	for _, part := range t.Request.Chunks[found:] {
@@ -114,7 +116,7 @@
 	return chain, room + e.memory.roundUp(t.GeneratedTokens+1)
 }
 
-// startTask lets a task run.
+// startTask moves a task into the batch; the memory must be available.
 func (e *Engine) startTask(t *Task) {
 	chain, found := longestPrefix(e.memory.root(t.Request.Model), t.Request.Chunks)
 	_, room := e.missingMemory(t)
@@ -136,7 +138,7 @@
 	e.running = insert(e.running, t)
 }
 
-// preempt takes a running task's place and memory away; it waits again and is read again.
+// preempt takes a running task's slot and memory; it is queued again and its tokens are prefilled again.
 func (e *Engine) preempt(at time.Duration, t *Task) {
 	e.memory.release(t)
 	e.running = remove(e.running, t)
@@ -146,8 +148,8 @@
 	e.addEvent(at, Preempted, t, 0)
 }
 
-// growMemory gives memory to the tasks whose next token needs a block more. If there is none, the newest of the least urgent
-// tasks is preempted, be it the one that needs it.
+// growMemory reserves a further block for tasks whose next token needs it. Without memory, the newest task of the
+// lowest priority is preempted, which may be the task itself.
 func (e *Engine) growMemory(at time.Duration) {
 	for i := 0; i < len(e.running); i++ {
 		t := e.running[i]
@@ -167,7 +169,7 @@
 	}
 }
 
-// planStep decides what the next step does, and how long that takes.
+// planStep divides the prefill budget among the batch, decoding tasks first, and returns the step's duration.
 func (e *Engine) planStep() time.Duration {
 	budget := e.options.PrefillTokensPerStep
 	context, read := 0, 0
@@ -200,22 +202,22 @@
 	return time.Duration(float64(took) * e.slowdown)
 }
 
-// skipCached passes over parts that another task has read meanwhile.
+// skipCached skips chunks that another task has prefilled since the admission.
 func (e *Engine) skipCached(t *Task) {
 	for t.progress.chunkTokensRead == 0 && t.progress.nextChunk < len(t.Request.Chunks) {
 		part := t.Request.Chunks[t.progress.nextChunk]
-		kept := t.memory.cachedPrefix.children[part]
-		if kept == nil {
+		node := t.memory.cachedPrefix.children[part]
+		if node == nil {
 			return
 		}
 		e.memory.free(t, e.memory.roundUp(part.Tokens))
-		e.memory.attach(t, kept)
+		e.memory.attach(t, node)
 		t.progress.nextChunk++
 		t.progress.contextTokens += part.Tokens
 	}
 }
 
-// unreadTokens is how many tokens of the prompt are still to be read.
+// unreadTokens returns the tokens still to be prefilled.
 func (t *Task) unreadTokens() int {
 	n := t.progress.tokensToReread - t.progress.chunkTokensRead
 	for _, part := range t.Request.Chunks[t.progress.nextChunk:] {
@@ -224,7 +226,7 @@
 	return n
 }
 
-// finishStep ends a step: prompts have been read a piece further, and each task whose prompt is whole has a token more.
+// finishStep ends a step: it advances the prefill, and generates a token for each task whose prompt is complete.
 func (e *Engine) finishStep(at time.Duration) {
 	e.batch = append(e.batch[:0], e.running...)
 	for _, t := range e.batch {
@@ -237,7 +239,7 @@
 	}
 }
 
-// advancePrefill counts the prompt tokens that a step has read.
+// advancePrefill counts the prompt tokens of a step.
 func (e *Engine) advancePrefill(at time.Duration, t *Task) {
 	left := t.progress.stepPrefill
 	t.progress.stepPrefill = 0
@@ -259,7 +261,7 @@
 	t.progress.tokensToReread -= left
 }
 
-// generateToken gives a task its next token.
+// generateToken generates a task's next token.
 func (e *Engine) generateToken(at time.Duration, t *Task) {
 	if !t.Executed {
 		t.Executed = true
--- a/internal/testkit/engine/tasklist.go
+++ b/internal/testkit/engine/tasklist.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// runsBefore says whether a task goes before another: the more urgent first, then the older.
+// runsBefore orders tasks: the higher priority first, then the older.
 func runsBefore(a, b *Task) bool {
 	if a.Request.Priority != b.Request.Priority {
 		return a.Request.Priority < b.Request.Priority
@@ -10,7 +10,7 @@
 	return a.sequence < b.sequence
 }
 
-// insert puts a task in its place among others.
+// insert adds a task in order.
 func insert(tasks []*Task, t *Task) []*Task {
 	i := len(tasks)
 	for i > 0 && runsBefore(t, tasks[i-1]) {
@@ -19,7 +19,7 @@
 	return slices.Insert(tasks, i, t)
 }
 
-// remove takes a task out, if it is there.
+// remove removes a task, if it is in the list.
 func remove(tasks []*Task, t *Task) []*Task {
 	if i := slices.Index(tasks, t); i >= 0 {
 		return slices.Delete(tasks, i, i+1)
--- a/internal/testkit/engine/workers.go
+++ b/internal/testkit/engine/workers.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Workers is a plain server: each request holds a slot for the time of its work, and some more wait for one.
+// Workers is a plain server: a request occupies a slot for its service time, and a queue takes some more.
 type Workers struct {
 	maxRunning, maxQueued int
 	slowdown              float64
 	running               []*Task
-	endTimes              []time.Duration // of the running ones
+	endTimes              []time.Duration // of running, same index
 	waiting               []*Task
 	sequence              uint64
 	events, returned      []Event
@@ -19,7 +19,7 @@
 
 var _ Server = (*Workers)(nil)
 
-// NewWorkers makes a server with so many slots and places to wait.
+// NewWorkers creates a server with that many slots (at least 1) and queue places.
 func NewWorkers(slots, queue int) (*Workers, error) {
 	if slots < 1 || queue < 0 {
 		return nil, fmt.Errorf("engine: %d slots and a queue of %d: at least 1 and 0 are needed", slots, queue)
@@ -27,10 +27,10 @@
 	return &Workers{maxRunning: slots, maxQueued: queue, slowdown: 1}, nil
 }
 
-// SetSlowdown makes work that begins from now on take so many times as long.
+// SetSlowdown multiplies the service time of work that starts from now on.
 func (w *Workers) SetSlowdown(factor float64) { w.slowdown = factor }
 
-// Submit implements Machine.
+// Submit implements Server.
 func (w *Workers) Submit(now time.Duration, r *Request) (*Task, bool) {
 	w.runUntil(now)
 	if len(w.running) >= w.maxRunning && len(w.waiting) >= w.maxQueued {
@@ -44,7 +44,7 @@
 	return task, true
 }
 
-// Cancel implements Machine.
+// Cancel implements Server.
 func (w *Workers) Cancel(now time.Duration, t *Task) {
 	w.runUntil(now)
 	if t.Ended {
@@ -66,14 +66,14 @@
 	}
 }
 
-// Advance implements Machine.
+// Advance implements Server.
 func (w *Workers) Advance(now time.Duration) []Event {
 	w.runUntil(now)
 	w.returned, w.events = w.events, w.returned[:0]
 	return w.returned
 }
 
-// Next implements Machine.
+// Next implements Server.
 func (w *Workers) Next() (time.Duration, bool) {
 	if len(w.events) > 0 {
 		return w.events[0].At, true
@@ -85,7 +85,7 @@
 	return w.endOf(i), true
 }
 
-// Stop implements Machine.
+// Stop implements Server.
 func (w *Workers) Stop(now time.Duration) []Event {
 	w.runUntil(now)
 	for _, tasks := range [][]*Task{w.running, w.waiting} {
@@ -98,12 +98,12 @@
 	return w.Advance(now)
 }
 
-// State implements Machine.
+// State implements Server.
 func (w *Workers) State() State {
 	return State{Queued: len(w.waiting), Running: len(w.running), Rejected: w.rejected}
 }
 
-// endOf is when a running task ends, by its work or by its deadline.
+// endOf returns when a running task ends: at its service time or its deadline.
 func (w *Workers) endOf(i int) time.Duration {
 	deadline := w.running[i].Request.Deadline
 	if deadline > 0 && deadline < w.endTimes[i] {
@@ -122,7 +122,7 @@
 	return first
 }
 
-// runUntil lets everything end that ends until a time.
+// runUntil ends all tasks that are due.
 func (w *Workers) runUntil(now time.Duration) {
 	for {
 		i := w.earliest()
@@ -140,7 +140,7 @@
 	}
 }
 
-// startWaiting gives free slots to those that wait.
+// startWaiting gives free slots to queued tasks.
 func (w *Workers) startWaiting(at time.Duration) {
 	for len(w.waiting) > 0 && len(w.running) < w.maxRunning {
 		t := w.waiting[0]
--- a/internal/testkit/eventqueue/eventqueue.go
+++ b/internal/testkit/eventqueue/eventqueue.go
@@ -1,9 +1,10 @@
-// Package agenda is what is to happen in a run over virtual time, in order: by time, and by when it was said where times are the same.
+// Package eventqueue is the event queue of simulations in virtual time: events run in order of time, and in order of
+// scheduling where times are equal. It isn't safe for concurrent use.
 package eventqueue
 
 import "container/heap"
 
-// Queue is what is to happen; the zero one is empty.
+// Queue is a priority queue of events; its zero value is empty.
 type Queue struct {
 	events       eventHeap
 	lastSequence int
@@ -26,18 +27,18 @@
 func (h *eventHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = event{} // what it holds goes
+	old[len(old)-1] = event{} // release the closure
 	*h = old[:len(old)-1]
 	return last
 }
 
-// Schedule has something happen at a time, seconds.
+// Schedule adds an event at a time in seconds.
 func (q *Queue) Schedule(at float64, run func()) {
 	q.lastSequence++
 	heap.Push(&q.events, event{at, q.lastSequence, run})
 }
 
-// PopUntil takes what comes first, if that is until a time.
+// PopUntil removes the first event if it is due by a time in seconds.
 func (q *Queue) PopUntil(until float64) (at float64, run func(), ok bool) {
 	if len(q.events) == 0 || q.events[0].at > until {
 		return 0, nil, false
--- a/internal/testkit/fakeplatform/page.go
+++ b/internal/testkit/fakeplatform/page.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// pagePrefix begins the name of a page, that its first entry's number follows.
+// pagePrefix begins a page token; the index of the page's first entry follows.
 const pagePrefix = "p-"
 
-// rateWindow is the span in which calls are counted.
+// rateWindow is the window of the rate limit.
 const rateWindow = time.Second
 
-// instanceDocument is an entry on the wire.
+// instanceDocument is an entry in JSON.
 type instanceDocument struct {
 	Service            string          `json:"service"`
 	Address            string          `json:"address"`
@@ -37,13 +37,13 @@
 	Adapters []string `json:"adapters"`
 }
 
-// pageDocument is an answer.
+// pageDocument is an answer in JSON.
 type pageDocument struct {
 	Instances []instanceDocument `json:"instances"`
 	NextToken *string            `json:"next_token"`
 }
 
-// ServeHTTP answers calls.
+// ServeHTTP implements http.Handler.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	if request.URL.Path != Path || request.Method != http.MethodGet {
 		http.NotFound(w, request)
@@ -67,7 +67,7 @@
 	json.NewEncoder(w).Encode(answer)
 }
 
-// makePage makes a page.
+// makePage returns the page from the entry with index first on, and the HTTP status.
 func (p *Platform) makePage(zone string, first int) (*pageDocument, int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -96,7 +96,7 @@
 	return answer, http.StatusOK
 }
 
-// countCall counts a call.
+// countCall counts a call against the rate limit and returns the HTTP status.
 func (p *Platform) countCall(now time.Time) int {
 	p.stats.Calls++
 	for len(p.calls) > 0 && now.Sub(p.calls[0]) >= rateWindow {
--- a/internal/testkit/fakeplatform/platform.go
+++ b/internal/testkit/fakeplatform/platform.go
@@ -1,5 +1,5 @@
-// Package cloud stands in for the platform's list of runners: GET /servers on loopback, in pages, some time behind, and
-// with a bound on calls a second.
+// Package fakeplatform is a fake of the platform's list of runners: GET /servers on loopback, paged, with a
+// propagation delay and a rate limit.
 package fakeplatform
 
 import (
@@ -12,27 +12,27 @@
 	"time"
 )
 
-// Path is where the list is.
+// Path is the endpoint of the list.
 const Path = "/servers"
 
-// Entry is a runner as it stands on the list.
+// Entry is a runner on the list.
 type Entry struct {
 	ID, Service    string
 	Address        netip.AddrPort
 	Zone           string
 	Capacity       int
 	Draining       bool
-	SlowStartUntil time.Time // zero: warm
-	TerminatesAt   time.Time // of one that is taken away at short notice; zero: not told
+	SlowStartUntil time.Time // zero: no slow start
+	TerminatesAt   time.Time // announced termination; zero: none
 	Model          string    // empty: none
 }
 
-// Options describe the list.
+// Options configure a platform.
 type Options struct {
-	Address          string        // to listen on
-	PropagationDelay time.Duration // how old the list is
-	PageSize         int           // entries on a page; 0: all
-	CallsPerSecond   float64       // calls a second; 0: no bound
+	Address          string        // host:port to listen on
+	PropagationDelay time.Duration // from a change to its appearance on the list
+	PageSize         int           // entries; 0: all on one page
+	CallsPerSecond   float64       // rate limit; 0: none
 	Now              func() time.Time
 }
 
@@ -44,23 +44,23 @@
 
 	mutex   sync.Mutex
 	entries map[string]Entry
-	changes []change // that have not come into sight yet, the oldest first
+	changes []change // not visible yet, oldest first
 	calls   []time.Time
 	stats   Stats
 	failing bool
 }
 
-// change is an entry that is new, altered or gone.
+// change adds, replaces or removes an entry.
 type change struct {
-	at      time.Time // when it comes into sight
+	at      time.Time // when it becomes visible
 	entry   Entry
 	removed bool
 }
 
-// Stats count calls.
+// Stats counts the calls; throttled ones were answered with 429.
 type Stats struct{ Calls, Throttled int }
 
-// Start starts the list.
+// Start starts a platform; Close stops it.
 func Start(options Options) (*Platform, error) {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -75,30 +75,30 @@
 	return p, nil
 }
 
-// Address is where the list is served.
+// Address returns the address that it listens on.
 func (p *Platform) Address() netip.AddrPort { return p.address }
 
-// Close ends it.
+// Close stops the server.
 func (p *Platform) Close() { p.server.Close() }
 
-// Stats returns the counts.
+// Stats returns the counts so far.
 func (p *Platform) Stats() Stats {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.stats
 }
 
-// SetFailing has every call fail, or ends that.
+// SetFailing makes every call fail with 500, or ends that.
 func (p *Platform) SetFailing(down bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.failing = down
 }
 
-// Set adds or alters an entry; it returns when that comes into sight.
+// Set adds or replaces an entry and returns when that becomes visible.
 func (p *Platform) Set(e Entry) time.Time { return p.addChange(change{entry: e}) }
 
-// Remove takes an entry off; it returns when that comes into sight.
+// Remove removes an entry and returns when that becomes visible.
 func (p *Platform) Remove(id string) time.Time {
 	return p.addChange(change{entry: Entry{ID: id}, removed: true})
 }
@@ -111,7 +111,7 @@
 	return ch.at
 }
 
-// applyChanges brings into sight what is old enough.
+// applyChanges makes the changes visible that are due.
 func (p *Platform) applyChanges(now time.Time) {
 	for len(p.changes) > 0 && !p.changes[0].at.After(now) {
 		ch := p.changes[0]
--- a/internal/testkit/fakeplatform/platform_test.go
+++ b/internal/testkit/fakeplatform/platform_test.go
@@ -30,17 +30,17 @@
 
 func startPlatform(t *testing.T, o Options) (*Platform, *fakeClock) {
 	t.Helper()
-	time := &fakeClock{now: time.Unix(1000, 0)}
-	o.Address, o.Now = "127.0.0.1:0", time.read
-	c, err := Start(o)
+	clock := &fakeClock{now: time.Unix(1000, 0)}
+	o.Address, o.Now = "127.0.0.1:0", clock.read
+	platform, err := Start(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.Close)
-	return c, time
+	t.Cleanup(platform.Close)
+	return platform, clock
 }
 
-func get(t *testing.T, c *Platform, query string) (p pageDocument, status int) {
+func getPage(t *testing.T, c *Platform, query string) (p pageDocument, status int) {
 	t.Helper()
 	resp, err := http.Get("http://" + c.Address().String() + Path + query)
 	if err != nil {
@@ -63,16 +63,16 @@
 func TestChangesAppearAfterPropagationDelay(t *testing.T) {
 	c, time := startPlatform(t, Options{PropagationDelay: 800e6})
 	c.Set(entry(1, "a"))
-	if p, _ := get(t, c, ""); len(p.Instances) != 0 {
+	if p, _ := getPage(t, c, ""); len(p.Instances) != 0 {
 		t.Errorf("there is %+v already", p)
 	}
 	time.advance(800e6)
-	if p, _ := get(t, c, ""); len(p.Instances) != 1 || p.NextToken != nil {
+	if p, _ := getPage(t, c, ""); len(p.Instances) != 1 || p.NextToken != nil {
 		t.Errorf("the list is %+v", p)
 	}
 	c.Remove("i-01")
 	time.advance(800e6)
-	if p, _ := get(t, c, ""); len(p.Instances) != 0 {
+	if p, _ := getPage(t, c, ""); len(p.Instances) != 0 {
 		t.Errorf("there is %+v still", p)
 	}
 }
@@ -85,7 +85,7 @@
 	var ids []string
 	query := ""
 	for pages := 0; ; pages++ {
-		p, status := get(t, c, query)
+		p, status := getPage(t, c, query)
 		if status != http.StatusOK || pages > 3 {
 			t.Fatalf("status %d, page %d", status, pages)
 		}
@@ -100,10 +100,10 @@
 	if len(ids) != 5 {
 		t.Errorf("the pages have %v", ids)
 	}
-	if p, _ := get(t, c, "?zone=b"); len(p.Instances) != 2 || p.Instances[0].Zone != "b" {
+	if p, _ := getPage(t, c, "?zone=b"); len(p.Instances) != 2 || p.Instances[0].Zone != "b" {
 		t.Errorf("zone b has %+v", p)
 	}
-	if _, status := get(t, c, "?page_token=x"); status != http.StatusBadRequest {
+	if _, status := getPage(t, c, "?page_token=x"); status != http.StatusBadRequest {
 		t.Errorf("a page that is none: %d", status)
 	}
 }
@@ -115,7 +115,7 @@
 	e.SlowStartUntil, e.TerminatesAt = time.read().Add(2e9), time.read().Add(3e9)
 	c.Set(e)
 	time.advance(1e9)
-	p, _ := get(t, c, "")
+	p, _ := getPage(t, c, "")
 	i := p.Instances[0]
 	if i.State != "draining" || i.SlowStartRemaining != 1000 || i.TimeToTermination == nil || *i.TimeToTermination != 2000 || i.Models[0].Name != "m" {
 		t.Errorf("the entry is %+v", i)
@@ -125,20 +125,20 @@
 func TestRateLimit(t *testing.T) {
 	c, time := startPlatform(t, Options{CallsPerSecond: 3})
 	for i := range 5 {
-		_, status := get(t, c, "")
+		_, status := getPage(t, c, "")
 		if want := map[bool]int{true: http.StatusOK, false: http.StatusTooManyRequests}[i < 3]; status != want {
 			t.Errorf("call %d: %d", i, status)
 		}
 	}
 	time.advance(1e9)
-	if _, status := get(t, c, ""); status != http.StatusOK {
+	if _, status := getPage(t, c, ""); status != http.StatusOK {
 		t.Errorf("after a second: %d", status)
 	}
 	if s := c.Stats(); s.Calls != 6 || s.Throttled != 2 {
 		t.Errorf("%+v", s)
 	}
 	c.SetFailing(true)
-	if _, status := get(t, c, ""); status != http.StatusInternalServerError {
+	if _, status := getPage(t, c, ""); status != http.StatusInternalServerError {
 		t.Errorf("while down: %d", status)
 	}
 }
--- a/internal/testkit/mutate/mutate.go
+++ b/internal/testkit/mutate/mutate.go
@@ -1,5 +1,7 @@
-// Package mutate plays a recorded run of state machines again, once for each message and each way to spoil that one message. Any machines
-// that talk in messages of bytes will do: the caller brings the run, which says itself whether what must hold still does.
+// Package mutate repeats a recorded run of state machines once for each message and each mutation of that message:
+// loss, duplication, delay, reordering, misdelivery, truncation, bit flips and valid but different contents. It works
+// for any machines that exchange byte messages; the caller supplies the run, which checks its own invariants and must
+// be deterministic.
 package mutate
 
 import (
@@ -9,47 +11,48 @@
 	"sync"
 )
 
-// Message is one message of a run, in the order of their sending.
+// Message is one message of a run. Runs number them from 0 in the order of sending.
 type Message struct {
 	From, To uint64
 	Data     []byte
 }
 
-// Delivery is what comes of a message.
+// Delivery is one delivery of a message; a message may have none or several.
 type Delivery struct {
 	To    uint64
 	Data  []byte
-	Delay float64 // seconds beside the way's own
+	Delay float64 // added to the link's own latency, in seconds
 }
 
-// Tamper decides what comes of the n-th message.
+// Tamper returns the deliveries of the message with a number.
 type Tamper func(n int, m Message) []Delivery
 
-// Run plays the run with a tamper. The outcome names what it ended in; an error is that something did not hold.
+// Run executes the run with a tamper function. The outcome describes its final state; an error means that an
+// invariant was violated. Runs may be executed concurrently.
 type Run func(tamper Tamper) (outcome string, err error)
 
-// DeliverUnchanged delivers messages as they are.
+// DeliverUnchanged is the Tamper that changes nothing.
 func DeliverUnchanged(n int, m Message) []Delivery { return []Delivery{{m.To, m.Data, 0}} }
 
-// Options are what is played.
+// Options select the mutations.
 type Options struct {
-	Delays       []float64                           // seconds past each time-out that a message touches
-	Variants     func(data []byte) map[string][]byte // other valid messages, their checksums right, by what was changed
-	Stride       int                                 // every so many-th pair of message and mutation; 1 is all
-	Parallelism  int                                 // runs side by side
-	OtherMembers []uint64                            // members that a message may be led to
+	Delays       []float64                           // seconds, chosen just past the timeouts that a message takes part in
+	Variants     func(data []byte) map[string][]byte // valid messages with other contents, by the name of the change; nil: none
+	Stride       int                                 // every n-th pair of message and mutation is run; 0 or 1: all
+	Parallelism  int                                 // concurrent runs; 0: 1
+	OtherMembers []uint64                            // destinations for misdelivery
 }
 
-// Report counts what the runs came to, by kind of mutation.
+// Report counts the runs by kind of mutation.
 type Report struct {
 	Messages     int
 	Runs         map[string]int
-	SameOutcome  map[string]int // ended as without
-	OtherOutcome map[string]int // ended otherwise, and all held
+	SameOutcome  map[string]int // by kind: same outcome as the unchanged run
+	OtherOutcome map[string]int // by kind: another outcome, without a violation
 	Violations   []Violation
 }
 
-// Violation is a run in which something did not hold.
+// Violation is a run in which an invariant was violated.
 type Violation struct {
 	Message  int
 	Mutation string
@@ -82,7 +85,7 @@
 	tamper   Tamper
 }
 
-// RunAll records the run and plays all its mutations, or a slice of them.
+// RunAll records the unchanged run, then executes one run for each selected mutation and returns when all have ended.
 func RunAll(run Run, options Options) (*Report, error) {
 	var messages []Message
 	baseline, err := run(func(n int, m Message) []Delivery {
@@ -91,7 +94,7 @@
 		return DeliverUnchanged(n, m)
 	})
 	if err != nil {
-		return nil, fmt.Errorf("the run does not hold by itself: %w", err)
+		return nil, fmt.Errorf("the unchanged run violates an invariant: %w", err)
 	}
 	var runs []mutatedRun
 	for n := range messages {
--- a/internal/testkit/processcluster/audit.go
+++ b/internal/testkit/processcluster/audit.go
@@ -9,7 +9,7 @@
 	"cinderroad/internal/dispatcher/linelog"
 )
 
-// AuditFiles are the ledgers and request logs of all members.
+// AuditFiles returns the audit logs and request logs of all members.
 func (c *Cluster) AuditFiles() (files []string) {
 	for _, m := range c.Members {
 		for _, path := range []string{m.path + ".requests.ledger", m.path + ".requests"} {
@@ -21,7 +21,7 @@
 	return files
 }
 
-// Audit reads what the members have written so far.
+// Audit reads what the members have logged so far. It waits for their buffers to be flushed.
 func (c *Cluster) Audit() *auditlog.Report {
 	time.Sleep(time.Duration(2 * linelog.FlushEvery * float64(time.Second)))
 	report, err := auditlog.AuditFiles(auditlog.DefaultRules, c.AuditFiles(), func(file string, line int, err error) {
@@ -37,7 +37,7 @@
 	return report
 }
 
-// checkAudit has every test's run audited: no member may have acted against what it knew.
+// checkAudit fails the test if a member acted against a version that it knew.
 func (c *Cluster) checkAudit() {
 	c.TB.Helper()
 	report := c.Audit()
--- a/internal/testkit/processcluster/cluster.go
+++ b/internal/testkit/processcluster/cluster.go
@@ -1,14 +1,15 @@
-// Package rig runs a fleet of real dispatchers on loopback: processes of the program, runners and discovery around them,
-// clients that hand in jobs all the while, and relays on every directed way between them. Any test starts one in a few
-// lines:
+// Package processcluster runs a cluster of real dispatchers on loopback: processes of the program, runners and
+// discovery around them, clients that submit jobs all the time, and a relay on every directed link between them. A
+// test starts one in a few lines:
 //
-//	f := rig.Start(t, rig.Options{Program: path, Members: 5, Runners: 4})
-//	f.Settled(5)
-//	f.Kill(2)
-//	f.Settled(4)
-//	f.Check()
+//	c := processcluster.Start(t, processcluster.Options{Program: path, Members: 5, Runners: 4})
+//	c.WaitConverged(5)
+//	c.Members[2].Kill()
+//	c.WaitConverged(4)
+//	c.Check()
 //
-// What a test waits for is given long; how long it took is logged, never judged. Where a test fails all logs are kept.
+// Waits have a generous timeout, since the machine may be slow; how long they took is logged and never asserted. If a
+// test fails, the logs of all processes are kept. A Cluster belongs to the goroutine of its test.
 package processcluster
 
 import (
@@ -23,30 +24,30 @@
 	"cinderroad/internal/testkit/receivers"
 )
 
-// LeaseSeconds is how long members hold a lease, in seconds: the shortest that may be.
+// LeaseSeconds is the lease duration of the members: the shortest that the program accepts.
 const LeaseSeconds = 6.0
 
-// Options are a rig's.
+// Options configure a cluster. Program, Members and Runners are required.
 type Options struct {
 	Program              string
 	Members              int
 	Runners              int
-	JobsPerSecond        float64 // a second at each member; 0: 20
-	ProbeIntervalSeconds float64 // of the membership, in seconds; 0: 0.2
-	ClusterName          string  // its name; empty: "rig"
+	JobsPerSecond        float64 // submitted to each member; 0: 20
+	ProbeIntervalSeconds float64 // of the membership protocol; 0: 0.2
+	ClusterName          string  // empty: "rig"
 	Seed                 uint64  // of the relays; 0: 1
-	Standalone           bool    // no [fleet] section: what the tree before did
-	NoSeeds              bool    // members know nobody
-	StartNone            bool    // members are added, none is started
-	InheritSocket        bool    // members get their clients' socket, so that an upgrade can take their place
-	InstanceCount        int     // nInstances in the settings; 0: the number of members
-	SlowStartSeconds     float64 // seconds that a runner is cold; 0: they are warm from the start
-	RunnerSlots          float64 // of a runner; 0: 4
-	JobSeconds           float64 // seconds that a job runs; 0: 0.02
+	Standalone           bool    // no [fleet] section: dispatchers that don't know of each other
+	NoSeeds              bool    // members get no seed addresses
+	StartNone            bool    // members are added, but not started
+	InheritSocket        bool    // members inherit their listening socket, so that Upgrade can replace a process
+	InstanceCount        int     // nInstances in the settings; 0: Members
+	SlowStartSeconds     float64 // duration of slow start; 0: runners need none
+	RunnerSlots          float64 // concurrent jobs of a runner; 0: 4
+	JobSeconds           float64 // service time of a job; 0: 0.02
 	Timeout              time.Duration
 }
 
-// Cluster is a fleet and its world.
+// Cluster is the dispatchers and everything around them.
 type Cluster struct {
 	Options
 	TB        testing.TB
@@ -59,12 +60,12 @@
 	logMutex   sync.Mutex
 	start      time.Time
 	submitters sync.WaitGroup
-	lastJobID  atomic.Int64 // of jobs
+	lastJobID  atomic.Int64
 	ending     atomic.Bool
 	jobs       jobLog
 }
 
-// Start starts a rig; the test's end ends it.
+// Start starts a cluster, and the members' processes unless StartNone is set. It is stopped by t.Cleanup.
 func Start(t testing.TB, o Options) *Cluster {
 	t.Helper()
 	o.setDefaults()
@@ -72,29 +73,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Cluster{Options: o, TB: t, dir: dir, start: time.Now()}
-	if r.log, err = os.Create(filepath.Join(dir, "rig.log")); err != nil {
+	c := &Cluster{Options: o, TB: t, dir: dir, start: time.Now()}
+	if c.log, err = os.Create(filepath.Join(dir, "rig.log")); err != nil {
 		t.Fatal(err)
 	}
-	r.jobs.init()
-	t.Cleanup(r.end)
-	r.Discovery = newDiscovery(r)
+	c.jobs.init()
+	t.Cleanup(c.end)
+	c.Discovery = newDiscovery(c)
 	for i := range o.Runners {
-		r.Runners = append(r.Runners, newRunner(r, i))
+		c.Runners = append(c.Runners, newRunner(c, i))
 	}
 	for range o.Members {
-		r.AddMember()
+		c.AddMember()
 	}
-	r.Discovery.Publish()
+	c.Discovery.Publish()
 	if !o.StartNone {
-		for _, m := range r.Members {
+		for _, m := range c.Members {
 			m.Start()
 		}
-		for _, m := range r.Members {
+		for _, m := range c.Members {
 			m.WaitServing()
 		}
 	}
-	return r
+	return c
 }
 
 func (o *Options) setDefaults() {
@@ -121,7 +122,7 @@
 	}
 }
 
-// Log writes a line of what the rig did.
+// Log writes a line to the cluster's own log.
 func (c *Cluster) Log(line string) {
 	c.logMutex.Lock()
 	defer c.logMutex.Unlock()
@@ -157,7 +158,7 @@
 	os.RemoveAll(c.dir)
 }
 
-// must ends the test where something of the rig's own went wrong.
+// must fails the test for an error of the test environment.
 func (c *Cluster) must(err error) {
 	if err != nil {
 		c.TB.Helper()
@@ -165,36 +166,36 @@
 	}
 }
 
-// freePort is a port for TCP and UDP.
+// freePort returns an address with a port that is free for TCP and UDP.
 func (c *Cluster) freePort() string {
 	addr, err := receivers.FreeAddress()
 	c.must(err)
 	return addr
 }
 
-// Eventually waits for as long as a slow machine may need.
-func (c *Cluster) Eventually(what string, ok func() bool) time.Duration {
+// Eventually polls until ok returns true, and fails the test after Options.Timeout. It returns the time taken.
+func (c *Cluster) Eventually(what string, condition func() bool) time.Duration {
 	c.TB.Helper()
-	from := time.Now()
-	for !ok() {
-		if time.Since(from) > c.Timeout {
+	started := time.Now()
+	for !condition() {
+		if time.Since(started) > c.Timeout {
 			c.TB.Fatalf("never came: %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return time.Since(from)
+	return time.Since(started)
 }
 
-// WaitConverged waits until all processes that run hold one view, by digest, that has so many living members and nobody under
-// suspicion, and know that it is everybody's.
+// WaitConverged waits until all running members have the same membership digest, with that many alive members, none
+// suspect, and know that they agree.
 func (c *Cluster) WaitConverged(alive int) {
 	c.TB.Helper()
-	took := c.Eventually(fmt.Sprintf("one view of %d", alive), func() bool { return c.Converged(c.RunningMembers(), alive) })
-	c.TB.Logf("one view of %d after %.2f s", alive, took.Seconds())
+	duration := c.Eventually(fmt.Sprintf("one view of %d", alive), func() bool { return c.Converged(c.RunningMembers(), alive) })
+	c.TB.Logf("one view of %d after %.2f s", alive, duration.Seconds())
 	c.Log(fmt.Sprintf("one view of %d", alive))
 }
 
-// RunningMembers are the members whose processes run.
+// RunningMembers returns the members whose process runs.
 func (c *Cluster) RunningMembers() (running []*Member) {
 	for _, m := range c.Members {
 		if m.Running() {
@@ -204,7 +205,7 @@
 	return running
 }
 
-// Converged says whether members hold one settled view of so many alive and nobody suspect.
+// Converged reports whether members have the same settled view with that many alive and none suspect.
 func (c *Cluster) Converged(members []*Member, alive int) bool {
 	digest := ""
 	for _, m := range members {
--- a/internal/testkit/processcluster/config.go
+++ b/internal/testkit/processcluster/config.go
@@ -10,7 +10,7 @@
 	"cinderroad/internal/testkit/receivers"
 )
 
-// Seeds are where a member asks first: the first two that are not itself.
+// seedAddresses returns the seeds of a member: the first two others of its cluster.
 func (c *Cluster) seedAddresses(m *Member) (seeds []string) {
 	for _, o := range c.Members {
 		if o != m && o.ClusterName == m.ClusterName && len(seeds) < 2 && !c.NoSeeds {
@@ -20,7 +20,7 @@
 	return seeds
 }
 
-// OperatorConfig is the text of a member's operator's file.
+// OperatorConfig returns the contents of the member's operator configuration file.
 func (m *Member) OperatorConfig() string {
 	if m.cluster.Standalone {
 		return ""
@@ -29,8 +29,8 @@
 		quoteAll(m.cluster.seedAddresses(m)), m.cluster.ProbeIntervalSeconds, LeaseSeconds, m.path+".requests")
 }
 
-// ChangeBindAddress gives the member another address to bind, with a relay of its own, and returns the text of the operator's file that
-// names both.
+// ChangeBindAddress gives the member another bind address with a new relay, and returns the operator configuration
+// with both. The running process isn't told; see Reload.
 func (m *Member) ChangeBindAddress() string {
 	m.BindAddress = m.cluster.freePort()
 	m.Relay.Close()
@@ -49,7 +49,7 @@
 	return strings.Join(out, ", ")
 }
 
-// WriteConfig writes a member's files; operator is the text of the operator's file.
+// WriteConfig writes the member's files; operator is the contents of the operator configuration.
 func (m *Member) WriteConfig(operator string) {
 	c := m.cluster
 	settings := map[string]any{
--- a/internal/testkit/processcluster/discovery.go
+++ b/internal/testkit/processcluster/discovery.go
@@ -10,18 +10,19 @@
 	"time"
 )
 
-// Discovery tells each member the runners by its own ways to them.
+// Discovery is a fake discovery service. It lists the runners to each member under the addresses of the member's own
+// relays.
 type Discovery struct {
 	cluster      *Cluster
 	mutex        sync.Mutex
 	revision     int64
 	changed      chan struct{}
 	servers      []*http.Server
-	drainNotices map[string]time.Time    // member and runner that drains: when it was told
-	frozen       map[*Member]*frozenList // what some are told whatever has changed since
+	drainNotices map[string]time.Time    // by member and runner: when the member was notified of the drain, relay delay included
+	frozen       map[*Member]*frozenList // members that get an outdated list
 }
 
-// frozenList is the list at a version.
+// frozenList is a list at a revision.
 type frozenList struct {
 	revision int64
 	targets  []map[string]any
@@ -46,12 +47,12 @@
 	}
 }
 
-// Publish tells the list anew to all who watch.
+// Publish sends the current list to all watching members, with a new revision.
 func (d *Discovery) Publish() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.revision++
-	for _, runner := range d.cluster.Runners { // what is lifted is lifted for all, whoever has heard of it
+	for _, runner := range d.cluster.Runners { // the end of a drain counts at once, whichever members have been notified
 		if entry, listed := runner.entry(""); !listed || entry["state"] != "draining" {
 			for _, m := range d.cluster.Members {
 				delete(d.drainNotices, m.Name+" "+runner.Name)
@@ -78,7 +79,7 @@
 				link := member.discoveryRelay.Link()
 				if key := member.Name + " " + runner.Name; entry["state"] != "draining" {
 					delete(d.drainNotices, key)
-				} else if _, had := d.drainNotices[key]; !had && !link.Blackhole && !link.Resets { // else it is not told
+				} else if _, had := d.drainNotices[key]; !had && !link.Blackhole && !link.Resets { // else the notice doesn't get through
 					d.drainNotices[key] = time.Now().Add(link.Delay + link.Jitter)
 				}
 			}
@@ -105,7 +106,7 @@
 	}
 }
 
-// Freeze has a member told the list as it is now for as long as it is on, whatever changes.
+// Freeze makes a member see the list as of now, until it is called with on false.
 func (d *Discovery) Freeze(member *Member, on bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -122,7 +123,8 @@
 	d.frozen[member] = snapshot
 }
 
-// violatesDrain says whether a job that a member sends to a runner now comes after a drain that it was told in time.
+// violatesDrain reports whether a job that a member sends to a runner now violates a drain that the member was
+// notified of.
 func (d *Discovery) violatesDrain(member *Member, runner *Runner) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/testkit/processcluster/jobs.go
+++ b/internal/testkit/processcluster/jobs.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	overloadMultiple      = 3.0 // a cold runner that is sent more than this multiple of its present capacity
-	overloadWindowSeconds = 2.0 // within this many seconds falls over
+	overloadMultiple      = 3.0 // a runner in slow start that is sent more than this multiple of its present capacity
+	overloadWindowSeconds = 2.0 // within this window becomes overloaded and fails
 	slowStartShare        = 0.34
 	jobBudgetMS           = 4000
-	// Jobs that wait at one member, at most: more than half of its sockets from one address are the door's business, whose
-	// refusals under a flood of new connections are tested elsewhere.
+	// maxOpenJobs bounds the jobs in flight at a member. Beyond half of the sockets that it allows for one address
+	// the admission limit rejects connections, which is tested elsewhere.
 	maxOpenJobs = 100
-	// Drains are told 0.3 s ahead by the protocol; the rest is for a runner of ours that got no processor just then.
+	// The protocol gives 0.3 s after a drain notice; the rest allows for a runner process that wasn't scheduled.
 	drainGraceSeconds = 0.3 + 1.0
 )
 
-// jobLog are what became of each job.
+// jobLog records the outcomes of jobs and violations of the job rules.
 type jobLog struct {
 	mutex      sync.Mutex
 	outcomes   map[string]int
 	executions map[string]int
 	violations []string
-	unknown    int // jobs whose dispatcher was killed or stopped under them
+	unknown    int // jobs whose dispatcher was killed or stopped meanwhile
 }
 
 func (b *jobLog) init() { b.outcomes, b.executions = map[string]int{}, map[string]int{} }
@@ -56,7 +56,7 @@
 	b.outcomes[how]++
 }
 
-// submitJobs hands jobs in at a member for as long as clients come to it.
+// submitJobs submits jobs to a member until its clients are stopped, and waits for their answers.
 func (m *Member) submitJobs() {
 	c := m.cluster
 	defer c.submitters.Done()
@@ -117,15 +117,15 @@
 	}
 }
 
-// ServedJobs is how many jobs were served so far.
+// ServedJobs returns how many jobs were served so far.
 func (c *Cluster) ServedJobs() int {
 	c.jobs.mutex.Lock()
 	defer c.jobs.mutex.Unlock()
 	return c.jobs.outcomes["served"]
 }
 
-// Check has the clients leave and looks at what became of their jobs: one final answer each, no rule broken, and a share of
-// them served that says the fleet did work.
+// Check stops all clients and checks the run: each job got exactly one final answer, no rule was violated, at least
+// half of the jobs were served, the audit finds nothing, and no process logged a crash or a data race.
 func (c *Cluster) Check() {
 	c.TB.Helper()
 	for _, m := range c.Members {
--- a/internal/testkit/processcluster/links.go
+++ b/internal/testkit/processcluster/links.go
@@ -2,10 +2,10 @@
 
 import "cinderroad/internal/testkit/receivers"
 
-// SetLink sets the way of datagrams from one member to another.
+// SetLink sets the link for datagrams from one member to another.
 func (c *Cluster) SetLink(from, to *Member, link receivers.Link) { to.Relay.SetLink(from.Name, link) }
 
-// Partition cuts members off from all others, both ways.
+// Partition separates members from all others, in both directions.
 func (c *Cluster) Partition(members ...*Member) {
 	in := map[*Member]bool{}
 	for _, m := range members {
@@ -20,7 +20,7 @@
 	}
 }
 
-// SetAllLinks sets all ways of datagrams.
+// SetAllLinks sets the links for datagrams between all members.
 func (c *Cluster) SetAllLinks(link receivers.Link) {
 	for _, m := range c.Members {
 		m.Relay.ClearLinks()
@@ -28,7 +28,7 @@
 	}
 }
 
-// ClearLinks clears all ways of datagrams.
+// ClearLinks resets the links for datagrams between all members.
 func (c *Cluster) ClearLinks() {
 	for _, m := range c.Members {
 		m.Relay.ClearLinks()
--- a/internal/testkit/processcluster/member.go
+++ b/internal/testkit/processcluster/member.go
@@ -18,56 +18,56 @@
 	"cinderroad/internal/testkit/receivers"
 )
 
-// Member is one dispatcher and the ways that lead to it.
+// Member is one dispatcher and the relays around it.
 type Member struct {
 	Name          string
 	Index         int
 	ListenAddress string
 	AdminAddress  string
 	BindAddress   string
-	Relay         *receivers.UDPRelay // others' way to it
-	ClusterName   string              // name of its fleet
+	Relay         *receivers.UDPRelay // receives the datagrams of the other members
+	ClusterName   string
 
 	cluster         *Cluster
 	cmd             *exec.Cmd
 	exited          chan struct{}
-	path            string // of its files, without the ending
+	path            string // of its files, without extension
 	logPath         string
-	clientsStopped  atomic.Bool // clients do not come
+	clientsStopped  atomic.Bool // clients submit nothing
 	interruptions   atomic.Int64
-	runnerRelays    []*receivers.TCPRelay // its ways to the runners
-	discoveryRelay  *receivers.TCPRelay   // its way to discovery
+	runnerRelays    []*receivers.TCPRelay // by index in Cluster.Runners
+	discoveryRelay  *receivers.TCPRelay
 	client          *http.Client
-	inheritedSocket *os.File  // of the clients, where it is inherited
-	previousProcess *exec.Cmd // the process whose place this one's takes
+	inheritedSocket *os.File  // listening socket, with InheritSocket
+	previousProcess *exec.Cmd // the process that Upgrade replaces
 	previousExited  chan struct{}
 }
 
-// AddMember adds a member that is not started yet.
+// AddMember adds a member without starting it.
 func (c *Cluster) AddMember() *Member {
-	i := len(c.Members)
-	m := &Member{Name: fmt.Sprintf("d%02d", i), Index: i, cluster: c, ListenAddress: c.freePort(), AdminAddress: c.freePort(), BindAddress: c.freePort(), ClusterName: c.ClusterName}
-	m.path = filepath.Join(c.dir, m.Name)
-	m.client = &http.Client{Timeout: 90 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	m.clientsStopped.Store(true)
+	index := len(c.Members)
+	member := &Member{Name: fmt.Sprintf("d%02d", index), Index: index, cluster: c, ListenAddress: c.freePort(), AdminAddress: c.freePort(), BindAddress: c.freePort(), ClusterName: c.ClusterName}
+	member.path = filepath.Join(c.dir, member.Name)
+	member.client = &http.Client{Timeout: 90 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	member.clientsStopped.Store(true)
 	var err error
 	if c.InheritSocket {
-		l, err := net.Listen("tcp", m.ListenAddress)
+		l, err := net.Listen("tcp", member.ListenAddress)
 		c.must(err)
-		m.inheritedSocket, err = l.(*net.TCPListener).File()
+		member.inheritedSocket, err = l.(*net.TCPListener).File()
 		c.must(err)
 		l.Close()
 	}
-	m.Relay, err = receivers.NewUDPRelay(m.Name, netip.MustParseAddrPort(m.BindAddress), c.Seed+uint64(i), c.Log)
+	member.Relay, err = receivers.NewUDPRelay(member.Name, netip.MustParseAddrPort(member.BindAddress), c.Seed+uint64(index), c.Log)
 	c.must(err)
-	m.Relay.SenderOf = c.senderName
-	m.discoveryRelay, err = receivers.NewTCPRelay(m.Name+" -> discovery", "127.0.0.1:0", c.Discovery.listen(m), c.Log)
+	member.Relay.SenderOf = c.senderName
+	member.discoveryRelay, err = receivers.NewTCPRelay(member.Name+" -> discovery", "127.0.0.1:0", c.Discovery.listen(member), c.Log)
 	c.must(err)
 	for _, runner := range c.Runners {
-		m.connectRunner(runner)
+		member.connectRunner(runner)
 	}
-	c.Members = append(c.Members, m)
-	return m
+	c.Members = append(c.Members, member)
+	return member
 }
 
 func (m *Member) connectRunner(runner *Runner) {
@@ -76,7 +76,7 @@
 	m.runnerRelays = append(m.runnerRelays, relay)
 }
 
-// senderName reads who sent a datagram, for the relays.
+// senderName identifies the sender of a datagram, for the relays.
 func (c *Cluster) senderName(b []byte) string {
 	for _, fleet := range []string{c.ClusterName, "other"} {
 		if msg, err := membership.Decode(fleet, b); err == nil {
@@ -86,13 +86,13 @@
 	return ""
 }
 
-// LogText is the member's log.
+// LogText returns the member's log so far.
 func (m *Member) LogText() string {
 	text, _ := os.ReadFile(m.logPath)
 	return string(text)
 }
 
-// CallAdmin makes a call at the second address.
+// CallAdmin makes a request to the member's admin address. Status 0 stands for an error, whose text is returned.
 func (m *Member) CallAdmin(method, path, body string) (status int, text string) {
 	request, err := http.NewRequest(method, "http://"+m.AdminAddress+path, strings.NewReader(body))
 	m.cluster.must(err)
@@ -103,17 +103,17 @@
 	}
 	defer answer.Body.Close()
 	var content strings.Builder
-	buf := make([]byte, 4096)
+	buffer := make([]byte, 4096)
 	for {
-		n, err := answer.Body.Read(buf)
-		content.Write(buf[:n])
+		n, err := answer.Body.Read(buffer)
+		content.Write(buffer[:n])
 		if err != nil {
 			return answer.StatusCode, content.String()
 		}
 	}
 }
 
-// Status is what the member holds of the fleet; nil if it does not answer.
+// Status returns the member's view of the cluster; nil if it doesn't answer.
 func (m *Member) Status() *cluster.Status {
 	code, text := m.CallAdmin("GET", "/api/fleet", "")
 	s := &cluster.Status{}
@@ -123,7 +123,7 @@
 	return s
 }
 
-// StateOf is the state that this member holds another one to be in.
+// StateOf returns the state that this member has for another one; empty if it doesn't know it.
 func (m *Member) StateOf(name string) string {
 	if s := m.Status(); s != nil {
 		for _, o := range s.Members {
@@ -135,8 +135,8 @@
 	return ""
 }
 
-// RunnerLink is a member's way to a runner, DiscoveryLink its way to discovery.
+// RunnerLink returns the relay from the member to the runner with index i.
 func (m *Member) RunnerLink(i int) *receivers.TCPRelay { return m.runnerRelays[i] }
 
-// DiscoveryLink is the member's way to discovery.
+// DiscoveryLink returns the relay from the member to discovery.
 func (m *Member) DiscoveryLink() *receivers.TCPRelay { return m.discoveryRelay }
--- a/internal/testkit/processcluster/process.go
+++ b/internal/testkit/processcluster/process.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Start starts the member's process, anew if there was one.
+// Start writes the member's files and starts a process.
 func (m *Member) Start() {
 	m.WriteConfig(m.OperatorConfig())
 	m.StartProcess()
 }
 
-// StartProcess starts the process with the files as they are.
+// StartProcess starts a process with the files as they are.
 func (m *Member) StartProcess() {
 	c := m.cluster
 	m.logPath = m.path + ".log"
@@ -38,7 +38,7 @@
 	}(m.exited)
 }
 
-// WaitServing waits until the member serves, and has clients come to it.
+// WaitServing waits until the member serves, and starts its clients.
 func (m *Member) WaitServing() {
 	m.cluster.TB.Helper()
 	m.cluster.Eventually(m.Name+" serves", func() bool {
@@ -55,8 +55,8 @@
 	}
 }
 
-// Upgrade starts another process that takes the place of the member's, waits until it has, and has the older one end. Between the
-// start and the wait comes what is to happen meanwhile.
+// Upgrade starts another process that takes over from the member's, waits until it serves the admin address as ready,
+// and terminates the old one. The functions in meanwhile run between the start and the wait.
 func (m *Member) Upgrade(meanwhile ...func()) {
 	m.cluster.TB.Helper()
 	old, exited := m.cmd, m.exited
@@ -70,7 +70,7 @@
 		code, _ := m.CallAdmin("GET", "/api/ready", "")
 		return code == 200
 	})
-	if len(meanwhile) > 0 { // it may have failed, and the one before have gone on: then it ends as one that is stopped, without clients
+	if len(meanwhile) > 0 { // the new process may have failed and the old one continued, which is then terminated without clients
 		m.clientsStopped.Store(true)
 	}
 	m.cluster.must(old.Process.Signal(syscall.SIGTERM))
@@ -85,7 +85,7 @@
 	}
 }
 
-// Running says whether the process runs.
+// Running reports whether the process runs.
 func (m *Member) Running() bool {
 	if m.cmd == nil {
 		return false
@@ -117,7 +117,7 @@
 	}
 }
 
-// Kill ends the process without a word.
+// Kill kills the process (SIGKILL).
 func (m *Member) Kill() {
 	m.interruptions.Add(1)
 	m.clientsStopped.Store(true)
@@ -125,14 +125,14 @@
 	m.kill()
 }
 
-// Pause stops the process (SIGSTOP), Continue has it go on. Its clients wait, as they would.
+// Pause stops the process (SIGSTOP) until Continue. Its clients wait.
 func (m *Member) Pause() { m.interruptions.Add(1); m.signal(syscall.SIGSTOP) }
 
-// Continue has a process that was stopped go on. Jobs that came meanwhile count as those that were there: more may wait at the
-// door than one address may have open.
+// Continue resumes a paused process (SIGCONT). The outcome of jobs that were submitted during the pause counts as
+// unknown: there may be more than one address may have open at the admission limit.
 func (m *Member) Continue() { m.interruptions.Add(1); m.signal(syscall.SIGCONT) }
 
-// Terminate takes the member from the clients, tells it to stop, and waits until it has ended.
+// Terminate stops the clients, sends SIGTERM and waits for the process to end.
 func (m *Member) Terminate() {
 	m.clientsStopped.Store(true)
 	m.signal(syscall.SIGTERM)
@@ -143,7 +143,7 @@
 	}
 }
 
-// Reload has the member read its files again and waits for its word.
+// Reload sends SIGHUP and waits until the process logs a line that contains logLine.
 func (m *Member) Reload(logLine string) {
 	m.cluster.TB.Helper()
 	before := strings.Count(m.LogText(), logLine)
@@ -151,8 +151,8 @@
 	m.cluster.Eventually(m.Name+": "+logLine, func() bool { return strings.Count(m.LogText(), logLine) > before })
 }
 
-// StopClients has the clients leave the member.
+// StopClients stops the clients of the member.
 func (m *Member) StopClients() { m.clientsStopped.Store(true) }
 
-// PID is the number of the member's process.
+// PID returns the ID of the member's process.
 func (m *Member) PID() int { return m.cmd.Process.Pid }
--- a/internal/testkit/processcluster/runner.go
+++ b/internal/testkit/processcluster/runner.go
@@ -18,28 +18,29 @@
 	return 9
 }
 
-// Runner runs jobs in slots. While it is cold it bears no more than the settings say: sent more, it falls over.
+// Runner is a fake runner that executes jobs in slots. During slow start it bears no more than the settings promise:
+// sent more, it becomes overloaded and drops every job.
 type Runner struct {
 	Name string
 
 	cluster       *Cluster
 	failureDomain int
 	mutex         sync.Mutex
-	state         string // ready, draining or gone
+	state         string // in discovery: ready, draining or gone
 	startedAt     time.Time
-	lastJobAt     time.Time // a job came
+	lastJobAt     time.Time
 	slowStart     bool
 	running       int
 	waiting       int
 	slots         chan bool
 	servers       []*http.Server
 	client        *http.Client
-	recentWork    []workItem // within a fall time
+	recentWork    []workItem // within overloadWindowSeconds
 	overloaded    bool
-	peakShare     float64            // share of what it bears that it was sent in the worst fall time since its start
-	JobCount      int                // taken
-	WorkSeconds   float64            // seconds of work taken since its start
-	WorkByMember  map[string]float64 // of it, by member
+	peakShare     float64            // largest share of its slow start limit that was used since its start
+	JobCount      int                // accepted
+	WorkSeconds   float64            // accepted since its start
+	WorkByMember  map[string]float64 // accepted since its start, in seconds by member
 	jobs          sync.WaitGroup
 	ctx           context.Context
 	cancel        func()
@@ -60,7 +61,7 @@
 	return runner
 }
 
-// listen opens a port for a member's jobs.
+// listen opens a port for the jobs of a member, so that the sender is known.
 func (r *Runner) listen(member *Member) string {
 	l, err := net.Listen("tcp", "127.0.0.2:0")
 	r.cluster.must(err)
@@ -78,28 +79,28 @@
 	r.jobs.Wait()
 }
 
-// SetState sets the state that discovery tells; Tell tells it.
+// SetState sets the state in discovery; Discovery.Publish sends it.
 func (r *Runner) SetState(state string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.state = state
 }
 
-// JobsFrom is how many jobs of a member the runner has taken since its start.
+// JobsFrom returns how many jobs of a member were accepted since the start.
 func (r *Runner) JobsFrom(member *Member) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return int(r.WorkByMember[member.Name]/r.cluster.JobSeconds + 0.5)
 }
 
-// Idle says whether no job is there, and none has come for half a second.
+// Idle reports whether there is no job, and none has arrived for half a second.
 func (r *Runner) Idle() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.running+r.waiting == 0 && time.Since(r.lastJobAt) > 500*time.Millisecond
 }
 
-// Restart has the runner start anew, cold and ready.
+// Restart restarts the runner: ready, and in slow start.
 func (r *Runner) Restart() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -107,8 +108,8 @@
 	clear(r.WorkByMember)
 }
 
-// LoadSinceStart is the largest share of what it bears that the runner was sent within a fall time since its start, the work that it
-// was given since, in seconds, and whether it fell over.
+// LoadSinceStart returns the largest share of the slow start limit that was used since the start, the work accepted
+// since then in seconds, and whether the runner became overloaded.
 func (r *Runner) LoadSinceStart() (worst, work float64, fallen bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -126,7 +127,7 @@
 		"state": r.state, "capacity_hint": 1, "boot_ms": boot}, r.state != "gone"
 }
 
-// accept books a job and says whether the runner stands it.
+// accept counts a job; false if the runner is overloaded.
 func (r *Runner) accept(member *Member) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -156,7 +157,7 @@
 	r.peakShare = max(r.peakShare, sum/(overloadMultiple*capacity*overloadWindowSeconds))
 	if r.peakShare > 1 {
 		r.overloaded = true
-		r.cluster.Log(fmt.Sprintf("%s: falls over %.3f s after its start; work by member: %v", r.Name, age, r.WorkByMember))
+		r.cluster.Log(fmt.Sprintf("%s: overloaded %.3f s after its start; work by member: %v", r.Name, age, r.WorkByMember))
 		return false
 	}
 	return true
@@ -175,7 +176,7 @@
 	}
 	id, class := request.Header.Get("X-Call-Id"), request.Header.Get("X-Call-Class")
 	if r.cluster.Discovery.violatesDrain(member, r) {
-		r.cluster.jobs.addViolation("%s sent %s to %s, of which it was told that it drains", member.Name, id, r.Name)
+		r.cluster.jobs.addViolation("%s sent %s to %s, after a notice that it is draining", member.Name, id, r.Name)
 	}
 	if !r.accept(member) {
 		panic(http.ErrAbortHandler)
@@ -217,7 +218,8 @@
 	r.notify(member, id, `"state":"done","result":"`+id+`",`+load)
 }
 
-// notify calls back; a dispatcher that has gone does not hear it.
+// notify sends a job's progress to the dispatcher that submitted it; errors are ignored, as the dispatcher may be
+// gone.
 func (r *Runner) notify(member *Member, id, rest string) {
 	request, err := http.NewRequestWithContext(r.ctx, "POST", "http://"+member.ListenAddress+"/_jobs/news",
 		strings.NewReader(fmt.Sprintf(`{"id":%q,"from":%q,%s}`, id, r.Name, rest)))
--- a/internal/testkit/receivers/address.go
+++ b/internal/testkit/receivers/address.go
@@ -7,39 +7,40 @@
 )
 
 const (
-	firstPort  = 10000 // below the ports that the system gives out by itself: one of those could go to somebody else meanwhile
+	firstPort  = 10000 // below the ephemeral ports, which could be given to another process in the meantime
 	portBlock  = 2000
 	portBlocks = 10
 )
 
-// ports are those of this process: a block of them that a socket of ours guards against other test processes.
-var ports struct {
+// portRange is the block of ports that this process uses. Its first port stays open to keep other test processes out
+// of the block.
+var portRange struct {
 	sync.Mutex
 	guard net.Listener
 	first int
 	next  int
 }
 
-// FreeAddress is an address on the loopback whose port nobody has, for TCP and for UDP. Two calls, in this process or in another
-// that calls it, never get the same one within a block's length.
+// FreeAddress returns a loopback address with a port that is free for TCP and UDP. No two calls return the same one
+// within the length of a block, not even in different processes.
 func FreeAddress() (string, error) {
-	ports.Lock()
-	defer ports.Unlock()
-	if ports.guard == nil {
+	portRange.Lock()
+	defer portRange.Unlock()
+	if portRange.guard == nil {
 		for b := range portBlocks {
 			first := firstPort + b*portBlock
 			if l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", first)); err == nil {
-				ports.guard, ports.first = l, first
+				portRange.guard, portRange.first = l, first
 				break
 			}
 		}
-		if ports.guard == nil {
-			return "", fmt.Errorf("standin: all %d blocks of ports are taken", portBlocks)
+		if portRange.guard == nil {
+			return "", fmt.Errorf("receivers: all %d blocks of ports are taken", portBlocks)
 		}
 	}
 	for range portBlock {
-		ports.next = ports.next%(portBlock-1) + 1
-		addr := fmt.Sprintf("127.0.0.1:%d", ports.first+ports.next)
+		portRange.next = portRange.next%(portBlock-1) + 1
+		addr := fmt.Sprintf("127.0.0.1:%d", portRange.first+portRange.next)
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
 			continue
@@ -52,5 +53,5 @@
 		p.Close()
 		return addr, nil
 	}
-	return "", fmt.Errorf("standin: no port is free from %d on", ports.first)
+	return "", fmt.Errorf("receivers: no port is free from %d on", portRange.first)
 }
--- a/internal/testkit/receivers/carbon.go
+++ b/internal/testkit/receivers/carbon.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Carbon is a stand-in for carbon: the line receiver, or the pickle receiver
+// Carbon is a fake carbon daemon with either the line or the pickle receiver
 // (https://graphite.readthedocs.io/en/latest/feeding-carbon.html).
 type Carbon struct {
 	server
@@ -33,7 +33,7 @@
 	return c, nil
 }
 
-// readLines reads lines. What comes before an end without a line's end is no line: carbon throws it away.
+// readLines reads lines. Like carbon it drops an incomplete last line.
 func (c *Carbon) readLines(in *bufio.Reader) {
 	for {
 		line, err := in.ReadString('\n')
@@ -62,7 +62,7 @@
 			return
 		}
 		n := binary.BigEndian.Uint32(head[:])
-		if n > 1<<20 { // carbon's own bound
+		if n > 1<<20 { // carbon's own limit
 			c.addMalformed("pickle of %d bytes", n)
 			return
 		}
--- a/internal/testkit/receivers/collectd.go
+++ b/internal/testkit/receivers/collectd.go
@@ -17,7 +17,7 @@
 
 func floatFromBits(bits uint64) float64 { return math.Float64frombits(bits) }
 
-// The parts of the binary protocol (https://github.com/collectd/collectd/wiki/Binary-protocol).
+// Part types of the binary protocol (https://github.com/collectd/collectd/wiki/Binary-protocol).
 const (
 	partHost           = 0x0000
 	partTime           = 0x0001
@@ -33,7 +33,7 @@
 	partEncrypt        = 0x0210
 )
 
-// CollectdNetwork is a stand-in for collectd's network plug-in as a server: UDP, with the securities none, sign and encrypt.
+// CollectdNetwork is a fake of collectd's network plug-in as a server, over UDP.
 type CollectdNetwork struct {
 	Store
 	security  string
@@ -46,22 +46,23 @@
 	packets int
 }
 
-// NewCollectdNetwork starts one at an address. It takes packets of at least a security: a user's password is told by name.
+// NewCollectdNetwork starts one at an address. security is none, sign or encrypt, the least protection that it
+// accepts; passwords are by user.
 func NewCollectdNetwork(addr, security string, passwords map[string]string) (*CollectdNetwork, error) {
 	n := &CollectdNetwork{address: addr, security: security, passwords: passwords}
 	return n, n.Restart()
 }
 
-// Restart listens, again at the same address.
+// Restart listens at the same address again.
 func (n *CollectdNetwork) Restart() error {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	addr, err := net.ResolveUDPAddr("udp", n.address)
 	if err != nil {
-		return fmt.Errorf("standin: %w", err)
+		return fmt.Errorf("receivers: %w", err)
 	}
 	if n.socket, err = net.ListenUDP("udp", addr); err != nil {
-		return fmt.Errorf("standin: %w", err)
+		return fmt.Errorf("receivers: %w", err)
 	}
 	_ = n.socket.SetReadBuffer(4 << 20)
 	n.address = n.socket.LocalAddr().String()
@@ -69,21 +70,21 @@
 	return nil
 }
 
-// Stop listens no more until Back: the system refuses what comes.
+// Stop closes the socket until Restart, so that the system rejects datagrams.
 func (n *CollectdNetwork) Stop() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.socket.Close()
 }
 
-// Addr is where it listens.
+// Addr returns the address that it listens on.
 func (n *CollectdNetwork) Addr() string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.address
 }
 
-// Packets is how many packets came, and the size of the largest.
+// Packets returns the number of packets received, and the size of the largest in bytes.
 func (n *CollectdNetwork) Packets() (count, largest int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -113,9 +114,9 @@
 }
 
 var (
-	errShort    = errors.New("standin: packet cut short")
-	errSecurity = errors.New("standin: packet is not protected as it must be")
-	errKey      = errors.New("standin: wrong user or password")
+	errShort    = errors.New("receivers: packet cut short")
+	errSecurity = errors.New("receivers: packet is not protected as it must be")
+	errKey      = errors.New("receivers: wrong user or password")
 )
 
 // The protections of a packet, the stronger ones greater.
@@ -296,7 +297,7 @@
 		case valueDerive:
 			values = append(values, float64(int64(binary.BigEndian.Uint64(v))))
 		default:
-			return nil, fmt.Errorf("standin: value of kind %d", kind)
+			return nil, fmt.Errorf("receivers: value of kind %d", kind)
 		}
 	}
 	return values, nil
--- a/internal/testkit/receivers/link.go
+++ b/internal/testkit/receivers/link.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Link is what one directed way does to what goes over it. The zero Link passes everything on at once.
+// Link describes the behaviour of a relay in one direction. The zero Link forwards everything at once.
 type Link struct {
-	LossRate      float64       // share of the datagrams that get lost
-	Delay         time.Duration // that everything takes
-	Jitter        time.Duration // and more, drawn evenly: datagrams may pass one another
-	DuplicateRate float64       // share of the datagrams that come twice
-	Blackhole     bool          // nothing gets over, and nobody is told: datagrams are lost, connections hang
-	Resets        bool          // connections are reset, and new ones at once
-	ReorderRate   float64       // share of the datagrams that wait for the next one to pass
+	LossRate      float64       // share of datagrams lost
+	Delay         time.Duration // added to everything
+	Jitter        time.Duration // up to this much more, uniformly distributed: datagrams may overtake each other
+	DuplicateRate float64       // share of datagrams forwarded twice
+	Blackhole     bool          // nothing is forwarded: datagrams are lost, connections hang
+	Resets        bool          // connections are reset, new ones immediately
+	ReorderRate   float64       // share of datagrams held back until after the next one
 }
 
-// Log takes what a relay did, a line each; it may be called from several goroutines.
+// Log receives a line for each action of a relay. It may be called from several goroutines.
 type Log func(line string)
--- a/internal/testkit/receivers/pickle.go
+++ b/internal/testkit/receivers/pickle.go
@@ -61,15 +61,15 @@
 		if op == opStop {
 			points, err := pointsOf(u.pop())
 			if err != nil {
-				return nil, fmt.Errorf("standin: pickle: %w", err)
+				return nil, fmt.Errorf("receivers: pickle: %w", err)
 			}
 			return points, nil
 		}
 		if err := u.step(op); err != nil {
-			return nil, fmt.Errorf("standin: pickle: %w", err)
+			return nil, fmt.Errorf("receivers: pickle: %w", err)
 		}
 	}
-	return nil, errors.New("standin: pickle: no end")
+	return nil, errors.New("receivers: pickle: no end")
 }
 
 // step executes one opcode.
--- a/internal/testkit/receivers/server.go
+++ b/internal/testkit/receivers/server.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// server is a listener that comes and goes, with what its connections are to do.
+// server is a listener that can be stopped and restarted, with faults for its connections.
 type server struct {
 	Store
 	network, address string
@@ -22,9 +22,9 @@
 	stalled    bool
 	resume     chan struct{}
 	resetAfter int // bytes after which the next connection is reset; 0: none
-	readSize   int // bytes a read, with a pause between two; 0 is as they come
+	readSize   int // bytes per read, with a pause after each; 0: unlimited
 	accepted   int
-	keepOpen   bool // does not close in answer to a peer's close, as some relays
+	keepOpen   bool // doesn't close when the peer has closed, like some relays
 }
 
 func (s *server) start() error {
@@ -38,7 +38,7 @@
 	}
 	l, err := net.Listen(s.network, s.address)
 	if err != nil {
-		return fmt.Errorf("standin: %w", err)
+		return fmt.Errorf("receivers: %w", err)
 	}
 	s.listener, s.address = l, l.Addr().String()
 	go func() {
@@ -65,14 +65,14 @@
 	return nil
 }
 
-// Addr is where the stand-in listens.
+// Addr returns the address that it listens on.
 func (s *server) Addr() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.address
 }
 
-// Stop ends all connections, with bytes unread, and listens no more until Back.
+// Stop resets all connections and stops listening until Restart.
 func (s *server) Stop() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -91,7 +91,7 @@
 // Restart listens at the same address again.
 func (s *server) Restart() error { return s.start() }
 
-// SetStalled accepts and reads nothing, or reads again.
+// SetStalled makes the server accept, but not read, or ends that.
 func (s *server) SetStalled(stalled bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -104,39 +104,39 @@
 	s.stalled = stalled
 }
 
-// ResetAfter resets the next connection after so many bytes were read.
+// ResetAfter resets the next connection after that many bytes.
 func (s *server) ResetAfter(after int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.resetAfter = after
 }
 
-// SetReadSize reads so many bytes at a time, a millisecond apart; 0 is as they come.
+// SetReadSize limits reads to that many bytes, a millisecond apart; 0: unlimited.
 func (s *server) SetReadSize(bytes int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.readSize = bytes
 }
 
-// KeepOpen has connections stay open when the peer has closed its side.
+// KeepOpen sets whether connections stay open after the peer has closed its side.
 func (s *server) KeepOpen(keepOpen bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.keepOpen = keepOpen
 }
 
-// Accepted is how many connections there were.
+// Accepted returns the number of connections accepted so far.
 func (s *server) Accepted() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.accepted
 }
 
-// cueReader reads a connection as the cues say.
+// cueReader reads a connection with the faults of its server.
 type cueReader struct {
 	server     *server
 	conn       net.Conn
-	untilReset int // until it is reset; 0: never
+	untilReset int // bytes; 0: never
 }
 
 func (s *server) reader(c net.Conn) *bufio.Reader {
--- a/internal/testkit/receivers/store.go
+++ b/internal/testkit/receivers/store.go
@@ -1,6 +1,3 @@
-// Package standin imitates the systems that a dispatcher delivers figures to, for tests: a carbon and a collectd, written from
-// their public descriptions, on loopback alone. Each misbehaves on cue and keeps all that it got. They read with code of
-// their own where the sender uses a library, so that no mistake agrees with itself.
 package receivers
 
 import (
@@ -19,13 +16,13 @@
 	Value  float64
 }
 
-// Store keeps what a stand-in got. It is safe for use by several goroutines.
+// Store collects what a receiver got. Its methods may be called from any goroutine.
 type Store struct {
 	mutex      sync.Mutex
 	points     []Point
 	series     map[string]map[float64]float64
-	duplicates int // points that were there already, with the same value
-	conflicts  int // and with another one
+	duplicates int // points received again with the same value
+	conflicts  int // points received again with another value
 	malformed  []string
 }
 
@@ -55,14 +52,14 @@
 	s.malformed = append(s.malformed, fmt.Sprintf(format, a...))
 }
 
-// Reset loses all that was kept, as a receiver does whose disk is new.
+// Reset deletes everything, like a receiver with a new disk.
 func (s *Store) Reset() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.points, s.series, s.duplicates, s.conflicts, s.malformed = nil, nil, 0, 0, nil
 }
 
-// Last is the newest value of a series.
+// Last returns the newest value of a series.
 func (s *Store) Last(series string) (v float64, ok bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -75,7 +72,7 @@
 	return v, ok
 }
 
-// Sum adds the newest values of all series whose names match.
+// Sum adds the newest values of all matching series.
 func (s *Store) Sum(match func(series string) bool) (sum float64) {
 	for _, name := range s.Names() {
 		if match(name) {
@@ -86,7 +83,7 @@
 	return sum
 }
 
-// Names are the series, sorted.
+// Names returns the names of all series, sorted.
 func (s *Store) Names() (names []string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -97,7 +94,7 @@
 	return names
 }
 
-// Timestamps are the times of a series, sorted.
+// Timestamps returns the times of a series' points, sorted.
 func (s *Store) Timestamps(series string) (stamps []float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -108,21 +105,23 @@
 	return stamps
 }
 
-// Counts tells how many points came, how many of them again, and how many again with another value.
+// Counts returns the number of points received, of those received again, and of those received again with another
+// value.
 func (s *Store) Counts() (points, again, moved int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.points), s.duplicates, s.conflicts
 }
 
-// Malformed is what made no sense.
+// Malformed describes the input that couldn't be parsed.
 func (s *Store) Malformed() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return slices.Clone(s.malformed)
 }
 
-// WriteLines writes all points in the order in which they came, as lines PATH VALUE TIME, or PUTVAL lines if they came so.
+// WriteLines writes all points in order of arrival to a file, as lines PATH VALUE TIME, or as PUTVAL lines if they
+// arrived as such.
 func (s *Store) WriteLines(path string) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -137,7 +136,7 @@
 	return os.WriteFile(path, []byte(b.String()), 0o600)
 }
 
-// CounterIncrease is by how much a total has grown over all stamps, from 0 on; one that falls has begun anew.
+// CounterIncrease returns the total increase of a counter, from 0 on; a decrease counts as a restart from 0.
 func (s *Store) CounterIncrease(series string) (sum float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/testkit/receivers/tcprelay.go
+++ b/internal/testkit/receivers/tcprelay.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TCPRelay is a relay for TCP: each connection to its port goes on to an address, both ways over one Link.
+// TCPRelay forwards each connection to a target; one Link applies to both directions.
 type TCPRelay struct {
 	Name string
 
@@ -18,35 +18,35 @@
 	mutex       sync.Mutex
 	target      string
 	link        Link
-	connections map[net.Conn]net.Conn // by the caller's side
-	changed     chan struct{}         // closed when the link changes
+	connections map[net.Conn]net.Conn // by the caller's connection
+	changed     chan struct{}         // closed and replaced when the link changes
 	accepted    int
 	resets      int
 }
 
-// NewTCPRelay opens a relay to an address. The port is on an address of its own where one is given: peers may bound what
-// comes from one.
+// NewTCPRelay starts a relay that listens on an address. Callers may give each relay a loopback address of its own,
+// since peers limit the connections from one address.
 func NewTCPRelay(name, listenAddress, target string, log Log) (*TCPRelay, error) {
 	l, err := net.Listen("tcp", listenAddress)
 	if err != nil {
-		return nil, fmt.Errorf("standin: %w", err)
+		return nil, fmt.Errorf("receivers: %w", err)
 	}
 	s := &TCPRelay{Name: name, listener: l, target: target, log: log, connections: map[net.Conn]net.Conn{}, changed: make(chan struct{})}
 	go s.run()
 	return s, nil
 }
 
-// Addr is the relay's port.
+// Addr returns the address that it listens on.
 func (s *TCPRelay) Addr() string { return s.listener.Addr().String() }
 
-// SetTarget has new connections go to another address.
+// SetTarget changes the target of new connections.
 func (s *TCPRelay) SetTarget(to string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.target = to
 }
 
-// SetLink sets the link; with Resets all open connections are reset at once.
+// SetLink sets the link; if it resets, all open connections are reset at once.
 func (s *TCPRelay) SetLink(link Link) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -70,7 +70,7 @@
 	c.Close()
 }
 
-// Close ends the relay and its connections.
+// Close stops the relay, closes its connections and logs their number.
 func (s *TCPRelay) Close() {
 	s.listener.Close()
 	s.mutex.Lock()
@@ -82,7 +82,7 @@
 	s.log(fmt.Sprintf("stream %s: %d connections, %d reset", s.Name, s.accepted, s.resets))
 }
 
-// Link is the link as it is set.
+// Link returns the current link.
 func (s *TCPRelay) Link() Link {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -132,7 +132,7 @@
 	target.Close()
 }
 
-// forward passes bytes on, and the end of them; while the link is silent they wait, as in a network that sends them again.
+// forward copies bytes and the end of the stream. While the link is a black hole, bytes wait, as with retransmission.
 func (s *TCPRelay) forward(to, from net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
--- a/internal/testkit/receivers/udprelay.go
+++ b/internal/testkit/receivers/udprelay.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// UDPRelay is a relay for UDP with a port of its own: what comes there goes on to a member. Who sent it is told by the
-// first bytes, which From reads; each directed way has a Link of its own.
+// UDPRelay forwards datagrams to a target. Each sender has a Link of its own.
 type UDPRelay struct {
 	Name string
-	// SenderOf says who sent a datagram; "" is not known.
+	// SenderOf identifies the sender of a datagram by its contents; empty if unknown. It must be set before the
+	// first datagram arrives.
 	SenderOf func(b []byte) string
 
 	socket *net.UDPConn
@@ -23,21 +23,21 @@
 
 	mutex     sync.Mutex
 	random    *rand.Rand
-	links     map[string]Link // by sender; "" for all that have none of their own
-	reordered []byte          // waits for the next one to pass
+	links     map[string]Link // by sender; "" for senders without their own
+	reordered []byte          // held back until after the next one
 	counts    struct{ Passed, Dropped, Repeated, Held int }
 }
 
-// NewUDPRelay opens a relay to an address, which need not exist yet.
+// NewUDPRelay starts a relay to a target, which need not listen yet. seed determines the random faults.
 func NewUDPRelay(name string, target netip.AddrPort, seed uint64, log Log) (*UDPRelay, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
-		return nil, fmt.Errorf("standin: %w", err)
+		return nil, fmt.Errorf("receivers: %w", err)
 	}
 	out, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		conn.Close()
-		return nil, fmt.Errorf("standin: %w", err)
+		return nil, fmt.Errorf("receivers: %w", err)
 	}
 	d := &UDPRelay{Name: name, socket: conn, output: out, target: net.UDPAddrFromAddrPort(target), log: log, random: rand.New(rand.NewPCG(seed, 0)),
 		links: map[string]Link{}}
@@ -45,10 +45,10 @@
 	return d, nil
 }
 
-// Addr is the relay's port: what the member advertises.
+// Addr returns the address that the relay listens on.
 func (d *UDPRelay) Addr() string { return d.socket.LocalAddr().String() }
 
-// SetLink sets the way from a sender; "" sets that of all who have none of their own.
+// SetLink sets the link of a sender; "" stands for all senders without their own.
 func (d *UDPRelay) SetLink(from string, link Link) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -56,7 +56,7 @@
 	d.log(fmt.Sprintf("link %s -> %s: %+v", from, d.Name, link))
 }
 
-// ClearLinks has every way pass everything again.
+// ClearLinks resets all links.
 func (d *UDPRelay) ClearLinks() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -64,7 +64,7 @@
 	d.log("links -> " + d.Name + ": clear")
 }
 
-// Close ends the relay and tells the log what it did.
+// Close stops the relay and logs its counts.
 func (d *UDPRelay) Close() {
 	d.socket.Close()
 	d.output.Close()
--- a/internal/testkit/receivers/unixsock.go
+++ b/internal/testkit/receivers/unixsock.go
@@ -8,12 +8,12 @@
 	"strings"
 )
 
-// Collectd is a stand-in for collectd's unixsock plug-in (collectd-unixsock(5)): PUTVAL lines, each of which is answered.
+// Collectd is a fake of collectd's unixsock plug-in (collectd-unixsock(5)): it answers each PUTVAL line.
 type Collectd struct {
 	server
 }
 
-// NewCollectd starts one at a path.
+// NewCollectd starts one with its socket at path.
 func NewCollectd(path string) (*Collectd, error) {
 	c := &Collectd{server: server{network: "unix", address: path}}
 	c.serve = func(conn net.Conn) { c.readLines(conn, c.reader(conn)) }
--- a/internal/testkit/runner/execution.go
+++ b/internal/testkit/runner/execution.go
@@ -11,17 +11,17 @@
 	"cinderroad/internal/testkit/engine"
 )
 
-// execution is a request at work.
+// execution is a request that the engine works on.
 type execution struct {
 	runner     *Runner
 	attemptID  string
-	id         string // a name for this run
+	id         string // unique
 	request    *engine.Request
 	task       *engine.Task
 	fault      faultKind
 	writer     http.ResponseWriter
 	conn       *conn
-	eventsSent int // events
+	eventsSent int
 
 	mutex  sync.Mutex
 	events []engine.Event
@@ -33,7 +33,7 @@
 		signal: make(chan struct{}, 1)}
 }
 
-// addEvent adds an event of the machine; it never blocks.
+// addEvent queues an event of the engine; it never blocks.
 func (o *execution) addEvent(event engine.Event) {
 	o.mutex.Lock()
 	o.events = append(o.events, event)
@@ -44,7 +44,7 @@
 	}
 }
 
-// takeEvents takes all events that have come.
+// takeEvents removes and returns all queued events.
 func (o *execution) takeEvents() []engine.Event {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -53,7 +53,7 @@
 	return events
 }
 
-// sendAnswer passes on to the caller what the machine does for its request.
+// sendAnswer sends the answer as the engine produces it, until its end or until the caller disconnects.
 func (r *Runner) sendAnswer(execution *execution, request *http.Request) {
 	for {
 		select {
@@ -68,7 +68,7 @@
 	}
 }
 
-// cancel ends the work for a caller that has left.
+// cancel ends the engine's task after the caller has disconnected.
 func (r *Runner) cancel(execution *execution) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -80,7 +80,7 @@
 	r.wakeUp()
 }
 
-// handleEngineEvent does what an event asks for; it says whether the answer has ended.
+// handleEngineEvent acts on an event and reports whether the answer has ended.
 func (r *Runner) handleEngineEvent(execution *execution, request *http.Request, event engine.Event) bool {
 	switch event.Kind {
 	case engine.Emitted:
@@ -110,7 +110,7 @@
 	return false
 }
 
-// totalEvents is how many events the whole stream has.
+// totalEvents returns the number of events of the complete stream.
 func (o *execution) totalEvents() int {
 	stride := max(1, o.runner.options.EventTokens)
 	return (o.request.OutputTokens + stride - 1) / stride
@@ -145,7 +145,7 @@
 	return r.finishAnswer(execution)
 }
 
-// sendHalf sends half of a body.
+// sendHalf sends the first half of a body.
 func (r *Runner) sendHalf(execution *execution) {
 	body := r.makeBody(execution)
 	r.writeBodyHeader(execution, body)
@@ -161,7 +161,7 @@
 	execution.writer.WriteHeader(http.StatusOK)
 }
 
-// finishAnswer ends a whole answer, and has extra bytes follow it if that is its fault.
+// finishAnswer ends a complete answer, and prepares the extra bytes behind it if that is the fault.
 func (r *Runner) finishAnswer(execution *execution) bool {
 	r.updateStats(func(s *Stats) { s.Finished++ })
 	switch execution.fault {
--- a/internal/testkit/runner/faults.go
+++ b/internal/testkit/runner/faults.go
@@ -9,19 +9,19 @@
 	"cinderroad/internal/testkit/answer"
 )
 
-// Faults are the shares of requests that a runner spoils, each in its own way.
+// Faults are the shares of requests (0 to 1) on which a runner injects each fault.
 type Faults struct {
 	Truncate    float64 // the answer ends in the middle
-	ExtraBytes  float64 // bytes come after the whole answer, that nobody asked for
-	StaleAnswer float64 // another answer with the same id comes in place of the next one on that connection
-	Garbage     float64 // bytes that are not an answer
-	NoAnswer    float64 // no answer comes
-	Reset       float64 // the connection is reset before an answer, and after the work
-	Close       float64 // the connection is closed before an answer, and without work
-	MaxFaults   int     // requests that are spoilt at most; 0: any number
+	ExtraBytes  float64 // an unsolicited answer follows the complete one
+	StaleAnswer float64 // an unsolicited answer with the same attempt ID precedes the connection's next one
+	Garbage     float64 // bytes that aren't HTTP instead of the answer
+	NoAnswer    float64
+	Reset       float64 // the connection is reset after the execution
+	Close       float64 // the connection is reset without an execution
+	MaxFaults   int     // upper bound for the faulty requests; 0: none
 }
 
-// faultKind is a way to spoil a request.
+// faultKind is a kind of fault; the order is that of the fields of Faults.
 type faultKind uint8
 
 const (
@@ -35,7 +35,7 @@
 	faultClose
 )
 
-// draw draws what happens to a request.
+// draw draws the fault of a request.
 func (f *Faults) draw(random *rand.Rand) faultKind {
 	left := random.Float64()
 	for i, share := range []float64{f.Truncate, f.ExtraBytes, f.StaleAnswer, f.Garbage, f.NoAnswer, f.Reset, f.Close} {
@@ -46,7 +46,7 @@
 	return faultNone
 }
 
-// drawFault draws what happens to a request, as the script says.
+// drawFault draws the fault of a request within MaxFaults.
 func (r *Runner) drawFault() faultKind {
 	if r.faults.MaxFaults > 0 && r.faultCount >= r.faults.MaxFaults {
 		return faultNone
@@ -58,7 +58,7 @@
 	return drawn
 }
 
-// sendStale sends an extra answer that was held back for the next request of a connection.
+// sendStale sends the unsolicited answer that a fault left for the connection's next request.
 func (r *Runner) sendStale(c *conn) {
 	if c.beforeNext != nil {
 		c.Conn.Write(c.beforeNext)
@@ -66,7 +66,7 @@
 	}
 }
 
-// connState sends extra bytes when a connection has sent a whole answer.
+// connState sends the unsolicited answer that a fault left, once the connection is idle after the complete one.
 func (r *Runner) connState(c net.Conn, state http.ConnState) {
 	if state != http.StateIdle {
 		return
@@ -77,13 +77,14 @@
 	}
 }
 
-// unsolicitedAnswer is an answer that nobody asked for.
+// unsolicitedAnswer returns an answer that no request asked for.
 func unsolicitedAnswer(attemptID string) []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: b.0.00000000.%s.spare\r\nContent-Length: 0\r\n\r\n",
 		answer.HeaderAttemptID, attemptID, answer.HeaderSeal, attemptID)
 }
 
-// injectFault plays a fault in place of an answer, or of the next piece of one; it says whether that was the end.
+// injectFault injects the request's fault instead of the next part of its answer, and reports whether that ended the
+// answer.
 func (r *Runner) injectFault(execution *execution, request *http.Request) bool {
 	switch execution.fault {
 	case faultGarbage:
@@ -95,7 +96,7 @@
 		reset(execution.conn.Conn)
 	case faultTruncate:
 		if execution.request.OutputTokens > 0 && execution.eventsSent < 1 {
-			return false // not before the first event
+			return false // only after the first event
 		}
 		if execution.request.OutputTokens == 0 {
 			r.sendHalf(execution)
--- a/internal/testkit/runner/listener.go
+++ b/internal/testkit/runner/listener.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// listener resets connections beyond a number, and keeps those that are open.
+// listener tracks the open connections, and resets new ones beyond a limit.
 type listener struct {
 	net.Listener
 	maxConns int
@@ -15,12 +15,12 @@
 	accepted, rejected int
 }
 
-// conn is a connection of a caller.
+// conn is a connection from a caller.
 type conn struct {
 	net.Conn
 	listener    *listener
-	afterAnswer []byte // that is sent once the connection is idle
-	beforeNext  []byte // that is sent before the next answer
+	afterAnswer []byte // sent once the connection is idle
+	beforeNext  []byte // sent before the next answer
 }
 
 // Accept implements net.Listener.
@@ -72,7 +72,7 @@
 	return c.Conn.Close()
 }
 
-// reset closes a connection so that the other side sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tcp, is := c.(*net.TCPConn); is {
 		tcp.SetLinger(0)
--- a/internal/testkit/runner/report.go
+++ b/internal/testkit/runner/report.go
@@ -9,17 +9,17 @@
 	"cinderroad/internal/testkit/answer"
 )
 
-// reportPath is where a runner tells its state.
+// reportPath is the endpoint of a runner's state report.
 const reportPath = "/-/report"
 
-// report is the state that a runner tells, some time ago.
+// report is the state at a time.
 type report struct {
 	at                    time.Duration
 	queued, running       int
 	memoryUsed, memoryAll int
 }
 
-// reportBody is a report on the wire.
+// reportBody is a report in JSON.
 type reportBody struct {
 	Phase       string        `json:"phase"`
 	Models      []reportModel `json:"models"`
@@ -37,7 +37,7 @@
 	Adapters []string `json:"adapters"`
 }
 
-// recordReport keeps the state, for reports that come late.
+// recordReport records the current state, and drops records that are too old for the report delay.
 func (r *Runner) recordReport() {
 	const most = 64
 	s := r.options.Engine.State()
@@ -69,12 +69,12 @@
 	r.stats.HealthChecks++
 	s := r.options.Engine.State()
 	full := s.Queued > 0 && s.Running+s.Queued >= r.options.MaxConns && r.options.MaxConns > 0
-	cold := r.options.SlowStart.Remaining(r.now())
+	remaining := r.options.SlowStart.Remaining(r.now())
 	draining := r.draining
 	r.mutex.Unlock()
 	w.Header().Set(answer.HeaderServerID, r.options.ID)
-	if cold > 0 {
-		w.Header().Set(answer.HeaderSlowStart, strconv.FormatInt(cold.Milliseconds(), 10))
+	if remaining > 0 {
+		w.Header().Set(answer.HeaderSlowStart, strconv.FormatInt(remaining.Milliseconds(), 10))
 	}
 	switch {
 	case draining:
--- a/internal/testkit/runner/request.go
+++ b/internal/testkit/runner/request.go
@@ -11,7 +11,7 @@
 	"cinderroad/internal/testkit/engine"
 )
 
-// parseRequest reads what a caller asks for.
+// parseRequest converts a request's headers to the engine's work.
 func (r *Runner) parseRequest(request *http.Request) (*engine.Request, error) {
 	engineRequest := &engine.Request{Model: request.Header.Get(answer.HeaderModel), Priority: engine.DefaultPriority}
 	if n, err := strconv.Atoi(request.Header.Get(answer.HeaderPriority)); err == nil && n >= 0 && n <= engine.LowestPriority {
@@ -39,7 +39,7 @@
 	return engineRequest, nil
 }
 
-// parseChunks reads the parts of a prompt.
+// parseChunks parses a prompt's chunks: ID:TOKENS, separated by commas, IDs in hexadecimal.
 func parseChunks(text string) (parts []engine.Chunk, err error) {
 	if text == "" {
 		return nil, nil
@@ -61,8 +61,8 @@
 	return parts, nil
 }
 
-// outputTokens is how many tokens a prompt is answered with: the same at every runner, and between a quarter of the most and
-// all.
+// outputTokens returns the length of the answer to a prompt: between a quarter of the limit and all of it, and equal
+// at every runner, so that a stream can be resumed elsewhere.
 func outputTokens(parts []engine.Chunk, limit int) int {
 	limit = max(1, limit)
 	if len(parts) == 0 {
--- a/internal/testkit/runner/runner.go
+++ b/internal/testkit/runner/runner.go
@@ -1,6 +1,8 @@
-// Package runner stands in for the runners of a service: HTTP/1.1 servers on loopback, each around a machine of package
-// engine that it plays in real time. A runner answers requests, health checks and reports as the protocol says, and
-// misbehaves as its script of faults tells it.
+// Package runner is a fake of the runners of a service: an HTTP/1.1 server on loopback around an engine.Server that
+// it drives in real time. A runner answers requests, health checks and state reports as the protocol requires, and
+// misbehaves as Faults say.
+//
+// Each Start is a new incarnation, which ends with Close, Crash or Hang. Methods may be called from any goroutine.
 package runner
 
 import (
@@ -19,32 +21,32 @@
 	"cinderroad/internal/testkit/engine"
 )
 
-// Options describe a runner.
+// Options configure a runner.
 type Options struct {
 	checker.Runner
-	Address     string        // to listen on
-	Engine      engine.Server // that does the work
-	EventTokens int           // tokens in an event; 0: the service has no streams
+	Address     string        // host:port to listen on
+	Engine      engine.Server // the runner becomes its only user
+	EventTokens int           // tokens in an event; 0: no streams
 	Models      []Model
 	HealthPath  string
-	MaxConns    int           // connections from all callers; 0: no bound
-	IdleTimeout time.Duration // after which an idle connection is closed; 0: never
-	CloseShare  float64       // of answers that end their connection
+	MaxConns    int           // open connections of all callers; 0: unlimited
+	IdleTimeout time.Duration // of keep-alive connections; 0: none
+	CloseShare  float64       // of answers after which the connection is closed
 	ReportDelay time.Duration
 	SlowStart   engine.SlowStart
-	ServiceTime func(random *rand.Rand) time.Duration // of a plain request; nil: none
-	BodyBytes   int                                   // of a plain answer
+	ServiceTime func(random *rand.Rand) time.Duration // of a plain request; nil: the engine's own
+	BodyBytes   int                                   // size of a plain answer
 	Checker     *checker.Checker                      // nil: none
 	Seed        uint64
 }
 
-// Model is what a runner serves.
+// Model is a model that a runner serves.
 type Model struct {
 	Name    string `json:"name"`
 	Version int    `json:"version"`
 }
 
-// Runner is one incarnation of a server, from Start until Close, Crash or Hang.
+// Runner is one incarnation of a server.
 type Runner struct {
 	options  Options
 	address  netip.AddrPort
@@ -57,7 +59,7 @@
 	mutex      sync.Mutex
 	random     *rand.Rand
 	faults     Faults
-	faultCount int // requests, under the present script
+	faultCount int // requests with a fault since SetFaults
 	draining   bool
 	hung       bool
 	ended      bool
@@ -66,17 +68,17 @@
 	stats      Stats
 }
 
-// Stats count what a runner has seen.
+// Stats counts what a runner has seen.
 type Stats struct {
-	Requests            int // that got in, health checks and reports apart
+	Requests            int // accepted by the engine
 	Misdirected         int // answered with 421
 	Rejected            int
 	Finished            int
-	ConnectionsAccepted int // connections that were taken
-	ConnectionsReset    int // connections that were reset for being too many
-	HealthChecks        int // health checks and reports
-	FaultsInjected      int // played
-	Unanswered          int // requests that came while it was dark
+	ConnectionsAccepted int
+	ConnectionsReset    int // beyond MaxConns
+	HealthChecks        int // state reports included
+	FaultsInjected      int
+	Unanswered          int // requests after Hang
 	Overloaded          bool
 	SlowStartPeak       int
 	SlowStartViolations int
@@ -101,47 +103,47 @@
 	return r, nil
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's *conn.
 type connKey struct{}
 
-// ID is the incarnation's.
+// ID returns the incarnation's ID.
 func (r *Runner) ID() string { return r.options.ID }
 
-// Address is where it listens.
+// Address returns the address that it listens on.
 func (r *Runner) Address() netip.AddrPort { return r.address }
 
-// now is the machine's time.
+// now returns the engine's time.
 func (r *Runner) now() time.Duration { return time.Since(r.epoch) }
 
-// Drain lets it say that it is leaving.
+// Drain makes the health check fail and answers close their connections, as before a shutdown.
 func (r *Runner) Drain() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.draining = true
 }
 
-// BeginSlowStart makes it cold for a while.
+// BeginSlowStart starts slow start for a duration.
 func (r *Runner) BeginSlowStart(span time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.options.SlowStart.Begin(r.now() + span)
 }
 
-// SlowStartRemaining is how much longer it stays cold.
+// SlowStartRemaining returns how much longer slow start lasts.
 func (r *Runner) SlowStartRemaining() time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.options.SlowStart.Remaining(r.now())
 }
 
-// SetFaults sets the faults that it plays from now on.
+// SetFaults sets the faults from now on and restarts the count for MaxFaults.
 func (r *Runner) SetFaults(f Faults) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.faults, r.faultCount = f, 0
 }
 
-// Hang makes it say nothing any more: its work stops, its connections stay and new ones come up unanswered.
+// Hang stops the work and all answers; connections stay open, and new ones are accepted.
 func (r *Runner) Hang() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -149,10 +151,10 @@
 	r.stopEngine()
 }
 
-// Crash ends it: connections are reset, its work is lost.
+// Crash resets all connections and stops; its work is lost.
 func (r *Runner) Crash() { r.shutDown(true) }
 
-// Close ends it; connections are closed.
+// Close stops the runner and closes its connections.
 func (r *Runner) Close() { r.shutDown(false) }
 
 func (r *Runner) shutDown(reset bool) {
@@ -171,7 +173,7 @@
 	r.server.Close()
 }
 
-// stopEngine loses all work.
+// stopEngine loses all work. The mutex must be held.
 func (r *Runner) stopEngine() {
 	for _, event := range r.options.Engine.Stop(r.now()) {
 		r.dispatchEvent(event)
@@ -189,7 +191,7 @@
 	return s
 }
 
-// run plays the machine.
+// run drives the engine until the runner stops.
 func (r *Runner) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -206,7 +208,7 @@
 	}
 }
 
-// advance lets everything happen that is due.
+// advance processes the engine's due events and returns when the next is due.
 func (r *Runner) advance() (next time.Duration, is bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -217,7 +219,7 @@
 	return r.options.Engine.Next()
 }
 
-// wakeUp has run look at the machine again.
+// wakeUp makes run look at the engine again.
 func (r *Runner) wakeUp() {
 	select {
 	case r.wake <- struct{}{}:
@@ -225,7 +227,7 @@
 	}
 }
 
-// dispatchEvent passes an event of the machine on to the request that waits for it.
+// dispatchEvent passes an event to the execution that it concerns. The mutex must be held.
 func (r *Runner) dispatchEvent(event engine.Event) {
 	execution := r.executions[event.Task]
 	if execution == nil {
@@ -242,7 +244,7 @@
 	execution.addEvent(event)
 }
 
-// reportStarted notes that work on a request has begun.
+// reportStarted reports the start of an execution to the checker.
 func (r *Runner) reportStarted(execution *execution) {
 	if r.options.Checker != nil {
 		r.options.Checker.ExecutionStarted(&r.options.Runner, execution.attemptID)
--- a/internal/testkit/runner/runner_test.go
+++ b/internal/testkit/runner/runner_test.go
@@ -28,16 +28,16 @@
 
 func startRunner(t *testing.T, alter func(*Options)) *Runner {
 	t.Helper()
-	machine, err := engine.New(engineOptions())
+	server, err := engine.New(engineOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := Options{Runner: checker.Runner{ID: "i-1", Service: "llm", Zone: "a", Region: "r"}, Address: "127.0.0.1:0",
-		Engine: machine, EventTokens: 2, Models: []Model{{Name: "m", Version: 3}}, HealthPath: "/health"}
+	options := Options{Runner: checker.Runner{ID: "i-1", Service: "llm", Zone: "a", Region: "r"}, Address: "127.0.0.1:0",
+		Engine: server, EventTokens: 2, Models: []Model{{Name: "m", Version: 3}}, HealthPath: "/health"}
 	if alter != nil {
-		alter(&o)
+		alter(&options)
 	}
-	r, err := Start(o)
+	r, err := Start(options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,13 +134,13 @@
 
 func TestStreamResumption(t *testing.T) {
 	r := startRunner(t, nil)
-	whole, err := events(t, dial(t, r).mustAsk(t, "X-Try-Id: 1", prompt).Body)
+	complete, err := events(t, dial(t, r).mustAsk(t, "X-Try-Id: 1", prompt).Body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rest, err := events(t, dial(t, r).mustAsk(t, "X-Try-Id: 2", prompt, "Last-Event-Id: 2").Body)
-	if err != nil || len(rest) != len(whole)-2 || rest[0].Index != 3 || rest[0].Total != len(whole) {
-		t.Errorf("after 2 of %d events came %+v: %v", len(whole), rest, err)
+	if err != nil || len(rest) != len(complete)-2 || rest[0].Index != 3 || rest[0].Total != len(complete) {
+		t.Errorf("after 2 of %d events came %+v: %v", len(complete), rest, err)
 	}
 }
 
@@ -330,12 +330,12 @@
 	if _, err := c.ask("GET", "/health"); err == nil {
 		t.Error("a crashed runner answers")
 	}
-	dark := startRunner(t, nil)
-	c = dial(t, dark)
-	dark.Hang()
+	hung := startRunner(t, nil)
+	c = dial(t, hung)
+	hung.Hang()
 	fmt.Fprint(c, "GET /health HTTP/1.1\r\nHost: h\r\n\r\n")
-	waitFor(t, func() bool { return dark.Stats().Unanswered == 1 })
-	dark.Close()
+	waitFor(t, func() bool { return hung.Stats().Unanswered == 1 })
+	hung.Close()
 	if _, err := http.ReadResponse(c.reader, nil); err == nil {
 		t.Error("a dark runner answers")
 	}
--- a/internal/testkit/runner/serve.go
+++ b/internal/testkit/runner/serve.go
@@ -11,7 +11,7 @@
 	"cinderroad/internal/testkit/engine"
 )
 
-// serve answers one request.
+// serve handles one HTTP request.
 func (r *Runner) serve(w http.ResponseWriter, request *http.Request) {
 	connection := request.Context().Value(connKey{}).(*conn)
 	r.sendStale(connection)
@@ -37,7 +37,7 @@
 	return r.hung
 }
 
-// setCommonHeaders sets the headers that every answer has.
+// setCommonHeaders sets the headers of every answer.
 func (r *Runner) setCommonHeaders(w http.ResponseWriter) {
 	r.mutex.Lock()
 	ends := r.draining || r.random.Float64() < r.options.CloseShare
@@ -54,7 +54,7 @@
 	}
 }
 
-// sendNotExecuted says that a request has not run.
+// sendNotExecuted answers that a request wasn't executed.
 func (r *Runner) sendNotExecuted(w http.ResponseWriter, status int) {
 	w.Header().Set(answer.HeaderNotRun, "1")
 	w.WriteHeader(status)
@@ -73,7 +73,7 @@
 	}
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
-		return // the caller broke off
+		return // the caller disconnected
 	}
 	if attemptID == "" {
 		r.sendNotExecuted(w, http.StatusBadRequest)
@@ -88,7 +88,7 @@
 		r.sendNotExecuted(w, http.StatusServiceUnavailable)
 		return
 	}
-	if execution == nil { // it fell over
+	if execution == nil { // overloaded
 		reset(connection.Conn)
 		return
 	}
@@ -115,7 +115,8 @@
 	alter(&r.stats)
 }
 
-// submit hands a request to the machine; false: it is full. No order: the runner has fallen over.
+// submit queues a request at the engine; false if the engine rejects it. A nil execution means that the runner
+// crashed.
 func (r *Runner) submit(request *http.Request, attemptID string) (*execution, bool) {
 	engineRequest, err := r.parseRequest(request)
 	if err != nil {
--- a/internal/testkit/virtualcluster/network.go
+++ b/internal/testkit/virtualcluster/network.go
@@ -1,5 +1,6 @@
-// Package virtual runs fleets of members over a network of its own, in virtual time: the state machines are the real ones,
-// everything else is drawn from a seed, so that a run that fails can be played again to the letter.
+// Package virtualcluster runs clusters of membership nodes over a simulated network in virtual time. The nodes are
+// the real state machines; everything else is drawn from a seed, so that a failing run can be reproduced exactly. It
+// isn't safe for concurrent use.
 package virtualcluster
 
 import (
@@ -11,37 +12,37 @@
 	"cinderroad/internal/shared/membership"
 )
 
-// Options are a network's.
+// Options configure a network. Shares are between 0 and 1.
 type Options struct {
 	Seed          uint64
-	LossRate      float64 // share of the messages that get lost
-	Delay         float64 // seconds that a message takes, at least
-	Jitter        float64 // and more, drawn evenly
-	DuplicateRate float64 // share that come twice
-	ProbeInterval float64 // of the members; 0: 1 s
-	PlainSWIM     bool    // SWIM as first published
-	EncodeEvery   int     // every so many messages one is encoded and its bytes counted for all; 0: none is
+	LossRate      float64 // share of messages lost
+	Delay         float64 // latency in seconds
+	Jitter        float64 // up to this much more, uniformly distributed
+	DuplicateRate float64 // share of messages delivered twice
+	ProbeInterval float64 // of the nodes, in seconds; 0: 1
+	PlainSWIM     bool    // SWIM as first published, without the extensions
+	EncodeEvery   int     // every n-th message is encoded, and its size counted for those until the next; 0: none
 }
 
-// Network is the network and its members.
+// Network is the simulated network, its nodes and the clock.
 type Network struct {
 	Options
 	Now   float64
 	Nodes []*Node
-	// Partitioned says whether nothing gets from one member to another just now.
+	// Partitioned reports whether messages from one node to another are lost; nil: none are.
 	Partitioned func(from, to *Node) bool
-	// LossRateBetween is the share that gets lost from one to another; nil: Drop everywhere.
+	// LossRateBetween overrides LossRate; nil: LossRate applies to all links.
 	LossRateBetween func(from, to *Node) float64
-	// NewDelegate makes what rides along with a member's messages, for each of its processes; nil: nothing does.
+	// NewDelegate returns the delegate for a new process of a node; nil: none.
 	NewDelegate func(n *Node) membership.Delegate
-	// AfterEvent is called after each thing that a member did.
+	// AfterEvent is called after each event of a node; nil: none.
 	AfterEvent func(n *Node)
 
 	random          *rand.Rand
 	events          eventHeap
 	lastSequence    uint64
 	nodesByAddress  map[netip.AddrPort]*Node
-	lastMessageSize float64 // bytes of the last message that was encoded
+	lastMessageSize float64 // bytes
 	messageCount    int
 }
 
@@ -49,7 +50,7 @@
 	at        float64
 	sequence  uint64
 	node      *Node
-	message   *membership.Message // nil: a tick, or do
+	message   *membership.Message // nil: a tick, or run
 	tickEpoch int
 	run       func()
 }
@@ -74,7 +75,7 @@
 	return x
 }
 
-// New makes a network of n places without processes.
+// New creates a network of n nodes without processes.
 func New(options Options, n int) *Network {
 	if options.ProbeInterval == 0 {
 		options.ProbeInterval = 1
@@ -92,10 +93,10 @@
 	heap.Push(&network.events, e)
 }
 
-// Schedule does something at a time.
+// Schedule calls a function at a time.
 func (network *Network) Schedule(at float64, do func()) { network.pushEvent(event{at: at, run: do}) }
 
-// Run plays until a time.
+// Run runs all events up to a time.
 func (network *Network) Run(until float64) {
 	for len(network.events) > 0 && network.events[0].at <= until {
 		e := heap.Pop(&network.events).(event)
@@ -124,7 +125,8 @@
 	network.Now = until
 }
 
-// RunUntil plays in steps until something holds, or a time has passed; it says whether it does.
+// RunUntil runs in steps until the condition holds; ok is false if it doesn't within limit seconds. It returns the
+// time taken in seconds.
 func (network *Network) RunUntil(limit, step float64, condition func() bool) (took float64, ok bool) {
 	for from := network.Now; ; {
 		if condition() {
@@ -137,7 +139,7 @@
 	}
 }
 
-// Flush sends what a member has to send, after a call of its own.
+// Flush sends a node's pending messages after a direct call to its Membership.
 func (network *Network) Flush(node *Node) { network.collectOutput(node) }
 
 func (network *Network) collectOutput(node *Node) {
@@ -183,7 +185,7 @@
 	}
 }
 
-// Converged says whether all members that run hold one view, and which number of living members it has.
+// Converged reports whether all running nodes have the same membership digest, and how many members are alive in it.
 func (network *Network) Converged() (one bool, alive int) {
 	var digest uint64
 	first := true
@@ -201,7 +203,7 @@
 	return true, alive
 }
 
-// RunningCount is how many processes run.
+// RunningCount returns the number of nodes with a running process.
 func (network *Network) RunningCount() (n int) {
 	for _, node := range network.Nodes {
 		if node.Membership != nil && !node.Paused {
--- a/internal/testkit/virtualcluster/node.go
+++ b/internal/testkit/virtualcluster/node.go
@@ -6,28 +6,28 @@
 	"cinderroad/internal/shared/membership"
 )
 
-// Node is one member's place: its process may be stopped, killed and started again.
+// Node is a node of the network, whose process may be paused, killed and restarted.
 type Node struct {
 	Name            string
 	Addr            netip.AddrPort
 	Membership      *membership.Node // nil: no process
 	Paused          bool
-	ProcessingDelay float64 // seconds that the process takes longer to see a message or a deadline
-	ClockSkew       float64 // seconds that its clock is ahead, for lives
+	ProcessingDelay float64 // added in seconds to each message and timer
+	ClockSkew       float64 // seconds that its clock is ahead; affects generations
 	Sent            int
 	Bytes           float64
 	Changes         []Change
-	tickEpoch       int // of its ticks
+	tickEpoch       int // invalidates scheduled ticks
 	buffered        []*membership.Message
 }
 
-// Change is a change that a member saw.
+// Change is a membership change that a node observed, and when.
 type Change struct {
 	At float64
 	membership.Change
 }
 
-// AddNode adds a place.
+// AddNode adds a node without a process.
 func (network *Network) AddNode(name string) *Node {
 	i := len(network.Nodes)
 	node := &Node{Name: name, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7946)}
@@ -36,7 +36,7 @@
 	return node
 }
 
-// Start starts a process at a place; seeds are places.
+// Start starts a process at a node, which joins through the seeds.
 func (network *Network) Start(node *Node, seeds ...*Node) {
 	o := membership.Options{Cluster: "virtual", Name: node.Name, Addr: node.Addr, ProbeInterval: network.ProbeInterval, Generation: uint64((network.Now + node.ClockSkew) * 1e6),
 		RandomSeed: network.random.Uint64(), PlainSWIM: network.PlainSWIM, Metadata: membership.Metadata{Zone: "z", Version: "v1", Serving: "serving"}}
@@ -54,7 +54,7 @@
 	network.scheduleTick(node)
 }
 
-// StartAll starts a process at each place, all within a span, with the first place as their seed.
+// StartAll starts processes at all nodes at random times within a duration, with the first node as seed.
 func (network *Network) StartAll(within float64) {
 	for _, node := range network.Nodes {
 		network.Schedule(network.Now+within*network.random.Float64(), func() { network.Start(node, network.Nodes[0]) })
@@ -62,16 +62,16 @@
 	network.Run(network.Now + within)
 }
 
-// Kill ends the process of a place without a word.
+// Kill ends the process without notice to the others.
 func (network *Network) Kill(node *Node) {
 	node.Membership, node.buffered = nil, nil
 	node.tickEpoch++
 }
 
-// Pause stops a process; what comes meanwhile waits, as in a socket's buffer.
+// Pause suspends the process; messages are buffered, as in a socket.
 func (network *Network) Pause(node *Node) { node.Paused = true }
 
-// Resume has it go on.
+// Resume continues a paused process.
 func (network *Network) Resume(node *Node) {
 	node.Paused = false
 	held := node.buffered
@@ -87,5 +87,5 @@
 	network.pushEvent(event{at: max(network.Now, node.Membership.NextTick()+node.ProcessingDelay), node: node, tickEpoch: node.tickEpoch})
 }
 
-// maxBuffered is how many messages a socket's buffer holds.
+// maxBuffered is the number of messages that a paused node's socket buffers.
 const maxBuffered = 200
