--- a/internal/shared/eventloop/conn_close.go
+++ b/internal/shared/eventloop/conn_close.go
@@ -11,18 +11,16 @@
 func (c *Conn) Close() {
 	if c.readFirst {
 		c.readFirst = false
-		for i, u := range c.loop.readFirst {
-			if u == c {
-				c.loop.readFirst = append(append([]*Conn(nil), c.loop.readFirst[:i]...), c.loop.readFirst[i+1:]...)
-				break
-			}
+		if i := slices.Index(c.loop.readFirst, c); i >= 0 {
+			// A new list, because the loop may be iterating over this one.
+			c.loop.readFirst = slices.Concat(c.loop.readFirst[:i], c.loop.readFirst[i+1:])
 		}
 	}
 	c.lingerTimer.Stop()
 	c.descriptors.closeAll()
 	if c.lingering {
 		c.lingering = false
-		c.loop.lingering = slices.DeleteFunc(c.loop.lingering, func(o *Conn) bool { return o == c })
+		c.loop.lingering = slices.DeleteFunc(c.loop.lingering, func(other *Conn) bool { return other == c })
 	}
 	c.loop.conns.Remove(c.handle)
 	if c.reservedBy != nil {
--- a/internal/shared/eventloop/conn_write.go
+++ b/internal/shared/eventloop/conn_write.go
@@ -84,8 +84,8 @@
 		c.unsent = nil
 	}
 	c.updateWriteInterest()
-	if d, ok := c.handler.(Drainer); ok && drained && !c.closeAfterFlush {
-		d.Drained(c)
+	if drainer, ok := c.handler.(Drainer); ok && drained && !c.closeAfterFlush {
+		drainer.Drained(c)
 		if c.fd < 0 || c.failed {
 			return
 		}
--- a/internal/shared/eventloop/descriptor_passing.go
+++ b/internal/shared/eventloop/descriptor_passing.go
@@ -61,15 +61,15 @@
 	}
 	for n < len(b) {
 		end, oob := len(b), []byte(nil)
-		for i, p := range c.descriptors.outgoing {
-			if i == 0 && p.offset == n {
-				oob = unix.UnixRights(p.fd)
+		for i, next := range c.descriptors.outgoing {
+			if i == 0 && next.offset == n {
+				oob = unix.UnixRights(next.fd)
 			} else {
-				end = p.offset
+				end = next.offset
 				break
 			}
 		}
-		m, err := unix.SendmsgN(c.fd, b[n:end], oob, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
+		sent, err := unix.SendmsgN(c.fd, b[n:end], oob, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 		switch {
 		case errors.Is(err, unix.EINTR):
 			continue
@@ -77,10 +77,10 @@
 		case err != nil:
 			return n, fmt.Errorf("eventloop: send: %w", err)
 		}
-		if m <= 0 {
+		if sent <= 0 {
 			break
 		}
-		if n += m; oob != nil {
+		if n += sent; oob != nil {
 			unix.Close(c.descriptors.outgoing[0].fd)
 			c.descriptors.outgoing = c.descriptors.outgoing[1:]
 		}
--- a/internal/shared/eventloop/listener.go
+++ b/internal/shared/eventloop/listener.go
@@ -52,11 +52,16 @@
 	if err != nil {
 		return nil, err
 	}
-	ln.reservedLimit, ln.closeOne = limit, closeOne
-	l.reservedSockets++
+	ln.reserve(limit, closeOne)
 	return ln, nil
 }
 
+// reserve takes the listener and its connections out of the loop's socket limit.
+func (ln *Listener) reserve(limit int, closeOne func() bool) {
+	ln.reservedLimit, ln.closeOne = limit, closeOne
+	ln.loop.reservedSockets++
+}
+
 // InheritListener accepts connections on a listening socket that this process has received and may share with others.
 func (l *Loop) InheritListener(fd int, newHandler func(c *Conn) Handler) (*Listener, error) {
 	if listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil {
@@ -134,16 +139,16 @@
 		fd, err := ln.loop.system.Accept(ln.fd)
 		switch {
 		case err == nil:
-			c := &Conn{loop: ln.loop, fd: fd}
+			conn := &Conn{loop: ln.loop, fd: fd}
 			if ln.reservedLimit > 0 {
-				c.reservedBy = ln
+				conn.reservedBy = ln
 				ln.reservedOpen++
 				ln.loop.reservedSockets++
 			}
-			if c.register(unix.EPOLLIN|unix.EPOLLRDHUP) != nil {
+			if conn.register(unix.EPOLLIN|unix.EPOLLRDHUP) != nil {
 				continue
 			}
-			c.handler = ln.newHandler(c)
+			conn.handler = ln.newHandler(conn)
 		case errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE) || errors.Is(err, unix.ENOBUFS) || errors.Is(err, unix.ENOMEM):
 			if !ln.loop.freeDescriptor() {
 				ln.pauseAccepting()
--- a/internal/shared/eventloop/loop.go
+++ b/internal/shared/eventloop/loop.go
@@ -141,9 +141,9 @@
 		wait, before := -1, began
 		if len(l.deferred) > 0 {
 			wait = 0
-		} else if at, pending := l.nextDue(); pending {
+		} else if due, pending := l.nextDue(); pending {
 			l.updateTime()
-			wait = max(0, int((at-l.now)*1000+0.999))
+			wait = max(0, int((due-l.now)*1000+0.999))
 		}
 		n, err := l.system.Wait(events, wait)
 		if err != nil {
@@ -155,9 +155,9 @@
 		if late := l.now - before - float64(wait)/1000; wait >= 0 && l.OnLateWakeup != nil && late > l.LateWakeupSeconds {
 			l.OnLateWakeup(late)
 		}
-		for _, c := range l.readFirst { // what such a peer has sent takes effect before anything else can be sent
-			if !c.connecting {
-				c.handleReadable()
+		for _, conn := range l.readFirst { // what such a peer has sent takes effect before anything else can be sent
+			if !conn.connecting {
+				conn.handleReadable()
 			}
 		}
 		l.runDeferred()
@@ -200,13 +200,13 @@
 
 // isReserved reports whether an event concerns a reserved listener or one of its connections.
 func (l *Loop) isReserved(event *unix.EpollEvent) bool {
-	h := eventHandle(event)
-	if h&listenerFlag != 0 {
-		ln, ok := l.listeners.Get(h &^ listenerFlag)
-		return ok && ln.reservedLimit > 0
+	handle := eventHandle(event)
+	if handle&listenerFlag != 0 {
+		listener, ok := l.listeners.Get(handle &^ listenerFlag)
+		return ok && listener.reservedLimit > 0
 	}
-	c, ok := l.conns.Get(h)
-	return ok && c.reservedBy != nil
+	conn, ok := l.conns.Get(handle)
+	return ok && conn.reservedBy != nil
 }
 
 func (l *Loop) dispatch(event unix.EpollEvent) {
@@ -223,19 +223,19 @@
 		return
 	}
 	if handle&listenerFlag != 0 {
-		if ln, ok := l.listeners.Get(handle &^ listenerFlag); ok {
-			ln.acceptPending()
+		if listener, ok := l.listeners.Get(handle &^ listenerFlag); ok {
+			listener.acceptPending()
 		}
 		return
 	}
 	if handle>>32 == 0 {
-		if s := l.udpSockets[uint32(handle)]; s != nil {
-			s.handleReadable()
+		if socket := l.udpSockets[uint32(handle)]; socket != nil {
+			socket.handleReadable()
 		}
 		return
 	}
-	if c, ok := l.conns.Get(handle); ok {
-		c.handleEvent(event.Events)
+	if conn, ok := l.conns.Get(handle); ok {
+		conn.handleEvent(event.Events)
 	}
 }
 
--- a/internal/shared/eventloop/unix_socket.go
+++ b/internal/shared/eventloop/unix_socket.go
@@ -64,8 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ln.reservedLimit, ln.closeOne = limit, closeOne
-	l.reservedSockets++
+	ln.reserve(limit, closeOne)
 	return ln, nil
 }
 
