--- a/cmd/cinderroad-dispatcher/audit.go
+++ b/cmd/cinderroad-dispatcher/audit.go
@@ -21,22 +21,22 @@
 has got is a file of lines PATH VALUE TIME, as Graphite takes them, or PUTVAL lines. Ends with status 1 where the two differ.`,
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			comparison := requestaudit.New()
-			if err := readFiles(logs, comparison.Log); err != nil {
+			if err := readFiles(logs, comparison.ReadRequestLog); err != nil {
 				return err
 			}
-			if err := readFiles(received, comparison.Received); err != nil {
+			if err := readFiles(received, comparison.ReadMetrics); err != nil {
 				return err
 			}
-			if err := comparison.Write(c.OutOrStdout()); err != nil {
+			if err := comparison.WriteTable(c.OutOrStdout()); err != nil {
 				return err
 			}
-			if n := requestaudit.Difference(comparison.Rows()); n > 0 {
+			if n := requestaudit.TotalDifference(comparison.Compare()); n > 0 {
 				return fmt.Errorf("audit: %d answers differ", n)
 			}
-			if comparison.BadCount > 0 {
-				return fmt.Errorf("audit: %d places make no sense", comparison.BadCount)
+			if comparison.MalformedCount > 0 {
+				return fmt.Errorf("audit: %d places make no sense", comparison.MalformedCount)
 			}
-			if comparison.Lines == 0 || comparison.Points == 0 {
+			if comparison.LogLines == 0 || comparison.MetricPoints == 0 {
 				return errors.New("audit: nothing was there to compare")
 			}
 			return nil
--- a/grpcbalancer/metrics.go
+++ b/grpcbalancer/metrics.go
@@ -29,7 +29,7 @@
 		if d.metrics == nil {
 			return
 		}
-		period := d.metrics.Close(0, 0)
+		period := d.metrics.ClosePeriod(0, 0)
 		reader := period.Read()
 		for series, value, ok := reader.Next(); ok; series, value, ok = reader.Next() {
 			metrics = append(metrics, Metric{series.Name, series.Kind == telemetry.Counter, value})
@@ -56,6 +56,6 @@
 		zones = append(zones[:len(zones):len(zones)], strconv.Itoa(len(zones)))
 	}
 	d.metrics = telemetry.New(telemetry.Options{Settings: *settings, Classes: classes, Zones: zones, Kinds: kinds,
-		Nodes: options.MaxServers, Standing: d.core.WorkerStatus, Now: d.Now})
+		MaxNodes: options.MaxServers, WorkerStatus: d.core.WorkerStatus, Now: d.Now})
 	d.core.Observer = d.metrics
 }
--- a/internal/compatibility/configured_test.go
+++ b/internal/compatibility/configured_test.go
@@ -108,16 +108,16 @@
 	got := must(operatorconfig.Parse("operator.toml", text))(t)
 	keep, series, whole := 5, 257, false
 	address := netip.MustParseAddrPort
-	same(t, "graphite", got.Graphite, []operatorconfig.Graphite{{Address: "127.0.0.1:2003", Form: "pickle", Prefix: "p", Confirm: "none",
-		Patience: 21, Addr: address("127.0.0.1:2003")}})
-	same(t, "collectd", got.Collectd, []operatorconfig.Collectd{{Socket: "/run/collectd.sock", Security: "none", Patience: 22}, {Address: "127.0.0.1:25826",
-		Security: "none", Patience: 20, Addr: address("127.0.0.1:25826")}})
-	same(t, "telemetry", got.Telemetry, operatorconfig.Telemetry{Every: 11, MemoryBytes: 1048577, SpoolDir: "/spool", SpoolBytes: 67108865,
+	same(t, "graphite", got.Graphite, []operatorconfig.Graphite{{Address: "127.0.0.1:2003", Protocol: "pickle", Prefix: "p", Confirm: "none",
+		TimeoutSeconds: 21, ParsedAddress: address("127.0.0.1:2003")}})
+	same(t, "collectd", got.Collectd, []operatorconfig.Collectd{{Socket: "/run/collectd.sock", Security: "none", TimeoutSeconds: 22}, {Address: "127.0.0.1:25826",
+		Security: "none", TimeoutSeconds: 20, ParsedAddress: address("127.0.0.1:25826")}})
+	same(t, "telemetry", got.Telemetry, operatorconfig.Telemetry{IntervalSeconds: 11, MemoryBytes: 1048577, SpoolDir: "/spool", SpoolBytes: 67108865,
 		NodeSeries: &series})
-	same(t, "request log", *got.RequestLog, operatorconfig.RequestLog{Path: "/log", MaxBytes: 67108866, Keep: &keep})
-	same(t, "fleet", *got.Fleet, operatorconfig.Fleet{Name: "f", Bind: "127.0.0.1:7946", Advertise: "127.0.0.1:7947", Seeds: []string{"127.0.0.1:7948"},
-		Period: 1.5, Forget: 3601, Discovery: "d", Lease: 31, Ledger: "/ledger", Whole: &whole, BindAddr: address("127.0.0.1:7946"),
-		AdvertiseAddr: address("127.0.0.1:7947"), SeedAddrs: []netip.AddrPort{address("127.0.0.1:7948")}})
+	same(t, "request log", *got.RequestLog, operatorconfig.RequestLog{Path: "/log", MaxBytes: 67108866, KeepFiles: &keep})
+	same(t, "fleet", *got.Cluster, operatorconfig.Cluster{Name: "f", Bind: "127.0.0.1:7946", Advertise: "127.0.0.1:7947", Seeds: []string{"127.0.0.1:7948"},
+		ProbeIntervalSeconds: 1.5, RetentionSeconds: 3601, DiscoveryID: "d", LeaseSeconds: 31, AuditLogPath: "/ledger", Complete: &whole, ParsedBind: address("127.0.0.1:7946"),
+		ParsedAdvertise: address("127.0.0.1:7947"), ParsedSeeds: []netip.AddrPort{address("127.0.0.1:7948")}})
 }
 
 // TestReadsGearmanFiles: each key of the file of the Gearman front.
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -311,18 +311,18 @@
 // TestReadsSpools: closed periods on disk.
 func TestReadsSpools(t *testing.T) {
 	fail := func(err error) { t.Error(err) }
-	table := &telemetry.Table{}
+	table := &telemetry.SeriesTable{}
 	table.Append(telemetry.Series{Name: "classes.score.answers.in_time", Kind: telemetry.Counter},
 		telemetry.Series{Name: "reqs.open", Kind: telemetry.Gauge}, telemetry.Series{Name: "share", Kind: telemetry.Gauge})
 	body := []byte{3, 42, 0, 1, 0, 0, 0, 0x3f} // three values: 40, none, 0.5
-	held := []telemetry.Held{{Spot: "m.k.3", Slot: 1, Node: "node-1"}}
+	held := []telemetry.SlotAssignment{{Location: "m.k.3", Slot: 1, Node: "node-1"}}
 	fresh := t.TempDir()
 	written, _, err := spool.Open(fresh, "n0", 1<<20, fail)
 	if err != nil {
 		t.Fatal(err)
 	}
-	written.Period(&telemetry.Period{Stamp: 1_700_000_000_000, Every: 10, Table: table, Body: body}, held, nothing)
-	written.Got(map[string]int64{"carbon": 1_700_000_000_000})
+	written.AppendPeriod(&telemetry.Period{Timestamp: 1_700_000_000_000, Interval: 10, Table: table, EncodedValues: body}, held, nothing)
+	written.AppendAcknowledged(map[string]int64{"carbon": 1_700_000_000_000})
 	written.Close()
 	recorded := compatibility.Here.Check(t, "spool/n0.1", must(os.ReadFile(filepath.Join(fresh, "n0.1")))(t))
 
@@ -335,15 +335,15 @@
 		t.Fatal(err)
 	}
 	again.Close()
-	same(t, "torn and strange", []int{found.Torn, found.Strange}, []int{0, 0})
-	same(t, "held", found.Held, held)
-	same(t, "got", found.Got, map[string]int64{"carbon": 1_700_000_000_000})
+	same(t, "torn and strange", []int{found.TornFiles, found.UnknownFiles}, []int{0, 0})
+	same(t, "held", found.SlotAssignments, held)
+	same(t, "got", found.Acknowledged, map[string]int64{"carbon": 1_700_000_000_000})
 	same(t, "totals", found.Totals, map[string]float64{"classes.score.answers.in_time": 40})
 	if len(found.Periods) != 1 {
 		t.Fatalf("%d periods", len(found.Periods))
 	}
 	period := found.Periods[0]
-	same(t, "period", []float64{float64(period.Stamp), period.Every}, []float64{1_700_000_000_000, 10})
+	same(t, "period", []float64{float64(period.Timestamp), period.Interval}, []float64{1_700_000_000_000, 10})
 	reader, values := period.Read(), map[telemetry.Series]float64{}
 	for series, value, ok := reader.Next(); ok; series, value, ok = reader.Next() {
 		values[series] = value
@@ -355,14 +355,14 @@
 // TestReadsRequestLogs: lines of the request log, by its reader and by the ledger's.
 func TestReadsRequestLogs(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
-	log := must(requestlog.Open(requestlog.Options{Path: path, By: "n0", Life: "k3f", Classes: []string{"score"},
-		Slot: func(w loadbalancer.WorkerID) string { return fmt.Sprintf("m.k.0.%d", w) }}))(t)
-	log.Answered(&dispatch.AnswerRecord{ID: "x", Front: "platform", Verdict: dispatch.Served, ArrivedAt: 100, AnsweredAt: 100.25, TargetAt: 101,
+	log := must(requestlog.Open(requestlog.Options{Path: path, DispatcherName: "n0", Incarnation: "k3f", Classes: []string{"score"},
+		NodeSlot: func(w loadbalancer.WorkerID) string { return fmt.Sprintf("m.k.0.%d", w) }}))(t)
+	log.LogAnswer(&dispatch.AnswerRecord{ID: "x", Front: "platform", Verdict: dispatch.Served, ArrivedAt: 100, AnsweredAt: 100.25, TargetAt: 101,
 		StartedAt: 100.1, WinningAttempt: 1, AuditMark: 12, Attempts: []dispatch.AttemptRecord{
 			{Worker: 1, MemberName: "a", SentAt: 100, EndedAt: 100.05, Result: loadbalancer.Rejected, AuditMark: 11},
 			{Worker: 2, Attempt: 1, MemberName: "b", SentAt: 100.05, StartedAt: 100.1, EndedAt: 100.25, Hedged: true},
 			{Worker: 3, Attempt: 2, MemberName: "c", SentAt: 100.2}}})
-	log.Answered(&dispatch.AnswerRecord{ID: "y", Front: "gearman", Class: -1, Verdict: dispatch.Rejected, Reason: dispatch.ReasonNoCapacity, ArrivedAt: 100,
+	log.LogAnswer(&dispatch.AnswerRecord{ID: "y", Front: "gearman", Class: -1, Verdict: dispatch.Rejected, Reason: dispatch.ReasonNoCapacity, ArrivedAt: 100,
 		AnsweredAt: 100, RetryAfter: 0.5, WinningAttempt: -1})
 	log.Close()
 	recorded := compatibility.Here.Check(t, "request-log", must(os.ReadFile(path))(t))
@@ -372,19 +372,19 @@
 	if err := requestlog.Read(bytes.NewReader(recorded), func(l requestlog.Line) { lines = append(lines, l) }, bad); err != nil {
 		t.Fatal(err)
 	}
-	if len(lines) != 2 || len(lines[0].Tries) != 3 || len(lines[1].Tries) != 0 {
+	if len(lines) != 2 || len(lines[0].Attempts) != 3 || len(lines[1].Attempts) != 0 {
 		t.Fatalf("%+v", lines)
 	}
-	tries := lines[0].Tries
+	tries := lines[0].Attempts
 	same(t, "nodes", []string{tries[0].Node, tries[1].Node, tries[2].Node}, []string{"a", "b", "c"})
 	same(t, "slots", []string{tries[0].Slot, tries[1].Slot, tries[2].Slot}, []string{"m.k.0.1", "m.k.0.2", "m.k.0.3"})
 	same(t, "results", []string{tries[0].Result, tries[1].Result, tries[2].Result}, []string{"full", "ok", "out"})
 	same(t, "copies", []bool{tries[0].Copy, tries[1].Copy, tries[2].Copy}, []bool{false, true, false})
 	same(t, "won", []bool{tries[0].Won, tries[1].Won, tries[2].Won}, []bool{false, true, false})
-	lines[0].Tries = nil
+	lines[0].Attempts = nil
 	same(t, "lines", lines, []requestlog.Line{
-		{Time: 100.25, By: "n0", ID: "x", Class: "score", Front: "platform", Verdict: "in_time", TookMs: 250},
-		{Time: 100, By: "n0", ID: "y", Class: "unknown", Front: "gearman", Verdict: "refused", Reason: "no_room"}})
+		{Time: 100.25, Dispatcher: "n0", ID: "x", Class: "score", Front: "platform", Verdict: "in_time", DurationMS: 250},
+		{Time: 100, Dispatcher: "n0", ID: "y", Class: "unknown", Front: "gearman", Verdict: "refused", Reason: "no_room"}})
 
 	var sent []auditlog.Attempt
 	if err := auditlog.Read(bytes.NewReader(recorded), nil, func(s *auditlog.Attempt) { sent = append(sent, *s) }, bad); err != nil {
--- a/internal/dispatcher/cluster/auditlog/log.go
+++ b/internal/dispatcher/cluster/auditlog/log.go
@@ -94,7 +94,7 @@
 
 // Open opens the log of a generation of a dispatcher.
 func Open(o linelog.Options, by, life string) (*Log, error) {
-	o.What = "ledger"
+	o.Name = "ledger"
 	log, err := linelog.Open(o)
 	if err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 	}
 	text, err := json.Marshal(&entry)
 	if err == nil { // numbers and strings: it cannot fail
-		l.log.End(append(append(l.log.Begin(), text...), '\n'))
+		l.log.EndLine(append(append(l.log.BeginLine(), text...), '\n'))
 	}
 	return l.number
 }
@@ -127,7 +127,7 @@
 func (l *Log) KeepAliveDue(now float64) bool { return now >= l.lastAppend+KeepAliveInterval }
 
 // LostLines returns how many lines did not get to the disk.
-func (l *Log) LostLines() uint64 { return l.log.Lost() + l.log.Failed() }
+func (l *Log) LostLines() uint64 { return l.log.DroppedLines() + l.log.FailedLines() }
 
 // Flush hands the pending lines to the writer.
 func (l *Log) Flush() { l.log.Flush() }
--- a/internal/dispatcher/exporter/collectd.go
+++ b/internal/dispatcher/exporter/collectd.go
@@ -59,9 +59,9 @@
 // Kind implements Output.
 func (o *Collectd) Kind() string { return "collectd" }
 
-func (o *Collectd) start(f *Feed, place *telemetry.Place) {
+func (o *Collectd) start(f *Exporter, place *telemetry.Cursor) {
 	o.begin(f, place)
-	o.host = telemetry.Clean(f.options.Host)
+	o.host = telemetry.SanitizeName(f.options.DispatcherName)
 }
 
 func (o *Collectd) stop() {
@@ -81,7 +81,7 @@
 	if !o.free() || o.reader != nil || o.written {
 		return
 	}
-	p, n := o.feed.from(o.place.After())
+	p, n := o.feed.from(o.place.Next())
 	if p == nil {
 		return
 	}
@@ -132,8 +132,8 @@
 		b = append(append(b, o.host...), "/cinderroad/"...)
 		b = append(append(b, typeOf(s.Kind)...), '-')
 		b = append(append(b, instance(s.Name)...), `" interval=`...)
-		b = strconv.AppendFloat(b, o.period.Every, 'f', -1, 64)
-		b = strconv.AppendFloat(append(b, ' '), float64(o.period.Stamp)/1000, 'f', -1, 64)
+		b = strconv.AppendFloat(b, o.period.Interval, 'f', -1, 64)
+		b = strconv.AppendFloat(append(b, ' '), float64(o.period.Timestamp)/1000, 'f', -1, 64)
 		b = strconv.AppendFloat(append(b, ':'), v, 'f', -1, 64)
 		b = append(b, '\n')
 		o.waiting++
@@ -150,7 +150,7 @@
 	if !o.written || o.waiting > 0 {
 		return
 	}
-	n, stamp := o.at, o.period.Stamp
+	n, stamp := o.at, o.period.Timestamp
 	o.period, o.written, o.pause = nil, false, 0
 	o.state.Periods++
 	o.feed.took(o, n, stamp)
@@ -166,7 +166,7 @@
 			break
 		}
 		if bytes.HasPrefix(line, []byte("-")) {
-			o.state.Refused++
+			o.state.RejectedPoints++
 			o.feed.log.Debug("metrics: collectd refused", zap.ByteString("line", line))
 		}
 		c.Consume(len(line) + 1)
--- a/internal/dispatcher/exporter/compatibility_test.go
+++ b/internal/dispatcher/exporter/compatibility_test.go
@@ -12,7 +12,7 @@
 	const stamp = 1_700_000_000_250
 	counter := telemetry.Series{Name: "classes.score.answers.in_time", Kind: telemetry.Counter}
 	gauge := telemetry.Series{Name: "reqs.open", Kind: telemetry.Gauge}
-	for name, security := range map[string]Security{"collectd-plain": None, "collectd-signed": Sign} {
+	for name, security := range map[string]Security{"collectd-plain": SecurityNone, "collectd-signed": SecuritySign} {
 		p, err := newPacket("n0", security, "user", "password")
 		if err != nil {
 			t.Fatal(err)
@@ -22,9 +22,9 @@
 		}
 		compatibility.Elsewhere.Check(t, name, p.seal())
 	}
-	table := &telemetry.Table{}
+	table := &telemetry.SeriesTable{}
 	table.Append(counter, gauge)
-	period := &telemetry.Period{Stamp: stamp, Every: 10, Table: table, Body: []byte{2, 42, 1, 0, 0, 0, 0x3f}} // 40 and 0.5
+	period := &telemetry.Period{Timestamp: stamp, Interval: 10, Table: table, EncodedValues: []byte{2, 42, 1, 0, 0, 0, 0x3f}} // 40 and 0.5
 	for name, pickle := range map[string]bool{"graphite-lines": false, "graphite-pickle": true} {
 		g := NewGraphite(GraphiteOptions{Pickle: pickle})
 		g.prefix, g.period, g.reader = "cinderroad.n0.", period, period.Read()
--- a/internal/dispatcher/exporter/feed.go
+++ b/internal/dispatcher/exporter/feed.go
@@ -25,15 +25,15 @@
 
 // Options say how figures leave the process.
 type Options struct {
-	Host  string  // the dispatcher's name
-	Every float64 // seconds that a period lasts
-	Bytes int     // of periods held in memory
-	Wall  func() time.Time
+	DispatcherName string  // the dispatcher's name
+	Interval       float64 // seconds that a period lasts
+	BufferBytes    int     // of periods held in memory
+	WallClock      func() time.Time
 }
 
-// Feed closes the periods and has its outputs deliver them.
-type Feed struct {
-	Periods uint64 // closed
+// Exporter closes the periods and has its outputs deliver them.
+type Exporter struct {
+	ClosedPeriods uint64 // closed
 
 	loop    *eventloop.Loop
 	log     *zap.Logger
@@ -42,7 +42,7 @@
 	options Options
 	spool   *spool.Spool
 	got     map[string]int64
-	past    map[string]State // of outputs that are gone, by kind
+	past    map[string]OutputStats // of outputs that are gone, by kind
 	outputs []Output
 	last    int64  // stamp of the last period
 	safe    uint64 // number of the last period that may be delivered
@@ -57,40 +57,40 @@
 	Name() string
 	// Kind is graphite or collectd.
 	Kind() string
-	// State is what it has done so far.
-	State() State
-	start(f *Feed, place *telemetry.Place)
+	// Stats is what it has done so far.
+	Stats() OutputStats
+	start(f *Exporter, place *telemetry.Cursor)
 	wake()
 	stop() // until the next wake
 	end()  // for good
-	held() *telemetry.Place
+	held() *telemetry.Cursor
 }
 
-// State is what an output has done so far.
-type State struct {
-	Periods uint64 // the receiver has got
-	Points  uint64 // sent, again and again after breaks
-	Breaks  uint64 // tries that came to nothing
-	Refused uint64 // points that the receiver would not have
+// OutputStats is what an output has done so far.
+type OutputStats struct {
+	Periods        uint64 // the receiver has got
+	Points         uint64 // sent, again and again after breaks
+	Failures       uint64 // tries that came to nothing
+	RejectedPoints uint64 // points that the receiver would not have
 }
 
-// NewFeed makes a feed that is not started yet.
-func NewFeed(loop *eventloop.Loop, log *zap.Logger, set *telemetry.Set, o Options) *Feed {
-	if o.Wall == nil {
-		o.Wall = time.Now
+// New makes a feed that is not started yet.
+func New(loop *eventloop.Loop, log *zap.Logger, set *telemetry.Set, o Options) *Exporter {
+	if o.WallClock == nil {
+		o.WallClock = time.Now
 	}
-	o.Every = math.Max(leastEvery, o.Every)
-	return &Feed{loop: loop, log: log, set: set, ring: telemetry.NewRing(o.Bytes), options: o, got: map[string]int64{}, past: map[string]State{}}
+	o.Interval = math.Max(leastEvery, o.Interval)
+	return &Exporter{loop: loop, log: log, set: set, ring: telemetry.NewRing(o.BufferBytes), options: o, got: map[string]int64{}, past: map[string]OutputStats{}}
 }
 
-// Attach adds an output, which gets what is held and what comes.
-func (f *Feed) Attach(o Output) {
+// AddOutput adds an output, which gets what is held and what comes.
+func (f *Exporter) AddOutput(o Output) {
 	f.outputs = append(f.outputs, o)
-	o.start(f, f.ring.Open(o.Name()))
+	o.start(f, f.ring.OpenCursor(o.Name()))
 }
 
-// Replace has an output take the place of another of its kind: what that had not delivered is the new one's.
-func (f *Feed) Replace(was, now Output) {
+// ReplaceOutput has an output take the place of another of its kind: what that had not delivered is the new one's.
+func (f *Exporter) ReplaceOutput(was, now Output) {
 	for i, o := range f.outputs {
 		if o == was {
 			f.retire(was)
@@ -103,43 +103,43 @@
 	}
 }
 
-// Remove ends an output and what is held for it.
-func (f *Feed) Remove(was Output) {
+// RemoveOutput ends an output and what is held for it.
+func (f *Exporter) RemoveOutput(was Output) {
 	for i, o := range f.outputs {
 		if o == was {
 			f.retire(was)
 			f.outputs = append(f.outputs[:i:i], f.outputs[i+1:]...)
-			f.ring.Close(was.held())
+			f.ring.CloseCursor(was.held())
 			return
 		}
 	}
 }
 
 // Outputs are those attached.
-func (f *Feed) Outputs() []Output { return f.outputs }
+func (f *Exporter) Outputs() []Output { return f.outputs }
 
 // Ring holds what is not delivered yet.
-func (f *Feed) Ring() *telemetry.Ring { return f.ring }
+func (f *Exporter) Ring() *telemetry.Ring { return f.ring }
 
-// Recall goes on from what earlier lives have left on disk.
-func (f *Feed) Recall(found *spool.Found) {
-	f.set.Add(found.Totals)
-	f.set.Remember(found.Held)
+// Restore goes on from what earlier lives have left on disk.
+func (f *Exporter) Restore(found *spool.Recovered) {
+	f.set.AddTotals(found.Totals)
+	f.set.RestoreSlots(found.SlotAssignments)
 	for _, p := range found.Periods {
 		f.ring.Push(p)
-		f.last = max(f.last, p.Stamp)
+		f.last = max(f.last, p.Timestamp)
 	}
 	f.safe = f.ring.Newest()
 	for _, o := range f.outputs {
-		f.ring.Skip(o.held(), found.Got[o.Name()])
+		f.ring.SkipTo(o.held(), found.Acknowledged[o.Name()])
 	}
 }
 
-// Keep has closed periods kept on disk, too.
-func (f *Feed) Keep(s *spool.Spool) { f.spool = s }
+// SetSpool has closed periods kept on disk, too.
+func (f *Exporter) SetSpool(s *spool.Spool) { f.spool = s }
 
 // Start begins to close periods and to deliver them.
-func (f *Feed) Start() {
+func (f *Exporter) Start() {
 	if !f.on {
 		f.on = true
 		f.next()
@@ -150,9 +150,9 @@
 }
 
 // Stop ends that; the period at hand stays open, and nothing that is held is lost.
-func (f *Feed) Stop() {
+func (f *Exporter) Stop() {
 	if f.on = false; f.frozen {
-		f.push(f.set.Encode(math.MaxInt32))
+		f.push(f.set.EncodePeriod(math.MaxInt32))
 	}
 	f.timer.Stop()
 	for _, o := range f.outputs {
@@ -160,12 +160,12 @@
 	}
 }
 
-// On says whether periods are closed here.
-func (f *Feed) On() bool { return f.on }
+// Running says whether periods are closed here.
+func (f *Exporter) Running() bool { return f.on }
 
-// SetEvery changes how long a period lasts, from the next one on.
-func (f *Feed) SetEvery(every float64) {
-	f.options.Every = math.Max(leastEvery, every)
+// SetInterval changes how long a period lasts, from the next one on.
+func (f *Exporter) SetInterval(every float64) {
+	f.options.Interval = math.Max(leastEvery, every)
 	if f.on {
 		f.timer.Stop()
 		f.next()
@@ -173,18 +173,18 @@
 }
 
 // next waits for the next full multiple of the period: dispatchers that are graphed together close together.
-func (f *Feed) next() {
-	now, every := f.loop.Now(), f.options.Every
+func (f *Exporter) next() {
+	now, every := f.loop.Now(), f.options.Interval
 	f.timer = f.loop.At((math.Floor(now/every+1e-6)+1)*every, func() {
-		f.End()
+		f.ClosePeriod()
 		f.next()
 	})
 }
 
-// End closes the period at hand within the next turns: with thousands of nodes one would be too long.
-func (f *Feed) End() {
-	if f.set.Gather(gathered) {
-		f.loop.At(f.loop.Now(), f.End)
+// ClosePeriod closes the period at hand within the next turns: with thousands of nodes one would be too long.
+func (f *Exporter) ClosePeriod() {
+	if f.set.GatherNodeGauges(gathered) {
+		f.loop.At(f.loop.Now(), f.ClosePeriod)
 		return
 	}
 	f.loop.At(f.loop.Now(), func() {
@@ -196,41 +196,41 @@
 }
 
 // encode writes some of the period's values a turn.
-func (f *Feed) encode() {
+func (f *Exporter) encode() {
 	if !f.frozen {
-		return // CloseNow has
+		return // ClosePeriodNow has
 	}
-	if p := f.set.Encode(encoded); p != nil {
+	if p := f.set.EncodePeriod(encoded); p != nil {
 		f.push(p)
 		return
 	}
 	f.loop.At(f.loop.Now(), f.encode)
 }
 
-// CloseNow closes the period at hand at once.
-func (f *Feed) CloseNow() {
+// ClosePeriodNow closes the period at hand at once.
+func (f *Exporter) ClosePeriodNow() {
 	f.freeze()
-	f.push(f.set.Encode(math.MaxInt32))
+	f.push(f.set.EncodePeriod(math.MaxInt32))
 }
 
 // freeze ends the period at hand. Its stamp is of the system's clock, and later than the one before by a second, or by
 // a millisecond where periods are shorter: receivers drop what goes back, so a clock that is set back is waited for.
-func (f *Feed) freeze() {
+func (f *Exporter) freeze() {
 	if f.frozen { // a turn of the one before is late
-		f.push(f.set.Encode(math.MaxInt32))
+		f.push(f.set.EncodePeriod(math.MaxInt32))
 	}
 	least := int64(1000)
-	if f.options.Every < 1 {
+	if f.options.Interval < 1 {
 		least = 1
 	}
-	f.last = max(f.options.Wall().UnixMilli(), f.last+least)
-	f.Periods++
-	f.set.Freeze(f.last, f.options.Every)
+	f.last = max(f.options.WallClock().UnixMilli(), f.last+least)
+	f.ClosedPeriods++
+	f.set.FreezePeriod(f.last, f.options.Interval)
 	f.frozen = true
 }
 
 // push holds a closed period for the receivers.
-func (f *Feed) push(p *telemetry.Period) {
+func (f *Exporter) push(p *telemetry.Period) {
 	f.frozen = false
 	f.ring.Push(p)
 	n := f.ring.Newest()
@@ -239,12 +239,12 @@
 		return
 	}
 	// A total that a receiver has must not fall when the next life goes on from an older one: the disk has it first.
-	f.spool.Period(p, f.set.Held(), func() { f.loop.Post(func() { f.release(n) }) })
+	f.spool.AppendPeriod(p, f.set.SlotAssignments(), func() { f.loop.Post(func() { f.release(n) }) })
 	f.loop.At(f.loop.Now()+diskTime, func() { f.release(n) })
 }
 
 // release has periods delivered up to a number.
-func (f *Feed) release(n uint64) {
+func (f *Exporter) release(n uint64) {
 	if n <= f.safe {
 		return
 	}
@@ -255,8 +255,8 @@
 }
 
 // from is the first period numbered n or more that may be delivered, and its number; nil if there is none.
-func (f *Feed) from(n uint64) (*telemetry.Period, uint64) {
-	p, n := f.ring.From(n)
+func (f *Exporter) from(n uint64) (*telemetry.Period, uint64) {
+	p, n := f.ring.PeriodFrom(n)
 	if n > f.safe {
 		return nil, n
 	}
@@ -264,19 +264,19 @@
 }
 
 // took notes that a receiver has all up to a period.
-func (f *Feed) took(o Output, n uint64, stamp int64) {
-	f.ring.Got(o.held(), n)
+func (f *Exporter) took(o Output, n uint64, stamp int64) {
+	f.ring.Acknowledge(o.held(), n)
 	f.got[o.Name()] = stamp
 	if f.spool != nil {
-		f.spool.Got(f.got)
+		f.spool.AppendAcknowledged(f.got)
 	}
 }
 
 // sender is what all outputs share: their place, and when they try again.
 type sender struct {
-	feed  *Feed
-	place *telemetry.Place
-	state State
+	feed  *Exporter
+	place *telemetry.Cursor
+	state OutputStats
 	pause float64 // before the next try
 	timer *eventloop.Timer
 	waits bool // for it
@@ -287,8 +287,8 @@
 	mostPause  = 10.0
 )
 
-func (s *sender) State() State           { return s.state }
-func (s *sender) held() *telemetry.Place { return s.place }
+func (s *sender) Stats() OutputStats      { return s.state }
+func (s *sender) held() *telemetry.Cursor { return s.place }
 
 // rest ends what is on its way; the place stays.
 func (s *sender) rest() {
@@ -299,11 +299,11 @@
 // end has the output do nothing any more.
 func (s *sender) end() { s.feed = nil }
 
-func (s *sender) begin(f *Feed, place *telemetry.Place) { s.feed, s.place = f, place }
+func (s *sender) begin(f *Exporter, place *telemetry.Cursor) { s.feed, s.place = f, place }
 
 // again tries later; try is called once.
 func (s *sender) again(try func()) {
-	s.state.Breaks++
+	s.state.Failures++
 	s.pause = min(max(firstPause, 2*s.pause), mostPause)
 	s.waits = true
 	s.timer.Stop()
@@ -329,40 +329,40 @@
 	s.timer = s.feed.loop.At(s.feed.loop.Now()+wait, do)
 }
 
-// Delivered says whether every receiver has all that was closed.
-func (f *Feed) Delivered() bool {
+// AllDelivered says whether every receiver has all that was closed.
+func (f *Exporter) AllDelivered() bool {
 	for _, o := range f.outputs {
-		if f.ring.Waiting(o.held()) > 0 {
+		if f.ring.Pending(o.held()) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Last is the stamp of the last period, After has those to come later than one: two processes share the receivers.
-func (f *Feed) Last() int64 { return f.last }
+// LastTimestamp is the stamp of the last period, After has those to come later than one: two processes share the receivers.
+func (f *Exporter) LastTimestamp() int64 { return f.last }
 
-// After is told of by Last.
-func (f *Feed) After(stamp int64) { f.last = max(f.last, stamp) }
+// AdvanceTimestamp is told of by Last.
+func (f *Exporter) AdvanceTimestamp(stamp int64) { f.last = max(f.last, stamp) }
 
-// Total sums up what the outputs of a kind have done, with those that are gone: it never falls.
-func (f *Feed) Total(kind string) State {
+// KindStats sums up what the outputs of a kind have done, with those that are gone: it never falls.
+func (f *Exporter) KindStats(kind string) OutputStats {
 	total := f.past[kind]
 	for _, o := range f.outputs {
 		if o.Kind() == kind {
-			total = total.plus(o.State())
+			total = total.plus(o.Stats())
 		}
 	}
 	return total
 }
 
-func (s State) plus(o State) State {
-	return State{s.Periods + o.Periods, s.Points + o.Points, s.Breaks + o.Breaks, s.Refused + o.Refused}
+func (s OutputStats) plus(o OutputStats) OutputStats {
+	return OutputStats{s.Periods + o.Periods, s.Points + o.Points, s.Failures + o.Failures, s.RejectedPoints + o.RejectedPoints}
 }
 
 // retire ends an output for good; what it has done stays in the totals.
-func (f *Feed) retire(o Output) {
+func (f *Exporter) retire(o Output) {
 	o.stop()
 	o.end()
-	f.past[o.Kind()] = f.past[o.Kind()].plus(o.State())
+	f.past[o.Kind()] = f.past[o.Kind()].plus(o.Stats())
 }
--- a/internal/dispatcher/exporter/graphite.go
+++ b/internal/dispatcher/exporter/graphite.go
@@ -25,11 +25,11 @@
 
 // GraphiteOptions say how a Graphite receiver is served.
 type GraphiteOptions struct {
-	Address  netip.AddrPort
-	Prefix   string  // before the dispatcher's name
-	Pickle   bool    // else lines
-	Confirm  bool    // a batch counts once the receiver has closed in answer to our close; else once its kernel has it
-	Patience float64 // seconds without any progress after which a try is given up
+	Address        netip.AddrPort
+	Prefix         string  // before the dispatcher's name
+	Pickle         bool    // else lines
+	ConfirmByClose bool    // a batch counts once the receiver has closed in answer to our close; else once its kernel has it
+	Timeout        float64 // seconds without any progress after which a try is given up
 }
 
 // Graphite delivers to carbon, or to what takes its protocols: lines `PATH VALUE TIME`, or pickles of lists of
@@ -67,12 +67,12 @@
 // Kind implements Output.
 func (g *Graphite) Kind() string { return "graphite" }
 
-func (g *Graphite) start(f *Feed, place *telemetry.Place) {
+func (g *Graphite) start(f *Exporter, place *telemetry.Cursor) {
 	g.begin(f, place)
 	if g.options.Prefix != "" {
 		g.prefix = g.options.Prefix + "."
 	}
-	g.prefix += telemetry.Clean(f.options.Host) + "."
+	g.prefix += telemetry.SanitizeName(f.options.DispatcherName) + "."
 }
 
 func (g *Graphite) stop() {
@@ -94,16 +94,16 @@
 		return
 	}
 	if g.conn != nil {
-		if g.up && g.finished && !g.options.Confirm { // the connection stays, and there is more
+		if g.up && g.finished && !g.options.ConfirmByClose { // the connection stays, and there is more
 			g.finished = false
 			g.pump()
 		}
 		return
 	}
-	if p, _ := g.feed.from(g.place.After()); p == nil {
+	if p, _ := g.feed.from(g.place.Next()); p == nil {
 		return
 	}
-	g.at, g.any, g.out, g.finished, g.written, g.queue = g.place.After(), false, 0, false, 0, 0
+	g.at, g.any, g.out, g.finished, g.written, g.queue = g.place.Next(), false, 0, false, 0, 0
 	g.moved = g.feed.loop.Now()
 	g.conn = g.feed.loop.Connect(g.options.Address, g)
 	g.watch()
@@ -116,7 +116,7 @@
 		if w, q := g.conn.Written(), g.conn.Unacknowledged(); w != g.written || q != g.queue || g.idle() {
 			g.written, g.queue, g.moved = w, q, now
 		}
-		if now-g.moved >= g.options.Patience {
+		if now-g.moved >= g.options.Timeout {
 			if g.finished {
 				g.silent++
 			}
@@ -128,11 +128,11 @@
 			return
 		}
 	}
-	g.limit = g.feed.loop.At(now+g.options.Patience/8, g.watch)
+	g.limit = g.feed.loop.At(now+g.options.Timeout/8, g.watch)
 }
 
 // idle says that nothing is owed on a connection that stays.
-func (g *Graphite) idle() bool { return !g.options.Confirm && g.finished && !g.any }
+func (g *Graphite) idle() bool { return !g.options.ConfirmByClose && g.finished && !g.any }
 
 // Opened implements eventloop.Handler.
 func (g *Graphite) Opened(*eventloop.Conn) {
@@ -162,7 +162,7 @@
 	g.out += len(b)
 	g.conn.Write(b)
 	if done {
-		g.whole, g.stamp, g.any = g.at, g.period.Stamp, true
+		g.whole, g.stamp, g.any = g.at, g.period.Timestamp, true
 		g.at++
 		g.period, g.reader = nil, nil
 	}
@@ -174,7 +174,7 @@
 	if g.options.Pickle {
 		return g.pickle(b)
 	}
-	stamp := g.period.Stamp / 1000
+	stamp := g.period.Timestamp / 1000
 	for ; points < slice; points++ {
 		s, v, ok := g.reader.Next()
 		if !ok {
@@ -190,7 +190,7 @@
 
 // pickle writes the next points as one message.
 func (g *Graphite) pickle(b []byte) (out []byte, points int, done bool) {
-	stamp := g.period.Stamp / 1000
+	stamp := g.period.Timestamp / 1000
 	list := make([]any, 0, pickleSlice)
 	for len(list) < pickleSlice && !done {
 		s, v, ok := g.reader.Next()
@@ -216,7 +216,7 @@
 // finish ends the batch: a receiver that closes in answer has read all of it.
 func (g *Graphite) finish() {
 	g.finished = true
-	if g.options.Confirm {
+	if g.options.ConfirmByClose {
 		g.conn.CloseWrite()
 		return
 	}
@@ -239,7 +239,7 @@
 }
 
 func (g *Graphite) got() {
-	g.state.Periods += g.whole - max(g.place.After(), 1) + 1
+	g.state.Periods += g.whole - max(g.place.Next(), 1) + 1
 	g.pause, g.silent = 0, 0
 	g.batch = min(2*g.batch, mostBatch)
 	g.feed.took(g, g.whole, g.stamp)
@@ -250,10 +250,10 @@
 
 // Closed implements eventloop.Handler.
 func (g *Graphite) Closed(c *eventloop.Conn, err error) {
-	if g.options.Confirm && g.finished && g.any && c.PeerReadAll() {
+	if g.options.ConfirmByClose && g.finished && g.any && c.PeerReadAll() {
 		g.got()
 		g.drop()
-		if p, _ := g.feed.from(g.place.After()); p != nil {
+		if p, _ := g.feed.from(g.place.Next()); p != nil {
 			g.soon(batchPause, g.wake)
 		}
 		return
--- a/internal/dispatcher/exporter/metrics_test.go
+++ b/internal/dispatcher/exporter/metrics_test.go
@@ -22,7 +22,7 @@
 type bench struct {
 	t    testing.TB
 	loop *eventloop.Loop
-	feed *Feed
+	feed *Exporter
 	set  *telemetry.Set
 	wall time.Time
 	done chan error
@@ -34,10 +34,10 @@
 		t.Fatal(err)
 	}
 	b := &bench{t: t, loop: loop, wall: time.Unix(1_700_000_000, 0), done: make(chan error, 1)}
-	b.set = telemetry.New(telemetry.Options{Classes: []string{"score"}, Zones: []string{"milano"}, Kinds: []string{"k"}, Nodes: 5000})
-	b.feed = NewFeed(loop, zap.NewNop(), b.set, Options{Host: "n.0", Every: 1e6, Bytes: bytes, Wall: func() time.Time { return b.wall }})
+	b.set = telemetry.New(telemetry.Options{Classes: []string{"score"}, Zones: []string{"milano"}, Kinds: []string{"k"}, MaxNodes: 5000})
+	b.feed = New(loop, zap.NewNop(), b.set, Options{DispatcherName: "n.0", Interval: 1e6, BufferBytes: bytes, WallClock: func() time.Time { return b.wall }})
 	for _, o := range outputs {
-		b.feed.Attach(o)
+		b.feed.AddOutput(o)
 	}
 	b.feed.Start()
 	go func() { b.done <- loop.Run() }()
@@ -63,7 +63,7 @@
 		b.do(func() {
 			b.set.ObserveAnswer(&dispatch.AnswerRecord{Verdict: dispatch.Served, WinningAttempt: -1})
 			b.wall = b.wall.Add(10 * time.Second)
-			b.feed.CloseNow()
+			b.feed.ClosePeriodNow()
 		})
 	}
 }
@@ -107,7 +107,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Stop)
-	return c, GraphiteOptions{Address: netip.MustParseAddrPort(c.Addr()), Prefix: "cinderroad", Pickle: pickle, Confirm: true, Patience: 0.4}
+	return c, GraphiteOptions{Address: netip.MustParseAddrPort(c.Addr()), Prefix: "cinderroad", Pickle: pickle, ConfirmByClose: true, Timeout: 0.4}
 }
 
 // Whatever a Graphite receiver does meanwhile, in the end it has every period, whole, in both forms.
@@ -129,7 +129,7 @@
 				n(1)
 				c.SetStalled(true)
 				n(20)
-				b.eventually("a try given up", func() bool { return b.state(0).Breaks > 1 })
+				b.eventually("a try given up", func() bool { return b.state(0).Failures > 1 })
 				c.SetStalled(false)
 				n(1)
 			},
@@ -147,7 +147,7 @@
 				for i := range 4 {
 					c.ResetAfter(1 + 333*i*i)
 					n(2)
-					b.eventually("the cut", func() bool { return b.state(0).Breaks > uint64(i) })
+					b.eventually("the cut", func() bool { return b.state(0).Failures > uint64(i) })
 					b.eventually("all of it", func() bool { return b.held() == 0 })
 				}
 			},
@@ -171,19 +171,19 @@
 	}
 }
 
-func (b *bench) state(i int) (s State) {
-	b.do(func() { s = b.feed.Outputs()[i].State() })
+func (b *bench) state(i int) (s OutputStats) {
+	b.do(func() { s = b.feed.Outputs()[i].Stats() })
 	return s
 }
 
 // ended says whether a period was closed after so many, and nothing is held.
 func (b *bench) ended(after uint64) (yes bool) {
-	b.do(func() { n, _ := b.feed.Ring().Held(); yes = n == 0 && b.feed.Periods > after })
+	b.do(func() { n, _ := b.feed.Ring().Size(); yes = n == 0 && b.feed.ClosedPeriods > after })
 	return yes
 }
 
 func (b *bench) held() (n int) {
-	b.do(func() { n, _ = b.feed.Ring().Held() })
+	b.do(func() { n, _ = b.feed.Ring().Size() })
 	return n
 }
 
@@ -217,7 +217,7 @@
 		b.feed.encode() // some of it
 		b.set.ObserveAnswer(&dispatch.AnswerRecord{Verdict: dispatch.Served, WinningAttempt: -1})
 		b.wall = b.wall.Add(10 * time.Second)
-		b.feed.CloseNow()
+		b.feed.ClosePeriodNow()
 	})
 	b.eventually("both periods", func() bool { return b.held() == 0 && len(c.Timestamps(served)) == 2 })
 	if v, _ := c.Last(served); v != 2 || c.CounterIncrease(served) != 2 {
@@ -229,7 +229,7 @@
 func TestARelayThatNeverCloses(t *testing.T) {
 	c, o := carbon(t, false)
 	c.KeepOpen(true)
-	o.Confirm = false
+	o.ConfirmByClose = false
 	b := start(t, 1<<20, NewGraphite(o))
 	b.periods(3)
 	b.has(&c.Store, served, 3)
@@ -279,13 +279,13 @@
 	b.eventually("the word that it has them", func() bool { return b.held() == 0 })
 	old.Stop()
 	b.periods(5)
-	b.do(func() { b.feed.Replace(was, NewGraphite(p)) })
+	b.do(func() { b.feed.ReplaceOutput(was, NewGraphite(p)) })
 	b.periods(1)
 	b.eventually("six periods", func() bool { return len(fresh.Timestamps(served)) == 6 })
 	if v, _ := fresh.Last(served); v != 8 {
 		t.Errorf("total %v", v)
 	}
-	b.do(func() { b.feed.Remove(b.feed.Outputs()[0]) })
+	b.do(func() { b.feed.RemoveOutput(b.feed.Outputs()[0]) })
 	b.periods(1)
 	if n := b.held(); n > 0 {
 		t.Errorf("%d periods held for nobody", n)
@@ -327,7 +327,7 @@
 		"silent": func(b *bench, c *receivers.Collectd, n func(int)) {
 			c.SetStalled(true)
 			n(10)
-			b.eventually("a try given up", func() bool { return b.state(0).Breaks > 1 })
+			b.eventually("a try given up", func() bool { return b.state(0).Failures > 1 })
 			c.SetStalled(false)
 		},
 		"cut": func(b *bench, c *receivers.Collectd, n func(int)) {
@@ -337,9 +337,9 @@
 				if err := c.Restart(); err != nil {
 					b.t.Fatal(err)
 				}
-				b.eventually("the end of the connection", func() bool { return b.state(0).Breaks >= uint64(i) })
+				b.eventually("the end of the connection", func() bool { return b.state(0).Failures >= uint64(i) })
 				n(2)
-				b.eventually("the cut", func() bool { return b.state(0).Breaks > uint64(i) })
+				b.eventually("the cut", func() bool { return b.state(0).Failures > uint64(i) })
 				b.eventually("all of it", func() bool { return b.held() == 0 })
 			}
 		},
@@ -363,21 +363,21 @@
 // The network protocol in all securities: packets no longer than collectd's own, nothing with a wrong password, and a
 // receiver that the system refuses for gets the periods again.
 func TestCollectdNetwork(t *testing.T) {
-	for name, security := range map[string]Security{"none": None, "sign": Sign, "encrypt": Encrypt} {
+	for name, security := range map[string]Security{"none": SecurityNone, "sign": SecuritySign, "encrypt": SecurityEncrypt} {
 		t.Run(name, func(t *testing.T) {
 			n, err := receivers.NewCollectdNetwork("127.0.0.1:0", name, map[string]string{"cinder": "geheim"})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer n.Stop()
-			o := NetworkOptions{Address: netip.MustParseAddrPort(n.Addr()), Security: security, Username: "cinder", Password: "geheim"}
-			b := start(t, 1<<20, NewNetwork(o))
+			o := CollectdNetworkOptions{Address: netip.MustParseAddrPort(n.Addr()), Security: security, Username: "cinder", Password: "geheim"}
+			b := start(t, 1<<20, NewCollectdNetwork(o))
 			b.periods(3)
 			b.has(&n.Store, servedThere, 3)
 			b.eventually("nothing held", func() bool { return b.held() == 0 })
 			n.Stop()
 			b.periods(4)
-			b.eventually("a refusal", func() bool { return b.state(0).Breaks > 0 })
+			b.eventually("a refusal", func() bool { return b.state(0).Failures > 0 })
 			if err := n.Restart(); err != nil {
 				t.Fatal(err)
 			}
@@ -392,7 +392,7 @@
 			b.eventually("nothing on its way", func() bool { return b.held() == 0 })
 			wrong := o
 			wrong.Password = "falsch"
-			w := start(t, 1<<20, NewNetwork(wrong))
+			w := start(t, 1<<20, NewCollectdNetwork(wrong))
 			before, _, _ := n.Counts()
 			w.periods(1)
 			w.eventually("packets turned away", func() bool { return len(n.Malformed()) > 0 })
@@ -439,7 +439,7 @@
 						b.Fatal(err)
 					}
 					defer n.Stop()
-					out, store = NewNetwork(NetworkOptions{Address: netip.MustParseAddrPort(n.Addr()), Security: Encrypt, Username: "u", Password: "p"}), &n.Store
+					out, store = NewCollectdNetwork(CollectdNetworkOptions{Address: netip.MustParseAddrPort(n.Addr()), Security: SecurityEncrypt, Username: "u", Password: "p"}), &n.Store
 				case "socket":
 					c, err := receivers.NewCollectd(filepath.Join(b.TempDir(), "c"))
 					if err != nil {
@@ -449,7 +449,7 @@
 					out, store = NewCollectd(c.Addr(), 20), &c.Store
 				default:
 					c, o := carbon(b, form == "pickle")
-					o.Patience = 20
+					o.Timeout = 20
 					out, store = NewGraphite(o), &c.Store
 				}
 				w := start(b, 8<<20, out)
@@ -459,7 +459,7 @@
 				for b.Loop() {
 					w.do(func() { w.loop.TakeIterationStats() })
 					var closed uint64
-					w.do(func() { closed = w.feed.Periods; w.feed.End() })
+					w.do(func() { closed = w.feed.ClosedPeriods; w.feed.ClosePeriod() })
 					w.eventually("delivered", func() bool { return w.ended(closed) })
 					w.do(func() {
 						l := w.loop.TakeIterationStats().Longest
@@ -476,17 +476,17 @@
 
 // BenchmarkSlices is the work of each kind of turn at 5,000 nodes: no turn does more than one of them.
 func BenchmarkSlices(b *testing.B) {
-	set := telemetry.New(telemetry.Options{Classes: []string{"score"}, Zones: []string{"milano"}, Kinds: []string{"k"}, Nodes: 5000,
-		Now: func() float64 { return 2 }, Standing: func(loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
+	set := telemetry.New(telemetry.Options{Classes: []string{"score"}, Zones: []string{"milano"}, Kinds: []string{"k"}, MaxNodes: 5000,
+		Now: func() float64 { return 2 }, WorkerStatus: func(loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
 			return loadbalancer.WorkerStatus{SpareCapacity: 1.25, LoadLimit: 4.4, Pace: 1.01}, true
 		}})
 	fleet(set, 5000)
-	p := set.Close(1_700_000_000_000, 10)
+	p := set.ClosePeriod(1_700_000_000_000, 10)
 	b.Run("gather", func(b *testing.B) {
 		for b.Loop() {
-			if !set.Gather(gathered) {
+			if !set.GatherNodeGauges(gathered) {
 				b.StopTimer()
-				set.Close(1, 1)
+				set.ClosePeriod(1, 1)
 				b.StartTimer()
 			}
 		}
@@ -494,18 +494,18 @@
 	b.Run("freeze", func(b *testing.B) {
 		for b.Loop() {
 			b.StopTimer()
-			for set.Gather(gathered) {
+			for set.GatherNodeGauges(gathered) {
 			}
 			b.StartTimer()
-			set.Freeze(1, 1)
+			set.FreezePeriod(1, 1)
 		}
 	})
 	b.Run("encode", func(b *testing.B) {
-		set.Freeze(1, 1)
+		set.FreezePeriod(1, 1)
 		for b.Loop() {
-			if set.Encode(encoded) != nil {
+			if set.EncodePeriod(encoded) != nil {
 				b.StopTimer()
-				set.Freeze(1, 1)
+				set.FreezePeriod(1, 1)
 				b.StartTimer()
 			}
 		}
@@ -513,7 +513,7 @@
 	for _, pickle := range []bool{false, true} {
 		b.Run(fmt.Sprintf("render, pickle %v", pickle), func(b *testing.B) {
 			g := NewGraphite(GraphiteOptions{Pickle: pickle})
-			g.feed, g.prefix, g.period, g.reader = &Feed{log: zap.NewNop()}, "cinderroad.n0.", p, p.Read()
+			g.feed, g.prefix, g.period, g.reader = &Exporter{log: zap.NewNop()}, "cinderroad.n0.", p, p.Read()
 			for b.Loop() {
 				if _, _, done := g.render(nil); done {
 					g.reader = p.Read()
@@ -522,7 +522,7 @@
 		})
 	}
 	b.Run("packets, encrypted", func(b *testing.B) {
-		q, err := newPacket("n0", Encrypt, "u", "p")
+		q, err := newPacket("n0", SecurityEncrypt, "u", "p")
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -534,7 +534,7 @@
 					r = p.Read()
 					break
 				}
-				if !q.add(s, p.Stamp, p.Every, v) {
+				if !q.add(s, p.Timestamp, p.Interval, v) {
 					q.seal()
 					q.clear()
 				}
--- a/internal/dispatcher/exporter/network.go
+++ b/internal/dispatcher/exporter/network.go
@@ -24,22 +24,22 @@
 
 // The securities: HMAC-SHA-256 over each packet, or AES-256 in OFB mode with a SHA-1 checksum inside.
 const (
-	None Security = iota
-	Sign
-	Encrypt
+	SecurityNone Security = iota
+	SecuritySign
+	SecurityEncrypt
 )
 
-// NetworkOptions say how a collectd server is served.
-type NetworkOptions struct {
+// CollectdNetworkOptions say how a collectd server is served.
+type CollectdNetworkOptions struct {
 	Address            netip.AddrPort
 	Security           Security
 	Username, Password string
 }
 
-// Network delivers by collectd's binary network protocol, over UDP.
-type Network struct {
+// CollectdNetwork delivers by collectd's binary network protocol, over UDP.
+type CollectdNetwork struct {
 	sender
-	options NetworkOptions
+	options CollectdNetworkOptions
 	socket  *eventloop.UDPSender
 	packet  *packet
 	at      uint64
@@ -51,34 +51,36 @@
 	more    bool // series and v wait for a packet
 }
 
-// NewNetwork makes an output; Feed.Attach starts it.
-func NewNetwork(o NetworkOptions) *Network { return &Network{options: o} }
+// NewCollectdNetwork makes an output; Feed.Attach starts it.
+func NewCollectdNetwork(o CollectdNetworkOptions) *CollectdNetwork {
+	return &CollectdNetwork{options: o}
+}
 
 // Name implements Output.
-func (o *Network) Name() string { return "collectd " + o.options.Address.String() }
+func (o *CollectdNetwork) Name() string { return "collectd " + o.options.Address.String() }
 
 // Kind implements Output.
-func (o *Network) Kind() string { return "collectd" }
+func (o *CollectdNetwork) Kind() string { return "collectd" }
 
-func (o *Network) start(f *Feed, place *telemetry.Place) { o.begin(f, place) }
+func (o *CollectdNetwork) start(f *Exporter, place *telemetry.Cursor) { o.begin(f, place) }
 
-func (o *Network) stop() {
+func (o *CollectdNetwork) stop() {
 	o.rest()
 	o.drop()
 }
 
-func (o *Network) drop() {
+func (o *CollectdNetwork) drop() {
 	if o.socket != nil {
 		o.socket.Close()
 	}
 	o.socket, o.packet, o.period, o.reader, o.sealed, o.more = nil, nil, nil, nil, nil, false
 }
 
-func (o *Network) wake() {
+func (o *CollectdNetwork) wake() {
 	if !o.free() || o.period != nil {
 		return
 	}
-	p, n := o.feed.from(o.place.After())
+	p, n := o.feed.from(o.place.Next())
 	if p == nil {
 		return
 	}
@@ -90,7 +92,7 @@
 		}
 	}
 	if o.packet == nil {
-		if o.packet, err = newPacket(telemetry.Clean(o.feed.options.Host), o.options.Security, o.options.Username, o.options.Password); err != nil {
+		if o.packet, err = newPacket(telemetry.SanitizeName(o.feed.options.DispatcherName), o.options.Security, o.options.Username, o.options.Password); err != nil {
 			o.broke(err)
 			return
 		}
@@ -100,7 +102,7 @@
 }
 
 // pump sends some points a turn.
-func (o *Network) pump() {
+func (o *CollectdNetwork) pump() {
 	if o.period == nil {
 		return
 	}
@@ -119,7 +121,7 @@
 }
 
 // send renders a slice of points and sends the packets that are full.
-func (o *Network) send() (done bool, err error) {
+func (o *CollectdNetwork) send() (done bool, err error) {
 	if err := o.flush(); err != nil {
 		return false, err
 	}
@@ -131,12 +133,12 @@
 			}
 			o.state.Points++
 		}
-		if o.packet.add(o.series, o.period.Stamp, o.period.Every, o.v) {
+		if o.packet.add(o.series, o.period.Timestamp, o.period.Interval, o.v) {
 			o.more = false
 			continue
 		}
 		if !o.packet.some { // it fits into no packet
-			o.state.Refused++
+			o.state.RejectedPoints++
 			o.more = false
 			continue
 		}
@@ -148,7 +150,7 @@
 }
 
 // seal ends the packet and sends it.
-func (o *Network) seal() error {
+func (o *CollectdNetwork) seal() error {
 	if !o.packet.some {
 		return nil
 	}
@@ -156,7 +158,7 @@
 	return o.flush()
 }
 
-func (o *Network) flush() error {
+func (o *CollectdNetwork) flush() error {
 	if o.sealed == nil {
 		return nil
 	}
@@ -169,7 +171,7 @@
 }
 
 // settle takes the period as delivered, unless a refusal has come back.
-func (o *Network) settle() {
+func (o *CollectdNetwork) settle() {
 	if o.period == nil {
 		return
 	}
@@ -177,14 +179,14 @@
 		o.broke(err)
 		return
 	}
-	n, stamp := o.at, o.period.Stamp
+	n, stamp := o.at, o.period.Timestamp
 	o.period, o.reader, o.pause = nil, nil, 0
 	o.state.Periods++
 	o.feed.took(o, n, stamp)
 	o.wake()
 }
 
-func (o *Network) broke(err error) {
+func (o *CollectdNetwork) broke(err error) {
 	o.feed.log.Debug("metrics: collectd", zap.Stringer("address", o.options.Address), zap.Error(err))
 	o.drop()
 	o.again(o.wake)
--- a/internal/dispatcher/exporter/packet.go
+++ b/internal/dispatcher/exporter/packet.go
@@ -53,10 +53,10 @@
 func newPacket(host string, security Security, username, password string) (*packet, error) {
 	p := &packet{security: security, username: username, host: host}
 	switch security {
-	case Sign:
+	case SecuritySign:
 		p.mac = hmac.New(sha256.New, []byte(password))
 		p.front = 4 + sha256.Size + len(username)
-	case Encrypt:
+	case SecurityEncrypt:
 		key := sha256.Sum256([]byte(password))
 		block, err := aes.NewCipher(key[:])
 		if err != nil {
@@ -131,13 +131,13 @@
 // seal protects the packet and returns its bytes, which hold until the next clear.
 func (p *packet) seal() []byte {
 	switch p.security {
-	case Sign: // the checksum is over the name and all that follows
+	case SecuritySign: // the checksum is over the name and all that follows
 		head := appendPart(p.b[:0], partSign, sha256.Size+len(p.username))
 		copy(p.b[len(head)+sha256.Size:], p.username)
 		p.mac.Reset()
 		p.mac.Write(p.b[len(head)+sha256.Size:])
 		p.mac.Sum(p.b[:len(head)])
-	case Encrypt: // the checksum is over what follows it, and encrypted with it
+	case SecurityEncrypt: // the checksum is over what follows it, and encrypted with it
 		head := appendPart(p.b[:0], partEncrypt, len(p.b)-4)
 		head = append(binary.BigEndian.AppendUint16(head, uint16(len(p.username))), p.username...)
 		iv, secret := p.b[len(head):len(head)+aes.BlockSize], p.b[len(head)+aes.BlockSize:]
--- a/internal/dispatcher/exporter/packet_test.go
+++ b/internal/dispatcher/exporter/packet_test.go
@@ -21,7 +21,7 @@
 // Whatever is put into a packet, collectd's own library for Go reads it, and so does the stand-in, in all securities.
 func TestPacketsAreReadByOthers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		security := rapid.SampledFrom([]Security{None, Sign, Encrypt}).Draw(t, "security")
+		security := rapid.SampledFrom([]Security{SecurityNone, SecuritySign, SecurityEncrypt}).Draw(t, "security")
 		user := rapid.StringMatching(`[a-z]{1,20}`).Draw(t, "user")
 		p, err := newPacket("n0", security, user, "geheim")
 		if err != nil {
@@ -50,7 +50,7 @@
 			t.Fatalf("%d bytes", len(b))
 		}
 		lists, err := network.Parse(b, network.ParseOpts{PasswordLookup: password("geheim"),
-			SecurityLevel: map[Security]network.SecurityLevel{None: network.None, Sign: network.Sign, Encrypt: network.Encrypt}[security]})
+			SecurityLevel: map[Security]network.SecurityLevel{SecurityNone: network.None, SecuritySign: network.Sign, SecurityEncrypt: network.Encrypt}[security]})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -67,7 +67,7 @@
 			}
 			got = append(got, value{l.Identifier.String(), l.Time.Round(time.Second), v})
 		}
-		points, err := receivers.DecodePacket(b, map[Security]string{None: "none", Sign: "sign", Encrypt: "encrypt"}[security], map[string]string{user: "geheim"})
+		points, err := receivers.DecodePacket(b, map[Security]string{SecurityNone: "none", SecuritySign: "sign", SecurityEncrypt: "encrypt"}[security], map[string]string{user: "geheim"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,7 +85,7 @@
 
 // Hostile packets: every cut of a good one is refused or read in part, and nothing unprotected is taken where it must not be.
 func FuzzDecode(f *testing.F) {
-	for _, security := range []Security{None, Sign, Encrypt} {
+	for _, security := range []Security{SecurityNone, SecuritySign, SecurityEncrypt} {
 		p, err := newPacket("n0", security, "u", "p")
 		if err != nil {
 			f.Fatal(err)
--- a/internal/dispatcher/linelog/linelog.go
+++ b/internal/dispatcher/linelog/linelog.go
@@ -19,16 +19,16 @@
 const (
 	bufferSize = 32 << 10 // bytes of lines that go to the writer at once
 	queued     = 64       // such buffers that may wait for the disk
-	// FlushEvery is how long a line may wait before it goes to the writer, in seconds.
-	FlushEvery = 0.2
+	// FlushIntervalSeconds is how long a line may wait before it goes to the writer, in seconds.
+	FlushIntervalSeconds = 0.2
 )
 
 // Options say where a log stands.
 type Options struct {
-	Path     string
-	MaxBytes int64  // of a file; then it is renamed to PATH.1, PATH.1 to PATH.2, and so on
-	Keep     int    // files beside the one at hand
-	What     string // the log is, for errors
+	Path      string
+	MaxBytes  int64  // of a file; then it is renamed to PATH.1, PATH.1 to PATH.2, and so on
+	KeepFiles int    // files beside the one at hand
+	Name      string // the log is, for errors
 	// Report hears, on a goroutine of its own, what went wrong.
 	Report func(error)
 }
@@ -60,20 +60,20 @@
 	}
 	l := &Log{options: o, queue: make(chan []byte, queued), spare: make(chan []byte, queued+1), done: make(chan struct{})}
 	if err := l.open(); err != nil {
-		return nil, fmt.Errorf("%s: %w", o.What, err)
+		return nil, fmt.Errorf("%s: %w", o.Name, err)
 	}
 	go l.run()
 	return l, nil
 }
 
-// Lost is how many lines the disk was too slow for.
-func (l *Log) Lost() uint64 { return l.lost.Load() }
+// DroppedLines is how many lines the disk was too slow for.
+func (l *Log) DroppedLines() uint64 { return l.lost.Load() }
 
-// Failed is how many lines the disk refused.
-func (l *Log) Failed() uint64 { return l.failed.Load() }
+// FailedLines is how many lines the disk refused.
+func (l *Log) FailedLines() uint64 { return l.failed.Load() }
 
-// Begin is the buffer that a line, with its end, is to be appended to; End takes it back.
-func (l *Log) Begin() []byte {
+// BeginLine is the buffer that a line, with its end, is to be appended to; End takes it back.
+func (l *Log) BeginLine() []byte {
 	if l.buffer == nil {
 		select {
 		case l.buffer = <-l.spare:
@@ -84,8 +84,8 @@
 	return l.buffer
 }
 
-// End takes the buffer of Begin with one line more.
-func (l *Log) End(b []byte) {
+// EndLine takes the buffer of Begin with one line more.
+func (l *Log) EndLine(b []byte) {
 	l.buffer = b
 	l.Lines++
 	l.pending++
@@ -122,7 +122,7 @@
 		if err := l.write(b); err != nil {
 			l.failed.Add(uint64(bytes.Count(b, []byte{'\n'})))
 			if !l.broken {
-				l.options.Report(fmt.Errorf("%s: %w", l.options.What, err))
+				l.options.Report(fmt.Errorf("%s: %w", l.options.Name, err))
 			}
 			l.broken = true
 		} else {
@@ -199,7 +199,7 @@
 		return err
 	}
 	if there, err := os.Stat(l.options.Path); err == nil && os.SameFile(mine, there) {
-		for i := l.options.Keep; i > 0; i-- {
+		for i := l.options.KeepFiles; i > 0; i-- {
 			from := l.options.Path
 			if i > 1 {
 				from += "." + strconv.Itoa(i-1)
@@ -208,7 +208,7 @@
 				return err
 			}
 		}
-		if l.options.Keep == 0 {
+		if l.options.KeepFiles == 0 {
 			if err := os.Remove(l.options.Path); err != nil {
 				return err
 			}
--- a/internal/dispatcher/operatorconfig/check.go
+++ b/internal/dispatcher/operatorconfig/check.go
@@ -9,7 +9,7 @@
 )
 
 // check sets defaults, makes relative paths the file's own and returns the first error, an *Error.
-func (f *File) check() error {
+func (f *Config) check() error {
 	if err := f.checkGraphite(); err != nil {
 		return err
 	}
@@ -32,7 +32,7 @@
 	return f.checkDistinct()
 }
 
-func (f *File) checkGraphite() error {
+func (f *Config) checkGraphite() error {
 	for i := range f.Graphite {
 		if err := f.sharePeriod(i); err != nil {
 			return err
@@ -45,20 +45,20 @@
 }
 
 // sharePeriod takes a receiver's period for that of all: each period is closed once.
-func (f *File) sharePeriod(receiver int) error {
-	every := f.Graphite[receiver].Every
+func (f *Config) sharePeriod(receiver int) error {
+	every := f.Graphite[receiver].IntervalSeconds
 	if every == 0 {
 		return nil
 	}
-	if shared := f.Telemetry.Every; shared != 0 && shared != every {
+	if shared := f.Telemetry.IntervalSeconds; shared != 0 && shared != every {
 		return f.keyError(fmt.Sprintf("graphite[%d].every_s", receiver),
 			fmt.Errorf("%v, and %v elsewhere: all receivers share one period", every, shared))
 	}
-	f.Telemetry.Every = every
+	f.Telemetry.IntervalSeconds = every
 	return nil
 }
 
-func (f *File) checkCollectd() error {
+func (f *Config) checkCollectd() error {
 	for i := range f.Collectd {
 		receiver := &f.Collectd[i]
 		receiver.PasswordFile = f.relative(receiver.PasswordFile)
@@ -69,28 +69,28 @@
 	return nil
 }
 
-func (f *File) checkFleet() error {
-	if f.Fleet == nil {
+func (f *Config) checkFleet() error {
+	if f.Cluster == nil {
 		return nil
 	}
-	if err := f.Fleet.check(f.section("fleet")); err != nil {
+	if err := f.Cluster.check(f.section("fleet")); err != nil {
 		return err
 	}
 	switch {
-	case f.Fleet.Ledger != "":
-		f.Fleet.Ledger = f.relative(f.Fleet.Ledger)
+	case f.Cluster.AuditLogPath != "":
+		f.Cluster.AuditLogPath = f.relative(f.Cluster.AuditLogPath)
 	case f.RequestLog != nil:
-		f.Fleet.Ledger = f.RequestLog.Path + ".ledger"
+		f.Cluster.AuditLogPath = f.RequestLog.Path + ".ledger"
 	}
 	return nil
 }
 
 // checkDistinct says which two receivers are one: each would get every point twice, and what one has got is kept by its
 // name.
-func (f *File) checkDistinct() error {
+func (f *Config) checkDistinct() error {
 	seen := map[string]bool{}
 	for i, receiver := range f.Graphite {
-		name := receiver.Addr.String()
+		name := receiver.ParsedAddress.String()
 		if seen[name] {
 			return f.keyError(fmt.Sprintf("graphite[%d].address", i), fmt.Errorf("%s is there twice", name))
 		}
@@ -100,7 +100,7 @@
 	for i, receiver := range f.Collectd {
 		key, name := "socket", receiver.Socket
 		if receiver.Address != "" {
-			key, name = "address", receiver.Addr.String()
+			key, name = "address", receiver.ParsedAddress.String()
 		}
 		if seen[name] {
 			return f.keyError(fmt.Sprintf("collectd[%d].%s", i, key), fmt.Errorf("%s is there twice", name))
@@ -111,7 +111,7 @@
 }
 
 // relative is a path of the file, which counts from the file's folder.
-func (f *File) relative(path string) string {
+func (f *Config) relative(path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
--- a/internal/dispatcher/operatorconfig/errors.go
+++ b/internal/dispatcher/operatorconfig/errors.go
@@ -53,7 +53,7 @@
 	return &Error{Path: path, Err: err}
 }
 
-func (f *File) unknownKey(key toml.Key) error {
+func (f *Config) unknownKey(key toml.Key) error {
 	text := "unknown key"
 	if key[0] == "fleet" {
 		text += "; [fleet] has name, bind, advertise, seeds, period_s, forget_s, whole and discovery"
@@ -62,7 +62,7 @@
 }
 
 // keyError makes an error of a key. A key of the second receiver of a kind is named with its number, as graphite[1].form.
-func (f *File) keyError(key string, err error) error {
+func (f *Config) keyError(key string, err error) error {
 	return &Error{Path: f.path, Line: f.line(key), Key: key, Err: err}
 }
 
@@ -70,7 +70,7 @@
 type sectionError func(key string, err error) error
 
 // section makes errors of the keys of a section, which is named with its number if there may be several.
-func (f *File) section(name string) sectionError {
+func (f *Config) section(name string) sectionError {
 	return func(key string, err error) error { return f.keyError(name+"."+key, err) }
 }
 
@@ -78,7 +78,7 @@
 var numberedKey = regexp.MustCompile(`^(\w+)(?:\[(\d+)\])?\.(.+)$`)
 
 // line finds the line of a key; 0 if it is not there.
-func (f *File) line(key string) int {
+func (f *Config) line(key string) int {
 	section, wanted, name := "", 0, key
 	if match := numberedKey.FindStringSubmatch(key); match != nil {
 		section, name = match[1], match[3]
--- a/internal/dispatcher/operatorconfig/fleet.go
+++ b/internal/dispatcher/operatorconfig/fleet.go
@@ -8,39 +8,39 @@
 	"cinderroad/internal/shared/lease"
 )
 
-// Fleet is how the dispatcher is a member of its fleet.
-type Fleet struct {
-	Name      string   `toml:"name"`
-	Bind      string   `toml:"bind"`
-	Advertise string   `toml:"advertise"`
-	Seeds     []string `toml:"seeds"`
-	Period    float64  `toml:"period_s"`
-	Forget    float64  `toml:"forget_s"`
-	Whole     *bool    `toml:"whole"`
-	Discovery string   `toml:"discovery"`
-	Ledger    string   `toml:"ledger"`
-	Lease     float64  `toml:"lease_s"`
+// Cluster is how the dispatcher is a member of its fleet.
+type Cluster struct {
+	Name                 string   `toml:"name"`
+	Bind                 string   `toml:"bind"`
+	Advertise            string   `toml:"advertise"`
+	Seeds                []string `toml:"seeds"`
+	ProbeIntervalSeconds float64  `toml:"period_s"`
+	RetentionSeconds     float64  `toml:"forget_s"`
+	Complete             *bool    `toml:"whole"`
+	DiscoveryID          string   `toml:"discovery"`
+	AuditLogPath         string   `toml:"ledger"`
+	LeaseSeconds         float64  `toml:"lease_s"`
 
-	BindAddr      netip.AddrPort   `toml:"-"`
-	AdvertiseAddr netip.AddrPort   `toml:"-"`
-	SeedAddrs     []netip.AddrPort `toml:"-"`
+	ParsedBind      netip.AddrPort   `toml:"-"`
+	ParsedAdvertise netip.AddrPort   `toml:"-"`
+	ParsedSeeds     []netip.AddrPort `toml:"-"`
 }
 
 // The defaults and bounds, which deploy/operator.toml tells, too.
 const (
-	DefaultPeriod = 1.0    // seconds
-	DefaultForget = 3600.0 // seconds
-	leastPeriod   = 0.1    // seconds
-	mostPeriod    = 10     // seconds
-	leastForget   = 60     // seconds
-	mostForget    = 7 * 24 * 3600
-	mostLease     = 3600 // seconds
-	watchSilence  = 5.0  // seconds after which a watch of discovery counts as dead
-	mostSeeds     = 64
-	mostFleetName = 64 // bytes
+	DefaultProbeIntervalSeconds = 1.0    // seconds
+	DefaultRetentionSeconds     = 3600.0 // seconds
+	leastPeriod                 = 0.1    // seconds
+	mostPeriod                  = 10     // seconds
+	leastForget                 = 60     // seconds
+	mostForget                  = 7 * 24 * 3600
+	mostLease                   = 3600 // seconds
+	watchSilence                = 5.0  // seconds after which a watch of discovery counts as dead
+	mostSeeds                   = 64
+	mostFleetName               = 64 // bytes
 )
 
-func (f *Fleet) check(wrong sectionError) error {
+func (f *Cluster) check(wrong sectionError) error {
 	if err := f.checkNames(wrong); err != nil {
 		return err
 	}
@@ -50,17 +50,17 @@
 	if err := f.checkTimes(wrong); err != nil {
 		return err
 	}
-	if len(f.Discovery) > mostFleetName {
-		return wrong("discovery", fmt.Errorf("has %d bytes; %d at most", len(f.Discovery), mostFleetName))
+	if len(f.DiscoveryID) > mostFleetName {
+		return wrong("discovery", fmt.Errorf("has %d bytes; %d at most", len(f.DiscoveryID), mostFleetName))
 	}
-	if f.Whole == nil {
+	if f.Complete == nil {
 		whole := true
-		f.Whole = &whole
+		f.Complete = &whole
 	}
 	return nil
 }
 
-func (f *Fleet) checkNames(wrong sectionError) error {
+func (f *Cluster) checkNames(wrong sectionError) error {
 	switch {
 	case f.Name == "":
 		return wrong("name", errors.New("must be there: members that name another fleet are not heard"))
@@ -72,50 +72,50 @@
 	return nil
 }
 
-func (f *Fleet) checkAddresses(wrong sectionError) (err error) {
-	if f.BindAddr, err = parseAddress(f.Bind); err != nil {
+func (f *Cluster) checkAddresses(wrong sectionError) (err error) {
+	if f.ParsedBind, err = parseAddress(f.Bind); err != nil {
 		return wrong("bind", err)
 	}
-	f.AdvertiseAddr = f.BindAddr
+	f.ParsedAdvertise = f.ParsedBind
 	if f.Advertise != "" {
-		if f.AdvertiseAddr, err = parseAddress(f.Advertise); err != nil {
+		if f.ParsedAdvertise, err = parseAddress(f.Advertise); err != nil {
 			return wrong("advertise", err)
 		}
 	}
-	if f.AdvertiseAddr.Addr().IsUnspecified() {
+	if f.ParsedAdvertise.Addr().IsUnspecified() {
 		key := "advertise"
 		if f.Advertise == "" {
 			key = "bind"
 		}
-		return wrong(key, fmt.Errorf("%s is no address that others can reach: name one in advertise", f.AdvertiseAddr.Addr()))
+		return wrong(key, fmt.Errorf("%s is no address that others can reach: name one in advertise", f.ParsedAdvertise.Addr()))
 	}
 	return f.checkSeeds(wrong)
 }
 
-func (f *Fleet) checkSeeds(wrong sectionError) error {
+func (f *Cluster) checkSeeds(wrong sectionError) error {
 	if len(f.Seeds) > mostSeeds {
 		return wrong("seeds", fmt.Errorf("%d; %d at most", len(f.Seeds), mostSeeds))
 	}
-	f.SeedAddrs = nil
+	f.ParsedSeeds = nil
 	for _, seed := range f.Seeds {
 		address, err := parseAddress(seed)
 		if err != nil {
 			return wrong("seeds", err)
 		}
-		f.SeedAddrs = append(f.SeedAddrs, address)
+		f.ParsedSeeds = append(f.ParsedSeeds, address)
 	}
 	return nil
 }
 
-func (f *Fleet) checkTimes(wrong sectionError) error {
-	if err := checkSeconds(&f.Period, DefaultPeriod, leastPeriod, mostPeriod); err != nil {
+func (f *Cluster) checkTimes(wrong sectionError) error {
+	if err := checkSeconds(&f.ProbeIntervalSeconds, DefaultProbeIntervalSeconds, leastPeriod, mostPeriod); err != nil {
 		return wrong("period_s", err)
 	}
-	if err := checkSeconds(&f.Forget, DefaultForget, leastForget, mostForget); err != nil {
+	if err := checkSeconds(&f.RetentionSeconds, DefaultRetentionSeconds, leastForget, mostForget); err != nil {
 		return wrong("forget_s", err)
 	}
-	least := lease.MinTerm(watchSilence, f.Period)
-	if err := checkSeconds(&f.Lease, lease.Term(watchSilence, f.Period), least, mostLease); err != nil {
+	least := lease.MinTerm(watchSilence, f.ProbeIntervalSeconds)
+	if err := checkSeconds(&f.LeaseSeconds, lease.Term(watchSilence, f.ProbeIntervalSeconds), least, mostLease); err != nil {
 		return wrong("lease_s", err)
 	}
 	return nil
--- a/internal/dispatcher/operatorconfig/operator.go
+++ b/internal/dispatcher/operatorconfig/operator.go
@@ -13,13 +13,13 @@
 	"github.com/BurntSushi/toml"
 )
 
-// File is the operator's file. A section that is not there is off.
-type File struct {
+// Config is the operator's file. A section that is not there is off.
+type Config struct {
 	Graphite   []Graphite  `toml:"-"`
 	Collectd   []Collectd  `toml:"-"`
 	Telemetry  Telemetry   `toml:"telemetry"`
 	RequestLog *RequestLog `toml:"request_log"`
-	Fleet      *Fleet      `toml:"fleet"`
+	Cluster    *Cluster    `toml:"fleet"`
 
 	// One receiver may be a table, several are an array of tables.
 	RawGraphite toml.Primitive `toml:"graphite"`
@@ -30,8 +30,8 @@
 }
 
 // Default is what holds without a file.
-func Default() *File {
-	f := &File{}
+func Default() *Config {
+	f := &Config{}
 	if err := f.check(); err != nil {
 		panic(err) // of constants
 	}
@@ -39,7 +39,7 @@
 }
 
 // Read reads and checks a file. Errors are of type *Error.
-func Read(path string) (*File, error) {
+func Read(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		var cause *fs.PathError
@@ -53,8 +53,8 @@
 
 // Parse checks the text of a file; path is for messages, and for the places that the file names relative to its own.
 // Errors are of type *Error.
-func Parse(path, text string) (*File, error) {
-	f := &File{path: path, text: text}
+func Parse(path, text string) (*Config, error) {
+	f := &Config{path: path, text: text}
 	meta, err := f.decode()
 	if err != nil {
 		return nil, newDecodeError(path, err)
@@ -69,7 +69,7 @@
 }
 
 // decode fills the file's fields from its text. Errors are those of the TOML library.
-func (f *File) decode() (toml.MetaData, error) {
+func (f *Config) decode() (toml.MetaData, error) {
 	meta, err := toml.Decode(f.text, f)
 	if err != nil {
 		return meta, err
@@ -96,16 +96,16 @@
 }
 
 // Text is what the file says; empty is none.
-func (f *File) Text() string { return f.text }
+func (f *Config) Text() string { return f.text }
 
 // Path is where the file was read from; empty is none.
-func (f *File) Path() string { return f.path }
+func (f *Config) Path() string { return f.path }
 
 // memberKeys are the keys that say where a member's own things are.
 var memberKeys = []string{"bind", "advertise", "seeds", "ledger", "path", "spool_dir"}
 
 // Common is what the file says but for comments and where the member's own things are, so that members whose files say the same show it.
-func (f *File) Common() string {
+func (f *Config) Common() string {
 	var out strings.Builder
 	for _, line := range strings.Split(f.text, "\n") {
 		line = strings.TrimSpace(line)
--- a/internal/dispatcher/operatorconfig/operator_test.go
+++ b/internal/dispatcher/operatorconfig/operator_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Fleet != nil || len(f.Graphite)+len(f.Collectd) > 0 || f.RequestLog != nil || f.Telemetry.SpoolDir != "" {
+	if f.Cluster != nil || len(f.Graphite)+len(f.Collectd) > 0 || f.RequestLog != nil || f.Telemetry.SpoolDir != "" {
 		t.Error("something is on")
 	}
 	text, err := os.ReadFile(path)
@@ -35,13 +35,13 @@
 		t.Fatal(err)
 	}
 	d := Default()
-	if m := f.Fleet; m == nil || m.Period != DefaultPeriod || m.Forget != DefaultForget || !*m.Whole || m.AdvertiseAddr != m.BindAddr || len(m.SeedAddrs) != 1 {
-		t.Errorf("fleet: %+v", f.Fleet)
+	if m := f.Cluster; m == nil || m.ProbeIntervalSeconds != DefaultProbeIntervalSeconds || m.RetentionSeconds != DefaultRetentionSeconds || !*m.Complete || m.ParsedAdvertise != m.ParsedBind || len(m.ParsedSeeds) != 1 {
+		t.Errorf("fleet: %+v", f.Cluster)
 	}
-	if len(f.Graphite) != 1 || len(f.Collectd) != 1 || f.Telemetry.Every != d.Telemetry.Every || f.Telemetry.MemoryBytes != d.Telemetry.MemoryBytes ||
+	if len(f.Graphite) != 1 || len(f.Collectd) != 1 || f.Telemetry.IntervalSeconds != d.Telemetry.IntervalSeconds || f.Telemetry.MemoryBytes != d.Telemetry.MemoryBytes ||
 		f.Telemetry.SpoolBytes != d.Telemetry.SpoolBytes || *f.Telemetry.NodeSeries != *d.Telemetry.NodeSeries ||
-		f.RequestLog.MaxBytes != DefaultLogBytes || *f.RequestLog.Keep != DefaultLogKeep || f.RequestLog.Path != filepath.Join(dir, "requests.log") ||
-		f.Graphite[0].Patience != DefaultPatience {
+		f.RequestLog.MaxBytes != DefaultLogBytes || *f.RequestLog.KeepFiles != DefaultLogKeepFiles || f.RequestLog.Path != filepath.Join(dir, "requests.log") ||
+		f.Graphite[0].TimeoutSeconds != DefaultTimeoutSeconds {
 		t.Errorf("%+v is not what holds without a file", f)
 	}
 }
@@ -133,8 +133,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f.Fleet.Ledger != want || f.Fleet.Lease != 20 {
-			t.Errorf("%q: ledger %q, lease %v", text, f.Fleet.Ledger, f.Fleet.Lease)
+		if f.Cluster.AuditLogPath != want || f.Cluster.LeaseSeconds != 20 {
+			t.Errorf("%q: ledger %q, lease %v", text, f.Cluster.AuditLogPath, f.Cluster.LeaseSeconds)
 		}
 	}
 	x, errX := Parse("/etc/a.toml", head+"[request_log]\npath = \"x\" # here\n")
--- a/internal/dispatcher/operatorconfig/receivers.go
+++ b/internal/dispatcher/operatorconfig/receivers.go
@@ -11,31 +11,31 @@
 
 // Graphite is a receiver of Graphite's protocols.
 type Graphite struct {
-	Address  string  `toml:"address"`
-	Form     string  `toml:"form"`
-	Prefix   string  `toml:"prefix"`
-	Confirm  string  `toml:"confirm"`
-	Patience float64 `toml:"patience_s"`
-	Every    float64 `toml:"every_s"` // short for telemetry.every_s
+	Address         string  `toml:"address"`
+	Protocol        string  `toml:"form"`
+	Prefix          string  `toml:"prefix"`
+	Confirm         string  `toml:"confirm"`
+	TimeoutSeconds  float64 `toml:"patience_s"`
+	IntervalSeconds float64 `toml:"every_s"` // short for telemetry.every_s
 
-	Addr netip.AddrPort `toml:"-"`
+	ParsedAddress netip.AddrPort `toml:"-"`
 }
 
 // Collectd is a collectd, by its unix socket or by its network protocol.
 type Collectd struct {
-	Socket       string  `toml:"socket"`
-	Address      string  `toml:"address"`
-	Security     string  `toml:"security"`
-	Username     string  `toml:"username"`
-	PasswordFile string  `toml:"password_file"`
-	Patience     float64 `toml:"patience_s"`
+	Socket         string  `toml:"socket"`
+	Address        string  `toml:"address"`
+	Security       string  `toml:"security"`
+	Username       string  `toml:"username"`
+	PasswordFile   string  `toml:"password_file"`
+	TimeoutSeconds float64 `toml:"patience_s"`
 
-	Addr     netip.AddrPort `toml:"-"`
-	Password string         `toml:"-"`
+	ParsedAddress netip.AddrPort `toml:"-"`
+	Password      string         `toml:"-"`
 }
 
-// DefaultPatience is for how many seconds a receiver is waited for, which deploy/operator.toml tells, too.
-const DefaultPatience = 20.0
+// DefaultTimeoutSeconds is for how many seconds a receiver is waited for, which deploy/operator.toml tells, too.
+const DefaultTimeoutSeconds = 20.0
 
 // Bounds of receivers' keys.
 const (
@@ -51,16 +51,16 @@
 var plainPath = regexp.MustCompile(`^[A-Za-z0-9_-]+(\.[A-Za-z0-9_-]+)*$`)
 
 func (g *Graphite) check(wrong sectionError) (err error) {
-	if g.Addr, err = parseAddress(g.Address); err != nil {
+	if g.ParsedAddress, err = parseAddress(g.Address); err != nil {
 		return wrong("address", err)
 	}
-	if err := checkChoice(&g.Form, "plaintext", "pickle"); err != nil {
+	if err := checkChoice(&g.Protocol, "plaintext", "pickle"); err != nil {
 		return wrong("form", err)
 	}
 	if err := checkChoice(&g.Confirm, "close", "none"); err != nil {
 		return wrong("confirm", err)
 	}
-	if err := checkSeconds(&g.Patience, DefaultPatience, leastPatience, mostPatience); err != nil {
+	if err := checkSeconds(&g.TimeoutSeconds, DefaultTimeoutSeconds, leastPatience, mostPatience); err != nil {
 		return wrong("patience_s", err)
 	}
 	if g.Prefix == "" {
@@ -77,14 +77,14 @@
 	case (c.Socket == "") == (c.Address == ""):
 		return wrong("socket", errors.New("either socket or address must be there"))
 	case c.Address != "":
-		if c.Addr, err = parseAddress(c.Address); err != nil {
+		if c.ParsedAddress, err = parseAddress(c.Address); err != nil {
 			return wrong("address", err)
 		}
 	}
 	if err := checkChoice(&c.Security, "none", "sign", "encrypt"); err != nil {
 		return wrong("security", err)
 	}
-	if err := checkSeconds(&c.Patience, DefaultPatience, leastPatience, mostPatience); err != nil {
+	if err := checkSeconds(&c.TimeoutSeconds, DefaultTimeoutSeconds, leastPatience, mostPatience); err != nil {
 		return wrong("patience_s", err)
 	}
 	return c.checkSecurity(wrong)
--- a/internal/dispatcher/operatorconfig/request_log.go
+++ b/internal/dispatcher/operatorconfig/request_log.go
@@ -7,15 +7,15 @@
 
 // RequestLog is where a line for each final answer goes.
 type RequestLog struct {
-	Path     string `toml:"path"`
-	MaxBytes int64  `toml:"max_bytes"`
-	Keep     *int   `toml:"keep"`
+	Path      string `toml:"path"`
+	MaxBytes  int64  `toml:"max_bytes"`
+	KeepFiles *int   `toml:"keep"`
 }
 
 // The defaults of the request log, which deploy/operator.toml tells, too.
 const (
-	DefaultLogBytes = 64 << 20
-	DefaultLogKeep  = 4 // files
+	DefaultLogBytes     = 64 << 20
+	DefaultLogKeepFiles = 4 // files
 )
 
 // Bounds of the request log's keys.
@@ -34,12 +34,12 @@
 	if l.MaxBytes < leastLogBytes {
 		return wrong("max_bytes", fmt.Errorf("%d is below %d", l.MaxBytes, leastLogBytes))
 	}
-	if l.Keep == nil {
-		files := DefaultLogKeep
-		l.Keep = &files
+	if l.KeepFiles == nil {
+		files := DefaultLogKeepFiles
+		l.KeepFiles = &files
 	}
-	if *l.Keep < 0 || *l.Keep > mostLogKeep {
-		return wrong("keep", fmt.Errorf("%d is not within 0 and %d", *l.Keep, mostLogKeep))
+	if *l.KeepFiles < 0 || *l.KeepFiles > mostLogKeep {
+		return wrong("keep", fmt.Errorf("%d is not within 0 and %d", *l.KeepFiles, mostLogKeep))
 	}
 	return nil
 }
--- a/internal/dispatcher/operatorconfig/telemetry.go
+++ b/internal/dispatcher/operatorconfig/telemetry.go
@@ -4,19 +4,19 @@
 
 // Telemetry is how periods are closed and held.
 type Telemetry struct {
-	Every       float64 `toml:"every_s"`
-	MemoryBytes int     `toml:"memory_bytes"`
-	SpoolDir    string  `toml:"spool_dir"`
-	SpoolBytes  int64   `toml:"spool_bytes"`
-	NodeSeries  *int    `toml:"node_series"`
+	IntervalSeconds float64 `toml:"every_s"`
+	MemoryBytes     int     `toml:"memory_bytes"`
+	SpoolDir        string  `toml:"spool_dir"`
+	SpoolBytes      int64   `toml:"spool_bytes"`
+	NodeSeries      *int    `toml:"node_series"`
 }
 
 // The defaults of telemetry, which deploy/operator.toml tells, too.
 const (
-	DefaultEvery       = 10.0 // seconds
-	DefaultMemoryBytes = 1 << 20
-	DefaultSpoolBytes  = 64 << 20
-	DefaultNodeSeries  = 256 // nodes
+	DefaultIntervalSeconds = 10.0 // seconds
+	DefaultMemoryBytes     = 1 << 20
+	DefaultSpoolBytes      = 64 << 20
+	DefaultNodeSeries      = 256 // nodes
 )
 
 // Bounds of the keys of telemetry.
@@ -29,7 +29,7 @@
 )
 
 func (t *Telemetry) check(wrong sectionError) error {
-	if err := checkSeconds(&t.Every, DefaultEvery, leastEvery, mostEvery); err != nil {
+	if err := checkSeconds(&t.IntervalSeconds, DefaultIntervalSeconds, leastEvery, mostEvery); err != nil {
 		return wrong("every_s", err)
 	}
 	if t.MemoryBytes == 0 {
--- a/internal/dispatcher/requestaudit/audit.go
+++ b/internal/dispatcher/requestaudit/audit.go
@@ -18,7 +18,7 @@
 )
 
 // Key names a total.
-type Key struct{ By, Class, Verdict string }
+type Key struct{ Dispatcher, Class, Verdict string }
 
 // Row is one total, by both.
 type Row struct {
@@ -26,11 +26,11 @@
 	Logged, Received uint64
 }
 
-// Books are what was read so far.
-type Books struct {
-	Lines, Points int
-	Bad           []string // places that make no sense, the first ones
-	BadCount      int
+// Audit are what was read so far.
+type Audit struct {
+	LogLines, MetricPoints int
+	Malformed              []string // places that make no sense, the first ones
+	MalformedCount         int
 
 	logged map[Key]uint64
 	series map[Key][]point
@@ -45,29 +45,29 @@
 const mostBad = 20
 
 // New begins an audit.
-func New() *Books { return &Books{logged: map[Key]uint64{}, series: map[Key][]point{}} }
+func New() *Audit { return &Audit{logged: map[Key]uint64{}, series: map[Key][]point{}} }
 
-func (b *Books) bad(format string, a ...any) {
-	if b.BadCount++; len(b.Bad) < mostBad {
-		b.Bad = append(b.Bad, fmt.Sprintf(format, a...))
+func (b *Audit) bad(format string, a ...any) {
+	if b.MalformedCount++; len(b.Malformed) < mostBad {
+		b.Malformed = append(b.Malformed, fmt.Sprintf(format, a...))
 	}
 }
 
-// Log reads a request log; name is for messages.
-func (b *Books) Log(name string, r io.Reader) error {
+// ReadRequestLog reads a request log; name is for messages.
+func (b *Audit) ReadRequestLog(name string, r io.Reader) error {
 	return requestlog.Read(r, func(l requestlog.Line) {
 		if _, ok := telemetry.ParseVerdict(l.Verdict); !ok {
 			b.bad("%s: verdict %q of job %q", name, l.Verdict, l.ID)
 			return
 		}
-		b.Lines++
-		b.logged[Key{telemetry.Clean(l.By), l.Class, l.Verdict}]++
+		b.LogLines++
+		b.logged[Key{telemetry.SanitizeName(l.Dispatcher), l.Class, l.Verdict}]++
 	}, func(n int, err error) { b.bad("%s:%d: %v", name, n, err) })
 }
 
-// Received reads what a receiver has got: lines as Graphite takes them (PATH VALUE TIME) or as collectd does (PUTVAL). Series
+// ReadMetrics reads what a receiver has got: lines as Graphite takes them (PATH VALUE TIME) or as collectd does (PUTVAL). Series
 // that count no answers are passed over.
-func (b *Books) Received(name string, r io.Reader) error {
+func (b *Audit) ReadMetrics(name string, r io.Reader) error {
 	in := bufio.NewScanner(r)
 	in.Buffer(make([]byte, 64<<10), 1<<20)
 	for n := 1; in.Scan(); n++ {
@@ -80,7 +80,7 @@
 			b.bad("%s:%d: %v", name, n, err)
 			continue
 		}
-		if b.Points++; key != (Key{}) {
+		if b.MetricPoints++; key != (Key{}) {
 			b.series[key] = append(b.series[key], point{at, v, n})
 		}
 	}
@@ -127,7 +127,7 @@
 		return key, 0, 0, err
 	}
 	if name, ok := strings.CutPrefix(series, "cinderroad/derive-classes_"); ok {
-		for verdict := range telemetry.Verdicts {
+		for verdict := range telemetry.NumVerdicts {
 			if class, ok := strings.CutSuffix(name, "_answers_"+verdict.String()); ok {
 				return Key{host, class, verdict.String()}, at, v, nil
 			}
@@ -153,8 +153,8 @@
 	return sum
 }
 
-// Rows compares. Totals that both have as 0 are left out.
-func (b *Books) Rows() (rows []Row) {
+// Compare compares. Totals that both have as 0 are left out.
+func (b *Audit) Compare() (rows []Row) {
 	all := map[Key]Row{}
 	for key, n := range b.logged {
 		all[key] = Row{Key: key, Logged: n}
@@ -168,37 +168,37 @@
 	}
 	rows = slices.Collect(maps.Values(all))
 	slices.SortFunc(rows, func(x, y Row) int {
-		return cmp.Or(cmp.Compare(x.By, y.By), cmp.Compare(x.Class, y.Class), cmp.Compare(x.Verdict, y.Verdict))
+		return cmp.Or(cmp.Compare(x.Dispatcher, y.Dispatcher), cmp.Compare(x.Class, y.Class), cmp.Compare(x.Verdict, y.Verdict))
 	})
 	return rows
 }
 
-// Difference is how many answers the two sides do not agree on.
-func Difference(rows []Row) (sum uint64) {
+// TotalDifference is how many answers the two sides do not agree on.
+func TotalDifference(rows []Row) (sum uint64) {
 	for _, r := range rows {
 		sum += max(r.Logged, r.Received) - min(r.Logged, r.Received)
 	}
 	return sum
 }
 
-// Write writes the comparison as a table.
-func (b *Books) Write(w io.Writer) error {
-	rows := b.Rows()
+// WriteTable writes the comparison as a table.
+func (b *Audit) WriteTable(w io.Writer) error {
+	rows := b.Compare()
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "dispatcher\tclass\tverdict\tlogged\treceived\tdifference\t")
 	var logged, received uint64
 	for _, r := range rows {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%d\t\n", r.By, r.Class, r.Verdict, r.Logged, r.Received, int64(r.Received)-int64(r.Logged))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%d\t\n", r.Dispatcher, r.Class, r.Verdict, r.Logged, r.Received, int64(r.Received)-int64(r.Logged))
 		logged, received = logged+r.Logged, received+r.Received
 	}
 	fmt.Fprintf(t, "all\t\t\t%d\t%d\t%d\t\n", logged, received, int64(received)-int64(logged))
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("audit: %w", err)
 	}
-	for _, place := range b.Bad {
+	for _, place := range b.Malformed {
 		fmt.Fprintln(w, "makes no sense:", place)
 	}
-	if more := b.BadCount - len(b.Bad); more > 0 {
+	if more := b.MalformedCount - len(b.Malformed); more > 0 {
 		fmt.Fprintf(w, "and %d more\n", more)
 	}
 	return nil
--- a/internal/dispatcher/requestlog/requestlog.go
+++ b/internal/dispatcher/requestlog/requestlog.go
@@ -15,18 +15,18 @@
 	"cinderroad/loadbalancer"
 )
 
-// FlushEvery is how long a line may wait before it goes to the writer, in seconds.
-const FlushEvery = linelog.FlushEvery
+// FlushIntervalSeconds is how long a line may wait before it goes to the writer, in seconds.
+const FlushIntervalSeconds = linelog.FlushIntervalSeconds
 
 // Options say where the log stands.
 type Options struct {
-	Path     string
-	MaxBytes int64 // of a file; then it is renamed to PATH.1, PATH.1 to PATH.2, and so on
-	Keep     int   // files beside the one at hand
-	By       string
-	Life     string   // of the process, before the numbers of marks
-	Classes  []string // names by the settings' numbers
-	Slot     func(worker loadbalancer.WorkerID) string
+	Path           string
+	MaxBytes       int64 // of a file; then it is renamed to PATH.1, PATH.1 to PATH.2, and so on
+	KeepFiles      int   // files beside the one at hand
+	DispatcherName string
+	Incarnation    string   // of the process, before the numbers of marks
+	Classes        []string // names by the settings' numbers
+	NodeSlot       func(worker loadbalancer.WorkerID) string
 	// Report hears, on a goroutine of its own, what went wrong.
 	Report func(error)
 }
@@ -43,22 +43,22 @@
 
 // Open opens the log, whose file need not exist.
 func Open(o Options) (*Log, error) {
-	file, err := linelog.Open(linelog.Options{Path: o.Path, MaxBytes: o.MaxBytes, Keep: o.Keep, What: "request log", Report: o.Report})
+	file, err := linelog.Open(linelog.Options{Path: o.Path, MaxBytes: o.MaxBytes, KeepFiles: o.KeepFiles, Name: "request log", Report: o.Report})
 	if err != nil {
 		return nil, err
 	}
 	l := &Log{Log: file, options: o}
-	l.prefix = append(linelog.AppendString([]byte(`,"by":`), o.By), `,"id":`...)
-	l.mark = append([]byte(`,"mark":"`), o.Life+"."...)
+	l.prefix = append(linelog.AppendString([]byte(`,"by":`), o.DispatcherName), `,"id":`...)
+	l.mark = append([]byte(`,"mark":"`), o.Incarnation+"."...)
 	for _, name := range telemetry.ClassNames(o.Classes) {
 		l.classes = append(l.classes, linelog.AppendString(nil, name))
 	}
 	return l, nil
 }
 
-// Answered adds a line.
-func (l *Log) Answered(f *dispatch.AnswerRecord) {
-	b := l.Begin()
+// LogAnswer adds a line.
+func (l *Log) LogAnswer(f *dispatch.AnswerRecord) {
+	b := l.BeginLine()
 	class := len(l.classes) - 1
 	if f.Class >= 0 && f.Class < class {
 		class = f.Class
@@ -92,13 +92,13 @@
 		}
 		b = append(b, ']')
 	}
-	l.End(append(b, '}', '\n'))
+	l.EndLine(append(b, '}', '\n'))
 }
 
 func (l *Log) try(b []byte, f *dispatch.AnswerRecord, t *dispatch.AttemptRecord) []byte {
 	b = linelog.AppendString(append(b, `{"node":`...), t.MemberName)
-	if l.options.Slot != nil {
-		if slot := l.options.Slot(t.Worker); slot != "" {
+	if l.options.NodeSlot != nil {
+		if slot := l.options.NodeSlot(t.Worker); slot != "" {
 			b = linelog.AppendString(append(b, `,"slot":`...), slot)
 		}
 	}
@@ -127,15 +127,15 @@
 
 // Line is a line as a reader needs it.
 type Line struct {
-	Time    float64 `json:"time"`
-	By      string  `json:"by"`
-	ID      string  `json:"id"`
-	Class   string  `json:"class"`
-	Front   string  `json:"front"`
-	Verdict string  `json:"verdict"`
-	Reason  string  `json:"reason"`
-	TookMs  float64 `json:"took_ms"`
-	Tries   []struct {
+	Time       float64 `json:"time"`
+	Dispatcher string  `json:"by"`
+	ID         string  `json:"id"`
+	Class      string  `json:"class"`
+	Front      string  `json:"front"`
+	Verdict    string  `json:"verdict"`
+	Reason     string  `json:"reason"`
+	DurationMS float64 `json:"took_ms"`
+	Attempts   []struct {
 		Node   string `json:"node"`
 		Slot   string `json:"slot"`
 		Result string `json:"result"`
--- a/internal/dispatcher/requestlog/requestlog_test.go
+++ b/internal/dispatcher/requestlog/requestlog_test.go
@@ -25,7 +25,7 @@
 
 func open(t *testing.T, o Options) *Log {
 	t.Helper()
-	o.By, o.Classes = "n0", []string{"score"}
+	o.DispatcherName, o.Classes = "n0", []string{"score"}
 	l, err := Open(o)
 	if err != nil {
 		t.Fatal(err)
@@ -35,9 +35,9 @@
 
 func TestLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
-	l := open(t, Options{Path: path, Slot: func(loadbalancer.WorkerID) string { return "m.k.0.1" }})
-	l.Answered(final("x"))
-	l.Answered(&dispatch.AnswerRecord{ID: "y", Front: "gearman", Class: -1, Verdict: dispatch.Rejected, Reason: dispatch.ReasonNoCapacity, ArrivedAt: 100, AnsweredAt: 100, RetryAfter: 0.5, WinningAttempt: -1})
+	l := open(t, Options{Path: path, NodeSlot: func(loadbalancer.WorkerID) string { return "m.k.0.1" }})
+	l.LogAnswer(final("x"))
+	l.LogAnswer(&dispatch.AnswerRecord{ID: "y", Front: "gearman", Class: -1, Verdict: dispatch.Rejected, Reason: dispatch.ReasonNoCapacity, ArrivedAt: 100, AnsweredAt: 100, RetryAfter: 0.5, WinningAttempt: -1})
 	l.Close()
 	want := `{"time":100.250000,"by":"n0","id":"x","class":"score","front":"platform","verdict":"in_time","took_ms":250.000,"start_ms":100.000,"tries":[` +
 		`{"node":"a","slot":"m.k.0.1","sent_ms":0.000,"end_ms":50.000,"result":"full"},` +
@@ -64,9 +64,9 @@
 // Files are renamed at their bound, as many are kept as wanted, and no line is lost on the way or cut in two.
 func TestRotation(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
-	l := open(t, Options{Path: path, MaxBytes: 4096, Keep: 100})
+	l := open(t, Options{Path: path, MaxBytes: 4096, KeepFiles: 100})
 	for i := range 200 {
-		l.Answered(final(fmt.Sprint(i)))
+		l.LogAnswer(final(fmt.Sprint(i)))
 		if i%3 == 0 {
 			l.Flush()
 		}
@@ -90,13 +90,13 @@
 		}
 		f.Close()
 	}
-	if len(seen)+int(l.Lost()) != 200 {
-		t.Errorf("%d lines, %d lost", len(seen), l.Lost())
+	if len(seen)+int(l.DroppedLines()) != 200 {
+		t.Errorf("%d lines, %d lost", len(seen), l.DroppedLines())
 	}
 	few := filepath.Join(t.TempDir(), "few")
-	l = open(t, Options{Path: few, MaxBytes: 4096, Keep: 1})
+	l = open(t, Options{Path: few, MaxBytes: 4096, KeepFiles: 1})
 	for i := range 100 {
-		l.Answered(final(fmt.Sprint(i)))
+		l.LogAnswer(final(fmt.Sprint(i)))
 		l.Flush()
 	}
 	l.Close()
@@ -108,11 +108,11 @@
 // Two processes of an upgrade write one log: neither renames the file twice, and every line is there.
 func TestTwoProcesses(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
-	o := Options{Path: path, MaxBytes: 4096, Keep: 100}
+	o := Options{Path: path, MaxBytes: 4096, KeepFiles: 100}
 	x, y := open(t, o), open(t, o)
 	for i := range 100 {
-		x.Answered(final(fmt.Sprint("x", i)))
-		y.Answered(final(fmt.Sprint("y", i)))
+		x.LogAnswer(final(fmt.Sprint("x", i)))
+		y.LogAnswer(final(fmt.Sprint("y", i)))
 		x.Flush()
 		y.Flush()
 	}
@@ -126,7 +126,7 @@
 			t.Error(err)
 		}
 	}
-	if lost := int(x.Lost() + y.Lost()); lines+lost != 200 {
+	if lost := int(x.DroppedLines() + y.DroppedLines()); lines+lost != 200 {
 		t.Errorf("%d lines in %d files, %d lost", lines, len(files), lost)
 	}
 }
@@ -140,11 +140,11 @@
 	l := open(t, Options{Path: path})
 	const jobs = 20000 // of 0.4 KB each: more than pipe and queue hold
 	for i := range jobs {
-		l.Answered(final(fmt.Sprint(i)))
+		l.LogAnswer(final(fmt.Sprint(i)))
 	}
 	l.Flush()
-	if l.Lost() == 0 || l.Lost() >= jobs {
-		t.Errorf("%d lines lost", l.Lost())
+	if l.DroppedLines() == 0 || l.DroppedLines() >= jobs {
+		t.Errorf("%d lines lost", l.DroppedLines())
 	}
 	lines := 0
 	done := make(chan struct{})
@@ -158,8 +158,8 @@
 	}()
 	l.Close()
 	<-done
-	if got := uint64(lines) + l.Lost(); got != jobs || l.Lines != jobs {
-		t.Errorf("%d lines came and %d were lost of %d", lines, l.Lost(), jobs)
+	if got := uint64(lines) + l.DroppedLines(); got != jobs || l.Lines != jobs {
+		t.Errorf("%d lines came and %d were lost of %d", lines, l.DroppedLines(), jobs)
 	}
 }
 
@@ -171,12 +171,12 @@
 	var reports atomic.Int32
 	l := open(t, Options{Path: "/dev/full", Report: func(error) { reports.Add(1) }})
 	for i := range 30 {
-		l.Answered(final(fmt.Sprint(i)))
+		l.LogAnswer(final(fmt.Sprint(i)))
 		l.Flush()
 	}
 	l.Close()
-	if l.Failed()+l.Lost() != 30 || reports.Load() != 1 {
-		t.Errorf("%d failed, %d lost, %d reports", l.Failed(), l.Lost(), reports.Load())
+	if l.FailedLines()+l.DroppedLines() != 30 || reports.Load() != 1 {
+		t.Errorf("%d failed, %d lost, %d reports", l.FailedLines(), l.DroppedLines(), reports.Load())
 	}
 }
 
@@ -187,7 +187,7 @@
 		t.Fatal(err)
 	}
 	l := open(t, Options{Path: path})
-	l.Answered(final("after"))
+	l.LogAnswer(final("after"))
 	l.Close()
 	f, err := os.Open(path)
 	if err != nil {
@@ -205,14 +205,14 @@
 }
 
 func BenchmarkAnswered(b *testing.B) {
-	l, err := Open(Options{Path: filepath.Join(b.TempDir(), "log"), By: "n0", Classes: []string{"score"}, MaxBytes: 1 << 30})
+	l, err := Open(Options{Path: filepath.Join(b.TempDir(), "log"), DispatcherName: "n0", Classes: []string{"score"}, MaxBytes: 1 << 30})
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer l.Close()
 	f := final("0123456789abcdef")
 	for b.Loop() {
-		l.Answered(f)
+		l.LogAnswer(f)
 	}
-	b.ReportMetric(float64(l.Lost())/float64(b.N), "lost/line")
+	b.ReportMetric(float64(l.DroppedLines())/float64(b.N), "lost/line")
 }
--- a/internal/dispatcher/server/compatibility_test.go
+++ b/internal/dispatcher/server/compatibility_test.go
@@ -36,7 +36,7 @@
 var (
 	excluded = map[string]dispatch.Exclusion{"w-1": {ExcludedAt: 100, StartedAt: 90, IncludedAt: 120}, "w-2": {ExcludedAt: 101}}
 	counted  = map[string]float64{"classes.score.answers.in_time": 40}
-	measured = telemetry.Spans{"classes.score.latency": {{1500, 3}, {2000, 1}}}
+	measured = telemetry.Latencies{"classes.score.latency": {{1500, 3}, {2000, 1}}}
 )
 
 // TestReadsHandovers: the bodies of the frames by which a process takes another one's place, and the file of its socket.
@@ -49,7 +49,7 @@
 			Kinds: map[int]loadbalancer.KindSnapshot{1: {Pace: 0.5, Slots: 8}}, Workers: map[loadbalancer.WorkerID]*loadbalancer.WorkerSnapshot{9: {StartedAt: 1}}},
 		Gearman: true, GearmanFor: "127.0.0.1:4730", Figures: true})
 	readsJSON(t, "figures.json", figuresMessage{All: true, Counts: counted, Spans: measured,
-		Held: []telemetry.Held{{Spot: "m.k.3", Slot: 1, Node: "node-1"}}, Last: 1_700_000_000_000,
+		Held: []telemetry.SlotAssignment{{Location: "m.k.3", Slot: 1, Node: "node-1"}}, Last: 1_700_000_000_000,
 		Series:  []telemetry.Series{{Name: "classes.score.answers.in_time", Kind: telemetry.Counter}, {Name: "reqs.open", Kind: telemetry.Gauge}},
 		Periods: []undeliveredPeriod{{Stamp: 1_699_999_990_000, Every: 10, Body: []byte{2, 42, 0}}}})
 	readsJSON(t, "figures-since.json", figuresMessage{Counts: counted, Spans: measured})
--- a/internal/dispatcher/server/config.go
+++ b/internal/dispatcher/server/config.go
@@ -30,7 +30,7 @@
 	} `json:"limits"`
 	Settings json.RawMessage `json:"settings"`
 
-	Operator *operatorconfig.File `json:"-"` // never nil
+	Operator *operatorconfig.Config `json:"-"` // never nil
 	short    Shorthand
 
 	path, gearmanPath string // where it was read from
@@ -92,14 +92,14 @@
 		if err != nil {
 			return fmt.Errorf("graphite: %w", err)
 		}
-		f.Graphite = append(f.Graphite, operatorconfig.Graphite{Address: s.Graphite, Addr: addr, Form: "plaintext", Prefix: "cinderroad",
-			Confirm: "close", Patience: operatorconfig.DefaultPatience})
+		f.Graphite = append(f.Graphite, operatorconfig.Graphite{Address: s.Graphite, ParsedAddress: addr, Protocol: "plaintext", Prefix: "cinderroad",
+			Confirm: "close", TimeoutSeconds: operatorconfig.DefaultTimeoutSeconds})
 	}
 	if s.Collectd != "" {
-		f.Collectd = append(f.Collectd, operatorconfig.Collectd{Socket: s.Collectd, Security: "none", Patience: operatorconfig.DefaultPatience})
+		f.Collectd = append(f.Collectd, operatorconfig.Collectd{Socket: s.Collectd, Security: "none", TimeoutSeconds: operatorconfig.DefaultTimeoutSeconds})
 	}
 	if s.Interval > 0 {
-		f.Telemetry.Every = s.Interval
+		f.Telemetry.IntervalSeconds = s.Interval
 	}
 	c.Operator, c.short = f, s
 	return nil
--- a/internal/dispatcher/server/describe.go
+++ b/internal/dispatcher/server/describe.go
@@ -71,35 +71,35 @@
 	f := c.Operator
 	line("operator's file", "%s", or(f.Path(), "none"))
 	for _, g := range f.Graphite {
-		line("graphite", "%s, %s, paths begin %s.%s, confirm %s, patience %v s", g.Addr, g.Form, g.Prefix, telemetry.Clean(c.Name), g.Confirm, g.Patience)
+		line("graphite", "%s, %s, paths begin %s.%s, confirm %s, patience %v s", g.ParsedAddress, g.Protocol, g.Prefix, telemetry.SanitizeName(c.Name), g.Confirm, g.TimeoutSeconds)
 	}
 	for _, d := range f.Collectd {
 		if d.Socket != "" {
-			line("collectd", "%s, patience %v s", d.Socket, d.Patience)
+			line("collectd", "%s, patience %v s", d.Socket, d.TimeoutSeconds)
 		} else {
-			line("collectd", "%s over UDP, security %s %s", d.Addr, d.Security, d.Username)
+			line("collectd", "%s over UDP, security %s %s", d.ParsedAddress, d.Security, d.Username)
 		}
 	}
 	if len(f.Graphite)+len(f.Collectd) == 0 {
 		line("figures", "go nowhere")
 	} else {
-		line("figures", "every %v s, %d bytes held in memory, series of %d nodes", f.Telemetry.Every, f.Telemetry.MemoryBytes, *f.Telemetry.NodeSeries)
+		line("figures", "every %v s, %d bytes held in memory, series of %d nodes", f.Telemetry.IntervalSeconds, f.Telemetry.MemoryBytes, *f.Telemetry.NodeSeries)
 	}
 	line("spool", "%s", or(f.Telemetry.SpoolDir, "off: totals begin at 0 with each start"))
-	if m := f.Fleet; m != nil {
+	if m := f.Cluster; m != nil {
 		whole := "all dispatchers are members"
-		if !*m.Whole {
+		if !*m.Complete {
 			whole = "not all dispatchers are members: nInstances is the least"
 		}
-		line("fleet", "%s as %s, %s over UDP, others reach it at %s, seeds %s, a probe every %v s, %s", m.Name, c.Name, m.BindAddr, m.AdvertiseAddr,
-			or(strings.Join(m.Seeds, ", "), "none"), m.Period, whole)
-		line("lease", "%v s without a word of discovery", m.Lease)
-		line("ledger", "%s", or(m.Ledger, "off: no request log, and ledger names no file"))
+		line("fleet", "%s as %s, %s over UDP, others reach it at %s, seeds %s, a probe every %v s, %s", m.Name, c.Name, m.ParsedBind, m.ParsedAdvertise,
+			or(strings.Join(m.Seeds, ", "), "none"), m.ProbeIntervalSeconds, whole)
+		line("lease", "%v s without a word of discovery", m.LeaseSeconds)
+		line("ledger", "%s", or(m.AuditLogPath, "off: no request log, and ledger names no file"))
 	} else {
 		line("fleet", "off")
 	}
 	if l := f.RequestLog; l != nil {
-		line("request log", "%s, %d bytes, %d older files", l.Path, l.MaxBytes, *l.Keep)
+		line("request log", "%s, %d bytes, %d older files", l.Path, l.MaxBytes, *l.KeepFiles)
 	} else {
 		line("request log", "off")
 	}
--- a/internal/dispatcher/server/figures.go
+++ b/internal/dispatcher/server/figures.go
@@ -15,11 +15,11 @@
 type adder struct{ set *telemetry.Set }
 
 func (a adder) counter(name, unit, help string, get func() uint64) {
-	a.set.Read(telemetry.Doc{Pattern: name, Kind: telemetry.Counter, Unit: unit, Help: help}, func() float64 { return float64(get()) })
+	a.set.AddFunc(telemetry.SeriesDoc{Pattern: name, Kind: telemetry.Counter, Unit: unit, Help: help}, func() float64 { return float64(get()) })
 }
 
 func (a adder) gauge(name, unit, help string, get func() float64) {
-	a.set.Read(telemetry.Doc{Pattern: name, Kind: telemetry.Gauge, Unit: unit, Help: help}, get)
+	a.set.AddFunc(telemetry.SeriesDoc{Pattern: name, Kind: telemetry.Gauge, Unit: unit, Help: help}, get)
 }
 
 // addFigures adds what the parts of the program count themselves. Nothing is asked of p before the end of a period.
@@ -103,7 +103,7 @@
 
 func addConsole(a adder, p *Server) {
 	part := func(name, unit, help string, get func() uint64) {
-		a.set.Read(telemetry.Doc{Pattern: name, Kind: telemetry.Counter, Unit: unit, Help: help + " None without a second address."}, func() float64 {
+		a.set.AddFunc(telemetry.SeriesDoc{Pattern: name, Kind: telemetry.Counter, Unit: unit, Help: help + " None without a second address."}, func() float64 {
 			if p.console == nil {
 				return math.NaN()
 			}
@@ -117,7 +117,7 @@
 
 func addGearman(a adder, p *Server) {
 	part := func(name, unit, help string, get func(gearman.Counts) uint64) {
-		a.set.Read(telemetry.Doc{Pattern: "gearman." + name, Kind: telemetry.Counter, Unit: unit, Help: help + " None without a Gearman front."}, func() float64 {
+		a.set.AddFunc(telemetry.SeriesDoc{Pattern: "gearman." + name, Kind: telemetry.Counter, Unit: unit, Help: help + " None without a Gearman front."}, func() float64 {
 			if p.gearman == nil {
 				return math.NaN()
 			}
@@ -139,8 +139,8 @@
 }
 
 // MetricDocs are all series that there can be.
-func MetricDocs() []telemetry.Doc {
-	set := telemetry.New(telemetry.Options{Settings: loadbalancer.Settings{}, Nodes: 1})
+func MetricDocs() []telemetry.SeriesDoc {
+	set := telemetry.New(telemetry.Options{Settings: loadbalancer.Settings{}, MaxNodes: 1})
 	addFigures(nil, set)
 	addReportingFigures(nil, set)
 	return set.Docs()
--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -37,7 +37,7 @@
 
 // fleetOptions are what the files say of the fleet; nil is none.
 func (c *Config) fleetOptions() (*cluster.Options, error) {
-	f := c.Operator.Fleet
+	f := c.Operator.Cluster
 	if f == nil {
 		return nil, nil
 	}
@@ -48,10 +48,10 @@
 	if z := c.brain.Zone; z < len(c.names.FailureDomains) {
 		zone = c.names.FailureDomains[z]
 	}
-	return &cluster.Options{Cluster: f.Name, Name: c.Name, Bind: f.BindAddr, Advertise: f.AdvertiseAddr, Seeds: f.SeedAddrs,
-		ProbeInterval: f.Period, DeadTTL: f.Forget, LeaseTerm: f.Lease, RandomSeed: c.seed, Metadata: membership.Metadata{Zone: zone[:min(len(zone), 48)], Version: version(), Console: c.Console,
+	return &cluster.Options{Cluster: f.Name, Name: c.Name, Bind: f.ParsedBind, Advertise: f.ParsedAdvertise, Seeds: f.ParsedSeeds,
+		ProbeInterval: f.ProbeIntervalSeconds, DeadTTL: f.RetentionSeconds, LeaseTerm: f.LeaseSeconds, RandomSeed: c.seed, Metadata: membership.Metadata{Zone: zone[:min(len(zone), 48)], Version: version(), Console: c.Console,
 			SettingsHash: hash(common(c.Settings)), OperatorHash: hash([]byte(c.Operator.Common()))},
-		Quota: quota.Config{Instances: c.brain.Instances, Index: c.brain.Instance, ProbeInterval: f.Period, LoadDecay: c.brain.OverloadWindow, AllMembers: *f.Whole}}, nil
+		Quota: quota.Config{Instances: c.brain.Instances, Index: c.brain.Instance, ProbeInterval: f.ProbeIntervalSeconds, LoadDecay: c.brain.OverloadWindow, AllMembers: *f.Complete}}, nil
 }
 
 // startFleet has this dispatcher be a member, where the operator's file says so.
--- a/internal/dispatcher/server/fleet_figures.go
+++ b/internal/dispatcher/server/fleet_figures.go
@@ -10,7 +10,7 @@
 // addFleet adds the figures of the fleet; none are told while the section is off.
 func addFleet(a adder, p *Server) {
 	read := func(kind telemetry.Kind, name, unit, help string, get func(f *cluster.Cluster) float64) {
-		a.set.Read(telemetry.Doc{Pattern: "fleet." + name, Kind: kind, Unit: unit, Help: help + " None without a fleet."}, func() float64 {
+		a.set.AddFunc(telemetry.SeriesDoc{Pattern: "fleet." + name, Kind: kind, Unit: unit, Help: help + " None without a fleet."}, func() float64 {
 			if p.fleet == nil {
 				return math.NaN()
 			}
--- a/internal/dispatcher/server/fleet_versions.go
+++ b/internal/dispatcher/server/fleet_versions.go
@@ -64,8 +64,8 @@
 
 // source is what the fleet calls a discovery.
 func (p *Server) source(addr netip.AddrPort) string {
-	if f := p.config.Operator.Fleet; f != nil && f.Discovery != "" {
-		return f.Discovery
+	if f := p.config.Operator.Cluster; f != nil && f.DiscoveryID != "" {
+		return f.DiscoveryID
 	}
 	return addr.String()
 }
--- a/internal/dispatcher/server/ledger.go
+++ b/internal/dispatcher/server/ledger.go
@@ -16,23 +16,23 @@
 )
 
 // ledgerFile is where the ledger stands and how large it may be; an empty path is none.
-func ledgerFile(f *operatorconfig.File) linelog.Options {
-	if f.Fleet == nil || f.Fleet.Ledger == "" {
+func ledgerFile(f *operatorconfig.Config) linelog.Options {
+	if f.Cluster == nil || f.Cluster.AuditLogPath == "" {
 		return linelog.Options{}
 	}
-	o := linelog.Options{Path: f.Fleet.Ledger, MaxBytes: operatorconfig.DefaultLogBytes, Keep: operatorconfig.DefaultLogKeep}
+	o := linelog.Options{Path: f.Cluster.AuditLogPath, MaxBytes: operatorconfig.DefaultLogBytes, KeepFiles: operatorconfig.DefaultLogKeepFiles}
 	if l := f.RequestLog; l != nil {
-		o.MaxBytes, o.Keep = l.MaxBytes, *l.Keep
+		o.MaxBytes, o.KeepFiles = l.MaxBytes, *l.KeepFiles
 	}
 	return o
 }
 
 func sameFile(x, y linelog.Options) bool {
-	return x.Path == y.Path && x.MaxBytes == y.MaxBytes && x.Keep == y.Keep
+	return x.Path == y.Path && x.MaxBytes == y.MaxBytes && x.KeepFiles == y.KeepFiles
 }
 
 // openLedger opens the ledger that an operator's file names, where it is another than the one at hand; nil: it is that one, or none.
-func (p *Server) openLedger(f *operatorconfig.File) (*auditlog.Log, error) {
+func (p *Server) openLedger(f *operatorconfig.Config) (*auditlog.Log, error) {
 	o := ledgerFile(f)
 	if o.Path == "" || p.ledger != nil && sameFile(o, p.ledgerAt) {
 		return nil, nil
@@ -47,7 +47,7 @@
 
 // keepLedger puts a ledger in force in place of the one before. It goes on with the old one's numbers, and begins with all that is
 // held.
-func (p *Server) keepLedger(b *auditlog.Log, f *operatorconfig.File) {
+func (p *Server) keepLedger(b *auditlog.Log, f *operatorconfig.Config) {
 	o := ledgerFile(f)
 	if b == nil && p.ledger != nil && sameFile(o, p.ledgerAt) {
 		return
@@ -93,7 +93,7 @@
 	if r == nil || r.log == nil {
 		return 0
 	}
-	return r.log.Lost() + r.log.Failed()
+	return r.log.DroppedLines() + r.log.FailedLines()
 }
 
 // tendLedger hands lines to the writer, and says that the ledger goes on where nothing else does.
--- a/internal/dispatcher/server/reporting.go
+++ b/internal/dispatcher/server/reporting.go
@@ -29,10 +29,10 @@
 type reporting struct {
 	p     *Server
 	set   *telemetry.Set
-	feed  *exporter.Feed
+	feed  *exporter.Exporter
 	log   *requestlog.Log
 	spool *spool.Spool
-	file  *operatorconfig.File
+	file  *operatorconfig.Config
 
 	outputs      map[string]exporter.Output // by what the file says of them
 	awaitsTotals bool                       // the process before this one owes its totals
@@ -50,9 +50,9 @@
 	}
 	r := &reporting{p: p, file: f, outputs: map[string]exporter.Output{}}
 	r.set = telemetry.New(telemetry.Options{Settings: p.config.brain, Classes: p.config.classes(), Zones: p.config.names.FailureDomains,
-		Kinds: p.config.names.Kinds, Nodes: *f.Telemetry.NodeSeries, Standing: p.core.WorkerStatus, Now: p.loop.Now,
+		Kinds: p.config.names.Kinds, MaxNodes: *f.Telemetry.NodeSeries, WorkerStatus: p.core.WorkerStatus, Now: p.loop.Now,
 		Log: func(line string) { p.log.Info("telemetry: " + line) }})
-	r.feed = exporter.NewFeed(p.loop, p.log, r.set, exporter.Options{Host: p.config.Name, Every: f.Telemetry.Every, Bytes: f.Telemetry.MemoryBytes})
+	r.feed = exporter.New(p.loop, p.log, r.set, exporter.Options{DispatcherName: p.config.Name, Interval: f.Telemetry.IntervalSeconds, BufferBytes: f.Telemetry.MemoryBytes})
 	next, err := r.prepare(f)
 	if err != nil {
 		return nil, err
@@ -74,7 +74,7 @@
 func (r *reporting) ObserveAnswer(f *dispatch.AnswerRecord) {
 	r.set.ObserveAnswer(f)
 	if r.log != nil {
-		r.log.Answered(f)
+		r.log.LogAnswer(f)
 	}
 }
 
@@ -97,7 +97,7 @@
 }
 
 func (r *reporting) flushLog() {
-	r.p.loop.At(r.p.loop.Now()+requestlog.FlushEvery, func() {
+	r.p.loop.At(r.p.loop.Now()+requestlog.FlushIntervalSeconds, func() {
 		if r.log != nil {
 			r.log.Flush()
 		}
@@ -119,23 +119,23 @@
 		r.feed.Start()
 		return
 	}
-	r.open(func(found *spool.Found) { r.feed.Recall(found) })
+	r.open(func(found *spool.Recovered) { r.feed.Restore(found) })
 }
 
 // open opens the spool, off the loop, and has what it holds taken before the feed starts. One that cannot be used is told,
 // and costs what it is for alone.
-func (r *reporting) open(take func(*spool.Found)) {
+func (r *reporting) open(take func(*spool.Recovered)) {
 	t := r.file.Telemetry
 	go func() {
 		s, found, err := spool.Open(t.SpoolDir, filepath.Base(r.p.config.Name+"-"+r.p.config.Listen), t.SpoolBytes, r.report("spool"))
 		r.p.loop.Post(func() {
 			if err != nil {
 				r.p.log.Error("telemetry: no spool, totals do not outlive this process", zap.Error(err))
-				found = &spool.Found{}
+				found = &spool.Recovered{}
 			} else {
-				r.p.log.Info("telemetry: spool", zap.Int("periods", len(found.Periods)), zap.Int("torn_files", found.Torn), zap.Int("strange_files", found.Strange))
+				r.p.log.Info("telemetry: spool", zap.Int("periods", len(found.Periods)), zap.Int("torn_files", found.TornFiles), zap.Int("strange_files", found.UnknownFiles))
 				r.spool = s
-				r.feed.Keep(s)
+				r.feed.SetSpool(s)
 			}
 			take(found)
 			r.feed.Start()
@@ -145,15 +145,15 @@
 
 // finished closes the last period and gives receivers a moment to get it; true once they have it or the moment is over.
 func (r *reporting) finished() bool {
-	if r == nil || !r.feed.On() {
+	if r == nil || !r.feed.Running() {
 		return true
 	}
 	now := r.p.loop.Now()
 	if r.deliverUntil == 0 {
 		r.deliverUntil = now + finalDeliveryTime
-		r.feed.CloseNow()
+		r.feed.ClosePeriodNow()
 	}
-	return now >= r.deliverUntil || r.feed.Delivered()
+	return now >= r.deliverUntil || r.feed.AllDelivered()
 }
 
 // close writes what waits to the disk. A disk that hangs is not waited for.
--- a/internal/dispatcher/server/reporting_figures.go
+++ b/internal/dispatcher/server/reporting_figures.go
@@ -10,9 +10,9 @@
 // addReportingFigures adds the figures of the figures themselves.
 func addReportingFigures(p *Server, set *telemetry.Set) {
 	a := adder{set}
-	a.counter("telemetry.periods", "periods", "Periods closed.", func() uint64 { return p.reporting.feed.Periods })
+	a.counter("telemetry.periods", "periods", "Periods closed.", func() uint64 { return p.reporting.feed.ClosedPeriods })
 	a.gauge("telemetry.periods_held", "periods", "Periods that wait for a receiver.", func() float64 {
-		n, _ := p.reporting.feed.Ring().Held()
+		n, _ := p.reporting.feed.Ring().Size()
 		return float64(n)
 	})
 	a.counter("telemetry.periods_dropped", "periods", "Periods that had to go before every receiver had them: their points are missing, totals go on.",
@@ -21,16 +21,16 @@
 		of := map[string]string{"graphite": "Graphite receivers", "collectd": "collectds"}[kind]
 		for _, f := range []struct {
 			name, unit, help string
-			get              func(exporter.State) uint64
-		}{{"periods", "periods", "Periods that " + of + " have got.", func(s exporter.State) uint64 { return s.Periods }},
-			{"points", "points", "Points sent to " + of + ", some again after a break.", func(s exporter.State) uint64 { return s.Points }},
-			{"breaks", "tries", "Tries to deliver to " + of + " that came to nothing.", func(s exporter.State) uint64 { return s.Breaks }},
-			{"refused", "points", "Points that " + of + " would not have.", func(s exporter.State) uint64 { return s.Refused }}} {
-			a.counter("telemetry."+kind+"."+f.name, f.unit, f.help, func() uint64 { return f.get(p.reporting.feed.Total(kind)) })
+			get              func(exporter.OutputStats) uint64
+		}{{"periods", "periods", "Periods that " + of + " have got.", func(s exporter.OutputStats) uint64 { return s.Periods }},
+			{"points", "points", "Points sent to " + of + ", some again after a break.", func(s exporter.OutputStats) uint64 { return s.Points }},
+			{"breaks", "tries", "Tries to deliver to " + of + " that came to nothing.", func(s exporter.OutputStats) uint64 { return s.Failures }},
+			{"refused", "points", "Points that " + of + " would not have.", func(s exporter.OutputStats) uint64 { return s.RejectedPoints }}} {
+			a.counter("telemetry."+kind+"."+f.name, f.unit, f.help, func() uint64 { return f.get(p.reporting.feed.KindStats(kind)) })
 		}
 	}
 	disk := func(name, unit, help string, has func() bool, get func() uint64) {
-		set.Read(telemetry.Doc{Pattern: name, Kind: telemetry.Counter, Unit: unit, Help: help}, func() float64 {
+		set.AddFunc(telemetry.SeriesDoc{Pattern: name, Kind: telemetry.Counter, Unit: unit, Help: help}, func() float64 {
 			if !has() {
 				return math.NaN()
 			}
@@ -38,10 +38,10 @@
 		})
 	}
 	spooled := func() bool { return p.reporting.spool != nil }
-	disk("telemetry.spool_failed", "records", "Records that the disk refused. None without a spool.", spooled, func() uint64 { return p.reporting.spool.Failed() })
-	disk("telemetry.spool_lost", "records", "Records that the disk was too slow for. None without a spool.", spooled, func() uint64 { return p.reporting.spool.Lost() })
+	disk("telemetry.spool_failed", "records", "Records that the disk refused. None without a spool.", spooled, func() uint64 { return p.reporting.spool.WriteErrors() })
+	disk("telemetry.spool_lost", "records", "Records that the disk was too slow for. None without a spool.", spooled, func() uint64 { return p.reporting.spool.Dropped() })
 	logged := func() bool { return p.reporting.log != nil }
 	disk("request_log.lines", "lines", "Lines written to the request log. None without one.", logged, func() uint64 { return p.reporting.log.Lines })
-	disk("request_log.lost", "lines", "Lines that the disk was too slow for. None without a request log.", logged, func() uint64 { return p.reporting.log.Lost() })
-	disk("request_log.failed", "lines", "Lines that the disk refused. None without a request log.", logged, func() uint64 { return p.reporting.log.Failed() })
+	disk("request_log.lost", "lines", "Lines that the disk was too slow for. None without a request log.", logged, func() uint64 { return p.reporting.log.DroppedLines() })
+	disk("request_log.failed", "lines", "Lines that the disk refused. None without a request log.", logged, func() uint64 { return p.reporting.log.FailedLines() })
 }
--- a/internal/dispatcher/server/reporting_handover.go
+++ b/internal/dispatcher/server/reporting_handover.go
@@ -14,13 +14,13 @@
 
 // figuresMessage is what one process tells the next of what it has counted, as JSON.
 type figuresMessage struct {
-	All     bool                `json:"all"` // the first message: totals, and what goes with them; else what was counted since the last
-	Counts  map[string]float64  `json:"counts"`
-	Spans   telemetry.Spans     `json:"spans,omitempty"`
-	Held    []telemetry.Held    `json:"held,omitempty"`
-	Last    int64               `json:"last,omitempty"` // stamp of the last period
-	Series  []telemetry.Series  `json:"series,omitempty"`
-	Periods []undeliveredPeriod `json:"periods,omitempty"`
+	All     bool                       `json:"all"` // the first message: totals, and what goes with them; else what was counted since the last
+	Counts  map[string]float64         `json:"counts"`
+	Spans   telemetry.Latencies        `json:"spans,omitempty"`
+	Held    []telemetry.SlotAssignment `json:"held,omitempty"`
+	Last    int64                      `json:"last,omitempty"` // stamp of the last period
+	Series  []telemetry.Series         `json:"series,omitempty"`
+	Periods []undeliveredPeriod        `json:"periods,omitempty"`
 }
 
 // undeliveredPeriod is a period that some receiver has not got.
@@ -39,7 +39,7 @@
 	r.successor, r.totalsSent = l, false
 	s := r.spool
 	r.spool = nil
-	r.feed.Keep(nil)
+	r.feed.SetSpool(nil)
 	go func() {
 		if s != nil {
 			s.Close()
@@ -54,19 +54,19 @@
 
 // sendTotals sends the totals, and the periods that no disk holds, to the next process.
 func (r *reporting) sendTotals(onDisk bool) {
-	t := figuresMessage{All: true, Counts: r.set.Totals(), Held: r.set.Held(), Last: r.feed.Last()}
-	_, t.Spans = r.set.Delta()
+	t := figuresMessage{All: true, Counts: r.set.Totals(), Held: r.set.SlotAssignments(), Last: r.feed.LastTimestamp()}
+	_, t.Spans = r.set.TakeDelta()
 	if !onDisk {
 		t.Series = r.set.Table().From(0)
-		periods, size := r.feed.Ring().All(), 0
+		periods, size := r.feed.Ring().Periods(), 0
 		first := len(periods)
 		for ; first > 0; first-- {
-			if size += len(periods[first-1].Body); size > mostHandoverBytes || periods[first-1].Table != r.set.Table() {
+			if size += len(periods[first-1].EncodedValues); size > mostHandoverBytes || periods[first-1].Table != r.set.Table() {
 				break
 			}
 		}
 		for _, p := range periods[first:] {
-			t.Periods = append(t.Periods, undeliveredPeriod{p.Stamp, p.Every, p.Body})
+			t.Periods = append(t.Periods, undeliveredPeriod{p.Timestamp, p.Interval, p.EncodedValues})
 		}
 	}
 	r.send(t)
@@ -85,7 +85,7 @@
 	if r.deltaTimer.Stop(); r.successor == nil || !r.totalsSent {
 		return
 	}
-	if counts, spans := r.set.Delta(); len(counts) > 0 || len(spans) > 0 {
+	if counts, spans := r.set.TakeDelta(); len(counts) > 0 || len(spans) > 0 {
 		r.send(figuresMessage{Counts: counts, Spans: spans})
 	}
 	r.deltaTimer = r.p.loop.At(r.p.loop.Now()+deltaInterval, r.sendDelta)
@@ -113,7 +113,7 @@
 		r.feed.Start()
 		return
 	}
-	r.open(func(*spool.Found) {})
+	r.open(func(*spool.Recovered) {})
 }
 
 // awaitPredecessor waits for the totals of the process before this one, if it has any.
@@ -146,25 +146,25 @@
 	if t.All != r.awaitsTotals {
 		return errors.New("program: figures out of turn")
 	}
-	r.set.Add(t.Counts)
-	r.set.Merge(t.Spans)
+	r.set.AddTotals(t.Counts)
+	r.set.MergeLatencies(t.Spans)
 	if !t.All {
 		return nil
 	}
 	r.awaitsTotals = false
-	r.set.Remember(t.Held)
-	start := func(found *spool.Found) {
-		table := &telemetry.Table{}
+	r.set.RestoreSlots(t.Held)
+	start := func(found *spool.Recovered) {
+		table := &telemetry.SeriesTable{}
 		table.Append(t.Series...)
 		for _, h := range t.Periods {
-			found.Periods = append(found.Periods, &telemetry.Period{Stamp: h.Stamp, Every: h.Every, Table: table, Body: h.Body})
+			found.Periods = append(found.Periods, &telemetry.Period{Timestamp: h.Stamp, Interval: h.Every, Table: table, EncodedValues: h.Body})
 		}
 		found.Totals = nil // they are in what was told, and some more
-		r.feed.Recall(found)
-		r.feed.After(t.Last)
+		r.feed.Restore(found)
+		r.feed.AdvanceTimestamp(t.Last)
 	}
 	if r.file.Telemetry.SpoolDir == "" {
-		start(&spool.Found{})
+		start(&spool.Recovered{})
 		r.feed.Start()
 		return nil
 	}
--- a/internal/dispatcher/server/reporting_reload.go
+++ b/internal/dispatcher/server/reporting_reload.go
@@ -11,13 +11,13 @@
 
 // reportingChange is what a reload would change.
 type reportingChange struct {
-	file    *operatorconfig.File
+	file    *operatorconfig.Config
 	outputs map[string]exporter.Output
 	log     *requestlog.Log // nil: as before, or none
 }
 
 // prepare opens what an operator's file names and is not open yet; nothing changes before take.
-func (r *reporting) prepare(f *operatorconfig.File) (*reportingChange, error) {
+func (r *reporting) prepare(f *operatorconfig.Config) (*reportingChange, error) {
 	if r == nil {
 		return &reportingChange{file: f}, nil
 	}
@@ -28,8 +28,8 @@
 		}
 	}
 	if l := f.RequestLog; l != nil && (r.log == nil || !sameLog(l, r.file.RequestLog)) {
-		log, err := requestlog.Open(requestlog.Options{Path: l.Path, MaxBytes: l.MaxBytes, Keep: *l.Keep, By: r.p.config.Name, Life: auditlog.GenerationName(r.p.started),
-			Classes: r.p.config.classes(), Slot: r.set.Slot, Report: r.report("request log")})
+		log, err := requestlog.Open(requestlog.Options{Path: l.Path, MaxBytes: l.MaxBytes, KeepFiles: *l.KeepFiles, DispatcherName: r.p.config.Name, Incarnation: auditlog.GenerationName(r.p.started),
+			Classes: r.p.config.classes(), NodeSlot: r.set.NodeSlot, Report: r.report("request log")})
 		if err != nil {
 			return nil, fmt.Errorf("operator's file: request_log.path: %w", err)
 		}
@@ -39,25 +39,25 @@
 }
 
 func sameLog(x, y *operatorconfig.RequestLog) bool {
-	return x != nil && y != nil && x.Path == y.Path && x.MaxBytes == y.MaxBytes && *x.Keep == *y.Keep
+	return x != nil && y != nil && x.Path == y.Path && x.MaxBytes == y.MaxBytes && *x.KeepFiles == *y.KeepFiles
 }
 
 // outputsOf are the outputs that a file names, by all that is said of each.
-func outputsOf(f *operatorconfig.File) map[string]func() exporter.Output {
+func outputsOf(f *operatorconfig.Config) map[string]func() exporter.Output {
 	all := map[string]func() exporter.Output{}
 	for _, g := range f.Graphite {
 		all[fmt.Sprintf("graphite %+v", g)] = func() exporter.Output {
-			return exporter.NewGraphite(exporter.GraphiteOptions{Address: g.Addr, Prefix: g.Prefix, Pickle: g.Form == "pickle",
-				Confirm: g.Confirm == "close", Patience: g.Patience})
+			return exporter.NewGraphite(exporter.GraphiteOptions{Address: g.ParsedAddress, Prefix: g.Prefix, Pickle: g.Protocol == "pickle",
+				ConfirmByClose: g.Confirm == "close", Timeout: g.TimeoutSeconds})
 		}
 	}
 	for _, c := range f.Collectd {
 		all[fmt.Sprintf("collectd %+v", c)] = func() exporter.Output {
 			if c.Socket != "" {
-				return exporter.NewCollectd(c.Socket, c.Patience)
+				return exporter.NewCollectd(c.Socket, c.TimeoutSeconds)
 			}
-			security := map[string]exporter.Security{"none": exporter.None, "sign": exporter.Sign, "encrypt": exporter.Encrypt}[c.Security]
-			return exporter.NewNetwork(exporter.NetworkOptions{Address: c.Addr, Security: security, Username: c.Username, Password: c.Password})
+			security := map[string]exporter.Security{"none": exporter.SecurityNone, "sign": exporter.SecuritySign, "encrypt": exporter.SecurityEncrypt}[c.Security]
+			return exporter.NewCollectdNetwork(exporter.CollectdNetworkOptions{Address: c.ParsedAddress, Security: security, Username: c.Username, Password: c.Password})
 		}
 	}
 	return all
@@ -73,19 +73,19 @@
 		moved := false
 		for oldKey, old := range r.outputs {
 			if change.outputs[oldKey] == nil && old.Kind() == o.Kind() {
-				r.feed.Replace(old, o)
+				r.feed.ReplaceOutput(old, o)
 				delete(r.outputs, oldKey)
 				moved = true
 				break
 			}
 		}
 		if !moved {
-			r.feed.Attach(o)
+			r.feed.AddOutput(o)
 		}
 	}
 	for key, old := range r.outputs {
 		if change.outputs[key] == nil {
-			r.feed.Remove(old)
+			r.feed.RemoveOutput(old)
 		}
 	}
 	r.outputs = change.outputs
@@ -118,8 +118,8 @@
 	was := r.file.Telemetry
 	now := change.file.Telemetry
 	r.install(change)
-	if was.Every != now.Every {
-		r.feed.SetEvery(now.Every)
+	if was.IntervalSeconds != now.IntervalSeconds {
+		r.feed.SetInterval(now.IntervalSeconds)
 	}
 	for name, same := range map[string]bool{"telemetry.spool_dir": was.SpoolDir == now.SpoolDir, "telemetry.spool_bytes": was.SpoolBytes == now.SpoolBytes,
 		"telemetry.memory_bytes": was.MemoryBytes == now.MemoryBytes, "telemetry.node_series": *was.NodeSeries == *now.NodeSeries} {
@@ -129,7 +129,7 @@
 	}
 	// What needs a restart stays as it runs, so that the next reload names it again.
 	kept := *change.file
-	kept.Telemetry, kept.Telemetry.Every = was, now.Every
+	kept.Telemetry, kept.Telemetry.IntervalSeconds = was, now.IntervalSeconds
 	r.file = &kept
 	return restart
 }
--- a/internal/dispatcher/server/reporting_test.go
+++ b/internal/dispatcher/server/reporting_test.go
@@ -351,7 +351,7 @@
 	ids := map[string]bool{}
 	for _, name := range []string{"n0", "n1", "n2"} {
 		for _, l := range s.lines(name) {
-			if key := l.By + " " + l.ID; ids[key] {
+			if key := l.Dispatcher + " " + l.ID; ids[key] {
 				s.t.Errorf("two final answers of %s", key)
 			} else {
 				ids[key] = true
--- a/internal/dispatcher/spool/spool.go
+++ b/internal/dispatcher/spool/spool.go
@@ -48,14 +48,14 @@
 	Series []telemetry.Series `json:"series"`
 }
 
-// Found is what the lives before this one have left.
-type Found struct {
-	Periods []*telemetry.Period // the oldest first, as many as there is room for
-	Totals  map[string]float64  // as of the last of them
-	Held    []telemetry.Held
-	Got     map[string]int64 // by receiver: it has all up to this stamp
-	Torn    int              // files whose end made no sense
-	Strange int              // files that are no spool of this version, and were put aside
+// Recovered is what the lives before this one have left.
+type Recovered struct {
+	Periods         []*telemetry.Period // the oldest first, as many as there is room for
+	Totals          map[string]float64  // as of the last of them
+	SlotAssignments []telemetry.SlotAssignment
+	Acknowledged    map[string]int64 // by receiver: it has all up to this stamp
+	TornFiles       int              // files whose end made no sense
+	UnknownFiles    int              // files that are no spool of this version, and were put aside
 }
 
 // Spool is open for writing. All methods but Failed and Lost belong to one goroutine.
@@ -68,8 +68,8 @@
 	lost      atomic.Uint64
 	report    func(error)
 
-	table *telemetry.Table // of the file at hand
-	named int              // series whose names it has
+	table *telemetry.SeriesTable // of the file at hand
+	named int                    // series whose names it has
 	slots []byte
 	gone  int64 // bytes given to the file at hand
 
@@ -87,8 +87,8 @@
 }
 
 // Open reads what is in a folder and begins a file of its own. report hears, on a goroutine of its own, what goes wrong later.
-func Open(dir, name string, most int64, report func(error)) (*Spool, *Found, error) {
-	name = telemetry.Clean(name)
+func Open(dir, name string, most int64, report func(error)) (*Spool, *Recovered, error) {
+	name = telemetry.SanitizeName(name)
 	found, last, err := read(dir, name, most)
 	if err != nil {
 		return nil, nil, err
@@ -103,9 +103,9 @@
 	return s, found, nil
 }
 
-// Period adds a closed period, with whatever its file needs to be read alone. done is called once, on any goroutine, when it
+// AppendPeriod adds a closed period, with whatever its file needs to be read alone. done is called once, on any goroutine, when it
 // is on disk or will not be.
-func (s *Spool) Period(p *telemetry.Period, held []telemetry.Held, done func()) {
+func (s *Spool) AppendPeriod(p *telemetry.Period, held []telemetry.SlotAssignment, done func()) {
 	var out []record
 	if s.table != p.Table || s.gone >= s.most/files {
 		s.table, s.named, s.slots, s.gone = p.Table, 0, nil, 0
@@ -125,17 +125,17 @@
 		s.slots = body
 		out = append(out, record{kind: kindSlots, body: body})
 	}
-	body := binary.BigEndian.AppendUint64(nil, uint64(p.Stamp))
-	body = binary.BigEndian.AppendUint64(body, uint64(p.Every*1000))
-	out = append(out, record{kind: kindPeriod, body: append(body, p.Body...), done: done})
+	body := binary.BigEndian.AppendUint64(nil, uint64(p.Timestamp))
+	body = binary.BigEndian.AppendUint64(body, uint64(p.Interval*1000))
+	out = append(out, record{kind: kindPeriod, body: append(body, p.EncodedValues...), done: done})
 	if !s.give(out) { // the next one must not lean on names that are not there
 		s.table = nil
 		done()
 	}
 }
 
-// Got notes up to which stamp receivers have the periods.
-func (s *Spool) Got(got map[string]int64) {
+// AppendAcknowledged notes up to which stamp receivers have the periods.
+func (s *Spool) AppendAcknowledged(got map[string]int64) {
 	if body, err := json.Marshal(got); err == nil && s.table != nil {
 		s.give([]record{{kind: kindGot, body: body}})
 	}
@@ -154,11 +154,11 @@
 	}
 }
 
-// Failed is how often the disk refused, Lost how often it was too slow: each cost a period's place on disk, not the period.
-func (s *Spool) Failed() uint64 { return s.failed.Load() }
+// WriteErrors is how often the disk refused, Lost how often it was too slow: each cost a period's place on disk, not the period.
+func (s *Spool) WriteErrors() uint64 { return s.failed.Load() }
 
-// Lost is told of by Failed.
-func (s *Spool) Lost() uint64 { return s.lost.Load() }
+// Dropped is told of by Failed.
+func (s *Spool) Dropped() uint64 { return s.lost.Load() }
 
 // Close writes what waits and closes the file.
 func (s *Spool) Close() {
@@ -298,8 +298,8 @@
 }
 
 // read reads a spool, as much of its end as the bound allows.
-func read(dir, name string, most int64) (f *Found, last int, err error) {
-	f = &Found{Totals: map[string]float64{}, Got: map[string]int64{}}
+func read(dir, name string, most int64) (f *Recovered, last int, err error) {
+	f = &Recovered{Totals: map[string]float64{}, Acknowledged: map[string]int64{}}
 	all, err := list(dir, name)
 	if err != nil {
 		return nil, 0, err
@@ -316,17 +316,17 @@
 		}
 		if !bytes.HasPrefix(text, []byte(magic)) {
 			if i == len(all)-1 && bytes.HasPrefix([]byte(magic), text) { // torn as it began
-				f.Torn++
+				f.TornFiles++
 				continue
 			}
-			f.Strange++
+			f.UnknownFiles++
 			if err := os.Rename(file.path, file.path+".strange"); err != nil {
 				return nil, 0, fmt.Errorf("spool: %w", err)
 			}
 			continue
 		}
 		if !f.take(text[len(magic):]) {
-			f.Torn++
+			f.TornFiles++
 		}
 	}
 	for len(f.Periods) > 0 { // the totals are those of the last period that can be read
@@ -341,8 +341,8 @@
 }
 
 // take reads the records of a file; false when it ends in none.
-func (f *Found) take(b []byte) (whole bool) {
-	table := &telemetry.Table{}
+func (f *Recovered) take(b []byte) (whole bool) {
+	table := &telemetry.SeriesTable{}
 	for len(b) > 0 {
 		kind, body, n := parseRecord(b)
 		if n == 0 {
@@ -357,25 +357,25 @@
 			}
 			table.Append(v.Series...)
 		case kindSlots:
-			var v []telemetry.Held
+			var v []telemetry.SlotAssignment
 			if json.Unmarshal(body, &v) != nil {
 				return false
 			}
-			f.Held = v
+			f.SlotAssignments = v
 		case kindGot:
 			var v map[string]int64
 			if json.Unmarshal(body, &v) != nil {
 				return false
 			}
 			for name, stamp := range v {
-				f.Got[name] = max(f.Got[name], stamp)
+				f.Acknowledged[name] = max(f.Acknowledged[name], stamp)
 			}
 		case kindPeriod:
 			if len(body) < 16 {
 				return false
 			}
-			f.Periods = append(f.Periods, &telemetry.Period{Stamp: int64(binary.BigEndian.Uint64(body)), Table: table,
-				Every: float64(binary.BigEndian.Uint64(body[8:])) / 1000, Body: bytes.Clone(body[16:])})
+			f.Periods = append(f.Periods, &telemetry.Period{Timestamp: int64(binary.BigEndian.Uint64(body)), Table: table,
+				Interval: float64(binary.BigEndian.Uint64(body[8:])) / 1000, EncodedValues: bytes.Clone(body[16:])})
 		}
 	}
 	return true
--- a/internal/dispatcher/spool/spool_test.go
+++ b/internal/dispatcher/spool/spool_test.go
@@ -24,7 +24,7 @@
 	t     *testing.T
 	set   *telemetry.Set
 	spool *Spool
-	found *Found
+	found *Recovered
 	stamp int64
 }
 
@@ -34,11 +34,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &life{t: t, set: telemetry.New(telemetry.Options{Classes: []string{"score"}, Zones: []string{"m"}, Kinds: []string{"k"}, Nodes: 9}), spool: s, found: found}
-	l.set.Add(found.Totals)
-	l.set.Remember(found.Held)
+	l := &life{t: t, set: telemetry.New(telemetry.Options{Classes: []string{"score"}, Zones: []string{"m"}, Kinds: []string{"k"}, MaxNodes: 9}), spool: s, found: found}
+	l.set.AddTotals(found.Totals)
+	l.set.RestoreSlots(found.SlotAssignments)
 	if n := len(found.Periods); n > 0 {
-		l.stamp = found.Periods[n-1].Stamp
+		l.stamp = found.Periods[n-1].Timestamp
 	}
 	return l
 }
@@ -48,7 +48,7 @@
 	l.stamp++
 	l.set.ObserveMembers(loadbalancer.ListFull, []dispatch.Member{{Name: fmt.Sprint("node-", l.stamp), Worker: loadbalancer.Worker{ID: loadbalancer.WorkerID(l.stamp), State: loadbalancer.Ready}}})
 	l.set.ObserveAnswer(&dispatch.AnswerRecord{Verdict: dispatch.Served, WinningAttempt: -1})
-	l.spool.Period(l.set.Close(l.stamp, 10), l.set.Held(), func() {})
+	l.spool.AppendPeriod(l.set.ClosePeriod(l.stamp, 10), l.set.SlotAssignments(), func() {})
 }
 
 const answers = "classes.score.answers.in_time"
@@ -61,16 +61,16 @@
 		if got := len(l.found.Periods); got != 4*n || l.found.Totals[answers] != float64(4*n) {
 			t.Fatalf("life %d: %d periods, total %v", n, got, l.found.Totals[answers])
 		}
-		if want := map[string]int64{"there": int64(4 * n)}; n > 0 && !cmp.Equal(want, l.found.Got) {
-			t.Error(l.found.Got)
+		if want := map[string]int64{"there": int64(4 * n)}; n > 0 && !cmp.Equal(want, l.found.Acknowledged) {
+			t.Error(l.found.Acknowledged)
 		}
-		if n > 0 && (len(l.found.Held) != 1 || l.found.Held[0].Node != fmt.Sprint("node-", 4*n)) {
-			t.Error(l.found.Held)
+		if n > 0 && (len(l.found.SlotAssignments) != 1 || l.found.SlotAssignments[0].Node != fmt.Sprint("node-", 4*n)) {
+			t.Error(l.found.SlotAssignments)
 		}
 		for range 4 {
 			l.period()
 		}
-		l.spool.Got(map[string]int64{"there": l.stamp})
+		l.spool.AppendAcknowledged(map[string]int64{"there": l.stamp})
 		l.spool.Close()
 	}
 }
@@ -99,8 +99,8 @@
 			t.Fatal(cut, err)
 		}
 		n := len(found.Periods)
-		if n < last || n > 3 || found.Totals[answers] != float64(n) || found.Strange > 0 {
-			t.Fatalf("cut at %d: %d periods, total %v, %d strange", cut, n, found.Totals[answers], found.Strange)
+		if n < last || n > 3 || found.Totals[answers] != float64(n) || found.UnknownFiles > 0 {
+			t.Fatalf("cut at %d: %d periods, total %v, %d strange", cut, n, found.Totals[answers], found.UnknownFiles)
 		}
 		last = n
 	}
@@ -111,8 +111,8 @@
 		t.Fatal(err)
 	}
 	next := begin(t, dir, 1<<20)
-	if next.found.Torn != 1 || len(next.found.Periods) != 2 {
-		t.Errorf("%d torn, %d periods", next.found.Torn, len(next.found.Periods))
+	if next.found.TornFiles != 1 || len(next.found.Periods) != 2 {
+		t.Errorf("%d torn, %d periods", next.found.TornFiles, len(next.found.Periods))
 	}
 	next.period()
 	next.spool.Close()
@@ -138,7 +138,7 @@
 	for at := len(magic); at < len(text); at++ {
 		b := bytes.Clone(text)
 		b[at] ^= 0x40
-		f := &Found{Totals: map[string]float64{}, Got: map[string]int64{}}
+		f := &Recovered{Totals: map[string]float64{}, Acknowledged: map[string]int64{}}
 		if f.take(b[len(magic):]) {
 			t.Fatalf("byte %d changed, and nobody saw", at)
 		}
@@ -154,8 +154,8 @@
 	l := begin(t, dir, 1<<20)
 	l.period()
 	l.spool.Close()
-	if l.found.Strange != 1 {
-		t.Error(l.found.Strange)
+	if l.found.UnknownFiles != 1 {
+		t.Error(l.found.UnknownFiles)
 	}
 	for _, name := range []string{"n0.7.strange", "n0.8"} {
 		if _, err := os.Stat(filepath.Join(dir, name)); err != nil {
@@ -218,13 +218,13 @@
 	set := telemetry.New(telemetry.Options{Classes: []string{"score"}})
 	told := 0
 	for i := range 5 {
-		s.Period(set.Close(int64(i+1), 1), nil, func() { told++ })
+		s.AppendPeriod(set.ClosePeriod(int64(i+1), 1), nil, func() { told++ })
 	}
-	if s.Lost() != 4 || told != 4 {
-		t.Errorf("%d lost, %d told", s.Lost(), told)
+	if s.Dropped() != 4 || told != 4 {
+		t.Errorf("%d lost, %d told", s.Dropped(), told)
 	}
 	<-s.queue
-	s.Period(set.Close(9, 1), nil, func() {})
+	s.AppendPeriod(set.ClosePeriod(9, 1), nil, func() {})
 	if out := <-s.queue; !out[0].fresh || out[1].kind != kindNames {
 		t.Error("the next one leans on names that are not on disk")
 	}
@@ -233,7 +233,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add(appendRecord(appendRecord(nil, kindNames, []byte(`{"from":0,"series":[{"Name":"a"}]}`)), kindPeriod, make([]byte, 20)))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		found := &Found{Got: map[string]int64{}}
+		found := &Recovered{Acknowledged: map[string]int64{}}
 		found.take(b)
 		for _, p := range found.Periods {
 			_, _ = p.Totals()
--- a/internal/dispatcher/telemetry/classes.go
+++ b/internal/dispatcher/telemetry/classes.go
@@ -16,16 +16,16 @@
 const (
 	InTime Verdict = iota
 	Late
-	Refused
+	Rejected
 	Failed
-	Gone
-	Returned
-	Verdicts // how many there are
+	Disconnected
+	Requeued
+	NumVerdicts // how many there are
 )
 
-var verdictNames = [Verdicts]string{"in_time", "late", "refused", "failed", "gone", "returned"}
+var verdictNames = [NumVerdicts]string{"in_time", "late", "refused", "failed", "gone", "returned"}
 
-var verdictHelp = [Verdicts]string{"Jobs served within the class's objective, with its stretch for the hinted work.",
+var verdictHelp = [NumVerdicts]string{"Jobs served within the class's objective, with its stretch for the hinted work.",
 	"Jobs served after that.", "Jobs refused: they did not run, a repeat is harmless.", "Jobs failed: nothing is promised.",
 	"Jobs whose client had left before an answer.",
 	"Refusals of background jobs that were told to nobody: the job comes again by itself."}
@@ -52,11 +52,11 @@
 		}
 		return InTime
 	case dispatch.Rejected:
-		return Refused
+		return Rejected
 	case dispatch.Disconnected:
-		return Gone
+		return Disconnected
 	case dispatch.Requeued:
-		return Returned
+		return Requeued
 	}
 	return Failed
 }
@@ -66,7 +66,7 @@
 
 // ClassNames are the names of classes within series; the last one is of jobs whose class nobody knows.
 func ClassNames(classes []string) []string {
-	return CleanAll(append(classes[:len(classes):len(classes)], unknownClass))
+	return SanitizeNames(append(classes[:len(classes):len(classes)], unknownClass))
 }
 
 // class is the series of a class, by the numbers of the first ones.
@@ -83,7 +83,7 @@
 	for _, name := range ClassNames(s.options.Classes) {
 		c := class{name: name}
 		prefix := "classes." + name + "."
-		add := func(path string, d Doc) int {
+		add := func(path string, d SeriesDoc) int {
 			d.Pattern = "classes.<class>." + path
 			s.describe(d)
 			return s.add(prefix+path, d.Kind)
@@ -93,23 +93,23 @@
 				*i = at
 			}
 		}
-		for v := range Verdicts {
-			first(&c.answers, add("answers."+v.String(), Doc{Unit: "jobs", Help: verdictHelp[v]}), int(v))
+		for v := range NumVerdicts {
+			first(&c.answers, add("answers."+v.String(), SeriesDoc{Unit: "jobs", Help: verdictHelp[v]}), int(v))
 		}
 		for r := range dispatch.ReasonCount {
-			first(&c.refused, add("refused."+reasonName(r), Doc{Unit: "jobs", Help: "Jobs refused or returned because: " + reasonHelp[r] + "."}), int(r))
+			first(&c.refused, add("refused."+reasonName(r), SeriesDoc{Unit: "jobs", Help: "Jobs refused or returned because: " + reasonHelp[r] + "."}), int(r))
 		}
 		for r := range dispatch.ReasonCount {
-			first(&c.failed, add("failed."+reasonName(r), Doc{Unit: "jobs", Help: "Jobs failed because: " + reasonHelp[r] + "."}), int(r))
+			first(&c.failed, add("failed."+reasonName(r), SeriesDoc{Unit: "jobs", Help: "Jobs failed because: " + reasonHelp[r] + "."}), int(r))
 		}
-		for i, d := range []Doc{{Pattern: "first", Help: "First attempts that have ended."},
+		for i, d := range []SeriesDoc{{Pattern: "first", Help: "First attempts that have ended."},
 			{Pattern: "repeats", Help: "Attempts made after another had ended, that have ended themselves."},
 			{Pattern: "copies", Help: "Attempts made while another was out, that have ended."},
 			{Pattern: "copies_won", Help: "Copies that served their job."}} {
-			first(&c.sent, add("fetches."+d.Pattern, Doc{Unit: "attempts", Help: d.Help}), i)
+			first(&c.sent, add("fetches."+d.Pattern, SeriesDoc{Unit: "attempts", Help: d.Help}), i)
 		}
 		for r, name := range ResultNames {
-			first(&c.ends, add("fetches.end_"+name, Doc{Unit: "attempts", Help: "Attempts that ended as " + name + "."}), r)
+			first(&c.ends, add("fetches.end_"+name, SeriesDoc{Unit: "attempts", Help: "Attempts that ended as " + name + "."}), r)
 		}
 		for _, l := range []struct {
 			to         *latency
@@ -117,7 +117,7 @@
 		}{{&c.latency, "latency", "From a job's arrival to its answer, of those served in the period"},
 			{&c.start, "start_wait", "From a job's arrival to its start, of those served in the period whose start was told"}} {
 			for i, q := range quantiles {
-				at := add(l.name+"."+q.name+"_ms", Doc{Kind: Gauge, Unit: "ms", Help: l.help + ": " + q.name + ". None without answers."})
+				at := add(l.name+"."+q.name+"_ms", SeriesDoc{Kind: Gauge, Unit: "ms", Help: l.help + ": " + q.name + ". None without answers."})
 				if i == 0 {
 					*l.to = *newLatency(at)
 				}
@@ -154,7 +154,7 @@
 	c, v := s.class(f.Class), VerdictOf(f)
 	s.values[c.answers+int(v)]++
 	switch v {
-	case Refused, Returned:
+	case Rejected, Requeued:
 		s.values[c.refused+int(f.Reason)]++
 	case Failed:
 		s.values[c.failed+int(f.Reason)]++
@@ -185,14 +185,14 @@
 }
 
 func (s *Set) addDrains() {
-	add := func(d Doc) int {
+	add := func(d SeriesDoc) int {
 		s.describe(d)
 		return s.add(d.Pattern, d.Kind)
 	}
-	s.drains.told = add(Doc{"drains.told", Counter, "drains", "Members that were ready and then no longer, by the list or by hand."})
-	s.drains.honoured = add(Doc{"drains.honoured", Counter, "drains", "Drains after which no job started later than 300 ms."})
-	s.drains.broken = add(Doc{"drains.broken", Counter, "drains", "Drains after which one did: must stay 0."})
-	s.drains.margin = add(Doc{"drains.margin_least_ms", Gauge, "ms", "What the drains that ended in the period had left of the 300 ms when the last job started, at least. None without a drain."})
+	s.drains.told = add(SeriesDoc{"drains.told", Counter, "drains", "Members that were ready and then no longer, by the list or by hand."})
+	s.drains.honoured = add(SeriesDoc{"drains.honoured", Counter, "drains", "Drains after which no job started later than 300 ms."})
+	s.drains.broken = add(SeriesDoc{"drains.broken", Counter, "drains", "Drains after which one did: must stay 0."})
+	s.drains.margin = add(SeriesDoc{"drains.margin_least_ms", Gauge, "ms", "What the drains that ended in the period had left of the 300 ms when the last job started, at least. None without a drain."})
 }
 
 // ObserveDrain implements dispatch.Observer.
--- a/internal/dispatcher/telemetry/nodes.go
+++ b/internal/dispatcher/telemetry/nodes.go
@@ -33,7 +33,7 @@
 	nodeFigures
 )
 
-var nodeDocs = [nodeFigures]Doc{
+var nodeDocs = [nodeFigures]SeriesDoc{
 	nodeEnded:     {"ended", Counter, "attempts", "Attempts at the node that have ended."},
 	nodeOK:        {"ok", Counter, "attempts", "Those of them that ended well."},
 	nodeState:     {"state", Gauge, "", "1 ready, 2 draining. None while nobody holds the slot."},
@@ -80,7 +80,7 @@
 
 func (s *Set) addNodes() {
 	n := &s.nodes
-	n.zones, n.kinds = CleanAll(s.options.Zones), CleanAll(s.options.Kinds)
+	n.zones, n.kinds = SanitizeNames(s.options.Zones), SanitizeNames(s.options.Kinds)
 	n.handout, n.slots, n.byWorker = newHandout(), map[placement]*slot{}, map[loadbalancer.WorkerID]*slot{}
 	n.fields.inFlight, n.fields.util = -1, -1
 	for i, f := range s.options.Settings.ReportFields {
@@ -97,9 +97,9 @@
 	}
 	for _, d := range []struct {
 		to *int
-		d  Doc
-	}{{&n.unplaced, Doc{"nodes_unplaced.ended", Counter, "attempts", "Attempts that ended at a node which holds no slot: it has left, and another has its slot, or there were too many."}},
-		{&n.without, Doc{"nodes_unplaced.nodes", Gauge, "nodes", "Listed nodes without series, since there are too many."}}} {
+		d  SeriesDoc
+	}{{&n.unplaced, SeriesDoc{"nodes_unplaced.ended", Counter, "attempts", "Attempts that ended at a node which holds no slot: it has left, and another has its slot, or there were too many."}},
+		{&n.without, SeriesDoc{"nodes_unplaced.nodes", Gauge, "nodes", "Listed nodes without series, since there are too many."}}} {
 		s.describe(d.d)
 		*d.to = s.add(d.d.Pattern, d.d.Kind)
 	}
@@ -122,7 +122,7 @@
 // ObserveMembers implements dispatch.Observer. Those who leave free their slots before those who come take some.
 func (s *Set) ObserveMembers(kind loadbalancer.ListKind, members []dispatch.Member) {
 	n := &s.nodes
-	if s.options.Nodes == 0 {
+	if s.options.MaxNodes == 0 {
 		return
 	}
 	if kind == loadbalancer.ListFull || kind == loadbalancer.ListCached {
@@ -147,7 +147,7 @@
 			entering[m.Name] = at
 		}
 	}
-	room := s.options.Nodes - len(n.handout.at)
+	room := s.options.MaxNodes - len(n.handout.at)
 	for i := range members { // in the list's order, so that each dispatcher leaves out the same
 		m := &members[i]
 		if _, in := n.handout.at[m.Name]; !in && m.State != loadbalancer.Departed {
@@ -206,7 +206,7 @@
 }
 
 func (n *nodes) tried(s *Set, t *dispatch.AttemptRecord) {
-	if s.options.Nodes == 0 {
+	if s.options.MaxNodes == 0 {
 		return
 	}
 	sl := n.byWorker[t.Worker]
@@ -220,8 +220,8 @@
 	}
 }
 
-// Slot is the slot that a worker's node holds, as series have it; empty for none.
-func (s *Set) Slot(worker loadbalancer.WorkerID) string {
+// NodeSlot is the slot that a worker's node holds, as series have it; empty for none.
+func (s *Set) NodeSlot(worker loadbalancer.WorkerID) string {
 	if sl := s.nodes.byWorker[worker]; sl != nil {
 		return sl.name
 	}
@@ -248,9 +248,9 @@
 	}
 }
 
-// Gather writes the gauges of so many slots, so that the end of a period need not look at all of them in one turn; false once
+// GatherNodeGauges writes the gauges of so many slots, so that the end of a period need not look at all of them in one turn; false once
 // all are written. Close writes what is left.
-func (s *Set) Gather(most int) (more bool) {
+func (s *Set) GatherNodeGauges(most int) (more bool) {
 	n := &s.nodes
 	end := min(n.gathered+most, len(n.order))
 	n.gather(s, n.order[n.gathered:end])
@@ -278,10 +278,10 @@
 		if sl.probedAt > 0 {
 			v[nodeProbed], v[nodeProbeAge] = sl.probed, math.Max(0, now-sl.probedAt)
 		}
-		if s.options.Standing == nil {
+		if s.options.WorkerStatus == nil {
 			continue
 		}
-		st, ok := s.options.Standing(sl.worker)
+		st, ok := s.options.WorkerStatus(sl.worker)
 		if !ok {
 			continue
 		}
@@ -293,25 +293,25 @@
 	}
 }
 
-// Held tells who holds which slot, for the life that comes after.
-func (s *Set) Held() (held []Held) {
+// SlotAssignments tells who holds which slot, for the life that comes after.
+func (s *Set) SlotAssignments() (held []SlotAssignment) {
 	n := &s.nodes
 	for _, sl := range n.order {
 		if p := n.handout.at[sl.node]; sl.state != loadbalancer.Departed && n.slots[p] == sl {
-			held = append(held, Held{n.spotName(p.spot), p.slot, sl.node})
+			held = append(held, SlotAssignment{n.spotName(p.spot), p.slot, sl.node})
 		}
 	}
 	return held
 }
 
-// Remember gives nodes the slots back that an earlier life gave them, once they are listed.
-func (s *Set) Remember(held []Held) {
+// RestoreSlots gives nodes the slots back that an earlier life gave them, once they are listed.
+func (s *Set) RestoreSlots(held []SlotAssignment) {
 	n := &s.nodes
-	if s.options.Nodes == 0 {
+	if s.options.MaxNodes == 0 {
 		return
 	}
 	for _, h := range held {
-		parts := strings.Split(h.Spot, ".")
+		parts := strings.Split(h.Location, ".")
 		if len(parts) != 3 {
 			continue
 		}
@@ -320,7 +320,7 @@
 		if at.cell = cell; err != nil || at.zone < 0 && parts[0] != nowhere || at.kind < 0 && parts[1] != nowhere {
 			continue
 		}
-		if h.Node != "" && h.Slot >= 0 && h.Slot < s.options.Nodes {
+		if h.Node != "" && h.Slot >= 0 && h.Slot < s.options.MaxNodes {
 			n.handout.remember(h.Node, at, h.Slot)
 		}
 	}
--- a/internal/dispatcher/telemetry/period.go
+++ b/internal/dispatcher/telemetry/period.go
@@ -9,10 +9,10 @@
 
 // Period is the values of all series as of its end.
 type Period struct {
-	Stamp int64   // Unix time in milliseconds, later than that of the period before it
-	Every float64 // seconds that a period lasts
-	Table *Table
-	Body  []byte // the values by number, as appendCount and appendValues write them
+	Timestamp     int64   // Unix time in milliseconds, later than that of the period before it
+	Interval      float64 // seconds that a period lasts
+	Table         *SeriesTable
+	EncodedValues []byte // the values by number, as appendCount and appendValues write them
 }
 
 // The form of a value is a varint: 0 is none, 1 is followed by a little-endian float32, and any other is a whole number
@@ -47,7 +47,7 @@
 
 // Reader reads the values of a period one after the other, so that a caller can rest in between.
 type Reader struct {
-	table *Table
+	table *SeriesTable
 	rest  []byte
 	i, n  int
 	err   error
@@ -56,14 +56,14 @@
 // Read begins with the first value.
 func (p *Period) Read() *Reader {
 	r := &Reader{table: p.Table}
-	n, size := binary.Uvarint(p.Body)
+	n, size := binary.Uvarint(p.EncodedValues)
 	switch {
 	case size <= 0:
 		r.err = errPeriod
 	case n > uint64(p.Table.Len()):
 		r.err = fmt.Errorf("telemetry: period of %d values, %d series are known", n, p.Table.Len())
 	default:
-		r.n, r.rest = int(n), p.Body[size:]
+		r.n, r.rest = int(n), p.EncodedValues[size:]
 	}
 	return r
 }
@@ -91,7 +91,7 @@
 		default:
 			v = float64(form - formWhole)
 		}
-		return r.table.At(r.i - 1), v, true
+		return r.table.Series(r.i - 1), v, true
 	}
 	return Series{}, 0, false
 }
--- a/internal/dispatcher/telemetry/ring.go
+++ b/internal/dispatcher/telemetry/ring.go
@@ -8,11 +8,11 @@
 	bytes   int
 	first   uint64 // number of the oldest
 	periods []*Period
-	places  []*Place
+	places  []*Cursor
 }
 
-// Place is how far a receiver has come.
-type Place struct {
+// Cursor is how far a receiver has come.
+type Cursor struct {
 	Name string
 	next uint64 // number of the first period that it has not got
 }
@@ -20,15 +20,15 @@
 // NewRing makes a ring that holds at most so many bytes of values, and always the newest period.
 func NewRing(most int) *Ring { return &Ring{most: most, first: 1} }
 
-// Open gives a receiver its place, from the oldest period held on.
-func (r *Ring) Open(name string) *Place {
-	p := &Place{Name: name, next: r.first}
+// OpenCursor gives a receiver its place, from the oldest period held on.
+func (r *Ring) OpenCursor(name string) *Cursor {
+	p := &Cursor{Name: name, next: r.first}
 	r.places = append(r.places, p)
 	return p
 }
 
-// Close ends a receiver's claim.
-func (r *Ring) Close(p *Place) {
+// CloseCursor ends a receiver's claim.
+func (r *Ring) CloseCursor(p *Cursor) {
 	for i, o := range r.places {
 		if o == p {
 			r.places = append(r.places[:i], r.places[i+1:]...)
@@ -41,7 +41,7 @@
 // Push adds a closed period. With no room the oldest ones go.
 func (r *Ring) Push(p *Period) {
 	r.periods = append(r.periods, p)
-	r.bytes += len(p.Body)
+	r.bytes += len(p.EncodedValues)
 	for r.bytes > r.most && len(r.periods) > 1 {
 		for _, place := range r.places {
 			if place.next <= r.first {
@@ -55,7 +55,7 @@
 }
 
 func (r *Ring) drop() {
-	r.bytes -= len(r.periods[0].Body)
+	r.bytes -= len(r.periods[0].EncodedValues)
 	r.periods[0] = nil
 	r.periods = r.periods[1:]
 	r.first++
@@ -72,11 +72,11 @@
 	}
 }
 
-// After is how far a receiver has come: the number of the first period that it has not got.
-func (p *Place) After() uint64 { return p.next }
+// Next is how far a receiver has come: the number of the first period that it has not got.
+func (p *Cursor) Next() uint64 { return p.next }
 
-// From is the first period held of those numbered n or more, and its number; nil if there is none.
-func (r *Ring) From(n uint64) (*Period, uint64) {
+// PeriodFrom is the first period held of those numbered n or more, and its number; nil if there is none.
+func (r *Ring) PeriodFrom(n uint64) (*Period, uint64) {
 	n = max(n, r.first)
 	if n-r.first >= uint64(len(r.periods)) {
 		return nil, n
@@ -87,28 +87,28 @@
 // Newest is the number of the period that was pushed last.
 func (r *Ring) Newest() uint64 { return r.first + uint64(len(r.periods)) - 1 }
 
-// Got says that a receiver has all up to the period of a number.
-func (r *Ring) Got(p *Place, n uint64) {
+// Acknowledge says that a receiver has all up to the period of a number.
+func (r *Ring) Acknowledge(p *Cursor, n uint64) {
 	if n >= p.next {
 		p.next = n + 1
 		r.trim()
 	}
 }
 
-// Skip says that a receiver has all up to a stamp already: an earlier life has seen to that.
-func (r *Ring) Skip(p *Place, stamp int64) {
-	for q, n := r.From(p.next); q != nil && q.Stamp <= stamp; q, n = r.From(p.next) {
-		r.Got(p, n)
+// SkipTo says that a receiver has all up to a stamp already: an earlier life has seen to that.
+func (r *Ring) SkipTo(p *Cursor, stamp int64) {
+	for q, n := r.PeriodFrom(p.next); q != nil && q.Timestamp <= stamp; q, n = r.PeriodFrom(p.next) {
+		r.Acknowledge(p, n)
 	}
 }
 
-// Held is how many periods are held, and the bytes of their values.
-func (r *Ring) Held() (periods, bytes int) { return len(r.periods), r.bytes }
+// Size is how many periods are held, and the bytes of their values.
+func (r *Ring) Size() (periods, bytes int) { return len(r.periods), r.bytes }
 
-// All returns the periods held, the oldest first.
-func (r *Ring) All() []*Period { return r.periods }
+// Periods returns the periods held, the oldest first.
+func (r *Ring) Periods() []*Period { return r.periods }
 
-// Waiting is how many periods a receiver has still to get.
-func (r *Ring) Waiting(p *Place) int {
+// Pending is how many periods a receiver has still to get.
+func (r *Ring) Pending(p *Cursor) int {
 	return int(r.first + uint64(len(r.periods)) - max(p.next, r.first))
 }
--- a/internal/dispatcher/telemetry/series.go
+++ b/internal/dispatcher/telemetry/series.go
@@ -27,32 +27,32 @@
 	Kind Kind   `json:"Kind"`
 }
 
-// Doc describes a series, or many of one pattern: what stands in <> varies.
-type Doc struct {
+// SeriesDoc describes a series, or many of one pattern: what stands in <> varies.
+type SeriesDoc struct {
 	Pattern string
 	Kind    Kind
 	Unit    string
 	Help    string
 }
 
-// Table is the series of a process by number. It only grows, so that a period can name its values for as long as it is
+// SeriesTable is the series of a process by number. It only grows, so that a period can name its values for as long as it is
 // held.
-type Table struct{ series []Series }
+type SeriesTable struct{ series []Series }
 
 // Len is how many series there are.
-func (t *Table) Len() int { return len(t.series) }
+func (t *SeriesTable) Len() int { return len(t.series) }
 
-// At is the series of a number.
-func (t *Table) At(i int) Series { return t.series[i] }
+// Series is the series of a number.
+func (t *SeriesTable) Series(i int) Series { return t.series[i] }
 
 // From returns the series from number i on.
-func (t *Table) From(i int) []Series { return t.series[i:] }
+func (t *SeriesTable) From(i int) []Series { return t.series[i:] }
 
 // Append adds series to the end.
-func (t *Table) Append(s ...Series) { t.series = append(t.series, s...) }
+func (t *SeriesTable) Append(s ...Series) { t.series = append(t.series, s...) }
 
-// Clean keeps a name to what all receivers take as one part of a path: letters, digits, _ and -.
-func Clean(name string) string {
+// SanitizeName keeps a name to what all receivers take as one part of a path: letters, digits, _ and -.
+func SanitizeName(name string) string {
 	if name == "" {
 		return "_"
 	}
@@ -64,11 +64,11 @@
 	}, name)
 }
 
-// CleanAll cleans names that stand beside each other: those that come out equal get _2, _3 by their order.
-func CleanAll(names []string) []string {
+// SanitizeNames cleans names that stand beside each other: those that come out equal get _2, _3 by their order.
+func SanitizeNames(names []string) []string {
 	out, seen := make([]string, len(names)), map[string]bool{}
 	for i, name := range names {
-		clean := Clean(name)
+		clean := SanitizeName(name)
 		out[i] = clean
 		for n := 2; seen[out[i]]; n++ {
 			out[i] = fmt.Sprintf("%s_%d", clean, n)
--- a/internal/dispatcher/telemetry/set.go
+++ b/internal/dispatcher/telemetry/set.go
@@ -13,18 +13,18 @@
 	Classes  []string // names by the settings' numbers, as are the next two
 	Zones    []string
 	Kinds    []string
-	Nodes    int // nodes that have series of their own at one time, at most; 0 is none
-	// Standing tells what the decisions hold of a worker, for the series of its node; nil is nothing.
-	Standing func(worker loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool)
-	Now      func() float64 // the core's clock, for the age of reports; nil leaves ages out
-	Log      func(line string)
+	MaxNodes int // nodes that have series of their own at one time, at most; 0 is none
+	// WorkerStatus tells what the decisions hold of a worker, for the series of its node; nil is nothing.
+	WorkerStatus func(worker loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool)
+	Now          func() float64 // the core's clock, for the age of reports; nil leaves ages out
+	Log          func(line string)
 }
 
 // Set is the figures of one dispatcher. It implements dispatch.Observer.
 type Set struct {
 	options Options
-	table   *Table
-	docs    []Doc
+	table   *SeriesTable
+	docs    []SeriesDoc
 	known   map[string]bool // patterns in docs
 	byName  map[string]int  // of counters
 	values  []float64
@@ -53,7 +53,7 @@
 	if o.Log == nil {
 		o.Log = func(string) {}
 	}
-	s := &Set{options: o, table: &Table{}, known: map[string]bool{}, byName: map[string]int{}, pending: map[string]float64{},
+	s := &Set{options: o, table: &SeriesTable{}, known: map[string]bool{}, byName: map[string]int{}, pending: map[string]float64{},
 		told: map[int]float64{}, margin: absent}
 	s.addClasses()
 	s.addDrains()
@@ -62,12 +62,12 @@
 }
 
 // Table is the series so far.
-func (s *Set) Table() *Table { return s.table }
+func (s *Set) Table() *SeriesTable { return s.table }
 
 // Docs are the patterns of all series that there are or can be, in the order in which they were added.
-func (s *Set) Docs() []Doc { return s.docs }
+func (s *Set) Docs() []SeriesDoc { return s.docs }
 
-func (s *Set) describe(d Doc) {
+func (s *Set) describe(d SeriesDoc) {
 	if !s.known[d.Pattern] {
 		s.known[d.Pattern] = true
 		s.docs = append(s.docs, d)
@@ -89,9 +89,9 @@
 	return i
 }
 
-// Read adds a figure that is kept elsewhere and asked for at the end of each period; one that is not a number is left out.
+// AddFunc adds a figure that is kept elsewhere and asked for at the end of each period; one that is not a number is left out.
 // A counter is asked for what was counted since the start of the process.
-func (s *Set) Read(d Doc, get func() float64) {
+func (s *Set) AddFunc(d SeriesDoc, get func() float64) {
 	s.describe(d)
 	i := s.add(d.Pattern, d.Kind)
 	r := read{i: i, get: get}
@@ -108,37 +108,37 @@
 	}
 }
 
-// Close ends a period and returns its values: Freeze and all of Encode at once.
-func (s *Set) Close(stamp int64, every float64) *Period {
-	s.Freeze(stamp, every)
-	return s.Encode(math.MaxInt32)
+// ClosePeriod ends a period and returns its values: Freeze and all of Encode at once.
+func (s *Set) ClosePeriod(stamp int64, every float64) *Period {
+	s.FreezePeriod(stamp, every)
+	return s.EncodePeriod(math.MaxInt32)
 }
 
-// Freeze ends a period: what is counted from here on is the next one's. Encode must have ended the one before.
-func (s *Set) Freeze(stamp int64, every float64) {
+// FreezePeriod ends a period: what is counted from here on is the next one's. Encode must have ended the one before.
+func (s *Set) FreezePeriod(stamp int64, every float64) {
 	s.fresh()
 	s.latencies(func(_ string, l *latency) { l.close(s.values) })
 	s.values[s.drains.margin] = s.margin
 	s.margin = absent
-	for s.Gather(math.MaxInt32) {
+	for s.GatherNodeGauges(math.MaxInt32) {
 	}
 	s.nodes.gathered = 0
 	s.frozen, s.encoded = append(s.frozen[:0], s.values...), 0
-	s.closing = &Period{Stamp: stamp, Every: every, Table: s.table, Body: appendCount(make([]byte, 0, 2*len(s.values)), len(s.values))}
+	s.closing = &Period{Timestamp: stamp, Interval: every, Table: s.table, EncodedValues: appendCount(make([]byte, 0, 2*len(s.values)), len(s.values))}
 }
 
-// Encode writes so many values of the period that was frozen, and returns it once all are written; nil before.
-func (s *Set) Encode(most int) *Period {
+// EncodePeriod writes so many values of the period that was frozen, and returns it once all are written; nil before.
+func (s *Set) EncodePeriod(most int) *Period {
 	end := min(s.encoded+most, len(s.frozen))
-	s.closing.Body = appendValues(s.closing.Body, s.frozen[s.encoded:end])
+	s.closing.EncodedValues = appendValues(s.closing.EncodedValues, s.frozen[s.encoded:end])
 	if s.encoded = end; end < len(s.frozen) {
 		return nil
 	}
 	return s.closing
 }
 
-// Add goes on from totals of an earlier life, or adds what another process of this dispatcher has counted.
-func (s *Set) Add(totals map[string]float64) {
+// AddTotals goes on from totals of an earlier life, or adds what another process of this dispatcher has counted.
+func (s *Set) AddTotals(totals map[string]float64) {
 	usable := func(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 	for name, v := range totals {
 		if i, ok := s.byName[name]; usable(v) && ok {
@@ -149,7 +149,7 @@
 	}
 	for i := range s.reads {
 		r := &s.reads[i]
-		if told := s.table.At(r.i); told.Kind == Counter && usable(totals[told.Name]) {
+		if told := s.table.Series(r.i); told.Kind == Counter && usable(totals[told.Name]) {
 			r.base += totals[told.Name]
 		}
 	}
@@ -167,13 +167,13 @@
 	return totals
 }
 
-// Spans are latencies by series, as pairs of microseconds and a count.
-type Spans map[string][][2]int64
+// Latencies are latencies by series, as pairs of microseconds and a count.
+type Latencies map[string][][2]int64
 
-// Delta is what was counted and measured since the last Delta, or since the start. For one process to hand to another.
-func (s *Set) Delta() (counts map[string]float64, spans Spans) {
+// TakeDelta is what was counted and measured since the last Delta, or since the start. For one process to hand to another.
+func (s *Set) TakeDelta() (counts map[string]float64, spans Latencies) {
 	s.fresh()
-	counts, spans = map[string]float64{}, Spans{}
+	counts, spans = map[string]float64{}, Latencies{}
 	for name, i := range s.byName {
 		if v := s.values[i] - s.told[i]; v > 0 {
 			counts[name] = v
@@ -188,8 +188,8 @@
 	return counts, spans
 }
 
-// Merge takes the spans of another process into the period at hand.
-func (s *Set) Merge(spans Spans) {
+// MergeLatencies takes the spans of another process into the period at hand.
+func (s *Set) MergeLatencies(spans Latencies) {
 	s.latencies(func(name string, l *latency) { l.merge(spans[name]) })
 }
 
--- a/internal/dispatcher/telemetry/slots.go
+++ b/internal/dispatcher/telemetry/slots.go
@@ -9,11 +9,11 @@
 // spot is where a node stands, by the settings' numbers.
 type spot struct{ zone, kind, cell int }
 
-// Held says who holds a slot, for the life or the process that comes after.
-type Held struct {
-	Spot string `json:"spot"` // zone.kind.cell, as in the series' names
-	Slot int    `json:"slot"`
-	Node string `json:"node"`
+// SlotAssignment says who holds a slot, for the life or the process that comes after.
+type SlotAssignment struct {
+	Location string `json:"spot"` // zone.kind.cell, as in the series' names
+	Slot     int    `json:"slot"`
+	Node     string `json:"node"`
 }
 
 // handout gives nodes the slots of their spots. A slot is the lowest number that is free there, so that there are never
--- a/internal/dispatcher/telemetry/telemetry_test.go
+++ b/internal/dispatcher/telemetry/telemetry_test.go
@@ -23,7 +23,7 @@
 // Whatever the values are, a period tells them again: whole numbers exactly, others to 24 bits, none as none.
 func TestPeriodsKeepTheirValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var table Table
+		var table SeriesTable
 		var values []float64
 		for i := range rapid.IntRange(0, 50).Draw(t, "n") {
 			v := rapid.OneOf(rapid.Just(math.NaN()), rapid.Map(rapid.Uint64Range(0, mostWhole), func(v uint64) float64 { return float64(v) }),
@@ -31,7 +31,7 @@
 			table.Append(Series{Name: fmt.Sprint(i)})
 			values = append(values, v)
 		}
-		p := Period{Table: &table, Body: appendValues(appendCount(nil, len(values)), values)}
+		p := Period{Table: &table, EncodedValues: appendValues(appendCount(nil, len(values)), values)}
 		r := p.Read()
 		for i, want := range values {
 			if math.IsNaN(want) {
@@ -55,9 +55,9 @@
 func FuzzPeriod(f *testing.F) {
 	f.Add([]byte{3, 2, 1, 0, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		var table Table
+		var table SeriesTable
 		table.Append(make([]Series, 8)...)
-		r := (&Period{Table: &table, Body: body}).Read()
+		r := (&Period{Table: &table, EncodedValues: body}).Read()
 		n := 0
 		for _, _, ok := r.Next(); ok; _, _, ok = r.Next() {
 			n++
@@ -134,7 +134,7 @@
 }
 
 func TestNamesThatCleanToOne(t *testing.T) {
-	got := CleanAll([]string{"a.b", "a_b", "", "a b", "c/ü"})
+	got := SanitizeNames([]string{"a.b", "a_b", "", "a b", "c/ü"})
 	if d := cmp.Diff([]string{"a_b", "a_b_2", "_", "a_b_3", "c__"}, got); d != "" {
 		t.Error(d)
 	}
@@ -156,7 +156,7 @@
 // A list renames half its entries, twice: the newcomers take the slots of those that left, whose totals go on, and
 // there is not one series more.
 func TestARenamedListGrowsNothing(t *testing.T) {
-	s := newSet(Options{Nodes: 100})
+	s := newSet(Options{MaxNodes: 100})
 	list := func(kind loadbalancer.ListKind, names ...string) {
 		var members []dispatch.Member
 		for i, name := range names {
@@ -192,10 +192,10 @@
 
 // More nodes than may have series: the rest has none and is counted, and the totals of classes are whole.
 func TestTooManyNodes(t *testing.T) {
-	s := newSet(Options{Nodes: 2})
+	s := newSet(Options{MaxNodes: 2})
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready), member("b", 2, 0, loadbalancer.Ready), member("c", 3, 0, loadbalancer.Ready)})
 	s.ObserveAttempt(try("c", 3, loadbalancer.OK))
-	s.Close(1, 1)
+	s.ClosePeriod(1, 1)
 	if got := s.values[s.nodes.without]; got != 1 {
 		t.Errorf("%v nodes without series", got)
 	}
@@ -216,17 +216,17 @@
 			newer.ObserveAnswer(f)
 		}
 	}
-	counts, spans := older.Delta()
-	newer.Add(counts)
-	newer.Merge(spans)
-	want, got := readAll(t, whole.Close(1, 1)), readAll(t, newer.Close(1, 1))
+	counts, spans := older.TakeDelta()
+	newer.AddTotals(counts)
+	newer.MergeLatencies(spans)
+	want, got := readAll(t, whole.ClosePeriod(1, 1)), readAll(t, newer.ClosePeriod(1, 1))
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
 	if got := want["classes.score.latency.p50_ms"]; math.Abs(got-500) > 10 {
 		t.Errorf("p50 %v", got)
 	}
-	if counts, spans := older.Delta(); len(counts) > 0 || len(spans) > 0 {
+	if counts, spans := older.TakeDelta(); len(counts) > 0 || len(spans) > 0 {
 		t.Errorf("told twice: %v %v", counts, spans)
 	}
 }
@@ -245,7 +245,7 @@
 
 // Recording on the loop must not feed the collector.
 func TestRecordingAllocatesNothing(t *testing.T) {
-	s := newSet(Options{Nodes: 10})
+	s := newSet(Options{MaxNodes: 10})
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
 	f := &dispatch.AnswerRecord{Verdict: dispatch.Served, AnsweredAt: 0.2, StartedAt: 0.1, Attempts: make([]dispatch.AttemptRecord, 1)}
 	tr, report := try("a", 1, loadbalancer.OK), []float32{0.5, 3}
@@ -258,37 +258,37 @@
 type course struct {
 	set       *Set
 	ring      *Ring
-	places    []*Place
+	places    []*Cursor
 	receivers []map[int64]float64 // total by stamp
 	up        []bool
 	stamp     int64
 	names     int
 	disk      *Period
-	held      []Held
+	held      []SlotAssignment
 	closed    float64 // answers in closed periods
 	open      float64 // answers of the period at hand
 	lost      float64
 }
 
 func (c *course) begin() {
-	c.set, c.ring, c.places = newSet(Options{Nodes: 64}), NewRing(1<<20), nil
+	c.set, c.ring, c.places = newSet(Options{MaxNodes: 64}), NewRing(1<<20), nil
 	for i := range c.receivers {
-		c.places = append(c.places, c.ring.Open(fmt.Sprint(i)))
+		c.places = append(c.places, c.ring.OpenCursor(fmt.Sprint(i)))
 	}
 	if c.disk != nil {
 		totals, err := c.disk.Totals()
 		if err != nil {
 			panic(err)
 		}
-		c.set.Add(totals)
-		c.set.Remember(c.held)
+		c.set.AddTotals(totals)
+		c.set.RestoreSlots(c.held)
 	}
 }
 
 func (c *course) close() {
 	c.stamp++
-	c.disk = c.set.Close(c.stamp, 1)
-	c.held = c.set.Held()
+	c.disk = c.set.ClosePeriod(c.stamp, 1)
+	c.held = c.set.SlotAssignments()
 	c.ring.Push(c.disk)
 	c.closed, c.open = c.closed+c.open, 0
 }
@@ -296,7 +296,7 @@
 // deliver has a receiver that is up get what it may, up to n periods; the last one perhaps without a word that it has it.
 func (c *course) deliver(t *rapid.T, i, n int, broken bool) {
 	for ; n > 0 && c.up[i]; n-- {
-		p, number := c.ring.From(c.places[i].After())
+		p, number := c.ring.PeriodFrom(c.places[i].Next())
 		if p == nil {
 			return
 		}
@@ -308,14 +308,14 @@
 		for _, name := range []string{"in_time", "late", "refused", "failed", "gone", "returned"} {
 			sum += totals["classes.score.answers."+name]
 		}
-		if was, there := c.receivers[i][p.Stamp]; there && was != sum {
-			t.Fatalf("stamp %d had %v and has %v", p.Stamp, was, sum)
+		if was, there := c.receivers[i][p.Timestamp]; there && was != sum {
+			t.Fatalf("stamp %d had %v and has %v", p.Timestamp, was, sum)
 		}
-		c.receivers[i][p.Stamp] = sum
+		c.receivers[i][p.Timestamp] = sum
 		if n == 1 && broken {
 			return
 		}
-		c.ring.Got(c.places[i], number)
+		c.ring.Acknowledge(c.places[i], number)
 	}
 }
 
@@ -359,7 +359,7 @@
 				t.Fatalf("receiver %d has %v, given were %v and lost %v", i, last, c.closed, c.lost)
 			}
 		}
-		if n := c.set.Table().Len(); c.names > 0 && n > newSet(Options{Nodes: 64}).Table().Len()+2*int(nodeFigures) {
+		if n := c.set.Table().Len(); c.names > 0 && n > newSet(Options{MaxNodes: 64}).Table().Len()+2*int(nodeFigures) {
 			t.Fatalf("%d series after %d renames", n, c.names)
 		}
 	})
@@ -369,25 +369,25 @@
 func TestRing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRing(100)
-		a, b := r.Open("a"), r.Open("b")
+		a, b := r.OpenCursor("a"), r.OpenCursor("b")
 		next, dropped := int64(0), uint64(0)
-		seen := map[*Place]int64{}
+		seen := map[*Cursor]int64{}
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
 				next++
-				r.Push(&Period{Stamp: next, Body: make([]byte, rapid.IntRange(1, 60).Draw(t, "size"))})
-				if n, bytes := r.Held(); bytes > 100 && n > 1 {
+				r.Push(&Period{Timestamp: next, EncodedValues: make([]byte, rapid.IntRange(1, 60).Draw(t, "size"))})
+				if n, bytes := r.Size(); bytes > 100 && n > 1 {
 					t.Fatalf("%d periods of %d bytes", n, bytes)
 				}
 			},
 			"got": func(t *rapid.T) {
-				p := rapid.SampledFrom([]*Place{a, b}).Draw(t, "place")
-				if q, n := r.From(p.After()); q != nil {
-					if q.Stamp <= seen[p] {
-						t.Fatalf("%s got %d after %d", p.Name, q.Stamp, seen[p])
+				p := rapid.SampledFrom([]*Cursor{a, b}).Draw(t, "place")
+				if q, n := r.PeriodFrom(p.Next()); q != nil {
+					if q.Timestamp <= seen[p] {
+						t.Fatalf("%s got %d after %d", p.Name, q.Timestamp, seen[p])
 					}
-					seen[p] = q.Stamp
-					r.Got(p, n)
+					seen[p] = q.Timestamp
+					r.Acknowledge(p, n)
 				} else if seen[p] != next {
 					t.Fatalf("%s was told that it has all, and has %d of %d", p.Name, seen[p], next)
 				}
@@ -397,7 +397,7 @@
 				dropped = r.Dropped
 			},
 		})
-		if n, _ := r.Held(); r.Dropped == 0 && n != int(next-min(seen[a], seen[b])) {
+		if n, _ := r.Size(); r.Dropped == 0 && n != int(next-min(seen[a], seen[b])) {
 			t.Fatalf("%d held, %d waited for", n, next-min(seen[a], seen[b]))
 		}
 	})
@@ -408,26 +408,26 @@
 	s.ObserveDrain(1, 0.3)
 	s.ObserveDrain(2, 0.125)
 	s.ObserveDrain(3, -0.01)
-	got := readAll(t, s.Close(1, 1))
+	got := readAll(t, s.ClosePeriod(1, 1))
 	if got["drains.told"] != 3 || got["drains.honoured"] != 2 || got["drains.broken"] != 1 || got["drains.margin_least_ms"] != -10 {
 		t.Error(got["drains.told"], got["drains.honoured"], got["drains.broken"], got["drains.margin_least_ms"])
 	}
-	if _, there := readAll(t, s.Close(2, 1))["drains.margin_least_ms"]; there {
+	if _, there := readAll(t, s.ClosePeriod(2, 1))["drains.margin_least_ms"]; there {
 		t.Error("a period without a drain has a margin")
 	}
 }
 
 // What a restart is told of slots gives nodes theirs back, whatever the order of the uids; nonsense is passed over.
 func TestSlotsOutliveTheProcess(t *testing.T) {
-	s := newSet(Options{Nodes: 10})
+	s := newSet(Options{MaxNodes: 10})
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("z", 1, 0, loadbalancer.Ready)})
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 2, 0, loadbalancer.Ready), member("b", 3, 1, loadbalancer.Draining)})
-	held := s.Held()
-	n := newSet(Options{Nodes: 10})
-	n.Remember(append(held, Held{"nowhere.x.1", 3, "q"}, Held{"milano.two-core.0", -1, "a"}, Held{"milano.two-core.x", 1 << 40, "a"}))
+	held := s.SlotAssignments()
+	n := newSet(Options{MaxNodes: 10})
+	n.RestoreSlots(append(held, SlotAssignment{"nowhere.x.1", 3, "q"}, SlotAssignment{"milano.two-core.0", -1, "a"}, SlotAssignment{"milano.two-core.x", 1 << 40, "a"}))
 	n.ObserveMembers(loadbalancer.ListFull, []dispatch.Member{member("b", 3, 1, loadbalancer.Ready), member("a", 2, 0, loadbalancer.Ready), member("z", 1, 0, loadbalancer.Ready)})
-	if d := cmp.Diff(held, n.Held(), cmp.Transformer("sorted", func(h []Held) []Held {
-		slices.SortFunc(h, func(x, y Held) int { return len(x.Node) - len(y.Node) + int(x.Node[0]) - int(y.Node[0]) })
+	if d := cmp.Diff(held, n.SlotAssignments(), cmp.Transformer("sorted", func(h []SlotAssignment) []SlotAssignment {
+		slices.SortFunc(h, func(x, y SlotAssignment) int { return len(x.Node) - len(y.Node) + int(x.Node[0]) - int(y.Node[0]) })
 		return h
 	})); d != "" {
 		t.Error(d)
@@ -437,13 +437,13 @@
 // Whoever counts beside us at the end of a period sees what nodes have, and none where nobody is.
 func TestNodeGauges(t *testing.T) {
 	now := 100.0
-	s := newSet(Options{Nodes: 10, Now: func() float64 { return now }, Standing: func(id loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
+	s := newSet(Options{MaxNodes: 10, Now: func() float64 { return now }, WorkerStatus: func(id loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
 		return loadbalancer.WorkerStatus{SpareCapacity: -1.5, LoadLimit: 4, Ejected: true}, id == 1
 	}})
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
 	s.ObserveLoadReport(1, 98, []float32{0.5, 3}, false)
 	s.ObserveLoadReport(1, 99, []float32{0.5, 7}, true)
-	got := readAll(t, s.Close(1, 1))
+	got := readAll(t, s.ClosePeriod(1, 1))
 	for name, want := range map[string]float64{"state": 1, "reported_in_flight": 3, "reported_utilization": 0.5, "report_age_s": 2,
 		"probed_in_flight": 7, "probe_age_s": 1, "room": -1.5, "ceiling": 4, "set_aside": 1} {
 		if v, ok := got["nodes.milano.two-core.0.0."+name]; !ok || v != want {
@@ -451,7 +451,7 @@
 		}
 	}
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Departed)})
-	if v, there := readAll(t, s.Close(2, 1))["nodes.milano.two-core.0.0.state"]; there {
+	if v, there := readAll(t, s.ClosePeriod(2, 1))["nodes.milano.two-core.0.0.state"]; there {
 		t.Errorf("a slot that nobody holds has state %v", v)
 	}
 }
@@ -460,7 +460,7 @@
 func BenchmarkClose(b *testing.B) {
 	for _, n := range []int{10, 1000, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := newSet(Options{Nodes: n, Now: func() float64 { return 1 }, Standing: func(loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
+			s := newSet(Options{MaxNodes: n, Now: func() float64 { return 1 }, WorkerStatus: func(loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
 				return loadbalancer.WorkerStatus{SpareCapacity: 1.25, LoadLimit: 4.4, Pace: 1.01}, true
 			}})
 			var members []dispatch.Member
@@ -470,7 +470,7 @@
 			s.ObserveMembers(loadbalancer.ListFull, members)
 			size := 0
 			for b.Loop() {
-				size = len(s.Close(1, 1).Body)
+				size = len(s.ClosePeriod(1, 1).EncodedValues)
 			}
 			b.ReportMetric(float64(size), "bytes/period")
 		})
@@ -479,7 +479,7 @@
 
 // BenchmarkAnswered is what recording costs a job: its attempt, its report, its answer.
 func BenchmarkAnswered(b *testing.B) {
-	s := newSet(Options{Nodes: 10})
+	s := newSet(Options{MaxNodes: 10})
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
 	f := &dispatch.AnswerRecord{Verdict: dispatch.Served, AnsweredAt: 0.2, StartedAt: 0.1, Attempts: make([]dispatch.AttemptRecord, 1)}
 	tr, report := try("a", 1, loadbalancer.OK), []float32{0.5, 3}
--- a/internal/testkit/processcluster/audit.go
+++ b/internal/testkit/processcluster/audit.go
@@ -23,7 +23,7 @@
 
 // Audit reads what the members have logged so far. It waits for their buffers to be flushed.
 func (c *Cluster) Audit() *auditlog.Report {
-	time.Sleep(time.Duration(2 * linelog.FlushEvery * float64(time.Second)))
+	time.Sleep(time.Duration(2 * linelog.FlushIntervalSeconds * float64(time.Second)))
 	report, err := auditlog.AuditFiles(auditlog.DefaultRules, c.AuditFiles(), func(file string, line int, err error) {
 		if line == 0 {
 			c.must(err)
