--- a/internal/system/placement/distribution_test.go
+++ b/internal/system/placement/distribution_test.go
@@ -20,22 +20,22 @@
 		{2, 0.93, 0.17},
 		{2.5, 0.86, 0.18},
 	} {
-		again, shared, refused := 0, 0, 0
+		repeated, shared, rejected := 0, 0, 0
 		var kinds [3]requestKind
 		for seed := uint64(1); seed <= 5; seed++ {
 			sim := newSimulation(t, seed, test.load)
 			sim.run(35 * time.Second)
-			again, shared, refused = again+sim.repeatedTokens, shared+sim.sharedTokens, refused+sim.rejected
+			repeated, shared, rejected = repeated+sim.repeatedTokens, shared+sim.sharedTokens, rejected+sim.rejected
 			for i, kind := range sim.kinds {
 				kinds[i].requests += kind.requests
 				kinds[i].inTime += kind.inTime
 				kinds[i].firstEvents = append(kinds[i].firstEvents, kind.firstEvents...)
 			}
 		}
-		part := float64(again) / float64(shared)
-		t.Logf("load %.1f: %.3f of shared tokens read again, %d rejected", test.load, part, refused)
-		if part > test.again {
-			t.Errorf("load %.1f: %.3f of shared tokens read again", test.load, part)
+		share := float64(repeated) / float64(shared)
+		t.Logf("load %.1f: %.3f of shared tokens read again, %d rejected", test.load, share, rejected)
+		if share > test.again {
+			t.Errorf("load %.1f: %.3f of shared tokens read again", test.load, share)
 		}
 		for i, kind := range kinds {
 			share := float64(kind.inTime) / float64(kind.requests)
--- a/internal/system/placement/health.go
+++ b/internal/system/placement/health.go
@@ -8,7 +8,7 @@
 // This file decides which runners are avoided: ejected, since their attempts fail more than those of their peers, or
 // suspect, since a connection or an answer never came.
 
-// Suspicion.
+// Suspicion and shared faults.
 const (
 	minSuspectDuration = 300 * time.Millisecond // first suspicion of a runner; each further one doubles, up to
 	maxSuspectDuration = 4 * time.Second
--- a/internal/system/placement/notices.go
+++ b/internal/system/placement/notices.go
@@ -9,7 +9,7 @@
 // long prompts that they send, and that a suspect runner answers again. Correctness does not depend on notices: where none
 // comes for a while, the load of the others is estimated from the proxy's own.
 
-// What proxies tell each other.
+// Notices.
 const (
 	prefillSlotShare      = 0.5                   // share of a slot's memory: so many tokens in prefill weigh as much as a slot; measured
 	minNoticeThreshold    = 1.0                   // prefill weight in slots from which prompts are announced, at least
--- a/internal/system/placement/notices_test.go
+++ b/internal/system/placement/notices_test.go
@@ -62,21 +62,21 @@
 		t.Errorf("a load of %.2f became %.2f by a new plan", load, now)
 	}
 	if notice, worth := a.PrefillNotice(); !worth || notice.Tokens != 6250 {
-		t.Errorf("the others are told %+v, %v", notice, worth)
+		t.Errorf("announced %+v, %v", notice, worth)
 	}
 }
 
-// Short prompts are not worth a notice, and neither is what a service without prompts sends.
+// Short prompts are not announced, nor requests to runners that are no engines.
 func TestShortPromptsAreNotAnnounced(t *testing.T) {
 	p := startedTestPlacer(t, append(testRunners("llm", 3), testRunners("api", 3)...))
 	for _, service := range []string{"llm", "api"} {
 		r := testRequest(testStart, service, testRoute())
 		if notice, worth := p.StartAttempt(testStart, r, Choice{Runner: service + "-0"}).PrefillNotice(); worth {
-			t.Errorf("%s: the others are told %+v", service, notice)
+			t.Errorf("%s: announced %+v", service, notice)
 		}
 	}
 	if notice, worth := p.StartAttempt(testStart, westRequest(testStart), Choice{Runner: "gone"}).PrefillNotice(); worth {
-		t.Errorf("of a runner that has left the others are told %+v", notice)
+		t.Errorf("announced %+v of a departed runner", notice)
 	}
 }
 
@@ -124,7 +124,7 @@
 		p.Tick(now)
 	}
 	if p.isEligible(now, westRequest(now), runner) {
-		t.Fatal("a runner that did not answer, and may be cold, is used by a proxy that has no share of it")
+		t.Fatal("a runner that did not answer, and may be in slow start, is used by a proxy that has no share of it")
 	}
 	p.HandleNotice(now, Notice{Kind: NoticeRecovery, RunnerKey: runner.key})
 	if p.isEligible(now, westRequest(now), runner) {
@@ -147,11 +147,11 @@
 		now += time.Second
 		a := p.StartAttempt(now, westRequest(now), Choice{Runner: "llm-0"})
 		if _, worth := a.RecoveryNotice(); worth {
-			t.Error("the others are told before anything came")
+			t.Error("a recovery is announced before the first event")
 		}
 		p.HandleFirstEvent(now, a)
 		if notice, worth := a.RecoveryNotice(); worth != want || worth && notice != (Notice{Kind: NoticeRecovery, RunnerKey: a.runner.key}) {
-			t.Errorf("the others are told %+v, %v; want %v", notice, worth, want)
+			t.Errorf("announced %+v, %v; want %v", notice, worth, want)
 		}
 	}
 }
@@ -177,13 +177,13 @@
 	}
 	now := hear(testStart, 3, maxNoticeRate*0.9)
 	if !runners(now) {
-		t.Error("with few notices a prompt of two slots is not told")
+		t.Error("with few notices a prompt of two slots is not announced")
 	}
 	if now = hear(now, 3, maxNoticeRate*2); runners(now) {
-		t.Error("with twice as many as should come a prompt of two slots is told")
+		t.Error("with twice as many as should come a prompt of two slots is announced")
 	}
 	if now = hear(now, 30, maxNoticeRate*0.9); !runners(now) {
-		t.Error("with few notices again a prompt of two slots is not told")
+		t.Error("with few notices again a prompt of two slots is not announced")
 	}
 }
 
--- a/internal/system/placement/placer_test.go
+++ b/internal/system/placement/placer_test.go
@@ -87,7 +87,7 @@
 			route.HomeRegions = []string{"elsewhere"}
 			r.Route = &route
 		},
-		"cold and over its share": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
+		"slow start, over its share": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			for i := range runners {
 				runners[i].SlowStartUntil = now + time.Minute
 			}
@@ -96,21 +96,21 @@
 				p.StartAttempt(now, testRequest(now, runner.Service, r.Route), Choice{Runner: runner.ID})
 			}
 		},
-		"cold, and nobody counted the proxies": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
+		"slow start, unknown number of proxies": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			for i := range runners {
 				runners[i].SlowStartUntil = now + time.Minute
 			}
 			p.SetRunners(now, runners)
 			p.proxyCount = 0
 		},
-		"cold, and this proxy has just begun": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
+		"slow start, this proxy has just started": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			for i := range runners {
 				runners[i].SlowStartUntil = now + time.Minute
 			}
 			p.SetRunners(now, runners)
 			p.countedFrom = now + time.Millisecond
 		},
-		"cold, and of more proxies others may use it": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
+		"slow start, other proxies hold it": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			for i := range runners {
 				runners[i].SlowStartUntil = now + time.Minute
 			}
@@ -212,9 +212,9 @@
 		want  string
 	}{
 		{"most room", []float64{2, 3, 9, 2, 5, 9}, "api-4"},
-		{"the own zone where rooms are about alike", []float64{2, 2, 9, 5, 5.2, 9}, "api-3"},
+		{"the own zone where spare capacities are about alike", []float64{2, 2, 9, 5, 5.2, 9}, "api-3"},
 		{"the other region where the own has none", []float64{0, -1, 3, 0, 0.5, 4}, "api-5"},
-		{"least over its ceiling where nobody has room", []float64{-9, -8, -2, -9, -8, -3}, "api-2"},
+		{"least over its limit where none has spare capacity", []float64{-9, -8, -2, -9, -8, -3}, "api-2"},
 	} {
 		room(test.rooms...)
 		got, rejection := p.Place(testStart, testRequest(testStart, "api", testRoute()))
@@ -239,7 +239,7 @@
 		p.HandleFirstEvent(now+time.Millisecond, a)
 		p.HandleEvent(now+2*time.Millisecond, a)
 		p.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Events: 2, Duration: 3 * time.Millisecond})
-		p.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{}) // told twice
+		p.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{}) // ended twice
 		if runner.spareSlots != room || runner.spareTokens != tokens || runner.ownUsage != (usage{}) || runner.ownAttempts != 0 || runner.pending.head != nil {
 			t.Errorf("%s: %+v after the end", service, runner)
 		}
@@ -407,7 +407,7 @@
 func TestPossiblySlowStartingRunnerIsLimited(t *testing.T) {
 	now := testStart
 	for name, prepare := range map[string]func(p *Placer, runners []Runner){
-		"told": func(p *Placer, runners []Runner) {
+		"listed": func(p *Placer, runners []Runner) {
 			runners[0].SlowStartUntil = now + time.Minute
 			p.SetRunners(now, runners)
 		},
--- a/internal/system/placement/prefill_speed.go
+++ b/internal/system/placement/prefill_speed.go
@@ -19,11 +19,11 @@
 }
 
 // add adds a sample and returns the speed.
-func (window *speedWindow) add(sample float64) (speed float64) {
-	window.samples[window.count%speedWindowSize] = sample
-	window.count++
-	samples := window.samples
-	sorted := samples[:min(window.count, speedWindowSize)]
+func (w *speedWindow) add(sample float64) (speed float64) {
+	w.samples[w.count%speedWindowSize] = sample
+	w.count++
+	samples := w.samples
+	sorted := samples[:min(w.count, speedWindowSize)]
 	slices.Sort(sorted)
 	return sorted[min(int(speedQuantile*float64(len(sorted))), len(sorted)-1)]
 }
--- a/internal/system/placement/prefill_speed_test.go
+++ b/internal/system/placement/prefill_speed_test.go
@@ -18,7 +18,7 @@
 	if s.prefillSpeed < 28000 || s.prefillSpeed > 31000 {
 		t.Errorf("after nine prompts the speed is %.0f", s.prefillSpeed)
 	}
-	s.learnPrefillSpeed(1e6) // parts were kept that were not known to be
+	s.learnPrefillSpeed(1e6) // chunks were cached that were not known to be
 	if s.prefillSpeed > 31000 {
 		t.Errorf("a single prompt made the speed %.0f", s.prefillSpeed)
 	}
--- a/internal/system/placement/prefix_cache.go
+++ b/internal/system/placement/prefix_cache.go
@@ -11,7 +11,7 @@
 // that did, as long as all chunks before them are cached, too. The owner of a prefix is drawn from the prefix and the
 // runners' ids alone (rendezvous hashing), so all proxies send a prefix to the same runner of a region without messages.
 
-// Kept parts.
+// The prefix cache.
 const (
 	prefixPrice          = 4.0  // weight of prefilling a prefix again relative to its time, since it is priced; measured
 	minPrefixPreference  = 0.5  // slots by which the owner of a prefix is preferred at least; measured
@@ -64,7 +64,7 @@
 }
 
 // ownersOf draws the owners of a request's prefix among the serving runners that are not in slow start. It uses only what
-// all proxies are told, not this proxy's own observations: else each proxy would choose another owner.
+// all proxies know, not this proxy's own observations: else each proxy would choose another owner.
 func (p *Placer) ownersOf(now time.Duration, service *serviceState, request *Request, demand *tokenDemand) (owners prefixOwners) {
 	if demand.prefix == 0 {
 		return owners
@@ -154,35 +154,35 @@
 }
 
 // find returns the record of a prefix and a runner, or the one that it would replace.
-func (history *prefixHistory) find(prefix, runner uint64) *prefixRecord {
-	at := 2 * (capacity.Hash(prefix^runner) % uint64(len(history.entries)/2))
-	first, second := &history.entries[at], &history.entries[at+1]
+func (h *prefixHistory) find(prefix, runner uint64) *prefixRecord {
+	at := 2 * (capacity.Hash(prefix^runner) % uint64(len(h.entries)/2))
+	first, second := &h.entries[at], &h.entries[at+1]
 	if second.matches(prefix, runner) || !first.matches(prefix, runner) && second.sentAt < first.sentAt {
 		return second
 	}
 	return first
 }
 
-func (e *prefixRecord) matches(prefix, runner uint64) bool {
-	return e.prefix == prefix && e.runner == runner
+func (r *prefixRecord) matches(prefix, runner uint64) bool {
+	return r.prefix == prefix && r.runner == runner
 }
 
 // sentRecently reports whether the prefix was sent to the runner within prefixHistorySpan.
-func (history *prefixHistory) sentRecently(prefix, runner uint64) bool {
-	if len(history.entries) == 0 {
+func (h *prefixHistory) sentRecently(prefix, runner uint64) bool {
+	if len(h.entries) == 0 {
 		return false
 	}
-	record := history.find(prefix, runner)
-	return record.matches(prefix, runner) && history.updatedAt-record.sentAt < prefixHistorySpan
+	record := h.find(prefix, runner)
+	return record.matches(prefix, runner) && h.updatedAt-record.sentAt < prefixHistorySpan
 }
 
 // record records a send.
-func (history *prefixHistory) record(now time.Duration, prefix, runner uint64) {
-	if history.entries == nil {
-		history.entries = make([]prefixRecord, prefixHistorySize)
+func (h *prefixHistory) record(now time.Duration, prefix, runner uint64) {
+	if h.entries == nil {
+		h.entries = make([]prefixRecord, prefixHistorySize)
 	}
-	history.updatedAt = now
-	*history.find(prefix, runner) = prefixRecord{prefix, runner, now}
+	h.updatedAt = now
+	*h.find(prefix, runner) = prefixRecord{prefix, runner, now}
 }
 
 // recordPrefix records where a prefix was sent, and how often prefixes of the route come again.
--- a/internal/system/placement/prefix_cache_test.go
+++ b/internal/system/placement/prefix_cache_test.go
@@ -28,7 +28,7 @@
 			p := newTestPlacer(t, zone, uint64(i))
 			p.SetServices(testStart, testServices())
 			runners := append([]Runner(nil), runners...)
-			if i%2 == 1 { // in whatever order they are told
+			if i%2 == 1 { // in any order
 				for a, b := 0, len(runners)-1; a < b; a, b = a+1, b-1 {
 					runners[a], runners[b] = runners[b], runners[a]
 				}
@@ -87,7 +87,7 @@
 		{"tokens", func(p *Placer, runner *runnerState) { runner.spareTokens = 100 }},
 		{"suspect", func(p *Placer, runner *runnerState) { runner.markSuspect(testStart) }},
 		{"draining", func(p *Placer, runner *runnerState) { runner.Draining = true }},
-		{"cold", func(p *Placer, runner *runnerState) { runner.SlowStartUntil = testStart + time.Minute }},
+		{"slow start", func(p *Placer, runner *runnerState) { runner.SlowStartUntil = testStart + time.Minute }},
 	} {
 		for prefix := range uint64(20) {
 			next := ""
@@ -187,7 +187,7 @@
 	}
 	k.record(testStart+prefixHistorySpan, 5, 6)
 	if k.sentRecently(1, 2) && *k.find(1, 2) == (prefixRecord{1, 2, testStart}) {
-		t.Error("kept for longer than its span")
+		t.Error("remembered for longer than its span")
 	}
 	for i := range uint64(100000) {
 		k.record(testStart+prefixHistorySpan, i, i)
--- a/internal/system/placement/rejection.go
+++ b/internal/system/placement/rejection.go
@@ -10,7 +10,7 @@
 // This file decides when a request is rejected, and when its client should come back. Under load lower ranks are rejected
 // first: without that, a request with a long deadline would outlast more urgent ones.
 
-// Refusals.
+// Rejections and load shedding.
 const (
 	maxWaitShare     = 0.5         // share of its remaining time that a request may wait
 	yieldShare       = 0.8         // share of what a request of the next more urgent rank may wait
@@ -40,12 +40,12 @@
 }
 
 // recordArrival records how much time a request has left.
-func (shedding *loadShedding) recordArrival(now time.Duration, request *Request) {
+func (s *loadShedding) recordArrival(now time.Duration, request *Request) {
 	left := (request.Deadline - now).Seconds()
 	if left <= 0 || request.Route == nil {
 		return
 	}
-	rank := &shedding[rankOf(request)]
+	rank := &s[rankOf(request)]
 	if rank.remaining == 0 {
 		rank.remaining = left
 	}
@@ -53,18 +53,18 @@
 }
 
 // recordRejection records that a request was rejected because of load.
-func (shedding *loadShedding) recordRejection(now time.Duration, request *Request) {
-	rank := &shedding[rankOf(request)]
+func (s *loadShedding) recordRejection(now time.Duration, request *Request) {
+	rank := &s[rankOf(request)]
 	rank.rejectedAt, rank.rejected = now, true
 }
 
 // maxWait is how long a request may wait before it is rejected, in seconds: a share of the time that it has left, and less
 // than requests of a more urgent rank may wait, while some of those are rejected.
-func (shedding *loadShedding) maxWait(now time.Duration, request *Request) float64 {
+func (s *loadShedding) maxWait(now time.Duration, request *Request) float64 {
 	own := rankOf(request)
 	wait := maxWaitShare * (request.Deadline - now).Seconds()
 	for rank := range own {
-		if stats := &shedding[rank]; stats.recentlyRejected(now) {
+		if stats := &s[rank]; stats.recentlyRejected(now) {
 			wait = math.Min(wait, maxWaitShare*stats.remaining*math.Pow(yieldShare, float64(own-rank)))
 		}
 	}
@@ -73,9 +73,9 @@
 
 // mustYield reports whether requests of a more urgent rank are being rejected. Less urgent ones then yield, small ones too,
 // which would find room where large ones don't.
-func (shedding *loadShedding) mustYield(now time.Duration, request *Request) bool {
+func (s *loadShedding) mustYield(now time.Duration, request *Request) bool {
 	for rank := range rankOf(request) {
-		if shedding[rank].recentlyRejected(now) {
+		if s[rank].recentlyRejected(now) {
 			return true
 		}
 	}
--- a/internal/system/placement/retries.go
+++ b/internal/system/placement/retries.go
@@ -7,7 +7,7 @@
 // which is safe whatever the others do, and has an even part of the allowance beyond that ratio. The part grows to its full
 // size within a window after a start: the process before this one may have spent it.
 
-// Repeats.
+// The retry budget.
 const (
 	retryRatioShare     = 0.7 // share of the retry ratio that is used
 	retryAllowanceShare = 0.6 // share of the allowance beyond the ratio that is used
@@ -41,28 +41,28 @@
 }
 
 // advance clears the buckets that have left the window.
-func (budget *retryBudget) advance(now time.Duration, window time.Duration) {
+func (b *retryBudget) advance(now time.Duration, window time.Duration) {
 	span := int64(now / (window / retryBuckets))
-	if span-budget.bucket > retryBuckets {
-		budget.requests, budget.retries = [retryBuckets + 1]uint32{}, [retryBuckets + 1]uint32{}
-		budget.bucket = span
+	if span-b.bucket > retryBuckets {
+		b.requests, b.retries = [retryBuckets + 1]uint32{}, [retryBuckets + 1]uint32{}
+		b.bucket = span
 	}
-	for budget.bucket < span {
-		budget.bucket++
-		budget.requests[budget.bucket%(retryBuckets+1)], budget.retries[budget.bucket%(retryBuckets+1)] = 0, 0
+	for b.bucket < span {
+		b.bucket++
+		b.requests[b.bucket%(retryBuckets+1)], b.retries[b.bucket%(retryBuckets+1)] = 0, 0
 	}
 }
 
 // allows reports whether one more retry may be sent. Retries count for a little longer than a window, and first attempts
 // for a little less, so that the bound holds in every window.
-func (budget *retryBudget) allows(now time.Duration, rules retryPolicy) bool {
-	budget.advance(now, rules.window)
+func (b *retryBudget) allows(now time.Duration, rules retryPolicy) bool {
+	b.advance(now, rules.window)
 	firsts, repeats := uint32(0), uint32(0)
-	oldest := (budget.bucket + 1) % (retryBuckets + 1)
-	for i := range budget.requests {
-		repeats += budget.retries[i]
+	oldest := (b.bucket + 1) % (retryBuckets + 1)
+	for i := range b.requests {
+		repeats += b.retries[i]
 		if int64(i) != oldest {
-			firsts += budget.requests[i]
+			firsts += b.requests[i]
 		}
 	}
 	grown := min(float64(now-rules.since)/float64(rules.window), 1)
@@ -70,12 +70,12 @@
 }
 
 // record counts an attempt.
-func (budget *retryBudget) record(now time.Duration, window time.Duration, repeat bool) {
-	budget.advance(now, window)
-	if repeat {
-		budget.retries[budget.bucket%(retryBuckets+1)]++
+func (b *retryBudget) record(now time.Duration, window time.Duration, isRetry bool) {
+	b.advance(now, window)
+	if isRetry {
+		b.retries[b.bucket%(retryBuckets+1)]++
 	} else {
-		budget.requests[budget.bucket%(retryBuckets+1)]++
+		b.requests[b.bucket%(retryBuckets+1)]++
 	}
 }
 
--- a/internal/system/placement/selection.go
+++ b/internal/system/placement/selection.go
@@ -20,7 +20,7 @@
 	rankNone        = 1 << 10
 )
 
-// The choice.
+// The selection.
 const (
 	distanceSteps       = 8      // steps of latency in the tightest latency target that tell regions apart
 	zonePreferenceShare = 0.0125 // share of its slots by which a runner in the own zone is preferred; measured
@@ -54,7 +54,7 @@
 	}
 	if wait := p.expectedWait(service, best); (rank >= rankNoSpare || service.shedding.mustYield(now, request)) && p.isHopeless(now, service, request, wait) {
 		service.shedding.recordRejection(now, request)
-		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, wait), Reason: "all runners are over their ceilings"}
+		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, wait), Reason: "all runners are over their concurrency limits"}
 	}
 	return Choice{Runner: best.ID, Address: best.Address, Priority: priority(service, request)}, nil
 }
--- a/internal/system/placement/slow_start.go
+++ b/internal/system/placement/slow_start.go
@@ -13,7 +13,7 @@
 // runner bears requests, only the first in an order drawn from the runner's and the proxies' keys use it: a proxy that
 // knows of more proxies than another never ranks earlier by that, so views that differ don't exceed the bound.
 
-// Cold runners and the proxies that share them.
+// Slow start.
 const (
 	slowStartPlannedShare = 0.8             // share of the slow start bound that is used
 	slowStartWindow       = 1.05            // seconds over which a share is spaced; the bound is for one second
