--- a/cmd/cinderctl/config.go
+++ b/cmd/cinderctl/config.go
@@ -25,11 +25,11 @@
 
 // Run prints the configuration: the document itself as text, or with its version as JSON.
 func (c *readCommand) Run(s *session) error {
-	caller, err := s.client()
+	apiClient, err := s.client()
 	if err != nil {
 		return err
 	}
-	document, err := caller.Read(s.context)
+	document, err := apiClient.Read(s.context)
 	if err != nil {
 		return err
 	}
@@ -75,19 +75,19 @@
 		}
 		return &rejectedError{message: f.File + " is invalid and was not sent"}
 	}
-	caller, err := s.client()
+	apiClient, err := s.client()
 	if err != nil {
 		return err
 	}
-	basedOn, err := f.baseVersion(s, caller)
+	basedOn, err := f.baseVersion(s, apiClient)
 	if err != nil {
 		return err
 	}
-	order := caller.Replace
+	submit := apiClient.Replace
 	if kind == kindChange {
-		order = caller.Change
+		submit = apiClient.Change
 	}
-	acknowledgement, err := order(s.context, basedOn, body)
+	acknowledgement, err := submit(s.context, basedOn, body)
 	if err != nil {
 		return s.printProblems(err)
 	}
@@ -98,11 +98,11 @@
 }
 
 // baseVersion returns the version that the file builds on: the flag's, or the one in force.
-func (f *sendFlags) baseVersion(s *session, caller *client.Client) (uint64, error) {
+func (f *sendFlags) baseVersion(s *session, apiClient *client.Client) (uint64, error) {
 	if f.BasedOn != nil {
 		return *f.BasedOn, nil
 	}
-	document, err := caller.Read(s.context)
+	document, err := apiClient.Read(s.context)
 	if err != nil {
 		return 0, err
 	}
--- a/cmd/cinderctl/drain.go
+++ b/cmd/cinderctl/drain.go
@@ -29,20 +29,20 @@
 }
 
 func (s *session) drain(zone string, begin bool) error {
-	caller, err := s.client()
+	apiClient, err := s.client()
 	if err != nil {
 		return err
 	}
-	acknowledgement, err := caller.Drain(s.context, zone, begin)
+	acknowledgement, err := apiClient.Drain(s.context, zone, begin)
 	if err != nil {
 		return s.printProblems(err)
 	}
 	if s.flags.JSON {
 		return s.printJSON(&drainReport{Zone: zone, Evacuated: begin, Acknowledgement: *acknowledgement})
 	}
-	state := "taken back"
+	outcome := "taken back"
 	if begin {
-		state = "evacuated"
+		outcome = "evacuated"
 	}
-	return s.printLine("zone %s is %s, acknowledged by %s (attempt %d)", zone, state, acknowledgement.Machine, acknowledgement.Attempts)
+	return s.printLine("zone %s is %s, acknowledged by %s (attempt %d)", zone, outcome, acknowledgement.Machine, acknowledgement.Attempts)
 }
--- a/cmd/cinderctl/status.go
+++ b/cmd/cinderctl/status.go
@@ -37,11 +37,11 @@
 
 // Run prints the status of a control machine and of all others that it knows.
 func (c *statusCommand) Run(s *session) error {
-	caller, err := s.client()
+	apiClient, err := s.client()
 	if err != nil {
 		return err
 	}
-	report, err := c.collect(s, caller)
+	report, err := c.collect(s, apiClient)
 	if err != nil {
 		return err
 	}
@@ -52,8 +52,8 @@
 }
 
 // collect queries the first machine that responds, and then the others that it knows one after the other.
-func (c *statusCommand) collect(s *session, caller *client.Client) (*statusReport, error) {
-	address, first, err := caller.Status(s.context)
+func (c *statusCommand) collect(s *session, apiClient *client.Client) (*statusReport, error) {
+	address, first, err := apiClient.Status(s.context)
 	if err != nil {
 		return nil, err
 	}
@@ -70,14 +70,14 @@
 			continue
 		}
 		address := net.JoinHostPort(member.Address, port) // all machines of a system use the same ports
-		one := client.Client{Addresses: []string{address}, Timeout: min(machineTimeout, s.flags.Within),
+		machine := client.Client{Addresses: []string{address}, Timeout: min(machineTimeout, s.flags.Within),
 			MaxAttempts: machineAttempts, Sleep: s.sleep}
-		_, other, err := one.Status(s.context)
+		_, description, err := machine.Status(s.context)
 		if err != nil {
 			report.Unreachable = append(report.Unreachable, unreachableMachine{Address: address, Problem: err.Error()})
 			continue
 		}
-		report.Machines = append(report.Machines, other)
+		report.Machines = append(report.Machines, description)
 	}
 	slices.SortFunc(report.Machines, func(a, b *status.Control) int { return cmp.Compare(a.Node, b.Node) })
 	dropOutdatedFollowers(report.Machines)
@@ -90,7 +90,7 @@
 	latest := map[string]int64{}
 	for _, machine := range machines {
 		for _, follower := range machine.Followers {
-			if asked, known := latest[follower.Node]; !known || follower.SinceLastCallMS < asked {
+			if sinceLastCall, known := latest[follower.Node]; !known || follower.SinceLastCallMS < sinceLastCall {
 				latest[follower.Node] = follower.SinceLastCallMS
 			}
 		}
--- a/internal/system/control/api/availability_test.go
+++ b/internal/system/control/api/availability_test.go
@@ -46,14 +46,14 @@
 				{PathReplace, "0", documentJSON(3, routeJSON("x", "s"))},
 				{PathDrainBegin + "a", "", ""},
 			} {
-				began := time.Now()
+				started := time.Now()
 				response := call(fake.newAPI(), http.MethodPost, request[0], request[1], request[2])
-				took := time.Since(began)
+				elapsed := time.Since(started)
 				if response.Code != http.StatusServiceUnavailable || response.Header().Get("Retry-After") == "" {
 					t.Errorf("%s, %s: %d %s", test.name, request[0], response.Code, response.Body)
 				}
-				if took > ResponseTimeout+fake.delay {
-					t.Errorf("%s, %s: the response took %v", test.name, request[0], took)
+				if elapsed > ResponseTimeout+fake.delay {
+					t.Errorf("%s, %s: the response took %v", test.name, request[0], elapsed)
 				}
 			}
 			if fake.state.Version() != 0 || fake.state.EvacuatedZones() != nil {
@@ -88,13 +88,13 @@
 				{http.MethodPost, PathDrainBegin + "a", "", ""},
 				{http.MethodPost, PathDrainFinish + "a", "", ""}, // has no effect on its own state
 			} {
-				began := time.Now()
+				started := time.Now()
 				response := call(a, request[0], request[1], request[2], request[3])
 				if response.Code != http.StatusServiceUnavailable || response.Header().Get("Retry-After") == "" {
 					t.Errorf("%v: %d %s", request, response.Code, response.Body)
 				}
-				if took := time.Since(began); took > IsolatedResponseTimeout {
-					t.Errorf("%v: the response took %v", request, took)
+				if elapsed := time.Since(started); elapsed > IsolatedResponseTimeout {
+					t.Errorf("%v: the response took %v", request, elapsed)
 				}
 			}
 		})
--- a/internal/system/control/api/configuration_test.go
+++ b/internal/system/control/api/configuration_test.go
@@ -68,7 +68,7 @@
 	if response := call(fake.newAPI(), http.MethodPost, PathReplace, "0", documentJSON(3, routeJSON("x", "s"))); response.Code != 200 {
 		t.Fatal(response.Body)
 	}
-	before, proposals := fake.state.Snapshot(), fake.proposals
+	snapshot, proposals := fake.state.Snapshot(), fake.proposals
 	zeroTimeout := strings.Replace(routeJSON("y", "s"), "5000", "0", 1)
 	noWeight := strings.Replace(routeJSON("y", "s"), `"service":"s"`, `"shares":[{"service":"s","weight":0}]`, 1)
 	cases := []struct{ name, path, basedOn, body string }{
@@ -102,7 +102,7 @@
 			t.Errorf("%s: %s", test.name, response.Body)
 		}
 	}
-	if fake.proposals != proposals || string(fake.state.Snapshot()) != string(before) {
+	if fake.proposals != proposals || string(fake.state.Snapshot()) != string(snapshot) {
 		t.Error("an invalid change was proposed")
 	}
 }
--- a/internal/system/control/api/interleavings_test.go
+++ b/internal/system/control/api/interleavings_test.go
@@ -131,10 +131,10 @@
 // Barrier covers what was committed before the call; the node may know more by then.
 func (r *exploredReplicas) Barrier(context.Context, feed.Partition) error {
 	e, node := r.exploration, r.task.node
-	least := len(e.log)
+	committed := len(e.log)
 	alive := r.task.await(func(resume func()) {
 		e.enable("barrier", func() {
-			index := max(least, node.applied)
+			index := max(committed, node.applied)
 			index += e.schedule.choose(len(e.log) - index + 1)
 			node.applyTo(index)
 			resume()
--- a/internal/system/control/api/large_configuration_test.go
+++ b/internal/system/control/api/large_configuration_test.go
@@ -35,19 +35,19 @@
 // configuration again.
 func TestLargeConfigurationIsParsedOnce(t *testing.T) {
 	fake := newFakeReplica()
-	whole := &changeRequest{kind: kindReplace, body: []byte(documentJSON(1, manyRoutes(largeRoutes)...))}
+	request := &changeRequest{kind: kindReplace, body: []byte(documentJSON(1, manyRoutes(largeRoutes)...))}
 	cache := &documentCache{}
-	first, err := cache.prepareChange(whole, &state.View{})
+	first, err := cache.prepareChange(request, &state.View{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	repeated := testing.AllocsPerRun(1, func() {
-		if change, err := cache.prepareChange(whole, &state.View{}); err != nil || len(change.writes) != len(first.writes) {
+		if change, err := cache.prepareChange(request, &state.View{}); err != nil || len(change.writes) != len(first.writes) {
 			t.Error(len(change.writes), err)
 		}
 	})
 	a := fake.newAPI()
-	if response := call(a, http.MethodPost, PathReplace, "0", string(whole.body)); response.Code != http.StatusOK {
+	if response := call(a, http.MethodPost, PathReplace, "0", string(request.body)); response.Code != http.StatusOK {
 		t.Fatal(response.Body)
 	}
 	version := 1
--- a/internal/system/control/api/simulation_clients_test.go
+++ b/internal/system/control/api/simulation_clients_test.go
@@ -220,13 +220,13 @@
 	if c.openCalls >= maxOpenCalls {
 		return
 	}
-	unclear := c.unresolved()
+	unresolved := c.unresolved()
 	switch {
-	case c.finishing && len(unclear) > 0:
-		c.send(unclear[sim.random.IntN(len(unclear))])
+	case c.finishing && len(unresolved) > 0:
+		c.send(unresolved[sim.random.IntN(len(unresolved))])
 	case c.finishing || len(c.requests) >= maxRequestsPerClient:
-	case len(unclear) > 0 && sim.chance(0.4):
-		c.send(unclear[sim.random.IntN(len(unclear))])
+	case len(unresolved) > 0 && sim.chance(0.4):
+		c.send(unresolved[sim.random.IntN(len(unresolved))])
 	case len(c.requests) > 0 && sim.chance(0.2):
 		c.send(c.requests[sim.random.IntN(len(c.requests))])
 	case sim.chance(0.3):
@@ -340,9 +340,9 @@
 
 // cancelDeliveries closes all open calls.
 func (c *evacuationClient) cancelDeliveries() {
-	for _, open := range c.deliveries {
-		if !open.cancelled {
-			open.cancel()
+	for _, delivery := range c.deliveries {
+		if !delivery.cancelled {
+			delivery.cancel()
 		}
 	}
 	c.deliveries = nil
--- a/internal/system/control/api/simulation_test.go
+++ b/internal/system/control/api/simulation_test.go
@@ -152,10 +152,10 @@
 // snapshotWithoutChanges returns a snapshot whose accepted changes match no request.
 func snapshotWithoutChanges(c *state.Configuration) []byte {
 	snapshot := c.Snapshot()
-	at := 1 // behind the format
+	offset := 1 // behind the format
 	number := func() uint64 {
-		v, n := binary.Uvarint(snapshot[at:])
-		at += n
+		v, n := binary.Uvarint(snapshot[offset:])
+		offset += n
 		return v
 	}
 	number() // version
@@ -163,8 +163,8 @@
 	for range number() {
 		number()
 		number()
-		clear(snapshot[at : at+state.DigestSize])
-		at += state.DigestSize
+		clear(snapshot[offset : offset+state.DigestSize])
+		offset += state.DigestSize
 	}
 	return snapshot
 }
@@ -175,10 +175,10 @@
 	counts eventCounts
 }
 
-func (n *simulationTotals) add(other eventCounts) {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	c := &n.counts
+func (totals *simulationTotals) add(other eventCounts) {
+	totals.mutex.Lock()
+	defer totals.mutex.Unlock()
+	c := &totals.counts
 	c.accepted += other.accepted
 	c.acknowledged += other.acknowledged
 	c.conflicts += other.conflicts
@@ -191,9 +191,9 @@
 }
 
 // checkCoverage checks that everything the test is meant to cover did occur.
-func (n *simulationTotals) checkCoverage(t *testing.T) {
+func (totals *simulationTotals) checkCoverage(t *testing.T) {
 	t.Helper()
-	c := n.counts
+	c := totals.counts
 	for name, count := range map[string]int{"accepted": c.accepted, "acknowledged": c.acknowledged,
 		"conflicts": c.conflicts, "invalid": c.invalid, "indefinite": c.indefinite, "reacknowledged": c.reacknowledged,
 		"evacuations": c.evacuations, "superseded": c.superseded} {
--- a/internal/system/control/client/calls.go
+++ b/internal/system/control/client/calls.go
@@ -81,7 +81,7 @@
 }
 
 // Status returns the status of the first machine that responds, and its address.
-func (c *Client) Status(ctx context.Context) (machine string, seen *status.Control, err error) {
+func (c *Client) Status(ctx context.Context) (machine string, description *status.Control, err error) {
 	response, err := c.Do(ctx, Call{Method: http.MethodGet, Path: api.PathStatus})
 	if err != nil {
 		return "", nil, err
--- a/internal/system/control/feedserver/pacer_test.go
+++ b/internal/system/control/feedserver/pacer_test.go
@@ -47,7 +47,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const rate = 1 << 20
 		p := pacer{bytesPerSecond: rate}
-		now, sent, most := time.Duration(0), 0, 0
+		now, sent, largest := time.Duration(0), 0, 0
 		var last time.Duration
 		for range rapid.IntRange(1, 300).Draw(t, "calls") {
 			now += time.Duration(rapid.Int64Range(0, int64(200*time.Millisecond)).Draw(t, "pause"))
@@ -55,19 +55,19 @@
 			wait, admitted := p.admit(now, bytes)
 			if !admitted {
 				now += wait
-				again, later := p.admit(now, bytes)
-				if !later || again > maxBulkDelay/2 {
-					t.Fatalf("a follower that calls again as told waits for %v more, admitted: %v", again, later)
+				secondWait, secondAdmitted := p.admit(now, bytes)
+				if !secondAdmitted || secondWait > maxBulkDelay/2 {
+					t.Fatalf("a follower that calls again as told waits for %v more, admitted: %v", secondWait, secondAdmitted)
 				}
-				wait = again
+				wait = secondWait
 			}
 			if wait > maxBulkDelay || now+wait < last {
 				t.Fatalf("sent at %v after %v, the previous one at %v", now+wait, wait, last)
 			}
 			last = now + wait
 			sent += bytes
-			most = max(most, bytes)
-			if allowed := rate*(last+burstAllowance).Seconds() + float64(most); float64(sent) > allowed+1 {
+			largest = max(largest, bytes)
+			if allowed := rate*(last+burstAllowance).Seconds() + float64(largest); float64(sent) > allowed+1 {
 				t.Fatalf("%d bytes within %v", sent, last)
 			}
 		}
--- a/internal/system/control/feedserver/server_test.go
+++ b/internal/system/control/feedserver/server_test.go
@@ -116,8 +116,8 @@
 	if _, err := s.server.Follow(context.Background(), request); err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(started); took > MaxWait/2 {
-		t.Errorf("the call was held open for %v", took)
+	if elapsed := time.Since(started); elapsed > MaxWait/2 {
+		t.Errorf("the call was held open for %v", elapsed)
 	}
 }
 
--- a/internal/system/control/listeners.go
+++ b/internal/system/control/listeners.go
@@ -54,16 +54,16 @@
 	if err = p.serveHTTP(ctx, settings.ListenOn.Control, p.operatorAPI()); err != nil {
 		return err
 	}
-	lookups := &directory.Handler{Source: p, MaxTTL: settings.Timing.TTLMax}
-	return p.serveHTTP(ctx, settings.ListenOn.Directory, newDirectoryMux(lookups))
+	handler := &directory.Handler{Source: p, MaxTTL: settings.Timing.TTLMax}
+	return p.serveHTTP(ctx, settings.ListenOn.Directory, newDirectoryMux(handler))
 }
 
 func (p *Process) startGossip(ctx context.Context, options Options) (*gossip.Memberlist, error) {
-	joining := gossip.FromSettings(options.Settings, gossip.Control)
-	joining.Version, joining.Log = options.Version, options.Log
+	memberOptions := gossip.FromSettings(options.Settings, gossip.Control)
+	memberOptions.Version, memberOptions.Log = options.Version, options.Log
 	var member *gossip.Memberlist
 	err := retry.WhileAddressInUse(ctx, func() (err error) {
-		member, err = gossip.Start(joining)
+		member, err = gossip.Start(memberOptions)
 		return err
 	})
 	if err != nil {
@@ -98,9 +98,9 @@
 }
 
 // newDirectoryMux routes only the directory's path: its address is open to clients.
-func newDirectoryMux(lookups http.Handler) http.Handler {
+func newDirectoryMux(handler http.Handler) http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(directory.Path, lookups)
+	mux.Handle(directory.Path, handler)
 	return mux
 }
 
--- a/internal/system/control/runnersync/fake_test.go
+++ b/internal/system/control/runnersync/fake_test.go
@@ -158,8 +158,8 @@
 		return false
 	}
 	for i := range c.list {
-		runner, known := stored[c.list[i].ID]
-		if !known || !equalExceptTimes(&runner, &c.list[i]) {
+		runner, exists := stored[c.list[i].ID]
+		if !exists || !equalExceptTimes(&runner, &c.list[i]) {
 			return false
 		}
 	}
--- a/internal/system/control/runnersync/sync.go
+++ b/internal/system/control/runnersync/sync.go
@@ -120,7 +120,7 @@
 // list now.
 func (s *Syncer) proposeDiff(ctx context.Context, i int, listed map[string]*discovery.Runner) (bool, error) {
 	partition := s.options.Partitions[i]
-	seen := partition.Revision()
+	revision := partition.Revision()
 	s.refreshView(i)
 	writes := s.views[i].diff(listed, s.options.Now(), s.isGone)
 	if len(writes) == 0 {
@@ -130,7 +130,7 @@
 	if !s.ownedPartitions().Contains(feed.Partition(i + 1)) {
 		return false, ErrLostLease
 	}
-	command := state.WriteRunners{ExpectedRevision: seen, Writes: writes}
+	command := state.WriteRunners{ExpectedRevision: revision, Writes: writes}
 	encoded, err := s.options.Replicas.Propose(ctx, feed.Partition(i+1), command.Encode())
 	if err != nil {
 		return false, fmt.Errorf("runnersync: propose to partition %d: %w", i+1, err)
--- a/internal/system/control/runnersync/sync_test.go
+++ b/internal/system/control/runnersync/sync_test.go
@@ -21,9 +21,9 @@
 	if !c.inSync(t) || c.proposals != partitions {
 		t.Fatalf("%d proposals, in sync: %t", c.proposals, c.inSync(t))
 	}
-	before := c.index
+	indexBefore := c.index
 	c.step()
-	if c.index != before {
+	if c.index != indexBefore {
 		t.Error("an unchanged list is written again")
 	}
 	c.list[3].Draining = true
@@ -35,7 +35,7 @@
 	}
 	changed := 0
 	for _, s := range c.states {
-		changed += len(s.Since(before, 0).Items)
+		changed += len(s.Since(indexBefore, 0).Items)
 	}
 	if changed != 3 {
 		t.Errorf("%d items changed, want 3", changed)
@@ -157,15 +157,15 @@
 	c.list = []discovery.Runner{newRunner(1), newRunner(2)}
 	c.step()
 	c.step()
-	whole := c.list
-	c.list = whole[:1]
+	all := c.list
+	c.list = all[:1]
 	c.step()
 	if len(c.storedRunners(t)) != 2 {
 		t.Error("a runner that is missing once in a list of several pages was deleted")
 	}
-	c.list = whole
+	c.list = all
 	c.step()
-	c.list = whole[:1]
+	c.list = all[:1]
 	c.step()
 	if len(c.storedRunners(t)) != 2 {
 		t.Error("lists that are not successive count together")
@@ -178,10 +178,10 @@
 
 func TestListMissingMostRunners(t *testing.T) {
 	c := newFakeCluster()
-	whole := []discovery.Runner{newRunner(1), newRunner(2), newRunner(3)}
-	c.list = whole
+	all := []discovery.Runner{newRunner(1), newRunner(2), newRunner(3)}
+	c.list = all
 	c.step()
-	c.list = whole[:1]
+	c.list = all[:1]
 	c.step()
 	if len(c.storedRunners(t)) != 3 {
 		t.Error("a single list that lacks most runners was trusted")
@@ -274,11 +274,11 @@
 			c.step()
 			second.Step(context.Background())
 		}
-		before := c.proposals
+		proposalsBefore := c.proposals
 		c.step()
 		second.Step(context.Background())
-		if !c.inSync(t) || c.proposals != before {
-			t.Fatalf("in sync: %t, with %d further proposals", c.inSync(t), c.proposals-before)
+		if !c.inSync(t) || c.proposals != proposalsBefore {
+			t.Fatalf("in sync: %t, with %d further proposals", c.inSync(t), c.proposals-proposalsBefore)
 		}
 	})
 }
--- a/internal/system/control/runnersync/syncer.go
+++ b/internal/system/control/runnersync/syncer.go
@@ -128,11 +128,11 @@
 func (s *Syncer) fetchList(ctx context.Context) ([]discovery.Runner, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	before := s.options.Lister.CallCount()
+	callsBefore := s.options.Lister.CallCount()
 	list, err := s.options.Lister.List(ctx)
 	s.progress.callCount.Store(s.options.Lister.CallCount())
 	if err == nil {
-		s.pageCount = max(1, int(s.options.Lister.CallCount()-before))
+		s.pageCount = max(1, int(s.options.Lister.CallCount()-callsBefore))
 	}
 	return list, err
 }
@@ -177,6 +177,6 @@
 		s.pollInterval = minPollInterval
 		return
 	}
-	most := max(minPollInterval, s.options.DrainWithin/pollsPerDrain)
-	s.pollInterval = min(time.Duration(pollIntervalGrowth*float64(s.pollInterval)), most)
+	maxInterval := max(minPollInterval, s.options.DrainWithin/pollsPerDrain)
+	s.pollInterval = min(time.Duration(pollIntervalGrowth*float64(s.pollInterval)), maxInterval)
 }
--- a/internal/system/control/runnersync/view.go
+++ b/internal/system/control/runnersync/view.go
@@ -111,12 +111,12 @@
 func (v *partitionView) diff(listed map[string]*discovery.Runner, now time.Duration, isGone func(key string) bool) []state.Write {
 	var out []state.Write
 	for key, runner := range listed {
-		stored, known := v.runners[key]
-		if known && !stored.needsWrite(runner, now) {
+		stored, exists := v.runners[key]
+		if exists && !stored.needsWrite(runner, now) {
 			continue
 		}
 		value := discovery.EncodeRunner(*runner)
-		if known && stored.encodesTo(value) {
+		if exists && stored.encodesTo(value) {
 			changed := *runner
 			changed.SlowStartRemaining++ // an equal value would not count as a change, and keep its age
 			value = discovery.EncodeRunner(changed)
