--- /dev/null
+++ b/internal/dispatcher/cluster/options.go
@@ -0,0 +1,32 @@
+package cluster
+
+import (
+	"net/netip"
+
+	"cinderroad/internal/dispatcher/cluster/quota"
+	"cinderroad/internal/dispatcher/cluster/versions"
+	"cinderroad/internal/shared/membership"
+)
+
+// Options configure a member.
+type Options struct {
+	Cluster, Name          string
+	Bind, Advertise        netip.AddrPort   // to listen on; at which others reach it
+	Seeds                  []netip.AddrPort // through which to join
+	ProbeInterval, DeadTTL float64          // seconds
+	LeaseTerm              float64          // seconds
+	RandomSeed             uint64           // of the membership
+	Metadata               membership.Metadata
+	Quota                  quota.Config
+	Versions               *versions.Table            // not nil
+	OnLease                func(out bool, why string) // called when this dispatcher must stop taking new work, or may again
+	OnConverged            func(Convergence)          // called when the view has converged; not nil
+	OnPause                func(late float64)         // called after a pause of the process, before anything else in that turn of the loop; nil: not
+}
+
+// Convergence is that all members have one view.
+type Convergence struct {
+	After  float64 // seconds that it took
+	Alive  int
+	Digest string // of the view
+}
--- /dev/null
+++ b/internal/dispatcher/cluster/share.go
@@ -0,0 +1,36 @@
+package cluster
+
+import (
+	"go.uber.org/zap"
+
+	"cinderroad/internal/dispatcher/cluster/quota"
+)
+
+// updateShare computes the lease and the share, and reports a change of the share.
+func (c *Cluster) updateShare() {
+	c.shareAt, c.recognized = c.loop.Now(), c.node.Recognized()
+	view := c.node.View()
+	c.updateLease(&view)
+	share := c.calculator.Share(c.loop.Now(), &view)
+	if share.Equal(&c.share) {
+		return
+	}
+	before := c.share
+	c.share = share
+	c.onShare(share)
+	if before.Instances == share.Instances && before.Fraction == share.Fraction && before.Reason == share.Reason {
+		return // only names have changed
+	}
+	c.log.Info("fleet: cold workers are shared", zap.Int("among", share.Instances), zap.Int("me", share.Index),
+		zap.Float64("part", share.Fraction), zap.String("why", string(share.Reason)))
+}
+
+// Update applies at once what has changed in Options.Versions.
+func (c *Cluster) Update() {
+	if !c.closed {
+		c.updateShare()
+	}
+}
+
+// Share returns the current share of cold workers.
+func (c *Cluster) Share() quota.Share { return c.share }
