--- a/internal/dispatcher/exporter/compatibility_test.go
+++ b/internal/dispatcher/exporter/compatibility_test.go
@@ -20,7 +20,7 @@
 		if !p.add(counter, stamp, 10, 40) || !p.add(gauge, stamp, 10, 0.5) {
 			t.Fatal("no room")
 		}
-		compatibility.Elsewhere.Check(t, name, p.seal())
+		compatibility.Elsewhere.Check(t, name, p.protect())
 	}
 	table := &telemetry.SeriesTable{}
 	table.Append(counter, gauge)
--- a/internal/dispatcher/exporter/feed.go
+++ b/internal/dispatcher/exporter/feed.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	leastEvery = 0.1   // seconds
-	diskTime   = 2.0   // seconds that a period waits for the disk before it is delivered all the same
-	encoded    = 15000 // values written in a turn
-	gathered   = 500   // nodes whose gauges are gathered in a turn
-	slice      = 300   // points rendered in a turn: some 0.2 ms
+	minInterval   = 0.1   // seconds
+	maxDiskWait   = 2.0   // seconds that a period waits for the disk before it is delivered all the same
+	valuesPerTurn = 15000 // values written in a turn
+	nodesPerTurn  = 500   // nodes whose gauges are gathered in a turn
+	pointsPerTurn = 300   // points rendered in a turn: some 0.2 ms
 )
 
 // Options say how figures leave the process.
@@ -35,20 +35,20 @@
 type Exporter struct {
 	ClosedPeriods uint64 // closed
 
-	loop    *eventloop.Loop
-	log     *zap.Logger
-	set     *telemetry.Set
-	ring    *telemetry.Ring
-	options Options
-	spool   *spool.Spool
-	got     map[string]int64
-	past    map[string]OutputStats // of outputs that are gone, by kind
-	outputs []Output
-	last    int64  // stamp of the last period
-	safe    uint64 // number of the last period that may be delivered
-	timer   *eventloop.Timer
-	on      bool
-	frozen  bool // the period at hand has ended and is being encoded
+	loop          *eventloop.Loop
+	log           *zap.Logger
+	set           *telemetry.Set
+	ring          *telemetry.Ring
+	options       Options
+	spool         *spool.Spool
+	acknowledged  map[string]int64
+	retiredStats  map[string]OutputStats // of outputs that are gone, by kind
+	outputs       []Output
+	lastTimestamp int64  // stamp of the last period
+	deliverable   uint64 // number of the last period that may be delivered
+	timer         *eventloop.Timer
+	running       bool
+	encoding      bool // the period at hand has ended and is being encoded
 }
 
 // Output delivers to one receiver.
@@ -63,7 +63,7 @@
 	wake()
 	stop() // until the next wake
 	end()  // for good
-	held() *telemetry.Cursor
+	receiverCursor() *telemetry.Cursor
 }
 
 // OutputStats is what an output has done so far.
@@ -79,8 +79,8 @@
 	if o.WallClock == nil {
 		o.WallClock = time.Now
 	}
-	o.Interval = math.Max(leastEvery, o.Interval)
-	return &Exporter{loop: loop, log: log, set: set, ring: telemetry.NewRing(o.BufferBytes), options: o, got: map[string]int64{}, past: map[string]OutputStats{}}
+	o.Interval = math.Max(minInterval, o.Interval)
+	return &Exporter{loop: loop, log: log, set: set, ring: telemetry.NewRing(o.BufferBytes), options: o, acknowledged: map[string]int64{}, retiredStats: map[string]OutputStats{}}
 }
 
 // AddOutput adds an output, which gets what is held and what comes.
@@ -93,9 +93,9 @@
 func (f *Exporter) ReplaceOutput(was, now Output) {
 	for i, o := range f.outputs {
 		if o == was {
-			f.retire(was)
+			f.retireOutput(was)
 			f.outputs[i] = now
-			place := was.held()
+			place := was.receiverCursor()
 			place.Name = now.Name()
 			now.start(f, place)
 			now.wake()
@@ -107,9 +107,9 @@
 func (f *Exporter) RemoveOutput(was Output) {
 	for i, o := range f.outputs {
 		if o == was {
-			f.retire(was)
+			f.retireOutput(was)
 			f.outputs = append(f.outputs[:i:i], f.outputs[i+1:]...)
-			f.ring.CloseCursor(was.held())
+			f.ring.CloseCursor(was.receiverCursor())
 			return
 		}
 	}
@@ -127,11 +127,11 @@
 	f.set.RestoreSlots(found.SlotAssignments)
 	for _, p := range found.Periods {
 		f.ring.Push(p)
-		f.last = max(f.last, p.Timestamp)
+		f.lastTimestamp = max(f.lastTimestamp, p.Timestamp)
 	}
-	f.safe = f.ring.Newest()
+	f.deliverable = f.ring.Newest()
 	for _, o := range f.outputs {
-		f.ring.SkipTo(o.held(), found.Acknowledged[o.Name()])
+		f.ring.SkipTo(o.receiverCursor(), found.Acknowledged[o.Name()])
 	}
 }
 
@@ -140,9 +140,9 @@
 
 // Start begins to close periods and to deliver them.
 func (f *Exporter) Start() {
-	if !f.on {
-		f.on = true
-		f.next()
+	if !f.running {
+		f.running = true
+		f.scheduleClose()
 		for _, o := range f.outputs {
 			o.wake()
 		}
@@ -151,8 +151,8 @@
 
 // Stop ends that; the period at hand stays open, and nothing that is held is lost.
 func (f *Exporter) Stop() {
-	if f.on = false; f.frozen {
-		f.push(f.set.EncodePeriod(math.MaxInt32))
+	if f.running = false; f.encoding {
+		f.addPeriod(f.set.EncodePeriod(math.MaxInt32))
 	}
 	f.timer.Stop()
 	for _, o := range f.outputs {
@@ -161,34 +161,34 @@
 }
 
 // Running says whether periods are closed here.
-func (f *Exporter) Running() bool { return f.on }
+func (f *Exporter) Running() bool { return f.running }
 
 // SetInterval changes how long a period lasts, from the next one on.
 func (f *Exporter) SetInterval(every float64) {
-	f.options.Interval = math.Max(leastEvery, every)
-	if f.on {
+	f.options.Interval = math.Max(minInterval, every)
+	if f.running {
 		f.timer.Stop()
-		f.next()
+		f.scheduleClose()
 	}
 }
 
-// next waits for the next full multiple of the period: dispatchers that are graphed together close together.
-func (f *Exporter) next() {
+// scheduleClose waits for the next full multiple of the period: dispatchers that are graphed together close together.
+func (f *Exporter) scheduleClose() {
 	now, every := f.loop.Now(), f.options.Interval
 	f.timer = f.loop.At((math.Floor(now/every+1e-6)+1)*every, func() {
 		f.ClosePeriod()
-		f.next()
+		f.scheduleClose()
 	})
 }
 
 // ClosePeriod closes the period at hand within the next turns: with thousands of nodes one would be too long.
 func (f *Exporter) ClosePeriod() {
-	if f.set.GatherNodeGauges(gathered) {
+	if f.set.GatherNodeGauges(nodesPerTurn) {
 		f.loop.At(f.loop.Now(), f.ClosePeriod)
 		return
 	}
 	f.loop.At(f.loop.Now(), func() {
-		if f.on {
+		if f.running {
 			f.freeze()
 			f.encode()
 		}
@@ -197,11 +197,11 @@
 
 // encode writes some of the period's values a turn.
 func (f *Exporter) encode() {
-	if !f.frozen {
+	if !f.encoding {
 		return // ClosePeriodNow has
 	}
-	if p := f.set.EncodePeriod(encoded); p != nil {
-		f.push(p)
+	if p := f.set.EncodePeriod(valuesPerTurn); p != nil {
+		f.addPeriod(p)
 		return
 	}
 	f.loop.At(f.loop.Now(), f.encode)
@@ -210,129 +210,131 @@
 // ClosePeriodNow closes the period at hand at once.
 func (f *Exporter) ClosePeriodNow() {
 	f.freeze()
-	f.push(f.set.EncodePeriod(math.MaxInt32))
+	f.addPeriod(f.set.EncodePeriod(math.MaxInt32))
 }
 
 // freeze ends the period at hand. Its stamp is of the system's clock, and later than the one before by a second, or by
 // a millisecond where periods are shorter: receivers drop what goes back, so a clock that is set back is waited for.
 func (f *Exporter) freeze() {
-	if f.frozen { // a turn of the one before is late
-		f.push(f.set.EncodePeriod(math.MaxInt32))
+	if f.encoding { // a turn of the one before is late
+		f.addPeriod(f.set.EncodePeriod(math.MaxInt32))
 	}
 	least := int64(1000)
 	if f.options.Interval < 1 {
 		least = 1
 	}
-	f.last = max(f.options.WallClock().UnixMilli(), f.last+least)
+	f.lastTimestamp = max(f.options.WallClock().UnixMilli(), f.lastTimestamp+least)
 	f.ClosedPeriods++
-	f.set.FreezePeriod(f.last, f.options.Interval)
-	f.frozen = true
+	f.set.FreezePeriod(f.lastTimestamp, f.options.Interval)
+	f.encoding = true
 }
 
-// push holds a closed period for the receivers.
-func (f *Exporter) push(p *telemetry.Period) {
-	f.frozen = false
+// addPeriod holds a closed period for the receivers.
+func (f *Exporter) addPeriod(p *telemetry.Period) {
+	f.encoding = false
 	f.ring.Push(p)
 	n := f.ring.Newest()
 	if f.spool == nil {
-		f.release(n)
+		f.deliverUpTo(n)
 		return
 	}
 	// A total that a receiver has must not fall when the next life goes on from an older one: the disk has it first.
-	f.spool.AppendPeriod(p, f.set.SlotAssignments(), func() { f.loop.Post(func() { f.release(n) }) })
-	f.loop.At(f.loop.Now()+diskTime, func() { f.release(n) })
+	f.spool.AppendPeriod(p, f.set.SlotAssignments(), func() { f.loop.Post(func() { f.deliverUpTo(n) }) })
+	f.loop.At(f.loop.Now()+maxDiskWait, func() { f.deliverUpTo(n) })
 }
 
-// release has periods delivered up to a number.
-func (f *Exporter) release(n uint64) {
-	if n <= f.safe {
+// deliverUpTo has periods delivered up to a number.
+func (f *Exporter) deliverUpTo(n uint64) {
+	if n <= f.deliverable {
 		return
 	}
-	f.safe = n
+	f.deliverable = n
 	for _, o := range f.outputs {
 		o.wake()
 	}
 }
 
-// from is the first period numbered n or more that may be delivered, and its number; nil if there is none.
-func (f *Exporter) from(n uint64) (*telemetry.Period, uint64) {
+// periodFrom is the first period numbered n or more that may be delivered, and its number; nil if there is none.
+func (f *Exporter) periodFrom(n uint64) (*telemetry.Period, uint64) {
 	p, n := f.ring.PeriodFrom(n)
-	if n > f.safe {
+	if n > f.deliverable {
 		return nil, n
 	}
 	return p, n
 }
 
-// took notes that a receiver has all up to a period.
-func (f *Exporter) took(o Output, n uint64, stamp int64) {
-	f.ring.Acknowledge(o.held(), n)
-	f.got[o.Name()] = stamp
+// acknowledge notes that a receiver has all up to a period.
+func (f *Exporter) acknowledge(o Output, n uint64, stamp int64) {
+	f.ring.Acknowledge(o.receiverCursor(), n)
+	f.acknowledged[o.Name()] = stamp
 	if f.spool != nil {
-		f.spool.AppendAcknowledged(f.got)
+		f.spool.AppendAcknowledged(f.acknowledged)
 	}
 }
 
-// sender is what all outputs share: their place, and when they try again.
-type sender struct {
-	feed  *Exporter
-	place *telemetry.Cursor
-	state OutputStats
-	pause float64 // before the next try
-	timer *eventloop.Timer
-	waits bool // for it
+// outputBase is what all outputs share: their place, and when they try again.
+type outputBase struct {
+	exporter        *Exporter
+	cursor          *telemetry.Cursor
+	stats           OutputStats
+	retryDelay      float64 // before the next try
+	timer           *eventloop.Timer
+	waitingForRetry bool // for it
 }
 
 const (
-	firstPause = 0.25 // seconds after a break, doubled with each that follows at once
-	mostPause  = 10.0
+	initialRetryDelay = 0.25 // seconds after a break, doubled with each that follows at once
+	maxRetryDelay     = 10.0
 )
 
-func (s *sender) Stats() OutputStats      { return s.state }
-func (s *sender) held() *telemetry.Cursor { return s.place }
+func (s *outputBase) Stats() OutputStats                { return s.stats }
+func (s *outputBase) receiverCursor() *telemetry.Cursor { return s.cursor }
 
-// rest ends what is on its way; the place stays.
-func (s *sender) rest() {
+// stopTimer ends what is on its way; the place stays.
+func (s *outputBase) stopTimer() {
 	s.timer.Stop()
-	s.waits = false
+	s.waitingForRetry = false
 }
 
 // end has the output do nothing any more.
-func (s *sender) end() { s.feed = nil }
+func (s *outputBase) end() { s.exporter = nil }
 
-func (s *sender) begin(f *Exporter, place *telemetry.Cursor) { s.feed, s.place = f, place }
+func (s *outputBase) init(f *Exporter, place *telemetry.Cursor) { s.exporter, s.cursor = f, place }
 
-// again tries later; try is called once.
-func (s *sender) again(try func()) {
-	s.state.Failures++
-	s.pause = min(max(firstPause, 2*s.pause), mostPause)
-	s.waits = true
+// retryLater tries later; try is called once.
+func (s *outputBase) retryLater(try func()) {
+	s.stats.Failures++
+	s.retryDelay = min(max(initialRetryDelay, 2*s.retryDelay), maxRetryDelay)
+	s.waitingForRetry = true
 	s.timer.Stop()
-	s.timer = s.feed.loop.At(s.feed.loop.Now()+s.pause, func() {
-		s.waits = false
+	s.timer = s.exporter.loop.At(s.exporter.loop.Now()+s.retryDelay, func() {
+		s.waitingForRetry = false
 		try()
 	})
 }
 
-// free says whether a new try may begin now.
-func (s *sender) free() bool { return s.feed != nil && s.feed.on && !s.waits }
+// canStart says whether a new try may begin now.
+func (s *outputBase) canStart() bool {
+	return s.exporter != nil && s.exporter.running && !s.waitingForRetry
+}
 
-// ended logs why a period's values ended early, if they did.
-func (s *sender) ended(r *telemetry.Reader) {
+// logTruncated logs why a period's values ended early, if they did.
+func (s *outputBase) logTruncated(r *telemetry.Reader) {
 	if err := r.Err(); err != nil {
-		s.feed.log.Error("metrics: the rest of a period makes no sense, left out", zap.Error(err))
+		s.exporter.log.Error("metrics: the rest of a period makes no sense, left out", zap.Error(err))
 	}
 }
 
-// soon goes on in a turn of its own.
-func (s *sender) soon(wait float64, do func()) {
+// schedule goes on in a turn of its own.
+func (s *outputBase) schedule(wait float64, do func()) {
 	s.timer.Stop()
-	s.timer = s.feed.loop.At(s.feed.loop.Now()+wait, do)
+	s.timer = s.exporter.loop.At(s.exporter.loop.Now()+wait, do)
 }
 
 // AllDelivered says whether every receiver has all that was closed.
 func (f *Exporter) AllDelivered() bool {
 	for _, o := range f.outputs {
-		if f.ring.Pending(o.held()) > 0 {
+		if f.ring.Pending(o.receiverCursor()) > 0 {
 			return false
 		}
 	}
@@ -340,14 +342,14 @@
 }
 
 // LastTimestamp is the stamp of the last period, After has those to come later than one: two processes share the receivers.
-func (f *Exporter) LastTimestamp() int64 { return f.last }
+func (f *Exporter) LastTimestamp() int64 { return f.lastTimestamp }
 
 // AdvanceTimestamp is told of by Last.
-func (f *Exporter) AdvanceTimestamp(stamp int64) { f.last = max(f.last, stamp) }
+func (f *Exporter) AdvanceTimestamp(stamp int64) { f.lastTimestamp = max(f.lastTimestamp, stamp) }
 
 // KindStats sums up what the outputs of a kind have done, with those that are gone: it never falls.
 func (f *Exporter) KindStats(kind string) OutputStats {
-	total := f.past[kind]
+	total := f.retiredStats[kind]
 	for _, o := range f.outputs {
 		if o.Kind() == kind {
 			total = total.plus(o.Stats())
@@ -360,9 +362,9 @@
 	return OutputStats{s.Periods + o.Periods, s.Points + o.Points, s.Failures + o.Failures, s.RejectedPoints + o.RejectedPoints}
 }
 
-// retire ends an output for good; what it has done stays in the totals.
-func (f *Exporter) retire(o Output) {
+// retireOutput ends an output for good; what it has done stays in the totals.
+func (f *Exporter) retireOutput(o Output) {
 	o.stop()
 	o.end()
-	f.past[o.Kind()] = f.past[o.Kind()].plus(o.Stats())
+	f.retiredStats[o.Kind()] = f.retiredStats[o.Kind()].plus(o.Stats())
 }
--- a/internal/dispatcher/exporter/metrics_test.go
+++ b/internal/dispatcher/exporter/metrics_test.go
@@ -405,7 +405,7 @@
 
 // Neither form can be broken by a name or a value: what a set tells is plain, and dots are no part of collectd's names.
 func TestForms(t *testing.T) {
-	if got := instance("classes.a-b.latency.p99_9_ms"); strings.ContainsAny(got, `./" `) {
+	if got := typeInstance("classes.a-b.latency.p99_9_ms"); strings.ContainsAny(got, `./" `) {
 		t.Error(got)
 	}
 	if typeOf(telemetry.Counter) != "derive" || typeOf(telemetry.Gauge) != "gauge" {
@@ -484,7 +484,7 @@
 	p := set.ClosePeriod(1_700_000_000_000, 10)
 	b.Run("gather", func(b *testing.B) {
 		for b.Loop() {
-			if !set.GatherNodeGauges(gathered) {
+			if !set.GatherNodeGauges(nodesPerTurn) {
 				b.StopTimer()
 				set.ClosePeriod(1, 1)
 				b.StartTimer()
@@ -494,7 +494,7 @@
 	b.Run("freeze", func(b *testing.B) {
 		for b.Loop() {
 			b.StopTimer()
-			for set.GatherNodeGauges(gathered) {
+			for set.GatherNodeGauges(nodesPerTurn) {
 			}
 			b.StartTimer()
 			set.FreezePeriod(1, 1)
@@ -503,7 +503,7 @@
 	b.Run("encode", func(b *testing.B) {
 		set.FreezePeriod(1, 1)
 		for b.Loop() {
-			if set.EncodePeriod(encoded) != nil {
+			if set.EncodePeriod(valuesPerTurn) != nil {
 				b.StopTimer()
 				set.FreezePeriod(1, 1)
 				b.StartTimer()
@@ -513,7 +513,7 @@
 	for _, pickle := range []bool{false, true} {
 		b.Run(fmt.Sprintf("render, pickle %v", pickle), func(b *testing.B) {
 			g := NewGraphite(GraphiteOptions{Pickle: pickle})
-			g.feed, g.prefix, g.period, g.reader = &Exporter{log: zap.NewNop()}, "cinderroad.n0.", p, p.Read()
+			g.exporter, g.prefix, g.period, g.reader = &Exporter{log: zap.NewNop()}, "cinderroad.n0.", p, p.Read()
 			for b.Loop() {
 				if _, _, done := g.render(nil); done {
 					g.reader = p.Read()
@@ -528,14 +528,14 @@
 		}
 		r := p.Read()
 		for b.Loop() {
-			for range slice {
+			for range pointsPerTurn {
 				s, v, ok := r.Next()
 				if !ok {
 					r = p.Read()
 					break
 				}
 				if !q.add(s, p.Timestamp, p.Interval, v) {
-					q.seal()
+					q.protect()
 					q.clear()
 				}
 			}
--- a/internal/dispatcher/exporter/network.go
+++ b/internal/dispatcher/exporter/network.go
@@ -15,8 +15,8 @@
 const packetSize = 1452
 
 const (
-	networkPause = 0.0005 // seconds between two slices: a receiver's socket buffer holds some hundred packets
-	refusedAfter = 0.05   // seconds in which a refusal of the last packet would come back
+	sendPause     = 0.0005 // seconds between two slices: a receiver's socket buffer holds some hundred packets
+	rejectionWait = 0.05   // seconds in which a refusal of the last packet would come back
 )
 
 // Security is how packets are protected.
@@ -38,17 +38,17 @@
 
 // CollectdNetwork delivers by collectd's binary network protocol, over UDP.
 type CollectdNetwork struct {
-	sender
-	options CollectdNetworkOptions
-	socket  *eventloop.UDPSender
-	packet  *packet
-	at      uint64
-	period  *telemetry.Period
-	reader  *telemetry.Reader
-	sealed  []byte // waits for room
-	series  telemetry.Series
-	v       float64
-	more    bool // series and v wait for a packet
+	outputBase
+	options       CollectdNetworkOptions
+	socket        *eventloop.UDPSender
+	packet        *packet
+	currentPeriod uint64
+	period        *telemetry.Period
+	reader        *telemetry.Reader
+	unsent        []byte // waits for room
+	series        telemetry.Series
+	value         float64
+	pending       bool // series and v wait for a packet
 }
 
 // NewCollectdNetwork makes an output; Feed.Attach starts it.
@@ -62,132 +62,132 @@
 // Kind implements Output.
 func (o *CollectdNetwork) Kind() string { return "collectd" }
 
-func (o *CollectdNetwork) start(f *Exporter, place *telemetry.Cursor) { o.begin(f, place) }
+func (o *CollectdNetwork) start(f *Exporter, place *telemetry.Cursor) { o.init(f, place) }
 
 func (o *CollectdNetwork) stop() {
-	o.rest()
-	o.drop()
+	o.stopTimer()
+	o.disconnect()
 }
 
-func (o *CollectdNetwork) drop() {
+func (o *CollectdNetwork) disconnect() {
 	if o.socket != nil {
 		o.socket.Close()
 	}
-	o.socket, o.packet, o.period, o.reader, o.sealed, o.more = nil, nil, nil, nil, nil, false
+	o.socket, o.packet, o.period, o.reader, o.unsent, o.pending = nil, nil, nil, nil, nil, false
 }
 
 func (o *CollectdNetwork) wake() {
-	if !o.free() || o.period != nil {
+	if !o.canStart() || o.period != nil {
 		return
 	}
-	p, n := o.feed.from(o.place.Next())
+	p, n := o.exporter.periodFrom(o.cursor.Next())
 	if p == nil {
 		return
 	}
 	var err error
 	if o.socket == nil {
-		if o.socket, err = o.feed.loop.ConnectUDP(o.options.Address); err != nil {
-			o.broke(err)
+		if o.socket, err = o.exporter.loop.ConnectUDP(o.options.Address); err != nil {
+			o.attemptFailed(err)
 			return
 		}
 	}
 	if o.packet == nil {
-		if o.packet, err = newPacket(telemetry.SanitizeName(o.feed.options.DispatcherName), o.options.Security, o.options.Username, o.options.Password); err != nil {
-			o.broke(err)
+		if o.packet, err = newPacket(telemetry.SanitizeName(o.exporter.options.DispatcherName), o.options.Security, o.options.Username, o.options.Password); err != nil {
+			o.attemptFailed(err)
 			return
 		}
 	}
-	o.period, o.reader, o.at = p, p.Read(), n
-	o.soon(0, o.pump)
+	o.period, o.reader, o.currentPeriod = p, p.Read(), n
+	o.schedule(0, o.sendMore)
 }
 
-// pump sends some points a turn.
-func (o *CollectdNetwork) pump() {
+// sendMore sends some points a turn.
+func (o *CollectdNetwork) sendMore() {
 	if o.period == nil {
 		return
 	}
-	wait := networkPause
+	wait := sendPause
 	switch done, err := o.send(); {
 	case errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.ENOBUFS):
 		wait = pollPause
 	case err != nil:
-		o.broke(err)
+		o.attemptFailed(err)
 		return
 	case done:
-		o.soon(refusedAfter, o.settle)
+		o.schedule(rejectionWait, o.finishPeriod)
 		return
 	}
-	o.soon(wait, o.pump)
+	o.schedule(wait, o.sendMore)
 }
 
 // send renders a slice of points and sends the packets that are full.
 func (o *CollectdNetwork) send() (done bool, err error) {
-	if err := o.flush(); err != nil {
+	if err := o.sendUnsent(); err != nil {
 		return false, err
 	}
-	for range slice {
-		if !o.more {
-			if o.series, o.v, o.more = o.reader.Next(); !o.more {
-				o.ended(o.reader)
-				return true, o.seal()
+	for range pointsPerTurn {
+		if !o.pending {
+			if o.series, o.value, o.pending = o.reader.Next(); !o.pending {
+				o.logTruncated(o.reader)
+				return true, o.sendPacket()
 			}
-			o.state.Points++
+			o.stats.Points++
 		}
-		if o.packet.add(o.series, o.period.Timestamp, o.period.Interval, o.v) {
-			o.more = false
+		if o.packet.add(o.series, o.period.Timestamp, o.period.Interval, o.value) {
+			o.pending = false
 			continue
 		}
-		if !o.packet.some { // it fits into no packet
-			o.state.RejectedPoints++
-			o.more = false
+		if !o.packet.hasValues { // it fits into no packet
+			o.stats.RejectedPoints++
+			o.pending = false
 			continue
 		}
-		if err := o.seal(); err != nil {
+		if err := o.sendPacket(); err != nil {
 			return false, err
 		}
 	}
 	return false, nil
 }
 
-// seal ends the packet and sends it.
-func (o *CollectdNetwork) seal() error {
-	if !o.packet.some {
+// sendPacket ends the packet and sends it.
+func (o *CollectdNetwork) sendPacket() error {
+	if !o.packet.hasValues {
 		return nil
 	}
-	o.sealed = o.packet.seal()
-	return o.flush()
+	o.unsent = o.packet.protect()
+	return o.sendUnsent()
 }
 
-func (o *CollectdNetwork) flush() error {
-	if o.sealed == nil {
+func (o *CollectdNetwork) sendUnsent() error {
+	if o.unsent == nil {
 		return nil
 	}
-	if err := o.socket.Send(o.sealed); err != nil {
+	if err := o.socket.Send(o.unsent); err != nil {
 		return err
 	}
-	o.sealed = nil
+	o.unsent = nil
 	o.packet.clear()
 	return nil
 }
 
-// settle takes the period as delivered, unless a refusal has come back.
-func (o *CollectdNetwork) settle() {
+// finishPeriod takes the period as delivered, unless a refusal has come back.
+func (o *CollectdNetwork) finishPeriod() {
 	if o.period == nil {
 		return
 	}
 	if err := o.socket.PendingError(); err != nil {
-		o.broke(err)
+		o.attemptFailed(err)
 		return
 	}
-	n, stamp := o.at, o.period.Timestamp
-	o.period, o.reader, o.pause = nil, nil, 0
-	o.state.Periods++
-	o.feed.took(o, n, stamp)
+	n, stamp := o.currentPeriod, o.period.Timestamp
+	o.period, o.reader, o.retryDelay = nil, nil, 0
+	o.stats.Periods++
+	o.exporter.acknowledge(o, n, stamp)
 	o.wake()
 }
 
-func (o *CollectdNetwork) broke(err error) {
-	o.feed.log.Debug("metrics: collectd", zap.Stringer("address", o.options.Address), zap.Error(err))
-	o.drop()
-	o.again(o.wake)
+func (o *CollectdNetwork) attemptFailed(err error) {
+	o.exporter.log.Debug("metrics: collectd", zap.Stringer("address", o.options.Address), zap.Error(err))
+	o.disconnect()
+	o.retryLater(o.wake)
 }
--- a/internal/dispatcher/exporter/packet.go
+++ b/internal/dispatcher/exporter/packet.go
@@ -41,13 +41,13 @@
 	mac      hash.Hash
 	block    cipher.Block
 
-	host  string
-	b     []byte // starts with room for what protects it
-	front int    // how much
-	stamp int64  // of the parts in b, and the rest of what they say; 0 and empty where there are none
-	every float64
-	kind  telemetry.Kind
-	some  bool
+	host       string
+	buffer     []byte // starts with room for what protects it
+	headerSize int    // how much
+	timestamp  int64  // of the parts in b, and the rest of what they say; 0 and empty where there are none
+	interval   float64
+	kind       telemetry.Kind
+	hasValues  bool
 }
 
 func newPacket(host string, security Security, username, password string) (*packet, error) {
@@ -55,7 +55,7 @@
 	switch security {
 	case SecuritySign:
 		p.mac = hmac.New(sha256.New, []byte(password))
-		p.front = 4 + sha256.Size + len(username)
+		p.headerSize = 4 + sha256.Size + len(username)
 	case SecurityEncrypt:
 		key := sha256.Sum256([]byte(password))
 		block, err := aes.NewCipher(key[:])
@@ -63,15 +63,15 @@
 			return nil, fmt.Errorf("metrics: %w", err)
 		}
 		p.block = block
-		p.front = 4 + 2 + len(username) + aes.BlockSize + sha1.Size
+		p.headerSize = 4 + 2 + len(username) + aes.BlockSize + sha1.Size
 	}
 	p.clear()
 	return p, nil
 }
 
 func (p *packet) clear() {
-	p.b = append(p.b[:0], make([]byte, p.front)...)
-	p.some, p.stamp, p.every = false, 0, 0
+	p.buffer = append(p.buffer[:0], make([]byte, p.headerSize)...)
+	p.hasValues, p.timestamp, p.interval = false, 0, 0
 }
 
 func appendPart(b []byte, kind uint16, size int) []byte {
@@ -91,12 +91,12 @@
 
 // add adds a value; false where there is no room, and nothing was added.
 func (p *packet) add(s telemetry.Series, stamp int64, every, v float64) bool {
-	was := len(p.b)
-	b := p.b
-	if !p.some {
+	was := len(p.buffer)
+	b := p.buffer
+	if !p.hasValues {
 		b = appendText(appendText(b, partHost, p.host), partPlugin, "cinderroad")
 	}
-	if !p.some || p.kind != s.Kind {
+	if !p.hasValues || p.kind != s.Kind {
 		b = appendText(b, partType, typeOf(s.Kind))
 	}
 	b = appendPart(b, partTypeInstance, len(s.Name)+1)
@@ -108,10 +108,10 @@
 		b = append(b, c)
 	}
 	b = append(b, 0)
-	if p.stamp != stamp {
+	if p.timestamp != stamp {
 		b = appendNumber(b, partTimeHR, highResolution(stamp))
 	}
-	if p.every != every {
+	if p.interval != every {
 		b = appendNumber(b, partIntervalHR, uint64(every*(1<<30)))
 	}
 	b = binary.BigEndian.AppendUint16(appendPart(b, partValues, 2+9), 1)
@@ -121,31 +121,31 @@
 		b = binary.LittleEndian.AppendUint64(append(b, valueGauge), math.Float64bits(v))
 	}
 	if len(b) > packetSize {
-		p.b = b[:was]
+		p.buffer = b[:was]
 		return false
 	}
-	p.b, p.some, p.kind, p.stamp, p.every = b, true, s.Kind, stamp, every
+	p.buffer, p.hasValues, p.kind, p.timestamp, p.interval = b, true, s.Kind, stamp, every
 	return true
 }
 
-// seal protects the packet and returns its bytes, which hold until the next clear.
-func (p *packet) seal() []byte {
+// protect protects the packet and returns its bytes, which hold until the next clear.
+func (p *packet) protect() []byte {
 	switch p.security {
 	case SecuritySign: // the checksum is over the name and all that follows
-		head := appendPart(p.b[:0], partSign, sha256.Size+len(p.username))
-		copy(p.b[len(head)+sha256.Size:], p.username)
+		head := appendPart(p.buffer[:0], partSign, sha256.Size+len(p.username))
+		copy(p.buffer[len(head)+sha256.Size:], p.username)
 		p.mac.Reset()
-		p.mac.Write(p.b[len(head)+sha256.Size:])
-		p.mac.Sum(p.b[:len(head)])
+		p.mac.Write(p.buffer[len(head)+sha256.Size:])
+		p.mac.Sum(p.buffer[:len(head)])
 	case SecurityEncrypt: // the checksum is over what follows it, and encrypted with it
-		head := appendPart(p.b[:0], partEncrypt, len(p.b)-4)
+		head := appendPart(p.buffer[:0], partEncrypt, len(p.buffer)-4)
 		head = append(binary.BigEndian.AppendUint16(head, uint16(len(p.username))), p.username...)
-		iv, secret := p.b[len(head):len(head)+aes.BlockSize], p.b[len(head)+aes.BlockSize:]
+		iv, secret := p.buffer[len(head):len(head)+aes.BlockSize], p.buffer[len(head)+aes.BlockSize:]
 		_, _ = rand.Read(iv) // never fails
 		sum := sha1.Sum(secret[sha1.Size:])
 		copy(secret, sum[:])
 		//lint:ignore SA1019 the protocol is of 2010 and knows no other mode
 		cipher.NewOFB(p.block, iv).XORKeyStream(secret, secret)
 	}
-	return p.b
+	return p.buffer
 }
--- a/internal/dispatcher/exporter/packet_test.go
+++ b/internal/dispatcher/exporter/packet_test.go
@@ -43,9 +43,9 @@
 			if !p.add(s, stamp, 10, v) {
 				break
 			}
-			want = append(want, value{"n0/cinderroad/" + typeOf(s.Kind) + "-" + instance(s.Name), time.UnixMilli(stamp).Round(time.Second), v})
+			want = append(want, value{"n0/cinderroad/" + typeOf(s.Kind) + "-" + typeInstance(s.Name), time.UnixMilli(stamp).Round(time.Second), v})
 		}
-		b := p.seal()
+		b := p.protect()
 		if len(b) > packetSize {
 			t.Fatalf("%d bytes", len(b))
 		}
@@ -93,7 +93,7 @@
 		for i := range 3 {
 			p.add(telemetry.Series{Name: fmt.Sprint("a.", i), Kind: telemetry.Kind(i % 2)}, 1e12, 10, 7)
 		}
-		f.Add(p.seal())
+		f.Add(p.protect())
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for i := range len(b) {
--- a/internal/dispatcher/linelog/linelog.go
+++ b/internal/dispatcher/linelog/linelog.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	bufferSize = 32 << 10 // bytes of lines that go to the writer at once
-	queued     = 64       // such buffers that may wait for the disk
+	bufferSize  = 32 << 10 // bytes of lines that go to the writer at once
+	queueLength = 64       // such buffers that may wait for the disk
 	// FlushIntervalSeconds is how long a line may wait before it goes to the writer, in seconds.
 	FlushIntervalSeconds = 0.2
 )
@@ -37,20 +37,20 @@
 type Log struct {
 	Lines uint64
 
-	options Options
-	buffer  []byte
-	spare   chan []byte
-	queue   chan []byte
-	done    chan struct{}
-	pending uint64 // lines in buffer
-	lost    atomic.Uint64
-	failed  atomic.Uint64
+	options       Options
+	buffer        []byte
+	freeBuffers   chan []byte
+	queue         chan []byte
+	done          chan struct{}
+	bufferedLines uint64 // lines in buffer
+	droppedLines  atomic.Uint64
+	failedLines   atomic.Uint64
 
 	// Of the writing goroutine.
-	file   *os.File
-	size   int64
-	retry  time.Time
-	broken bool
+	file     *os.File
+	size     int64
+	reopenAt time.Time
+	failing  bool
 }
 
 // Open opens a log. An earlier life's lines stay.
@@ -58,7 +58,7 @@
 	if o.Report == nil {
 		o.Report = func(error) {}
 	}
-	l := &Log{options: o, queue: make(chan []byte, queued), spare: make(chan []byte, queued+1), done: make(chan struct{})}
+	l := &Log{options: o, queue: make(chan []byte, queueLength), freeBuffers: make(chan []byte, queueLength+1), done: make(chan struct{})}
 	if err := l.open(); err != nil {
 		return nil, fmt.Errorf("%s: %w", o.Name, err)
 	}
@@ -67,16 +67,16 @@
 }
 
 // DroppedLines is how many lines the disk was too slow for.
-func (l *Log) DroppedLines() uint64 { return l.lost.Load() }
+func (l *Log) DroppedLines() uint64 { return l.droppedLines.Load() }
 
 // FailedLines is how many lines the disk refused.
-func (l *Log) FailedLines() uint64 { return l.failed.Load() }
+func (l *Log) FailedLines() uint64 { return l.failedLines.Load() }
 
 // BeginLine is the buffer that a line, with its end, is to be appended to; End takes it back.
 func (l *Log) BeginLine() []byte {
 	if l.buffer == nil {
 		select {
-		case l.buffer = <-l.spare:
+		case l.buffer = <-l.freeBuffers:
 		default:
 			l.buffer = make([]byte, 0, bufferSize+4096)
 		}
@@ -88,7 +88,7 @@
 func (l *Log) EndLine(b []byte) {
 	l.buffer = b
 	l.Lines++
-	l.pending++
+	l.bufferedLines++
 	if len(l.buffer) >= bufferSize {
 		l.Flush()
 	}
@@ -103,10 +103,10 @@
 	case l.queue <- l.buffer:
 		l.buffer = nil
 	default:
-		l.lost.Add(l.pending)
+		l.droppedLines.Add(l.bufferedLines)
 		l.buffer = l.buffer[:0]
 	}
-	l.pending = 0
+	l.bufferedLines = 0
 }
 
 // Close writes what there is and closes the file; it waits for the disk.
@@ -120,16 +120,16 @@
 	defer close(l.done)
 	for b := range l.queue {
 		if err := l.write(b); err != nil {
-			l.failed.Add(uint64(bytes.Count(b, []byte{'\n'})))
-			if !l.broken {
+			l.failedLines.Add(uint64(bytes.Count(b, []byte{'\n'})))
+			if !l.failing {
 				l.options.Report(fmt.Errorf("%s: %w", l.options.Name, err))
 			}
-			l.broken = true
+			l.failing = true
 		} else {
-			l.broken = false
+			l.failing = false
 		}
 		select {
-		case l.spare <- b[:0]:
+		case l.freeBuffers <- b[:0]:
 		default:
 		}
 	}
@@ -163,11 +163,11 @@
 // write adds lines, whole: what a full disk cuts short is taken back.
 func (l *Log) write(b []byte) error {
 	if l.file == nil {
-		if time.Now().Before(l.retry) {
+		if time.Now().Before(l.reopenAt) {
 			return errors.New("not open")
 		}
 		if err := l.open(); err != nil {
-			l.retry = time.Now().Add(time.Second)
+			l.reopenAt = time.Now().Add(time.Second)
 			return err
 		}
 	}
--- a/internal/dispatcher/requestlog/requestlog.go
+++ b/internal/dispatcher/requestlog/requestlog.go
@@ -35,10 +35,10 @@
 type Log struct {
 	*linelog.Log
 
-	options Options
-	prefix  []byte // of each line, after its time
-	classes [][]byte
-	mark    []byte // before the number of a mark
+	options    Options
+	prefix     []byte // of each line, after its time
+	classNames [][]byte
+	markPrefix []byte // before the number of a mark
 }
 
 // Open opens the log, whose file need not exist.
@@ -49,9 +49,9 @@
 	}
 	l := &Log{Log: file, options: o}
 	l.prefix = append(linelog.AppendString([]byte(`,"by":`), o.DispatcherName), `,"id":`...)
-	l.mark = append([]byte(`,"mark":"`), o.Incarnation+"."...)
+	l.markPrefix = append([]byte(`,"mark":"`), o.Incarnation+"."...)
 	for _, name := range telemetry.ClassNames(o.Classes) {
-		l.classes = append(l.classes, linelog.AppendString(nil, name))
+		l.classNames = append(l.classNames, linelog.AppendString(nil, name))
 	}
 	return l, nil
 }
@@ -59,13 +59,13 @@
 // LogAnswer adds a line.
 func (l *Log) LogAnswer(f *dispatch.AnswerRecord) {
 	b := l.BeginLine()
-	class := len(l.classes) - 1
+	class := len(l.classNames) - 1
 	if f.Class >= 0 && f.Class < class {
 		class = f.Class
 	}
 	b = linelog.AppendFixed(append(b, `{"time":`...), f.AnsweredAt, 6)
 	b = linelog.AppendString(append(b, l.prefix...), f.ID)
-	b = append(append(b, `,"class":`...), l.classes[class]...)
+	b = append(append(b, `,"class":`...), l.classNames[class]...)
 	b = append(append(b, `,"front":"`...), f.Front...)
 	b = append(append(b, `","verdict":"`...), telemetry.VerdictOf(f).String()...)
 	b = append(b, '"')
@@ -80,7 +80,7 @@
 		b = linelog.AppendFixed(append(b, `,"come_back_s":`...), f.RetryAfter, 3)
 	}
 	if f.AuditMark > 0 {
-		b = append(strconv.AppendUint(append(b, l.mark...), f.AuditMark, 10), '"')
+		b = append(strconv.AppendUint(append(b, l.markPrefix...), f.AuditMark, 10), '"')
 	}
 	if len(f.Attempts) > 0 {
 		b = append(b, `,"tries":[`...)
@@ -88,14 +88,14 @@
 			if i > 0 {
 				b = append(b, ',')
 			}
-			b = l.try(b, f, &f.Attempts[i])
+			b = l.appendAttempt(b, f, &f.Attempts[i])
 		}
 		b = append(b, ']')
 	}
 	l.EndLine(append(b, '}', '\n'))
 }
 
-func (l *Log) try(b []byte, f *dispatch.AnswerRecord, t *dispatch.AttemptRecord) []byte {
+func (l *Log) appendAttempt(b []byte, f *dispatch.AnswerRecord, t *dispatch.AttemptRecord) []byte {
 	b = linelog.AppendString(append(b, `{"node":`...), t.MemberName)
 	if l.options.NodeSlot != nil {
 		if slot := l.options.NodeSlot(t.Worker); slot != "" {
--- a/internal/dispatcher/requestlog/requestlog_test.go
+++ b/internal/dispatcher/requestlog/requestlog_test.go
@@ -18,7 +18,7 @@
 	"cinderroad/loadbalancer"
 )
 
-func final(id string) *dispatch.AnswerRecord {
+func answerRecord(id string) *dispatch.AnswerRecord {
 	return &dispatch.AnswerRecord{ID: id, Front: "platform", Class: 0, Verdict: dispatch.Served, ArrivedAt: 100, AnsweredAt: 100.25, TargetAt: 101, StartedAt: 100.1, WinningAttempt: 1,
 		Attempts: []dispatch.AttemptRecord{{MemberName: "a", SentAt: 100, EndedAt: 100.05, Result: loadbalancer.Rejected}, {Attempt: 1, MemberName: "b", SentAt: 100.05, StartedAt: 100.1, EndedAt: 100.25, Hedged: true}, {Attempt: 2, MemberName: "c", SentAt: 100.2}}}
 }
@@ -33,10 +33,10 @@
 	return l
 }
 
-func TestLine(t *testing.T) {
+func TestLogAnswer(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	l := open(t, Options{Path: path, NodeSlot: func(loadbalancer.WorkerID) string { return "m.k.0.1" }})
-	l.LogAnswer(final("x"))
+	l.LogAnswer(answerRecord("x"))
 	l.LogAnswer(&dispatch.AnswerRecord{ID: "y", Front: "gearman", Class: -1, Verdict: dispatch.Rejected, Reason: dispatch.ReasonNoCapacity, ArrivedAt: 100, AnsweredAt: 100, RetryAfter: 0.5, WinningAttempt: -1})
 	l.Close()
 	want := `{"time":100.250000,"by":"n0","id":"x","class":"score","front":"platform","verdict":"in_time","took_ms":250.000,"start_ms":100.000,"tries":[` +
@@ -50,7 +50,7 @@
 }
 
 // Whatever a client or a node calls itself, a line is one line, is JSON, and says it again.
-func TestNamesAreQuoted(t *testing.T) {
+func TestAppendStringRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.String().Draw(t, "name")
 		var back string
@@ -66,7 +66,7 @@
 	path := filepath.Join(t.TempDir(), "log")
 	l := open(t, Options{Path: path, MaxBytes: 4096, KeepFiles: 100})
 	for i := range 200 {
-		l.LogAnswer(final(fmt.Sprint(i)))
+		l.LogAnswer(answerRecord(fmt.Sprint(i)))
 		if i%3 == 0 {
 			l.Flush()
 		}
@@ -96,7 +96,7 @@
 	few := filepath.Join(t.TempDir(), "few")
 	l = open(t, Options{Path: few, MaxBytes: 4096, KeepFiles: 1})
 	for i := range 100 {
-		l.LogAnswer(final(fmt.Sprint(i)))
+		l.LogAnswer(answerRecord(fmt.Sprint(i)))
 		l.Flush()
 	}
 	l.Close()
@@ -106,13 +106,13 @@
 }
 
 // Two processes of an upgrade write one log: neither renames the file twice, and every line is there.
-func TestTwoProcesses(t *testing.T) {
+func TestTwoProcessesShareOneLog(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	o := Options{Path: path, MaxBytes: 4096, KeepFiles: 100}
 	x, y := open(t, o), open(t, o)
 	for i := range 100 {
-		x.LogAnswer(final(fmt.Sprint("x", i)))
-		y.LogAnswer(final(fmt.Sprint("y", i)))
+		x.LogAnswer(answerRecord(fmt.Sprint("x", i)))
+		y.LogAnswer(answerRecord(fmt.Sprint("y", i)))
 		x.Flush()
 		y.Flush()
 	}
@@ -132,7 +132,7 @@
 }
 
 // A disk that stalls: a pipe that nobody reads. Lines are lost and counted; whoever answers is never held up.
-func TestAStalledDisk(t *testing.T) {
+func TestStalledDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "pipe")
 	if err := unix.Mkfifo(path, 0o600); err != nil {
 		t.Skip(err)
@@ -140,7 +140,7 @@
 	l := open(t, Options{Path: path})
 	const jobs = 20000 // of 0.4 KB each: more than pipe and queue hold
 	for i := range jobs {
-		l.LogAnswer(final(fmt.Sprint(i)))
+		l.LogAnswer(answerRecord(fmt.Sprint(i)))
 	}
 	l.Flush()
 	if l.DroppedLines() == 0 || l.DroppedLines() >= jobs {
@@ -164,14 +164,14 @@
 }
 
 // A full disk costs lines, counted and told of once.
-func TestAFullDisk(t *testing.T) {
+func TestFullDisk(t *testing.T) {
 	if _, err := os.Stat("/dev/full"); err != nil {
 		t.Skip(err)
 	}
 	var reports atomic.Int32
 	l := open(t, Options{Path: "/dev/full", Report: func(error) { reports.Add(1) }})
 	for i := range 30 {
-		l.LogAnswer(final(fmt.Sprint(i)))
+		l.LogAnswer(answerRecord(fmt.Sprint(i)))
 		l.Flush()
 	}
 	l.Close()
@@ -181,13 +181,13 @@
 }
 
 // A life that was killed in the midst of a line costs that line alone.
-func TestATornLine(t *testing.T) {
+func TestTornLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	if err := os.WriteFile(path, []byte(`{"time":1,"by":"n0","id":"torn","cla`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	l := open(t, Options{Path: path})
-	l.LogAnswer(final("after"))
+	l.LogAnswer(answerRecord("after"))
 	l.Close()
 	f, err := os.Open(path)
 	if err != nil {
@@ -210,7 +210,7 @@
 		b.Fatal(err)
 	}
 	defer l.Close()
-	f := final("0123456789abcdef")
+	f := answerRecord("0123456789abcdef")
 	for b.Loop() {
 		l.LogAnswer(f)
 	}
--- a/internal/dispatcher/spool/spool.go
+++ b/internal/dispatcher/spool/spool.go
@@ -28,22 +28,22 @@
 )
 
 const (
-	magic    = "CRSPOOL1"
-	overhead = 4 + 1 + 8
-	mostBody = 64 << 20
-	files    = 4   // the bound of all files is spread over so many: the oldest goes whole
-	queued   = 256 // records that may wait for the disk
+	magic          = "CRSPOOL1"
+	recordOverhead = 4 + 1 + 8
+	maxBodyBytes   = 64 << 20
+	maxFiles       = 4   // the bound of all files is spread over so many: the oldest goes whole
+	queueLength    = 256 // records that may wait for the disk
 )
 
 // The kinds of record.
 const (
-	kindNames  = 'N' // names of series: the number of the first, and the names in order
-	kindPeriod = 'P' // a period
-	kindSlots  = 'S' // who holds which slot
-	kindGot    = 'A' // up to which stamp each receiver has the periods
+	kindNames        = 'N' // names of series: the number of the first, and the names in order
+	kindPeriod       = 'P' // a period
+	kindSlots        = 'S' // who holds which slot
+	kindAcknowledged = 'A' // up to which stamp each receiver has the periods
 )
 
-type names struct {
+type nameRecord struct {
 	From   int                `json:"from"`
 	Series []telemetry.Series `json:"series"`
 }
@@ -60,36 +60,36 @@
 
 // Spool is open for writing. All methods but Failed and Lost belong to one goroutine.
 type Spool struct {
-	dir, name string
-	most      int64 // bytes of all files
-	queue     chan []record
-	done      chan struct{}
-	failed    atomic.Uint64
-	lost      atomic.Uint64
-	report    func(error)
+	dir, name   string
+	maxBytes    int64 // bytes of all files
+	queue       chan []record
+	done        chan struct{}
+	writeErrors atomic.Uint64
+	dropped     atomic.Uint64
+	reportError func(error)
 
-	table *telemetry.SeriesTable // of the file at hand
-	named int                    // series whose names it has
-	slots []byte
-	gone  int64 // bytes given to the file at hand
+	table       *telemetry.SeriesTable // of the file at hand
+	namedSeries int                    // series whose names it has
+	slots       []byte
+	fileBytes   int64 // bytes given to the file at hand
 
 	// Of the writing goroutine.
-	file   *os.File
-	size   int64
-	number int
+	file       *os.File
+	size       int64
+	fileNumber int
 }
 
 type record struct {
-	fresh bool   // begins a file of its own
-	done  func() // hears that it is written, or will not be
-	kind  byte
-	body  []byte
+	newFile bool   // begins a file of its own
+	done    func() // hears that it is written, or will not be
+	kind    byte
+	body    []byte
 }
 
 // Open reads what is in a folder and begins a file of its own. report hears, on a goroutine of its own, what goes wrong later.
 func Open(dir, name string, most int64, report func(error)) (*Spool, *Recovered, error) {
 	name = telemetry.SanitizeName(name)
-	found, last, err := read(dir, name, most)
+	found, last, err := recoverFiles(dir, name, most)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -98,7 +98,7 @@
 		return nil, nil, fmt.Errorf("spool: %w", err)
 	}
 	_ = os.Remove(probe)
-	s := &Spool{dir: dir, name: name, most: most, queue: make(chan []record, queued), done: make(chan struct{}), report: report, number: last}
+	s := &Spool{dir: dir, name: name, maxBytes: most, queue: make(chan []record, queueLength), done: make(chan struct{}), reportError: report, fileNumber: last}
 	go s.run()
 	return s, found, nil
 }
@@ -107,18 +107,18 @@
 // is on disk or will not be.
 func (s *Spool) AppendPeriod(p *telemetry.Period, held []telemetry.SlotAssignment, done func()) {
 	var out []record
-	if s.table != p.Table || s.gone >= s.most/files {
-		s.table, s.named, s.slots, s.gone = p.Table, 0, nil, 0
-		out = append(out, record{fresh: true})
+	if s.table != p.Table || s.fileBytes >= s.maxBytes/maxFiles {
+		s.table, s.namedSeries, s.slots, s.fileBytes = p.Table, 0, nil, 0
+		out = append(out, record{newFile: true})
 	}
-	if n := p.Table.Len(); n > s.named {
-		body, err := json.Marshal(names{s.named, p.Table.From(s.named)})
+	if n := p.Table.Len(); n > s.namedSeries {
+		body, err := json.Marshal(nameRecord{s.namedSeries, p.Table.From(s.namedSeries)})
 		if err != nil {
-			s.fail(err)
+			s.recordError(err)
 			done()
 			return
 		}
-		s.named = n
+		s.namedSeries = n
 		out = append(out, record{kind: kindNames, body: body})
 	}
 	if body, err := json.Marshal(held); err == nil && !bytes.Equal(body, s.slots) {
@@ -128,7 +128,7 @@
 	body := binary.BigEndian.AppendUint64(nil, uint64(p.Timestamp))
 	body = binary.BigEndian.AppendUint64(body, uint64(p.Interval*1000))
 	out = append(out, record{kind: kindPeriod, body: append(body, p.EncodedValues...), done: done})
-	if !s.give(out) { // the next one must not lean on names that are not there
+	if !s.enqueue(out) { // the next one must not lean on names that are not there
 		s.table = nil
 		done()
 	}
@@ -137,28 +137,28 @@
 // AppendAcknowledged notes up to which stamp receivers have the periods.
 func (s *Spool) AppendAcknowledged(got map[string]int64) {
 	if body, err := json.Marshal(got); err == nil && s.table != nil {
-		s.give([]record{{kind: kindGot, body: body}})
+		s.enqueue([]record{{kind: kindAcknowledged, body: body}})
 	}
 }
 
-func (s *Spool) give(out []record) bool {
+func (s *Spool) enqueue(out []record) bool {
 	for _, r := range out {
-		s.gone += int64(len(r.body) + overhead)
+		s.fileBytes += int64(len(r.body) + recordOverhead)
 	}
 	select {
 	case s.queue <- out:
 		return true
 	default:
-		s.lost.Add(1)
+		s.dropped.Add(1)
 		return false
 	}
 }
 
 // WriteErrors is how often the disk refused, Lost how often it was too slow: each cost a period's place on disk, not the period.
-func (s *Spool) WriteErrors() uint64 { return s.failed.Load() }
+func (s *Spool) WriteErrors() uint64 { return s.writeErrors.Load() }
 
 // Dropped is told of by Failed.
-func (s *Spool) Dropped() uint64 { return s.lost.Load() }
+func (s *Spool) Dropped() uint64 { return s.dropped.Load() }
 
 // Close writes what waits and closes the file.
 func (s *Spool) Close() {
@@ -166,27 +166,27 @@
 	<-s.done
 }
 
-func (s *Spool) fail(err error) {
-	s.failed.Add(1)
-	s.report(fmt.Errorf("spool: %w", err))
+func (s *Spool) recordError(err error) {
+	s.writeErrors.Add(1)
+	s.reportError(fmt.Errorf("spool: %w", err))
 }
 
 func (s *Spool) run() {
 	defer close(s.done)
 	broken := false // a record did not get to the disk: what follows in its file would lack it
 	for out := range s.queue {
-		if out[0].fresh {
-			err := s.begin()
+		if out[0].newFile {
+			err := s.startFile()
 			if broken = err != nil; broken {
-				s.report(fmt.Errorf("spool: %w", err))
+				s.reportError(fmt.Errorf("spool: %w", err))
 			}
 			out = out[1:]
 		}
 		if broken {
-			s.failed.Add(1)
+			s.writeErrors.Add(1)
 		} else if err := s.write(out); err != nil {
-			s.fail(err)
-			broken = out[0].kind != kindPeriod && out[0].kind != kindGot
+			s.recordError(err)
+			broken = out[0].kind != kindPeriod && out[0].kind != kindAcknowledged
 		}
 		if done := out[len(out)-1].done; done != nil {
 			done()
@@ -197,24 +197,24 @@
 	}
 }
 
-// begin begins a file, and lets go of the oldest ones beyond the bound.
-func (s *Spool) begin() error {
+// startFile begins a file, and lets go of the oldest ones beyond the bound.
+func (s *Spool) startFile() error {
 	if s.file != nil {
 		s.file.Close()
 		s.file = nil
 	}
-	all, err := list(s.dir, s.name)
+	all, err := listFiles(s.dir, s.name)
 	if err != nil {
 		return err
 	}
 	total := int64(0)
 	for i := len(all) - 1; i >= 0; i-- {
-		if total += all[i].size; total > s.most-s.most/files {
+		if total += all[i].size; total > s.maxBytes-s.maxBytes/maxFiles {
 			_ = os.Remove(all[i].path)
 		}
 	}
-	s.number++
-	f, err := os.OpenFile(filepath.Join(s.dir, s.name+"."+strconv.Itoa(s.number)), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+	s.fileNumber++
+	f, err := os.OpenFile(filepath.Join(s.dir, s.name+"."+strconv.Itoa(s.fileNumber)), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -253,27 +253,27 @@
 
 // parseRecord reads the first record of b; n is 0 where it is torn.
 func parseRecord(b []byte) (kind byte, body []byte, n int) {
-	if len(b) < overhead {
+	if len(b) < recordOverhead {
 		return 0, nil, 0
 	}
 	size := int(binary.BigEndian.Uint32(b))
-	if size > mostBody || len(b) < overhead+size {
+	if size > maxBodyBytes || len(b) < recordOverhead+size {
 		return 0, nil, 0
 	}
 	if xxhash.Sum64(b[4:5+size]) != binary.BigEndian.Uint64(b[5+size:]) {
 		return 0, nil, 0
 	}
-	return b[4], b[5 : 5+size], overhead + size
+	return b[4], b[5 : 5+size], recordOverhead + size
 }
 
-type file struct {
+type spoolFile struct {
 	path   string
 	number int
 	size   int64
 }
 
-// list finds the files of a spool, the oldest first.
-func list(dir, name string) (all []file, err error) {
+// listFiles finds the files of a spool, the oldest first.
+func listFiles(dir, name string) (all []spoolFile, err error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, fmt.Errorf("spool: %w", err)
@@ -291,23 +291,23 @@
 		if err != nil {
 			return nil, fmt.Errorf("spool: %w", err)
 		}
-		all = append(all, file{filepath.Join(dir, e.Name()), n, info.Size()})
+		all = append(all, spoolFile{filepath.Join(dir, e.Name()), n, info.Size()})
 	}
-	slices.SortFunc(all, func(x, y file) int { return cmp.Compare(x.number, y.number) })
+	slices.SortFunc(all, func(x, y spoolFile) int { return cmp.Compare(x.number, y.number) })
 	return all, nil
 }
 
-// read reads a spool, as much of its end as the bound allows.
-func read(dir, name string, most int64) (f *Recovered, last int, err error) {
+// recoverFiles reads a spool, as much of its end as the bound allows.
+func recoverFiles(dir, name string, most int64) (f *Recovered, last int, err error) {
 	f = &Recovered{Totals: map[string]float64{}, Acknowledged: map[string]int64{}}
-	all, err := list(dir, name)
+	all, err := listFiles(dir, name)
 	if err != nil {
 		return nil, 0, err
 	}
 	total := int64(0)
 	for i, file := range all {
 		last = file.number
-		if total += file.size; total > 2*most+mostBody {
+		if total += file.size; total > 2*most+maxBodyBytes {
 			break
 		}
 		text, err := os.ReadFile(file.path)
@@ -325,7 +325,7 @@
 			}
 			continue
 		}
-		if !f.take(text[len(magic):]) {
+		if !f.readRecords(text[len(magic):]) {
 			f.TornFiles++
 		}
 	}
@@ -340,8 +340,8 @@
 	return f, last, nil
 }
 
-// take reads the records of a file; false when it ends in none.
-func (f *Recovered) take(b []byte) (whole bool) {
+// readRecords reads the records of a file; false when it ends in none.
+func (f *Recovered) readRecords(b []byte) (whole bool) {
 	table := &telemetry.SeriesTable{}
 	for len(b) > 0 {
 		kind, body, n := parseRecord(b)
@@ -351,7 +351,7 @@
 		b = b[n:]
 		switch kind {
 		case kindNames:
-			var v names
+			var v nameRecord
 			if json.Unmarshal(body, &v) != nil || v.From != table.Len() {
 				return false
 			}
@@ -362,7 +362,7 @@
 				return false
 			}
 			f.SlotAssignments = v
-		case kindGot:
+		case kindAcknowledged:
 			var v map[string]int64
 			if json.Unmarshal(body, &v) != nil {
 				return false
--- a/internal/dispatcher/spool/spool_test.go
+++ b/internal/dispatcher/spool/spool_test.go
@@ -19,8 +19,8 @@
 
 func fail(t *testing.T) func(error) { return func(err error) { t.Error(err) } }
 
-// life is a dispatcher's figures with their spool.
-type life struct {
+// incarnation is a dispatcher's figures with their spool.
+type incarnation struct {
 	t     *testing.T
 	set   *telemetry.Set
 	spool *Spool
@@ -28,13 +28,13 @@
 	stamp int64
 }
 
-func begin(t *testing.T, dir string, most int64) *life {
+func begin(t *testing.T, dir string, most int64) *incarnation {
 	t.Helper()
 	s, found, err := Open(dir, "n0", most, fail(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &life{t: t, set: telemetry.New(telemetry.Options{Classes: []string{"score"}, Zones: []string{"m"}, Kinds: []string{"k"}, MaxNodes: 9}), spool: s, found: found}
+	l := &incarnation{t: t, set: telemetry.New(telemetry.Options{Classes: []string{"score"}, Zones: []string{"m"}, Kinds: []string{"k"}, MaxNodes: 9}), spool: s, found: found}
 	l.set.AddTotals(found.Totals)
 	l.set.RestoreSlots(found.SlotAssignments)
 	if n := len(found.Periods); n > 0 {
@@ -44,7 +44,7 @@
 }
 
 // period ends one in which a node of its own came and a job was answered.
-func (l *life) period() {
+func (l *incarnation) period() {
 	l.stamp++
 	l.set.ObserveMembers(loadbalancer.ListFull, []dispatch.Member{{Name: fmt.Sprint("node-", l.stamp), Worker: loadbalancer.Worker{ID: loadbalancer.WorkerID(l.stamp), State: loadbalancer.Ready}}})
 	l.set.ObserveAnswer(&dispatch.AnswerRecord{Verdict: dispatch.Served, WinningAttempt: -1})
@@ -54,7 +54,7 @@
 const answers = "classes.score.answers.in_time"
 
 // Totals, slots, periods and what receivers have got go on from life to life.
-func TestLives(t *testing.T) {
+func TestRecoveryAcrossIncarnations(t *testing.T) {
 	dir := t.TempDir()
 	for n := range 3 {
 		l := begin(t, dir, 1<<20)
@@ -76,7 +76,7 @@
 }
 
 // A file torn at any byte has all periods whose records are whole, and what follows in a life after it is whole again.
-func TestTornAtEveryByte(t *testing.T) {
+func TestTruncatedFile(t *testing.T) {
 	dir := t.TempDir()
 	l := begin(t, dir, 1<<20)
 	for range 3 {
@@ -94,7 +94,7 @@
 		if err := os.WriteFile(filepath.Join(torn, "n0.1"), text[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		found, _, err := read(torn, "n0", 1<<20)
+		found, _, err := recoverFiles(torn, "n0", 1<<20)
 		if err != nil {
 			t.Fatal(cut, err)
 		}
@@ -124,7 +124,7 @@
 }
 
 // A changed byte anywhere costs what follows in its file, and is never taken for what was written.
-func TestChangedBytes(t *testing.T) {
+func TestCorruptedBytes(t *testing.T) {
 	dir := t.TempDir()
 	l := begin(t, dir, 1<<20)
 	for range 2 {
@@ -139,14 +139,14 @@
 		b := bytes.Clone(text)
 		b[at] ^= 0x40
 		f := &Recovered{Totals: map[string]float64{}, Acknowledged: map[string]int64{}}
-		if f.take(b[len(magic):]) {
+		if f.readRecords(b[len(magic):]) {
 			t.Fatalf("byte %d changed, and nobody saw", at)
 		}
 	}
 }
 
 // A file of another version is put aside whole, and a folder that cannot be written is an error at once.
-func TestStrangeFilesAndFolders(t *testing.T) {
+func TestUnknownFilesAndUnusableFolders(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "n0.7"), []byte("CRSPOOL9 of the future"), 0o600); err != nil {
 		t.Fatal(err)
@@ -170,7 +170,7 @@
 }
 
 // The folder keeps to its bound, the oldest files going first; the newest totals are always there.
-func TestTheBound(t *testing.T) {
+func TestMaxBytes(t *testing.T) {
 	dir := t.TempDir()
 	const most = 64 << 10
 	l := begin(t, dir, most)
@@ -179,14 +179,14 @@
 		if l.stamp%50 == 0 { // no faster than the disk
 			l.spool.Close()
 			size := int64(0)
-			all, err := list(dir, "n0")
+			all, err := listFiles(dir, "n0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, f := range all {
 				size += f.size
 			}
-			if size > most+most/files+40<<10 {
+			if size > most+most/maxFiles+40<<10 {
 				t.Fatalf("%d bytes", size)
 			}
 			l = begin(t, dir, most)
@@ -199,7 +199,7 @@
 }
 
 // A full disk takes back what it cut short, so that what is written later can be read.
-func TestAFullDisk(t *testing.T) {
+func TestFullDisk(t *testing.T) {
 	full, err := os.OpenFile("/dev/full", os.O_WRONLY, 0)
 	if err != nil {
 		t.Skip(err)
@@ -213,8 +213,8 @@
 
 // A disk that is too slow costs periods on disk, counted, and the caller nothing; the next one begins a file that can be
 // read alone.
-func TestASlowDisk(t *testing.T) {
-	s := &Spool{most: 1 << 20, queue: make(chan []record, 1), report: fail(t)}
+func TestSlowDisk(t *testing.T) {
+	s := &Spool{maxBytes: 1 << 20, queue: make(chan []record, 1), reportError: fail(t)}
 	set := telemetry.New(telemetry.Options{Classes: []string{"score"}})
 	told := 0
 	for i := range 5 {
@@ -225,7 +225,7 @@
 	}
 	<-s.queue
 	s.AppendPeriod(set.ClosePeriod(9, 1), nil, func() {})
-	if out := <-s.queue; !out[0].fresh || out[1].kind != kindNames {
+	if out := <-s.queue; !out[0].newFile || out[1].kind != kindNames {
 		t.Error("the next one leans on names that are not on disk")
 	}
 }
@@ -234,7 +234,7 @@
 	f.Add(appendRecord(appendRecord(nil, kindNames, []byte(`{"from":0,"series":[{"Name":"a"}]}`)), kindPeriod, make([]byte, 20)))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		found := &Recovered{Acknowledged: map[string]int64{}}
-		found.take(b)
+		found.readRecords(b)
 		for _, p := range found.Periods {
 			_, _ = p.Totals()
 		}
--- a/internal/dispatcher/telemetry/classes.go
+++ b/internal/dispatcher/telemetry/classes.go
@@ -61,27 +61,27 @@
 	return Failed
 }
 
-// unknownClass stands for the class of jobs that name none that is known.
-const unknownClass = "unknown"
+// unknownClassName stands for the class of jobs that name none that is known.
+const unknownClassName = "unknown"
 
 // ClassNames are the names of classes within series; the last one is of jobs whose class nobody knows.
 func ClassNames(classes []string) []string {
-	return SanitizeNames(append(classes[:len(classes):len(classes)], unknownClass))
+	return SanitizeNames(append(classes[:len(classes):len(classes)], unknownClassName))
 }
 
-// class is the series of a class, by the numbers of the first ones.
-type class struct {
-	name            string
-	answers         int // by verdict
-	refused, failed int // by reason
-	sent            int // first, repeats, copies, copies_won
-	ends            int // by result
-	latency, start  latency
+// classSeries is the series of a class, by the numbers of the first ones.
+type classSeries struct {
+	name               string
+	answers            int // by verdict
+	rejected, failed   int // by reason
+	attempts           int // first, repeats, copies, copies_won
+	results            int // by result
+	latency, startWait histogram
 }
 
 func (s *Set) addClasses() {
 	for _, name := range ClassNames(s.options.Classes) {
-		c := class{name: name}
+		c := classSeries{name: name}
 		prefix := "classes." + name + "."
 		add := func(path string, d SeriesDoc) int {
 			d.Pattern = "classes.<class>." + path
@@ -97,7 +97,7 @@
 			first(&c.answers, add("answers."+v.String(), SeriesDoc{Unit: "jobs", Help: verdictHelp[v]}), int(v))
 		}
 		for r := range dispatch.ReasonCount {
-			first(&c.refused, add("refused."+reasonName(r), SeriesDoc{Unit: "jobs", Help: "Jobs refused or returned because: " + reasonHelp[r] + "."}), int(r))
+			first(&c.rejected, add("refused."+reasonName(r), SeriesDoc{Unit: "jobs", Help: "Jobs refused or returned because: " + reasonHelp[r] + "."}), int(r))
 		}
 		for r := range dispatch.ReasonCount {
 			first(&c.failed, add("failed."+reasonName(r), SeriesDoc{Unit: "jobs", Help: "Jobs failed because: " + reasonHelp[r] + "."}), int(r))
@@ -106,16 +106,16 @@
 			{Pattern: "repeats", Help: "Attempts made after another had ended, that have ended themselves."},
 			{Pattern: "copies", Help: "Attempts made while another was out, that have ended."},
 			{Pattern: "copies_won", Help: "Copies that served their job."}} {
-			first(&c.sent, add("fetches."+d.Pattern, SeriesDoc{Unit: "attempts", Help: d.Help}), i)
+			first(&c.attempts, add("fetches."+d.Pattern, SeriesDoc{Unit: "attempts", Help: d.Help}), i)
 		}
 		for r, name := range ResultNames {
-			first(&c.ends, add("fetches.end_"+name, SeriesDoc{Unit: "attempts", Help: "Attempts that ended as " + name + "."}), r)
+			first(&c.results, add("fetches.end_"+name, SeriesDoc{Unit: "attempts", Help: "Attempts that ended as " + name + "."}), r)
 		}
 		for _, l := range []struct {
-			to         *latency
+			to         *histogram
 			name, help string
 		}{{&c.latency, "latency", "From a job's arrival to its answer, of those served in the period"},
-			{&c.start, "start_wait", "From a job's arrival to its start, of those served in the period whose start was told"}} {
+			{&c.startWait, "start_wait", "From a job's arrival to its start, of those served in the period whose start was told"}} {
 			for i, q := range quantiles {
 				at := add(l.name+"."+q.name+"_ms", SeriesDoc{Kind: Gauge, Unit: "ms", Help: l.help + ": " + q.name + ". None without answers."})
 				if i == 0 {
@@ -142,7 +142,7 @@
 	"backends could do nothing with it", "nobody knows its class", "the decisions had forgotten it", "the front is evacuated",
 	"there was no memory for its body", "the dispatcher is out of its lease"}
 
-func (s *Set) class(i int) *class {
+func (s *Set) class(i int) *classSeries {
 	if i < 0 || i >= len(s.classes)-1 {
 		i = len(s.classes) - 1
 	}
@@ -155,16 +155,16 @@
 	s.values[c.answers+int(v)]++
 	switch v {
 	case Rejected, Requeued:
-		s.values[c.refused+int(f.Reason)]++
+		s.values[c.rejected+int(f.Reason)]++
 	case Failed:
 		s.values[c.failed+int(f.Reason)]++
 	case InTime, Late:
 		c.latency.record(f.AnsweredAt - f.ArrivedAt)
 		if f.StartedAt > 0 {
-			c.start.record(f.StartedAt - f.ArrivedAt)
+			c.startWait.record(f.StartedAt - f.ArrivedAt)
 		}
 		if f.WinningAttempt >= 0 && f.WinningAttempt < len(f.Attempts) && f.Attempts[f.WinningAttempt].Hedged {
-			s.values[c.sent+3]++
+			s.values[c.attempts+3]++
 		}
 	}
 }
@@ -174,14 +174,14 @@
 	c := s.class(t.Class)
 	switch {
 	case t.Attempt == 0:
-		s.values[c.sent]++
+		s.values[c.attempts]++
 	case t.Hedged:
-		s.values[c.sent+2]++
+		s.values[c.attempts+2]++
 	default:
-		s.values[c.sent+1]++
+		s.values[c.attempts+1]++
 	}
-	s.values[c.ends+int(t.Result)]++
-	s.nodes.tried(s, t)
+	s.values[c.results+int(t.Result)]++
+	s.nodes.countAttempt(s, t)
 }
 
 func (s *Set) addDrains() {
@@ -203,7 +203,7 @@
 	} else {
 		s.values[s.drains.broken]++
 	}
-	if ms := margin * 1000; !(s.margin <= ms) {
-		s.margin = ms
+	if ms := margin * 1000; !(s.leastDrainMargin <= ms) {
+		s.leastDrainMargin = ms
 	}
 }
--- a/internal/dispatcher/telemetry/latency.go
+++ b/internal/dispatcher/telemetry/latency.go
@@ -6,9 +6,9 @@
 
 // Latencies are recorded in microseconds between these bounds, to two significant digits (1%).
 const (
-	leastLatency = 1
-	mostLatency  = 3600e6
-	digits       = 2
+	minLatency        = 1
+	maxLatency        = 3600e6
+	significantDigits = 2
 )
 
 // quantiles are the shares that are told of each period, with their names; the last one is the greatest value.
@@ -17,58 +17,58 @@
 	q    float64
 }{{"p50", 50}, {"p90", 90}, {"p99", 99}, {"p99_9", 99.9}, {"max", 100}}
 
-// latency is the distribution of a period.
-type latency struct {
-	h     *hdrhistogram.Histogram
-	first int // number of the first of its series, one for each of quantiles
+// histogram is the distribution of a period.
+type histogram struct {
+	values      *hdrhistogram.Histogram
+	firstSeries int // number of the first of its series, one for each of quantiles
 }
 
-func newLatency(first int) *latency {
-	return &latency{h: hdrhistogram.New(leastLatency, mostLatency, digits), first: first}
+func newLatency(first int) *histogram {
+	return &histogram{values: hdrhistogram.New(minLatency, maxLatency, significantDigits), firstSeries: first}
 }
 
 // record takes a span in seconds; it allocates nothing.
-func (l *latency) record(seconds float64) {
-	_ = l.h.RecordValue(int64(min(max(seconds*1e6, leastLatency), mostLatency)))
+func (h *histogram) record(seconds float64) {
+	_ = h.values.RecordValue(int64(min(max(seconds*1e6, minLatency), maxLatency)))
 }
 
-// close writes the period's quantiles in milliseconds and begins anew.
-func (l *latency) close(values []float64) {
-	some := l.h.TotalCount() > 0
+// writeQuantiles writes the period's quantiles in milliseconds and begins anew.
+func (h *histogram) writeQuantiles(values []float64) {
+	some := h.values.TotalCount() > 0
 	for i, q := range quantiles {
-		values[l.first+i] = absent
+		values[h.firstSeries+i] = noValue
 		switch {
 		case some && q.q == 100:
-			values[l.first+i] = float64(l.h.Max()) / 1e3
+			values[h.firstSeries+i] = float64(h.values.Max()) / 1e3
 		case some:
-			values[l.first+i] = float64(l.h.ValueAtQuantile(q.q)) / 1e3
+			values[h.firstSeries+i] = float64(h.values.ValueAtQuantile(q.q)) / 1e3
 		}
 	}
 	if some {
-		l.h.Reset()
+		h.values.Reset()
 	}
 }
 
-// bars tells what was recorded as pairs of a value and how often it came, and begins anew: merging counts keeps
+// takeCounts tells what was recorded as pairs of a value and how often it came, and begins anew: merging counts keeps
 // quantiles right, merging quantiles would not.
-func (l *latency) bars() (out [][2]int64) {
-	if l.h.TotalCount() == 0 {
+func (h *histogram) takeCounts() (out [][2]int64) {
+	if h.values.TotalCount() == 0 {
 		return nil
 	}
-	for _, bar := range l.h.Distribution() {
+	for _, bar := range h.values.Distribution() {
 		if bar.Count > 0 {
 			out = append(out, [2]int64{bar.To, bar.Count})
 		}
 	}
-	l.h.Reset()
+	h.values.Reset()
 	return out
 }
 
-// merge takes what another process has recorded.
-func (l *latency) merge(bars [][2]int64) {
+// addCounts takes what another process has recorded.
+func (h *histogram) addCounts(bars [][2]int64) {
 	for _, bar := range bars {
-		if bar[0] >= 0 && bar[0] <= mostLatency && bar[1] > 0 {
-			_ = l.h.RecordValues(bar[0], bar[1])
+		if bar[0] >= 0 && bar[0] <= maxLatency && bar[1] > 0 {
+			_ = h.values.RecordValues(bar[0], bar[1])
 		}
 	}
 }
--- a/internal/dispatcher/telemetry/period.go
+++ b/internal/dispatcher/telemetry/period.go
@@ -20,11 +20,11 @@
 const (
 	formAbsent = iota
 	formFloat
-	formWhole
+	formInteger
 )
 
-// mostWhole is the largest number that a float64 holds with all those below it.
-const mostWhole = 1 << 53
+// maxExactInteger is the largest number that a float64 holds with all those below it.
+const maxExactInteger = 1 << 53
 
 func appendCount(b []byte, n int) []byte { return binary.AppendUvarint(b, uint64(n)) }
 
@@ -33,8 +33,8 @@
 		switch {
 		case math.IsNaN(v) || math.IsInf(v, 0):
 			b = append(b, formAbsent)
-		case v >= 0 && v <= mostWhole && v == math.Trunc(v):
-			b = binary.AppendUvarint(b, uint64(v)+formWhole)
+		case v >= 0 && v <= maxExactInteger && v == math.Trunc(v):
+			b = binary.AppendUvarint(b, uint64(v)+formInteger)
 		default:
 			b = append(b, formFloat)
 			b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(v)))
@@ -43,14 +43,14 @@
 	return b
 }
 
-var errPeriod = errors.New("telemetry: period cut short")
+var errTruncated = errors.New("telemetry: period cut short")
 
 // Reader reads the values of a period one after the other, so that a caller can rest in between.
 type Reader struct {
-	table *SeriesTable
-	rest  []byte
-	i, n  int
-	err   error
+	table        *SeriesTable
+	input        []byte
+	index, count int
+	err          error
 }
 
 // Read begins with the first value.
@@ -59,39 +59,39 @@
 	n, size := binary.Uvarint(p.EncodedValues)
 	switch {
 	case size <= 0:
-		r.err = errPeriod
+		r.err = errTruncated
 	case n > uint64(p.Table.Len()):
 		r.err = fmt.Errorf("telemetry: period of %d values, %d series are known", n, p.Table.Len())
 	default:
-		r.n, r.rest = int(n), p.EncodedValues[size:]
+		r.count, r.input = int(n), p.EncodedValues[size:]
 	}
 	return r
 }
 
 // Next is the next series that has a value; false at the end, or when Err says what is wrong.
 func (r *Reader) Next() (s Series, v float64, ok bool) {
-	for r.err == nil && r.i < r.n {
-		form, size := binary.Uvarint(r.rest)
+	for r.err == nil && r.index < r.count {
+		form, size := binary.Uvarint(r.input)
 		if size <= 0 {
-			r.err = errPeriod
+			r.err = errTruncated
 			break
 		}
-		r.rest = r.rest[size:]
-		r.i++
+		r.input = r.input[size:]
+		r.index++
 		switch form {
 		case formAbsent:
 			continue
 		case formFloat:
-			if len(r.rest) < 4 {
-				r.err = errPeriod
+			if len(r.input) < 4 {
+				r.err = errTruncated
 				return Series{}, 0, false
 			}
-			v = float64(math.Float32frombits(binary.LittleEndian.Uint32(r.rest)))
-			r.rest = r.rest[4:]
+			v = float64(math.Float32frombits(binary.LittleEndian.Uint32(r.input)))
+			r.input = r.input[4:]
 		default:
-			v = float64(form - formWhole)
+			v = float64(form - formInteger)
 		}
-		return r.table.Series(r.i - 1), v, true
+		return r.table.Series(r.index - 1), v, true
 	}
 	return Series{}, 0, false
 }
--- a/internal/dispatcher/telemetry/ring.go
+++ b/internal/dispatcher/telemetry/ring.go
@@ -4,11 +4,11 @@
 type Ring struct {
 	Dropped uint64 // periods that had to go while a receiver still wanted them
 
-	most    int
-	bytes   int
-	first   uint64 // number of the oldest
-	periods []*Period
-	places  []*Cursor
+	maxBytes int
+	bytes    int
+	oldest   uint64 // number of the oldest
+	periods  []*Period
+	cursors  []*Cursor
 }
 
 // Cursor is how far a receiver has come.
@@ -18,57 +18,57 @@
 }
 
 // NewRing makes a ring that holds at most so many bytes of values, and always the newest period.
-func NewRing(most int) *Ring { return &Ring{most: most, first: 1} }
+func NewRing(maxBytes int) *Ring { return &Ring{maxBytes: maxBytes, oldest: 1} }
 
 // OpenCursor gives a receiver its place, from the oldest period held on.
 func (r *Ring) OpenCursor(name string) *Cursor {
-	p := &Cursor{Name: name, next: r.first}
-	r.places = append(r.places, p)
+	p := &Cursor{Name: name, next: r.oldest}
+	r.cursors = append(r.cursors, p)
 	return p
 }
 
 // CloseCursor ends a receiver's claim.
 func (r *Ring) CloseCursor(p *Cursor) {
-	for i, o := range r.places {
+	for i, o := range r.cursors {
 		if o == p {
-			r.places = append(r.places[:i], r.places[i+1:]...)
+			r.cursors = append(r.cursors[:i], r.cursors[i+1:]...)
 			break
 		}
 	}
-	r.trim()
+	r.dropDelivered()
 }
 
 // Push adds a closed period. With no room the oldest ones go.
 func (r *Ring) Push(p *Period) {
 	r.periods = append(r.periods, p)
 	r.bytes += len(p.EncodedValues)
-	for r.bytes > r.most && len(r.periods) > 1 {
-		for _, place := range r.places {
-			if place.next <= r.first {
+	for r.bytes > r.maxBytes && len(r.periods) > 1 {
+		for _, place := range r.cursors {
+			if place.next <= r.oldest {
 				r.Dropped++
 				break
 			}
 		}
-		r.drop()
+		r.dropOldest()
 	}
-	r.trim()
+	r.dropDelivered()
 }
 
-func (r *Ring) drop() {
+func (r *Ring) dropOldest() {
 	r.bytes -= len(r.periods[0].EncodedValues)
 	r.periods[0] = nil
 	r.periods = r.periods[1:]
-	r.first++
+	r.oldest++
 }
 
-// trim lets go of what all receivers have got.
-func (r *Ring) trim() {
-	least := r.first + uint64(len(r.periods))
-	for _, p := range r.places {
-		least = min(least, max(p.next, r.first))
+// dropDelivered lets go of what all receivers have got.
+func (r *Ring) dropDelivered() {
+	least := r.oldest + uint64(len(r.periods))
+	for _, p := range r.cursors {
+		least = min(least, max(p.next, r.oldest))
 	}
-	for r.first < least {
-		r.drop()
+	for r.oldest < least {
+		r.dropOldest()
 	}
 }
 
@@ -77,21 +77,21 @@
 
 // PeriodFrom is the first period held of those numbered n or more, and its number; nil if there is none.
 func (r *Ring) PeriodFrom(n uint64) (*Period, uint64) {
-	n = max(n, r.first)
-	if n-r.first >= uint64(len(r.periods)) {
+	n = max(n, r.oldest)
+	if n-r.oldest >= uint64(len(r.periods)) {
 		return nil, n
 	}
-	return r.periods[n-r.first], n
+	return r.periods[n-r.oldest], n
 }
 
 // Newest is the number of the period that was pushed last.
-func (r *Ring) Newest() uint64 { return r.first + uint64(len(r.periods)) - 1 }
+func (r *Ring) Newest() uint64 { return r.oldest + uint64(len(r.periods)) - 1 }
 
 // Acknowledge says that a receiver has all up to the period of a number.
 func (r *Ring) Acknowledge(p *Cursor, n uint64) {
 	if n >= p.next {
 		p.next = n + 1
-		r.trim()
+		r.dropDelivered()
 	}
 }
 
@@ -110,5 +110,5 @@
 
 // Pending is how many periods a receiver has still to get.
 func (r *Ring) Pending(p *Cursor) int {
-	return int(r.first + uint64(len(r.periods)) - max(p.next, r.first))
+	return int(r.oldest + uint64(len(r.periods)) - max(p.next, r.oldest))
 }
--- a/internal/dispatcher/telemetry/series.go
+++ b/internal/dispatcher/telemetry/series.go
@@ -78,5 +78,5 @@
 	return out
 }
 
-// absent is the value of a series that has none this period, such as a latency without answers.
-var absent = math.NaN()
+// noValue is the value of a series that has none this period, such as a latency without answers.
+var noValue = math.NaN()
--- a/internal/dispatcher/telemetry/set.go
+++ b/internal/dispatcher/telemetry/set.go
@@ -22,30 +22,30 @@
 
 // Set is the figures of one dispatcher. It implements dispatch.Observer.
 type Set struct {
-	options Options
-	table   *SeriesTable
-	docs    []SeriesDoc
-	known   map[string]bool // patterns in docs
-	byName  map[string]int  // of counters
-	values  []float64
-	frozen  []float64 // values of the period that is being encoded
-	encoded int       // how many of them are
-	closing *Period
-	reads   []read
-	pending map[string]float64 // totals of an earlier life whose series has not come up yet
-	told    map[int]float64    // counters as of the last Delta
-
-	classes []class // the last one is for jobs of a class that nobody knows
-	drains  struct{ told, honoured, broken, margin int }
-	margin  float64 // the least of the period; absent without a drain
-	nodes   nodes
-}
-
-// read is a figure that is kept elsewhere.
-type read struct {
-	i    int
-	get  func() float64
-	base float64 // what lives before this one had counted
+	options           Options
+	table             *SeriesTable
+	seriesDocs        []SeriesDoc
+	describedPatterns map[string]bool // patterns in docs
+	counters          map[string]int  // of counters
+	values            []float64
+	frozen            []float64 // values of the period that is being encoded
+	encoded           int       // how many of them are
+	encoding          *Period
+	polled            []polledSeries
+	pending           map[string]float64 // totals of an earlier life whose series has not come up yet
+	lastDelta         map[int]float64    // counters as of the last Delta
+
+	classes          []classSeries // the last one is for jobs of a class that nobody knows
+	drains           struct{ told, honoured, broken, margin int }
+	leastDrainMargin float64 // the least of the period; absent without a drain
+	nodes            nodes
+}
+
+// polledSeries is a figure that is kept elsewhere.
+type polledSeries struct {
+	series int
+	value  func() float64
+	base   float64 // what lives before this one had counted
 }
 
 // New makes a Set.
@@ -53,8 +53,8 @@
 	if o.Log == nil {
 		o.Log = func(string) {}
 	}
-	s := &Set{options: o, table: &SeriesTable{}, known: map[string]bool{}, byName: map[string]int{}, pending: map[string]float64{},
-		told: map[int]float64{}, margin: absent}
+	s := &Set{options: o, table: &SeriesTable{}, describedPatterns: map[string]bool{}, counters: map[string]int{}, pending: map[string]float64{},
+		lastDelta: map[int]float64{}, leastDrainMargin: noValue}
 	s.addClasses()
 	s.addDrains()
 	s.addNodes()
@@ -65,12 +65,12 @@
 func (s *Set) Table() *SeriesTable { return s.table }
 
 // Docs are the patterns of all series that there are or can be, in the order in which they were added.
-func (s *Set) Docs() []SeriesDoc { return s.docs }
+func (s *Set) Docs() []SeriesDoc { return s.seriesDocs }
 
 func (s *Set) describe(d SeriesDoc) {
-	if !s.known[d.Pattern] {
-		s.known[d.Pattern] = true
-		s.docs = append(s.docs, d)
+	if !s.describedPatterns[d.Pattern] {
+		s.describedPatterns[d.Pattern] = true
+		s.seriesDocs = append(s.seriesDocs, d)
 	}
 }
 
@@ -80,11 +80,11 @@
 	s.table.Append(Series{Name: name, Kind: kind})
 	s.values = append(s.values, 0)
 	if kind == Counter {
-		s.byName[name] = i
+		s.counters[name] = i
 		s.values[i] = s.pending[name]
 		delete(s.pending, name)
 	} else {
-		s.values[i] = absent
+		s.values[i] = noValue
 	}
 	return i
 }
@@ -94,17 +94,17 @@
 func (s *Set) AddFunc(d SeriesDoc, get func() float64) {
 	s.describe(d)
 	i := s.add(d.Pattern, d.Kind)
-	r := read{i: i, get: get}
+	r := polledSeries{series: i, value: get}
 	if d.Kind == Counter {
 		r.base = s.values[i]
 	}
-	s.reads = append(s.reads, r)
+	s.polled = append(s.polled, r)
 }
 
-// fresh asks for the figures that are kept elsewhere.
-func (s *Set) fresh() {
-	for _, r := range s.reads {
-		s.values[r.i] = r.base + r.get()
+// poll asks for the figures that are kept elsewhere.
+func (s *Set) poll() {
+	for _, r := range s.polled {
+		s.values[r.series] = r.base + r.value()
 	}
 }
 
@@ -116,40 +116,40 @@
 
 // FreezePeriod ends a period: what is counted from here on is the next one's. Encode must have ended the one before.
 func (s *Set) FreezePeriod(stamp int64, every float64) {
-	s.fresh()
-	s.latencies(func(_ string, l *latency) { l.close(s.values) })
-	s.values[s.drains.margin] = s.margin
-	s.margin = absent
+	s.poll()
+	s.forEachHistogram(func(_ string, l *histogram) { l.writeQuantiles(s.values) })
+	s.values[s.drains.margin] = s.leastDrainMargin
+	s.leastDrainMargin = noValue
 	for s.GatherNodeGauges(math.MaxInt32) {
 	}
-	s.nodes.gathered = 0
+	s.nodes.gatheredSlots = 0
 	s.frozen, s.encoded = append(s.frozen[:0], s.values...), 0
-	s.closing = &Period{Timestamp: stamp, Interval: every, Table: s.table, EncodedValues: appendCount(make([]byte, 0, 2*len(s.values)), len(s.values))}
+	s.encoding = &Period{Timestamp: stamp, Interval: every, Table: s.table, EncodedValues: appendCount(make([]byte, 0, 2*len(s.values)), len(s.values))}
 }
 
 // EncodePeriod writes so many values of the period that was frozen, and returns it once all are written; nil before.
 func (s *Set) EncodePeriod(most int) *Period {
 	end := min(s.encoded+most, len(s.frozen))
-	s.closing.EncodedValues = appendValues(s.closing.EncodedValues, s.frozen[s.encoded:end])
+	s.encoding.EncodedValues = appendValues(s.encoding.EncodedValues, s.frozen[s.encoded:end])
 	if s.encoded = end; end < len(s.frozen) {
 		return nil
 	}
-	return s.closing
+	return s.encoding
 }
 
 // AddTotals goes on from totals of an earlier life, or adds what another process of this dispatcher has counted.
 func (s *Set) AddTotals(totals map[string]float64) {
 	usable := func(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 	for name, v := range totals {
-		if i, ok := s.byName[name]; usable(v) && ok {
+		if i, ok := s.counters[name]; usable(v) && ok {
 			s.values[i] += v
 		} else if usable(v) {
 			s.pending[name] += v
 		}
 	}
-	for i := range s.reads {
-		r := &s.reads[i]
-		if told := s.table.Series(r.i); told.Kind == Counter && usable(totals[told.Name]) {
+	for i := range s.polled {
+		r := &s.polled[i]
+		if told := s.table.Series(r.series); told.Kind == Counter && usable(totals[told.Name]) {
 			r.base += totals[told.Name]
 		}
 	}
@@ -157,9 +157,9 @@
 
 // Totals are the counters by name.
 func (s *Set) Totals() map[string]float64 {
-	s.fresh()
+	s.poll()
 	totals := maps.Clone(s.pending)
-	for name, i := range s.byName {
+	for name, i := range s.counters {
 		if !math.IsNaN(s.values[i]) {
 			totals[name] = s.values[i]
 		}
@@ -172,16 +172,16 @@
 
 // TakeDelta is what was counted and measured since the last Delta, or since the start. For one process to hand to another.
 func (s *Set) TakeDelta() (counts map[string]float64, spans Latencies) {
-	s.fresh()
+	s.poll()
 	counts, spans = map[string]float64{}, Latencies{}
-	for name, i := range s.byName {
-		if v := s.values[i] - s.told[i]; v > 0 {
+	for name, i := range s.counters {
+		if v := s.values[i] - s.lastDelta[i]; v > 0 {
 			counts[name] = v
-			s.told[i] = s.values[i]
+			s.lastDelta[i] = s.values[i]
 		}
 	}
-	s.latencies(func(name string, l *latency) {
-		if bars := l.bars(); bars != nil {
+	s.forEachHistogram(func(name string, l *histogram) {
+		if bars := l.takeCounts(); bars != nil {
 			spans[name] = bars
 		}
 	})
@@ -190,14 +190,14 @@
 
 // MergeLatencies takes the spans of another process into the period at hand.
 func (s *Set) MergeLatencies(spans Latencies) {
-	s.latencies(func(name string, l *latency) { l.merge(spans[name]) })
+	s.forEachHistogram(func(name string, l *histogram) { l.addCounts(spans[name]) })
 }
 
-// latencies goes through all of them.
-func (s *Set) latencies(do func(name string, l *latency)) {
+// forEachHistogram goes through all of them.
+func (s *Set) forEachHistogram(do func(name string, l *histogram)) {
 	for i := range s.classes {
 		c := &s.classes[i]
 		do(c.name+".latency", &c.latency)
-		do(c.name+".start_wait", &c.start)
+		do(c.name+".start_wait", &c.startWait)
 	}
 }
--- a/internal/dispatcher/telemetry/slots.go
+++ b/internal/dispatcher/telemetry/slots.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// spot is where a node stands, by the settings' numbers.
-type spot struct{ zone, kind, cell int }
+// location is where a node stands, by the settings' numbers.
+type location struct{ zone, kind, cell int }
 
 // SlotAssignment says who holds a slot, for the life or the process that comes after.
 type SlotAssignment struct {
@@ -16,75 +16,77 @@
 	Node     string `json:"node"`
 }
 
-// handout gives nodes the slots of their spots. A slot is the lowest number that is free there, so that there are never
+// slotAllocator gives nodes the slots of their spots. A slot is the lowest number that is free there, so that there are never
 // more than there were nodes at one time; a node that comes back gets the one it had if nobody took it meanwhile.
-type handout struct {
-	spots map[spot][]string    // who holds each slot, "" for nobody
-	at    map[string]placement // who is listed, or was and still has its slot free for it
-	had   map[string]placement // who had a slot before
+type slotAllocator struct {
+	nodesBySlot map[location][]string // who holds each slot, "" for nobody
+	assigned    map[string]slotID     // who is listed, or was and still has its slot free for it
+	previous    map[string]slotID     // who had a slot before
 }
 
-type placement struct {
-	spot spot
-	slot int
+type slotID struct {
+	location location
+	number   int
 }
 
-// mostHad bounds how many nodes that have left are remembered, beside as many as there are slots.
-const mostHad = 1024
+// maxPrevious bounds how many nodes that have left are remembered, beside as many as there are slots.
+const maxPrevious = 1024
 
-func newHandout() *handout {
-	return &handout{spots: map[spot][]string{}, at: map[string]placement{}, had: map[string]placement{}}
+func newSlotAllocator() *slotAllocator {
+	return &slotAllocator{nodesBySlot: map[location][]string{}, assigned: map[string]slotID{}, previous: map[string]slotID{}}
 }
 
-// leave frees a node's slot.
-func (h *handout) leave(node string) {
-	p, ok := h.at[node]
+// release frees a node's slot.
+func (a *slotAllocator) release(node string) {
+	p, ok := a.assigned[node]
 	if !ok {
 		return
 	}
-	delete(h.at, node)
-	h.spots[p.spot][p.slot] = ""
-	h.had[node] = p
+	delete(a.assigned, node)
+	a.nodesBySlot[p.location][p.number] = ""
+	a.previous[node] = p
 	slots := 0
-	for _, s := range h.spots {
+	for _, s := range a.nodesBySlot {
 		slots += len(s)
 	}
-	if len(h.had) > slots+mostHad { // forgetting only costs a node its old number
-		for _, name := range slices.Sorted(maps.Keys(h.had))[:len(h.had)/2] {
-			delete(h.had, name)
+	if len(a.previous) > slots+maxPrevious { // forgetting only costs a node its old number
+		for _, name := range slices.Sorted(maps.Keys(a.previous))[:len(a.previous)/2] {
+			delete(a.previous, name)
 		}
 	}
 }
 
-// remember has a node get a slot back that it had in an earlier life.
-func (h *handout) remember(node string, s spot, slot int) { h.had[node] = placement{s, slot} }
+// restore has a node get a slot back that it had in an earlier life.
+func (a *slotAllocator) restore(node string, s location, slot int) {
+	a.previous[node] = slotID{s, slot}
+}
 
-// enter gives slots to nodes that are new, all of one event at once: what they are given must not hang on the order in
+// assign gives slots to nodes that are new, all of one event at once: what they are given must not hang on the order in
 // which a list names them.
-func (h *handout) enter(nodes map[string]spot) {
+func (a *slotAllocator) assign(nodes map[string]location) {
 	names := slices.SortedFunc(maps.Keys(nodes), func(x, y string) int { return cmp.Compare(x, y) })
 	for _, back := range []bool{true, false} {
 		for _, node := range names {
 			s := nodes[node]
-			if _, in := h.at[node]; in {
+			if _, in := a.assigned[node]; in {
 				continue
 			}
-			p, had := h.had[node]
-			if back && (!had || p.spot != s || p.slot < len(h.spots[s]) && h.spots[s][p.slot] != "") {
+			p, had := a.previous[node]
+			if back && (!had || p.location != s || p.number < len(a.nodesBySlot[s]) && a.nodesBySlot[s][p.number] != "") {
 				continue
 			}
-			slot := p.slot
+			slot := p.number
 			if !back {
-				if slot = slices.Index(h.spots[s], ""); slot < 0 {
-					slot = len(h.spots[s])
+				if slot = slices.Index(a.nodesBySlot[s], ""); slot < 0 {
+					slot = len(a.nodesBySlot[s])
 				}
 			}
-			for len(h.spots[s]) <= slot {
-				h.spots[s] = append(h.spots[s], "")
+			for len(a.nodesBySlot[s]) <= slot {
+				a.nodesBySlot[s] = append(a.nodesBySlot[s], "")
 			}
-			h.spots[s][slot] = node
-			h.at[node] = placement{s, slot}
-			delete(h.had, node)
+			a.nodesBySlot[s][slot] = node
+			a.assigned[node] = slotID{s, slot}
+			delete(a.previous, node)
 		}
 	}
 }
--- a/internal/dispatcher/telemetry/telemetry_test.go
+++ b/internal/dispatcher/telemetry/telemetry_test.go
@@ -21,12 +21,12 @@
 }
 
 // Whatever the values are, a period tells them again: whole numbers exactly, others to 24 bits, none as none.
-func TestPeriodsKeepTheirValues(t *testing.T) {
+func TestPeriodRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table SeriesTable
 		var values []float64
 		for i := range rapid.IntRange(0, 50).Draw(t, "n") {
-			v := rapid.OneOf(rapid.Just(math.NaN()), rapid.Map(rapid.Uint64Range(0, mostWhole), func(v uint64) float64 { return float64(v) }),
+			v := rapid.OneOf(rapid.Just(math.NaN()), rapid.Map(rapid.Uint64Range(0, maxExactInteger), func(v uint64) float64 { return float64(v) }),
 				rapid.Float64Range(-1e6, 1e6)).Draw(t, "v")
 			table.Append(Series{Name: fmt.Sprint(i)})
 			values = append(values, v)
@@ -70,33 +70,33 @@
 
 // For any course of lists there are never more slots in a spot than nodes were listed there at one time, nobody shares
 // one, nobody loses the one held, and the order in which a list names its nodes changes nothing.
-func TestSlotsAreHandedOn(t *testing.T) {
+func TestSlotAllocator(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, other := newHandout(), newHandout()
-		listed, most := map[string]spot{}, map[spot]int{}
+		h, other := newSlotAllocator(), newSlotAllocator()
+		listed, most := map[string]location{}, map[location]int{}
 		for range rapid.IntRange(1, 30).Draw(t, "lists") {
-			next := map[string]spot{}
+			next := map[string]location{}
 			for i := range rapid.IntRange(0, 12).Draw(t, "size") {
-				next[fmt.Sprintf("node-%d", rapid.IntRange(0, 40).Draw(t, "node"))] = spot{zone: i % 2}
+				next[fmt.Sprintf("node-%d", rapid.IntRange(0, 40).Draw(t, "node"))] = location{zone: i % 2}
 			}
-			before := map[string]placement{}
+			before := map[string]slotID{}
 			for node := range listed {
 				if next[node] == listed[node] && hasSpot(next, node) {
-					before[node] = h.at[node]
+					before[node] = h.assigned[node]
 				} else {
-					h.leave(node)
-					other.leave(node)
+					h.release(node)
+					other.release(node)
 				}
 			}
-			h.enter(next)
+			h.assign(next)
 			names := slices.Collect(keys(next))
 			slices.Reverse(names)
-			other.enter(next)
+			other.assign(next)
 			listed = next
-			count := map[spot]int{}
-			taken := map[placement]string{}
+			count := map[location]int{}
+			taken := map[slotID]string{}
 			for _, node := range names {
-				p := h.at[node]
+				p := h.assigned[node]
 				if was, held := before[node]; held && was != p {
 					t.Fatalf("%s had %v and has %v", node, was, p)
 				}
@@ -104,26 +104,26 @@
 					t.Fatalf("%s and %s share %v", node, by, p)
 				}
 				taken[p] = node
-				count[p.spot]++
+				count[p.location]++
 			}
 			for s, n := range count {
 				most[s] = max(most[s], n)
 			}
-			for s, slots := range h.spots {
+			for s, slots := range h.nodesBySlot {
 				if len(slots) > most[s] {
 					t.Fatalf("%d slots at %v for %d nodes", len(slots), s, most[s])
 				}
 			}
-			if d := cmp.Diff(h.at, other.at, cmp.AllowUnexported(placement{}, spot{})); d != "" {
+			if d := cmp.Diff(h.assigned, other.assigned, cmp.AllowUnexported(slotID{}, location{})); d != "" {
 				t.Fatal(d)
 			}
 		}
 	})
 }
 
-func hasSpot(m map[string]spot, node string) bool { _, ok := m[node]; return ok }
+func hasSpot(m map[string]location, node string) bool { _, ok := m[node]; return ok }
 
-func keys(m map[string]spot) func(func(string) bool) {
+func keys(m map[string]location) func(func(string) bool) {
 	return func(yield func(string) bool) {
 		for k := range m {
 			if !yield(k) {
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestNamesThatCleanToOne(t *testing.T) {
+func TestSanitizeNames(t *testing.T) {
 	got := SanitizeNames([]string{"a.b", "a_b", "", "a b", "c/ü"})
 	if d := cmp.Diff([]string{"a_b", "a_b_2", "_", "a_b_3", "c__"}, got); d != "" {
 		t.Error(d)
@@ -147,7 +147,7 @@
 	return dispatch.Member{Name: name, Worker: loadbalancer.Worker{ID: id, Zone: zone, State: state}}
 }
 
-func try(node string, id loadbalancer.WorkerID, result loadbalancer.Result) *dispatch.AttemptRecord {
+func attemptRecord(node string, id loadbalancer.WorkerID, result loadbalancer.Result) *dispatch.AttemptRecord {
 	return &dispatch.AttemptRecord{Worker: id, MemberName: node, Result: result}
 }
 
@@ -155,7 +155,7 @@
 
 // A list renames half its entries, twice: the newcomers take the slots of those that left, whose totals go on, and
 // there is not one series more.
-func TestARenamedListGrowsNothing(t *testing.T) {
+func TestRenamedNodesReuseSeries(t *testing.T) {
 	s := newSet(Options{MaxNodes: 100})
 	list := func(kind loadbalancer.ListKind, names ...string) {
 		var members []dispatch.Member
@@ -164,7 +164,7 @@
 		}
 		s.ObserveMembers(kind, members)
 		for _, m := range members {
-			s.ObserveAttempt(try(m.Name, m.ID, loadbalancer.OK))
+			s.ObserveAttempt(attemptRecord(m.Name, m.ID, loadbalancer.OK))
 		}
 	}
 	list(loadbalancer.ListFull, "a", "b", "c", "d")
@@ -184,19 +184,19 @@
 	if sum != 12 {
 		t.Error(sum)
 	}
-	s.ObserveAttempt(try("c", 99, loadbalancer.OK)) // comes late, of a node whose slot another has
+	s.ObserveAttempt(attemptRecord("c", 99, loadbalancer.OK)) // comes late, of a node whose slot another has
 	if got := s.total("nodes_unplaced.ended"); got != 1 {
 		t.Errorf("%v attempts without a slot", got)
 	}
 }
 
 // More nodes than may have series: the rest has none and is counted, and the totals of classes are whole.
-func TestTooManyNodes(t *testing.T) {
+func TestMaxNodes(t *testing.T) {
 	s := newSet(Options{MaxNodes: 2})
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready), member("b", 2, 0, loadbalancer.Ready), member("c", 3, 0, loadbalancer.Ready)})
-	s.ObserveAttempt(try("c", 3, loadbalancer.OK))
+	s.ObserveAttempt(attemptRecord("c", 3, loadbalancer.OK))
 	s.ClosePeriod(1, 1)
-	if got := s.values[s.nodes.without]; got != 1 {
+	if got := s.values[s.nodes.excess]; got != 1 {
 		t.Errorf("%v nodes without series", got)
 	}
 	if got := s.total("nodes_unplaced.ended"); got != 1 || s.total("classes.score.fetches.end_ok") != 1 {
@@ -248,29 +248,29 @@
 	s := newSet(Options{MaxNodes: 10})
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
 	f := &dispatch.AnswerRecord{Verdict: dispatch.Served, AnsweredAt: 0.2, StartedAt: 0.1, Attempts: make([]dispatch.AttemptRecord, 1)}
-	tr, report := try("a", 1, loadbalancer.OK), []float32{0.5, 3}
+	tr, report := attemptRecord("a", 1, loadbalancer.OK), []float32{0.5, 3}
 	if n := testing.AllocsPerRun(1000, func() { s.ObserveAnswer(f); s.ObserveAttempt(tr); s.ObserveLoadReport(1, 1, report, false) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
 // world is a dispatcher's figures, its receivers and its disk, over virtual time.
-type course struct {
-	set       *Set
-	ring      *Ring
-	places    []*Cursor
-	receivers []map[int64]float64 // total by stamp
-	up        []bool
-	stamp     int64
-	names     int
-	disk      *Period
-	held      []SlotAssignment
-	closed    float64 // answers in closed periods
-	open      float64 // answers of the period at hand
-	lost      float64
+type lifecycle struct {
+	set           *Set
+	ring          *Ring
+	places        []*Cursor
+	receivers     []map[int64]float64 // total by stamp
+	reachable     []bool
+	stamp         int64
+	renames       int
+	disk          *Period
+	held          []SlotAssignment
+	closedAnswers float64 // answers in closed periods
+	openAnswers   float64 // answers of the period at hand
+	lostAnswers   float64
 }
 
-func (c *course) begin() {
+func (c *lifecycle) restart() {
 	c.set, c.ring, c.places = newSet(Options{MaxNodes: 64}), NewRing(1<<20), nil
 	for i := range c.receivers {
 		c.places = append(c.places, c.ring.OpenCursor(fmt.Sprint(i)))
@@ -285,17 +285,17 @@
 	}
 }
 
-func (c *course) close() {
+func (c *lifecycle) closePeriod() {
 	c.stamp++
 	c.disk = c.set.ClosePeriod(c.stamp, 1)
 	c.held = c.set.SlotAssignments()
 	c.ring.Push(c.disk)
-	c.closed, c.open = c.closed+c.open, 0
+	c.closedAnswers, c.openAnswers = c.closedAnswers+c.openAnswers, 0
 }
 
 // deliver has a receiver that is up get what it may, up to n periods; the last one perhaps without a word that it has it.
-func (c *course) deliver(t *rapid.T, i, n int, broken bool) {
-	for ; n > 0 && c.up[i]; n-- {
+func (c *lifecycle) deliver(t *rapid.T, i, n int, broken bool) {
+	for ; n > 0 && c.reachable[i]; n-- {
 		p, number := c.ring.PeriodFrom(c.places[i].Next())
 		if p == nil {
 			return
@@ -321,31 +321,31 @@
 
 // For any order of answers, renames, outages, ends of periods, restarts and kills, each receiver that is up in the end has
 // a total that equals the answers given, but for those of periods that a kill left open. Totals never fall.
-func TestSumsAreTheAnswersGiven(t *testing.T) {
+func TestTotalsMatchAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := &course{receivers: []map[int64]float64{{}, {}}, up: []bool{true, true}}
-		c.begin()
+		c := &lifecycle{receivers: []map[int64]float64{{}, {}}, reachable: []bool{true, true}}
+		c.restart()
 		t.Repeat(map[string]func(*rapid.T){
 			"answer": func(t *rapid.T) {
 				v := rapid.SampledFrom([]dispatch.Verdict{dispatch.Served, dispatch.Rejected, dispatch.Failed, dispatch.Disconnected, dispatch.Requeued}).Draw(t, "verdict")
 				c.set.ObserveAnswer(&dispatch.AnswerRecord{Verdict: v, AnsweredAt: 1, TargetAt: rapid.Float64Range(0, 2).Draw(t, "aim"), WinningAttempt: -1})
-				c.open++
+				c.openAnswers++
 			},
 			"rename": func(t *rapid.T) {
-				c.names++
-				c.set.ObserveMembers(loadbalancer.ListFull, []dispatch.Member{member("stays", 1, 0, loadbalancer.Ready), member(fmt.Sprint("n", c.names), loadbalancer.WorkerID(c.names+1), 0, loadbalancer.Ready)})
+				c.renames++
+				c.set.ObserveMembers(loadbalancer.ListFull, []dispatch.Member{member("stays", 1, 0, loadbalancer.Ready), member(fmt.Sprint("n", c.renames), loadbalancer.WorkerID(c.renames+1), 0, loadbalancer.Ready)})
 			},
-			"away": func(t *rapid.T) { i := rapid.IntRange(0, 1).Draw(t, "receiver"); c.up[i] = !c.up[i] },
+			"away": func(t *rapid.T) { i := rapid.IntRange(0, 1).Draw(t, "receiver"); c.reachable[i] = !c.reachable[i] },
 			"deliver": func(t *rapid.T) {
 				c.deliver(t, rapid.IntRange(0, 1).Draw(t, "receiver"), rapid.IntRange(1, 4).Draw(t, "periods"), rapid.Bool().Draw(t, "breaks"))
 			},
-			"period":  func(*rapid.T) { c.close() },
-			"restart": func(*rapid.T) { c.close(); c.begin() },
-			"kill":    func(*rapid.T) { c.lost, c.open = c.lost+c.open, 0; c.begin() },
+			"period":  func(*rapid.T) { c.closePeriod() },
+			"restart": func(*rapid.T) { c.closePeriod(); c.restart() },
+			"kill":    func(*rapid.T) { c.lostAnswers, c.openAnswers = c.lostAnswers+c.openAnswers, 0; c.restart() },
 		})
-		c.close()
+		c.closePeriod()
 		for i := range c.receivers {
-			c.up[i] = true
+			c.reachable[i] = true
 			c.deliver(t, i, 1<<20, false)
 			last := 0.0
 			for stamp := int64(1); stamp <= c.stamp; stamp++ {
@@ -355,12 +355,12 @@
 					last = v
 				}
 			}
-			if last != c.closed {
-				t.Fatalf("receiver %d has %v, given were %v and lost %v", i, last, c.closed, c.lost)
+			if last != c.closedAnswers {
+				t.Fatalf("receiver %d has %v, given were %v and lost %v", i, last, c.closedAnswers, c.lostAnswers)
 			}
 		}
-		if n := c.set.Table().Len(); c.names > 0 && n > newSet(Options{MaxNodes: 64}).Table().Len()+2*int(nodeFigures) {
-			t.Fatalf("%d series after %d renames", n, c.names)
+		if n := c.set.Table().Len(); c.renames > 0 && n > newSet(Options{MaxNodes: 64}).Table().Len()+2*int(nodeSeriesCount) {
+			t.Fatalf("%d series after %d renames", n, c.renames)
 		}
 	})
 }
@@ -418,7 +418,7 @@
 }
 
 // What a restart is told of slots gives nodes theirs back, whatever the order of the uids; nonsense is passed over.
-func TestSlotsOutliveTheProcess(t *testing.T) {
+func TestRestoreSlots(t *testing.T) {
 	s := newSet(Options{MaxNodes: 10})
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("z", 1, 0, loadbalancer.Ready)})
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 2, 0, loadbalancer.Ready), member("b", 3, 1, loadbalancer.Draining)})
@@ -477,12 +477,12 @@
 	}
 }
 
-// BenchmarkAnswered is what recording costs a job: its attempt, its report, its answer.
-func BenchmarkAnswered(b *testing.B) {
+// BenchmarkObserve is what recording costs a job: its attempt, its report, its answer.
+func BenchmarkObserve(b *testing.B) {
 	s := newSet(Options{MaxNodes: 10})
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
 	f := &dispatch.AnswerRecord{Verdict: dispatch.Served, AnsweredAt: 0.2, StartedAt: 0.1, Attempts: make([]dispatch.AttemptRecord, 1)}
-	tr, report := try("a", 1, loadbalancer.OK), []float32{0.5, 3}
+	tr, report := attemptRecord("a", 1, loadbalancer.OK), []float32{0.5, 3}
 	for b.Loop() {
 		s.ObserveAttempt(tr)
 		s.ObserveLoadReport(1, 1, report, false)
