--- a/internal/system/replica/agent_failover_test.go
+++ b/internal/system/replica/agent_failover_test.go
@@ -112,9 +112,9 @@
 		lagging = feed.NewPartitionSet(feed.ConfigurationPartition)
 	}
 	f.table.Apply(sim.now, batch)
-	for _, link := range sim.oracle.versions {
-		if link.index > before && link.index <= f.table.Index() {
-			f.receivedAt[link.index] = sim.now
+	for _, version := range sim.oracle.versions {
+		if version.index > before && version.index <= f.table.Index() {
+			f.receivedAt[version.index] = sim.now
 		}
 	}
 	f.selector.HandleReply(sim.now, from, upstream.Reply{Ages: []time.Duration{age}, Lagging: lagging})
@@ -136,7 +136,7 @@
 	sim.runFor(scenarioWarmup)
 	process := sim.leader()
 	if process == nil {
-		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
+		t.Fatalf("seed %d: there is no leader after %v", seed, scenarioWarmup)
 	}
 	followed := process.machine
 	if !leads {
@@ -160,15 +160,15 @@
 		t.Fatal(sim.failure)
 	}
 	var delays []time.Duration
-	for _, link := range sim.oracle.versions {
-		if link.committedAt < began || link.committedAt > until {
+	for _, version := range sim.oracle.versions {
+		if version.committedAt < began || version.committedAt > until {
 			continue
 		}
-		at, held := agent.receivedAt[link.index]
+		at, held := agent.receivedAt[version.index]
 		if !held {
-			t.Fatalf("seed %d: version %d, in force at %v, never came", seed, link.request.version, link.committedAt)
+			t.Fatalf("seed %d: version %d, committed at %v, never arrived", seed, version.request.version, version.committedAt)
 		}
-		delays = append(delays, at-link.committedAt)
+		delays = append(delays, at-version.committedAt)
 	}
 	return delays
 }
--- a/internal/system/replica/cluster_test.go
+++ b/internal/system/replica/cluster_test.go
@@ -193,19 +193,19 @@
 }
 
 // wait waits for a condition.
-func (m *testMachine) wait(what string, holds func() error) {
+func (m *testMachine) wait(what string, condition func() error) {
 	m.t.Helper()
-	waitFor(m.t, what, holds)
+	waitFor(m.t, what, condition)
 }
 
 // waitFor polls a condition until it returns nil, for testTimeout at most.
-func waitFor(t *testing.T, what string, holds func() error) {
+func waitFor(t *testing.T, what string, condition func() error) {
 	t.Helper()
 	deadline := time.Now().Add(testTimeout)
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		err := holds()
+		err := condition()
 		if err == nil {
 			return
 		}
@@ -317,7 +317,7 @@
 				return nil
 			}
 		}
-		return errors.New("nobody leads")
+		return errors.New("there is no leader")
 	})
 	return leader
 }
--- a/internal/system/replica/compression_test.go
+++ b/internal/system/replica/compression_test.go
@@ -39,7 +39,7 @@
 	for name, packed := range map[string][]byte{"cut short": whole[:len(whole)/2], "huge": huge, "no size": {0xff},
 		"more than it can hold": binary.AppendUvarint(nil, 1<<20)} {
 		if _, err := (&DeliverRequest{Packed: packed}).decompress(); err == nil {
-			t.Errorf("%s: it is taken", name)
+			t.Errorf("%s: it is accepted", name)
 		}
 	}
 }
--- a/internal/system/replica/contact_test.go
+++ b/internal/system/replica/contact_test.go
@@ -32,7 +32,7 @@
 	sim.runFor(scenarioWarmup)
 	process := sim.leader()
 	if process == nil {
-		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
+		t.Fatalf("seed %d: there is no leader after %v", seed, scenarioWarmup)
 	}
 	leader := process.machine
 	inject(sim, leader, contactFaultDuration)
@@ -142,6 +142,6 @@
 		}
 	}
 	if contacts := (contacts{}); !contacts.heardQuorum(1, &consensus.Membership{}, time.Second) {
-		t.Error("a replica that knows no members takes itself for cut off")
+		t.Error("a replica that knows no members reports no contact")
 	}
 }
--- a/internal/system/replica/elections_test.go
+++ b/internal/system/replica/elections_test.go
@@ -35,7 +35,7 @@
 	sim.runFor(scenarioWarmup)
 	process := sim.leader()
 	if process == nil {
-		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
+		t.Fatalf("seed %d: there is no leader after %v", seed, scenarioWarmup)
 	}
 	before := sim.newestTerm()
 	cut(sim, process.machine, sim.machines[(process.machine.index+1+sim.random.IntN(4))%len(sim.machines)])
--- a/internal/system/replica/group_test.go
+++ b/internal/system/replica/group_test.go
@@ -84,14 +84,14 @@
 	s.t.Helper()
 	pending := s.group.propose(s.now, []byte(command))
 	if pending == nil {
-		s.t.Fatal("the proposal was not taken")
+		s.t.Fatal("the proposal was rejected")
 	}
 	s.processReady()
 	return pending
 }
 
 // receivedOutcome returns the outcome that a proposal was resolved with, if it was.
-func receivedOutcome(p *proposal) (outcome Outcome, told bool) {
+func receivedOutcome(p *proposal) (outcome Outcome, received bool) {
 	select {
 	case reply := <-p.done:
 		return reply.Outcome, true
@@ -111,15 +111,15 @@
 	before := scripted.lastSent[consensus.MessageVote].Term
 	scripted.step(consensus.Message{Kind: consensus.MessageAppend, From: 3, Term: before + 1, Round: 1,
 		Entries: []consensus.Entry{{Index: 1, Term: before + 1}}})
-	if _, told := receivedOutcome(first); told {
-		t.Fatal("an outcome was told before one was known")
+	if _, received := receivedOutcome(first); received {
+		t.Fatal("an outcome was reported before one was known")
 	}
 	scripted.elect()
 	for scripted.group.proposals[first.index] == first {
 		scripted.propose("displaces")
 	}
-	if outcome, told := receivedOutcome(first); !told || outcome != OutcomeUnknown {
-		t.Errorf("outcome %d, told %v; want it not to be known", outcome, told)
+	if outcome, received := receivedOutcome(first); !received || outcome != OutcomeUnknown {
+		t.Errorf("outcome %d, received %v; want OutcomeUnknown", outcome, received)
 	}
 }
 
@@ -137,12 +137,12 @@
 	scripted.step(consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: scripted.lastSent[consensus.MessageVote].Term,
 		Index: waiting[0].index})
 	for i, p := range waiting {
-		if outcome, told := receivedOutcome(p); told != (i != 1) || told && outcome != OutcomeCommitted {
-			t.Errorf("proposal %d: outcome %d, told %v", i, outcome, told)
+		if outcome, received := receivedOutcome(p); received != (i != 1) || received && outcome != OutcomeCommitted {
+			t.Errorf("proposal %d: outcome %d, received %v", i, outcome, received)
 		}
 	}
 	if again := scripted.propose(large); again.index == waiting[0].index {
-		t.Error("a command that was agreed on is under way")
+		t.Error("a committed command still counts as uncommitted")
 	}
 }
 
@@ -154,8 +154,8 @@
 	term := s.lastSent[consensus.MessageVote].Term + 1
 	s.step(consensus.Message{Kind: consensus.MessageAppend, From: 3, Term: term, Round: 1, Commit: lost.index,
 		Entries: []consensus.Entry{{Index: 1, Term: term}, {Index: 2, Term: term, Data: []byte("another")}}})
-	if outcome, told := receivedOutcome(lost); !told || outcome != OutcomeDropped {
-		t.Errorf("outcome %d, told %v; want it not to be taken", outcome, told)
+	if outcome, received := receivedOutcome(lost); !received || outcome != OutcomeDropped {
+		t.Errorf("outcome %d, received %v; want OutcomeDropped", outcome, received)
 	}
 }
 
@@ -165,8 +165,8 @@
 	scripted := newScriptedGroup(t)
 	scripted.elect()
 	pending := scripted.propose("a command")
-	if _, told := receivedOutcome(pending); told {
-		t.Fatal("an outcome was told before a majority had it")
+	if _, received := receivedOutcome(pending); received {
+		t.Fatal("an outcome was reported before a majority had the entry")
 	}
 	scripted.step(consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: pending.term, Index: pending.index})
 	select {
@@ -175,7 +175,7 @@
 			t.Errorf("outcome %d, %q", reply.Outcome, reply.Result)
 		}
 	default:
-		t.Error("no outcome was told")
+		t.Error("no outcome was reported")
 	}
 }
 
@@ -183,16 +183,16 @@
 // queued jobs is bounded.
 func TestStalledDiskBoundsQueue(t *testing.T) {
 	scripted := newScriptedGroup(t)
-	beat := consensus.Message{Kind: consensus.MessageAppend, From: 2, To: 1, Term: 1, Round: 1,
+	heartbeat := consensus.Message{Kind: consensus.MessageAppend, From: 2, To: 1, Term: 1, Round: 1,
 		Entries: []consensus.Entry{{Index: 1, Term: 1}}}
-	for beat.Round < 4*maxQueuedJobs {
+	for heartbeat.Round < 4*maxQueuedJobs {
 		scripted.now += defaultHeartbeatInterval
-		scripted.group.node.Step(scripted.now, beat)
+		scripted.group.node.Step(scripted.now, heartbeat)
 		if err := scripted.group.processReady(scripted); err != nil {
 			t.Fatal(err)
 		}
-		beat.Round, beat.Entries = beat.Round+1, nil
-		beat.Index, beat.LogTerm = 1, 1
+		heartbeat.Round, heartbeat.Entries = heartbeat.Round+1, nil
+		heartbeat.Index, heartbeat.LogTerm = 1, 1
 	}
 	if len(scripted.jobs) > maxQueuedJobs || scripted.group.node.Leader() != 2 {
 		t.Errorf("%d jobs wait, and %d leads", len(scripted.jobs), scripted.group.node.Leader())
@@ -203,8 +203,8 @@
 	for i := range jobs {
 		scripted.group.handlePersisted(&jobs[i], scripted)
 	}
-	scripted.step(beat)
-	if reply := scripted.lastSent[consensus.MessageAppendReply]; reply.Index != 1 || reply.Round != beat.Round {
+	scripted.step(heartbeat)
+	if reply := scripted.lastSent[consensus.MessageAppendReply]; reply.Index != 1 || reply.Round != heartbeat.Round {
 		t.Errorf("once the write has ended the answer is %+v", reply)
 	}
 }
--- a/internal/system/replica/host_test.go
+++ b/internal/system/replica/host_test.go
@@ -182,11 +182,11 @@
 	}{{founder, false}, {joined, true}} {
 		g.node.Step(time.Second, consensus.Message{Kind: consensus.MessageAppend, From: leader.id, To: self, Term: uint64(leader.id)})
 		if wants := host.needsJoin(time.Second); wants != leader.wants {
-			t.Errorf("led by %d: it asks to be taken in: %v, want %v", leader.id, wants, leader.wants)
+			t.Errorf("led by %d: needsJoin is %v, want %v", leader.id, wants, leader.wants)
 		}
 	}
 	host.peers.learnAddress(joined, netip.MustParseAddrPort("10.0.0.9:9000"))
 	if host.needsJoin(time.Second) {
-		t.Error("it asks on although it knows where its leader is")
+		t.Error("it needs to join although it knows the address of its leader")
 	}
 }
--- a/internal/system/replica/peers.go
+++ b/internal/system/replica/peers.go
@@ -13,8 +13,12 @@
 )
 
 // peerOptions configure connections between replicas: an unreachable peer is given up and dialled again soon.
-var peerOptions = rpc.ClientOptions{DialTimeout: 700 * time.Millisecond, CallTimeout: 2 * time.Second, TCPUserTimeout: 1500 * time.Millisecond,
-	DialBackoff: 50 * time.Millisecond}
+var peerOptions = rpc.ClientOptions{
+	DialTimeout:    700 * time.Millisecond,
+	CallTimeout:    2 * time.Second,
+	TCPUserTimeout: 1500 * time.Millisecond,
+	DialBackoff:    50 * time.Millisecond,
+}
 
 const (
 	bulkTimeout          = time.Minute // for a large request to arrive and be handled
@@ -48,8 +52,8 @@
 }
 
 // newPeerSet returns an empty set. The context ends its goroutines, which are counted in the wait group.
-func newPeerSet(ctx context.Context, running *sync.WaitGroup) *peerSet {
-	return &peerSet{context: ctx, goroutines: running, byAddress: make(map[netip.AddrPort]*peer),
+func newPeerSet(ctx context.Context, goroutines *sync.WaitGroup) *peerSet {
+	return &peerSet{context: ctx, goroutines: goroutines, byAddress: make(map[netip.AddrPort]*peer),
 		learnedAddresses: make(map[consensus.ReplicaID]netip.AddrPort)}
 }
 
--- a/internal/system/replica/repair_test.go
+++ b/internal/system/replica/repair_test.go
@@ -161,7 +161,7 @@
 					sim.runFor(down)
 					d, bears := sim.untilTolerant(setup.losses, 20*time.Second)
 					if !bears || sim.failure != "" {
-						t.Fatalf("seed %d: no further loss is borne %v after the start: %s", seed, d, sim.failure)
+						t.Fatalf("seed %d: no further loss is tolerated %v after the start: %s", seed, d, sim.failure)
 					}
 					took = append(took, d)
 				}
@@ -218,7 +218,7 @@
 				before := len(sim.oracle.versions)
 				sim.runFor(8 * time.Second)
 				if sim.failure != "" || len(sim.oracle.versions) == before {
-					t.Fatalf("seed %d: nothing is agreed on any more: %s", seed, sim.failure)
+					t.Fatalf("seed %d: nothing is committed any more: %s", seed, sim.failure)
 				}
 			}
 		})
@@ -238,7 +238,7 @@
 				sim.replacePlanned()
 				d, bears := sim.untilTolerant(setup.losses, 20*time.Second)
 				if !bears || sim.failure != "" {
-					t.Fatalf("seed %d: no further loss is borne %v after the old one ended: %s", seed, d, sim.failure)
+					t.Fatalf("seed %d: no further loss is tolerated %v after the old one ended: %s", seed, d, sim.failure)
 				}
 				windows = append(windows, d)
 				checkLossAfterReplacement(t, seed, setup)
@@ -269,7 +269,7 @@
 	before := len(sim.oracle.versions)
 	sim.runFor(8 * time.Second)
 	if sim.failure != "" || len(sim.oracle.versions) == before {
-		t.Fatalf("seed %d: nothing is agreed on after a loss as the old machine ended: %s", seed, sim.failure)
+		t.Fatalf("seed %d: nothing is committed after a loss as the old machine ended: %s", seed, sim.failure)
 	}
 }
 
@@ -297,13 +297,13 @@
 		}
 		sim.runFor(testCatchUp)
 		if !sim.toleratesAnyLoss(1) {
-			t.Fatalf("seed %d: two of five have left, and no loss is borne: %s", seed, sim.failure)
+			t.Fatalf("seed %d: two of five have left, and no loss is tolerated: %s", seed, sim.failure)
 		}
 		sim.wipeDisks(sim.pickMachines(1), time.Second)
 		before := len(sim.oracle.versions)
 		sim.runFor(8 * time.Second)
 		if sim.failure != "" || len(sim.oracle.versions) == before {
-			t.Fatalf("seed %d: nothing is agreed on any more: %s", seed, sim.failure)
+			t.Fatalf("seed %d: nothing is committed any more: %s", seed, sim.failure)
 		}
 	}
 }
--- a/internal/system/replica/resource_bounds_test.go
+++ b/internal/system/replica/resource_bounds_test.go
@@ -181,6 +181,6 @@
 		t.Errorf("%d bytes on disk, at most %d; %d of memory, at most %d", mostDisk, maxDiskBytes, mostHeap, maxHeapBytes)
 	}
 	if single.state.Version() != single.version {
-		t.Errorf("version %d is in force, not %d", single.state.Version(), single.version)
+		t.Errorf("version %d is current, not %d", single.state.Version(), single.version)
 	}
 }
--- a/internal/system/replica/rpc.go
+++ b/internal/system/replica/rpc.go
@@ -83,7 +83,7 @@
 const (
 	OutcomeUnknown   Outcome = iota // it may have been committed, or be committed later
 	OutcomeCommitted                // it was committed and applied; a read index was confirmed
-	OutcomeDropped                  // it was not proposed or was overwritten, so that it is never committed; a read index was not confirmed
+	OutcomeDropped                  // it was not proposed or was overwritten, so it never commits; no read index was confirmed
 )
 
 // handlePropose proposes to this machine's replica only; the caller has to find another leader itself.
--- a/internal/system/replica/sim_checks_test.go
+++ b/internal/system/replica/sim_checks_test.go
@@ -30,7 +30,7 @@
 	}
 	request, known := sim.oracle.commands[this.command]
 	if !known {
-		sim.fail("a change is in force at %d that nobody sent", index)
+		sim.fail("a change that nobody sent is accepted at %d", index)
 	}
 	if request.zone != "" {
 		sim.recordEvacuation(&request)
@@ -38,14 +38,14 @@
 	}
 	before := sim.oracle.versionAt(index)
 	if request.base != before || request.version <= before {
-		sim.fail("version %d on %d is put in force at %d on %d", request.version, request.base, index, before)
+		sim.fail("version %d on %d is accepted at %d on %d", request.version, request.base, index, before)
 	}
 	for _, committed := range sim.oracle.versions {
 		if committed.request.digest == request.digest || committed.index >= index {
-			sim.fail("a change is put in force at %d and at %d", committed.index, index)
+			sim.fail("a change is accepted at %d and at %d", committed.index, index)
 		}
 	}
-	sim.logf("%d puts version %d in force at %d", process.machine.index, request.version, index)
+	sim.logf("%d accepts version %d at %d", process.machine.index, request.version, index)
 	sim.oracle.versions = append(sim.oracle.versions, committedVersion{sim.now, index, request})
 }
 
@@ -57,7 +57,7 @@
 			process.group.appliedIndex)
 	}
 	if process.group.appliedIndex != process.appliedIndex && version != sim.oracle.versionAt(process.group.appliedIndex) {
-		sim.fail("machine %d is at version %d, where %d was agreed", process.machine.index, version, sim.oracle.versionAt(process.group.appliedIndex))
+		sim.fail("machine %d is at version %d, where %d was committed", process.machine.index, version, sim.oracle.versionAt(process.group.appliedIndex))
 	}
 	process.version, process.appliedIndex = version, process.group.appliedIndex
 	sim.checkStaleness(process)
@@ -241,7 +241,7 @@
 	committed, _ := sim.oracle.committedAt(agent.table.Index())
 	version := committed.request.version
 	if string(value) != fmt.Sprint(version) && (version > 0 || len(value) > 0) {
-		sim.fail("an agent holds version %q at %d, where %d was agreed", value, agent.table.Index(), version)
+		sim.fail("an agent holds version %q at %d, where %d was committed", value, agent.table.Index(), version)
 	}
 	if version > 0 && string(owner) != string(committed.request.digest[:]) {
 		sim.fail("an agent holds version %d in a mixture", version)
@@ -257,8 +257,8 @@
 	if sim.failure != "" {
 		return
 	}
-	if why := sim.notConverged(); why != "" {
-		sim.fail("%v after the last fault: %s", recoveryPhase, why)
+	if reason := sim.notConverged(); reason != "" {
+		sim.fail("%v after the last fault: %s", recoveryPhase, reason)
 		return
 	}
 	sim.stats.counters.versions += len(sim.oracle.versions)
@@ -295,15 +295,15 @@
 	if status.Role == consensus.Leader && status.CaughtUpAt == status.LastLeaderContact {
 		slack = 0 // confirmed by a round that a majority answered
 	}
-	then := sim.now - time.Duration(float64(age)/process.machine.clockRate) - slack
+	currentSince := sim.now - time.Duration(float64(age)/process.machine.clockRate) - slack
 	for i := len(sim.oracle.versions) - 1; i >= 0; i-- {
-		link := &sim.oracle.versions[i]
-		if link.committedAt >= then {
+		version := &sim.oracle.versions[i]
+		if version.committedAt >= currentSince {
 			continue
 		}
-		if link.index > process.group.appliedIndex {
-			sim.fail("machine %d says that it was up to date %v ago, and lacks %d of version %d, in force for %v", process.machine.index,
-				age, link.index, link.request.version, sim.now-link.committedAt)
+		if version.index > process.group.appliedIndex {
+			sim.fail("machine %d reports a staleness of %v, and lacks entry %d of version %d, committed %v ago", process.machine.index,
+				age, version.index, version.request.version, sim.now-version.committedAt)
 		}
 		return
 	}
--- a/internal/system/replica/sim_convergence_test.go
+++ b/internal/system/replica/sim_convergence_test.go
@@ -14,11 +14,11 @@
 func (sim *simulation) notConverged() string {
 	process := sim.leader()
 	if process == nil {
-		return "nobody leads"
+		return "there is no leader"
 	}
 	machines := sim.activeMachines()
-	if why := sim.membershipNotConverged(process, machines); why != "" {
-		return why
+	if reason := sim.membershipNotConverged(process, machines); reason != "" {
+		return reason
 	}
 	for _, machine := range machines {
 		other := machine.process
@@ -31,12 +31,12 @@
 	}
 	for _, operator := range sim.operators {
 		if !operator.done {
-			return fmt.Sprintf("operator %d does not know what became of its change", operator.number)
+			return fmt.Sprintf("operator %d does not know the outcome of its change", operator.number)
 		}
 	}
 	for _, operator := range sim.evacuationOperators {
-		if why := operator.notConverged(); why != "" {
-			return why
+		if reason := operator.notConverged(); reason != "" {
+			return reason
 		}
 	}
 	for _, agent := range sim.agents {
--- a/internal/system/replica/sim_evacuation_test.go
+++ b/internal/system/replica/sim_evacuation_test.go
@@ -58,14 +58,14 @@
 // startOrder starts an order: the opposite of the last one, or at times the same again.
 func (o *evacuationOperator) startOrder() {
 	sim := o.sim
-	on := o.order == nil || !o.order.request.evacuated
+	evacuate := o.order == nil || !o.order.request.evacuated
 	if sim.chance(0.2) {
-		on = !on
+		evacuate = !evacuate
 	}
 	if o.order != nil {
 		*o.order.request.abandoned = true
 	}
-	order := &evacuationOrder{request: simRequest{zone: o.zone, evacuated: on, abandoned: new(bool)}}
+	order := &evacuationOrder{request: simRequest{zone: o.zone, evacuated: evacuate, abandoned: new(bool)}}
 	o.order = order
 	o.send(order)
 	sim.schedule(sim.uniform(500*time.Millisecond, 5*time.Second), func() {
@@ -116,26 +116,26 @@
 }
 
 // request sends a request to any machine and records the response if it arrives in time.
-func (o *evacuationOperator) request(record *evacuationRecord, request *simRequest, told func(simResponse)) {
+func (o *evacuationOperator) request(record *evacuationRecord, request *simRequest, handle func(simResponse)) {
 	sim := o.sim
 	o.history = append(o.history, record)
-	given := sim.now + operatorTimeout
+	deadline := sim.now + operatorTimeout
 	process := sim.randomMachine().process
 	if process == nil {
 		return
 	}
 	sim.schedule(time.Millisecond, func() {
 		process.execute(func() {
-			if request.read && sim.now > given {
+			if request.read && sim.now > deadline {
 				return
 			}
 			process.handleRequest(request, func(response simResponse) {
 				sim.schedule(time.Millisecond, func() {
-					if sim.now > given || response.kind == responseUnknown || record.answered {
+					if sim.now > deadline || response.kind == responseUnknown || record.answered {
 						return
 					}
 					record.answered, record.evacuated, record.returned = true, response.evacuated, sim.now
-					told(response)
+					handle(response)
 				})
 			})
 		})
@@ -145,7 +145,7 @@
 // notConverged returns what is missing at the end; empty if nothing is.
 func (o *evacuationOperator) notConverged() string {
 	if o.order == nil || !o.order.acknowledged {
-		return "the operator of zone " + o.zone + " does not know what became of its order"
+		return "the order of the operator of zone " + o.zone + " is not acknowledged"
 	}
 	for _, machine := range o.sim.activeMachines() {
 		if machine.process.state.Evacuation(o.zone).Evacuated != o.evacuated {
--- a/internal/system/replica/sim_operator_test.go
+++ b/internal/system/replica/sim_operator_test.go
@@ -117,7 +117,7 @@
 }
 
 // send sends a request through any machine and records the response.
-func (o *simOperator) send(request *simRequest, told func(simResponse)) {
+func (o *simOperator) send(request *simRequest, handle func(simResponse)) {
 	sim := o.sim
 	record := sim.history.begin(o.number, request, sim.now)
 	over := false
@@ -128,7 +128,7 @@
 		over = true
 		sim.stats.record(request, response)
 		record.complete(response, sim.now)
-		told(response)
+		handle(response)
 	}
 	sim.schedule(operatorTimeout, func() { end(simResponse{}) })
 	machine := sim.randomMachine()
--- a/internal/system/replica/sim_oracle_test.go
+++ b/internal/system/replica/sim_oracle_test.go
@@ -52,20 +52,20 @@
 }
 
 // recordMembership notes a membership that a leader proposed.
-func (t *oracle) recordMembership(membership consensus.Membership) {
-	t.proposed = membership
+func (o *oracle) recordMembership(membership consensus.Membership) {
+	o.proposed = membership
 	for _, m := range membership.Members {
-		t.members[m.ID] = true
-		t.voters[m.ID] = t.voters[m.ID] || m.Voter
+		o.members[m.ID] = true
+		o.voters[m.ID] = o.voters[m.ID] || m.Voter
 	}
 }
 
 // recordSynced notes a durable write of a replica.
-func (t *oracle) recordSynced(id consensus.ReplicaID, write *storage.Update) {
-	state := t.syncedStates[id]
+func (o *oracle) recordSynced(id consensus.ReplicaID, write *storage.Update) {
+	state := o.syncedStates[id]
 	if state == nil {
 		state = &syncedState{entries: map[entryID]bool{}}
-		t.syncedStates[id] = state
+		o.syncedStates[id] = state
 	}
 	for _, e := range write.Entries {
 		state.entries[entryID{e.Index, e.Term}] = true
@@ -76,29 +76,29 @@
 }
 
 // checkBoot checks that the state found on a disk is one that was committed.
-func (t *oracle) checkBoot(sim *simulation, process *simProcess, stored *consensus.PersistentState) {
-	if version := t.versionAt(stored.Snapshot.Index); process.state.Version() != version {
-		sim.fail("machine %d begins at version %d, where %d was agreed", process.machine.index, process.state.Version(), version)
+func (o *oracle) checkBoot(sim *simulation, process *simProcess, stored *consensus.PersistentState) {
+	if version := o.versionAt(stored.Snapshot.Index); process.state.Version() != version {
+		sim.fail("machine %d begins at version %d, where %d was committed", process.machine.index, process.state.Version(), version)
 	}
 }
 
 // versionAt returns the version of the configuration once the log is applied up to an index.
-func (t *oracle) versionAt(index uint64) uint64 {
-	committed, _ := t.committedAt(index)
+func (o *oracle) versionAt(index uint64) uint64 {
+	committed, _ := o.committedAt(index)
 	return committed.request.version
 }
 
 // committedAt returns the last version committed up to an index.
-func (t *oracle) committedAt(index uint64) (l committedVersion, ok bool) {
-	for i := len(t.versions) - 1; i >= 0; i-- {
-		if t.versions[i].index <= index {
-			return t.versions[i], true
+func (o *oracle) committedAt(index uint64) (l committedVersion, ok bool) {
+	for i := len(o.versions) - 1; i >= 0; i-- {
+		if o.versions[i].index <= index {
+			return o.versions[i], true
 		}
 	}
 	return committedVersion{}, false
 }
 
 // everCommitted reports whether a change was ever committed.
-func (t *oracle) everCommitted(digest state.Digest) bool {
-	return slices.ContainsFunc(t.versions, func(committed committedVersion) bool { return committed.request.digest == digest })
+func (o *oracle) everCommitted(digest state.Digest) bool {
+	return slices.ContainsFunc(o.versions, func(committed committedVersion) bool { return committed.request.digest == digest })
 }
--- a/internal/system/replica/sim_process_test.go
+++ b/internal/system/replica/sim_process_test.go
@@ -42,18 +42,20 @@
 	if machine.process != nil || machine.replaced {
 		return
 	}
-	process := &simProcess{sim: sim, machine: machine, alive: true, sendingSnapshot: map[int]bool{}, bulkTransfers: map[int]*bulkTransfer{}}
+	process := &simProcess{sim: sim, machine: machine, alive: true, sendingSnapshot: map[int]bool{},
+		bulkTransfers: map[int]*bulkTransfer{}}
 	if sim.profile.Bandwidth > 0 {
 		process.link = &simLink{sim: sim}
 	}
 	process.state = state.NewConfiguration(process.clock, func() {})
-	process.host = New(Options{Settings: &machine.settings, StateMachines: []StateMachine{&observedState{Configuration: process.state, process: process}}})
+	observed := &observedState{Configuration: process.state, process: process}
+	process.host = New(Options{Settings: &machine.settings, StateMachines: []StateMachine{observed}})
 	process.group = process.host.groups[0]
 	sim.initializeDisk(machine)
 	stored := machine.disk.load()
 	options := nodeOptions(machine.disk.id, sim.random.Uint64(), defaultHeartbeatInterval, defaultElectionTimeout)
 	if err := process.group.start(process.clock(), options, stored); err != nil {
-		sim.fail("machine %d finds what it stored senseless: %v", machine.index, err)
+		sim.fail("machine %d cannot start from its persistent state: %v", machine.index, err)
 		return
 	}
 	machine.process = process
@@ -91,15 +93,15 @@
 }
 
 // execute runs an action of the process, or defers it while the process is paused.
-func (p *simProcess) execute(what func()) {
+func (p *simProcess) execute(action func()) {
 	if !p.alive {
 		return
 	}
 	if p.paused {
-		p.deferred = append(p.deferred, what)
+		p.deferred = append(p.deferred, action)
 		return
 	}
-	what()
+	action()
 	if p.alive {
 		p.processReady()
 	}
@@ -109,7 +111,7 @@
 func (p *simProcess) processReady() {
 	for more := true; more; more = p.runWaiters() {
 		if err := p.group.processReady(p); err != nil {
-			p.sim.fail("machine %d does not take a snapshot: %v", p.machine.index, err)
+			p.sim.fail("machine %d rejects a snapshot: %v", p.machine.index, err)
 		}
 		p.sim.checkStep(p)
 	}
@@ -146,8 +148,8 @@
 }
 
 // runAt runs an action of the process at a time of its clock.
-func (p *simProcess) runAt(due time.Duration, what func()) {
-	p.sim.schedule(time.Duration(float64(due-p.clock())/p.machine.clockRate), func() { p.execute(what) })
+func (p *simProcess) runAt(due time.Duration, action func()) {
+	p.sim.schedule(time.Duration(float64(due-p.clock())/p.machine.clockRate), func() { p.execute(action) })
 }
 
 // scheduleTick schedules the next tick.
@@ -354,8 +356,8 @@
 	if p.sim.chance(0.5) { // the timer may fire first
 		p.execute(p.tick)
 	}
-	for _, what := range backlog {
-		p.execute(what)
+	for _, action := range backlog {
+		p.execute(action)
 	}
 	p.execute(p.tick)
 }
--- a/internal/system/replica/sim_rpc_test.go
+++ b/internal/system/replica/sim_rpc_test.go
@@ -8,7 +8,7 @@
 
 // propose models Host.Propose. known is false if the outcome is unknown or the command was not committed.
 func (p *simProcess) propose(command []byte, deadline time.Duration, done func(result []byte, known bool)) {
-	settled := func(reply ProposeReply) {
+	finish := func(reply ProposeReply) {
 		switch reply.Outcome {
 		case OutcomeCommitted:
 			done(reply.Result, true)
@@ -21,11 +21,11 @@
 	leader, here := p.locateLeader()
 	switch {
 	case here:
-		p.proposeLocal(command, deadline, settled)
+		p.proposeLocal(command, deadline, finish)
 	case leader != nil:
-		p.proposeRemote(leader, command, deadline, settled)
+		p.proposeRemote(leader, command, deadline, finish)
 	default:
-		settled(ProposeReply{Outcome: OutcomeDropped})
+		finish(ProposeReply{Outcome: OutcomeDropped})
 	}
 }
 
@@ -93,22 +93,22 @@
 	})
 }
 
-// call makes an RPC to another machine's process. came is false if no reply arrives in time or the leader changes
+// call makes an RPC to another machine's process. arrived is false if no reply arrives in time or the leader changes
 // first, see withLeaderChange.
 func call[T any](process *simProcess, to *simMachine, wait time.Duration, handle func(asked *simProcess, answer func(T)),
-	done func(reply T, came bool)) {
+	done func(reply T, arrived bool)) {
 	var reply T
-	over, came := false, false
+	over, arrived := false, false
 	changed := process.group.leaderChanged
 	process.waitUntil(process.clock()+wait, func() bool {
 		select {
 		case <-changed:
 			over = true
-			done(reply, came)
+			done(reply, arrived)
 			return true
 		default:
 		}
-		if came && !over {
+		if arrived && !over {
 			over = true
 			done(reply, true)
 		}
@@ -120,7 +120,7 @@
 	sim, from := process.sim, process.machine
 	sim.transmit(from, to, false, func(asked *simProcess) {
 		handle(asked, func(answer T) {
-			sim.transmit(to, from, false, func(*simProcess) { reply, came = answer, true })
+			sim.transmit(to, from, false, func(*simProcess) { reply, arrived = answer, true })
 		})
 	})
 }
--- a/internal/system/replica/simulation_run_test.go
+++ b/internal/system/replica/simulation_run_test.go
@@ -107,7 +107,7 @@
 					return
 				}
 			}
-			t.Error("not found in 200 seeds")
+			t.Error("not detected in 200 seeds")
 		})
 	}
 }
--- a/internal/system/replica/simulation_test.go
+++ b/internal/system/replica/simulation_test.go
@@ -139,27 +139,27 @@
 }
 
 // schedule runs an event after a delay.
-func (sim *simulation) schedule(d time.Duration, do func()) {
-	sim.events.Schedule(float64(sim.now+max(d, 0)), do)
+func (sim *simulation) schedule(d time.Duration, event func()) {
+	sim.events.Schedule(float64(sim.now+max(d, 0)), event)
 }
 
 // runFor runs for a duration.
 func (sim *simulation) runFor(d time.Duration) { sim.runUntil(d, func() bool { return false }) }
 
 // runUntil runs until a condition holds, which is checked every half second, or for a duration.
-func (sim *simulation) runUntil(d time.Duration, holds func() bool) {
-	end, look := sim.now+d, sim.now+500*time.Millisecond
+func (sim *simulation) runUntil(d time.Duration, condition func() bool) {
+	end, nextCheck := sim.now+d, sim.now+500*time.Millisecond
 	for sim.failure == "" {
-		at, do, ok := sim.events.PopUntil(float64(end))
+		at, event, ok := sim.events.PopUntil(float64(end))
 		if !ok {
 			break
 		}
 		sim.now = time.Duration(at)
 		sim.stats.counters.steps++
-		do()
-		if sim.now >= look {
-			look = sim.now + 500*time.Millisecond
-			if holds() {
+		event()
+		if sim.now >= nextCheck {
+			nextCheck = sim.now + 500*time.Millisecond
+			if condition() {
 				return
 			}
 		}
--- a/internal/system/replica/unavailability_test.go
+++ b/internal/system/replica/unavailability_test.go
@@ -29,7 +29,7 @@
 	sim.runFor(scenarioWarmup)
 	startedAt, leader := sim.now, sim.leader()
 	if leader == nil {
-		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
+		t.Fatalf("seed %d: there is no leader after %v", seed, scenarioWarmup)
 	}
 	for _, operator := range sim.operators {
 		operator.avoid = leader.machine
@@ -100,7 +100,7 @@
 			worst := pauses[len(pauses)-1]
 			t.Logf("%s: %v at the median of %d runs, %v at worst", test.name, pauses[len(pauses)/2], len(pauses), worst)
 			if worst > test.most {
-				t.Errorf("nothing is agreed on for %v; at most %v", worst, test.most)
+				t.Errorf("nothing is committed for %v; at most %v", worst, test.most)
 			}
 		})
 	}
@@ -143,7 +143,7 @@
 	sim := newRepairSimulation(seed, setup)
 	leader := sim.leader()
 	if leader == nil {
-		t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
+		t.Fatalf("seed %d: there is no leader after %v", seed, scenarioWarmup)
 	}
 	for _, operator := range sim.operators {
 		operator.avoid = leader.machine
--- a/internal/system/replica/unknown_leader_test.go
+++ b/internal/system/replica/unknown_leader_test.go
@@ -21,7 +21,7 @@
 		sim.runFor(scenarioWarmup)
 		process := sim.leader()
 		if process == nil {
-			t.Fatalf("seed %d: nobody leads after %v", seed, scenarioWarmup)
+			t.Fatalf("seed %d: there is no leader after %v", seed, scenarioWarmup)
 		}
 		away, lost := sim.machines[(process.machine.index+1)%5], sim.machines[(process.machine.index+2)%5]
 		sim.blockAll(away, true, true, time.Hour)
--- a/internal/system/replica/write_load_test.go
+++ b/internal/system/replica/write_load_test.go
@@ -153,7 +153,7 @@
 	sim := load.sim
 	sim.runFor(loadWarmup)
 	if sim.failure == "" && sim.leader() == nil {
-		sim.fail("nobody leads")
+		sim.fail("there is no leader")
 	}
 	if sim.failure == "" {
 		test.inject(load)
@@ -234,9 +234,9 @@
 			load := newWriteLoad(1, test)
 			plant(load.sim)
 			load.sim.runFor(loadWarmup)
-			t.Logf("version %d is in force", load.sim.oracle.versionAt(load.sim.oracle.appliedIndex))
+			t.Logf("version %d is current", load.sim.oracle.versionAt(load.sim.oracle.appliedIndex))
 			if load.sim.oracle.appliedIndex > 0 && load.sim.oracle.versionAt(load.sim.oracle.appliedIndex) > 0 {
-				t.Error("not found: a configuration of 4 MB is in force")
+				t.Error("not detected: a configuration of 4 MB was committed")
 			}
 		})
 	}
