--- a/internal/dispatcher/cluster/auditlog/auditor.go
+++ b/internal/dispatcher/cluster/auditlog/auditor.go
@@ -114,8 +114,8 @@
 type generationKey struct{ dispatcher, generation string }
 
 // NewAuditor returns an auditor without entries.
-func NewAuditor(r Rules) *Auditor {
-	return &Auditor{Rules: r, timelines: map[string][]*timeline{},
+func NewAuditor(rules Rules) *Auditor {
+	return &Auditor{Rules: rules, timelines: map[string][]*timeline{},
 		byGeneration: map[generationKey]*timeline{}, clocks: newClockSolver(), mentioned: map[string]bool{},
 		drains: map[string][]*drain{}, violations: map[string]*Violation{}}
 }
@@ -164,10 +164,12 @@
 	for _, t := range a.allTimelines() {
 		t.correctClock(offsets[t.dispatcher].Lead)
 		for _, h := range t.gaps {
-			a.report.Gaps = append(a.report.Gaps, fmt.Sprintf("%s: entries %d to %d of life %s are missing", t.dispatcher, h.from, h.to, t.generation))
+			a.report.Gaps = append(a.report.Gaps,
+				fmt.Sprintf("%s: entries %d to %d of life %s are missing", t.dispatcher, h.from, h.to, t.generation))
 		}
 		if t.lostLines > 0 {
-			a.report.Gaps = append(a.report.Gaps, fmt.Sprintf("%s: life %s lost %d lines by itself: its disk was slow or full", t.dispatcher, t.generation, t.lostLines))
+			a.report.Gaps = append(a.report.Gaps,
+				fmt.Sprintf("%s: life %s lost %d lines by itself: its disk was slow or full", t.dispatcher, t.generation, t.lostLines))
 		}
 	}
 	for _, by := range slices.Sorted(maps.Keys(a.mentioned)) {
@@ -220,53 +222,55 @@
 // analyzeVersions computes when each dispatcher learned each version, and who was late.
 func (a *Auditor) analyzeVersions(offsets map[string]ClockOffset) {
 	type key struct {
-		line listEpoch
-		rev  int64
+		epoch    listEpoch
+		revision int64
 	}
 	first := map[key]*timeline{}
-	when := map[key]float64{}
+	firstAt := map[key]float64{}
 	for _, t := range a.allTimelines() {
 		for _, r := range t.progress {
 			k := key{r.epoch, r.revision}
-			if at, known := when[k]; !known || r.at < at {
-				when[k], first[k] = r.at, t
+			if at, known := firstAt[k]; !known || r.at < at {
+				firstAt[k], first[k] = r.at, t
 			}
 		}
 	}
-	keys := slices.SortedFunc(maps.Keys(when), func(x, y key) int {
-		return cmp.Or(cmp.Compare(x.line.source, y.line.source), cmp.Compare(x.line.number, y.line.number), cmp.Compare(x.rev, y.rev))
+	keys := slices.SortedFunc(maps.Keys(firstAt), func(x, y key) int {
+		return cmp.Or(cmp.Compare(x.epoch.source, y.epoch.source), cmp.Compare(x.epoch.number, y.epoch.number), cmp.Compare(x.revision, y.revision))
 	})
 	open := map[string]*Straggler{}
 	for _, k := range keys {
-		at, firstTimeline := when[k], first[k]
-		v := Version{Source: k.line.source, Epoch: k.line.number, Revision: k.rev, First: firstTimeline.dispatcher, At: at}
+		at, firstTimeline := firstAt[k], first[k]
+		version := Version{Source: k.epoch.source, Epoch: k.epoch.number, Revision: k.revision, First: firstTimeline.dispatcher, At: at}
 		for _, t := range a.allTimelines() {
-			if t == firstTimeline || t.dispatcher == firstTimeline.dispatcher || t.first > at || t.last <= at || !t.followsEpoch(k.line, at) {
+			if t == firstTimeline || t.dispatcher == firstTimeline.dispatcher || t.first > at || t.last <= at ||
+				!t.followsEpoch(k.epoch, at) {
 				continue // it did not run, or followed another source
 			}
-			within := offsets[t.dispatcher].Uncertainty + offsets[firstTimeline.dispatcher].Uncertainty
-			r, ok := t.reached(k.line, k.rev)
+			uncertainty := offsets[t.dispatcher].Uncertainty + offsets[firstTimeline.dispatcher].Uncertainty
+			r, ok := t.reached(k.epoch, k.revision)
 			until := t.last
 			if ok {
 				until = r.at
-				v.Adoptions = append(v.Adoptions, Adoption{t.dispatcher, r.at - at, within, r.byPeer})
+				version.Adoptions = append(version.Adoptions, Adoption{t.dispatcher, r.at - at, uncertainty, r.byPeer})
 			} else {
-				v.Never = append(v.Never, t.dispatcher)
+				version.Never = append(version.Never, t.dispatcher)
 			}
-			if until-at <= a.Rules.StragglerDelay+within {
+			if until-at <= a.Rules.StragglerDelay+uncertainty {
 				continue
 			}
-			if s := open[t.dispatcher]; s != nil && at <= s.Since+s.Duration { // the same fault
-				s.LastRevision, s.Duration, s.Never = k.rev, max(s.Duration, until-s.Since), s.Never || !ok
+			if straggler := open[t.dispatcher]; straggler != nil && at <= straggler.Since+straggler.Duration { // the same fault
+				straggler.LastRevision, straggler.Duration, straggler.Never = k.revision, max(straggler.Duration, until-straggler.Since), straggler.Never || !ok
 				continue
 			}
-			open[t.dispatcher] = &Straggler{Dispatcher: t.dispatcher, Cause: a.stragglerCause(t, k.line, k.rev, at, until), Revision: k.rev, LastRevision: k.rev, Since: at, Duration: until - at, Never: !ok}
+			open[t.dispatcher] = &Straggler{Dispatcher: t.dispatcher, Cause: a.stragglerCause(t, k.epoch, k.revision, at, until),
+				Revision: k.revision, LastRevision: k.revision, Since: at, Duration: until - at, Never: !ok}
 			a.stragglers = append(a.stragglers, open[t.dispatcher])
 		}
-		slices.SortFunc(v.Adoptions, func(x, y Adoption) int {
+		slices.SortFunc(version.Adoptions, func(x, y Adoption) int {
 			return cmp.Or(cmp.Compare(x.After, y.After), cmp.Compare(x.Dispatcher, y.Dispatcher))
 		})
-		a.report.Versions = append(a.report.Versions, v)
+		a.report.Versions = append(a.report.Versions, version)
 	}
 }
 
@@ -283,7 +287,7 @@
 }
 
 // stragglerCause returns why a dispatcher learned a version late.
-func (a *Auditor) stragglerCause(t *timeline, epoch listEpoch, rev int64, from, to float64) string {
+func (a *Auditor) stragglerCause(t *timeline, epoch listEpoch, revision int64, from, to float64) string {
 	half := a.Rules.StragglerDelay / 2
 	switch {
 	case t.inGap(from, to):
@@ -293,7 +297,7 @@
 	}
 	informed := to // when it knew that there is a newer version
 	for _, b := range t.newerKnown {
-		if b.epoch == epoch && b.revision >= rev {
+		if b.epoch == epoch && b.revision >= revision {
 			informed = min(informed, max(b.at, from))
 		}
 	}
@@ -309,9 +313,9 @@
 // findDrains finds the workers that got no new work, and from when to when that was known.
 func (a *Auditor) findDrains(offsets map[string]ClockOffset) {
 	type key struct {
-		line   listEpoch
-		worker string
-		rev    int64
+		epoch    listEpoch
+		worker   string
+		revision int64
 	}
 	found := map[key]*drain{}
 	for _, t := range a.allTimelines() {
@@ -319,7 +323,8 @@
 			for _, r := range reports {
 				k := key{r.epoch, worker, r.revision}
 				if d := found[k]; d == nil || r.at < d.at {
-					found[k] = &drain{epoch: r.epoch, worker: worker, revision: r.revision, at: r.at, uncertainty: offsets[t.dispatcher].Uncertainty, liftedAt: inf}
+					found[k] = &drain{epoch: r.epoch, worker: worker, revision: r.revision, at: r.at,
+						uncertainty: offsets[t.dispatcher].Uncertainty, liftedAt: inf}
 				}
 			}
 		}
--- a/internal/dispatcher/cluster/auditlog/auditor_test.go
+++ b/internal/dispatcher/cluster/auditlog/auditor_test.go
@@ -26,7 +26,7 @@
 type testMember struct {
 	name             string
 	generation       string
-	skew             float64
+	clockOffset      float64
 	number           uint64
 	lines            []string
 	state            map[string]string
@@ -37,7 +37,7 @@
 func newScenario(seed uint64, members int) *scenario {
 	s := &scenario{rng: rand.New(rand.NewPCG(seed, 3)), now: 1e9, state: map[string]string{}}
 	for i := range members {
-		a := &testMember{name: fmt.Sprintf("d%d", i), generation: fmt.Sprint("l", i), skew: 4*s.rng.Float64() - 2, state: map[string]string{}}
+		a := &testMember{name: fmt.Sprintf("d%d", i), generation: fmt.Sprint("l", i), clockOffset: 4*s.rng.Float64() - 2, state: map[string]string{}}
 		s.members = append(s.members, a)
 		s.add(a, 0, Entry{Kind: Started, Program: "p"})
 	}
@@ -53,7 +53,7 @@
 // add has a dispatcher write an entry some time after now.
 func (s *scenario) add(a *testMember, after float64, e Entry) {
 	a.number++
-	e.Time, e.Dispatcher, e.Generation, e.Number = s.now+after+a.skew, a.name, a.generation, a.number
+	e.Time, e.Dispatcher, e.Generation, e.Number = s.now+after+a.clockOffset, a.name, a.generation, a.number
 	text, _ := json.Marshal(&e)
 	a.lines = append(a.lines, string(text))
 }
@@ -62,7 +62,7 @@
 func (s *scenario) send(a *testMember, worker string) {
 	s.attempts++
 	a.lines = append(a.lines, fmt.Sprintf(`{"time":%.6f,"by":%q,"id":"j%d","class":"score","front":"platform","verdict":"in_time","took_ms":12.000,"mark":"%s.%d","tries":[{"node":%q,"sent_ms":1.000,"end_ms":12.000,"result":"ok","won":true,"mark":%d}]}`,
-		s.now+a.skew+0.012, a.name, s.attempts, a.generation, a.number, worker, a.number))
+		s.now+a.clockOffset+0.012, a.name, s.attempts, a.generation, a.number, worker, a.number))
 }
 
 // sendList has discovery send a version in which a worker changes to all dispatchers with discovery.
@@ -104,7 +104,7 @@
 			}
 			from := s.members[s.rng.IntN(len(s.members))]
 			if from != a && !slices.Contains(idle, from) {
-				s.add(a, 0.001+0.02*s.rng.Float64(), Entry{Kind: ClockReceived, From: from.name, PeerClock: s.now + from.skew})
+				s.add(a, 0.001+0.02*s.rng.Float64(), Entry{Kind: ClockReceived, From: from.name, PeerClock: s.now + from.clockOffset})
 			}
 		}
 	}
@@ -133,6 +133,7 @@
 }
 
 func failOnBadLine(t *testing.T) func(int, error) {
+	t.Helper()
 	return func(n int, err error) { t.Errorf("line %d: %v", n, err) }
 }
 
@@ -180,8 +181,8 @@
 			}
 		}
 		for i, o := range r.Clocks {
-			if err := o.Lead - (s.members[i].skew - reference.skew); err > o.Uncertainty+1e-6 || err < -o.Uncertainty-1e-6 || o.Uncertainty > 0.02 {
-				t.Errorf("seed %d: %s: %.4f within %.4f, truly %.4f", seed, o.Dispatcher, o.Lead, o.Uncertainty, s.members[i].skew-reference.skew)
+			if err := o.Lead - (s.members[i].clockOffset - reference.clockOffset); err > o.Uncertainty+1e-6 || err < -o.Uncertainty-1e-6 || o.Uncertainty > 0.02 {
+				t.Errorf("seed %d: %s: %.4f within %.4f, truly %.4f", seed, o.Dispatcher, o.Lead, o.Uncertainty, s.members[i].clockOffset-reference.clockOffset)
 			}
 		}
 	}
@@ -277,7 +278,7 @@
 func TestUnknownClockOffsets(t *testing.T) {
 	s := newScenario(2, 3)
 	s.run(5)
-	s.members[1].skew -= 3
+	s.members[1].clockOffset -= 3
 	s.run(5)
 	lone := &testMember{name: "d9", generation: "l9", state: map[string]string{}}
 	s.members = append(s.members, lone)
--- a/internal/dispatcher/cluster/auditlog/log.go
+++ b/internal/dispatcher/cluster/auditlog/log.go
@@ -38,8 +38,12 @@
 	Ended             = "end"      // the process ended in order
 )
 
-var kinds = map[string]bool{Started: true, ListApplied: true, FactsReceived: true, CaughtUp: true, NewerKnown: true, FactsDoubted: true, DiscoverySilent: true, DiscoveryResumed: true, ClockReceived: true,
-	OrderReceived: true, LeaseChanged: true, Paused: true, Resumed: true, SettingsChanged: true, ExclusionsChanged: true, ViewConverged: true, KeepAlive: true, Ended: true}
+var kinds = map[string]bool{
+	Started: true, ListApplied: true, FactsReceived: true, CaughtUp: true, NewerKnown: true, FactsDoubted: true,
+	DiscoverySilent: true, DiscoveryResumed: true, ClockReceived: true, OrderReceived: true, LeaseChanged: true,
+	Paused: true, Resumed: true, SettingsChanged: true, ExclusionsChanged: true, ViewConverged: true,
+	KeepAlive: true, Ended: true,
+}
 
 // Worker is what an entry tells of a worker.
 type Worker struct {
@@ -93,13 +97,13 @@
 }
 
 // Open opens the log of a generation of a dispatcher.
-func Open(o linelog.Options, by, life string) (*Log, error) {
-	o.Name = "ledger"
-	log, err := linelog.Open(o)
+func Open(options linelog.Options, dispatcher, generation string) (*Log, error) {
+	options.Name = "ledger"
+	log, err := linelog.Open(options)
 	if err != nil {
 		return nil, err
 	}
-	return &Log{log: log, dispatcher: by, generation: life}, nil
+	return &Log{log: log, dispatcher: dispatcher, generation: generation}, nil
 }
 
 // GenerationName names a run of a process by its start, in Unix time.
@@ -121,7 +125,7 @@
 }
 
 // ContinueAfter sets the number of the last entry, if an earlier file of the same generation has it.
-func (l *Log) ContinueAfter(n uint64) { l.number = n }
+func (l *Log) ContinueAfter(number uint64) { l.number = number }
 
 // KeepAliveDue reports whether a KeepAlive is due.
 func (l *Log) KeepAliveDue(now float64) bool { return now >= l.lastAppend+KeepAliveInterval }
--- a/internal/dispatcher/cluster/auditlog/timeline.go
+++ b/internal/dispatcher/cluster/auditlog/timeline.go
@@ -190,9 +190,9 @@
 }
 
 // reached returns when a revision of an epoch was known here.
-func (t *timeline) reached(epoch listEpoch, rev int64) (r progress, ok bool) {
+func (t *timeline) reached(epoch listEpoch, revision int64) (r progress, ok bool) {
 	for _, r := range t.progress {
-		if r.epoch == epoch && r.revision >= rev {
+		if r.epoch == epoch && r.revision >= revision {
 			return r, true
 		}
 	}
@@ -201,10 +201,10 @@
 
 // drainedAt returns when this timeline first had a worker get no new work since a revision. A worker's fact may be
 // known before the revision is complete.
-func (t *timeline) drainedAt(epoch listEpoch, worker string, rev int64) (r progress, ok bool) {
-	r, ok = t.reached(epoch, rev)
+func (t *timeline) drainedAt(epoch listEpoch, worker string, revision int64) (r progress, ok bool) {
+	r, ok = t.reached(epoch, revision)
 	for _, d := range t.drains[worker] {
-		if d.epoch == epoch && d.revision >= rev && (!ok || d.at < r.at) {
+		if d.epoch == epoch && d.revision >= revision && (!ok || d.at < r.at) {
 			return d, true
 		}
 	}
--- a/internal/dispatcher/cluster/quota/calculator.go
+++ b/internal/dispatcher/cluster/quota/calculator.go
@@ -7,9 +7,13 @@
 // most one budget, however their views differ otherwise. Hence
 //
 //   - a member that leaves is not counted from then on: it announces that once it has stopped;
-//   - a dead member may be isolated and sending. It is counted until StopTimeout has passed, and longer at members that have not been in contact with more than half of all known members, dead ones included, for as long;
-//   - a member in contact with less than half, or with half if the other half may be connected as well, uses CautiousFraction of its share: all such members together use that fraction of a budget;
-//   - a member that joins, returns or was paused uses CautiousFraction of its share until enough other members have confirmed that they count it and, while it knows fewer than are configured, until all others would have found it.
+//   - a dead member may be isolated and sending. It is counted until StopTimeout has passed, and longer at members
+//     that have not been in contact with more than half of all known members, dead ones included, for as long;
+//   - a member in contact with less than half, or with half if the other half may be connected as well, uses
+//     CautiousFraction of its share: all such members together use that fraction of a budget;
+//   - a member that joins, returns or was paused uses CautiousFraction of its share until enough other members have
+//     confirmed that they count it and, while it knows fewer than are configured, until all others would have found
+//     it.
 //
 // A member that has been in contact with nobody since its start uses the configured numbers.
 package quota
--- a/internal/dispatcher/cluster/quota/calculator_test.go
+++ b/internal/dispatcher/cluster/quota/calculator_test.go
@@ -95,6 +95,7 @@
 }
 
 func newTestCluster(t *testing.T, seed uint64, n, configured int, static bool) *testCluster {
+	t.Helper()
 	cluster := &testCluster{t: t, net: virtualcluster.New(virtualcluster.Options{Seed: seed, LossRate: 0.05, Delay: 0.002, Jitter: 0.02, ProbeInterval: 0.5}, n), configured: configured, static: static,
 		dispatchers: map[*virtualcluster.Node]*testDispatcher{}, rng: rand.New(rand.NewPCG(seed, 3))}
 	cluster.net.AfterEvent = func(node *virtualcluster.Node) {
--- a/internal/dispatcher/cluster/status.go
+++ b/internal/dispatcher/cluster/status.go
@@ -71,8 +71,9 @@
 // Status returns all that /api/fleet shows.
 func (c *Cluster) Status() Status {
 	view := c.node.View()
-	status := Status{Cluster: c.options.Cluster, Self: c.options.Name, Digest: digest(view.Digest), Converged: view.Converged && !view.Withdrawn && !c.waiting, TimeoutFactor: view.TimeoutFactor,
-		Share: StatusShare{c.share.Instances, c.share.Index, c.share.Fraction, string(c.share.Reason)}, Drops: map[string]uint64{}, Members: []Member{}, Restrictions: []StatusRestriction{},
+	status := Status{Cluster: c.options.Cluster, Self: c.options.Name, Digest: digest(view.Digest), Converged: view.Converged && !view.Withdrawn && !c.waiting,
+		TimeoutFactor: view.TimeoutFactor,
+		Share:         StatusShare{c.share.Instances, c.share.Index, c.share.Fraction, string(c.share.Reason)}, Drops: map[string]uint64{}, Members: []Member{}, Restrictions: []StatusRestriction{},
 		Orders: []versions.Order{}}
 	held := c.options.Versions.Restrictions()
 	for _, worker := range slices.Sorted(maps.Keys(held)) {
--- a/internal/dispatcher/cluster/versions/confirmation.go
+++ b/internal/dispatcher/cluster/versions/confirmation.go
@@ -29,14 +29,15 @@
 
 // mergePeerUpdate records the update of discovery that a peer forwards. If all that the peer knows is known here, the
 // update confirms it here as well.
-func (t *Table) mergePeerUpdate(now float64, p *Peer, msg *payload) {
+func (t *Table) mergePeerUpdate(now float64, peer *Peer, msg *payload) {
 	if float64(msg.UpdateStamp) > (now+maxClockLead)*stampsPerSecond {
 		return
 	}
-	if msg.UpdateStamp > p.updateStamp {
-		p.updateStamp, p.LastUpdate, p.DirectUpdate = msg.UpdateStamp, now, msg.DirectUpdate
+	if msg.UpdateStamp > peer.updateStamp {
+		peer.updateStamp, peer.LastUpdate, peer.DirectUpdate = msg.UpdateStamp, now, msg.DirectUpdate
 	}
-	if _, ok := t.version.Lag(msg.Version); t.hasVersion && ok && msg.UpdateStamp > t.updateStamp && max(msg.CompleteUpTo, msg.Version.Revision) <= t.completeUpTo() {
+	if _, ok := t.version.Lag(msg.Version); t.hasVersion && ok && msg.UpdateStamp > t.updateStamp &&
+		max(msg.CompleteUpTo, msg.Version.Revision) <= t.completeUpTo() {
 		t.lastConfirmed, t.updateStamp = now, msg.UpdateStamp
 	}
 }
--- a/internal/dispatcher/cluster/versions/event.go
+++ b/internal/dispatcher/cluster/versions/event.go
@@ -32,9 +32,9 @@
 )
 
 // recordClock reports a member's clock if the message was quicker than those before.
-func (t *Table) recordClock(now float64, from string, p *Peer, peerClock float64) {
-	if lead := now - peerClock; peerClock > 0 && (p.clockLeadAt == 0 || lead < p.clockLead-minClockImprovement || now > p.clockLeadAt+clockLeadTTL) {
-		p.clockLead, p.clockLeadAt = lead, now
+func (t *Table) recordClock(now float64, from string, peer *Peer, peerClock float64) {
+	if lead := now - peerClock; peerClock > 0 && (peer.clockLeadAt == 0 || lead < peer.clockLead-minClockImprovement || now > peer.clockLeadAt+clockLeadTTL) {
+		peer.clockLead, peer.clockLeadAt = lead, now
 		t.OnEvent(now, &Event{Kind: ClockReceived, From: from, PeerClock: peerClock})
 	}
 }
--- a/internal/dispatcher/cluster/versions/exchange.go
+++ b/internal/dispatcher/cluster/versions/exchange.go
@@ -92,17 +92,17 @@
 
 // updatePeer records what a member has, by its payload.
 func (t *Table) updatePeer(now float64, from string, msg *payload) {
-	p, known := t.peers[from]
+	peer, known := t.peers[from]
 	if !known && len(t.peers) >= maxPeers {
 		return
 	}
-	if p.Version != msg.Version {
-		p.VersionSince = now
+	if peer.Version != msg.Version {
+		peer.VersionSince = now
 	}
-	p.Version = msg.Version
-	t.mergePeerUpdate(now, &p, msg)
-	t.recordClock(now, from, &p, msg.Clock)
-	t.peers[from] = p
+	peer.Version = msg.Version
+	t.mergePeerUpdate(now, &peer, msg)
+	t.recordClock(now, from, &peer, msg.Clock)
+	t.peers[from] = peer
 }
 
 // handleOrders applies a payload's orders. To a member that has other orders it replies a page of the own ones.
--- a/internal/dispatcher/cluster/versions/faults_test.go
+++ b/internal/dispatcher/cluster/versions/faults_test.go
@@ -16,13 +16,15 @@
 // skewedTable is a Table whose clock is off.
 type skewedTable struct {
 	*versions.Table
-	by float64
+	offset float64
 }
 
-func (s skewedTable) Payload(now float64, room int) []byte { return s.Table.Payload(now+s.by, room) }
-func (s skewedTable) Tick(now float64)                     { s.Table.Tick(now + s.by) }
+func (s skewedTable) Payload(now float64, room int) []byte {
+	return s.Table.Payload(now+s.offset, room)
+}
+func (s skewedTable) Tick(now float64) { s.Table.Tick(now + s.offset) }
 func (s skewedTable) HandlePayload(now float64, from string, ride []byte) [][]byte {
-	return s.Table.HandlePayload(now+s.by, from, ride)
+	return s.Table.HandlePayload(now+s.offset, from, ride)
 }
 
 // TestClockSkew has clocks be up to two seconds off: a member that loses discovery keeps its lease through its peers,
--- a/internal/dispatcher/cluster/versions/orders.go
+++ b/internal/dispatcher/cluster/versions/orders.go
@@ -46,7 +46,8 @@
 }
 
 func (o *Order) validate() error {
-	if o.Member == "" || len(o.Member) > maxMemberLength || len(o.By) > maxMemberLength || o.Number == 0 || o.Number > maxOrderNumber || !(o.At >= 0 && o.At < 1e11) {
+	if o.Member == "" || len(o.Member) > maxMemberLength || len(o.By) > maxMemberLength || o.Number == 0 ||
+		o.Number > maxOrderNumber || !(o.At >= 0 && o.At < 1e11) {
 		return errors.New("versions: an order that makes no sense")
 	}
 	return nil
--- a/internal/dispatcher/cluster/versions/payload.go
+++ b/internal/dispatcher/cluster/versions/payload.go
@@ -28,13 +28,17 @@
 
 // newPayload returns a payload without facts and orders.
 func (t *Table) newPayload(now float64) *payload {
-	return &payload{Version: t.version, CompleteUpTo: t.completeUpTo(), EpochAge: t.epochAge(now), UpdateStamp: t.updateStamp, DirectUpdate: t.directUpdate && now <= t.lastDiscovery+discoveryTimeout, OrdersDigest: t.orders.digest}
+	return &payload{Version: t.version, CompleteUpTo: t.completeUpTo(), EpochAge: t.epochAge(now), UpdateStamp: t.updateStamp,
+		DirectUpdate: t.directUpdate && now <= t.lastDiscovery+discoveryTimeout, OrdersDigest: t.orders.digest}
 }
 
+// factOverhead is the size of a fact in a payload beside its worker, in bytes, at most.
+const factOverhead = 24
+
 // fitFacts returns how many of the facts fit into room bytes.
 func fitFacts(facts []Fact, room int) (n int) {
 	for n < min(len(facts), maxFactsPerPayload) {
-		if room -= 24 + len(facts[n].Worker); room < 0 {
+		if room -= factOverhead + len(facts[n].Worker); room < 0 {
 			break
 		}
 		n++
@@ -59,23 +63,25 @@
 var decMode = membership.StrictDecMode(5, 16)
 
 func decodePayload(text []byte) (*payload, error) {
-	r := &payload{}
-	if err := decMode.Unmarshal(text, r); err != nil {
+	msg := &payload{}
+	if err := decMode.Unmarshal(text, msg); err != nil {
 		return nil, fmt.Errorf("versions: %w", err)
 	}
-	if l := &r.Version; len(l.Source) > maxSourceLength || l.Revision < 0 || l.Revision > maxRevision || l.Epoch > maxRevision ||
-		r.CompleteUpTo < 0 || r.CompleteUpTo > maxRevision || r.FactCount < 0 || !(r.EpochAge >= 0 && r.EpochAge < 1e9) || !(r.Clock >= 0 && r.Clock < 1e11) {
+	if version := &msg.Version; len(version.Source) > maxSourceLength || version.Revision < 0 || version.Revision > maxRevision || version.Epoch > maxRevision ||
+		msg.CompleteUpTo < 0 || msg.CompleteUpTo > maxRevision || msg.FactCount < 0 || !(msg.EpochAge >= 0 && msg.EpochAge < 1e9) ||
+		!(msg.Clock >= 0 && msg.Clock < 1e11) {
 		return nil, errors.New("versions: a version that makes no sense")
 	}
-	for _, f := range r.Facts {
-		if f.Worker == "" || len(f.Worker) > maxWorkerLength || f.State >= states || f.Revision < 0 || f.Revision > maxRevision || f.Start < 0 || f.Start > math.MaxInt64/2 {
+	for _, f := range msg.Facts {
+		if f.Worker == "" || len(f.Worker) > maxWorkerLength || f.State >= states || f.Revision < 0 || f.Revision > maxRevision ||
+			f.Start < 0 || f.Start > math.MaxInt64/2 {
 			return nil, errors.New("versions: a fact that makes no sense")
 		}
 	}
-	for i := range r.Orders {
-		if err := r.Orders[i].validate(); err != nil {
+	for i := range msg.Orders {
+		if err := msg.Orders[i].validate(); err != nil {
 			return nil, err
 		}
 	}
-	return r, nil
+	return msg, nil
 }
--- a/internal/dispatcher/cluster/versions/simulation_test.go
+++ b/internal/dispatcher/cluster/versions/simulation_test.go
@@ -17,6 +17,7 @@
 
 // newTestCluster returns members of a virtual cluster that have one list of ready workers.
 func newTestCluster(t *testing.T, seed uint64, n int, loss float64) (*virtualcluster.Network, map[*virtualcluster.Node]*versions.Table) {
+	t.Helper()
 	net := virtualcluster.New(virtualcluster.Options{Seed: seed, LossRate: loss, Delay: 0.002, Jitter: 0.01}, n)
 	tables := map[*virtualcluster.Node]*versions.Table{}
 	net.NewDelegate = func(node *virtualcluster.Node) membership.Delegate {
--- a/internal/shared/membership/codec.go
+++ b/internal/shared/membership/codec.go
@@ -24,8 +24,8 @@
 
 // Encode returns the datagram of a message: checksum, format version, CBOR. It returns ErrOversized if it does not fit
 // MaxDatagramSize.
-func Encode(m *Message) ([]byte, error) {
-	body, err := encMode.Marshal(m)
+func Encode(msg *Message) ([]byte, error) {
+	body, err := encMode.Marshal(msg)
 	if err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
@@ -54,15 +54,15 @@
 	case b[8] != FormatVersion:
 		return nil, ErrUnknownFormat
 	}
-	m := &Message{}
-	if err := decMode.Unmarshal(b[headerSize:], m); err != nil {
+	msg := &Message{}
+	if err := decMode.Unmarshal(b[headerSize:], msg); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	if m.Cluster != cluster {
+	if msg.Cluster != cluster {
 		return nil, ErrOtherCluster
 	}
-	if err := m.validate(); err != nil {
+	if err := msg.validate(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	return m, nil
+	return msg, nil
 }
--- a/internal/shared/membership/measurements_test.go
+++ b/internal/shared/membership/measurements_test.go
@@ -192,6 +192,7 @@
 }
 
 func numbers[T any](t *testing.T, text string) (all []T) {
+	t.Helper()
 	for _, s := range strings.Split(text, ",") {
 		var v T
 		if _, err := fmt.Sscan(s, &v); err != nil {
--- a/internal/shared/membership/nameclaim.go
+++ b/internal/shared/membership/nameclaim.go
@@ -74,7 +74,8 @@
 	n.self.Generation, n.self.Incarnation = generation+1, 0
 	n.Generation = n.self.Generation
 	n.toggleSelfDigest()
-	n.changes = append(n.changes, Change{Name: n.self.Name, Cause: "a later start under this name is known, and nobody stands there: begun anew after it"})
+	n.changes = append(n.changes, Change{Name: n.self.Name,
+		Cause: "a later start under this name is known, and nobody stands there: begun anew after it"})
 	n.queueBroadcast(n.self.Name)
 }
 
--- a/internal/shared/membership/node.go
+++ b/internal/shared/membership/node.go
@@ -95,7 +95,8 @@
 	node := &Node{Options: options, byName: map[string]*member{}, viewEpoch: 1, namesEpoch: 1,
 		rng: rand.New(rand.NewPCG(options.RandomSeed, options.Generation))}
 	metadata := options.Metadata
-	node.self = member{Record: Record{Name: options.Name, Addr: options.Addr, Generation: options.Generation, Metadata: &metadata}, key: Key(options.Name)}
+	node.self = member{Record: Record{Name: options.Name, Addr: options.Addr, Generation: options.Generation,
+		Metadata: &metadata}, key: Key(options.Name)}
 	node.toggleSelfDigest()
 	return node
 }
--- a/internal/shared/membership/simulation_test.go
+++ b/internal/shared/membership/simulation_test.go
@@ -14,6 +14,7 @@
 
 // runSeeds runs a test with n seeds, each a subtest, or with the one of the flag.
 func runSeeds(t *testing.T, n uint64, play func(t *testing.T, seed uint64)) {
+	t.Helper()
 	first := uint64(1)
 	if *seed != 0 {
 		first, n = *seed, 1
--- a/internal/shared/membership/suspicion.go
+++ b/internal/shared/membership/suspicion.go
@@ -51,9 +51,10 @@
 		}
 		record := peer.Record
 		record.State = Dead
-		n.replaceRecord(peer, record, fmt.Sprintf("suspected for %.2f s, witnesses %s", n.now-peer.suspectedAt, strings.Join(peer.suspectedBy, ", ")))
+		n.replaceRecord(peer, record, fmt.Sprintf("suspected for %.2f s, witnesses %s",
+			n.now-peer.suspectedAt, strings.Join(peer.suspectedBy, ", ")))
 	}
 }
 
 // logScale returns the decimal logarithm by which timeouts and retransmissions grow with the cluster, at least 1.
-func logScale(n int) float64 { return math.Max(1, math.Log10(float64(n+1))) }
+func logScale(members int) float64 { return math.Max(1, math.Log10(float64(members+1))) }
--- a/internal/shared/membership/view.go
+++ b/internal/shared/membership/view.go
@@ -24,7 +24,8 @@
 
 // View returns a copy of the view.
 func (n *Node) View() View {
-	view := View{Digest: n.viewDigest, Converged: n.converged, Contacted: n.contacted, Recognized: n.recognized, Withdrawn: n.withdrawn, Left: n.left, TimeoutFactor: 1 + n.awareness, JoinedAt: n.joinedAt,
+	view := View{Digest: n.viewDigest, Converged: n.converged, Contacted: n.contacted, Recognized: n.recognized,
+		Withdrawn: n.withdrawn, Left: n.left, TimeoutFactor: 1 + n.awareness, JoinedAt: n.joinedAt,
 		Members: make([]Member, 0, len(n.members)+1)}
 	self := Member{Record: n.self.Record, Key: n.self.key, Since: n.self.stateSince, LastContact: n.now, Self: true}
 	i, _ := n.searchMember(n.self.Name)
--- a/internal/system/agent/cluster_test.go
+++ b/internal/system/agent/cluster_test.go
@@ -37,6 +37,7 @@
 }
 
 func newTestCluster(t *testing.T) *testCluster {
+	t.Helper()
 	cluster := &testCluster{t: t, network: [4]byte{127, byte(1 + rand.IntN(254)), byte(rand.IntN(256)), 0}}
 	listener, err := net.Listen("tcp4", netip.AddrPortFrom(cluster.address(), 0).String())
 	if err != nil {
@@ -339,6 +340,7 @@
 }
 
 func newFakePlatform(t *testing.T) *fakePlatform {
+	t.Helper()
 	p := &fakePlatform{}
 	server := httptest.NewServer(p)
 	t.Cleanup(server.Close)
--- a/internal/system/gossip/memberlist_test.go
+++ b/internal/system/gossip/memberlist_test.go
@@ -25,7 +25,8 @@
 	lastHost byte
 }
 
-func newCluster(t *testing.T) *testCluster {
+func newTestCluster(t *testing.T) *testCluster {
+	t.Helper()
 	cluster := &testCluster{t: t, members: map[string]*Memberlist{}}
 	t.Cleanup(func() {
 		for _, member := range cluster.members {
@@ -86,7 +87,8 @@
 
 // newSmallCluster starts two control replicas and three edges.
 func newSmallCluster(t *testing.T) *testCluster {
-	cluster := newCluster(t)
+	t.Helper()
+	cluster := newTestCluster(t)
 	cluster.start(cluster.options("core-1", Control, "a1"))
 	cluster.start(cluster.options("core-2", Control, "b1"))
 	for i := range 3 {
@@ -152,7 +154,7 @@
 }
 
 func TestDeadProxyCountsUntilTTL(t *testing.T) {
-	cluster := newCluster(t)
+	cluster := newTestCluster(t)
 	options := cluster.options("core-1", Control, "a1")
 	options.DeadProxyTTL = time.Millisecond
 	cluster.start(options)
@@ -196,7 +198,7 @@
 }
 
 func TestProxyCountUnknownWhenAlone(t *testing.T) {
-	cluster := newCluster(t)
+	cluster := newTestCluster(t)
 	edge := cluster.start(cluster.options("edge-1", Edge, "a1"))
 	if n := edge.ProxyCount(); n != 0 {
 		t.Errorf("%d proxies where nobody else was heard from, want 0", n)
@@ -204,7 +206,7 @@
 }
 
 func TestControlAddressesNearestFirst(t *testing.T) {
-	cluster := newCluster(t)
+	cluster := newTestCluster(t)
 	far := cluster.start(cluster.options("core-1", Control, "b1"))
 	near := cluster.start(cluster.options("core-2", Control, "a2"))
 	same := cluster.start(cluster.options("core-3", Control, "a1"))
@@ -233,7 +235,7 @@
 }
 
 func TestOnChange(t *testing.T) {
-	cluster := newCluster(t)
+	cluster := newTestCluster(t)
 	changes := make(chan struct{}, 1)
 	options := cluster.options("core-1", Control, "a1")
 	options.OnChange = func() {
@@ -256,7 +258,7 @@
 }
 
 func TestSetSeeds(t *testing.T) {
-	cluster := newCluster(t)
+	cluster := newTestCluster(t)
 	core := cluster.start(cluster.options("core-1", Control, "a1"))
 	options := cluster.options("edge-1", Edge, "a1")
 	options.Seeds = nil
@@ -266,7 +268,7 @@
 }
 
 func TestAddressInUse(t *testing.T) {
-	cluster := newCluster(t)
+	cluster := newTestCluster(t)
 	first := cluster.start(cluster.options("core-1", Control, "a1"))
 	options := cluster.options("core-2", Control, "a1")
 	options.Listen = first.Address()
