--- a/internal/dispatcher/cluster/quota/calculator_test.go
+++ b/internal/dispatcher/cluster/quota/calculator_test.go
@@ -166,7 +166,7 @@
 		if d.node.Membership == nil || d.node.Paused || d.stopped {
 			continue
 		}
-		if d.paused { // the loop tells it before anything else
+		if d.paused { // the loop reports a pause before anything else
 			d.paused = false
 			d.node.Membership.HandlePause(now)
 			d.updateShare()
@@ -362,7 +362,7 @@
 	d := quota.New(quota.Config{Instances: 1, ProbeInterval: 1, LoadDecay: 2, AllMembers: true})
 	v := viewOf(true, alive, alive, dead)
 	lease := d.StopTimeout(3)
-	if p := d.Share(lease, v); p.Instances != 3 { // more than half are heard since now only
+	if p := d.Share(lease, v); p.Instances != 3 { // contact with more than half begins now
 		t.Errorf("one that is dead leaves the count as soon as more than half are heard: %+v", p)
 	}
 	v.Members[2].Since = lease + 1
@@ -372,7 +372,7 @@
 	if p := d.Share(2*lease+1.1, v); p.Instances != 2 {
 		t.Errorf("one that is dead stays in the count for ever: %+v", p)
 	}
-	v.Members[1].State, v.Members[1].Since = dead, 10*lease // now it is heard by less than half: who left the count stays out, nobody else leaves it
+	v.Members[1].State, v.Members[1].Since = dead, 10*lease // contact with less than half: who is no longer counted stays so, all others are counted
 	if p := d.Share(10*lease, v); p.Instances != 2 || p.Fraction != quota.CautiousFraction {
 		t.Errorf("cut off: %+v", p)
 	}
--- a/internal/dispatcher/cluster/versions/confirmation_test.go
+++ b/internal/dispatcher/cluster/versions/confirmation_test.go
@@ -136,7 +136,7 @@
 	if err := table.IssueOrder(14, viewOf("b", names...), "c", false); err != nil {
 		t.Fatal(err)
 	}
-	for range 5 * maxTransmits { // told to others
+	for range 5 * maxTransmits { // sent to others
 		table.Payload(15, 300)
 	}
 	if table.HasUrgent() {
--- a/internal/dispatcher/cluster/versions/faults_test.go
+++ b/internal/dispatcher/cluster/versions/faults_test.go
@@ -146,7 +146,7 @@
 	for node, table := range tables {
 		answered[node] = table.Stats.Replies
 	}
-	net.AfterEvent = func(node *virtualcluster.Node) { // an answer has gone out, and not all of it
+	net.AfterEvent = func(node *virtualcluster.Node) { // part of a reply has been sent
 		if node != straggler && node.Membership != nil && killed < 2 && tables[node].Stats.Replies > answered[node] {
 			killed++
 			net.Schedule(net.Now, func() { net.Kill(node) })
--- a/internal/dispatcher/cluster/versions/table_test.go
+++ b/internal/dispatcher/cluster/versions/table_test.go
@@ -129,7 +129,7 @@
 	}
 	table.ApplyList(21, src, 2, false, nil) // it hears it, too, a little behind
 	exchange(21, a, table)
-	exchange(22, table, a) // it is behind, asks, and is told
+	exchange(22, table, a) // it lags, sends a request, and gets a reply
 	exchange(23, a, table)
 	if l, _ := table.Version(); l.Epoch != 1 {
 		t.Errorf("descent %d", l.Epoch)
@@ -164,7 +164,7 @@
 	}
 	a, table := newTestTable("a", 5, workers...), newTestTable("b", 5, workers...)
 	a.ApplyList(20, src, 6, false, entries(Draining, workers...))
-	for range 5000 { // told to others
+	for range 5000 { // sent to others
 		a.Payload(20, 300)
 	}
 	if a.HasUrgent() {
@@ -211,7 +211,7 @@
 	a, table := newTestTable("a", 5, "x"), newTestTable("b", 5, "x")
 	table.HandlePayload(20, "liar", table.encodePayload(&payload{Version: Version{src, 0, 5}, CompleteUpTo: 1 << 40, FactCount: 1}))
 	a.ApplyList(20, src, 6, false, entries(Draining, "x"))
-	for range 50 { // told to others
+	for range 50 { // sent to others
 		a.Payload(20, 300)
 	}
 	for at := 21.0; at < 60 && len(table.Restrictions()) == 0; at += 2 {
--- a/internal/shared/membership/simulation_test.go
+++ b/internal/shared/membership/simulation_test.go
@@ -179,7 +179,7 @@
 		if d := deaths(net, ""); d > 0 {
 			t.Errorf("%d times one was given up that another heard", d)
 		}
-		for _, n := range net.Nodes { // the third one asks in their place
+		for _, n := range net.Nodes { // the third one pings on their behalf
 			if n.Membership.Suspicions > 0 {
 				t.Errorf("%s met with %d suspicions", n.Name, n.Membership.Suspicions)
 			}
@@ -315,7 +315,7 @@
 			net.Kill(net.Nodes[1])
 			net.Nodes[1].ClockSkew = skew
 			net.Start(net.Nodes[1], net.Nodes[0])
-			if took := waitConverged(t, net, 6, 30); took > 5 { // it need not ask whether somebody stands at its own address
+			if took := waitConverged(t, net, 6, 30); took > 5 { // it need not verify a claim from its own address
 				t.Errorf("it took %.1f periods", took)
 			}
 			if net.Nodes[1].Membership.Withdrawn() {
--- a/internal/system/agent/agent_test.go
+++ b/internal/system/agent/agent_test.go
@@ -69,7 +69,7 @@
 	edge.kill()
 	cluster.platform.set(runner("one"), runner("three"))
 	edge.startAgent()
-	edge.startProxy() // its positions are those of the earlier life
+	edge.startProxy() // its positions are those from before the restart
 	edge.waitFor("the proxy has what the platform lists now", func() bool {
 		_, two := edge.runner("two")
 		_, three := edge.runner("three")
--- a/internal/system/agent/upstream/partitions_test.go
+++ b/internal/system/agent/upstream/partitions_test.go
@@ -113,7 +113,7 @@
 	selector.HandleReply(second, address(1), partly)
 	expectRequest(t, selector, second, 1, second)
 	selector.HandleReply(2*second, address(1), partly)
-	expectRequest(t, selector, 2*second, 1, 0) // they are asked again
+	expectRequest(t, selector, 2*second, 1, 0) // the candidates are polled again
 	selector.HandleReply(2*second, address(1), partly)
 	expectRequest(t, selector, 2*second, 3, 0) // not 2, which did not answer
 	selector.HandleReply(2*second, address(3), Reply{Ages: agesOf(allPartitions)})
