--- a/internal/dispatcher/httpfront/director_test.go
+++ b/internal/dispatcher/httpfront/director_test.go
@@ -16,8 +16,8 @@
 
 // Guards against dispatchers that fail together asking together again, against one that asks a discovery without room
 // as fast as one that has lost its connection, and against a wait that it names being passed over.
-func TestPause(t *testing.T) {
-	refused := refusal("503 Service Unavailable", Header{{Name: "retry-after", Value: "3.5"}})
+func TestRetryDelay(t *testing.T) {
+	refused := responseError("503 Service Unavailable", Header{{Name: "retry-after", Value: "3.5"}})
 	for _, tc := range []struct {
 		name  string
 		err   error
@@ -25,20 +25,20 @@
 		spans []float64
 		fleet int
 	}{
-		{"no room, a large fleet", refusal("503", nil), 0, []float64{6.4, 12.8, 25.6, 51.2, 51.2}, 80},
+		{"no room, a large fleet", responseError("503", nil), 0, []float64{6.4, 12.8, 25.6, 51.2, 51.2}, 80},
 		{"lost, a large fleet", errors.New("reset"), 0, []float64{1, 2, 2}, 80},
 		{"lost", errors.New("reset"), 0, []float64{1, 2, 2}, 3},
-		{"no room", refusal("503", nil), 0, []float64{2, 4, 8, 16, 16}, 3},
+		{"no room", responseError("503", nil), 0, []float64{2, 4, 8, 16, 16}, 3},
 		{"no room, told when", refused, 3.5, []float64{2, 4}, 3},
-		{"no room, told nonsense", refusal("429", Header{{Name: "Retry-After", Value: "-1"}}), 0, []float64{2, 4}, 3},
-		{"no list there", refusal("404 Not Found", nil), 0, []float64{1, 2}, 3},
+		{"no room, told nonsense", responseError("429", Header{{Name: "Retry-After", Value: "-1"}}), 0, []float64{2, 4}, 3},
+		{"no list there", responseError("404 Not Found", nil), 0, []float64{1, 2}, 3},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			least, most := make([]float64, len(tc.spans)), make([]float64, len(tc.spans))
 			for seed := range uint64(400) {
 				d := &DiscoveryClient{Instances: tc.fleet, rng: rand.New(rand.NewPCG(seed, 0))}
 				for i, span := range tc.spans {
-					p := d.pause(tc.err)
+					p := d.retryDelay(tc.err)
 					if p < tc.after || p > tc.after+span {
 						t.Fatalf("pause %d is %.2f s", i, p)
 					}
@@ -65,7 +65,7 @@
 
 // Guards against a dispatcher that bides its time at the start: what discovery has to tell binds from there on, and a
 // list of an earlier life may name backends that have drained since.
-func TestWhoAsksAtOnce(t *testing.T) {
+func TestFirstWatchOpensAtOnce(t *testing.T) {
 	addr := netip.MustParseAddrPort("127.0.0.1:1")
 	known := List{Revision: 7, Full: true, Entries: []Entry{{UID: "a", Endpoint: "127.0.0.1:1", State: "ready"}}}
 	for _, tc := range []struct {
@@ -90,15 +90,15 @@
 		pool := NewPool(loop, zap.NewNop(), PoolOptions{})
 		pool.SetDispatcher(core)
 		d := NewDiscoveryClient(loop, zap.NewNop(), addr, core, pool, []string{"z"}, []string{"k"}, 1)
-		if tc.start(d); d.Watches != tc.want || d.rev != 7 && tc.name != "with none" {
-			t.Errorf("%s: asked %d times at once, want %d; holds version %d", tc.name, d.Watches, tc.want, d.rev)
+		if tc.start(d); d.Watches != tc.want || d.revision != 7 && tc.name != "with none" {
+			t.Errorf("%s: asked %d times at once, want %d; holds version %d", tc.name, d.Watches, tc.want, d.revision)
 		}
 	}
 }
 
 // Guards against dispatchers that start together and crowd out each other at discovery for good: it answers so many
 // questions a second, in turn, and refuses what has waited 2 s. Over virtual time, with the director's own pauses.
-func TestAllAreInformedByASmallDiscovery(t *testing.T) {
+func TestRetryDelaysLetOverloadedDiscoveryServeAll(t *testing.T) {
 	const patience, perSecond = 2.0, 12.0 // seconds, answers
 	for _, fleet := range []int{3, 60, 300} {
 		for seed := range uint64(5) {
@@ -118,7 +118,7 @@
 					calls[tick/perSecond]++
 				}
 				for len(queue) > 0 && float64(tick-queue[0].at) >= patience*perSecond {
-					pause := directors[queue[0].who].pause(refusal("503", nil))
+					pause := directors[queue[0].who].retryDelay(responseError("503", nil))
 					again := tick + 1 + int(pause*perSecond)
 					due[again] = append(due[again], queue[0].who)
 					queue = queue[1:]
@@ -134,7 +134,7 @@
 				}
 			}
 			took, least := float64(tick)/perSecond, float64(fleet)/perSecond
-			if took > 3*least+afterRefusal(fleet).first || float64(busiest) > 3*perSecond {
+			if took > 3*least+rejectionBackoff(fleet).initial || float64(busiest) > 3*perSecond {
 				t.Errorf("%d dispatchers: all informed after %.1f s of %.1f at least, %d questions in the busiest second after the start",
 					fleet, took, least, busiest)
 			}
--- a/internal/dispatcher/httpfront/handover.go
+++ b/internal/dispatcher/httpfront/handover.go
@@ -23,34 +23,34 @@
 
 // OfferSessions offers the sessions that rest to the successor.
 func (f *Front) OfferSessions() {
-	f.sessions.Each(func(_ slotmap.Handle, s *session) { s.offer() })
+	f.sessions.Each(func(_ slotmap.Handle, s *session) { s.offerToSuccessor() })
 }
 
 // SessionCount is how many sessions are still here.
 func (f *Front) SessionCount() int { return f.sessions.Len() }
 
-// offer gives the session to the successor, if it rests and there is one that takes it.
-func (s *session) offer() bool {
-	if s.f.successor == nil || s.call != "" || s.waits || s.conn.Unsent() > 0 || !s.conn.Open() {
+// offerToSuccessor gives the session to the successor, if it rests and there is one that takes it.
+func (s *session) offerToSuccessor() bool {
+	if s.front.successor == nil || s.callID != "" || s.awaitingForward || s.conn.Unsent() > 0 || !s.conn.Open() {
 		return false
 	}
-	if !s.f.successor(SessionState{s.asked, s.whole, s.told, s.entered}, s.conn) {
+	if !s.front.successor(SessionState{s.hasRequested, s.hasSent, s.hasCallback, s.acceptedAt}, s.conn) {
 		return false
 	}
-	s.leave()
+	s.unregister()
 	return true
 }
 
 // Adopt owns a session of the process before this one.
-func (f *Front) Adopt(state SessionState, c *eventloop.Conn) eventloop.Handler {
-	s := &session{f: f, conn: c, from: c.Peer().Addr().Unmap(), entered: state.AcceptedAt, asked: state.HasRequested,
-		whole: state.HasSent, told: state.HasCallback}
-	s.backend = f.pool.at(s.from)
-	s.h = f.sessions.Insert(s)
-	f.door.Register(s.from)
-	if s.asked {
-		f.asking++
+func (f *Front) Adopt(state SessionState, conn *eventloop.Conn) eventloop.Handler {
+	s := &session{front: f, conn: conn, source: conn.Peer().Addr().Unmap(), acceptedAt: state.AcceptedAt, hasRequested: state.HasRequested,
+		hasSent: state.HasSent, hasCallback: state.HasCallback}
+	s.fromBackend = f.pool.hasBackendAt(s.source)
+	s.handle = f.sessions.Insert(s)
+	f.limiter.Register(s.source)
+	if s.hasRequested {
+		f.requestingSessions++
 	}
-	s.rest()
+	s.awaitRequest()
 	return s
 }
--- a/internal/dispatcher/httpfront/http.go
+++ b/internal/dispatcher/httpfront/http.go
@@ -43,75 +43,75 @@
 }
 
 // ParseRequest reads one request from the start of b and tells how many bytes it took; ErrIncomplete asks for more.
-func ParseRequest(b []byte) (q Request, n int, err error) {
+func ParseRequest(b []byte) (request Request, n int, err error) {
 	if n, err = httpwire.SkipBlankLines(b); err != nil {
-		return q, 0, err
+		return request, 0, err
 	}
 	line, header, head, err := parseHead(b[n:])
 	if errors.Is(err, ErrIncomplete) && !httpwire.IsMessagePrefix(b[n:]) {
-		return q, 0, httpwire.NewSyntaxError(400, "request line") // no more bytes can mend it
+		return request, 0, httpwire.NewSyntaxError(400, "request line") // no more bytes can mend it
 	}
 	if err != nil {
-		return q, 0, err
+		return request, 0, err
 	}
 	n += head
 	method, target, version, err := httpwire.ParseRequestLine(line)
 	if err != nil {
-		return q, 0, err
+		return request, 0, err
 	}
-	q = Request{Method: method, Target: target, Header: header, Close: header.ClosesConnection(version)}
-	body, m, err := parseBody(b[n:], header, MaxBody)
+	request = Request{Method: method, Target: target, Header: header, Close: header.ClosesConnection(version)}
+	body, bodySize, err := parseBody(b[n:], header, MaxBody)
 	if err != nil {
-		return q, 0, err
+		return request, 0, err
 	}
-	q.Body = body
-	return q, n + m, nil
+	request.Body = body
+	return request, n + bodySize, nil
 }
 
 // ParseResponse reads one response from the start of b; ended says that the peer will send no more, which
 // ends a body of untold length.
-func ParseResponse(b []byte, ended bool) (p Response, n int, err error) {
+func ParseResponse(b []byte, ended bool) (response Response, n int, err error) {
 	return parseResponse(b, ended, MaxBody)
 }
 
 // parseResponse reads a response whose body holds at most limit bytes.
-func parseResponse(b []byte, ended bool, limit int) (p Response, n int, err error) {
+func parseResponse(b []byte, ended bool, limit int) (response Response, n int, err error) {
 	for {
 		line, header, head, err := parseHead(b[n:])
 		if err != nil {
-			return p, 0, err
+			return response, 0, err
 		}
 		n += head
 		version, status, _, err := httpwire.ParseStatusLine(line)
 		if err != nil {
-			return p, 0, err
+			return response, 0, err
 		}
 		if status >= 100 && status < 200 {
 			continue // an interim answer; the real one follows
 		}
-		p = Response{Status: status, Header: header, Close: header.ClosesConnection(version)}
+		response = Response{Status: status, Header: header, Close: header.ClosesConnection(version)}
 		break
 	}
-	if p.Status == 204 || p.Status == 304 {
-		return p, n, nil
+	if response.Status == 204 || response.Status == 304 {
+		return response, n, nil
 	}
-	if !p.Header.Has("Content-Length") && !p.Header.Has("Transfer-Encoding") {
-		p.Close = true
+	if !response.Header.Has("Content-Length") && !response.Header.Has("Transfer-Encoding") {
+		response.Close = true
 		if len(b)-n > limit {
-			return p, 0, httpwire.NewSyntaxError(502, "body too large")
+			return response, 0, httpwire.NewSyntaxError(502, "body too large")
 		}
 		if !ended {
-			return p, 0, ErrIncomplete
+			return response, 0, ErrIncomplete
 		}
-		p.Body = bytes.Clone(b[n:])
-		return p, len(b), nil
+		response.Body = bytes.Clone(b[n:])
+		return response, len(b), nil
 	}
-	body, m, err := parseBody(b[n:], p.Header, limit)
+	body, bodySize, err := parseBody(b[n:], response.Header, limit)
 	if err != nil {
-		return p, 0, err
+		return response, 0, err
 	}
-	p.Body = body
-	return p, n + m, nil
+	response.Body = body
+	return response, n + bodySize, nil
 }
 
 // parseHead reads a start line and the fields after it.
--- a/internal/dispatcher/httpfront/link.go
+++ b/internal/dispatcher/httpfront/link.go
@@ -11,207 +11,207 @@
 	"cinderroad/loadbalancer"
 )
 
-// link is a connection to a backend.
-type link struct {
-	b       *backend
-	life    uint64
-	conn    *eventloop.Conn
-	job     *exchange // what it carries; nil when idle or when nobody waits for the answer any more
-	busy    bool
-	up      bool
-	wrote   bool // bytes of the present request have gone out
-	since   float64
-	rested  float64 // how long it had rested before the present request; 0 is a new connection
-	worn    bool    // was found dead after a rest
-	timeout *eventloop.Timer
+// connection is a connection to a backend.
+type connection struct {
+	backend     *backend
+	incarnation uint64
+	conn        *eventloop.Conn
+	exchange    *exchange // what it carries; nil when idle or when nobody waits for the answer any more
+	busy        bool
+	connected   bool
+	wroteAny    bool // bytes of the present request have gone out
+	idleSince   float64
+	idleTime    float64 // how long it had rested before the present request; 0 is a new connection
+	stale       bool    // was found dead after a rest
+	timeout     *eventloop.Timer
 }
 
-// start writes the request of an exchange.
-func (l *link) start(x *exchange) {
-	p := l.b.pool
-	l.job, l.busy, l.wrote = x, true, false
-	var b []byte
-	switch a := x.attempt; {
-	case a != nil:
-		a.link = l
-		if result, clear := p.core.ConfirmSend(a.id); !clear { // drained or overdue while the connection came up: no byte of it goes out
-			p.end(a, dispatch.Outcome{Result: result})
-			l.rest()
+// send writes the request of an exchange.
+func (c *connection) send(exchange *exchange) {
+	p := c.backend.pool
+	c.exchange, c.busy, c.wroteAny = exchange, true, false
+	var request []byte
+	switch attempt := exchange.attempt; {
+	case attempt != nil:
+		attempt.connection = c
+		if result, clear := p.dispatcher.ConfirmSend(attempt.id); !clear { // drained or overdue while the connection came up: no byte of it goes out
+			p.endAttempt(attempt, dispatch.Outcome{Result: result})
+			c.release()
 			return
 		}
-		b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget-Ms: %d\r\n",
-			a.call.Method, a.call.Target, l.b.addr, a.call.ID, a.call.Class, max(1, int((a.ends-p.loop.Now())*1000)))
-		if a.call.IdempotencyKey != "" {
-			b = fmt.Appendf(b, "Idempotency-Key: %s\r\n", a.call.IdempotencyKey)
+		request = fmt.Appendf(request, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget-Ms: %d\r\n",
+			attempt.call.Method, attempt.call.Target, c.backend.address, attempt.call.ID, attempt.call.Class, max(1, int((attempt.deadline-p.loop.Now())*1000)))
+		if attempt.call.IdempotencyKey != "" {
+			request = fmt.Appendf(request, "Idempotency-Key: %s\r\n", attempt.call.IdempotencyKey)
 		}
-		b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n%s", len(a.call.Body), a.call.Body)
-	case x.probe != nil:
-		b = fmt.Appendf(b, "GET /_load HTTP/1.1\r\nHost: %s\r\n\r\n", l.b.addr)
-		l.limit(p.limits.ProbeTimeout)
+		request = fmt.Appendf(request, "Content-Length: %d\r\n\r\n%s", len(attempt.call.Body), attempt.call.Body)
+	case exchange.probeDone != nil:
+		request = fmt.Appendf(request, "GET /_load HTTP/1.1\r\nHost: %s\r\n\r\n", c.backend.address)
+		c.setTimeout(p.options.ProbeTimeout)
 	default:
-		b = fmt.Appendf(b, "DELETE /jobs/%s HTTP/1.1\r\nHost: %s\r\n\r\n", x.deletes, l.b.addr)
-		l.limit(p.limits.ProbeTimeout)
+		request = fmt.Appendf(request, "DELETE /jobs/%s HTTP/1.1\r\nHost: %s\r\n\r\n", exchange.cancelID, c.backend.address)
+		c.setTimeout(p.options.ProbeTimeout)
 	}
-	l.conn.Write(b)
-	l.wrote = l.conn.Unsent() < len(b)
-	if x.attempt != nil {
-		x.attempt.sent = l.conn.Unsent() == 0
+	c.conn.Write(request)
+	c.wroteAny = c.conn.Unsent() < len(request)
+	if exchange.attempt != nil {
+		exchange.attempt.sent = c.conn.Unsent() == 0
 		// A machine that was cut off keeps its connections open and silent: a request on one of them is lost for
 		// as long as it may take, while a connect that never comes up proves that nothing ran. So once a backend
 		// has not even taken a request for this long, the next must connect anew.
-		l.timeout.Stop()
-		l.timeout = p.loop.At(p.loop.Now()+p.limits.ConnectTimeout, l.b.closeIdle)
+		c.timeout.Stop()
+		c.timeout = p.loop.At(p.loop.Now()+p.options.ConnectTimeout, c.backend.closeIdle)
 	}
 }
 
-func (l *link) limit(s float64) {
-	l.timeout.Stop()
-	l.timeout = l.b.pool.loop.At(l.b.pool.loop.Now()+s, func() {
-		l.conn.Close()
-		l.lost(errors.New("timed out"))
+func (c *connection) setTimeout(seconds float64) {
+	c.timeout.Stop()
+	c.timeout = c.backend.pool.loop.At(c.backend.pool.loop.Now()+seconds, func() {
+		c.conn.Close()
+		c.handleLoss(errors.New("timed out"))
 	})
 }
 
-// rest makes the link idle for the next exchange.
-func (l *link) rest() {
-	l.job, l.busy = nil, false
-	l.timeout.Stop()
-	if l.b.pool.dropping || l.conn.Unsent() > 0 || l.life != l.b.life {
-		l.conn.Close()
+// release makes the link idle for the next exchange.
+func (c *connection) release() {
+	c.exchange, c.busy = nil, false
+	c.timeout.Stop()
+	if c.backend.pool.dropping || c.conn.Unsent() > 0 || c.incarnation != c.backend.incarnation {
+		c.conn.Close()
 		return
 	}
-	l.since = l.b.pool.loop.Now()
-	l.b.idle = append(l.b.idle, l)
+	c.idleSince = c.backend.pool.loop.Now()
+	c.backend.idle = append(c.backend.idle, c)
 	// The backend closes at IdleTimeout at the latest, and a request that crosses the close is lost: be first.
-	l.timeout = l.b.pool.loop.At(l.since+0.8*l.b.pool.limits.IdleTimeout, l.end)
+	c.timeout = c.backend.pool.loop.At(c.idleSince+0.8*c.backend.pool.options.IdleTimeout, c.close)
 }
 
-// end closes the link from our side.
-func (l *link) end() {
-	l.timeout.Stop()
-	l.unlist()
-	l.conn.Close()
+// close closes the link from our side.
+func (c *connection) close() {
+	c.timeout.Stop()
+	c.removeFromIdle()
+	c.conn.Close()
 }
 
-func (l *link) unlist() {
-	for i, o := range l.b.idle {
-		if o == l {
-			l.b.idle = append(l.b.idle[:i], l.b.idle[i+1:]...)
+func (c *connection) removeFromIdle() {
+	for i, other := range c.backend.idle {
+		if other == c {
+			c.backend.idle = append(c.backend.idle[:i], c.backend.idle[i+1:]...)
 			return
 		}
 	}
 }
 
 // Opened implements eventloop.Handler.
-func (l *link) Opened(*eventloop.Conn) {
-	l.timeout.Stop()
-	l.up = true
-	if l.job == nil {
-		l.rest()
+func (c *connection) Opened(*eventloop.Conn) {
+	c.timeout.Stop()
+	c.connected = true
+	if c.exchange == nil {
+		c.release()
 		return
 	}
-	l.start(l.job)
+	c.send(c.exchange)
 }
 
 // Data implements eventloop.Handler.
-func (l *link) Data(c *eventloop.Conn) {
-	if !l.busy {
-		l.end() // an answer that nobody asked for
+func (c *connection) Data(conn *eventloop.Conn) {
+	if !c.busy {
+		c.close() // an answer that nobody asked for
 		return
 	}
-	l.answer(false)
+	c.readResponse(false)
 }
 
-// answer takes the whole answer, if it has come; ended says that no more will.
-func (l *link) answer(ended bool) (took bool) {
-	r, n, err := ParseResponse(l.conn.Bytes(), ended)
+// readResponse takes the whole answer, if it has come; ended says that no more will.
+func (c *connection) readResponse(ended bool) (done bool) {
+	response, size, err := ParseResponse(c.conn.Bytes(), ended)
 	if errors.Is(err, ErrIncomplete) {
 		return false
 	}
 	if err != nil {
-		l.timeout.Stop()
-		l.conn.Close()
-		l.lost(err)
+		c.timeout.Stop()
+		c.conn.Close()
+		c.handleLoss(err)
 		return true
 	}
-	l.conn.Consume(n)
-	if l.rested > 0 {
-		l.b.wear.saw(l.b.pool.loop.Now(), l.rested, 0)
-		l.rested = 0
+	c.conn.Consume(size)
+	if c.idleTime > 0 {
+		c.backend.staleness.record(c.backend.pool.loop.Now(), c.idleTime, 0)
+		c.idleTime = 0
 	}
-	x := l.job
-	l.job = nil
-	if ended || r.Close || len(l.conn.Bytes()) > 0 {
-		l.timeout.Stop()
-		l.conn.Close()
+	exchange := c.exchange
+	c.exchange = nil
+	if ended || response.Close || len(c.conn.Bytes()) > 0 {
+		c.timeout.Stop()
+		c.conn.Close()
 	} else {
-		l.rest()
+		c.release()
 	}
 	switch {
-	case x == nil: // given up, or ended by a call-back that came before the answer
-	case x.probe != nil:
+	case exchange == nil: // given up, or ended by a call-back that came before the answer
+	case exchange.probeDone != nil:
 		result, load := loadbalancer.OK, LoadReport(nil)
-		if r.Status != 200 {
+		if response.Status != 200 {
 			result = loadbalancer.Error
-		} else if load = ParseLoadReport(string(r.Body)); load == nil {
-			load = ParseLoadReport(r.Header.Get("X-Load-Report"))
+		} else if load = ParseLoadReport(string(response.Body)); load == nil {
+			load = ParseLoadReport(response.Header.Get("X-Load-Report"))
 		}
-		x.probe(result, load.Values(l.b.pool.limits.ReportFields))
-	case x.attempt != nil:
-		l.b.pool.replied(x.attempt, &r)
+		exchange.probeDone(result, load.Values(c.backend.pool.options.ReportFields))
+	case exchange.attempt != nil:
+		c.backend.pool.handleResponse(exchange.attempt, &response)
 	}
 	return true
 }
 
 // Closed implements eventloop.Handler.
-func (l *link) Closed(c *eventloop.Conn, err error) {
-	l.timeout.Stop()
-	l.unlist()
-	if l.busy && l.up && len(c.Bytes()) > 0 && l.answer(true) {
+func (c *connection) Closed(conn *eventloop.Conn, err error) {
+	c.timeout.Stop()
+	c.removeFromIdle()
+	if c.busy && c.connected && len(conn.Bytes()) > 0 && c.readResponse(true) {
 		return
 	}
-	if l.busy && l.rested > 0 && len(c.Bytes()) == 0 {
+	if c.busy && c.idleTime > 0 && len(conn.Bytes()) == 0 {
 		// Dead at the request after a rest: the connection's end, not the backend's. Those that have rested
 		// longer are as dead.
-		l.b.wear.saw(l.b.pool.loop.Now(), l.rested, 1)
-		l.b.pool.StaleConnections++
-		l.b.closeIdle()
-		if x := l.job; x != nil && x.attempt == nil { // harmless to repeat
-			l.job, l.busy = nil, false
-			l.b.carry(x)
+		c.backend.staleness.record(c.backend.pool.loop.Now(), c.idleTime, 1)
+		c.backend.pool.StaleConnections++
+		c.backend.closeIdle()
+		if exchange := c.exchange; exchange != nil && exchange.attempt == nil { // harmless to repeat
+			c.exchange, c.busy = nil, false
+			c.backend.do(exchange)
 			return
 		}
-		l.worn = true
+		c.stale = true
 	}
-	l.lost(err)
+	c.handleLoss(err)
 }
 
-// lost ends what the link carried. Whether it may have run hinges on its last byte alone: until that was
+// handleLoss ends what the link carried. Whether it may have run hinges on its last byte alone: until that was
 // written the backend cannot begin, after it a repeat would be a second copy.
-func (l *link) lost(err error) {
-	l.timeout.Stop()
-	x := l.job
-	l.job, l.busy = nil, false
+func (c *connection) handleLoss(err error) {
+	c.timeout.Stop()
+	exchange := c.exchange
+	c.exchange, c.busy = nil, false
 	switch {
-	case x == nil:
-	case x.probe != nil:
+	case exchange == nil:
+	case exchange.probeDone != nil:
 		result := loadbalancer.Timeout
 		if errors.Is(err, eventloop.ErrNoDescriptor) {
 			result = loadbalancer.Withdrawn
-		} else if !l.up {
+		} else if !c.connected {
 			result = loadbalancer.ConnectFailed
 		}
-		x.probe(result, nil)
-	case x.attempt != nil:
-		a := x.attempt
+		exchange.probeDone(result, nil)
+	case exchange.attempt != nil:
+		attempt := exchange.attempt
 		result := loadbalancer.ConnectFailed
-		if a.written() {
+		if attempt.written() {
 			result = loadbalancer.Reset
 		} else if errors.Is(err, eventloop.ErrNoDescriptor) {
 			result = loadbalancer.Withdrawn // the want is here: it says nothing of the backend
 		}
-		a.link = nil
-		l.b.pool.log.Debug("fetch: connection lost", zap.String("backend", l.b.uid), zap.Error(err))
-		l.b.pool.end(a, dispatch.Outcome{Result: result, StaleConnection: l.worn})
+		attempt.connection = nil
+		c.backend.pool.log.Debug("fetch: connection lost", zap.String("backend", c.backend.uid), zap.Error(err))
+		c.backend.pool.endAttempt(attempt, dispatch.Outcome{Result: result, StaleConnection: c.stale})
 	}
 }
--- a/internal/dispatcher/httpfront/parse_test.go
+++ b/internal/dispatcher/httpfront/parse_test.go
@@ -79,7 +79,7 @@
 
 // Guards against one bad entry costing the news beside it, against a list of nothing but such emptying a good one, and against
 // call-backs taken for what they are not.
-func TestParseBodies(t *testing.T) {
+func TestParseListAndCallback(t *testing.T) {
 	good := func(uid, state string) string {
 		return `{"uid":"` + uid + `","endpoint":"127.0.0.1:1","state":"` + state + `"}`
 	}
@@ -143,7 +143,7 @@
 }
 
 // Guards against a message that is taken, or refused, before all of it has come: pieces end anywhere.
-func TestCutAnywhere(t *testing.T) {
+func TestParseIncomplete(t *testing.T) {
 	request := func(b []byte) error { _, _, err := ParseRequest(b); return err }
 	response := func(b []byte) error { _, _, err := ParseResponse(b, false); return err }
 	chunk := func(b []byte) error { _, _, _, err := ParseChunk(b, MaxList); return err }
--- a/internal/dispatcher/httpfront/pool.go
+++ b/internal/dispatcher/httpfront/pool.go
@@ -28,45 +28,45 @@
 type Pool struct {
 	StrayCallbacks, Connects, StaleConnections uint64
 
-	loop     *eventloop.Loop
-	log      *zap.Logger
-	core     *dispatch.Dispatcher
-	limits   PoolOptions
-	backends map[loadbalancer.WorkerID]*backend
-	live     map[newsKey]*attempt // by what a call-back names
-	byFetch  map[dispatch.AttemptID]*attempt
-	dropping bool // no idle connections are kept any more
+	loop       *eventloop.Loop
+	log        *zap.Logger
+	dispatcher *dispatch.Dispatcher
+	options    PoolOptions
+	backends   map[loadbalancer.WorkerID]*backend
+	byCallback map[callbackKey]*attempt // by what a call-back names
+	byID       map[dispatch.AttemptID]*attempt
+	dropping   bool // no idle connections are kept any more
 }
 
-// newsKey is how a call-back names a fetch: a backend holds one fetch of a req at a time.
-type newsKey struct{ id, from string }
+// callbackKey is how a call-back names a fetch: a backend holds one fetch of a req at a time.
+type callbackKey struct{ id, runner string }
 
 // NewPool makes an empty pool; Core must be set before the first list.
-func NewPool(loop *eventloop.Loop, log *zap.Logger, limits PoolOptions) *Pool {
-	return &Pool{loop: loop, log: log, limits: limits,
-		backends: map[loadbalancer.WorkerID]*backend{}, live: map[newsKey]*attempt{}, byFetch: map[dispatch.AttemptID]*attempt{}}
+func NewPool(loop *eventloop.Loop, log *zap.Logger, options PoolOptions) *Pool {
+	return &Pool{loop: loop, log: log, options: options,
+		backends: map[loadbalancer.WorkerID]*backend{}, byCallback: map[callbackKey]*attempt{}, byID: map[dispatch.AttemptID]*attempt{}}
 }
 
 // SetDispatcher names the core that the pool reports to.
-func (p *Pool) SetDispatcher(core *dispatch.Dispatcher) { p.core = core }
+func (p *Pool) SetDispatcher(dispatcher *dispatch.Dispatcher) { p.dispatcher = dispatcher }
 
-// backend finds a backend or makes it; one that has moved loses its idle connections.
-func (p *Pool) backend(id loadbalancer.WorkerID, uid string, addr netip.AddrPort) *backend {
+// ensureBackend finds a backend or makes it; one that has moved loses its idle connections.
+func (p *Pool) ensureBackend(id loadbalancer.WorkerID, uid string, address netip.AddrPort) *backend {
 	b := p.backends[id]
 	if b == nil {
 		b = &backend{pool: p, uid: uid}
 		p.backends[id] = b
-		p.log.Info("director: backend", zap.String("uid", uid), zap.Uint32("worker", uint32(id)), zap.Stringer("endpoint", addr))
+		p.log.Info("director: backend", zap.String("uid", uid), zap.Uint32("worker", uint32(id)), zap.Stringer("endpoint", address))
 	}
-	if addr.IsValid() && addr != b.addr {
+	if address.IsValid() && address != b.address {
 		b.closeIdle()
-		b.addr = addr
+		b.address = address
 	}
 	return b
 }
 
-// keep lets go of backends that are listed as gone. What is out there keeps its own hold of its backend.
-func (p *Pool) keep(listed map[loadbalancer.WorkerID]bool) {
+// removeDeparted lets go of backends that are listed as gone. What is out there keeps its own hold of its backend.
+func (p *Pool) removeDeparted(listed map[loadbalancer.WorkerID]bool) {
 	for id, stays := range listed {
 		if b := p.backends[id]; b != nil && !stays {
 			b.closeIdle()
@@ -75,10 +75,10 @@
 	}
 }
 
-// at says whether a backend stands at an address.
-func (p *Pool) at(addr netip.Addr) bool {
+// hasBackendAt says whether a backend stands at an address.
+func (p *Pool) hasBackendAt(address netip.Addr) bool {
 	for _, b := range p.backends {
-		if b.addr.Addr().Unmap() == addr {
+		if b.address.Addr().Unmap() == address {
 			return true
 		}
 	}
@@ -87,88 +87,90 @@
 
 // EvictIdle closes the connection that has been idle longest; false when none is idle.
 func (p *Pool) EvictIdle() bool {
-	var oldest *link
+	var oldest *connection
 	for _, b := range p.backends {
-		if len(b.idle) > 0 && (oldest == nil || b.idle[0].since < oldest.since) {
+		if len(b.idle) > 0 && (oldest == nil || b.idle[0].idleSince < oldest.idleSince) {
 			oldest = b.idle[0]
 		}
 	}
 	if oldest != nil {
-		oldest.end()
+		oldest.close()
 	}
 	return oldest != nil
 }
 
 // attempt is a fetch on its way.
 type attempt struct {
-	id   dispatch.AttemptID
-	key  newsKey
-	call *Call
-	ends float64
-	link *link // until the 202, or the answer
-	sent bool  // its last byte has been written
+	id         dispatch.AttemptID
+	key        callbackKey
+	call       *Call
+	deadline   float64
+	connection *connection // until the 202, or the answer
+	sent       bool        // its last byte has been written
 }
 
-// end ends the attempt here and tells the core.
-func (p *Pool) end(a *attempt, e dispatch.Outcome) {
-	p.forget(a)
-	p.core.HandleOutcome(a.id, e)
+// endAttempt ends the attempt here and tells the core.
+func (p *Pool) endAttempt(attempt *attempt, outcome dispatch.Outcome) {
+	p.forget(attempt)
+	p.dispatcher.HandleOutcome(attempt.id, outcome)
 }
 
-func (p *Pool) forget(a *attempt) {
-	delete(p.live, a.key)
-	delete(p.byFetch, a.id)
-	if l := a.link; l != nil {
-		l.job, a.link = nil, nil
-		if l.up { // its answer is still due, but a backend that has vanished never gives it
-			l.limit(p.limits.ProbeTimeout)
+func (p *Pool) forget(attempt *attempt) {
+	delete(p.byCallback, attempt.key)
+	delete(p.byID, attempt.id)
+	if connection := attempt.connection; connection != nil {
+		connection.exchange, attempt.connection = nil, nil
+		if connection.connected { // its answer is still due, but a backend that has vanished never gives it
+			connection.setTimeout(p.options.ProbeTimeout)
 		}
 	}
 }
 
-// replied draws on a backend's answer: 202 is a promise, all else an end.
-func (p *Pool) replied(a *attempt, r *Response) {
-	a.link, a.sent = nil, true
-	if r.Status == 202 {
+// handleResponse draws on a backend's answer: 202 is a promise, all else an end.
+func (p *Pool) handleResponse(attempt *attempt, response *Response) {
+	attempt.connection, attempt.sent = nil, true
+	if response.Status == 202 {
 		return // call-backs tell the rest
 	}
-	e := dispatch.Outcome{Result: loadbalancer.Error, Report: ParseLoadReport(r.Header.Get("X-Load-Report")).Values(p.limits.ReportFields)}
+	outcome := dispatch.Outcome{Result: loadbalancer.Error, Report: ParseLoadReport(response.Header.Get("X-Load-Report")).Values(p.options.ReportFields)}
 	switch {
-	case (r.Status == 503 || r.Status == 504) && r.Header.Get("X-Rejected") == "1":
-		e.Result = loadbalancer.Rejected
-	case r.Status >= 400 && r.Status < 500 && r.Status != 408 && r.Status != 429:
-		e.InvalidJob = true // it is the request that is bad: another backend would say so too
+	case (response.Status == 503 || response.Status == 504) && response.Header.Get("X-Rejected") == "1":
+		outcome.Result = loadbalancer.Rejected
+	case response.Status >= 400 && response.Status < 500 && response.Status != 408 && response.Status != 429:
+		outcome.InvalidJob = true // it is the request that is bad: another backend would say so too
 	}
-	p.end(a, e)
+	p.endAttempt(attempt, outcome)
 }
 
 // Knows says whether a call-back names a fetch that is out.
-func (p *Pool) Knows(n *Callback) bool { return p.live[newsKey{n.ID, n.Runner}] != nil }
+func (p *Pool) Knows(callback *Callback) bool {
+	return p.byCallback[callbackKey{callback.ID, callback.Runner}] != nil
+}
 
 // HandleCallback takes a call-back. It may repeat one that was taken, or speak of a fetch that is over or of an
 // earlier life's: those find nothing and change nothing.
-func (p *Pool) HandleCallback(n Callback) {
-	a := p.live[newsKey{n.ID, n.Runner}]
-	if a == nil || !a.written() {
+func (p *Pool) HandleCallback(callback Callback) {
+	attempt := p.byCallback[callbackKey{callback.ID, callback.Runner}]
+	if attempt == nil || !attempt.written() {
 		p.StrayCallbacks++
 		return
 	}
-	e := dispatch.Outcome{Report: n.Load.Values(p.limits.ReportFields)}
-	switch n.State {
+	outcome := dispatch.Outcome{Report: callback.Load.Values(p.options.ReportFields)}
+	switch callback.State {
 	case "started":
-		p.core.HandleStarted(a.id)
+		p.dispatcher.HandleStarted(attempt.id)
 		return
 	case "running":
-		p.core.HandleProgress(a.id, n.Progress)
+		p.dispatcher.HandleProgress(attempt.id, callback.Progress)
 		return
 	case "done":
-		e.Result, e.Body = loadbalancer.OK, []byte(n.Result)
+		outcome.Result, outcome.Body = loadbalancer.OK, []byte(callback.Result)
 	case "returned":
-		e.Result = loadbalancer.Rejected
+		outcome.Result = loadbalancer.Rejected
 	case "lost":
-		e.Result = loadbalancer.Reset
+		outcome.Result = loadbalancer.Reset
 	default: // failed, and any word not known: it may have run
-		e.Result = loadbalancer.Error
+		outcome.Result = loadbalancer.Error
 	}
-	p.end(a, e)
+	p.endAttempt(attempt, outcome)
 }
