--- a/internal/dispatcher/httpfront/backend.go
+++ b/internal/dispatcher/httpfront/backend.go
@@ -9,25 +9,20 @@
 	"cinderroad/loadbalancer"
 )
 
-func (b *backend) closeIdle() {
-	for len(b.idle) > 0 {
-		b.idle[0].close()
-	}
-}
-
-// written says whether the last byte of the request has gone out.
-func (a *attempt) written() bool {
-	return a.sent || a.connection != nil && a.connection.wroteAny && a.connection.conn.Unsent() == 0
-}
-
-// backend is one runner.
+// backend is one runner. It implements dispatch.Backend.
 type backend struct {
 	pool        *Pool
 	uid         string
 	address     netip.AddrPort
-	idle        []*connection // the one used last is at the end
+	idle        []*connection // in the order in which they became idle
 	staleness   staleness
-	incarnation uint64 // grows when the runner was restarted: links of an earlier one are not kept
+	incarnation uint64 // grows when the runner is restarted: connections to an earlier one are not reused
+}
+
+func (b *backend) closeIdle() {
+	for len(b.idle) > 0 {
+		b.idle[0].close()
+	}
 }
 
 // Start implements dispatch.Backend.
@@ -39,7 +34,7 @@
 		a.key = callbackKey{call.ID, b.uid}
 	}
 	if !ok || p.byCallback[a.key] != nil {
-		// A second fetch of a req on one backend could not be told from the first by its call-backs.
+		// The callbacks of two attempts at one call on one backend could not be told apart.
 		p.dispatcher.HandleOutcome(spec.ID, dispatch.Outcome{Result: loadbalancer.Withdrawn})
 		return
 	}
@@ -47,8 +42,8 @@
 	b.do(&exchange{attempt: a})
 }
 
-// Cancel implements dispatch.Backend: what is not written is not sent, what waits for its 202 loses its
-// connection, what was taken is called off by a request of its own.
+// Cancel implements dispatch.Backend. An attempt whose answer is due loses its connection; one that the backend has
+// accepted is cancelled by a request of its own.
 func (b *backend) Cancel(id dispatch.AttemptID) bool {
 	a := b.pool.byID[id]
 	if a == nil {
@@ -75,10 +70,10 @@
 // Probe implements dispatch.Backend.
 func (b *backend) Probe(done func(loadbalancer.Result, []float32)) { b.do(&exchange{probeDone: done}) }
 
-// exchange is one request to a backend and its answer.
+// exchange is one request to a backend and its answer. One of the fields is set.
 type exchange struct {
 	attempt   *attempt
-	cancelID  string
+	cancelID  string // of the call to cancel
 	probeDone func(loadbalancer.Result, []float32)
 }
 
@@ -87,7 +82,7 @@
 	for len(b.idle) > 0 {
 		connection := b.idle[len(b.idle)-1]
 		now := b.pool.loop.Now()
-		if !connection.conn.Alive() || b.staleness.exceeded(now, now-connection.idleSince) { // a request written to it would be lost
+		if !connection.conn.Alive() || b.staleness.exceeded(now, now-connection.idleSince) { // a request written to it might be lost
 			connection.close()
 			continue
 		}
--- a/internal/dispatcher/httpfront/link.go
+++ b/internal/dispatcher/httpfront/connection.go
@@ -11,18 +11,18 @@
 	"cinderroad/loadbalancer"
 )
 
-// connection is a connection to a backend.
+// connection is a connection to a backend. It implements eventloop.Handler.
 type connection struct {
 	backend     *backend
-	incarnation uint64
+	incarnation uint64 // of the backend when it was opened
 	conn        *eventloop.Conn
-	exchange    *exchange // what it carries; nil when idle or when nobody waits for the answer any more
-	busy        bool
+	exchange    *exchange // nil: idle, or nobody waits for the answer any more
+	busy        bool      // an answer is due
 	connected   bool
-	wroteAny    bool // bytes of the present request have gone out
+	wroteAny    bool // bytes of the present request have been written
 	idleSince   float64
-	idleTime    float64 // how long it had rested before the present request; 0 is a new connection
-	stale       bool    // was found dead after a rest
+	idleTime    float64 // seconds that it was idle before the present request; 0: it is new
+	stale       bool    // turned out to be dead after it was idle
 	timeout     *eventloop.Timer
 }
 
@@ -34,7 +34,7 @@
 	switch attempt := exchange.attempt; {
 	case attempt != nil:
 		attempt.connection = c
-		if result, clear := p.dispatcher.ConfirmSend(attempt.id); !clear { // drained or overdue while the connection came up: no byte of it goes out
+		if result, confirmed := p.dispatcher.ConfirmSend(attempt.id); !confirmed { // the backend drained, or the deadline passed, during the connect
 			p.endAttempt(attempt, dispatch.Outcome{Result: result})
 			c.release()
 			return
@@ -56,14 +56,15 @@
 	c.wroteAny = c.conn.Unsent() < len(request)
 	if exchange.attempt != nil {
 		exchange.attempt.sent = c.conn.Unsent() == 0
-		// A machine that was cut off keeps its connections open and silent: a request on one of them is lost for
-		// as long as it may take, while a connect that never comes up proves that nothing ran. So once a backend
-		// has not even taken a request for this long, the next must connect anew.
+		// The connections of a partitioned machine stay open and silent: a request on one of them is lost until its
+		// deadline, while a failed connect proves that nothing ran. So once a backend has not acknowledged a request for
+		// this long, the next one must open a new connection.
 		c.timeout.Stop()
 		c.timeout = p.loop.At(p.loop.Now()+p.options.ConnectTimeout, c.backend.closeIdle)
 	}
 }
 
+// setTimeout closes the connection after a number of seconds.
 func (c *connection) setTimeout(seconds float64) {
 	c.timeout.Stop()
 	c.timeout = c.backend.pool.loop.At(c.backend.pool.loop.Now()+seconds, func() {
@@ -72,21 +73,21 @@
 	})
 }
 
-// release makes the link idle for the next exchange.
+// release makes the connection idle for the next exchange.
 func (c *connection) release() {
 	c.exchange, c.busy = nil, false
 	c.timeout.Stop()
-	if c.backend.pool.dropping || c.conn.Unsent() > 0 || c.incarnation != c.backend.incarnation {
+	if c.conn.Unsent() > 0 || c.incarnation != c.backend.incarnation {
 		c.conn.Close()
 		return
 	}
 	c.idleSince = c.backend.pool.loop.Now()
 	c.backend.idle = append(c.backend.idle, c)
-	// The backend closes at IdleTimeout at the latest, and a request that crosses the close is lost: be first.
+	// The backend closes at IdleTimeout at the latest, and a request that crosses its close is lost: close before.
 	c.timeout = c.backend.pool.loop.At(c.idleSince+0.8*c.backend.pool.options.IdleTimeout, c.close)
 }
 
-// close closes the link from our side.
+// close closes the connection from this side.
 func (c *connection) close() {
 	c.timeout.Stop()
 	c.removeFromIdle()
@@ -116,13 +117,13 @@
 // Data implements eventloop.Handler.
 func (c *connection) Data(conn *eventloop.Conn) {
 	if !c.busy {
-		c.close() // an answer that nobody asked for
+		c.close() // unsolicited
 		return
 	}
 	c.readResponse(false)
 }
 
-// readResponse takes the whole answer, if it has come; ended says that no more will.
+// readResponse handles the answer if it is complete; ended reports that the peer will send no more.
 func (c *connection) readResponse(ended bool) (done bool) {
 	response, size, err := ParseResponse(c.conn.Bytes(), ended)
 	if errors.Is(err, ErrIncomplete) {
@@ -148,7 +149,7 @@
 		c.release()
 	}
 	switch {
-	case exchange == nil: // given up, or ended by a call-back that came before the answer
+	case exchange == nil: // cancelled, or ended by a callback that came before the answer
 	case exchange.probeDone != nil:
 		result, load := loadbalancer.OK, LoadReport(nil)
 		if response.Status != 200 {
@@ -171,12 +172,12 @@
 		return
 	}
 	if c.busy && c.idleTime > 0 && len(conn.Bytes()) == 0 {
-		// Dead at the request after a rest: the connection's end, not the backend's. Those that have rested
-		// longer are as dead.
+		// An idle connection died, which is no evidence against the backend. Those that have been idle for longer
+		// are dead, too.
 		c.backend.staleness.record(c.backend.pool.loop.Now(), c.idleTime, 1)
 		c.backend.pool.StaleConnections++
 		c.backend.closeIdle()
-		if exchange := c.exchange; exchange != nil && exchange.attempt == nil { // harmless to repeat
+		if exchange := c.exchange; exchange != nil && exchange.attempt == nil { // safe to retry
 			c.exchange, c.busy = nil, false
 			c.backend.do(exchange)
 			return
@@ -186,8 +187,8 @@
 	c.handleLoss(err)
 }
 
-// handleLoss ends what the link carried. Whether it may have run hinges on its last byte alone: until that was
-// written the backend cannot begin, after it a repeat would be a second copy.
+// handleLoss ends the exchange of a lost connection. Whether an attempt may have run depends only on its last byte: until
+// that was written the backend cannot start it, after it a retry could run it twice.
 func (c *connection) handleLoss(err error) {
 	c.timeout.Stop()
 	exchange := c.exchange
@@ -208,7 +209,7 @@
 		if attempt.written() {
 			result = loadbalancer.Reset
 		} else if errors.Is(err, eventloop.ErrNoDescriptor) {
-			result = loadbalancer.Withdrawn // the want is here: it says nothing of the backend
+			result = loadbalancer.Withdrawn // the shortage is local: no evidence against the backend
 		}
 		attempt.connection = nil
 		c.backend.pool.log.Debug("fetch: connection lost", zap.String("backend", c.backend.uid), zap.Error(err))
--- a/internal/dispatcher/httpfront/handover.go
+++ b/internal/dispatcher/httpfront/handover.go
@@ -5,31 +5,31 @@
 	"cinderroad/internal/shared/slotmap"
 )
 
-// SessionState is what a client session has shown, for the process that takes it over.
+// SessionState is what a client session has shown so far, for the process that takes it over.
 type SessionState struct {
-	HasRequested bool    `json:"asked,omitempty"`
-	HasSent      bool    `json:"whole,omitempty"`
-	HasCallback  bool    `json:"told,omitempty"`
+	HasRequested bool    `json:"asked,omitempty"` // a client's request
+	HasSent      bool    `json:"whole,omitempty"` // any complete request
+	HasCallback  bool    `json:"told,omitempty"`  // a callback
 	AcceptedAt   float64 `json:"entered"`
 }
 
-// SetSuccessor has the successor take each session as it comes to rest, with what has come and was not read; a session that it
-// does not take stays for now. Without a successor (nil) they stay for good.
+// SetSuccessor has each session passed to successor once it is idle, with its unread bytes. A session that successor
+// refuses is kept for now. nil ends this.
 func (f *Front) SetSuccessor(successor func(SessionState, *eventloop.Conn) bool) {
 	if f.successor = successor; successor != nil {
 		f.OfferSessions()
 	}
 }
 
-// OfferSessions offers the sessions that rest to the successor.
+// OfferSessions offers the idle sessions to the successor.
 func (f *Front) OfferSessions() {
 	f.sessions.Each(func(_ slotmap.Handle, s *session) { s.offerToSuccessor() })
 }
 
-// SessionCount is how many sessions are still here.
+// SessionCount returns the number of open sessions.
 func (f *Front) SessionCount() int { return f.sessions.Len() }
 
-// offerToSuccessor gives the session to the successor, if it rests and there is one that takes it.
+// offerToSuccessor passes the session on if it is idle; false if it stays.
 func (s *session) offerToSuccessor() bool {
 	if s.front.successor == nil || s.callID != "" || s.awaitingForward || s.conn.Unsent() > 0 || !s.conn.Open() {
 		return false
@@ -41,7 +41,7 @@
 	return true
 }
 
-// Adopt owns a session of the process before this one.
+// Adopt returns the handler of a session that another process passed on.
 func (f *Front) Adopt(state SessionState, conn *eventloop.Conn) eventloop.Handler {
 	s := &session{front: f, conn: conn, source: conn.Peer().Addr().Unmap(), acceptedAt: state.AcceptedAt, hasRequested: state.HasRequested,
 		hasSent: state.HasSent, hasCallback: state.HasCallback}
--- a/internal/dispatcher/httpfront/http.go
+++ b/internal/dispatcher/httpfront/http.go
@@ -1,5 +1,3 @@
-// Package platform speaks the platform's protocol: clients and call-backs, runners, and discovery, all as
-// HTTP/1.1. The parsers are pure functions over bytes.
 package httpfront
 
 import (
@@ -11,22 +9,25 @@
 	"cinderroad/internal/shared/httpwire"
 )
 
-// Bounds of a message.
+// Bounds of a message, in bytes.
 const (
 	MaxHead = 16 << 10
 	MaxBody = 64 << 10
 )
 
-// ErrIncomplete says that the message is not whole yet.
+// MaxList bounds the answers of discovery, which may hold the full list, in bytes.
+const MaxList = 8 << 20
+
+// ErrIncomplete reports that the message is not complete yet.
 var ErrIncomplete = httpwire.ErrIncomplete
 
-// SyntaxError is a message that breaks HTTP or the bounds; Status is what a server answers to it.
+// SyntaxError is a message that violates HTTP or the bounds; Status is what a server answers to it.
 type SyntaxError = httpwire.SyntaxError
 
 // Header is the fields of a message in their order.
 type Header = httpwire.Header
 
-// Request is a whole request.
+// Request is a complete request.
 type Request struct {
 	Method, Target string
 	Header         Header
@@ -34,22 +35,22 @@
 	Close          bool // the connection ends after the answer
 }
 
-// Response is a whole response.
+// Response is a complete response.
 type Response struct {
 	Status int
 	Header Header
 	Body   []byte
-	Close  bool
+	Close  bool // the connection ends after it
 }
 
-// ParseRequest reads one request from the start of b and tells how many bytes it took; ErrIncomplete asks for more.
+// ParseRequest reads one request from the start of b and returns how many bytes it took; ErrIncomplete asks for more.
 func ParseRequest(b []byte) (request Request, n int, err error) {
 	if n, err = httpwire.SkipBlankLines(b); err != nil {
 		return request, 0, err
 	}
 	line, header, head, err := parseHead(b[n:])
 	if errors.Is(err, ErrIncomplete) && !httpwire.IsMessagePrefix(b[n:]) {
-		return request, 0, httpwire.NewSyntaxError(400, "request line") // no more bytes can mend it
+		return request, 0, httpwire.NewSyntaxError(400, "request line") // no further bytes can make it valid
 	}
 	if err != nil {
 		return request, 0, err
@@ -68,8 +69,8 @@
 	return request, n + bodySize, nil
 }
 
-// ParseResponse reads one response from the start of b; ended says that the peer will send no more, which
-// ends a body of untold length.
+// ParseResponse reads one response from the start of b. ended reports that the peer will send no more, which ends a body
+// without a length.
 func ParseResponse(b []byte, ended bool) (response Response, n int, err error) {
 	return parseResponse(b, ended, MaxBody)
 }
@@ -87,7 +88,7 @@
 			return response, 0, err
 		}
 		if status >= 100 && status < 200 {
-			continue // an interim answer; the real one follows
+			continue // an interim response; the final one follows
 		}
 		response = Response{Status: status, Header: header, Close: header.ClosesConnection(version)}
 		break
@@ -119,14 +120,14 @@
 	return httpwire.ParseHead(b, MaxHead)
 }
 
-// ExpectsContinue says whether b holds a whole head whose sender waits for a word before it sends the body.
+// ExpectsContinue reports whether b holds a complete head whose sender waits for "100 Continue" before the body.
 func ExpectsContinue(b []byte) bool {
 	_, header, n, err := parseHead(b)
 	return err == nil && n == len(b) && strings.EqualFold(header.Get("Expect"), "100-continue")
 }
 
-// parseBody reads the body that the header announces, of at most limit bytes. A length told twice, or both
-// ways, could be read differently by the next machine and hide a request in the body: it is not taken.
+// parseBody reads the body that the header announces, of at most limit bytes. Two lengths, or a length and a transfer
+// coding, are an error: the next machine could read them differently, which would smuggle a request in the body.
 func parseBody(b []byte, h Header, limit int) (body []byte, n int, err error) {
 	lengths, codings := h.Count("Content-Length"), h.Count("Transfer-Encoding")
 	switch {
@@ -153,7 +154,7 @@
 	return bytes.Clone(b[:size]), int(size), nil
 }
 
-// parseChunks reads a chunked body. What frames the chunks is bounded too, or it would be held without end.
+// parseChunks reads a chunked body. The framing is bounded, too, since it is buffered.
 func parseChunks(b []byte, limit int) (body []byte, n int, err error) {
 	for {
 		chunk, m, last, err := ParseChunk(b[n:], limit)
@@ -178,10 +179,7 @@
 	return httpwire.ParseChunk(b, limit)
 }
 
-// MaxList bounds the director's answers, which may hold the whole list.
-const MaxList = 8 << 20
-
-// AppendResponse writes a response; extra fields are whole lines.
+// AppendResponse appends a response to b; extra holds complete header lines.
 func AppendResponse(b []byte, status int, extra string, body []byte, close bool) []byte {
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\n%s", status, httpwire.ReasonPhrase(status), extra)
 	if status != 204 {
--- a/internal/dispatcher/httpfront/parse_test.go
+++ b/internal/dispatcher/httpfront/parse_test.go
@@ -14,7 +14,7 @@
 	big := strings.Repeat("x", MaxBody+1)
 	for _, tc := range []struct {
 		name, in string
-		status   int // 0: taken
+		status   int // 0: accepted; -1: incomplete
 		body     string
 		rest     string
 		close    bool
@@ -24,8 +24,8 @@
 		{"chunked", "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nab\r\n1\r\nc\r\n0\r\nT: v\r\n\r\n.", 0, "abc", ".", false},
 		{"close", "POST / HTTP/1.1\r\nconnection: Close\r\ncontent-length:0\r\n\r\n", 0, "", "", true},
 		{"1.0 closes", "GET / HTTP/1.0\r\n\r\n", 0, "", "", true},
-		{"half a head", "POST / HTTP/1.1\r\nContent-Le", -1, "", "", false},
-		{"half a body", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", -1, "", "", false},
+		{"incomplete head", "POST / HTTP/1.1\r\nContent-Le", -1, "", "", false},
+		{"incomplete body", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", -1, "", "", false},
 		{"no target", "POST HTTP/1.1\r\n\r\n", 400, "", "", false},
 		{"bad method", "P@ST / HTTP/1.1\r\n\r\n", 400, "", "", false},
 		{"bad version", "GET / HTTP/2.0\r\n\r\n", 505, "", "", false},
@@ -62,11 +62,11 @@
 		err      bool
 	}{
 		{"accepted", "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n", false, Response{Status: 202, Body: []byte{}}, false},
-		{"interim first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 500 x\r\nContent-Length: 1\r\n\r\na", false, Response{Status: 500, Body: []byte("a")}, false},
+		{"interim response first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 500 x\r\nContent-Length: 1\r\n\r\na", false, Response{Status: 500, Body: []byte("a")}, false},
 		{"no reason", "HTTP/1.1 204\r\n\r\n", false, Response{Status: 204}, false},
-		{"until the end", "HTTP/1.1 200 OK\r\n\r\nabc", true, Response{Status: 200, Body: []byte("abc"), Close: true}, false},
-		{"not ended yet", "HTTP/1.1 200 OK\r\n\r\nabc", false, Response{}, true},
-		{"cut short", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc", true, Response{}, true},
+		{"until the connection's end", "HTTP/1.1 200 OK\r\n\r\nabc", true, Response{Status: 200, Body: []byte("abc"), Close: true}, false},
+		{"connection not ended", "HTTP/1.1 200 OK\r\n\r\nabc", false, Response{}, true},
+		{"truncated", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc", true, Response{}, true},
 		{"no HTTP", "SSH-2.0-x\r\n\r\n", false, Response{}, true},
 	} {
 		got, _, err := ParseResponse([]byte(tc.in), tc.ended)
@@ -77,8 +77,8 @@
 	}
 }
 
-// Guards against one bad entry costing the news beside it, against a list of nothing but such emptying a good one, and against
-// call-backs taken for what they are not.
+// An invalid entry is dropped without the rest of its line, a full list without a valid entry is an error, and so is a
+// malformed callback.
 func TestParseListAndCallback(t *testing.T) {
 	good := func(uid, state string) string {
 		return `{"uid":"` + uid + `","endpoint":"127.0.0.1:1","state":"` + state + `"}`
@@ -86,21 +86,21 @@
 	for _, tc := range []struct {
 		name, targets string
 		all, ok       bool
-		want          string // uid and state of what is taken
+		want          string // UID and state of the accepted entries
 		bad           int
 	}{
-		{"good", good("a", "ready"), true, true, "a ready", 0},
+		{"valid", good("a", "ready"), true, true, "a ready", 0},
 		{"gone, without an address", `{"uid":"a","state":"gone"}`, false, true, "a gone", 0},
 		{"empty", "", true, true, "", 0},
 		{"an unknown state beside a drain", good("a", "asleep") + "," + good("b", "draining"), false, true, "b draining", 1},
 		{"no uid", good("", "ready") + "," + good("b", "ready"), true, true, "b ready", 1},
 		{"no address", `{"uid":"a","endpoint":"nowhere","state":"ready"},` + good("b", "ready"), true, true, "b ready", 1},
-		{"a start before time began", `{"uid":"a","endpoint":"127.0.0.1:1","state":"ready","boot_ms":-1},` + good("b", "ready"), true, true, "b ready", 1},
-		{"another form", `{"uid":"a","endpoint":7},"x",` + good("b", "ready"), false, true, "b ready", 2},
-		{"twice, drains", good("a", "ready") + "," + good("a", "draining"), false, true, "a draining", 1},
-		{"twice, drained", good("a", "draining") + "," + good("a", "ready"), false, true, "a draining", 1},
-		{"nothing of it good", good("a", "asleep") + "," + good("", "ready"), true, false, "", 0},
-		{"broken off", `{"uid":"a"`, true, false, "", 0},
+		{"a negative start time", `{"uid":"a","endpoint":"127.0.0.1:1","state":"ready","boot_ms":-1},` + good("b", "ready"), true, true, "b ready", 1},
+		{"wrong types", `{"uid":"a","endpoint":7},"x",` + good("b", "ready"), false, true, "b ready", 2},
+		{"duplicate, draining last", good("a", "ready") + "," + good("a", "draining"), false, true, "a draining", 1},
+		{"duplicate, draining first", good("a", "draining") + "," + good("a", "ready"), false, true, "a draining", 1},
+		{"no valid entry", good("a", "asleep") + "," + good("", "ready"), true, false, "", 0},
+		{"truncated", `{"uid":"a"`, true, false, "", 0},
 	} {
 		l, bad, err := ParseList(fmt.Appendf(nil, `{"rev":1,"all":%v,"targets":[%s]}`, tc.all, tc.targets))
 		var got []string
@@ -108,7 +108,7 @@
 			got = append(got, e.UID+" "+e.State)
 		}
 		if (err == nil) != tc.ok || strings.Join(got, ",") != tc.want || len(bad) != tc.bad {
-			t.Errorf("list %s: %v, bad %v, taken %v", tc.name, err, bad, got)
+			t.Errorf("list %s: %v, bad %v, accepted %v", tc.name, err, bad, got)
 		}
 	}
 	n, err := ParseCallback([]byte(`{"id":"a","from":"b","state":"done","result":"q\"\u00e9\n","load":{"util":0.5,"inflight":3,"x0":2}}`))
@@ -121,7 +121,7 @@
 	}
 	for _, text := range []string{`{}`, `{"id":"a","from":"b"}`, `[]`, `{"id":"a","from":"b","state":7}`} {
 		if _, err := ParseCallback([]byte(text)); err == nil {
-			t.Errorf("call-back %s was taken", text)
+			t.Errorf("callback %s was accepted", text)
 		}
 	}
 }
@@ -142,7 +142,7 @@
 	})
 }
 
-// Guards against a message that is taken, or refused, before all of it has come: pieces end anywhere.
+// A message that is cut anywhere is incomplete: neither accepted nor rejected.
 func TestParseIncomplete(t *testing.T) {
 	request := func(b []byte) error { _, _, err := ParseRequest(b); return err }
 	response := func(b []byte) error { _, _, err := ParseResponse(b, false); return err }
--- /dev/null
+++ b/internal/dispatcher/httpfront/session_serve.go
@@ -0,0 +1,156 @@
+package httpfront
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"go.uber.org/zap"
+
+	"cinderroad/internal/dispatcher/dispatch"
+)
+
+// serve dispatches a request by its path.
+func (s *session) serve(request *Request) {
+	path, _, _ := strings.Cut(request.Target, "?")
+	switch {
+	case path == "/_health" && request.Method == "GET":
+		if s.front.evacuatedSince > 0 {
+			s.reply(503, "", []byte("evacuated\n"))
+			return
+		}
+		if s.front.rejecting {
+			s.reply(503, "", []byte("out of lease\n"))
+			return
+		}
+		s.reply(200, "", []byte("ok\n"))
+	case path == "/_jobs/news":
+		s.serveCallback(request)
+	case request.Method != "POST":
+		s.rejectMalformed(405, "POST only")
+	default:
+		s.submit(request)
+	}
+}
+
+// serveCallback handles a callback. The runner gets 204 whatever it reports, so that it does not repeat it. A callback that
+// is not known here may be for a call of the other process: it is answered once that has it, or nobody does.
+func (s *session) serveCallback(request *Request) {
+	callback, err := ParseCallback(request.Body)
+	if err != nil || request.Method != "POST" {
+		s.front.BadCallbacks++
+		if s.front.mayLog("news") {
+			s.front.log.Warn("backend: bad call-back", zap.Error(err), zap.Uint64("so_far", s.front.BadCallbacks))
+		}
+		s.reply(400, "", nil)
+		return
+	}
+	s.hasCallback = true
+	if handle := s.handle; s.front.ForwardCallback != nil && !s.front.pool.Knows(&callback) && s.front.ForwardCallback(request.Body, func() {
+		if _, open := s.front.sessions.Get(handle); open && s.awaitingForward {
+			s.awaitingForward = false
+			s.reply(204, "", nil)
+			s.resume()
+		}
+	}) {
+		s.awaitingForward = true
+		s.setTimeout(s.front.loop.Now()+forwardTimeout, func() { // the runner will retry
+			s.awaitingForward, s.closeAfterReply = false, true
+			s.reply(503, "", nil)
+		})
+		return
+	}
+	s.reply(204, "", nil)
+	s.front.pool.HandleCallback(callback)
+}
+
+// submit submits a client's job, or rejects it.
+func (s *session) submit(request *Request) {
+	if !s.hasRequested {
+		s.hasRequested = true
+		s.front.requestingSessions++
+	}
+	call, budget, reason := s.front.parseCall(request)
+	class, known := s.front.classes[call.Class]
+	info := parseCallInfo(request.Header.Get("X-Call-Info"))
+	firstValue := func(names ...string) float64 {
+		for _, name := range names {
+			if value, ok := info[name]; ok {
+				return value
+			}
+		}
+		return 0
+	}
+	switch {
+	case reason != "":
+		s.rejectMalformed(400, reason)
+		return
+	case !known: // whether a retry is safe is not known: never served
+		s.rejectMalformed(404, "unknown class")
+		return
+	case s.front.openCalls[call.ID]: // the callbacks of two calls could not be told apart
+		s.rejectMalformed(409, "call id in use")
+		return
+	case firstValue("coresNeeded", "slots") > maxSlots:
+		s.rejectMalformed(400, "more slots than any machine has")
+		return
+	case s.front.evacuatedSince > 0 && s.front.loop.Now() >= s.front.evacuatedSince+evacuationCutoff:
+		s.closeAfterReply = true
+		s.rejectCall(&call, class, dispatch.ReasonEvacuated, "evacuated\n")
+		return
+	case s.front.rejecting:
+		s.rejectCall(&call, class, dispatch.ReasonLeaseExpired, "out of lease\n")
+		return
+	case !s.front.limiter.ReserveJob(len(call.Body)):
+		s.rejectCall(&call, class, dispatch.ReasonNoMemory, "")
+		return
+	}
+	hint, _ := strconv.ParseFloat(request.Header.Get("X-Call-Cost"), 64)
+	if hint = hint / 1000; !(hint > 0 && hint <= class.deadline) {
+		hint = 0 // one bad hint must not distort the mean of its class
+	}
+	s.callID, s.reservedBytes = call.ID, len(call.Body)
+	s.front.openCalls[call.ID] = true
+	s.request = s.front.dispatcher.Submit(dispatch.Job{Class: class.index, Slots: firstValue("coresNeeded", "slots"), Memory: firstValue("memory"), Work: hint,
+		Deadline: s.front.loop.Now() + min(budget, class.deadline) - budgetMargin, Payload: &call, ID: call.ID, Front: frontName},
+		&requester{session: s, callID: call.ID})
+}
+
+// rejectCall rejects a call without submitting it; it is recorded all the same.
+func (s *session) rejectCall(call *Call, class class, reason dispatch.Reason, body string) {
+	s.front.dispatcher.RecordAnswer(dispatch.Job{ID: call.ID, Front: frontName, Class: class.index}, dispatch.Rejected, reason, s.front.retryAfter)
+	s.reply(503, s.front.retryAfterHeader, []byte(body))
+}
+
+func retryAfterLine(wait float64) string { return fmt.Sprintf("Retry-After: %.3f\r\n", wait) }
+
+// requester passes the answer of one call to its session, unless the session has ended or serves another call.
+type requester struct {
+	session *session
+	callID  string
+}
+
+// Answer implements dispatch.Requester.
+func (r *requester) Answer(answer dispatch.Answer) {
+	session := r.session
+	if _, open := session.front.sessions.Get(session.handle); !open || session.callID != r.callID {
+		return
+	}
+	session.endCall()
+	handle := session.handle
+	switch answer.Verdict {
+	case dispatch.Served:
+		session.reply(200, "", answer.Body)
+	case dispatch.Rejected:
+		extra := ""
+		if answer.RetryAfter > 0 {
+			extra = retryAfterLine(answer.RetryAfter)
+		}
+		session.reply(503, extra, nil)
+	default:
+		session.reply(500, "", nil)
+	}
+	if _, open := session.front.sessions.Get(handle); open {
+		session.resume()
+	}
+}
