--- a/internal/dispatcher/linelog/linelog.go
+++ b/internal/dispatcher/linelog/linelog.go
@@ -4,16 +4,10 @@
 
 import (
 	"bytes"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
-	"strconv"
 	"sync/atomic"
 	"time"
-	"unicode/utf8"
-
-	"golang.org/x/sys/unix"
 )
 
 const (
@@ -137,100 +131,3 @@
 		l.file.Close()
 	}
 }
-
-func (l *Log) open() error {
-	f, err := os.OpenFile(l.options.Path, os.O_CREATE|os.O_APPEND|os.O_RDWR, 0o640)
-	if err != nil {
-		return err
-	}
-	info, err := f.Stat()
-	if err != nil {
-		f.Close()
-		return err
-	}
-	l.file, l.size = f, info.Size()
-	// An earlier life may have died in the midst of a line.
-	var last [1]byte
-	if l.size > 0 {
-		if _, err := f.ReadAt(last[:], l.size-1); err == nil && last[0] != '\n' {
-			n, _ := f.Write([]byte{'\n'})
-			l.size += int64(n)
-		}
-	}
-	return nil
-}
-
-// write adds lines, whole: what a full disk cuts short is taken back.
-func (l *Log) write(b []byte) error {
-	if l.file == nil {
-		if time.Now().Before(l.reopenAt) {
-			return errors.New("not open")
-		}
-		if err := l.open(); err != nil {
-			l.reopenAt = time.Now().Add(time.Second)
-			return err
-		}
-	}
-	if l.options.MaxBytes > 0 && l.size > 0 && l.size+int64(len(b)) > l.options.MaxBytes {
-		if err := l.rotate(); err != nil {
-			return err
-		}
-	}
-	n, err := l.file.Write(b)
-	l.size += int64(n)
-	if err != nil && n > 0 {
-		// Lines of the other process of an upgrade may stand behind ours: then only a line end keeps them apart.
-		if info, e := l.file.Stat(); e == nil && info.Size() == l.size {
-			if l.file.Truncate(l.size-int64(n)) == nil {
-				l.size -= int64(n)
-			}
-		}
-	}
-	return err
-}
-
-// rotate renames the file, unless another process of this dispatcher has done so: whoever holds the file's lock may.
-func (l *Log) rotate() error {
-	if err := unix.Flock(int(l.file.Fd()), unix.LOCK_EX); err != nil { // until it is closed
-		return err
-	}
-	mine, err := l.file.Stat()
-	if err != nil {
-		return err
-	}
-	if there, err := os.Stat(l.options.Path); err == nil && os.SameFile(mine, there) {
-		for i := l.options.KeepFiles; i > 0; i-- {
-			from := l.options.Path
-			if i > 1 {
-				from += "." + strconv.Itoa(i-1)
-			}
-			if err := os.Rename(from, l.options.Path+"."+strconv.Itoa(i)); err != nil && !errors.Is(err, os.ErrNotExist) {
-				return err
-			}
-		}
-		if l.options.KeepFiles == 0 {
-			if err := os.Remove(l.options.Path); err != nil {
-				return err
-			}
-		}
-	}
-	l.file.Close()
-	l.file = nil
-	return l.open()
-}
-
-// AppendFixed appends a number with so many digits behind the point.
-func AppendFixed(b []byte, v float64, digits int) []byte {
-	return strconv.AppendFloat(b, v, 'f', digits, 64)
-}
-
-// AppendString writes a JSON string; what is no UTF-8 is replaced.
-func AppendString(b []byte, s string) []byte {
-	for i := 0; i < len(s); i++ {
-		if c := s[i]; c < ' ' || c == '"' || c == '\\' || c >= utf8.RuneSelf {
-			text, _ := json.Marshal(s)
-			return append(b, text...)
-		}
-	}
-	return append(append(append(b, '"'), s...), '"')
-}
--- a/internal/dispatcher/spool/spool.go
+++ b/internal/dispatcher/spool/spool.go
@@ -9,55 +9,23 @@
 
 import (
 	"bytes"
-	"cmp"
 	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io/fs"
 	"os"
 	"path/filepath"
-	"slices"
 	"strconv"
-	"strings"
 	"sync/atomic"
 
-	"github.com/cespare/xxhash/v2"
-
 	"cinderroad/internal/dispatcher/telemetry"
 )
 
 const (
-	magic          = "CRSPOOL1"
-	recordOverhead = 4 + 1 + 8
-	maxBodyBytes   = 64 << 20
-	maxFiles       = 4   // the bound of all files is spread over so many: the oldest goes whole
-	queueLength    = 256 // records that may wait for the disk
-)
-
-// The kinds of record.
-const (
-	kindNames        = 'N' // names of series: the number of the first, and the names in order
-	kindPeriod       = 'P' // a period
-	kindSlots        = 'S' // who holds which slot
-	kindAcknowledged = 'A' // up to which stamp each receiver has the periods
+	maxFiles    = 4   // the bound of all files is spread over so many: the oldest goes whole
+	queueLength = 256 // records that may wait for the disk
 )
 
-type nameRecord struct {
-	From   int                `json:"from"`
-	Series []telemetry.Series `json:"series"`
-}
-
-// Recovered is what the lives before this one have left.
-type Recovered struct {
-	Periods         []*telemetry.Period // the oldest first, as many as there is room for
-	Totals          map[string]float64  // as of the last of them
-	SlotAssignments []telemetry.SlotAssignment
-	Acknowledged    map[string]int64 // by receiver: it has all up to this stamp
-	TornFiles       int              // files whose end made no sense
-	UnknownFiles    int              // files that are no spool of this version, and were put aside
-}
-
 // Spool is open for writing. All methods but Failed and Lost belong to one goroutine.
 type Spool struct {
 	dir, name   string
@@ -79,13 +47,6 @@
 	fileNumber int
 }
 
-type record struct {
-	newFile bool   // begins a file of its own
-	done    func() // hears that it is written, or will not be
-	kind    byte
-	body    []byte
-}
-
 // Open reads what is in a folder and begins a file of its own. report hears, on a goroutine of its own, what goes wrong later.
 func Open(dir, name string, most int64, report func(error)) (*Spool, *Recovered, error) {
 	name = telemetry.SanitizeName(name)
@@ -243,140 +204,3 @@
 	_ = s.file.Truncate(s.size)
 	return err
 }
-
-func appendRecord(b []byte, kind byte, body []byte) []byte {
-	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
-	at := len(b)
-	b = append(append(b, kind), body...)
-	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b[at:]))
-}
-
-// parseRecord reads the first record of b; n is 0 where it is torn.
-func parseRecord(b []byte) (kind byte, body []byte, n int) {
-	if len(b) < recordOverhead {
-		return 0, nil, 0
-	}
-	size := int(binary.BigEndian.Uint32(b))
-	if size > maxBodyBytes || len(b) < recordOverhead+size {
-		return 0, nil, 0
-	}
-	if xxhash.Sum64(b[4:5+size]) != binary.BigEndian.Uint64(b[5+size:]) {
-		return 0, nil, 0
-	}
-	return b[4], b[5 : 5+size], recordOverhead + size
-}
-
-type spoolFile struct {
-	path   string
-	number int
-	size   int64
-}
-
-// listFiles finds the files of a spool, the oldest first.
-func listFiles(dir, name string) (all []spoolFile, err error) {
-	entries, err := os.ReadDir(dir)
-	if err != nil {
-		return nil, fmt.Errorf("spool: %w", err)
-	}
-	for _, e := range entries {
-		rest, ok := strings.CutPrefix(e.Name(), name+".")
-		n, err := strconv.Atoi(rest)
-		if !ok || err != nil || n <= 0 || strconv.Itoa(n) != rest {
-			continue
-		}
-		info, err := e.Info()
-		if errors.Is(err, fs.ErrNotExist) {
-			continue
-		}
-		if err != nil {
-			return nil, fmt.Errorf("spool: %w", err)
-		}
-		all = append(all, spoolFile{filepath.Join(dir, e.Name()), n, info.Size()})
-	}
-	slices.SortFunc(all, func(x, y spoolFile) int { return cmp.Compare(x.number, y.number) })
-	return all, nil
-}
-
-// recoverFiles reads a spool, as much of its end as the bound allows.
-func recoverFiles(dir, name string, most int64) (f *Recovered, last int, err error) {
-	f = &Recovered{Totals: map[string]float64{}, Acknowledged: map[string]int64{}}
-	all, err := listFiles(dir, name)
-	if err != nil {
-		return nil, 0, err
-	}
-	total := int64(0)
-	for i, file := range all {
-		last = file.number
-		if total += file.size; total > 2*most+maxBodyBytes {
-			break
-		}
-		text, err := os.ReadFile(file.path)
-		if err != nil {
-			return nil, 0, fmt.Errorf("spool: %w", err)
-		}
-		if !bytes.HasPrefix(text, []byte(magic)) {
-			if i == len(all)-1 && bytes.HasPrefix([]byte(magic), text) { // torn as it began
-				f.TornFiles++
-				continue
-			}
-			f.UnknownFiles++
-			if err := os.Rename(file.path, file.path+".strange"); err != nil {
-				return nil, 0, fmt.Errorf("spool: %w", err)
-			}
-			continue
-		}
-		if !f.readRecords(text[len(magic):]) {
-			f.TornFiles++
-		}
-	}
-	for len(f.Periods) > 0 { // the totals are those of the last period that can be read
-		last := f.Periods[len(f.Periods)-1]
-		if f.Totals, err = last.Totals(); err == nil {
-			break
-		}
-		f.Periods = f.Periods[:len(f.Periods)-1]
-		f.Totals = map[string]float64{}
-	}
-	return f, last, nil
-}
-
-// readRecords reads the records of a file; false when it ends in none.
-func (f *Recovered) readRecords(b []byte) (whole bool) {
-	table := &telemetry.SeriesTable{}
-	for len(b) > 0 {
-		kind, body, n := parseRecord(b)
-		if n == 0 {
-			return false
-		}
-		b = b[n:]
-		switch kind {
-		case kindNames:
-			var v nameRecord
-			if json.Unmarshal(body, &v) != nil || v.From != table.Len() {
-				return false
-			}
-			table.Append(v.Series...)
-		case kindSlots:
-			var v []telemetry.SlotAssignment
-			if json.Unmarshal(body, &v) != nil {
-				return false
-			}
-			f.SlotAssignments = v
-		case kindAcknowledged:
-			var v map[string]int64
-			if json.Unmarshal(body, &v) != nil {
-				return false
-			}
-			for name, stamp := range v {
-				f.Acknowledged[name] = max(f.Acknowledged[name], stamp)
-			}
-		case kindPeriod:
-			if len(body) < 16 {
-				return false
-			}
-			f.Periods = append(f.Periods, &telemetry.Period{Timestamp: int64(binary.BigEndian.Uint64(body)), Table: table,
-				Interval: float64(binary.BigEndian.Uint64(body[8:])) / 1000, EncodedValues: bytes.Clone(body[16:])})
-		}
-	}
-	return true
-}
--- a/internal/dispatcher/telemetry/classes.go
+++ b/internal/dispatcher/telemetry/classes.go
@@ -1,65 +1,6 @@
 package telemetry
 
-import (
-	"cinderroad/internal/dispatcher/dispatch"
-	"cinderroad/loadbalancer"
-)
-
-// ResultNames are the ends of attempts as the figures name them.
-var ResultNames = [loadbalancer.Withdrawn + 1]string{loadbalancer.OK: "ok", loadbalancer.Error: "error", loadbalancer.Rejected: "full", loadbalancer.Timeout: "timeout",
-	loadbalancer.ConnectFailed: "connect_failed", loadbalancer.Reset: "reset", loadbalancer.Cancelled: "cancelled", loadbalancer.Withdrawn: "moot"}
-
-// Verdict is the end of a job as the figures and the request log tell it.
-type Verdict uint8
-
-// The verdicts. Every job has one of them, once; one that Returned comes again.
-const (
-	InTime Verdict = iota
-	Late
-	Rejected
-	Failed
-	Disconnected
-	Requeued
-	NumVerdicts // how many there are
-)
-
-var verdictNames = [NumVerdicts]string{"in_time", "late", "refused", "failed", "gone", "returned"}
-
-var verdictHelp = [NumVerdicts]string{"Jobs served within the class's objective, with its stretch for the hinted work.",
-	"Jobs served after that.", "Jobs refused: they did not run, a repeat is harmless.", "Jobs failed: nothing is promised.",
-	"Jobs whose client had left before an answer.",
-	"Refusals of background jobs that were told to nobody: the job comes again by itself."}
-
-// String is the verdict's name.
-func (v Verdict) String() string { return verdictNames[v] }
-
-// ParseVerdict reads a verdict's name.
-func ParseVerdict(name string) (Verdict, bool) {
-	for v, n := range verdictNames {
-		if n == name {
-			return Verdict(v), true
-		}
-	}
-	return 0, false
-}
-
-// VerdictOf is the verdict of a final answer.
-func VerdictOf(f *dispatch.AnswerRecord) Verdict {
-	switch f.Verdict {
-	case dispatch.Served:
-		if f.Late() {
-			return Late
-		}
-		return InTime
-	case dispatch.Rejected:
-		return Rejected
-	case dispatch.Disconnected:
-		return Disconnected
-	case dispatch.Requeued:
-		return Requeued
-	}
-	return Failed
-}
+import "cinderroad/internal/dispatcher/dispatch"
 
 // unknownClassName stands for the class of jobs that name none that is known.
 const unknownClassName = "unknown"
@@ -183,27 +124,3 @@
 	s.values[c.results+int(t.Result)]++
 	s.nodes.countAttempt(s, t)
 }
-
-func (s *Set) addDrains() {
-	add := func(d SeriesDoc) int {
-		s.describe(d)
-		return s.add(d.Pattern, d.Kind)
-	}
-	s.drains.told = add(SeriesDoc{"drains.told", Counter, "drains", "Members that were ready and then no longer, by the list or by hand."})
-	s.drains.honoured = add(SeriesDoc{"drains.honoured", Counter, "drains", "Drains after which no job started later than 300 ms."})
-	s.drains.broken = add(SeriesDoc{"drains.broken", Counter, "drains", "Drains after which one did: must stay 0."})
-	s.drains.margin = add(SeriesDoc{"drains.margin_least_ms", Gauge, "ms", "What the drains that ended in the period had left of the 300 ms when the last job started, at least. None without a drain."})
-}
-
-// ObserveDrain implements dispatch.Observer.
-func (s *Set) ObserveDrain(_ loadbalancer.WorkerID, margin float64) {
-	s.values[s.drains.told]++
-	if margin >= 0 {
-		s.values[s.drains.honoured]++
-	} else {
-		s.values[s.drains.broken]++
-	}
-	if ms := margin * 1000; !(s.leastDrainMargin <= ms) {
-		s.leastDrainMargin = ms
-	}
-}
--- /dev/null
+++ b/internal/dispatcher/telemetry/handoff.go
@@ -0,0 +1,62 @@
+package telemetry
+
+import (
+	"maps"
+	"math"
+)
+
+// AddTotals goes on from totals of an earlier life, or adds what another process of this dispatcher has counted.
+func (s *Set) AddTotals(totals map[string]float64) {
+	usable := func(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
+	for name, v := range totals {
+		if i, ok := s.counters[name]; usable(v) && ok {
+			s.values[i] += v
+		} else if usable(v) {
+			s.pending[name] += v
+		}
+	}
+	for i := range s.polled {
+		r := &s.polled[i]
+		if told := s.table.Series(r.series); told.Kind == Counter && usable(totals[told.Name]) {
+			r.base += totals[told.Name]
+		}
+	}
+}
+
+// Totals are the counters by name.
+func (s *Set) Totals() map[string]float64 {
+	s.poll()
+	totals := maps.Clone(s.pending)
+	for name, i := range s.counters {
+		if !math.IsNaN(s.values[i]) {
+			totals[name] = s.values[i]
+		}
+	}
+	return totals
+}
+
+// Latencies are latencies by series, as pairs of microseconds and a count.
+type Latencies map[string][][2]int64
+
+// TakeDelta is what was counted and measured since the last Delta, or since the start. For one process to hand to another.
+func (s *Set) TakeDelta() (counts map[string]float64, spans Latencies) {
+	s.poll()
+	counts, spans = map[string]float64{}, Latencies{}
+	for name, i := range s.counters {
+		if v := s.values[i] - s.lastDelta[i]; v > 0 {
+			counts[name] = v
+			s.lastDelta[i] = s.values[i]
+		}
+	}
+	s.forEachHistogram(func(name string, l *histogram) {
+		if bars := l.takeCounts(); bars != nil {
+			spans[name] = bars
+		}
+	})
+	return counts, spans
+}
+
+// MergeLatencies takes the spans of another process into the period at hand.
+func (s *Set) MergeLatencies(spans Latencies) {
+	s.forEachHistogram(func(name string, l *histogram) { l.addCounts(spans[name]) })
+}
--- a/internal/dispatcher/telemetry/slots.go
+++ b/internal/dispatcher/telemetry/slotallocator.go
@@ -9,13 +9,6 @@
 // location is where a node stands, by the settings' numbers.
 type location struct{ zone, kind, cell int }
 
-// SlotAssignment says who holds a slot, for the life or the process that comes after.
-type SlotAssignment struct {
-	Location string `json:"spot"` // zone.kind.cell, as in the series' names
-	Slot     int    `json:"slot"`
-	Node     string `json:"node"`
-}
-
 // slotAllocator gives nodes the slots of their spots. A slot is the lowest number that is free there, so that there are never
 // more than there were nodes at one time; a node that comes back gets the one it had if nobody took it meanwhile.
 type slotAllocator struct {
--- /dev/null
+++ b/internal/dispatcher/telemetry/verdict.go
@@ -0,0 +1,62 @@
+package telemetry
+
+import (
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/loadbalancer"
+)
+
+// ResultNames are the ends of attempts as the figures name them.
+var ResultNames = [loadbalancer.Withdrawn + 1]string{loadbalancer.OK: "ok", loadbalancer.Error: "error", loadbalancer.Rejected: "full", loadbalancer.Timeout: "timeout",
+	loadbalancer.ConnectFailed: "connect_failed", loadbalancer.Reset: "reset", loadbalancer.Cancelled: "cancelled", loadbalancer.Withdrawn: "moot"}
+
+// Verdict is the end of a job as the figures and the request log tell it.
+type Verdict uint8
+
+// The verdicts. Every job has one of them, once; one that Returned comes again.
+const (
+	InTime Verdict = iota
+	Late
+	Rejected
+	Failed
+	Disconnected
+	Requeued
+	NumVerdicts // how many there are
+)
+
+var verdictNames = [NumVerdicts]string{"in_time", "late", "refused", "failed", "gone", "returned"}
+
+var verdictHelp = [NumVerdicts]string{"Jobs served within the class's objective, with its stretch for the hinted work.",
+	"Jobs served after that.", "Jobs refused: they did not run, a repeat is harmless.", "Jobs failed: nothing is promised.",
+	"Jobs whose client had left before an answer.",
+	"Refusals of background jobs that were told to nobody: the job comes again by itself."}
+
+// String is the verdict's name.
+func (v Verdict) String() string { return verdictNames[v] }
+
+// ParseVerdict reads a verdict's name.
+func ParseVerdict(name string) (Verdict, bool) {
+	for v, n := range verdictNames {
+		if n == name {
+			return Verdict(v), true
+		}
+	}
+	return 0, false
+}
+
+// VerdictOf is the verdict of a final answer.
+func VerdictOf(f *dispatch.AnswerRecord) Verdict {
+	switch f.Verdict {
+	case dispatch.Served:
+		if f.Late() {
+			return Late
+		}
+		return InTime
+	case dispatch.Rejected:
+		return Rejected
+	case dispatch.Disconnected:
+		return Disconnected
+	case dispatch.Requeued:
+		return Requeued
+	}
+	return Failed
+}
