--- a/internal/dispatcher/exporter/collectd.go
+++ b/internal/dispatcher/exporter/collectd.go
@@ -12,11 +12,10 @@
 	"cinderroad/internal/shared/eventloop"
 )
 
-// maxUnanswered is how many lines may wait for collectd's answers: it reads a line, dispatches it, answers, and only
-// then reads the next.
+// maxUnanswered bounds the lines in flight. collectd dispatches and answers a line before it reads the next.
 const maxUnanswered = 128
 
-// typeOf is a series' type by collectd's own types.db.
+// typeOf returns a series' type in collectd's types.db.
 func typeOf(k telemetry.Kind) string {
 	if k == telemetry.Counter {
 		return "derive"
@@ -24,11 +23,11 @@
 	return "gauge"
 }
 
-// typeInstance is a series' type instance: collectd's names have no dots.
+// typeInstance returns a series' type instance; collectd allows no dots there.
 func typeInstance(name string) string { return strings.ReplaceAll(name, ".", "_") }
 
-// Collectd delivers to collectd's unixsock plug-in: lines `PUTVAL "HOST/PLUGIN/TYPE-INSTANCE" interval=S TIME:VALUE`, each
-// of which is answered (collectd-unixsock(5)). The connection stays.
+// Collectd delivers to collectd's unixsock plug-in over a persistent connection: lines `PUTVAL
+// "HOST/PLUGIN/TYPE-INSTANCE" interval=S TIME:VALUE`, each of which is answered (collectd-unixsock(5)).
 type Collectd struct {
 	outputBase
 	path    string
@@ -39,16 +38,17 @@
 	currentPeriod uint64
 	period        *telemetry.Period
 	reader        *telemetry.Reader
-	periodWritten bool // the last line of the period
+	periodWritten bool // all lines of the period are written
 	unanswered    int  // lines without an answer
 	answers       uint64
-	answered      uint64 // as of moved
+	answered      uint64 // as of progressAt
 	progressAt    float64
 	watchdog      *eventloop.Timer
 	host          string
 }
 
-// NewCollectd makes an output to the socket at path; patience is how many seconds it may go without an answer.
+// NewCollectd returns an output to the socket at path. timeout is the number of seconds without an answer after which
+// an attempt fails.
 func NewCollectd(path string, patience float64) *Collectd {
 	return &Collectd{path: path, timeout: patience}
 }
@@ -59,9 +59,9 @@
 // Kind implements Output.
 func (o *Collectd) Kind() string { return "collectd" }
 
-func (o *Collectd) start(f *Exporter, place *telemetry.Cursor) {
-	o.init(f, place)
-	o.host = telemetry.SanitizeName(f.options.DispatcherName)
+func (o *Collectd) start(exporter *Exporter, place *telemetry.Cursor) {
+	o.init(exporter, place)
+	o.host = telemetry.SanitizeName(exporter.options.DispatcherName)
 }
 
 func (o *Collectd) stop() {
@@ -96,7 +96,7 @@
 	o.checkProgress()
 }
 
-// checkProgress gives the try up when collectd answers nothing.
+// checkProgress fails the attempt if collectd doesn't answer.
 func (o *Collectd) checkProgress() {
 	now := o.exporter.loop.Now()
 	if o.period == nil {
@@ -109,7 +109,7 @@
 		o.Closed(nil, errors.New("no answer"))
 		return
 	}
-	o.watchdog = o.exporter.loop.At(now+o.timeout/8, o.checkProgress)
+	o.watchdog = o.exporter.loop.At(now+o.timeout/checksPerTimeout, o.checkProgress)
 }
 
 // Opened implements eventloop.Handler.
@@ -118,7 +118,7 @@
 	o.writeMore()
 }
 
-// writeMore writes as many lines as may wait for their answers.
+// writeMore writes lines up to maxUnanswered.
 func (o *Collectd) writeMore() {
 	var b []byte
 	for o.reader != nil && o.unanswered < maxUnanswered {
@@ -145,7 +145,7 @@
 	o.finishPeriod()
 }
 
-// finishPeriod ends a period once all its lines have their answers.
+// finishPeriod acknowledges the period once all its lines are answered.
 func (o *Collectd) finishPeriod() {
 	if !o.periodWritten || o.unanswered > 0 {
 		return
@@ -157,8 +157,8 @@
 	o.exporter.loop.Defer(o.wake)
 }
 
-// Data implements eventloop.Handler: `0 Success...` or `-1 why not`, a line each. A point that collectd will not have, it
-// will not have later either: it is counted and left.
+// Data implements eventloop.Handler. An answer is a line, `0 Success...` or `-1 reason`. A rejected point is counted
+// and not sent again, since it would be rejected again.
 func (o *Collectd) Data(c *eventloop.Conn) {
 	for {
 		line, _, whole := bytes.Cut(c.Bytes(), []byte("\n"))
@@ -185,13 +185,13 @@
 	}
 }
 
-// Closed implements eventloop.Handler: what has no answer goes again, from the beginning of its period.
+// Closed implements eventloop.Handler. The unacknowledged period is sent again from its beginning.
 func (o *Collectd) Closed(_ *eventloop.Conn, err error) {
 	o.exporter.log.Debug("metrics: collectd", zap.String("path", o.path), zap.Error(err))
 	idle := o.period == nil
 	o.disconnect()
 	if idle {
-		return // the next period connects anew
+		return // the next period connects again
 	}
 	o.retryLater(o.wake)
 }
--- a/internal/dispatcher/exporter/collectd_network.go
+++ b/internal/dispatcher/exporter/collectd_network.go
@@ -11,32 +11,33 @@
 	"cinderroad/internal/shared/eventloop"
 )
 
-// packetSize is how many bytes a packet has at most: what collectd's own network plug-in sends by default.
+// packetSize is the maximum size of a packet, the default of collectd's own network plug-in.
 const packetSize = 1452
 
 const (
-	sendPause     = 0.0005 // seconds between two slices: a receiver's socket buffer holds some hundred packets
-	rejectionWait = 0.05   // seconds in which a refusal of the last packet would come back
+	sendPause     = 0.0005 // seconds between two slices; a receiver's socket buffer holds some hundred packets
+	rejectionWait = 0.05   // seconds to wait for an ICMP rejection of the last packet
 )
 
-// Security is how packets are protected.
+// Security is the protection of packets.
 type Security uint8
 
-// The securities: HMAC-SHA-256 over each packet, or AES-256 in OFB mode with a SHA-1 checksum inside.
+// The protections: HMAC-SHA-256 over each packet, or AES-256 in OFB mode with a SHA-1 checksum inside.
 const (
 	SecurityNone Security = iota
 	SecuritySign
 	SecurityEncrypt
 )
 
-// CollectdNetworkOptions say how a collectd server is served.
+// CollectdNetworkOptions configure the output to a collectd server.
 type CollectdNetworkOptions struct {
 	Address            netip.AddrPort
 	Security           Security
 	Username, Password string
 }
 
-// CollectdNetwork delivers by collectd's binary network protocol, over UDP.
+// CollectdNetwork delivers by collectd's binary network protocol over UDP. There are no acknowledgements: a period
+// counts as delivered unless the system reports a rejection.
 type CollectdNetwork struct {
 	outputBase
 	options       CollectdNetworkOptions
@@ -45,13 +46,13 @@
 	currentPeriod uint64
 	period        *telemetry.Period
 	reader        *telemetry.Reader
-	unsent        []byte // waits for room
+	unsent        []byte // complete packet that the socket had no room for
 	series        telemetry.Series
 	value         float64
-	pending       bool // series and v wait for a packet
+	pending       bool // series and value didn't fit into the last packet
 }
 
-// NewCollectdNetwork makes an output; Feed.Attach starts it.
+// NewCollectdNetwork returns an output; Exporter.AddOutput starts it.
 func NewCollectdNetwork(o CollectdNetworkOptions) *CollectdNetwork {
 	return &CollectdNetwork{options: o}
 }
@@ -62,7 +63,7 @@
 // Kind implements Output.
 func (o *CollectdNetwork) Kind() string { return "collectd" }
 
-func (o *CollectdNetwork) start(f *Exporter, place *telemetry.Cursor) { o.init(f, place) }
+func (o *CollectdNetwork) start(exporter *Exporter, place *telemetry.Cursor) { o.init(exporter, place) }
 
 func (o *CollectdNetwork) stop() {
 	o.stopTimer()
@@ -101,7 +102,7 @@
 	o.schedule(0, o.sendMore)
 }
 
-// sendMore sends some points a turn.
+// sendMore sends some points per turn.
 func (o *CollectdNetwork) sendMore() {
 	if o.period == nil {
 		return
@@ -137,7 +138,7 @@
 			o.pending = false
 			continue
 		}
-		if !o.packet.hasValues { // it fits into no packet
+		if !o.packet.hasValues { // it doesn't fit into any packet
 			o.stats.RejectedPoints++
 			o.pending = false
 			continue
@@ -149,7 +150,7 @@
 	return false, nil
 }
 
-// sendPacket ends the packet and sends it.
+// sendPacket protects the current packet and sends it.
 func (o *CollectdNetwork) sendPacket() error {
 	if !o.packet.hasValues {
 		return nil
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// finishPeriod takes the period as delivered, unless a refusal has come back.
+// finishPeriod acknowledges the period, unless a rejection has arrived.
 func (o *CollectdNetwork) finishPeriod() {
 	if o.period == nil {
 		return
--- a/internal/dispatcher/exporter/compatibility_test.go
+++ b/internal/dispatcher/exporter/compatibility_test.go
@@ -7,8 +7,8 @@
 	"cinderroad/internal/dispatcher/telemetry"
 )
 
-// TestWritesAsBefore: what receivers of figures are sent.
-func TestWritesAsBefore(t *testing.T) {
+// TestRecordedBytes compares what receivers are sent with the recorded bytes.
+func TestRecordedBytes(t *testing.T) {
 	const stamp = 1_700_000_000_250
 	counter := telemetry.Series{Name: "classes.score.answers.in_time", Kind: telemetry.Counter}
 	gauge := telemetry.Series{Name: "reqs.open", Kind: telemetry.Gauge}
--- a/internal/dispatcher/exporter/exporter.go
+++ b/internal/dispatcher/exporter/exporter.go
@@ -1,7 +1,9 @@
-// Package metrics delivers the figures of package telemetry: to Graphite, as lines or pickles over TCP, and to collectd, over
-// its unix socket or by its network protocol. A Feed closes a period at a time and holds it until every receiver has it;
-// see docs/design/telemetry.md for when that is. Nothing here holds the loop up: values are rendered some at a time, and
-// a receiver that stalls or is down costs room in a bounded ring.
+// Package exporter delivers the periods of package telemetry to receivers: to Graphite, as lines or pickles over TCP,
+// and to collectd, over its unix socket or by its network protocol. An Exporter closes the periods and buffers each
+// until every receiver has it; docs/design/telemetry.md says when that is.
+//
+// Everything runs on the dispatcher's event loop and never blocks it: periods are encoded and rendered in slices, and
+// a receiver that stalls or is down costs only room in a bounded ring.
 package exporter
 
 import (
@@ -17,23 +19,23 @@
 
 const (
 	minInterval   = 0.1   // seconds
-	maxDiskWait   = 2.0   // seconds that a period waits for the disk before it is delivered all the same
-	valuesPerTurn = 15000 // values written in a turn
-	nodesPerTurn  = 500   // nodes whose gauges are gathered in a turn
-	pointsPerTurn = 300   // points rendered in a turn: some 0.2 ms
+	maxDiskWait   = 2.0   // seconds that a period waits for the spool before it is delivered anyway
+	valuesPerTurn = 15000 // encoded in one turn
+	nodesPerTurn  = 500   // whose gauges are gathered in one turn
+	pointsPerTurn = 300   // rendered in one turn, about 0.2 ms
 )
 
-// Options say how figures leave the process.
+// Options configure an Exporter.
 type Options struct {
-	DispatcherName string  // the dispatcher's name
-	Interval       float64 // seconds that a period lasts
-	BufferBytes    int     // of periods held in memory
+	DispatcherName string
+	Interval       float64 // seconds; at least minInterval
+	BufferBytes    int     // of buffered periods
 	WallClock      func() time.Time
 }
 
-// Exporter closes the periods and has its outputs deliver them.
+// Exporter closes periods and has its outputs deliver them. It belongs to the goroutine of its event loop.
 type Exporter struct {
-	ClosedPeriods uint64 // closed
+	ClosedPeriods uint64
 
 	loop          *eventloop.Loop
 	log           *zap.Logger
@@ -42,16 +44,16 @@
 	options       Options
 	spool         *spool.Spool
 	acknowledged  map[string]int64
-	retiredStats  map[string]OutputStats // of outputs that are gone, by kind
+	retiredStats  map[string]OutputStats // of removed outputs, by kind
 	outputs       []Output
-	lastTimestamp int64  // stamp of the last period
+	lastTimestamp int64  // of the last period, in Unix milliseconds
 	deliverable   uint64 // number of the last period that may be delivered
 	timer         *eventloop.Timer
 	running       bool
-	encoding      bool // the period at hand has ended and is being encoded
+	encoding      bool // the period is frozen, but not completely encoded
 }
 
-// New makes a feed that is not started yet.
+// New returns an exporter that isn't started.
 func New(loop *eventloop.Loop, log *zap.Logger, set *telemetry.Set, o Options) *Exporter {
 	if o.WallClock == nil {
 		o.WallClock = time.Now
@@ -60,215 +62,221 @@
 	return &Exporter{loop: loop, log: log, set: set, ring: telemetry.NewRing(o.BufferBytes), options: o, acknowledged: map[string]int64{}, retiredStats: map[string]OutputStats{}}
 }
 
-// AddOutput adds an output, which gets what is held and what comes.
-func (f *Exporter) AddOutput(o Output) {
-	f.outputs = append(f.outputs, o)
-	o.start(f, f.ring.OpenCursor(o.Name()))
+// AddOutput adds an output, which gets all buffered and future periods.
+func (e *Exporter) AddOutput(o Output) {
+	e.outputs = append(e.outputs, o)
+	o.start(e, e.ring.OpenCursor(o.Name()))
 }
 
-// ReplaceOutput has an output take the place of another of its kind: what that had not delivered is the new one's.
-func (f *Exporter) ReplaceOutput(was, now Output) {
-	for i, o := range f.outputs {
-		if o == was {
-			f.retireOutput(was)
-			f.outputs[i] = now
-			place := was.receiverCursor()
-			place.Name = now.Name()
-			now.start(f, place)
-			now.wake()
+// ReplaceOutput replaces an output by another of its kind, which continues where the old one was.
+func (e *Exporter) ReplaceOutput(old, replacement Output) {
+	for i, o := range e.outputs {
+		if o == old {
+			e.retireOutput(old)
+			e.outputs[i] = replacement
+			place := old.receiverCursor()
+			place.Name = replacement.Name()
+			replacement.start(e, place)
+			replacement.wake()
 		}
 	}
 }
 
-// RemoveOutput ends an output and what is held for it.
-func (f *Exporter) RemoveOutput(was Output) {
-	for i, o := range f.outputs {
-		if o == was {
-			f.retireOutput(was)
-			f.outputs = append(f.outputs[:i:i], f.outputs[i+1:]...)
-			f.ring.CloseCursor(was.receiverCursor())
+// RemoveOutput removes an output; periods that only it lacks are dropped.
+func (e *Exporter) RemoveOutput(output Output) {
+	for i, o := range e.outputs {
+		if o == output {
+			e.retireOutput(output)
+			e.outputs = append(e.outputs[:i:i], e.outputs[i+1:]...)
+			e.ring.CloseCursor(output.receiverCursor())
 			return
 		}
 	}
 }
 
-// Outputs are those attached.
-func (f *Exporter) Outputs() []Output { return f.outputs }
+// Outputs returns the current outputs.
+func (e *Exporter) Outputs() []Output { return e.outputs }
 
-// Ring holds what is not delivered yet.
-func (f *Exporter) Ring() *telemetry.Ring { return f.ring }
+// Ring returns the buffer of undelivered periods.
+func (e *Exporter) Ring() *telemetry.Ring { return e.ring }
 
-// Restore goes on from what earlier lives have left on disk.
-func (f *Exporter) Restore(found *spool.Recovered) {
-	f.set.AddTotals(found.Totals)
-	f.set.RestoreSlots(found.SlotAssignments)
+// Restore continues from what earlier incarnations left in the spool. It must be called after the outputs are added.
+func (e *Exporter) Restore(found *spool.Recovered) {
+	e.set.AddTotals(found.Totals)
+	e.set.RestoreSlots(found.SlotAssignments)
 	for _, p := range found.Periods {
-		f.ring.Push(p)
-		f.lastTimestamp = max(f.lastTimestamp, p.Timestamp)
+		e.ring.Push(p)
+		e.lastTimestamp = max(e.lastTimestamp, p.Timestamp)
 	}
-	f.deliverable = f.ring.Newest()
-	for _, o := range f.outputs {
-		f.ring.SkipTo(o.receiverCursor(), found.Acknowledged[o.Name()])
+	e.deliverable = e.ring.Newest()
+	for _, o := range e.outputs {
+		e.ring.SkipTo(o.receiverCursor(), found.Acknowledged[o.Name()])
 	}
 }
 
-// SetSpool has closed periods kept on disk, too.
-func (f *Exporter) SetSpool(s *spool.Spool) { f.spool = s }
+// SetSpool makes closed periods be stored in a spool, too.
+func (e *Exporter) SetSpool(s *spool.Spool) { e.spool = s }
 
-// Start begins to close periods and to deliver them.
-func (f *Exporter) Start() {
-	if !f.running {
-		f.running = true
-		f.scheduleClose()
-		for _, o := range f.outputs {
+// Start starts closing and delivering periods.
+func (e *Exporter) Start() {
+	if !e.running {
+		e.running = true
+		e.scheduleClose()
+		for _, o := range e.outputs {
 			o.wake()
 		}
 	}
 }
 
-// Stop ends that; the period at hand stays open, and nothing that is held is lost.
-func (f *Exporter) Stop() {
-	if f.running = false; f.encoding {
-		f.addPeriod(f.set.EncodePeriod(math.MaxInt32))
+// Stop ends that. The open period stays open and buffered periods stay buffered.
+func (e *Exporter) Stop() {
+	if e.running = false; e.encoding {
+		e.addPeriod(e.set.EncodePeriod(math.MaxInt32))
 	}
-	f.timer.Stop()
-	for _, o := range f.outputs {
+	e.timer.Stop()
+	for _, o := range e.outputs {
 		o.stop()
 	}
 }
 
-// Running says whether periods are closed here.
-func (f *Exporter) Running() bool { return f.running }
+// Running reports whether periods are being closed.
+func (e *Exporter) Running() bool { return e.running }
 
-// SetInterval changes how long a period lasts, from the next one on.
-func (f *Exporter) SetInterval(every float64) {
-	f.options.Interval = math.Max(minInterval, every)
-	if f.running {
-		f.timer.Stop()
-		f.scheduleClose()
+// SetInterval changes the duration of periods in seconds, from the next one on.
+func (e *Exporter) SetInterval(every float64) {
+	e.options.Interval = math.Max(minInterval, every)
+	if e.running {
+		e.timer.Stop()
+		e.scheduleClose()
 	}
 }
 
-// scheduleClose waits for the next full multiple of the period: dispatchers that are graphed together close together.
-func (f *Exporter) scheduleClose() {
-	now, every := f.loop.Now(), f.options.Interval
-	f.timer = f.loop.At((math.Floor(now/every+1e-6)+1)*every, func() {
-		f.ClosePeriod()
-		f.scheduleClose()
+// scheduleClose schedules the end of the period at the next full multiple of the interval, so that all dispatchers
+// close at the same time.
+func (e *Exporter) scheduleClose() {
+	now, every := e.loop.Now(), e.options.Interval
+	e.timer = e.loop.At((math.Floor(now/every+1e-6)+1)*every, func() {
+		e.ClosePeriod()
+		e.scheduleClose()
 	})
 }
 
-// ClosePeriod closes the period at hand within the next turns: with thousands of nodes one would be too long.
-func (f *Exporter) ClosePeriod() {
-	if f.set.GatherNodeGauges(nodesPerTurn) {
-		f.loop.At(f.loop.Now(), f.ClosePeriod)
+// ClosePeriod closes the open period over the next turns of the event loop; with thousands of nodes a single turn
+// would take too long.
+func (e *Exporter) ClosePeriod() {
+	if e.set.GatherNodeGauges(nodesPerTurn) {
+		e.loop.At(e.loop.Now(), e.ClosePeriod)
 		return
 	}
-	f.loop.At(f.loop.Now(), func() {
-		if f.running {
-			f.freeze()
-			f.encode()
+	e.loop.At(e.loop.Now(), func() {
+		if e.running {
+			e.freeze()
+			e.encode()
 		}
 	})
 }
 
-// encode writes some of the period's values a turn.
-func (f *Exporter) encode() {
-	if !f.encoding {
-		return // ClosePeriodNow has
+// encode encodes a slice of the period in each turn.
+func (e *Exporter) encode() {
+	if !e.encoding {
+		return // ClosePeriodNow has done so
 	}
-	if p := f.set.EncodePeriod(valuesPerTurn); p != nil {
-		f.addPeriod(p)
+	if p := e.set.EncodePeriod(valuesPerTurn); p != nil {
+		e.addPeriod(p)
 		return
 	}
-	f.loop.At(f.loop.Now(), f.encode)
+	e.loop.At(e.loop.Now(), e.encode)
 }
 
-// ClosePeriodNow closes the period at hand at once.
-func (f *Exporter) ClosePeriodNow() {
-	f.freeze()
-	f.addPeriod(f.set.EncodePeriod(math.MaxInt32))
+// ClosePeriodNow closes the open period within this turn.
+func (e *Exporter) ClosePeriodNow() {
+	e.freeze()
+	e.addPeriod(e.set.EncodePeriod(math.MaxInt32))
 }
 
-// freeze ends the period at hand. Its stamp is of the system's clock, and later than the one before by a second, or by
-// a millisecond where periods are shorter: receivers drop what goes back, so a clock that is set back is waited for.
-func (f *Exporter) freeze() {
-	if f.encoding { // a turn of the one before is late
-		f.addPeriod(f.set.EncodePeriod(math.MaxInt32))
+// freeze freezes the open period. Its timestamp is the wall clock's, but at least a second later than the last one,
+// or a millisecond if intervals are shorter: receivers drop points that go back in time, so after a clock step
+// timestamps advance slowly until the clock has caught up.
+func (e *Exporter) freeze() {
+	if e.encoding { // the encoding of the last period is late
+		e.addPeriod(e.set.EncodePeriod(math.MaxInt32))
 	}
 	least := int64(1000)
-	if f.options.Interval < 1 {
+	if e.options.Interval < 1 {
 		least = 1
 	}
-	f.lastTimestamp = max(f.options.WallClock().UnixMilli(), f.lastTimestamp+least)
-	f.ClosedPeriods++
-	f.set.FreezePeriod(f.lastTimestamp, f.options.Interval)
-	f.encoding = true
+	e.lastTimestamp = max(e.options.WallClock().UnixMilli(), e.lastTimestamp+least)
+	e.ClosedPeriods++
+	e.set.FreezePeriod(e.lastTimestamp, e.options.Interval)
+	e.encoding = true
 }
 
-// addPeriod holds a closed period for the receivers.
-func (f *Exporter) addPeriod(p *telemetry.Period) {
-	f.encoding = false
-	f.ring.Push(p)
-	n := f.ring.Newest()
-	if f.spool == nil {
-		f.deliverUpTo(n)
+// addPeriod buffers a closed period for the receivers.
+func (e *Exporter) addPeriod(p *telemetry.Period) {
+	e.encoding = false
+	e.ring.Push(p)
+	n := e.ring.Newest()
+	if e.spool == nil {
+		e.deliverUpTo(n)
 		return
 	}
-	// A total that a receiver has must not fall when the next life goes on from an older one: the disk has it first.
-	f.spool.AppendPeriod(p, f.set.SlotAssignments(), func() { f.loop.Post(func() { f.deliverUpTo(n) }) })
-	f.loop.At(f.loop.Now()+maxDiskWait, func() { f.deliverUpTo(n) })
+	// A total that a receiver has must not decrease when the next incarnation continues from an older one: the spool
+	// has it first.
+	e.spool.AppendPeriod(p, e.set.SlotAssignments(), func() { e.loop.Post(func() { e.deliverUpTo(n) }) })
+	e.loop.At(e.loop.Now()+maxDiskWait, func() { e.deliverUpTo(n) })
 }
 
-// deliverUpTo has periods delivered up to a number.
-func (f *Exporter) deliverUpTo(n uint64) {
-	if n <= f.deliverable {
+// deliverUpTo allows the delivery of periods up to number n.
+func (e *Exporter) deliverUpTo(n uint64) {
+	if n <= e.deliverable {
 		return
 	}
-	f.deliverable = n
-	for _, o := range f.outputs {
+	e.deliverable = n
+	for _, o := range e.outputs {
 		o.wake()
 	}
 }
 
-// periodFrom is the first period numbered n or more that may be delivered, and its number; nil if there is none.
-func (f *Exporter) periodFrom(n uint64) (*telemetry.Period, uint64) {
-	p, n := f.ring.PeriodFrom(n)
-	if n > f.deliverable {
+// periodFrom returns the first period with number n or more that may be delivered, and its number; nil if there is
+// none.
+func (e *Exporter) periodFrom(n uint64) (*telemetry.Period, uint64) {
+	p, n := e.ring.PeriodFrom(n)
+	if n > e.deliverable {
 		return nil, n
 	}
 	return p, n
 }
 
-// acknowledge notes that a receiver has all up to a period.
-func (f *Exporter) acknowledge(o Output, n uint64, stamp int64) {
-	f.ring.Acknowledge(o.receiverCursor(), n)
-	f.acknowledged[o.Name()] = stamp
-	if f.spool != nil {
-		f.spool.AppendAcknowledged(f.acknowledged)
+// acknowledge records that a receiver has all periods up to number n.
+func (e *Exporter) acknowledge(output Output, n uint64, stamp int64) {
+	e.ring.Acknowledge(output.receiverCursor(), n)
+	e.acknowledged[output.Name()] = stamp
+	if e.spool != nil {
+		e.spool.AppendAcknowledged(e.acknowledged)
 	}
 }
 
-// AllDelivered says whether every receiver has all that was closed.
-func (f *Exporter) AllDelivered() bool {
-	for _, o := range f.outputs {
-		if f.ring.Pending(o.receiverCursor()) > 0 {
+// AllDelivered reports whether every receiver has all closed periods.
+func (e *Exporter) AllDelivered() bool {
+	for _, o := range e.outputs {
+		if e.ring.Pending(o.receiverCursor()) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// LastTimestamp is the stamp of the last period, After has those to come later than one: two processes share the receivers.
-func (f *Exporter) LastTimestamp() int64 { return f.lastTimestamp }
+// LastTimestamp returns the timestamp of the last period in Unix milliseconds. During an upgrade two processes share
+// the receivers, see AdvanceTimestamp.
+func (e *Exporter) LastTimestamp() int64 { return e.lastTimestamp }
 
-// AdvanceTimestamp is told of by Last.
-func (f *Exporter) AdvanceTimestamp(stamp int64) { f.lastTimestamp = max(f.lastTimestamp, stamp) }
+// AdvanceTimestamp makes future timestamps later than the given one.
+func (e *Exporter) AdvanceTimestamp(stamp int64) { e.lastTimestamp = max(e.lastTimestamp, stamp) }
 
-// KindStats sums up what the outputs of a kind have done, with those that are gone: it never falls.
-func (f *Exporter) KindStats(kind string) OutputStats {
-	total := f.retiredStats[kind]
-	for _, o := range f.outputs {
+// KindStats returns the sum over all outputs of a kind, removed ones included, so that it never decreases.
+func (e *Exporter) KindStats(kind string) OutputStats {
+	total := e.retiredStats[kind]
+	for _, o := range e.outputs {
 		if o.Kind() == kind {
 			total = total.plus(o.Stats())
 		}
@@ -276,9 +284,9 @@
 	return total
 }
 
-// retireOutput ends an output for good; what it has done stays in the totals.
-func (f *Exporter) retireOutput(o Output) {
-	o.stop()
-	o.end()
-	f.retiredStats[o.Kind()] = f.retiredStats[o.Kind()].plus(o.Stats())
+// retireOutput stops an output for good and keeps its statistics.
+func (e *Exporter) retireOutput(output Output) {
+	output.stop()
+	output.end()
+	e.retiredStats[output.Kind()] = e.retiredStats[output.Kind()].plus(output.Stats())
 }
--- a/internal/dispatcher/exporter/exporter_test.go
+++ b/internal/dispatcher/exporter/exporter_test.go
@@ -18,31 +18,32 @@
 	"cinderroad/loadbalancer"
 )
 
-// bench is a feed on a running loop whose periods end on cue.
-type bench struct {
-	t    testing.TB
-	loop *eventloop.Loop
-	feed *Exporter
-	set  *telemetry.Set
-	wall time.Time
-	done chan error
+// testbed is an exporter on a running event loop whose periods are closed by the test.
+type testbed struct {
+	t        testing.TB
+	loop     *eventloop.Loop
+	exporter *Exporter
+	set      *telemetry.Set
+	wall     time.Time
+	done     chan error
 }
 
-func start(t testing.TB, bytes int, outputs ...Output) *bench {
+func startTestbed(t testing.TB, bytes int, outputs ...Output) *testbed {
+	t.Helper()
 	loop, err := eventloop.NewLoop(100)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, loop: loop, wall: time.Unix(1_700_000_000, 0), done: make(chan error, 1)}
+	b := &testbed{t: t, loop: loop, wall: time.Unix(1_700_000_000, 0), done: make(chan error, 1)}
 	b.set = telemetry.New(telemetry.Options{Classes: []string{"score"}, Zones: []string{"milano"}, Kinds: []string{"k"}, MaxNodes: 5000})
-	b.feed = New(loop, zap.NewNop(), b.set, Options{DispatcherName: "n.0", Interval: 1e6, BufferBytes: bytes, WallClock: func() time.Time { return b.wall }})
+	b.exporter = New(loop, zap.NewNop(), b.set, Options{DispatcherName: "n.0", Interval: 1e6, BufferBytes: bytes, WallClock: func() time.Time { return b.wall }})
 	for _, o := range outputs {
-		b.feed.AddOutput(o)
+		b.exporter.AddOutput(o)
 	}
-	b.feed.Start()
+	b.exporter.Start()
 	go func() { b.done <- loop.Run() }()
 	t.Cleanup(func() {
-		b.do(func() { b.feed.Stop(); loop.Stop() })
+		b.onLoop(func() { b.exporter.Stop(); loop.Stop() })
 		if err := <-b.done; err != nil {
 			t.Error(err)
 		}
@@ -50,37 +51,37 @@
 	return b
 }
 
-// do runs something on the loop's goroutine and waits for it.
-func (b *bench) do(what func()) {
+// onLoop runs a function on the loop's goroutine and waits for it.
+func (b *testbed) onLoop(what func()) {
 	done := make(chan struct{})
 	b.loop.Post(func() { what(); close(done) })
 	<-done
 }
 
-// periods ends so many periods with an answer in each.
-func (b *bench) periods(n int) {
+// closePeriods closes n periods with an answer in each.
+func (b *testbed) closePeriods(n int) {
 	for range n {
-		b.do(func() {
+		b.onLoop(func() {
 			b.set.ObserveAnswer(&dispatch.AnswerRecord{Verdict: dispatch.Served, WinningAttempt: -1})
 			b.wall = b.wall.Add(10 * time.Second)
-			b.feed.ClosePeriodNow()
+			b.exporter.ClosePeriodNow()
 		})
 	}
 }
 
-func (b *bench) eventually(what string, ok func() bool) {
+func (b *testbed) eventually(what string, ok func() bool) {
 	b.t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			b.t.Fatalf("never came: %s", what)
+			b.t.Fatalf("timeout: %s", what)
 		}
 	}
 }
 
-const served = "cinderroad.n_0.classes.score.answers.in_time"
+const servedSeries = "cinderroad.n_0.classes.score.answers.in_time"
 
-// has waits until a receiver has every period of n, once each by its stamp, with the right total in each.
-func (b *bench) has(s *receivers.Store, series string, n int) {
+// expectPeriods waits until a receiver has exactly n periods, each once and with the right total.
+func (b *testbed) expectPeriods(s *receivers.Store, series string, n int) {
 	b.t.Helper()
 	b.eventually(fmt.Sprintf("%d periods of %s", n, series), func() bool { return len(s.Timestamps(series)) >= n })
 	var want []float64
@@ -94,14 +95,15 @@
 		b.t.Errorf("%v answers at the receiver, %d given", got, n)
 	}
 	if bad := s.Malformed(); len(bad) > 0 {
-		b.t.Errorf("%d things made no sense, such as %s", len(bad), bad[0])
+		b.t.Errorf("%d malformed inputs, such as %s", len(bad), bad[0])
 	}
 	if _, _, moved := s.Counts(); moved > 0 {
-		b.t.Errorf("%d points came again with another value", moved)
+		b.t.Errorf("%d points were repeated with another value", moved)
 	}
 }
 
-func carbon(t testing.TB, pickle bool) (*receivers.Carbon, GraphiteOptions) {
+func startCarbon(t testing.TB, pickle bool) (*receivers.Carbon, GraphiteOptions) {
+	t.Helper()
 	c, err := receivers.NewCarbon("127.0.0.1:0", pickle)
 	if err != nil {
 		t.Fatal(err)
@@ -110,14 +112,14 @@
 	return c, GraphiteOptions{Address: netip.MustParseAddrPort(c.Addr()), Prefix: "cinderroad", Pickle: pickle, ConfirmByClose: true, Timeout: 0.4}
 }
 
-// Whatever a Graphite receiver does meanwhile, in the end it has every period, whole, in both forms.
-func TestGraphiteGetsEveryPeriod(t *testing.T) {
+// TestGraphiteDelivery checks that a receiver gets every period completely, in both protocols, whatever faults occur.
+func TestGraphiteDelivery(t *testing.T) {
 	for _, pickle := range []bool{false, true} {
-		for name, trouble := range map[string]func(b *bench, c *receivers.Carbon, n func(int)){
-			"none": func(_ *bench, _ *receivers.Carbon, n func(int)) { n(12) },
-			"away": func(b *bench, c *receivers.Carbon, n func(int)) {
+		for name, fault := range map[string]func(b *testbed, c *receivers.Carbon, n func(int)){
+			"none": func(_ *testbed, _ *receivers.Carbon, n func(int)) { n(12) },
+			"away": func(b *testbed, c *receivers.Carbon, n func(int)) {
 				n(3)
-				b.eventually("the word that it has them", func() bool { return b.held() == 0 })
+				b.eventually("the acknowledgement", func() bool { return b.buffered() == 0 })
 				c.Stop()
 				n(40)
 				if err := c.Restart(); err != nil {
@@ -125,15 +127,15 @@
 				}
 				n(2)
 			},
-			"stalled": func(b *bench, c *receivers.Carbon, n func(int)) { // its kernel takes what it never reads
+			"stalled": func(b *testbed, c *receivers.Carbon, n func(int)) { // its kernel accepts what it never reads
 				n(1)
 				c.SetStalled(true)
 				n(20)
-				b.eventually("a try given up", func() bool { return b.state(0).Failures > 1 })
+				b.eventually("a failed attempt", func() bool { return b.state(0).Failures > 1 })
 				c.SetStalled(false)
 				n(1)
 			},
-			"dies with bytes unread": func(b *bench, c *receivers.Carbon, n func(int)) {
+			"dies with bytes unread": func(b *testbed, c *receivers.Carbon, n func(int)) {
 				c.SetStalled(true)
 				n(5)
 				b.eventually("bytes in its kernel", func() bool { return b.state(0).Points > 0 && c.Accepted() > 0 })
@@ -143,15 +145,15 @@
 					b.t.Fatal(err)
 				}
 			},
-			"cut in the midst of a line, again and again": func(b *bench, c *receivers.Carbon, n func(int)) {
+			"cut in the midst of a line, again and again": func(b *testbed, c *receivers.Carbon, n func(int)) {
 				for i := range 4 {
 					c.ResetAfter(1 + 333*i*i)
 					n(2)
 					b.eventually("the cut", func() bool { return b.state(0).Failures > uint64(i) })
-					b.eventually("all of it", func() bool { return b.held() == 0 })
+					b.eventually("all of it", func() bool { return b.buffered() == 0 })
 				}
 			},
-			"slow": func(_ *bench, c *receivers.Carbon, n func(int)) {
+			"slow": func(_ *testbed, c *receivers.Carbon, n func(int)) {
 				c.SetReadSize(2000)
 				n(3)
 				c.SetReadSize(20000)
@@ -160,163 +162,165 @@
 		} {
 			t.Run(fmt.Sprintf("%s, pickle %v", name, pickle), func(t *testing.T) {
 				t.Parallel()
-				c, o := carbon(t, pickle)
-				b := start(t, 1<<20, NewGraphite(o))
+				c, o := startCarbon(t, pickle)
+				b := startTestbed(t, 1<<20, NewGraphite(o))
 				total := 0
-				trouble(b, c, func(n int) { b.periods(n); total += n })
-				b.has(&c.Store, served, total)
-				b.eventually("nothing held", func() bool { return b.held() == 0 })
+				fault(b, c, func(n int) { b.closePeriods(n); total += n })
+				b.expectPeriods(&c.Store, servedSeries, total)
+				b.eventually("an empty buffer", func() bool { return b.buffered() == 0 })
 			})
 		}
 	}
 }
 
-func (b *bench) state(i int) (s OutputStats) {
-	b.do(func() { s = b.feed.Outputs()[i].Stats() })
+func (b *testbed) state(i int) (s OutputStats) {
+	b.onLoop(func() { s = b.exporter.Outputs()[i].Stats() })
 	return s
 }
 
-// ended says whether a period was closed after so many, and nothing is held.
-func (b *bench) ended(after uint64) (yes bool) {
-	b.do(func() { n, _ := b.feed.Ring().Size(); yes = n == 0 && b.feed.ClosedPeriods > after })
+// idleAfter reports whether more than that many periods were closed and nothing is buffered.
+func (b *testbed) idleAfter(after uint64) (yes bool) {
+	b.onLoop(func() { n, _ := b.exporter.Ring().Size(); yes = n == 0 && b.exporter.ClosedPeriods > after })
 	return yes
 }
 
-func (b *bench) held() (n int) {
-	b.do(func() { n, _ = b.feed.Ring().Size() })
+func (b *testbed) buffered() (n int) {
+	b.onLoop(func() { n, _ = b.exporter.Ring().Size() })
 	return n
 }
 
-// A receiver comes back with an empty disk: what it had is gone, and the totals that come then are right all the same.
-func TestAReceiverThatLostAll(t *testing.T) {
-	c, o := carbon(t, false)
-	b := start(t, 1<<20, NewGraphite(o))
-	b.periods(3)
-	b.eventually("the word that it has them", func() bool { return b.held() == 0 })
+// TestReceiverLosesItsData checks that totals are right after a receiver returns with an empty disk.
+func TestReceiverLosesItsData(t *testing.T) {
+	c, o := startCarbon(t, false)
+	b := startTestbed(t, 1<<20, NewGraphite(o))
+	b.closePeriods(3)
+	b.eventually("the acknowledgement", func() bool { return b.buffered() == 0 })
 	c.Stop()
 	c.Reset()
-	b.periods(2)
+	b.closePeriods(2)
 	if err := c.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	b.periods(1)
-	b.eventually("three periods", func() bool { return len(c.Timestamps(served)) == 3 })
-	if v, _ := c.Last(served); v != 6 {
+	b.closePeriods(1)
+	b.eventually("three periods", func() bool { return len(c.Timestamps(servedSeries)) == 3 })
+	if v, _ := c.Last(servedSeries); v != 6 {
 		t.Errorf("total %v of 6", v)
 	}
 }
 
-// A period that is being written when the program ends is closed, and the one after it, both whole and in order.
-func TestTheEndWithinAPeriodsEnd(t *testing.T) {
-	c, o := carbon(t, false)
-	b := start(t, 1<<20, NewGraphite(o))
-	b.do(func() { fleet(b.set, 5000) })
-	b.do(func() {
+// TestClosePeriodNowWhileEncoding checks that a period that is being encoded when the program ends is closed
+// completely, and the one after it, too.
+func TestClosePeriodNowWhileEncoding(t *testing.T) {
+	c, o := startCarbon(t, false)
+	b := startTestbed(t, 1<<20, NewGraphite(o))
+	b.onLoop(func() { addNodes(b.set, 5000) })
+	b.onLoop(func() {
 		b.set.ObserveAnswer(&dispatch.AnswerRecord{Verdict: dispatch.Served, WinningAttempt: -1})
-		b.feed.freeze()
-		b.feed.encode() // some of it
+		b.exporter.freeze()
+		b.exporter.encode() // of a slice
 		b.set.ObserveAnswer(&dispatch.AnswerRecord{Verdict: dispatch.Served, WinningAttempt: -1})
 		b.wall = b.wall.Add(10 * time.Second)
-		b.feed.ClosePeriodNow()
+		b.exporter.ClosePeriodNow()
 	})
-	b.eventually("both periods", func() bool { return b.held() == 0 && len(c.Timestamps(served)) == 2 })
-	if v, _ := c.Last(served); v != 2 || c.CounterIncrease(served) != 2 {
+	b.eventually("both periods", func() bool { return b.buffered() == 0 && len(c.Timestamps(servedSeries)) == 2 })
+	if v, _ := c.Last(servedSeries); v != 2 || c.CounterIncrease(servedSeries) != 2 {
 		t.Errorf("total %v of 2", v)
 	}
 }
 
-// A relay that never closes is served on a connection that stays, if the operator says so.
-func TestARelayThatNeverCloses(t *testing.T) {
-	c, o := carbon(t, false)
+// TestReceiverThatNeverCloses checks persistent connections to a relay that doesn't close in answer to our close.
+func TestReceiverThatNeverCloses(t *testing.T) {
+	c, o := startCarbon(t, false)
 	c.KeepOpen(true)
 	o.ConfirmByClose = false
-	b := start(t, 1<<20, NewGraphite(o))
-	b.periods(3)
-	b.has(&c.Store, served, 3)
-	b.periods(3)
-	b.has(&c.Store, served, 6)
+	b := startTestbed(t, 1<<20, NewGraphite(o))
+	b.closePeriods(3)
+	b.expectPeriods(&c.Store, servedSeries, 3)
+	b.closePeriods(3)
+	b.expectPeriods(&c.Store, servedSeries, 6)
 	c.Stop()
-	b.periods(2)
+	b.closePeriods(2)
 	if err := c.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	b.periods(2)
-	b.eventually("the last period", func() bool { v, _ := c.Last(served); return v == 10 })
+	b.closePeriods(2)
+	b.eventually("the last period", func() bool { v, _ := c.Last(servedSeries); return v == 10 })
 	if n := c.Accepted(); n > 4 {
 		t.Errorf("%d connections", n)
 	}
 }
 
-// One receiver down costs the other nothing; with the ring full the oldest periods go, counted, and totals are right.
-func TestTwoReceiversOfWhichOneIsDown(t *testing.T) {
-	c, o := carbon(t, false)
-	away, p := carbon(t, false)
+// TestOneReceiverDown checks that one receiver's outage doesn't affect the other, that the oldest periods are dropped
+// and counted when the ring is full, and that totals stay right.
+func TestOneReceiverDown(t *testing.T) {
+	c, o := startCarbon(t, false)
+	away, p := startCarbon(t, false)
 	away.Stop()
-	b := start(t, 4000, NewGraphite(o), NewGraphite(p))
-	for i := range 20 { // no faster than a receiver can take them: the ring is small
-		b.periods(3)
-		b.has(&c.Store, served, 3*(i+1))
+	b := startTestbed(t, 4000, NewGraphite(o), NewGraphite(p))
+	for i := range 20 { // no faster than the receiver, since the ring is small
+		b.closePeriods(3)
+		b.expectPeriods(&c.Store, servedSeries, 3*(i+1))
 	}
 	if err := away.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	b.eventually("the last period", func() bool { v, _ := away.Last(served); return v == 60 })
+	b.eventually("the last period", func() bool { v, _ := away.Last(servedSeries); return v == 60 })
 	var dropped uint64
-	b.do(func() { dropped = b.feed.Ring().Dropped })
-	if got := len(away.Timestamps(served)); dropped == 0 || got+int(dropped) != 60 || away.CounterIncrease(served) != 60 {
-		t.Errorf("%d periods came and %d were dropped of 60; total %v", got, dropped, away.CounterIncrease(served))
+	b.onLoop(func() { dropped = b.exporter.Ring().Dropped })
+	if got := len(away.Timestamps(servedSeries)); dropped == 0 || got+int(dropped) != 60 || away.CounterIncrease(servedSeries) != 60 {
+		t.Errorf("%d periods came and %d were dropped of 60; total %v", got, dropped, away.CounterIncrease(servedSeries))
 	}
 }
 
-// A reload that moves the receiver: the new one gets what the old one had not.
-func TestAReceiverThatMoves(t *testing.T) {
-	old, o := carbon(t, false)
-	fresh, p := carbon(t, true)
+// TestReplaceOutput checks that the new output gets what the old one hadn't delivered.
+func TestReplaceOutput(t *testing.T) {
+	old, o := startCarbon(t, false)
+	fresh, p := startCarbon(t, true)
 	was := NewGraphite(o)
-	b := start(t, 1<<20, was)
-	b.periods(2)
-	b.has(&old.Store, served, 2)
-	b.eventually("the word that it has them", func() bool { return b.held() == 0 })
+	b := startTestbed(t, 1<<20, was)
+	b.closePeriods(2)
+	b.expectPeriods(&old.Store, servedSeries, 2)
+	b.eventually("the acknowledgement", func() bool { return b.buffered() == 0 })
 	old.Stop()
-	b.periods(5)
-	b.do(func() { b.feed.ReplaceOutput(was, NewGraphite(p)) })
-	b.periods(1)
-	b.eventually("six periods", func() bool { return len(fresh.Timestamps(served)) == 6 })
-	if v, _ := fresh.Last(served); v != 8 {
+	b.closePeriods(5)
+	b.onLoop(func() { b.exporter.ReplaceOutput(was, NewGraphite(p)) })
+	b.closePeriods(1)
+	b.eventually("six periods", func() bool { return len(fresh.Timestamps(servedSeries)) == 6 })
+	if v, _ := fresh.Last(servedSeries); v != 8 {
 		t.Errorf("total %v", v)
 	}
-	b.do(func() { b.feed.RemoveOutput(b.feed.Outputs()[0]) })
-	b.periods(1)
-	if n := b.held(); n > 0 {
-		t.Errorf("%d periods held for nobody", n)
+	b.onLoop(func() { b.exporter.RemoveOutput(b.exporter.Outputs()[0]) })
+	b.closePeriods(1)
+	if n := b.buffered(); n > 0 {
+		t.Errorf("%d periods buffered for no receiver", n)
 	}
 }
 
-// The system's clock is set back an hour, and then right again: stamps go on, none twice.
-func TestTheClockIsSetBack(t *testing.T) {
-	c, o := carbon(t, false)
-	b := start(t, 1<<20, NewGraphite(o))
-	b.periods(2)
-	b.do(func() { b.wall = b.wall.Add(-time.Hour) })
-	b.periods(3)
-	b.do(func() { b.wall = b.wall.Add(time.Hour) })
-	b.periods(1)
-	b.eventually("all periods", func() bool { return len(c.Timestamps(served)) == 6 })
+// TestWallClockStepsBack sets the clock back by an hour and forward again: timestamps increase strictly.
+func TestWallClockStepsBack(t *testing.T) {
+	c, o := startCarbon(t, false)
+	b := startTestbed(t, 1<<20, NewGraphite(o))
+	b.closePeriods(2)
+	b.onLoop(func() { b.wall = b.wall.Add(-time.Hour) })
+	b.closePeriods(3)
+	b.onLoop(func() { b.wall = b.wall.Add(time.Hour) })
+	b.closePeriods(1)
+	b.eventually("all periods", func() bool { return len(c.Timestamps(servedSeries)) == 6 })
 	want := []float64{1_700_000_010, 1_700_000_020, 1_700_000_021, 1_700_000_022, 1_700_000_023, 1_700_000_060}
-	if d := cmp.Diff(want, c.Timestamps(served)); d != "" {
+	if d := cmp.Diff(want, c.Timestamps(servedSeries)); d != "" {
 		t.Error(d)
 	}
 }
 
-const servedThere = "n_0/cinderroad/derive-classes_score_answers_in_time"
+const servedCollectdSeries = "n_0/cinderroad/derive-classes_score_answers_in_time"
 
-// collectd's answers say what it has got: away, silent, cut and slow ones have all of it in the end.
-func TestCollectdGetsEveryPeriod(t *testing.T) {
-	for name, trouble := range map[string]func(b *bench, c *receivers.Collectd, n func(int)){
-		"none": func(_ *bench, _ *receivers.Collectd, n func(int)) { n(12) },
-		"away": func(b *bench, c *receivers.Collectd, n func(int)) {
+// TestCollectdDelivery checks that collectd gets every period completely, whatever faults occur.
+func TestCollectdDelivery(t *testing.T) {
+	for name, fault := range map[string]func(b *testbed, c *receivers.Collectd, n func(int)){
+		"none": func(_ *testbed, _ *receivers.Collectd, n func(int)) { n(12) },
+		"away": func(b *testbed, c *receivers.Collectd, n func(int)) {
 			n(2)
-			b.has(&c.Store, servedThere, 2)
+			b.expectPeriods(&c.Store, servedCollectdSeries, 2)
 			c.Stop()
 			n(20)
 			if err := c.Restart(); err != nil {
@@ -324,13 +328,13 @@
 			}
 			n(2)
 		},
-		"silent": func(b *bench, c *receivers.Collectd, n func(int)) {
+		"silent": func(b *testbed, c *receivers.Collectd, n func(int)) {
 			c.SetStalled(true)
 			n(10)
-			b.eventually("a try given up", func() bool { return b.state(0).Failures > 1 })
+			b.eventually("a failed attempt", func() bool { return b.state(0).Failures > 1 })
 			c.SetStalled(false)
 		},
-		"cut": func(b *bench, c *receivers.Collectd, n func(int)) {
+		"cut": func(b *testbed, c *receivers.Collectd, n func(int)) {
 			for i := range 4 {
 				c.Stop()
 				c.ResetAfter(1 + 333*i*i)
@@ -340,10 +344,10 @@
 				b.eventually("the end of the connection", func() bool { return b.state(0).Failures >= uint64(i) })
 				n(2)
 				b.eventually("the cut", func() bool { return b.state(0).Failures > uint64(i) })
-				b.eventually("all of it", func() bool { return b.held() == 0 })
+				b.eventually("all of it", func() bool { return b.buffered() == 0 })
 			}
 		},
-		"slow": func(_ *bench, c *receivers.Collectd, n func(int)) { c.SetReadSize(3000); n(4) },
+		"slow": func(_ *testbed, c *receivers.Collectd, n func(int)) { c.SetReadSize(3000); n(4) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -351,17 +355,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b := start(t, 1<<20, NewCollectd(c.Addr(), 0.4))
+			b := startTestbed(t, 1<<20, NewCollectd(c.Addr(), 0.4))
 			total := 0
-			trouble(b, c, func(n int) { b.periods(n); total += n })
-			b.has(&c.Store, servedThere, total)
-			b.eventually("nothing held", func() bool { return b.held() == 0 })
+			fault(b, c, func(n int) { b.closePeriods(n); total += n })
+			b.expectPeriods(&c.Store, servedCollectdSeries, total)
+			b.eventually("an empty buffer", func() bool { return b.buffered() == 0 })
 		})
 	}
 }
 
-// The network protocol in all securities: packets no longer than collectd's own, nothing with a wrong password, and a
-// receiver that the system refuses for gets the periods again.
+// TestCollectdNetwork checks all protections: packet sizes, that a wrong password delivers nothing, and that periods
+// are sent again after the system reported a rejection.
 func TestCollectdNetwork(t *testing.T) {
 	for name, security := range map[string]Security{"none": SecurityNone, "sign": SecuritySign, "encrypt": SecurityEncrypt} {
 		t.Run(name, func(t *testing.T) {
@@ -371,31 +375,31 @@
 			}
 			defer n.Stop()
 			o := CollectdNetworkOptions{Address: netip.MustParseAddrPort(n.Addr()), Security: security, Username: "cinder", Password: "geheim"}
-			b := start(t, 1<<20, NewCollectdNetwork(o))
-			b.periods(3)
-			b.has(&n.Store, servedThere, 3)
-			b.eventually("nothing held", func() bool { return b.held() == 0 })
+			b := startTestbed(t, 1<<20, NewCollectdNetwork(o))
+			b.closePeriods(3)
+			b.expectPeriods(&n.Store, servedCollectdSeries, 3)
+			b.eventually("an empty buffer", func() bool { return b.buffered() == 0 })
 			n.Stop()
-			b.periods(4)
-			b.eventually("a refusal", func() bool { return b.state(0).Failures > 0 })
+			b.closePeriods(4)
+			b.eventually("a rejection", func() bool { return b.state(0).Failures > 0 })
 			if err := n.Restart(); err != nil {
 				t.Fatal(err)
 			}
-			b.periods(1)
-			b.has(&n.Store, servedThere, 8)
+			b.closePeriods(1)
+			b.expectPeriods(&n.Store, servedCollectdSeries, 8)
 			if _, largest := n.Packets(); largest > packetSize {
 				t.Errorf("a packet of %d bytes", largest)
 			}
 			if name == "none" {
 				return
 			}
-			b.eventually("nothing on its way", func() bool { return b.held() == 0 })
+			b.eventually("nothing in flight", func() bool { return b.buffered() == 0 })
 			wrong := o
 			wrong.Password = "falsch"
-			w := start(t, 1<<20, NewCollectdNetwork(wrong))
+			w := startTestbed(t, 1<<20, NewCollectdNetwork(wrong))
 			before, _, _ := n.Counts()
-			w.periods(1)
-			w.eventually("packets turned away", func() bool { return len(n.Malformed()) > 0 })
+			w.closePeriods(1)
+			w.eventually("rejected packets", func() bool { return len(n.Malformed()) > 0 })
 			if after, _, _ := n.Counts(); after != before {
 				t.Errorf("%d points with a wrong password", after-before)
 			}
@@ -403,8 +407,8 @@
 	}
 }
 
-// Neither form can be broken by a name or a value: what a set tells is plain, and dots are no part of collectd's names.
-func TestForms(t *testing.T) {
+// TestCollectdNames checks that names have no dots or other characters that would break the protocol.
+func TestCollectdNames(t *testing.T) {
 	if got := typeInstance("classes.a-b.latency.p99_9_ms"); strings.ContainsAny(got, `./" `) {
 		t.Error(got)
 	}
@@ -413,8 +417,8 @@
 	}
 }
 
-// fleet has a set tell of so many nodes.
-func fleet(set *telemetry.Set, n int) {
+// addNodes lists n nodes.
+func addNodes(set *telemetry.Set, n int) {
 	var members []dispatch.Member
 	for i := range n {
 		members = append(members, dispatch.Member{Name: fmt.Sprint("node-", i), Worker: loadbalancer.Worker{ID: loadbalancer.WorkerID(i + 1), State: loadbalancer.Ready}})
@@ -425,7 +429,7 @@
 	}
 }
 
-// BenchmarkDelivery is how long the loop is held at the longest, and what a period costs, at so many nodes.
+// BenchmarkDelivery measures the longest turn of the event loop and the cost of a period, by the number of nodes.
 func BenchmarkDelivery(b *testing.B) {
 	for _, form := range []string{"plaintext", "pickle", "network", "socket"} {
 		for _, nodes := range []int{10, 5000} {
@@ -448,20 +452,20 @@
 					defer c.Stop()
 					out, store = NewCollectd(c.Addr(), 20), &c.Store
 				default:
-					c, o := carbon(b, form == "pickle")
+					c, o := startCarbon(b, form == "pickle")
 					o.Timeout = 20
 					out, store = NewGraphite(o), &c.Store
 				}
-				w := start(b, 8<<20, out)
-				w.do(func() { fleet(w.set, nodes) })
+				w := startTestbed(b, 8<<20, out)
+				w.onLoop(func() { addNodes(w.set, nodes) })
 				var longest, sum float64
 				n := 0
 				for b.Loop() {
-					w.do(func() { w.loop.TakeIterationStats() })
+					w.onLoop(func() { w.loop.TakeIterationStats() })
 					var closed uint64
-					w.do(func() { closed = w.feed.ClosedPeriods; w.feed.ClosePeriod() })
-					w.eventually("delivered", func() bool { return w.ended(closed) })
-					w.do(func() {
+					w.onLoop(func() { closed = w.exporter.ClosedPeriods; w.exporter.ClosePeriod() })
+					w.eventually("delivered", func() bool { return w.idleAfter(closed) })
+					w.onLoop(func() {
 						l := w.loop.TakeIterationStats().Longest
 						longest, sum, n = max(longest, l), sum+l, n+1
 					})
@@ -474,13 +478,13 @@
 	}
 }
 
-// BenchmarkSlices is the work of each kind of turn at 5,000 nodes: no turn does more than one of them.
+// BenchmarkSlices measures the work of each kind of turn at 5,000 nodes; a turn does one of them.
 func BenchmarkSlices(b *testing.B) {
 	set := telemetry.New(telemetry.Options{Classes: []string{"score"}, Zones: []string{"milano"}, Kinds: []string{"k"}, MaxNodes: 5000,
 		Now: func() float64 { return 2 }, WorkerStatus: func(loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
 			return loadbalancer.WorkerStatus{SpareCapacity: 1.25, LoadLimit: 4.4, Pace: 1.01}, true
 		}})
-	fleet(set, 5000)
+	addNodes(set, 5000)
 	p := set.ClosePeriod(1_700_000_000_000, 10)
 	b.Run("gather", func(b *testing.B) {
 		for b.Loop() {
--- a/internal/dispatcher/exporter/graphite.go
+++ b/internal/dispatcher/exporter/graphite.go
@@ -15,50 +15,51 @@
 )
 
 const (
-	picklePointsPerTurn = 100       // points rendered in a turn as a pickle: the library makes one thrice as dear as a line
-	maxBatchBytes       = 256 << 10 // bytes of a connection: a receiver that returns is not flooded
+	picklePointsPerTurn = 100       // points rendered in a turn as a pickle, which costs the library three times as much as lines
+	maxBatchBytes       = 256 << 10 // bytes sent on a connection, so that a returning receiver isn't flooded
 	minBatchBytes       = 4 << 10
-	maxUnsentBytes      = 64 << 10 // bytes that may wait for the receiver
+	maxUnsentBytes      = 64 << 10 // bytes in our socket buffer
 	batchPause          = 0.05     // seconds between two batches
-	pollPause           = 0.005    // seconds between two looks at whether there is room
+	pollPause           = 0.005    // seconds between two checks for room in the socket buffer
+	checksPerTimeout    = 8        // of an attempt's progress
+	warnUnconfirmed     = 3        // unconfirmed attempts in a row after which a warning is logged
 )
 
-// GraphiteOptions say how a Graphite receiver is served.
+// GraphiteOptions configure the output to a Graphite receiver.
 type GraphiteOptions struct {
 	Address        netip.AddrPort
-	Prefix         string  // before the dispatcher's name
-	Pickle         bool    // else lines
-	ConfirmByClose bool    // a batch counts once the receiver has closed in answer to our close; else once its kernel has it
-	Timeout        float64 // seconds without any progress after which a try is given up
+	Prefix         string  // precedes the dispatcher's name
+	Pickle         bool    // instead of lines
+	ConfirmByClose bool    // a batch is delivered once the receiver closes in answer to our close; else once its kernel has acknowledged it
+	Timeout        float64 // seconds without progress after which an attempt fails
 }
 
-// Graphite delivers to carbon, or to what takes its protocols: lines `PATH VALUE TIME`, or pickles of lists of
-// (path, (time, value)) behind their length in four bytes
-// (https://graphite.readthedocs.io/en/latest/feeding-carbon.html).
+// Graphite delivers to carbon or compatible receivers: lines `PATH VALUE TIME`, or pickles of lists of (path, (time,
+// value)) behind their length in four bytes (https://graphite.readthedocs.io/en/latest/feeding-carbon.html).
 type Graphite struct {
 	outputBase
 	options  GraphiteOptions
-	maxBatch int // bytes of a connection, as this receiver can bear
+	maxBatch int // bytes; adapted to the receiver
 	prefix   string
 
 	conn                  *eventloop.Conn
 	connected             bool
-	nextPeriod            uint64            // number of the period that is being rendered, or of the next one
-	period                *telemetry.Period // that is being rendered
+	nextPeriod            uint64            // number of the period being rendered, or of the next one
+	period                *telemetry.Period // being rendered
 	reader                *telemetry.Reader
-	lastComplete          uint64 // number of the last period of the batch that is written whole
-	lastCompleteTimestamp int64  // and its stamp
+	lastComplete          uint64 // number of the last period completely in the batch
+	lastCompleteTimestamp int64
 	hasComplete           bool
-	batchBytes            int    // bytes of the batch
-	batchWritten          bool   // all of the batch is written
-	written               uint64 // progress as of moved
+	batchBytes            int
+	batchWritten          bool   // the batch is completely written
+	written               uint64 // as of progressAt
 	unacknowledged        int
 	progressAt            float64
 	watchdog              *eventloop.Timer
-	unconfirmedAttempts   int // tries in turn that the receiver never closed
+	unconfirmedAttempts   int // successive ones in which the receiver never closed
 }
 
-// NewGraphite makes an output; Feed.Attach starts it.
+// NewGraphite returns an output; Exporter.AddOutput starts it.
 func NewGraphite(o GraphiteOptions) *Graphite { return &Graphite{options: o, maxBatch: maxBatchBytes} }
 
 // Name implements Output.
@@ -67,12 +68,12 @@
 // Kind implements Output.
 func (g *Graphite) Kind() string { return "graphite" }
 
-func (g *Graphite) start(f *Exporter, place *telemetry.Cursor) {
-	g.init(f, place)
+func (g *Graphite) start(exporter *Exporter, place *telemetry.Cursor) {
+	g.init(exporter, place)
 	if g.options.Prefix != "" {
 		g.prefix = g.options.Prefix + "."
 	}
-	g.prefix += telemetry.SanitizeName(f.options.DispatcherName) + "."
+	g.prefix += telemetry.SanitizeName(exporter.options.DispatcherName) + "."
 }
 
 func (g *Graphite) stop() {
@@ -88,13 +89,13 @@
 	g.conn, g.connected, g.period, g.reader = nil, false, nil, nil
 }
 
-// wake begins a batch if there is something to deliver and none is on its way.
+// wake starts a batch if there is something to deliver and no batch is in flight.
 func (g *Graphite) wake() {
 	if !g.canStart() {
 		return
 	}
 	if g.conn != nil {
-		if g.connected && g.batchWritten && !g.options.ConfirmByClose { // the connection stays, and there is more
+		if g.connected && g.batchWritten && !g.options.ConfirmByClose { // the connection is persistent, and there is more
 			g.batchWritten = false
 			g.writeMore()
 		}
@@ -109,7 +110,7 @@
 	g.checkProgress()
 }
 
-// checkProgress gives the try up when nothing moves.
+// checkProgress fails the attempt after the timeout without progress.
 func (g *Graphite) checkProgress() {
 	now := g.exporter.loop.Now()
 	if g.conn != nil {
@@ -120,7 +121,7 @@
 			if g.batchWritten {
 				g.unconfirmedAttempts++
 			}
-			if g.unconfirmedAttempts == 3 {
+			if g.unconfirmedAttempts == warnUnconfirmed {
 				g.exporter.log.Warn("metrics: the Graphite receiver never closes after our close, which would say that it has read all: sent again and again. A relay that does not close wants confirm = \"none\"",
 					zap.Stringer("address", g.options.Address))
 			}
@@ -128,10 +129,10 @@
 			return
 		}
 	}
-	g.watchdog = g.exporter.loop.At(now+g.options.Timeout/8, g.checkProgress)
+	g.watchdog = g.exporter.loop.At(now+g.options.Timeout/checksPerTimeout, g.checkProgress)
 }
 
-// idle says that nothing is owed on a connection that stays.
+// idle reports whether a persistent connection has nothing in flight.
 func (g *Graphite) idle() bool { return !g.options.ConfirmByClose && g.batchWritten && !g.hasComplete }
 
 // Opened implements eventloop.Handler.
@@ -140,7 +141,7 @@
 	g.writeMore()
 }
 
-// writeMore renders and writes, some points a turn, until the batch is full or nothing is left.
+// writeMore renders and writes some points per turn, until the batch is full or nothing is left.
 func (g *Graphite) writeMore() {
 	if g.conn == nil || !g.connected {
 		return
@@ -169,7 +170,7 @@
 	g.schedule(0, g.writeMore)
 }
 
-// render writes the next points.
+// render renders the next points.
 func (g *Graphite) render(b []byte) (out []byte, points int, done bool) {
 	if g.options.Pickle {
 		return g.renderPickle(b)
@@ -188,7 +189,7 @@
 	return b, points, false
 }
 
-// renderPickle writes the next points as one message.
+// renderPickle renders the next points as one pickle.
 func (g *Graphite) renderPickle(b []byte) (out []byte, points int, done bool) {
 	stamp := g.period.Timestamp / 1000
 	list := make([]any, 0, picklePointsPerTurn)
@@ -213,7 +214,7 @@
 	return append(b, text.Bytes()...), len(list), done
 }
 
-// finishBatch ends the batch: a receiver that closes in answer has read all of it.
+// finishBatch ends the batch. A receiver that closes in answer to our close has read all of it.
 func (g *Graphite) finishBatch() {
 	g.batchWritten = true
 	if g.options.ConfirmByClose {
@@ -223,7 +224,7 @@
 	g.awaitDelivery()
 }
 
-// awaitDelivery waits, where the connection stays, until the receiver's kernel has the batch.
+// awaitDelivery polls, on a persistent connection, until the receiver's kernel has acknowledged the batch.
 func (g *Graphite) awaitDelivery() {
 	switch {
 	case g.conn == nil || !g.batchWritten:
@@ -245,7 +246,7 @@
 	g.exporter.acknowledge(g, g.lastComplete, g.lastCompleteTimestamp)
 }
 
-// Data implements eventloop.Handler: Graphite says nothing.
+// Data implements eventloop.Handler; Graphite sends nothing.
 func (g *Graphite) Data(c *eventloop.Conn) { c.Consume(len(c.Bytes())) }
 
 // Closed implements eventloop.Handler.
@@ -261,7 +262,7 @@
 	g.attemptFailed(err)
 }
 
-// attemptFailed gives a try up: all of the batch that the receiver has not confirmed goes again, in smaller pieces.
+// attemptFailed ends an attempt. All unconfirmed periods of the batch are sent again, in smaller batches.
 func (g *Graphite) attemptFailed(err error) {
 	g.exporter.log.Debug("metrics: Graphite", zap.Stringer("address", g.options.Address), zap.Error(err))
 	idle := g.idle()
--- a/internal/dispatcher/exporter/output.go
+++ b/internal/dispatcher/exporter/output.go
@@ -7,13 +7,13 @@
 	"cinderroad/internal/shared/eventloop"
 )
 
-// Output delivers to one receiver.
+// Output delivers to one receiver. The unexported methods are called by its Exporter only.
 type Output interface {
-	// Name tells it from others, over lives: what it got is kept by it.
+	// Name identifies the receiver across incarnations; acknowledgements are stored under it.
 	Name() string
 	// Kind is graphite or collectd.
 	Kind() string
-	// Stats is what it has done so far.
+	// Stats returns the statistics since the start.
 	Stats() OutputStats
 	start(f *Exporter, place *telemetry.Cursor)
 	wake()
@@ -22,26 +22,26 @@
 	receiverCursor() *telemetry.Cursor
 }
 
-// OutputStats is what an output has done so far.
+// OutputStats counts the work of an output.
 type OutputStats struct {
-	Periods        uint64 // the receiver has got
-	Points         uint64 // sent, again and again after breaks
-	Failures       uint64 // tries that came to nothing
-	RejectedPoints uint64 // points that the receiver would not have
+	Periods        uint64 // delivered
+	Points         uint64 // sent, repeated ones included
+	Failures       uint64 // failed attempts
+	RejectedPoints uint64 // points that the receiver rejected
 }
 
-// outputBase is what all outputs share: their place, and when they try again.
+// outputBase is common to all outputs: the cursor and the retries with backoff.
 type outputBase struct {
 	exporter        *Exporter
 	cursor          *telemetry.Cursor
 	stats           OutputStats
-	retryDelay      float64 // before the next try
+	retryDelay      float64 // seconds, before the next attempt
 	timer           *eventloop.Timer
-	waitingForRetry bool // for it
+	waitingForRetry bool
 }
 
 const (
-	initialRetryDelay = 0.25 // seconds after a break, doubled with each that follows at once
+	initialRetryDelay = 0.25 // seconds; doubled by each successive failure
 	maxRetryDelay     = 10.0
 )
 
@@ -49,30 +49,32 @@
 
 func (s *outputBase) receiverCursor() *telemetry.Cursor { return s.cursor }
 
-// stopTimer ends what is on its way; the place stays.
+// stopTimer cancels what is scheduled; the cursor stays.
 func (s *outputBase) stopTimer() {
 	s.timer.Stop()
 	s.waitingForRetry = false
 }
 
-// end has the output do nothing any more.
+// end detaches the output from its exporter.
 func (s *outputBase) end() { s.exporter = nil }
 
-func (s *outputBase) init(f *Exporter, place *telemetry.Cursor) { s.exporter, s.cursor = f, place }
+func (s *outputBase) init(exporter *Exporter, place *telemetry.Cursor) {
+	s.exporter, s.cursor = exporter, place
+}
 
-// retryLater tries later; try is called once.
-func (s *outputBase) retryLater(try func()) {
+// retryLater schedules one call of try after the backoff.
+func (s *outputBase) retryLater(attempt func()) {
 	s.stats.Failures++
 	s.retryDelay = min(max(initialRetryDelay, 2*s.retryDelay), maxRetryDelay)
 	s.waitingForRetry = true
 	s.timer.Stop()
 	s.timer = s.exporter.loop.At(s.exporter.loop.Now()+s.retryDelay, func() {
 		s.waitingForRetry = false
-		try()
+		attempt()
 	})
 }
 
-// canStart says whether a new try may begin now.
+// canStart reports whether an attempt may start now.
 func (s *outputBase) canStart() bool {
 	return s.exporter != nil && s.exporter.running && !s.waitingForRetry
 }
@@ -84,10 +86,10 @@
 	}
 }
 
-// schedule goes on in a turn of its own.
-func (s *outputBase) schedule(wait float64, do func()) {
+// schedule replaces the timer by one call of do, wait seconds from now.
+func (s *outputBase) schedule(wait float64, run func()) {
 	s.timer.Stop()
-	s.timer = s.exporter.loop.At(s.exporter.loop.Now()+wait, do)
+	s.timer = s.exporter.loop.At(s.exporter.loop.Now()+wait, run)
 }
 
 func (s OutputStats) plus(o OutputStats) OutputStats {
--- a/internal/dispatcher/exporter/packet.go
+++ b/internal/dispatcher/exporter/packet.go
@@ -15,26 +15,25 @@
 	"cinderroad/internal/dispatcher/telemetry"
 )
 
-// The parts of collectd's binary protocol that are written here
-// (https://github.com/collectd/collectd/wiki/Binary-protocol). A part is its type and its length, in two bytes each and
-// big-endian, and its body. What a part says holds for the values that follow in the packet.
+// Parts of collectd's binary protocol (https://github.com/collectd/collectd/wiki/Binary-protocol). A part has a type
+// and a length, two bytes each and big-endian, and a body. It applies to all values after it in the packet.
 const (
 	partHost         = 0x0000
 	partPlugin       = 0x0002
 	partType         = 0x0004
 	partTypeInstance = 0x0005
 	partValues       = 0x0006
-	partTimeHR       = 0x0008 // in 2^-30 s, as is the next
+	partTimeHR       = 0x0008 // in 2^-30 s, like partIntervalHR
 	partIntervalHR   = 0x0009
 	partSign         = 0x0200
 	partEncrypt      = 0x0210
 
-	valueGauge  = 1 // a double, alone in all the protocol little-endian
+	valueGauge  = 1 // a double, the only little-endian number of the protocol
 	valueDerive = 2
 )
 
-// packet is a packet in the making. The library collectd.org writes the same bytes, and a test reads them with it; its
-// garbage held the loop for some milliseconds at 5,000 nodes.
+// packet builds one packet in a reused buffer. The library collectd.org writes the same bytes, which a test checks,
+// but its garbage blocked the event loop for some milliseconds at 5,000 nodes.
 type packet struct {
 	security Security
 	username string
@@ -42,9 +41,9 @@
 	block    cipher.Block
 
 	host       string
-	buffer     []byte // starts with room for what protects it
-	headerSize int    // how much
-	timestamp  int64  // of the parts in b, and the rest of what they say; 0 and empty where there are none
+	buffer     []byte // starts with headerSize bytes for the protection
+	headerSize int
+	timestamp  int64 // as in the last parts in buffer, like the following fields; 0 if there is none
 	interval   float64
 	kind       telemetry.Kind
 	hasValues  bool
@@ -86,10 +85,10 @@
 	return binary.BigEndian.AppendUint64(appendPart(b, kind, 8), v)
 }
 
-// highResolution is a time in seconds as the protocol has it.
+// highResolution converts Unix milliseconds to the protocol's units of 2^-30 s.
 func highResolution(ms int64) uint64 { return uint64(ms/1000)<<30 + uint64(ms%1000)<<30/1000 }
 
-// add adds a value; false where there is no room, and nothing was added.
+// add adds a value; false, and nothing is added, if there is no room.
 func (p *packet) add(s telemetry.Series, stamp int64, every, v float64) bool {
 	was := len(p.buffer)
 	b := p.buffer
@@ -100,7 +99,7 @@
 		b = appendText(b, partType, typeOf(s.Kind))
 	}
 	b = appendPart(b, partTypeInstance, len(s.Name)+1)
-	for i := range len(s.Name) { // as instance has it, without making it
+	for i := range len(s.Name) { // typeInstance without the allocation
 		c := s.Name[i]
 		if c == '.' {
 			c = '_'
@@ -128,16 +127,16 @@
 	return true
 }
 
-// protect protects the packet and returns its bytes, which hold until the next clear.
+// protect signs or encrypts the packet and returns its bytes, which are valid until the next clear.
 func (p *packet) protect() []byte {
 	switch p.security {
-	case SecuritySign: // the checksum is over the name and all that follows
+	case SecuritySign: // the checksum covers the user name and everything after it
 		head := appendPart(p.buffer[:0], partSign, sha256.Size+len(p.username))
 		copy(p.buffer[len(head)+sha256.Size:], p.username)
 		p.mac.Reset()
 		p.mac.Write(p.buffer[len(head)+sha256.Size:])
 		p.mac.Sum(p.buffer[:len(head)])
-	case SecurityEncrypt: // the checksum is over what follows it, and encrypted with it
+	case SecurityEncrypt: // the checksum covers what follows it and is encrypted, too
 		head := appendPart(p.buffer[:0], partEncrypt, len(p.buffer)-4)
 		head = append(binary.BigEndian.AppendUint16(head, uint16(len(p.username))), p.username...)
 		iv, secret := p.buffer[len(head):len(head)+aes.BlockSize], p.buffer[len(head)+aes.BlockSize:]
--- a/internal/dispatcher/exporter/packet_test.go
+++ b/internal/dispatcher/exporter/packet_test.go
@@ -18,8 +18,9 @@
 
 func (p password) Password(string) (string, error) { return string(p), nil }
 
-// Whatever is put into a packet, collectd's own library for Go reads it, and so does the stand-in, in all securities.
-func TestPacketsAreReadByOthers(t *testing.T) {
+// TestPacketDecodes checks that collectd's own Go library and the fake receiver decode every packet, with each
+// protection.
+func TestPacketDecodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		security := rapid.SampledFrom([]Security{SecurityNone, SecuritySign, SecurityEncrypt}).Draw(t, "security")
 		user := rapid.StringMatching(`[a-z]{1,20}`).Draw(t, "user")
@@ -78,13 +79,14 @@
 			t.Fatalf("the library: %s", d)
 		}
 		if d := cmp.Diff(want, there); d != "" {
-			t.Fatalf("the stand-in: %s", d)
+			t.Fatalf("the fake: %s", d)
 		}
 	})
 }
 
-// Hostile packets: every cut of a good one is refused or read in part, and nothing unprotected is taken where it must not be.
-func FuzzDecode(f *testing.F) {
+// FuzzDecodePacket checks that truncated packets don't crash the fake receiver, and that it accepts nothing
+// unprotected.
+func FuzzDecodePacket(f *testing.F) {
 	for _, security := range []Security{SecurityNone, SecuritySign, SecurityEncrypt} {
 		p, err := newPacket("n0", security, "u", "p")
 		if err != nil {
@@ -105,7 +107,7 @@
 	})
 }
 
-func FuzzUnpickle(f *testing.F) {
+func FuzzDecodePickle(f *testing.F) {
 	f.Add([]byte("(lp0\n(Va\np1\n(I5\nF1.5\ntta."))
 	f.Add([]byte{0x80, 2, ']', '(', 'X', 1, 0, 0, 0, 'a', 'K', 1, 'K', 2, 0x86, 0x86, 'e', '.'})
 	f.Fuzz(func(t *testing.T, b []byte) { _, _ = receivers.DecodePickle(b) })
--- a/internal/dispatcher/linelog/file.go
+++ b/internal/dispatcher/linelog/file.go
@@ -10,35 +10,35 @@
 )
 
 func (l *Log) open() error {
-	f, err := os.OpenFile(l.options.Path, os.O_CREATE|os.O_APPEND|os.O_RDWR, 0o640)
+	file, err := os.OpenFile(l.options.Path, os.O_CREATE|os.O_APPEND|os.O_RDWR, 0o640)
 	if err != nil {
 		return err
 	}
-	info, err := f.Stat()
+	info, err := file.Stat()
 	if err != nil {
-		f.Close()
+		file.Close()
 		return err
 	}
-	l.file, l.size = f, info.Size()
-	// An earlier life may have died in the midst of a line.
+	l.file, l.size = file, info.Size()
+	// An earlier incarnation may have been killed in the middle of a line.
 	var last [1]byte
 	if l.size > 0 {
-		if _, err := f.ReadAt(last[:], l.size-1); err == nil && last[0] != '\n' {
-			n, _ := f.Write([]byte{'\n'})
+		if _, err := file.ReadAt(last[:], l.size-1); err == nil && last[0] != '\n' {
+			n, _ := file.Write([]byte{'\n'})
 			l.size += int64(n)
 		}
 	}
 	return nil
 }
 
-// write adds lines, whole: what a full disk cuts short is taken back.
+// write appends complete lines; a partial write to a full disk is truncated again.
 func (l *Log) write(b []byte) error {
 	if l.file == nil {
 		if time.Now().Before(l.reopenAt) {
 			return errors.New("not open")
 		}
 		if err := l.open(); err != nil {
-			l.reopenAt = time.Now().Add(time.Second)
+			l.reopenAt = time.Now().Add(reopenDelay)
 			return err
 		}
 	}
@@ -50,7 +50,7 @@
 	n, err := l.file.Write(b)
 	l.size += int64(n)
 	if err != nil && n > 0 {
-		// Lines of the other process of an upgrade may stand behind ours: then only a line end keeps them apart.
+		// If the other process of an upgrade has written behind our lines, only a line break can separate them.
 		if info, e := l.file.Stat(); e == nil && info.Size() == l.size {
 			if l.file.Truncate(l.size-int64(n)) == nil {
 				l.size -= int64(n)
@@ -60,9 +60,9 @@
 	return err
 }
 
-// rotate renames the file, unless another process of this dispatcher has done so: whoever holds the file's lock may.
+// rotate renames the files, unless another process of this dispatcher has done so; the holder of the file lock may.
 func (l *Log) rotate() error {
-	if err := unix.Flock(int(l.file.Fd()), unix.LOCK_EX); err != nil { // until it is closed
+	if err := unix.Flock(int(l.file.Fd()), unix.LOCK_EX); err != nil { // released by closing the file
 		return err
 	}
 	mine, err := l.file.Stat()
--- a/internal/dispatcher/linelog/linelog.go
+++ b/internal/dispatcher/linelog/linelog.go
@@ -1,5 +1,5 @@
-// Package linelog writes files of lines. Lines are made on one goroutine and written by one of the log's own, behind a bounded
-// queue: a slow or full disk costs lines, which are counted, and never a job.
+// Package linelog writes log files of lines. Lines are built on one goroutine and written by the log's own, behind a
+// bounded queue: a slow or full disk costs lines, which are counted, and never blocks the caller, except in Close.
 package linelog
 
 import (
@@ -11,23 +11,25 @@
 )
 
 const (
-	bufferSize  = 32 << 10 // bytes of lines that go to the writer at once
-	queueLength = 64       // such buffers that may wait for the disk
-	// FlushIntervalSeconds is how long a line may wait before it goes to the writer, in seconds.
+	bufferSize  = 32 << 10 // lines are written in chunks of this many bytes
+	bufferSlack = 4 << 10  // room for the line that exceeds a chunk
+	reopenDelay = time.Second
+	queueLength = 64 // chunks that may wait for the disk
+	// FlushIntervalSeconds is the longest time between two calls of Flush that the owner of a log should allow.
 	FlushIntervalSeconds = 0.2
 )
 
-// Options say where a log stands.
+// Options configure a log.
 type Options struct {
 	Path      string
-	MaxBytes  int64  // of a file; then it is renamed to PATH.1, PATH.1 to PATH.2, and so on
-	KeepFiles int    // files beside the one at hand
-	Name      string // the log is, for errors
-	// Report hears, on a goroutine of its own, what went wrong.
+	MaxBytes  int64  // of a file, which is then renamed to PATH.1, PATH.1 to PATH.2, and so on; 0: unlimited
+	KeepFiles int    // rotated files to keep
+	Name      string // of the log, in errors
+	// Report is called for the first of successive errors, on the log's goroutine.
 	Report func(error)
 }
 
-// Log is an open log. Begin, End, Flush and Close belong to one goroutine.
+// Log is an open log. All methods but DroppedLines and FailedLines belong to one goroutine.
 type Log struct {
 	Lines uint64
 
@@ -40,14 +42,14 @@
 	droppedLines  atomic.Uint64
 	failedLines   atomic.Uint64
 
-	// Of the writing goroutine.
+	// The writing goroutine owns the rest.
 	file     *os.File
 	size     int64
 	reopenAt time.Time
 	failing  bool
 }
 
-// Open opens a log. An earlier life's lines stay.
+// Open opens a log file for appending and starts the log's goroutine, which Close ends.
 func Open(o Options) (*Log, error) {
 	if o.Report == nil {
 		o.Report = func(error) {}
@@ -60,25 +62,25 @@
 	return l, nil
 }
 
-// DroppedLines is how many lines the disk was too slow for.
+// DroppedLines counts the lines that the disk was too slow for.
 func (l *Log) DroppedLines() uint64 { return l.droppedLines.Load() }
 
-// FailedLines is how many lines the disk refused.
+// FailedLines counts the lines that the disk rejected.
 func (l *Log) FailedLines() uint64 { return l.failedLines.Load() }
 
-// BeginLine is the buffer that a line, with its end, is to be appended to; End takes it back.
+// BeginLine returns the buffer to append a line to, with its line break; pass the result to EndLine.
 func (l *Log) BeginLine() []byte {
 	if l.buffer == nil {
 		select {
 		case l.buffer = <-l.freeBuffers:
 		default:
-			l.buffer = make([]byte, 0, bufferSize+4096)
+			l.buffer = make([]byte, 0, bufferSize+bufferSlack)
 		}
 	}
 	return l.buffer
 }
 
-// EndLine takes the buffer of Begin with one line more.
+// EndLine takes the extended buffer of BeginLine.
 func (l *Log) EndLine(b []byte) {
 	l.buffer = b
 	l.Lines++
@@ -88,7 +90,7 @@
 	}
 }
 
-// Flush hands what there is to the writer.
+// Flush queues the buffered lines for the disk.
 func (l *Log) Flush() {
 	if len(l.buffer) == 0 {
 		return
@@ -103,7 +105,7 @@
 	l.bufferedLines = 0
 }
 
-// Close writes what there is and closes the file; it waits for the disk.
+// Close writes everything and closes the file; it waits for the disk.
 func (l *Log) Close() {
 	l.Flush()
 	close(l.queue)
--- a/internal/dispatcher/requestlog/requestlog.go
+++ b/internal/dispatcher/requestlog/requestlog.go
@@ -1,5 +1,6 @@
-// Package requestlog writes one line of JSON for each final answer. Lines are made on the core's goroutine and written by
-// one of the log's own, behind a bounded queue: a slow or full disk costs lines, which are counted, and never a job.
+// Package requestlog writes one line of JSON for each final answer. Lines are built on the goroutine of the event
+// loop and written by the log's own, behind a bounded queue: a slow or full disk costs lines, which are counted, and
+// never delays a job. docs/telemetry.md describes the format.
 package requestlog
 
 import (
@@ -11,33 +12,33 @@
 	"cinderroad/loadbalancer"
 )
 
-// FlushIntervalSeconds is how long a line may wait before it goes to the writer, in seconds.
+// FlushIntervalSeconds is the longest time that a line may be buffered.
 const FlushIntervalSeconds = linelog.FlushIntervalSeconds
 
-// Options say where the log stands.
+// Options configure the log.
 type Options struct {
 	Path           string
-	MaxBytes       int64 // of a file; then it is renamed to PATH.1, PATH.1 to PATH.2, and so on
-	KeepFiles      int   // files beside the one at hand
+	MaxBytes       int64 // of a file, see linelog.Options
+	KeepFiles      int   // rotated files to keep
 	DispatcherName string
-	Incarnation    string   // of the process, before the numbers of marks
-	Classes        []string // names by the settings' numbers
+	Incarnation    string   // of the process; prefix of audit marks
+	Classes        []string // by number in the settings
 	NodeSlot       func(worker loadbalancer.WorkerID) string
-	// Report hears, on a goroutine of its own, what went wrong.
+	// Report is called with errors, on the log's goroutine.
 	Report func(error)
 }
 
-// Log is open for writing. All but Lost and Failed belongs to the core's goroutine.
+// Log is an open request log. All methods but DroppedLines and FailedLines belong to the goroutine of the event loop.
 type Log struct {
 	*linelog.Log
 
 	options    Options
 	prefix     []byte // of each line, after its time
 	classNames [][]byte
-	markPrefix []byte // before the number of a mark
+	markPrefix []byte // before the number of an audit mark
 }
 
-// Open opens the log, whose file need not exist.
+// Open opens the log for appending; the file is created if needed.
 func Open(o Options) (*Log, error) {
 	file, err := linelog.Open(linelog.Options{Path: o.Path, MaxBytes: o.MaxBytes, KeepFiles: o.KeepFiles, Name: "request log", Report: o.Report})
 	if err != nil {
@@ -52,70 +53,70 @@
 	return l, nil
 }
 
-// LogAnswer adds a line.
-func (l *Log) LogAnswer(f *dispatch.AnswerRecord) {
+// LogAnswer adds a line for a final answer.
+func (l *Log) LogAnswer(answer *dispatch.AnswerRecord) {
 	b := l.BeginLine()
 	class := len(l.classNames) - 1
-	if f.Class >= 0 && f.Class < class {
-		class = f.Class
+	if answer.Class >= 0 && answer.Class < class {
+		class = answer.Class
 	}
-	b = linelog.AppendFixed(append(b, `{"time":`...), f.AnsweredAt, 6)
-	b = linelog.AppendString(append(b, l.prefix...), f.ID)
+	b = linelog.AppendFixed(append(b, `{"time":`...), answer.AnsweredAt, 6)
+	b = linelog.AppendString(append(b, l.prefix...), answer.ID)
 	b = append(append(b, `,"class":`...), l.classNames[class]...)
-	b = append(append(b, `,"front":"`...), f.Front...)
-	b = append(append(b, `","verdict":"`...), telemetry.VerdictOf(f).String()...)
+	b = append(append(b, `,"front":"`...), answer.Front...)
+	b = append(append(b, `","verdict":"`...), telemetry.VerdictOf(answer).String()...)
 	b = append(b, '"')
-	if f.Reason != dispatch.ReasonNone {
-		b = append(append(append(b, `,"reason":"`...), f.Reason.String()...), '"')
+	if answer.Reason != dispatch.ReasonNone {
+		b = append(append(append(b, `,"reason":"`...), answer.Reason.String()...), '"')
 	}
-	b = linelog.AppendFixed(append(b, `,"took_ms":`...), (f.AnsweredAt-f.ArrivedAt)*1000, 3)
-	if f.StartedAt > 0 {
-		b = linelog.AppendFixed(append(b, `,"start_ms":`...), (f.StartedAt-f.ArrivedAt)*1000, 3)
+	b = linelog.AppendFixed(append(b, `,"took_ms":`...), (answer.AnsweredAt-answer.ArrivedAt)*1000, 3)
+	if answer.StartedAt > 0 {
+		b = linelog.AppendFixed(append(b, `,"start_ms":`...), (answer.StartedAt-answer.ArrivedAt)*1000, 3)
 	}
-	if f.RetryAfter > 0 {
-		b = linelog.AppendFixed(append(b, `,"come_back_s":`...), f.RetryAfter, 3)
+	if answer.RetryAfter > 0 {
+		b = linelog.AppendFixed(append(b, `,"come_back_s":`...), answer.RetryAfter, 3)
 	}
-	if f.AuditMark > 0 {
-		b = append(strconv.AppendUint(append(b, l.markPrefix...), f.AuditMark, 10), '"')
+	if answer.AuditMark > 0 {
+		b = append(strconv.AppendUint(append(b, l.markPrefix...), answer.AuditMark, 10), '"')
 	}
-	if len(f.Attempts) > 0 {
+	if len(answer.Attempts) > 0 {
 		b = append(b, `,"tries":[`...)
-		for i := range f.Attempts {
+		for i := range answer.Attempts {
 			if i > 0 {
 				b = append(b, ',')
 			}
-			b = l.appendAttempt(b, f, &f.Attempts[i])
+			b = l.appendAttempt(b, answer, &answer.Attempts[i])
 		}
 		b = append(b, ']')
 	}
 	l.EndLine(append(b, '}', '\n'))
 }
 
-func (l *Log) appendAttempt(b []byte, f *dispatch.AnswerRecord, t *dispatch.AttemptRecord) []byte {
-	b = linelog.AppendString(append(b, `{"node":`...), t.MemberName)
+func (l *Log) appendAttempt(b []byte, answer *dispatch.AnswerRecord, attempt *dispatch.AttemptRecord) []byte {
+	b = linelog.AppendString(append(b, `{"node":`...), attempt.MemberName)
 	if l.options.NodeSlot != nil {
-		if slot := l.options.NodeSlot(t.Worker); slot != "" {
+		if slot := l.options.NodeSlot(attempt.Worker); slot != "" {
 			b = linelog.AppendString(append(b, `,"slot":`...), slot)
 		}
 	}
-	b = linelog.AppendFixed(append(b, `,"sent_ms":`...), (t.SentAt-f.ArrivedAt)*1000, 3)
-	if t.StartedAt > 0 {
-		b = linelog.AppendFixed(append(b, `,"start_ms":`...), (t.StartedAt-f.ArrivedAt)*1000, 3)
+	b = linelog.AppendFixed(append(b, `,"sent_ms":`...), (attempt.SentAt-answer.ArrivedAt)*1000, 3)
+	if attempt.StartedAt > 0 {
+		b = linelog.AppendFixed(append(b, `,"start_ms":`...), (attempt.StartedAt-answer.ArrivedAt)*1000, 3)
 	}
 	switch {
-	case t.EndedAt > 0:
-		b = linelog.AppendFixed(append(b, `,"end_ms":`...), (t.EndedAt-f.ArrivedAt)*1000, 3)
-		b = append(append(append(b, `,"result":"`...), telemetry.ResultNames[t.Result]...), '"')
+	case attempt.EndedAt > 0:
+		b = linelog.AppendFixed(append(b, `,"end_ms":`...), (attempt.EndedAt-answer.ArrivedAt)*1000, 3)
+		b = append(append(append(b, `,"result":"`...), telemetry.ResultNames[attempt.Result]...), '"')
 	default:
 		b = append(b, `,"result":"out"`...)
 	}
-	if t.Hedged {
+	if attempt.Hedged {
 		b = append(b, `,"copy":true`...)
 	}
-	if t.AuditMark > 0 {
-		b = strconv.AppendUint(append(b, `,"mark":`...), t.AuditMark, 10)
+	if attempt.AuditMark > 0 {
+		b = strconv.AppendUint(append(b, `,"mark":`...), attempt.AuditMark, 10)
 	}
-	if t.Attempt == f.WinningAttempt {
+	if attempt.Attempt == answer.WinningAttempt {
 		b = append(b, `,"won":true`...)
 	}
 	return append(b, '}')
--- a/internal/dispatcher/requestlog/requestlog_test.go
+++ b/internal/dispatcher/requestlog/requestlog_test.go
@@ -23,7 +23,7 @@
 		Attempts: []dispatch.AttemptRecord{{MemberName: "a", SentAt: 100, EndedAt: 100.05, Result: loadbalancer.Rejected}, {Attempt: 1, MemberName: "b", SentAt: 100.05, StartedAt: 100.1, EndedAt: 100.25, Hedged: true}, {Attempt: 2, MemberName: "c", SentAt: 100.2}}}
 }
 
-func open(t *testing.T, o Options) *Log {
+func openLog(t *testing.T, o Options) *Log {
 	t.Helper()
 	o.DispatcherName, o.Classes = "n0", []string{"score"}
 	l, err := Open(o)
@@ -35,7 +35,7 @@
 
 func TestLogAnswer(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
-	l := open(t, Options{Path: path, NodeSlot: func(loadbalancer.WorkerID) string { return "m.k.0.1" }})
+	l := openLog(t, Options{Path: path, NodeSlot: func(loadbalancer.WorkerID) string { return "m.k.0.1" }})
 	l.LogAnswer(answerRecord("x"))
 	l.LogAnswer(&dispatch.AnswerRecord{ID: "y", Front: "gearman", Class: -1, Verdict: dispatch.Rejected, Reason: dispatch.ReasonNoCapacity, ArrivedAt: 100, AnsweredAt: 100, RetryAfter: 0.5, WinningAttempt: -1})
 	l.Close()
@@ -49,7 +49,7 @@
 	}
 }
 
-// Whatever a client or a node calls itself, a line is one line, is JSON, and says it again.
+// TestAppendStringRoundTrip checks that any name becomes valid JSON on a single line.
 func TestAppendStringRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.String().Draw(t, "name")
@@ -61,10 +61,10 @@
 	})
 }
 
-// Files are renamed at their bound, as many are kept as wanted, and no line is lost on the way or cut in two.
+// TestRotation checks the sizes and the number of files, and that no line is lost or split.
 func TestRotation(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
-	l := open(t, Options{Path: path, MaxBytes: 4096, KeepFiles: 100})
+	l := openLog(t, Options{Path: path, MaxBytes: 4096, KeepFiles: 100})
 	for i := range 200 {
 		l.LogAnswer(answerRecord(fmt.Sprint(i)))
 		if i%3 == 0 {
@@ -94,7 +94,7 @@
 		t.Errorf("%d lines, %d lost", len(seen), l.DroppedLines())
 	}
 	few := filepath.Join(t.TempDir(), "few")
-	l = open(t, Options{Path: few, MaxBytes: 4096, KeepFiles: 1})
+	l = openLog(t, Options{Path: few, MaxBytes: 4096, KeepFiles: 1})
 	for i := range 100 {
 		l.LogAnswer(answerRecord(fmt.Sprint(i)))
 		l.Flush()
@@ -105,11 +105,11 @@
 	}
 }
 
-// Two processes of an upgrade write one log: neither renames the file twice, and every line is there.
+// TestTwoProcessesShareOneLog checks that the two processes of an upgrade lose no line by rotating the same file.
 func TestTwoProcessesShareOneLog(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	o := Options{Path: path, MaxBytes: 4096, KeepFiles: 100}
-	x, y := open(t, o), open(t, o)
+	x, y := openLog(t, o), openLog(t, o)
 	for i := range 100 {
 		x.LogAnswer(answerRecord(fmt.Sprint("x", i)))
 		y.LogAnswer(answerRecord(fmt.Sprint("y", i)))
@@ -131,14 +131,14 @@
 	}
 }
 
-// A disk that stalls: a pipe that nobody reads. Lines are lost and counted; whoever answers is never held up.
+// TestStalledDisk writes to a pipe that nobody reads: lines are dropped and counted, and LogAnswer never blocks.
 func TestStalledDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "pipe")
 	if err := unix.Mkfifo(path, 0o600); err != nil {
 		t.Skip(err)
 	}
-	l := open(t, Options{Path: path})
-	const jobs = 20000 // of 0.4 KB each: more than pipe and queue hold
+	l := openLog(t, Options{Path: path})
+	const jobs = 20000 // of 0.4 KB each: more than pipe and queue have room for
 	for i := range jobs {
 		l.LogAnswer(answerRecord(fmt.Sprint(i)))
 	}
@@ -163,13 +163,13 @@
 	}
 }
 
-// A full disk costs lines, counted and told of once.
+// TestFullDisk checks that failed lines are counted, and reported once.
 func TestFullDisk(t *testing.T) {
 	if _, err := os.Stat("/dev/full"); err != nil {
 		t.Skip(err)
 	}
 	var reports atomic.Int32
-	l := open(t, Options{Path: "/dev/full", Report: func(error) { reports.Add(1) }})
+	l := openLog(t, Options{Path: "/dev/full", Report: func(error) { reports.Add(1) }})
 	for i := range 30 {
 		l.LogAnswer(answerRecord(fmt.Sprint(i)))
 		l.Flush()
@@ -180,13 +180,13 @@
 	}
 }
 
-// A life that was killed in the midst of a line costs that line alone.
+// TestTornLine checks that an incomplete last line of a killed process doesn't affect the next one.
 func TestTornLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	if err := os.WriteFile(path, []byte(`{"time":1,"by":"n0","id":"torn","cla`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l := open(t, Options{Path: path})
+	l := openLog(t, Options{Path: path})
 	l.LogAnswer(answerRecord("after"))
 	l.Close()
 	f, err := os.Open(path)
--- a/internal/dispatcher/spool/files.go
+++ b/internal/dispatcher/spool/files.go
@@ -18,8 +18,8 @@
 	size   int64
 }
 
-// listFiles finds the files of a spool, the oldest first.
-func listFiles(dir, name string) (all []spoolFile, err error) {
+// listFiles returns the files of a spool, oldest first.
+func listFiles(dir, name string) (files []spoolFile, err error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, fmt.Errorf("spool: %w", err)
@@ -37,8 +37,8 @@
 		if err != nil {
 			return nil, fmt.Errorf("spool: %w", err)
 		}
-		all = append(all, spoolFile{filepath.Join(dir, e.Name()), n, info.Size()})
+		files = append(files, spoolFile{filepath.Join(dir, e.Name()), n, info.Size()})
 	}
-	slices.SortFunc(all, func(x, y spoolFile) int { return cmp.Compare(x.number, y.number) })
-	return all, nil
+	slices.SortFunc(files, func(x, y spoolFile) int { return cmp.Compare(x.number, y.number) })
+	return files, nil
 }
--- a/internal/dispatcher/spool/record.go
+++ b/internal/dispatcher/spool/record.go
@@ -10,16 +10,17 @@
 
 const (
 	magic          = "CRSPOOL1"
-	recordOverhead = 4 + 1 + 8
+	recordOverhead = 4 + 1 + 8 // length, kind and checksum
 	maxBodyBytes   = 64 << 20
+	periodHeader   = 8 + 8 // bytes before a period's values: timestamp, and interval in milliseconds
 )
 
-// The kinds of record.
+// The kinds of records.
 const (
-	kindNames        = 'N' // names of series: the number of the first, and the names in order
-	kindPeriod       = 'P' // a period
-	kindSlots        = 'S' // who holds which slot
-	kindAcknowledged = 'A' // up to which stamp each receiver has the periods
+	kindNames        = 'N' // names of series: the index of the first, and the names in order
+	kindPeriod       = 'P'
+	kindSlots        = 'S' // slot assignments
+	kindAcknowledged = 'A' // timestamp of the last period that each receiver has
 )
 
 type nameRecord struct {
@@ -28,8 +29,8 @@
 }
 
 type record struct {
-	newFile bool   // begins a file of its own
-	done    func() // hears that it is written, or will not be
+	newFile bool   // starts a new file; it has no body
+	done    func() // called once the record is written or given up; may be nil
 	kind    byte
 	body    []byte
 }
@@ -41,7 +42,8 @@
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b[at:]))
 }
 
-// parseRecord reads the first record of b; n is 0 where it is torn.
+// parseRecord returns the kind and body of the first record of b, and its size n, which is 0 if it is truncated or
+// damaged.
 func parseRecord(b []byte) (kind byte, body []byte, n int) {
 	if len(b) < recordOverhead {
 		return 0, nil, 0
--- a/internal/dispatcher/spool/recovery.go
+++ b/internal/dispatcher/spool/recovery.go
@@ -10,25 +10,26 @@
 	"cinderroad/internal/dispatcher/telemetry"
 )
 
-// Recovered is what the lives before this one have left.
+// Recovered is what earlier incarnations left.
 type Recovered struct {
-	Periods         []*telemetry.Period // the oldest first, as many as there is room for
-	Totals          map[string]float64  // as of the last of them
+	Periods         []*telemetry.Period // oldest first, within the limit
+	Totals          map[string]float64  // at the end of the last period
 	SlotAssignments []telemetry.SlotAssignment
-	Acknowledged    map[string]int64 // by receiver: it has all up to this stamp
-	TornFiles       int              // files whose end made no sense
-	UnknownFiles    int              // files that are no spool of this version, and were put aside
+	Acknowledged    map[string]int64 // by receiver: timestamp of the last period that it has
+	TornFiles       int              // files that end in a damaged record
+	UnknownFiles    int              // files of an unknown version, renamed to NAME.strange
 }
 
-// recoverFiles reads a spool, as much of its end as the bound allows.
-func recoverFiles(dir, name string, most int64) (f *Recovered, last int, err error) {
-	f = &Recovered{Totals: map[string]float64{}, Acknowledged: map[string]int64{}}
-	all, err := listFiles(dir, name)
+// recoverFiles reads the spool's files, oldest first, up to a limit derived from maxBytes. It returns the number of
+// the last file, too.
+func recoverFiles(dir, name string, most int64) (recovered *Recovered, last int, err error) {
+	recovered = &Recovered{Totals: map[string]float64{}, Acknowledged: map[string]int64{}}
+	files, err := listFiles(dir, name)
 	if err != nil {
 		return nil, 0, err
 	}
 	total := int64(0)
-	for i, file := range all {
+	for i, file := range files {
 		last = file.number
 		if total += file.size; total > 2*most+maxBodyBytes {
 			break
@@ -38,33 +39,33 @@
 			return nil, 0, fmt.Errorf("spool: %w", err)
 		}
 		if !bytes.HasPrefix(text, []byte(magic)) {
-			if i == len(all)-1 && bytes.HasPrefix([]byte(magic), text) { // torn as it began
-				f.TornFiles++
+			if i == len(files)-1 && bytes.HasPrefix([]byte(magic), text) { // interrupted at its creation
+				recovered.TornFiles++
 				continue
 			}
-			f.UnknownFiles++
+			recovered.UnknownFiles++
 			if err := os.Rename(file.path, file.path+".strange"); err != nil {
 				return nil, 0, fmt.Errorf("spool: %w", err)
 			}
 			continue
 		}
-		if !f.readRecords(text[len(magic):]) {
-			f.TornFiles++
+		if !recovered.readRecords(text[len(magic):]) {
+			recovered.TornFiles++
 		}
 	}
-	for len(f.Periods) > 0 { // the totals are those of the last period that can be read
-		last := f.Periods[len(f.Periods)-1]
-		if f.Totals, err = last.Totals(); err == nil {
+	for len(recovered.Periods) > 0 { // the totals are those of the last readable period
+		last := recovered.Periods[len(recovered.Periods)-1]
+		if recovered.Totals, err = last.Totals(); err == nil {
 			break
 		}
-		f.Periods = f.Periods[:len(f.Periods)-1]
-		f.Totals = map[string]float64{}
+		recovered.Periods = recovered.Periods[:len(recovered.Periods)-1]
+		recovered.Totals = map[string]float64{}
 	}
-	return f, last, nil
+	return recovered, last, nil
 }
 
-// readRecords reads the records of a file; false when it ends in none.
-func (f *Recovered) readRecords(b []byte) (whole bool) {
+// readRecords reads the records of a file; false if it ends in a damaged one.
+func (r *Recovered) readRecords(b []byte) (whole bool) {
 	table := &telemetry.SeriesTable{}
 	for len(b) > 0 {
 		kind, body, n := parseRecord(b)
@@ -84,21 +85,21 @@
 			if json.Unmarshal(body, &v) != nil {
 				return false
 			}
-			f.SlotAssignments = v
+			r.SlotAssignments = v
 		case kindAcknowledged:
 			var v map[string]int64
 			if json.Unmarshal(body, &v) != nil {
 				return false
 			}
 			for name, stamp := range v {
-				f.Acknowledged[name] = max(f.Acknowledged[name], stamp)
+				r.Acknowledged[name] = max(r.Acknowledged[name], stamp)
 			}
 		case kindPeriod:
-			if len(body) < 16 {
+			if len(body) < periodHeader {
 				return false
 			}
-			f.Periods = append(f.Periods, &telemetry.Period{Timestamp: int64(binary.BigEndian.Uint64(body)), Table: table,
-				Interval: float64(binary.BigEndian.Uint64(body[8:])) / 1000, EncodedValues: bytes.Clone(body[16:])})
+			r.Periods = append(r.Periods, &telemetry.Period{Timestamp: int64(binary.BigEndian.Uint64(body)), Table: table,
+				Interval: float64(binary.BigEndian.Uint64(body[8:])) / 1000, EncodedValues: bytes.Clone(body[periodHeader:])})
 		}
 	}
 	return true
--- a/internal/dispatcher/spool/spool.go
+++ b/internal/dispatcher/spool/spool.go
@@ -1,10 +1,11 @@
-// Package spool keeps the closed periods of package telemetry on disk, so that they outlive the process. It owns a
-// goroutine, since a disk may stall: what that has not written yet waits in a bounded queue, and what does not fit is
-// counted and lost, never waited for.
+// Package spool stores the closed periods of package telemetry on disk, so that they survive the process. It has a
+// goroutine of its own, since a disk may stall: records wait in a bounded queue, and those that don't fit are counted
+// and dropped. The caller is never blocked, except by Close.
 //
-// A spool is some files in a folder, NAME.1, NAME.2 and so on. Each begins with the eight bytes CRSPOOL1; records
-// follow, each the length of its body (4 bytes, big-endian), its kind (1 byte), its body, and the xxHash64 of kind and
-// body (8 bytes, big-endian). A file can be read alone: it begins with the names of the series and who holds which slot.
+// A spool is a sequence of files in a directory, NAME.1, NAME.2 and so on. Each begins with the eight bytes CRSPOOL1.
+// Records follow: the length of the body (4 bytes, big-endian), the kind (1 byte), the body, and the xxHash64 of kind
+// and body (8 bytes, big-endian). Each file can be read on its own: it begins with the names of the series and the
+// slot assignments.
 package spool
 
 import (
@@ -22,32 +23,33 @@
 )
 
 const (
-	maxFiles    = 4   // the bound of all files is spread over so many: the oldest goes whole
-	queueLength = 256 // records that may wait for the disk
+	maxFiles    = 4   // the limit is divided by this; whole files are removed, oldest first
+	queueLength = 256 // records
 )
 
-// Spool is open for writing. All methods but Failed and Lost belong to one goroutine.
+// Spool is a spool that is open for writing. All methods but WriteErrors and Dropped belong to one goroutine.
 type Spool struct {
 	dir, name   string
-	maxBytes    int64 // bytes of all files
+	maxBytes    int64 // of all files
 	queue       chan []record
 	done        chan struct{}
 	writeErrors atomic.Uint64
 	dropped     atomic.Uint64
 	reportError func(error)
 
-	table       *telemetry.SeriesTable // of the file at hand
-	namedSeries int                    // series whose names it has
+	table       *telemetry.SeriesTable // of the current file
+	namedSeries int                    // series whose names the current file has
 	slots       []byte
-	fileBytes   int64 // bytes given to the file at hand
+	fileBytes   int64 // queued for the current file
 
-	// Of the writing goroutine.
+	// The writing goroutine owns the rest.
 	file       *os.File
 	size       int64
 	fileNumber int
 }
 
-// Open reads what is in a folder and begins a file of its own. report hears, on a goroutine of its own, what goes wrong later.
+// Open recovers what is in a directory and starts a spool with a new file. reportError is called for later errors, on
+// the spool's goroutine.
 func Open(dir, name string, most int64, report func(error)) (*Spool, *Recovered, error) {
 	name = telemetry.SanitizeName(name)
 	found, last, err := recoverFiles(dir, name, most)
@@ -64,13 +66,13 @@
 	return s, found, nil
 }
 
-// AppendPeriod adds a closed period, with whatever its file needs to be read alone. done is called once, on any goroutine, when it
-// is on disk or will not be.
+// AppendPeriod queues a closed period, with the names and slot assignments that its file needs. done is called
+// exactly once, on any goroutine, when the period is on disk or given up.
 func (s *Spool) AppendPeriod(p *telemetry.Period, held []telemetry.SlotAssignment, done func()) {
-	var out []record
+	var records []record
 	if s.table != p.Table || s.fileBytes >= s.maxBytes/maxFiles {
 		s.table, s.namedSeries, s.slots, s.fileBytes = p.Table, 0, nil, 0
-		out = append(out, record{newFile: true})
+		records = append(records, record{newFile: true})
 	}
 	if n := p.Table.Len(); n > s.namedSeries {
 		body, err := json.Marshal(nameRecord{s.namedSeries, p.Table.From(s.namedSeries)})
@@ -80,34 +82,34 @@
 			return
 		}
 		s.namedSeries = n
-		out = append(out, record{kind: kindNames, body: body})
+		records = append(records, record{kind: kindNames, body: body})
 	}
 	if body, err := json.Marshal(held); err == nil && !bytes.Equal(body, s.slots) {
 		s.slots = body
-		out = append(out, record{kind: kindSlots, body: body})
+		records = append(records, record{kind: kindSlots, body: body})
 	}
 	body := binary.BigEndian.AppendUint64(nil, uint64(p.Timestamp))
 	body = binary.BigEndian.AppendUint64(body, uint64(p.Interval*1000))
-	out = append(out, record{kind: kindPeriod, body: append(body, p.EncodedValues...), done: done})
-	if !s.enqueue(out) { // the next one must not lean on names that are not there
+	records = append(records, record{kind: kindPeriod, body: append(body, p.EncodedValues...), done: done})
+	if !s.enqueue(records) { // the next period must not depend on names that aren't on disk
 		s.table = nil
 		done()
 	}
 }
 
-// AppendAcknowledged notes up to which stamp receivers have the periods.
-func (s *Spool) AppendAcknowledged(got map[string]int64) {
-	if body, err := json.Marshal(got); err == nil && s.table != nil {
+// AppendAcknowledged queues the timestamps of the last periods that receivers have.
+func (s *Spool) AppendAcknowledged(acknowledged map[string]int64) {
+	if body, err := json.Marshal(acknowledged); err == nil && s.table != nil {
 		s.enqueue([]record{{kind: kindAcknowledged, body: body}})
 	}
 }
 
-func (s *Spool) enqueue(out []record) bool {
-	for _, r := range out {
+func (s *Spool) enqueue(records []record) bool {
+	for _, r := range records {
 		s.fileBytes += int64(len(r.body) + recordOverhead)
 	}
 	select {
-	case s.queue <- out:
+	case s.queue <- records:
 		return true
 	default:
 		s.dropped.Add(1)
@@ -115,13 +117,13 @@
 	}
 }
 
-// WriteErrors is how often the disk refused, Lost how often it was too slow: each cost a period's place on disk, not the period.
+// WriteErrors counts the records that the disk rejected. Their periods aren't on disk, but are still delivered.
 func (s *Spool) WriteErrors() uint64 { return s.writeErrors.Load() }
 
-// Dropped is told of by Failed.
+// Dropped counts the records that the disk was too slow for.
 func (s *Spool) Dropped() uint64 { return s.dropped.Load() }
 
-// Close writes what waits and closes the file.
+// Close writes the queued records and closes the file.
 func (s *Spool) Close() {
 	close(s.queue)
 	<-s.done
@@ -134,22 +136,22 @@
 
 func (s *Spool) run() {
 	defer close(s.done)
-	broken := false // a record did not get to the disk: what follows in its file would lack it
-	for out := range s.queue {
-		if out[0].newFile {
+	broken := false // a record is missing, which later records in the file may depend on
+	for records := range s.queue {
+		if records[0].newFile {
 			err := s.startFile()
 			if broken = err != nil; broken {
 				s.reportError(fmt.Errorf("spool: %w", err))
 			}
-			out = out[1:]
+			records = records[1:]
 		}
 		if broken {
 			s.writeErrors.Add(1)
-		} else if err := s.write(out); err != nil {
+		} else if err := s.write(records); err != nil {
 			s.recordError(err)
-			broken = out[0].kind != kindPeriod && out[0].kind != kindAcknowledged
+			broken = records[0].kind != kindPeriod && records[0].kind != kindAcknowledged
 		}
-		if done := out[len(out)-1].done; done != nil {
+		if done := records[len(records)-1].done; done != nil {
 			done()
 		}
 	}
@@ -158,47 +160,47 @@
 	}
 }
 
-// startFile begins a file, and lets go of the oldest ones beyond the bound.
+// startFile starts a new file, and removes the oldest ones beyond the limit.
 func (s *Spool) startFile() error {
 	if s.file != nil {
 		s.file.Close()
 		s.file = nil
 	}
-	all, err := listFiles(s.dir, s.name)
+	files, err := listFiles(s.dir, s.name)
 	if err != nil {
 		return err
 	}
 	total := int64(0)
-	for i := len(all) - 1; i >= 0; i-- {
-		if total += all[i].size; total > s.maxBytes-s.maxBytes/maxFiles {
-			_ = os.Remove(all[i].path)
+	for i := len(files) - 1; i >= 0; i-- {
+		if total += files[i].size; total > s.maxBytes-s.maxBytes/maxFiles {
+			_ = os.Remove(files[i].path)
 		}
 	}
 	s.fileNumber++
-	f, err := os.OpenFile(filepath.Join(s.dir, s.name+"."+strconv.Itoa(s.fileNumber)), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(filepath.Join(s.dir, s.name+"."+strconv.Itoa(s.fileNumber)), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	if _, err := f.WriteString(magic); err != nil {
-		f.Close()
+	if _, err := file.WriteString(magic); err != nil {
+		file.Close()
 		return err
 	}
-	s.file, s.size = f, int64(len(magic))
+	s.file, s.size = file, int64(len(magic))
 	return nil
 }
 
-// write adds records, all or none of them.
-func (s *Spool) write(out []record) error {
+// write appends either all records or none.
+func (s *Spool) write(records []record) error {
 	if s.file == nil {
 		return errors.New("no file")
 	}
-	var b []byte
-	for _, r := range out {
-		b = appendRecord(b, r.kind, r.body)
+	var buffer []byte
+	for _, r := range records {
+		buffer = appendRecord(buffer, r.kind, r.body)
 	}
-	_, err := s.file.WriteAt(b, s.size)
+	_, err := s.file.WriteAt(buffer, s.size)
 	if err == nil {
-		s.size += int64(len(b))
+		s.size += int64(len(buffer))
 		return s.file.Sync()
 	}
 	_ = s.file.Truncate(s.size)
--- a/internal/dispatcher/spool/spool_test.go
+++ b/internal/dispatcher/spool/spool_test.go
@@ -17,9 +17,9 @@
 	"cinderroad/loadbalancer"
 )
 
-func fail(t *testing.T) func(error) { return func(err error) { t.Error(err) } }
+func failOnError(t *testing.T) func(error) { return func(err error) { t.Error(err) } }
 
-// incarnation is a dispatcher's figures with their spool.
+// incarnation is a dispatcher's metrics and spool.
 type incarnation struct {
 	t     *testing.T
 	set   *telemetry.Set
@@ -28,9 +28,9 @@
 	stamp int64
 }
 
-func begin(t *testing.T, dir string, most int64) *incarnation {
+func openIncarnation(t *testing.T, dir string, maxBytes int64) *incarnation {
 	t.Helper()
-	s, found, err := Open(dir, "n0", most, fail(t))
+	s, found, err := Open(dir, "n0", maxBytes, failOnError(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,8 +43,8 @@
 	return l
 }
 
-// period ends one in which a node of its own came and a job was answered.
-func (l *incarnation) period() {
+// appendPeriod closes a period in which a new node was listed and a job was answered.
+func (l *incarnation) appendPeriod() {
 	l.stamp++
 	l.set.ObserveMembers(loadbalancer.ListFull, []dispatch.Member{{Name: fmt.Sprint("node-", l.stamp), Worker: loadbalancer.Worker{ID: loadbalancer.WorkerID(l.stamp), State: loadbalancer.Ready}}})
 	l.set.ObserveAnswer(&dispatch.AnswerRecord{Verdict: dispatch.Served, WinningAttempt: -1})
@@ -53,11 +53,11 @@
 
 const answers = "classes.score.answers.in_time"
 
-// Totals, slots, periods and what receivers have got go on from life to life.
+// TestRecoveryAcrossIncarnations checks totals, slots, periods and acknowledgements.
 func TestRecoveryAcrossIncarnations(t *testing.T) {
 	dir := t.TempDir()
 	for n := range 3 {
-		l := begin(t, dir, 1<<20)
+		l := openIncarnation(t, dir, 1<<20)
 		if got := len(l.found.Periods); got != 4*n || l.found.Totals[answers] != float64(4*n) {
 			t.Fatalf("life %d: %d periods, total %v", n, got, l.found.Totals[answers])
 		}
@@ -68,19 +68,20 @@
 			t.Error(l.found.SlotAssignments)
 		}
 		for range 4 {
-			l.period()
+			l.appendPeriod()
 		}
 		l.spool.AppendAcknowledged(map[string]int64{"there": l.stamp})
 		l.spool.Close()
 	}
 }
 
-// A file torn at any byte has all periods whose records are whole, and what follows in a life after it is whole again.
+// TestTruncatedFile checks that a file truncated at any byte yields the complete periods, and that the next incarnation
+// continues after them.
 func TestTruncatedFile(t *testing.T) {
 	dir := t.TempDir()
-	l := begin(t, dir, 1<<20)
+	l := openIncarnation(t, dir, 1<<20)
 	for range 3 {
-		l.period()
+		l.appendPeriod()
 	}
 	l.spool.Close()
 	path := filepath.Join(dir, "n0.1")
@@ -110,25 +111,25 @@
 	if err := os.WriteFile(path, text[:len(text)-3], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	next := begin(t, dir, 1<<20)
+	next := openIncarnation(t, dir, 1<<20)
 	if next.found.TornFiles != 1 || len(next.found.Periods) != 2 {
 		t.Errorf("%d torn, %d periods", next.found.TornFiles, len(next.found.Periods))
 	}
-	next.period()
+	next.appendPeriod()
 	next.spool.Close()
-	after := begin(t, dir, 1<<20)
+	after := openIncarnation(t, dir, 1<<20)
 	defer after.spool.Close()
 	if len(after.found.Periods) != 3 || after.found.Totals[answers] != 3 {
 		t.Errorf("%d periods, total %v", len(after.found.Periods), after.found.Totals[answers])
 	}
 }
 
-// A changed byte anywhere costs what follows in its file, and is never taken for what was written.
+// TestCorruptedBytes checks that every changed byte is detected.
 func TestCorruptedBytes(t *testing.T) {
 	dir := t.TempDir()
-	l := begin(t, dir, 1<<20)
+	l := openIncarnation(t, dir, 1<<20)
 	for range 2 {
-		l.period()
+		l.appendPeriod()
 	}
 	l.spool.Close()
 	text, err := os.ReadFile(filepath.Join(dir, "n0.1"))
@@ -140,19 +141,20 @@
 		b[at] ^= 0x40
 		f := &Recovered{Totals: map[string]float64{}, Acknowledged: map[string]int64{}}
 		if f.readRecords(b[len(magic):]) {
-			t.Fatalf("byte %d changed, and nobody saw", at)
+			t.Fatalf("changed byte %d was not detected", at)
 		}
 	}
 }
 
-// A file of another version is put aside whole, and a folder that cannot be written is an error at once.
+// TestUnknownFilesAndUnusableFolders checks that a file of another version is renamed and kept, and that Open fails for a
+// directory that can't be written.
 func TestUnknownFilesAndUnusableFolders(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "n0.7"), []byte("CRSPOOL9 of the future"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l := begin(t, dir, 1<<20)
-	l.period()
+	l := openIncarnation(t, dir, 1<<20)
+	l.appendPeriod()
 	l.spool.Close()
 	if l.found.UnknownFiles != 1 {
 		t.Error(l.found.UnknownFiles)
@@ -163,19 +165,19 @@
 		}
 	}
 	for _, path := range []string{filepath.Join(dir, "none"), filepath.Join(dir, "n0.8")} {
-		if _, _, err := Open(path, "n0", 1<<20, fail(t)); err == nil || !strings.Contains(err.Error(), path) {
+		if _, _, err := Open(path, "n0", 1<<20, failOnError(t)); err == nil || !strings.Contains(err.Error(), path) {
 			t.Errorf("%s: %v", path, err)
 		}
 	}
 }
 
-// The folder keeps to its bound, the oldest files going first; the newest totals are always there.
+// TestMaxBytes checks that the oldest files are removed at the limit, and that the last totals are always recovered.
 func TestMaxBytes(t *testing.T) {
 	dir := t.TempDir()
 	const most = 64 << 10
-	l := begin(t, dir, most)
+	l := openIncarnation(t, dir, most)
 	for range 2000 {
-		l.period()
+		l.appendPeriod()
 		if l.stamp%50 == 0 { // no faster than the disk
 			l.spool.Close()
 			size := int64(0)
@@ -189,7 +191,7 @@
 			if size > most+most/maxFiles+40<<10 {
 				t.Fatalf("%d bytes", size)
 			}
-			l = begin(t, dir, most)
+			l = openIncarnation(t, dir, most)
 			if got := l.found.Totals[answers]; got != float64(l.stamp) {
 				t.Fatalf("total %v after %d", got, l.stamp)
 			}
@@ -198,7 +200,7 @@
 	l.spool.Close()
 }
 
-// A full disk takes back what it cut short, so that what is written later can be read.
+// TestFullDisk checks that a partial write is truncated, so that later records can be read.
 func TestFullDisk(t *testing.T) {
 	full, err := os.OpenFile("/dev/full", os.O_WRONLY, 0)
 	if err != nil {
@@ -211,10 +213,10 @@
 	}
 }
 
-// A disk that is too slow costs periods on disk, counted, and the caller nothing; the next one begins a file that can be
-// read alone.
+// TestSlowDisk checks that periods are dropped and counted without blocking, and that the next one starts a file that can
+// be read on its own.
 func TestSlowDisk(t *testing.T) {
-	s := &Spool{maxBytes: 1 << 20, queue: make(chan []record, 1), reportError: fail(t)}
+	s := &Spool{maxBytes: 1 << 20, queue: make(chan []record, 1), reportError: failOnError(t)}
 	set := telemetry.New(telemetry.Options{Classes: []string{"score"}})
 	told := 0
 	for i := range 5 {
@@ -226,7 +228,7 @@
 	<-s.queue
 	s.AppendPeriod(set.ClosePeriod(9, 1), nil, func() {})
 	if out := <-s.queue; !out[0].newFile || out[1].kind != kindNames {
-		t.Error("the next one leans on names that are not on disk")
+		t.Error("the next period depends on names that are not on disk")
 	}
 }
 
--- a/internal/dispatcher/telemetry/classes.go
+++ b/internal/dispatcher/telemetry/classes.go
@@ -2,21 +2,21 @@
 
 import "cinderroad/internal/dispatcher/dispatch"
 
-// unknownClassName stands for the class of jobs that name none that is known.
+// unknownClassName names the series of jobs without a known class.
 const unknownClassName = "unknown"
 
-// ClassNames are the names of classes within series; the last one is of jobs whose class nobody knows.
+// ClassNames returns the classes' names in series, and a last one for jobs whose class is unknown.
 func ClassNames(classes []string) []string {
 	return SanitizeNames(append(classes[:len(classes):len(classes)], unknownClassName))
 }
 
-// classSeries is the series of a class, by the numbers of the first ones.
+// classSeries has the index of the first series of each group of a class.
 type classSeries struct {
 	name               string
-	answers            int // by verdict
-	rejected, failed   int // by reason
-	attempts           int // first, repeats, copies, copies_won
-	results            int // by result
+	answers            int // followed by the other verdicts
+	rejected, failed   int // followed by the other reasons
+	attempts           int // first attempts, then retries, hedged requests, and hedged requests that won
+	results            int // followed by the other results
 	latency, startWait histogram
 }
 
@@ -68,7 +68,7 @@
 	}
 }
 
-// reasonName names a reason in a series; one that was not worked out is "other".
+// reasonName returns a reason's name in series.
 func reasonName(r dispatch.Reason) string {
 	if r == dispatch.ReasonNone {
 		return "other"
@@ -91,36 +91,36 @@
 }
 
 // ObserveAnswer implements dispatch.Observer.
-func (s *Set) ObserveAnswer(f *dispatch.AnswerRecord) {
-	c, v := s.class(f.Class), VerdictOf(f)
-	s.values[c.answers+int(v)]++
-	switch v {
+func (s *Set) ObserveAnswer(answer *dispatch.AnswerRecord) {
+	class, verdict := s.class(answer.Class), VerdictOf(answer)
+	s.values[class.answers+int(verdict)]++
+	switch verdict {
 	case Rejected, Requeued:
-		s.values[c.rejected+int(f.Reason)]++
+		s.values[class.rejected+int(answer.Reason)]++
 	case Failed:
-		s.values[c.failed+int(f.Reason)]++
+		s.values[class.failed+int(answer.Reason)]++
 	case InTime, Late:
-		c.latency.record(f.AnsweredAt - f.ArrivedAt)
-		if f.StartedAt > 0 {
-			c.startWait.record(f.StartedAt - f.ArrivedAt)
+		class.latency.record(answer.AnsweredAt - answer.ArrivedAt)
+		if answer.StartedAt > 0 {
+			class.startWait.record(answer.StartedAt - answer.ArrivedAt)
 		}
-		if f.WinningAttempt >= 0 && f.WinningAttempt < len(f.Attempts) && f.Attempts[f.WinningAttempt].Hedged {
-			s.values[c.attempts+3]++
+		if answer.WinningAttempt >= 0 && answer.WinningAttempt < len(answer.Attempts) && answer.Attempts[answer.WinningAttempt].Hedged {
+			s.values[class.attempts+3]++
 		}
 	}
 }
 
 // ObserveAttempt implements dispatch.Observer.
-func (s *Set) ObserveAttempt(t *dispatch.AttemptRecord) {
-	c := s.class(t.Class)
+func (s *Set) ObserveAttempt(attempt *dispatch.AttemptRecord) {
+	class := s.class(attempt.Class)
 	switch {
-	case t.Attempt == 0:
-		s.values[c.attempts]++
-	case t.Hedged:
-		s.values[c.attempts+2]++
+	case attempt.Attempt == 0:
+		s.values[class.attempts]++
+	case attempt.Hedged:
+		s.values[class.attempts+2]++
 	default:
-		s.values[c.attempts+1]++
+		s.values[class.attempts+1]++
 	}
-	s.values[c.results+int(t.Result)]++
-	s.nodes.countAttempt(s, t)
+	s.values[class.results+int(attempt.Result)]++
+	s.nodes.countAttempt(s, attempt)
 }
--- a/internal/dispatcher/telemetry/drains.go
+++ b/internal/dispatcher/telemetry/drains.go
@@ -13,7 +13,7 @@
 	s.drains.margin = add(SeriesDoc{"drains.margin_least_ms", Gauge, "ms", "What the drains that ended in the period had left of the 300 ms when the last job started, at least. None without a drain."})
 }
 
-// ObserveDrain implements dispatch.Observer.
+// ObserveDrain implements dispatch.Observer. margin is in seconds; below 0 the drain was violated.
 func (s *Set) ObserveDrain(_ loadbalancer.WorkerID, margin float64) {
 	s.values[s.drains.told]++
 	if margin >= 0 {
--- a/internal/dispatcher/telemetry/handoff.go
+++ b/internal/dispatcher/telemetry/handoff.go
@@ -5,7 +5,8 @@
 	"math"
 )
 
-// AddTotals goes on from totals of an earlier life, or adds what another process of this dispatcher has counted.
+// AddTotals adds totals of an earlier incarnation, or of another process of this dispatcher. Totals of series that
+// don't exist yet are kept until they do.
 func (s *Set) AddTotals(totals map[string]float64) {
 	usable := func(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 	for name, v := range totals {
@@ -17,13 +18,13 @@
 	}
 	for i := range s.polled {
 		r := &s.polled[i]
-		if told := s.table.Series(r.series); told.Kind == Counter && usable(totals[told.Name]) {
+		if told := s.table.Series(r.index); told.Kind == Counter && usable(totals[told.Name]) {
 			r.base += totals[told.Name]
 		}
 	}
 }
 
-// Totals are the counters by name.
+// Totals returns the counters by name.
 func (s *Set) Totals() map[string]float64 {
 	s.poll()
 	totals := maps.Clone(s.pending)
@@ -35,10 +36,11 @@
 	return totals
 }
 
-// Latencies are latencies by series, as pairs of microseconds and a count.
+// Latencies holds latency distributions by series, as pairs of a value in microseconds and its count.
 type Latencies map[string][][2]int64
 
-// TakeDelta is what was counted and measured since the last Delta, or since the start. For one process to hand to another.
+// TakeDelta returns what was counted and measured since the last call, or since the start, for another process to
+// add.
 func (s *Set) TakeDelta() (counts map[string]float64, spans Latencies) {
 	s.poll()
 	counts, spans = map[string]float64{}, Latencies{}
@@ -56,7 +58,7 @@
 	return counts, spans
 }
 
-// MergeLatencies takes the spans of another process into the period at hand.
+// MergeLatencies adds the latencies of another process to the open period.
 func (s *Set) MergeLatencies(spans Latencies) {
 	s.forEachHistogram(func(name string, l *histogram) { l.addCounts(spans[name]) })
 }
--- a/internal/dispatcher/telemetry/histogram.go
+++ b/internal/dispatcher/telemetry/histogram.go
@@ -4,35 +4,35 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latencies are recorded in microseconds between these bounds, to two significant digits (1%).
+// Latencies are recorded in microseconds within these bounds, to two significant digits (1%).
 const (
 	minLatency        = 1
 	maxLatency        = 3600e6
 	significantDigits = 2
 )
 
-// quantiles are the shares that are told of each period, with their names; the last one is the greatest value.
+// quantiles are the quantiles in series; the last one is the maximum.
 var quantiles = [...]struct {
 	name string
 	q    float64
 }{{"p50", 50}, {"p90", 90}, {"p99", 99}, {"p99_9", 99.9}, {"max", 100}}
 
-// histogram is the distribution of a period.
+// histogram is the latency distribution of the open period.
 type histogram struct {
 	values      *hdrhistogram.Histogram
-	firstSeries int // number of the first of its series, one for each of quantiles
+	firstSeries int // index of the first quantile's series
 }
 
 func newLatency(first int) *histogram {
 	return &histogram{values: hdrhistogram.New(minLatency, maxLatency, significantDigits), firstSeries: first}
 }
 
-// record takes a span in seconds; it allocates nothing.
+// record records a latency in seconds; it doesn't allocate.
 func (h *histogram) record(seconds float64) {
 	_ = h.values.RecordValue(int64(min(max(seconds*1e6, minLatency), maxLatency)))
 }
 
-// writeQuantiles writes the period's quantiles in milliseconds and begins anew.
+// writeQuantiles writes the quantiles in milliseconds and resets the histogram.
 func (h *histogram) writeQuantiles(values []float64) {
 	some := h.values.TotalCount() > 0
 	for i, q := range quantiles {
@@ -49,8 +49,8 @@
 	}
 }
 
-// takeCounts tells what was recorded as pairs of a value and how often it came, and begins anew: merging counts keeps
-// quantiles right, merging quantiles would not.
+// takeCounts returns the recorded values with their counts and resets the histogram. Counts of two processes can be
+// merged exactly, quantiles can't.
 func (h *histogram) takeCounts() (out [][2]int64) {
 	if h.values.TotalCount() == 0 {
 		return nil
@@ -64,7 +64,7 @@
 	return out
 }
 
-// addCounts takes what another process has recorded.
+// addCounts adds the counts of another process.
 func (h *histogram) addCounts(bars [][2]int64) {
 	for _, bar := range bars {
 		if bar[0] >= 0 && bar[0] <= maxLatency && bar[1] > 0 {
--- a/internal/dispatcher/telemetry/nodegauges.go
+++ b/internal/dispatcher/telemetry/nodegauges.go
@@ -9,8 +9,8 @@
 // ObserveLoadReport implements dispatch.Observer.
 func (s *Set) ObserveLoadReport(worker loadbalancer.WorkerID, at float64, report []float32, probed bool) {
 	n := &s.nodes
-	sl := n.byWorker[worker]
-	if sl == nil {
+	slot := n.byWorker[worker]
+	if slot == nil {
 		return
 	}
 	value := func(i int) float64 {
@@ -20,17 +20,17 @@
 		return float64(report[i])
 	}
 	if probed {
-		sl.probedAt, sl.probed = at, value(n.fields.inFlight)
+		slot.probedAt, slot.probed = at, value(n.fields.inFlight)
 	} else {
-		sl.reportAt, sl.inFlight, sl.utilization = at, value(n.fields.inFlight), value(n.fields.util)
+		slot.reportAt, slot.inFlight, slot.utilization = at, value(n.fields.inFlight), value(n.fields.util)
 	}
 }
 
-// GatherNodeGauges writes the gauges of so many slots, so that the end of a period need not look at all of them in one turn; false once
-// all are written. Close writes what is left.
-func (s *Set) GatherNodeGauges(most int) (more bool) {
+// GatherNodeGauges writes the gauges of at most that many slots; false once all are written. It spreads the work at
+// the end of a period over several turns of the event loop; FreezePeriod writes the rest.
+func (s *Set) GatherNodeGauges(limit int) (more bool) {
 	n := &s.nodes
-	end := min(n.gatheredSlots+most, len(n.ordered))
+	end := min(n.gatheredSlots+limit, len(n.ordered))
 	n.writeGauges(s, n.ordered[n.gatheredSlots:end])
 	n.gatheredSlots = end
 	return end < len(n.ordered)
@@ -41,25 +41,25 @@
 	if s.options.Now != nil {
 		now = s.options.Now()
 	}
-	for _, sl := range slots {
-		v := s.values[sl.firstSeries : sl.firstSeries+nodeSeriesCount]
+	for _, slot := range slots {
+		v := s.values[slot.firstSeries : slot.firstSeries+nodeSeriesCount]
 		for i := nodeState; i < nodeSeriesCount; i++ {
 			v[i] = noValue
 		}
-		if sl.state == loadbalancer.Departed {
+		if slot.state == loadbalancer.Departed {
 			continue
 		}
-		v[nodeState] = float64(sl.state)
-		if sl.reportAt > 0 {
-			v[nodeInFlight], v[nodeUtilization], v[nodeReportAge] = sl.inFlight, sl.utilization, math.Max(0, now-sl.reportAt)
+		v[nodeState] = float64(slot.state)
+		if slot.reportAt > 0 {
+			v[nodeInFlight], v[nodeUtilization], v[nodeReportAge] = slot.inFlight, slot.utilization, math.Max(0, now-slot.reportAt)
 		}
-		if sl.probedAt > 0 {
-			v[nodeProbedInFlight], v[nodeProbeAge] = sl.probed, math.Max(0, now-sl.probedAt)
+		if slot.probedAt > 0 {
+			v[nodeProbedInFlight], v[nodeProbeAge] = slot.probed, math.Max(0, now-slot.probedAt)
 		}
 		if s.options.WorkerStatus == nil {
 			continue
 		}
-		st, ok := s.options.WorkerStatus(sl.worker)
+		st, ok := s.options.WorkerStatus(slot.worker)
 		if !ok {
 			continue
 		}
--- a/internal/dispatcher/telemetry/nodes.go
+++ b/internal/dispatcher/telemetry/nodes.go
@@ -7,28 +7,28 @@
 	"cinderroad/loadbalancer"
 )
 
-// nodes are the series of the nodes listed.
+// nodes holds the series of listed nodes.
 type nodes struct {
 	zones, kinds  []string
 	allocator     *slotAllocator
 	slots         map[slotID]*nodeSlot
-	ordered       []*nodeSlot // by the numbers of their series
+	ordered       []*nodeSlot // by index of their series
 	byWorker      map[loadbalancer.WorkerID]*nodeSlot
-	fields        struct{ inFlight, util int } // places in a report; -1 is not there
-	unplaced      int                          // number of the series of attempts at nodes without a slot
+	fields        struct{ inFlight, util int } // index in a load report; -1: absent
+	unplaced      int                          // series of attempts at nodes without a slot
 	excess        int
-	gatheredSlots int // slots whose gauges of the period at hand are written
+	gatheredSlots int // slots whose gauges of the open period are written
 }
 
-// nodeSlot is a place that nodes hold in turn.
+// nodeSlot is a set of series that nodes use one after the other.
 type nodeSlot struct {
-	name        string // as series have it
-	firstSeries int    // number of its first series
+	name        string // in series
+	firstSeries int    // index
 	node        string
 	worker      loadbalancer.WorkerID
 	state       loadbalancer.WorkerState
 
-	reportAt, probedAt            float64 // 0: none since it is held
+	reportAt, probedAt            float64 // 0: none since the assignment
 	inFlight, utilization, probed float64
 }
 
@@ -59,7 +59,7 @@
 	}
 }
 
-// unknownLocation is the name of a zone or kind that the settings do not have.
+// unknownLocation names a zone or kind that isn't in the settings.
 const unknownLocation = "none"
 
 func nameOf(i int, names []string) string {
@@ -69,11 +69,11 @@
 	return unknownLocation
 }
 
-func (n *nodes) locationName(p location) string {
-	return fmt.Sprintf("%s.%s.%d", nameOf(p.zone, n.zones), nameOf(p.kind, n.kinds), p.cell)
+func (n *nodes) locationName(at location) string {
+	return fmt.Sprintf("%s.%s.%d", nameOf(at.zone, n.zones), nameOf(at.kind, n.kinds), at.cell)
 }
 
-// ObserveMembers implements dispatch.Observer. Those who leave free their slots before those who come take some.
+// ObserveMembers implements dispatch.Observer. Departed nodes free their slots before new ones are assigned.
 func (s *Set) ObserveMembers(kind loadbalancer.ListKind, members []dispatch.Member) {
 	n := &s.nodes
 	if s.options.MaxNodes == 0 {
@@ -92,92 +92,92 @@
 	}
 	entering := map[string]location{}
 	for i := range members {
-		m := &members[i]
-		at := location{m.Zone, m.Kind, m.Cell}
-		if p, in := n.allocator.assigned[m.Name]; in && (m.State == loadbalancer.Departed || p.location != at) {
-			n.releaseSlot(m.Name)
+		member := &members[i]
+		at := location{member.Zone, member.Kind, member.Cell}
+		if assigned, in := n.allocator.assigned[member.Name]; in && (member.State == loadbalancer.Departed || assigned.location != at) {
+			n.releaseSlot(member.Name)
 		}
-		if m.State != loadbalancer.Departed {
-			entering[m.Name] = at
+		if member.State != loadbalancer.Departed {
+			entering[member.Name] = at
 		}
 	}
 	room := s.options.MaxNodes - len(n.allocator.assigned)
-	for i := range members { // in the list's order, so that each dispatcher leaves out the same
-		m := &members[i]
-		if _, in := n.allocator.assigned[m.Name]; !in && m.State != loadbalancer.Departed {
+	for i := range members { // in the list's order, so that all dispatchers skip the same nodes
+		member := &members[i]
+		if _, in := n.allocator.assigned[member.Name]; !in && member.State != loadbalancer.Departed {
 			if room--; room < 0 {
-				delete(entering, m.Name)
+				delete(entering, member.Name)
 			}
 		}
 	}
 	s.values[n.excess] = float64(max(0, -room))
 	n.allocator.assign(entering)
 	for i := range members {
-		if m := &members[i]; m.State != loadbalancer.Departed {
-			if p, in := n.allocator.assigned[m.Name]; in {
-				s.assignSlot(p, m)
+		if member := &members[i]; member.State != loadbalancer.Departed {
+			if assigned, in := n.allocator.assigned[member.Name]; in {
+				s.assignSlot(assigned, member)
 			}
 		}
 	}
 }
 
-// releaseSlot has a node let go of its slot. What is still out at it is counted there until somebody else has it.
+// releaseSlot frees a node's slot. Attempts still in flight there count for the slot until another node gets it.
 func (n *nodes) releaseSlot(node string) {
-	if sl := n.slots[n.allocator.assigned[node]]; sl != nil && sl.node == node {
-		sl.state = loadbalancer.Departed
+	if slot := n.slots[n.allocator.assigned[node]]; slot != nil && slot.node == node {
+		slot.state = loadbalancer.Departed
 	}
 	n.allocator.release(node)
 }
 
-// assignSlot puts a node into its slot.
-func (s *Set) assignSlot(p slotID, m *dispatch.Member) {
+// assignSlot assigns a slot to a node.
+func (s *Set) assignSlot(id slotID, member *dispatch.Member) {
 	n := &s.nodes
-	sl := n.slots[p]
-	if sl == nil {
-		sl = &nodeSlot{name: fmt.Sprintf("%s.%d", n.locationName(p.location), p.number)}
+	slot := n.slots[id]
+	if slot == nil {
+		slot = &nodeSlot{name: fmt.Sprintf("%s.%d", n.locationName(id.location), id.number)}
 		for i, d := range nodeDocs {
-			at := s.add("nodes."+sl.name+"."+d.Pattern, d.Kind)
+			at := s.add("nodes."+slot.name+"."+d.Pattern, d.Kind)
 			if i == 0 {
-				sl.firstSeries = at
+				slot.firstSeries = at
 			}
 		}
-		n.slots[p] = sl
-		n.ordered = append(n.ordered, sl)
+		n.slots[id] = slot
+		n.ordered = append(n.ordered, slot)
 	}
-	if sl.node != m.Name || sl.worker != m.ID {
-		if n.byWorker[sl.worker] == sl {
-			delete(n.byWorker, sl.worker)
+	if slot.node != member.Name || slot.worker != member.ID {
+		if n.byWorker[slot.worker] == slot {
+			delete(n.byWorker, slot.worker)
 		}
-		if sl.node != "" {
-			s.options.Log(fmt.Sprintf("slot %s passes from node %s to %s", sl.name, sl.node, m.Name))
+		if slot.node != "" {
+			s.options.Log(fmt.Sprintf("slot %s passes from node %s to %s", slot.name, slot.node, member.Name))
 		} else {
-			s.options.Log(fmt.Sprintf("slot %s is of node %s", sl.name, m.Name))
+			s.options.Log(fmt.Sprintf("slot %s is of node %s", slot.name, member.Name))
 		}
-		*sl = nodeSlot{name: sl.name, firstSeries: sl.firstSeries, node: m.Name, worker: m.ID}
-		n.byWorker[m.ID] = sl
+		*slot = nodeSlot{name: slot.name, firstSeries: slot.firstSeries, node: member.Name, worker: member.ID}
+		n.byWorker[member.ID] = slot
 	}
-	sl.state = m.State
+	slot.state = member.State
 }
 
-func (n *nodes) countAttempt(s *Set, t *dispatch.AttemptRecord) {
+func (n *nodes) countAttempt(s *Set, attempt *dispatch.AttemptRecord) {
 	if s.options.MaxNodes == 0 {
 		return
 	}
-	sl := n.byWorker[t.Worker]
-	if sl == nil || sl.node != t.MemberName {
+	slot := n.byWorker[attempt.Worker]
+	if slot == nil || slot.node != attempt.MemberName {
 		s.values[n.unplaced]++
 		return
 	}
-	s.values[sl.firstSeries+nodeEnded]++
-	if t.Result == loadbalancer.OK {
-		s.values[sl.firstSeries+nodeOK]++
+	s.values[slot.firstSeries+nodeEnded]++
+	if attempt.Result == loadbalancer.OK {
+		s.values[slot.firstSeries+nodeOK]++
 	}
 }
 
-// NodeSlot is the slot that a worker's node holds, as series have it; empty for none.
+// NodeSlot returns the name of the slot of a worker's node in series; empty if it has none.
 func (s *Set) NodeSlot(worker loadbalancer.WorkerID) string {
-	if sl := s.nodes.byWorker[worker]; sl != nil {
-		return sl.name
+	if slot := s.nodes.byWorker[worker]; slot != nil {
+		return slot.name
 	}
 	return ""
 }
--- a/internal/dispatcher/telemetry/nodeseries.go
+++ b/internal/dispatcher/telemetry/nodeseries.go
@@ -1,6 +1,6 @@
 package telemetry
 
-// The figures of a node, in the order of their numbers from its first one on.
+// The series of a node, as offsets from its first one.
 const (
 	nodeEnded = iota
 	nodeOK
--- a/internal/dispatcher/telemetry/period.go
+++ b/internal/dispatcher/telemetry/period.go
@@ -7,23 +7,23 @@
 	"math"
 )
 
-// Period is the values of all series as of its end.
+// Period is a closed period: the values of all series at its end.
 type Period struct {
-	Timestamp     int64   // Unix time in milliseconds, later than that of the period before it
-	Interval      float64 // seconds that a period lasts
+	Timestamp     int64   // Unix time in milliseconds, strictly increasing
+	Interval      float64 // duration in seconds
 	Table         *SeriesTable
-	EncodedValues []byte // the values by number, as appendCount and appendValues write them
+	EncodedValues []byte // the number of values, and the values by series index
 }
 
-// The form of a value is a varint: 0 is none, 1 is followed by a little-endian float32, and any other is a whole number
-// plus 2. Totals are whole; a gauge with a fraction keeps 24 bits of it.
+// Encoding of a value: the varint 0 stands for none, 1 precedes a little-endian float32, any other is an integer plus
+// 2. Counters are integers; a fractional gauge keeps 24 bits of mantissa.
 const (
 	formAbsent = iota
 	formFloat
 	formInteger
 )
 
-// maxExactInteger is the largest number that a float64 holds with all those below it.
+// maxExactInteger is the largest integer up to which float64 is exact.
 const maxExactInteger = 1 << 53
 
 func appendCount(b []byte, n int) []byte { return binary.AppendUvarint(b, uint64(n)) }
@@ -45,7 +45,7 @@
 
 var errTruncated = errors.New("telemetry: period cut short")
 
-// Reader reads the values of a period one after the other, so that a caller can rest in between.
+// Reader decodes the values of a period one by one, so that the caller can pause.
 type Reader struct {
 	table        *SeriesTable
 	input        []byte
@@ -53,7 +53,7 @@
 	err          error
 }
 
-// Read begins with the first value.
+// Read returns a reader at the first value.
 func (p *Period) Read() *Reader {
 	r := &Reader{table: p.Table}
 	n, size := binary.Uvarint(p.EncodedValues)
@@ -68,7 +68,7 @@
 	return r
 }
 
-// Next is the next series that has a value; false at the end, or when Err says what is wrong.
+// Next returns the next series that has a value; false at the end, or on an error, see Err.
 func (r *Reader) Next() (s Series, v float64, ok bool) {
 	for r.err == nil && r.index < r.count {
 		form, size := binary.Uvarint(r.input)
@@ -96,10 +96,10 @@
 	return Series{}, 0, false
 }
 
-// Err says why Next ended early; nil if it did not.
+// Err returns why Next ended early, or nil.
 func (r *Reader) Err() error { return r.err }
 
-// Totals reads the counters of a period by name.
+// Totals returns the counters of a period by name.
 func (p *Period) Totals() (map[string]float64, error) {
 	totals := map[string]float64{}
 	r := p.Read()
--- a/internal/dispatcher/telemetry/ring.go
+++ b/internal/dispatcher/telemetry/ring.go
@@ -1,36 +1,36 @@
 package telemetry
 
-// Ring holds closed periods until every receiver has them, within a bound of bytes.
+// Ring buffers closed periods until every receiver has them, within a limit of bytes. Periods are numbered from 1.
 type Ring struct {
-	Dropped uint64 // periods that had to go while a receiver still wanted them
+	Dropped uint64 // periods dropped before every receiver had them
 
 	maxBytes int
 	bytes    int
-	oldest   uint64 // number of the oldest
+	oldest   uint64 // number of periods[0]
 	periods  []*Period
 	cursors  []*Cursor
 }
 
-// Cursor is how far a receiver has come.
+// Cursor is the position of a receiver.
 type Cursor struct {
 	Name string
-	next uint64 // number of the first period that it has not got
+	next uint64 // number of the first period that the receiver doesn't have
 }
 
-// NewRing makes a ring that holds at most so many bytes of values, and always the newest period.
+// NewRing returns a ring for at most maxBytes of encoded values; the newest period is always kept.
 func NewRing(maxBytes int) *Ring { return &Ring{maxBytes: maxBytes, oldest: 1} }
 
-// OpenCursor gives a receiver its place, from the oldest period held on.
+// OpenCursor adds a receiver that starts at the oldest buffered period.
 func (r *Ring) OpenCursor(name string) *Cursor {
 	p := &Cursor{Name: name, next: r.oldest}
 	r.cursors = append(r.cursors, p)
 	return p
 }
 
-// CloseCursor ends a receiver's claim.
+// CloseCursor removes a receiver; periods that only it lacks are dropped.
 func (r *Ring) CloseCursor(p *Cursor) {
-	for i, o := range r.cursors {
-		if o == p {
+	for i, other := range r.cursors {
+		if other == p {
 			r.cursors = append(r.cursors[:i], r.cursors[i+1:]...)
 			break
 		}
@@ -38,7 +38,7 @@
 	r.dropDelivered()
 }
 
-// Push adds a closed period. With no room the oldest ones go.
+// Push adds a closed period. If the limit is exceeded, the oldest are dropped.
 func (r *Ring) Push(p *Period) {
 	r.periods = append(r.periods, p)
 	r.bytes += len(p.EncodedValues)
@@ -61,7 +61,7 @@
 	r.oldest++
 }
 
-// dropDelivered lets go of what all receivers have got.
+// dropDelivered drops the periods that all receivers have.
 func (r *Ring) dropDelivered() {
 	least := r.oldest + uint64(len(r.periods))
 	for _, p := range r.cursors {
@@ -72,10 +72,10 @@
 	}
 }
 
-// Next is how far a receiver has come: the number of the first period that it has not got.
+// Next returns the number of the first period that the receiver doesn't have.
 func (p *Cursor) Next() uint64 { return p.next }
 
-// PeriodFrom is the first period held of those numbered n or more, and its number; nil if there is none.
+// PeriodFrom returns the first buffered period with number n or more, and its number; nil if there is none.
 func (r *Ring) PeriodFrom(n uint64) (*Period, uint64) {
 	n = max(n, r.oldest)
 	if n-r.oldest >= uint64(len(r.periods)) {
@@ -84,10 +84,10 @@
 	return r.periods[n-r.oldest], n
 }
 
-// Newest is the number of the period that was pushed last.
+// Newest returns the number of the newest period.
 func (r *Ring) Newest() uint64 { return r.oldest + uint64(len(r.periods)) - 1 }
 
-// Acknowledge says that a receiver has all up to the period of a number.
+// Acknowledge records that a receiver has all periods up to number n.
 func (r *Ring) Acknowledge(p *Cursor, n uint64) {
 	if n >= p.next {
 		p.next = n + 1
@@ -95,20 +95,20 @@
 	}
 }
 
-// SkipTo says that a receiver has all up to a stamp already: an earlier life has seen to that.
+// SkipTo records that a receiver has all periods up to a timestamp, delivered by an earlier incarnation.
 func (r *Ring) SkipTo(p *Cursor, stamp int64) {
 	for q, n := r.PeriodFrom(p.next); q != nil && q.Timestamp <= stamp; q, n = r.PeriodFrom(p.next) {
 		r.Acknowledge(p, n)
 	}
 }
 
-// Size is how many periods are held, and the bytes of their values.
+// Size returns the number of buffered periods, and the bytes of their values.
 func (r *Ring) Size() (periods, bytes int) { return len(r.periods), r.bytes }
 
-// Periods returns the periods held, the oldest first.
+// Periods returns the buffered periods, oldest first.
 func (r *Ring) Periods() []*Period { return r.periods }
 
-// Pending is how many periods a receiver has still to get.
+// Pending returns how many periods a receiver lacks.
 func (r *Ring) Pending(p *Cursor) int {
 	return int(r.oldest + uint64(len(r.periods)) - max(p.next, r.oldest))
 }
--- a/internal/dispatcher/telemetry/series.go
+++ b/internal/dispatcher/telemetry/series.go
@@ -1,6 +1,8 @@
-// Package telemetry keeps the figures of a dispatcher: totals and gauges by class, node and part of the program, closed
-// once a period. It does no I/O, has no clock of its own, and belongs to the goroutine of the core that it observes.
-// What leaves the process, and how, is the business of package metrics.
+// Package telemetry keeps the metrics of a dispatcher: counters and gauges by class, node and subsystem, closed once
+// a period. A Set collects them, a Period is their state at its end, and a Ring buffers periods for receivers.
+//
+// The package does no I/O and has no clock of its own. A Set belongs to the goroutine of the dispatcher's event loop;
+// nothing here may be called from another. Package exporter delivers periods, package spool stores them.
 package telemetry
 
 import (
@@ -9,25 +11,25 @@
 	"strings"
 )
 
-// Kind says how a series behaves.
+// Kind is the kind of a series.
 type Kind uint8
 
 // The kinds.
 const (
-	Counter Kind = iota // a running total that only grows; it goes on where the life before it ended, if that is known
-	Gauge               // the value as of the end of the period, or over it
+	Counter Kind = iota // a total that only grows, across incarnations if the last total is known
+	Gauge               // the value at the end of the period, or over it
 )
 
-// String is the kind as the list of figures shows it.
+// String returns the kind's name.
 func (k Kind) String() string { return [...]string{"counter", "gauge"}[k] }
 
-// Series is one figure as receivers know it.
+// Series is a metric as receivers see it.
 type Series struct {
-	Name string `json:"Name"` // parts of letters, digits, _ and -, between dots
+	Name string `json:"Name"` // path of letters, digits, _ and -, separated by dots
 	Kind Kind   `json:"Kind"`
 }
 
-// SeriesDoc describes a series, or many of one pattern: what stands in <> varies.
+// SeriesDoc describes a series, or all series of a pattern, in which <...> stands for a varying part.
 type SeriesDoc struct {
 	Pattern string
 	Kind    Kind
@@ -35,23 +37,24 @@
 	Help    string
 }
 
-// SeriesTable is the series of a process by number. It only grows, so that a period can name its values for as long as it is
-// held.
+// SeriesTable lists the series of a process by index. It only grows, so that the indices in buffered periods stay
+// valid.
 type SeriesTable struct{ series []Series }
 
-// Len is how many series there are.
+// Len returns the number of series.
 func (t *SeriesTable) Len() int { return len(t.series) }
 
-// Series is the series of a number.
+// Series returns the series with index i.
 func (t *SeriesTable) Series(i int) Series { return t.series[i] }
 
-// From returns the series from number i on.
+// From returns the series from index i on.
 func (t *SeriesTable) From(i int) []Series { return t.series[i:] }
 
-// Append adds series to the end.
+// Append adds series at the end.
 func (t *SeriesTable) Append(s ...Series) { t.series = append(t.series, s...) }
 
-// SanitizeName keeps a name to what all receivers take as one part of a path: letters, digits, _ and -.
+// SanitizeName replaces every character other than letters, digits, _ and - by _, since all receivers accept only
+// these in a path element.
 func SanitizeName(name string) string {
 	if name == "" {
 		return "_"
@@ -64,7 +67,7 @@
 	}, name)
 }
 
-// SanitizeNames cleans names that stand beside each other: those that come out equal get _2, _3 by their order.
+// SanitizeNames sanitizes sibling names; equal results get the suffixes _2, _3 in order.
 func SanitizeNames(names []string) []string {
 	out, seen := make([]string, len(names)), map[string]bool{}
 	for i, name := range names {
@@ -78,5 +81,5 @@
 	return out
 }
 
-// noValue is the value of a series that has none this period, such as a latency without answers.
+// noValue marks a series without a value in a period, such as a latency without answers.
 var noValue = math.NaN()
--- a/internal/dispatcher/telemetry/set.go
+++ b/internal/dispatcher/telemetry/set.go
@@ -6,48 +6,50 @@
 	"cinderroad/loadbalancer"
 )
 
-// Options say what a Set tells of.
+// Options configure a Set.
 type Options struct {
 	Settings loadbalancer.Settings
-	Classes  []string // names by the settings' numbers, as are the next two
+	Classes  []string // by number in the settings, as are Zones and Kinds
 	Zones    []string
 	Kinds    []string
-	MaxNodes int // nodes that have series of their own at one time, at most; 0 is none
-	// WorkerStatus tells what the decisions hold of a worker, for the series of its node; nil is nothing.
+	MaxNodes int // nodes with series at one time; 0: none
+	// WorkerStatus returns the load balancer's state of a worker for the series of its node; nil: none.
 	WorkerStatus func(worker loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool)
-	Now          func() float64 // the core's clock, for the age of reports; nil leaves ages out
+	Now          func() float64 // event loop's clock in seconds, for the age of reports; nil: no ages
 	Log          func(line string)
 }
 
-// Set is the figures of one dispatcher. It implements dispatch.Observer.
+// Set is the metrics of one dispatcher. It implements dispatch.Observer.
+//
+// A period is closed by FreezePeriod and EncodePeriod; ClosePeriod does both.
 type Set struct {
 	options           Options
 	table             *SeriesTable
 	seriesDocs        []SeriesDoc
-	describedPatterns map[string]bool // patterns in docs
-	counters          map[string]int  // of counters
+	describedPatterns map[string]bool // patterns in seriesDocs
+	counters          map[string]int  // index by name
 	values            []float64
-	frozen            []float64 // values of the period that is being encoded
-	encoded           int       // how many of them are
+	frozen            []float64 // values of the period being encoded
+	encoded           int       // number of these already encoded
 	encoding          *Period
 	polled            []polledSeries
-	pending           map[string]float64 // totals of an earlier life whose series has not come up yet
-	lastDelta         map[int]float64    // counters as of the last Delta
+	pending           map[string]float64 // totals of an earlier incarnation for series that don't exist yet
+	lastDelta         map[int]float64    // counters at the last TakeDelta
 
-	classes          []classSeries // the last one is for jobs of a class that nobody knows
+	classes          []classSeries // the last one is for jobs of unknown classes
 	drains           struct{ told, honoured, broken, margin int }
-	leastDrainMargin float64 // the least of the period; absent without a drain
+	leastDrainMargin float64 // of the open period in milliseconds; noValue without a drain
 	nodes            nodes
 }
 
-// polledSeries is a figure that is kept elsewhere.
+// polledSeries is a series whose value is kept elsewhere.
 type polledSeries struct {
-	series int
-	value  func() float64
-	base   float64 // what lives before this one had counted
+	index int
+	value func() float64
+	base  float64 // total of earlier incarnations
 }
 
-// New makes a Set.
+// New returns a Set without node series.
 func New(o Options) *Set {
 	if o.Log == nil {
 		o.Log = func(string) {}
@@ -60,10 +62,10 @@
 	return s
 }
 
-// Table is the series so far.
+// Table returns the series added so far; it grows with the Set.
 func (s *Set) Table() *SeriesTable { return s.table }
 
-// Docs are the patterns of all series that there are or can be, in the order in which they were added.
+// Docs returns the patterns of all series that exist or may come to exist, in the order of their addition.
 func (s *Set) Docs() []SeriesDoc { return s.seriesDocs }
 
 func (s *Set) describe(d SeriesDoc) {
@@ -73,7 +75,7 @@
 	}
 }
 
-// add makes a series, of which an earlier life may have had the total.
+// add adds a series and returns its index. A counter continues a total of an earlier incarnation.
 func (s *Set) add(name string, kind Kind) int {
 	i := s.table.Len()
 	s.table.Append(Series{Name: name, Kind: kind})
@@ -88,32 +90,33 @@
 	return i
 }
 
-// AddFunc adds a figure that is kept elsewhere and asked for at the end of each period; one that is not a number is left out.
-// A counter is asked for what was counted since the start of the process.
+// AddFunc adds a series whose value get returns at the end of each period; NaN stands for no value. A counter must
+// return the count since the start of the process.
 func (s *Set) AddFunc(d SeriesDoc, get func() float64) {
 	s.describe(d)
 	i := s.add(d.Pattern, d.Kind)
-	r := polledSeries{series: i, value: get}
+	r := polledSeries{index: i, value: get}
 	if d.Kind == Counter {
 		r.base = s.values[i]
 	}
 	s.polled = append(s.polled, r)
 }
 
-// poll asks for the figures that are kept elsewhere.
+// poll reads the polled series.
 func (s *Set) poll() {
 	for _, r := range s.polled {
-		s.values[r.series] = r.base + r.value()
+		s.values[r.index] = r.base + r.value()
 	}
 }
 
-// ClosePeriod ends a period and returns its values: Freeze and all of Encode at once.
+// ClosePeriod closes the open period and returns it. timestamp is Unix time in milliseconds, interval in seconds.
 func (s *Set) ClosePeriod(stamp int64, every float64) *Period {
 	s.FreezePeriod(stamp, every)
 	return s.EncodePeriod(math.MaxInt32)
 }
 
-// FreezePeriod ends a period: what is counted from here on is the next one's. Encode must have ended the one before.
+// FreezePeriod closes the open period; what is observed from now on belongs to the next. The previous period must be
+// encoded.
 func (s *Set) FreezePeriod(stamp int64, every float64) {
 	s.poll()
 	s.forEachHistogram(func(_ string, l *histogram) { l.writeQuantiles(s.values) })
@@ -126,9 +129,9 @@
 	s.encoding = &Period{Timestamp: stamp, Interval: every, Table: s.table, EncodedValues: appendCount(make([]byte, 0, 2*len(s.values)), len(s.values))}
 }
 
-// EncodePeriod writes so many values of the period that was frozen, and returns it once all are written; nil before.
-func (s *Set) EncodePeriod(most int) *Period {
-	end := min(s.encoded+most, len(s.frozen))
+// EncodePeriod encodes at most that many values of the frozen period, and returns it once it is complete, else nil.
+func (s *Set) EncodePeriod(limit int) *Period {
+	end := min(s.encoded+limit, len(s.frozen))
 	s.encoding.EncodedValues = appendValues(s.encoding.EncodedValues, s.frozen[s.encoded:end])
 	if s.encoded = end; end < len(s.frozen) {
 		return nil
@@ -136,7 +139,7 @@
 	return s.encoding
 }
 
-// forEachHistogram goes through all of them.
+// forEachHistogram calls a function for each latency histogram.
 func (s *Set) forEachHistogram(do func(name string, l *histogram)) {
 	for i := range s.classes {
 		c := &s.classes[i]
--- a/internal/dispatcher/telemetry/slotallocator.go
+++ b/internal/dispatcher/telemetry/slotallocator.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// location is where a node stands, by the settings' numbers.
+// location is a failure domain, kind and cell, by number in the settings.
 type location struct{ zone, kind, cell int }
 
-// slotAllocator gives nodes the slots of their spots. A slot is the lowest number that is free there, so that there are never
-// more than there were nodes at one time; a node that comes back gets the one it had if nobody took it meanwhile.
+// slotAllocator assigns nodes to the slots of their location. A node gets the lowest free slot, so that there are
+// never more slots than there were nodes at one time. A returning node gets its previous slot if that is free.
 type slotAllocator struct {
-	nodesBySlot map[location][]string // who holds each slot, "" for nobody
-	assigned    map[string]slotID     // who is listed, or was and still has its slot free for it
-	previous    map[string]slotID     // who had a slot before
+	nodesBySlot map[location][]string // node of each slot; "" if free
+	assigned    map[string]slotID     // listed nodes
+	previous    map[string]slotID     // departed nodes, while remembered
 }
 
 type slotID struct {
@@ -22,14 +22,14 @@
 	number   int
 }
 
-// maxPrevious bounds how many nodes that have left are remembered, beside as many as there are slots.
+// maxPrevious bounds the departed nodes that are remembered, in addition to the number of slots.
 const maxPrevious = 1024
 
 func newSlotAllocator() *slotAllocator {
 	return &slotAllocator{nodesBySlot: map[location][]string{}, assigned: map[string]slotID{}, previous: map[string]slotID{}}
 }
 
-// release frees a node's slot.
+// release frees a node's slot and remembers it.
 func (a *slotAllocator) release(node string) {
 	p, ok := a.assigned[node]
 	if !ok {
@@ -42,43 +42,42 @@
 	for _, s := range a.nodesBySlot {
 		slots += len(s)
 	}
-	if len(a.previous) > slots+maxPrevious { // forgetting only costs a node its old number
+	if len(a.previous) > slots+maxPrevious { // a node that is dropped here may get another slot on its return
 		for _, name := range slices.Sorted(maps.Keys(a.previous))[:len(a.previous)/2] {
 			delete(a.previous, name)
 		}
 	}
 }
 
-// restore has a node get a slot back that it had in an earlier life.
+// restore remembers the slot that a node had in an earlier incarnation.
 func (a *slotAllocator) restore(node string, s location, slot int) {
 	a.previous[node] = slotID{s, slot}
 }
 
-// assign gives slots to nodes that are new, all of one event at once: what they are given must not hang on the order in
-// which a list names them.
+// assign assigns slots to the new nodes of one update, independently of the order in which a list names them.
 func (a *slotAllocator) assign(nodes map[string]location) {
 	names := slices.SortedFunc(maps.Keys(nodes), func(x, y string) int { return cmp.Compare(x, y) })
-	for _, back := range []bool{true, false} {
+	for _, reuse := range []bool{true, false} {
 		for _, node := range names {
-			s := nodes[node]
+			location := nodes[node]
 			if _, in := a.assigned[node]; in {
 				continue
 			}
-			p, had := a.previous[node]
-			if back && (!had || p.location != s || p.number < len(a.nodesBySlot[s]) && a.nodesBySlot[s][p.number] != "") {
+			id, had := a.previous[node]
+			if reuse && (!had || id.location != location || id.number < len(a.nodesBySlot[location]) && a.nodesBySlot[location][id.number] != "") {
 				continue
 			}
-			slot := p.number
-			if !back {
-				if slot = slices.Index(a.nodesBySlot[s], ""); slot < 0 {
-					slot = len(a.nodesBySlot[s])
+			slot := id.number
+			if !reuse {
+				if slot = slices.Index(a.nodesBySlot[location], ""); slot < 0 {
+					slot = len(a.nodesBySlot[location])
 				}
 			}
-			for len(a.nodesBySlot[s]) <= slot {
-				a.nodesBySlot[s] = append(a.nodesBySlot[s], "")
+			for len(a.nodesBySlot[location]) <= slot {
+				a.nodesBySlot[location] = append(a.nodesBySlot[location], "")
 			}
-			a.nodesBySlot[s][slot] = node
-			a.assigned[node] = slotID{s, slot}
+			a.nodesBySlot[location][slot] = node
+			a.assigned[node] = slotID{location, slot}
 			delete(a.previous, node)
 		}
 	}
--- a/internal/dispatcher/telemetry/slotassignment.go
+++ b/internal/dispatcher/telemetry/slotassignment.go
@@ -8,25 +8,26 @@
 	"cinderroad/loadbalancer"
 )
 
-// SlotAssignments tells who holds which slot, for the life that comes after.
+// SlotAssignments returns the current assignments, for the next incarnation.
 func (s *Set) SlotAssignments() (held []SlotAssignment) {
 	n := &s.nodes
-	for _, sl := range n.ordered {
-		if p := n.allocator.assigned[sl.node]; sl.state != loadbalancer.Departed && n.slots[p] == sl {
-			held = append(held, SlotAssignment{n.locationName(p.location), p.number, sl.node})
+	for _, slot := range n.ordered {
+		if p := n.allocator.assigned[slot.node]; slot.state != loadbalancer.Departed && n.slots[p] == slot {
+			held = append(held, SlotAssignment{n.locationName(p.location), p.number, slot.node})
 		}
 	}
 	return held
 }
 
-// RestoreSlots gives nodes the slots back that an earlier life gave them, once they are listed.
+// RestoreSlots makes nodes get the slots that an earlier incarnation gave them, once they are listed. Assignments
+// that don't fit the settings are ignored.
 func (s *Set) RestoreSlots(held []SlotAssignment) {
 	n := &s.nodes
 	if s.options.MaxNodes == 0 {
 		return
 	}
-	for _, h := range held {
-		parts := strings.Split(h.Location, ".")
+	for _, assignment := range held {
+		parts := strings.Split(assignment.Location, ".")
 		if len(parts) != 3 {
 			continue
 		}
@@ -35,15 +36,15 @@
 		if at.cell = cell; err != nil || at.zone < 0 && parts[0] != unknownLocation || at.kind < 0 && parts[1] != unknownLocation {
 			continue
 		}
-		if h.Node != "" && h.Slot >= 0 && h.Slot < s.options.MaxNodes {
-			n.allocator.restore(h.Node, at, h.Slot)
+		if assignment.Node != "" && assignment.Slot >= 0 && assignment.Slot < s.options.MaxNodes {
+			n.allocator.restore(assignment.Node, at, assignment.Slot)
 		}
 	}
 }
 
-// SlotAssignment says who holds a slot, for the life or the process that comes after.
+// SlotAssignment is the assignment of a slot to a node, as stored and handed over.
 type SlotAssignment struct {
-	Location string `json:"spot"` // zone.kind.cell, as in the series' names
+	Location string `json:"spot"` // zone.kind.cell, as in series
 	Slot     int    `json:"slot"`
 	Node     string `json:"node"`
 }
--- a/internal/dispatcher/telemetry/telemetry_test.go
+++ b/internal/dispatcher/telemetry/telemetry_test.go
@@ -20,7 +20,7 @@
 	return New(o)
 }
 
-// Whatever the values are, a period tells them again: whole numbers exactly, others to 24 bits, none as none.
+// TestPeriodRoundTrip checks that integers are decoded exactly, other values to 24 bits, and none as none.
 func TestPeriodRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table SeriesTable
@@ -51,7 +51,7 @@
 	})
 }
 
-// A period from a torn or hostile source ends with an error or its values, never beyond its bytes.
+// FuzzPeriod checks that a damaged period ends with its values or an error, within its bytes.
 func FuzzPeriod(f *testing.F) {
 	f.Add([]byte{3, 2, 1, 0, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -68,8 +68,8 @@
 	})
 }
 
-// For any course of lists there are never more slots in a spot than nodes were listed there at one time, nobody shares
-// one, nobody loses the one held, and the order in which a list names its nodes changes nothing.
+// TestSlotAllocator checks for any sequence of lists that a location has no more slots than nodes at one time, that no
+// two nodes share a slot, that a listed node keeps its slot, and that the order within a list doesn't matter.
 func TestSlotAllocator(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, other := newSlotAllocator(), newSlotAllocator()
@@ -153,8 +153,8 @@
 
 func (s *Set) total(name string) float64 { return s.Totals()[name] }
 
-// A list renames half its entries, twice: the newcomers take the slots of those that left, whose totals go on, and
-// there is not one series more.
+// TestRenamedNodesReuseSeries renames half the nodes of a list, twice: the new ones take the slots of the departed,
+// whose totals continue, and no series is added.
 func TestRenamedNodesReuseSeries(t *testing.T) {
 	s := newSet(Options{MaxNodes: 100})
 	list := func(kind loadbalancer.ListKind, names ...string) {
@@ -184,13 +184,13 @@
 	if sum != 12 {
 		t.Error(sum)
 	}
-	s.ObserveAttempt(attemptRecord("c", 99, loadbalancer.OK)) // comes late, of a node whose slot another has
+	s.ObserveAttempt(attemptRecord("c", 99, loadbalancer.OK)) // late, from a node whose slot has been reassigned
 	if got := s.total("nodes_unplaced.ended"); got != 1 {
 		t.Errorf("%v attempts without a slot", got)
 	}
 }
 
-// More nodes than may have series: the rest has none and is counted, and the totals of classes are whole.
+// TestMaxNodes checks that nodes beyond the limit are counted without series, and that the classes' totals are complete.
 func TestMaxNodes(t *testing.T) {
 	s := newSet(Options{MaxNodes: 2})
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready), member("b", 2, 0, loadbalancer.Ready), member("c", 3, 0, loadbalancer.Ready)})
@@ -204,7 +204,7 @@
 	}
 }
 
-// Two processes' latencies merged have the quantiles of one that had measured all: quantiles themselves cannot be merged.
+// TestMergedLatencies checks that two processes' merged latencies have the quantiles of a single process.
 func TestMergedLatencies(t *testing.T) {
 	whole, older, newer := newSet(Options{}), newSet(Options{}), newSet(Options{})
 	for i := range 1000 {
@@ -227,7 +227,7 @@
 		t.Errorf("p50 %v", got)
 	}
 	if counts, spans := older.TakeDelta(); len(counts) > 0 || len(spans) > 0 {
-		t.Errorf("told twice: %v %v", counts, spans)
+		t.Errorf("returned twice: %v %v", counts, spans)
 	}
 }
 
@@ -243,7 +243,7 @@
 	return all
 }
 
-// Recording on the loop must not feed the collector.
+// TestRecordingAllocatesNothing: observations on the event loop must not cause garbage.
 func TestRecordingAllocatesNothing(t *testing.T) {
 	s := newSet(Options{MaxNodes: 10})
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
@@ -254,7 +254,7 @@
 	}
 }
 
-// world is a dispatcher's figures, its receivers and its disk, over virtual time.
+// lifecycle is a dispatcher's metrics with receivers and a disk, over virtual time.
 type lifecycle struct {
 	set           *Set
 	ring          *Ring
@@ -293,7 +293,7 @@
 	c.closedAnswers, c.openAnswers = c.closedAnswers+c.openAnswers, 0
 }
 
-// deliver has a receiver that is up get what it may, up to n periods; the last one perhaps without a word that it has it.
+// deliver delivers up to n periods to a reachable receiver; if broken, the last one isn't acknowledged.
 func (c *lifecycle) deliver(t *rapid.T, i, n int, broken bool) {
 	for ; n > 0 && c.reachable[i]; n-- {
 		p, number := c.ring.PeriodFrom(c.places[i].Next())
@@ -319,8 +319,9 @@
 	}
 }
 
-// For any order of answers, renames, outages, ends of periods, restarts and kills, each receiver that is up in the end has
-// a total that equals the answers given, but for those of periods that a kill left open. Totals never fall.
+// TestTotalsMatchAnswers checks for any order of answers, renames, outages, ends of periods, restarts and kills that
+// every receiver's final total is the number of answers, except for periods that a kill left open, and that totals never
+// decrease.
 func TestTotalsMatchAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &lifecycle{receivers: []map[int64]float64{{}, {}}, reachable: []bool{true, true}}
@@ -365,7 +366,7 @@
 	})
 }
 
-// The ring keeps to its bytes, counts what had to go, and gives each receiver the rest in order.
+// TestRing checks that the ring stays within its limit, counts the dropped periods, and gives receivers the others in order.
 func TestRing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRing(100)
@@ -389,7 +390,7 @@
 					seen[p] = q.Timestamp
 					r.Acknowledge(p, n)
 				} else if seen[p] != next {
-					t.Fatalf("%s was told that it has all, and has %d of %d", p.Name, seen[p], next)
+					t.Fatalf("%s has no pending period, but got %d of %d", p.Name, seen[p], next)
 				}
 				if r.Dropped < dropped {
 					t.Fatal("drops uncounted")
@@ -417,7 +418,7 @@
 	}
 }
 
-// What a restart is told of slots gives nodes theirs back, whatever the order of the uids; nonsense is passed over.
+// TestRestoreSlots checks that nodes get their slots back after a restart, and that invalid assignments are ignored.
 func TestRestoreSlots(t *testing.T) {
 	s := newSet(Options{MaxNodes: 10})
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("z", 1, 0, loadbalancer.Ready)})
@@ -434,7 +435,7 @@
 	}
 }
 
-// Whoever counts beside us at the end of a period sees what nodes have, and none where nobody is.
+// TestNodeGauges checks the gauges of a node, and that an unassigned slot has none.
 func TestNodeGauges(t *testing.T) {
 	now := 100.0
 	s := newSet(Options{MaxNodes: 10, Now: func() float64 { return now }, WorkerStatus: func(id loadbalancer.WorkerID) (loadbalancer.WorkerStatus, bool) {
@@ -452,11 +453,11 @@
 	}
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Departed)})
 	if v, there := readAll(t, s.ClosePeriod(2, 1))["nodes.milano.two-core.0.0.state"]; there {
-		t.Errorf("a slot that nobody holds has state %v", v)
+		t.Errorf("an unassigned slot has state %v", v)
 	}
 }
 
-// BenchmarkClose is how long the end of a period holds the loop.
+// BenchmarkClose measures how long the end of a period blocks the event loop.
 func BenchmarkClose(b *testing.B) {
 	for _, n := range []int{10, 1000, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -477,7 +478,7 @@
 	}
 }
 
-// BenchmarkObserve is what recording costs a job: its attempt, its report, its answer.
+// BenchmarkObserve measures the observations of one job: attempt, load report, answer.
 func BenchmarkObserve(b *testing.B) {
 	s := newSet(Options{MaxNodes: 10})
 	s.ObserveMembers(loadbalancer.ListDelta, []dispatch.Member{member("a", 1, 0, loadbalancer.Ready)})
--- a/internal/dispatcher/telemetry/verdict.go
+++ b/internal/dispatcher/telemetry/verdict.go
@@ -5,14 +5,14 @@
 	"cinderroad/loadbalancer"
 )
 
-// ResultNames are the ends of attempts as the figures name them.
+// ResultNames are the results of attempts, as in series and the request log.
 var ResultNames = [loadbalancer.Withdrawn + 1]string{loadbalancer.OK: "ok", loadbalancer.Error: "error", loadbalancer.Rejected: "full", loadbalancer.Timeout: "timeout",
 	loadbalancer.ConnectFailed: "connect_failed", loadbalancer.Reset: "reset", loadbalancer.Cancelled: "cancelled", loadbalancer.Withdrawn: "moot"}
 
-// Verdict is the end of a job as the figures and the request log tell it.
+// Verdict is the final outcome of a job, as in series and the request log.
 type Verdict uint8
 
-// The verdicts. Every job has one of them, once; one that Returned comes again.
+// The verdicts. Each job gets exactly one, except that a requeued job is submitted again.
 const (
 	InTime Verdict = iota
 	Late
@@ -20,7 +20,7 @@
 	Failed
 	Disconnected
 	Requeued
-	NumVerdicts // how many there are
+	NumVerdicts // number of verdicts
 )
 
 var verdictNames = [NumVerdicts]string{"in_time", "late", "refused", "failed", "gone", "returned"}
@@ -30,10 +30,10 @@
 	"Jobs whose client had left before an answer.",
 	"Refusals of background jobs that were told to nobody: the job comes again by itself."}
 
-// String is the verdict's name.
+// String returns the verdict's name.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// ParseVerdict reads a verdict's name.
+// ParseVerdict returns the verdict with a name.
 func ParseVerdict(name string) (Verdict, bool) {
 	for v, n := range verdictNames {
 		if n == name {
@@ -43,11 +43,11 @@
 	return 0, false
 }
 
-// VerdictOf is the verdict of a final answer.
-func VerdictOf(f *dispatch.AnswerRecord) Verdict {
-	switch f.Verdict {
+// VerdictOf returns the verdict of a final answer.
+func VerdictOf(answer *dispatch.AnswerRecord) Verdict {
+	switch answer.Verdict {
 	case dispatch.Served:
-		if f.Late() {
+		if answer.Late() {
 			return Late
 		}
 		return InTime
