--- a/internal/dispatcher/gearman/admin.go
+++ b/internal/dispatcher/gearman/admin.go
@@ -10,28 +10,28 @@
 	"cinderroad/internal/shared/slotmap"
 )
 
-// admin carries out a text command and returns what it prints.
-func (p *peer) admin(words []string) string {
-	s := p.s
+// runAdminCommand carries out a text command and returns what it prints.
+func (p *peer) runAdminCommand(words []string) string {
+	s := p.server
 	if len(words) == 0 {
 		return ""
 	}
-	two := ""
+	command := ""
 	if len(words) > 1 {
-		two = words[0] + " " + words[1]
+		command = words[0] + " " + words[1]
 	}
 	switch {
 	case words[0] == "status":
 		return s.statusText()
 	case words[0] == "workers":
 		return s.workersText()
-	case two == "show jobs":
+	case command == "show jobs":
 		return s.jobsText(func(j *job) string {
-			return fmt.Sprintf("%s\t%d\t%d\t%d", j.handle, 0, btoi(!j.queued), btoi(j.running > 0))
+			return fmt.Sprintf("%s\t%d\t%d\t%d", j.handle, 0, boolToInt(!j.queued), boolToInt(j.running > 0))
 		})
-	case two == "show unique":
+	case command == "show unique":
 		return s.jobsText(func(j *job) string { return j.unique })
-	case two == "cancel job" && len(words) == 3:
+	case command == "cancel job" && len(words) == 3:
 		j := s.jobs[words[2]]
 		if j == nil || j.running > 0 {
 			return "ERR NOT_FOUND No+such+waiting+job\r\n"
@@ -42,7 +42,7 @@
 		j.abandon()
 		return "OK\r\n"
 	case words[0] == "maxqueue" && len(words) >= 2:
-		f := s.functions[words[1]]
+		fn := s.functions[words[1]]
 		size := 0
 		if len(words) > 2 {
 			var err error
@@ -50,11 +50,11 @@
 				return "ERR INVALID_ARGUMENTS Size+is+no+number\r\n"
 			}
 		}
-		if f != nil {
-			f.maxQueue = max(size, 0)
+		if fn != nil {
+			fn.maxQueue = max(size, 0)
 		}
 		return "OK\r\n"
-	case two == "create function" && len(words) == 3, two == "drop function" && len(words) == 3:
+	case command == "create function" && len(words) == 3, command == "drop function" && len(words) == 3:
 		return "ERR NOT_SUPPORTED Functions+stand+in+the+operator's+file\r\n"
 	case words[0] == "version":
 		return "OK cinderroad\r\n"
@@ -72,8 +72,8 @@
 	return "ERR UNKNOWN_COMMAND Unknown+server+command\r\n"
 }
 
-func btoi(b bool) int {
-	if b {
+func boolToInt(value bool) int {
+	if value {
 		return 1
 	}
 	return 0
@@ -84,7 +84,7 @@
 	able := map[string]int{}
 	s.peers.Each(func(_ slotmap.Handle, p *peer) {
 		if p.worker != nil {
-			for name := range p.worker.can {
+			for name := range p.worker.abilities {
 				able[name]++
 			}
 		}
@@ -102,7 +102,7 @@
 	s.peers.Each(func(h slotmap.Handle, p *peer) {
 		var names []string
 		if p.worker != nil {
-			for name := range p.worker.can {
+			for name := range p.worker.abilities {
 				names = append(names, name)
 			}
 		}
--- a/internal/dispatcher/gearman/config.go
+++ b/internal/dispatcher/gearman/config.go
@@ -17,7 +17,7 @@
 	Functions     []Function      `toml:"function"`
 	Workers       []WorkerNetwork `toml:"worker"` // the first that matches a worker's address counts
 
-	listen netip.AddrPort
+	listenAddress netip.AddrPort
 }
 
 // Function maps a Gearman function to a class of the settings.
@@ -28,8 +28,8 @@
 	// BackgroundDeadline is how long a job in the background may come back after refusals; 0 is ten deadlines.
 	BackgroundDeadline float64 `toml:"background_deadline_s"`
 
-	class                int
-	deadline, background float64
+	classIndex                   int
+	deadline, backgroundDeadline float64
 }
 
 // WorkerNetwork says where the workers of a network stand.
@@ -39,8 +39,8 @@
 	Kind    string `toml:"kind"`
 	Cell    int    `toml:"cell"`
 
-	network    netip.Prefix
-	zone, kind int
+	prefix               netip.Prefix
+	zoneIndex, kindIndex int
 }
 
 // SettingsNames are the settings' names that a file is checked against.
@@ -51,22 +51,22 @@
 
 // ReadConfig reads and checks the operator's file.
 func ReadConfig(path string, names SettingsNames) (*Config, error) {
-	var c Config
-	meta, err := toml.DecodeFile(path, &c)
+	var config Config
+	meta, err := toml.DecodeFile(path, &config)
 	if err != nil {
 		return nil, fmt.Errorf("gearman: %s: %w", path, err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return nil, fmt.Errorf("gearman: %s: unknown key %s", path, unknown[0])
 	}
-	if err := c.check(names); err != nil {
+	if err := config.validate(names); err != nil {
 		return nil, fmt.Errorf("gearman: %s: %w", path, err)
 	}
-	return &c, nil
+	return &config, nil
 }
 
-func (c *Config) check(names SettingsNames) (err error) {
-	if c.listen, err = netip.ParseAddrPort(c.Listen); err != nil {
+func (c *Config) validate(names SettingsNames) (err error) {
+	if c.listenAddress, err = netip.ParseAddrPort(c.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	if c.MaxJobs == 0 {
@@ -80,41 +80,41 @@
 	}
 	seen := map[string]bool{}
 	for i := range c.Functions {
-		f := &c.Functions[i]
-		if f.class = slices.Index(names.Classes, f.Class); f.class < 0 {
-			return fmt.Errorf("function %q: unknown class %q", f.Name, f.Class)
+		fn := &c.Functions[i]
+		if fn.classIndex = slices.Index(names.Classes, fn.Class); fn.classIndex < 0 {
+			return fmt.Errorf("function %q: unknown class %q", fn.Name, fn.Class)
 		}
-		if f.Name == "" || seen[f.Name] || f.Deadline < 0 || f.Deadline > names.Deadlines[f.class] {
-			return fmt.Errorf("function %q: no name, named twice, or deadline_s not within the class's", f.Name)
+		if fn.Name == "" || seen[fn.Name] || fn.Deadline < 0 || fn.Deadline > names.Deadlines[fn.classIndex] {
+			return fmt.Errorf("function %q: no name, named twice, or deadline_s not within the class's", fn.Name)
 		}
-		seen[f.Name] = true
-		if f.deadline = f.Deadline; f.deadline == 0 {
-			f.deadline = names.Deadlines[f.class]
+		seen[fn.Name] = true
+		if fn.deadline = fn.Deadline; fn.deadline == 0 {
+			fn.deadline = names.Deadlines[fn.classIndex]
 		}
-		if f.background = f.BackgroundDeadline; f.background <= 0 {
-			f.background = 10 * f.deadline
+		if fn.backgroundDeadline = fn.BackgroundDeadline; fn.backgroundDeadline <= 0 {
+			fn.backgroundDeadline = 10 * fn.deadline
 		}
 	}
 	if len(c.Workers) == 0 {
 		return fmt.Errorf("no worker: nothing says where workers stand")
 	}
 	for i := range c.Workers {
-		p := &c.Workers[i]
-		if p.network, err = netip.ParsePrefix(p.Network); err != nil {
+		network := &c.Workers[i]
+		if network.prefix, err = netip.ParsePrefix(network.Network); err != nil {
 			return fmt.Errorf("worker %d: network: %w", i, err)
 		}
-		if p.zone, p.kind = slices.Index(names.Zones, p.Zone), slices.Index(names.Kinds, p.Kind); p.zone < 0 || p.kind < 0 {
-			return fmt.Errorf("worker %d: unknown zone %q or kind %q", i, p.Zone, p.Kind)
+		if network.zoneIndex, network.kindIndex = slices.Index(names.Zones, network.Zone), slices.Index(names.Kinds, network.Kind); network.zoneIndex < 0 || network.kindIndex < 0 {
+			return fmt.Errorf("worker %d: unknown zone %q or kind %q", i, network.Zone, network.Kind)
 		}
 	}
 	return nil
 }
 
-// place finds where a worker stands; one from elsewhere may not work here.
-func (c *Config) place(from netip.Addr) (WorkerNetwork, bool) {
-	for _, p := range c.Workers {
-		if p.network.Contains(from.Unmap()) {
-			return p, true
+// networkOf finds where a worker stands; one from elsewhere may not work here.
+func (c *Config) networkOf(address netip.Addr) (WorkerNetwork, bool) {
+	for _, network := range c.Workers {
+		if network.prefix.Contains(address.Unmap()) {
+			return network, true
 		}
 	}
 	return WorkerNetwork{}, false
--- a/internal/dispatcher/gearman/job.go
+++ b/internal/dispatcher/gearman/job.go
@@ -10,23 +10,23 @@
 
 // job is what clients submitted, and what all who submitted the same unique id share.
 type job struct {
-	s              *Server
-	handle, unique string
-	data           string
-	f              *function
-	background     bool
-	priority       int // 0 is high
-	waiters        []*peer
-	req            dispatch.RequestID
-	queued         bool // the core has it
-	running        int
-	num, den       string
-	exception      string
-	over           bool
-	returned       bool             // its last refusal was not told to anybody: it comes back
-	output         []packet         // of the fetch that won
-	start          *eventloop.Timer // of a job for later, or of one that comes back after a refusal
-	ends           float64          // when the job is given up
+	server                 *Server
+	handle, unique         string
+	data                   string
+	function               *function
+	background             bool
+	priority               int // 0 is high
+	waiters                []*peer
+	requestID              dispatch.RequestID
+	queued                 bool // the core has it
+	running                int
+	numerator, denominator string
+	exception              string
+	ended                  bool
+	requeued               bool             // its last refusal was not told to anybody: it comes back
+	output                 []outputPacket   // of the fetch that won
+	startTimer             *eventloop.Timer // of a job for later, or of one that comes back after a refusal
+	expiresAt              float64          // when the job is given up
 }
 
 // status is the last four arguments of a status answer.
@@ -38,80 +38,80 @@
 	if j.running > 0 {
 		running = "1"
 	}
-	return []string{"1", running, j.num, j.den}
+	return []string{"1", running, j.numerator, j.denominator}
 }
 
-// enter hands the job to the core.
-func (j *job) enter() {
-	now := j.s.loop.Now()
-	if j.ends == 0 {
-		j.ends = now + j.f.deadline
+// submit hands the job to the core.
+func (j *job) submit() {
+	now := j.server.loop.Now()
+	if j.expiresAt == 0 {
+		j.expiresAt = now + j.function.deadline
 		if j.background {
-			j.ends = now + j.f.background
+			j.expiresAt = now + j.function.backgroundDeadline
 		}
 	}
 	j.queued = true
-	j.req = j.s.core.Submit(dispatch.Job{Class: j.f.class, Skill: j.f.skill, Slots: 1,
-		Deadline: min(j.ends, now+j.f.deadline), Payload: j, ID: j.handle, Front: "gearman"}, j)
+	j.requestID = j.server.dispatcher.Submit(dispatch.Job{Class: j.function.classIndex, Skill: j.function.skill, Slots: 1,
+		Deadline: min(j.expiresAt, now+j.function.deadline), Payload: j, ID: j.handle, Front: "gearman"}, j)
 }
 
-// returns has a refused job in the background come back when the core said. A caller would; this one is not
+// requeue has a refused job in the background come back when the core said. A caller would; this one is not
 // there to do it, and nobody is kept waiting for an answer.
-func (j *job) returns(wait float64) bool {
-	at := j.s.loop.Now() + max(wait, leastWait)
-	if !j.background || len(j.waiters) > 0 || j.s.stopping || at >= j.ends {
+func (j *job) requeue(delay float64) bool {
+	startAt := j.server.loop.Now() + max(delay, minRequeueDelay)
+	if !j.background || len(j.waiters) > 0 || j.server.stopping || startAt >= j.expiresAt {
 		return false
 	}
-	j.s.Counts.Requeued++
+	j.server.Counts.Requeued++
 	j.queued = false
-	j.start = j.s.loop.At(at, j.enter)
+	j.startTimer = j.server.loop.At(startAt, j.submit)
 	return true
 }
 
 // abandon gives the job up: nobody waits for it.
 func (j *job) abandon() {
-	if j.over {
+	if j.ended {
 		return
 	}
-	j.s.Counts.Abandoned++
+	j.server.Counts.Abandoned++
 	if j.background {
-		j.s.Counts.BackgroundEnded++
+		j.server.Counts.BackgroundEnded++
 	}
 	j.close()
-	j.start.Stop()
+	j.startTimer.Stop()
 	if j.queued {
-		j.s.core.HandleDisconnect(j.req)
+		j.server.dispatcher.HandleDisconnect(j.requestID)
 	}
 }
 
 // Answer implements dispatch.Requester: the job's one end goes to all who wait for it. Gearman knows no refusal:
 // it is a failure with a warning before it that says when to come back.
-func (j *job) Answer(a dispatch.Answer) {
-	if j.over {
+func (j *job) Answer(answer dispatch.Answer) {
+	if j.ended {
 		return
 	}
-	if j.returned = a.Verdict == dispatch.Rejected && j.returns(a.RetryAfter); j.returned {
+	if j.requeued = answer.Verdict == dispatch.Rejected && j.requeue(answer.RetryAfter); j.requeued {
 		return
 	}
-	var last packet
-	switch a.Verdict {
+	var last outputPacket
+	switch answer.Verdict {
 	case dispatch.Served:
-		j.s.Counts.Served++
-		last = packet{WorkComplete, string(a.Body)}
+		j.server.Counts.Served++
+		last = outputPacket{WorkComplete, string(answer.Body)}
 	case dispatch.Rejected:
-		j.s.Counts.Rejected++
-		j.output = []packet{{WorkWarning, fmt.Sprintf("refused retry-after=%.3f", a.RetryAfter)}}
+		j.server.Counts.Rejected++
+		j.output = []outputPacket{{WorkWarning, fmt.Sprintf("refused retry-after=%.3f", answer.RetryAfter)}}
 		last.kind = WorkFail
 	default:
-		j.s.Counts.Failed++
+		j.server.Counts.Failed++
 		j.output = nil
 		if j.exception != "" {
-			j.output = []packet{{WorkException, j.exception}}
+			j.output = []outputPacket{{WorkException, j.exception}}
 		}
 		last.kind = WorkFail
 	}
 	if j.background {
-		j.s.Counts.BackgroundEnded++
+		j.server.Counts.BackgroundEnded++
 	}
 	waiters := j.waiters
 	j.close()
@@ -130,28 +130,28 @@
 }
 
 // Requeued implements dispatch.Requeuer.
-func (j *job) Requeued() bool { return j.returned }
+func (j *job) Requeued() bool { return j.requeued }
 
 func (j *job) close() {
-	invariant.Check(!j.over, "a Gearman job ends once")
-	j.over = true
+	invariant.Check(!j.ended, "a Gearman job ends once")
+	j.ended = true
 	for _, p := range j.waiters {
-		p.waits--
-		j.s.rests++
-		p.idleSince = j.s.rests
+		p.pendingJobs--
+		j.server.idleSequence++
+		p.idleOrder = j.server.idleSequence
 	}
 	j.waiters = nil
-	delete(j.s.jobs, j.handle)
+	delete(j.server.jobs, j.handle)
 	if j.unique != "" {
-		delete(j.s.unique, uniqueKey{j.f.Name, j.unique})
+		delete(j.server.jobsByUnique, uniqueKey{j.function.Name, j.unique})
 	}
-	j.f.jobs--
-	j.s.held -= len(j.data)
-	j.s.door.ReleaseJob(len(j.data))
+	j.function.jobs--
+	j.server.pendingBytes -= len(j.data)
+	j.server.limiter.ReleaseJob(len(j.data))
 }
 
-// tell passes news on to all who wait for the job.
-func (j *job) tell(kind Kind, args ...string) {
+// notify passes news on to all who wait for the job.
+func (j *job) notify(kind Kind, args ...string) {
 	for _, p := range j.waiters {
 		p.send(kind, append([]string{j.handle}, args...)...)
 	}
--- a/internal/dispatcher/gearman/packet.go
+++ b/internal/dispatcher/gearman/packet.go
@@ -15,70 +15,70 @@
 
 // The packets of the protocol.
 const (
-	CanDo           Kind = 1
-	CantDo          Kind = 2
-	ResetAbilities  Kind = 3
-	PreSleep        Kind = 4
-	Noop            Kind = 6
-	SubmitJob       Kind = 7
-	JobCreated      Kind = 8
-	GrabJob         Kind = 9
-	NoJob           Kind = 10
-	JobAssign       Kind = 11
-	WorkStatus      Kind = 12
-	WorkComplete    Kind = 13
-	WorkFail        Kind = 14
-	GetStatus       Kind = 15
-	EchoReq         Kind = 16
-	EchoRes         Kind = 17
-	SubmitJobBg     Kind = 18
-	Error           Kind = 19
-	StatusRes       Kind = 20
-	SubmitJobHigh   Kind = 21
-	SetClientID     Kind = 22
-	CanDoTimeout    Kind = 23
-	AllYours        Kind = 24
-	WorkException   Kind = 25
-	OptionReq       Kind = 26
-	OptionRes       Kind = 27
-	WorkData        Kind = 28
-	WorkWarning     Kind = 29
-	GrabJobUniq     Kind = 30
-	JobAssignUniq   Kind = 31
-	SubmitJobHighBg Kind = 32
-	SubmitJobLow    Kind = 33
-	SubmitJobLowBg  Kind = 34
-	SubmitJobSched  Kind = 35
-	SubmitJobEpoch  Kind = 36
-	SubmitReduce    Kind = 37
-	SubmitReduceBg  Kind = 38
-	GrabJobAll      Kind = 39
-	JobAssignAll    Kind = 40
-	GetStatusUnique Kind = 41
-	StatusResUnique Kind = 42
-	headerSize           = 12
-	maxName              = 4 << 10  // of a function, unique id or handle
-	maxData              = 64 << 10 // of a job or result
-	maxPacket            = maxData + 4*maxName
-	maxLine              = 4 << 10
-	requestMagic         = "\x00REQ"
-	responseMagic        = "\x00RES"
-	errLost              = "ERR_LOST_JOB"
-	errFunction          = "ERR_UNKNOWN_FUNCTION"
-	errQueue             = "ERR_QUEUE_FULL"
-	errPacket            = "ERR_BAD_PACKET"
-	errOption            = "ERR_UNKNOWN_OPTION"
-	errSupport           = "ERR_NOT_SUPPORTED"
-	errStopping          = "ERR_SHUTTING_DOWN"
+	CanDo               Kind = 1
+	CantDo              Kind = 2
+	ResetAbilities      Kind = 3
+	PreSleep            Kind = 4
+	Noop                Kind = 6
+	SubmitJob           Kind = 7
+	JobCreated          Kind = 8
+	GrabJob             Kind = 9
+	NoJob               Kind = 10
+	JobAssign           Kind = 11
+	WorkStatus          Kind = 12
+	WorkComplete        Kind = 13
+	WorkFail            Kind = 14
+	GetStatus           Kind = 15
+	EchoReq             Kind = 16
+	EchoRes             Kind = 17
+	SubmitJobBg         Kind = 18
+	Error               Kind = 19
+	StatusRes           Kind = 20
+	SubmitJobHigh       Kind = 21
+	SetClientID         Kind = 22
+	CanDoTimeout        Kind = 23
+	AllYours            Kind = 24
+	WorkException       Kind = 25
+	OptionReq           Kind = 26
+	OptionRes           Kind = 27
+	WorkData            Kind = 28
+	WorkWarning         Kind = 29
+	GrabJobUniq         Kind = 30
+	JobAssignUniq       Kind = 31
+	SubmitJobHighBg     Kind = 32
+	SubmitJobLow        Kind = 33
+	SubmitJobLowBg      Kind = 34
+	SubmitJobSched      Kind = 35
+	SubmitJobEpoch      Kind = 36
+	SubmitReduce        Kind = 37
+	SubmitReduceBg      Kind = 38
+	GrabJobAll          Kind = 39
+	JobAssignAll        Kind = 40
+	GetStatusUnique     Kind = 41
+	StatusResUnique     Kind = 42
+	headerSize               = 12
+	maxNameBytes             = 4 << 10  // of a function, unique id or handle
+	maxDataBytes             = 64 << 10 // of a job or result
+	maxPacketBytes           = maxDataBytes + 4*maxNameBytes
+	maxLineBytes             = 4 << 10
+	requestMagic             = "\x00REQ"
+	responseMagic            = "\x00RES"
+	codeLostJob              = "ERR_LOST_JOB"
+	codeUnknownFunction      = "ERR_UNKNOWN_FUNCTION"
+	codeQueueFull            = "ERR_QUEUE_FULL"
+	codeBadPacket            = "ERR_BAD_PACKET"
+	codeUnknownOption        = "ERR_UNKNOWN_OPTION"
+	codeNotSupported         = "ERR_NOT_SUPPORTED"
+	codeShuttingDown         = "ERR_SHUTTING_DOWN"
 )
 
 const (
-	maxUnsent = 1 << 20 // bytes that may wait for a peer that does not read
-	leastWait = 0.05    // seconds before a refused job in the background comes back
+	maxUnsentBytes  = 1 << 20 // bytes that may wait for a peer that does not read
+	minRequeueDelay = 0.05    // seconds before a refused job in the background comes back
 )
 
-// fields is how many arguments the packets have that a server gets; the last one may hold any byte.
-var fields = map[Kind]int{CanDo: 1, CantDo: 1, ResetAbilities: 0, PreSleep: 0, SubmitJob: 3, GrabJob: 0,
+// argumentCounts is how many arguments the packets have that a server gets; the last one may hold any byte.
+var argumentCounts = map[Kind]int{CanDo: 1, CantDo: 1, ResetAbilities: 0, PreSleep: 0, SubmitJob: 3, GrabJob: 0,
 	WorkStatus: 3, WorkComplete: 2, WorkFail: 1, GetStatus: 1, EchoReq: 1, SubmitJobBg: 3, SubmitJobHigh: 3,
 	SetClientID: 1, CanDoTimeout: 2, AllYours: 0, WorkException: 2, OptionReq: 1, WorkData: 2, WorkWarning: 2,
 	GrabJobUniq: 0, SubmitJobHighBg: 3, SubmitJobLow: 3, SubmitJobLowBg: 3, SubmitJobSched: 8, SubmitJobEpoch: 4,
@@ -95,56 +95,56 @@
 
 // Parse reads one request packet from the start of b and tells how many bytes it took; ErrIncomplete asks for more.
 // Any other error is final: after it the stream cannot be read on.
-func Parse(b []byte) (p Packet, n int, err error) {
+func Parse(b []byte) (packet Packet, n int, err error) {
 	if len(b) < headerSize {
 		if !bytes.HasPrefix([]byte(requestMagic), b[:min(len(b), 4)]) && !bytes.HasPrefix(b, []byte(requestMagic)) {
-			return p, 0, errors.New("gearman: bad magic")
+			return packet, 0, errors.New("gearman: bad magic")
 		}
-		return p, 0, ErrIncomplete
+		return packet, 0, ErrIncomplete
 	}
 	if string(b[:4]) != requestMagic {
-		return p, 0, errors.New("gearman: bad magic")
+		return packet, 0, errors.New("gearman: bad magic")
 	}
-	p.Kind = Kind(binary.BigEndian.Uint32(b[4:]))
-	want, known := fields[p.Kind]
+	packet.Kind = Kind(binary.BigEndian.Uint32(b[4:]))
+	wantArgs, known := argumentCounts[packet.Kind]
 	if !known {
-		return p, 0, fmt.Errorf("gearman: packet type %d is none that a server gets", p.Kind)
+		return packet, 0, fmt.Errorf("gearman: packet type %d is none that a server gets", packet.Kind)
 	}
 	size := binary.BigEndian.Uint32(b[8:])
-	if size > maxPacket {
-		return p, 0, fmt.Errorf("gearman: packet of %d bytes", size)
+	if size > maxPacketBytes {
+		return packet, 0, fmt.Errorf("gearman: packet of %d bytes", size)
 	}
 	n = headerSize + int(size)
 	if len(b) < n {
-		return p, 0, ErrIncomplete
+		return packet, 0, ErrIncomplete
 	}
 	body := string(b[headerSize:n])
-	if want == 0 {
+	if wantArgs == 0 {
 		if body != "" {
-			return p, 0, fmt.Errorf("gearman: packet type %d takes no argument", p.Kind)
+			return packet, 0, fmt.Errorf("gearman: packet type %d takes no argument", packet.Kind)
 		}
-		return p, n, nil
+		return packet, n, nil
 	}
-	p.Args = strings.SplitN(body, "\x00", want)
-	if len(p.Args) != want {
-		return p, 0, fmt.Errorf("gearman: packet type %d has %d arguments, wants %d", p.Kind, len(p.Args), want)
+	packet.Args = strings.SplitN(body, "\x00", wantArgs)
+	if len(packet.Args) != wantArgs {
+		return packet, 0, fmt.Errorf("gearman: packet type %d has %d arguments, wants %d", packet.Kind, len(packet.Args), wantArgs)
 	}
-	for i, arg := range p.Args {
-		limit := maxName
-		if i == want-1 {
-			limit = maxData
+	for i, arg := range packet.Args {
+		limit := maxNameBytes
+		if i == wantArgs-1 {
+			limit = maxDataBytes
 		}
 		if len(arg) > limit {
-			return p, 0, fmt.Errorf("gearman: argument %d of packet type %d is too long", i, p.Kind)
+			return packet, 0, fmt.Errorf("gearman: argument %d of packet type %d is too long", i, packet.Kind)
 		}
 	}
-	switch p.Kind {
+	switch packet.Kind {
 	case CanDo, CantDo, CanDoTimeout, SubmitJob, SubmitJobBg, SubmitJobHigh, SubmitJobHighBg, SubmitJobLow, SubmitJobLowBg, SubmitJobEpoch:
-		if p.Args[0] == "" || strings.ContainsAny(p.Args[0], "\x00\n\t") {
-			return p, 0, fmt.Errorf("gearman: packet type %d names no function", p.Kind)
+		if packet.Args[0] == "" || strings.ContainsAny(packet.Args[0], "\x00\n\t") {
+			return packet, 0, fmt.Errorf("gearman: packet type %d names no function", packet.Kind)
 		}
 	}
-	return p, n, nil
+	return packet, n, nil
 }
 
 // Append writes a response packet.
@@ -172,7 +172,7 @@
 func ParseLine(b []byte) (words []string, n int, err error) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
-		if len(b) > maxLine {
+		if len(b) > maxLineBytes {
 			return nil, 0, errors.New("gearman: line too long")
 		}
 		return nil, 0, ErrIncomplete
--- a/internal/dispatcher/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -34,28 +34,28 @@
 	Counts   Counts
 	Shutdown func() // stops the program, where an administrator may
 
-	loop      *eventloop.Loop
-	log       *zap.Logger
-	core      *dispatch.Dispatcher
-	door      *admission.Limiter
-	config    *Config
-	report    []loadbalancer.ReportField
-	functions map[string]*function
-	peers     slotmap.Map[*peer]
-	jobs      map[string]*job // by handle
-	unique    map[uniqueKey]*job
-	serial    uint64
-	held      int // bytes of the jobs' data
-	prefix    string
-	stopping  bool
-	leaving   bool // evacuated: clients are sent away, until they are taken again
-	shut      bool // no new job is taken
-	rests     uint64
-	listener  *eventloop.Listener
-	retiring  *eventloop.Timer
+	loop         *eventloop.Loop
+	log          *zap.Logger
+	dispatcher   *dispatch.Dispatcher
+	limiter      *admission.Limiter
+	config       *Config
+	reportFields []loadbalancer.ReportField
+	functions    map[string]*function
+	peers        slotmap.Map[*peer]
+	jobs         map[string]*job // by handle
+	jobsByUnique map[uniqueKey]*job
+	lastSerial   uint64
+	pendingBytes int // bytes of the jobs' data
+	handlePrefix string
+	stopping     bool
+	evacuating   bool // evacuated: clients are sent away, until they are taken again
+	rejecting    bool // no new job is taken
+	idleSequence uint64
+	listener     *eventloop.Listener
+	retireTimer  *eventloop.Timer
 }
 
-const retireEvery = 0.05 // seconds between two looks at who can be sent to the next process
+const retireInterval = 0.05 // seconds between two looks at who can be sent to the next process
 
 type uniqueKey struct{ function, unique string }
 
@@ -67,17 +67,17 @@
 	running  int
 }
 
-// packet is output of a job that waits for the job's end: if the fetch fails and another is made, the client
+// outputPacket is output of a job that waits for the job's end: if the fetch fails and another is made, the client
 // must not see both.
-type packet struct {
+type outputPacket struct {
 	kind Kind
 	data string
 }
 
 // New makes the front; Start opens its port.
-func New(loop *eventloop.Loop, log *zap.Logger, core *dispatch.Dispatcher, door *admission.Limiter, config *Config, name string, report []loadbalancer.ReportField) *Server {
-	s := &Server{loop: loop, log: log, core: core, door: door, config: config, report: report, functions: map[string]*function{},
-		jobs: map[string]*job{}, unique: map[uniqueKey]*job{}, prefix: "H:" + name + ":"}
+func New(loop *eventloop.Loop, log *zap.Logger, dispatcher *dispatch.Dispatcher, limiter *admission.Limiter, config *Config, name string, reportFields []loadbalancer.ReportField) *Server {
+	s := &Server{loop: loop, log: log, dispatcher: dispatcher, limiter: limiter, config: config, reportFields: reportFields, functions: map[string]*function{},
+		jobs: map[string]*job{}, jobsByUnique: map[uniqueKey]*job{}, handlePrefix: "H:" + name + ":"}
 	for i, f := range config.Functions {
 		s.functions[f.Name] = &function{Function: f, skill: uint32(i + 1)}
 	}
@@ -89,7 +89,7 @@
 	if inherited > 0 {
 		s.listener, err = s.loop.InheritListener(inherited, s.accept)
 	} else {
-		s.listener, err = s.loop.Listen(s.config.listen, s.accept)
+		s.listener, err = s.loop.Listen(s.config.listenAddress, s.accept)
 	}
 	return err
 }
@@ -98,7 +98,7 @@
 // here; then clients and workers are sent to the next one, as they would be by a restart.
 func (s *Server) SetRetired(on bool) {
 	s.listener.SetSuspended(on)
-	s.retiring.Stop()
+	s.retireTimer.Stop()
 	if s.stopping = on; !on {
 		return
 	}
@@ -108,11 +108,11 @@
 
 func (s *Server) retire() {
 	s.peers.Each(func(_ slotmap.Handle, p *peer) {
-		if p.waits == 0 && len(p.conn.Bytes()) == 0 && p.conn.Unsent() == 0 && (p.worker == nil || len(s.jobs) == 0 && len(p.worker.running) == 0) {
-			p.end()
+		if p.pendingJobs == 0 && len(p.conn.Bytes()) == 0 && p.conn.Unsent() == 0 && (p.worker == nil || len(s.jobs) == 0 && len(p.worker.running) == 0) {
+			p.close()
 		}
 	})
-	s.retiring = s.loop.At(s.loop.Now()+retireEvery, s.retire)
+	s.retireTimer = s.loop.At(s.loop.Now()+retireInterval, s.retire)
 }
 
 // Listener is the open port.
@@ -123,7 +123,7 @@
 	s.stopping = true
 	for _, j := range s.jobs {
 		if !j.queued {
-			j.start.Stop()
+			j.startTimer.Stop()
 			j.Answer(dispatch.Answer{Verdict: dispatch.Failed})
 		}
 	}
@@ -132,18 +132,18 @@
 // Evacuate sends the clients away, or takes them again: new jobs are turned away and clients that wait for nothing
 // are closed. Workers stay, and all that was taken is served.
 func (s *Server) Evacuate(on bool) {
-	if s.leaving = on; !on {
+	if s.evacuating = on; !on {
 		return
 	}
 	s.peers.Each(func(_ slotmap.Handle, p *peer) {
-		if p.worker == nil && p.waits == 0 && len(p.conn.Bytes()) == 0 && p.conn.Unsent() == 0 && p.conn.Alive() {
-			p.end()
+		if p.worker == nil && p.pendingJobs == 0 && len(p.conn.Bytes()) == 0 && p.conn.Unsent() == 0 && p.conn.Alive() {
+			p.close()
 		}
 	})
 }
 
 // SetRejecting has new jobs turned away, or takes them again; clients stay.
-func (s *Server) SetRejecting(on bool) { s.shut = on }
+func (s *Server) SetRejecting(on bool) { s.rejecting = on }
 
 // Idle says whether every job has had its end and every answer has gone out.
 func (s *Server) Idle() bool {
@@ -153,37 +153,37 @@
 }
 
 // EvictIdle closes a client that can be spared, a worker never.
-func (s *Server) EvictIdle() bool { return s.shed(func(*peer) bool { return true }) }
+func (s *Server) EvictIdle() bool { return s.closeIdle(func(*peer) bool { return true }) }
 
-// shed closes one of the clients that may be closed: first one that has handed in nothing yet, then the one that
+// closeIdle closes one of the clients that may be closed: first one that has handed in nothing yet, then the one that
 // has been idle longest.
-func (s *Server) shed(may func(*peer) bool) bool {
+func (s *Server) closeIdle(allowed func(*peer) bool) bool {
 	var best *peer
 	s.peers.Each(func(_ slotmap.Handle, p *peer) {
 		switch {
-		case p.worker != nil || p.waits > 0 || !may(p) || best != nil && (p.whole && !best.whole ||
-			p.whole == best.whole && p.idleSince > best.idleSince):
-		case p.conn.Alive() || !p.whole && len(p.conn.Bytes()) > 0:
+		case p.worker != nil || p.pendingJobs > 0 || !allowed(p) || best != nil && (p.sentMessage && !best.sentMessage ||
+			p.sentMessage == best.sentMessage && p.idleOrder > best.idleOrder):
+		case p.conn.Alive() || !p.sentMessage && len(p.conn.Bytes()) > 0:
 			best = p
 		}
 	})
 	if best != nil {
-		best.end()
+		best.close()
 	}
 	return best != nil
 }
 
 // Reload takes a changed operator's file and names what needs a restart. Workers that stand in the list keep
 // the place they came with.
-func (s *Server) Reload(c *Config) (restart []string) {
-	if c.listen != s.config.listen {
+func (s *Server) Reload(config *Config) (restart []string) {
+	if config.listenAddress != s.config.listenAddress {
 		restart = append(restart, "gearman listen")
 	}
-	if !slices.Equal(c.Functions, s.config.Functions) {
+	if !slices.Equal(config.Functions, s.config.Functions) {
 		restart = append(restart, "gearman functions")
 	}
-	next := *c
-	next.listen, next.Functions = s.config.listen, s.config.Functions
+	next := *config
+	next.listenAddress, next.Functions = s.config.listenAddress, s.config.Functions
 	s.config = &next
 	return restart
 }
@@ -191,22 +191,22 @@
 // Totals returns the figures so far.
 func (s *Server) Totals() Counts { return s.Counts }
 
-func (s *Server) accept(c *eventloop.Conn) eventloop.Handler {
-	s.rests++
-	p := &peer{s: s, conn: c, connected: s.loop.Now(), idleSince: s.rests, clientID: "-", from: c.Peer().Addr().Unmap()}
-	p.h = s.peers.Insert(p)
-	p.expect(admission.FirstMessageTimeout)
-	if !s.door.Admit(p.from, func(may func(netip.Addr) bool) bool {
-		return s.shed(func(o *peer) bool { return o != p && may(o.from) })
+func (s *Server) accept(conn *eventloop.Conn) eventloop.Handler {
+	s.idleSequence++
+	p := &peer{server: s, conn: conn, connectedAt: s.loop.Now(), idleOrder: s.idleSequence, clientID: "-", address: conn.Peer().Addr().Unmap()}
+	p.handle = s.peers.Insert(p)
+	p.setMessageDeadline(admission.FirstMessageTimeout)
+	if !s.limiter.Admit(p.address, func(may func(netip.Addr) bool) bool {
+		return s.closeIdle(func(o *peer) bool { return o != p && may(o.address) })
 	}) {
-		p.turn(errQueue, "too many connections")
+		p.closeWithError(codeQueueFull, "too many connections")
 	}
 	return p
 }
 
-func (s *Server) byUnique(unique string) *job {
+func (s *Server) jobByUnique(unique string) *job {
 	var found *job
-	for key, j := range s.unique {
+	for key, j := range s.jobsByUnique {
 		if key.unique == unique && (found == nil || j.handle < found.handle) {
 			found = j
 		}
