--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -379,7 +379,7 @@
 	same(t, "nodes", []string{tries[0].Node, tries[1].Node, tries[2].Node}, []string{"a", "b", "c"})
 	same(t, "slots", []string{tries[0].Slot, tries[1].Slot, tries[2].Slot}, []string{"m.k.0.1", "m.k.0.2", "m.k.0.3"})
 	same(t, "results", []string{tries[0].Result, tries[1].Result, tries[2].Result}, []string{"full", "ok", "out"})
-	same(t, "copies", []bool{tries[0].Copy, tries[1].Copy, tries[2].Copy}, []bool{false, true, false})
+	same(t, "copies", []bool{tries[0].Hedged, tries[1].Hedged, tries[2].Hedged}, []bool{false, true, false})
 	same(t, "won", []bool{tries[0].Won, tries[1].Won, tries[2].Won}, []bool{false, true, false})
 	lines[0].Attempts = nil
 	same(t, "lines", lines, []requestlog.Line{
