--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -436,26 +436,26 @@
 
 // TestReadsPromises: the commands that the copies agree on, and a snapshot of what they came to.
 func TestReadsPromises(t *testing.T) {
-	bounds := jobstate.Bounds{Bytes: 1 << 20, TenantBytes: 1 << 20, JobBytes: 1 << 16, ResultMS: 1 << 40}
+	bounds := jobstate.Limits{TotalBytes: 1 << 20, TenantBytes: 1 << 20, JobBytes: 1 << 16, ResultRetentionMS: 1 << 40}
 	held := jobstate.New(bounds)
 	steps := []struct {
 		name    string
 		command jobstate.Command
 	}{
-		{"take", jobstate.Command{Kind: jobstate.Take, At: 1000, By: "n0.k3f", Tenant: "t", Key: "k", Class: "score", Function: "f", Priority: -1, Effect: jobstate.Keyed, WindowMS: 5000, Data: []byte("job")}},
-		{"send", jobstate.Command{Kind: jobstate.Send, At: 1001, By: "n0.k3f", ID: 1, Worker: "w", Group: "g"}},
-		{"end", jobstate.Command{Kind: jobstate.End, At: 1002, By: "n0.k3f", ID: 1, Fence: 1, Data: []byte("result"), Failed: true}},
-		{"take-other", jobstate.Command{Kind: jobstate.Take, At: 1003, By: "n0.k3f", Tenant: "t", Class: "score", Function: "g", Effect: jobstate.Unsafe, Data: []byte{0}}},
-		{"send-other", jobstate.Command{Kind: jobstate.Send, At: 1004, By: "n0.k3f", ID: 4, Worker: "w"}},
-		{"give-up", jobstate.Command{Kind: jobstate.GiveUp, At: 1005, By: "n1.k3g", ID: 4, Fence: 1}},
-		{"exclude", jobstate.Command{Kind: jobstate.Exclude, At: 1006, By: "n1.k3g", Worker: "w"}},
-		{"include", jobstate.Command{Kind: jobstate.Include, At: 1007, By: "n1.k3g", Worker: "v"}},
-		{"pass", jobstate.Command{Kind: jobstate.Pass, At: 2000, By: "n1.k3g"}},
-		{"unrun", jobstate.Command{Kind: jobstate.End, At: 2001, By: "n0.k3f", ID: 9, Fence: 3, Unrun: true}},
+		{"take", jobstate.Command{Kind: jobstate.CommandSubmit, TimeMS: 1000, Proposer: "n0.k3f", Tenant: "t", Key: "k", Class: "score", Function: "f", Priority: -1, Effect: jobstate.Keyed, DeduplicationWindowMS: 5000, Data: []byte("job")}},
+		{"send", jobstate.Command{Kind: jobstate.CommandSend, TimeMS: 1001, Proposer: "n0.k3f", ID: 1, Worker: "w", WorkerGroup: "g"}},
+		{"end", jobstate.Command{Kind: jobstate.CommandEnd, TimeMS: 1002, Proposer: "n0.k3f", ID: 1, FencingToken: 1, Data: []byte("result"), Failed: true}},
+		{"take-other", jobstate.Command{Kind: jobstate.CommandSubmit, TimeMS: 1003, Proposer: "n0.k3f", Tenant: "t", Class: "score", Function: "g", Effect: jobstate.Unsafe, Data: []byte{0}}},
+		{"send-other", jobstate.Command{Kind: jobstate.CommandSend, TimeMS: 1004, Proposer: "n0.k3f", ID: 4, Worker: "w"}},
+		{"give-up", jobstate.Command{Kind: jobstate.CommandAbandon, TimeMS: 1005, Proposer: "n1.k3g", ID: 4, FencingToken: 1}},
+		{"exclude", jobstate.Command{Kind: jobstate.CommandExclude, TimeMS: 1006, Proposer: "n1.k3g", Worker: "w"}},
+		{"include", jobstate.Command{Kind: jobstate.CommandInclude, TimeMS: 1007, Proposer: "n1.k3g", Worker: "v"}},
+		{"pass", jobstate.Command{Kind: jobstate.CommandAdvanceTime, TimeMS: 2000, Proposer: "n1.k3g"}},
+		{"unrun", jobstate.Command{Kind: jobstate.CommandEnd, TimeMS: 2001, Proposer: "n0.k3f", ID: 9, FencingToken: 3, NotRun: true}},
 	}
 	for i, step := range steps {
 		recorded := compatibility.Here.Check(t, "promises/"+step.name, step.command.Encode())
-		step.command.Form = 1
+		step.command.FormatVersion = 1
 		same(t, step.name, must(jobstate.Decode(recorded))(t), step.command)
 		if _, err := held.Apply(uint64(i+1), recorded); err != nil {
 			t.Fatal(step.name, err)
@@ -466,13 +466,13 @@
 	if err := read.Restore(recorded); err != nil {
 		t.Fatal(err)
 	}
-	same(t, "now", read.Now(), 2001)
+	same(t, "now", read.NowMS(), 2001)
 	same(t, "digest", read.Digest(), uint64(promisesDigest))
 	same(t, "excluded", []bool{read.Excluded("w"), read.Excluded("v")}, []bool{true, false})
-	same(t, "found", read.Find("t", "k").ID, 1)
+	same(t, "found", read.FindByKey("t", "k").ID, 1)
 	same(t, "first", *read.Job(1), jobstate.Job{ID: 1, Tenant: "t", Key: "k", Class: "score", Function: "f", Priority: -1, Effect: jobstate.Keyed,
-		WindowMS: 5000, State: jobstate.Failed, Fence: 1, Holder: "n0.k3f", Worker: "w", Group: "g", FirstMS: 1001, EndMS: 1002,
-		Result: []byte("result"), TakenMS: 1000, Print: promisesPrint})
+		DeduplicationWindowMS: 5000, State: jobstate.Failed, FencingToken: 1, Owner: "n0.k3f", Worker: "w", WorkerGroup: "g", FirstSentMS: 1001, EndedMS: 1002,
+		Result: []byte("result"), SubmittedMS: 1000, Fingerprint: promisesPrint})
 	same(t, "other", read.Job(4).State, jobstate.Unknown)
 }
 
--- a/internal/dispatcher/cluster/jobreplica/copies_test.go
+++ b/internal/dispatcher/cluster/jobreplica/copies_test.go
@@ -262,7 +262,7 @@
 		key := fmt.Sprint("k", i)
 		for _, p := range w.places {
 			if p.copy != nil && !p.paused && p.copy.Holds() {
-				c := jobstate.Command{Kind: jobstate.Take, At: int64(w.now * 1000), Tenant: "t", Key: key, Class: "x"}
+				c := jobstate.Command{Kind: jobstate.CommandSubmit, TimeMS: int64(w.now * 1000), Tenant: "t", Key: key, Class: "x"}
 				p.asked[key] = c
 				p.copy.Propose(w.now, c.Encode())
 				w.after(p)
@@ -315,7 +315,7 @@
 	w.cut = func(from, to int) bool { return true }
 	w.run1(w.now + 4)
 	for _, p := range w.places {
-		err := p.copy.Propose(w.now, (&jobstate.Command{Kind: jobstate.Pass}).Encode())
+		err := p.copy.Propose(w.now, (&jobstate.Command{Kind: jobstate.CommandAdvanceTime}).Encode())
 		var none *jobreplica.NoMajority
 		if !errors.As(err, &none) || none.RetryMS <= 0 || none.Heard != 1 || none.Copies != 3 {
 			t.Errorf("%s: %v", p.member.Name, err)
@@ -344,7 +344,7 @@
 	w.run1(w.now + 3)
 	p := w.leader()
 	for i := range 200 {
-		c := jobstate.Command{Kind: jobstate.Take, At: int64(w.now * 1000), Tenant: "t", Key: fmt.Sprint(i), Class: "x", Data: make([]byte, 3000)}
+		c := jobstate.Command{Kind: jobstate.CommandSubmit, TimeMS: int64(w.now * 1000), Tenant: "t", Key: fmt.Sprint(i), Class: "x", Data: make([]byte, 3000)}
 		if err := p.copy.Propose(w.now, c.Encode()); err != nil {
 			t.Fatal(err)
 		}
@@ -359,7 +359,7 @@
 		t.Fatalf("%d copies", len(counted))
 	}
 	for _, p := range counted {
-		if jobs, _ := p.state.Held(); jobs != 200 {
+		if jobs, _ := p.state.Usage(); jobs != 200 {
 			t.Errorf("%s holds %d jobs", p.member.Name, jobs)
 		}
 	}
@@ -394,8 +394,8 @@
 		t.Fatal(err)
 	}
 	none := errors.New("none")
-	for _, p := range []jobstate.Problem{&jobreplica.NoMajority{}, &jobreplica.NotACopy{}, &jobreplica.Stopped{Cause: none}, &jobreplica.TooFar{}, &jobreplica.Replaced{}} {
-		if p.Code() == "" || p.Do() == "" || !strings.Contains(string(page), "`"+p.Code()+"`") || !strings.Contains(string(page), p.Do()) {
+	for _, p := range []jobstate.CodedError{&jobreplica.NoMajority{}, &jobreplica.NotACopy{}, &jobreplica.Stopped{Cause: none}, &jobreplica.TooFar{}, &jobreplica.Replaced{}} {
+		if p.Code() == "" || p.Remedy() == "" || !strings.Contains(string(page), "`"+p.Code()+"`") || !strings.Contains(string(page), p.Remedy()) {
 			t.Errorf("%T: %q is not on the page as it is", p, p.Code())
 		}
 	}
--- a/internal/dispatcher/cluster/jobreplica/cost_test.go
+++ b/internal/dispatcher/cluster/jobreplica/cost_test.go
@@ -18,7 +18,7 @@
 			}
 			all, pagers, now := map[uint64]*jobreplica.Copy{}, map[uint64]*jobreplica.Pager{}, 0.0
 			for _, m := range members {
-				state := &machine{jobstate.New(jobstate.Bounds{Bytes: 1 << 30, TenantBytes: 1 << 30, JobBytes: 1 << 20, ResultMS: 1000}), &world{}}
+				state := &machine{jobstate.New(jobstate.Limits{TotalBytes: 1 << 30, TenantBytes: 1 << 30, JobBytes: 1 << 20, ResultRetentionMS: 1000}), &world{}}
 				all[m.ID] = jobreplica.New(now, jobreplica.Options{Me: m, Seed: m.ID, Copies: many, Machine: state, Silence: 1, Beat: 0.1, Replace: 30, Cut: 1 << 20, Most: 1 << 16})
 				pagers[m.ID] = jobreplica.NewPager("test", m.ID, 1<<20)
 				if err := all[m.ID].Found(members); err != nil {
@@ -60,7 +60,7 @@
 			b.ReportAllocs()
 			n := 0
 			for ; b.Loop(); n++ {
-				c := jobstate.Command{Kind: jobstate.Take, At: 1000, Tenant: "t", Key: fmt.Sprint(n), Class: "c", Data: make([]byte, 200)}
+				c := jobstate.Command{Kind: jobstate.CommandSubmit, TimeMS: 1000, Tenant: "t", Key: fmt.Sprint(n), Class: "c", Data: make([]byte, 200)}
 				if err := leader.Propose(now, c.Encode()); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/dispatcher/cluster/jobreplica/errors.go
+++ b/internal/dispatcher/cluster/jobreplica/errors.go
@@ -16,8 +16,8 @@
 // Code is "no_majority".
 func (e *NoMajority) Code() string { return "no_majority" }
 
-// Do says what helps.
-func (e *NoMajority) Do() string {
+// Remedy says what helps.
+func (e *NoMajority) Remedy() string {
 	return "Come back after the wait. If it lasts, bring back the machines that hold copies or the network between them."
 }
 
@@ -29,8 +29,8 @@
 // Code is "not_a_copy".
 func (e *NotACopy) Code() string { return "not_a_copy" }
 
-// Do says what helps.
-func (e *NotACopy) Do() string { return "Nothing: the member passes on what it is asked." }
+// Remedy says what helps.
+func (e *NotACopy) Remedy() string { return "Nothing: the member passes on what it is asked." }
 
 // Stopped is that this copy found something that it cannot go on from. It votes and answers no more until it begins another life.
 type Stopped struct {
@@ -48,8 +48,8 @@
 // Code is "copy_stopped".
 func (e *Stopped) Code() string { return "copy_stopped" }
 
-// Do says what helps.
-func (e *Stopped) Do() string {
+// Remedy says what helps.
+func (e *Stopped) Remedy() string {
 	return "Restart this dispatcher: it comes back as a new copy. If it stops again, keep its log and bring all to one version."
 }
 
@@ -63,8 +63,10 @@
 // Code is "command_too_long".
 func (e *TooFar) Code() string { return "command_too_long" }
 
-// Do says what helps.
-func (e *TooFar) Do() string { return "Send less data with the job, or a reference to where it lies." }
+// Remedy says what helps.
+func (e *TooFar) Remedy() string {
+	return "Send less data with the job, or a reference to where it lies."
+}
 
 // Replaced is that another life holds the copy that this one held: what it knew is old.
 type Replaced struct {
@@ -79,7 +81,7 @@
 // Code is "replaced".
 func (e *Replaced) Code() string { return "replaced" }
 
-// Do says what helps.
-func (e *Replaced) Do() string {
+// Remedy says what helps.
+func (e *Replaced) Remedy() string {
 	return "Nothing: the member goes on without a copy and may be chosen again under a new life."
 }
--- a/internal/dispatcher/cluster/jobreplica/world_test.go
+++ b/internal/dispatcher/cluster/jobreplica/world_test.go
@@ -62,7 +62,7 @@
 
 func (w *world) at(at float64, do func()) { w.agenda.Schedule(at, do) }
 
-var bounds = jobstate.Bounds{Bytes: 1 << 20, TenantBytes: 1 << 20, JobBytes: 8 << 10, ResultMS: 600_000}
+var bounds = jobstate.Limits{TotalBytes: 1 << 20, TenantBytes: 1 << 20, JobBytes: 8 << 10, ResultRetentionMS: 600_000}
 
 // newWorld is a fleet of n members of which the first so many found the state.
 func newWorld(seed uint64, n, many int) *world {
@@ -158,10 +158,10 @@
 func (m *machine) Apply(index uint64, command []byte) (any, error) {
 	if m.w.noFence || m.w.noKey {
 		if c, err := jobstate.Decode(command); err == nil {
-			if job := m.Job(c.ID); c.Kind == jobstate.Send && m.w.noFence && job != nil {
-				c.Fence = job.Fence
+			if job := m.Job(c.ID); c.Kind == jobstate.CommandSend && m.w.noFence && job != nil {
+				c.FencingToken = job.FencingToken
 			}
-			if c.Kind == jobstate.Take && m.w.noKey {
+			if c.Kind == jobstate.CommandSubmit && m.w.noKey {
 				c.Key += fmt.Sprint(" ", index)
 			}
 			command = c.Encode()
@@ -243,8 +243,8 @@
 		return
 	}
 	p := w.places[w.rng.IntN(len(w.places))]
-	c := jobstate.Command{Kind: jobstate.Take, At: int64(w.now * 1000), By: p.member.Name, Tenant: "t", Key: key, Class: fmt.Sprint(effect), Effect: effect,
-		WindowMS: 5000, Data: []byte(key)}
+	c := jobstate.Command{Kind: jobstate.CommandSubmit, TimeMS: int64(w.now * 1000), Proposer: p.member.Name, Tenant: "t", Key: key, Class: fmt.Sprint(effect), Effect: effect,
+		DeduplicationWindowMS: 5000, Data: []byte(key)}
 	if p.copy != nil && !p.paused && p.copy.Holds() {
 		p.asked[key] = c
 		p.copy.Propose(w.now, c.Encode())
@@ -262,7 +262,7 @@
 	}
 	result := a.Result.(jobstate.Result)
 	switch c.Kind {
-	case jobstate.Take:
+	case jobstate.CommandSubmit:
 		if _, mine := p.asked[c.Key]; mine && result.Err == nil { // the party is told
 			if was := w.acked[c.Key]; was != 0 && was != result.Job.ID {
 				w.fail("key %s is promised twice: %d and %d", c.Key, was, result.Job.ID)
@@ -270,15 +270,15 @@
 			w.acked[c.Key] = result.Job.ID
 			delete(p.asked, c.Key)
 		}
-	case jobstate.Send:
-		if c.By == w.holder(p) && result.Err == nil {
+	case jobstate.CommandSend:
+		if c.Proposer == w.holder(p) && result.Err == nil {
 			w.run(p, *result.Job, c)
 		}
-	case jobstate.End, jobstate.GiveUp:
+	case jobstate.CommandEnd, jobstate.CommandAbandon:
 		if result.Err == nil {
 			delete(w.held, c.ID)
 		}
-		if result.Err == nil && result.Job.State.Over() {
+		if result.Err == nil && result.Job.State.Terminal() {
 			if was := w.told[c.ID]; was != 0 && was != result.Job.State {
 				w.fail("job %d ended twice: %s and %s", c.ID, was, result.Job.State)
 			}
@@ -291,14 +291,14 @@
 
 // run is the first byte going out: a worker of the group runs the job, and tells its end a while later to who sent it.
 func (w *world) run(p *place, job jobstate.Job, c jobstate.Command) {
-	w.check(job, work{c.Group, job.Fence, w.now})
+	w.check(job, work{c.WorkerGroup, job.FencingToken, w.now})
 	if was, is := w.held[job.ID]; is {
 		w.fail("job %d is sent by %s while %s has it", job.ID, w.holder(p), was)
 	}
 	w.held[job.ID] = w.holder(p)
-	w.books[job.ID] = append(w.books[job.ID], work{c.Group, job.Fence, w.now})
+	w.books[job.ID] = append(w.books[job.ID], work{c.WorkerGroup, job.FencingToken, w.now})
 	life := p.life
-	w.at(w.now+0.2+w.rng.Float64(), func() { w.tell(p, life, job.ID, job.Fence) })
+	w.at(w.now+0.2+w.rng.Float64(), func() { w.tell(p, life, job.ID, job.FencingToken) })
 }
 
 // check is P7 by the workers' own books.
@@ -319,7 +319,7 @@
 		return
 	}
 	if !p.paused {
-		c := jobstate.Command{Kind: jobstate.End, At: int64(w.now * 1000), By: w.holder(p), ID: id, Fence: fence, Data: []byte("done")}
+		c := jobstate.Command{Kind: jobstate.CommandEnd, TimeMS: int64(w.now * 1000), Proposer: w.holder(p), ID: id, FencingToken: fence, Data: []byte("done")}
 		p.copy.Propose(w.now, c.Encode())
 		w.after(p)
 	}
@@ -335,10 +335,10 @@
 			}
 			if waiting := p.state.Waiting(); len(waiting) > 0 {
 				job := waiting[w.rng.IntN(len(waiting))]
-				c := jobstate.Command{Kind: jobstate.Send, At: int64(w.now * 1000), By: w.holder(p), ID: job.ID, Fence: job.Fence, Worker: "w",
-					Group: fmt.Sprint(w.rng.IntN(2))}
-				if job.Group != "" {
-					c.Group = job.Group
+				c := jobstate.Command{Kind: jobstate.CommandSend, TimeMS: int64(w.now * 1000), Proposer: w.holder(p), ID: job.ID, FencingToken: job.FencingToken, Worker: "w",
+					WorkerGroup: fmt.Sprint(w.rng.IntN(2))}
+				if job.WorkerGroup != "" {
+					c.WorkerGroup = job.WorkerGroup
 				}
 				if w.noWait {
 					w.run(p, *job, c)
@@ -362,9 +362,9 @@
 		}
 	}
 	for id := range w.acked {
-		job := p.state.Find("t", id)
-		if job != nil && job.State == jobstate.Sent && !alive[job.Holder] {
-			c := jobstate.Command{Kind: jobstate.GiveUp, At: int64(w.now * 1000), By: w.holder(p), ID: job.ID, Fence: job.Fence}
+		job := p.state.FindByKey("t", id)
+		if job != nil && job.State == jobstate.Sent && !alive[job.Owner] {
+			c := jobstate.Command{Kind: jobstate.CommandAbandon, TimeMS: int64(w.now * 1000), Proposer: w.holder(p), ID: job.ID, FencingToken: job.FencingToken}
 			p.copy.Propose(w.now, c.Encode())
 		}
 	}
@@ -417,12 +417,12 @@
 	}
 	for key, id := range w.acked {
 		for _, p := range counted {
-			job := p.state.Find("t", key)
+			job := p.state.FindByKey("t", key)
 			if job == nil || job.ID != id {
 				return fmt.Errorf("%s lost job %d of key %s", p.member.Name, id, key)
 			}
-			if !job.State.Over() {
-				return fmt.Errorf("job %d has no end: %s, fence %d of %s", id, job.State, job.Fence, job.Holder)
+			if !job.State.Terminal() {
+				return fmt.Errorf("job %d has no end: %s, fence %d of %s", id, job.State, job.FencingToken, job.Owner)
 			}
 			if was := w.told[id]; was != job.State {
 				return fmt.Errorf("job %d ended as %s and is held as %s", id, was, job.State)
--- a/internal/dispatcher/cluster/jobstate/cost_test.go
+++ b/internal/dispatcher/cluster/jobstate/cost_test.go
@@ -7,9 +7,9 @@
 
 // filled holds so many jobs of 200 bytes.
 func filled(b *testing.B, jobs int) *State {
-	s := New(Bounds{Bytes: 1 << 30, TenantBytes: 1 << 30, JobBytes: 8 << 10, ResultMS: 600_000})
+	s := New(Limits{TotalBytes: 1 << 30, TenantBytes: 1 << 30, JobBytes: 8 << 10, ResultRetentionMS: 600_000})
 	for i := range jobs {
-		c := Command{Kind: Take, At: 1000, Tenant: "t", Key: fmt.Sprint(i), Class: "c", Function: "f", Data: make([]byte, 200)}
+		c := Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "t", Key: fmt.Sprint(i), Class: "c", Function: "f", Data: make([]byte, 200)}
 		if r, err := s.Apply(uint64(i+1), c.Encode()); err != nil || r.Err != nil {
 			b.Fatal(err, r.Err)
 		}
@@ -25,9 +25,9 @@
 	for i := 0; b.Loop(); i++ {
 		index += 3
 		id := index - 2
-		s.Apply(id, (&Command{Kind: Take, At: 1000, Tenant: "t", Key: fmt.Sprint("b", i), Class: "c", Data: make([]byte, 200)}).Encode())
-		s.Apply(index-1, (&Command{Kind: Send, At: 1000, By: "m", ID: id}).Encode())
-		s.Apply(index, (&Command{Kind: End, At: 1000, By: "m", ID: id, Fence: 1, Data: make([]byte, 50)}).Encode())
+		s.Apply(id, (&Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "t", Key: fmt.Sprint("b", i), Class: "c", Data: make([]byte, 200)}).Encode())
+		s.Apply(index-1, (&Command{Kind: CommandSend, TimeMS: 1000, Proposer: "m", ID: id}).Encode())
+		s.Apply(index, (&Command{Kind: CommandEnd, TimeMS: 1000, Proposer: "m", ID: id, FencingToken: 1, Data: make([]byte, 50)}).Encode())
 	}
 }
 
--- a/internal/dispatcher/cluster/jobstate/promises_test.go
+++ b/internal/dispatcher/cluster/jobstate/promises_test.go
@@ -12,25 +12,25 @@
 	"pgregory.net/rapid"
 )
 
-var bounds = Bounds{Bytes: 64 << 10, TenantBytes: 40 << 10, JobBytes: 4 << 10, ResultMS: 10_000}
+var testLimits = Limits{TotalBytes: 64 << 10, TenantBytes: 40 << 10, JobBytes: 4 << 10, ResultRetentionMS: 10_000}
 
-// drawn is a command that may or may not make sense in a state.
-func drawn(t *rapid.T, s *State, at int64) *Command {
-	c := &Command{Kind: Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "kind")), At: at, By: rapid.SampledFrom([]string{"m1/1", "m2/1"}).Draw(t, "by")}
+// drawCommand is a command that may or may not make sense in a state.
+func drawCommand(t *rapid.T, s *State, at int64) *Command {
+	c := &Command{Kind: CommandKind(rapid.IntRange(1, int(commandKinds)-1).Draw(t, "kind")), TimeMS: at, Proposer: rapid.SampledFrom([]string{"m1/1", "m2/1"}).Draw(t, "by")}
 	switch c.Kind {
-	case Take:
+	case CommandSubmit:
 		c.Tenant, c.Key = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "tenant"), fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "key"))
-		c.Effect, c.WindowMS = Effect(rapid.IntRange(0, 2).Draw(t, "effect")), 3000
+		c.Effect, c.DeduplicationWindowMS = Effect(rapid.IntRange(0, 2).Draw(t, "effect")), 3000
 		c.Data = make([]byte, rapid.IntRange(0, 5000).Draw(t, "bytes"))
-	case Send, End, GiveUp:
+	case CommandSend, CommandEnd, CommandAbandon:
 		c.ID = uint64(rapid.IntRange(1, 60).Draw(t, "id"))
 		if job := s.Job(c.ID); job != nil {
-			c.Fence = job.Fence
+			c.FencingToken = job.FencingToken
 		}
-		c.Fence += uint64(rapid.IntRange(0, 5).Draw(t, "fence") / 5)
-		c.Group, c.Unrun = rapid.SampledFrom([]string{"g", "h"}).Draw(t, "group"), rapid.IntRange(0, 3).Draw(t, "unrun") == 0
+		c.FencingToken += uint64(rapid.IntRange(0, 5).Draw(t, "fence") / 5)
+		c.WorkerGroup, c.NotRun = rapid.SampledFrom([]string{"g", "h"}).Draw(t, "group"), rapid.IntRange(0, 3).Draw(t, "unrun") == 0
 		c.Data = make([]byte, rapid.IntRange(0, 6000).Draw(t, "result"))
-	case Exclude, Include:
+	case CommandExclude, CommandInclude:
 		c.Worker = rapid.SampledFrom([]string{"w1", "w2"}).Draw(t, "worker")
 	}
 	return c
@@ -39,28 +39,28 @@
 // Two states that take the same commands are the same bit for bit, also where one went through a snapshot; a job ends once; the bounds hold.
 func TestStatesThatTakeTheSameAreTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := New(bounds), New(bounds)
+		a, b := New(testLimits), New(testLimits)
 		at, ends := int64(1_000_000), map[uint64]JobState{}
 		for i := uint64(1); i <= 60; i++ {
 			at += int64(rapid.IntRange(-2000, 2000).Draw(t, "time")) // clocks are seconds apart
-			text := drawn(t, a, at).Encode()
-			now := a.Now()
+			text := drawCommand(t, a, at).Encode()
+			now := a.NowMS()
 			ra, err := a.Apply(i, text)
 			rb, _ := b.Apply(i, text)
 			if err != nil || fmt.Sprint(ra.Err) != fmt.Sprint(rb.Err) {
 				t.Fatalf("%v, %v, %v", err, ra.Err, rb.Err)
 			}
-			if a.Now() < now {
+			if a.NowMS() < now {
 				t.Fatal("time went back")
 			}
-			if ra.Job != nil && ra.Job.State.Over() {
+			if ra.Job != nil && ra.Job.State.Terminal() {
 				if was := ends[ra.Job.ID]; was != 0 && was != ra.Job.State {
 					t.Fatalf("job %d ended as %s, then as %s", ra.Job.ID, was, ra.Job.State)
 				}
 				ends[ra.Job.ID] = ra.Job.State
 			}
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
-				fresh := New(bounds)
+				fresh := New(testLimits)
 				if err := fresh.Restore(b.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
@@ -71,9 +71,9 @@
 			}
 			sum := 0
 			for _, job := range a.jobs {
-				sum += job.bytes()
+				sum += job.sizeBytes()
 			}
-			if _, held := a.Held(); held != sum+outBytes*len(a.out) {
+			if _, held := a.Usage(); held != sum+exclusionBytes*len(a.exclusions) {
 				t.Fatalf("%d bytes counted, %d held", held, sum)
 			}
 		}
@@ -105,16 +105,16 @@
 		{"keyed, at its window's end", Keyed, "g", 3000, Unknown},
 		{"unsafe", Unsafe, "g", 1, Unknown},
 	} {
-		s := New(bounds)
-		id := apply(t, s, 1, Command{Kind: Take, At: 1000, Tenant: "a", Key: "k", Effect: c.effect, WindowMS: 3000}).Job.ID
-		apply(t, s, 2, Command{Kind: Send, At: 1000, By: "m1", ID: id, Group: "g"})
-		job := apply(t, s, 3, Command{Kind: GiveUp, At: 1000 + c.after, ID: id, Fence: 1}).Job
+		s := New(testLimits)
+		id := apply(t, s, 1, Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "a", Key: "k", Effect: c.effect, DeduplicationWindowMS: 3000}).Job.ID
+		apply(t, s, 2, Command{Kind: CommandSend, TimeMS: 1000, Proposer: "m1", ID: id, WorkerGroup: "g"})
+		job := apply(t, s, 3, Command{Kind: CommandAbandon, TimeMS: 1000 + c.after, ID: id, FencingToken: 1}).Job
 		if job.State != c.again {
 			t.Errorf("%s: %s", c.name, job.State)
 		}
 		if job.State == Waiting {
-			err := apply(t, s, 4, Command{Kind: Send, At: 1000 + c.after, By: "m2", ID: id, Fence: 1, Group: "elsewhere"}).Err
-			var may *MayHaveRun
+			err := apply(t, s, 4, Command{Kind: CommandSend, TimeMS: 1000 + c.after, Proposer: "m2", ID: id, FencingToken: 1, WorkerGroup: "elsewhere"}).Err
+			var may *MayHaveRunError
 			if errors.As(err, &may) != (c.effect == Keyed) {
 				t.Errorf("%s, sent to other workers: %v", c.name, err)
 			}
@@ -123,54 +123,54 @@
 }
 
 func TestOnlyOneOfTwoHeirsSends(t *testing.T) {
-	s := New(bounds)
-	id := apply(t, s, 1, Command{Kind: Take, At: 1000, Tenant: "a", Key: "k"}).Job.ID
-	if err := apply(t, s, 2, Command{Kind: Send, At: 1000, By: "m1", ID: id}).Err; err != nil {
+	s := New(testLimits)
+	id := apply(t, s, 1, Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "a", Key: "k"}).Job.ID
+	if err := apply(t, s, 2, Command{Kind: CommandSend, TimeMS: 1000, Proposer: "m1", ID: id}).Err; err != nil {
 		t.Fatal(err)
 	}
-	var fenced *Fenced
-	if err := apply(t, s, 3, Command{Kind: Send, At: 1000, By: "m2", ID: id}).Err; !errors.As(err, &fenced) || fenced.By != "m1" || fenced.Now != 1 {
+	var fenced *FencedError
+	if err := apply(t, s, 3, Command{Kind: CommandSend, TimeMS: 1000, Proposer: "m2", ID: id}).Err; !errors.As(err, &fenced) || fenced.Owner != "m1" || fenced.CurrentToken != 1 {
 		t.Errorf("the second one's send: %v", err)
 	}
-	apply(t, s, 4, Command{Kind: GiveUp, At: 2000, ID: id, Fence: 1})
-	apply(t, s, 5, Command{Kind: Send, At: 2000, By: "m2", ID: id, Fence: 1})
-	if r := apply(t, s, 6, Command{Kind: End, At: 3000, By: "m1", ID: id, Fence: 1, Data: []byte("x")}); r.Err != nil || r.Job.State != Done {
+	apply(t, s, 4, Command{Kind: CommandAbandon, TimeMS: 2000, ID: id, FencingToken: 1})
+	apply(t, s, 5, Command{Kind: CommandSend, TimeMS: 2000, Proposer: "m2", ID: id, FencingToken: 1})
+	if r := apply(t, s, 6, Command{Kind: CommandEnd, TimeMS: 3000, Proposer: "m1", ID: id, FencingToken: 1, Data: []byte("x")}); r.Err != nil || r.Job.State != Done {
 		t.Errorf("the first end is the one, also of who was outlived: %v", r.Err)
 	}
-	var ended *Ended
-	if err := apply(t, s, 7, Command{Kind: End, At: 3000, By: "m2", ID: id, Fence: 2}).Err; !errors.As(err, &ended) {
+	var ended *JobEndedError
+	if err := apply(t, s, 7, Command{Kind: CommandEnd, TimeMS: 3000, Proposer: "m2", ID: id, FencingToken: 2}).Err; !errors.As(err, &ended) {
 		t.Errorf("a second end: %v", err)
 	}
 }
 
 func TestAtTheBoundsItIsRefusedAndSaysWhen(t *testing.T) {
-	s := New(bounds)
+	s := New(testLimits)
 	data := make([]byte, 3000)
-	var full *Full
+	var full *StateFullError
 	i := uint64(0)
-	for ; !errors.As(apply(t, s, i+1, Command{Kind: Take, At: 1000, Tenant: "a", Key: fmt.Sprint(i), Data: data}).Err, &full); i++ {
+	for ; !errors.As(apply(t, s, i+1, Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "a", Key: fmt.Sprint(i), Data: data}).Err, &full); i++ {
 	}
 	if full.Tenant != "a" || full.RetryMS <= 0 {
 		t.Errorf("%+v", full)
 	}
-	if r := apply(t, s, 100, Command{Kind: Take, At: 1000, Tenant: "b", Key: "b", Data: data}); r.Err != nil {
+	if r := apply(t, s, 100, Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "b", Key: "b", Data: data}); r.Err != nil {
 		t.Errorf("another tenant: %v", r.Err)
 	}
-	apply(t, s, 101, Command{Kind: Send, At: 1000, By: "m", ID: 1})
-	apply(t, s, 102, Command{Kind: End, At: 1000, By: "m", ID: 1, Fence: 1})
-	if r := apply(t, s, 103, Command{Kind: Take, At: 1000, Tenant: "a", Key: "again", Data: data}); r.Err != nil {
+	apply(t, s, 101, Command{Kind: CommandSend, TimeMS: 1000, Proposer: "m", ID: 1})
+	apply(t, s, 102, Command{Kind: CommandEnd, TimeMS: 1000, Proposer: "m", ID: 1, FencingToken: 1})
+	if r := apply(t, s, 103, Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "a", Key: "again", Data: data}); r.Err != nil {
 		t.Errorf("after an end has freed its data: %v", r.Err)
 	}
-	apply(t, s, 104, Command{Kind: Pass, At: 1000 + bounds.ResultMS})
+	apply(t, s, 104, Command{Kind: CommandAdvanceTime, TimeMS: 1000 + testLimits.ResultRetentionMS})
 	if s.Job(1) != nil {
 		t.Error("a result is kept beyond its time")
 	}
-	var large *TooLarge
-	if err := apply(t, s, 105, Command{Kind: Take, At: 1000, Tenant: "b", Data: make([]byte, 5000)}).Err; !errors.As(err, &large) {
+	var large *JobTooLargeError
+	if err := apply(t, s, 105, Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "b", Data: make([]byte, 5000)}).Err; !errors.As(err, &large) {
 		t.Errorf("too large: %v", err)
 	}
-	var other *OtherJob
-	if err := apply(t, s, 106, Command{Kind: Take, At: 1000, Tenant: "b", Key: "b", Data: []byte("other")}).Err; !errors.As(err, &other) {
+	var other *KeyConflictError
+	if err := apply(t, s, 106, Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "b", Key: "b", Data: []byte("other")}).Err; !errors.As(err, &other) {
 		t.Errorf("a key for another job: %v", err)
 	}
 }
@@ -181,21 +181,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range []Problem{&Full{}, &TooLarge{}, &NotHeld{}, &Fenced{}, &Ended{}, &MayHaveRun{}, &OtherJob{}, &Unreadable{Cause: errForm}} {
-		if p.Code() == "" || p.Do() == "" || p.Error() == "" || !strings.Contains(string(page), "`"+p.Code()+"`") || !strings.Contains(string(page), p.Do()) {
+	for _, p := range []CodedError{&StateFullError{}, &JobTooLargeError{}, &JobNotFoundError{}, &FencedError{}, &JobEndedError{}, &MayHaveRunError{}, &KeyConflictError{}, &DecodeError{Cause: errUnsupportedVersion}} {
+		if p.Code() == "" || p.Remedy() == "" || p.Error() == "" || !strings.Contains(string(page), "`"+p.Code()+"`") || !strings.Contains(string(page), p.Remedy()) {
 			t.Errorf("%T: %q is not on the page as it is", p, p.Code())
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add((&Command{Kind: Take, At: 1, Tenant: "a", Key: "k", Data: []byte("x")}).Encode())
+	f.Add((&Command{Kind: CommandSubmit, TimeMS: 1, Tenant: "a", Key: "k", Data: []byte("x")}).Encode())
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if c, err := Decode(text); err == nil {
 			if again, err := Decode(c.Encode()); err != nil || !cmp.Equal(c, again) {
 				t.Errorf("%v: %v, %v", c, again, err)
 			}
-			if _, err := New(bounds).Apply(1, text); err != nil {
+			if _, err := New(testLimits).Apply(1, text); err != nil {
 				t.Error(err)
 			}
 		}
@@ -203,13 +203,13 @@
 }
 
 func FuzzRestore(f *testing.F) {
-	s := New(bounds)
-	s.Apply(1, (&Command{Kind: Take, At: 1, Tenant: "a", Key: "k", Data: []byte("x")}).Encode())
+	s := New(testLimits)
+	s.Apply(1, (&Command{Kind: CommandSubmit, TimeMS: 1, Tenant: "a", Key: "k", Data: []byte("x")}).Encode())
 	f.Add(s.Snapshot())
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s := New(bounds)
+		s := New(testLimits)
 		if err := s.Restore(text); err == nil {
-			s.Apply(1<<40, (&Command{Kind: Pass, At: 1 << 40}).Encode())
+			s.Apply(1<<40, (&Command{Kind: CommandAdvanceTime, TimeMS: 1 << 40}).Encode())
 		}
 	})
 }
--- a/internal/dispatcher/cluster/jobstate/state.go
+++ b/internal/dispatcher/cluster/jobstate/state.go
@@ -22,76 +22,76 @@
 	Unknown // it may have run, and its class forbids to find out by running it again
 )
 
-var states = map[JobState]string{Waiting: "waiting", Sent: "sent", Done: "done", Failed: "failed", Unknown: "unknown"}
+var jobStateNames = map[JobState]string{Waiting: "waiting", Sent: "sent", Done: "done", Failed: "failed", Unknown: "unknown"}
 
-func (s JobState) String() string { return states[s] }
+func (s JobState) String() string { return jobStateNames[s] }
 
-// Over says whether the job has its end.
-func (s JobState) Over() bool { return s >= Done }
+// Terminal says whether the job has its end.
+func (s JobState) Terminal() bool { return s >= Done }
 
 // Job is a promised job.
 type Job struct {
-	ID       uint64   `cbor:"1,keyasint"` // the number of its place in the log
-	Tenant   string   `cbor:"2,keyasint"`
-	Key      string   `cbor:"3,keyasint"`
-	Class    string   `cbor:"4,keyasint"`
-	Function string   `cbor:"5,keyasint"`
-	Priority int8     `cbor:"6,keyasint"`
-	Effect   Effect   `cbor:"7,keyasint"`
-	WindowMS int64    `cbor:"8,keyasint"`
-	Data     []byte   `cbor:"9,keyasint"` // nil once it has ended
-	State    JobState `cbor:"10,keyasint"`
-	Fence    uint64   `cbor:"11,keyasint"` // counts the agreed sends
-	Holder   string   `cbor:"12,keyasint"` // who sent it last
-	Worker   string   `cbor:"13,keyasint"`
-	Group    string   `cbor:"14,keyasint"` // of the first send that may have run
-	FirstMS  int64    `cbor:"15,keyasint"` // and its time; 0: none
-	EndMS    int64    `cbor:"16,keyasint"`
-	Result   []byte   `cbor:"17,keyasint"`
-	TakenMS  int64    `cbor:"18,keyasint"`
-	Print    uint64   `cbor:"19,keyasint"` // of what was asked for under the key
+	ID                    uint64   `cbor:"1,keyasint"` // the number of its place in the log
+	Tenant                string   `cbor:"2,keyasint"`
+	Key                   string   `cbor:"3,keyasint"`
+	Class                 string   `cbor:"4,keyasint"`
+	Function              string   `cbor:"5,keyasint"`
+	Priority              int8     `cbor:"6,keyasint"`
+	Effect                Effect   `cbor:"7,keyasint"`
+	DeduplicationWindowMS int64    `cbor:"8,keyasint"`
+	Data                  []byte   `cbor:"9,keyasint"` // nil once it has ended
+	State                 JobState `cbor:"10,keyasint"`
+	FencingToken          uint64   `cbor:"11,keyasint"` // counts the agreed sends
+	Owner                 string   `cbor:"12,keyasint"` // who sent it last
+	Worker                string   `cbor:"13,keyasint"`
+	WorkerGroup           string   `cbor:"14,keyasint"` // of the first send that may have run
+	FirstSentMS           int64    `cbor:"15,keyasint"` // and its time; 0: none
+	EndedMS               int64    `cbor:"16,keyasint"`
+	Result                []byte   `cbor:"17,keyasint"`
+	SubmittedMS           int64    `cbor:"18,keyasint"`
+	Fingerprint           uint64   `cbor:"19,keyasint"` // of what was asked for under the key
 }
 
-func (j *Job) bytes() int {
-	return jobBytes + len(j.Tenant) + len(j.Key) + len(j.Class) + len(j.Function) + len(j.Data) + len(j.Result) + len(j.Holder) + len(j.Worker) + len(j.Group)
+func (j *Job) sizeBytes() int {
+	return jobOverheadBytes + len(j.Tenant) + len(j.Key) + len(j.Class) + len(j.Function) + len(j.Data) + len(j.Result) + len(j.Owner) + len(j.Worker) + len(j.WorkerGroup)
 }
 
-// Out is an order by hand that takes a worker out.
-type Out struct {
-	Worker string `cbor:"1,keyasint"`
-	By     string `cbor:"2,keyasint"`
-	AtMS   int64  `cbor:"3,keyasint"`
+// Exclusion is an order by hand that takes a worker out.
+type Exclusion struct {
+	Worker   string `cbor:"1,keyasint"`
+	Proposer string `cbor:"2,keyasint"`
+	TimeMS   int64  `cbor:"3,keyasint"`
 }
 
 const (
-	jobBytes = 256 // of a job beside its texts, about
-	outBytes = 96
+	jobOverheadBytes = 256 // of a job beside its texts, about
+	exclusionBytes   = 96
 )
 
-// Bounds are what the state holds at most.
-type Bounds struct {
-	Bytes       int // of all that is held
-	TenantBytes int // of one tenant
-	JobBytes    int // of one job
-	ResultMS    int64
+// Limits are what the state holds at most.
+type Limits struct {
+	TotalBytes        int // of all that is held
+	TenantBytes       int // of one tenant
+	JobBytes          int // of one job
+	ResultRetentionMS int64
 }
 
 // State is what is held. Two that were given the same commands are the same, bit for bit.
 type State struct {
-	Bounds
-	now    int64 // the latest time that a command brought, ms
-	jobs   map[uint64]*Job
-	keys   map[string]uint64 // tenant, a zero byte, key
-	out    map[string]Out
-	ended  []uint64 // in the order of their ends
-	bytes  int
-	tenant map[string]int
-	digest uint64 // of all items, whatever their order
+	Limits
+	nowMS       int64 // the latest time that a command brought, ms
+	jobs        map[uint64]*Job
+	idsByKey    map[string]uint64 // tenant, a zero byte, key
+	exclusions  map[string]Exclusion
+	endedIDs    []uint64 // in the order of their ends
+	usedBytes   int
+	tenantBytes map[string]int
+	digest      uint64 // of all items, whatever their order
 }
 
 // New is a state that holds nothing.
-func New(b Bounds) *State {
-	return &State{Bounds: b, jobs: map[uint64]*Job{}, keys: map[string]uint64{}, out: map[string]Out{}, tenant: map[string]int{}}
+func New(limits Limits) *State {
+	return &State{Limits: limits, jobs: map[uint64]*Job{}, idsByKey: map[string]uint64{}, exclusions: map[string]Exclusion{}, tenantBytes: map[string]int{}}
 }
 
 // Result is what a command came to.
@@ -101,213 +101,213 @@
 }
 
 // Check tells whether Apply could take a command at all.
-func (s *State) Check(text []byte) error {
-	_, err := Decode(text)
+func (s *State) Check(data []byte) error {
+	_, err := Decode(data)
 	return err
 }
 
 // Apply takes the command that was agreed at a place of the log. A command that cannot be read is an error of its own: the copy cannot go
 // on, since the others may have read it. All else that is wrong with one is its result.
-func (s *State) Apply(index uint64, text []byte) (Result, error) {
-	c, err := Decode(text)
+func (s *State) Apply(index uint64, data []byte) (Result, error) {
+	command, err := Decode(data)
 	if err != nil {
 		return Result{}, err
 	}
-	s.pass(c.At)
-	switch c.Kind {
-	case Take:
-		return s.take(index, &c), nil
-	case Send, End, GiveUp:
-		job := s.jobs[c.ID]
+	s.advanceTime(command.TimeMS)
+	switch command.Kind {
+	case CommandSubmit:
+		return s.submit(index, &command), nil
+	case CommandSend, CommandEnd, CommandAbandon:
+		job := s.jobs[command.ID]
 		if job == nil {
-			return Result{Err: &NotHeld{c.ID}}, nil
+			return Result{Err: &JobNotFoundError{command.ID}}, nil
 		}
-		if job.State.Over() {
-			return Result{job, &Ended{c.ID, job.State}}, nil
+		if job.State.Terminal() {
+			return Result{job, &JobEndedError{command.ID, job.State}}, nil
 		}
-		s.lift(job)
+		s.removeUsage(job)
 		var err error
-		switch c.Kind {
-		case Send:
-			err = s.send(job, &c)
-		case End:
-			err = s.end(job, &c)
+		switch command.Kind {
+		case CommandSend:
+			err = s.send(job, &command)
+		case CommandEnd:
+			err = s.end(job, &command)
 		default:
-			err = s.giveUp(job, &c)
+			err = s.abandon(job, &command)
 		}
-		s.lay(job)
+		s.addUsage(job)
 		return Result{job, err}, nil
-	case Exclude:
-		s.exclude(Out{c.Worker, c.By, s.now})
-	case Include:
-		if o, is := s.out[c.Worker]; is {
-			delete(s.out, c.Worker)
-			s.digest ^= hash(&o)
-			s.bytes -= outBytes
+	case CommandExclude:
+		s.exclude(Exclusion{command.Worker, command.Proposer, s.nowMS})
+	case CommandInclude:
+		if exclusion, excluded := s.exclusions[command.Worker]; excluded {
+			delete(s.exclusions, command.Worker)
+			s.digest ^= hash(&exclusion)
+			s.usedBytes -= exclusionBytes
 		}
 	}
 	return Result{}, nil
 }
 
-// pass moves the time on: never back, whoever's clock is behind. Results that have been kept for their time are forgotten.
-func (s *State) pass(at int64) {
-	s.now = max(s.now, at)
-	for len(s.ended) > 0 {
-		job := s.jobs[s.ended[0]]
-		if s.now-job.EndMS < s.ResultMS {
+// advanceTime moves the time on: never back, whoever's clock is behind. Results that have been kept for their time are forgotten.
+func (s *State) advanceTime(timeMS int64) {
+	s.nowMS = max(s.nowMS, timeMS)
+	for len(s.endedIDs) > 0 {
+		job := s.jobs[s.endedIDs[0]]
+		if s.nowMS-job.EndedMS < s.ResultRetentionMS {
 			return
 		}
-		s.ended = s.ended[1:]
-		s.lift(job)
+		s.endedIDs = s.endedIDs[1:]
+		s.removeUsage(job)
 		delete(s.jobs, job.ID)
-		delete(s.keys, job.Tenant+"\x00"+job.Key)
+		delete(s.idsByKey, job.Tenant+"\x00"+job.Key)
 	}
 }
 
-// lift takes a job out of the sums while it changes; lay puts it back.
-func (s *State) lift(job *Job) {
+// removeUsage takes a job out of the sums while it changes; lay puts it back.
+func (s *State) removeUsage(job *Job) {
 	s.digest ^= hash(job)
-	s.bytes -= job.bytes()
-	if s.tenant[job.Tenant] -= job.bytes(); s.tenant[job.Tenant] == 0 {
-		delete(s.tenant, job.Tenant)
+	s.usedBytes -= job.sizeBytes()
+	if s.tenantBytes[job.Tenant] -= job.sizeBytes(); s.tenantBytes[job.Tenant] == 0 {
+		delete(s.tenantBytes, job.Tenant)
 	}
 }
 
-func (s *State) lay(job *Job) {
+func (s *State) addUsage(job *Job) {
 	s.digest ^= hash(job)
-	s.bytes += job.bytes()
-	s.tenant[job.Tenant] += job.bytes()
+	s.usedBytes += job.sizeBytes()
+	s.tenantBytes[job.Tenant] += job.sizeBytes()
 }
 
 func hash(item any) uint64 {
 	return xxhash.Sum64(membership.MarshalDeterministic(item))
 }
 
-func (s *State) take(index uint64, c *Command) Result {
-	asked := hash([]any{c.Class, c.Function, c.Priority, c.Effect, c.WindowMS, c.Data})
-	if id, is := s.keys[c.Tenant+"\x00"+c.Key]; is && c.Key != "" {
-		if job := s.jobs[id]; job.Print == asked {
+func (s *State) submit(index uint64, command *Command) Result {
+	fingerprint := hash([]any{command.Class, command.Function, command.Priority, command.Effect, command.DeduplicationWindowMS, command.Data})
+	if id, known := s.idsByKey[command.Tenant+"\x00"+command.Key]; known && command.Key != "" {
+		if job := s.jobs[id]; job.Fingerprint == fingerprint {
 			return Result{Job: job}
 		}
-		return Result{Err: &OtherJob{c.Tenant, c.Key, id}}
+		return Result{Err: &KeyConflictError{command.Tenant, command.Key, id}}
 	}
-	job := &Job{ID: index, Tenant: c.Tenant, Key: c.Key, Class: c.Class, Function: c.Function, Priority: c.Priority, Effect: c.Effect,
-		WindowMS: c.WindowMS, Data: c.Data, State: Waiting, TakenMS: s.now, Print: asked}
-	switch size := job.bytes(); {
+	job := &Job{ID: index, Tenant: command.Tenant, Key: command.Key, Class: command.Class, Function: command.Function, Priority: command.Priority, Effect: command.Effect,
+		DeduplicationWindowMS: command.DeduplicationWindowMS, Data: command.Data, State: Waiting, SubmittedMS: s.nowMS, Fingerprint: fingerprint}
+	switch size := job.sizeBytes(); {
 	case size > s.JobBytes:
-		return Result{Err: &TooLarge{size, s.JobBytes}}
-	case s.bytes+size > s.Bytes:
-		return Result{Err: &Full{s.bytes, s.Bytes, "", s.room()}}
-	case s.tenant[c.Tenant]+size > s.TenantBytes:
-		return Result{Err: &Full{s.tenant[c.Tenant], s.TenantBytes, c.Tenant, s.room()}}
+		return Result{Err: &JobTooLargeError{size, s.JobBytes}}
+	case s.usedBytes+size > s.TotalBytes:
+		return Result{Err: &StateFullError{s.usedBytes, s.TotalBytes, "", s.retryAfterMS()}}
+	case s.tenantBytes[command.Tenant]+size > s.TenantBytes:
+		return Result{Err: &StateFullError{s.tenantBytes[command.Tenant], s.TenantBytes, command.Tenant, s.retryAfterMS()}}
 	}
 	s.jobs[index] = job
-	if c.Key != "" {
-		s.keys[c.Tenant+"\x00"+c.Key] = index
+	if command.Key != "" {
+		s.idsByKey[command.Tenant+"\x00"+command.Key] = index
 	}
-	s.lay(job)
+	s.addUsage(job)
 	return Result{Job: job}
 }
 
-// room is when the next result is forgotten, ms from now; a second where none is kept: jobs end meanwhile.
-func (s *State) room() int64 {
-	if len(s.ended) == 0 {
+// retryAfterMS is when the next result is forgotten, ms from now; a second where none is kept: jobs end meanwhile.
+func (s *State) retryAfterMS() int64 {
+	if len(s.endedIDs) == 0 {
 		return 1000
 	}
-	return max(s.jobs[s.ended[0]].EndMS+s.ResultMS-s.now, 1)
+	return max(s.jobs[s.endedIDs[0]].EndedMS+s.ResultRetentionMS-s.nowMS, 1)
 }
 
-// Repeatable says why a job that was sent may not be sent again, to workers of a group, at a time; nil where it may.
-func (j *Job) Repeatable(group string, now int64) error {
+// CheckResend says why a job that was sent may not be sent again, to workers of a group, at a time; nil where it may.
+func (j *Job) CheckResend(group string, nowMS int64) error {
 	switch {
-	case j.FirstMS == 0 || j.Effect == Safe:
+	case j.FirstSentMS == 0 || j.Effect == Safe:
 		return nil
 	case j.Effect == Unsafe:
-		return &MayHaveRun{j.ID, j.Class, "a repeat could do it twice"}
-	case now >= j.FirstMS+j.WindowMS:
-		return &MayHaveRun{j.ID, j.Class, "workers drop its repeats no longer"}
-	case group != j.Group:
-		return &MayHaveRun{j.ID, j.Class, "these workers do not know what the others have seen"}
+		return &MayHaveRunError{j.ID, j.Class, "a repeat could do it twice"}
+	case nowMS >= j.FirstSentMS+j.DeduplicationWindowMS:
+		return &MayHaveRunError{j.ID, j.Class, "workers drop its repeats no longer"}
+	case group != j.WorkerGroup:
+		return &MayHaveRunError{j.ID, j.Class, "these workers do not know what the others have seen"}
 	}
 	return nil
 }
 
-func (s *State) send(job *Job, c *Command) error {
-	if c.Fence != job.Fence {
-		return &Fenced{job.ID, c.Fence, job.Fence, job.Holder}
+func (s *State) send(job *Job, command *Command) error {
+	if command.FencingToken != job.FencingToken {
+		return &FencedError{job.ID, command.FencingToken, job.FencingToken, job.Owner}
 	}
-	if err := job.Repeatable(c.Group, s.now); err != nil {
+	if err := job.CheckResend(command.WorkerGroup, s.nowMS); err != nil {
 		return err
 	}
-	if job.FirstMS == 0 {
-		job.FirstMS, job.Group = max(s.now, 1), c.Group
+	if job.FirstSentMS == 0 {
+		job.FirstSentMS, job.WorkerGroup = max(s.nowMS, 1), command.WorkerGroup
 	}
-	job.Fence++
-	job.State, job.Holder, job.Worker = Sent, c.By, c.Worker
+	job.FencingToken++
+	job.State, job.Owner, job.Worker = Sent, command.Proposer, command.Worker
 	return nil
 }
 
 // end takes the word of whoever sent the job, under whichever agreed fence: it ran, and the first end is the one.
-func (s *State) end(job *Job, c *Command) error {
+func (s *State) end(job *Job, command *Command) error {
 	switch {
-	case c.Fence == 0 || c.Fence > job.Fence:
-		return &Fenced{job.ID, c.Fence, job.Fence, job.Holder}
-	case c.Unrun && c.Fence < job.Fence:
-		return &Fenced{job.ID, c.Fence, job.Fence, job.Holder} // the later send may have run all the same
-	case c.Unrun:
-		job.State, job.Holder, job.Worker = Waiting, "", ""
-		if job.Fence == 1 { // nothing was ever run of it
-			job.FirstMS, job.Group = 0, ""
+	case command.FencingToken == 0 || command.FencingToken > job.FencingToken:
+		return &FencedError{job.ID, command.FencingToken, job.FencingToken, job.Owner}
+	case command.NotRun && command.FencingToken < job.FencingToken:
+		return &FencedError{job.ID, command.FencingToken, job.FencingToken, job.Owner} // the later send may have run all the same
+	case command.NotRun:
+		job.State, job.Owner, job.Worker = Waiting, "", ""
+		if job.FencingToken == 1 { // nothing was ever run of it
+			job.FirstSentMS, job.WorkerGroup = 0, ""
 		}
 		return nil
 	}
 	job.State = Done
-	if c.Failed {
+	if command.Failed {
 		job.State = Failed
 	}
-	s.over(job, c.Data)
+	s.finish(job, command.Data)
 	return nil
 }
 
-// giveUp ends a job whose holder is gone for good: a safe or still droppable one waits again, any other ends as unknown.
-func (s *State) giveUp(job *Job, c *Command) error {
-	if c.Fence != job.Fence || job.State != Sent {
-		return &Fenced{job.ID, c.Fence, job.Fence, job.Holder}
+// abandon ends a job whose holder is gone for good: a safe or still droppable one waits again, any other ends as unknown.
+func (s *State) abandon(job *Job, command *Command) error {
+	if command.FencingToken != job.FencingToken || job.State != Sent {
+		return &FencedError{job.ID, command.FencingToken, job.FencingToken, job.Owner}
 	}
-	if job.Repeatable(job.Group, s.now) == nil {
-		job.State, job.Holder, job.Worker = Waiting, "", ""
+	if job.CheckResend(job.WorkerGroup, s.nowMS) == nil {
+		job.State, job.Owner, job.Worker = Waiting, "", ""
 		return nil
 	}
 	job.State = Unknown
-	s.over(job, nil)
+	s.finish(job, nil)
 	return nil
 }
 
-func (s *State) over(job *Job, result []byte) {
-	if most := s.JobBytes - jobBytes; len(result) > most {
-		result = result[:most]
+func (s *State) finish(job *Job, result []byte) {
+	if limit := s.JobBytes - jobOverheadBytes; len(result) > limit {
+		result = result[:limit]
 	}
-	job.Data, job.Result, job.EndMS = nil, result, s.now
-	s.ended = append(s.ended, job.ID)
+	job.Data, job.Result, job.EndedMS = nil, result, s.nowMS
+	s.endedIDs = append(s.endedIDs, job.ID)
 }
 
-func (s *State) exclude(o Out) {
-	if _, is := s.out[o.Worker]; is {
+func (s *State) exclude(exclusion Exclusion) {
+	if _, known := s.exclusions[exclusion.Worker]; known {
 		return
 	}
-	s.out[o.Worker] = o
-	s.digest ^= hash(&o)
-	s.bytes += outBytes
+	s.exclusions[exclusion.Worker] = exclusion
+	s.digest ^= hash(&exclusion)
+	s.usedBytes += exclusionBytes
 }
 
 // Job is what is held under a number; nil: nothing.
 func (s *State) Job(id uint64) *Job { return s.jobs[id] }
 
-// Find is the job that a tenant's key stands for; nil: none.
-func (s *State) Find(tenant, key string) *Job { return s.jobs[s.keys[tenant+"\x00"+key]] }
+// FindByKey is the job that a tenant's key stands for; nil: none.
+func (s *State) FindByKey(tenant, key string) *Job { return s.jobs[s.idsByKey[tenant+"\x00"+key]] }
 
 // Excluded says whether a worker is out by hand.
-func (s *State) Excluded(worker string) bool { _, is := s.out[worker]; return is }
+func (s *State) Excluded(worker string) bool { _, excluded := s.exclusions[worker]; return excluded }
 
 // Waiting are the jobs to be sent, in the order in which they are: by priority, then age.
 func (s *State) Waiting() (jobs []*Job) {
@@ -323,7 +323,7 @@
 // SentBy are the jobs that a member has sent and not ended, by number.
 func (s *State) SentBy(holder string) (jobs []*Job) {
 	for _, job := range s.jobs {
-		if job.State == Sent && job.Holder == holder {
+		if job.State == Sent && job.Owner == holder {
 			jobs = append(jobs, job)
 		}
 	}
@@ -331,68 +331,68 @@
 	return jobs
 }
 
-// Held counts what is held.
-func (s *State) Held() (jobs, bytes int) { return len(s.jobs), s.bytes }
+// Usage counts what is held.
+func (s *State) Usage() (jobs, bytes int) { return len(s.jobs), s.usedBytes }
 
-// Now is the time of the log, ms.
-func (s *State) Now() int64 { return s.now }
+// NowMS is the time of the log, ms.
+func (s *State) NowMS() int64 { return s.nowMS }
 
 // Digest is the same for two states that hold the same.
 func (s *State) Digest() uint64 {
-	return s.digest ^ xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, uint64(s.now)))
+	return s.digest ^ xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, uint64(s.nowMS)))
 }
 
-// image is a snapshot.
-type image struct {
-	Form  uint8    `cbor:"1,keyasint"`
-	Now   int64    `cbor:"2,keyasint"`
-	Jobs  []*Job   `cbor:"3,keyasint"`
-	Out   []Out    `cbor:"4,keyasint"`
-	Ended []uint64 `cbor:"5,keyasint"`
+// snapshot is a snapshot.
+type snapshot struct {
+	FormatVersion uint8       `cbor:"1,keyasint"`
+	NowMS         int64       `cbor:"2,keyasint"`
+	Jobs          []*Job      `cbor:"3,keyasint"`
+	Exclusions    []Exclusion `cbor:"4,keyasint"`
+	EndedIDs      []uint64    `cbor:"5,keyasint"`
 }
 
 // Snapshot is all that is held, the same for the same state.
 func (s *State) Snapshot() []byte {
-	im := image{Form: Form, Now: s.now, Ended: s.ended}
+	image := snapshot{FormatVersion: FormatVersion, NowMS: s.nowMS, EndedIDs: s.endedIDs}
 	for _, job := range s.jobs {
-		im.Jobs = append(im.Jobs, job)
+		image.Jobs = append(image.Jobs, job)
 	}
-	slices.SortFunc(im.Jobs, func(a, b *Job) int { return cmp.Compare(a.ID, b.ID) })
-	for _, o := range s.out {
-		im.Out = append(im.Out, o)
+	slices.SortFunc(image.Jobs, func(a, b *Job) int { return cmp.Compare(a.ID, b.ID) })
+	for _, exclusion := range s.exclusions {
+		image.Exclusions = append(image.Exclusions, exclusion)
 	}
-	slices.SortFunc(im.Out, func(a, b Out) int { return cmp.Compare(a.Worker, b.Worker) })
-	return membership.MarshalDeterministic(&im)
+	slices.SortFunc(image.Exclusions, func(a, b Exclusion) int { return cmp.Compare(a.Worker, b.Worker) })
+	return membership.MarshalDeterministic(&image)
 }
 
 // Restore takes a snapshot's place, all or nothing.
-func (s *State) Restore(text []byte) error {
-	var im image
-	if err := loading.Unmarshal(text, &im); err != nil {
-		return &Unreadable{"snapshot", im.Form, err}
+func (s *State) Restore(data []byte) error {
+	var image snapshot
+	if err := snapshotDecoder.Unmarshal(data, &image); err != nil {
+		return &DecodeError{"snapshot", image.FormatVersion, err}
 	}
-	if im.Form != Form {
-		return &Unreadable{"snapshot", im.Form, errForm}
+	if image.FormatVersion != FormatVersion {
+		return &DecodeError{"snapshot", image.FormatVersion, errUnsupportedVersion}
 	}
-	fresh := New(s.Bounds)
-	fresh.now, fresh.ended = im.Now, im.Ended
-	for _, job := range im.Jobs {
+	fresh := New(s.Limits)
+	fresh.nowMS, fresh.endedIDs = image.NowMS, image.EndedIDs
+	for _, job := range image.Jobs {
 		if job == nil || job.ID == 0 || fresh.jobs[job.ID] != nil || job.State < Waiting || job.State > Unknown {
-			return &Unreadable{"snapshot", im.Form, errJob}
+			return &DecodeError{"snapshot", image.FormatVersion, errInvalidJob}
 		}
 		fresh.jobs[job.ID] = job
 		if job.Key != "" {
-			fresh.keys[job.Tenant+"\x00"+job.Key] = job.ID
+			fresh.idsByKey[job.Tenant+"\x00"+job.Key] = job.ID
 		}
-		fresh.lay(job)
+		fresh.addUsage(job)
 	}
-	for _, id := range im.Ended {
-		if job := fresh.jobs[id]; job == nil || !job.State.Over() {
-			return &Unreadable{"snapshot", im.Form, errJob}
+	for _, id := range image.EndedIDs {
+		if job := fresh.jobs[id]; job == nil || !job.State.Terminal() {
+			return &DecodeError{"snapshot", image.FormatVersion, errInvalidJob}
 		}
 	}
-	for _, o := range im.Out {
-		fresh.exclude(o)
+	for _, exclusion := range image.Exclusions {
+		fresh.exclude(exclusion)
 	}
 	*s = *fresh
 	return nil
