--- a/internal/dispatcher/admin/console.go
+++ b/internal/dispatcher/admin/console.go
@@ -46,24 +46,24 @@
 }
 
 // Start opens the address.
-func Start(loop *eventloop.Loop, log *zap.Logger, addr netip.AddrPort, paths map[string]Call) (*Server, error) {
-	c := &Server{loop: loop, log: log, calls: paths}
-	ln, err := loop.ListenReserved(addr, maxConnections, c.evict, c.accept)
+func Start(loop *eventloop.Loop, log *zap.Logger, addr netip.AddrPort, calls map[string]Call) (*Server, error) {
+	s := &Server{loop: loop, log: log, calls: calls}
+	listener, err := loop.ListenReserved(addr, maxConnections, s.evict, s.accept)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	c.listener = ln
-	return c, nil
+	s.listener = listener
+	return s, nil
 }
 
 // OpenCalls is how many calls wait for their answer.
-func (c *Server) OpenCalls() (n int) {
-	for _, k := range c.connections {
-		if k.complete && !k.answered {
-			n++
+func (s *Server) OpenCalls() (open int) {
+	for _, connection := range s.connections {
+		if connection.complete && !connection.answered {
+			open++
 		}
 	}
-	return n
+	return open
 }
 
 // connection is one connection.
@@ -75,27 +75,27 @@
 	timeout  *eventloop.Timer
 }
 
-func (c *Server) accept(conn *eventloop.Conn) eventloop.Handler {
-	k := &connection{server: c, conn: conn}
-	c.connections = append(c.connections, k)
-	k.timeout = c.loop.At(c.loop.Now()+callTimeout, func() { k.reply(408, "no whole call came in time") })
-	return k
+func (s *Server) accept(conn *eventloop.Conn) eventloop.Handler {
+	connection := &connection{server: s, conn: conn}
+	s.connections = append(s.connections, connection)
+	connection.timeout = s.loop.At(s.loop.Now()+callTimeout, func() { connection.reply(408, "no whole call came in time") })
+	return connection
 }
 
 // evict closes the caller that can best be spared: one that has its answer, or the oldest that has not made its call.
-func (c *Server) evict() bool {
-	c.connections = slices.DeleteFunc(c.connections, func(k *connection) bool { return !k.conn.Open() })
-	for _, spare := range []func(*connection) bool{
-		func(k *connection) bool { return k.answered },
-		func(k *connection) bool { return !k.complete },
+func (s *Server) evict() bool {
+	s.connections = slices.DeleteFunc(s.connections, func(connection *connection) bool { return !connection.conn.Open() })
+	for _, maySpare := range []func(*connection) bool{
+		func(connection *connection) bool { return connection.answered },
+		func(connection *connection) bool { return !connection.complete },
 	} {
-		if i := slices.IndexFunc(c.connections, spare); i >= 0 {
-			if k := c.connections[i]; !k.answered {
-				c.Evicted++
-				k.reply(503, "too many callers")
+		if i := slices.IndexFunc(s.connections, maySpare); i >= 0 {
+			if connection := s.connections[i]; !connection.answered {
+				s.Evicted++
+				connection.reply(503, "too many callers")
 			}
-			c.connections[i].conn.Close()
-			c.connections = slices.Delete(c.connections, i, i+1)
+			s.connections[i].conn.Close()
+			s.connections = slices.Delete(s.connections, i, i+1)
 			return true
 		}
 	}
@@ -103,25 +103,25 @@
 }
 
 // Opened implements eventloop.Handler.
-func (k *connection) Opened(*eventloop.Conn) {}
+func (c *connection) Opened(*eventloop.Conn) {}
 
 // Closed implements eventloop.Handler. A call that was whole is carried out all the same.
-func (k *connection) Closed(*eventloop.Conn, error) {
-	k.timeout.Stop()
-	k.answered = true
-	k.server.connections = slices.DeleteFunc(k.server.connections, func(o *connection) bool { return o == k })
+func (c *connection) Closed(*eventloop.Conn, error) {
+	c.timeout.Stop()
+	c.answered = true
+	c.server.connections = slices.DeleteFunc(c.server.connections, func(other *connection) bool { return other == c })
 }
 
 // Data implements eventloop.Handler.
-func (k *connection) Data(conn *eventloop.Conn) {
-	if k.complete {
+func (c *connection) Data(conn *eventloop.Conn) {
+	if c.complete {
 		return
 	}
-	q, _, err := httpfront.ParseRequest(conn.Bytes())
+	request, _, err := httpfront.ParseRequest(conn.Bytes())
 	var syntax *httpfront.SyntaxError
 	switch {
 	case errors.Is(err, httpfront.ErrIncomplete) && len(conn.Bytes()) > maxCallBytes:
-		k.reply(413, "call too large")
+		c.reply(413, "call too large")
 		return
 	case errors.Is(err, httpfront.ErrIncomplete):
 		if httpfront.ExpectsContinue(conn.Bytes()) {
@@ -129,34 +129,34 @@
 		}
 		return
 	case errors.As(err, &syntax) && syntax.Status < 500:
-		k.reply(syntax.Status, syntax.Reason)
+		c.reply(syntax.Status, syntax.Reason)
 		return
 	case err != nil:
-		k.reply(400, err.Error())
+		c.reply(400, err.Error())
 		return
 	}
-	k.complete = true
-	k.timeout.Stop()
-	k.serve(&q)
+	c.complete = true
+	c.timeout.Stop()
+	c.serve(&request)
 }
 
-func (k *connection) serve(q *httpfront.Request) {
-	path, _, _ := strings.Cut(q.Target, "?")
-	call, known := k.server.calls[path]
+func (c *connection) serve(request *httpfront.Request) {
+	path, _, _ := strings.Cut(request.Target, "?")
+	call, known := c.server.calls[path]
 	switch {
 	case !known:
-		k.reply(404, "no such call")
-	case q.Method != call.Method:
-		k.reply(405, call.Method+" only")
+		c.reply(404, "no such call")
+	case request.Method != call.Method:
+		c.reply(405, call.Method+" only")
 	case !call.TakesMember:
-		call.Handle("", k.reply)
+		call.Handle("", c.reply)
 	default:
-		member, reason := parseMember(q.Body)
+		member, reason := parseMember(request.Body)
 		if reason != "" {
-			k.reply(400, reason)
+			c.reply(400, reason)
 			return
 		}
-		call.Handle(member, k.reply)
+		call.Handle(member, c.reply)
 	}
 }
 
@@ -180,17 +180,17 @@
 }
 
 // reply answers the call and closes.
-func (k *connection) reply(status int, reason string) {
-	if k.answered {
+func (c *connection) reply(status int, reason string) {
+	if c.answered {
 		return
 	}
-	k.answered = true
-	k.timeout.Stop()
-	k.server.Calls++
+	c.answered = true
+	c.timeout.Stop()
+	c.server.Calls++
 	if status >= 300 {
-		k.server.Rejected++
-		k.server.log.Warn("console: no", zap.Int("status", status), zap.String("reason", reason))
+		c.server.Rejected++
+		c.server.log.Warn("console: no", zap.Int("status", status), zap.String("reason", reason))
 	}
-	k.conn.Write(httpfront.AppendResponse(nil, status, "", []byte(reason+"\n"), true))
-	k.conn.CloseAfterFlush()
+	c.conn.Write(httpfront.AppendResponse(nil, status, "", []byte(reason+"\n"), true))
+	c.conn.CloseAfterFlush()
 }
--- a/internal/dispatcher/handover/handover.go
+++ b/internal/dispatcher/handover/handover.go
@@ -51,7 +51,7 @@
 }
 
 // ParseFrame reads one frame from the start of b and tells how many bytes it took; the body is a part of b.
-func ParseFrame(b []byte) (kind Kind, body []byte, n int, err error) {
+func ParseFrame(b []byte) (kind Kind, body []byte, size int, err error) {
 	if len(b) > 0 && b[0] != magic {
 		return 0, nil, 0, errors.New("handover: no frame")
 	}
@@ -62,17 +62,17 @@
 		return 0, nil, 0, errIncomplete
 	}
 	kind = Kind(b[2])
-	size := binary.BigEndian.Uint32(b[3:])
+	bodySize := binary.BigEndian.Uint32(b[3:])
 	switch {
 	case kind == 0 || kind >= lastKind:
 		return 0, nil, 0, fmt.Errorf("handover: kind %d", kind)
-	case size > maxBody:
-		return 0, nil, 0, fmt.Errorf("handover: frame of %d bytes", size)
-	case len(b)-headerSize < int(size):
+	case bodySize > maxBody:
+		return 0, nil, 0, fmt.Errorf("handover: frame of %d bytes", bodySize)
+	case len(b)-headerSize < int(bodySize):
 		return 0, nil, 0, errIncomplete
 	}
-	n = headerSize + int(size)
-	return kind, b[headerSize:n], n, nil
+	size = headerSize + int(bodySize)
+	return kind, b[headerSize:size], size, nil
 }
 
 // Handler hears what comes along a link.
@@ -93,21 +93,21 @@
 }
 
 // Connect looks for the process that serves at path; Down tells if there is none.
-func Connect(loop *eventloop.Loop, path string, owner Handler) *Link {
-	l := &Link{handler: owner, queries: map[uint64]func(bool){}}
+func Connect(loop *eventloop.Loop, path string, handler Handler) *Link {
+	l := &Link{handler: handler, queries: map[uint64]func(bool){}}
 	l.conn = loop.ConnectUnixWithDescriptors(path, l)
 	return l
 }
 
 // Accept owns a connection from a newer process.
-func Accept(conn *eventloop.Conn, owner Handler) *Link {
+func Accept(conn *eventloop.Conn, handler Handler) *Link {
 	conn.EnableDescriptorPassing()
-	return &Link{conn: conn, handler: owner, queries: map[uint64]func(bool){}}
+	return &Link{conn: conn, handler: handler, queries: map[uint64]func(bool){}}
 }
 
 // Send sends a frame whose body is v as JSON.
-func (l *Link) Send(kind Kind, v any) error {
-	body, err := json.Marshal(v)
+func (l *Link) Send(kind Kind, message any) error {
+	body, err := json.Marshal(message)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
@@ -116,18 +116,18 @@
 }
 
 // SendDescriptor sends a frame with a descriptor, which is the other's from now on. It holds a head, as JSON, and bytes.
-func (l *Link) SendDescriptor(kind Kind, head any, bytes []byte, fd int) error {
-	text, err := json.Marshal(head)
+func (l *Link) SendDescriptor(kind Kind, header any, payload []byte, fd int) error {
+	headerText, err := json.Marshal(header)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	body := binary.BigEndian.AppendUint32(nil, uint32(len(text)))
-	l.conn.WriteWithDescriptor(AppendFrame(nil, kind, append(append(body, text...), bytes...)), fd)
+	body := binary.BigEndian.AppendUint32(nil, uint32(len(headerText)))
+	l.conn.WriteWithDescriptor(AppendFrame(nil, kind, append(append(body, headerText...), payload...)), fd)
 	return nil
 }
 
 // DecodeDescriptorFrame reads what Pass has sent.
-func (l *Link) DecodeDescriptorFrame(body []byte, head any) (bytes []byte, fd int, err error) {
+func (l *Link) DecodeDescriptorFrame(body []byte, header any) (payload []byte, fd int, err error) {
 	fd, ok := l.conn.NextDescriptor()
 	if !ok {
 		return nil, -1, errors.New("handover: no descriptor came")
@@ -135,11 +135,11 @@
 	if len(body) < 4 || len(body)-4 < int(binary.BigEndian.Uint32(body)) {
 		return nil, fd, errors.New("handover: short frame")
 	}
-	text, bytes := body[4:4+binary.BigEndian.Uint32(body)], body[4+binary.BigEndian.Uint32(body):]
-	if err := json.Unmarshal(text, head); err != nil {
+	headerText, payload := body[4:4+binary.BigEndian.Uint32(body)], body[4+binary.BigEndian.Uint32(body):]
+	if err := json.Unmarshal(headerText, header); err != nil {
 		return nil, fd, fmt.Errorf("handover: %w", err)
 	}
-	return bytes, fd, nil
+	return payload, fd, nil
 }
 
 // NextDescriptor is the next one that came along.
@@ -167,9 +167,9 @@
 
 func (l *Link) failQueries() {
 	l.closed = true
-	asks := l.queries
+	queries := l.queries
 	l.queries = nil
-	for _, done := range asks {
+	for _, done := range queries {
 		done(false)
 	}
 }
@@ -184,15 +184,15 @@
 }
 
 // Data implements eventloop.Handler.
-func (l *Link) Data(c *eventloop.Conn) {
+func (l *Link) Data(conn *eventloop.Conn) {
 	for !l.closed {
-		kind, body, n, err := ParseFrame(c.Bytes())
+		kind, body, size, err := ParseFrame(conn.Bytes())
 		if errors.Is(err, errIncomplete) {
 			return
 		}
 		if err == nil {
 			err = l.handleFrame(kind, body)
-			c.Consume(min(n, len(c.Bytes())))
+			conn.Consume(min(size, len(conn.Bytes())))
 		}
 		if err != nil {
 			if !l.closed {
@@ -213,20 +213,20 @@
 	if len(body) < 8 {
 		return errors.New("handover: short frame")
 	}
-	seq, rest := binary.BigEndian.Uint64(body), body[8:]
+	query, payload := binary.BigEndian.Uint64(body), body[8:]
 	if kind != Answer {
-		l.handler.HandleQuery(l, kind, rest, func(yes bool) {
-			answer := binary.BigEndian.AppendUint64(nil, seq)
+		l.handler.HandleQuery(l, kind, payload, func(yes bool) {
+			reply := binary.BigEndian.AppendUint64(nil, query)
 			if yes {
-				answer = append(answer, 1)
+				reply = append(reply, 1)
 			}
-			l.conn.Write(AppendFrame(nil, Answer, answer))
+			l.conn.Write(AppendFrame(nil, Answer, reply))
 		})
 		return nil
 	}
-	if done := l.queries[seq]; done != nil {
-		delete(l.queries, seq)
-		done(len(rest) > 0)
+	if done := l.queries[query]; done != nil {
+		delete(l.queries, query)
+		done(len(payload) > 0)
 	}
 	return nil
 }
--- a/internal/dispatcher/handover/handover_test.go
+++ b/internal/dispatcher/handover/handover_test.go
@@ -13,13 +13,13 @@
 func TestParseFrame(t *testing.T) {
 	good := AppendFrame(AppendFrame(nil, CallbackQuery, []byte("body")), Takeover, nil)
 	first := headerSize + len("body")
-	for n := range first {
-		if _, _, _, err := ParseFrame(good[:n]); !errors.Is(err, errIncomplete) {
-			t.Errorf("cut at %d: %v", n, err)
+	for size := range first {
+		if _, _, _, err := ParseFrame(good[:size]); !errors.Is(err, errIncomplete) {
+			t.Errorf("cut at %d: %v", size, err)
 		}
 	}
-	kind, body, n, err := ParseFrame(good)
-	if diff := cmp.Diff([]any{CallbackQuery, "body", first, error(nil)}, []any{kind, string(body), n, err}); diff != "" {
+	kind, body, size, err := ParseFrame(good)
+	if diff := cmp.Diff([]any{CallbackQuery, "body", first, error(nil)}, []any{kind, string(body), size, err}); diff != "" {
 		t.Errorf("whole (-want +got):\n%s", diff)
 	}
 	for text, want := range map[string]string{
