--- /dev/null
+++ b/internal/dispatcher/handover/frame.go
@@ -0,0 +1,75 @@
+package handover
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+)
+
+// Version is the version of the frames and their bodies.
+const Version = 1
+
+// Format of a frame: magic, version, kind, length of the body, body.
+const (
+	magic       = 'R'
+	headerSize  = 7
+	maxBody     = 9 << 20 // bytes; State holds the full member list
+	lengthSize  = 4       // bytes of the length before the header of a frame with a descriptor
+	queryIDSize = 8       // bytes of the ID at the start of queries and answers
+	maxQueries  = 4096    // that wait for their answer
+)
+
+// Kind is the kind of a frame.
+type Kind uint8
+
+// The kinds of frames. CallbackQuery and Order are queries: each gets one Answer.
+const (
+	Hello           Kind = iota + 1 // the newer process requests the state
+	State                           // the older one's state, perhaps with a descriptor
+	Takeover                        // the newer process accepts clients from now on
+	Session                         // a client session, with its descriptor
+	SessionReceived                 // acknowledges one Session
+	CallbackQuery                   // asks whether the other process knows the call of a callback
+	Order                           // asks the other process to carry out an operator's order
+	Answer
+	Metrics // the older one's metrics, for a newer one that requested them in Hello
+	lastKind
+)
+
+// Errors of ParseFrame: errIncomplete asks for more bytes, errVersion is final.
+var (
+	errIncomplete = errors.New("handover: frame not whole")
+	errVersion    = errors.New("handover: another version")
+)
+
+// AppendFrame appends a frame to b.
+func AppendFrame(b []byte, kind Kind, body []byte) []byte {
+	b = append(b, magic, Version, byte(kind))
+	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
+	return append(b, body...)
+}
+
+// ParseFrame reads one frame from the start of b and returns how many bytes it took. The body aliases b.
+func ParseFrame(b []byte) (kind Kind, body []byte, size int, err error) {
+	if len(b) > 0 && b[0] != magic {
+		return 0, nil, 0, errors.New("handover: no frame")
+	}
+	if len(b) > 1 && b[1] != Version {
+		return 0, nil, 0, errVersion
+	}
+	if len(b) < headerSize {
+		return 0, nil, 0, errIncomplete
+	}
+	kind = Kind(b[2])
+	bodySize := binary.BigEndian.Uint32(b[3:])
+	switch {
+	case kind == 0 || kind >= lastKind:
+		return 0, nil, 0, fmt.Errorf("handover: kind %d", kind)
+	case bodySize > maxBody:
+		return 0, nil, 0, fmt.Errorf("handover: frame of %d bytes", bodySize)
+	case len(b)-headerSize < int(bodySize):
+		return 0, nil, 0, errIncomplete
+	}
+	size = headerSize + int(bodySize)
+	return kind, b[headerSize:size], size, nil
+}
--- a/internal/dispatcher/handover/handover_test.go
+++ b/internal/dispatcher/handover/frame_test.go
@@ -8,19 +8,18 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Guards against a frame that is taken before all of it has come, and against one of another version, of no kind or
-// without bound.
+// A frame that is cut anywhere is incomplete; one of another version, of an unknown kind or over the bound is an error.
 func TestParseFrame(t *testing.T) {
 	good := AppendFrame(AppendFrame(nil, CallbackQuery, []byte("body")), Takeover, nil)
-	first := headerSize + len("body")
-	for size := range first {
+	firstSize := headerSize + len("body")
+	for size := range firstSize {
 		if _, _, _, err := ParseFrame(good[:size]); !errors.Is(err, errIncomplete) {
 			t.Errorf("cut at %d: %v", size, err)
 		}
 	}
 	kind, body, size, err := ParseFrame(good)
-	if diff := cmp.Diff([]any{CallbackQuery, "body", first, error(nil)}, []any{kind, string(body), size, err}); diff != "" {
-		t.Errorf("whole (-want +got):\n%s", diff)
+	if diff := cmp.Diff([]any{CallbackQuery, "body", firstSize, error(nil)}, []any{kind, string(body), size, err}); diff != "" {
+		t.Errorf("complete (-want +got):\n%s", diff)
 	}
 	for text, want := range map[string]string{
 		"R\x02":                          "another version",
--- a/internal/dispatcher/handover/handover.go
+++ b/internal/dispatcher/handover/link.go
@@ -1,5 +1,3 @@
-// Package handover is what two processes of one dispatcher say to each other while the newer takes the older one's
-// place: frames over a unix socket, some with a descriptor.
 package handover
 
 import (
@@ -11,101 +9,42 @@
 	"cinderroad/internal/shared/eventloop"
 )
 
-// Version is of the frames and their bodies. Another version's process is no heir and no predecessor.
-const Version = 1
-
-const (
-	magic      = 'R'
-	headerSize = 7       // magic, version, kind, length
-	maxBody    = 9 << 20 // the state holds the whole list
-	maxQueries = 4096    // that wait for their answer
-)
-
-// Kind is the kind of a frame.
-type Kind uint8
-
-// The kinds. Questions are answered by Answer, once.
-const (
-	Hello           Kind = iota + 1 // the newer process asks for the state
-	State                           // and gets it, with the descriptors that it names
-	Takeover                        // the newer one takes the clients
-	Session                         // a client session, with its descriptor
-	SessionReceived                 // one session has arrived
-	CallbackQuery                   // a question: whose is this call-back
-	Order                           // a question: carry out what the staff ask
-	Answer
-	Metrics // what the older one has counted, for a newer one that said in Hello that it takes this
-	lastKind
-)
-
-var (
-	errIncomplete = errors.New("handover: frame not whole")
-	errVersion    = errors.New("handover: another version")
-)
-
-// AppendFrame writes a frame.
-func AppendFrame(b []byte, kind Kind, body []byte) []byte {
-	b = append(b, magic, Version, byte(kind))
-	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
-	return append(b, body...)
-}
-
-// ParseFrame reads one frame from the start of b and tells how many bytes it took; the body is a part of b.
-func ParseFrame(b []byte) (kind Kind, body []byte, size int, err error) {
-	if len(b) > 0 && b[0] != magic {
-		return 0, nil, 0, errors.New("handover: no frame")
-	}
-	if len(b) > 1 && b[1] != Version {
-		return 0, nil, 0, errVersion
-	}
-	if len(b) < headerSize {
-		return 0, nil, 0, errIncomplete
-	}
-	kind = Kind(b[2])
-	bodySize := binary.BigEndian.Uint32(b[3:])
-	switch {
-	case kind == 0 || kind >= lastKind:
-		return 0, nil, 0, fmt.Errorf("handover: kind %d", kind)
-	case bodySize > maxBody:
-		return 0, nil, 0, fmt.Errorf("handover: frame of %d bytes", bodySize)
-	case len(b)-headerSize < int(bodySize):
-		return 0, nil, 0, errIncomplete
-	}
-	size = headerSize + int(bodySize)
-	return kind, b[headerSize:size], size, nil
-}
-
-// Handler hears what comes along a link.
+// Handler handles what a Link receives.
 type Handler interface {
+	// HandleUp is called when the link that Connect opened is connected.
 	HandleUp(l *Link)
+	// HandleMessage handles a frame that is neither a query nor an answer. An error closes the link. body is valid only
+	// during the call.
 	HandleMessage(l *Link, kind Kind, body []byte) error
+	// HandleQuery handles a query. It must call answer once, now or later. body is valid only during the call.
 	HandleQuery(l *Link, kind Kind, body []byte, answer func(yes bool))
+	// HandleDown is called when the link has ended, unless Close ended it.
 	HandleDown(l *Link, err error)
 }
 
-// Link is the connection to the other process.
+// Link is the connection to the other process. It implements eventloop.Handler.
 type Link struct {
 	conn      *eventloop.Conn
 	handler   Handler
-	queries   map[uint64]func(yes bool)
-	lastQuery uint64
+	queries   map[uint64]func(yes bool) // that wait for their answer, by ID
+	lastQuery uint64                    // ID of the last query
 	closed    bool
 }
 
-// Connect looks for the process that serves at path; Down tells if there is none.
+// Connect opens a link to the process that listens at path. HandleDown is called if there is none.
 func Connect(loop *eventloop.Loop, path string, handler Handler) *Link {
 	l := &Link{handler: handler, queries: map[uint64]func(bool){}}
 	l.conn = loop.ConnectUnixWithDescriptors(path, l)
 	return l
 }
 
-// Accept owns a connection from a newer process.
+// Accept returns the link of a connection from a newer process.
 func Accept(conn *eventloop.Conn, handler Handler) *Link {
 	conn.EnableDescriptorPassing()
 	return &Link{conn: conn, handler: handler, queries: map[uint64]func(bool){}}
 }
 
-// Send sends a frame whose body is v as JSON.
+// Send sends a frame whose body is message as JSON.
 func (l *Link) Send(kind Kind, message any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
@@ -115,7 +54,8 @@
 	return nil
 }
 
-// SendDescriptor sends a frame with a descriptor, which is the other's from now on. It holds a head, as JSON, and bytes.
+// SendDescriptor sends a frame with a descriptor, which the other process owns from now on. The body is header as JSON
+// and payload.
 func (l *Link) SendDescriptor(kind Kind, header any, payload []byte, fd int) error {
 	headerText, err := json.Marshal(header)
 	if err != nil {
@@ -126,26 +66,26 @@
 	return nil
 }
 
-// DecodeDescriptorFrame reads what Pass has sent.
+// DecodeDescriptorFrame decodes the body of a frame that SendDescriptor sent. The caller owns the descriptor, also with an
+// error, unless it is -1. The payload aliases body.
 func (l *Link) DecodeDescriptorFrame(body []byte, header any) (payload []byte, fd int, err error) {
 	fd, ok := l.conn.NextDescriptor()
 	if !ok {
 		return nil, -1, errors.New("handover: no descriptor came")
 	}
-	if len(body) < 4 || len(body)-4 < int(binary.BigEndian.Uint32(body)) {
+	if len(body) < lengthSize || len(body)-lengthSize < int(binary.BigEndian.Uint32(body)) {
 		return nil, fd, errors.New("handover: short frame")
 	}
-	headerText, payload := body[4:4+binary.BigEndian.Uint32(body)], body[4+binary.BigEndian.Uint32(body):]
+	end := lengthSize + binary.BigEndian.Uint32(body)
+	headerText, payload := body[lengthSize:end], body[end:]
 	if err := json.Unmarshal(headerText, header); err != nil {
 		return nil, fd, fmt.Errorf("handover: %w", err)
 	}
 	return payload, fd, nil
 }
 
-// NextDescriptor is the next one that came along.
-func (l *Link) NextDescriptor() (fd int, ok bool) { return l.conn.NextDescriptor() }
-
-// Query sends a question; done gets the answer, or a no when the link ends before it has come. False when too many wait.
+// Query sends a query. done gets the answer, or false if the link ends before. It returns false, and does not call done,
+// if the link has ended or too many queries are waiting.
 func (l *Link) Query(kind Kind, body []byte, done func(yes bool)) bool {
 	if l.closed || len(l.queries) >= maxQueries {
 		return false
@@ -156,15 +96,16 @@
 	return true
 }
 
-// Idle says whether nothing that was sent waits to go out or for its answer.
+// Idle reports whether everything has been sent and every query has its answer, or the link has ended.
 func (l *Link) Idle() bool { return l.closed || len(l.queries) == 0 && l.conn.Unsent() == 0 }
 
-// Close ends the link; its owner hears nothing more, its questions have a no.
+// Close ends the link. Waiting queries get false; HandleDown is not called.
 func (l *Link) Close() {
 	l.conn.Close()
 	l.failQueries()
 }
 
+// failQueries marks the link as ended and answers the waiting queries with false.
 func (l *Link) failQueries() {
 	l.closed = true
 	queries := l.queries
@@ -204,16 +145,17 @@
 	}
 }
 
+// handleFrame handles one frame; an error is final.
 func (l *Link) handleFrame(kind Kind, body []byte) error {
 	switch kind {
 	case CallbackQuery, Order, Answer:
 	default:
 		return l.handler.HandleMessage(l, kind, body)
 	}
-	if len(body) < 8 {
+	if len(body) < queryIDSize {
 		return errors.New("handover: short frame")
 	}
-	query, payload := binary.BigEndian.Uint64(body), body[8:]
+	query, payload := binary.BigEndian.Uint64(body), body[queryIDSize:]
 	if kind != Answer {
 		l.handler.HandleQuery(l, kind, payload, func(yes bool) {
 			reply := binary.BigEndian.AppendUint64(nil, query)
