--- a/internal/system/replica/messages.go
+++ b/internal/system/replica/messages.go
@@ -20,18 +20,18 @@
 
 // readMessage reads what appendMessage wrote and returns the rest.
 func readMessage(data []byte) (feed.Partition, consensus.Message, []byte, error) {
-	partition, n := binary.Uvarint(data)
-	if n <= 0 || partition > uint64(^feed.Partition(0)) {
+	partition, size := binary.Uvarint(data)
+	if size <= 0 || partition > uint64(^feed.Partition(0)) {
 		return 0, consensus.Message{}, nil, &MalformedMessagesError{errTruncated}
 	}
-	data = data[n:]
-	length, n := binary.Uvarint(data)
-	if n <= 0 || length > uint64(len(data)-n) {
+	data = data[size:]
+	length, size := binary.Uvarint(data)
+	if size <= 0 || length > uint64(len(data)-size) {
 		return 0, consensus.Message{}, nil, &MalformedMessagesError{errTruncated}
 	}
-	message, err := consensus.DecodeMessage(data[n : n+int(length)])
+	message, err := consensus.DecodeMessage(data[size : size+int(length)])
 	if err != nil {
 		return 0, consensus.Message{}, nil, &MalformedMessagesError{err}
 	}
-	return feed.Partition(partition), message, data[n+int(length):], nil
+	return feed.Partition(partition), message, data[size+int(length):], nil
 }
--- a/internal/system/replica/sim_checks_test.go
+++ b/internal/system/replica/sim_checks_test.go
@@ -72,7 +72,7 @@
 
 // checkMajority checks that an entry was durable on a majority of voters before any replica applied it.
 func (sim *simulation) checkMajority(process *simProcess) {
-	at, ok := process.group.node.CreateSnapshot(process.appliedIndex, nil)
+	last, ok := process.group.node.CreateSnapshot(process.appliedIndex, nil)
 	if !ok {
 		sim.fail("machine %d has applied %d first, and knows no term of it", process.machine.index, process.appliedIndex)
 		return
@@ -80,7 +80,7 @@
 	membership := process.group.node.Membership()
 	have := func(id consensus.ReplicaID) bool {
 		s := sim.oracle.syncedStates[id]
-		return s != nil && (s.entries[entryID{at.Index, at.Term}] || s.snapshot >= at.Index)
+		return s != nil && (s.entries[entryID{last.Index, last.Term}] || s.snapshot >= last.Index)
 	}
 	if !majorityOfEach(membership, have) {
 		sim.fail("machine %d applies %d, which no majority of %v has synced", process.machine.index, process.appliedIndex,
--- a/internal/system/replica/sim_linearizability_test.go
+++ b/internal/system/replica/sim_linearizability_test.go
@@ -37,7 +37,7 @@
 
 // text formats the history.
 func (h *requestHistory) text() string {
-	var b strings.Builder
+	var text strings.Builder
 	for _, record := range h.operations {
 		number := binary.BigEndian.Uint64(record.request.digest[:])
 		what := fmt.Sprintf("change %d of %d to %d", number, record.request.base, record.request.version)
@@ -45,10 +45,10 @@
 			what = "read"
 		}
 		answer := [...]string{"unknown", "accepted", "conflict", "read"}[record.response.kind]
-		fmt.Fprintf(&b, "\n  %v to %v: operator %d: %s: %s %d (%d)", record.invoked, record.returned, record.operator, what, answer,
+		fmt.Fprintf(&text, "\n  %v to %v: operator %d: %s: %s %d (%d)", record.invoked, record.returned, record.operator, what, answer,
 			record.response.version, binary.BigEndian.Uint64(record.response.digest[:]))
 	}
-	return b.String()
+	return text.String()
 }
 
 // register is the configuration as an operator may see it: the last accepted change and those before it.
--- a/internal/system/replica/sim_link_test.go
+++ b/internal/system/replica/sim_link_test.go
@@ -115,8 +115,8 @@
 }
 
 // sendOverLink models peerSet.send.
-func (p *simProcess) sendOverLink(to *simMachine, message *consensus.Message) {
-	under := p.bulkTransfers[to.index]
+func (p *simProcess) sendOverLink(receiver *simMachine, message *consensus.Message) {
+	under := p.bulkTransfers[receiver.index]
 	way, message := under.route(message)
 	if p.sim.injected.singleConnection {
 		way = ordinaryConnection
@@ -125,34 +125,34 @@
 	case way == bulkConnection && under == nil:
 		t := &bulkTransfer{}
 		t.add(p.group.partition, message)
-		p.bulkTransfers[to.index] = t
-		p.runBulkTransfer(to, t)
+		p.bulkTransfers[receiver.index] = t
+		p.runBulkTransfer(receiver, t)
 	case way == bulkConnection:
 		under.add(p.group.partition, message)
 	case way == ordinaryConnection:
-		connection := p.link.connection(to.index, ordinaryConnection)
+		connection := p.link.connection(receiver.index, ordinaryConnection)
 		if connection.queuedBytes < maxPendingBytes {
 			size := len(appendMessage(nil, p.group.partition, message))
-			p.link.send(connection, size, func() { p.deliver(to, message, true) }, func() {})
+			p.link.send(connection, size, func() { p.deliver(receiver, message, true) }, func() {})
 		}
 	}
 }
 
 // runBulkTransfer models peerSet.runBulkTransfer.
-func (p *simProcess) runBulkTransfer(to *simMachine, t *bulkTransfer) {
+func (p *simProcess) runBulkTransfer(receiver *simMachine, t *bulkTransfer) {
 	batch := t.pending
 	t.pending = nil
 	if len(batch) == 0 {
-		delete(p.bulkTransfers, to.index)
+		delete(p.bulkTransfers, receiver.index)
 		return
 	}
-	p.link.send(p.link.connection(to.index, bulkConnection), len(batch), func() {
+	p.link.send(p.link.connection(receiver.index, bulkConnection), len(batch), func() {
 		if !p.alive {
 			return
 		}
-		p.deliverEncoded(to, batch, true)
-		p.sim.schedule(2*p.sim.profile.Delay, func() { p.runBulkTransfer(to, t) })
-	}, func() { delete(p.bulkTransfers, to.index) })
+		p.deliverEncoded(receiver, batch, true)
+		p.sim.schedule(2*p.sim.profile.Delay, func() { p.runBulkTransfer(receiver, t) })
+	}, func() { delete(p.bulkTransfers, receiver.index) })
 }
 
 // snapshotConnection is a kind of connection that only the simulation needs to name.
--- a/internal/system/replica/sim_process_test.go
+++ b/internal/system/replica/sim_process_test.go
@@ -264,39 +264,39 @@
 	for i := range messages {
 		message := messages[i]
 		address, known := p.host.destination(g, message.To)
-		to := p.sim.byAddress[address]
-		if !known || to == nil {
+		receiver := p.sim.byAddress[address]
+		if !known || receiver == nil {
 			continue
 		}
 		p.sim.checkSent(p, &message)
 		if message.Kind == consensus.MessageInstallSnapshot {
-			p.sendSnapshot(to, message)
+			p.sendSnapshot(receiver, message)
 			continue
 		}
 		if p.link != nil {
-			p.sendOverLink(to, &message)
+			p.sendOverLink(receiver, &message)
 			continue
 		}
-		p.deliver(to, &message, true)
+		p.deliver(receiver, &message, true)
 	}
 }
 
 // sendSnapshot sends one snapshot at a time to a machine, as peerSet.sendSnapshot does.
-func (p *simProcess) sendSnapshot(to *simMachine, message consensus.Message) {
-	if p.sendingSnapshot[to.index] {
+func (p *simProcess) sendSnapshot(receiver *simMachine, message consensus.Message) {
+	if p.sendingSnapshot[receiver.index] {
 		return
 	}
 	p.sim.stats.counters.snapshots++
-	p.sendingSnapshot[to.index] = true
+	p.sendingSnapshot[receiver.index] = true
 	p.group.attachCurrentSnapshot(&message)
 	if p.link != nil {
-		p.sendSnapshotOverLink(to, &message)
+		p.sendSnapshotOverLink(receiver, &message)
 		return
 	}
 	p.sim.schedule(p.sim.profile.Delay+50*time.Millisecond, func() {
-		delete(p.sendingSnapshot, to.index)
+		delete(p.sendingSnapshot, receiver.index)
 		if p.alive {
-			p.deliver(to, &message, false)
+			p.deliver(receiver, &message, false)
 		}
 	})
 }
--- a/internal/system/replica/sim_requests_test.go
+++ b/internal/system/replica/sim_requests_test.go
@@ -126,15 +126,15 @@
 func (p *simProcess) attemptEvacuation(request *simRequest, ordered uint64, deadline time.Duration, done func(simResponse),
 	retry func()) {
 	evacuation := p.state.Evacuation(request.zone)
-	plant := &p.sim.injected
+	injected := &p.sim.injected
 	switch {
-	case *request.abandoned && !plant.acceptsLateOrders:
+	case *request.abandoned && !injected.acceptsLateOrders:
 		done(simResponse{})
 		return
-	case evacuation.LastOrder != ordered && evacuation.Evacuated != request.evacuated && !plant.acceptsLateOrders:
+	case evacuation.LastOrder != ordered && evacuation.Evacuated != request.evacuated && !injected.acceptsLateOrders:
 		done(simResponse{})
 		return
-	case evacuation.Evacuated == request.evacuated && plant.skipsNoopOrders:
+	case evacuation.Evacuated == request.evacuated && injected.skipsNoopOrders:
 		done(simResponse{kind: responseAccepted})
 		return
 	}
--- a/internal/system/replica/sim_rpc_test.go
+++ b/internal/system/replica/sim_rpc_test.go
@@ -95,7 +95,7 @@
 
 // call makes an RPC to another machine's process. arrived is false if no reply arrives in time or the leader changes
 // first, see withLeaderChange.
-func call[T any](process *simProcess, to *simMachine, wait time.Duration, handle func(asked *simProcess, answer func(T)),
+func call[T any](process *simProcess, receiver *simMachine, wait time.Duration, handle func(asked *simProcess, answer func(T)),
 	done func(reply T, arrived bool)) {
 	var reply T
 	over, arrived := false, false
@@ -118,9 +118,9 @@
 		done(reply, false)
 	})
 	sim, from := process.sim, process.machine
-	sim.transmit(from, to, false, func(asked *simProcess) {
+	sim.transmit(from, receiver, false, func(asked *simProcess) {
 		handle(asked, func(answer T) {
-			sim.transmit(to, from, false, func(*simProcess) { reply, arrived = answer, true })
+			sim.transmit(receiver, from, false, func(*simProcess) { reply, arrived = answer, true })
 		})
 	})
 }
--- a/internal/system/replica/simulation_run_test.go
+++ b/internal/system/replica/simulation_run_test.go
@@ -86,7 +86,7 @@
 
 // TestSimulationDetectsInjectedFaults disables one safeguard at a time, which the checks must detect.
 func TestSimulationDetectsInjectedFaults(t *testing.T) {
-	plants := map[string]func(sim *simulation){
+	injections := map[string]func(sim *simulation){
 		"messages before their writes":     func(sim *simulation) { sim.injected.sendsBeforeSync = true },
 		"a wiped disk keeps its identity":  func(sim *simulation) { sim.injected.reusesIdentity = true },
 		"requests that come again are new": func(sim *simulation) { sim.injected.changesDigests = true },
@@ -95,12 +95,12 @@
 		"late evacuations are carried out": func(sim *simulation) { sim.injected.acceptsLateOrders = true },
 		"orders without effect are free":   func(sim *simulation) { sim.injected.skipsNoopOrders = true },
 	}
-	for name, plant := range plants {
+	for name, inject := range injections {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= 200; seed++ {
 				sim := newSimulation(seed)
-				plant(sim)
+				inject(sim)
 				sim.runSeed()
 				if sim.failure != "" {
 					t.Log(sim.failure)
--- a/internal/system/replica/unavailability_test.go
+++ b/internal/system/replica/unavailability_test.go
@@ -111,8 +111,8 @@
 	bounds := map[time.Duration]time.Duration{20 * time.Millisecond: 1500 * time.Millisecond, 90 * time.Millisecond: 3 * time.Second,
 		200 * time.Millisecond: 5 * time.Second}
 	kinds := []struct {
-		name string
-		to   func(sim *simulation, leader *simMachine)
+		name   string
+		inject func(sim *simulation, leader *simMachine)
 	}{
 		{"killed", func(sim *simulation, leader *simMachine) { sim.restart(leader, time.Minute) }},
 		{"frozen", func(sim *simulation, leader *simMachine) { sim.pause(leader, time.Minute) }},
@@ -128,7 +128,7 @@
 					var pauses []time.Duration
 					for seed := uint64(1); seed <= scenarioSeeds; seed++ {
 						setup := repairCase{machines: machines, losses: 1, delay: delay, sync: 5 * time.Millisecond}
-						pauses = append(pauses, measureFailover(t, seed, setup, kind.to))
+						pauses = append(pauses, measureFailover(t, seed, setup, kind.inject))
 					}
 					checkTimes(t, pauses, bound)
 				})
--- a/internal/system/replica/write_load_test.go
+++ b/internal/system/replica/write_load_test.go
@@ -223,16 +223,16 @@
 // TestSlowLinkDetectsInjectedFaults disables the mechanisms by which large messages get over slow links, one at a
 // time, and checks that the simulation notices.
 func TestSlowLinkDetectsInjectedFaults(t *testing.T) {
-	plants := map[string]func(sim *simulation){
+	injections := map[string]func(sim *simulation){
 		"a message has to be out within the write time-out": func(sim *simulation) { sim.injected.deadlinePerMessage = true },
 		"heartbeats wait behind entries":                    func(sim *simulation) { sim.injected.singleConnection = true },
 	}
 	test := &writeLoadCase{machines: 5, routeBytes: 8 << 10, bandwidth: 10 * megabit}
-	for name, plant := range plants {
+	for name, inject := range injections {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			load := newWriteLoad(1, test)
-			plant(load.sim)
+			inject(load.sim)
 			load.sim.runFor(loadWarmup)
 			t.Logf("version %d is current", load.sim.oracle.versionAt(load.sim.oracle.appliedIndex))
 			if load.sim.oracle.appliedIndex > 0 && load.sim.oracle.versionAt(load.sim.oracle.appliedIndex) > 0 {
