--- a/internal/dispatcher/exporter/collectd.go
+++ b/internal/dispatcher/exporter/collectd.go
@@ -150,10 +150,10 @@
 	if !o.periodWritten || o.unanswered > 0 {
 		return
 	}
-	n, stamp := o.currentPeriod, o.period.Timestamp
+	n, timestamp := o.currentPeriod, o.period.Timestamp
 	o.period, o.periodWritten, o.retryDelay = nil, false, 0
 	o.stats.Periods++
-	o.exporter.acknowledge(o, n, stamp)
+	o.exporter.acknowledge(o, n, timestamp)
 	o.exporter.loop.Defer(o.wake)
 }
 
@@ -161,8 +161,8 @@
 // and not sent again, since it would be rejected again.
 func (o *Collectd) Data(c *eventloop.Conn) {
 	for {
-		line, _, whole := bytes.Cut(c.Bytes(), []byte("\n"))
-		if !whole {
+		line, _, complete := bytes.Cut(c.Bytes(), []byte("\n"))
+		if !complete {
 			break
 		}
 		if bytes.HasPrefix(line, []byte("-")) {
--- a/internal/dispatcher/exporter/collectd_network.go
+++ b/internal/dispatcher/exporter/collectd_network.go
@@ -180,10 +180,10 @@
 		o.attemptFailed(err)
 		return
 	}
-	n, stamp := o.currentPeriod, o.period.Timestamp
+	n, timestamp := o.currentPeriod, o.period.Timestamp
 	o.period, o.reader, o.retryDelay = nil, nil, 0
 	o.stats.Periods++
-	o.exporter.acknowledge(o, n, stamp)
+	o.exporter.acknowledge(o, n, timestamp)
 	o.wake()
 }
 
--- a/internal/dispatcher/exporter/exporter.go
+++ b/internal/dispatcher/exporter/exporter.go
@@ -248,9 +248,9 @@
 }
 
 // acknowledge records that a receiver has all periods up to number n.
-func (e *Exporter) acknowledge(output Output, n uint64, stamp int64) {
+func (e *Exporter) acknowledge(output Output, n uint64, timestamp int64) {
 	e.ring.Acknowledge(output.receiverCursor(), n)
-	e.acknowledged[output.Name()] = stamp
+	e.acknowledged[output.Name()] = timestamp
 	if e.spool != nil {
 		e.spool.AppendAcknowledged(e.acknowledged)
 	}
@@ -271,7 +271,9 @@
 func (e *Exporter) LastTimestamp() int64 { return e.lastTimestamp }
 
 // AdvanceTimestamp makes future timestamps later than the given one.
-func (e *Exporter) AdvanceTimestamp(stamp int64) { e.lastTimestamp = max(e.lastTimestamp, stamp) }
+func (e *Exporter) AdvanceTimestamp(timestamp int64) {
+	e.lastTimestamp = max(e.lastTimestamp, timestamp)
+}
 
 // KindStats returns the sum over all outputs of a kind, removed ones included, so that it never decreases.
 func (e *Exporter) KindStats(kind string) OutputStats {
--- a/internal/dispatcher/exporter/graphite.go
+++ b/internal/dispatcher/exporter/graphite.go
@@ -175,7 +175,7 @@
 	if g.options.Pickle {
 		return g.renderPickle(b)
 	}
-	stamp := g.period.Timestamp / 1000
+	seconds := g.period.Timestamp / 1000
 	for ; points < pointsPerTurn; points++ {
 		s, v, ok := g.reader.Next()
 		if !ok {
@@ -184,14 +184,14 @@
 		}
 		b = append(append(b, g.prefix...), s.Name...)
 		b = strconv.AppendFloat(append(b, ' '), v, 'f', -1, 64)
-		b = append(strconv.AppendInt(append(b, ' '), stamp, 10), '\n')
+		b = append(strconv.AppendInt(append(b, ' '), seconds, 10), '\n')
 	}
 	return b, points, false
 }
 
 // renderPickle renders the next points as one pickle.
 func (g *Graphite) renderPickle(b []byte) (out []byte, points int, done bool) {
-	stamp := g.period.Timestamp / 1000
+	seconds := g.period.Timestamp / 1000
 	list := make([]any, 0, picklePointsPerTurn)
 	for len(list) < picklePointsPerTurn && !done {
 		s, v, ok := g.reader.Next()
@@ -200,7 +200,7 @@
 			done = true
 			break
 		}
-		list = append(list, ogorek.Tuple{g.prefix + s.Name, ogorek.Tuple{stamp, v}})
+		list = append(list, ogorek.Tuple{g.prefix + s.Name, ogorek.Tuple{seconds, v}})
 	}
 	if len(list) == 0 {
 		return b, 0, done
--- a/internal/dispatcher/exporter/packet.go
+++ b/internal/dispatcher/exporter/packet.go
@@ -89,7 +89,7 @@
 func highResolution(ms int64) uint64 { return uint64(ms/1000)<<30 + uint64(ms%1000)<<30/1000 }
 
 // add adds a value; false, and nothing is added, if there is no room.
-func (p *packet) add(s telemetry.Series, stamp int64, every, v float64) bool {
+func (p *packet) add(s telemetry.Series, timestamp int64, interval, v float64) bool {
 	was := len(p.buffer)
 	b := p.buffer
 	if !p.hasValues {
@@ -107,11 +107,11 @@
 		b = append(b, c)
 	}
 	b = append(b, 0)
-	if p.timestamp != stamp {
-		b = appendNumber(b, partTimeHR, highResolution(stamp))
+	if p.timestamp != timestamp {
+		b = appendNumber(b, partTimeHR, highResolution(timestamp))
 	}
-	if p.interval != every {
-		b = appendNumber(b, partIntervalHR, uint64(every*(1<<30)))
+	if p.interval != interval {
+		b = appendNumber(b, partIntervalHR, uint64(interval*(1<<30)))
 	}
 	b = binary.BigEndian.AppendUint16(appendPart(b, partValues, 2+9), 1)
 	if s.Kind == telemetry.Counter {
@@ -123,7 +123,7 @@
 		p.buffer = b[:was]
 		return false
 	}
-	p.buffer, p.hasValues, p.kind, p.timestamp, p.interval = b, true, s.Kind, stamp, every
+	p.buffer, p.hasValues, p.kind, p.timestamp, p.interval = b, true, s.Kind, timestamp, interval
 	return true
 }
 
--- a/internal/dispatcher/spool/recovery.go
+++ b/internal/dispatcher/spool/recovery.go
@@ -65,7 +65,7 @@
 }
 
 // readRecords reads the records of a file; false if it ends in a damaged one.
-func (r *Recovered) readRecords(b []byte) (whole bool) {
+func (r *Recovered) readRecords(b []byte) (complete bool) {
 	table := &telemetry.SeriesTable{}
 	for len(b) > 0 {
 		kind, body, n := parseRecord(b)
@@ -91,8 +91,8 @@
 			if json.Unmarshal(body, &v) != nil {
 				return false
 			}
-			for name, stamp := range v {
-				r.Acknowledged[name] = max(r.Acknowledged[name], stamp)
+			for name, timestamp := range v {
+				r.Acknowledged[name] = max(r.Acknowledged[name], timestamp)
 			}
 		case kindPeriod:
 			if len(body) < periodHeader {
--- a/internal/dispatcher/spool/spool.go
+++ b/internal/dispatcher/spool/spool.go
@@ -68,7 +68,7 @@
 
 // AppendPeriod queues a closed period, with the names and slot assignments that its file needs. done is called
 // exactly once, on any goroutine, when the period is on disk or given up.
-func (s *Spool) AppendPeriod(p *telemetry.Period, held []telemetry.SlotAssignment, done func()) {
+func (s *Spool) AppendPeriod(p *telemetry.Period, assignments []telemetry.SlotAssignment, done func()) {
 	var records []record
 	if s.table != p.Table || s.fileBytes >= s.maxBytes/maxFiles {
 		s.table, s.namedSeries, s.slots, s.fileBytes = p.Table, 0, nil, 0
@@ -84,7 +84,7 @@
 		s.namedSeries = n
 		records = append(records, record{kind: kindNames, body: body})
 	}
-	if body, err := json.Marshal(held); err == nil && !bytes.Equal(body, s.slots) {
+	if body, err := json.Marshal(assignments); err == nil && !bytes.Equal(body, s.slots) {
 		s.slots = body
 		records = append(records, record{kind: kindSlots, body: body})
 	}
--- a/internal/dispatcher/telemetry/drains.go
+++ b/internal/dispatcher/telemetry/drains.go
@@ -7,19 +7,19 @@
 		s.describe(d)
 		return s.add(d.Pattern, d.Kind)
 	}
-	s.drains.told = add(SeriesDoc{"drains.told", Counter, "drains", "Members that were ready and then no longer, by the list or by hand."})
+	s.drains.started = add(SeriesDoc{"drains.told", Counter, "drains", "Members that were ready and then no longer, by the list or by hand."})
 	s.drains.honoured = add(SeriesDoc{"drains.honoured", Counter, "drains", "Drains after which no job started later than 300 ms."})
-	s.drains.broken = add(SeriesDoc{"drains.broken", Counter, "drains", "Drains after which one did: must stay 0."})
+	s.drains.violated = add(SeriesDoc{"drains.broken", Counter, "drains", "Drains after which one did: must stay 0."})
 	s.drains.margin = add(SeriesDoc{"drains.margin_least_ms", Gauge, "ms", "What the drains that ended in the period had left of the 300 ms when the last job started, at least. None without a drain."})
 }
 
 // ObserveDrain implements dispatch.Observer. margin is in seconds; below 0 the drain was violated.
 func (s *Set) ObserveDrain(_ loadbalancer.WorkerID, margin float64) {
-	s.values[s.drains.told]++
+	s.values[s.drains.started]++
 	if margin >= 0 {
 		s.values[s.drains.honoured]++
 	} else {
-		s.values[s.drains.broken]++
+		s.values[s.drains.violated]++
 	}
 	if ms := margin * 1000; !(s.leastDrainMargin <= ms) {
 		s.leastDrainMargin = ms
--- a/internal/dispatcher/telemetry/handoff.go
+++ b/internal/dispatcher/telemetry/handoff.go
@@ -18,8 +18,8 @@
 	}
 	for i := range s.polled {
 		r := &s.polled[i]
-		if told := s.table.Series(r.index); told.Kind == Counter && usable(totals[told.Name]) {
-			r.base += totals[told.Name]
+		if series := s.table.Series(r.index); series.Kind == Counter && usable(totals[series.Name]) {
+			r.base += totals[series.Name]
 		}
 	}
 }
--- a/internal/dispatcher/telemetry/ring.go
+++ b/internal/dispatcher/telemetry/ring.go
@@ -96,8 +96,8 @@
 }
 
 // SkipTo records that a receiver has all periods up to a timestamp, delivered by an earlier incarnation.
-func (r *Ring) SkipTo(p *Cursor, stamp int64) {
-	for q, n := r.PeriodFrom(p.next); q != nil && q.Timestamp <= stamp; q, n = r.PeriodFrom(p.next) {
+func (r *Ring) SkipTo(p *Cursor, timestamp int64) {
+	for period, n := r.PeriodFrom(p.next); period != nil && period.Timestamp <= timestamp; period, n = r.PeriodFrom(p.next) {
 		r.Acknowledge(p, n)
 	}
 }
--- a/internal/dispatcher/telemetry/set.go
+++ b/internal/dispatcher/telemetry/set.go
@@ -37,7 +37,7 @@
 	lastDelta         map[int]float64    // counters at the last TakeDelta
 
 	classes          []classSeries // the last one is for jobs of unknown classes
-	drains           struct{ told, honoured, broken, margin int }
+	drains           struct{ started, honoured, violated, margin int }
 	leastDrainMargin float64 // of the open period in milliseconds; noValue without a drain
 	nodes            nodes
 }
@@ -110,14 +110,14 @@
 }
 
 // ClosePeriod closes the open period and returns it. timestamp is Unix time in milliseconds, interval in seconds.
-func (s *Set) ClosePeriod(stamp int64, every float64) *Period {
-	s.FreezePeriod(stamp, every)
+func (s *Set) ClosePeriod(timestamp int64, interval float64) *Period {
+	s.FreezePeriod(timestamp, interval)
 	return s.EncodePeriod(math.MaxInt32)
 }
 
 // FreezePeriod closes the open period; what is observed from now on belongs to the next. The previous period must be
 // encoded.
-func (s *Set) FreezePeriod(stamp int64, every float64) {
+func (s *Set) FreezePeriod(timestamp int64, interval float64) {
 	s.poll()
 	s.forEachHistogram(func(_ string, l *histogram) { l.writeQuantiles(s.values) })
 	s.values[s.drains.margin] = s.leastDrainMargin
@@ -126,7 +126,7 @@
 	}
 	s.nodes.gatheredSlots = 0
 	s.frozen, s.encoded = append(s.frozen[:0], s.values...), 0
-	s.encoding = &Period{Timestamp: stamp, Interval: every, Table: s.table, EncodedValues: appendCount(make([]byte, 0, 2*len(s.values)), len(s.values))}
+	s.encoding = &Period{Timestamp: timestamp, Interval: interval, Table: s.table, EncodedValues: appendCount(make([]byte, 0, 2*len(s.values)), len(s.values))}
 }
 
 // EncodePeriod encodes at most that many values of the frozen period, and returns it once it is complete, else nil.
--- a/internal/dispatcher/telemetry/slotassignment.go
+++ b/internal/dispatcher/telemetry/slotassignment.go
@@ -9,24 +9,24 @@
 )
 
 // SlotAssignments returns the current assignments, for the next incarnation.
-func (s *Set) SlotAssignments() (held []SlotAssignment) {
+func (s *Set) SlotAssignments() (assignments []SlotAssignment) {
 	n := &s.nodes
 	for _, slot := range n.ordered {
 		if p := n.allocator.assigned[slot.node]; slot.state != loadbalancer.Departed && n.slots[p] == slot {
-			held = append(held, SlotAssignment{n.locationName(p.location), p.number, slot.node})
+			assignments = append(assignments, SlotAssignment{n.locationName(p.location), p.number, slot.node})
 		}
 	}
-	return held
+	return assignments
 }
 
 // RestoreSlots makes nodes get the slots that an earlier incarnation gave them, once they are listed. Assignments
 // that don't fit the settings are ignored.
-func (s *Set) RestoreSlots(held []SlotAssignment) {
+func (s *Set) RestoreSlots(assignments []SlotAssignment) {
 	n := &s.nodes
 	if s.options.MaxNodes == 0 {
 		return
 	}
-	for _, assignment := range held {
+	for _, assignment := range assignments {
 		parts := strings.Split(assignment.Location, ".")
 		if len(parts) != 3 {
 			continue
