--- a/internal/dispatcher/gearman/admin.go
+++ b/internal/dispatcher/gearman/admin.go
@@ -10,7 +10,7 @@
 	"cinderroad/internal/shared/slotmap"
 )
 
-// runAdminCommand carries out a text command and returns what it prints.
+// runAdminCommand carries out a command of the text protocol and returns the reply; an empty line has none.
 func (p *peer) runAdminCommand(words []string) string {
 	s := p.server
 	if len(words) == 0 {
@@ -79,24 +79,25 @@
 	return 0
 }
 
-// statusText lists for each function the jobs held, the jobs running and the workers able.
+// statusText lists for each function its jobs, those of them that run, and the workers that can run them.
 func (s *Server) statusText() string {
-	able := map[string]int{}
+	workerCounts := map[string]int{}
 	s.peers.Each(func(_ slotmap.Handle, p *peer) {
 		if p.worker != nil {
 			for name := range p.worker.abilities {
-				able[name]++
+				workerCounts[name]++
 			}
 		}
 	})
 	var b strings.Builder
 	for _, f := range s.config.Functions {
 		fn := s.functions[f.Name]
-		fmt.Fprintf(&b, "%s\t%d\t%d\t%d\n", f.Name, fn.jobs, fn.running, able[f.Name])
+		fmt.Fprintf(&b, "%s\t%d\t%d\t%d\n", f.Name, fn.jobs, fn.running, workerCounts[f.Name])
 	}
 	return b.String() + ".\n"
 }
 
+// workersText lists the connections, with the functions of those that are workers.
 func (s *Server) workersText() string {
 	var b strings.Builder
 	s.peers.Each(func(h slotmap.Handle, p *peer) {
@@ -112,6 +113,7 @@
 	return b.String() + ".\n"
 }
 
+// jobsText formats every job with line, sorted.
 func (s *Server) jobsText(line func(*job) string) string {
 	var lines []string
 	for _, j := range s.jobs {
--- a/internal/dispatcher/gearman/config.go
+++ b/internal/dispatcher/gearman/config.go
@@ -8,33 +8,42 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Config is the operator's file, deploy/gearman.toml.
+// Config is the operator's Gearman file; deploy/gearman.toml shows its form. Get one from ReadConfig, which checks it.
 type Config struct {
 	Listen        string          `toml:"listen"`
-	AllowShutdown bool            `toml:"allow_shutdown"` // the text command `shutdown` stops the program
-	MaxJobs       int             `toml:"max_jobs"`       // jobs held at once
-	MaxBytes      int             `toml:"max_bytes"`      // of their data
+	AllowShutdown bool            `toml:"allow_shutdown"` // whether the text command `shutdown` stops the program
+	MaxJobs       int             `toml:"max_jobs"`       // jobs pending at once; 0 is defaultMaxJobs
+	MaxBytes      int             `toml:"max_bytes"`      // of the data of pending jobs; 0 is defaultMaxBytes
 	Functions     []Function      `toml:"function"`
-	Workers       []WorkerNetwork `toml:"worker"` // the first that matches a worker's address counts
+	Workers       []WorkerNetwork `toml:"worker"` // the first one that contains a worker's address applies
 
 	listenAddress netip.AddrPort
 }
 
-// Function maps a Gearman function to a class of the settings.
+// Defaults of keys that the file leaves out.
+const (
+	defaultMaxJobs  = 10000
+	defaultMaxBytes = 32 << 20
+
+	// defaultBackgroundDeadlines is the default background deadline, in deadlines of the function.
+	defaultBackgroundDeadlines = 10
+)
+
+// Function maps a Gearman function to a class of the settings, which decides deadline, value and retry safety.
 type Function struct {
 	Name     string  `toml:"name"`
 	Class    string  `toml:"class"`
-	Deadline float64 `toml:"deadline_s"` // a job is answered within this; 0 is the class's deadline
-	// BackgroundDeadline is how long a job in the background may come back after refusals; 0 is ten deadlines.
+	Deadline float64 `toml:"deadline_s"` // seconds until a job must be answered; 0 is the class's deadline, which is the most
+	// BackgroundDeadline is for how many seconds a rejected background job is requeued; 0 is ten deadlines.
 	BackgroundDeadline float64 `toml:"background_deadline_s"`
 
 	classIndex                   int
-	deadline, backgroundDeadline float64
+	deadline, backgroundDeadline float64 // seconds, defaults applied
 }
 
-// WorkerNetwork says where the workers of a network stand.
+// WorkerNetwork gives the zone, kind and cell of the workers whose address is in a network.
 type WorkerNetwork struct {
-	Network string `toml:"network"`
+	Network string `toml:"network"` // CIDR prefix
 	Zone    string `toml:"zone"`
 	Kind    string `toml:"kind"`
 	Cell    int    `toml:"cell"`
@@ -43,13 +52,14 @@
 	zoneIndex, kindIndex int
 }
 
-// SettingsNames are the settings' names that a file is checked against.
+// SettingsNames are the names of the settings that a Config may refer to, in the order of their indices.
 type SettingsNames struct {
 	Classes, Zones, Kinds []string
-	Deadlines             []float64 // by class
+	Deadlines             []float64 // seconds, by class
 }
 
-// ReadConfig reads and checks the operator's file.
+// ReadConfig reads the operator's file, checks it against the settings and applies defaults. Errors name the file and
+// the entry at fault.
 func ReadConfig(path string, names SettingsNames) (*Config, error) {
 	var config Config
 	meta, err := toml.DecodeFile(path, &config)
@@ -65,15 +75,16 @@
 	return &config, nil
 }
 
+// validate checks the file, applies defaults and resolves names to indices.
 func (c *Config) validate(names SettingsNames) (err error) {
 	if c.listenAddress, err = netip.ParseAddrPort(c.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	if c.MaxJobs == 0 {
-		c.MaxJobs = 10000
+		c.MaxJobs = defaultMaxJobs
 	}
 	if c.MaxBytes == 0 {
-		c.MaxBytes = 32 << 20
+		c.MaxBytes = defaultMaxBytes
 	}
 	if len(c.Functions) == 0 || c.MaxJobs < 0 || c.MaxBytes < 0 {
 		return fmt.Errorf("no function, or max_jobs or max_bytes below 0")
@@ -92,7 +103,7 @@
 			fn.deadline = names.Deadlines[fn.classIndex]
 		}
 		if fn.backgroundDeadline = fn.BackgroundDeadline; fn.backgroundDeadline <= 0 {
-			fn.backgroundDeadline = 10 * fn.deadline
+			fn.backgroundDeadline = defaultBackgroundDeadlines * fn.deadline
 		}
 	}
 	if len(c.Workers) == 0 {
@@ -110,7 +121,7 @@
 	return nil
 }
 
-// networkOf finds where a worker stands; one from elsewhere may not work here.
+// networkOf returns the first configured network that contains the address. Workers from other networks get no jobs.
 func (c *Config) networkOf(address netip.Addr) (WorkerNetwork, bool) {
 	for _, network := range c.Workers {
 		if network.prefix.Contains(address.Unmap()) {
--- a/internal/dispatcher/gearman/job.go
+++ b/internal/dispatcher/gearman/job.go
@@ -8,28 +8,47 @@
 	"cinderroad/internal/shared/invariant"
 )
 
-// job is what clients submitted, and what all who submitted the same unique id share.
+// Priorities of jobs, in the order in which a worker is assigned them.
+const (
+	priorityHigh = iota
+	priorityNormal
+	priorityLow
+)
+
+// minRequeueDelay is the least time in seconds before a rejected background job is submitted again.
+const minRequeueDelay = 0.05
+
+// job is one submitted job. Clients that submit the same function and unique id while it is pending share it.
 type job struct {
 	server                 *Server
-	handle, unique         string
+	handle                 string // the server's name for it, unique in this process
+	unique                 string // the client's id; empty if it gave none
 	data                   string
 	function               *function
 	background             bool
-	priority               int // 0 is high
-	waiters                []*peer
+	priority               int     // one of the priority constants
+	waiters                []*peer // clients to notify, one entry for each foreground submission
 	requestID              dispatch.RequestID
-	queued                 bool // the core has it
-	running                int
-	numerator, denominator string
-	exception              string
+	queued                 bool   // submitted to the dispatcher; false again while it waits to be requeued
+	running                int    // attempts assigned to workers
+	numerator, denominator string // of the last WORK_STATUS, as the worker wrote them
+	exception              string // of the last attempt that raised one
 	ended                  bool
-	requeued               bool             // its last refusal was not told to anybody: it comes back
-	output                 []outputPacket   // of the fetch that won
-	startTimer             *eventloop.Timer // of a job for later, or of one that comes back after a refusal
-	expiresAt              float64          // when the job is given up
+	requeued               bool             // the last rejection was not reported to a client: the job is submitted again
+	output                 []outputPacket   // of the attempt that succeeded
+	startTimer             *eventloop.Timer // submits a job with a start time, or a requeued one
+	expiresAt              float64          // when the job must have its answer, in the loop's seconds; 0 until first submitted
+}
+
+// outputPacket is a packet that an attempt produced, buffered until the job has ended: if the attempt fails and another
+// follows, the client must not see the output of both.
+type outputPacket struct {
+	kind Kind
+	data string
 }
 
-// status is the last four arguments of a status answer.
+// status returns the last four arguments of a status response: known, running, numerator, denominator. A nil job is
+// an unknown one.
 func (j *job) status() []string {
 	if j == nil {
 		return []string{"0", "0", "0", "0"}
@@ -41,7 +60,7 @@
 	return []string{"1", running, j.numerator, j.denominator}
 }
 
-// submit hands the job to the core.
+// submit submits the job to the dispatcher.
 func (j *job) submit() {
 	now := j.server.loop.Now()
 	if j.expiresAt == 0 {
@@ -55,8 +74,8 @@
 		Deadline: min(j.expiresAt, now+j.function.deadline), Payload: j, ID: j.handle, Front: "gearman"}, j)
 }
 
-// requeue has a refused job in the background come back when the core said. A caller would; this one is not
-// there to do it, and nobody is kept waiting for an answer.
+// requeue submits a rejected background job again after delay seconds, as its client would if it were there, and
+// reports whether it does. Only jobs without waiting clients are requeued: a client is told to retry itself.
 func (j *job) requeue(delay float64) bool {
 	startAt := j.server.loop.Now() + max(delay, minRequeueDelay)
 	if !j.background || len(j.waiters) > 0 || j.server.stopping || startAt >= j.expiresAt {
@@ -68,7 +87,7 @@
 	return true
 }
 
-// abandon gives the job up: nobody waits for it.
+// abandon cancels a job whose clients have all disconnected, or that an administrator cancelled.
 func (j *job) abandon() {
 	if j.ended {
 		return
@@ -84,8 +103,8 @@
 	}
 }
 
-// Answer implements dispatch.Requester: the job's one end goes to all who wait for it. Gearman knows no refusal:
-// it is a failure with a warning before it that says when to come back.
+// Answer implements dispatch.Requester: it ends the job and sends the result to all waiters. Gearman has no packet for
+// a rejection: it is sent as a warning that says when to retry, and a failure.
 func (j *job) Answer(answer dispatch.Answer) {
 	if j.ended {
 		return
@@ -132,6 +151,7 @@
 // Requeued implements dispatch.Requeuer.
 func (j *job) Requeued() bool { return j.requeued }
 
+// close removes the job from the server's tables and releases what it reserved.
 func (j *job) close() {
 	invariant.Check(!j.ended, "a Gearman job ends once")
 	j.ended = true
@@ -150,7 +170,7 @@
 	j.server.limiter.ReleaseJob(len(j.data))
 }
 
-// notify passes news on to all who wait for the job.
+// notify sends a packet about the job to all waiters.
 func (j *job) notify(kind Kind, args ...string) {
 	for _, p := range j.waiters {
 		p.send(kind, append([]string{j.handle}, args...)...)
--- a/internal/dispatcher/gearman/packet.go
+++ b/internal/dispatcher/gearman/packet.go
@@ -1,5 +1,3 @@
-// Package gearman speaks the public Gearman protocol, the clients' side, the workers' side and the text
-// commands of administrators, on the same core as the platform's protocol. The parsers are pure functions.
 package gearman
 
 import (
@@ -10,91 +8,96 @@
 	"strings"
 )
 
-// Kind is the type of a packet.
+// Kind is the packet type of the Gearman protocol; the values are its numbers.
 type Kind uint32
 
-// The packets of the protocol.
+// The packet types, named as in the protocol.
 const (
-	CanDo               Kind = 1
-	CantDo              Kind = 2
-	ResetAbilities      Kind = 3
-	PreSleep            Kind = 4
-	Noop                Kind = 6
-	SubmitJob           Kind = 7
-	JobCreated          Kind = 8
-	GrabJob             Kind = 9
-	NoJob               Kind = 10
-	JobAssign           Kind = 11
-	WorkStatus          Kind = 12
-	WorkComplete        Kind = 13
-	WorkFail            Kind = 14
-	GetStatus           Kind = 15
-	EchoReq             Kind = 16
-	EchoRes             Kind = 17
-	SubmitJobBg         Kind = 18
-	Error               Kind = 19
-	StatusRes           Kind = 20
-	SubmitJobHigh       Kind = 21
-	SetClientID         Kind = 22
-	CanDoTimeout        Kind = 23
-	AllYours            Kind = 24
-	WorkException       Kind = 25
-	OptionReq           Kind = 26
-	OptionRes           Kind = 27
-	WorkData            Kind = 28
-	WorkWarning         Kind = 29
-	GrabJobUniq         Kind = 30
-	JobAssignUniq       Kind = 31
-	SubmitJobHighBg     Kind = 32
-	SubmitJobLow        Kind = 33
-	SubmitJobLowBg      Kind = 34
-	SubmitJobSched      Kind = 35
-	SubmitJobEpoch      Kind = 36
-	SubmitReduce        Kind = 37
-	SubmitReduceBg      Kind = 38
-	GrabJobAll          Kind = 39
-	JobAssignAll        Kind = 40
-	GetStatusUnique     Kind = 41
-	StatusResUnique     Kind = 42
-	headerSize               = 12
-	maxNameBytes             = 4 << 10  // of a function, unique id or handle
-	maxDataBytes             = 64 << 10 // of a job or result
-	maxPacketBytes           = maxDataBytes + 4*maxNameBytes
-	maxLineBytes             = 4 << 10
-	requestMagic             = "\x00REQ"
-	responseMagic            = "\x00RES"
-	codeLostJob              = "ERR_LOST_JOB"
-	codeUnknownFunction      = "ERR_UNKNOWN_FUNCTION"
-	codeQueueFull            = "ERR_QUEUE_FULL"
-	codeBadPacket            = "ERR_BAD_PACKET"
-	codeUnknownOption        = "ERR_UNKNOWN_OPTION"
-	codeNotSupported         = "ERR_NOT_SUPPORTED"
-	codeShuttingDown         = "ERR_SHUTTING_DOWN"
+	CanDo           Kind = 1
+	CantDo          Kind = 2
+	ResetAbilities  Kind = 3
+	PreSleep        Kind = 4
+	Noop            Kind = 6
+	SubmitJob       Kind = 7
+	JobCreated      Kind = 8
+	GrabJob         Kind = 9
+	NoJob           Kind = 10
+	JobAssign       Kind = 11
+	WorkStatus      Kind = 12
+	WorkComplete    Kind = 13
+	WorkFail        Kind = 14
+	GetStatus       Kind = 15
+	EchoReq         Kind = 16
+	EchoRes         Kind = 17
+	SubmitJobBg     Kind = 18
+	Error           Kind = 19
+	StatusRes       Kind = 20
+	SubmitJobHigh   Kind = 21
+	SetClientID     Kind = 22
+	CanDoTimeout    Kind = 23
+	AllYours        Kind = 24
+	WorkException   Kind = 25
+	OptionReq       Kind = 26
+	OptionRes       Kind = 27
+	WorkData        Kind = 28
+	WorkWarning     Kind = 29
+	GrabJobUniq     Kind = 30
+	JobAssignUniq   Kind = 31
+	SubmitJobHighBg Kind = 32
+	SubmitJobLow    Kind = 33
+	SubmitJobLowBg  Kind = 34
+	SubmitJobSched  Kind = 35
+	SubmitJobEpoch  Kind = 36
+	SubmitReduce    Kind = 37
+	SubmitReduceBg  Kind = 38
+	GrabJobAll      Kind = 39
+	JobAssignAll    Kind = 40
+	GetStatusUnique Kind = 41
+	StatusResUnique Kind = 42
 )
 
+// Layout and limits of packets, in bytes.
 const (
-	maxUnsentBytes  = 1 << 20 // bytes that may wait for a peer that does not read
-	minRequeueDelay = 0.05    // seconds before a refused job in the background comes back
+	requestMagic  = "\x00REQ"
+	responseMagic = "\x00RES"
+	headerSize    = 12 // magic, kind and body size, 4 bytes each
+
+	maxNameBytes   = 4 << 10  // of a function name, unique id or handle
+	maxDataBytes   = 64 << 10 // of a job's data, and of an attempt's buffered output
+	maxPacketBytes = maxDataBytes + 4*maxNameBytes
+	maxLineBytes   = 4 << 10 // of the text protocol
+)
+
+// Error codes of the ERROR packet, as the reference server spells them.
+const (
+	codeUnknownFunction = "ERR_UNKNOWN_FUNCTION"
+	codeQueueFull       = "ERR_QUEUE_FULL"
+	codeBadPacket       = "ERR_BAD_PACKET"
+	codeUnknownOption   = "ERR_UNKNOWN_OPTION"
+	codeNotSupported    = "ERR_NOT_SUPPORTED"
+	codeShuttingDown    = "ERR_SHUTTING_DOWN"
 )
 
-// argumentCounts is how many arguments the packets have that a server gets; the last one may hold any byte.
+// argumentCounts holds the packet types that a server receives, with the number of their arguments. The last argument
+// may contain any byte, NUL too.
 var argumentCounts = map[Kind]int{CanDo: 1, CantDo: 1, ResetAbilities: 0, PreSleep: 0, SubmitJob: 3, GrabJob: 0,
 	WorkStatus: 3, WorkComplete: 2, WorkFail: 1, GetStatus: 1, EchoReq: 1, SubmitJobBg: 3, SubmitJobHigh: 3,
 	SetClientID: 1, CanDoTimeout: 2, AllYours: 0, WorkException: 2, OptionReq: 1, WorkData: 2, WorkWarning: 2,
 	GrabJobUniq: 0, SubmitJobHighBg: 3, SubmitJobLow: 3, SubmitJobLowBg: 3, SubmitJobSched: 8, SubmitJobEpoch: 4,
 	SubmitReduce: 4, SubmitReduceBg: 4, GrabJobAll: 0, GetStatusUnique: 1}
 
-// ErrIncomplete says that the packet is not whole yet.
-var ErrIncomplete = errors.New("gearman: packet not whole")
+// ErrIncomplete is returned while the buffer holds only a prefix of a packet or line: call again with more bytes.
+var ErrIncomplete = errors.New("gearman: incomplete packet")
 
-// Packet is one request to the server.
+// Packet is one request to the server, with as many arguments as its kind has.
 type Packet struct {
 	Kind Kind
 	Args []string
 }
 
-// Parse reads one request packet from the start of b and tells how many bytes it took; ErrIncomplete asks for more.
-// Any other error is final: after it the stream cannot be read on.
+// Parse reads one request packet from the start of b and returns the number of bytes it takes up. It returns
+// ErrIncomplete if more bytes are needed. After any other error the stream has lost its framing: close the connection.
+// The error text is sent to the peer.
 func Parse(b []byte) (packet Packet, n int, err error) {
 	if len(b) < headerSize {
 		if !bytes.HasPrefix([]byte(requestMagic), b[:min(len(b), 4)]) && !bytes.HasPrefix(b, []byte(requestMagic)) {
@@ -147,12 +150,12 @@
 	return packet, n, nil
 }
 
-// Append writes a response packet.
+// Append appends a response packet to b.
 func Append(b []byte, kind Kind, args ...string) []byte {
 	return appendPacket(b, responseMagic, kind, args)
 }
 
-// AppendRequest writes a request packet, as clients and workers do.
+// AppendRequest appends a request packet to b, as clients and workers send it.
 func AppendRequest(b []byte, kind Kind, args ...string) []byte {
 	return appendPacket(b, requestMagic, kind, args)
 }
@@ -168,7 +171,8 @@
 	return append(b, strings.Join(args, "\x00")...)
 }
 
-// ParseLine reads one text command of an administrator; ErrIncomplete asks for more.
+// ParseLine splits one line of the administrators' text protocol into words and returns the number of bytes it takes
+// up. It returns ErrIncomplete if the line's end has not arrived; any other error is final.
 func ParseLine(b []byte) (words []string, n int, err error) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
--- a/internal/dispatcher/gearman/peer.go
+++ b/internal/dispatcher/gearman/peer.go
@@ -4,7 +4,6 @@
 	"errors"
 	"net/netip"
 	"slices"
-	"strconv"
 	"strings"
 
 	"go.uber.org/zap"
@@ -14,25 +13,28 @@
 	"cinderroad/internal/shared/slotmap"
 )
 
-// peer is a connection: a client session, a worker, an administrator, or all of them.
+// maxUnsentBytes is how much output may wait for a peer that does not read.
+const maxUnsentBytes = 1 << 20
+
+// peer is a connection. It may be a client, a worker and an administrator at once.
 type peer struct {
 	server         *Server
 	handle         slotmap.Handle
 	conn           *eventloop.Conn
-	connectedAt    float64
-	idleOrder      uint64 // its place in the order in which clients came to rest
-	pendingJobs    int    // jobs whose end it waits for
-	exceptions     bool
+	connectedAt    float64 // loop time, seconds
+	idleOrder      uint64  // Server.idleSequence when it last became idle
+	pendingJobs    int     // foreground submissions whose job has not ended
+	exceptions     bool    // the client asked for WORK_EXCEPTION
 	clientID       string
-	worker         *worker
+	worker         *worker // nil until it offers a configured function
 	address        netip.Addr
-	sentMessage    bool // has sent a whole message
-	messagePending bool // the next one has begun
-	timeout        *eventloop.Timer
+	sentMessage    bool             // has sent a complete message
+	messagePending bool             // part of the next message has arrived and its deadline is set
+	timeout        *eventloop.Timer // of the message being received
 }
 
-// setMessageDeadline bounds how long the next message may take: a peer that never says what it wants, or says it byte by
-// byte, must not hold a socket. Between messages clients and workers may rest for as long as they like.
+// setMessageDeadline closes the peer unless its next message is complete within wait seconds: a peer that sends nothing,
+// or sends byte by byte, must not occupy a socket. Between messages peers may be idle without limit.
 func (p *peer) setMessageDeadline(wait float64) {
 	p.timeout.Stop()
 	p.timeout = p.server.loop.At(p.server.loop.Now()+wait, func() {
@@ -41,7 +43,7 @@
 	})
 }
 
-// closeWithError closes with a word on why.
+// closeWithError sends an ERROR packet and closes the connection once it is written.
 func (p *peer) closeWithError(code, reason string) {
 	p.send(Error, code, reason)
 	p.unregister()
@@ -54,13 +56,14 @@
 // Closed implements eventloop.Handler.
 func (p *peer) Closed(*eventloop.Conn, error) { p.unregister() }
 
+// close closes the connection at once.
 func (p *peer) close() {
 	p.unregister()
 	p.conn.Close()
 }
 
-// unregister lets go of what the peer had: its worker drains, and jobs in the foreground that nobody waits for
-// any more are given up. A job in the background has no caller to lose.
+// unregister releases what the peer had, once: its worker departs, and foreground jobs without another waiter are
+// abandoned, in the order of their handles. Background jobs go on.
 func (p *peer) unregister() {
 	if !p.server.peers.Remove(p.handle) {
 		return
@@ -88,7 +91,7 @@
 	}
 }
 
-// send writes a packet; a peer that reads nothing is let go before what it is owed fills the memory.
+// send writes a packet. A peer with more than maxUnsentBytes unread is closed, after the current event.
 func (p *peer) send(kind Kind, args ...string) {
 	p.conn.Write(Append(nil, kind, args...))
 	if p.conn.Unsent() > maxUnsentBytes {
@@ -138,118 +141,8 @@
 	}
 }
 
-// markMessageComplete notes a whole message.
+// markMessageComplete records that a complete message arrived and stops its deadline.
 func (p *peer) markMessageComplete() {
 	p.sentMessage, p.messagePending = true, false
 	p.timeout.Stop()
 }
-
-func (p *peer) handlePacket(packet Packet) {
-	switch packet.Kind {
-	case SubmitJob, SubmitJobBg:
-		p.submit(packet, 1, packet.Kind == SubmitJobBg)
-	case SubmitJobHigh, SubmitJobHighBg:
-		p.submit(packet, 0, packet.Kind == SubmitJobHighBg)
-	case SubmitJobLow, SubmitJobLowBg:
-		p.submit(packet, 2, packet.Kind == SubmitJobLowBg)
-	case SubmitJobEpoch:
-		p.submit(packet, 1, true)
-	case SubmitJobSched, SubmitReduce, SubmitReduceBg:
-		p.send(Error, codeNotSupported, "this kind of submission is not supported")
-	case GetStatus:
-		p.send(StatusRes, append([]string{packet.Args[0]}, p.server.jobs[packet.Args[0]].status()...)...)
-	case GetStatusUnique:
-		j := p.server.jobByUnique(packet.Args[0])
-		count := "0"
-		if j != nil {
-			count = strconv.Itoa(len(j.waiters))
-		}
-		p.send(StatusResUnique, append(append([]string{packet.Args[0]}, j.status()...), count)...)
-	case EchoReq:
-		p.send(EchoRes, packet.Args[0])
-	case OptionReq:
-		if packet.Args[0] != "exceptions" {
-			p.send(Error, codeUnknownOption, "unknown option")
-			return
-		}
-		p.exceptions = true
-		p.send(OptionRes, packet.Args[0])
-	case SetClientID:
-		p.clientID = strings.Join(strings.Fields(packet.Args[0]), "_")
-	case AllYours: // a wish that its connection be served first: there is nothing to gain by it here
-	default:
-		p.handleWorkerPacket(packet)
-	}
-}
-
-// submit takes a job, or joins one that has the same unique id.
-func (p *peer) submit(packet Packet, priority int, background bool) {
-	s, name, unique, data := p.server, packet.Args[0], packet.Args[1], packet.Args[len(packet.Args)-1]
-	fn := s.functions[name]
-	switch {
-	case fn == nil: // what a repeat of it may do is not known: never served
-		p.send(Error, codeUnknownFunction, "no class is configured for function "+name)
-		return
-	case s.stopping:
-		p.send(Error, codeShuttingDown, "shutting down")
-		return
-	case s.evacuating:
-		p.send(Error, codeShuttingDown, "evacuated, come back later")
-		return
-	case s.rejecting:
-		p.send(Error, codeShuttingDown, "out of lease, come back later")
-		return
-	}
-	if unique == "-" { // by the protocol, the data is then the unique id
-		unique = data
-	}
-	if j := s.jobsByUnique[uniqueKey{name, unique}]; j != nil && unique != "" {
-		s.Counts.Coalesced++
-		if background && !j.background {
-			j.background = true
-			s.Counts.Background++
-		}
-		p.send(JobCreated, j.handle)
-		if !background { // a client that submits twice waits for two ends, one for each of its tasks
-			j.waiters = append(j.waiters, p)
-			p.pendingJobs++
-		}
-		return
-	}
-	startAt := 0.0
-	if packet.Kind == SubmitJobEpoch {
-		seconds, err := strconv.ParseInt(packet.Args[2], 10, 64)
-		if err != nil {
-			p.send(Error, codeBadPacket, "epoch is no number")
-			return
-		}
-		startAt = float64(seconds)
-	}
-	if fn.maxQueue > 0 && fn.jobs-fn.running >= fn.maxQueue || len(s.jobs) >= s.config.MaxJobs ||
-		s.pendingBytes+len(data) > s.config.MaxBytes || !s.limiter.ReserveJob(len(data)) {
-		p.send(Error, codeQueueFull, "job queue is full")
-		return
-	}
-	s.lastSerial++
-	j := &job{server: s, handle: s.handlePrefix + strconv.FormatUint(s.lastSerial, 10), unique: unique, data: data, function: fn,
-		background: background, priority: priority, numerator: "0", denominator: "0"}
-	s.jobs[j.handle] = j
-	if unique != "" {
-		s.jobsByUnique[uniqueKey{name, unique}] = j
-	}
-	fn.jobs++
-	s.pendingBytes += len(data)
-	s.Counts.Jobs++
-	if background {
-		s.Counts.Background++
-	} else {
-		j.waiters = []*peer{p}
-		p.pendingJobs++
-	}
-	p.send(JobCreated, j.handle)
-	if startAt > s.loop.Now() {
-		j.startTimer = s.loop.At(startAt, j.submit)
-		return
-	}
-	j.submit()
-}
--- a/internal/dispatcher/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -13,26 +13,27 @@
 	"cinderroad/loadbalancer"
 )
 
-// Counts are the front's figures since the start. Every job created ends once, under one of the verdicts.
+// Counts are the front's counters since the process began. Every job counted in Jobs ends under exactly one of Served,
+// Rejected, Failed and Abandoned. The JSON names are kept by recorded samples and must not change.
 type Counts struct {
 	Jobs            uint64 `json:"Jobs"`
-	Background      uint64 `json:"Background"`
-	Coalesced       uint64 `json:"Coalesced"`
+	Background      uint64 `json:"Background"` // jobs in the background, among Jobs
+	Coalesced       uint64 `json:"Coalesced"`  // submissions that joined a pending job
 	Served          uint64 `json:"Served"`
 	Rejected        uint64 `json:"Refused"`
 	Failed          uint64 `json:"Failed"`
-	Abandoned       uint64 `json:"Gone"`
-	BackgroundEnded uint64 `json:"BackgroundEnded"`
-	Requeued        uint64 `json:"Returned"` // refusals after which a job in the background came back
+	Abandoned       uint64 `json:"Gone"`            // jobs that nobody waited for any more, or cancelled
+	BackgroundEnded uint64 `json:"BackgroundEnded"` // background jobs that have ended
+	Requeued        uint64 `json:"Returned"`        // rejections after which a background job was submitted again
 	BadPackets      uint64 `json:"BadPackets"`
-	StrayWork       uint64 `json:"StrayWork"`
-	TimedOut        uint64 `json:"Slow"`
+	StrayWork       uint64 `json:"StrayWork"` // reports on jobs that the worker does not have (any more)
+	TimedOut        uint64 `json:"Slow"`      // peers closed because a message was not complete in time
 }
 
-// Server is the Gearman front: clients and workers come by the same port.
+// Server is the Gearman front: clients, workers and administrators connect to the same port.
 type Server struct {
 	Counts   Counts
-	Shutdown func() // stops the program, where an administrator may
+	Shutdown func() // stops the program; called only if Config.AllowShutdown is set
 
 	loop         *eventloop.Loop
 	log          *zap.Logger
@@ -44,37 +45,34 @@
 	peers        slotmap.Map[*peer]
 	jobs         map[string]*job // by handle
 	jobsByUnique map[uniqueKey]*job
-	lastSerial   uint64
-	pendingBytes int // bytes of the jobs' data
+	lastSerial   uint64 // of the last job's handle
+	pendingBytes int    // bytes of the jobs' data
 	handlePrefix string
-	stopping     bool
-	evacuating   bool // evacuated: clients are sent away, until they are taken again
-	rejecting    bool // no new job is taken
-	idleSequence uint64
+	stopping     bool   // draining: no new job is accepted, and rejected jobs are not requeued
+	evacuating   bool   // new jobs are rejected and idle clients were disconnected
+	rejecting    bool   // new jobs are rejected, clients stay
+	idleSequence uint64 // orders peers by when they became idle
 	listener     *eventloop.Listener
 	retireTimer  *eventloop.Timer
 }
 
-const retireInterval = 0.05 // seconds between two looks at who can be sent to the next process
+// retireInterval is the time in seconds between two searches for peers that can be closed while retired.
+const retireInterval = 0.05
 
+// uniqueKey identifies a pending job by what its clients named: unique ids are scoped to a function.
 type uniqueKey struct{ function, unique string }
 
+// function is a configured function with its state.
 type function struct {
 	Function
-	skill    uint32
-	maxQueue int // jobs that may wait; 0 is any number
-	jobs     int
-	running  int
+	skill    uint32 // the skill that its jobs need and its workers have
+	maxQueue int    // jobs that may wait, set by the text command; 0 is unlimited
+	jobs     int    // pending, running ones included
+	running  int    // jobs with an attempt at a worker
 }
 
-// outputPacket is output of a job that waits for the job's end: if the fetch fails and another is made, the client
-// must not see both.
-type outputPacket struct {
-	kind Kind
-	data string
-}
-
-// New makes the front; Start opens its port.
+// New returns a front that is not listening yet. The name, unique among dispatchers, goes into job handles;
+// reportFields is the layout of the load reports that the dispatcher expects.
 func New(loop *eventloop.Loop, log *zap.Logger, dispatcher *dispatch.Dispatcher, limiter *admission.Limiter, config *Config, name string, reportFields []loadbalancer.ReportField) *Server {
 	s := &Server{loop: loop, log: log, dispatcher: dispatcher, limiter: limiter, config: config, reportFields: reportFields, functions: map[string]*function{},
 		jobs: map[string]*job{}, jobsByUnique: map[uniqueKey]*job{}, handlePrefix: "H:" + name + ":"}
@@ -84,7 +82,8 @@
 	return s
 }
 
-// Start opens the port, or goes on with the socket of the process before this one; 0 is none.
+// Start opens the port, or uses the listening socket inherited as file descriptor from the process that this one
+// replaces; 0 is none.
 func (s *Server) Start(inherited int) (err error) {
 	if inherited > 0 {
 		s.listener, err = s.loop.InheritListener(inherited, s.accept)
@@ -94,8 +93,9 @@
 	return err
 }
 
-// SetRetired leaves the port to the next process, or takes it back. Its own jobs are served first, by the workers that are
-// here; then clients and workers are sent to the next one, as they would be by a restart.
+// SetRetired leaves the listening socket to the successor process (on), or accepts on it again. While retired, the
+// pending jobs are finished by the workers connected here; each peer is closed once it is idle and reconnects to the
+// successor, as after a restart.
 func (s *Server) SetRetired(on bool) {
 	s.listener.SetSuspended(on)
 	s.retireTimer.Stop()
@@ -106,6 +106,7 @@
 	s.retire()
 }
 
+// retire closes the idle peers, workers only once no job is left, and runs again after retireInterval.
 func (s *Server) retire() {
 	s.peers.Each(func(_ slotmap.Handle, p *peer) {
 		if p.pendingJobs == 0 && len(p.conn.Bytes()) == 0 && p.conn.Unsent() == 0 && (p.worker == nil || len(s.jobs) == 0 && len(p.worker.running) == 0) {
@@ -115,10 +116,11 @@
 	s.retireTimer = s.loop.At(s.loop.Now()+retireInterval, s.retire)
 }
 
-// Listener is the open port.
+// Listener returns the listening socket; nil before Start.
 func (s *Server) Listener() *eventloop.Listener { return s.listener }
 
-// Drain takes no new jobs. Those the core has are served to their end; those that wait to enter it end here.
+// Drain rejects new jobs. Jobs that the dispatcher has are finished; those with a timer that would submit them later
+// fail now.
 func (s *Server) Drain() {
 	s.stopping = true
 	for _, j := range s.jobs {
@@ -129,8 +131,8 @@
 	}
 }
 
-// Evacuate sends the clients away, or takes them again: new jobs are turned away and clients that wait for nothing
-// are closed. Workers stay, and all that was taken is served.
+// Evacuate rejects new jobs and closes the clients that wait for nothing (on), or accepts jobs again. Workers stay, and
+// pending jobs are finished.
 func (s *Server) Evacuate(on bool) {
 	if s.evacuating = on; !on {
 		return
@@ -142,21 +144,21 @@
 	})
 }
 
-// SetRejecting has new jobs turned away, or takes them again; clients stay.
+// SetRejecting rejects new jobs, or accepts them again. Connections stay.
 func (s *Server) SetRejecting(on bool) { s.rejecting = on }
 
-// Idle says whether every job has had its end and every answer has gone out.
+// Idle reports whether every job has ended and every answer to a client has been written.
 func (s *Server) Idle() bool {
 	quiet := len(s.jobs) == 0
 	s.peers.Each(func(_ slotmap.Handle, p *peer) { quiet = quiet && (p.worker != nil || p.conn.Unsent() == 0) })
 	return quiet
 }
 
-// EvictIdle closes a client that can be spared, a worker never.
+// EvictIdle closes one idle client, never a worker, and reports whether there was one.
 func (s *Server) EvictIdle() bool { return s.closeIdle(func(*peer) bool { return true }) }
 
-// closeIdle closes one of the clients that may be closed: first one that has handed in nothing yet, then the one that
-// has been idle longest.
+// closeIdle closes one of the idle clients that allowed accepts: one that has not sent a message yet if there is any,
+// otherwise the one that has been idle longest. It reports whether it closed one.
 func (s *Server) closeIdle(allowed func(*peer) bool) bool {
 	var best *peer
 	s.peers.Each(func(_ slotmap.Handle, p *peer) {
@@ -173,8 +175,8 @@
 	return best != nil
 }
 
-// Reload takes a changed operator's file and names what needs a restart. Workers that stand in the list keep
-// the place they came with.
+// Reload applies a changed operator's file and returns the names of the parts that take effect only after a restart.
+// Connected workers keep the zone, kind and cell that they connected with.
 func (s *Server) Reload(config *Config) (restart []string) {
 	if config.listenAddress != s.config.listenAddress {
 		restart = append(restart, "gearman listen")
@@ -188,9 +190,10 @@
 	return restart
 }
 
-// Totals returns the figures so far.
+// Totals returns the counters since the process began.
 func (s *Server) Totals() Counts { return s.Counts }
 
+// accept registers a connection. Over the connection limit an idle client is closed to make room, or the new one.
 func (s *Server) accept(conn *eventloop.Conn) eventloop.Handler {
 	s.idleSequence++
 	p := &peer{server: s, conn: conn, connectedAt: s.loop.Now(), idleOrder: s.idleSequence, clientID: "-", address: conn.Peer().Addr().Unmap()}
@@ -204,6 +207,8 @@
 	return p
 }
 
+// jobByUnique returns the pending job with a unique id, nil if there is none. Of jobs of several functions it is the
+// one with the lowest handle.
 func (s *Server) jobByUnique(unique string) *job {
 	var found *job
 	for key, j := range s.jobsByUnique {
--- a/internal/dispatcher/gearman/worker.go
+++ b/internal/dispatcher/gearman/worker.go
@@ -9,38 +9,26 @@
 	"go.uber.org/zap"
 
 	"cinderroad/internal/dispatcher/dispatch"
-	"cinderroad/internal/shared/eventloop"
 	"cinderroad/loadbalancer"
 )
 
-// noSkill is a skill that no job needs. Every Gearman worker has it, so that none of them, whatever else it
-// can do, passes for a backend of the platform, which has no skills.
+// noSkill is a skill that no job needs. Every Gearman worker has it, so that even one without abilities differs from the
+// platform's backends, which have no skills: it must never be given their jobs.
 const noSkill = math.MaxUint32
 
-// worker is a worker's connection: a backend of the core.
+// worker is the worker side of a connection. It implements dispatch.Backend.
 type worker struct {
 	peer       *peer
-	name       string
+	name       string // of the dispatcher's member, made of the connection's slot
 	member     loadbalancer.Worker
-	abilities  map[string]float64 // its functions and how long a job may run, 0 for as long as the job has
-	asleep     bool
-	unassigned []*attempt // sent by the decisions, not assigned yet
-	running    map[string]*attempt
+	abilities  map[string]float64  // functions to time limits in seconds; 0 is the job's own deadline
+	asleep     bool                // sent PRE_SLEEP: wake it with NOOP when there is a job
+	unassigned []*attempt          // attempts that wait for GRAB_JOB, by priority, then arrival
+	running    map[string]*attempt // by job handle
 }
 
-// attempt is one attempt at a job.
-type attempt struct {
-	id            dispatch.AttemptID
-	job           *job
-	worker        *worker
-	timeLimit     *eventloop.Timer
-	output        []outputPacket
-	outputBytes   int
-	assignmentEnd uint64 // bytes written on the connection once the assignment has gone out whole
-	settled       bool   // nothing more is to be told to the core
-}
-
-// addAbility adds what a worker can do; the first makes the connection a backend.
+// addAbility adds a function that the worker can run, with a time limit in seconds (0 is none). The first one makes the
+// connection a backend of the dispatcher.
 func (p *peer) addAbility(name string, limit float64) {
 	fn := p.server.functions[name]
 	if fn == nil {
@@ -54,7 +42,7 @@
 			return
 		}
 		p.worker = &worker{peer: p, abilities: map[string]float64{}, running: map[string]*attempt{},
-			// The number is the slot's, so that workers that come and go leave no trail behind.
+			// Slot numbers are reused, so the dispatcher's table of names stays bounded as workers come and go.
 			name: fmt.Sprintf("gearman/%d", uint32(p.handle)),
 			member: loadbalancer.Worker{Zone: network.zoneIndex,
 				Kind: network.kindIndex, Cell: network.Cell, Weight: 1, StartedAt: p.connectedAt}}
@@ -66,7 +54,7 @@
 	}
 }
 
-// publish tells the core what the worker can do now. One that can do nothing drains.
+// publish updates the dispatcher's member. A worker without abilities is draining.
 func (w *worker) publish() {
 	w.member.State, w.member.Skills = loadbalancer.Draining, []uint32{noSkill}
 	for name := range w.abilities {
@@ -77,8 +65,8 @@
 	w.peer.server.dispatcher.UpdateMembers(loadbalancer.ListDelta, []dispatch.Member{{Worker: w.member, Backend: w, Name: w.name}})
 }
 
-// removeAbilities takes abilities away, the named one or all: that is a drain. What waits for a grab never ran and goes
-// elsewhere; what runs may finish.
+// removeAbilities removes one ability, or all. Attempts that were not assigned yet never ran and are returned to the
+// dispatcher; running ones may finish. The worker may be nil.
 func (w *worker) removeAbilities(name string, all bool) {
 	if w == nil {
 		return
@@ -92,7 +80,8 @@
 	w.returnUnservable()
 }
 
-// returnUnservable hands back what waits here and may not be given to this worker any more.
+// returnUnservable returns to the dispatcher the unassigned attempts whose function the worker no longer has. It changes
+// the queue before it reports: the dispatcher may call Start again from HandleOutcome.
 func (w *worker) returnUnservable() {
 	var returned []*attempt
 	w.unassigned = slices.DeleteFunc(w.unassigned, func(a *attempt) bool {
@@ -107,7 +96,8 @@
 	}
 }
 
-// depart ends what the worker had: what it was assigned may have run, whatever it told before.
+// depart removes the worker of a closed connection from the dispatcher. A job whose assignment was written completely
+// may have run, whatever status the worker sent.
 func (w *worker) depart() {
 	w.member.State = loadbalancer.Departed
 	w.peer.server.dispatcher.UpdateMembers(loadbalancer.ListDelta, []dispatch.Member{{Worker: w.member, Backend: w, Name: w.name}})
@@ -120,14 +110,14 @@
 	slices.Sort(handles)
 	for _, handle := range handles {
 		result := loadbalancer.Reset
-		if w.peer.conn.Written() < w.running[handle].assignmentEnd { // never went out whole: no worker can have begun it
+		if w.peer.conn.Written() < w.running[handle].assignmentEnd { // not written completely: cannot have begun
 			result = loadbalancer.ConnectFailed
 		}
 		w.running[handle].finish(dispatch.Outcome{Result: result})
 	}
 }
 
-// Start implements dispatch.Backend: the job waits until the worker grabs it.
+// Start implements dispatch.Backend: the attempt waits until the worker asks for a job.
 func (w *worker) Start(dispatched dispatch.Attempt) {
 	j, ok := dispatched.Payload.(*job)
 	if _, can := w.abilities[functionName(j)]; !ok || !can {
@@ -148,6 +138,7 @@
 	}
 }
 
+// functionName returns a job's function; empty for no job.
 func functionName(j *job) string {
 	if j == nil {
 		return ""
@@ -155,7 +146,8 @@
 	return j.function.Name
 }
 
-// Cancel implements dispatch.Backend. Gearman has no word to call a running job off: its result is dropped.
+// Cancel implements dispatch.Backend: it reports whether the attempt may have been started. Gearman cannot cancel a
+// running job; its result is dropped.
 func (w *worker) Cancel(id dispatch.AttemptID) bool {
 	for i, a := range w.unassigned {
 		if a.id == id {
@@ -171,13 +163,15 @@
 	return true
 }
 
-// ResetConnections implements dispatch.Backend: a worker is its one connection, and a new process would have a new one.
+// ResetConnections implements dispatch.Backend. There is nothing to reset: a worker is its one connection, and a
+// restarted process has a new one.
 func (w *worker) ResetConnections() {}
 
-// Probe implements dispatch.Backend: a connection that is open is all there is to know.
+// Probe implements dispatch.Backend: a worker is healthy while its connection is open.
 func (w *worker) Probe(done func(loadbalancer.Result, []float32)) { done(loadbalancer.OK, w.load()) }
 
-// load is the worker's load report: it tells none itself, but does one job at a time and has just ended one.
+// load returns the load report that the dispatcher expects. Gearman workers send none, but run one job at a time, so at
+// the end of a job one is idle with a free slot; other fields are unknown (-1).
 func (w *worker) load() []float32 {
 	values := make([]float32, len(w.peer.server.reportFields))
 	for i, field := range w.peer.server.reportFields {
@@ -192,7 +186,7 @@
 	return values
 }
 
-// handleWorkerPacket takes a packet of the worker's side.
+// handleWorkerPacket handles a packet of a worker, which may come before it has offered any function.
 func (p *peer) handleWorkerPacket(packet Packet) {
 	w := p.worker
 	switch packet.Kind {
@@ -228,15 +222,15 @@
 			a = w.running[packet.Args[0]]
 		}
 		if a == nil {
-			p.server.Counts.StrayWork++ // the end of a fetch that was given up, or of nothing
+			p.server.Counts.StrayWork++ // of an attempt that has ended, or of none
 			return
 		}
 		a.handleReport(packet)
 	}
 }
 
-// grab assigns the next job that may still be sent. The fetch counts as sent here, so this is where drain and
-// deadline are looked at again.
+// grab assigns the next job that may still be sent, and reports whether there was one. ConfirmSend checks drain and
+// deadline again, since the attempt counts as sent only here.
 func (w *worker) grab(kind Kind) bool {
 	s := w.peer.server
 	for len(w.unassigned) > 0 {
@@ -244,7 +238,7 @@
 		w.unassigned = w.unassigned[1:]
 		j := a.job
 		result, confirmed := s.dispatcher.ConfirmSend(a.id)
-		if confirmed && w.running[j.handle] != nil { // still at an attempt that was given up: two could not be told apart
+		if confirmed && w.running[j.handle] != nil { // it still runs a cancelled attempt of this job: the reports carry only the handle
 			result, confirmed = loadbalancer.ConnectFailed, false
 		}
 		if !confirmed {
@@ -273,59 +267,3 @@
 	}
 	return false
 }
-
-// handleReport takes what a worker says of a job it has. Data and warnings wait for the job's end: should the fetch
-// fail and another be made, the client must not get both.
-func (a *attempt) handleReport(packet Packet) {
-	j := a.job
-	switch packet.Kind {
-	case WorkStatus:
-		if a.settled || j.ended {
-			return
-		}
-		j.numerator, j.denominator = packet.Args[1], packet.Args[2]
-		j.notify(WorkStatus, j.numerator, j.denominator)
-		numerator, err1 := strconv.ParseFloat(j.numerator, 64)
-		denominator, err2 := strconv.ParseFloat(j.denominator, 64)
-		if err1 == nil && err2 == nil && denominator > 0 && numerator > 0 && numerator <= denominator {
-			a.worker.peer.server.dispatcher.HandleProgress(a.id, numerator/denominator)
-		}
-	case WorkData, WorkWarning:
-		if a.outputBytes += len(packet.Args[1]); a.outputBytes > maxDataBytes {
-			a.finish(dispatch.Outcome{Result: loadbalancer.Error, Report: a.worker.load()})
-			return
-		}
-		a.output = append(a.output, outputPacket{packet.Kind, packet.Args[1]})
-	case WorkComplete:
-		if !j.ended && !a.settled {
-			j.output = a.output
-		}
-		a.finish(dispatch.Outcome{Result: loadbalancer.OK, Body: []byte(packet.Args[1]), Report: a.worker.load()})
-	case WorkException:
-		if !j.ended && !a.settled {
-			j.exception = packet.Args[1]
-		}
-		a.finish(dispatch.Outcome{Result: loadbalancer.Error, Report: a.worker.load()})
-	case WorkFail:
-		a.finish(dispatch.Outcome{Result: loadbalancer.Error, Report: a.worker.load()})
-	}
-}
-
-// finish takes the fetch off the worker and tells the core how it ended.
-func (a *attempt) finish(outcome dispatch.Outcome) {
-	if a.worker.running[a.job.handle] != a {
-		return
-	}
-	delete(a.worker.running, a.job.handle)
-	a.timeLimit.Stop()
-	if a.job.running--; a.job.running == 0 {
-		a.job.function.running--
-	}
-	if !a.settled {
-		a.settled = true
-		a.worker.peer.server.dispatcher.HandleOutcome(a.id, outcome)
-	}
-}
-
-// settle gives the fetch up; the worker may go on with it for as long as it likes.
-func (a *attempt) settle() { a.settled = true }
