--- a/loadbalancer/balancer_test.go
+++ b/loadbalancer/balancer_test.go
@@ -19,27 +19,27 @@
 type recordedSend struct {
 	id     RequestID
 	worker WorkerID
-	at     float64
+	sentAt float64
 }
 
 // recorder carries out no action: it records them and checks the rules that bind each send.
 type recorder struct {
-	t       testing.TB
-	s       Settings
-	b       *Balancer
-	now     float64
-	sends   []recordedSend
-	refused map[RequestID]bool
-	waits   map[RequestID]float64
-	failed  map[RequestID]bool
-	cancels int
-	watches []float64
-	timers  []timer
-	trace   []string
-	reqs    map[RequestID]*Request
-	tries   map[RequestID][]recordedAttempt
-	done    map[RequestID]bool
-	workers map[WorkerID]Worker
+	t        testing.TB
+	settings Settings
+	balancer *Balancer
+	now      float64
+	sends    []recordedSend
+	rejected map[RequestID]bool
+	waits    map[RequestID]float64
+	failed   map[RequestID]bool
+	cancels  int
+	watches  []float64
+	timers   []timer
+	trace    []string
+	requests map[RequestID]*Request
+	attempts map[RequestID][]recordedAttempt
+	answered map[RequestID]bool
+	workers  map[WorkerID]Worker
 }
 
 type timer struct {
@@ -48,15 +48,15 @@
 }
 
 type recordedAttempt struct {
-	worker  WorkerID
-	at      float64
-	result  Result
-	flying  bool
-	started bool
+	worker   WorkerID
+	sentAt   float64
+	result   Result
+	inFlight bool
+	started  bool
 }
 
-func (t recordedAttempt) mayHaveRun() bool {
-	return t.flying || t.result != Rejected && t.result != ConnectFailed && t.result != Withdrawn
+func (a recordedAttempt) mayHaveRun() bool {
+	return a.inFlight || a.result != Rejected && a.result != ConnectFailed && a.result != Withdrawn
 }
 
 func testSettings() Settings {
@@ -80,21 +80,21 @@
 
 func newRecorder(t testing.TB, s Settings, seed uint64) *recorder {
 	t.Helper()
-	r := &recorder{t: t, s: s, now: 1000, refused: map[RequestID]bool{}, waits: map[RequestID]float64{}, failed: map[RequestID]bool{},
-		reqs: map[RequestID]*Request{}, tries: map[RequestID][]recordedAttempt{}, done: map[RequestID]bool{},
+	r := &recorder{t: t, settings: s, now: 1000, rejected: map[RequestID]bool{}, waits: map[RequestID]float64{}, failed: map[RequestID]bool{},
+		requests: map[RequestID]*Request{}, attempts: map[RequestID][]recordedAttempt{}, answered: map[RequestID]bool{},
 		workers: map[WorkerID]Worker{}}
 	b, err := New(s, seed, r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.b = b
+	r.balancer = b
 	b.Start(r.now)
 	return r
 }
 
 func (r *recorder) Send(id RequestID, w WorkerID, timeout float64) {
-	q := r.reqs[id]
-	if q == nil || r.done[id] {
+	q := r.requests[id]
+	if q == nil || r.answered[id] {
 		r.t.Errorf("at %.3f: send of request %d, which is not open", r.now, id)
 		return
 	}
@@ -104,66 +104,66 @@
 	if r.workers[w].State != Ready {
 		r.t.Errorf("at %.3f: send to worker %d in state %d", r.now, w, r.workers[w].State)
 	}
-	c := r.s.Classes[q.Class]
+	c := r.settings.Classes[q.Class]
 	if c.Kind >= 0 && r.workers[w].Kind != c.Kind {
 		r.t.Errorf("request %d sent to a worker of kind %d", id, r.workers[w].Kind)
 	}
-	for _, a := range r.tries[id] {
-		if a.flying && !r.s.ParallelAttempts {
+	for _, a := range r.attempts[id] {
+		if a.inFlight && !r.settings.ParallelAttempts {
 			r.t.Errorf("request %d: second attempt in flight", id)
 		}
-		if a.mayHaveRun() && !r.repeatAllowed(c, a, w) {
+		if a.mayHaveRun() && !r.retryAllowed(c, a, w) {
 			r.t.Errorf("at %.3f: request %d of class %s may have run and was sent again", r.now, id, c.Name)
 		}
 	}
-	if len(r.tries[id]) >= r.s.MaxAttempts {
+	if len(r.attempts[id]) >= r.settings.MaxAttempts {
 		r.t.Errorf("request %d: attempt beyond the cap", id)
 	}
-	r.tries[id] = append(r.tries[id], recordedAttempt{worker: w, at: r.now, flying: true})
+	r.attempts[id] = append(r.attempts[id], recordedAttempt{worker: w, sentAt: r.now, inFlight: true})
 	r.sends = append(r.sends, recordedSend{id, w, r.now})
 	r.trace = append(r.trace, fmt.Sprintf("send %d %d", id, w))
 }
 
-func (r *recorder) repeatAllowed(c Class, a recordedAttempt, w WorkerID) bool {
-	if c.RetrySafety == RetrySafe {
+func (r *recorder) retryAllowed(class Class, attempt recordedAttempt, worker WorkerID) bool {
+	if class.RetrySafety == RetrySafe {
 		return true
 	}
-	if c.RetrySafety == RetryUnsafe || r.now >= a.at+c.DedupWindow {
+	if class.RetrySafety == RetryUnsafe || r.now >= attempt.sentAt+class.DedupWindow {
 		return false
 	}
-	was, is := r.workers[a.worker], r.workers[w]
-	return c.DedupScope == DedupAll || c.DedupScope == DedupZone && was.Zone == is.Zone ||
-		c.DedupScope == DedupCell && was.Cell == is.Cell
+	was, is := r.workers[attempt.worker], r.workers[worker]
+	return class.DedupScope == DedupAll || class.DedupScope == DedupZone && was.Zone == is.Zone ||
+		class.DedupScope == DedupCell && was.Cell == is.Cell
 }
 
-func (r *recorder) final(id RequestID, word string) {
-	if r.done[id] {
+func (r *recorder) final(id RequestID, kind string) {
+	if r.answered[id] {
 		r.t.Errorf("request %d answered twice", id)
 	}
-	if q := r.reqs[id]; q == nil {
+	if q := r.requests[id]; q == nil {
 		r.t.Errorf("answer to unknown request %d", id)
-	} else if r.now > q.Deadline+r.s.AnswerSlack {
+	} else if r.now > q.Deadline+r.settings.AnswerSlack {
 		r.t.Errorf("request %d answered %.3f s late", id, r.now-q.Deadline)
 	}
-	r.done[id] = true
-	r.trace = append(r.trace, fmt.Sprintf("%s %d", word, id))
+	r.answered[id] = true
+	r.trace = append(r.trace, fmt.Sprintf("%s %d", kind, id))
 }
 
 func (r *recorder) Reject(id RequestID, wait float64) {
 	r.waits[id] = wait
 	r.final(id, "refuse")
-	r.refused[id] = true
-	c := r.s.Classes[r.reqs[id].Class]
-	for _, a := range r.tries[id] {
+	r.rejected[id] = true
+	c := r.settings.Classes[r.requests[id].Class]
+	for _, a := range r.attempts[id] {
 		if a.mayHaveRun() && c.RetrySafety != RetrySafe && !(c.RetrySafety == RetryDeduplicated && c.DedupScope == DedupAll) {
-			r.t.Errorf("request %d of class %s may have run and was refused", id, c.Name)
+			r.t.Errorf("request %d of class %s may have run and was rejected", id, c.Name)
 		}
 	}
 }
 
 func (r *recorder) Fail(id RequestID) {
-	if q := r.reqs[id]; q != nil && (q.Class < 0 || q.Class >= len(r.s.Classes)) {
-		r.done[id] = true
+	if q := r.requests[id]; q != nil && (q.Class < 0 || q.Class >= len(r.settings.Classes)) {
+		r.answered[id] = true
 		return
 	}
 	r.final(id, "fail")
@@ -171,10 +171,10 @@
 }
 
 func (r *recorder) Cancel(id RequestID, n int) {
-	if n >= len(r.tries[id]) {
+	if n >= len(r.attempts[id]) {
 		r.t.Errorf("cancel of attempt %d of request %d, which was never made", n, id)
 	}
-	if !r.s.MayCancel {
+	if !r.settings.MayCancel {
 		r.t.Error("cancel where none is allowed")
 	}
 	r.cancels++
@@ -182,7 +182,7 @@
 }
 
 func (r *recorder) Probe(w WorkerID) {
-	if !r.s.MayProbe {
+	if !r.settings.MayProbe {
 		r.t.Error("probe where none is allowed")
 	}
 	r.trace = append(r.trace, fmt.Sprintf("probe %d", w))
@@ -196,12 +196,12 @@
 // runTo moves the clock and fires the timers that fall due, one tick at a time.
 func (r *recorder) runTo(until float64) {
 	for r.now < until {
-		r.now = min(r.now+r.s.Tick, until)
+		r.now = min(r.now+r.settings.Tick, until)
 		due := r.timers
 		r.timers = nil
 		for _, t := range due {
 			if t.at <= r.now {
-				r.b.HandleTimer(r.now, t.token)
+				r.balancer.HandleTimer(r.now, t.token)
 			} else {
 				r.timers = append(r.timers, t)
 			}
@@ -219,40 +219,40 @@
 	for _, e := range entries {
 		r.workers[e.ID] = e
 	}
-	r.b.UpdateWorkers(r.now, kind, entries)
+	r.balancer.UpdateWorkers(r.now, kind, entries)
 }
 
 func (r *recorder) request(id RequestID, class int, work float64) {
 	deadline := 5.0
-	if class >= 0 && class < len(r.s.Classes) {
-		deadline = r.s.Classes[class].Deadline
+	if class >= 0 && class < len(r.settings.Classes) {
+		deadline = r.settings.Classes[class].Deadline
 	}
 	q := Request{ID: id, Class: class, Slots: 1, Work: work, Deadline: r.now + deadline}
-	r.reqs[id] = &q
-	r.b.HandleRequest(r.now, &q)
+	r.requests[id] = &q
+	r.balancer.HandleRequest(r.now, &q)
 }
 
 // outcome ends attempt n; an OK closes the request.
 func (r *recorder) outcome(id RequestID, n int, result Result, report ...float32) {
-	a := &r.tries[id][n]
-	a.flying, a.result = false, result
-	closed := r.done[id] || result == OK
+	a := &r.attempts[id][n]
+	a.inFlight, a.result = false, result
+	closed := r.answered[id] || result == OK
 	if result == OK {
-		r.done[id] = true
+		r.answered[id] = true
 	}
-	r.b.HandleOutcome(r.now, &Outcome{Request: id, Attempt: n, Worker: a.worker, Result: result, ClientAnswered: closed,
+	r.balancer.HandleOutcome(r.now, &Outcome{Request: id, Attempt: n, Worker: a.worker, Result: result, ClientAnswered: closed,
 		Report: report})
 }
 
 func (r *recorder) start(id RequestID, n int) {
-	r.tries[id][n].started = true
-	r.b.HandleProgress(r.now, &ProgressUpdate{Request: id, Attempt: n, Started: true})
+	r.attempts[id][n].started = true
+	r.balancer.HandleProgress(r.now, &ProgressUpdate{Request: id, Attempt: n, Started: true})
 }
 
 // reportFree reports no load and four free slots of workers 1 to n.
 func (r *recorder) reportFree(n int) {
 	for i := 1; i <= n; i++ {
-		r.b.learnReport(r.now, r.b.workersByID[WorkerID(i)], []float32{0, 0, 4})
+		r.balancer.learnReport(r.now, r.balancer.workersByID[WorkerID(i)], []float32{0, 0, 4})
 	}
 }
 
@@ -292,7 +292,7 @@
 				got = again
 			case r.failed[1]:
 				got = fail
-			case r.refused[1]:
+			case r.rejected[1]:
 				got = refuse
 			}
 			if got != c.want {
@@ -337,8 +337,8 @@
 		r.outcome(RequestID(i+1), 0, OK)
 		r.runTo(r.now + 5)
 	}
-	if n := len(r.b.workers); n > 20 || len(r.b.workersByID) != n || r.b.workersByID[1000] == nil {
-		t.Errorf("%d workers kept, %d by id", n, len(r.b.workersByID))
+	if n := len(r.balancer.workers); n > 20 || len(r.balancer.workersByID) != n || r.balancer.workersByID[1000] == nil {
+		t.Errorf("%d workers remain, %d by id", n, len(r.balancer.workersByID))
 	}
 }
 
@@ -349,7 +349,7 @@
 		s.MayRetryAfter, s.MaxRetryAfter = allowed, 2
 		r := newRecorder(t, s, 1)
 		r.list(ListFull, ready(1)...)
-		for id := RequestID(1); id < 400 && len(r.refused) == 0; id++ {
+		for id := RequestID(1); id < 400 && len(r.rejected) == 0; id++ {
 			r.request(id, 0, 0.2)
 			if id < 8 {
 				r.start(id, 0)
@@ -358,10 +358,10 @@
 			}
 			r.runTo(r.now + 0.01)
 		}
-		if len(r.refused) == 0 {
-			t.Fatal("nothing was refused in a jam")
+		if len(r.rejected) == 0 {
+			t.Fatal("nothing was rejected under overload")
 		}
-		for id := range r.refused {
+		for id := range r.rejected {
 			if wait := r.waits[id]; allowed && !(wait > 0 && wait <= s.MaxRetryAfter) || !allowed && wait != 0 {
 				t.Errorf("retry-after allowed %v: wait %v", allowed, wait)
 			}
@@ -386,8 +386,8 @@
 	r.list(ListFull, Worker{ID: 1, State: Ready}, Worker{ID: 2, State: Ready, Skills: []uint32{7, 8}})
 	for id, want := range map[RequestID]WorkerID{1: 1, 2: 2} {
 		q := Request{ID: id, Slots: 1, Work: 0.05, Deadline: r.now + 5, Skill: uint32(id-1) * 8}
-		r.reqs[id] = &q
-		r.b.HandleRequest(r.now, &q)
+		r.requests[id] = &q
+		r.balancer.HandleRequest(r.now, &q)
 		if got := r.sends[len(r.sends)-1].worker; got != want {
 			t.Errorf("skill %d went to worker %d, want %d", q.Skill, got, want)
 		}
@@ -401,7 +401,7 @@
 			r.list(ListFull, workers...)
 			r.request(1, class, 0.05)
 			r.runTo(r.now + 11)
-			if !r.done[1] {
+			if !r.answered[1] {
 				t.Errorf("class %d with %d workers: no final answer", class, len(workers))
 			}
 		}
@@ -415,7 +415,7 @@
 	for i := 0; i < 50; i++ {
 		next := r.timers[len(r.timers)-1]
 		r.now, r.timers = next.at-1e-7, nil
-		r.b.HandleTimer(r.now, next.token)
+		r.balancer.HandleTimer(r.now, next.token)
 		if len(r.timers) == 0 {
 			t.Fatal("no further sweep was asked for")
 		}
@@ -461,11 +461,11 @@
 	for _, from := range sends {
 		sum := 0.0
 		for _, x := range sends {
-			if x.at >= from.at && x.at < from.at+s.OverloadWindow {
+			if x.sentAt >= from.sentAt && x.sentAt < from.sentAt+s.OverloadWindow {
 				sum += work(x.id)
 			}
 		}
-		worst = max(worst, sum/(s.OverloadMultiple*capacity(from.at)*s.OverloadWindow))
+		worst = max(worst, sum/(s.OverloadMultiple*capacity(from.sentAt)*s.OverloadWindow))
 	}
 	return worst
 }
@@ -483,7 +483,7 @@
 		return warmAt(s, from+s.OverloadWindow) / float64(s.Instances)
 	})
 	if len(r.sends) == 0 {
-		t.Fatal("a cold worker must get what it can bear")
+		t.Fatal("a worker in slow start must get what it can bear")
 	}
 	if worst > 1 {
 		t.Errorf("sent %.2f of its part of the budget", worst)
@@ -532,10 +532,10 @@
 	}
 	worst := worstSpan(s, all, work, func(from float64) float64 { return 4 * warmAt(s, from) })
 	if worst > 1 {
-		t.Errorf("all together sent %.2f of what a cold worker bears", worst)
+		t.Errorf("all together sent %.2f of what a worker in slow start bears", worst)
 	}
 	if worst < 0.3 || len(who) < s.Instances/3 {
-		t.Errorf("a cold worker got %.2f of what it bears, from %d instances", worst, len(who))
+		t.Errorf("a worker in slow start got %.2f of what it bears, from %d instances", worst, len(who))
 	}
 	t.Logf("%.2f of the budget, from %d instances", worst, len(who))
 }
@@ -600,11 +600,11 @@
 	for id := RequestID(1); id <= 300; id++ {
 		r.request(id, 0, 0.05)
 		r.runTo(r.now + 0.01)
-		for n := 0; n < len(r.tries[id]); n++ {
-			if !r.tries[id][n].flying {
+		for n := 0; n < len(r.attempts[id]); n++ {
+			if !r.attempts[id][n].inFlight {
 				continue
 			}
-			if r.tries[id][n].worker == 1 {
+			if r.attempts[id][n].worker == 1 {
 				if id > 200 {
 					late++
 				}
@@ -625,10 +625,10 @@
 	for _, c := range []struct{ workers, least, most int }{{16, 95, 101}, {320, 18, 26}} {
 		r := newRecorder(t, testSettings(), 1)
 		r.list(ListFull, ready(c.workers)...)
-		plans, last := 0, r.b.plannedAt
+		plans, last := 0, r.balancer.plannedAt
 		for i := 0; i < 100; i++ {
-			if r.runTo(r.now + r.b.sweepInterval); r.b.plannedAt != last {
-				plans, last = plans+1, r.b.plannedAt
+			if r.runTo(r.now + r.balancer.sweepInterval); r.balancer.plannedAt != last {
+				plans, last = plans+1, r.balancer.plannedAt
 			}
 		}
 		if plans < c.least || plans > c.most {
@@ -646,8 +646,8 @@
 	lost, last := 0, 0
 	for id := RequestID(1); id <= 400; id++ {
 		r.request(id, 0, 0.05)
-		for n := 0; n < len(r.tries[id]) && !r.done[id]; n++ {
-			if dead(r.tries[id][n].worker) {
+		for n := 0; n < len(r.attempts[id]) && !r.answered[id]; n++ {
+			if dead(r.attempts[id][n].worker) {
 				lost++
 				if r.now > 1005 {
 					last++
@@ -672,12 +672,12 @@
 	r := newRecorder(t, s, 1)
 	r.list(ListFull, ready(2)...)
 	for i := 0; i < 3; i++ {
-		r.b.HandleProbeResult(r.now, 1, ConnectFailed, nil)
-		r.b.HandleProbeResult(r.now, 2, OK, []float32{1, 0.3, 3})
-		r.b.HandleProbeResult(r.now, 2, Rejected, nil)
+		r.balancer.HandleProbeResult(r.now, 1, ConnectFailed, nil)
+		r.balancer.HandleProbeResult(r.now, 2, OK, []float32{1, 0.3, 3})
+		r.balancer.HandleProbeResult(r.now, 2, Rejected, nil)
 	}
 	for id := RequestID(1); id < 6; id++ {
-		if r.request(id, 0, 0.05); r.tries[id][0].worker != 2 {
+		if r.request(id, 0, 0.05); r.attempts[id][0].worker != 2 {
 			t.Errorf("request %d went to the worker whose probes found nobody", id)
 		}
 	}
@@ -694,12 +694,12 @@
 		r.runTo(r.now + 0.5)
 		r.outcome(RequestID(i+1), 0, OK, 0, 0, 4)
 	}
-	w := r.b.workers[0]
-	r.b.learnReport(r.now, r.b.workers[1], []float32{60, 1, 0})
-	r.b.workers[1].otherJobs, w.reported = 60, false
-	r.b.rebuildPlan(r.now)
-	if r.request(9, 0, 0.5); !r.refused[9] {
-		t.Errorf("no refusal though what is known is a queue of 60: rooms %.1f and %.1f", w.spareSlots, r.b.workers[1].spareSlots)
+	w := r.balancer.workers[0]
+	r.balancer.learnReport(r.now, r.balancer.workers[1], []float32{60, 1, 0})
+	r.balancer.workers[1].otherJobs, w.reported = 60, false
+	r.balancer.rebuildPlan(r.now)
+	if r.request(9, 0, 0.5); !r.rejected[9] {
+		t.Errorf("no rejection though what is known is a queue of 60: spare slots %.1f and %.1f", w.spareSlots, r.balancer.workers[1].spareSlots)
 	}
 }
 
@@ -711,9 +711,9 @@
 		r.runTo(r.now + 0.01)
 		r.outcome(id, 0, Error)
 	}
-	for _, w := range r.b.workers {
+	for _, w := range r.balancer.workers {
 		if w.ejection.EjectedUntil > r.now {
-			t.Errorf("worker %d was set aside", w.ID)
+			t.Errorf("worker %d was ejected", w.ID)
 		}
 	}
 }
@@ -726,11 +726,11 @@
 	for id := RequestID(1); id <= 200; id++ {
 		r.request(id, 0, 0.05)
 		r.runTo(r.now + 0.05)
-		for n := range r.tries[id] {
-			if !r.tries[id][n].flying {
+		for n := range r.attempts[id] {
+			if !r.attempts[id][n].inFlight {
 				continue
 			}
-			w := r.tries[id][n].worker
+			w := r.attempts[id][n].worker
 			hit[w]++
 			r.start(id, n)
 			if w == 1 && hit[w] == 1 {
@@ -751,22 +751,22 @@
 	s.MayProbe, s.ReportsByProbe = true, true
 	r := newRecorder(t, s, 1)
 	r.list(ListFull, ready(2)...)
-	was := r.b.reportPeriod
+	was := r.balancer.reportPeriod
 	for i := 0; i < 10; i++ {
 		r.runTo(r.now + 10)
-		r.b.HandleProbeResult(r.now, 1, OK, []float32{float32(i), 0.1 * float32(i), 9})
+		r.balancer.HandleProbeResult(r.now, 1, OK, []float32{float32(i), 0.1 * float32(i), 9})
 	}
-	if r.b.reportPeriod > was {
-		t.Errorf("period of reports went from %.2f to %.2f though none was seen twice", was, r.b.reportPeriod)
+	if r.balancer.reportPeriod > was {
+		t.Errorf("period of reports went from %.2f to %.2f though none was seen twice", was, r.balancer.reportPeriod)
 	}
 	for i := 0; i < 20; i++ { // each seen twice: now the time between new ones is known
 		r.runTo(r.now + 1)
 		for j := 0; j < 2; j++ {
-			r.b.HandleProbeResult(r.now, 1, OK, []float32{float32(i % 7), 0.1 * float32(i%7), 9})
+			r.balancer.HandleProbeResult(r.now, 1, OK, []float32{float32(i % 7), 0.1 * float32(i%7), 9})
 		}
 	}
-	if r.b.reportPeriod < 0.9 || r.b.reportPeriod > 1.1 {
-		t.Errorf("period of reports is %.2f, reports come each second", r.b.reportPeriod)
+	if r.balancer.reportPeriod < 0.9 || r.balancer.reportPeriod > 1.1 {
+		t.Errorf("period of reports is %.2f, reports come each second", r.balancer.reportPeriod)
 	}
 }
 
@@ -784,7 +784,7 @@
 		r := newRecorder(t, s, 1)
 		r.list(ListFull, fleet...)
 		before := map[WorkerID]bool{}
-		for _, w := range r.b.workers {
+		for _, w := range r.balancer.workers {
 			if w.inView {
 				seen[w.ID]++
 				before[w.ID] = true
@@ -796,7 +796,7 @@
 		gone := fleet[7]
 		gone.State = Departed
 		r.list(ListDelta, gone)
-		for _, w := range r.b.workers {
+		for _, w := range r.balancer.workers {
 			if before[w.ID] && w.ID != gone.ID {
 				all++
 				if w.inView {
@@ -811,12 +811,12 @@
 		}
 	}
 	if kept*10 < all*8 {
-		t.Errorf("only %d of %d workers stayed in sight after another left", kept, all)
+		t.Errorf("only %d of %d workers stayed in view after another departed", kept, all)
 	}
 	s.Instance = 0
 	r := newRecorder(t, s, 1)
 	r.list(ListFull, fleet[:12]...)
-	for _, w := range r.b.workers {
+	for _, w := range r.balancer.workers {
 		if !w.inView {
 			t.Errorf("worker %d of a small fleet is out of sight", w.ID)
 		}
@@ -833,11 +833,11 @@
 		r.outcome(RequestID(i+1), 0, OK, 0, 0, 4)
 	}
 	r.request(3, 2, 1)
-	stuck := r.tries[3][0].worker
+	stuck := r.attempts[3][0].worker
 	r.runTo(r.now + 0.2)
 	for id := RequestID(4); id < 8; id++ {
 		r.request(id, 2, 1)
-		if w := r.tries[id][0].worker; w == stuck {
+		if w := r.attempts[id][0].worker; w == stuck {
 			t.Errorf("request %d went to the worker where a job has been waiting", id)
 		}
 		r.start(id, 0)
@@ -848,9 +848,9 @@
 func TestQueueBehindWideJobDoesNotCountAsSlots(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(1)...)
-	w := r.b.workersByID[1]
-	r.b.learnReport(r.now, w, []float32{1, 0.2, 3})
-	r.b.learnReport(r.now, w, []float32{27, 0.8, 1})
+	w := r.balancer.workersByID[1]
+	r.balancer.learnReport(r.now, w, []float32{1, 0.2, 3})
+	r.balancer.learnReport(r.now, w, []float32{27, 0.8, 1})
 	if w.slots != 4 {
 		t.Errorf("%.0f slots", w.slots)
 	}
@@ -860,21 +860,21 @@
 func TestOneLongJobDoesNotMarkWorkerSlow(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(1)...)
-	r.b.meanWork[2] = 0.1
+	r.balancer.meanWork[2] = 0.1
 	r.request(1, 2, 0)
 	r.start(1, 0)
 	for i := 1; i < 9; i++ {
 		r.runTo(r.now + 0.5)
-		r.b.HandleProgress(r.now, &ProgressUpdate{Request: 1, Fraction: float64(i) / 10})
+		r.balancer.HandleProgress(r.now, &ProgressUpdate{Request: 1, Fraction: float64(i) / 10})
 	}
-	if pace := r.b.workersByID[1].pace; pace > peerFactor*r.b.meanPace {
-		t.Errorf("pace %.2f against %.2f of all", pace, r.b.meanPace)
+	if pace := r.balancer.workersByID[1].pace; pace > peerFactor*r.balancer.meanPace {
+		t.Errorf("pace %.2f against %.2f of all", pace, r.balancer.meanPace)
 	}
 	r.outcome(1, 0, OK)
-	slow := r.b.workersByID[1].pace
+	slow := r.balancer.workersByID[1].pace
 	r.runTo(r.now + 30)
-	if pace := r.b.workersByID[1].pace; math.Abs(pace-r.b.meanPace) > 0.2*math.Abs(slow-r.b.meanPace) {
-		t.Errorf("pace %.2f is not forgotten, was %.2f, all have %.2f", pace, slow, r.b.meanPace)
+	if pace := r.balancer.workersByID[1].pace; math.Abs(pace-r.balancer.meanPace) > 0.2*math.Abs(slow-r.balancer.meanPace) {
+		t.Errorf("pace %.2f is not forgotten, was %.2f, all have %.2f", pace, slow, r.balancer.meanPace)
 	}
 }
 
@@ -886,13 +886,13 @@
 	own, spilt := 0, 0
 	for id := RequestID(1); id <= 8; id++ {
 		r.request(id, 2, 0.5)
-		if r.tries[id][0].worker == 1 {
+		if r.attempts[id][0].worker == 1 {
 			own++
 		} else {
 			spilt++
 		}
 	}
-	if r.tries[1][0].worker != 1 || own < 4 || spilt < 3 {
+	if r.attempts[1][0].worker != 1 || own < 4 || spilt < 3 {
 		t.Errorf("own zone %d, other zone %d: want the own zone's room used first, then the other's", own, spilt)
 	}
 }
@@ -930,8 +930,8 @@
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(2)...)
 	r.request(1, 0, 0.05)
-	r.done[1] = true // the client owns it
-	r.b.HandleFirstByte(r.now, 1, 0)
+	r.answered[1] = true // the client owns it
+	r.balancer.HandleFirstByte(r.now, 1, 0)
 	r.runTo(r.now + 8)
 	if len(r.sends) != 1 || r.cancels != 0 {
 		t.Errorf("%d sends, %d cancels after the stream began", len(r.sends), r.cancels)
@@ -963,7 +963,9 @@
 }
 
 // playRandomEvents feeds a seeded sequence of ordinary and odd events; the recorder checks the rules all along.
+// It is one function since the order in which it draws is recorded in testdata/replay.txt.
 func playRandomEvents(t testing.TB, s Settings, seed int64, steps int) []string {
+	t.Helper()
 	rng := rand.New(rand.NewSource(seed))
 	r := newRecorder(t, s, uint64(seed))
 	for i := 1; i <= 6; i++ {
@@ -981,23 +983,23 @@
 				q.Work, q.Slots, q.Memory = odd[rng.Intn(6)], odd[rng.Intn(6)], odd[rng.Intn(6)]
 				q.Class, q.Tenant = rng.Intn(9)-1, rng.Intn(5)-2
 			}
-			r.reqs[next] = &q
-			r.b.HandleRequest(r.now, &q)
+			r.requests[next] = &q
+			r.balancer.HandleRequest(r.now, &q)
 			next++
 		case 4, 5, 6, 7, 8:
 			if len(r.sends) == 0 {
 				continue
 			}
 			pick := r.sends[max(0, len(r.sends)-1-rng.Intn(20))]
-			for n := range r.tries[pick.id] {
-				a := r.tries[pick.id][n]
+			for n := range r.attempts[pick.id] {
+				a := r.attempts[pick.id][n]
 				switch {
-				case !a.flying:
-					r.b.HandleOutcome(r.now, &Outcome{Request: pick.id, Attempt: n, Result: OK}) // repeated
+				case !a.inFlight:
+					r.balancer.HandleOutcome(r.now, &Outcome{Request: pick.id, Attempt: n, Result: OK}) // repeated
 				case !a.started && rng.Intn(2) == 0:
 					r.start(pick.id, n)
 				case a.started && rng.Intn(4) == 0:
-					r.b.HandleProgress(r.now, &ProgressUpdate{Request: pick.id, Attempt: n, Fraction: odd[rng.Intn(6)]})
+					r.balancer.HandleProgress(r.now, &ProgressUpdate{Request: pick.id, Attempt: n, Fraction: odd[rng.Intn(6)]})
 				default:
 					r.outcome(pick.id, n, Result(rng.Intn(8)), float32(rng.Intn(9)), rng.Float32(),
 						float32(odd[rng.Intn(6)]))
@@ -1015,22 +1017,22 @@
 			r.list(ListDelta, w)
 		case 10:
 			r.list(ListFailed)
-			r.b.HandleProgress(r.now, &ProgressUpdate{Request: 1 << 30, Attempt: 3, Started: true})
-			r.b.HandleOutcome(r.now, &Outcome{Request: 1, Attempt: 200})
-			r.b.HandleProbeResult(r.now, 999, OK, []float32{1})
-			r.b.HandleDisconnect(r.now, 1<<30)
-			r.b.HandleTimer(r.now, rng.Uint32())
+			r.balancer.HandleProgress(r.now, &ProgressUpdate{Request: 1 << 30, Attempt: 3, Started: true})
+			r.balancer.HandleOutcome(r.now, &Outcome{Request: 1, Attempt: 200})
+			r.balancer.HandleProbeResult(r.now, 999, OK, []float32{1})
+			r.balancer.HandleDisconnect(r.now, 1<<30)
+			r.balancer.HandleTimer(r.now, rng.Uint32())
 		case 11:
 			id := RequestID(1 + rng.Intn(int(next)))
-			if r.reqs[id] != nil && !r.done[id] {
-				r.done[id] = true
-				r.b.HandleDisconnect(r.now, id)
+			if r.requests[id] != nil && !r.answered[id] {
+				r.answered[id] = true
+				r.balancer.HandleDisconnect(r.now, id)
 			}
 		}
 	}
 	r.runTo(r.now + 11)
-	for id := range r.reqs {
-		if !r.done[id] {
+	for id := range r.requests {
+		if !r.answered[id] {
 			t.Errorf("seed %d: request %d has no final answer", seed, id)
 		}
 	}
@@ -1086,11 +1088,13 @@
 
 // arrivals returns a step that handles one arrival, its start, its outcome and a sweep.
 func arrivals(t testing.TB, workers int) func() {
+	t.Helper()
 	return arrivalsThat(t, workers, []float32{1, 0.2, 3})
 }
 
 // arrivalsThat is like arrivals with workers that send the report with each answer, or none.
 func arrivalsThat(t testing.TB, workers int, report []float32) func() {
+	t.Helper()
 	s := testSettings()
 	if report == nil {
 		s.ReportFields = nil
@@ -1174,6 +1178,7 @@
 // readable counts the lines of code of a policy file (neither blank nor a whole-line comment), and checks the width of all
 // lines and the head of the first file.
 func readable(t *testing.T, name string, maxWidth int) (lines int) {
+	t.Helper()
 	f, err := os.Open(filepath.Join("..", name))
 	if err != nil {
 		t.Fatal(err)
--- a/loadbalancer/baseline_test.go
+++ b/loadbalancer/baseline_test.go
@@ -11,10 +11,10 @@
 			{Name: "plan", Objective: 2.5, Stretch: 2.5, Deadline: 25, Value: 5, LateValueShare: 0.5, RetrySafety: RetryDeduplicated, DedupScope: DedupCell, DedupWindow: 40, Kind: -1}},
 			Zones: 4, Instances: 4, MayCancel: true, MayRetryAfter: true, MaxAttempts: 4, MaxRetryAfter: 2, ReportsStart: true, Tick: 0.004,
 			AnswerSlack: 0.016, ListRefreshInterval: 10, SlowStartDuration: 9, SlowStartInitialShare: 0.32, OverloadMultiple: 4, OverloadWindow: 2},
-		load: 0.5, swing: 0.15, work: []float64{0.55, 3.3, 3.3}, cv: []float64{0.5, 0.5, 0.45}, share: []float64{0.35, 0.34, 0.31},
+		load: 0.5, swing: 0.15, work: []float64{0.55, 3.3, 3.3}, variation: []float64{0.5, 0.5, 0.45}, share: []float64{0.35, 0.34, 0.31},
 		weights: true,
 		kinds:   []simKind{{0.35, 1.6, 3, 20}, {0.3, 0.97, 3, 20}, {0.35, 0.6, 3, 20}},
-		workers: 12, instances: 4, length: 30, skew: 0.1, same: 0.0002, cross: 0.008, retries: 0.5,
+		workers: 12, instances: 4, length: 30, skew: 0.1, zoneLatency: 0.0002, crossLatency: 0.008, retries: 0.5,
 	}
 }
 
@@ -29,9 +29,9 @@
 			Zones: 3, Instances: 3, ReportFields: []ReportField{FieldUtilization, FieldIgnored, FieldInFlight, FieldFreeSlots}, MayProbe: true, MayCancel: true,
 			ParallelAttempts: true, MayRetryAfter: true, MaxAttempts: 6, MaxRetryAfter: 2, ReportsStart: true, Tick: 0.004,
 			AnswerSlack: 0.016, ListRefreshInterval: 10, SlowStartDuration: 9, SlowStartInitialShare: 0.34, OverloadMultiple: 3, OverloadWindow: 2},
-		load: 0.6, swing: 0.15, work: []float64{0.12, 0.06, 0.5, 0.06}, cv: []float64{0.5, 0.5, 0.5, 0.5}, share: []float64{0.45, 0.29, 0.14, 0.12},
+		load: 0.6, swing: 0.15, work: []float64{0.12, 0.06, 0.5, 0.06}, variation: []float64{0.5, 0.5, 0.5, 0.5}, share: []float64{0.45, 0.29, 0.14, 0.12},
 		hints: true, kinds: []simKind{{0.4, 1.8, 2, 20}, {0.6, 0.9, 5, 40}}, weights: true,
-		workers: 9, instances: 3, length: 15, skew: 0.1, same: 0.0002, cross: 0.008, retries: 0.5, reportAge: 0.3,
+		workers: 9, instances: 3, length: 15, skew: 0.1, zoneLatency: 0.0002, crossLatency: 0.008, retries: 0.5, reportAge: 0.3,
 	}
 }
 
@@ -79,8 +79,8 @@
 	with("36 instances, uneven", planWithoutReports(), func(p *simulationPlan) {
 		p.workers, p.instances, p.uneven, p.skew, p.length = 30, 36, true, 0, 20
 	})
-	with("a worker slows down", planWithoutReports(), func(p *simulationPlan) { p.slow = 6 })
-	with("a third starts anew", planWithoutReports(), func(p *simulationPlan) { p.replace = true })
+	with("a worker slows down", planWithoutReports(), func(p *simulationPlan) { p.slowdown = 6 })
+	with("a third starts anew", planWithoutReports(), func(p *simulationPlan) { p.restarts = true })
 	with("a burst", planWithoutReports(), func(p *simulationPlan) { p.surge = 2 })
 	return plans
 }
@@ -93,7 +93,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, load := range []float64{0.4, 0.7, 0.9} {
-				if plan.slow > 0 && load < 0.5 {
+				if plan.slowdown > 0 && load < 0.5 {
 					continue // weights still call it fast: 0.960 beside 0.967, see docs/design/without-reports.md
 				}
 				var share [2]float64
@@ -102,18 +102,18 @@
 					for i, decide := range []func(Settings, uint64, Actions) decider{newBaseline, newSimBalancer} {
 						p := plan
 						p.load = load
-						w := newSimulation(p, seed, decide)
-						served, _ := w.run()
+						sim := newSimulation(p, seed, decide)
+						served, _ := sim.run()
 						share[i] += served / seeds
-						if len(w.breach) > 0 {
-							t.Fatalf("seed %d: %s", seed, w.breach[0])
+						if len(sim.breach) > 0 {
+							t.Fatalf("seed %d: %s", seed, sim.breach[0])
 						}
-						refused += float64(i*w.rejected) / float64(w.requests) / seeds
+						refused += float64(i*sim.rejected) / float64(sim.requests) / seeds
 					}
 				}
-				t.Logf("load %.1f: %.3f served, %.3f by the plainest; %.3f refused", load, share[1], share[0], refused)
+				t.Logf("load %.1f: %.3f served, %.3f by the baseline; %.3f rejected", load, share[1], share[0], refused)
 				if share[1] < share[0]-oneJob {
-					t.Errorf("load %.1f: %.3f served, %.3f by the plainest; %.3f refused", load, share[1], share[0], refused)
+					t.Errorf("load %.1f: %.3f served, %.3f by the baseline; %.3f rejected", load, share[1], share[0], refused)
 				}
 			}
 		})
--- a/loadbalancer/instances_simulation_test.go
+++ b/loadbalancer/instances_simulation_test.go
@@ -11,87 +11,88 @@
 // instanceGroup is many instances that share nothing but the workers, over a virtual clock. A worker runs what it is sent at
 // once, however much that is, and reports truly: what counts here is who is sent how much.
 type instanceGroup struct {
-	r    []*recorder
-	seen []int // sends of each that were carried out
-	held map[WorkerID]float64
-	ends []groupAttempt
-	size float64
-	sent map[WorkerID][]recordedSend
-	now  float64
+	recorders    []*recorder
+	handledSends []int // sends of each that were carried out
+	jobs         map[WorkerID]float64
+	outcomes     []groupAttempt
+	slots        float64
+	sends        map[WorkerID][]recordedSend
+	now          float64
 
-	share func(me int) float64 // of an instance's traffic against the mean; nil is even
+	trafficShare func(me int) float64 // of an instance's traffic against the mean; nil is even
 
-	late float64 // how old reports are; 0 is not at all
-	past []map[WorkerID]float64
-	full int // sends to a worker that held as many jobs as it has slots
-	all  int
+	reportDelay float64 // how old reports are; 0 is not at all
+	history     []map[WorkerID]float64
+	fullSends   int // sends to a worker that held as many jobs as it has slots
+	allSends    int
 }
 
 type groupAttempt struct {
-	at  float64
-	me  int
-	id  RequestID
-	try int
-	w   WorkerID
+	at       float64
+	instance int
+	id       RequestID
+	attempt  int
+	worker   WorkerID
 }
 
-func newInstanceGroup(t *testing.T, s Settings, instances int, size float64, workers []Worker) *instanceGroup {
-	c := &instanceGroup{size: size, held: map[WorkerID]float64{}, sent: map[WorkerID][]recordedSend{},
-		seen: make([]int, instances), now: 1000}
-	s.Instances = instances
-	for s.Instance = 0; s.Instance < instances; s.Instance++ {
-		r := newRecorder(t, s, uint64(s.Instance)+1)
-		r.list(ListFull, workers...)
-		c.r = append(c.r, r)
+func newInstanceGroup(t *testing.T, settings Settings, instances int, size float64, workers []Worker) *instanceGroup {
+	t.Helper()
+	group := &instanceGroup{slots: size, jobs: map[WorkerID]float64{}, sends: map[WorkerID][]recordedSend{},
+		handledSends: make([]int, instances), now: 1000}
+	settings.Instances = instances
+	for settings.Instance = 0; settings.Instance < instances; settings.Instance++ {
+		recorder := newRecorder(t, settings, uint64(settings.Instance)+1)
+		recorder.list(ListFull, workers...)
+		group.recorders = append(group.recorders, recorder)
 	}
-	return c
+	return group
 }
 
-func (group *instanceGroup) list(entries ...Worker) {
-	for _, r := range group.r {
+func (g *instanceGroup) list(entries ...Worker) {
+	for _, r := range g.recorders {
 		r.list(ListDelta, entries...)
 	}
 }
 
 // run plays on until a time, with jobs that keep busy slots of all workers on average.
-func (group *instanceGroup) run(to, busy, work float64, rng *rand.Rand, id *RequestID) {
+func (g *instanceGroup) run(to, busy, work float64, rng *rand.Rand, id *RequestID) {
 	const step = 0.01
-	for ; group.now < to; group.now += step {
-		if group.past = append(group.past, maps.Clone(group.held)); float64(len(group.past)) > group.late/step {
-			group.past = group.past[1:]
+	for ; g.now < to; g.now += step {
+		if g.history = append(g.history, maps.Clone(g.jobs)); float64(len(g.history)) > g.reportDelay/step {
+			g.history = g.history[1:]
 		}
-		for len(group.ends) > 0 && group.ends[0].at <= group.now {
-			e := group.ends[0]
-			group.ends = group.ends[1:]
-			group.held[e.w]--
-			group.r[e.me].runTo(group.now)
-			held := group.held[e.w]
-			if group.late > 0 {
-				held = group.past[0][e.w]
+		for len(g.outcomes) > 0 && g.outcomes[0].at <= g.now {
+			e := g.outcomes[0]
+			g.outcomes = g.outcomes[1:]
+			g.jobs[e.worker]--
+			g.recorders[e.instance].runTo(g.now)
+			held := g.jobs[e.worker]
+			if g.reportDelay > 0 {
+				held = g.history[0][e.worker]
 			}
-			group.r[e.me].outcome(e.id, e.try, OK, float32(held), float32(min(1, held/group.size)), float32(max(0, group.size-held)))
+			g.recorders[e.instance].outcome(e.id, e.attempt, OK, float32(held), float32(min(1, held/g.slots)), float32(max(0, g.slots-held)))
 		}
-		for me, r := range group.r {
-			r.runTo(group.now)
-			rate := busy / work * step / float64(len(group.r))
-			if group.share != nil {
-				rate *= group.share(me)
+		for me, r := range g.recorders {
+			r.runTo(g.now)
+			rate := busy / work * step / float64(len(g.recorders))
+			if g.trafficShare != nil {
+				rate *= g.trafficShare(me)
 			}
 			if rng.Float64() < rate {
 				*id++
 				r.request(*id, 0, work)
 			}
-			for _, x := range r.sends[group.seen[me]:] {
-				if group.all++; group.held[x.worker] >= group.size {
-					group.full++
+			for _, x := range r.sends[g.handledSends[me]:] {
+				if g.allSends++; g.jobs[x.worker] >= g.slots {
+					g.fullSends++
 				}
-				group.held[x.worker]++
-				group.sent[x.worker] = append(group.sent[x.worker], x)
-				try := len(r.tries[x.id]) - 1
+				g.jobs[x.worker]++
+				g.sends[x.worker] = append(g.sends[x.worker], x)
+				try := len(r.attempts[x.id]) - 1
 				r.start(x.id, try)
-				group.ends = append(group.ends, groupAttempt{group.now + work, me, x.id, try, x.worker}) // all run alike: in order
+				g.outcomes = append(g.outcomes, groupAttempt{g.now + work, me, x.id, try, x.worker}) // all run alike: in order
 			}
-			group.seen[me] = len(r.sends)
+			g.handledSends[me] = len(r.sends)
 		}
 	}
 }
@@ -106,9 +107,9 @@
 }
 
 // worst is the most work that a worker which started at a time was sent within an overload window, as a share of what it bears.
-func (group *instanceGroup) worst(s Settings, cold WorkerID, at, work float64) float64 {
-	return worstSpan(s, group.sent[cold], func(RequestID) float64 { return work },
-		func(from float64) float64 { return group.size * warmAt(s, from-(at-1000)) })
+func (g *instanceGroup) worst(s Settings, cold WorkerID, at, work float64) float64 {
+	return worstSpan(s, g.sends[cold], func(RequestID) float64 { return work },
+		func(from float64) float64 { return g.slots * warmAt(s, from-(at-1000)) })
 }
 
 // Guards against a worker in slow start that many instances leave idle while the warm ones are full: each knows little of it,
@@ -133,14 +134,14 @@
 			}
 			for _, cold := range colds {
 				most = max(most, c.worst(s, cold, 1003, work))
-				share := work * float64(len(c.sent[cold])) / able
+				share := work * float64(len(c.sends[cold])) / able
 				got, least = got+share/float64(len(colds)), min(least, share)
 			}
 			if most > 1 {
-				t.Errorf("a cold worker was sent %.2f of what it bears", most)
+				t.Errorf("a worker in slow start was sent %.2f of what it bears", most)
 			}
 			if got < 0.12 || least < 0.04 { // where few holders know little it was 0.00
-				t.Errorf("cold workers got %.2f of what they were able to do, one %.2f", got, least)
+				t.Errorf("workers in slow start got %.2f of what they were able to do, one %.2f", got, least)
 			}
 			t.Logf("%.2f of what they were able to do, at least %.2f; at most %.2f of what they bear", got, least, most)
 		})
@@ -158,9 +159,9 @@
 			const size, work, busy = 4.0, 0.1, 0.65
 			workers := max(10, 3*instances/4)
 			c := newInstanceGroup(t, s, instances, size, ready(workers))
-			c.late = 0.7
+			c.reportDelay = 0.7
 			c.run(1010, busy*size*float64(workers), work, rng, &id)
-			share := float64(c.full) / float64(c.all)
+			share := float64(c.fullSends) / float64(c.allSends)
 			if share > mostFull[instances] {
 				t.Errorf("%.3f of the jobs went to workers that were full", share)
 			}
@@ -185,15 +186,15 @@
 			x := r.sends[seen]
 			if x.worker == 1 {
 				tried++
-				r.outcome(x.id, len(r.tries[x.id])-1, Rejected)
+				r.outcome(x.id, len(r.attempts[x.id])-1, Rejected)
 				continue
 			}
-			r.start(x.id, len(r.tries[x.id])-1)
-			r.outcome(x.id, len(r.tries[x.id])-1, OK, 0, 0, 4)
+			r.start(x.id, len(r.attempts[x.id])-1)
+			r.outcome(x.id, len(r.attempts[x.id])-1, OK, 0, 0, 4)
 		}
 	}
-	if tried == 0 || tried > 2 || len(r.done) < 100 {
-		t.Errorf("it was tried %d times in 2 s; %d of 100 jobs were answered", tried, len(r.done))
+	if tried == 0 || tried > 2 || len(r.answered) < 100 {
+		t.Errorf("it was tried %d times in 2 s; %d of 100 jobs were answered", tried, len(r.answered))
 	}
 }
 
@@ -242,7 +243,7 @@
 		load := busy * size * float64(workers)
 		c := newInstanceGroup(t, s, tc.instances, size, ready(workers))
 		if tc.instances > 1 {
-			c.share = func(me int) float64 { // a mean of 1
+			c.trafficShare = func(me int) float64 { // a mean of 1
 				if me%10 == 0 {
 					return 6
 				}
@@ -251,13 +252,13 @@
 		}
 		c.run(1002, load, work, rng, &id)
 		news, colds := replaceHalf(workers, 1002)
-		for me, r := range c.r {
+		for me, r := range c.recorders {
 			if me%3 != 1 {
 				r.list(ListDelta, news...)
 			}
 		}
 		c.run(1003, load, work, rng, &id)
-		for me, r := range c.r {
+		for me, r := range c.recorders {
 			if me%3 == 1 {
 				r.list(ListDelta, news...)
 			}
@@ -265,7 +266,7 @@
 		c.run(1006, load, work, rng, &id)
 		most, sum := 0.0, 0
 		for _, cold := range colds {
-			sum += len(c.sent[cold])
+			sum += len(c.sends[cold])
 			most = max(most, c.worst(s, cold, 1002, work))
 		}
 		used := float64(sum) * work / (4 * size * float64(len(colds)) * warmAt(s, 1002)) // of what a worker this cold does in 4 s
--- a/loadbalancer/instances_test.go
+++ b/loadbalancer/instances_test.go
@@ -11,7 +11,8 @@
 
 // balancerWithShare returns the balancer of one of several instances.
 func balancerWithShare(t *testing.T, p InstanceShare) *Balancer {
-	b := newRecorder(t, testSettings(), 1).b
+	t.Helper()
+	b := newRecorder(t, testSettings(), 1).balancer
 	if err := b.SetInstanceShare(p); err != nil {
 		t.Fatal(err)
 	}
@@ -62,14 +63,14 @@
 		r := newRecorder(t, s, 1)
 		own := InstanceShare{Instances: 5, Instance: 2, BudgetShare: 1}
 		if set {
-			if err := r.b.SetInstanceShare(InstanceShare{Instances: 3, Instance: 1, BudgetShare: 0.5, InstanceKeys: []uint64{1, 2, 3}}); err != nil {
+			if err := r.balancer.SetInstanceShare(InstanceShare{Instances: 3, Instance: 1, BudgetShare: 0.5, InstanceKeys: []uint64{1, 2, 3}}); err != nil {
 				t.Fatal(err)
 			}
-			if err := r.b.SetInstanceShare(own); err != nil {
+			if err := r.balancer.SetInstanceShare(own); err != nil {
 				t.Fatal(err)
 			}
 		}
-		r.b.hedgeBudget = r.b.maxHedgeBudget / 2 // what a balancer begins with
+		r.balancer.hedgeBudget = r.balancer.maxHedgeBudget / 2 // what a balancer begins with
 		workers := ready(6)
 		for i := range workers[:4] {
 			workers[i].StartedAt = r.now - float64(i)
@@ -78,7 +79,7 @@
 		for id := RequestID(1); id <= 400; id++ {
 			r.runTo(r.now + 0.01)
 			if set && id%7 == 0 {
-				if err := r.b.SetInstanceShare(own); err != nil {
+				if err := r.balancer.SetInstanceShare(own); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -95,7 +96,7 @@
 }
 
 func TestInvalidInstanceShares(t *testing.T) {
-	b := newRecorder(t, testSettings(), 1).b
+	b := newRecorder(t, testSettings(), 1).balancer
 	for _, p := range []InstanceShare{{}, {Instances: 1, BudgetShare: 0}, {Instances: 2, Instance: 2, BudgetShare: 1}, {Instances: 2, Instance: -1, BudgetShare: 1},
 		{Instances: 2, BudgetShare: 2}, {Instances: 2, BudgetShare: 1, InstanceKeys: []uint64{1}}} {
 		if b.SetInstanceShare(p) == nil {
--- a/loadbalancer/replay_test.go
+++ b/loadbalancer/replay_test.go
@@ -73,6 +73,7 @@
 
 // replayed runs a simulation and returns the hash of all actions, of all snapshots and of the status of each worker.
 func replayed(t *testing.T, plan simulationPlan, seed uint64, place bool) (sum uint64, actions int) {
+	t.Helper()
 	h := &hashingActions{sum: fnv.New64a()}
 	var all []*Balancer
 	decide := func(s Settings, seed uint64, act Actions) decider {
@@ -92,9 +93,9 @@
 		all = append(all, b)
 		return b
 	}
-	w := newSimulation(plan, seed, decide)
-	share, byClass := w.run()
-	h.note("%x %x %d %d %d", math.Float64bits(share), byClass, w.rejected, w.failed, w.late)
+	sim := newSimulation(plan, seed, decide)
+	share, byClass := sim.run()
+	h.note("%x %x %d %d %d", math.Float64bits(share), byClass, sim.rejected, sim.failed, sim.late)
 	for _, b := range all {
 		actions += b.actions.(*hashingActions).count
 		learnt, err := json.Marshal(b.Snapshot())
@@ -102,8 +103,8 @@
 			t.Fatal(err)
 		}
 		h.note("%s", learnt)
-		for _, m := range w.workers {
-			status, known := b.WorkerStatus(w.now, m.ID)
+		for _, worker := range sim.workers {
+			status, known := b.WorkerStatus(sim.now, worker.ID)
 			h.note("{Room:%v Ceiling:%v UtilCeil:%v Own:%v Others:%v Pace:%v Errors:%v Shunned:%v Warmth:%v ColdSent:%v} %v",
 				status.SpareCapacity, status.LoadLimit, status.UtilizationLimit, status.OwnSlots, status.OtherJobs, status.Pace,
 				status.ErrorRate, status.Ejected, status.Warmth, status.SlowStartWork, known) // labels as they were recorded
@@ -124,7 +125,7 @@
 	}
 	plans := omittedPlans()
 	anew := planWithReports()
-	anew.replace, anew.slow = true, 4
+	anew.restarts, anew.slowdown = true, 4
 	plans["all told, a third starts anew, some slow down"] = anew
 	names := make([]string, 0, len(plans))
 	for name := range plans {
@@ -135,7 +136,7 @@
 		for _, load := range []float64{0.7, 1.4} {
 			for _, place := range []bool{false, true} {
 				plan := plans[name]
-				if place && !plan.replace {
+				if place && !plan.restarts {
 					continue // a place counts only where workers are cold
 				}
 				plan.load = load
--- a/loadbalancer/simulation_test.go
+++ b/loadbalancer/simulation_test.go
@@ -28,27 +28,27 @@
 
 // simulationPlan describes a deployment; times are in seconds.
 type simulationPlan struct {
-	settings  Settings
-	load      float64 // jobs' work asked for, as a share of what the workers can do when warm
-	swing     float64 // the load rises and falls by this share, over the day
-	surge     float64 // and is so many times as much from a third to a half of the day
-	work      []float64
-	cv        []float64
-	share     []float64
-	hints     bool
-	kinds     []simKind
-	workers   int
-	instances int
-	length    float64
-	uneven    bool    // every sixth instance gets five times as much as the others
-	skew      float64 // share of all traffic that zone 0 has beyond its part
-	same      float64 // one way within a zone
-	cross     float64
-	reportAge float64
-	weights   bool
-	retries   float64 // mean retries of a client after a refusal
-	slow      float64 // from a third of the day on, one worker in six runs so many times slower
-	replace   bool    // a third of the workers start anew at half of the day
+	settings     Settings
+	load         float64 // jobs' work asked for, as a share of what the workers can do when warm
+	swing        float64 // the load rises and falls by this share, over the day
+	surge        float64 // and is so many times as much from a third to a half of the day
+	work         []float64
+	variation    []float64
+	share        []float64
+	hints        bool
+	kinds        []simKind
+	workers      int
+	instances    int
+	length       float64
+	uneven       bool    // every sixth instance gets five times as much as the others
+	skew         float64 // share of all traffic that zone 0 has beyond its part
+	zoneLatency  float64 // one way within a zone
+	crossLatency float64
+	reportAge    float64
+	weights      bool
+	retries      float64 // mean retries of a client after a rejection
+	slowdown     float64 // from a third of the day on, one worker in six runs so many times slower
+	restarts     bool    // a third of the workers start anew at half of the day
 }
 
 type simKind struct {
@@ -77,7 +77,7 @@
 	request  *simRequest
 	attempt  int
 	worker   *simWorker
-	over     bool // its outcome has been told
+	ended    bool // its outcome has been delivered
 	started  bool
 }
 
@@ -90,8 +90,8 @@
 	deadline float64
 	retries  float64 // retries the client has left
 	attempts []*simAttempt
-	done     bool
-	out      int
+	answered bool
+	inFlight int
 }
 
 // simInstance is one dispatcher.
@@ -122,7 +122,16 @@
 	classes := len(plan.settings.Classes)
 	sim := &simulation{plan: plan, now: 1000, random: rand.New(rand.NewPCG(seed, 7)), value: make([]float64, classes), earned: make([]float64, classes)}
 	day := rand.New(rand.NewPCG(seed, 1))
-	power := 0.0
+	power := sim.drawWorkers(day)
+	sim.startInstances(seed, decide)
+	sim.drawArrivals(day, power)
+	sim.scheduleFaults()
+	return sim
+}
+
+// drawWorkers draws the workers and returns how much work all of them do in a second.
+func (sim *simulation) drawWorkers(day *rand.Rand) (power float64) {
+	plan := &sim.plan
 	for i := range plan.workers {
 		machine := plan.kinds[0]
 		kind := 0
@@ -140,6 +149,12 @@
 		power += worker.speed * float64(worker.cores)
 		sim.workers = append(sim.workers, worker)
 	}
+	return power
+}
+
+// startInstances makes the instances and schedules their start.
+func (sim *simulation) startInstances(seed uint64, decide func(s Settings, seed uint64, act Actions) decider) {
+	plan := &sim.plan
 	for me := range plan.instances {
 		instance := &simInstance{sim: sim, number: me, requests: map[RequestID]*simRequest{}, settings: plan.settings}
 		instance.settings.Instances, instance.settings.Instance, instance.settings.Zone = plan.instances, me, me%plan.settings.Zones
@@ -150,6 +165,11 @@
 			instance.decider.UpdateWorkers(sim.now, ListFull, sim.list())
 		})
 	}
+}
+
+// drawArrivals draws and schedules all arrivals, for workers of a power.
+func (sim *simulation) drawArrivals(day *rand.Rand, power float64) {
+	plan, classes := &sim.plan, len(sim.plan.settings.Classes)
 	mean := 0.0
 	for c, share := range plan.share {
 		mean += share * plan.work[c]
@@ -174,7 +194,7 @@
 			pick -= plan.share[c]
 		}
 		work := plan.work[c]
-		if cv := plan.cv[c]; cv > 0 {
+		if cv := plan.variation[c]; cv > 0 {
 			sigma := math.Sqrt(math.Log(1 + cv*cv))
 			work *= math.Exp(sigma*day.NormFloat64() - sigma*sigma/2)
 		}
@@ -191,14 +211,19 @@
 		}
 		sim.at(t, func() { sim.arrive(sim.instances[me], c, work, sim.now, again, true) })
 	}
-	if plan.slow > 0 {
+}
+
+// scheduleFaults schedules slow workers and restarts.
+func (sim *simulation) scheduleFaults() {
+	plan, start := &sim.plan, sim.now
+	if plan.slowdown > 0 {
 		sim.at(start+plan.length/3, func() {
 			for i := 0; i < len(sim.workers); i += 6 {
-				sim.workers[i].speed /= plan.slow
+				sim.workers[i].speed /= plan.slowdown
 			}
 		})
 	}
-	if plan.replace {
+	if plan.restarts {
 		sim.at(start+plan.length/2, func() {
 			for i := 0; i < len(sim.workers); i += 3 {
 				sim.workers[i].StartedAt = sim.now
@@ -212,7 +237,6 @@
 			}
 		})
 	}
-	return sim
 }
 
 func (sim *simulation) list() (entries []Worker) {
@@ -241,35 +265,35 @@
 // latency is the one-way latency between an instance and a worker.
 func (sim *simulation) latency(instance *simInstance, worker *simWorker) float64 {
 	if instance.settings.Zone == worker.Zone {
-		return sim.plan.same
+		return sim.plan.zoneLatency
 	}
-	return sim.plan.cross
+	return sim.plan.crossLatency
 }
 
-func (instance *simInstance) Send(id RequestID, worker WorkerID, timeout float64) {
-	w, q := instance.sim, instance.requests[id]
-	if q == nil || q.done {
-		w.breach = append(w.breach, "sent what is answered")
+func (n *simInstance) Send(id RequestID, worker WorkerID, timeout float64) {
+	sim, request := n.sim, n.requests[id]
+	if request == nil || request.answered {
+		sim.breach = append(sim.breach, "sent what is answered")
 		return
 	}
-	m := w.workers[worker-1]
-	x := &simAttempt{instance: instance, request: q, attempt: len(q.attempts), worker: m}
-	c := &w.plan.settings.Classes[q.class]
-	for _, y := range q.attempts {
-		if !y.over && !instance.settings.ParallelAttempts || y.started && c.RetrySafety == RetryUnsafe {
-			w.breach = append(w.breach, "a second attempt that is not allowed")
+	target := sim.workers[worker-1]
+	pending := &simAttempt{instance: n, request: request, attempt: len(request.attempts), worker: target}
+	c := &sim.plan.settings.Classes[request.class]
+	for _, y := range request.attempts {
+		if !y.ended && !n.settings.ParallelAttempts || y.started && c.RetrySafety == RetryUnsafe {
+			sim.breach = append(sim.breach, "a second attempt that is not allowed")
 		}
 	}
-	q.attempts = append(q.attempts, x)
-	q.out++
-	w.at(w.now+w.latency(instance, m), func() { w.take(x) })
-	w.at(q.deadline, func() { w.end(x, Timeout, nil) })
+	request.attempts = append(request.attempts, pending)
+	request.inFlight++
+	sim.at(sim.now+sim.latency(n, target), func() { sim.take(pending) })
+	sim.at(request.deadline, func() { sim.end(pending, Timeout, nil) })
 }
 
 func (sim *simulation) take(attempt *simAttempt) {
 	worker := attempt.worker
 	switch {
-	case attempt.over:
+	case attempt.ended:
 	case worker.State != Ready || len(worker.waiting) >= worker.queue:
 		sim.end(attempt, Rejected, sim.report(worker))
 	default:
@@ -305,7 +329,7 @@
 		})
 		if attempt.instance.settings.ReportsStart {
 			sim.at(sim.now+sim.latency(attempt.instance, worker), func() {
-				if !attempt.over {
+				if !attempt.ended {
 					attempt.instance.decider.HandleProgress(sim.now, &ProgressUpdate{Request: attempt.request.id, Attempt: attempt.attempt, Started: true})
 				}
 			})
@@ -353,11 +377,11 @@
 
 // end delivers the outcome of an attempt, once.
 func (sim *simulation) end(attempt *simAttempt, result Result, report []float32) {
-	if attempt.over {
+	if attempt.ended {
 		return
 	}
-	attempt.over = true
-	attempt.request.out--
+	attempt.ended = true
+	attempt.request.inFlight--
 	for i, y := range attempt.worker.waiting { // a client that has gone leaves the queue
 		if y == attempt {
 			attempt.worker.waiting = append(attempt.worker.waiting[:i:i], attempt.worker.waiting[i+1:]...)
@@ -365,8 +389,8 @@
 		}
 	}
 	request := attempt.request
-	if result == OK && !request.done {
-		request.done = true
+	if result == OK && !request.answered {
+		request.answered = true
 		c := &sim.plan.settings.Classes[request.class]
 		switch took := sim.now - request.firstAt; {
 		case took <= math.Min(c.Objective+c.Stretch*request.work, c.Deadline):
@@ -376,57 +400,57 @@
 			sim.late++
 		}
 	}
-	attempt.instance.decider.HandleOutcome(sim.now, &Outcome{Request: request.id, Attempt: attempt.attempt, Worker: attempt.worker.ID, Result: result, ClientAnswered: request.done, Report: report})
+	attempt.instance.decider.HandleOutcome(sim.now, &Outcome{Request: request.id, Attempt: attempt.attempt, Worker: attempt.worker.ID, Result: result, ClientAnswered: request.answered, Report: report})
 }
 
-// again has the client retry, if it has time left.
-func (instance *simInstance) again(q *simRequest, wait float64) {
-	w := instance.sim
-	pause := math.Max(0.05, math.Min(wait, 2)*float64(w.random.IntN(2)))
-	if q.retries >= 1 && w.now+pause < q.deadline {
-		at := w.instances[w.random.IntN(len(w.instances))]
-		w.at(w.now+pause, func() { w.arrive(at, q.class, q.work, q.firstAt, q.retries-1, false) })
+// retry has the client retry, if it has time left.
+func (n *simInstance) retry(request *simRequest, wait float64) {
+	sim := n.sim
+	pause := math.Max(0.05, math.Min(wait, 2)*float64(sim.random.IntN(2)))
+	if request.retries >= 1 && sim.now+pause < request.deadline {
+		at := sim.instances[sim.random.IntN(len(sim.instances))]
+		sim.at(sim.now+pause, func() { sim.arrive(at, request.class, request.work, request.firstAt, request.retries-1, false) })
 	}
 }
 
-func (instance *simInstance) Reject(id RequestID, wait float64) {
-	if q := instance.requests[id]; q != nil && !q.done {
-		q.done = true
-		instance.sim.rejected++
-		instance.again(q, wait)
+func (n *simInstance) Reject(id RequestID, wait float64) {
+	if request := n.requests[id]; request != nil && !request.answered {
+		request.answered = true
+		n.sim.rejected++
+		n.retry(request, wait)
 	}
 }
 
-func (instance *simInstance) Fail(id RequestID) {
-	if q := instance.requests[id]; q != nil && !q.done {
-		q.done = true
-		instance.sim.failed++
-		if instance.sim.plan.settings.Classes[q.class].RetrySafety == RetrySafe {
-			instance.again(q, 0)
+func (n *simInstance) Fail(id RequestID) {
+	if request := n.requests[id]; request != nil && !request.answered {
+		request.answered = true
+		n.sim.failed++
+		if n.sim.plan.settings.Classes[request.class].RetrySafety == RetrySafe {
+			n.retry(request, 0)
 		}
 	}
 }
 
-func (instance *simInstance) Cancel(id RequestID, attempt int) {
-	x := instance.requests[id].attempts[attempt]
-	instance.sim.at(instance.sim.now, func() { instance.sim.end(x, Cancelled, nil) })
+func (n *simInstance) Cancel(id RequestID, attempt int) {
+	pending := n.requests[id].attempts[attempt]
+	n.sim.at(n.sim.now, func() { n.sim.end(pending, Cancelled, nil) })
 }
 
-func (instance *simInstance) Probe(worker WorkerID) {
-	w, m := instance.sim, instance.sim.workers[worker-1]
-	w.at(w.now+2*w.latency(instance, m), func() { instance.decider.HandleProbeResult(w.now, worker, OK, w.aged(m)) })
+func (n *simInstance) Probe(worker WorkerID) {
+	sim, target := n.sim, n.sim.workers[worker-1]
+	sim.at(sim.now+2*sim.latency(n, target), func() { n.decider.HandleProbeResult(sim.now, worker, OK, sim.aged(target)) })
 }
 
-func (instance *simInstance) SetTimer(token uint32, at float64) {
-	instance.sim.at(math.Max(at, instance.sim.now+instance.settings.Tick), func() { instance.decider.HandleTimer(instance.sim.now, token) })
+func (n *simInstance) SetTimer(token uint32, at float64) {
+	n.sim.at(math.Max(at, n.sim.now+n.settings.Tick), func() { n.decider.HandleTimer(n.sim.now, token) })
 }
-func (instance *simInstance) Watch(on bool) {
+func (n *simInstance) Watch(on bool) {
 	if on {
-		instance.sim.at(instance.sim.now+0.01, func() { instance.decider.UpdateWorkers(instance.sim.now, ListFull, instance.sim.list()) })
+		n.sim.at(n.sim.now+0.01, func() { n.decider.UpdateWorkers(n.sim.now, ListFull, n.sim.list()) })
 	}
 }
-func (instance *simInstance) Fetch()     { instance.Watch(true) }
-func (instance *simInstance) Log(string) {}
+func (n *simInstance) Fetch()     { n.Watch(true) }
+func (n *simInstance) Log(string) {}
 
 // run plays all events and returns the share of the value that was earned, in all and by class.
 func (sim *simulation) run() (share float64, byClass []float64) {
@@ -448,13 +472,13 @@
 
 // baseline sends to the worker with the fewest own jobs in the nearest zone, and elsewhere if it is rejected.
 type baseline struct {
-	s    Settings
-	act  Actions
-	rng  *rand.Rand
-	list map[WorkerID]Worker
-	ids  []WorkerID
-	out  map[WorkerID]int
-	open map[RequestID]*baselineRequest
+	settings Settings
+	actions  Actions
+	random   *rand.Rand
+	workers  map[WorkerID]Worker
+	ids      []WorkerID
+	jobs     map[WorkerID]int
+	requests map[RequestID]*baselineRequest
 }
 
 type baselineRequest struct {
@@ -463,48 +487,48 @@
 }
 
 func newBaseline(s Settings, seed uint64, act Actions) decider {
-	return &baseline{s: s, act: act, rng: rand.New(rand.NewPCG(seed, 3)), list: map[WorkerID]Worker{}, out: map[WorkerID]int{}, open: map[RequestID]*baselineRequest{}}
+	return &baseline{settings: s, actions: act, random: rand.New(rand.NewPCG(seed, 3)), workers: map[WorkerID]Worker{}, jobs: map[WorkerID]int{}, requests: map[RequestID]*baselineRequest{}}
 }
 
-func (p *baseline) Start(now float64) {
-	if p.s.ListOnRequest {
-		p.act.Watch(true)
+func (b *baseline) Start(now float64) {
+	if b.settings.ListOnRequest {
+		b.actions.Watch(true)
 	}
 }
-func (p *baseline) HandleTimer(now float64, token uint32)                            {}
-func (p *baseline) HandleProgress(now float64, n *ProgressUpdate)                    {}
-func (p *baseline) HandleProbeResult(now float64, _ WorkerID, _ Result, _ []float32) {}
-func (p *baseline) HandleDisconnect(now float64, id RequestID)                       { delete(p.open, id) }
-func (p *baseline) UpdateWorkers(now float64, kind ListKind, entries []Worker) {
+func (b *baseline) HandleTimer(now float64, token uint32)                            {}
+func (b *baseline) HandleProgress(now float64, n *ProgressUpdate)                    {}
+func (b *baseline) HandleProbeResult(now float64, _ WorkerID, _ Result, _ []float32) {}
+func (b *baseline) HandleDisconnect(now float64, id RequestID)                       { delete(b.requests, id) }
+func (b *baseline) UpdateWorkers(now float64, kind ListKind, entries []Worker) {
 	if kind != ListDelta {
-		p.ids = p.ids[:0]
+		b.ids = b.ids[:0]
 	}
 	for _, e := range entries {
-		p.ids = append(p.ids, e.ID)
-		p.list[e.ID] = e
+		b.ids = append(b.ids, e.ID)
+		b.workers[e.ID] = e
 	}
 }
 
-func (p *baseline) HandleRequest(now float64, q *Request) {
-	r := &baselineRequest{Request: *q}
-	p.open[q.ID] = r
-	p.try(r)
+func (b *baseline) HandleRequest(now float64, arrival *Request) {
+	request := &baselineRequest{Request: *arrival}
+	b.requests[arrival.ID] = request
+	b.attempt(request)
 }
 
-func (p *baseline) try(r *baselineRequest) {
-	class := &p.s.Classes[r.Class]
+func (b *baseline) attempt(request *baselineRequest) {
+	class := &b.settings.Classes[request.Class]
 	var best *Worker
 	score, ties := 0.0, 0
-	for _, id := range p.ids {
-		e := p.list[id]
+	for _, id := range b.ids {
+		e := b.workers[id]
 		if e.State != Ready || class.Kind >= 0 && e.Kind != class.Kind {
 			continue
 		}
-		cost := float64(p.out[id])
-		if e.Zone != p.s.Zone {
+		cost := float64(b.jobs[id])
+		if e.Zone != b.settings.Zone {
 			cost += 1e3
 		}
-		for _, was := range r.tried {
+		for _, was := range request.tried {
 			if was == id {
 				cost += 1e6
 			}
@@ -512,32 +536,32 @@
 		if best == nil || cost < score {
 			best, score, ties = &e, cost, 1
 		} else if cost == score {
-			if ties++; p.rng.IntN(ties) == 0 {
+			if ties++; b.random.IntN(ties) == 0 {
 				best = &e
 			}
 		}
 	}
-	if best == nil || len(r.tried) >= p.s.MaxAttempts {
-		p.act.Reject(r.ID, 0)
-		delete(p.open, r.ID)
+	if best == nil || len(request.tried) >= b.settings.MaxAttempts {
+		b.actions.Reject(request.ID, 0)
+		delete(b.requests, request.ID)
 		return
 	}
-	r.tried = append(r.tried, best.ID)
-	p.out[best.ID]++
-	p.act.Send(r.ID, best.ID, 0)
+	request.tried = append(request.tried, best.ID)
+	b.jobs[best.ID]++
+	b.actions.Send(request.ID, best.ID, 0)
 }
 
-func (p *baseline) HandleOutcome(now float64, o *Outcome) {
-	p.out[o.Worker]--
-	r := p.open[o.Request]
-	if r == nil || o.ClientAnswered {
-		delete(p.open, o.Request)
+func (b *baseline) HandleOutcome(now float64, outcome *Outcome) {
+	b.jobs[outcome.Worker]--
+	request := b.requests[outcome.Request]
+	if request == nil || outcome.ClientAnswered {
+		delete(b.requests, outcome.Request)
 		return
 	}
-	if never := o.Result == Rejected || o.Result == ConnectFailed; now < r.Deadline && (never || p.s.Classes[r.Class].RetrySafety == RetrySafe) {
-		p.try(r)
+	if never := outcome.Result == Rejected || outcome.Result == ConnectFailed; now < request.Deadline && (never || b.settings.Classes[request.Class].RetrySafety == RetrySafe) {
+		b.attempt(request)
 		return
 	}
-	p.act.Fail(o.Request)
-	delete(p.open, o.Request)
+	b.actions.Fail(outcome.Request)
+	delete(b.requests, outcome.Request)
 }
--- a/loadbalancer/snapshot_test.go
+++ b/loadbalancer/snapshot_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against a successor that knows nothing, trusts what was learnt of a worker that has restarted since, spends a slow
-// start budget anew, or accepts values that make no sense.
+// start budget anew, or accepts values that make no sense. One long test, since all its cases need the same snapshot.
 func TestSnapshotIsRestored(t *testing.T) {
 	old := newRecorder(t, testSettings(), 1)
 	old.list(ListFull, append(ready(3), Worker{ID: 4, State: Ready, StartedAt: old.now - 1})...)
@@ -17,7 +17,7 @@
 		id := RequestID(i + 1)
 		old.request(id, 0, 0.05)
 		old.runTo(old.now + 0.02)
-		for n, a := range old.tries[id] {
+		for n, a := range old.attempts[id] {
 			old.start(id, n)
 			old.runTo(old.now + 0.03)
 			if i < 58 { // the last two are still out
@@ -25,7 +25,7 @@
 			}
 		}
 	}
-	text, err := json.Marshal(old.b.Snapshot())
+	text, err := json.Marshal(old.balancer.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,19 +37,19 @@
 	}
 	next := newRecorder(t, testSettings(), 2)
 	next.now = old.now
-	if err := next.b.Restore(next.now, read()); err != nil {
+	if err := next.balancer.Restore(next.now, read()); err != nil {
 		t.Fatal(err)
 	}
 	entries := append(ready(3), Worker{ID: 4, State: Ready, StartedAt: old.workers[4].StartedAt})
 	entries[2].StartedAt = old.now // restarted
 	next.list(ListFull, entries...)
-	got, want := next.b.Snapshot(), read()
+	got, want := next.balancer.Snapshot(), read()
 	want.PlannedAt = next.now
 	fresh := newRecorder(t, testSettings(), 2)
 	fresh.now = old.now
-	fresh.b.meanPace = next.b.meanPace
+	fresh.balancer.meanPace = next.balancer.meanPace
 	fresh.list(ListFull, entries...)
-	want.Workers[3] = fresh.b.Snapshot().Workers[3]
+	want.Workers[3] = fresh.balancer.Snapshot().Workers[3]
 	if diff := cmp.Diff(want, got, cmp.Comparer(func(a, b float64) bool { return math.Abs(a-b) < 0.02 })); diff != "" {
 		t.Errorf("the next one knows (-want +got):\n%s", diff)
 	}
@@ -69,12 +69,12 @@
 	} {
 		bad, cold := read(), newRecorder(t, testSettings(), 2)
 		spoil(&bad)
-		before := cold.b.Snapshot()
-		if err := cold.b.Restore(old.now, bad); err == nil {
-			t.Errorf("%s: taken", name)
+		before := cold.balancer.Snapshot()
+		if err := cold.balancer.Restore(old.now, bad); err == nil {
+			t.Errorf("%s: accepted", name)
 		}
-		if diff := cmp.Diff(before, cold.b.Snapshot()); diff != "" {
-			t.Errorf("%s: half of it was taken:\n%s", name, diff)
+		if diff := cmp.Diff(before, cold.balancer.Snapshot()); diff != "" {
+			t.Errorf("%s: half of it was restored:\n%s", name, diff)
 		}
 	}
 }
@@ -86,10 +86,10 @@
 	r.list(ListFull, Worker{ID: 1, State: Ready}, Worker{ID: 2, State: Ready, Kind: 1}, Worker{ID: 3, State: Ready, Kind: 1},
 		Worker{ID: 4, State: Ready, StartedAt: r.now}, Worker{ID: 5, State: Ready, Kind: 1, StartedAt: r.now})
 	for id, free := range map[WorkerID]float32{1: 2, 2: 5, 3: 6} {
-		r.b.learnReport(r.now, r.b.workersByID[id], []float32{0, 0, free})
+		r.balancer.learnReport(r.now, r.balancer.workersByID[id], []float32{0, 0, free})
 	}
-	r.b.rebuildPlan(r.now)
-	small, large := r.b.slowStartBudgetLeft(r.now, r.b.workersByID[4]), r.b.slowStartBudgetLeft(r.now, r.b.workersByID[5])
+	r.balancer.rebuildPlan(r.now)
+	small, large := r.balancer.slowStartBudgetLeft(r.now, r.balancer.workersByID[4]), r.balancer.slowStartBudgetLeft(r.now, r.balancer.workersByID[5])
 	if small <= 0 || math.Abs(large/small-2.5) > 1e-9 {
 		t.Errorf("budgets %v and %v of kinds of 2 and 5 slots", small, large)
 	}
@@ -99,17 +99,17 @@
 func TestSlowWorkerCausesNoRejection(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(2)...)
-	slow, quick := r.b.workersByID[1], r.b.workersByID[2]
+	slow, quick := r.balancer.workersByID[1], r.balancer.workersByID[2]
 	slow.slots, slow.spareSlots, slow.runTime = 2, 0.5, 5
 	quick.slots, quick.spareSlots, quick.runTime = 2, 0, 0.05
 	r.request(1, 0, 0.05)
 	if len(r.sends) != 1 || r.sends[0].worker != 2 {
-		t.Errorf("sends %v, refused %v; want worker 2", r.sends, r.refused)
+		t.Errorf("sends %v, rejected %v; want worker 2", r.sends, r.rejected)
 	}
 	quick.spareSlots, quick.runTime = -20, 5 // it would start late, too
 	r.request(2, 0, 0.05)
-	if !r.refused[2] {
-		t.Errorf("sends %v; want a refusal", r.sends)
+	if !r.rejected[2] {
+		t.Errorf("sends %v; want a rejection", r.sends)
 	}
 }
 
@@ -122,17 +122,17 @@
 	for _, after := range []float64{0, 4, 8} { // seconds
 		r := newRecorder(t, s, 1)
 		r.list(ListFull, ready(12)...)
-		for id, w := range r.b.workersByID {
+		for id, w := range r.balancer.workersByID {
 			w.runTime = 0.4
-			if r.b.learnReport(r.now, w, []float32{0, 0, 4}); id <= 4 {
+			if r.balancer.learnReport(r.now, w, []float32{0, 0, 4}); id <= 4 {
 				w.otherJobs, w.inFlight = 66, 66
 			}
 		}
-		r.b.meanRunTime = 0.4
+		r.balancer.meanRunTime = 0.4
 		r.runTo(r.now + after)
-		r.b.rebuildPlan(r.now)
-		if r.request(1, 0, 0.05); r.refused[1] || len(r.sends) != 1 || r.sends[0].worker <= 4 {
-			t.Errorf("after %v s: refused %v, sends %v; eight of twelve workers were idle", after, r.refused[1], r.sends)
+		r.balancer.rebuildPlan(r.now)
+		if r.request(1, 0, 0.05); r.rejected[1] || len(r.sends) != 1 || r.sends[0].worker <= 4 {
+			t.Errorf("after %v s: rejected %v, sends %v; eight of twelve workers were idle", after, r.rejected[1], r.sends)
 		}
 	}
 }
@@ -150,6 +150,6 @@
 	r.list(ListDelta, Worker{ID: 1, Zone: 1, State: Ready}, Worker{ID: 2, Zone: 1, State: Ready})
 	r.request(2, 4, 0.05)
 	if r.outcome(2, 0, Reset); len(r.sends) != 3 {
-		t.Errorf("sends %v; in a zone that is known it may be repeated", r.sends)
+		t.Errorf("sends %v; in a known zone it may be retried", r.sends)
 	}
 }
