--- a/grpcbalancer/picker.go
+++ b/grpcbalancer/picker.go
@@ -6,8 +6,8 @@
 	"google.golang.org/grpc/status"
 )
 
-// picker sends an attempt where the decisions said, once. The library asks again when it wants to repeat a call by itself, which
-// it does only if no server has seen the call: the core is told that it was not sent instead.
+// picker sends an attempt where the decisions said, once. The library asks again when it wants to repeat a call by
+// itself, which it does only if no server has seen the call: the core is told that it was not sent instead.
 type picker struct{ dispatcher *Dispatcher }
 
 // Pick implements balancer.Picker.
--- a/internal/dispatcher/simwire/host.go
+++ b/internal/dispatcher/simwire/host.go
@@ -52,7 +52,8 @@
 		}
 	}
 	if fields.offset != len(frame.Body) {
-		return nil, &FrameError{Batch: frame.Batch, Offset: headerSize + fields.offset, Code: noCode, Reason: "bytes after the last record"}
+		return nil, &FrameError{Batch: frame.Batch, Offset: headerSize + fields.offset, Code: noCode,
+			Reason: "bytes after the last record"}
 	}
 	binary.LittleEndian.PutUint32(h.out, frame.Batch)
 	binary.LittleEndian.PutUint32(h.out[replySizeOffset:], uint32(len(h.out)-replyHeaderSize))
--- a/internal/system/placement/capacity.go
+++ b/internal/system/placement/capacity.go
@@ -12,7 +12,7 @@
 // The capacity plan.
 const (
 	planPeriod         = 100 * time.Millisecond // how often the plan is rebuilt
-	usageWindow        = 1.5                    // seconds over which own loads are averaged, to estimate those of other proxies; measured
+	usageWindow        = 1.5                    // seconds over which own loads are averaged to estimate the others'; measured
 	waitDecay          = 0.5                    // time constant in seconds with which an observed wait decays; measured
 	lateStartShare     = 0.6                    // share of a latency target; a first event that takes longer is a sign of overload
 	maxWaitLoad        = 2.0                    // what waits may add to a runner's load, in multiples of its slots
@@ -79,7 +79,8 @@
 		runner.meanUsage.smooth(&runner.ownUsage, rate)
 		runner.excessWait *= decay
 		if attempt := runner.pending.head; attempt != nil { // it still waits, which says more than attempts that ended earlier
-			runner.excessWait = math.Max(runner.excessWait, (now-attempt.sentAt).Seconds()-p.expectedFirstEvent(service, runner, attempt.prefillTokens))
+			expected := p.expectedFirstEvent(service, runner, attempt.prefillTokens)
+			runner.excessWait = math.Max(runner.excessWait, (now-attempt.sentAt).Seconds()-expected)
 		}
 		runner.limits.Recover(runner.slots, recovered)
 		service.meanUsage.add(&runner.meanUsage, 1/float64(len(service.runners)))
--- a/internal/system/placement/limits.go
+++ b/internal/system/placement/limits.go
@@ -81,9 +81,10 @@
 
 // metTargets reports whether an answer earns its full value.
 func metTargets(request *Request, progress Progress) bool {
-	first := progress.TimeToFirstEvent
-	if first <= 0 || request.Route.EventGapTarget == 0 {
+	route, first := request.Route, progress.TimeToFirstEvent
+	if first <= 0 || route.EventGapTarget == 0 {
 		first = progress.Duration
 	}
-	return first <= request.Route.LatencyTarget && (request.Route.EventGapTarget == 0 || progress.LongestEventGap <= request.Route.EventGapTarget)
+	return first <= route.LatencyTarget &&
+		(route.EventGapTarget == 0 || progress.LongestEventGap <= route.EventGapTarget)
 }
--- a/internal/system/placement/notices.go
+++ b/internal/system/placement/notices.go
@@ -11,7 +11,7 @@
 
 // Notices.
 const (
-	prefillSlotShare      = 0.5                   // share of a slot's memory: so many tokens in prefill weigh as much as a slot; measured
+	prefillSlotShare      = 0.5                   // of a slot's memory: so many tokens in prefill weigh as much as a slot; measured
 	minNoticeThreshold    = 1.0                   // prefill weight in slots from which prompts are announced, at least
 	maxPlanAge            = 10 * time.Millisecond // of the plan that a choice uses, where other proxies announce their prompts
 	maxNoticeRate         = 300.0                 // notices a second; if more come, only longer prompts are announced
--- a/internal/system/placement/placer.go
+++ b/internal/system/placement/placer.go
@@ -11,11 +11,17 @@
 
 // Options are the location of a proxy and the budgets of the deployment.
 type Options struct {
-	Zone, Region       string
-	Zones              map[string]string // region by zone, for runners that report none
-	RetryRatio         float64
-	RetryWindow        time.Duration
-	RetryAllowance     float64
+	Zone   string            // of the proxy
+	Region string            // of the proxy
+	Zones  map[string]string // region by zone, for runners that report none
+
+	// Within RetryWindow, all proxies together may send RetryRatio retries for each first attempt and RetryAllowance more.
+	RetryRatio     float64
+	RetryWindow    time.Duration
+	RetryAllowance float64
+
+	// In any second, all proxies together may send to a runner in slow start SlowStartFactor times its service's
+	// SlowStartRate and SlowStartAllowance requests more.
 	SlowStartFactor    float64
 	SlowStartAllowance float64
 }
@@ -31,11 +37,14 @@
 		bad("Region", "empty")
 	}
 	for _, option := range []struct {
-		name string
-		v    float64
-	}{{"RetryRatio", o.RetryRatio}, {"RetryExtra", o.RetryAllowance}, {"ColdExcess", o.SlowStartFactor}, {"ColdSlack", o.SlowStartAllowance}} {
-		if math.IsNaN(option.v) || math.IsInf(option.v, 0) || option.v < 0 {
-			bad(option.name, option.v)
+		name  string
+		value float64
+	}{
+		{"RetryRatio", o.RetryRatio}, {"RetryExtra", o.RetryAllowance},
+		{"ColdExcess", o.SlowStartFactor}, {"ColdSlack", o.SlowStartAllowance},
+	} {
+		if math.IsNaN(option.value) || math.IsInf(option.value, 0) || option.value < 0 {
+			bad(option.name, option.value)
 		}
 	}
 	if o.RetryWindow <= 0 {
@@ -47,13 +56,13 @@
 // Placer decides which runner takes each request of a proxy.
 type Placer struct {
 	options   Options
-	random    capacity.Random
-	services  map[string]*serviceState
-	runners   map[string]*runnerState
-	byKey     map[uint64]*runnerState
-	evacuated map[string]bool
-	routes    map[string]*routeStats
-	regions   []regionStats
+	random    capacity.Random          // breaks ties
+	services  map[string]*serviceState // by name
+	runners   map[string]*runnerState  // by id
+	byKey     map[uint64]*runnerState  // by runnerState.key
+	evacuated map[string]bool          // by zone
+	routes    map[string]*routeStats   // by name
+	regions   []regionStats            // in the order in which they were first seen
 
 	startedAt           time.Duration // of the first call
 	started             bool
@@ -61,29 +70,38 @@
 	countedFrom         time.Duration // from then on all other proxies count this one
 	proxyCount          int           // proxies that may be sending; 0: not known yet
 	pendingProxyCount   int           // a lower count that does not apply yet; 0: none
-	pendingProxyCountAt time.Duration
-	selfKey             uint64
-	peers               []peer // empty: only their number is known
-	plannedAt           time.Duration
-	latencyTarget       float64 // tightest target of a route seen, in seconds
-	longestTimeout      float64 // longest timeout of a route seen, in seconds
+	pendingProxyCountAt time.Duration // when it applies
+	selfKey             uint64        // of this proxy
+	peers               []peer        // empty: only their number is known
+	plannedAt           time.Duration // when the plan was last rebuilt
+	latencyTarget       float64       // tightest target of a route seen, in seconds
+	longestTimeout      float64       // longest timeout of a route seen, in seconds
 	lastAttemptID       uint64
-	restored            map[string]runnerSnapshot
-	restoredSpeeds      map[string]float64
-	notified            bool          // another proxy has announced a prompt
-	lastNoticeAt        time.Duration // of the last announced prompt
-	noticeCount         int           // announced prompts in this period
-	noticeThreshold     float64       // prefill weight in slots from which own prompts are announced
+	restored            map[string]runnerSnapshot // by runner, until SetRunners names it
+	restoredSpeeds      map[string]float64        // by service
+	notified            bool                      // another proxy has announced a prompt
+	lastNoticeAt        time.Duration             // of the last announced prompt
+	noticeCount         int                       // announced prompts in this period
+	noticeThreshold     float64                   // prefill weight in slots from which own prompts are announced
 }
 
 // New checks the options and returns a Placer that knows nothing yet. The seed decides how ties are broken.
-func New(o Options, seed uint64) (*Placer, error) {
-	if err := o.validate(); err != nil {
+func New(options Options, seed uint64) (*Placer, error) {
+	if err := options.validate(); err != nil {
 		return nil, err
 	}
-	return &Placer{options: o, random: capacity.Random(seed), services: map[string]*serviceState{}, runners: map[string]*runnerState{}, byKey: map[uint64]*runnerState{},
-		evacuated: map[string]bool{}, routes: map[string]*routeStats{}, latencyTarget: initialTarget, longestTimeout: initialTimeout,
-		noticeThreshold: minNoticeThreshold}, nil
+	return &Placer{
+		options:         options,
+		random:          capacity.Random(seed),
+		services:        map[string]*serviceState{},
+		runners:         map[string]*runnerState{},
+		byKey:           map[uint64]*runnerState{},
+		evacuated:       map[string]bool{},
+		routes:          map[string]*routeStats{},
+		latencyTarget:   initialTarget,
+		longestTimeout:  initialTimeout,
+		noticeThreshold: minNoticeThreshold,
+	}, nil
 }
 
 // recordCall notes that the Placer was called. After a start, and after a pause in which the process was frozen, other
--- a/internal/system/placement/placer_test.go
+++ b/internal/system/placement/placer_test.go
@@ -56,7 +56,7 @@
 		MaxOutputTokens: 50, Chunks: []Chunk{{1, 60}, {2, 40}}}
 }
 
-// exclusions are the rules that exclude runners; each function makes its rule apply to all of them.
+// exclusions are the rules that exclude runners, a table; each function makes its rule apply to all of them.
 func exclusions() map[string]func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 	all := func(change func(runner *Runner)) func(*Placer, []Runner, *Request, time.Duration) {
 		return func(p *Placer, runners []Runner, r *Request, now time.Duration) {
--- a/internal/system/placement/prefix_cache.go
+++ b/internal/system/placement/prefix_cache.go
@@ -65,13 +65,15 @@
 
 // ownersOf draws the owners of a request's prefix among the serving runners that are not in slow start. It uses only what
 // all proxies know, not this proxy's own observations: else each proxy would choose another owner.
-func (p *Placer) ownersOf(now time.Duration, service *serviceState, request *Request, demand *tokenDemand) (owners prefixOwners) {
+func (p *Placer) ownersOf(now time.Duration, service *serviceState, request *Request,
+	demand *tokenDemand) (owners prefixOwners) {
 	if demand.prefix == 0 {
 		return owners
 	}
 	owners.global = p.isGlobal(request, demand)
 	for _, runner := range service.runners {
-		if runner.Draining || runner.TerminatesAt > 0 || now < runner.SlowStartUntil || p.evacuated[runner.Zone] || !inHomeRegion(request, runner) || !runner.servesModel(request.Model) {
+		if runner.Draining || runner.TerminatesAt > 0 || now < runner.SlowStartUntil || p.evacuated[runner.Zone] ||
+			!inHomeRegion(request, runner) || !runner.servesModel(request.Model) {
 			continue
 		}
 		score := capacity.Hash(demand.prefix ^ runner.key)
@@ -186,7 +188,8 @@
 }
 
 // recordPrefix records where a prefix was sent, and how often prefixes of the route come again.
-func (p *Placer) recordPrefix(now time.Duration, service *serviceState, request *Request, demand *tokenDemand, runner *runnerState) {
+func (p *Placer) recordPrefix(now time.Duration, service *serviceState, request *Request, demand *tokenDemand,
+	runner *runnerState) {
 	if demand.prefix == 0 {
 		return
 	}
--- a/internal/system/placement/retries.go
+++ b/internal/system/placement/retries.go
@@ -83,7 +83,8 @@
 // request may have run and is idempotent, by its deadline and by the shared retry budget.
 func (p *Placer) MayRetry(now time.Duration, request *Request) bool {
 	service := p.services[request.Service]
-	if service == nil || request.Route == nil || now >= request.Deadline || len(request.TriedRunners) >= max(request.Route.MaxAttempts, 1) {
+	if service == nil || request.Route == nil || now >= request.Deadline ||
+		len(request.TriedRunners) >= max(request.Route.MaxAttempts, 1) {
 		return false
 	}
 	if request.MayHaveRun && !request.Route.IsIdempotent() {
--- a/internal/system/placement/runner.go
+++ b/internal/system/placement/runner.go
@@ -94,7 +94,8 @@
 		p.byKey[runner.key] = runner
 	}
 	moved := isNew || runner.Service != update.Service
-	if update.SlowStartUntil > runner.SlowStartUntil && runner.lastSentAt > 0 { // the last attempt may already have met the new process
+	if update.SlowStartUntil > runner.SlowStartUntil && runner.lastSentAt > 0 {
+		// The last attempt may already have met the new process.
 		runner.slowStartNextAt = max(runner.slowStartNextAt, runner.lastSentAt+time.Duration(slowStartWindow*float64(time.Second)))
 	}
 	runner.Runner, runner.listed = *update, true
--- a/internal/system/placement/selection.go
+++ b/internal/system/placement/selection.go
@@ -52,9 +52,11 @@
 	if best == nil {
 		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, 0), Reason: "no runner may take the request"}
 	}
-	if wait := p.expectedWait(service, best); (rank >= rankNoSpare || service.shedding.mustYield(now, request)) && p.isHopeless(now, service, request, wait) {
+	wait := p.expectedWait(service, best)
+	if (rank >= rankNoSpare || service.shedding.mustYield(now, request)) && p.isHopeless(now, service, request, wait) {
 		service.shedding.recordRejection(now, request)
-		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, wait), Reason: "all runners are over their concurrency limits"}
+		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, wait),
+			Reason: "all runners are over their concurrency limits"}
 	}
 	return Choice{Runner: best.ID, Address: best.Address, Priority: priority(service, request)}, nil
 }
@@ -76,7 +78,8 @@
 // selectRunner selects the eligible runner with the most spare capacity, in the own region first, then in the nearest; if
 // none has any, the one least over its limit. For a prompt with a shared prefix, capacity counts more where that is cached.
 // It returns nil and rankNone if no runner is eligible.
-func (p *Placer) selectRunner(now time.Duration, service *serviceState, request *Request, demand *tokenDemand) (*runnerState, int) {
+func (p *Placer) selectRunner(now time.Duration, service *serviceState, request *Request,
+	demand *tokenDemand) (*runnerState, int) {
 	var choice capacity.Selection[*runnerState]
 	owners := p.ownersOf(now, service, request, demand)
 	shared := service.isSharedFault()
@@ -97,12 +100,13 @@
 	return choice.Best, choice.Candidate.Rank
 }
 
-// rank orders runners for a request.
-func (p *Placer) rank(now time.Duration, request *Request, runner *runnerState, demand *tokenDemand, owners *prefixOwners, shared bool) int {
+// rank orders runners for a request. With a shared fault suspect runners are no longer avoided.
+func (p *Placer) rank(now time.Duration, request *Request, runner *runnerState, demand *tokenDemand, owners *prefixOwners,
+	sharedFault bool) int {
 	switch {
 	case request.hasTried(runner):
 		return rankTried
-	case runner.ejection.IsEjected(now.Seconds()) || !shared && runner.isAvoided(now):
+	case runner.ejection.IsEjected(now.Seconds()) || !sharedFault && runner.isAvoided(now):
 		return rankAvoided
 	case runner.isAvoided(now):
 		return rankNoSpare // so many are suspect that the others could not bear the load
@@ -118,7 +122,8 @@
 
 // preference is added to a runner's spare slots: a little in the own zone, since bytes between zones are priced, and where
 // the prefix is cached, what prefilling it again would cost.
-func (p *Placer) preference(service *serviceState, runner *runnerState, demand *tokenDemand, owners *prefixOwners) (slots float64) {
+func (p *Placer) preference(service *serviceState, runner *runnerState, demand *tokenDemand,
+	owners *prefixOwners) (slots float64) {
 	if runner.Zone == p.options.Zone {
 		slots += math.Max(minZonePreference, zonePreferenceShare*runner.slots)
 	}
@@ -129,8 +134,8 @@
 	return slots + saved*owners.cachedShare(runner, service, demand.prefix)
 }
 
-// distance is the latency of a runner's region in steps of an eighth of the tightest latency target: regions that differ by less share
-// what overflows.
+// distance is the latency of a runner's region in steps of an eighth of the tightest latency target: regions that differ
+// by less share what overflows.
 func (p *Placer) distance(runner *runnerState) float64 {
 	return math.Floor(p.regions[runner.regionIndex].latency * distanceSteps / p.latencyTarget)
 }
--- a/internal/system/placement/service.go
+++ b/internal/system/placement/service.go
@@ -37,7 +37,8 @@
 func (p *Placer) ensureService(name string) *serviceState {
 	service := p.services[name]
 	if service == nil {
-		service = &serviceState{Service: configuration.Service{Name: name}, prefillSpeed: p.restoredSpeeds[name], latencyTarget: initialTarget}
+		service = &serviceState{Service: configuration.Service{Name: name}, prefillSpeed: p.restoredSpeeds[name],
+			latencyTarget: initialTarget}
 		p.services[name] = service
 	}
 	return service
@@ -74,9 +75,10 @@
 
 // routeStats are running means over the answers of a route.
 type routeStats struct {
-	meanDuration, deviation float64 // of the time to the end, and its mean absolute deviation; seconds
-	outputShare             float64 // generated tokens as a share of the most that requests allow
-	prefixReuse             float64 // share of requests whose prefix this proxy sent within prefixHistorySpan
+	meanDuration float64 // of the time to the end, in seconds
+	deviation    float64 // mean absolute deviation from it, in seconds
+	outputShare  float64 // generated tokens as a share of the most that requests allow
+	prefixReuse  float64 // share of requests whose prefix this proxy sent within prefixHistorySpan
 }
 
 // statsOf returns the statistics of a route; the first request of a route adds them.
@@ -86,7 +88,8 @@
 		if len(p.routes) >= maxRoutes {
 			clear(p.routes)
 		}
-		stats = &routeStats{meanDuration: route.LatencyTarget.Seconds(), deviation: route.LatencyTarget.Seconds() / 2, outputShare: initialOutputShare}
+		target := route.LatencyTarget.Seconds()
+		stats = &routeStats{meanDuration: target, deviation: target / 2, outputShare: initialOutputShare}
 		p.routes[route.Name] = stats
 		if route.LatencyTarget > 0 {
 			p.latencyTarget = math.Min(p.latencyTarget, route.LatencyTarget.Seconds())
