--- a/internal/compatibility/sent_test.go
+++ b/internal/compatibility/sent_test.go
@@ -108,19 +108,19 @@
 
 // TestReadsDatagramsOfCopies: messages of one page and of several.
 func TestReadsDatagramsOfCopies(t *testing.T) {
-	sender := jobreplica.NewPager("fleet", 1, 1<<20)
+	sender := jobreplica.NewFragmenter("fleet", 1, 1<<20)
 	long := bytes.Repeat([]byte("0123456789"), 250)
 	for _, c := range []struct {
 		name    string
 		message []byte
 		pages   int
 	}{{"short", []byte("short"), 1}, {"long", long, 3}} {
-		receiver, got := jobreplica.NewPager("fleet", 2, 1<<20), []byte(nil)
-		datagrams := sender.Seal(jobreplica.Outgoing{To: 2, Data: c.message})
+		receiver, got := jobreplica.NewFragmenter("fleet", 2, 1<<20), []byte(nil)
+		datagrams := sender.Fragment(jobreplica.Outgoing{To: 2, Data: c.message})
 		same(t, "pages", len(datagrams), c.pages)
 		for i, datagram := range datagrams {
 			recorded := compatibility.Here.Check(t, "copies/"+c.name+"-"+strconv.Itoa(i), datagram)
-			got = must(receiver.Open(recorded))(t)
+			got = must(receiver.Reassemble(recorded))(t)
 		}
 		same(t, c.name, got, c.message)
 	}
--- a/internal/dispatcher/cluster/jobreplica/compatibility_test.go
+++ b/internal/dispatcher/cluster/jobreplica/compatibility_test.go
@@ -12,12 +12,12 @@
 // TestReadsEnvelopes: messages between copies, one of each kind. Package compatibility records their datagrams.
 func TestReadsEnvelopes(t *testing.T) {
 	for name, e := range map[string]*envelope{
-		"agreement": {kind: kindAgreement, from: 1, to: 1 << 63, message: consensus.Message{Kind: consensus.MessageVote, From: 1, To: 1 << 63, Term: 3}},
+		"agreement": {kind: kindConsensus, from: 1, to: 1 << 63, message: consensus.Message{Kind: consensus.MessageVote, From: 1, To: 1 << 63, Term: 3}},
 		"propose":   {kind: kindPropose, from: 2, to: 3, command: []byte("command")},
-		"gone":      {kind: kindGone, from: 4, to: 5, index: 1 << 40},
+		"gone":      {kind: kindReplaced, from: 4, to: 5, appliedIndex: 1 << 40},
 	} {
 		recorded := compatibility.Elsewhere.Check(t, name, e.encode())
-		got, err := open(recorded)
+		got, err := decodeEnvelope(recorded)
 		if err != nil {
 			t.Fatal(name, err)
 		}
@@ -29,24 +29,24 @@
 
 // TestAsksForPages: what a receiver asks for where a page was lost, and what comes of it.
 func TestAsksForPages(t *testing.T) {
-	sender, receiver := NewPager("fleet", 1, 1<<20), NewPager("fleet", 2, 1<<20)
-	message := make([]byte, 2*pageBytes)
-	pages := sender.Seal(Outgoing{To: 2, Data: message})
-	if _, err := receiver.Open(pages[0]); err != nil {
+	sender, receiver := NewFragmenter("fleet", 1, 1<<20), NewFragmenter("fleet", 2, 1<<20)
+	message := make([]byte, 2*fragmentBytes)
+	pages := sender.Fragment(Outgoing{To: 2, Data: message})
+	if _, err := receiver.Reassemble(pages[0]); err != nil {
 		t.Fatal(err)
 	}
-	asked := receiver.Turn(1)
+	asked := receiver.Tick(1)
 	if len(asked) != 1 {
 		t.Fatalf("%d datagrams", len(asked))
 	}
-	if _, err := sender.Open(compatibility.Elsewhere.Check(t, "ask", asked[0].Data)); err != nil {
+	if _, err := sender.Reassemble(compatibility.Elsewhere.Check(t, "ask", asked[0].Data)); err != nil {
 		t.Fatal(err)
 	}
-	again := sender.Turn(1)
+	again := sender.Tick(1)
 	if len(again) != 1 {
 		t.Fatalf("%d pages again", len(again))
 	}
-	got, err := receiver.Open(again[0].Data)
+	got, err := receiver.Reassemble(again[0].Data)
 	if err != nil || len(got) != len(message) {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
--- a/internal/dispatcher/cluster/jobreplica/copies_test.go
+++ b/internal/dispatcher/cluster/jobreplica/copies_test.go
@@ -87,8 +87,8 @@
 		}
 	}
 	for _, p := range w.places {
-		if p.copy != nil && p.copy.Leads() {
-			counted, _ := p.copy.Copies()
+		if p.copy != nil && p.copy.IsLeader() {
+			counted, _ := p.copy.Members()
 			for _, m := range counted {
 				if !there[m.ID] {
 					return false
@@ -167,7 +167,7 @@
 	"the lead is handed over": func(w *world) {
 		w.handIn("a", jobstate.Keyed)
 		p := w.leader()
-		p.copy.HandOver()
+		p.copy.TransferLeadership()
 		w.after(p)
 		w.handIn("b", jobstate.Unsafe)
 		w.run1(w.now + 2)
@@ -176,7 +176,7 @@
 
 func (w *world) leader() *place {
 	for _, p := range w.places {
-		if p.copy != nil && !p.paused && p.copy.Leads() {
+		if p.copy != nil && !p.paused && p.copy.IsLeader() {
 			return p
 		}
 	}
@@ -185,7 +185,7 @@
 
 func (w *world) follower() *place {
 	for _, p := range w.places {
-		if p.copy != nil && p.copy.Holds() && !p.copy.Leads() {
+		if p.copy != nil && p.copy.IsVoter() && !p.copy.IsLeader() {
 			return p
 		}
 	}
@@ -199,7 +199,7 @@
 func TestAnyOneMessageMayBeSpoilt(t *testing.T) {
 	for name, scenario := range scenarios {
 		t.Run(name, func(t *testing.T) {
-			o := mutate.Options{Delays: []float64{0.3, 1.5, 9}, Stride: 37, Parallelism: 6, OtherMembers: []uint64{1, 2, 3, 4}, Variants: jobreplica.Forge}
+			o := mutate.Options{Delays: []float64{0.3, 1.5, 9}, Stride: 37, Parallelism: 6, OtherMembers: []uint64{1, 2, 3, 4}, Variants: jobreplica.ForgeVariants}
 			if *mutateAll {
 				o.Stride = 1
 			}
@@ -261,7 +261,7 @@
 		}
 		key := fmt.Sprint("k", i)
 		for _, p := range w.places {
-			if p.copy != nil && !p.paused && p.copy.Holds() {
+			if p.copy != nil && !p.paused && p.copy.IsVoter() {
 				c := jobstate.Command{Kind: jobstate.CommandSubmit, TimeMS: int64(w.now * 1000), Tenant: "t", Key: key, Class: "x"}
 				p.asked[key] = c
 				p.copy.Propose(w.now, c.Encode())
@@ -287,7 +287,7 @@
 		{"nothing happens", 0.1, func(w *world) {}},
 		{"the leader hands over and ends", 0.1, func(w *world) {
 			p := w.leader()
-			p.copy.HandOver()
+			p.copy.TransferLeadership()
 			w.after(p)
 			w.run1(w.now + 0.05)
 			w.kill(p)
@@ -316,8 +316,8 @@
 	w.run1(w.now + 4)
 	for _, p := range w.places {
 		err := p.copy.Propose(w.now, (&jobstate.Command{Kind: jobstate.CommandAdvanceTime}).Encode())
-		var none *jobreplica.NoMajority
-		if !errors.As(err, &none) || none.RetryMS <= 0 || none.Heard != 1 || none.Copies != 3 {
+		var none *jobreplica.NoMajorityError
+		if !errors.As(err, &none) || none.RetryMS <= 0 || none.Reachable != 1 || none.Voters != 3 {
 			t.Errorf("%s: %v", p.member.Name, err)
 		}
 	}
@@ -332,7 +332,7 @@
 	w.run1(w.now + 60)
 	p.paused, p.held = false, nil // what came meanwhile is lost
 	p.copy.Tick(w.now)
-	if p.copy.Leads() {
+	if p.copy.IsLeader() {
 		t.Error("it leads on after 60 s of sleep")
 	}
 }
@@ -370,9 +370,9 @@
 	for i := range 9 {
 		members = append(members, jobreplica.Member{ID: uint64(i + 1), Name: fmt.Sprint("m", i), Machine: fmt.Sprint("host", i/2), Zone: fmt.Sprint(i / 4)})
 	}
-	chosen := jobreplica.Choose(members, nil, 3)
+	chosen := jobreplica.ChooseMembers(members, nil, 3)
 	slices.Reverse(members)
-	if again := jobreplica.Choose(members, nil, 3); !slices.Equal(chosen, again) {
+	if again := jobreplica.ChooseMembers(members, nil, 3); !slices.Equal(chosen, again) {
 		t.Errorf("%v, in another order %v", chosen, again)
 	}
 	zones, machines := map[string]bool{}, map[string]bool{}
@@ -382,7 +382,7 @@
 	if len(zones) != 3 || len(machines) != 3 {
 		t.Errorf("%v", chosen)
 	}
-	if got := jobreplica.Choose(members, nil, 9); len(got) != 5 {
+	if got := jobreplica.ChooseMembers(members, nil, 9); len(got) != 5 {
 		t.Errorf("%d copies on 5 machines", len(got))
 	}
 }
@@ -394,7 +394,7 @@
 		t.Fatal(err)
 	}
 	none := errors.New("none")
-	for _, p := range []jobstate.CodedError{&jobreplica.NoMajority{}, &jobreplica.NotACopy{}, &jobreplica.Stopped{Cause: none}, &jobreplica.TooFar{}, &jobreplica.Replaced{}} {
+	for _, p := range []jobstate.CodedError{&jobreplica.NoMajorityError{}, &jobreplica.NotReplicaError{}, &jobreplica.StoppedError{Cause: none}, &jobreplica.CommandTooLongError{}, &jobreplica.ReplacedError{}} {
 		if p.Code() == "" || p.Remedy() == "" || !strings.Contains(string(page), "`"+p.Code()+"`") || !strings.Contains(string(page), p.Remedy()) {
 			t.Errorf("%T: %q is not on the page as it is", p, p.Code())
 		}
@@ -402,36 +402,36 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	p := jobreplica.NewPager("test", 1, 1<<16)
-	for _, datagram := range p.Seal(jobreplica.Outgoing{To: 2, Data: make([]byte, 3000)}) {
+	p := jobreplica.NewFragmenter("test", 1, 1<<16)
+	for _, datagram := range p.Fragment(jobreplica.Outgoing{To: 2, Data: make([]byte, 3000)}) {
 		f.Add(datagram)
 	}
 	f.Fuzz(func(t *testing.T, datagram []byte) {
-		message, err := jobreplica.NewPager("test", 2, 1<<16).Open(datagram)
+		message, err := jobreplica.NewFragmenter("test", 2, 1<<16).Reassemble(datagram)
 		if err == nil && message != nil {
-			c := jobreplica.New(0, jobreplica.Options{Me: jobreplica.Member{ID: 2}, Copies: 3, Silence: 1, Beat: 0.1, Replace: 8, Cut: 64, Most: 1 << 16,
-				Machine: &machine{jobstate.New(bounds), &world{}}})
+			c := jobreplica.New(0, jobreplica.Options{Self: jobreplica.Member{ID: 2}, Replicas: 3, ElectionTimeout: 1, HeartbeatInterval: 0.1, ReplaceAfter: 8, CompactionThreshold: 64, MaxCommandBytes: 1 << 16,
+				StateMachine: &machine{jobstate.New(bounds), &world{}}})
 			c.Step(1, message)
 		}
 	})
 }
 
 func TestHalfMessagesAreBounded(t *testing.T) {
-	from, to := jobreplica.NewPager("test", 1, 1<<16), jobreplica.NewPager("test", 2, 1<<16)
+	from, to := jobreplica.NewFragmenter("test", 1, 1<<16), jobreplica.NewFragmenter("test", 2, 1<<16)
 	for range 1000 {
-		for i, datagram := range from.Seal(jobreplica.Outgoing{To: 2, Data: make([]byte, 5000)}) {
+		for i, datagram := range from.Fragment(jobreplica.Outgoing{To: 2, Data: make([]byte, 5000)}) {
 			if i > 0 { // the first page is always lost
-				if m, err := to.Open(datagram); m != nil || err != nil {
+				if m, err := to.Reassemble(datagram); m != nil || err != nil {
 					t.Fatal(m, err)
 				}
 			}
 		}
 	}
-	if held := to.Held(); held > 1<<16+5000 || len(to.Turn(0)) != 0 {
+	if held := to.PartialBytes(); held > 1<<16+5000 || len(to.Tick(0)) != 0 {
 		t.Errorf("%d bytes of half messages", held)
 	}
-	for i, datagram := range from.Seal(jobreplica.Outgoing{To: 2, Data: make([]byte, 5000)}) {
-		m, err := to.Open(datagram)
+	for i, datagram := range from.Fragment(jobreplica.Outgoing{To: 2, Data: make([]byte, 5000)}) {
+		m, err := to.Reassemble(datagram)
 		if err != nil || (m != nil) != (i == 4) {
 			t.Errorf("page %d: %d bytes, %v", i, len(m), err)
 		}
--- a/internal/dispatcher/cluster/jobreplica/cost_test.go
+++ b/internal/dispatcher/cluster/jobreplica/cost_test.go
@@ -16,12 +16,12 @@
 			for i := range many {
 				members = append(members, jobreplica.Member{ID: uint64(i + 1), Name: fmt.Sprint(i), Machine: fmt.Sprint(i)})
 			}
-			all, pagers, now := map[uint64]*jobreplica.Copy{}, map[uint64]*jobreplica.Pager{}, 0.0
+			all, pagers, now := map[uint64]*jobreplica.Replica{}, map[uint64]*jobreplica.Fragmenter{}, 0.0
 			for _, m := range members {
 				state := &machine{jobstate.New(jobstate.Limits{TotalBytes: 1 << 30, TenantBytes: 1 << 30, JobBytes: 1 << 20, ResultRetentionMS: 1000}), &world{}}
-				all[m.ID] = jobreplica.New(now, jobreplica.Options{Me: m, Seed: m.ID, Copies: many, Machine: state, Silence: 1, Beat: 0.1, Replace: 30, Cut: 1 << 20, Most: 1 << 16})
-				pagers[m.ID] = jobreplica.NewPager("test", m.ID, 1<<20)
-				if err := all[m.ID].Found(members); err != nil {
+				all[m.ID] = jobreplica.New(now, jobreplica.Options{Self: m, Seed: m.ID, Replicas: many, StateMachine: state, ElectionTimeout: 1, HeartbeatInterval: 0.1, ReplaceAfter: 30, CompactionThreshold: 1 << 20, MaxCommandBytes: 1 << 16})
+				pagers[m.ID] = jobreplica.NewFragmenter("test", m.ID, 1<<20)
+				if err := all[m.ID].Bootstrap(members); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -30,12 +30,12 @@
 				for moved := true; moved; {
 					moved = false
 					for _, m := range members {
-						out, _ := all[m.ID].Take()
+						out, _ := all[m.ID].TakeOutput()
 						for _, o := range out {
-							for _, d := range pagers[m.ID].Seal(o) {
+							for _, d := range pagers[m.ID].Fragment(o) {
 								moved = true
 								datagrams, bytes = datagrams+1, bytes+len(d)
-								if message, err := pagers[o.To].Open(d); err != nil {
+								if message, err := pagers[o.To].Reassemble(d); err != nil {
 									b.Fatal(err)
 								} else if message != nil {
 									all[o.To].Step(now, message)
@@ -45,13 +45,13 @@
 					}
 				}
 			}
-			var leader *jobreplica.Copy
+			var leader *jobreplica.Replica
 			for leader == nil {
 				now += 0.05
 				for _, m := range members {
 					all[m.ID].Tick(now)
 					carry()
-					if all[m.ID].Leads() {
+					if all[m.ID].IsLeader() {
 						leader = all[m.ID]
 					}
 				}
--- a/internal/dispatcher/cluster/jobreplica/export_test.go
+++ b/internal/dispatcher/cluster/jobreplica/export_test.go
@@ -6,40 +6,40 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// Forge makes other valid datagrams of one that holds a whole message, their checksums right: what a copy that lies could
+// ForgeVariants makes other valid datagrams of one that holds a whole message, their checksums right: what a copy that lies could
 // send.
-func Forge(datagram []byte) map[string][]byte {
-	var g page
-	if decoding.Unmarshal(datagram[headBytes:], &g) != nil || g.Pages != 1 {
+func ForgeVariants(datagram []byte) map[string][]byte {
+	var original fragment
+	if fragmentDecoder.Unmarshal(datagram[datagramHeaderBytes:], &original) != nil || original.Count != 1 {
 		return nil
 	}
 	forged := map[string][]byte{}
-	add := func(what string, g page) {
-		forged[what] = seal(&g)
+	add := func(what string, original fragment) {
+		forged[what] = encodeFragment(&original)
 	}
-	other := g
-	other.Fleet = "another"
+	other := original
+	other.Cluster = "another"
 	add("fleet", other)
-	other = g
-	other.Page, other.Pages = 1, 3
+	other = original
+	other.Index, other.Count = 1, 3
 	add("page", other)
-	other = g
-	other.Data = g.Data[:len(g.Data)/2]
+	other = original
+	other.Data = original.Data[:len(original.Data)/2]
 	add("half", other)
 	for what, change := range forgeries {
-		e, err := open(g.Data)
+		e, err := decodeEnvelope(original.Data)
 		if err != nil {
 			return forged
 		}
-		if e.kind != kindAgreement {
+		if e.kind != kindConsensus {
 			continue
 		}
 		change(&e.message)
-		other := g
+		other := original
 		other.Data = e.encode()
 		add(what, other)
 	}
-	forgeOurs(g, add)
+	forgeEnvelopes(original, add)
 	return forged
 }
 
@@ -66,20 +66,20 @@
 	},
 }
 
-// forgeOurs lies in the messages that are not the agreement's.
-func forgeOurs(g page, add func(what string, g page)) {
-	e, err := open(g.Data)
-	if err != nil || e.kind == kindAgreement {
+// forgeEnvelopes lies in the messages that are not the agreement's.
+func forgeEnvelopes(original fragment, add func(what string, original fragment)) {
+	e, err := decodeEnvelope(original.Data)
+	if err != nil || e.kind == kindConsensus {
 		return
 	}
 	with := func(what string, change func(e *envelope)) {
-		e, _ := open(g.Data)
+		e, _ := decodeEnvelope(original.Data)
 		change(e)
-		other := g
+		other := original
 		other.Data = e.encode()
 		add(what, other)
 	}
 	with("sender", func(e *envelope) { e.from = e.from%4 + 1 })
 	with("command", func(e *envelope) { e.command = append([]byte(nil), e.command[:len(e.command)/2]...) })
-	with("told index", func(e *envelope) { e.index = math.MaxUint64 })
+	with("told index", func(e *envelope) { e.appliedIndex = math.MaxUint64 })
 }
--- a/internal/dispatcher/cluster/jobreplica/world_test.go
+++ b/internal/dispatcher/cluster/jobreplica/world_test.go
@@ -51,9 +51,9 @@
 type place struct {
 	i      int
 	member jobreplica.Member
-	copy   *jobreplica.Copy
+	copy   *jobreplica.Replica
 	state  *jobstate.State
-	pager  *jobreplica.Pager
+	pager  *jobreplica.Fragmenter
 	paused bool
 	held   [][]byte
 	life   int // counts its processes
@@ -74,11 +74,11 @@
 		w.begin(p)
 	}
 	view := w.view()
-	first := jobreplica.Choose(view, nil, many)
+	first := jobreplica.ChooseMembers(view, nil, many)
 	for _, p := range w.places {
 		for _, m := range first {
 			if m.ID == p.member.ID {
-				if err := p.copy.Found(first); err != nil {
+				if err := p.copy.Bootstrap(first); err != nil {
 					w.fail("founding: %v", err)
 				}
 			}
@@ -109,11 +109,11 @@
 	}
 	p.life++
 	p.state = jobstate.New(bounds)
-	p.pager = jobreplica.NewPager("test", p.member.ID, 1<<20)
+	p.pager = jobreplica.NewFragmenter("test", p.member.ID, 1<<20)
 	p.asked = map[string]jobstate.Command{}
 	p.held, p.paused = nil, false
-	p.copy = jobreplica.New(w.now, jobreplica.Options{Me: p.member, Seed: w.life, Copies: w.copies, Machine: &machine{p.state, w}, Silence: 1, Beat: 0.1, Replace: 8,
-		Cut: 64, Most: 64 << 10})
+	p.copy = jobreplica.New(w.now, jobreplica.Options{Self: p.member, Seed: w.life, Replicas: w.copies, StateMachine: &machine{p.state, w}, ElectionTimeout: 1, HeartbeatInterval: 0.1, ReplaceAfter: 8,
+		CompactionThreshold: 64, MaxCommandBytes: 64 << 10})
 	life := p.life
 	var tick func()
 	tick = func() {
@@ -121,10 +121,10 @@
 			return
 		}
 		if !p.paused {
-			p.copy.See(w.view())
+			p.copy.SetCandidates(w.view())
 			p.copy.Tick(w.now)
 			w.after(p)
-			if replaced := new(jobreplica.Replaced); errors.As(p.copy.Err(), &replaced) {
+			if replaced := new(jobreplica.ReplacedError); errors.As(p.copy.Err(), &replaced) {
 				w.kill(p) // what it knew is old: it goes on as another life
 				w.begin(p)
 				return
@@ -175,10 +175,10 @@
 	if p.copy == nil {
 		return
 	}
-	if counted, _ := p.copy.Copies(); p.copy.Holds() && len(counted) < w.copies-1 {
+	if counted, _ := p.copy.Members(); p.copy.IsVoter() && len(counted) < w.copies-1 {
 		w.fail("%s counts %d copies of %d", p.member.Name, len(counted), w.copies)
 	}
-	out, done := p.copy.Take()
+	out, done := p.copy.TakeOutput()
 	for _, a := range done {
 		if w.agreed[a.Index] == 0 {
 			w.agreed[a.Index] = xxhash.Sum64(a.Command)
@@ -188,11 +188,11 @@
 		w.applied(p, a)
 	}
 	for _, o := range out {
-		for _, datagram := range p.pager.Seal(o) {
+		for _, datagram := range p.pager.Fragment(o) {
 			w.send(p, o.To, datagram)
 		}
 	}
-	for _, o := range p.pager.Turn(w.now) {
+	for _, o := range p.pager.Tick(w.now) {
 		w.send(p, o.To, o.Data)
 	}
 }
@@ -225,7 +225,7 @@
 }
 
 func (w *world) take(p *place, datagram []byte) {
-	message, err := p.pager.Open(datagram)
+	message, err := p.pager.Reassemble(datagram)
 	if err == nil && message != nil {
 		p.copy.Step(w.now, message) // what it refuses changes nothing
 	}
@@ -245,7 +245,7 @@
 	p := w.places[w.rng.IntN(len(w.places))]
 	c := jobstate.Command{Kind: jobstate.CommandSubmit, TimeMS: int64(w.now * 1000), Proposer: p.member.Name, Tenant: "t", Key: key, Class: fmt.Sprint(effect), Effect: effect,
 		DeduplicationWindowMS: 5000, Data: []byte(key)}
-	if p.copy != nil && !p.paused && p.copy.Holds() {
+	if p.copy != nil && !p.paused && p.copy.IsVoter() {
 		p.asked[key] = c
 		p.copy.Propose(w.now, c.Encode())
 		w.after(p)
@@ -330,7 +330,7 @@
 func (w *world) dispatch() {
 	if !w.quiet {
 		for _, p := range w.places {
-			if p.copy == nil || p.paused || !p.copy.Holds() {
+			if p.copy == nil || p.paused || !p.copy.IsVoter() {
 				continue
 			}
 			if waiting := p.state.Waiting(); len(waiting) > 0 {
@@ -346,7 +346,7 @@
 				p.copy.Propose(w.now, c.Encode())
 			}
 			w.after(p)
-			if p.copy.Leads() {
+			if p.copy.IsLeader() {
 				w.heirs(p)
 			}
 		}
@@ -433,8 +433,8 @@
 		}
 	}
 	for _, p := range counted[1:] {
-		if p.copy.Index() != counted[0].copy.Index() {
-			return fmt.Errorf("%s has applied %d commands and %s %d", p.member.Name, p.copy.Index(), counted[0].member.Name, counted[0].copy.Index())
+		if p.copy.AppliedIndex() != counted[0].copy.AppliedIndex() {
+			return fmt.Errorf("%s has applied %d commands and %s %d", p.member.Name, p.copy.AppliedIndex(), counted[0].member.Name, counted[0].copy.AppliedIndex())
 		}
 		if p.state.Digest() != counted[0].state.Digest() {
 			return errors.New("two copies hold different states")
@@ -445,7 +445,7 @@
 
 func (w *world) counted() (counted []*place) {
 	for _, p := range w.places {
-		if p.copy != nil && p.copy.Holds() {
+		if p.copy != nil && p.copy.IsVoter() {
 			counted = append(counted, p)
 		}
 	}
@@ -456,7 +456,7 @@
 func (w *world) level() bool {
 	counted := w.counted()
 	for _, p := range counted {
-		if p.copy.Index() != counted[0].copy.Index() {
+		if p.copy.AppliedIndex() != counted[0].copy.AppliedIndex() {
 			return false
 		}
 	}
