--- a/cmd/cinderroad-dispatcher/fleet.go
+++ b/cmd/cinderroad-dispatcher/cluster.go
@@ -19,40 +19,40 @@
 )
 
 const (
-	askTime    = 3 * time.Second // for a member to answer at its second address
-	mostAnswer = 8 << 20         // bytes of an answer
+	requestTimeout   = 3 * time.Second // for a member to answer at its second address
+	maxResponseBytes = 8 << 20         // bytes of an answer
 )
 
-// asked is who the fleet's commands ask.
-type asked struct {
+// consoleClient is who the fleet's commands ask.
+type consoleClient struct {
 	console string
 	asJSON  bool
 }
 
 func fleetCommand() *cobra.Command {
-	a := &asked{}
+	a := &consoleClient{}
 	c := &cobra.Command{Use: "fleet", Short: "What the dispatchers hold of one another", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	c.PersistentFlags().StringVar(&a.console, "console", os.Getenv("ROUTER_CONSOLE"), "second `ADDRESS` of a dispatcher; $ROUTER_CONSOLE is the default")
-	c.AddCommand(a.members(), a.versions(), a.check(), a.gone(), a.order(true), a.order(false), fleetAuditCommand())
+	c.AddCommand(a.membersCommand(), a.versionsCommand(), a.checkCommand(), a.goneCommand(), a.orderCommand(true), a.orderCommand(false), fleetAuditCommand())
 	return c
 }
 
-func (a *asked) members() *cobra.Command {
+func (client *consoleClient) membersCommand() *cobra.Command {
 	watch, every := false, time.Second
 	c := &cobra.Command{Use: "members", Short: "List the members as one dispatcher holds them", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			for {
-				s, err := a.status(a.console)
+				s, err := client.status(client.console)
 				if err != nil && !watch {
 					return err
 				}
-				if watch && !a.asJSON {
+				if watch && !client.asJSON {
 					fmt.Fprint(c.OutOrStdout(), "\x1b[H\x1b[2J")
 				}
 				if err != nil { // it may be back
 					fmt.Fprintln(c.ErrOrStderr(), err)
-				} else if err := a.print(c.OutOrStdout(), s); err != nil {
+				} else if err := client.printMembers(c.OutOrStdout(), s); err != nil {
 					return err
 				}
 				if !watch {
@@ -61,14 +61,14 @@
 				time.Sleep(every)
 			}
 		}}
-	c.Flags().BoolVar(&a.asJSON, "json", false, "as the dispatcher answers it")
+	c.Flags().BoolVar(&client.asJSON, "json", false, "as the dispatcher answers it")
 	c.Flags().BoolVar(&watch, "watch", false, "again and again, until stopped")
 	c.Flags().DurationVar(&every, "every", every, "pause of --watch")
 	return c
 }
 
-func (a *asked) print(to io.Writer, s *cluster.Status) error {
-	if a.asJSON {
+func (client *consoleClient) printMembers(to io.Writer, s *cluster.Status) error {
+	if client.asJSON {
 		return json.NewEncoder(to).Encode(s)
 	}
 	settled := "settled"
@@ -86,37 +86,37 @@
 	return t.Flush()
 }
 
-func (a *asked) versions() *cobra.Command {
+func (client *consoleClient) versionsCommand() *cobra.Command {
 	c := &cobra.Command{Use: "versions", Short: "Who holds which version of discovery's list, settings, operator's file and program; the oldest first", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			s, err := a.status(a.console)
+			s, err := client.status(client.console)
 			if err != nil {
 				return err
 			}
-			if a.asJSON {
-				return json.NewEncoder(c.OutOrStdout()).Encode(byAge(s.Members))
+			if client.asJSON {
+				return json.NewEncoder(c.OutOrStdout()).Encode(byListVersion(s.Members))
 			}
 			return printVersions(c.OutOrStdout(), s)
 		}}
-	c.Flags().BoolVar(&a.asJSON, "json", false, "the members as the dispatcher answers them, the oldest first")
+	c.Flags().BoolVar(&client.asJSON, "json", false, "the members as the dispatcher answers them, the oldest first")
 	return c
 }
 
-// byAge orders members by what they hold: sources together, within one the older version first; those that have told none come
+// byListVersion orders members by what they hold: sources together, within one the older version first; those that have told none come
 // first of all.
-func byAge(members []cluster.Member) []cluster.Member {
+func byListVersion(members []cluster.Member) []cluster.Member {
 	out := slices.Clone(members)
 	slices.SortStableFunc(out, func(x, y cluster.Member) int {
 		if x.ListVersion == nil || y.ListVersion == nil {
-			return cmp.Compare(min(1, len(listOf(x))), min(1, len(listOf(y))))
+			return cmp.Compare(min(1, len(formatListVersion(x))), min(1, len(formatListVersion(y))))
 		}
 		return cmp.Or(cmp.Compare(x.ListVersion.Source, y.ListVersion.Source), cmp.Compare(x.ListVersion.Epoch, y.ListVersion.Epoch), cmp.Compare(x.ListVersion.Revision, y.ListVersion.Revision))
 	})
 	return out
 }
 
-// listOf is a version of the list as shown: source, line of descent where there was more than one, version.
-func listOf(m cluster.Member) string {
+// formatListVersion is a version of the list as shown: source, line of descent where there was more than one, version.
+func formatListVersion(m cluster.Member) string {
 	if m.ListVersion == nil {
 		return ""
 	}
@@ -129,7 +129,7 @@
 func printVersions(to io.Writer, s *cluster.Status) error {
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "NAME\tSTATE\tLIST\tBEHIND\tSINCE\tSETTINGS\tOPERATOR\tEXCLUDED\tPROGRAM")
-	for _, m := range byAge(s.Members) {
+	for _, m := range byListVersion(s.Members) {
 		behind, since := "-", "-"
 		if m.ListVersion != nil {
 			most := int64(0)
@@ -142,7 +142,7 @@
 			}
 			behind, since = fmt.Sprint(most), time.Since(time.UnixMilli(m.ListVersionMS)).Round(time.Second).String()
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, cmp.Or(listOf(m), "-"), behind, since, cmp.Or(m.Version["settings"], "-"),
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, cmp.Or(formatListVersion(m), "-"), behind, since, cmp.Or(m.Version["settings"], "-"),
 			cmp.Or(m.Version["operator"], "-"), cmp.Or(m.Version["excluded"], "-"), cmp.Or(m.Version["program"], "-"))
 	}
 	for _, h := range s.Restrictions {
@@ -151,7 +151,7 @@
 	return t.Flush()
 }
 
-func (a *asked) check() *cobra.Command {
+func (client *consoleClient) checkCommand() *cobra.Command {
 	patience := 10 * time.Second
 	c := &cobra.Command{Use: "check", Short: "Ask every member whether it holds the same view; status 1 if one does not",
 		Long: `Ask every member whether it holds the same view.
@@ -160,15 +160,15 @@
 asked again for as long as --patience says. Names those that disagree or do not answer, and ends with status 1 if there are any.`,
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			for end := time.Now().Add(patience); ; time.Sleep(250 * time.Millisecond) {
-				rows, err := a.compare()
+				rows, err := client.compareViews()
 				if err != nil {
 					return err
 				}
-				bad := slices.ContainsFunc(rows, func(r row) bool { return r.wrong != "" })
+				bad := slices.ContainsFunc(rows, func(r memberView) bool { return r.problem != "" })
 				if bad && time.Now().Before(end) {
 					continue
 				}
-				if err := a.tell(c.OutOrStdout(), rows); err != nil {
+				if err := client.printViews(c.OutOrStdout(), rows); err != nil {
 					return err
 				}
 				if bad {
@@ -177,57 +177,57 @@
 				return nil
 			}
 		}}
-	c.Flags().BoolVar(&a.asJSON, "json", false, "one line of JSON")
+	c.Flags().BoolVar(&client.asJSON, "json", false, "one line of JSON")
 	c.Flags().DurationVar(&patience, "patience", patience, "how long views that move are asked again")
 	return c
 }
 
-// row is what came of asking a member.
-type row struct {
-	Name   string `json:"name"`
-	Digest string `json:"digest,omitempty"`
-	View   string `json:"view,omitempty"`
-	Wrong  string `json:"wrong,omitempty"`
-	wrong  string
+// memberView is what came of asking a member.
+type memberView struct {
+	Name    string `json:"name"`
+	Digest  string `json:"digest,omitempty"`
+	View    string `json:"view,omitempty"`
+	Problem string `json:"wrong,omitempty"`
+	problem string
 }
 
-func (a *asked) compare() ([]row, error) {
-	first, err := a.status(a.console)
+func (client *consoleClient) compareViews() ([]memberView, error) {
+	first, err := client.status(client.console)
 	if err != nil {
 		return nil, err
 	}
-	rows := []row{{Name: first.Self, Digest: first.Digest, View: first.String()}}
+	rows := []memberView{{Name: first.Self, Digest: first.Digest, View: first.String()}}
 	if !first.Converged {
-		rows[0].wrong = "its view is not settled"
+		rows[0].problem = "its view is not settled"
 	}
 	for _, m := range first.Members {
 		if m.Name == first.Self || m.State != "alive" && m.State != "suspect" {
 			continue
 		}
-		r := row{Name: m.Name}
-		switch s, err := a.status(m.Console); {
+		r := memberView{Name: m.Name}
+		switch s, err := client.status(m.Console); {
 		case m.Console == "":
-			r.wrong = "has no second address to be asked at"
+			r.problem = "has no second address to be asked at"
 		case err != nil:
-			r.wrong = err.Error()
+			r.problem = err.Error()
 		case s.Self != m.Name:
-			r.wrong = "at its address is " + s.Self
+			r.problem = "at its address is " + s.Self
 		default:
 			r.Digest, r.View = s.Digest, s.String()
 			if s.Digest != first.Digest {
-				r.wrong = "disagrees" + difference(first, s)
+				r.problem = "disagrees" + describeDifference(first, s)
 			}
 		}
 		rows = append(rows, r)
 	}
 	for i := range rows {
-		rows[i].Wrong = rows[i].wrong
+		rows[i].Problem = rows[i].problem
 	}
 	return rows, nil
 }
 
-// difference names the members of which two hold different things.
-func difference(x, y *cluster.Status) string {
+// describeDifference names the members of which two hold different things.
+func describeDifference(x, y *cluster.Status) string {
 	held := map[string]string{}
 	for _, m := range x.Members {
 		held[m.Name] = fmt.Sprint(m.State, " ", m.Incarnation)
@@ -249,31 +249,31 @@
 	return ": " + strings.Join(names, "; ")
 }
 
-func (a *asked) tell(to io.Writer, rows []row) error {
-	if a.asJSON {
+func (client *consoleClient) printViews(to io.Writer, rows []memberView) error {
+	if client.asJSON {
 		return json.NewEncoder(to).Encode(rows)
 	}
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	for _, r := range rows {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", r.Name, cmp.Or(r.Digest, "-"), cmp.Or(r.View, "-"), cmp.Or(r.wrong, "agrees"))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", r.Name, cmp.Or(r.Digest, "-"), cmp.Or(r.View, "-"), cmp.Or(r.problem, "agrees"))
 	}
 	return t.Flush()
 }
 
-func (a *asked) gone() *cobra.Command {
+func (client *consoleClient) goneCommand() *cobra.Command {
 	return &cobra.Command{Use: "gone NAME", Short: "Declare that a member held dead has ended for good, for all members", Args: cobra.ExactArgs(1),
 		Long: `Declare that a member held dead has ended for good.
 
 Only say so when you know that its process has ended: its share of cold workers is given to the others at once.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			body, _ := json.Marshal(map[string]string{"member": args[0]})
-			_, err := callConsole(a.console, "PUT", "/api/fleet/gone", string(body))
+			_, err := callConsole(client.console, "PUT", "/api/fleet/gone", string(body))
 			return err
 		}}
 }
 
-// order is the command that shuts a member out, or the one that brings it back.
-func (a *asked) order(out bool) *cobra.Command {
+// orderCommand is the command that shuts a member out, or the one that brings it back.
+func (client *consoleClient) orderCommand(out bool) *cobra.Command {
 	use, short, path := "shut-out NAME", "Have a member take no new work, wherever it is", "/api/fleet/shut-out"
 	if !out {
 		use, short, path = "bring-back NAME", "Take a shut-out back", "/api/fleet/bring-back"
@@ -286,11 +286,11 @@
 fleet sees it carried out, for as long as --patience says. Status 1 if that is not seen; the order stands all the same.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			body, _ := json.Marshal(map[string]string{"member": args[0]})
-			if _, err := callConsole(a.console, "PUT", path, string(body)); err != nil {
+			if _, err := callConsole(client.console, "PUT", path, string(body)); err != nil {
 				return err
 			}
 			for end := time.Now().Add(patience); ; time.Sleep(100 * time.Millisecond) {
-				s, err := a.status(a.console)
+				s, err := client.status(client.console)
 				if err != nil {
 					return err
 				}
@@ -309,7 +309,7 @@
 }
 
 // status asks a dispatcher what it holds.
-func (a *asked) status(console string) (*cluster.Status, error) {
+func (client *consoleClient) status(console string) (*cluster.Status, error) {
 	text, err := callConsole(console, "GET", "/api/fleet", "")
 	if err != nil {
 		return nil, err
@@ -330,13 +330,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	client := http.Client{Timeout: askTime, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	r, err := client.Do(q)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: no answer: %w", err)
 	}
 	defer r.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(r.Body, mostAnswer))
+	text, err := io.ReadAll(io.LimitReader(r.Body, maxResponseBytes))
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %s: %w", console, err)
 	}
--- a/cmd/cinderroad-dispatcher/fleet_audit.go
+++ b/cmd/cinderroad-dispatcher/cluster_audit.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	mostRows = 40 // of a table on a terminal
-	mostBad  = 5  // lines of a file that are named
+	maxTableRows     = 40 // of a table on a terminal
+	maxReportedLines = 5  // lines of a file that are named
 )
 
-// errBroken ends the audit with status 1.
-var errBroken = errors.New("fleet: a rule was broken")
+// errViolations ends the audit with status 1.
+var errViolations = errors.New("fleet: a rule was broken")
 
 func fleetAuditCommand() *cobra.Command {
 	rules, asJSON, plot := auditlog.DefaultRules, false, ""
@@ -51,7 +51,7 @@
 				err = printAudit(c.OutOrStdout(), r)
 			}
 			if err == nil && len(r.Violations) > 0 {
-				err = errBroken
+				err = errViolations
 			}
 			return err
 		}}
@@ -66,7 +66,7 @@
 func auditFiles(rules auditlog.Rules, files []string, warn io.Writer) (*auditlog.Report, error) {
 	file, bad := "", 0
 	sum := func() {
-		if bad > mostBad {
+		if bad > maxReportedLines {
 			fmt.Fprintf(warn, "%s: %d lines left out in all\n", file, bad)
 		}
 	}
@@ -78,7 +78,7 @@
 		switch bad++; {
 		case line == 0:
 			fmt.Fprintf(warn, "not read: %v\n", err)
-		case bad <= mostBad:
+		case bad <= maxReportedLines:
 			fmt.Fprintf(warn, "%s: line %d left out: %v\n", name, line, err)
 		}
 	})
@@ -89,7 +89,7 @@
 	return r, err
 }
 
-func clockOf(at float64) string {
+func formatTime(at float64) string {
 	return time.UnixMicro(int64(at * 1e6)).UTC().Format("2006-01-02 15:04:05.000")
 }
 
@@ -106,23 +106,23 @@
 	}
 	row("\nVERSION\tFIRST AT\tBY\tTAKEN UP\tMEDIAN\tLAST\tBY\tNEVER")
 	versions := r.Versions
-	if len(versions) > mostRows { // those that took longest, in their order
+	if len(versions) > maxTableRows { // those that took longest, in their order
 		byLast := slices.Clone(versions)
-		slices.SortStableFunc(byLast, func(x, y auditlog.Version) int { return slowest(y) - slowest(x) })
-		least := max(1, slowest(byLast[mostRows-1]))
-		versions = slices.DeleteFunc(slices.Clone(versions), func(v auditlog.Version) bool { return slowest(v) < least })
-		versions = versions[:min(len(versions), mostRows)]
+		slices.SortStableFunc(byLast, func(x, y auditlog.Version) int { return lastAdoptionMillis(y) - lastAdoptionMillis(x) })
+		least := max(1, lastAdoptionMillis(byLast[maxTableRows-1]))
+		versions = slices.DeleteFunc(slices.Clone(versions), func(v auditlog.Version) bool { return lastAdoptionMillis(v) < least })
+		versions = versions[:min(len(versions), maxTableRows)]
 	}
 	for _, v := range versions {
 		median, last, by := "-", "-", "-"
 		if n := len(v.Adoptions); n > 0 {
-			median, last, by = seconds(v.Adoptions[n/2]), seconds(v.Adoptions[n-1]), v.Adoptions[n-1].Dispatcher
+			median, last, by = formatAdoption(v.Adoptions[n/2]), formatAdoption(v.Adoptions[n-1]), v.Adoptions[n-1].Dispatcher
 		}
 		name := fmt.Sprintf("%s/%d", v.Source, v.Revision)
 		if v.Epoch > 0 {
 			name = fmt.Sprintf("%s#%d/%d", v.Source, v.Epoch, v.Revision)
 		}
-		row("%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d", name, clockOf(v.At), v.First, 1+len(v.Adoptions), median, last, by, len(v.Never))
+		row("%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d", name, formatTime(v.At), v.First, 1+len(v.Adoptions), median, last, by, len(v.Never))
 	}
 	if n := len(r.Versions) - len(versions); n > 0 {
 		row("and %d versions that took no longer; --json tells all", n)
@@ -135,13 +135,13 @@
 		if s.Never {
 			span += ", to its end"
 		}
-		row("%s\t%s\t%d to %d\t%s\t%s\t%d", s.Dispatcher, s.Cause, s.Revision, s.LastRevision, clockOf(s.Since), span, s.Attempts)
+		row("%s\t%s\t%d to %d\t%s\t%s\t%d", s.Dispatcher, s.Cause, s.Revision, s.LastRevision, formatTime(s.Since), span, s.Attempts)
 	}
 	if len(r.Violations) > 0 {
 		row("\nRULE BROKEN BY\tRULE\tWORKER\tSENDS\tFIRST JOB\tAT\tLATEST AFTER")
 	}
 	for _, b := range r.Violations {
-		row("%s\t%s\t%s\t%d\t%s\t%s\t%.3f s", b.Dispatcher, b.Rule, b.Node, b.Attempts, b.First, clockOf(b.At), b.LatestAfter)
+		row("%s\t%s\t%s\t%d\t%s\t%s\t%.3f s", b.Dispatcher, b.Rule, b.Node, b.Attempts, b.First, formatTime(b.At), b.LatestAfter)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -158,8 +158,8 @@
 	return err
 }
 
-// slowest is how long the last member took for a version, in milliseconds.
-func slowest(v auditlog.Version) int {
+// lastAdoptionMillis is how long the last member took for a version, in milliseconds.
+func lastAdoptionMillis(v auditlog.Version) int {
 	if len(v.Never) > 0 {
 		return 1 << 30
 	}
@@ -169,7 +169,7 @@
 	return 0
 }
 
-func seconds(t auditlog.Adoption) string {
+func formatAdoption(t auditlog.Adoption) string {
 	text := fmt.Sprintf("%.3f s", t.After)
 	if t.Uncertainty >= 0.001 {
 		text += fmt.Sprintf(" ±%.3f", t.Uncertainty)
--- a/cmd/cinderroad-dispatcher/linked_test.go
+++ b/cmd/cinderroad-dispatcher/linked_test.go
@@ -9,7 +9,7 @@
 
 // Guards against a build that leaves the C library out: the platform loads a library of its own into the process. The
 // program is built before the tests, by the README's command.
-func TestTheProgramIsLinkedDynamically(t *testing.T) {
+func TestBinaryLinkedDynamically(t *testing.T) {
 	f, err := elf.Open("../../bin/cinderroad-dispatcher")
 	if errors.Is(err, os.ErrNotExist) {
 		t.Skip("bin/cinderroad-dispatcher is not built")
--- a/cmd/cinderroad-dispatcher/main.go
+++ b/cmd/cinderroad-dispatcher/main.go
@@ -15,7 +15,7 @@
 
 func main() {
 	root := command()
-	root.SetArgs(longForms(root, os.Args[1:]))
+	root.SetArgs(normalizeFlags(root, os.Args[1:]))
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "cinderroad-dispatcher:", err)
 		os.Exit(1)
@@ -24,7 +24,7 @@
 
 // command is the command line: a bare call serves.
 func command() *cobra.Command {
-	s := newServing()
+	s := newServeOptions()
 	root := &cobra.Command{Use: "cinderroad-dispatcher", Short: "A dispatcher: every job gets one final answer", Args: cobra.NoArgs,
 		SilenceErrors: true, SilenceUsage: true, RunE: s.run}
 	serve := &cobra.Command{Use: "serve", Short: "Serve until told to stop; what a bare call does, too", Args: cobra.NoArgs, RunE: s.run}
@@ -38,8 +38,8 @@
 	return root
 }
 
-// longForms has flags of the first releases, which had one dash, read as those with two.
-func longForms(root *cobra.Command, args []string) []string {
+// normalizeFlags has flags of the first releases, which had one dash, read as those with two.
+func normalizeFlags(root *cobra.Command, args []string) []string {
 	known := map[string]bool{}
 	root.Flags().VisitAll(func(f *pflag.Flag) { known[f.Name] = true })
 	out := make([]string, len(args))
--- a/cmd/cinderroad-dispatcher/main_test.go
+++ b/cmd/cinderroad-dispatcher/main_test.go
@@ -16,13 +16,13 @@
 	var out bytes.Buffer
 	root.SetOut(&out)
 	root.SetErr(&out)
-	root.SetArgs(longForms(root, args))
+	root.SetArgs(normalizeFlags(root, args))
 	err := root.Execute()
 	return out.String(), err
 }
 
 // The page of all series is what the program says of itself; `cinderroad figures --page >docs/figures.md` makes it anew.
-func TestThePageOfFigures(t *testing.T) {
+func TestMetricsPage(t *testing.T) {
 	want, err := os.ReadFile("../../docs/figures.md")
 	if err != nil {
 		t.Fatal(err)
@@ -33,9 +33,9 @@
 	}
 }
 
-func TestFlagsOfTheFirstReleases(t *testing.T) {
+func TestSingleDashFlags(t *testing.T) {
 	root := command()
-	got := longForms(root, []string{"serve", "-config", "x", "-log=debug", "--graphite", "a", "-metrics-every", "1", "-h", "-unknown"})
+	got := normalizeFlags(root, []string{"serve", "-config", "x", "-log=debug", "--graphite", "a", "-metrics-every", "1", "-h", "-unknown"})
 	want := []string{"serve", "--config", "x", "--log=debug", "--graphite", "a", "--metrics-every", "1", "-h", "-unknown"}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
--- a/cmd/cinderroad-dispatcher/serve.go
+++ b/cmd/cinderroad-dispatcher/serve.go
@@ -13,55 +13,55 @@
 	"cinderroad/internal/dispatcher/server"
 )
 
-// linesPerSecond is how often one message is logged within a second.
-const linesPerSecond = 50
+// maxRepeatsPerSecond is how often one message is logged within a second.
+const maxRepeatsPerSecond = 50
 
-// serving is what serve and check are told.
-type serving struct {
-	config, gearman, log string
-	short                server.Shorthand
+// serveOptions is what serve and check are told.
+type serveOptions struct {
+	config, gearman, logLevel string
+	shorthand                 server.Shorthand
 }
 
-func newServing() *serving { return &serving{} }
+func newServeOptions() *serveOptions { return &serveOptions{} }
 
-func (s *serving) flags(c *cobra.Command) {
+func (o *serveOptions) flags(c *cobra.Command) {
 	f := c.Flags()
 	f.SortFlags = false
-	f.StringVar(&s.config, "config", os.Getenv("ROUTER_CONFIG"), "configuration `FILE` (JSON); $ROUTER_CONFIG is the default")
-	f.StringVar(&s.short.Operator, "operator", "", "operator's `FILE` (TOML), of the form of deploy/operator.toml")
-	f.StringVar(&s.gearman, "gearman", "", "`FILE` (TOML) that turns the Gearman front on, of the form of deploy/gearman.toml")
-	f.StringVar(&s.short.Graphite, "graphite", "", "`ADDRESS` of a Graphite receiver, besides the operator's file")
-	f.StringVar(&s.short.Collectd, "collectd", "", "`PATH` of collectd's unix socket, besides the operator's file")
-	f.Float64Var(&s.short.Interval, "metrics-every", 0, "`SECONDS` between figures; the operator's file says 10 if it says nothing")
-	f.StringVar(&s.log, "log", "info", "log `LEVEL`: debug, info, warn or error")
+	f.StringVar(&o.config, "config", os.Getenv("ROUTER_CONFIG"), "configuration `FILE` (JSON); $ROUTER_CONFIG is the default")
+	f.StringVar(&o.shorthand.Operator, "operator", "", "operator's `FILE` (TOML), of the form of deploy/operator.toml")
+	f.StringVar(&o.gearman, "gearman", "", "`FILE` (TOML) that turns the Gearman front on, of the form of deploy/gearman.toml")
+	f.StringVar(&o.shorthand.Graphite, "graphite", "", "`ADDRESS` of a Graphite receiver, besides the operator's file")
+	f.StringVar(&o.shorthand.Collectd, "collectd", "", "`PATH` of collectd's unix socket, besides the operator's file")
+	f.Float64Var(&o.shorthand.Interval, "metrics-every", 0, "`SECONDS` between figures; the operator's file says 10 if it says nothing")
+	f.StringVar(&o.logLevel, "log", "info", "log `LEVEL`: debug, info, warn or error")
 }
 
 // read reads all that the program is told.
-func (s *serving) read() (*server.Config, error) {
-	config, err := server.ReadConfig(s.config, os.Getenv)
-	if err == nil && s.gearman != "" {
-		err = config.ReadGearman(s.gearman)
+func (o *serveOptions) read() (*server.Config, error) {
+	config, err := server.ReadConfig(o.config, os.Getenv)
+	if err == nil && o.gearman != "" {
+		err = config.ReadGearman(o.gearman)
 	}
 	if err == nil {
-		err = config.ReadOperator(s.short)
+		err = config.ReadOperator(o.shorthand)
 	}
 	return config, err
 }
 
-func (s *serving) run(*cobra.Command, []string) error {
-	level, err := zapcore.ParseLevel(s.log)
+func (o *serveOptions) run(*cobra.Command, []string) error {
+	level, err := zapcore.ParseLevel(o.logLevel)
 	if err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
-	config, err := s.read()
+	config, err := o.read()
 	if err != nil {
 		return err
 	}
 	return server.Run(config, logger(os.Stderr, level))
 }
 
-func (s *serving) check(c *cobra.Command, _ []string) error {
-	config, err := s.read()
+func (o *serveOptions) check(c *cobra.Command, _ []string) error {
+	config, err := o.read()
 	if err != nil {
 		return err
 	}
@@ -73,5 +73,5 @@
 	encoder.EncodeTime = zapcore.ISO8601TimeEncoder
 	core := zapcore.NewCore(zapcore.NewConsoleEncoder(encoder), zapcore.Lock(zapcore.AddSync(to)), level)
 	// A peer that sends nonsense without end must not have the log written without end.
-	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, linesPerSecond, 0))
+	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, maxRepeatsPerSecond, 0))
 }
--- /dev/null
+++ b/internal/dispatcher/server/cluster_admin.go
@@ -0,0 +1,53 @@
+package server
+
+import (
+	"encoding/json"
+
+	"go.uber.org/zap"
+
+	"cinderroad/internal/dispatcher/admin"
+)
+
+// handleClusterStatus answers GET /api/fleet.
+func (s *Server) handleClusterStatus(reply admin.Reply) {
+	if s.cluster == nil {
+		reply(404, "no [fleet] in the operator's file")
+		return
+	}
+	text, err := json.Marshal(s.cluster.Status())
+	if err != nil {
+		reply(500, err.Error())
+		return
+	}
+	reply(200, string(text))
+}
+
+// handleDeclareLeft has a member that is dead count as one that has left.
+func (s *Server) handleDeclareLeft(member string, reply admin.Reply) {
+	if s.cluster == nil {
+		reply(404, "no [fleet] in the operator's file")
+		return
+	}
+	if err := s.cluster.DeclareLeft(member); err != nil {
+		reply(409, err.Error())
+		return
+	}
+	s.log.Info("program: a member was declared gone", zap.String("member", member))
+	reply(200, "done")
+}
+
+// handleClusterOrder shuts a member out, or brings it back, wherever it is.
+func (s *Server) handleClusterOrder(out bool) func(member string, reply admin.Reply) {
+	return func(member string, reply admin.Reply) {
+		if s.cluster == nil {
+			reply(404, "no [fleet] in the operator's file")
+			return
+		}
+		if err := s.cluster.IssueOrder(member, out); err != nil {
+			reply(409, err.Error())
+			return
+		}
+		s.log.Info("program: order", zap.String("member", member), zap.Bool("out", out))
+		reply(200, "done")
+	}
+}
--- a/internal/dispatcher/server/fleet_lease_test.go
+++ b/internal/dispatcher/server/cluster_lease_test.go
@@ -16,8 +16,8 @@
 	return string(out), err
 }
 
-// shutOut counts the members that take no new work.
-func shutOut(r *processcluster.Cluster) (n int) {
+// rejectingCount counts the members that take no new work.
+func rejectingCount(r *processcluster.Cluster) (n int) {
 	for _, m := range r.RunningMembers() {
 		if health(m) == 503 {
 			n++
@@ -39,11 +39,11 @@
 		t.Fatalf("%v: %s", err, out)
 	}
 	r.Eventually("its health fails", func() bool { return health(one) == 503 })
-	r.Eventually("all see it", holdAll(r, one.Name, "shut-out"))
+	r.Eventually("all see it", allReport(r, one.Name, "shut-out"))
 	time.Sleep(500 * time.Millisecond) // what was on its way has come
-	before := took(r, one)
+	before := acceptedCount(r, one)
 	time.Sleep(2 * time.Second)
-	if sent := took(r, one) - before; sent > 0 {
+	if sent := acceptedCount(r, one) - before; sent > 0 {
 		t.Errorf("%d jobs were sent by one that is shut out", sent)
 	}
 	for i := 1; i < n/3; i++ {
@@ -72,13 +72,13 @@
 		}
 	}
 	r.WaitConverged(n)
-	at := took(r, one)
-	r.Eventually("it has work again", func() bool { return took(r, one) > at+5 })
+	at := acceptedCount(r, one)
+	r.Eventually("it has work again", func() bool { return acceptedCount(r, one) > at+5 })
 	r.Check()
 }
 
-// took is how many jobs a member has sent to any runner.
-func took(r *processcluster.Cluster, m *processcluster.Member) (n int) {
+// acceptedCount is how many jobs a member has sent to any runner.
+func acceptedCount(r *processcluster.Cluster, m *processcluster.Member) (n int) {
 	for _, u := range r.Runners {
 		n += u.JobsFrom(m)
 	}
@@ -90,17 +90,17 @@
 func TestFleetCutOffIsShutOut(t *testing.T) {
 	t.Parallel()
 	for name, which := range map[string][2]int{"one of many": {*fleetN, *fleetN - 1}, "its zone's only one": {3, 1}} {
-		t.Run(name, func(t *testing.T) { cutOffIsShutOut(t, which[0], which[1]) })
+		t.Run(name, func(t *testing.T) { checkPartitionedMemberRejects(t, which[0], which[1]) })
 	}
 }
 
-func cutOffIsShutOut(t *testing.T, n, which int) {
+func checkPartitionedMemberRejects(t *testing.T, n, which int) {
 	r := fleetOf(t, processcluster.Options{Members: n, JobsPerSecond: 40})
 	r.WaitConverged(n)
 	cut, drains := r.Members[which], r.Runners[2]
 	cut.DiscoveryLink().SetLink(receivers.Link{Blackhole: true})
 	time.Sleep(processcluster.LeaseSeconds*time.Second + 4*time.Second) // longer than a lease: the peers' words renew it
-	if out := shutOut(r); out > 0 {
+	if out := rejectingCount(r); out > 0 {
 		t.Errorf("%d are out while their peers have discovery's word", out)
 	}
 	r.Partition(cut)
@@ -113,7 +113,7 @@
 	if sent := drains.JobsFrom(cut) - before; sent > 0 {
 		t.Errorf("%d jobs were sent out of lease", sent)
 	}
-	if out := shutOut(r); out != 1 {
+	if out := rejectingCount(r); out != 1 {
 		t.Errorf("%d are out", out)
 	}
 	r.ClearLinks()
@@ -138,17 +138,17 @@
 	served := func() {
 		t.Helper()
 		for end := time.Now().Add(processcluster.LeaseSeconds*time.Second + 4*time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
-			if out := shutOut(r); out > 0 {
+			if out := rejectingCount(r); out > 0 {
 				t.Fatalf("%d are out", out)
 			}
 		}
 		at := map[*processcluster.Member]int{}
 		for _, m := range r.Members {
-			at[m] = took(r, m)
+			at[m] = acceptedCount(r, m)
 		}
 		r.Eventually("all have work", func() bool {
 			for _, m := range r.Members {
-				if took(r, m) <= at[m]+5 {
+				if acceptedCount(r, m) <= at[m]+5 {
 					return false
 				}
 			}
@@ -297,7 +297,7 @@
 	for _, m := range r.Members {
 		r.Eventually("another operator's file is seen", func() bool { return mark(m) != "" && mark(m) != before })
 	}
-	if out := shutOut(r); out > 0 {
+	if out := rejectingCount(r); out > 0 {
 		t.Errorf("%d are out", out)
 	}
 	r.WaitConverged(n)
--- a/internal/dispatcher/server/fleet_figures.go
+++ b/internal/dispatcher/server/cluster_metrics.go
@@ -7,14 +7,14 @@
 	"cinderroad/internal/dispatcher/telemetry"
 )
 
-// addFleet adds the figures of the fleet; none are told while the section is off.
-func addFleet(a adder, p *Server) {
+// addClusterMetrics adds the figures of the fleet; none are told while the section is off.
+func addClusterMetrics(add metricAdder, s *Server) {
 	read := func(kind telemetry.Kind, name, unit, help string, get func(f *cluster.Cluster) float64) {
-		a.set.AddFunc(telemetry.SeriesDoc{Pattern: "fleet." + name, Kind: kind, Unit: unit, Help: help + " None without a fleet."}, func() float64 {
-			if p.fleet == nil {
+		add.set.AddFunc(telemetry.SeriesDoc{Pattern: "fleet." + name, Kind: kind, Unit: unit, Help: help + " None without a fleet."}, func() float64 {
+			if s.cluster == nil {
 				return math.NaN()
 			}
-			return get(p.fleet)
+			return get(s.cluster)
 		})
 	}
 	gauge := func(name, unit, help string, get func(f *cluster.Cluster) float64) {
@@ -45,13 +45,13 @@
 	counter("probes_unanswered", "questions", "Those that ended without an answer.", func(f *cluster.Cluster) uint64 { return f.Stats().FailedProbes })
 	counter("slept", "", "Times that this process stood still.", func(f *cluster.Cluster) uint64 { return f.Stats().Pauses })
 	counter("name_claims", "", "Times that another process was found under this name.", func(f *cluster.Cluster) uint64 { return f.Stats().NameClaims })
-	gauge("list_behind", "versions", "Versions that the own list is behind the newest that a member says it has; none compares: 0.", func(*cluster.Cluster) float64 { return float64(p.board.MaxLag()) })
-	gauge("out_of_lease", "", "1 while this member is out of its lease and takes no new work.", func(f *cluster.Cluster) float64 { return oneIf(p.unleased()) })
+	gauge("list_behind", "versions", "Versions that the own list is behind the newest that a member says it has; none compares: 0.", func(*cluster.Cluster) float64 { return float64(s.versionTable.MaxLag()) })
+	gauge("out_of_lease", "", "1 while this member is out of its lease and takes no new work.", func(f *cluster.Cluster) float64 { return oneIf(s.leaseExpired()) })
 	gauge("word_age_s", "s", "Since a word of discovery last confirmed what is known here; -1: never.", func(f *cluster.Cluster) float64 { return f.ConfirmationAge() })
-	gauge("workers_withheld", "nodes", "Workers that get less than the own list says, on peers' words.", func(*cluster.Cluster) float64 { return float64(p.core.RestrictedCount()) })
-	counter("facts_taken", "facts", "What peers told of workers that the own list was too old to know.", func(*cluster.Cluster) uint64 { return p.board.Stats.FactsAccepted })
-	counter("facts_doubted", "facts", "Of it, what the own discovery did not tell in time: taken back.", func(*cluster.Cluster) uint64 { return p.board.Stats.Doubted })
-	counter("rides_bad", "", "What came along with members' messages and made no sense.", func(*cluster.Cluster) uint64 { return p.board.Stats.Malformed })
+	gauge("workers_withheld", "nodes", "Workers that get less than the own list says, on peers' words.", func(*cluster.Cluster) float64 { return float64(s.dispatcher.RestrictedCount()) })
+	counter("facts_taken", "facts", "What peers told of workers that the own list was too old to know.", func(*cluster.Cluster) uint64 { return s.versionTable.Stats.FactsAccepted })
+	counter("facts_doubted", "facts", "Of it, what the own discovery did not tell in time: taken back.", func(*cluster.Cluster) uint64 { return s.versionTable.Stats.Doubted })
+	counter("rides_bad", "", "What came along with members' messages and made no sense.", func(*cluster.Cluster) uint64 { return s.versionTable.Stats.Malformed })
 	counter("datagrams_sent", "datagrams", "Datagrams sent.", func(f *cluster.Cluster) uint64 { return f.Sent })
 	counter("datagrams_received", "datagrams", "Datagrams that came.", func(f *cluster.Cluster) uint64 { return f.Received })
 	counter("datagrams_unsent", "datagrams", "Datagrams that the system did not take.", func(f *cluster.Cluster) uint64 { return f.Unsent })
--- a/internal/dispatcher/server/fleet_test.go
+++ b/internal/dispatcher/server/cluster_test.go
@@ -36,9 +36,9 @@
 
 var foundDead = regexp.MustCompile(`"member": "([^"]+)", "is": "dead"`)
 
-// wronglyDead names who held whom for dead though its process ran. One that got no processor for so long that it says so itself
+// falselyDead names who held whom for dead though its process ran. One that got no processor for so long that it says so itself
 // was rightly found.
-func wronglyDead(r *processcluster.Cluster) (all []string) {
+func falselyDead(r *processcluster.Cluster) (all []string) {
 	stalled := map[string]bool{}
 	for _, m := range r.Members {
 		stalled[m.Name] = stalled[m.Name] || strings.Contains(m.LogText(), "this process has stood still")
@@ -53,8 +53,8 @@
 	return all
 }
 
-// holdAll says whether all members that run hold one in a state.
-func holdAll(r *processcluster.Cluster, name, state string) func() bool {
+// allReport says whether all members that run hold one in a state.
+func allReport(r *processcluster.Cluster, name, state string) func() bool {
 	return func() bool {
 		for _, m := range r.RunningMembers() {
 			if m.Name != name && m.StateOf(name) != state {
@@ -75,7 +75,7 @@
 	}
 	killed := r.Members[1]
 	killed.Kill()
-	t.Logf("found dead by all after %v", r.Eventually("found dead", holdAll(r, killed.Name, "dead")))
+	t.Logf("found dead by all after %v", r.Eventually("found dead", allReport(r, killed.Name, "dead")))
 	r.WaitConverged(n - 1)
 	killed.Start()
 	killed.WaitServing()
@@ -86,7 +86,7 @@
 	r.WaitConverged(n)
 	leaver := r.Members[2]
 	leaver.Terminate()
-	t.Logf("held to have left by all after %v", r.Eventually("left", holdAll(r, leaver.Name, "left")))
+	t.Logf("held to have left by all after %v", r.Eventually("left", allReport(r, leaver.Name, "left")))
 	for _, m := range r.RunningMembers() {
 		if text := m.LogText(); strings.Contains(text, fmt.Sprintf(`"member": %q, "is": "dead"`, leaver.Name)) {
 			t.Errorf("%s held %s for dead, which had said that it leaves", m.Name, leaver.Name)
@@ -108,7 +108,7 @@
 	n := len(r.Members)
 	r.WaitConverged(n)
 	m := r.Members[3]
-	life := lifeOf(m, m.Name)
+	life := incarnationOf(m, m.Name)
 	m.Pause()
 	others := []*processcluster.Member{r.Members[0], r.Members[1], r.Members[2]}
 	r.Eventually("found dead", func() bool {
@@ -130,19 +130,19 @@
 	}
 	m.Continue()
 	r.WaitConverged(n)
-	if got := lifeOf(m, m.Name); got != life || life == 0 {
+	if got := incarnationOf(m, m.Name); got != life || life == 0 {
 		t.Errorf("it came back as another: life %d, not %d", got, life)
 	}
 	if !strings.Contains(m.LogText(), "this process has stood still") {
 		t.Error("the sleeper did not know that it slept")
 	}
-	for _, wrong := range wronglyDead(r) { // the sleeper itself was rightly found
+	for _, wrong := range falselyDead(r) { // the sleeper itself was rightly found
 		t.Errorf("%s for its own sleep", wrong)
 	}
 	r.Check()
 }
 
-func lifeOf(m *processcluster.Member, name string) uint64 {
+func incarnationOf(m *processcluster.Member, name string) uint64 {
 	if s := m.Status(); s != nil {
 		for _, o := range s.Members {
 			if o.Name == name {
@@ -162,7 +162,7 @@
 	r.SetLink(a, b, receivers.Link{Blackhole: true})
 	r.SetLink(b, a, receivers.Link{Delay: 20 * time.Millisecond})
 	time.Sleep(10 * time.Second) // 50 periods: what must never happen would have
-	for _, wrong := range wronglyDead(r) {
+	for _, wrong := range falselyDead(r) {
 		t.Errorf("%s, whom others heard", wrong)
 	}
 	r.ClearLinks()
@@ -206,7 +206,7 @@
 		refuted += strings.Count(m.LogText(), `"is": "alive"`)
 	}
 	t.Logf("under loss: %d records of life at %d members in 75 periods", refuted, n)
-	for _, wrong := range wronglyDead(r) {
+	for _, wrong := range falselyDead(r) {
 		t.Errorf("%s, which answers", wrong)
 	}
 	r.ClearLinks()
@@ -250,7 +250,7 @@
 	if code, text := m.CallAdmin("PUT", "/api/evacuate", ""); code != 200 {
 		t.Fatal(code, text)
 	}
-	r.Eventually("it has left", holdAll(r, m.Name, "left"))
+	r.Eventually("it has left", allReport(r, m.Name, "left"))
 	if code, text := m.CallAdmin("PUT", "/api/rejoin", ""); code != 200 {
 		t.Fatal(code, text)
 	}
@@ -264,15 +264,15 @@
 	r := fleetOf(t, processcluster.Options{Members: 3, InheritSocket: true})
 	r.WaitConverged(3)
 	m := r.Members[1]
-	life := lifeOf(m, m.Name)
+	life := incarnationOf(m, m.Name)
 	m.Upgrade()
 	r.WaitConverged(3)
 	for _, o := range r.Members {
-		if got := lifeOf(o, m.Name); got <= life {
+		if got := incarnationOf(o, m.Name); got <= life {
 			t.Errorf("%s holds life %d of %s, which was %d before the upgrade", o.Name, got, m.Name, life)
 		}
 	}
-	for _, wrong := range wronglyDead(r) {
+	for _, wrong := range falselyDead(r) {
 		t.Errorf("%s, over an upgrade", wrong)
 	}
 	r.Check()
@@ -292,7 +292,7 @@
 		return strings.Contains(first.LogText(), "another process has this name")
 	})
 	r.Eventually("the later one is the member", func() bool {
-		return r.Converged([]*processcluster.Member{r.Members[0], r.Members[1], twin}, 3) && lifeOf(r.Members[0], twin.Name) == lifeOf(twin, twin.Name)
+		return r.Converged([]*processcluster.Member{r.Members[0], r.Members[1], twin}, 3) && incarnationOf(r.Members[0], twin.Name) == incarnationOf(twin, twin.Name)
 	})
 	r.Check()
 }
@@ -453,7 +453,7 @@
 	for i := range 150 {
 		var lies []membership.Record
 		for _, m := range r.Members {
-			victim := membership.Record{Name: m.Name, Addr: addrOf(m.Relay.Addr()), Generation: lifeOf(m, m.Name), Incarnation: uint64(i), State: membership.State(1 + i%3), SuspectedBy: "liar"}
+			victim := membership.Record{Name: m.Name, Addr: addrOf(m.Relay.Addr()), Generation: incarnationOf(m, m.Name), Incarnation: uint64(i), State: membership.State(1 + i%3), SuspectedBy: "liar"}
 			if i%5 == 4 {
 				victim.Generation, victim.Addr, victim.State = life*2, here, membership.Alive
 			}
@@ -475,7 +475,7 @@
 			t.Errorf("%s has ended", m.Name)
 		}
 	}
-	r.Eventually("the liar is found dead", holdAll(r, "liar", "dead"))
+	r.Eventually("the liar is found dead", allReport(r, "liar", "dead"))
 	r.WaitConverged(n)
 	r.Check()
 }
--- a/internal/dispatcher/server/compatibility_test.go
+++ b/internal/dispatcher/server/compatibility_test.go
@@ -39,41 +39,41 @@
 	measured = telemetry.Latencies{"classes.score.latency": {{1500, 3}, {2000, 1}}}
 )
 
-// TestReadsHandovers: the bodies of the frames by which a process takes another one's place, and the file of its socket.
-func TestReadsHandovers(t *testing.T) {
-	readsJSON(t, "hello.json", hello{Figures: true})
+// TestHandoverCompatibility: the bodies of the frames by which a process takes another one's place, and the file of its socket.
+func TestHandoverCompatibility(t *testing.T) {
+	readsJSON(t, "hello.json", hello{TakesMetrics: true})
 	list := httpfront.List{Revision: 12, Full: true, Entries: []httpfront.Entry{{UID: "u", Endpoint: "10.0.0.1:80", Zone: "m", Kind: "k", Cell: 2,
 		State: "ready", Weight: 1.5, StartedAtMs: 1700000000000}}}
-	readsJSON(t, "state.json", state{Discovery: "10.0.0.9:8500", List: list, Out: excluded, Evacuated: 12.5,
-		Learnt: loadbalancer.Snapshot{WorkByClass: []float64{1}, ZoneLatencies: []float64{2}, Pace: 3, RunTime: 4, SlotsPerJob: 5, ReportPeriod: 6, PlannedAt: 7,
+	readsJSON(t, "state.json", handoverState{Discovery: "10.0.0.9:8500", List: list, Exclusions: excluded, EvacuatedSince: 12.5,
+		Balancer: loadbalancer.Snapshot{WorkByClass: []float64{1}, ZoneLatencies: []float64{2}, Pace: 3, RunTime: 4, SlotsPerJob: 5, ReportPeriod: 6, PlannedAt: 7,
 			Kinds: map[int]loadbalancer.KindSnapshot{1: {Pace: 0.5, Slots: 8}}, Workers: map[loadbalancer.WorkerID]*loadbalancer.WorkerSnapshot{9: {StartedAt: 1}}},
-		Gearman: true, GearmanFor: "127.0.0.1:4730", Figures: true})
-	readsJSON(t, "figures.json", figuresMessage{All: true, Counts: counted, Spans: measured,
+		Gearman: true, GearmanListen: "127.0.0.1:4730", SendsMetrics: true})
+	readsJSON(t, "figures.json", metricsMessage{Complete: true, Counts: counted, Spans: measured,
 		Held: []telemetry.SlotAssignment{{Location: "m.k.3", Slot: 1, Node: "node-1"}}, Last: 1_700_000_000_000,
 		Series:  []telemetry.Series{{Name: "classes.score.answers.in_time", Kind: telemetry.Counter}, {Name: "reqs.open", Kind: telemetry.Gauge}},
 		Periods: []undeliveredPeriod{{Stamp: 1_699_999_990_000, Every: 10, Body: []byte{2, 42, 0}}}})
-	readsJSON(t, "figures-since.json", figuresMessage{Counts: counted, Spans: measured})
-	readsJSON(t, "order.json", order{What: "exclude", Member: "w-1", Exclusion: excluded["w-1"]})
-	readsJSON(t, "order-bare.json", order{What: "evacuate"})
+	readsJSON(t, "figures-since.json", metricsMessage{Counts: counted, Spans: measured})
+	readsJSON(t, "order.json", operatorOrder{Action: "exclude", Member: "w-1", Exclusion: excluded["w-1"]})
+	readsJSON(t, "order-bare.json", operatorOrder{Action: "evacuate"})
 
-	c := &Config{tmp: "/run/d", Name: "milano/1", Listen: "10.0.0.1:80"}
-	files := []string{c.file(".upgrade"), c.file(".exclusions")}
+	c := &Config{tempDir: "/run/d", Name: "milano/1", Listen: "10.0.0.1:80"}
+	files := []string{c.tempPath(".upgrade"), c.tempPath(".exclusions")}
 	if d := cmp.Diff([]string{"/run/d/milano_1-10_0_0_1_80.upgrade", "/run/d/milano_1-10_0_0_1_80.exclusions"}, files); d != "" {
 		t.Error(d)
 	}
 }
 
-// TestReadsExclusions: who is out by hand, as it is kept on disk.
-func TestReadsExclusions(t *testing.T) {
-	encoded, err := json.Marshal(kept{keptVersion, excluded})
+// TestExclusionsCompatibility: who is out by hand, as it is kept on disk.
+func TestExclusionsCompatibility(t *testing.T) {
+	encoded, err := json.Marshal(savedExclusions{exclusionsVersion, excluded})
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := parseKept(compatibility.Elsewhere.Check(t, "exclusions.json", encoded))
+	read, err := parseExclusions(compatibility.Elsewhere.Check(t, "exclusions.json", encoded))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(excluded, read.Out); d != "" {
+	if d := cmp.Diff(excluded, read.Exclusions); d != "" {
 		t.Error(d)
 	}
 	if read.Version != 1 {
@@ -81,16 +81,16 @@
 	}
 }
 
-// TestCountsKeepTheirNames: the counts in the events that end a program.
-func TestCountsKeepTheirNames(t *testing.T) {
+// TestCountNamesUnchanged: the counts in the events that end a program.
+func TestCountNamesUnchanged(t *testing.T) {
 	readsJSON(t, "counts.json", dispatch.Counts{Requests: 1, Served: 2, Rejected: 3, Failed: 4, Disconnected: 5, Attempts: 6, Retries: 7, Cancellations: 8, Probes: 9,
 		Results: [8]uint64{10, 11, 12, 13, 14, 15, 16, 17}, InvalidJobs: 18, Overdue: 19, OpenRequests: 20, OpenAttempts: 21})
 	readsJSON(t, "counts-gearman.json", gearman.Counts{Jobs: 1, Background: 2, Coalesced: 3, Served: 4, Rejected: 5, Failed: 6, Abandoned: 7,
 		BackgroundEnded: 8, Requeued: 9, BadPackets: 10, StrayWork: 11, TimedOut: 12})
 }
 
-// TestReadsConfigs: the file that a dispatcher is started with, and the environment that goes before it.
-func TestReadsConfigs(t *testing.T) {
+// TestConfigCompatibility: the file that a dispatcher is started with, and the environment that goes before it.
+func TestConfigCompatibility(t *testing.T) {
 	const text = `{"name":"n0","listen":"10.0.0.1:80","discovery":"10.0.0.9:8500","console":"10.0.0.1:9000","seed":"ff",` +
 		`"known":{"rev":3,"all":true,"targets":[{"uid":"u","endpoint":"10.0.0.2:80","az":"x","model":"k","pod_group":1,"state":"ready"}]},` +
 		`"limits":{"cores":0.5,"memory_mb":64,"sockets":2048},` +
@@ -114,16 +114,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got := []any{read.Name, read.listen.String(), read.discovery.String(), read.console.String(), read.inherited, read.tmp}
+		got := []any{read.Name, read.listen.String(), read.discovery.String(), read.console.String(), read.inheritedFD, read.tempDir}
 		if d := cmp.Diff(c.want, got); d != "" {
 			t.Error(d)
 		}
 		numbers := []any{read.seed, read.Limits.Cores, read.Limits.MemoryMB, read.Limits.Sockets, read.Known.Revision, read.Known.Entries[0].UID,
-			read.names.Limits.ConnIdleS, read.names.Limits.ConnectTimeoutS}
+			read.dispatcherSettings.Limits.ConnIdleS, read.dispatcherSettings.Limits.ConnectTimeoutS}
 		if d := cmp.Diff([]any{uint64(255), 0.5, 64, 2048, int64(3), "u", 7.0, 0.25}, numbers); d != "" {
 			t.Error(d)
 		}
-		names := [][]string{read.classes(), read.names.FailureDomains, read.names.Kinds, read.names.Report.Fields}
+		names := [][]string{read.classNames(), read.dispatcherSettings.FailureDomains, read.dispatcherSettings.Kinds, read.dispatcherSettings.Report.LoadFields}
 		if d := cmp.Diff([][]string{{"a"}, {"x", "y"}, {"k"}, {"outstanding"}}, names); d != "" {
 			t.Error(d)
 		}
--- a/internal/dispatcher/server/config.go
+++ b/internal/dispatcher/server/config.go
@@ -30,22 +30,22 @@
 	} `json:"limits"`
 	Settings json.RawMessage `json:"settings"`
 
-	Operator *operatorconfig.Config `json:"-"` // never nil
-	short    Shorthand
+	Operator  *operatorconfig.Config `json:"-"` // never nil
+	shorthand Shorthand
 
-	path, gearmanPath string // where it was read from
-	tmp               string // where files of its own may stand; empty: nowhere
-	listen, discovery netip.AddrPort
-	console           netip.AddrPort
-	inherited         int // descriptor of the clients' socket, where somebody else holds it; 0: we bind it
-	seed              uint64
-	brain             loadbalancer.Settings
-	names             names
-	gearman           *gearman.Config // nil: no Gearman front
+	path, gearmanPath  string // where it was read from
+	tempDir            string // where files of its own may stand; empty: nowhere
+	listen, discovery  netip.AddrPort
+	console            netip.AddrPort
+	inheritedFD        int // descriptor of the clients' socket, where somebody else holds it; 0: we bind it
+	seed               uint64
+	balancerSettings   loadbalancer.Settings
+	dispatcherSettings dispatcherSettings
+	gearman            *gearman.Config // nil: no Gearman front
 }
 
-// names are the settings that the program needs beside those of the decisions.
-type names struct {
+// dispatcherSettings are the settings that the program needs beside those of the decisions.
+type dispatcherSettings struct {
 	Categories []struct {
 		Name string `json:"name"`
 	} `json:"categories"`
@@ -56,18 +56,18 @@
 		ConnectTimeoutS float64 `json:"connectTimeoutS"`
 	} `json:"limits"`
 	Report struct {
-		Fields []string `json:"fields"`
+		LoadFields []string `json:"fields"`
 	} `json:"report"`
 }
 
 // ReadGearman reads the operator's file that turns the Gearman front on.
 func (c *Config) ReadGearman(path string) (err error) {
-	n := gearman.SettingsNames{Classes: c.classes(), Zones: c.names.FailureDomains, Kinds: c.names.Kinds}
-	for _, class := range c.brain.Classes {
-		n.Deadlines = append(n.Deadlines, class.Deadline)
+	names := gearman.SettingsNames{Classes: c.classNames(), Zones: c.dispatcherSettings.FailureDomains, Kinds: c.dispatcherSettings.Kinds}
+	for _, class := range c.balancerSettings.Classes {
+		names.Deadlines = append(names.Deadlines, class.Deadline)
 	}
 	c.gearmanPath = path
-	c.gearman, err = gearman.ReadConfig(path, n)
+	c.gearman, err = gearman.ReadConfig(path, names)
 	return err
 }
 
@@ -80,34 +80,34 @@
 }
 
 // ReadOperator reads the operator's file and adds the short forms.
-func (c *Config) ReadOperator(s Shorthand) (err error) {
-	f := operatorconfig.Default()
-	if s.Operator != "" {
-		if f, err = operatorconfig.Read(s.Operator); err != nil {
+func (c *Config) ReadOperator(shorthand Shorthand) (err error) {
+	file := operatorconfig.Default()
+	if shorthand.Operator != "" {
+		if file, err = operatorconfig.Read(shorthand.Operator); err != nil {
 			return err
 		}
 	}
-	if s.Graphite != "" {
-		addr, err := netip.ParseAddrPort(s.Graphite)
+	if shorthand.Graphite != "" {
+		addr, err := netip.ParseAddrPort(shorthand.Graphite)
 		if err != nil {
 			return fmt.Errorf("graphite: %w", err)
 		}
-		f.Graphite = append(f.Graphite, operatorconfig.Graphite{Address: s.Graphite, ParsedAddress: addr, Protocol: "plaintext", Prefix: "cinderroad",
+		file.Graphite = append(file.Graphite, operatorconfig.Graphite{Address: shorthand.Graphite, ParsedAddress: addr, Protocol: "plaintext", Prefix: "cinderroad",
 			Confirm: "close", TimeoutSeconds: operatorconfig.DefaultTimeoutSeconds})
 	}
-	if s.Collectd != "" {
-		f.Collectd = append(f.Collectd, operatorconfig.Collectd{Socket: s.Collectd, Security: "none", TimeoutSeconds: operatorconfig.DefaultTimeoutSeconds})
+	if shorthand.Collectd != "" {
+		file.Collectd = append(file.Collectd, operatorconfig.Collectd{Socket: shorthand.Collectd, Security: "none", TimeoutSeconds: operatorconfig.DefaultTimeoutSeconds})
 	}
-	if s.Interval > 0 {
-		f.Telemetry.IntervalSeconds = s.Interval
+	if shorthand.Interval > 0 {
+		file.Telemetry.IntervalSeconds = shorthand.Interval
 	}
-	c.Operator, c.short = f, s
+	c.Operator, c.shorthand = file, shorthand
 	return nil
 }
 
-func (c *Config) classes() []string {
-	names := make([]string, len(c.names.Categories))
-	for i, class := range c.names.Categories {
+func (c *Config) classNames() []string {
+	names := make([]string, len(c.dispatcherSettings.Categories))
+	for i, class := range c.dispatcherSettings.Categories {
 		names[i] = class.Name
 	}
 	return names
@@ -122,9 +122,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c := Config{path: path, tmp: env("TMPDIR"), Operator: operatorconfig.Default()}
+	c := Config{path: path, tempDir: env("TMPDIR"), Operator: operatorconfig.Default()}
 	if err := json.Unmarshal(text, &c); err != nil {
-		return nil, at(path, text, err)
+		return nil, errorAtLine(path, text, err)
 	}
 	for _, v := range []struct {
 		name string
@@ -148,7 +148,7 @@
 		}
 	}
 	if fd := env("ROUTER_FD"); fd != "" {
-		if c.inherited, err = strconv.Atoi(fd); err != nil || c.inherited < 3 {
+		if c.inheritedFD, err = strconv.Atoi(fd); err != nil || c.inheritedFD < 3 {
 			return nil, fmt.Errorf("config: ROUTER_FD: %q is no descriptor to inherit", fd)
 		}
 	}
@@ -157,22 +157,22 @@
 			return nil, fmt.Errorf("config: seed: %w", err)
 		}
 	}
-	if c.brain, err = settings.Parse(c.Settings); err != nil {
+	if c.balancerSettings, err = settings.Parse(c.Settings); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	if _, err := loadbalancer.New(c.brain, c.seed, nil); err != nil { // checks them
+	if _, err := loadbalancer.New(c.balancerSettings, c.seed, nil); err != nil { // checks them
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	if err := json.Unmarshal(c.Settings, &c.names); err != nil {
+	if err := json.Unmarshal(c.Settings, &c.dispatcherSettings); err != nil {
 		return nil, fmt.Errorf("config: settings: %w", err)
 	}
-	if c.names.Limits.ConnectTimeoutS <= 0 || c.names.Limits.ConnIdleS <= 0 {
+	if c.dispatcherSettings.Limits.ConnectTimeoutS <= 0 || c.dispatcherSettings.Limits.ConnIdleS <= 0 {
 		return nil, fmt.Errorf("config: settings: limits.connectTimeoutS and limits.connIdleS must be above 0")
 	}
 	if c.Limits.Sockets == 0 {
 		c.Limits.Sockets = 1024
 	}
-	if c.Limits.Sockets <= reserve {
+	if c.Limits.Sockets <= reservedDescriptors {
 		return nil, fmt.Errorf("config: limits.sockets: %d is too few", c.Limits.Sockets)
 	}
 	if c.Limits.MemoryMB < 0 {
--- a/internal/dispatcher/server/cost_test.go
+++ b/internal/dispatcher/server/cost_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// cpu is what the process has used, in seconds.
-func (w *world) cpu() float64 { return cpuOf(w.t, w.cmd.Process.Pid) }
+// cpuSeconds is what the process has used, in seconds.
+func (h *harness) cpuSeconds() float64 { return cpuOf(h.t, h.cmd.Process.Pid) }
 
 // cpuOf is what a process has used, in seconds (proc(5), fields 14 and 15, in hundredths).
 func cpuOf(t *testing.T, pid int) (sum float64) {
@@ -33,26 +33,26 @@
 	return sum
 }
 
-// resident is how much memory a process holds, in MB (proc(5), field 24, in pages).
-func (w *world) resident() float64 {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", w.cmd.Process.Pid))
+// residentBytes is how much memory a process holds, in MB (proc(5), field 24, in pages).
+func (h *harness) residentBytes() float64 {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", h.cmd.Process.Pid))
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	pages, err := strconv.Atoi(string(bytes.Fields(text[bytes.LastIndexByte(text, ')')+2:])[21]))
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return float64(pages*os.Getpagesize()) / (1 << 20)
 }
 
-// spans asks so many jobs, some at a time, and returns how long each took, sorted.
-func (c *crew) spans(jobs, together int) []float64 {
+// latencies asks so many jobs, some at a time, and returns how long each took, sorted.
+func (g *workerGroup) latencies(jobs, together int) []float64 {
 	var mu sync.Mutex
 	var all []float64
-	each(jobs, together, func(int64) {
+	runConcurrently(jobs, together, func(int64) {
 		began := time.Now()
-		c.w.ask("score", 4000)
+		g.harness.requestJob("score", 4000)
 		took := time.Since(began).Seconds()
 		mu.Lock()
 		all = append(all, took)
@@ -70,12 +70,12 @@
 	if err != nil {
 		t.Skip("set COST to the number of rounds")
 	}
-	s := newStaff(t, false)
-	stalled := newStaff(t, false)
-	crews := map[string]*crew{}
+	s := newTelemetryHarness(t, false)
+	stalled := newTelemetryHarness(t, false)
+	crews := map[string]*workerGroup{}
 	names := []string{"off", "on", "stalled"}
 	for _, name := range names {
-		c := newCrew(t, 4, name)
+		c := newWorkerGroup(t, 4, name)
 		o := options{cold: 0.001, memory: 32, sockets: 256}
 		switch name {
 		case "on":
@@ -83,9 +83,9 @@
 		case "stalled":
 			o.args = []string{"-operator", stalled.file("stalled"), "-metrics-every", "1"}
 		}
-		c.w = begin(t, o, c.targets()...)
-		c.w.client = &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
-		c.spans(2000, 6)
+		c.harness = startHarness(t, o, c.targets()...)
+		c.harness.client = &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
+		c.latencies(2000, 6)
 		crews[name] = c
 	}
 	stalled.carbon.SetStalled(true)
@@ -95,9 +95,9 @@
 	for range rounds {
 		for _, name := range names {
 			c := crews[name]
-			before := c.w.cpu()
-			spans := c.spans(jobs, 6)
-			perJob[name] = append(perJob[name], 1e6*(c.w.cpu()-before)/jobs)
+			before := c.harness.cpuSeconds()
+			spans := c.latencies(jobs, 6)
+			perJob[name] = append(perJob[name], 1e6*(c.harness.cpuSeconds()-before)/jobs)
 			slowest[name] = append(slowest[name], 1e3*spans[len(spans)*99/100])
 		}
 	}
@@ -109,7 +109,7 @@
 		slices.Sort(x)
 		slices.Sort(y)
 		fmt.Fprintf(&b, "\n%-8s CPU a job %.1f µs (%.1f to %.1f), p99 %.2f ms (%.2f to %.2f), %.1f MB", name, x[len(x)/2], x[0], x[len(x)-1],
-			y[len(y)/2], y[0], y[len(y)-1], crews[name].w.resident())
+			y[len(y)/2], y[0], y[len(y)-1], crews[name].harness.residentBytes())
 	}
 	t.Log(b.String())
 }
--- a/internal/dispatcher/server/describe.go
+++ b/internal/dispatcher/server/describe.go
@@ -22,8 +22,8 @@
 
 ` + Example)
 
-// at says where in a JSON text an error is, if it tells.
-func at(path string, text []byte, err error) error {
+// errorAtLine says where in a JSON text an error is, if it tells.
+func errorAtLine(path string, text []byte, err error) error {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
 	offset := int64(-1)
@@ -41,7 +41,7 @@
 
 // Describe writes what is in force.
 func (c *Config) Describe(w io.Writer) error {
-	if _, err := c.fleetOptions(); err != nil {
+	if _, err := c.clusterOptions(); err != nil {
 		return err
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -60,8 +60,8 @@
 	line("discovery", "%s", or(c.Discovery, "off"))
 	line("second address", "%s", or(c.Console, "off"))
 	line("limits", "%d sockets, %d MB", c.Limits.Sockets, c.Limits.MemoryMB)
-	line("classes", "%s", strings.Join(c.classes(), ", "))
-	line("data centres", "%s", strings.Join(c.names.FailureDomains, ", "))
+	line("classes", "%s", strings.Join(c.classNames(), ", "))
+	line("data centres", "%s", strings.Join(c.dispatcherSettings.FailureDomains, ", "))
 	line("known nodes", "%d", len(c.Known.Entries))
 	if c.gearman != nil {
 		line("gearman", "%s, %d functions", c.gearman.Listen, len(c.gearman.Functions))
--- a/internal/dispatcher/server/pieces_test.go
+++ b/internal/dispatcher/server/fragments_test.go
@@ -22,8 +22,8 @@
 
 // Guards against a message that is only understood when it comes at once: a client's, a runner's answer, its call-back,
 // discovery's line.
-func TestPieces(t *testing.T) {
-	var w *world
+func TestFragmentedInput(t *testing.T) {
+	var w *harness
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, r *http.Request) {
 		c, _, err := rw.(http.Hijacker).Hijack()
 		if err != nil {
@@ -40,43 +40,43 @@
 		defer back.Close()
 		body := fmt.Sprintf(`{"id":%q,"from":"s-1","state":"done","result":"whole"}`, r.Header.Get("X-Call-Id"))
 		drop(back, fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(body), body))
-		if got := until(back); !strings.HasPrefix(got, "HTTP/1.1 204") {
+		if got := readUntilClosed(back); !strings.HasPrefix(got, "HTTP/1.1 204") {
 			t.Errorf("the call-back was told %q", got)
 		}
 	})
-	w = begin(t, options{})
-	w.pieces.Store(true)
-	w.tell(`{"rev":5,"all":false,"targets":[` + u.target("ready", 1) + `]}`)
+	w = startHarness(t, options{})
+	w.fragmented.Store(true)
+	w.sendDiscoveryLine(`{"rev":5,"all":false,"targets":[` + u.target("ready", 1) + `]}`)
 	w.eventually("the list", func() bool { return strings.Contains(w.log.String(), `"rev": 5`) })
 	c := w.dial()
 	drop(c, "POST /score/a HTTP/1.1\r\nX-Call-Id: p1\r\nX-Budget-Ms: 4900\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
-	if got := until(c); !strings.HasPrefix(got, "HTTP/1.1 200") || !strings.HasSuffix(got, "whole") {
+	if got := readUntilClosed(c); !strings.HasPrefix(got, "HTTP/1.1 200") || !strings.HasSuffix(got, "whole") {
 		t.Errorf("the client was told %q", got)
 	}
 }
 
 // Guards against a client that leaves and keeps what it held: its job at the runner, its call id, its session.
-func TestAClientThatLeaves(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	got := make(chan string, 9)
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, r *http.Request) {
 		rw.WriteHeader(202)
 		rw.(http.Flusher).Flush()
 		got <- r.Header.Get("X-Call-Id")
 	})
-	w := begin(t, options{}, u.target("ready", 1))
+	w := startHarness(t, options{}, u.target("ready", 1))
 	for range 2 { // the second time shows that the first has left nothing behind
 		c := w.dial()
-		hand(c, "a", "leaver", "")
+		postJob(c, "a", "leaver", "")
 		<-got
 		u.mu.Lock()
-		before := len(u.gaveUp)
+		before := len(u.cancelledPaths)
 		u.mu.Unlock()
-		w.news("leaver", "s-1", `"state":"started"`) // which is read after the 202
+		w.reportResult("leaver", "s-1", `"state":"started"`) // which is read after the 202
 		c.Close()
 		w.eventually("the job is called off", func() bool {
 			u.mu.Lock()
 			defer u.mu.Unlock()
-			return len(u.gaveUp) > before && u.gaveUp[before] == "/jobs/leaver"
+			return len(u.cancelledPaths) > before && u.cancelledPaths[before] == "/jobs/leaver"
 		})
 	}
 }
--- a/internal/dispatcher/server/gearman_test.go
+++ b/internal/dispatcher/server/gearman_test.go
@@ -37,45 +37,47 @@
 cell = 1000
 `
 
-// gear is the program with its Gearman front on; deadline is that of function once.
-type gear struct {
-	*world
+// gearmanHarness is the program with its Gearman front on; deadline is that of function once.
+type gearmanHarness struct {
+	*harness
 	port string
 	file string // the operator's
 	mu   sync.Mutex
 	runs map[string]int // starts of a job's data at any worker
 }
 
-func beginGearman(t *testing.T, o options, deadline float64) *gear {
-	g := &gear{port: freeAddr(t), runs: map[string]int{}}
+func startGearmanHarness(t *testing.T, o options, deadline float64) *gearmanHarness {
+	g := &gearmanHarness{port: freeAddr(t), runs: map[string]int{}}
 	g.file = filepath.Join(t.TempDir(), "gearman.toml")
 	if err := os.WriteFile(g.file, fmt.Appendf(nil, gearmanFile, g.port, deadline), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	o.args = append(o.args, "-gearman", g.file)
-	g.world = begin(t, o)
+	g.harness = startHarness(t, o)
 	return g
 }
 
-// wire is a stand-in's connection.
-type wire struct {
-	g *gear
+// gearmanConn is a stand-in's connection.
+type gearmanConn struct {
+	harness *gearmanHarness
 	net.Conn
 }
 
-func (g *gear) dial() *wire {
+func (g *gearmanHarness) dial() *gearmanConn {
 	c, err := net.Dial("tcp", g.port)
 	if err != nil {
 		g.t.Fatal(err)
 	}
 	g.t.Cleanup(func() { c.Close() })
-	return &wire{g, c}
+	return &gearmanConn{g, c}
 }
 
-func (c *wire) send(kind gm.Kind, args ...string) { c.Write(gm.AppendRequest(nil, kind, args...)) }
+func (c *gearmanConn) send(kind gm.Kind, args ...string) {
+	c.Write(gm.AppendRequest(nil, kind, args...))
+}
 
 // next reads one packet; ok is false once the connection has ended.
-func (c *wire) next() (p gm.Packet, ok bool) {
+func (c *gearmanConn) next() (p gm.Packet, ok bool) {
 	head := make([]byte, 12)
 	if _, err := io.ReadFull(c, head); err != nil {
 		return p, false
@@ -88,13 +90,13 @@
 }
 
 // want reads until a packet of the kind.
-func (c *wire) want(kind gm.Kind) gm.Packet {
-	c.g.t.Helper()
+func (c *gearmanConn) want(kind gm.Kind) gm.Packet {
+	c.harness.t.Helper()
 	c.SetReadDeadline(time.Now().Add(30 * time.Second))
 	for {
 		p, ok := c.next()
 		if !ok {
-			c.g.t.Fatalf("packet %d never came", kind)
+			c.harness.t.Fatalf("packet %d never came", kind)
 		}
 		if p.Kind == kind {
 			return p
@@ -103,18 +105,18 @@
 }
 
 // any reads the next packet.
-func (c *wire) any() gm.Packet {
-	c.g.t.Helper()
+func (c *gearmanConn) any() gm.Packet {
+	c.harness.t.Helper()
 	c.SetReadDeadline(time.Now().Add(30 * time.Second))
 	p, ok := c.next()
 	if !ok {
-		c.g.t.Fatal("the connection ended")
+		c.harness.t.Fatal("the connection ended")
 	}
 	return p
 }
 
-// work serves jobs as a worker does, until script says stop or the connection ends.
-func (c *wire) work(grab gm.Kind, script func(handle, function, data string) (stop bool), functions ...string) {
+// serveJobs serves jobs as a worker does, until script says stop or the connection ends.
+func (c *gearmanConn) serveJobs(grab gm.Kind, script func(handle, function, data string) (stop bool), functions ...string) {
 	c.send(gm.SetClientID, "stand-in")
 	for _, f := range functions {
 		c.send(gm.CanDo, f)
@@ -132,9 +134,9 @@
 				c.send(grab)
 			case p.Kind == gm.JobAssign || p.Kind == gm.JobAssignUniq || p.Kind == gm.JobAssignAll:
 				data := p.Args[len(p.Args)-1]
-				c.g.mu.Lock()
-				c.g.runs[data]++
-				c.g.mu.Unlock()
+				c.harness.mu.Lock()
+				c.harness.runs[data]++
+				c.harness.mu.Unlock()
 				if script(p.Args[0], p.Args[1], data) {
 					return
 				}
@@ -145,19 +147,19 @@
 }
 
 // echo completes every job with its data.
-func (c *wire) echo(handle, _, data string) bool {
+func (c *gearmanConn) echo(handle, _, data string) bool {
 	c.send(gm.WorkComplete, handle, "did "+data)
 	return false
 }
 
-func (g *gear) ran(data string) int {
+func (g *gearmanHarness) runCount(data string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.runs[data]
 }
 
 // admin sends a text command and returns what it prints up to the line that ends it.
-func (g *gear) admin(command, end string) string {
+func (g *gearmanHarness) admin(command, end string) string {
 	c := g.dial()
 	c.SetReadDeadline(time.Now().Add(30 * time.Second))
 	fmt.Fprintf(c, "%s\n", command)
@@ -172,7 +174,7 @@
 	return got.String()
 }
 
-func (g *gear) idle() bool {
+func (g *gearmanHarness) idle() bool {
 	for _, line := range strings.Split(g.admin("status", ".\n"), "\n") {
 		if f := strings.Split(line, "\t"); len(f) == 4 && (f[1] != "0" || f[2] != "0") {
 			return false
@@ -182,12 +184,12 @@
 }
 
 // Guards against a whole list of the director, as each reload brings one, taking the Gearman workers away.
-func TestAWholeListLeavesGearmanWorkers(t *testing.T) {
-	g := beginGearman(t, options{cold: 0.001}, 5)
+func TestCompleteListKeepsGearmanWorkers(t *testing.T) {
+	g := startGearmanHarness(t, options{cold: 0.001}, 5)
 	worker := g.dial()
-	worker.work(gm.GrabJobUniq, worker.echo, "safe")
+	worker.serveJobs(gm.GrabJobUniq, worker.echo, "safe")
 	g.eventually("the worker", func() bool { return strings.Contains(g.admin("status", ".\n"), "safe\t0\t0\t1") })
-	g.tell(`{"rev":2,"all":true,"targets":[]}`)
+	g.sendDiscoveryLine(`{"rev":2,"all":true,"targets":[]}`)
 	g.eventually("the list", func() bool { return strings.Contains(g.log.String(), `"rev": 2`) })
 	client := g.dial()
 	client.send(gm.SubmitJob, "safe", "", "payload")
@@ -203,15 +205,15 @@
 }
 
 // The proof: final answers per job and repeats per class, while workers drop after a status, fail, and leave.
-func TestGearmanOneEndForEachJob(t *testing.T) {
-	g := beginGearman(t, options{cold: 0.001}, 5)
+func TestGearmanOneResultPerJob(t *testing.T) {
+	g := startGearmanHarness(t, options{cold: 0.001}, 5)
 	var once sync.Mutex
 	first := map[string]bool{} // data whose first run ends badly
 	for i, grab := range []gm.Kind{gm.GrabJob, gm.GrabJobUniq, gm.GrabJobAll, gm.GrabJobUniq, gm.GrabJobUniq, gm.GrabJobUniq} {
 		var serve func()
 		serve = func() {
 			c := g.dial()
-			c.work(grab, func(handle, function, data string) bool {
+			c.serveJobs(grab, func(handle, function, data string) bool {
 				once.Lock()
 				bad := !first[data] && strings.Contains(data, "drop")
 				first[data] = true
@@ -222,7 +224,7 @@
 					c.Close()
 					serve()
 					return true
-				case strings.Contains(data, "fail") && g.ran(data) == 1:
+				case strings.Contains(data, "fail") && g.runCount(data) == 1:
 					c.send(gm.WorkFail, handle)
 				default:
 					c.echo(handle, function, data)
@@ -256,7 +258,7 @@
 					if p.Kind == gm.WorkComplete || p.Kind == gm.WorkFail {
 						ends++
 						e := got[data[p.Args[0]]]
-						got[data[p.Args[0]]] = end{e.Ends + 1, g.ran(data[p.Args[0]]), p.Kind == gm.WorkComplete && p.Args[1] == "did "+data[p.Args[0]]}
+						got[data[p.Args[0]]] = end{e.Ends + 1, g.runCount(data[p.Args[0]]), p.Kind == gm.WorkComplete && p.Args[1] == "did "+data[p.Args[0]]}
 					}
 				}
 				switch {
@@ -280,8 +282,8 @@
 }
 
 // Guards against a job in the background that is lost with its caller, or refused because none waits for it.
-func TestGearmanBackgroundJobsOutliveTheirCaller(t *testing.T) {
-	g := beginGearman(t, options{cold: 0.001}, 5)
+func TestGearmanBackgroundJobsOutliveClient(t *testing.T) {
+	g := startGearmanHarness(t, options{cold: 0.001}, 5)
 	caller := g.dial()
 	for i := range 8 {
 		caller.send([]gm.Kind{gm.SubmitJobBg, gm.SubmitJobHighBg, gm.SubmitJobLowBg}[i%3], "keyed", fmt.Sprint("u", i), fmt.Sprint("job ", i))
@@ -297,14 +299,14 @@
 		return look.want(gm.StatusRes).Args[1] == "0"
 	})
 	w := g.dial()
-	w.work(gm.GrabJob, w.echo, "safe", "keyed")
+	w.serveJobs(gm.GrabJob, w.echo, "safe", "keyed")
 	g.eventually("all ended", g.idle)
 	for i := range 8 {
-		if n := g.ran(fmt.Sprint("job ", i)); n != 1 {
+		if n := g.runCount(fmt.Sprint("job ", i)); n != 1 {
 			t.Errorf("job %d ran %d times", i, n)
 		}
 	}
-	if g.ran("in the foreground") != 0 {
+	if g.runCount("in the foreground") != 0 {
 		t.Error("a job that nobody waits for was begun")
 	}
 	exit := g.terminate()
@@ -319,9 +321,9 @@
 }
 
 // Guards against a job run twice for two callers with one unique id, and callers who see one fetch's output twice.
-func TestGearmanClientsShareAJob(t *testing.T) {
-	g := beginGearman(t, options{cold: 0.001}, 5)
-	var clients [2]*wire
+func TestGearmanJobCoalescing(t *testing.T) {
+	g := startGearmanHarness(t, options{cold: 0.001}, 5)
+	var clients [2]*gearmanConn
 	var handles [2]string
 	for i := range clients {
 		clients[i] = g.dial()
@@ -334,10 +336,10 @@
 	clients[1].want(gm.JobCreated)
 	wants := [][]string{{"28 part", "13 whole"}, {"28 part", "13 whole", "28 part", "13 whole"}}
 	w := g.dial()
-	w.work(gm.GrabJobUniq, func(handle, _, _ string) bool {
+	w.serveJobs(gm.GrabJobUniq, func(handle, _, _ string) bool {
 		w.send(gm.WorkData, handle, "part")
 		w.send(gm.WorkStatus, handle, "1", "4")
-		if g.ran("shared") == 1 {
+		if g.runCount("shared") == 1 {
 			w.send(gm.WorkException, handle, "first try")
 			return false
 		}
@@ -363,7 +365,7 @@
 
 // The mapping of failures, deadlines and refusals, and what a drain leaves behind.
 func TestGearmanFailures(t *testing.T) {
-	g := beginGearman(t, options{cold: 0.001}, 0.4)
+	g := startGearmanHarness(t, options{cold: 0.001}, 0.4)
 	client := g.dial()
 	submit := func(function, data string) { client.send(gm.SubmitJob, function, "", data); client.want(gm.JobCreated) }
 
@@ -380,7 +382,7 @@
 
 	w := g.dial()
 	assigned := make(chan string)
-	w.work(gm.GrabJob, func(handle, _, data string) bool { assigned <- handle; return data == "stop" }, "once")
+	w.serveJobs(gm.GrabJob, func(handle, _, data string) bool { assigned <- handle; return data == "stop" }, "once")
 	submit("once", "silent") // past the deadline: a failure, and its late result is nobody's
 	late := <-assigned
 	client.want(gm.WorkFail)
@@ -400,7 +402,7 @@
 	g.eventually("drained", func() bool { return strings.Contains(g.admin("status", ".\n"), "once\t0\t0\t0") })
 	submit("once", "after the drain")
 	client.want(gm.WorkFail)
-	if g.ran("after the drain") != 0 {
+	if g.runCount("after the drain") != 0 {
 		t.Error("work was given to a worker that had said CANT_DO")
 	}
 
@@ -422,11 +424,11 @@
 }
 
 // Guards against a job that waits for a worker which has said it takes no more of its kind.
-func TestGearmanWhatWaitsLeavesADrainingWorker(t *testing.T) {
-	g := beginGearman(t, options{cold: 0.001}, 5)
+func TestGearmanQueueLeavesDrainingWorker(t *testing.T) {
+	g := startGearmanHarness(t, options{cold: 0.001}, 5)
 	first, second, client := g.dial(), g.dial(), g.dial()
 	busy := make(chan string, 1)
-	first.work(gm.GrabJob, func(handle, _, _ string) bool { busy <- handle; return true }, "once")
+	first.serveJobs(gm.GrabJob, func(handle, _, _ string) bool { busy <- handle; return true }, "once")
 	g.eventually("first worker", func() bool { return strings.Contains(g.admin("status", ".\n"), "once\t0\t0\t1") })
 	for i := range 2 {
 		client.send(gm.SubmitJob, "once", "", fmt.Sprint("job ", i))
@@ -434,7 +436,7 @@
 	}
 	handle := <-busy
 	first.send(gm.CantDo, "once")
-	second.work(gm.GrabJob, second.echo, "once")
+	second.serveJobs(gm.GrabJob, second.echo, "once")
 	if p := client.want(gm.WorkComplete); p.Args[1] != "did job 1" {
 		t.Errorf("the one that waited: %v", p)
 	}
@@ -445,8 +447,8 @@
 }
 
 // Guards against a job in the background ending with a refusal that nobody hears, or with a caller it does not need.
-func TestGearmanBackgroundJobsComeBack(t *testing.T) {
-	g := beginGearman(t, options{cold: 0.001}, 1)
+func TestGearmanBackgroundJobsRestored(t *testing.T) {
+	g := startGearmanHarness(t, options{cold: 0.001}, 1)
 	caller, shares := g.dial(), g.dial()
 	caller.send(gm.SubmitJobBg, "once", "", "refused at first")
 	caller.want(gm.JobCreated)
@@ -462,16 +464,16 @@
 	})
 	time.Sleep(1200 * time.Millisecond) // past the deadline in the foreground: it has been refused
 	w := g.dial()
-	w.work(gm.GrabJob, w.echo, "once", "keyed")
+	w.serveJobs(gm.GrabJob, w.echo, "once", "keyed")
 	g.eventually("all ended", g.idle)
-	if g.ran("refused at first") != 1 || g.ran("shared") != 1 {
+	if g.runCount("refused at first") != 1 || g.runCount("shared") != 1 {
 		t.Errorf("runs: %v", g.started())
 	}
 }
 
 // Guards against a worker that has just connected being handed all that waits at once.
-func TestGearmanColdWorkersAreNotSwamped(t *testing.T) {
-	g := beginGearman(t, options{cold: 9}, 5)
+func TestGearmanSlowStart(t *testing.T) {
+	g := startGearmanHarness(t, options{cold: 9}, 5)
 	client := g.dial()
 	for i := range 20 {
 		client.send(gm.SubmitJobBg, "safe", "", fmt.Sprint("job ", i))
@@ -479,7 +481,7 @@
 	}
 	w := g.dial()
 	began := time.Now()
-	w.work(gm.GrabJob, w.echo, "safe")
+	w.serveJobs(gm.GrabJob, w.echo, "safe")
 	g.eventually("first job", func() bool { return len(g.started()) > 0 })
 	time.Sleep(time.Second)
 	// At a third of one core, three times that may be sent in a second, in jobs taken for half a second.
@@ -488,7 +490,7 @@
 	}
 }
 
-func (g *gear) started() map[string]int {
+func (g *gearmanHarness) started() map[string]int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	runs := map[string]int{}
--- a/internal/dispatcher/server/world_test.go
+++ b/internal/dispatcher/server/harness_test.go
@@ -58,58 +58,58 @@
  "me":0,"membershipMode":"pushed","nInstances":1,"report":{"fields":["utilization","backlog","outstanding","x0"],"via":"piggyback"},
  "tickS":0.004,"zone":0}`
 
-// world is the program on loopback sockets among scripted peers.
-type world struct {
-	t         *testing.T
-	addr      string
-	console   string // the second address
-	cmd       *exec.Cmd
-	log       *lockedBuffer
-	mu        sync.Mutex
-	config    map[string]any
-	path      string   // of the configuration file
-	lines     []string // of the director, since the start
-	watches   []string // queries of the watches
-	changed   chan struct{}
-	refuse    atomic.Int32 // discovery has no room for so many seconds
-	pieces    atomic.Bool  // discovery writes byte by byte
-	silent    atomic.Bool  // discovery takes questions and says nothing
-	discovery *httptest.Server
-	client    *http.Client
-	calls     int
-	telling   *atomic.Int64 // call-backs under way
+// harness is the program on loopback sockets among scripted peers.
+type harness struct {
+	t                 *testing.T
+	addr              string
+	console           string // the second address
+	cmd               *exec.Cmd
+	log               *lockedBuffer
+	mu                sync.Mutex
+	config            map[string]any
+	path              string   // of the configuration file
+	lines             []string // of the director, since the start
+	watches           []string // queries of the watches
+	changed           chan struct{}
+	retryAfter        atomic.Int32 // discovery has no room for so many seconds
+	fragmented        atomic.Bool  // discovery writes byte by byte
+	unresponsive      atomic.Bool  // discovery takes questions and says nothing
+	discovery         *httptest.Server
+	client            *http.Client
+	calls             int
+	callbacksInFlight *atomic.Int64 // call-backs under way
 }
 
 type lockedBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
 func (l *lockedBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(p)
+	return l.buffer.Write(p)
 }
 
 func (l *lockedBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.String()
+	return l.buffer.String()
 }
 
 type options struct {
-	sockets  int
-	connIdle float64
-	cold     float64
-	args     []string
-	console  bool     // has a second address
-	inherit  *os.File // the clients' socket, if it is not the program's own
-	listen   string   // and its address
-	tmp      string   // $TMPDIR
-	loose    bool     // nobody waits until it serves
-	name     string   // n0 if empty
-	memory   int      // MB; 192 if 0
-	single   bool     // no second copy goes out beside a job that waits
+	sockets   int
+	connIdle  float64
+	cold      float64
+	args      []string
+	console   bool     // has a second address
+	inherit   *os.File // the clients' socket, if it is not the program's own
+	listen    string   // and its address
+	tempDir   string   // $TMPDIR
+	startOnly bool     // nobody waits until it serves
+	name      string   // n0 if empty
+	memory    int      // MB; 192 if 0
+	single    bool     // no second copy goes out beside a job that waits
 }
 
 // settingsOf is the deployment's settings of a world.
@@ -121,18 +121,18 @@
 	return text
 }
 
-// begin starts the program with the runners in the list that it knows.
-func begin(t *testing.T, o options, targets ...string) *world {
+// startHarness starts the program with the runners in the list that it knows.
+func startHarness(t *testing.T, o options, targets ...string) *harness {
 	t.Helper()
-	w := &world{t: t, log: &lockedBuffer{}, changed: make(chan struct{}), client: &http.Client{Timeout: 20 * time.Second},
-		telling: &atomic.Int64{}}
+	w := &harness{t: t, log: &lockedBuffer{}, changed: make(chan struct{}), client: &http.Client{Timeout: 20 * time.Second},
+		callbacksInFlight: &atomic.Int64{}}
 	w.discovery = httptest.NewServer(http.HandlerFunc(w.watch))
 	t.Cleanup(w.discovery.CloseClientConnections)
 	if w.addr = o.listen; w.addr == "" {
 		w.addr = freeAddr(t)
 	}
-	if o.tmp == "" {
-		o.tmp = t.TempDir()
+	if o.tempDir == "" {
+		o.tempDir = t.TempDir()
 	}
 	if o.sockets == 0 {
 		o.sockets = 1024
@@ -155,39 +155,39 @@
 }
 
 // start runs one process of the dispatcher and waits until it serves.
-func (w *world) start(o options) {
-	t := w.t
+func (h *harness) start(o options) {
+	t := h.t
 	t.Helper()
 	if o.console {
-		w.console = freeAddr(t)
-		w.config["console"] = w.console
-	}
-	w.path = filepath.Join(t.TempDir(), "config.json")
-	w.configure()
-	w.cmd = exec.Command(program, append([]string{"-config", w.path, "-log", "debug"}, o.args...)...)
-	w.cmd.Stderr = w.log
-	w.cmd.Env = append(os.Environ(), "ROUTER_DISCOVERY="+strings.TrimPrefix(w.discovery.URL, "http://"), "TMPDIR="+o.tmp)
+		h.console = freeAddr(t)
+		h.config["console"] = h.console
+	}
+	h.path = filepath.Join(t.TempDir(), "config.json")
+	h.configure()
+	h.cmd = exec.Command(program, append([]string{"-config", h.path, "-log", "debug"}, o.args...)...)
+	h.cmd.Stderr = h.log
+	h.cmd.Env = append(os.Environ(), "ROUTER_DISCOVERY="+strings.TrimPrefix(h.discovery.URL, "http://"), "TMPDIR="+o.tempDir)
 	if o.inherit != nil {
-		w.cmd.ExtraFiles = []*os.File{nil, nil, o.inherit} // descriptor 5
-		w.cmd.Env = append(w.cmd.Env, "ROUTER_FD=5")
+		h.cmd.ExtraFiles = []*os.File{nil, nil, o.inherit} // descriptor 5
+		h.cmd.Env = append(h.cmd.Env, "ROUTER_FD=5")
 	}
-	if err := w.cmd.Start(); err != nil {
+	if err := h.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		w.awaitCallBacks()
-		w.cmd.Process.Kill()
-		w.cmd.Wait()
+		h.awaitCallbacks()
+		h.cmd.Process.Kill()
+		h.cmd.Wait()
 		if t.Failed() {
-			t.Log(w.log)
+			t.Log(h.log)
 		}
 	})
-	if o.loose {
+	if o.startOnly {
 		return
 	}
-	w.eventually("serving", func() bool { return strings.Contains(w.log.String(), "program: serving") })
-	w.eventually("healthy", func() bool {
-		r, err := w.client.Get("http://" + w.addr + "/_health")
+	h.eventually("serving", func() bool { return strings.Contains(h.log.String(), "program: serving") })
+	h.eventually("healthy", func() bool {
+		r, err := h.client.Get("http://" + h.addr + "/_health")
 		if err != nil {
 			return false
 		}
@@ -196,36 +196,36 @@
 	})
 }
 
-// next starts another process that takes the place of w's.
-func (w *world) next(o options) *world {
-	w.t.Helper()
-	n := &world{t: w.t, addr: w.addr, log: &lockedBuffer{}, config: maps.Clone(w.config), discovery: w.discovery, client: w.client, telling: w.telling,
+// startSuccessor starts another process that takes the place of w's.
+func (h *harness) startSuccessor(o options) *harness {
+	h.t.Helper()
+	successor := &harness{t: h.t, addr: h.addr, log: &lockedBuffer{}, config: maps.Clone(h.config), discovery: h.discovery, client: h.client, callbacksInFlight: h.callbacksInFlight,
 		calls: 1 << 20}
-	n.start(o)
-	return n
+	successor.start(o)
+	return successor
 }
 
 // configure writes the configuration file with changes: names and values in turn.
-func (w *world) configure(changes ...any) {
-	w.t.Helper()
+func (h *harness) configure(changes ...any) {
+	h.t.Helper()
 	for i := 0; i < len(changes); i += 2 {
-		w.config[changes[i].(string)] = changes[i+1]
+		h.config[changes[i].(string)] = changes[i+1]
 	}
-	text, err := json.Marshal(w.config)
+	text, err := json.Marshal(h.config)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	if err := os.WriteFile(w.path, text, 0o600); err != nil {
-		w.t.Fatal(err)
+	if err := os.WriteFile(h.path, text, 0o600); err != nil {
+		h.t.Fatal(err)
 	}
 }
 
 // reload has the program read its configuration again, and waits for its word on it.
-func (w *world) reload(word string) {
-	w.t.Helper()
-	before := strings.Count(w.log.String(), word)
-	w.cmd.Process.Signal(syscall.SIGHUP)
-	w.eventually(word, func() bool { return strings.Count(w.log.String(), word) > before })
+func (h *harness) reload(word string) {
+	h.t.Helper()
+	before := strings.Count(h.log.String(), word)
+	h.cmd.Process.Signal(syscall.SIGHUP)
+	h.eventually(word, func() bool { return strings.Count(h.log.String(), word) > before })
 }
 
 // freeAddr finds an address for the program.
@@ -238,35 +238,35 @@
 }
 
 // eventually waits for as long as a slow machine may need: no verdict hangs on how fast something comes.
-func (w *world) eventually(what string, ok func() bool) {
-	w.t.Helper()
+func (h *harness) eventually(what string, ok func() bool) {
+	h.t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			w.t.Fatalf("never came: %s", what)
+			h.t.Fatalf("never came: %s", what)
 		}
 	}
 }
 
 // watch is discovery: it writes the lines told so far and each one as it is told.
-func (w *world) watch(rw http.ResponseWriter, r *http.Request) {
-	w.mu.Lock()
-	w.watches = append(w.watches, r.URL.RawQuery)
-	w.mu.Unlock()
-	if after := w.refuse.Load(); after > 0 {
+func (h *harness) watch(rw http.ResponseWriter, r *http.Request) {
+	h.mu.Lock()
+	h.watches = append(h.watches, r.URL.RawQuery)
+	h.mu.Unlock()
+	if after := h.retryAfter.Load(); after > 0 {
 		rw.Header().Set("Retry-After", fmt.Sprint(after))
 		rw.WriteHeader(503)
 		return
 	}
-	if w.silent.Load() {
+	if h.unresponsive.Load() {
 		<-r.Context().Done()
 		return
 	}
 	for at := 0; ; {
-		w.mu.Lock()
-		lines, changed := w.lines[at:], w.changed
-		at = len(w.lines)
-		w.mu.Unlock()
-		for _, piece := range w.cut(strings.Join(append(lines, ""), "\n")) {
+		h.mu.Lock()
+		lines, changed := h.lines[at:], h.changed
+		at = len(h.lines)
+		h.mu.Unlock()
+		for _, piece := range h.fragments(strings.Join(append(lines, ""), "\n")) {
 			io.WriteString(rw, piece)
 			rw.(http.Flusher).Flush()
 		}
@@ -280,31 +280,31 @@
 	}
 }
 
-// cut is a text as its sender writes it: whole, or byte by byte.
-func (w *world) cut(text string) []string {
-	if !w.pieces.Load() {
+// fragments is a text as its sender writes it: whole, or byte by byte.
+func (h *harness) fragments(text string) []string {
+	if !h.fragmented.Load() {
 		return []string{text}
 	}
 	return strings.Split(text, "")
 }
 
-// tell has discovery write a line.
-func (w *world) tell(line string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lines = append(w.lines, line)
-	close(w.changed)
-	w.changed = make(chan struct{})
+// sendDiscoveryLine has discovery write a line.
+func (h *harness) sendDiscoveryLine(line string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.lines = append(h.lines, line)
+	close(h.changed)
+	h.changed = make(chan struct{})
 }
 
 // runner is a scripted runner.
 type runner struct {
-	uid    string
-	server *httptest.Server
-	mu     sync.Mutex
-	got    []*http.Request // jobs, in the order they came
-	gaveUp []string        // paths of the DELETEs
-	open   int             // connections
+	uid            string
+	server         *httptest.Server
+	mu             sync.Mutex
+	requests       []*http.Request // jobs, in the order they came
+	cancelledPaths []string        // paths of the DELETEs
+	open           int             // connections
 }
 
 // newRunner starts a runner; serve answers a job, of which n came before.
@@ -314,12 +314,12 @@
 		body, _ := io.ReadAll(r.Body)
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		u.mu.Lock()
-		n := len(u.got)
+		n := len(u.requests)
 		switch r.Method {
 		case "POST":
-			u.got = append(u.got, r)
+			u.requests = append(u.requests, r)
 		case "DELETE":
-			u.gaveUp = append(u.gaveUp, r.URL.Path)
+			u.cancelledPaths = append(u.cancelledPaths, r.URL.Path)
 		}
 		u.mu.Unlock()
 		if r.Method == "POST" {
@@ -351,7 +351,7 @@
 func (u *runner) jobIDs() (ids []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, q := range u.got {
+	for _, q := range u.requests {
 		ids = append(ids, q.Header.Get("X-Call-Id"))
 	}
 	return ids
@@ -360,7 +360,7 @@
 func (u *runner) jobs() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return len(u.got)
+	return len(u.requests)
 }
 
 // target is the runner's entry in the list.
@@ -369,51 +369,51 @@
 		u.uid, strings.TrimPrefix(u.server.URL, "http://"), cell, state)
 }
 
-// awaitCallBacks waits until call-backs under way have their answers: a client may have its own before the runner whose
+// awaitCallbacks waits until call-backs under way have their answers: a client may have its own before the runner whose
 // call-back brought it has read that it was heard.
-func (w *world) awaitCallBacks() {
-	for end := time.Now().Add(5 * time.Second); w.telling.Load() > 0 && time.Now().Before(end); {
+func (h *harness) awaitCallbacks() {
+	for end := time.Now().Add(5 * time.Second); h.callbacksInFlight.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// news makes a call-back and checks that it was heard.
-func (w *world) news(id, from, rest string) {
-	w.telling.Add(1)
-	defer w.telling.Add(-1)
-	r, err := http.Post("http://"+w.addr+"/_jobs/news", "application/json", strings.NewReader(fmt.Sprintf(`{"id":%q,"from":%q,%s}`, id, from, rest)))
+// reportResult makes a call-back and checks that it was heard.
+func (h *harness) reportResult(id, from, rest string) {
+	h.callbacksInFlight.Add(1)
+	defer h.callbacksInFlight.Add(-1)
+	r, err := http.Post("http://"+h.addr+"/_jobs/news", "application/json", strings.NewReader(fmt.Sprintf(`{"id":%q,"from":%q,%s}`, id, from, rest)))
 	if err != nil {
-		w.t.Errorf("call-back: %v", err)
+		h.t.Errorf("call-back: %v", err)
 		return
 	}
 	r.Body.Close()
 	if r.StatusCode != 204 {
-		w.t.Errorf("call-back answered %d", r.StatusCode)
+		h.t.Errorf("call-back answered %d", r.StatusCode)
 	}
 }
 
-// done takes a job and calls back with a result.
-func (w *world) done(uid, result string) func(int, http.ResponseWriter, *http.Request) {
+// replyWith takes a job and calls back with a result.
+func (h *harness) replyWith(uid, result string) func(int, http.ResponseWriter, *http.Request) {
 	return func(_ int, rw http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Call-Id")
 		rw.WriteHeader(202)
 		rw.(http.Flusher).Flush()
-		go w.news(id, uid, fmt.Sprintf(`"state":"done","result":%q`, result))
+		go h.reportResult(id, uid, fmt.Sprintf(`"state":"done","result":%q`, result))
 	}
 }
 
-// ask hands in a job and returns the status and body of its answer.
-func (w *world) ask(class string, budget int) (status int, body string, header http.Header) {
-	w.mu.Lock()
-	w.calls++
-	id := fmt.Sprintf("%016x", w.calls)
-	w.mu.Unlock()
-	req, _ := http.NewRequest("POST", "http://"+w.addr+"/"+class+"/7f3a", strings.NewReader("payload"))
+// requestJob hands in a job and returns the status and body of its answer.
+func (h *harness) requestJob(class string, budget int) (status int, body string, header http.Header) {
+	h.mu.Lock()
+	h.calls++
+	id := fmt.Sprintf("%016x", h.calls)
+	h.mu.Unlock()
+	req, _ := http.NewRequest("POST", "http://"+h.addr+"/"+class+"/7f3a", strings.NewReader("payload"))
 	for name, value := range map[string]string{"X-Call-Id": id, "X-Call-Class": class, "X-Budget-Ms": fmt.Sprint(budget),
 		"Idempotency-Key": "key-" + id, "X-Call-Info": "slots=1,memory=0.5"} {
 		req.Header.Set(name, value)
 	}
-	r, err := w.client.Do(req)
+	r, err := h.client.Do(req)
 	if err != nil {
 		return 0, err.Error(), nil
 	}
@@ -425,11 +425,11 @@
 	return r.StatusCode, string(text), r.Header
 }
 
-// raw sends bytes and returns what comes back until the connection ends.
-func (w *world) raw(text string) string {
-	c, err := net.Dial("tcp", w.addr)
+// sendRaw sends bytes and returns what comes back until the connection ends.
+func (h *harness) sendRaw(text string) string {
+	c, err := net.Dial("tcp", h.addr)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
@@ -439,9 +439,9 @@
 }
 
 // terminate sends SIGTERM and returns a channel that gets the exit.
-func (w *world) terminate() chan error {
+func (h *harness) terminate() chan error {
 	exit := make(chan error, 1)
-	w.cmd.Process.Signal(syscall.SIGTERM)
-	go func() { exit <- w.cmd.Wait() }()
+	h.cmd.Process.Signal(syscall.SIGTERM)
+	go func() { exit <- h.cmd.Wait() }()
 	return exit
 }
--- a/internal/dispatcher/server/story_test.go
+++ b/internal/dispatcher/server/jobs_test.go
@@ -17,57 +17,57 @@
 )
 
 // The whole path: what passes on unchanged, a call-back before the 202, repeats of it, and an escaped result.
-func TestAJobIsServed(t *testing.T) {
-	var w *world
+func TestJobServed(t *testing.T) {
+	var w *harness
 	heard := make(chan bool, 3)
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Call-Id")
-		w.news(id, "s-1", `"state":"started"`)
-		w.news(id, "s-0", `"state":"done","result":"of another runner"`)
-		w.news("no such id", "s-1", `"state":"done","result":"of an earlier life"`)
-		w.news(id, "s-1", `"state":"done","result":"say \"\u00e9\"\n","load":{"util":0.5,"inflight":1,"queue":0,"x0":1}`)
-		w.news(id, "s-1", `"state":"failed"`)
+		w.reportResult(id, "s-1", `"state":"started"`)
+		w.reportResult(id, "s-0", `"state":"done","result":"of another runner"`)
+		w.reportResult("no such id", "s-1", `"state":"done","result":"of an earlier life"`)
+		w.reportResult(id, "s-1", `"state":"done","result":"say \"\u00e9\"\n","load":{"util":0.5,"inflight":1,"queue":0,"x0":1}`)
+		w.reportResult(id, "s-1", `"state":"failed"`)
 		rw.WriteHeader(202)
 		heard <- true
 	})
-	w = begin(t, options{}, u.target("ready", 1))
+	w = startHarness(t, options{}, u.target("ready", 1))
 	for range 3 {
-		if status, body, _ := w.ask("score", 4000); status != 200 || body != "say \"é\"\n" {
+		if status, body, _ := w.requestJob("score", 4000); status != 200 || body != "say \"é\"\n" {
 			t.Fatalf("answer %d %q", status, body)
 		}
 	}
 	for range 3 { // all call-backs were answered, those after the client's answer too
 		<-heard
 	}
-	body, _ := io.ReadAll(u.got[0].Body)
-	got := []string{u.got[0].Method, u.got[0].URL.Path, string(body), u.got[0].Header.Get("Idempotency-Key")}
+	body, _ := io.ReadAll(u.requests[0].Body)
+	got := []string{u.requests[0].Method, u.requests[0].URL.Path, string(body), u.requests[0].Header.Get("Idempotency-Key")}
 	if diff := cmp.Diff([]string{"POST", "/score/7f3a", "payload", "key-0000000000000001"}, got); diff != "" {
 		t.Errorf("passed on (-want +got):\n%s", diff)
 	}
-	if ms, _ := strconv.Atoi(u.got[0].Header.Get("X-Budget-Ms")); ms <= 0 || ms >= 4000 {
+	if ms, _ := strconv.Atoi(u.requests[0].Header.Get("X-Budget-Ms")); ms <= 0 || ms >= 4000 {
 		t.Errorf("budget passed on: %d ms", ms)
 	}
 }
 
 // Each way an attempt can end, and how often its class lets it be repeated.
-func TestEndsAndRepeats(t *testing.T) {
+func TestResultsAndRetries(t *testing.T) {
 	hangUp := func(rw http.ResponseWriter) {
 		c, _, _ := rw.(http.Hijacker).Hijack()
 		c.Close()
 	}
-	ends := map[string]func(w *world, uid string, rw http.ResponseWriter, id string){
-		"rejected": func(_ *world, _ string, rw http.ResponseWriter, _ string) {
+	ends := map[string]func(w *harness, uid string, rw http.ResponseWriter, id string){
+		"rejected": func(_ *harness, _ string, rw http.ResponseWriter, _ string) {
 			rw.Header().Set("X-Rejected", "1")
 			rw.WriteHeader(503)
 		},
-		"plain 503": func(_ *world, _ string, rw http.ResponseWriter, _ string) { rw.WriteHeader(503) },
-		"reset":     func(_ *world, _ string, rw http.ResponseWriter, _ string) { hangUp(rw) },
+		"plain 503": func(_ *harness, _ string, rw http.ResponseWriter, _ string) { rw.WriteHeader(503) },
+		"reset":     func(_ *harness, _ string, rw http.ResponseWriter, _ string) { hangUp(rw) },
 	}
 	for _, state := range []string{"returned", "failed", "lost"} {
-		ends[state] = func(w *world, uid string, rw http.ResponseWriter, id string) {
+		ends[state] = func(w *harness, uid string, rw http.ResponseWriter, id string) {
 			rw.WriteHeader(202)
 			rw.(http.Flusher).Flush()
-			go w.news(id, uid, fmt.Sprintf(`"state":%q`, state))
+			go w.reportResult(id, uid, fmt.Sprintf(`"state":%q`, state))
 		}
 	}
 	for _, tc := range []struct {
@@ -80,7 +80,7 @@
 	} {
 		t.Run(tc.end+" "+tc.class, func(t *testing.T) {
 			t.Parallel()
-			var w *world
+			var w *harness
 			first := make(chan bool, 1)
 			first <- true
 			var runners []*runner
@@ -92,13 +92,13 @@
 					case <-first:
 						ends[tc.end](w, uid, rw, r.Header.Get("X-Call-Id"))
 					default:
-						w.done(uid, "ok")(n, rw, r)
+						w.replyWith(uid, "ok")(n, rw, r)
 					}
 				})
 				runners, targets = append(runners, u), append(targets, u.target("ready", i))
 			}
-			w = begin(t, options{single: true}, targets...) // jobs are counted: a copy of one that waits would be one more
-			status, body, _ := w.ask(tc.class, 4000)
+			w = startHarness(t, options{single: true}, targets...) // jobs are counted: a copy of one that waits would be one more
+			status, body, _ := w.requestJob(tc.class, 4000)
 			jobs, met := 0, 0
 			for _, u := range runners {
 				jobs += u.jobs()
@@ -115,15 +115,15 @@
 
 // Guards against a runner that has vanished holding a client past its budget, and against a refusal without a
 // word on when to come back.
-func TestSilenceAndRefusal(t *testing.T) {
+func TestTimeoutAndRejection(t *testing.T) {
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(202) })
-	w := begin(t, options{}, u.target("ready", 1))
-	if status, _, _ := w.ask("once", 400); status != 500 {
+	w := startHarness(t, options{}, u.target("ready", 1))
+	if status, _, _ := w.requestJob("once", 400); status != 500 {
 		t.Errorf("silent runner: %d", status)
 	}
-	w.tell(`{"rev":2,"all":true,"targets":[]}`)
+	w.sendDiscoveryLine(`{"rev":2,"all":true,"targets":[]}`)
 	w.eventually("empty list", func() bool { return strings.Contains(w.log.String(), `"rev": 2`) })
-	status, _, header := w.ask("once", 400)
+	status, _, header := w.requestJob("once", 400)
 	wait, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if status != 503 || err != nil || wait <= 0 || wait > 2 {
 		t.Errorf("nobody to serve: %d, Retry-After %q", status, header.Get("Retry-After"))
@@ -132,25 +132,25 @@
 
 // Guards against work for a runner that drains, a bad or an old line replacing the list or a change being missed
 // with it, and a watch that is not renewed.
-func TestTheDirectorIsFollowed(t *testing.T) {
-	var w *world
+func TestDiscoveryUpdates(t *testing.T) {
+	var w *harness
 	var runners []*runner
 	for i := range 2 {
 		uid := fmt.Sprint("s-", i)
-		runners = append(runners, newRunner(t, uid, func(n int, rw http.ResponseWriter, r *http.Request) { w.done(uid, uid)(n, rw, r) }))
+		runners = append(runners, newRunner(t, uid, func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith(uid, uid)(n, rw, r) }))
 	}
-	w = begin(t, options{}, runners[0].target("ready", 0))
-	w.tell(`{"rev":2,"all":false,"targets":[` + runners[0].target("draining", 0) + `,` + runners[1].target("ready", 1) + `]}`)
+	w = startHarness(t, options{}, runners[0].target("ready", 0))
+	w.sendDiscoveryLine(`{"rev":2,"all":false,"targets":[` + runners[0].target("draining", 0) + `,` + runners[1].target("ready", 1) + `]}`)
 	// An entry that makes no sense holds up neither the others nor the watch, and takes no backend off the list.
-	w.tell(`{"rev":3,"all":true,"targets":[` + runners[0].target("draining", 0) + `,{"uid":"s-1","endpoint":"x","state":"ready"}]}`)
+	w.sendDiscoveryLine(`{"rev":3,"all":true,"targets":[` + runners[0].target("draining", 0) + `,{"uid":"s-1","endpoint":"x","state":"ready"}]}`)
 	w.eventually("bad entry", func() bool { return strings.Contains(w.log.String(), "bad entry dropped") })
-	if status, body, _ := w.ask("score", 4000); status != 200 || body != "s-1" {
+	if status, body, _ := w.requestJob("score", 4000); status != 200 || body != "s-1" {
 		t.Errorf("after a bad entry: %d %q", status, body)
 	}
-	w.tell(`{"rev":3,"all":true,"targets":[{"uid":""}]}`)
+	w.sendDiscoveryLine(`{"rev":3,"all":true,"targets":[{"uid":""}]}`)
 	w.eventually("bad line", func() bool { return strings.Contains(w.log.String(), "old list kept") })
 	for range 5 {
-		if status, body, _ := w.ask("score", 4000); status != 200 || body != "s-1" {
+		if status, body, _ := w.requestJob("score", 4000); status != 200 || body != "s-1" {
 			t.Errorf("answer %d %q", status, body)
 		}
 	}
@@ -167,7 +167,7 @@
 	w.lines = []string{`{"rev":4,"all":false,"targets":[]}`, `{"rev":3,"all":true,"targets":[]}`} // older than what came before
 	w.mu.Unlock()
 	w.eventually("an old list", func() bool { return strings.Contains(w.log.String(), "version 3 after 4") })
-	if status, body, _ := w.ask("score", 4000); status != 200 || body != "s-1" {
+	if status, body, _ := w.requestJob("score", 4000); status != 200 || body != "s-1" {
 		t.Errorf("after an old list: %d %q", status, body)
 	}
 	w.mu.Lock()
@@ -184,9 +184,9 @@
 }
 
 // Guards against requests that break HTTP, classes nobody knows, and ids in use.
-func TestBadInput(t *testing.T) {
+func TestMalformedInput(t *testing.T) {
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(202) })
-	w := begin(t, options{}, u.target("ready", 1))
+	w := startHarness(t, options{}, u.target("ready", 1))
 	head := "X-Call-Id: a\r\nX-Budget-Ms: 600\r\nConnection: close\r\n\r\n"
 	for text, want := range map[string]string{
 		"\x16\x03\x01\r\n\r\n":                                                          "400",
@@ -197,7 +197,7 @@
 		"GET /score/a HTTP/1.1\r\n" + head:                                              "405",
 		"POST /_jobs/news HTTP/1.1\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}": "400",
 	} {
-		if got := w.raw(text); !strings.HasPrefix(got, "HTTP/1.1 "+want) {
+		if got := w.sendRaw(text); !strings.HasPrefix(got, "HTTP/1.1 "+want) {
 			t.Errorf("%q: %q", text, got)
 		}
 	}
@@ -212,9 +212,9 @@
 		t.Errorf("a client that waits to send its body is told %q, %v", word, err)
 	}
 	first := make(chan string)
-	go func() { first <- w.raw("POST /once/a HTTP/1.1\r\n" + head) }()
+	go func() { first <- w.sendRaw("POST /once/a HTTP/1.1\r\n" + head) }()
 	w.eventually("first call", func() bool { return u.jobs() == 1 })
-	if got := w.raw("POST /once/a HTTP/1.1\r\n" + head); !strings.HasPrefix(got, "HTTP/1.1 409") {
+	if got := w.sendRaw("POST /once/a HTTP/1.1\r\n" + head); !strings.HasPrefix(got, "HTTP/1.1 409") {
 		t.Errorf("id in use: %q", got)
 	}
 	if got := <-first; !strings.HasPrefix(got, "HTTP/1.1 500") || u.jobs() != 1 {
@@ -223,10 +223,10 @@
 }
 
 // Guards against running out of descriptors: idle sessions are shed, and work goes on.
-func TestDescriptorsRunShort(t *testing.T) {
-	var w *world
-	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.done("s-1", "ok")(n, rw, r) })
-	w = begin(t, options{sockets: reserve + 12}, u.target("ready", 1))
+func TestDescriptorExhaustion(t *testing.T) {
+	var w *harness
+	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith("s-1", "ok")(n, rw, r) })
+	w = startHarness(t, options{sockets: reservedDescriptors + 12}, u.target("ready", 1))
 	for i := range 60 {
 		c, err := net.Dial("tcp", w.addr)
 		if err != nil {
@@ -235,13 +235,13 @@
 		defer c.Close()
 		if i%20 == 19 {
 			w.client.CloseIdleConnections() // the protocol has clients repeat what crosses a close; this one would not
-			if status, body, _ := w.ask("score", 4000); status != 200 {
+			if status, body, _ := w.requestJob("score", 4000); status != 200 {
 				t.Fatalf("after %d sessions: %d %q", i, status, body)
 			}
 		}
 	}
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", w.cmd.Process.Pid))
-	if err != nil || len(open) > reserve+12 {
+	if err != nil || len(open) > reservedDescriptors+12 {
 		t.Errorf("%d descriptors open, %v", len(open), err)
 	}
 }
@@ -249,11 +249,11 @@
 // Guards against a request written to a connection that its runner has closed, and against connections kept
 // longer than the settings' idle time.
 func TestIdleConnections(t *testing.T) {
-	var w *world
-	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.done("s-1", "ok")(n, rw, r) })
-	w = begin(t, options{connIdle: 0.5}, u.target("ready", 1))
+	var w *harness
+	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith("s-1", "ok")(n, rw, r) })
+	w = startHarness(t, options{connIdle: 0.5}, u.target("ready", 1))
 	for i := range 4 {
-		if status, body, _ := w.ask("once", 4000); status != 200 {
+		if status, body, _ := w.requestJob("once", 4000); status != 200 {
 			t.Fatalf("job %d: %d %q", i, status, body)
 		}
 		if i == 1 {
@@ -269,8 +269,8 @@
 
 // Guards against requests lost one by one on the open, silent connections of a machine that was cut off: once it
 // has not even taken one, the others are closed, and a new connect shows whether it is there.
-func TestASilentBackendLosesItsIdleConnections(t *testing.T) {
-	var w *world
+func TestUnresponsiveBackendLosesIdleConnections(t *testing.T) {
+	var w *harness
 	both, release := make(chan bool, 2), make(chan bool)
 	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) {
 		if n >= 2 {
@@ -281,16 +281,16 @@
 		for len(both) < 2 {
 			time.Sleep(time.Millisecond)
 		}
-		w.done("s-1", "ok")(n, rw, r)
+		w.replyWith("s-1", "ok")(n, rw, r)
 	})
-	w = begin(t, options{}, u.target("ready", 1))
+	w = startHarness(t, options{}, u.target("ready", 1))
 	open := func() int {
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		return u.open
 	}
 	answers := make(chan int, 3)
-	ask := func() { status, _, _ := w.ask("once", 4000); answers <- status }
+	ask := func() { status, _, _ := w.requestJob("once", 4000); answers <- status }
 	go ask()
 	go ask()
 	if a, b := <-answers, <-answers; a != 200 || b != 200 || open() != 2 {
@@ -305,18 +305,18 @@
 }
 
 // Guards against a planned restart that loses what was taken: call-backs still come, and all is answered.
-func TestSigtermAnswersWhatWasTaken(t *testing.T) {
+func TestSigtermAnswersAcceptedJobs(t *testing.T) {
 	release := make(chan bool)
-	var w *world
+	var w *harness
 	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) {
 		rw.WriteHeader(202)
 		rw.(http.Flusher).Flush()
 		go func() {
 			<-release
-			w.news(r.Header.Get("X-Call-Id"), "s-1", `"state":"done","result":"late"`)
+			w.reportResult(r.Header.Get("X-Call-Id"), "s-1", `"state":"done","result":"late"`)
 		}()
 	})
-	w = begin(t, options{}, u.target("ready", 1))
+	w = startHarness(t, options{}, u.target("ready", 1))
 	type answer struct {
 		status int
 		body   string
@@ -324,7 +324,7 @@
 	}
 	answers := make(chan answer, 2)
 	ask := func() {
-		status, body, header := w.ask("once", 4500)
+		status, body, header := w.requestJob("once", 4500)
 		answers <- answer{status, body, header.Get("Connection") == "close"}
 	}
 	go ask()
@@ -345,7 +345,7 @@
 	}
 }
 
-func TestBadConfigIsOneClearLine(t *testing.T) {
+func TestInvalidConfigErrors(t *testing.T) {
 	good := fmt.Sprintf(`{"listen":"127.0.0.1:0","seed":"1","settings":%s}`, fmt.Sprintf(settingsText, 9.0, attemptsCap, 60.0))
 	gearman := "listen = \"127.0.0.1:0\"\n[[function]]\nname = \"f\"\nclass = \"nobody\"\n"
 	for name, tc := range map[string]struct{ config, gearman, want string }{
@@ -376,8 +376,8 @@
 
 // Guards against a path that forgets resting connections without a word: neither may the backend be set aside for
 // it, nor may one request after the other be lost to it.
-func TestWornConnections(t *testing.T) {
-	var w *world
+func TestStaleConnections(t *testing.T) {
+	var w *harness
 	seen, dead := map[string]bool{}, 0
 	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { // one at a time
 		if seen[r.RemoteAddr] {
@@ -388,11 +388,11 @@
 			return
 		}
 		seen[r.RemoteAddr] = true
-		w.done("s-1", "ok")(n, rw, r)
+		w.replyWith("s-1", "ok")(n, rw, r)
 	})
-	w = begin(t, options{}, u.target("ready", 1))
+	w = startHarness(t, options{}, u.target("ready", 1))
 	for i := range 20 {
-		if status, body, _ := w.ask("score", 4000); status != 200 {
+		if status, body, _ := w.requestJob("score", 4000); status != 200 {
 			t.Fatalf("job %d: %d %q", i, status, body)
 		}
 	}
@@ -403,24 +403,24 @@
 
 // Guards against a repeat in the wrong group: a backend leaves with an entry that names no cell, or by missing from a
 // whole list, while a job that may have run there is bound to its cell.
-func TestAJobStaysBoundToACellThatLeft(t *testing.T) {
+func TestAffinityToDepartedCell(t *testing.T) {
 	for name, line := range map[string]string{"gone": `{"rev":2,"all":false,"targets":[{"uid":"s-0","state":"gone"},%s]}`,
 		"missing": `{"rev":2,"all":true,"targets":[%s]}`} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var w *world
+			var w *harness
 			release := make(chan bool)
 			first := newRunner(t, "s-0", func(_ int, rw http.ResponseWriter, _ *http.Request) {
 				<-release
 				c, _, _ := rw.(http.Hijacker).Hijack()
 				c.Close()
 			})
-			other := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.done("s-1", "again")(n, rw, r) })
-			w = begin(t, options{}, first.target("ready", 5))
+			other := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith("s-1", "again")(n, rw, r) })
+			w = startHarness(t, options{}, first.target("ready", 5))
 			answer := make(chan int, 1)
-			go func() { status, _, _ := w.ask("charge", 4000); answer <- status }()
+			go func() { status, _, _ := w.requestJob("charge", 4000); answer <- status }()
 			w.eventually("the job", func() bool { return first.jobs() == 1 })
-			w.tell(fmt.Sprintf(line, other.target("ready", 0)))
+			w.sendDiscoveryLine(fmt.Sprintf(line, other.target("ready", 0)))
 			w.eventually("the list", func() bool { return strings.Contains(w.log.String(), `"rev": 2`) })
 			close(release)
 			if status := <-answer; status != 500 || other.jobs() != 0 {
--- /dev/null
+++ b/internal/dispatcher/server/metrics.go
@@ -0,0 +1,147 @@
+package server
+
+import (
+	"math"
+	"runtime/metrics"
+
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/dispatcher/gearman"
+	"cinderroad/internal/dispatcher/telemetry"
+	"cinderroad/internal/shared/invariant"
+	"cinderroad/loadbalancer"
+)
+
+// metricAdder adds figures to a set.
+type metricAdder struct{ set *telemetry.Set }
+
+func (a metricAdder) counter(name, unit, help string, get func() uint64) {
+	a.set.AddFunc(telemetry.SeriesDoc{Pattern: name, Kind: telemetry.Counter, Unit: unit, Help: help}, func() float64 { return float64(get()) })
+}
+
+func (a metricAdder) gauge(name, unit, help string, get func() float64) {
+	a.set.AddFunc(telemetry.SeriesDoc{Pattern: name, Kind: telemetry.Gauge, Unit: unit, Help: help}, get)
+}
+
+// addMetrics adds what the parts of the program count themselves. Nothing is asked of p before the end of a period.
+func addMetrics(s *Server, set *telemetry.Set) {
+	add := metricAdder{set}
+	core := func(get func(*dispatch.Counts) uint64) func() uint64 {
+		return func() uint64 { n := s.dispatcher.Counts(); return get(&n) }
+	}
+	add.counter("reqs.taken", "jobs", "Jobs that the core took.", core(func(n *dispatch.Counts) uint64 { return n.Requests }))
+	add.counter("reqs.served", "jobs", "Jobs served.", core(func(n *dispatch.Counts) uint64 { return n.Served }))
+	add.counter("reqs.refused", "jobs", "Jobs refused: they did not run.", core(func(n *dispatch.Counts) uint64 { return n.Rejected }))
+	add.counter("reqs.failed", "jobs", "Jobs failed.", core(func(n *dispatch.Counts) uint64 { return n.Failed }))
+	add.counter("reqs.client_gone", "jobs", "Jobs whose client left before an answer.", core(func(n *dispatch.Counts) uint64 { return n.Disconnected }))
+	add.counter("reqs.overdue", "jobs", "Jobs that the decisions had forgotten and the core failed: must stay 0.", core(func(n *dispatch.Counts) uint64 { return n.Overdue }))
+	add.counter("reqs.unusable", "jobs", "Jobs failed since two backends could do nothing with them.", core(func(n *dispatch.Counts) uint64 { return n.InvalidJobs }))
+	add.gauge("reqs.open", "jobs", "Jobs without an answer yet.", func() float64 { return float64(s.dispatcher.Counts().OpenRequests) })
+	add.counter("fetches.sent", "attempts", "Attempts begun.", core(func(n *dispatch.Counts) uint64 { return n.Attempts }))
+	add.counter("fetches.repeats", "attempts", "Those that were not a job's first.", core(func(n *dispatch.Counts) uint64 { return n.Retries }))
+	add.counter("fetches.cancels", "attempts", "Attempts called off.", core(func(n *dispatch.Counts) uint64 { return n.Cancellations }))
+	add.gauge("fetches.open", "attempts", "Attempts that are out.", func() float64 { return float64(s.dispatcher.Counts().OpenAttempts) })
+	for result, name := range telemetry.ResultNames {
+		add.counter("fetches.end_"+name, "attempts", "Attempts that ended as "+name+".", core(func(n *dispatch.Counts) uint64 { return n.Results[result] }))
+	}
+	add.counter("fetches.probes", "probes", "Nodes asked for health and load.", core(func(n *dispatch.Counts) uint64 { return n.Probes }))
+	add.counter("backends.connections_opened", "connections", "Connections opened to backends.", func() uint64 { return s.pool.Connects })
+	add.counter("backends.worn_connections", "connections", "Connections that had rested and were found dead.", func() uint64 { return s.pool.StaleConnections })
+	add.counter("backends.stray_news", "call-backs", "Call-backs that matched nothing that is out.", func() uint64 { return s.pool.StrayCallbacks })
+	add.counter("backends.bad_news", "call-backs", "Call-backs that made no sense.", func() uint64 { return s.front.BadCallbacks })
+	add.counter("clients.sessions_opened", "sessions", "Connections accepted from clients.", func() uint64 { return s.front.SessionsAccepted })
+	add.counter("clients.malformed", "requests", "Requests answered 4xx.", func() uint64 { return s.front.Malformed })
+	add.counter("clients.slow", "sessions", "Sessions closed since a request was not whole in time.", func() uint64 { return s.front.TimedOut })
+	add.counter("clients.turned_away", "sessions", "Sessions turned away for want of room.", func() uint64 { return s.limiter.Rejected })
+	add.counter("program.reloads", "reloads", "Reloads taken.", func() uint64 { return s.Reloads.Applied })
+	add.counter("program.reloads_refused", "reloads", "Reloads refused, the old configuration kept.", func() uint64 { return s.Reloads.Rejected })
+	add.gauge("program.started", "s", "Unix time of the start: where it changes, totals may begin anew.", func() float64 { return math.Floor(s.startedAt) })
+	add.gauge("program.evacuated", "", "1 while the dispatcher is evacuated.", func() float64 { return oneIf(s.front.EvacuatedSince() > 0) })
+	add.counter("upgrade.sessions_passed", "sessions", "Client sessions passed to the next process.", func() uint64 { return s.upgrade.SessionsPassed })
+	add.counter("upgrade.sessions_adopted", "sessions", "Client sessions taken over from the process before.", func() uint64 { return s.upgrade.SessionsAdopted })
+	add.counter("upgrade.news_asked", "call-backs", "Call-backs asked of the other process.", func() uint64 { return s.upgrade.CallbackQueries })
+	add.gauge("members.excluded", "nodes", "Members taken out by hand.", func() float64 { return float64(s.dispatcher.ExcludedCount()) })
+	add.counter("director.watches", "watches", "Watches opened at discovery.", func() uint64 { return s.discovery.Watches })
+	add.counter("director.refused", "watches", "Watches that a discovery without room refused.", func() uint64 { return s.discovery.Rejections })
+	add.counter("director.bad_lines", "lines", "Lines of discovery that made no sense: the old list was kept.", func() uint64 { return s.discovery.BadLines })
+	add.counter("director.bad_entries", "entries", "Entries of the list that made no sense: the rest was taken.", func() uint64 { return s.discovery.BadEntries })
+	add.gauge("director.list_revision", "", "Version of the list held.", func() float64 { return float64(s.discovery.Revision()) })
+	add.gauge("director.silent_s", "s", "Since discovery last said anything: its lag, at most. None before the first word.", func() float64 {
+		if s.discovery.LastContact() == 0 {
+			return math.NaN()
+		}
+		return s.loop.Now() - s.discovery.LastContact()
+	})
+	add.gauge("sockets.open", "sockets", "Sockets open.", func() float64 { return float64(s.loop.OpenSockets()) })
+	add.gauge("sockets.limit", "sockets", "Sockets that may be open.", func() float64 { return float64(s.loop.SocketLimit()) })
+	add.counter("loop.turns", "turns", "Turns of the loop.", func() uint64 {
+		t := s.loop.TakeIterationStats()
+		s.longestIteration = max(s.longestIteration, t.Longest)
+		return t.Count
+	})
+	add.gauge("loop.longest_turn_ms", "ms", "The longest turn of the period: everybody waited for so long.", func() float64 {
+		longest := s.longestIteration
+		s.longestIteration = 0
+		return 1000 * longest
+	})
+	memory := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
+	add.gauge("memory.bytes", "bytes", "Memory that the process holds, without the program itself.", func() float64 {
+		metrics.Read(memory)
+		return float64(memory[0].Value.Uint64() - memory[1].Value.Uint64())
+	})
+	add.counter("invariants.broken", "", "Things found that must never be: must stay 0.", invariant.Violations)
+	addConsole(add, s)
+	addClusterMetrics(add, s)
+	addGearman(add, s)
+}
+
+func oneIf(is bool) float64 {
+	if is {
+		return 1
+	}
+	return 0
+}
+
+func addConsole(a metricAdder, p *Server) {
+	part := func(name, unit, help string, get func() uint64) {
+		a.set.AddFunc(telemetry.SeriesDoc{Pattern: name, Kind: telemetry.Counter, Unit: unit, Help: help + " None without a second address."}, func() float64 {
+			if p.admin == nil {
+				return math.NaN()
+			}
+			return float64(get())
+		})
+	}
+	part("console.calls", "calls", "Calls at the second address.", func() uint64 { return p.admin.Calls })
+	part("console.refused", "calls", "Those that were refused.", func() uint64 { return p.admin.Rejected })
+	part("console.gave_way", "calls", "Callers who gave way to newer ones.", func() uint64 { return p.admin.Evicted })
+}
+
+func addGearman(a metricAdder, p *Server) {
+	part := func(name, unit, help string, get func(gearman.Counts) uint64) {
+		a.set.AddFunc(telemetry.SeriesDoc{Pattern: "gearman." + name, Kind: telemetry.Counter, Unit: unit, Help: help + " None without a Gearman front."}, func() float64 {
+			if p.gearman == nil {
+				return math.NaN()
+			}
+			return float64(get(p.gearman.Totals()))
+		})
+	}
+	part("jobs", "jobs", "Jobs created.", func(n gearman.Counts) uint64 { return n.Jobs })
+	part("background", "jobs", "Those of them in the background.", func(n gearman.Counts) uint64 { return n.Background })
+	part("background_ended", "jobs", "Jobs in the background that have ended.", func(n gearman.Counts) uint64 { return n.BackgroundEnded })
+	part("coalesced", "submissions", "Submissions that joined a job.", func(n gearman.Counts) uint64 { return n.Coalesced })
+	part("served", "jobs", "Jobs served.", func(n gearman.Counts) uint64 { return n.Served })
+	part("refused", "jobs", "Jobs refused.", func(n gearman.Counts) uint64 { return n.Rejected })
+	part("returned", "refusals", "Refusals after which a job in the background came back.", func(n gearman.Counts) uint64 { return n.Requeued })
+	part("failed", "jobs", "Jobs failed.", func(n gearman.Counts) uint64 { return n.Failed })
+	part("gone", "jobs", "Jobs that nobody waited for any more.", func(n gearman.Counts) uint64 { return n.Abandoned })
+	part("bad_packets", "packets", "Packets that made no sense.", func(n gearman.Counts) uint64 { return n.BadPackets })
+	part("stray_work", "packets", "Results of jobs that are over.", func(n gearman.Counts) uint64 { return n.StrayWork })
+	part("slow", "peers", "Peers closed since a message was not whole in time.", func(n gearman.Counts) uint64 { return n.TimedOut })
+}
+
+// MetricDocs are all series that there can be.
+func MetricDocs() []telemetry.SeriesDoc {
+	set := telemetry.New(telemetry.Options{Settings: loadbalancer.Settings{}, MaxNodes: 1})
+	addMetrics(nil, set)
+	addReportingMetrics(nil, set)
+	return set.Docs()
+}
--- a/internal/dispatcher/server/metrics_test.go
+++ b/internal/dispatcher/server/metrics_test.go
@@ -19,10 +19,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var w *world
-	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.done("s-1", "ok")(n, rw, r) })
-	w = begin(t, options{args: []string{"-graphite", graphite.Addr(), "-collectd", path, "-metrics-every", "0.1"}}, u.target("ready", 1))
-	if status, _, _ := w.ask("score", 4000); status != 200 {
+	var w *harness
+	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith("s-1", "ok")(n, rw, r) })
+	w = startHarness(t, options{args: []string{"-graphite", graphite.Addr(), "-collectd", path, "-metrics-every", "0.1"}}, u.target("ready", 1))
+	if status, _, _ := w.requestJob("score", 4000); status != 200 {
 		t.Fatal(status)
 	}
 	for _, tc := range []struct {
--- a/internal/dispatcher/server/rude_test.go
+++ b/internal/dispatcher/server/misbehaving_peers_test.go
@@ -13,24 +13,24 @@
 	gm "cinderroad/internal/dispatcher/gearman"
 )
 
-// until reads what a connection brings to its end.
-func until(c net.Conn) string {
+// readUntilClosed reads what a connection brings to its end.
+func readUntilClosed(c net.Conn) string {
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	got, _ := io.ReadAll(c)
 	return string(got)
 }
 
-func (w *world) dial() net.Conn {
-	c, err := net.Dial("tcp", w.addr)
+func (h *harness) dial() net.Conn {
+	c, err := net.Dial("tcp", h.addr)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { c.Close() })
+	h.t.Cleanup(func() { c.Close() })
 	return c
 }
 
-// drip sends a text and then a byte now and then for as long as the connection takes it.
-func drip(c net.Conn, text string) {
+// writeSlowly sends a text and then a byte now and then for as long as the connection takes it.
+func writeSlowly(c net.Conn, text string) {
 	io.WriteString(c, text)
 	for {
 		time.Sleep(200 * time.Millisecond)
@@ -42,9 +42,9 @@
 
 // Guards against clients that hold a session without end, whom a reset robs of the answer, or who hide something
 // in what two readers take differently. Each is owed an error and the end of its connection.
-func TestRudeClients(t *testing.T) {
+func TestMisbehavingClients(t *testing.T) {
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(202) })
-	w := begin(t, options{}, u.target("ready", 1))
+	w := startHarness(t, options{}, u.target("ready", 1))
 	call := func(id, budget, rest string) string {
 		return "POST /once/a HTTP/1.1\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: " + budget + "\r\n" + rest
 	}
@@ -80,11 +80,11 @@
 			t.Parallel()
 			c := w.dial()
 			if tc.drips {
-				go drip(c, tc.text)
+				go writeSlowly(c, tc.text)
 			} else if _, err := io.WriteString(c, tc.text); err != nil { // all of it, before anything is read
 				t.Errorf("cut off while it sent: %v", err)
 			}
-			if got := until(c); !strings.HasPrefix(got, tc.want) || strings.Count(got, "HTTP/1.1") != 1 {
+			if got := readUntilClosed(c); !strings.HasPrefix(got, tc.want) || strings.Count(got, "HTTP/1.1") != 1 {
 				t.Errorf("%.200q, want %s and the end", got, tc.want)
 			}
 		})
@@ -99,15 +99,15 @@
 // Guards against a flood of silent connections that pushes out sessions which work here, and against a client
 // that sends far ahead being cut off with its first request unanswered.
 func TestFloods(t *testing.T) {
-	var w *world
+	var w *harness
 	release := make(chan bool)
 	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) {
 		if n == 2 {
 			<-release
 		}
-		w.done("s-1", "ok")(n, rw, r)
+		w.replyWith("s-1", "ok")(n, rw, r)
 	})
-	w = begin(t, options{sockets: reserve + 40}, u.target("ready", 1))
+	w = startHarness(t, options{sockets: reservedDescriptors + 40}, u.target("ready", 1))
 	usual := w.dial()
 	answers := bufio.NewReader(usual)
 	ask := func(id int) {
@@ -130,7 +130,7 @@
 		silent = append(silent, w.dial())
 	}
 	for i, c := range silent { // the first are closed for want of room, the last since their time is over
-		if got := until(c); got != "" && !strings.HasPrefix(got, "HTTP/1.1 503") || got == "" && i == 99 {
+		if got := readUntilClosed(c); got != "" && !strings.HasPrefix(got, "HTTP/1.1 503") || got == "" && i == 99 {
 			t.Fatalf("silent connection %d was told %q", i, got)
 		}
 	}
@@ -146,10 +146,10 @@
 
 // Guards against sessions that asked once and stay: their clients may hold only so many, and would have none left
 // to come to work with; nor may they take the room of others. The session that works is kept.
-func TestSessionsThatStayGiveWay(t *testing.T) {
-	var w *world
-	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.done("s-1", "ok")(n, rw, r) })
-	w = begin(t, options{sockets: reserve + 40}, u.target("ready", 1))
+func TestIdleSessionsEvicted(t *testing.T) {
+	var w *harness
+	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith("s-1", "ok")(n, rw, r) })
+	w = startHarness(t, options{sockets: reservedDescriptors + 40}, u.target("ready", 1))
 	calls := 0
 	ask := func(c net.Conn) {
 		t.Helper()
@@ -182,14 +182,14 @@
 }
 
 // Guards against the bounds on clients turning call-backs away: jobs that hold all the room end by them alone.
-func TestCallBacksComeThroughACrowd(t *testing.T) {
-	var w *world
+func TestCallbacksUnderLoad(t *testing.T) {
+	var w *harness
 	ids := make(chan string, 64)
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, r *http.Request) {
 		rw.WriteHeader(202)
 		ids <- r.Header.Get("X-Call-Id")
 	})
-	w = begin(t, options{sockets: reserve + 40}, u.target("ready", 1))
+	w = startHarness(t, options{sockets: reservedDescriptors + 40}, u.target("ready", 1))
 	at := func(host byte) *net.Dialer {
 		return &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, host)}}
 	}
@@ -229,23 +229,23 @@
 }
 
 func unusableRequests(t *testing.T, single bool, mostAttempts int) {
-	var w *world
+	var w *harness
 	var runners []*runner
 	var targets []string
 	for i := range 4 {
 		uid := fmt.Sprint("s-", i)
 		u := newRunner(t, uid, func(n int, rw http.ResponseWriter, r *http.Request) {
 			if strings.HasSuffix(r.URL.Path, "/7f3a") {
-				w.done(uid, "ok")(n, rw, r)
+				w.replyWith(uid, "ok")(n, rw, r)
 				return
 			}
 			rw.WriteHeader(400)
 		})
 		runners, targets = append(runners, u), append(targets, u.target("ready", i))
 	}
-	w = begin(t, options{single: single}, targets...)
+	w = startHarness(t, options{single: single}, targets...)
 	for i := range 30 {
-		if got := w.raw(fmt.Sprintf("POST /score/bad HTTP/1.1\r\nX-Call-Id: b%d\r\nX-Budget-Ms: 4000\r\nConnection: close\r\n\r\n", i)); !strings.HasPrefix(got, "HTTP/1.1 500") {
+		if got := w.sendRaw(fmt.Sprintf("POST /score/bad HTTP/1.1\r\nX-Call-Id: b%d\r\nX-Budget-Ms: 4000\r\nConnection: close\r\n\r\n", i)); !strings.HasPrefix(got, "HTTP/1.1 500") {
 			t.Fatalf("unusable: %q", got)
 		}
 	}
@@ -263,24 +263,24 @@
 	if len(attempts) != 30 || strings.Contains(w.log.String(), "set aside") {
 		t.Errorf("%d jobs were attempted, log:\n%s", len(attempts), w.log)
 	}
-	if status, body, _ := w.ask("score", 4000); status != 200 {
+	if status, body, _ := w.requestJob("score", 4000); status != 200 {
 		t.Errorf("a usable one: %d %q", status, body)
 	}
 }
 
 // Guards against Gearman peers that hold a socket without a word, or byte by byte, and against the same bound
 // cutting off a worker that rests between its jobs.
-func TestSilentGearmanPeers(t *testing.T) {
-	g := beginGearman(t, options{cold: 0.001}, 5)
+func TestUnresponsiveGearmanPeers(t *testing.T) {
+	g := startGearmanHarness(t, options{cold: 0.001}, 5)
 	worker := g.dial()
-	worker.work(gm.GrabJobUniq, worker.echo, "safe")
+	worker.serveJobs(gm.GrabJobUniq, worker.echo, "safe")
 	silent, slow := g.dial(), g.dial()
-	go drip(slow, "\x00REQ\x00\x00\x00\x07\x00\x00\x01\x00")
-	for name, c := range map[string]*wire{"silent": silent, "slow": slow} {
+	go writeSlowly(slow, "\x00REQ\x00\x00\x00\x07\x00\x00\x01\x00")
+	for name, c := range map[string]*gearmanConn{"silent": silent, "slow": slow} {
 		if p := c.want(gm.Error); p.Args[0] != "ERR_BAD_PACKET" {
 			t.Errorf("%s: %q", name, p.Args)
 		}
-		if rest := until(c); rest != "" {
+		if rest := readUntilClosed(c); rest != "" {
 			t.Errorf("%s: %q after the error", name, rest)
 		}
 	}
--- a/internal/dispatcher/server/operate_test.go
+++ b/internal/dispatcher/server/operator_test.go
@@ -12,9 +12,9 @@
 )
 
 // operator calls the second address.
-func (w *world) operator(method, path, body string) (status int, reason string) {
-	w.t.Helper()
-	return operate(w.t, w.console, method, path, body)
+func (h *harness) operator(method, path, body string) (status int, reason string) {
+	h.t.Helper()
+	return operate(h.t, h.console, method, path, body)
 }
 
 func operate(t *testing.T, addr, method, path, body string) (status int, reason string) {
@@ -32,8 +32,8 @@
 
 // Guards against a second address that a flood starves, that callers who say nothing hold shut, or that says yes to
 // what it cannot make out.
-func TestConsole(t *testing.T) {
-	w := begin(t, options{sockets: reserve + 40, console: true})
+func TestAdminAPI(t *testing.T) {
+	w := startHarness(t, options{sockets: reservedDescriptors + 40, console: true})
 	for range 100 { // clients without a word take all the sockets there are
 		w.dial()
 	}
@@ -68,7 +68,7 @@
 	for _, b := range []byte("GET /api/ready HTTP/1.1\r\nHost: a\r\n\r\n") { // a call that comes in pieces
 		c.Write([]byte{b})
 	}
-	if got := until(c); !strings.HasPrefix(got, "HTTP/1.1 200") {
+	if got := readUntilClosed(c); !strings.HasPrefix(got, "HTTP/1.1 200") {
 		t.Errorf("in pieces: %q", got)
 	}
 }
@@ -76,17 +76,17 @@
 // Guards against an evacuation that leaves somebody who rests or never asked, cuts off whom it serves, closes the way
 // of call-backs, or cannot be undone.
 func TestEvacuation(t *testing.T) {
-	var w *world
+	var w *harness
 	release := make(chan bool)
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/score/held" {
-			w.news(r.Header.Get("X-Call-Id"), "s-1", `"state":"started"`)
+			w.reportResult(r.Header.Get("X-Call-Id"), "s-1", `"state":"started"`)
 			<-release
 		}
 		rw.WriteHeader(202)
-		go w.news(r.Header.Get("X-Call-Id"), "s-1", `"state":"done","result":"ok","load":{"outstanding":0,"x0":4,"utilization":0}`)
+		go w.reportResult(r.Header.Get("X-Call-Id"), "s-1", `"state":"done","result":"ok","load":{"outstanding":0,"x0":4,"utilization":0}`)
 	})
-	w = begin(t, options{console: true}, u.target("ready", 1))
+	w = startHarness(t, options{console: true}, u.target("ready", 1))
 	ask := func(c net.Conn, path string) {
 		t.Helper()
 		fmt.Fprintf(c, "POST /score/%s HTTP/1.1\r\nX-Call-Id: %s\r\nX-Budget-Ms: 4900\r\n\r\n", path, c.LocalAddr().(*net.TCPAddr).String())
@@ -101,36 +101,36 @@
 	if status, _ := w.operator("PUT", "/api/evacuate", ""); status != 200 {
 		t.Fatalf("evacuate: %d", status)
 	}
-	if got := w.raw("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 503") {
+	if got := w.sendRaw("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 503") {
 		t.Errorf("health while away: %q", got)
 	}
 	for name, c := range map[string]net.Conn{"fresh": fresh, "rested": rested} {
-		if got := until(c); strings.Contains(got, "HTTP/1.1 5") {
+		if got := readUntilClosed(c); strings.Contains(got, "HTTP/1.1 5") {
 			t.Errorf("the %s one was told %q", name, got)
 		}
 	}
 	late := w.dial()
 	ask(late, "b")
-	if got := until(late); !strings.HasPrefix(got, "HTTP/1.1 200") && !strings.HasPrefix(got, "HTTP/1.1 503") || !strings.Contains(got, "Connection: close") {
+	if got := readUntilClosed(late); !strings.HasPrefix(got, "HTTP/1.1 200") && !strings.HasPrefix(got, "HTTP/1.1 503") || !strings.Contains(got, "Connection: close") {
 		t.Errorf("one who comes late: %q", got)
 	}
 	w.eventually("jobs are turned away", func() bool {
 		c := w.dial()
 		ask(c, "c")
-		return strings.HasPrefix(until(c), "HTTP/1.1 503")
+		return strings.HasPrefix(readUntilClosed(c), "HTTP/1.1 503")
 	})
 	close(release) // its call-back comes by the port that clients are sent away from
-	if got := until(working); !strings.HasPrefix(got, "HTTP/1.1 200") || !strings.Contains(got, "Connection: close") {
+	if got := readUntilClosed(working); !strings.HasPrefix(got, "HTTP/1.1 200") || !strings.Contains(got, "Connection: close") {
 		t.Errorf("the one at work: %q", got)
 	}
 	if status, _ := w.operator("PUT", "/api/rejoin", ""); status != 200 {
 		t.Fatalf("rejoin: %d", status)
 	}
-	if got := w.raw("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 200") {
+	if got := w.sendRaw("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 200") {
 		t.Errorf("health once back: %q", got)
 	}
 	w.eventually("it serves again", func() bool {
-		status, _, header := w.ask("score", 4000)
+		status, _, header := w.requestJob("score", 4000)
 		return status == 200 && header.Get("Connection") == ""
 	})
 }
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	w := begin(t, options{inherit: file, listen: l.Addr().String()})
+	w := startHarness(t, options{inherit: file, listen: l.Addr().String()})
 	if err := <-w.terminate(); err != nil {
 		t.Fatalf("exit: %v", err)
 	}
@@ -174,16 +174,16 @@
 // Guards against a member that is used although it was taken out, whatever discovery says, across a reload and a new
 // process; and against one that stays unused once it is called back.
 func TestExclusion(t *testing.T) {
-	var w *world
+	var w *harness
 	var runners []*runner
 	for i := range 2 {
 		uid := fmt.Sprint("s-", i)
-		runners = append(runners, newRunner(t, uid, func(n int, rw http.ResponseWriter, r *http.Request) { w.done(uid, uid)(n, rw, r) }))
+		runners = append(runners, newRunner(t, uid, func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith(uid, uid)(n, rw, r) }))
 	}
 	out, in := runners[0], runners[1]
-	o := options{console: true, tmp: t.TempDir()}
+	o := options{console: true, tempDir: t.TempDir()}
 	both := []string{out.target("ready", 0), in.target("ready", 0)}
-	w = begin(t, o, both...)
+	w = startHarness(t, o, both...)
 	say := func(call, body string, want int) {
 		t.Helper()
 		if got, reason := w.operator("PUT", "/api/"+call, body); got != want || reason == "" {
@@ -201,7 +201,7 @@
 		t.Helper()
 		before := out.jobs()
 		for range 5 {
-			if status, body, _ := w.ask("score", 4000); status != 200 || body != "s-1" {
+			if status, body, _ := w.requestJob("score", 4000); status != 200 || body != "s-1" {
 				t.Errorf("%s: %d %q", when, status, body)
 			}
 		}
@@ -211,7 +211,7 @@
 	}
 	unused("out")
 	for i, line := range []string{out.target("gone", 0), out.target("ready", 0)} {
-		w.tell(fmt.Sprintf(`{"rev":%d,"all":false,"targets":[%s]}`, 10+i, line))
+		w.sendDiscoveryLine(fmt.Sprintf(`{"rev":%d,"all":false,"targets":[%s]}`, 10+i, line))
 		w.eventually("the change", func() bool { return strings.Contains(w.log.String(), fmt.Sprintf(`"rev": %d`, 10+i)) })
 		unused(line)
 	}
@@ -220,25 +220,25 @@
 	w.cmd.Process.Kill()
 	w.cmd.Wait()
 	o.listen = w.addr
-	w = begin(t, o, both...)
+	w = startHarness(t, o, both...)
 	unused("in the next process")
 	say("include", `{"member":"s-0"}`, 200)
 	say("include", `{"member":"s-0"}`, 200)
 	w.eventually("it is used again", func() bool {
-		_, body, _ := w.ask("score", 4000)
+		_, body, _ := w.requestJob("score", 4000)
 		return body == "s-0"
 	})
 }
 
 // Guards against asking a discovery that has no room before it said, or for more than has changed since; what is known
 // is served meanwhile.
-func TestDiscoveryWithoutRoom(t *testing.T) {
-	var w *world
-	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.done("s-1", "ok")(n, rw, r) })
-	w = begin(t, options{}, u.target("ready", 1))
-	w.tell(`{"rev":41,"all":false,"targets":[` + u.target("ready", 1) + `]}`)
+func TestDiscoveryOverloaded(t *testing.T) {
+	var w *harness
+	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith("s-1", "ok")(n, rw, r) })
+	w = startHarness(t, options{}, u.target("ready", 1))
+	w.sendDiscoveryLine(`{"rev":41,"all":false,"targets":[` + u.target("ready", 1) + `]}`)
 	w.eventually("the list", func() bool { return strings.Contains(w.log.String(), `"rev": 41`) })
-	w.refuse.Store(1)
+	w.retryAfter.Store(1)
 	asked := func() int {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -247,10 +247,10 @@
 	w.discovery.CloseClientConnections()
 	w.eventually("it asks", func() bool { return asked() == 2 })
 	began := time.Now()
-	if status, body, _ := w.ask("score", 4000); status != 200 || body != "ok" {
+	if status, body, _ := w.requestJob("score", 4000); status != 200 || body != "ok" {
 		t.Errorf("meanwhile: %d %q", status, body)
 	}
-	w.refuse.Store(0)
+	w.retryAfter.Store(0)
 	w.eventually("it asks again", func() bool { return asked() == 3 })
 	if took := time.Since(began); took < 900*time.Millisecond {
 		t.Errorf("it asked again after %v, was told 1 s", took)
--- a/internal/dispatcher/server/reload_test.go
+++ b/internal/dispatcher/server/reload_test.go
@@ -21,20 +21,20 @@
 // start's environment, or lets go of the list before the new address has spoken. A version of the old address
 // means nothing to the new one. All of it holds when it is repeated, and in a drain.
 func TestReload(t *testing.T) {
-	var w *world
+	var w *harness
 	var runners []*runner
 	for i := range 2 {
 		uid := fmt.Sprint("s-", i)
-		runners = append(runners, newRunner(t, uid, func(n int, rw http.ResponseWriter, r *http.Request) { w.done(uid, uid)(n, rw, r) }))
+		runners = append(runners, newRunner(t, uid, func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith(uid, uid)(n, rw, r) }))
 	}
-	w = begin(t, options{}, runners[0].target("ready", 0))
+	w = startHarness(t, options{}, runners[0].target("ready", 0))
 	served := func(want string) {
 		t.Helper()
-		if status, body, _ := w.ask("score", 4000); status != 200 || body != want {
+		if status, body, _ := w.requestJob("score", 4000); status != 200 || body != want {
 			t.Fatalf("answer %d %q, want %q", status, body, want)
 		}
 	}
-	w.tell(`{"rev":41,"all":false,"targets":[` + runners[0].target("ready", 0) + `]}`)
+	w.sendDiscoveryLine(`{"rev":41,"all":false,"targets":[` + runners[0].target("ready", 0) + `]}`)
 	w.eventually("the old address is heard", func() bool { return strings.Contains(w.log.String(), `"rev": 41`) })
 
 	asked, speak, queries := make(chan bool, 9), make(chan bool), make(chan string, 9)
@@ -99,8 +99,8 @@
 }
 
 // Guards against a reload that passes the Gearman front by, or takes part of a bad operator's file.
-func TestReloadOfTheGearmanFile(t *testing.T) {
-	g := beginGearman(t, options{}, 5)
+func TestReloadGearmanFile(t *testing.T) {
+	g := startGearmanHarness(t, options{}, 5)
 	client := g.dial()
 	submit := func(unique string, want gm.Kind) {
 		t.Helper()
--- a/internal/dispatcher/server/reporting.go
+++ b/internal/dispatcher/server/reporting.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	deltaInterval     = 0.25    // seconds between two messages to the next process of what was counted
-	mostHandoverBytes = 2 << 20 // bytes of periods that are handed over where no disk holds them
-	finalDeliveryTime = 0.5     // seconds that receivers have for the last period
-	closeTime         = 2 * time.Second
+	deltaInterval        = 0.25    // seconds between two messages to the next process of what was counted
+	maxHandoverBytes     = 2 << 20 // bytes of periods that are handed over where no disk holds them
+	finalDeliverySeconds = 0.5     // seconds that receivers have for the last period
+	closeTimeout         = 2 * time.Second
 )
 
 // reporting is the figures and the request log of a dispatcher, and their way through reloads and upgrades. A nil *reporting
 // keeps none: every method takes that.
 type reporting struct {
-	p     *Server
-	set   *telemetry.Set
-	feed  *exporter.Exporter
-	log   *requestlog.Log
-	spool *spool.Spool
-	file  *operatorconfig.Config
+	server     *Server
+	metrics    *telemetry.Set
+	feed       *exporter.Exporter
+	requestLog *requestlog.Log
+	spool      *spool.Spool
+	file       *operatorconfig.Config
 
 	outputs      map[string]exporter.Output // by what the file says of them
 	awaitsTotals bool                       // the process before this one owes its totals
@@ -43,25 +43,25 @@
 }
 
 // newReporting opens the outputs and the request log; nil where the operator wants none.
-func newReporting(p *Server) (*reporting, error) {
-	f := p.config.Operator
-	if len(f.Graphite)+len(f.Collectd) == 0 && f.Telemetry.SpoolDir == "" && f.RequestLog == nil {
+func newReporting(s *Server) (*reporting, error) {
+	operator := s.config.Operator
+	if len(operator.Graphite)+len(operator.Collectd) == 0 && operator.Telemetry.SpoolDir == "" && operator.RequestLog == nil {
 		return nil, nil
 	}
-	r := &reporting{p: p, file: f, outputs: map[string]exporter.Output{}}
-	r.set = telemetry.New(telemetry.Options{Settings: p.config.brain, Classes: p.config.classes(), Zones: p.config.names.FailureDomains,
-		Kinds: p.config.names.Kinds, MaxNodes: *f.Telemetry.NodeSeries, WorkerStatus: p.core.WorkerStatus, Now: p.loop.Now,
-		Log: func(line string) { p.log.Info("telemetry: " + line) }})
-	r.feed = exporter.New(p.loop, p.log, r.set, exporter.Options{DispatcherName: p.config.Name, Interval: f.Telemetry.IntervalSeconds, BufferBytes: f.Telemetry.MemoryBytes})
-	next, err := r.prepare(f)
+	r := &reporting{server: s, file: operator, outputs: map[string]exporter.Output{}}
+	r.metrics = telemetry.New(telemetry.Options{Settings: s.config.balancerSettings, Classes: s.config.classNames(), Zones: s.config.dispatcherSettings.FailureDomains,
+		Kinds: s.config.dispatcherSettings.Kinds, MaxNodes: *operator.Telemetry.NodeSeries, WorkerStatus: s.dispatcher.WorkerStatus, Now: s.loop.Now,
+		Log: func(line string) { s.log.Info("telemetry: " + line) }})
+	r.feed = exporter.New(s.loop, s.log, r.metrics, exporter.Options{DispatcherName: s.config.Name, Interval: operator.Telemetry.IntervalSeconds, BufferBytes: operator.Telemetry.MemoryBytes})
+	next, err := r.prepareReload(operator)
 	if err != nil {
 		return nil, err
 	}
 	r.install(next)
-	addFigures(p, r.set)
-	addReportingFigures(p, r.set)
-	p.core.Observer = r
-	r.flushLog()
+	addMetrics(s, r.metrics)
+	addReportingMetrics(s, r.metrics)
+	s.dispatcher.Observer = r
+	r.scheduleLogFlush()
 	return r, nil
 }
 
@@ -72,46 +72,46 @@
 
 // ObserveAnswer implements dispatch.Observer, and so do the next ones.
 func (r *reporting) ObserveAnswer(f *dispatch.AnswerRecord) {
-	r.set.ObserveAnswer(f)
-	if r.log != nil {
-		r.log.LogAnswer(f)
+	r.metrics.ObserveAnswer(f)
+	if r.requestLog != nil {
+		r.requestLog.LogAnswer(f)
 	}
 }
 
 // ObserveAttempt implements dispatch.Observer.
-func (r *reporting) ObserveAttempt(t *dispatch.AttemptRecord) { r.set.ObserveAttempt(t) }
+func (r *reporting) ObserveAttempt(t *dispatch.AttemptRecord) { r.metrics.ObserveAttempt(t) }
 
 // ObserveMembers implements dispatch.Observer.
 func (r *reporting) ObserveMembers(kind loadbalancer.ListKind, members []dispatch.Member) {
-	r.set.ObserveMembers(kind, members)
+	r.metrics.ObserveMembers(kind, members)
 }
 
 // ObserveLoadReport implements dispatch.Observer.
 func (r *reporting) ObserveLoadReport(worker loadbalancer.WorkerID, at float64, report []float32, probed bool) {
-	r.set.ObserveLoadReport(worker, at, report, probed)
+	r.metrics.ObserveLoadReport(worker, at, report, probed)
 }
 
 // ObserveDrain implements dispatch.Observer.
 func (r *reporting) ObserveDrain(worker loadbalancer.WorkerID, margin float64) {
-	r.set.ObserveDrain(worker, margin)
+	r.metrics.ObserveDrain(worker, margin)
 }
 
-func (r *reporting) flushLog() {
-	r.p.loop.At(r.p.loop.Now()+requestlog.FlushIntervalSeconds, func() {
-		if r.log != nil {
-			r.log.Flush()
+func (r *reporting) scheduleLogFlush() {
+	r.server.loop.At(r.server.loop.Now()+requestlog.FlushIntervalSeconds, func() {
+		if r.requestLog != nil {
+			r.requestLog.Flush()
 		}
-		r.flushLog()
+		r.scheduleLogFlush()
 	})
 }
 
-// report logs what a goroutine of its own has met.
-func (r *reporting) report(what string) func(error) {
-	return func(err error) { r.p.log.Warn("telemetry: "+what, zap.Error(err)) }
+// logError logs what a goroutine of its own has met.
+func (r *reporting) logError(what string) func(error) {
+	return func(err error) { r.server.log.Warn("telemetry: "+what, zap.Error(err)) }
 }
 
-// begin starts to close periods, from where earlier lives have ended.
-func (r *reporting) begin() {
+// start starts to close periods, from where earlier lives have ended.
+func (r *reporting) start() {
 	if !r.delivers() {
 		return
 	}
@@ -119,23 +119,23 @@
 		r.feed.Start()
 		return
 	}
-	r.open(func(found *spool.Recovered) { r.feed.Restore(found) })
+	r.openSpool(func(found *spool.Recovered) { r.feed.Restore(found) })
 }
 
-// open opens the spool, off the loop, and has what it holds taken before the feed starts. One that cannot be used is told,
+// openSpool opens the spool, off the loop, and has what it holds taken before the feed starts. One that cannot be used is told,
 // and costs what it is for alone.
-func (r *reporting) open(take func(*spool.Recovered)) {
-	t := r.file.Telemetry
+func (r *reporting) openSpool(take func(*spool.Recovered)) {
+	settings := r.file.Telemetry
 	go func() {
-		s, found, err := spool.Open(t.SpoolDir, filepath.Base(r.p.config.Name+"-"+r.p.config.Listen), t.SpoolBytes, r.report("spool"))
-		r.p.loop.Post(func() {
+		opened, found, err := spool.Open(settings.SpoolDir, filepath.Base(r.server.config.Name+"-"+r.server.config.Listen), settings.SpoolBytes, r.logError("spool"))
+		r.server.loop.Post(func() {
 			if err != nil {
-				r.p.log.Error("telemetry: no spool, totals do not outlive this process", zap.Error(err))
+				r.server.log.Error("telemetry: no spool, totals do not outlive this process", zap.Error(err))
 				found = &spool.Recovered{}
 			} else {
-				r.p.log.Info("telemetry: spool", zap.Int("periods", len(found.Periods)), zap.Int("torn_files", found.TornFiles), zap.Int("strange_files", found.UnknownFiles))
-				r.spool = s
-				r.feed.SetSpool(s)
+				r.server.log.Info("telemetry: spool", zap.Int("periods", len(found.Periods)), zap.Int("torn_files", found.TornFiles), zap.Int("strange_files", found.UnknownFiles))
+				r.spool = opened
+				r.feed.SetSpool(opened)
 			}
 			take(found)
 			r.feed.Start()
@@ -148,9 +148,9 @@
 	if r == nil || !r.feed.Running() {
 		return true
 	}
-	now := r.p.loop.Now()
+	now := r.server.loop.Now()
 	if r.deliverUntil == 0 {
-		r.deliverUntil = now + finalDeliveryTime
+		r.deliverUntil = now + finalDeliverySeconds
 		r.feed.ClosePeriodNow()
 	}
 	return now >= r.deliverUntil || r.feed.AllDelivered()
@@ -163,8 +163,8 @@
 	}
 	done := make(chan struct{})
 	go func() {
-		if r.log != nil {
-			r.log.Close()
+		if r.requestLog != nil {
+			r.requestLog.Close()
 		}
 		if r.spool != nil {
 			r.spool.Close()
@@ -173,7 +173,7 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(closeTime):
-		r.p.log.Error("telemetry: the disk hangs, not waited for")
+	case <-time.After(closeTimeout):
+		r.server.log.Error("telemetry: the disk hangs, not waited for")
 	}
 }
--- a/internal/dispatcher/server/reporting_handover.go
+++ b/internal/dispatcher/server/reporting_handover.go
@@ -12,15 +12,15 @@
 	"cinderroad/internal/dispatcher/telemetry"
 )
 
-// figuresMessage is what one process tells the next of what it has counted, as JSON.
-type figuresMessage struct {
-	All     bool                       `json:"all"` // the first message: totals, and what goes with them; else what was counted since the last
-	Counts  map[string]float64         `json:"counts"`
-	Spans   telemetry.Latencies        `json:"spans,omitempty"`
-	Held    []telemetry.SlotAssignment `json:"held,omitempty"`
-	Last    int64                      `json:"last,omitempty"` // stamp of the last period
-	Series  []telemetry.Series         `json:"series,omitempty"`
-	Periods []undeliveredPeriod        `json:"periods,omitempty"`
+// metricsMessage is what one process tells the next of what it has counted, as JSON.
+type metricsMessage struct {
+	Complete bool                       `json:"all"` // the first message: totals, and what goes with them; else what was counted since the last
+	Counts   map[string]float64         `json:"counts"`
+	Spans    telemetry.Latencies        `json:"spans,omitempty"`
+	Held     []telemetry.SlotAssignment `json:"held,omitempty"`
+	Last     int64                      `json:"last,omitempty"` // stamp of the last period
+	Series   []telemetry.Series         `json:"series,omitempty"`
+	Periods  []undeliveredPeriod        `json:"periods,omitempty"`
 }
 
 // undeliveredPeriod is a period that some receiver has not got.
@@ -30,23 +30,23 @@
 	Body  []byte  `json:"body"`
 }
 
-// handOver makes the next process the one writer: it gets the totals, and from then on what is counted here.
-func (r *reporting) handOver(l *handover.Link) {
+// handOverTo makes the next process the one writer: it gets the totals, and from then on what is counted here.
+func (r *reporting) handOverTo(successor *handover.Link) {
 	if !r.delivers() {
 		return
 	}
 	r.feed.Stop()
-	r.successor, r.totalsSent = l, false
-	s := r.spool
+	r.successor, r.totalsSent = successor, false
+	closing := r.spool
 	r.spool = nil
 	r.feed.SetSpool(nil)
 	go func() {
-		if s != nil {
-			s.Close()
+		if closing != nil {
+			closing.Close()
 		}
-		r.p.loop.Post(func() {
-			if r.successor == l {
-				r.sendTotals(s != nil)
+		r.server.loop.Post(func() {
+			if r.successor == successor {
+				r.sendTotals(closing != nil)
 			}
 		})
 	}()
@@ -54,29 +54,29 @@
 
 // sendTotals sends the totals, and the periods that no disk holds, to the next process.
 func (r *reporting) sendTotals(onDisk bool) {
-	t := figuresMessage{All: true, Counts: r.set.Totals(), Held: r.set.SlotAssignments(), Last: r.feed.LastTimestamp()}
-	_, t.Spans = r.set.TakeDelta()
+	message := metricsMessage{Complete: true, Counts: r.metrics.Totals(), Held: r.metrics.SlotAssignments(), Last: r.feed.LastTimestamp()}
+	_, message.Spans = r.metrics.TakeDelta()
 	if !onDisk {
-		t.Series = r.set.Table().From(0)
+		message.Series = r.metrics.Table().From(0)
 		periods, size := r.feed.Ring().Periods(), 0
 		first := len(periods)
 		for ; first > 0; first-- {
-			if size += len(periods[first-1].EncodedValues); size > mostHandoverBytes || periods[first-1].Table != r.set.Table() {
+			if size += len(periods[first-1].EncodedValues); size > maxHandoverBytes || periods[first-1].Table != r.metrics.Table() {
 				break
 			}
 		}
-		for _, p := range periods[first:] {
-			t.Periods = append(t.Periods, undeliveredPeriod{p.Timestamp, p.Interval, p.EncodedValues})
+		for _, period := range periods[first:] {
+			message.Periods = append(message.Periods, undeliveredPeriod{period.Timestamp, period.Interval, period.EncodedValues})
 		}
 	}
-	r.send(t)
+	r.send(message)
 	r.totalsSent = true
 	r.sendDelta()
 }
 
-func (r *reporting) send(t figuresMessage) {
-	if err := r.successor.Send(handover.Metrics, t); err != nil {
-		r.p.log.Error("telemetry: totals not handed on", zap.Error(err))
+func (r *reporting) send(message metricsMessage) {
+	if err := r.successor.Send(handover.Metrics, message); err != nil {
+		r.server.log.Error("telemetry: totals not handed on", zap.Error(err))
 	}
 }
 
@@ -85,10 +85,10 @@
 	if r.deltaTimer.Stop(); r.successor == nil || !r.totalsSent {
 		return
 	}
-	if counts, spans := r.set.TakeDelta(); len(counts) > 0 || len(spans) > 0 {
-		r.send(figuresMessage{Counts: counts, Spans: spans})
+	if counts, spans := r.metrics.TakeDelta(); len(counts) > 0 || len(spans) > 0 {
+		r.send(metricsMessage{Counts: counts, Spans: spans})
 	}
-	r.deltaTimer = r.p.loop.At(r.p.loop.Now()+deltaInterval, r.sendDelta)
+	r.deltaTimer = r.server.loop.At(r.server.loop.Now()+deltaInterval, r.sendDelta)
 }
 
 // handedOver sends the last of it before this process ends; true once it is sent.
@@ -113,16 +113,16 @@
 		r.feed.Start()
 		return
 	}
-	r.open(func(*spool.Recovered) {})
+	r.openSpool(func(*spool.Recovered) {})
 }
 
 // awaitPredecessor waits for the totals of the process before this one, if it has any.
-func (r *reporting) awaitPredecessor(figures bool) {
+func (r *reporting) awaitPredecessor(sendsTotals bool) {
 	if r == nil {
 		return
 	}
-	if r.awaitsTotals = figures && r.delivers(); !r.awaitsTotals {
-		r.begin()
+	if r.awaitsTotals = sendsTotals && r.delivers(); !r.awaitsTotals {
+		r.start()
 	}
 }
 
@@ -130,44 +130,44 @@
 func (r *reporting) predecessorLost() {
 	if r != nil && r.awaitsTotals {
 		r.awaitsTotals = false
-		r.begin()
+		r.start()
 	}
 }
 
-// receive takes what the process before this one tells.
-func (r *reporting) receive(body []byte) error {
-	var t figuresMessage
-	if err := json.Unmarshal(body, &t); err != nil {
+// receiveMetrics takes what the process before this one tells.
+func (r *reporting) receiveMetrics(body []byte) error {
+	var message metricsMessage
+	if err := json.Unmarshal(body, &message); err != nil {
 		return fmt.Errorf("program: figures: %w", err)
 	}
 	if !r.delivers() {
 		return errors.New("program: figures that nobody wants")
 	}
-	if t.All != r.awaitsTotals {
+	if message.Complete != r.awaitsTotals {
 		return errors.New("program: figures out of turn")
 	}
-	r.set.AddTotals(t.Counts)
-	r.set.MergeLatencies(t.Spans)
-	if !t.All {
+	r.metrics.AddTotals(message.Counts)
+	r.metrics.MergeLatencies(message.Spans)
+	if !message.Complete {
 		return nil
 	}
 	r.awaitsTotals = false
-	r.set.RestoreSlots(t.Held)
+	r.metrics.RestoreSlots(message.Held)
 	start := func(found *spool.Recovered) {
 		table := &telemetry.SeriesTable{}
-		table.Append(t.Series...)
-		for _, h := range t.Periods {
+		table.Append(message.Series...)
+		for _, h := range message.Periods {
 			found.Periods = append(found.Periods, &telemetry.Period{Timestamp: h.Stamp, Interval: h.Every, Table: table, EncodedValues: h.Body})
 		}
 		found.Totals = nil // they are in what was told, and some more
 		r.feed.Restore(found)
-		r.feed.AdvanceTimestamp(t.Last)
+		r.feed.AdvanceTimestamp(message.Last)
 	}
 	if r.file.Telemetry.SpoolDir == "" {
 		start(&spool.Recovered{})
 		r.feed.Start()
 		return nil
 	}
-	r.open(start)
+	r.openSpool(start)
 	return nil
 }
--- a/internal/dispatcher/server/reporting_reload.go
+++ b/internal/dispatcher/server/reporting_reload.go
@@ -9,27 +9,27 @@
 	"cinderroad/internal/dispatcher/requestlog"
 )
 
-// reportingChange is what a reload would change.
-type reportingChange struct {
+// reportingReload is what a reload would change.
+type reportingReload struct {
 	file    *operatorconfig.Config
 	outputs map[string]exporter.Output
 	log     *requestlog.Log // nil: as before, or none
 }
 
-// prepare opens what an operator's file names and is not open yet; nothing changes before take.
-func (r *reporting) prepare(f *operatorconfig.Config) (*reportingChange, error) {
+// prepareReload opens what an operator's file names and is not open yet; nothing changes before take.
+func (r *reporting) prepareReload(file *operatorconfig.Config) (*reportingReload, error) {
 	if r == nil {
-		return &reportingChange{file: f}, nil
+		return &reportingReload{file: file}, nil
 	}
-	change := &reportingChange{file: f, outputs: map[string]exporter.Output{}}
-	for key, make := range outputsOf(f) {
+	change := &reportingReload{file: file, outputs: map[string]exporter.Output{}}
+	for key, make := range outputBuilders(file) {
 		if change.outputs[key] = r.outputs[key]; change.outputs[key] == nil {
 			change.outputs[key] = make()
 		}
 	}
-	if l := f.RequestLog; l != nil && (r.log == nil || !sameLog(l, r.file.RequestLog)) {
-		log, err := requestlog.Open(requestlog.Options{Path: l.Path, MaxBytes: l.MaxBytes, KeepFiles: *l.KeepFiles, DispatcherName: r.p.config.Name, Incarnation: auditlog.GenerationName(r.p.started),
-			Classes: r.p.config.classes(), NodeSlot: r.set.NodeSlot, Report: r.report("request log")})
+	if l := file.RequestLog; l != nil && (r.requestLog == nil || !sameRequestLog(l, r.file.RequestLog)) {
+		log, err := requestlog.Open(requestlog.Options{Path: l.Path, MaxBytes: l.MaxBytes, KeepFiles: *l.KeepFiles, DispatcherName: r.server.config.Name, Incarnation: auditlog.GenerationName(r.server.startedAt),
+			Classes: r.server.config.classNames(), NodeSlot: r.metrics.NodeSlot, Report: r.logError("request log")})
 		if err != nil {
 			return nil, fmt.Errorf("operator's file: request_log.path: %w", err)
 		}
@@ -38,20 +38,20 @@
 	return change, nil
 }
 
-func sameLog(x, y *operatorconfig.RequestLog) bool {
+func sameRequestLog(x, y *operatorconfig.RequestLog) bool {
 	return x != nil && y != nil && x.Path == y.Path && x.MaxBytes == y.MaxBytes && *x.KeepFiles == *y.KeepFiles
 }
 
-// outputsOf are the outputs that a file names, by all that is said of each.
-func outputsOf(f *operatorconfig.Config) map[string]func() exporter.Output {
+// outputBuilders are the outputs that a file names, by all that is said of each.
+func outputBuilders(file *operatorconfig.Config) map[string]func() exporter.Output {
 	all := map[string]func() exporter.Output{}
-	for _, g := range f.Graphite {
+	for _, g := range file.Graphite {
 		all[fmt.Sprintf("graphite %+v", g)] = func() exporter.Output {
 			return exporter.NewGraphite(exporter.GraphiteOptions{Address: g.ParsedAddress, Prefix: g.Prefix, Pickle: g.Protocol == "pickle",
 				ConfirmByClose: g.Confirm == "close", Timeout: g.TimeoutSeconds})
 		}
 	}
-	for _, c := range f.Collectd {
+	for _, c := range file.Collectd {
 		all[fmt.Sprintf("collectd %+v", c)] = func() exporter.Output {
 			if c.Socket != "" {
 				return exporter.NewCollectd(c.Socket, c.TimeoutSeconds)
@@ -65,7 +65,7 @@
 
 // install puts outputs and log in force. A receiver that is new gets what one that has gone had not got, if there is one of
 // its kind: it has moved.
-func (r *reporting) install(change *reportingChange) {
+func (r *reporting) install(change *reportingReload) {
 	for key, o := range change.outputs {
 		if r.outputs[key] != nil {
 			continue
@@ -91,24 +91,24 @@
 	r.outputs = change.outputs
 	switch {
 	case change.log != nil:
-		r.drop(r.log)
-		r.log = change.log
+		r.closeLog(r.requestLog)
+		r.requestLog = change.log
 	case change.file.RequestLog == nil:
-		r.drop(r.log)
-		r.log = nil
+		r.closeLog(r.requestLog)
+		r.requestLog = nil
 	}
 	r.file = change.file
 }
 
-// drop closes a log off the loop.
-func (r *reporting) drop(l *requestlog.Log) {
+// closeLog closes a log off the loop.
+func (r *reporting) closeLog(l *requestlog.Log) {
 	if l != nil {
 		go l.Close()
 	}
 }
 
-// take puts a reload in force and names what needs a restart.
-func (r *reporting) take(change *reportingChange) (restart []string) {
+// applyReload puts a reload in force and names what needs a restart.
+func (r *reporting) applyReload(change *reportingReload) (restart []string) {
 	if r == nil {
 		if change.file.RequestLog != nil || len(change.file.Graphite)+len(change.file.Collectd) > 0 {
 			restart = append(restart, "operator's file: there was none of it at the start")
--- a/internal/dispatcher/server/reporting_test.go
+++ b/internal/dispatcher/server/reporting_test.go
@@ -22,8 +22,8 @@
 	"cinderroad/internal/testkit/receivers"
 )
 
-// staff is what operators have beside the dispatchers: a carbon, a collectd, and a folder for each dispatcher.
-type staff struct {
+// telemetryHarness is what operators have beside the dispatchers: a carbon, a collectd, and a folder for each dispatcher.
+type telemetryHarness struct {
 	t        *testing.T
 	carbon   *receivers.Carbon
 	pickle   bool // its form
@@ -31,8 +31,8 @@
 	dir      string
 }
 
-func newStaff(t *testing.T, pickle bool) *staff {
-	s := &staff{t: t, dir: t.TempDir(), pickle: pickle}
+func newTelemetryHarness(t *testing.T, pickle bool) *telemetryHarness {
+	s := &telemetryHarness{t: t, dir: t.TempDir(), pickle: pickle}
 	var err error
 	if s.carbon, err = receivers.NewCarbon("127.0.0.1:0", pickle); err != nil {
 		t.Fatal(err)
@@ -45,26 +45,26 @@
 }
 
 // file writes a dispatcher's operator's file.
-func (s *staff) file(name string) (path string) {
-	path = filepath.Join(s.dir, name+".toml")
-	spool := filepath.Join(s.dir, name+".spool")
+func (h *telemetryHarness) file(name string) (path string) {
+	path = filepath.Join(h.dir, name+".toml")
+	spool := filepath.Join(h.dir, name+".spool")
 	if err := os.MkdirAll(spool, 0o700); err != nil {
-		s.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	form := map[bool]string{true: "pickle", false: "plaintext"}[s.pickle]
+	form := map[bool]string{true: "pickle", false: "plaintext"}[h.pickle]
 	text := fmt.Sprintf("[graphite]\naddress = %q\nform = %q\npatience_s = 1\n[collectd]\nsocket = %q\npatience_s = 1\n[telemetry]\nspool_dir = %q\nmemory_bytes = 4194304\n[request_log]\npath = %q\n",
-		s.carbon.Addr(), form, s.collectd.Addr(), spool, s.log(name))
+		h.carbon.Addr(), form, h.collectd.Addr(), spool, h.log(name))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		s.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return path
 }
 
-func (s *staff) log(name string) string { return filepath.Join(s.dir, name+".log") }
+func (h *telemetryHarness) log(name string) string { return filepath.Join(h.dir, name+".log") }
 
 // args are the command line's; periods are short, so that many end in a story.
-func (s *staff) args(name string) []string {
-	return []string{"-operator", s.file(name), "-metrics-every", "0.2"}
+func (h *telemetryHarness) args(name string) []string {
+	return []string{"-operator", h.file(name), "-metrics-every", "0.2"}
 }
 
 // answers are the totals of a receiver over dispatchers, classes and verdicts.
@@ -75,10 +75,10 @@
 }
 
 // audit runs the command over logs and what a receiver has got.
-func (s *staff) audit(store *receivers.Store, logs ...string) (out string, err error) {
-	received := filepath.Join(s.dir, "received")
+func (h *telemetryHarness) audit(store *receivers.Store, logs ...string) (out string, err error) {
+	received := filepath.Join(h.dir, "received")
 	if err := store.WriteLines(received); err != nil {
-		s.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	args := []string{"audit", "--received", received}
 	for _, l := range logs {
@@ -88,38 +88,38 @@
 	return string(text), err
 }
 
-func (s *staff) lines(name string) (lines []requestlog.Line) {
-	text, err := os.ReadFile(s.log(name))
+func (h *telemetryHarness) lines(name string) (lines []requestlog.Line) {
+	text, err := os.ReadFile(h.log(name))
 	if err != nil {
-		s.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	if err := requestlog.Read(bytes.NewReader(text), func(l requestlog.Line) { lines = append(lines, l) }, func(n int, err error) { s.t.Error(n, err) }); err != nil {
-		s.t.Fatal(err)
+	if err := requestlog.Read(bytes.NewReader(text), func(l requestlog.Line) { lines = append(lines, l) }, func(n int, err error) { h.t.Error(n, err) }); err != nil {
+		h.t.Fatal(err)
 	}
 	return lines
 }
 
-// crew are runners that know under which names they are or were listed; what they tell under an older one is stray.
-type crew struct {
-	w       *world
-	runners []*runner
-	mu      sync.Mutex
-	names   [][]string
-	rev     int
-	talk    *http.Client
+// workerGroup are runners that know under which names they are or were listed; what they tell under an older one is stray.
+type workerGroup struct {
+	harness  *harness
+	runners  []*runner
+	mu       sync.Mutex
+	names    [][]string
+	revision int
+	client   *http.Client
 }
 
-func newCrew(t *testing.T, n int, name string) *crew {
-	c := &crew{rev: 1, talk: &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+func newWorkerGroup(t *testing.T, n int, name string) *workerGroup {
+	g := &workerGroup{revision: 1, client: &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	for i := range n {
-		c.names = append(c.names, []string{fmt.Sprintf("%s-%d", name, i)})
-		c.runners = append(c.runners, newRunner(t, c.names[i][0], func(_ int, rw http.ResponseWriter, r *http.Request) {
+		g.names = append(g.names, []string{fmt.Sprintf("%s-%d", name, i)})
+		g.runners = append(g.runners, newRunner(t, g.names[i][0], func(_ int, rw http.ResponseWriter, r *http.Request) {
 			id := r.Header.Get("X-Call-Id")
 			rw.WriteHeader(202)
 			rw.(http.Flusher).Flush()
-			c.mu.Lock()
-			names := slices.Clone(c.names[i])
-			c.mu.Unlock()
+			g.mu.Lock()
+			names := slices.Clone(g.names[i])
+			g.mu.Unlock()
 			news := `"state":"done","result":"ok"`
 			if strings.HasSuffix(id, "7") && r.Header.Get("X-Call-Class") == "once" {
 				news = `"state":"failed"`
@@ -129,7 +129,7 @@
 					var r *http.Response
 					var err error
 					for range 3 { // a process that ends closes connections, and what was not answered is told again
-						if r, err = c.talk.Post("http://"+c.w.addr+"/_jobs/news", "application/json", strings.NewReader(fmt.Sprintf(`{"id":%q,"from":%q,%s}`, id, uid, news))); err == nil {
+						if r, err = g.client.Post("http://"+g.harness.addr+"/_jobs/news", "application/json", strings.NewReader(fmt.Sprintf(`{"id":%q,"from":%q,%s}`, id, uid, news))); err == nil {
 							break
 						}
 					}
@@ -142,36 +142,36 @@
 			}()
 		}))
 	}
-	return c
+	return g
 }
 
-func (c *crew) targets() (targets []string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for i, u := range c.runners {
-		u.uid = c.names[i][len(c.names[i])-1]
+func (g *workerGroup) targets() (targets []string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for i, u := range g.runners {
+		u.uid = g.names[i][len(g.names[i])-1]
 		targets = append(targets, u.target("ready", i))
 	}
 	return targets
 }
 
-// rename gives half the runners new names, and lists them.
-func (c *crew) rename() {
-	c.mu.Lock()
-	c.rev++
-	for i := range c.runners {
-		if i%2 == c.rev%2 {
-			c.names[i] = append(c.names[i], fmt.Sprintf("%s-renamed-%d", c.names[i][0], c.rev))
+// replaceWorkers gives half the runners new names, and lists them.
+func (g *workerGroup) replaceWorkers() {
+	g.mu.Lock()
+	g.revision++
+	for i := range g.runners {
+		if i%2 == g.revision%2 {
+			g.names[i] = append(g.names[i], fmt.Sprintf("%s-renamed-%d", g.names[i][0], g.revision))
 		}
 	}
-	c.mu.Unlock()
-	c.w.tell(fmt.Sprintf(`{"rev":%d,"all":true,"targets":[%s]}`, c.rev, strings.Join(c.targets(), ",")))
+	g.mu.Unlock()
+	g.harness.sendDiscoveryLine(fmt.Sprintf(`{"rev":%d,"all":true,"targets":[%s]}`, g.revision, strings.Join(g.targets(), ",")))
 }
 
-// ask hands in jobs, some at a time, and counts the answers by status.
-func (c *crew) ask(jobs, together int, tally *[600]atomic.Int64) {
-	each(jobs, together, func(n int64) {
-		status, _, _ := c.w.ask([]string{"score", "charge", "once"}[n%3], 4000)
+// requestJobs hands in jobs, some at a time, and counts the answers by status.
+func (g *workerGroup) requestJobs(jobs, together int, tally *[600]atomic.Int64) {
+	runConcurrently(jobs, together, func(n int64) {
+		status, _, _ := g.harness.requestJob([]string{"score", "charge", "once"}[n%3], 4000)
 		tally[status].Add(1)
 	})
 }
@@ -187,16 +187,16 @@
 	return strings.Join(list, ", ")
 }
 
-// each does something so often, some at a time, with numbers that count down to 0.
-func each(times, together int, do func(n int64)) {
+// runConcurrently does something so often, some at a time, with numbers that count down to 0.
+func runConcurrently(times, together int, do func(n int64)) {
 	var wg sync.WaitGroup
-	left := atomic.Int64{}
-	left.Store(int64(times))
+	remaining := atomic.Int64{}
+	remaining.Store(int64(times))
 	for range together {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for n := left.Add(-1); n >= 0; n = left.Add(-1) {
+			for n := remaining.Add(-1); n >= 0; n = remaining.Add(-1) {
 				do(n)
 			}
 		}()
@@ -207,22 +207,22 @@
 // 20,000 jobs through three dispatchers and both fronts, with one receiver away and the other silent in the midst, half of
 // the list renamed twice and one dispatcher upgraded: what the receivers have equals the request logs, answer for answer,
 // and equals what the clients got; every period of the outage is there; and names have not multiplied.
-func TestTheBooksAgree(t *testing.T) {
-	s := newStaff(t, false)
+func TestMetricsAndLogsAgree(t *testing.T) {
+	s := newTelemetryHarness(t, false)
 	client := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
-	o := options{tmp: t.TempDir(), args: s.args("n0"), cold: 0.001}
-	o.listen, o.inherit = held(t)
-	var crews []*crew
+	o := options{tempDir: t.TempDir(), args: s.args("n0"), cold: 0.001}
+	o.listen, o.inherit = inheritedListener(t)
+	var crews []*workerGroup
 	for i, o := range []options{o, {name: "n1", args: s.args("n1"), cold: 0.001}} {
-		c := newCrew(t, 4, fmt.Sprint("runner-", i))
-		c.w = begin(t, o, c.targets()...)
-		c.w.client = client
+		c := newWorkerGroup(t, 4, fmt.Sprint("runner-", i))
+		c.harness = startHarness(t, o, c.targets()...)
+		c.harness.client = client
 		crews = append(crews, c)
 	}
-	g := beginGearman(t, options{name: "n2", args: s.args("n2"), cold: 0.001}, 5)
+	g := startGearmanHarness(t, options{name: "n2", args: s.args("n2"), cold: 0.001}, 5)
 	for range 4 {
 		worker := g.dial()
-		worker.work(gm.GrabJobUniq, worker.echo, "safe", "once")
+		worker.serveJobs(gm.GrabJobUniq, worker.echo, "safe", "once")
 	}
 	g.eventually("the workers", func() bool { return strings.Contains(g.admin("status", ".\n"), "safe\t0\t0\t4") })
 
@@ -232,7 +232,7 @@
 		var wg sync.WaitGroup
 		for _, c := range crews {
 			wg.Add(1)
-			go func() { defer wg.Done(); c.ask(8000/n, 6, &tally) }()
+			go func() { defer wg.Done(); c.requestJobs(8000/n, 6, &tally) }()
 		}
 		for range 4 {
 			wg.Add(1)
@@ -257,23 +257,23 @@
 	s.collectd.SetStalled(true)
 	parts(5)
 	for _, c := range crews {
-		c.rename()
+		c.replaceWorkers()
 	}
-	old := crews[0].w
+	old := crews[0].harness
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() { defer wg.Done(); parts(5) }()
-	next := old.next(o)
+	next := old.startSuccessor(o)
 	old.eventually("the old one leaves", func() bool { return strings.Contains(old.log.String(), "takes the clients") })
 	exit := old.terminate()
 	wg.Wait()
 	for _, c := range crews {
-		c.rename()
+		c.replaceWorkers()
 	}
 	s.collectd.SetStalled(false)
 	parts(5)
 	for i, c := range crews { // clients that leave
-		conn, err := net.Dial("tcp", c.w.addr)
+		conn, err := net.Dial("tcp", c.harness.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -346,13 +346,13 @@
 }
 
 // agree compares the logs with what the clients got.
-func (s *staff) agree(tally *[600]atomic.Int64, gone int64) {
+func (h *telemetryHarness) agree(tally *[600]atomic.Int64, gone int64) {
 	count := map[string]int64{}
 	ids := map[string]bool{}
 	for _, name := range []string{"n0", "n1", "n2"} {
-		for _, l := range s.lines(name) {
+		for _, l := range h.lines(name) {
 			if key := l.Dispatcher + " " + l.ID; ids[key] {
-				s.t.Errorf("two final answers of %s", key)
+				h.t.Errorf("two final answers of %s", key)
 			} else {
 				ids[key] = true
 			}
@@ -365,40 +365,40 @@
 		"served":  {tally[200].Load(), count["in_time"] + count["late"] - (gone - count["gone"])}, // one that left may have been served first
 		"refused": {tally[503].Load(), count["refused"]}, "failed": {tally[500].Load(), count["failed"]}} {
 		if pair[0] != pair[1] {
-			s.t.Errorf("%s: clients got %d, the logs have %d", what, pair[0], pair[1])
+			h.t.Errorf("%s: clients got %d, the logs have %d", what, pair[0], pair[1])
 		}
 	}
 	if count["failed"] == 0 {
-		s.t.Error("no job failed: the story is not what it says")
+		h.t.Error("no job failed: the story is not what it says")
 	}
 }
 
 // A restart goes on with the totals, a SIGKILL loses the open period alone, and the request log says what that was.
-func TestTotalsOutliveTheProcess(t *testing.T) {
-	s := newStaff(t, false)
-	c := newCrew(t, 2, "r")
-	o := options{args: []string{"-operator", s.file("n0"), "-metrics-every", "0.2"}, cold: 0.001, tmp: t.TempDir()}
-	c.w = begin(t, o, c.targets()...)
+func TestTotalsSurviveRestart(t *testing.T) {
+	s := newTelemetryHarness(t, false)
+	c := newWorkerGroup(t, 2, "r")
+	o := options{args: []string{"-operator", s.file("n0"), "-metrics-every", "0.2"}, cold: 0.001, tempDir: t.TempDir()}
+	c.harness = startHarness(t, o, c.targets()...)
 	var tally [600]atomic.Int64
-	c.ask(50, 4, &tally)
-	c.w.eventually("50 answers", func() bool { return answers(&s.carbon.Store) == 50 })
-	if err := <-c.w.terminate(); err != nil {
+	c.requestJobs(50, 4, &tally)
+	c.harness.eventually("50 answers", func() bool { return answers(&s.carbon.Store) == 50 })
+	if err := <-c.harness.terminate(); err != nil {
 		t.Fatal(err)
 	}
-	c.w.start(o)
-	c.ask(50, 4, &tally)
-	c.w.eventually("100 answers", func() bool { return answers(&s.carbon.Store) == 100 })
+	c.harness.start(o)
+	c.requestJobs(50, 4, &tally)
+	c.harness.eventually("100 answers", func() bool { return answers(&s.carbon.Store) == 100 })
 	// Away while periods end and the process is killed: the next life delivers them.
 	s.carbon.Stop()
-	c.ask(50, 4, &tally)
-	c.w.eventually("150 answers at the other receiver", func() bool { return answers(&s.collectd.Store) == 150 })
-	c.w.cmd.Process.Kill()
-	c.w.cmd.Wait()
+	c.requestJobs(50, 4, &tally)
+	c.harness.eventually("150 answers at the other receiver", func() bool { return answers(&s.collectd.Store) == 150 })
+	c.harness.cmd.Process.Kill()
+	c.harness.cmd.Wait()
 	if err := s.carbon.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	c.w.start(o)
-	c.w.eventually("150 answers after the kill", func() bool { return answers(&s.carbon.Store) == 150 })
+	c.harness.start(o)
+	c.harness.eventually("150 answers after the kill", func() bool { return answers(&s.carbon.Store) == 150 })
 	out, err := s.audit(&s.carbon.Store, s.log("n0"))
 	if err != nil {
 		t.Errorf("%v\n%s", err, out)
@@ -410,24 +410,24 @@
 }
 
 // Without a spool a restart begins anew, shows it, and the growth is right all the same.
-func TestWithoutASpool(t *testing.T) {
-	s := newStaff(t, false)
-	c := newCrew(t, 2, "r")
-	o := options{args: []string{"-graphite", s.carbon.Addr(), "-metrics-every", "0.2"}, cold: 0.001, tmp: t.TempDir()}
-	c.w = begin(t, o, c.targets()...)
+func TestNoSpool(t *testing.T) {
+	s := newTelemetryHarness(t, false)
+	c := newWorkerGroup(t, 2, "r")
+	o := options{args: []string{"-graphite", s.carbon.Addr(), "-metrics-every", "0.2"}, cold: 0.001, tempDir: t.TempDir()}
+	c.harness = startHarness(t, o, c.targets()...)
 	var tally [600]atomic.Int64
 	for range 2 {
-		c.ask(30, 1, &tally)
-		c.w.eventually("30 answers", func() bool { return answers(&s.carbon.Store) == 30 })
-		if err := <-c.w.terminate(); err != nil {
+		c.requestJobs(30, 1, &tally)
+		c.harness.eventually("30 answers", func() bool { return answers(&s.carbon.Store) == 30 })
+		if err := <-c.harness.terminate(); err != nil {
 			t.Fatal(err)
 		}
 		if len(s.carbon.Timestamps("cinderroad.n0.program.started")) == 0 {
 			t.Error("no word of the start")
 		}
 		time.Sleep(1100 * time.Millisecond) // Graphite's stamps are seconds: the next life's must not meet this one's
-		c.w.start(o)
-		c.w.eventually("a new start", func() bool { return answers(&s.carbon.Store) == 0 })
+		c.harness.start(o)
+		c.harness.eventually("a new start", func() bool { return answers(&s.carbon.Store) == 0 })
 		time.Sleep(1100 * time.Millisecond) // nor what it counts its own beginning
 	}
 	if got := s.carbon.CounterIncrease("cinderroad.n0.classes.score.answers.in_time") + s.carbon.CounterIncrease("cinderroad.n0.classes.score.answers.late"); got != 20 {
@@ -436,14 +436,14 @@
 }
 
 // A reload moves the receiver and the log, all or nothing: a bad file changes nothing, and says where it is bad.
-func TestReloadMovesTheReceiver(t *testing.T) {
-	s := newStaff(t, true)
-	c := newCrew(t, 2, "r")
+func TestReloadReplacesReceiver(t *testing.T) {
+	s := newTelemetryHarness(t, true)
+	c := newWorkerGroup(t, 2, "r")
 	path := s.file("n0")
-	c.w = begin(t, options{args: []string{"-operator", path, "-metrics-every", "0.2"}, cold: 0.001}, c.targets()...)
+	c.harness = startHarness(t, options{args: []string{"-operator", path, "-metrics-every", "0.2"}, cold: 0.001}, c.targets()...)
 	var tally [600]atomic.Int64
-	c.ask(20, 2, &tally)
-	c.w.eventually("20 answers, pickled", func() bool { return answers(&s.carbon.Store) == 20 })
+	c.requestJobs(20, 2, &tally)
+	c.harness.eventually("20 answers, pickled", func() bool { return answers(&s.carbon.Store) == 20 })
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -454,12 +454,12 @@
 		}
 	}
 	write(string(text) + "colour = \"red\"\n")
-	c.w.reload("reload refused")
-	if !strings.Contains(c.w.log.String(), "request_log.colour: unknown key") {
+	c.harness.reload("reload refused")
+	if !strings.Contains(c.harness.log.String(), "request_log.colour: unknown key") {
 		t.Error("no word of what was wrong")
 	}
 	s.carbon.Stop()
-	c.ask(20, 2, &tally)
+	c.requestJobs(20, 2, &tally)
 	fresh, err := receivers.NewCarbon("127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
@@ -467,10 +467,10 @@
 	t.Cleanup(fresh.Stop)
 	moved := strings.ReplaceAll(strings.ReplaceAll(string(text), s.carbon.Addr(), fresh.Addr()), "n0.log", "moved.log")
 	write(moved)
-	c.w.reload("program: reloaded")
-	c.ask(20, 2, &tally)
-	c.w.eventually("60 answers at the new one", func() bool { return answers(&fresh.Store) == 60 })
-	c.w.eventually("lines in the new log", func() bool {
+	c.harness.reload("program: reloaded")
+	c.requestJobs(20, 2, &tally)
+	c.harness.eventually("60 answers at the new one", func() bool { return answers(&fresh.Store) == 60 })
+	c.harness.eventually("lines in the new log", func() bool {
 		_, err := os.Stat(s.log("moved"))
 		return err == nil && len(s.lines("n0"))+len(s.lines("moved")) == 60 && len(s.lines("moved")) == 20
 	})
@@ -478,23 +478,23 @@
 		t.Errorf("%v\n%s", err, out)
 	}
 	write(strings.Replace(moved, "[telemetry]", "[telemetry]\nnode_series = 3", 1))
-	c.w.reload("needs_restart\": [\"telemetry.node_series\"]")
+	c.harness.reload("needs_restart\": [\"telemetry.node_series\"]")
 }
 
 // A log on a disk that stalls and a receiver that stalls cost no job anything.
-func TestAStalledDiskAndReceiver(t *testing.T) {
-	s := newStaff(t, false)
-	c := newCrew(t, 2, "r")
+func TestStalledDiskAndReceiver(t *testing.T) {
+	s := newTelemetryHarness(t, false)
+	c := newWorkerGroup(t, 2, "r")
 	path := s.file("n0")
 	pipe := s.log("n0")
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 		t.Skip(err)
 	}
-	c.w = begin(t, options{args: []string{"-operator", path, "-metrics-every", "0.2"}, cold: 0.001}, c.targets()...)
+	c.harness = startHarness(t, options{args: []string{"-operator", path, "-metrics-every", "0.2"}, cold: 0.001}, c.targets()...)
 	s.carbon.SetStalled(true)
 	s.collectd.SetStalled(true)
 	var tally [600]atomic.Int64
-	c.ask(2000, 4, &tally)
+	c.requestJobs(2000, 4, &tally)
 	if got := tally[200].Load() + tally[500].Load(); got != 2000 || tally[500].Load() == 0 {
 		t.Errorf("%d of 2000 jobs answered, %d failed; jobs by status: %s", got, tally[500].Load(), byStatus(&tally))
 	}
@@ -506,31 +506,31 @@
 	go io.Copy(io.Discard, f)
 	s.carbon.SetStalled(false)
 	s.collectd.SetStalled(false)
-	c.w.eventually("2000 answers", func() bool {
+	c.harness.eventually("2000 answers", func() bool {
 		return answers(&s.carbon.Store) == 2000 && answers(&s.collectd.Store) == 2000
 	})
 }
 
 // A spool that cannot be used is told and costs what it is for alone; a log that cannot be opened is an error at the start.
-func TestFoldersThatCannotBeUsed(t *testing.T) {
-	s := newStaff(t, false)
-	c := newCrew(t, 1, "r")
+func TestUnusableDirectories(t *testing.T) {
+	s := newTelemetryHarness(t, false)
+	c := newWorkerGroup(t, 1, "r")
 	path := s.file("n0")
 	if err := os.Remove(filepath.Join(s.dir, "n0.spool")); err != nil {
 		t.Fatal(err)
 	}
-	c.w = begin(t, options{args: []string{"-operator", path, "-metrics-every", "0.2"}, cold: 0.001}, c.targets()...)
+	c.harness = startHarness(t, options{args: []string{"-operator", path, "-metrics-every", "0.2"}, cold: 0.001}, c.targets()...)
 	var tally [600]atomic.Int64
-	c.ask(10, 1, &tally)
-	c.w.eventually("10 answers", func() bool { return answers(&s.carbon.Store) == 10 })
-	if !strings.Contains(c.w.log.String(), "no spool") {
+	c.requestJobs(10, 1, &tally)
+	c.harness.eventually("10 answers", func() bool { return answers(&s.carbon.Store) == 10 })
+	if !strings.Contains(c.harness.log.String(), "no spool") {
 		t.Error("no word of the spool")
 	}
 	bad := filepath.Join(s.dir, "bad.toml")
 	if err := os.WriteFile(bad, []byte("[request_log]\npath = \"none/x.log\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out, err := exec.Command(program, "-config", c.w.path, "-operator", bad).CombinedOutput()
+	out, err := exec.Command(program, "-config", c.harness.path, "-operator", bad).CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "request_log.path") {
 		t.Errorf("%v: %s", err, out)
 	}
--- a/internal/dispatcher/server/upgrade_test.go
+++ b/internal/dispatcher/server/upgrade_test.go
@@ -16,8 +16,8 @@
 	"cinderroad/internal/dispatcher/handover"
 )
 
-// held is a listening socket that somebody else holds, as a platform does over an upgrade.
-func held(t *testing.T) (addr string, file *os.File) {
+// inheritedListener is a listening socket that somebody else holds, as a platform does over an upgrade.
+func inheritedListener(t *testing.T) (addr string, file *os.File) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -32,18 +32,18 @@
 
 // upgradePath is where a process is found by the next.
 func upgradePath(o options) string {
-	return (&Config{tmp: o.tmp, Name: "n0", Listen: o.listen}).file(".upgrade")
+	return (&Config{tempDir: o.tempDir, Name: "n0", Listen: o.listen}).tempPath(".upgrade")
 }
 
-func (w *world) say(want int, method, path, body string) {
-	w.t.Helper()
-	if got, reason := w.operator(method, path, body); got != want || reason == "" {
-		w.t.Errorf("%s %s %s: %d %q, want %d", method, path, body, got, reason, want)
+func (h *harness) callAdmin(want int, method, path, body string) {
+	h.t.Helper()
+	if got, reason := h.operator(method, path, body); got != want || reason == "" {
+		h.t.Errorf("%s %s %s: %d %q, want %d", method, path, body, got, reason, want)
 	}
 }
 
-// hand writes a job on a connection, or what is left of it.
-func hand(c net.Conn, path, id, from string) string {
+// postJob writes a job on a connection, or what is left of it.
+func postJob(c net.Conn, path, id, from string) string {
 	text := fmt.Sprintf("POST /score/%s HTTP/1.1\r\nX-Call-Id: %s\r\nX-Budget-Ms: 4900\r\n\r\n", path, id)
 	io.WriteString(c, text[len(from):])
 	return text
@@ -62,53 +62,53 @@
 // Guards against an upgrade that ends a client's connection, or a job, or a call-back's way to it; against a next
 // process that has forgotten who is out, and an old one that is not told; and against its working only once.
 func TestUpgrade(t *testing.T) {
-	var w *world
+	var w *harness
 	release := make(chan bool)
 	handle := func(uid string) func(int, http.ResponseWriter, *http.Request) {
 		return func(n int, rw http.ResponseWriter, r *http.Request) {
 			if !strings.HasPrefix(r.URL.Path, "/score/held") {
-				w.done(uid, uid)(n, rw, r)
+				w.replyWith(uid, uid)(n, rw, r)
 				return
 			}
 			id := r.Header.Get("X-Call-Id")
 			rw.WriteHeader(202)
 			go func() {
-				w.news(id, uid, `"state":"started"`)
+				w.reportResult(id, uid, `"state":"started"`)
 				<-release
-				w.news(id, uid, `"state":"done","result":"late"`)
+				w.reportResult(id, uid, `"state":"done","result":"late"`)
 			}()
 		}
 	}
 	a, b, c := newRunner(t, "s-a", handle("s-a")), newRunner(t, "s-b", handle("s-b")), newRunner(t, "s-c", handle("s-c"))
-	o := options{console: true, tmp: t.TempDir()}
-	o.listen, o.inherit = held(t)
-	w = begin(t, o, a.target("ready", 0), b.target("ready", 0), c.target("ready", 0))
-	w.say(200, "PUT", "/api/exclude", `{"member":"s-b"}`)
+	o := options{console: true, tempDir: t.TempDir()}
+	o.listen, o.inherit = inheritedListener(t)
+	w = startHarness(t, o, a.target("ready", 0), b.target("ready", 0), c.target("ready", 0))
+	w.callAdmin(200, "PUT", "/api/exclude", `{"member":"s-b"}`)
 
 	fresh, rested, half, working := w.dial(), w.dial(), w.dial(), w.dial()
-	hand(rested, "a", "r0", "")
+	postJob(rested, "a", "r0", "")
 	served(t, "before", rested)
 	io.WriteString(half, "POST /score/a HTT")
-	hand(working, "held", "w0", "")
+	postJob(working, "held", "w0", "")
 	w.eventually("the job that is held", func() bool { return a.jobs()+c.jobs() == 2 })
 
-	next := w.next(o)
-	next.say(200, "GET", "/api/ready", "")
+	next := w.startSuccessor(o)
+	next.callAdmin(200, "GET", "/api/ready", "")
 	if !strings.Contains(next.log.String(), `"members_out": 1`) {
 		t.Error("the new one has not taken over who is out")
 	}
 	w.eventually("the old one leaves", func() bool { return strings.Contains(w.log.String(), "takes the clients") })
-	hand(rested, "a", "r1", "")
+	postJob(rested, "a", "r1", "")
 	served(t, "a session that had rested", rested)
-	hand(half, "a", "h0", "POST /score/a HTT")
+	postJob(half, "a", "h0", "POST /score/a HTT")
 	served(t, "a session that was half way", half)
-	hand(fresh, "a", "f0", "")
+	postJob(fresh, "a", "f0", "")
 	served(t, "a session that had said nothing", fresh)
-	next.say(200, "PUT", "/api/exclude", `{"member":"s-c"}`) // the old process is told, too
+	next.callAdmin(200, "PUT", "/api/exclude", `{"member":"s-c"}`) // the old process is told, too
 	w.eventually("the old one obeys", func() bool { return strings.Contains(w.log.String(), `program: exclude	{"member": "s-c"}`) })
-	next.say(200, "PUT", "/api/include", `{"member":"s-c"}`)
+	next.callAdmin(200, "PUT", "/api/include", `{"member":"s-c"}`)
 	for range 20 { // enough to find one that is used although it is out
-		if status, _, _ := next.ask("score", 4000); status != 200 {
+		if status, _, _ := next.requestJob("score", 4000); status != 200 {
 			t.Errorf("the new one answered %d", status)
 		}
 	}
@@ -118,32 +118,32 @@
 	if err := <-exit; err != nil {
 		t.Errorf("the old one's exit: %v", err)
 	}
-	hand(working, "a", "w1", "")
+	postJob(working, "a", "w1", "")
 	served(t, "the session that was at work", working)
 	if b.jobs() != 0 {
 		t.Errorf("%d jobs for the member that is out", b.jobs())
 	}
 
-	last := next.next(o)
-	last.say(200, "GET", "/api/ready", "")
+	last := next.startSuccessor(o)
+	last.callAdmin(200, "GET", "/api/ready", "")
 	if err := <-next.terminate(); err != nil {
 		t.Errorf("the second one's exit: %v", err)
 	}
 	for name, c := range map[string]net.Conn{"fresh": fresh, "rested": rested, "half": half, "working": working} {
-		hand(c, "a", name, "")
+		postJob(c, "a", name, "")
 		served(t, "after the second upgrade, "+name, c)
 	}
-	last.say(200, "PUT", "/api/include", `{"member":"s-b"}`)
+	last.callAdmin(200, "PUT", "/api/include", `{"member":"s-b"}`)
 	w.eventually("it is used again", func() bool {
-		_, body, _ := last.ask("score", 4000)
+		_, body, _ := last.requestJob("score", 4000)
 		return body == "s-b"
 	})
 }
 
 // Guards against an upgrade that fails and leaves nobody to serve: the next process goes before and after it took the
 // clients, is of another version, or the old one is killed with a job open.
-func TestUpgradeThatFails(t *testing.T) {
-	var w *world
+func TestUpgradeFailure(t *testing.T) {
+	var w *harness
 	mute := make(chan string, 9)
 	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/score/mute" {
@@ -151,15 +151,15 @@
 			mute <- r.Header.Get("X-Call-Id")
 			return
 		}
-		w.done("s-1", "ok")(n, rw, r)
+		w.replyWith("s-1", "ok")(n, rw, r)
 	})
-	o := options{console: true, tmp: t.TempDir()}
-	o.listen, o.inherit = held(t)
-	w = begin(t, o, u.target("ready", 0))
-	serves := func(p *world, when string) {
+	o := options{console: true, tempDir: t.TempDir()}
+	o.listen, o.inherit = inheritedListener(t)
+	w = startHarness(t, o, u.target("ready", 0))
+	serves := func(p *harness, when string) {
 		t.Helper()
 		p.eventually(when, func() bool {
-			status, body, _ := p.ask("score", 4000)
+			status, body, _ := p.requestJob("score", 4000)
 			return status == 200 && body == "ok"
 		})
 	}
@@ -183,29 +183,29 @@
 	}
 
 	working := w.dial()
-	hand(working, "mute", "w0", "")
+	postJob(working, "mute", "w0", "")
 	<-mute
-	next := w.next(o)
+	next := w.startSuccessor(o)
 	w.eventually("the old one leaves", func() bool { return strings.Count(w.log.String(), "takes the clients") == 2 })
 	w.cmd.Process.Kill()
-	if got := until(working); got != "" {
+	if got := readUntilClosed(working); got != "" {
 		t.Errorf("a job that died with its process was told %q", got)
 	}
-	next.news("w0", "s-1", `"state":"done","result":"late"`) // nobody has it any more
+	next.reportResult("w0", "s-1", `"state":"done","result":"late"`) // nobody has it any more
 	serves(next, "the old one was killed")
 	next.cmd.Process.Kill()
 	next.cmd.Wait()
-	serves(next.next(o), "both were killed") // a stale socket stands at the path
+	serves(next.startSuccessor(o), "both were killed") // a stale socket stands at the path
 }
 
 // Guards against a start that waits for ever: for a process that holds the path and says nothing or what makes no
 // sense, or for a discovery that is silent.
-func TestUpgradeFromSilence(t *testing.T) {
+func TestUpgradeFromUnresponsivePredecessor(t *testing.T) {
 	for _, says := range []string{"", "R\x09", "nonsense", string(handover.AppendFrame(nil, handover.State, []byte(`{"out":{"a":{"at":-1}}}`)))} {
-		o := options{console: true, tmp: filepath.Join(t.TempDir(), strings.Repeat("long", 50))} // longer than a socket's path may be
-		os.MkdirAll(o.tmp, 0o700)
-		o.listen, o.inherit = held(t)
-		t.Chdir(o.tmp)
+		o := options{console: true, tempDir: filepath.Join(t.TempDir(), strings.Repeat("long", 50))} // longer than a socket's path may be
+		os.MkdirAll(o.tempDir, 0o700)
+		o.listen, o.inherit = inheritedListener(t)
+		t.Chdir(o.tempDir)
 		l, err := net.Listen("unix", filepath.Base(upgradePath(o)))
 		if err != nil {
 			t.Fatal(err)
@@ -216,22 +216,22 @@
 				io.Copy(io.Discard, c)
 			}
 		}()
-		begin(t, o).say(200, "GET", "/api/ready", "")
+		startHarness(t, o).callAdmin(200, "GET", "/api/ready", "")
 		l.Close()
 	}
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(202) })
-	o := options{console: true, tmp: t.TempDir()}
-	o.listen, o.inherit = held(t)
-	w := begin(t, o, u.target("ready", 0))
-	w.silent.Store(true)
+	o := options{console: true, tempDir: t.TempDir()}
+	o.listen, o.inherit = inheritedListener(t)
+	w := startHarness(t, o, u.target("ready", 0))
+	w.unresponsive.Store(true)
 	w.discovery.CloseClientConnections()
-	next := w.next(o)
-	next.say(200, "GET", "/api/ready", "")
-	next.say(200, "PUT", "/api/exclude", `{"member":"s-1"}`) // the list is the old one's
+	next := w.startSuccessor(o)
+	next.callAdmin(200, "GET", "/api/ready", "")
+	next.callAdmin(200, "PUT", "/api/exclude", `{"member":"s-1"}`) // the list is the old one's
 }
 
-// frames reads frames until one of the kind.
-func frames(t *testing.T, c net.Conn, want handover.Kind) (body []byte) {
+// readFrame reads frames until one of the kind.
+func readFrame(t *testing.T, c net.Conn, want handover.Kind) (body []byte) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	var got []byte
@@ -255,11 +255,11 @@
 // their way to the next process than it has taken: their sockets count for both.
 func TestUpgradeToASlowSuccessor(t *testing.T) {
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(202) })
-	o := options{console: true, tmp: t.TempDir()}
-	o.listen, o.inherit = held(t)
-	w := begin(t, o, u.target("ready", 0))
+	o := options{console: true, tempDir: t.TempDir()}
+	o.listen, o.inherit = inheritedListener(t)
+	w := startHarness(t, o, u.target("ready", 0))
 	var back []net.Conn
-	for i := range mostMoves + 4 {
+	for i := range maxSessionsInTransit + 4 {
 		back = append(back, w.dial())
 		io.WriteString(back[i], "GET /_health HTTP/1.1\r\n\r\n") // once it is answered, the session is known to be here
 		if _, err := bufio.NewReader(back[i]).ReadString('\n'); err != nil {
@@ -277,7 +277,7 @@
 		body := `{"id":"x","from":"s-1","state":"started"}`
 		fmt.Fprintf(c, "POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
-	asked := frames(t, successor, handover.CallbackQuery)
+	asked := readFrame(t, successor, handover.CallbackQuery)
 	for _, c := range back {
 		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		if got, _ := io.ReadAll(c); strings.Contains(string(got), "204") {
@@ -298,20 +298,20 @@
 
 // Guards against an upgrade that fails at the Gearman port, which this program binds itself, or loses a job there.
 func TestUpgradeOfTheGearmanFront(t *testing.T) {
-	o := options{console: true, tmp: t.TempDir(), cold: 0.001}
-	o.listen, o.inherit = held(t)
-	g := beginGearman(t, o, 5)
+	o := options{console: true, tempDir: t.TempDir(), cold: 0.001}
+	o.listen, o.inherit = inheritedListener(t)
+	g := startGearmanHarness(t, o, 5)
 	worker, release := g.dial(), make(chan bool)
-	worker.work(gm.GrabJobUniq, func(handle, function, data string) bool {
+	worker.serveJobs(gm.GrabJobUniq, func(handle, function, data string) bool {
 		<-release
 		return worker.echo(handle, function, data)
 	}, "safe")
 	client := g.dial()
 	client.send(gm.SubmitJob, "safe", "", "held")
-	g.eventually("the job is at work", func() bool { return g.ran("held") == 1 })
+	g.eventually("the job is at work", func() bool { return g.runCount("held") == 1 })
 	o.args = []string{"-gearman", g.file}
-	next := g.next(o)
-	next.say(200, "GET", "/api/ready", "")
+	next := g.startSuccessor(o)
+	next.callAdmin(200, "GET", "/api/ready", "")
 	g.eventually("the old one leaves", func() bool { return strings.Contains(g.log.String(), "takes the clients") })
 	exit := g.terminate()
 	close(release)
@@ -322,7 +322,7 @@
 		t.Errorf("exit: %v", err)
 	}
 	again := g.dial() // the same port, another process
-	again.work(gm.GrabJobUniq, again.echo, "safe")
+	again.serveJobs(gm.GrabJobUniq, again.echo, "safe")
 	client = g.dial()
 	client.send(gm.SubmitJob, "safe", "", "new")
 	if got := client.want(gm.WorkComplete).Args[1]; got != "did new" {
@@ -333,22 +333,22 @@
 // Guards against a next process that takes clients although the one before it was evacuated, and an order that only one
 // of the two hears.
 func TestUpgradeWhileEvacuated(t *testing.T) {
-	o := options{console: true, tmp: t.TempDir()}
-	o.listen, o.inherit = held(t)
-	w := begin(t, o)
-	w.say(200, "PUT", "/api/evacuate", "")
-	o.loose = true // it serves, and says no to whoever asks for its health
-	next := w.next(o)
+	o := options{console: true, tempDir: t.TempDir()}
+	o.listen, o.inherit = inheritedListener(t)
+	w := startHarness(t, o)
+	w.callAdmin(200, "PUT", "/api/evacuate", "")
+	o.startOnly = true // it serves, and says no to whoever asks for its health
+	next := w.startSuccessor(o)
 	next.eventually("it takes over", func() bool {
 		return strings.Contains(w.log.String(), "takes the clients") && strings.Contains(next.log.String(), "program: serving")
 	})
-	next.say(200, "GET", "/api/ready", "")
-	w.say(503, "GET", "/api/ready", "")
-	health := func() string { return next.raw("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n") }
+	next.callAdmin(200, "GET", "/api/ready", "")
+	w.callAdmin(503, "GET", "/api/ready", "")
+	health := func() string { return next.sendRaw("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n") }
 	if got := health(); !strings.HasPrefix(got, "HTTP/1.1 503") {
 		t.Errorf("health: %q", got)
 	}
-	w.say(200, "PUT", "/api/rejoin", "") // told the old one, which tells the new
+	w.callAdmin(200, "PUT", "/api/rejoin", "") // told the old one, which tells the new
 	if got := health(); !strings.HasPrefix(got, "HTTP/1.1 200") {
 		t.Errorf("health once back: %q", got)
 	}
--- /dev/null
+++ b/internal/dispatcher/server/versions.go
@@ -0,0 +1,88 @@
+package server
+
+import (
+	"net/netip"
+
+	"go.uber.org/zap"
+
+	"cinderroad/internal/dispatcher/cluster/auditlog"
+	"cinderroad/internal/dispatcher/cluster/versions"
+	"cinderroad/internal/dispatcher/dispatch"
+	"cinderroad/internal/dispatcher/httpfront"
+	"cinderroad/loadbalancer"
+)
+
+// startVersionTable has what discovery tells kept for the fleet, from the list held now on.
+func (s *Server) startVersionTable() {
+	if s.versionTable != nil {
+		return
+	}
+	table := versions.New(s.config.Name)
+	s.versionTable = table
+	table.Log = func(line string) { s.log.Warn("versions: " + line) }
+	table.OnChange = s.applyRestrictions
+	table.OnEvent = s.handleVersionEvent
+	table.OnOrder = func(o versions.Order) {
+		s.recordAudit(auditlog.Entry{Kind: auditlog.OrderReceived, From: o.By, Member: o.Member, Out: o.Out})
+		s.loop.Defer(func() {
+			if s.cluster != nil {
+				s.cluster.Update()
+			}
+		})
+	}
+	apply := func(addr netip.AddrPort, rev int64, cached bool, changed []httpfront.Entry) {
+		entries := make([]versions.Entry, 0, len(changed))
+		for _, t := range changed {
+			entries = append(entries, versions.Entry{Worker: t.UID, State: versionStates[t.State], Start: int64(max(t.StartedAtMs, 0))})
+		}
+		table.ApplyList(s.loop.Now(), s.discoverySource(addr), rev, cached, entries)
+		if s.cluster != nil {
+			s.cluster.GossipNow()
+		}
+	}
+	if addr, list := s.discovery.List(); list.Revision > 0 {
+		apply(addr, list.Revision, true, list.Entries)
+	}
+	s.discovery.OnVersion = apply
+	s.discovery.OnContact = func() {
+		table.HandleDiscoveryContact(s.loop.Now())
+		s.handleContact()
+	}
+	table.OnPeerState = s.handleContact
+}
+
+// stopVersionTable has nothing withheld any more: the own list alone says.
+func (s *Server) stopVersionTable() {
+	s.versionTable, s.discovery.OnVersion, s.discovery.OnContact = nil, nil, nil
+	s.dispatcher.SetRestrictions(nil)
+	s.resumeSending()
+	s.updateAdmission()
+}
+
+// versionStates are the list's, for the fleet; what is not known there is not told as ready.
+var versionStates = map[string]versions.State{"ready": versions.Ready, "draining": versions.Draining, "gone": versions.Gone}
+
+// discoverySource is what the fleet calls a discovery.
+func (s *Server) discoverySource(addr netip.AddrPort) string {
+	if f := s.config.Operator.Cluster; f != nil && f.DiscoveryID != "" {
+		return f.DiscoveryID
+	}
+	return addr.String()
+}
+
+// applyRestrictions has the core take workers for what peers know of them.
+func (s *Server) applyRestrictions() {
+	restrictions := map[string]dispatch.Restriction{}
+	for worker, restriction := range s.versionTable.Restrictions() {
+		state := loadbalancer.Ready
+		if restriction.State != versions.Ready {
+			state = loadbalancer.Draining
+		}
+		restrictions[worker] = dispatch.Restriction{State: state, StartedAt: float64(restriction.Start) / 1000}
+		s.log.Info("versions: withheld on a peer's word", zap.String("worker", worker), zap.Stringer("state", restriction.State), zap.Int64("rev", restriction.Revision), zap.String("from", restriction.From))
+	}
+	if len(restrictions) == 0 {
+		s.log.Info("versions: nothing is withheld any more")
+	}
+	s.dispatcher.SetRestrictions(restrictions)
+}
