--- a/internal/dispatcher/requestaudit/audit.go
+++ b/internal/dispatcher/requestaudit/requestaudit.go
@@ -33,22 +33,22 @@
 	MalformedCount         int
 
 	logged map[Key]uint64
-	series map[Key][]point
+	points map[Key][]point
 }
 
 type point struct {
-	at float64
-	v  float64
-	n  int // the place in the file: the last one of a stamp counts
+	time  float64
+	value float64
+	line  int // the place in the file: the last one of a stamp counts
 }
 
-const mostBad = 20
+const maxMalformed = 20
 
 // New begins an audit.
-func New() *Audit { return &Audit{logged: map[Key]uint64{}, series: map[Key][]point{}} }
+func New() *Audit { return &Audit{logged: map[Key]uint64{}, points: map[Key][]point{}} }
 
-func (b *Audit) bad(format string, a ...any) {
-	if b.MalformedCount++; len(b.Malformed) < mostBad {
+func (b *Audit) addMalformed(format string, a ...any) {
+	if b.MalformedCount++; len(b.Malformed) < maxMalformed {
 		b.Malformed = append(b.Malformed, fmt.Sprintf(format, a...))
 	}
 }
@@ -57,12 +57,12 @@
 func (b *Audit) ReadRequestLog(name string, r io.Reader) error {
 	return requestlog.Read(r, func(l requestlog.Line) {
 		if _, ok := telemetry.ParseVerdict(l.Verdict); !ok {
-			b.bad("%s: verdict %q of job %q", name, l.Verdict, l.ID)
+			b.addMalformed("%s: verdict %q of job %q", name, l.Verdict, l.ID)
 			return
 		}
 		b.LogLines++
 		b.logged[Key{telemetry.SanitizeName(l.Dispatcher), l.Class, l.Verdict}]++
-	}, func(n int, err error) { b.bad("%s:%d: %v", name, n, err) })
+	}, func(n int, err error) { b.addMalformed("%s:%d: %v", name, n, err) })
 }
 
 // ReadMetrics reads what a receiver has got: lines as Graphite takes them (PATH VALUE TIME) or as collectd does (PUTVAL). Series
@@ -75,13 +75,13 @@
 		if line == "" {
 			continue
 		}
-		key, at, v, err := parse(line)
+		key, at, v, err := parsePoint(line)
 		if err != nil {
-			b.bad("%s:%d: %v", name, n, err)
+			b.addMalformed("%s:%d: %v", name, n, err)
 			continue
 		}
 		if b.MetricPoints++; key != (Key{}) {
-			b.series[key] = append(b.series[key], point{at, v, n})
+			b.points[key] = append(b.points[key], point{at, v, n})
 		}
 	}
 	if err := in.Err(); err != nil {
@@ -90,9 +90,9 @@
 	return nil
 }
 
-func parse(line string) (key Key, at, v float64, err error) {
+func parsePoint(line string) (key Key, at, v float64, err error) {
 	if rest, ok := strings.CutPrefix(line, "PUTVAL "); ok {
-		return putval(rest)
+		return parsePutval(rest)
 	}
 	f := strings.Fields(line)
 	if len(f) != 3 {
@@ -111,8 +111,8 @@
 	return key, at, v, nil
 }
 
-// putval reads the rest of a PUTVAL line; dots of names have become _ there.
-func putval(rest string) (key Key, at, v float64, err error) {
+// parsePutval reads the rest of a PUTVAL line; dots of names have become _ there.
+func parsePutval(rest string) (key Key, at, v float64, err error) {
 	id, rest, ok := strings.Cut(strings.TrimPrefix(rest, `"`), `"`)
 	host, series, ok2 := strings.Cut(id, "/")
 	values := rest[strings.LastIndexByte(rest, ' ')+1:]
@@ -136,19 +136,19 @@
 	return key, at, v, nil
 }
 
-// growth is by how much a total has grown, from 0 on. One that falls has begun anew.
-func growth(points []point) (sum float64) {
-	slices.SortFunc(points, func(x, y point) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.n, y.n)) })
+// increase is by how much a total has grown, from 0 on. One that falls has begun anew.
+func increase(points []point) (sum float64) {
+	slices.SortFunc(points, func(x, y point) int { return cmp.Or(cmp.Compare(x.time, y.time), cmp.Compare(x.line, y.line)) })
 	last := 0.0
 	for i, p := range points {
-		if i+1 < len(points) && points[i+1].at == p.at {
+		if i+1 < len(points) && points[i+1].time == p.time {
 			continue
 		}
-		if p.v < last {
+		if p.value < last {
 			last = 0
 		}
-		sum += p.v - last
-		last = p.v
+		sum += p.value - last
+		last = p.value
 	}
 	return sum
 }
@@ -159,8 +159,8 @@
 	for key, n := range b.logged {
 		all[key] = Row{Key: key, Logged: n}
 	}
-	for key, points := range b.series {
-		if n := uint64(growth(points)); n > 0 {
+	for key, points := range b.points {
+		if n := uint64(increase(points)); n > 0 {
 			row := all[key]
 			row.Key, row.Received = key, n
 			all[key] = row
