--- a/internal/dispatcher/gearman/packet_test.go
+++ b/internal/dispatcher/gearman/packet_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestParse(t *testing.T) {
-	for _, tc := range []struct {
+	for _, test := range []struct {
 		name string
 		in   string
 		want *Packet // nil: an error
@@ -30,12 +30,12 @@
 		{"empty function name", string(AppendRequest(nil, CanDo, "")), nil, false},
 		{"too large", "\x00REQ\x00\x00\x00\x07\x7f\xff\xff\xff", nil, false},
 	} {
-		got, n, err := Parse([]byte(tc.in))
-		if errors.Is(err, ErrIncomplete) != tc.more || (err == nil) != (tc.want != nil) {
-			t.Errorf("%s: %v", tc.name, err)
-		} else if tc.want != nil {
-			if diff := cmp.Diff(*tc.want, got); diff != "" || n > len(tc.in) {
-				t.Errorf("%s: %d bytes (-want +got):\n%s", tc.name, n, diff)
+		got, n, err := Parse([]byte(test.in))
+		if errors.Is(err, ErrIncomplete) != test.more || (err == nil) != (test.want != nil) {
+			t.Errorf("%s: %v", test.name, err)
+		} else if test.want != nil {
+			if diff := cmp.Diff(*test.want, got); diff != "" || n > len(test.in) {
+				t.Errorf("%s: %d bytes (-want +got):\n%s", test.name, n, diff)
 			}
 		}
 	}
@@ -44,18 +44,18 @@
 func FuzzParse(f *testing.F) {
 	f.Add(AppendRequest(nil, SubmitJob, "f", "u", "data"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		p, n, err := Parse(b)
+		packet, n, err := Parse(b)
 		if err != nil {
 			return
 		}
-		if again := AppendRequest(nil, p.Kind, p.Args...); string(again) != string(b[:n]) {
-			t.Errorf("%q was parsed as %q", b[:n], again)
+		if encoded := AppendRequest(nil, packet.Kind, packet.Args...); string(encoded) != string(b[:n]) {
+			t.Errorf("%q was parsed as %q", b[:n], encoded)
 		}
 	})
 }
 
 // Every proper prefix of a packet or a line must be reported as incomplete, neither parsed nor rejected.
-func TestCutAnywhere(t *testing.T) {
+func TestParseIncompleteInput(t *testing.T) {
 	packet := AppendRequest(nil, SubmitJob, "f", "u", "some\x00data")
 	for n := range packet {
 		if _, _, err := Parse(packet[:n]); !errors.Is(err, ErrIncomplete) {
