--- a/internal/dispatcher/operatorconfig/operator.go
+++ b/internal/dispatcher/operatorconfig/config.go
@@ -31,11 +31,11 @@
 
 // Default is what holds without a file.
 func Default() *Config {
-	f := &Config{}
-	if err := f.check(); err != nil {
+	c := &Config{}
+	if err := c.validate(); err != nil {
 		panic(err) // of constants
 	}
-	return f
+	return c
 }
 
 // Read reads and checks a file. Errors are of type *Error.
@@ -54,60 +54,60 @@
 // Parse checks the text of a file; path is for messages, and for the places that the file names relative to its own.
 // Errors are of type *Error.
 func Parse(path, text string) (*Config, error) {
-	f := &Config{path: path, text: text}
-	meta, err := f.decode()
+	c := &Config{path: path, text: text}
+	meta, err := c.decode()
 	if err != nil {
 		return nil, newDecodeError(path, err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return nil, f.unknownKey(unknown[0])
+		return nil, c.unknownKey(unknown[0])
 	}
-	if err := f.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
-	return f, nil
+	return c, nil
 }
 
 // decode fills the file's fields from its text. Errors are those of the TOML library.
-func (f *Config) decode() (toml.MetaData, error) {
-	meta, err := toml.Decode(f.text, f)
+func (c *Config) decode() (toml.MetaData, error) {
+	meta, err := toml.Decode(c.text, c)
 	if err != nil {
 		return meta, err
 	}
-	if f.Graphite, err = tables[Graphite](meta, "graphite", f.RawGraphite); err != nil {
+	if c.Graphite, err = decodeTables[Graphite](meta, "graphite", c.RawGraphite); err != nil {
 		return meta, err
 	}
-	f.Collectd, err = tables[Collectd](meta, "collectd", f.RawCollectd)
+	c.Collectd, err = decodeTables[Collectd](meta, "collectd", c.RawCollectd)
 	return meta, err
 }
 
-// tables reads [name] or each [[name]].
-func tables[T any](meta toml.MetaData, name string, raw toml.Primitive) (all []T, err error) {
+// decodeTables reads [name] or each [[name]].
+func decodeTables[T any](meta toml.MetaData, name string, raw toml.Primitive) (all []T, err error) {
 	if !meta.IsDefined(name) {
 		return nil, nil
 	}
 	if meta.Type(name) == "Hash" {
-		var one T
-		err = meta.PrimitiveDecode(raw, &one)
-		return []T{one}, err
+		var table T
+		err = meta.PrimitiveDecode(raw, &table)
+		return []T{table}, err
 	}
 	err = meta.PrimitiveDecode(raw, &all)
 	return all, err
 }
 
 // Text is what the file says; empty is none.
-func (f *Config) Text() string { return f.text }
+func (c *Config) Text() string { return c.text }
 
 // Path is where the file was read from; empty is none.
-func (f *Config) Path() string { return f.path }
+func (c *Config) Path() string { return c.path }
 
 // memberKeys are the keys that say where a member's own things are.
 var memberKeys = []string{"bind", "advertise", "seeds", "ledger", "path", "spool_dir"}
 
 // Common is what the file says but for comments and where the member's own things are, so that members whose files say the same show it.
-func (f *Config) Common() string {
+func (c *Config) Common() string {
 	var out strings.Builder
-	for _, line := range strings.Split(f.text, "\n") {
+	for _, line := range strings.Split(c.text, "\n") {
 		line = strings.TrimSpace(line)
 		key, _, _ := strings.Cut(line, "=")
 		if line != "" && line[0] != '#' && !slices.Contains(memberKeys, strings.TrimSpace(key)) {
--- a/internal/dispatcher/operatorconfig/operator_test.go
+++ b/internal/dispatcher/operatorconfig/config_test.go
@@ -10,13 +10,13 @@
 )
 
 // The shipped file, with every key uncommented, is one that can be read, and says the defaults.
-func TestTheShippedFile(t *testing.T) {
+func TestShippedFileHasDefaults(t *testing.T) {
 	path := filepath.Join("..", "..", "deploy", "operator.toml")
-	f, err := Read(path)
+	config, err := Read(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Cluster != nil || len(f.Graphite)+len(f.Collectd) > 0 || f.RequestLog != nil || f.Telemetry.SpoolDir != "" {
+	if config.Cluster != nil || len(config.Graphite)+len(config.Collectd) > 0 || config.RequestLog != nil || config.Telemetry.SpoolDir != "" {
 		t.Error("something is on")
 	}
 	text, err := os.ReadFile(path)
@@ -27,26 +27,26 @@
 	if err := os.WriteFile(filepath.Join(dir, "collectd.key"), []byte("geheim\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	all := regexp.MustCompile(`(?m)^# (\[.*|[a-z_]+ = .*)$`).ReplaceAllString(string(text), "$1")
-	all = regexp.MustCompile(`(?m)^(address = "127.0.0.1:25826"|security|username|password_file).*\n`).ReplaceAllString(all, "")
-	all = strings.Replace(all, `advertise = "127.0.0.1:7946"`, "", 1)
-	f, err = Parse(filepath.Join(dir, "operator.toml"), all)
+	uncommented := regexp.MustCompile(`(?m)^# (\[.*|[a-z_]+ = .*)$`).ReplaceAllString(string(text), "$1")
+	uncommented = regexp.MustCompile(`(?m)^(address = "127.0.0.1:25826"|security|username|password_file).*\n`).ReplaceAllString(uncommented, "")
+	uncommented = strings.Replace(uncommented, `advertise = "127.0.0.1:7946"`, "", 1)
+	config, err = Parse(filepath.Join(dir, "operator.toml"), uncommented)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := Default()
-	if m := f.Cluster; m == nil || m.ProbeIntervalSeconds != DefaultProbeIntervalSeconds || m.RetentionSeconds != DefaultRetentionSeconds || !*m.Complete || m.ParsedAdvertise != m.ParsedBind || len(m.ParsedSeeds) != 1 {
-		t.Errorf("fleet: %+v", f.Cluster)
+	defaults := Default()
+	if cluster := config.Cluster; cluster == nil || cluster.ProbeIntervalSeconds != DefaultProbeIntervalSeconds || cluster.RetentionSeconds != DefaultRetentionSeconds || !*cluster.Complete || cluster.ParsedAdvertise != cluster.ParsedBind || len(cluster.ParsedSeeds) != 1 {
+		t.Errorf("fleet: %+v", config.Cluster)
 	}
-	if len(f.Graphite) != 1 || len(f.Collectd) != 1 || f.Telemetry.IntervalSeconds != d.Telemetry.IntervalSeconds || f.Telemetry.MemoryBytes != d.Telemetry.MemoryBytes ||
-		f.Telemetry.SpoolBytes != d.Telemetry.SpoolBytes || *f.Telemetry.NodeSeries != *d.Telemetry.NodeSeries ||
-		f.RequestLog.MaxBytes != DefaultLogBytes || *f.RequestLog.KeepFiles != DefaultLogKeepFiles || f.RequestLog.Path != filepath.Join(dir, "requests.log") ||
-		f.Graphite[0].TimeoutSeconds != DefaultTimeoutSeconds {
-		t.Errorf("%+v is not what holds without a file", f)
+	if len(config.Graphite) != 1 || len(config.Collectd) != 1 || config.Telemetry.IntervalSeconds != defaults.Telemetry.IntervalSeconds || config.Telemetry.MemoryBytes != defaults.Telemetry.MemoryBytes ||
+		config.Telemetry.SpoolBytes != defaults.Telemetry.SpoolBytes || *config.Telemetry.NodeSeries != *defaults.Telemetry.NodeSeries ||
+		config.RequestLog.MaxBytes != DefaultLogBytes || *config.RequestLog.KeepFiles != DefaultLogKeepFiles || config.RequestLog.Path != filepath.Join(dir, "requests.log") ||
+		config.Graphite[0].TimeoutSeconds != DefaultTimeoutSeconds {
+		t.Errorf("%+v is not what holds without a file", config)
 	}
 }
 
-func TestFiles(t *testing.T) {
+func TestParse(t *testing.T) {
 	dir := t.TempDir()
 	for name, perm := range map[string]os.FileMode{"good.key": 0o600, "open.key": 0o644, "empty.key": 0o600} {
 		text := "geheim\n"
@@ -58,7 +58,7 @@
 		}
 	}
 	const signed = "[collectd]\naddress = \"127.0.0.1:1\"\nsecurity = \"sign\"\nusername = \"u\"\n"
-	for _, tc := range []struct{ text, line, key, says string }{
+	for _, test := range []struct{ text, line, key, says string }{
 		{"", "", "", ""},
 		{"[graphite]\naddress = \"127.0.0.1:2003\"\nform = \"pickle\"\n", "", "", ""},
 		{"[[graphite]]\naddress = \"127.0.0.1:2003\"\n[[graphite]]\naddress = \"127.0.0.1:2004\"\n", "", "", ""},
@@ -100,19 +100,19 @@
 		{"[request_log]\npath = \"x\"\nmax_bytes = 1\n", ":3", "request_log.max_bytes", "below"},
 	} {
 		path := filepath.Join(dir, "operator.toml")
-		_, err := Parse(path, tc.text)
-		var e *Error
+		_, err := Parse(path, test.text)
+		var configError *Error
 		switch {
-		case tc.line == "" && tc.key == "":
+		case test.line == "" && test.key == "":
 			if err != nil {
-				t.Errorf("%q: %v", tc.text, err)
+				t.Errorf("%q: %v", test.text, err)
 			}
-		case !errors.As(err, &e):
-			t.Errorf("%q: %v", tc.text, err)
-		case !strings.Contains(e.Error(), path+tc.line) || tc.key != "" && e.Key != tc.key || !strings.Contains(e.Error(), tc.says):
-			t.Errorf("%q: %v, want line %s, key %s and %q", tc.text, e, tc.line, tc.key, tc.says)
-		case strings.Contains(e.Error(), "geheim"):
-			t.Errorf("the password is told: %v", e)
+		case !errors.As(err, &configError):
+			t.Errorf("%q: %v", test.text, err)
+		case !strings.Contains(configError.Error(), path+test.line) || test.key != "" && configError.Key != test.key || !strings.Contains(configError.Error(), test.says):
+			t.Errorf("%q: %v, want line %s, key %s and %q", test.text, configError, test.line, test.key, test.says)
+		case strings.Contains(configError.Error(), "geheim"):
+			t.Errorf("the password is told: %v", configError)
 		}
 	}
 	if _, err := Read(filepath.Join(dir, "none.toml")); err == nil || !strings.Contains(err.Error(), "none.toml") {
@@ -121,7 +121,7 @@
 }
 
 // Where a member's ledger stands, how long its lease lasts, and what its mark is drawn from, where the file does not say.
-func TestAMembersDefaults(t *testing.T) {
+func TestClusterDefaultsAndCommon(t *testing.T) {
 	const head = "[fleet]\nname = \"f\"\nbind = \"127.0.0.1:7946\"\n"
 	for text, want := range map[string]string{
 		head: "",
@@ -129,12 +129,12 @@
 		head + "ledger = \"books\"\n":                                          "/etc/books",
 		head + "ledger = \"/var/books\"\n[request_log]\npath = \"requests\"\n": "/var/books",
 	} {
-		f, err := Parse("/etc/operator.toml", text)
+		config, err := Parse("/etc/operator.toml", text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f.Cluster.AuditLogPath != want || f.Cluster.LeaseSeconds != 20 {
-			t.Errorf("%q: ledger %q, lease %v", text, f.Cluster.AuditLogPath, f.Cluster.LeaseSeconds)
+		if config.Cluster.AuditLogPath != want || config.Cluster.LeaseSeconds != 20 {
+			t.Errorf("%q: ledger %q, lease %v", text, config.Cluster.AuditLogPath, config.Cluster.LeaseSeconds)
 		}
 	}
 	x, errX := Parse("/etc/a.toml", head+"[request_log]\npath = \"x\" # here\n")
--- a/internal/dispatcher/operatorconfig/errors.go
+++ b/internal/dispatcher/operatorconfig/errors.go
@@ -33,8 +33,8 @@
 // Unwrap implements errors.
 func (e *Error) Unwrap() error { return e.Err }
 
-// mistyped is how the TOML library tells of a value of the wrong kind.
-var mistyped = regexp.MustCompile(`line (\d+) \(last key "([^"]+)"\): (.*)`)
+// typeErrorPattern is how the TOML library tells of a value of the wrong kind.
+var typeErrorPattern = regexp.MustCompile(`line (\d+) \(last key "([^"]+)"\): (.*)`)
 
 // newDecodeError makes an error of one of the TOML library, with the line and the key that it tells.
 func newDecodeError(path string, err error) *Error {
@@ -46,61 +46,61 @@
 		}
 		return &Error{Path: path, Line: syntax.Position.Line, Key: syntax.LastKey, Err: cause}
 	}
-	if match := mistyped.FindStringSubmatch(err.Error()); match != nil {
+	if match := typeErrorPattern.FindStringSubmatch(err.Error()); match != nil {
 		line, _ := strconv.Atoi(match[1])
 		return &Error{Path: path, Line: line, Key: match[2], Err: errors.New(match[3])}
 	}
 	return &Error{Path: path, Err: err}
 }
 
-func (f *Config) unknownKey(key toml.Key) error {
+func (c *Config) unknownKey(key toml.Key) error {
 	text := "unknown key"
 	if key[0] == "fleet" {
 		text += "; [fleet] has name, bind, advertise, seeds, period_s, forget_s, whole and discovery"
 	}
-	return f.keyError(key.String(), errors.New(text))
+	return c.keyError(key.String(), errors.New(text))
 }
 
 // keyError makes an error of a key. A key of the second receiver of a kind is named with its number, as graphite[1].form.
-func (f *Config) keyError(key string, err error) error {
-	return &Error{Path: f.path, Line: f.line(key), Key: key, Err: err}
+func (c *Config) keyError(key string, err error) error {
+	return &Error{Path: c.path, Line: c.lineOf(key), Key: key, Err: err}
 }
 
-// sectionError makes errors of the keys of one section.
-type sectionError func(key string, err error) error
+// keyErrorFunc makes errors of the keys of one section.
+type keyErrorFunc func(key string, err error) error
 
-// section makes errors of the keys of a section, which is named with its number if there may be several.
-func (f *Config) section(name string) sectionError {
-	return func(key string, err error) error { return f.keyError(name+"."+key, err) }
+// sectionErrors makes errors of the keys of a section, which is named with its number if there may be several.
+func (c *Config) sectionErrors(name string) keyErrorFunc {
+	return func(key string, err error) error { return c.keyError(name+"."+key, err) }
 }
 
-// numberedKey is a key with its section and the section's number.
-var numberedKey = regexp.MustCompile(`^(\w+)(?:\[(\d+)\])?\.(.+)$`)
+// keyPattern is a key with its section and the section's number.
+var keyPattern = regexp.MustCompile(`^(\w+)(?:\[(\d+)\])?\.(.+)$`)
 
-// line finds the line of a key; 0 if it is not there.
-func (f *Config) line(key string) int {
-	section, wanted, name := "", 0, key
-	if match := numberedKey.FindStringSubmatch(key); match != nil {
+// lineOf finds the line of a key; 0 if it is not there.
+func (c *Config) lineOf(key string) int {
+	section, wantedIndex, name := "", 0, key
+	if match := keyPattern.FindStringSubmatch(key); match != nil {
 		section, name = match[1], match[3]
-		wanted, _ = strconv.Atoi(match[2])
+		wantedIndex, _ = strconv.Atoi(match[2])
 	}
-	current, seen := "", -1 // the section that a line is in, and how many of the wanted name came before it
-	for i, line := range strings.Split(f.text, "\n") {
+	current, index := "", -1 // the section that a line is in, and how many of the wanted name came before it
+	for i, line := range strings.Split(c.text, "\n") {
 		line = strings.TrimSpace(line)
 		if strings.HasPrefix(line, "[") {
-			head, _, _ := strings.Cut(strings.Trim(line, "["), "]")
-			current = strings.TrimSpace(head)
+			header, _, _ := strings.Cut(strings.Trim(line, "["), "]")
+			current = strings.TrimSpace(header)
 			if current == section {
-				seen++
+				index++
 			}
 			if current == key {
 				return i + 1
 			}
 			continue
 		}
-		left, _, assigned := strings.Cut(line, "=")
-		left = strings.Trim(strings.TrimSpace(left), `"`)
-		if assigned && current == section && left == name && max(seen, 0) == wanted {
+		lineKey, _, assigned := strings.Cut(line, "=")
+		lineKey = strings.Trim(strings.TrimSpace(lineKey), `"`)
+		if assigned && current == section && lineKey == name && max(index, 0) == wantedIndex {
 			return i + 1
 		}
 	}
--- a/internal/dispatcher/operatorconfig/receivers.go
+++ b/internal/dispatcher/operatorconfig/receivers.go
@@ -39,73 +39,73 @@
 
 // Bounds of receivers' keys.
 const (
-	leastPatience     = 1    // seconds
-	mostPatience      = 3600 // seconds
-	mostUsernameBytes = 256
-	mostPasswordBytes = 4096
-	rightsOfOthers    = 0o077 // of a password's file
+	minTimeoutSeconds     = 1    // seconds
+	maxTimeoutSeconds     = 3600 // seconds
+	maxUsernameBytes      = 256
+	maxPasswordBytes      = 4096
+	otherUsersPermissions = 0o077 // of a password's file
 )
 
 const defaultPrefix = "cinderroad"
 
-var plainPath = regexp.MustCompile(`^[A-Za-z0-9_-]+(\.[A-Za-z0-9_-]+)*$`)
+var prefixPattern = regexp.MustCompile(`^[A-Za-z0-9_-]+(\.[A-Za-z0-9_-]+)*$`)
 
-func (g *Graphite) check(wrong sectionError) (err error) {
+func (g *Graphite) validate(errorAt keyErrorFunc) (err error) {
 	if g.ParsedAddress, err = parseAddress(g.Address); err != nil {
-		return wrong("address", err)
+		return errorAt("address", err)
 	}
-	if err := checkChoice(&g.Protocol, "plaintext", "pickle"); err != nil {
-		return wrong("form", err)
+	if err := validateChoice(&g.Protocol, "plaintext", "pickle"); err != nil {
+		return errorAt("form", err)
 	}
-	if err := checkChoice(&g.Confirm, "close", "none"); err != nil {
-		return wrong("confirm", err)
+	if err := validateChoice(&g.Confirm, "close", "none"); err != nil {
+		return errorAt("confirm", err)
 	}
-	if err := checkSeconds(&g.TimeoutSeconds, DefaultTimeoutSeconds, leastPatience, mostPatience); err != nil {
-		return wrong("patience_s", err)
+	if err := validateSeconds(&g.TimeoutSeconds, DefaultTimeoutSeconds, minTimeoutSeconds, maxTimeoutSeconds); err != nil {
+		return errorAt("patience_s", err)
 	}
 	if g.Prefix == "" {
 		g.Prefix = defaultPrefix
 	}
-	if !plainPath.MatchString(g.Prefix) {
-		return wrong("prefix", fmt.Errorf("%q: letters, digits, _ and - between dots", g.Prefix))
+	if !prefixPattern.MatchString(g.Prefix) {
+		return errorAt("prefix", fmt.Errorf("%q: letters, digits, _ and - between dots", g.Prefix))
 	}
 	return nil
 }
 
-func (c *Collectd) check(wrong sectionError) (err error) {
+func (c *Collectd) validate(errorAt keyErrorFunc) (err error) {
 	switch {
 	case (c.Socket == "") == (c.Address == ""):
-		return wrong("socket", errors.New("either socket or address must be there"))
+		return errorAt("socket", errors.New("either socket or address must be there"))
 	case c.Address != "":
 		if c.ParsedAddress, err = parseAddress(c.Address); err != nil {
-			return wrong("address", err)
+			return errorAt("address", err)
 		}
 	}
-	if err := checkChoice(&c.Security, "none", "sign", "encrypt"); err != nil {
-		return wrong("security", err)
+	if err := validateChoice(&c.Security, "none", "sign", "encrypt"); err != nil {
+		return errorAt("security", err)
 	}
-	if err := checkSeconds(&c.TimeoutSeconds, DefaultTimeoutSeconds, leastPatience, mostPatience); err != nil {
-		return wrong("patience_s", err)
+	if err := validateSeconds(&c.TimeoutSeconds, DefaultTimeoutSeconds, minTimeoutSeconds, maxTimeoutSeconds); err != nil {
+		return errorAt("patience_s", err)
 	}
-	return c.checkSecurity(wrong)
+	return c.validateSecurity(errorAt)
 }
 
-// checkSecurity checks what messages are signed or encrypted with, and reads the password.
-func (c *Collectd) checkSecurity(wrong sectionError) (err error) {
+// validateSecurity checks what messages are signed or encrypted with, and reads the password.
+func (c *Collectd) validateSecurity(errorAt keyErrorFunc) (err error) {
 	switch {
 	case c.Security == "none" && (c.Username != "" || c.PasswordFile != ""):
-		return wrong("security", errors.New("username and password_file are for sign or encrypt"))
+		return errorAt("security", errors.New("username and password_file are for sign or encrypt"))
 	case c.Security == "none":
 		return nil
 	case c.Socket != "":
-		return wrong("security", errors.New("the unix socket has none"))
-	case c.Username == "" || len(c.Username) > mostUsernameBytes:
-		return wrong("username", fmt.Errorf("must be there, with %d bytes at most", mostUsernameBytes))
+		return errorAt("security", errors.New("the unix socket has none"))
+	case c.Username == "" || len(c.Username) > maxUsernameBytes:
+		return errorAt("username", fmt.Errorf("must be there, with %d bytes at most", maxUsernameBytes))
 	case c.PasswordFile == "":
-		return wrong("password_file", errors.New("must be there"))
+		return errorAt("password_file", errors.New("must be there"))
 	}
 	if c.Password, err = readPassword(c.PasswordFile); err != nil {
-		return wrong("password_file", err)
+		return errorAt("password_file", err)
 	}
 	return nil
 }
@@ -116,10 +116,10 @@
 	if err != nil {
 		return "", err
 	}
-	if info.Mode().Perm()&rightsOfOthers != 0 {
+	if info.Mode().Perm()&otherUsersPermissions != 0 {
 		return "", fmt.Errorf("%s has rights for others (%v): chmod 600", path, info.Mode().Perm())
 	}
-	if info.Size() > mostPasswordBytes {
+	if info.Size() > maxPasswordBytes {
 		return "", fmt.Errorf("%s is too long for a password", path)
 	}
 	text, err := os.ReadFile(path)
--- a/internal/dispatcher/operatorconfig/request_log.go
+++ b/internal/dispatcher/operatorconfig/requestlog.go
@@ -20,26 +20,26 @@
 
 // Bounds of the request log's keys.
 const (
-	leastLogBytes = 4096
-	mostLogKeep   = 1000 // files
+	minLogBytes     = 4096
+	maxLogKeepFiles = 1000 // files
 )
 
-func (l *RequestLog) check(wrong sectionError) error {
+func (l *RequestLog) validate(errorAt keyErrorFunc) error {
 	if l.Path == "" {
-		return wrong("path", errors.New("must be there"))
+		return errorAt("path", errors.New("must be there"))
 	}
 	if l.MaxBytes == 0 {
 		l.MaxBytes = DefaultLogBytes
 	}
-	if l.MaxBytes < leastLogBytes {
-		return wrong("max_bytes", fmt.Errorf("%d is below %d", l.MaxBytes, leastLogBytes))
+	if l.MaxBytes < minLogBytes {
+		return errorAt("max_bytes", fmt.Errorf("%d is below %d", l.MaxBytes, minLogBytes))
 	}
 	if l.KeepFiles == nil {
 		files := DefaultLogKeepFiles
 		l.KeepFiles = &files
 	}
-	if *l.KeepFiles < 0 || *l.KeepFiles > mostLogKeep {
-		return wrong("keep", fmt.Errorf("%d is not within 0 and %d", *l.KeepFiles, mostLogKeep))
+	if *l.KeepFiles < 0 || *l.KeepFiles > maxLogKeepFiles {
+		return errorAt("keep", fmt.Errorf("%d is not within 0 and %d", *l.KeepFiles, maxLogKeepFiles))
 	}
 	return nil
 }
--- a/internal/dispatcher/operatorconfig/telemetry.go
+++ b/internal/dispatcher/operatorconfig/telemetry.go
@@ -21,35 +21,35 @@
 
 // Bounds of the keys of telemetry.
 const (
-	leastEvery       = 1    // seconds
-	mostEvery        = 3600 // seconds
-	leastMemoryBytes = 4096
-	leastSpoolBytes  = 64 << 10
-	mostNodes        = 20000
+	minIntervalSeconds = 1    // seconds
+	maxIntervalSeconds = 3600 // seconds
+	minMemoryBytes     = 4096
+	minSpoolBytes      = 64 << 10
+	maxNodeSeries      = 20000
 )
 
-func (t *Telemetry) check(wrong sectionError) error {
-	if err := checkSeconds(&t.IntervalSeconds, DefaultIntervalSeconds, leastEvery, mostEvery); err != nil {
-		return wrong("every_s", err)
+func (t *Telemetry) validate(errorAt keyErrorFunc) error {
+	if err := validateSeconds(&t.IntervalSeconds, DefaultIntervalSeconds, minIntervalSeconds, maxIntervalSeconds); err != nil {
+		return errorAt("every_s", err)
 	}
 	if t.MemoryBytes == 0 {
 		t.MemoryBytes = DefaultMemoryBytes
 	}
-	if t.MemoryBytes < leastMemoryBytes {
-		return wrong("memory_bytes", fmt.Errorf("%d is below %d", t.MemoryBytes, leastMemoryBytes))
+	if t.MemoryBytes < minMemoryBytes {
+		return errorAt("memory_bytes", fmt.Errorf("%d is below %d", t.MemoryBytes, minMemoryBytes))
 	}
 	if t.SpoolBytes == 0 {
 		t.SpoolBytes = DefaultSpoolBytes
 	}
-	if t.SpoolBytes < leastSpoolBytes {
-		return wrong("spool_bytes", fmt.Errorf("%d is below %d", t.SpoolBytes, leastSpoolBytes))
+	if t.SpoolBytes < minSpoolBytes {
+		return errorAt("spool_bytes", fmt.Errorf("%d is below %d", t.SpoolBytes, minSpoolBytes))
 	}
 	if t.NodeSeries == nil {
 		nodes := DefaultNodeSeries
 		t.NodeSeries = &nodes
 	}
-	if *t.NodeSeries < 0 || *t.NodeSeries > mostNodes {
-		return wrong("node_series", fmt.Errorf("%d is not within 0 and %d nodes", *t.NodeSeries, mostNodes))
+	if *t.NodeSeries < 0 || *t.NodeSeries > maxNodeSeries {
+		return errorAt("node_series", fmt.Errorf("%d is not within 0 and %d nodes", *t.NodeSeries, maxNodeSeries))
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/dispatcher/operatorconfig/validate.go
@@ -0,0 +1,153 @@
+package operatorconfig
+
+import (
+	"fmt"
+	"net/netip"
+	"path/filepath"
+	"slices"
+	"strings"
+)
+
+// validate sets defaults, makes relative paths the file's own and returns the first error, an *Error.
+func (c *Config) validate() error {
+	if err := c.validateGraphite(); err != nil {
+		return err
+	}
+	if err := c.validateCollectd(); err != nil {
+		return err
+	}
+	if err := c.Telemetry.validate(c.sectionErrors("telemetry")); err != nil {
+		return err
+	}
+	c.Telemetry.SpoolDir = c.resolvePath(c.Telemetry.SpoolDir)
+	if c.RequestLog != nil {
+		if err := c.RequestLog.validate(c.sectionErrors("request_log")); err != nil {
+			return err
+		}
+		c.RequestLog.Path = c.resolvePath(c.RequestLog.Path)
+	}
+	if err := c.validateCluster(); err != nil {
+		return err
+	}
+	return c.validateDistinctReceivers()
+}
+
+func (c *Config) validateGraphite() error {
+	for i := range c.Graphite {
+		if err := c.adoptInterval(i); err != nil {
+			return err
+		}
+		if err := c.Graphite[i].validate(c.sectionErrors(fmt.Sprintf("graphite[%d]", i))); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// adoptInterval takes a receiver's period for that of all: each period is closed once.
+func (c *Config) adoptInterval(index int) error {
+	interval := c.Graphite[index].IntervalSeconds
+	if interval == 0 {
+		return nil
+	}
+	if shared := c.Telemetry.IntervalSeconds; shared != 0 && shared != interval {
+		return c.keyError(fmt.Sprintf("graphite[%d].every_s", index),
+			fmt.Errorf("%v, and %v elsewhere: all receivers share one period", interval, shared))
+	}
+	c.Telemetry.IntervalSeconds = interval
+	return nil
+}
+
+func (c *Config) validateCollectd() error {
+	for i := range c.Collectd {
+		receiver := &c.Collectd[i]
+		receiver.PasswordFile = c.resolvePath(receiver.PasswordFile)
+		if err := receiver.validate(c.sectionErrors(fmt.Sprintf("collectd[%d]", i))); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (c *Config) validateCluster() error {
+	if c.Cluster == nil {
+		return nil
+	}
+	if err := c.Cluster.validate(c.sectionErrors("fleet")); err != nil {
+		return err
+	}
+	switch {
+	case c.Cluster.AuditLogPath != "":
+		c.Cluster.AuditLogPath = c.resolvePath(c.Cluster.AuditLogPath)
+	case c.RequestLog != nil:
+		c.Cluster.AuditLogPath = c.RequestLog.Path + ".ledger"
+	}
+	return nil
+}
+
+// validateDistinctReceivers says which two receivers are one: each would get every point twice, and what one has got is kept by its
+// name.
+func (c *Config) validateDistinctReceivers() error {
+	seen := map[string]bool{}
+	for i, receiver := range c.Graphite {
+		name := receiver.ParsedAddress.String()
+		if seen[name] {
+			return c.keyError(fmt.Sprintf("graphite[%d].address", i), fmt.Errorf("%s is there twice", name))
+		}
+		seen[name] = true
+	}
+	clear(seen)
+	for i, receiver := range c.Collectd {
+		key, name := "socket", receiver.Socket
+		if receiver.Address != "" {
+			key, name = "address", receiver.ParsedAddress.String()
+		}
+		if seen[name] {
+			return c.keyError(fmt.Sprintf("collectd[%d].%s", i, key), fmt.Errorf("%s is there twice", name))
+		}
+		seen[name] = true
+	}
+	return nil
+}
+
+// resolvePath is a path of the file, which counts from the file's folder.
+func (c *Config) resolvePath(path string) string {
+	if path == "" || filepath.IsAbs(path) {
+		return path
+	}
+	return filepath.Join(filepath.Dir(c.path), path)
+}
+
+// parseAddress reads an IP address with a port.
+func parseAddress(text string) (netip.AddrPort, error) {
+	address, err := netip.ParseAddrPort(text)
+	switch {
+	case err != nil:
+		return address, fmt.Errorf("%q is no IP address and port, like 127.0.0.1:7946", text)
+	case address.Port() == 0:
+		return address, fmt.Errorf("%s has no port", text)
+	}
+	return address, nil
+}
+
+// validateChoice checks that a value is one of several, and sets the first one where it is empty.
+func validateChoice(value *string, choices ...string) error {
+	if *value == "" {
+		*value = choices[0]
+	}
+	if slices.Contains(choices, *value) {
+		return nil
+	}
+	return fmt.Errorf("%q is none of %s", *value, strings.Join(choices, ", "))
+}
+
+// validateSeconds checks that a value is within bounds, both included, and sets the fallback where it is 0.
+func validateSeconds(value *float64, fallback, minimum, maximum float64) error {
+	if *value == 0 {
+		*value = fallback
+	}
+	if !(*value >= minimum && *value <= maximum) { // which no comparison with NaN is
+		return fmt.Errorf("%v is not within %v and %v seconds", *value, minimum, maximum)
+	}
+	return nil
+}
