--- a/internal/dispatcher/operatorconfig/config_test.go
+++ b/internal/dispatcher/operatorconfig/config_test.go
@@ -11,7 +11,7 @@
 
 // The shipped file, with every key uncommented, is one that can be read, and says the defaults.
 func TestShippedFileHasDefaults(t *testing.T) {
-	path := filepath.Join("..", "..", "deploy", "operator.toml")
+	path := filepath.Join("..", "..", "..", "deploy", "operator.toml")
 	config, err := Read(path)
 	if err != nil {
 		t.Fatal(err)
