--- a/internal/shared/eventloop/timers.go
+++ b/internal/shared/eventloop/timers.go
@@ -54,15 +54,21 @@
 	x, y := t.entries[i], t.entries[j]
 	return x.due < y.due || x.due == y.due && x.sequence < y.sequence
 }
+
+// Swap implements heap.Interface.
 func (t *Timers) Swap(i, j int) {
 	t.entries[i], t.entries[j] = t.entries[j], t.entries[i]
 	t.entries[i].index, t.entries[j].index = i, j
 }
+
+// Push implements heap.Interface; use At to add a timer.
 func (t *Timers) Push(x any) {
 	e := x.(*Timer)
 	e.index = len(t.entries)
 	t.entries = append(t.entries, e)
 }
+
+// Pop implements heap.Interface; use Run to take what is due.
 func (t *Timers) Pop() any {
 	n := len(t.entries) - 1
 	e := t.entries[n]
--- a/internal/shared/membership/state.go
+++ b/internal/shared/membership/state.go
@@ -60,14 +60,7 @@
 	}
 	switch {
 	case order > 0:
-		cause := "reported by " + from
-		if from == "" {
-			cause = fmt.Sprintf("no ack of probe %d (of %d members asked to probe, %d sent a nack)",
-				n.probe.seq, n.probe.expectedNacks, n.probe.nacks)
-		} else if from == record.Name {
-			cause = "by itself"
-		}
-		n.replaceRecord(peer, record, cause)
+		n.replaceRecord(peer, record, n.causeOfChange(record.Name, from))
 	case order == 0 && record.State == Suspect:
 		n.confirmSuspicion(peer, record.SuspectedBy)
 	case order < 0:
@@ -77,6 +70,19 @@
 	return nil
 }
 
+// causeOfChange describes for logs why a member's record changed: from is who reported it, empty for the own probe.
+func (n *Node) causeOfChange(name, from string) string {
+	switch from {
+	case "":
+		return fmt.Sprintf("no ack of probe %d (of %d members asked to probe, %d sent a nack)",
+			n.probe.seq, n.probe.expectedNacks, n.probe.nacks)
+	case name:
+		return "by itself"
+	default:
+		return "reported by " + from
+	}
+}
+
 // replaceRecord replaces the record of a known member by a newer one.
 func (n *Node) replaceRecord(peer *member, record Record, cause string) {
 	n.countMember(peer, -1)
