--- a/internal/dispatcher/cluster/jobstate/command.go
+++ b/internal/dispatcher/cluster/jobstate/command.go
@@ -1,5 +1,3 @@
-// Package promises is what the copies hold for the fleet: the state that agreed commands make, the same at each copy bit for bit. It
-// knows no network, no clock and no log; time in it is the time that commands bring along.
 package jobstate
 
 import (
@@ -9,88 +7,93 @@
 	"cinderroad/internal/shared/membership"
 )
 
-// FormatVersion is the number of the commands' form. A copy that meets a newer one cannot tell what the others make of it, and stops.
+// FormatVersion is the version of the encoding of commands and snapshots. A replica that reads a newer one must stop: it
+// can't know what the other replicas make of it.
 const FormatVersion = 1
 
-// CommandKind is what a command does.
+// CommandKind is what a command does. The values are stored in the log.
 type CommandKind uint8
 
-// The kinds.
+// The kinds of commands.
 const (
-	CommandSubmit      CommandKind = iota + 1 // a job is promised
-	CommandSend                               // a dispatcher is about to send it: agreed before the first byte goes out
-	CommandEnd                                // it has run, or ended otherwise
-	CommandAbandon                            // nobody can know whether it ran: whoever sent it is gone for good
-	CommandExclude                            // a worker is taken out by hand
-	CommandInclude                            // and back
-	CommandAdvanceTime                        // time passes
+	CommandSubmit      CommandKind = iota + 1 // accept a job
+	CommandSend                               // a dispatcher is about to send the job: committed before the first byte is sent
+	CommandEnd                                // the job has ended, or has certainly not run (NotRun)
+	CommandAbandon                            // the dispatcher that sent the job is gone, so nobody can know whether it ran
+	CommandExclude                            // an operator excludes a worker
+	CommandInclude                            // an operator includes an excluded worker again
+	CommandAdvanceTime                        // nothing but the time changes
 	commandKinds
 )
 
-// Effect is what a repeat of a job may do.
+// Effect is what running a job twice may do. The values are stored in the log.
 type Effect uint8
 
-// The effects: harmless, dropped by the group of workers for a while, or harmful.
+// The effects of a second run.
 const (
-	Safe Effect = iota
-	Keyed
-	Unsafe
+	Safe   Effect = iota // idempotent
+	Keyed                // the worker group drops a repeat within the job's deduplication window
+	Unsafe               // harmful: the job must not run twice
 )
 
-// Command is one agreed step. Which fields count depends on the kind.
+// Command is an entry of the replicated log. Which fields count depends on Kind.
 type Command struct {
-	FormatVersion uint8       `cbor:"1,keyasint"`
+	FormatVersion uint8       `cbor:"1,keyasint"` // set by Encode
 	Kind          CommandKind `cbor:"2,keyasint"`
-	TimeMS        int64       `cbor:"3,keyasint"` // Unix ms by the clock of who proposed it
-	Proposer      string      `cbor:"4,keyasint"` // the member, with its life, that proposed it
+	TimeMS        int64       `cbor:"3,keyasint"` // Unix time by the proposer's clock
+	Proposer      string      `cbor:"4,keyasint"` // name and incarnation of the member that proposed the command
 
-	ID                    uint64 `cbor:"5,keyasint,omitempty"`
+	ID                    uint64 `cbor:"5,keyasint,omitempty"` // of the job; all kinds that concern a job but CommandSubmit
 	Tenant                string `cbor:"6,keyasint,omitempty"`
-	Key                   string `cbor:"7,keyasint,omitempty"` // the same twice is one promise; the tenant's own
+	Key                   string `cbor:"7,keyasint,omitempty"` // idempotency key, unique for the tenant: used twice, it is one job; "": none
 	Class                 string `cbor:"8,keyasint,omitempty"`
 	Function              string `cbor:"9,keyasint,omitempty"`
-	Priority              int8   `cbor:"10,keyasint,omitempty"`
+	Priority              int8   `cbor:"10,keyasint,omitempty"` // higher is sent first
 	Effect                Effect `cbor:"11,keyasint,omitempty"`
-	DeduplicationWindowMS int64  `cbor:"12,keyasint,omitempty"` // keyed: how long the group drops repeats, from the first agreed send
-	Data                  []byte `cbor:"13,keyasint,omitempty"` // of the job, or its result
+	DeduplicationWindowMS int64  `cbor:"12,keyasint,omitempty"` // Keyed: how long the worker group drops repeats, from the first send
+	Data                  []byte `cbor:"13,keyasint,omitempty"` // CommandSubmit: of the job; CommandEnd: its result
 
-	FencingToken uint64 `cbor:"14,keyasint,omitempty"` // Send: the one it was seen at; End: the one it was sent under
+	// FencingToken is, for CommandSend and CommandAbandon, the token that the proposer has read; for CommandEnd, the token
+	// under which the job was sent.
+	FencingToken uint64 `cbor:"14,keyasint,omitempty"`
 	Worker       string `cbor:"15,keyasint,omitempty"`
-	WorkerGroup  string `cbor:"16,keyasint,omitempty"` // of workers that drop the job's repeats
-	Failed       bool   `cbor:"17,keyasint,omitempty"` // End: the job failed
-	NotRun       bool   `cbor:"18,keyasint,omitempty"` // End: it surely never ran under this fence, and waits again
+	WorkerGroup  string `cbor:"16,keyasint,omitempty"` // of the workers that drop repeats of the job
+	Failed       bool   `cbor:"17,keyasint,omitempty"` // CommandEnd: the job failed
+	NotRun       bool   `cbor:"18,keyasint,omitempty"` // CommandEnd: the job has certainly not run under this token, and waits again
 }
 
-var commandDecoder = membership.StrictDecMode(4, 64)
+// Bounds of what a decoder accepts.
+const (
+	commandNesting   = 4
+	snapshotNesting  = 6
+	maxFields        = 64      // of a map
+	snapshotElements = 1 << 24 // of an array: what bounds a snapshot is the log's limit on its size
+)
+
+var commandDecoder = membership.StrictDecMode(commandNesting, maxFields)
+
+var errUnsupportedVersion = fmt.Errorf("this program reads version %d", FormatVersion)
 
-// Encode is the command as it stands in the log.
+// Encode returns the command as it is stored in the log, in the current FormatVersion.
 func (c *Command) Encode() []byte {
 	c.FormatVersion = FormatVersion
 	return membership.MarshalDeterministic(c)
 }
 
-// Decode reads a command and checks what can be told without a state.
+// Decode reads a command and checks what can be checked without a State. Its errors are of type *DecodeError.
 func Decode(data []byte) (command Command, err error) {
 	if err := commandDecoder.Unmarshal(data, &command); err != nil {
 		return command, &DecodeError{"command", command.FormatVersion, err}
 	}
 	switch {
 	case command.FormatVersion != FormatVersion:
-		return command, &DecodeError{"command", command.FormatVersion, fmt.Errorf("this program reads form %d", FormatVersion)}
+		return command, &DecodeError{"command", command.FormatVersion, errUnsupportedVersion}
 	case command.Kind == 0 || command.Kind >= commandKinds:
 		return command, &DecodeError{"command", command.FormatVersion, fmt.Errorf("unknown kind %d", command.Kind)}
 	case command.Effect > Unsafe:
 		return command, &DecodeError{"command", command.FormatVersion, fmt.Errorf("unknown effect %d", command.Effect)}
 	case command.TimeMS < 0 || command.DeduplicationWindowMS < 0:
-		return command, &DecodeError{"command", command.FormatVersion, errors.New("a time below 0")}
+		return command, &DecodeError{"command", command.FormatVersion, errors.New("a negative time")}
 	}
 	return command, nil
 }
-
-var (
-	errUnsupportedVersion = fmt.Errorf("this program reads form %d", FormatVersion)
-	errInvalidJob         = errors.New("a job that makes no sense")
-
-	// snapshotDecoder reads snapshots, whose size the log's bound holds.
-	snapshotDecoder = membership.StrictDecModeForArrays(6, 64, 1<<24)
-)
