--- a/internal/dispatcher/cluster/jobstate/cost_test.go
+++ b/internal/dispatcher/cluster/jobstate/cost_test.go
@@ -5,39 +5,39 @@
 	"testing"
 )
 
-// filled holds so many jobs of 200 bytes.
-func filled(b *testing.B, jobs int) *State {
-	s := New(Limits{TotalBytes: 1 << 30, TenantBytes: 1 << 30, JobBytes: 8 << 10, ResultRetentionMS: 600_000})
+// newFilledState holds so many jobs of 200 bytes.
+func newFilledState(b *testing.B, jobs int) *State {
+	state := New(Limits{TotalBytes: 1 << 30, TenantBytes: 1 << 30, JobBytes: 8 << 10, ResultRetentionMS: 600_000})
 	for i := range jobs {
-		c := Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "t", Key: fmt.Sprint(i), Class: "c", Function: "f", Data: make([]byte, 200)}
-		if r, err := s.Apply(uint64(i+1), c.Encode()); err != nil || r.Err != nil {
-			b.Fatal(err, r.Err)
+		command := Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "t", Key: fmt.Sprint(i), Class: "c", Function: "f", Data: make([]byte, 200)}
+		if result, err := state.Apply(uint64(i+1), command.Encode()); err != nil || result.Err != nil {
+			b.Fatal(err, result.Err)
 		}
 	}
-	return s
+	return state
 }
 
 // A job taken, sent and ended with 100,000 others held.
-func BenchmarkAJobsLife(b *testing.B) {
-	s := filled(b, 100_000)
+func BenchmarkSubmitSendEnd(b *testing.B) {
+	state := newFilledState(b, 100_000)
 	index := uint64(100_000)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		index += 3
 		id := index - 2
-		s.Apply(id, (&Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "t", Key: fmt.Sprint("b", i), Class: "c", Data: make([]byte, 200)}).Encode())
-		s.Apply(index-1, (&Command{Kind: CommandSend, TimeMS: 1000, Proposer: "m", ID: id}).Encode())
-		s.Apply(index, (&Command{Kind: CommandEnd, TimeMS: 1000, Proposer: "m", ID: id, FencingToken: 1, Data: make([]byte, 50)}).Encode())
+		state.Apply(id, (&Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "t", Key: fmt.Sprint("b", i), Class: "c", Data: make([]byte, 200)}).Encode())
+		state.Apply(index-1, (&Command{Kind: CommandSend, TimeMS: 1000, Proposer: "m", ID: id}).Encode())
+		state.Apply(index, (&Command{Kind: CommandEnd, TimeMS: 1000, Proposer: "m", ID: id, FencingToken: 1, Data: make([]byte, 50)}).Encode())
 	}
 }
 
 func BenchmarkSnapshot(b *testing.B) {
 	for _, jobs := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint(jobs), func(b *testing.B) {
-			s := filled(b, jobs)
+			state := newFilledState(b, jobs)
 			b.ReportAllocs()
 			for b.Loop() {
-				b.SetBytes(int64(len(s.Snapshot())))
+				b.SetBytes(int64(len(state.Snapshot())))
 			}
 		})
 	}
