--- a/internal/dispatcher/cluster/jobstate/cost_test.go
+++ b/internal/dispatcher/cluster/jobstate/benchmark_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// newFilledState holds so many jobs of 200 bytes.
+// newFilledState returns a State with the given number of jobs of 200 bytes each.
 func newFilledState(b *testing.B, jobs int) *State {
+	b.Helper()
 	state := New(Limits{TotalBytes: 1 << 30, TenantBytes: 1 << 30, JobBytes: 8 << 10, ResultRetentionMS: 600_000})
 	for i := range jobs {
 		command := Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "t", Key: fmt.Sprint(i), Class: "c", Function: "f", Data: make([]byte, 200)}
@@ -17,7 +18,7 @@
 	return state
 }
 
-// A job taken, sent and ended with 100,000 others held.
+// BenchmarkSubmitSendEnd measures submitting, sending and ending a job beside 100,000 others.
 func BenchmarkSubmitSendEnd(b *testing.B) {
 	state := newFilledState(b, 100_000)
 	index := uint64(100_000)
--- a/internal/dispatcher/cluster/jobstate/promises_test.go
+++ b/internal/dispatcher/cluster/jobstate/state_test.go
@@ -4,19 +4,17 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"os"
-	"strings"
 	"testing"
 
-	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 )
 
 var testLimits = Limits{TotalBytes: 64 << 10, TenantBytes: 40 << 10, JobBytes: 4 << 10, ResultRetentionMS: 10_000}
 
-// drawCommand is a command that may or may not make sense in a state.
+// drawCommand draws a command that may or may not be valid in the state.
 func drawCommand(t *rapid.T, state *State, timeMS int64) *Command {
-	command := &Command{Kind: CommandKind(rapid.IntRange(1, int(commandKinds)-1).Draw(t, "kind")), TimeMS: timeMS, Proposer: rapid.SampledFrom([]string{"m1/1", "m2/1"}).Draw(t, "by")}
+	command := &Command{Kind: CommandKind(rapid.IntRange(1, int(commandKinds)-1).Draw(t, "kind")), TimeMS: timeMS,
+		Proposer: rapid.SampledFrom([]string{"m1/1", "m2/1"}).Draw(t, "by")}
 	switch command.Kind {
 	case CommandSubmit:
 		command.Tenant, command.Key = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "tenant"), fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "key"))
@@ -36,13 +34,14 @@
 	return command
 }
 
-// Two states that take the same commands are the same bit for bit, also where one went through a snapshot; a job ends once; the bounds hold.
+// Two states to which the same commands were applied are equal bit for bit, even if one was restored from a snapshot; a job
+// ends once; the used bytes are those of the items.
 func TestReplicasStayIdentical(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := New(testLimits), New(testLimits)
 		timeMS, ends := int64(1_000_000), map[uint64]JobState{}
 		for index := uint64(1); index <= 60; index++ {
-			timeMS += int64(rapid.IntRange(-2000, 2000).Draw(t, "time")) // clocks are seconds apart
+			timeMS += int64(rapid.IntRange(-2000, 2000).Draw(t, "time")) // the proposers' clocks differ by seconds
 			data := drawCommand(t, first, timeMS).Encode()
 			before := first.NowMS()
 			firstResult, err := first.Apply(index, data)
@@ -51,7 +50,7 @@
 				t.Fatalf("%v, %v, %v", err, firstResult.Err, secondResult.Err)
 			}
 			if first.NowMS() < before {
-				t.Fatal("time went back")
+				t.Fatal("the time decreased")
 			}
 			if firstResult.Job != nil && firstResult.Job.State.Terminal() {
 				if previous := ends[firstResult.Job.ID]; previous != 0 && previous != firstResult.Job.State {
@@ -67,18 +66,18 @@
 				second = fresh
 			}
 			if first.Digest() != second.Digest() {
-				t.Fatalf("they differ after command %d", index)
+				t.Fatalf("the states differ after command %d", index)
 			}
 			sum := 0
 			for _, job := range first.jobs {
 				sum += job.sizeBytes()
 			}
 			if _, used := first.Usage(); used != sum+exclusionBytes*len(first.exclusions) {
-				t.Fatalf("%d bytes counted, %d held", used, sum)
+				t.Fatalf("%d bytes used, the jobs have %d", used, sum)
 			}
 		}
 		if !bytes.Equal(first.Snapshot(), second.Snapshot()) {
-			t.Fatal("their snapshots differ")
+			t.Fatal("the snapshots differ")
 		}
 	})
 }
@@ -97,11 +96,11 @@
 		name   string
 		effect Effect
 		group  string
-		after  int64 // ms from the first send to the giving up
-		again  JobState
+		after  int64 // ms from the first send to the abandoning
+		want   JobState
 	}{
 		{"safe", Safe, "other", 60_000, Waiting},
-		{"keyed, in time", Keyed, "g", 2000, Waiting},
+		{"keyed, within its window", Keyed, "g", 2000, Waiting},
 		{"keyed, at its window's end", Keyed, "g", 3000, Unknown},
 		{"unsafe", Unsafe, "g", 1, Unknown},
 	} {
@@ -109,14 +108,14 @@
 		id := applyCommand(t, state, 1, Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "a", Key: "k", Effect: c.effect, DeduplicationWindowMS: 3000}).Job.ID
 		applyCommand(t, state, 2, Command{Kind: CommandSend, TimeMS: 1000, Proposer: "m1", ID: id, WorkerGroup: "g"})
 		job := applyCommand(t, state, 3, Command{Kind: CommandAbandon, TimeMS: 1000 + c.after, ID: id, FencingToken: 1}).Job
-		if job.State != c.again {
-			t.Errorf("%s: %s", c.name, job.State)
+		if job.State != c.want {
+			t.Errorf("%s: state %s, want %s", c.name, job.State, c.want)
 		}
 		if job.State == Waiting {
 			err := applyCommand(t, state, 4, Command{Kind: CommandSend, TimeMS: 1000 + c.after, Proposer: "m2", ID: id, FencingToken: 1, WorkerGroup: "elsewhere"}).Err
 			var mayHaveRun *MayHaveRunError
 			if errors.As(err, &mayHaveRun) != (c.effect == Keyed) {
-				t.Errorf("%s, sent to other workers: %v", c.name, err)
+				t.Errorf("%s, sent to another worker group: %v", c.name, err)
 			}
 		}
 	}
@@ -130,16 +129,16 @@
 	}
 	var fenced *FencedError
 	if err := applyCommand(t, state, 3, Command{Kind: CommandSend, TimeMS: 1000, Proposer: "m2", ID: id}).Err; !errors.As(err, &fenced) || fenced.Owner != "m1" || fenced.CurrentToken != 1 {
-		t.Errorf("the second one's send: %v", err)
+		t.Errorf("send with an old fencing token: %v", err)
 	}
 	applyCommand(t, state, 4, Command{Kind: CommandAbandon, TimeMS: 2000, ID: id, FencingToken: 1})
 	applyCommand(t, state, 5, Command{Kind: CommandSend, TimeMS: 2000, Proposer: "m2", ID: id, FencingToken: 1})
 	if result := applyCommand(t, state, 6, Command{Kind: CommandEnd, TimeMS: 3000, Proposer: "m1", ID: id, FencingToken: 1, Data: []byte("x")}); result.Err != nil || result.Job.State != Done {
-		t.Errorf("the first end is the one, also of who was outlived: %v", result.Err)
+		t.Errorf("end by an earlier sender: %v", result.Err)
 	}
 	var ended *JobEndedError
 	if err := applyCommand(t, state, 7, Command{Kind: CommandEnd, TimeMS: 3000, Proposer: "m2", ID: id, FencingToken: 2}).Err; !errors.As(err, &ended) {
-		t.Errorf("a second end: %v", err)
+		t.Errorf("second end: %v", err)
 	}
 }
 
@@ -159,57 +158,18 @@
 	applyCommand(t, state, 101, Command{Kind: CommandSend, TimeMS: 1000, Proposer: "m", ID: 1})
 	applyCommand(t, state, 102, Command{Kind: CommandEnd, TimeMS: 1000, Proposer: "m", ID: 1, FencingToken: 1})
 	if result := applyCommand(t, state, 103, Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "a", Key: "again", Data: data}); result.Err != nil {
-		t.Errorf("after an end has freed its data: %v", result.Err)
+		t.Errorf("after an ended job has freed its data: %v", result.Err)
 	}
 	applyCommand(t, state, 104, Command{Kind: CommandAdvanceTime, TimeMS: 1000 + testLimits.ResultRetentionMS})
 	if state.Job(1) != nil {
-		t.Error("a result is kept beyond its time")
+		t.Error("the result is retained for too long")
 	}
 	var tooLarge *JobTooLargeError
 	if err := applyCommand(t, state, 105, Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "b", Data: make([]byte, 5000)}).Err; !errors.As(err, &tooLarge) {
-		t.Errorf("too large: %v", err)
+		t.Errorf("job over the limit: %v", err)
 	}
 	var conflict *KeyConflictError
 	if err := applyCommand(t, state, 106, Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "b", Key: "b", Data: []byte("other")}).Err; !errors.As(err, &conflict) {
-		t.Errorf("a key for another job: %v", err)
+		t.Errorf("key of another job: %v", err)
 	}
 }
-
-// Every problem has a code and a word for operators, and both stand on their page.
-func TestErrorsAreDocumented(t *testing.T) {
-	page, err := os.ReadFile("../../../../docs/promises.md")
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, coded := range []CodedError{&StateFullError{}, &JobTooLargeError{}, &JobNotFoundError{}, &FencedError{}, &JobEndedError{}, &MayHaveRunError{}, &KeyConflictError{}, &DecodeError{Cause: errUnsupportedVersion}} {
-		if coded.Code() == "" || coded.Remedy() == "" || coded.Error() == "" || !strings.Contains(string(page), "`"+coded.Code()+"`") || !strings.Contains(string(page), coded.Remedy()) {
-			t.Errorf("%T: %q is not on the page as it is", coded, coded.Code())
-		}
-	}
-}
-
-func FuzzDecode(f *testing.F) {
-	f.Add((&Command{Kind: CommandSubmit, TimeMS: 1, Tenant: "a", Key: "k", Data: []byte("x")}).Encode())
-	f.Fuzz(func(t *testing.T, data []byte) {
-		if command, err := Decode(data); err == nil {
-			if again, err := Decode(command.Encode()); err != nil || !cmp.Equal(command, again) {
-				t.Errorf("%v: %v, %v", command, again, err)
-			}
-			if _, err := New(testLimits).Apply(1, data); err != nil {
-				t.Error(err)
-			}
-		}
-	})
-}
-
-func FuzzRestore(f *testing.F) {
-	state := New(testLimits)
-	state.Apply(1, (&Command{Kind: CommandSubmit, TimeMS: 1, Tenant: "a", Key: "k", Data: []byte("x")}).Encode())
-	f.Add(state.Snapshot())
-	f.Fuzz(func(t *testing.T, data []byte) {
-		state := New(testLimits)
-		if err := state.Restore(data); err == nil {
-			state.Apply(1<<40, (&Command{Kind: CommandAdvanceTime, TimeMS: 1 << 40}).Encode())
-		}
-	})
-}
