--- a/internal/dispatcher/settings/settings.go
+++ b/internal/dispatcher/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings reads the deployment's settings, as the simulator and the real dispatcher both get them.
+// Package settings parses the deployment's settings, which the simulator and the dispatcher get in the same JSON form, into
+// the load balancer's settings. It does no I/O; ranges are checked by loadbalancer.New, except where noted at Parse.
 package settings
 
 import (
@@ -8,8 +9,8 @@
 	"cinderroad/loadbalancer"
 )
 
-// settingsDoc mirrors the keys of the settings JSON that the decisions use; others are ignored.
-type settingsDoc struct {
+// settingsDocument has the keys that the load balancer uses; others are ignored. Names that end in S are in seconds.
+type settingsDocument struct {
 	Categories []struct {
 		Name       string   `json:"name"`
 		ObjectiveS float64  `json:"objectiveS"`
@@ -61,76 +62,87 @@
 	Zone  int     `json:"zone"`
 }
 
+// Names in the settings.
 var (
-	effects = map[string]loadbalancer.RetrySafety{"retryable": loadbalancer.RetrySafe, "dedup": loadbalancer.RetryDeduplicated, "fragile": loadbalancer.RetryUnsafe}
-	scopes  = map[string]loadbalancer.DedupScope{"": loadbalancer.DedupAll, "all": loadbalancer.DedupAll, "zone": loadbalancer.DedupZone,
+	retrySafeties = map[string]loadbalancer.RetrySafety{"retryable": loadbalancer.RetrySafe, "dedup": loadbalancer.RetryDeduplicated, "fragile": loadbalancer.RetryUnsafe}
+	dedupScopes   = map[string]loadbalancer.DedupScope{"": loadbalancer.DedupAll, "all": loadbalancer.DedupAll, "zone": loadbalancer.DedupZone,
 		"cell": loadbalancer.DedupCell}
 )
 
-// Parse turns the settings JSON of a start into the decisions' settings.
+// Parse converts the settings JSON into the load balancer's settings. It rejects unknown names and an instance index outside
+// of the instances; errors name the key.
 func Parse(text []byte) (loadbalancer.Settings, error) {
-	var d settingsDoc
-	if err := json.Unmarshal(text, &d); err != nil {
+	var document settingsDocument
+	if err := json.Unmarshal(text, &document); err != nil {
 		return loadbalancer.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := loadbalancer.Settings{
-		Zones: len(d.FailureDomains), Zone: d.Zone, Instances: d.NInstances, Instance: d.Me,
-		MayProbe: d.Limits.MayProbe, MayCancel: d.Limits.MayCancel, ParallelAttempts: d.Limits.ParallelTries,
-		MayRetryAfter: d.Limits.RetryAfter, MaxAttempts: d.Limits.AttemptsCap,
-		MaxRetryAfter: d.Limits.MaxRetryAfterS, ReportsStart: d.FamilyInfo.TellsStart, Tick: d.TickS,
-		AnswerSlack: d.Guarantees.AnswerSlackS, ListRefreshInterval: d.Guarantees.AskWithinS,
-		SlowStartDuration: d.Guarantees.ColdS, SlowStartInitialShare: d.Guarantees.ColdShare,
-		OverloadMultiple: d.Guarantees.FallMultiple, OverloadWindow: d.Guarantees.FallS, OverQuotaValue: d.OverShareWorth,
+		Zones: len(document.FailureDomains), Zone: document.Zone, Instances: document.NInstances, Instance: document.Me,
+		MayProbe: document.Limits.MayProbe, MayCancel: document.Limits.MayCancel, ParallelAttempts: document.Limits.ParallelTries,
+		MayRetryAfter: document.Limits.RetryAfter, MaxAttempts: document.Limits.AttemptsCap,
+		MaxRetryAfter: document.Limits.MaxRetryAfterS, ReportsStart: document.FamilyInfo.TellsStart, Tick: document.TickS,
+		AnswerSlack: document.Guarantees.AnswerSlackS, ListRefreshInterval: document.Guarantees.AskWithinS,
+		SlowStartDuration: document.Guarantees.ColdS, SlowStartInitialShare: document.Guarantees.ColdShare,
+		OverloadMultiple: document.Guarantees.FallMultiple, OverloadWindow: document.Guarantees.FallS, OverQuotaValue: document.OverShareWorth,
 	}
-	if d.NInstances < 1 {
-		return s, fmt.Errorf("settings: bad nInstances: %d; it is how many dispatchers share the workers, 1 at least", d.NInstances)
+	if document.NInstances < 1 {
+		return s, fmt.Errorf("settings: bad nInstances: %d; it is how many dispatchers share the workers, 1 at least", document.NInstances)
 	}
-	if d.Me < 0 || d.Me >= d.NInstances {
-		return s, fmt.Errorf("settings: bad me: %d; it counts from 0 and stays below nInstances, %d", d.Me, d.NInstances)
+	if document.Me < 0 || document.Me >= document.NInstances {
+		return s, fmt.Errorf("settings: bad me: %d; it counts from 0 and stays below nInstances, %d", document.Me, document.NInstances)
 	}
-	for i, c := range d.Categories {
-		effect, known := effects[c.Repeat]
+	var err error
+	if s.Classes, err = document.classes(); err != nil {
+		return s, err
+	}
+	for _, tenant := range document.Tenants {
+		s.Tenants = append(s.Tenants, loadbalancer.Tenant{Name: tenant.Name, QuotaPerSec: tenant.QuotaPerS})
+	}
+	var known bool
+	if s.ListOnRequest, known = map[string]bool{"pushed": false, "on_request": true}[document.MembershipMode]; !known {
+		return s, fmt.Errorf("settings: bad membershipMode: %q", document.MembershipMode)
+	}
+	switch document.Report.Via {
+	case "piggyback", "pull":
+		s.ReportsByProbe = document.Report.Via == "pull"
+		for _, name := range document.Report.Fields {
+			s.ReportFields = append(s.ReportFields, document.reportField(name))
+		}
+	case "silent", "":
+	default:
+		return s, fmt.Errorf("settings: bad report.via: %q", document.Report.Via)
+	}
+	return s, nil
+}
+
+// classes returns the classes in the document's order. A class's own stretch precedes that of the family.
+func (d *settingsDocument) classes() (classes []loadbalancer.Class, err error) {
+	for i, category := range d.Categories {
+		retrySafety, known := retrySafeties[category.Repeat]
 		if !known {
-			return s, fmt.Errorf("settings: bad categories[%d].repeat: %q", i, c.Repeat)
+			return nil, fmt.Errorf("settings: bad categories[%d].repeat: %q", i, category.Repeat)
 		}
-		scope, known := scopes[c.DedupScope]
+		scope, known := dedupScopes[category.DedupScope]
 		if !known {
-			return s, fmt.Errorf("settings: bad categories[%d].dedupScope: %q", i, c.DedupScope)
+			return nil, fmt.Errorf("settings: bad categories[%d].dedupScope: %q", i, category.DedupScope)
 		}
-		class := loadbalancer.Class{Name: c.Name, Objective: c.ObjectiveS, Deadline: c.DeadlineS, DedupWindow: c.WindowS,
-			Value: c.Worth, LateValueShare: c.LateShare, RetrySafety: effect, DedupScope: scope, Kind: -1}
+		class := loadbalancer.Class{Name: category.Name, Objective: category.ObjectiveS, Deadline: category.DeadlineS, DedupWindow: category.WindowS,
+			Value: category.Worth, LateValueShare: category.LateShare, RetrySafety: retrySafety, DedupScope: scope, Kind: -1}
 		if i < len(d.FamilyInfo.ClassKind) {
 			class.Kind = d.FamilyInfo.ClassKind[i]
 		}
-		if c.AimStretch != nil {
-			class.Stretch = *c.AimStretch
+		if category.AimStretch != nil {
+			class.Stretch = *category.AimStretch
 		} else if i < len(d.FamilyInfo.ClassStretch) {
 			class.Stretch = d.FamilyInfo.ClassStretch[i]
 		}
-		s.Classes = append(s.Classes, class)
-	}
-	for _, t := range d.Tenants {
-		s.Tenants = append(s.Tenants, loadbalancer.Tenant{Name: t.Name, QuotaPerSec: t.QuotaPerS})
-	}
-	var known bool
-	if s.ListOnRequest, known = map[string]bool{"pushed": false, "on_request": true}[d.MembershipMode]; !known {
-		return s, fmt.Errorf("settings: bad membershipMode: %q", d.MembershipMode)
-	}
-	switch d.Report.Via {
-	case "piggyback", "pull":
-		s.ReportsByProbe = d.Report.Via == "pull"
-		for _, name := range d.Report.Fields {
-			s.ReportFields = append(s.ReportFields, d.field(name))
-		}
-	case "silent", "":
-	default:
-		return s, fmt.Errorf("settings: bad report.via: %q", d.Report.Via)
+		classes = append(classes, class)
 	}
-	return s, nil
+	return classes, nil
 }
 
-// field resolves a report column; the x columns mean what the family says they mean.
-func (d *settingsDoc) field(name string) loadbalancer.ReportField {
+// reportField returns the meaning of a report column; that of x0 and x1 is told by the family.
+func (d *settingsDocument) reportField(name string) loadbalancer.ReportField {
 	switch name {
 	case "x0":
 		name = d.FamilyInfo.ReportX0
--- a/internal/dispatcher/settings/settings_test.go
+++ b/internal/dispatcher/settings/settings_test.go
@@ -7,9 +7,9 @@
 	"cinderroad/loadbalancer"
 )
 
-// Guards against a fleet size or place that makes no sense being taken, or refused without the name that it has in the
-// file: cold budgets and turns are shared out by them.
-func TestFleetSizeAndPlace(t *testing.T) {
+// TestInstanceCountAndIndex checks that invalid values are rejected with the key's name: slow start budgets and turns are
+// divided by them.
+func TestInstanceCountAndIndex(t *testing.T) {
 	const rest = `"categories":[{"name":"a","objectiveS":1,"deadlineS":2,"repeat":"retryable"}],"failureDomains":["z"],
 		"guarantees":{"coldShare":1,"fallMultiple":3,"fallS":2},"limits":{"attemptsCap":2},"membershipMode":"pushed","tickS":0.004`
 	for text, want := range map[string]string{
