--- a/internal/dispatcher/server/audit_log.go
+++ b/internal/dispatcher/server/audit_log.go
@@ -2,9 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
-	"slices"
-	"strings"
 
 	"go.uber.org/zap"
 
@@ -15,7 +12,7 @@
 	"cinderroad/internal/dispatcher/operatorconfig"
 )
 
-// auditLogOptions is where the ledger stands and how large it may be; an empty path is none.
+// auditLogOptions returns path and bounds of the audit log that an operator's file configures; no path if it configures none.
 func auditLogOptions(file *operatorconfig.Config) linelog.Options {
 	if file.Cluster == nil || file.Cluster.AuditLogPath == "" {
 		return linelog.Options{}
@@ -27,11 +24,13 @@
 	return options
 }
 
-func sameLogFile(x, y linelog.Options) bool {
-	return x.Path == y.Path && x.MaxBytes == y.MaxBytes && x.KeepFiles == y.KeepFiles
+// sameLogFile reports whether two options are of one file with the same bounds.
+func sameLogFile(a, b linelog.Options) bool {
+	return a.Path == b.Path && a.MaxBytes == b.MaxBytes && a.KeepFiles == b.KeepFiles
 }
 
-// openAuditLog opens the ledger that an operator's file names, where it is another than the one at hand; nil: it is that one, or none.
+// openAuditLog opens the audit log that an operator's file configures. It returns nil if that is the one which is open
+// already, or if none is configured.
 func (s *Server) openAuditLog(file *operatorconfig.Config) (*auditlog.Log, error) {
 	options := auditLogOptions(file)
 	if options.Path == "" || s.auditLog != nil && sameLogFile(options, s.auditLogFile) {
@@ -45,8 +44,8 @@
 	return opened, nil
 }
 
-// installAuditLog puts a ledger in force in place of the one before. It goes on with the old one's numbers, and begins with all that is
-// held.
+// installAuditLog replaces the audit log by next, as file configures it; a nil next keeps the open one if file names that, and
+// closes it otherwise. The new log continues the sequence numbers, and begins with the state that is in force.
 func (s *Server) installAuditLog(next *auditlog.Log, file *operatorconfig.Config) {
 	options := auditLogOptions(file)
 	if next == nil && s.auditLog != nil && sameLogFile(options, s.auditLogFile) {
@@ -64,7 +63,7 @@
 	}
 }
 
-// closeAuditLog ends the ledger; off the loop, where that goes on.
+// closeAuditLog writes the last entry and closes the log, in the background if the loop must go on meanwhile.
 func (s *Server) closeAuditLog(inBackground bool) {
 	if s.auditLog == nil {
 		return
@@ -79,7 +78,7 @@
 	}
 }
 
-// recordAudit writes an entry: what is decided from now on carries its number.
+// recordAudit appends an entry; decisions made from now on carry its sequence number. Without an audit log it does nothing.
 func (s *Server) recordAudit(entry auditlog.Entry) {
 	if s.auditLog != nil {
 		entry.LostLines = s.auditLog.LostLines() + s.reporting.lostLogLines()
@@ -88,7 +87,7 @@
 	}
 }
 
-// lostLogLines is how many lines of the request log did not get to the disk.
+// lostLogLines counts the lines of the request log that did not reach the disk.
 func (r *reporting) lostLogLines() uint64 {
 	if r == nil || r.requestLog == nil {
 		return 0
@@ -96,7 +95,7 @@
 	return r.requestLog.DroppedLines() + r.requestLog.FailedLines()
 }
 
-// flushAuditLog hands lines to the writer, and says that the ledger goes on where nothing else does.
+// flushAuditLog hands lines to the log's writer, and adds a keep-alive when one is due.
 func (s *Server) flushAuditLog() {
 	if s.auditLog == nil {
 		return
@@ -107,24 +106,17 @@
 	s.auditLog.Flush()
 }
 
-// exclusionsHash is a mark of who is out by hand; empty: nobody.
-func (s *Server) exclusionsHash() string {
-	out := s.dispatcher.Exclusions()
-	if len(out) == 0 {
-		return ""
-	}
-	return shortHash([]byte(strings.Join(slices.Sorted(maps.Keys(out)), "\x00")))
-}
-
+// auditKinds translates the kinds of the version table's events.
 var auditKinds = map[versions.EventKind]string{versions.ListApplied: auditlog.ListApplied, versions.FactsReceived: auditlog.FactsReceived, versions.CaughtUp: auditlog.CaughtUp,
 	versions.NewerVersionKnown: auditlog.NewerKnown, versions.FactDoubted: auditlog.FactsDoubted, versions.DiscoverySilent: auditlog.DiscoverySilent, versions.DiscoveryResumed: auditlog.DiscoveryResumed,
 	versions.ClockReceived: auditlog.ClockReceived}
 
-// handleVersionEvent keeps what the board took up.
+// handleVersionEvent records an event of the version table.
 func (s *Server) handleVersionEvent(_ float64, event *versions.Event) {
 	s.recordAudit(versionEntry(event))
 }
 
+// versionEntry is the audit log's entry for an event of the version table.
 func versionEntry(event *versions.Event) auditlog.Entry {
 	entry := auditlog.Entry{Kind: auditKinds[event.Kind], From: event.From, Source: event.Version.Source, Epoch: event.Version.Epoch, Revision: event.Version.Revision, Cached: event.Cached,
 		LateSeconds: event.SilentFor, PeerClock: event.PeerClock}
@@ -138,7 +130,7 @@
 	return entry
 }
 
-// handleConvergence keeps that the fleet's view has settled.
+// handleConvergence records that the members' view has converged.
 func (s *Server) handleConvergence(convergence cluster.Convergence) {
 	s.recordAudit(auditlog.Entry{Kind: auditlog.ViewConverged, Digest: convergence.Digest, Members: convergence.Alive, LateSeconds: convergence.After})
 }
--- a/internal/dispatcher/server/cluster_admin.go
+++ b/internal/dispatcher/server/cluster_admin.go
@@ -22,7 +22,7 @@
 	reply(200, string(text))
 }
 
-// handleDeclareLeft has a member that is dead count as one that has left.
+// handleDeclareLeft answers PUT /api/fleet/gone: a dead member counts as one that has left.
 func (s *Server) handleDeclareLeft(member string, reply admin.Reply) {
 	if s.cluster == nil {
 		reply(404, "no [fleet] in the operator's file")
@@ -36,7 +36,7 @@
 	reply(200, "done")
 }
 
-// handleClusterOrder shuts a member out, or brings it back, wherever it is.
+// handleClusterOrder returns the handler of PUT /api/fleet/shut-out, or of bring-back: the order reaches its member by gossip.
 func (s *Server) handleClusterOrder(out bool) func(member string, reply admin.Reply) {
 	return func(member string, reply admin.Reply) {
 		if s.cluster == nil {
--- a/internal/dispatcher/server/cluster_reload.go
+++ b/internal/dispatcher/server/cluster_reload.go
@@ -7,17 +7,19 @@
 	"cinderroad/internal/shared/eventloop"
 )
 
-// clusterReload is what a reload would change of the fleet.
+// clusterReload is a checked change of the cluster's configuration with the resources that it needs. It ends in applyClusterReload
+// or in close. A nil *clusterReload can be closed.
 type clusterReload struct {
-	options  *cluster.Options
-	socket   *eventloop.UDPSocket // a new address'
-	auditLog *auditlog.Log        // a new ledger
+	options  *cluster.Options     // nil: no cluster
+	socket   *eventloop.UDPSocket // nil: the address is bound already
+	auditLog *auditlog.Log        // nil: as before, or none
 }
 
-// prepareClusterReload checks what a reload says of the fleet and opens an address that is new; nothing changes before applyClusterReload.
+// prepareClusterReload checks the cluster section of a new configuration and opens what is new in it. Nothing changes before
+// applyClusterReload.
 func (s *Server) prepareClusterReload(next *Config) (*clusterReload, error) {
 	running := *next
-	running.Name, running.balancerSettings = s.config.Name, s.config.balancerSettings // what needs a restart
+	running.Name, running.balancerSettings = s.config.Name, s.config.balancerSettings // which a reload cannot change
 	options, err := running.clusterOptions()
 	if err != nil || options == nil {
 		return &clusterReload{}, err
@@ -35,21 +37,21 @@
 	return change, nil
 }
 
-// close closes what was opened for a reload that is refused.
-func (r *clusterReload) close() {
-	if r != nil && r.socket != nil {
-		r.socket.Close()
+// close releases what was opened for a reload that is rejected.
+func (c *clusterReload) close() {
+	if c != nil && c.socket != nil {
+		c.socket.Close()
 	}
-	if r != nil && r.auditLog != nil {
-		r.auditLog.Close()
+	if c != nil && c.auditLog != nil {
+		c.auditLog.Close()
 	}
 }
 
-// applyClusterReload carries a reload's change out: the fleet is joined, left, or joined anew.
+// applyClusterReload joins the cluster, leaves it, updates its options or joins it anew under another identity.
 func (s *Server) applyClusterReload(change *clusterReload) {
 	options := change.options
 	switch {
-	case s.upgrade.successorServes(): // the name is the next process's, which reads the files itself
+	case s.upgrade.successorServes(): // the member's name is the successor's, which reads the files itself
 		change.close()
 	case options == nil && s.cluster == nil:
 	case options == nil:
--- a/internal/dispatcher/server/config.go
+++ b/internal/dispatcher/server/config.go
@@ -1,12 +1,16 @@
-// Package program wires the dispatcher: configuration, log, signals, metrics, the core and its fronts.
 package server
 
 import (
+	"cmp"
+	_ "embed"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net/netip"
 	"os"
+	"path/filepath"
 	"strconv"
+	"strings"
 
 	"cinderroad/internal/dispatcher/gearman"
 	"cinderroad/internal/dispatcher/httpfront"
@@ -15,36 +19,41 @@
 	"cinderroad/loadbalancer"
 )
 
-// Config is what a dispatcher is told at its start.
+const (
+	firstInheritableFD = 3 // 0 to 2 are the standard streams
+	defaultSocketLimit = 1024
+	maxFileNameLength  = 60 // bytes, before the suffix: the path of a unix socket may have few
+)
+
+// Config is the configuration of a dispatcher. The tagged fields are those of the file.
 type Config struct {
 	Name      string         `json:"name"`
-	Listen    string         `json:"listen"`    // empty: no platform front
-	Discovery string         `json:"discovery"` // empty: no director
-	Console   string         `json:"console"`   // the second address, for the staff who run it; empty: none
-	Seed      string         `json:"seed"`
-	Known     httpfront.List `json:"known"`
+	Listen    string         `json:"listen"`    // address of the HTTP front; empty: none
+	Discovery string         `json:"discovery"` // address of discovery; empty: none
+	Console   string         `json:"console"`   // second address, for operators; empty: none
+	Seed      string         `json:"seed"`      // of random choices, hexadecimal; empty: 0
+	Known     httpfront.List `json:"known"`     // membership to start with, until discovery sends one
 	Limits    struct {
 		Cores    float64 `json:"cores"`
-		MemoryMB int     `json:"memory_mb"`
-		Sockets  int     `json:"sockets"`
+		MemoryMB int     `json:"memory_mb"` // 0: not limited
+		Sockets  int     `json:"sockets"`   // descriptors of the process
 	} `json:"limits"`
-	Settings json.RawMessage `json:"settings"`
+	Settings json.RawMessage `json:"settings"` // shared by all dispatchers
 
 	Operator  *operatorconfig.Config `json:"-"` // never nil
-	shorthand Shorthand
-
-	path, gearmanPath  string // where it was read from
-	tempDir            string // where files of its own may stand; empty: nowhere
-	listen, discovery  netip.AddrPort
-	console            netip.AddrPort
-	inheritedFD        int // descriptor of the clients' socket, where somebody else holds it; 0: we bind it
-	seed               uint64
-	balancerSettings   loadbalancer.Settings
-	dispatcherSettings dispatcherSettings
-	gearman            *gearman.Config // nil: no Gearman front
+	shorthand Shorthand              // added to Operator, again at each reload
+
+	path, gearmanPath          string // of the files; gearmanPath is empty without a Gearman front
+	tempDir                    string // $TMPDIR, for files of this dispatcher's own; empty: none are written
+	listen, discovery, console netip.AddrPort
+	inheritedFD                int // clients' listening socket that another process holds open; 0: this one binds it
+	seed                       uint64
+	balancerSettings           loadbalancer.Settings
+	dispatcherSettings         dispatcherSettings
+	gearman                    *gearman.Config // nil: no Gearman front
 }
 
-// dispatcherSettings are the settings that the program needs beside those of the decisions.
+// dispatcherSettings are the shared settings that the dispatcher needs besides those of the balancer.
 type dispatcherSettings struct {
 	Categories []struct {
 		Name string `json:"name"`
@@ -52,15 +61,43 @@
 	FailureDomains []string `json:"failureDomains"`
 	Kinds          []string `json:"kinds"`
 	Limits         struct {
-		ConnIdleS       float64 `json:"connIdleS"`
-		ConnectTimeoutS float64 `json:"connectTimeoutS"`
+		ConnIdleS       float64 `json:"connIdleS"`       // seconds
+		ConnectTimeoutS float64 `json:"connectTimeoutS"` // seconds
 	} `json:"limits"`
 	Report struct {
-		LoadFields []string `json:"fields"`
+		LoadFields []string `json:"fields"` // of a worker's load report, in their order
 	} `json:"report"`
 }
 
-// ReadGearman reads the operator's file that turns the Gearman front on.
+// Example is a configuration file that serves without discovery: one data centre, two classes.
+//
+//go:embed example.json
+var Example string
+
+var errNoConfig = errors.New(`no configuration: name its file by --config FILE or in $ROUTER_CONFIG. It says who the dispatcher is,
+where it listens and finds discovery, and holds the settings that all dispatchers share, as JSON:
+
+` + Example)
+
+// errorAtLine adds the line of a JSON text at which err occurred, if err tells its offset.
+func errorAtLine(path string, text []byte, err error) error {
+	var syntax *json.SyntaxError
+	var kind *json.UnmarshalTypeError
+	offset := int64(-1)
+	switch {
+	case errors.As(err, &syntax):
+		offset = syntax.Offset
+	case errors.As(err, &kind):
+		offset = kind.Offset
+	}
+	if offset < 0 || offset > int64(len(text)) {
+		return fmt.Errorf("config: %s: %w", path, err)
+	}
+	return fmt.Errorf("config: %s:%d: %w", path, 1+strings.Count(string(text[:offset]), "\n"), err)
+}
+
+// ReadGearman reads the file at path that turns the Gearman front on. Call it after [ReadConfig], whose classes, zones and
+// kinds the file refers to.
 func (c *Config) ReadGearman(path string) (err error) {
 	names := gearman.SettingsNames{Classes: c.classNames(), Zones: c.dispatcherSettings.FailureDomains, Kinds: c.dispatcherSettings.Kinds}
 	for _, class := range c.balancerSettings.Classes {
@@ -71,15 +108,15 @@
 	return err
 }
 
-// Shorthand are the command line's short forms for what the operator's file says at length.
+// Shorthand holds the command line's short forms of entries of the operator's file.
 type Shorthand struct {
 	Operator string  // path of the file; empty: none
-	Graphite string  // address of a Graphite receiver, besides those of the file
-	Collectd string  // path of a collectd's unix socket, likewise
-	Interval float64 // seconds that a period lasts; 0: as the file says
+	Graphite string  // address of a Graphite receiver, in addition to those of the file
+	Collectd string  // path of a collectd's unix socket, in addition to those of the file
+	Interval float64 // seconds between reports of metrics; 0: as the file says
 }
 
-// ReadOperator reads the operator's file and adds the short forms.
+// ReadOperator reads the operator's file, or takes its defaults if none is named, and adds the short forms.
 func (c *Config) ReadOperator(shorthand Shorthand) (err error) {
 	file := operatorconfig.Default()
 	if shorthand.Operator != "" {
@@ -113,7 +150,9 @@
 	return names
 }
 
-// ReadConfig reads the configuration file and the environment, which wins, and checks all of it.
+// ReadConfig reads and checks the configuration file at path. env looks a variable of the environment up; those that are
+// set take precedence over the file. The result has the default operator's file and no Gearman front until
+// [Config.ReadOperator] and [Config.ReadGearman] add them.
 func ReadConfig(path string, env func(string) string) (*Config, error) {
 	if path == "" {
 		return nil, errNoConfig
@@ -126,57 +165,101 @@
 	if err := json.Unmarshal(text, &c); err != nil {
 		return nil, errorAtLine(path, text, err)
 	}
-	for _, v := range []struct {
-		name string
-		to   *string
+	c.overrideFrom(env)
+	if err := c.parseAddresses(); err != nil {
+		return nil, err
+	}
+	if fd := env("ROUTER_FD"); fd != "" {
+		if c.inheritedFD, err = strconv.Atoi(fd); err != nil || c.inheritedFD < firstInheritableFD {
+			return nil, fmt.Errorf("config: ROUTER_FD: %q is no descriptor to inherit", fd)
+		}
+	}
+	if c.Seed != "" {
+		if c.seed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
+			return nil, fmt.Errorf("config: seed: %w", err)
+		}
+	}
+	if err := c.parseSettings(); err != nil {
+		return nil, err
+	}
+	if err := c.checkLimits(); err != nil {
+		return nil, err
+	}
+	return &c, nil
+}
+
+// overrideFrom replaces values of the file by those that the environment sets.
+func (c *Config) overrideFrom(env func(string) string) {
+	for _, variable := range []struct {
+		name  string
+		value *string
 	}{{"ROUTER_NAME", &c.Name}, {"ROUTER_LISTEN", &c.Listen}, {"ROUTER_DISCOVERY", &c.Discovery},
 		{"ROUTER_CONSOLE", &c.Console}} {
-		if s := env(v.name); s != "" {
-			*v.to = s
+		if s := env(variable.name); s != "" {
+			*variable.value = s
 		}
 	}
-	for _, a := range []struct {
+}
+
+func (c *Config) parseAddresses() (err error) {
+	for _, address := range []struct {
 		name, text string
-		to         *netip.AddrPort
+		parsed     *netip.AddrPort
 	}{{"listen", c.Listen, &c.listen}, {"discovery", c.Discovery, &c.discovery},
 		{"console", c.Console, &c.console}} {
-		if a.text == "" {
+		if address.text == "" {
 			continue
 		}
-		if *a.to, err = netip.ParseAddrPort(a.text); err != nil {
-			return nil, fmt.Errorf("config: %s: %w", a.name, err)
-		}
-	}
-	if fd := env("ROUTER_FD"); fd != "" {
-		if c.inheritedFD, err = strconv.Atoi(fd); err != nil || c.inheritedFD < 3 {
-			return nil, fmt.Errorf("config: ROUTER_FD: %q is no descriptor to inherit", fd)
-		}
-	}
-	if c.Seed != "" {
-		if c.seed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
-			return nil, fmt.Errorf("config: seed: %w", err)
+		if *address.parsed, err = netip.ParseAddrPort(address.text); err != nil {
+			return fmt.Errorf("config: %s: %w", address.name, err)
 		}
 	}
+	return nil
+}
+
+// parseSettings reads the shared settings twice: for the balancer, and for what the dispatcher itself needs of them.
+func (c *Config) parseSettings() (err error) {
 	if c.balancerSettings, err = settings.Parse(c.Settings); err != nil {
-		return nil, fmt.Errorf("config: %w", err)
+		return fmt.Errorf("config: %w", err)
 	}
 	if _, err := loadbalancer.New(c.balancerSettings, c.seed, nil); err != nil { // checks them
-		return nil, fmt.Errorf("config: %w", err)
+		return fmt.Errorf("config: %w", err)
 	}
 	if err := json.Unmarshal(c.Settings, &c.dispatcherSettings); err != nil {
-		return nil, fmt.Errorf("config: settings: %w", err)
+		return fmt.Errorf("config: settings: %w", err)
 	}
 	if c.dispatcherSettings.Limits.ConnectTimeoutS <= 0 || c.dispatcherSettings.Limits.ConnIdleS <= 0 {
-		return nil, fmt.Errorf("config: settings: limits.connectTimeoutS and limits.connIdleS must be above 0")
+		return fmt.Errorf("config: settings: limits.connectTimeoutS and limits.connIdleS must be above 0")
 	}
+	return nil
+}
+
+// checkLimits checks the limits of the deployment and fills in the default.
+func (c *Config) checkLimits() error {
 	if c.Limits.Sockets == 0 {
-		c.Limits.Sockets = 1024
+		c.Limits.Sockets = defaultSocketLimit
 	}
 	if c.Limits.Sockets <= reservedDescriptors {
-		return nil, fmt.Errorf("config: limits.sockets: %d is too few", c.Limits.Sockets)
+		return fmt.Errorf("config: limits.sockets: %d is too few", c.Limits.Sockets)
 	}
 	if c.Limits.MemoryMB < 0 {
-		return nil, fmt.Errorf("config: limits.memory_mb: %d", c.Limits.MemoryMB)
+		return fmt.Errorf("config: limits.memory_mb: %d", c.Limits.MemoryMB)
 	}
-	return &c, nil
+	return nil
+}
+
+// tempPath returns the path in $TMPDIR of a file of this dispatcher's own, empty without a $TMPDIR. Successive processes of
+// one dispatcher find each other's files by it: it depends on nothing but name, listening address and kind, the suffix.
+func (c *Config) tempPath(kind string) string {
+	if c.tempDir == "" {
+		return ""
+	}
+	name := strings.Map(func(r rune) rune {
+		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' {
+			return r
+		}
+		return '_'
+	}, cmp.Or(c.Name, "cinderroad")+"-"+c.Listen)
+	name = name[:min(len(name), maxFileNameLength)]
+	return filepath.Join(c.tempDir, name+kind)
 }
--- /dev/null
+++ b/internal/dispatcher/server/exclusions.go
@@ -0,0 +1,98 @@
+package server
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"maps"
+	"math"
+	"os"
+	"slices"
+	"strings"
+
+	"go.uber.org/zap"
+
+	"cinderroad/internal/dispatcher/dispatch"
+)
+
+const (
+	exclusionsVersion  = 1
+	maxExclusionsBytes = 1 << 20 // of the file
+)
+
+// savedExclusions is the content of the file that carries exclusions from one process of a dispatcher to the next.
+type savedExclusions struct {
+	Version    int                           `json:"version"`
+	Exclusions map[string]dispatch.Exclusion `json:"out"`
+}
+
+// saveExclusions replaces the file of exclusions atomically. Without a $TMPDIR they last as long as the process.
+func (s *Server) saveExclusions(exclusions map[string]dispatch.Exclusion) error {
+	path := s.config.tempPath(".exclusions")
+	if path == "" {
+		return nil
+	}
+	text, err := json.Marshal(savedExclusions{exclusionsVersion, exclusions})
+	if err != nil {
+		return fmt.Errorf("program: %w", err)
+	}
+	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
+		return fmt.Errorf("program: %w", err)
+	}
+	if err := os.Rename(path+".new", path); err != nil {
+		return fmt.Errorf("program: %w", err)
+	}
+	return nil
+}
+
+// restoreExclusions applies the exclusions that an earlier process saved. A file that cannot be used is logged, and none of it
+// is applied.
+func (s *Server) restoreExclusions() {
+	path := s.config.tempPath(".exclusions")
+	if path == "" {
+		return
+	}
+	text, err := os.ReadFile(path)
+	if errors.Is(err, fs.ErrNotExist) {
+		return
+	}
+	var saved savedExclusions
+	if err == nil {
+		saved, err = parseExclusions(text)
+	}
+	if err != nil {
+		s.log.Error("program: kept exclusions make no sense, none taken", zap.String("file", path), zap.Error(err))
+		return
+	}
+	s.dispatcher.ApplyExclusions(saved.Exclusions)
+	s.log.Info("program: exclusions restored", zap.Int("members", len(saved.Exclusions)))
+}
+
+// parseExclusions reads a file of exclusions and checks every entry.
+func parseExclusions(text []byte) (saved savedExclusions, err error) {
+	if len(text) > maxExclusionsBytes {
+		return saved, errors.New("program: exclusions: too long")
+	}
+	if err := json.Unmarshal(text, &saved); err != nil {
+		return saved, fmt.Errorf("program: exclusions: %w", err)
+	}
+	if saved.Version != exclusionsVersion {
+		return saved, fmt.Errorf("program: exclusions: version %d", saved.Version)
+	}
+	for name, exclusion := range saved.Exclusions {
+		if name == "" || !(exclusion.ExcludedAt > 0) || exclusion.StartedAt < 0 || exclusion.IncludedAt < 0 || math.IsInf(exclusion.ExcludedAt+exclusion.StartedAt+exclusion.IncludedAt, 0) {
+			return saved, fmt.Errorf("program: exclusions: bad entry %q", name)
+		}
+	}
+	return saved, nil
+}
+
+// exclusionsHash identifies the set of excluded workers, for operators to compare dispatchers; empty if there are none.
+func (s *Server) exclusionsHash() string {
+	exclusions := s.dispatcher.Exclusions()
+	if len(exclusions) == 0 {
+		return ""
+	}
+	return shortHash([]byte(strings.Join(slices.Sorted(maps.Keys(exclusions)), "\x00")))
+}
--- a/internal/dispatcher/server/operator.go
+++ b/internal/dispatcher/server/operator.go
@@ -1,23 +1,13 @@
 package server
 
 import (
-	"cmp"
-	"encoding/json"
-	"errors"
-	"fmt"
-	"io/fs"
-	"math"
-	"os"
-	"path/filepath"
-	"strings"
-
 	"go.uber.org/zap"
 
 	"cinderroad/internal/dispatcher/admin"
 	"cinderroad/internal/dispatcher/dispatch"
 )
 
-// adminCalls are what the staff can ask for at the second address.
+// adminCalls returns the calls that operators can make at the second address.
 func (s *Server) adminCalls() map[string]admin.Call {
 	return map[string]admin.Call{
 		"/api/ready":            {Method: "GET", Handle: func(_ string, reply admin.Reply) { s.handleReady(reply) }},
@@ -32,8 +22,7 @@
 	}
 }
 
-// handleReady says whether this process takes clients, as far as it is up to the process: one that was evacuated by hand
-// could.
+// handleReady answers whether this process is able to serve clients. One that an operator has evacuated is.
 func (s *Server) handleReady(reply admin.Reply) {
 	switch {
 	case !s.serving:
@@ -49,7 +38,7 @@
 	reply(200, "ready")
 }
 
-// setEvacuated empties the dispatcher from a time on, or has it take clients again.
+// setEvacuated evacuates the dispatcher, as of the Unix time began, or ends the evacuation.
 func (s *Server) setEvacuated(on bool, began float64) {
 	s.front.Evacuate(on, began)
 	if s.gearman != nil {
@@ -57,7 +46,7 @@
 	}
 }
 
-// operatorOrder is what the staff ask for, as it also goes to the dispatcher's other process.
+// operatorOrder is an order of an operator, in the form in which it is forwarded to the dispatcher's other process.
 type operatorOrder struct {
 	Action    string             `json:"what"` // evacuate, rejoin, exclude or include
 	Member    string             `json:"member,omitempty"`
@@ -72,7 +61,7 @@
 	s.changeExclusion("include", member, s.dispatcher.Include(member), reply)
 }
 
-// changeExclusion carries out a change of who is out.
+// changeExclusion executes an order that excludes or includes a worker, unless the dispatcher finds it impossible.
 func (s *Server) changeExclusion(what, member string, change dispatch.ExclusionChange, reply admin.Reply) {
 	switch {
 	case !change.Known && s.serving:
@@ -84,9 +73,9 @@
 	}
 }
 
-// executeOrder carries an order out, here and in the other process, and says yes once both have.
+// executeOrder carries an order out here and in the other process, and replies once both have.
 func (s *Server) executeOrder(order operatorOrder, reply admin.Reply) {
-	if !s.serving { // what the process before has been told is on its way
+	if !s.serving { // the orders that the predecessor was given are still being applied
 		reply(503, "starting")
 		return
 	}
@@ -98,7 +87,8 @@
 	s.upgrade.forwardOrder(order, nil, func() { reply(200, "done") })
 }
 
-// applyOrder carries an order out in this process. Who is out is kept first: a yes must outlive it.
+// applyOrder carries an order out in this process. Exclusions are saved before they are applied, since an order that was
+// acknowledged must outlive the process.
 func (s *Server) applyOrder(order operatorOrder) error {
 	s.log.Info("program: "+order.Action, zap.String("member", order.Member))
 	switch order.Action {
@@ -107,7 +97,7 @@
 		return nil
 	}
 	exclusions := s.dispatcher.Exclusions()
-	if order.Exclusion != (dispatch.Exclusion{}) { // else it was not out, and need not be called back
+	if order.Exclusion != (dispatch.Exclusion{}) { // else it was not excluded, and there is nothing to include again
 		exclusions[order.Member] = order.Exclusion
 	}
 	if err := s.saveExclusions(exclusions); err != nil {
@@ -116,89 +106,3 @@
 	s.dispatcher.ApplyExclusions(exclusions)
 	return nil
 }
-
-// savedExclusions is the form in which exclusions are kept.
-type savedExclusions struct {
-	Version    int                           `json:"version"`
-	Exclusions map[string]dispatch.Exclusion `json:"out"`
-}
-
-const (
-	exclusionsVersion  = 1
-	maxExclusionsBytes = 1 << 20 // bytes
-	maxFileNameLength  = 60      // of a file: the system takes few for a socket
-)
-
-// tempPath is the path of a file of this dispatcher's own in $TMPDIR; empty without one.
-func (c *Config) tempPath(kind string) string {
-	if c.tempDir == "" {
-		return ""
-	}
-	name := strings.Map(func(r rune) rune {
-		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' {
-			return r
-		}
-		return '_'
-	}, cmp.Or(c.Name, "cinderroad")+"-"+c.Listen)
-	name = name[:min(len(name), maxFileNameLength)]
-	return filepath.Join(c.tempDir, name+kind)
-}
-
-// saveExclusions writes the exclusions to disk, all or nothing.
-func (s *Server) saveExclusions(exclusions map[string]dispatch.Exclusion) error {
-	path := s.config.tempPath(".exclusions")
-	if path == "" {
-		return nil // nowhere to keep them: they last as long as the process
-	}
-	text, err := json.Marshal(savedExclusions{exclusionsVersion, exclusions})
-	if err != nil {
-		return fmt.Errorf("program: %w", err)
-	}
-	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
-		return fmt.Errorf("program: %w", err)
-	}
-	if err := os.Rename(path+".new", path); err != nil {
-		return fmt.Errorf("program: %w", err)
-	}
-	return nil
-}
-
-// restoreExclusions puts in force what an earlier process kept.
-func (s *Server) restoreExclusions() {
-	path := s.config.tempPath(".exclusions")
-	if path == "" {
-		return
-	}
-	text, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) {
-		return
-	}
-	var saved savedExclusions
-	if err == nil {
-		saved, err = parseExclusions(text)
-	}
-	if err != nil {
-		s.log.Error("program: kept exclusions make no sense, none taken", zap.String("file", path), zap.Error(err))
-		return
-	}
-	s.dispatcher.ApplyExclusions(saved.Exclusions)
-	s.log.Info("program: exclusions restored", zap.Int("members", len(saved.Exclusions)))
-}
-
-func parseExclusions(text []byte) (saved savedExclusions, err error) {
-	if len(text) > maxExclusionsBytes {
-		return saved, errors.New("program: exclusions: too long")
-	}
-	if err := json.Unmarshal(text, &saved); err != nil {
-		return saved, fmt.Errorf("program: exclusions: %w", err)
-	}
-	if saved.Version != exclusionsVersion {
-		return saved, fmt.Errorf("program: exclusions: version %d", saved.Version)
-	}
-	for name, exclusion := range saved.Exclusions {
-		if name == "" || !(exclusion.ExcludedAt > 0) || exclusion.StartedAt < 0 || exclusion.IncludedAt < 0 || math.IsInf(exclusion.ExcludedAt+exclusion.StartedAt+exclusion.IncludedAt, 0) {
-			return saved, fmt.Errorf("program: exclusions: bad entry %q", name)
-		}
-	}
-	return saved, nil
-}
--- a/internal/dispatcher/server/pause.go
+++ b/internal/dispatcher/server/pause.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	minResumeDelay = 0.05 // seconds after waking for which what comes may have waited in a buffer since before the sleep
-	maxResumeWait  = 1.0  // and after which jobs are refused rather than have wait, until somebody speaks
+	minResumeDelay = 0.05 // seconds after a pause during which a message may be one that was buffered before it
+	maxResumeWait  = 1.0  // seconds after a pause for which jobs wait for news; then they are rejected instead
 )
 
-// handlePause has a process that stood still send nothing by what it knew before: director, then peers, then sends.
+// handlePause follows a pause of the whole process, late seconds long. What it knew may be outdated by then, so it sends
+// nothing until it has heard from discovery or a peer.
 func (s *Server) handlePause(late float64) {
 	if !s.serving {
 		return
@@ -23,19 +24,19 @@
 	s.updateAdmission()
 	s.resumeTimer.Stop()
 	s.resumeTimer = s.loop.At(s.resumingSince+maxResumeWait, func() {
-		if s.cluster == nil || !s.cluster.Contacted() { // nobody will
+		if s.cluster == nil || !s.cluster.Contacted() { // there is nobody to hear from
 			s.resumeSending()
 			return
 		}
 		s.resumeTimedOut = true
 		s.updateAdmission()
-		// Whoever slept alone is heard from by then: if not, the lease has the say.
+		// A process that was paused alone has heard from a peer by then. If it has not, the lease decides.
 		s.resumeTimer = s.loop.At(s.resumingSince+s.cluster.LeaseTerm(), s.resumeSending)
 	})
 }
 
-// updateAdmission has nothing new sent while this dispatcher looks again or is out of its lease, and new jobs refused where that
-// takes longer than jobs may wait. What is out ends as it would.
+// updateAdmission stops new attempts while this dispatcher resumes after a pause or is out of its lease, and rejects new jobs
+// where that takes longer than jobs may wait. Attempts that are in flight go on.
 func (s *Server) updateAdmission() {
 	s.dispatcher.SetPaused(s.resumingSince > 0 || s.leaseExpired())
 	reject := s.resumeTimedOut || s.leaseExpired()
@@ -45,26 +46,27 @@
 	}
 }
 
-// leaseExpired says whether this dispatcher is out of its lease.
+// leaseExpired reports whether this dispatcher is out of its lease.
 func (s *Server) leaseExpired() bool {
 	return s.versionTable != nil && s.versionTable.Lease.State() == lease.Out
 }
 
-// handleLeaseChange has new jobs refused while this dispatcher is out of its lease.
+// handleLeaseChange rejects new jobs while this dispatcher is out of its lease.
 func (s *Server) handleLeaseChange(out bool, why string) {
 	s.log.Warn("program: lease", zap.Bool("out", out), zap.String("why", why))
 	s.recordAudit(auditlog.Entry{Kind: auditlog.LeaseChanged, Out: out, Reason: why})
 	s.updateAdmission()
 }
 
-// handleContact tells that the director or a peer has spoken. What it says is in force before anything is sent.
+// handleContact ends the wait after a pause: discovery or a peer was heard. The deferral lets the rest of what it sent be
+// applied before anything is sent to workers.
 func (s *Server) handleContact() {
 	if s.resumingSince > 0 && s.loop.Now() >= s.resumingSince+minResumeDelay {
 		s.loop.Defer(s.resumeSending)
 	}
 }
 
-// resumeSending has a process that slept send again.
+// resumeSending lets a process that was paused send again.
 func (s *Server) resumeSending() {
 	if s.resumingSince > 0 {
 		s.resumeTimer.Stop()
--- a/internal/dispatcher/server/reload.go
+++ b/internal/dispatcher/server/reload.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/json"
 	"fmt"
 	"os"
 	"slices"
@@ -10,8 +9,8 @@
 	"go.uber.org/zap"
 )
 
-// reload reads the configuration anew and takes all of a good one that can change while the program runs, or
-// none of a bad one. It takes the place of nothing that is open: reqs, fetches and the list go on.
+// reload reads the files again and applies all of a valid configuration that can change while the process runs, or nothing
+// of an invalid one. Jobs, attempts, connections and the membership are not affected.
 func (s *Server) reload() {
 	next, err := s.rereadConfig()
 	var clusterChange *clusterReload
@@ -31,7 +30,7 @@
 	s.Reloads.Applied++
 	running := s.config
 	restart := running.restartOnlyChanges(next)
-	// What needs a restart stays as it runs, so that the next reload names it again.
+	// What needs a restart keeps its value, so that the next reload reports it again.
 	config := *running
 	config.Limits, config.Discovery = next.Limits, next.Discovery
 	if next.discovery.IsValid() {
@@ -52,8 +51,8 @@
 		zap.Int("memory_mb", config.Limits.MemoryMB), zap.Strings("needs_restart", restart))
 }
 
-// rereadConfig reads the files again. The environment of the start named the discovery of the start: a file that names
-// one has the newer word.
+// rereadConfig reads the files again. The environment is that of the start, so an address of discovery in the file, which is
+// newer, takes precedence over it.
 func (s *Server) rereadConfig() (*Config, error) {
 	next, err := ReadConfig(s.config.path, func(name string) string {
 		if name == "ROUTER_DISCOVERY" {
@@ -78,8 +77,8 @@
 	return next, nil
 }
 
-// restartOnlyChanges names what differs in next and is taken by a restart alone. The list that an earlier life knew and the
-// seed are for a start and differ freely.
+// restartOnlyChanges returns the names of settings that differ in next and that only a restart applies, sorted. The initial
+// membership and the seed matter at a start alone and are not compared.
 func (c *Config) restartOnlyChanges(next *Config) (names []string) {
 	for name, same := range map[string]bool{"name": c.Name == next.Name, "listen": c.listen == next.listen,
 		"settings": bytes.Equal(canonical(c.Settings), canonical(next.Settings))} {
@@ -90,13 +89,3 @@
 	slices.Sort(names)
 	return names
 }
-
-// canonical is a JSON text without regard to its spaces or the order of its keys.
-func canonical(text json.RawMessage) []byte {
-	var v any
-	if json.Unmarshal(text, &v) != nil {
-		return text
-	}
-	out, _ := json.Marshal(v)
-	return out
-}
--- a/internal/dispatcher/server/reporting.go
+++ b/internal/dispatcher/server/reporting.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	deltaInterval        = 0.25    // seconds between two messages to the next process of what was counted
-	maxHandoverBytes     = 2 << 20 // bytes of periods that are handed over where no disk holds them
-	finalDeliverySeconds = 0.5     // seconds that receivers have for the last period
+	deltaInterval        = 0.25    // seconds between two messages to the successor of what was counted
+	maxHandoverBytes     = 2 << 20 // bytes of undelivered periods that are handed over where no spool holds them
+	finalDeliverySeconds = 0.5     // seconds that receivers have to accept the last period
 	closeTimeout         = 2 * time.Second
 )
 
-// reporting is the figures and the request log of a dispatcher, and their way through reloads and upgrades. A nil *reporting
-// keeps none: every method takes that.
+// reporting reports a dispatcher's metrics and writes its request log, across reloads and upgrades. A nil *reporting reports
+// nothing: the methods that the server calls accept it.
 type reporting struct {
 	server     *Server
 	metrics    *telemetry.Set
@@ -34,15 +34,15 @@
 	spool      *spool.Spool
 	file       *operatorconfig.Config
 
-	outputs      map[string]exporter.Output // by what the file says of them
-	awaitsTotals bool                       // the process before this one owes its totals
-	successor    *handover.Link             // the next process: it gets the totals, and what is counted since
+	outputs      map[string]exporter.Output // by the text of their section of the operator's file
+	awaitsTotals bool                       // the predecessor has not sent its totals yet
+	successor    *handover.Link             // which gets the totals and what is counted since; nil: this process reports by itself
 	totalsSent   bool                       // the successor has the totals
-	deltaTimer   *eventloop.Timer           // until what was counted since is sent to the successor again
-	deliverUntil float64                    // when the last period must be delivered; 0: it is not closed yet
+	deltaTimer   *eventloop.Timer           // until the next message of what was counted since
+	deliverUntil float64                    // Unix time at which the process stops waiting for the last delivery; 0: the last period is not closed yet
 }
 
-// newReporting opens the outputs and the request log; nil where the operator wants none.
+// newReporting opens the outputs and the request log; nil if the operator's file configures none.
 func newReporting(s *Server) (*reporting, error) {
 	operator := s.config.Operator
 	if len(operator.Graphite)+len(operator.Collectd) == 0 && operator.Telemetry.SpoolDir == "" && operator.RequestLog == nil {
@@ -65,21 +65,23 @@
 	return r, nil
 }
 
-// delivers says whether figures leave the process.
+// delivers reports whether metrics leave the process.
 func (r *reporting) delivers() bool {
 	return r != nil && (len(r.outputs) > 0 || r.file.Telemetry.SpoolDir != "")
 }
 
-// ObserveAnswer implements dispatch.Observer, and so do the next ones.
-func (r *reporting) ObserveAnswer(f *dispatch.AnswerRecord) {
-	r.metrics.ObserveAnswer(f)
+// ObserveAnswer implements dispatch.Observer.
+func (r *reporting) ObserveAnswer(answer *dispatch.AnswerRecord) {
+	r.metrics.ObserveAnswer(answer)
 	if r.requestLog != nil {
-		r.requestLog.LogAnswer(f)
+		r.requestLog.LogAnswer(answer)
 	}
 }
 
 // ObserveAttempt implements dispatch.Observer.
-func (r *reporting) ObserveAttempt(t *dispatch.AttemptRecord) { r.metrics.ObserveAttempt(t) }
+func (r *reporting) ObserveAttempt(attempt *dispatch.AttemptRecord) {
+	r.metrics.ObserveAttempt(attempt)
+}
 
 // ObserveMembers implements dispatch.Observer.
 func (r *reporting) ObserveMembers(kind loadbalancer.ListKind, members []dispatch.Member) {
@@ -96,6 +98,7 @@
 	r.metrics.ObserveDrain(worker, margin)
 }
 
+// scheduleLogFlush hands lines to the request log's writer from time to time.
 func (r *reporting) scheduleLogFlush() {
 	r.server.loop.At(r.server.loop.Now()+requestlog.FlushIntervalSeconds, func() {
 		if r.requestLog != nil {
@@ -105,12 +108,12 @@
 	})
 }
 
-// logError logs what a goroutine of its own has met.
+// logError returns a function that logs errors of what, from any goroutine.
 func (r *reporting) logError(what string) func(error) {
 	return func(err error) { r.server.log.Warn("telemetry: "+what, zap.Error(err)) }
 }
 
-// start starts to close periods, from where earlier lives have ended.
+// start starts to close periods, continuing the totals of earlier processes if a spool holds them.
 func (r *reporting) start() {
 	if !r.delivers() {
 		return
@@ -122,8 +125,8 @@
 	r.openSpool(func(found *spool.Recovered) { r.feed.Restore(found) })
 }
 
-// openSpool opens the spool, off the loop, and has what it holds taken before the feed starts. One that cannot be used is told,
-// and costs what it is for alone.
+// openSpool opens the spool off the loop, passes what it holds to take and starts the feed. If the spool cannot be used,
+// that is logged, and metrics are reported without it.
 func (r *reporting) openSpool(take func(*spool.Recovered)) {
 	settings := r.file.Telemetry
 	go func() {
@@ -143,7 +146,7 @@
 	}()
 }
 
-// finished closes the last period and gives receivers a moment to get it; true once they have it or the moment is over.
+// finished closes the last period, and reports whether receivers have accepted it or their time is over.
 func (r *reporting) finished() bool {
 	if r == nil || !r.feed.Running() {
 		return true
@@ -156,7 +159,7 @@
 	return now >= r.deliverUntil || r.feed.AllDelivered()
 }
 
-// close writes what waits to the disk. A disk that hangs is not waited for.
+// close writes what is buffered to the disk. It gives up after closeTimeout: a disk that hangs must not keep the process alive.
 func (r *reporting) close() {
 	if r == nil {
 		return
--- a/internal/dispatcher/server/reporting_handover.go
+++ b/internal/dispatcher/server/reporting_handover.go
@@ -12,25 +12,26 @@
 	"cinderroad/internal/dispatcher/telemetry"
 )
 
-// metricsMessage is what one process tells the next of what it has counted, as JSON.
+// metricsMessage tells the successor, as JSON, what this process has counted.
 type metricsMessage struct {
-	Complete bool                       `json:"all"` // the first message: totals, and what goes with them; else what was counted since the last
+	Complete bool                       `json:"all"` // the first message, with totals; later ones have what was counted since
 	Counts   map[string]float64         `json:"counts"`
 	Spans    telemetry.Latencies        `json:"spans,omitempty"`
 	Held     []telemetry.SlotAssignment `json:"held,omitempty"`
-	Last     int64                      `json:"last,omitempty"` // stamp of the last period
+	Last     int64                      `json:"last,omitempty"` // time stamp of the last closed period
 	Series   []telemetry.Series         `json:"series,omitempty"`
 	Periods  []undeliveredPeriod        `json:"periods,omitempty"`
 }
 
-// undeliveredPeriod is a period that some receiver has not got.
+// undeliveredPeriod is a closed period that some receiver has not accepted.
 type undeliveredPeriod struct {
 	Stamp int64   `json:"stamp"`
 	Every float64 `json:"every"`
 	Body  []byte  `json:"body"`
 }
 
-// handOverTo makes the next process the one writer: it gets the totals, and from then on what is counted here.
+// handOverTo makes the successor the only process that reports: it gets the totals, and from then on what is counted here. The
+// spool is closed first, since one process at a time may write it.
 func (r *reporting) handOverTo(successor *handover.Link) {
 	if !r.delivers() {
 		return
@@ -52,7 +53,8 @@
 	}()
 }
 
-// sendTotals sends the totals, and the periods that no disk holds, to the next process.
+// sendTotals sends the successor the totals and, unless the spool has them, the undelivered periods, the newest ones if all
+// are too many.
 func (r *reporting) sendTotals(onDisk bool) {
 	message := metricsMessage{Complete: true, Counts: r.metrics.Totals(), Held: r.metrics.SlotAssignments(), Last: r.feed.LastTimestamp()}
 	_, message.Spans = r.metrics.TakeDelta()
@@ -74,13 +76,14 @@
 	r.sendDelta()
 }
 
+// send sends a message to the successor. A failure is logged: the link reports its own end.
 func (r *reporting) send(message metricsMessage) {
 	if err := r.successor.Send(handover.Metrics, message); err != nil {
 		r.server.log.Error("telemetry: totals not handed on", zap.Error(err))
 	}
 }
 
-// sendDelta tells the next process what was counted since the last message.
+// sendDelta sends the successor what was counted since the last message, and again every deltaInterval.
 func (r *reporting) sendDelta() {
 	if r.deltaTimer.Stop(); r.successor == nil || !r.totalsSent {
 		return
@@ -91,7 +94,7 @@
 	r.deltaTimer = r.server.loop.At(r.server.loop.Now()+deltaInterval, r.sendDelta)
 }
 
-// handedOver sends the last of it before this process ends; true once it is sent.
+// handedOver sends what was counted last, and reports whether the successor has been sent everything.
 func (r *reporting) handedOver() bool {
 	if r == nil || r.successor == nil {
 		return true
@@ -102,7 +105,7 @@
 	return r.totalsSent
 }
 
-// resume is the one writer again: the next process has gone.
+// resume reports by itself again, when the successor is lost.
 func (r *reporting) resume() {
 	if r == nil || r.successor == nil {
 		return
@@ -116,7 +119,7 @@
 	r.openSpool(func(*spool.Recovered) {})
 }
 
-// awaitPredecessor waits for the totals of the process before this one, if it has any.
+// awaitPredecessor starts once the predecessor's totals have arrived, or at once if it sends none.
 func (r *reporting) awaitPredecessor(sendsTotals bool) {
 	if r == nil {
 		return
@@ -126,7 +129,7 @@
 	}
 }
 
-// predecessorLost goes on alone: the process before this one has gone, perhaps without its totals.
+// predecessorLost starts without the totals of a predecessor that was lost before it sent them.
 func (r *reporting) predecessorLost() {
 	if r != nil && r.awaitsTotals {
 		r.awaitsTotals = false
@@ -134,7 +137,7 @@
 	}
 }
 
-// receiveMetrics takes what the process before this one tells.
+// receiveMetrics adds what the predecessor has counted. The first message, which has its totals, starts the reporting.
 func (r *reporting) receiveMetrics(body []byte) error {
 	var message metricsMessage
 	if err := json.Unmarshal(body, &message); err != nil {
@@ -156,10 +159,10 @@
 	start := func(found *spool.Recovered) {
 		table := &telemetry.SeriesTable{}
 		table.Append(message.Series...)
-		for _, h := range message.Periods {
-			found.Periods = append(found.Periods, &telemetry.Period{Timestamp: h.Stamp, Interval: h.Every, Table: table, EncodedValues: h.Body})
+		for _, period := range message.Periods {
+			found.Periods = append(found.Periods, &telemetry.Period{Timestamp: period.Stamp, Interval: period.Every, Table: table, EncodedValues: period.Body})
 		}
-		found.Totals = nil // they are in what was told, and some more
+		found.Totals = nil // the message's are newer and contain them
 		r.feed.Restore(found)
 		r.feed.AdvanceTimestamp(message.Last)
 	}
--- a/internal/dispatcher/server/reporting_metrics.go
+++ b/internal/dispatcher/server/reporting_metrics.go
@@ -7,7 +7,7 @@
 	"cinderroad/internal/dispatcher/telemetry"
 )
 
-// addReportingMetrics adds the figures of the figures themselves.
+// addReportingMetrics adds the metrics of reporting itself: periods, receivers, spool and request log.
 func addReportingMetrics(s *Server, set *telemetry.Set) {
 	add := metricAdder{set}
 	add.counter("telemetry.periods", "periods", "Periods closed.", func() uint64 { return s.reporting.feed.ClosedPeriods })
--- a/internal/dispatcher/server/reporting_reload.go
+++ b/internal/dispatcher/server/reporting_reload.go
@@ -9,14 +9,14 @@
 	"cinderroad/internal/dispatcher/requestlog"
 )
 
-// reportingReload is what a reload would change.
+// reportingReload is a checked change of the reporting's configuration, with its outputs and log opened.
 type reportingReload struct {
 	file    *operatorconfig.Config
 	outputs map[string]exporter.Output
 	log     *requestlog.Log // nil: as before, or none
 }
 
-// prepareReload opens what an operator's file names and is not open yet; nothing changes before take.
+// prepareReload opens what an operator's file names and is not open yet. Nothing changes before applyReload.
 func (r *reporting) prepareReload(file *operatorconfig.Config) (*reportingReload, error) {
 	if r == nil {
 		return &reportingReload{file: file}, nil
@@ -27,8 +27,8 @@
 			change.outputs[key] = make()
 		}
 	}
-	if l := file.RequestLog; l != nil && (r.requestLog == nil || !sameRequestLog(l, r.file.RequestLog)) {
-		log, err := requestlog.Open(requestlog.Options{Path: l.Path, MaxBytes: l.MaxBytes, KeepFiles: *l.KeepFiles, DispatcherName: r.server.config.Name, Incarnation: auditlog.GenerationName(r.server.startedAt),
+	if section := file.RequestLog; section != nil && (r.requestLog == nil || !sameRequestLog(section, r.file.RequestLog)) {
+		log, err := requestlog.Open(requestlog.Options{Path: section.Path, MaxBytes: section.MaxBytes, KeepFiles: *section.KeepFiles, DispatcherName: r.server.config.Name, Incarnation: auditlog.GenerationName(r.server.startedAt),
 			Classes: r.server.config.classNames(), NodeSlot: r.metrics.NodeSlot, Report: r.logError("request log")})
 		if err != nil {
 			return nil, fmt.Errorf("operator's file: request_log.path: %w", err)
@@ -38,11 +38,13 @@
 	return change, nil
 }
 
-func sameRequestLog(x, y *operatorconfig.RequestLog) bool {
-	return x != nil && y != nil && x.Path == y.Path && x.MaxBytes == y.MaxBytes && *x.KeepFiles == *y.KeepFiles
+// sameRequestLog reports whether two sections configure the same log.
+func sameRequestLog(a, b *operatorconfig.RequestLog) bool {
+	return a != nil && b != nil && a.Path == b.Path && a.MaxBytes == b.MaxBytes && *a.KeepFiles == *b.KeepFiles
 }
 
-// outputBuilders are the outputs that a file names, by all that is said of each.
+// outputBuilders returns a constructor for each output that a file configures, by the text of all that it says of the output:
+// an output is kept through a reload if nothing of that changes.
 func outputBuilders(file *operatorconfig.Config) map[string]func() exporter.Output {
 	all := map[string]func() exporter.Output{}
 	for _, g := range file.Graphite {
@@ -63,24 +65,24 @@
 	return all
 }
 
-// install puts outputs and log in force. A receiver that is new gets what one that has gone had not got, if there is one of
-// its kind: it has moved.
+// install replaces outputs and request log. An output that is new takes over what was not delivered to one of the same kind
+// that is configured no more: the receiver has moved.
 func (r *reporting) install(change *reportingReload) {
-	for key, o := range change.outputs {
+	for key, output := range change.outputs {
 		if r.outputs[key] != nil {
 			continue
 		}
 		moved := false
 		for oldKey, old := range r.outputs {
-			if change.outputs[oldKey] == nil && old.Kind() == o.Kind() {
-				r.feed.ReplaceOutput(old, o)
+			if change.outputs[oldKey] == nil && old.Kind() == output.Kind() {
+				r.feed.ReplaceOutput(old, output)
 				delete(r.outputs, oldKey)
 				moved = true
 				break
 			}
 		}
 		if !moved {
-			r.feed.AddOutput(o)
+			r.feed.AddOutput(output)
 		}
 	}
 	for key, old := range r.outputs {
@@ -100,14 +102,14 @@
 	r.file = change.file
 }
 
-// closeLog closes a log off the loop.
-func (r *reporting) closeLog(l *requestlog.Log) {
-	if l != nil {
-		go l.Close()
+// closeLog closes a log off the loop, since that waits for the disk.
+func (r *reporting) closeLog(log *requestlog.Log) {
+	if log != nil {
+		go log.Close()
 	}
 }
 
-// applyReload puts a reload in force and names what needs a restart.
+// applyReload applies a prepared reload and returns the names of what needs a restart.
 func (r *reporting) applyReload(change *reportingReload) (restart []string) {
 	if r == nil {
 		if change.file.RequestLog != nil || len(change.file.Graphite)+len(change.file.Collectd) > 0 {
@@ -115,21 +117,20 @@
 		}
 		return restart
 	}
-	was := r.file.Telemetry
-	now := change.file.Telemetry
+	before, after := r.file.Telemetry, change.file.Telemetry
 	r.install(change)
-	if was.IntervalSeconds != now.IntervalSeconds {
-		r.feed.SetInterval(now.IntervalSeconds)
+	if before.IntervalSeconds != after.IntervalSeconds {
+		r.feed.SetInterval(after.IntervalSeconds)
 	}
-	for name, same := range map[string]bool{"telemetry.spool_dir": was.SpoolDir == now.SpoolDir, "telemetry.spool_bytes": was.SpoolBytes == now.SpoolBytes,
-		"telemetry.memory_bytes": was.MemoryBytes == now.MemoryBytes, "telemetry.node_series": *was.NodeSeries == *now.NodeSeries} {
+	for name, same := range map[string]bool{"telemetry.spool_dir": before.SpoolDir == after.SpoolDir, "telemetry.spool_bytes": before.SpoolBytes == after.SpoolBytes,
+		"telemetry.memory_bytes": before.MemoryBytes == after.MemoryBytes, "telemetry.node_series": *before.NodeSeries == *after.NodeSeries} {
 		if !same {
 			restart = append(restart, name)
 		}
 	}
-	// What needs a restart stays as it runs, so that the next reload names it again.
-	kept := *change.file
-	kept.Telemetry, kept.Telemetry.IntervalSeconds = was, now.IntervalSeconds
-	r.file = &kept
+	// What needs a restart keeps its value, so that the next reload reports it again.
+	file := *change.file
+	file.Telemetry, file.Telemetry.IntervalSeconds = before, after.IntervalSeconds
+	r.file = &file
 	return restart
 }
--- a/internal/dispatcher/server/server.go
+++ b/internal/dispatcher/server/server.go
@@ -24,101 +24,113 @@
 )
 
 const (
-	reservedDescriptors = 48   // descriptors kept for the runtime, the log and what is being accepted
-	lingerSeconds       = 0.5  // after SIGTERM the front goes on sending new clients for about this long
-	drainCheckInterval  = 0.01 // then the exit waits for all that was taken
+	// reservedDescriptors stay free for the runtime, the log and connections that are being accepted.
+	reservedDescriptors = 48
+
+	// The soft limit of the Go runtime as a part of the deployment's memory limit: the garbage collector works harder from
+	// there on, well before the process would be killed.
+	softMemoryNumerator, softMemoryDenominator = 6, 10
 )
 
-// clock lets the core hang its deadlines in the loop's structure.
+// clock has the dispatcher's deadlines kept by the event loop.
 type clock struct{ loop *eventloop.Loop }
 
 func (c clock) Now() float64                            { return c.loop.Now() }
 func (c clock) At(at float64, do func()) dispatch.Timer { return c.loop.At(at, do) }
 
-// Server is one dispatcher.
+// Server is one dispatcher process. Times are seconds of the event loop's clock, which shows Unix time.
 type Server struct {
-	config                         *Config
-	log                            *zap.Logger
-	loop                           *eventloop.Loop
-	dispatcher                     *dispatch.Dispatcher
-	pool                           *httpfront.Pool
-	front                          *httpfront.Front
-	discovery                      *httpfront.DiscoveryClient
-	listener                       *eventloop.Listener
-	gearman                        *gearman.Server
-	limiter                        *admission.Limiter
-	admin                          *admin.Server
-	upgrade                        *upgrade
-	cluster                        *cluster.Cluster    // nil: no member of one
-	metadata                       membership.Metadata // what the fleet is told of this dispatcher
-	resumingSince                  float64             // after a sleep, until it has looked again; 0: it has
-	resumeTimer                    *eventloop.Timer
-	resumeTimedOut                 bool            // nobody has spoken for so long after a sleep that new jobs are refused
-	versionTable                   *versions.Table // nil while fleet is
-	auditLog                       *auditlog.Log   // nil: none is kept
-	auditSequence                  uint64          // the last entry's number in this life
-	auditLogFile                   linelog.Options // where it stands
-	reporting                      *reporting      // nil: no figures leave, and no request log is kept
-	startedAt                      float64         // Unix time
-	longestIteration               float64         // turn of the loop since the last period
-	serving                        bool            // takes clients
-	stopping                       bool
-	publishesMetadata, leftCluster bool  // the fleet is told how it serves; and that it does not any more
-	exitErr                        error // why it ends, if something went wrong
-	Reloads                        struct{ Applied, Rejected uint64 }
+	config     *Config // replaced as a whole by a reload
+	log        *zap.Logger
+	loop       *eventloop.Loop
+	dispatcher *dispatch.Dispatcher
+	pool       *httpfront.Pool // connections to workers
+	front      *httpfront.Front
+	discovery  *httpfront.DiscoveryClient
+	listener   *eventloop.Listener // of the HTTP front; nil before startServing and without a front
+	gearman    *gearman.Server     // nil: no Gearman front
+	limiter    *admission.Limiter
+	admin      *admin.Server // nil: no second address
+	upgrade    *upgrade      // nil only while newServer has not built it
+	reporting  *reporting    // nil: no metrics leave, and no request log is written
+
+	cluster           *cluster.Cluster    // nil: not a member of one
+	metadata          membership.Metadata // of this member, as last published
+	publishesMetadata bool                // publishMetadata is scheduled
+	leftCluster       bool                // evacuated and without work: the membership was given up
+	versionTable      *versions.Table     // nil while cluster is
+
+	resumingSince  float64          // when this process found that it had been paused; 0: it sends
+	resumeTimer    *eventloop.Timer // until it sends again without having heard from anybody
+	resumeTimedOut bool             // nobody was heard for maxResumeWait: new jobs are rejected
+
+	auditLog      *auditlog.Log // nil: none is written
+	auditSequence uint64        // number of the last entry that this process wrote
+	auditLogFile  linelog.Options
+
+	startedAt        float64
+	longestIteration float64 // seconds: the event loop's longest since metrics were last read
+	serving          bool    // takes clients
+	stopping         bool    // a graceful shutdown has begun
+	exitErr          error   // what Run returns; nil: the shutdown was graceful
+	Reloads          struct{ Applied, Rejected uint64 }
 }
 
-// Run serves until it is told to stop.
+// Run serves until SIGTERM, SIGINT or a Gearman shutdown command has drained the dispatcher, and returns nil then. It reloads
+// the configuration on SIGHUP. An error says why it could not start or go on. A process calls it once: the goroutine that
+// receives signals ends with the process.
 func Run(config *Config, log *zap.Logger) error {
 	// Signals are taken before the port opens: whoever finds it open may send one.
 	stops, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stops, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reloads, syscall.SIGHUP)
-	p, err := newServer(config, log)
+	s, err := newServer(config, log)
 	if err != nil {
 		return err
 	}
 	go func() {
 		for {
 			select {
-			case s := <-stops:
-				p.loop.Post(func() { p.stop(s.String()) })
+			case received := <-stops:
+				s.loop.Post(func() { s.stop(received.String()) })
 			case <-reloads:
-				p.loop.Post(p.reload)
+				s.loop.Post(s.reload)
 			}
 		}
 	}()
-	err = p.loop.Run()
-	p.closeAuditLog(false)
-	p.reporting.close()
+	err = s.loop.Run()
+	s.closeAuditLog(false)
+	s.reporting.close()
 	if err != nil {
 		return err
 	}
-	if p.exitErr != nil {
-		return p.exitErr
+	if s.exitErr != nil {
+		return s.exitErr
 	}
-	log.Info("program: ended", zap.Any("counts", p.dispatcher.Counts()))
-	if p.gearman != nil {
-		log.Info("program: gearman ended", zap.Any("counts", p.gearman.Totals()))
+	log.Info("program: ended", zap.Any("counts", s.dispatcher.Counts()))
+	if s.gearman != nil {
+		log.Info("program: gearman ended", zap.Any("counts", s.gearman.Totals()))
 	}
 	return nil
 }
 
-// applyLimits keeps the process within the deployment's limits, of which it has half while there are two of them: one core,
-// and collecting early rather than killed.
+// applyLimits keeps the process within the deployment's limits of descriptors and memory, and within one core. During an
+// upgrade each of the two processes has half of them.
 func (s *Server) applyLimits() {
 	runtime.GOMAXPROCS(1)
-	limits, kept := s.config.Limits, reservedDescriptors
+	limits, reserved := s.config.Limits, reservedDescriptors
 	if s.upgrade.bothRunning() {
-		limits.Sockets, limits.MemoryMB, kept = limits.Sockets/2, limits.MemoryMB/2, reservedDescriptors/2
+		limits.Sockets, limits.MemoryMB, reserved = limits.Sockets/2, limits.MemoryMB/2, reservedDescriptors/2
 	}
-	s.loop.SetSocketLimit(limits.Sockets - kept)
+	s.loop.SetSocketLimit(limits.Sockets - reserved)
 	s.limiter.SetMemory(limits.MemoryMB)
 	if limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * 6 / 10)
+		debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * softMemoryNumerator / softMemoryDenominator)
 	}
 }
 
+// newServer builds a dispatcher. With a predecessor it goes on by itself once that has sent its state (see [upgrade]);
+// otherwise it serves already when newServer returns.
 func newServer(config *Config, log *zap.Logger) (*Server, error) {
 	loop, err := eventloop.NewLoop(config.Limits.Sockets - reservedDescriptors)
 	if err != nil {
@@ -135,7 +147,7 @@
 	s.pool.SetDispatcher(s.dispatcher)
 	s.limiter = admission.New(loop, config.Limits.MemoryMB)
 	s.front = httpfront.NewFront(loop, log, s.dispatcher, s.pool, s.limiter, &config.balancerSettings)
-	// A descriptor is freed where it costs least: an idle client session first, then an idle backend connection.
+	// When descriptors run short, the cheapest connection is closed: an idle client session first, then an idle backend connection.
 	loop.FreeDescriptor = func() bool {
 		return s.front.EvictIdle() || s.pool.EvictIdle() || s.gearman != nil && s.gearman.EvictIdle()
 	}
@@ -166,7 +178,7 @@
 	return s, s.startWithoutPredecessor()
 }
 
-// startWithoutPredecessor begins with what the configuration and the disk tell.
+// startWithoutPredecessor starts serving from the configuration and from what earlier processes left on disk.
 func (s *Server) startWithoutPredecessor() error {
 	s.restoreExclusions()
 	s.reporting.start()
@@ -176,7 +188,7 @@
 	return s.startServing(0)
 }
 
-// startServing takes clients.
+// startServing opens the fronts. gearmanFD is a listening socket received from the predecessor, 0 for none.
 func (s *Server) startServing(gearmanFD int) (err error) {
 	switch {
 	case s.config.inheritedFD > 0:
@@ -195,44 +207,3 @@
 		zap.String("discovery", s.config.Discovery), zap.Bool("gearman", s.gearman != nil))
 	return nil
 }
-
-// fail ends the program.
-func (s *Server) fail(err error) {
-	s.exitErr = err
-	s.loop.Stop()
-}
-
-// stop serves on for a moment, then closes what is idle and ends once all that was taken is answered. The
-// listener stays open to the end: call-backs come by it.
-func (s *Server) stop(signal string) {
-	if s.stopping {
-		return
-	}
-	s.stopping = true
-	s.log.Info("program: stopping", zap.String("signal", signal), zap.Int("open", s.dispatcher.Counts().OpenRequests))
-	if s.upgrade.successorServes() { // nobody comes any more, and who is here is passed on
-		s.exitWhenDone()
-		return
-	}
-	s.loop.At(s.loop.Now()+lingerSeconds, s.drainClients)
-}
-
-func (s *Server) drainClients() {
-	if !s.upgrade.successorServes() {
-		s.front.Drain()
-		if s.gearman != nil {
-			s.gearman.Drain()
-		}
-	}
-	s.exitWhenDone()
-}
-
-func (s *Server) exitWhenDone() {
-	if n := s.dispatcher.Counts(); n.OpenRequests == 0 && s.front.Idle() && (s.gearman == nil || s.gearman.Idle()) &&
-		s.upgrade.done() && (s.admin == nil || s.admin.OpenCalls() == 0) && s.reporting.finished() {
-		s.leaveCluster()
-		s.loop.Stop()
-		return
-	}
-	s.loop.At(s.loop.Now()+drainCheckInterval, s.exitWhenDone)
-}
--- /dev/null
+++ b/internal/dispatcher/server/upgrade_predecessor.go
@@ -0,0 +1,126 @@
+package server
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"net/netip"
+
+	"go.uber.org/zap"
+	"golang.org/x/sys/unix"
+
+	"cinderroad/internal/dispatcher/handover"
+	"cinderroad/internal/dispatcher/httpfront"
+	"cinderroad/internal/shared/eventloop"
+)
+
+// connectPredecessor looks for a process to replace. False: there can be none, and the caller starts the server. True: the
+// start goes on by itself, with the predecessor's state or, if there turns out to be no predecessor, without.
+
+func (u *upgrade) connectPredecessor() bool {
+	if u.socketPath == "" {
+		return false
+	}
+	u.predecessor = handover.Connect(u.server.loop, u.socketPath, u)
+	u.deadline = u.server.loop.At(u.server.loop.Now()+stateTimeout, func() {
+		u.predecessor.Close()
+		u.HandleDown(u.predecessor, fmt.Errorf("program: no state within %.0f s", stateTimeout))
+	})
+	return true
+}
+
+// receiveState applies the predecessor's state, and waits for discovery to send what has changed since.
+func (u *upgrade) receiveState(body []byte) error {
+	server := u.server
+	var state handoverState
+	if err := u.decodeState(body, &state); err != nil {
+		return err
+	}
+	u.deadline.Stop()
+	u.stateReceived = true
+	server.applyLimits()
+	server.dispatcher.ApplyExclusions(state.Exclusions)
+	server.log.Info("program: told by the process before", zap.Int64("rev", state.List.Revision), zap.Int("members_out", server.dispatcher.ExcludedCount()))
+	if state.EvacuatedSince > 0 {
+		server.setEvacuated(true, min(state.EvacuatedSince, server.loop.Now()))
+	}
+	server.reporting.awaitPredecessor(state.SendsMetrics)
+	if err := server.dispatcher.Restore(state.Balancer); err != nil {
+		server.log.Warn("program: what the process before has learnt is of no use", zap.Error(err))
+	}
+	if server.config.discovery.IsValid() {
+		addr, _ := netip.ParseAddrPort(state.Discovery)
+		server.discovery.OnFirstContact = u.takeOver
+		u.deadline = server.loop.At(server.loop.Now()+discoveryTimeout, u.takeOver)
+		server.discovery.StartWithList(addr, state.List)
+		return nil
+	}
+	u.takeOver()
+	return nil
+}
+
+// decodeState reads a state and checks it. It keeps the Gearman listening socket that comes with it, if that is the one
+// which this process is configured to listen on, and closes any other.
+func (u *upgrade) decodeState(body []byte, state *handoverState) error {
+	err := json.Unmarshal(body, state)
+	if err != nil { // a frame that carries a descriptor has another form
+		var fd int
+		if _, fd, err = u.predecessor.DecodeDescriptorFrame(body, state); err == nil && state.Gearman && u.server.gearman != nil && state.GearmanListen == u.server.config.gearman.Listen {
+			u.gearmanFD = fd
+		} else if fd >= 0 {
+			unix.Close(fd)
+		}
+	}
+	if err != nil {
+		return fmt.Errorf("program: state: %w", err)
+	}
+	if err := state.List.Validate(); err != nil {
+		return fmt.Errorf("program: state: %w", err)
+	}
+	text, err := json.Marshal(savedExclusions{exclusionsVersion, state.Exclusions})
+	if err != nil {
+		return fmt.Errorf("program: state: %w", err)
+	}
+	_, err = parseExclusions(text)
+	return err
+}
+
+// takeOver opens the fronts and tells the predecessor: membership, exclusions and the balancer's state are in force by now.
+func (u *upgrade) takeOver() {
+	u.deadline.Stop()
+	if u.server.serving || u.server.stopping {
+		return
+	}
+	u.finishStart(u.server.startServing(u.gearmanFD))
+	if u.predecessor != nil && u.server.serving {
+		_ = u.predecessor.Send(handover.Takeover, struct{}{})
+	}
+}
+
+// finishStart lets a successor find this process, or ends it if the start failed with err.
+func (u *upgrade) finishStart(err error) {
+	if err != nil {
+		u.server.fail(err)
+		return
+	}
+	u.listenForSuccessor()
+}
+
+// adoptSession continues a client session that the predecessor has passed on, and acknowledges it.
+func (u *upgrade) adoptSession(body []byte) error {
+	var session httpfront.SessionState
+	in, fd, err := u.predecessor.DecodeDescriptorFrame(body, &session)
+	if err != nil {
+		if fd >= 0 {
+			unix.Close(fd)
+		}
+		return err
+	}
+	u.SessionsAdopted++
+	if err := u.server.loop.Adopt(fd, bytes.Clone(in), func(c *eventloop.Conn) eventloop.Handler {
+		return u.server.front.Adopt(session, c)
+	}); err != nil {
+		u.server.log.Warn("program: a session could not be taken over", zap.Error(err))
+	}
+	return u.predecessor.Send(handover.SessionReceived, struct{}{})
+}
--- /dev/null
+++ b/internal/dispatcher/server/upgrade_queries.go
@@ -0,0 +1,80 @@
+package server
+
+import (
+	"bytes"
+	"encoding/json"
+
+	"go.uber.org/zap"
+
+	"cinderroad/internal/dispatcher/handover"
+)
+
+// HandleQuery implements handover.Handler.
+func (u *upgrade) HandleQuery(link *handover.Link, kind handover.Kind, body []byte, answer func(yes bool)) {
+	body = bytes.Clone(body)
+	switch kind {
+	case handover.CallbackQuery:
+		if u.server.front.HandleForwardedCallback(body) {
+			answer(true)
+		} else if !u.queryOthers(handover.CallbackQuery, body, link, answer) {
+			answer(false)
+		}
+	case handover.Order:
+		var order operatorOrder
+		err := json.Unmarshal(body, &order)
+		if err == nil {
+			err = u.server.applyOrder(order)
+		}
+		if err != nil {
+			u.server.log.Error("program: order of the other process not carried out", zap.Error(err))
+			answer(false)
+			return
+		}
+		u.forwardOrder(order, link, func() { answer(true) })
+	}
+}
+
+// queryOthers queries the other processes of this dispatcher, except the one that asks. done is called once: for a callback
+// with true as soon as one process answers yes, otherwise with the last answer once all have answered or are lost. False: there is
+// nobody to ask, and done is not called.
+
+func (u *upgrade) queryOthers(kind handover.Kind, body []byte, except *handover.Link, done func(yes bool)) bool {
+	pending, answered := 0, false
+	for _, link := range []*handover.Link{u.predecessor, u.successor} {
+		if link == nil || link == except || link == u.predecessor && !u.stateReceived || link == u.successor && kind == handover.CallbackQuery && !u.clientsHandedOver {
+			continue
+		}
+		if link.Query(kind, body, func(yes bool) {
+			if pending--; !answered && (yes && kind == handover.CallbackQuery || pending == 0) {
+				answered = true
+				done(yes)
+			}
+		}) {
+			pending++
+		}
+	}
+	return pending > 0
+}
+
+// forwardOrder has the other processes, except the one that sent it, carry out an order. done is called once: when they
+// have, or when orderTimeout is over.
+func (u *upgrade) forwardOrder(order operatorOrder, except *handover.Link, done func()) {
+	body, err := json.Marshal(order)
+	if err != nil {
+		u.server.log.Error("program: order", zap.Error(err))
+		done()
+		return
+	}
+	finished := false
+	finish := func() {
+		if !finished {
+			finished = true
+			done()
+		}
+	}
+	if !u.queryOthers(handover.Order, body, except, func(bool) { finish() }) {
+		finish()
+		return
+	}
+	u.server.loop.At(u.server.loop.Now()+orderTimeout, finish)
+}
--- /dev/null
+++ b/internal/dispatcher/server/upgrade_successor.go
@@ -0,0 +1,86 @@
+package server
+
+import (
+	"go.uber.org/zap"
+
+	"cinderroad/internal/dispatcher/handover"
+	"cinderroad/internal/dispatcher/httpfront"
+	"cinderroad/internal/shared/eventloop"
+)
+
+// listenForSuccessor opens the socket at which the next process will connect. If it cannot, that one starts without this
+// one's state.
+func (u *upgrade) listenForSuccessor() {
+	listener, err := u.server.loop.ListenUnix(u.socketPath, 2, func() bool { return false }, u.acceptSuccessor)
+	if err != nil {
+		u.server.log.Error("program: no upgrade will find this process", zap.Error(err))
+		return
+	}
+	u.listener = listener
+}
+
+// acceptSuccessor makes a connecting process the successor, in place of one that has connected before.
+func (u *upgrade) acceptSuccessor(conn *eventloop.Conn) eventloop.Handler {
+	link := handover.Accept(conn, u)
+	if u.clientsHandedOver { // it connected before the successor had replaced the socket
+		link.Close()
+		return link
+	}
+	if u.successor != nil {
+		u.successor.Close()
+	}
+	u.successor = link
+	u.server.applyLimits()
+	return link
+}
+
+// sendState sends the successor this process's state, with the Gearman listening socket where there is one.
+func (u *upgrade) sendState() error {
+	server := u.server
+	addr, list := server.discovery.List()
+	message := handoverState{Discovery: addr.String(), List: list, Exclusions: server.dispatcher.Exclusions(), EvacuatedSince: server.front.EvacuatedSince(), Balancer: server.dispatcher.Snapshot(), SendsMetrics: u.handsOverMetrics}
+	server.log.Info("program: telling the next process", zap.Int64("rev", list.Revision), zap.Int("members", len(list.Entries)))
+	if server.gearman == nil || !server.serving {
+		return u.successor.Send(handover.State, message)
+	}
+	fd, err := server.gearman.Listener().Dup()
+	if err != nil {
+		return err
+	}
+	message.Gearman, message.GearmanListen = true, server.gearman.Listener().Addr().String()
+	return u.successor.SendDescriptor(handover.State, message, nil, fd)
+}
+
+// handOverClients stops accepting clients, which are the successor's from now on.
+func (u *upgrade) handOverClients() {
+	server := u.server
+	server.log.Info("program: the next process takes the clients", zap.Int("sessions", server.front.SessionCount()), zap.Int("open", server.dispatcher.Counts().OpenRequests))
+	u.clientsHandedOver = true
+	if u.listener != nil { // the successor listens at the path now
+		u.listener.Close()
+		u.listener = nil
+	}
+	server.listener.SetSuspended(true)
+	server.yieldCluster()
+	if server.gearman != nil {
+		server.gearman.SetRetired(true)
+	}
+	server.front.SetSuccessor(u.passSession)
+	if u.handsOverMetrics {
+		server.reporting.handOverTo(u.successor)
+	}
+}
+
+// passSession sends an idle session to the successor; false: not now, and the session stays.
+func (u *upgrade) passSession(session httpfront.SessionState, conn *eventloop.Conn) bool {
+	if u.successor == nil || u.sessionsInTransit >= maxSessionsInTransit {
+		return false
+	}
+	fd, in := conn.Detach()
+	u.sessionsInTransit++
+	u.SessionsPassed++
+	if err := u.successor.SendDescriptor(handover.Session, session, in, fd); err != nil {
+		u.server.log.Error("program: a session could not be passed on", zap.Error(err))
+	}
+	return true
+}
--- a/internal/dispatcher/server/versions.go
+++ b/internal/dispatcher/server/versions.go
@@ -12,7 +12,7 @@
 	"cinderroad/loadbalancer"
 )
 
-// startVersionTable has what discovery tells kept for the fleet, from the list held now on.
+// startVersionTable starts to exchange versions of the membership with other members, beginning with the list in force.
 func (s *Server) startVersionTable() {
 	if s.versionTable != nil {
 		return
@@ -51,7 +51,7 @@
 	table.OnPeerState = s.handleContact
 }
 
-// stopVersionTable has nothing withheld any more: the own list alone says.
+// stopVersionTable lifts all restrictions: the own list alone counts without a cluster.
 func (s *Server) stopVersionTable() {
 	s.versionTable, s.discovery.OnVersion, s.discovery.OnContact = nil, nil, nil
 	s.dispatcher.SetRestrictions(nil)
@@ -59,10 +59,10 @@
 	s.updateAdmission()
 }
 
-// versionStates are the list's, for the fleet; what is not known there is not told as ready.
+// versionStates translates the states of a list's entries. The zero value, for a state that is not known, is not Ready.
 var versionStates = map[string]versions.State{"ready": versions.Ready, "draining": versions.Draining, "gone": versions.Gone}
 
-// discoverySource is what the fleet calls a discovery.
+// discoverySource is the name under which members compare versions of one discovery service.
 func (s *Server) discoverySource(addr netip.AddrPort) string {
 	if f := s.config.Operator.Cluster; f != nil && f.DiscoveryID != "" {
 		return f.DiscoveryID
@@ -70,7 +70,7 @@
 	return addr.String()
 }
 
-// applyRestrictions has the core take workers for what peers know of them.
+// applyRestrictions restricts workers of which a peer knows a newer state than the own list.
 func (s *Server) applyRestrictions() {
 	restrictions := map[string]dispatch.Restriction{}
 	for worker, restriction := range s.versionTable.Restrictions() {
