--- /dev/null
+++ b/cmd/cinderroad-dispatcher/cluster_check.go
@@ -0,0 +1,128 @@
+package main
+
+import (
+	"cmp"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"cinderroad/internal/dispatcher/cluster"
+)
+
+const (
+	checkInterval       = 250 * time.Millisecond // between two comparisons of views that differ
+	maxNamedDifferences = 5
+)
+
+func (client *consoleClient) checkCommand() *cobra.Command {
+	patience := 10 * time.Second
+	c := &cobra.Command{Use: "check", Short: "Ask every member whether it holds the same view; status 1 if one does not",
+		Long: `Ask every member whether it holds the same view.
+
+The dispatcher at --console names the members; each that is alive and has a second address is asked there. Views that move are
+asked again for as long as --patience says. Names those that disagree or do not answer, and ends with status 1 if there are any.`,
+		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+			for end := time.Now().Add(patience); ; time.Sleep(checkInterval) {
+				views, err := client.compareViews()
+				if err != nil {
+					return err
+				}
+				bad := slices.ContainsFunc(views, func(view memberView) bool { return view.Problem != "" })
+				if bad && time.Now().Before(end) {
+					continue
+				}
+				if err := client.printViews(c.OutOrStdout(), views); err != nil {
+					return err
+				}
+				if bad {
+					return errors.New("fleet: not all members hold one view")
+				}
+				return nil
+			}
+		}}
+	c.Flags().BoolVar(&client.asJSON, "json", false, "one line of JSON")
+	c.Flags().DurationVar(&patience, "patience", patience, "how long views that move are asked again")
+	return c
+}
+
+// memberView is the result of asking a member for its view of the cluster.
+type memberView struct {
+	Name    string `json:"name"`
+	Digest  string `json:"digest,omitempty"`
+	View    string `json:"view,omitempty"`
+	Problem string `json:"wrong,omitempty"` // empty: its view is the same
+}
+
+// compareViews asks every member that is alive or suspect, and compares its view with that of the dispatcher at --console.
+func (client *consoleClient) compareViews() ([]memberView, error) {
+	first, err := client.status(client.console)
+	if err != nil {
+		return nil, err
+	}
+	views := []memberView{{Name: first.Self, Digest: first.Digest, View: first.String()}}
+	if !first.Converged {
+		views[0].Problem = "its view is not settled"
+	}
+	for _, member := range first.Members {
+		if member.Name == first.Self || member.State != "alive" && member.State != "suspect" {
+			continue
+		}
+		view := memberView{Name: member.Name}
+		switch s, err := client.status(member.Console); {
+		case member.Console == "":
+			view.Problem = "has no second address to be asked at"
+		case err != nil:
+			view.Problem = err.Error()
+		case s.Self != member.Name:
+			view.Problem = "at its address is " + s.Self
+		default:
+			view.Digest, view.View = s.Digest, s.String()
+			if s.Digest != first.Digest {
+				view.Problem = "disagrees" + describeDifference(first, s)
+			}
+		}
+		views = append(views, view)
+	}
+	return views, nil
+}
+
+// describeDifference names members of which two views differ, at most maxNamedDifferences.
+func describeDifference(here, there *cluster.Status) string {
+	known := map[string]string{}
+	for _, m := range here.Members {
+		known[m.Name] = fmt.Sprint(m.State, " ", m.Incarnation)
+	}
+	var names []string
+	for _, m := range there.Members {
+		if is := fmt.Sprint(m.State, " ", m.Incarnation); known[m.Name] != is {
+			names = append(names, fmt.Sprintf("%s is %s here and %s there", m.Name, cmp.Or(known[m.Name], "not known"), is))
+		}
+		delete(known, m.Name)
+	}
+	for name := range known {
+		names = append(names, name+" is not known there")
+	}
+	slices.Sort(names)
+	if extra := len(names) - maxNamedDifferences; extra > 0 {
+		names = append(names[:maxNamedDifferences], fmt.Sprintf("and %d more", extra))
+	}
+	return ": " + strings.Join(names, "; ")
+}
+
+func (client *consoleClient) printViews(out io.Writer, views []memberView) error {
+	if client.asJSON {
+		return json.NewEncoder(out).Encode(views)
+	}
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	for _, view := range views {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", view.Name, cmp.Or(view.Digest, "-"), cmp.Or(view.View, "-"), cmp.Or(view.Problem, "agrees"))
+	}
+	return table.Flush()
+}
--- a/cmd/cinderroad-dispatcher/cluster_test.go
+++ b/cmd/cinderroad-dispatcher/cluster_test.go
@@ -12,8 +12,8 @@
 	list "cinderroad/internal/dispatcher/cluster/versions"
 )
 
-// member stands in for the second address of a dispatcher.
-func member(t *testing.T, name, digest string, settled bool, members *[]cluster.Member) string {
+// fakeDispatcher stands in for the second address of a dispatcher.
+func fakeDispatcher(t *testing.T, name, digest string, settled bool, members *[]cluster.Member) string {
 	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		switch r.Method + " " + r.URL.Path {
 		case "GET /api/fleet":
@@ -28,8 +28,8 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// versions gives members versions of the list in turn; below 0 is none.
-func versions(members []cluster.Member, revs ...int64) []cluster.Member {
+// withListVersions gives members versions of the list in turn; below 0 is none.
+func withListVersions(members []cluster.Member, revs ...int64) []cluster.Member {
 	for i, rev := range revs {
 		if rev >= 0 {
 			members[i].ListVersion = &list.Version{Source: "here", Revision: rev}
@@ -41,9 +41,9 @@
 // The fleet's commands: a table, JSON, and a check that names who disagrees, who does not answer and who cannot be asked.
 func TestFleetCommands(t *testing.T) {
 	var members, others []cluster.Member
-	one := member(t, "a", "1", true, &members)
-	same := member(t, "b", "1", true, &members)
-	differs := member(t, "c", "2", true, &others)
+	one := fakeDispatcher(t, "a", "1", true, &members)
+	same := fakeDispatcher(t, "b", "1", true, &members)
+	differs := fakeDispatcher(t, "c", "2", true, &others)
 	of := func(names ...string) (list []cluster.Member) {
 		for _, n := range names {
 			console := map[string]string{"a": one, "b": same, "c": differs, "gone": "127.0.0.1:1", "mute": ""}[n]
@@ -61,8 +61,8 @@
 	}{
 		{"table", of("a", "b"), []string{"members"}, []string{"NAME", "a ", "b ", "2 alive", "settled", "milano", "shared among 3"}, ""},
 		{"json", of("a", "b"), []string{"members", "--json"}, []string{`"digest":"1"`, `"since_ms"`, `"version"`}, ""},
-		{"versions", versions(of("b", "a", "mute"), 7, 5, -1), []string{"versions"}, []string{"mute  alive  -", "a     alive  here/5  2", "b     alive  here/7  0"}, ""},
-		{"versions of two lines", versions(of("a", "b"), 7, 5), []string{"versions", "--json"}, []string{`"rev":5`}, ""},
+		{"versions", withListVersions(of("b", "a", "mute"), 7, 5, -1), []string{"versions"}, []string{"mute  alive  -", "a     alive  here/5  2", "b     alive  here/7  0"}, ""},
+		{"versions of two lines", withListVersions(of("a", "b"), 7, 5), []string{"versions", "--json"}, []string{`"rev":5`}, ""},
 		{"agree", of("a", "b"), []string{"check"}, []string{"a ", "b ", "agrees"}, ""},
 		{"disagree", of("a", "b", "c"), []string{"check", "--patience", "10ms"}, []string{"disagrees: b is not known there"}, "not all members hold one view"},
 		{"no answer", of("a", "gone"), []string{"check", "--patience", "10ms"}, []string{"no answer"}, "not all members hold one view"},
--- a/cmd/cinderroad-dispatcher/main.go
+++ b/cmd/cinderroad-dispatcher/main.go
@@ -1,6 +1,6 @@
 // Command cinderroad-dispatcher is one dispatcher: it takes jobs from clients, sends each to a backend that the decisions
-// of package loadbalancer choose, and gives every job one final answer. Beside that it checks configurations, lists its figures
-// and audits them.
+// of package loadbalancer choose, and gives every job one final answer. Its subcommands check configurations, list the metrics,
+// audit request logs and audit logs, and operate the cluster of dispatchers.
 package main
 
 import (
@@ -14,7 +14,7 @@
 )
 
 func main() {
-	root := command()
+	root := rootCommand()
 	root.SetArgs(normalizeFlags(root, os.Args[1:]))
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "cinderroad-dispatcher:", err)
@@ -22,23 +22,23 @@
 	}
 }
 
-// command is the command line: a bare call serves.
-func command() *cobra.Command {
-	s := newServeOptions()
+// rootCommand returns the command line. Without a subcommand it serves.
+func rootCommand() *cobra.Command {
+	options := &serveOptions{}
 	root := &cobra.Command{Use: "cinderroad-dispatcher", Short: "A dispatcher: every job gets one final answer", Args: cobra.NoArgs,
-		SilenceErrors: true, SilenceUsage: true, RunE: s.run}
-	serve := &cobra.Command{Use: "serve", Short: "Serve until told to stop; what a bare call does, too", Args: cobra.NoArgs, RunE: s.run}
-	check := &cobra.Command{Use: "check", Short: "Read configuration and operator's file, and print what is in force", Args: cobra.NoArgs, RunE: s.check}
+		SilenceErrors: true, SilenceUsage: true, RunE: options.run}
+	serve := &cobra.Command{Use: "serve", Short: "Serve until told to stop; what a bare call does, too", Args: cobra.NoArgs, RunE: options.run}
+	check := &cobra.Command{Use: "check", Short: "Read configuration and operator's file, and print what is in force", Args: cobra.NoArgs, RunE: options.check}
 	for _, c := range []*cobra.Command{root, serve, check} {
-		s.flags(c)
+		options.addFlags(c)
 	}
-	root.AddCommand(serve, check, figuresCommand(), auditCommand(), fleetCommand(), &cobra.Command{Use: "version", Short: "Print the version",
+	root.AddCommand(serve, check, metricsCommand(), requestAuditCommand(), clusterCommand(), &cobra.Command{Use: "version", Short: "Print the version",
 		Args: cobra.NoArgs, Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), version()) }})
 	root.CompletionOptions.HiddenDefaultCmd = true
 	return root
 }
 
-// normalizeFlags has flags of the first releases, which had one dash, read as those with two.
+// normalizeFlags adds a dash to long flags that have one: the first releases had their flags so.
 func normalizeFlags(root *cobra.Command, args []string) []string {
 	known := map[string]bool{}
 	root.Flags().VisitAll(func(f *pflag.Flag) { known[f.Name] = true })
@@ -53,7 +53,7 @@
 	return out
 }
 
-// version is what the build knows of itself.
+// version returns module version, commit, architecture and Go version of the build.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/cinderroad-dispatcher/main_test.go
+++ b/cmd/cinderroad-dispatcher/main_test.go
@@ -12,7 +12,7 @@
 
 // call runs a command line and returns what it prints.
 func call(args ...string) (string, error) {
-	root := command()
+	root := rootCommand()
 	var out bytes.Buffer
 	root.SetOut(&out)
 	root.SetErr(&out)
@@ -34,7 +34,7 @@
 }
 
 func TestSingleDashFlags(t *testing.T) {
-	root := command()
+	root := rootCommand()
 	got := normalizeFlags(root, []string{"serve", "-config", "x", "-log=debug", "--graphite", "a", "-metrics-every", "1", "-h", "-unknown"})
 	want := []string{"serve", "--config", "x", "--log=debug", "--graphite", "a", "--metrics-every", "1", "-h", "-unknown"}
 	if d := cmp.Diff(want, got); d != "" {
--- a/cmd/cinderroad-dispatcher/metrics.go
+++ b/cmd/cinderroad-dispatcher/metrics.go
@@ -9,7 +9,7 @@
 	"cinderroad/internal/dispatcher/server"
 )
 
-func figuresCommand() *cobra.Command {
+func metricsCommand() *cobra.Command {
 	var page bool
 	c := &cobra.Command{Use: "figures", Short: "List every series: name, kind, unit and meaning", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/cinderroad-dispatcher/audit.go
+++ b/cmd/cinderroad-dispatcher/request_audit.go
@@ -11,7 +11,8 @@
 	"cinderroad/internal/dispatcher/requestaudit"
 )
 
-func auditCommand() *cobra.Command {
+// requestAuditCommand returns the command that compares request logs with the metrics that a receiver has got.
+func requestAuditCommand() *cobra.Command {
 	var logs, received []string
 	c := &cobra.Command{Use: "audit", Short: "Compare request logs with what a receiver has got, class by class and verdict by verdict",
 		Long: `Compare request logs with what a receiver has got.
@@ -51,7 +52,7 @@
 	return c
 }
 
-// readFiles opens one file after the other and has each read, until the first error.
+// readFiles opens one file after the other and passes it to read, until the first error.
 func readFiles(paths []string, read func(name string, r io.Reader) error) error {
 	for _, path := range paths {
 		f, err := os.Open(path)
--- a/cmd/cinderroad-dispatcher/serve.go
+++ b/cmd/cinderroad-dispatcher/serve.go
@@ -13,34 +13,32 @@
 	"cinderroad/internal/dispatcher/server"
 )
 
-// maxRepeatsPerSecond is how often one message is logged within a second.
+// maxRepeatsPerSecond is how often one message is logged within a second; further repeats are dropped.
 const maxRepeatsPerSecond = 50
 
-// serveOptions is what serve and check are told.
+// serveOptions holds the flags of the commands serve and check.
 type serveOptions struct {
-	config, gearman, logLevel string
-	shorthand                 server.Shorthand
+	configPath, gearmanPath, logLevel string
+	shorthand                         server.Shorthand
 }
 
-func newServeOptions() *serveOptions { return &serveOptions{} }
-
-func (o *serveOptions) flags(c *cobra.Command) {
+func (o *serveOptions) addFlags(c *cobra.Command) {
 	f := c.Flags()
 	f.SortFlags = false
-	f.StringVar(&o.config, "config", os.Getenv("ROUTER_CONFIG"), "configuration `FILE` (JSON); $ROUTER_CONFIG is the default")
+	f.StringVar(&o.configPath, "config", os.Getenv("ROUTER_CONFIG"), "configuration `FILE` (JSON); $ROUTER_CONFIG is the default")
 	f.StringVar(&o.shorthand.Operator, "operator", "", "operator's `FILE` (TOML), of the form of deploy/operator.toml")
-	f.StringVar(&o.gearman, "gearman", "", "`FILE` (TOML) that turns the Gearman front on, of the form of deploy/gearman.toml")
+	f.StringVar(&o.gearmanPath, "gearman", "", "`FILE` (TOML) that turns the Gearman front on, of the form of deploy/gearman.toml")
 	f.StringVar(&o.shorthand.Graphite, "graphite", "", "`ADDRESS` of a Graphite receiver, besides the operator's file")
 	f.StringVar(&o.shorthand.Collectd, "collectd", "", "`PATH` of collectd's unix socket, besides the operator's file")
 	f.Float64Var(&o.shorthand.Interval, "metrics-every", 0, "`SECONDS` between figures; the operator's file says 10 if it says nothing")
 	f.StringVar(&o.logLevel, "log", "info", "log `LEVEL`: debug, info, warn or error")
 }
 
-// read reads all that the program is told.
-func (o *serveOptions) read() (*server.Config, error) {
-	config, err := server.ReadConfig(o.config, os.Getenv)
-	if err == nil && o.gearman != "" {
-		err = config.ReadGearman(o.gearman)
+// readConfig reads all files that the flags name.
+func (o *serveOptions) readConfig() (*server.Config, error) {
+	config, err := server.ReadConfig(o.configPath, os.Getenv)
+	if err == nil && o.gearmanPath != "" {
+		err = config.ReadGearman(o.gearmanPath)
 	}
 	if err == nil {
 		err = config.ReadOperator(o.shorthand)
@@ -48,30 +46,33 @@
 	return config, err
 }
 
+// run serves until the dispatcher is told to stop.
 func (o *serveOptions) run(*cobra.Command, []string) error {
 	level, err := zapcore.ParseLevel(o.logLevel)
 	if err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
-	config, err := o.read()
+	config, err := o.readConfig()
 	if err != nil {
 		return err
 	}
-	return server.Run(config, logger(os.Stderr, level))
+	return server.Run(config, newLogger(os.Stderr, level))
 }
 
+// check prints the configuration that would be in force.
 func (o *serveOptions) check(c *cobra.Command, _ []string) error {
-	config, err := o.read()
+	config, err := o.readConfig()
 	if err != nil {
 		return err
 	}
 	return config.Describe(c.OutOrStdout())
 }
 
-func logger(to io.Writer, level zapcore.Level) *zap.Logger {
+// newLogger returns a logger that writes lines for humans.
+func newLogger(out io.Writer, level zapcore.Level) *zap.Logger {
 	encoder := zap.NewProductionEncoderConfig()
 	encoder.EncodeTime = zapcore.ISO8601TimeEncoder
-	core := zapcore.NewCore(zapcore.NewConsoleEncoder(encoder), zapcore.Lock(zapcore.AddSync(to)), level)
-	// A peer that sends nonsense without end must not have the log written without end.
+	core := zapcore.NewCore(zapcore.NewConsoleEncoder(encoder), zapcore.Lock(zapcore.AddSync(out)), level)
+	// A peer that keeps sending malformed data must not flood the log.
 	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, maxRepeatsPerSecond, 0))
 }
--- a/internal/dispatcher/server/versions.go
+++ b/internal/dispatcher/server/versions.go
@@ -59,7 +59,7 @@
 	s.updateAdmission()
 }
 
-// versionStates translates the states of a list's entries. The zero value, for a state that is not known, is not Ready.
+// versionStates translates the states of a list's entries, which have been validated: an unknown state would count as Ready.
 var versionStates = map[string]versions.State{"ready": versions.Ready, "draining": versions.Draining, "gone": versions.Gone}
 
 // discoverySource is the name under which members compare versions of one discovery service.
