--- a/internal/dispatcher/operatorconfig/cluster.go
+++ b/internal/dispatcher/operatorconfig/cluster.go
@@ -8,38 +8,53 @@
 	"cinderroad/internal/shared/lease"
 )
 
-// Cluster is how the dispatcher is a member of its fleet.
+// Cluster is the section [fleet]: the dispatcher's membership in the cluster of dispatchers that share the workers.
 type Cluster struct {
-	Name                 string   `toml:"name"`
-	Bind                 string   `toml:"bind"`
-	Advertise            string   `toml:"advertise"`
-	Seeds                []string `toml:"seeds"`
-	ProbeIntervalSeconds float64  `toml:"period_s"`
-	RetentionSeconds     float64  `toml:"forget_s"`
-	Complete             *bool    `toml:"whole"`
-	DiscoveryID          string   `toml:"discovery"`
-	AuditLogPath         string   `toml:"ledger"`
-	LeaseSeconds         float64  `toml:"lease_s"`
+	// Name of the cluster. Messages of members with another name are ignored.
+	Name string `toml:"name"`
+	// Bind is the UDP address and port to listen on; Advertise is the one that other members are told, Bind if empty.
+	Bind      string `toml:"bind"`
+	Advertise string `toml:"advertise"`
+	// Seeds are addresses of members to join through. The member's own may be among them.
+	Seeds []string `toml:"seeds"`
+	// ProbeIntervalSeconds is the time between two probes of a member. It must be the same at all members.
+	ProbeIntervalSeconds float64 `toml:"period_s"`
+	// RetentionSeconds is how long a dead member stays in the membership.
+	RetentionSeconds float64 `toml:"forget_s"`
+	// Complete says that all dispatchers are members. False, while membership is being rolled out, makes the number of
+	// instances in the settings the least that is assumed. Never nil in a checked Config.
+	Complete *bool `toml:"whole"`
+	// DiscoveryID names the discovery service whose list versions members compare; empty: its address.
+	DiscoveryID string `toml:"discovery"`
+	// AuditLogPath is the file of the audit log; empty: the request log's path with auditLogSuffix, none without one.
+	AuditLogPath string `toml:"ledger"`
+	// LeaseSeconds is for how long a member that others leave behind may accept work without contact to discovery. It
+	// must be the same at all members.
+	LeaseSeconds float64 `toml:"lease_s"`
 
+	// Set from Bind, Advertise and Seeds when the file is checked.
 	ParsedBind      netip.AddrPort   `toml:"-"`
 	ParsedAdvertise netip.AddrPort   `toml:"-"`
 	ParsedSeeds     []netip.AddrPort `toml:"-"`
 }
 
-// The defaults and bounds, which deploy/operator.toml tells, too.
+// Defaults and bounds of the section [fleet], as in deploy/operator.toml.
 const (
-	DefaultProbeIntervalSeconds  = 1.0    // seconds
-	DefaultRetentionSeconds      = 3600.0 // seconds
-	minProbeIntervalSeconds      = 0.1    // seconds
-	maxProbeIntervalSeconds      = 10     // seconds
-	minRetentionSeconds          = 60     // seconds
+	DefaultProbeIntervalSeconds  = 1.0
+	DefaultRetentionSeconds      = 3600.0
+	minProbeIntervalSeconds      = 0.1
+	maxProbeIntervalSeconds      = 10
+	minRetentionSeconds          = 60
 	maxRetentionSeconds          = 7 * 24 * 3600
-	maxLeaseSeconds              = 3600 // seconds
-	discoveryWatchTimeoutSeconds = 5.0  // seconds after which a watch of discovery counts as dead
+	maxLeaseSeconds              = 3600
+	discoveryWatchTimeoutSeconds = 5.0 // after which a silent watch of discovery counts as dead
 	maxSeeds                     = 64
-	maxNameBytes                 = 64 // bytes
+	maxNameBytes                 = 64 // of the cluster name and the discovery id
+
+	auditLogSuffix = ".ledger"
 )
 
+// validate checks the section, applies defaults and parses addresses.
 func (c *Cluster) validate(errorAt keyErrorFunc) error {
 	if err := c.validateNames(errorAt); err != nil {
 		return err
@@ -63,7 +78,7 @@
 func (c *Cluster) validateNames(errorAt keyErrorFunc) error {
 	switch {
 	case c.Name == "":
-		return errorAt("name", errors.New("must be there: members that name another fleet are not heard"))
+		return errorAt("name", errors.New("must be there: members that name another fleet are ignored"))
 	case len(c.Name) > maxNameBytes:
 		return errorAt("name", fmt.Errorf("has %d bytes; %d at most", len(c.Name), maxNameBytes))
 	case c.Bind == "":
--- a/internal/dispatcher/operatorconfig/config.go
+++ b/internal/dispatcher/operatorconfig/config.go
@@ -1,6 +1,11 @@
-// Package operator reads the operator's file, deploy/operator.toml: what is set by whoever runs a dispatcher, beside the
-// deployment's own configuration. Every key that is not known is an error, and every error names the file, the line where
-// there is one, and the key.
+// Package operatorconfig reads the operator's file of a dispatcher: receivers of metrics, the request log and cluster
+// membership, which whoever runs a dispatcher sets beside the deployment's settings. deploy/operator.toml shows every key
+// with its default.
+//
+// A Config returned by Read or Parse has been checked: defaults are filled in, addresses parsed, passwords read, and
+// relative paths resolved against the file's folder. An unknown key is an error. Every error is an *Error that names the
+// file, the line if there is one, and the key; none contains a password. The keys are the operators' interface and must
+// not change with the names of the fields.
 package operatorconfig
 
 import (
@@ -13,7 +18,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Config is the operator's file. A section that is not there is off.
+// Config is the content of the operator's file. A nil or empty section is off. It must not be changed after it was read.
 type Config struct {
 	Graphite   []Graphite  `toml:"-"`
 	Collectd   []Collectd  `toml:"-"`
@@ -21,24 +26,24 @@
 	RequestLog *RequestLog `toml:"request_log"`
 	Cluster    *Cluster    `toml:"fleet"`
 
-	// One receiver may be a table, several are an array of tables.
+	// RawGraphite and RawCollectd are for decoding only: one receiver may be a table, several are an array of tables.
 	RawGraphite toml.Primitive `toml:"graphite"`
 	RawCollectd toml.Primitive `toml:"collectd"`
 
-	path string
+	path string // empty: no file
 	text string
 }
 
-// Default is what holds without a file.
+// Default returns the configuration that applies without a file.
 func Default() *Config {
 	c := &Config{}
 	if err := c.validate(); err != nil {
-		panic(err) // of constants
+		panic(err) // the defaults are constants
 	}
 	return c
 }
 
-// Read reads and checks a file. Errors are of type *Error.
+// Read reads and checks a file. Its errors are of type *Error.
 func Read(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -51,8 +56,8 @@
 	return Parse(path, string(text))
 }
 
-// Parse checks the text of a file; path is for messages, and for the places that the file names relative to its own.
-// Errors are of type *Error.
+// Parse parses and checks the text of a file. The path is used in errors, and relative paths are resolved against its
+// folder. Its errors are of type *Error.
 func Parse(path, text string) (*Config, error) {
 	c := &Config{path: path, text: text}
 	meta, err := c.decode()
@@ -68,7 +73,7 @@
 	return c, nil
 }
 
-// decode fills the file's fields from its text. Errors are those of the TOML library.
+// decode fills the fields from the text. Its errors are those of the TOML library.
 func (c *Config) decode() (toml.MetaData, error) {
 	meta, err := toml.Decode(c.text, c)
 	if err != nil {
@@ -81,7 +86,7 @@
 	return meta, err
 }
 
-// decodeTables reads [name] or each [[name]].
+// decodeTables decodes the one table [name] or every table [[name]].
 func decodeTables[T any](meta toml.MetaData, name string, raw toml.Primitive) (all []T, err error) {
 	if !meta.IsDefined(name) {
 		return nil, nil
@@ -95,16 +100,17 @@
 	return all, err
 }
 
-// Text is what the file says; empty is none.
+// Text returns the text of the file; empty if there is none.
 func (c *Config) Text() string { return c.text }
 
-// Path is where the file was read from; empty is none.
+// Path returns the path of the file; empty if there is none.
 func (c *Config) Path() string { return c.path }
 
-// memberKeys are the keys that say where a member's own things are.
+// memberKeys are the keys whose values differ between the members of a cluster: addresses and paths.
 var memberKeys = []string{"bind", "advertise", "seeds", "ledger", "path", "spool_dir"}
 
-// Common is what the file says but for comments and where the member's own things are, so that members whose files say the same show it.
+// Common returns the text without comments and without the keys that differ between members, so that members can compare
+// hashes of it to find out whether they are configured alike.
 func (c *Config) Common() string {
 	var out strings.Builder
 	for _, line := range strings.Split(c.text, "\n") {
--- a/internal/dispatcher/operatorconfig/config_test.go
+++ b/internal/dispatcher/operatorconfig/config_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// The shipped file, with every key uncommented, is one that can be read, and says the defaults.
+// The shipped file must be valid as it is, with everything off, and with every key uncommented, with the defaults.
 func TestShippedFileHasDefaults(t *testing.T) {
 	path := filepath.Join("..", "..", "..", "deploy", "operator.toml")
 	config, err := Read(path)
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	if config.Cluster != nil || len(config.Graphite)+len(config.Collectd) > 0 || config.RequestLog != nil || config.Telemetry.SpoolDir != "" {
-		t.Error("something is on")
+		t.Error("a section of the shipped file is on")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -42,10 +42,11 @@
 		config.Telemetry.SpoolBytes != defaults.Telemetry.SpoolBytes || *config.Telemetry.NodeSeries != *defaults.Telemetry.NodeSeries ||
 		config.RequestLog.MaxBytes != DefaultLogBytes || *config.RequestLog.KeepFiles != DefaultLogKeepFiles || config.RequestLog.Path != filepath.Join(dir, "requests.log") ||
 		config.Graphite[0].TimeoutSeconds != DefaultTimeoutSeconds {
-		t.Errorf("%+v is not what holds without a file", config)
+		t.Errorf("%+v: not the defaults that apply without a file", config)
 	}
 }
 
+// Valid files, and for each error its line, key and text. It is long for its table.
 func TestParse(t *testing.T) {
 	dir := t.TempDir()
 	for name, perm := range map[string]os.FileMode{"good.key": 0o600, "open.key": 0o644, "empty.key": 0o600} {
@@ -112,7 +113,7 @@
 		case !strings.Contains(configError.Error(), path+test.line) || test.key != "" && configError.Key != test.key || !strings.Contains(configError.Error(), test.says):
 			t.Errorf("%q: %v, want line %s, key %s and %q", test.text, configError, test.line, test.key, test.says)
 		case strings.Contains(configError.Error(), "geheim"):
-			t.Errorf("the password is told: %v", configError)
+			t.Errorf("the error contains the password: %v", configError)
 		}
 	}
 	if _, err := Read(filepath.Join(dir, "none.toml")); err == nil || !strings.Contains(err.Error(), "none.toml") {
@@ -120,14 +121,16 @@
 	}
 }
 
-// Where a member's ledger stands, how long its lease lasts, and what its mark is drawn from, where the file does not say.
-func TestClusterDefaultsAndCommon(t *testing.T) {
-	const head = "[fleet]\nname = \"f\"\nbind = \"127.0.0.1:7946\"\n"
+// clusterSection is a minimal section [fleet].
+const clusterSection = "[fleet]\nname = \"f\"\nbind = \"127.0.0.1:7946\"\n"
+
+// The defaults of the audit log's path and of the lease.
+func TestClusterDefaults(t *testing.T) {
 	for text, want := range map[string]string{
-		head: "",
-		head + "[request_log]\npath = \"requests\"\n":                          "/etc/requests.ledger",
-		head + "ledger = \"books\"\n":                                          "/etc/books",
-		head + "ledger = \"/var/books\"\n[request_log]\npath = \"requests\"\n": "/var/books",
+		clusterSection: "",
+		clusterSection + "[request_log]\npath = \"requests\"\n":                          "/etc/requests.ledger",
+		clusterSection + "ledger = \"books\"\n":                                          "/etc/books",
+		clusterSection + "ledger = \"/var/books\"\n[request_log]\npath = \"requests\"\n": "/var/books",
 	} {
 		config, err := Parse("/etc/operator.toml", text)
 		if err != nil {
@@ -137,9 +140,13 @@
 			t.Errorf("%q: ledger %q, lease %v", text, config.Cluster.AuditLogPath, config.Cluster.LeaseSeconds)
 		}
 	}
-	x, errX := Parse("/etc/a.toml", head+"[request_log]\npath = \"x\" # here\n")
+}
+
+// Common must ignore comments and the keys that differ between members, and nothing else.
+func TestCommon(t *testing.T) {
+	x, errX := Parse("/etc/a.toml", clusterSection+"[request_log]\npath = \"x\" # here\n")
 	y, errY := Parse("/etc/b.toml", "# another\n[fleet]\nname = \"f\"\nbind = \"127.0.0.1:7947\"\n\n[request_log]\npath = \"y\"\n")
-	z, errZ := Parse("/etc/c.toml", head+"forget_s = 90\n[request_log]\npath = \"x\"\n")
+	z, errZ := Parse("/etc/c.toml", clusterSection+"forget_s = 90\n[request_log]\npath = \"x\"\n")
 	if errX != nil || errY != nil || errZ != nil || x.Common() != y.Common() || x.Common() == z.Common() {
 		t.Errorf("%v %v %v:\n%s\n%s\n%s", errX, errY, errZ, x.Common(), y.Common(), z.Common())
 	}
--- a/internal/dispatcher/operatorconfig/errors.go
+++ b/internal/dispatcher/operatorconfig/errors.go
@@ -10,12 +10,12 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Error is what is wrong with a file.
+// Error is a problem of an operator's file, with its position as far as it is known.
 type Error struct {
 	Path string
-	Line int    // 0 is not known
-	Key  string // as section.key, empty where it is none's
-	Err  error
+	Line int    // from 1; 0 if not known
+	Key  string // as section.key; empty if the problem is not of a key
+	Err  error  // what is wrong, without the position
 }
 
 // Error implements error.
@@ -30,13 +30,13 @@
 	return fmt.Sprintf("operator's file: %s: %v", where, e.Err)
 }
 
-// Unwrap implements errors.
+// Unwrap returns Err.
 func (e *Error) Unwrap() error { return e.Err }
 
-// typeErrorPattern is how the TOML library tells of a value of the wrong kind.
+// typeErrorPattern matches the TOML library's message for a value of the wrong type, which has no error type of its own.
 var typeErrorPattern = regexp.MustCompile(`line (\d+) \(last key "([^"]+)"\): (.*)`)
 
-// newDecodeError makes an error of one of the TOML library, with the line and the key that it tells.
+// newDecodeError converts an error of the TOML library, with the line and key that it reports.
 func newDecodeError(path string, err error) *Error {
 	var syntax toml.ParseError
 	if errors.As(err, &syntax) {
@@ -53,6 +53,7 @@
 	return &Error{Path: path, Err: err}
 }
 
+// unknownKey returns the error for a key that no section has.
 func (c *Config) unknownKey(key toml.Key) error {
 	text := "unknown key"
 	if key[0] == "fleet" {
@@ -61,30 +62,31 @@
 	return c.keyError(key.String(), errors.New(text))
 }
 
-// keyError makes an error of a key. A key of the second receiver of a kind is named with its number, as graphite[1].form.
+// keyError returns the error for a key, with its line. Keys of receivers are numbered from 0: graphite[1].form is of the
+// second.
 func (c *Config) keyError(key string, err error) error {
 	return &Error{Path: c.path, Line: c.lineOf(key), Key: key, Err: err}
 }
 
-// keyErrorFunc makes errors of the keys of one section.
+// keyErrorFunc returns the error for a key of one section.
 type keyErrorFunc func(key string, err error) error
 
-// sectionErrors makes errors of the keys of a section, which is named with its number if there may be several.
+// sectionErrors returns the keyErrorFunc of a section, named with its number if there may be several.
 func (c *Config) sectionErrors(name string) keyErrorFunc {
 	return func(key string, err error) error { return c.keyError(name+"."+key, err) }
 }
 
-// keyPattern is a key with its section and the section's number.
+// keyPattern matches a key with its section and, if there is one, the section's number.
 var keyPattern = regexp.MustCompile(`^(\w+)(?:\[(\d+)\])?\.(.+)$`)
 
-// lineOf finds the line of a key; 0 if it is not there.
+// lineOf returns the line of a key or section header, from 1; 0 if it is not in the file.
 func (c *Config) lineOf(key string) int {
 	section, wantedIndex, name := "", 0, key
 	if match := keyPattern.FindStringSubmatch(key); match != nil {
 		section, name = match[1], match[3]
 		wantedIndex, _ = strconv.Atoi(match[2])
 	}
-	current, index := "", -1 // the section that a line is in, and how many of the wanted name came before it
+	current, index := "", -1 // the section of the line, and the index of the wanted section so far
 	for i, line := range strings.Split(c.text, "\n") {
 		line = strings.TrimSpace(line)
 		if strings.HasPrefix(line, "[") {
--- a/internal/dispatcher/operatorconfig/receivers.go
+++ b/internal/dispatcher/operatorconfig/receivers.go
@@ -9,47 +9,54 @@
 	"strings"
 )
 
-// Graphite is a receiver of Graphite's protocols.
+// Graphite is a section [graphite]: a receiver that speaks one of Graphite's protocols.
 type Graphite struct {
-	Address         string  `toml:"address"`
-	Protocol        string  `toml:"form"`
-	Prefix          string  `toml:"prefix"`
-	Confirm         string  `toml:"confirm"`
+	Address  string `toml:"address"` // IP address and port
+	Protocol string `toml:"form"`    // "plaintext" or "pickle"
+	Prefix   string `toml:"prefix"`  // precedes the dispatcher's name in every path
+	// Confirm says when a batch counts as delivered: "close", once the receiver has closed the connection in answer to
+	// our close; or "none", once its kernel has acknowledged it, for relays that never close.
+	Confirm string `toml:"confirm"`
+	// TimeoutSeconds without progress end an attempt to deliver.
 	TimeoutSeconds  float64 `toml:"patience_s"`
-	IntervalSeconds float64 `toml:"every_s"` // short for telemetry.every_s
+	IntervalSeconds float64 `toml:"every_s"` // another place for Telemetry.IntervalSeconds; 0 if not set here
 
-	ParsedAddress netip.AddrPort `toml:"-"`
+	ParsedAddress netip.AddrPort `toml:"-"` // set from Address when the file is checked
 }
 
-// Collectd is a collectd, by its unix socket or by its network protocol.
+// Collectd is a section [collectd]: a collectd, reached by its unix socket or by its network protocol.
 type Collectd struct {
-	Socket         string  `toml:"socket"`
-	Address        string  `toml:"address"`
-	Security       string  `toml:"security"`
+	Socket         string  `toml:"socket"`   // path; either this or Address is set
+	Address        string  `toml:"address"`  // IP address and UDP port
+	Security       string  `toml:"security"` // of the network protocol: "none", "sign" or "encrypt"
 	Username       string  `toml:"username"`
 	PasswordFile   string  `toml:"password_file"`
-	TimeoutSeconds float64 `toml:"patience_s"`
+	TimeoutSeconds float64 `toml:"patience_s"` // without progress, of the socket
 
+	// Set from Address and PasswordFile when the file is checked. The password must not be logged.
 	ParsedAddress netip.AddrPort `toml:"-"`
 	Password      string         `toml:"-"`
 }
 
-// DefaultTimeoutSeconds is for how many seconds a receiver is waited for, which deploy/operator.toml tells, too.
+// DefaultTimeoutSeconds is the default of patience_s of all receivers, as in deploy/operator.toml.
 const DefaultTimeoutSeconds = 20.0
 
-// Bounds of receivers' keys.
+// Bounds of the receivers' keys.
 const (
-	minTimeoutSeconds     = 1    // seconds
-	maxTimeoutSeconds     = 3600 // seconds
+	minTimeoutSeconds     = 1
+	maxTimeoutSeconds     = 3600
 	maxUsernameBytes      = 256
 	maxPasswordBytes      = 4096
-	otherUsersPermissions = 0o077 // of a password's file
+	otherUsersPermissions = 0o077 // permission bits that a password file must not have
 )
 
+// defaultPrefix is the default of Graphite.Prefix.
 const defaultPrefix = "cinderroad"
 
+// prefixPattern matches the prefixes that are safe in paths of all of Graphite's protocols.
 var prefixPattern = regexp.MustCompile(`^[A-Za-z0-9_-]+(\.[A-Za-z0-9_-]+)*$`)
 
+// validate checks the section and applies defaults.
 func (g *Graphite) validate(errorAt keyErrorFunc) (err error) {
 	if g.ParsedAddress, err = parseAddress(g.Address); err != nil {
 		return errorAt("address", err)
@@ -72,6 +79,7 @@
 	return nil
 }
 
+// validate checks the section, applies defaults and reads the password.
 func (c *Collectd) validate(errorAt keyErrorFunc) (err error) {
 	switch {
 	case (c.Socket == "") == (c.Address == ""):
@@ -90,7 +98,7 @@
 	return c.validateSecurity(errorAt)
 }
 
-// validateSecurity checks what messages are signed or encrypted with, and reads the password.
+// validateSecurity checks the keys for signing or encrypting messages and reads the password.
 func (c *Collectd) validateSecurity(errorAt keyErrorFunc) (err error) {
 	switch {
 	case c.Security == "none" && (c.Username != "" || c.PasswordFile != ""):
@@ -110,7 +118,8 @@
 	return nil
 }
 
-// readPassword reads a key from a file that nobody else may read. No error holds any of it.
+// readPassword reads a password from a file of one line, which must not be accessible to other users. No error contains
+// any of its text.
 func readPassword(path string) (string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/dispatcher/operatorconfig/requestlog.go
+++ b/internal/dispatcher/operatorconfig/requestlog.go
@@ -5,25 +5,26 @@
 	"fmt"
 )
 
-// RequestLog is where a line for each final answer goes.
+// RequestLog is the section [request_log]: the log with a line for each final answer.
 type RequestLog struct {
 	Path      string `toml:"path"`
-	MaxBytes  int64  `toml:"max_bytes"`
-	KeepFiles *int   `toml:"keep"`
+	MaxBytes  int64  `toml:"max_bytes"` // of one file; then it is rotated
+	KeepFiles *int   `toml:"keep"`      // rotated files to retain; never nil in a checked Config
 }
 
-// The defaults of the request log, which deploy/operator.toml tells, too.
+// Defaults of the section [request_log], as in deploy/operator.toml.
 const (
 	DefaultLogBytes     = 64 << 20
-	DefaultLogKeepFiles = 4 // files
+	DefaultLogKeepFiles = 4
 )
 
-// Bounds of the request log's keys.
+// Bounds of the section [request_log].
 const (
 	minLogBytes     = 4096
-	maxLogKeepFiles = 1000 // files
+	maxLogKeepFiles = 1000
 )
 
+// validate checks the section and applies defaults.
 func (l *RequestLog) validate(errorAt keyErrorFunc) error {
 	if l.Path == "" {
 		return errorAt("path", errors.New("must be there"))
--- a/internal/dispatcher/operatorconfig/telemetry.go
+++ b/internal/dispatcher/operatorconfig/telemetry.go
@@ -2,32 +2,34 @@
 
 import "fmt"
 
-// Telemetry is how periods are closed and held.
+// Telemetry is the section [telemetry]: how often metrics are collected, and how much of them is stored until all
+// receivers have them.
 type Telemetry struct {
-	IntervalSeconds float64 `toml:"every_s"`
-	MemoryBytes     int     `toml:"memory_bytes"`
-	SpoolDir        string  `toml:"spool_dir"`
-	SpoolBytes      int64   `toml:"spool_bytes"`
-	NodeSeries      *int    `toml:"node_series"`
+	IntervalSeconds float64 `toml:"every_s"`      // length of a collection interval, the same for all receivers
+	MemoryBytes     int     `toml:"memory_bytes"` // of undelivered intervals in memory; the oldest are dropped first
+	SpoolDir        string  `toml:"spool_dir"`    // folder that outlives the process; empty: counters restart at 0
+	SpoolBytes      int64   `toml:"spool_bytes"`  // of all files in SpoolDir; the oldest are dropped first
+	NodeSeries      *int    `toml:"node_series"`  // nodes that may have series of their own; never nil in a checked Config
 }
 
-// The defaults of telemetry, which deploy/operator.toml tells, too.
+// Defaults of the section [telemetry], as in deploy/operator.toml.
 const (
-	DefaultIntervalSeconds = 10.0 // seconds
+	DefaultIntervalSeconds = 10.0
 	DefaultMemoryBytes     = 1 << 20
 	DefaultSpoolBytes      = 64 << 20
-	DefaultNodeSeries      = 256 // nodes
+	DefaultNodeSeries      = 256
 )
 
-// Bounds of the keys of telemetry.
+// Bounds of the section [telemetry].
 const (
-	minIntervalSeconds = 1    // seconds
-	maxIntervalSeconds = 3600 // seconds
+	minIntervalSeconds = 1
+	maxIntervalSeconds = 3600
 	minMemoryBytes     = 4096
 	minSpoolBytes      = 64 << 10
 	maxNodeSeries      = 20000
 )
 
+// validate checks the section and applies defaults.
 func (t *Telemetry) validate(errorAt keyErrorFunc) error {
 	if err := validateSeconds(&t.IntervalSeconds, DefaultIntervalSeconds, minIntervalSeconds, maxIntervalSeconds); err != nil {
 		return errorAt("every_s", err)
--- a/internal/dispatcher/operatorconfig/validate.go
+++ b/internal/dispatcher/operatorconfig/validate.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// validate sets defaults, makes relative paths the file's own and returns the first error, an *Error.
+// validate checks all sections, applies defaults and resolves relative paths. It returns the first error, an *Error.
 func (c *Config) validate() error {
 	if err := c.validateGraphite(); err != nil {
 		return err
@@ -32,6 +32,7 @@
 	return c.validateDistinctReceivers()
 }
 
+// validateGraphite checks the receivers [graphite] and their shared interval.
 func (c *Config) validateGraphite() error {
 	for i := range c.Graphite {
 		if err := c.adoptInterval(i); err != nil {
@@ -44,7 +45,8 @@
 	return nil
 }
 
-// adoptInterval takes a receiver's period for that of all: each period is closed once.
+// adoptInterval makes a receiver's interval that of all receivers: an interval is closed once, for all of them, so two
+// different ones are an error.
 func (c *Config) adoptInterval(index int) error {
 	interval := c.Graphite[index].IntervalSeconds
 	if interval == 0 {
@@ -58,6 +60,7 @@
 	return nil
 }
 
+// validateCollectd checks the receivers [collectd].
 func (c *Config) validateCollectd() error {
 	for i := range c.Collectd {
 		receiver := &c.Collectd[i]
@@ -69,6 +72,7 @@
 	return nil
 }
 
+// validateCluster checks [fleet] and sets the path of the audit log. The request log must have been checked before.
 func (c *Config) validateCluster() error {
 	if c.Cluster == nil {
 		return nil
@@ -80,13 +84,13 @@
 	case c.Cluster.AuditLogPath != "":
 		c.Cluster.AuditLogPath = c.resolvePath(c.Cluster.AuditLogPath)
 	case c.RequestLog != nil:
-		c.Cluster.AuditLogPath = c.RequestLog.Path + ".ledger"
+		c.Cluster.AuditLogPath = c.RequestLog.Path + auditLogSuffix
 	}
 	return nil
 }
 
-// validateDistinctReceivers says which two receivers are one: each would get every point twice, and what one has got is kept by its
-// name.
+// validateDistinctReceivers rejects a receiver that is listed twice: it would get every point twice, and the delivery
+// progress of a receiver is stored under its address.
 func (c *Config) validateDistinctReceivers() error {
 	seen := map[string]bool{}
 	for i, receiver := range c.Graphite {
@@ -110,7 +114,7 @@
 	return nil
 }
 
-// resolvePath is a path of the file, which counts from the file's folder.
+// resolvePath resolves a relative path against the file's folder; an empty one stays empty.
 func (c *Config) resolvePath(path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
@@ -118,7 +122,7 @@
 	return filepath.Join(filepath.Dir(c.path), path)
 }
 
-// parseAddress reads an IP address with a port.
+// parseAddress parses an IP address with a port other than 0.
 func parseAddress(text string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(text)
 	switch {
@@ -130,7 +134,7 @@
 	return address, nil
 }
 
-// validateChoice checks that a value is one of several, and sets the first one where it is empty.
+// validateChoice checks that *value is one of the choices. An empty one is set to the first.
 func validateChoice(value *string, choices ...string) error {
 	if *value == "" {
 		*value = choices[0]
@@ -141,12 +145,12 @@
 	return fmt.Errorf("%q is none of %s", *value, strings.Join(choices, ", "))
 }
 
-// validateSeconds checks that a value is within bounds, both included, and sets the fallback where it is 0.
+// validateSeconds checks that *value is within the bounds, both included. A value of 0 is set to the fallback.
 func validateSeconds(value *float64, fallback, minimum, maximum float64) error {
 	if *value == 0 {
 		*value = fallback
 	}
-	if !(*value >= minimum && *value <= maximum) { // which no comparison with NaN is
+	if !(*value >= minimum && *value <= maximum) { // negated, so that NaN is rejected too
 		return fmt.Errorf("%v is not within %v and %v seconds", *value, minimum, maximum)
 	}
 	return nil
