--- a/internal/dispatcher/dispatch/dispatcher_test.go
+++ b/internal/dispatcher/dispatch/dispatcher_test.go
@@ -91,6 +91,19 @@
 	b.dispatcher.UpdateMembers(loadbalancer.ListFull, members)
 }
 
+// updateMember lists the member "w".
+func (b *testbed) updateMember(kind loadbalancer.ListKind, id loadbalancer.WorkerID, state loadbalancer.WorkerState, startedAt float64) {
+	b.dispatcher.UpdateMembers(kind, []Member{{Worker: loadbalancer.Worker{ID: id, State: state, StartedAt: startedAt}, Backend: b, Name: "w"}})
+}
+
+// applyExclusion applies a change and checks whether it was of a known member.
+func (b *testbed) applyExclusion(change ExclusionChange, known bool) {
+	b.t.Helper()
+	if b.dispatcher.ApplyExclusions(change.Exclusions); change.Known != known || change.LimitReached {
+		b.t.Errorf("change %+v", change)
+	}
+}
+
 func (b *testbed) submit(class int, wait float64) RequestID {
 	return b.dispatcher.Submit(Job{Class: class, Slots: 1, Deadline: b.now + wait}, b)
 }
@@ -203,7 +216,7 @@
 	b := newTestbed(t)
 	id := b.dispatcher.WorkerID("w")
 	list := func(kind loadbalancer.ListKind, state loadbalancer.WorkerState, since float64) {
-		b.dispatcher.UpdateMembers(kind, []Member{{Worker: loadbalancer.Worker{ID: id, State: state, StartedAt: since}, Backend: b, Name: "w"}})
+		b.updateMember(kind, id, state, since)
 	}
 	wantVisible := func(want loadbalancer.WorkerState, since float64) {
 		t.Helper()
@@ -212,12 +225,7 @@
 			t.Errorf("the balancer sees (-want +got):\n%s", diff)
 		}
 	}
-	apply := func(change ExclusionChange, known bool) {
-		t.Helper()
-		if b.dispatcher.ApplyExclusions(change.Exclusions); change.Known != known || change.LimitReached {
-			t.Errorf("change %+v", change)
-		}
-	}
+	apply := func(change ExclusionChange, known bool) { t.Helper(); b.applyExclusion(change, known) }
 	list(loadbalancer.ListFull, loadbalancer.Ready, 100)
 	apply(b.dispatcher.Exclude("nobody"), false)
 	apply(b.dispatcher.Include("nobody"), false)
@@ -242,7 +250,7 @@
 	other := newTestbed(t) // the next process
 	other.dispatcher.ApplyExclusions(b.dispatcher.Exclusions())
 	other.dispatcher.WorkerID("w")
-	other.dispatcher.UpdateMembers(loadbalancer.ListFull, []Member{{Worker: loadbalancer.Worker{ID: id, State: loadbalancer.Ready, StartedAt: 100}, Backend: other, Name: "w"}})
+	other.updateMember(loadbalancer.ListFull, id, loadbalancer.Ready, 100)
 	if got := other.dispatcher.members[id].State; got != loadbalancer.Draining {
 		t.Errorf("in the next process: %v", got)
 	}
--- a/internal/dispatcher/httpfront/backend.go
+++ b/internal/dispatcher/httpfront/backend.go
@@ -49,13 +49,13 @@
 	if a == nil {
 		return true
 	}
-	link, written := a.connection, a.written()
+	connection, written := a.connection, a.written()
 	b.pool.forget(a)
 	switch {
-	case link == nil:
+	case connection == nil:
 		b.do(&exchange{cancelID: a.call.ID})
 	default:
-		link.close()
+		connection.close()
 		return written
 	}
 	return true
--- a/internal/dispatcher/httpfront/discovery.go
+++ b/internal/dispatcher/httpfront/discovery.go
@@ -146,8 +146,8 @@
 		}
 		worker := loadbalancer.Worker{ID: c.dispatcher.WorkerID(entry.UID), Zone: indexOf(c.zones, entry.Zone), Kind: indexOf(c.kinds, entry.Kind),
 			Cell: entry.Cell, State: workerStates[entry.State], Weight: entry.Weight, StartedAt: entry.StartedAtMs / 1000}
-		address, _ := netip.ParseAddrPort(entry.Endpoint)
-		members = append(members, dispatch.Member{Worker: worker, Backend: c.pool.ensureBackend(worker.ID, entry.UID, address), Name: entry.UID})
+		endpoint, _ := netip.ParseAddrPort(entry.Endpoint)
+		members = append(members, dispatch.Member{Worker: worker, Backend: c.pool.ensureBackend(worker.ID, entry.UID, endpoint), Name: entry.UID})
 		if listed[worker.ID] = worker.State != loadbalancer.Departed; listed[worker.ID] {
 			c.entries[entry.UID] = entry
 		} else {
--- a/internal/dispatcher/httpfront/discovery_watch.go
+++ b/internal/dispatcher/httpfront/discovery_watch.go
@@ -73,7 +73,7 @@
 }
 
 // Opened implements eventloop.Handler.
-func (w *watch) Opened(c *eventloop.Conn) { w.sendRequest() }
+func (w *watch) Opened(*eventloop.Conn) { w.sendRequest() }
 
 // Closed implements eventloop.Handler.
 func (w *watch) Closed(c *eventloop.Conn, err error) {
--- a/internal/dispatcher/httpfront/front.go
+++ b/internal/dispatcher/httpfront/front.go
@@ -93,9 +93,9 @@
 	s.fromBackend = f.pool.hasBackendAt(s.source)
 	s.handle = f.sessions.Insert(s)
 	s.awaitRequest()
-	if !f.limiter.Admit(s.source, func(may func(netip.Addr) bool) bool {
-		return f.evict(func(other *session) bool { return other != s && may(other.source) })
-	}) && !s.fromBackend { // what is out can end by call-backs alone: they are never turned away
+	if !f.limiter.Admit(s.source, func(mayEvict func(netip.Addr) bool) bool {
+		return f.evict(func(other *session) bool { return other != s && mayEvict(other.source) })
+	}) && !s.fromBackend { // callbacks are never turned away: some attempts can end only by them
 		s.turnAway("too many connections")
 	}
 	return s
