--- a/internal/dispatcher/gearman/job.go
+++ b/internal/dispatcher/gearman/job.go
@@ -35,7 +35,7 @@
 	exception              string // of the last attempt that raised one
 	ended                  bool
 	requeued               bool             // the last rejection was not reported to a client: the job is submitted again
-	output                 []outputPacket   // of the attempt that succeeded
+	output                 []outputPacket   // sent to the waiters before the final packet
 	startTimer             *eventloop.Timer // submits a job with a start time, or a requeued one
 	expiresAt              float64          // when the job must have its answer, in the loop's seconds; 0 until first submitted
 }
