--- a/internal/dispatcher/handover/frame.go
+++ b/internal/dispatcher/handover/frame.go
@@ -38,7 +38,7 @@
 
 // Errors of ParseFrame: errIncomplete asks for more bytes, errVersion is final.
 var (
-	errIncomplete = errors.New("handover: frame not whole")
+	errIncomplete = errors.New("handover: incomplete frame")
 	errVersion    = errors.New("handover: another version")
 )
 
--- a/internal/dispatcher/handover/link.go
+++ b/internal/dispatcher/handover/link.go
@@ -71,7 +71,7 @@
 func (l *Link) DecodeDescriptorFrame(body []byte, header any) (payload []byte, fd int, err error) {
 	fd, ok := l.conn.NextDescriptor()
 	if !ok {
-		return nil, -1, errors.New("handover: no descriptor came")
+		return nil, -1, errors.New("handover: frame without its descriptor")
 	}
 	if len(body) < lengthSize || len(body)-lengthSize < int(binary.BigEndian.Uint32(body)) {
 		return nil, fd, errors.New("handover: short frame")
--- a/internal/dispatcher/httpfront/discovery_watch.go
+++ b/internal/dispatcher/httpfront/discovery_watch.go
@@ -47,7 +47,7 @@
 // resetTimeout restarts the timeout after input.
 func (w *watch) resetTimeout() {
 	w.timeout.Stop()
-	w.timeout = w.client.loop.At(w.client.loop.Now()+watchTimeout, func() { w.fail(errors.New("silent")) })
+	w.timeout = w.client.loop.At(w.client.loop.Now()+watchTimeout, func() { w.fail(errors.New("platform: no input from discovery in time")) })
 }
 
 // fail closes the watch and schedules the next one, at the address that is configured then.
@@ -123,7 +123,7 @@
 	}
 	list, bad, err := ParseList(response.Body)
 	if err == nil && !list.Full {
-		err = errors.New("platform: list is not whole")
+		err = errors.New("platform: list is not the full one")
 	}
 	if err != nil {
 		client.BadLines++
--- a/internal/dispatcher/httpfront/list.go
+++ b/internal/dispatcher/httpfront/list.go
@@ -39,7 +39,7 @@
 		}
 	}
 	if bad = append(bad, l.dropInvalid()...); l.Full && len(l.Entries) == 0 && len(bad) > 0 {
-		return List{}, nil, fmt.Errorf("platform: list: no entry of a whole list makes sense: %w", bad[0]) // else all members would depart
+		return List{}, nil, fmt.Errorf("platform: list: full list without a valid entry: %w", bad[0]) // else all members would depart
 	}
 	return l, bad, nil
 }
@@ -82,7 +82,7 @@
 			kept = append(kept, entry)
 			continue
 		}
-		bad = append(bad, fmt.Errorf("platform: list: %s: there twice, as %s and as %s", entry.UID, kept[i].State, entry.State))
+		bad = append(bad, fmt.Errorf("platform: list: %s: duplicate entry, states %s and %s", entry.UID, kept[i].State, entry.State))
 		if statePriority[entry.State] < statePriority[kept[i].State] {
 			kept[i] = entry
 		}
@@ -109,7 +109,7 @@
 		return fmt.Errorf("platform: list: %s: %w", e.UID, err)
 	}
 	if math.IsNaN(e.StartedAtMs) || e.StartedAtMs < 0 {
-		return fmt.Errorf("platform: list: %s: bad boot_ms", e.UID)
+		return fmt.Errorf("platform: list: %s: invalid boot_ms", e.UID)
 	}
 	return nil
 }
