--- a/internal/dispatcher/cluster/jobreplica/compatibility_test.go
+++ b/internal/dispatcher/cluster/jobreplica/compatibility_test.go
@@ -27,26 +27,26 @@
 	}
 }
 
-// TestAsksForPages: what a receiver asks for where a page was lost, and what comes of it.
-func TestAsksForPages(t *testing.T) {
+// TestRequestsMissingFragments: what a receiver asks for where a page was lost, and what comes of it.
+func TestRequestsMissingFragments(t *testing.T) {
 	sender, receiver := NewFragmenter("fleet", 1, 1<<20), NewFragmenter("fleet", 2, 1<<20)
 	message := make([]byte, 2*fragmentBytes)
-	pages := sender.Fragment(Outgoing{To: 2, Data: message})
-	if _, err := receiver.Reassemble(pages[0]); err != nil {
+	datagrams := sender.Fragment(Outgoing{To: 2, Data: message})
+	if _, err := receiver.Reassemble(datagrams[0]); err != nil {
 		t.Fatal(err)
 	}
-	asked := receiver.Tick(1)
-	if len(asked) != 1 {
-		t.Fatalf("%d datagrams", len(asked))
+	requests := receiver.Tick(1)
+	if len(requests) != 1 {
+		t.Fatalf("%d datagrams", len(requests))
 	}
-	if _, err := sender.Reassemble(compatibility.Elsewhere.Check(t, "ask", asked[0].Data)); err != nil {
+	if _, err := sender.Reassemble(compatibility.Elsewhere.Check(t, "ask", requests[0].Data)); err != nil {
 		t.Fatal(err)
 	}
-	again := sender.Tick(1)
-	if len(again) != 1 {
-		t.Fatalf("%d pages again", len(again))
+	resent := sender.Tick(1)
+	if len(resent) != 1 {
+		t.Fatalf("%d pages again", len(resent))
 	}
-	got, err := receiver.Reassemble(again[0].Data)
+	got, err := receiver.Reassemble(resent[0].Data)
 	if err != nil || len(got) != len(message) {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
--- a/internal/dispatcher/cluster/jobreplica/copies.go
+++ b/internal/dispatcher/cluster/jobreplica/copies.go
@@ -13,20 +13,20 @@
 
 // Member is a life of a member that may hold a copy.
 type Member struct {
-	ID      uint64 // of this life alone: who lost its memory comes back as another (P3)
-	Name    string
-	Machine string // what fails together
-	Zone    string
+	ID   uint64 // of this life alone: who lost its memory comes back as another (P3)
+	Name string
+	Host string // what fails together
+	Zone string
 }
 
 // consensusMember is the member as the agreement keeps it: the fleet reaches it by its name, which stands for an address.
 func (m Member) consensusMember(voter bool) consensus.Member {
-	return consensus.Member{ID: consensus.ReplicaID(m.ID), Node: m.Machine, Zone: m.Zone, Address: m.Name, Voter: voter}
+	return consensus.Member{ID: consensus.ReplicaID(m.ID), Node: m.Host, Zone: m.Zone, Address: m.Name, Voter: voter}
 }
 
 // memberFromConsensus is what consensusMember made a member of a group from.
 func memberFromConsensus(m consensus.Member) Member {
-	return Member{ID: uint64(m.ID), Name: m.Address, Machine: m.Node, Zone: m.Zone}
+	return Member{ID: uint64(m.ID), Name: m.Address, Host: m.Node, Zone: m.Zone}
 }
 
 // StateMachine is the state that agreed commands make.
@@ -125,14 +125,14 @@
 
 // Bootstrap begins the state with its first copies, the same list at each of them. It is called once in the life of a fleet's
 // state: by hand, or by who has made sure of that.
-func (c *Replica) Bootstrap(replicas []Member) error {
+func (r *Replica) Bootstrap(replicas []Member) error {
 	var membership consensus.Membership
 	for _, m := range replicas {
 		membership.Members = append(membership.Members, m.consensusMember(true))
-		c.lastContact[m.ID] = c.now
+		r.lastContact[m.ID] = r.now
 	}
 	slices.SortFunc(membership.Members, compareIDs)
-	if !slices.ContainsFunc(replicas, func(m Member) bool { return m.ID == c.options.Self.ID }) {
+	if !slices.ContainsFunc(replicas, func(m Member) bool { return m.ID == r.options.Self.ID }) {
 		return &NotReplicaError{}
 	}
 	snapshot := consensus.Snapshot{Index: bootstrapIndex, Term: bootstrapTerm, Membership: membership}
@@ -140,222 +140,222 @@
 	if err := persistent.Validate(); err != nil {
 		return err
 	}
-	c.startNode(persistent)
+	r.startNode(persistent)
 	return nil
 }
 
 // startNode makes the machine of the agreement.
-func (c *Replica) startNode(persistent consensus.PersistentState) {
-	c.node = consensus.New(secondsToDuration(c.now), c.options.consensusConfig(), persistent)
-	c.hardState, c.appliedIndex = persistent.HardState, persistent.Snapshot.Index
-	c.leaderSeenAt = c.now
+func (r *Replica) startNode(persistent consensus.PersistentState) {
+	r.node = consensus.New(secondsToDuration(r.now), r.options.consensusConfig(), persistent)
+	r.hardState, r.appliedIndex = persistent.HardState, persistent.Snapshot.Index
+	r.leaderSeenAt = r.now
 }
 
-func (c *Replica) stop(reason string, cause error) {
-	c.stopped, c.node, c.outgoing = &StoppedError{reason, cause}, nil, nil
+func (r *Replica) stop(reason string, cause error) {
+	r.stopped, r.node, r.outgoing = &StoppedError{reason, cause}, nil, nil
 }
 
 // Tick moves the time on, seconds.
-func (c *Replica) Tick(now float64) {
-	c.now = max(c.now, now)
-	if c.node == nil {
+func (r *Replica) Tick(now float64) {
+	r.now = max(r.now, now)
+	if r.node == nil {
 		return
 	}
-	c.tickNode()
-	if c.IsLeader() {
-		c.leaderSeenAt = c.now
-		c.maintainMembership()
+	r.tickNode()
+	if r.IsLeader() {
+		r.leaderSeenAt = r.now
+		r.maintainMembership()
 	}
-	c.processReady()
+	r.processReady()
 }
 
 // tickNode does what is due.
-func (c *Replica) tickNode() {
-	if at := secondsToDuration(c.now); c.node.NextTick() <= at {
-		c.node.Tick(at)
+func (r *Replica) tickNode() {
+	if at := secondsToDuration(r.now); r.node.NextTick() <= at {
+		r.node.Tick(at)
 	}
 }
 
 // Step takes a message. One that is not for this life, or from nobody that may send it, is an error and changes nothing.
-func (c *Replica) Step(now float64, data []byte) error {
-	c.now = max(c.now, now)
-	if c.stopped != nil {
-		return c.stopped
+func (r *Replica) Step(now float64, data []byte) error {
+	r.now = max(r.now, now)
+	if r.stopped != nil {
+		return r.stopped
 	}
-	e, err := decodeEnvelope(data)
+	received, err := decodeEnvelope(data)
 	if err != nil {
 		return err
 	}
-	if e.to != c.options.Self.ID {
+	if received.to != r.options.Self.ID {
 		return errors.New("copies: a message for another life")
 	}
-	if e.from == 0 || e.from == c.options.Self.ID {
+	if received.from == 0 || received.from == r.options.Self.ID {
 		return errors.New("copies: a message that nobody else can send")
 	}
-	switch e.kind {
+	switch received.kind {
 	case kindReplaced:
-		return c.handleReplaced(e.from, e.appliedIndex)
+		return r.handleReplaced(received.from, received.appliedIndex)
 	case kindPropose:
-		return c.handleForwardedProposal(e)
+		return r.handleForwardedProposal(received)
 	default:
-		return c.stepNode(&e.message)
+		return r.stepNode(&received.message)
 	}
 }
 
 // stepNode takes a message of the agreement.
-func (c *Replica) stepNode(message *consensus.Message) error {
-	if message.Term > c.hardState.Term+maxTermGap {
+func (r *Replica) stepNode(message *consensus.Message) error {
+	if message.Term > r.hardState.Term+maxTermGap {
 		return errors.New("copies: a term that no election has led to")
 	}
 	fromLeader := message.Kind == consensus.MessageAppend || message.Kind == consensus.MessageInstallSnapshot
-	if c.node == nil {
+	if r.node == nil {
 		if !fromLeader { // only a leader that has this life among its copies speaks first
 			return &NotReplicaError{}
 		}
-		c.startNode(consensus.PersistentState{})
+		r.startNode(consensus.PersistentState{})
 	}
 	from := uint64(message.From)
-	c.lastContact[from] = c.now
-	c.node.Step(secondsToDuration(c.now), *message)
-	if fromLeader && c.Leader() == from {
-		c.leaderSeenAt = c.now
+	r.lastContact[from] = r.now
+	r.node.Step(secondsToDuration(r.now), *message)
+	if fromLeader && r.Leader() == from {
+		r.leaderSeenAt = r.now
 	}
-	if (message.Kind == consensus.MessagePreVote || message.Kind == consensus.MessageVote) && !c.isMember(from) {
-		c.send(&envelope{kind: kindReplaced, to: from, appliedIndex: c.appliedIndex})
+	if (message.Kind == consensus.MessagePreVote || message.Kind == consensus.MessageVote) && !r.isMember(from) {
+		r.send(&envelope{kind: kindReplaced, to: from, appliedIndex: r.appliedIndex})
 	}
-	c.processReady()
+	r.processReady()
 	return nil
 }
 
 // Propose has a command agreed; it is applied at each copy, or lost. Where no leader is known it is refused at once.
-func (c *Replica) Propose(now float64, command []byte) error {
-	c.now = max(c.now, now)
+func (r *Replica) Propose(now float64, command []byte) error {
+	r.now = max(r.now, now)
 	switch {
-	case c.stopped != nil:
-		return c.stopped
-	case c.node == nil:
+	case r.stopped != nil:
+		return r.stopped
+	case r.node == nil:
 		return &NotReplicaError{}
-	case len(command) > c.options.MaxCommandBytes:
-		return &CommandTooLongError{len(command), c.options.MaxCommandBytes}
+	case len(command) > r.options.MaxCommandBytes:
+		return &CommandTooLongError{len(command), r.options.MaxCommandBytes}
 	}
-	c.tickNode() // who slept finds out here that it leads no more
-	defer c.processReady()
-	switch leader := c.Leader(); leader {
+	r.tickNode() // who slept finds out here that it leads no more
+	defer r.processReady()
+	switch leader := r.Leader(); leader {
 	case 0:
-		return c.noMajorityError()
-	case c.options.Self.ID:
-		return c.proposeToNode(command)
+		return r.noMajorityError()
+	case r.options.Self.ID:
+		return r.proposeToNode(command)
 	default:
-		c.send(&envelope{kind: kindPropose, to: leader, command: command})
+		r.send(&envelope{kind: kindPropose, to: leader, command: command})
 		return nil
 	}
 }
 
 // handleForwardedProposal proposes for another copy. Where this one does not lead any more the command is lost.
-func (c *Replica) handleForwardedProposal(e *envelope) error {
+func (r *Replica) handleForwardedProposal(proposal *envelope) error {
 	switch {
-	case c.node == nil || !c.isMember(e.from):
+	case r.node == nil || !r.isMember(proposal.from):
 		return &NotReplicaError{}
-	case len(e.command) > c.options.MaxCommandBytes:
-		return &CommandTooLongError{len(e.command), c.options.MaxCommandBytes}
+	case len(proposal.command) > r.options.MaxCommandBytes:
+		return &CommandTooLongError{len(proposal.command), r.options.MaxCommandBytes}
 	}
-	c.lastContact[e.from] = c.now
-	c.tickNode()
-	defer c.processReady()
-	return c.proposeToNode(e.command)
+	r.lastContact[proposal.from] = r.now
+	r.tickNode()
+	defer r.processReady()
+	return r.proposeToNode(proposal.command)
 }
 
 // proposeToNode is a leader's.
-func (c *Replica) proposeToNode(command []byte) error {
-	if err := c.options.StateMachine.Check(command); err != nil {
+func (r *Replica) proposeToNode(command []byte) error {
+	if err := r.options.StateMachine.Check(command); err != nil {
 		return err
 	}
-	if c.uncommittedTerm != c.hardState.Term {
-		c.uncommittedTerm, c.uncommittedBytes = c.hardState.Term, 0
+	if r.uncommittedTerm != r.hardState.Term {
+		r.uncommittedTerm, r.uncommittedBytes = r.hardState.Term, 0
 	}
-	if c.uncommittedBytes+len(command) > maxUncommittedBytes {
-		return c.noMajorityError()
+	if r.uncommittedBytes+len(command) > maxUncommittedBytes {
+		return r.noMajorityError()
 	}
-	if _, _, err := c.node.Propose(secondsToDuration(c.now), slices.Clone(command)); err != nil {
-		return c.noMajorityError()
+	if _, _, err := r.node.Propose(secondsToDuration(r.now), slices.Clone(command)); err != nil {
+		return r.noMajorityError()
 	}
-	c.uncommittedBytes += len(command)
+	r.uncommittedBytes += len(command)
 	return nil
 }
 
-func (c *Replica) noMajorityError() *NoMajorityError {
+func (r *Replica) noMajorityError() *NoMajorityError {
 	reachable, voters := 0, 0
-	for _, m := range c.node.Membership().Members {
+	for _, m := range r.node.Membership().Members {
 		if !m.Voter {
 			continue
 		}
 		voters++
 		id := uint64(m.ID)
-		if id == c.options.Self.ID || c.now-c.lastContact[id] < c.options.ElectionTimeout {
+		if id == r.options.Self.ID || r.now-r.lastContact[id] < r.options.ElectionTimeout {
 			reachable++
 		}
 	}
-	return &NoMajorityError{reachable, voters, int64(1000 * (c.now - c.leaderSeenAt)), int64(2000 * c.options.ElectionTimeout)}
+	return &NoMajorityError{reachable, voters, int64(1000 * (r.now - r.leaderSeenAt)), int64(2000 * r.options.ElectionTimeout)}
 }
 
 // TransferLeadership gives the lead to another copy, before this process ends.
-func (c *Replica) TransferLeadership() bool {
-	if !c.IsLeader() {
+func (r *Replica) TransferLeadership() bool {
+	if !r.IsLeader() {
 		return false
 	}
-	c.node.TransferLeadership(secondsToDuration(c.now), 0)
-	transferring := c.node.Transferring()
-	c.processReady()
+	r.node.TransferLeadership(secondsToDuration(r.now), 0)
+	transferring := r.node.Transferring()
+	r.processReady()
 	return transferring
 }
 
 // processReady does what the agreement asks for: sends, applies. A copy has no disk: its life ends with its memory, so that what
 // is written counts at once.
-func (c *Replica) processReady() {
-	for c.node != nil {
-		ready := c.node.Ready()
+func (r *Replica) processReady() {
+	for r.node != nil {
+		ready := r.node.Ready()
 		if ready.Empty() {
 			break
 		}
-		c.handleReady(&ready)
+		r.handleReady(&ready)
 	}
-	c.pruneContacts()
+	r.pruneContacts()
 }
 
-func (c *Replica) handleReady(ready *consensus.Ready) {
+func (r *Replica) handleReady(ready *consensus.Ready) {
 	if ready.HardState != nil {
-		c.hardState = *ready.HardState
+		r.hardState = *ready.HardState
 	}
-	c.sendMessages(ready.EarlyMessages)
-	c.node.MarkPersisted(*ready)
-	c.sendMessages(ready.Messages)
-	if ready.Snapshot != nil && !c.restoreSnapshot(ready.Snapshot) {
+	r.sendMessages(ready.EarlyMessages)
+	r.node.MarkPersisted(*ready)
+	r.sendMessages(ready.Messages)
+	if ready.Snapshot != nil && !r.restoreSnapshot(ready.Snapshot) {
 		return
 	}
 	for i := range ready.CommittedEntries {
-		if !c.applyEntry(&ready.CommittedEntries[i]) {
+		if !r.applyEntry(&ready.CommittedEntries[i]) {
 			return
 		}
 	}
 	if ready.CompactIndex > 0 {
-		c.node.Compact(ready.CompactIndex, nil, 0) // whoever needs a snapshot gets the present one
+		r.node.Compact(ready.CompactIndex, nil, 0) // whoever needs a snapshot gets the present one
 	}
 }
 
-func (c *Replica) sendMessages(messages []consensus.Message) {
+func (r *Replica) sendMessages(messages []consensus.Message) {
 	for i := range messages {
 		message := messages[i]
 		if message.Kind == consensus.MessageInstallSnapshot {
-			c.fillSnapshot(&message)
+			r.fillSnapshot(&message)
 		}
-		c.send(&envelope{kind: kindConsensus, to: uint64(message.To), message: message})
+		r.send(&envelope{kind: kindConsensus, to: uint64(message.To), message: message})
 	}
 }
 
 // fillSnapshot puts the state as it is into the message of a snapshot: the machine of the agreement keeps none.
-func (c *Replica) fillSnapshot(message *consensus.Message) {
-	data := c.options.StateMachine.Snapshot()
-	snapshot, newer := c.node.CreateSnapshot(c.appliedIndex, data)
+func (r *Replica) fillSnapshot(message *consensus.Message) {
+	data := r.options.StateMachine.Snapshot()
+	snapshot, newer := r.node.CreateSnapshot(r.appliedIndex, data)
 	if !newer {
 		snapshot = *message.Snapshot // the state has not moved on since
 		snapshot.Data = data
@@ -363,92 +363,92 @@
 	message.Snapshot = &snapshot
 }
 
-func (c *Replica) applyEntry(entry *consensus.Entry) bool {
-	c.appliedIndex = entry.Index
+func (r *Replica) applyEntry(entry *consensus.Entry) bool {
+	r.appliedIndex = entry.Index
 	if entry.Kind != consensus.EntryCommand || len(entry.Data) == 0 { // the latter: a new leader's first
 		return true
 	}
-	if entry.Term == c.uncommittedTerm {
-		c.uncommittedBytes = max(c.uncommittedBytes-len(entry.Data), 0)
+	if entry.Term == r.uncommittedTerm {
+		r.uncommittedBytes = max(r.uncommittedBytes-len(entry.Data), 0)
 	}
-	result, err := c.options.StateMachine.Apply(entry.Index, entry.Data)
+	result, err := r.options.StateMachine.Apply(entry.Index, entry.Data)
 	if err != nil {
-		c.stop("a command that it cannot take", err)
+		r.stop("a command that it cannot take", err)
 		return false
 	}
-	c.appliedCommands = append(c.appliedCommands, Applied{entry.Index, entry.Data, result})
+	r.appliedCommands = append(r.appliedCommands, Applied{entry.Index, entry.Data, result})
 	return true
 }
 
-func (c *Replica) restoreSnapshot(snapshot *consensus.Snapshot) bool {
-	if err := c.options.StateMachine.Restore(snapshot.Data); err != nil {
-		c.stop("a snapshot", err)
+func (r *Replica) restoreSnapshot(snapshot *consensus.Snapshot) bool {
+	if err := r.options.StateMachine.Restore(snapshot.Data); err != nil {
+		r.stop("a snapshot", err)
 		return false
 	}
-	c.appliedIndex = snapshot.Index
+	r.appliedIndex = snapshot.Index
 	return true
 }
 
 // pruneContacts drops what is known of members that are no copies.
-func (c *Replica) pruneContacts() {
-	if c.node == nil || len(c.lastContact) <= len(c.node.Membership().Members) {
+func (r *Replica) pruneContacts() {
+	if r.node == nil || len(r.lastContact) <= len(r.node.Membership().Members) {
 		return
 	}
-	for id := range c.lastContact {
-		if !c.isMember(id) {
-			delete(c.lastContact, id)
+	for id := range r.lastContact {
+		if !r.isMember(id) {
+			delete(r.lastContact, id)
 		}
 	}
 }
 
 // TakeOutput gives the messages to be sent and the commands that were applied since the last call.
-func (c *Replica) TakeOutput() (outgoing []Outgoing, applied []Applied) {
-	outgoing, applied, c.outgoing, c.appliedCommands = c.outgoing, c.appliedCommands, nil, nil
+func (r *Replica) TakeOutput() (outgoing []Outgoing, applied []Applied) {
+	outgoing, applied, r.outgoing, r.appliedCommands = r.outgoing, r.appliedCommands, nil, nil
 	return outgoing, applied
 }
 
 // IsLeader says whether this copy leads, as far as it knows.
-func (c *Replica) IsLeader() bool { return c.node != nil && c.node.Role() == consensus.Leader }
+func (r *Replica) IsLeader() bool { return r.node != nil && r.node.Role() == consensus.Leader }
 
 // Leader is the life that leads, as far as this copy knows; 0: none.
-func (c *Replica) Leader() uint64 {
-	if c.node == nil {
+func (r *Replica) Leader() uint64 {
+	if r.node == nil {
 		return 0
 	}
-	return uint64(c.node.Leader())
+	return uint64(r.node.Leader())
 }
 
 // Term counts the elections.
-func (c *Replica) Term() uint64 {
-	if c.node == nil {
+func (r *Replica) Term() uint64 {
+	if r.node == nil {
 		return 0
 	}
-	return c.hardState.Term
+	return r.hardState.Term
 }
 
 // AppliedIndex is the last place of the log that was applied here.
-func (c *Replica) AppliedIndex() uint64 { return c.appliedIndex }
+func (r *Replica) AppliedIndex() uint64 { return r.appliedIndex }
 
 // IsVoter says whether this member holds a copy that counts.
-func (c *Replica) IsVoter() bool {
-	counted, _ := c.Members()
-	return slices.ContainsFunc(counted, func(m Member) bool { return m.ID == c.options.Self.ID })
+func (r *Replica) IsVoter() bool {
+	voters, _ := r.Members()
+	return slices.ContainsFunc(voters, func(m Member) bool { return m.ID == r.options.Self.ID })
 }
 
 // Err is why this copy has stopped; nil: it has not.
-func (c *Replica) Err() error {
-	if c.stopped == nil {
+func (r *Replica) Err() error {
+	if r.stopped == nil {
 		return nil
 	}
-	return c.stopped
+	return r.stopped
 }
 
 // Members are the lives that hold a copy that counts, and those that are being brought up.
-func (c *Replica) Members() (voters, learners []Member) {
-	if c.node == nil {
+func (r *Replica) Members() (voters, learners []Member) {
+	if r.node == nil {
 		return nil, nil
 	}
-	for _, m := range c.node.Membership().Members {
+	for _, m := range r.node.Membership().Members {
 		if m.Voter {
 			voters = append(voters, memberFromConsensus(m))
 		} else {
@@ -459,6 +459,6 @@
 }
 
 // isMember says whether a life is a copy, or becomes one.
-func (c *Replica) isMember(id uint64) bool {
-	return slices.ContainsFunc(c.node.Membership().Members, func(m consensus.Member) bool { return uint64(m.ID) == id })
+func (r *Replica) isMember(id uint64) bool {
+	return slices.ContainsFunc(r.node.Membership().Members, func(m consensus.Member) bool { return uint64(m.ID) == id })
 }
--- a/internal/dispatcher/cluster/jobreplica/envelope.go
+++ b/internal/dispatcher/cluster/jobreplica/envelope.go
@@ -40,9 +40,9 @@
 	message      consensus.Message // of kindConsensus
 }
 
-func (c *Replica) send(e *envelope) {
-	e.from = c.options.Self.ID
-	c.outgoing = append(c.outgoing, Outgoing{e.to, e.encode()})
+func (r *Replica) send(message *envelope) {
+	message.from = r.options.Self.ID
+	r.outgoing = append(r.outgoing, Outgoing{message.to, message.encode()})
 }
 
 func (e *envelope) encode() []byte {
@@ -65,24 +65,24 @@
 	if len(data) < kindBytes || envelopeKind(data[0]) > kindReplaced {
 		return nil, errMalformedEnvelope
 	}
-	e := &envelope{kind: envelopeKind(data[0])}
-	if e.kind == kindConsensus {
-		return e, e.decodeConsensus(data[kindBytes:])
+	decoded := &envelope{kind: envelopeKind(data[0])}
+	if decoded.kind == kindConsensus {
+		return decoded, decoded.decodeConsensus(data[kindBytes:])
 	}
 	if len(data) < envelopeHeaderBytes {
 		return nil, errMalformedEnvelope
 	}
-	e.from = binary.LittleEndian.Uint64(data[kindBytes:])
-	e.to = binary.LittleEndian.Uint64(data[kindBytes+idBytes:])
+	decoded.from = binary.LittleEndian.Uint64(data[kindBytes:])
+	decoded.to = binary.LittleEndian.Uint64(data[kindBytes+idBytes:])
 	rest := data[envelopeHeaderBytes:]
-	if e.kind == kindPropose {
-		return e, e.decodeCommand(rest)
+	if decoded.kind == kindPropose {
+		return decoded, decoded.decodeCommand(rest)
 	}
 	if len(rest) != idBytes {
 		return nil, errMalformedEnvelope
 	}
-	e.appliedIndex = binary.LittleEndian.Uint64(rest)
-	return e, nil
+	decoded.appliedIndex = binary.LittleEndian.Uint64(rest)
+	return decoded, nil
 }
 
 func (e *envelope) decodeCommand(data []byte) error {
--- a/internal/dispatcher/cluster/jobreplica/envelope_test.go
+++ b/internal/dispatcher/cluster/jobreplica/envelope_test.go
@@ -28,53 +28,53 @@
 // startThree is one of three copies of which the others are played by the test.
 func startThree(t *testing.T) *Replica {
 	t.Helper()
-	members := []Member{{ID: 1, Name: "a", Machine: "a"}, {ID: 2, Name: "b", Machine: "b"}, {ID: 3, Name: "c", Machine: "c"}}
-	c := New(1, Options{Self: members[0], Seed: 1, Replicas: 3, StateMachine: statelessMachine{}, ElectionTimeout: 1, HeartbeatInterval: 0.1, ReplaceAfter: 8, CompactionThreshold: 64,
+	members := []Member{{ID: 1, Name: "a", Host: "a"}, {ID: 2, Name: "b", Host: "b"}, {ID: 3, Name: "c", Host: "c"}}
+	replica := New(1, Options{Self: members[0], Seed: 1, Replicas: 3, StateMachine: statelessMachine{}, ElectionTimeout: 1, HeartbeatInterval: 0.1, ReplaceAfter: 8, CompactionThreshold: 64,
 		MaxCommandBytes: 64 << 10})
-	if err := c.Bootstrap(members); err != nil {
+	if err := replica.Bootstrap(members); err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return replica
 }
 
 // takeSent are the messages of a kind that a copy has sent since the last call.
-func takeSent(t *testing.T, c *Replica, of consensus.MessageKind) (messages []consensus.Message) {
+func takeSent(t *testing.T, replica *Replica, kind consensus.MessageKind) (messages []consensus.Message) {
 	t.Helper()
-	out, _ := c.TakeOutput()
+	out, _ := replica.TakeOutput()
 	for _, o := range out {
-		e, err := decodeEnvelope(o.Data)
-		if err != nil || e.to != o.To || e.from != c.options.Self.ID {
-			t.Fatalf("%+v, %v", e, err)
+		decoded, err := decodeEnvelope(o.Data)
+		if err != nil || decoded.to != o.To || decoded.from != replica.options.Self.ID {
+			t.Fatalf("%+v, %v", decoded, err)
 		}
-		if e.kind == kindConsensus && e.message.Kind == of {
-			messages = append(messages, e.message)
+		if decoded.kind == kindConsensus && decoded.message.Kind == kind {
+			messages = append(messages, decoded.message)
 		}
 	}
 	return messages
 }
 
-func deliver(t *testing.T, c *Replica, now float64, m consensus.Message) {
+func deliver(t *testing.T, replica *Replica, now float64, message consensus.Message) {
 	t.Helper()
-	m.To = 1
-	if err := c.Step(now, (&envelope{kind: kindConsensus, message: m}).encode()); err != nil {
+	message.To = 1
+	if err := replica.Step(now, (&envelope{kind: kindConsensus, message: message}).encode()); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // electFirst has copy 1 win an election at 4 s by the vote of copy 2.
-func electFirst(t *testing.T, c *Replica) {
+func electFirst(t *testing.T, replica *Replica) {
 	t.Helper()
-	c.Tick(4)
-	asked := takeSent(t, c, consensus.MessagePreVote)
-	deliver(t, c, 4, consensus.Message{Kind: consensus.MessagePreVoteReply, From: 2, Term: asked[0].Term})
-	asked = takeSent(t, c, consensus.MessageVote)
-	deliver(t, c, 4, consensus.Message{Kind: consensus.MessageVoteReply, From: 2, Term: asked[0].Term})
-	if !c.IsLeader() {
+	replica.Tick(4)
+	requests := takeSent(t, replica, consensus.MessagePreVote)
+	deliver(t, replica, 4, consensus.Message{Kind: consensus.MessagePreVoteReply, From: 2, Term: requests[0].Term})
+	requests = takeSent(t, replica, consensus.MessageVote)
+	deliver(t, replica, 4, consensus.Message{Kind: consensus.MessageVoteReply, From: 2, Term: requests[0].Term})
+	if !replica.IsLeader() {
 		t.Fatal("it does not lead")
 	}
 }
 
-func TestMessagesComeBack(t *testing.T) {
+func TestEnvelopeRoundTrip(t *testing.T) {
 	for _, e := range []envelope{
 		{kind: kindConsensus, from: 1, to: 2, message: consensus.Message{Kind: consensus.MessageVote, From: 1, To: 2, Term: 3}},
 		{kind: kindPropose, from: 1, to: 2, command: []byte("x")},
@@ -82,10 +82,10 @@
 		{kind: kindReplaced, from: 1, to: 2, appliedIndex: 9},
 	} {
 		data := e.encode()
-		back, err := decodeEnvelope(data)
-		if err != nil || back.kind != e.kind || back.from != 1 || back.to != 2 || back.appliedIndex != e.appliedIndex ||
-			!bytes.Equal(back.command, e.command) || back.message.Term != e.message.Term {
-			t.Errorf("%+v came back as %+v, %v", e, back, err)
+		decoded, err := decodeEnvelope(data)
+		if err != nil || decoded.kind != e.kind || decoded.from != 1 || decoded.to != 2 || decoded.appliedIndex != e.appliedIndex ||
+			!bytes.Equal(decoded.command, e.command) || decoded.message.Term != e.message.Term {
+			t.Errorf("%+v came back as %+v, %v", e, decoded, err)
 		}
 		for n := range data {
 			if short, err := decodeEnvelope(data[:n]); err == nil {
@@ -95,113 +95,113 @@
 	}
 }
 
-func FuzzMessage(f *testing.F) {
+func FuzzEnvelope(f *testing.F) {
 	f.Add((&envelope{kind: kindPropose, from: 1, to: 2, command: []byte("x")}).encode())
 	f.Add((&envelope{kind: kindReplaced, from: 1, to: 2, appliedIndex: 9}).encode())
 	f.Add((&envelope{message: consensus.Message{Kind: consensus.MessageAppend, From: 2, To: 1, Term: 3, Round: 1}}).encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
-		e, err := decodeEnvelope(data)
-		if err == nil && !bytes.Equal(e.encode(), data) {
-			t.Errorf("%x is read as %+v", data, e)
+		decoded, err := decodeEnvelope(data)
+		if err == nil && !bytes.Equal(decoded.encode(), data) {
+			t.Errorf("%x is read as %+v", data, decoded)
 		}
-		c := New(0, Options{Self: Member{ID: 1}, Replicas: 3, StateMachine: statelessMachine{}, ElectionTimeout: 1, HeartbeatInterval: 0.1, ReplaceAfter: 8, CompactionThreshold: 64, MaxCommandBytes: 64})
-		c.Step(1, data)
+		replica := New(0, Options{Self: Member{ID: 1}, Replicas: 3, StateMachine: statelessMachine{}, ElectionTimeout: 1, HeartbeatInterval: 0.1, ReplaceAfter: 8, CompactionThreshold: 64, MaxCommandBytes: 64})
+		replica.Step(1, data)
 	})
 }
 
 // A leader's own proposals and those handed on to it wait for a majority up to a bound; beyond it they are refused at once.
-func TestWhatWaitsForAMajorityIsBounded(t *testing.T) {
-	c := startThree(t)
-	electFirst(t, c)
+func TestUncommittedProposalsAreBounded(t *testing.T) {
+	replica := startThree(t)
+	electFirst(t, replica)
 	command := make([]byte, 64<<10)
-	taken := 0
-	for ; taken <= maxUncommittedBytes; taken += len(command) {
+	uncommitted := 0
+	for ; uncommitted <= maxUncommittedBytes; uncommitted += len(command) {
 		var err error
-		if taken%2 == 0 {
-			err = c.Propose(4, command)
+		if uncommitted%2 == 0 {
+			err = replica.Propose(4, command)
 		} else {
-			err = c.Step(4, (&envelope{kind: kindPropose, from: 2, to: 1, command: command}).encode())
+			err = replica.Step(4, (&envelope{kind: kindPropose, from: 2, to: 1, command: command}).encode())
 		}
-		if none := new(NoMajorityError); errors.As(err, &none) {
+		if noMajority := new(NoMajorityError); errors.As(err, &noMajority) {
 			break
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	if taken != maxUncommittedBytes {
-		t.Errorf("%d bytes wait, %d at most", taken, maxUncommittedBytes)
+	if uncommitted != maxUncommittedBytes {
+		t.Errorf("%d bytes wait, %d at most", uncommitted, maxUncommittedBytes)
 	}
-	deliver(t, c, 4.1, consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: c.Term(), Index: 2 + uint64(taken/len(command)),
+	deliver(t, replica, 4.1, consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: replica.Term(), Index: 2 + uint64(uncommitted/len(command)),
 		Round: 1})
-	if err := c.Propose(4.1, command); err != nil {
+	if err := replica.Propose(4.1, command); err != nil {
 		t.Errorf("after a majority had them: %v", err)
 	}
 }
 
 // Only copies may hand proposals on, to the one that leads, and none longer than the bound.
-func TestProposalsThatAreHandedOn(t *testing.T) {
-	c := startThree(t)
-	hand := func(from uint64, bytes int) error {
-		return c.Step(4, (&envelope{kind: kindPropose, from: from, to: 1, command: make([]byte, bytes)}).encode())
+func TestForwardedProposals(t *testing.T) {
+	replica := startThree(t)
+	forward := func(from uint64, bytes int) error {
+		return replica.Step(4, (&envelope{kind: kindPropose, from: from, to: 1, command: make([]byte, bytes)}).encode())
 	}
-	if err := hand(2, 10); !errors.As(err, new(*NoMajorityError)) {
+	if err := forward(2, 10); !errors.As(err, new(*NoMajorityError)) {
 		t.Errorf("where this copy does not lead: %v", err)
 	}
-	electFirst(t, c)
-	if err := hand(2, 10); err != nil {
+	electFirst(t, replica)
+	if err := forward(2, 10); err != nil {
 		t.Errorf("from a copy: %v", err)
 	}
-	if err := c.Step(4, (&envelope{kind: kindPropose, from: 2, to: 1, command: []byte("unreadable")}).encode()); !errors.Is(err, errUnreadable) {
+	if err := replica.Step(4, (&envelope{kind: kindPropose, from: 2, to: 1, command: []byte("unreadable")}).encode()); !errors.Is(err, errUnreadable) {
 		t.Errorf("what no copy could take: %v", err)
 	}
-	if err := c.Propose(4, []byte("unreadable")); !errors.Is(err, errUnreadable) {
+	if err := replica.Propose(4, []byte("unreadable")); !errors.Is(err, errUnreadable) {
 		t.Errorf("what no copy could take, proposed here: %v", err)
 	}
-	if err := hand(9, 10); !errors.As(err, new(*NotReplicaError)) {
+	if err := forward(9, 10); !errors.As(err, new(*NotReplicaError)) {
 		t.Errorf("from nobody that holds a copy: %v", err)
 	}
-	if err := hand(2, 64<<10+1); !errors.As(err, new(*CommandTooLongError)) {
+	if err := forward(2, 64<<10+1); !errors.As(err, new(*CommandTooLongError)) {
 		t.Errorf("too long: %v", err)
 	}
 }
 
 // A leader that slept finds out as it is asked that it leads no more: nothing is taken that cannot be agreed on.
-func TestALeaderThatSleptTakesNothing(t *testing.T) {
-	c := startThree(t)
-	electFirst(t, c)
-	if err := c.Propose(60, []byte("x")); !errors.As(err, new(*NoMajorityError)) {
+func TestProposeAfterLeaderPause(t *testing.T) {
+	replica := startThree(t)
+	electFirst(t, replica)
+	if err := replica.Propose(60, []byte("x")); !errors.As(err, new(*NoMajorityError)) {
 		t.Errorf("taken after 56 s of sleep: %v", err)
 	}
 }
 
 // A copy is brought up before the lost one ceases to count, and counts after that: the copies are one fewer for one change,
 // and no change asks for more of them to be there than the one before.
-func TestOneCopyIsReplacedInThreeChanges(t *testing.T) {
-	c := startThree(t)
-	electFirst(t, c)
-	c.SetCandidates([]Member{{ID: 4, Name: "d", Machine: "d"}})
+func TestReplaceVoter(t *testing.T) {
+	replica := startThree(t)
+	electFirst(t, replica)
+	replica.SetCandidates([]Member{{ID: 4, Name: "d", Host: "d"}})
 	match, round := uint64(2), uint64(1)
 	var steps [][2]int
 	for now := 4.0; now < 40; now += 0.1 {
-		c.Tick(now)
-		for _, m := range takeSent(t, c, consensus.MessageAppend) { // copies 2 and 4 hold all that they are sent
+		replica.Tick(now)
+		for _, m := range takeSent(t, replica, consensus.MessageAppend) { // copies 2 and 4 hold all that they are sent
 			match = max(match, m.Index+uint64(len(m.Entries)))
 			round = max(round, m.Round)
 		}
 		for _, from := range []consensus.ReplicaID{2, 4} {
-			deliver(t, c, now, consensus.Message{Kind: consensus.MessageAppendReply, From: from, Term: c.Term(), Index: match, Round: round})
+			deliver(t, replica, now, consensus.Message{Kind: consensus.MessageAppendReply, From: from, Term: replica.Term(), Index: match, Round: round})
 		}
-		counted, coming := c.Members()
-		if step := [2]int{len(counted), len(coming)}; len(steps) == 0 || steps[len(steps)-1] != step {
+		voters, learners := replica.Members()
+		if step := [2]int{len(voters), len(learners)}; len(steps) == 0 || steps[len(steps)-1] != step {
 			steps = append(steps, step)
 		}
 	}
 	if want := [][2]int{{3, 0}, {3, 1}, {2, 1}, {3, 0}}; !slices.Equal(steps, want) {
 		t.Errorf("copies that count and that come: %v, want %v", steps, want)
 	}
-	counted, _ := c.Members()
-	if !slices.ContainsFunc(counted, func(m Member) bool { return m == Member{ID: 4, Name: "d", Machine: "d"} }) {
-		t.Errorf("%v", counted)
+	voters, _ := replica.Members()
+	if !slices.ContainsFunc(voters, func(m Member) bool { return m == Member{ID: 4, Name: "d", Host: "d"} }) {
+		t.Errorf("%v", voters)
 	}
 }
--- a/internal/dispatcher/cluster/jobreplica/wire.go
+++ b/internal/dispatcher/cluster/jobreplica/wire.go
@@ -88,19 +88,19 @@
 }
 
 // Fragment cuts a message into datagrams.
-func (p *Fragmenter) Fragment(message Outgoing) (datagrams [][]byte) {
-	p.lastMessageNumber++
+func (f *Fragmenter) Fragment(message Outgoing) (datagrams [][]byte) {
+	f.lastMessageNumber++
 	count := max((len(message.Data)+fragmentBytes-1)/fragmentBytes, 1)
 	for i := range count {
-		datagrams = append(datagrams, encodeFragment(&fragment{Cluster: p.cluster, From: p.self, To: message.To, MessageNumber: p.lastMessageNumber, Index: uint32(i), Count: uint32(count),
+		datagrams = append(datagrams, encodeFragment(&fragment{Cluster: f.cluster, From: f.self, To: message.To, MessageNumber: f.lastMessageNumber, Index: uint32(i), Count: uint32(count),
 			Data: message.Data[i*fragmentBytes : min((i+1)*fragmentBytes, len(message.Data))]}))
 	}
 	if count > 1 {
-		p.sent = append(p.sent, sentMessage{message.To, p.lastMessageNumber, p.now, len(message.Data), datagrams})
-		p.sentBytes += len(message.Data)
-		for len(p.sent) > 1 && (p.sentBytes > p.maxBytes || p.now-p.sent[0].sentAt > retentionSeconds) {
-			p.sentBytes -= p.sent[0].bytes
-			p.sent = p.sent[1:]
+		f.sent = append(f.sent, sentMessage{message.To, f.lastMessageNumber, f.now, len(message.Data), datagrams})
+		f.sentBytes += len(message.Data)
+		for len(f.sent) > 1 && (f.sentBytes > f.maxBytes || f.now-f.sent[0].sentAt > retentionSeconds) {
+			f.sentBytes -= f.sent[0].bytes
+			f.sent = f.sent[1:]
 		}
 	}
 	return datagrams
@@ -116,23 +116,23 @@
 
 // Tick gives the datagrams that are due besides: pages that others have asked for, and what is asked for here. One that nobody
 // completes is forgotten after a while.
-func (p *Fragmenter) Tick(now float64) (outgoing []Outgoing) {
-	p.now = max(p.now, now)
-	outgoing, p.resends = p.resends, nil
-	for _, from := range slices.Sorted(maps.Keys(p.partials)) {
-		for _, partial := range slices.Clone(p.partials[from]) {
+func (f *Fragmenter) Tick(now float64) (outgoing []Outgoing) {
+	f.now = max(f.now, now)
+	outgoing, f.resends = f.resends, nil
+	for _, from := range slices.Sorted(maps.Keys(f.partials)) {
+		for _, partial := range slices.Clone(f.partials[from]) {
 			switch {
-			case p.now-partial.startedAt > retentionSeconds:
-				p.remove(from, partial)
-			case p.now-partial.lastActivityAt >= requestAfterSeconds:
-				partial.lastActivityAt = p.now
+			case f.now-partial.startedAt > retentionSeconds:
+				f.remove(from, partial)
+			case f.now-partial.lastActivityAt >= requestAfterSeconds:
+				partial.lastActivityAt = f.now
 				var requested []uint32
 				for i, data := range partial.fragments {
 					if data == nil && len(requested) < maxRequestedFragments {
 						requested = append(requested, uint32(i))
 					}
 				}
-				outgoing = append(outgoing, Outgoing{from, encodeFragment(&fragment{Cluster: p.cluster, From: p.self, To: from, MessageNumber: partial.number, Requested: requested})})
+				outgoing = append(outgoing, Outgoing{from, encodeFragment(&fragment{Cluster: f.cluster, From: f.self, To: from, MessageNumber: partial.number, Requested: requested})})
 			}
 		}
 	}
@@ -140,21 +140,21 @@
 }
 
 // resend sends pages again, to whom the message was meant for.
-func (p *Fragmenter) resend(request *fragment) {
-	for _, sent := range p.sent {
+func (f *Fragmenter) resend(request *fragment) {
+	for _, sent := range f.sent {
 		if sent.number != request.MessageNumber || sent.to != request.From {
 			continue
 		}
 		for _, i := range request.Requested {
-			if int(i) < len(sent.datagrams) && len(p.resends) < maxPendingResends {
-				p.resends = append(p.resends, Outgoing{sent.to, sent.datagrams[i]})
+			if int(i) < len(sent.datagrams) && len(f.resends) < maxPendingResends {
+				f.resends = append(f.resends, Outgoing{sent.to, sent.datagrams[i]})
 			}
 		}
 	}
 }
 
 // Reassemble takes a datagram; message is nil until its last page is there.
-func (p *Fragmenter) Reassemble(datagram []byte) (message []byte, err error) {
+func (f *Fragmenter) Reassemble(datagram []byte) (message []byte, err error) {
 	switch {
 	case len(datagram) > MaxDatagramBytes:
 		return nil, ErrOversized
@@ -170,43 +170,43 @@
 		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	switch {
-	case received.Cluster != p.cluster || received.To != p.self || received.From == p.self:
+	case received.Cluster != f.cluster || received.To != f.self || received.From == f.self:
 		return nil, ErrOtherCluster
 	case len(received.Requested) > 0:
-		p.resend(&received)
+		f.resend(&received)
 		return nil, nil
 	case received.Count == 0 || received.Count > maxFragments || received.Index >= received.Count || received.Index+1 < received.Count && len(received.Data) != fragmentBytes:
 		return nil, ErrMalformed
 	case received.Count == 1:
 		return received.Data, nil
 	}
-	return p.addFragment(&received), nil
+	return f.addFragment(&received), nil
 }
 
 // addFragment puts a page where it belongs. The oldest half message goes where there are too many, or too much.
-func (p *Fragmenter) addFragment(received *fragment) []byte {
+func (f *Fragmenter) addFragment(received *fragment) []byte {
 	var partial *partialMessage
-	for _, candidate := range p.partials[received.From] {
+	for _, candidate := range f.partials[received.From] {
 		if candidate.number == received.MessageNumber {
 			partial = candidate
 		}
 	}
 	if partial == nil {
-		partial = &partialMessage{number: received.MessageNumber, startedAt: p.now, fragments: make([][]byte, received.Count), missing: int(received.Count)}
-		p.partials[received.From] = append(p.partials[received.From], partial)
+		partial = &partialMessage{number: received.MessageNumber, startedAt: f.now, fragments: make([][]byte, received.Count), missing: int(received.Count)}
+		f.partials[received.From] = append(f.partials[received.From], partial)
 	}
 	if len(partial.fragments) != int(received.Count) || partial.fragments[received.Index] != nil {
 		return nil // repeated, or not of this message
 	}
 	partial.fragments[received.Index] = received.Data
 	partial.missing--
-	partial.lastActivityAt = p.now
+	partial.lastActivityAt = f.now
 	partial.bytes += len(received.Data)
-	p.partialBytes += len(received.Data)
+	f.partialBytes += len(received.Data)
 	if partial.missing > 0 {
-		for len(p.partials[received.From]) > maxPartialsPerSender || p.partialBytes > p.maxBytes && p.dropOldest(received.From) {
-			if len(p.partials[received.From]) > maxPartialsPerSender {
-				p.dropOldest(received.From)
+		for len(f.partials[received.From]) > maxPartialsPerSender || f.partialBytes > f.maxBytes && f.dropOldest(received.From) {
+			if len(f.partials[received.From]) > maxPartialsPerSender {
+				f.dropOldest(received.From)
 			}
 		}
 		return nil
@@ -215,31 +215,31 @@
 	for _, data := range partial.fragments {
 		message = append(message, data...)
 	}
-	p.remove(received.From, partial)
+	f.remove(received.From, partial)
 	return message
 }
 
 // PartialBytes are the bytes of half messages.
-func (p *Fragmenter) PartialBytes() int { return p.partialBytes }
+func (f *Fragmenter) PartialBytes() int { return f.partialBytes }
 
 // dropOldest forgets the oldest half message of a sender, or of any.
-func (p *Fragmenter) dropOldest(from uint64) bool {
-	if len(p.partials[from]) == 0 {
+func (f *Fragmenter) dropOldest(from uint64) bool {
+	if len(f.partials[from]) == 0 {
 		return false
 	}
-	p.remove(from, p.partials[from][0])
+	f.remove(from, f.partials[from][0])
 	return true
 }
 
-func (p *Fragmenter) remove(from uint64, partial *partialMessage) {
-	p.partialBytes -= partial.bytes
-	remaining := p.partials[from][:0]
-	for _, other := range p.partials[from] {
+func (f *Fragmenter) remove(from uint64, partial *partialMessage) {
+	f.partialBytes -= partial.bytes
+	remaining := f.partials[from][:0]
+	for _, other := range f.partials[from] {
 		if other != partial {
 			remaining = append(remaining, other)
 		}
 	}
-	if p.partials[from] = remaining; len(remaining) == 0 {
-		delete(p.partials, from)
+	if f.partials[from] = remaining; len(remaining) == 0 {
+		delete(f.partials, from)
 	}
 }
