--- a/internal/dispatcher/cluster/jobreplica/envelope.go
+++ b/internal/dispatcher/cluster/jobreplica/envelope.go
@@ -8,17 +8,17 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// envelopeKind says what a message between copies is, in its first byte.
+// envelopeKind is what a message between replicas carries; its first byte on the wire.
 type envelopeKind uint8
 
 const (
-	// kindConsensus is followed by a message of the agreement.
+	// kindConsensus is followed by a message of the consensus.
 	kindConsensus envelopeKind = iota
-	// kindPropose is followed by who sends it, to whom, and a command with its length, which the receiver proposes if it
-	// leads.
+	// kindPropose is followed by the sender, the receiver, and the length of a command and the command, which the receiver
+	// proposes if it leads.
 	kindPropose
-	// kindReplaced is followed by who sends it, to whom, and how far the sender has applied the log. It tells a life that
-	// stands for election that it is no copy any more: it was replaced while it could not hear.
+	// kindReplaced is followed by the sender, the receiver and the sender's applied index. It tells an incarnation that stands
+	// for election that it is no longer a member: it was replaced while it was partitioned.
 	kindReplaced
 )
 
@@ -26,12 +26,12 @@
 	kindBytes           = 1
 	idBytes             = 8
 	lengthBytes         = 4
-	envelopeHeaderBytes = kindBytes + 2*idBytes // of what is not the agreement's
+	envelopeHeaderBytes = kindBytes + 2*idBytes // of all kinds but kindConsensus
 )
 
-var errMalformedEnvelope = errors.New("copies: a broken message")
+var errMalformedEnvelope = errors.New("job replica: malformed message")
 
-// envelope is a message between copies.
+// envelope is a message between replicas.
 type envelope struct {
 	kind         envelopeKind
 	from, to     uint64
@@ -40,11 +40,13 @@
 	message      consensus.Message // of kindConsensus
 }
 
+// send queues a message from this member.
 func (r *Replica) send(message *envelope) {
 	message.from = r.options.Self.ID
 	r.outgoing = append(r.outgoing, Outgoing{message.to, message.encode()})
 }
 
+// encode returns the message as it is sent.
 func (e *envelope) encode() []byte {
 	if e.kind == kindConsensus {
 		return consensus.AppendMessage([]byte{byte(kindConsensus)}, e.message)
@@ -60,7 +62,7 @@
 	return append(b, e.command...)
 }
 
-// decodeEnvelope reads what encode wrote; a command shares the memory of data.
+// decodeEnvelope is the inverse of encode. A command shares the memory of data.
 func decodeEnvelope(data []byte) (*envelope, error) {
 	if len(data) < kindBytes || envelopeKind(data[0]) > kindReplaced {
 		return nil, errMalformedEnvelope
--- a/internal/dispatcher/cluster/jobreplica/care.go
+++ b/internal/dispatcher/cluster/jobreplica/replacement.go
@@ -1,54 +1,19 @@
 package jobreplica
 
 import (
-	"cmp"
-	"errors"
 	"slices"
 
 	"cinderroad/internal/system/consensus"
 )
 
-// maxLearnerLag is by how many entries a new copy may be behind as it begins to count.
+// maxLearnerLag is by how many entries a learner may be behind when it becomes a voter.
 const maxLearnerLag = 8
 
-// SetCandidates tells which lives are there to become copies, as the fleet's view has them.
+// SetCandidates sets the members that may become replicas. It retains candidates.
 func (r *Replica) SetCandidates(candidates []Member) { r.candidates = candidates }
 
-func compareIDs(a, b consensus.Member) int { return cmp.Compare(a.ID, b.ID) }
-
-// ChooseMembers picks who should hold copies: one for each machine, zones spread as evenly as they go, the same choice from the
-// same members in whatever order. Those in held count as taken already.
-func ChooseMembers(members, existing []Member, count int) (chosen []Member) {
-	usedHosts, zoneCounts := map[string]bool{}, map[string]int{}
-	for _, m := range existing {
-		usedHosts[m.Host] = true
-		zoneCounts[m.Zone]++
-	}
-	remaining := slices.Clone(members)
-	for len(chosen) < count {
-		best := -1
-		for i, m := range remaining {
-			if usedHosts[m.Host] {
-				continue
-			}
-			if best < 0 || cmp.Or(cmp.Compare(zoneCounts[m.Zone], zoneCounts[remaining[best].Zone]), cmp.Compare(m.Name, remaining[best].Name),
-				cmp.Compare(m.ID, remaining[best].ID)) < 0 {
-				best = i
-			}
-		}
-		if best < 0 {
-			return chosen // fewer machines than copies
-		}
-		m := remaining[best]
-		chosen = append(chosen, m)
-		usedHosts[m.Host] = true
-		zoneCounts[m.Zone]++
-	}
-	return chosen
-}
-
-// maintainMembership is the leader's: it replaces a copy that has not been heard for long, one change at a time, the new one caught up
-// first.
+// maintainMembership is run by the leader: it replaces a voter that has been silent for too long, one membership change at a
+// time.
 func (r *Replica) maintainMembership() {
 	if r.now-r.maintainedAt < r.options.HeartbeatInterval {
 		return
@@ -56,7 +21,7 @@
 	r.maintainedAt = r.now
 	status := r.node.Status()
 	if status.MembershipIndex > status.Commit || status.Transferring {
-		return // a change is under way
+		return // a change is in progress
 	}
 	voters, learners := r.Members()
 	lost := r.lostVoter(&status, voters)
@@ -65,7 +30,7 @@
 		return
 	}
 	if r.now-r.membershipChangedAt < r.options.ReplaceAfter {
-		return // members that flap do not set off one replacement after the other
+		return // unstable members must not cause one replacement after the other
 	}
 	if lost == 0 && len(voters) >= r.options.Replicas {
 		return
@@ -73,7 +38,7 @@
 	r.addLearner(voters, lost)
 }
 
-// addLearner has the best free member be brought up, where there is one.
+// addLearner proposes the best candidate as a learner, if there is one.
 func (r *Replica) addLearner(voters []Member, lost uint64) {
 	remaining := slices.DeleteFunc(slices.Clone(voters), func(m Member) bool { return m.ID == lost })
 	free := slices.DeleteFunc(slices.Clone(r.candidates), func(m Member) bool { return r.isMember(m.ID) })
@@ -82,16 +47,16 @@
 	}
 }
 
-// secondsSinceContact is for how long a copy has not answered this leader, seconds.
+// secondsSinceContact is the time since a replica last responded to this leader.
 func (r *Replica) secondsSinceContact(status *consensus.Status, id uint64) float64 {
 	lastContact, known := status.LastContact[consensus.ReplicaID(id)]
 	if !known {
-		return 0 // this one itself
+		return 0 // this replica itself
 	}
 	return r.now - lastContact.Seconds()
 }
 
-// lostVoter is the copy that has been silent for longest, where that is too long; 0: none.
+// lostVoter returns the voter that has been silent for the longest time of at least ReplaceAfter; 0: none.
 func (r *Replica) lostVoter(status *consensus.Status, voters []Member) (lost uint64) {
 	longest := r.options.ReplaceAfter
 	for _, m := range voters {
@@ -102,9 +67,9 @@
 	return lost
 }
 
-// advanceLearner brings a new copy on. Once it has caught up the lost one ceases to count, and then it counts: in this order no
-// step asks more copies to be there than the one before it did. It goes where it has fallen silent itself, or the lost one
-// is back and nobody is missing.
+// advanceLearner takes the next step with a learner. Once it has caught up the lost voter is removed, and then the learner
+// becomes a voter: in this order no step needs more replicas for a majority than the one before. The learner is removed if
+// it has fallen silent itself, or if the lost voter has returned and no voter is missing.
 func (r *Replica) advanceLearner(status *consensus.Status, learner, lost uint64) {
 	voters, _ := r.Members()
 	missing := len(voters) < r.options.Replicas
@@ -119,18 +84,20 @@
 	}
 }
 
+// caughtUp reports whether the learner knows the membership, is close to the commit index and responds.
 func (r *Replica) caughtUp(status *consensus.Status, id uint64) bool {
 	match := status.Match[consensus.ReplicaID(id)]
-	return match >= status.MembershipIndex && match+maxLearnerLag >= status.Commit && r.secondsSinceContact(status, id) < r.options.ElectionTimeout
+	return match >= status.MembershipIndex && match+maxLearnerLag >= status.Commit &&
+		r.secondsSinceContact(status, id) < r.options.ElectionTimeout
 }
 
-// membersWithout are the members but for one.
+// membersWithout returns the membership without one member.
 func (r *Replica) membersWithout(id uint64) []consensus.Member {
 	members := slices.Clone(r.node.Membership().Members)
 	return slices.DeleteFunc(members, func(m consensus.Member) bool { return uint64(m.ID) == id })
 }
 
-// membersWithVoter are the members, one of them made to count.
+// membersWithVoter returns the membership with one member made a voter.
 func (r *Replica) membersWithVoter(id uint64) []consensus.Member {
 	members := slices.Clone(r.node.Membership().Members)
 	for i := range members {
@@ -139,19 +106,9 @@
 	return members
 }
 
-// proposeMembership proposes another set of copies; the agreement takes one at a time.
+// proposeMembership proposes a membership; the consensus accepts one change at a time.
 func (r *Replica) proposeMembership(members []consensus.Member) {
 	if r.node.ChangeMembership(secondsToDuration(r.now), consensus.Membership{Members: members}) == nil {
 		r.membershipChangedAt = r.now
 	}
 }
-
-// handleReplaced takes the word of one that is a copy, as far as this one knows, and has applied more than it: who has applied less
-// may not know yet that this one became a copy. While somebody leads this one, it is none of the replaced.
-func (r *Replica) handleReplaced(from, index uint64) error {
-	if r.node == nil || !r.isMember(from) || index <= r.appliedIndex || r.now-r.leaderSeenAt < r.options.ElectionTimeout {
-		return errors.New("copies: told to be gone by one that cannot know")
-	}
-	r.stop("it was replaced", &ReplacedError{r.options.Self.ID, index})
-	return r.stopped
-}
