--- a/cmd/cinderroad-dispatcher/cluster_test.go
+++ b/cmd/cinderroad-dispatcher/cluster_test.go
@@ -14,6 +14,7 @@
 
 // fakeDispatcher stands in for the second address of a dispatcher.
 func fakeDispatcher(t *testing.T, name, digest string, settled bool, members *[]cluster.Member) string {
+	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		switch r.Method + " " + r.URL.Path {
 		case "GET /api/fleet":
--- a/internal/dispatcher/server/cluster_audit_test.go
+++ b/internal/dispatcher/server/cluster_audit_test.go
@@ -33,7 +33,7 @@
 	return report, cmd.ProcessState.ExitCode()
 }
 
-// rewrite copies files, with each line changed.
+// rewrite copies files line by line; change returns false to drop a line.
 func rewrite(t *testing.T, files []string, change func(name string, line map[string]any) bool) (copies []string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -61,14 +61,15 @@
 	return copies
 }
 
-// The files of a run: nothing is wrong with them, also where one member's clock was two seconds behind and another's two ahead; a send
-// against what its sender knew, and entries that are taken out, are named, and nothing else.
+// TestFleetAudit audits the files of a cluster run. The audit finds no violation in them, also when one member's clock
+// was two seconds behind and another's two seconds ahead. It finds exactly the faults that are planted: an attempt
+// against what its sender knew, and entries that are removed.
 func TestFleetAudit(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{JobsPerSecond: 40})
 	n := len(r.Members)
 	r.WaitConverged(n)
 	slow, drains := r.Members[1], r.Runners[2]
-	slow.DiscoveryLink().SetLink(receivers.Link{Blackhole: true}) // its peers tell it
+	slow.DiscoveryLink().SetLink(receivers.Link{Blackhole: true}) // its peers inform it
 	for _, state := range []string{"draining", "ready", "draining"} {
 		drains.SetState(state)
 		r.Discovery.Publish()
--- a/internal/dispatcher/server/cluster_cost_test.go
+++ b/internal/dispatcher/server/cluster_cost_test.go
@@ -25,7 +25,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := processcluster.Start(t, processcluster.Options{Program: path, Members: members, Runners: 4, JobsPerSecond: 400, JobSeconds: 0.002, RunnerSlots: 16, Standalone: off, ProbeIntervalSeconds: 1})
 			m := r.Members[0]
-			for _, o := range r.Members[1:] { // they are there, and idle
+			for _, o := range r.Members[1:] { // running, and idle
 				o.StopClients()
 			}
 			time.Sleep(time.Second)
--- a/internal/dispatcher/server/cluster_lease_test.go
+++ b/internal/dispatcher/server/cluster_lease_test.go
@@ -16,7 +16,7 @@
 	return string(out), err
 }
 
-// rejectingCount counts the members that take no new work.
+// rejectingCount counts the members that accept no new work.
 func rejectingCount(r *processcluster.Cluster) (n int) {
 	for _, m := range r.RunningMembers() {
 		if health(m) == 503 {
@@ -26,8 +26,9 @@
 	return n
 }
 
-// A member is shut out by hand through one that has no way to it, ends with every answer given, refuses with a wait, is seen so by
-// all, and is brought back; no more than a third can be; one that starts anew is still out.
+// TestFleetShutOutByHand: a member is shut out by way of one that cannot reach it, ends with every job answered, rejects
+// with Retry-After, is seen so by all, and is brought back. No more than a third can be shut out; one that restarts is
+// still out.
 func TestFleetShutOutByHand(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{JobsPerSecond: 40})
 	n := len(r.Members)
@@ -40,7 +41,7 @@
 	}
 	r.Eventually("its health fails", func() bool { return health(one) == 503 })
 	r.Eventually("all see it", allReport(r, one.Name, "shut-out"))
-	time.Sleep(500 * time.Millisecond) // what was on its way has come
+	time.Sleep(500 * time.Millisecond) // what was in flight has arrived
 	before := acceptedCount(r, one)
 	time.Sleep(2 * time.Second)
 	if sent := acceptedCount(r, one) - before; sent > 0 {
@@ -59,7 +60,7 @@
 	}
 	one.StopClients()
 	one.Kill()
-	one.Start() // what it was told is the fleet's to remember
+	one.Start() // the cluster retains the order
 	r.Eventually("it is out again", func() bool { return health(one) == 503 })
 	if out, err := fleetCommand(caller, "bring-back", one.Name); err != nil {
 		t.Errorf("%v: %s", err, out)
@@ -77,7 +78,7 @@
 	r.Check()
 }
 
-// acceptedCount is how many jobs a member has sent to any runner.
+// acceptedCount returns how many jobs a member has sent to any runner.
 func acceptedCount(r *processcluster.Cluster, m *processcluster.Member) (n int) {
 	for _, u := range r.Runners {
 		n += u.JobsFrom(m)
@@ -85,8 +86,8 @@
 	return n
 }
 
-// One loses discovery, as its peers see, and then its peers, while a worker drains: its lease ends, it takes no new work, and every
-// job there has its answer. Back in contact it is in again.
+// checkPartitionedMemberRejects: one member loses discovery, as its peers see, and then its peers, while a worker drains.
+// Its lease ends, it accepts no new work, and every job there is answered. Back in contact it serves again.
 func TestFleetCutOffIsShutOut(t *testing.T) {
 	t.Parallel()
 	for name, which := range map[string][2]int{"one of many": {*fleetN, *fleetN - 1}, "its zone's only one": {3, 1}} {
@@ -95,11 +96,12 @@
 }
 
 func checkPartitionedMemberRejects(t *testing.T, n, which int) {
+	t.Helper()
 	r := fleetOf(t, processcluster.Options{Members: n, JobsPerSecond: 40})
 	r.WaitConverged(n)
 	cut, drains := r.Members[which], r.Runners[2]
 	cut.DiscoveryLink().SetLink(receivers.Link{Blackhole: true})
-	time.Sleep(processcluster.LeaseSeconds*time.Second + 4*time.Second) // longer than a lease: the peers' words renew it
+	time.Sleep(processcluster.LeaseSeconds*time.Second + 4*time.Second) // longer than a lease: contact with peers renews it
 	if out := rejectingCount(r); out > 0 {
 		t.Errorf("%d are out while their peers have discovery's word", out)
 	}
@@ -107,7 +109,7 @@
 	drains.SetState("draining")
 	r.Discovery.Publish()
 	took := r.Eventually("its health fails", func() bool { return health(cut) == 503 })
-	time.Sleep(500 * time.Millisecond) // what was on its way has come; the audit at the end judges by what was known
+	time.Sleep(500 * time.Millisecond) // what was in flight has arrived; the audit at the end judges by what was known
 	before := drains.JobsFrom(cut)
 	time.Sleep(2 * time.Second)
 	if sent := drains.JobsFrom(cut) - before; sent > 0 {
@@ -130,7 +132,8 @@
 	r.Check()
 }
 
-// Discovery is lost by four of five, then by all: nobody is shut out, and each serves on by the last list.
+// TestFleetDiscoveryLostByMost: four of five members lose discovery, then all. Nobody is shut out, and each serves by its
+// last list.
 func TestFleetDiscoveryLostByMost(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{JobsPerSecond: 20})
 	n := len(r.Members)
@@ -167,8 +170,8 @@
 	r.Check()
 }
 
-// A straggler that nobody but one peer reaches, and whose discovery is silent, is brought up through that one. So is one whose
-// discovery goes on telling an old list, for as long as it does.
+// TestFleetBroughtUpByOne: a straggler that only one peer reaches, and whose discovery is silent, is brought up to date
+// by that one. So is one whose discovery keeps sending an old list, for as long as it does.
 func TestFleetBroughtUpByOne(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]func(r *processcluster.Cluster, m *processcluster.Member){
@@ -196,7 +199,7 @@
 			r.Eventually("it is withheld", func() bool { return withholds(m, drains.Name) || name == "slow" && drains.Idle() })
 			within := drains.JobsFrom(m)
 			if name != "slow" {
-				time.Sleep(34 * time.Second) // longer than one alone is believed against the own discovery, and than a lease
+				time.Sleep(34 * time.Second) // longer than one peer alone is trusted against the own discovery, and than a lease
 				if !withholds(m, drains.Name) {
 					t.Error("it is not withheld any more")
 				}
@@ -215,8 +218,8 @@
 	}
 }
 
-// The next process of an upgrade is stopped in the midst of it, while a worker drains: awake, it sends nothing there, and the upgrade
-// comes to its end.
+// TestFleetStoppedDuringAnUpgrade: the successor is paused in the middle of an upgrade while a worker drains. Resumed, it
+// sends nothing there, and the upgrade completes.
 func TestFleetStoppedDuringAnUpgrade(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{Members: 3, InheritSocket: true, JobsPerSecond: 40})
 	n := len(r.Members)
@@ -246,7 +249,8 @@
 	r.Check()
 }
 
-// Files that differ on purpose while a change rolls through the fleet: each member tells its own, all agree, nobody is out.
+// TestFleetFilesThatDiffer: files differ on purpose while a change rolls through the cluster. Each member reports its
+// own, all agree, nobody is out.
 func TestFleetFilesThatDiffer(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{Members: 3})
 	n := len(r.Members)
@@ -268,7 +272,7 @@
 			t.Errorf("%s sees %d kinds of the same settings", m.Name, len(kinds))
 		}
 	}
-	r.InstanceCount++ // of the settings, for whoever starts from now on
+	r.InstanceCount++ // of the settings, for members that start from now on
 	first := r.Members[0]
 	first.Terminate()
 	first.Start()
--- a/internal/dispatcher/server/cluster_test.go
+++ b/internal/dispatcher/server/cluster_test.go
@@ -23,6 +23,7 @@
 var fleetN = flag.Int("fleet.n", 5, "processes of a fleet test")
 
 func fleetOf(t *testing.T, o processcluster.Options) *processcluster.Cluster {
+	t.Helper()
 	t.Parallel()
 	o.Program = program
 	if o.Members == 0 {
@@ -36,8 +37,8 @@
 
 var foundDead = regexp.MustCompile(`"member": "([^"]+)", "is": "dead"`)
 
-// falselyDead names who held whom for dead though its process ran. One that got no processor for so long that it says so itself
-// was rightly found.
+// falselyDead lists who held whom for dead while its process ran. One that was starved of the processor for so long that
+// it reports the pause itself was rightly found.
 func falselyDead(r *processcluster.Cluster) (all []string) {
 	stalled := map[string]bool{}
 	for _, m := range r.Members {
@@ -53,7 +54,7 @@
 	return all
 }
 
-// allReport says whether all members that run hold one in a state.
+// allReport returns a condition: all running members hold one of them in a state.
 func allReport(r *processcluster.Cluster, name, state string) func() bool {
 	return func() bool {
 		for _, m := range r.RunningMembers() {
@@ -65,7 +66,8 @@
 	}
 }
 
-// A fleet that starts together, loses one that is killed, takes it back, and is told by one that ends.
+// TestFleetJoinKillLeave: a cluster that starts together, loses a member that is killed, readmits it, and is informed by
+// one that leaves.
 func TestFleetJoinKillLeave(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
@@ -80,7 +82,7 @@
 	killed.Start()
 	killed.WaitServing()
 	r.WaitConverged(n)
-	killed.Kill() // and again within a period
+	killed.Kill() // again within a probe interval
 	killed.Start()
 	killed.WaitServing()
 	r.WaitConverged(n)
@@ -102,7 +104,7 @@
 	return string(out), err
 }
 
-// A process that is stopped is found; continued, it comes back as itself, and has given nobody up.
+// TestFleetStopAndContinue: a paused process is detected; resumed, it returns as itself, and has declared nobody dead.
 func TestFleetStopAndContinue(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
@@ -119,7 +121,7 @@
 		}
 		return true
 	})
-	// its socket's buffer is full when it wakes, of what is no word for it
+	// its socket's buffer is full of irrelevant datagrams when it resumes
 	flood, err := net.Dial("udp", m.BindAddress)
 	if err != nil {
 		t.Fatal(err)
@@ -136,7 +138,7 @@
 	if !strings.Contains(m.LogText(), "this process has stood still") {
 		t.Error("the sleeper did not know that it slept")
 	}
-	for _, wrong := range falselyDead(r) { // the sleeper itself was rightly found
+	for _, wrong := range falselyDead(r) { // the paused member itself was rightly found
 		t.Errorf("%s for its own sleep", wrong)
 	}
 	r.Check()
@@ -153,7 +155,8 @@
 	return 0
 }
 
-// One way is cut between two: neither is lost. An island finds the others dead, and all are one fleet again when it heals.
+// TestFleetOneWayCutAndIsland: one direction between two members is cut, and neither is lost. A partitioned island finds
+// the others dead, and all are one cluster again when it heals.
 func TestFleetOneWayCutAndIsland(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
@@ -161,7 +164,7 @@
 	a, b := r.Members[0], r.Members[1]
 	r.SetLink(a, b, receivers.Link{Blackhole: true})
 	r.SetLink(b, a, receivers.Link{Delay: 20 * time.Millisecond})
-	time.Sleep(10 * time.Second) // 50 periods: what must never happen would have
+	time.Sleep(10 * time.Second) // 50 probe intervals: enough for a wrong verdict
 	for _, wrong := range falselyDead(r) {
 		t.Errorf("%s, whom others heard", wrong)
 	}
@@ -172,7 +175,7 @@
 	r.Eventually("two fleets", func() bool {
 		return r.Converged(island, 2) && r.Converged(r.Members[2:], n-2)
 	})
-	if out, err := checkFleet(a); err != nil { // those that it holds dead are not asked
+	if out, err := checkFleet(a); err != nil { // dead members are not asked
 		t.Errorf("fleet check on an island that agrees: %v\n%s", err, out)
 	}
 	for _, m := range island {
@@ -193,8 +196,8 @@
 	r.Check()
 }
 
-// A fifth of the datagrams lost, the rest late, repeated and out of order: nobody that answers is given up for good, and the
-// view is one once it is over.
+// TestFleetLossAndDelay: a fifth of the datagrams are lost, the rest delayed, duplicated and reordered. No member that
+// answers is given up for good, and the views converge afterwards.
 func TestFleetLossAndDelay(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
@@ -221,7 +224,7 @@
 	r.Check()
 }
 
-// All are restarted in turn, as a release does.
+// TestFleetRollingRestart restarts all members in turn, as a release does.
 func TestFleetRollingRestart(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
@@ -230,7 +233,7 @@
 		m.Terminate()
 		m.Start()
 		m.WaitServing()
-		u := r.Runners[i%len(r.Runners)] // and a runner drains meanwhile: the rig looks whether anybody sends it anything
+		u := r.Runners[i%len(r.Runners)] // a runner drains meanwhile: the harness checks whether anybody sends to it
 		u.SetState("draining")
 		r.Discovery.Publish()
 		r.Eventually("it drains", u.Idle)
@@ -241,7 +244,8 @@
 	r.Check()
 }
 
-// One that is evacuated leaves once nothing of it is out any more, and is back when it is called.
+// TestFleetEvacuation: an evacuated member leaves when nothing of it is in flight any more, and returns when the
+// evacuation ends.
 func TestFleetEvacuation(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{Members: 3})
 	r.WaitConverged(3)
@@ -259,7 +263,7 @@
 	r.Check()
 }
 
-// An upgrade: two processes under one name and one address. The newer one is the member from then on.
+// TestFleetUpgrade: two processes under one name and one address. The newer one is the member from then on.
 func TestFleetUpgrade(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{Members: 3, InheritSocket: true})
 	r.WaitConverged(3)
@@ -278,7 +282,8 @@
 	r.Check()
 }
 
-// Two processes that share a name by mistake: the one that began later stays, the other says so and serves on by itself.
+// TestFleetTwoUnderOneName: two processes share a name by mistake. The one that began later stays a member, the other
+// logs it and serves on alone.
 func TestFleetTwoUnderOneName(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{Members: 3})
 	r.WaitConverged(3)
@@ -297,15 +302,16 @@
 	r.Check()
 }
 
-// A cold runner is shared by members that hold different views: some join, some are cut off, one is stopped. It stands; and
-// once three in eight have left, the rest give it more than by the number in their settings.
+// TestFleetColdRunner: members with different views share a warming-up runner while some join, some are cut off and one
+// is paused. It is not overloaded; and once three in eight have left, the rest send it more than by the number in their
+// settings.
 func TestFleetColdRunner(t *testing.T) {
 	t.Parallel()
 	for _, off := range []bool{true, false} {
 		t.Run(fmt.Sprint("off=", off), func(t *testing.T) {
 			r := fleetOf(t, processcluster.Options{Members: 8, Runners: 1, JobsPerSecond: 60, JobSeconds: 0.02, RunnerSlots: 2, Standalone: off})
 			cold := r.Runners[0]
-			time.Sleep(2 * time.Second) // while it is warm they learn what a job is
+			time.Sleep(2 * time.Second) // while it is warm the members learn the cost of a job
 			span := func(what string) {
 				cold.SetState("gone")
 				r.Discovery.Publish()
@@ -342,7 +348,8 @@
 	}
 }
 
-// A reload switches the fleet off, on, to another address, to other seeds, and to another name; a bad one changes nothing.
+// TestFleetReload: a reload switches the cluster off, on, to another address, to other seeds, and to another name. An
+// invalid one changes nothing.
 func TestFleetReload(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{Members: 3})
 	r.WaitConverged(3)
@@ -379,7 +386,7 @@
 	m.Reload("program: reloaded")
 	r.Eventually("a fleet of its own", func() bool { s := m.Status(); return s != nil && s.Cluster == "other" && len(s.Members) == 1 })
 	m.ClusterName = r.ClusterName
-	m.WriteConfig(strings.Replace(m.OperatorConfig(), m.BindAddress, m.BindAddress+`0"#`, 1)) // a port that makes no sense
+	m.WriteConfig(strings.Replace(m.OperatorConfig(), m.BindAddress, m.BindAddress+`0"#`, 1)) // an invalid port
 	m.Reload("reload refused")
 	m.WriteConfig(m.OperatorConfig())
 	m.Reload("program: reloaded")
@@ -387,8 +394,8 @@
 	r.Check()
 }
 
-// Datagrams that make no sense, of another fleet, of a newer format, too long, and played again are dropped and counted, and
-// change nothing.
+// TestFleetNonsense: datagrams that are malformed, of another cluster, of a newer format, too long, or replayed are
+// dropped and counted, and change nothing.
 func TestFleetNonsense(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{Members: 3})
 	r.WaitConverged(3)
@@ -429,6 +436,7 @@
 func addrOf(text string) netip.AddrPort { return netip.MustParseAddrPort(text) }
 
 func datagram(t *testing.T, fleet, name string) []byte {
+	t.Helper()
 	b, err := membership.Encode(&membership.Message{Kind: membership.Update, Cluster: fleet, Number: 1, From: membership.Record{Name: name, Generation: 1,
 		Addr: addrOf("127.0.0.1:9")}})
 	if err != nil {
@@ -437,8 +445,8 @@
 	return b
 }
 
-// A member that lies: that others have left, died, stand elsewhere, or have begun later. No process ends, jobs are served,
-// and the view is the true one once it has gone.
+// TestFleetLies: a member lies that others have left, died, have another address, or have begun later. No process ends,
+// jobs are served, and the view is the true one once it has departed.
 func TestFleetLies(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
--- a/internal/dispatcher/server/cluster_versions_test.go
+++ b/internal/dispatcher/server/cluster_versions_test.go
@@ -10,7 +10,7 @@
 	"cinderroad/internal/testkit/receivers"
 )
 
-// withholds says whether a member holds a worker back on peers' words.
+// withholds reports whether a member restricts a worker because of what peers know.
 func withholds(m *processcluster.Member, worker string) bool {
 	s := m.Status()
 	if s == nil {
@@ -24,8 +24,8 @@
 	return false
 }
 
-// One of five has lost discovery when a worker drains. Its peers tell it; nothing is sent there from then on; and when its
-// own director is back the two agree.
+// TestFleetDrainReachesOneThatLostDiscovery: one of five members has lost discovery when a worker drains. Its peers
+// inform it, it sends nothing there from then on, and when its own discovery is back the two agree.
 func TestFleetDrainReachesOneThatLostDiscovery(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]receivers.Link{"silent": {Blackhole: true}, "reset": {Resets: true}} {
@@ -43,8 +43,8 @@
 			r.Eventually("it is withheld", func() bool { return withholds(cut, drains.Name) })
 			told := time.Since(from)
 			within := drains.JobsFrom(cut)
-			time.Sleep(3 * time.Second)                      // 180 jobs at that member: what must never happen would have
-			if got := drains.JobsFrom(cut); got > within+1 { // one may have been on its way
+			time.Sleep(3 * time.Second)                      // 180 jobs at that member: enough to find one that must not be sent
+			if got := drains.JobsFrom(cut); got > within+1 { // one may have been in flight
 				t.Errorf("%d jobs were sent to a worker that peers know to drain", got-within)
 			}
 			t.Logf("withheld after %v; %d jobs until then", told, within-before)
@@ -69,8 +69,9 @@
 	}
 }
 
-// A process that is stopped while a worker drains, and is cut off from discovery when it wakes, sends nothing by its old list,
-// however long it was stopped and however late a peer tells what it knows: jobs wait, or are refused.
+// TestFleetSleepsOverADrain: a process that is paused while a worker drains, and is cut off from discovery when it
+// resumes, sends nothing by its outdated list, however long it was paused and however late a peer sends what it knows.
+// Jobs wait or are rejected.
 func TestFleetSleepsOverADrain(t *testing.T) {
 	t.Parallel()
 	for _, span := range []time.Duration{3 * time.Second, 8 * time.Second, 20 * time.Second} {
@@ -83,14 +84,14 @@
 			r.Eventually("it gets jobs", func() bool { return drains.JobsFrom(sleeper) > at+5 })
 			sleeper.Pause()
 			sleeper.DiscoveryLink().SetLink(receivers.Link{Blackhole: true})
-			r.Partition(sleeper) // nothing of it waits in a buffer when it wakes
+			r.Partition(sleeper) // nothing is buffered for it when it resumes
 			drains.SetState("draining")
 			r.Discovery.Publish()
 			r.Eventually("the others have nothing there any more", drains.Idle)
 			time.Sleep(span)
 			before, woke := drains.JobsFrom(sleeper), strings.Count(sleeper.LogText(), lookedAgain)
 			sleeper.Continue()
-			time.Sleep(2 * time.Second) // nobody speaks: longer than jobs wait
+			time.Sleep(2 * time.Second) // no contact, for longer than jobs wait
 			if strings.Count(sleeper.LogText(), lookedAgain) == woke && health(sleeper) != 503 {
 				t.Error("it knows nothing new, and its health is well")
 			}
@@ -115,7 +116,7 @@
 
 const lookedAgain = "looked again after a sleep"
 
-// health is what a member answers to the check of health; 0 is nothing.
+// health returns the status of a member's health check; 0 if there is no answer.
 func health(m *processcluster.Member) int {
 	a, err := http.Get("http://" + m.ListenAddress + "/_health")
 	if err != nil {
--- a/internal/dispatcher/server/cost_test.go
+++ b/internal/dispatcher/server/cost_test.go
@@ -13,11 +13,12 @@
 	"time"
 )
 
-// cpuSeconds is what the process has used, in seconds.
+// cpuSeconds returns the processor time that the process has used, in seconds.
 func (h *harness) cpuSeconds() float64 { return cpuOf(h.t, h.cmd.Process.Pid) }
 
-// cpuOf is what a process has used, in seconds (proc(5), fields 14 and 15, in hundredths).
+// cpuOf returns the processor time that a process has used, in seconds (proc(5), fields 14 and 15, in hundredths).
 func cpuOf(t *testing.T, pid int) (sum float64) {
+	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		t.Fatal(err)
@@ -33,8 +34,9 @@
 	return sum
 }
 
-// residentBytes is how much memory a process holds, in MB (proc(5), field 24, in pages).
-func (h *harness) residentBytes() float64 {
+// residentMB returns the resident memory of the process, in MB (proc(5), field 24, in pages).
+func (h *harness) residentMB() float64 {
+	h.t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", h.cmd.Process.Pid))
 	if err != nil {
 		h.t.Fatal(err)
@@ -46,7 +48,7 @@
 	return float64(pages*os.Getpagesize()) / (1 << 20)
 }
 
-// latencies asks so many jobs, some at a time, and returns how long each took, sorted.
+// latencies requests jobs, some at a time, and returns how long each took, sorted.
 func (g *workerGroup) latencies(jobs, together int) []float64 {
 	var mu sync.Mutex
 	var all []float64
@@ -62,9 +64,9 @@
 	return all
 }
 
-// TestCost measures, where COST is set, what everything on costs a job beside everything off, and what a stalled receiver
-// does to the slowest jobs. It is no verdict: processes take turns on the same machine, and the medians of their turns
-// are told with the least and the most.
+// TestCost measures, where COST is set, what all reporting costs a job compared with none, and what a stalled receiver
+// does to the slowest jobs. It asserts nothing: processes take turns on the same machine, and the medians of their turns
+// are printed with the least and the greatest.
 func TestCost(t *testing.T) {
 	rounds, err := strconv.Atoi(os.Getenv("COST"))
 	if err != nil {
@@ -72,7 +74,7 @@
 	}
 	s := newTelemetryHarness(t, false)
 	stalled := newTelemetryHarness(t, false)
-	crews := map[string]*workerGroup{}
+	groups := map[string]*workerGroup{}
 	names := []string{"off", "on", "stalled"}
 	for _, name := range names {
 		c := newWorkerGroup(t, 4, name)
@@ -86,7 +88,7 @@
 		c.harness = startHarness(t, o, c.targets()...)
 		c.harness.client = &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 		c.latencies(2000, 6)
-		crews[name] = c
+		groups[name] = c
 	}
 	stalled.carbon.SetStalled(true)
 	stalled.collectd.SetStalled(true)
@@ -94,7 +96,7 @@
 	perJob, slowest := map[string][]float64{}, map[string][]float64{}
 	for range rounds {
 		for _, name := range names {
-			c := crews[name]
+			c := groups[name]
 			before := c.harness.cpuSeconds()
 			spans := c.latencies(jobs, 6)
 			perJob[name] = append(perJob[name], 1e6*(c.harness.cpuSeconds()-before)/jobs)
@@ -109,7 +111,7 @@
 		slices.Sort(x)
 		slices.Sort(y)
 		fmt.Fprintf(&b, "\n%-8s CPU a job %.1f µs (%.1f to %.1f), p99 %.2f ms (%.2f to %.2f), %.1f MB", name, x[len(x)/2], x[0], x[len(x)-1],
-			y[len(y)/2], y[0], y[len(y)-1], crews[name].harness.residentBytes())
+			y[len(y)/2], y[0], y[len(y)-1], groups[name].harness.residentMB())
 	}
 	t.Log(b.String())
 }
--- a/internal/dispatcher/server/fragments_test.go
+++ b/internal/dispatcher/server/fragments_test.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// drop writes a text byte by byte.
-func drop(c io.Writer, text string) {
+// writeBytewise writes a text byte by byte.
+func writeBytewise(c io.Writer, text string) {
 	for i := range len(text) {
 		io.WriteString(c, text[i:i+1])
 		if i%16 == 0 {
-			time.Sleep(100 * time.Microsecond) // lest the system glues them
+			time.Sleep(100 * time.Microsecond) // else the system joins them
 		}
 	}
 }
 
-// Guards against a message that is only understood when it comes at once: a client's, a runner's answer, its call-back,
-// discovery's line.
+// TestFragmentedInput guards against a message that is understood only if it arrives at once: a client's request, a
+// runner's answer, its callback, a line of discovery.
 func TestFragmentedInput(t *testing.T) {
 	var w *harness
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, r *http.Request) {
@@ -31,7 +31,7 @@
 			return
 		}
 		defer c.Close()
-		drop(c, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
+		writeBytewise(c, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
 		back, err := net.Dial("tcp", w.addr)
 		if err != nil {
 			t.Error(err)
@@ -39,7 +39,7 @@
 		}
 		defer back.Close()
 		body := fmt.Sprintf(`{"id":%q,"from":"s-1","state":"done","result":"whole"}`, r.Header.Get("X-Call-Id"))
-		drop(back, fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(body), body))
+		writeBytewise(back, fmt.Sprintf("POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(body), body))
 		if got := readUntilClosed(back); !strings.HasPrefix(got, "HTTP/1.1 204") {
 			t.Errorf("the call-back was told %q", got)
 		}
@@ -49,13 +49,14 @@
 	w.sendDiscoveryLine(`{"rev":5,"all":false,"targets":[` + u.target("ready", 1) + `]}`)
 	w.eventually("the list", func() bool { return strings.Contains(w.log.String(), `"rev": 5`) })
 	c := w.dial()
-	drop(c, "POST /score/a HTTP/1.1\r\nX-Call-Id: p1\r\nX-Budget-Ms: 4900\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
+	writeBytewise(c, "POST /score/a HTTP/1.1\r\nX-Call-Id: p1\r\nX-Budget-Ms: 4900\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
 	if got := readUntilClosed(c); !strings.HasPrefix(got, "HTTP/1.1 200") || !strings.HasSuffix(got, "whole") {
 		t.Errorf("the client was told %q", got)
 	}
 }
 
-// Guards against a client that leaves and keeps what it held: its job at the runner, its call id, its session.
+// TestClientDisconnects guards against a client that disconnects but keeps what it held: its job at the runner, its call
+// id, its session.
 func TestClientDisconnects(t *testing.T) {
 	got := make(chan string, 9)
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, r *http.Request) {
@@ -64,7 +65,7 @@
 		got <- r.Header.Get("X-Call-Id")
 	})
 	w := startHarness(t, options{}, u.target("ready", 1))
-	for range 2 { // the second time shows that the first has left nothing behind
+	for range 2 { // the second run shows that the first has left nothing behind
 		c := w.dial()
 		postJob(c, "a", "leaver", "")
 		<-got
--- a/internal/dispatcher/server/gearman_test.go
+++ b/internal/dispatcher/server/gearman_test.go
@@ -37,7 +37,7 @@
 cell = 1000
 `
 
-// gearmanHarness is the program with its Gearman front on; deadline is that of function once.
+// gearmanHarness is a dispatcher with its Gearman front on; deadline is that of function once, in seconds.
 type gearmanHarness struct {
 	*harness
 	port string
@@ -47,6 +47,7 @@
 }
 
 func startGearmanHarness(t *testing.T, o options, deadline float64) *gearmanHarness {
+	t.Helper()
 	g := &gearmanHarness{port: freeAddr(t), runs: map[string]int{}}
 	g.file = filepath.Join(t.TempDir(), "gearman.toml")
 	if err := os.WriteFile(g.file, fmt.Appendf(nil, gearmanFile, g.port, deadline), 0o600); err != nil {
@@ -57,13 +58,14 @@
 	return g
 }
 
-// gearmanConn is a stand-in's connection.
+// gearmanConn is a scripted Gearman client's or worker's connection.
 type gearmanConn struct {
 	harness *gearmanHarness
 	net.Conn
 }
 
 func (g *gearmanHarness) dial() *gearmanConn {
+	g.t.Helper()
 	c, err := net.Dial("tcp", g.port)
 	if err != nil {
 		g.t.Fatal(err)
@@ -160,6 +162,7 @@
 
 // admin sends a text command and returns what it prints up to the line that ends it.
 func (g *gearmanHarness) admin(command, end string) string {
+	g.t.Helper()
 	c := g.dial()
 	c.SetReadDeadline(time.Now().Add(30 * time.Second))
 	fmt.Fprintf(c, "%s\n", command)
@@ -183,7 +186,8 @@
 	return true
 }
 
-// Guards against a whole list of the director, as each reload brings one, taking the Gearman workers away.
+// TestCompleteListKeepsGearmanWorkers guards against a complete list of discovery, as each reload brings one, removing
+// the Gearman workers.
 func TestCompleteListKeepsGearmanWorkers(t *testing.T) {
 	g := startGearmanHarness(t, options{cold: 0.001}, 5)
 	worker := g.dial()
@@ -204,7 +208,8 @@
 	}
 }
 
-// The proof: final answers per job and repeats per class, while workers drop after a status, fail, and leave.
+// TestGearmanOneResultPerJob checks that each job has one final answer and no more retries than its class allows, while
+// workers disconnect after a status, fail, and leave. It is one scenario over shared connections, and so one function.
 func TestGearmanOneResultPerJob(t *testing.T) {
 	g := startGearmanHarness(t, options{cold: 0.001}, 5)
 	var once sync.Mutex
@@ -219,7 +224,7 @@
 				first[data] = true
 				once.Unlock()
 				switch {
-				case bad: // it has told a status, so it may have run
+				case bad: // it has reported a status, so it may have run
 					c.send(gm.WorkStatus, handle, "1", "2")
 					c.Close()
 					serve()
@@ -264,7 +269,7 @@
 				switch {
 				case how == "plain":
 					want[name] = end{1, 1, true}
-				case f == "once": // it may have run: never again
+				case f == "once": // it may have run: no retry
 					want[name] = end{1, 1, false}
 				default:
 					want[name] = end{1, 2, true}
@@ -273,7 +278,7 @@
 		}
 	}
 	client.send(gm.EchoReq, "the end")
-	if p, _ := client.next(); p.Kind != gm.EchoRes { // anything before it is a second answer
+	if p, _ := client.next(); p.Kind != gm.EchoRes { // anything before it would be a second answer
 		t.Errorf("after the last answer: %v", p)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -281,7 +286,8 @@
 	}
 }
 
-// Guards against a job in the background that is lost with its caller, or refused because none waits for it.
+// TestGearmanBackgroundJobsOutliveClient guards against a background job that is lost with its client, or rejected
+// because nobody waits for it.
 func TestGearmanBackgroundJobsOutliveClient(t *testing.T) {
 	g := startGearmanHarness(t, options{cold: 0.001}, 5)
 	caller := g.dial()
@@ -320,7 +326,8 @@
 	}
 }
 
-// Guards against a job run twice for two callers with one unique id, and callers who see one fetch's output twice.
+// TestGearmanJobCoalescing guards against a job that runs twice for two clients with one unique id, and clients who get
+// one attempt's output twice.
 func TestGearmanJobCoalescing(t *testing.T) {
 	g := startGearmanHarness(t, options{cold: 0.001}, 5)
 	var clients [2]*gearmanConn
@@ -332,7 +339,7 @@
 		clients[i].send(gm.SubmitJob, "safe", "same", "shared")
 		handles[i] = clients[i].want(gm.JobCreated).Args[0]
 	}
-	clients[1].send(gm.SubmitJob, "safe", "same", "shared") // again: each of its tasks must come to an end
+	clients[1].send(gm.SubmitJob, "safe", "same", "shared") // again: each of its tasks must end
 	clients[1].want(gm.JobCreated)
 	wants := [][]string{{"28 part", "13 whole"}, {"28 part", "13 whole", "28 part", "13 whole"}}
 	w := g.dial()
@@ -363,7 +370,7 @@
 	}
 }
 
-// The mapping of failures, deadlines and refusals, and what a drain leaves behind.
+// TestGearmanFailures checks how failures, deadlines and rejections appear to clients, and what a drain leaves behind.
 func TestGearmanFailures(t *testing.T) {
 	g := startGearmanHarness(t, options{cold: 0.001}, 0.4)
 	client := g.dial()
@@ -383,7 +390,7 @@
 	w := g.dial()
 	assigned := make(chan string)
 	w.serveJobs(gm.GrabJob, func(handle, _, data string) bool { assigned <- handle; return data == "stop" }, "once")
-	submit("once", "silent") // past the deadline: a failure, and its late result is nobody's
+	submit("once", "silent") // past the deadline: a failure, and its late result is ignored
 	late := <-assigned
 	client.want(gm.WorkFail)
 	w.send(gm.WorkComplete, late, "late")
@@ -423,7 +430,7 @@
 	}
 }
 
-// Guards against a job that waits for a worker which has said it takes no more of its kind.
+// TestGearmanQueueLeavesDrainingWorker guards against a job that waits for a worker which takes no more of its kind.
 func TestGearmanQueueLeavesDrainingWorker(t *testing.T) {
 	g := startGearmanHarness(t, options{cold: 0.001}, 5)
 	first, second, client := g.dial(), g.dial(), g.dial()
@@ -446,7 +453,8 @@
 	}
 }
 
-// Guards against a job in the background ending with a refusal that nobody hears, or with a caller it does not need.
+// TestGearmanBackgroundJobsRestored guards against a background job that ends with a rejection nobody receives, or with a
+// client it does not need.
 func TestGearmanBackgroundJobsRestored(t *testing.T) {
 	g := startGearmanHarness(t, options{cold: 0.001}, 1)
 	caller, shares := g.dial(), g.dial()
@@ -471,7 +479,7 @@
 	}
 }
 
-// Guards against a worker that has just connected being handed all that waits at once.
+// TestGearmanSlowStart guards against a worker that has just connected getting the whole queue at once.
 func TestGearmanSlowStart(t *testing.T) {
 	g := startGearmanHarness(t, options{cold: 9}, 5)
 	client := g.dial()
--- a/internal/dispatcher/server/harness_test.go
+++ b/internal/dispatcher/server/harness_test.go
@@ -58,7 +58,7 @@
  "me":0,"membershipMode":"pushed","nInstances":1,"report":{"fields":["utilization","backlog","outstanding","x0"],"via":"piggyback"},
  "tickS":0.004,"zone":0}`
 
-// harness is the program on loopback sockets among scripted peers.
+// harness is a dispatcher process on loopback sockets among scripted peers.
 type harness struct {
 	t                 *testing.T
 	addr              string
@@ -68,16 +68,16 @@
 	mu                sync.Mutex
 	config            map[string]any
 	path              string   // of the configuration file
-	lines             []string // of the director, since the start
+	lines             []string // of discovery, since the start
 	watches           []string // queries of the watches
 	changed           chan struct{}
-	retryAfter        atomic.Int32 // discovery has no room for so many seconds
+	retryAfter        atomic.Int32 // seconds; above 0, discovery rejects watches with it
 	fragmented        atomic.Bool  // discovery writes byte by byte
-	unresponsive      atomic.Bool  // discovery takes questions and says nothing
+	unresponsive      atomic.Bool  // discovery accepts watches and sends nothing
 	discovery         *httptest.Server
 	client            *http.Client
 	calls             int
-	callbacksInFlight *atomic.Int64 // call-backs under way
+	callbacksInFlight *atomic.Int64 // waits for their answers
 }
 
 type lockedBuffer struct {
@@ -103,16 +103,16 @@
 	cold      float64
 	args      []string
 	console   bool     // has a second address
-	inherit   *os.File // the clients' socket, if it is not the program's own
-	listen    string   // and its address
+	inherit   *os.File // clients' listening socket; nil: the process binds its own
+	listen    string   // address of inherit
 	tempDir   string   // $TMPDIR
-	startOnly bool     // nobody waits until it serves
+	startOnly bool     // start returns before the process serves
 	name      string   // n0 if empty
 	memory    int      // MB; 192 if 0
-	single    bool     // no second copy goes out beside a job that waits
+	single    bool     // no hedged requests
 }
 
-// settingsOf is the deployment's settings of a world.
+// settingsOf returns the shared settings of a harness.
 func settingsOf(o options) string {
 	text := fmt.Sprintf(settingsText, o.cold, attemptsCap, o.connIdle)
 	if o.single {
@@ -121,7 +121,7 @@
 	return text
 }
 
-// startHarness starts the program with the runners in the list that it knows.
+// startHarness starts a dispatcher with the runners of targets in its initial list.
 func startHarness(t *testing.T, o options, targets ...string) *harness {
 	t.Helper()
 	w := &harness{t: t, log: &lockedBuffer{}, changed: make(chan struct{}), client: &http.Client{Timeout: 20 * time.Second},
@@ -196,7 +196,7 @@
 	})
 }
 
-// startSuccessor starts another process that takes the place of w's.
+// startSuccessor starts another process of the dispatcher, which takes over from h's.
 func (h *harness) startSuccessor(o options) *harness {
 	h.t.Helper()
 	successor := &harness{t: h.t, addr: h.addr, log: &lockedBuffer{}, config: maps.Clone(h.config), discovery: h.discovery, client: h.client, callbacksInFlight: h.callbacksInFlight,
@@ -220,7 +220,7 @@
 	}
 }
 
-// reload has the program read its configuration again, and waits for its word on it.
+// reload makes the process read its configuration again, and waits for a log message that contains word.
 func (h *harness) reload(word string) {
 	h.t.Helper()
 	before := strings.Count(h.log.String(), word)
@@ -228,8 +228,9 @@
 	h.eventually(word, func() bool { return strings.Count(h.log.String(), word) > before })
 }
 
-// freeAddr finds an address for the program.
+// freeAddr returns an address that nobody listens on.
 func freeAddr(t *testing.T) string {
+	t.Helper()
 	addr, err := receivers.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
@@ -237,7 +238,7 @@
 	return addr
 }
 
-// eventually waits for as long as a slow machine may need: no verdict hangs on how fast something comes.
+// eventually waits until ok, for as long as a slow machine may need: no assertion depends on how fast something happens.
 func (h *harness) eventually(what string, ok func() bool) {
 	h.t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
@@ -247,7 +248,7 @@
 	}
 }
 
-// watch is discovery: it writes the lines told so far and each one as it is told.
+// watch serves discovery: it writes the lines so far and each further one when it is added.
 func (h *harness) watch(rw http.ResponseWriter, r *http.Request) {
 	h.mu.Lock()
 	h.watches = append(h.watches, r.URL.RawQuery)
@@ -280,7 +281,7 @@
 	}
 }
 
-// fragments is a text as its sender writes it: whole, or byte by byte.
+// fragments splits a text as its sender writes it: in one piece, or byte by byte.
 func (h *harness) fragments(text string) []string {
 	if !h.fragmented.Load() {
 		return []string{text}
@@ -288,7 +289,7 @@
 	return strings.Split(text, "")
 }
 
-// sendDiscoveryLine has discovery write a line.
+// sendDiscoveryLine makes discovery write a line.
 func (h *harness) sendDiscoveryLine(line string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -302,13 +303,14 @@
 	uid            string
 	server         *httptest.Server
 	mu             sync.Mutex
-	requests       []*http.Request // jobs, in the order they came
+	requests       []*http.Request // jobs, in the order of arrival
 	cancelledPaths []string        // paths of the DELETEs
 	open           int             // connections
 }
 
-// newRunner starts a runner; serve answers a job, of which n came before.
+// newRunner starts a runner; serve answers a job, with n the number of jobs before it.
 func newRunner(t *testing.T, uid string, serve func(n int, rw http.ResponseWriter, r *http.Request)) *runner {
+	t.Helper()
 	u := &runner{uid: uid}
 	u.server = httptest.NewUnstartedServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -347,7 +349,7 @@
 	return u
 }
 
-// jobIDs are the ids of the jobs that came, in their order.
+// jobIDs returns the ids of the jobs in the order of their arrival.
 func (u *runner) jobIDs() (ids []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -363,22 +365,23 @@
 	return len(u.requests)
 }
 
-// target is the runner's entry in the list.
+// target returns the runner's entry in the list.
 func (u *runner) target(state string, cell int) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"milano","model":"two-core","pod_group":%d,"state":%q,"capacity_hint":1,"boot_ms":0}`,
 		u.uid, strings.TrimPrefix(u.server.URL, "http://"), cell, state)
 }
 
-// awaitCallbacks waits until call-backs under way have their answers: a client may have its own before the runner whose
-// call-back brought it has read that it was heard.
+// awaitCallbacks waits until callbacks in flight are answered: a client may have its answer before the runner whose
+// callback brought it has read that the callback was accepted.
 func (h *harness) awaitCallbacks() {
 	for end := time.Now().Add(5 * time.Second); h.callbacksInFlight.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// reportResult makes a call-back and checks that it was heard.
+// reportResult makes a callback and checks that it was accepted.
 func (h *harness) reportResult(id, from, rest string) {
+	h.t.Helper()
 	h.callbacksInFlight.Add(1)
 	defer h.callbacksInFlight.Add(-1)
 	r, err := http.Post("http://"+h.addr+"/_jobs/news", "application/json", strings.NewReader(fmt.Sprintf(`{"id":%q,"from":%q,%s}`, id, from, rest)))
@@ -392,7 +395,7 @@
 	}
 }
 
-// replyWith takes a job and calls back with a result.
+// replyWith returns a runner's handler that accepts a job and reports a result by callback.
 func (h *harness) replyWith(uid, result string) func(int, http.ResponseWriter, *http.Request) {
 	return func(_ int, rw http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Call-Id")
@@ -402,7 +405,7 @@
 	}
 }
 
-// requestJob hands in a job and returns the status and body of its answer.
+// requestJob submits a job and returns status, body and header of its answer.
 func (h *harness) requestJob(class string, budget int) (status int, body string, header http.Header) {
 	h.mu.Lock()
 	h.calls++
@@ -427,6 +430,7 @@
 
 // sendRaw sends bytes and returns what comes back until the connection ends.
 func (h *harness) sendRaw(text string) string {
+	h.t.Helper()
 	c, err := net.Dial("tcp", h.addr)
 	if err != nil {
 		h.t.Fatal(err)
@@ -438,7 +442,7 @@
 	return string(got)
 }
 
-// terminate sends SIGTERM and returns a channel that gets the exit.
+// terminate sends SIGTERM and returns a channel that receives the exit.
 func (h *harness) terminate() chan error {
 	exit := make(chan error, 1)
 	h.cmd.Process.Signal(syscall.SIGTERM)
--- a/internal/dispatcher/server/jobs_test.go
+++ b/internal/dispatcher/server/jobs_test.go
@@ -16,7 +16,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The whole path: what passes on unchanged, a call-back before the 202, repeats of it, and an escaped result.
+// TestJobServed follows a job along the whole path: what is forwarded unchanged, a callback before the 202, repeated
+// callbacks, and an escaped result.
 func TestJobServed(t *testing.T) {
 	var w *harness
 	heard := make(chan bool, 3)
@@ -49,7 +50,8 @@
 	}
 }
 
-// Each way an attempt can end, and how often its class lets it be repeated.
+// TestResultsAndRetries checks each way an attempt can end, and how often its class allows a retry. The table is most of
+// the function's length.
 func TestResultsAndRetries(t *testing.T) {
 	hangUp := func(rw http.ResponseWriter) {
 		c, _, _ := rw.(http.Hijacker).Hijack()
@@ -97,7 +99,7 @@
 				})
 				runners, targets = append(runners, u), append(targets, u.target("ready", i))
 			}
-			w = startHarness(t, options{single: true}, targets...) // jobs are counted: a copy of one that waits would be one more
+			w = startHarness(t, options{single: true}, targets...) // jobs are counted, and a hedged request would be one more
 			status, body, _ := w.requestJob(tc.class, 4000)
 			jobs, met := 0, 0
 			for _, u := range runners {
@@ -113,8 +115,8 @@
 	}
 }
 
-// Guards against a runner that has vanished holding a client past its budget, and against a refusal without a
-// word on when to come back.
+// TestTimeoutAndRejection guards against a runner that has vanished holding a client past its budget, and against a
+// rejection without Retry-After.
 func TestTimeoutAndRejection(t *testing.T) {
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(202) })
 	w := startHarness(t, options{}, u.target("ready", 1))
@@ -130,8 +132,8 @@
 	}
 }
 
-// Guards against work for a runner that drains, a bad or an old line replacing the list or a change being missed
-// with it, and a watch that is not renewed.
+// TestDiscoveryUpdates guards against work for a draining runner, against a malformed or an old line that replaces the
+// list or loses a change, and against a watch that is not renewed.
 func TestDiscoveryUpdates(t *testing.T) {
 	var w *harness
 	var runners []*runner
@@ -164,7 +166,7 @@
 	if diff := cmp.Diff([]string{"stream=1&index=1", "stream=1&index=3"}, w.watches[:2]); diff != "" {
 		t.Errorf("watches (-want +got):\n%s", diff)
 	}
-	w.lines = []string{`{"rev":4,"all":false,"targets":[]}`, `{"rev":3,"all":true,"targets":[]}`} // older than what came before
+	w.lines = []string{`{"rev":4,"all":false,"targets":[]}`, `{"rev":3,"all":true,"targets":[]}`} // older than the one before
 	w.mu.Unlock()
 	w.eventually("an old list", func() bool { return strings.Contains(w.log.String(), "version 3 after 4") })
 	if status, body, _ := w.requestJob("score", 4000); status != 200 || body != "s-1" {
@@ -183,7 +185,7 @@
 	w.eventually("one more watch", func() bool { return watches() > before })
 }
 
-// Guards against requests that break HTTP, classes nobody knows, and ids in use.
+// TestMalformedInput guards against requests that break HTTP, unknown classes, and ids that are in use.
 func TestMalformedInput(t *testing.T) {
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(202) })
 	w := startHarness(t, options{}, u.target("ready", 1))
@@ -222,7 +224,7 @@
 	}
 }
 
-// Guards against running out of descriptors: idle sessions are shed, and work goes on.
+// TestDescriptorExhaustion guards against running out of descriptors: idle sessions are closed, and work goes on.
 func TestDescriptorExhaustion(t *testing.T) {
 	var w *harness
 	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith("s-1", "ok")(n, rw, r) })
@@ -246,8 +248,8 @@
 	}
 }
 
-// Guards against a request written to a connection that its runner has closed, and against connections kept
-// longer than the settings' idle time.
+// TestIdleConnections guards against a request written to a connection that its runner has closed, and against
+// connections kept longer than the configured idle time.
 func TestIdleConnections(t *testing.T) {
 	var w *harness
 	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith("s-1", "ok")(n, rw, r) })
@@ -267,8 +269,9 @@
 	})
 }
 
-// Guards against requests lost one by one on the open, silent connections of a machine that was cut off: once it
-// has not even taken one, the others are closed, and a new connect shows whether it is there.
+// TestUnresponsiveBackendLosesIdleConnections guards against requests lost one by one on the open, silent connections of
+// a machine that was cut off: once it has not acknowledged one, the others are closed, and a new connection shows whether
+// it is reachable.
 func TestUnresponsiveBackendLosesIdleConnections(t *testing.T) {
 	var w *harness
 	both, release := make(chan bool, 2), make(chan bool)
@@ -299,12 +302,13 @@
 	go ask()
 	w.eventually("one connection, the silent one", func() bool { return u.jobs() == 3 && open() == 1 })
 	close(release)
-	if status := <-answers; status != 500 { // an answer that is no 202 may mean that it ran
+	if status := <-answers; status != 500 { // with an answer other than 202 the job may have run
 		t.Errorf("the silent job: %d", status)
 	}
 }
 
-// Guards against a planned restart that loses what was taken: call-backs still come, and all is answered.
+// TestSigtermAnswersAcceptedJobs guards against a graceful shutdown that loses accepted jobs: callbacks still arrive, and
+// every job is answered.
 func TestSigtermAnswersAcceptedJobs(t *testing.T) {
 	release := make(chan bool)
 	var w *harness
@@ -331,7 +335,7 @@
 	w.eventually("first job", func() bool { return u.jobs() == 1 })
 	exit := w.terminate()
 	w.eventually("told", func() bool { return strings.Contains(w.log.String(), "stopping") })
-	go ask() // clients keep coming for a moment
+	go ask() // clients still arrive for a moment
 	w.eventually("second job", func() bool { return u.jobs() == 2 })
 	time.Sleep(600 * time.Millisecond) // past the moment in which idle sessions are closed
 	close(release)
@@ -374,8 +378,8 @@
 	}
 }
 
-// Guards against a path that forgets resting connections without a word: neither may the backend be set aside for
-// it, nor may one request after the other be lost to it.
+// TestStaleConnections guards against a network path that drops idle connections silently: neither may the backend be
+// ejected for it, nor may one request after the other be lost to it.
 func TestStaleConnections(t *testing.T) {
 	var w *harness
 	seen, dead := map[string]bool{}, 0
@@ -401,8 +405,8 @@
 	}
 }
 
-// Guards against a repeat in the wrong group: a backend leaves with an entry that names no cell, or by missing from a
-// whole list, while a job that may have run there is bound to its cell.
+// TestAffinityToDepartedCell guards against a retry in the wrong group: a backend departs by an entry that names no cell,
+// or by missing from a complete list, while a job that may have run there is bound to its cell.
 func TestAffinityToDepartedCell(t *testing.T) {
 	for name, line := range map[string]string{"gone": `{"rev":2,"all":false,"targets":[{"uid":"s-0","state":"gone"},%s]}`,
 		"missing": `{"rev":2,"all":true,"targets":[%s]}`} {
--- a/internal/dispatcher/server/metrics_test.go
+++ b/internal/dispatcher/server/metrics_test.go
@@ -8,7 +8,7 @@
 	"cinderroad/internal/testkit/receivers"
 )
 
-// Both outputs in their forms, from the started program, by the short forms of the command line.
+// TestMetrics checks both outputs in all their forms, from a process that is configured by flags.
 func TestMetrics(t *testing.T) {
 	graphite, err := receivers.NewCarbon("127.0.0.1:0", false)
 	if err != nil {
--- a/internal/dispatcher/server/misbehaving_peers_test.go
+++ b/internal/dispatcher/server/misbehaving_peers_test.go
@@ -13,7 +13,7 @@
 	gm "cinderroad/internal/dispatcher/gearman"
 )
 
-// readUntilClosed reads what a connection brings to its end.
+// readUntilClosed returns what a connection brings until its end.
 func readUntilClosed(c net.Conn) string {
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	got, _ := io.ReadAll(c)
@@ -21,6 +21,7 @@
 }
 
 func (h *harness) dial() net.Conn {
+	h.t.Helper()
 	c, err := net.Dial("tcp", h.addr)
 	if err != nil {
 		h.t.Fatal(err)
@@ -29,8 +30,8 @@
 	return c
 }
 
-// writeSlowly sends a text and then a byte now and then for as long as the connection takes it.
-func writeSlowly(c net.Conn, text string) {
+// writeThenTrickle sends a text, and then a byte now and then for as long as the connection is open.
+func writeThenTrickle(c net.Conn, text string) {
 	io.WriteString(c, text)
 	for {
 		time.Sleep(200 * time.Millisecond)
@@ -40,8 +41,8 @@
 	}
 }
 
-// Guards against clients that hold a session without end, whom a reset robs of the answer, or who hide something
-// in what two readers take differently. Each is owed an error and the end of its connection.
+// TestMisbehavingClients guards against clients that hold a session for ever, that lose their answer to a reset, or that
+// send what two readers understand differently. Each gets an error and the end of its connection.
 func TestMisbehavingClients(t *testing.T) {
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(202) })
 	w := startHarness(t, options{}, u.target("ready", 1))
@@ -80,8 +81,8 @@
 			t.Parallel()
 			c := w.dial()
 			if tc.drips {
-				go writeSlowly(c, tc.text)
-			} else if _, err := io.WriteString(c, tc.text); err != nil { // all of it, before anything is read
+				go writeThenTrickle(c, tc.text)
+			} else if _, err := io.WriteString(c, tc.text); err != nil { // everything, before anything is read
 				t.Errorf("cut off while it sent: %v", err)
 			}
 			if got := readUntilClosed(c); !strings.HasPrefix(got, tc.want) || strings.Count(got, "HTTP/1.1") != 1 {
@@ -96,8 +97,8 @@
 	})
 }
 
-// Guards against a flood of silent connections that pushes out sessions which work here, and against a client
-// that sends far ahead being cut off with its first request unanswered.
+// TestFloods guards against a flood of silent connections that evicts working sessions, and against a client that
+// pipelines far ahead being cut off with its first request unanswered.
 func TestFloods(t *testing.T) {
 	var w *harness
 	release := make(chan bool)
@@ -144,8 +145,8 @@
 	answered()
 }
 
-// Guards against sessions that asked once and stay: their clients may hold only so many, and would have none left
-// to come to work with; nor may they take the room of others. The session that works is kept.
+// TestIdleSessionsEvicted guards against sessions that made one request and stay: their clients are limited in sessions
+// and would have none left to work with; nor may they take the room of others. The session that works is kept.
 func TestIdleSessionsEvicted(t *testing.T) {
 	var w *harness
 	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith("s-1", "ok")(n, rw, r) })
@@ -181,7 +182,8 @@
 	}
 }
 
-// Guards against the bounds on clients turning call-backs away: jobs that hold all the room end by them alone.
+// TestCallbacksUnderLoad guards against the limits on clients rejecting callbacks: jobs that hold all capacity end by
+// them alone.
 func TestCallbacksUnderLoad(t *testing.T) {
 	var w *harness
 	ids := make(chan string, 64)
@@ -212,10 +214,9 @@
 	}
 }
 
-// Guards against requests that no backend can use making healthy ones look bad.
-//
-// Each job ends with its second such answer. Where second copies may go out beside a job that waits, one more attempt may be
-// out by then; without them there is none.
+// TestUnusableRequests guards against requests that no backend can use making healthy backends look unhealthy. Each job
+// ends with its second such answer. Where hedged requests are on, one more attempt may be in flight by then; without them
+// there is none.
 func TestUnusableRequests(t *testing.T) {
 	for name, tc := range map[string]struct {
 		single       bool
@@ -229,6 +230,7 @@
 }
 
 func unusableRequests(t *testing.T, single bool, mostAttempts int) {
+	t.Helper()
 	var w *harness
 	var runners []*runner
 	var targets []string
@@ -268,14 +270,14 @@
 	}
 }
 
-// Guards against Gearman peers that hold a socket without a word, or byte by byte, and against the same bound
-// cutting off a worker that rests between its jobs.
+// TestUnresponsiveGearmanPeers guards against Gearman peers that hold a socket silently, or send byte by byte, and
+// against the same limit cutting off a worker that is idle between its jobs.
 func TestUnresponsiveGearmanPeers(t *testing.T) {
 	g := startGearmanHarness(t, options{cold: 0.001}, 5)
 	worker := g.dial()
 	worker.serveJobs(gm.GrabJobUniq, worker.echo, "safe")
 	silent, slow := g.dial(), g.dial()
-	go writeSlowly(slow, "\x00REQ\x00\x00\x00\x07\x00\x00\x01\x00")
+	go writeThenTrickle(slow, "\x00REQ\x00\x00\x00\x07\x00\x00\x01\x00")
 	for name, c := range map[string]*gearmanConn{"silent": silent, "slow": slow} {
 		if p := c.want(gm.Error); p.Args[0] != "ERR_BAD_PACKET" {
 			t.Errorf("%s: %q", name, p.Args)
--- a/internal/dispatcher/server/operator_test.go
+++ b/internal/dispatcher/server/operator_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// operator calls the second address.
+// operator makes a call at the second address.
 func (h *harness) operator(method, path, body string) (status int, reason string) {
 	h.t.Helper()
 	return operate(h.t, h.console, method, path, body)
@@ -30,11 +30,11 @@
 	return r.StatusCode, strings.TrimSpace(string(text))
 }
 
-// Guards against a second address that a flood starves, that callers who say nothing hold shut, or that says yes to
-// what it cannot make out.
+// TestAdminAPI guards against a second address that a flood starves, that silent callers block, or that accepts what it
+// cannot parse.
 func TestAdminAPI(t *testing.T) {
 	w := startHarness(t, options{sockets: reservedDescriptors + 40, console: true})
-	for range 100 { // clients without a word take all the sockets there are
+	for range 100 { // silent clients take all sockets
 		w.dial()
 	}
 	for range 40 { // and so do callers
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	for _, b := range []byte("GET /api/ready HTTP/1.1\r\nHost: a\r\n\r\n") { // a call that comes in pieces
+	for _, b := range []byte("GET /api/ready HTTP/1.1\r\nHost: a\r\n\r\n") { // a fragmented call
 		c.Write([]byte{b})
 	}
 	if got := readUntilClosed(c); !strings.HasPrefix(got, "HTTP/1.1 200") {
@@ -73,8 +73,8 @@
 	}
 }
 
-// Guards against an evacuation that leaves somebody who rests or never asked, cuts off whom it serves, closes the way
-// of call-backs, or cannot be undone.
+// TestEvacuation guards against an evacuation that keeps idle or new clients, cuts off those it serves, closes the path
+// of callbacks, or cannot be undone.
 func TestEvacuation(t *testing.T) {
 	var w *harness
 	release := make(chan bool)
@@ -119,7 +119,7 @@
 		ask(c, "c")
 		return strings.HasPrefix(readUntilClosed(c), "HTTP/1.1 503")
 	})
-	close(release) // its call-back comes by the port that clients are sent away from
+	close(release) // its callback arrives at the port from which clients are turned away
 	if got := readUntilClosed(working); !strings.HasPrefix(got, "HTTP/1.1 200") || !strings.Contains(got, "Connection: close") {
 		t.Errorf("the one at work: %q", got)
 	}
@@ -135,8 +135,8 @@
 	})
 }
 
-// Guards against binding an address that somebody else holds for this program, and against shutting down or losing
-// what is shared: whoever else listens there goes on.
+// TestInheritedListener guards against binding an address that another process holds for this one, and against shutting
+// down or losing the shared socket: whoever else listens there goes on.
 func TestInheritedListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -171,8 +171,8 @@
 	}
 }
 
-// Guards against a member that is used although it was taken out, whatever discovery says, across a reload and a new
-// process; and against one that stays unused once it is called back.
+// TestExclusion guards against an excluded worker that is used, whatever discovery sends, across a reload and a new
+// process; and against one that stays unused once it is included again.
 func TestExclusion(t *testing.T) {
 	var w *harness
 	var runners []*runner
@@ -230,8 +230,8 @@
 	})
 }
 
-// Guards against asking a discovery that has no room before it said, or for more than has changed since; what is known
-// is served meanwhile.
+// TestDiscoveryOverloaded guards against a watch at an overloaded discovery before the time it named, or for more than
+// has changed since. The known list is served meanwhile.
 func TestDiscoveryOverloaded(t *testing.T) {
 	var w *harness
 	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith("s-1", "ok")(n, rw, r) })
--- a/internal/dispatcher/server/reload_test.go
+++ b/internal/dispatcher/server/reload_test.go
@@ -17,9 +17,9 @@
 	gm "cinderroad/internal/dispatcher/gearman"
 )
 
-// Guards against a program that ends on SIGHUP, takes half of a bad file, goes on watching the address of its
-// start's environment, or lets go of the list before the new address has spoken. A version of the old address
-// means nothing to the new one. All of it holds when it is repeated, and in a drain.
+// TestReload guards against a process that ends on SIGHUP, applies half of an invalid file, keeps watching the address of
+// its environment, or drops the list before the new address has answered. A version of the old address means nothing to
+// the new one. All of it holds when repeated, and while draining; so it is one scenario and one function.
 func TestReload(t *testing.T) {
 	var w *harness
 	var runners []*runner
@@ -68,7 +68,7 @@
 	w.configure("seed", "2", "name", "n9", "limits", map[string]any{"cores": 1, "memory_mb": 64, "sockets": 300})
 	w.reload("program: reloaded")
 	<-asked
-	w.discovery.CloseClientConnections() // the old address goes before the new one speaks
+	w.discovery.CloseClientConnections() // the old address ends before the new one answers
 	w.eventually("the old watch has ended", func() bool { return strings.Contains(w.log.String(), "watch ended") })
 	served("s-0")
 	w.mu.Lock()
@@ -84,7 +84,7 @@
 	if diff := cmp.Diff([]string{"", "stream=1&index=7"}, []string{<-queries, <-queries}); diff != "" {
 		t.Errorf("queries (-want +got):\n%s", diff)
 	}
-	w.reload("program: reloaded") // nothing has changed: nothing is asked anew
+	w.reload("program: reloaded") // nothing has changed: no new watch
 	served("s-1")
 	if text := w.log.String(); len(asked) > 0 || strings.Count(text, `"needs_restart": ["name"]`) != 2 {
 		t.Errorf("asked %d times more, log:\n%s", len(asked), text)
@@ -98,7 +98,7 @@
 	}
 }
 
-// Guards against a reload that passes the Gearman front by, or takes part of a bad operator's file.
+// TestReloadGearmanFile guards against a reload that skips the Gearman front, or applies part of an invalid file.
 func TestReloadGearmanFile(t *testing.T) {
 	g := startGearmanHarness(t, options{}, 5)
 	client := g.dial()
@@ -110,7 +110,7 @@
 			t.Fatalf("job %s: %v, %v", unique, p, ok)
 		}
 	}
-	submit("a", gm.JobCreated) // nobody works: it waits
+	submit("a", gm.JobCreated) // no worker: it waits
 	good, err := os.ReadFile(g.file)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dispatcher/server/reporting_test.go
+++ b/internal/dispatcher/server/reporting_test.go
@@ -22,16 +22,17 @@
 	"cinderroad/internal/testkit/receivers"
 )
 
-// telemetryHarness is what operators have beside the dispatchers: a carbon, a collectd, and a folder for each dispatcher.
+// telemetryHarness holds the receivers of metrics, a carbon and a collectd, and a directory for the dispatchers' files.
 type telemetryHarness struct {
 	t        *testing.T
 	carbon   *receivers.Carbon
-	pickle   bool // its form
+	pickle   bool // of its protocol
 	collectd *receivers.Collectd
 	dir      string
 }
 
 func newTelemetryHarness(t *testing.T, pickle bool) *telemetryHarness {
+	t.Helper()
 	s := &telemetryHarness{t: t, dir: t.TempDir(), pickle: pickle}
 	var err error
 	if s.carbon, err = receivers.NewCarbon("127.0.0.1:0", pickle); err != nil {
@@ -44,8 +45,9 @@
 	return s
 }
 
-// file writes a dispatcher's operator's file.
+// file writes the operator's file of a dispatcher.
 func (h *telemetryHarness) file(name string) (path string) {
+	h.t.Helper()
 	path = filepath.Join(h.dir, name+".toml")
 	spool := filepath.Join(h.dir, name+".spool")
 	if err := os.MkdirAll(spool, 0o700); err != nil {
@@ -62,20 +64,21 @@
 
 func (h *telemetryHarness) log(name string) string { return filepath.Join(h.dir, name+".log") }
 
-// args are the command line's; periods are short, so that many end in a story.
+// args returns the flags of a dispatcher. Periods are short, so that many end in one test.
 func (h *telemetryHarness) args(name string) []string {
 	return []string{"-operator", h.file(name), "-metrics-every", "0.2"}
 }
 
-// answers are the totals of a receiver over dispatchers, classes and verdicts.
+// answers returns the totals of a receiver over dispatchers, classes and verdicts.
 func answers(store *receivers.Store) float64 {
 	return store.Sum(func(series string) bool {
 		return strings.Contains(series, ".answers.") || strings.Contains(series, "_answers_")
 	})
 }
 
-// audit runs the command over logs and what a receiver has got.
+// audit runs the audit command over request logs and what a receiver has got.
 func (h *telemetryHarness) audit(store *receivers.Store, logs ...string) (out string, err error) {
+	h.t.Helper()
 	received := filepath.Join(h.dir, "received")
 	if err := store.WriteLines(received); err != nil {
 		h.t.Fatal(err)
@@ -89,6 +92,7 @@
 }
 
 func (h *telemetryHarness) lines(name string) (lines []requestlog.Line) {
+	h.t.Helper()
 	text, err := os.ReadFile(h.log(name))
 	if err != nil {
 		h.t.Fatal(err)
@@ -99,7 +103,8 @@
 	return lines
 }
 
-// workerGroup are runners that know under which names they are or were listed; what they tell under an older one is stray.
+// workerGroup is a group of runners that know the names under which they are or were listed. What they report under an
+// older one matches no attempt.
 type workerGroup struct {
 	harness  *harness
 	runners  []*runner
@@ -110,6 +115,7 @@
 }
 
 func newWorkerGroup(t *testing.T, n int, name string) *workerGroup {
+	t.Helper()
 	g := &workerGroup{revision: 1, client: &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	for i := range n {
 		g.names = append(g.names, []string{fmt.Sprintf("%s-%d", name, i)})
@@ -128,7 +134,7 @@
 				for _, uid := range names {
 					var r *http.Response
 					var err error
-					for range 3 { // a process that ends closes connections, and what was not answered is told again
+					for range 3 { // a process that ends closes connections, and unanswered callbacks are repeated
 						if r, err = g.client.Post("http://"+g.harness.addr+"/_jobs/news", "application/json", strings.NewReader(fmt.Sprintf(`{"id":%q,"from":%q,%s}`, id, uid, news))); err == nil {
 							break
 						}
@@ -155,7 +161,7 @@
 	return targets
 }
 
-// replaceWorkers gives half the runners new names, and lists them.
+// replaceWorkers lists half the runners under new names.
 func (g *workerGroup) replaceWorkers() {
 	g.mu.Lock()
 	g.revision++
@@ -168,7 +174,7 @@
 	g.harness.sendDiscoveryLine(fmt.Sprintf(`{"rev":%d,"all":true,"targets":[%s]}`, g.revision, strings.Join(g.targets(), ",")))
 }
 
-// requestJobs hands in jobs, some at a time, and counts the answers by status.
+// requestJobs submits jobs, some at a time, and counts the answers by status.
 func (g *workerGroup) requestJobs(jobs, together int, tally *[600]atomic.Int64) {
 	runConcurrently(jobs, together, func(n int64) {
 		status, _, _ := g.harness.requestJob([]string{"score", "charge", "once"}[n%3], 4000)
@@ -176,7 +182,7 @@
 	})
 }
 
-// byStatus lists how many answers had each status.
+// byStatus prints how many answers had each status.
 func byStatus(tally *[600]atomic.Int64) string {
 	var list []string
 	for status := range tally {
@@ -187,7 +193,7 @@
 	return strings.Join(list, ", ")
 }
 
-// runConcurrently does something so often, some at a time, with numbers that count down to 0.
+// runConcurrently calls do for each number below times, in descending order, on several goroutines, and waits for all.
 func runConcurrently(times, together int, do func(n int64)) {
 	var wg sync.WaitGroup
 	remaining := atomic.Int64{}
@@ -204,20 +210,21 @@
 	wg.Wait()
 }
 
-// 20,000 jobs through three dispatchers and both fronts, with one receiver away and the other silent in the midst, half of
-// the list renamed twice and one dispatcher upgraded: what the receivers have equals the request logs, answer for answer,
-// and equals what the clients got; every period of the outage is there; and names have not multiplied.
+// TestMetricsAndLogsAgree sends 20,000 jobs through three dispatchers and both fronts, while one receiver is away and the
+// other silent, half of the list is renamed twice and one dispatcher is upgraded. What the receivers have equals the
+// request logs, answer for answer, and equals what the clients got; every period of the outage is there; and series have
+// not multiplied. It is one scenario whose steps build on each other, and so one function.
 func TestMetricsAndLogsAgree(t *testing.T) {
 	s := newTelemetryHarness(t, false)
 	client := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	o := options{tempDir: t.TempDir(), args: s.args("n0"), cold: 0.001}
 	o.listen, o.inherit = inheritedListener(t)
-	var crews []*workerGroup
+	var groups []*workerGroup
 	for i, o := range []options{o, {name: "n1", args: s.args("n1"), cold: 0.001}} {
 		c := newWorkerGroup(t, 4, fmt.Sprint("runner-", i))
 		c.harness = startHarness(t, o, c.targets()...)
 		c.harness.client = client
-		crews = append(crews, c)
+		groups = append(groups, c)
 	}
 	g := startGearmanHarness(t, options{name: "n2", args: s.args("n2"), cold: 0.001}, 5)
 	for range 4 {
@@ -230,7 +237,7 @@
 	var gearman, gone atomic.Int64
 	parts := func(n int) { // of the jobs, on all dispatchers at once
 		var wg sync.WaitGroup
-		for _, c := range crews {
+		for _, c := range groups {
 			wg.Add(1)
 			go func() { defer wg.Done(); c.requestJobs(8000/n, 6, &tally) }()
 		}
@@ -256,10 +263,10 @@
 	s.carbon.Stop()
 	s.collectd.SetStalled(true)
 	parts(5)
-	for _, c := range crews {
+	for _, c := range groups {
 		c.replaceWorkers()
 	}
-	old := crews[0].harness
+	old := groups[0].harness
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() { defer wg.Done(); parts(5) }()
@@ -267,12 +274,12 @@
 	old.eventually("the old one leaves", func() bool { return strings.Contains(old.log.String(), "takes the clients") })
 	exit := old.terminate()
 	wg.Wait()
-	for _, c := range crews {
+	for _, c := range groups {
 		c.replaceWorkers()
 	}
 	s.collectd.SetStalled(false)
 	parts(5)
-	for i, c := range crews { // clients that leave
+	for i, c := range groups { // clients that disconnect
 		conn, err := net.Dial("tcp", c.harness.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -345,8 +352,9 @@
 	}
 }
 
-// agree compares the logs with what the clients got.
+// agree checks the request logs against what the clients got.
 func (h *telemetryHarness) agree(tally *[600]atomic.Int64, gone int64) {
+	h.t.Helper()
 	count := map[string]int64{}
 	ids := map[string]bool{}
 	for _, name := range []string{"n0", "n1", "n2"} {
@@ -362,7 +370,7 @@
 		}
 	}
 	for what, pair := range map[string][2]int64{
-		"served":  {tally[200].Load(), count["in_time"] + count["late"] - (gone - count["gone"])}, // one that left may have been served first
+		"served":  {tally[200].Load(), count["in_time"] + count["late"] - (gone - count["gone"])}, // one that disconnected may have been served first
 		"refused": {tally[503].Load(), count["refused"]}, "failed": {tally[500].Load(), count["failed"]}} {
 		if pair[0] != pair[1] {
 			h.t.Errorf("%s: clients got %d, the logs have %d", what, pair[0], pair[1])
@@ -373,7 +381,8 @@
 	}
 }
 
-// A restart goes on with the totals, a SIGKILL loses the open period alone, and the request log says what that was.
+// TestTotalsSurviveRestart: a restart continues the totals, a SIGKILL loses the open period alone, and the request log
+// has what that was.
 func TestTotalsSurviveRestart(t *testing.T) {
 	s := newTelemetryHarness(t, false)
 	c := newWorkerGroup(t, 2, "r")
@@ -409,7 +418,7 @@
 	}
 }
 
-// Without a spool a restart begins anew, shows it, and the growth is right all the same.
+// TestNoSpool: without a spool a restart begins at 0 and shows it, and the growth of the totals is right nevertheless.
 func TestNoSpool(t *testing.T) {
 	s := newTelemetryHarness(t, false)
 	c := newWorkerGroup(t, 2, "r")
@@ -435,7 +444,8 @@
 	}
 }
 
-// A reload moves the receiver and the log, all or nothing: a bad file changes nothing, and says where it is bad.
+// TestReloadReplacesReceiver: a reload replaces the receiver and the log, all or nothing. An invalid file changes
+// nothing, and the error names the line.
 func TestReloadReplacesReceiver(t *testing.T) {
 	s := newTelemetryHarness(t, true)
 	c := newWorkerGroup(t, 2, "r")
@@ -481,7 +491,7 @@
 	c.harness.reload("needs_restart\": [\"telemetry.node_series\"]")
 }
 
-// A log on a disk that stalls and a receiver that stalls cost no job anything.
+// TestStalledDiskAndReceiver: a request log on a stalled disk and a stalled receiver cost no job anything.
 func TestStalledDiskAndReceiver(t *testing.T) {
 	s := newTelemetryHarness(t, false)
 	c := newWorkerGroup(t, 2, "r")
@@ -511,7 +521,8 @@
 	})
 }
 
-// A spool that cannot be used is told and costs what it is for alone; a log that cannot be opened is an error at the start.
+// TestUnusableDirectories: a spool that cannot be used is logged and costs only its own function; a log that cannot be
+// opened is an error at the start.
 func TestUnusableDirectories(t *testing.T) {
 	s := newTelemetryHarness(t, false)
 	c := newWorkerGroup(t, 1, "r")
--- a/internal/dispatcher/server/upgrade_test.go
+++ b/internal/dispatcher/server/upgrade_test.go
@@ -16,8 +16,9 @@
 	"cinderroad/internal/dispatcher/handover"
 )
 
-// inheritedListener is a listening socket that somebody else holds, as a platform does over an upgrade.
+// inheritedListener returns a listening socket that another process holds open, as a platform does during an upgrade.
 func inheritedListener(t *testing.T) (addr string, file *os.File) {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -30,7 +31,7 @@
 	return l.Addr().String(), file
 }
 
-// upgradePath is where a process is found by the next.
+// upgradePath returns the socket at which a successor finds its predecessor.
 func upgradePath(o options) string {
 	return (&Config{tempDir: o.tempDir, Name: "n0", Listen: o.listen}).tempPath(".upgrade")
 }
@@ -42,7 +43,7 @@
 	}
 }
 
-// postJob writes a job on a connection, or what is left of it.
+// postJob writes a job, or what is left of it, on a connection.
 func postJob(c net.Conn, path, id, from string) string {
 	text := fmt.Sprintf("POST /score/%s HTTP/1.1\r\nX-Call-Id: %s\r\nX-Budget-Ms: 4900\r\n\r\n", path, id)
 	io.WriteString(c, text[len(from):])
@@ -59,8 +60,9 @@
 	io.Copy(io.Discard, r.Body)
 }
 
-// Guards against an upgrade that ends a client's connection, or a job, or a call-back's way to it; against a next
-// process that has forgotten who is out, and an old one that is not told; and against its working only once.
+// TestUpgrade guards against an upgrade that ends a client's connection, a job, or the path of its callback; against a
+// successor that forgets exclusions, and a predecessor that is not informed of them; and against upgrades that work only
+// once. Its steps build on each other, and so it is one function.
 func TestUpgrade(t *testing.T) {
 	var w *harness
 	release := make(chan bool)
@@ -104,16 +106,16 @@
 	served(t, "a session that was half way", half)
 	postJob(fresh, "a", "f0", "")
 	served(t, "a session that had said nothing", fresh)
-	next.callAdmin(200, "PUT", "/api/exclude", `{"member":"s-c"}`) // the old process is told, too
+	next.callAdmin(200, "PUT", "/api/exclude", `{"member":"s-c"}`) // the predecessor is informed, too
 	w.eventually("the old one obeys", func() bool { return strings.Contains(w.log.String(), `program: exclude	{"member": "s-c"}`) })
 	next.callAdmin(200, "PUT", "/api/include", `{"member":"s-c"}`)
-	for range 20 { // enough to find one that is used although it is out
+	for range 20 { // enough to find an excluded worker that is used
 		if status, _, _ := next.requestJob("score", 4000); status != 200 {
 			t.Errorf("the new one answered %d", status)
 		}
 	}
 	exit := w.terminate()
-	close(release) // the new process hears of the old one's job
+	close(release) // the successor gets the callback of its predecessor's job
 	served(t, "the job that was open", working)
 	if err := <-exit; err != nil {
 		t.Errorf("the old one's exit: %v", err)
@@ -140,8 +142,8 @@
 	})
 }
 
-// Guards against an upgrade that fails and leaves nobody to serve: the next process goes before and after it took the
-// clients, is of another version, or the old one is killed with a job open.
+// TestUpgradeFailure guards against a failed upgrade that leaves nobody to serve: the successor ends before or after it
+// took the clients over, is of another version, or the predecessor is killed with a job open.
 func TestUpgradeFailure(t *testing.T) {
 	var w *harness
 	mute := make(chan string, 9)
@@ -191,15 +193,15 @@
 	if got := readUntilClosed(working); got != "" {
 		t.Errorf("a job that died with its process was told %q", got)
 	}
-	next.reportResult("w0", "s-1", `"state":"done","result":"late"`) // nobody has it any more
+	next.reportResult("w0", "s-1", `"state":"done","result":"late"`) // no process has the job any more
 	serves(next, "the old one was killed")
 	next.cmd.Process.Kill()
 	next.cmd.Wait()
 	serves(next.startSuccessor(o), "both were killed") // a stale socket stands at the path
 }
 
-// Guards against a start that waits for ever: for a process that holds the path and says nothing or what makes no
-// sense, or for a discovery that is silent.
+// TestUpgradeFromUnresponsivePredecessor guards against a start that waits for ever: for a process that holds the path
+// and sends nothing or something malformed, or for a silent discovery.
 func TestUpgradeFromUnresponsivePredecessor(t *testing.T) {
 	for _, says := range []string{"", "R\x09", "nonsense", string(handover.AppendFrame(nil, handover.State, []byte(`{"out":{"a":{"at":-1}}}`)))} {
 		o := options{console: true, tempDir: filepath.Join(t.TempDir(), strings.Repeat("long", 50))} // longer than a socket's path may be
@@ -227,10 +229,10 @@
 	w.discovery.CloseClientConnections()
 	next := w.startSuccessor(o)
 	next.callAdmin(200, "GET", "/api/ready", "")
-	next.callAdmin(200, "PUT", "/api/exclude", `{"member":"s-1"}`) // the list is the old one's
+	next.callAdmin(200, "PUT", "/api/exclude", `{"member":"s-1"}`) // the list is the predecessor's
 }
 
-// readFrame reads frames until one of the kind.
+// readFrame reads frames until one of the kind, and returns its body.
 func readFrame(t *testing.T, c net.Conn, want handover.Kind) (body []byte) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -251,8 +253,8 @@
 	}
 }
 
-// Guards against a call-back that is answered before the process whose job it is has it, and against more sessions on
-// their way to the next process than it has taken: their sockets count for both.
+// TestUpgradeToASlowSuccessor guards against a callback that is answered before the process whose job it concerns has it,
+// and against more sessions in transit than the successor takes: their sockets count for both.
 func TestUpgradeToASlowSuccessor(t *testing.T) {
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(202) })
 	o := options{console: true, tempDir: t.TempDir()}
@@ -273,7 +275,7 @@
 	defer successor.Close()
 	successor.Write(handover.AppendFrame(handover.AppendFrame(nil, handover.Hello, []byte("{}")), handover.Takeover, []byte("{}")))
 	w.eventually("it leaves", func() bool { return strings.Contains(w.log.String(), "takes the clients") })
-	for _, c := range back { // those of the successor's stay unread
+	for _, c := range back { // the successor's stay unread
 		body := `{"id":"x","from":"s-1","state":"started"}`
 		fmt.Fprintf(c, "POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
@@ -296,7 +298,8 @@
 	})
 }
 
-// Guards against an upgrade that fails at the Gearman port, which this program binds itself, or loses a job there.
+// TestUpgradeOfTheGearmanFront guards against an upgrade that fails at the Gearman port, which the process binds itself,
+// or loses a job there.
 func TestUpgradeOfTheGearmanFront(t *testing.T) {
 	o := options{console: true, tempDir: t.TempDir(), cold: 0.001}
 	o.listen, o.inherit = inheritedListener(t)
@@ -330,14 +333,14 @@
 	}
 }
 
-// Guards against a next process that takes clients although the one before it was evacuated, and an order that only one
-// of the two hears.
+// TestUpgradeWhileEvacuated guards against a successor that takes clients although its predecessor was evacuated, and an
+// order that only one of the two receives.
 func TestUpgradeWhileEvacuated(t *testing.T) {
 	o := options{console: true, tempDir: t.TempDir()}
 	o.listen, o.inherit = inheritedListener(t)
 	w := startHarness(t, o)
 	w.callAdmin(200, "PUT", "/api/evacuate", "")
-	o.startOnly = true // it serves, and says no to whoever asks for its health
+	o.startOnly = true // it serves, but its health check fails
 	next := w.startSuccessor(o)
 	next.eventually("it takes over", func() bool {
 		return strings.Contains(w.log.String(), "takes the clients") && strings.Contains(next.log.String(), "program: serving")
@@ -348,7 +351,7 @@
 	if got := health(); !strings.HasPrefix(got, "HTTP/1.1 503") {
 		t.Errorf("health: %q", got)
 	}
-	w.callAdmin(200, "PUT", "/api/rejoin", "") // told the old one, which tells the new
+	w.callAdmin(200, "PUT", "/api/rejoin", "") // to the predecessor, which forwards it
 	if got := health(); !strings.HasPrefix(got, "HTTP/1.1 200") {
 		t.Errorf("health once back: %q", got)
 	}
