--- a/internal/testkit/receivers/address.go
+++ b/internal/testkit/receivers/address.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"net"
 	"sync"
+	"syscall"
 )
 
 const (
@@ -40,18 +41,28 @@
 	}
 	for range portBlock {
 		portRange.next = portRange.next%(portBlock-1) + 1
-		addr := fmt.Sprintf("127.0.0.1:%d", portRange.first+portRange.next)
-		l, err := net.Listen("tcp", addr)
-		if err != nil {
-			continue
+		address := fmt.Sprintf("127.0.0.1:%d", portRange.first+portRange.next)
+		if isFree(address) {
+			return address, nil
 		}
-		l.Close()
-		p, err := net.ListenPacket("udp", addr)
-		if err != nil {
-			continue
-		}
-		p.Close()
-		return addr, nil
 	}
 	return "", fmt.Errorf("receivers: no port is free from %d on", portRange.first)
 }
+
+// isFree reports whether an address can be bound for TCP and for UDP. No process is started meanwhile: until it executes
+// its program it would hold copies of the sockets opened here, which would keep the port occupied after they are closed.
+func isFree(address string) bool {
+	syscall.ForkLock.RLock()
+	defer syscall.ForkLock.RUnlock()
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return false
+	}
+	defer listener.Close()
+	packets, err := net.ListenPacket("udp", address)
+	if err != nil {
+		return false
+	}
+	packets.Close()
+	return true
+}
