--- a/internal/dispatcher/exporter/packet.go
+++ b/internal/dispatcher/exporter/packet.go
@@ -89,18 +89,18 @@
 func highResolution(ms int64) uint64 { return uint64(ms/1000)<<30 + uint64(ms%1000)<<30/1000 }
 
 // add adds a value; false, and nothing is added, if there is no room.
-func (p *packet) add(s telemetry.Series, timestamp int64, interval, v float64) bool {
+func (p *packet) add(series telemetry.Series, timestamp int64, interval, value float64) bool {
 	was := len(p.buffer)
 	b := p.buffer
 	if !p.hasValues {
 		b = appendText(appendText(b, partHost, p.host), partPlugin, "cinderroad")
 	}
-	if !p.hasValues || p.kind != s.Kind {
-		b = appendText(b, partType, typeOf(s.Kind))
+	if !p.hasValues || p.kind != series.Kind {
+		b = appendText(b, partType, typeOf(series.Kind))
 	}
-	b = appendPart(b, partTypeInstance, len(s.Name)+1)
-	for i := range len(s.Name) { // typeInstance without the allocation
-		c := s.Name[i]
+	b = appendPart(b, partTypeInstance, len(series.Name)+1)
+	for i := range len(series.Name) { // typeInstance without the allocation
+		c := series.Name[i]
 		if c == '.' {
 			c = '_'
 		}
@@ -114,16 +114,16 @@
 		b = appendNumber(b, partIntervalHR, uint64(interval*(1<<30)))
 	}
 	b = binary.BigEndian.AppendUint16(appendPart(b, partValues, 2+9), 1)
-	if s.Kind == telemetry.Counter {
-		b = binary.BigEndian.AppendUint64(append(b, valueDerive), uint64(int64(v)))
+	if series.Kind == telemetry.Counter {
+		b = binary.BigEndian.AppendUint64(append(b, valueDerive), uint64(int64(value)))
 	} else {
-		b = binary.LittleEndian.AppendUint64(append(b, valueGauge), math.Float64bits(v))
+		b = binary.LittleEndian.AppendUint64(append(b, valueGauge), math.Float64bits(value))
 	}
 	if len(b) > packetSize {
 		p.buffer = b[:was]
 		return false
 	}
-	p.buffer, p.hasValues, p.kind, p.timestamp, p.interval = b, true, s.Kind, timestamp, interval
+	p.buffer, p.hasValues, p.kind, p.timestamp, p.interval = b, true, series.Kind, timestamp, interval
 	return true
 }
 
--- a/internal/dispatcher/spool/spool.go
+++ b/internal/dispatcher/spool/spool.go
@@ -68,14 +68,14 @@
 
 // AppendPeriod queues a closed period, with the names and slot assignments that its file needs. done is called
 // exactly once, on any goroutine, when the period is on disk or given up.
-func (s *Spool) AppendPeriod(p *telemetry.Period, assignments []telemetry.SlotAssignment, done func()) {
+func (s *Spool) AppendPeriod(period *telemetry.Period, assignments []telemetry.SlotAssignment, done func()) {
 	var records []record
-	if s.table != p.Table || s.fileBytes >= s.maxBytes/maxFiles {
-		s.table, s.namedSeries, s.slots, s.fileBytes = p.Table, 0, nil, 0
+	if s.table != period.Table || s.fileBytes >= s.maxBytes/maxFiles {
+		s.table, s.namedSeries, s.slots, s.fileBytes = period.Table, 0, nil, 0
 		records = append(records, record{newFile: true})
 	}
-	if n := p.Table.Len(); n > s.namedSeries {
-		body, err := json.Marshal(nameRecord{s.namedSeries, p.Table.From(s.namedSeries)})
+	if n := period.Table.Len(); n > s.namedSeries {
+		body, err := json.Marshal(nameRecord{s.namedSeries, period.Table.From(s.namedSeries)})
 		if err != nil {
 			s.recordError(err)
 			done()
@@ -88,9 +88,9 @@
 		s.slots = body
 		records = append(records, record{kind: kindSlots, body: body})
 	}
-	body := binary.BigEndian.AppendUint64(nil, uint64(p.Timestamp))
-	body = binary.BigEndian.AppendUint64(body, uint64(p.Interval*1000))
-	records = append(records, record{kind: kindPeriod, body: append(body, p.EncodedValues...), done: done})
+	body := binary.BigEndian.AppendUint64(nil, uint64(period.Timestamp))
+	body = binary.BigEndian.AppendUint64(body, uint64(period.Interval*1000))
+	records = append(records, record{kind: kindPeriod, body: append(body, period.EncodedValues...), done: done})
 	if !s.enqueue(records) { // the next period must not depend on names that aren't on disk
 		s.table = nil
 		done()
--- a/internal/dispatcher/telemetry/histogram.go
+++ b/internal/dispatcher/telemetry/histogram.go
@@ -13,8 +13,8 @@
 
 // quantiles are the quantiles in series; the last one is the maximum.
 var quantiles = [...]struct {
-	name string
-	q    float64
+	name    string
+	percent float64
 }{{"p50", 50}, {"p90", 90}, {"p99", 99}, {"p99_9", 99.9}, {"max", 100}}
 
 // histogram is the latency distribution of the open period.
@@ -38,10 +38,10 @@
 	for i, q := range quantiles {
 		values[h.firstSeries+i] = noValue
 		switch {
-		case some && q.q == 100:
+		case some && q.percent == 100:
 			values[h.firstSeries+i] = float64(h.values.Max()) / 1e3
 		case some:
-			values[h.firstSeries+i] = float64(h.values.ValueAtQuantile(q.q)) / 1e3
+			values[h.firstSeries+i] = float64(h.values.ValueAtQuantile(q.percent)) / 1e3
 		}
 	}
 	if some {
--- a/internal/dispatcher/telemetry/nodegauges.go
+++ b/internal/dispatcher/telemetry/nodegauges.go
@@ -36,13 +36,13 @@
 	return end < len(n.ordered)
 }
 
-func (n *nodes) writeGauges(s *Set, slots []*nodeSlot) {
+func (n *nodes) writeGauges(set *Set, slots []*nodeSlot) {
 	now := noValue
-	if s.options.Now != nil {
-		now = s.options.Now()
+	if set.options.Now != nil {
+		now = set.options.Now()
 	}
 	for _, slot := range slots {
-		v := s.values[slot.firstSeries : slot.firstSeries+nodeSeriesCount]
+		v := set.values[slot.firstSeries : slot.firstSeries+nodeSeriesCount]
 		for i := nodeState; i < nodeSeriesCount; i++ {
 			v[i] = noValue
 		}
@@ -56,10 +56,10 @@
 		if slot.probedAt > 0 {
 			v[nodeProbedInFlight], v[nodeProbeAge] = slot.probed, math.Max(0, now-slot.probedAt)
 		}
-		if s.options.WorkerStatus == nil {
+		if set.options.WorkerStatus == nil {
 			continue
 		}
-		st, ok := s.options.WorkerStatus(slot.worker)
+		st, ok := set.options.WorkerStatus(slot.worker)
 		if !ok {
 			continue
 		}
--- a/internal/dispatcher/telemetry/nodes.go
+++ b/internal/dispatcher/telemetry/nodes.go
@@ -50,12 +50,12 @@
 		s.describe(d)
 	}
 	for _, d := range []struct {
-		to *int
-		d  SeriesDoc
+		index *int
+		doc   SeriesDoc
 	}{{&n.unplaced, SeriesDoc{"nodes_unplaced.ended", Counter, "attempts", "Attempts that ended at a node which holds no slot: it has left, and another has its slot, or there were too many."}},
 		{&n.excess, SeriesDoc{"nodes_unplaced.nodes", Gauge, "nodes", "Listed nodes without series, since there are too many."}}} {
-		s.describe(d.d)
-		*d.to = s.add(d.d.Pattern, d.d.Kind)
+		s.describe(d.doc)
+		*d.index = s.add(d.doc.Pattern, d.doc.Kind)
 	}
 }
 
@@ -159,18 +159,18 @@
 	slot.state = member.State
 }
 
-func (n *nodes) countAttempt(s *Set, attempt *dispatch.AttemptRecord) {
-	if s.options.MaxNodes == 0 {
+func (n *nodes) countAttempt(set *Set, attempt *dispatch.AttemptRecord) {
+	if set.options.MaxNodes == 0 {
 		return
 	}
 	slot := n.byWorker[attempt.Worker]
 	if slot == nil || slot.node != attempt.MemberName {
-		s.values[n.unplaced]++
+		set.values[n.unplaced]++
 		return
 	}
-	s.values[slot.firstSeries+nodeEnded]++
+	set.values[slot.firstSeries+nodeEnded]++
 	if attempt.Result == loadbalancer.OK {
-		s.values[slot.firstSeries+nodeOK]++
+		set.values[slot.firstSeries+nodeOK]++
 	}
 }
 
--- a/internal/testkit/processcluster/cluster.go
+++ b/internal/testkit/processcluster/cluster.go
@@ -66,28 +66,28 @@
 }
 
 // Start starts a cluster, and the members' processes unless StartNone is set. It is stopped by t.Cleanup.
-func Start(t testing.TB, o Options) *Cluster {
+func Start(t testing.TB, options Options) *Cluster {
 	t.Helper()
-	o.setDefaults()
+	options.setDefaults()
 	dir, err := os.MkdirTemp("", "rig-")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &Cluster{Options: o, TB: t, dir: dir, start: time.Now()}
+	c := &Cluster{Options: options, TB: t, dir: dir, start: time.Now()}
 	if c.log, err = os.Create(filepath.Join(dir, "rig.log")); err != nil {
 		t.Fatal(err)
 	}
 	c.jobs.init()
 	t.Cleanup(c.end)
 	c.Discovery = newDiscovery(c)
-	for i := range o.Runners {
+	for i := range options.Runners {
 		c.Runners = append(c.Runners, newRunner(c, i))
 	}
-	for range o.Members {
+	for range options.Members {
 		c.AddMember()
 	}
 	c.Discovery.Publish()
-	if !o.StartNone {
+	if !options.StartNone {
 		for _, m := range c.Members {
 			m.Start()
 		}
--- a/internal/testkit/receivers/store.go
+++ b/internal/testkit/receivers/store.go
@@ -140,18 +140,18 @@
 func (s *Store) CounterIncrease(series string) (sum float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	type at struct{ at, v float64 }
-	var all []at
-	for t, v := range s.series[series] {
-		all = append(all, at{t, v})
+	type sample struct{ time, value float64 }
+	var all []sample
+	for at, value := range s.series[series] {
+		all = append(all, sample{at, value})
 	}
-	slices.SortFunc(all, func(x, y at) int { return cmp.Compare(x.at, y.at) })
+	slices.SortFunc(all, func(x, y sample) int { return cmp.Compare(x.time, y.time) })
 	last := 0.0
 	for _, p := range all {
-		if p.v < last {
+		if p.value < last {
 			last = 0
 		}
-		sum, last = sum+p.v-last, p.v
+		sum, last = sum+p.value-last, p.value
 	}
 	return sum
 }
--- a/internal/testkit/runner/serve.go
+++ b/internal/testkit/runner/serve.go
@@ -60,15 +60,15 @@
 	w.WriteHeader(status)
 }
 
-func (r *Runner) serveRequest(w http.ResponseWriter, request *http.Request, connection *conn) {
+func (r *Runner) serveRequest(writer http.ResponseWriter, request *http.Request, connection *conn) {
 	attemptID := request.Header.Get(answer.HeaderAttemptID)
 	if attemptID != "" {
-		w.Header().Set(answer.HeaderAttemptID, attemptID)
+		writer.Header().Set(answer.HeaderAttemptID, attemptID)
 	}
 	if wanted := request.Header.Get(answer.HeaderWantedServer); wanted != "" && wanted != r.options.ID || !r.hasVersion(request) {
 		r.updateStats(func(s *Stats) { s.Misdirected++ })
-		w.Header().Set(answer.HeaderServerID, r.options.ID)
-		w.WriteHeader(http.StatusMisdirectedRequest)
+		writer.Header().Set(answer.HeaderServerID, r.options.ID)
+		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	body, err := io.ReadAll(request.Body)
@@ -76,7 +76,7 @@
 		return // the caller disconnected
 	}
 	if attemptID == "" {
-		r.sendNotExecuted(w, http.StatusBadRequest)
+		r.sendNotExecuted(writer, http.StatusBadRequest)
 		return
 	}
 	if r.options.Checker != nil {
@@ -85,14 +85,14 @@
 	}
 	execution, ok := r.submit(request, attemptID)
 	if !ok {
-		r.sendNotExecuted(w, http.StatusServiceUnavailable)
+		r.sendNotExecuted(writer, http.StatusServiceUnavailable)
 		return
 	}
 	if execution == nil { // overloaded
 		reset(connection.Conn)
 		return
 	}
-	execution.writer, execution.conn = w, connection
+	execution.writer, execution.conn = writer, connection
 	r.sendAnswer(execution, request)
 }
 
--- a/internal/testkit/virtualcluster/network.go
+++ b/internal/testkit/virtualcluster/network.go
@@ -154,20 +154,20 @@
 	}
 }
 
-func (network *Network) send(from *Node, p membership.Packet) {
+func (network *Network) send(from *Node, packet membership.Packet) {
 	from.Sent++
 	if network.EncodeEvery > 0 {
 		if network.messageCount%network.EncodeEvery == 0 {
-			b, err := membership.Encode(p.Message)
+			b, err := membership.Encode(packet.Message)
 			if err != nil {
-				panic(fmt.Sprintf("seed %d: %v: %+v", network.Seed, err, p.Message))
+				panic(fmt.Sprintf("seed %d: %v: %+v", network.Seed, err, packet.Message))
 			}
 			network.lastMessageSize = float64(len(b))
 		}
 		network.messageCount++
 		from.Bytes += network.lastMessageSize
 	}
-	to := network.nodesByAddress[p.To]
+	to := network.nodesByAddress[packet.To]
 	if to == nil || network.Partitioned != nil && network.Partitioned(from, to) {
 		return
 	}
@@ -177,7 +177,7 @@
 	}
 	for range 2 {
 		if drop == 0 || network.random.Float64() >= drop {
-			network.pushEvent(event{at: network.Now + network.Delay + network.Jitter*network.random.Float64() + to.ProcessingDelay, node: to, message: p.Message})
+			network.pushEvent(event{at: network.Now + network.Delay + network.Jitter*network.random.Float64() + to.ProcessingDelay, node: to, message: packet.Message})
 		}
 		if network.DuplicateRate == 0 || network.random.Float64() >= network.DuplicateRate {
 			break
