--- a/internal/dispatcher/cluster/jobreplica/copies_test.go
+++ b/internal/dispatcher/cluster/jobreplica/copies_test.go
@@ -134,7 +134,7 @@
 }
 
 // Runs for mutations: what is told must hold whichever one message is spoilt.
-var scenarios = map[string]func(w *simulation){
+var mutationScenarios = map[string]func(w *simulation){
 	"the leader is killed": func(w *simulation) {
 		w.submitJob("a", jobstate.Unsafe)
 		w.submitJob("b", jobstate.Keyed)
@@ -197,7 +197,7 @@
 var toleratedForgeries = map[string]bool{"forged index": true, "forged sender": true, "forged reject": true}
 
 func TestToleratesAnyMutatedMessage(t *testing.T) {
-	for name, scenario := range scenarios {
+	for name, scenario := range mutationScenarios {
 		t.Run(name, func(t *testing.T) {
 			options := mutate.Options{Delays: []float64{0.3, 1.5, 9}, Stride: 37, Parallelism: 6, OtherMembers: []uint64{1, 2, 3, 4}, Variants: jobreplica.ForgeVariants}
 			if *mutateAll {
--- a/internal/dispatcher/cluster/jobreplica/cost_test.go
+++ b/internal/dispatcher/cluster/jobreplica/cost_test.go
@@ -17,11 +17,11 @@
 				members = append(members, jobreplica.Member{ID: uint64(i + 1), Name: fmt.Sprint(i), Host: fmt.Sprint(i)})
 			}
 			byID, fragmenters, now := map[uint64]*jobreplica.Replica{}, map[uint64]*jobreplica.Fragmenter{}, 0.0
-			for _, m := range members {
+			for _, member := range members {
 				state := &plantedStateMachine{jobstate.New(jobstate.Limits{TotalBytes: 1 << 30, TenantBytes: 1 << 30, JobBytes: 1 << 20, ResultRetentionMS: 1000}), &simulation{}}
-				byID[m.ID] = jobreplica.New(now, jobreplica.Options{Self: m, Seed: m.ID, Replicas: replicas, StateMachine: state, ElectionTimeout: 1, HeartbeatInterval: 0.1, ReplaceAfter: 30, CompactionThreshold: 1 << 20, MaxCommandBytes: 1 << 16})
-				fragmenters[m.ID] = jobreplica.NewFragmenter("test", m.ID, 1<<20)
-				if err := byID[m.ID].Bootstrap(members); err != nil {
+				byID[member.ID] = jobreplica.New(now, jobreplica.Options{Self: member, Seed: member.ID, Replicas: replicas, StateMachine: state, ElectionTimeout: 1, HeartbeatInterval: 0.1, ReplaceAfter: 30, CompactionThreshold: 1 << 20, MaxCommandBytes: 1 << 16})
+				fragmenters[member.ID] = jobreplica.NewFragmenter("test", member.ID, 1<<20)
+				if err := byID[member.ID].Bootstrap(members); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -29,16 +29,16 @@
 			deliverAll := func() {
 				for moved := true; moved; {
 					moved = false
-					for _, m := range members {
-						out, _ := byID[m.ID].TakeOutput()
-						for _, o := range out {
-							for _, d := range fragmenters[m.ID].Fragment(o) {
+					for _, member := range members {
+						out, _ := byID[member.ID].TakeOutput()
+						for _, outgoing := range out {
+							for _, datagram := range fragmenters[member.ID].Fragment(outgoing) {
 								moved = true
-								datagrams, bytes = datagrams+1, bytes+len(d)
-								if message, err := fragmenters[o.To].Reassemble(d); err != nil {
+								datagrams, bytes = datagrams+1, bytes+len(datagram)
+								if message, err := fragmenters[outgoing.To].Reassemble(datagram); err != nil {
 									b.Fatal(err)
 								} else if message != nil {
-									byID[o.To].Step(now, message)
+									byID[outgoing.To].Step(now, message)
 								}
 							}
 						}
@@ -48,11 +48,11 @@
 			var leader *jobreplica.Replica
 			for leader == nil {
 				now += 0.05
-				for _, m := range members {
-					byID[m.ID].Tick(now)
+				for _, member := range members {
+					byID[member.ID].Tick(now)
 					deliverAll()
-					if byID[m.ID].IsLeader() {
-						leader = byID[m.ID]
+					if byID[member.ID].IsLeader() {
+						leader = byID[member.ID]
 					}
 				}
 			}
--- a/internal/dispatcher/cluster/jobreplica/export_test.go
+++ b/internal/dispatcher/cluster/jobreplica/export_test.go
@@ -27,16 +27,16 @@
 	other.Data = original.Data[:len(original.Data)/2]
 	add("half", other)
 	for what, change := range forgeries {
-		e, err := decodeEnvelope(original.Data)
+		decoded, err := decodeEnvelope(original.Data)
 		if err != nil {
 			return forged
 		}
-		if e.kind != kindConsensus {
+		if decoded.kind != kindConsensus {
 			continue
 		}
-		change(&e.message)
+		change(&decoded.message)
 		other := original
-		other.Data = e.encode()
+		other.Data = decoded.encode()
 		add(what, other)
 	}
 	forgeEnvelopes(original, add)
@@ -68,18 +68,20 @@
 
 // forgeEnvelopes lies in the messages that are not the agreement's.
 func forgeEnvelopes(original fragment, add func(what string, original fragment)) {
-	e, err := decodeEnvelope(original.Data)
-	if err != nil || e.kind == kindConsensus {
+	decoded, err := decodeEnvelope(original.Data)
+	if err != nil || decoded.kind == kindConsensus {
 		return
 	}
-	with := func(what string, change func(e *envelope)) {
-		e, _ := decodeEnvelope(original.Data)
-		change(e)
+	with := func(what string, change func(decoded *envelope)) {
+		decoded, _ := decodeEnvelope(original.Data)
+		change(decoded)
 		other := original
-		other.Data = e.encode()
+		other.Data = decoded.encode()
 		add(what, other)
 	}
-	with("sender", func(e *envelope) { e.from = e.from%4 + 1 })
-	with("command", func(e *envelope) { e.command = append([]byte(nil), e.command[:len(e.command)/2]...) })
-	with("told index", func(e *envelope) { e.appliedIndex = math.MaxUint64 })
+	with("sender", func(decoded *envelope) { decoded.from = decoded.from%4 + 1 })
+	with("command", func(decoded *envelope) {
+		decoded.command = append([]byte(nil), decoded.command[:len(decoded.command)/2]...)
+	})
+	with("told index", func(decoded *envelope) { decoded.appliedIndex = math.MaxUint64 })
 }
--- a/internal/dispatcher/cluster/jobreplica/world_test.go
+++ b/internal/dispatcher/cluster/jobreplica/world_test.go
@@ -114,10 +114,10 @@
 	host.heldDatagrams, host.paused = nil, false
 	host.replica = jobreplica.New(sim.now, jobreplica.Options{Self: host.member, Seed: sim.lastIncarnation, Replicas: sim.replicaCount, StateMachine: &plantedStateMachine{host.state, sim}, ElectionTimeout: 1, HeartbeatInterval: 0.1, ReplaceAfter: 8,
 		CompactionThreshold: 64, MaxCommandBytes: 64 << 10})
-	life := host.generation
+	generation := host.generation
 	var tick func()
 	tick = func() {
-		if host.generation != life || host.replica == nil {
+		if host.generation != generation || host.replica == nil {
 			return
 		}
 		if !host.paused {
@@ -142,9 +142,9 @@
 
 func (sim *simulation) resume(host *simulatedHost) {
 	host.paused = false
-	held := host.heldDatagrams
+	datagrams := host.heldDatagrams
 	host.heldDatagrams = nil
-	for _, datagram := range held {
+	for _, datagram := range datagrams {
 		sim.receive(host, datagram)
 	}
 }
@@ -179,29 +179,29 @@
 		sim.fail("%s counts %d copies of %d", host.member.Name, len(voters), sim.replicaCount)
 	}
 	outgoing, applied := host.replica.TakeOutput()
-	for _, a := range applied {
-		if sim.committed[a.Index] == 0 {
-			sim.committed[a.Index] = xxhash.Sum64(a.Command)
-		} else if sim.committed[a.Index] != xxhash.Sum64(a.Command) {
-			sim.fail("place %d of the log differs at %s", a.Index, host.member.Name)
+	for _, entry := range applied {
+		if sim.committed[entry.Index] == 0 {
+			sim.committed[entry.Index] = xxhash.Sum64(entry.Command)
+		} else if sim.committed[entry.Index] != xxhash.Sum64(entry.Command) {
+			sim.fail("place %d of the log differs at %s", entry.Index, host.member.Name)
 		}
-		sim.handleApplied(host, a)
+		sim.handleApplied(host, entry)
 	}
-	for _, o := range outgoing {
-		for _, datagram := range host.fragmenter.Fragment(o) {
-			sim.send(host, o.To, datagram)
+	for _, message := range outgoing {
+		for _, datagram := range host.fragmenter.Fragment(message) {
+			sim.send(host, message.To, datagram)
 		}
 	}
-	for _, o := range host.fragmenter.Tick(sim.now) {
-		sim.send(host, o.To, o.Data)
+	for _, message := range host.fragmenter.Tick(sim.now) {
+		sim.send(host, message.To, message.Data)
 	}
 }
 
 func (sim *simulation) send(host *simulatedHost, to uint64, datagram []byte) {
-	n := sim.sentMessages
+	number := sim.sentMessages
 	sim.sentMessages++
-	for _, d := range sim.tamper(n, mutate.Message{From: host.member.ID, To: to, Data: datagram}) {
-		sim.deliver(host, d)
+	for _, delivery := range sim.tamper(number, mutate.Message{From: host.member.ID, To: to, Data: datagram}) {
+		sim.deliver(host, delivery)
 	}
 }
 
@@ -211,10 +211,10 @@
 		if to.member.ID != delivery.To || to.replica == nil || sim.rng.Float64() < sim.dropRate || sim.partitioned != nil && sim.partitioned(from.index, to.index) {
 			continue
 		}
-		life := to.generation
+		generation := to.generation
 		sim.schedule(sim.now+delay, func() {
 			switch {
-			case to.generation != life || to.replica == nil:
+			case to.generation != generation || to.replica == nil:
 			case to.paused:
 				to.heldDatagrams = append(to.heldDatagrams, delivery.Data)
 			default:
@@ -294,13 +294,13 @@
 // runJob is the first byte going out: a worker of the group runs the job, and tells its end a while later to who sent it.
 func (sim *simulation) runJob(host *simulatedHost, job jobstate.Job, command jobstate.Command) {
 	sim.checkRun(job, workerRun{command.WorkerGroup, job.FencingToken, sim.now})
-	if previous, is := sim.owners[job.ID]; is {
+	if previous, owned := sim.owners[job.ID]; owned {
 		sim.fail("job %d is sent by %s while %s has it", job.ID, sim.ownerName(host), previous)
 	}
 	sim.owners[job.ID] = sim.ownerName(host)
 	sim.runs[job.ID] = append(sim.runs[job.ID], workerRun{command.WorkerGroup, job.FencingToken, sim.now})
-	life := host.generation
-	sim.schedule(sim.now+0.2+sim.rng.Float64(), func() { sim.proposeEnd(host, life, job.ID, job.FencingToken) })
+	generation := host.generation
+	sim.schedule(sim.now+0.2+sim.rng.Float64(), func() { sim.proposeEnd(host, generation, job.ID, job.FencingToken) })
 }
 
 // checkRun is P7 by the workers' own books.
@@ -316,16 +316,16 @@
 }
 
 // proposeEnd has the sender say the end until it is agreed.
-func (sim *simulation) proposeEnd(host *simulatedHost, life int, id, fence uint64) {
-	if host.generation != life || host.replica == nil || sim.finalStates[id] != 0 {
+func (sim *simulation) proposeEnd(host *simulatedHost, generation int, id, fencingToken uint64) {
+	if host.generation != generation || host.replica == nil || sim.finalStates[id] != 0 {
 		return
 	}
 	if !host.paused {
-		command := jobstate.Command{Kind: jobstate.CommandEnd, TimeMS: int64(sim.now * 1000), Proposer: sim.ownerName(host), ID: id, FencingToken: fence, Data: []byte("done")}
+		command := jobstate.Command{Kind: jobstate.CommandEnd, TimeMS: int64(sim.now * 1000), Proposer: sim.ownerName(host), ID: id, FencingToken: fencingToken, Data: []byte("done")}
 		host.replica.Propose(sim.now, command.Encode())
 		sim.processOutput(host)
 	}
-	sim.schedule(sim.now+0.7, func() { sim.proposeEnd(host, life, id, fence) })
+	sim.schedule(sim.now+0.7, func() { sim.proposeEnd(host, generation, id, fencingToken) })
 }
 
 // dispatchJobs has each member send what waits, and the leader give up what was sent by lives that are gone.
@@ -363,8 +363,8 @@
 			alive[sim.ownerName(other)] = true
 		}
 	}
-	for id := range sim.acknowledged {
-		job := host.state.FindByKey("t", id)
+	for key := range sim.acknowledged {
+		job := host.state.FindByKey("t", key)
 		if job != nil && job.State == jobstate.Sent && !alive[job.Owner] {
 			command := jobstate.Command{Kind: jobstate.CommandAbandon, TimeMS: int64(sim.now * 1000), Proposer: sim.ownerName(host), ID: job.ID, FencingToken: job.FencingToken}
 			host.replica.Propose(sim.now, command.Encode())
@@ -375,8 +375,8 @@
 
 func (sim *simulation) runUntil(until float64) {
 	for sim.violation == nil {
-		at, do, is := sim.events.PopUntil(until)
-		if !is {
+		at, do, ok := sim.events.PopUntil(until)
+		if !ok {
 			break
 		}
 		sim.now = at
