--- a/internal/dispatcher/cluster/jobreplica/compatibility_test.go
+++ b/internal/dispatcher/cluster/jobreplica/compatibility_test.go
@@ -9,7 +9,7 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// TestReadsEnvelopes: messages between copies, one of each kind. Package compatibility records their datagrams.
+// TestReadsEnvelopes: messages between replicas, one of each kind. Package compatibility records their datagrams.
 func TestReadsEnvelopes(t *testing.T) {
 	for name, e := range map[string]*envelope{
 		"agreement": {kind: kindConsensus, from: 1, to: 1 << 63, message: consensus.Message{Kind: consensus.MessageVote, From: 1, To: 1 << 63, Term: 3}},
@@ -27,7 +27,7 @@
 	}
 }
 
-// TestRequestsMissingFragments: what a receiver asks for where a page was lost, and what comes of it.
+// TestRequestsMissingFragments: a receiver requests a lost fragment, and the sender sends it again.
 func TestRequestsMissingFragments(t *testing.T) {
 	sender, receiver := NewFragmenter("fleet", 1, 1<<20), NewFragmenter("fleet", 2, 1<<20)
 	message := make([]byte, 2*fragmentBytes)
@@ -44,7 +44,7 @@
 	}
 	resent := sender.Tick(1)
 	if len(resent) != 1 {
-		t.Fatalf("%d pages again", len(resent))
+		t.Fatalf("%d fragments sent again", len(resent))
 	}
 	got, err := receiver.Reassemble(resent[0].Data)
 	if err != nil || len(got) != len(message) {
--- a/internal/dispatcher/cluster/jobreplica/export_test.go
+++ b/internal/dispatcher/cluster/jobreplica/export_test.go
@@ -6,16 +6,17 @@
 	"cinderroad/internal/system/consensus"
 )
 
-// ForgeVariants makes other valid datagrams of one that holds a whole message, their checksums right: what a copy that lies could
-// send.
+// ForgeVariants makes other valid datagrams, with correct checksums, of one that holds a complete message: what a faulty or
+// malicious replica could send. The names decide the order of the mutations, and so which of them a stride of
+// mutate.Options plays.
 func ForgeVariants(datagram []byte) map[string][]byte {
 	var original fragment
 	if fragmentDecoder.Unmarshal(datagram[datagramHeaderBytes:], &original) != nil || original.Count != 1 {
 		return nil
 	}
 	forged := map[string][]byte{}
-	add := func(what string, original fragment) {
-		forged[what] = encodeFragment(&original)
+	add := func(name string, part fragment) {
+		forged[name] = encodeFragment(&part)
 	}
 	other := original
 	other.Cluster = "another"
@@ -26,7 +27,7 @@
 	other = original
 	other.Data = original.Data[:len(original.Data)/2]
 	add("half", other)
-	for what, change := range forgeries {
+	for name, change := range forgeries {
 		decoded, err := decodeEnvelope(original.Data)
 		if err != nil {
 			return forged
@@ -37,13 +38,13 @@
 		change(&decoded.message)
 		other := original
 		other.Data = decoded.encode()
-		add(what, other)
+		add(name, other)
 	}
 	forgeEnvelopes(original, add)
 	return forged
 }
 
-// forgeries are lies in messages of the agreement.
+// forgeries change messages of the consensus.
 var forgeries = map[string]func(m *consensus.Message){
 	"older term": func(m *consensus.Message) { m.Term = max(m.Term, 1) - 1 },
 	"newer term": func(m *consensus.Message) { m.Term++ },
@@ -66,18 +67,18 @@
 	},
 }
 
-// forgeEnvelopes lies in the messages that are not the agreement's.
-func forgeEnvelopes(original fragment, add func(what string, original fragment)) {
+// forgeEnvelopes changes the other messages.
+func forgeEnvelopes(original fragment, add func(name string, original fragment)) {
 	decoded, err := decodeEnvelope(original.Data)
 	if err != nil || decoded.kind == kindConsensus {
 		return
 	}
-	with := func(what string, change func(decoded *envelope)) {
+	with := func(name string, change func(decoded *envelope)) {
 		decoded, _ := decodeEnvelope(original.Data)
 		change(decoded)
 		other := original
 		other.Data = decoded.encode()
-		add(what, other)
+		add(name, other)
 	}
 	with("sender", func(decoded *envelope) { decoded.from = decoded.from%4 + 1 })
 	with("command", func(decoded *envelope) {
