--- a/internal/dispatcher/server/audit_log.go
+++ b/internal/dispatcher/server/audit_log.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// closeAuditLog writes the last entry and closes the log, in the background if the loop must go on meanwhile.
+// closeAuditLog writes the last entry and closes the log. It waits for the disk unless inBackground is set, as it must be
+// while the loop runs; nothing waits for a close in the background.
 func (s *Server) closeAuditLog(inBackground bool) {
 	if s.auditLog == nil {
 		return
--- a/internal/dispatcher/server/cluster.go
+++ b/internal/dispatcher/server/cluster.go
@@ -49,7 +49,7 @@
 // setInstanceShare applies the number of dispatchers and this one's share of cold workers.
 func (s *Server) setInstanceShare(share quota.Share) {
 	if err := s.dispatcher.SetInstanceShare(loadbalancer.InstanceShare{Instances: share.Instances, Instance: share.Index, BudgetShare: share.Fraction, InstanceKeys: share.Keys}); err != nil {
-		s.log.Error("program: place not taken", zap.Error(err))
+		s.log.Error("program: instance share not applied", zap.Error(err))
 		return
 	}
 	s.discovery.Instances = share.Instances
@@ -78,13 +78,13 @@
 		return
 	}
 	s.metadata.Serving = s.servingState()
-	if out := s.exclusionsHash(); out != s.metadata.ExcludedHash {
-		s.metadata.ExcludedHash, s.metadata.ExcludedAt = out, uint32(s.loop.Now())
-		s.recordAudit(auditlog.Entry{Kind: auditlog.ExclusionsChanged, Digest: out, Members: len(s.dispatcher.Exclusions())})
+	if hash := s.exclusionsHash(); hash != s.metadata.ExcludedHash {
+		s.metadata.ExcludedHash, s.metadata.ExcludedAt = hash, uint32(s.loop.Now())
+		s.recordAudit(auditlog.Entry{Kind: auditlog.ExclusionsChanged, Digest: hash, Members: len(s.dispatcher.Exclusions())})
 	}
 	s.cluster.SetMetadata(s.metadata)
 	s.flushAuditLog()
-	if out := s.dispatcher.Counts(); s.front.EvacuatedSince() > 0 && out.OpenRequests == 0 && out.OpenAttempts == 0 {
+	if counts := s.dispatcher.Counts(); s.front.EvacuatedSince() > 0 && counts.OpenRequests == 0 && counts.OpenAttempts == 0 {
 		if !s.leftCluster {
 			s.leftCluster = true
 			s.cluster.Leave()
--- a/internal/dispatcher/server/cluster_audit_test.go
+++ b/internal/dispatcher/server/cluster_audit_test.go
@@ -64,6 +64,7 @@
 // TestFleetAudit audits the files of a cluster run. The audit finds no violation in them, also when one member's clock
 // was two seconds behind and another's two seconds ahead. It finds exactly the faults that are planted: an attempt
 // against what its sender knew, and entries that are removed.
+// All audits are of the files of one run, and so it is one function.
 func TestFleetAudit(t *testing.T) {
 	r := fleetOf(t, processcluster.Options{JobsPerSecond: 40})
 	n := len(r.Members)
--- a/internal/dispatcher/server/cluster_reload.go
+++ b/internal/dispatcher/server/cluster_reload.go
@@ -59,7 +59,7 @@
 		s.closeAuditLog(true)
 		s.stopVersionTable()
 		s.setInstanceShare(quota.Share{Instances: s.config.balancerSettings.Instances, Index: s.config.balancerSettings.Instance, Fraction: 1})
-		s.log.Info("program: fleet switched off; places are as configured")
+		s.log.Info("program: fleet switched off; shares are as configured")
 	case s.cluster == nil:
 		s.joinCluster(options, change.socket, change.auditLog)
 	case s.cluster.SameIdentity(options):
--- a/internal/dispatcher/server/compatibility_test.go
+++ b/internal/dispatcher/server/compatibility_test.go
@@ -44,15 +44,15 @@
 	readsJSON(t, "hello.json", hello{TakesMetrics: true})
 	list := httpfront.List{Revision: 12, Full: true, Entries: []httpfront.Entry{{UID: "u", Endpoint: "10.0.0.1:80", Zone: "m", Kind: "k", Cell: 2,
 		State: "ready", Weight: 1.5, StartedAtMs: 1700000000000}}}
-	readsJSON(t, "state.json", handoverState{Discovery: "10.0.0.9:8500", List: list, Exclusions: excluded, EvacuatedSince: 12.5,
+	readsJSON(t, "state.json", handoverState{Discovery: "10.0.0.9:8500", Membership: list, Exclusions: excluded, EvacuatedSince: 12.5,
 		Balancer: loadbalancer.Snapshot{WorkByClass: []float64{1}, ZoneLatencies: []float64{2}, Pace: 3, RunTime: 4, SlotsPerJob: 5, ReportPeriod: 6, PlannedAt: 7,
 			Kinds: map[int]loadbalancer.KindSnapshot{1: {Pace: 0.5, Slots: 8}}, Workers: map[loadbalancer.WorkerID]*loadbalancer.WorkerSnapshot{9: {StartedAt: 1}}},
 		Gearman: true, GearmanListen: "127.0.0.1:4730", SendsMetrics: true})
-	readsJSON(t, "figures.json", metricsMessage{Complete: true, Counts: counted, Spans: measured,
-		Held: []telemetry.SlotAssignment{{Location: "m.k.3", Slot: 1, Node: "node-1"}}, Last: 1_700_000_000_000,
+	readsJSON(t, "figures.json", metricsMessage{Complete: true, Counts: counted, Latencies: measured,
+		Slots: []telemetry.SlotAssignment{{Location: "m.k.3", Slot: 1, Node: "node-1"}}, LastTimestamp: 1_700_000_000_000,
 		Series:  []telemetry.Series{{Name: "classes.score.answers.in_time", Kind: telemetry.Counter}, {Name: "reqs.open", Kind: telemetry.Gauge}},
-		Periods: []undeliveredPeriod{{Stamp: 1_699_999_990_000, Every: 10, Body: []byte{2, 42, 0}}}})
-	readsJSON(t, "figures-since.json", metricsMessage{Counts: counted, Spans: measured})
+		Periods: []undeliveredPeriod{{Timestamp: 1_699_999_990_000, Interval: 10, EncodedValues: []byte{2, 42, 0}}}})
+	readsJSON(t, "figures-since.json", metricsMessage{Counts: counted, Latencies: measured})
 	readsJSON(t, "order.json", operatorOrder{Action: "exclude", Member: "w-1", Exclusion: excluded["w-1"]})
 	readsJSON(t, "order-bare.json", operatorOrder{Action: "evacuate"})
 
--- a/internal/dispatcher/server/operator.go
+++ b/internal/dispatcher/server/operator.go
@@ -39,8 +39,8 @@
 }
 
 // setEvacuated evacuates the dispatcher, as of the Unix time began, or ends the evacuation.
-func (s *Server) setEvacuated(on bool, began float64) {
-	s.front.Evacuate(on, began)
+func (s *Server) setEvacuated(on bool, since float64) {
+	s.front.Evacuate(on, since)
 	if s.gearman != nil {
 		s.gearman.Evacuate(on)
 	}
@@ -62,14 +62,14 @@
 }
 
 // changeExclusion executes an order that excludes or includes a worker, unless the dispatcher finds it impossible.
-func (s *Server) changeExclusion(what, member string, change dispatch.ExclusionChange, reply admin.Reply) {
+func (s *Server) changeExclusion(action, member string, change dispatch.ExclusionChange, reply admin.Reply) {
 	switch {
 	case !change.Known && s.serving:
 		reply(404, "nobody has member "+member)
 	case change.LimitReached:
 		reply(507, "too many members are out")
 	default:
-		s.executeOrder(operatorOrder{Action: what, Member: member, Exclusion: change.Exclusions[member]}, reply)
+		s.executeOrder(operatorOrder{Action: action, Member: member, Exclusion: change.Exclusions[member]}, reply)
 	}
 }
 
--- a/internal/dispatcher/server/reporting.go
+++ b/internal/dispatcher/server/reporting.go
@@ -27,12 +27,12 @@
 // reporting reports a dispatcher's metrics and writes its request log, across reloads and upgrades. A nil *reporting reports
 // nothing: the methods that the server calls accept it.
 type reporting struct {
-	server     *Server
-	metrics    *telemetry.Set
-	feed       *exporter.Exporter
-	requestLog *requestlog.Log
-	spool      *spool.Spool
-	file       *operatorconfig.Config
+	server         *Server
+	metrics        *telemetry.Set
+	exporter       *exporter.Exporter
+	requestLog     *requestlog.Log
+	spool          *spool.Spool
+	operatorConfig *operatorconfig.Config
 
 	outputs      map[string]exporter.Output // by the text of their section of the operator's file
 	awaitsTotals bool                       // the predecessor has not sent its totals yet
@@ -44,16 +44,16 @@
 
 // newReporting opens the outputs and the request log; nil if the operator's file configures none.
 func newReporting(s *Server) (*reporting, error) {
-	operator := s.config.Operator
-	if len(operator.Graphite)+len(operator.Collectd) == 0 && operator.Telemetry.SpoolDir == "" && operator.RequestLog == nil {
+	operatorConfig := s.config.Operator
+	if len(operatorConfig.Graphite)+len(operatorConfig.Collectd) == 0 && operatorConfig.Telemetry.SpoolDir == "" && operatorConfig.RequestLog == nil {
 		return nil, nil
 	}
-	r := &reporting{server: s, file: operator, outputs: map[string]exporter.Output{}}
+	r := &reporting{server: s, operatorConfig: operatorConfig, outputs: map[string]exporter.Output{}}
 	r.metrics = telemetry.New(telemetry.Options{Settings: s.config.balancerSettings, Classes: s.config.classNames(), Zones: s.config.dispatcherSettings.FailureDomains,
-		Kinds: s.config.dispatcherSettings.Kinds, MaxNodes: *operator.Telemetry.NodeSeries, WorkerStatus: s.dispatcher.WorkerStatus, Now: s.loop.Now,
+		Kinds: s.config.dispatcherSettings.Kinds, MaxNodes: *operatorConfig.Telemetry.NodeSeries, WorkerStatus: s.dispatcher.WorkerStatus, Now: s.loop.Now,
 		Log: func(line string) { s.log.Info("telemetry: " + line) }})
-	r.feed = exporter.New(s.loop, s.log, r.metrics, exporter.Options{DispatcherName: s.config.Name, Interval: operator.Telemetry.IntervalSeconds, BufferBytes: operator.Telemetry.MemoryBytes})
-	next, err := r.prepareReload(operator)
+	r.exporter = exporter.New(s.loop, s.log, r.metrics, exporter.Options{DispatcherName: s.config.Name, Interval: operatorConfig.Telemetry.IntervalSeconds, BufferBytes: operatorConfig.Telemetry.MemoryBytes})
+	next, err := r.prepareReload(operatorConfig)
 	if err != nil {
 		return nil, err
 	}
@@ -67,7 +67,7 @@
 
 // delivers reports whether metrics leave the process.
 func (r *reporting) delivers() bool {
-	return r != nil && (len(r.outputs) > 0 || r.file.Telemetry.SpoolDir != "")
+	return r != nil && (len(r.outputs) > 0 || r.operatorConfig.Telemetry.SpoolDir != "")
 }
 
 // ObserveAnswer implements dispatch.Observer.
@@ -118,17 +118,17 @@
 	if !r.delivers() {
 		return
 	}
-	if r.file.Telemetry.SpoolDir == "" {
-		r.feed.Start()
+	if r.operatorConfig.Telemetry.SpoolDir == "" {
+		r.exporter.Start()
 		return
 	}
-	r.openSpool(func(found *spool.Recovered) { r.feed.Restore(found) })
+	r.openSpool(func(found *spool.Recovered) { r.exporter.Restore(found) })
 }
 
 // openSpool opens the spool off the loop, passes what it holds to take and starts the feed. If the spool cannot be used,
 // that is logged, and metrics are reported without it.
 func (r *reporting) openSpool(take func(*spool.Recovered)) {
-	settings := r.file.Telemetry
+	settings := r.operatorConfig.Telemetry
 	go func() {
 		opened, found, err := spool.Open(settings.SpoolDir, filepath.Base(r.server.config.Name+"-"+r.server.config.Listen), settings.SpoolBytes, r.logError("spool"))
 		r.server.loop.Post(func() {
@@ -138,25 +138,25 @@
 			} else {
 				r.server.log.Info("telemetry: spool", zap.Int("periods", len(found.Periods)), zap.Int("torn_files", found.TornFiles), zap.Int("strange_files", found.UnknownFiles))
 				r.spool = opened
-				r.feed.SetSpool(opened)
+				r.exporter.SetSpool(opened)
 			}
 			take(found)
-			r.feed.Start()
+			r.exporter.Start()
 		})
 	}()
 }
 
 // finished closes the last period, and reports whether receivers have accepted it or their time is over.
 func (r *reporting) finished() bool {
-	if r == nil || !r.feed.Running() {
+	if r == nil || !r.exporter.Running() {
 		return true
 	}
 	now := r.server.loop.Now()
 	if r.deliverUntil == 0 {
 		r.deliverUntil = now + finalDeliverySeconds
-		r.feed.ClosePeriodNow()
+		r.exporter.ClosePeriodNow()
 	}
-	return now >= r.deliverUntil || r.feed.AllDelivered()
+	return now >= r.deliverUntil || r.exporter.AllDelivered()
 }
 
 // close writes what is buffered to the disk. It gives up after closeTimeout: a disk that hangs must not keep the process alive.
@@ -177,6 +177,6 @@
 	select {
 	case <-done:
 	case <-time.After(closeTimeout):
-		r.server.log.Error("telemetry: the disk hangs, not waited for")
+		r.server.log.Error("telemetry: the disk hangs, exiting without the last writes")
 	}
 }
--- a/internal/dispatcher/server/reporting_handover.go
+++ b/internal/dispatcher/server/reporting_handover.go
@@ -14,20 +14,20 @@
 
 // metricsMessage tells the successor, as JSON, what this process has counted.
 type metricsMessage struct {
-	Complete bool                       `json:"all"` // the first message, with totals; later ones have what was counted since
-	Counts   map[string]float64         `json:"counts"`
-	Spans    telemetry.Latencies        `json:"spans,omitempty"`
-	Held     []telemetry.SlotAssignment `json:"held,omitempty"`
-	Last     int64                      `json:"last,omitempty"` // time stamp of the last closed period
-	Series   []telemetry.Series         `json:"series,omitempty"`
-	Periods  []undeliveredPeriod        `json:"periods,omitempty"`
+	Complete      bool                       `json:"all"` // the first message, with totals; later ones have what was counted since
+	Counts        map[string]float64         `json:"counts"`
+	Latencies     telemetry.Latencies        `json:"spans,omitempty"`
+	Slots         []telemetry.SlotAssignment `json:"held,omitempty"`
+	LastTimestamp int64                      `json:"last,omitempty"` // time stamp of the last closed period
+	Series        []telemetry.Series         `json:"series,omitempty"`
+	Periods       []undeliveredPeriod        `json:"periods,omitempty"`
 }
 
 // undeliveredPeriod is a closed period that some receiver has not accepted.
 type undeliveredPeriod struct {
-	Stamp int64   `json:"stamp"`
-	Every float64 `json:"every"`
-	Body  []byte  `json:"body"`
+	Timestamp     int64   `json:"stamp"`
+	Interval      float64 `json:"every"`
+	EncodedValues []byte  `json:"body"`
 }
 
 // handOverTo makes the successor the only process that reports: it gets the totals, and from then on what is counted here. The
@@ -36,11 +36,11 @@
 	if !r.delivers() {
 		return
 	}
-	r.feed.Stop()
+	r.exporter.Stop()
 	r.successor, r.totalsSent = successor, false
 	closing := r.spool
 	r.spool = nil
-	r.feed.SetSpool(nil)
+	r.exporter.SetSpool(nil)
 	go func() {
 		if closing != nil {
 			closing.Close()
@@ -56,11 +56,11 @@
 // sendTotals sends the successor the totals and, unless the spool has them, the undelivered periods, the newest ones if all
 // are too many.
 func (r *reporting) sendTotals(onDisk bool) {
-	message := metricsMessage{Complete: true, Counts: r.metrics.Totals(), Held: r.metrics.SlotAssignments(), Last: r.feed.LastTimestamp()}
-	_, message.Spans = r.metrics.TakeDelta()
+	message := metricsMessage{Complete: true, Counts: r.metrics.Totals(), Slots: r.metrics.SlotAssignments(), LastTimestamp: r.exporter.LastTimestamp()}
+	_, message.Latencies = r.metrics.TakeDelta()
 	if !onDisk {
 		message.Series = r.metrics.Table().From(0)
-		periods, size := r.feed.Ring().Periods(), 0
+		periods, size := r.exporter.Ring().Periods(), 0
 		first := len(periods)
 		for ; first > 0; first-- {
 			if size += len(periods[first-1].EncodedValues); size > maxHandoverBytes || periods[first-1].Table != r.metrics.Table() {
@@ -79,7 +79,7 @@
 // send sends a message to the successor. A failure is logged: the link reports its own end.
 func (r *reporting) send(message metricsMessage) {
 	if err := r.successor.Send(handover.Metrics, message); err != nil {
-		r.server.log.Error("telemetry: totals not handed on", zap.Error(err))
+		r.server.log.Error("telemetry: totals could not be sent to the next process", zap.Error(err))
 	}
 }
 
@@ -88,8 +88,8 @@
 	if r.deltaTimer.Stop(); r.successor == nil || !r.totalsSent {
 		return
 	}
-	if counts, spans := r.metrics.TakeDelta(); len(counts) > 0 || len(spans) > 0 {
-		r.send(metricsMessage{Counts: counts, Spans: spans})
+	if counts, latencies := r.metrics.TakeDelta(); len(counts) > 0 || len(latencies) > 0 {
+		r.send(metricsMessage{Counts: counts, Latencies: latencies})
 	}
 	r.deltaTimer = r.server.loop.At(r.server.loop.Now()+deltaInterval, r.sendDelta)
 }
@@ -112,8 +112,8 @@
 	}
 	r.successor = nil
 	r.deltaTimer.Stop()
-	if r.file.Telemetry.SpoolDir == "" {
-		r.feed.Start()
+	if r.operatorConfig.Telemetry.SpoolDir == "" {
+		r.exporter.Start()
 		return
 	}
 	r.openSpool(func(*spool.Recovered) {})
@@ -141,34 +141,34 @@
 func (r *reporting) receiveMetrics(body []byte) error {
 	var message metricsMessage
 	if err := json.Unmarshal(body, &message); err != nil {
-		return fmt.Errorf("program: figures: %w", err)
+		return fmt.Errorf("program: metrics of the process before: %w", err)
 	}
 	if !r.delivers() {
-		return errors.New("program: figures that nobody wants")
+		return errors.New("program: metrics of the process before, but none are reported here")
 	}
 	if message.Complete != r.awaitsTotals {
-		return errors.New("program: figures out of turn")
+		return errors.New("program: metrics of the process before: message out of sequence")
 	}
 	r.metrics.AddTotals(message.Counts)
-	r.metrics.MergeLatencies(message.Spans)
+	r.metrics.MergeLatencies(message.Latencies)
 	if !message.Complete {
 		return nil
 	}
 	r.awaitsTotals = false
-	r.metrics.RestoreSlots(message.Held)
+	r.metrics.RestoreSlots(message.Slots)
 	start := func(found *spool.Recovered) {
 		table := &telemetry.SeriesTable{}
 		table.Append(message.Series...)
 		for _, period := range message.Periods {
-			found.Periods = append(found.Periods, &telemetry.Period{Timestamp: period.Stamp, Interval: period.Every, Table: table, EncodedValues: period.Body})
+			found.Periods = append(found.Periods, &telemetry.Period{Timestamp: period.Timestamp, Interval: period.Interval, Table: table, EncodedValues: period.EncodedValues})
 		}
 		found.Totals = nil // the message's are newer and contain them
-		r.feed.Restore(found)
-		r.feed.AdvanceTimestamp(message.Last)
+		r.exporter.Restore(found)
+		r.exporter.AdvanceTimestamp(message.LastTimestamp)
 	}
-	if r.file.Telemetry.SpoolDir == "" {
+	if r.operatorConfig.Telemetry.SpoolDir == "" {
 		start(&spool.Recovered{})
-		r.feed.Start()
+		r.exporter.Start()
 		return nil
 	}
 	r.openSpool(start)
--- a/internal/dispatcher/server/reporting_metrics.go
+++ b/internal/dispatcher/server/reporting_metrics.go
@@ -10,13 +10,13 @@
 // addReportingMetrics adds the metrics of reporting itself: periods, receivers, spool and request log.
 func addReportingMetrics(s *Server, set *telemetry.Set) {
 	add := metricAdder{set}
-	add.counter("telemetry.periods", "periods", "Periods closed.", func() uint64 { return s.reporting.feed.ClosedPeriods })
+	add.counter("telemetry.periods", "periods", "Periods closed.", func() uint64 { return s.reporting.exporter.ClosedPeriods })
 	add.gauge("telemetry.periods_held", "periods", "Periods that wait for a receiver.", func() float64 {
-		n, _ := s.reporting.feed.Ring().Size()
+		n, _ := s.reporting.exporter.Ring().Size()
 		return float64(n)
 	})
 	add.counter("telemetry.periods_dropped", "periods", "Periods that had to go before every receiver had them: their points are missing, totals go on.",
-		func() uint64 { return s.reporting.feed.Ring().Dropped })
+		func() uint64 { return s.reporting.exporter.Ring().Dropped })
 	for _, kind := range []string{"graphite", "collectd"} {
 		of := map[string]string{"graphite": "Graphite receivers", "collectd": "collectds"}[kind]
 		for _, f := range []struct {
@@ -26,7 +26,7 @@
 			{"points", "points", "Points sent to " + of + ", some again after a break.", func(s exporter.OutputStats) uint64 { return s.Points }},
 			{"breaks", "tries", "Tries to deliver to " + of + " that came to nothing.", func(s exporter.OutputStats) uint64 { return s.Failures }},
 			{"refused", "points", "Points that " + of + " would not have.", func(s exporter.OutputStats) uint64 { return s.RejectedPoints }}} {
-			add.counter("telemetry."+kind+"."+f.name, f.unit, f.help, func() uint64 { return f.get(s.reporting.feed.KindStats(kind)) })
+			add.counter("telemetry."+kind+"."+f.name, f.unit, f.help, func() uint64 { return f.get(s.reporting.exporter.KindStats(kind)) })
 		}
 	}
 	disk := func(name, unit, help string, has func() bool, get func() uint64) {
--- a/internal/dispatcher/server/reporting_reload.go
+++ b/internal/dispatcher/server/reporting_reload.go
@@ -11,29 +11,29 @@
 
 // reportingReload is a checked change of the reporting's configuration, with its outputs and log opened.
 type reportingReload struct {
-	file    *operatorconfig.Config
-	outputs map[string]exporter.Output
-	log     *requestlog.Log // nil: as before, or none
+	operatorConfig *operatorconfig.Config
+	outputs        map[string]exporter.Output
+	requestLog     *requestlog.Log // nil: as before, or none
 }
 
 // prepareReload opens what an operator's file names and is not open yet. Nothing changes before applyReload.
 func (r *reporting) prepareReload(file *operatorconfig.Config) (*reportingReload, error) {
 	if r == nil {
-		return &reportingReload{file: file}, nil
+		return &reportingReload{operatorConfig: file}, nil
 	}
-	change := &reportingReload{file: file, outputs: map[string]exporter.Output{}}
+	change := &reportingReload{operatorConfig: file, outputs: map[string]exporter.Output{}}
 	for key, make := range outputBuilders(file) {
 		if change.outputs[key] = r.outputs[key]; change.outputs[key] == nil {
 			change.outputs[key] = make()
 		}
 	}
-	if section := file.RequestLog; section != nil && (r.requestLog == nil || !sameRequestLog(section, r.file.RequestLog)) {
+	if section := file.RequestLog; section != nil && (r.requestLog == nil || !sameRequestLog(section, r.operatorConfig.RequestLog)) {
 		log, err := requestlog.Open(requestlog.Options{Path: section.Path, MaxBytes: section.MaxBytes, KeepFiles: *section.KeepFiles, DispatcherName: r.server.config.Name, Incarnation: auditlog.GenerationName(r.server.startedAt),
 			Classes: r.server.config.classNames(), NodeSlot: r.metrics.NodeSlot, Report: r.logError("request log")})
 		if err != nil {
 			return nil, fmt.Errorf("operator's file: request_log.path: %w", err)
 		}
-		change.log = log
+		change.requestLog = log
 	}
 	return change, nil
 }
@@ -75,34 +75,34 @@
 		moved := false
 		for oldKey, old := range r.outputs {
 			if change.outputs[oldKey] == nil && old.Kind() == output.Kind() {
-				r.feed.ReplaceOutput(old, output)
+				r.exporter.ReplaceOutput(old, output)
 				delete(r.outputs, oldKey)
 				moved = true
 				break
 			}
 		}
 		if !moved {
-			r.feed.AddOutput(output)
+			r.exporter.AddOutput(output)
 		}
 	}
 	for key, old := range r.outputs {
 		if change.outputs[key] == nil {
-			r.feed.RemoveOutput(old)
+			r.exporter.RemoveOutput(old)
 		}
 	}
 	r.outputs = change.outputs
 	switch {
-	case change.log != nil:
+	case change.requestLog != nil:
 		r.closeLog(r.requestLog)
-		r.requestLog = change.log
-	case change.file.RequestLog == nil:
+		r.requestLog = change.requestLog
+	case change.operatorConfig.RequestLog == nil:
 		r.closeLog(r.requestLog)
 		r.requestLog = nil
 	}
-	r.file = change.file
+	r.operatorConfig = change.operatorConfig
 }
 
-// closeLog closes a log off the loop, since that waits for the disk.
+// closeLog closes a log off the loop, since that waits for the disk. Nothing waits for it.
 func (r *reporting) closeLog(log *requestlog.Log) {
 	if log != nil {
 		go log.Close()
@@ -112,15 +112,15 @@
 // applyReload applies a prepared reload and returns the names of what needs a restart.
 func (r *reporting) applyReload(change *reportingReload) (restart []string) {
 	if r == nil {
-		if change.file.RequestLog != nil || len(change.file.Graphite)+len(change.file.Collectd) > 0 {
+		if change.operatorConfig.RequestLog != nil || len(change.operatorConfig.Graphite)+len(change.operatorConfig.Collectd) > 0 {
 			restart = append(restart, "operator's file: there was none of it at the start")
 		}
 		return restart
 	}
-	before, after := r.file.Telemetry, change.file.Telemetry
+	before, after := r.operatorConfig.Telemetry, change.operatorConfig.Telemetry
 	r.install(change)
 	if before.IntervalSeconds != after.IntervalSeconds {
-		r.feed.SetInterval(after.IntervalSeconds)
+		r.exporter.SetInterval(after.IntervalSeconds)
 	}
 	for name, same := range map[string]bool{"telemetry.spool_dir": before.SpoolDir == after.SpoolDir, "telemetry.spool_bytes": before.SpoolBytes == after.SpoolBytes,
 		"telemetry.memory_bytes": before.MemoryBytes == after.MemoryBytes, "telemetry.node_series": *before.NodeSeries == *after.NodeSeries} {
@@ -129,8 +129,8 @@
 		}
 	}
 	// What needs a restart keeps its value, so that the next reload reports it again.
-	file := *change.file
+	file := *change.operatorConfig
 	file.Telemetry, file.Telemetry.IntervalSeconds = before, after.IntervalSeconds
-	r.file = &file
+	r.operatorConfig = &file
 	return restart
 }
--- a/internal/dispatcher/server/upgrade.go
+++ b/internal/dispatcher/server/upgrade.go
@@ -18,6 +18,8 @@
 	discoveryTimeout = 1.0 // seconds for discovery to send what has changed since; the upgrade goes on without it
 	orderTimeout     = 0.6 // seconds for the other process to carry out an order: an operator is owed an answer within 1
 
+	maxUpgradeConns = 2 // connections open at the socket of upgrades
+
 	// maxSessionsInTransit bounds the sessions that are being passed to the successor: until it has acknowledged one, its
 	// descriptor counts for both processes.
 	maxSessionsInTransit = 16
@@ -26,7 +28,7 @@
 // handoverState is what a process sends to its successor.
 type handoverState struct {
 	Discovery      string                        `json:"discovery"` // address
-	List           httpfront.List                `json:"list"`
+	Membership     httpfront.List                `json:"list"`
 	Exclusions     map[string]dispatch.Exclusion `json:"out"`
 	EvacuatedSince float64                       `json:"evacuated"` // Unix time; 0: not evacuated
 	Balancer       loadbalancer.Snapshot         `json:"learnt"`
--- a/internal/dispatcher/server/upgrade_predecessor.go
+++ b/internal/dispatcher/server/upgrade_predecessor.go
@@ -16,7 +16,6 @@
 
 // connectPredecessor looks for a process to replace. False: there can be none, and the caller starts the server. True: the
 // start goes on by itself, with the predecessor's state or, if there turns out to be no predecessor, without.
-
 func (u *upgrade) connectPredecessor() bool {
 	if u.socketPath == "" {
 		return false
@@ -32,27 +31,27 @@
 // receiveState applies the predecessor's state, and waits for discovery to send what has changed since.
 func (u *upgrade) receiveState(body []byte) error {
 	server := u.server
-	var state handoverState
-	if err := u.decodeState(body, &state); err != nil {
+	var received handoverState
+	if err := u.decodeState(body, &received); err != nil {
 		return err
 	}
 	u.deadline.Stop()
 	u.stateReceived = true
 	server.applyLimits()
-	server.dispatcher.ApplyExclusions(state.Exclusions)
-	server.log.Info("program: told by the process before", zap.Int64("rev", state.List.Revision), zap.Int("members_out", server.dispatcher.ExcludedCount()))
-	if state.EvacuatedSince > 0 {
-		server.setEvacuated(true, min(state.EvacuatedSince, server.loop.Now()))
+	server.dispatcher.ApplyExclusions(received.Exclusions)
+	server.log.Info("program: told by the process before", zap.Int64("rev", received.Membership.Revision), zap.Int("members_out", server.dispatcher.ExcludedCount()))
+	if received.EvacuatedSince > 0 {
+		server.setEvacuated(true, min(received.EvacuatedSince, server.loop.Now()))
 	}
-	server.reporting.awaitPredecessor(state.SendsMetrics)
-	if err := server.dispatcher.Restore(state.Balancer); err != nil {
+	server.reporting.awaitPredecessor(received.SendsMetrics)
+	if err := server.dispatcher.Restore(received.Balancer); err != nil {
 		server.log.Warn("program: what the process before has learnt is of no use", zap.Error(err))
 	}
 	if server.config.discovery.IsValid() {
-		addr, _ := netip.ParseAddrPort(state.Discovery)
+		addr, _ := netip.ParseAddrPort(received.Discovery)
 		server.discovery.OnFirstContact = u.takeOver
 		u.deadline = server.loop.At(server.loop.Now()+discoveryTimeout, u.takeOver)
-		server.discovery.StartWithList(addr, state.List)
+		server.discovery.StartWithList(addr, received.Membership)
 		return nil
 	}
 	u.takeOver()
@@ -74,7 +73,7 @@
 	if err != nil {
 		return fmt.Errorf("program: state: %w", err)
 	}
-	if err := state.List.Validate(); err != nil {
+	if err := state.Membership.Validate(); err != nil {
 		return fmt.Errorf("program: state: %w", err)
 	}
 	text, err := json.Marshal(savedExclusions{exclusionsVersion, state.Exclusions})
--- a/internal/dispatcher/server/upgrade_queries.go
+++ b/internal/dispatcher/server/upgrade_queries.go
@@ -37,7 +37,6 @@
 // queryOthers queries the other processes of this dispatcher, except the one that asks. done is called once: for a callback
 // with true as soon as one process answers yes, otherwise with the last answer once all have answered or are lost. False: there is
 // nobody to ask, and done is not called.
-
 func (u *upgrade) queryOthers(kind handover.Kind, body []byte, except *handover.Link, done func(yes bool)) bool {
 	pending, answered := 0, false
 	for _, link := range []*handover.Link{u.predecessor, u.successor} {
--- a/internal/dispatcher/server/upgrade_successor.go
+++ b/internal/dispatcher/server/upgrade_successor.go
@@ -11,7 +11,7 @@
 // listenForSuccessor opens the socket at which the next process will connect. If it cannot, that one starts without this
 // one's state.
 func (u *upgrade) listenForSuccessor() {
-	listener, err := u.server.loop.ListenUnix(u.socketPath, 2, func() bool { return false }, u.acceptSuccessor)
+	listener, err := u.server.loop.ListenUnix(u.socketPath, maxUpgradeConns, func() bool { return false }, u.acceptSuccessor)
 	if err != nil {
 		u.server.log.Error("program: no upgrade will find this process", zap.Error(err))
 		return
@@ -38,7 +38,8 @@
 func (u *upgrade) sendState() error {
 	server := u.server
 	addr, list := server.discovery.List()
-	message := handoverState{Discovery: addr.String(), List: list, Exclusions: server.dispatcher.Exclusions(), EvacuatedSince: server.front.EvacuatedSince(), Balancer: server.dispatcher.Snapshot(), SendsMetrics: u.handsOverMetrics}
+	message := handoverState{Discovery: addr.String(), Membership: list, Exclusions: server.dispatcher.Exclusions(),
+		EvacuatedSince: server.front.EvacuatedSince(), Balancer: server.dispatcher.Snapshot(), SendsMetrics: u.handsOverMetrics}
 	server.log.Info("program: telling the next process", zap.Int64("rev", list.Revision), zap.Int("members", len(list.Entries)))
 	if server.gearman == nil || !server.serving {
 		return u.successor.Send(handover.State, message)
--- a/internal/dispatcher/server/versions.go
+++ b/internal/dispatcher/server/versions.go
@@ -22,20 +22,20 @@
 	table.Log = func(line string) { s.log.Warn("versions: " + line) }
 	table.OnChange = s.applyRestrictions
 	table.OnEvent = s.handleVersionEvent
-	table.OnOrder = func(o versions.Order) {
-		s.recordAudit(auditlog.Entry{Kind: auditlog.OrderReceived, From: o.By, Member: o.Member, Out: o.Out})
+	table.OnOrder = func(order versions.Order) {
+		s.recordAudit(auditlog.Entry{Kind: auditlog.OrderReceived, From: order.By, Member: order.Member, Out: order.Out})
 		s.loop.Defer(func() {
 			if s.cluster != nil {
 				s.cluster.Update()
 			}
 		})
 	}
-	apply := func(addr netip.AddrPort, rev int64, cached bool, changed []httpfront.Entry) {
+	apply := func(addr netip.AddrPort, revision int64, cached bool, changed []httpfront.Entry) {
 		entries := make([]versions.Entry, 0, len(changed))
-		for _, t := range changed {
-			entries = append(entries, versions.Entry{Worker: t.UID, State: versionStates[t.State], Start: int64(max(t.StartedAtMs, 0))})
+		for _, entry := range changed {
+			entries = append(entries, versions.Entry{Worker: entry.UID, State: versionStates[entry.State], Start: int64(max(entry.StartedAtMs, 0))})
 		}
-		table.ApplyList(s.loop.Now(), s.discoverySource(addr), rev, cached, entries)
+		table.ApplyList(s.loop.Now(), s.discoverySource(addr), revision, cached, entries)
 		if s.cluster != nil {
 			s.cluster.GossipNow()
 		}
@@ -64,8 +64,8 @@
 
 // discoverySource is the name under which members compare versions of one discovery service.
 func (s *Server) discoverySource(addr netip.AddrPort) string {
-	if f := s.config.Operator.Cluster; f != nil && f.DiscoveryID != "" {
-		return f.DiscoveryID
+	if section := s.config.Operator.Cluster; section != nil && section.DiscoveryID != "" {
+		return section.DiscoveryID
 	}
 	return addr.String()
 }
