--- a/internal/dispatcher/server/operator_test.go
+++ b/internal/dispatcher/server/operator_test.go
@@ -217,6 +217,7 @@
 	}
 	w.reload("program: reloaded")
 	unused("after a reload")
+	w.awaitCallbacks()
 	w.cmd.Process.Kill()
 	w.cmd.Wait()
 	o.listen = w.addr
--- a/internal/dispatcher/server/reporting_test.go
+++ b/internal/dispatcher/server/reporting_test.go
@@ -64,6 +64,16 @@
 
 func (h *telemetryHarness) log(name string) string { return filepath.Join(h.dir, name+".log") }
 
+// logLines returns the number of lines that a dispatcher's request log has on disk.
+func (h *telemetryHarness) logLines(name string) int {
+	h.t.Helper()
+	text, err := os.ReadFile(h.log(name))
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	return bytes.Count(text, []byte("\n"))
+}
+
 // args returns the flags of a dispatcher. Periods are short, so that many end in one test.
 func (h *telemetryHarness) args(name string) []string {
 	return []string{"-operator", h.file(name), "-metrics-every", "0.2"}
@@ -401,6 +411,9 @@
 	s.carbon.Stop()
 	c.requestJobs(50, 4, &tally)
 	c.harness.eventually("150 answers at the other receiver", func() bool { return answers(&s.collectd.Store) == 150 })
+	// A line of the request log waits up to FlushIntervalSeconds for its write, and a kill loses those that wait.
+	c.harness.eventually("150 lines in the request log", func() bool { return s.logLines("n0") == 150 })
+	c.harness.awaitCallbacks()
 	c.harness.cmd.Process.Kill()
 	c.harness.cmd.Wait()
 	if err := s.carbon.Restart(); err != nil {
