--- a/internal/dispatcher/cluster/jobreplica/options.go
+++ b/internal/dispatcher/cluster/jobreplica/options.go
@@ -26,7 +26,8 @@
 	StateMachine StateMachine
 
 	// ElectionTimeout is the time without a leader, in seconds, after which a replica stands for election: a random time
-	// from this to twice as long, and not less than minHeartbeatsPerTimeout heartbeats. A short one costs elections when the network is slow, a long one prolongs an outage.
+	// from this to twice as long, and not less than minHeartbeatsPerTimeout heartbeats. A short one
+	// costs elections when the network is slow, a long one prolongs an outage.
 	ElectionTimeout float64
 	// HeartbeatInterval is the time between two heartbeats of a leader, in seconds.
 	HeartbeatInterval float64
