--- a/internal/shared/eventloop/conn.go
+++ b/internal/shared/eventloop/conn.go
@@ -50,7 +50,7 @@
 
 func (l *Loop) connect(begin func() (fd int, err error), handler Handler) *Conn {
 	conn := &Conn{loop: l, fd: -1, handler: handler, connecting: true}
-	if !l.makeRoom() {
+	if !l.ensureFreeSocket() {
 		conn.failLater(ErrNoDescriptor)
 		return conn
 	}
@@ -178,13 +178,13 @@
 
 // SetKeepAlive lets the kernel detect an unreachable peer. unsent is how long sent bytes may stay unacknowledged, with a
 // resolution of a millisecond; silent is how long the peer may be silent before it is probed, in whole seconds.
-func (c *Conn) SetKeepAlive(unsent, silent time.Duration) {
+func (c *Conn) SetKeepAlive(ackTimeout, idleTime time.Duration) {
 	if c.fd < 0 {
 		return
 	}
 	set := func(level, option, value int) { _ = unix.SetsockoptInt(c.fd, level, option, value) }
-	seconds := max(1, int(silent/time.Second))
-	set(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unsent/time.Millisecond))
+	seconds := max(1, int(idleTime/time.Second))
+	set(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout/time.Millisecond))
 	set(unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1)
 	set(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, seconds)
 	set(unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, seconds)
--- a/internal/shared/eventloop/conn_read.go
+++ b/internal/shared/eventloop/conn_read.go
@@ -81,14 +81,14 @@
 // deliver passes the n bytes in the read buffer to the handler.
 func (c *Conn) deliver(n int) {
 	c.loop.bufferedBytes += n
-	lent := c.loop.ZeroCopyReads && len(c.received) == 0
-	if lent {
+	borrowed := c.loop.ZeroCopyReads && len(c.received) == 0
+	if borrowed {
 		c.received = c.loop.readBuffer[:n:n]
 	} else {
 		c.received = append(c.received, c.loop.readBuffer[:n]...)
 	}
 	c.handler.Data(c)
-	if lent && len(c.received) > 0 {
+	if borrowed && len(c.received) > 0 {
 		c.received = append([]byte(nil), c.received...)
 	}
 }
--- a/internal/shared/eventloop/descriptor_passing.go
+++ b/internal/shared/eventloop/descriptor_passing.go
@@ -19,17 +19,17 @@
 // outgoingDescriptor is a descriptor to be sent with the byte at an offset of the unsent bytes.
 type outgoingDescriptor struct{ offset, fd int }
 
-func (r *descriptorQueue) closeAll() {
-	if r == nil {
+func (q *descriptorQueue) closeAll() {
+	if q == nil {
 		return
 	}
-	for _, fd := range r.received {
+	for _, fd := range q.received {
 		unix.Close(fd)
 	}
-	for _, p := range r.outgoing {
-		unix.Close(p.fd)
+	for _, descriptor := range q.outgoing {
+		unix.Close(descriptor.fd)
 	}
-	r.received, r.outgoing = nil, nil
+	q.received, q.outgoing = nil, nil
 }
 
 // EnableDescriptorPassing allows passing descriptors on the connection, which must be a Unix socket.
--- a/internal/shared/eventloop/iteration_stats.go
+++ b/internal/shared/eventloop/iteration_stats.go
@@ -8,9 +8,9 @@
 
 // TakeIterationStats returns the statistics and restarts the measurement of the longest iteration.
 func (l *Loop) TakeIterationStats() IterationStats {
-	t := l.iterations
+	stats := l.iterations
 	l.iterations.Longest = 0
-	return t
+	return stats
 }
 
 // endIteration records the duration of an iteration.
--- a/internal/shared/eventloop/listener.go
+++ b/internal/shared/eventloop/listener.go
@@ -117,17 +117,17 @@
 	return fd, nil
 }
 
-// makeRoom makes room for one more connection; false if that is impossible.
-func (ln *Listener) makeRoom() bool {
+// ensureFreeSocket makes room for one more connection; false if that is impossible.
+func (ln *Listener) ensureFreeSocket() bool {
 	if ln.reservedLimit == 0 {
-		return ln.loop.makeRoom()
+		return ln.loop.ensureFreeSocket()
 	}
 	return ln.reservedOpen < ln.reservedLimit || ln.closeOne()
 }
 
 func (ln *Listener) acceptPending() {
 	for i := 0; i < maxAcceptsPerIteration && !ln.suspended; i++ {
-		if !ln.makeRoom() {
+		if !ln.ensureFreeSocket() {
 			ln.pauseAccepting()
 			return
 		}
--- a/internal/shared/eventloop/loop.go
+++ b/internal/shared/eventloop/loop.go
@@ -252,8 +252,8 @@
 	l.system.Release()
 }
 
-// makeRoom makes sure that one more socket may be opened; false if no connection can be closed for it.
-func (l *Loop) makeRoom() bool { return l.OpenSockets() < l.socketLimit || l.freeDescriptor() }
+// ensureFreeSocket makes sure that one more socket may be opened; false if no connection can be closed for it.
+func (l *Loop) ensureFreeSocket() bool { return l.OpenSockets() < l.socketLimit || l.freeDescriptor() }
 
 func (l *Loop) freeDescriptor() bool {
 	if len(l.lingering) > 0 {
--- a/internal/shared/httpwire/body.go
+++ b/internal/shared/httpwire/body.go
@@ -102,9 +102,9 @@
 
 // consume returns the bytes of b that belong to the current chunk or body.
 func (r *BodyReader) consume(b []byte) []byte {
-	m := min(int64(len(b)), r.remaining)
-	r.remaining -= m
-	return b[:m]
+	n := min(int64(len(b)), r.remaining)
+	r.remaining -= n
+	return b[:n]
 }
 
 func (r *BodyReader) nextChunked(b []byte) (data []byte, n int, done bool, err error) {
--- a/internal/shared/httpwire/httpwire_test.go
+++ b/internal/shared/httpwire/httpwire_test.go
@@ -123,7 +123,7 @@
 }
 
 // readAll decodes a body that arrives in pieces of the given size.
-func readAll(framing Framing, input string, size int) (body string, taken int, done bool, err error) {
+func readAll(framing Framing, input string, size int) (body string, consumed int, done bool, err error) {
 	var r BodyReader
 	r.Reset(framing)
 	var buffered []byte
@@ -131,16 +131,16 @@
 	for {
 		data, n, done, err := r.Next(buffered)
 		body += string(data)
-		taken += n
+		consumed += n
 		buffered = buffered[n:]
 		if err != nil || done {
-			return body, taken, done, err
+			return body, consumed, done, err
 		}
 		if n > 0 && len(buffered) > 0 {
 			continue
 		}
 		if rest == "" {
-			return body, taken, false, nil
+			return body, consumed, false, nil
 		}
 		m := min(size, len(rest))
 		buffered = append(buffered, rest[:m]...)
--- a/internal/shared/lease/lease.go
+++ b/internal/shared/lease/lease.go
@@ -92,9 +92,9 @@
 
 // Update computes and returns the state.
 func (l *Lease) Update(in *Input) State {
-	was := l.state
+	before := l.state
 	l.state, l.Reason = l.evaluate(in)
-	if l.state == Lapsed && was == Held {
+	if l.state == Lapsed && before == Held {
 		l.lapsedAt = in.Now
 	}
 	return l.state
@@ -175,13 +175,13 @@
 }
 
 // rank returns the position of this member in an order that no member can choose.
-func rank(in *Input) (place int) {
+func rank(in *Input) (position int) {
 	for i := range in.Others {
 		if in.Others[i].Key < in.Self.Key {
-			place++
+			position++
 		}
 	}
-	return place
+	return position
 }
 
 // withinMaxOut reports whether this member is among the first MaxOut of the members that are out or candidates: members
--- a/internal/shared/membership/broadcast.go
+++ b/internal/shared/membership/broadcast.go
@@ -37,9 +37,9 @@
 		return
 	}
 	slices.SortStableFunc(n.broadcasts, func(a, b broadcast) int { return a.transmits - b.transmits })
-	room := recordsBudget
+	remaining := recordsBudget
 	if msg.Subject != nil {
-		room -= msg.Subject.maxEncodedSize()
+		remaining -= msg.Subject.maxEncodedSize()
 	}
 	limit := retransmitLimit(retransmitMultiplier, len(n.members))
 	for i := range n.broadcasts {
@@ -52,7 +52,7 @@
 			b.transmits = limit
 			continue
 		}
-		if room -= record.maxEncodedSize(); room < 0 || len(msg.Records) == maxRecords {
+		if remaining -= record.maxEncodedSize(); remaining < 0 || len(msg.Records) == maxRecords {
 			break
 		}
 		msg.Records = append(msg.Records, record)
--- a/internal/shared/membership/nameclaim.go
+++ b/internal/shared/membership/nameclaim.go
@@ -47,21 +47,21 @@
 // probeNameClaim pings the process that claims the name. A record alone can be forged, or come from a clock that was
 // wrong; an ack from its address proves that the process exists.
 func (n *Node) probeNameClaim() {
-	c := &n.nameClaim
-	if c.generation == 0 || n.now < c.retryAt {
+	claim := &n.nameClaim
+	if claim.generation == 0 || n.now < claim.retryAt {
 		return
 	}
-	if c.attempts == nameClaimAttempts {
-		n.advanceGeneration(c.generation)
+	if claim.attempts == nameClaimAttempts {
+		n.advanceGeneration(claim.generation)
 		return
 	}
 	n.probeSeq++
-	if c.seq == 0 {
-		c.seq = n.probeSeq
+	if claim.seq == 0 {
+		claim.seq = n.probeSeq
 	}
-	c.attempts++
-	c.retryAt = n.now + n.ProbeInterval
-	n.send(c.addr, &Message{Kind: Ping, Seq: c.seq})
+	claim.attempts++
+	claim.retryAt = n.now + n.ProbeInterval
+	n.send(claim.addr, &Message{Kind: Ping, Seq: claim.seq})
 }
 
 // advanceGeneration takes a later generation than that of a process that has ended or never existed.
--- a/internal/shared/membership/node.go
+++ b/internal/shared/membership/node.go
@@ -185,9 +185,9 @@
 
 // SetMetadata sets the member's own metadata, except Seq, and broadcasts it.
 func (n *Node) SetMetadata(now float64, metadata Metadata) {
-	was := *n.self.Metadata
-	metadata.Seq = was.Seq
-	if metadata == was {
+	before := *n.self.Metadata
+	metadata.Seq = before.Seq
+	if metadata == before {
 		return
 	}
 	metadata.Seq++
--- a/internal/shared/membership/record.go
+++ b/internal/shared/membership/record.go
@@ -93,10 +93,10 @@
 	case !(r.DeadFor >= 0 && r.DeadFor < 1e9):
 		return errors.New("membership: time out of range")
 	}
-	if f := r.Metadata; f != nil && (f.Lease > lease.Out || len(f.Zone) > maxZoneLength ||
-		len(f.Version) > maxVersionLength || len(f.Serving) > maxServingLength || len(f.Console) > maxConsoleLength ||
-		len(f.SettingsHash) > maxHashLength || len(f.OperatorHash) > maxHashLength || len(f.ExcludedHash) > maxHashLength ||
-		len(f.Role) > maxRoleLength || len(f.Front) > maxFrontLength) {
+	if metadata := r.Metadata; metadata != nil && (metadata.Lease > lease.Out || len(metadata.Zone) > maxZoneLength ||
+		len(metadata.Version) > maxVersionLength || len(metadata.Serving) > maxServingLength || len(metadata.Console) > maxConsoleLength ||
+		len(metadata.SettingsHash) > maxHashLength || len(metadata.OperatorHash) > maxHashLength || len(metadata.ExcludedHash) > maxHashLength ||
+		len(metadata.Role) > maxRoleLength || len(metadata.Front) > maxFrontLength) {
 		return errors.New("membership: metadata too long or unknown")
 	}
 	return nil
@@ -139,10 +139,10 @@
 }
 
 // mixBits scatters the bits of a number (the finalizer of splitmix64).
-func mixBits(z uint64) uint64 {
-	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
-	z = (z ^ z>>27) * 0x94d049bb133111eb
-	return z ^ z>>31
+func mixBits(bits uint64) uint64 {
+	bits = (bits ^ bits>>30) * 0xbf58476d1ce4e5b9
+	bits = (bits ^ bits>>27) * 0x94d049bb133111eb
+	return bits ^ bits>>31
 }
 
 // Bytes of a record and of its metadata beside their strings, at most.
@@ -153,10 +153,10 @@
 
 // maxEncodedSize returns the size of a record in a message in bytes, at most.
 func (r *Record) maxEncodedSize() int {
-	n := maxRecordOverhead + len(r.Name) + len(r.SuspectedBy)
-	if f := r.Metadata; f != nil {
-		n += maxMetadataOverhead + len(f.Role) + len(f.Front) + len(f.SettingsHash) + len(f.OperatorHash) + len(f.ExcludedHash) +
-			len(f.Zone) + len(f.Version) + len(f.Serving) + len(f.Console)
+	size := maxRecordOverhead + len(r.Name) + len(r.SuspectedBy)
+	if metadata := r.Metadata; metadata != nil {
+		size += maxMetadataOverhead + len(metadata.Role) + len(metadata.Front) + len(metadata.SettingsHash) + len(metadata.OperatorHash) + len(metadata.ExcludedHash) +
+			len(metadata.Zone) + len(metadata.Version) + len(metadata.Serving) + len(metadata.Console)
 	}
-	return n
+	return size
 }
--- a/internal/shared/membership/sync.go
+++ b/internal/shared/membership/sync.go
@@ -87,9 +87,9 @@
 		n.pagesResetAt, n.pagesSent = n.now+n.ProbeInterval, 0
 	}
 	for len(records) > 0 && n.pagesSent < maxPagesPerInterval {
-		count, room := 0, recordsBudget+payloadBudget // these messages carry no payload
+		count, remaining := 0, recordsBudget+payloadBudget // these messages carry no payload
 		for count < min(len(records), maxRecords) {
-			if room -= records[count].maxEncodedSize(); room < 0 && count > 0 {
+			if remaining -= records[count].maxEncodedSize(); remaining < 0 && count > 0 {
 				break
 			}
 			count++
--- a/internal/system/exposition/exposition.go
+++ b/internal/system/exposition/exposition.go
@@ -67,8 +67,8 @@
 func (p *Page) Bytes() []byte { return p.text }
 
 // BoolValue returns the value of a metric that is true or false: 1 or 0.
-func BoolValue(on bool) float64 {
-	if on {
+func BoolValue(value bool) float64 {
+	if value {
 		return 1
 	}
 	return 0
--- a/internal/system/gossip/announce.go
+++ b/internal/system/gossip/announce.go
@@ -14,12 +14,12 @@
 	l.setMetadata(func(facts *membership.Metadata) { facts.Front = front })
 }
 
-func (l *Memberlist) setMetadata(alter func(*membership.Metadata)) {
+func (l *Memberlist) setMetadata(change func(*membership.Metadata)) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	was := l.metadata
-	alter(&l.metadata)
-	if l.metadata == was || l.closed {
+	before := l.metadata
+	change(&l.metadata)
+	if l.metadata == before || l.closed {
 		return
 	}
 	now := l.now()
--- a/internal/system/gossip/view.go
+++ b/internal/system/gossip/view.go
@@ -39,7 +39,7 @@
 }
 
 // digests identify a version of the view and of the members' metadata.
-type digests struct{ view, facts uint64 }
+type digests struct{ view, metadata uint64 }
 
 // snapshot is the view as it was last requested.
 type snapshot struct {
@@ -58,7 +58,7 @@
 }
 
 func (l *Memberlist) digests() digests {
-	return digests{view: l.node.Digest(), facts: l.node.MetadataDigest()}
+	return digests{view: l.node.Digest(), metadata: l.node.MetadataDigest()}
 }
 
 // refresh renews the snapshot if the view has changed.
--- a/internal/system/placement/capacity.go
+++ b/internal/system/placement/capacity.go
@@ -11,13 +11,13 @@
 
 // The capacity plan.
 const (
-	planPeriod         = 100 * time.Millisecond // how often the plan is rebuilt
-	usageWindow        = 1.5                    // seconds over which own loads are averaged to estimate the others'; measured
-	waitDecay          = 0.5                    // time constant in seconds with which an observed wait decays; measured
-	lateStartShare     = 0.6                    // share of a latency target; a first event that takes longer is a sign of overload
-	maxWaitLoad        = 2.0                    // what waits may add to a runner's load, in multiples of its slots
-	plannedMemoryShare = 0.95                   // share of an engine's memory that is planned with
-	fleetLearningRate  = 0.1                    // weight of a sample in means over all runners, which get more samples
+	planPeriod          = 100 * time.Millisecond // how often the plan is rebuilt
+	usageWindow         = 1.5                    // seconds over which own loads are averaged to estimate the others'; measured
+	waitDecay           = 0.5                    // time constant in seconds with which an observed wait decays; measured
+	lateStartShare      = 0.6                    // share of a latency target; a first event that takes longer is a sign of overload
+	maxWaitLoad         = 2.0                    // what waits may add to a runner's load, in multiples of its slots
+	plannedMemoryShare  = 0.95                   // share of an engine's memory that is planned with
+	clusterLearningRate = 0.1                    // weight of a sample in means over all runners, which get more samples
 )
 
 // usage is what attempts take of a runner.
--- a/internal/system/placement/global_prefix_test.go
+++ b/internal/system/placement/global_prefix_test.go
@@ -92,10 +92,10 @@
 			r := rarePrefixRequest(testStart, prefix)
 			owner, _ := p.Place(testStart, r)
 			runner := p.runners[owner.Runner]
-			room := runner.spareSlots
+			spareSlots := runner.spareSlots
 			runner.spareSlots = 0
 			c, rejection := p.Place(testStart, r)
-			runner.spareSlots = room
+			runner.spareSlots = spareSlots
 			if rejection != nil || c.Runner == owner.Runner || p.runners[c.Runner].Region != p.options.Region {
 				t.Fatalf("proxy %d sent prefix %d to %s, the owner being %s, %v", i, prefix, c.Runner, owner.Runner, rejection)
 			}
--- a/internal/system/placement/limits.go
+++ b/internal/system/placement/limits.go
@@ -65,12 +65,12 @@
 	if elapsed <= 0 {
 		elapsed = (now - attempt.sentAt).Seconds()
 	}
-	capacity.UpdateMean(&stats.deviation, math.Abs(elapsed-stats.meanDuration), fleetLearningRate)
-	capacity.UpdateMean(&stats.meanDuration, elapsed, fleetLearningRate)
-	capacity.UpdateMean(&runner.service.meanDuration, elapsed, fleetLearningRate)
+	capacity.UpdateMean(&stats.deviation, math.Abs(elapsed-stats.meanDuration), clusterLearningRate)
+	capacity.UpdateMean(&stats.meanDuration, elapsed, clusterLearningRate)
+	capacity.UpdateMean(&runner.service.meanDuration, elapsed, clusterLearningRate)
 	if service := runner.service; service.isEngine() && request.MaxOutputTokens > 0 && progress.Events > 0 {
 		share := float64(progress.Events*max(service.Backend.TokensPerEvent, 1)) / float64(request.MaxOutputTokens)
-		capacity.UpdateMean(&stats.outputShare, math.Min(share, 1), fleetLearningRate)
+		capacity.UpdateMean(&stats.outputShare, math.Min(share, 1), clusterLearningRate)
 	}
 	if metTargets(request, progress) {
 		runner.limits.RecordSuccess(attempt.load, runner.slots)
--- a/internal/system/placement/notices_test.go
+++ b/internal/system/placement/notices_test.go
@@ -71,11 +71,11 @@
 	p := startedTestPlacer(t, append(testRunners("llm", 3), testRunners("api", 3)...))
 	for _, service := range []string{"llm", "api"} {
 		r := testRequest(testStart, service, testRoute())
-		if notice, worth := p.StartAttempt(testStart, r, Choice{Runner: service + "-0"}).PrefillNotice(); worth {
+		if notice, announced := p.StartAttempt(testStart, r, Choice{Runner: service + "-0"}).PrefillNotice(); announced {
 			t.Errorf("%s: announced %+v", service, notice)
 		}
 	}
-	if notice, worth := p.StartAttempt(testStart, westRequest(testStart), Choice{Runner: "gone"}).PrefillNotice(); worth {
+	if notice, announced := p.StartAttempt(testStart, westRequest(testStart), Choice{Runner: "gone"}).PrefillNotice(); announced {
 		t.Errorf("announced %+v of a departed runner", notice)
 	}
 }
@@ -113,7 +113,7 @@
 	}
 	p.SetPeers(testStart, self, peers)
 	runner := p.runners["llm-0"]
-	for ; p.holdsSlowStartShare(runner, 14); self++ {
+	for ; p.mayUseSlowStartShare(runner, 14); self++ {
 		p.selfKey = self
 	}
 	now := testStart
@@ -146,12 +146,12 @@
 	for _, want := range []bool{true, false} {
 		now += time.Second
 		a := p.StartAttempt(now, westRequest(now), Choice{Runner: "llm-0"})
-		if _, worth := a.RecoveryNotice(); worth {
+		if _, announced := a.RecoveryNotice(); announced {
 			t.Error("a recovery is announced before the first event")
 		}
 		p.HandleFirstEvent(now, a)
-		if notice, worth := a.RecoveryNotice(); worth != want || worth && notice != (Notice{Kind: NoticeRecovery, RunnerKey: a.runner.key}) {
-			t.Errorf("announced %+v, %v; want %v", notice, worth, want)
+		if notice, announced := a.RecoveryNotice(); announced != want || announced && notice != (Notice{Kind: NoticeRecovery, RunnerKey: a.runner.key}) {
+			t.Errorf("announced %+v, %v; want %v", notice, announced, want)
 		}
 	}
 }
@@ -162,8 +162,8 @@
 	runners := func(now time.Duration) bool {
 		r := westRequest(now)
 		r.Chunks, r.InputTokens = nil, 4000 // of two slots and a half
-		_, worth := p.StartAttempt(now, r, Choice{Runner: "llm-0"}).PrefillNotice()
-		return worth
+		_, announced := p.StartAttempt(now, r, Choice{Runner: "llm-0"}).PrefillNotice()
+		return announced
 	}
 	hear := func(now time.Duration, seconds int, rate float64) time.Duration {
 		for range seconds * int(time.Second/planPeriod) {
--- a/internal/system/placement/placer_test.go
+++ b/internal/system/placement/placer_test.go
@@ -201,8 +201,8 @@
 
 func TestMostSpareCapacityInOwnRegionFirst(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("api", 6))
-	room := func(rooms ...float64) {
-		for i, v := range rooms {
+	setSpareSlots := func(spareSlots ...float64) {
+		for i, v := range spareSlots {
 			p.runners[fmt.Sprintf("api-%d", i)].spareSlots = v
 		}
 	}
@@ -216,7 +216,7 @@
 		{"the other region where the own has none", []float64{0, -1, 3, 0, 0.5, 4}, "api-5"},
 		{"least over its limit where none has spare capacity", []float64{-9, -8, -2, -9, -8, -3}, "api-2"},
 	} {
-		room(test.rooms...)
+		setSpareSlots(test.rooms...)
 		got, rejection := p.Place(testStart, testRequest(testStart, "api", testRoute()))
 		if rejection != nil || got.Runner != test.want {
 			t.Errorf("%s: %+v %+v, not %s", test.name, got, rejection, test.want)
@@ -230,17 +230,17 @@
 		p := startedTestPlacer(t, testRunners(service, 3))
 		now := testStart
 		runner := p.runners[service+"-0"]
-		room, tokens := runner.spareSlots, runner.spareTokens
+		spareSlots, tokens := runner.spareSlots, runner.spareTokens
 		r := testRequest(now, service, testRoute())
 		a := p.StartAttempt(now, r, Choice{Runner: runner.ID})
-		if runner.spareSlots >= room || service == "llm" && runner.spareTokens >= tokens {
+		if runner.spareSlots >= spareSlots || service == "llm" && runner.spareTokens >= tokens {
 			t.Errorf("%s: the send has not lowered room", service)
 		}
 		p.HandleFirstEvent(now+time.Millisecond, a)
 		p.HandleEvent(now+2*time.Millisecond, a)
 		p.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Events: 2, Duration: 3 * time.Millisecond})
 		p.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{}) // ended twice
-		if runner.spareSlots != room || runner.spareTokens != tokens || runner.ownUsage != (usage{}) || runner.ownAttempts != 0 || runner.pending.head != nil {
+		if runner.spareSlots != spareSlots || runner.spareTokens != tokens || runner.ownUsage != (usage{}) || runner.ownAttempts != 0 || runner.pending.head != nil {
 			t.Errorf("%s: %+v after the end", service, runner)
 		}
 	}
--- a/internal/system/placement/rejection.go
+++ b/internal/system/placement/rejection.go
@@ -49,7 +49,7 @@
 	if rank.remaining == 0 {
 		rank.remaining = left
 	}
-	capacity.UpdateMean(&rank.remaining, left, fleetLearningRate)
+	capacity.UpdateMean(&rank.remaining, left, clusterLearningRate)
 }
 
 // recordRejection records that a request was rejected because of load.
--- a/internal/system/placement/retries.go
+++ b/internal/system/placement/retries.go
@@ -18,9 +18,9 @@
 
 // retryBudget counts first attempts and retries in buckets of a sixteenth of the window.
 type retryBudget struct {
-	bucket   int64
-	requests [retryBuckets + 1]uint32
-	retries  [retryBuckets + 1]uint32
+	bucket        int64
+	firstAttempts [retryBuckets + 1]uint32
+	retries       [retryBuckets + 1]uint32
 }
 
 // retryPolicy holds the bounds of a retry budget.
@@ -33,40 +33,40 @@
 
 // retryPolicy returns this proxy's part of the budget.
 func (p *Placer) retryPolicy() retryPolicy {
-	rules := retryPolicy{window: p.options.RetryWindow, ratio: retryRatioShare * p.options.RetryRatio, since: p.startedAt}
+	policy := retryPolicy{window: p.options.RetryWindow, ratio: retryRatioShare * p.options.RetryRatio, since: p.startedAt}
 	if p.proxyCount > 0 {
-		rules.allowance = retryAllowanceShare * p.options.RetryAllowance / float64(p.proxyCount+1)
+		policy.allowance = retryAllowanceShare * p.options.RetryAllowance / float64(p.proxyCount+1)
 	}
-	return rules
+	return policy
 }
 
 // advance clears the buckets that have left the window.
 func (b *retryBudget) advance(now time.Duration, window time.Duration) {
-	span := int64(now / (window / retryBuckets))
-	if span-b.bucket > retryBuckets {
-		b.requests, b.retries = [retryBuckets + 1]uint32{}, [retryBuckets + 1]uint32{}
-		b.bucket = span
+	current := int64(now / (window / retryBuckets))
+	if current-b.bucket > retryBuckets {
+		b.firstAttempts, b.retries = [retryBuckets + 1]uint32{}, [retryBuckets + 1]uint32{}
+		b.bucket = current
 	}
-	for b.bucket < span {
+	for b.bucket < current {
 		b.bucket++
-		b.requests[b.bucket%(retryBuckets+1)], b.retries[b.bucket%(retryBuckets+1)] = 0, 0
+		b.firstAttempts[b.bucket%(retryBuckets+1)], b.retries[b.bucket%(retryBuckets+1)] = 0, 0
 	}
 }
 
 // allows reports whether one more retry may be sent. Retries count for a little longer than a window, and first attempts
 // for a little less, so that the bound holds in every window.
-func (b *retryBudget) allows(now time.Duration, rules retryPolicy) bool {
-	b.advance(now, rules.window)
-	firsts, repeats := uint32(0), uint32(0)
+func (b *retryBudget) allows(now time.Duration, policy retryPolicy) bool {
+	b.advance(now, policy.window)
+	firsts, retries := uint32(0), uint32(0)
 	oldest := (b.bucket + 1) % (retryBuckets + 1)
-	for i := range b.requests {
-		repeats += b.retries[i]
+	for i := range b.firstAttempts {
+		retries += b.retries[i]
 		if int64(i) != oldest {
-			firsts += b.requests[i]
+			firsts += b.firstAttempts[i]
 		}
 	}
-	grown := min(float64(now-rules.since)/float64(rules.window), 1)
-	return float64(repeats)+1 <= rules.ratio*float64(firsts)+rules.allowance*grown
+	elapsedShare := min(float64(now-policy.since)/float64(policy.window), 1)
+	return float64(retries)+1 <= policy.ratio*float64(firsts)+policy.allowance*elapsedShare
 }
 
 // record counts an attempt.
@@ -75,7 +75,7 @@
 	if isRetry {
 		b.retries[b.bucket%(retryBuckets+1)]++
 	} else {
-		b.requests[b.bucket%(retryBuckets+1)]++
+		b.firstAttempts[b.bucket%(retryBuckets+1)]++
 	}
 }
 
--- a/internal/system/placement/service.go
+++ b/internal/system/placement/service.go
@@ -13,7 +13,7 @@
 	initialTarget      = 1.0   // seconds; latency target of a service before a request of its routes comes
 	initialTimeout     = 5.0   // seconds; longest timeout before a route is seen
 	initialOutputShare = 0.5   // routeStats.outputShare before an answer
-	targetForgetRate   = 0.002 // weight of a looser target in the tightest target of a service
+	targetDecayRate    = 0.002 // weight of a looser target in the tightest target of a service
 	maxRoutes          = 4096  // routes with statistics; more of them clear the table
 )
 
@@ -109,5 +109,5 @@
 	if target < s.latencyTarget {
 		s.latencyTarget = target
 	}
-	capacity.UpdateMean(&s.latencyTarget, target, targetForgetRate)
+	capacity.UpdateMean(&s.latencyTarget, target, targetDecayRate)
 }
--- a/internal/system/placement/slow_start.go
+++ b/internal/system/placement/slow_start.go
@@ -40,7 +40,7 @@
 	bound := slowStartPlannedShare * (runner.service.SlowStartRate*p.options.SlowStartFactor + p.options.SlowStartAllowance)
 	proxies := float64(p.proxyCount)
 	share := math.Floor(math.Min(bound/(proxies+1), math.Max(runner.service.SlowStartRate/proxies, 1)))
-	if share < 1 && p.holdsSlowStartShare(runner, int(bound)) {
+	if share < 1 && p.mayUseSlowStartShare(runner, int(bound)) {
 		share = 1
 	}
 	if share < 1 {
@@ -49,18 +49,18 @@
 	return time.Duration(slowStartWindow / share * float64(time.Second))
 }
 
-// holdsSlowStartShare reports whether this proxy is one of the few that may use a runner in slow start.
-func (p *Placer) holdsSlowStartShare(runner *runnerState, holders int) bool {
+// mayUseSlowStartShare reports whether this proxy is one of the few that may use a runner in slow start.
+func (p *Placer) mayUseSlowStartShare(runner *runnerState, maxProxies int) bool {
 	if len(p.peers) == 0 {
 		return false
 	}
-	mine, place := capacity.Hash(runner.key^p.selfKey), 0
+	mine, position := capacity.Hash(runner.key^p.selfKey), 0
 	for _, peer := range p.peers {
 		if capacity.Hash(runner.key^peer.key) < mine {
-			place++
+			position++
 		}
 	}
-	return place < holders
+	return position < maxProxies
 }
 
 // recordSlowStartSend charges a send to a runner in slow start.
--- a/internal/system/placement/snapshot_test.go
+++ b/internal/system/placement/snapshot_test.go
@@ -66,17 +66,17 @@
 }
 
 func TestTruncatedSnapshotIsRejected(t *testing.T) {
-	whole := placerWithState(t).Snapshot()
-	for n := range whole {
-		if err := newTestPlacer(t, "m", 2).Restore(testStart, whole[:n]); !errors.Is(err, errSnapshot) {
-			t.Fatalf("%d of %d bytes: %v", n, len(whole), err)
+	snapshot := placerWithState(t).Snapshot()
+	for n := range snapshot {
+		if err := newTestPlacer(t, "m", 2).Restore(testStart, snapshot[:n]); !errors.Is(err, errSnapshot) {
+			t.Fatalf("%d of %d bytes: %v", n, len(snapshot), err)
 		}
 	}
-	if err := newTestPlacer(t, "m", 2).Restore(testStart, append(whole, 0)); !errors.Is(err, errSnapshot) {
+	if err := newTestPlacer(t, "m", 2).Restore(testStart, append(snapshot, 0)); !errors.Is(err, errSnapshot) {
 		t.Error("bytes after the end are taken")
 	}
-	if len(whole) > 250 {
-		t.Errorf("%d bytes for seven runners", len(whole))
+	if len(snapshot) > 250 {
+		t.Errorf("%d bytes for seven runners", len(snapshot))
 	}
 }
 
--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -37,11 +37,11 @@
 
 // classify derives the verdict from the head of a runner's response.
 func classify(head *httpwire.ResponseHead) verdict {
-	said := head.Header.Has(headerNotRun)
+	notRun := head.Header.Has(headerNotRun)
 	switch {
 	case head.Status == 421:
 		return verdictWrongRunner
-	case said && (head.Status >= 500 || head.Status == 429 || head.Status == 408):
+	case notRun && (head.Status >= 500 || head.Status == 429 || head.Status == 408):
 		return verdictNotRun
 	case head.Status >= 500 || head.Status == 429 || head.Status == 408:
 		return verdictFailure
@@ -56,10 +56,10 @@
 
 // cancel aborts the attempt and closes its connection, which cannot be reused.
 func (a *attempt) cancel() {
-	if l := a.conn; l != nil {
+	if conn := a.conn; conn != nil {
 		a.conn = nil
-		l.attempt = nil
-		l.close()
+		conn.attempt = nil
+		conn.close()
 	}
 }
 
--- a/internal/system/proxy/exchange.go
+++ b/internal/system/proxy/exchange.go
@@ -63,7 +63,7 @@
 	tryID, once := header.GetUnique(headerTryID)
 	host, oneHost := header.GetUnique("Host")
 	x.tryID = tryID
-	x.request.ArrivedAt = x.session.nextStartedAt
+	x.request.ArrivedAt = x.session.nextRequestStartedAt
 	switch {
 	case !once || tryID == "" || len(tryID) > maxTryIDBytes || !httpwire.IsVisibleASCII(tryID):
 		x.decline(localResponse{status: 400, body: "X-Try-Id missing or bad"})
--- a/internal/system/proxy/exchange_end.go
+++ b/internal/system/proxy/exchange_end.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// handleClientGone ends an exchange whose client has disconnected; its session is closed already.
-func (x *exchange) handleClientGone() {
+// handleClientDisconnect ends an exchange whose client has disconnected; its session is closed already.
+func (x *exchange) handleClientDisconnect() {
 	x.cancelAttempt(placement.Cancelled)
 	x.proxy.Counters.Aborted++
 	x.finish()
--- a/internal/system/proxy/headers.go
+++ b/internal/system/proxy/headers.go
@@ -55,11 +55,11 @@
 }
 
 func parseTokenCount(text string) int {
-	n, err := strconv.Atoi(strings.Trim(text, " \t"))
-	if err != nil || n < 0 || n > maxTokenCount {
+	count, err := strconv.Atoi(strings.Trim(text, " \t"))
+	if err != nil || count < 0 || count > maxTokenCount {
 		return 0
 	}
-	return n
+	return count
 }
 
 // parsePromptChunks returns the chunks of a prompt in order, up to the first malformed one.
@@ -67,16 +67,16 @@
 	if value == "" {
 		return nil
 	}
-	parts := make([]placement.Chunk, 0, strings.Count(value, ",")+1)
+	chunks := make([]placement.Chunk, 0, strings.Count(value, ",")+1)
 	for text := range strings.SplitSeq(value, ",") {
 		id, tokens, ok := strings.Cut(strings.Trim(text, " \t"), ":")
 		number, err := strconv.ParseUint(id, 16, 64)
-		if !ok || err != nil || len(parts) == maxPromptChunks {
+		if !ok || err != nil || len(chunks) == maxPromptChunks {
 			break
 		}
-		parts = append(parts, placement.Chunk{ID: number, Tokens: parseTokenCount(tokens)})
+		chunks = append(chunks, placement.Chunk{ID: number, Tokens: parseTokenCount(tokens)})
 	}
-	return parts
+	return chunks
 }
 
 // parseRetryAfter returns when a runner at capacity may be tried again; 0: not given.
@@ -87,11 +87,11 @@
 
 // parseSeconds returns a duration given in seconds; 0 if it is malformed or out of range.
 func parseSeconds(value string) time.Duration {
-	s, err := strconv.ParseFloat(value, 64)
-	if err != nil || !(s > 0) || s > maxRetryAfter.Seconds() {
+	seconds, err := strconv.ParseFloat(value, 64)
+	if err != nil || !(seconds > 0) || seconds > maxRetryAfter.Seconds() {
 		return 0
 	}
-	return time.Duration(s * float64(time.Second))
+	return time.Duration(seconds * float64(time.Second))
 }
 
 // advertisedIdleTimeout returns how long the connection may stay idle after a response with this header, less a safety
--- a/internal/system/proxy/idle_timeout.go
+++ b/internal/system/proxy/idle_timeout.go
@@ -24,21 +24,21 @@
 }
 
 // observe records that a runner closed a connection that had been idle for so long.
-func (b *idleTimeoutEstimator) observe(rest time.Duration) {
-	if len(b.samples) < maxIdleSamples {
-		b.samples = append(b.samples, rest)
+func (e *idleTimeoutEstimator) observe(idle time.Duration) {
+	if len(e.samples) < maxIdleSamples {
+		e.samples = append(e.samples, idle)
 		return
 	}
-	b.samples[b.next] = rest
-	b.next = (b.next + 1) % maxIdleSamples
+	e.samples[e.next] = idle
+	e.next = (e.next + 1) % maxIdleSamples
 }
 
 // estimate returns how long a connection may be idle and still be used for a request.
-func (b *idleTimeoutEstimator) estimate() time.Duration {
-	if len(b.samples) == 0 {
+func (e *idleTimeoutEstimator) estimate() time.Duration {
+	if len(e.samples) == 0 {
 		return defaultIdleTrust
 	}
-	sorted := slices.Clone(b.samples)
+	sorted := slices.Clone(e.samples)
 	slices.Sort(sorted)
 	low := time.Duration(float64(sorted[len(sorted)/4]) * idleTrustFraction)
 	if len(sorted) < minIdleSamples {
@@ -59,11 +59,11 @@
 	c.requestEnd = 0
 	c.idleSince = p.now()
 	c.runner.idle = append(c.runner.idle, c)
-	most := maxIdleTime
+	maxIdle := maxIdleTime
 	if c.advertisedIdle > 0 {
-		most = c.advertisedIdle
+		maxIdle = c.advertisedIdle
 	}
-	c.timer = p.runAt(c.idleSince+most, c.close)
+	c.timer = p.runAt(c.idleSince+maxIdle, c.close)
 }
 
 // idleTrustLimit returns how long the connection may have been idle and still be used for a request.
--- a/internal/system/proxy/metrics.go
+++ b/internal/system/proxy/metrics.go
@@ -38,7 +38,7 @@
 	page.Family(exposition.Counter, "cinderroad_proxy_requests_while_stopping_total",
 		"Requests whose head was read after the signal to stop, by whether their connection had carried one before.")
 	page.Sample(float64(counters.ShutdownOnNewConns), exposition.Label{Name: "connection", Value: "new"})
-	page.Sample(float64(counters.ShutdownOnKeptConns), exposition.Label{Name: "connection", Value: "kept"})
+	page.Sample(float64(counters.ShutdownOnReusedConns), exposition.Label{Name: "connection", Value: "kept"})
 	counter("cinderroad_proxy_turned_away_while_stopping_total", "Requests turned away since they might outlast the process.",
 		counters.ShutdownRejected)
 }
--- a/internal/system/proxy/metrics_test.go
+++ b/internal/system/proxy/metrics_test.go
@@ -29,15 +29,15 @@
 func TestMetricsDuringShutdown(t *testing.T) {
 	h := newHarness(t, withMetrics)
 	runner := h.startRunners("a")[0]
-	kept := h.connect()
-	kept.send(requestText("/reads/x", "t1", "", ""))
+	reused := h.connect()
+	reused.send(requestText("/reads/x", "t1", "", ""))
 	upstream := runner.accept()
 	upstream.readRequest()
 	upstream.send(successText("t1", "one"))
-	kept.expectResponse(200, "one")
+	reused.expectResponse(200, "one")
 	h.onLoop(h.proxy.Stop)
 	young := h.connect()
-	for i, c := range []*testConn{kept, young} {
+	for i, c := range []*testConn{reused, young} {
 		id := "t" + string(rune('2'+i))
 		c.send(requestText("/reads/x", id, "", ""))
 		upstream.readRequest()
--- a/internal/system/proxy/peer_notifier.go
+++ b/internal/system/proxy/peer_notifier.go
@@ -144,12 +144,12 @@
 	now, rate := n.proxy.loop.Now(), noticeLinkFraction*bandwidth
 	n.budgetBytes = min(n.budgetBytes+rate*(now-n.refilledAt), rate*noticeBurstSeconds)
 	n.refilledAt = now
-	bytes := float64(size)
-	if bytes > n.budgetBytes {
+	cost := float64(size)
+	if cost > n.budgetBytes {
 		n.proxy.Counters.NoticesSuppressed++
 		return false
 	}
-	n.budgetBytes -= bytes
+	n.budgetBytes -= cost
 	return true
 }
 
--- a/internal/system/proxy/pool.go
+++ b/internal/system/proxy/pool.go
@@ -87,11 +87,11 @@
 
 // maxConns returns this proxy's share of the connections that a runner accepts.
 func (p *pool) maxConns(r *runner) int {
-	most := defaultConns
+	limit := defaultConns
 	if s := p.services[r.service]; s != nil && s.MaxConnections > 0 {
-		most = s.MaxConnections
+		limit = s.MaxConnections
 	}
-	return max(minConns, most/p.proxies)
+	return max(minConns, limit/p.proxies)
 }
 
 // canAccept reports whether a request can be sent to the chosen runner now.
@@ -133,10 +133,10 @@
 
 // idleTimeoutOf returns the idle timeout estimator of a service.
 func (p *pool) idleTimeoutOf(service string) *idleTimeoutEstimator {
-	b := p.idleTimeouts[service]
-	if b == nil {
-		b = &idleTimeoutEstimator{}
-		p.idleTimeouts[service] = b
+	estimator := p.idleTimeouts[service]
+	if estimator == nil {
+		estimator = &idleTimeoutEstimator{}
+		p.idleTimeouts[service] = estimator
 	}
-	return b
+	return estimator
 }
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -51,7 +51,7 @@
 	InvalidResponses                            uint64 // runner connections closed for bytes that belong to no request
 	NoticesSent, NoticesReceived                uint64
 	NoticesSuppressed                           uint64 // beyond the bandwidth budget
-	ShutdownOnNewConns, ShutdownOnKeptConns     uint64 // requests after the shutdown signal, by connection
+	ShutdownOnNewConns, ShutdownOnReusedConns   uint64 // requests after the shutdown signal, by connection
 	ShutdownRejected                            uint64 // requests rejected because they might outlast the process
 	ShutdownCut                                 uint64 // requests cut off by the end of the process
 }
--- a/internal/system/proxy/service_splitter.go
+++ b/internal/system/proxy/service_splitter.go
@@ -24,7 +24,7 @@
 }
 
 // nextService returns the service for the next request of a route.
-func (d *serviceSplitter) nextService(route *configuration.Route) string {
+func (s *serviceSplitter) nextService(route *configuration.Route) string {
 	if len(route.Shares) == 1 {
 		return route.Shares[0].Service
 	}
@@ -32,7 +32,7 @@
 	for _, share := range route.Shares {
 		sum += share.Weight
 	}
-	point := d.advance(route.Name) * sum
+	point := s.advance(route.Name) * sum
 	service := ""
 	for _, share := range route.Shares {
 		if share.Weight <= 0 {
@@ -47,15 +47,15 @@
 }
 
 // advance moves a route's point. The first one is random so that proxies do not all start with the same service.
-func (d *serviceSplitter) advance(route string) float64 {
-	point, known := d.points[route]
+func (s *serviceSplitter) advance(route string) float64 {
+	point, known := s.points[route]
 	if !known {
-		point = d.random.Float64()
+		point = s.random.Float64()
 	}
 	_, point = math.Modf(point + goldenRatioStep)
-	d.points[route] = point
+	s.points[route] = point
 	return point
 }
 
 // remove drops the state of a route that was removed.
-func (d *serviceSplitter) remove(route string) { delete(d.points, route) }
+func (s *serviceSplitter) remove(route string) { delete(s.points, route) }
--- a/internal/system/proxy/session.go
+++ b/internal/system/proxy/session.go
@@ -16,17 +16,17 @@
 
 // session is a connection of a client. It processes one exchange at a time; pipelined requests wait.
 type session struct {
-	proxy              *Proxy
-	socket             *eventloop.Conn
-	exchange           *exchange // nil between requests
-	closeAfterResponse bool
-	headStarted        bool // bytes of the next request have arrived
-	requestCount       int  // request heads read
-	acceptedAt         time.Duration
-	nextStarted        bool          // bytes of a request have arrived whose head was not read
-	nextStartedAt      time.Duration // when the first of them arrived: the client's time runs at least from then
-	lastDataAt         time.Duration
-	timer              *eventloop.Timer
+	proxy                *Proxy
+	socket               *eventloop.Conn
+	exchange             *exchange // nil between requests
+	closeAfterResponse   bool
+	headTimerStarted     bool // bytes of the next request have arrived
+	requestCount         int  // request heads read
+	acceptedAt           time.Duration
+	nextRequestStarted   bool          // bytes of a request have arrived whose head was not read
+	nextRequestStartedAt time.Duration // when the first of them arrived: the client's time runs at least from then
+	lastDataAt           time.Duration
+	timer                *eventloop.Timer
 
 	previous, next *session // in the session list, longest idle first
 }
@@ -59,8 +59,8 @@
 
 // noteNextRequest records when the first bytes of the next request arrived.
 func (s *session) noteNextRequest() {
-	if !s.nextStarted && len(s.socket.Bytes()) > 0 {
-		s.nextStarted, s.nextStartedAt = true, s.lastDataAt
+	if !s.nextRequestStarted && len(s.socket.Bytes()) > 0 {
+		s.nextRequestStarted, s.nextRequestStartedAt = true, s.lastDataAt
 	}
 }
 
@@ -76,7 +76,7 @@
 	x := s.exchange
 	s.detach()
 	if x != nil {
-		x.handleClientGone()
+		x.handleClientDisconnect()
 	}
 }
 
@@ -106,7 +106,7 @@
 
 // awaitNextRequest makes the session idle until the next request.
 func (s *session) awaitNextRequest() {
-	s.headStarted = false
+	s.headTimerStarted = false
 	s.proxy.sessions.moveToBack(s)
 	s.setTimeout(s.proxy.limits.IdleTimeout, s.handleIdleTimeout)
 }
--- a/internal/system/proxy/session_input.go
+++ b/internal/system/proxy/session_input.go
@@ -39,7 +39,7 @@
 	}
 	s.socket.Consume(n)
 	s.timer.Stop()
-	s.nextStarted, s.closeAfterResponse = false, head.Close || head.Version == "HTTP/1.0"
+	s.nextRequestStarted, s.closeAfterResponse = false, head.Close || head.Version == "HTTP/1.0"
 	s.proxy.countShutdownRequest(s)
 	s.requestCount++
 	x := newExchange(s, head)
@@ -54,8 +54,8 @@
 		s.rejectWith(503, "no memory to wait for the rest")
 		return
 	}
-	if !s.headStarted {
-		s.headStarted = true
+	if !s.headTimerStarted {
+		s.headTimerStarted = true
 		s.setTimeout(s.proxy.limits.HeaderTimeout, func() { s.rejectWith(408, "request not whole in time") })
 	}
 }
--- a/internal/system/proxy/shutdown.go
+++ b/internal/system/proxy/shutdown.go
@@ -72,7 +72,7 @@
 	case s.requestCount == 0:
 		p.Counters.ShutdownOnNewConns++
 	default:
-		p.Counters.ShutdownOnKeptConns++
+		p.Counters.ShutdownOnReusedConns++
 	}
 }
 
@@ -106,7 +106,7 @@
 func (p *Proxy) logStopped() {
 	p.log.Info("stopped", zap.Duration("after_signal", p.shutdown.elapsed(p.now())), zap.Uint64("cut", p.Counters.ShutdownCut),
 		zap.Uint64("turned_away", p.Counters.ShutdownRejected),
-		zap.Uint64("on_new_connections", p.Counters.ShutdownOnNewConns), zap.Uint64("on_kept_connections", p.Counters.ShutdownOnKeptConns))
+		zap.Uint64("on_new_connections", p.Counters.ShutdownOnNewConns), zap.Uint64("on_kept_connections", p.Counters.ShutdownOnReusedConns))
 }
 
 // sweepIdleSessions closes idle sessions, repeatedly.
--- a/loadbalancer/attempts.go
+++ b/loadbalancer/attempts.go
@@ -86,9 +86,9 @@
 		}
 		b.learnPace(worker, runTime, request.cost)
 		worker.runTime = cmp.Or(worker.runTime, b.meanRunTime)*(1-learningRate) + runTime*learningRate
-		capacity.UpdateMean(&b.meanRunTime, runTime, fleetLearningRate)
+		capacity.UpdateMean(&b.meanRunTime, runTime, clusterLearningRate)
 		if request.Work == 0 {
-			capacity.UpdateMean(&b.meanWork[request.Class], runTime, fleetLearningRate)
+			capacity.UpdateMean(&b.meanWork[request.Class], runTime, clusterLearningRate)
 		}
 		b.learnWait(false, worker, attempt.load, math.Max(now-request.target, 0))
 		if now <= request.target && waited <= lateStartShare*(request.target-request.arrivedAt) {
--- a/loadbalancer/balancer.go
+++ b/loadbalancer/balancer.go
@@ -10,7 +10,7 @@
 const (
 	initialMargin         = capacity.InitialMargin
 	learningRate          = capacity.LearningRate
-	fleetLearningRate     = 0.05 // rate of means over all workers, which get more samples
+	clusterLearningRate   = 0.05 // rate of means over all workers, which get more samples
 	otherJobsRate         = 0.2  // rate of the other instances' jobs on a worker: reports are late and noisy
 	staleAfter            = 8.0  // report periods after which a report weighs half
 	crowdShare            = 0.6  // share of a report that many instances make untrue at once by acting on it
--- a/loadbalancer/balancer_test.go
+++ b/loadbalancer/balancer_test.go
@@ -495,7 +495,7 @@
 func TestSlowStartBudgetHoldsOverAllInstances(t *testing.T) {
 	s := testSettings()
 	s.Instances = 100
-	life := func(seed uint64, at float64) *recorder {
+	startInstance := func(seed uint64, at float64) *recorder {
 		r := newRecorder(t, s, seed)
 		r.now = at
 		r.list(ListFull, ready(1)...)
@@ -505,19 +505,19 @@
 		r.list(ListFull, Worker{ID: 9, State: Ready, StartedAt: 1000})
 		return r
 	}
-	var fleet []*recorder
+	var instances []*recorder
 	for s.Instance = 0; s.Instance < s.Instances; s.Instance++ {
-		fleet = append(fleet, life(uint64(s.Instance), 1000))
+		instances = append(instances, startInstance(uint64(s.Instance), 1000))
 	}
 	var all []recordedSend
 	work := func(id RequestID) float64 { return []float64{0.1, 0.1, 0.1, 0.4}[id%4] }
-	who := map[int]bool{}
+	senders := map[int]bool{}
 	for step := RequestID(2); step < 100; step++ {
-		for me, r := range fleet {
+		for me, r := range instances {
 			if step == 30 && me%2 == 0 { // half of them are back with nothing but the list
 				s.Instance = me
-				r = life(uint64(1000+me), r.now)
-				fleet[me] = r
+				r = startInstance(uint64(1000+me), r.now)
+				instances[me] = r
 			}
 			n := len(r.sends)
 			r.runTo(1000 + 0.2*float64(step) + 0.001*float64(me))
@@ -525,7 +525,7 @@
 			for _, x := range r.sends[n:] {
 				if x.worker == 9 {
 					all = append(all, x)
-					who[me] = true
+					senders[me] = true
 				}
 			}
 		}
@@ -534,10 +534,10 @@
 	if worst > 1 {
 		t.Errorf("all together sent %.2f of what a worker in slow start bears", worst)
 	}
-	if worst < 0.3 || len(who) < s.Instances/3 {
-		t.Errorf("a worker in slow start got %.2f of what it bears, from %d instances", worst, len(who))
+	if worst < 0.3 || len(senders) < s.Instances/3 {
+		t.Errorf("a worker in slow start got %.2f of what it bears, from %d instances", worst, len(senders))
 	}
-	t.Logf("%.2f of the budget, from %d instances", worst, len(who))
+	t.Logf("%.2f of the budget, from %d instances", worst, len(senders))
 }
 
 func TestRestartUnderTheSameIDStartsSlowly(t *testing.T) {
@@ -779,7 +779,7 @@
 	for i := range fleet {
 		fleet[i].Zone = i % 2
 	}
-	seen, kept, all := map[WorkerID]int{}, 0, 0
+	seen, unchanged, all := map[WorkerID]int{}, 0, 0
 	for s.Instance = 0; s.Instance < s.Instances; s.Instance++ {
 		r := newRecorder(t, s, 1)
 		r.list(ListFull, fleet...)
@@ -793,14 +793,14 @@
 		if len(before) != 2*minViewWidth {
 			t.Fatalf("instance %d has %d workers in sight", s.Instance, len(before))
 		}
-		gone := fleet[7]
-		gone.State = Departed
-		r.list(ListDelta, gone)
+		departed := fleet[7]
+		departed.State = Departed
+		r.list(ListDelta, departed)
 		for _, w := range r.balancer.workers {
-			if before[w.ID] && w.ID != gone.ID {
+			if before[w.ID] && w.ID != departed.ID {
 				all++
 				if w.inView {
-					kept++
+					unchanged++
 				}
 			}
 		}
@@ -810,8 +810,8 @@
 			t.Errorf("worker %d is in sight of %d instances, %d on the mean", w.ID, n, s.Instances*minViewWidth/40)
 		}
 	}
-	if kept*10 < all*8 {
-		t.Errorf("only %d of %d workers stayed in view after another departed", kept, all)
+	if unchanged*10 < all*8 {
+		t.Errorf("only %d of %d workers stayed in view after another departed", unchanged, all)
 	}
 	s.Instance = 0
 	r := newRecorder(t, s, 1)
--- a/loadbalancer/instances_simulation_test.go
+++ b/loadbalancer/instances_simulation_test.go
@@ -98,17 +98,17 @@
 }
 
 // replaceHalf is a list event: half of the workers have departed, and as many have started at a time.
-func replaceHalf(workers int, at float64) (news []Worker, colds []WorkerID) {
+func replaceHalf(workers int, at float64) (updates []Worker, slowStarting []WorkerID) {
 	for i := 1; i <= workers/2; i++ {
-		colds = append(colds, WorkerID(1000+i))
-		news = append(news, Worker{ID: WorkerID(i), State: Departed}, Worker{ID: WorkerID(1000 + i), State: Ready, StartedAt: at})
+		slowStarting = append(slowStarting, WorkerID(1000+i))
+		updates = append(updates, Worker{ID: WorkerID(i), State: Departed}, Worker{ID: WorkerID(1000 + i), State: Ready, StartedAt: at})
 	}
-	return news, colds
+	return updates, slowStarting
 }
 
 // worst is the most work that a worker which started at a time was sent within an overload window, as a share of what it bears.
-func (g *instanceGroup) worst(s Settings, cold WorkerID, at, work float64) float64 {
-	return worstSpan(s, g.sends[cold], func(RequestID) float64 { return work },
+func (g *instanceGroup) worst(s Settings, worker WorkerID, at, work float64) float64 {
+	return worstSpan(s, g.sends[worker], func(RequestID) float64 { return work },
 		func(from float64) float64 { return g.slots * warmAt(s, from-(at-1000)) })
 }
 
--- a/loadbalancer/learning.go
+++ b/loadbalancer/learning.go
@@ -65,9 +65,9 @@
 	}
 	// The samples are bounded: one heavy job does not make a worker slow.
 	capacity.UpdateMean(&worker.pace, math.Min(runTime/cost, 2*peerFactor*b.meanPace), learningRate)
-	capacity.UpdateMean(&b.meanPace, math.Min(runTime/cost, 2*b.meanPace), fleetLearningRate)
+	capacity.UpdateMean(&b.meanPace, math.Min(runTime/cost, 2*b.meanPace), clusterLearningRate)
 	kind := b.kindOf(worker)
-	capacity.UpdateMean(&kind.pace, math.Min(runTime/cost, 2*kind.pace), fleetLearningRate)
+	capacity.UpdateMean(&kind.pace, math.Min(runTime/cost, 2*kind.pace), clusterLearningRate)
 }
 
 // learnWait learns from the wait of a job on a worker that reports no load: how long jobs wait on its
--- a/loadbalancer/replay_test.go
+++ b/loadbalancer/replay_test.go
@@ -72,7 +72,7 @@
 }
 
 // replayed runs a simulation and returns the hash of all actions, of all snapshots and of the status of each worker.
-func replayed(t *testing.T, plan simulationPlan, seed uint64, place bool) (sum uint64, actions int) {
+func replayed(t *testing.T, plan simulationPlan, seed uint64, withInstanceShare bool) (sum uint64, actions int) {
 	t.Helper()
 	h := &hashingActions{sum: fnv.New64a()}
 	var all []*Balancer
@@ -81,7 +81,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if place {
+		if withInstanceShare {
 			keys := make([]uint64, s.Instances)
 			for i := range keys {
 				keys[i] = uint64(i+1) * 0x9e3779b97f4a7c15
@@ -124,9 +124,9 @@
 		got = append(got, fmt.Sprintf("%016x %7d %s", sum, actions, name))
 	}
 	plans := omittedPlans()
-	anew := planWithReports()
-	anew.restarts, anew.slowdown = true, 4
-	plans["all told, a third starts anew, some slow down"] = anew
+	restarting := planWithReports()
+	restarting.restarts, restarting.slowdown = true, 4
+	plans["all told, a third starts anew, some slow down"] = restarting
 	names := make([]string, 0, len(plans))
 	for name := range plans {
 		names = append(names, name)
@@ -134,15 +134,15 @@
 	slices.Sort(names)
 	for _, name := range names {
 		for _, load := range []float64{0.7, 1.4} {
-			for _, place := range []bool{false, true} {
+			for _, withInstanceShare := range []bool{false, true} {
 				plan := plans[name]
-				if place && !plan.restarts {
+				if withInstanceShare && !plan.restarts {
 					continue // a place counts only where workers are cold
 				}
 				plan.load = load
 				plan.length = min(plan.length, 10)
-				sum, actions := replayed(t, plan, 3, place)
-				record(fmt.Sprintf("%s, load %.1f, place told %v", name, load, place), sum, actions)
+				sum, actions := replayed(t, plan, 3, withInstanceShare)
+				record(fmt.Sprintf("%s, load %.1f, place told %v", name, load, withInstanceShare), sum, actions)
 			}
 		}
 	}
--- a/loadbalancer/request.go
+++ b/loadbalancer/request.go
@@ -43,12 +43,12 @@
 	}
 	if request.cost = b.meanWork[arrival.Class]; request.Work > 0 {
 		request.cost = request.Work
-		capacity.UpdateMean(&b.meanWork[arrival.Class], request.Work, fleetLearningRate)
+		capacity.UpdateMean(&b.meanWork[arrival.Class], request.Work, clusterLearningRate)
 	}
 	if request.slotsNeeded = request.Slots; !isFinite(request.slotsNeeded) || request.slotsNeeded <= 0 {
 		request.slotsNeeded = 1
 	}
-	capacity.UpdateMean(&b.slotsPerJob, math.Min(request.slotsNeeded, maxJobSlots), fleetLearningRate)
+	capacity.UpdateMean(&b.slotsPerJob, math.Min(request.slotsNeeded, maxJobSlots), clusterLearningRate)
 	request.target = math.Min(now+request.class.Objective+request.class.Stretch*request.cost, request.Deadline)
 	b.arrivals++
 	b.requests[request.ID] = request
