--- a/cmd/cinderroad-proxy/main.go
+++ b/cmd/cinderroad-proxy/main.go
@@ -27,8 +27,8 @@
 
 const (
 	reservedDescriptors = 200 + 56 // of the limit for open files, for all but the loop's sockets
-	minSockets          = 64
-	lateWakeupSeconds   = 0.5 // by which an iteration of the loop must be late to be logged
+	minSockets          = 64       // limit of the loop's sockets at least, however low the limit for open files is
+	lateWakeupSeconds   = 0.5      // by which an iteration of the loop must be late to be logged as a stall of the process
 )
 
 func main() {
--- a/grpcbalancer/backend.go
+++ b/grpcbalancer/backend.go
@@ -20,9 +20,9 @@
 type backend struct {
 	dispatcher *Dispatcher
 	address    string
-	member     loadbalancer.Worker
+	member     loadbalancer.Worker // its entry in the latest list
 	connection connection
-	attempts   map[dispatch.AttemptID]*callAttempt
+	attempts   map[dispatch.AttemptID]*callAttempt // in flight, neither ended nor cancelled
 }
 
 // connection is a server's connection, guarded by the dispatcher's lock.
@@ -66,7 +66,7 @@
 	return attempt.started && !attempt.notSent
 }
 
-// ResetConnections implements dispatch.Backend: grpc finds out by itself which connections still stand.
+// ResetConnections implements dispatch.Backend: grpc finds out by itself which connections are still open.
 func (b *backend) ResetConnections() {}
 
 // Probe implements dispatch.Backend: it reports the state of the connection, which costs the server nothing.
@@ -136,7 +136,8 @@
 	}
 }
 
-// resultOf maps a status. Whatever the service itself said to the caller is an answer, not a failure.
+// resultOf maps the status of a call to the result of its attempt. A status by which the service itself answers the caller
+// is an answer, not a failure.
 func resultOf(err error, trailer metadata.MD, notSent bool) loadbalancer.Result {
 	if notSent {
 		return loadbalancer.ConnectFailed
@@ -146,7 +147,7 @@
 	}
 	switch status.Code(err) {
 	case codes.Unavailable:
-		return loadbalancer.Reset // the connection broke, or so the server says: it may have run
+		return loadbalancer.Reset // the connection broke, or the server claims so: the call may have run
 	case codes.DeadlineExceeded:
 		return loadbalancer.Timeout
 	case codes.Canceled:
@@ -157,7 +158,8 @@
 	return loadbalancer.OK
 }
 
-// parseReport returns a load report in the order of Settings.ReportFields; nil if there is none. -1 is not reported.
+// parseReport returns a load report in the order of Settings.ReportFields; nil if there is none. A value of -1
+// means that the server did not report the field.
 func (d *Dispatcher) parseReport(trailer metadata.MD) []float32 {
 	var named map[string]float64
 	if texts := trailer.Get(LoadTrailer); len(texts) != 1 || json.Unmarshal([]byte(texts[0]), &named) != nil {
--- a/grpcbalancer/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -35,7 +35,7 @@
 	return name
 }
 
-// unregisterDispatcher removes a Dispatcher, whose ClientConn then gets no further lists.
+// unregisterDispatcher removes a Dispatcher, whose ClientConn then gets no further server lists.
 func unregisterDispatcher(name string) {
 	registryMu.Lock()
 	defer registryMu.Unlock()
--- a/grpcbalancer/dispatcher_test.go
+++ b/grpcbalancer/dispatcher_test.go
@@ -155,7 +155,7 @@
 				t.Errorf("%v after calls %v, want %v after %d", err, r.calls, tc.want, tc.calls)
 			}
 			if tc.effect == loadbalancer.RetryDeduplicated && r.calls[0] != r.calls[1] {
-				t.Errorf("a keyed repeat left its cell: %v", r.calls)
+				t.Errorf("a deduplicated retry left its cell: %v", r.calls)
 			}
 			if n := r.dispatcher.Counts(); n.Requests != 1 || n.Served+n.Rejected+n.Failed != 1 || int(n.Attempts) != tc.calls {
 				t.Errorf("counts %+v", n)
--- a/grpcbalancer/interceptor.go
+++ b/grpcbalancer/interceptor.go
@@ -16,7 +16,7 @@
 	"cinderroad/internal/dispatcher/dispatch"
 )
 
-// unaryCall is a call as the interceptor holds it. It is the payload of the core's job.
+// unaryCall is a call between intercept and its answer. It is the payload of the core's job.
 type unaryCall struct {
 	ctx         context.Context
 	method      string
@@ -25,10 +25,10 @@
 	conn        *grpc.ClientConn
 	invoke      grpc.UnaryInvoker
 	options     []grpc.CallOption
-	answer      chan dispatch.Answer
-	servedReply any   // of the attempt that won
-	servedErr   error // its status, as the server gave it
-	lastErr     error // of the last attempt that failed
+	answer      chan dispatch.Answer // buffered: the core must not block on it
+	servedReply any                  // of the attempt that won
+	servedErr   error                // its status, as the server gave it
+	lastErr     error                // of the last attempt that failed
 }
 
 // Answer implements dispatch.Requester; the lock is held.
@@ -57,7 +57,7 @@
 	case <-ctx.Done():
 		d.withLock(func() { d.core.HandleDisconnect(id) })
 		select {
-		case answer = <-call.answer: // it had come by then
+		case answer = <-call.answer: // the core answered before the disconnect was handled
 		default:
 			return status.FromContextError(ctx.Err()).Err()
 		}
--- a/grpcbalancer/metrics.go
+++ b/grpcbalancer/metrics.go
@@ -18,7 +18,7 @@
 // classes.charge.answers.in_time.
 type Metric struct {
 	Name    string
-	Counter bool // a total since New; else a present value, or one over the period
+	Counter bool // Value is a total since New; otherwise a current value, or one over the period
 	Value   float64
 }
 
--- a/grpcbalancer/metrics_test.go
+++ b/grpcbalancer/metrics_test.go
@@ -52,6 +52,6 @@
 	}
 	defer off.Close()
 	if f := off.Metrics(); f != nil {
-		t.Errorf("%d figures, and none wanted", len(f))
+		t.Errorf("%d metrics, want none", len(f))
 	}
 }
--- a/grpcbalancer/picker.go
+++ b/grpcbalancer/picker.go
@@ -6,8 +6,9 @@
 	"google.golang.org/grpc/status"
 )
 
-// picker sends an attempt where the decisions said, once. The library asks again when it wants to repeat a call by
-// itself, which it does only if no server has seen the call: the core is told that it was not sent instead.
+// picker sends an attempt to the server that the core chose, once. The library asks again when it wants to repeat a call by
+// itself, which it does only if no server has seen the call: the attempt is then reported to the core
+// as not sent.
 type picker struct{ dispatcher *Dispatcher }
 
 // Pick implements balancer.Picker.
--- a/grpcbalancer/server_info.go
+++ b/grpcbalancer/server_info.go
@@ -9,11 +9,11 @@
 	"cinderroad/loadbalancer"
 )
 
-// ServerInfo is what a resolver knows of an address beside the address.
+// ServerInfo describes the server at an address; a resolver attaches it by WithServerInfo.
 type ServerInfo struct {
 	Zone, Kind, Cell int       // as in loadbalancer.Worker
 	Draining         bool      // finishes its calls and gets no new ones
-	Started          time.Time // of its process; the zero time is long ago
+	Started          time.Time // of its process; the zero time: long ago, so no slow start
 }
 
 // serverInfoKey is the key of a ServerInfo in the attributes of an address.
--- a/internal/shared/eventloop/backpressure_test.go
+++ b/internal/shared/eventloop/backpressure_test.go
@@ -50,7 +50,7 @@
 
 func (d *drainRecorder) Drained(*Conn) { d.drained++ }
 
-// A writer that had to wait is told when everything was written; received bytes are valid only until they are consumed.
+// A writer whose bytes were buffered is notified when everything was written; received bytes are valid only until they are consumed.
 func TestDrainedAfterBlockedWrite(t *testing.T) {
 	loop := newLoop(t, 100)
 	loop.ZeroCopyReads = true
--- a/internal/shared/eventloop/conn.go
+++ b/internal/shared/eventloop/conn.go
@@ -18,10 +18,10 @@
 	handle              slotmap.Handle
 	fd                  int
 	handler             Handler
-	received, unsent    []byte
+	received, unsent    []byte // not consumed by the handler; not accepted by the socket
 	writtenBytes        uint64 // since the connection was established
 	connecting          bool
-	readFirst           bool
+	readFirst           bool // see ReadFirst
 	awaitsWritable      bool // EPOLLOUT is watched
 	paused              bool // see SetPaused
 	stalled             bool // see SetStalled
@@ -169,15 +169,15 @@
 	case c.fd < 0 || c.failed:
 	case c.stalled && ended:
 		c.unwatch()
-	case c.paused && ended: // what it sent ahead is no longer of interest
+	case c.paused && ended: // what it sent before is discarded, as SetPaused states
 		c.fail(io.EOF)
 	case ended || events&unix.EPOLLIN != 0:
 		c.handleReadable()
 	}
 }
 
-// SetKeepAlive lets the kernel detect an unreachable peer. unsent is how long sent bytes may stay unacknowledged, with a
-// resolution of a millisecond; silent is how long the peer may be silent before it is probed, in whole seconds.
+// SetKeepAlive lets the kernel detect an unreachable peer. ackTimeout is how long sent bytes may stay unacknowledged,
+// with a resolution of a millisecond; idleTime is how long the peer may be silent before it is probed, in whole seconds.
 func (c *Conn) SetKeepAlive(ackTimeout, idleTime time.Duration) {
 	if c.fd < 0 {
 		return
--- a/internal/shared/eventloop/conn_close.go
+++ b/internal/shared/eventloop/conn_close.go
@@ -36,7 +36,7 @@
 	c.handler, c.failed = nil, true
 }
 
-// Reset closes the connection with a reset, so that the peer cannot take what was written for everything.
+// Reset closes the connection with a reset, so that the peer cannot mistake what was written for a complete message.
 func (c *Conn) Reset() {
 	if c.fd >= 0 {
 		c.loop.system.SetResetOnClose(c.fd)
--- a/internal/shared/eventloop/conn_read.go
+++ b/internal/shared/eventloop/conn_read.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// SetPaused pauses or resumes reading, so that a peer that sends ahead is held back by flow control. If the peer closes
+// SetPaused pauses or resumes reading, so that flow control stops a peer that sends ahead. If the peer closes
 // while reading is paused, Closed is called at once and what it had sent is lost.
 func (c *Conn) SetPaused(paused bool) {
 	if c.paused != paused && c.fd >= 0 && !c.connecting && !c.failed {
--- a/internal/shared/eventloop/listener.go
+++ b/internal/shared/eventloop/listener.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// SetSuspended suspends or resumes accepting, so that others who listen on the same socket get the connections.
+// SetSuspended suspends or resumes accepting, so that other processes that listen on the same socket get the connections.
 func (ln *Listener) SetSuspended(suspended bool) {
 	if _, open := ln.loop.listeners.Get(ln.handle); !open || ln.suspended == suspended {
 		return
@@ -117,7 +117,7 @@
 	return fd, nil
 }
 
-// ensureFreeSocket makes room for one more connection; false if that is impossible.
+// ensureFreeSocket makes sure that one more connection may be accepted; false if none can be closed for it.
 func (ln *Listener) ensureFreeSocket() bool {
 	if ln.reservedLimit == 0 {
 		return ln.loop.ensureFreeSocket()
--- a/internal/shared/eventloop/loop.go
+++ b/internal/shared/eventloop/loop.go
@@ -44,7 +44,7 @@
 	Closed(c *Conn, err error) // the connection has ended or was never established
 }
 
-// Drainer is a Handler that is also told when everything given to Write has been sent after some of it had to wait.
+// Drainer is a Handler that is also notified when everything given to Write has been sent after some of it was buffered.
 type Drainer interface{ Drained(c *Conn) }
 
 // Loop owns the sockets and timers. Set the exported fields before Run.
@@ -72,7 +72,7 @@
 	bufferedBytes     int     // received and not consumed, over all connections
 	reservedSockets   int     // reserved listeners and their connections
 	now, startSeconds float64
-	startTime         time.Time
+	startTime         time.Time // of System's clock, at startSeconds
 	readBuffer        []byte
 	deferred          []func()
 	stopped           bool
--- a/internal/shared/eventloop/loop_test.go
+++ b/internal/shared/eventloop/loop_test.go
@@ -100,7 +100,7 @@
 	}
 	first := loop.Connect(listener.Addr(), recordingHandler{&heard, "first", nil})
 	loop.Connect(listener.Addr(), recordingHandler{&heard, "second", nil})
-	loop.At(loop.Now()+0.05, func() { // the first waits in the backlog: the listener has no room to accept it
+	loop.At(loop.Now()+0.05, func() { // the first waits in the backlog: the socket limit prevents accepting it
 		loop.Connect(listener.Addr(), recordingHandler{&heard, "third", nil})
 		first.Write([]byte("a"))
 		loop.socketLimit = 3
@@ -196,7 +196,7 @@
 	}
 }
 
-// A listening socket that another process has made blocking does not block the loop when the client is gone.
+// A listening socket that another process has made blocking does not block the loop when the client has disconnected.
 func TestSharedBlockingListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/shared/eventloop/timers.go
+++ b/internal/shared/eventloop/timers.go
@@ -4,11 +4,11 @@
 
 // Timer is a function to be called at a time.
 type Timer struct {
-	due      float64
-	sequence uint64 // timers due at the same time run in the order in which they were set
+	due      float64 // on the loop's clock, in seconds
+	sequence uint64  // timers due at the same time run in the order in which they were set
 	callback func()
 	timers   *Timers
-	index    int // -1 once it has run or was stopped
+	index    int // in Timers.entries; -1 once it has run or was stopped
 }
 
 // Timers holds all timers of a loop, ordered by time. It implements heap.Interface.
@@ -49,7 +49,10 @@
 	}
 }
 
+// Len implements heap.Interface.
 func (t *Timers) Len() int { return len(t.entries) }
+
+// Less implements heap.Interface.
 func (t *Timers) Less(i, j int) bool {
 	x, y := t.entries[i], t.entries[j]
 	return x.due < y.due || x.due == y.due && x.sequence < y.sequence
@@ -68,7 +71,7 @@
 	t.entries = append(t.entries, e)
 }
 
-// Pop implements heap.Interface; use Run to take what is due.
+// Pop implements heap.Interface; runDue runs the timers that are due.
 func (t *Timers) Pop() any {
 	n := len(t.entries) - 1
 	e := t.entries[n]
--- a/internal/shared/eventloop/udp_socket.go
+++ b/internal/shared/eventloop/udp_socket.go
@@ -49,7 +49,7 @@
 // SetHandler replaces the handler of datagrams.
 func (s *UDPSocket) SetHandler(handler func(b []byte)) { s.handler = handler }
 
-// SendTo sends one datagram. If the socket buffer is full it is dropped and the error says so.
+// SendTo sends one datagram. If the socket buffer is full it is dropped and the error wraps the system's.
 func (s *UDPSocket) SendTo(addr netip.AddrPort, b []byte) error {
 	_, sa := sockaddr(addr)
 	if err := unix.Sendto(s.fd, b, unix.MSG_DONTWAIT, sa); err != nil {
--- a/internal/shared/httpwire/httpwire_test.go
+++ b/internal/shared/httpwire/httpwire_test.go
@@ -180,14 +180,14 @@
 			body, taken, done, err := readAll(tc.framing, tc.in, size)
 			if statusOf(t, err) != tc.status || body != tc.body || done != tc.done || tc.status == 0 &&
 				tc.in[taken:] != tc.rest {
-				t.Errorf("%s by %d: %q, rest %q, done %v, %v", tc.name, size, body, tc.in[taken:], done, err)
+				t.Errorf("%s by %d: %q, remainder %q, done %v, %v", tc.name, size, body, tc.in[taken:], done, err)
 			}
 		}
 	}
 	for name, in := range map[string]string{
 		"long line": strings.Repeat("1", 2000), "long trailer": "0\r\n" + strings.Repeat("A: b\r\n", 4000)} {
 		if _, _, _, err := readAll(chunked, in, 100); err == nil {
-			t.Errorf("%s is taken", name)
+			t.Errorf("%s is accepted", name)
 		}
 	}
 }
@@ -227,7 +227,7 @@
 		}
 		for size := range 3 {
 			if b, count, complete, err := readAll(head.Body, string(input[n:]), size+1); b != body || count != taken || !complete || err != nil {
-				t.Fatalf("by %d bytes: %q, %d, %v, %v; whole: %q, %d", size+1, b, count, complete, err, body, taken)
+				t.Fatalf("by %d bytes: %q, %d, %v, %v; at once: %q, %d", size+1, b, count, complete, err, body, taken)
 			}
 		}
 		reader := bufio.NewReader(bytes.NewReader(input[:n+taken]))
@@ -259,7 +259,7 @@
 			t.Fatalf("status %d after %d of %d bytes", head.Status, n, len(input))
 		}
 		if body, taken, _, _ := readAll(head.Body, string(input[n:]), 7); n+taken > len(input) || len(body) > taken {
-			t.Fatalf("took %d and %d of %d bytes for %d", n, taken, len(input), len(body))
+			t.Fatalf("consumed %d and %d of %d bytes for %d", n, taken, len(input), len(body))
 		}
 	})
 }
--- a/internal/shared/lease/lease.go
+++ b/internal/shared/lease/lease.go
@@ -5,7 +5,7 @@
 // that is known here. A member without one takes no new work, but only if others do have a fresh update, and never more
 // than a third of the members at once (MaxOut).
 //
-// A member that cannot tell takes the fault for a general one and keeps its lease, as it would alone: if nobody has a
+// A member that cannot tell the two cases apart assumes a general fault and keeps its lease, as it would alone: if nobody has a
 // fresh update; if it never had peers; and if it lost discovery and all peers at the same time, unless it is among the
 // third, chosen by Member.Key, that takes this for its own isolation.
 package lease
@@ -140,7 +140,7 @@
 
 // evaluateIsolated returns the state of a member that reaches neither discovery nor any peer.
 func (l *Lease) evaluateIsolated(in *Input, lastContact float64) (State, string) {
-	// By what was known of the others at the last contact. In a large cluster few are heard from within a term: they are a sample of the rest.
+	// By what was known of the others at the last contact. In a large cluster few send a message within a term: they are a sample of the rest.
 	considered, withoutDiscovery, dead := 0, 0, 0
 	for i := range in.Others {
 		if m := &in.Others[i]; m.DeadSince > 0 && m.DeadSince <= lastContact { // dead before the last contact: else it is this member that was isolated
--- a/internal/shared/lease/lease_test.go
+++ b/internal/shared/lease/lease_test.go
@@ -170,10 +170,10 @@
 // updateAll updates all leases without forwarding updates.
 func (s *simulation) updateAll() int {
 	s.now--
-	word := append([]float64(nil), s.lastUpdate...)
-	director := append([]float64(nil), s.lastDiscovery...)
+	lastUpdate := append([]float64(nil), s.lastUpdate...)
+	lastDiscovery := append([]float64(nil), s.lastDiscovery...)
 	out := s.step(nobody)
-	s.lastUpdate, s.lastDiscovery = word, director
+	s.lastUpdate, s.lastDiscovery = lastUpdate, lastDiscovery
 	return out
 }
 
@@ -221,7 +221,7 @@
 						ordered++
 					}
 					if l.State() == Out && !sim.excluded[i] && sim.now <= sim.lastUpdate[i]+Term(5, 1) {
-						t.Fatalf("%d is out with a fresh word", i)
+						t.Fatalf("%d is out with a fresh update", i)
 					}
 				}
 				if !sim.isolated[0] && out > MaxOut(n) {
--- a/internal/shared/membership/broadcast.go
+++ b/internal/shared/membership/broadcast.go
@@ -31,7 +31,7 @@
 	n.broadcasts = append(n.broadcasts, broadcast{name: name})
 }
 
-// appendBroadcasts adds the records that were sent least often, as far as there is room.
+// appendBroadcasts adds the records that were sent least often, as far as they fit.
 func (n *Node) appendBroadcasts(msg *Message) {
 	if len(n.broadcasts) == 0 || len(msg.Records) > 0 {
 		return
--- a/internal/shared/membership/config.go
+++ b/internal/shared/membership/config.go
@@ -22,8 +22,8 @@
 
 // Delegate sends data of its own along with the node's messages. Like Node it must be pure and must not block.
 type Delegate interface {
-	// Payload returns data of at most room bytes to send with the next message; nil: none.
-	Payload(now float64, room int) []byte
+	// Payload returns data of at most limit bytes to send with the next message; nil: none.
+	Payload(now float64, limit int) []byte
 	// HandlePayload handles data that came with a message of another member. It returns replies, each of which is sent
 	// in a message of its own.
 	HandlePayload(now float64, from string, payload []byte) (replies [][]byte)
--- a/internal/shared/membership/measurements_test.go
+++ b/internal/shared/membership/measurements_test.go
@@ -26,7 +26,7 @@
 // trial is the result of one seed.
 type trial struct {
 	join, found     float64 // periods until one view: after a start of all at once; after one in ten was killed
-	wrong           int     // members held dead that ran
+	wrong           int     // running members that were declared dead
 	hours           float64 // member-hours watched
 	messages, bytes float64 // a member a period, while nothing happens
 	cpu             float64 // seconds of processor a member a period
--- a/internal/shared/membership/metadata_test.go
+++ b/internal/shared/membership/metadata_test.go
@@ -35,7 +35,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Decode("fleet", datagram); err == nil {
-			t.Errorf("%+v is taken", facts)
+			t.Errorf("%+v is accepted", facts)
 		}
 	}
 	longest := Metadata{Seq: 1 << 62, Zone: strings.Repeat("x", maxZoneLength), Version: strings.Repeat("x", maxVersionLength),
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	if took, room := len(with)-len(alone), message.Records[0].maxEncodedSize(); took > room {
-		t.Errorf("a record takes %d bytes, %d are reckoned", took, room)
+		t.Errorf("a record takes %d bytes, maxEncodedSize is %d", took, room)
 	}
 }
 
@@ -94,6 +94,6 @@
 		}
 	}
 	if len(notified) != 2 || notified[netip.AddrFrom4([4]byte{10, 0, 1, 1})] {
-		t.Errorf("told are %v, want the two control members", notified)
+		t.Errorf("notified are %v, want the two control members", notified)
 	}
 }
--- a/internal/shared/membership/node_test.go
+++ b/internal/shared/membership/node_test.go
@@ -137,12 +137,12 @@
 		bad := bytes.Clone(b)
 		bad[i] ^= 0x40
 		if _, err := membership.Decode("f", bad); err == nil {
-			t.Errorf("a datagram with byte %d spoilt is taken", i)
+			t.Errorf("a datagram with byte %d corrupted is accepted", i)
 		}
 	}
 	for n := range b {
 		if _, err := membership.Decode("f", b[:n]); err == nil {
-			t.Errorf("the first %d bytes are taken", n)
+			t.Errorf("the first %d bytes are accepted", n)
 		}
 	}
 	if _, err := membership.Decode("f", make([]byte, membership.MaxDatagramSize+1)); !errors.Is(err, membership.ErrOversized) {
@@ -224,7 +224,7 @@
 		node.HandleMessage(1, msg)
 	}
 	if n := len(node.View().Members); n > 4097 || node.RejectedNames < 15000 {
-		t.Errorf("%d members, %d names not taken", n, node.RejectedNames)
+		t.Errorf("%d members, %d names rejected", n, node.RejectedNames)
 	}
 	sent := 0
 	for _, p := range node.TakePackets() {
@@ -261,6 +261,6 @@
 		t.Errorf("%d of 1 of an earlier life dropped", node.Stale)
 	}
 	if receive(8, 1); node.Duplicates != 4 || node.Stale != 1 {
-		t.Error("the next life's first word is dropped")
+		t.Error("the first message of the next generation is dropped")
 	}
 }
--- a/internal/shared/membership/receive.go
+++ b/internal/shared/membership/receive.go
@@ -1,11 +1,10 @@
 package membership
 
 import (
+	"math"
 	"net/netip"
 )
 
-import "math"
-
 // HandleMessage handles a message that Decode returned. It does not change the message.
 func (n *Node) HandleMessage(now float64, msg *Message) {
 	n.now = math.Max(n.now, now)
@@ -27,7 +26,7 @@
 	peer := n.byName[from.Name]
 	if peer != nil && from.Generation < peer.Generation {
 		n.Stale++
-		// tells the sender of the later generation
+		// lets the sender learn of the later generation
 		n.send(from.Addr, &Message{Kind: Update, Records: []Record{peer.outgoingRecord(now)}})
 		return
 	}
--- a/internal/shared/membership/simulation_test.go
+++ b/internal/shared/membership/simulation_test.go
@@ -160,7 +160,7 @@
 		net.Partitioned = func(from, to *virtualcluster.Node) bool { return from == a && to == b }
 		net.Run(net.Now + 300)
 		if d := deaths(net, ""); d > 0 {
-			t.Errorf("%d times one was given up that others heard", d)
+			t.Errorf("%d times a member was declared dead that others reached", d)
 		}
 		net.Partitioned = nil
 		waitConverged(t, net, 6, 30)
@@ -177,7 +177,7 @@
 		net.Partitioned = func(from, to *virtualcluster.Node) bool { return from == a && to == b || from == b && to == a }
 		net.Run(net.Now + 120)
 		if d := deaths(net, ""); d > 0 {
-			t.Errorf("%d times one was given up that another heard", d)
+			t.Errorf("%d times a member was declared dead that another reached", d)
 		}
 		for _, n := range net.Nodes { // the third one pings on their behalf
 			if n.Membership.Suspicions > 0 {
@@ -247,7 +247,7 @@
 		for _, n := range net.Nodes {
 			for _, c := range n.Changes {
 				if c.To == membership.Dead && c.Name != slow.Name {
-					t.Errorf("%s held %s for dead: %s", n.Name, c.Name, c.Cause)
+					t.Errorf("%s declared %s dead: %s", n.Name, c.Name, c.Cause)
 				}
 			}
 		}
@@ -271,7 +271,7 @@
 	})
 }
 
-// TestLeave checks that nobody suspects a member that left, and that it is gone within a few probe intervals.
+// TestLeave checks that nobody suspects a member that left, and that it is removed within a few probe intervals.
 func TestLeave(t *testing.T) {
 	runSeeds(t, 5, func(t *testing.T, seed uint64) {
 		net := newConvergedNet(t, seed, 10)
@@ -316,7 +316,7 @@
 			net.Nodes[1].ClockSkew = skew
 			net.Start(net.Nodes[1], net.Nodes[0])
 			if took := waitConverged(t, net, 6, 30); took > 5 { // it need not verify a claim from its own address
-				t.Errorf("it took %.1f periods", took)
+				t.Errorf("it took %.1f probe intervals", took)
 			}
 			if net.Nodes[1].Membership.Withdrawn() {
 				t.Error("it withdrew before itself")
--- a/internal/shared/membership/view.go
+++ b/internal/shared/membership/view.go
@@ -9,7 +9,7 @@
 	Self        bool    // this node
 }
 
-// View is what a node knows.
+// View is a node's view of the cluster.
 type View struct {
 	Members       []Member // ordered by name, this node among them
 	Digest        uint64   // equal at nodes with the same view
--- a/internal/shared/slotmap/slotmap_test.go
+++ b/internal/shared/slotmap/slotmap_test.go
@@ -17,7 +17,7 @@
 		t.Error("a stale handle finds a value")
 	}
 	if v, ok := slots.Get(second); !ok || v != "b" || slots.Len() != 1 {
-		t.Errorf("got %q, %v, %d taken", v, ok, slots.Len())
+		t.Errorf("got %q, %v, %d values", v, ok, slots.Len())
 	}
 	if _, ok := slots.Get(0); ok {
 		t.Error("handle 0 finds a value")
--- a/internal/system/exposition/exposition.go
+++ b/internal/system/exposition/exposition.go
@@ -87,7 +87,7 @@
 		fill(&page)
 		w.Header().Set("Content-Type", ContentType)
 		w.Header().Set("Content-Length", strconv.Itoa(len(page.text)))
-		w.Write(page.text) //nolint:errcheck // the caller has gone: nobody can be notified
+		w.Write(page.text) //nolint:errcheck // the client has disconnected: there is nobody to notify
 	})
 	return mux
 }
--- a/internal/system/gossip/isolation.go
+++ b/internal/system/gossip/isolation.go
@@ -11,7 +11,7 @@
 const isolationProbes = 4.0
 
 // isolation retains the members as they were when one of them last acknowledged a probe of this process. What an
-// isolated process detects by timeouts tells nothing of the others: it may receive nothing, or its own messages may be
+// isolated process detects by timeouts proves nothing about the others: it may receive nothing, or its own messages may be
 // lost. Times are in seconds, on the node's clock.
 type isolation struct {
 	lastAckAt float64  // time of the last acknowledgment
--- a/internal/system/gossip/isolation_test.go
+++ b/internal/system/gossip/isolation_test.go
@@ -44,7 +44,7 @@
 	})
 	for node, dead := range map[string]bool{"edge-1": false, "edge-2": false, "edge-3": true} {
 		if got := state(core.LastConfirmedView(), node); (got == Dead) != dead {
-			t.Errorf("%s was %v when somebody was last heard", node, got)
+			t.Errorf("%s was %v at the last acknowledgment", node, got)
 		}
 	}
 	options := cluster.options("edge-4", Edge, "a1")
@@ -66,7 +66,7 @@
 	partition partition // of the first node
 }
 
-// partition says which messages of the first node are lost.
+// partition is which messages of the first node are lost.
 type partition struct{ inbound, outbound bool }
 
 // simulatedNode is a member without a socket.
--- a/internal/system/gossip/memberlist.go
+++ b/internal/system/gossip/memberlist.go
@@ -186,7 +186,7 @@
 	return l.viewChanged()
 }
 
-// handlePause tells the node that the process was paused, so that deadlines that passed meanwhile are not held against
+// handlePause notifies the node that the process was paused, so that deadlines that passed meanwhile do not count against
 // other members.
 func (l *Memberlist) handlePause(now float64) {
 	l.log.Warn("process stood still, membership is checked again", zap.Float64("late_s", now-l.node.NextTick()))
--- a/internal/system/gossip/memberlist_test.go
+++ b/internal/system/gossip/memberlist_test.go
@@ -190,7 +190,7 @@
 	cluster.wait("edge-2 knows, too", func() bool { return cluster.memberOf(cluster.members["edge-2"], "edge-1").State == Left })
 	for _, address := range cluster.members["edge-2"].AgentAddresses() {
 		if address.Addr() == cluster.members["edge-1"].Address().Addr() {
-			t.Error("one that left is named as an agent to ask")
+			t.Error("an agent that left is among the addresses")
 		}
 	}
 	cluster.members["edge-1"].Leave() // again: nothing happens
@@ -201,7 +201,7 @@
 	cluster := newTestCluster(t)
 	edge := cluster.start(cluster.options("edge-1", Edge, "a1"))
 	if n := edge.ProxyCount(); n != 0 {
-		t.Errorf("%d proxies where nobody else was heard from, want 0", n)
+		t.Errorf("%d proxies without a message of another member, want 0", n)
 	}
 }
 
@@ -252,7 +252,7 @@
 		select {
 		case <-changes:
 		case <-end:
-			t.Fatal("no change was told")
+			t.Fatal("OnChange was not called")
 		}
 	}
 }
--- a/internal/system/placement/notices_test.go
+++ b/internal/system/placement/notices_test.go
@@ -41,7 +41,7 @@
 	}
 	p.Tick(testStart + read)
 	if runner := p.runners["llm-0"]; runner.backlog.remaining(testStart+read, p.services["llm"].prefillRate()) != 0 {
-		t.Errorf("after the prompt has been read %+v is left", runner.backlog)
+		t.Errorf("%+v remains after the prefill", runner.backlog)
 	}
 	if counts := chosen(testStart + read + time.Millisecond); counts["llm-0"] == 0 {
 		t.Errorf("after the prompt has been read: %v", counts)
--- a/internal/system/placement/peers.go
+++ b/internal/system/placement/peers.go
@@ -19,7 +19,7 @@
 }
 
 // SetProxyCount sets the number of proxies that may be sending, this one among them; shared budgets are divided by it. A
-// lower number counts only after proxyRemovalDelay: a proxy that seems gone may have sends under way.
+// lower number counts only after proxyRemovalDelay: a proxy that seems to have departed may have sends in flight.
 func (p *Placer) SetProxyCount(now time.Duration, count int) {
 	p.recordCall(now)
 	p.peers = nil
--- a/internal/system/placement/placer.go
+++ b/internal/system/placement/placer.go
@@ -26,7 +26,7 @@
 	SlowStartAllowance float64
 }
 
-// validate returns one error for each option that makes no sense. It names them as the settings do.
+// validate returns one error for each invalid option. It names them as the settings do.
 func (o *Options) validate() error {
 	var problems []error
 	bad := func(field string, v any) { problems = append(problems, fmt.Errorf("placement: bad %s: %v", field, v)) }
--- a/internal/system/placement/placer_test.go
+++ b/internal/system/placement/placer_test.go
@@ -159,7 +159,7 @@
 		r := testRequest(now, service, testRoute())
 		prepare(p, r)
 		if c, rejection := p.Place(now, r); rejection != nil || c.Runner == "" {
-			t.Fatalf("%s: nobody may take it from the start: %v", path, rejection)
+			t.Fatalf("%s: no runner is eligible from the start: %v", path, rejection)
 		}
 		exclude(p, runners, r, now)
 		c, rejection := p.Place(now, r)
@@ -234,7 +234,7 @@
 		r := testRequest(now, service, testRoute())
 		a := p.StartAttempt(now, r, Choice{Runner: runner.ID})
 		if runner.spareSlots >= spareSlots || service == "llm" && runner.spareTokens >= tokens {
-			t.Errorf("%s: the send has not lowered room", service)
+			t.Errorf("%s: the send has not lowered the spare capacity", service)
 		}
 		p.HandleFirstEvent(now+time.Millisecond, a)
 		p.HandleEvent(now+2*time.Millisecond, a)
@@ -271,7 +271,7 @@
 	runner.excessWait = p.latencyTarget // its prompts have waited as long as an answer may take
 	p.planService(testStart, s)
 	if runner.spareSlots > 0 {
-		t.Errorf("room %v at utilization %v", runner.spareSlots, runner.utilization)
+		t.Errorf("spare slots %v at utilization %v", runner.spareSlots, runner.utilization)
 	}
 	c, _ := p.Place(testStart, testRequest(testStart, "llm", testRoute()))
 	if c.Runner != "llm-1" {
@@ -288,7 +288,7 @@
 	}
 	p.planService(testStart, s)
 	if got, want := s.runners[2].spareSlots, (s.runners[0].spareSlots+s.runners[1].spareSlots)/2; got != want {
-		t.Errorf("room %v, not the mean %v", got, want)
+		t.Errorf("spare slots %v, not the mean %v", got, want)
 	}
 }
 
@@ -386,7 +386,7 @@
 		p.EndAttempt(now, a, ConnectFailed, Progress{})
 	}
 	if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner != "api-5" {
-		t.Errorf("sent to %s while api-5 has room", c.Runner)
+		t.Errorf("sent to %s while api-5 has spare capacity", c.Runner)
 	}
 	p.runners["api-5"].spareSlots = -10
 	for _, runner := range p.runners {
--- a/internal/system/placement/prefill_speed.go
+++ b/internal/system/placement/prefill_speed.go
@@ -11,7 +11,7 @@
 )
 
 // speedWindow holds the prefill speeds of a service's last prompts, in tokens a second. Prompts that waited for others say
-// little of the engines' speed, so the speed is a high quantile of the samples; a few samples are enough after a start, and
+// little about the engines' speed, so the speed is a high quantile of the samples; a few samples are enough after a start, and
 // no single one moves it far.
 type speedWindow struct {
 	samples [speedWindowSize]float64
--- a/internal/system/placement/random_schedule_test.go
+++ b/internal/system/placement/random_schedule_test.go
@@ -54,7 +54,7 @@
 		}
 		for id, runner := range placer.runners {
 			if runner.ownUsage != (usage{}) || runner.ownAttempts != 0 || runner.pending.head != nil || runner.pending.tail != nil || runner.probe != nil {
-				t.Errorf("%s: %+v is left", id, runner)
+				t.Errorf("%s: %+v is still reserved", id, runner)
 			}
 		}
 	})
@@ -164,7 +164,7 @@
 	case runner.Service != request.Service || len(runner.Models) > 0 && !slices.Contains(runner.Models, request.Model):
 		t.Fatalf("%s does not serve it", runner.ID)
 	case runner.TerminatesAt > 0 && runner.TerminatesAt <= schedule.now:
-		t.Fatalf("%s is gone", runner.ID)
+		t.Fatalf("%s is no longer known", runner.ID)
 	}
 	if schedule.now < runner.SlowStartUntil {
 		if schedule.proxies == 0 || schedule.now < schedule.startedAt+joinDelay {
--- a/internal/system/placement/rejection.go
+++ b/internal/system/placement/rejection.go
@@ -72,7 +72,7 @@
 }
 
 // mustYield reports whether requests of a more urgent rank are being rejected. Less urgent ones then yield, small ones too,
-// which would find room where large ones don't.
+// although spare capacity may suffice for them.
 func (s *loadShedding) mustYield(now time.Duration, request *Request) bool {
 	for rank := range rankOf(request) {
 		if s[rank].recentlyRejected(now) {
--- a/internal/system/placement/rejection_test.go
+++ b/internal/system/placement/rejection_test.go
@@ -74,7 +74,7 @@
 		t.Fatal("an urgent request is sent where it would wait twice its time")
 	}
 	if _, rejection := p.Place(testStart, late); rejection == nil {
-		t.Error("a request that is not urgent is taken while urgent ones are rejected")
+		t.Error("a request that is not urgent is placed while urgent ones are rejected")
 	}
 	late.Deadline += 2 * yieldDuration
 	after := testStart + 2*yieldDuration
--- a/internal/system/placement/request.go
+++ b/internal/system/placement/request.go
@@ -7,7 +7,7 @@
 	"cinderroad/internal/system/configuration"
 )
 
-// Chunk is a part of a prompt, which an engine caches as a whole. Chunks are in order from the start of the prompt.
+// Chunk is a part of a prompt, which an engine caches as one unit. Chunks are in order from the start of the prompt.
 type Chunk struct {
 	ID     uint64
 	Tokens int
@@ -20,9 +20,9 @@
 	Model           string
 	Chunks          []Chunk
 	InputTokens     int
-	MaxOutputTokens int // 0: the request names no maximum
-	BodyBytes       int // 0: not known
-	ArrivedAt       time.Duration
+	MaxOutputTokens int           // 0: the request names no maximum
+	BodyBytes       int           // 0: not known
+	ArrivedAt       time.Duration // on the caller's clock, as is Deadline
 	Deadline        time.Duration // the earlier of the client's and the route's
 	TriedRunners    []string      // ids of the runners that attempts were sent to
 	MayHaveRun      bool          // an attempt reached a runner that did not prove that it had not run
--- a/internal/system/placement/retries.go
+++ b/internal/system/placement/retries.go
@@ -26,9 +26,9 @@
 // retryPolicy holds the bounds of a retry budget.
 type retryPolicy struct {
 	window    time.Duration
-	ratio     float64
-	allowance float64
-	since     time.Duration
+	ratio     float64       // retries for each first attempt within the window
+	allowance float64       // retries beyond that within the window
+	since     time.Duration // start of the Placer, from which the allowance grows to its full size within a window
 }
 
 // retryPolicy returns this proxy's part of the budget.
--- a/internal/system/placement/shared_budgets_test.go
+++ b/internal/system/placement/shared_budgets_test.go
@@ -60,7 +60,7 @@
 	f.sendPeers(proxy)
 }
 
-// sendPeers tells a proxy of all proxies.
+// sendPeers sends a proxy the list of all proxies.
 func (f *proxyGroup) sendPeers(proxy *groupProxy) {
 	if !f.useKeys {
 		proxy.placer.SetProxyCount(f.now, len(f.proxies))
--- a/internal/system/placement/slow_start.go
+++ b/internal/system/placement/slow_start.go
@@ -49,7 +49,7 @@
 	return time.Duration(slowStartWindow / share * float64(time.Second))
 }
 
-// mayUseSlowStartShare reports whether this proxy is one of the few that may use a runner in slow start.
+// mayUseSlowStartShare reports whether this proxy is one of the maxProxies that may use a runner in slow start.
 func (p *Placer) mayUseSlowStartShare(runner *runnerState, maxProxies int) bool {
 	if len(p.peers) == 0 {
 		return false
--- a/internal/system/placement/snapshot_test.go
+++ b/internal/system/placement/snapshot_test.go
@@ -73,7 +73,7 @@
 		}
 	}
 	if err := newTestPlacer(t, "m", 2).Restore(testStart, append(snapshot, 0)); !errors.Is(err, errSnapshot) {
-		t.Error("bytes after the end are taken")
+		t.Error("bytes after the end are accepted")
 	}
 	if len(snapshot) > 250 {
 		t.Errorf("%d bytes for seven runners", len(snapshot))
@@ -89,7 +89,7 @@
 		p := newTestPlacer(t, "m", 2)
 		if p.Restore(testStart, b) != nil {
 			if len(p.restored) > 0 || len(p.restoredSpeeds) > 0 {
-				t.Fatal("rejected, and yet taken")
+				t.Fatal("rejected, and yet applied")
 			}
 			return
 		}
--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -12,9 +12,9 @@
 	exchange     *exchange
 	choice       placement.Choice
 	tracked      *placement.Attempt
-	conn         *runnerConn // carries the request; nil before it is sent and after the attempt
-	connected    bool        // a connection to the runner was established
-	sentAt       time.Duration
+	conn         *runnerConn   // carries the request; nil before it is sent and after the attempt
+	connected    bool          // a connection to the runner was established
+	sentAt       time.Duration // on the proxy's clock
 	lastEventAt  time.Duration // when the last event of the response arrived
 	progress     placement.Progress
 	eventCounter eventCounter
--- a/internal/system/proxy/control_state.go
+++ b/internal/system/proxy/control_state.go
@@ -139,7 +139,7 @@
 	p.runAt(p.now()+reportInterval, p.reportPeriodically)
 }
 
-// reportToAgent sends the proxy's status; an empty snapshot leaves the agent's copy as it is.
+// reportToAgent sends the proxy's status with a snapshot of the placer, learnt; an empty one leaves the agent's copy as it is.
 func (p *Proxy) reportToAgent(learnt []byte) {
 	if p.control.agent == nil {
 		return
--- a/internal/system/proxy/control_state_test.go
+++ b/internal/system/proxy/control_state_test.go
@@ -18,7 +18,7 @@
 
 func (a *fakeAgent) last() feed.ProxyReport { return a.reports[len(a.reports)-1] }
 
-// An update is in force for the next request, and the agent is told at once when it makes the proxy ready.
+// An update is in force for the next request, and the agent is notified at once when it makes the proxy ready.
 func TestApplyUpdate(t *testing.T) {
 	h := newHarness(t)
 	agent := &fakeAgent{}
--- a/internal/system/proxy/event_stream_test.go
+++ b/internal/system/proxy/event_stream_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// FuzzEvents compares with a reader that gets the stream in one piece: however it is split, the same bytes come out.
+// FuzzEvents compares with a reader that gets the stream at once: however it is split, the same bytes come out.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte(eventText(1)+eventText(2)+"id: 3\n"), uint8(3), false)
 	f.Add([]byte("id: 1\r\n\r\n\n\n: x\n\nid: 0\n\n"), uint8(1), true)
@@ -79,7 +79,7 @@
 		parts, counted := pushAll(&cut, string(in), int(size)+1)
 		if string(all) != parts || string(whole.remainder()) != string(cut.remainder()) || whole.lastID != cut.lastID ||
 			events != counted {
-			t.Fatalf("in one piece %q rest %q, split %q rest %q", all, whole.remainder(), parts, cut.remainder())
+			t.Fatalf("at once %q remainder %q, split %q remainder %q", all, whole.remainder(), parts, cut.remainder())
 		}
 		if !again && string(all)+string(whole.remainder()) != string(in) {
 			t.Fatalf("%q came out of %q", string(all)+string(whole.remainder()), in)
--- a/internal/system/proxy/exchange.go
+++ b/internal/system/proxy/exchange.go
@@ -15,7 +15,7 @@
 	maxUnreached      = 4                      // runners to which no connection came up, per request
 	maxPlacementTries = 8                      // choices of a runner without a spare connection, per placement
 	deadlineGrace     = 150 * time.Millisecond // beyond the deadline, for the end of a response in progress; see handleDeadline
-	shortRetryAfter   = 100 * time.Millisecond // told to a rejected client when another runner or proxy may have capacity
+	shortRetryAfter   = 100 * time.Millisecond // sent to a rejected client when another runner or proxy may have capacity
 )
 
 // exchangeState is the state of an exchange.
@@ -38,7 +38,7 @@
 	head          httpwire.RequestHead
 	bodyReader    httpwire.BodyReader
 	body          []byte
-	tryID         string
+	tryID         string // the client's X-Try-Id, by which a runner's response is matched to its request
 	request       placement.Request
 	attempt       *attempt // in progress; nil between attempts
 	unreached     int      // attempts without an established connection
--- a/internal/system/proxy/exchange_end.go
+++ b/internal/system/proxy/exchange_end.go
@@ -56,8 +56,8 @@
 	x.giveUp(shortRetryAfter)
 }
 
-// deadlineOutcome returns what the deadline says about the runner: nothing, unless it had the time that a response
-// should take.
+// deadlineOutcome returns the outcome of an attempt that the deadline ends: TimedOut, which counts against the runner, only
+// if the request was sent completely and its sending began at least the route's latency target ago.
 func (x *exchange) deadlineOutcome() placement.Outcome {
 	a := x.attempt
 	if a != nil && a.requestSent() && x.proxy.now()-a.sentAt >= x.request.Route.LatencyTarget {
--- a/internal/system/proxy/idle_timeout.go
+++ b/internal/system/proxy/idle_timeout.go
@@ -19,11 +19,11 @@
 // after which they closed the latest ones. Closes caused by a crash are outliers: the estimate uses a low quartile, not
 // the minimum.
 type idleTimeoutEstimator struct {
-	samples []time.Duration
-	next    int
+	samples []time.Duration // the latest maxIdleSamples idle times, as a ring
+	next    int             // index of the sample to be replaced
 }
 
-// observe records that a runner closed a connection that had been idle for so long.
+// observe records that a runner closed a connection that had been idle for the given time.
 func (e *idleTimeoutEstimator) observe(idle time.Duration) {
 	if len(e.samples) < maxIdleSamples {
 		e.samples = append(e.samples, idle)
--- a/internal/system/proxy/peer_notifier.go
+++ b/internal/system/proxy/peer_notifier.go
@@ -14,7 +14,7 @@
 
 const (
 	noticeLinkFraction        = 0.04  // of the machine's link, for notices to other proxies
-	noticeBurstSeconds        = 1.0   // the budget may be spent at once for so long
+	noticeBurstSeconds        = 1.0   // unspent budget accumulates for at most so long
 	defaultLinkBytesPerSecond = 125e6 // if the settings give no bandwidth
 	datagramHeaderBytes       = 28    // IP and UDP headers
 	relaySeedStream           = 0x80  // of the random choice of proxies in other zones
--- a/internal/system/proxy/placer.go
+++ b/internal/system/proxy/placer.go
@@ -19,7 +19,8 @@
 	SetPeers(now time.Duration, self uint64, peers []uint64)
 	HandleNotice(now time.Duration, notice placement.Notice)
 
-	// Place chooses a runner that is not among request.Tried, or says why there is none.
+	// Place chooses a runner, or returns the reason why there is none. One in request.TriedRunners is chosen only if no other
+	// may take the request.
 	Place(now time.Duration, request *placement.Request) (placement.Choice, *placement.Rejection)
 	// StartAttempt is called when a request is sent to the chosen runner. Each attempt is ended by EndAttempt once.
 	StartAttempt(now time.Duration, request *placement.Request, choice placement.Choice) *placement.Attempt
--- a/internal/system/proxy/pool.go
+++ b/internal/system/proxy/pool.go
@@ -26,8 +26,8 @@
 	runners        map[string]*runner
 	services       map[string]*configuration.Service
 	idleTimeouts   map[string]*idleTimeoutEstimator // by service
-	proxies        int
-	slowestConnect time.Duration // connect time over all runners, decayed
+	proxies        int                              // that may send to the same runners, this one included
+	slowestConnect time.Duration                    // connect time over all runners, decayed
 }
 
 func newPool(p *Proxy) *pool {
@@ -43,7 +43,7 @@
 	}
 }
 
-// setRunners replaces the known runners. Idle connections to runners that are gone or draining are closed.
+// setRunners replaces the known runners. Idle connections to runners that are no longer listed or are draining are closed.
 func (p *pool) setRunners(runners []placement.Runner) {
 	for _, r := range p.runners {
 		r.listed = false
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -82,8 +82,8 @@
 	bufferedBodyBytes int
 	pending           pendingWrite
 	shutdown          shutdownState
-	scratch           []byte
-	eventScratch      []byte
+	scratch           []byte // reused to encode heads and chunks; valid within one call
+	eventScratch      []byte // reused for the output of eventReader.push
 }
 
 // New creates a proxy; it serves nothing until Listen.
--- a/internal/system/proxy/runner.go
+++ b/internal/system/proxy/runner.go
@@ -11,7 +11,7 @@
 	id              string
 	service         string
 	address         netip.AddrPort
-	listed          bool
+	listed          bool // in the latest set of runners
 	draining        bool
 	conns           []*runnerConn // all connections, the idle ones included
 	idle            []*runnerConn // most recently used last
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// closeStaleIdle makes room for a new connection if only idle connections that cannot be trusted are left.
+// closeStaleIdle closes an idle connection that cannot be trusted if the limit would otherwise prevent a new one.
 func (r *runner) closeStaleIdle() {
 	if len(r.conns) >= r.pool.maxConns(r) && len(r.idle) > 0 {
 		r.idle[0].close()
--- a/internal/system/proxy/service_splitter_test.go
+++ b/internal/system/proxy/service_splitter_test.go
@@ -57,6 +57,6 @@
 	}
 	draws.remove("r")
 	if len(draws.points) > 0 {
-		t.Error("a removed route is kept")
+		t.Error("the state of a removed route is retained")
 	}
 }
--- a/internal/system/proxy/session.go
+++ b/internal/system/proxy/session.go
@@ -10,7 +10,7 @@
 	maxPipelinedBytes = 16 << 10               // that a client may pipeline before its turn
 	writeHighWater    = 32 << 10               // unsent bytes beyond which reading from the runner is paused
 	keepAliveLead     = time.Second            // the advertised keep-alive time is shorter than the real one by this much
-	defaultRetryAfter = 200 * time.Millisecond // told to a rejected client if nothing better is known
+	defaultRetryAfter = 200 * time.Millisecond // sent to a rejected client if nothing better is known
 	startupRetryAfter = time.Second            // the same while the proxy has no configuration
 )
 
@@ -20,7 +20,7 @@
 	socket               *eventloop.Conn
 	exchange             *exchange // nil between requests
 	closeAfterResponse   bool
-	headTimerStarted     bool // bytes of the next request have arrived
+	headTimerStarted     bool // the header timeout of the next request has been set: a part of its head has arrived
 	requestCount         int  // request heads read
 	acceptedAt           time.Duration
 	nextRequestStarted   bool          // bytes of a request have arrived whose head was not read
--- a/internal/system/proxy/session_input.go
+++ b/internal/system/proxy/session_input.go
@@ -75,7 +75,7 @@
 		exchange.finish()
 		s.rejectWith(413, "body too large")
 		return false
-	case done && s.socket.HungUp(): // the disconnect is reported next; nothing is sent for a client that is gone
+	case done && s.socket.HungUp(): // the disconnect is reported next; nothing is sent for a client that has disconnected
 		return false
 	case done:
 		s.timer.Stop()
--- a/internal/system/proxy/shutdown_simulation_test.go
+++ b/internal/system/proxy/shutdown_simulation_test.go
@@ -36,7 +36,7 @@
 	streamLengthQuery    = "?for=" // in the target: how long the runner streams
 )
 
-// shutdownSimulation is a proxy that is told to stop under load, in virtual time.
+// shutdownSimulation is a proxy that gets the shutdown signal under load, in virtual time.
 type shutdownSimulation struct {
 	random       *rand.Rand
 	network      *simulatedNetwork
--- a/internal/system/proxy/shutdown_test.go
+++ b/internal/system/proxy/shutdown_test.go
@@ -12,7 +12,7 @@
 var manualPlan = shutdownPlan{sweepIdle: time.Hour, closeListener: time.Hour,
 	Schedule: shutdown.Schedule{LastResponses: time.Hour, ProxyEnd: time.Hour}}
 
-// A proxy that is told to stop serves what still arrives and exits afterwards.
+// A proxy that has got the shutdown signal serves what still arrives and exits afterwards.
 func TestShutdownDrains(t *testing.T) {
 	h := newHarness(t)
 	h.onLoop(func() { h.proxy.shutdown.plan = manualPlan })
--- a/internal/system/proxy/simulation_checker_test.go
+++ b/internal/system/proxy/simulation_checker_test.go
@@ -158,7 +158,7 @@
 	request.cancelledAt = r.network.now
 }
 
-// connectionEnded processes the end of a connection before the response was complete; some says that a part had
+// connectionEnded processes the end of a connection before the response was complete; some means that a part had
 // arrived.
 func (r *checker) connectionEnded(request *simulatedRequest, some bool) {
 	request.completed = true
@@ -297,7 +297,7 @@
 	closes bool
 }
 
-// parseResponse parses a response. ended says that the connection was closed in order; whole that the response is
+// parseResponse parses a response. ended means that the connection was closed in order; whole that the response is
 // complete; valid that it is a response so far.
 func parseResponse(text string, ended bool) (response *parsedResponse, whole, valid bool) {
 	head := parseHead(text)
--- a/internal/system/proxy/simulation_client_test.go
+++ b/internal/system/proxy/simulation_client_test.go
@@ -91,7 +91,7 @@
 	return request
 }
 
-// send sends a request, in one piece or several.
+// send sends a request in one write or several.
 func (c *simulatedClient) send(request *simulatedRequest) {
 	sim := c.sim
 	text := fmt.Sprintf("%s %s %s\r\nHost: h.example\r\nX-Try-Id: %s\r\nX-Model: m-%s\r\nX-Time-Left-Ms: %d\r\n",
--- a/internal/system/proxy/simulation_runner_test.go
+++ b/internal/system/proxy/simulation_runner_test.go
@@ -208,7 +208,7 @@
 func (c *simulatedRunnerConn) answerEarly(got *parsedHead) {
 	sim := c.runner.sim
 	text := notRunResponse(c.request.id, 503)
-	if sim.network.now >= c.runner.peer.partitionedUntil && !sim.chance(3) { // a runner that has started says so at once
+	if sim.network.now >= c.runner.peer.partitionedUntil && !sim.chance(3) { // a runner that has started sends its response head at once
 		made := sim.checker.executionStarted(c.request, c.runner.id)
 		made.status, made.body = 200, bodyOf(c.request.id)
 		text = sealedResponse(made, "", lengthDelimited(made))
--- a/internal/system/proxy/watchdog.go
+++ b/internal/system/proxy/watchdog.go
@@ -9,7 +9,7 @@
 
 // A machine that has lost power or its network is silent: its connections stay open, and what is written to them stays
 // unacknowledged. Silence alone proves nothing because the runner may be busy, but a machine that acknowledges neither
-// bytes nor a new connection is gone. Then idempotent requests move to another runner, and no idle connection to the
+// bytes nor a new connection is unreachable. Then idempotent requests move to another runner, and no idle connection to the
 // machine is trusted any more.
 const (
 	ackTimeout         = 400 * time.Millisecond // for the acknowledgement of a request: longer than one retransmission
--- a/loadbalancer/api.go
+++ b/loadbalancer/api.go
@@ -20,7 +20,7 @@
 	Deadline float64 // clock time at which the client gives up
 }
 
-// WorkerState is what the list says of a worker.
+// WorkerState is the state of a worker in the list.
 type WorkerState uint8
 
 // The states of a worker in the list.
@@ -49,7 +49,7 @@
 const (
 	ListDelta  ListKind = iota // changed entries only
 	ListFull                   // the complete list
-	ListCached                 // the complete list as an earlier process held it
+	ListCached                 // the complete list as an earlier process stored it
 	ListFailed                 // a call failed or the watch broke; no entries
 )
 
@@ -79,7 +79,7 @@
 	Report          []float32 // in the order of Settings.ReportFields; empty if none came
 }
 
-// ProgressUpdate is news of an attempt in flight.
+// ProgressUpdate reports the progress of an attempt in flight.
 type ProgressUpdate struct {
 	Request  RequestID
 	Attempt  int
@@ -104,7 +104,7 @@
 	SetTimer(token uint32, at float64)
 	// Watch subscribes to list changes, or ends that.
 	Watch(on bool)
-	// Fetch asks for the whole list once.
+	// Fetch requests the complete list once.
 	Fetch()
 	// Log writes a line for operators.
 	Log(line string)
--- a/loadbalancer/attempts.go
+++ b/loadbalancer/attempts.go
@@ -9,7 +9,7 @@
 
 // This file decides attempts and hedged requests, and what their starts and ends teach.
 
-// HandleRequest handles an arrival: it is sent at once, rejected early, or held until a worker is
+// HandleRequest handles an arrival: it is sent at once, rejected early, or queued until a worker is
 // eligible.
 func (b *Balancer) HandleRequest(now float64, arrival *Request) {
 	if arrival.Class < 0 || arrival.Class >= len(b.Classes) {
@@ -26,7 +26,7 @@
 	b.attemptNext(now, request)
 }
 
-// attemptNext makes the next attempt, holds the request while no worker is eligible, or answers it.
+// attemptNext makes the next attempt, queues the request while no worker is eligible, or answers it.
 func (b *Balancer) attemptNext(now float64, request *requestState) {
 	if now >= request.Deadline-b.Tick || len(request.attempts) >= b.MaxAttempts ||
 		request.class.RetrySafety == RetryUnsafe && request.mayHaveRun() {
@@ -125,7 +125,7 @@
 }
 
 // hedge sends a second attempt of a job that waits and, should it wait as long again, will miss its
-// target, to a worker with spare capacity. One that runs is left alone: a second run costs its whole work
+// target, to a worker with spare capacity. One that runs is not hedged: a second run costs all its work
 // again and feeds an overload.
 func (b *Balancer) hedge(now float64, request *requestState) {
 	attempt := request.lastInFlight()
--- a/loadbalancer/balancer_test.go
+++ b/loadbalancer/balancer_test.go
@@ -791,7 +791,7 @@
 			}
 		}
 		if len(before) != 2*minViewWidth {
-			t.Fatalf("instance %d has %d workers in sight", s.Instance, len(before))
+			t.Fatalf("instance %d has %d workers in view", s.Instance, len(before))
 		}
 		departed := fleet[7]
 		departed.State = Departed
@@ -807,7 +807,7 @@
 	}
 	for _, w := range fleet {
 		if n := seen[w.ID]; n < s.Instances*minViewWidth/40/2 || n > s.Instances*minViewWidth/40*2 {
-			t.Errorf("worker %d is in sight of %d instances, %d on the mean", w.ID, n, s.Instances*minViewWidth/40)
+			t.Errorf("worker %d is in the view of %d instances, %d on the mean", w.ID, n, s.Instances*minViewWidth/40)
 		}
 	}
 	if unchanged*10 < all*8 {
@@ -818,7 +818,7 @@
 	r.list(ListFull, fleet[:12]...)
 	for _, w := range r.balancer.workers {
 		if !w.inView {
-			t.Errorf("worker %d of a small fleet is out of sight", w.ID)
+			t.Errorf("worker %d of a small cluster is not in view", w.ID)
 		}
 	}
 }
@@ -893,7 +893,7 @@
 		}
 	}
 	if r.attempts[1][0].worker != 1 || own < 4 || spilt < 3 {
-		t.Errorf("own zone %d, other zone %d: want the own zone's room used first, then the other's", own, spilt)
+		t.Errorf("own zone %d, other zone %d: want the own zone's capacity used first, then the other's", own, spilt)
 	}
 }
 
@@ -913,7 +913,7 @@
 	}
 }
 
-// A hedged request of a running job costs its whole work again and feeds an overload.
+// A hedged request of a running job costs all its work again and feeds an overload.
 func TestRunningJobIsNotHedged(t *testing.T) {
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(3)...)
--- a/loadbalancer/events.go
+++ b/loadbalancer/events.go
@@ -2,7 +2,7 @@
 
 // This file holds the events of attempts and clients; what they lead to is decided in the policy files.
 
-// HandleProgress applies news of a running attempt. News of attempts that are not in flight is ignored.
+// HandleProgress applies a progress update. Updates of attempts that are not in flight are ignored.
 func (b *Balancer) HandleProgress(now float64, update *ProgressUpdate) {
 	attempt, request := b.findAttempt(update.Request, update.Attempt)
 	switch {
--- a/loadbalancer/instances_simulation_test.go
+++ b/loadbalancer/instances_simulation_test.go
@@ -9,7 +9,7 @@
 )
 
 // instanceGroup is many instances that share nothing but the workers, over a virtual clock. A worker runs what it is sent at
-// once, however much that is, and reports truly: what counts here is who is sent how much.
+// once, however much that is, and reports truly: only the distribution of the sends counts here.
 type instanceGroup struct {
 	recorders    []*recorder
 	handledSends []int // sends of each that were carried out
@@ -212,7 +212,7 @@
 			r.request(id, 0, 0.05)
 			r.start(id, 0)
 			r.runTo(r.now + 0.02)
-			r.outcome(id, 0, OK, 0, float32(id%7)/10, 4) // news each time
+			r.outcome(id, 0, OK, 0, float32(id%7)/10, 4) // a new report each time
 		}
 		quiet := len(r.sends)
 		for range 20 { // none of these starts
@@ -269,11 +269,11 @@
 			sum += len(c.sends[cold])
 			most = max(most, c.worst(s, cold, 1002, work))
 		}
-		used := float64(sum) * work / (4 * size * float64(len(colds)) * warmAt(s, 1002)) // of what a worker this cold does in 4 s
+		used := float64(sum) * work / (4 * size * float64(len(colds)) * warmAt(s, 1002)) // of what a worker this far in slow start does in 4 s
 		if most > 1 || used < 0.3 {
-			t.Errorf("%d instances, seed %d: a cold worker was sent %.2f of what it bears; all got %.2f of what they do cold",
+			t.Errorf("%d instances, seed %d: a worker in slow start was sent %.2f of what it bears; all got %.2f of what they can do in slow start",
 				tc.instances, tc.seed, most, used)
 		}
-		t.Logf("%d instances, seed %d: at most %.2f of what it bears, %.2f of what they do cold", tc.instances, tc.seed, most, used)
+		t.Logf("%d instances, seed %d: at most %.2f of what it bears, %.2f of what they can do in slow start", tc.instances, tc.seed, most, used)
 	}
 }
--- a/loadbalancer/instances_test.go
+++ b/loadbalancer/instances_test.go
@@ -100,10 +100,10 @@
 	for _, p := range []InstanceShare{{}, {Instances: 1, BudgetShare: 0}, {Instances: 2, Instance: 2, BudgetShare: 1}, {Instances: 2, Instance: -1, BudgetShare: 1},
 		{Instances: 2, BudgetShare: 2}, {Instances: 2, BudgetShare: 1, InstanceKeys: []uint64{1}}} {
 		if b.SetInstanceShare(p) == nil {
-			t.Errorf("%+v is taken", p)
+			t.Errorf("%+v is accepted", p)
 		}
 	}
 	if b.Instances != testSettings().Instances || b.budgetShare != 1 {
-		t.Error("a place that makes no sense has changed something")
+		t.Error("an invalid share has changed something")
 	}
 }
--- a/loadbalancer/plan.go
+++ b/loadbalancer/plan.go
@@ -46,7 +46,7 @@
 		weights += worker.reportWeight
 		reporting += freshWeight
 	}
-	if sum < 0 { // and it fades: who rejects everything gets no new reports
+	if sum < 0 { // and it fades: a balancer that rejects everything gets no new reports
 		weights = reporting
 	}
 	capacity.UpdateMean(&b.meanOwnSlots, ownSlots, elapsed)
--- a/loadbalancer/probing.go
+++ b/loadbalancer/probing.go
@@ -14,7 +14,7 @@
 func (b *Balancer) pollsReports() bool { return b.MayProbe && b.ReportsByProbe }
 
 // chooseView chooses the workers whose reports are kept fresh. Many instances with little traffic each
-// cannot poll all, and an old report attracts jobs from all who hold it: so each has an even, stable
+// cannot poll all, and an old report attracts jobs from all that have it: so each has an even, stable
 // subset of its zone and of the others, as wide as its arrivals in a report period. In a small cluster
 // that is everyone.
 func (b *Balancer) chooseView(now float64) {
--- a/loadbalancer/rejection.go
+++ b/loadbalancer/rejection.go
@@ -10,7 +10,7 @@
 
 // isUnservable reports whether no send that the rules allow can ever serve the request: it may have run,
 // and no listed worker of the group that drops its duplicates is left, or the group drops them no longer.
-// The client is better told now.
+// Failing now lets the client act sooner.
 func (b *Balancer) isUnservable(now float64, request *requestState) bool {
 	if request.inFlight > 0 || !request.mayHaveRun() {
 		return false
@@ -42,7 +42,7 @@
 	return math.Min(math.Max(wait, b.tightestObjective), b.MaxRetryAfter)
 }
 
-// mayReject reports whether the client may be told that a retry is harmless.
+// mayReject reports whether a rejection, which promises that a retry is harmless, is allowed.
 func (b *Balancer) mayReject(request *requestState) bool {
 	class := request.class
 	return class.RetrySafety == RetrySafe || !request.mayHaveRun() ||
--- a/loadbalancer/replay_test.go
+++ b/loadbalancer/replay_test.go
@@ -114,7 +114,7 @@
 }
 
 // The actions of a Balancer are recorded in testdata/replay.txt: a change that should change no decision leaves every hash as
-// it is. One that should writes the file anew with REPLAY_RECORD=1, and its commit says why.
+// it is. One that should writes the file anew with REPLAY_RECORD=1, and its commit gives the reason.
 func TestRecordedRunsAreReplayed(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
 		t.Skip("recorded on amd64; other processors round products that are added differently")
@@ -137,7 +137,7 @@
 			for _, withInstanceShare := range []bool{false, true} {
 				plan := plans[name]
 				if withInstanceShare && !plan.restarts {
-					continue // a place counts only where workers are cold
+					continue // a share counts only where workers are in slow start
 				}
 				plan.load = load
 				plan.length = min(plan.length, 10)
--- a/loadbalancer/reports.go
+++ b/loadbalancer/reports.go
@@ -17,7 +17,7 @@
 // maxPeriodGrowth bounds a sample of the report period as a multiple of the mean.
 const maxPeriodGrowth = 8
 
-// parseReport sorts a report by the settings' fields; a value that makes no sense counts as not reported.
+// parseReport sorts a report by the settings' fields; an invalid value counts as not reported.
 func (b *Balancer) parseReport(worker *workerState, report []float32) loadReport {
 	parsed := loadReport{-1, -1, -1, -1}
 	for i, field := range b.ReportFields {
--- a/loadbalancer/request.go
+++ b/loadbalancer/request.go
@@ -27,11 +27,11 @@
 	slotsNeeded     float64 // Request.Slots, or 1
 	attempts        []attemptState
 	inFlight        int  // attempts
-	answered        bool // the client has its final answer, or has gone
+	answered        bool // the client has its final answer, or has disconnected
 	unansweredIndex int  // in Balancer.unanswered
 }
 
-// admit adds an arrival; a deadline, hint or size that makes no sense counts as not given.
+// admit adds an arrival; an invalid deadline, hint or size counts as not given.
 func (b *Balancer) admit(now float64, arrival *Request) *requestState {
 	request := b.newRequest()
 	request.Request, request.arrivedAt, request.class = *arrival, now, &b.Classes[arrival.Class]
--- a/loadbalancer/settings.go
+++ b/loadbalancer/settings.go
@@ -86,8 +86,8 @@
 	OverQuotaValue        float64       // value of a request beyond its tenant's quota, as a fraction
 }
 
-// validate returns an error for the first field that is missing or makes no sense. Errors name the fields
-// in the words of the settings file, which operators know.
+// validate returns an error for the first field that is missing or invalid. Errors name the fields
+// as the settings file does, which operators know.
 func (s *Settings) validate() error {
 	invalid := func(field string, v any) error { return fmt.Errorf("loadbalancer: settings: bad %s: %v", field, v) }
 	if len(s.Classes) == 0 {
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// validate returns an error for the first field that makes no sense.
+// validate returns an error for the first invalid field.
 func (c *Class) validate(index int) error {
 	invalid := func(field string, v any) error {
 		return fmt.Errorf("loadbalancer: settings: bad Classes[%d].%s: %v", index, field, v)
--- a/loadbalancer/simulation_test.go
+++ b/loadbalancer/simulation_test.go
@@ -382,7 +382,7 @@
 	}
 	attempt.ended = true
 	attempt.request.inFlight--
-	for i, y := range attempt.worker.waiting { // a client that has gone leaves the queue
+	for i, y := range attempt.worker.waiting { // a client that disconnects leaves the queue
 		if y == attempt {
 			attempt.worker.waiting = append(attempt.worker.waiting[:i:i], attempt.worker.waiting[i+1:]...)
 			break
--- a/loadbalancer/snapshot.go
+++ b/loadbalancer/snapshot.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// Restore takes over the snapshot of another Balancer of the same settings, all or nothing. What it says
+// Restore takes over the snapshot of another Balancer of the same settings, all or nothing. The snapshot
 // of a worker applies once the list names that worker with the same start.
 func (b *Balancer) Restore(now float64, snapshot Snapshot) error {
 	if err := b.validateSnapshot(now, &snapshot); err != nil {
@@ -123,7 +123,7 @@
 	copy(worker.sentWork[:], saved.SentWork)
 }
 
-// validateSnapshot returns an error for the first value that makes no sense. It names values as their JSON.
+// validateSnapshot returns an error for the first invalid value. It names values as their JSON.
 func (b *Balancer) validateSnapshot(now float64, snapshot *Snapshot) error {
 	invalid := func(what string) error { return fmt.Errorf("loadbalancer: snapshot: bad %s", what) }
 	means := []float64{snapshot.Pace, snapshot.SlotsPerJob, snapshot.ReportPeriod}
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// isValid reports whether all values make sense.
+// isValid reports whether all values are in their ranges.
 func (s *WorkerSnapshot) isValid() bool {
 	return s.Pace != 0 && len(s.SentWork) == len(workerState{}.sentWork) && areValid(s.SentWork) && s.SentSpan >= 0 &&
 		areValid([]float64{s.StartedAt, s.InFlight, s.Utilization, s.ReportedAt, s.OtherJobs, s.Slots, s.LoadLimit,
--- a/loadbalancer/snapshot_test.go
+++ b/loadbalancer/snapshot_test.go
@@ -51,7 +51,7 @@
 	fresh.list(ListFull, entries...)
 	want.Workers[3] = fresh.balancer.Snapshot().Workers[3]
 	if diff := cmp.Diff(want, got, cmp.Comparer(func(a, b float64) bool { return math.Abs(a-b) < 0.02 })); diff != "" {
-		t.Errorf("the next one knows (-want +got):\n%s", diff)
+		t.Errorf("restored (-want +got):\n%s", diff)
 	}
 	if out := want.Workers[1].OtherJobs + want.Workers[2].OtherJobs + want.Workers[4].OtherJobs; out < 2 {
 		t.Errorf("the jobs that are still out are not among the others': %v", out)
@@ -114,7 +114,7 @@
 }
 
 // Guards against a few long queues, known from old reports, that have a balancer of a large cluster reject everything: the
-// mean that stands in for unknown workers is of the queues, the reports that weigh it grow old together, and who rejects
+// mean that stands in for unknown workers is of the queues, the reports that weigh it grow old together, and a balancer that rejects
 // everything gets no new reports.
 func TestFewLongQueuesDoNotRejectEverything(t *testing.T) {
 	s := testSettings()
--- a/loadbalancer/state.go
+++ b/loadbalancer/state.go
@@ -47,7 +47,7 @@
 	arrivals       float64 // since viewChosenAt
 	viewChosenAt   float64
 
-	watching      bool    // the watch of the worker list stands
+	watching      bool    // the watch of the worker list is established
 	watchInterval float64 // between two attempts to watch
 	lastWatchAt   float64
 
