--- a/internal/dispatcher/dispatch/request.go
+++ b/internal/dispatcher/dispatch/request.go
@@ -39,10 +39,11 @@
 	Requeued() bool
 }
 
-// RequestID names a request and AttemptID an attempt. An ID whose request or attempt is over is never reused: calls
-// with it have no effect.
+// An ID whose request or attempt is over is never reused: calls with it have no effect.
 type (
+	// RequestID names a request.
 	RequestID slotmap.Handle
+	// AttemptID names an attempt.
 	AttemptID slotmap.Handle
 )
 
--- a/internal/dispatcher/httpfront/backend.go
+++ b/internal/dispatcher/httpfront/backend.go
@@ -51,14 +51,12 @@
 	}
 	connection, written := a.connection, a.written()
 	b.pool.forget(a)
-	switch {
-	case connection == nil:
+	if connection == nil {
 		b.do(&exchange{cancelID: a.call.ID})
-	default:
-		connection.close()
-		return written
+		return true
 	}
-	return true
+	connection.close()
+	return written
 }
 
 // ResetConnections implements dispatch.Backend.
