--- a/grpcbalancer/dispatcher_test.go
+++ b/grpcbalancer/dispatcher_test.go
@@ -196,7 +196,7 @@
 }
 
 // Guards against a server that is down: the call never ran there, so even an unsafe one goes elsewhere.
-func TestServerThatIsDown(t *testing.T) {
+func TestUnreachableServer(t *testing.T) {
 	r := newRig(t, loadbalancer.RetryUnsafe, 2)
 	r.servers[0].stop()
 	for range 4 {
--- a/internal/shared/eventloop/backpressure_test.go
+++ b/internal/shared/eventloop/backpressure_test.go
@@ -56,10 +56,10 @@
 	loop.ZeroCopyReads = true
 	const size = 16 << 20
 	var heard []string
-	d := &drainRecorder{recordingHandler: recordingHandler{&heard, "server", nil}}
+	writer := &drainRecorder{recordingHandler: recordingHandler{&heard, "server", nil}}
 	listener, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) Handler {
 		c.Write([]byte(strings.Repeat("x", size)))
-		return d
+		return writer
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -69,8 +69,8 @@
 	if err := loop.Run(); err != nil {
 		t.Fatal(err)
 	}
-	if d.drained != 1 || reader.got != size || reader.corrupted {
-		t.Errorf("drained %d times, %d bytes read, corrupted %v", d.drained, reader.got, reader.corrupted)
+	if writer.drained != 1 || reader.got != size || reader.corrupted {
+		t.Errorf("drained %d times, %d bytes read, corrupted %v", writer.drained, reader.got, reader.corrupted)
 	}
 }
 
--- a/internal/shared/eventloop/loop.go
+++ b/internal/shared/eventloop/loop.go
@@ -53,7 +53,7 @@
 	FreeDescriptor func() bool // closes a connection that can be spared; false if there is none
 
 	// ZeroCopyReads passes received bytes to handlers without copying them, as long as they consume them within Data.
-	// Nothing that Bytes returns may be kept beyond that.
+	// A handler must not retain what Bytes returns beyond that.
 	ZeroCopyReads bool
 
 	// OnLateWakeup is called when an iteration starts more than LateWakeupSeconds late, before anything else in it: the
--- a/internal/shared/eventloop/loop_test.go
+++ b/internal/shared/eventloop/loop_test.go
@@ -43,10 +43,10 @@
 // Guards against a connection that its peer has closed passing for a live one before its hang-up was handled, against a
 // connect that fails at once re-entering its caller, and against callbacks after Close.
 func TestConnections(t *testing.T) {
-	l := newLoop(t, 100)
+	loop := newLoop(t, 100)
 	var heard []string
 	var server *Conn
-	listener, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) Handler {
+	listener, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) Handler {
 		server = c
 		return recordingHandler{&heard, "server", func(what string, c *Conn) {
 			if strings.HasPrefix(what, "data") {
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := l.Connect(listener.Addr(), recordingHandler{&heard, "client", func(what string, c *Conn) {
+	client := loop.Connect(listener.Addr(), recordingHandler{&heard, "client", func(what string, c *Conn) {
 		switch what {
 		case "opened":
 			c.Write([]byte("ping"))
@@ -72,21 +72,21 @@
 		case "closed":
 			listener.Close()
 			calling := true
-			l.ConnectUnix("/nobody/here", recordingHandler{&heard, "absent", func(string, *Conn) {
+			loop.ConnectUnix("/nobody/here", recordingHandler{&heard, "absent", func(string, *Conn) {
 				if calling {
 					t.Error("the failure is reported within the call")
 				}
-				l.Stop()
+				loop.Stop()
 			}})
 			calling = false
 		}
 	}})
-	if err := l.Run(); err != nil {
+	if err := loop.Run(); err != nil {
 		t.Fatal(err)
 	}
 	want := []string{"client opened", "server data ping", "client data pong", "client closed", "absent closed"}
-	if diff := cmp.Diff(want, heard); diff != "" || client.Alive() || l.OpenSockets() != 0 {
-		t.Errorf("%d open (-want +got):\n%s", l.OpenSockets(), diff)
+	if diff := cmp.Diff(want, heard); diff != "" || client.Alive() || loop.OpenSockets() != 0 {
+		t.Errorf("%d open (-want +got):\n%s", loop.OpenSockets(), diff)
 	}
 }
 
@@ -165,12 +165,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &replyingHandler{loop: loop}
+	handler := &replyingHandler{loop: loop}
 	var conn *Conn
 	if err := loop.Adopt(pair[0], nil, func(c *Conn) Handler {
 		c.EnableDescriptorPassing()
 		conn = c
-		return h
+		return handler
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -191,8 +191,8 @@
 	if err := loop.Run(); err != nil {
 		t.Fatal(err)
 	}
-	if h.got != sent || h.closed == nil {
-		t.Errorf("%d of %d bytes received, closed by %v", h.got, sent, h.closed)
+	if handler.got != sent || handler.closed == nil {
+		t.Errorf("%d of %d bytes received, closed by %v", handler.got, sent, handler.closed)
 	}
 }
 
--- a/internal/shared/eventloop/udp_socket.go
+++ b/internal/shared/eventloop/udp_socket.go
@@ -21,7 +21,7 @@
 	handler func(b []byte)
 }
 
-// ListenUDP binds a UDP socket; handler gets each datagram and must not keep b. An address in use is an error that
+// ListenUDP binds a UDP socket; handler gets each datagram and must not retain b. An address in use is an error that
 // wraps the system's.
 func (l *Loop) ListenUDP(addr netip.AddrPort, handler func(b []byte)) (*UDPSocket, error) {
 	family, sa := sockaddr(addr)
--- a/internal/shared/eventloop/udp_socket_test.go
+++ b/internal/shared/eventloop/udp_socket_test.go
@@ -8,17 +8,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Datagrams are sent and received; one that is too long arrives recognizably truncated; an address in use is refused
-// with the system's own error; a handler may close its socket.
+// Datagrams are sent and received; one that is too long arrives recognizably truncated; an address in use is
+// rejected with the system's own error; a handler may close its socket.
 func TestUDPSocket(t *testing.T) {
 	loop := newLoop(t, 10)
 	any := netip.MustParseAddrPort("127.0.0.1:0")
 	var got []int
-	var a, b *UDPSocket
-	a, err := loop.ListenUDP(any, func(d []byte) {
+	var socket, b *UDPSocket
+	socket, err := loop.ListenUDP(any, func(d []byte) {
 		if got = append(got, len(d)); len(got) == 3 {
-			a.Close()
-			a.Close()
+			socket.Close()
+			socket.Close()
 			loop.At(loop.Now()+0.05, loop.Stop)
 		}
 	})
@@ -28,12 +28,12 @@
 	if b, err = loop.ListenUDP(any, func([]byte) { t.Error("unexpected datagram") }); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := loop.ListenUDP(a.Addr(), func([]byte) {}); !errors.Is(err, unix.EADDRINUSE) {
+	if _, err := loop.ListenUDP(socket.Addr(), func([]byte) {}); !errors.Is(err, unix.EADDRINUSE) {
 		t.Errorf("an address in use: %v", err)
 	}
 	loop.Defer(func() {
 		for _, n := range []int{0, 100, 5000, 7} { // nobody receives the last one
-			if err := b.SendTo(a.Addr(), make([]byte, n)); err != nil {
+			if err := b.SendTo(socket.Addr(), make([]byte, n)); err != nil {
 				t.Error(err)
 			}
 		}
--- a/internal/shared/lease/lease.go
+++ b/internal/shared/lease/lease.go
@@ -91,32 +91,32 @@
 func MaxOut(members int) int { return members / 3 }
 
 // Update computes and returns the state.
-func (l *Lease) Update(in *Input) State {
+func (l *Lease) Update(input *Input) State {
 	before := l.state
-	l.state, l.Reason = l.evaluate(in)
+	l.state, l.Reason = l.evaluate(input)
 	if l.state == Lapsed && before == Held {
-		l.lapsedAt = in.Now
+		l.lapsedAt = input.Now
 	}
 	return l.state
 }
 
 // evaluate returns the state and its reason.
-func (l *Lease) evaluate(in *Input) (State, string) {
-	if in.Self.Excluded {
-		if withinMaxOut(in, func(m *Member) bool { return m.Excluded || m.State == Out }) {
+func (l *Lease) evaluate(input *Input) (State, string) {
+	if input.Self.Excluded {
+		if withinMaxOut(input, func(m *Member) bool { return m.Excluded || m.State == Out }) {
 			return Out, "shut out by hand"
 		}
 		return Held, "shut out by hand, but a third of the members are already"
 	}
 	term := l.Term
-	if in.Self.LastUpdate == 0 || in.Now <= in.Self.LastUpdate+term {
+	if input.Self.LastUpdate == 0 || input.Now <= input.Self.LastUpdate+term {
 		return Held, ""
 	}
 	connected, fresher, lastContact := 0, 0, 0.0
-	for i := range in.Others {
-		m := &in.Others[i]
+	for i := range input.Others {
+		m := &input.Others[i]
 		lastContact = math.Max(lastContact, m.LastContact)
-		if m.LastContact > 0 && in.Now <= m.LastContact+term {
+		if m.LastContact > 0 && input.Now <= m.LastContact+term {
 			connected++
 			if m.State == Held && m.UpdateLead > term/2 {
 				fresher++
@@ -127,26 +127,26 @@
 	case lastContact == 0:
 		return Held, "nobody was ever heard"
 	case connected == 0:
-		return l.evaluateIsolated(in, lastContact)
+		return l.evaluateIsolated(input, lastContact)
 	case fresher < minFreshMembers:
 		return Held, "nobody has a fresh word"
-	case l.state == Held, in.Now < l.lapsedAt+lapsedWaitProbes*l.ProbeInterval:
+	case l.state == Held, input.Now < l.lapsedAt+lapsedWaitProbes*l.ProbeInterval:
 		return Lapsed, "others have a fresh word"
-	case l.state == Out || withinMaxOut(in, func(m *Member) bool { return m.State != Held || m.Excluded }):
+	case l.state == Out || withinMaxOut(input, func(m *Member) bool { return m.State != Held || m.Excluded }):
 		return Out, "others have a fresh word"
 	}
 	return Lapsed, "others have a fresh word, and a third of the members are out"
 }
 
 // evaluateIsolated returns the state of a member that reaches neither discovery nor any peer.
-func (l *Lease) evaluateIsolated(in *Input, lastContact float64) (State, string) {
+func (l *Lease) evaluateIsolated(input *Input, lastContact float64) (State, string) {
 	// By what was known of the others at the last contact. In a large cluster few send a message within a term: they are a sample of the rest.
 	considered, withoutDiscovery, dead := 0, 0, 0
-	for i := range in.Others {
-		if m := &in.Others[i]; m.DeadSince > 0 && m.DeadSince <= lastContact { // dead before the last contact: else it is this member that was isolated
+	for i := range input.Others {
+		if m := &input.Others[i]; m.DeadSince > 0 && m.DeadSince <= lastContact { // dead before the last contact: else it is this member that was isolated
 			dead++
 		}
-		if m := &in.Others[i]; m.LastContact > 0 && m.LastContact >= lastContact-l.Term {
+		if m := &input.Others[i]; m.LastContact > 0 && m.LastContact >= lastContact-l.Term {
 			if m.DeadSince > 0 && m.DeadSince <= lastContact {
 				continue
 			}
@@ -158,26 +158,26 @@
 	if considered == 0 {
 		return Held, "cut off, and nobody is known to be well"
 	}
-	unreachable := dead + (withoutDiscovery*(len(in.Others)-dead)+considered-1)/considered
+	unreachable := dead + (withoutDiscovery*(len(input.Others)-dead)+considered-1)/considered
 	discoveryKnown := withoutDiscovery < considered
-	members := 1 + len(in.Others)
+	members := 1 + len(input.Others)
 	switch {
 	case !discoveryKnown:
 		return Held, "cut off, and the others had no discovery either"
 	case l.state == Out:
 		return Out, "cut off"
-	case in.LastDiscovery < lastContact-2*l.ProbeInterval && unreachable+1 <= MaxOut(members): // it lost discovery first, which the others saw
+	case input.LastDiscovery < lastContact-2*l.ProbeInterval && unreachable+1 <= MaxOut(members): // it lost discovery first, which the others saw
 		return Out, "cut off, after discovery was lost while others had it"
-	case rank(in) < MaxOut(members)-unreachable:
+	case rank(input) < MaxOut(members)-unreachable:
 		return Out, "cut off from discovery and all others"
 	}
 	return Held, "cut off, but not among the third that may take it for their own fault"
 }
 
 // rank returns the position of this member in an order that no member can choose.
-func rank(in *Input) (position int) {
-	for i := range in.Others {
-		if in.Others[i].Key < in.Self.Key {
+func rank(input *Input) (position int) {
+	for i := range input.Others {
+		if input.Others[i].Key < input.Self.Key {
 			position++
 		}
 	}
@@ -186,17 +186,17 @@
 
 // withinMaxOut reports whether this member is among the first MaxOut of the members that are out or candidates: members
 // that are out come first, the rest in an order that is the same at all members.
-func withinMaxOut(in *Input, candidate func(*Member) bool) bool {
-	candidates := []Member{in.Self}
-	for i := range in.Others {
-		if in.Others[i].DeadSince > 0 || candidate(&in.Others[i]) {
-			candidates = append(candidates, in.Others[i])
+func withinMaxOut(input *Input, candidate func(*Member) bool) bool {
+	candidates := []Member{input.Self}
+	for i := range input.Others {
+		if input.Others[i].DeadSince > 0 || candidate(&input.Others[i]) {
+			candidates = append(candidates, input.Others[i])
 		}
 	}
-	slices.SortFunc(candidates, func(x, y Member) int {
-		return cmp.Or(cmp.Compare(outRank(&y), outRank(&x)), cmp.Compare(x.Key, y.Key), cmp.Compare(x.Name, y.Name))
+	slices.SortFunc(candidates, func(a, b Member) int {
+		return cmp.Or(cmp.Compare(outRank(&b), outRank(&a)), cmp.Compare(a.Key, b.Key), cmp.Compare(a.Name, b.Name))
 	})
-	return slices.IndexFunc(candidates, func(m Member) bool { return m.Name == in.Self.Name }) < MaxOut(1+len(in.Others))
+	return slices.IndexFunc(candidates, func(m Member) bool { return m.Name == input.Self.Name }) < MaxOut(1+len(input.Others))
 }
 
 // outRank is the sort key of members that are out or may be.
--- a/internal/shared/lease/lease_test.go
+++ b/internal/shared/lease/lease_test.go
@@ -47,8 +47,8 @@
 	}
 	var ins []Input
 	for i := range s.members {
-		in := Input{Now: s.now, Self: s.members[i], LastDiscovery: s.lastDiscovery[i]}
-		in.Self.LastUpdate, in.Self.State, in.Self.Excluded = s.lastUpdate[i], s.leases[i].State(), s.excluded[i]
+		input := Input{Now: s.now, Self: s.members[i], LastDiscovery: s.lastDiscovery[i]}
+		input.Self.LastUpdate, input.Self.State, input.Self.Excluded = s.lastUpdate[i], s.leases[i].State(), s.excluded[i]
 		for j, m := range s.members {
 			if j == i {
 				continue
@@ -59,9 +59,9 @@
 			if s.isolated[i] || s.isolated[j] {
 				m.LastContact, m.LastUpdate, m.DirectUpdate, m.State = s.isolatedAt, min(m.LastUpdate, s.isolatedAt), s.lastDiscovery[j] >= s.isolatedAt-5, Held
 			}
-			in.Others = append(in.Others, m)
+			input.Others = append(input.Others, m)
 		}
-		ins = append(ins, in)
+		ins = append(ins, input)
 	}
 	for i := range s.members {
 		if s.leases[i].Update(&ins[i]) == Out {
--- a/internal/shared/membership/probe.go
+++ b/internal/shared/membership/probe.go
@@ -36,33 +36,33 @@
 
 // advanceProbe acts on the deadlines of the current probe, and starts the next one when its time is over.
 func (n *Node) advanceProbe() {
-	p := &n.probe
-	if peer := n.byName[p.name]; peer != nil && p.indirect && !p.acked && !n.PlainSWIM && n.now >= p.retryAt {
-		p.retryAt = n.now + probeRetryInterval*n.ProbeInterval*n.timeoutFactor()
-		n.sendPing(peer, p.seq) // a datagram may be lost, and a ping costs less than a suspicion does
+	current := &n.probe
+	if peer := n.byName[current.name]; peer != nil && current.indirect && !current.acked && !n.PlainSWIM && n.now >= current.retryAt {
+		current.retryAt = n.now + probeRetryInterval*n.ProbeInterval*n.timeoutFactor()
+		n.sendPing(peer, current.seq) // a datagram may be lost, and a ping costs less than a suspicion does
 	}
-	if p.name != "" && !p.acked && !p.indirect && n.now >= p.sentAt+indirectProbeDelay*n.ProbeInterval*n.timeoutFactor() {
-		p.indirect = true
-		if peer := n.byName[p.name]; peer != nil {
-			helpers := slices.DeleteFunc(n.randomMembers(indirectProbeCount, p.name), func(peer *member) bool { return peer.OutOfService() })
-			p.expectedNacks = len(helpers)
+	if current.name != "" && !current.acked && !current.indirect && n.now >= current.sentAt+indirectProbeDelay*n.ProbeInterval*n.timeoutFactor() {
+		current.indirect = true
+		if peer := n.byName[current.name]; peer != nil {
+			helpers := slices.DeleteFunc(n.randomMembers(indirectProbeCount, current.name), func(peer *member) bool { return peer.OutOfService() })
+			current.expectedNacks = len(helpers)
 			for _, helper := range helpers {
 				subject := peer.outgoingRecord(n.now)
 				subject.Metadata = nil
-				n.send(helper.Addr, &Message{Kind: IndirectPing, Seq: p.seq, Subject: &subject})
+				n.send(helper.Addr, &Message{Kind: IndirectPing, Seq: current.seq, Subject: &subject})
 			}
 		}
-		p.retryAt = n.now
+		current.retryAt = n.now
 	}
-	if n.now < p.deadline {
+	if n.now < current.deadline {
 		return
 	}
-	if peer := n.byName[p.name]; peer != nil && p.name != "" && !p.acked && peer.State <= Suspect {
+	if peer := n.byName[current.name]; peer != nil && current.name != "" && !current.acked && peer.State <= Suspect {
 		n.FailedProbes++
 		// missing nacks as well as a missing ack point to this node
-		n.adjustAwareness(1 + max(0, p.expectedNacks-p.nacks))
+		n.adjustAwareness(1 + max(0, current.expectedNacks-current.nacks))
 		n.merge(n.suspectRecord(peer), "") // starts a suspicion, or confirms one
-	} else if p.name != "" && p.acked {
+	} else if current.name != "" && current.acked {
 		n.adjustAwareness(-1)
 	}
 	n.startProbe()
--- a/internal/shared/membership/simulation_test.go
+++ b/internal/shared/membership/simulation_test.go
@@ -349,8 +349,8 @@
 func TestRandomFaults(t *testing.T) {
 	runSeeds(t, 40, func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 99))
-		n := 3 + rng.IntN(22)
-		net := newLossyNet(seed, n)
+		size := 3 + rng.IntN(22)
+		net := newLossyNet(seed, size)
 		cuts := map[[2]*virtualcluster.Node]bool{}
 		var island map[*virtualcluster.Node]bool
 		net.Partitioned = func(a, b *virtualcluster.Node) bool {
@@ -363,13 +363,13 @@
 		}
 		net.StartAll(2)
 		for range 25 {
-			a, b := net.Nodes[rng.IntN(n)], net.Nodes[rng.IntN(n)]
+			a, b := net.Nodes[rng.IntN(size)], net.Nodes[rng.IntN(size)]
 			switch rng.IntN(11) {
 			case 0, 1:
 				net.Kill(a)
 			case 2, 3:
 				if a.Membership == nil {
-					net.Start(a, net.Nodes[0], net.Nodes[n-1])
+					net.Start(a, net.Nodes[0], net.Nodes[size-1])
 				}
 			case 4, 5:
 				if a.Membership != nil && !a.Paused {
@@ -400,10 +400,10 @@
 				net.Resume(node)
 			}
 			if node.Membership == nil {
-				net.Start(node, net.Nodes[0], net.Nodes[n-1])
+				net.Start(node, net.Nodes[0], net.Nodes[size-1])
 			}
 		}
-		t.Logf("%d members: one view after %.1f periods", n, waitConverged(t, net, n, 80))
+		t.Logf("%d members: one view after %.1f periods", size, waitConverged(t, net, size, 80))
 	})
 }
 
--- a/internal/system/placement/attempt.go
+++ b/internal/system/placement/attempt.go
@@ -34,7 +34,7 @@
 	Duration         time.Duration
 }
 
-// reservation is what an attempt takes of its runner.
+// reservation is the capacity that an attempt takes of its runner, and its progress there.
 type reservation struct {
 	runner        *runnerState
 	sentAt        time.Duration
@@ -181,7 +181,7 @@
 	r.pending.remove(attempt)
 }
 
-// removeAttempt releases all that an attempt still holds.
+// removeAttempt releases all that is still reserved for an attempt.
 func (r *runnerState) removeAttempt(attempt *Attempt) {
 	if !attempt.answered {
 		r.endPrefill(attempt)
--- a/internal/system/placement/compatibility_test.go
+++ b/internal/system/placement/compatibility_test.go
@@ -9,8 +9,9 @@
 	"cinderroad/internal/shared/capacity"
 )
 
-// TestReadsLearnt: what a proxy has its agent keep for its next life.
-func TestReadsLearnt(t *testing.T) {
+// TestSnapshotFormatIsStable checks that the snapshot, which an agent stores for the next incarnation of its proxy, keeps its
+// recorded form.
+func TestSnapshotFormatIsStable(t *testing.T) {
 	recorded := compatibility.Elsewhere.Check(t, "learnt", placerWithState(t).Snapshot())
 	speeds, runners, err := decodeSnapshot(recorded)
 	if err != nil {
--- a/internal/system/placement/global_prefix_test.go
+++ b/internal/system/placement/global_prefix_test.go
@@ -88,21 +88,21 @@
 	proxies := twoRegionProxies(t, testRunners("llm", 12))
 	for prefix := range uint64(40) {
 		next := map[string]string{}
-		for i, p := range proxies {
+		for i, placer := range proxies {
 			r := rarePrefixRequest(testStart, prefix)
-			owner, _ := p.Place(testStart, r)
-			runner := p.runners[owner.Runner]
+			owner, _ := placer.Place(testStart, r)
+			runner := placer.runners[owner.Runner]
 			spareSlots := runner.spareSlots
 			runner.spareSlots = 0
-			c, rejection := p.Place(testStart, r)
+			c, rejection := placer.Place(testStart, r)
 			runner.spareSlots = spareSlots
-			if rejection != nil || c.Runner == owner.Runner || p.runners[c.Runner].Region != p.options.Region {
+			if rejection != nil || c.Runner == owner.Runner || placer.runners[c.Runner].Region != placer.options.Region {
 				t.Fatalf("proxy %d sent prefix %d to %s, the owner being %s, %v", i, prefix, c.Runner, owner.Runner, rejection)
 			}
-			if was := next[p.options.Region]; was != "" && was != c.Runner {
+			if was := next[placer.options.Region]; was != "" && was != c.Runner {
 				t.Errorf("prefix %d goes to %s and %s", prefix, was, c.Runner)
 			}
-			next[p.options.Region] = c.Runner
+			next[placer.options.Region] = c.Runner
 		}
 	}
 }
--- a/internal/system/placement/notices_test.go
+++ b/internal/system/placement/notices_test.go
@@ -18,13 +18,13 @@
 // A prompt that another proxy announced keeps requests away from its runner for as long as the prefill takes, and no longer.
 func TestPeerPrefillIsAvoidedWhileItRuns(t *testing.T) {
 	const speed, tokens = 20000.0, 10000
-	p := startedTestPlacer(t, testRunners("llm", 3)) // llm-0 and llm-1 are in the region of the placer
-	p.services["llm"].prefillSpeed = speed
+	placer := startedTestPlacer(t, testRunners("llm", 3)) // llm-0 and llm-1 are in the region of the placer
+	placer.services["llm"].prefillSpeed = speed
 	read := time.Duration(tokens / speed * float64(time.Second))
 	chosen := func(now time.Duration) map[string]int {
 		counts := map[string]int{}
 		for range 40 {
-			choice, rejection := p.Place(now, westRequest(now))
+			choice, rejection := placer.Place(now, westRequest(now))
 			if rejection != nil {
 				t.Fatal(rejection)
 			}
@@ -32,15 +32,15 @@
 		}
 		return counts
 	}
-	notifyPrefill(p, testStart, "llm-0", tokens)
+	notifyPrefill(placer, testStart, "llm-0", tokens)
 	if counts := chosen(testStart); counts["llm-1"] != 40 {
 		t.Errorf("while llm-0 reads: %v", counts)
 	}
 	if counts := chosen(testStart + read*4/5); counts["llm-1"] != 40 {
 		t.Errorf("while llm-0 reads on: %v", counts)
 	}
-	p.Tick(testStart + read)
-	if runner := p.runners["llm-0"]; runner.backlog.remaining(testStart+read, p.services["llm"].prefillRate()) != 0 {
+	placer.Tick(testStart + read)
+	if runner := placer.runners["llm-0"]; runner.backlog.remaining(testStart+read, placer.services["llm"].prefillRate()) != 0 {
 		t.Errorf("%+v remains after the prefill", runner.backlog)
 	}
 	if counts := chosen(testStart + read + time.Millisecond); counts["llm-0"] == 0 {
@@ -105,35 +105,35 @@
 // With more proxies than a runner in slow start bears requests, most may not probe a suspect runner. They use it again
 // once a proxy that may has announced its recovery, after slowStartGuard.
 func TestRecoveryNoticeEndsSuspicion(t *testing.T) {
-	p := startedTestPlacer(t, testRunners("llm", 3))
+	placer := startedTestPlacer(t, testRunners("llm", 3))
 	peers := make([]uint64, 0, 80)
 	self := xxhash.Sum64String("self")
 	for i := range uint64(80) {
 		peers = append(peers, xxhash.Sum64String(string(rune('a'+i))))
 	}
-	p.SetPeers(testStart, self, peers)
-	runner := p.runners["llm-0"]
-	for ; p.mayUseSlowStartShare(runner, 14); self++ {
-		p.selfKey = self
+	placer.SetPeers(testStart, self, peers)
+	runner := placer.runners["llm-0"]
+	for ; placer.mayUseSlowStartShare(runner, 14); self++ {
+		placer.selfKey = self
 	}
 	now := testStart
-	a := p.StartAttempt(now, westRequest(now), Choice{Runner: runner.ID})
-	p.EndAttempt(now, a, ConnectFailed, Progress{})
+	a := placer.StartAttempt(now, westRequest(now), Choice{Runner: runner.ID})
+	placer.EndAttempt(now, a, ConnectFailed, Progress{})
 	minute := now + time.Minute
 	for ; now < minute; now += planPeriod {
-		p.Tick(now)
+		placer.Tick(now)
 	}
-	if p.isEligible(now, westRequest(now), runner) {
+	if placer.isEligible(now, westRequest(now), runner) {
 		t.Fatal("a runner that did not answer, and may be in slow start, is used by a proxy that has no share of it")
 	}
-	p.HandleNotice(now, Notice{Kind: NoticeRecovery, RunnerKey: runner.key})
-	if p.isEligible(now, westRequest(now), runner) {
+	placer.HandleNotice(now, Notice{Kind: NoticeRecovery, RunnerKey: runner.key})
+	if placer.isEligible(now, westRequest(now), runner) {
 		t.Error("it is used before the list can show that it is in slow start")
 	}
 	for end := now + slowStartGuard; now < end; now += planPeriod {
-		p.Tick(now)
+		placer.Tick(now)
 	}
-	if !p.isEligible(now, westRequest(now), runner) {
+	if !placer.isEligible(now, westRequest(now), runner) {
 		t.Error("it answers, and is not used")
 	}
 }
@@ -158,20 +158,20 @@
 
 // While more notices come than maxNoticeRate, only longer prompts are announced.
 func TestNoticeThresholdFollowsNoticeRate(t *testing.T) {
-	p := startedTestPlacer(t, testRunners("llm", 3))
+	placer := startedTestPlacer(t, testRunners("llm", 3))
 	runners := func(now time.Duration) bool {
 		r := westRequest(now)
 		r.Chunks, r.InputTokens = nil, 4000 // of two slots and a half
-		_, announced := p.StartAttempt(now, r, Choice{Runner: "llm-0"}).PrefillNotice()
+		_, announced := placer.StartAttempt(now, r, Choice{Runner: "llm-0"}).PrefillNotice()
 		return announced
 	}
 	hear := func(now time.Duration, seconds int, rate float64) time.Duration {
 		for range seconds * int(time.Second/planPeriod) {
 			for range int(rate * planPeriod.Seconds()) {
-				notifyPrefill(p, now, "llm-1", 3000)
+				notifyPrefill(placer, now, "llm-1", 3000)
 			}
 			now += planPeriod
-			p.Tick(now)
+			placer.Tick(now)
 		}
 		return now
 	}
--- a/internal/system/placement/peers.go
+++ b/internal/system/placement/peers.go
@@ -68,7 +68,7 @@
 	p.pendingProxyCount = max(count, 1)
 }
 
-// applyProxyCount applies a lower number of proxies once it has been pending for long enough.
+// applyProxyCount applies a lower number of proxies once proxyRemovalDelay has passed.
 func (p *Placer) applyProxyCount(now time.Duration) {
 	if p.pendingProxyCount > 0 && now >= p.pendingProxyCountAt {
 		p.proxyCount, p.pendingProxyCount = p.pendingProxyCount, 0
--- a/internal/system/placement/placer_test.go
+++ b/internal/system/placement/placer_test.go
@@ -200,10 +200,10 @@
 }
 
 func TestMostSpareCapacityInOwnRegionFirst(t *testing.T) {
-	p := startedTestPlacer(t, testRunners("api", 6))
+	placer := startedTestPlacer(t, testRunners("api", 6))
 	setSpareSlots := func(spareSlots ...float64) {
 		for i, v := range spareSlots {
-			p.runners[fmt.Sprintf("api-%d", i)].spareSlots = v
+			placer.runners[fmt.Sprintf("api-%d", i)].spareSlots = v
 		}
 	}
 	for _, test := range []struct {
@@ -217,7 +217,7 @@
 		{"least over its limit where none has spare capacity", []float64{-9, -8, -2, -9, -8, -3}, "api-2"},
 	} {
 		setSpareSlots(test.rooms...)
-		got, rejection := p.Place(testStart, testRequest(testStart, "api", testRoute()))
+		got, rejection := placer.Place(testStart, testRequest(testStart, "api", testRoute()))
 		if rejection != nil || got.Runner != test.want {
 			t.Errorf("%s: %+v %+v, not %s", test.name, got, rejection, test.want)
 		}
@@ -227,19 +227,19 @@
 // An attempt lowers the spare capacity of its runner, and its end restores it.
 func TestCapacityIsReservedAndReleased(t *testing.T) {
 	for _, service := range []string{"api", "llm"} {
-		p := startedTestPlacer(t, testRunners(service, 3))
+		placer := startedTestPlacer(t, testRunners(service, 3))
 		now := testStart
-		runner := p.runners[service+"-0"]
+		runner := placer.runners[service+"-0"]
 		spareSlots, tokens := runner.spareSlots, runner.spareTokens
 		r := testRequest(now, service, testRoute())
-		a := p.StartAttempt(now, r, Choice{Runner: runner.ID})
+		a := placer.StartAttempt(now, r, Choice{Runner: runner.ID})
 		if runner.spareSlots >= spareSlots || service == "llm" && runner.spareTokens >= tokens {
 			t.Errorf("%s: the send has not lowered the spare capacity", service)
 		}
-		p.HandleFirstEvent(now+time.Millisecond, a)
-		p.HandleEvent(now+2*time.Millisecond, a)
-		p.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Events: 2, Duration: 3 * time.Millisecond})
-		p.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{}) // ended twice
+		placer.HandleFirstEvent(now+time.Millisecond, a)
+		placer.HandleEvent(now+2*time.Millisecond, a)
+		placer.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Events: 2, Duration: 3 * time.Millisecond})
+		placer.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{}) // ended twice
 		if runner.spareSlots != spareSlots || runner.spareTokens != tokens || runner.ownUsage != (usage{}) || runner.ownAttempts != 0 || runner.pending.head != nil {
 			t.Errorf("%s: %+v after the end", service, runner)
 		}
@@ -293,14 +293,14 @@
 }
 
 func TestRepeatedOverloadLowersLimits(t *testing.T) {
-	p := startedTestPlacer(t, testRunners("api", 3))
-	runner := p.runners["api-0"]
+	placer := startedTestPlacer(t, testRunners("api", 3))
+	runner := placer.runners["api-0"]
 	before := runner.limits
 	fail := func(n int) {
 		for range n {
 			runner.load = 6
-			a := p.StartAttempt(testStart, testRequest(testStart, "api", testRoute()), Choice{Runner: runner.ID})
-			p.EndAttempt(testStart+time.Millisecond, a, Rejected, Progress{})
+			a := placer.StartAttempt(testStart, testRequest(testStart, "api", testRoute()), Choice{Runner: runner.ID})
+			placer.EndAttempt(testStart+time.Millisecond, a, Rejected, Progress{})
 		}
 	}
 	fail(1)
@@ -317,7 +317,7 @@
 	}
 	cut := runner.limits
 	for now := testStart; now < testStart+20*time.Second; now += planPeriod {
-		p.Tick(now)
+		placer.Tick(now)
 	}
 	if runner.limits.Load <= cut.Load || runner.limits.Utilization <= cut.Utilization {
 		t.Error("time has not raised the limits")
@@ -326,35 +326,35 @@
 
 func TestSuspectRunnerIsProbedByOneRequest(t *testing.T) {
 	for _, outcome := range []Outcome{TimedOut, ConnectFailed, Misdirected} {
-		p := startedTestPlacer(t, testRunners("api", 6))
+		placer := startedTestPlacer(t, testRunners("api", 6))
 		now := testStart
-		runner := p.runners["api-0"]
-		a := p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: runner.ID})
-		p.EndAttempt(now, a, outcome, Progress{})
+		runner := placer.runners["api-0"]
+		a := placer.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: runner.ID})
+		placer.EndAttempt(now, a, outcome, Progress{})
 		for range 50 {
-			if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner == runner.ID {
+			if c, _ := placer.Place(now, testRequest(now, "api", testRoute())); c.Runner == runner.ID {
 				t.Fatalf("outcome %d: sent there at once", outcome)
 			}
 		}
 		for end := now + 6*time.Second; now < end; now += planPeriod {
-			p.Tick(now)
+			placer.Tick(now)
 		}
-		for _, other := range p.runners {
+		for _, other := range placer.runners {
 			if other != runner {
 				other.spareSlots = -5
 			}
 		}
 		runner.spareSlots, runner.ejection.EjectedUntil = 5, 0
-		c, _ := p.Place(now, testRequest(now, "api", testRoute()))
+		c, _ := placer.Place(now, testRequest(now, "api", testRoute()))
 		if c.Runner != runner.ID {
 			t.Fatalf("outcome %d: never tried again: %+v", outcome, runner)
 		}
-		probe := p.StartAttempt(now, testRequest(now, "api", testRoute()), c)
+		probe := placer.StartAttempt(now, testRequest(now, "api", testRoute()), c)
 		runner.slowStartNextAt = 0
-		if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner == runner.ID {
+		if c, _ := placer.Place(now, testRequest(now, "api", testRoute())); c.Runner == runner.ID {
 			t.Fatalf("outcome %d: a second one while the first is out", outcome)
 		}
-		p.HandleFirstEvent(now, probe)
+		placer.HandleFirstEvent(now, probe)
 		if runner.suspect {
 			t.Errorf("outcome %d: it answers and is still suspect", outcome)
 		}
@@ -378,21 +378,21 @@
 
 // If most runners are suspect, the others are not overloaded: what exceeds their capacity goes to suspect ones.
 func TestRemainingRunnersAreNotOverloaded(t *testing.T) {
-	p := startedTestPlacer(t, testRunners("api", 6))
-	p.services["api"].SlowStartDuration = 0
+	placer := startedTestPlacer(t, testRunners("api", 6))
+	placer.services["api"].SlowStartDuration = 0
 	now := testStart
 	for i := range 5 {
-		a := p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: fmt.Sprintf("api-%d", i)})
-		p.EndAttempt(now, a, ConnectFailed, Progress{})
+		a := placer.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: fmt.Sprintf("api-%d", i)})
+		placer.EndAttempt(now, a, ConnectFailed, Progress{})
 	}
-	if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner != "api-5" {
+	if c, _ := placer.Place(now, testRequest(now, "api", testRoute())); c.Runner != "api-5" {
 		t.Errorf("sent to %s while api-5 has spare capacity", c.Runner)
 	}
-	p.runners["api-5"].spareSlots = -10
-	for _, runner := range p.runners {
+	placer.runners["api-5"].spareSlots = -10
+	for _, runner := range placer.runners {
 		runner.ejection.EjectedUntil = 0
 	}
-	if c, _ := p.Place(now, testRequest(now, "api", testRoute())); c.Runner == "api-5" || c.Runner == "" {
+	if c, _ := placer.Place(now, testRequest(now, "api", testRoute())); c.Runner == "api-5" || c.Runner == "" {
 		t.Errorf("sent to %q, which is far over its limit", c.Runner)
 	}
 }
@@ -440,24 +440,24 @@
 }
 
 func TestFailingRunnerIsEjected(t *testing.T) {
-	p := startedTestPlacer(t, testRunners("api", 3))
+	placer := startedTestPlacer(t, testRunners("api", 3))
 	now := testStart
 	failed := 0
 	for range 400 {
 		now += 5 * time.Millisecond
-		p.Tick(now)
+		placer.Tick(now)
 		r := testRequest(now, "api", testRoute())
-		c, rejection := p.Place(now, r)
+		c, rejection := placer.Place(now, r)
 		if rejection != nil {
 			t.Fatal(rejection)
 		}
-		a := p.StartAttempt(now, r, c)
+		a := placer.StartAttempt(now, r, c)
 		if c.Runner == "api-0" {
 			failed++
-			p.EndAttempt(now, a, Failed, Progress{Duration: time.Millisecond})
+			placer.EndAttempt(now, a, Failed, Progress{Duration: time.Millisecond})
 			continue
 		}
-		p.EndAttempt(now+4*time.Millisecond, a, Succeeded, Progress{TimeToFirstEvent: 4 * time.Millisecond, Duration: 4 * time.Millisecond})
+		placer.EndAttempt(now+4*time.Millisecond, a, Succeeded, Progress{TimeToFirstEvent: 4 * time.Millisecond, Duration: 4 * time.Millisecond})
 	}
 	if failed > 40 {
 		t.Errorf("%d of 400 went to a runner that fails all", failed)
@@ -481,8 +481,8 @@
 
 // A prompt goes to a runner with enough free tokens.
 func TestRunnerWithEnoughFreeTokensIsPreferred(t *testing.T) {
-	p := startedTestPlacer(t, testRunners("llm", 6))
-	for id, runner := range p.runners {
+	placer := startedTestPlacer(t, testRunners("llm", 6))
+	for id, runner := range placer.runners {
 		runner.spareTokens = 500
 		if id == "llm-4" {
 			runner.spareTokens, runner.spareSlots = 5000, 2
@@ -490,11 +490,11 @@
 	}
 	r := testRequest(testStart, "llm", testRoute())
 	r.InputTokens, r.Chunks = 2000, []Chunk{{7, 2000}}
-	if c, _ := p.Place(testStart, r); c.Runner != "llm-4" {
+	if c, _ := placer.Place(testStart, r); c.Runner != "llm-4" {
 		t.Errorf("sent to %+v", c)
 	}
 	r.InputTokens, r.Chunks = 300000, []Chunk{{7, 300000}}
-	if c, rejection := p.Place(testStart, r); rejection == nil {
+	if c, rejection := placer.Place(testStart, r); rejection == nil {
 		t.Errorf("larger than any memory, and sent to %+v", c)
 	}
 }
--- a/internal/system/placement/prefill_speed.go
+++ b/internal/system/placement/prefill_speed.go
@@ -4,7 +4,7 @@
 
 // The prefill speed.
 const (
-	speedWindowSize    = 64  // samples that are kept
+	speedWindowSize    = 64  // samples
 	minSpeedSamples    = 4   // samples that replace a restored speed
 	speedQuantile      = 0.8 // quantile of the samples that is taken for the speed
 	minSpeedSampleSlot = 16  // a prompt is a sample if it weighs more than a slot divided by this
--- a/internal/system/placement/prefix_cache.go
+++ b/internal/system/placement/prefix_cache.go
@@ -85,8 +85,9 @@
 	return owners
 }
 
-// isGlobal reports whether a prefix has one owner for all regions. It has if sending the few prompts that a region is
-// likely to send while the prefix is cached costs less than prefilling its last shared chunk in that region, too. Earlier
+// isGlobal reports whether a prefix has one owner for all regions. It has one if the bytes of the few prompts
+// that a region is likely to send to the owner while the prefix is cached cost less than prefilling its last shared chunk in
+// that region, too. Earlier
 // chunks don't count: more prefixes share them, so they are likely to be prefilled anyway. How often a prefix comes is
 // estimated from the share of the route's requests whose prefix this proxy sent recently, since each proxy sees few of them.
 func (p *Placer) isGlobal(request *Request, demand *tokenDemand) bool {
--- a/internal/system/placement/prefix_cache_test.go
+++ b/internal/system/placement/prefix_cache_test.go
@@ -25,19 +25,19 @@
 	for prefix := range uint64(40) {
 		owners := map[string]string{}
 		for i, zone := range []string{"m", "t", "m", "p", "p"} {
-			p := newTestPlacer(t, zone, uint64(i))
-			p.SetServices(testStart, testServices())
+			placer := newTestPlacer(t, zone, uint64(i))
+			placer.SetServices(testStart, testServices())
 			runners := append([]Runner(nil), runners...)
 			if i%2 == 1 { // in any order
 				for a, b := 0, len(runners)-1; a < b; a, b = a+1, b-1 {
 					runners[a], runners[b] = runners[b], runners[a]
 				}
 			}
-			p.SetRunners(testStart, runners)
-			p.SetProxyCount(testStart, 5)
+			placer.SetRunners(testStart, runners)
+			placer.SetProxyCount(testStart, 5)
 			for own := range uint64(5) {
 				r := prefixRequest(testStart, prefix, 1<<40+own)
-				c, rejection := p.Place(testStart, r)
+				c, rejection := placer.Place(testStart, r)
 				if rejection != nil {
 					t.Fatal(rejection)
 				}
@@ -47,7 +47,7 @@
 				}
 				owners[region] = c.Runner
 				used[c.Runner]++
-				p.EndAttempt(testStart, p.StartAttempt(testStart, r, c), Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Duration: time.Millisecond})
+				placer.EndAttempt(testStart, placer.StartAttempt(testStart, r, c), Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Duration: time.Millisecond})
 			}
 		}
 	}
@@ -112,19 +112,19 @@
 
 // A prefix that all requests share spreads over runners, so that the load of each stays bounded.
 func TestHotPrefixSpreads(t *testing.T) {
-	p := startedTestPlacer(t, testRunners("llm", 12))
-	p.SetProxyCount(testStart, 1)
+	placer := startedTestPlacer(t, testRunners("llm", 12))
+	placer.SetProxyCount(testStart, 1)
 	seen := map[string]int{}
 	now := testStart
 	for i := range 300 {
 		now += time.Millisecond
-		p.Tick(now)
+		placer.Tick(now)
 		r := prefixRequest(now, 7, 1<<40+uint64(i))
-		c, rejection := p.Place(now, r)
+		c, rejection := placer.Place(now, r)
 		if rejection != nil {
 			t.Fatal(rejection)
 		}
-		p.StartAttempt(now, r, c)
+		placer.StartAttempt(now, r, c)
 		seen[c.Runner]++
 	}
 	for id, n := range seen {
@@ -139,7 +139,7 @@
 
 // Prompts of a single chunk, such as those of a session, stay on one runner, too.
 func TestSessionStaysOnItsRunner(t *testing.T) {
-	p := startedTestPlacer(t, testRunners("llm", 12))
+	placer := startedTestPlacer(t, testRunners("llm", 12))
 	route := testRoute()
 	route.PrefixAffinity = true
 	for session := range uint64(20) {
@@ -147,12 +147,12 @@
 		for range 4 {
 			r := testRequest(testStart, "llm", route)
 			r.Chunks, r.InputTokens = []Chunk{{1<<50 + session, 4000}}, 4000
-			c, _ := p.Place(testStart, r)
+			c, _ := placer.Place(testStart, r)
 			if want != "" && c.Runner != want {
 				t.Fatalf("%s, then %s", want, c.Runner)
 			}
 			want = c.Runner
-			p.EndAttempt(testStart, p.StartAttempt(testStart, r, c), Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Duration: time.Millisecond})
+			placer.EndAttempt(testStart, placer.StartAttempt(testStart, r, c), Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Duration: time.Millisecond})
 		}
 	}
 }
@@ -177,37 +177,37 @@
 
 // The history of prefixes is bounded and its records expire.
 func TestPrefixHistoryExpires(t *testing.T) {
-	var k prefixHistory
-	if k.sentRecently(1, 2) {
-		t.Error("an empty memory has something")
+	var history prefixHistory
+	if history.sentRecently(1, 2) {
+		t.Error("an empty history reports a send")
 	}
-	k.record(testStart, 1, 2)
-	if !k.sentRecently(1, 2) || k.sentRecently(1, 3) || k.sentRecently(2, 2) {
-		t.Error("not what was noted")
+	history.record(testStart, 1, 2)
+	if !history.sentRecently(1, 2) || history.sentRecently(1, 3) || history.sentRecently(2, 2) {
+		t.Error("not the sends that were recorded")
 	}
-	k.record(testStart+prefixHistorySpan, 5, 6)
-	if k.sentRecently(1, 2) && *k.find(1, 2) == (prefixRecord{1, 2, testStart}) {
-		t.Error("remembered for longer than its span")
+	history.record(testStart+prefixHistorySpan, 5, 6)
+	if history.sentRecently(1, 2) && *history.find(1, 2) == (prefixRecord{1, 2, testStart}) {
+		t.Error("reported for longer than prefixHistorySpan")
 	}
 	for i := range uint64(100000) {
-		k.record(testStart+prefixHistorySpan, i, i)
+		history.record(testStart+prefixHistorySpan, i, i)
 	}
-	if len(k.entries) != prefixHistorySize {
-		t.Errorf("%d entries", len(k.entries))
+	if len(history.entries) != prefixHistorySize {
+		t.Errorf("%d entries", len(history.entries))
 	}
 }
 
 // Among many proxies, the few requests of one of them at an owner are not taken for the load of all: later requests of the
 // prefix go there, too.
 func TestOwnerIsStableAmongManyProxies(t *testing.T) {
-	p := startedTestPlacer(t, testRunners("llm", 90))
-	p.SetProxyCount(testStart, 60)
+	placer := startedTestPlacer(t, testRunners("llm", 90))
+	placer.SetProxyCount(testStart, 60)
 	now := testStart
 	for prefix := range uint64(40) {
 		first := ""
 		for own := range uint64(3) {
 			r := prefixRequest(now, prefix, 1<<40+own)
-			c, rejection := p.Place(now, r)
+			c, rejection := placer.Place(now, r)
 			if rejection != nil {
 				t.Fatal(rejection)
 			}
@@ -217,13 +217,13 @@
 			if c.Runner != first {
 				t.Errorf("prefix %d: request %d goes to %s, the first went to %s", prefix, own, c.Runner, first)
 			}
-			a := p.StartAttempt(now, r, c)
+			a := placer.StartAttempt(now, r, c)
 			for range 3 {
 				now += planPeriod
-				p.Tick(now)
+				placer.Tick(now)
 			}
-			p.HandleFirstEvent(now, a)
-			p.EndAttempt(now, a, Succeeded, Progress{TimeToFirstEvent: 300 * time.Millisecond, Duration: 300 * time.Millisecond})
+			placer.HandleFirstEvent(now, a)
+			placer.EndAttempt(now, a, Succeeded, Progress{TimeToFirstEvent: 300 * time.Millisecond, Duration: 300 * time.Millisecond})
 		}
 	}
 }
--- a/internal/system/placement/rejection_test.go
+++ b/internal/system/placement/rejection_test.go
@@ -27,19 +27,19 @@
 }
 
 func TestLowerRankYieldsToRejectedHigherRank(t *testing.T) {
-	var u loadShedding
+	var shedding loadShedding
 	now := 10 * time.Second
 	urgent, late := rankRequest(0, now, 3*time.Second), rankRequest(2, now, 15*time.Second)
-	u.recordArrival(now, urgent)
-	u.recordArrival(now, late)
-	u.recordRejection(now, urgent)
-	if got, own := u.maxWait(now, late), u.maxWait(now, urgent); got >= own {
+	shedding.recordArrival(now, urgent)
+	shedding.recordArrival(now, late)
+	shedding.recordRejection(now, urgent)
+	if got, own := shedding.maxWait(now, late), shedding.maxWait(now, urgent); got >= own {
 		t.Errorf("the less urgent one may wait %v s, the urgent one %v s", got, own)
 	}
-	if !u.mustYield(now, late) || u.mustYield(now, urgent) {
+	if !shedding.mustYield(now, late) || shedding.mustYield(now, urgent) {
 		t.Error("only less urgent requests yield")
 	}
-	if after := now + yieldDuration + 1; u.mustYield(after, late) || u.maxWait(after, rankRequest(2, after, 15*time.Second)) < 7 {
+	if after := now + yieldDuration + 1; shedding.mustYield(after, late) || shedding.maxWait(after, rankRequest(2, after, 15*time.Second)) < 7 {
 		t.Error("it yields for too long after the last rejection")
 	}
 }
@@ -58,8 +58,8 @@
 // Under load a request of a low rank with a long deadline is rejected while more urgent ones are; it is placed again once
 // none of those has been rejected for yieldDuration.
 func TestLowerRanksAreRejectedFirst(t *testing.T) {
-	p := startedTestPlacer(t, testRunners("api", 3))
-	for _, runner := range p.runners {
+	placer := startedTestPlacer(t, testRunners("api", 3))
+	for _, runner := range placer.runners {
 		runner.spareSlots, runner.occupiedSlots, runner.excessWait = -1, 6, 2
 	}
 	urgent := testRequest(testStart, "api", testRoute())
@@ -67,21 +67,21 @@
 	route.Name, route.Rank = "late", 2
 	late := testRequest(testStart, "api", route)
 	late.Deadline = testStart + 15*time.Second
-	if _, rejection := p.Place(testStart, late); rejection != nil {
+	if _, rejection := placer.Place(testStart, late); rejection != nil {
 		t.Fatalf("rejected before any urgent one: %+v", rejection)
 	}
-	if _, rejection := p.Place(testStart, urgent); rejection == nil {
+	if _, rejection := placer.Place(testStart, urgent); rejection == nil {
 		t.Fatal("an urgent request is sent where it would wait twice its time")
 	}
-	if _, rejection := p.Place(testStart, late); rejection == nil {
+	if _, rejection := placer.Place(testStart, late); rejection == nil {
 		t.Error("a request that is not urgent is placed while urgent ones are rejected")
 	}
 	late.Deadline += 2 * yieldDuration
 	after := testStart + 2*yieldDuration
-	for _, runner := range p.runners {
+	for _, runner := range placer.runners {
 		runner.excessWait = 2
 	}
-	if _, rejection := p.Place(after, late); rejection != nil {
+	if _, rejection := placer.Place(after, late); rejection != nil {
 		t.Errorf("still rejected long after the last urgent one: %+v", rejection)
 	}
 }
--- a/internal/system/placement/runner.go
+++ b/internal/system/placement/runner.go
@@ -122,7 +122,7 @@
 		runner.service.runners = append(runner.service.runners, runner)
 	}
 	for _, service := range p.services {
-		slices.SortFunc(service.runners, func(peer, y *runnerState) int { return cmp.Compare(peer.ID, y.ID) })
+		slices.SortFunc(service.runners, func(a, b *runnerState) int { return cmp.Compare(a.ID, b.ID) })
 	}
 	p.dropUnusedServices()
 }
--- a/internal/system/placement/service_test.go
+++ b/internal/system/placement/service_test.go
@@ -11,22 +11,22 @@
 // 200 ms must not make an engine with a target of 800 ms look full.
 func TestLatencyTargetsOfServicesAreIndependent(t *testing.T) {
 	utilization := func(others ...*configuration.Route) float64 {
-		p := startedTestPlacer(t, append(testRunners("llm", 3), testRunners("api", 3)...))
+		placer := startedTestPlacer(t, append(testRunners("llm", 3), testRunners("api", 3)...))
 		long := &configuration.Route{Name: "long", Type: configuration.Streaming, LatencyTarget: 800 * time.Millisecond,
 			Timeout: 5 * time.Second, MaxAttempts: 1}
 		ask := func(service string, route *configuration.Route) {
 			r := testRequest(testStart, service, route)
-			if c, rejection := p.Place(testStart, r); rejection == nil {
-				p.EndAttempt(testStart, p.StartAttempt(testStart, r, c), Succeeded, Progress{})
+			if c, rejection := placer.Place(testStart, r); rejection == nil {
+				placer.EndAttempt(testStart, placer.StartAttempt(testStart, r, c), Succeeded, Progress{})
 			}
 		}
 		ask("llm", long)
 		for _, route := range others {
 			ask("api", route)
 		}
-		s, runner := p.services["llm"], p.runners["llm-0"]
+		s, runner := placer.services["llm"], placer.runners["llm-0"]
 		s.prefillSpeed, runner.excessWait = 40000, 0.3
-		p.planService(testStart, s)
+		placer.planService(testStart, s)
 		return runner.utilization
 	}
 	alone, beside := utilization(), utilization(testRoute())
--- a/internal/system/placement/shared_budgets_test.go
+++ b/internal/system/placement/shared_budgets_test.go
@@ -288,20 +288,20 @@
 
 // The budget is usable: a moderate rate of retries is allowed.
 func TestRetryBudgetAllowsRetries(t *testing.T) {
-	p := startedTestPlacer(t, testRunners("api", 3))
+	placer := startedTestPlacer(t, testRunners("api", 3))
 	now := testStart + 20*time.Second
 	allowed := 0
 	for i := range 100 {
 		now += 50 * time.Millisecond
-		p.Tick(now)
+		placer.Tick(now)
 		r := testRequest(now, "api", testRoute())
-		c, rejection := p.Place(now, r)
+		c, rejection := placer.Place(now, r)
 		if rejection != nil {
 			t.Fatal(rejection)
 		}
-		p.EndAttempt(now, p.StartAttempt(now, r, c), Succeeded, Progress{Duration: time.Millisecond})
-		if r.TriedRunners = []string{c.Runner}; i%10 == 0 && p.MayRetry(now, r) {
-			p.EndAttempt(now, p.StartAttempt(now, r, c), Succeeded, Progress{Duration: time.Millisecond})
+		placer.EndAttempt(now, placer.StartAttempt(now, r, c), Succeeded, Progress{Duration: time.Millisecond})
+		if r.TriedRunners = []string{c.Runner}; i%10 == 0 && placer.MayRetry(now, r) {
+			placer.EndAttempt(now, placer.StartAttempt(now, r, c), Succeeded, Progress{Duration: time.Millisecond})
 			allowed++
 		}
 	}
--- a/internal/system/placement/snapshot.go
+++ b/internal/system/placement/snapshot.go
@@ -19,7 +19,7 @@
 // maxSnapshotCount bounds the elements of a list and the bytes of a name that Restore accepts.
 const maxSnapshotCount = 1 << 16
 
-// errSnapshot is returned for an encoding that Snapshot did not make. The Placer then keeps what it has.
+// errSnapshot is returned for an encoding that Snapshot did not make. The Placer's state is then unchanged.
 var errSnapshot = errors.New("placement: snapshot: truncated, malformed or of another version; start without it")
 
 // runnerSnapshot is what a snapshot holds of a runner.
--- a/internal/system/placement/snapshot_test.go
+++ b/internal/system/placement/snapshot_test.go
@@ -20,15 +20,15 @@
 func TestSnapshotOutlivesRestart(t *testing.T) {
 	old := placerWithState(t)
 	for _, listFirst := range []bool{true, false} {
-		p := newTestPlacer(t, "m", 2)
+		placer := newTestPlacer(t, "m", 2)
 		runners := append(testRunners("llm", 4), testRunners("api", 3)...)
 		steps := []func(){
 			func() {
-				p.SetServices(testStart, testServices())
-				p.SetRunners(testStart, runners)
+				placer.SetServices(testStart, testServices())
+				placer.SetRunners(testStart, runners)
 			},
 			func() {
-				if err := p.Restore(testStart, old.Snapshot()); err != nil {
+				if err := placer.Restore(testStart, old.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
 			},
@@ -40,12 +40,12 @@
 			step()
 		}
 		for id, runner := range old.runners {
-			if got := p.runners[id].limits; math.Abs(got.Load-runner.limits.Load) > 1e-4 || math.Abs(got.Utilization-runner.limits.Utilization) > 1e-6 {
+			if got := placer.runners[id].limits; math.Abs(got.Load-runner.limits.Load) > 1e-4 || math.Abs(got.Utilization-runner.limits.Utilization) > 1e-6 {
 				t.Errorf("list first %v: %s: %+v, was %+v", listFirst, id, got, runner.limits)
 			}
 		}
-		if p.services["llm"].prefillSpeed != 38700 {
-			t.Errorf("list first %v: speed %v", listFirst, p.services["llm"].prefillSpeed)
+		if placer.services["llm"].prefillSpeed != 38700 {
+			t.Errorf("list first %v: speed %v", listFirst, placer.services["llm"].prefillSpeed)
 		}
 	}
 }
@@ -86,23 +86,23 @@
 	f.Add([]byte{snapshotVersion, 0, 0})
 	f.Add(placerWithState(f).Snapshot())
 	f.Fuzz(func(t *testing.T, b []byte) {
-		p := newTestPlacer(t, "m", 2)
-		if p.Restore(testStart, b) != nil {
-			if len(p.restored) > 0 || len(p.restoredSpeeds) > 0 {
+		placer := newTestPlacer(t, "m", 2)
+		if placer.Restore(testStart, b) != nil {
+			if len(placer.restored) > 0 || len(placer.restoredSpeeds) > 0 {
 				t.Fatal("rejected, and yet applied")
 			}
 			return
 		}
-		p.SetServices(testStart, testServices())
-		p.SetRunners(testStart, append(testRunners("llm", 4), testRunners("api", 3)...))
-		p.SetProxyCount(testStart, 2)
+		placer.SetServices(testStart, testServices())
+		placer.SetRunners(testStart, append(testRunners("llm", 4), testRunners("api", 3)...))
+		placer.SetProxyCount(testStart, 2)
 		for at := testStart; at < testStart+time.Second; at += planPeriod {
-			p.Tick(at)
+			placer.Tick(at)
 		}
-		if _, rejection := p.Place(testStart+time.Second, testRequest(testStart+time.Second, "api", testRoute())); rejection != nil {
+		if _, rejection := placer.Place(testStart+time.Second, testRequest(testStart+time.Second, "api", testRoute())); rejection != nil {
 			t.Fatal(rejection)
 		}
-		if err := newTestPlacer(t, "m", 3).Restore(testStart, p.Snapshot()); err != nil {
+		if err := newTestPlacer(t, "m", 3).Restore(testStart, placer.Snapshot()); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/system/proxy/compatibility_test.go
+++ b/internal/system/proxy/compatibility_test.go
@@ -9,8 +9,8 @@
 	"cinderroad/internal/system/placement"
 )
 
-// TestReadsNotices: datagrams between proxies.
-func TestReadsNotices(t *testing.T) {
+// TestNoticeFormatIsStable checks that the datagrams between proxies keep their recorded form.
+func TestNoticeFormatIsStable(t *testing.T) {
 	for name, notice := range map[string]placement.Notice{
 		"reads":   {Kind: placement.NoticePrefill, RunnerKey: 0xfedcba9876543210, Tokens: 4000},
 		"answers": {Kind: placement.NoticeRecovery, RunnerKey: 9},
@@ -19,15 +19,15 @@
 		if got, relayed, ok := parseNotice(recorded); !ok || relayed || got != notice {
 			t.Errorf("%s: %+v, %v, %v", name, got, relayed, ok)
 		}
-		passedOn := append([]byte{recorded[0] | 0x80}, recorded[1:]...)
-		if got, relayed, ok := parseNotice(passedOn); !ok || !relayed || got != notice {
-			t.Errorf("%s to pass on: %+v, %v, %v", name, got, relayed, ok)
+		forwarded := append([]byte{recorded[0] | 0x80}, recorded[1:]...)
+		if got, relayed, ok := parseNotice(forwarded); !ok || !relayed || got != notice {
+			t.Errorf("%s to be forwarded: %+v, %v, %v", name, got, relayed, ok)
 		}
 	}
 }
 
-// TestFiguresKeepTheirNames: those of the page with their types and labels, in their order.
-func TestFiguresKeepTheirNames(t *testing.T) {
+// TestMetricNamesAreStable checks the names of the metrics page with their types and labels, in their order.
+func TestMetricNamesAreStable(t *testing.T) {
 	page := newHarness(t, withMetrics).metricsPage()
 	values := regexp.MustCompile(`(?m)^# HELP.*\n| [-+.0-9eInf]+$`)
 	names := values.ReplaceAllString(page, "")
--- a/internal/system/proxy/doc.go
+++ b/internal/system/proxy/doc.go
@@ -6,7 +6,7 @@
 // A request is buffered completely before it is sent. Whether it may have been executed depends on its last byte: no
 // runner can have started before the kernel has accepted that byte, and afterwards only a response that says so proves
 // that nothing was executed. A request that is not idempotent is therefore sent to a second runner only if no runner can
-// have executed it, and a client is told 503, 429, 408 or 421 only in that case. A response that was cut off never looks
+// have executed it, and a client gets status 503, 429, 408 or 421 only in that case. A response that was cut off never looks
 // complete. On shutdown, every request that was read gets a response.
 //
 // # Structure
--- a/internal/system/proxy/fake_placer_test.go
+++ b/internal/system/proxy/fake_placer_test.go
@@ -31,7 +31,7 @@
 // fakePlacer chooses the first runner that was not tried. It belongs to the loop's goroutine.
 type fakePlacer struct {
 	runners     []placement.Runner
-	refusal     *placement.Rejection
+	rejection   *placement.Rejection
 	noRetry     bool
 	spread      bool // rotates through the runners
 	priority    int
@@ -63,8 +63,8 @@
 
 func (f *fakePlacer) Place(_ time.Duration, request *placement.Request) (placement.Choice, *placement.Rejection) {
 	f.lastRequest = *request
-	if f.refusal != nil {
-		return placement.Choice{}, f.refusal
+	if f.rejection != nil {
+		return placement.Choice{}, f.rejection
 	}
 	for _, candidate := range f.runners {
 		if !slices.Contains(request.TriedRunners, candidate.ID) {
--- a/internal/system/proxy/retry_test.go
+++ b/internal/system/proxy/retry_test.go
@@ -120,10 +120,10 @@
 }
 
 // A rejected request is answered at once with a Retry-After, and the connection stays usable.
-func TestPlacementRefusal(t *testing.T) {
+func TestPlacementRejection(t *testing.T) {
 	h := newHarness(t)
 	h.startRunners("a")
-	h.onLoop(func() { h.placer.refusal = &placement.Rejection{RetryAfter: 250 * time.Millisecond} })
+	h.onLoop(func() { h.placer.rejection = &placement.Rejection{RetryAfter: 250 * time.Millisecond} })
 	c := h.connect()
 	for _, id := range []string{"t1", "t2"} {
 		c.send(requestText("/writes/x", id, "", "body"))
--- a/internal/system/proxy/simulation_test.go
+++ b/internal/system/proxy/simulation_test.go
@@ -99,16 +99,16 @@
 	resumable.Resumable = true
 	routes := []*configuration.Route{route("reads", configuration.ReadOnly), route("writes", configuration.ReadWrite),
 		route("stream", configuration.Streaming), resumable}
-	for _, runner := range routes {
-		runner.Timeout, runner.LatencyTarget, runner.MaxAttempts = simulationRouteTimeout, 300*time.Millisecond, simulationAttempts
+	for _, target := range routes {
+		target.Timeout, target.LatencyTarget, target.MaxAttempts = simulationRouteTimeout, 300*time.Millisecond, simulationAttempts
 	}
 	sim.proxy.SetRoutes(&fakeRoutes{routes})
 	sim.proxy.SetServices([]*configuration.Service{{Name: "s", MaxConnections: 100}})
 	var known []placement.Runner
 	for i := range simulationRunners {
-		runner := newSimulatedRunner(sim, i)
-		sim.runners = append(sim.runners, runner)
-		known = append(known, placement.Runner{ID: runner.id, Service: "s", Address: runner.address})
+		target := newSimulatedRunner(sim, i)
+		sim.runners = append(sim.runners, target)
+		known = append(known, placement.Runner{ID: target.id, Service: "s", Address: target.address})
 	}
 	placer.runners = known
 	sim.proxy.SetRunners(known)
--- a/loadbalancer/balancer_test.go
+++ b/loadbalancer/balancer_test.go
@@ -345,9 +345,9 @@
 // Guards against a wait of 0, which sends the client back into the same overload, and one longer than clients obey.
 func TestRejectionCarriesRetryAfter(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
-		s := testSettings()
-		s.MayRetryAfter, s.MaxRetryAfter = allowed, 2
-		r := newRecorder(t, s, 1)
+		settings := testSettings()
+		settings.MayRetryAfter, settings.MaxRetryAfter = allowed, 2
+		r := newRecorder(t, settings, 1)
 		r.list(ListFull, ready(1)...)
 		for id := RequestID(1); id < 400 && len(r.rejected) == 0; id++ {
 			r.request(id, 0, 0.2)
@@ -362,7 +362,7 @@
 			t.Fatal("nothing was rejected under overload")
 		}
 		for id := range r.rejected {
-			if wait := r.waits[id]; allowed && !(wait > 0 && wait <= s.MaxRetryAfter) || !allowed && wait != 0 {
+			if wait := r.waits[id]; allowed && !(wait > 0 && wait <= settings.MaxRetryAfter) || !allowed && wait != 0 {
 				t.Errorf("retry-after allowed %v: wait %v", allowed, wait)
 			}
 		}
@@ -471,7 +471,7 @@
 }
 
 // An instance keeps to its share of the slow start budget, whatever the others know.
-func TestSlowStartBudgetIsKept(t *testing.T) {
+func TestSlowStartBudgetIsNotExceeded(t *testing.T) {
 	s := testSettings()
 	r := newRecorder(t, s, 1)
 	r.list(ListFull, Worker{ID: 1, State: Ready, StartedAt: r.now})
@@ -493,10 +493,10 @@
 // Guards against turns that only the first few of many instances ever get, so that the worker stays unused until it is
 // warm. All together must use it and stay within the budget, with restarts and with a job larger than an equal share.
 func TestSlowStartBudgetHoldsOverAllInstances(t *testing.T) {
-	s := testSettings()
-	s.Instances = 100
+	settings := testSettings()
+	settings.Instances = 100
 	startInstance := func(seed uint64, at float64) *recorder {
-		r := newRecorder(t, s, seed)
+		r := newRecorder(t, settings, seed)
 		r.now = at
 		r.list(ListFull, ready(1)...)
 		r.request(1, 0, 0.1)
@@ -506,35 +506,35 @@
 		return r
 	}
 	var instances []*recorder
-	for s.Instance = 0; s.Instance < s.Instances; s.Instance++ {
-		instances = append(instances, startInstance(uint64(s.Instance), 1000))
+	for settings.Instance = 0; settings.Instance < settings.Instances; settings.Instance++ {
+		instances = append(instances, startInstance(uint64(settings.Instance), 1000))
 	}
 	var all []recordedSend
 	work := func(id RequestID) float64 { return []float64{0.1, 0.1, 0.1, 0.4}[id%4] }
 	senders := map[int]bool{}
 	for step := RequestID(2); step < 100; step++ {
-		for me, r := range instances {
-			if step == 30 && me%2 == 0 { // half of them are back with nothing but the list
-				s.Instance = me
-				r = startInstance(uint64(1000+me), r.now)
-				instances[me] = r
+		for instance, r := range instances {
+			if step == 30 && instance%2 == 0 { // half of them are back with nothing but the list
+				settings.Instance = instance
+				r = startInstance(uint64(1000+instance), r.now)
+				instances[instance] = r
 			}
 			n := len(r.sends)
-			r.runTo(1000 + 0.2*float64(step) + 0.001*float64(me))
+			r.runTo(1000 + 0.2*float64(step) + 0.001*float64(instance))
 			r.request(step, 3, work(step))
 			for _, x := range r.sends[n:] {
 				if x.worker == 9 {
 					all = append(all, x)
-					senders[me] = true
+					senders[instance] = true
 				}
 			}
 		}
 	}
-	worst := worstSpan(s, all, work, func(from float64) float64 { return 4 * warmAt(s, from) })
+	worst := worstSpan(settings, all, work, func(from float64) float64 { return 4 * warmAt(settings, from) })
 	if worst > 1 {
 		t.Errorf("all together sent %.2f of what a worker in slow start bears", worst)
 	}
-	if worst < 0.3 || len(senders) < s.Instances/3 {
+	if worst < 0.3 || len(senders) < settings.Instances/3 {
 		t.Errorf("a worker in slow start got %.2f of what it bears, from %d instances", worst, len(senders))
 	}
 	t.Logf("%.2f of the budget, from %d instances", worst, len(senders))
@@ -773,15 +773,15 @@
 // Hundreds of instances that each poll all workers poll none of them in time. The few in view of each are spread evenly,
 // stay as they are while others depart, and are all of them in a small cluster.
 func TestViewIsAnEvenStableSubset(t *testing.T) {
-	s := testSettings()
-	s.MayProbe, s.ReportsByProbe, s.Instances = true, true, 200
+	settings := testSettings()
+	settings.MayProbe, settings.ReportsByProbe, settings.Instances = true, true, 200
 	fleet := ready(80)
 	for i := range fleet {
 		fleet[i].Zone = i % 2
 	}
 	seen, unchanged, all := map[WorkerID]int{}, 0, 0
-	for s.Instance = 0; s.Instance < s.Instances; s.Instance++ {
-		r := newRecorder(t, s, 1)
+	for settings.Instance = 0; settings.Instance < settings.Instances; settings.Instance++ {
+		r := newRecorder(t, settings, 1)
 		r.list(ListFull, fleet...)
 		before := map[WorkerID]bool{}
 		for _, w := range r.balancer.workers {
@@ -791,7 +791,7 @@
 			}
 		}
 		if len(before) != 2*minViewWidth {
-			t.Fatalf("instance %d has %d workers in view", s.Instance, len(before))
+			t.Fatalf("instance %d has %d workers in view", settings.Instance, len(before))
 		}
 		departed := fleet[7]
 		departed.State = Departed
@@ -806,15 +806,15 @@
 		}
 	}
 	for _, w := range fleet {
-		if n := seen[w.ID]; n < s.Instances*minViewWidth/40/2 || n > s.Instances*minViewWidth/40*2 {
-			t.Errorf("worker %d is in the view of %d instances, %d on the mean", w.ID, n, s.Instances*minViewWidth/40)
+		if n := seen[w.ID]; n < settings.Instances*minViewWidth/40/2 || n > settings.Instances*minViewWidth/40*2 {
+			t.Errorf("worker %d is in the view of %d instances, %d on the mean", w.ID, n, settings.Instances*minViewWidth/40)
 		}
 	}
 	if unchanged*10 < all*8 {
 		t.Errorf("only %d of %d workers stayed in view after another departed", unchanged, all)
 	}
-	s.Instance = 0
-	r := newRecorder(t, s, 1)
+	settings.Instance = 0
+	r := newRecorder(t, settings, 1)
 	r.list(ListFull, fleet[:12]...)
 	for _, w := range r.balancer.workers {
 		if !w.inView {
@@ -1200,8 +1200,8 @@
 	return lines
 }
 
-// A send, a rejection or a failure is decided in a policy file: no other file of the package calls for one.
-func TestDecisionsStandInPolicyFiles(t *testing.T) {
+// A send, a rejection, a failure or a probe is decided in a policy file: no other file of the package causes one.
+func TestDecisionsAreInPolicyFiles(t *testing.T) {
 	var deploy struct{ Policy []string }
 	if _, err := toml.DecodeFile("../deploy/balancer.toml", &deploy); err != nil {
 		t.Fatal(err)
--- a/loadbalancer/doc.go
+++ b/loadbalancer/doc.go
@@ -21,8 +21,8 @@
 //     operations is part of that. In the steady state an arrival allocates no memory.
 //
 // A Balancer has no clock, does no I/O and starts no goroutine. One goroutine calls it, with times that
-// never go back. All times and durations are in seconds, loads in slots. Nothing is kept between
-// processes but what Snapshot and Restore carry.
+// never go back. All times and durations are in seconds, loads in slots. Only Snapshot and
+// Restore carry state from one process to the next.
 //
 // # Files
 //
--- a/loadbalancer/instances_simulation_test.go
+++ b/loadbalancer/instances_simulation_test.go
@@ -117,23 +117,23 @@
 func TestSlowStartWorkerGetsWorkFromManyInstances(t *testing.T) {
 	for _, instances := range []int{1, 3, 36, 80} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
-			s := testSettings()
-			s.Classes = s.Classes[:1]
+			settings := testSettings()
+			settings.Classes = settings.Classes[:1]
 			rng, id := rand.New(rand.NewPCG(1, 2)), RequestID(0)
 			const size, work, busy = 4.0, 0.1, 0.65
 			workers := max(4, 3*instances/4) // many instances share many workers
 			load := busy * size * float64(workers)
-			c := newInstanceGroup(t, s, instances, size, ready(workers))
+			c := newInstanceGroup(t, settings, instances, size, ready(workers))
 			c.run(1003, load, work, rng, &id)
 			news, colds := replaceHalf(workers, 1003) // and the rest are full
 			c.list(news...)
 			c.run(1009, load, work, rng, &id)
 			able, got, least, most := 0.0, 0.0, math.Inf(1), 0.0
 			for at := 1003.0; at < 1009; at += 0.01 {
-				able += 0.01 * size * warmAt(s, at-3)
+				able += 0.01 * size * warmAt(settings, at-3)
 			}
 			for _, cold := range colds {
-				most = max(most, c.worst(s, cold, 1003, work))
+				most = max(most, c.worst(settings, cold, 1003, work))
 				share := work * float64(len(c.sends[cold])) / able
 				got, least = got+share/float64(len(colds)), min(least, share)
 			}
@@ -235,13 +235,13 @@
 		instances int
 		seed      uint64
 	}{{1, 1}, {3, 1}, {3, 2}, {36, 1}, {36, 2}, {80, 1}, {300, 1}} {
-		s := testSettings()
-		s.Classes = s.Classes[:1]
+		settings := testSettings()
+		settings.Classes = settings.Classes[:1]
 		rng, id := rand.New(rand.NewPCG(tc.seed, 7)), RequestID(0)
 		const size, work, busy = 4.0, 0.1, 0.8
 		workers := min(max(4, 3*tc.instances/4), 60)
 		load := busy * size * float64(workers)
-		c := newInstanceGroup(t, s, tc.instances, size, ready(workers))
+		c := newInstanceGroup(t, settings, tc.instances, size, ready(workers))
 		if tc.instances > 1 {
 			c.trafficShare = func(me int) float64 { // a mean of 1
 				if me%10 == 0 {
@@ -267,9 +267,9 @@
 		most, sum := 0.0, 0
 		for _, cold := range colds {
 			sum += len(c.sends[cold])
-			most = max(most, c.worst(s, cold, 1002, work))
+			most = max(most, c.worst(settings, cold, 1002, work))
 		}
-		used := float64(sum) * work / (4 * size * float64(len(colds)) * warmAt(s, 1002)) // of what a worker this far in slow start does in 4 s
+		used := float64(sum) * work / (4 * size * float64(len(colds)) * warmAt(settings, 1002)) // of what a worker this far in slow start does in 4 s
 		if most > 1 || used < 0.3 {
 			t.Errorf("%d instances, seed %d: a worker in slow start was sent %.2f of what it bears; all got %.2f of what they can do in slow start",
 				tc.instances, tc.seed, most, used)
--- a/loadbalancer/request.go
+++ b/loadbalancer/request.go
@@ -17,7 +17,7 @@
 	mayHaveRun bool // in flight, or ended without proof that it never ran
 }
 
-// requestState is kept until the request has its answer and all its attempts have ended.
+// requestState is the state of a request until it has its answer and all its attempts have ended.
 type requestState struct {
 	Request
 	class           *Class
--- a/loadbalancer/worker_status.go
+++ b/loadbalancer/worker_status.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// WorkerStatus is what the decisions hold of a worker, for metrics and consoles. Load is in slots.
+// WorkerStatus is the state of a worker on which the decisions depend, for metrics and consoles. Load is in slots.
 type WorkerStatus struct {
 	SpareCapacity    float64 // by the plan, less what was sent since
 	LoadLimit        float64 // 0 is not learnt yet
--- a/loadbalancer/workers.go
+++ b/loadbalancer/workers.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// logWorker logs a change of a worker's status and how long it holds.
+// logWorker logs a change of a worker's status and how long it lasts.
 func (b *Balancer) logWorker(worker *workerState, event string, duration float64) {
 	b.actions.Log(fmt.Sprintf("worker %d %s (%.1f s)", worker.ID, event, duration))
 }
