--- a/cmd/cinderctl/compatibility_test.go
+++ b/cmd/cinderctl/compatibility_test.go
@@ -7,8 +7,8 @@
 	"cinderroad/internal/compatibility"
 )
 
-// TestJSONKeepsItsForm: what scripts read of each command.
-func TestJSONKeepsItsForm(t *testing.T) {
+// TestJSONOutputUnchanged: what scripts read of each command.
+func TestJSONOutputUnchanged(t *testing.T) {
 	c := &fakeControl{status: newStatus("core-1", true)}
 	address := c.serve(t)
 	seed := "--seed=" + address
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestCommandsKeepTheirNames: commands, arguments and flags as the help tells them.
-func TestCommandsKeepTheirNames(t *testing.T) {
+// TestHelpUnchanged: commands, arguments and flags as the help tells them.
+func TestHelpUnchanged(t *testing.T) {
 	t.Setenv("COLUMNS", "80") // the help is as wide as a terminal
 	for _, command := range []string{"", "check", "status", "config", "config read", "config replace", "config change", "drain", "drain begin",
 		"drain finish", "version"} {
--- a/internal/system/agent/compatibility_test.go
+++ b/internal/system/agent/compatibility_test.go
@@ -10,8 +10,8 @@
 	"cinderroad/internal/system/feed"
 )
 
-// TestFiguresKeepTheirNames: those of the page with their types and labels, in their order.
-func TestFiguresKeepTheirNames(t *testing.T) {
+// TestMetricNamesUnchanged: those of the page with their types and labels, in their order.
+func TestMetricNamesUnchanged(t *testing.T) {
 	t.Parallel()
 	if reportMethod.Name() != "Proxy.Report" {
 		t.Errorf("the call is named %s", reportMethod.Name())
--- a/internal/system/consensus/progress.go
+++ b/internal/system/consensus/progress.go
@@ -72,6 +72,6 @@
 }
 
 // keepsUp reports whether the peer reaches the end of the leader's log within a limit.
-func (p *progress) keepsUp(now, span time.Duration) bool {
-	return p.catchUpDuration < span && now-p.catchUpStartedAt < span
+func (p *progress) keepsUp(now, limit time.Duration) bool {
+	return p.catchUpDuration < limit && now-p.catchUpStartedAt < limit
 }
--- a/internal/system/consensus/raft_log.go
+++ b/internal/system/consensus/raft_log.go
@@ -248,8 +248,8 @@
 }
 
 // markDurable records that the writes up to a sequence number are synced. It returns the highest term among them.
-func (l *raftLog) markDurable(number uint64) (term uint64) {
-	for len(l.pendingWrites) > 0 && l.pendingWrites[0].sequence <= number {
+func (l *raftLog) markDurable(sequence uint64) (term uint64) {
+	for len(l.pendingWrites) > 0 && l.pendingWrites[0].sequence <= sequence {
 		l.durable = max(l.durable, l.pendingWrites[0].lastIndex)
 		term = max(term, l.pendingWrites[0].term)
 		l.pendingWrites = l.pendingWrites[1:]
--- a/internal/system/control/api/compatibility_test.go
+++ b/internal/system/control/api/compatibility_test.go
@@ -13,8 +13,8 @@
 	"cinderroad/internal/compatibility"
 )
 
-// TestAnswersAsBefore: a run of calls, with the status, the headers and the body of each answer.
-func TestAnswersAsBefore(t *testing.T) {
+// TestResponsesUnchanged: a run of calls, with the status, the headers and the body of each answer.
+func TestResponsesUnchanged(t *testing.T) {
 	c := newFakeReplica()
 	a := c.newAPI()
 	broken := strings.Replace(documentJSON(4, routeJSON("x", "gone")), `"rank":1`, `"rank":-1`, 1)
@@ -45,8 +45,8 @@
 	compatibility.Elsewhere.Check(t, "answers.txt", transcript.Bytes())
 }
 
-// TestRequestsKeepTheirDigest: the control state remembers which requests were accepted by their digests.
-func TestRequestsKeepTheirDigest(t *testing.T) {
+// TestRequestDigestsUnchanged: the control state remembers which requests were accepted by their digests.
+func TestRequestDigestsUnchanged(t *testing.T) {
 	for want, r := range map[string]*changeRequest{
 		"cae3ee9f70e574e444e2430d55c18b24": {kind: kindReplace, basedOn: 3, body: []byte("{}")},
 		"cd710bb77c70810281371e4ea6c1b247": {kind: kindChange, basedOn: 1 << 40, body: []byte(`{"version":9}`)},
--- a/internal/system/control/compatibility_test.go
+++ b/internal/system/control/compatibility_test.go
@@ -9,8 +9,8 @@
 	"cinderroad/internal/system/exposition"
 )
 
-// TestFiguresKeepTheirNames: those of the page with their types and labels, in their order.
-func TestFiguresKeepTheirNames(t *testing.T) {
+// TestMetricNamesUnchanged: those of the page with their types and labels, in their order.
+func TestMetricNamesUnchanged(t *testing.T) {
 	if feedserver.FollowMethod.Name() != "Feed.Follow" {
 		t.Errorf("the call is named %s", feedserver.FollowMethod.Name())
 	}
--- a/internal/system/proxy/agentclient/compatibility_test.go
+++ b/internal/system/proxy/agentclient/compatibility_test.go
@@ -13,8 +13,8 @@
 	"cinderroad/internal/system/feed"
 )
 
-// TestReadsItems: the items of the feed by their keys. Package compatibility records calls and values.
-func TestReadsItems(t *testing.T) {
+// TestReadFeedItems: the items of the feed by their keys. Package compatibility records calls and values.
+func TestReadFeedItems(t *testing.T) {
 	if followCall.Name() != "Feed.Follow" || reportCall.Name() != "Proxy.Report" {
 		t.Errorf("the calls are named %s and %s", followCall.Name(), reportCall.Name())
 	}
--- a/internal/system/replica/compatibility_test.go
+++ b/internal/system/replica/compatibility_test.go
@@ -11,8 +11,8 @@
 	"cinderroad/internal/system/feed"
 )
 
-// TestCallsKeepTheirNames: package compatibility records the calls themselves.
-func TestCallsKeepTheirNames(t *testing.T) {
+// TestCallNamesUnchanged: package compatibility records the calls themselves.
+func TestCallNamesUnchanged(t *testing.T) {
 	got := []string{deliverCall.Name(), proposeCall.Name(), readIndexCall.Name(), joinCall.Name(), leaveCall.Name()}
 	want := []string{"Replica.Deliver", "Replica.Propose", "Replica.ReadIndex", "Replica.Join", "Replica.Leave"}
 	if d := cmp.Diff(want, got); d != "" {
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestReadsBatches: the messages in a request, plain and packed. What the compressor makes of the bytes is its own affair.
-func TestReadsBatches(t *testing.T) {
+// TestReadRecordedBatches: the messages in a request, plain and packed. What the compressor makes of the bytes is its own affair.
+func TestReadRecordedBatches(t *testing.T) {
 	type sent struct {
 		Partition feed.Partition
 		Message   consensus.Message
--- a/internal/system/replica/peers.go
+++ b/internal/system/replica/peers.go
@@ -122,10 +122,10 @@
 func (s *peerSet) flush() {
 	for _, remote := range s.byAddress {
 		remote.mutex.Lock()
-		fresh := remote.needsFlush
+		queued := remote.needsFlush
 		remote.needsFlush = false
 		remote.mutex.Unlock()
-		if !fresh {
+		if !queued {
 			continue
 		}
 		select {
--- a/internal/system/replica/propose.go
+++ b/internal/system/replica/propose.go
@@ -35,8 +35,8 @@
 			reply.Outcome, reply.Result = h.proposeLocal(ctx, partition, command)
 			err = ctx.Err()
 		case leader != nil:
-			call, cancel := withLeaderChange(ctx, leaderChanged)
-			reply, err = proposeRemote(call, leader, partition, command)
+			callContext, cancel := withLeaderChange(ctx, leaderChanged)
+			reply, err = proposeRemote(callContext, leader, partition, command)
 			cancel()
 		}
 		switch reply.Outcome {
--- a/internal/system/replica/reads.go
+++ b/internal/system/replica/reads.go
@@ -23,8 +23,8 @@
 		case local:
 			index, confirmed = h.readIndexLocal(ctx, partition)
 		case leader != nil:
-			call, cancel := withLeaderChange(ctx, leaderChanged)
-			index, confirmed = readIndexRemote(call, leader, partition)
+			callContext, cancel := withLeaderChange(ctx, leaderChanged)
+			index, confirmed = readIndexRemote(callContext, leader, partition)
 			cancel()
 		}
 		if confirmed {
--- a/internal/system/replica/shutdown.go
+++ b/internal/system/replica/shutdown.go
@@ -28,10 +28,10 @@
 // bounds all of this: Stop does not wait for a disk that hangs.
 func (h *Host) Stop(ctx context.Context) {
 	h.Leave()
-	handOver, cancel := context.WithTimeout(ctx, transferTimeout)
+	transferContext, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	h.awaitLeadershipTransferred(handOver)
-	h.awaitVotesMoved(handOver)
+	h.awaitLeadershipTransferred(transferContext)
+	h.awaitVotesMoved(transferContext)
 	h.mutex.Lock()
 	h.stopping = true
 	h.releaseLeadership()
--- a/internal/system/replica/status.go
+++ b/internal/system/replica/status.go
@@ -15,8 +15,8 @@
 	if g == nil || g.node == nil || g.node.Role() != consensus.Leader {
 		return 0, false
 	}
-	left := g.node.LeaseExpiry() - h.now()
-	return max(left, 0), left > 0
+	remaining := g.node.LeaseExpiry() - h.now()
+	return max(remaining, 0), remaining > 0
 }
 
 // Staleness implements Replicas.
--- a/internal/system/replica/voter_plan.go
+++ b/internal/system/replica/voter_plan.go
@@ -158,13 +158,13 @@
 
 // bestVoters returns the set with the highest score; the present voters if no other set scores higher.
 func (view *membershipView) bestVoters(voters *voterCandidates) voterSet {
-	best, bestWorth := voters.voters, view.score(voters.voters, voters)
+	best, bestScore := voters.voters, view.score(voters.voters, voters)
 	for set := voters.eligible; set > 0; set = (set - 1) & voters.eligible {
 		if !view.isValidSize(set.size(), voters.eligible.size()) || view.shrinksTooSoon(set, voters) {
 			continue
 		}
-		if worth := view.score(set, voters); slices.Compare(worth[:], bestWorth[:]) > 0 {
-			best, bestWorth = set, worth
+		if score := view.score(set, voters); slices.Compare(score[:], bestScore[:]) > 0 {
+			best, bestScore = set, score
 		}
 	}
 	return best
