--- a/internal/system/agent/agent.go
+++ b/internal/system/agent/agent.go
@@ -94,19 +94,19 @@
 
 // open opens both listeners.
 func (a *Agent) open(ctx context.Context, loopback netip.Addr) error {
-	feed := a.settings.AgentFeedAddress()
+	proxyAddress := a.settings.AgentFeedAddress()
 	if loopback.IsValid() {
-		feed = netip.AddrPortFrom(loopback, feed.Port())
+		proxyAddress = netip.AddrPortFrom(loopback, proxyAddress.Port())
 	}
-	local, err := retry.Listen(ctx, feed)
+	proxyListener, err := retry.Listen(ctx, proxyAddress)
 	if err != nil {
 		return fmt.Errorf("agent: cannot listen for the proxy, check that no other agent runs: %w", err)
 	}
-	a.proxyListener = &countingListener{Listener: local, changed: a.updateProxyConnections}
-	machine := netip.AddrPortFrom(a.settings.IP, a.settings.Port(processconfig.AgentRPCPort))
-	a.peerListener, err = retry.Listen(ctx, machine)
+	a.proxyListener = &countingListener{Listener: proxyListener, changed: a.updateProxyConnections}
+	peerAddress := netip.AddrPortFrom(a.settings.IP, a.settings.Port(processconfig.AgentRPCPort))
+	a.peerListener, err = retry.Listen(ctx, peerAddress)
 	if err != nil {
-		local.Close()
+		proxyListener.Close()
 		return fmt.Errorf("agent: cannot listen for other agents, check that no other agent runs: %w", err)
 	}
 	return nil
@@ -157,7 +157,7 @@
 
 // pollPace returns what the interval between polls of the platform depends on.
 func (a *Agent) pollPace() fallback.Pace {
-	return fallback.Pace{Agents: a.proxies(), RatePerS: a.settings.CloudAPI.CallsPerSecond}
+	return fallback.Pace{Agents: a.proxies(), CallsPerSecond: a.settings.CloudAPI.CallsPerSecond}
 }
 
 // updateCutOff passes on the partitions from which the follower is cut off. An agent that holds nothing has no use for
@@ -183,15 +183,15 @@
 	a.log.Info("stopping")
 	a.stoppingSince.Store(int64(a.now()))
 	a.proxyMonitor.markStopping()
-	most := shutdown.Plan(a.settings.Timing.GracePeriod).AgentEnd
-	limit := time.NewTimer(most)
-	defer limit.Stop()
-	least := time.NewTimer(min(minStopTime, most))
-	defer least.Stop()
-	<-least.C
+	maxStopTime := shutdown.Plan(a.settings.Timing.GracePeriod).AgentEnd
+	maxTimer := time.NewTimer(maxStopTime)
+	defer maxTimer.Stop()
+	minTimer := time.NewTimer(min(minStopTime, maxStopTime))
+	defer minTimer.Stop()
+	<-minTimer.C
 	select {
 	case <-a.proxyMonitor.disconnection():
-	case <-limit.C:
+	case <-maxTimer.C:
 	}
 	a.leave()
 }
--- a/internal/system/agent/fallback/poller.go
+++ b/internal/system/agent/fallback/poller.go
@@ -51,8 +51,8 @@
 
 // Pace is what the interval between polls depends on.
 type Pace struct {
-	Agents   int     // number of agents that may be polling; 0: not known
-	RatePerS float64 // calls a second that the platform accepts of all agents together; 0: not limited
+	Agents         int     // number of agents that may be polling; 0: not known
+	CallsPerSecond float64 // calls a second that the platform accepts of all agents together; 0: not limited
 }
 
 // Poller is the state of an agent's polls. Times are of any monotonic clock.
@@ -84,10 +84,10 @@
 	if agents <= 0 {
 		agents = defaultAgents
 	}
-	if pace.RatePerS <= 0 {
+	if pace.CallsPerSecond <= 0 {
 		return minInterval
 	}
-	lists := pace.RatePerS / float64(p.pages) // lists a second that the platform accepts
+	lists := pace.CallsPerSecond / float64(p.pages) // lists a second that the platform accepts
 	if rateHeadroom*float64(agents) <= lists {
 		return minInterval
 	}
--- a/internal/system/agent/fallback/poller_test.go
+++ b/internal/system/agent/fallback/poller_test.go
@@ -15,7 +15,7 @@
 
 func TestAsksWhileCutOff(t *testing.T) {
 	poller := New(half)
-	pace := Pace{Agents: 10, RatePerS: 100}
+	pace := Pace{Agents: 10, CallsPerSecond: 100}
 	poller.Update(0, 0, pace)
 	if _, asking := poller.Next(0); asking || poller.State() != Idle {
 		t.Fatal("it asks although the feed is up to date")
@@ -82,7 +82,7 @@
 
 func TestFailuresBackOff(t *testing.T) {
 	poller := New(half)
-	pace := Pace{Agents: 1, RatePerS: 100}
+	pace := Pace{Agents: 1, CallsPerSecond: 100}
 	poller.Update(0, firstPartition, pace)
 	now := time.Duration(0)
 	for _, want := range []time.Duration{1, 2, 4, 8, 15, 15} {
@@ -112,7 +112,7 @@
 		{8, 8, 1, 42}, {12, 12, 2, 20}, {30, 0, 1, 42}, {350, 350, 20, 200}, {40, 20, 1, 42}, {1, 0, 1, 2},
 	} {
 		rng := rand.New(rand.NewPCG(1, uint64(c.agents)))
-		pace := Pace{Agents: c.known, RatePerS: c.rate}
+		pace := Pace{Agents: c.known, CallsPerSecond: c.rate}
 		pollers := make([]*Poller, c.agents)
 		for i := range pollers {
 			pollers[i] = New(rng.Float64)
--- a/internal/system/agent/follower.go
+++ b/internal/system/agent/follower.go
@@ -53,10 +53,10 @@
 }
 
 func (f *follower) poll(ctx context.Context, request upstream.Request) {
-	patience := rpc.ReceiveTimeouts{FirstByte: request.Timeout, Idle: replyReadTimeout, Total: maxReplyTime}
+	timeouts := rpc.ReceiveTimeouts{FirstByte: request.Timeout, Idle: replyReadTimeout, Total: maxReplyTime}
 	followRequest := &feed.FollowRequest{Node: f.node, Positions: f.store.positions(), Wait: request.Wait, Packed: true,
 		Current: request.Current}
-	reply, err := feedserver.FollowMethod.InvokeWhileReceiving(ctx, f.connect(request), patience, followRequest)
+	reply, err := feedserver.FollowMethod.InvokeWhileReceiving(ctx, f.connect(request), timeouts, followRequest)
 	if err == nil {
 		err = unpackBatches(reply)
 	}
--- a/internal/system/agent/membership.go
+++ b/internal/system/agent/membership.go
@@ -55,8 +55,8 @@
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		var taken *gossip.ListenError
-		if !errors.As(err, &taken) || time.Now().After(end) {
+		var listenError *gossip.ListenError
+		if !errors.As(err, &listenError) || time.Now().After(end) {
 			return nil, err
 		}
 		retry.Sleep(ctx, joinRetryInterval)
--- a/internal/system/agent/overlay/list.go
+++ b/internal/system/agent/overlay/list.go
@@ -105,14 +105,14 @@
 // differs reports whether a listed runner differs from the served one. Times that elapse by themselves are compared
 // with what remains of them by now.
 func differs(item feed.Item, listed *discovery.Runner) bool {
-	held, isRunner := decodeRunner(item)
+	served, isRunner := decodeRunner(item)
 	if !isRunner {
 		return true
 	}
-	if !equalExceptTimes(&held, listed) {
+	if !equalExceptTimes(&served, listed) {
 		return true
 	}
-	return deviates(held.SlowStartRemaining-item.Age, listed.SlowStartRemaining) || deviates(held.TimeToTermination-item.Age, listed.TimeToTermination)
+	return deviates(served.SlowStartRemaining-item.Age, listed.SlowStartRemaining) || deviates(served.TimeToTermination-item.Age, listed.TimeToTermination)
 }
 
 func equalExceptTimes(a, b *discovery.Runner) bool {
--- a/internal/system/agent/serve.go
+++ b/internal/system/agent/serve.go
@@ -19,30 +19,30 @@
 
 // serve starts to serve the proxy and other agents.
 func (a *Agent) serve(ctx context.Context) {
-	local := rpc.NewRegistry()
-	toProxy := a.newFeedServer(a.store.servedSources(), a.store.servedNotifier, 0)
-	feedserver.FollowMethod.Handle(local, func(ctx context.Context, request *feed.FollowRequest) (*feed.FollowReply, error) {
+	proxyRegistry := rpc.NewRegistry()
+	proxyServer := a.newFeedServer(a.store.servedSources(), a.store.servedNotifier, 0)
+	feedserver.FollowMethod.Handle(proxyRegistry, func(ctx context.Context, request *feed.FollowRequest) (*feed.FollowReply, error) {
 		a.store.setProxyPositions(request.Positions)
-		return a.peerNotifier.handleFollow(ctx, request, toProxy.Follow)
+		return a.peerNotifier.handleFollow(ctx, request, proxyServer.Follow)
 	})
-	reportMethod.Handle(local, a.proxyMonitor.handleReport)
-	a.serveRegistry(ctx, a.proxyListener, local, rpc.ServerLimits{MaxConnections: maxProxyConnections, MaxRequestBytes: maxRequestBytes})
+	reportMethod.Handle(proxyRegistry, a.proxyMonitor.handleReport)
+	a.serveRegistry(ctx, a.proxyListener, proxyRegistry, rpc.ServerLimits{MaxConnections: maxProxyConnections, MaxRequestBytes: maxRequestBytes})
 
-	peers := rpc.NewRegistry()
-	bulkBytesPerS := peerLinkShare * a.settings.Limits.LinkBytesPerSecond()
-	feedserver.FollowMethod.Handle(peers, a.newFeedServer(a.store.baseSources(), a.store.baseNotifier, bulkBytesPerS).Follow)
-	a.serveRegistry(ctx, a.peerListener, peers, rpc.ServerLimits{MaxConnections: maxPeerConnections, MaxRequestBytes: maxRequestBytes})
+	peerRegistry := rpc.NewRegistry()
+	bulkBytesPerSecond := peerLinkShare * a.settings.Limits.LinkBytesPerSecond()
+	feedserver.FollowMethod.Handle(peerRegistry, a.newFeedServer(a.store.baseSources(), a.store.baseNotifier, bulkBytesPerSecond).Follow)
+	a.serveRegistry(ctx, a.peerListener, peerRegistry, rpc.ServerLimits{MaxConnections: maxPeerConnections, MaxRequestBytes: maxRequestBytes})
 }
 
 // newFeedServer returns a server of the given tables. bulkBytesPerS limits what it sends as snapshots; 0: no limit.
-func (a *Agent) newFeedServer(sources []feedserver.Source, notifier *feedserver.Notifier, bulkBytesPerS float64) *feedserver.Server {
+func (a *Agent) newFeedServer(sources []feedserver.Source, notifier *feedserver.Notifier, bulkBytesPerSecond float64) *feedserver.Server {
 	return feedserver.New(feedserver.Options{
 		Sources:            sources,
 		Notifier:           notifier,
 		Now:                a.now,
 		Age:                a.store.age,
 		ProxyCount:         a.proxies,
-		BulkBytesPerSecond: bulkBytesPerS,
+		BulkBytesPerSecond: bulkBytesPerSecond,
 	})
 }
 
--- a/internal/system/control/feedserver/cache.go
+++ b/internal/system/control/feedserver/cache.go
@@ -20,7 +20,7 @@
 	source   Source
 	maxBytes int // of a delta; 0: no limit
 
-	mu     sync.Mutex
+	mutex  sync.Mutex
 	index  uint64 // that the deltas lead to
 	deltas []delta
 }
@@ -47,8 +47,8 @@
 	if index <= from {
 		return feed.Batch{}
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	if index != c.index {
 		c.index = index
 		c.reset()
--- a/internal/system/control/feedserver/notifier.go
+++ b/internal/system/control/feedserver/notifier.go
@@ -14,7 +14,7 @@
 	now       func() time.Duration // steady clock
 	afterFunc func(time.Duration, func())
 
-	mu         sync.Mutex
+	mutex      sync.Mutex
 	wake       chan struct{} // closed at the next wake-up
 	lastWakeup time.Duration // steady; valid if everWoken
 	everWoken  bool
@@ -29,15 +29,15 @@
 // Wakeup returns a channel that is closed at the next wake-up. Callers take it before they read the state, or they may
 // miss a change.
 func (n *Notifier) Wakeup() <-chan struct{} {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
 	return n.wake
 }
 
 // Notify announces a change. It never blocks.
 func (n *Notifier) Notify() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
 	if n.timerArmed {
 		return
 	}
@@ -52,8 +52,8 @@
 
 // fire is the timer's callback.
 func (n *Notifier) fire() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
 	n.timerArmed = false
 	n.broadcast()
 }
--- a/internal/system/feed/table.go
+++ b/internal/system/feed/table.go
@@ -111,8 +111,8 @@
 func (t *Table) sortedKeysFrom(first string) []string {
 	if t.sortedKeys == nil {
 		t.sortedKeys = make([]string, 0, t.Len())
-		for key, held := range t.records {
-			if !held.deleted {
+		for key, stored := range t.records {
+			if !stored.deleted {
 				t.sortedKeys = append(t.sortedKeys, key)
 			}
 		}
@@ -160,10 +160,10 @@
 func (t *Table) storeRecord(next record) {
 	existing := t.records[next.key]
 	wasLive := existing != nil && !existing.deleted
-	wasDead := existing != nil && existing.deleted
+	wasDeleted := existing != nil && existing.deleted
 	t.records[next.key] = &next
 	t.changes = append(t.changes, change{index: next.index, record: &next})
-	if wasDead {
+	if wasDeleted {
 		t.tombstoneCount--
 	}
 	if next.deleted {
@@ -213,9 +213,9 @@
 
 // recordFromItem returns the record of an item received at now.
 func recordFromItem(now time.Duration, item Item) record {
-	made := record{key: item.Key, index: item.Index, deleted: item.Deleted, changedAt: now - max(item.Age, 0)}
+	converted := record{key: item.Key, index: item.Index, deleted: item.Deleted, changedAt: now - max(item.Age, 0)}
 	if !item.Deleted {
-		made.value = item.Value
+		converted.value = item.Value
 	}
-	return made
+	return converted
 }
--- a/internal/system/feed/table_codec.go
+++ b/internal/system/feed/table_codec.go
@@ -51,8 +51,8 @@
 func (t *Table) encodedSize() int {
 	const head, perRecord = 5 * binary.MaxVarintLen64, 4*binary.MaxVarintLen64 + 1
 	size := head
-	for key, held := range t.records {
-		size += perRecord + len(key) + len(held.value)
+	for key, stored := range t.records {
+		size += perRecord + len(key) + len(stored.value)
 	}
 	return size
 }
@@ -94,32 +94,32 @@
 func (t *Table) readRecords(reader *codec.Reader, now time.Duration) {
 	previous := ""
 	for i := range reader.Count("number of items") {
-		read := readRecord(reader, now)
-		if read.index > t.index || i > 0 && read.key <= previous {
+		decoded := readRecord(reader, now)
+		if decoded.index > t.index || i > 0 && decoded.key <= previous {
 			reader.Fail("items")
 		}
 		if _, failed := reader.Malformed(); failed {
 			return
 		}
-		previous = read.key
-		t.storeRecord(read)
+		previous = decoded.key
+		t.storeRecord(decoded)
 	}
 }
 
 func readRecord(reader *codec.Reader, now time.Duration) record {
-	read := record{key: reader.String("key"), index: reader.Uvarint("item's index")}
+	decoded := record{key: reader.String("key"), index: reader.Uvarint("item's index")}
 	age := reader.Uvarint("age")
 	if age > maxEncodedAge {
 		reader.Fail("age")
 	}
-	read.changedAt = now - time.Duration(age)
+	decoded.changedAt = now - time.Duration(age)
 	switch reader.Byte("kind of item") {
 	case kindValue:
-		read.value = bytes.Clone(reader.Bytes("value"))
+		decoded.value = bytes.Clone(reader.Bytes("value"))
 	case kindDeleted:
-		read.deleted = true
+		decoded.deleted = true
 	default:
 		reader.Fail("kind of item")
 	}
-	return read
+	return decoded
 }
--- a/internal/system/proxy/agentclient/client.go
+++ b/internal/system/proxy/agentclient/client.go
@@ -57,10 +57,10 @@
 
 // Run follows the feed and sends reports until the context ends.
 func (c *Client) Run(ctx context.Context) {
-	var both sync.WaitGroup
-	both.Go(func() { c.follow(ctx) })
-	both.Go(func() { c.sendReports(ctx) })
-	both.Wait()
+	var loops sync.WaitGroup
+	loops.Go(func() { c.follow(ctx) })
+	loops.Go(func() { c.sendReports(ctx) })
+	loops.Wait()
 	c.client.Close()
 }
 
