--- a/cmd/cinderctl/check.go
+++ b/cmd/cinderctl/check.go
@@ -13,7 +13,7 @@
 	"cinderroad/internal/system/validation"
 )
 
-// Kinds of files.
+// The kinds of files, as --kind and the reports name them.
 const (
 	kindConfiguration = "configuration"
 	kindChange        = "change"
--- a/cmd/cinderctl/compatibility_test.go
+++ b/cmd/cinderctl/compatibility_test.go
@@ -7,7 +7,7 @@
 	"cinderroad/internal/compatibility"
 )
 
-// TestJSONOutputUnchanged: what scripts read of each command.
+// TestJSONOutputUnchanged compares the JSON output of each command, which scripts parse, with the recorded one.
 func TestJSONOutputUnchanged(t *testing.T) {
 	c := &fakeControl{status: newStatus("core-1", true)}
 	address := c.serve(t)
@@ -41,7 +41,7 @@
 	}
 }
 
-// TestHelpUnchanged: commands, arguments and flags as the help tells them.
+// TestHelpUnchanged compares the help texts, which name all commands, arguments and flags, with the recorded ones.
 func TestHelpUnchanged(t *testing.T) {
 	t.Setenv("COLUMNS", "80") // the help is as wide as a terminal
 	for _, command := range []string{"", "check", "status", "config", "config read", "config replace", "config change", "drain", "drain begin",
--- a/cmd/cinderctl/config.go
+++ b/cmd/cinderctl/config.go
@@ -53,7 +53,7 @@
 	sendFlags `embed:""`
 }
 
-// Run sends a whole configuration.
+// Run sends a complete configuration.
 func (c *replaceCommand) Run(s *session) error { return c.send(s, kindConfiguration) }
 
 type changeCommand struct {
@@ -63,7 +63,7 @@
 // Run sends a change.
 func (c *changeCommand) Run(s *session) error { return c.send(s, kindChange) }
 
-// send checks the file, unless told not to, and sends it.
+// send checks the file, unless --no-check is given, and sends it. kind is kindConfiguration or kindChange.
 func (f *sendFlags) send(s *session, kind string) error {
 	body, err := os.ReadFile(f.File)
 	if err != nil {
--- a/cmd/cinderctl/main.go
+++ b/cmd/cinderctl/main.go
@@ -41,7 +41,7 @@
 	Version versionCommand `cmd:"" name:"version" help:"Print the version of this program."`
 }
 
-// session is what a command runs with.
+// session holds what all commands of one invocation share.
 type session struct {
 	context context.Context
 	flags   *commandLine
--- a/internal/system/agent/compatibility_test.go
+++ b/internal/system/agent/compatibility_test.go
@@ -10,7 +10,7 @@
 	"cinderroad/internal/system/feed"
 )
 
-// TestMetricNamesUnchanged: those of the page with their types and labels, in their order.
+// TestMetricNamesUnchanged compares names, types, labels and order of the metrics with the recorded ones.
 func TestMetricNamesUnchanged(t *testing.T) {
 	t.Parallel()
 	if reportMethod.Name() != "Proxy.Report" {
--- a/internal/system/agent/doc.go
+++ b/internal/system/agent/doc.go
@@ -4,7 +4,7 @@
 //   - is a member of the system and announces the state of its proxy to the others (gossip, proxystatus);
 //   - follows the feed of one control replica (upstream) and serves it to the proxy over loopback, and to other agents
 //     that hold nothing yet (feedserver);
-//   - passes on to the proxy which other proxies there are, as soon as that changes;
+//   - notifies the proxy of the other proxies as soon as they change;
 //   - polls the platform's list of runners itself for the partitions of which no control replica is up to date (fallback,
 //     overlay).
 //
--- a/internal/system/agent/overlay/drained.go
+++ b/internal/system/agent/overlay/drained.go
@@ -8,7 +8,7 @@
 
 // Bounds of drainedRunners.
 const (
-	// drainedTTL is how long a runner that was draining is remembered after it was last seen.
+	// drainedTTL is how long a runner that was draining is retained after it was last seen.
 	drainedTTL   = 2 * time.Minute
 	minPruneSize = 256 // number of entries below which nothing is pruned
 )
--- a/internal/system/agent/overlay/list.go
+++ b/internal/system/agent/overlay/list.go
@@ -17,7 +17,7 @@
 	timeTolerance = 400 * time.Millisecond
 )
 
-// overlay is what was applied of the platform's list to one partition.
+// overlay records which changes of the platform's list were applied to one partition.
 type overlay struct {
 	altered map[string]bool // keys that are served as listed
 	misses  map[string]int  // by served key: number of consecutive lists without it
@@ -27,7 +27,7 @@
 	return overlay{altered: map[string]bool{}, misses: map[string]int{}}
 }
 
-// remove forgets a key, because the control replicas changed it.
+// remove drops the records of a key, because the control replicas changed it.
 func (o *overlay) remove(key string) {
 	delete(o.altered, key)
 	delete(o.misses, key)
@@ -71,7 +71,7 @@
 // applyListToPartition serves a partition as listed. All changes get the same index.
 func (t *Tables) applyListToPartition(now time.Duration, partition feed.Partition, listed map[string]*discovery.Runner) bool {
 	if t.base[partition].Index() == 0 {
-		return false // a proxy served before a restart could not be told of removals since
+		return false // a proxy that was served before a restart of the agent would not learn of removals since
 	}
 	table, overlay := t.served[partition], &t.overlays[partition]
 	index := table.Index() + 1
--- a/internal/system/agent/overlay/tables.go
+++ b/internal/system/agent/overlay/tables.go
@@ -54,7 +54,7 @@
 	return positions
 }
 
-// Empty reports whether no configuration is held.
+// Empty reports whether the base has no configuration yet.
 func (t *Tables) Empty() bool { return t.base[feed.ConfigurationPartition].Index() == 0 }
 
 // Base returns a partition as the control replicas have it. The caller must not change it.
@@ -99,7 +99,7 @@
 	table.Apply(now, feed.Batch{Partition: partition, From: table.Index(), To: to, Items: items})
 }
 
-// serveSnapshot replaces the served table by the base, without what was applied of the platform's list.
+// serveSnapshot replaces the served table by the base, without the changes of the platform's list.
 func (t *Tables) serveSnapshot(now time.Duration, partition feed.Partition) {
 	base, table := t.base[partition], t.served[partition]
 	if base.Index() == 0 {
--- a/internal/system/agent/peernotifier.go
+++ b/internal/system/agent/peernotifier.go
@@ -83,7 +83,7 @@
 	return max(xxhash.Sum64String(text.String()), 1)
 }
 
-// peersFromMembers returns what the proxy is told of other members.
+// peersFromMembers returns the members as the peers that the proxy receives.
 func peersFromMembers(members []gossip.Member) []feed.Peer {
 	if members == nil {
 		return nil
--- a/internal/system/agent/platformpoller.go
+++ b/internal/system/agent/platformpoller.go
@@ -13,7 +13,7 @@
 	"cinderroad/internal/system/feed"
 )
 
-const listTimeout = 3 * time.Second // for a whole list
+const listTimeout = 3 * time.Second // for all pages of a list
 
 // lister reads the platform's list of runners.
 type lister interface {
--- a/internal/system/agent/proxystatus/tracker.go
+++ b/internal/system/agent/proxystatus/tracker.go
@@ -57,7 +57,7 @@
 // Front returns the address at which clients reach the proxy, empty if it has not been reported.
 func (t *Tracker) Front() string { return t.front }
 
-// Reported reports whether any report came.
+// Reported reports whether the proxy has reported at all.
 func (t *Tracker) Reported() bool { return t.reported }
 
 // HandleReport records a report. The reply holds the snapshot that the proxy reported before it restarted, if the proxy
--- a/internal/system/agent/store.go
+++ b/internal/system/agent/store.go
@@ -55,7 +55,7 @@
 	return s.tables.Positions()
 }
 
-// empty reports whether no configuration is held.
+// empty reports whether the agent has no configuration yet.
 func (s *store) empty() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -125,7 +125,7 @@
 	}
 }
 
-// age returns the time since a control replica was last known to be up to date with a partition, or feed.Never.
+// age returns the time since a control replica was last known to be up to date with a partition, or feed.AgeNever.
 func (s *store) age(partition feed.Partition) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/system/agent/upstream/selector.go
+++ b/internal/system/agent/upstream/selector.go
@@ -95,12 +95,12 @@
 type Request struct {
 	Address     netip.AddrPort
 	Wait        time.Duration     // how long the replica may hold the call open; 0: it is to reply at once
-	Timeout     time.Duration     // for the whole call
+	Timeout     time.Duration     // for the call, Wait included
 	DialTimeout time.Duration     // to connect, if no connection is open
 	Current     feed.PartitionSet // partitions with which the replica was up to date; it replies early when one of them becomes stale
 }
 
-// Reply is what a replica's reply tells about the replica.
+// Reply is what a replica's reply says about the replica.
 type Reply struct {
 	Ages       []time.Duration   // by partition: time since the replica was known to be up to date; missing: never
 	Lagging    feed.PartitionSet // partitions of which the replica holds less than the follower
@@ -111,8 +111,8 @@
 // candidate is a replica that may be followed.
 type candidate struct {
 	address       netip.AddrPort
-	failures      int
-	failedAt      time.Duration
+	failures      int               // polls in a row that failed
+	failedAt      time.Duration     // time of the last failure
 	retryAt       time.Duration     // it is not polled earlier
 	askedInSearch uint64            // number of the last search that polled it
 	requestNumber uint64            // number of its last poll in a search
--- a/internal/system/consensus/leader.go
+++ b/internal/system/consensus/leader.go
@@ -104,7 +104,7 @@
 }
 
 // quorumValue returns the largest value that a majority of the voters has reached; in a joint membership, a majority of
-// each of its sets. own is this leader's value, of returns a peer's.
+// each of its sets. own is this leader's value, valueOf returns a peer's.
 func (n *Node) quorumValue(own uint64, valueOf func(*progress) uint64) uint64 {
 	value := func(id ReplicaID) uint64 {
 		if id == n.config.ID {
--- a/internal/system/control/api/commit.go
+++ b/internal/system/control/api/commit.go
@@ -69,8 +69,8 @@
 	return commitResponse(result)
 }
 
-// verdictResponse responds to a request whose verdict is not state.VerdictOpen. It rejects only what can never be accepted any more; for
-// the rest the outcome is unknown, since an earlier copy may still be in flight through another machine.
+// verdictResponse responds to a request whose verdict is not state.VerdictOpen. It rejects only what can never be accepted
+// any more; for the rest the outcome is unknown, since an earlier copy may still be in flight through another machine.
 func verdictResponse(status state.RequestStatus, basedOn uint64) (uint64, error) {
 	switch status.Verdict {
 	case state.VerdictAccepted:
--- a/internal/system/control/api/compatibility_test.go
+++ b/internal/system/control/api/compatibility_test.go
@@ -13,7 +13,8 @@
 	"cinderroad/internal/compatibility"
 )
 
-// TestResponsesUnchanged: a run of calls, with the status, the headers and the body of each answer.
+// TestResponsesUnchanged compares the status, headers and body of each response in a sequence of calls with the recorded
+// ones.
 func TestResponsesUnchanged(t *testing.T) {
 	c := newFakeReplica()
 	a := c.newAPI()
@@ -45,7 +46,7 @@
 	compatibility.Elsewhere.Check(t, "answers.txt", transcript.Bytes())
 }
 
-// TestRequestDigestsUnchanged: the control state remembers which requests were accepted by their digests.
+// TestRequestDigestsUnchanged pins the digests of requests: replicas store them to recognize requests that were accepted.
 func TestRequestDigestsUnchanged(t *testing.T) {
 	for want, r := range map[string]*changeRequest{
 		"cae3ee9f70e574e444e2430d55c18b24": {kind: kindReplace, basedOn: 3, body: []byte("{}")},
--- a/internal/system/control/api/request.go
+++ b/internal/system/control/api/request.go
@@ -12,7 +12,7 @@
 type requestKind uint8
 
 const (
-	kindReplace requestKind = 1 + iota // a whole configuration
+	kindReplace requestKind = 1 + iota // a complete configuration
 	kindChange                         // items to replace and to remove
 )
 
--- a/internal/system/control/api/response.go
+++ b/internal/system/control/api/response.go
@@ -10,7 +10,7 @@
 	"cinderroad/internal/system/validation"
 )
 
-// retryAfter is the Retry-After of 503.
+// retryAfter is sent as the header Retry-After of 503.
 const retryAfter = 300 * time.Millisecond
 
 // Error codes in response bodies. Operators' tools compare them.
--- a/internal/system/control/client/calls.go
+++ b/internal/system/control/client/calls.go
@@ -42,12 +42,12 @@
 	Version  uint64 `json:"version,omitempty"` // of the configuration; 0 for an evacuation
 }
 
-// Replace replaces the whole configuration, based on the version given.
+// Replace replaces the complete configuration, based on the version given; the errors are those of Do.
 func (c *Client) Replace(ctx context.Context, basedOn uint64, body []byte) (*Acknowledgement, error) {
 	return c.change(ctx, api.PathReplace, basedOn, body)
 }
 
-// Change replaces and removes single items, based on the version given.
+// Change replaces and removes single items, based on the version given; the errors are those of Do.
 func (c *Client) Change(ctx context.Context, basedOn uint64, body []byte) (*Acknowledgement, error) {
 	return c.change(ctx, api.PathChange, basedOn, body)
 }
@@ -59,7 +59,7 @@
 	return c.submit(ctx, Call{Method: http.MethodPost, Path: path, Header: header, Body: body})
 }
 
-// Drain evacuates a zone (begin), or ends its evacuation.
+// Drain evacuates a zone (begin), or ends its evacuation; the errors are those of Do.
 func (c *Client) Drain(ctx context.Context, zone string, begin bool) (*Acknowledgement, error) {
 	path := api.PathDrainFinish
 	if begin {
--- a/internal/system/control/client/client.go
+++ b/internal/system/control/client/client.go
@@ -185,7 +185,7 @@
 	retry.Sleep(ctx, d)
 }
 
-// withJitter returns a pause between half and the whole of d, so that callers do not synchronize.
+// withJitter returns a pause between d/2 and d, so that callers do not synchronize.
 func withJitter(d time.Duration) time.Duration { return d/2 + rand.N(d/2+1) }
 
 // retryAfter is the pause that a response asks for, at most maxBackoff; 0 for none.
--- a/internal/system/control/compatibility_test.go
+++ b/internal/system/control/compatibility_test.go
@@ -9,7 +9,7 @@
 	"cinderroad/internal/system/exposition"
 )
 
-// TestMetricNamesUnchanged: those of the page with their types and labels, in their order.
+// TestMetricNamesUnchanged compares names, types, labels and order of the metrics with the recorded ones.
 func TestMetricNamesUnchanged(t *testing.T) {
 	if feedserver.FollowMethod.Name() != "Feed.Follow" {
 		t.Errorf("the call is named %s", feedserver.FollowMethod.Name())
--- a/internal/system/control/feedserver/cache.go
+++ b/internal/system/control/feedserver/cache.go
@@ -29,7 +29,7 @@
 type delta struct {
 	fromIndex uint64
 	packed    bool          // the follower accepts packed batches; a small one is left unpacked all the same
-	createdAt time.Duration // steady
+	createdAt time.Duration // by Options.Now
 	batch     feed.Batch
 }
 
@@ -69,7 +69,7 @@
 }
 
 func (c *deltaCache) reset() {
-	clear(c.deltas) // lets go of the values
+	clear(c.deltas) // frees the batches
 	c.deltas = c.deltas[:0]
 }
 
--- a/internal/system/control/feedserver/followers.go
+++ b/internal/system/control/feedserver/followers.go
@@ -30,7 +30,7 @@
 }
 
 type lastCall struct {
-	at                 time.Duration // steady
+	at                 time.Duration // by Options.Now
 	configurationIndex uint64
 }
 
@@ -59,7 +59,7 @@
 	r.calls[request.Node] = call
 }
 
-// expire removes followers whose last call is too long ago. The mutex is held.
+// expire removes followers whose last call began more than followerExpiry ago. The mutex is held.
 func (r *followerRegistry) expire(now time.Duration) {
 	for node, call := range r.calls {
 		if now-call.at > followerExpiry {
--- a/internal/system/control/feedserver/notifier.go
+++ b/internal/system/control/feedserver/notifier.go
@@ -11,17 +11,17 @@
 // Notifier wakes all waiting followers after changes. The first change wakes them at once; further ones within
 // CoalesceInterval wake them together at its end. It is safe for concurrent use.
 type Notifier struct {
-	now       func() time.Duration // steady clock
+	now       func() time.Duration // monotonic clock
 	afterFunc func(time.Duration, func())
 
 	mutex      sync.Mutex
 	wake       chan struct{} // closed at the next wake-up
-	lastWakeup time.Duration // steady; valid if everWoken
+	lastWakeup time.Duration // by now; valid if everWoken
 	everWoken  bool
 	timerArmed bool // a wake-up is scheduled
 }
 
-// NewNotifier returns a Notifier. now is the steady clock; after calls a function later, from another goroutine.
+// NewNotifier returns a Notifier. now is a monotonic clock; after calls a function later, from another goroutine.
 func NewNotifier(now func() time.Duration, after func(time.Duration, func())) *Notifier {
 	return &Notifier{now: now, afterFunc: after, wake: make(chan struct{})}
 }
--- a/internal/system/control/feedserver/pacer.go
+++ b/internal/system/control/feedserver/pacer.go
@@ -8,9 +8,10 @@
 const (
 	// minBulkBytes is the size from which replies are paced; smaller ones are sent at once and do not count.
 	minBulkBytes = 4 << 10
-	// maxBulkDelay is how long a reply waits for its turn; beyond it, the follower is told to call again.
+	// maxBulkDelay is how long a reply waits for its turn; beyond it, the follower has to call again.
 	maxBulkDelay = 300 * time.Millisecond
-	// burstAllowance is the worth of bytes, at the pacer's rate, that go without delay after an idle period.
+	// burstAllowance bounds the burst after an idle period: the bytes that the pacer's rate allows within it go without
+	// delay.
 	burstAllowance = 20 * time.Millisecond
 )
 
--- a/internal/system/control/feedserver/server.go
+++ b/internal/system/control/feedserver/server.go
@@ -42,7 +42,7 @@
 	Sources []Source
 	// Notifier is notified of changes of the sources.
 	Notifier *Notifier
-	// Now is the steady clock.
+	// Now is a monotonic clock.
 	Now func() time.Duration
 	// ProxyCount is the number of proxies that may be serving; 0: unknown.
 	ProxyCount func() int
@@ -115,7 +115,7 @@
 }
 
 // untilStale returns the time until the first of the partitions, which the follower takes for current, turns stale if
-// nothing more is heard of it.
+// its age is not renewed.
 func (s *Server) untilStale(current feed.PartitionSet) time.Duration {
 	until := MaxWait
 	for partition, age := range s.ages() {
--- a/internal/system/control/state/commands.go
+++ b/internal/system/control/state/commands.go
@@ -22,7 +22,8 @@
 // whatCommand names a command in a FormatError.
 const whatCommand = "a command"
 
-// maxPreallocatedWrites limits the memory that is allocated on the word of a count that was read.
+// maxPreallocatedWrites limits the memory that is allocated for a count before its elements are read: a malformed command
+// may claim any count.
 const maxPreallocatedWrites = 1024
 
 // DigestSize is the length of a request's digest in bytes.
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// readDigest reads a digest, which stands without its length.
+// readDigest reads a digest, which is encoded without a length.
 func readDigest(reader *codec.Reader) (digest Digest) {
 	copy(digest[:], reader.Fixed("digest", DigestSize))
 	return digest
--- a/internal/system/control/state/evacuation.go
+++ b/internal/system/control/state/evacuation.go
@@ -6,7 +6,8 @@
 	"cinderroad/internal/system/feed"
 )
 
-// Evacuation is what this replica knows of the orders about a zone.
+// Evacuation is the state of a zone on this replica. An order is an operator's request to evacuate the zone or to end its
+// evacuation.
 type Evacuation struct {
 	Evacuated bool
 	// Revision is what a SetEvacuation that is based on this must expect: the log index of the last order about any zone.
@@ -17,7 +18,7 @@
 }
 
 // applyEvacuation accepts an order about a zone whose proposer has seen the last one about any zone. An order that finds
-// the zone as it wants it raises the revision all the same, so that an earlier order that is still on its way cannot undo
+// the zone as it wants it raises the revision all the same, so that an earlier order that is still in flight cannot undo
 // it once it is acknowledged.
 func (c *Configuration) applyEvacuation(index uint64, command *SetEvacuation) Result {
 	c.mutex.Lock()
@@ -35,7 +36,7 @@
 	return Result{Outcome: OutcomeAccepted, Revision: index}
 }
 
-// Evacuation returns what this replica knows of a zone.
+// Evacuation returns the state of a zone on this replica.
 func (c *Configuration) Evacuation(zone string) Evacuation {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/system/control/state/result.go
+++ b/internal/system/control/state/result.go
@@ -18,7 +18,7 @@
 	OutcomeForgotten                      // it is no longer known whether the same request was accepted before
 )
 
-// Result is what the proposer of a command is told.
+// Result is returned to the proposer of a command.
 type Result struct {
 	Outcome Outcome
 	// Revision is the current version of the configuration after a CommitConfiguration, or the version that the same
--- a/internal/system/control/state/store.go
+++ b/internal/system/control/state/store.go
@@ -12,7 +12,8 @@
 	"cinderroad/internal/system/feed"
 )
 
-// maxPreallocatedItems limits the memory that is allocated on the word of a count that was read.
+// maxPreallocatedItems limits the memory that is allocated for a count before its items are read: a malformed snapshot may
+// claim any count.
 const maxPreallocatedItems = 4096
 
 // store is the table of a partition behind a lock. Both state machines embed it, and it is their source for the feed.
--- a/internal/system/feed/digest.go
+++ b/internal/system/feed/digest.go
@@ -16,14 +16,14 @@
 // Contains reports whether the key is in the range.
 func (r KeyRange) Contains(key string) bool { return key >= r.Start && (r.End == "" || key < r.End) }
 
-// RangeDigest stands for the items of a key range: their keys, indexes and values.
+// RangeDigest is the digest of the items of a key range: of their keys, indexes and values.
 type RangeDigest struct {
 	Range     KeyRange
 	ItemCount int
 	Hash      uint64
 }
 
-// TableDigest stands for all items of a partition at an index. Its ranges adjoin and cover all keys.
+// TableDigest is the digest of all items of a partition at an index. Its ranges adjoin and cover all keys.
 type TableDigest struct {
 	Partition Partition
 	Index     uint64
--- a/internal/system/feed/pack.go
+++ b/internal/system/feed/pack.go
@@ -21,12 +21,12 @@
 	PackThresholdBytes = 2 << 10
 	// MaxUnpackedBytes is the greatest unpacked size that Unpack accepts.
 	MaxUnpackedBytes = 32 << 20
-	// maxInflationRatio is the greatest number of bytes that one byte of a deflate stream can stand for.
+	// maxInflationRatio is the greatest number of bytes that one byte of a deflate stream can expand to.
 	maxInflationRatio = 1032
 	// compressionLevel is a fast level, since followers wait. Its writer takes a third less memory than that of the
 	// fastest level.
 	compressionLevel = 2
-	// packedDeleted and packedValue tell the kinds of packed items apart.
+	// packedDeleted and packedValue are the kinds of packed items.
 	packedDeleted = 0
 	packedValue   = 1
 	// minPackedItemBytes is the size of the shortest item of a packed batch.
--- a/internal/system/feed/replication.go
+++ b/internal/system/feed/replication.go
@@ -145,7 +145,7 @@
 	return append(changed, missing...)
 }
 
-// tombstonesForMissing returns the held items that are not present, as deleted at the given index.
+// tombstonesForMissing returns the table's items whose keys are not in present, as deleted at the given index.
 func (t *Table) tombstonesForMissing(present map[string]bool, index uint64) []Item {
 	var missing []Item
 	for _, key := range t.sortedKeysFrom("") {
--- a/internal/system/feed/table.go
+++ b/internal/system/feed/table.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// MaxTombstones is the number of deleted items that a table remembers. A follower that is behind the newest deletion
+// MaxTombstones is the number of deleted items that a table retains. A follower that is behind the newest deletion
 // that was evicted receives a snapshot.
 const MaxTombstones = 1024
 
--- a/internal/system/feed/table_codec.go
+++ b/internal/system/feed/table_codec.go
@@ -32,7 +32,7 @@
 		"it was damaged or written by another version, take the partition from another replica", e.Field)
 }
 
-// Encode returns the whole table, deleted items included, in the form of stored state and of snapshots between control
+// Encode returns the encoding of the table, deleted items included, in the form of stored state and of snapshots between control
 // replicas. Ages at now are part of it; apart from them, tables with the same contents have the same encoding.
 func (t *Table) Encode(now time.Duration) []byte {
 	data := make([]byte, 0, t.encodedSize())
--- a/internal/system/proxy/agentclient/client.go
+++ b/internal/system/proxy/agentclient/client.go
@@ -32,8 +32,8 @@
 	AgentAddr        netip.AddrPort
 	Node             string
 	RunnerPartitions int
-	OnUpdate         func(Update) // gets all changes in order, on a goroutine of the Client
-	OnSnapshot       func([]byte) // gets the snapshot of the proxy's previous incarnation, at most once and only if there is one
+	OnUpdate         func(Update) // receives all changes in order, on a goroutine of the Client
+	OnSnapshot       func([]byte) // receives the snapshot of the proxy's previous incarnation, at most once and only if there is one
 }
 
 // Client follows the agent's feed and sends it the proxy's reports. While the agent is unreachable the last known state
--- a/internal/system/proxy/agentclient/compatibility_test.go
+++ b/internal/system/proxy/agentclient/compatibility_test.go
@@ -13,7 +13,7 @@
 	"cinderroad/internal/system/feed"
 )
 
-// TestReadFeedItems: the items of the feed by their keys. Package compatibility records calls and values.
+// TestReadFeedItems checks how each key of the feed is decoded. Package compatibility records calls and values.
 func TestReadFeedItems(t *testing.T) {
 	if followCall.Name() != "Feed.Follow" || reportCall.Name() != "Proxy.Report" {
 		t.Errorf("the calls are named %s and %s", followCall.Name(), reportCall.Name())
--- a/internal/system/proxy/agentclient/update.go
+++ b/internal/system/proxy/agentclient/update.go
@@ -14,14 +14,14 @@
 type Update struct {
 	Version        uint64 // of the configuration in force; 0: unknown
 	Routes         []*configuration.Route
-	RemovedRoutes  []string // names; to be removed before Routes are added
-	Services       *[]*configuration.Service
+	RemovedRoutes  []string                  // names; to be removed before Routes are added
+	Services       *[]*configuration.Service // all of them
 	Limits         *configuration.Limits
-	EvacuatedZones *map[string]bool
-	Runners        *[]Runner
-	Complete       bool         // the configuration is known, and so are the partitions that hold the runners of its services
-	ProxyCount     int          // proxies that may be serving, this one included; 0: unknown
-	Peers          *[]feed.Peer // all other proxies
+	EvacuatedZones *map[string]bool // by name: all of them
+	Runners        *[]Runner        // all of them
+	Complete       bool             // the configuration is known, and so are the partitions that hold the runners of its services
+	ProxyCount     int              // proxies that may be serving, this one included; 0: unknown
+	Peers          *[]feed.Peer     // all other proxies
 }
 
 // Runner is a runner with times on this process's clock in place of the durations in the feed.
--- a/internal/system/replica/bulk_transfer.go
+++ b/internal/system/replica/bulk_transfer.go
@@ -51,7 +51,7 @@
 		return bulkConnection, message
 	}
 	if message.Round == 0 {
-		return noConnection, nil // it only tells the commit index, as the next heartbeat after the entries will
+		return noConnection, nil // it only announces the commit index, as the next heartbeat after the entries will
 	}
 	heartbeat := *message
 	heartbeat.Index, heartbeat.LogTerm = 0, 0 // the start of the log, where all logs match
--- a/internal/system/replica/compatibility_test.go
+++ b/internal/system/replica/compatibility_test.go
@@ -11,7 +11,7 @@
 	"cinderroad/internal/system/feed"
 )
 
-// TestCallNamesUnchanged: package compatibility records the calls themselves.
+// TestCallNamesUnchanged pins the names of the RPCs and the values of Outcome. Package compatibility records the messages.
 func TestCallNamesUnchanged(t *testing.T) {
 	got := []string{deliverCall.Name(), proposeCall.Name(), readIndexCall.Name(), joinCall.Name(), leaveCall.Name()}
 	want := []string{"Replica.Deliver", "Replica.Propose", "Replica.ReadIndex", "Replica.Join", "Replica.Leave"}
@@ -24,7 +24,8 @@
 	}
 }
 
-// TestReadRecordedBatches: the messages in a request, plain and packed. What the compressor makes of the bytes is its own affair.
+// TestReadRecordedBatches checks that recorded batches, plain and packed, are still read. The packed bytes themselves may
+// differ between releases of the compressor.
 func TestReadRecordedBatches(t *testing.T) {
 	type sent struct {
 		Partition feed.Partition
--- a/internal/system/replica/departures.go
+++ b/internal/system/replica/departures.go
@@ -40,7 +40,7 @@
 	return slices.ContainsFunc(d.notices, func(n departure) bool { return n.id == id && lastHeard <= n.receivedAt+departureTTL })
 }
 
-// announceDeparture tells all known control machines that this replica is leaving. The host's mutex is held; the
+// announceDeparture notifies all known control machines that this replica is leaving. The host's mutex is held; the
 // calls run in the background.
 func (h *Host) announceDeparture() {
 	h.departures.add(h.self.ID, h.now())
--- a/internal/system/replica/disk_writer.go
+++ b/internal/system/replica/disk_writer.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// writeQueued writes the queued jobs and tells their groups.
+// writeQueued writes the queued jobs and notifies their groups.
 func (h *Host) writeQueued() {
 	disk := h.disk
 	disk.mutex.Lock()
@@ -232,7 +232,7 @@
 	h.reportFailure(err)
 }
 
-// handlePersisted tells the groups that their jobs are durable.
+// handlePersisted notifies the groups that their jobs are durable.
 func (h *Host) handlePersisted(jobs []writeJob) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/system/replica/doc.go
+++ b/internal/system/replica/doc.go
@@ -14,7 +14,7 @@
 //   - A replica whose disk fails or hangs releases leadership; it follows again once the disk works.
 //
 // The leader of each group also maintains its membership: it adds replicas that ask to join as learners, moves votes to
-// the members that make the group most fault tolerant, and removes those that are gone. planChange decides on that alone,
+// the members that make the group most fault tolerant, and removes those that are absent for long. planChange decides on that alone,
 // without I/O. Machines of the seed list found the groups at their first boot; every other replica joins, with a random
 // ID, so that a replica that lost its disk never votes with forgotten promises.
 //
--- a/internal/system/replica/group.go
+++ b/internal/system/replica/group.go
@@ -125,7 +125,7 @@
 	return write
 }
 
-// handlePersisted tells the consensus node that a job is durable and sends the messages that waited for it.
+// handlePersisted notifies the consensus node that a job is durable and sends the messages that waited for it.
 func (g *group) handlePersisted(job *writeJob, output groupOutput) {
 	g.pendingJobs--
 	if job.snapshot != nil {
--- a/internal/system/replica/host.go
+++ b/internal/system/replica/host.go
@@ -206,10 +206,7 @@
 	}
 	h.peers.flush()
 	if h.nextDeadline() < h.nextWakeUp {
-		select {
-		case h.wake <- struct{}{}:
-		default:
-		}
+		h.wakeLoop()
 	}
 }
 
--- a/internal/system/replica/join.go
+++ b/internal/system/replica/join.go
@@ -46,7 +46,7 @@
 
 // needsJoin reports whether this replica has to ask to join: a group lacks it or has other attributes of it, no
 // leader was heard for leaderlessTimeout, or the leader's address is unknown. The last happens if the leader joined
-// after everything that this replica knows; the reply to a join request tells the address.
+// after everything that this replica knows; the reply to a join request has the address.
 func (h *Host) needsJoin(now time.Duration) bool {
 	for _, g := range h.groups {
 		if !h.isMember(g) || elapsedSince(g.node.Status().LastLeaderContact, now) > leaderlessTimeout || !h.knowsLeaderAddress(g) {
--- a/internal/system/replica/replica.go
+++ b/internal/system/replica/replica.go
@@ -19,7 +19,7 @@
 	Restore(index uint64, snapshot []byte) error
 }
 
-// Replicas is what the rest of the control process uses of the replicas on this machine. Host implements it. All
+// Replicas is the interface of the replicas on this machine to the rest of the control process. Host implements it. All
 // methods may be called concurrently.
 type Replicas interface {
 	// Propose has a command committed and applied through the leader of the partition and returns the result of Apply
--- a/internal/system/replica/rpc.go
+++ b/internal/system/replica/rpc.go
@@ -121,7 +121,7 @@
 // have.
 type JoinRequest struct{ Member consensus.Member }
 
-// JoinReply tells the known members, so that the caller learns their addresses.
+// JoinReply lists the known members, so that the caller learns their addresses.
 type JoinReply struct{ Members []consensus.Member }
 
 // handleJoin records the request; the leaders of groups act on it at their next membership check.
--- a/internal/system/replica/status.go
+++ b/internal/system/replica/status.go
@@ -24,16 +24,13 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	g := h.group(partition)
-	if g == nil {
-		return neverCurrent
-	}
-	if g.node == nil {
+	if g == nil || g.node == nil {
 		return neverCurrent
 	}
 	return elapsedSince(g.node.Status().CaughtUpAt, h.now())
 }
 
-// elapsedSince returns the time since an event, neverCurrent if at is 0 because there was none.
+// elapsedSince returns the time since an event, neverCurrent if since is 0 because there was none.
 func elapsedSince(since, now time.Duration) time.Duration {
 	if since == 0 {
 		return neverCurrent
--- a/internal/system/storage/doc.go
+++ b/internal/system/storage/doc.go
@@ -1,7 +1,7 @@
 // Package storage persists the consensus state of a machine's replicas, of all partitions, in one SQLite file of the state
 // folder.
 //
-// What Store.Write has returned for is synced: it survives a kill of the process and a power loss. A failed write leaves
+// Updates are synced once Store.Write has returned nil: they survive a kill of the process and a power loss. A failed write leaves
 // nothing behind, and later ones succeed as soon as the disk works again. One goroutine owns the file; requests that wait
 // at the same time are committed together, with one sync.
 //
--- a/internal/system/storage/errors.go
+++ b/internal/system/storage/errors.go
@@ -31,7 +31,7 @@
 // without a disk.
 type CorruptError struct {
 	Path    string
-	MovedTo string // where the file is kept; empty: it was not moved
+	MovedTo string // path of the file now; empty: it was not moved
 	Cause   error
 }
 
@@ -47,7 +47,7 @@
 // Unwrap returns the cause.
 func (e *CorruptError) Unwrap() error { return e.Cause }
 
-// InUseError reports that another process holds the state folder.
+// InUseError reports that another process has the state folder open.
 type InUseError struct{ Path string }
 
 // Error implements error.
--- a/internal/system/storage/folder.go
+++ b/internal/system/storage/folder.go
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// removeSideFiles removes the side files of a database that is gone.
+// removeSideFiles removes the side files of a database that is missing.
 func (s *Store) removeSideFiles() error {
 	removed := false
 	for _, suffix := range sideFiles {
--- a/internal/system/storage/update.go
+++ b/internal/system/storage/update.go
@@ -8,11 +8,11 @@
 // Update is a change of one partition's persisted state. Its parts are applied in the order of the fields.
 type Update struct {
 	Partition          feed.Partition
-	InstalledSnapshot  *consensus.Snapshot  // replaces the snapshot and the whole log
+	InstalledSnapshot  *consensus.Snapshot  // nil: none; replaces the snapshot and the entire log
 	HardState          *consensus.HardState // nil: unchanged
 	Entries            []consensus.Entry    // contiguous; they replace the entries from their first index on
 	CommitIndex        uint64               // stored with Entries; HardState has its own
-	CompactionSnapshot *consensus.Snapshot  // replaces the snapshot and the log up to its index
+	CompactionSnapshot *consensus.Snapshot  // nil: none; replaces the snapshot and the log up to its index
 }
 
 func (db *database) insertIdentity(replica consensus.ReplicaID) error {
@@ -48,7 +48,7 @@
 	return db.compact(update.Partition, update.CompactionSnapshot)
 }
 
-// installSnapshot replaces the snapshot and the whole log.
+// installSnapshot replaces the snapshot and the entire log.
 func (db *database) installSnapshot(partition feed.Partition, snapshot *consensus.Snapshot) error {
 	if err := db.exec(deleteEntries, entryKey(partition, 0), entryKey(partition+1, 0)); err != nil {
 		return err
