--- a/internal/system/agent/fallback/poller_test.go
+++ b/internal/system/agent/fallback/poller_test.go
@@ -13,7 +13,7 @@
 
 func half() float64 { return 0.5 }
 
-func TestAsksWhileCutOff(t *testing.T) {
+func TestPollsWhileCutOff(t *testing.T) {
 	poller := New(half)
 	pace := Pace{Agents: 10, CallsPerSecond: 100}
 	poller.Update(0, 0, pace)
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestListIsHeldAfterFeedRecovers(t *testing.T) {
+func TestListIsRetainedAfterFeedRecovers(t *testing.T) {
 	poller := New(half)
 	poller.Update(0, firstPartition, Pace{})
 	if !poller.Update(time.Second, 0, Pace{}).IsEmpty() || poller.State() != Holding {
--- a/internal/system/codec/codec.go
+++ b/internal/system/codec/codec.go
@@ -150,11 +150,11 @@
 // Float32 reads a number that AppendFloat32 wrote. It may be infinite or not a number.
 func (r *Reader) Float32(field string) float32 {
 	r.begin()
-	taken := r.take(field, float32Size)
-	if len(taken) == 0 {
+	encoded := r.take(field, float32Size)
+	if len(encoded) == 0 {
 		return 0
 	}
-	return math.Float32frombits(binary.LittleEndian.Uint32(taken))
+	return math.Float32frombits(binary.LittleEndian.Uint32(encoded))
 }
 
 // Count reads how many elements follow, each of at least one byte; a larger number is malformed. The result is at most
--- a/internal/system/configuration/diff.go
+++ b/internal/system/configuration/diff.go
@@ -106,10 +106,10 @@
 	if old == nil {
 		old = &Document{}
 	}
-	rebased := d.clone()
-	alignEntries(old.routes, rebased.routes)
-	alignEntries(old.services, rebased.services)
-	return rebased
+	aligned := d.clone()
+	alignEntries(old.routes, aligned.routes)
+	alignEntries(old.services, aligned.services)
+	return aligned
 }
 
 func alignEntries[M any](old, next []entry[M]) {
--- a/internal/system/configuration/document.go
+++ b/internal/system/configuration/document.go
@@ -51,11 +51,11 @@
 }
 
 func models[M any](entries []entry[M]) []*M {
-	made := make([]*M, 0, len(entries))
+	list := make([]*M, 0, len(entries))
 	for _, item := range entries {
-		made = append(made, item.model)
+		list = append(list, item.model)
 	}
-	return made
+	return list
 }
 
 // Encode returns the document as the operator wrote it: the same items in the same order, each with its own text.
--- a/internal/system/configuration/extra_fields.go
+++ b/internal/system/configuration/extra_fields.go
@@ -96,8 +96,8 @@
 	if !named {
 		return
 	}
-	kept := slices.DeleteFunc(current, func(item namedItem) bool { return slices.Contains(removed.names, item.name) })
-	d.setExtra(extraField{name: removed.field, raw: encodeItems(kept)})
+	remaining := slices.DeleteFunc(current, func(item namedItem) bool { return slices.Contains(removed.names, item.name) })
+	d.setExtra(extraField{name: removed.field, raw: encodeItems(remaining)})
 }
 
 func encodeItems(items []namedItem) []byte {
--- a/internal/system/configuration/parse.go
+++ b/internal/system/configuration/parse.go
@@ -93,9 +93,9 @@
 }
 
 // parseEntries parses a list of items.
-func parseEntries[M any](problems jsonfield.Value, parse func(jsonfield.Value) *M, name func(*M) string) []entry[M] {
+func parseEntries[M any](list jsonfield.Value, parse func(jsonfield.Value) *M, name func(*M) string) []entry[M] {
 	var entries []entry[M]
-	problems.ReadArray(func(index int, value jsonfield.Value) {
+	list.ReadArray(func(index int, value jsonfield.Value) {
 		model := parse(value)
 		item := entry[M]{name: name(model), ordinal: evenOrdinal(index), raw: value.Raw(), model: model}
 		entries = append(entries, item)
--- a/internal/system/configuration/validate.go
+++ b/internal/system/configuration/validate.go
@@ -24,7 +24,7 @@
 	prefixes := make(map[routePrefix]string, len(d.routes))
 	for i, item := range d.routes {
 		path := fieldRoutes + "[" + strconv.Itoa(i) + "]"
-		validator := routeValidator{path: path, route: item.model, services: services, list: problems}
+		validator := routeValidator{path: path, route: item.model, services: services, problems: problems}
 		validator.validate(prefixes)
 	}
 }
@@ -52,11 +52,11 @@
 	path     string
 	route    *Route
 	services map[string]bool
-	list     *validation.Problems
+	problems *validation.Problems
 }
 
 func (v *routeValidator) addProblem(field, message string) {
-	v.list.Add(v.path+"."+field, message+" (route "+strconv.Quote(v.route.Name)+")")
+	v.problems.Add(v.path+"."+field, message+" (route "+strconv.Quote(v.route.Name)+")")
 }
 
 func (v *routeValidator) validate(prefixes map[routePrefix]string) {
--- a/internal/system/control/client/client_test.go
+++ b/internal/system/control/client/client_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestRedirectLoopIsLeft(t *testing.T) {
+func TestRedirectLoopIsAbandoned(t *testing.T) {
 	var pauses []time.Duration
 	first := &scriptedMachine{}
 	address := serve(t, first)
--- a/internal/system/control/metrics.go
+++ b/internal/system/control/metrics.go
@@ -20,10 +20,10 @@
 		float64(p.configuration.Version()))
 	gauge("cinderroad_control_stopping", "Whether the process was told to stop.", exposition.BoolValue(p.stopping.Load()))
 	gauge("cinderroad_control_followers", "Members that follow this machine's feed.", float64(len(p.feedServer.Followers())))
-	duty := p.runnerSync.Status()
+	discovery := p.runnerSync.Status()
 	gauge("cinderroad_control_discovery_holder", "Whether this machine reads the platform's list of runners.",
-		exposition.BoolValue(duty.Holder))
-	page.Metric(exposition.Counter, "cinderroad_control_discovery_calls_total", "Calls to the platform.", float64(duty.CallCount))
+		exposition.BoolValue(discovery.Holder))
+	page.Metric(exposition.Counter, "cinderroad_control_discovery_calls_total", "Calls to the platform.", float64(discovery.CallCount))
 }
 
 // writePartitionMetrics writes the metrics of each local replica.
--- a/internal/system/control/process.go
+++ b/internal/system/control/process.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	// hintInterval is the time between two updates of the replicas with the addresses that membership knows.
-	hintInterval = time.Second
+	// addressUpdateInterval is the time between two updates of the replicas with the addresses that membership knows.
+	addressUpdateInterval = time.Second
 	// stoppingAge is the least age that followers are told while the process stops, so that they turn to another machine.
 	stoppingAge = 10 * time.Second
 	// bulkBandwidthShare is the share of the machine's link that large replies to followers may use. Replication goes
@@ -150,7 +150,7 @@
 
 // watchMembers passes the addresses that membership knows to the replicas, until the context ends.
 func (p *Process) watchMembers(ctx context.Context) {
-	for retry.Sleep(ctx, hintInterval) {
+	for retry.Sleep(ctx, addressUpdateInterval) {
 		p.host.AddPeerAddresses(p.gossip.ControlAddresses()...)
 	}
 }
--- a/internal/system/control/runnersync/status.go
+++ b/internal/system/control/runnersync/status.go
@@ -35,9 +35,9 @@
 
 // Status returns the current status. It may be called while Run runs.
 func (s *Syncer) Status() Status {
-	answered := s.progress.listReceived.Load()
-	status := Status{Holder: s.progress.holder.Load(), ListReceived: answered, CallCount: s.progress.callCount.Load()}
-	if answered {
+	listReceived := s.progress.listReceived.Load()
+	status := Status{Holder: s.progress.holder.Load(), ListReceived: listReceived, CallCount: s.progress.callCount.Load()}
+	if listReceived {
 		status.ListAge = s.options.Now() - time.Duration(s.progress.lastListAt.Load())
 	}
 	return status
--- a/internal/system/control/runnersync/sync.go
+++ b/internal/system/control/runnersync/sync.go
@@ -33,12 +33,12 @@
 	s.listChanged.Store(false)
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	var running sync.WaitGroup
+	var writers sync.WaitGroup
 	for partition := range s.owned.All() {
 		i := int(partition) - 1
-		running.Go(func() { s.syncPartition(ctx, i, listed[i]) })
+		writers.Go(func() { s.syncPartition(ctx, i, listed[i]) })
 	}
-	running.Wait()
+	writers.Wait()
 	s.adjustPollInterval()
 }
 
@@ -72,24 +72,24 @@
 	s.confirmDeletions = s.pageCount > 1 || len(counts) > stored/2
 }
 
-// isGone reports whether a stored runner that is not listed is to be deleted. A list of several pages may lack a runner
+// shouldDelete reports whether a stored runner that is not listed is to be deleted. A list of several pages may lack a runner
 // that moved between pages while they were read, and a list that lacks most runners may be a fault of the platform: in
 // both cases the next list has to confirm it.
-func (s *Syncer) isGone(key string) bool {
+func (s *Syncer) shouldDelete(key string) bool {
 	return !s.confirmDeletions || s.missingCounts[key] >= confirmingLists
 }
 
 // syncPartition writes what differs in a partition; after a conflict it compares again.
-func (s *Syncer) syncPartition(ctx context.Context, i int, listed map[string]*discovery.Runner) {
+func (s *Syncer) syncPartition(ctx context.Context, index int, listed map[string]*discovery.Runner) {
 	for range maxWriteAttempts {
-		if err := s.catchUp(ctx, i); err != nil {
+		if err := s.catchUp(ctx, index); err != nil {
 			s.listChanged.Store(true)
 			return
 		}
-		equal, err := s.proposeDiff(ctx, i, listed)
+		equal, err := s.proposeDiff(ctx, index, listed)
 		if err != nil {
-			s.stale[i] = true
-			s.options.Log.Debug("change of runners was not agreed on", zap.Int("partition", i+1), zap.Error(err))
+			s.stale[index] = true
+			s.options.Log.Debug("change of runners was not agreed on", zap.Int("partition", index+1), zap.Error(err))
 			return
 		}
 		if equal {
@@ -99,46 +99,46 @@
 }
 
 // catchUp waits until the local replica holds what was committed before, unless it surely does.
-func (s *Syncer) catchUp(ctx context.Context, i int) error {
-	if !s.stale[i] {
+func (s *Syncer) catchUp(ctx context.Context, index int) error {
+	if !s.stale[index] {
 		return nil
 	}
-	if err := s.options.Replicas.Barrier(ctx, feed.Partition(i+1)); err != nil {
-		return fmt.Errorf("runnersync: catch up with partition %d: %w", i+1, err)
+	if err := s.options.Replicas.Barrier(ctx, feed.Partition(index+1)); err != nil {
+		return fmt.Errorf("runnersync: catch up with partition %d: %w", index+1, err)
 	}
-	s.stale[i] = false
+	s.stale[index] = false
 	return nil
 }
 
 // refreshView updates the view of a partition from the local replica.
-func (s *Syncer) refreshView(i int) {
-	v := &s.views[i]
-	v.update(s.options.Partitions[i].Since(v.index, 0), s.options.Now())
+func (s *Syncer) refreshView(index int) {
+	v := &s.views[index]
+	v.update(s.options.Partitions[index].Since(v.index, 0), s.options.Now())
 }
 
 // proposeDiff compares a partition with the list and proposes what differs. It reports whether the partition equals the
 // list now.
-func (s *Syncer) proposeDiff(ctx context.Context, i int, listed map[string]*discovery.Runner) (bool, error) {
-	partition := s.options.Partitions[i]
+func (s *Syncer) proposeDiff(ctx context.Context, index int, listed map[string]*discovery.Runner) (bool, error) {
+	partition := s.options.Partitions[index]
 	revision := partition.Revision()
-	s.refreshView(i)
-	writes := s.views[i].diff(listed, s.options.Now(), s.isGone)
+	s.refreshView(index)
+	writes := s.views[index].diff(listed, s.options.Now(), s.shouldDelete)
 	if len(writes) == 0 {
 		return true, nil
 	}
 	s.listChanged.Store(true)
-	if !s.ownedPartitions().Contains(feed.Partition(i + 1)) {
+	if !s.ownedPartitions().Contains(feed.Partition(index + 1)) {
 		return false, ErrLostLease
 	}
 	command := state.WriteRunners{ExpectedRevision: revision, Writes: writes}
-	encoded, err := s.options.Replicas.Propose(ctx, feed.Partition(i+1), command.Encode())
+	encoded, err := s.options.Replicas.Propose(ctx, feed.Partition(index+1), command.Encode())
 	if err != nil {
-		return false, fmt.Errorf("runnersync: propose to partition %d: %w", i+1, err)
+		return false, fmt.Errorf("runnersync: propose to partition %d: %w", index+1, err)
 	}
 	result, err := state.DecodeResult(encoded)
 	if err != nil {
 		return false, err
 	}
-	s.stale[i] = partition.Revision() < result.Revision
+	s.stale[index] = partition.Revision() < result.Revision
 	return result.Outcome == state.OutcomeAccepted, nil
 }
--- a/internal/system/control/runnersync/view.go
+++ b/internal/system/control/runnersync/view.go
@@ -107,8 +107,8 @@
 }
 
 // diff returns the writes that make the view equal to the list, ordered by key. Runners that are stored and not listed are
-// deleted if isGone reports so.
-func (v *partitionView) diff(listed map[string]*discovery.Runner, now time.Duration, isGone func(key string) bool) []state.Write {
+// deleted if shouldDelete reports so.
+func (v *partitionView) diff(listed map[string]*discovery.Runner, now time.Duration, shouldDelete func(key string) bool) []state.Write {
 	var out []state.Write
 	for key, runner := range listed {
 		stored, exists := v.runners[key]
@@ -124,7 +124,7 @@
 		out = append(out, state.Write{Key: key, Value: value})
 	}
 	for key := range v.runners {
-		if listed[key] == nil && isGone(key) {
+		if listed[key] == nil && shouldDelete(key) {
 			out = append(out, state.Write{Key: key, Deleted: true})
 		}
 	}
--- a/internal/system/control/status.go
+++ b/internal/system/control/status.go
@@ -45,12 +45,12 @@
 }
 
 func (p *Process) describeDiscovery() status.Discovery {
-	duty := p.runnerSync.Status()
+	discovery := p.runnerSync.Status()
 	return status.Discovery{
-		Holder:       duty.Holder,
-		ListReceived: duty.ListReceived,
-		ListAgeMS:    duty.ListAge.Milliseconds(),
-		CallCount:    duty.CallCount,
+		Holder:       discovery.Holder,
+		ListReceived: discovery.ListReceived,
+		ListAgeMS:    discovery.ListAge.Milliseconds(),
+		CallCount:    discovery.CallCount,
 	}
 }
 
--- a/internal/system/discovery/client.go
+++ b/internal/system/discovery/client.go
@@ -68,7 +68,7 @@
 type Client struct {
 	options ClientOptions
 
-	mu         sync.Mutex
+	mutex      sync.Mutex
 	connection net.Conn
 	reader     *bufio.Reader
 	calls      uint64
@@ -88,8 +88,8 @@
 
 // ListZone returns the list of one zone, or of all zones if zone is empty.
 func (c *Client) ListZone(ctx context.Context, zone string) ([]Runner, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	var runners []Runner
 	token := ""
 	seen := map[string]bool{}
@@ -117,15 +117,15 @@
 
 // CallCount returns the number of calls that were sent to the platform so far.
 func (c *Client) CallCount() uint64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	return c.calls
 }
 
 // Close closes the connection. The client may be used again.
 func (c *Client) Close() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	c.disconnect()
 }
 
@@ -145,16 +145,16 @@
 // pages are fetched.
 func deduplicate(runners []Runner) []Runner {
 	positions := make(map[string]int, len(runners))
-	kept := runners[:0]
+	unique := runners[:0]
 	for _, runner := range runners {
 		if position, known := positions[runner.ID]; known {
-			kept[position] = runner
+			unique[position] = runner
 			continue
 		}
-		positions[runner.ID] = len(kept)
-		kept = append(kept, runner)
+		positions[runner.ID] = len(unique)
+		unique = append(unique, runner)
 	}
-	return kept
+	return unique
 }
 
 // fetchPage fetches one page. If a reused connection turns out to have been closed before the response began, it tries
