--- a/internal/system/agent/agent_test.go
+++ b/internal/system/agent/agent_test.go
@@ -261,7 +261,7 @@
 	cluster.wait("it does not serve", func() bool { return memberOf(replicas, "edge-1").Serving == gossip.Starting })
 	edge.startProxy()
 	if reply := edge.report(feed.ProxyReport{}); string(reply.Learnt) != "learnt" {
-		t.Errorf("the next proxy is told %q", reply.Learnt)
+		t.Errorf("the next proxy gets %q", reply.Learnt)
 	}
 	edge.report(feed.ProxyReport{Ready: true})
 	cluster.wait("it serves again", func() bool { member := memberOf(replicas, "edge-1"); return member.Usable() })
--- a/internal/system/agent/proxystatus/tracker_test.go
+++ b/internal/system/agent/proxystatus/tracker_test.go
@@ -79,12 +79,12 @@
 	report := readyReport()
 	report.Learnt = []byte("one")
 	if reply := tracker.HandleReport(0, report); reply.Learnt != nil {
-		t.Error("a proxy is told what it said itself")
+		t.Error("a proxy gets back the snapshot that it just reported")
 	}
 	if reply := tracker.HandleReport(0, readyReport()); reply.Learnt != nil {
-		t.Error("a proxy that serves is told what it learnt")
+		t.Error("a proxy that serves gets a snapshot")
 	}
 	if reply := tracker.HandleReport(0, &feed.ProxyReport{}); string(reply.Learnt) != "one" {
-		t.Errorf("the next life is told %q, want one", reply.Learnt)
+		t.Errorf("the next incarnation gets %q, want one", reply.Learnt)
 	}
 }
--- a/internal/system/codec/codec.go
+++ b/internal/system/codec/codec.go
@@ -1,7 +1,7 @@
-// Package codec appends and reads the fields of compact binary encodings: varints, and bytes behind their length.
+// Package codec appends and reads the fields of compact binary encodings: varints, and byte fields prefixed by their length.
 //
 // The functions that write append to a slice, as those of encoding/binary do. A Reader reads the fields in the order in
-// which they were written and remembers the first malformed one, so that a caller checks once, after the last field:
+// which they were written and records the first malformed one, so that a caller checks once, after the last field:
 //
 //	reader := codec.NewReader(data)
 //	name := reader.String("name")
@@ -66,7 +66,7 @@
 // stays at that one.
 func (r *Reader) Offset() int { return r.start }
 
-// Fail marks the field read last as malformed, for a caller to whom its value makes no sense. It does nothing after an
+// Fail marks the field read last as malformed, for a caller that finds its value invalid. It does nothing after an
 // earlier malformed field.
 func (r *Reader) Fail(field string) {
 	if !r.failed {
@@ -86,7 +86,7 @@
 // remaining returns the number of bytes that are not read yet.
 func (r *Reader) remaining() int { return len(r.data) - r.next }
 
-// begin notes where the next field begins.
+// begin records where the next field begins.
 func (r *Reader) begin() {
 	if !r.failed {
 		r.start = r.next
@@ -184,7 +184,7 @@
 // String reads a field that AppendBytes wrote into memory of its own.
 func (r *Reader) String(field string) string { return string(r.Bytes(field)) }
 
-// Fixed reads a field of a size that both sides know, which stands without its length. The result shares memory with the
+// Fixed reads a field of a size that both sides know, which is encoded without a length. The result shares memory with the
 // encoding like that of Bytes; it is nil if the field is cut short.
 func (r *Reader) Fixed(field string, size int) []byte {
 	r.begin()
--- a/internal/system/configuration/diff.go
+++ b/internal/system/configuration/diff.go
@@ -18,7 +18,7 @@
 	Deleted bool
 }
 
-// Writes returns the writes that store the whole document.
+// Writes returns the writes that store the complete document.
 func (d *Document) Writes() []Write { return Diff(nil, d) }
 
 // Diff returns the writes that turn the items of the stored document old, nil for none, into those of next. Items that
--- a/internal/system/configuration/doc.go
+++ b/internal/system/configuration/doc.go
@@ -1,7 +1,7 @@
 // Package configuration holds the operator's configuration: its model, and how it is parsed, validated, changed and
 // stored.
 //
-// A [Document] is made by [ParseAndValidate] from a whole configuration, by [ApplyAndValidate] from a change of single
+// A [Document] is made by [ParseAndValidate] from a complete configuration, by [ApplyAndValidate] from a change of single
 // items, or by [FromItems] from the stored items. It is immutable, and so are the models that it returns. [Diff] gives
 // the writes that bring a stored document to another one; it writes only items that changed.
 //
--- a/internal/system/configuration/document.go
+++ b/internal/system/configuration/document.go
@@ -23,7 +23,7 @@
 	model   *M
 }
 
-// Document is a whole configuration. It is immutable: changes make another document.
+// Document is a complete configuration. It is immutable: a change is applied to a copy.
 type Document struct {
 	version   uint64
 	routes    []entry[Route]
--- a/internal/system/configuration/items.go
+++ b/internal/system/configuration/items.go
@@ -25,7 +25,7 @@
 
 // MalformedItemError says that a stored item cannot be read.
 type MalformedItemError struct {
-	Key   string // of the item; empty: the caller knows it
+	Key   string // of the item; empty where only the value was passed, such as by DecodeRoute
 	Cause error
 }
 
--- a/internal/system/configuration/model.go
+++ b/internal/system/configuration/model.go
@@ -24,7 +24,7 @@
 	Timeout    time.Duration // longest time that a request is pending; above 0
 	// LatencyTarget is the time within which a response has its full value; for streams, that of the first event.
 	LatencyTarget time.Duration
-	// EventGapTarget is the longest pause between two events of a stream that is still in time; 0: none is set.
+	// EventGapTarget is the longest pause between two events of a stream that counts as in time; 0: none is set.
 	EventGapTarget time.Duration
 	Rank           int      // priority: 0 is the most urgent
 	Shares         []Share  // at least one; a route that names a single service has one share with weight 1
--- a/internal/system/configuration/ordinals.go
+++ b/internal/system/configuration/ordinals.go
@@ -13,7 +13,7 @@
 func evenOrdinal(position int) uint64 { return uint64(position+1) * ordinalGap }
 
 // alignOrdinals returns ascending ordinals for a list of which the items have the given ordinals, 0 for none, so that
-// as many items as possible keep theirs. If there is no room for the others, the list is numbered anew.
+// as many items as possible keep theirs. If no ordinals are free between those for the others, the list is numbered anew.
 func alignOrdinals(current []uint64) []uint64 {
 	aligned := make([]uint64, len(current))
 	kept := longestIncreasing(current)
@@ -40,7 +40,7 @@
 }
 
 // assignBetween assigns ordinals to items between two given ones; end 0: there is no upper bound. It returns false if
-// there is no room.
+// too few ordinals are free.
 func assignBetween(items []uint64, previous, end uint64) bool {
 	if len(items) == 0 {
 		return true
--- a/internal/system/configuration/parse.go
+++ b/internal/system/configuration/parse.go
@@ -8,7 +8,7 @@
 	"cinderroad/internal/system/validation"
 )
 
-// Parse parses a whole document. An error is a *validation.Error with all problems. The document need not be valid: see
+// Parse parses a document. An error is a *validation.Error with all problems. The document need not be valid: see
 // Validate. It keeps parts of body, which must not be altered.
 func Parse(body []byte) (*Document, error) {
 	var problems validation.Problems
@@ -19,7 +19,7 @@
 	return document, nil
 }
 
-// ParseAndValidate parses a whole document and validates it against the version that is in force, 0 for none. An error
+// ParseAndValidate parses a document and validates it against the version that is in force, 0 for none. An error
 // is a *validation.Error with all problems. The document keeps parts of body, which must not be altered.
 func ParseAndValidate(body []byte, current uint64) (*Document, error) {
 	var problems validation.Problems
--- a/internal/system/control/api/compatibility_test.go
+++ b/internal/system/control/api/compatibility_test.go
@@ -33,16 +33,16 @@
 		{http.MethodPost, "/-/DrainZone.Begin/q", "", ""},
 		{http.MethodGet, "/-/status", "", ""},
 	} {
-		answer := call(a, step.method, step.path, step.basedOn, step.body)
-		fmt.Fprintf(&transcript, "%s %s %s\n%d\n", step.method, step.path, step.basedOn, answer.Code)
-		for _, name := range slices.Sorted(maps.Keys(answer.Header())) {
-			fmt.Fprintf(&transcript, "%s: %s\n", name, answer.Header().Get(name))
+		response := call(a, step.method, step.path, step.basedOn, step.body)
+		fmt.Fprintf(&transcript, "%s %s %s\n%d\n", step.method, step.path, step.basedOn, response.Code)
+		for _, name := range slices.Sorted(maps.Keys(response.Header())) {
+			fmt.Fprintf(&transcript, "%s: %s\n", name, response.Header().Get(name))
 		}
-		fmt.Fprintf(&transcript, "%s\n\n", answer.Body)
+		fmt.Fprintf(&transcript, "%s\n\n", response.Body)
 	}
 	c.noQuorum, c.isolated = true, true
-	answer := call(a, http.MethodGet, "/-/Settings.Read", "", "")
-	fmt.Fprintf(&transcript, "without a majority\n%d\nRetry-After: %s\n%s\n", answer.Code, answer.Header().Get("Retry-After"), answer.Body)
+	response := call(a, http.MethodGet, "/-/Settings.Read", "", "")
+	fmt.Fprintf(&transcript, "without a majority\n%d\nRetry-After: %s\n%s\n", response.Code, response.Header().Get("Retry-After"), response.Body)
 	compatibility.Elsewhere.Check(t, "answers.txt", transcript.Bytes())
 }
 
--- a/internal/system/control/api/fake_test.go
+++ b/internal/system/control/api/fake_test.go
@@ -138,7 +138,7 @@
 	return response.Body.String()
 }
 
-// call sends one request to the API; basedOn is left out if empty.
+// call sends one request to the API; an empty basedOn sends no header.
 func call(a *API, method, path string, basedOn, body string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	if basedOn != "" {
--- a/internal/system/control/api/simulation_clients_test.go
+++ b/internal/system/control/api/simulation_clients_test.go
@@ -52,7 +52,7 @@
 // ownerKey is the item with the body of the change that brought the version in force.
 const ownerKey = "owner"
 
-// prepareModelChange parses the bodies that modelRequest.changeRequest writes; it stands for documentCache.
+// prepareModelChange parses the bodies that modelRequest.changeRequest writes; it replaces documentCache.
 func prepareModelChange(request *changeRequest, base *state.View) (preparedChange, error) {
 	var invalid validation.Problems
 	version, text, _ := bytes.Cut(request.body, []byte(" "))
--- a/internal/system/control/api/simulation_cluster_test.go
+++ b/internal/system/control/api/simulation_cluster_test.go
@@ -287,18 +287,18 @@
 
 // whenRunning calls do in this incarnation of the process, once it is not frozen.
 func (n *simulatedNode) whenRunning(do func()) {
-	life := n.incarnation
-	var look func()
-	look = func() {
+	incarnation := n.incarnation
+	var check func()
+	check = func() {
 		switch {
-		case !n.up || n.incarnation != life:
+		case !n.up || n.incarnation != incarnation:
 		case n.sim.now < n.frozenUntil:
-			n.sim.after(n.frozenUntil-n.sim.now, look)
+			n.sim.after(n.frozenUntil-n.sim.now, check)
 		default:
 			do()
 		}
 	}
-	look()
+	check()
 }
 
 // scheduleApply applies the log up to an index after a network delay.
@@ -306,9 +306,9 @@
 	if !n.up {
 		return
 	}
-	life := n.incarnation
+	incarnation := n.incarnation
 	n.sim.after(n.sim.networkDelay(), func() {
-		if n.incarnation == life {
+		if n.incarnation == incarnation {
 			n.whenRunning(func() { n.applyTo(index) })
 		}
 	})
@@ -438,7 +438,7 @@
 	return &committer{replicas: &simulatedReplicas{task: t}, state: &simulatedState{task: t}, prepare: prepareModelChange, sleep: t.pause}
 }
 
-// pause stands for retry.Sleep. After a frozen process resumes, either of its two timers may fire first.
+// pause replaces retry.Sleep. After a frozen process resumes, either of its two timers may fire first.
 func (t *handlerTask) pause(ctx context.Context, d time.Duration) bool {
 	alive := t.sleep(min(d, t.remaining()))
 	if alive && t.remaining() == 0 && !t.cancelled {
--- a/internal/system/control/directory.go
+++ b/internal/system/control/directory.go
@@ -7,7 +7,7 @@
 	"cinderroad/internal/system/gossip"
 )
 
-// Edges implements directory.EdgeSource: the proxies as membership sees them. A machine that nobody acknowledges any more
+// Edges implements directory.EdgeSource: the proxies as membership sees them. A machine that no member acknowledges any more
 // returns its last confirmed view, since clients that reach this machine may reach the proxies, too.
 func (p *Process) Edges() []directory.Edge {
 	members := p.gossip.LastConfirmedView()
--- a/internal/system/control/directory/choose.go
+++ b/internal/system/control/directory/choose.go
@@ -37,7 +37,7 @@
 const (
 	// MaxAddresses is the most addresses in one reply.
 	MaxAddresses = 64
-	// minZoneEdges is the number of proxies in a zone below which its clients are sent to the whole region.
+	// minZoneEdges is the number of proxies in a zone below which its clients get all proxies of the region.
 	minZoneEdges = 2
 )
 
@@ -63,7 +63,7 @@
 	return tierServing
 }
 
-// isNear reports whether the edge is in the client's region or zone, of which it may have told only one.
+// isNear reports whether the edge is in the client's region or zone, of which its request may name only one.
 func (e *Edge) isNear(region, zone string) bool { return e.Region == region || e.Zone == zone }
 
 // Choice is the reply to a client.
--- a/internal/system/control/directory/handler.go
+++ b/internal/system/control/directory/handler.go
@@ -22,7 +22,7 @@
 	outOfRegionTTL = 400 * time.Millisecond
 )
 
-// retryAfterSeconds is the Retry-After of a reply without addresses.
+// retryAfterSeconds is the value of the header Retry-After of a reply without addresses.
 const retryAfterSeconds = "1"
 
 // Handler serves look-ups. Its fields must not change while it serves.
--- a/internal/system/control/directory/handler_test.go
+++ b/internal/system/control/directory/handler_test.go
@@ -36,7 +36,7 @@
 	}
 	handler.MaxTTL = 500 * time.Millisecond
 	if err := json.Unmarshal(get(handler, http.MethodGet).Body.Bytes(), &body); err != nil || body.TTL != 0.5 {
-		t.Errorf("answers are held for %v s, %v", body.TTL, err)
+		t.Errorf("replies have a TTL of %v s, %v", body.TTL, err)
 	}
 	if reply := get(handler, http.MethodPost); reply.Code != http.StatusMethodNotAllowed {
 		t.Errorf("POST: %d", reply.Code)
@@ -75,7 +75,7 @@
 			TTL float64 `json:"cache_ttl_s"`
 		}
 		if err := json.Unmarshal(recorder.Body.Bytes(), &body); err != nil || body.TTL != want.Seconds() {
-			t.Errorf("%s: held for %v s, want %v (%v)", test.name, body.TTL, want, err)
+			t.Errorf("%s: TTL of %v s, want %v (%v)", test.name, body.TTL, want, err)
 		}
 	}
 }
--- a/internal/system/control/feedserver/pacer_test.go
+++ b/internal/system/control/feedserver/pacer_test.go
@@ -15,7 +15,7 @@
 		wait, admitted := p.admit(time.Hour, size)
 		if !admitted {
 			if wait <= maxBulkDelay/2 || wait > maxBulkDelay/2+100*time.Millisecond {
-				t.Errorf("told to call again after %v", wait)
+				t.Errorf("has to call again after %v", wait)
 			}
 			break
 		}
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestPacerRate draws followers that call at any time, and checks that the rate is kept in each span and that a follower
-// which calls again when told to is served.
+// TestPacerRate draws followers that call at any time, and checks that the rate is not exceeded in any span and that a
+// follower which calls again after the delay that it was given is served.
 func TestPacerRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const rate = 1 << 20
--- a/internal/system/control/listeners.go
+++ b/internal/system/control/listeners.go
@@ -23,7 +23,7 @@
 // Limits of HTTP connections.
 const (
 	readHeaderTimeout = 5 * time.Second
-	readTimeout       = 30 * time.Second // of a whole request with its body
+	readTimeout       = 30 * time.Second // of a request with its body
 	writeTimeout      = 30 * time.Second
 	idleTimeout       = 15 * time.Second
 	maxHeaderBytes    = 16 << 10
--- a/internal/system/control/process.go
+++ b/internal/system/control/process.go
@@ -25,7 +25,8 @@
 const (
 	// addressUpdateInterval is the time between two updates of the replicas with the addresses that membership knows.
 	addressUpdateInterval = time.Second
-	// stoppingAge is the least age that followers are told while the process stops, so that they turn to another machine.
+	// stoppingAge is the least age that replies to followers state while the process stops, so that they turn to another
+	// machine.
 	stoppingAge = 10 * time.Second
 	// bulkBandwidthShare is the share of the machine's link that large replies to followers may use. Replication goes
 	// over the same link.
@@ -87,7 +88,7 @@
 	return p, nil
 }
 
-// now is the steady clock: the time since the start.
+// now is the monotonic clock: the time since the start.
 func (p *Process) now() time.Duration { return time.Since(p.startedAt) }
 
 func (p *Process) initStates(notifier *feedserver.Notifier) {
@@ -155,7 +156,8 @@
 	}
 }
 
-// zoneExists reports whether the settings name the zone. The settings file is read again if they do not.
+// zoneExists reports whether the settings name the zone. If they do not, the settings file is read again, since the zone
+// may be new.
 func (p *Process) zoneExists(zone string) bool {
 	if _, known := p.settings.Load().Zones[zone]; known {
 		return true
@@ -170,7 +172,8 @@
 	return known
 }
 
-// Reload applies changed settings: the addresses of seeds and the zones. All else takes a new process.
+// Reload applies changed settings: the addresses of seeds and the zones. Other changes take effect at the next start of
+// the process. It may be called concurrently.
 func (p *Process) Reload(settings *processconfig.Settings) {
 	p.settings.Store(settings)
 	p.gossip.SetSeeds(gossip.SeedAddresses(settings))
--- a/internal/system/control/runnersync/doc.go
+++ b/internal/system/control/runnersync/doc.go
@@ -1,7 +1,7 @@
 // Package runnersync keeps the runner partitions of the control state equal to the platform's list of runners.
 //
 // One control machine polls the list: the one that holds the leader lease of partition 0. While partition 0 has no leader,
-// each runner partition is kept by the machine that leads it, so that no partition waits for another one's leader. Two
+// each runner partition is synchronized by the machine that leads it, so that no partition waits for another one's leader. Two
 // machines may then write the same partition for a moment; each write names the state that it was computed from
 // (state.WriteRunners.ExpectedRevision) and fails if that has changed.
 //
--- a/internal/system/control/runnersync/ownership.go
+++ b/internal/system/control/runnersync/ownership.go
@@ -15,7 +15,8 @@
 	leaseCheckInterval = 200 * time.Millisecond
 	// minLeaseRemaining must be left of a lease when a call begins.
 	minLeaseRemaining = 100 * time.Millisecond
-	// takeoverDelay is the staleness of partition 0 from which a machine owns the runner partitions that it leads itself.
+	// takeoverDelay is the staleness of partition 0, see replica.Replicas, from which a machine owns the runner partitions
+	// that it leads itself.
 	takeoverDelay = 2 * time.Second
 )
 
@@ -23,7 +24,7 @@
 var ErrLostLease = errors.New("runnersync: the lease ended; another machine polls now")
 
 // OwnedPartitions returns the runner partitions, of so many, that this machine keeps equal to the list: all of them while
-// it holds the lease of partition 0; if it has not heard of a leader there for takeoverDelay, those whose lease it holds.
+// it holds the lease of partition 0; if it has had no contact with a leader there for takeoverDelay, those whose lease it holds.
 func OwnedPartitions(replicas replica.Replicas, runnerPartitions int) feed.PartitionSet {
 	all := feed.FirstPartitions(1 + runnerPartitions).Without(feed.NewPartitionSet(feed.ConfigurationPartition))
 	if holdsLease(replicas, feed.ConfigurationPartition) {
@@ -58,7 +59,8 @@
 	return OwnedPartitions(s.options.Replicas, len(s.options.Partitions))
 }
 
-// acquire resets what was observed if the owned partitions have changed: lists that another machine polled do not count.
+// acquire resets the observations of earlier lists if the owned partitions have changed, since another machine may have
+// written the partitions meanwhile.
 func (s *Syncer) acquire(owned feed.PartitionSet) {
 	if owned == s.owned {
 		return
@@ -74,6 +76,7 @@
 	s.options.Log.Info("discovery taken up", zap.Stringer("partitions", owned))
 }
 
+// release ends the ownership of all partitions.
 func (s *Syncer) release() {
 	if s.owned.IsEmpty() {
 		return
--- a/internal/system/control/runnersync/ownership_test.go
+++ b/internal/system/control/runnersync/ownership_test.go
@@ -64,6 +64,6 @@
 	}
 	c.leads, c.lease = true, time.Second
 	if c.step(); !c.inSync(t) {
-		t.Error("not all partitions are kept once partition 0 has a leader")
+		t.Error("not all partitions are synchronized once partition 0 has a leader")
 	}
 }
--- a/internal/system/control/runnersync/status.go
+++ b/internal/system/control/runnersync/status.go
@@ -17,7 +17,7 @@
 type liveStatus struct {
 	holder       atomic.Bool
 	listReceived atomic.Bool
-	lastListAt   atomic.Int64 // steady time of the last response, in nanoseconds
+	lastListAt   atomic.Int64 // time of the last response by Options.Now, in nanoseconds
 	callCount    atomic.Uint64
 }
 
--- a/internal/system/control/runnersync/sync.go
+++ b/internal/system/control/runnersync/sync.go
@@ -98,7 +98,8 @@
 	}
 }
 
-// catchUp waits until the local replica holds what was committed before, unless it surely does.
+// catchUp waits until the local replica has applied everything that was committed before the call, if the partition is
+// marked as stale.
 func (s *Syncer) catchUp(ctx context.Context, index int) error {
 	if !s.stale[index] {
 		return nil
--- a/internal/system/control/runnersync/sync_test.go
+++ b/internal/system/control/runnersync/sync_test.go
@@ -172,7 +172,7 @@
 	}
 	c.step()
 	if len(c.storedRunners(t)) != 1 {
-		t.Error("a removed runner was kept")
+		t.Error("a removed runner was not deleted")
 	}
 }
 
--- a/internal/system/control/runnersync/syncer.go
+++ b/internal/system/control/runnersync/syncer.go
@@ -55,9 +55,9 @@
 	// DrainWithin is the time within which a draining runner must get no more requests; 0: unknown. It bounds the
 	// interval between polls.
 	DrainWithin time.Duration
-	// CallsPerSecond is the rate that the platform accepts from the whole system; 0: unknown.
+	// CallsPerSecond is the rate that the platform accepts from all machines together; 0: unknown.
 	CallsPerSecond float64
-	// Now is the steady clock.
+	// Now is a monotonic clock.
 	Now func() time.Duration
 	Log *zap.Logger
 }
@@ -70,14 +70,14 @@
 	views []partitionView
 	stale []bool // the local replica must catch up before the next comparison
 
-	missingCounts    map[string]int // number of successive lists that lacked a stored runner, by key
-	confirmDeletions bool           // a runner is deleted only after confirmingLists
-	pageCount        int            // calls that the last list took, at least 1
-	backoff          time.Duration  // after a failed poll; 0 after a successful one
-	pollInterval     time.Duration  // grows while the list does not change
-	listChanged      atomic.Bool    // the last list differed from the stored runners, or could not be compared
-	owned            feed.PartitionSet
-	failing          bool // the last poll failed, and that was logged
+	missingCounts    map[string]int    // number of successive lists that lacked a stored runner, by key
+	confirmDeletions bool              // a runner is deleted only after confirmingLists
+	pageCount        int               // calls that the last list took, at least 1
+	backoff          time.Duration     // after a failed poll; 0 after a successful one
+	pollInterval     time.Duration     // grows while the list does not change
+	listChanged      atomic.Bool       // the last list differed from the stored runners, or could not be compared
+	owned            feed.PartitionSet // see OwnedPartitions; empty: this machine does not poll
+	failing          bool              // the last poll failed, and that was logged
 	progress         liveStatus
 }
 
--- a/internal/system/control/runnersync/view.go
+++ b/internal/system/control/runnersync/view.go
@@ -26,14 +26,14 @@
 // storedRunner is a runner as the partition holds it.
 type storedRunner struct {
 	runner    discovery.Runner
-	changedAt time.Duration // steady time of the item's last change
+	changedAt time.Duration // time of the item's last change by Options.Now
 }
 
 func (s *storedRunner) encodesTo(value []byte) bool {
 	return bytes.Equal(discovery.EncodeRunner(s.runner), value)
 }
 
-// expectedRemaining is what is left now of a countdown that stood at remaining when the item was written.
+// expectedRemaining is the remaining time, at now, of a countdown that was at remaining when the item was written.
 func (s *storedRunner) expectedRemaining(remaining, now time.Duration) time.Duration {
 	return max(0, remaining-(now-s.changedAt))
 }
--- a/internal/system/control/state/encoding_test.go
+++ b/internal/system/control/state/encoding_test.go
@@ -32,7 +32,7 @@
 	return true
 }
 
-// TestCommandRoundTrip checks that drawn commands decode to what was encoded.
+// TestCommandRoundTrip checks that random commands are the same after encoding and decoding.
 func TestCommandRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		commit := CommitConfiguration{
@@ -85,7 +85,7 @@
 	})
 }
 
-// FuzzRestore checks that a snapshot is restored as a whole or changes nothing.
+// FuzzRestore checks that a snapshot is restored completely or changes nothing.
 func FuzzRestore(f *testing.F) {
 	configuration := newTestConfiguration()
 	configuration.Apply(1, encodeCommit(0, 2, 3, put("route/a", "{}"), put("service/b", "{}")))
@@ -116,7 +116,7 @@
 	})
 }
 
-// TestResultRoundTrip checks that results decode to what was encoded, and that malformed ones are rejected.
+// TestResultRoundTrip checks that results are the same after encoding and decoding, and that malformed ones are rejected.
 func TestResultRoundTrip(t *testing.T) {
 	for _, result := range []Result{{OutcomeAccepted, 1}, {OutcomeConflict, 1 << 63}, {OutcomeAlreadyAccepted, 0}, {OutcomeForgotten, 5}} {
 		if got := decodeResult(t, result.Encode()); got != result {
--- a/internal/system/control/state/state_test.go
+++ b/internal/system/control/state/state_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// zeroClock is a clock that stands still.
+// zeroClock is a clock that always shows 0.
 func zeroClock() time.Duration { return 0 }
 
 // noop is a callback without effect.
--- a/internal/system/control/stop.go
+++ b/internal/system/control/stop.go
@@ -17,7 +17,8 @@
 	announceDivisor = 4
 	// exitMargin is left of the grace period when the process exits.
 	exitMargin = time.Second
-	// drainDivisor: one part in so many of the rest is for calls in flight, the remainder for handing over.
+	// drainDivisor divides the rest of the grace period: one part of so many is for calls in flight, the others are for
+	// handing over.
 	drainDivisor = 2
 	// abortTimeout is for calls in flight when the process can't go on.
 	abortTimeout = time.Second
@@ -25,7 +26,7 @@
 
 // stopPlan is how long the steps of a shutdown take, one after the other.
 type stopPlan struct {
-	announce time.Duration // calls are still accepted while the other members are told
+	announce time.Duration // calls are still accepted while the other members learn of the shutdown
 	drain    time.Duration // calls in flight end; less if there are none
 	total    time.Duration // all steps, with handing leadership and votes over
 }
@@ -72,7 +73,7 @@
 	p.goroutines.Wait()
 }
 
-// leave tells the other members, if this process has joined.
+// leave announces the departure to the other members, if this process has joined.
 func (p *Process) leave() {
 	if p.gossip != nil {
 		p.gossip.Leave()
--- a/internal/system/discovery/client.go
+++ b/internal/system/discovery/client.go
@@ -63,7 +63,7 @@
 	OnSkippedEntries func(*SkippedEntriesError)
 }
 
-// Client reads the platform's list over one connection, which it keeps between calls. It is safe for concurrent use;
+// Client reads the platform's list over one connection, which stays open between calls. It is safe for concurrent use;
 // calls run one after the other.
 type Client struct {
 	options ClientOptions
--- a/internal/system/discovery/list.go
+++ b/internal/system/discovery/list.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// minTimeToTermination stands for a termination that is announced for now, since 0 means that none is announced.
+// minTimeToTermination is the value for a termination that is due at once, since 0 means that none is announced.
 const minTimeToTermination = time.Nanosecond
 
 // readMilliseconds reads a duration. One slightly below 0 counts as 0: the platform sends the time that is left.
--- a/internal/system/discovery/response.go
+++ b/internal/system/discovery/response.go
@@ -36,7 +36,7 @@
 	chunked         bool
 }
 
-// readResponse reads a whole response, after any interim (1xx) ones.
+// readResponse reads a response with its body, after any interim (1xx) ones.
 func readResponse(reader *bufio.Reader) (response, error) {
 	parsed, err := readResponseHead(reader)
 	for err == nil && parsed.status >= 100 && parsed.status < statusOK {
--- a/internal/system/discovery/runner.go
+++ b/internal/system/discovery/runner.go
@@ -12,13 +12,13 @@
 	Address  netip.AddrPort
 	Zone     string
 	Capacity int  // requests that the runner serves at once; 0: not stated
-	Draining bool // gets no new requests
+	Draining bool // must get no new requests
 	// SlowStartRemaining is how much longer the runner is in slow start, counted from when it was listed.
 	SlowStartRemaining time.Duration
 	// TimeToTermination is the time until the platform takes the runner away, counted from when it was listed; 0: no
 	// termination is announced.
 	TimeToTermination time.Duration
-	Phase             string // inference phases that the runner serves, in the words of the platform; may be empty
+	Phase             string // inference phases that the runner serves, by the platform's names; may be empty
 	Models            []Model
 }
 
--- a/internal/system/jsonfield/value.go
+++ b/internal/system/jsonfield/value.go
@@ -29,7 +29,7 @@
 // noIndex is the index of a value that is not an element of an array.
 const noIndex = -1
 
-// Parse checks the syntax of a whole document and returns its value. Anything but one JSON value with white space
+// Parse checks the syntax of a document and returns its value. Anything but one JSON value with white space
 // around it is a problem.
 func Parse(source []byte, problems *validation.Problems) (Value, bool) {
 	decoder := jx.DecodeBytes(source)
@@ -48,8 +48,8 @@
 	return root, true
 }
 
-// ValueAt returns the value raw, which must be valid JSON, as a part of a document that is not at hand: path is its
-// path there. Offsets of problems count from the value's first byte.
+// ValueAt returns the value raw, which must be valid JSON, as a part of a document that the caller does not have: path is
+// its path there. Offsets of problems count from the value's first byte.
 func ValueAt(path string, raw []byte, problems *validation.Problems) Value {
 	return Value{document: &document{source: raw, problems: problems}, name: path, index: noIndex, raw: raw}
 }
--- a/internal/system/processconfig/settings.go
+++ b/internal/system/processconfig/settings.go
@@ -17,7 +17,7 @@
 	ListenOn         Listen
 	FreePorts        PortRange        // ports for the processes of the system among themselves
 	SeedNodes        []netip.AddrPort // control addresses of up to three machines; hints, which may be out of date
-	FirstBoot        bool             // true only at the very first start of the whole system
+	FirstBoot        bool             // true only at the very first start of the system
 	CountsAsLoss     bool             // the loss of this machine counts among SurvivableLosses
 	Limits           Limits
 	StateDir         string // directory that outlives the process; empty: there is no disk
@@ -54,6 +54,6 @@
 // CloudAPI describes the platform's list of runners.
 type CloudAPI struct {
 	Address        netip.AddrPort
-	CallsPerSecond float64       // that the whole system may make
+	CallsPerSecond float64       // that all machines together may make
 	MaxLag         time.Duration // greatest age of the list that the platform returns
 }
--- a/internal/system/replica/bulk_transfer_test.go
+++ b/internal/system/replica/bulk_transfer_test.go
@@ -27,7 +27,7 @@
 		{"entries that are under way", under, entry(5, 2, bulkThresholdBytes), noConnection},
 		{"entries in place of those", under, entry(5, 3, 100), bulkConnection},
 		{"a heartbeat", under, consensus.Message{Kind: consensus.MessageAppend, Index: 5, LogTerm: 2, Round: 7}, ordinaryConnection},
-		{"word of a commit", under, consensus.Message{Kind: consensus.MessageAppend, Index: 5, LogTerm: 2}, noConnection},
+		{"announcement of a commit index", under, consensus.Message{Kind: consensus.MessageAppend, Index: 5, LogTerm: 2}, noConnection},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/system/replica/group_test.go
+++ b/internal/system/replica/group_test.go
@@ -124,14 +124,14 @@
 }
 
 // TestLargeCommandIsAppendedOnce checks that a large command that is proposed again while it is uncommitted waits for
-// the same entry, and that all who wait are resolved but for those that were abandoned.
+// the same entry, and that all pending proposals are resolved but for abandoned ones.
 func TestLargeCommandIsAppendedOnce(t *testing.T) {
 	scripted := newScriptedGroup(t)
 	scripted.elect()
 	large := strings.Repeat("x", bulkThresholdBytes)
 	waiting := []*proposal{scripted.propose(large), scripted.propose(large), scripted.propose(large)}
 	if last := scripted.group.node.Status().LastIndex; last != waiting[0].index {
-		t.Fatalf("the log goes to %d, and the command stands at %d", last, waiting[0].index)
+		t.Fatalf("the last index of the log is %d, and the command's is %d", last, waiting[0].index)
 	}
 	scripted.group.abandonProposal(waiting[1])
 	scripted.step(consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: scripted.lastSent[consensus.MessageVote].Term,
@@ -205,6 +205,6 @@
 	}
 	scripted.step(heartbeat)
 	if reply := scripted.lastSent[consensus.MessageAppendReply]; reply.Index != 1 || reply.Round != heartbeat.Round {
-		t.Errorf("once the write has ended the answer is %+v", reply)
+		t.Errorf("once the write has ended the reply is %+v", reply)
 	}
 }
--- a/internal/system/replica/repair_model_test.go
+++ b/internal/system/replica/repair_model_test.go
@@ -39,7 +39,7 @@
 const maxGenerations = 3
 
 // replicaOf returns the number of the replica on a machine's disk of some generation.
-func replicaOf(machine, life int) int { return machine*maxGenerations + life }
+func replicaOf(machine, generation int) int { return machine*maxGenerations + generation }
 
 // modelState is a state of the model.
 type modelState struct {
--- a/internal/system/replica/sim_faults_test.go
+++ b/internal/system/replica/sim_faults_test.go
@@ -61,7 +61,7 @@
 	if process == nil || !sim.canLoseDisk(machine) {
 		return
 	}
-	sim.logf("%d is told to stop", machine.index)
+	sim.logf("%d gets the signal to stop", machine.index)
 	process.shutDown()
 	sim.bootAfterExit(machine, process, down)
 }
--- a/internal/system/retry/retry.go
+++ b/internal/system/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry waits until a context ends and repeats operations that may succeed a little later. Backoff between attempts
-// to reach a peer is the business of the packages that call the peer.
+// Package retry waits until a context ends and repeats operations that may succeed a little later. Packages that call a
+// peer implement their own backoff between attempts.
 package retry
 
 import (
@@ -15,7 +15,7 @@
 	AddressInUseInterval = 100 * time.Millisecond // between two attempts
 )
 
-// Sleep waits for a duration or until the context ends, and reports whether the context goes on.
+// Sleep waits for a duration or until the context ends, and reports whether the context has not ended.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/system/rpc/call.go
+++ b/internal/system/rpc/call.go
@@ -23,7 +23,7 @@
 // Name returns the name of the call on the wire.
 func (c Call[Argument, Reply]) Name() string { return c.name }
 
-// Handle registers the handler of the call. It panics if the name is taken or a type is not exported.
+// Handle registers the handler of the call. It panics if the name is registered already or a type is not exported.
 func (c Call[Argument, Reply]) Handle(registry *Registry, handler Handler[Argument, Reply]) {
 	registry.register(c.name, &service[Argument, Reply]{registry: registry, handler: handler})
 }
@@ -66,7 +66,8 @@
 	handler  Handler[Argument, Reply]
 }
 
-// What a caller gets if a handler returns neither a reply nor an error with a text: net/rpc takes an empty text for success.
+// Errors that callers receive if a handler returns neither a reply nor an error with a text: net/rpc takes an empty text
+// for success.
 var (
 	errNoErrorText = errors.New("the handler failed without an error text")
 	errNoReply     = errors.New("the handler returned no reply")
--- a/internal/system/rpc/connection.go
+++ b/internal/system/rpc/connection.go
@@ -7,13 +7,14 @@
 	netrpc "net/rpc"
 )
 
-// connection is an open connection. pendingSends and sendReplies belong to the holder of the token.
+// connection is an open connection. pendingSends and sendReplies belong to the goroutine that holds the token of
+// sendToken.
 type connection struct {
 	socket       net.Conn
 	client       *netrpc.Client
 	codec        *clientCodec
 	sendToken    chan struct{}     // holds one token: the right to send
-	sendReplies  chan *netrpc.Call // finished calls of Send; has room for all pending ones
+	sendReplies  chan *netrpc.Call // finished calls of Send; its buffer holds all pending ones
 	pendingSends int               // calls of Send without a reply yet
 }
 
@@ -25,7 +26,7 @@
 	return conn
 }
 
-// collectReplies takes the replies of sends off until fewer than window are pending. It returns the error of a send
+// collectReplies receives the replies of sends until fewer than window are pending. It returns the error of a send
 // that broke the connection.
 func (conn *connection) collectReplies(ctx context.Context, window int) error {
 	for conn.pendingSends > 0 {
--- a/internal/system/rpc/receive_timeouts.go
+++ b/internal/system/rpc/receive_timeouts.go
@@ -38,8 +38,7 @@
 	return receiveProgress{timeouts: timeouts, received: received, deadline: now + timeouts.FirstByte}
 }
 
-// check takes the number of bytes received so far and returns the time until the next check; 0: nothing was received in
-// time.
+// check returns the time until the next check, given the number of bytes received so far; 0: the reply has timed out.
 func (p *receiveProgress) check(now time.Duration, received uint64) time.Duration {
 	if now >= p.deadline && received != p.received {
 		p.received = received
--- a/internal/system/validation/validation.go
+++ b/internal/system/validation/validation.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// maxProblems is the number of problems that are kept; further ones are only counted, so that the memory which a
-// hostile document takes is bounded.
+// maxProblems is the number of problems that are retained; further ones are only counted, which bounds the memory that a
+// hostile document can take.
 const maxProblems = 100
 
 // NoOffset is the offset of a problem that belongs to no byte of the document.
