--- a/internal/system/consensus/simulation_faults_test.go
+++ b/internal/system/consensus/simulation_faults_test.go
@@ -59,13 +59,13 @@
 
 // isolateFollower cuts the link from a leader to one follower, and restarts the others once that follower has noticed:
 // they forget that they were in contact with the leader.
-func (sim *simulation) isolateFollower(leader, deaf *simulatedHost) {
-	sim.logf("%d is isolated from %d, the others restart", deaf.id, leader.id)
-	sim.setCut(leader.index, deaf.index, 2*time.Second)
+func (sim *simulation) isolateFollower(leader, isolated *simulatedHost) {
+	sim.logf("%d is isolated from %d, the others restart", isolated.id, leader.id)
+	sim.setCut(leader.index, isolated.index, 2*time.Second)
 	sim.proposalsPausedUntil = sim.now + 2*time.Second // a candidate without the newest entries would get no votes
 	sim.schedule(sim.randomDuration(700*time.Millisecond, 1500*time.Millisecond), func() {
 		for _, host := range sim.hosts {
-			if host != leader && host != deaf {
+			if host != leader && host != isolated {
 				sim.restart(host, time.Millisecond)
 			}
 		}
--- a/internal/system/replica/contact.go
+++ b/internal/system/replica/contact.go
@@ -17,21 +17,21 @@
 // contacts records when messages of the other members of a group were last received, on the host's clock.
 type contacts struct {
 	startedAt time.Duration // when the group was started; nothing could be received before
-	// lastHeard has the members from which a message was received.
-	lastHeard map[consensus.ReplicaID]time.Duration
+	// lastReceivedAt has the members from which a message was received.
+	lastReceivedAt map[consensus.ReplicaID]time.Duration
 }
 
 // record notes a message of a replica. Replicas that are not members are ignored, which bounds the map.
 func (c *contacts) record(from consensus.ReplicaID, membership *consensus.Membership, now time.Duration) {
-	if c.lastHeard == nil {
-		c.lastHeard = map[consensus.ReplicaID]time.Duration{}
+	if c.lastReceivedAt == nil {
+		c.lastReceivedAt = map[consensus.ReplicaID]time.Duration{}
 	}
 	if !hasMember(membership, from) {
 		return
 	}
-	c.lastHeard[from] = now
-	if len(c.lastHeard) > len(membership.Members) {
-		maps.DeleteFunc(c.lastHeard, func(id consensus.ReplicaID, _ time.Duration) bool { return !hasMember(membership, id) })
+	c.lastReceivedAt[from] = now
+	if len(c.lastReceivedAt) > len(membership.Members) {
+		maps.DeleteFunc(c.lastReceivedAt, func(id consensus.ReplicaID, _ time.Duration) bool { return !hasMember(membership, id) })
 	}
 }
 
@@ -40,14 +40,14 @@
 	return slices.ContainsFunc(membership.Members, func(m consensus.Member) bool { return m.ID == id })
 }
 
-// heardQuorum reports whether a majority of the voters, this replica included, was heard at or after a time; in a
+// hasQuorumSince reports whether a majority of the voters, this replica included, was heard at or after a time; in a
 // joint membership, a majority of both voter sets. It holds for an empty membership.
-func (c *contacts) heardQuorum(self consensus.ReplicaID, membership *consensus.Membership, since time.Duration) bool {
+func (c *contacts) hasQuorumSince(self consensus.ReplicaID, membership *consensus.Membership, since time.Duration) bool {
 	if len(membership.Members) == 0 {
 		return true
 	}
 	return membership.HasQuorum(func(id consensus.ReplicaID) bool {
-		at, known := c.lastHeard[id]
+		at, known := c.lastReceivedAt[id]
 		return id == self || known && at >= since
 	})
 }
@@ -70,5 +70,5 @@
 	if g.contacts.startedAt >= since || status.LastLeaderContact >= since && status.LastLeaderContact > 0 {
 		return true
 	}
-	return g.contacts.heardQuorum(status.ID, &status.Membership, since)
+	return g.contacts.hasQuorumSince(status.ID, &status.Membership, since)
 }
--- a/internal/system/replica/contact_test.go
+++ b/internal/system/replica/contact_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestContactsHeardQuorum records messages from voters, learners and replicas that are not members.
-func TestContactsHeardQuorum(t *testing.T) {
+// TestContactsHasQuorumSince records messages from voters, learners and replicas that are not members.
+func TestContactsHasQuorumSince(t *testing.T) {
 	var membership consensus.Membership
 	for id := consensus.ReplicaID(1); id <= 6; id++ {
 		membership.Members = append(membership.Members, consensus.Member{ID: id, Voter: id <= 5})
@@ -137,11 +137,11 @@
 		for i, from := range test.from {
 			contacts.record(from, &membership, time.Duration(i+1)*time.Second)
 		}
-		if got := contacts.heardQuorum(1, &membership, 2*time.Second); got != test.want {
+		if got := contacts.hasQuorumSince(1, &membership, 2*time.Second); got != test.want {
 			t.Errorf("%v: a majority: %t", test.from, got)
 		}
 	}
-	if contacts := (contacts{}); !contacts.heardQuorum(1, &consensus.Membership{}, time.Second) {
+	if contacts := (contacts{}); !contacts.hasQuorumSince(1, &consensus.Membership{}, time.Second) {
 		t.Error("a replica that knows no members reports no contact")
 	}
 }
--- a/internal/system/replica/departures.go
+++ b/internal/system/replica/departures.go
@@ -34,10 +34,10 @@
 	return slices.ContainsFunc(d.notices, func(n departure) bool { return n.id == id && now-n.receivedAt <= departureTTL })
 }
 
-// hasDeparted reports whether a replica announced its departure and has sent nothing since. lastHeard is when its
+// hasDeparted reports whether a replica announced its departure and has sent nothing since. lastReceivedAt is when its
 // last message was received; 0 means never.
-func (d *departures) hasDeparted(id consensus.ReplicaID, lastHeard time.Duration) bool {
-	return slices.ContainsFunc(d.notices, func(n departure) bool { return n.id == id && lastHeard <= n.receivedAt+departureTTL })
+func (d *departures) hasDeparted(id consensus.ReplicaID, lastReceivedAt time.Duration) bool {
+	return slices.ContainsFunc(d.notices, func(n departure) bool { return n.id == id && lastReceivedAt <= n.receivedAt+departureTTL })
 }
 
 // announceDeparture notifies all known control machines that this replica is leaving. The host's mutex is held; the
--- a/internal/system/replica/membership.go
+++ b/internal/system/replica/membership.go
@@ -109,9 +109,9 @@
 		state := memberState{Member: member, caughtUp: status.Match[member.ID]+maxPromotionLag >= status.Commit}
 		state.caughtUp = state.caughtUp && now >= g.promotionRetryAt[member.ID]
 		state.leaving = h.departures.isLeaving(member.ID, now)
-		state.departed = h.departures.hasDeparted(member.ID, g.contacts.lastHeard[member.ID])
+		state.departed = h.departures.hasDeparted(member.ID, g.contacts.lastReceivedAt[member.ID])
 		if answered, ok := status.LastContact[member.ID]; ok {
-			state.silence = now - answered
+			state.sinceResponse = now - answered
 		}
 		view.members = append(view.members, state)
 	}
--- a/internal/system/replica/membership_plan.go
+++ b/internal/system/replica/membership_plan.go
@@ -41,11 +41,11 @@
 // memberState is a member as the leader sees it.
 type memberState struct {
 	consensus.Member
-	silence  time.Duration // since its last response; 0 for the leader itself
-	caughtUp bool          // it lacks at most maxPromotionLag entries
-	leaving  bool          // its process announced that it is about to end
-	departed bool          // its process announced its end and has sent nothing since
-	replaced bool          // its disk is lost: a member outside this view superseded it
+	sinceResponse time.Duration // since its last response; 0 for the leader itself
+	caughtUp      bool          // it lacks at most maxPromotionLag entries
+	leaving       bool          // its process announced that it is about to end
+	departed      bool          // its process announced its end and has sent nothing since
+	replaced      bool          // its disk is lost: a member outside this view superseded it
 }
 
 // membershipView is the input of planChange.
@@ -85,7 +85,7 @@
 func (view *membershipView) membersToKeep() (members []consensus.Member) {
 	for i := range view.members {
 		member := &view.members[i]
-		if !member.Voter && member.ID != view.self && (view.superseded(i) || member.silence > view.limits.removeAfter) {
+		if !member.Voter && member.ID != view.self && (view.superseded(i) || member.sinceResponse > view.limits.removeAfter) {
 			continue
 		}
 		members = append(members, member.Member)
--- a/internal/system/replica/membership_plan_test.go
+++ b/internal/system/replica/membership_plan_test.go
@@ -26,10 +26,10 @@
 		member.Voter = strings.Contains(parts[2], "v")
 		member.leaving = strings.Contains(parts[2], "l")
 		if strings.Contains(parts[2], "d") {
-			member.silence = 10 * time.Second
+			member.sinceResponse = 10 * time.Second
 		}
 		if strings.Contains(parts[2], "D") {
-			member.silence = 90 * time.Second
+			member.sinceResponse = 90 * time.Second
 		}
 		if strings.Contains(parts[2], "?") {
 			member.Node, member.Zone = "", ""
@@ -157,7 +157,7 @@
 		machine := byte('A' + i)
 		zone := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")
 		if rapid.IntRange(0, 3).Draw(t, "wiped") == 0 {
-			member := memberState{Member: testMember(string([]byte{machine, '0'}), zone), silence: silences[len(silences)-1]}
+			member := memberState{Member: testMember(string([]byte{machine, '0'}), zone), sinceResponse: silences[len(silences)-1]}
 			member.Voter = rapid.Bool().Draw(t, "voter")
 			view.members = append(view.members, member)
 		}
@@ -165,7 +165,7 @@
 		member.caughtUp = rapid.Bool().Draw(t, "caught up")
 		member.Voter = i == 0 || rapid.Bool().Draw(t, "voter")
 		if i > 0 {
-			member.silence = rapid.SampledFrom(silences).Draw(t, "silent")
+			member.sinceResponse = rapid.SampledFrom(silences).Draw(t, "silent")
 		} else {
 			view.self = member.ID
 		}
@@ -194,7 +194,7 @@
 	for _, m := range change.membership.Members {
 		next := memberState{Member: m, caughtUp: true}
 		if i := view.indexOf(m.ID); i >= 0 {
-			next.silence, next.caughtUp = view.members[i].silence, view.members[i].caughtUp
+			next.sinceResponse, next.caughtUp = view.members[i].sinceResponse, view.members[i].caughtUp
 		}
 		members = append(members, next)
 	}
--- a/internal/system/replica/voter_plan.go
+++ b/internal/system/replica/voter_plan.go
@@ -119,7 +119,7 @@
 		if view.hasLostDisk(i) {
 			candidates.diskLost |= bit
 		}
-		if member.silence > view.limits.lostAfter || member.departed && member.silence > view.limits.absentAfter {
+		if member.sinceResponse > view.limits.lostAfter || member.departed && member.sinceResponse > view.limits.absentAfter {
 			candidates.lost |= bit
 		}
 	}
@@ -128,7 +128,7 @@
 
 // hasUnidentifiedMember reports whether a founder that responds has not reported its node name and zone yet.
 func (view *membershipView) hasUnidentifiedMember() bool {
-	return slices.ContainsFunc(view.members, func(m memberState) bool { return m.Node == "" && m.silence < view.limits.absentAfter })
+	return slices.ContainsFunc(view.members, func(m memberState) bool { return m.Node == "" && m.sinceResponse < view.limits.absentAfter })
 }
 
 // hasCatchingUpLearner reports whether an available learner is not promotable yet.
@@ -143,7 +143,7 @@
 
 // isResponsive reports whether a member has responded within absentAfter and has its disk.
 func (view *membershipView) isResponsive(i int) bool {
-	return view.members[i].silence < view.limits.absentAfter && !view.hasLostDisk(i)
+	return view.members[i].sinceResponse < view.limits.absentAfter && !view.hasLostDisk(i)
 }
 
 // hasLostDisk reports whether a member will never respond again because another replica runs on its machine.
@@ -232,7 +232,7 @@
 func (view *membershipView) planTransfer(candidates voterSet) (membershipChange, bool) {
 	for i := range min(len(view.members), maxVoterCandidates) {
 		m := &view.members[i]
-		if candidates.has(i) && m.Voter && m.ID != view.self && m.silence < view.limits.absentAfter {
+		if candidates.has(i) && m.Voter && m.ID != view.self && m.sinceResponse < view.limits.absentAfter {
 			return membershipChange{transferTo: m.ID}, true
 		}
 	}
