--- a/internal/system/consensus/simulation_faults_test.go
+++ b/internal/system/consensus/simulation_faults_test.go
@@ -58,7 +58,7 @@
 }
 
 // isolateFollower cuts the link from a leader to one follower, and restarts the others once that follower has noticed:
-// they forget that they were in contact with the leader.
+// their Node.lastLeaderContact is lost with the restart.
 func (sim *simulation) isolateFollower(leader, isolated *simulatedHost) {
 	sim.logf("%d is isolated from %d, the others restart", isolated.id, leader.id)
 	sim.setCut(leader.index, isolated.index, 2*time.Second)
--- a/internal/system/replica/contact.go
+++ b/internal/system/replica/contact.go
@@ -17,11 +17,11 @@
 // contacts records when messages of the other members of a group were last received, on the host's clock.
 type contacts struct {
 	startedAt time.Duration // when the group was started; nothing could be received before
-	// lastReceivedAt has the members from which a message was received.
+	// lastReceivedAt is the time of the last message of each member; one that has sent none is absent.
 	lastReceivedAt map[consensus.ReplicaID]time.Duration
 }
 
-// record notes a message of a replica. Replicas that are not members are ignored, which bounds the map.
+// record records a message of a replica. Replicas that are not members are ignored, which bounds the map.
 func (c *contacts) record(from consensus.ReplicaID, membership *consensus.Membership, now time.Duration) {
 	if c.lastReceivedAt == nil {
 		c.lastReceivedAt = map[consensus.ReplicaID]time.Duration{}
@@ -40,8 +40,8 @@
 	return slices.ContainsFunc(membership.Members, func(m consensus.Member) bool { return m.ID == id })
 }
 
-// hasQuorumSince reports whether a majority of the voters, this replica included, was heard at or after a time; in a
-// joint membership, a majority of both voter sets. It holds for an empty membership.
+// hasQuorumSince reports whether a majority of the voters, this replica included, sent a message at or after a time; in
+// a joint membership, a majority of both voter sets. It holds for an empty membership.
 func (c *contacts) hasQuorumSince(self consensus.ReplicaID, membership *consensus.Membership, since time.Duration) bool {
 	if len(membership.Members) == 0 {
 		return true
--- a/internal/system/replica/departures.go
+++ b/internal/system/replica/departures.go
@@ -34,8 +34,8 @@
 	return slices.ContainsFunc(d.notices, func(n departure) bool { return n.id == id && now-n.receivedAt <= departureTTL })
 }
 
-// hasDeparted reports whether a replica announced its departure and has sent nothing since. lastReceivedAt is when its
-// last message was received; 0 means never.
+// hasDeparted reports whether a replica announced its departure and has sent nothing since. lastReceivedAt is when
+// its last message was received; 0 means never.
 func (d *departures) hasDeparted(id consensus.ReplicaID, lastReceivedAt time.Duration) bool {
 	return slices.ContainsFunc(d.notices, func(n departure) bool { return n.id == id && lastReceivedAt <= n.receivedAt+departureTTL })
 }
--- a/internal/system/replica/disk_writer.go
+++ b/internal/system/replica/disk_writer.go
@@ -96,14 +96,14 @@
 	return d.lastError
 }
 
-// recordAttempt notes when the current write was started, 0 if it succeeded, and its last error.
+// recordAttempt records when the current write was started, 0 if it succeeded, and its last error.
 func (d *diskWriter) recordAttempt(startedAt time.Duration, err error) {
 	d.mutex.Lock()
 	d.writeStarted, d.lastError = startedAt, err
 	d.mutex.Unlock()
 }
 
-// checkHealth returns the disk's fault, if any, and whether to step down now. Stepping down is repeated every
+// checkHealth returns the disk's fault, nil if there is none, and whether to step down now. Stepping down is repeated every
 // interval while the fault lasts. The host's mutex is held.
 func (d *diskWriter) checkHealth(now, interval time.Duration) (fault error, stepDown bool) {
 	fault = d.fault(now)
--- a/internal/system/replica/group.go
+++ b/internal/system/replica/group.go
@@ -187,7 +187,7 @@
 	})
 }
 
-// updateLeader notes the current leader and closes leaderChanged if it differs from the last one.
+// updateLeader records the current leader and closes leaderChanged if it differs from the last one.
 func (g *group) updateLeader() {
 	leader, leads := g.node.Leader(), g.node.Role() == consensus.Leader && !g.node.Transferring()
 	if g.leader == leader && g.isLeader == leads {
--- a/internal/system/replica/join.go
+++ b/internal/system/replica/join.go
@@ -44,8 +44,8 @@
 	return members
 }
 
-// needsJoin reports whether this replica has to ask to join: a group lacks it or has other attributes of it, no
-// leader was heard for leaderlessTimeout, or the leader's address is unknown. The last happens if the leader joined
+// needsJoin reports whether this replica has to ask to join: a group lacks it or has other attributes of it, there was
+// no contact with a leader for leaderlessTimeout, or the leader's address is unknown. The last happens if the leader joined
 // after everything that this replica knows; the reply to a join request has the address.
 func (h *Host) needsJoin(now time.Duration) bool {
 	for _, g := range h.groups {
