--- a/internal/dispatcher/cluster/versions/compatibility_test.go
+++ b/internal/dispatcher/cluster/versions/compatibility_test.go
@@ -8,8 +8,8 @@
 	"cinderroad/internal/compatibility"
 )
 
-// TestReadsRides: what goes along with members' messages.
-func TestReadsRides(t *testing.T) {
+// TestReadRecordedPiggyback checks the data that is piggybacked on membership messages.
+func TestReadRecordedPiggyback(t *testing.T) {
 	for name, r := range map[string]*payload{
 		"whole": {Version: Version{Source: "10.0.0.9:8500", Epoch: 2, Revision: 1 << 40}, Request: true, CompleteUpTo: 1<<40 + 1, EpochAge: 1.5, FactCount: 3,
 			Facts:       []Fact{{Worker: "w", State: Draining, Start: 1_700_000_000_000, Revision: 9}, {Worker: "v", State: Gone, Revision: 8}},
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestOrdersKeepTheirDigest: members of two versions compare the digests of the orders that they hold.
-func TestOrdersKeepTheirDigest(t *testing.T) {
+// TestOrderDigestsUnchanged pins the digest of a member's orders, which members of different versions compare.
+func TestOrderDigestsUnchanged(t *testing.T) {
 	table := New("n0")
 	if err := table.addOrder(1_700_000_000, "n2", true); err != nil {
 		t.Fatal(err)
--- a/internal/dispatcher/server/compatibility_test.go
+++ b/internal/dispatcher/server/compatibility_test.go
@@ -39,7 +39,7 @@
 	measured = telemetry.Latencies{"classes.score.latency": {{1500, 3}, {2000, 1}}}
 )
 
-// TestHandoverCompatibility: the message bodies of an upgrade, and the path of its socket.
+// TestHandoverCompatibility checks the message bodies of an upgrade, and the path of its socket.
 func TestHandoverCompatibility(t *testing.T) {
 	readsJSON(t, "hello.json", hello{TakesMetrics: true})
 	list := httpfront.List{Revision: 12, Full: true, Entries: []httpfront.Entry{{UID: "u", Endpoint: "10.0.0.1:80", Zone: "m", Kind: "k", Cell: 2,
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestExclusionsCompatibility: the file of exclusions.
+// TestExclusionsCompatibility checks the file of exclusions.
 func TestExclusionsCompatibility(t *testing.T) {
 	encoded, err := json.Marshal(savedExclusions{exclusionsVersion, excluded})
 	if err != nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestCountNamesUnchanged: the counts that are logged when a process ends.
+// TestCountNamesUnchanged pins the names of the counts that are logged when a process ends.
 func TestCountNamesUnchanged(t *testing.T) {
 	readsJSON(t, "counts.json", dispatch.Counts{Requests: 1, Served: 2, Rejected: 3, Failed: 4, Disconnected: 5, Attempts: 6, Retries: 7, Cancellations: 8, Probes: 9,
 		Results: [8]uint64{10, 11, 12, 13, 14, 15, 16, 17}, InvalidJobs: 18, Overdue: 19, OpenRequests: 20, OpenAttempts: 21})
@@ -89,7 +89,7 @@
 		BackgroundEnded: 8, Requeued: 9, BadPackets: 10, StrayWork: 11, TimedOut: 12})
 }
 
-// TestConfigCompatibility: the configuration file, and the environment, which takes precedence.
+// TestConfigCompatibility checks the configuration file, and the environment, which takes precedence.
 func TestConfigCompatibility(t *testing.T) {
 	const text = `{"name":"n0","listen":"10.0.0.1:80","discovery":"10.0.0.9:8500","console":"10.0.0.1:9000","seed":"ff",` +
 		`"known":{"rev":3,"all":true,"targets":[{"uid":"u","endpoint":"10.0.0.2:80","az":"x","model":"k","pod_group":1,"state":"ready"}]},` +
