--- a/internal/system/agent/overlay/list.go
+++ b/internal/system/agent/overlay/list.go
@@ -109,17 +109,12 @@
 	if !isRunner {
 		return true
 	}
-	if !equalExceptTimes(&served, listed) {
+	if !served.EqualExceptTimes(listed) {
 		return true
 	}
 	return deviates(served.SlowStartRemaining-item.Age, listed.SlowStartRemaining) || deviates(served.TimeToTermination-item.Age, listed.TimeToTermination)
 }
 
-func equalExceptTimes(a, b *discovery.Runner) bool {
-	return a.ID == b.ID && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone &&
-		a.Capacity == b.Capacity && a.Draining == b.Draining && a.Phase == b.Phase && slices.Equal(a.Models, b.Models)
-}
-
 // deviates reports whether a listed remaining time is off the expected one.
 func deviates(expected, listed time.Duration) bool {
 	difference := max(0, expected) - listed
--- a/internal/system/control/runnersync/fake_test.go
+++ b/internal/system/control/runnersync/fake_test.go
@@ -159,7 +159,7 @@
 	}
 	for i := range c.list {
 		runner, exists := stored[c.list[i].ID]
-		if !exists || !equalExceptTimes(&runner, &c.list[i]) {
+		if !exists || !runner.EqualExceptTimes(&c.list[i]) {
 			return false
 		}
 	}
--- a/internal/system/control/runnersync/view.go
+++ b/internal/system/control/runnersync/view.go
@@ -40,7 +40,7 @@
 
 // needsWrite reports whether the list's entry is to be written.
 func (s *storedRunner) needsWrite(listed *discovery.Runner, now time.Duration) bool {
-	if !equalExceptTimes(&s.runner, listed) {
+	if !s.runner.EqualExceptTimes(listed) {
 		return true
 	}
 	if exceedsTolerance(s.expectedRemaining(s.runner.SlowStartRemaining, now), listed.SlowStartRemaining) {
@@ -67,12 +67,6 @@
 	return left-right > remainingTolerance || right-left > remainingTolerance
 }
 
-// equalExceptTimes compares all that does not count down by itself.
-func equalExceptTimes(left, right *discovery.Runner) bool {
-	return left.ID == right.ID && left.Service == right.Service && left.Address == right.Address && left.Zone == right.Zone &&
-		left.Capacity == right.Capacity && left.Draining == right.Draining && left.Phase == right.Phase && slices.Equal(left.Models, right.Models)
-}
-
 // partitionView is the runners of a partition as the local replica holds them, updated from its feed.
 type partitionView struct {
 	index   uint64                  // of the last change that is included
