--- a/grpcbalancer/dispatcher_test.go
+++ b/grpcbalancer/dispatcher_test.go
@@ -45,7 +45,7 @@
 	script     func(n int, s *server, ctx context.Context) error
 }
 
-func (s *server) Check(ctx context.Context, q *grpc_health_v1.HealthCheckRequest) (*grpc_health_v1.HealthCheckResponse, error) {
+func (s *server) Check(ctx context.Context, request *grpc_health_v1.HealthCheckRequest) (*grpc_health_v1.HealthCheckResponse, error) {
 	s.rig.mu.Lock()
 	n := len(s.rig.calls)
 	s.rig.calls = append(s.rig.calls, s.addr)
@@ -77,13 +77,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &server{addr: listener.Addr().String(), rig: r}
-		g := grpc.NewServer()
-		grpc_health_v1.RegisterHealthServer(g, s)
-		go g.Serve(listener)
-		s.stop = g.Stop
-		t.Cleanup(g.Stop)
-		r.servers = append(r.servers, s)
+		scripted := &server{addr: listener.Addr().String(), rig: r}
+		grpcServer := grpc.NewServer()
+		grpc_health_v1.RegisterHealthServer(grpcServer, scripted)
+		go grpcServer.Serve(listener)
+		scripted.stop = grpcServer.Stop
+		t.Cleanup(grpcServer.Stop)
+		r.servers = append(r.servers, scripted)
 	}
 	r.list.InitialState(r.state(ServerInfo{}, ServerInfo{}, ServerInfo{}))
 	conn, err := grpc.NewClient("test:///", append(r.dispatcher.DialOptions(), grpc.WithResolvers(r.list),
@@ -145,7 +145,7 @@
 		{"unavailable, unsafe", loadbalancer.RetryUnsafe, broken(codes.Unavailable), codes.Unavailable, 1},
 		{"internal, unsafe", loadbalancer.RetryUnsafe, broken(codes.Internal), codes.Internal, 1},
 		{"rejected, unsafe", loadbalancer.RetryUnsafe, rejected, codes.OK, 2},
-		{"the service's own word", loadbalancer.RetrySafe, broken(codes.NotFound), codes.NotFound, 1},
+		{"the service's own status", loadbalancer.RetrySafe, broken(codes.NotFound), codes.NotFound, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, tc.effect, 3)
--- a/internal/shared/capacity/selection.go
+++ b/internal/shared/capacity/selection.go
@@ -18,15 +18,15 @@
 
 // Add offers a worker. Only for a worker equal to the best one it draws a number.
 func (s *Selection[W]) Add(worker W, candidate Candidate, random *Random) {
-	order := 1.0 // above 0: worker is better
+	comparison := 1.0 // above 0: worker is better
 	if s.Found {
-		order = s.Candidate.compare(&candidate)
+		comparison = s.Candidate.compare(&candidate)
 	}
-	if order == 0 {
+	if comparison == 0 {
 		if s.ties++; random.Next()%s.ties == 0 {
 			s.Best = worker
 		}
-	} else if order > 0 {
+	} else if comparison > 0 {
 		s.Best, s.Candidate, s.Found, s.ties = worker, candidate, true, 1
 	}
 }
--- a/internal/shared/membership/simulation_test.go
+++ b/internal/shared/membership/simulation_test.go
@@ -29,17 +29,17 @@
 func waitConverged(t *testing.T, net *virtualcluster.Network, alive int, periods float64) float64 {
 	t.Helper()
 	took, ok := net.RunUntil(periods*net.ProbeInterval, net.ProbeInterval/2, func() bool {
-		one, n := net.Converged()
-		return one && n == alive
+		converged, n := net.Converged()
+		return converged && n == alive
 	})
 	if !ok {
 		for _, n := range net.Nodes {
 			if n.Membership != nil {
-				a, s, d := n.Membership.CountByState()
-				t.Logf("%s: digest %x, %d alive, %d suspect, %d dead, %+v", n.Name, n.Membership.Digest(), a, s, d, n.Membership.Stats)
+				aliveCount, suspectCount, deadCount := n.Membership.CountByState()
+				t.Logf("%s: digest %x, %d alive, %d suspect, %d dead, %+v", n.Name, n.Membership.Digest(), aliveCount, suspectCount, deadCount, n.Membership.Stats)
 			}
 		}
-		t.Fatalf("no one view of %d after %v periods", alive, periods)
+		t.Fatalf("no converged view of %d members after %v probe intervals", alive, periods)
 	}
 	return took / net.ProbeInterval
 }
@@ -75,7 +75,7 @@
 			runSeeds(t, 3, func(t *testing.T, seed uint64) {
 				net := newLossyNet(seed, n)
 				net.StartAll(1)
-				t.Logf("one view after %.1f periods", waitConverged(t, net, n, 60))
+				t.Logf("converged after %.1f probe intervals", waitConverged(t, net, n, 60))
 				if _, ok := net.RunUntil(60, 0.5, func() bool {
 					for _, node := range net.Nodes {
 						if v := node.Membership.View(); !v.Converged || !v.Recognized {
@@ -84,10 +84,10 @@
 					}
 					return true
 				}); !ok {
-					t.Error("a member does not know that its view is everybody's")
+					t.Error("a member has not converged or is not recognized")
 				}
 				if d := deaths(net, ""); d > 0 {
-					t.Errorf("%d members were given up that run", d)
+					t.Errorf("%d running members were declared dead", d)
 				}
 			})
 		})
@@ -112,7 +112,7 @@
 	runSeeds(t, 5, func(t *testing.T, seed uint64) {
 		net := newConvergedNet(t, seed, 12)
 		net.Kill(net.Nodes[3])
-		t.Logf("found after %.1f periods", waitConverged(t, net, 11, 60))
+		t.Logf("detected after %.1f probe intervals", waitConverged(t, net, 11, 60))
 		net.Start(net.Nodes[3], net.Nodes[0])
 		waitConverged(t, net, 12, 30)
 		net.Kill(net.Nodes[5]) // and within one period
@@ -263,7 +263,7 @@
 		for _, n := range net.Nodes[15:] {
 			net.Kill(n)
 		}
-		t.Logf("found after %.1f periods", waitConverged(t, net, 15, 200))
+		t.Logf("detected after %.1f probe intervals", waitConverged(t, net, 15, 200))
 		for _, n := range net.Nodes[15:] {
 			net.Start(n, net.Nodes[0])
 		}
@@ -403,7 +403,7 @@
 				net.Start(node, net.Nodes[0], net.Nodes[size-1])
 			}
 		}
-		t.Logf("%d members: one view after %.1f periods", size, waitConverged(t, net, size, 80))
+		t.Logf("%d members: converged after %.1f probe intervals", size, waitConverged(t, net, size, 80))
 	})
 }
 
--- a/internal/system/placement/placer_test.go
+++ b/internal/system/placement/placer_test.go
@@ -69,7 +69,7 @@
 	return map[string]func(p *Placer, runners []Runner, r *Request, now time.Duration){
 		"draining":            all(func(runner *Runner) { runner.Draining = true }),
 		"draining, with time": all(func(runner *Runner) { runner.Draining, runner.TerminatesAt = true, testStart+time.Hour }),
-		"gone too soon":       all(func(runner *Runner) { runner.TerminatesAt = testStart + 100*time.Millisecond }),
+		"terminates too soon": all(func(runner *Runner) { runner.TerminatesAt = testStart + 100*time.Millisecond }),
 		"other models":        all(func(runner *Runner) { runner.Models = []string{"other"} }),
 		"other service":       all(func(runner *Runner) { runner.Service = "other" }),
 		"not listed": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
@@ -82,7 +82,7 @@
 			}
 			p.SetEvacuatedZones(now, zones)
 		},
-		"outside the homes": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
+		"outside the home regions": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			route := *r.Route
 			route.HomeRegions = []string{"elsewhere"}
 			r.Route = &route
@@ -110,7 +110,7 @@
 			p.SetRunners(now, runners)
 			p.countedFrom = now + time.Millisecond
 		},
-		"slow start, other proxies hold it": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
+		"slow start, the share belongs to other proxies": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
 			for i := range runners {
 				runners[i].SlowStartUntil = now + time.Minute
 			}
@@ -140,18 +140,18 @@
 func testEligibility(t *testing.T, service string, exclude func(p *Placer, runners []Runner, r *Request, now time.Duration)) {
 	t.Helper()
 	for path, prepare := range map[string]func(p *Placer, r *Request){
-		"pick":     func(p *Placer, r *Request) {},
+		"ordinary": func(p *Placer, r *Request) {},
 		"fallback": func(p *Placer, r *Request) { overload(p, 1000) },
-		"set aside": func(p *Placer, r *Request) {
+		"ejected and saturated": func(p *Placer, r *Request) {
 			for _, runner := range p.runners {
 				runner.ejection.EjectedUntil, runner.saturatedUntil = (testStart + time.Hour).Seconds(), testStart+time.Hour
 			}
 		},
-		"repeat": func(p *Placer, r *Request) {
+		"retry": func(p *Placer, r *Request) {
 			r.TriedRunners = []string{service + "-1"}
 			p.services[service].retryBudget.record(testStart, p.options.RetryWindow, false)
 		},
-		"every other tried": func(p *Placer, r *Request) { r.TriedRunners = []string{service + "-1", service + "-2"} },
+		"all but one tried": func(p *Placer, r *Request) { r.TriedRunners = []string{service + "-1", service + "-2"} },
 	} {
 		now := testStart
 		runners := testRunners(service, 3)
@@ -207,16 +207,16 @@
 		}
 	}
 	for _, test := range []struct {
-		name  string
-		rooms []float64 // of m, t, p, m, t, p
-		want  string
+		name       string
+		spareSlots []float64 // of the runners in m, t, p, m, t, p
+		want       string
 	}{
-		{"most room", []float64{2, 3, 9, 2, 5, 9}, "api-4"},
+		{"most spare capacity", []float64{2, 3, 9, 2, 5, 9}, "api-4"},
 		{"the own zone where spare capacities are about alike", []float64{2, 2, 9, 5, 5.2, 9}, "api-3"},
 		{"the other region where the own has none", []float64{0, -1, 3, 0, 0.5, 4}, "api-5"},
 		{"least over its limit where none has spare capacity", []float64{-9, -8, -2, -9, -8, -3}, "api-2"},
 	} {
-		setSpareSlots(test.rooms...)
+		setSpareSlots(test.spareSlots...)
 		got, rejection := placer.Place(testStart, testRequest(testStart, "api", testRoute()))
 		if rejection != nil || got.Runner != test.want {
 			t.Errorf("%s: %+v %+v, not %s", test.name, got, rejection, test.want)
--- a/internal/system/proxy/event_stream_test.go
+++ b/internal/system/proxy/event_stream_test.go
@@ -25,7 +25,7 @@
 		events         int
 		mayRestart     bool
 	}{
-		{"whole events", "", eventText(1) + eventText(2), false, eventText(1) + eventText(2), "", "2", 2, true},
+		{"complete events", "", eventText(1) + eventText(2), false, eventText(1) + eventText(2), "", "2", 2, true},
 		{"part of one", "", eventText(1) + "id: 2\ndata: x\n", false, eventText(1), "id: 2\ndata: x\n", "1", 1, true},
 		{"CRLF", "", "id: 1\r\ndata: x\r\n\r\nid", false, "id: 1\r\ndata: x\r\n\r\n", "id", "1", 1, true},
 		{"versions first", "", "versions: 3\nid: 1\ndata: x\n\n", false, "versions: 3\nid: 1\ndata: x\n\n", "", "1", 1, true},
--- a/internal/system/proxy/simulation_checker_test.go
+++ b/internal/system/proxy/simulation_checker_test.go
@@ -28,7 +28,7 @@
 	timedOut            int
 }
 
-// simulatedRequest is a request of a client and what became of it.
+// simulatedRequest is a request of a client with its executions and its response.
 type simulatedRequest struct {
 	id, target  string
 	method      string
@@ -36,7 +36,7 @@
 	kind        string // name of its route
 	body        string
 	sentAt      time.Duration
-	deadline    time.Duration // of the client
+	deadline    time.Duration // of the client, in virtual time as all times here
 	routeEnd    time.Duration // when the route's timeout ends
 	cancelledAt time.Duration // when the client disconnected; 0: it did not
 	arrivals    int
--- a/internal/system/proxy/simulation_test.go
+++ b/internal/system/proxy/simulation_test.go
@@ -115,7 +115,7 @@
 	return sim
 }
 
-// run runs the simulation until all clients are done and the work they left behind has had time to end.
+// run runs the simulation until all clients are done and the work on their requests has had time to end.
 func (sim *simulation) run() error {
 	if err := sim.proxy.Listen(); err != nil {
 		return err
--- a/loadbalancer/balancer_test.go
+++ b/loadbalancer/balancer_test.go
@@ -92,7 +92,7 @@
 	return r
 }
 
-func (r *recorder) Send(id RequestID, w WorkerID, timeout float64) {
+func (r *recorder) Send(id RequestID, worker WorkerID, timeout float64) {
 	q := r.requests[id]
 	if q == nil || r.answered[id] {
 		r.t.Errorf("at %.3f: send of request %d, which is not open", r.now, id)
@@ -101,27 +101,27 @@
 	if r.now >= q.Deadline {
 		r.t.Errorf("at %.3f: send of request %d after its deadline", r.now, id)
 	}
-	if r.workers[w].State != Ready {
-		r.t.Errorf("at %.3f: send to worker %d in state %d", r.now, w, r.workers[w].State)
+	if r.workers[worker].State != Ready {
+		r.t.Errorf("at %.3f: send to worker %d in state %d", r.now, worker, r.workers[worker].State)
 	}
 	c := r.settings.Classes[q.Class]
-	if c.Kind >= 0 && r.workers[w].Kind != c.Kind {
-		r.t.Errorf("request %d sent to a worker of kind %d", id, r.workers[w].Kind)
+	if c.Kind >= 0 && r.workers[worker].Kind != c.Kind {
+		r.t.Errorf("request %d sent to a worker of kind %d", id, r.workers[worker].Kind)
 	}
 	for _, a := range r.attempts[id] {
 		if a.inFlight && !r.settings.ParallelAttempts {
 			r.t.Errorf("request %d: second attempt in flight", id)
 		}
-		if a.mayHaveRun() && !r.retryAllowed(c, a, w) {
+		if a.mayHaveRun() && !r.retryAllowed(c, a, worker) {
 			r.t.Errorf("at %.3f: request %d of class %s may have run and was sent again", r.now, id, c.Name)
 		}
 	}
 	if len(r.attempts[id]) >= r.settings.MaxAttempts {
 		r.t.Errorf("request %d: attempt beyond the cap", id)
 	}
-	r.attempts[id] = append(r.attempts[id], recordedAttempt{worker: w, sentAt: r.now, inFlight: true})
-	r.sends = append(r.sends, recordedSend{id, w, r.now})
-	r.trace = append(r.trace, fmt.Sprintf("send %d %d", id, w))
+	r.attempts[id] = append(r.attempts[id], recordedAttempt{worker: worker, sentAt: r.now, inFlight: true})
+	r.sends = append(r.sends, recordedSend{id, worker, r.now})
+	r.trace = append(r.trace, fmt.Sprintf("send %d %d", id, worker))
 }
 
 func (r *recorder) retryAllowed(class Class, attempt recordedAttempt, worker WorkerID) bool {
@@ -131,19 +131,19 @@
 	if class.RetrySafety == RetryUnsafe || r.now >= attempt.sentAt+class.DedupWindow {
 		return false
 	}
-	was, is := r.workers[attempt.worker], r.workers[worker]
-	return class.DedupScope == DedupAll || class.DedupScope == DedupZone && was.Zone == is.Zone ||
-		class.DedupScope == DedupCell && was.Cell == is.Cell
+	previous, next := r.workers[attempt.worker], r.workers[worker]
+	return class.DedupScope == DedupAll || class.DedupScope == DedupZone && previous.Zone == next.Zone ||
+		class.DedupScope == DedupCell && previous.Cell == next.Cell
 }
 
 func (r *recorder) final(id RequestID, kind string) {
 	if r.answered[id] {
 		r.t.Errorf("request %d answered twice", id)
 	}
-	if q := r.requests[id]; q == nil {
+	if request := r.requests[id]; request == nil {
 		r.t.Errorf("answer to unknown request %d", id)
-	} else if r.now > q.Deadline+r.settings.AnswerSlack {
-		r.t.Errorf("request %d answered %.3f s late", id, r.now-q.Deadline)
+	} else if r.now > request.Deadline+r.settings.AnswerSlack {
+		r.t.Errorf("request %d answered %.3f s late", id, r.now-request.Deadline)
 	}
 	r.answered[id] = true
 	r.trace = append(r.trace, fmt.Sprintf("%s %d", kind, id))
@@ -153,16 +153,16 @@
 	r.waits[id] = wait
 	r.final(id, "refuse")
 	r.rejected[id] = true
-	c := r.settings.Classes[r.requests[id].Class]
-	for _, a := range r.attempts[id] {
-		if a.mayHaveRun() && c.RetrySafety != RetrySafe && !(c.RetrySafety == RetryDeduplicated && c.DedupScope == DedupAll) {
-			r.t.Errorf("request %d of class %s may have run and was rejected", id, c.Name)
+	class := r.settings.Classes[r.requests[id].Class]
+	for _, attempt := range r.attempts[id] {
+		if attempt.mayHaveRun() && class.RetrySafety != RetrySafe && !(class.RetrySafety == RetryDeduplicated && class.DedupScope == DedupAll) {
+			r.t.Errorf("request %d of class %s may have run and was rejected", id, class.Name)
 		}
 	}
 }
 
 func (r *recorder) Fail(id RequestID) {
-	if q := r.requests[id]; q != nil && (q.Class < 0 || q.Class >= len(r.settings.Classes)) {
+	if request := r.requests[id]; request != nil && (request.Class < 0 || request.Class >= len(r.settings.Classes)) {
 		r.answered[id] = true
 		return
 	}
@@ -170,22 +170,22 @@
 	r.failed[id] = true
 }
 
-func (r *recorder) Cancel(id RequestID, n int) {
-	if n >= len(r.attempts[id]) {
-		r.t.Errorf("cancel of attempt %d of request %d, which was never made", n, id)
+func (r *recorder) Cancel(id RequestID, attempt int) {
+	if attempt >= len(r.attempts[id]) {
+		r.t.Errorf("cancel of attempt %d of request %d, which was never made", attempt, id)
 	}
 	if !r.settings.MayCancel {
 		r.t.Error("cancel where none is allowed")
 	}
 	r.cancels++
-	r.trace = append(r.trace, fmt.Sprintf("cancel %d %d", id, n))
+	r.trace = append(r.trace, fmt.Sprintf("cancel %d %d", id, attempt))
 }
 
-func (r *recorder) Probe(w WorkerID) {
+func (r *recorder) Probe(worker WorkerID) {
 	if !r.settings.MayProbe {
 		r.t.Error("probe where none is allowed")
 	}
-	r.trace = append(r.trace, fmt.Sprintf("probe %d", w))
+	r.trace = append(r.trace, fmt.Sprintf("probe %d", worker))
 }
 
 func (r *recorder) SetTimer(token uint32, at float64) { r.timers = append(r.timers, timer{token, at}) }
@@ -216,8 +216,8 @@
 			r.workers[id] = w
 		}
 	}
-	for _, e := range entries {
-		r.workers[e.ID] = e
+	for _, entry := range entries {
+		r.workers[entry.ID] = entry
 	}
 	r.balancer.UpdateWorkers(r.now, kind, entries)
 }
@@ -227,9 +227,9 @@
 	if class >= 0 && class < len(r.settings.Classes) {
 		deadline = r.settings.Classes[class].Deadline
 	}
-	q := Request{ID: id, Class: class, Slots: 1, Work: work, Deadline: r.now + deadline}
-	r.requests[id] = &q
-	r.balancer.HandleRequest(r.now, &q)
+	request := Request{ID: id, Class: class, Slots: 1, Work: work, Deadline: r.now + deadline}
+	r.requests[id] = &request
+	r.balancer.HandleRequest(r.now, &request)
 }
 
 // outcome ends attempt n; an OK closes the request.
@@ -258,11 +258,11 @@
 
 // ready is a list of n warm workers in one cell and the own zone.
 func ready(n int) []Worker {
-	var ws []Worker
+	var workers []Worker
 	for i := 1; i <= n; i++ {
-		ws = append(ws, Worker{ID: WorkerID(i), State: Ready, Weight: 1})
+		workers = append(workers, Worker{ID: WorkerID(i), State: Ready, Weight: 1})
 	}
-	return ws
+	return workers
 }
 
 // For each class and outcome, what may follow. The recorder checks that nothing forbidden does.
@@ -425,7 +425,7 @@
 func TestDrainingAndDepartedWorkersGetNothing(t *testing.T) {
 	for name, change := range map[string]func(r *recorder){
 		"drains":             func(r *recorder) { r.list(ListDelta, Worker{ID: 1, State: Draining}) },
-		"gone":               func(r *recorder) { r.list(ListDelta, Worker{ID: 1, State: Departed}) },
+		"departed":           func(r *recorder) { r.list(ListDelta, Worker{ID: 1, State: Departed}) },
 		"absent from a full": func(r *recorder) { r.list(ListFull, Worker{ID: 2, State: Ready}) },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/loadbalancer/instances_simulation_test.go
+++ b/loadbalancer/instances_simulation_test.go
@@ -21,9 +21,9 @@
 
 	trafficShare func(me int) float64 // of an instance's traffic against the mean; nil is even
 
-	reportDelay float64 // how old reports are; 0 is not at all
+	reportDelay float64 // seconds by which reports lag; 0: they don't
 	history     []map[WorkerID]float64
-	fullSends   int // sends to a worker that held as many jobs as it has slots
+	fullSends   int // sends to a worker whose slots were all occupied
 	allSends    int
 }
 
@@ -54,45 +54,45 @@
 	}
 }
 
-// run plays on until a time, with jobs that keep busy slots of all workers on average.
-func (g *instanceGroup) run(to, busy, work float64, rng *rand.Rand, id *RequestID) {
+// run advances the simulation until a time, with jobs that occupy busy slots of all workers on average.
+func (g *instanceGroup) run(until, busy, work float64, rng *rand.Rand, id *RequestID) {
 	const step = 0.01
-	for ; g.now < to; g.now += step {
+	for ; g.now < until; g.now += step {
 		if g.history = append(g.history, maps.Clone(g.jobs)); float64(len(g.history)) > g.reportDelay/step {
 			g.history = g.history[1:]
 		}
 		for len(g.outcomes) > 0 && g.outcomes[0].at <= g.now {
-			e := g.outcomes[0]
+			ended := g.outcomes[0]
 			g.outcomes = g.outcomes[1:]
-			g.jobs[e.worker]--
-			g.recorders[e.instance].runTo(g.now)
-			held := g.jobs[e.worker]
+			g.jobs[ended.worker]--
+			g.recorders[ended.instance].runTo(g.now)
+			inFlight := g.jobs[ended.worker]
 			if g.reportDelay > 0 {
-				held = g.history[0][e.worker]
+				inFlight = g.history[0][ended.worker]
 			}
-			g.recorders[e.instance].outcome(e.id, e.attempt, OK, float32(held), float32(min(1, held/g.slots)), float32(max(0, g.slots-held)))
+			g.recorders[ended.instance].outcome(ended.id, ended.attempt, OK, float32(inFlight), float32(min(1, inFlight/g.slots)), float32(max(0, g.slots-inFlight)))
 		}
-		for me, r := range g.recorders {
+		for instance, r := range g.recorders {
 			r.runTo(g.now)
 			rate := busy / work * step / float64(len(g.recorders))
 			if g.trafficShare != nil {
-				rate *= g.trafficShare(me)
+				rate *= g.trafficShare(instance)
 			}
 			if rng.Float64() < rate {
 				*id++
 				r.request(*id, 0, work)
 			}
-			for _, x := range r.sends[g.handledSends[me]:] {
-				if g.allSends++; g.jobs[x.worker] >= g.slots {
+			for _, send := range r.sends[g.handledSends[instance]:] {
+				if g.allSends++; g.jobs[send.worker] >= g.slots {
 					g.fullSends++
 				}
-				g.jobs[x.worker]++
-				g.sends[x.worker] = append(g.sends[x.worker], x)
-				try := len(r.attempts[x.id]) - 1
-				r.start(x.id, try)
-				g.outcomes = append(g.outcomes, groupAttempt{g.now + work, me, x.id, try, x.worker}) // all run alike: in order
+				g.jobs[send.worker]++
+				g.sends[send.worker] = append(g.sends[send.worker], send)
+				attempt := len(r.attempts[send.id]) - 1
+				r.start(send.id, attempt)
+				g.outcomes = append(g.outcomes, groupAttempt{g.now + work, instance, send.id, attempt, send.worker}) // all run alike: in order
 			}
-			g.handledSends[me] = len(r.sends)
+			g.handledSends[instance] = len(r.sends)
 		}
 	}
 }
@@ -106,8 +106,8 @@
 	return updates, slowStarting
 }
 
-// worst is the most work that a worker which started at a time was sent within an overload window, as a share of what it bears.
-func (g *instanceGroup) worst(s Settings, worker WorkerID, at, work float64) float64 {
+// maxSlowStartLoad is the most work that a worker which started at a time was sent within an overload window, as a share of what it bears.
+func (g *instanceGroup) maxSlowStartLoad(s Settings, worker WorkerID, at, work float64) float64 {
 	return worstSpan(s, g.sends[worker], func(RequestID) float64 { return work },
 		func(from float64) float64 { return g.slots * warmAt(s, from-(at-1000)) })
 }
@@ -133,7 +133,7 @@
 				able += 0.01 * size * warmAt(settings, at-3)
 			}
 			for _, cold := range colds {
-				most = max(most, c.worst(settings, cold, 1003, work))
+				most = max(most, c.maxSlowStartLoad(settings, cold, 1003, work))
 				share := work * float64(len(c.sends[cold])) / able
 				got, least = got+share/float64(len(colds)), min(least, share)
 			}
@@ -267,7 +267,7 @@
 		most, sum := 0.0, 0
 		for _, cold := range colds {
 			sum += len(c.sends[cold])
-			most = max(most, c.worst(settings, cold, 1002, work))
+			most = max(most, c.maxSlowStartLoad(settings, cold, 1002, work))
 		}
 		used := float64(sum) * work / (4 * size * float64(len(colds)) * warmAt(settings, 1002)) // of what a worker this far in slow start does in 4 s
 		if most > 1 || used < 0.3 {
--- a/loadbalancer/snapshot_test.go
+++ b/loadbalancer/snapshot_test.go
@@ -61,7 +61,7 @@
 		"no work":                   func(l *Snapshot) { l.WorkByClass[0] = 0 },
 		"no pace":                   func(l *Snapshot) { l.Pace = 0 },
 		"an endless period":         func(l *Snapshot) { l.ReportPeriod = math.Inf(1) },
-		"a room below nothing":      func(l *Snapshot) { l.Workers[1].LoadLimit = -1 },
+		"a negative load limit":     func(l *Snapshot) { l.Workers[1].LoadLimit = -1 },
 		"a budget of three spans":   func(l *Snapshot) { l.Workers[1].SentWork = l.Workers[1].SentWork[1:] },
 		"a plan of tomorrow":        func(l *Snapshot) { l.PlannedAt = old.now + 1 },
 		"no worker":                 func(l *Snapshot) { l.Workers[1] = nil },
