--- a/grpcbalancer/backend.go
+++ b/grpcbalancer/backend.go
@@ -20,7 +20,7 @@
 type backend struct {
 	dispatcher *Dispatcher
 	address    string
-	member     loadbalancer.Worker // its entry in the latest list
+	worker     loadbalancer.Worker // its entry in the latest list
 	connection connection
 	attempts   map[dispatch.AttemptID]*callAttempt // in flight, neither ended nor cancelled
 }
--- a/grpcbalancer/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -131,8 +131,8 @@
 			unconnected = append(unconnected, unconnectedBackend{server, address})
 		}
 		info, _ := address.BalancerAttributes.Value(serverInfoKey{}).(ServerInfo)
-		server.member = info.worker(d.core.WorkerID(address.Addr))
-		members = append(members, dispatch.Member{Worker: server.member, Backend: server, Name: address.Addr})
+		server.worker = info.worker(d.core.WorkerID(address.Addr))
+		members = append(members, dispatch.Member{Worker: server.worker, Backend: server, Name: address.Addr})
 	}
 	for address, server := range d.backends {
 		if !listed[address] && server.connection.subConn != nil {
--- a/grpcbalancer/clock.go
+++ b/grpcbalancer/clock.go
@@ -7,7 +7,7 @@
 )
 
 // Now implements dispatch.Clock: seconds since 1970, by a clock that never goes back.
-func (d *Dispatcher) Now() float64 { return d.startTime + time.Since(d.startedAt).Seconds() }
+func (d *Dispatcher) Now() float64 { return d.startSeconds + time.Since(d.startedAt).Seconds() }
 
 // timer is a timer of the core; its fields are guarded by the dispatcher's lock.
 type timer struct {
--- a/grpcbalancer/dispatcher.go
+++ b/grpcbalancer/dispatcher.go
@@ -44,10 +44,10 @@
 
 // Dispatcher serves one ClientConn.
 type Dispatcher struct {
-	options   Options
-	name      string    // in the registry
-	startedAt time.Time // with the steady clock
-	startTime float64   // the same, in seconds since 1970
+	options      Options
+	name         string    // in the registry
+	startedAt    time.Time // with the monotonic clock
+	startSeconds float64   // startedAt in seconds since 1970
 
 	mu       sync.Mutex // guards all that follows, and every call of the core
 	core     *dispatch.Dispatcher
@@ -66,7 +66,7 @@
 		options.ConnectTimeout = defaultConnectTimeout
 	}
 	now := time.Now()
-	d := &Dispatcher{options: options, startedAt: now, startTime: float64(now.UnixMicro()) / microsPerSecond,
+	d := &Dispatcher{options: options, startedAt: now, startSeconds: float64(now.UnixMicro()) / microsPerSecond,
 		backends: map[string]*backend{}, timers: map[*timer]bool{}}
 	var err error
 	if d.core, err = dispatch.New(options.Settings, options.Seed, d); err != nil {
--- a/internal/shared/lease/lease.go
+++ b/internal/shared/lease/lease.go
@@ -36,22 +36,24 @@
 }
 
 const (
-	silenceMultiple  = 3.0  // terms last at least so many timeouts of the watch of discovery
-	probeMultiple    = 20.0 // and so many probe intervals: an update reaches all members in a few, also under loss
-	lapsedWaitProbes = 6.0  // probe intervals that a lapsed member waits to learn of the others that are lapsed
-	discoverySilence = 6.0  // seconds within which a working discovery sends an update
-	minFreshMembers  = 2    // members that must have a fresh update: one alone may be wrong
+	watchTimeoutMultiple    = 3.0  // terms last at least so many timeouts of the watch of discovery
+	probeMultiple           = 20.0 // and so many probe intervals: an update reaches all members in a few, also under loss
+	lapsedWaitProbes        = 6.0  // probe intervals that a lapsed member waits to learn of the others that are lapsed
+	discoveryUpdateInterval = 6.0  // seconds within which a working discovery sends an update
+	minFreshMembers         = 2    // members that must have a fresh update: one alone may be wrong
 )
 
-// Term returns the default term in seconds: how long a lease lasts without a fresh update. silence is the timeout of
-// the watch of discovery, period the probe interval of the membership, both in seconds.
-func Term(silence, period float64) float64 {
-	return math.Max(silenceMultiple*silence, probeMultiple*period)
+// Term returns the default term in seconds: how long a lease lasts without a fresh update. watchTimeout is the
+// timeout of the watch of discovery, probeInterval that of the membership, both in seconds.
+func Term(watchTimeout, probeInterval float64) float64 {
+	return math.Max(watchTimeoutMultiple*watchTimeout, probeMultiple*probeInterval)
 }
 
-// MinTerm returns the shortest allowed term. It must outlast the pauses of discovery and the time that an update takes
+// MinTerm returns the shortest allowed term in seconds, from the arguments of Term. It must outlast the pauses of discovery and the time that an update takes
 // to all members.
-func MinTerm(silence, period float64) float64 { return math.Max(silence+1, probeMultiple*period) }
+func MinTerm(watchTimeout, probeInterval float64) float64 {
+	return math.Max(watchTimeout+1, probeMultiple*probeInterval)
+}
 
 // Member is a member as this one knows it. Times are on this member's clock, in seconds.
 type Member struct {
@@ -150,7 +152,7 @@
 			if m.DeadSince > 0 && m.DeadSince <= lastContact {
 				continue
 			}
-			if considered++; m.State != Held || m.Excluded || !m.DirectUpdate || m.LastContact > m.LastUpdate+discoverySilence {
+			if considered++; m.State != Held || m.Excluded || !m.DirectUpdate || m.LastContact > m.LastUpdate+discoveryUpdateInterval {
 				withoutDiscovery++
 			}
 		}
--- a/internal/shared/membership/cbor.go
+++ b/internal/shared/membership/cbor.go
@@ -4,17 +4,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
+// defaultMaxElements bounds the elements of an array in StrictDecMode.
+const defaultMaxElements = 128
+
 // StrictDecMode returns a decoder that rejects all that the target does not define, with bounds of nesting and of the
 // fields of a map. It panics on bounds that the CBOR library rejects.
-func StrictDecMode(nested, fields int) cbor.DecMode {
-	return StrictDecModeForArrays(nested, fields, 128)
+func StrictDecMode(maxNesting, maxFields int) cbor.DecMode {
+	return StrictDecModeForArrays(maxNesting, maxFields, defaultMaxElements)
 }
 
 // StrictDecModeForArrays is StrictDecMode with a bound of the elements of an array, for callers that bound the size of
 // their input.
-func StrictDecModeForArrays(nested, fields, elements int) cbor.DecMode {
-	return must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, MaxNestedLevels: nested,
-		MaxArrayElements: elements, MaxMapPairs: fields, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, TagsMd: cbor.TagsForbidden}.DecMode())
+func StrictDecModeForArrays(maxNesting, maxFields, maxElements int) cbor.DecMode {
+	return must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, MaxNestedLevels: maxNesting,
+		MaxArrayElements: maxElements, MaxMapPairs: maxFields, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, TagsMd: cbor.TagsForbidden}.DecMode())
 }
 
 var deterministicEncMode = must(cbor.CoreDetEncOptions().EncMode())
@@ -25,9 +28,10 @@
 	return must(deterministicEncMode.Marshal(v))
 }
 
-func must[T any](mode T, err error) T {
+// must returns value. An error can only come from a mistake in the program, so it panics.
+func must[T any](value T, err error) T {
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err)
 	}
-	return mode
+	return value
 }
--- a/internal/shared/membership/suspicion.go
+++ b/internal/shared/membership/suspicion.go
@@ -26,9 +26,10 @@
 	return math.Max(least, most-(most-least)*math.Log(float64(confirmed+1))/math.Log(float64(wanted+1)))
 }
 
-// MaxSuspicionTimeout returns the longest duration of a suspicion in seconds, in a cluster of the given size.
-func MaxSuspicionTimeout(members int, period float64) float64 {
-	return suspicionMaxMultiplier * suspicionMultiplier * logScale(members) * period
+// MaxSuspicionTimeout returns the longest duration of a suspicion in seconds, in a cluster of the given size with the given
+// probe interval in seconds.
+func MaxSuspicionTimeout(members int, probeInterval float64) float64 {
+	return suspicionMaxMultiplier * suspicionMultiplier * logScale(members) * probeInterval
 }
 
 // confirmSuspicion records that one more member suspects peer, which shortens the timeout.
--- a/internal/system/placement/attempt.go
+++ b/internal/system/placement/attempt.go
@@ -36,18 +36,18 @@
 
 // reservation is the capacity that an attempt takes of its runner, and its progress there.
 type reservation struct {
-	runner        *runnerState
-	sentAt        time.Duration
-	load          float64 // of the runner after it was added, as its limits see it
-	weight        float64 // in slots: 1, and more during prefill
-	prefillWeight float64 // the part of weight that the first event releases
-	tokens        float64 // of the engine's memory
-	prefillTokens float64 // prompt tokens that are probably not cached
-	answered      bool    // the first event or byte has come
-	announced     bool    // its prompt is long enough for a notice to the other proxies
-	recovered     bool    // its first event ended the suspicion of its runner
-	ended         bool
-	prev, next    *Attempt // neighbours in runnerState.pending
+	runner         *runnerState
+	sentAt         time.Duration
+	load           float64 // of the runner after it was added, as its limits see it
+	weight         float64 // in slots: 1, and more during prefill
+	prefillWeight  float64 // the part of weight that the first event releases
+	tokens         float64 // of the engine's memory
+	prefillTokens  float64 // prompt tokens that are probably not cached
+	firstEventSeen bool    // the first event or byte has come
+	announced      bool    // its prompt is long enough for a notice to the other proxies
+	endedSuspicion bool    // its first event ended the suspicion of its runner
+	ended          bool
+	prev, next     *Attempt // neighbours in runnerState.pending
 }
 
 // attemptList is an intrusive list of attempts in the order in which they were sent.
@@ -183,7 +183,7 @@
 
 // removeAttempt releases all that is still reserved for an attempt.
 func (r *runnerState) removeAttempt(attempt *Attempt) {
-	if !attempt.answered {
+	if !attempt.firstEventSeen {
 		r.endPrefill(attempt)
 	}
 	r.ownUsage.add(&usage{attempt.weight, 0, attempt.tokens}, -1)
@@ -199,11 +199,11 @@
 
 // HandleFirstEvent records the first event or byte of an answer; the time that it took shows the backlog of the runner.
 func (p *Placer) HandleFirstEvent(now time.Duration, attempt *Attempt) {
-	if attempt.ended || attempt.answered {
+	if attempt.ended || attempt.firstEventSeen {
 		return
 	}
 	runner := attempt.runner
-	attempt.answered, attempt.recovered = true, runner.suspect
+	attempt.firstEventSeen, attempt.endedSuspicion = true, runner.suspect
 	runner.endPrefill(attempt)
 	runner.markAlive(now)
 	p.learnFromFirstEvent(attempt, (now - attempt.sentAt).Seconds())
@@ -224,7 +224,7 @@
 	}
 	attempt.ended = true
 	runner := attempt.runner
-	if !attempt.answered && outcome == Succeeded {
+	if !attempt.firstEventSeen && outcome == Succeeded {
 		p.inferFirstEvent(now, attempt, progress)
 	}
 	runner.removeAttempt(attempt)
@@ -237,7 +237,7 @@
 	if elapsed <= 0 {
 		elapsed = progress.Duration
 	}
-	attempt.answered = true
+	attempt.firstEventSeen = true
 	attempt.runner.endPrefill(attempt)
 	attempt.runner.markAlive(now)
 	p.learnFromFirstEvent(attempt, elapsed.Seconds())
--- a/internal/system/placement/capacity.go
+++ b/internal/system/placement/capacity.go
@@ -65,7 +65,7 @@
 // refreshPlan replans a service before a choice if the plan is older than maxPlanAge. Only where other proxies announce
 // their prompts does a plan change within a period: prompts that they announced are being prefilled meanwhile.
 func (p *Placer) refreshPlan(now time.Duration, service *serviceState) {
-	if p.notified && service.isEngine() && now-service.plannedAt >= maxPlanAge {
+	if p.receivesNotices && service.isEngine() && now-service.plannedAt >= maxPlanAge {
 		p.planService(now, service)
 	}
 }
--- a/internal/system/placement/health.go
+++ b/internal/system/placement/health.go
@@ -46,7 +46,7 @@
 // markAlive records that the runner answers. One that was suspect may have restarted, and may be in slow start.
 func (r *runnerState) markAlive(now time.Duration) {
 	if r.suspect {
-		r.guardedUntil = now + slowStartGuard
+		r.slowStartGuardUntil = now + slowStartGuard
 	}
 	r.suspect, r.suspectDuration, r.probe = false, 0, nil
 }
--- a/internal/system/placement/notices.go
+++ b/internal/system/placement/notices.go
@@ -57,7 +57,7 @@
 func (p *Placer) HandleNotice(now time.Duration, notice Notice) {
 	p.recordCall(now)
 	if notice.Kind == NoticePrefill {
-		p.notified, p.lastNoticeAt = true, now
+		p.receivesNotices, p.lastNoticeAt = true, now
 		p.noticeCount++
 	}
 	runner := p.byKey[notice.RunnerKey]
@@ -103,7 +103,7 @@
 
 // RecoveryNotice returns what to announce about an attempt whose answer has begun; false: the runner was not suspect.
 func (a *Attempt) RecoveryNotice() (Notice, bool) {
-	if !a.recovered {
+	if !a.endedSuspicion {
 		return Notice{}, false
 	}
 	return Notice{Kind: NoticeRecovery, RunnerKey: a.runner.key}, true
@@ -111,5 +111,5 @@
 
 // hasRecentNotices reports whether the prompts that other proxies send are known.
 func (p *Placer) hasRecentNotices(now time.Duration) bool {
-	return p.notified && now-p.lastNoticeAt < noticeValidity
+	return p.receivesNotices && now-p.lastNoticeAt < noticeValidity
 }
--- a/internal/system/placement/placer.go
+++ b/internal/system/placement/placer.go
@@ -79,7 +79,7 @@
 	lastAttemptID       uint64
 	restored            map[string]runnerSnapshot // by runner, until SetRunners names it
 	restoredSpeeds      map[string]float64        // by service
-	notified            bool                      // another proxy has announced a prompt
+	receivesNotices     bool                      // another proxy has announced a prompt
 	lastNoticeAt        time.Duration             // of the last announced prompt
 	noticeCount         int                       // announced prompts in this period
 	noticeThreshold     float64                   // prefill weight in slots from which own prompts are announced
--- a/internal/system/placement/runner.go
+++ b/internal/system/placement/runner.go
@@ -41,13 +41,13 @@
 	utilization   float64 // of all proxies: 1 is a full runner; as of the last plan
 	occupiedSlots float64 // slots in use by all proxies, prefill aside; as of the last plan
 
-	ownUsage       usage // of this proxy's attempts in flight
-	meanUsage      usage // mean of ownUsage over about usageWindow
-	ownAttempts    int
-	backlog        prefillBacklog
-	excessWait     float64 // how much longer than expected first events recently took, in seconds
-	saturatedUntil time.Duration
-	guardedUntil   time.Duration // until then it may be in slow start before the membership feed shows it
+	ownUsage            usage // of this proxy's attempts in flight
+	meanUsage           usage // mean of ownUsage over about usageWindow
+	ownAttempts         int
+	backlog             prefillBacklog
+	excessWait          float64 // how much longer than expected first events recently took, in seconds
+	saturatedUntil      time.Duration
+	slowStartGuardUntil time.Duration // until then it may be in slow start before the membership feed shows it
 
 	pending         attemptList // attempts without a first event
 	suspectUntil    time.Duration
@@ -148,7 +148,7 @@
 	p.recordCall(now)
 	for _, runner := range p.runners {
 		if p.evacuated[runner.Zone] && !zones[runner.Zone] { // it may have restarted meanwhile
-			runner.guardedUntil = now + slowStartGuard
+			runner.slowStartGuardUntil = now + slowStartGuard
 		}
 	}
 	clear(p.evacuated)
--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -32,8 +32,8 @@
 	verdictInvalid                    // not a response that may be forwarded
 )
 
-// saysNotRun reports whether the runner guarantees that the request was not and will not be executed.
-func (v verdict) saysNotRun() bool { return v == verdictNotRun || v == verdictWrongRunner }
+// provesNotRun reports whether the runner guarantees that the request was not and will not be executed.
+func (v verdict) provesNotRun() bool { return v == verdictNotRun || v == verdictWrongRunner }
 
 // classify derives the verdict from the head of a runner's response.
 func classify(head *httpwire.ResponseHead) verdict {
@@ -147,10 +147,10 @@
 	x := a.exchange
 	if !a.connected {
 		x.noteTried(a, false)
-		x.unreached++
+		x.connectFailures++
 		a.cancel()
 		a.end(placement.ConnectFailed)
-		if x.unreached > maxUnreached || x.proxy.now() >= x.request.Deadline {
+		if x.connectFailures > maxConnectFailures || x.proxy.now() >= x.request.Deadline {
 			x.giveUp(shortRetryAfter)
 			return
 		}
--- a/internal/system/proxy/control_state.go
+++ b/internal/system/proxy/control_state.go
@@ -29,7 +29,7 @@
 	zones        map[string]string // region by zone
 	table        *routetable.Table
 	version      uint64
-	proxies      int // last announced number of proxies, this one included
+	proxyCount   int // last announced number of proxies, this one included
 	reportCount  int
 	lastSnapshot []byte // last snapshot sent to the agent
 }
@@ -62,8 +62,8 @@
 	switch {
 	case update.Peers != nil:
 		p.applyPeers(*update.Peers)
-	case update.ProxyCount > 0 && update.ProxyCount != p.control.proxies && !p.peers.peersKnown: // a peer list implies the count
-		p.control.proxies = update.ProxyCount
+	case update.ProxyCount > 0 && update.ProxyCount != p.control.proxyCount && !p.peers.peersKnown: // a peer list implies the count
+		p.control.proxyCount = update.ProxyCount
 		p.SetProxies(update.ProxyCount)
 	}
 	if update.Runners != nil {
--- a/internal/system/proxy/exchange.go
+++ b/internal/system/proxy/exchange.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	maxUnreached      = 4                      // runners to which no connection came up, per request
-	maxPlacementTries = 8                      // choices of a runner without a spare connection, per placement
-	deadlineGrace     = 150 * time.Millisecond // beyond the deadline, for the end of a response in progress; see handleDeadline
-	shortRetryAfter   = 100 * time.Millisecond // sent to a rejected client when another runner or proxy may have capacity
+	maxConnectFailures = 4                      // runners to which no connection came up, per request
+	maxPlacementTries  = 8                      // choices of a runner without a spare connection, per placement
+	deadlineGrace      = 150 * time.Millisecond // beyond the deadline, for the end of a response in progress; see handleDeadline
+	shortRetryAfter    = 100 * time.Millisecond // sent to a rejected client when another runner or proxy may have capacity
 )
 
 // exchangeState is the state of an exchange.
@@ -32,20 +32,20 @@
 
 // exchange is one request of a client and its response.
 type exchange struct {
-	proxy         *Proxy
-	session       *session
-	state         exchangeState
-	head          httpwire.RequestHead
-	bodyReader    httpwire.BodyReader
-	body          []byte
-	tryID         string // the client's X-Try-Id, by which a runner's response is matched to its request
-	request       placement.Request
-	attempt       *attempt // in progress; nil between attempts
-	unreached     int      // attempts without an established connection
-	response      response
-	eventReader   eventReader // of a stream that another runner may continue
-	stalled       bool        // the client does not read fast enough
-	deadlineTimer *eventloop.Timer
+	proxy           *Proxy
+	session         *session
+	state           exchangeState
+	head            httpwire.RequestHead
+	bodyReader      httpwire.BodyReader
+	body            []byte
+	tryID           string // the client's X-Try-Id, by which a runner's response is matched to its request
+	request         placement.Request
+	attempt         *attempt // in progress; nil between attempts
+	connectFailures int      // attempts without an established connection
+	response        response
+	eventReader     eventReader // of a stream that another runner may continue
+	stalled         bool        // the client does not read fast enough
+	deadlineTimer   *eventloop.Timer
 }
 
 // newExchange creates the exchange for a request whose head was read.
--- a/internal/system/proxy/exchange_placement.go
+++ b/internal/system/proxy/exchange_placement.go
@@ -68,7 +68,7 @@
 		return false
 	}
 	now := x.proxy.now()
-	if len(x.request.TriedRunners)-x.unreached >= max(1, x.request.Route.MaxAttempts) || now >= x.request.Deadline {
+	if len(x.request.TriedRunners)-x.connectFailures >= max(1, x.request.Route.MaxAttempts) || now >= x.request.Deadline {
 		return false
 	}
 	return x.proxy.placer.MayRetry(now, &x.request)
--- a/internal/system/proxy/metrics.go
+++ b/internal/system/proxy/metrics.go
@@ -32,7 +32,7 @@
 	gauge("cinderroad_proxy_buffered_bytes", "Bytes of requests held.", float64(p.bufferedBodyBytes))
 	gauge("cinderroad_proxy_ready", "Whether clients should be sent here.", exposition.BoolValue(p.Ready()))
 	gauge("cinderroad_proxy_configuration_version", "Version of the configuration in force; 0: none.", float64(p.control.version))
-	gauge("cinderroad_proxy_proxies", "Proxies that may be sending, as the agent tells.", float64(p.control.proxies))
+	gauge("cinderroad_proxy_proxies", "Proxies that may be sending, as the agent tells.", float64(p.control.proxyCount))
 
 	gauge("cinderroad_proxy_stopping_seconds", "Time since the signal to stop; 0: none came.", p.shutdown.elapsed(p.now()).Seconds())
 	page.Family(exposition.Counter, "cinderroad_proxy_requests_while_stopping_total",
--- a/internal/system/proxy/peer_notifier.go
+++ b/internal/system/proxy/peer_notifier.go
@@ -66,8 +66,8 @@
 		p.peers.add(peers[i].Zone, peers[i].Address)
 	}
 	p.peers.peersKnown = true
-	p.control.proxies = 1 + len(peers)
-	p.pool.proxies = p.control.proxies
+	p.control.proxyCount = 1 + len(peers)
+	p.pool.proxyCount = p.control.proxyCount
 	p.placer.SetPeers(p.now(), xxhash.Sum64String(p.options.Node), keys)
 }
 
--- a/internal/system/proxy/peer_notifier_test.go
+++ b/internal/system/proxy/peer_notifier_test.go
@@ -125,7 +125,7 @@
 	if placer.setProxiesCalls != 0 {
 		t.Errorf("SetProxyCount was called %d times", placer.setProxiesCalls)
 	}
-	if p.pool.proxies != 3 || p.control.proxies != 3 {
-		t.Errorf("connections are shared among %d, metrics say %d; want 3", p.pool.proxies, p.control.proxies)
+	if p.pool.proxyCount != 3 || p.control.proxyCount != 3 {
+		t.Errorf("connections are shared among %d, metrics say %d; want 3", p.pool.proxyCount, p.control.proxyCount)
 	}
 }
--- a/internal/system/proxy/pool.go
+++ b/internal/system/proxy/pool.go
@@ -26,13 +26,13 @@
 	runners        map[string]*runner
 	services       map[string]*configuration.Service
 	idleTimeouts   map[string]*idleTimeoutEstimator // by service
-	proxies        int                              // that may send to the same runners, this one included
+	proxyCount     int                              // that may send to the same runners, this one included
 	slowestConnect time.Duration                    // connect time over all runners, decayed
 }
 
 func newPool(p *Proxy) *pool {
 	return &pool{proxy: p, runners: map[string]*runner{}, services: map[string]*configuration.Service{},
-		idleTimeouts: map[string]*idleTimeoutEstimator{}, proxies: defaultProxies}
+		idleTimeouts: map[string]*idleTimeoutEstimator{}, proxyCount: defaultProxies}
 }
 
 // setServices replaces the services.
@@ -91,7 +91,7 @@
 	if s := p.services[r.service]; s != nil && s.MaxConnections > 0 {
 		limit = s.MaxConnections
 	}
-	return max(minConns, limit/p.proxies)
+	return max(minConns, limit/p.proxyCount)
 }
 
 // canAccept reports whether a request can be sent to the chosen runner now.
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -191,7 +191,7 @@
 // SetProxies sets the number of proxies that may send to the same runners.
 func (p *Proxy) SetProxies(n int) {
 	p.placer.SetProxyCount(p.now(), n)
-	p.pool.proxies = max(n, minProxies)
+	p.pool.proxyCount = max(n, minProxies)
 }
 
 // Ready reports whether clients should be sent to this proxy.
--- a/internal/system/proxy/runner_response.go
+++ b/internal/system/proxy/runner_response.go
@@ -76,7 +76,7 @@
 	if id != "" {
 		return once && id == c.tryID
 	}
-	return c.previousTryID == "" && classify(head).saysNotRun()
+	return c.previousTryID == "" && classify(head).provesNotRun()
 }
 
 // matchesPrevious reports whether a response is an extra one to the previous request of this connection. It may be
