--- a/internal/shared/lease/lease_test.go
+++ b/internal/shared/lease/lease_test.go
@@ -13,7 +13,7 @@
 	members       []Member
 	lastDiscovery []float64
 	lastUpdate    []float64
-	isolated      []bool // hears nobody any more, since isolatedAt
+	isolated      []bool // receives nothing since isolatedAt
 	isolatedAt    float64
 	excluded      []bool
 	leases        []*Lease
@@ -45,7 +45,7 @@
 			s.lastUpdate[i] = s.now
 		}
 	}
-	var ins []Input
+	var inputs []Input
 	for i := range s.members {
 		input := Input{Now: s.now, Self: s.members[i], LastDiscovery: s.lastDiscovery[i]}
 		input.Self.LastUpdate, input.Self.State, input.Self.Excluded = s.lastUpdate[i], s.leases[i].State(), s.excluded[i]
@@ -61,10 +61,10 @@
 			}
 			input.Others = append(input.Others, m)
 		}
-		ins = append(ins, input)
+		inputs = append(inputs, input)
 	}
 	for i := range s.members {
-		if s.leases[i].Update(&ins[i]) == Out {
+		if s.leases[i].Update(&inputs[i]) == Out {
 			out++
 		}
 	}
--- a/internal/system/gossip/memberlist_test.go
+++ b/internal/system/gossip/memberlist_test.go
@@ -71,7 +71,7 @@
 			for node, member := range cluster.members {
 				cluster.t.Logf("%s: %+v", node, member.View())
 			}
-			cluster.t.Fatalf("did not come about: %s", what)
+			cluster.t.Fatalf("timeout waiting for: %s", what)
 		}
 	}
 }
--- a/internal/system/placement/random_schedule_test.go
+++ b/internal/system/placement/random_schedule_test.go
@@ -117,9 +117,9 @@
 		third := request.InputTokens / 3
 		request.Chunks = []Chunk{{1, third}, {rapid.Uint64Range(1, 9).Draw(t, "part"), third}, {uint64(schedule.requestCount), third}}
 	}
-	for try := 0; try == 0 || schedule.placer.MayRetry(schedule.now, request); try++ {
-		if try >= route.MaxAttempts {
-			t.Fatal("more tries than the route allows")
+	for attempts := 0; attempts == 0 || schedule.placer.MayRetry(schedule.now, request); attempts++ {
+		if attempts >= route.MaxAttempts {
+			t.Fatal("more attempts than the route allows")
 		}
 		attempt := schedule.place(t, request)
 		if attempt == nil {
@@ -160,7 +160,7 @@
 	case schedule.evacuated[runner.Zone]:
 		t.Fatalf("%s is in an evacuated zone", runner.ID)
 	case len(request.Route.HomeRegions) > 0 && !slices.Contains(request.Route.HomeRegions, runner.Region):
-		t.Fatalf("%s is outside the homes", runner.ID)
+		t.Fatalf("%s is outside the home regions", runner.ID)
 	case runner.Service != request.Service || len(runner.Models) > 0 && !slices.Contains(runner.Models, request.Model):
 		t.Fatalf("%s does not serve it", runner.ID)
 	case runner.TerminatesAt > 0 && runner.TerminatesAt <= schedule.now:
@@ -171,7 +171,7 @@
 			t.Fatalf("%s is in slow start, and others may not count this proxy", runner.ID)
 		}
 		if last, sent := schedule.slowStartSent[runner.ID]; sent && schedule.now-last < 100*time.Millisecond {
-			t.Fatalf("%s is in slow start and had one at %v", runner.ID, last)
+			t.Fatalf("%s is in slow start and was sent a request at %v", runner.ID, last)
 		}
 		schedule.slowStartSent[runner.ID] = schedule.now
 	}
--- a/internal/system/placement/shared_budgets_test.go
+++ b/internal/system/placement/shared_budgets_test.go
@@ -22,7 +22,7 @@
 	useKeys        bool // they know each other by keys
 	lastSeed       uint64
 	requests       []time.Duration // requests that arrived
-	retries        []time.Duration // and what arrived beyond the first of each
+	retries        []time.Duration // attempts beyond the first of a request that arrived
 	slowStartSends map[string][]time.Duration
 }
 
@@ -30,7 +30,7 @@
 	placer      *Placer
 	key         uint64
 	startedAt   time.Duration
-	frozenUntil time.Duration // until then
+	frozenUntil time.Duration // the process does not run before
 }
 
 // newProxyGroup draws a group of proxies; it begins long enough after its start for all to know each other.
@@ -47,79 +47,79 @@
 }
 
 // join starts a proxy. It knows of all others at once; they learn of it later.
-func (f *proxyGroup) join() {
-	f.lastSeed++
-	placer, err := New(testOptions([]string{"m", "t", "p"}[f.lastSeed%3]), f.lastSeed)
+func (g *proxyGroup) join() {
+	g.lastSeed++
+	placer, err := New(testOptions([]string{"m", "t", "p"}[g.lastSeed%3]), g.lastSeed)
 	if err != nil {
-		f.t.Fatal(err)
+		g.t.Fatal(err)
 	}
-	proxy := &groupProxy{placer: placer, key: f.lastSeed * 0x9e3779b97f4a7c15, startedAt: f.now}
-	f.proxies = append(f.proxies, proxy)
-	placer.SetServices(f.now, f.services)
-	placer.SetRunners(f.now, f.runners)
-	f.sendPeers(proxy)
+	proxy := &groupProxy{placer: placer, key: g.lastSeed * 0x9e3779b97f4a7c15, startedAt: g.now}
+	g.proxies = append(g.proxies, proxy)
+	placer.SetServices(g.now, g.services)
+	placer.SetRunners(g.now, g.runners)
+	g.sendPeers(proxy)
 }
 
 // sendPeers sends a proxy the list of all proxies.
-func (f *proxyGroup) sendPeers(proxy *groupProxy) {
-	if !f.useKeys {
-		proxy.placer.SetProxyCount(f.now, len(f.proxies))
+func (g *proxyGroup) sendPeers(proxy *groupProxy) {
+	if !g.useKeys {
+		proxy.placer.SetProxyCount(g.now, len(g.proxies))
 		return
 	}
 	var keys []uint64
-	for _, other := range f.proxies {
+	for _, other := range g.proxies {
 		keys = append(keys, other.key)
 	}
-	proxy.placer.SetPeers(f.now, proxy.key, keys)
+	proxy.placer.SetPeers(g.now, proxy.key, keys)
 }
 
 // step advances the time. Each running proxy learns of those that started at least a second ago, which is well within
 // joinDelay.
-func (f *proxyGroup) step(d time.Duration) {
-	f.now += d
-	for _, proxy := range f.proxies {
-		if f.now < proxy.frozenUntil {
+func (g *proxyGroup) step(d time.Duration) {
+	g.now += d
+	for _, proxy := range g.proxies {
+		if g.now < proxy.frozenUntil {
 			continue
 		}
-		proxy.placer.Tick(f.now)
-		f.sendKnownPeers(proxy)
+		proxy.placer.Tick(g.now)
+		g.sendKnownPeers(proxy)
 	}
 }
 
-func (f *proxyGroup) sendKnownPeers(proxy *groupProxy) {
+func (g *proxyGroup) sendKnownPeers(proxy *groupProxy) {
 	n, keys := 0, []uint64{}
-	for _, other := range f.proxies {
-		if other == proxy || f.now-other.startedAt >= time.Second || proxy.startedAt >= other.startedAt {
+	for _, other := range g.proxies {
+		if other == proxy || g.now-other.startedAt >= time.Second || proxy.startedAt >= other.startedAt {
 			n, keys = n+1, append(keys, other.key)
 		}
 	}
-	if f.useKeys {
-		proxy.placer.SetPeers(f.now, proxy.key, keys)
+	if g.useKeys {
+		proxy.placer.SetPeers(g.now, proxy.key, keys)
 	} else {
-		proxy.placer.SetProxyCount(f.now, n)
+		proxy.placer.SetProxyCount(g.now, n)
 	}
 }
 
 // send places a request at a proxy and starts the attempt that it chose.
-func (f *proxyGroup) send(proxy *groupProxy, request *Request) (Choice, *Attempt) {
-	if f.now < proxy.frozenUntil {
+func (g *proxyGroup) send(proxy *groupProxy, request *Request) (Choice, *Attempt) {
+	if g.now < proxy.frozenUntil {
 		return Choice{}, nil
 	}
-	choice, rejection := proxy.placer.Place(f.now, request)
+	choice, rejection := proxy.placer.Place(g.now, request)
 	if rejection != nil {
 		return choice, nil
 	}
 	if len(request.TriedRunners) > 0 {
-		f.retries = append(f.retries, f.now)
+		g.retries = append(g.retries, g.now)
 	} else {
-		f.requests = append(f.requests, f.now)
+		g.requests = append(g.requests, g.now)
 	}
-	for i := range f.runners {
-		if runner := &f.runners[i]; runner.ID == choice.Runner && f.now < runner.SlowStartUntil {
-			f.slowStartSends[runner.ID] = append(f.slowStartSends[runner.ID], f.now)
+	for i := range g.runners {
+		if runner := &g.runners[i]; runner.ID == choice.Runner && g.now < runner.SlowStartUntil {
+			g.slowStartSends[runner.ID] = append(g.slowStartSends[runner.ID], g.now)
 		}
 	}
-	attempt := proxy.placer.StartAttempt(f.now, request, choice)
+	attempt := proxy.placer.StartAttempt(g.now, request, choice)
 	return choice, attempt
 }
 
@@ -247,25 +247,25 @@
 }
 
 // retryWhileAllowed sends a request and retries it for as long as the proxy allows.
-func (f *proxyGroup) retryWhileAllowed(proxy *groupProxy, eager int) {
+func (g *proxyGroup) retryWhileAllowed(proxy *groupProxy, eager int) {
 	route := testRoute()
 	route.MaxAttempts = 1 + eager
-	request := testRequest(f.now, "api", route)
+	request := testRequest(g.now, "api", route)
 	for try := range 1 + eager {
-		if try > 0 && !proxy.placer.MayRetry(f.now, request) {
+		if try > 0 && !proxy.placer.MayRetry(g.now, request) {
 			return
 		}
-		choice, attempt := f.send(proxy, request)
+		choice, attempt := g.send(proxy, request)
 		if attempt == nil {
 			return
 		}
-		proxy.placer.EndAttempt(f.now, attempt, Interrupted, Progress{})
+		proxy.placer.EndAttempt(g.now, attempt, Interrupted, Progress{})
 		request.TriedRunners, request.MayHaveRun = append(request.TriedRunners, choice.Runner), true
 	}
 }
 
 // checkBudget checks every window that ends with a retry.
-func (f *proxyGroup) checkBudget(ratio, extra float64, window time.Duration) {
+func (g *proxyGroup) checkBudget(ratio, extra float64, window time.Duration) {
 	count := func(moments []time.Duration, from, to time.Duration) float64 {
 		n := 0
 		for _, at := range moments {
@@ -275,13 +275,13 @@
 		}
 		return float64(n)
 	}
-	for i := 0; i < len(f.retries); i += 1 + len(f.retries)/200 {
-		to := f.retries[i]
+	for i := 0; i < len(g.retries); i += 1 + len(g.retries)/200 {
+		to := g.retries[i]
 		from := to - window
-		requests := math.Max(count(f.requests, from, to),
-			math.Max(count(f.requests, from-window, from), count(f.requests, from-window/2, to-window/2)))
-		if n := count(f.retries, from, to); n > ratio*requests+extra {
-			f.t.Fatalf("%v retries within the window until %v, for %v requests; %d proxies", n, to, requests, len(f.proxies))
+		requests := math.Max(count(g.requests, from, to),
+			math.Max(count(g.requests, from-window, from), count(g.requests, from-window/2, to-window/2)))
+		if n := count(g.retries, from, to); n > ratio*requests+extra {
+			g.t.Fatalf("%v retries within the window until %v, for %v requests; %d proxies", n, to, requests, len(g.proxies))
 		}
 	}
 }
--- a/internal/system/proxy/retry_test.go
+++ b/internal/system/proxy/retry_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// Guards against a write that is given up because a runner could not be reached, and against one that is sent to it
+// Guards against a write that is rejected because a runner could not be reached, and against one that is sent to it
 // twice.
 func TestUnreachableRunner(t *testing.T) {
 	h := newHarness(t)
@@ -230,7 +230,7 @@
 	h.expectOutcomes("a served", "a served")
 }
 
-// A response that says that nothing was executed, but not for which request, may be a late one to the previous request:
+// A response that reports that nothing was executed, but not for which request, may be a late one to the previous request:
 // it proves nothing about the current one.
 func TestNotRunWithoutIDProvesNothing(t *testing.T) {
 	h := newHarness(t)
@@ -249,7 +249,7 @@
 	h.expectOutcomes("a served", "a broken")
 }
 
-// A runner that responds before it has the whole request may have executed what it received; its response is unreadable
+// A runner that responds before it has the complete request may have executed what it received; its response is unreadable
 // here.
 func TestInvalidEarlyResponse(t *testing.T) {
 	h := newHarness(t)
--- a/internal/system/proxy/simulation_client_test.go
+++ b/internal/system/proxy/simulation_client_test.go
@@ -114,12 +114,12 @@
 
 // cancel disconnects the client if it still waits for the response.
 func (c *simulatedClient) cancel(request *simulatedRequest) {
-	m := c.sim
+	sim := c.sim
 	if c.request != request {
 		return
 	}
-	m.checker.clientLeft(request)
-	m.network.after(cancelWithin, func() { m.checker.checkCancelled(request, m.runners) })
+	sim.checker.clientLeft(request)
+	sim.network.after(cancelWithin, func() { sim.checker.checkCancelled(request, sim.runners) })
 	c.disconnect()
 	c.finishRequest()
 }
--- a/internal/system/proxy/simulation_network_test.go
+++ b/internal/system/proxy/simulation_network_test.go
@@ -48,16 +48,16 @@
 
 type eventQueue []scheduledEvent
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].sequence < a[j].sequence
-}
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(t any)   { *a = append(*a, t.(scheduledEvent)) }
-func (a *eventQueue) Pop() any {
-	last := len(*a) - 1
-	t := (*a)[last]
-	*a = (*a)[:last]
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
+}
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(t any)   { *q = append(*q, t.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	t := (*q)[last]
+	*q = (*q)[:last]
 	return t
 }
 
--- a/internal/system/startup/serve_test.go
+++ b/internal/system/startup/serve_test.go
@@ -15,7 +15,7 @@
 
 const testTimeout = 30 * time.Second
 
-// testProcess passes on the settings that it is to reload.
+// testProcess forwards the settings that it is to reload.
 type testProcess struct{ reloaded chan *processconfig.Settings }
 
 func (p *testProcess) Run(ctx context.Context) error {
@@ -40,7 +40,7 @@
 	}
 }
 
-// A process receives changed settings, keeps the earlier ones if they cannot be read, and ends on SIGTERM.
+// A process receives changed settings, retains the earlier ones if they cannot be read, and ends on SIGTERM.
 func TestRunReloadsAndStops(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.json")
 	writeSettings(t, path, "first")
