--- a/internal/system/placement/simulation_test.go
+++ b/internal/system/placement/simulation_test.go
@@ -11,7 +11,7 @@
 	"cinderroad/internal/testkit/eventqueue"
 )
 
-// simulation plays engines, proxies and clients over virtual time, so that the effect of all decisions together can be measured.
+// simulation runs engines, proxies and clients in virtual time, so that the effect of all decisions together can be measured.
 // An engine prefills prompts one after the other in the order of their priority, caches shared chunks in a memory of tokens
 // from which the least recently used are evicted, and then decodes tokens at an even pace.
 type simulation struct {
@@ -24,9 +24,9 @@
 	engines           map[string]*simulatedEngine
 	proxies           []*simulatedProxy
 	runners           []Runner
-	prefilledPrefixes map[uint64]bool // chains that some engine has read
-	repeatedTokens    int             // tokens of shared parts that were read again
-	sharedTokens      int             // tokens of shared parts that were asked for
+	prefilledPrefixes map[uint64]bool // hashes of the chunk chains that some engine has prefilled
+	repeatedTokens    int             // tokens of shared chunks that were prefilled again
+	sharedTokens      int             // tokens of shared chunks in all requests
 	rejected          int
 }
 
@@ -77,7 +77,7 @@
 }
 
 const (
-	simulatedPrefillSpeed = 38.7 // prompt tokens read in a millisecond
+	simulatedPrefillSpeed = 38.7 // prompt tokens prefilled in a millisecond
 	simulatedTokenTime    = 6 * time.Millisecond
 )
 
--- a/loadbalancer/balancer_test.go
+++ b/loadbalancer/balancer_test.go
@@ -93,27 +93,27 @@
 }
 
 func (r *recorder) Send(id RequestID, worker WorkerID, timeout float64) {
-	q := r.requests[id]
-	if q == nil || r.answered[id] {
+	request := r.requests[id]
+	if request == nil || r.answered[id] {
 		r.t.Errorf("at %.3f: send of request %d, which is not open", r.now, id)
 		return
 	}
-	if r.now >= q.Deadline {
+	if r.now >= request.Deadline {
 		r.t.Errorf("at %.3f: send of request %d after its deadline", r.now, id)
 	}
 	if r.workers[worker].State != Ready {
 		r.t.Errorf("at %.3f: send to worker %d in state %d", r.now, worker, r.workers[worker].State)
 	}
-	c := r.settings.Classes[q.Class]
-	if c.Kind >= 0 && r.workers[worker].Kind != c.Kind {
+	class := r.settings.Classes[request.Class]
+	if class.Kind >= 0 && r.workers[worker].Kind != class.Kind {
 		r.t.Errorf("request %d sent to a worker of kind %d", id, r.workers[worker].Kind)
 	}
-	for _, a := range r.attempts[id] {
-		if a.inFlight && !r.settings.ParallelAttempts {
+	for _, attempt := range r.attempts[id] {
+		if attempt.inFlight && !r.settings.ParallelAttempts {
 			r.t.Errorf("request %d: second attempt in flight", id)
 		}
-		if a.mayHaveRun() && !r.retryAllowed(c, a, worker) {
-			r.t.Errorf("at %.3f: request %d of class %s may have run and was sent again", r.now, id, c.Name)
+		if attempt.mayHaveRun() && !r.retryAllowed(class, attempt, worker) {
+			r.t.Errorf("at %.3f: request %d of class %s may have run and was sent again", r.now, id, class.Name)
 		}
 	}
 	if len(r.attempts[id]) >= r.settings.MaxAttempts {
--- a/loadbalancer/simulation_test.go
+++ b/loadbalancer/simulation_test.go
@@ -7,29 +7,29 @@
 	"cinderroad/internal/testkit/eventqueue"
 )
 
-// simulation plays a small cluster over virtual time: clients, instances that share nothing, workers with cores and a queue. It omits
+// simulation runs a small cluster in virtual time: clients, instances that share nothing, workers with cores and a queue. It omits
 // what a deployment's settings omit, so that the same decisions can be measured on all deployments beside a simple baseline.
 type simulation struct {
-	plan      simulationPlan
-	now       float64
-	events    eventqueue.Queue
-	random    *rand.Rand
-	workers   []*simWorker
-	instances []*simInstance
-	nextID    RequestID
-	value     []float64 // asked for, by class
-	earned    []float64
-	rejected  int
-	failed    int
-	late      int
-	requests  int
-	breach    []string
+	plan         simulationPlan
+	now          float64
+	events       eventqueue.Queue
+	random       *rand.Rand
+	workers      []*simWorker
+	instances    []*simInstance
+	nextID       RequestID
+	offeredValue []float64 // of all requests, by class
+	earnedValue  []float64
+	rejected     int
+	failed       int
+	late         int
+	requests     int
+	breach       []string
 }
 
 // simulationPlan describes a deployment; times are in seconds.
 type simulationPlan struct {
 	settings     Settings
-	load         float64 // jobs' work asked for, as a share of what the workers can do when warm
+	load         float64 // work of the arriving jobs, as a share of what the workers can do when warm
 	swing        float64 // the load rises and falls by this share, over the day
 	surge        float64 // and is so many times as much from a third to a half of the day
 	work         []float64
@@ -48,7 +48,7 @@
 	weights      bool
 	retries      float64 // mean retries of a client after a rejection
 	slowdown     float64 // from a third of the day on, one worker in six runs so many times slower
-	restarts     bool    // a third of the workers start anew at half of the day
+	restarts     bool    // a third of the workers restart at half of the day
 }
 
 type simKind struct {
@@ -56,7 +56,7 @@
 	cores, queue int
 }
 
-// simWorker runs as many jobs as it has cores, in order, and rejects what its queue does not hold.
+// simWorker runs as many jobs as it has cores, in order, and rejects jobs beyond its queue's length.
 type simWorker struct {
 	Worker
 	speed   float64
@@ -86,9 +86,9 @@
 	id       RequestID
 	class    int
 	work     float64
-	firstAt  float64 // when the client asked for the first time
+	firstAt  float64 // when the client sent it for the first time
 	deadline float64
-	retries  float64 // retries the client has left
+	retries  float64 // retries that the client may still make
 	attempts []*simAttempt
 	answered bool
 	inFlight int
@@ -120,7 +120,7 @@
 // newSimulation draws the arrivals and workers. The same plan and seed draw the same ones for any decider.
 func newSimulation(plan simulationPlan, seed uint64, decide func(s Settings, seed uint64, act Actions) decider) *simulation {
 	classes := len(plan.settings.Classes)
-	sim := &simulation{plan: plan, now: 1000, random: rand.New(rand.NewPCG(seed, 7)), value: make([]float64, classes), earned: make([]float64, classes)}
+	sim := &simulation{plan: plan, now: 1000, random: rand.New(rand.NewPCG(seed, 7)), offeredValue: make([]float64, classes), earnedValue: make([]float64, classes)}
 	day := rand.New(rand.NewPCG(seed, 1))
 	power := sim.drawWorkers(day)
 	sim.startInstances(seed, decide)
@@ -251,7 +251,7 @@
 	sim.nextID++
 	request := &simRequest{id: sim.nextID, class: class, work: work, firstAt: first, deadline: first + c.Deadline, retries: again}
 	if fresh {
-		sim.value[class] += c.Value * work
+		sim.offeredValue[class] += c.Value * work
 		sim.requests++
 	}
 	instance.requests[request.id] = request
@@ -270,23 +270,23 @@
 	return sim.plan.crossLatency
 }
 
-func (n *simInstance) Send(id RequestID, worker WorkerID, timeout float64) {
-	sim, request := n.sim, n.requests[id]
+func (instance *simInstance) Send(id RequestID, worker WorkerID, timeout float64) {
+	sim, request := instance.sim, instance.requests[id]
 	if request == nil || request.answered {
 		sim.breach = append(sim.breach, "sent what is answered")
 		return
 	}
 	target := sim.workers[worker-1]
-	pending := &simAttempt{instance: n, request: request, attempt: len(request.attempts), worker: target}
+	pending := &simAttempt{instance: instance, request: request, attempt: len(request.attempts), worker: target}
 	c := &sim.plan.settings.Classes[request.class]
 	for _, y := range request.attempts {
-		if !y.ended && !n.settings.ParallelAttempts || y.started && c.RetrySafety == RetryUnsafe {
+		if !y.ended && !instance.settings.ParallelAttempts || y.started && c.RetrySafety == RetryUnsafe {
 			sim.breach = append(sim.breach, "a second attempt that is not allowed")
 		}
 	}
 	request.attempts = append(request.attempts, pending)
 	request.inFlight++
-	sim.at(sim.now+sim.latency(n, target), func() { sim.take(pending) })
+	sim.at(sim.now+sim.latency(instance, target), func() { sim.take(pending) })
 	sim.at(request.deadline, func() { sim.end(pending, Timeout, nil) })
 }
 
@@ -312,13 +312,13 @@
 		if worker.StartedAt > 0 && sim.now < worker.StartedAt+sim.plan.settings.SlowStartDuration {
 			warm = sim.plan.settings.SlowStartInitialShare + (1-sim.plan.settings.SlowStartInitialShare)*(sim.now-worker.StartedAt)/sim.plan.settings.SlowStartDuration
 		}
-		since := worker.StartedAt
+		startedAt := worker.StartedAt
 		sim.at(sim.now+attempt.request.work/(worker.speed*warm), func() {
-			if worker.StartedAt != since {
+			if worker.StartedAt != startedAt {
 				return
 			}
-			for i, y := range worker.running {
-				if y == attempt {
+			for i, other := range worker.running {
+				if other == attempt {
 					worker.running = append(worker.running[:i], worker.running[i+1:]...)
 					break
 				}
@@ -382,8 +382,8 @@
 	}
 	attempt.ended = true
 	attempt.request.inFlight--
-	for i, y := range attempt.worker.waiting { // a client that disconnects leaves the queue
-		if y == attempt {
+	for i, other := range attempt.worker.waiting { // a client that disconnects leaves the queue
+		if other == attempt {
 			attempt.worker.waiting = append(attempt.worker.waiting[:i:i], attempt.worker.waiting[i+1:]...)
 			break
 		}
@@ -391,12 +391,12 @@
 	request := attempt.request
 	if result == OK && !request.answered {
 		request.answered = true
-		c := &sim.plan.settings.Classes[request.class]
+		class := &sim.plan.settings.Classes[request.class]
 		switch took := sim.now - request.firstAt; {
-		case took <= math.Min(c.Objective+c.Stretch*request.work, c.Deadline):
-			sim.earned[request.class] += c.Value * request.work
-		case took <= c.Deadline:
-			sim.earned[request.class] += c.Value * request.work * c.LateValueShare
+		case took <= math.Min(class.Objective+class.Stretch*request.work, class.Deadline):
+			sim.earnedValue[request.class] += class.Value * request.work
+		case took <= class.Deadline:
+			sim.earnedValue[request.class] += class.Value * request.work * class.LateValueShare
 			sim.late++
 		}
 	}
@@ -404,8 +404,8 @@
 }
 
 // retry has the client retry, if it has time left.
-func (n *simInstance) retry(request *simRequest, wait float64) {
-	sim := n.sim
+func (instance *simInstance) retry(request *simRequest, wait float64) {
+	sim := instance.sim
 	pause := math.Max(0.05, math.Min(wait, 2)*float64(sim.random.IntN(2)))
 	if request.retries >= 1 && sim.now+pause < request.deadline {
 		at := sim.instances[sim.random.IntN(len(sim.instances))]
@@ -413,61 +413,61 @@
 	}
 }
 
-func (n *simInstance) Reject(id RequestID, wait float64) {
-	if request := n.requests[id]; request != nil && !request.answered {
+func (instance *simInstance) Reject(id RequestID, wait float64) {
+	if request := instance.requests[id]; request != nil && !request.answered {
 		request.answered = true
-		n.sim.rejected++
-		n.retry(request, wait)
+		instance.sim.rejected++
+		instance.retry(request, wait)
 	}
 }
 
-func (n *simInstance) Fail(id RequestID) {
-	if request := n.requests[id]; request != nil && !request.answered {
+func (instance *simInstance) Fail(id RequestID) {
+	if request := instance.requests[id]; request != nil && !request.answered {
 		request.answered = true
-		n.sim.failed++
-		if n.sim.plan.settings.Classes[request.class].RetrySafety == RetrySafe {
-			n.retry(request, 0)
+		instance.sim.failed++
+		if instance.sim.plan.settings.Classes[request.class].RetrySafety == RetrySafe {
+			instance.retry(request, 0)
 		}
 	}
 }
 
-func (n *simInstance) Cancel(id RequestID, attempt int) {
-	pending := n.requests[id].attempts[attempt]
-	n.sim.at(n.sim.now, func() { n.sim.end(pending, Cancelled, nil) })
+func (instance *simInstance) Cancel(id RequestID, attempt int) {
+	pending := instance.requests[id].attempts[attempt]
+	instance.sim.at(instance.sim.now, func() { instance.sim.end(pending, Cancelled, nil) })
 }
 
-func (n *simInstance) Probe(worker WorkerID) {
-	sim, target := n.sim, n.sim.workers[worker-1]
-	sim.at(sim.now+2*sim.latency(n, target), func() { n.decider.HandleProbeResult(sim.now, worker, OK, sim.aged(target)) })
+func (instance *simInstance) Probe(worker WorkerID) {
+	sim, target := instance.sim, instance.sim.workers[worker-1]
+	sim.at(sim.now+2*sim.latency(instance, target), func() { instance.decider.HandleProbeResult(sim.now, worker, OK, sim.aged(target)) })
 }
 
-func (n *simInstance) SetTimer(token uint32, at float64) {
-	n.sim.at(math.Max(at, n.sim.now+n.settings.Tick), func() { n.decider.HandleTimer(n.sim.now, token) })
+func (instance *simInstance) SetTimer(token uint32, at float64) {
+	instance.sim.at(math.Max(at, instance.sim.now+instance.settings.Tick), func() { instance.decider.HandleTimer(instance.sim.now, token) })
 }
-func (n *simInstance) Watch(on bool) {
+func (instance *simInstance) Watch(on bool) {
 	if on {
-		n.sim.at(n.sim.now+0.01, func() { n.decider.UpdateWorkers(n.sim.now, ListFull, n.sim.list()) })
+		instance.sim.at(instance.sim.now+0.01, func() { instance.decider.UpdateWorkers(instance.sim.now, ListFull, instance.sim.list()) })
 	}
 }
-func (n *simInstance) Fetch()     { n.Watch(true) }
-func (n *simInstance) Log(string) {}
+func (instance *simInstance) Fetch()     { instance.Watch(true) }
+func (instance *simInstance) Log(string) {}
 
 // run plays all events and returns the share of the value that was earned, in all and by class.
 func (sim *simulation) run() (share float64, byClass []float64) {
 	for {
-		at, do, is := sim.events.PopUntil(1000 + sim.plan.length + 60)
-		if !is {
+		at, do, pending := sim.events.PopUntil(1000 + sim.plan.length + 60)
+		if !pending {
 			break
 		}
 		sim.now = at
 		do()
 	}
-	asked, earned := 0.0, 0.0
-	for c := range sim.value {
-		asked, earned = asked+sim.value[c], earned+sim.earned[c]
-		byClass = append(byClass, sim.earned[c]/math.Max(sim.value[c], math.SmallestNonzeroFloat32))
+	offered, earned := 0.0, 0.0
+	for c := range sim.offeredValue {
+		offered, earned = offered+sim.offeredValue[c], earned+sim.earnedValue[c]
+		byClass = append(byClass, sim.earnedValue[c]/math.Max(sim.offeredValue[c], math.SmallestNonzeroFloat32))
 	}
-	return earned / asked, byClass
+	return earned / offered, byClass
 }
 
 // baseline sends to the worker with the fewest own jobs in the nearest zone, and elsewhere if it is rejected.
@@ -503,9 +503,9 @@
 	if kind != ListDelta {
 		b.ids = b.ids[:0]
 	}
-	for _, e := range entries {
-		b.ids = append(b.ids, e.ID)
-		b.workers[e.ID] = e
+	for _, entry := range entries {
+		b.ids = append(b.ids, entry.ID)
+		b.workers[entry.ID] = entry
 	}
 }
 
@@ -520,24 +520,24 @@
 	var best *Worker
 	score, ties := 0.0, 0
 	for _, id := range b.ids {
-		e := b.workers[id]
-		if e.State != Ready || class.Kind >= 0 && e.Kind != class.Kind {
+		worker := b.workers[id]
+		if worker.State != Ready || class.Kind >= 0 && worker.Kind != class.Kind {
 			continue
 		}
 		cost := float64(b.jobs[id])
-		if e.Zone != b.settings.Zone {
+		if worker.Zone != b.settings.Zone {
 			cost += 1e3
 		}
-		for _, was := range request.tried {
-			if was == id {
+		for _, tried := range request.tried {
+			if tried == id {
 				cost += 1e6
 			}
 		}
 		if best == nil || cost < score {
-			best, score, ties = &e, cost, 1
+			best, score, ties = &worker, cost, 1
 		} else if cost == score {
 			if ties++; b.random.IntN(ties) == 0 {
-				best = &e
+				best = &worker
 			}
 		}
 	}
