--- a/grpcbalancer/metrics.go
+++ b/grpcbalancer/metrics.go
@@ -10,7 +10,7 @@
 type MetricOptions struct {
 	// Zones and Kinds are names by the numbers in ServerInfo; those without a name go by their number.
 	Zones, Kinds []string
-	// MaxServers is how many servers have metrics of their own at one time, at most.
+	// MaxServers bounds how many servers have metrics of their own at a time.
 	MaxServers int
 }
 
--- a/internal/shared/membership/config.go
+++ b/internal/shared/membership/config.go
@@ -54,6 +54,6 @@
 	nameClaimAttempts      = 4    // pings of a process that claims the own name, before the claim is dismissed
 	nameReclaimInterval    = 20.0 // until a withdrawn node checks whether the name is free again
 	defaultDeadTTL         = 3600 // seconds
-	maxMembers             = 4096 // known at one time; bounds the memory that forged names can take
+	maxMembers             = 4096 // other members known at a time; bounds the memory that forged names can use
 	maxIndirectProbes      = 256  // pings in flight for other members
 )
--- a/internal/shared/membership/convergence.go
+++ b/internal/shared/membership/convergence.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// agreementThreshold returns how many members must agree until all are taken to agree.
+// agreementThreshold returns how many members must agree until all are assumed to agree.
 func (n *Node) agreementThreshold() int {
 	return min(n.alive, 2+int(math.Ceil(math.Log2(float64(n.alive+1)))))
 }
--- a/internal/shared/membership/record.go
+++ b/internal/shared/membership/record.go
@@ -145,7 +145,7 @@
 	return bits ^ bits>>31
 }
 
-// Bytes of a record and of its metadata beside their strings, at most.
+// Bytes of an encoded record and of its metadata without their strings, at most.
 const (
 	maxRecordOverhead   = 52
 	maxMetadataOverhead = 54
--- a/internal/shared/membership/view.go
+++ b/internal/shared/membership/view.go
@@ -13,7 +13,7 @@
 type View struct {
 	Members       []Member // ordered by name, this node among them
 	Digest        uint64   // equal at nodes with the same view
-	Converged     bool     // all members are taken to have the same view
+	Converged     bool     // all members are assumed to have the same view
 	Contacted     bool     // a message of another member has come
 	Recognized    bool     // see Node.Recognized
 	Withdrawn     bool     // see Node.Withdrawn
--- a/internal/system/placement/health.go
+++ b/internal/system/placement/health.go
@@ -58,7 +58,7 @@
 }
 
 // isSharedFault reports whether so many runners of the service are suspect at once that the fault is not theirs, or that
-// the remaining ones could not bear the load.
+// the remaining ones could not sustain the load.
 func (s *serviceState) isSharedFault() bool {
 	suspect := 0
 	for _, runner := range s.runners {
--- a/internal/system/placement/notices.go
+++ b/internal/system/placement/notices.go
@@ -17,7 +17,7 @@
 	maxNoticeRate         = 300.0                 // notices a second; if more come, only longer prompts are announced
 	noticeThresholdGrowth = 1.1                   // factor of the threshold after a period with too many notices
 	noticeThresholdDecay  = 0.98                  // factor of the threshold after any other period
-	noticeValidity        = 2 * time.Second       // how long after the last notice the others' prompts are taken to be known
+	noticeValidity        = 2 * time.Second       // how long after the last notice the others' prompts are assumed to be known
 )
 
 // NoticeKind says what a notice is about.
--- a/internal/system/placement/prefix_cache.go
+++ b/internal/system/placement/prefix_cache.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// isOwner reports whether a runner is taken to have the prefix cached.
+// isOwner reports whether a runner is assumed to have the prefix cached.
 func (o *prefixOwners) isOwner(runner *runnerState) bool {
 	if o.global {
 		return o.all.first == runner
--- a/internal/system/placement/rejection.go
+++ b/internal/system/placement/rejection.go
@@ -96,7 +96,7 @@
 }
 
 // isHopeless reports whether even the best runner would answer too late, while the eligible runners are busy. The second
-// condition keeps a wrong estimate of the wait from rejecting requests beside free slots.
+// condition keeps a wrong estimate of the wait from rejecting requests while slots are free.
 func (p *Placer) isHopeless(now time.Duration, service *serviceState, request *Request, wait float64) bool {
 	if wait <= service.shedding.maxWait(now, request) {
 		return false
@@ -110,7 +110,7 @@
 	return occupied >= minOccupiedShare*slots
 }
 
-// retryAfter is when a rejected client should come back: once the wait has gone down to what the request can bear.
+// retryAfter is when a rejected client should come back: once the wait has fallen to what the request may wait.
 func (p *Placer) retryAfter(now time.Duration, request *Request, wait float64) time.Duration {
 	remaining := request.Deadline - now
 	bearable := time.Duration(maxWaitShare * float64(remaining))
--- a/internal/system/placement/selection.go
+++ b/internal/system/placement/selection.go
@@ -109,7 +109,7 @@
 	case runner.ejection.IsEjected(now.Seconds()) || !sharedFault && runner.isAvoided(now):
 		return rankAvoided
 	case runner.isAvoided(now):
-		return rankNoSpare // so many are suspect that the others could not bear the load
+		return rankNoSpare // so many are suspect that the others could not sustain the load
 	case now < runner.saturatedUntil:
 		return rankSaturated
 	case runner.spareSlots < 1 || runner.spareTokens < demand.memoryTokens(owners.isOwner(runner)):
--- a/loadbalancer/balancer.go
+++ b/loadbalancer/balancer.go
@@ -24,7 +24,7 @@
 	sweepTicks            = 2    // the monitoring period is at least this many ticks: cheap enough
 	sweepShare            = 0.1  // and this share of the tightest objective: early enough to act
 	workersPerPlan        = 64   // workers planned in each period; a larger cluster less often: CPU is scarce
-	initialWorkShare      = 0.1  // share of its deadline that a job is taken to run before any has ended
+	initialWorkShare      = 0.1  // share of its deadline that a job is assumed to run before any ended
 	maxJobSlots           = 256  // slots of a job that count in the mean: one wrong value must not spoil it
 	maxWaitShare          = 0.7  // share of the classes' mean slack that a job may wait
 	defaultSlack          = 7.0  // objectives of slack of a class whose settings have no Stretch
--- a/loadbalancer/settings.go
+++ b/loadbalancer/settings.go
@@ -68,7 +68,7 @@
 	Instance              int           // the number of this dispatcher among them, from 0
 	ReportFields          []ReportField // of a load report, in order
 	ReportsByProbe        bool          // load reports come with probe results only
-	ListOnRequest         bool          // the worker list must be watched or fetched, it does not come by itself
+	ListOnRequest         bool          // the worker list must be watched or fetched, it is not pushed
 	MayProbe              bool          // load reports may be polled
 	MayCancel             bool          // attempts in flight may be cancelled
 	ParallelAttempts      bool          // two attempts of a request may be in flight together
