--- a/internal/system/proxy/chaos_test.go
+++ b/internal/system/proxy/chaos_test.go
@@ -90,14 +90,14 @@
 
 // drawResponse chooses what a runner does with a request that it has read.
 func (log *executionLog) drawResponse(id, previous string, stream bool, last string, random *rand.Rand) (text string, keep bool) {
-	switch random.IntN(24) {
-	case 0, 1:
+	switch random.IntN(28) { // rejections in a row exhaust some requests' attempts: about thirty requests of a run end as rejected
+	case 0, 1, 2, 3:
 		return "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Try-Id: " + id + "\r\nContent-Length: 0\r\n\r\n", true
-	case 2:
+	case 4, 5:
 		return "HTTP/1.1 429 Busy\r\nX-Not-Run: 1\r\nX-Try-Id: " + id + "\r\nContent-Length: 3\r\n\r\nabc", true
-	case 3:
+	case 6, 7:
 		return "HTTP/1.1 421 No\r\nX-Server-Id: x\r\nX-Try-Id: " + id + "\r\nContent-Length: 0\r\n\r\n", true
-	case 4: // without an id, the response can only be matched to a connection's first request
+	case 8, 9: // without an id, the response can only be matched to a connection's first request
 		return notRunWithoutID, true
 	}
 	log.add(id)
