--- a/internal/compatibility/calls_test.go
+++ b/internal/compatibility/calls_test.go
@@ -298,8 +298,10 @@
 // TestReadReportCalls checks a proxy's report to its agent. The test of package agent pins the call's name.
 func TestReadReportCalls(t *testing.T) {
 	report := &feed.ProxyReport{Ready: true, Stopping: true, Front: "10.0.0.1:80", Learnt: []byte{1, 0, 0}}
-	checkCall(t, rpc.Declare[feed.ProxyReport, feed.ProxyReportReply]("Proxy.Report"), "", report, &feed.ProxyReportReply{Learnt: []byte{1, 0, 0xff}})
-	checkCall(t, rpc.Declare[feed.ProxyReport, feed.ProxyReportReply]("Proxy.Report"), "zero", &feed.ProxyReport{}, &feed.ProxyReportReply{})
+	reply := &feed.ProxyReportReply{Learnt: []byte{1, 0, 0xff}}
+	method := rpc.Declare[feed.ProxyReport, feed.ProxyReportReply]("Proxy.Report")
+	checkCall(t, method, "", report, reply)
+	checkCall(t, method, "zero", &feed.ProxyReport{}, &feed.ProxyReportReply{})
 }
 
 // TestReadReplicaCalls checks the calls between control replicas. The test of package replica pins their names.
--- a/internal/compatibility/sent_test.go
+++ b/internal/compatibility/sent_test.go
@@ -36,10 +36,30 @@
 
 // TestReadMembershipDatagrams checks a message of each kind.
 func TestReadMembershipDatagrams(t *testing.T) {
-	whole := membership.Record{Name: "edge-1/edge", Addr: netip.MustParseAddrPort("10.0.0.1:7661"), Generation: 1_700_000_000_000, Incarnation: 3,
-		State: membership.Suspect, SuspectedBy: "core-1/control", DeadFor: 1.5, Metadata: &membership.Metadata{Seq: 4, Zone: "east-a", Version: "r1",
-			Serving: "serving", Console: "10.0.0.1:9000", SettingsHash: "0badcafe", OperatorHash: "0badf00d", ExcludedHash: "01234567",
-			OperatorAt: 1_700_000_001, ExcludedAt: 1_700_000_002, Lease: lease.Out, Role: "edge", Front: "10.0.0.1:80"}}
+	whole := membership.Record{
+		Name:        "edge-1/edge",
+		Addr:        netip.MustParseAddrPort("10.0.0.1:7661"),
+		Generation:  1_700_000_000_000,
+		Incarnation: 3,
+		State:       membership.Suspect,
+		SuspectedBy: "core-1/control",
+		DeadFor:     1.5,
+		Metadata: &membership.Metadata{
+			Seq:          4,
+			Zone:         "east-a",
+			Version:      "r1",
+			Serving:      "serving",
+			Console:      "10.0.0.1:9000",
+			SettingsHash: "0badcafe",
+			OperatorHash: "0badf00d",
+			ExcludedHash: "01234567",
+			OperatorAt:   1_700_000_001,
+			ExcludedAt:   1_700_000_002,
+			Lease:        lease.Out,
+			Role:         "edge",
+			Front:        "10.0.0.1:80",
+		},
+	}
 	short := membership.Record{Name: "b", Addr: netip.MustParseAddrPort("[fd00::1]:7661"), Generation: 1}
 	dead := membership.Record{Name: "c", Addr: netip.MustParseAddrPort("10.0.0.3:1"), Generation: 2, State: membership.Dead, DeadFor: 7}
 	left := membership.Record{Name: "d", Addr: netip.MustParseAddrPort("10.0.0.4:1"), Generation: 2, State: membership.Left}
@@ -48,8 +68,18 @@
 		parts[i] = uint64(i) << 50
 	}
 	for name, m := range map[string]*membership.Message{
-		"ping": {Kind: membership.Ping, From: whole, Number: 9, ViewDigest: 1 << 63, NamesDigest: 2, MetadataDigest: 3, Seq: 4, Subject: &short,
-			Records: []membership.Record{dead, left}, Payload: []byte("ride")},
+		"ping": {
+			Kind:           membership.Ping,
+			From:           whole,
+			Number:         9,
+			ViewDigest:     1 << 63,
+			NamesDigest:    2,
+			MetadataDigest: 3,
+			Seq:            4,
+			Subject:        &short,
+			Records:        []membership.Record{dead, left},
+			Payload:        []byte("ride"),
+		},
 		"ack":      {Kind: membership.Ack, From: short, Number: 1, Seq: 4, Subject: &whole},
 		"ping-req": {Kind: membership.IndirectPing, From: short, Number: 2, Seq: 5, Subject: &dead},
 		"nack":     {Kind: membership.Nack, From: short, Number: 3, Seq: 5, Subject: &dead},
@@ -71,9 +101,16 @@
 	for _, role := range []gossip.Role{gossip.Edge, gossip.Control} {
 		seed := must(net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0"))))(t)
 		t.Cleanup(func() { seed.Close() })
-		member := must(gossip.Start(gossip.Options{Node: "node-1", Role: role, Zone: "east-a", Version: "r1", Front: "10.0.0.1:80",
-			Listen: netip.MustParseAddrPort("127.0.0.1:0"), ProbeInterval: 10 * time.Millisecond,
-			Seeds: []netip.AddrPort{netip.MustParseAddrPort(seed.LocalAddr().String())}}))(t)
+		member := must(gossip.Start(gossip.Options{
+			Node:          "node-1",
+			Role:          role,
+			Zone:          "east-a",
+			Version:       "r1",
+			Front:         "10.0.0.1:80",
+			Listen:        netip.MustParseAddrPort("127.0.0.1:0"),
+			ProbeInterval: 10 * time.Millisecond,
+			Seeds:         []netip.AddrPort{netip.MustParseAddrPort(seed.LocalAddr().String())},
+		}))(t)
 		t.Cleanup(member.Close)
 		if err := seed.SetReadDeadline(time.Now().Add(callTimeout)); err != nil {
 			t.Fatal(err)
@@ -81,8 +118,13 @@
 		facts := receivedMetadata(t, seed)
 		want := map[gossip.Role]string{gossip.Edge: "edge", gossip.Control: "control"}[role]
 		facts.Seq = 0
-		expectEqual(t, "facts", facts, membership.Metadata{Zone: "east-a", Version: "r1", Serving: "starting", Role: want,
-			Front: "10.0.0.1:80"})
+		expectEqual(t, "facts", facts, membership.Metadata{
+			Zone:    "east-a",
+			Version: "r1",
+			Serving: "starting",
+			Role:    want,
+			Front:   "10.0.0.1:80",
+		})
 	}
 }
 
@@ -127,9 +169,18 @@
 }
 
 var (
-	runner = discovery.Runner{ID: "r-1", Service: "engine", Address: netip.MustParseAddrPort("10.1.0.1:8000"), Zone: "east-a", Capacity: 64,
-		Draining: true, SlowStartRemaining: 1500 * time.Millisecond, TimeToTermination: 2 * time.Second, Phase: "loading",
-		Models: []discovery.Model{{Name: "m", Version: 3}, {Name: "n", Version: -1}}}
+	runner = discovery.Runner{
+		ID:                 "r-1",
+		Service:            "engine",
+		Address:            netip.MustParseAddrPort("10.1.0.1:8000"),
+		Zone:               "east-a",
+		Capacity:           64,
+		Draining:           true,
+		SlowStartRemaining: 1500 * time.Millisecond,
+		TimeToTermination:  2 * time.Second,
+		Phase:              "loading",
+		Models:             []discovery.Model{{Name: "m", Version: 3}, {Name: "n", Version: -1}},
+	}
 	bare = discovery.Runner{ID: "r-2", Service: "plain", Address: netip.MustParseAddrPort("[fd00::2]:80")}
 )
 
@@ -139,9 +190,11 @@
 		recorded := compatibility.Here.Check(t, "discovery/runner-"+name, discovery.EncodeRunner(r))
 		expectEqual(t, name, must(discovery.DecodeRunner(recorded))(t), r)
 	}
-	const list = `{"instances":[{"id":"r-1","service":"engine","address":"10.1.0.1:8000","zone":"east-a","capacity":64,"state":"draining",` +
+	const list = `{"instances":[` +
+		`{"id":"r-1","service":"engine","address":"10.1.0.1:8000","zone":"east-a","capacity":64,"state":"draining",` +
 		`"cold_left_ms":1500,"time_left_ms":2000,"phase":"loading","models":[{"name":"m","version":3},{"name":"n","version":-1}]},` +
-		`{"id":"r-2","service":"plain","address":"[fd00::2]:80","state":"serving"}],"next_token":"t-2"}`
+		`{"id":"r-2","service":"plain","address":"[fd00::2]:80","state":"serving"}],` +
+		`"next_token":"t-2"}`
 	page, next, err := discovery.DecodeList([]byte(list))
 	if err != nil {
 		t.Fatal(err)
@@ -180,15 +233,42 @@
 	expectEqual(t, "document of items", string(read.Encode()), document)
 
 	expectEqual(t, "version", must(configuration.DecodeVersion(values["version"]))(t), 7)
-	expectEqual(t, "limits", *must(configuration.DecodeLimits(values["limits"]))(t), configuration.Limits{MaxHeaderBytes: 16384,
-		MaxBodyBytes: 4194304, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second})
-	expectEqual(t, "route", *must(configuration.DecodeRoute(values["route/r-1"]))(t), configuration.Route{Name: "r-1", Host: "a.example",
-		PathPrefix: "/one/", Type: configuration.Streaming, Timeout: 5 * time.Second, LatencyTarget: 800 * time.Millisecond,
-		EventGapTarget: 400 * time.Millisecond, Rank: 1, MaxAttempts: 1, PrefixAffinity: true, Resumable: true, HomeRegions: []string{"north"},
-		Shares: []configuration.Share{{Service: "engine", Weight: 90}, {Service: "plain", Weight: 10}}})
-	expectEqual(t, "service", *must(configuration.DecodeService(values["service/engine"]))(t), configuration.Service{Name: "engine",
-		HealthPath: "/health", MaxConnections: 360, SlowStartDuration: 3 * time.Second, SlowStartRate: 9.2, Backend: &configuration.Backend{Capacity: 64,
-			CacheTokens: 230413, CacheBytesPerToken: 327680, LinkMbps: 550000, TokensPerEvent: 4, Models: []string{"m"}}})
+	expectEqual(t, "limits", *must(configuration.DecodeLimits(values["limits"]))(t), configuration.Limits{
+		MaxHeaderBytes: 16384,
+		MaxBodyBytes:   4194304,
+		HeaderTimeout:  3 * time.Second,
+		IdleTimeout:    15 * time.Second,
+	})
+	expectEqual(t, "route", *must(configuration.DecodeRoute(values["route/r-1"]))(t), configuration.Route{
+		Name:           "r-1",
+		Host:           "a.example",
+		PathPrefix:     "/one/",
+		Type:           configuration.Streaming,
+		Timeout:        5 * time.Second,
+		LatencyTarget:  800 * time.Millisecond,
+		EventGapTarget: 400 * time.Millisecond,
+		Rank:           1,
+		MaxAttempts:    1,
+		PrefixAffinity: true,
+		Resumable:      true,
+		HomeRegions:    []string{"north"},
+		Shares:         []configuration.Share{{Service: "engine", Weight: 90}, {Service: "plain", Weight: 10}},
+	})
+	expectEqual(t, "service", *must(configuration.DecodeService(values["service/engine"]))(t), configuration.Service{
+		Name:              "engine",
+		HealthPath:        "/health",
+		MaxConnections:    360,
+		SlowStartDuration: 3 * time.Second,
+		SlowStartRate:     9.2,
+		Backend: &configuration.Backend{
+			Capacity:           64,
+			CacheTokens:        230413,
+			CacheBytesPerToken: 327680,
+			LinkMbps:           550000,
+			TokensPerEvent:     4,
+			Models:             []string{"m"},
+		},
+	})
 }
 
 // sameJSON compares a value with its recorded JSON, encoded and decoded.
@@ -202,34 +282,111 @@
 	expectEqual(t, name, read, value)
 }
 
-var seen = status.Control{Node: "core-1", Release: "r1", Version: 7, EvacuatedZones: []string{"east-a"}, ActiveProxies: 3, ReadyProxies: 2,
-	Discovery: status.Discovery{Holder: true, ListReceived: true, ListAgeMS: 120, CallCount: 9},
-	Partitions: []status.Partition{{Partition: 1, Replica: "01", Role: "leader", Term: 4, Leader: "01", CommitIndex: 8, AppliedIndex: 7, LastIndex: 9,
-		ItemCount: 5, StalenessMS: 11, LeaseMS: 900, Replicas: []status.Replica{{Replica: "01", Node: "core-1", Zone: "east-a",
-			Address: "10.0.0.9:7660", Voter: true}}}},
+var seen = status.Control{
+	Node:           "core-1",
+	Release:        "r1",
+	Version:        7,
+	EvacuatedZones: []string{"east-a"},
+	ActiveProxies:  3,
+	ReadyProxies:   2,
+	Discovery:      status.Discovery{Holder: true, ListReceived: true, ListAgeMS: 120, CallCount: 9},
+	Partitions: []status.Partition{{
+		Partition:    1,
+		Replica:      "01",
+		Role:         "leader",
+		Term:         4,
+		Leader:       "01",
+		CommitIndex:  8,
+		AppliedIndex: 7,
+		LastIndex:    9,
+		ItemCount:    5,
+		StalenessMS:  11,
+		LeaseMS:      900,
+		Replicas: []status.Replica{{
+			Replica: "01",
+			Node:    "core-1",
+			Zone:    "east-a",
+			Address: "10.0.0.9:7660",
+			Voter:   true,
+		}},
+	}},
 	Followers: []status.Follower{{Node: "edge-1", ConfigurationIndex: 12, Behind: true, SinceLastCallMS: 5}},
-	Members: []status.Member{{Node: "edge-1", Address: "10.0.0.1", State: "alive", StateAgeMS: 8, Role: "edge", Zone: "east-a",
-		Serving: "serving", FrontAddress: "10.0.0.1:80", Release: "r1"}}}
+	Members: []status.Member{{
+		Node:         "edge-1",
+		Address:      "10.0.0.1",
+		State:        "alive",
+		StateAgeMS:   8,
+		Role:         "edge",
+		Zone:         "east-a",
+		Serving:      "serving",
+		FrontAddress: "10.0.0.1:80",
+		Release:      "r1",
+	}},
+}
 
 // TestReadStatus checks the status of control machines and of dispatchers.
 func TestReadStatus(t *testing.T) {
 	sameJSON(t, "status/control.json", seen)
-	sameJSON(t, "status/fleet.json", cluster.Status{Cluster: "f", Self: "n0", Digest: "00ff", Converged: true, TimeoutFactor: 1,
-		Members: []cluster.Member{{Name: "n0", Address: "10.0.0.1:1", Zone: "m", State: "alive", Incarnation: 2, SinceMS: 3, Serving: "serving",
-			Console: "10.0.0.1:2", Generation: 4, Version: map[string]string{"program": "p"}, VersionMS: map[string]int64{"program": 5},
-			ListVersion: &versions.Version{Source: "d", Epoch: 1, Revision: 6}, ListVersionMS: 7}},
-		Share: cluster.StatusShare{Instances: 3, Index: 1, Fraction: 0.25, Reason: "view"}, Drops: map[string]uint64{"broken": 1},
+	sameJSON(t, "status/fleet.json", cluster.Status{
+		Cluster:       "f",
+		Self:          "n0",
+		Digest:        "00ff",
+		Converged:     true,
+		TimeoutFactor: 1,
+		Members: []cluster.Member{{
+			Name:          "n0",
+			Address:       "10.0.0.1:1",
+			Zone:          "m",
+			State:         "alive",
+			Incarnation:   2,
+			SinceMS:       3,
+			Serving:       "serving",
+			Console:       "10.0.0.1:2",
+			Generation:    4,
+			Version:       map[string]string{"program": "p"},
+			VersionMS:     map[string]int64{"program": 5},
+			ListVersion:   &versions.Version{Source: "d", Epoch: 1, Revision: 6},
+			ListVersionMS: 7,
+		}},
+		Share:        cluster.StatusShare{Instances: 3, Index: 1, Fraction: 0.25, Reason: "view"},
+		Drops:        map[string]uint64{"broken": 1},
 		Restrictions: []cluster.StatusRestriction{{Worker: "w", State: "gone", Revision: 9, From: "n1"}},
 		Lease:        cluster.StatusLease{State: "held", Reason: "word", AgeS: 0.5},
-		Orders:       []versions.Order{{Member: "n2", Out: true, Number: 1, By: "n0", At: 1.7e9}}})
-	sameJSON(t, "status/audit.json", auditlog.Report{Clocks: []auditlog.ClockOffset{{Dispatcher: "n0", Lead: 0.5, Uncertainty: 0.25, Reason: "w", Known: true}},
-		Versions: []auditlog.Version{{Source: "d", Epoch: 1, Revision: 2, First: "n0", At: 3, Adoptions: []auditlog.Adoption{{Dispatcher: "n1", After: 4, Uncertainty: 5, ByPeer: true}},
-			Never: []string{"n2"}}},
+		Orders:       []versions.Order{{Member: "n2", Out: true, Number: 1, By: "n0", At: 1.7e9}},
+	})
+	sameJSON(t, "status/audit.json", auditlog.Report{
+		Clocks: []auditlog.ClockOffset{{Dispatcher: "n0", Lead: 0.5, Uncertainty: 0.25, Reason: "w", Known: true}},
+		Versions: []auditlog.Version{{
+			Source:    "d",
+			Epoch:     1,
+			Revision:  2,
+			First:     "n0",
+			At:        3,
+			Adoptions: []auditlog.Adoption{{Dispatcher: "n1", After: 4, Uncertainty: 5, ByPeer: true}},
+			Never:     []string{"n2"},
+		}},
 		Violations: []auditlog.Violation{{Dispatcher: "n0", Rule: "r", Node: "w", Attempts: 6, First: "x", At: 7, LatestAfter: 8}},
-		Stragglers: []auditlog.Straggler{{Dispatcher: "n1", Cause: "c", Revision: 9, LastRevision: 10, Since: 11, Duration: 12, Never: true, Attempts: 13}},
-		Gaps:       []string{"h"}, Inconclusive: []string{"u"}, Attempts: 14, Judged: 15})
+		Stragglers: []auditlog.Straggler{{
+			Dispatcher:   "n1",
+			Cause:        "c",
+			Revision:     9,
+			LastRevision: 10,
+			Since:        11,
+			Duration:     12,
+			Never:        true,
+			Attempts:     13,
+		}},
+		Gaps:         []string{"h"},
+		Inconclusive: []string{"u"},
+		Attempts:     14,
+		Judged:       15,
+	})
 	sameJSON(t, "status/receipt.json", client.Acknowledgement{Machine: "10.0.0.9:8080", Attempts: 2, Version: 7})
-	sameJSON(t, "status/problem.json", client.ErrorDetails{Code: "invalid", Message: "no", Problems: []client.Problem{{Path: "p", Message: "q"}}})
+	sameJSON(t, "status/problem.json", client.ErrorDetails{
+		Code:     "invalid",
+		Message:  "no",
+		Problems: []client.Problem{{Path: "p", Message: "q"}},
+	})
 }
 
 // TestReadControlResponses checks the requests of the operator's client, and how it reads recorded responses. The test of
@@ -262,14 +419,21 @@
 	machine := strings.TrimPrefix(server.URL, "http://")
 	caller := &client.Client{Addresses: []string{machine}, Timeout: callTimeout}
 	expectEqual(t, "read", *must(caller.Read(ctx))(t), client.Document{Version: 7, Body: []byte(document)})
-	expectEqual(t, "replace", *must(caller.Replace(ctx, 7, []byte("{}")))(t), client.Acknowledgement{Machine: machine, Attempts: 1, Version: 8})
+	expectEqual(t, "replace", *must(caller.Replace(ctx, 7, []byte("{}")))(t), client.Acknowledgement{
+		Machine:  machine,
+		Attempts: 1,
+		Version:  8,
+	})
 	_, err := caller.Change(ctx, 8, []byte("[]"))
 	var refused *client.RejectedError
 	if !errors.As(err, &refused) {
 		t.Fatal(err)
 	}
-	expectEqual(t, "problem", refused.Details, client.ErrorDetails{Code: "version_conflict", Message: "another version is in force: 9",
-		Problems: []client.Problem{{Path: "routes[0]", Message: "is odd"}}})
+	expectEqual(t, "problem", refused.Details, client.ErrorDetails{
+		Code:     "version_conflict",
+		Message:  "another version is in force: 9",
+		Problems: []client.Problem{{Path: "routes[0]", Message: "is odd"}},
+	})
 	expectEqual(t, "begin", *must(caller.Drain(ctx, "east-a", true))(t), client.Acknowledgement{Machine: machine, Attempts: 1})
 	expectEqual(t, "finish", *must(caller.Drain(ctx, "east-a", false))(t), client.Acknowledgement{Machine: machine, Attempts: 1})
 	_, got, err := caller.Status(ctx)
@@ -283,7 +447,8 @@
 
 func refuse(w http.ResponseWriter) {
 	w.WriteHeader(http.StatusPreconditionFailed)
-	io.WriteString(w, `{"error":{"code":"version_conflict","message":"another version is in force: 9","findings":[{"place":"routes[0]","problem":"is odd"}]}}`)
+	io.WriteString(w, `{"error":{"code":"version_conflict","message":"another version is in force: 9",`+
+		`"findings":[{"place":"routes[0]","problem":"is odd"}]}}`)
 }
 
 type edges []directory.Edge
@@ -293,9 +458,12 @@
 // TestDirectoryReplies checks the directory's replies to clients.
 func TestDirectoryReplies(t *testing.T) {
 	expectEqual(t, "path", directory.Path, "/-/lookup")
-	handler := &directory.Handler{MaxTTL: 1500 * time.Millisecond, Source: edges{
-		{Node: "edge-1", Address: netip.MustParseAddrPort("10.0.0.1:80"), Zone: "east-a", Region: "east", Ready: true},
-		{Node: "edge-2", Address: netip.MustParseAddrPort("10.0.0.2:80"), Zone: "west-a", Region: "west", Ready: true}}}
+	handler := &directory.Handler{
+		MaxTTL: 1500 * time.Millisecond,
+		Source: edges{
+			{Node: "edge-1", Address: netip.MustParseAddrPort("10.0.0.1:80"), Zone: "east-a", Region: "east", Ready: true},
+			{Node: "edge-2", Address: netip.MustParseAddrPort("10.0.0.2:80"), Zone: "west-a", Region: "west", Ready: true}},
+	}
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/-/lookup?region=east&zone=east-a", nil))
 	expectEqual(t, "answer", recorder.Body.String(), `{"addresses":["10.0.0.1:80"],"cache_ttl_s":1.5}`)
@@ -332,8 +500,17 @@
 // server checks their bodies.
 func TestReadHandoverFrames(t *testing.T) {
 	var frames []byte
-	kinds := []handover.Kind{handover.Hello, handover.State, handover.Takeover, handover.Session, handover.SessionReceived, handover.CallbackQuery,
-		handover.Order, handover.Answer, handover.Metrics}
+	kinds := []handover.Kind{
+		handover.Hello,
+		handover.State,
+		handover.Takeover,
+		handover.Session,
+		handover.SessionReceived,
+		handover.CallbackQuery,
+		handover.Order,
+		handover.Answer,
+		handover.Metrics,
+	}
 	for i, kind := range kinds {
 		frames = handover.AppendFrame(frames, kind, []byte(strings.Repeat("x", i)))
 	}
@@ -349,10 +526,35 @@
 	}
 	expectEqual(t, "rest", len(rest), 0)
 	sameJSON(t, "handover-session.json", httpfront.SessionState{HasRequested: true, HasSent: true, HasCallback: true, AcceptedAt: 12.5})
-	sameJSON(t, "handover-learnt.json", loadbalancer.Snapshot{WorkByClass: []float64{1}, ZoneLatencies: []float64{2}, Pace: 3, RunTime: 4, SlotsPerJob: 5, ReportPeriod: 6, PlannedAt: 7,
-		Kinds: map[int]loadbalancer.KindSnapshot{1: {Pace: 0.5, Slots: 8}},
-		Workers: map[loadbalancer.WorkerID]*loadbalancer.WorkerSnapshot{9: {StartedAt: 1, Reported: true, InFlight: 2, Utilization: 0.5, ReportedAt: 3, OtherJobs: 4, Slots: 5,
-			LoadLimit: 6, UtilizationLimit: 0.75, Pace: 8, RunTime: 9, ErrorRate: 10, Observed: true, EjectedUntil: 11, EjectionDuration: 12, SentWork: []float64{13}, SentSpan: 14}}})
+	sameJSON(t, "handover-learnt.json", loadbalancer.Snapshot{
+		WorkByClass:   []float64{1},
+		ZoneLatencies: []float64{2},
+		Pace:          3,
+		RunTime:       4,
+		SlotsPerJob:   5,
+		ReportPeriod:  6,
+		PlannedAt:     7,
+		Kinds:         map[int]loadbalancer.KindSnapshot{1: {Pace: 0.5, Slots: 8}},
+		Workers: map[loadbalancer.WorkerID]*loadbalancer.WorkerSnapshot{9: {
+			StartedAt:        1,
+			Reported:         true,
+			InFlight:         2,
+			Utilization:      0.5,
+			ReportedAt:       3,
+			OtherJobs:        4,
+			Slots:            5,
+			LoadLimit:        6,
+			UtilizationLimit: 0.75,
+			Pace:             8,
+			RunTime:          9,
+			ErrorRate:        10,
+			Observed:         true,
+			EjectedUntil:     11,
+			EjectionDuration: 12,
+			SentWork:         []float64{13},
+			SentSpan:         14,
+		}},
+	})
 }
 
 // TestReadPlatformResponses checks how a dispatcher reads the platform's list and a runner's callback.
@@ -364,9 +566,24 @@
 		t.Fatal(err, bad)
 	}
 	expectEqual(t, "rev", []any{list.Revision, list.Full}, []any{int64(12), true})
-	expectEqual(t, "targets", list.Entries, []httpfront.Entry{{UID: "u", Endpoint: "10.0.0.1:80", Zone: "m", Kind: "k", Cell: 2, State: "ready",
-		Weight: 1.5, StartedAtMs: 1700000000000}})
+	expectEqual(t, "targets", list.Entries, []httpfront.Entry{{
+		UID:         "u",
+		Endpoint:    "10.0.0.1:80",
+		Zone:        "m",
+		Kind:        "k",
+		Cell:        2,
+		State:       "ready",
+		Weight:      1.5,
+		StartedAtMs: 1700000000000,
+	}})
 	expectEqual(t, "list again", string(must(json.Marshal(list))(t)), text)
 	news := must(httpfront.ParseCallback([]byte(`{"id":"x","from":"u","state":"ended","share":0.5,"result":"ok","load":{"util":0.25}}`)))(t)
-	expectEqual(t, "news", news, httpfront.Callback{ID: "x", Runner: "u", State: "ended", Progress: 0.5, Result: "ok", Load: httpfront.LoadReport{"util": 0.25}})
+	expectEqual(t, "news", news, httpfront.Callback{
+		ID:       "x",
+		Runner:   "u",
+		State:    "ended",
+		Progress: 0.5,
+		Result:   "ok",
+		Load:     httpfront.LoadReport{"util": 0.25},
+	})
 }
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -84,12 +84,31 @@
 // TestReadConsensusMessages checks a message of each kind.
 func TestReadConsensusMessages(t *testing.T) {
 	for name, m := range map[string]consensus.Message{
-		"pre-vote":         {Kind: consensus.MessagePreVote, From: 1, To: 2, Term: 7, Index: 300, LogTerm: 6},
-		"pre-vote-reply":   {Kind: consensus.MessagePreVoteReply, From: 2, To: 1, Term: 7, Reject: true},
-		"vote":             {Kind: consensus.MessageVote, From: 1, To: 2, Term: 7, Index: 300, LogTerm: 6, Force: true},
-		"vote-reply":       {Kind: consensus.MessageVoteReply, From: 2, To: 1, Term: 7},
-		"append":           {Kind: consensus.MessageAppend, From: 1, To: 2, Term: 7, Index: 299, LogTerm: 4, Commit: 298, Round: 9, Entries: []consensus.Entry{command, change}},
-		"append-reply":     {Kind: consensus.MessageAppendReply, From: 2, To: 1, Term: 7, Index: 299, RejectHint: 250, Round: 9, Reject: true},
+		"pre-vote":       {Kind: consensus.MessagePreVote, From: 1, To: 2, Term: 7, Index: 300, LogTerm: 6},
+		"pre-vote-reply": {Kind: consensus.MessagePreVoteReply, From: 2, To: 1, Term: 7, Reject: true},
+		"vote":           {Kind: consensus.MessageVote, From: 1, To: 2, Term: 7, Index: 300, LogTerm: 6, Force: true},
+		"vote-reply":     {Kind: consensus.MessageVoteReply, From: 2, To: 1, Term: 7},
+		"append": {
+			Kind:    consensus.MessageAppend,
+			From:    1,
+			To:      2,
+			Term:    7,
+			Index:   299,
+			LogTerm: 4,
+			Commit:  298,
+			Round:   9,
+			Entries: []consensus.Entry{command, change},
+		},
+		"append-reply": {
+			Kind:       consensus.MessageAppendReply,
+			From:       2,
+			To:         1,
+			Term:       7,
+			Index:      299,
+			RejectHint: 250,
+			Round:      9,
+			Reject:     true,
+		},
 		"install-snapshot": {Kind: consensus.MessageInstallSnapshot, From: 1, To: 0x8000000000000001, Term: 7, Snapshot: &snapshot},
 		"snapshot-reply":   {Kind: consensus.MessageInstallSnapshotReply, From: 2, To: 1, Term: 7, Index: 299},
 		"timeout-now":      {Kind: consensus.MessageTimeoutNow, From: 1, To: 2, Term: 7},
@@ -133,8 +152,11 @@
 	}
 	for partition, want := range map[feed.Partition]consensus.PersistentState{
 		0: {HardState: hard, Snapshot: snapshot, Entries: []consensus.Entry{command, change}},
-		1: {HardState: consensus.HardState{Term: 1, Vote: 2, Commit: 1}, Snapshot: consensus.Snapshot{Membership: group},
-			Entries: []consensus.Entry{{Index: 1, Term: 1}}},
+		1: {
+			HardState: consensus.HardState{Term: 1, Vote: 2, Commit: 1},
+			Snapshot:  consensus.Snapshot{Membership: group},
+			Entries:   []consensus.Entry{{Index: 1, Term: 1}},
+		},
 	} {
 		got, found, err := store.Load(partition)
 		if err != nil || !found {
@@ -151,14 +173,23 @@
 func writeStateFolder(t *testing.T, folder string) map[string][]byte {
 	t.Helper()
 	store := must(storage.Open(folder))(t)
-	founding := storage.Update{Partition: 1, InstalledSnapshot: &consensus.Snapshot{Membership: group},
-		HardState: &consensus.HardState{Term: 1, Vote: 2, Commit: 1},
-		Entries:   []consensus.Entry{{Index: 1, Term: 1}}, CommitIndex: 1}
+	founding := storage.Update{
+		Partition:         1,
+		InstalledSnapshot: &consensus.Snapshot{Membership: group},
+		HardState:         &consensus.HardState{Term: 1, Vote: 2, Commit: 1},
+		Entries:           []consensus.Entry{{Index: 1, Term: 1}},
+		CommitIndex:       1,
+	}
 	if err := store.Initialize(0x8000000000000001, founding); err != nil {
 		t.Fatal(err)
 	}
-	if err := store.Write(storage.Update{Partition: 0, InstalledSnapshot: &snapshot, HardState: &hard,
-		Entries: []consensus.Entry{command, change}, CommitIndex: 300}); err != nil {
+	if err := store.Write(storage.Update{
+		Partition:         0,
+		InstalledSnapshot: &snapshot,
+		HardState:         &hard,
+		Entries:           []consensus.Entry{command, change},
+		CommitIndex:       300,
+	}); err != nil {
 		t.Fatal(err)
 	}
 	files := map[string][]byte{}
@@ -213,11 +244,18 @@
 // TestReadControlCommands checks the commands in the logs of control replicas, their results, and the snapshots of the
 // states that they lead to.
 func TestReadControlCommands(t *testing.T) {
-	commit := state.CommitConfiguration{BaseVersion: 0, Version: 7, Digest: state.Digest{1, 2, 15: 0xff},
-		Writes: []state.Write{{Key: "limits", Value: []byte(`{"max_body_bytes":1}`)}, {Key: "route/old", Deleted: true}}}
+	commit := state.CommitConfiguration{
+		BaseVersion: 0,
+		Version:     7,
+		Digest:      state.Digest{1, 2, 15: 0xff},
+		Writes:      []state.Write{{Key: "limits", Value: []byte(`{"max_body_bytes":1}`)}, {Key: "route/old", Deleted: true}},
+	}
 	evacuate := state.SetEvacuation{Zone: "east-a", Evacuated: true, ExpectedRevision: 0}
 	back := state.SetEvacuation{Zone: "east-a", ExpectedRevision: 11}
-	runners := state.WriteRunners{ExpectedRevision: 0, Writes: []state.Write{{Key: "runner/r-1", Value: []byte("one")}, {Key: "runner/r-2", Value: []byte{}}}}
+	runners := state.WriteRunners{
+		ExpectedRevision: 0,
+		Writes:           []state.Write{{Key: "runner/r-1", Value: []byte("one")}, {Key: "runner/r-2", Value: []byte{}}},
+	}
 
 	configuration := state.NewConfiguration(zero, nothing)
 	for _, step := range []struct {
@@ -262,15 +300,23 @@
 
 	partition := state.NewRunners(1, zero, nothing)
 	recorded = compatibility.Here.Check(t, "control/command-runners", runners.Encode())
-	expectEqual(t, "runners", must(state.DecodeResult(partition.Apply(20, recorded)))(t), state.Result{Outcome: state.OutcomeAccepted, Revision: 20})
+	expectEqual(t, "runners", must(state.DecodeResult(partition.Apply(20, recorded)))(t), state.Result{
+		Outcome:  state.OutcomeAccepted,
+		Revision: 20,
+	})
 	recorded = compatibility.Here.Check(t, "control/snapshot-runners", partition.Snapshot())
 	partition = state.NewRunners(1, zero, nothing)
 	if err := partition.Restore(20, recorded); err != nil {
 		t.Fatal(err)
 	}
 	expectEqual(t, "changed", partition.Revision(), 20)
-	expectEqual(t, "batch", partition.Since(0, 0), feed.Batch{Partition: 1, Snapshot: true, To: 20, Items: []feed.Item{
-		{Key: "runner/r-1", Index: 20, Value: []byte("one")}, {Key: "runner/r-2", Index: 20, Value: []byte{}}}})
+	expectEqual(t, "batch", partition.Since(0, 0), feed.Batch{
+		Partition: 1,
+		Snapshot:  true,
+		To:        20,
+		Items: []feed.Item{
+			{Key: "runner/r-1", Index: 20, Value: []byte("one")}, {Key: "runner/r-2", Index: 20, Value: []byte{}}},
+	})
 }
 
 // TestReadFeedTables checks an encoded table of the feed.
@@ -282,8 +328,15 @@
 	recorded := compatibility.Here.Check(t, "feed/table", table.Encode(3*time.Second))
 	read := must(feed.DecodeTable(time.Minute, recorded))(t)
 	expectEqual(t, "position", read.Position(), feed.Position{Partition: 2, Index: 9})
-	expectEqual(t, "delta", read.BatchSince(time.Minute, 5, 0), feed.Batch{Partition: 2, From: 5, To: 9, Items: []feed.Item{
-		{Key: "runner/b", Index: 6, Value: []byte{}, Age: 2 * time.Second}, {Key: "runner/a", Index: 9, Deleted: true, Age: time.Second}}})
+	expectEqual(t, "delta", read.BatchSince(time.Minute, 5, 0), feed.Batch{
+		Partition: 2,
+		From:      5,
+		To:        9,
+		Items: []feed.Item{
+			{Key: "runner/b", Index: 6, Value: []byte{}, Age: 2 * time.Second},
+			{Key: "runner/a", Index: 9, Deleted: true, Age: time.Second},
+		},
+	})
 	expectEqual(t, "again", read.Encode(time.Minute), recorded)
 }
 
@@ -292,8 +345,12 @@
 func TestReadPackedBatches(t *testing.T) {
 	batch := feed.Batch{Partition: 1, Snapshot: true, To: 90}
 	for i := range 64 {
-		batch.Items = append(batch.Items, feed.Item{Key: fmt.Sprintf("runner/r-%02d", i), Index: uint64(i + 1),
-			Value: bytes.Repeat([]byte{byte(i)}, 40), Age: time.Duration(i) * time.Millisecond})
+		batch.Items = append(batch.Items, feed.Item{
+			Key:   fmt.Sprintf("runner/r-%02d", i),
+			Index: uint64(i + 1),
+			Value: bytes.Repeat([]byte{byte(i)}, 40),
+			Age:   time.Duration(i) * time.Millisecond,
+		})
 	}
 	batch.Items[7] = feed.Item{Key: "runner/r-07", Index: 8, Deleted: true, Age: 5}
 	packed := batch.Pack()
@@ -350,22 +407,48 @@
 	for series, value, ok := reader.Next(); ok; series, value, ok = reader.Next() {
 		values[series] = value
 	}
-	expectEqual(t, "values", values, map[telemetry.Series]float64{{Name: "classes.score.answers.in_time", Kind: telemetry.Counter}: 40,
-		{Name: "share", Kind: telemetry.Gauge}: 0.5})
+	expectEqual(t, "values", values, map[telemetry.Series]float64{
+		{Name: "classes.score.answers.in_time", Kind: telemetry.Counter}: 40,
+		{Name: "share", Kind: telemetry.Gauge}:                           0.5,
+	})
 }
 
 // TestReadRequestLogs checks lines of the request log, with its own reader and with that of the audit log.
 func TestReadRequestLogs(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
-	log := must(requestlog.Open(requestlog.Options{Path: path, DispatcherName: "n0", Incarnation: "k3f", Classes: []string{"score"},
-		NodeSlot: func(w loadbalancer.WorkerID) string { return fmt.Sprintf("m.k.0.%d", w) }}))(t)
-	log.LogAnswer(&dispatch.AnswerRecord{ID: "x", Front: "platform", Verdict: dispatch.Served, ArrivedAt: 100, AnsweredAt: 100.25, TargetAt: 101,
-		StartedAt: 100.1, WinningAttempt: 1, AuditMark: 12, Attempts: []dispatch.AttemptRecord{
+	log := must(requestlog.Open(requestlog.Options{
+		Path:           path,
+		DispatcherName: "n0",
+		Incarnation:    "k3f",
+		Classes:        []string{"score"},
+		NodeSlot:       func(w loadbalancer.WorkerID) string { return fmt.Sprintf("m.k.0.%d", w) },
+	}))(t)
+	log.LogAnswer(&dispatch.AnswerRecord{
+		ID:             "x",
+		Front:          "platform",
+		Verdict:        dispatch.Served,
+		ArrivedAt:      100,
+		AnsweredAt:     100.25,
+		TargetAt:       101,
+		StartedAt:      100.1,
+		WinningAttempt: 1,
+		AuditMark:      12,
+		Attempts: []dispatch.AttemptRecord{
 			{Worker: 1, MemberName: "a", SentAt: 100, EndedAt: 100.05, Result: loadbalancer.Rejected, AuditMark: 11},
 			{Worker: 2, Attempt: 1, MemberName: "b", SentAt: 100.05, StartedAt: 100.1, EndedAt: 100.25, Hedged: true},
-			{Worker: 3, Attempt: 2, MemberName: "c", SentAt: 100.2}}})
-	log.LogAnswer(&dispatch.AnswerRecord{ID: "y", Front: "gearman", Class: -1, Verdict: dispatch.Rejected, Reason: dispatch.ReasonNoCapacity, ArrivedAt: 100,
-		AnsweredAt: 100, RetryAfter: 0.5, WinningAttempt: -1})
+			{Worker: 3, Attempt: 2, MemberName: "c", SentAt: 100.2}},
+	})
+	log.LogAnswer(&dispatch.AnswerRecord{
+		ID:             "y",
+		Front:          "gearman",
+		Class:          -1,
+		Verdict:        dispatch.Rejected,
+		Reason:         dispatch.ReasonNoCapacity,
+		ArrivedAt:      100,
+		AnsweredAt:     100,
+		RetryAfter:     0.5,
+		WinningAttempt: -1,
+	})
 	log.Close()
 	recorded := compatibility.Here.Check(t, "request-log", must(os.ReadFile(path))(t))
 
@@ -392,15 +475,26 @@
 	if err := auditlog.Read(bytes.NewReader(recorded), nil, func(s *auditlog.Attempt) { sent = append(sent, *s) }, bad); err != nil {
 		t.Fatal(err)
 	}
-	expectEqual(t, "sent", sent, []auditlog.Attempt{{Dispatcher: "n0", Generation: "k3f", ID: "x", Node: "a", At: 100, Mark: 11},
-		{Dispatcher: "n0", Generation: "k3f", ID: "x", Node: "b", At: 100.05}, {Dispatcher: "n0", Generation: "k3f", ID: "x", Node: "c", At: 100.2}})
+	expectEqual(t, "sent", sent, []auditlog.Attempt{
+		{Dispatcher: "n0", Generation: "k3f", ID: "x", Node: "a", At: 100, Mark: 11},
+		{Dispatcher: "n0", Generation: "k3f", ID: "x", Node: "b", At: 100.05},
+		{Dispatcher: "n0", Generation: "k3f", ID: "x", Node: "c", At: 100.2},
+	})
 }
 
 // TestReadAuditLogs checks an entry of each kind.
 func TestReadAuditLogs(t *testing.T) {
 	entries := []auditlog.Entry{
 		{Kind: auditlog.Started, Program: "p1", Settings: "s1", Operator: "o1"},
-		{Kind: auditlog.ListApplied, Source: "d", Epoch: 1, Revision: 8, Cached: true, Workers: []auditlog.Worker{{Name: "w", State: "ready", Start: 17, Revision: 7}}, OmittedWorkers: 2},
+		{
+			Kind:           auditlog.ListApplied,
+			Source:         "d",
+			Epoch:          1,
+			Revision:       8,
+			Cached:         true,
+			Workers:        []auditlog.Worker{{Name: "w", State: "ready", Start: 17, Revision: 7}},
+			OmittedWorkers: 2,
+		},
 		{Kind: auditlog.FactsReceived, From: "n1", Source: "d", Revision: 9, Workers: []auditlog.Worker{{Name: "w", State: "gone"}}},
 		{Kind: auditlog.CaughtUp, From: "n1", Revision: 9},
 		{Kind: auditlog.NewerKnown, From: "n1", Revision: 10},
@@ -431,7 +525,10 @@
 		t.Fatal(err)
 	}
 	for i := range entries {
-		entries[i].Time, entries[i].Dispatcher, entries[i].Generation, entries[i].Number = 1_700_000_000+float64(i)/4, "n0", "gqll7vatq8", uint64(i+1)
+		entries[i].Time = 1_700_000_000 + float64(i)/4
+		entries[i].Dispatcher = "n0"
+		entries[i].Generation = "gqll7vatq8"
+		entries[i].Number = uint64(i + 1)
 	}
 	expectEqual(t, "entries", got, entries)
 }
@@ -444,10 +541,48 @@
 		name    string
 		command jobstate.Command
 	}{
-		{"take", jobstate.Command{Kind: jobstate.CommandSubmit, TimeMS: 1000, Proposer: "n0.k3f", Tenant: "t", Key: "k", Class: "score", Function: "f", Priority: -1, Effect: jobstate.Keyed, DeduplicationWindowMS: 5000, Data: []byte("job")}},
+		{
+			"take",
+			jobstate.Command{
+				Kind:                  jobstate.CommandSubmit,
+				TimeMS:                1000,
+				Proposer:              "n0.k3f",
+				Tenant:                "t",
+				Key:                   "k",
+				Class:                 "score",
+				Function:              "f",
+				Priority:              -1,
+				Effect:                jobstate.Keyed,
+				DeduplicationWindowMS: 5000,
+				Data:                  []byte("job"),
+			},
+		},
 		{"send", jobstate.Command{Kind: jobstate.CommandSend, TimeMS: 1001, Proposer: "n0.k3f", ID: 1, Worker: "w", WorkerGroup: "g"}},
-		{"end", jobstate.Command{Kind: jobstate.CommandEnd, TimeMS: 1002, Proposer: "n0.k3f", ID: 1, FencingToken: 1, Data: []byte("result"), Failed: true}},
-		{"take-other", jobstate.Command{Kind: jobstate.CommandSubmit, TimeMS: 1003, Proposer: "n0.k3f", Tenant: "t", Class: "score", Function: "g", Effect: jobstate.Unsafe, Data: []byte{0}}},
+		{
+			"end",
+			jobstate.Command{
+				Kind:         jobstate.CommandEnd,
+				TimeMS:       1002,
+				Proposer:     "n0.k3f",
+				ID:           1,
+				FencingToken: 1,
+				Data:         []byte("result"),
+				Failed:       true,
+			},
+		},
+		{
+			"take-other",
+			jobstate.Command{
+				Kind:     jobstate.CommandSubmit,
+				TimeMS:   1003,
+				Proposer: "n0.k3f",
+				Tenant:   "t",
+				Class:    "score",
+				Function: "g",
+				Effect:   jobstate.Unsafe,
+				Data:     []byte{0},
+			},
+		},
 		{"send-other", jobstate.Command{Kind: jobstate.CommandSend, TimeMS: 1004, Proposer: "n0.k3f", ID: 4, Worker: "w"}},
 		{"give-up", jobstate.Command{Kind: jobstate.CommandAbandon, TimeMS: 1005, Proposer: "n1.k3g", ID: 4, FencingToken: 1}},
 		{"exclude", jobstate.Command{Kind: jobstate.CommandExclude, TimeMS: 1006, Proposer: "n1.k3g", Worker: "w"}},
@@ -472,9 +607,26 @@
 	expectEqual(t, "digest", read.Digest(), uint64(jobStateDigest))
 	expectEqual(t, "excluded", []bool{read.Excluded("w"), read.Excluded("v")}, []bool{true, false})
 	expectEqual(t, "found", read.FindByKey("t", "k").ID, 1)
-	expectEqual(t, "first", *read.Job(1), jobstate.Job{ID: 1, Tenant: "t", Key: "k", Class: "score", Function: "f", Priority: -1, Effect: jobstate.Keyed,
-		DeduplicationWindowMS: 5000, State: jobstate.Failed, FencingToken: 1, Owner: "n0.k3f", Worker: "w", WorkerGroup: "g", FirstSentMS: 1001, EndedMS: 1002,
-		Result: []byte("result"), SubmittedMS: 1000, Fingerprint: jobFingerprint})
+	expectEqual(t, "first", *read.Job(1), jobstate.Job{
+		ID:                    1,
+		Tenant:                "t",
+		Key:                   "k",
+		Class:                 "score",
+		Function:              "f",
+		Priority:              -1,
+		Effect:                jobstate.Keyed,
+		DeduplicationWindowMS: 5000,
+		State:                 jobstate.Failed,
+		FencingToken:          1,
+		Owner:                 "n0.k3f",
+		Worker:                "w",
+		WorkerGroup:           "g",
+		FirstSentMS:           1001,
+		EndedMS:               1002,
+		Result:                []byte("result"),
+		SubmittedMS:           1000,
+		Fingerprint:           jobFingerprint,
+	})
 	expectEqual(t, "other", read.Job(4).State, jobstate.Unknown)
 }
 
