--- a/internal/shared/eventloop/doc.go
+++ b/internal/shared/eventloop/doc.go
@@ -5,8 +5,9 @@
 // from within a call of the owner: what goes wrong in Connect or Write is reported by Closed later, and after the owner
 // has closed a connection it gets no more callbacks.
 //
-// An iteration of the loop first handles posted functions and ready sockets, then the timers that are due. Now does
-// not advance within an iteration: it is the time at which the iteration started, in monotonic seconds anchored to Unix time.
+// An iteration of the loop first handles posted functions and ready sockets, then the timers that are due. Now is in
+// monotonic seconds anchored to Unix time. It advances when an iteration starts and before each datagram is handled, so
+// that a datagram which arrives during a long iteration is not dated before it was sent.
 //
 // The number of open sockets is bounded. At the limit, connections in a lingering close are given up first; then
 // Loop.FreeDescriptor is asked for an idle connection. Listeners with a reserved number of connections are apart from
--- a/internal/shared/eventloop/loop.go
+++ b/internal/shared/eventloop/loop.go
@@ -101,7 +101,8 @@
 	return l
 }
 
-// Now returns the time of this iteration: monotonic seconds, anchored to Unix time at the start.
+// Now returns the time at which this iteration started, or at which its last datagram was received: monotonic seconds,
+// anchored to Unix time at the loop's start.
 func (l *Loop) Now() float64 { return l.now }
 
 func (l *Loop) updateTime() { l.now = l.startSeconds + l.system.Now().Sub(l.startTime).Seconds() }
--- a/internal/shared/eventloop/udp_socket.go
+++ b/internal/shared/eventloop/udp_socket.go
@@ -21,8 +21,8 @@
 	handler func(b []byte)
 }
 
-// ListenUDP binds a UDP socket; handler gets each datagram and must not retain b. An address in use is an error that
-// wraps the system's.
+// ListenUDP binds a UDP socket; handler gets each datagram and must not retain b. Now is read anew for each of them. An
+// address in use is an error that wraps the system's.
 func (l *Loop) ListenUDP(addr netip.AddrPort, handler func(b []byte)) (*UDPSocket, error) {
 	family, sa := sockaddr(addr)
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
@@ -79,6 +79,7 @@
 		case err != nil:
 			return
 		default:
+			s.loop.updateTime() // a datagram is never dated before it was sent: clocks are compared by these times
 			s.handler(b[:n])
 		}
 	}
--- a/internal/shared/eventloop/udp_socket_test.go
+++ b/internal/shared/eventloop/udp_socket_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"net/netip"
 	"testing"
+	"time"
 
 	"golang.org/x/sys/unix"
 )
@@ -48,3 +49,36 @@
 		t.Errorf("%d sockets count toward the limit", loop.OpenSockets())
 	}
 }
+
+// A datagram that arrives during a long iteration is dated after it was sent, not at the start of the iteration.
+func TestDatagramIsDatedAfterItWasSent(t *testing.T) {
+	const handlingTime = 20 * time.Millisecond
+	loop := newLoop(t, 10)
+	var socket *UDPSocket
+	var received []float64
+	socket, err := loop.ListenUDP(netip.MustParseAddrPort("127.0.0.1:0"), func([]byte) {
+		if received = append(received, loop.Now()); len(received) == 2 {
+			loop.Stop()
+			return
+		}
+		time.Sleep(handlingTime)
+		if err := socket.SendTo(socket.Addr(), nil); err != nil { // it is received within this iteration
+			t.Error(err)
+			loop.Stop()
+		}
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	loop.Defer(func() {
+		if err := socket.SendTo(socket.Addr(), nil); err != nil {
+			t.Error(err)
+		}
+	})
+	if err := loop.Run(); err != nil {
+		t.Fatal(err)
+	}
+	if len(received) != 2 || received[1]-received[0] < handlingTime.Seconds() {
+		t.Errorf("the datagrams were received at %v: the second one was sent %v after the first", received, handlingTime)
+	}
+}
