--- a/internal/shared/lease/lease.go
+++ b/internal/shared/lease/lease.go
@@ -49,8 +49,8 @@
 	return math.Max(watchTimeoutMultiple*watchTimeout, probeMultiple*probeInterval)
 }
 
-// MinTerm returns the shortest allowed term in seconds, from the arguments of Term. It must outlast the pauses of discovery and the time that an update takes
-// to all members.
+// MinTerm returns the shortest allowed term in seconds, from the arguments of Term. It must outlast the pauses of
+// discovery and the time that an update takes to all members.
 func MinTerm(watchTimeout, probeInterval float64) float64 {
 	return math.Max(watchTimeout+1, probeMultiple*probeInterval)
 }
@@ -62,10 +62,12 @@
 	LastContact  float64 // time of its last message; 0: never
 	LastUpdate   float64 // time when it last sent a new update of the same list as this member's; 0: never
 	DirectUpdate bool    // the update came from its own discovery
-	UpdateLead   float64 // seconds by which the update is newer than this member's, by the clocks of those that received them from discovery
-	State        State   // of its lease, as it states itself
-	Excluded     bool    // excluded by an operator's order
-	DeadSince    float64 // time when it was declared dead; 0: it is not. It may be isolated, and hence out
+	// UpdateLead is the seconds by which the update is newer than this member's, by the clocks of those that received
+	// them from discovery.
+	UpdateLead float64
+	State      State   // of its lease, as it states itself
+	Excluded   bool    // excluded by an operator's order
+	DeadSince  float64 // time when it was declared dead; 0: it is not. It may be isolated, and hence out
 }
 
 // Input is what a member knows at a time. Times are on its own clock, in seconds.
@@ -114,7 +116,9 @@
 	if input.Self.LastUpdate == 0 || input.Now <= input.Self.LastUpdate+term {
 		return Held, ""
 	}
-	connected, fresher, lastContact := 0, 0, 0.0
+	lastContact := 0.0
+	connected := 0 // others that were heard within the term
+	fresher := 0   // of these, with a fresh update
 	for i := range input.Others {
 		m := &input.Others[i]
 		lastContact = math.Max(lastContact, m.LastContact)
@@ -142,33 +146,37 @@
 
 // evaluateIsolated returns the state of a member that reaches neither discovery nor any peer.
 func (l *Lease) evaluateIsolated(input *Input, lastContact float64) (State, string) {
-	// By what was known of the others at the last contact. In a large cluster few send a message within a term: they are a sample of the rest.
-	considered, withoutDiscovery, dead := 0, 0, 0
+	// By what was known of the others at the last contact. In a large cluster few send a message within a term: they
+	// are a sample of the rest.
+	dead := 0
+	sampled := 0          // others that were heard within a term before the last contact
+	withoutDiscovery := 0 // of these
 	for i := range input.Others {
-		if m := &input.Others[i]; m.DeadSince > 0 && m.DeadSince <= lastContact { // dead before the last contact: else it is this member that was isolated
+		m := &input.Others[i]
+		if m.DeadSince > 0 && m.DeadSince <= lastContact { // one declared dead later may be well: this member was isolated
 			dead++
+			continue
 		}
-		if m := &input.Others[i]; m.LastContact > 0 && m.LastContact >= lastContact-l.Term {
-			if m.DeadSince > 0 && m.DeadSince <= lastContact {
-				continue
-			}
-			if considered++; m.State != Held || m.Excluded || !m.DirectUpdate || m.LastContact > m.LastUpdate+discoveryUpdateInterval {
+		if m.LastContact > 0 && m.LastContact >= lastContact-l.Term {
+			sampled++
+			if m.lacksDiscovery() {
 				withoutDiscovery++
 			}
 		}
 	}
-	if considered == 0 {
+	if sampled == 0 {
 		return Held, "cut off, and nobody is known to be well"
 	}
-	unreachable := dead + (withoutDiscovery*(len(input.Others)-dead)+considered-1)/considered
-	discoveryKnown := withoutDiscovery < considered
+	// The share of the sample without discovery is taken for that of all others, rounded up.
+	unreachable := dead + (withoutDiscovery*(len(input.Others)-dead)+sampled-1)/sampled
 	members := 1 + len(input.Others)
+	lostDiscoveryFirst := input.LastDiscovery < lastContact-2*l.ProbeInterval // the others saw it
 	switch {
-	case !discoveryKnown:
+	case withoutDiscovery == sampled:
 		return Held, "cut off, and the others had no discovery either"
 	case l.state == Out:
 		return Out, "cut off"
-	case input.LastDiscovery < lastContact-2*l.ProbeInterval && unreachable+1 <= MaxOut(members): // it lost discovery first, which the others saw
+	case lostDiscoveryFirst && unreachable+1 <= MaxOut(members):
 		return Out, "cut off, after discovery was lost while others had it"
 	case rank(input) < MaxOut(members)-unreachable:
 		return Out, "cut off from discovery and all others"
@@ -176,6 +184,12 @@
 	return Held, "cut off, but not among the third that may take it for their own fault"
 }
 
+// lacksDiscovery reports whether the member was without a working discovery of its own at its last contact, or takes no
+// new work anyway.
+func (m *Member) lacksDiscovery() bool {
+	return m.State != Held || m.Excluded || !m.DirectUpdate || m.LastContact > m.LastUpdate+discoveryUpdateInterval
+}
+
 // rank returns the position of this member in an order that no member can choose.
 func rank(input *Input) (position int) {
 	for i := range input.Others {
--- a/internal/shared/membership/broadcast.go
+++ b/internal/shared/membership/broadcast.go
@@ -63,18 +63,22 @@
 
 // gossip sends broadcasts and urgent payloads to random members.
 func (n *Node) gossip() {
-	has := func() bool { return len(n.broadcasts) > 0 || n.Delegate != nil && n.Delegate.HasUrgent() }
-	if n.PlainSWIM || !has() {
+	if n.PlainSWIM || !n.hasUrgent() {
 		return
 	}
 	for _, peer := range n.randomMembers(gossipFanout, "") {
-		if !has() {
+		if !n.hasUrgent() { // the message before may have taken all
 			return
 		}
 		n.send(peer.Addr, &Message{Kind: Update})
 	}
 }
 
+// hasUrgent reports whether there is anything that should be sent without waiting for a message to go along with.
+func (n *Node) hasUrgent() bool {
+	return len(n.broadcasts) > 0 || n.Delegate != nil && n.Delegate.HasUrgent()
+}
+
 // Announce sends the broadcasts at once to all alive and suspect members for which to returns true.
 func (n *Node) Announce(now float64, to func(*Record) bool) {
 	if !n.started || n.left || n.withdrawn {
--- a/internal/shared/membership/cbor.go
+++ b/internal/shared/membership/cbor.go
@@ -16,8 +16,16 @@
 // StrictDecModeForArrays is StrictDecMode with a bound of the elements of an array, for callers that bound the size of
 // their input.
 func StrictDecModeForArrays(maxNesting, maxFields, maxElements int) cbor.DecMode {
-	return must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, MaxNestedLevels: maxNesting,
-		MaxArrayElements: maxElements, MaxMapPairs: maxFields, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, TagsMd: cbor.TagsForbidden}.DecMode())
+	options := cbor.DecOptions{
+		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
+		IndefLength:       cbor.IndefLengthForbidden,
+		TagsMd:            cbor.TagsForbidden,
+		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
+		MaxNestedLevels:   maxNesting,
+		MaxArrayElements:  maxElements,
+		MaxMapPairs:       maxFields,
+	}
+	return must(options.DecMode())
 }
 
 var deterministicEncMode = must(cbor.CoreDetEncOptions().EncMode())
--- a/internal/shared/membership/convergence.go
+++ b/internal/shared/membership/convergence.go
@@ -43,12 +43,14 @@
 
 func (n *Node) namesChanged() {
 	n.namesEpoch++
-	n.namesAgreements, n.namesDifferedAt = 0, n.now
+	n.namesAgreements = 0
+	n.namesDifferedAt = n.now
 }
 
 func (n *Node) markDiverged() {
 	if n.converged {
-		n.converged, n.divergedAt = false, n.now
+		n.converged = false
+		n.divergedAt = n.now
 	}
 }
 
@@ -64,7 +66,8 @@
 	if 2*(n.alive+1) < n.alive+1+n.suspects+n.dead { // this node may be in the minority of a partition
 		n.resetRecognition()
 	}
-	if !n.recognized && n.contacted && n.namesAgreements >= n.agreementThreshold() && n.alive > 0 && n.now-n.namesDifferedAt >= 2*n.ProbeInterval {
+	namesAgree := n.namesAgreements >= n.agreementThreshold() && n.now-n.namesDifferedAt >= 2*n.ProbeInterval
+	if !n.recognized && n.contacted && n.alive > 0 && namesAgree {
 		n.recognized = true
 	}
 	if !n.converged && n.viewAgreements >= n.agreementThreshold() && n.now-n.viewDifferedAt >= 2*n.ProbeInterval {
--- a/internal/shared/membership/nameclaim.go
+++ b/internal/shared/membership/nameclaim.go
@@ -7,11 +7,11 @@
 
 // nameClaim is another process that claims this node's name with a later generation.
 type nameClaim struct {
-	generation uint64
+	generation uint64 // of the other process; 0: no claim
 	addr       netip.AddrPort
-	seq        uint64
-	attempts   int
-	retryAt    float64
+	seq        uint64  // of the pings; 0: none was sent yet
+	attempts   int     // pings sent
+	retryAt    float64 // time of the next ping
 }
 
 // handleNameClaim handles a record of another process with this node's name. msg is that process's own message, nil if
@@ -28,11 +28,13 @@
 	if record.Generation == n.self.Generation {
 		return
 	}
-	if record.State >= Dead || record.Addr == n.self.Addr { // a former run with its clock ahead: no other process can have this address
+	if record.State >= Dead || record.Addr == n.self.Addr {
+		// A former run whose clock was ahead: no other process can have this address.
 		n.advanceGeneration(record.Generation)
 		return
 	}
-	if msg != nil && msg.Kind == Ack && n.nameClaim.seq != 0 && msg.Seq == n.nameClaim.seq { // it acknowledged the ping of probeNameClaim
+	acknowledged := msg != nil && msg.Kind == Ack && n.nameClaim.seq != 0 && msg.Seq == n.nameClaim.seq
+	if acknowledged { // the ping of probeNameClaim
 		n.withdraw(record)
 		return
 	}
@@ -71,11 +73,14 @@
 		return
 	}
 	n.toggleSelfDigest()
-	n.self.Generation, n.self.Incarnation = generation+1, 0
+	n.self.Generation = generation + 1
+	n.self.Incarnation = 0
 	n.Generation = n.self.Generation
 	n.toggleSelfDigest()
-	n.changes = append(n.changes, Change{Name: n.self.Name,
-		Cause: "a later start under this name is known, and nobody stands there: begun anew after it"})
+	n.changes = append(n.changes, Change{
+		Name:  n.self.Name,
+		Cause: "a later start under this name is known, and nobody stands there: begun anew after it",
+	})
 	n.queueBroadcast(n.self.Name)
 }
 
@@ -84,12 +89,16 @@
 	if n.withdrawn {
 		return
 	}
-	n.withdrawn, n.recognized = true, false
+	n.withdrawn = true
+	n.recognized = false
 	n.Withdrawals++
 	n.nameClaim = nameClaim{generation: record.Generation, addr: record.Addr}
 	n.nameReclaimAt = n.now + nameReclaimInterval*n.ProbeInterval
-	n.changes = append(n.changes, Change{Name: n.self.Name, To: Left,
-		Cause: fmt.Sprintf("another process has this name, at %s, and began later: this one takes no part until it has gone", record.Addr)})
+	n.changes = append(n.changes, Change{
+		Name:  n.self.Name,
+		To:    Left,
+		Cause: fmt.Sprintf("another process has this name, at %s, and began later: this one takes no part until it has gone", record.Addr),
+	})
 }
 
 // reclaimName checks from time to time whether the name is free again: the other process is pinged, and superseded if
--- a/internal/shared/membership/node.go
+++ b/internal/shared/membership/node.go
@@ -92,19 +92,35 @@
 		options.TicksPerProbe = defaultTicksPerProbe
 	}
 	options.Metadata.Seq = 1
-	node := &Node{Options: options, byName: map[string]*member{}, viewEpoch: 1, namesEpoch: 1,
-		rng: rand.New(rand.NewPCG(options.RandomSeed, options.Generation))}
+	node := &Node{
+		Options:    options,
+		byName:     map[string]*member{},
+		viewEpoch:  1,
+		namesEpoch: 1,
+		rng:        rand.New(rand.NewPCG(options.RandomSeed, options.Generation)),
+	}
 	metadata := options.Metadata
-	node.self = member{Record: Record{Name: options.Name, Addr: options.Addr, Generation: options.Generation,
-		Metadata: &metadata}, key: Key(options.Name)}
+	node.self = member{
+		key: Key(options.Name),
+		Record: Record{
+			Name:       options.Name,
+			Addr:       options.Addr,
+			Generation: options.Generation,
+			Metadata:   &metadata,
+		},
+	}
 	node.toggleSelfDigest()
 	return node
 }
 
 // Start joins: it pings the seeds.
 func (n *Node) Start(now float64) {
-	n.now, n.joinedAt, n.started = now, now, true
-	n.self.stateSince, n.viewDifferedAt, n.divergedAt = now, now, now
+	n.started = true
+	n.now = now
+	n.joinedAt = now
+	n.self.stateSince = now
+	n.viewDifferedAt = now
+	n.divergedAt = now
 	n.nextTick = now + n.tickInterval()*(0.5+n.rng.Float64()) // members that start together must not tick together
 	n.probe.deadline = now + n.ProbeInterval*n.rng.Float64()
 	n.queueBroadcast(n.self.Name)
@@ -176,7 +192,8 @@
 		return
 	}
 	for _, suspect := range n.suspicions {
-		suspect.suspectedAt, suspect.suspicionDeadline = suspect.suspectedAt+late, suspect.suspicionDeadline+late
+		suspect.suspectedAt += late
+		suspect.suspicionDeadline += late
 	}
 	n.resetRecognition()
 	n.viewChanged()
@@ -212,7 +229,8 @@
 	}
 	n.now = now
 	n.toggleSelfDigest()
-	n.self.State, n.self.stateSince = Left, now
+	n.self.State = Left
+	n.self.stateSince = now
 	n.left = true
 	n.queueBroadcast(n.self.Name)
 	for _, peer := range n.randomMembers(retransmitLimit(retransmitMultiplier, len(n.members)), "") {
@@ -225,9 +243,15 @@
 	if !n.left {
 		return
 	}
-	n.left, n.recognized = false, false
-	n.self.State, n.self.Incarnation, n.self.stateSince = Alive, n.self.Incarnation+1, now
-	n.now, n.joinedAt, n.nextTick, n.probe = now, now, now, probe{deadline: now}
+	n.left = false
+	n.recognized = false
+	n.self.State = Alive
+	n.self.Incarnation++
+	n.self.stateSince = now
+	n.now = now
+	n.joinedAt = now
+	n.nextTick = now
+	n.probe = probe{deadline: now}
 	n.toggleSelfDigest()
 	n.queueBroadcast(n.self.Name)
 	n.pingSeeds()
@@ -254,6 +278,7 @@
 
 // SetSeeds replaces the seeds and pings them.
 func (n *Node) SetSeeds(now float64, seeds []netip.AddrPort) {
-	n.now, n.Seeds = now, seeds
+	n.now = now
+	n.Seeds = seeds
 	n.pingSeeds()
 }
--- a/internal/shared/membership/probe.go
+++ b/internal/shared/membership/probe.go
@@ -41,18 +41,9 @@
 		current.retryAt = n.now + probeRetryInterval*n.ProbeInterval*n.timeoutFactor()
 		n.sendPing(peer, current.seq) // a datagram may be lost, and a ping costs less than a suspicion does
 	}
-	if current.name != "" && !current.acked && !current.indirect && n.now >= current.sentAt+indirectProbeDelay*n.ProbeInterval*n.timeoutFactor() {
-		current.indirect = true
-		if peer := n.byName[current.name]; peer != nil {
-			helpers := slices.DeleteFunc(n.randomMembers(indirectProbeCount, current.name), func(peer *member) bool { return peer.OutOfService() })
-			current.expectedNacks = len(helpers)
-			for _, helper := range helpers {
-				subject := peer.outgoingRecord(n.now)
-				subject.Metadata = nil
-				n.send(helper.Addr, &Message{Kind: IndirectPing, Seq: current.seq, Subject: &subject})
-			}
-		}
-		current.retryAt = n.now
+	isDirect := current.name != "" && !current.acked && !current.indirect
+	if isDirect && n.now >= current.sentAt+indirectProbeDelay*n.ProbeInterval*n.timeoutFactor() {
+		n.probeIndirectly()
 	}
 	if n.now < current.deadline {
 		return
@@ -68,6 +59,25 @@
 	n.startProbe()
 }
 
+// probeIndirectly asks a few other members to ping the member that is being probed.
+func (n *Node) probeIndirectly() {
+	current := &n.probe
+	current.indirect = true
+	current.retryAt = n.now
+	peer := n.byName[current.name]
+	if peer == nil {
+		return
+	}
+	helpers := n.randomMembers(indirectProbeCount, current.name)
+	helpers = slices.DeleteFunc(helpers, func(helper *member) bool { return helper.OutOfService() })
+	current.expectedNacks = len(helpers)
+	for _, helper := range helpers {
+		subject := peer.outgoingRecord(n.now)
+		subject.Metadata = nil
+		n.send(helper.Addr, &Message{Kind: IndirectPing, Seq: current.seq, Subject: &subject})
+	}
+}
+
 // startProbe probes the next member of a shuffled order in which each has one turn.
 func (n *Node) startProbe() {
 	n.probe = probe{deadline: n.now + n.ProbeInterval}
@@ -88,7 +98,12 @@
 		}
 		n.probeSeq++
 		n.Probes++
-		n.probe = probe{name: peer.Name, seq: n.probeSeq, sentAt: n.now, deadline: n.now + n.ProbeInterval*n.timeoutFactor()}
+		n.probe = probe{
+			name:     peer.Name,
+			seq:      n.probeSeq,
+			sentAt:   n.now,
+			deadline: n.now + n.ProbeInterval*n.timeoutFactor(),
+		}
 		n.sendPing(peer, n.probeSeq)
 		return
 	}
--- a/internal/shared/membership/receive.go
+++ b/internal/shared/membership/receive.go
@@ -81,8 +81,13 @@
 			return
 		}
 		n.probeSeq++
-		n.indirectProbes = append(n.indirectProbes, indirectProbe{seq: n.probeSeq, requesterSeq: msg.Seq, requester: msg.From.Addr,
-			target: *msg.Subject, sentAt: n.now})
+		n.indirectProbes = append(n.indirectProbes, indirectProbe{
+			seq:          n.probeSeq,
+			requesterSeq: msg.Seq,
+			requester:    msg.From.Addr,
+			target:       *msg.Subject,
+			sentAt:       n.now,
+		})
 		n.send(msg.Subject.Addr, &Message{Kind: Ping, Seq: n.probeSeq, Subject: msg.Subject})
 	case Ack:
 		n.handleAck(msg)
@@ -101,10 +106,12 @@
 		return
 	}
 	n.messagesSent++
-	msg.Cluster, msg.Number = n.Cluster, n.messagesSent
-	msg.From = n.self.Record
-	msg.From.Metadata = nil
-	msg.ViewDigest, msg.NamesDigest, msg.MetadataDigest = n.viewDigest, n.namesDigest, n.metadataDigest
+	msg.Cluster = n.Cluster
+	msg.Number = n.messagesSent
+	msg.From = n.selfRecord()
+	msg.ViewDigest = n.viewDigest
+	msg.NamesDigest = n.namesDigest
+	msg.MetadataDigest = n.metadataDigest
 	if msg.Kind != Records && msg.Kind != Digests && msg.Payload == nil {
 		n.appendBroadcasts(msg)
 		if n.Delegate != nil {
--- a/internal/shared/membership/record.go
+++ b/internal/shared/membership/record.go
@@ -44,7 +44,8 @@
 	OperatorHash string `cbor:"7,keyasint,omitempty"`
 
 	ExcludedHash string `cbor:"9,keyasint,omitempty"` // of the members that are excluded by order; empty: none
-	// Unix seconds at which the operator's configuration and the exclusions came into force. Program and settings are as old as the generation.
+	// Unix seconds at which the operator's configuration and the exclusions came into force. Program and settings are
+	// as old as the generation.
 	OperatorAt uint32 `cbor:"10,keyasint,omitempty"`
 	ExcludedAt uint32 `cbor:"11,keyasint,omitempty"`
 
@@ -93,15 +94,26 @@
 	case !(r.DeadFor >= 0 && r.DeadFor < 1e9):
 		return errors.New("membership: time out of range")
 	}
-	if metadata := r.Metadata; metadata != nil && (metadata.Lease > lease.Out || len(metadata.Zone) > maxZoneLength ||
-		len(metadata.Version) > maxVersionLength || len(metadata.Serving) > maxServingLength || len(metadata.Console) > maxConsoleLength ||
-		len(metadata.SettingsHash) > maxHashLength || len(metadata.OperatorHash) > maxHashLength || len(metadata.ExcludedHash) > maxHashLength ||
-		len(metadata.Role) > maxRoleLength || len(metadata.Front) > maxFrontLength) {
+	if r.Metadata != nil && !r.Metadata.isWithinBounds() {
 		return errors.New("membership: metadata too long or unknown")
 	}
 	return nil
 }
 
+// isWithinBounds reports whether the lease state is known and no string is too long.
+func (m *Metadata) isWithinBounds() bool {
+	return m.Lease <= lease.Out &&
+		len(m.Zone) <= maxZoneLength &&
+		len(m.Version) <= maxVersionLength &&
+		len(m.Serving) <= maxServingLength &&
+		len(m.Console) <= maxConsoleLength &&
+		len(m.SettingsHash) <= maxHashLength &&
+		len(m.OperatorHash) <= maxHashLength &&
+		len(m.ExcludedHash) <= maxHashLength &&
+		len(m.Role) <= maxRoleLength &&
+		len(m.Front) <= maxFrontLength
+}
+
 // compare orders the records of one member: by generation, incarnation and state.
 func (r *Record) compare(other *Record) int {
 	if c := cmp.Compare(r.Generation, other.Generation); c != 0 {
@@ -154,9 +166,15 @@
 // maxEncodedSize returns the size of a record in a message in bytes, at most.
 func (r *Record) maxEncodedSize() int {
 	size := maxRecordOverhead + len(r.Name) + len(r.SuspectedBy)
-	if metadata := r.Metadata; metadata != nil {
-		size += maxMetadataOverhead + len(metadata.Role) + len(metadata.Front) + len(metadata.SettingsHash) + len(metadata.OperatorHash) + len(metadata.ExcludedHash) +
-			len(metadata.Zone) + len(metadata.Version) + len(metadata.Serving) + len(metadata.Console)
+	if r.Metadata != nil {
+		size += maxMetadataOverhead + r.Metadata.stringBytes()
 	}
 	return size
 }
+
+// stringBytes returns the length of all strings together.
+func (m *Metadata) stringBytes() int {
+	hashes := len(m.SettingsHash) + len(m.OperatorHash) + len(m.ExcludedHash)
+	addresses := len(m.Console) + len(m.Front)
+	return len(m.Zone) + len(m.Version) + len(m.Serving) + len(m.Role) + hashes + addresses
+}
--- a/internal/shared/membership/state.go
+++ b/internal/shared/membership/state.go
@@ -35,17 +35,7 @@
 	}
 	peer := n.byName[record.Name]
 	if peer == nil {
-		// members that have left, or will be removed soon, are not added
-		if record.State == Left || record.State == Dead && float64(record.DeadFor) >= addableDeadFraction*n.DeadTTL ||
-			n.PlainSWIM && record.State == Dead {
-			return nil
-		}
-		if len(n.members) >= maxMembers {
-			n.RejectedNames++
-			return nil
-		}
-		peer = n.addMember(record)
-		n.setRecord(peer, record, "reported by "+from, true)
+		n.mergeUnknown(record, from)
 		return nil
 	}
 	order := record.compare(&peer.Record)
@@ -70,6 +60,20 @@
 	return nil
 }
 
+// mergeUnknown adds the member of a record whose name is not known yet.
+func (n *Node) mergeUnknown(record Record, from string) {
+	isNearRemoval := record.State == Dead && float64(record.DeadFor) >= addableDeadFraction*n.DeadTTL
+	if record.State == Left || isNearRemoval || n.PlainSWIM && record.State == Dead {
+		return
+	}
+	if len(n.members) >= maxMembers {
+		n.RejectedNames++
+		return
+	}
+	peer := n.addMember(record)
+	n.setRecord(peer, record, "reported by "+from, true)
+}
+
 // causeOfChange describes for logs why a member's record changed: from is who reported it, empty for the own probe.
 func (n *Node) causeOfChange(name, from string) string {
 	switch from {
@@ -108,9 +112,16 @@
 	peer.DeadFor = 0
 	if before != record.State || isNew {
 		// DeadFor is for removal alone: the share of a dead member is reserved from when this node knows.
-		peer.stateSince, peer.deadSince = n.now, n.now-float64(record.DeadFor)
-		n.changes = append(n.changes, Change{Name: peer.Name, From: before, To: record.State, New: isNew,
-			Incarnation: record.Incarnation, Cause: cause})
+		peer.stateSince = n.now
+		peer.deadSince = n.now - float64(record.DeadFor)
+		n.changes = append(n.changes, Change{
+			Name:        peer.Name,
+			From:        before,
+			To:          record.State,
+			New:         isNew,
+			Incarnation: record.Incarnation,
+			Cause:       cause,
+		})
 	}
 	if record.State == Suspect {
 		if before != Suspect || isNew {
--- a/internal/shared/membership/suspicion.go
+++ b/internal/shared/membership/suspicion.go
@@ -22,8 +22,8 @@
 	if n.PlainSWIM || wanted < 1 {
 		return least
 	}
-	most := suspicionMaxMultiplier * least
-	return math.Max(least, most-(most-least)*math.Log(float64(confirmed+1))/math.Log(float64(wanted+1)))
+	longest := suspicionMaxMultiplier * least
+	return math.Max(least, longest-(longest-least)*math.Log(float64(confirmed+1))/math.Log(float64(wanted+1)))
 }
 
 // MaxSuspicionTimeout returns the longest duration of a suspicion in seconds, in a cluster of the given size with the given
--- a/internal/shared/membership/sync.go
+++ b/internal/shared/membership/sync.go
@@ -9,7 +9,8 @@
 	if peer.State != Alive || n.byName[peer.Name] != peer {
 		return
 	}
-	if recordAgreement(&peer.agreedNamesEpoch, n.namesEpoch, &n.namesAgreements, msg.NamesDigest == n.namesDigest); msg.NamesDigest != n.namesDigest {
+	recordAgreement(&peer.agreedNamesEpoch, n.namesEpoch, &n.namesAgreements, msg.NamesDigest == n.namesDigest)
+	if msg.NamesDigest != n.namesDigest {
 		n.namesDifferedAt = n.now
 	}
 	same := msg.ViewDigest == n.viewDigest
@@ -21,9 +22,13 @@
 	if same && msg.MetadataDigest != n.metadataDigest {
 		n.lastUpdateAt = n.now
 	}
-	if msg.Kind == Records || msg.Kind == Digests || n.now < n.nextSync ||
-		same && (msg.MetadataDigest == n.metadataDigest || n.now < n.nextMetadataSync) ||
-		n.PlainSWIM && n.now > n.self.stateSince+5*n.ProbeInterval {
+	if msg.Kind == Records || msg.Kind == Digests || n.now < n.nextSync {
+		return
+	}
+	if same && (msg.MetadataDigest == n.metadataDigest || n.now < n.nextMetadataSync) {
+		return
+	}
+	if n.PlainSWIM && n.now > n.self.stateSince+5*n.ProbeInterval { // there it only serves to join
 		return
 	}
 	n.nextMetadataSync = n.now + metadataSyncInterval*n.ProbeInterval*(0.5+n.rng.Float64())
@@ -84,10 +89,12 @@
 // sendRecords sends records in as many messages as needed, within the limit of a probe interval.
 func (n *Node) sendRecords(to netip.AddrPort, records []Record) {
 	if n.now >= n.pagesResetAt {
-		n.pagesResetAt, n.pagesSent = n.now+n.ProbeInterval, 0
+		n.pagesResetAt = n.now + n.ProbeInterval
+		n.pagesSent = 0
 	}
 	for len(records) > 0 && n.pagesSent < maxPagesPerInterval {
-		count, remaining := 0, recordsBudget+payloadBudget // these messages carry no payload
+		count := 0
+		remaining := recordsBudget + payloadBudget // these messages carry no payload
 		for count < min(len(records), maxRecords) {
 			if remaining -= records[count].maxEncodedSize(); remaining < 0 && count > 0 {
 				break
--- a/internal/shared/membership/view.go
+++ b/internal/shared/membership/view.go
@@ -24,10 +24,20 @@
 
 // View returns a copy of the view.
 func (n *Node) View() View {
-	view := View{Digest: n.viewDigest, Converged: n.converged, Contacted: n.contacted, Recognized: n.recognized,
-		Withdrawn: n.withdrawn, Left: n.left, TimeoutFactor: 1 + n.awareness, JoinedAt: n.joinedAt,
-		Members: make([]Member, 0, len(n.members)+1)}
-	self := Member{Record: n.self.Record, Key: n.self.key, Since: n.self.stateSince, LastContact: n.now, Self: true}
+	view := View{
+		Members:       make([]Member, 0, len(n.members)+1),
+		Digest:        n.viewDigest,
+		Converged:     n.converged,
+		Contacted:     n.contacted,
+		Recognized:    n.recognized,
+		Withdrawn:     n.withdrawn,
+		Left:          n.left,
+		JoinedAt:      n.joinedAt,
+		TimeoutFactor: 1 + n.awareness,
+	}
+	self := n.self.snapshot()
+	self.LastContact = n.now
+	self.Self = true
 	i, _ := n.searchMember(n.self.Name)
 	for _, peer := range n.members[:i] {
 		view.Members = append(view.Members, peer.snapshot())
