--- a/cmd/cinderroad-emulator/policies.go
+++ b/cmd/cinderroad-emulator/policies.go
@@ -83,7 +83,8 @@
 		found := false
 		for _, factory := range all {
 			if factory.Name == name {
-				chosen, found = append(chosen, factory), true
+				chosen = append(chosen, factory)
+				found = true
 			}
 		}
 		if !found {
@@ -95,7 +96,8 @@
 
 func (p *policiesCommand) scenario() *policysim.Scenario {
 	s := scenarioByName(p.Scenario)
-	s.Duration, s.Load = p.Length, p.Load
+	s.Duration = p.Length
+	s.Load = p.Load
 	if p.Burst != "" {
 		s.Bursts = []policysim.Burst{{Class: p.Burst, Factor: burstFactor, Start: burstFrom, Duration: burstFor}}
 	}
--- a/internal/system/agent/cluster_test.go
+++ b/internal/system/agent/cluster_test.go
@@ -146,7 +146,8 @@
 		Sources: sources, Notifier: r.notifier, Now: r.now, Age: r.age, ProxyCount: func() int { return 0 },
 	}).Follow)
 	ctx, stop := context.WithCancel(context.Background())
-	r.stop, r.done = stop, make(chan struct{})
+	r.stop = stop
+	r.done = make(chan struct{})
 	go func() {
 		defer close(r.done)
 		rpc.Serve(ctx, listener, registry, rpc.ServerLimits{})
@@ -211,8 +212,9 @@
 }
 
 func putRunner(replicas []*controlReplica, index uint64, runner discovery.Runner) {
+	partition := feed.PartitionOf(runner.Service, feed.RunnerPartitionCount)
 	for _, r := range replicas {
-		r.put(feed.PartitionOf(runner.Service, feed.RunnerPartitionCount), index, feed.KeyPrefixRunner+runner.ID, discovery.EncodeRunner(runner))
+		r.put(partition, index, feed.KeyPrefixRunner+runner.ID, discovery.EncodeRunner(runner))
 	}
 }
 
@@ -253,7 +255,9 @@
 	if err != nil {
 		e.cluster.t.Fatal(err)
 	}
-	e.agent, e.stop, e.done = started, stop, make(chan error, 1)
+	e.agent = started
+	e.stop = stop
+	e.done = make(chan error, 1)
 	go func() { e.done <- started.Run(ctx) }()
 	e.cluster.t.Cleanup(e.kill)
 }
--- a/internal/system/agent/follower.go
+++ b/internal/system/agent/follower.go
@@ -102,7 +102,8 @@
 func (f *follower) reportState() {
 	state, current := f.selector.State(), f.selector.Current()
 	if state != f.state || current != f.current {
-		f.state, f.current = state, current
+		f.state = state
+		f.current = current
 		f.logState()
 	}
 	f.onStep(f.selector.CutOff(f.now()))
--- a/internal/system/agent/overlay/list.go
+++ b/internal/system/agent/overlay/list.go
@@ -112,7 +112,8 @@
 	if !served.EqualExceptTimes(listed) {
 		return true
 	}
-	return deviates(served.SlowStartRemaining-item.Age, listed.SlowStartRemaining) || deviates(served.TimeToTermination-item.Age, listed.TimeToTermination)
+	return deviates(served.SlowStartRemaining-item.Age, listed.SlowStartRemaining) ||
+		deviates(served.TimeToTermination-item.Age, listed.TimeToTermination)
 }
 
 // deviates reports whether a listed remaining time is off the expected one.
--- a/internal/system/agent/peernotifier.go
+++ b/internal/system/agent/peernotifier.go
@@ -66,7 +66,8 @@
 	}
 	peers := n.peers()
 	if digest := peersDigest(peers); digest != 0 && digest != request.Peers {
-		reply.Peers, reply.PeersDigest = peers, digest
+		reply.Peers = peers
+		reply.PeersDigest = digest
 	}
 	return reply, nil
 }
--- a/internal/system/agent/serve.go
+++ b/internal/system/agent/serve.go
@@ -26,15 +26,22 @@
 		return a.peerNotifier.handleFollow(ctx, request, proxyServer.Follow)
 	})
 	reportMethod.Handle(proxyRegistry, a.proxyMonitor.handleReport)
-	a.serveRegistry(ctx, a.proxyListener, proxyRegistry, rpc.ServerLimits{MaxConnections: maxProxyConnections, MaxRequestBytes: maxRequestBytes})
+	a.serveRegistry(ctx, a.proxyListener, proxyRegistry, rpc.ServerLimits{
+		MaxConnections:  maxProxyConnections,
+		MaxRequestBytes: maxRequestBytes,
+	})
 
 	peerRegistry := rpc.NewRegistry()
 	bulkBytesPerSecond := peerLinkShare * a.settings.Limits.LinkBytesPerSecond()
-	feedserver.FollowMethod.Handle(peerRegistry, a.newFeedServer(a.store.baseSources(), a.store.baseNotifier, bulkBytesPerSecond).Follow)
-	a.serveRegistry(ctx, a.peerListener, peerRegistry, rpc.ServerLimits{MaxConnections: maxPeerConnections, MaxRequestBytes: maxRequestBytes})
+	peerServer := a.newFeedServer(a.store.baseSources(), a.store.baseNotifier, bulkBytesPerSecond)
+	feedserver.FollowMethod.Handle(peerRegistry, peerServer.Follow)
+	a.serveRegistry(ctx, a.peerListener, peerRegistry, rpc.ServerLimits{
+		MaxConnections:  maxPeerConnections,
+		MaxRequestBytes: maxRequestBytes,
+	})
 }
 
-// newFeedServer returns a server of the given tables. bulkBytesPerS limits what it sends as snapshots; 0: no limit.
+// newFeedServer returns a server of the given tables. bulkBytesPerSecond limits what it sends as snapshots; 0: no limit.
 func (a *Agent) newFeedServer(sources []feedserver.Source, notifier *feedserver.Notifier, bulkBytesPerSecond float64) *feedserver.Server {
 	return feedserver.New(feedserver.Options{
 		Sources:            sources,
--- a/internal/system/agent/store.go
+++ b/internal/system/agent/store.go
@@ -32,7 +32,8 @@
 		return
 	}
 	if at := now - age; !u.known || at > u.at {
-		u.known, u.at = true, at
+		u.known = true
+		u.at = at
 	}
 }
 
--- a/internal/system/agent/upstream/selector.go
+++ b/internal/system/agent/upstream/selector.go
@@ -238,7 +238,9 @@
 		return Request{}, wait
 	}
 	s.requests++
-	next.askedInSearch, next.requestNumber, next.current = s.search, s.requests, 0
+	next.askedInSearch = s.search
+	next.requestNumber = s.requests
+	next.current = 0
 	return s.newRequest(next, 0, s.options.ProbeTimeout), 0
 }
 
@@ -370,7 +372,8 @@
 	case !followed.current.ContainsAll(before):
 		s.startSearch()
 		s.requests++
-		followed.askedInSearch, followed.requestNumber = s.search, s.requests // its reply counts as one of the new search
+		followed.askedInSearch = s.search
+		followed.requestNumber = s.requests // its reply counts as one of the new search
 	case followed.current == s.all && before != s.all:
 		s.follow(now, followed)
 	}
@@ -379,7 +382,8 @@
 // deferUntil postpones the next poll of a busy candidate. Being busy is no failure.
 func (c *candidate) deferUntil(now, pause time.Duration) {
 	if pause > 0 {
-		c.failures, c.retryAt = 0, now+pause
+		c.failures = 0
+		c.retryAt = now + pause
 	}
 }
 
@@ -400,7 +404,9 @@
 func (s *Selector) recordFailure(now time.Duration, failed *candidate) {
 	pause := min(s.options.Backoff<<min(failed.failures, maxDoublings), s.options.MaxBackoff)
 	failed.failures++
-	failed.failedAt, failed.retryAt, failed.current = now, now+pause, 0
+	failed.failedAt = now
+	failed.retryAt = now + pause
+	failed.current = 0
 	if s.state == Following && s.followed == failed {
 		s.startSearch()
 	}
@@ -412,7 +418,9 @@
 // follow starts to follow a candidate.
 func (s *Selector) follow(now time.Duration, next *candidate) {
 	s.state = Following
-	s.followed, s.nextRequestAt, s.seekingMore = next, now, false
+	s.followed = next
+	s.nextRequestAt = now
+	s.seekingMore = false
 	if next.current == s.all {
 		s.partialFollows = 0
 		s.reconsiderAt = now + s.options.ReconsiderInterval
--- a/internal/system/emulator/configuration.go
+++ b/internal/system/emulator/configuration.go
@@ -61,7 +61,9 @@
 		TargetMS:  c.LatencyTarget.Milliseconds(), Rank: c.Rank, Service: c.Service, Tries: c.MaxAttempts,
 		HomeRegions: []string{}}
 	if c.Type == configuration.Streaming {
-		r.PinCache, r.Resumable, r.GapAimMS = true, c.Resumable, c.EventGapTarget.Milliseconds()
+		r.PinCache = true
+		r.Resumable = c.Resumable
+		r.GapAimMS = c.EventGapTarget.Milliseconds()
 	}
 	r.HomeRegions = append(r.HomeRegions, c.HomeRegions...)
 	return r
--- a/internal/system/emulator/emulation_test.go
+++ b/internal/system/emulator/emulation_test.go
@@ -58,7 +58,8 @@
 		t.Skip("the real programs take some seconds")
 	}
 	scenario := policysim.Screening()
-	scenario.Duration, scenario.Load = 6*time.Second, 0.3
+	scenario.Duration = 6 * time.Second
+	scenario.Load = 0.3
 	report, err := Run(context.Background(), Options{Scenario: scenario, EdgeMachines: 3, ProgramDir: buildPrograms(t),
 		WorkDir: t.TempDir(),
 		Faults:  []Fault{CrashRunner, KillProxy, KillControl}, Seed: 1, Out: io.Discard})
--- a/internal/system/emulator/fleet.go
+++ b/internal/system/emulator/fleet.go
@@ -84,14 +84,16 @@
 	entry := fakeplatform.Entry{ID: o.ID, Service: service.Name, Address: r.Address(), Zone: zone,
 		Capacity: service.Slots}
 	if service.Engine != nil {
-		entry.Capacity, entry.Model = service.Engine.MaxRunning, modelName
+		entry.Capacity = service.Engine.MaxRunning
+		entry.Model = modelName
 	}
 	if slowStart > 0 {
 		r.BeginSlowStart(slowStart)
 		entry.SlowStartUntil = time.Now().Add(slowStart)
 	}
 	f.running = append(f.running, r)
-	f.entries[o.ID], f.services[o.ID] = entry, service
+	f.entries[o.ID] = entry
+	f.services[o.ID] = service
 	f.platform.Set(entry)
 	return r, nil
 }
@@ -108,7 +110,8 @@
 		Seed:      uint64(f.count), BodyBytes: plainBodyBytes,
 	}
 	if s.Engine != nil {
-		o.EventTokens, o.Models = s.Engine.EventTokens, []runner.Model{{Name: modelName, Version: 1}}
+		o.EventTokens = s.Engine.EventTokens
+		o.Models = []runner.Model{{Name: modelName, Version: 1}}
 		o.Engine, err = engine.New(*s.Engine)
 		return o, err
 	}
--- a/internal/system/emulator/report.go
+++ b/internal/system/emulator/report.go
@@ -116,13 +116,14 @@
 	fmt.Fprintf(out,
 		"runner_requests=%d rejected=%d misplaced=%d connections=%d connections_reset=%d probes=%d "+
 			"faults=%d prefilled=%d preempted=%d\n",
-		total.Requests, total.Rejected, total.Misdirected, total.ConnectionsAccepted, total.ConnectionsReset, total.HealthChecks, total.FaultsInjected,
-		total.Engine.PrefilledTokens,
-		total.Engine.Preemptions)
+		total.Requests, total.Rejected, total.Misdirected,
+		total.ConnectionsAccepted, total.ConnectionsReset,
+		total.HealthChecks, total.FaultsInjected,
+		total.Engine.PrefilledTokens, total.Engine.Preemptions)
 	fmt.Fprintf(out,
 		"retries=%d repeats=%d unreached=%d lookups=%d failed_lookups=%d statuses=%v "+
 			"cloud_calls=%d cloud_refused=%d breaches=%d\n",
-		r.Clients.Retries, r.RepeatedRequests, r.Clients.ConnectFailures, r.Clients.Lookups, r.Clients.FailedLookups,
-		r.Clients.Statuses,
+		r.Clients.Retries, r.RepeatedRequests, r.Clients.ConnectFailures,
+		r.Clients.Lookups, r.Clients.FailedLookups, r.Clients.Statuses,
 		r.Platform.Calls, r.Platform.Throttled, len(r.Breaches))
 }
--- a/internal/system/emulator/settings.go
+++ b/internal/system/emulator/settings.go
@@ -124,12 +124,12 @@
 	switch p {
 	case proxy:
 		s.ServesRoles = []string{"edge"}
-		s.ListenOn["front"], s.ListenOn["ready"] = m.addressWithPort(d.ports.front).String(),
-			m.addressWithPort(d.ports.ready).String()
+		s.ListenOn["front"] = m.addressWithPort(d.ports.front).String()
+		s.ListenOn["ready"] = m.addressWithPort(d.ports.ready).String()
 	case control:
 		s.ServesRoles = []string{"control_plane", "directory"}
-		s.ListenOn["control"], s.ListenOn["directory"] = m.addressWithPort(d.ports.control).String(),
-			m.addressWithPort(d.ports.directory).String()
+		s.ListenOn["control"] = m.addressWithPort(d.ports.control).String()
+		s.ListenOn["directory"] = m.addressWithPort(d.ports.directory).String()
 		s.CountsAsLoss = true
 		s.Limits.StorageMB = diskMB
 		folder := filepath.Join(d.workDir, m.name+"-disk")
--- a/internal/system/emulator/traffic.go
+++ b/internal/system/emulator/traffic.go
@@ -81,7 +81,9 @@
 		tally := e.clients.Stats()
 		inTime, refused, failed := 0, 0, 0
 		for _, r := range tally.Routes {
-			inTime, refused, failed = inTime+r.InTime, refused+r.Rejected, failed+r.Failed
+			inTime += r.InTime
+			refused += r.Rejected
+			failed += r.Failed
 		}
 		e.logEvent("serving", "at", time.Since(began).Round(progressPrecision), "calls", tally.Calls, "in_time", inTime,
 			"late", tally.Served-inTime,
--- a/internal/system/gossip/addresses.go
+++ b/internal/system/gossip/addresses.go
@@ -19,7 +19,11 @@
 	for _, seed := range seeds {
 		known := slices.ContainsFunc(candidates, func(c candidate) bool { return c.address == seed.Addr() })
 		if !known && seed.Addr() != l.address.Addr() {
-			candidates = append(candidates, candidate{address: seed.Addr(), reachability: reachabilityUnknown, spread: l.spreadKey(seed.Addr())})
+			candidates = append(candidates, candidate{
+				address:      seed.Addr(),
+				reachability: reachabilityUnknown,
+				spread:       l.spreadKey(seed.Addr()),
+			})
 		}
 	}
 	return sortedAddresses(candidates, port)
@@ -53,7 +57,11 @@
 		if member.Role != role || member.Self || member.State == Left {
 			continue
 		}
-		c := candidate{address: member.Address, distance: l.zoneDistance(member.Zone), spread: l.spreadKey(member.Address)}
+		c := candidate{
+			address:  member.Address,
+			distance: l.zoneDistance(member.Zone),
+			spread:   l.spreadKey(member.Address),
+		}
 		switch member.State {
 		case Alive:
 			c.reachability = reachabilityAlive
@@ -86,7 +94,11 @@
 // sortedAddresses returns the addresses of the candidates, best first.
 func sortedAddresses(candidates []candidate, port uint16) []netip.AddrPort {
 	slices.SortFunc(candidates, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.reachability, b.reachability), cmp.Compare(a.distance, b.distance), cmp.Compare(a.spread, b.spread))
+		return cmp.Or(
+			cmp.Compare(a.reachability, b.reachability),
+			cmp.Compare(a.distance, b.distance),
+			cmp.Compare(a.spread, b.spread),
+		)
 	})
 	addresses := make([]netip.AddrPort, 0, len(candidates))
 	for _, c := range candidates {
--- a/internal/system/gossip/isolation_test.go
+++ b/internal/system/gossip/isolation_test.go
@@ -97,10 +97,12 @@
 			options: Options{Node: fmt.Sprint("node-", i), Role: role, ProbeInterval: DefaultProbeInterval, Seeds: []netip.AddrPort{first}}}
 		list.metadata = membership.Metadata{Role: string(role), Serving: string(ServingNow), Front: fmt.Sprintf("10.0.0.%d:80", i+1)}
 		options := list.nodeOptions()
-		options.RandomSeed, options.Generation = random.Uint64(), 1
+		options.RandomSeed = random.Uint64()
+		options.Generation = 1
 		list.node = membership.New(options)
 		n := &simulatedNode{Memberlist: list, up: true}
-		sim.nodes, sim.nodeAt[list.address] = append(sim.nodes, n), n
+		sim.nodes = append(sim.nodes, n)
+		sim.nodeAt[list.address] = n
 	}
 	return sim
 }
@@ -152,7 +154,8 @@
 func (s *simulation) killEdges(fraction float64) {
 	for _, n := range s.nodes[2:] {
 		if n.up && s.random.Float64() < fraction {
-			n.up, n.killedAt = false, s.now
+			n.up = false
+			n.killedAt = s.now
 		}
 	}
 }
--- a/internal/system/gossip/memberlist_test.go
+++ b/internal/system/gossip/memberlist_test.go
@@ -185,7 +185,9 @@
 func TestLeaveIsNotFailure(t *testing.T) {
 	cluster := newSmallCluster(t)
 	cluster.members["edge-1"].Leave()
-	cluster.wait("core-1 knows that edge-1 left", func() bool { return cluster.memberOf(cluster.members["core-1"], "edge-1").State == Left })
+	cluster.wait("core-1 knows that edge-1 left", func() bool {
+		return cluster.memberOf(cluster.members["core-1"], "edge-1").State == Left
+	})
 	cluster.wait("it counts no more", func() bool { return cluster.members["core-1"].ProxyCount() == 2 })
 	cluster.wait("edge-2 knows, too", func() bool { return cluster.memberOf(cluster.members["edge-2"], "edge-1").State == Left })
 	for _, address := range cluster.members["edge-2"].AgentAddresses() {
--- a/internal/system/placement/attempt.go
+++ b/internal/system/placement/attempt.go
@@ -54,7 +54,8 @@
 type attemptList struct{ head, tail *Attempt }
 
 func (l *attemptList) push(a *Attempt) {
-	a.prev, a.next = l.tail, nil
+	a.prev = l.tail
+	a.next = nil
 	if l.tail != nil {
 		l.tail.next = a
 	} else {
@@ -110,7 +111,8 @@
 		demand.uniqueTokens = in - demand.sharedTokens
 	}
 	if request.Route != nil && request.Route.PrefixAffinity {
-		demand.prefix, demand.lastSharedTokens = prefixHash(request.Chunks), lastSharedTokens(request.Chunks)
+		demand.prefix = prefixHash(request.Chunks)
+		demand.lastSharedTokens = lastSharedTokens(request.Chunks)
 	}
 	if request.Route != nil {
 		demand.outputTokens = float64(request.MaxOutputTokens) * p.statsOf(request.Route).outputShare
@@ -152,7 +154,8 @@
 	cached := owners.isOwner(runner) || demand.prefix != 0 && service.prefixHistory.sentRecently(demand.prefix, runner.key)
 	attempt.weight = 1
 	if service.isEngine() {
-		attempt.tokens, attempt.prefillTokens = demand.memoryTokens(cached), demand.uniqueTokens
+		attempt.tokens = demand.memoryTokens(cached)
+		attempt.prefillTokens = demand.uniqueTokens
 		if !cached {
 			attempt.prefillTokens += demand.sharedTokens
 		}
@@ -166,7 +169,9 @@
 // addAttempt reserves what an attempt takes.
 func (r *runnerState) addAttempt(attempt *Attempt) {
 	r.ownUsage.add(&usage{attempt.weight, attempt.prefillWeight, attempt.tokens}, 1)
-	r.load, r.spareSlots, r.spareTokens = r.load+attempt.weight, r.spareSlots-attempt.weight, r.spareTokens-attempt.tokens
+	r.load += attempt.weight
+	r.spareSlots -= attempt.weight
+	r.spareTokens -= attempt.tokens
 	r.ownAttempts++
 	r.lastSentAt = attempt.sentAt
 	r.pending.push(attempt)
@@ -175,7 +180,8 @@
 // endPrefill releases the weight of an attempt's prefill.
 func (r *runnerState) endPrefill(attempt *Attempt) {
 	r.ownUsage.add(&usage{attempt.prefillWeight, attempt.prefillWeight, 0}, -1)
-	r.load, r.spareSlots = r.load-attempt.prefillWeight, r.spareSlots+attempt.prefillWeight
+	r.load -= attempt.prefillWeight
+	r.spareSlots += attempt.prefillWeight
 	attempt.weight -= attempt.prefillWeight
 	attempt.prefillWeight = 0
 	r.pending.remove(attempt)
@@ -187,7 +193,9 @@
 		r.endPrefill(attempt)
 	}
 	r.ownUsage.add(&usage{attempt.weight, 0, attempt.tokens}, -1)
-	r.load, r.spareSlots, r.spareTokens = r.load-attempt.weight, r.spareSlots+attempt.weight, r.spareTokens+attempt.tokens
+	r.load -= attempt.weight
+	r.spareSlots += attempt.weight
+	r.spareTokens += attempt.tokens
 	r.ownAttempts--
 	if r.ownAttempts == 0 {
 		r.ownUsage = usage{} // drops rounding errors
@@ -203,7 +211,8 @@
 		return
 	}
 	runner := attempt.runner
-	attempt.firstEventSeen, attempt.endedSuspicion = true, runner.suspect
+	attempt.firstEventSeen = true
+	attempt.endedSuspicion = runner.suspect
 	runner.endPrefill(attempt)
 	runner.markAlive(now)
 	p.learnFromFirstEvent(attempt, (now - attempt.sentAt).Seconds())
--- a/internal/system/placement/capacity.go
+++ b/internal/system/placement/capacity.go
@@ -94,7 +94,8 @@
 	for _, runner := range service.runners {
 		p.deriveLoad(now, service, runner)
 		if runner.ejection.Observed && !runner.Draining {
-			sum, observed = sum+runner.spareSlots, observed+1
+			sum += runner.spareSlots
+			observed++
 		}
 	}
 	for _, runner := range service.runners {
@@ -115,7 +116,8 @@
 	if p.hasRecentNotices(now) {
 		estimated := total.prefill - runner.ownUsage.prefill
 		announced := math.Max(runner.backlog.remaining(now, service.prefillRate())-runner.ownUsage.prefill, 0)
-		total.slots, total.prefill = total.slots+announced-estimated, runner.ownUsage.prefill+announced
+		total.slots = total.slots + announced - estimated
+		total.prefill = runner.ownUsage.prefill + announced
 	}
 	waiting := service.waitLoad(runner)
 	runner.occupiedSlots = total.slots - total.prefill
--- a/internal/system/placement/distribution_test.go
+++ b/internal/system/placement/distribution_test.go
@@ -25,7 +25,9 @@
 		for seed := uint64(1); seed <= 5; seed++ {
 			sim := newSimulation(t, seed, test.load)
 			sim.run(35 * time.Second)
-			repeated, shared, rejected = repeated+sim.repeatedTokens, shared+sim.sharedTokens, rejected+sim.rejected
+			repeated += sim.repeatedTokens
+			shared += sim.sharedTokens
+			rejected += sim.rejected
 			for i, kind := range sim.kinds {
 				kinds[i].requests += kind.requests
 				kinds[i].inTime += kind.inTime
--- a/internal/system/placement/global_prefix_test.go
+++ b/internal/system/placement/global_prefix_test.go
@@ -52,7 +52,7 @@
 			p.Tick(now)
 			r := rarePrefixRequest(now, i%40)
 			c, _ := p.Place(now, r)
-			p.EndAttempt(now, p.StartAttempt(now, r, c), Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Duration: time.Millisecond})
+			completeAttempt(p, now, r, c)
 		}
 	}
 	two := 0
--- a/internal/system/placement/health.go
+++ b/internal/system/placement/health.go
@@ -27,7 +27,8 @@
 	sum, observed := 0.0, 0.0
 	for _, peer := range s.runners {
 		if peer != runner && peer.ejection.Observed {
-			sum, observed = sum+peer.ejection.ErrorRate, observed+1
+			sum += peer.ejection.ErrorRate
+			observed++
 		}
 	}
 	return sum / math.Max(observed, 1)
@@ -48,7 +49,9 @@
 	if r.suspect {
 		r.slowStartGuardUntil = now + slowStartGuard
 	}
-	r.suspect, r.suspectDuration, r.probe = false, 0, nil
+	r.suspect = false
+	r.suspectDuration = 0
+	r.probe = nil
 }
 
 // isAvoided reports whether a runner is suspect and not to be tried now: once its suspicion has expired, a single request
--- a/internal/system/placement/notices.go
+++ b/internal/system/placement/notices.go
@@ -50,14 +50,16 @@
 
 // add adds a prompt.
 func (b *prefillBacklog) add(now time.Duration, rate, slots float64) {
-	b.slots, b.updatedAt = b.remaining(now, rate)+slots, now
+	b.slots = b.remaining(now, rate) + slots
+	b.updatedAt = now
 }
 
 // HandleNotice applies the notice of another proxy.
 func (p *Placer) HandleNotice(now time.Duration, notice Notice) {
 	p.recordCall(now)
 	if notice.Kind == NoticePrefill {
-		p.receivesNotices, p.lastNoticeAt = true, now
+		p.receivesNotices = true
+		p.lastNoticeAt = now
 		p.noticeCount++
 	}
 	runner := p.byKey[notice.RunnerKey]
@@ -79,7 +81,8 @@
 	}
 	slots := float64(tokens) / runner.service.slotTokens()
 	runner.backlog.add(now, runner.service.prefillRate(), slots)
-	runner.load, runner.spareSlots = runner.load+slots, runner.spareSlots-slots
+	runner.load += slots
+	runner.spareSlots -= slots
 }
 
 // PrefillNotice returns what to announce about an attempt that was started; false: its prompt is too short.
--- a/internal/system/placement/notices_test.go
+++ b/internal/system/placement/notices_test.go
@@ -54,7 +54,8 @@
 	p.services["llm"].prefillSpeed = 1000
 	notifyPrefill(p, testStart, "llm-1", 1)
 	r := westRequest(testStart)
-	r.Chunks, r.InputTokens = nil, 6250
+	r.Chunks = nil
+	r.InputTokens = 6250
 	a := p.StartAttempt(testStart, r, Choice{Runner: "llm-0"})
 	load := p.runners["llm-0"].load
 	p.refreshPlan(testStart+maxPlanAge, p.services["llm"])
@@ -87,7 +88,8 @@
 	for _, p := range []*Placer{deaf, hearing} {
 		p.services["llm"].prefillSpeed = 20000
 		r := westRequest(testStart)
-		r.Chunks, r.InputTokens = nil, 20000
+		r.Chunks = nil
+		r.InputTokens = 20000
 		p.StartAttempt(testStart, r, Choice{Runner: "llm-0"})
 	}
 	notifyPrefill(hearing, testStart, "llm-1", 100)
@@ -97,7 +99,8 @@
 	}
 	for id, runner := range hearing.runners {
 		if other := deaf.runners[id]; runner.load != other.load || runner.utilization != other.utilization {
-			t.Errorf("%s: load %.3f, util %.3f; without notices %.3f, %.3f", id, runner.load, runner.utilization, other.load, other.utilization)
+			t.Errorf("%s: load %.3f, util %.3f; without notices %.3f, %.3f",
+				id, runner.load, runner.utilization, other.load, other.utilization)
 		}
 	}
 }
@@ -150,7 +153,8 @@
 			t.Error("a recovery is announced before the first event")
 		}
 		p.HandleFirstEvent(now, a)
-		if notice, announced := a.RecoveryNotice(); announced != want || announced && notice != (Notice{Kind: NoticeRecovery, RunnerKey: a.runner.key}) {
+		recovery := Notice{Kind: NoticeRecovery, RunnerKey: a.runner.key}
+		if notice, announced := a.RecoveryNotice(); announced != want || announced && notice != recovery {
 			t.Errorf("announced %+v, %v; want %v", notice, announced, want)
 		}
 	}
@@ -161,7 +165,8 @@
 	placer := startedTestPlacer(t, testRunners("llm", 3))
 	runners := func(now time.Duration) bool {
 		r := westRequest(now)
-		r.Chunks, r.InputTokens = nil, 4000 // of two slots and a half
+		r.Chunks = nil
+		r.InputTokens = 4000 // of two slots and a half
 		_, announced := placer.StartAttempt(now, r, Choice{Runner: "llm-0"}).PrefillNotice()
 		return announced
 	}
--- a/internal/system/placement/peers.go
+++ b/internal/system/placement/peers.go
@@ -41,7 +41,8 @@
 	for _, key := range peers {
 		p.addPeer(key)
 	}
-	p.proxyCount, p.pendingProxyCount = len(p.peers), 0
+	p.proxyCount = len(p.peers)
+	p.pendingProxyCount = 0
 }
 
 // addPeer counts a proxy from now on.
@@ -59,7 +60,8 @@
 func (p *Placer) setProxyCount(now time.Duration, count int) {
 	count = max(count, 0)
 	if count >= p.proxyCount {
-		p.proxyCount, p.pendingProxyCount = count, 0
+		p.proxyCount = count
+		p.pendingProxyCount = 0
 		return
 	}
 	if p.pendingProxyCount == 0 {
@@ -71,7 +73,8 @@
 // applyProxyCount applies a lower number of proxies once proxyRemovalDelay has passed.
 func (p *Placer) applyProxyCount(now time.Duration) {
 	if p.pendingProxyCount > 0 && now >= p.pendingProxyCountAt {
-		p.proxyCount, p.pendingProxyCount = p.pendingProxyCount, 0
+		p.proxyCount = p.pendingProxyCount
+		p.pendingProxyCount = 0
 	}
 	if len(p.peers) > 0 {
 		p.peers = slices.DeleteFunc(p.peers, func(peer peer) bool { return peer.expiresAt > 0 && now >= peer.expiresAt })
--- a/internal/system/placement/placer.go
+++ b/internal/system/placement/placer.go
@@ -108,7 +108,9 @@
 // proxies may not count this one for a while.
 func (p *Placer) recordCall(now time.Duration) {
 	if !p.started {
-		p.started, p.startedAt, p.plannedAt = true, now, now
+		p.started = true
+		p.startedAt = now
+		p.plannedAt = now
 		p.countedFrom = now + joinDelay
 	} else if now-p.lastCallAt > sleepThreshold {
 		p.countedFrom = now + joinDelay
--- a/internal/system/placement/placer_test.go
+++ b/internal/system/placement/placer_test.go
@@ -144,7 +144,8 @@
 		"fallback": func(p *Placer, r *Request) { overload(p, 1000) },
 		"ejected and saturated": func(p *Placer, r *Request) {
 			for _, runner := range p.runners {
-				runner.ejection.EjectedUntil, runner.saturatedUntil = (testStart + time.Hour).Seconds(), testStart+time.Hour
+				runner.ejection.EjectedUntil = (testStart + time.Hour).Seconds()
+				runner.saturatedUntil = testStart + time.Hour
 			}
 		},
 		"retry": func(p *Placer, r *Request) {
@@ -175,7 +176,9 @@
 // overload puts so much load on every runner that none has spare capacity.
 func overload(p *Placer, load float64) {
 	for _, runner := range p.runners {
-		runner.spareSlots, runner.load, runner.utilization = -load, load, 0
+		runner.spareSlots = -load
+		runner.load = load
+		runner.utilization = 0
 	}
 }
 
@@ -238,9 +241,14 @@
 		}
 		placer.HandleFirstEvent(now+time.Millisecond, a)
 		placer.HandleEvent(now+2*time.Millisecond, a)
-		placer.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Events: 2, Duration: 3 * time.Millisecond})
+		placer.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{
+			TimeToFirstEvent: time.Millisecond,
+			Events:           2,
+			Duration:         3 * time.Millisecond,
+		})
 		placer.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{}) // ended twice
-		if runner.spareSlots != spareSlots || runner.spareTokens != tokens || runner.ownUsage != (usage{}) || runner.ownAttempts != 0 || runner.pending.head != nil {
+		released := runner.ownUsage == usage{} && runner.ownAttempts == 0 && runner.pending.head == nil
+		if runner.spareSlots != spareSlots || runner.spareTokens != tokens || !released {
 			t.Errorf("%s: %+v after the end", service, runner)
 		}
 	}
@@ -249,7 +257,8 @@
 func TestTiesAreBrokenEvenly(t *testing.T) {
 	runners := testRunners("api", 6)
 	for i := range runners {
-		runners[i].Zone, runners[i].Region = "t", "west"
+		runners[i].Zone = "t"
+		runners[i].Region = "west"
 	}
 	p := startedTestPlacer(t, runners)
 	seen := map[string]int{}
@@ -284,7 +293,8 @@
 	s := p.services["api"]
 	for i, own := range []float64{2, 4, 0} {
 		runner := s.runners[i]
-		runner.ownUsage.slots, runner.ejection.Observed = own, i < 2
+		runner.ownUsage.slots = own
+		runner.ejection.Observed = i < 2
 	}
 	p.planService(testStart, s)
 	if got, want := s.runners[2].spareSlots, (s.runners[0].spareSlots+s.runners[1].spareSlots)/2; got != want {
@@ -344,7 +354,8 @@
 				other.spareSlots = -5
 			}
 		}
-		runner.spareSlots, runner.ejection.EjectedUntil = 5, 0
+		runner.spareSlots = 5
+		runner.ejection.EjectedUntil = 0
 		c, _ := placer.Place(now, testRequest(now, "api", testRoute()))
 		if c.Runner != runner.ID {
 			t.Fatalf("outcome %d: never tried again: %+v", outcome, runner)
@@ -397,6 +408,12 @@
 	}
 }
 
+// completeAttempt sends a request as chosen and receives its whole answer at once.
+func completeAttempt(p *Placer, now time.Duration, request *Request, choice Choice) {
+	attempt := p.StartAttempt(now, request, choice)
+	p.EndAttempt(now, attempt, Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Duration: time.Millisecond})
+}
+
 // sendAndCancel sends a request whose client disconnects at once.
 func sendAndCancel(p *Placer, now time.Duration, id string) {
 	p.EndAttempt(now, p.StartAttempt(now, testRequest(now, "api", testRoute()), Choice{Runner: id}), Cancelled, Progress{})
@@ -457,7 +474,10 @@
 			placer.EndAttempt(now, a, Failed, Progress{Duration: time.Millisecond})
 			continue
 		}
-		placer.EndAttempt(now+4*time.Millisecond, a, Succeeded, Progress{TimeToFirstEvent: 4 * time.Millisecond, Duration: 4 * time.Millisecond})
+		placer.EndAttempt(now+4*time.Millisecond, a, Succeeded, Progress{
+			TimeToFirstEvent: 4 * time.Millisecond,
+			Duration:         4 * time.Millisecond,
+		})
 	}
 	if failed > 40 {
 		t.Errorf("%d of 400 went to a runner that fails all", failed)
@@ -485,15 +505,18 @@
 	for id, runner := range placer.runners {
 		runner.spareTokens = 500
 		if id == "llm-4" {
-			runner.spareTokens, runner.spareSlots = 5000, 2
+			runner.spareTokens = 5000
+			runner.spareSlots = 2
 		}
 	}
 	r := testRequest(testStart, "llm", testRoute())
-	r.InputTokens, r.Chunks = 2000, []Chunk{{7, 2000}}
+	r.InputTokens = 2000
+	r.Chunks = []Chunk{{7, 2000}}
 	if c, _ := placer.Place(testStart, r); c.Runner != "llm-4" {
 		t.Errorf("sent to %+v", c)
 	}
-	r.InputTokens, r.Chunks = 300000, []Chunk{{7, 300000}}
+	r.InputTokens = 300000
+	r.Chunks = []Chunk{{7, 300000}}
 	if c, rejection := placer.Place(testStart, r); rejection == nil {
 		t.Errorf("larger than any memory, and sent to %+v", c)
 	}
@@ -502,7 +525,9 @@
 func TestRejectionRequiresOccupiedSlots(t *testing.T) {
 	p := startedTestPlacer(t, testRunners("api", 3))
 	for _, runner := range p.runners {
-		runner.spareSlots, runner.occupiedSlots, runner.excessWait = -1, 1, 10
+		runner.spareSlots = -1
+		runner.occupiedSlots = 1
+		runner.excessWait = 10
 	}
 	if _, rejection := p.Place(testStart, testRequest(testStart, "api", testRoute())); rejection != nil {
 		t.Errorf("rejected with places free: %+v", rejection)
@@ -526,7 +551,9 @@
 		{"writes, may have run", func(r *Request) { r.Route.Type, r.MayHaveRun = configuration.ReadWrite, true }, false},
 		{"a stream", func(r *Request) { r.Route.Type, r.MayHaveRun = configuration.Streaming, true }, false},
 		{"a stream that may be resumed", func(r *Request) {
-			r.Route.Type, r.Route.Resumable, r.MayHaveRun = configuration.Streaming, true, true
+			r.Route.Type = configuration.Streaming
+			r.Route.Resumable = true
+			r.MayHaveRun = true
 		}, true},
 		{"tries used up", func(r *Request) { r.TriedRunners = []string{"a", "b", "c"} }, false},
 		{"too late", func(r *Request) { r.Deadline = testStart }, false},
--- a/internal/system/placement/prefix_cache_test.go
+++ b/internal/system/placement/prefix_cache_test.go
@@ -47,7 +47,7 @@
 				}
 				owners[region] = c.Runner
 				used[c.Runner]++
-				placer.EndAttempt(testStart, placer.StartAttempt(testStart, r, c), Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Duration: time.Millisecond})
+				completeAttempt(placer, testStart, r, c)
 			}
 		}
 	}
@@ -146,13 +146,14 @@
 		want := ""
 		for range 4 {
 			r := testRequest(testStart, "llm", route)
-			r.Chunks, r.InputTokens = []Chunk{{1<<50 + session, 4000}}, 4000
+			r.Chunks = []Chunk{{1<<50 + session, 4000}}
+			r.InputTokens = 4000
 			c, _ := placer.Place(testStart, r)
 			if want != "" && c.Runner != want {
 				t.Fatalf("%s, then %s", want, c.Runner)
 			}
 			want = c.Runner
-			placer.EndAttempt(testStart, placer.StartAttempt(testStart, r, c), Succeeded, Progress{TimeToFirstEvent: time.Millisecond, Duration: time.Millisecond})
+			completeAttempt(placer, testStart, r, c)
 		}
 	}
 }
--- a/internal/system/placement/random_schedule_test.go
+++ b/internal/system/placement/random_schedule_test.go
@@ -29,8 +29,15 @@
 // reserved.
 func TestRandomSchedulesKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		schedule := &randomSchedule{t: t, now: testStart, startedAt: testStart, evacuated: map[string]bool{}, slowStartSent: map[string]time.Duration{}}
-		placer, err := New(testOptions(rapid.SampledFrom([]string{"m", "t", "p"}).Draw(t, "zone")), rapid.Uint64().Draw(t, "seed"))
+		schedule := &randomSchedule{
+			t:             t,
+			now:           testStart,
+			startedAt:     testStart,
+			evacuated:     map[string]bool{},
+			slowStartSent: map[string]time.Duration{},
+		}
+		zone := rapid.SampledFrom([]string{"m", "t", "p"}).Draw(t, "zone")
+		placer, err := New(testOptions(zone), rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,7 +60,8 @@
 			schedule.endAttempt(0, Cancelled)
 		}
 		for id, runner := range placer.runners {
-			if runner.ownUsage != (usage{}) || runner.ownAttempts != 0 || runner.pending.head != nil || runner.pending.tail != nil || runner.probe != nil {
+			released := runner.ownUsage == usage{} && runner.ownAttempts == 0 && runner.pending == attemptList{}
+			if !released || runner.probe != nil {
 				t.Errorf("%s: %+v is still reserved", id, runner)
 			}
 		}
@@ -197,5 +205,9 @@
 func (schedule *randomSchedule) endAttempt(at int, outcome Outcome) {
 	attempt := schedule.inFlight[at]
 	schedule.inFlight = slices.Delete(schedule.inFlight, at, at+1)
-	schedule.placer.EndAttempt(schedule.now, attempt, outcome, Progress{TimeToFirstEvent: 20 * time.Millisecond, Events: 3, Duration: schedule.now - attempt.sentAt})
+	schedule.placer.EndAttempt(schedule.now, attempt, outcome, Progress{
+		TimeToFirstEvent: 20 * time.Millisecond,
+		Events:           3,
+		Duration:         schedule.now - attempt.sentAt,
+	})
 }
--- a/internal/system/placement/rejection.go
+++ b/internal/system/placement/rejection.go
@@ -55,7 +55,8 @@
 // recordRejection records that a request was rejected because of load.
 func (s *loadShedding) recordRejection(now time.Duration, request *Request) {
 	rank := &s[rankOf(request)]
-	rank.rejectedAt, rank.rejected = now, true
+	rank.rejectedAt = now
+	rank.rejected = true
 }
 
 // maxWait is how long a request may wait before it is rejected, in seconds: a share of the time that it has left, and less
@@ -104,7 +105,8 @@
 	occupied, slots := 0.0, 0.0
 	for _, runner := range service.runners {
 		if p.isEligible(now, request, runner) {
-			occupied, slots = occupied+math.Min(runner.occupiedSlots, runner.slots), slots+runner.slots
+			occupied += math.Min(runner.occupiedSlots, runner.slots)
+			slots += runner.slots
 		}
 	}
 	return occupied >= minOccupiedShare*slots
--- a/internal/system/placement/rejection_test.go
+++ b/internal/system/placement/rejection_test.go
@@ -39,7 +39,8 @@
 	if !shedding.mustYield(now, late) || shedding.mustYield(now, urgent) {
 		t.Error("only less urgent requests yield")
 	}
-	if after := now + yieldDuration + 1; shedding.mustYield(after, late) || shedding.maxWait(after, rankRequest(2, after, 15*time.Second)) < 7 {
+	after := now + yieldDuration + 1
+	if shedding.mustYield(after, late) || shedding.maxWait(after, rankRequest(2, after, 15*time.Second)) < 7 {
 		t.Error("it yields for too long after the last rejection")
 	}
 }
@@ -60,11 +61,14 @@
 func TestLowerRanksAreRejectedFirst(t *testing.T) {
 	placer := startedTestPlacer(t, testRunners("api", 3))
 	for _, runner := range placer.runners {
-		runner.spareSlots, runner.occupiedSlots, runner.excessWait = -1, 6, 2
+		runner.spareSlots = -1
+		runner.occupiedSlots = 6
+		runner.excessWait = 2
 	}
 	urgent := testRequest(testStart, "api", testRoute())
 	route := testRoute()
-	route.Name, route.Rank = "late", 2
+	route.Name = "late"
+	route.Rank = 2
 	late := testRequest(testStart, "api", route)
 	late.Deadline = testStart + 15*time.Second
 	if _, rejection := placer.Place(testStart, late); rejection != nil {
--- a/internal/system/placement/retries.go
+++ b/internal/system/placement/retries.go
@@ -44,12 +44,15 @@
 func (b *retryBudget) advance(now time.Duration, window time.Duration) {
 	current := int64(now / (window / retryBuckets))
 	if current-b.bucket > retryBuckets {
-		b.firstAttempts, b.retries = [retryBuckets + 1]uint32{}, [retryBuckets + 1]uint32{}
+		b.firstAttempts = [retryBuckets + 1]uint32{}
+		b.retries = [retryBuckets + 1]uint32{}
 		b.bucket = current
 	}
 	for b.bucket < current {
 		b.bucket++
-		b.firstAttempts[b.bucket%(retryBuckets+1)], b.retries[b.bucket%(retryBuckets+1)] = 0, 0
+		slot := b.bucket % (retryBuckets + 1)
+		b.firstAttempts[slot] = 0
+		b.retries[slot] = 0
 	}
 }
 
--- a/internal/system/placement/runner.go
+++ b/internal/system/placement/runner.go
@@ -98,7 +98,8 @@
 		// The last attempt may already have met the new process.
 		runner.slowStartNextAt = max(runner.slowStartNextAt, runner.lastSentAt+time.Duration(slowStartWindow*float64(time.Second)))
 	}
-	runner.Runner, runner.listed = *update, true
+	runner.Runner = *update
+	runner.listed = true
 	if runner.Region == "" {
 		runner.Region = p.options.Zones[runner.Zone]
 	}
--- a/internal/system/placement/service.go
+++ b/internal/system/placement/service.go
@@ -52,7 +52,8 @@
 	}
 	for _, update := range services {
 		service := p.ensureService(update.Name)
-		service.Service, service.configured = *update, true
+		service.Service = *update
+		service.configured = true
 		for _, runner := range service.runners {
 			runner.updateSlots()
 		}
--- a/internal/system/placement/service_test.go
+++ b/internal/system/placement/service_test.go
@@ -25,7 +25,8 @@
 			ask("api", route)
 		}
 		s, runner := placer.services["llm"], placer.runners["llm-0"]
-		s.prefillSpeed, runner.excessWait = 40000, 0.3
+		s.prefillSpeed = 40000
+		runner.excessWait = 0.3
 		placer.planService(testStart, s)
 		return runner.utilization
 	}
--- a/internal/system/placement/shared_budgets_test.go
+++ b/internal/system/placement/shared_budgets_test.go
@@ -90,7 +90,8 @@
 	n, keys := 0, []uint64{}
 	for _, other := range g.proxies {
 		if other == proxy || g.now-other.startedAt >= time.Second || proxy.startedAt >= other.startedAt {
-			n, keys = n+1, append(keys, other.key)
+			n++
+			keys = append(keys, other.key)
 		}
 	}
 	if g.useKeys {
@@ -260,7 +261,8 @@
 			return
 		}
 		proxy.placer.EndAttempt(g.now, attempt, Interrupted, Progress{})
-		request.TriedRunners, request.MayHaveRun = append(request.TriedRunners, choice.Runner), true
+		request.TriedRunners = append(request.TriedRunners, choice.Runner)
+		request.MayHaveRun = true
 	}
 }
 
--- a/internal/system/placement/simulation_test.go
+++ b/internal/system/placement/simulation_test.go
@@ -172,8 +172,14 @@
 	prefix := kind.prefixes[int(float64(len(kind.prefixes))*math.Pow(sim.random.Float64(), 1.4))]
 	own := Chunk{sim.random.Uint64(), sim.drawTokens(kind.uniqueTokens, kind.spread)}
 	out := sim.drawTokens(kind.outputTokens, 0.7)
-	request := &Request{Route: &kind.route, Service: "llm", Chunks: append(append([]Chunk(nil), prefix...), own), MaxOutputTokens: 2 * out,
-		ArrivedAt: sim.now, Deadline: sim.now + kind.route.Timeout}
+	request := &Request{
+		Route:           &kind.route,
+		Service:         "llm",
+		Chunks:          append(append([]Chunk(nil), prefix...), own),
+		MaxOutputTokens: 2 * out,
+		ArrivedAt:       sim.now,
+		Deadline:        sim.now + kind.route.Timeout,
+	}
 	for _, part := range request.Chunks {
 		request.InputTokens += part.Tokens
 	}
@@ -184,7 +190,17 @@
 		return
 	}
 	engine := sim.engines[choice.Runner]
-	job := &simulatedJob{simulation: sim, proxy: proxy, kind: kind, request: request, engine: engine, outputTokens: out, sent: sim.now, latency: sim.latency(proxy, engine), priority: choice.Priority}
+	job := &simulatedJob{
+		simulation:   sim,
+		proxy:        proxy,
+		kind:         kind,
+		request:      request,
+		engine:       engine,
+		outputTokens: out,
+		sent:         sim.now,
+		latency:      sim.latency(proxy, engine),
+		priority:     choice.Priority,
+	}
 	job.attempt = proxy.placer.StartAttempt(sim.now, request, choice)
 	sim.after(job.latency, func() { engine.enqueue(job) })
 }
@@ -289,7 +305,11 @@
 }
 
 func (j *simulatedJob) finish() {
-	j.proxy.placer.EndAttempt(j.simulation.now, j.attempt, Succeeded, Progress{TimeToFirstEvent: j.sent, Events: j.outputTokens / 4, Duration: j.simulation.now - j.sent})
+	j.proxy.placer.EndAttempt(j.simulation.now, j.attempt, Succeeded, Progress{
+		TimeToFirstEvent: j.sent,
+		Events:           j.outputTokens / 4,
+		Duration:         j.simulation.now - j.sent,
+	})
 }
 
 // run plays the events up to a time.
--- a/internal/system/placement/snapshot.go
+++ b/internal/system/placement/snapshot.go
@@ -55,7 +55,8 @@
 	if err != nil {
 		return err
 	}
-	p.restoredSpeeds, p.restored = speeds, runners
+	p.restoredSpeeds = speeds
+	p.restored = runners
 	for name, service := range p.services {
 		if service.prefillSpeed == 0 {
 			service.prefillSpeed = speeds[name]
--- a/internal/system/placement/snapshot_test.go
+++ b/internal/system/placement/snapshot_test.go
@@ -12,7 +12,8 @@
 	t.Helper()
 	p := startedTestPlacer(t, append(testRunners("llm", 4), testRunners("api", 3)...))
 	p.services["llm"].prefillSpeed = 38700
-	p.runners["llm-1"].limits.Load, p.runners["llm-1"].limits.Utilization = 40, 0.9
+	p.runners["llm-1"].limits.Load = 40
+	p.runners["llm-1"].limits.Utilization = 0.9
 	p.runners["api-2"].limits.Load = 3.5
 	return p
 }
@@ -40,8 +41,9 @@
 			step()
 		}
 		for id, runner := range old.runners {
-			if got := placer.runners[id].limits; math.Abs(got.Load-runner.limits.Load) > 1e-4 || math.Abs(got.Utilization-runner.limits.Utilization) > 1e-6 {
-				t.Errorf("list first %v: %s: %+v, was %+v", listFirst, id, got, runner.limits)
+			got, want := placer.runners[id].limits, runner.limits
+			if math.Abs(got.Load-want.Load) > 1e-4 || math.Abs(got.Utilization-want.Utilization) > 1e-6 {
+				t.Errorf("list first %v: %s: %+v, was %+v", listFirst, id, got, want)
 			}
 		}
 		if placer.services["llm"].prefillSpeed != 38700 {
--- a/internal/system/policysim/baselines.go
+++ b/internal/system/policysim/baselines.go
@@ -113,7 +113,8 @@
 	for _, runner := range runners {
 		switch {
 		case best == nil || b.inFlight[runner.ID] < b.inFlight[best.ID]:
-			best, ties = runner, 1
+			best = runner
+			ties = 1
 		case b.inFlight[runner.ID] == b.inFlight[best.ID]:
 			ties++
 			if b.random.IntN(ties) == 0 {
--- a/internal/system/policysim/result.go
+++ b/internal/system/policysim/result.go
@@ -178,7 +178,8 @@
 			calls++
 		}
 		if calls >= minCalls && ratio(earned, due) < share {
-			share, at = ratio(earned, due), start
+			share = ratio(earned, due)
+			at = start
 		}
 	}
 	return share, at
--- a/internal/system/policysim/runner.go
+++ b/internal/system/policysim/runner.go
@@ -59,7 +59,8 @@
 
 // stop ends the incarnation. A silent one does not close its connections.
 func (r *simulatedRunner) stop(silent bool) {
-	r.up, r.silent = false, silent
+	r.up = false
+	r.silent = silent
 	for _, event := range r.engine.Stop(r.sim.now) {
 		r.handleEvent(event)
 	}
--- a/internal/system/policysim/scenarios.go
+++ b/internal/system/policysim/scenarios.go
@@ -41,7 +41,8 @@
 func Parcels() *Scenario {
 	s := Screening()
 	s.Name = "parcels"
-	s.CrossZoneLatency, s.CrossRegionLatency = milliseconds(0.9), milliseconds(12)
+	s.CrossZoneLatency = milliseconds(0.9)
+	s.CrossRegionLatency = milliseconds(12)
 	s.Zones[0].Proxies = 3
 	s.Zones[1].Proxies = 2
 	s.Zones[2].Proxies = 3
--- a/internal/system/policysim/simulation.go
+++ b/internal/system/policysim/simulation.go
@@ -180,7 +180,8 @@
 		Region: sim.scenario.regionOf(zone), Capacity: service.Slots}
 	var err error
 	if service.Engine != nil {
-		runner.info.Capacity, runner.info.Models = service.Engine.MaxRunning, []string{modelName}
+		runner.info.Capacity = service.Engine.MaxRunning
+		runner.info.Models = []string{modelName}
 		runner.engine, err = engine.New(*service.Engine)
 	} else {
 		runner.engine, err = engine.NewWorkers(service.Slots, service.QueueLength)
--- a/internal/system/proxy/agentclient/client_test.go
+++ b/internal/system/proxy/agentclient/client_test.go
@@ -5,6 +5,7 @@
 	"encoding/binary"
 	"net"
 	"net/netip"
+	"slices"
 	"sync"
 	"testing"
 	"time"
@@ -94,8 +95,9 @@
 }
 
 func routeItem(name, service string, index uint64) feed.Item {
-	return feed.Item{Key: feed.KeyPrefixRoute + name, Index: index, Value: storedValue(1, `{"name":"`+name+
-		`","host":"h","path_start":"/`+name+`/","type":"read_only","timeout_ms":5000,"target_ms":800,"rank":1,"service":"`+service+`","tries":2}`)}
+	route := `{"name":"` + name + `","host":"h","path_start":"/` + name + `/","type":"read_only",` +
+		`"timeout_ms":5000,"target_ms":800,"rank":1,"service":"` + service + `","tries":2}`
+	return feed.Item{Key: feed.KeyPrefixRoute + name, Index: index, Value: storedValue(1, route)}
 }
 
 func serviceItem(name string, index uint64) feed.Item {
@@ -126,33 +128,48 @@
 	}
 	runner := discovery.Runner{ID: "i", Service: "s", Address: netip.MustParseAddrPort("10.0.0.1:80"), Zone: "z",
 		Capacity: 4, SlowStartRemaining: 5 * time.Second}
-	agent.replies <- &feed.FollowReply{Proxies: 3, Peers: []feed.Peer{{Node: "p", Zone: "z"}}, PeersDigest: 5, Batches: []feed.Batch{
-		{Partition: 0, Snapshot: true, To: 10, Items: []feed.Item{versionItem("7", 9), routeItem("a", "s", 5), routeItem("b",
-			"s", 9), serviceItem(serviceInSecondPartition, 4),
-			{Key: feed.KeyPrefixEvacuation + "z9", Index: 3}, {Key: feed.KeyPrefixRoute + "bad", Index: 6, Value: storedValue(1, `{"name":1}`)}}},
-		{Partition: 1, Snapshot: true, To: 4, Items: []feed.Item{{Key: feed.KeyPrefixRunner + "i", Index: 4,
-			Value: discovery.EncodeRunner(runner), Age: time.Second}}},
-	}}
+	agent.replies <- &feed.FollowReply{
+		Proxies:     3,
+		Peers:       []feed.Peer{{Node: "p", Zone: "z"}},
+		PeersDigest: 5,
+		Batches: []feed.Batch{
+			{Partition: 0, Snapshot: true, To: 10, Items: []feed.Item{
+				versionItem("7", 9),
+				routeItem("a", "s", 5),
+				routeItem("b", "s", 9),
+				serviceItem(serviceInSecondPartition, 4),
+				{Key: feed.KeyPrefixEvacuation + "z9", Index: 3},
+				{Key: feed.KeyPrefixRoute + "bad", Index: 6, Value: storedValue(1, `{"name":1}`)},
+			}},
+			{Partition: 1, Snapshot: true, To: 4, Items: []feed.Item{
+				{Key: feed.KeyPrefixRunner + "i", Index: 4, Value: discovery.EncodeRunner(runner), Age: time.Second},
+			}},
+		},
+	}
 	update := receive(t, updates)
-	if update.Version != 7 || len(update.Routes) != 2 || len(*update.Services) != 1 || !(*update.EvacuatedZones)["z9"] || update.Complete ||
-		update.ProxyCount != 3 || update.Peers == nil || len(*update.Peers) != 1 || (*update.Peers)[0].Node != "p" {
+	wantConfiguration := update.Version == 7 && len(update.Routes) == 2 && len(*update.Services) == 1 && (*update.EvacuatedZones)["z9"]
+	wantPeers := update.ProxyCount == 3 && update.Peers != nil && len(*update.Peers) == 1 && (*update.Peers)[0].Node == "p"
+	if !wantConfiguration || update.Complete || !wantPeers {
 		t.Errorf("snapshot arrived as %+v", update)
 	}
-	if runner := (*update.Runners)[0]; runner.ID != "i" || !runner.TerminatesAt.IsZero() || time.Until(runner.SlowStartUntil) > 4*time.Second ||
-		time.Until(runner.SlowStartUntil) < -testTimeout {
-		t.Errorf("runner arrived as %+v", runner)
+	arrived := (*update.Runners)[0]
+	slowStart := time.Until(arrived.SlowStartUntil)
+	if arrived.ID != "i" || !arrived.TerminatesAt.IsZero() || slowStart > 4*time.Second || slowStart < -testTimeout {
+		t.Errorf("runner arrived as %+v", arrived)
 	}
 	if request := receive(t, agent.requests); request.Positions[0].Index != 10 || request.Positions[1].Index != 4 || request.Peers != 5 {
 		t.Errorf("next request is %+v", request)
 	}
 	agent.replies <- &feed.FollowReply{Batches: []feed.Batch{
-		{Partition: 0, From: 10, To: 12, Items: []feed.Item{versionItem("8", 12), {Key: feed.KeyPrefixRoute + "a", Index: 11,
-			Deleted: true}}},
+		{Partition: 0, From: 10, To: 12, Items: []feed.Item{
+			versionItem("8", 12),
+			{Key: feed.KeyPrefixRoute + "a", Index: 11, Deleted: true},
+		}},
 		{Partition: 2, Snapshot: true, To: 1},
 	}}
 	update = receive(t, updates)
-	if update.Version != 8 || len(update.Routes) != 0 || len(update.RemovedRoutes) != 1 || update.RemovedRoutes[0] != "a" || update.Services != nil ||
-		update.Runners != nil || !update.Complete {
+	wantRoutes := len(update.Routes) == 0 && slices.Equal(update.RemovedRoutes, []string{"a"})
+	if update.Version != 8 || !wantRoutes || update.Services != nil || update.Runners != nil || !update.Complete {
 		t.Errorf("delta arrived as %+v", update)
 	}
 	receive(t, agent.requests)
--- a/internal/system/proxy/agentclient/compatibility_test.go
+++ b/internal/system/proxy/agentclient/compatibility_test.go
@@ -23,26 +23,53 @@
 	items := []feed.Item{
 		{Key: "evacuation/east-a", Index: 1, Value: []byte{}},
 		{Key: "limits", Index: 2, Value: []byte(`{"max_header_bytes":1,"max_body_bytes":2,"header_wait_ms":3,"idle_limit_ms":4}`)},
-		{Key: "route/r", Index: 3, Value: []byte(ordinal + `{"name":"r","host":"h","path_start":"/p/","type":"read_only","timeout_ms":1000,"target_ms":100,"rank":0,"service":"s","tries":2}`)},
-		{Key: "service/s", Index: 4, Value: []byte(ordinal + `{"name":"s","health_path":"/health","max_conns":4,"cold_for_s":0,"cold_rate_s":0}`)},
+		{Key: "route/r", Index: 3, Value: []byte(ordinal + `{"name":"r","host":"h","path_start":"/p/","type":"read_only",` +
+			`"timeout_ms":1000,"target_ms":100,"rank":0,"service":"s","tries":2}`)},
+		{Key: "service/s", Index: 4, Value: []byte(ordinal + `{"name":"s","health_path":"/health",` +
+			`"max_conns":4,"cold_for_s":0,"cold_rate_s":0}`)},
 		{Key: "version", Index: 5, Value: []byte("7")},
 	}
-	of := feed.PartitionOf("s", feed.RunnerPartitionCount)
-	if of != 2 {
-		t.Errorf("the service is in partition %d", of)
+	partition := feed.PartitionOf("s", feed.RunnerPartitionCount)
+	if partition != 2 {
+		t.Errorf("the service is in partition %d", partition)
 	}
 	s := newFeedState(feed.RunnerPartitionCount)
-	got := s.apply(&feed.FollowReply{Proxies: 3, PeersDigest: 9, Peers: []feed.Peer{{Node: "edge-2"}}, Batches: []feed.Batch{
-		{Partition: 0, Snapshot: true, To: 5, Items: items},
-		{Partition: of, Snapshot: true, To: 1, Items: []feed.Item{{Key: "runner/r-1", Index: 1, Value: discovery.EncodeRunner(runner)}}},
-	}})
+	got := s.apply(&feed.FollowReply{
+		Proxies:     3,
+		PeersDigest: 9,
+		Peers:       []feed.Peer{{Node: "edge-2"}},
+		Batches: []feed.Batch{
+			{Partition: 0, Snapshot: true, To: 5, Items: items},
+			{Partition: partition, Snapshot: true, To: 1, Items: []feed.Item{
+				{Key: "runner/r-1", Index: 1, Value: discovery.EncodeRunner(runner)},
+			}},
+		},
+	})
 	s.fillSets(&got)
-	want := Update{Version: 7, Complete: true, ProxyCount: 3, Peers: &[]feed.Peer{{Node: "edge-2"}},
-		Routes: []*configuration.Route{{Name: "r", Host: "h", PathPrefix: "/p/", Timeout: time.Second, LatencyTarget: 100 * time.Millisecond, MaxAttempts: 2,
-			Shares: []configuration.Share{{Service: "s", Weight: 1}}}},
-		Services:       &[]*configuration.Service{{Name: "s", HealthPath: "/health", MaxConnections: 4}},
-		Limits:         &configuration.Limits{MaxHeaderBytes: 1, MaxBodyBytes: 2, HeaderTimeout: 3 * time.Millisecond, IdleTimeout: 4 * time.Millisecond},
-		EvacuatedZones: &map[string]bool{"east-a": true}, Runners: &[]Runner{{Runner: runner}}}
+	want := Update{
+		Version:    7,
+		Complete:   true,
+		ProxyCount: 3,
+		Peers:      &[]feed.Peer{{Node: "edge-2"}},
+		Routes: []*configuration.Route{{
+			Name:          "r",
+			Host:          "h",
+			PathPrefix:    "/p/",
+			Timeout:       time.Second,
+			LatencyTarget: 100 * time.Millisecond,
+			MaxAttempts:   2,
+			Shares:        []configuration.Share{{Service: "s", Weight: 1}},
+		}},
+		Services: &[]*configuration.Service{{Name: "s", HealthPath: "/health", MaxConnections: 4}},
+		Limits: &configuration.Limits{
+			MaxHeaderBytes: 1,
+			MaxBodyBytes:   2,
+			HeaderTimeout:  3 * time.Millisecond,
+			IdleTimeout:    4 * time.Millisecond,
+		},
+		EvacuatedZones: &map[string]bool{"east-a": true},
+		Runners:        &[]Runner{{Runner: runner}},
+	}
 	if d := cmp.Diff(want, got, cmpopts.EquateComparable(netip.Addr{}, netip.AddrPort{})); d != "" {
 		t.Error(d)
 	}
--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -178,7 +178,7 @@
 		x.abort()
 		return
 	}
-	if head.Status == 429 || head.Status == 503 || head.Status == 408 { // these statuses would tell the client that the request was not executed
+	if impliesNotRun(head.Status) {
 		attempt.end(placement.Failed)
 		x.proxy.Counters.Failed++
 		x.respond(localResponse{status: 502, body: "runner failed"})
@@ -187,6 +187,9 @@
 	x.relayHead(head)
 }
 
+// impliesNotRun reports whether a status would tell the client that the request was not executed.
+func impliesNotRun(status int) bool { return status == 429 || status == 503 || status == 408 }
+
 // handleConnFailure ends an attempt whose connection has failed.
 func (a *attempt) handleConnFailure(mayHaveRun bool) {
 	if a.verdict == verdictFailure && a.exchange.response.started { // the runner's own failure response was being forwarded
--- a/internal/system/proxy/chaos_test.go
+++ b/internal/system/proxy/chaos_test.go
@@ -168,7 +168,11 @@
 			for i, r := range h.startRunners("a", "b", "c", "d") {
 				go ran.serve(r, rand.New(rand.NewPCG(seed, uint64(i))))
 			}
-			h.onLoop(func() { h.placer.outcomes, h.placer.sent, h.placer.spread = nil, nil, true })
+			h.onLoop(func() {
+				h.placer.outcomes = nil
+				h.placer.sent = nil
+				h.placer.spread = true
+			})
 			var all sync.WaitGroup
 			for i := range clients {
 				all.Go(func() {
--- a/internal/system/proxy/event_stream.go
+++ b/internal/system/proxy/event_stream.go
@@ -85,12 +85,17 @@
 	if r.resumed && r.lastID != "" && !idAfter(r.lastID, id) {
 		return false
 	}
-	r.lastID, r.unidentified = id, !httpwire.IsVisibleASCII(id)
+	r.lastID = id
+	r.unidentified = !httpwire.IsVisibleASCII(id)
 	return true
 }
 
 // resume drops the incomplete event because another runner continues the stream.
-func (r *eventReader) resume() { r.partial, r.lineStart, r.resumed = nil, 0, true }
+func (r *eventReader) resume() {
+	r.partial = nil
+	r.lineStart = 0
+	r.resumed = true
+}
 
 // remainder returns the incomplete event at the end of the stream.
 func (r *eventReader) remainder() []byte { return r.partial }
@@ -101,7 +106,8 @@
 		line, rest, _ := bytes.Cut(event, []byte("\n"))
 		event = rest
 		if value, found := bytes.CutPrefix(line, []byte("id:")); found {
-			id, numbered = strings.TrimRight(strings.TrimPrefix(string(value), " "), "\r"), true
+			id = strings.TrimRight(strings.TrimPrefix(string(value), " "), "\r")
+			numbered = true
 		}
 		data = data || bytes.HasPrefix(line, []byte("data"))
 	}
--- a/internal/system/proxy/event_stream_test.go
+++ b/internal/system/proxy/event_stream_test.go
@@ -10,7 +10,8 @@
 	for len(in) > 0 {
 		n := min(size, len(in))
 		b, m := r.push(nil, []byte(in[:n]))
-		out, events = out+string(b), events+m
+		out += string(b)
+		events += m
 		in = in[n:]
 	}
 	return out, events
--- a/internal/system/proxy/exchange_end.go
+++ b/internal/system/proxy/exchange_end.go
@@ -51,7 +51,9 @@
 		x.session.rejectWith(503, "the proxy ends")
 		return
 	}
-	x.request.MayHaveRun = x.request.MayHaveRun || x.attempt != nil && x.attempt.connected // the runner may have started with a part of the request
+	if x.attempt != nil && x.attempt.connected { // the runner may have started with a part of the request
+		x.request.MayHaveRun = true
+	}
 	x.cancelAttempt(placement.Cancelled)
 	x.giveUp(shortRetryAfter)
 }
--- a/internal/system/proxy/metrics.go
+++ b/internal/system/proxy/metrics.go
@@ -20,7 +20,8 @@
 	counter("cinderroad_proxy_attempts_total", "Requests given to runners, repeats included.", counters.Attempts)
 	counter("cinderroad_proxy_resumed_total", "Streams continued at another runner.", counters.Resumed)
 	counter("cinderroad_proxy_runner_connections_total", "Connections opened to runners.", counters.Dials)
-	counter("cinderroad_proxy_spoilt_total", "Connections to runners closed for bytes that belong to no request.", counters.InvalidResponses)
+	counter("cinderroad_proxy_spoilt_total", "Connections to runners closed for bytes that belong to no request.",
+		counters.InvalidResponses)
 
 	page.Family(exposition.Counter, "cinderroad_proxy_notices_total", "Notices of prompts and runners that proxies tell each other.")
 	page.Sample(float64(counters.NoticesSent), exposition.Label{Name: "way", Value: "told"})
--- a/internal/system/proxy/peer_notifier_test.go
+++ b/internal/system/proxy/peer_notifier_test.go
@@ -75,10 +75,12 @@
 	relay, relayPlacer := newNotifiedProxy(t, 0)
 	last, lastPlacer := newNotifiedProxy(t, 0)
 	machine := netip.MustParseAddr("127.0.0.1")
-	teller.options.Zone, teller.options.NoticeAddr = "a", relay.peers.socket.Addr() // all proxies use the same port
+	teller.options.Zone = "a"
+	teller.options.NoticeAddr = relay.peers.socket.Addr() // all proxies use the same port
 	teller.applyPeers([]feed.Peer{{Node: "one", Address: machine, Zone: "c"}, {Node: "two", Address: machine, Zone: "c"},
 		{Node: "three", Address: machine}, {Node: "four", Zone: "a"}})
-	relay.options.Zone, relay.options.NoticeAddr = "c", last.peers.socket.Addr()
+	relay.options.Zone = "c"
+	relay.options.NoticeAddr = last.peers.socket.Addr()
 	relay.applyPeers([]feed.Peer{{Node: "five", Address: machine, Zone: "c"}})
 	if known := teller.placer.(*recordingPlacer).peers; len(known) != 4 {
 		t.Errorf("the placer got %d peers", len(known))
--- a/internal/system/proxy/pipelining_test.go
+++ b/internal/system/proxy/pipelining_test.go
@@ -27,7 +27,8 @@
 		t.Fatal(err)
 	}
 	client := sim.network.dial(simulationFront, &simulatedPeer{latency: time.Millisecond})
-	client.onData, client.onEnd = func([]byte) {}, func(bool) {}
+	client.onData = func([]byte) {}
+	client.onEnd = func(bool) {}
 	for _, id := range []string{"first", "second"} {
 		client.send("GET /reads/x HTTP/1.1\r\nHost: h.example\r\nX-Try-Id: " + id + "\r\nX-Time-Left-Ms: 1000\r\n\r\n")
 	}
--- a/internal/system/proxy/pool.go
+++ b/internal/system/proxy/pool.go
@@ -68,7 +68,10 @@
 	if r.address != listed.Address {
 		r.closeIdle()
 	}
-	r.service, r.address, r.draining, r.listed = listed.Service, listed.Address, listed.Draining, true
+	r.service = listed.Service
+	r.address = listed.Address
+	r.draining = listed.Draining
+	r.listed = true
 }
 
 // removeIfUnused removes a runner that is neither listed nor connected.
--- a/internal/system/proxy/proxy_test.go
+++ b/internal/system/proxy/proxy_test.go
@@ -4,6 +4,8 @@
 	"strconv"
 	"strings"
 	"testing"
+
+	"cinderroad/internal/system/placement"
 )
 
 // What a runner and a client get in the ordinary case, on connections that are reused.
@@ -27,7 +29,8 @@
 	if left, _ := strconv.Atoi(request.Header.Get("X-Time-Left-Ms")); left < 5000 || left > 10000 {
 		t.Errorf("time left is %d", left)
 	}
-	upstream.send("HTTP/1.1 201 Made\r\nX-Try-Id: t1\r\nX-Server-Seal: seal\r\nX-Odd: kept\r\nConnection: x-drop\r\nX-Drop: 1\r\nContent-Length: 3\r\n\r\nabc")
+	upstream.send("HTTP/1.1 201 Made\r\nX-Try-Id: t1\r\nX-Server-Seal: seal\r\nX-Odd: kept\r\n" +
+		"Connection: x-drop\r\nX-Drop: 1\r\nContent-Length: 3\r\n\r\nabc")
 	head := client.readHead()
 	for _, want := range []string{"HTTP/1.1 201 Made\r\n", "X-Server-Seal: seal\r\n", "X-Odd: kept\r\n",
 		"X-Try-Id: t1\r\n", "Content-Length: 3\r\n"} {
@@ -61,8 +64,9 @@
 	upstream := runner.accept()
 	upstream.readRequest()
 	h.onLoop(func() {
-		if request := h.placer.lastRequest; request.Model != "m" || request.InputTokens != 1460 || request.MaxOutputTokens != 80 || len(request.Chunks) != 2 ||
-			request.Chunks[1].ID != 0x91bd3f06 || request.Chunks[1].Tokens != 410 {
+		request := h.placer.lastRequest
+		wantTokens := request.Model == "m" && request.InputTokens == 1460 && request.MaxOutputTokens == 80
+		if !wantTokens || len(request.Chunks) != 2 || request.Chunks[1] != (placement.Chunk{ID: 0x91bd3f06, Tokens: 410}) {
 			t.Errorf("request for the placer: %+v", request)
 		}
 	})
--- a/internal/system/proxy/runner.go
+++ b/internal/system/proxy/runner.go
@@ -59,7 +59,8 @@
 func (r *runner) dial(attempt *attempt) {
 	p := r.pool.proxy
 	conn := r.open()
-	conn.attempt, attempt.conn = attempt, conn
+	conn.attempt = attempt
+	attempt.conn = conn
 	conn.timer = p.runAt(p.now()+r.connectTimeout(), func() { conn.fail(errConnectTimeout) })
 }
 
@@ -86,7 +87,8 @@
 
 // noteConnected records the time that a connect took and that the runner's machine is reachable.
 func (r *runner) noteConnected(took time.Duration) {
-	r.suspectUntil, r.lastDataAt = 0, r.pool.proxy.now()
+	r.suspectUntil = 0
+	r.lastDataAt = r.pool.proxy.now()
 	r.slowestConnect = max(took, time.Duration(float64(r.slowestConnect)*connectTimeDecay), 1)
 	r.pool.slowestConnect = max(took, time.Duration(float64(r.pool.slowestConnect)*connectTimeDecay), 1)
 }
--- a/internal/system/proxy/runner_conn.go
+++ b/internal/system/proxy/runner_conn.go
@@ -15,9 +15,12 @@
 
 const (
 	maxResponseHeadBytes = 32 << 10
-	discardTimeout       = 400 * time.Millisecond // for the rest of a response whose client may have disconnected while the runner is still working
-	sharedCloseWindow    = time.Second            // closes of idle connections within it mean that the runner stops
-	singleWriteBodyBytes = 32 << 10               // bodies up to this size are written in one call with the head
+	singleWriteBodyBytes = 32 << 10    // bodies up to this size are written in one call with the head
+	sharedCloseWindow    = time.Second // closes of idle connections within it mean that the runner stops
+
+	// discardTimeout bounds the wait for the rest of a response whose client may have disconnected while the runner is
+	// still working.
+	discardTimeout = 400 * time.Millisecond
 
 	unackedTimeout    = 3 * time.Second // sent bytes may stay unacknowledged for so long
 	keepAliveInterval = time.Second     // without a byte from the runner's machine
@@ -131,10 +134,15 @@
 // sendRequest writes the request of an attempt.
 func (c *runnerConn) sendRequest(attempt *attempt) {
 	x := attempt.exchange
-	c.attempt, attempt.conn = attempt, c
+	c.attempt = attempt
+	attempt.conn = c
 	c.transition(connAwaitingHead)
-	c.skippedPrevious, c.closeAfterResponse, c.responseStarted = false, false, false
-	c.previousTryID, c.tryID, c.method = c.tryID, x.tryID, x.head.Method
+	c.skippedPrevious = false
+	c.closeAfterResponse = false
+	c.responseStarted = false
+	c.previousTryID = c.tryID
+	c.tryID = x.tryID
+	c.method = x.head.Method
 	attempt.noteSent()
 	head := x.appendRequest(x.proxy.scratch[:0], attempt.choice)
 	c.requestEnd = c.socket.Written() + uint64(len(head)+len(x.body))
--- a/internal/system/proxy/session.go
+++ b/internal/system/proxy/session.go
@@ -60,7 +60,8 @@
 // noteNextRequest records when the first bytes of the next request arrived.
 func (s *session) noteNextRequest() {
 	if !s.nextRequestStarted && len(s.socket.Bytes()) > 0 {
-		s.nextRequestStarted, s.nextRequestStartedAt = true, s.lastDataAt
+		s.nextRequestStarted = true
+		s.nextRequestStartedAt = s.lastDataAt
 	}
 }
 
--- a/internal/system/proxy/session_input.go
+++ b/internal/system/proxy/session_input.go
@@ -39,7 +39,8 @@
 	}
 	s.socket.Consume(n)
 	s.timer.Stop()
-	s.nextRequestStarted, s.closeAfterResponse = false, head.Close || head.Version == "HTTP/1.0"
+	s.nextRequestStarted = false
+	s.closeAfterResponse = head.Close || head.Version == "HTTP/1.0"
 	s.proxy.countShutdownRequest(s)
 	s.requestCount++
 	x := newExchange(s, head)
--- a/internal/system/proxy/session_list.go
+++ b/internal/system/proxy/session_list.go
@@ -14,7 +14,8 @@
 }
 
 func (l *sessionList) pushBack(s *session) {
-	s.previous, s.next = l.last, nil
+	s.previous = l.last
+	s.next = nil
 	if l.last != nil {
 		l.last.next = s
 	} else {
--- a/internal/system/proxy/session_output.go
+++ b/internal/system/proxy/session_output.go
@@ -13,7 +13,8 @@
 	status, reason := 400, "malformed request"
 	var syntax *httpwire.SyntaxError
 	if errors.As(err, &syntax) {
-		status, reason = syntax.Status, syntax.Reason
+		status = syntax.Status
+		reason = syntax.Reason
 	}
 	s.rejectWith(status, reason)
 }
--- a/internal/system/proxy/session_test.go
+++ b/internal/system/proxy/session_test.go
@@ -108,7 +108,9 @@
 	h := newHarness(t)
 	runner := h.startRunners("a")[0]
 	client := h.connect()
-	client.send(requestText("/writes/x", "t1", "", "one") + requestText("/none/x", "t2", "", "") + requestText("/writes/x", "t3", "", "three"))
+	client.send(requestText("/writes/x", "t1", "", "one") +
+		requestText("/none/x", "t2", "", "") +
+		requestText("/writes/x", "t3", "", "three"))
 	upstream := runner.accept()
 	for _, want := range []string{"one", "three"} {
 		request, body := upstream.readRequest()
--- a/internal/system/proxy/shutdown.go
+++ b/internal/system/proxy/shutdown.go
@@ -36,12 +36,18 @@
 	if p.shutdown.active {
 		return
 	}
-	p.shutdown.active, p.shutdown.signalAt = true, p.now()
-	p.log.Info("told to stop", zap.Int("exchanges", p.openExchanges), zap.Int("sessions", p.sessions.count),
-		zap.Uint64("requests", p.Counters.Requests), zap.Uint64("served", p.Counters.Served),
-		zap.Uint64("refused", p.Counters.Rejected), zap.Uint64("failed", p.Counters.Failed))
+	p.shutdown.active = true
+	p.shutdown.signalAt = p.now()
+	p.log.Info("told to stop",
+		zap.Int("exchanges", p.openExchanges),
+		zap.Int("sessions", p.sessions.count),
+		zap.Uint64("requests", p.Counters.Requests),
+		zap.Uint64("served", p.Counters.Served),
+		zap.Uint64("refused", p.Counters.Rejected),
+		zap.Uint64("failed", p.Counters.Failed))
 	p.reportToAgent(p.placer.Snapshot())
-	now, plan := p.now(), p.shutdown.plan
+	now := p.now()
+	plan := p.shutdown.plan
 	p.runAt(now+plan.sweepIdle, p.sweepIdleSessions)
 	p.runAt(now+plan.closeListener, p.closeListener)
 	p.runAt(now+plan.LastResponses, p.endUnansweredExchanges)
@@ -94,9 +100,16 @@
 	if p.Counters.ShutdownCut++; p.Counters.ShutdownCut > maxCutsLogged {
 		return
 	}
-	fields := []zap.Field{zap.String("try", x.tryID), zap.Bool("answered", x.response.started), zap.Bool("may_have_run", x.request.MayHaveRun),
-		zap.Duration("came_after_signal", x.request.ArrivedAt-p.shutdown.signalAt), zap.Duration("time_left", x.request.Deadline-p.now()),
-		zap.Int("request_of_connection", session.requestCount), zap.Duration("connected_after_signal", session.acceptedAt-p.shutdown.signalAt)}
+	signalAt := p.shutdown.signalAt
+	fields := []zap.Field{
+		zap.String("try", x.tryID),
+		zap.Bool("answered", x.response.started),
+		zap.Bool("may_have_run", x.request.MayHaveRun),
+		zap.Duration("came_after_signal", x.request.ArrivedAt-signalAt),
+		zap.Duration("time_left", x.request.Deadline-p.now()),
+		zap.Int("request_of_connection", session.requestCount),
+		zap.Duration("connected_after_signal", session.acceptedAt-signalAt),
+	}
 	if x.request.Route != nil {
 		fields = append(fields, zap.String("route", x.request.Route.Name))
 	}
@@ -104,9 +117,12 @@
 }
 
 func (p *Proxy) logStopped() {
-	p.log.Info("stopped", zap.Duration("after_signal", p.shutdown.elapsed(p.now())), zap.Uint64("cut", p.Counters.ShutdownCut),
+	p.log.Info("stopped",
+		zap.Duration("after_signal", p.shutdown.elapsed(p.now())),
+		zap.Uint64("cut", p.Counters.ShutdownCut),
 		zap.Uint64("turned_away", p.Counters.ShutdownRejected),
-		zap.Uint64("on_new_connections", p.Counters.ShutdownOnNewConns), zap.Uint64("on_kept_connections", p.Counters.ShutdownOnReusedConns))
+		zap.Uint64("on_new_connections", p.Counters.ShutdownOnNewConns),
+		zap.Uint64("on_kept_connections", p.Counters.ShutdownOnReusedConns))
 }
 
 // sweepIdleSessions closes idle sessions, repeatedly.
--- a/internal/system/proxy/shutdown_plan_test.go
+++ b/internal/system/proxy/shutdown_plan_test.go
@@ -29,12 +29,16 @@
 func TestPlanShutdownFitsGracePeriod(t *testing.T) {
 	for grace := 100 * time.Millisecond; grace < time.Minute; grace += 70 * time.Millisecond {
 		plan := planShutdown(grace)
-		ordered := plan.sweepIdle <= plan.closeListener && plan.closeListener < plan.LastResponses && plan.LastResponses < plan.ProxyEnd && plan.ProxyEnd < grace
+		ordered := plan.sweepIdle <= plan.closeListener &&
+			plan.closeListener < plan.LastResponses &&
+			plan.LastResponses < plan.ProxyEnd &&
+			plan.ProxyEnd < grace
 		if !ordered || float64(plan.LastResponses) < cutAllowedFrom*float64(grace) || plan.closeListener >= cutAllowedIfSentWithin {
 			t.Errorf("grace of %v: %+v", grace, plan)
 		}
 		for after := time.Duration(0); after < grace; after += grace / 50 {
-			if plan.accepts(after, plan.LastResponses) && after >= plan.closeListener || !plan.accepts(after, plan.LastResponses-deadlineGrace) {
+			acceptsTooLong := after >= plan.closeListener && plan.accepts(after, plan.LastResponses)
+			if acceptsTooLong || !plan.accepts(after, plan.LastResponses-deadlineGrace) {
 				t.Errorf("grace of %v: wrong about a request %v after the signal", grace, after)
 			}
 		}
--- a/internal/system/proxy/shutdown_simulation_test.go
+++ b/internal/system/proxy/shutdown_simulation_test.go
@@ -80,7 +80,10 @@
 			if len(sim.violations) > 0 {
 				t.Errorf("grace period %v, seed %d:\n%s", grace, seed, strings.Join(sim.violations, "\n"))
 			}
-			requests, complete, rejected, cut = requests+sim.requestCount, complete+sim.complete, rejected+sim.rejected, cut+sim.cut
+			requests += sim.requestCount
+			complete += sim.complete
+			rejected += sim.rejected
+			cut += sim.cut
 		}
 		t.Logf("grace period %v: %d requests, %d complete, %d rejected, %d cut off as allowed", grace, requests, complete, rejected, cut)
 		if complete < minComplete {
@@ -161,7 +164,8 @@
 
 func (c *shutdownClient) connect() {
 	end := c.simulation.network.dial(simulationFront, c.peer)
-	c.end, c.received = end, ""
+	c.end = end
+	c.received = ""
 	end.onData = func(b []byte) {
 		if c.end == end {
 			c.handleData(string(b))
--- a/internal/system/proxy/shutdown_test.go
+++ b/internal/system/proxy/shutdown_test.go
@@ -84,7 +84,8 @@
 	long, short := h.connect(), h.connect()
 	h.waitFor("two sessions", func() bool { return h.proxy.sessions.count == 2 })
 	h.onLoop(func() {
-		h.proxy.shutdown.active, h.proxy.shutdown.signalAt = true, h.proxy.now()-3*time.Second
+		h.proxy.shutdown.active = true
+		h.proxy.shutdown.signalAt = h.proxy.now() - 3*time.Second
 		h.proxy.shutdown.plan = shutdownPlan{closeListener: 2 * time.Second,
 			Schedule: shutdown.Schedule{LastResponses: 6 * time.Second, ProxyEnd: 7 * time.Second}}
 	})
--- a/internal/system/proxy/simulation_checker_test.go
+++ b/internal/system/proxy/simulation_checker_test.go
@@ -78,7 +78,11 @@
 
 // suspect records a violation that counts unless the request turns out to have met a fault.
 func (r *checker) suspect(request *simulatedRequest, rule, text string) {
-	r.suspectedViolations = append(r.suspectedViolations, suspectedViolation{request, rule, fmt.Sprintf("at %.4f: %s", r.network.now.Seconds(), text)})
+	r.suspectedViolations = append(r.suspectedViolations, suspectedViolation{
+		request: request,
+		rule:    rule,
+		text:    fmt.Sprintf("at %.4f: %s", r.network.now.Seconds(), text),
+	})
 }
 
 // finish decides on the suspected violations.
@@ -314,7 +318,8 @@
 	rest := text[head.bytes:]
 	if head.header.Get("Transfer-Encoding") == "chunked" {
 		body, n, done, ok := parseChunks(rest)
-		response.body, response.bytes = body, head.bytes+n
+		response.body = body
+		response.bytes = head.bytes + n
 		return response, done, ok
 	}
 	if length := head.header.Get("Content-Length"); length != "" {
@@ -326,7 +331,9 @@
 		response.body = rest[:min(size, len(rest))]
 		return response, len(rest) >= size, true
 	}
-	response.body, response.bytes, response.closes = rest, len(text), true
+	response.body = rest
+	response.bytes = len(text)
+	response.closes = true
 	return response, ended, true
 }
 
--- a/internal/system/proxy/simulation_client_test.go
+++ b/internal/system/proxy/simulation_client_test.go
@@ -54,7 +54,8 @@
 
 func (c *simulatedClient) connect() {
 	end := c.sim.network.dial(simulationFront, c.peer)
-	c.end, c.received = end, ""
+	c.end = end
+	c.received = ""
 	end.onData = func(b []byte) {
 		if c.end == end {
 			c.handleData(b)
--- a/internal/system/proxy/simulation_network_test.go
+++ b/internal/system/proxy/simulation_network_test.go
@@ -210,7 +210,8 @@
 	if s == nil {
 		return unix.EBADF
 	}
-	s.watched, s.event = operation != unix.EPOLL_CTL_DEL, event
+	s.watched = operation != unix.EPOLL_CTL_DEL
+	s.event = event
 	return nil
 }
 
@@ -225,7 +226,8 @@
 // Listen implements eventloop.System.
 func (n *simulatedNetwork) Listen(addr netip.AddrPort) (int, error) {
 	s := n.newSocket()
-	s.listens, s.address = true, addr
+	s.listens = true
+	s.address = addr
 	n.listening[addr] = s
 	return s.fd, nil
 }
@@ -256,7 +258,8 @@
 		}
 		s.connecting = false
 		if peer.accept == nil {
-			s.pendingError, s.reset = unix.ECONNREFUSED, true
+			s.pendingError = unix.ECONNREFUSED
+			s.reset = true
 			return
 		}
 		peer.accept(s.end)
@@ -359,7 +362,8 @@
 // Close implements eventloop.System.
 func (n *simulatedNetwork) Close(fd int) {
 	s := n.sockets[fd]
-	s.closed, s.watched = true, false
+	s.closed = true
+	s.watched = false
 	delete(n.sockets, fd)
 	e := s.end
 	switch {
@@ -438,7 +442,9 @@
 
 func (s *simulatedSocket) applyReset() {
 	if !s.reset {
-		s.reset, s.pendingError, s.unackedBytes = true, unix.ECONNRESET, 0
+		s.reset = true
+		s.pendingError = unix.ECONNRESET
+		s.unackedBytes = 0
 	}
 }
 
--- a/internal/system/proxy/simulation_runner_test.go
+++ b/internal/system/proxy/simulation_runner_test.go
@@ -58,7 +58,9 @@
 func (r *simulatedRunner) accept(end *remoteEnd) {
 	c := &simulatedRunnerConn{runner: r, end: end}
 	r.conns = append(r.conns, c)
-	end.onData, end.onEnd, end.onLost = c.handleData, c.handleClose, c.handleLostBytes
+	end.onData = c.handleData
+	end.onEnd = c.handleClose
+	end.onLost = c.handleLostBytes
 	if r.sim.chance(40) { // it accepts no more connections
 		c.closeWith(end.abort)
 	}
@@ -120,12 +122,13 @@
 		case c.pendingBody != "":
 			n := min(len(c.pendingBody), len(c.received))
 			if c.received[:n] != c.pendingBody[:n] {
-				c.runner.sim.checker.violation("UNASKED", "%s gets %.40q where %.40q of %s is expected", c.runner.id, c.received, c.pendingBody,
-					c.request.id)
+				c.runner.sim.checker.violation("UNASKED", "%s gets %.40q where %.40q of %s is expected",
+					c.runner.id, c.received, c.pendingBody, c.request.id)
 				c.closeWith(c.end.abort)
 				return
 			}
-			c.received, c.pendingBody = c.received[n:], c.pendingBody[n:]
+			c.received = c.received[n:]
+			c.pendingBody = c.pendingBody[n:]
 			if c.pendingBody == "" {
 				c.handleBody()
 			}
@@ -157,7 +160,9 @@
 	if length != len(request.body) {
 		sim.checker.violation("UNASKED", "%s arrives with %d bytes of %d", request.id, length, len(request.body))
 	}
-	c.request, c.pendingBody, c.answeredEarly = request, request.body, false
+	c.request = request
+	c.pendingBody = request.body
+	c.answeredEarly = false
 	request.faulted = request.faulted || c.mayBeStale
 	if c.pendingBody == "" {
 		c.execute(got)
@@ -193,7 +198,11 @@
 
 // makeIdle makes the connection available for the next request.
 func (c *simulatedRunnerConn) makeIdle() {
-	c.previousID, c.request, c.answeredEarly, c.replying, c.running = c.request.id, nil, false, false, false
+	c.previousID = c.request.id
+	c.request = nil
+	c.answeredEarly = false
+	c.replying = false
+	c.running = false
 	if c.runner.sim.chance(15) {
 		step := c.generation
 		c.runner.sim.network.after(c.runner.sim.randomDuration(400*time.Millisecond), func() {
@@ -210,7 +219,8 @@
 	text := notRunResponse(c.request.id, 503)
 	if sim.network.now >= c.runner.peer.partitionedUntil && !sim.chance(3) { // a runner that has started sends its response head at once
 		made := sim.checker.executionStarted(c.request, c.runner.id)
-		made.status, made.body = 200, bodyOf(c.request.id)
+		made.status = 200
+		made.body = bodyOf(c.request.id)
 		text = sealedResponse(made, "", lengthDelimited(made))
 		if c.request.kind == "resumable" || c.request.kind == "stream" {
 			text = c.stream(made, got)
@@ -255,7 +265,8 @@
 	if c.request.kind == "resumable" {
 		_, _ = fmt.Sscan(got.header.Get(headerLastEventID), &from)
 	}
-	made.status, made.body = 200, completeStream(c.request.id)
+	made.status = 200
+	made.body = completeStream(c.request.id)
 	var text strings.Builder
 	for i := from + 1; i <= chaosEvents; i++ {
 		text.WriteString(chunkText(fmt.Sprintf("id: %d\ndata: %s\n\n", i, c.request.id)))
@@ -348,7 +359,8 @@
 // drawResponse chooses a response to what was executed. It is one switch over the kinds of responses.
 func (c *simulatedRunnerConn) drawResponse(made *execution, got *parsedHead) {
 	sim, request := c.runner.sim, c.request
-	made.status, made.body = 200, bodyOf(request.id)
+	made.status = 200
+	made.body = bodyOf(request.id)
 	text := sealedResponse(made, "", lengthDelimited(made))
 	if request.kind == "stream" || request.kind == "resumable" {
 		text = c.stream(made, got)
@@ -361,10 +373,14 @@
 	case 1:
 		closes()
 	case 2:
-		made.status, made.body, request.faulted = 500, "oops", true
+		made.status = 500
+		made.body = "oops"
+		request.faulted = true
 		c.sendPieces(sealedResponse(made, "", lengthDelimited(made)), c.makeIdle)
 	case 3:
-		made.status, made.body, request.faulted = 503, "oops", true
+		made.status = 503
+		made.body = "oops"
+		request.faulted = true
 		c.sendPieces(sealedResponse(made, "", lengthDelimited(made)), c.makeIdle)
 	case 4:
 		request.faulted = true
@@ -409,7 +425,9 @@
 			})
 		})
 	case 15:
-		made.status, made.body, request.faulted = 504, "late", true
+		made.status = 504
+		made.body = "late"
+		request.faulted = true
 		c.sendPieces(sealedResponse(made, "", lengthDelimited(made)), c.makeIdle)
 	default:
 		c.sendPieces(text, c.makeIdle)
--- a/internal/system/proxy/simulation_test.go
+++ b/internal/system/proxy/simulation_test.go
@@ -75,8 +75,11 @@
 		if err := sim.run(); err != nil {
 			t.Fatal(err)
 		}
-		served, rejected = served+sim.checker.served, rejected+sim.checker.rejected
-		resumed, timedOut, requests = resumed+sim.checker.resumed, timedOut+sim.checker.timedOut, requests+sim.requestCount
+		served += sim.checker.served
+		rejected += sim.checker.rejected
+		resumed += sim.checker.resumed
+		timedOut += sim.checker.timedOut
+		requests += sim.requestCount
 		if len(sim.checker.violations) > 0 {
 			t.Errorf("seed %d (MODEL_SEED=%d):\n%s", seed, seed, strings.Join(sim.checker.violations, "\n"))
 		}
@@ -100,7 +103,9 @@
 	routes := []*configuration.Route{route("reads", configuration.ReadOnly), route("writes", configuration.ReadWrite),
 		route("stream", configuration.Streaming), resumable}
 	for _, target := range routes {
-		target.Timeout, target.LatencyTarget, target.MaxAttempts = simulationRouteTimeout, 300*time.Millisecond, simulationAttempts
+		target.Timeout = simulationRouteTimeout
+		target.LatencyTarget = 300 * time.Millisecond
+		target.MaxAttempts = simulationAttempts
 	}
 	sim.proxy.SetRoutes(&fakeRoutes{routes})
 	sim.proxy.SetServices([]*configuration.Service{{Name: "s", MaxConnections: 100}})
--- a/internal/system/proxy/watchdog.go
+++ b/internal/system/proxy/watchdog.go
@@ -23,7 +23,8 @@
 func (c *runnerConn) startWatchdog(after time.Duration) {
 	p := c.runner.pool.proxy
 	c.watchdog.Stop()
-	c.dataSinceCheck, c.checkInterval = false, after
+	c.dataSinceCheck = false
+	c.checkInterval = after
 	c.watchdog = p.runAt(p.now()+after, c.checkProgress)
 }
 
@@ -74,7 +75,8 @@
 		return
 	}
 	x.attempt = a
-	x.request.TriedRunners, x.request.MayHaveRun = before.TriedRunners, before.MayHaveRun
+	x.request.TriedRunners = before.TriedRunners
+	x.request.MayHaveRun = before.MayHaveRun
 }
 
 // markSuspect stops sending requests to the runner for a while and closes its idle connections.
--- a/internal/system/startup/startup.go
+++ b/internal/system/startup/startup.go
@@ -52,14 +52,24 @@
 
 // commandLine holds the flags that all programs have.
 type commandLine struct {
-	LogLevel    zapcore.Level    `name:"log-level" help:"Least level of events that are logged: debug, info, warn or error." default:"${log_level}" aliases:"log"`
-	MetricsPort uint16           `name:"metrics-port" help:"Port of the machine's address at which the process serves its own figures (GET /metrics); 0: none."`
+	LogLevel    zapcore.Level    `name:"log-level" help:"${log_level_help}" default:"${log_level}" aliases:"log"`
+	MetricsPort uint16           `name:"metrics-port" help:"${metrics_port_help}"`
 	Version     kong.VersionFlag `name:"version" help:"Print the version and exit."`
 }
 
+// Help texts of the flags.
+const (
+	logLevelHelp    = "Least level of events that are logged: debug, info, warn or error."
+	metricsPortHelp = "Port of the machine's address at which the process serves its own figures (GET /metrics); 0: none."
+)
+
 func (p *Program) parser(flags *commandLine) *kong.Kong {
-	return kong.Must(flags, kong.Name(p.Name), kong.Description(p.Description),
-		kong.Vars{"version": p.Version, "log_level": p.LogLevel.String()})
+	return kong.Must(flags, kong.Name(p.Name), kong.Description(p.Description), kong.Vars{
+		"version":           p.Version,
+		"log_level":         p.LogLevel.String(),
+		"log_level_help":    logLevelHelp,
+		"metrics_port_help": metricsPortHelp,
+	})
 }
 
 // MetricsAddress returns where the program serves its metrics on a machine; the zero value: nowhere.
